--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -47,10 +47,10 @@
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
 	for n := 0; ; n++ {
-		t := standin.Truth{RunS: 8, Spec: wire.Spec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Lane: "demo", Owner: "red", Shape: wire.Sweep,
-			Urgency: wire.Standard, Parts: 1 + n%6, CPUs: 2, RAM: 4, Bundle: "img-a", ImageGB: 1, Standby: true, Expected: 8}}
+		t := standin.Truth{RunS: 8, Spec: wire.Spec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray,
+			Priority: wire.PriorityStandard, Tasks: 1 + n%6, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: 8}}
 		if n%4 == 3 {
-			t.Spec.Shape, t.Spec.Urgency, t.Spec.Owner, t.Spec.Standby, t.Spec.Expected = wire.Daemon, wire.Prod, "blue", false, 0
+			t.Spec.Kind, t.Spec.Priority, t.Spec.Team, t.Spec.SpotAllowed, t.Spec.ExpectedRunTime = wire.KindService, wire.PriorityProd, "blue", false, 0
 			w.Submit(t, 40*time.Second)
 		} else {
 			w.Submit(t, 0)
--- a/gang_test.go
+++ b/gang_test.go
@@ -16,9 +16,9 @@
 // gang is a job whose tasks start together or never, and save.
 func gang(n, parts int, run float64) standin.Truth {
 	return standin.Truth{RunS: run, Spec: wire.Spec{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Lane: "clash", Owner: "red", Shape: wire.Ensemble, Urgency: wire.Urgent,
-		Parts: parts, CPUs: 2, RAM: 6, Bundle: "img-g", ImageGB: 1, SamePlace: true, Expected: wire.Seconds(run),
-		SnapshotEveryS: 20, SnapshotS: 2}}
+		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent,
+		Tasks: parts, CPUs: 2, MemoryGB: 6, Image: "img-g", ImageGB: 1, SameZone: true, ExpectedRunTime: wire.Seconds(run),
+		CheckpointInterval: 20, CheckpointTime: 2}}
 }
 
 // shows waits for something that the stand-ins show.
@@ -41,13 +41,13 @@
 // runs waits until all of the gang runs.
 func runs(t *testing.T, w *standin.World, j standin.Truth, most time.Duration) bool {
 	t.Helper()
-	return shows(t, most, string(j.Spec.ID)+" runs whole", func() bool { return w.Gang(j.Spec.ID).Running == j.Spec.Parts })
+	return shows(t, most, string(j.Spec.ID)+" runs whole", func() bool { return w.Gang(j.Spec.ID).Running == j.Spec.Tasks })
 }
 
 func TestGangQuiet(t *testing.T) {
 	playBoth(t, 800, func(t *testing.T, w *standin.World, at func(time.Duration)) {
 		a, b, c := gang(1, 4, 30), gang(2, 1, 10), gang(3, 8, 25)
-		c.Spec.SamePlace, c.Spec.CPUs, c.Spec.SnapshotEveryS, c.Spec.SnapshotS = false, 1, 0, 0
+		c.Spec.SameZone, c.Spec.CPUs, c.Spec.CheckpointInterval, c.Spec.CheckpointTime = false, 1, 0, 0
 		at(2 * time.Second)
 		for _, j := range []standin.Truth{a, b, c} {
 			w.Submit(j, 0)
@@ -151,7 +151,7 @@
 // orderly stop: no half is left, and it starts soon.
 func TestGangLosesTheLeader(t *testing.T) {
 	id := gang(1, 4, 40)
-	id.Spec.Kits = []wire.Kit{"c4"}
+	id.Spec.MachineTypes = []wire.MachineType{"c4"}
 	step := map[string]func(g standin.Gang, recorded int) bool{
 		"recorded": func(g standin.Gang, n int) bool { return n > 0 && g.Pulling+g.Waiting+g.Running == 0 },
 		"first launched": func(g standin.Gang, _ int) bool {
@@ -168,7 +168,7 @@
 				playBoth(t, 803, func(t *testing.T, w *standin.World, at func(time.Duration)) {
 					j := id
 					warm := array(9, 10, 15)
-					warm.Spec.Standby, warm.Spec.Kits = false, id.Spec.Kits
+					warm.Spec.SpotAllowed, warm.Spec.MachineTypes = false, id.Spec.MachineTypes
 					at(2 * time.Second)
 					w.Submit(warm, 0)
 					at(30 * time.Second)
@@ -216,8 +216,8 @@
 		t.Run(how, func(t *testing.T) {
 			playAs(t, standin.DefaultSettings(), 804, func(w *standin.World, at func(time.Duration)) {
 				j, s := gang(1, 4, 50), service(2, 4)
-				j.Spec.Urgency, j.Spec.Kits = wire.Standard, []wire.Kit{"c4"}
-				s.Spec.Apart, s.Spec.RAM = false, 6
+				j.Spec.Priority, j.Spec.MachineTypes = wire.PriorityStandard, []wire.MachineType{"c4"}
+				s.Spec.Spread, s.Spec.MemoryGB = false, 6
 				at(2 * time.Second)
 				// Room kept for the next gang would be room for the service.
 				if status, raw, _ := w.Operate(0, "PUT", "/admin/settings", map[string]any{"version": 0, "set": map[string]any{"gangs.spare": 0}}); status != 200 {
@@ -274,7 +274,7 @@
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
 			playBoth(t, 805, func(t *testing.T, w *standin.World, at func(time.Duration)) {
 				j := gang(1, 4, 60)
-				j.Spec.Standby = true
+				j.Spec.SpotAllowed = true
 				at(2 * time.Second)
 				w.Submit(j, 0)
 				runs(t, w, j, 60*time.Second)
@@ -304,8 +304,8 @@
 		t.Run(name, func(t *testing.T) {
 			playBoth(t, 806, func(t *testing.T, w *standin.World, at func(time.Duration)) {
 				j, warm := gang(1, 4, 60), array(9, 10, 15)
-				j.Spec.Standby, j.Spec.SnapshotS, j.Spec.Kits = true, 4, []wire.Kit{"c4"}
-				warm.Spec.Kits = j.Spec.Kits
+				j.Spec.SpotAllowed, j.Spec.CheckpointTime, j.Spec.MachineTypes = true, 4, []wire.MachineType{"c4"}
+				warm.Spec.MachineTypes = j.Spec.MachineTypes
 				at(2 * time.Second)
 				w.Submit(warm, 0)
 				at(30 * time.Second)
@@ -351,15 +351,15 @@
 			at(time.Duration(36+5*n) * time.Second)
 			a := array(200+n, 10, 30)
 			if n%2 == 1 {
-				a.Spec.Owner = "blue"
+				a.Spec.Team = "blue"
 			}
 			w.Submit(a, 0)
 			if n%9 == 0 {
 				for k, parts := range []int{4, 6} {
 					j := gang(10+len(gangs), parts, 25)
-					j.Spec.Standby = true
+					j.Spec.SpotAllowed = true
 					if k == 1 {
-						j.Spec.Urgency, j.Spec.SamePlace = wire.Standard, false
+						j.Spec.Priority, j.Spec.SameZone = wire.PriorityStandard, false
 					}
 					gangs = append(gangs, j)
 					w.Submit(j, 0)
@@ -373,7 +373,7 @@
 				d, ok := c.Waited(j.Spec.ID)
 				began[j.Spec.ID] = d
 				if !ok || d > 4*time.Minute {
-					t.Errorf("%s of %d (submitted at %v) began after %v, %v", j.Spec.ID, j.Spec.Parts, submitted(k), d, ok)
+					t.Errorf("%s of %d (submitted at %v) began after %v, %v", j.Spec.ID, j.Spec.Tasks, submitted(k), d, ok)
 				}
 			}
 		})
@@ -393,7 +393,7 @@
 					z := leadersZone(w, leads)
 					in, other := gang(1, 4, 50), gang(2, 4, 50)
 					across := gang(3, 6, 50)
-					in.Spec.Site, across.Spec.SamePlace, across.Spec.Apart = z, false, true
+					in.Spec.Zone, across.Spec.SameZone, across.Spec.Spread = z, false, true
 					w.Submit(in, 0)
 					w.Submit(other, 0)
 					w.Submit(across, 0)
@@ -461,9 +461,9 @@
 				for n := range 24 {
 					at(time.Duration(3+6*n)*time.Second + seconds(4))
 					j := gang(10+n, 2+rng.IntN(4), float64(5+rng.IntN(50)))
-					j.Spec.SamePlace, j.Spec.Standby = rng.IntN(3) > 0, rng.IntN(2) == 0
+					j.Spec.SameZone, j.Spec.SpotAllowed = rng.IntN(3) > 0, rng.IntN(2) == 0
 					if rng.IntN(2) == 0 {
-						j.Spec.Urgency = wire.Standard
+						j.Spec.Priority = wire.PriorityStandard
 					}
 					if n%3 == 2 {
 						j = array(100+n, 1+rng.IntN(8), float64(5+rng.IntN(25)))
@@ -543,8 +543,8 @@
 func TestGangInKeptRoom(t *testing.T) {
 	playAs(t, standin.DefaultSettings(), 810, func(w *standin.World, at func(time.Duration)) {
 		s, j := service(1, 4), gang(2, 3, 20)
-		s.Spec.Apart, s.Spec.Kits, s.Spec.Site = false, []wire.Kit{"c16"}, "a"
-		j.Spec.CPUs, j.Spec.Urgency, j.Spec.Kits, j.Spec.Site = 4, wire.Standard, s.Spec.Kits, "a" // 12 of 16 CPUs, 4 used, 2 kept
+		s.Spec.Spread, s.Spec.MachineTypes, s.Spec.Zone = false, []wire.MachineType{"c16"}, "a"
+		j.Spec.CPUs, j.Spec.Priority, j.Spec.MachineTypes, j.Spec.Zone = 4, wire.PriorityStandard, s.Spec.MachineTypes, "a" // 12 of 16 CPUs, 4 used, 2 kept
 		at(2 * time.Second)
 		w.Submit(s, 0)
 		at(40 * time.Second)
@@ -568,15 +568,15 @@
 		w.SlowSaves()
 		saves, j := array(1, 2, 300), gang(3, 4, 20)
 		for _, s := range []*wire.Spec{&saves.Spec, &j.Spec} {
-			s.CPUs, s.RAM, s.Kits, s.Standby, s.Site = 4, 8, []wire.Kit{"c4"}, false, "a"
+			s.CPUs, s.MemoryGB, s.MachineTypes, s.SpotAllowed, s.Zone = 4, 8, []wire.MachineType{"c4"}, false, "a"
 		}
-		saves.Spec.Owner = "blue"
-		saves.Spec.SnapshotEveryS, saves.Spec.SnapshotS = 20, 14
+		saves.Spec.Team = "blue"
+		saves.Spec.CheckpointInterval, saves.Spec.CheckpointTime = 20, 14
 		at(2 * time.Second)
 		w.Submit(saves, 0)
 		quick := func(n int) {
 			a := array(n, 6, 25)
-			a.Spec.CPUs, a.Spec.RAM, a.Spec.Kits, a.Spec.Standby, a.Spec.Site, a.Spec.Owner = 4, 8, j.Spec.Kits, false, "a", "blue"
+			a.Spec.CPUs, a.Spec.MemoryGB, a.Spec.MachineTypes, a.Spec.SpotAllowed, a.Spec.Zone, a.Spec.Team = 4, 8, j.Spec.MachineTypes, false, "a", "blue"
 			w.Submit(a, 0)
 		}
 		quick(100)
@@ -609,7 +609,7 @@
 func TestGangNoticeToANewLeader(t *testing.T) {
 	playBoth(t, 812, func(t *testing.T, w *standin.World, at func(time.Duration)) {
 		j := gang(1, 4, 60)
-		j.Spec.Standby, j.Spec.Kits = true, []wire.Kit{"c4"}
+		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
 		at(2 * time.Second)
 		w.Submit(j, 0)
 		runs(t, w, j, 60*time.Second)
@@ -634,7 +634,7 @@
 func TestGangNoticeInAnOutage(t *testing.T) {
 	playBoth(t, 813, func(t *testing.T, w *standin.World, at func(time.Duration)) {
 		j := gang(1, 4, 80)
-		j.Spec.Standby, j.Spec.Kits = true, []wire.Kit{"c4"}
+		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
 		at(2 * time.Second)
 		w.Submit(j, 0)
 		runs(t, w, j, 60*time.Second)
@@ -657,7 +657,7 @@
 		at(2 * time.Second)
 		for n := range 14 {
 			j := gang(100+n, 2, 10)
-			j.Spec.CPUs, j.Spec.RAM = 1, 3
+			j.Spec.CPUs, j.Spec.MemoryGB = 1, 3
 			w.Submit(j, time.Duration(18+n)*time.Second)
 		}
 		at(150 * time.Second)
@@ -675,10 +675,10 @@
 func TestGangFails(t *testing.T) {
 	play(t, 815, func(w *standin.World, at func(time.Duration)) {
 		good, bad := gang(1, 4, 40), gang(2, 4, 15)
-		good.Spec.Kits = []wire.Kit{"c4"}
+		good.Spec.MachineTypes = []wire.MachineType{"c4"}
 		bad.Fails = true
 		warm := array(9, 10, 15)
-		warm.Spec.Kits, warm.Spec.Standby = good.Spec.Kits, false
+		warm.Spec.MachineTypes, warm.Spec.SpotAllowed = good.Spec.MachineTypes, false
 		at(2 * time.Second)
 		w.Submit(warm, 0)
 		at(25 * time.Second)
@@ -704,12 +704,12 @@
 // A team's arrays keep it at its limit for ever, with room enough. Its gangs, which
 // need much of the limit at once, must begin within four minutes all the same.
 func TestGangUnderItsTeamsLimit(t *testing.T) {
-	for _, u := range []wire.Urgency{wire.Urgent, wire.Standard, wire.BestEffort} {
+	for _, u := range []wire.Priority{wire.PriorityUrgent, wire.PriorityStandard, wire.PriorityBestEffort} {
 		t.Run(string(u), func(t *testing.T) {
 			play(t, 816, func(w *standin.World, at func(time.Duration)) {
 				j := gang(1, 8, 25)
-				j.Spec.SamePlace, j.Spec.Urgency = false, u
-				j.Spec.RAM = 4
+				j.Spec.SameZone, j.Spec.Priority = false, u
+				j.Spec.MemoryGB = 4
 				at(2 * time.Second)
 				for n := range 6 {
 					w.Submit(array(100+n, 8, 20), 0)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -77,7 +77,7 @@
 	if err := wire.Decode(e.Value, &m); err != nil {
 		a.log.Error("stored settings are undecodable", "err", err)
 	}
-	return m, e.Stamp, nil
+	return m, e.Revision, nil
 }
 
 func (a *Admin) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -133,7 +133,7 @@
 		m[k] = v
 	}
 	rev, err := a.store.Commit(r.Context(), store.Duty, wire.Txn{
-		Guards: []wire.Guard{{Key: store.SettingsKey, Stamp: version}},
+		Guards: []wire.Guard{{Key: store.SettingsKey, Revision: version}},
 		Writes: []wire.Write{{Put: store.SettingsKey, Value: wire.Encode(m)}},
 	})
 	var conflict *store.ConflictError
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -99,46 +99,46 @@
 }
 
 // Flavors reads the machine types and their current prices.
-func (c *Client) Flavors(ctx context.Context) ([]wire.Flavor, error) {
-	var f wire.Flavors
+func (c *Client) Flavors(ctx context.Context) ([]wire.MachineSpec, error) {
+	var f wire.MachineSpecs
 	err := c.do(ctx, "flavors", "GET", "/flavors", nil, &f)
-	if err == nil && len(f.Kits) == 0 {
+	if err == nil && len(f.Types) == 0 {
 		err = fmt.Errorf("%w: no machine types", ErrUnknown)
 	}
-	return f.Kits, err
+	return f.Types, err
 }
 
 // Rent asks for machines; a booking is repeated under its name until it is
 // answered.
-func (c *Client) Rent(ctx context.Context, b wire.Booking) ([]wire.MachineID, error) {
-	var h wire.Hosts
+func (c *Client) Rent(ctx context.Context, b wire.RentalRequest) ([]wire.MachineID, error) {
+	var h wire.MachineNames
 	err := c.do(ctx, "rent", "POST", "/machines", b, &h)
-	return h.Hosts, err
+	return h.Machines, err
 }
 
 // Release returns machines; after nil they are gone with all that was on
 // them.
 func (c *Client) Release(ctx context.Context, hosts []wire.MachineID) error {
-	return c.do(ctx, "release", "POST", "/machines/release", wire.Hosts{Hosts: hosts}, nil)
+	return c.do(ctx, "release", "POST", "/machines/release", wire.MachineNames{Machines: hosts}, nil)
 }
 
 // List reads the whole machine list.
-func (c *Client) List(ctx context.Context) ([]wire.Host, error) {
-	var all []wire.Host
+func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
+	var all []wire.ListedMachine
 	after := ""
 	for {
 		q := url.Values{"page": {strconv.Itoa(500)}}
 		if after != "" {
 			q.Set("after", after)
 		}
-		var page wire.HostPage
+		var page wire.MachinePage
 		if err := c.do(ctx, "list", "GET", "/machines?"+q.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
-		all = append(all, page.Hosts...)
-		if !page.Truncated || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.Truncated || len(page.Machines) == 0 {
 			return all, nil
 		}
-		after = string(page.Hosts[len(page.Hosts)-1].Name)
+		after = string(page.Machines[len(page.Machines)-1].Name)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,7 +13,7 @@
 
 // Offer is a type, zone and kind that may be rented now.
 type Offer struct {
-	Kit   wire.Kit
+	Kit   wire.MachineType
 	Zone  wire.Zone
 	Spot  bool
 	Total placement.Res
@@ -27,7 +27,7 @@
 // Machine that we have, or that is on its way.
 type Machine struct {
 	ID   wire.MachineID
-	Kit  wire.Kit
+	Kit  wire.MachineType
 	Zone wire.Zone
 	Spot bool
 	// Free room; of a machine that still boots, all of it.
@@ -88,7 +88,7 @@
 
 // Rent asks for machines of one offer.
 type Rent struct {
-	Kit   wire.Kit
+	Kit   wire.MachineType
 	Zone  wire.Zone
 	Spot  bool
 	Count int
@@ -105,7 +105,7 @@
 }
 
 type bin struct {
-	kit      wire.Kit
+	kit      wire.MachineType
 	zone     wire.Zone
 	spot     bool
 	free     placement.Res
@@ -287,8 +287,8 @@
 }
 
 func kindOf(d *Demand) kind {
-	k := kind{take: placement.Of(d.Spec), site: d.Spec.Site, standby: d.Spec.Standby, spreads: !d.Spec.Service() && d.ZoneLeft == nil}
-	for _, t := range d.Spec.Kits {
+	k := kind{take: placement.Of(d.Spec), site: d.Spec.Zone, standby: d.Spec.SpotAllowed, spreads: !d.Spec.Service() && d.ZoneLeft == nil}
+	for _, t := range d.Spec.MachineTypes {
 		k.kits += string(t) + " "
 	}
 	return k
@@ -297,12 +297,12 @@
 // oneZone lists the zones that a whole demand may be packed into, "" for all
 // together.
 func oneZone(d *Demand, bins []bin, offers []Offer) []wire.Zone {
-	if !d.Spec.SamePlace {
+	if !d.Spec.SameZone {
 		return []wire.Zone{""}
 	}
 	var out []wire.Zone
 	add := func(z wire.Zone) {
-		if !slices.Contains(out, z) && (d.ZoneLeft == nil || d.ZoneLeft[z] >= d.Units) && (d.Spec.Site == "" || d.Spec.Site == z) {
+		if !slices.Contains(out, z) && (d.ZoneLeft == nil || d.ZoneLeft[z] >= d.Units) && (d.Spec.Zone == "" || d.Spec.Zone == z) {
 			out = append(out, z)
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,11 +14,11 @@
 // The same cases every time.
 func init() { flag.Set("rapid.seed", "20261201") } //nolint:errcheck // rapid defines the flag
 
-var types = map[wire.Kit]placement.Res{"c4": {CPUs: 4, RAM: 16}, "c16": {CPUs: 16, RAM: 64}}
+var types = map[wire.MachineType]placement.Res{"c4": {CPUs: 4, RAM: 16}, "c16": {CPUs: 16, RAM: 64}}
 
 func snapshots(t *rapid.T) *Snapshot {
 	s := &Snapshot{MaxRents: 8, DearLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.02 }}
-	kit := func() wire.Kit { return rapid.SampledFrom([]wire.Kit{"c4", "c16"}).Draw(t, "kit") }
+	kit := func() wire.MachineType { return rapid.SampledFrom([]wire.MachineType{"c4", "c16"}).Draw(t, "kit") }
 	zone := func() wire.Zone { return rapid.SampledFrom([]wire.Zone{"a", "b"}).Draw(t, "zone") }
 	for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
 		k := kit()
@@ -41,10 +41,10 @@
 			Price: float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100, PullRate: 1, Room: rapid.IntRange(0, 4).Draw(t, "room")})
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, "demands") {
-		shape := rapid.SampledFrom([]wire.Shape{wire.Sweep, wire.Daemon}).Draw(t, "shape")
+		shape := rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindService}).Draw(t, "shape")
 		s.Demands = append(s.Demands, Demand{Units: rapid.IntRange(1, 20).Draw(t, "units"), Rank: float64(i % 2), SlackS: float64(rapid.IntRange(-10, 60).Draw(t, "slack")),
-			Spec: &wire.Spec{ID: wire.JobID(fmt.Sprint("req-", i)), Shape: shape, CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), RAM: 4,
-				Standby: rapid.Bool().Draw(t, "standby"), ImageGB: 1}})
+			Spec: &wire.Spec{ID: wire.JobID(fmt.Sprint("req-", i)), Kind: shape, CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), MemoryGB: 4,
+				SpotAllowed: rapid.Bool().Draw(t, "standby"), ImageGB: 1}})
 	}
 	return s
 }
@@ -61,7 +61,7 @@
 		spotless := true
 		total := 0
 		for _, d := range s.Demands {
-			spotless = spotless && !d.Spec.Standby
+			spotless = spotless && !d.Spec.SpotAllowed
 		}
 		for _, r := range plan.Rents {
 			total += r.Count
@@ -95,7 +95,7 @@
 // Demand that the room there is takes rents nothing, and an idle machine
 // that no demand needs is returned once it is paid up.
 func TestRoomFirst(t *testing.T) {
-	spec := &wire.Spec{Shape: wire.Sweep, CPUs: 2, RAM: 4}
+	spec := &wire.Spec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
 	m := Machine{ID: "n", Kit: "c4", Zone: "a", Total: types["c4"], Free: types["c4"], Idle: true, IdleS: 20, KeepS: 10}
 	o := Offer{Kit: "c4", Zone: "a", Total: types["c4"], Price: 0.3, PullRate: 1, Room: 9}
 	plan := Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 2}}, MaxRents: 9})
@@ -116,8 +116,8 @@
 // does. (Bursts once rented the largest type for a few tasks.)
 func TestDearLimit(t *testing.T) {
 	o := Offer{Kit: "c16", Zone: "a", Total: types["c16"], Price: 4, PullRate: 1, Room: 1}
-	for shape, want := range map[wire.Shape]int{wire.Sweep: 0, wire.Daemon: 1} {
-		plan := Make(&Snapshot{Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Shape: shape, CPUs: 2, RAM: 4}, Units: 1}},
+	for shape, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
+		plan := Make(&Snapshot{Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Kind: shape, CPUs: 2, MemoryGB: 4}, Units: 1}},
 			MaxRents: 9, DearLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.05 }})
 		if len(plan.Rents) != want {
 			t.Errorf("%s rents %v", shape, plan.Rents)
@@ -130,7 +130,7 @@
 	m := Machine{ID: "n", Kit: "c4", Zone: "a", Total: types["c4"], Soon: []Soon{{InS: 10, Room: types["c4"]}}, Unit: types["c4"]}
 	o := Offer{Kit: "c4", Zone: "a", Total: types["c4"], Price: 0.1, PullRate: 1, Room: 9}
 	for slack, want := range map[float64]int{15: 0, 5: 1} {
-		plan := Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Shape: wire.Sweep, CPUs: 4, RAM: 4}, Units: 1, SlackS: slack}}, MaxRents: 9})
+		plan := Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackS: slack}}, MaxRents: 9})
 		if len(plan.Rents) != want {
 			t.Errorf("slack %g: rents %v", slack, plan.Rents)
 		}
@@ -142,7 +142,7 @@
 	small := func(n int, cpus float64) []Demand {
 		var out []Demand
 		for range n {
-			out = append(out, Demand{Spec: &wire.Spec{Shape: wire.Sweep, CPUs: cpus, RAM: 1, Standby: true}, Units: 1})
+			out = append(out, Demand{Spec: &wire.Spec{Kind: wire.KindArray, CPUs: cpus, MemoryGB: 1, SpotAllowed: true}, Units: 1})
 		}
 		return out
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	apart := small(2, 1)
-	apart[1].Spec.Kits = []wire.Kit{"c16"}
+	apart[1].Spec.MachineTypes = []wire.MachineType{"c16"}
 	for name, c := range map[string]struct {
 		d    []Demand
 		want int
--- a/internal/fleet/gang_test.go
+++ b/internal/fleet/gang_test.go
@@ -11,7 +11,7 @@
 // judged by the price of all of it. (A gang of four of which three had room was
 // never rented for: its last task alone was too dear for any machine.)
 func TestWholeDemand(t *testing.T) {
-	spec := &wire.Spec{ID: "req-1", Shape: wire.Ensemble, Parts: 4, CPUs: 1, RAM: 4, SamePlace: true}
+	spec := &wire.Spec{ID: "req-1", Kind: wire.KindGang, Tasks: 4, CPUs: 1, MemoryGB: 4, SameZone: true}
 	free := func(z wire.Zone, cpus float64) Machine {
 		return Machine{ID: "n", Kit: "c4", Zone: z, Total: types["c4"], Free: placement.Res{CPUs: cpus, RAM: 16}}
 	}
@@ -21,9 +21,9 @@
 		return Offer{Kit: "c4", Zone: z, Total: types["c4"], Price: price, PullRate: 1, Room: room}
 	}
 	big := *spec
-	big.Parts = 8
+	big.Tasks = 8
 	spread := big
-	spread.SamePlace, spread.Apart = false, true
+	spread.SameZone, spread.Spread = false, true
 	for _, c := range []struct {
 		name  string
 		s     Snapshot
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -27,7 +27,7 @@
 	store   *store.Client
 	live    *store.Copy
 	ledger  *cancels.Ledger
-	flavors func() []wire.Flavor
+	flavors func() []wire.MachineSpec
 	log     *slog.Logger
 	// stage holds the requests in work; a full stage refuses at once.
 	stage  chan struct{}
@@ -39,7 +39,7 @@
 
 // New makes an intake. The stage is small: what waits in it waits for the
 // state service, which takes milliseconds.
-func New(set *config.Settings, st *store.Client, ledger *cancels.Ledger, flavors func() []wire.Flavor, log *slog.Logger) *Intake {
+func New(set *config.Settings, st *store.Client, ledger *cancels.Ledger, flavors func() []wire.MachineSpec, log *slog.Logger) *Intake {
 	return &Intake{
 		set: set, store: st, live: store.NewCopy(st, ledger, set.State.Least().RPS, set.Size), ledger: ledger, flavors: flavors, log: log,
 		counts:  newCounts(set),
@@ -218,12 +218,12 @@
 		return answer{status: http.StatusBadRequest, body: wire.Reason{Error: fe.Reason, Field: fe.Field}}
 	}
 	if s, ok := in.finals.get(spec.ID); ok {
-		return answer{status: http.StatusOK, body: wire.JobBrief{ID: s.ID, Status: s.Status}}
+		return answer{status: http.StatusOK, body: wire.JobSummary{ID: s.ID, Status: s.Status}}
 	}
 	if why, sure := in.never(&spec); why != "" {
 		// A job that was accepted stays so, whatever is offered now.
 		if s, err := in.state(ctx, spec.ID); err == nil {
-			return answer{status: http.StatusOK, body: wire.JobBrief{ID: s.ID, Status: s.Status}}
+			return answer{status: http.StatusOK, body: wire.JobSummary{ID: s.ID, Status: s.Status}}
 		} else if !errors.Is(err, store.ErrMissing) {
 			return unavailable
 		}
@@ -233,27 +233,27 @@
 		in.log.Info("refuses a job that can never run", "job", spec.ID, "why", why)
 		return answer{status: http.StatusUnprocessableEntity, body: wire.Reason{Error: why}}
 	}
-	rec := store.JobRecord{Spec: spec, Status: wire.Queued, At: wire.StampOf(time.Now()), Chunk: store.ChunkFor(in.set.State.Least().ValueKB)}
+	rec := store.JobRecord{Spec: spec, Status: wire.Queued, At: wire.TimestampOf(time.Now()), Chunk: store.ChunkFor(in.set.State.Least().ValueKB)}
 	err = in.commit(ctx, wire.Txn{
-		Guards: []wire.Guard{{Key: store.JobKey(spec.ID), Stamp: 0}, {Key: store.PastKey(spec.ID), Stamp: 0}},
+		Guards: []wire.Guard{{Key: store.JobKey(spec.ID), Revision: 0}, {Key: store.PastKey(spec.ID), Revision: 0}},
 		Writes: []wire.Write{{Put: store.JobKey(spec.ID), Value: wire.Encode(rec)}},
 	})
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		in.log.Info("accepts", "job", spec.ID, "lane", spec.Lane, "parts", spec.Parts)
-		return answer{status: http.StatusCreated, body: wire.JobBrief{ID: spec.ID, Status: wire.Queued}}
+		in.log.Info("accepts", "job", spec.ID, "lane", spec.Class, "parts", spec.Tasks)
+		return answer{status: http.StatusCreated, body: wire.JobSummary{ID: spec.ID, Status: wire.Queued}}
 	case errors.As(err, &conflict):
 		s, err := in.state(ctx, spec.ID)
 		if err != nil {
 			return unavailable
 		}
-		return answer{status: http.StatusOK, body: wire.JobBrief{ID: s.ID, Status: s.Status}}
+		return answer{status: http.StatusOK, body: wire.JobSummary{ID: s.ID, Status: s.Status}}
 	case errors.Is(err, store.ErrInvalid):
 		// Its record is over the limit of a value, and will be. But it may have
 		// been accepted while more was allowed, and then it stays so.
 		if s, err := in.state(ctx, spec.ID); err == nil {
-			return answer{status: http.StatusOK, body: wire.JobBrief{ID: s.ID, Status: s.Status}}
+			return answer{status: http.StatusOK, body: wire.JobSummary{ID: s.ID, Status: s.Status}}
 		} else if !errors.Is(err, store.ErrMissing) {
 			return unavailable
 		}
@@ -266,15 +266,15 @@
 
 // never says why a job can never run, and whether that is sure.
 func (in *Intake) never(s *wire.Spec) (why string, sure bool) {
-	team, ok := in.set.Team(s.Owner)
+	team, ok := in.set.Team(s.Team)
 	if !ok {
 		return "unknown team", true
 	}
-	n := float64(s.Together())
-	if team.CPUsMax > 0 && n*s.CPUs > team.CPUsMax+wire.Eps || team.GPUsMax > 0 && n*s.Cards > team.GPUsMax+wire.Eps {
+	n := float64(s.MinTogether())
+	if team.CPUsMax > 0 && n*s.CPUs > team.CPUsMax+wire.Eps || team.GPUsMax > 0 && n*s.GPUs > team.GPUsMax+wire.Eps {
 		return "needs more than the team's limit", true
 	}
-	if !in.storable(&store.JobRecord{Spec: *s, Status: wire.Cancelled, At: wire.StampOf(time.Now()), Ended: wire.StampOf(time.Now()), Chunk: store.ChunkSize}) {
+	if !in.storable(&store.JobRecord{Spec: *s, Status: wire.Cancelled, At: wire.TimestampOf(time.Now()), Ended: wire.TimestampOf(time.Now()), Chunk: store.ChunkSize}) {
 		return "too large to be stored", true
 	}
 	fs := in.flavors()
@@ -359,7 +359,7 @@
 	bare := false
 	for range 4 {
 		if s, ok := in.finals.get(id); ok {
-			return answer{status: http.StatusOK, body: wire.JobBrief{ID: id, Status: s.Status}}
+			return answer{status: http.StatusOK, body: wire.JobSummary{ID: id, Status: s.Status}}
 		}
 		e, err := in.store.Get(ctx, store.User, store.JobKey(id))
 		if errors.Is(err, store.ErrMissing) {
@@ -370,7 +370,7 @@
 			case err != nil:
 				return unavailable
 			case s.Status.Final():
-				return answer{status: http.StatusOK, body: wire.JobBrief{ID: id, Status: s.Status}}
+				return answer{status: http.StatusOK, body: wire.JobSummary{ID: id, Status: s.Status}}
 			}
 			continue // submitted between the two reads
 		}
@@ -386,17 +386,17 @@
 			in.confirm(wire.JobState{ID: id, Status: wire.Cancelled})
 			continue
 		}
-		rec.Status, rec.Ended = wire.Cancelled, wire.StampOf(time.Now())
+		rec.Status, rec.Ended = wire.Cancelled, wire.TimestampOf(time.Now())
 		// The record just fitted without its end, or under former limits. Nothing
 		// of the job is placed any more, so it can do without its list of types.
 		if bare || !in.storable(&rec) {
-			rec.Spec.Kits = nil
+			rec.Spec.MachineTypes = nil
 			if !in.storable(&rec) {
-				rec.Spec.Lane, rec.Spec.Bundle = "", "" // nor its names of 120 bytes, each of which may be escaped
+				rec.Spec.Class, rec.Spec.Image = "", "" // nor its names of 120 bytes, each of which may be escaped
 			}
 		}
 		err = in.commit(ctx, wire.Txn{
-			Guards: []wire.Guard{{Key: store.JobKey(id), Stamp: e.Stamp}},
+			Guards: []wire.Guard{{Key: store.JobKey(id), Revision: e.Revision}},
 			Writes: []wire.Write{{Put: store.JobKey(id), Value: wire.Encode(rec)}},
 		})
 		var conflict *store.ConflictError
@@ -404,7 +404,7 @@
 		case err == nil:
 			in.log.Info("cancelled by its user", "job", id)
 			in.confirm(wire.JobState{ID: id, Status: wire.Cancelled})
-			return answer{status: http.StatusOK, body: wire.JobBrief{ID: id, Status: wire.Cancelled}}
+			return answer{status: http.StatusOK, body: wire.JobSummary{ID: id, Status: wire.Cancelled}}
 		case errors.As(err, &conflict):
 			continue // done or cancelled meanwhile
 		case errors.Is(err, store.ErrInvalid) && !bare:
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -28,7 +28,7 @@
 		return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 	}}
 	st := store.New("10.2.0.1:2379", config.State{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16}, 1, away)
-	in := New(set, st, cancels.New(nil, time.Minute), func() []wire.Flavor { return nil }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	in := New(set, st, cancels.New(nil, time.Minute), func() []wire.MachineSpec { return nil }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	r := httprouter.New()
 	in.Routes(r)
 	go in.Run(t.Context())
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -28,7 +28,7 @@
 // them has had. Nothing is sent before all of it is stored.
 func (t *term) startGang(j *job, ms []*machine, now time.Time) {
 	g := &gang{try: 1, from: now}
-	n := (j.spec.Parts + j.per - 1) / j.per
+	n := (j.spec.Tasks + j.per - 1) / j.per
 	for i := range n {
 		g.try = max(g.try, j.chunk(i).next)
 	}
@@ -45,7 +45,7 @@
 }
 
 // complete tells whether every task of the gang has an attempt that is stored.
-func (j *job) complete() bool { return j.held == j.spec.Parts && j.plans == 0 }
+func (j *job) complete() bool { return j.held == j.spec.Tasks && j.plans == 0 }
 
 // mayLaunch tells whether the attempt's launch may be sent. A gang's may once all
 // of the gang is stored, and no more once a task of it is lost.
@@ -129,7 +129,7 @@
 	if !j.spec.Gang() {
 		return
 	}
-	if j.done > 0 && j.done < j.spec.Parts {
+	if j.done > 0 && j.done < j.spec.Tasks {
 		t.gangDone(j)
 		return
 	}
@@ -169,10 +169,10 @@
 func (t *term) nextGangs(times float64, now time.Time) []*wire.Spec {
 	for _, j := range t.jobs {
 		if j.spec.Gang() && !j.cancelled && !j.over {
-			t.gangsSeen[gangKind{string(j.spec.Lane), j.spec.Parts, placement.Of(&j.spec)}] = gangSeen{&j.spec, now}
+			t.gangsSeen[gangKind{string(j.spec.Class), j.spec.Tasks, placement.Of(&j.spec)}] = gangSeen{&j.spec, now}
 		}
 	}
-	size := func(s *wire.Spec) float64 { return float64(s.Parts) * (s.CPUs + s.RAM/1000 + 10*s.Cards) }
+	size := func(s *wire.Spec) float64 { return float64(s.Tasks) * (s.CPUs + s.MemoryGB/1000 + 10*s.GPUs) }
 	largest := map[string]*wire.Spec{}
 	for k, g := range t.gangsSeen {
 		if now.Sub(g.at) > nextFor {
@@ -188,7 +188,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b *wire.Spec) int {
-		return cmp.Or(cmp.Compare(b.Urgency.Rank(), a.Urgency.Rank()), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(b.Priority.Rank(), a.Priority.Rank()), cmp.Compare(a.ID, b.ID))
 	})
 	return out
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -10,7 +10,7 @@
 )
 
 func gangJob(tm *term, id wire.JobID, parts int) *job {
-	j := newJob(store.JobRecord{Spec: wire.Spec{ID: id, Lane: "sweep", Owner: "red", Shape: wire.Ensemble, Urgency: wire.Standard, Parts: parts, CPUs: 2, RAM: 4, SamePlace: true}, At: wire.StampOf(time.Now())}, 2)
+	j := newJob(store.JobRecord{Spec: wire.Spec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: parts, CPUs: 2, MemoryGB: 4, SameZone: true}, At: wire.TimestampOf(time.Now())}, 2)
 	tm.jobs[id] = j
 	return j
 }
--- a/internal/leader/hearing_test.go
+++ b/internal/leader/hearing_test.go
@@ -39,7 +39,7 @@
 		a := &attempt{job: j, chunk: j.chunk(0), index: 0, try: 8, m: m, at: time.Now()}
 		a.chunk.hold(a)
 	}
-	shown := wire.PartState{Part: "req-1/0", Try: 8, Phase: wire.Pulling}
+	shown := wire.TaskState{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
 	cases := map[string]struct {
 		setup   func(tm *term, m *machine)
 		reports func(token wire.Token) []*wire.Report
@@ -73,7 +73,7 @@
 			if deaf := !m.hearing.deaf.IsZero(); deaf != c.deaf || deaf && tm.usable(m, time.Now()) {
 				t.Errorf("%s: deaf %v, usable %v", name, deaf, tm.usable(m, time.Now()))
 			}
-			for n := wire.Tally(20); n < 30; n++ {
+			for n := wire.Sequence(20); n < 30; n++ {
 				time.Sleep(2 * time.Second)
 				m.seenAt = time.Now() // it goes on reporting
 				tm.watchMachines(time.Now())
@@ -91,7 +91,7 @@
 	desk(t, func(tm *term, m *machine, _ *standin.State, _ func()) {
 		away(tm)
 		tm.tell(said(1, 20, tm.token))
-		if r := tm.tell(said(1, 19, tm.token)); r.orders == nil || len(r.orders.Orders) > 0 {
+		if r := tm.tell(said(1, 19, tm.token)); r.orders == nil || len(r.orders.Commands) > 0 {
 			t.Errorf("a report that crossed a newer one: %+v", r)
 		}
 		time.Sleep(10 * time.Second)
@@ -99,7 +99,7 @@
 		before := *m
 		for _, rep := range []*wire.Report{said(1, 20, tm.token), said(1, 3, tm.token), said(0, 99, 0)} {
 			if r := tm.tell(rep); r.refused == "" {
-				t.Errorf("copy %d/%d answered %+v", rep.Shift, rep.Tally, r)
+				t.Errorf("copy %d/%d answered %+v", rep.Session, rep.Sequence, r)
 			}
 		}
 		if m.seenAt != before.seenAt || m.answered != before.answered || m.tally != before.tally {
@@ -111,7 +111,7 @@
 		}
 		tm.gone["n-9"] = time.Now()
 		gone := said(9, 9, tm.token)
-		gone.Host = "n-9"
+		gone.Machine = "n-9"
 		if r := tm.tell(gone); r.refused == "" || tm.machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
@@ -119,8 +119,8 @@
 		tm.recovered, tm.early = false, map[wire.MachineID]wire.Report{}
 		tm.tell(said(2, 5, tm.token))
 		tm.tell(said(1, 40, tm.token))
-		if got := tm.early["n-1"]; got.Shift != 2 {
-			t.Errorf("kept report %d/%d", got.Shift, got.Tally)
+		if got := tm.early["n-1"]; got.Session != 2 {
+			t.Errorf("kept report %d/%d", got.Session, got.Sequence)
 		}
 	})
 }
@@ -142,7 +142,7 @@
 			zone[x.zone] = append(zone[x.zone], x)
 		}
 		serving := zone["a"][0]
-		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Owner: "red", Shape: wire.Daemon, Parts: 1, CPUs: 1}, At: wire.StampOf(time.Now())}, 1)
+		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 		tm.jobs["req-2"] = j
 		j.chunk(0).hold(&attempt{job: j, chunk: j.chunk(0), index: 0, try: 1, m: serving, seen: true})
 		returned := func() (n int) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -56,10 +56,12 @@
 }
 
 // FlavorBox shares the machine types between the actors of a node.
-type FlavorBox struct{ p atomic.Pointer[[]wire.Flavor] }
+type FlavorBox struct {
+	p atomic.Pointer[[]wire.MachineSpec]
+}
 
 // Get is the types last seen, nil if none ever were.
-func (b *FlavorBox) Get() []wire.Flavor {
+func (b *FlavorBox) Get() []wire.MachineSpec {
 	if f := b.p.Load(); f != nil {
 		return *f
 	}
@@ -67,7 +69,7 @@
 }
 
 // Set replaces them.
-func (b *FlavorBox) Set(f []wire.Flavor) { b.p.Store(&f) }
+func (b *FlavorBox) Set(f []wire.MachineSpec) { b.p.Store(&f) }
 
 // Leader campaigns for the office and serves it.
 type Leader struct {
@@ -168,12 +170,12 @@
 		return
 	}
 	var rep wire.Report
-	if err := wire.Decode(raw, &rep); err != nil || rep.Host == "" {
+	if err := wire.Decode(raw, &rep); err != nil || rep.Machine == "" {
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
 		return
 	}
 	select {
-	case l.turned <- rep.Host:
+	case l.turned <- rep.Machine:
 	default:
 	}
 	t := l.term.Load()
@@ -184,10 +186,10 @@
 			if !l.stoodLately() && l.Mesh.View().Others[lead].Near(now) && l.relay(r.Context(), w, lead, &rep) {
 				return
 			}
-			if l.cameBack(rep.Host, now) && l.stand(w, &rep) {
+			if l.cameBack(rep.Machine, now) && l.stand(w, &rep) {
 				return
 			}
-			wire.Answer(w, http.StatusMisdirectedRequest, wire.Elsewhere{ReportsTo: lead})
+			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: lead})
 			return
 		}
 		if l.stand(w, &rep) {
@@ -246,7 +248,7 @@
 		switch {
 		case a.here:
 			l.Metrics.Report("sent here")
-			wire.Answer(w, http.StatusMisdirectedRequest, wire.Elsewhere{ReportsTo: l.Config.HostName})
+			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
 		case a.orders == nil:
 			l.Metrics.Report("refused")
 			wire.Refuse(w, http.StatusServiceUnavailable, a.refused, 1)
@@ -269,7 +271,7 @@
 	if err != nil || status != http.StatusOK {
 		return false
 	}
-	var o wire.Orders
+	var o wire.Commands
 	if wire.Decode(raw, &o) != nil {
 		return false
 	}
@@ -282,7 +284,7 @@
 func (l *Leader) Relayed(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	var rep wire.Report
-	if err != nil || wire.Decode(raw, &rep) != nil || rep.Host == "" {
+	if err != nil || wire.Decode(raw, &rep) != nil || rep.Machine == "" {
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
 		return
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -30,7 +30,7 @@
 
 // offerID names what can be rented.
 type offerID struct {
-	kit  wire.Kit
+	kit  wire.MachineType
 	zone wire.Zone
 	spot bool
 }
@@ -43,7 +43,7 @@
 
 // booking that is not yet answered.
 type booking struct {
-	wire.Booking
+	wire.RentalRequest
 	since time.Time
 }
 
@@ -98,7 +98,7 @@
 		if err == nil {
 			t.l.Flavors.Set(fs)
 			if !stored {
-				_, err := t.l.Store.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Put: store.FlavorsKey, Value: wire.Encode(wire.Flavors{Kits: fs})}}})
+				_, err := t.l.Store.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Put: store.FlavorsKey, Value: wire.Encode(wire.MachineSpecs{Types: fs})}}})
 				stored = err == nil
 			}
 			t.post(t.wantRound)
@@ -115,7 +115,7 @@
 
 // hostList takes in a machine list. A list lags and goes backwards: what it
 // lacks means nothing, and what it shows may be gone.
-func (t *term) hostList(hosts []wire.Host) {
+func (t *term) hostList(hosts []wire.ListedMachine) {
 	now := time.Now()
 	t.listed = true
 	for _, h := range hosts {
@@ -127,18 +127,18 @@
 		m.listed = now
 		if !known {
 			m.rentedAt = now.Add(-h.Age.Duration())
-			m.booting = h.State == wire.HostStarting
+			m.booting = h.State == wire.ListedStarting
 		}
 		if m.upAt.IsZero() {
-			m.addr, m.kit, m.zone, m.spot = h.Addr, h.Kit, h.Site, h.Standby
+			m.addr, m.kit, m.zone, m.spot = h.Addr, h.Type, h.Zone, h.Spot
 			if age := now.Add(-h.Age.Duration()); age.Before(m.rentedAt) {
 				m.rentedAt = age
 			}
-			if h.State == wire.HostRunning && m.baton < t.first && m.probes == 0 && !m.releasing {
+			if h.State == wire.ListedRunning && m.baton < t.first && m.probes == 0 && !m.releasing {
 				t.probed = false
 			}
 		}
-		if h.State == wire.HostFailed && !m.failed {
+		if h.State == wire.ListedFailed && !m.failed {
 			m.failed, m.booting = true, false
 			t.log().Info("machine failed", "machine", m.id, "tasks", len(m.tasks))
 		}
@@ -356,10 +356,10 @@
 		return false
 	}
 	for _, a := range m.tasks {
-		if !a.job.spec.Service() || a.job.spec.Site != "" {
+		if !a.job.spec.Service() || a.job.spec.Zone != "" {
 			continue
 		}
-		if !a.job.spec.Apart {
+		if !a.job.spec.Spread {
 			return true
 		}
 		held, room := a.job.zones(), 0
@@ -385,7 +385,7 @@
 		}
 	}
 	for _, f := range t.l.Flavors.Get() {
-		for _, z := range f.Sites {
+		for _, z := range f.Zones {
 			add(z)
 		}
 	}
@@ -479,7 +479,7 @@
 	if m.booting {
 		ready := 30 * time.Second
 		if f := t.flavor(m.kit); f != nil {
-			ready = f.ReadyS.Duration()
+			ready = f.BootTime.Duration()
 		}
 		if now.Sub(m.rentedAt) > ready*11/4+5*time.Second && t.deciding() {
 			t.release(m, "never came up")
@@ -524,8 +524,8 @@
 			continue
 		}
 		spec := &a.job.spec
-		if !m.notice.IsZero() && spec.SnapshotEveryS > 0 && !a.halting && m.notice.Sub(now) < spec.SnapshotS.Duration()+3*time.Second {
-			t.halt(a, max(spec.SnapshotS+1, t.windDownOf(a.job)), "saves before its machine is taken")
+		if !m.notice.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.notice.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
+			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), "saves before its machine is taken")
 		}
 		if !m.notice.IsZero() && spec.Service() && !a.halting {
 			t.halt(a, 0, "its machine is taken")
@@ -688,8 +688,8 @@
 			continue
 		}
 		fm := fleet.Machine{ID: m.id, Kit: m.kit, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
-			PaidS: 60 - now.Sub(m.rentedAt).Seconds(), Price: f.Price(m.spot), KeepS: v.KeepBoots * float64(f.ReadyS)}
-		if m.booting && now.Sub(m.rentedAt) > f.ReadyS.Duration()*2 {
+			PaidS: 60 - now.Sub(m.rentedAt).Seconds(), Price: f.Price(m.spot), KeepS: v.KeepBoots * float64(f.BootTime)}
+		if m.booting && now.Sub(m.rentedAt) > f.BootTime.Duration()*2 {
 			continue // not to be counted on
 		}
 		if !m.booting && t.silence(m, now) > 3*report(t) || t.behindCut(m, now) || t.mute(m, now) {
@@ -717,10 +717,10 @@
 		s.Machines = append(s.Machines, fm)
 	}
 	for _, b := range t.fleet.bookings {
-		if f := t.flavor(b.Kit); f != nil {
-			total := placement.Res{CPUs: f.CPUs, Cards: f.Cards, RAM: f.RAM}
+		if f := t.flavor(b.Type); f != nil {
+			total := placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB}
 			for range b.Count {
-				s.Machines = append(s.Machines, fleet.Machine{Kit: b.Kit, Zone: b.Site, Spot: b.Standby, Total: total, Free: total, Booting: true, Price: f.Price(b.Standby)})
+				s.Machines = append(s.Machines, fleet.Machine{Kit: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: f.Price(b.Spot)})
 			}
 		}
 	}
@@ -749,10 +749,10 @@
 	}
 }
 
-func (t *term) offers(flavors []wire.Flavor, now time.Time) []fleet.Offer {
+func (t *term) offers(flavors []wire.MachineSpec, now time.Time) []fleet.Offer {
 	var out []fleet.Offer
 	for _, f := range flavors {
-		for _, z := range f.Sites {
+		for _, z := range f.Zones {
 			for _, spot := range []bool{false, true} {
 				if b := t.fleet.offers[offerID{f.Name, z, spot}]; b != nil && now.Before(b.until) || t.isCut(z, now) {
 					continue // refused, or not to be heard of for now
@@ -760,8 +760,8 @@
 				if t.booked(offerID{f.Name, z, spot}) {
 					continue // one unresolved booking for each
 				}
-				out = append(out, fleet.Offer{Kit: f.Name, Zone: z, Spot: spot, Total: placement.Res{CPUs: f.CPUs, Cards: f.Cards, RAM: f.RAM},
-					Price: f.Price(spot), PullRate: f.PullGBPerS, Room: offerRoom})
+				out = append(out, fleet.Offer{Kit: f.Name, Zone: z, Spot: spot, Total: placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB},
+					Price: f.Price(spot), PullRate: f.FetchGBPerS, Room: offerRoom})
 			}
 		}
 	}
@@ -769,17 +769,17 @@
 }
 
 // cheapest is the lowest price of room for one task of the job.
-func cheapest(flavors []wire.Flavor, s *wire.Spec) float64 {
+func cheapest(flavors []wire.MachineSpec, s *wire.Spec) float64 {
 	best := math.Inf(1)
 	for i := range flavors {
 		f := &flavors[i]
 		if !f.Fits(s) {
 			continue
 		}
-		n := placement.Of(s).Units(placement.Res{CPUs: f.CPUs, Cards: f.Cards, RAM: f.RAM})
-		best = min(best, f.Rate/float64(n))
-		if s.Standby {
-			best = min(best, f.LowPrice/float64(n))
+		n := placement.Of(s).Units(placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB})
+		best = min(best, f.OnDemandPrice/float64(n))
+		if s.SpotAllowed {
+			best = min(best, f.SpotPrice/float64(n))
 		}
 	}
 	return best
@@ -787,7 +787,7 @@
 
 func (t *term) booked(o offerID) bool {
 	for _, b := range t.fleet.bookings {
-		if (offerID{b.Kit, b.Site, b.Standby}) == o {
+		if (offerID{b.Type, b.Zone, b.Spot}) == o {
 			return true
 		}
 	}
@@ -809,10 +809,10 @@
 	var out []fleet.Demand
 	used := map[wire.TeamID]placement.Res{}
 	for _, j := range t.jobs {
-		used[j.spec.Owner] = used[j.spec.Owner].Plus(placement.Of(&j.spec).Times(float64(j.held)))
+		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.held)))
 	}
 	for _, j := range jobs {
-		team, ok := t.set.Team(j.spec.Owner)
+		team, ok := t.set.Team(j.spec.Team)
 		if !ok {
 			continue
 		}
@@ -827,18 +827,18 @@
 		// The limit bounds what can run at all.
 		left := placement.Res{CPUs: 1e9, Cards: 1e9, RAM: 1e9}
 		if team.CPUsMax > 0 {
-			left.CPUs = team.CPUsMax - used[j.spec.Owner].CPUs
+			left.CPUs = team.CPUsMax - used[j.spec.Team].CPUs
 		}
 		if team.GPUsMax > 0 {
-			left.Cards = team.GPUsMax - used[j.spec.Owner].Cards
+			left.Cards = team.GPUsMax - used[j.spec.Team].Cards
 		}
 		if most := take.Units(left); j.spec.Gang() && most < units {
 			continue
 		} else if units = min(units, most); units <= 0 {
 			continue
 		}
-		used[j.spec.Owner] = used[j.spec.Owner].Plus(take.Times(float64(units)))
-		d := fleet.Demand{Spec: &j.spec, Units: units, Whole: j.spec.Gang(), Rank: float64(j.spec.Urgency.Rank()), SlackS: t.slack(j, now) * stretch}
+		used[j.spec.Team] = used[j.spec.Team].Plus(take.Times(float64(units)))
+		d := fleet.Demand{Spec: &j.spec, Units: units, Whole: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slack(j, now) * stretch}
 		switch {
 		case j.spec.Service():
 			d.Rank += 10
@@ -853,12 +853,12 @@
 			d.Units--
 		}
 		d.Dear = max(d.Dear, t.dearer(j, waits[j], now))
-		if j.spec.Apart || j.spec.SamePlace {
+		if j.spec.Spread || j.spec.SameZone {
 			d.ZoneLeft = map[wire.Zone]int{}
 			held := j.zones()
 			for _, z := range zones {
 				d.ZoneLeft[z] = max(0, j.spec.ZoneCap()-held[z])
-				if j.spec.SamePlace && j.held > 0 && held[z] == 0 {
+				if j.spec.SameZone && j.held > 0 && held[z] == 0 {
 					d.ZoneLeft[z] = 0
 				}
 			}
@@ -866,7 +866,7 @@
 		out = append(out, d)
 	}
 	if n, r := t.spare(spareUnits); n > 0 {
-		spec := &wire.Spec{Shape: wire.Daemon, Urgency: wire.Prod, Parts: n, CPUs: r.CPUs, RAM: r.RAM}
+		spec := &wire.Spec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: n, CPUs: r.CPUs, MemoryGB: r.RAM}
 		// In one zone alone it would not serve a service that is spread.
 		left := map[wire.Zone]int{}
 		for _, z := range zones {
@@ -882,8 +882,8 @@
 func (t *term) nextDemands(times float64, now time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	for _, spec := range t.nextGangs(times, now) {
-		d := fleet.Demand{Spec: spec, Units: spec.Parts, Rank: 8.5, Whole: true}
-		if spec.Apart {
+		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: 8.5, Whole: true}
+		if spec.Spread {
 			d.ZoneLeft = map[wire.Zone]int{}
 			for _, z := range t.zones() {
 				d.ZoneLeft[z] = spec.ZoneCap()
@@ -900,15 +900,15 @@
 // that can still be met counts, else the last.
 func (t *term) due(j *job, now time.Time) float64 {
 	need := now.Sub(j.at).Seconds() + j.expected()
-	due, ok := float64(j.spec.Due), j.spec.Due > 0
+	due, ok := float64(j.spec.Deadline), j.spec.Deadline > 0
 	for _, o := range t.set.Objectives {
 		at := 0.0
 		switch {
-		case o.Class != j.spec.Lane:
+		case o.Class != j.spec.Class:
 		case o.Kind == "finished":
 			at = float64(o.WithinS)
 		case o.Kind == "deadline":
-			at = float64(j.spec.Due) * o.Times
+			at = float64(j.spec.Deadline) * o.Times
 		}
 		switch {
 		case at <= 0:
@@ -951,13 +951,13 @@
 		}
 	}
 	for _, b := range t.fleet.bookings {
-		if f := t.flavor(b.Kit); f != nil {
+		if f := t.flavor(b.Type); f != nil {
 			room += float64(b.Count) * f.CPUs
 		}
 	}
 	for _, j := range t.jobs {
 		if j.spec.Service() {
-			room -= float64(j.spec.Parts) * j.spec.CPUs
+			room -= float64(j.spec.Tasks) * j.spec.CPUs
 		}
 	}
 	type entry struct {
@@ -991,7 +991,7 @@
 func (t *term) dearer(j *job, wait float64, now time.Time) float64 {
 	share := 0.0
 	for _, o := range t.set.Objectives {
-		if o.Class == j.spec.Lane && (o.Kind == "finished" || o.Kind == "deadline") {
+		if o.Class == j.spec.Class && (o.Kind == "finished" || o.Kind == "deadline") {
 			share = max(share, o.Share)
 		}
 	}
@@ -1004,8 +1004,8 @@
 	}
 	boot := math.Inf(1)
 	for _, f := range t.l.Flavors.Get() {
-		if f.Fits(&j.spec) && f.PullGBPerS > 0 {
-			boot = min(boot, float64(f.ReadyS)+j.spec.ImageGB/f.PullGBPerS)
+		if f.Fits(&j.spec) && f.FetchGBPerS > 0 {
+			boot = min(boot, float64(f.BootTime)+j.spec.ImageGB/f.FetchGBPerS)
 		}
 	}
 	due, age := t.due(j, now), now.Sub(j.at).Seconds()
@@ -1038,14 +1038,14 @@
 // has answered.
 func (t *term) rent(r fleet.Rent) {
 	t.fleet.seq++
-	b := &booking{Booking: wire.Booking{Name: fmt.Sprintf("b-%d-%d", t.first, t.fleet.seq), Kit: r.Kit, Site: r.Zone, Standby: r.Spot, Count: r.Count}, since: time.Now()}
+	b := &booking{RentalRequest: wire.RentalRequest{Name: fmt.Sprintf("b-%d-%d", t.first, t.fleet.seq), Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, since: time.Now()}
 	t.fleet.bookings[b.Name] = b
-	t.log().Info("rents", "kit", b.Kit, "zone", b.Site, "spot", b.Standby, "count", b.Count, "for", r.For, "booking", b.Name)
+	t.log().Info("rents", "kit", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	go func() {
 		wait := 400 * time.Millisecond
 		unsure := false
 		for t.ctx.Err() == nil {
-			hosts, err := t.l.Cloud.Rent(t.ctx, b.Booking)
+			hosts, err := t.l.Cloud.Rent(t.ctx, b.RentalRequest)
 			// After a lost answer only a repeat under the same name tells
 			// what was rented; a refusal of the repeat tells nothing.
 			unsure = unsure || err != nil && !errors.Is(err, cloud.ErrBusy) && !errors.Is(err, cloud.ErrNoCapacity) && !errors.Is(err, cloud.ErrInvalid)
@@ -1065,7 +1065,7 @@
 func (t *term) rented(b *booking, hosts []wire.MachineID, err error) {
 	now := time.Now()
 	delete(t.fleet.bookings, b.Name)
-	id := offerID{b.Kit, b.Site, b.Standby}
+	id := offerID{b.Type, b.Zone, b.Spot}
 	o := t.fleet.offers[id]
 	if o == nil {
 		o = &backoff{}
@@ -1081,7 +1081,7 @@
 			}
 			m := t.machine(h)
 			if m.upAt.IsZero() {
-				m.kit, m.zone, m.spot, m.booting, m.rentedAt = b.Kit, b.Site, b.Standby, true, b.since
+				m.kit, m.zone, m.spot, m.booting, m.rentedAt = b.Type, b.Zone, b.Spot, true, b.since
 			}
 		}
 		if len(hosts) < b.Count {
@@ -1094,7 +1094,7 @@
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalid):
 		o.wait = min(max(5*time.Second, o.wait*2), 40*time.Second)
 		o.until = now.Add(o.wait + rand.N(o.wait/4))
-		t.log().Info("no capacity", "kit", b.Kit, "zone", b.Site, "spot", b.Standby, "again_in", o.wait, "err", err)
+		t.log().Info("no capacity", "kit", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", o.wait, "err", err)
 	case now.Before(t.fleet.cloudDown):
 		// Asked beside one that was refused before: the same trouble. (The
 		// bookings of one plan once made each other wait for ten seconds.)
--- a/internal/leader/office.go
+++ b/internal/leader/office.go
@@ -43,7 +43,7 @@
 		}
 		e, err := l.Store.Get(ctx, store.Vital, store.LeadKey)
 		if err == nil {
-			l.Mesh.Raise(ctx, wire.Token(e.Stamp))
+			l.Mesh.Raise(ctx, wire.Token(e.Revision))
 			var rec store.LeadRecord
 			if wire.Decode(e.Value, &rec) != nil {
 				continue
@@ -54,10 +54,10 @@
 			}
 			// Our own last life holds the office. It is over, since a host
 			// runs one process; dropping the key makes its late writes fail.
-			l.Log.Info("ends the office of this node's last life", "token", e.Stamp)
+			l.Log.Info("ends the office of this node's last life", "token", e.Revision)
 			_, err = l.Store.Commit(ctx, store.Vital, wire.Txn{
-				Guards: []wire.Guard{{Key: store.LeadKey, Stamp: e.Stamp}},
-				Writes: []wire.Write{{Drop: store.LeadKey}},
+				Guards: []wire.Guard{{Key: store.LeadKey, Revision: e.Revision}},
+				Writes: []wire.Write{{Delete: store.LeadKey}},
 			})
 			if err != nil {
 				continue
@@ -90,15 +90,15 @@
 		return office{}, false
 	}
 	rev, err := l.Store.Commit(ctx, store.Vital, wire.Txn{
-		Guards: []wire.Guard{{Key: store.LeadKey, Stamp: 0}},
-		Writes: []wire.Write{{Put: store.LeadKey, Value: wire.Encode(store.LeadRecord{Node: l.Config.HostName, Nonce: l.nonce}), Permit: permit}},
+		Guards: []wire.Guard{{Key: store.LeadKey, Revision: 0}},
+		Writes: []wire.Write{{Put: store.LeadKey, Value: wire.Encode(store.LeadRecord{Node: l.Config.HostName, Nonce: l.nonce}), Grant: permit}},
 	})
 	if errors.Is(err, store.ErrUnknown) {
 		// It may have been executed: then the key names this life and grant.
 		e, err2 := l.Store.Get(ctx, store.Vital, store.LeadKey)
 		var rec store.LeadRecord
-		if err2 == nil && e.Permit == permit && wire.Decode(e.Value, &rec) == nil && rec.Nonce == l.nonce {
-			rev, err = e.Stamp, nil
+		if err2 == nil && e.Grant == permit && wire.Decode(e.Value, &rec) == nil && rec.Nonce == l.nonce {
+			rev, err = e.Revision, nil
 		}
 	}
 	if err != nil {
--- a/internal/leader/pieces.go
+++ b/internal/leader/pieces.go
@@ -71,7 +71,7 @@
 	old, n := j.chunks, j.per/size
 	j.pieces, j.per, j.from = n, size, 0
 	j.bases = make([]wire.Revision, len(old))
-	j.chunks = make([]*chunk, (j.spec.Parts+size-1)/size)
+	j.chunks = make([]*chunk, (j.spec.Tasks+size-1)/size)
 	for _, c := range old {
 		if c == nil {
 			continue
@@ -106,12 +106,12 @@
 	var out []wire.Guard
 	for _, c := range j.chunks {
 		if c != nil && c.stamp != 0 {
-			out = append(out, wire.Guard{Key: c.key(), Stamp: c.stamp})
+			out = append(out, wire.Guard{Key: c.key(), Revision: c.stamp})
 		}
 	}
 	for n, stamp := range j.bases {
 		if stamp != 0 {
-			out = append(out, wire.Guard{Key: store.ChunkKey(j.spec.ID, n), Stamp: stamp})
+			out = append(out, wire.Guard{Key: store.ChunkKey(j.spec.ID, n), Revision: stamp})
 		}
 	}
 	return out
@@ -122,7 +122,7 @@
 func (t *term) readRuns(runs []wire.Entry) {
 	orphan := func(e wire.Entry) {
 		// Left over from a job that was archived in several steps.
-		t.fleet.orphans = append(t.fleet.orphans, wire.Guard{Key: e.Key, Stamp: e.Stamp})
+		t.fleet.orphans = append(t.fleet.orphans, wire.Guard{Key: e.Key, Revision: e.Revision})
 	}
 	var pieces []wire.Entry
 	for _, e := range runs {
@@ -137,7 +137,7 @@
 			orphan(e)
 			continue
 		}
-		t.readChunk(j.chunk(n), e.Stamp, &rec)
+		t.readChunk(j.chunk(n), e.Revision, &rec)
 	}
 	for _, e := range pieces {
 		id, n, k, ok := store.ParsePieceKey(e.Key)
@@ -166,7 +166,7 @@
 			}
 			c.state[i] = taskPending
 		}
-		t.readChunk(c, e.Stamp, &rec)
+		t.readChunk(c, e.Revision, &rec)
 	}
 }
 
--- a/internal/leader/pieces_test.go
+++ b/internal/leader/pieces_test.go
@@ -46,11 +46,11 @@
 	if n := rec.JSONSize(); n > most {
 		t.Fatalf("%s has %d bytes of %d", c.key(), n, most)
 	}
-	if e := s.keys[c.key()]; e.Stamp != c.stamp {
-		t.Fatalf("%s is stored with stamp %d, known as %d", c.key(), e.Stamp, c.stamp)
+	if e := s.keys[c.key()]; e.Revision != c.stamp {
+		t.Fatalf("%s is stored with stamp %d, known as %d", c.key(), e.Revision, c.stamp)
 	}
 	s.rev++
-	s.keys[c.key()] = wire.Entry{Key: c.key(), Value: wire.Encode(rec), Stamp: s.rev}
+	s.keys[c.key()] = wire.Entry{Key: c.key(), Value: wire.Encode(rec), Revision: s.rev}
 	c.stamp, c.dirty = s.rev, false
 }
 
@@ -69,7 +69,7 @@
 		parts := rapid.IntRange(1, 700).Draw(t, "parts")
 		per := rapid.SampledFrom([]int{0, 256, 200, 113, 56, 7}).Draw(t, "per")
 		next := rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "next")
-		spec := wire.Spec{ID: "req-000007", Owner: "red", Shape: wire.Sweep, Parts: parts, CPUs: 1}
+		spec := wire.Spec{ID: "req-000007", Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}
 		s := &shelf{keys: map[string]wire.Entry{}}
 		lowered := false
 		var tm *term
@@ -77,7 +77,7 @@
 		lead := func() {
 			tm = newTerm(&Leader{Deps: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}, office{token: 50, at: time.Now()})
 			tm.recovered = true
-			j = newJob(store.JobRecord{Spec: spec, At: wire.StampOf(time.Now()), Chunk: per}, 1)
+			j = newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now()), Chunk: per}, 1)
 			tm.jobs[spec.ID] = j
 			tm.readRuns(s.list())
 			if len(tm.fleet.orphans) > 0 {
@@ -212,8 +212,8 @@
 				t.Fatalf("%d keys known of %d", len(g), len(s.keys))
 			}
 			for _, g := range j.stored() {
-				if s.keys[g.Key].Stamp != g.Stamp {
-					t.Fatalf("%s known as %d, stored as %d", g.Key, g.Stamp, s.keys[g.Key].Stamp)
+				if s.keys[g.Key].Revision != g.Revision {
+					t.Fatalf("%s known as %d, stored as %d", g.Key, g.Revision, s.keys[g.Key].Revision)
 				}
 			}
 			if !lowered {
@@ -235,7 +235,7 @@
 		tm.set.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		st.Lower(2, 4, 1000, 1000)
 		f(tm, m, st, func(id wire.JobID, parts, per int) *job {
-			rec := store.JobRecord{Spec: wire.Spec{ID: id, Owner: "red", Shape: wire.Sweep, Parts: parts, CPUs: 1}, At: wire.StampOf(time.Now()), Chunk: per}
+			rec := store.JobRecord{Spec: wire.Spec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}, At: wire.TimestampOf(time.Now()), Chunk: per}
 			j := newJob(rec, st.Put(store.JobKey(id), rec))
 			tm.jobs[id] = j
 			return j
@@ -290,7 +290,7 @@
 			tm.drop(a, taskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
-		tm.fleet.orphans = append(tm.fleet.orphans, wire.Guard{Key: orphan, Stamp: st.Put(orphan, store.ChunkRecord{Next: 2})})
+		tm.fleet.orphans = append(tm.fleet.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{Next: 2})})
 		settle()
 		if launch.plans > 0 || len(st.Keys(store.RunPrefix+"req-5/")) == 0 {
 			t.Error("a launch is held up")
@@ -318,11 +318,11 @@
 func TestNoPieceBeforeTheDrop(t *testing.T) {
 	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
 		tm.set.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
-		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Owner: "red", Shape: wire.Sweep, Parts: 256, CPUs: 1}, At: wire.StampOf(time.Now())}
+		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 256, CPUs: 1}, At: wire.TimestampOf(time.Now())}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
 		tm.jobs["req-2"] = j
 		hold(tm, j, 0, 250, m)
-		bad := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-3", Owner: "red", Parts: 1, CPUs: 1}}, st.Put(store.JobKey("req-3"), rec))
+		bad := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-3", Team: "red", Tasks: 1, CPUs: 1}}, st.Put(store.JobKey("req-3"), rec))
 		tm.jobs["req-3"] = bad
 		hold(tm, bad, 0, 1, tm.machine(wire.MachineID("n-"+strings.Repeat("9", 20_000))))
 		settle()
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -19,11 +19,11 @@
 type machine struct {
 	id    wire.MachineID
 	addr  string
-	kit   wire.Kit
+	kit   wire.MachineType
 	zone  wire.Zone
 	spot  bool
 	shift wire.Session
-	tally wire.Tally
+	tally wire.Sequence
 	baton wire.Token
 
 	directAt time.Time // last report that came here by itself
@@ -86,22 +86,22 @@
 		h.reply <- reply{refused: "can't tell what was cancelled"}
 		return
 	}
-	o := &wire.Orders{Baton: t.token, Orders: t.l.haltsFor(&h.rep)}
-	if _, gone := t.gone[h.rep.Host]; gone {
+	o := &wire.Commands{Token: t.token, Commands: t.l.haltsFor(&h.rep)}
+	if _, gone := t.gone[h.rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		h.reply <- reply{refused: "this machine was returned"}
 		return
 	}
 	if !t.recovered {
-		if e, ok := t.early[h.rep.Host]; !ok || h.rep.Newer(e.Shift, e.Tally) {
-			t.early[h.rep.Host] = h.rep
+		if e, ok := t.early[h.rep.Machine]; !ok || h.rep.Newer(e.Session, e.Sequence) {
+			t.early[h.rep.Machine] = h.rep
 		}
-		m := t.machine(h.rep.Host)
+		m := t.machine(h.rep.Machine)
 		m.seenAt, m.answered = now, now
 		h.reply <- reply{orders: o}
 		return
 	}
-	m := t.machine(h.rep.Host)
+	m := t.machine(h.rep.Machine)
 	if !h.rep.Newer(m.shift, m.tally) {
 		h.reply <- t.older(m, &h.rep, o, now)
 		return
@@ -130,9 +130,9 @@
 		return
 	}
 	m.answered = now
-	m.hearing.told, m.hearing.shift, m.hearing.tally = t.token, h.rep.Shift, h.rep.Tally
+	m.hearing.told, m.hearing.shift, m.hearing.tally = t.token, h.rep.Session, h.rep.Sequence
 	if t.deciding() {
-		o.Orders = t.orders(m, &h.rep, now)
+		o.Commands = t.orders(m, &h.rep, now)
 	}
 	h.reply <- reply{orders: o}
 }
@@ -146,9 +146,9 @@
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (t *term) older(m *machine, rep *wire.Report, o *wire.Orders, now time.Time) reply {
+func (t *term) older(m *machine, rep *wire.Report, o *wire.Commands, now time.Time) reply {
 	crossed := now.Sub(m.seenAt) < crossing
-	if (!crossed || rep.Shift != m.shift || rep.Tally+2 < m.tally) && now.Sub(m.verified) > time.Second && !m.releasing && t.deciding() {
+	if (!crossed || rep.Session != m.shift || rep.Sequence+2 < m.tally) && now.Sub(m.verified) > time.Second && !m.releasing && t.deciding() {
 		m.verified = now
 		t.probe(m)
 	}
@@ -164,7 +164,7 @@
 // returned, as from now on its reports can't be told from late copies of its
 // last life.
 func (t *term) reborn(m *machine, rep *wire.Report, now time.Time) {
-	t.log().Info("machine began a new life", "machine", m.id, "tasks", len(m.tasks), "shift", rep.Shift, "tally", rep.Tally, "was_shift", m.shift, "was_tally", m.tally)
+	t.log().Info("machine began a new life", "machine", m.id, "tasks", len(m.tasks), "shift", rep.Session, "tally", rep.Sequence, "was_shift", m.shift, "was_tally", m.tally)
 	m.shift, m.tally, m.images = 0, 0, imageCache{}
 	for _, a := range m.tasks {
 		a.helloTally = 0 // the answer that carried it went to the last life
@@ -183,7 +183,7 @@
 	// place in the machine's life.
 	told  wire.Token
 	shift wire.Session
-	tally wire.Tally
+	tally wire.Sequence
 
 	ignored int       // answers in a row that it seems not to have had
 	fails   int       // direct commands in a row that were not answered
@@ -195,16 +195,16 @@
 func (t *term) listen(m *machine, rep *wire.Report, now time.Time) {
 	h := &m.hearing
 	switch {
-	case rep.Baton > m.baton && m.baton > 0:
+	case rep.Token > m.baton && m.baton > 0:
 		t.hears(m)
 		return
 	case h.tally == 0:
 		return
-	case rep.Shift > h.shift && now.Sub(m.answered) < t.set.Workers.LeaseS.Duration()/2:
+	case rep.Session > h.shift && now.Sub(m.answered) < t.set.Workers.LeaseS.Duration()/2:
 		h.ignored += 2 // its lease ran out although its reports were answered
-	case rep.Shift != h.shift || rep.Tally <= h.tally:
+	case rep.Session != h.shift || rep.Sequence <= h.tally:
 		return
-	case rep.Baton < h.told || t.unheard(m, rep):
+	case rep.Token < h.told || t.unheard(m, rep):
 		h.ignored++
 	default:
 		return
@@ -219,11 +219,11 @@
 // should know of by now.
 func (t *term) unheard(m *machine, rep *wire.Report) bool {
 	for task, a := range m.tasks {
-		if a.seen || a.helloTally == 0 || a.helloShift != rep.Shift || rep.Tally <= a.helloTally {
+		if a.seen || a.helloTally == 0 || a.helloShift != rep.Session || rep.Sequence <= a.helloTally {
 			continue
 		}
 		name := task.String()
-		if !slices.ContainsFunc(rep.Parts, func(p wire.PartState) bool { return p.Part == name && p.Try == a.try }) {
+		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.try }) {
 			return true
 		}
 	}
@@ -248,48 +248,48 @@
 	if viaHello {
 		t.reports++
 	}
-	t.heard[rep.Site] = heard{now, t.reports}
+	t.heard[rep.Zone] = heard{now, t.reports}
 	if m.upAt.IsZero() {
 		m.upAt = now
 		t.fleetUp(m, now)
 		t.wantRound()
 	}
-	if rep.Shift > m.shift {
+	if rep.Session > m.shift {
 		// A lease that ran out leaves the images where they are; a new life
 		// starts from the first session again.
 		m.shiftAt = now
 	}
-	m.addr, m.kit, m.zone, m.spot = rep.Addr, rep.Kit, rep.Site, rep.Standby
-	m.shift, m.tally, m.seenAt, m.booting, m.probes = rep.Shift, rep.Tally, now, false, 0
-	if m.baton < t.first && rep.Baton >= t.first {
+	m.addr, m.kit, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
+	m.shift, m.tally, m.seenAt, m.booting, m.probes = rep.Session, rep.Sequence, now, false, 0
+	if m.baton < t.first && rep.Token >= t.first {
 		m.tokenAt = now
 	}
-	m.baton = max(m.baton, rep.Baton)
+	m.baton = max(m.baton, rep.Token)
 	if viaHello {
 		m.muteAt = time.Time{}
 	} else if m.muteAt.IsZero() {
 		m.muteAt = now
 	}
-	if rep.WarningS != nil {
-		at := now.Add(rep.WarningS.Duration())
+	if rep.SpotNotice != nil {
+		at := now.Add(rep.SpotNotice.Duration())
 		if m.notice.IsZero() {
-			t.log().Info("spot notice", "machine", m.id, "in", rep.WarningS.Duration(), "tasks", len(m.tasks))
+			t.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
 			t.drainMachine(m, "spot notice")
 		}
 		m.notice = at
 	}
 	clear(m.strays)
-	listed := make(map[wire.Task]*wire.PartState, len(rep.Parts))
-	for i := range rep.Parts {
-		p := &rep.Parts[i]
-		task, err := wire.ParseTask(p.Part)
+	listed := make(map[wire.Task]*wire.TaskState, len(rep.Tasks))
+	for i := range rep.Tasks {
+		p := &rep.Tasks[i]
+		task, err := wire.ParseTask(p.Task)
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.try == p.Try {
+		if a := m.tasks[task]; a != nil && a.try == p.Attempt {
 			listed[task] = p
 			t.progress(a, p, now)
-		} else if p.Phase != wire.Exited {
+		} else if p.Phase != wire.PhaseExited {
 			m.strays[task] = true
 		}
 	}
@@ -300,8 +300,8 @@
 		switch {
 		case t.launchAgain(a):
 			a.inherited, a.sent, a.lost, a.helloTally = false, false, false, 0
-		case a.seen, a.inherited, rep.Shift > a.sentShift && a.sent:
-			t.log().Info("task is gone from its machine", "task", task, "try", a.try, "machine", m.id, "shift", rep.Shift)
+		case a.seen, a.inherited, rep.Session > a.sentShift && a.sent:
+			t.log().Info("task is gone from its machine", "task", task, "try", a.try, "machine", m.id, "shift", rep.Session)
 			t.l.Metrics.Moved("gone")
 			t.drop(a, taskPending)
 		case a.halting, m.drain != "", a.job.cancelled:
@@ -315,36 +315,36 @@
 }
 
 // progress takes in the state of an attempt of ours.
-func (t *term) progress(a *attempt, p *wire.PartState, now time.Time) {
+func (t *term) progress(a *attempt, p *wire.TaskState, now time.Time) {
 	m, j := a.m, a.job
 	if a.sent && !a.seen {
 		t.hears(m)
 	}
 	a.seen = true
-	if p.Phase != wire.Pulling && p.Cause != wire.CauseFull && p.Cause != wire.CauseBusy && p.Cause != wire.CauseNoSuch &&
-		!(p.Phase == wire.Exited && a.phase == wire.Pulling && (p.Cause == wire.CauseStopped || p.Cause == wire.CauseMatesGone || p.Cause == wire.CauseAlone)) {
-		m.images.touch(j.spec.Bundle, j.spec.ImageGB, t.localGB(m.kit), now)
+	if p.Phase != wire.PhaseFetching && p.Cause != wire.CauseFull && p.Cause != wire.CauseBusy && p.Cause != wire.CauseNoSuch &&
+		!(p.Phase == wire.PhaseExited && a.phase == wire.PhaseFetching && (p.Cause == wire.CauseStopped || p.Cause == wire.CauseGangBroken || p.Cause == wire.CauseGangIncomplete)) {
+		m.images.touch(j.spec.Image, j.spec.ImageGB, t.localGB(m.kit), now)
 		if a.ready.IsZero() {
 			a.ready = now
 		}
 	}
-	if p.Phase == wire.Active && a.runAt.IsZero() {
+	if p.Phase == wire.PhaseRunning && a.runAt.IsZero() {
 		a.runAt = now
 		if !j.started {
 			j.started = true
-			t.l.Metrics.Waited(j.spec.Lane, now.Sub(j.at).Seconds())
+			t.l.Metrics.Waited(j.spec.Class, now.Sub(j.at).Seconds())
 		}
 	}
 	a.phase = p.Phase
-	if j.gang != nil && (p.Phase == wire.Active || p.Phase == wire.Saving || p.Cause == wire.CauseMatesGone) {
+	if j.gang != nil && (p.Phase == wire.PhaseRunning || p.Phase == wire.PhaseSaving || p.Cause == wire.CauseGangBroken) {
 		j.gang.ran = true
 	}
-	if g := j.gang; g != nil && p.Phase == wire.Saving && !g.told && !g.lost && !j.cancelled && a.inherited {
+	if g := j.gang; g != nil && p.Phase == wire.PhaseSaving && !g.told && !g.lost && !j.cancelled && a.inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
 		// that don't hear of it in time don't save.
 		t.haltGang(j, t.windDownOf(j), "an earlier leader stops its gang")
 	}
-	if p.Phase != wire.Exited {
+	if p.Phase != wire.PhaseExited {
 		return
 	}
 	switch p.Cause {
@@ -361,7 +361,7 @@
 			break
 		}
 		t.drop(a, taskDone)
-	case wire.CauseStopped, wire.CauseMatesGone, wire.CauseAlone:
+	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
 		t.drop(a, taskPending)
 	case wire.CauseError:
 		t.failed(a, now)
@@ -381,8 +381,8 @@
 
 // orders for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
-func (t *term) orders(m *machine, rep *wire.Report, now time.Time) []wire.Order {
-	out := []wire.Order{}
+func (t *term) orders(m *machine, rep *wire.Report, now time.Time) []wire.Command {
+	out := []wire.Command{}
 	for task, a := range m.tasks {
 		if len(out) >= mostOrders {
 			return out
@@ -391,28 +391,28 @@
 			out = append(out, haltOrder(task, a))
 			a.haltSent = now
 		} else if !a.planned && !a.seen && !a.directBusy && m.drain == "" && !a.job.cancelled && !a.inherited && m.hearing.deaf.IsZero() && a.mayLaunch() {
-			out = append(out, wire.Order{Verb: wire.Launch, Part: task.String(), Try: a.try})
-			a.sent, a.sentShift, a.helloShift, a.helloTally = true, rep.Shift, rep.Shift, rep.Tally
+			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
+			a.sent, a.sentShift, a.helloShift, a.helloTally = true, rep.Session, rep.Session, rep.Sequence
 		}
 	}
-	for i := range rep.Parts {
-		p := &rep.Parts[i]
+	for i := range rep.Tasks {
+		p := &rep.Tasks[i]
 		if len(out) >= mostOrders {
 			return out
 		}
-		task, err := wire.ParseTask(p.Part)
+		task, err := wire.ParseTask(p.Task)
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.try == p.Try {
+		if a := m.tasks[task]; a != nil && a.try == p.Attempt {
 			continue
 		}
 		switch {
-		case p.Phase != wire.Exited:
+		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
-			out = append(out, wire.Order{Verb: wire.Halt, Part: p.Part, Try: p.Try, WindDown: &zero})
+			out = append(out, wire.Command{Verb: wire.Halt, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
 		case t.mayForget(m, task, rep):
-			out = append(out, wire.Order{Verb: wire.Forget, Part: p.Part, Try: p.Try})
+			out = append(out, wire.Command{Verb: wire.Forget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
 	return out
@@ -426,7 +426,7 @@
 		t.wantRaise = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.busy || rep.Baton < t.first {
+	if m.busy || rep.Token < t.first {
 		return false
 	}
 	j := t.jobs[task.Job]
@@ -444,9 +444,9 @@
 	return c == nil || !c.dirty && !c.busy
 }
 
-func haltOrder(task wire.Task, a *attempt) wire.Order {
+func haltOrder(task wire.Task, a *attempt) wire.Command {
 	w := a.windDown
-	return wire.Order{Verb: wire.Halt, Part: task.String(), Try: a.try, WindDown: &w}
+	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.try, GracePeriod: &w}
 }
 
 // dispatch sends what is new for a machine straight to it.
@@ -457,29 +457,29 @@
 		return
 	}
 	now := time.Now()
-	cmd := wire.Orders{Baton: t.token, Shift: m.shift}
+	cmd := wire.Commands{Token: t.token, Session: m.shift}
 	var launched []*attempt
 	for task, a := range m.tasks {
 		switch {
-		case a.planned || len(cmd.Orders) >= mostOrders || blind && !a.job.cancelled:
+		case a.planned || len(cmd.Commands) >= mostOrders || blind && !a.job.cancelled:
 		case a.halting:
 			if now.Sub(a.haltSent) > 1500*time.Millisecond {
-				cmd.Orders = append(cmd.Orders, haltOrder(task, a))
+				cmd.Commands = append(cmd.Commands, haltOrder(task, a))
 				a.haltSent = now
 			}
 		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.seen && m.drain == "" && !a.job.cancelled:
-			cmd.Orders = append(cmd.Orders, wire.Order{Verb: wire.Launch, Part: task.String(), Try: a.try})
+			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
 			a.sent, a.sentShift, a.directBusy = true, m.shift, true
 			launched = append(launched, a)
 		}
 	}
-	if len(cmd.Orders) > 0 {
+	if len(cmd.Commands) > 0 {
 		t.command(m, cmd, launched)
 	}
 }
 
 // command sends a direct command and takes in its answer.
-func (t *term) command(m *machine, cmd wire.Orders, launched []*attempt) {
+func (t *term) command(m *machine, cmd wire.Commands, launched []*attempt) {
 	m.busy = true
 	addr, asked := m.addr, position{m.shift, m.tally}
 	go func() {
@@ -491,17 +491,17 @@
 // position in a machine's life.
 type position struct {
 	shift wire.Session
-	tally wire.Tally
+	tally wire.Sequence
 }
 
-func (t *term) commanded(m *machine, asked position, cmd wire.Orders, launched []*attempt, rep *wire.Report, status int, err error) {
+func (t *term) commanded(m *machine, asked position, cmd wire.Commands, launched []*attempt, rep *wire.Report, status int, err error) {
 	m.busy = false
 	now := time.Now()
 	for _, a := range launched {
 		a.directBusy = false
 	}
 	switch {
-	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Host == m.id:
+	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
 		t.l.Metrics.Command("ok")
 		t.hears(m)
 		m.seenAt = now
@@ -526,12 +526,12 @@
 		m.probes++
 		m.muteAt = time.Time{}
 		m.hearing.fails++
-		t.log().Debug("command not answered", "machine", m.id, "orders", len(cmd.Orders), "err", err, "status", status)
+		t.log().Debug("command not answered", "machine", m.id, "orders", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
-			a.lost, a.lostToken = true, cmd.Baton
+			a.lost, a.lostToken = true, cmd.Token
 		}
 		if len(launched) > 0 {
-			m.lost = lostCommand{max(m.lost.token, cmd.Baton), max(m.lost.shift, cmd.Shift)}
+			m.lost = lostCommand{max(m.lost.token, cmd.Token), max(m.lost.shift, cmd.Session)}
 		}
 	}
 	if m.probes == 0 {
@@ -548,12 +548,12 @@
 )
 
 // post sends a command to a worker.
-func (l *Leader) post(ctx context.Context, addr string, cmd wire.Orders, timeout time.Duration) (*wire.Report, int, error) {
-	if cmd.Orders == nil {
-		cmd.Orders = []wire.Order{}
+func (l *Leader) post(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Report, int, error) {
+	if cmd.Commands == nil {
+		cmd.Commands = []wire.Command{}
 	}
 	line := l.lines
-	if len(cmd.Orders) == 0 {
+	if len(cmd.Commands) == 0 {
 		line = l.asks
 	}
 	select {
@@ -582,7 +582,7 @@
 	}
 	shift := max(m.shift, 1)
 	m.busy = true
-	addr, cmd, asked := m.addr, wire.Orders{Baton: t.token, Shift: shift}, position{m.shift, m.tally}
+	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Session: shift}, position{m.shift, m.tally}
 	ask := func() (*wire.Report, int, error) { return t.l.post(t.ctx, addr, cmd, probeTimeout) }
 	// What doesn't answer this node is asked once more through another one: it
 	// may be only the way from here that is cut.
@@ -594,9 +594,9 @@
 	}
 	go func() {
 		rep, status, err := ask()
-		if err == nil && status == http.StatusConflict && rep.Shift != cmd.Shift && rep.Baton <= cmd.Baton {
+		if err == nil && status == http.StatusConflict && rep.Session != cmd.Session && rep.Token <= cmd.Token {
 			// Wrong session: now we know the right one.
-			cmd.Shift = rep.Shift
+			cmd.Session = rep.Session
 			rep, status, err = ask()
 		}
 		t.post(func() {
@@ -608,8 +608,8 @@
 
 // question is one that another node passes on to a worker.
 type question struct {
-	Addr   string      `cbor:"addr"`
-	Orders wire.Orders `cbor:"orders"`
+	Addr   string        `cbor:"addr"`
+	Orders wire.Commands `cbor:"orders"`
 }
 
 // helper is some other node that is linked to this one.
@@ -627,7 +627,7 @@
 }
 
 // askVia asks a worker for its report through another node.
-func (l *Leader) askVia(ctx context.Context, node wire.NodeID, addr string, cmd wire.Orders) (*wire.Report, int, error) {
+func (l *Leader) askVia(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Report, int, error) {
 	status, raw, err := l.Mesh.Relay(ctx, node, "/peer/ask", question{addr, cmd})
 	if err != nil {
 		return nil, 0, err
@@ -644,7 +644,7 @@
 func (l *Leader) Ask(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	var a question
-	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Orders.Orders) > 0 {
+	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Orders.Commands) > 0 {
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a question to a worker"})
 		return
 	}
@@ -689,7 +689,7 @@
 // lostAt tells whether an unanswered launch may still reach the worker.
 func (m *machine) lostAt(rep *wire.Report) bool {
 	l := m.lost
-	return l.token > 0 && rep.Baton <= l.token && rep.Shift <= l.shift
+	return l.token > 0 && rep.Token <= l.token && rep.Session <= l.shift
 }
 
 // imageCache is what the reports imply of a machine's images: an image is
@@ -724,14 +724,14 @@
 }
 
 // localGB is the size of a type's image cache.
-func (t *term) localGB(k wire.Kit) float64 {
+func (t *term) localGB(k wire.MachineType) float64 {
 	if f := t.flavor(k); f != nil {
-		return f.LocalGB
+		return f.DiskGB
 	}
 	return 0
 }
 
-func (t *term) flavor(k wire.Kit) *wire.Flavor {
+func (t *term) flavor(k wire.MachineType) *wire.MachineSpec {
 	fs := t.l.Flavors.Get()
 	for i := range fs {
 		if fs[i].Name == k {
@@ -745,7 +745,7 @@
 // name can hold nothing.
 func (t *term) total(m *machine) placement.Res {
 	if f := t.flavor(m.kit); f != nil {
-		return placement.Res{CPUs: f.CPUs, Cards: f.Cards, RAM: f.RAM}
+		return placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB}
 	}
 	return placement.Res{}
 }
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -114,7 +114,7 @@
 	// What is left of a gang's claims is of no use; room is made for all of it anew.
 	short := func(id wire.JobID) bool {
 		j := t.jobs[id]
-		return j != nil && j.spec.Gang() && n[id] > 0 && n[id] < j.spec.Parts
+		return j != nil && j.spec.Gang() && n[id] > 0 && n[id] < j.spec.Tasks
 	}
 	for m := range t.claimed {
 		if m.claims = slices.DeleteFunc(m.claims, func(c claim) bool { return short(c.Job) }); len(m.claims) == 0 {
@@ -137,8 +137,8 @@
 
 // windDownOf is how long a task of the job is given to save.
 func windDownOf(j *job) wire.Seconds {
-	if j.spec.SnapshotEveryS > 0 {
-		return j.spec.SnapshotS + 2
+	if j.spec.CheckpointInterval > 0 {
+		return j.spec.CheckpointTime + 2
 	}
 	return 0
 }
@@ -184,12 +184,12 @@
 	sum := map[wire.TeamID]placement.Res{}
 	out := map[wire.JobID]bool{}
 	for _, j := range jobs {
-		team, ok := t.set.Team(j.spec.Owner)
+		team, ok := t.set.Team(j.spec.Team)
 		if !ok {
 			continue
 		}
-		u := sum[j.spec.Owner].Plus(placement.Of(&j.spec).Times(float64(j.spec.Parts - j.done)))
-		sum[j.spec.Owner] = u
+		u := sum[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.spec.Tasks - j.done)))
+		sum[j.spec.Team] = u
 		out[j.spec.ID] = u.CPUs <= team.CPUs+wire.Eps && u.Cards <= team.GPUs+wire.Eps
 	}
 	return out
@@ -204,7 +204,7 @@
 
 // weight of one unit of a job: priority first, then guarantee and deadline.
 func (t *term) weight(j *job, guaranteed bool, now time.Time) float64 {
-	w := [4]float64{1, 2, 8, 256}[j.spec.Urgency.Rank()]
+	w := [4]float64{1, 2, 8, 256}[j.spec.Priority.Rank()]
 	if guaranteed {
 		w *= 3
 	}
@@ -212,7 +212,7 @@
 		need := j.expected()
 		// The job is worth something only when all of it is done: a unit of
 		// a job with little left brings more.
-		work := float64(j.spec.Parts-j.done) * j.spec.CPUs * max(1, need)
+		work := float64(j.spec.Tasks-j.done) * j.spec.CPUs * max(1, need)
 		w *= 1000 / (work + 50)
 		switch slack := t.slack(j, now); {
 		case slack < -need/2:
@@ -263,7 +263,7 @@
 	if n := len(j.runs.s); n > 0 {
 		return j.runs.median()
 	}
-	return float64(j.spec.Expected)
+	return float64(j.spec.ExpectedRunTime)
 }
 
 // snapshot is what a round looks at, with the machines and jobs that its
@@ -279,14 +279,14 @@
 		s.Teams[team.Name] = &placement.Team{Limit: placement.Res{CPUs: team.CPUsMax, Cards: team.GPUsMax}}
 	}
 	for _, j := range t.jobs {
-		if team := s.Teams[j.spec.Owner]; team != nil {
+		if team := s.Teams[j.spec.Team]; team != nil {
 			team.Used = team.Used.Plus(placement.Of(&j.spec).Times(float64(j.held)))
 		}
 	}
 	for _, m := range t.machines {
 		for task := range m.strays {
 			if j := t.jobs[task.Job]; j != nil && m.tasks[task] == nil {
-				if team := s.Teams[j.spec.Owner]; team != nil {
+				if team := s.Teams[j.spec.Team]; team != nil {
 					team.Used = team.Used.Plus(placement.Of(&j.spec))
 				}
 			}
@@ -317,8 +317,8 @@
 	byID := func(a, b *machine) int { return cmp.Compare(a.id, b.id) }
 	slices.SortFunc(ms, byID)
 	beyond := func(j *job) bool {
-		team, _ := t.set.Team(j.spec.Owner)
-		u := s.Teams[j.spec.Owner]
+		team, _ := t.set.Team(j.spec.Team)
+		u := s.Teams[j.spec.Team]
 		return u != nil && (u.Used.CPUs > team.CPUs+wire.Eps || u.Used.Cards > team.GPUs+wire.Eps)
 	}
 	// A gang that does not preempt waits for others to end, which are looked at too.
@@ -328,7 +328,7 @@
 		pm := placement.Machine{ID: m.id, Kit: m.kit, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Cordoned: m.cordoned,
 			Images: make(map[wire.ImageID]placement.Image, len(m.images.has)+len(m.tasks))}
 		if f := t.flavor(m.kit); f != nil {
-			pm.PullRate = f.PullGBPerS
+			pm.PullRate = f.FetchGBPerS
 		}
 		var awaited []wire.Task
 		for _, c := range m.claims {
@@ -347,27 +347,27 @@
 			if ending {
 				pm.Stopping = pm.Stopping.Plus(a.res())
 			}
-			if a.ready.IsZero() && pm.Images[a.job.spec.Bundle] == placement.Absent {
-				pm.Images[a.job.spec.Bundle] = placement.Fetching
-				if _, has := m.images.has[a.job.spec.Bundle]; !has {
+			if a.ready.IsZero() && pm.Images[a.job.spec.Image] == placement.Absent {
+				pm.Images[a.job.spec.Image] = placement.Fetching
+				if _, has := m.images.has[a.job.spec.Image]; !has {
 					pm.PullGB += a.job.spec.ImageGB
 				}
 			}
-			if !preempts || a.planned || a.halting || ending || a.job.spec.Service() && a.job.spec.Urgency == wire.Prod {
+			if !preempts || a.planned || a.halting || ending || a.job.spec.Service() && a.job.spec.Priority == wire.PriorityProd {
 				continue
 			}
 			lost := 0.0
 			if !a.runAt.IsZero() {
 				lost = now.Sub(a.runAt).Seconds()
-				if every := float64(a.job.spec.SnapshotEveryS); every > 0 {
-					lost = min(lost, float64(a.job.spec.SnapshotS))
+				if every := float64(a.job.spec.CheckpointInterval); every > 0 {
+					lost = min(lost, float64(a.job.spec.CheckpointTime))
 				}
 			}
 			if a.job.spec.Gang() { // it costs all of the gang
-				lost = (lost + 5) * float64(a.job.spec.Parts)
+				lost = (lost + 5) * float64(a.job.spec.Tasks)
 			}
-			pm.Victims = append(pm.Victims, placement.Victim{Task: a.task(), Rank: a.job.spec.Urgency.Rank(), Takes: a.res(),
-				Lost: lost, LeftS: a.left(now), Beyond: beyond(a.job), Team: a.job.spec.Owner})
+			pm.Victims = append(pm.Victims, placement.Victim{Task: a.task(), Rank: a.job.spec.Priority.Rank(), Takes: a.res(),
+				Lost: lost, LeftS: a.left(now), Beyond: beyond(a.job), Team: a.job.spec.Team})
 		}
 		slices.SortFunc(pm.Victims, func(a, b placement.Victim) int {
 			return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), a.Task.Index-b.Task.Index)
@@ -404,10 +404,10 @@
 		if j.fails > 0 && !j.spec.Gang() {
 			pj.Pending = min(pj.Pending, max(1, 2-j.held)) // try a suspect job with little
 		}
-		if j.spec.Apart || j.spec.SamePlace {
+		if j.spec.Spread || j.spec.SameZone {
 			pj.ZoneHeld = j.zones()
 			unknown := pj.ZoneHeld[""]
-			if unknown > 0 && j.spec.SamePlace {
+			if unknown > 0 && j.spec.SameZone {
 				continue // where its tasks are is not known yet
 			}
 			// Each of these may be in any zone, so it counts in all.
@@ -433,16 +433,16 @@
 // but for services, leave it alone.
 func (t *term) keepLimits(s *placement.Snapshot, js []*job, now time.Time) {
 	for _, j := range js { // the oldest first
-		team := s.Teams[j.spec.Owner]
+		team := s.Teams[j.spec.Team]
 		if team == nil || !j.spec.Gang() || now.Sub(later(later(j.at, j.moved), t.born)) < keepLimitAfter {
 			continue
 		}
-		rank := j.spec.Urgency.Rank()
+		rank := j.spec.Priority.Rank()
 		if t.starves(j, now) {
-			rank = wire.Prod.Rank()
+			rank = wire.PriorityProd.Rank()
 		}
 		if team.KeptFor == "" || rank > team.KeptRank {
-			team.Kept, team.KeptFor, team.KeptRank = placement.Of(&j.spec).Times(float64(j.spec.Parts)), j.spec.ID, rank
+			team.Kept, team.KeptFor, team.KeptRank = placement.Of(&j.spec).Times(float64(j.spec.Tasks)), j.spec.ID, rank
 		}
 	}
 }
@@ -460,8 +460,8 @@
 	var r placement.Res
 	largest := 0
 	for _, j := range t.jobs {
-		if j.spec.Service() && !j.spec.Standby {
-			largest = max(largest, j.spec.Parts)
+		if j.spec.Service() && !j.spec.SpotAllowed {
+			largest = max(largest, j.spec.Tasks)
 			o := placement.Of(&j.spec)
 			r = placement.Res{CPUs: max(r.CPUs, o.CPUs), Cards: 0, RAM: max(r.RAM, o.RAM)}
 		}
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -30,7 +30,7 @@
 	l.renewFor = renewFor(cfg.Settings.Workers)
 	tm := newTerm(l, office{token: 50, at: time.Now(), until: time.Now().Add(time.Hour)})
 	tm.recovered = true
-	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-1", Owner: "red", Shape: wire.Sweep, Parts: 1, CPUs: 1}, At: wire.StampOf(time.Now())}, 1)
+	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 	tm.jobs[j.spec.ID] = j
 	m := tm.machine("n-1")
 	m.shift, m.tally, m.baton, m.upAt = 1, 10, 50, time.Now()
@@ -39,8 +39,8 @@
 	return tm, m, a
 }
 
-func said(shift wire.Session, tally wire.Tally, baton wire.Token, parts ...wire.PartState) *wire.Report {
-	return &wire.Report{Host: "n-1", Shift: shift, Tally: tally, Baton: baton, Parts: parts}
+func said(shift wire.Session, tally wire.Sequence, baton wire.Token, parts ...wire.TaskState) *wire.Report {
+	return &wire.Report{Machine: "n-1", Session: shift, Sequence: tally, Token: baton, Tasks: parts}
 }
 
 // When a task that a report lacks counts as gone: only when no launch of it
@@ -115,7 +115,7 @@
 // An attempt is forgotten only when its outcome is stored and no launch of
 // it can still arrive; a blocked one asks for a higher token.
 func TestForget(t *testing.T) {
-	exited := wire.PartState{Part: "req-1/0", Try: 7, Phase: wire.Exited, Cause: wire.CauseStopped}
+	exited := wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseExited, Cause: wire.CauseStopped}
 	for name, c := range map[string]struct {
 		setup  func(tm *term, m *machine, a *attempt)
 		forget bool
@@ -134,7 +134,7 @@
 		c.setup(tm, m, a)
 		got := false
 		for _, o := range tm.orders(m, rep, time.Now()) {
-			got = got || o.Verb == wire.Forget && o.Try == 7
+			got = got || o.Verb == wire.Forget && o.Attempt == 7
 		}
 		if got != c.forget || tm.wantRaise != c.raise {
 			t.Errorf("%s: forget %v, raise %v", name, got, tm.wantRaise)
@@ -146,16 +146,16 @@
 // room is not given away.
 func TestStray(t *testing.T) {
 	tm, m, _ := rig(t)
-	tm.l.Flavors.Set([]wire.Flavor{{Name: "c4", CPUs: 4, RAM: 16}})
-	rep := said(1, 11, 50, wire.PartState{Part: "req-1/0", Try: 7, Phase: wire.Active}, wire.PartState{Part: "req-77/0", Try: 1, Phase: wire.Active})
-	rep.Kit = "c4"
+	tm.l.Flavors.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
+	rep := said(1, 11, 50, wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning}, wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
+	rep.Type = "c4"
 	tm.apply(m, rep, true, time.Now())
 	if f := tm.free(m); f.CPUs != 0 {
 		t.Errorf("%g cpus free beside a task of unknown size", f.CPUs)
 	}
 	halts := 0
 	for _, o := range tm.orders(m, rep, time.Now()) {
-		if o.Verb == wire.Halt && o.Part == "req-77/0" {
+		if o.Verb == wire.Halt && o.Task == "req-77/0" {
 			halts++
 		}
 	}
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -25,10 +25,10 @@
 }
 
 func (f *filling) put(m *machine, now time.Time) {
-	i := f.j.spec.Parts - f.left
+	i := f.j.spec.Tasks - f.left
 	f.left--
-	f.j.chunk(0).hold(&attempt{job: f.j, chunk: f.j.chunk(0), index: i, try: wire.Attempt(i + 1), m: m, at: now, sent: true, sentShift: 1, seen: true, phase: wire.Active, runAt: now, ready: now})
-	m.images.touch(f.j.spec.Bundle, 1, 50, now)
+	f.j.chunk(0).hold(&attempt{job: f.j, chunk: f.j.chunk(0), index: i, try: wire.Attempt(i + 1), m: m, at: now, sent: true, sentShift: 1, seen: true, phase: wire.PhaseRunning, runAt: now, ready: now})
+	m.images.touch(f.j.spec.Image, 1, 50, now)
 }
 
 // sized is a term of so many machines of four processors in three zones, half
@@ -53,19 +53,19 @@
 	tm.set.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
 	tm.set.State.TxnOps = 12
 	tm.set.Workers = config.Workers{ReportS: 10, LeaseS: 45, CancelS: 70}
-	tm.l.Flavors.Set([]wire.Flavor{{Name: "k4", CPUs: 4, RAM: 32, LocalGB: 50, PullGBPerS: 0.25, Rate: 0.28, LowPrice: 0.12, ReadyS: 35, Sites: zones}})
+	tm.l.Flavors.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
 	tm.listed, tm.placing = true, true
 	tm.born = now.Add(-time.Minute)
 	job := func(id int, parts int, s wire.Spec) *job {
-		s.ID, s.Owner, s.Parts = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
-		s.Bundle, s.ImageGB = wire.ImageID(fmt.Sprint("img-", id%24)), 1
-		j := newJob(store.JobRecord{Spec: s, At: wire.StampOf(now.Add(-20 * time.Second))}, wire.Revision(id))
+		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
+		s.Image, s.ImageGB = wire.ImageID(fmt.Sprint("img-", id%24)), 1
+		j := newJob(store.JobRecord{Spec: s, At: wire.TimestampOf(now.Add(-20 * time.Second))}, wire.Revision(id))
 		tm.jobs[s.ID] = j
 		return j
 	}
-	service := wire.Spec{Lane: "live", Shape: wire.Daemon, Urgency: wire.Prod, CPUs: 1, RAM: 4.8, Apart: true}
-	array := wire.Spec{Lane: "recon", Shape: wire.Sweep, Urgency: wire.Standard, CPUs: 3, RAM: 25, Standby: true, Expected: 25, Due: 80}
+	service := wire.Spec{Class: "live", Kind: wire.KindService, Priority: wire.PriorityProd, CPUs: 1, MemoryGB: 4.8, Spread: true}
+	array := wire.Spec{Class: "recon", Kind: wire.KindArray, Priority: wire.PriorityStandard, CPUs: 3, MemoryGB: 25, SpotAllowed: true, ExpectedRunTime: 25, Deadline: 80}
 	id := 0
 	var serving, working *filling
 	for i := range n {
@@ -98,9 +98,9 @@
 
 // reportOf what runs on a machine.
 func reportOf(m *machine) wire.Report {
-	r := wire.Report{Host: m.id, Addr: m.addr, Kit: m.kit, Site: m.zone, Standby: m.spot, Shift: m.shift, Tally: m.tally + 1, Baton: m.baton}
+	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.kit, Zone: m.zone, Spot: m.spot, Session: m.shift, Sequence: m.tally + 1, Token: m.baton}
 	for task, a := range m.tasks {
-		r.Parts = append(r.Parts, wire.PartState{Part: task.String(), Try: a.try, Phase: a.phase})
+		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.try, Phase: a.phase})
 	}
 	return r
 }
@@ -196,8 +196,8 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		var jobs, runs []wire.Entry
 		for _, j := range tm.jobs {
-			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Stamp: j.stamp, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, At: wire.StampOf(j.at)})})
-			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Stamp: j.stamp, Value: wire.Encode(j.chunk(0).record())})
+			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.stamp, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, At: wire.TimestampOf(j.at)})})
+			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.stamp, Value: wire.Encode(j.chunk(0).record())})
 		}
 		for b.Loop() {
 			next := newTerm(tm.l, office{token: 51, at: time.Now(), until: time.Now().Add(time.Hour)})
@@ -216,7 +216,7 @@
 	tm := sized(t, 30)
 	tm.set.Zones = []wire.Zone{"b"}
 	tm.heard["d"] = heard{}
-	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Owner: "red", Shape: wire.Daemon, Urgency: wire.Prod, Parts: 5, CPUs: 1, Apart: true}, At: wire.StampOf(time.Now())}, 9)
+	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, At: wire.TimestampOf(time.Now())}, 9)
 	tm.jobs[j.spec.ID] = j
 	if got := fmt.Sprint(tm.zones()); got != "[b a c d]" {
 		t.Errorf("zones %s", got)
@@ -237,8 +237,8 @@
 	tm.set.Objectives = []config.Objective{{Kind: "finished", Class: "recon", WithinS: 300, Share: 0.9}}
 	now := time.Now()
 	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, dearStretch}, {200, 90, dearStretch}, {290, 90, 1}} {
-		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Lane: "recon", Owner: "red", Shape: wire.Sweep, Parts: 5, CPUs: 2, Standby: true, Expected: 20},
-			At: wire.StampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
+		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
+			At: wire.TimestampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
 		if got := tm.dearer(j, c.wait, now); got != c.want {
 			t.Errorf("waited %g s, %g s more expected: %g, want %g", c.age, c.wait, got, c.want)
 		}
--- a/internal/leader/standin.go
+++ b/internal/leader/standin.go
@@ -54,17 +54,17 @@
 
 // haltsFor is what a node that may start nothing tells a worker with the
 // renewal of its lease: to halt what is known to be cancelled.
-func (l *Leader) haltsFor(rep *wire.Report) []wire.Order {
-	out := []wire.Order{}
-	for i := range rep.Parts {
-		p := &rep.Parts[i]
-		task, err := wire.ParseTask(p.Part)
-		if err != nil || p.Phase == wire.Exited || len(out) >= mostOrders {
+func (l *Leader) haltsFor(rep *wire.Report) []wire.Command {
+	out := []wire.Command{}
+	for i := range rep.Tasks {
+		p := &rep.Tasks[i]
+		task, err := wire.ParseTask(p.Task)
+		if err != nil || p.Phase == wire.PhaseExited || len(out) >= mostOrders {
 			continue
 		}
 		if _, ok := l.Cancels.At(task.Job); ok {
 			zero := wire.Seconds(0)
-			out = append(out, wire.Order{Verb: wire.Halt, Part: p.Part, Try: p.Try, WindDown: &zero})
+			out = append(out, wire.Command{Verb: wire.Halt, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
 		}
 	}
 	return out
@@ -98,16 +98,16 @@
 }
 
 // standIn answers a report in the lost leader's stead, nil if it may not.
-func (l *Leader) standIn(rep *wire.Report) *wire.Orders {
-	if _, ok := l.mayStandIn(rep.Baton); !ok {
+func (l *Leader) standIn(rep *wire.Report) *wire.Commands {
+	if _, ok := l.mayStandIn(rep.Token); !ok {
 		return nil
 	}
 	l.Mesh.StandsIn()
-	token, ok := l.mayStandIn(rep.Baton) // again, now that others can know
+	token, ok := l.mayStandIn(rep.Token) // again, now that others can know
 	if !ok {
 		return nil
 	}
-	return &wire.Orders{Baton: token, Orders: l.haltsFor(rep)}
+	return &wire.Commands{Token: token, Commands: l.haltsFor(rep)}
 }
 
 // stoodLately tells whether workers stayed with this node because it stood in:
@@ -191,7 +191,7 @@
 			continue
 		}
 		name := task.String()
-		if !slices.ContainsFunc(rep.Parts, func(p wire.PartState) bool { return p.Part == name && p.Try == a.try }) {
+		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.try }) {
 			return true
 		}
 	}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -26,9 +26,9 @@
 
 // reply to a report.
 type reply struct {
-	orders  *wire.Orders // the answer; nil: none
-	here    bool         // the worker should come to this node itself
-	refused string       // why the report is not answered
+	orders  *wire.Commands // the answer; nil: none
+	here    bool           // the worker should come to this node itself
+	refused string         // why the report is not answered
 }
 
 // term is one time in office. Its loop owns everything below the line; the
@@ -328,11 +328,11 @@
 			}
 			continue
 		}
-		if ch.Ledger > rev {
-			rev = ch.Ledger
+		if ch.Revision > rev {
+			rev = ch.Revision
 		}
 		t.post(func() {
-			t.news(ch.News)
+			t.news(ch.Events)
 			t.l.Cancels.Read(began)
 		})
 	}
@@ -342,11 +342,11 @@
 func (t *term) news(changes []wire.Change) {
 	for _, c := range changes {
 		if c.Put != "" {
-			t.learn(c.Value, c.Stamp)
+			t.learn(c.Value, c.Revision)
 			continue
 		}
 		// The last that comes of a job.
-		id := wire.JobID(strings.TrimPrefix(c.Drop, store.JobPrefix))
+		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
 		if delete(t.past, id); t.jobs[id] != nil {
 			t.jobs[id].dropped = true
 		}
@@ -356,7 +356,7 @@
 // take builds the term's picture from what was read.
 func (t *term) take(jobs, runs []wire.Entry) {
 	for _, e := range jobs {
-		t.learn(e.Value, e.Stamp)
+		t.learn(e.Value, e.Revision)
 	}
 	t.readRuns(runs)
 	for _, j := range t.jobs {
@@ -371,7 +371,7 @@
 		t.checkOver(j)
 	}
 	for _, rep := range t.early {
-		t.apply(t.machine(rep.Host), &rep, true, time.Now())
+		t.apply(t.machine(rep.Machine), &rep, true, time.Now())
 	}
 	t.early = nil
 	t.noted = 0
@@ -424,7 +424,7 @@
 
 // checkOver notes that a job can be archived.
 func (t *term) checkOver(j *job) {
-	if j.cancelled && j.held == 0 || j.done == j.spec.Parts {
+	if j.cancelled && j.held == 0 || j.done == j.spec.Tasks {
 		j.over = true
 		t.closing[j] = struct{}{}
 	}
@@ -479,16 +479,16 @@
 	} else {
 		j.at = time.Now()
 	}
-	j.chunks = make([]*chunk, (rec.Spec.Parts+j.per-1)/j.per)
+	j.chunks = make([]*chunk, (rec.Spec.Tasks+j.per-1)/j.per)
 	return j
 }
 
-func (j *job) pending() int { return j.spec.Parts - j.done - j.held }
+func (j *job) pending() int { return j.spec.Tasks - j.done - j.held }
 
 func (j *job) chunk(n int) *chunk {
 	if j.chunks[n] == nil {
 		j.chunks[n] = &chunk{job: j, n: n, next: 1,
-			state: make([]uint8, min(j.per, j.spec.Parts-n*j.per)), holds: map[int]*attempt{}}
+			state: make([]uint8, min(j.per, j.spec.Tasks-n*j.per)), holds: map[int]*attempt{}}
 	}
 	return j.chunks[n]
 }
@@ -597,7 +597,7 @@
 	planned   bool // not yet stored; must not be sent
 	inherited bool // stored by an earlier leader, who may have sent it
 	seen      bool // was in a report in this term
-	phase     wire.Phase
+	phase     wire.TaskPhase
 	runAt     time.Time // first seen running
 	ready     time.Time // when it was first seen past its fetch
 
@@ -608,7 +608,7 @@
 	lost       bool // a direct launch was never answered
 	lostToken  wire.Token
 	helloShift wire.Session
-	helloTally wire.Tally
+	helloTally wire.Sequence
 
 	halting  bool
 	haltAt   time.Time // since when
@@ -627,15 +627,15 @@
 	switch {
 	case a.planned:
 		return false
-	case a.inherited && rep.Baton < t.first:
+	case a.inherited && rep.Token < t.first:
 		// An earlier leader's launch dies only by a higher token.
 		return true
-	case a.directBusy && rep.Shift <= a.sentShift:
+	case a.directBusy && rep.Session <= a.sentShift:
 		return true
-	case a.lost && rep.Baton <= a.lostToken && rep.Shift <= a.sentShift:
+	case a.lost && rep.Token <= a.lostToken && rep.Session <= a.sentShift:
 		// Held up on its way, it may come minutes late.
 		return true
-	case a.helloTally > 0 && a.helloShift == rep.Shift && !(viaHello && rep.Tally > a.helloTally):
+	case a.helloTally > 0 && a.helloShift == rep.Session && !(viaHello && rep.Sequence > a.helloTally):
 		// The worker has not yet done with the answer that carried it.
 		return true
 	}
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -19,15 +19,15 @@
 
 // MachineView is one machine.
 type MachineView struct {
-	Name     wire.MachineID `cbor:"name"`
-	Kit      wire.Kit       `cbor:"kit"`
-	Zone     wire.Zone      `cbor:"zone"`
-	Spot     bool           `cbor:"spot"`
-	Booting  bool           `cbor:"booting"`
-	Drain    string         `cbor:"drain,omitempty"`
-	Tasks    int            `cbor:"tasks"`
-	SilentS  float64        `cbor:"silent_s"`
-	FreeCPUs float64        `cbor:"free_cpus"`
+	Name     wire.MachineID   `cbor:"name"`
+	Kit      wire.MachineType `cbor:"kit"`
+	Zone     wire.Zone        `cbor:"zone"`
+	Spot     bool             `cbor:"spot"`
+	Booting  bool             `cbor:"booting"`
+	Drain    string           `cbor:"drain,omitempty"`
+	Tasks    int              `cbor:"tasks"`
+	SilentS  float64          `cbor:"silent_s"`
+	FreeCPUs float64          `cbor:"free_cpus"`
 }
 
 // JobView is one unfinished job.
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, j := range t.jobs {
-		tasks, held, done = tasks+j.spec.Parts, held+j.held, done+j.done
+		tasks, held, done = tasks+j.spec.Tasks, held+j.held, done+j.done
 		if !j.cancelled && j.pending() > 0 {
 			waiting++
 		}
@@ -109,7 +109,7 @@
 		if len(v.Jobs) == viewMost {
 			break
 		}
-		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Lane, j.spec.Owner, j.spec.Parts, j.done, j.held, j.fails, now.Sub(j.at).Seconds(), j.cancelled})
+		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.done, j.held, j.fails, now.Sub(j.at).Seconds(), j.cancelled})
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	slices.SortFunc(v.Jobs, func(a, b JobView) int { return strings.Compare(string(a.ID), string(b.ID)) })
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -39,7 +39,7 @@
 // keys that it writes, for the log.
 func (b *batch) keys() (out []string) {
 	for _, w := range b.txn.Writes {
-		out = append(out, w.Put+w.Drop)
+		out = append(out, w.Put+w.Delete)
 	}
 	return
 }
@@ -57,7 +57,7 @@
 		t.raise(nil)
 		return
 	}
-	b := &batch{txn: wire.Txn{Guards: []wire.Guard{{Key: store.LeadKey, Stamp: wire.Revision(t.token)}}}}
+	b := &batch{txn: wire.Txn{Guards: []wire.Guard{{Key: store.LeadKey, Revision: wire.Revision(t.token)}}}}
 	ops, size := t.set.State.Least().TxnOps, 0
 	guards := 4 * ops
 	full := func(n, bytes int) bool {
@@ -66,7 +66,7 @@
 	put := func(c *chunk, rec *store.ChunkRecord) {
 		size += rec.JSONSize()
 		b.largest = max(b.largest, rec.JSONSize())
-		b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: c.key(), Stamp: c.stamp})
+		b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: c.key(), Revision: c.stamp})
 		b.txn.Writes = append(b.txn.Writes, wire.Write{Put: c.key(), Value: wire.Encode(rec)})
 		b.chunks = append(b.chunks, c)
 	}
@@ -89,7 +89,7 @@
 		}
 	}
 	slices.SortFunc(launches, func(a, b *chunk) int {
-		return cmp.Or(b.job.spec.Urgency.Rank()-a.job.spec.Urgency.Rank(), a.job.at.Compare(b.job.at), a.n-b.n)
+		return cmp.Or(b.job.spec.Priority.Rank()-a.job.spec.Priority.Rank(), a.job.at.Compare(b.job.at), a.n-b.n)
 	})
 	most := t.valueMost()
 	for _, c := range launches {
@@ -104,7 +104,7 @@
 		key := store.JobKey(c.job.spec.ID)
 		if !slices.ContainsFunc(b.txn.Guards, func(g wire.Guard) bool { return g.Key == key }) {
 			// A job that was cancelled meanwhile starts nothing.
-			b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Stamp: c.job.stamp})
+			b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Revision: c.job.stamp})
 		}
 		for _, a := range c.holds {
 			if a.planned {
@@ -136,7 +136,7 @@
 		o := t.fleet.orphans[0]
 		t.fleet.orphans = t.fleet.orphans[1:]
 		b.txn.Guards = append(b.txn.Guards, o)
-		b.txn.Writes = append(b.txn.Writes, wire.Write{Drop: o.Key})
+		b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: o.Key})
 		b.orphans = append(b.orphans, o)
 	}
 	if len(b.txn.Writes) == 0 {
@@ -191,8 +191,8 @@
 	}
 	id := j.spec.ID
 	b.txn.Guards = append(b.txn.Guards,
-		wire.Guard{Key: store.JobKey(id), Stamp: j.stamp}, wire.Guard{Key: store.PastKey(id), Stamp: 0})
-	b.txn.Writes = append(b.txn.Writes, wire.Write{Drop: store.JobKey(id)},
+		wire.Guard{Key: store.JobKey(id), Revision: j.stamp}, wire.Guard{Key: store.PastKey(id), Revision: 0})
+	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: store.JobKey(id)},
 		wire.Write{Put: store.PastKey(id), Value: wire.Encode(store.PastRecord{Status: status, Done: j.done})})
 	for _, g := range j.stored() {
 		if full(1, 0) {
@@ -200,7 +200,7 @@
 			continue
 		}
 		b.txn.Guards = append(b.txn.Guards, g)
-		b.txn.Writes = append(b.txn.Writes, wire.Write{Drop: g.Key})
+		b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: g.Key})
 	}
 	j.archiving = true
 	b.over = append(b.over, j)
@@ -367,7 +367,7 @@
 			switch {
 			case t.jobs[id] != j: // the watch told of it meanwhile, and it is archived
 			case err == nil:
-				t.learn(e.Value, e.Stamp)
+				t.learn(e.Value, e.Revision)
 			case errors.Is(err, store.ErrMissing):
 				if j.stale { // else it is being archived
 					t.end("a live job's record is gone: " + string(id))
@@ -391,8 +391,8 @@
 	go func() {
 		for t.ctx.Err() == nil {
 			rev, err := t.l.Store.Commit(t.ctx, store.Vital, wire.Txn{
-				Guards: []wire.Guard{{Key: store.LeadKey, Stamp: wire.Revision(old)}},
-				Writes: []wire.Write{{Put: store.LeadKey, Value: value, Permit: t.permit}},
+				Guards: []wire.Guard{{Key: store.LeadKey, Revision: wire.Revision(old)}},
+				Writes: []wire.Write{{Put: store.LeadKey, Value: value, Grant: t.permit}},
 			})
 			if err != nil {
 				// Executed, perhaps by an earlier try: then the key is ours
@@ -404,12 +404,12 @@
 					t.end("the office is vacant")
 					return
 				case err2 == nil && wire.Decode(e.Value, &rec) == nil:
-					if rec.Nonce != t.l.nonce || e.Permit != t.permit {
+					if rec.Nonce != t.l.nonce || e.Grant != t.permit {
 						t.end("the office is another's")
 						return
 					}
-					if wire.Token(e.Stamp) > old {
-						rev, err = e.Stamp, nil
+					if wire.Token(e.Revision) > old {
+						rev, err = e.Revision, nil
 					}
 				}
 			}
@@ -445,7 +445,7 @@
 		g := b.txn.Guards[len(b.txn.Guards)-1]
 		for _, x := range b.txn.Guards[1:] {
 			for _, w := range b.txn.Writes {
-				if w.Put == x.Key || w.Drop == x.Key {
+				if w.Put == x.Key || w.Delete == x.Key {
 					g = x
 				}
 			}
@@ -455,10 +455,10 @@
 			t.post(func() {
 				t.writing = false
 				switch {
-				case e.Stamp == g.Stamp: // 0: still missing
+				case e.Revision == g.Revision: // 0: still missing
 					t.undo(b)
 				default:
-					t.committed(b, e.Stamp)
+					t.committed(b, e.Revision)
 				}
 			})
 			return
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -157,7 +157,7 @@
 // counted on, waits; the rest of the chunk is stored all the same.
 func TestRecordOverTheLimit(t *testing.T) {
 	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
-		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Owner: "red", Shape: wire.Sweep, Parts: 40, CPUs: 1}, At: wire.StampOf(time.Now())}, 1)
+		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 		j.stamp = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
 		tm.jobs[j.spec.ID] = j
 		tm.set.State.ValueKB = 0.5
@@ -178,7 +178,7 @@
 // for ever at the chunks that were gone, and all that was to be written beside it.)
 func TestChunksStayUntilTheEndIsStored(t *testing.T) {
 	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
-		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Owner: "red", Shape: wire.Sweep, Parts: 20, CPUs: 1}, Status: wire.Queued, At: wire.StampOf(time.Now()), Chunk: 1}
+		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, Status: wire.Queued, At: wire.TimestampOf(time.Now()), Chunk: 1}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
 		tm.jobs[j.spec.ID] = j
 		for n := range j.chunks {
@@ -222,8 +222,8 @@
 		desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
 			j := tm.jobs["req-1"]
 			rec := store.JobRecord{Spec: j.spec, Status: wire.Cancelled}
-			put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(rec), Stamp: st.Put(store.JobKey("req-1"), rec)}
-			drop := wire.Change{Drop: store.JobKey("req-1"), Stamp: put.Stamp + 1}
+			put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(rec), Revision: st.Put(store.JobKey("req-1"), rec)}
+			drop := wire.Change{Delete: store.JobKey("req-1"), Revision: put.Revision + 1}
 			if watchFirst {
 				// It is read again after a guard that failed; the watch tells first,
 				// and the answer comes when the watch has shown its end as well.
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -28,8 +28,8 @@
 	}
 	for i := range s.Jobs {
 		if sp := s.Jobs[i].Spec; rapid.IntRange(0, 2).Draw(t, "gang") > 0 {
-			sp.Shape, sp.Parts, sp.Kits, sp.Site, sp.Standby = wire.Ensemble, rapid.IntRange(1, 4).Draw(t, "tasks"), nil, "", true
-			s.Jobs[i].Pending, s.Jobs[i].ZoneHeld = sp.Parts, map[wire.Zone]int{}
+			sp.Kind, sp.Tasks, sp.MachineTypes, sp.Zone, sp.SpotAllowed = wire.KindGang, rapid.IntRange(1, 4).Draw(t, "tasks"), nil, "", true
+			s.Jobs[i].Pending, s.Jobs[i].ZoneHeld = sp.Tasks, map[wire.Zone]int{}
 		}
 		s.Jobs[i].PatienceS = float64(rapid.IntRange(0, 30).Draw(t, "patience"))
 	}
@@ -39,8 +39,8 @@
 // couldFit tells whether all of a gang would fit if all that may be stopped or
 // awaited were gone: in one zone if it wants that.
 func couldFit(s *Snapshot, j *Job) bool {
-	team := s.Teams[j.Spec.Owner]
-	if team.Limit.CPUs > 0 && team.Used.CPUs+j.Spec.CPUs*float64(j.Spec.Parts) > team.Limit.CPUs+wire.Eps {
+	team := s.Teams[j.Spec.Team]
+	if team.Limit.CPUs > 0 && team.Used.CPUs+j.Spec.CPUs*float64(j.Spec.Tasks) > team.Limit.CPUs+wire.Eps {
 		return false
 	}
 	in := map[wire.Zone]int{}
@@ -54,7 +54,7 @@
 			room = room.Minus(c.Takes)
 		}
 		for _, v := range m.Victims {
-			if v.LeftS <= j.PatienceS && j.PatienceS > 0 || j.Spec.Urgency.Rank() >= wire.Urgent.Rank() && v.Rank < j.Spec.Urgency.Rank() {
+			if v.LeftS <= j.PatienceS && j.PatienceS > 0 || j.Spec.Priority.Rank() >= wire.PriorityUrgent.Rank() && v.Rank < j.Spec.Priority.Rank() {
 				room = room.Plus(v.Takes)
 			}
 		}
@@ -63,11 +63,11 @@
 	all := 0
 	for _, n := range in {
 		n = min(n, j.Spec.ZoneCap())
-		if all += n; j.Spec.SamePlace && n >= j.Spec.Parts {
+		if all += n; j.Spec.SameZone && n >= j.Spec.Tasks {
 			return true
 		}
 	}
-	return !j.Spec.SamePlace && all >= j.Spec.Parts
+	return !j.Spec.SameZone && all >= j.Spec.Tasks
 }
 
 // Room is made for all of a gang or for none of it, in one zone if it wants that,
@@ -129,23 +129,23 @@
 			if !sp.Gang() {
 				continue
 			}
-			if n := starts[i]; n != 0 && n != sp.Parts {
-				t.Fatalf("%d of %d tasks start", n, sp.Parts)
+			if n := starts[i]; n != 0 && n != sp.Tasks {
+				t.Fatalf("%d of %d tasks start", n, sp.Tasks)
 			}
 			n := clears[sp.ID]
-			if n != 0 && (n != sp.Parts || starts[i] > 0) {
-				t.Fatalf("room is made for %d of %d tasks, %d start", n, sp.Parts, starts[i])
+			if n != 0 && (n != sp.Tasks || starts[i] > 0) {
+				t.Fatalf("room is made for %d of %d tasks, %d start", n, sp.Tasks, starts[i])
 			}
 			for at, k := range inZone {
-				if at.job == sp.ID && (sp.SamePlace && k != sp.Parts || k > sp.ZoneCap()) {
-					t.Fatalf("room for %d of %d tasks in zone %s", k, sp.Parts, at.zone)
+				if at.job == sp.ID && (sp.SameZone && k != sp.Tasks || k > sp.ZoneCap()) {
+					t.Fatalf("room for %d of %d tasks in zone %s", k, sp.Tasks, at.zone)
 				}
 			}
 			if n > 0 {
 				made++
 			}
-			if team := after.Teams[sp.Owner]; team.Limit.CPUs > 0 && team.Used.CPUs > team.Limit.CPUs+wire.Eps {
-				t.Fatalf("%s uses %v of %v", sp.Owner, team.Used, team.Limit)
+			if team := after.Teams[sp.Team]; team.Limit.CPUs > 0 && team.Used.CPUs > team.Limit.CPUs+wire.Eps {
+				t.Fatalf("%s uses %v of %v", sp.Team, team.Used, team.Limit)
 			}
 		}
 		stopped += len(res.Halts)
@@ -183,8 +183,8 @@
 	}
 }
 
-func gangSpec(id wire.JobID, u wire.Urgency, parts int, cpus float64) *wire.Spec {
-	return &wire.Spec{ID: id, Owner: "t", Shape: wire.Ensemble, Urgency: u, Parts: parts, CPUs: cpus, RAM: cpus, SamePlace: true, Standby: true, Bundle: "i"}
+func gangSpec(id wire.JobID, u wire.Priority, parts int, cpus float64) *wire.Spec {
+	return &wire.Spec{ID: id, Team: "t", Kind: wire.KindGang, Priority: u, Tasks: parts, CPUs: cpus, MemoryGB: cpus, SameZone: true, SpotAllowed: true, Image: "i"}
 }
 
 func inZone(id wire.MachineID, z wire.Zone, free float64, vs ...Victim) Machine {
@@ -193,7 +193,7 @@
 
 func snapOf(ms []Machine, jobs ...Job) *Snapshot {
 	for i := range jobs {
-		jobs[i].Pending, jobs[i].ZoneHeld = jobs[i].Spec.Parts, map[wire.Zone]int{}
+		jobs[i].Pending, jobs[i].ZoneHeld = jobs[i].Spec.Tasks, map[wire.Zone]int{}
 		if jobs[i].Weight == 0 {
 			jobs[i].Weight = 1
 		}
@@ -211,32 +211,32 @@
 	// Two everyday gangs of two, two machines: the earlier claims both, the later
 	// neither of them and none in part.
 	ms := []Machine{inZone("m", "a", 0, task(0, 3)), inZone("n", "a", 0, task(1, 5))}
-	res := Place(snapOf(ms, Job{Spec: gangSpec("req-1", wire.Standard, 2, 4), PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.Standard, 2, 4), PatienceS: 9}))
+	res := Place(snapOf(ms, Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.PriorityStandard, 2, 4), PatienceS: 9}))
 	if len(res.Clears) != 2 || res.Clears[0].Job != "req-1" || res.Clears[1].Job != "req-1" || len(res.Halts) != 0 {
 		t.Fatalf("clears %+v, halts %v", res.Clears, res.Halts)
 	}
 	// The first machine is free, the second not yet: neither the later gang nor an
 	// array gets the half.
 	claim := func(id wire.JobID) []Claim { return []Claim{{id, 1, Res{4, 0, 4}}} }
-	array := &wire.Spec{ID: "req-3", Owner: "t", Shape: wire.Sweep, Urgency: wire.Standard, Parts: 1, CPUs: 4, RAM: 4, Standby: true}
+	array := &wire.Spec{ID: "req-3", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 4, MemoryGB: 4, SpotAllowed: true}
 	half := func() []Machine {
 		a, b := inZone("m", "a", 4), inZone("n", "a", 0)
 		a.Claims, b.Claims, b.Stopping = claim("req-1"), claim("req-1"), Res{4, 0, 4}
 		return []Machine{a, b}
 	}
-	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.Standard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}, Job{Spec: gangSpec("req-2", wire.Standard, 1, 4), PatienceS: 9, Weight: 9}))
+	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}, Job{Spec: gangSpec("req-2", wire.PriorityStandard, 1, 4), PatienceS: 9, Weight: 9}))
 	if len(res.Starts)+len(res.Clears)+len(res.Halts) != 0 {
 		t.Fatalf("beside a gang's claims %+v", res)
 	}
 	// An urgent gang passes over them.
-	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.Standard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.Urgent, 1, 4)}))
+	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 1, 4)}))
 	if len(res.Starts) != 1 || res.Starts[0].Job != 1 {
 		t.Fatalf("an urgent gang beside a lower one's claims: %+v", res)
 	}
 	// Both free: it starts, whatever gains more.
 	both := half()
 	both[1].Free, both[1].Stopping = Res{4, 0, 16}, Res{}
-	res = Place(snapOf(both, Job{Spec: gangSpec("req-1", wire.Standard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}))
+	res = Place(snapOf(both, Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}))
 	if len(res.Starts) != 2 || res.Starts[0].Job != 0 {
 		t.Fatalf("with all its room free %+v", res)
 	}
@@ -247,13 +247,13 @@
 func TestGangBesideKeptRoom(t *testing.T) {
 	task := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Takes: Res{4, 0, 4}, Lost: 9, LeftS: 99, Team: "t"}
 	ms := func() []Machine { return []Machine{inZone("m", "a", 4), inZone("n", "a", 0, task)} }
-	urgent := Job{Spec: gangSpec("req-1", wire.Urgent, 1, 4)}
+	urgent := Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)}
 	s := snapOf(ms(), urgent)
 	s.Spare, s.SpareTakes = 1, Res{4, 0, 4}
 	if res := Place(s); len(res.Starts) != 0 || len(res.Clears) != 1 || res.Clears[0].On != "n" || len(res.Halts) != 1 {
 		t.Errorf("an urgent gang: %+v", res)
 	}
-	everyday := Job{Spec: gangSpec("req-1", wire.Standard, 1, 4), PatienceS: 5}
+	everyday := Job{Spec: gangSpec("req-1", wire.PriorityStandard, 1, 4), PatienceS: 5}
 	s = snapOf(ms(), everyday)
 	s.Spare, s.SpareTakes = 1, Res{4, 0, 4}
 	if res := Place(s); len(res.Starts) != 0 || len(res.Clears) != 0 {
@@ -278,7 +278,7 @@
 	v := func(i int, lost float64) Victim {
 		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Takes: Res{4, 0, 4}, Lost: lost, LeftS: 99, Team: "t"}
 	}
-	s := snapOf([]Machine{inZone("m", "a", 0, v(0, 4*(10+5))), inZone("n", "a", 0, v(1, 40))}, Job{Spec: gangSpec("req-1", wire.Urgent, 1, 4)})
+	s := snapOf([]Machine{inZone("m", "a", 0, v(0, 4*(10+5))), inZone("n", "a", 0, v(1, 40))}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)})
 	if res := Place(s); len(res.Halts) != 1 || res.Halts[0].Task.Index != 1 {
 		t.Errorf("halts %+v", res.Halts)
 	}
@@ -294,28 +294,28 @@
 		}
 		ms[min(1, len(ms)-1)].Images = map[wire.ImageID]Image{"i": Present}
 		s := snapOf(ms, Job{Spec: spec, Lingers: lingers})
-		s.Preempt, s.Gangs = false, []*wire.Spec{gangSpec("req-9", wire.Standard, 3, 2)}
+		s.Preempt, s.Gangs = false, []*wire.Spec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
 		got := map[wire.MachineID]int{}
 		for _, st := range Place(s).Starts {
 			got[s.Machines[st.Machine].ID]++
 		}
 		return got
 	}
-	of := func(shape wire.Shape, parts int) *wire.Spec {
-		return &wire.Spec{ID: "req-1", Owner: "t", Shape: shape, Parts: parts, CPUs: 2, RAM: 2, Standby: true}
+	of := func(shape wire.JobKind, parts int) *wire.Spec {
+		return &wire.Spec{ID: "req-1", Team: "t", Kind: shape, Tasks: parts, CPUs: 2, MemoryGB: 2, SpotAllowed: true}
 	}
 	// Two of three units are kept on n, which has the image, one on p.
-	if got := place(of(wire.Sweep, 9), false, false); got["n"] != 0 || got["p"] != 1 || got["m"] != 2 || got["o"] != 1 {
+	if got := place(of(wire.KindArray, 9), false, false); got["n"] != 0 || got["p"] != 1 || got["m"] != 2 || got["o"] != 1 {
 		t.Errorf("an array takes %v", got)
 	}
 	// What there is of the room is kept, though it is not all; one unit of an array
 	// that lingers and finds no other room uses it.
 	for lingers, want := range map[bool]int{false: 0, true: 1} {
-		if got := place(of(wire.Sweep, 9), lingers, true); got["n"] != want {
+		if got := place(of(wire.KindArray, 9), lingers, true); got["n"] != want {
 			t.Errorf("lingers %v: an array takes %v", lingers, got)
 		}
 	}
-	for _, shape := range []wire.Shape{wire.Daemon, wire.Ensemble} {
+	for _, shape := range []wire.JobKind{wire.KindService, wire.KindGang} {
 		if got := place(of(shape, 7), false, false); got["n"] != 2 || got["p"] != 2 || got["m"] != 2 || got["o"] != 1 {
 			t.Errorf("%s takes %v", shape, got)
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -27,7 +27,7 @@
 type Res struct{ CPUs, Cards, RAM float64 }
 
 // Of is what one task of a job takes.
-func Of(s *wire.Spec) Res { return Res{s.CPUs, s.Cards, s.RAM} }
+func Of(s *wire.Spec) Res { return Res{s.CPUs, s.GPUs, s.MemoryGB} }
 
 // Fits tells whether the amount is available.
 func (r Res) Fits(free Res) bool {
@@ -78,7 +78,7 @@
 // Machine that can take tasks.
 type Machine struct {
 	ID       wire.MachineID
-	Kit      wire.Kit
+	Kit      wire.MachineType
 	Zone     wire.Zone
 	Spot     bool
 	Total    Res
@@ -123,7 +123,7 @@
 // claimed tells whether others' claims leave no room for the job here.
 func (m *Machine) claimed(j *Job, take Res) bool {
 	return len(m.Claims) > 0 && !take.Fits(m.left(func(c *Claim) bool {
-		return c.Job == j.Spec.ID || c.Rank < j.Spec.Urgency.Rank()
+		return c.Job == j.Spec.ID || c.Rank < j.Spec.Priority.Rank()
 	}))
 }
 
@@ -189,7 +189,9 @@
 // MayPreempt tells whether tasks may be stopped to make room for the job.
 // Arrays of everyday priority wait for room: a stopped array's work is mostly
 // repeated, and what makes room for one delays another.
-func MayPreempt(s *wire.Spec) bool { return s.Service() || s.Urgency.Rank() >= wire.Urgent.Rank() }
+func MayPreempt(s *wire.Spec) bool {
+	return s.Service() || s.Priority.Rank() >= wire.PriorityUrgent.Rank()
+}
 
 // Start is a launch: one unit of Jobs[Job] on Machines[Machine].
 type Start struct{ Job, Machine int }
@@ -211,19 +213,19 @@
 
 // Allowed tells whether the job may run on the machine at all.
 func Allowed(s *wire.Spec, m *Machine) bool {
-	if m.Spot && !s.Standby {
+	if m.Spot && !s.SpotAllowed {
 		return false
 	}
-	if s.Site != "" && s.Site != m.Zone {
+	if s.Zone != "" && s.Zone != m.Zone {
 		return false
 	}
-	return s.Kits == nil || slices.Contains(s.Kits, m.Kit)
+	return s.MachineTypes == nil || slices.Contains(s.MachineTypes, m.Kit)
 }
 
 // zoneOpen tells whether one more task may start in the zone, given where
 // the job's other tasks may be.
 func zoneOpen(j *Job, z wire.Zone) bool {
-	if j.Spec.SamePlace {
+	if j.Spec.SameZone {
 		for other, n := range j.ZoneHeld {
 			if n > 0 && other != z {
 				return false
@@ -237,7 +239,7 @@
 // job.
 func (t *Team) room(j *Job, take Res) bool {
 	u := t.Used.Plus(take)
-	if t.KeptFor != "" && t.KeptFor != j.Spec.ID && !j.Spec.Service() && j.Spec.Urgency.Rank() <= t.KeptRank {
+	if t.KeptFor != "" && t.KeptFor != j.Spec.ID && !j.Spec.Service() && j.Spec.Priority.Rank() <= t.KeptRank {
 		u = u.Plus(t.Kept)
 	}
 	return (t.Limit.CPUs == 0 || u.CPUs <= t.Limit.CPUs+wire.Eps) &&
@@ -290,11 +292,11 @@
 	queue := make([]waiting, 0, len(s.Jobs))
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if j.Pending == 0 || s.Teams[j.Spec.Owner] == nil {
+		if j.Pending == 0 || s.Teams[j.Spec.Team] == nil {
 			continue
 		}
 		raise := j.Weight * (1 + j.WaitedS/max(1, s.Factors.WaitRaiseS))
-		if n := j.Spec.Parts; j.Spec.Gang() {
+		if n := j.Spec.Tasks; j.Spec.Gang() {
 			if j.Pending == n {
 				queue = append(queue, waiting{i, 1}) // all of it, or nothing
 				whole := Whole(s.Factors, n)
@@ -328,7 +330,7 @@
 		take := Of(j.Spec)
 		if j.Spec.Gang() {
 			stale := slices.ContainsFunc(best[top].picks, func(mi int) bool { return changed[mi] >= best[top].step })
-			if mi == unknown || stale || !s.Teams[j.Spec.Owner].room(j, take.Times(float64(j.Pending))) {
+			if mi == unknown || stale || !s.Teams[j.Spec.Team].room(j, take.Times(float64(j.Pending))) {
 				best[top] = p.chooseWhole(ji)
 				best[top].step = step
 				continue
@@ -340,12 +342,12 @@
 			}
 			j.Pending = 0
 			queue[top].left = 0
-			if team := s.Teams[j.Spec.Owner]; team.KeptFor == j.Spec.ID {
+			if team := s.Teams[j.Spec.Team]; team.KeptFor == j.Spec.ID {
 				team.KeptFor = ""
 			}
 			continue
 		}
-		if mi == unknown || changed[mi] >= best[top].step || !s.Teams[j.Spec.Owner].room(j, take) {
+		if mi == unknown || changed[mi] >= best[top].step || !s.Teams[j.Spec.Team].room(j, take) {
 			best[top] = p.choose(ji)
 			best[top].step = step
 			continue
@@ -367,17 +369,17 @@
 // take grants one unit on a machine.
 func (p *pass) take(j *Job, m *Machine, take Res) {
 	m.Free = m.Free.Minus(take)
-	team := p.s.Teams[j.Spec.Owner]
+	team := p.s.Teams[j.Spec.Team]
 	team.Used = team.Used.Plus(take)
 	j.ZoneHeld[m.Zone]++
 	if j.Spec.Service() {
 		m.Services++
 	}
-	if m.Images[j.Spec.Bundle] == Absent {
+	if m.Images[j.Spec.Image] == Absent {
 		if m.Images == nil {
 			m.Images = map[wire.ImageID]Image{}
 		}
-		m.Images[j.Spec.Bundle] = Fetching
+		m.Images[j.Spec.Image] = Fetching
 		m.PullGB += j.Spec.ImageGB
 	}
 	m.used(j.Spec.ID)
@@ -406,7 +408,7 @@
 func (p *pass) choose(ji int) choice {
 	j := &p.s.Jobs[ji]
 	take := Of(j.Spec)
-	if !p.s.Teams[j.Spec.Owner].room(j, take) {
+	if !p.s.Teams[j.Spec.Team].room(j, take) {
 		return choice{machine: none}
 	}
 	best, bestScore := -1, 0.0
@@ -421,7 +423,7 @@
 			continue
 		}
 		class := without
-		if m.Images[j.Spec.Bundle] == Present {
+		if m.Images[j.Spec.Image] == Present {
 			class = withImage
 		}
 		score := fit(j, m, take)
@@ -445,7 +447,7 @@
 	at := map[wire.Zone]int{}
 	for mi := range s.Machines {
 		z := wire.Zone("")
-		if j.Spec.SamePlace {
+		if j.Spec.SameZone {
 			z = s.Machines[mi].Zone
 		}
 		g, ok := at[z]
@@ -464,7 +466,7 @@
 	j := &p.s.Jobs[ji]
 	take := Of(j.Spec)
 	out := choice{machine: none}
-	if !p.s.Teams[j.Spec.Owner].room(j, take.Times(float64(j.Pending))) {
+	if !p.s.Teams[j.Spec.Team].room(j, take.Times(float64(j.Pending))) {
 		return out
 	}
 	type seat struct {
@@ -483,7 +485,7 @@
 				continue
 			}
 			st := seat{mi, without, m.Cordoned || j.Avoid[m.ID] || kept, fit(j, m, take)}
-			if m.Images[j.Spec.Bundle] == Present {
+			if m.Images[j.Spec.Image] == Present {
 				st.class = withImage
 			}
 			seats = append(seats, st)
@@ -537,7 +539,7 @@
 // and then the machine that is left fullest.
 func fit(j *Job, m *Machine, take Res) float64 {
 	score := 0.0
-	switch m.Images[j.Spec.Bundle] {
+	switch m.Images[j.Spec.Image] {
 	case Absent:
 		score -= min(16, fetchS(m, j)) * 0.25
 	case Fetching:
@@ -607,7 +609,7 @@
 			}
 		}
 		cold := func(mi int) int {
-			if s.Machines[mi].Images[spec.Bundle] == Present {
+			if s.Machines[mi].Images[spec.Image] == Present {
 				return 0
 			}
 			return 1
@@ -615,7 +617,7 @@
 		slices.SortStableFunc(order, func(a, b int) int {
 			return cmp.Or(cold(a)-cold(b), cmp.Compare(s.Machines[a].Free.CPUs, s.Machines[b].Free.CPUs))
 		})
-		left, warm, inZone := spec.Parts, 0, map[wire.Zone]int{}
+		left, warm, inZone := spec.Tasks, 0, map[wire.Zone]int{}
 		for _, mi := range order {
 			z := s.Machines[mi].Zone
 			n := min(left, units[mi], spec.ZoneCap()-inZone[z])
@@ -624,7 +626,7 @@
 			inZone[z] += n
 			warm += n * (1 - cold(mi))
 		}
-		if got := spec.Parts - left; got > bestUnits || got == bestUnits && warm > bestWarm {
+		if got := spec.Tasks - left; got > bestUnits || got == bestUnits && warm > bestWarm {
 			best, bestUnits, bestWarm = units, got, warm
 		}
 	}
@@ -644,12 +646,12 @@
 	waiting := make([]int, 0)
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if s.Teams[j.Spec.Owner] == nil || j.Pending <= j.Claims {
+		if s.Teams[j.Spec.Team] == nil || j.Pending <= j.Claims {
 			continue
 		}
 		if j.Spec.Gang() {
 			// Room is made for all of it or for none.
-			if j.Claims == 0 && j.Pending == j.Spec.Parts && (MayPreempt(j.Spec) || j.PatienceS > 0) {
+			if j.Claims == 0 && j.Pending == j.Spec.Tasks && (MayPreempt(j.Spec) || j.PatienceS > 0) {
 				waiting = append(waiting, i)
 			}
 		} else if MayPreempt(j.Spec) {
@@ -663,7 +665,7 @@
 		s.Machines = append(s.Machines, s.More()...)
 	}
 	slices.SortStableFunc(waiting, func(a, b int) int {
-		return cmp.Compare(s.Jobs[b].Spec.Urgency.Rank(), s.Jobs[a].Spec.Urgency.Rank())
+		return cmp.Compare(s.Jobs[b].Spec.Priority.Rank(), s.Jobs[a].Spec.Priority.Rank())
 	})
 	offers := make([]clearing, len(s.Machines))
 	claimed := claimedBy(s)
@@ -671,7 +673,7 @@
 		j := &s.Jobs[ji]
 		take := Of(j.Spec)
 		if j.Spec.Gang() {
-			if s.Teams[j.Spec.Owner].room(j, take.Times(float64(j.Pending)).Plus(claimed[j.Spec.Owner][j.Spec.Urgency.Rank()])) {
+			if s.Teams[j.Spec.Team].room(j, take.Times(float64(j.Pending)).Plus(claimed[j.Spec.Team][j.Spec.Priority.Rank()])) {
 				for _, mi := range clearWhole(s, j, take) {
 					halts, clears = clear1(s, j, take, mi, clearFor(&s.Machines[mi], j, take), halts, clears)
 				}
@@ -682,7 +684,7 @@
 			offers[mi] = clearFor(&s.Machines[mi], j, take)
 		}
 		for range min(j.Pending-j.Claims, 8) {
-			if !s.Teams[j.Spec.Owner].room(j, take.Plus(claimed[j.Spec.Owner][j.Spec.Urgency.Rank()])) {
+			if !s.Teams[j.Spec.Team].room(j, take.Plus(claimed[j.Spec.Team][j.Spec.Priority.Rank()])) {
 				break
 			}
 			mi := -1
@@ -718,10 +720,10 @@
 		}
 		m.Stopping = m.Stopping.Plus(v.Takes)
 	}
-	c := Claim{j.Spec.ID, j.Spec.Urgency.Rank(), take}
+	c := Claim{j.Spec.ID, j.Spec.Priority.Rank(), take}
 	m.Victims, m.Claims = kept, append(slices.Clone(m.Claims), c)
 	clears = append(clears, Clear{m.ID, c, awaits})
-	s.Teams[j.Spec.Owner].Used = s.Teams[j.Spec.Owner].Used.Plus(take)
+	s.Teams[j.Spec.Team].Used = s.Teams[j.Spec.Team].Used.Plus(take)
 	j.ZoneHeld[m.Zone]++
 	return halts, clears
 }
@@ -772,7 +774,7 @@
 					kept = append(kept, v)
 				}
 			}
-			m.Victims, m.Claims = kept, append(slices.Clone(m.Claims), Claim{j.Spec.ID, j.Spec.Urgency.Rank(), take})
+			m.Victims, m.Claims = kept, append(slices.Clone(m.Claims), Claim{j.Spec.ID, j.Spec.Priority.Rank(), take})
 			offers[at] = clearFor(m, j, take)
 		}
 		if len(picks) == j.Pending && (best == nil || lost < bestLost) {
@@ -794,11 +796,11 @@
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
 		n := min(j.Claims, j.Pending)
-		if n <= 0 || out[j.Spec.Owner] == nil {
+		if n <= 0 || out[j.Spec.Team] == nil {
 			continue
 		}
-		for r := 0; r <= j.Spec.Urgency.Rank(); r++ {
-			c := &out[j.Spec.Owner][r]
+		for r := 0; r <= j.Spec.Priority.Rank(); r++ {
+			c := &out[j.Spec.Team][r]
 			*c = c.Plus(Of(j.Spec).Times(float64(n)))
 		}
 	}
@@ -812,7 +814,7 @@
 // mayStop is the page's rule: a lower priority, or for a team's guarantee
 // what another team runs beyond its own.
 func mayStop(j *Job, v *Victim) bool {
-	return v.Rank < j.Spec.Urgency.Rank() || j.Guaranteed && v.Beyond && v.Team != j.Spec.Owner && j.Spec.Service()
+	return v.Rank < j.Spec.Priority.Rank() || j.Guaranteed && v.Beyond && v.Team != j.Spec.Team && j.Spec.Service()
 }
 
 // fetchWeight is how many seconds of repeated work a second of fetching may
@@ -822,7 +824,7 @@
 const fetchWeight = 20
 
 func fetchCost(m *Machine, j *Job) float64 {
-	if m.Images[j.Spec.Bundle] == Present {
+	if m.Images[j.Spec.Image] == Present {
 		return 0
 	}
 	if !j.Spec.Service() {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -34,7 +34,7 @@
 		var bw []int // where all of a gang goes
 		for ji := range s.Jobs {
 			if j := &s.Jobs[ji]; j.Spec.Gang() {
-				if left[ji] != j.Spec.Parts || left[ji] == 0 {
+				if left[ji] != j.Spec.Tasks || left[ji] == 0 {
 					continue
 				}
 				if u, where := slowWhole(s, ji); where != nil {
@@ -50,7 +50,7 @@
 				}
 				j, m := &s.Jobs[ji], &s.Machines[mi]
 				class := without
-				if m.Images[j.Spec.Bundle] == Present {
+				if m.Images[j.Spec.Image] == Present {
 					class = withImage
 				}
 				u := Unit(s.Factors).Value(utility.Grant{class: 1})
@@ -83,20 +83,20 @@
 // that, one unit after the other until a unit is illegal. It returns the utility
 // of a unit, and where they go; nil if not all of it fits.
 func slowWhole(s *Snapshot, ji int) (unit float64, where []int) {
-	n := s.Jobs[ji].Spec.Parts
-	if sp := s.Jobs[ji].Spec; s.Teams[sp.Owner].Limit.CPUs > 0 && s.Teams[sp.Owner].Used.CPUs+float64(n)*sp.CPUs > s.Teams[sp.Owner].Limit.CPUs+wire.Eps {
+	n := s.Jobs[ji].Spec.Tasks
+	if sp := s.Jobs[ji].Spec; s.Teams[sp.Team].Limit.CPUs > 0 && s.Teams[sp.Team].Used.CPUs+float64(n)*sp.CPUs > s.Teams[sp.Team].Limit.CPUs+wire.Eps {
 		return 0, nil
 	}
 	for _, class := range []utility.Class{withImage, without} {
 		for _, z := range []wire.Zone{"a", "b", ""} {
-			if (z == "") == s.Jobs[ji].Spec.SamePlace {
+			if (z == "") == s.Jobs[ji].Spec.SameZone {
 				continue
 			}
 			here := clone(s)
 			var got []int
 			for mi := range here.Machines {
 				m := &here.Machines[mi]
-				if z != "" && m.Zone != z || class == withImage && m.Images[s.Jobs[ji].Spec.Bundle] != Present {
+				if z != "" && m.Zone != z || class == withImage && m.Images[s.Jobs[ji].Spec.Image] != Present {
 					continue
 				}
 				for len(got) < n && legal(here, ji, mi) {
@@ -119,30 +119,30 @@
 func legal(s *Snapshot, ji, mi int) bool {
 	j, m := &s.Jobs[ji], &s.Machines[mi]
 	sp := j.Spec
-	team := s.Teams[sp.Owner]
+	team := s.Teams[sp.Team]
 	if team.Limit.CPUs > 0 && team.Used.CPUs+sp.CPUs > team.Limit.CPUs+wire.Eps {
 		return false
 	}
 	// Nothing takes the room that is made for others of its rank or above.
 	left, claimed := m.Free.Plus(m.Stopping), false
 	for _, c := range m.Claims {
-		if c.Job != sp.ID && c.Rank >= sp.Urgency.Rank() {
+		if c.Job != sp.ID && c.Rank >= sp.Priority.Rank() {
 			left, claimed = left.Minus(c.Takes), true
 		}
 	}
-	if claimed && (sp.CPUs > left.CPUs+wire.Eps || sp.RAM > left.RAM+wire.Eps) {
+	if claimed && (sp.CPUs > left.CPUs+wire.Eps || sp.MemoryGB > left.RAM+wire.Eps) {
 		return false
 	}
-	if sp.CPUs > m.Free.CPUs+wire.Eps || sp.Cards > m.Free.Cards+wire.Eps || sp.RAM > m.Free.RAM+wire.Eps {
+	if sp.CPUs > m.Free.CPUs+wire.Eps || sp.GPUs > m.Free.Cards+wire.Eps || sp.MemoryGB > m.Free.RAM+wire.Eps {
 		return false
 	}
-	if m.Spot && !sp.Standby || sp.Site != "" && sp.Site != m.Zone || sp.Kits != nil && !slices.Contains(sp.Kits, m.Kit) {
+	if m.Spot && !sp.SpotAllowed || sp.Zone != "" && sp.Zone != m.Zone || sp.MachineTypes != nil && !slices.Contains(sp.MachineTypes, m.Kit) {
 		return false
 	}
-	if sp.Apart && j.ZoneHeld[m.Zone]+1 > (sp.Parts+1)/2 {
+	if sp.Spread && j.ZoneHeld[m.Zone]+1 > (sp.Tasks+1)/2 {
 		return false
 	}
-	if sp.SamePlace {
+	if sp.SameZone {
 		for z, n := range j.ZoneHeld {
 			if z != m.Zone && n > 0 {
 				return false
@@ -155,7 +155,7 @@
 func apply(s *Snapshot, ji, mi int) {
 	j, m := &s.Jobs[ji], &s.Machines[mi]
 	m.Free = m.Free.Minus(Of(j.Spec))
-	s.Teams[j.Spec.Owner].Used = s.Teams[j.Spec.Owner].Used.Plus(Of(j.Spec))
+	s.Teams[j.Spec.Team].Used = s.Teams[j.Spec.Team].Used.Plus(Of(j.Spec))
 	j.ZoneHeld[m.Zone]++
 	for i, c := range m.Claims {
 		if c.Job == j.Spec.ID {
@@ -198,25 +198,25 @@
 		cpus := float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus"))
 		used := float64(rapid.IntRange(0, 4).Draw(t, "used"))
 		s.Machines = append(s.Machines, Machine{
-			ID: wire.MachineID(fmt.Sprint("n-", i)), Kit: wire.Kit(fmt.Sprint("c", cpus)), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
+			ID: wire.MachineID(fmt.Sprint("n-", i)), Kit: wire.MachineType(fmt.Sprint("c", cpus)), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
 			Spot: rapid.Bool().Draw(t, "spot"), Total: Res{CPUs: cpus, RAM: cpus * 4}, Free: Res{CPUs: cpus - used, RAM: cpus*4 - used},
 			PullRate: 1, Images: map[wire.ImageID]Image{wire.ImageID(fmt.Sprint("img-", i%2)): Image(rapid.IntRange(0, 2).Draw(t, "image"))},
 		})
 	}
 	for i := range rapid.IntRange(0, 5).Draw(t, "jobs") {
 		parts := rapid.IntRange(1, 7).Draw(t, "parts")
-		sp := &wire.Spec{ID: wire.JobID(fmt.Sprint("req-", i)), Owner: rapid.SampledFrom([]wire.TeamID{"red", "blue"}).Draw(t, "team"),
-			Shape: rapid.SampledFrom([]wire.Shape{wire.Sweep, wire.Daemon, wire.Ensemble}).Draw(t, "shape"), Urgency: rapid.SampledFrom([]wire.Urgency{wire.Standard, wire.Urgent}).Draw(t, "urgency"), Parts: parts,
-			CPUs: float64(rapid.IntRange(1, 5).Draw(t, "take")), RAM: float64(rapid.IntRange(1, 9).Draw(t, "ram")), Bundle: wire.ImageID(fmt.Sprint("img-", i%3)), ImageGB: 1,
-			Apart: rapid.Bool().Draw(t, "apart"), SamePlace: rapid.IntRange(0, 3).Draw(t, "same") == 0, Standby: rapid.Bool().Draw(t, "standby")}
+		sp := &wire.Spec{ID: wire.JobID(fmt.Sprint("req-", i)), Team: rapid.SampledFrom([]wire.TeamID{"red", "blue"}).Draw(t, "team"),
+			Kind: rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindService, wire.KindGang}).Draw(t, "shape"), Priority: rapid.SampledFrom([]wire.Priority{wire.PriorityStandard, wire.PriorityUrgent}).Draw(t, "urgency"), Tasks: parts,
+			CPUs: float64(rapid.IntRange(1, 5).Draw(t, "take")), MemoryGB: float64(rapid.IntRange(1, 9).Draw(t, "ram")), Image: wire.ImageID(fmt.Sprint("img-", i%3)), ImageGB: 1,
+			Spread: rapid.Bool().Draw(t, "apart"), SameZone: rapid.IntRange(0, 3).Draw(t, "same") == 0, SpotAllowed: rapid.Bool().Draw(t, "standby")}
 		if rapid.IntRange(0, 3).Draw(t, "sited") == 0 {
-			sp.Site = "a"
+			sp.Zone = "a"
 		}
 		if rapid.IntRange(0, 3).Draw(t, "typed") == 0 {
-			sp.Kits = []wire.Kit{"c16"}
+			sp.MachineTypes = []wire.MachineType{"c16"}
 		}
 		held := map[wire.Zone]int{}
-		if !sp.SamePlace && parts > 1 && !sp.Gang() {
+		if !sp.SameZone && parts > 1 && !sp.Gang() {
 			held["b"] = rapid.IntRange(0, 1).Draw(t, "held")
 		}
 		// Weights differ by job, so that the order of jobs is decided.
@@ -228,7 +228,7 @@
 			c := Claim{wire.JobID(fmt.Sprint("req-", rapid.IntRange(0, 5).Draw(t, "claimant"))), rapid.IntRange(1, 2).Draw(t, "rank"), Res{CPUs: float64(rapid.IntRange(1, 5).Draw(t, "claim")), RAM: 2}}
 			for j := range s.Jobs {
 				if sp := s.Jobs[j].Spec; sp.ID == c.Job {
-					c.Rank, c.Takes = sp.Urgency.Rank(), Of(sp)
+					c.Rank, c.Takes = sp.Priority.Rank(), Of(sp)
 				}
 			}
 			m.Claims = []Claim{c}
@@ -254,7 +254,7 @@
 			job := res.Starts[n].Job
 			j, units := &model.Jobs[job], 1
 			if j.Spec.Gang() {
-				units = j.Spec.Parts
+				units = j.Spec.Tasks
 			}
 			here := clone(model)
 			for i := range here.Jobs {
@@ -263,8 +263,8 @@
 			gains, _ := slow(here)
 			u := s.Factors.Preferred
 			if j.Spec.Gang() {
-				limit := s.Teams[j.Spec.Owner].Limit.CPUs
-				if used := model.Teams[j.Spec.Owner].Used.CPUs + float64(units)*j.Spec.CPUs; limit > 0 && used > limit {
+				limit := s.Teams[j.Spec.Team].Limit.CPUs
+				if used := model.Teams[j.Spec.Team].Used.CPUs + float64(units)*j.Spec.CPUs; limit > 0 && used > limit {
 					t.Fatalf("start %d: a gang of a team that may use %g makes it %g", n, limit, used)
 				}
 			}
@@ -276,7 +276,7 @@
 				if !legal(model, st.Job, st.Machine) {
 					t.Fatalf("start %d is not legal: %+v", n+k, st)
 				}
-				if model.Machines[st.Machine].Images[j.Spec.Bundle] != Present {
+				if model.Machines[st.Machine].Images[j.Spec.Image] != Present {
 					u = s.Factors.Fallback
 				}
 				apply(model, st.Job, st.Machine)
@@ -306,7 +306,7 @@
 			{ID: "cold", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1},
 			{ID: "warm", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1, Images: map[wire.ImageID]Image{"i": Present}},
 		},
-		Jobs: []Job{{Spec: &wire.Spec{Owner: "t", Shape: wire.Sweep, Parts: 2, CPUs: 4, RAM: 4, Bundle: "i"}, Pending: 2, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
+		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 2, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
 	}
 	res := Place(s)
 	if len(res.Starts) != 2 || res.Starts[0].Machine != 1 || res.Starts[1].Machine != 0 {
@@ -323,7 +323,7 @@
 			{ID: "failed", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1, Services: 1, Images: map[wire.ImageID]Image{"i": Present}},
 			{ID: "cold", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1},
 		},
-		Jobs: []Job{{Spec: &wire.Spec{Owner: "t", Shape: wire.Daemon, Parts: 1, CPUs: 4, RAM: 4, Bundle: "i"}, Pending: 1, ZoneHeld: map[wire.Zone]int{}, Weight: 1,
+		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 1, ZoneHeld: map[wire.Zone]int{}, Weight: 1,
 			Avoid: map[wire.MachineID]bool{"failed": true}}},
 	}
 	if res := Place(s); len(res.Starts) != 1 || res.Starts[0].Machine != 1 {
@@ -333,17 +333,17 @@
 
 // Room kept for services is open to services only.
 func TestSpareRoom(t *testing.T) {
-	mk := func(shape wire.Shape) int {
+	mk := func(shape wire.JobKind) int {
 		s := &Snapshot{
 			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, Spare: 2, SpareTakes: Res{1, 0, 4},
 			Machines: []Machine{{ID: "m", Zone: "a", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}}, {ID: "n", Zone: "b", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Owner: "t", Shape: shape, Parts: 9, CPUs: 1, RAM: 4}, Pending: 9, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
+			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Tasks: 9, CPUs: 1, MemoryGB: 4}, Pending: 9, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
 		}
 		return len(Place(s).Starts)
 	}
 	// One unit stays free in each zone. (Both in one zone once left a spread
 	// service with half of its replicas for the time of a boot.)
-	if a, d := mk(wire.Sweep), mk(wire.Daemon); a != 6 || d != 8 {
+	if a, d := mk(wire.KindArray), mk(wire.KindService); a != 6 || d != 8 {
 		t.Fatalf("an array got %d units of 6, a service %d of 8", a, d)
 	}
 }
@@ -355,7 +355,7 @@
 		s := &Snapshot{
 			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, Spare: 2, SpareTakes: Res{1, 0, 4},
 			Machines: []Machine{{ID: "m", Zone: "a", Free: Res{1, 0, 4}, Total: Res{4, 0, 16}}, {ID: "n", Zone: "b", Free: Res{1, 0, 4}, Total: Res{4, 0, 16}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Owner: "t", Shape: wire.Sweep, Parts: 9, CPUs: 1, RAM: 4, Standby: true}, Pending: 9, ZoneHeld: map[wire.Zone]int{}, Weight: 1, Lingers: true}},
+			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true}, Pending: 9, ZoneHeld: map[wire.Zone]int{}, Weight: 1, Lingers: true}},
 		}
 		if other {
 			s.Machines = append(s.Machines, Machine{ID: "o", Zone: "a", Spot: true, Free: Res{1, 0, 4}, Total: Res{16, 0, 64}})
@@ -377,24 +377,24 @@
 // never for an everyday array. (Two classes of arrays once stopped each
 // other's tasks in turn for minutes.)
 func TestPreemption(t *testing.T) {
-	mk := func(u wire.Urgency, shape wire.Shape, rank int) []Victim {
+	mk := func(u wire.Priority, shape wire.JobKind, rank int) []Victim {
 		v := func(n int, lost float64) Victim {
 			return Victim{Task: wire.Task{Job: "req-1", Index: n}, Rank: rank, Takes: Res{4, 0, 4}, Lost: lost, Team: "t"}
 		}
 		s := &Snapshot{Preempt: true,
 			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60},
 			Machines: []Machine{{ID: "m", Total: Res{4, 0, 16}, Victims: []Victim{v(0, 30)}}, {ID: "n", Total: Res{4, 0, 16}, Victims: []Victim{v(1, 3)}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Owner: "t", Shape: shape, Urgency: u, Parts: 1, CPUs: 2, RAM: 4}, Pending: 1, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
+			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Priority: u, Tasks: 1, CPUs: 2, MemoryGB: 4}, Pending: 1, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
 		}
 		return Place(s).Halts
 	}
-	if h := mk(wire.Prod, wire.Daemon, wire.Standard.Rank()); len(h) != 1 || h[0].Task.Index != 1 {
+	if h := mk(wire.PriorityProd, wire.KindService, wire.PriorityStandard.Rank()); len(h) != 1 || h[0].Task.Index != 1 {
 		t.Errorf("a service stops %v", h)
 	}
-	if h := mk(wire.Standard, wire.Daemon, wire.Standard.Rank()); len(h) != 0 {
+	if h := mk(wire.PriorityStandard, wire.KindService, wire.PriorityStandard.Rank()); len(h) != 0 {
 		t.Errorf("the same priority is stopped: %v", h)
 	}
-	if h := mk(wire.Standard, wire.Sweep, wire.BestEffort.Rank()); len(h) != 0 {
+	if h := mk(wire.PriorityStandard, wire.KindArray, wire.PriorityBestEffort.Rank()); len(h) != 0 {
 		t.Errorf("an everyday array stops %v", h)
 	}
 }
@@ -405,10 +405,10 @@
 // stopped for it meanwhile, a second unit gets room of its own, and a job of a
 // higher priority passes over the claim.
 func TestRoomIsKeptForWhatItIsMadeFor(t *testing.T) {
-	spec := func(id wire.JobID, u wire.Urgency, cpus float64) *wire.Spec {
-		return &wire.Spec{ID: id, Owner: "t", Shape: wire.Sweep, Urgency: u, Parts: 9, CPUs: cpus, RAM: 3.5 * cpus, Standby: true}
+	spec := func(id wire.JobID, u wire.Priority, cpus float64) *wire.Spec {
+		return &wire.Spec{ID: id, Team: "t", Kind: wire.KindArray, Priority: u, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
 	}
-	urgent, small, prod := spec("req-1", wire.Urgent, 4), spec("req-2", wire.Standard, 2), spec("req-3", wire.Prod, 2)
+	urgent, small, prod := spec("req-1", wire.PriorityUrgent, 4), spec("req-2", wire.PriorityStandard, 2), spec("req-3", wire.PriorityProd, 2)
 	half := Res{2, 0, 7}
 	whole := Res{4, 0, 16}
 	snap := func(m Machine, jobs ...Job) *Snapshot {
@@ -419,7 +419,7 @@
 		return &Snapshot{Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, Preempt: true, Machines: []Machine{m}, Jobs: jobs}
 	}
 	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Takes: half} }
-	claim := []Claim{{urgent.ID, urgent.Urgency.Rank(), Of(urgent)}}
+	claim := []Claim{{urgent.ID, urgent.Priority.Rank(), Of(urgent)}}
 	full := Machine{Victims: []Victim{victim(0), victim(1)}, Free: Res{0, 0, 2}}
 	free := Machine{Claims: claim, Free: Res{2, 0, 9}, Stopping: half}
 	soon := func(v Victim, in float64) Victim {
@@ -431,13 +431,13 @@
 		s.Machines = append(s.Machines, m)
 		return s
 	}
-	other := spec("req-4", wire.Urgent, 4)
+	other := spec("req-4", wire.PriorityUrgent, 4)
 	limit := func(s *Snapshot, cpus float64) *Snapshot {
 		s.Teams["t"].Limit.CPUs = cpus
 		return s
 	}
 	heavy := *urgent
-	heavy.Bundle, heavy.ImageGB = "i", 1
+	heavy.Image, heavy.ImageGB = "i", 1
 	imaged := Job{Spec: &heavy, Pending: 1, Weight: 8, PatienceS: 5}
 	patient := Job{Spec: urgent, Pending: 1, Weight: 8, PatienceS: 5}
 	cases := []struct {
@@ -471,8 +471,8 @@
 // A gang that lingers may use the room kept for replicas, and what is kept of its
 // team's limit is left alone by arrays up to its rank, not by services.
 func TestGangsAreNotPassedOver(t *testing.T) {
-	spec := func(id wire.JobID, shape wire.Shape, u wire.Urgency, parts int) *wire.Spec {
-		return &wire.Spec{ID: id, Owner: "red", Shape: shape, Urgency: u, Parts: parts, CPUs: 2, RAM: 1}
+	spec := func(id wire.JobID, shape wire.JobKind, u wire.Priority, parts int) *wire.Spec {
+		return &wire.Spec{ID: id, Team: "red", Kind: shape, Priority: u, Tasks: parts, CPUs: 2, MemoryGB: 1}
 	}
 	for name, k := range map[string]struct {
 		lingers bool
@@ -483,18 +483,18 @@
 	}{
 		"kept room":                      {false, nil, 2, 8, 0},
 		"kept room after a while":        {true, nil, 2, 8, 4},
-		"the limit, against an array":    {true, spec("a", wire.Sweep, wire.Standard, 2), 0, 6, 0},
-		"the limit, against a service":   {true, spec("s", wire.Daemon, wire.Prod, 2), 0, 6, 2},
-		"the limit, against higher rank": {true, spec("u", wire.Sweep, wire.Urgent, 2), 0, 6, 2},
+		"the limit, against an array":    {true, spec("a", wire.KindArray, wire.PriorityStandard, 2), 0, 6, 0},
+		"the limit, against a service":   {true, spec("s", wire.KindService, wire.PriorityProd, 2), 0, 6, 2},
+		"the limit, against higher rank": {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
 	} {
 		s := &Snapshot{
 			Machines: []Machine{{ID: "m", Zone: "a", Total: Res{CPUs: 16, RAM: 16}, Free: Res{CPUs: k.free, RAM: 16}}},
-			Teams:    map[wire.TeamID]*Team{"red": {Limit: Res{CPUs: 9}, Kept: Res{CPUs: 8, RAM: 4}, KeptFor: "g", KeptRank: wire.Standard.Rank()}},
+			Teams:    map[wire.TeamID]*Team{"red": {Limit: Res{CPUs: 9}, Kept: Res{CPUs: 8, RAM: 4}, KeptFor: "g", KeptRank: wire.PriorityStandard.Rank()}},
 			Factors:  Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 30}, Spare: k.spare, SpareTakes: Res{CPUs: 1, RAM: 1},
-			Jobs: []Job{{Spec: spec("g", wire.Ensemble, wire.Standard, 4), Pending: 4, ZoneHeld: map[wire.Zone]int{}, Weight: 1, Lingers: k.lingers}},
+			Jobs: []Job{{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), Pending: 4, ZoneHeld: map[wire.Zone]int{}, Weight: 1, Lingers: k.lingers}},
 		}
 		if k.other != nil {
-			s.Jobs = append(s.Jobs, Job{Spec: k.other, Pending: k.other.Parts, ZoneHeld: map[wire.Zone]int{}, Weight: 1})
+			s.Jobs = append(s.Jobs, Job{Spec: k.other, Pending: k.other.Tasks, ZoneHeld: map[wire.Zone]int{}, Weight: 1})
 		}
 		if n := len(Place(s).Starts); n != k.want {
 			t.Errorf("%s: %d starts, want %d", name, n, k.want)
--- a/internal/standin/check.go
+++ b/internal/standin/check.go
@@ -47,7 +47,7 @@
 // Place of a machine, as far as rules care.
 type Place struct {
 	Machine wire.MachineID
-	Kit     wire.Kit
+	Kit     wire.MachineType
 	Zone    wire.Zone
 	Spot    bool
 }
@@ -60,7 +60,7 @@
 type Checker struct {
 	CancelS time.Duration
 	Limits  map[wire.TeamID]Limit
-	Flavors []wire.Flavor // nil: not known, and what fits is not judged
+	Flavors []wire.MachineSpec // nil: not known, and what fits is not judged
 	Breaks  []Break
 
 	jobs map[wire.JobID]*seen
@@ -182,7 +182,7 @@
 
 // Replied notes the answer to a submission that was sent at a certain time.
 func (c *Checker) Replied(body []byte, status int, answer []byte, asked, now time.Time) {
-	var sent, got wire.JobBrief
+	var sent, got wire.JobSummary
 	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
 		return
 	}
@@ -210,7 +210,7 @@
 	case status == 200 && j == nil && !c.posted[id]:
 		c.broke(now, Invented, "cancellation of %s answered 200", id)
 	case status == 200 && j != nil:
-		var got wire.JobBrief
+		var got wire.JobSummary
 		if wire.Decode(answer, &got) == nil {
 			c.ToldSince(id, got.Status, asked, now)
 		}
@@ -291,8 +291,8 @@
 	}
 	switch st {
 	case wire.Done:
-		if len(j.done) < j.spec.Parts || j.spec.Service() {
-			c.broke(now, NotDone, "%s called done with %d of %d tasks", id, len(j.done), j.spec.Parts)
+		if len(j.done) < j.spec.Tasks || j.spec.Service() {
+			c.broke(now, NotDone, "%s called done with %d of %d tasks", id, len(j.done), j.spec.Tasks)
 		}
 	case wire.Cancelled:
 		if !j.cancelReq {
@@ -329,7 +329,7 @@
 		j.began = now // a gang begins when all of it runs
 	}
 	s := &j.spec
-	if p.Spot && !s.Standby || s.Site != "" && s.Site != p.Zone || s.Kits != nil && !slices.Contains(s.Kits, p.Kit) {
+	if p.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != p.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, p.Kit) {
 		c.broke(now, WrongPlace, "%s on %v", t, p)
 	}
 	inZone, elsewhere := 0, 0
@@ -343,16 +343,16 @@
 				elsewhere++
 			}
 		}
-		if oj.spec.Owner == s.Owner {
+		if oj.spec.Team == s.Team {
 			used.CPUs += oj.spec.CPUs
-			used.Cards += oj.spec.Cards
+			used.Cards += oj.spec.GPUs
 		}
 	}
-	if s.Apart && inZone > (s.Parts+1)/2 || s.SamePlace && elsewhere > 0 {
+	if s.Spread && inZone > (s.Tasks+1)/2 || s.SameZone && elsewhere > 0 {
 		c.broke(now, WrongPlace, "%s in %s with %d there and %d elsewhere", t, p.Zone, inZone-1, elsewhere)
 	}
-	if l := c.Limits[s.Owner]; l.CPUs > 0 && used.CPUs > l.CPUs+wire.Eps || l.Cards > 0 && used.Cards > l.Cards+wire.Eps {
-		c.broke(now, Quota, "team %s uses %.1f cpus", s.Owner, used.CPUs)
+	if l := c.Limits[s.Team]; l.CPUs > 0 && used.CPUs > l.CPUs+wire.Eps || l.Cards > 0 && used.Cards > l.Cards+wire.Eps {
+		c.broke(now, Quota, "team %s uses %.1f cpus", s.Team, used.CPUs)
 	}
 }
 
@@ -397,7 +397,7 @@
 		}
 	}
 	for _, j := range c.jobs {
-		if j.completed.IsZero() && len(j.done) >= j.spec.Parts {
+		if j.completed.IsZero() && len(j.done) >= j.spec.Tasks {
 			j.completed = now
 		}
 	}
@@ -434,7 +434,7 @@
 	}
 	largest := map[string]int{}
 	for _, j := range c.jobs {
-		largest[j.spec.Lane] = max(largest[j.spec.Lane], j.spec.Parts)
+		largest[j.spec.Class] = max(largest[j.spec.Class], j.spec.Tasks)
 	}
 	for _, j := range c.jobs {
 		// A job whose user gave it up in time, or that is too young, tells
@@ -442,10 +442,10 @@
 		if !j.accepted || j.cancelReq && j.askedAt.Sub(j.tried) < beginBy || now.Sub(j.tried) < beginBy {
 			continue
 		}
-		add("class "+j.spec.Lane, !j.began.IsZero())
-		add("team "+string(j.spec.Owner), !j.began.IsZero())
-		if j.spec.Parts*2 > largest[j.spec.Lane] {
-			add("the largest of class "+j.spec.Lane, !j.began.IsZero() && j.began.Sub(j.tried) <= beginBy)
+		add("class "+j.spec.Class, !j.began.IsZero())
+		add("team "+string(j.spec.Team), !j.began.IsZero())
+		if j.spec.Tasks*2 > largest[j.spec.Class] {
+			add("the largest of class "+j.spec.Class, !j.began.IsZero() && j.began.Sub(j.tried) <= beginBy)
 		}
 	}
 	for what, k := range count {
@@ -466,7 +466,7 @@
 // Complete tells whether every task of the job has completed.
 func (c *Checker) Complete(id wire.JobID) bool {
 	j := c.jobs[id]
-	return j != nil && len(j.done) == j.spec.Parts
+	return j != nil && len(j.done) == j.spec.Tasks
 }
 
 // Finished counts the jobs that users were told the end of.
--- a/internal/standin/check_test.go
+++ b/internal/standin/check_test.go
@@ -22,14 +22,14 @@
 func sent(s wire.Spec) []byte { return wire.Encode(Submission(s)) }
 
 func brief(id wire.JobID, st wire.Status) []byte {
-	return wire.Encode(wire.JobBrief{ID: id, Status: st})
+	return wire.Encode(wire.JobSummary{ID: id, Status: st})
 }
 
 // A checker that can't fail proves nothing: each rule is broken here once,
 // deliberately, and must be the one that is noted.
 func TestEveryRuleCanBreak(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	spec := wire.Spec{ID: "req-1", Owner: "red", Parts: 4, CPUs: 4, Apart: true}
+	spec := wire.Spec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, Spread: true}
 	here := Place{Machine: "n-1", Kit: "c4", Zone: "a"}
 	there := Place{Machine: "n-2", Kit: "c4", Zone: "b"}
 	task := func(i int) wire.Task { return wire.Task{Job: "req-1", Index: i} }
@@ -78,7 +78,7 @@
 			}
 		}},
 		"a class never begins": {Unserved, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Lane: "other", Owner: "blue"})
+			c.Submitted(wire.Spec{ID: "req-2", Class: "other", Team: "blue"})
 			c.Started(wire.Task{Job: "req-2"}, here, t0)
 			c.End(t0.Add(5 * time.Minute))
 		}},
@@ -95,26 +95,26 @@
 			c.Resumed(task(0), here, t0.Add(11*time.Second))
 		}},
 		"one zone, elsewhere": {WrongPlace, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 2, CPUs: 1, SamePlace: true})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, SameZone: true})
 			c.Started(wire.Task{Job: "req-2", Index: 0}, here, t0)
 			c.Started(wire.Task{Job: "req-2", Index: 1}, there, t0)
 		}},
 		"wrong type": {WrongPlace, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 2, CPUs: 1, Kits: []wire.Kit{"c16"}})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, MachineTypes: []wire.MachineType{"c16"}})
 			c.Started(wire.Task{Job: "req-2"}, here, t0)
 		}},
 		"wrong zone": {WrongPlace, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 2, CPUs: 1, Site: "b"})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, Zone: "b"})
 			c.Started(wire.Task{Job: "req-2"}, here, t0)
 		}},
 		"a service called done": {NotDone, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Shape: wire.Daemon, Parts: 1, CPUs: 1})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
 			c.Started(wire.Task{Job: "req-2"}, here, t0)
 			c.Left(wire.Task{Job: "req-2"}, "n-1", true)
 			c.Told("req-2", wire.Done, t0)
 		}},
 		"404 after a poll that knew it": {Forgotten, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 1, CPUs: 1})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1})
 			c.Polled("req-2", 200, wire.Queued, t0)
 			c.Polled("req-2", 404, "", t0.Add(time.Second))
 		}},
@@ -147,27 +147,27 @@
 			}
 		}},
 		"unknown team": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "green", Parts: 1, CPUs: 1})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "green", Tasks: 1, CPUs: 1})
 			c.Accepted("req-2", t0)
 		}},
 		"fits no type": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 1, CPUs: 1, RAM: 99})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 99})
 			c.Accepted("req-2", t0)
 		}},
 		"fits no allowed type": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 1, CPUs: 1, Kits: []wire.Kit{"g8"}})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1, MachineTypes: []wire.MachineType{"g8"}})
 			c.Accepted("req-2", t0)
 		}},
 		"a task over the limit": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 1, CPUs: 9})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 9})
 			c.Accepted("req-2", t0)
 		}},
 		"a service over the limit": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Shape: wire.Daemon, Parts: 3, CPUs: 4})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 3, CPUs: 4})
 			c.Accepted("req-2", t0)
 		}},
 		"what could run is refused": {RefusedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 3, CPUs: 4})
+			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 3, CPUs: 4})
 			c.Refused("req-2", 422, t0)
 		}},
 		"left waiting": {LeftWaiting, func(c *Checker) { survey(c, 100) }},
@@ -207,7 +207,7 @@
 	}
 	for name, k := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]Limit{"red": {CPUs: 8}})
-		c.Flavors = []wire.Flavor{{Name: "c4", CPUs: 16, RAM: 16, LocalGB: 20, Sites: []wire.Zone{"a", "b"}}}
+		c.Flavors = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
 		c.Submitted(spec)
 		c.Accepted("req-1", t0)
 		k.do(c)
@@ -251,7 +251,7 @@
 		"the team at its limit":     waiting(with(func(r *Room) { r.Tasks = []wire.Task{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
 		"half is there already":     waiting(with(func(r *Room) { r.Tasks = []wire.Task{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
 		"all of it runs": func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-3", Owner: "blue", Parts: 1, CPUs: 1})
+			c.Submitted(wire.Spec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
 			c.Accepted("req-3", t0)
 			c.CancelAsked("req-1")
 			waiting(with(func(r *Room) { r.Tasks = []wire.Task{{Job: "req-3"}} }))(c)
@@ -281,9 +281,9 @@
 	}
 	for name, do := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]Limit{"red": {CPUs: 8}, "blue": {}})
-		c.Flavors = []wire.Flavor{{Name: "c4", CPUs: 16, RAM: 16, LocalGB: 20, Sites: []wire.Zone{"a", "b"}}}
-		c.Submitted(wire.Spec{ID: "req-1", Owner: "red", Parts: 4, CPUs: 4, RAM: 4, ImageGB: 1, Apart: true})
-		c.Submitted(wire.Spec{ID: "req-2", Owner: "red", Parts: 2, CPUs: 4})
+		c.Flavors = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
+		c.Submitted(wire.Spec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, MemoryGB: 4, ImageGB: 1, Spread: true})
+		c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 4})
 		c.Accepted("req-1", t0)
 		do(c)
 		if len(c.Breaks) > 0 {
@@ -299,7 +299,7 @@
 	c := NewChecker(10*time.Second, nil)
 	here := Place{Machine: "n-1", Kit: "c4", Zone: "a"}
 	for n, id := range []wire.JobID{"req-1", "req-2"} {
-		c.Submitted(wire.Spec{ID: id, Parts: 2, CPUs: 1})
+		c.Submitted(wire.Spec{ID: id, Tasks: 2, CPUs: 1})
 		c.Accepted(id, t0)
 		c.Started(wire.Task{Job: id}, here, t0)
 		c.Left(wire.Task{Job: id}, "n-1", true)
@@ -326,7 +326,7 @@
 // A submission that is malformed must not be accepted, whichever field is to
 // blame, and one that is not must not be blamed.
 func TestMalformedIsKnown(t *testing.T) {
-	good := wire.Spec{ID: "req-000001", Lane: "solve", Owner: "red", Shape: wire.Sweep, Urgency: wire.Standard, Parts: 1, CPUs: 1, RAM: 1, Bundle: "img-a"}
+	good := wire.Spec{ID: "req-000001", Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-a"}
 	noted := func(body any) bool {
 		c := NewChecker(time.Second, nil)
 		c.Posted(bodyOf(body), 201, time.Unix(1000, 0))
--- a/internal/standin/gang.go
+++ b/internal/standin/gang.go
@@ -91,17 +91,17 @@
 		r = &gangRun{members: map[int]*member{}}
 		g.attempts[x.try] = r
 	}
-	x.phase = wire.Waiting
+	x.phase = wire.PhaseWaiting
 	r.members[t.Index] = &member{m: m, x: x, t: t, since: now}
 	m.changed()
-	if r.began || len(r.members) < m.w.truths[t.Job].Spec.Parts {
+	if r.began || len(r.members) < m.w.truths[t.Job].Spec.Tasks {
 		return
 	}
 	r.began, r.at, r.speed, r.progress = true, now, math.Inf(1), g.saved
 	g.starts++
 	m.w.check.GangBegan(t.Job, now)
 	for _, b := range r.members {
-		b.x.phase = wire.Active
+		b.x.phase = wire.PhaseRunning
 		r.speed = min(r.speed, b.m.w.speedOf(b.m.id))
 		if b.m.sick || m.w.truths[t.Job].Fails {
 			b.failAt = now.Add(500 * time.Millisecond)
@@ -190,7 +190,7 @@
 	g.falls++
 	peer := w.Set.Workers.GangPeerS.Duration()
 	for i, b := range r.members {
-		if every := float64(w.truths[b.t.Job].Spec.SnapshotEveryS); every > 0 {
+		if every := float64(w.truths[b.t.Job].Spec.CheckpointInterval); every > 0 {
 			g.saved = max(g.saved, math.Floor((r.progress+wire.Eps)/every)*every)
 		}
 		b.leaves = now.Add(peer * time.Duration(1+(i*5+2)%9) / 10)
@@ -212,15 +212,15 @@
 		left = *windDown
 	}
 	switch {
-	case b == nil || b.x != x || x.phase == wire.Waiting || x.phase == wire.Pulling:
-	case x.phase == wire.Saving && left > 0:
+	case b == nil || b.x != x || x.phase == wire.PhaseWaiting || x.phase == wire.PhaseFetching:
+	case x.phase == wire.PhaseSaving && left > 0:
 		return
-	case x.phase == wire.Active && s.SnapshotEveryS > 0 && left >= s.SnapshotS && r.lostAt.IsZero():
+	case x.phase == wire.PhaseRunning && s.CheckpointInterval > 0 && left >= s.CheckpointTime && r.lostAt.IsZero():
 		m.w.advance(g, r, now)
 		if r.stopAt.IsZero() {
 			r.stopAt = now
 		}
-		b.told, b.savedAt, x.phase = true, now.Add(s.SnapshotS.Duration()), wire.Saving
+		b.told, b.savedAt, x.phase = true, now.Add(s.CheckpointTime.Duration()), wire.PhaseSaving
 		m.changed()
 		return
 	}
@@ -247,18 +247,18 @@
 	wait, peer := w.Set.Workers.GangWaitS.Duration(), w.Set.Workers.GangPeerS.Duration()
 	w.advance(g, r, now)
 	var order []*member
-	for i := range truth.Spec.Parts {
+	for i := range truth.Spec.Tasks {
 		if b := r.members[i]; b != nil {
 			order = append(order, b)
 		}
 	}
 	hangs := func(b *member) bool { return w.odd.hung[b.m.id] != nil || b.m.stalled }
-	end := func(b *member, c wire.Cause, saved bool) {
+	end := func(b *member, c wire.ExitCause, saved bool) {
 		b.x.saved = saved
 		b.x.cancel()
 		b.m.exit(b.t, b.x, c)
 	}
-	told := r.began && len(order) == truth.Spec.Parts
+	told := r.began && len(order) == truth.Spec.Tasks
 	for _, b := range order {
 		if !hangs(b) {
 			b.hung = time.Time{}
@@ -291,12 +291,12 @@
 	for _, b := range order {
 		switch {
 		case hangs(b) || r.members[b.t.Index] != b:
-		case g.done && b.x.phase != wire.Waiting:
+		case g.done && b.x.phase != wire.PhaseWaiting:
 			end(b, wire.CauseDone, false)
-		case b.x.phase == wire.Waiting:
+		case b.x.phase == wire.PhaseWaiting:
 			if now.Sub(b.since) > wait {
 				g.alone++
-				end(b, wire.CauseAlone, false)
+				end(b, wire.CauseGangIncomplete, false)
 			}
 		case r.safe:
 			if b.told && !now.Before(b.savedAt) {
@@ -304,7 +304,7 @@
 			}
 		case !r.lostAt.IsZero():
 			if !now.Before(b.leaves) {
-				end(b, wire.CauseMatesGone, false)
+				end(b, wire.CauseGangBroken, false)
 			}
 		case !b.failAt.IsZero() && !now.Before(b.failAt):
 			end(b, wire.CauseError, false)
@@ -333,15 +333,15 @@
 				continue
 			}
 			switch x.phase {
-			case wire.Pulling:
+			case wire.PhaseFetching:
 				out.Pulling++
-			case wire.Waiting:
+			case wire.PhaseWaiting:
 				out.Waiting++
-			case wire.Active:
+			case wire.PhaseRunning:
 				out.Running++
-			case wire.Saving:
+			case wire.PhaseSaving:
 				out.Saving++
-			case wire.Exited:
+			case wire.PhaseExited:
 				continue
 			}
 			tries[x.try] = true
@@ -361,7 +361,7 @@
 	var out []wire.MachineID
 	for _, m := range w.machines {
 		for t, x := range m.tasks {
-			if t.Job == id && x.phase != wire.Exited && !slices.Contains(out, m.id) {
+			if t.Job == id && x.phase != wire.PhaseExited && !slices.Contains(out, m.id) {
 				out = append(out, m.id)
 			}
 		}
@@ -385,8 +385,8 @@
 	if j == nil {
 		return
 	}
-	if n := c.On(id); n != j.spec.Parts {
-		c.broke(now, HalfRun, "%s runs with %d of %d tasks on machines", id, n, j.spec.Parts)
+	if n := c.On(id); n != j.spec.Tasks {
+		c.broke(now, HalfRun, "%s runs with %d of %d tasks on machines", id, n, j.spec.Tasks)
 	}
 	if j.began.IsZero() {
 		j.began = now
@@ -396,7 +396,7 @@
 // GangDone notes that a gang has completed: its tasks complete together.
 func (c *Checker) GangDone(id wire.JobID) {
 	if j := c.jobs[id]; j != nil {
-		for i := range j.spec.Parts {
+		for i := range j.spec.Tasks {
 			j.done[i] = true
 		}
 		j.finish()
@@ -408,20 +408,20 @@
 	zones := map[wire.Zone]int{}
 	for i := range rooms {
 		r := rooms[i]
-		for n := 0; r.Open && !not[r.Machine] && n < s.Parts && r.takes(s, nil); n++ {
-			r.CPUs, r.Cards, r.RAM = r.CPUs-s.CPUs, r.Cards-s.Cards, r.RAM-s.RAM
+		for n := 0; r.Open && !not[r.Machine] && n < s.Tasks && r.takes(s, nil); n++ {
+			r.CPUs, r.Cards, r.RAM = r.CPUs-s.CPUs, r.Cards-s.GPUs, r.RAM-s.MemoryGB
 			zones[r.Zone]++
 		}
 	}
 	all := 0
 	for _, n := range zones {
-		if s.SamePlace && n >= s.Parts {
+		if s.SameZone && n >= s.Tasks {
 			return true
 		}
-		if s.Apart {
+		if s.Spread {
 			n = min(n, s.ZoneCap())
 		}
 		all += n
 	}
-	return !s.SamePlace && all >= s.Parts
+	return !s.SameZone && all >= s.Tasks
 }
--- a/internal/standin/gang_test.go
+++ b/internal/standin/gang_test.go
@@ -10,8 +10,8 @@
 )
 
 func ensemble(id wire.JobID, parts int) wire.Spec {
-	return wire.Spec{ID: id, Lane: "clash", Owner: "red", Shape: wire.Ensemble, Urgency: wire.Urgent, Parts: parts, CPUs: 2, RAM: 4, Bundle: "img", ImageGB: 1,
-		SamePlace: true, SnapshotEveryS: 20, SnapshotS: 2, Expected: 50}
+	return wire.Spec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1,
+		SameZone: true, CheckpointInterval: 20, CheckpointTime: 2, ExpectedRunTime: 50}
 }
 
 // Each check that gangs brought is broken here once, deliberately.
@@ -67,7 +67,7 @@
 	}
 	for name, k := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]Limit{"red": {CPUs: 10}})
-		c.Flavors = []wire.Flavor{{Name: "c4", CPUs: 4, RAM: 16, LocalGB: 20, Sites: []wire.Zone{"a", "b"}}}
+		c.Flavors = []wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
 		c.Submitted(ensemble("req-000001", 2))
 		k.do(c)
 		found := false
@@ -106,7 +106,7 @@
 }
 
 // yard is some machines without controllers, whose workers are told what to do.
-func yard(t *testing.T, n int, do func(w *World, ms []*worker, order func(i int, o ...wire.Order))) {
+func yard(t *testing.T, n int, do func(w *World, ms []*worker, order func(i int, o ...wire.Command))) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		set := DefaultSettings()
@@ -119,7 +119,7 @@
 		}
 		w.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
-		do(w, ms, func(i int, o ...wire.Order) {
+		do(w, ms, func(i int, o ...wire.Command) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			ms[i].answered = time.Now().Add(time.Hour) // nobody answers here
@@ -130,132 +130,132 @@
 	})
 }
 
-func launch(i int, try wire.Attempt) wire.Order {
-	return wire.Order{Verb: wire.Launch, Part: wire.Task{Job: "req-000001", Index: i}.String(), Try: try}
+func launch(i int, try wire.Attempt) wire.Command {
+	return wire.Command{Verb: wire.Launch, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try}
 }
 
-func halt(i int, try wire.Attempt, windDown wire.Seconds) wire.Order {
-	return wire.Order{Verb: wire.Halt, Part: wire.Task{Job: "req-000001", Index: i}.String(), Try: try, WindDown: &windDown}
+func halt(i int, try wire.Attempt, windDown wire.Seconds) wire.Command {
+	return wire.Command{Verb: wire.Halt, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &windDown}
 }
 
 // The workers do with gangs what the page says.
 func TestWorkersRunGangs(t *testing.T) {
 	const s = time.Second
-	all := func(order func(int, ...wire.Order), n int, try wire.Attempt) {
+	all := func(order func(int, ...wire.Command), n int, try wire.Attempt) {
 		for i := range n {
 			order(i, launch(i, try))
 		}
 	}
-	cases := map[string]func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(i int, p wire.Phase, c wire.Cause, saved bool)){
-		"start and end together at the slowest speed": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+	cases := map[string]func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool)){
+		"start and end together at the slowest speed": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			w.SlowMachine(ms[1].id, 0.5)
 			all(order, 3, 1)
 			time.Sleep(1500 * time.Millisecond)
-			is(0, wire.Waiting, "", false)
-			is(1, wire.Pulling, "", false)
+			is(0, wire.PhaseWaiting, "", false)
+			is(1, wire.PhaseFetching, "", false)
 			time.Sleep(s)
-			is(0, wire.Active, "", false)
+			is(0, wire.PhaseRunning, "", false)
 			time.Sleep(98 * s)
-			is(2, wire.Active, "", false)
+			is(2, wire.PhaseRunning, "", false)
 			time.Sleep(3 * s)
 			for i := range 3 {
-				is(i, wire.Exited, wire.CauseDone, false)
+				is(i, wire.PhaseExited, wire.CauseDone, false)
 			}
 		},
-		"alone": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"alone": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			time.Sleep(45 * s)
-			is(0, wire.Waiting, "", false)
+			is(0, wire.PhaseWaiting, "", false)
 			time.Sleep(3 * s)
-			is(0, wire.Exited, wire.CauseAlone, false)
+			is(0, wire.PhaseExited, wire.CauseGangIncomplete, false)
 		},
-		"a replacement completes it, another attempt does not": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"a replacement completes it, another attempt does not": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			order(2, launch(2, 2))
 			time.Sleep(5 * s)
-			is(0, wire.Waiting, "", false)
-			is(2, wire.Waiting, "", false)
+			is(0, wire.PhaseWaiting, "", false)
+			is(2, wire.PhaseWaiting, "", false)
 			order(2, halt(2, 2, 10), launch(2, 1))
 			time.Sleep(2 * s)
-			is(0, wire.Active, "", false)
+			is(0, wire.PhaseRunning, "", false)
 		},
-		"a loss": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"a loss": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(32 * s)
 			w.TakeMachine(ms[0].id)
-			is(1, wire.Active, "", false)
+			is(1, wire.PhaseRunning, "", false)
 			time.Sleep(9 * s)
-			is(1, wire.Exited, wire.CauseMatesGone, false)
+			is(1, wire.PhaseExited, wire.CauseGangBroken, false)
 			if g := w.Gang("req-000001"); g.Saved != 20 {
 				t.Errorf("%+v, want 20 s kept", g)
 			}
 		},
-		"a hung machine": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"a hung machine": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(10 * s)
 			w.Hang(true, ms[0].id)
 			time.Sleep(13 * s)
-			is(1, wire.Exited, wire.CauseMatesGone, false)
-			is(0, wire.Active, "", false)
+			is(1, wire.PhaseExited, wire.CauseGangBroken, false)
+			is(0, wire.PhaseRunning, "", false)
 			w.Hang(false, ms[0].id)
 			time.Sleep(s)
-			is(0, wire.Exited, wire.CauseMatesGone, false)
+			is(0, wire.PhaseExited, wire.CauseGangBroken, false)
 		},
-		"an orderly stop": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"an orderly stop": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
 			order(0, halt(0, 1, 2))
 			time.Sleep(6 * s)
-			is(0, wire.Saving, "", false)
+			is(0, wire.PhaseSaving, "", false)
 			order(1, halt(1, 1, 2))
 			order(2, halt(2, 1, 2))
 			time.Sleep(3 * s)
 			for i := range 3 {
-				is(i, wire.Exited, wire.CauseStopped, true)
+				is(i, wire.PhaseExited, wire.CauseStopped, true)
 			}
 			all(order, 3, 2) // goes on from there
 			time.Sleep(35 * s)
-			is(0, wire.Active, "", false)
+			is(0, wire.PhaseRunning, "", false)
 			time.Sleep(6 * s)
-			is(0, wire.Exited, wire.CauseDone, false)
+			is(0, wire.PhaseExited, wire.CauseDone, false)
 		},
-		"told too late": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"told too late": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
 			order(0, halt(0, 1, 2))
 			order(1, halt(1, 1, 2))
 			time.Sleep(9 * s)
-			is(2, wire.Exited, wire.CauseMatesGone, false)
+			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
 			if g := w.Gang("req-000001"); g.Saved != 0 || g.Falls != 1 {
 				t.Errorf("%+v, want nothing kept", g)
 			}
 		},
-		"too little grace": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"too little grace": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
 			order(0, halt(0, 1, 2))
 			order(1, halt(1, 1, 1))
-			is(1, wire.Exited, wire.CauseStopped, false)
+			is(1, wire.PhaseExited, wire.CauseStopped, false)
 			time.Sleep(9 * s)
-			is(2, wire.Exited, wire.CauseMatesGone, false)
+			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
 			if g := w.Gang("req-000001"); g.Saved != 0 || g.Falls != 1 {
 				t.Errorf("%+v, want nothing kept", g)
 			}
 		},
-		"stopped while it waits": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Order), is func(int, wire.Phase, wire.Cause, bool)) {
+		"stopped while it waits": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			time.Sleep(3 * s)
 			order(0, halt(0, 1, 30))
-			is(0, wire.Exited, wire.CauseStopped, false)
-			is(1, wire.Waiting, "", false)
+			is(0, wire.PhaseExited, wire.CauseStopped, false)
+			is(1, wire.PhaseWaiting, "", false)
 		},
 	}
 	for name, do := range cases {
 		t.Run(name, func(t *testing.T) {
-			yard(t, 3, func(w *World, ms []*worker, order func(int, ...wire.Order)) {
+			yard(t, 3, func(w *World, ms []*worker, order func(int, ...wire.Command)) {
 				truth := Truth{RunS: 50, Spec: ensemble("req-000001", 3)}
 				w.Know(truth)
-				do(t, w, ms, order, func(i int, p wire.Phase, c wire.Cause, saved bool) {
+				do(t, w, ms, order, func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool) {
 					t.Helper()
 					w.mu.Lock()
 					defer w.mu.Unlock()
--- a/internal/standin/latewrites.go
+++ b/internal/standin/latewrites.go
@@ -133,7 +133,7 @@
 func keysOf(t *wire.Txn) []string {
 	var out []string
 	for _, x := range t.Writes {
-		out = append(out, x.Put+x.Drop)
+		out = append(out, x.Put+x.Delete)
 	}
 	return out
 }
--- a/internal/standin/limits.go
+++ b/internal/standin/limits.go
@@ -93,7 +93,7 @@
 	}
 	s.rev++
 	delete(s.keys, key)
-	s.changes = append(s.changes, change{s.rev, wire.Change{Drop: key, Stamp: s.rev}})
+	s.changes = append(s.changes, change{s.rev, wire.Change{Delete: key, Revision: s.rev}})
 	s.bump()
 }
 
--- a/internal/standin/looks.go
+++ b/internal/standin/looks.go
@@ -22,7 +22,7 @@
 
 // finish notes that the last task has completed.
 func (j *seen) finish() {
-	if len(j.done) == j.spec.Parts && j.news.endedAt.IsZero() {
+	if len(j.done) == j.spec.Tasks && j.news.endedAt.IsZero() {
 		j.news.endedAt = time.Now()
 		if j.news.ended != nil {
 			close(j.news.ended)
--- a/internal/standin/lower.go
+++ b/internal/standin/lower.go
@@ -22,7 +22,7 @@
 	defer s.mu.Unlock()
 	ok := len(t.Writes) <= s.maxOps && len(t.Guards) <= 4*s.maxOps && bytes <= 64<<10
 	for _, x := range t.Writes {
-		ok = ok && jsonSize(x.Value) <= s.valueKB<<10 && (x.Put == "") != (x.Drop == "")
+		ok = ok && jsonSize(x.Value) <= s.valueKB<<10 && (x.Put == "") != (x.Delete == "")
 	}
 	if !ok {
 		s.oversize++
--- a/internal/standin/odd.go
+++ b/internal/standin/odd.go
@@ -120,7 +120,7 @@
 }
 
 // isLate counts what came late; call with the lock held.
-func (w *World) isLate(since time.Time, orders []wire.Order, which ...wire.Verb) {
+func (w *World) isLate(since time.Time, orders []wire.Command, which ...wire.Verb) {
 	if time.Since(since) < time.Second {
 		return
 	}
@@ -152,8 +152,8 @@
 	for _, rep := range reps {
 		w.mu.Lock()
 		w.odd.copies++
-		m := w.machines[rep.Host]
-		newer := m != nil && (m.shift > rep.Shift || m.shift == rep.Shift && m.tally > rep.Tally)
+		m := w.machines[rep.Machine]
+		newer := m != nil && (m.shift > rep.Session || m.shift == rep.Session && m.tally > rep.Sequence)
 		if newer {
 			w.odd.older++
 		}
@@ -162,9 +162,9 @@
 			wg.Go(func() {
 				status, raw, _ := w.Ask(i, "POST", "/hello", rep)
 				h := Handed{Node: i, Report: rep, Status: status, Newer: newer}
-				var o wire.Orders
+				var o wire.Commands
 				if status == 200 && wire.Decode(raw, &o) == nil {
-					h.Baton = o.Baton
+					h.Baton = o.Token
 				}
 				mu.Lock()
 				out = append(out, h)
@@ -188,7 +188,7 @@
 
 // Life is a machine's session, the number of its last message and the highest
 // token it has seen; zero if it is gone.
-func (w *World) Life(id wire.MachineID) (wire.Session, wire.Tally, wire.Token) {
+func (w *World) Life(id wire.MachineID) (wire.Session, wire.Sequence, wire.Token) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m := w.machines[id]; m != nil {
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -104,7 +104,7 @@
 	defer s.mu.Unlock()
 	s.rev++
 	s.keys[key] = &entry{v: wire.Encode(v), stamp: s.rev}
-	s.changes = append(s.changes, change{s.rev, wire.Change{Put: key, Value: wire.Encode(v), Stamp: s.rev}})
+	s.changes = append(s.changes, change{s.rev, wire.Change{Put: key, Value: wire.Encode(v), Revision: s.rev}})
 	s.bump()
 	return s.rev
 }
@@ -142,7 +142,7 @@
 	sort.Strings(dead)
 	for _, k := range dead {
 		delete(s.keys, k)
-		s.changes = append(s.changes, change{s.rev, wire.Change{Drop: k, Stamp: s.rev}})
+		s.changes = append(s.changes, change{s.rev, wire.Change{Delete: k, Revision: s.rev}})
 	}
 	s.bump()
 }
@@ -199,7 +199,7 @@
 		e, rev := s.keys[k], s.rev
 		var out wire.Entry
 		if e != nil {
-			out = wire.Entry{Key: k, Value: e.v, Stamp: e.stamp, Permit: e.permit}
+			out = wire.Entry{Key: k, Value: e.v, Revision: e.stamp, Grant: e.permit}
 		}
 		s.mu.Unlock()
 		if e == nil {
@@ -222,18 +222,18 @@
 			s.txn(w, hostOf(r.RemoteAddr), &t)
 		}
 	case r.URL.Path == "/grants" && r.Method == "POST":
-		var a wire.GrantAsk
-		if wire.Decode(raw, &a) != nil || a.LifeMs < 100 || a.LifeMs > 600_000 {
+		var a wire.GrantRequest
+		if wire.Decode(raw, &a) != nil || a.TTLMillis < 100 || a.TTLMillis > 600_000 {
 			bad()
 			return
 		}
 		s.mu.Lock()
 		id := s.next
 		s.next++
-		life := time.Duration(a.LifeMs) * time.Millisecond
+		life := time.Duration(a.TTLMillis) * time.Millisecond
 		s.grants[id] = &grant{life, time.Now().Add(life)}
 		s.mu.Unlock()
-		wire.Answer(w, http.StatusOK, wire.GrantResult{Permit: id})
+		wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: id})
 	case strings.HasPrefix(r.URL.Path, "/grants/"):
 		rest, renew := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/renew")
 		n, _ := strconv.ParseUint(rest, 10, 64)
@@ -251,7 +251,7 @@
 			wire.Answer(w, http.StatusNotFound, wire.Reason{Error: "no such lease"})
 			return
 		}
-		wire.Answer(w, http.StatusOK, wire.GrantResult{Permit: wire.GrantID(n)})
+		wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: wire.GrantID(n)})
 	default:
 		bad()
 	}
@@ -272,14 +272,14 @@
 		}
 	}
 	sort.Strings(ks)
-	page := wire.EntryPage{Entries: []wire.Entry{}, Ledger: s.rev}
+	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.rev}
 	for _, k := range ks {
 		if len(page.Entries) == most {
 			page.Truncated = true
 			break
 		}
 		e := s.keys[k]
-		page.Entries = append(page.Entries, wire.Entry{Key: k, Value: e.v, Stamp: e.stamp, Permit: e.permit})
+		page.Entries = append(page.Entries, wire.Entry{Key: k, Value: e.v, Revision: e.stamp, Grant: e.permit})
 	}
 	s.mu.Unlock()
 	s.limits.hold()
@@ -336,31 +336,31 @@
 func (s *State) execute(from string, t *wire.Txn) (status int, answer any) {
 	// An expired lease is told first, whatever the conditions.
 	for _, x := range t.Writes {
-		if x.Put != "" && x.Permit != 0 && s.grants[x.Permit] == nil {
+		if x.Put != "" && x.Grant != 0 && s.grants[x.Grant] == nil {
 			return http.StatusBadRequest, wire.Reason{Error: "no such lease"}
 		}
 	}
 	var failed []string
 	for _, g := range t.Guards {
 		e := s.keys[g.Key]
-		if e == nil && g.Stamp != 0 || e != nil && e.stamp != g.Stamp {
+		if e == nil && g.Revision != 0 || e != nil && e.stamp != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
 		s.limits.fails(t)
-		return http.StatusConflict, wire.TxnResult{Ledger: s.rev, Failed: failed}
+		return http.StatusConflict, wire.TxnResult{Revision: s.rev, Failed: failed}
 	}
 	if len(t.Writes) > 0 {
 		s.rev++
 		for _, x := range t.Writes {
-			if x.Drop != "" {
-				delete(s.keys, x.Drop)
-				s.changes = append(s.changes, change{s.rev, wire.Change{Drop: x.Drop, Stamp: s.rev}})
+			if x.Delete != "" {
+				delete(s.keys, x.Delete)
+				s.changes = append(s.changes, change{s.rev, wire.Change{Delete: x.Delete, Revision: s.rev}})
 				continue
 			}
-			s.keys[x.Put] = &entry{append(wire.Raw(nil), x.Value...), s.rev, x.Permit}
-			s.changes = append(s.changes, change{s.rev, wire.Change{Put: x.Put, Value: append(wire.Raw(nil), x.Value...), Stamp: s.rev}})
+			s.keys[x.Put] = &entry{append(wire.Raw(nil), x.Value...), s.rev, x.Grant}
+			s.changes = append(s.changes, change{s.rev, wire.Change{Put: x.Put, Value: append(wire.Raw(nil), x.Value...), Revision: s.rev}})
 		}
 		if keep := s.limits.kept(); len(s.changes) > keep {
 			s.cut = s.changes[len(s.changes)-keep-1].rev
@@ -369,7 +369,7 @@
 		s.late.ran(from)
 		s.bump()
 	}
-	return http.StatusOK, wire.TxnResult{Ledger: s.rev}
+	return http.StatusOK, wire.TxnResult{Revision: s.rev}
 }
 
 func (s *State) watch(w http.ResponseWriter, r *http.Request) {
@@ -381,7 +381,7 @@
 	for {
 		s.mu.Lock()
 		s.expire()
-		res := wire.Changes{Ledger: s.rev, News: []wire.Change{}}
+		res := wire.Changes{Revision: s.rev, Events: []wire.Change{}}
 		silent := s.out || s.refused[hostOf(r.RemoteAddr)]
 		if s.cut > wire.Revision(after) {
 			s.mu.Unlock()
@@ -390,15 +390,15 @@
 		}
 		if !silent {
 			for _, c := range s.changes {
-				if c.rev > wire.Revision(after) && strings.HasPrefix(c.c.Put+c.c.Drop, q.Get("under")) {
-					res.News = append(res.News, c.c)
+				if c.rev > wire.Revision(after) && strings.HasPrefix(c.c.Put+c.c.Delete, q.Get("under")) {
+					res.Events = append(res.Events, c.c)
 				}
 			}
 		}
 		wake, lag := s.wake, s.lag
 		s.mu.Unlock()
-		slices.Reverse(res.News) // as in the page's example, which promises no order
-		if len(res.News) > 0 || timeUp && !silent {
+		slices.Reverse(res.Events) // as in the page's example, which promises no order
+		if len(res.Events) > 0 || timeUp && !silent {
 			s.limits.hold()
 			if block > 0 {
 				time.Sleep(lag)
--- a/internal/standin/strain.go
+++ b/internal/standin/strain.go
@@ -102,7 +102,7 @@
 func (c *Checker) Uses(team wire.TeamID) float64 {
 	n := 0.0
 	for t := range c.on {
-		if j := c.jobs[t.Job]; j != nil && j.spec.Owner == team {
+		if j := c.jobs[t.Job]; j != nil && j.spec.Team == team {
 			n += j.spec.CPUs
 		}
 	}
@@ -113,7 +113,7 @@
 // machine.
 func (c *Checker) Waiting(id wire.JobID) int {
 	j, n := c.jobs[id], 0
-	for i := range j.spec.Parts {
+	for i := range j.spec.Tasks {
 		if _, on := c.on[wire.Task{Job: id, Index: i}]; !on && !j.done[i] {
 			n++
 		}
@@ -135,20 +135,20 @@
 	switch {
 	case !m.w.slowSaves:
 		return false
-	case x.phase == wire.Saving:
+	case x.phase == wire.PhaseSaving:
 		return windDown != nil && *windDown > 0
 	case !x.saved:
 		return false
 	}
 	x.cancel()
-	x.phase = wire.Saving
+	x.phase = wire.PhaseSaving
 	m.changed()
 	m.w.spawn(func() {
-		sleep(m.ctx, m.w.truths[t.Job].Spec.SnapshotS.Duration())
+		sleep(m.ctx, m.w.truths[t.Job].Spec.CheckpointTime.Duration())
 		m.unstalled(m.ctx)
 		m.w.mu.Lock()
 		defer m.w.mu.Unlock()
-		if m.tasks[t] == x && x.phase == wire.Saving {
+		if m.tasks[t] == x && x.phase == wire.PhaseSaving {
 			m.exit(t, x, wire.CauseStopped)
 		}
 	})
@@ -173,11 +173,11 @@
 
 // room is what is free on a machine; call with the lock held.
 func (m *worker) room() (cpus, ram float64) {
-	cpus, ram = m.flavor.CPUs, m.flavor.RAM
+	cpus, ram = m.flavor.CPUs, m.flavor.MemoryGB
 	for t, x := range m.tasks {
-		if x.phase != wire.Exited {
+		if x.phase != wire.PhaseExited {
 			cpus -= m.w.truths[t.Job].Spec.CPUs
-			ram -= m.w.truths[t.Job].Spec.RAM
+			ram -= m.w.truths[t.Job].Spec.MemoryGB
 		}
 	}
 	return cpus, ram
@@ -192,16 +192,16 @@
 	out := map[wire.JobID]int{}
 	for id, j := range w.check.jobs {
 		n := w.check.Waiting(id)
-		s, l := &j.spec, w.check.Limits[j.spec.Owner]
-		if !j.accepted || j.cancelReq || j.told != "" || n == 0 || l.CPUs > 0 && w.check.Uses(s.Owner)+s.CPUs > l.CPUs+wire.Eps {
+		s, l := &j.spec, w.check.Limits[j.spec.Team]
+		if !j.accepted || j.cancelReq || j.told != "" || n == 0 || l.CPUs > 0 && w.check.Uses(s.Team)+s.CPUs > l.CPUs+wire.Eps {
 			continue
 		}
 		zones := w.check.InZones(id)
 		for _, m := range w.machines {
 			cpus, ram := m.room()
 			elsewhere := len(zones) > 1 || len(zones) == 1 && zones[m.zone] == 0
-			if m.up && m.notice.IsZero() && cpus+wire.Eps >= s.CPUs && ram+wire.Eps >= s.RAM && (s.Standby || !m.spot) && (s.Site == "" || s.Site == m.zone) &&
-				(s.Kits == nil || slices.Contains(s.Kits, m.kit)) && !(s.SamePlace && elsewhere) && !(s.Apart && zones[m.zone] >= (s.Parts+1)/2) {
+			if m.up && m.notice.IsZero() && cpus+wire.Eps >= s.CPUs && ram+wire.Eps >= s.MemoryGB && (s.SpotAllowed || !m.spot) && (s.Zone == "" || s.Zone == m.zone) &&
+				(s.MachineTypes == nil || slices.Contains(s.MachineTypes, m.kit)) && !(s.SameZone && elsewhere) && !(s.Spread && zones[m.zone] >= (s.Tasks+1)/2) {
 				out[id] = n
 			}
 		}
--- a/internal/standin/user.go
+++ b/internal/standin/user.go
@@ -18,19 +18,19 @@
 // Submission is the map that a user sends.
 func Submission(s wire.Spec) map[string]any {
 	m := map[string]any{
-		"nameId": string(s.ID), "lane": s.Lane, "owner": string(s.Owner), "shape": string(s.Shape), "urgency": string(s.Urgency),
-		"parts": s.Parts, "cpus": s.CPUs, "cards": s.Cards, "ramGb": s.RAM, "bundle": string(s.Bundle), "imageGb": s.ImageGB,
-		"kits": nil, "site": nil, "samePlace": s.SamePlace, "apart": s.Apart, "standby": s.Standby, "expectedS": float64(s.Expected),
-		"snapshotEveryS": float64(s.SnapshotEveryS), "snapshotS": float64(s.SnapshotS), "dueS": nil,
+		"nameId": string(s.ID), "lane": s.Class, "owner": string(s.Team), "shape": string(s.Kind), "urgency": string(s.Priority),
+		"parts": s.Tasks, "cpus": s.CPUs, "cards": s.GPUs, "ramGb": s.MemoryGB, "bundle": string(s.Image), "imageGb": s.ImageGB,
+		"kits": nil, "site": nil, "samePlace": s.SameZone, "apart": s.Spread, "standby": s.SpotAllowed, "expectedS": float64(s.ExpectedRunTime),
+		"snapshotEveryS": float64(s.CheckpointInterval), "snapshotS": float64(s.CheckpointTime), "dueS": nil,
 	}
-	if s.Kits != nil {
-		m["kits"] = s.Kits
+	if s.MachineTypes != nil {
+		m["kits"] = s.MachineTypes
 	}
-	if s.Site != "" {
-		m["site"] = string(s.Site)
+	if s.Zone != "" {
+		m["site"] = string(s.Zone)
 	}
-	if s.Due > 0 {
-		m["dueS"] = float64(s.Due)
+	if s.Deadline > 0 {
+		m["dueS"] = float64(s.Deadline)
 	}
 	return m
 }
@@ -175,7 +175,7 @@
 			sleep(w.ctx, 5*time.Second)
 			if cancel > 0 && !cancelled && time.Since(begin) > cancel {
 				status, raw, _ := w.Ask(next(), "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
-				var b wire.JobBrief
+				var b wire.JobSummary
 				if status == 200 && wire.Decode(raw, &b) == nil {
 					cancelled = true
 				}
--- a/internal/standin/waiting.go
+++ b/internal/standin/waiting.go
@@ -63,8 +63,8 @@
 				held[t.Job] = map[int]wire.Zone{}
 			}
 			held[t.Job][t.Index] = rooms[i].Zone
-			u := used[j.spec.Owner]
-			used[j.spec.Owner] = Limit{u.CPUs + j.spec.CPUs, u.Cards + j.spec.Cards}
+			u := used[j.spec.Team]
+			used[j.spec.Team] = Limit{u.CPUs + j.spec.CPUs, u.Cards + j.spec.GPUs}
 		}
 	}
 	for id, j := range c.jobs {
@@ -78,16 +78,16 @@
 		}
 		moved := len(mine) > j.waits.held
 		j.waits.held = len(mine)
-		limit, u := c.Limits[s.Owner], used[s.Owner]
+		limit, u := c.Limits[s.Team], used[s.Team]
 		more := 1.0
 		if s.Gang() {
-			more = float64(s.Parts)
+			more = float64(s.Tasks)
 		}
-		full := limit.CPUs > 0 && u.CPUs+more*s.CPUs > limit.CPUs+wire.Eps || limit.Cards > 0 && u.Cards+more*s.Cards > limit.Cards+wire.Eps
+		full := limit.CPUs > 0 && u.CPUs+more*s.CPUs > limit.CPUs+wire.Eps || limit.Cards > 0 && u.Cards+more*s.GPUs > limit.Cards+wire.Eps
 		// What completed may have been lost on its way, with its machine: then its
 		// user is told that it goes on, and it waits to be started again.
 		lost := len(mine) == 0 && !j.openAt.IsZero() && now.Sub(j.openAt) < 15*time.Second
-		all := taken >= s.Parts && !lost
+		all := taken >= s.Tasks && !lost
 		if s.Gang() && (len(mine) > 0 || !gangFits(rooms, s, j.waits.failed)) {
 			j.waits.end() // what is left of its last attempt goes first
 			continue
@@ -109,7 +109,7 @@
 			could[r.Machine] = since
 			if now.Sub(since) >= waitMost && !j.waits.noted {
 				j.waits.noted = true
-				c.broke(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", id, taken, s.Parts, r.Machine)
+				c.broke(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", id, taken, s.Tasks, r.Machine)
 			}
 		}
 		j.waits.since = could
@@ -119,13 +119,13 @@
 // takes tells whether the machine can take one more task of a job whose tasks
 // are in certain zones.
 func (r *Room) takes(s *wire.Spec, zones map[wire.Zone]int) bool {
-	if r.Spot && !s.Standby || s.Site != "" && s.Site != r.Zone || s.Kits != nil && !slices.Contains(s.Kits, r.Kit) {
+	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Kit) {
 		return false
 	}
-	if s.SamePlace && len(zones) > 0 && (len(zones) > 1 || zones[r.Zone] == 0) || s.Apart && zones[r.Zone] >= (s.Parts+1)/2 {
+	if s.SameZone && len(zones) > 0 && (len(zones) > 1 || zones[r.Zone] == 0) || s.Spread && zones[r.Zone] >= (s.Tasks+1)/2 {
 		return false
 	}
-	return s.CPUs <= r.CPUs+wire.Eps && s.Cards <= r.Cards+wire.Eps && s.RAM <= r.RAM+wire.Eps && s.ImageGB <= r.ImageRoom+wire.Eps
+	return s.CPUs <= r.CPUs+wire.Eps && s.GPUs <= r.Cards+wire.Eps && s.MemoryGB <= r.RAM+wire.Eps && s.ImageGB <= r.ImageRoom+wire.Eps
 }
 
 // never says why a job can never run; empty: it can.
@@ -133,18 +133,18 @@
 	if c.Flavors == nil {
 		return ""
 	}
-	limit, known := c.Limits[s.Owner]
+	limit, known := c.Limits[s.Team]
 	if !known {
 		return "its team is unknown"
 	}
-	n := float64(s.Together())
-	if limit.CPUs > 0 && n*s.CPUs > limit.CPUs+wire.Eps || limit.Cards > 0 && n*s.Cards > limit.Cards+wire.Eps {
+	n := float64(s.MinTogether())
+	if limit.CPUs > 0 && n*s.CPUs > limit.CPUs+wire.Eps || limit.Cards > 0 && n*s.GPUs > limit.Cards+wire.Eps {
 		return "it needs more than its team's limit"
 	}
 	for i := range c.Flavors {
 		f := &c.Flavors[i]
-		for _, z := range f.Sites {
-			r := Room{Place: Place{Kit: f.Name, Zone: z}, CPUs: f.CPUs, Cards: f.Cards, RAM: f.RAM, ImageRoom: f.LocalGB}
+		for _, z := range f.Zones {
+			r := Room{Place: Place{Kit: f.Name, Zone: z}, CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB, ImageRoom: f.DiskGB}
 			if r.takes(s, nil) {
 				return ""
 			}
@@ -281,12 +281,12 @@
 	for _, id := range slices.Sorted(maps.Keys(w.machines)) {
 		m := w.machines[id]
 		r := Room{Place: Place{m.id, m.kit, m.zone, m.spot}, Open: m.up && !m.sick && m.notice.IsZero(),
-			CPUs: m.flavor.CPUs, Cards: m.flavor.Cards, RAM: m.flavor.RAM, ImageRoom: m.flavor.LocalGB}
+			CPUs: m.flavor.CPUs, Cards: m.flavor.GPUs, RAM: m.flavor.MemoryGB, ImageRoom: m.flavor.DiskGB}
 		for t, x := range m.tasks {
-			if truth := w.truths[t.Job]; truth != nil && x.phase != wire.Exited {
+			if truth := w.truths[t.Job]; truth != nil && x.phase != wire.PhaseExited {
 				r.CPUs -= truth.Spec.CPUs
-				r.Cards -= truth.Spec.Cards
-				r.RAM -= truth.Spec.RAM
+				r.Cards -= truth.Spec.GPUs
+				r.RAM -= truth.Spec.MemoryGB
 				r.Tasks = append(r.Tasks, t)
 			}
 		}
