--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -15,10 +15,10 @@
 	id     wire.MachineID
 	ip     string
 	addr   string
-	kit    wire.Kit
+	kit    wire.MachineType
 	zone   wire.Zone
 	spot   bool
-	flavor wire.Flavor
+	flavor wire.MachineSpec
 	rented time.Time
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -31,7 +31,7 @@
 	unlisted bool
 	notice   time.Time
 	shift    wire.Session
-	tally    wire.Tally
+	tally    wire.Sequence
 	baton    wire.Token
 	answered time.Time // sending time of the last answered report
 	drift    float64
@@ -44,8 +44,8 @@
 
 type run struct {
 	try    wire.Attempt
-	phase  wire.Phase
-	cause  wire.Cause
+	phase  wire.TaskPhase
+	cause  wire.ExitCause
 	saved  bool
 	cancel context.CancelFunc
 }
@@ -61,13 +61,13 @@
 // report of now; call with the lock held.
 func (m *worker) report() wire.Report {
 	m.tally++
-	r := wire.Report{Host: m.id, Addr: m.addr, Kit: m.kit, Site: m.zone, Standby: m.spot, Shift: m.shift, Tally: m.tally, Baton: m.baton, Parts: []wire.PartState{}}
+	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.kit, Zone: m.zone, Spot: m.spot, Session: m.shift, Sequence: m.tally, Token: m.baton, Tasks: []wire.TaskState{}}
 	if !m.notice.IsZero() {
 		left := wire.Seconds(max(0, time.Until(m.notice).Seconds()))
-		r.WarningS = &left
+		r.SpotNotice = &left
 	}
 	for t, x := range m.tasks {
-		r.Parts = append(r.Parts, wire.PartState{Part: t.String(), Try: x.try, Phase: x.phase, Cause: x.cause, Saved: x.saved})
+		r.Tasks = append(r.Tasks, wire.TaskState{Task: t.String(), Attempt: x.try, Phase: x.phase, Cause: x.cause, Saved: x.saved})
 	}
 	return r
 }
@@ -111,12 +111,12 @@
 		again := false
 		switch status {
 		case http.StatusOK:
-			var o wire.Orders
+			var o wire.Commands
 			if wire.Decode(body, &o) == nil {
-				m.obey(&o, life, rep.Shift, sent)
+				m.obey(&o, life, rep.Session, sent)
 			}
 		case http.StatusMisdirectedRequest:
-			var e wire.Elsewhere
+			var e wire.Redirect
 			hc.CloseIdleConnections()
 			if wire.Decode(body, &e) == nil && e.ReportsTo != "" && parseID(string(e.ReportsTo)) != at {
 				at = parseID(string(e.ReportsTo))
@@ -160,16 +160,16 @@
 }
 
 // obey takes the answer of a report that was sent in the given session.
-func (m *worker) obey(o *wire.Orders, life int, shift wire.Session, sent time.Time) {
+func (m *worker) obey(o *wire.Commands, life int, shift wire.Session, sent time.Time) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	if m.dead || o.Baton < m.baton || o.Baton == 0 || shift != m.shift || life != m.life {
+	if m.dead || o.Token < m.baton || o.Token == 0 || shift != m.shift || life != m.life {
 		return
 	}
-	m.see(o.Baton)
+	m.see(o.Token)
 	m.answered = sent
-	m.execute(o.Orders)
-	m.w.isLate(sent, o.Orders, wire.Forget)
+	m.execute(o.Commands)
+	m.w.isLate(sent, o.Commands, wire.Forget)
 }
 
 func (m *worker) see(b wire.Token) {
@@ -225,19 +225,19 @@
 	}
 	status := http.StatusOK
 	if r.URL.Path == "/commands" {
-		var o wire.Orders
+		var o wire.Commands
 		err := wire.Decode(raw, &o)
-		m.w.isLate(came, o.Orders, wire.Launch, wire.Halt)
+		m.w.isLate(came, o.Commands, wire.Launch, wire.Halt)
 		switch {
-		case err != nil || o.Baton == 0 || o.Shift == 0:
+		case err != nil || o.Token == 0 || o.Session == 0:
 			status = http.StatusBadRequest
-		case o.Baton < m.baton || o.Shift != m.shift:
+		case o.Token < m.baton || o.Session != m.shift:
 			status = http.StatusConflict
 		default:
-			m.see(o.Baton)
-			m.execute(o.Orders)
-			if len(o.Orders) > 0 {
-				m.w.isLate(time.Now().Add(-lag.Answer), []wire.Order{{Verb: Answered}}, Answered)
+			m.see(o.Token)
+			m.execute(o.Commands)
+			if len(o.Commands) > 0 {
+				m.w.isLate(time.Now().Add(-lag.Answer), []wire.Command{{Verb: Answered}}, Answered)
 			}
 		}
 	}
@@ -248,35 +248,35 @@
 }
 
 // execute carries commands out in order; call with the lock held.
-func (m *worker) execute(orders []wire.Order) {
+func (m *worker) execute(orders []wire.Command) {
 	for _, o := range orders {
-		t, err := wire.ParseTask(o.Part)
+		t, err := wire.ParseTask(o.Task)
 		if err != nil {
 			continue
 		}
 		x := m.tasks[t]
 		switch o.Verb {
 		case wire.Launch:
-			if x != nil && x.try == o.Try {
+			if x != nil && x.try == o.Attempt {
 				continue
 			}
-			m.launch(t, o.Try, x)
+			m.launch(t, o.Attempt, x)
 		case wire.Halt:
-			if x == nil || x.try != o.Try || x.phase == wire.Exited {
+			if x == nil || x.try != o.Attempt || x.phase == wire.PhaseExited {
 				continue
 			}
 			if m.w.truths[t.Job].Spec.Gang() {
-				m.haltGang(t, x, o.WindDown)
+				m.haltGang(t, x, o.GracePeriod)
 				continue
 			}
-			x.saved = x.phase == wire.Active && o.WindDown != nil && *o.WindDown >= m.w.truths[t.Job].Spec.SnapshotS && m.w.truths[t.Job].Spec.SnapshotEveryS > 0
-			if m.save(t, x, o.WindDown) {
+			x.saved = x.phase == wire.PhaseRunning && o.GracePeriod != nil && *o.GracePeriod >= m.w.truths[t.Job].Spec.CheckpointTime && m.w.truths[t.Job].Spec.CheckpointInterval > 0
+			if m.save(t, x, o.GracePeriod) {
 				continue
 			}
 			x.cancel()
 			m.exit(t, x, wire.CauseStopped)
 		case wire.Forget:
-			if x != nil && x.try == o.Try && x.phase == wire.Exited {
+			if x != nil && x.try == o.Attempt && x.phase == wire.PhaseExited {
 				delete(m.tasks, t)
 			}
 		}
@@ -285,40 +285,40 @@
 
 func (m *worker) launch(t wire.Task, try wire.Attempt, old *run) {
 	ctx, cancel := context.WithCancel(m.ctx)
-	x := &run{try: try, phase: wire.Pulling, cancel: cancel}
-	refuse := func(c wire.Cause) {
-		x.phase, x.cause = wire.Exited, c
+	x := &run{try: try, phase: wire.PhaseFetching, cancel: cancel}
+	refuse := func(c wire.ExitCause) {
+		x.phase, x.cause = wire.PhaseExited, c
 		m.tasks[t] = x
 		m.changed()
 	}
 	truth := m.w.truths[t.Job]
 	switch {
-	case truth == nil || t.Index >= truth.Spec.Parts:
+	case truth == nil || t.Index >= truth.Spec.Tasks:
 		refuse(wire.CauseNoSuch)
 		return
-	case old != nil && old.phase != wire.Exited:
+	case old != nil && old.phase != wire.PhaseExited:
 		return // busy: the running attempt stays listed
 	}
 	if m.refuses() {
 		refuse(wire.CauseFull)
 		return
 	}
-	cpus, ram := m.flavor.CPUs, m.flavor.RAM
+	cpus, ram := m.flavor.CPUs, m.flavor.MemoryGB
 	for o, r := range m.tasks {
-		if r.phase != wire.Exited {
+		if r.phase != wire.PhaseExited {
 			cpus -= m.w.truths[o.Job].Spec.CPUs
-			ram -= m.w.truths[o.Job].Spec.RAM
+			ram -= m.w.truths[o.Job].Spec.MemoryGB
 		}
 	}
-	if truth.Spec.CPUs > cpus+wire.Eps || truth.Spec.RAM > ram+wire.Eps {
+	if truth.Spec.CPUs > cpus+wire.Eps || truth.Spec.MemoryGB > ram+wire.Eps {
 		refuse(wire.CauseFull)
 		return
 	}
 	m.tasks[t] = x
 	m.changed()
 	fetch := time.Duration(0)
-	if !m.cached[truth.Spec.Bundle] {
-		fetch = time.Duration(truth.Spec.ImageGB / m.flavor.PullGBPerS / m.w.speedOf(m.id) * float64(time.Second))
+	if !m.cached[truth.Spec.Image] {
+		fetch = time.Duration(truth.Spec.ImageGB / m.flavor.FetchGBPerS / m.w.speedOf(m.id) * float64(time.Second))
 	}
 	m.w.spawn(func() {
 		m.work(ctx, fetch)
@@ -328,8 +328,8 @@
 			m.w.mu.Unlock()
 			return
 		}
-		m.cached[truth.Spec.Bundle] = true
-		x.phase = wire.Active
+		m.cached[truth.Spec.Image] = true
+		x.phase = wire.PhaseRunning
 		if truth.Spec.Gang() {
 			m.w.check.Started(t, Place{m.id, m.kit, m.zone, m.spot}, time.Now())
 			m.join(t, x)
@@ -363,14 +363,14 @@
 }
 
 // exit ends a task; call with the lock held.
-func (m *worker) exit(t wire.Task, x *run, c wire.Cause) {
-	if x.phase != wire.Pulling {
+func (m *worker) exit(t wire.Task, x *run, c wire.ExitCause) {
+	if x.phase != wire.PhaseFetching {
 		m.w.check.Left(t, m.id, c == wire.CauseDone)
 	}
 	if c == wire.CauseError {
 		m.w.check.Failed(t, m.id)
 	}
-	x.phase, x.cause = wire.Exited, c
+	x.phase, x.cause = wire.PhaseExited, c
 	m.w.gangGone(t, x)
 	m.changed()
 }
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -43,7 +43,7 @@
 	ctx      context.Context
 	start    Starter
 	rng      *rand.Rand
-	flavors  []wire.Flavor
+	flavors  []wire.MachineSpec
 	capacity map[string]int // type/zone/kind -> how many more
 	machines map[wire.MachineID]*worker
 	booked   map[string][]wire.MachineID
@@ -80,7 +80,7 @@
 
 type snapshot struct {
 	at    time.Time
-	hosts []wire.Host
+	hosts []wire.ListedMachine
 }
 
 // Endpoints of the stand-ins and nodes on the in-memory network.
@@ -142,9 +142,9 @@
 	w := &World{
 		Net: NewNetwork(time.Millisecond), State: NewState(set.State.TxnOps, int(set.State.ValueKB)), Set: set,
 		check: NewChecker(set.Workers.CancelS.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
-		flavors: []wire.Flavor{
-			{Name: "c4", CPUs: 4, RAM: 16, LocalGB: 20, PullGBPerS: 1, Rate: 0.3, LowPrice: 0.1, ReadyS: 10, Sites: set.Zones},
-			{Name: "c16", CPUs: 16, RAM: 64, LocalGB: 20, PullGBPerS: 1, Rate: 1.1, LowPrice: 0.4, ReadyS: 10, Sites: set.Zones},
+		flavors: []wire.MachineSpec{
+			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
+			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: set.Zones},
 		},
 		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, booked: map[string][]wire.MachineID{},
 		truths: map[wire.JobID]*Truth{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLagS.Duration(), bootFactor: 1,
@@ -301,7 +301,7 @@
 
 // ---- the cloud ----
 
-func offer(k wire.Kit, z wire.Zone, spot bool) string {
+func offer(k wire.MachineType, z wire.Zone, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", k, z, spot)
 }
 
@@ -404,17 +404,17 @@
 }
 
 // hosts lists the machines now; call with the lock held.
-func (w *World) hosts() []wire.Host {
-	out := []wire.Host{}
+func (w *World) hosts() []wire.ListedMachine {
+	out := []wire.ListedMachine{}
 	for _, m := range w.machines {
 		if m.unlisted {
 			continue
 		}
-		st := wire.HostStarting
+		st := wire.ListedStarting
 		if m.up {
-			st = wire.HostRunning
+			st = wire.ListedRunning
 		}
-		out = append(out, wire.Host{Name: m.id, Addr: m.addr, Kit: m.kit, Site: m.zone, Standby: m.spot, State: st, Age: wire.Seconds(time.Since(m.rented).Seconds())})
+		out = append(out, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.kit, Zone: m.zone, Spot: m.spot, State: st, Age: wire.Seconds(time.Since(m.rented).Seconds())})
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
 	return out
@@ -434,14 +434,14 @@
 	}
 	switch r.URL.Path {
 	case "/flavors":
-		wire.Answer(rw, http.StatusOK, wire.Flavors{Kits: w.flavors})
+		wire.Answer(rw, http.StatusOK, wire.MachineSpecs{Types: w.flavors})
 	case "/machines/release":
-		var h wire.Hosts
-		if wire.Decode(raw, &h) != nil || len(h.Hosts) > 100 {
+		var h wire.MachineNames
+		if wire.Decode(raw, &h) != nil || len(h.Machines) > 100 {
 			wire.Answer(rw, http.StatusBadRequest, wire.Reason{Error: "malformed"})
 			return
 		}
-		for _, id := range h.Hosts {
+		for _, id := range h.Machines {
 			w.remove(id)
 		}
 		if w.loseRelease > 0 {
@@ -465,12 +465,12 @@
 	if w.rng.IntN(4) == 0 {
 		lag *= 2 // older than the one before
 	}
-	page := wire.HostPage{Hosts: []wire.Host{}}
+	page := wire.MachinePage{Machines: []wire.ListedMachine{}}
 	for i := len(w.history) - 1; i >= 0; i-- {
 		if now.Sub(w.history[i].at) >= lag {
 			for _, h := range w.history[i].hosts {
 				if string(h.Name) > r.URL.Query().Get("after") {
-					page.Hosts = append(page.Hosts, h)
+					page.Machines = append(page.Machines, h)
 				}
 			}
 			break
@@ -483,22 +483,22 @@
 }
 
 func (w *World) rent(rw http.ResponseWriter, raw []byte) {
-	var b wire.Booking
+	var b wire.RentalRequest
 	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
 		wire.Answer(rw, http.StatusBadRequest, wire.Reason{Error: "malformed"})
 		return
 	}
 	ids, known := w.booked[b.Name]
 	if !known {
-		of := offer(b.Kit, b.Site, b.Standby)
+		of := offer(b.Type, b.Zone, b.Spot)
 		n := min(b.Count, w.capacity[of])
-		if n <= 0 || w.soldOut[b.Site] || w.noSpot && b.Standby {
+		if n <= 0 || w.soldOut[b.Zone] || w.noSpot && b.Spot {
 			wire.Answer(rw, http.StatusServiceUnavailable, wire.Reason{Error: "no capacity"})
 			return
 		}
 		w.capacity[of] -= n
 		for range n {
-			ids = append(ids, w.boot(b.Kit, b.Site, b.Standby, time.Duration(float64(10*time.Second)*w.bootFactor*(0.6+0.9*w.rng.Float64()))))
+			ids = append(ids, w.boot(b.Type, b.Zone, b.Spot, time.Duration(float64(10*time.Second)*w.bootFactor*(0.6+0.9*w.rng.Float64()))))
 		}
 		w.booked[b.Name] = ids
 	}
@@ -506,15 +506,15 @@
 		w.loseRent--
 		panic(http.ErrAbortHandler)
 	}
-	wire.Answer(rw, http.StatusOK, wire.Hosts{Hosts: ids})
+	wire.Answer(rw, http.StatusOK, wire.MachineNames{Machines: ids})
 }
 
 // boot makes a machine; call with the lock held.
-func (w *World) boot(kit wire.Kit, zone wire.Zone, spot bool, after time.Duration) wire.MachineID {
+func (w *World) boot(kit wire.MachineType, zone wire.Zone, spot bool, after time.Duration) wire.MachineID {
 	id := wire.MachineID(fmt.Sprintf("n-%06d", w.seq))
 	ip := fmt.Sprintf("10.1.%d.%d", w.seq/250, w.seq%250+1)
 	w.seq++
-	var f wire.Flavor
+	var f wire.MachineSpec
 	for _, x := range w.flavors {
 		if x.Name == kit {
 			f = x
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -243,7 +243,7 @@
 		if first == 0 {
 			// A watch from the revision of the first page misses nothing
 			// that a later page was read before.
-			first = page.Ledger
+			first = page.Revision
 		}
 		all = append(all, page.Entries...)
 		if !page.Truncated || len(page.Entries) == 0 {
@@ -269,10 +269,10 @@
 	switch {
 	case err != nil:
 		return 0, err
-	case status == http.StatusOK && res.Ledger > 0:
-		return res.Ledger, nil
+	case status == http.StatusOK && res.Revision > 0:
+		return res.Revision, nil
 	case status == http.StatusConflict:
-		return res.Ledger, &ConflictError{Failed: res.Failed}
+		return res.Revision, &ConflictError{Failed: res.Failed}
 	default:
 		return 0, fmt.Errorf("%w: status %d", ErrUnknown, status)
 	}
@@ -284,14 +284,14 @@
 		return 0, err
 	}
 	var res wire.GrantResult
-	status, err := c.do(ctx, c.http, "grant", "POST", "/grants", wire.GrantAsk{LifeMs: life.Milliseconds()}, &res, callTimeout)
+	status, err := c.do(ctx, c.http, "grant", "POST", "/grants", wire.GrantRequest{TTLMillis: life.Milliseconds()}, &res, callTimeout)
 	if err != nil {
 		return 0, err
 	}
 	if status != http.StatusOK {
 		return 0, fmt.Errorf("%w: status %d", ErrUnknown, status)
 	}
-	return res.Permit, nil
+	return res.Grant, nil
 }
 
 // Renew gives a lease its full time again.
@@ -331,6 +331,6 @@
 		err = fmt.Errorf("%w: status %d", ErrUnknown, status)
 	}
 	// The service promises no order; the last word on a key must come last.
-	slices.SortStableFunc(res.News, func(a, b wire.Change) int { return cmp.Compare(a.Stamp, b.Stamp) })
+	slices.SortStableFunc(res.Events, func(a, b wire.Change) int { return cmp.Compare(a.Revision, b.Revision) })
 	return res, err
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -53,7 +53,7 @@
 		}
 		st.Outage(false)
 		st.LoseAnswers(1)
-		if _, err := c.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Drop: "k"}}}); !errors.Is(err, store.ErrUnknown) {
+		if _, err := c.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Delete: "k"}}}); !errors.Is(err, store.ErrUnknown) {
 			t.Errorf("answer lost: %v", err)
 		}
 		if n := st.Keys("k"); len(n) != 0 {
--- a/internal/store/copy.go
+++ b/internal/store/copy.go
@@ -87,14 +87,14 @@
 		if err == nil {
 			y.mu.Lock()
 			defer y.mu.Unlock()
-			for _, n := range ch.News {
-				if n.Drop != "" {
-					delete(y.live, wire.JobID(n.Drop[len(JobPrefix):]))
+			for _, n := range ch.Events {
+				if n.Delete != "" {
+					delete(y.live, wire.JobID(n.Delete[len(JobPrefix):]))
 				} else {
-					y.put(n.Value, n.Stamp)
+					y.put(n.Value, n.Revision)
 				}
 			}
-			y.rev = max(y.rev, ch.Ledger)
+			y.rev = max(y.rev, ch.Revision)
 			y.ledger.Read(began)
 			return nil
 		}
@@ -110,7 +110,7 @@
 	defer y.mu.Unlock()
 	clear(y.live)
 	for _, e := range entries {
-		y.put(e.Value, e.Stamp)
+		y.put(e.Value, e.Revision)
 	}
 	y.rev = rev
 	y.ledger.Read(began)
--- a/internal/store/copy_test.go
+++ b/internal/store/copy_test.go
@@ -68,7 +68,7 @@
 				st.Put(store.JobKey(id), store.JobRecord{Spec: wire.Spec{ID: id}, Status: wire.Cancelled})
 			default:
 				delete(model, id)
-				if _, err := c.Commit(ctx, store.Vital, wire.Txn{Writes: []wire.Write{{Drop: store.JobKey(id)}}}); err != nil {
+				if _, err := c.Commit(ctx, store.Vital, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey(id)}}}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -150,8 +150,8 @@
 		if got, err := y.Get(ctx, "req-1"); err != nil || got.Status != wire.Queued {
 			t.Errorf("%v %v", got, err)
 		}
-		if _, err := c.Commit(ctx, store.Vital, wire.Txn{Writes: []wire.Write{{Drop: store.JobKey("req-1")},
-			{Put: store.PastKey("req-1"), Value: wire.Encode(store.PastRecord{Status: wire.Done})}, {Drop: store.ChunkKey("req-1", 0)}}}); err != nil {
+		if _, err := c.Commit(ctx, store.Vital, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey("req-1")},
+			{Put: store.PastKey("req-1"), Value: wire.Encode(store.PastRecord{Status: wire.Done})}, {Delete: store.ChunkKey("req-1", 0)}}}); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := y.Get(ctx, "req-1"); !errors.Is(err, store.ErrMissing) {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -68,8 +68,8 @@
 	Spec   wire.Spec   `cbor:"spec"`
 	Status wire.Status `cbor:"status"`
 	// At is when the job was accepted, Ended when it was cancelled.
-	At    wire.Stamp `cbor:"at"`
-	Ended wire.Stamp `cbor:"ended,omitempty"`
+	At    wire.Timestamp `cbor:"at"`
+	Ended wire.Timestamp `cbor:"ended,omitempty"`
 	// Chunk is how many tasks a chunk of its progress has, fixed when the job
 	// is accepted; 0: ChunkSize.
 	Chunk int `cbor:"chunk,omitempty"`
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -24,7 +24,7 @@
 	// Zone names a zone.
 	Zone string
 	// Kit names a machine type.
-	Kit string
+	MachineType string
 	// ImageID names an image.
 	ImageID string
 	// Token says who may command the workers; the higher one wins.
@@ -38,22 +38,22 @@
 	// Session counts the lives of a worker between two ends of its lease.
 	Session uint64
 	// Tally orders the messages of a worker within a session.
-	Tally uint64
+	Sequence uint64
 	// Seconds is a duration as the protocol writes it.
 	Seconds float64
 	// Stamp is a time of day in milliseconds, comparable between nodes only
 	// within the bound that the settings give.
-	Stamp int64
+	Timestamp int64
 )
 
 // Duration converts to the time package's type.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
 // StampOf converts a time of day.
-func StampOf(t time.Time) Stamp { return Stamp(t.UnixMilli()) }
+func TimestampOf(t time.Time) Timestamp { return Timestamp(t.UnixMilli()) }
 
 // Time converts back.
-func (s Stamp) Time() time.Time { return time.UnixMilli(int64(s)) }
+func (s Timestamp) Time() time.Time { return time.UnixMilli(int64(s)) }
 
 // Task is one part of a job.
 type Task struct {
@@ -74,7 +74,7 @@
 	}
 	digits := s[slash+1:]
 	n, err := strconv.Atoi(digits)
-	if err != nil || n < 0 || n >= MaxParts || strconv.Itoa(n) != digits {
+	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != digits {
 		return Task{}, errTask
 	}
 	id := JobID(s[:slash])
@@ -85,7 +85,7 @@
 }
 
 // MaxParts is the largest number of tasks that a job may have.
-const MaxParts = 100_000
+const MaxTasks = 100_000
 
 const maxDigits = 32
 
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -7,31 +7,31 @@
 
 // Entry is a key of the state service with its value.
 type Entry struct {
-	Key    string   `cbor:"k"`
-	Value  Raw      `cbor:"v"`
-	Stamp  Revision `cbor:"stamp"`
-	Permit GrantID  `cbor:"permit,omitempty"`
+	Key      string   `cbor:"k"`
+	Value    Raw      `cbor:"v"`
+	Revision Revision `cbor:"stamp"`
+	Grant    GrantID  `cbor:"permit,omitempty"`
 }
 
 // EntryPage is one page of keys.
 type EntryPage struct {
 	Entries   []Entry  `cbor:"entries"`
 	Truncated bool     `cbor:"truncated"`
-	Ledger    Revision `cbor:"ledger"`
+	Revision  Revision `cbor:"ledger"`
 }
 
 // Guard is a condition of a transaction; stamp 0: the key must not exist.
 type Guard struct {
-	Key   string   `cbor:"k"`
-	Stamp Revision `cbor:"stamp"`
+	Key      string   `cbor:"k"`
+	Revision Revision `cbor:"stamp"`
 }
 
 // Write is one change of a transaction.
 type Write struct {
 	Put    string  `cbor:"put,omitempty"`
 	Value  Raw     `cbor:"v,omitempty"`
-	Permit GrantID `cbor:"permit,omitempty"`
-	Drop   string  `cbor:"drop,omitempty"`
+	Grant  GrantID `cbor:"permit,omitempty"`
+	Delete string  `cbor:"drop,omitempty"`
 }
 
 // Txn is a transaction.
@@ -42,30 +42,30 @@
 
 // TxnResult answers a transaction.
 type TxnResult struct {
-	Ledger Revision `cbor:"ledger"`
-	Failed []string `cbor:"failed,omitempty"`
+	Revision Revision `cbor:"ledger"`
+	Failed   []string `cbor:"failed,omitempty"`
 }
 
 // GrantAsk asks for a lease of the state service.
-type GrantAsk struct {
-	LifeMs int64 `cbor:"lifeMs"`
+type GrantRequest struct {
+	TTLMillis int64 `cbor:"lifeMs"`
 }
 
 // GrantResult answers it.
 type GrantResult struct {
-	Permit GrantID `cbor:"permit"`
+	Grant GrantID `cbor:"permit"`
 }
 
 // Change is one event of a watch.
 type Change struct {
-	Put   string   `cbor:"put,omitempty"`
-	Drop  string   `cbor:"drop,omitempty"`
-	Value Raw      `cbor:"v,omitempty"`
-	Stamp Revision `cbor:"stamp"`
+	Put      string   `cbor:"put,omitempty"`
+	Delete   string   `cbor:"drop,omitempty"`
+	Value    Raw      `cbor:"v,omitempty"`
+	Revision Revision `cbor:"stamp"`
 }
 
 // Changes answers a watch.
 type Changes struct {
-	Ledger Revision `cbor:"ledger"`
-	News   []Change `cbor:"news"`
+	Revision Revision `cbor:"ledger"`
+	Events   []Change `cbor:"news"`
 }
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -3,34 +3,34 @@
 import "math"
 
 // Shape of a job.
-type Shape string
+type JobKind string
 
 // The shapes that users submit.
 const (
-	Sweep    Shape = "sweep"    // an array of independent tasks
-	Daemon   Shape = "daemon"   // a service: replicas until cancelled
-	Ensemble Shape = "ensemble" // a gang: all tasks run at the same time, or none
+	KindArray   JobKind = "sweep"    // an array of independent tasks
+	KindService JobKind = "daemon"   // a service: replicas until cancelled
+	KindGang    JobKind = "ensemble" // a gang: all tasks run at the same time, or none
 )
 
 // Urgency is a job's priority.
-type Urgency string
+type Priority string
 
 // The priorities, highest first.
 const (
-	Prod       Urgency = "prod"
-	Urgent     Urgency = "urgent"
-	Standard   Urgency = "standard"
-	BestEffort Urgency = "best_effort"
+	PriorityProd       Priority = "prod"
+	PriorityUrgent     Priority = "urgent"
+	PriorityStandard   Priority = "standard"
+	PriorityBestEffort Priority = "best_effort"
 )
 
 // Rank orders priorities; the higher rank may preempt the lower.
-func (u Urgency) Rank() int {
+func (u Priority) Rank() int {
 	switch u {
-	case Prod:
+	case PriorityProd:
 		return 3
-	case Urgent:
+	case PriorityUrgent:
 		return 2
-	case Standard:
+	case PriorityStandard:
 		return 1
 	default:
 		return 0
@@ -53,73 +53,73 @@
 
 // Spec is what a user submitted, checked.
 type Spec struct {
-	ID             JobID   `cbor:"nameId"`
-	Lane           string  `cbor:"lane"`
-	Owner          TeamID  `cbor:"owner"`
-	Shape          Shape   `cbor:"shape"`
-	Urgency        Urgency `cbor:"urgency"`
-	Parts          int     `cbor:"parts"`
-	CPUs           float64 `cbor:"cpus"`
-	Cards          float64 `cbor:"cards"`
-	RAM            float64 `cbor:"ramGb"`
-	Bundle         ImageID `cbor:"bundle"`
-	ImageGB        float64 `cbor:"imageGb"`
-	Kits           []Kit   `cbor:"kits,omitempty"`
-	Site           Zone    `cbor:"site,omitempty"`
-	SamePlace      bool    `cbor:"samePlace"`
-	Apart          bool    `cbor:"apart"`
-	Standby        bool    `cbor:"standby"`
-	Expected       Seconds `cbor:"expectedS"`
-	SnapshotEveryS Seconds `cbor:"snapshotEveryS"`
-	SnapshotS      Seconds `cbor:"snapshotS"`
-	Due            Seconds `cbor:"dueS,omitempty"` // 0: no deadline
+	ID                 JobID         `cbor:"nameId"`
+	Class              string        `cbor:"lane"`
+	Team               TeamID        `cbor:"owner"`
+	Kind               JobKind       `cbor:"shape"`
+	Priority           Priority      `cbor:"urgency"`
+	Tasks              int           `cbor:"parts"`
+	CPUs               float64       `cbor:"cpus"`
+	GPUs               float64       `cbor:"cards"`
+	MemoryGB           float64       `cbor:"ramGb"`
+	Image              ImageID       `cbor:"bundle"`
+	ImageGB            float64       `cbor:"imageGb"`
+	MachineTypes       []MachineType `cbor:"kits,omitempty"`
+	Zone               Zone          `cbor:"site,omitempty"`
+	SameZone           bool          `cbor:"samePlace"`
+	Spread             bool          `cbor:"apart"`
+	SpotAllowed        bool          `cbor:"standby"`
+	ExpectedRunTime    Seconds       `cbor:"expectedS"`
+	CheckpointInterval Seconds       `cbor:"snapshotEveryS"`
+	CheckpointTime     Seconds       `cbor:"snapshotS"`
+	Deadline           Seconds       `cbor:"dueS,omitempty"` // 0: no deadline
 }
 
 // Service tells whether the job's tasks run until it is cancelled.
-func (s *Spec) Service() bool { return s.Shape == Daemon }
+func (s *Spec) Service() bool { return s.Kind == KindService }
 
 // Gang tells whether all of the job's tasks run at the same time or none does.
-func (s *Spec) Gang() bool { return s.Shape == Ensemble }
+func (s *Spec) Gang() bool { return s.Kind == KindGang }
 
 // Together is how many of the job's tasks must be able to run at the same time:
 // all of a service or a gang.
-func (s *Spec) Together() int {
+func (s *Spec) MinTogether() int {
 	if s.Service() || s.Gang() {
-		return s.Parts
+		return s.Tasks
 	}
 	return 1
 }
 
 // ZoneCap is how many of the job's tasks may be in one zone.
 func (s *Spec) ZoneCap() int {
-	if s.Apart {
-		return (s.Parts + 1) / 2
+	if s.Spread {
+		return (s.Tasks + 1) / 2
 	}
-	return s.Parts
+	return s.Tasks
 }
 
 // submission mirrors Spec with pointers, so that a missing field shows.
 type submission struct {
-	ID             *string   `cbor:"nameId"`
-	Lane           *string   `cbor:"lane"`
-	Owner          *string   `cbor:"owner"`
-	Shape          *string   `cbor:"shape"`
-	Urgency        *string   `cbor:"urgency"`
-	Parts          *int64    `cbor:"parts"`
-	CPUs           *float64  `cbor:"cpus"`
-	Cards          *float64  `cbor:"cards"`
-	RAM            *float64  `cbor:"ramGb"`
-	Bundle         *string   `cbor:"bundle"`
-	ImageGB        *float64  `cbor:"imageGb"`
-	Kits           *[]string `cbor:"kits"`
-	Site           *string   `cbor:"site"`
-	SamePlace      *bool     `cbor:"samePlace"`
-	Apart          *bool     `cbor:"apart"`
-	Standby        *bool     `cbor:"standby"`
-	Expected       *float64  `cbor:"expectedS"`
-	SnapshotEveryS *float64  `cbor:"snapshotEveryS"`
-	SnapshotS      *float64  `cbor:"snapshotS"`
-	Due            *float64  `cbor:"dueS"`
+	ID                 *string   `cbor:"nameId"`
+	Class              *string   `cbor:"lane"`
+	Team               *string   `cbor:"owner"`
+	Kind               *string   `cbor:"shape"`
+	Priority           *string   `cbor:"urgency"`
+	Tasks              *int64    `cbor:"parts"`
+	CPUs               *float64  `cbor:"cpus"`
+	GPUs               *float64  `cbor:"cards"`
+	MemoryGB           *float64  `cbor:"ramGb"`
+	Image              *string   `cbor:"bundle"`
+	ImageGB            *float64  `cbor:"imageGb"`
+	MachineTypes       *[]string `cbor:"kits"`
+	Zone               *string   `cbor:"site"`
+	SameZone           *bool     `cbor:"samePlace"`
+	Spread             *bool     `cbor:"apart"`
+	SpotAllowed        *bool     `cbor:"standby"`
+	ExpectedRunTime    *float64  `cbor:"expectedS"`
+	CheckpointInterval *float64  `cbor:"snapshotEveryS"`
+	CheckpointTime     *float64  `cbor:"snapshotS"`
+	Deadline           *float64  `cbor:"dueS"`
 }
 
 const maxText = 120
@@ -170,57 +170,57 @@
 		return *p
 	}
 	s := Spec{
-		ID:             JobID(text("nameId", in.ID)),
-		Lane:           text("lane", in.Lane),
-		Owner:          TeamID(text("owner", in.Owner)),
-		Shape:          Shape(text("shape", in.Shape)),
-		Urgency:        Urgency(text("urgency", in.Urgency)),
-		CPUs:           amount("cpus", in.CPUs, true),
-		Cards:          amount("cards", in.Cards, false),
-		RAM:            amount("ramGb", in.RAM, false),
-		Bundle:         ImageID(text("bundle", in.Bundle)),
-		ImageGB:        amount("imageGb", in.ImageGB, false),
-		SamePlace:      flag("samePlace", in.SamePlace),
-		Apart:          flag("apart", in.Apart),
-		Standby:        flag("standby", in.Standby),
-		Expected:       Seconds(amount("expectedS", in.Expected, false)),
-		SnapshotEveryS: Seconds(amount("snapshotEveryS", in.SnapshotEveryS, false)),
-		SnapshotS:      Seconds(amount("snapshotS", in.SnapshotS, false)),
+		ID:                 JobID(text("nameId", in.ID)),
+		Class:              text("lane", in.Class),
+		Team:               TeamID(text("owner", in.Team)),
+		Kind:               JobKind(text("shape", in.Kind)),
+		Priority:           Priority(text("urgency", in.Priority)),
+		CPUs:               amount("cpus", in.CPUs, true),
+		GPUs:               amount("cards", in.GPUs, false),
+		MemoryGB:           amount("ramGb", in.MemoryGB, false),
+		Image:              ImageID(text("bundle", in.Image)),
+		ImageGB:            amount("imageGb", in.ImageGB, false),
+		SameZone:           flag("samePlace", in.SameZone),
+		Spread:             flag("apart", in.Spread),
+		SpotAllowed:        flag("standby", in.SpotAllowed),
+		ExpectedRunTime:    Seconds(amount("expectedS", in.ExpectedRunTime, false)),
+		CheckpointInterval: Seconds(amount("snapshotEveryS", in.CheckpointInterval, false)),
+		CheckpointTime:     Seconds(amount("snapshotS", in.CheckpointTime, false)),
 	}
 	if !s.ID.Valid() {
 		fail("nameId", "not of the form req-000412")
 	}
-	if s.Shape != Sweep && s.Shape != Daemon && s.Shape != Ensemble {
+	if s.Kind != KindArray && s.Kind != KindService && s.Kind != KindGang {
 		fail("shape", "unknown")
 	}
-	switch s.Urgency {
-	case Prod, Urgent, Standard, BestEffort:
+	switch s.Priority {
+	case PriorityProd, PriorityUrgent, PriorityStandard, PriorityBestEffort:
 	default:
 		fail("urgency", "unknown")
 	}
 	switch {
-	case in.Parts == nil:
+	case in.Tasks == nil:
 		fail("parts", "missing")
-	case *in.Parts < 1 || *in.Parts > MaxParts:
+	case *in.Tasks < 1 || *in.Tasks > MaxTasks:
 		fail("parts", "must be 1 to 100000")
 	default:
-		s.Parts = int(*in.Parts)
+		s.Tasks = int(*in.Tasks)
 	}
-	if in.Kits != nil {
-		if len(*in.Kits) == 0 || len(*in.Kits) > 64 {
+	if in.MachineTypes != nil {
+		if len(*in.MachineTypes) == 0 || len(*in.MachineTypes) > 64 {
 			fail("kits", "must be null or name 1 to 64 types")
 		}
-		for _, k := range *in.Kits {
-			s.Kits = append(s.Kits, Kit(text("kits", &k)))
+		for _, k := range *in.MachineTypes {
+			s.MachineTypes = append(s.MachineTypes, MachineType(text("kits", &k)))
 		}
 	}
-	if in.Site != nil {
-		s.Site = Zone(text("site", in.Site))
+	if in.Zone != nil {
+		s.Zone = Zone(text("site", in.Zone))
 	}
-	if in.Due != nil {
-		s.Due = Seconds(amount("dueS", in.Due, false))
-		if s.Due == 0 {
-			s.Due = 0.001 // a deadline of zero is a deadline, not its absence
+	if in.Deadline != nil {
+		s.Deadline = Seconds(amount("dueS", in.Deadline, false))
+		if s.Deadline == 0 {
+			s.Deadline = 0.001 // a deadline of zero is a deadline, not its absence
 		}
 	}
 	return s, bad
@@ -235,7 +235,7 @@
 }
 
 // JobBrief is the answer to a submission or a cancellation.
-type JobBrief struct {
+type JobSummary struct {
 	ID     JobID  `cbor:"nameId"`
 	Status Status `cbor:"status"`
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,23 +12,23 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := DecodeSpec(b)
-		if err == nil && (!s.ID.Valid() || s.Parts < 1 || s.Parts > MaxParts || !(s.CPUs > 0)) {
+		if err == nil && (!s.ID.Valid() || s.Tasks < 1 || s.Tasks > MaxTasks || !(s.CPUs > 0)) {
 			t.Fatalf("accepted %+v", s)
 		}
 	})
 }
 
 func FuzzDecodeReport(f *testing.F) {
-	f.Add(Encode(Report{Host: "n-1", Parts: []PartState{{Part: "req-1/0", Try: 1, Phase: Exited, Cause: CauseDone}}}))
+	f.Add(Encode(Report{Machine: "n-1", Tasks: []TaskState{{Task: "req-1/0", Attempt: 1, Phase: PhaseExited, Cause: CauseDone}}}))
 	f.Add([]byte{0xa1, 0x65, 'p', 'a', 'r', 't', 's', 0x9a, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var r Report
 		if Decode(b, &r) != nil {
 			return
 		}
-		for _, p := range r.Parts {
-			if task, err := ParseTask(p.Part); err == nil && task.String() != p.Part {
-				t.Fatalf("%q reads as %v", p.Part, task)
+		for _, p := range r.Tasks {
+			if task, err := ParseTask(p.Task); err == nil && task.String() != p.Task {
+				t.Fatalf("%q reads as %v", p.Task, task)
 			}
 		}
 	})
@@ -50,7 +50,7 @@
 		"bundle": "b", "imageGb": 0.5, "kits": nil, "site": nil, "samePlace": false, "apart": true, "standby": false, "expectedS": 1, "snapshotEveryS": 0,
 		"snapshotS": 0, "novel": []int{1}}
 	s, err := DecodeSpec(Encode(m))
-	if err != nil || s.CPUs != 4 || s.Kits != nil || s.Due != 0 || s.ZoneCap() != 1 {
+	if err != nil || s.CPUs != 4 || s.MachineTypes != nil || s.Deadline != 0 || s.ZoneCap() != 1 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for _, k := range []string{"nameId", "lane", "owner", "shape", "urgency", "parts", "cpus", "cards", "ramGb", "bundle", "imageGb", "samePlace", "apart", "standby", "expectedS", "snapshotEveryS", "snapshotS"} {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -1,61 +1,61 @@
 package wire
 
 // Phase of a task on its machine.
-type Phase string
+type TaskPhase string
 
 // The phases that workers report.
 const (
-	Pulling Phase = "pulling"
-	Active  Phase = "running"
-	Waiting Phase = "waiting" // for the other tasks of its gang
-	Saving  Phase = "saving"
-	Exited  Phase = "exited"
+	PhaseFetching TaskPhase = "pulling"
+	PhaseRunning  TaskPhase = "running"
+	PhaseWaiting  TaskPhase = "waiting" // for the other tasks of its gang
+	PhaseSaving   TaskPhase = "saving"
+	PhaseExited   TaskPhase = "exited"
 )
 
 // Cause of an exit.
-type Cause string
+type ExitCause string
 
 // The causes that workers report.
 const (
-	CauseDone    Cause = "done"
-	CauseStopped Cause = "stopped"
-	CauseError   Cause = "error"
-	CauseFull    Cause = "full"
-	CauseBusy    Cause = "busy"
-	CauseNoSuch  Cause = "no_such"
+	CauseDone    ExitCause = "done"
+	CauseStopped ExitCause = "stopped"
+	CauseError   ExitCause = "error"
+	CauseFull    ExitCause = "full"
+	CauseBusy    ExitCause = "busy"
+	CauseNoSuch  ExitCause = "no_such"
 	// Of a gang's task: another one is gone, or the gang was not complete in
 	// time. No fault of the machine that it happens on.
-	CauseMatesGone Cause = "mates_gone"
-	CauseAlone     Cause = "alone"
+	CauseGangBroken     ExitCause = "mates_gone"
+	CauseGangIncomplete ExitCause = "alone"
 )
 
 // PartState is one task in a report.
-type PartState struct {
-	Part  string  `cbor:"part"`
-	Try   Attempt `cbor:"try"`
-	Phase Phase   `cbor:"status"`
-	Cause Cause   `cbor:"cause,omitempty"`
-	Saved bool    `cbor:"saved,omitempty"`
+type TaskState struct {
+	Task    string    `cbor:"part"`
+	Attempt Attempt   `cbor:"try"`
+	Phase   TaskPhase `cbor:"status"`
+	Cause   ExitCause `cbor:"cause,omitempty"`
+	Saved   bool      `cbor:"saved,omitempty"`
 }
 
 // Report is what a worker says of itself.
 type Report struct {
-	Host     MachineID   `cbor:"host"`
-	Addr     string      `cbor:"addr"`
-	Kit      Kit         `cbor:"kit"`
-	Site     Zone        `cbor:"site"`
-	Standby  bool        `cbor:"standby"`
-	Shift    Session     `cbor:"shift"`
-	Tally    Tally       `cbor:"tally"`
-	Baton    Token       `cbor:"baton"`
-	WarningS *Seconds    `cbor:"warningS"`
-	Parts    []PartState `cbor:"parts"`
+	Machine    MachineID   `cbor:"host"`
+	Addr       string      `cbor:"addr"`
+	Type       MachineType `cbor:"kit"`
+	Zone       Zone        `cbor:"site"`
+	Spot       bool        `cbor:"standby"`
+	Session    Session     `cbor:"shift"`
+	Sequence   Sequence    `cbor:"tally"`
+	Token      Token       `cbor:"baton"`
+	SpotNotice *Seconds    `cbor:"warningS"`
+	Tasks      []TaskState `cbor:"parts"`
 }
 
 // Newer tells whether the report was made after the given point of the
 // worker's life.
-func (r *Report) Newer(shift Session, tally Tally) bool {
-	return r.Shift > shift || r.Shift == shift && r.Tally > tally
+func (r *Report) Newer(shift Session, tally Sequence) bool {
+	return r.Session > shift || r.Session == shift && r.Sequence > tally
 }
 
 // Verb of a command.
@@ -69,21 +69,21 @@
 )
 
 // Order is one command to a worker.
-type Order struct {
-	Verb     Verb     `cbor:"verb"`
-	Part     string   `cbor:"part"`
-	Try      Attempt  `cbor:"try"`
-	WindDown *Seconds `cbor:"windDownS,omitempty"`
+type Command struct {
+	Verb        Verb     `cbor:"verb"`
+	Task        string   `cbor:"part"`
+	Attempt     Attempt  `cbor:"try"`
+	GracePeriod *Seconds `cbor:"windDownS,omitempty"`
 }
 
 // Orders answers a report (no session) or goes straight to a worker.
-type Orders struct {
-	Baton  Token   `cbor:"baton"`
-	Shift  Session `cbor:"shift,omitempty"`
-	Orders []Order `cbor:"orders"`
+type Commands struct {
+	Token    Token     `cbor:"baton"`
+	Session  Session   `cbor:"shift,omitempty"`
+	Commands []Command `cbor:"orders"`
 }
 
 // Elsewhere sends a worker to the node that leads.
-type Elsewhere struct {
+type Redirect struct {
 	ReportsTo NodeID `cbor:"reportsTo,omitempty"`
 }
--- a/meet_gap_test.go
+++ b/meet_gap_test.go
@@ -14,7 +14,7 @@
 func askCancel(w *standin.World, node int, id wire.JobID) (wire.Status, bool) {
 	w.Checked(func(c *standin.Checker) { c.CancelAsked(id) })
 	status, raw, _ := w.Ask(node, "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
-	var b wire.JobBrief
+	var b wire.JobSummary
 	if status != 200 || wire.Decode(raw, &b) != nil {
 		return "", false
 	}
--- a/meet_leaders_test.go
+++ b/meet_leaders_test.go
@@ -292,10 +292,10 @@
 		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
 			playOdd(t, 62, func(w *standin.World, at func(time.Duration)) {
 				z := wire.Zone("b") // node 1
-				in := func(j standin.Truth) standin.Truth { j.Spec.Site = z; return j }
+				in := func(j standin.Truth) standin.Truth { j.Spec.Zone = z; return j }
 				stays, same := in(array(1, 4, 120)), array(2, 3, 60)
-				same.Spec.SamePlace = true
-				whole := func(j standin.Truth) standin.Truth { j.Spec.Apart = false; return in(j) }
+				same.Spec.SameZone = true
+				whole := func(j standin.Truth) standin.Truth { j.Spec.Spread = false; return in(j) }
 				before, early, late, unborn := whole(service(3, 2)), whole(service(4, 2)), whole(service(5, 2)), whole(service(6, 2))
 				free := array(7, 6, 30)
 				at(2 * time.Second)
@@ -637,11 +637,11 @@
 				j := array(n, 1+rng.IntN(4), float64(5+rng.IntN(40)))
 				switch n % 4 {
 				case 1:
-					j.Spec.Owner, j.Spec.Urgency, j.Spec.Lane = "blue", wire.Urgent, "check"
+					j.Spec.Team, j.Spec.Priority, j.Spec.Class = "blue", wire.PriorityUrgent, "check"
 				case 2:
-					j.Spec.SamePlace, j.Spec.Lane = true, "near"
+					j.Spec.SameZone, j.Spec.Class = true, "near"
 				case 3:
-					j.Spec.Standby, j.Spec.Urgency, j.Spec.Lane = false, wire.BestEffort, "low"
+					j.Spec.SpotAllowed, j.Spec.Priority, j.Spec.Class = false, wire.PriorityBestEffort, "low"
 				}
 				cancel := time.Duration(0)
 				if rng.IntN(4) == 0 {
@@ -713,7 +713,7 @@
 					n++
 					j := array(n, 1+rng.IntN(8), float64(5+rng.IntN(40)))
 					if rng.IntN(4) == 0 {
-						j.Spec.SamePlace = true
+						j.Spec.SameZone = true
 					}
 					cancel := mayCancel(rng)
 					if cancel == 0 {
@@ -825,7 +825,7 @@
 		t.Run(fmt.Sprintf("cut for %v, another leader %v", cut, elected), func(t *testing.T) {
 			playAs(t, sized(3), 68, func(w *standin.World, at func(time.Duration)) {
 				a, s, room := array(1, 14, 120), service(2, 4), array(3, 6, 300)
-				room.Spec.Site = "a"
+				room.Spec.Zone = "a"
 				at(2 * time.Second)
 				leaderIn(t, w, "a")
 				w.Submit(a, 0)
@@ -941,7 +941,7 @@
 		w.State.LagWatches(300 * time.Millisecond)
 		for n := range 8 {
 			gone := array(10+n, 2, 100)
-			gone.Spec.CPUs, gone.Spec.RAM = 0.1, 0.1
+			gone.Spec.CPUs, gone.Spec.MemoryGB = 0.1, 0.1
 			w.Submit(gone, 0)
 			time.Sleep(time.Duration(100+40*n) * time.Millisecond)
 			cancelsAt(t, w, (l+1)%3, gone)
--- a/meet_limits_test.go
+++ b/meet_limits_test.go
@@ -241,10 +241,10 @@
 			t.Run(fmt.Sprintf("%s, seed %d", c.name, seed), func(t *testing.T) {
 				playIn(t, standin.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(w *standin.World, at func(time.Duration)) {
 					bound, same := array(1, 8, 70), array(2, 14, 50)
-					bound.Spec.Site, same.Spec.SamePlace = "a", true
+					bound.Spec.Zone, same.Spec.SameZone = "a", true
 					boundS, sameS, spread := service(3, 3), service(4, 3), service(5, 4)
-					boundS.Spec.Site, boundS.Spec.Apart = "a", false
-					sameS.Spec.SamePlace, sameS.Spec.Apart = true, false
+					boundS.Spec.Zone, boundS.Spec.Spread = "a", false
+					sameS.Spec.SameZone, sameS.Spec.Spread = true, false
 					w.SellOut("b", true)
 					w.SellOut("c", true)
 					at(2 * time.Second)
@@ -348,19 +348,19 @@
 			t.Run(fmt.Sprintf("%v, seed %d", slow, seed), func(t *testing.T) {
 				play(t, 440+seed, func(w *standin.World, at func(time.Duration)) {
 					w.SlowSaves()
-					job := func(n, parts int, run float64, u wire.Urgency, team wire.TeamID) standin.Truth {
+					job := func(n, parts int, run float64, u wire.Priority, team wire.TeamID) standin.Truth {
 						j := array(n, parts, run)
-						j.Spec.Urgency, j.Spec.Owner = u, team
-						j.Spec.SnapshotEveryS, j.Spec.SnapshotS = 10, 3
+						j.Spec.Priority, j.Spec.Team = u, team
+						j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 10, 3
 						return j
 					}
-					low := job(1, 200, 40, wire.BestEffort, "blue")
-					low.Spec.Standby = false // where replicas may go too
-					usual := job(2, 24, 20, wire.Standard, "red")
-					urgent := []standin.Truth{job(3, 6, 15, wire.Urgent, "red"), job(4, 5, 15, wire.Urgent, "blue"), job(5, 12, 10, wire.Urgent, "red")}
-					urgent[1].Spec.CPUs, urgent[1].Spec.RAM = 4, 8
+					low := job(1, 200, 40, wire.PriorityBestEffort, "blue")
+					low.Spec.SpotAllowed = false // where replicas may go too
+					usual := job(2, 24, 20, wire.PriorityStandard, "red")
+					urgent := []standin.Truth{job(3, 6, 15, wire.PriorityUrgent, "red"), job(4, 5, 15, wire.PriorityUrgent, "blue"), job(5, 12, 10, wire.PriorityUrgent, "red")}
+					urgent[1].Spec.CPUs, urgent[1].Spec.MemoryGB = 4, 8
 					s := service(6, 4)
-					s.Spec.Apart = false
+					s.Spec.Spread = false
 					w.SellOut("b", true)
 					at(2 * time.Second)
 					w.Submit(low, 0)
@@ -413,8 +413,8 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			play(t, 460+seed, func(w *standin.World, at func(time.Duration)) {
 				most, low := array(1, 19, 400), array(2, 200, 60)
-				low.Spec.Urgency, low.Spec.Owner, low.Spec.Standby, most.Spec.Standby = wire.BestEffort, "blue", false, false
-				low.Spec.SnapshotEveryS, low.Spec.SnapshotS = 10, 3
+				low.Spec.Priority, low.Spec.Team, low.Spec.SpotAllowed, most.Spec.SpotAllowed = wire.PriorityBestEffort, "blue", false, false
+				low.Spec.CheckpointInterval, low.Spec.CheckpointTime = 10, 3
 				w.SlowSaves()
 				w.SellOut("b", true)
 				at(2 * time.Second)
@@ -429,7 +429,7 @@
 				var urgent []standin.Truth
 				for n := range 10 {
 					j := array(10+n, 1, 8)
-					j.Spec.Urgency = wire.Urgent
+					j.Spec.Priority = wire.PriorityUrgent
 					urgent = append(urgent, j)
 					w.Submit(j, 0)
 				}
@@ -498,8 +498,8 @@
 			playAs(t, limited(), 480+seed, func(w *standin.World, at func(time.Duration)) {
 				w.Boots(0.05)
 				same, sameS := array(1, 12, 30), service(2, 4)
-				same.Spec.SamePlace, sameS.Spec.SamePlace, sameS.Spec.Apart = true, true, false
-				same.Spec.Due = 40
+				same.Spec.SameZone, sameS.Spec.SameZone, sameS.Spec.Spread = true, true, false
+				same.Spec.Deadline = 40
 				w.Unlisted(true)
 				at(10 * time.Second)
 				w.Submit(same, 0)
@@ -604,7 +604,7 @@
 				seconds := within(rng)
 				zone := func() wire.Zone { return []wire.Zone{"a", "b"}[rng.IntN(2)] }
 				s, sameS := service(1, 4), service(2, 3)
-				sameS.Spec.SamePlace, sameS.Spec.Apart = true, false
+				sameS.Spec.SameZone, sameS.Spec.Spread = true, false
 				at(2 * time.Second)
 				w.Submit(s, 0)
 				w.Submit(sameS, 0)
@@ -612,15 +612,15 @@
 				jobs := func(n int) {
 					for range n {
 						j := array(10+len(all), 1+rng.IntN(8), float64(4+rng.IntN(12)))
-						j.Spec.Urgency = []wire.Urgency{wire.BestEffort, wire.Standard, wire.Urgent}[rng.IntN(3)]
-						j.Spec.Owner = []wire.TeamID{"red", "blue"}[rng.IntN(2)]
+						j.Spec.Priority = []wire.Priority{wire.PriorityBestEffort, wire.PriorityStandard, wire.PriorityUrgent}[rng.IntN(3)]
+						j.Spec.Team = []wire.TeamID{"red", "blue"}[rng.IntN(2)]
 						switch rng.IntN(5) {
 						case 0:
-							j.Spec.SamePlace = true
+							j.Spec.SameZone = true
 						case 1:
-							j.Spec.Apart = true
+							j.Spec.Spread = true
 						case 2:
-							j.Spec.Site = zone()
+							j.Spec.Zone = zone()
 						}
 						w.Submit(j, mayCancel(rng))
 						all = append(all, j)
@@ -771,13 +771,13 @@
 		t.Run("bound to "+string(site), func(t *testing.T) {
 			play(t, 520, func(w *standin.World, at func(time.Duration)) {
 				j := array(1, 12, 20)
-				j.Spec.Site = site
+				j.Spec.Zone = site
 				at(2 * time.Second)
 				w.Submit(j, 0)
 				done := 0
 				for done == 0 {
 					time.Sleep(100 * time.Millisecond)
-					w.Checked(func(c *standin.Checker) { done = j.Spec.Parts - c.On(j.Spec.ID) - c.Waiting(j.Spec.ID) })
+					w.Checked(func(c *standin.Checker) { done = j.Spec.Tasks - c.On(j.Spec.ID) - c.Waiting(j.Spec.ID) })
 				}
 				w.NoSpot(true)
 				if w.Take(100, func(spot bool, _ int) bool { return spot }) == 0 {
@@ -785,7 +785,7 @@
 				}
 				changeLeader(t, w)
 				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
-				if done == j.Spec.Parts {
+				if done == j.Spec.Tasks {
 					t.Error("the array was done already")
 				}
 				for n := 0; n < 400 && w.State.Keys("job/") != nil; n++ {
--- a/meet_reports_test.go
+++ b/meet_reports_test.go
@@ -94,14 +94,14 @@
 				}
 				late200, listed := 0, 0
 				for _, h := range w.Hand(reps...) {
-					if !h.Newer || h.Report.Baton >= token {
-						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Report.Host, h.Report.Tally, h.Report.Baton, token)
+					if !h.Newer || h.Report.Token >= token {
+						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Report.Machine, h.Report.Sequence, h.Report.Token, token)
 					}
 					if h.Status == 200 {
 						late200++
 					}
-					for _, p := range h.Report.Parts {
-						if task, err := wire.ParseTask(p.Part); err == nil && task.Job == gone.Spec.ID {
+					for _, p := range h.Report.Tasks {
+						if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
 							listed++
 						}
 					}
@@ -152,9 +152,9 @@
 		tries := map[wire.Attempt]bool{}
 		for _, id := range ms {
 			for _, r := range w.Kept(id) {
-				for _, p := range r.Parts {
-					if task, err := wire.ParseTask(p.Part); err == nil && task.Job == gone.Spec.ID {
-						tries[p.Try] = true
+				for _, p := range r.Tasks {
+					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
+						tries[p.Attempt] = true
 					}
 				}
 			}
@@ -167,9 +167,9 @@
 				k := w.Kept(id)
 				if len(k) > 0 {
 					// When its tasks ran, and its first.
-					i := slices.IndexFunc(k, func(r wire.Report) bool { return r.Shift == 1 && len(r.Parts) > 0 })
+					i := slices.IndexFunc(k, func(r wire.Report) bool { return r.Session == 1 && len(r.Tasks) > 0 })
 					reps = append(reps, k[0], k[max(0, i)])
-					if i = slices.IndexFunc(k, func(r wire.Report) bool { return r.Shift > 1 }); i > 0 {
+					if i = slices.IndexFunc(k, func(r wire.Report) bool { return r.Session > 1 }); i > 0 {
 						reps = append(reps, k[i-1], k[i])
 					}
 				}
@@ -179,7 +179,7 @@
 		earlier := 0
 		hand := func() {
 			for _, h := range w.Hand(old()...) {
-				if shift, _, _ := w.Life(h.Report.Host); h.Newer && shift > h.Report.Shift && len(h.Report.Parts) > 0 {
+				if shift, _, _ := w.Life(h.Report.Machine); h.Newer && shift > h.Report.Session && len(h.Report.Tasks) > 0 {
 					earlier++
 				}
 			}
--- a/meet_state_test.go
+++ b/meet_state_test.go
@@ -107,7 +107,7 @@
 		status, raw, _ := w.Ask(n, "POST", path, body)
 		now := time.Now()
 		w.Checked(func(c *standin.Checker) {
-			var b wire.JobBrief
+			var b wire.JobSummary
 			if status != 200 && status != 201 || wire.Decode(raw, &b) != nil {
 				if c.Refused(id, status, now); status == 400 || status == 404 || status == 422 {
 					t.Errorf("%s of %s answered %d by node %d", path, id, status, n)
@@ -611,7 +611,7 @@
 		t.Run(kind, func(t *testing.T) {
 			meet(t, uint64(660+i), func(t *testing.T, w *standin.World, at func(time.Duration)) {
 				s, near, a := service(1, 4), array(2, 4, 12), array(3, 14, 10)
-				near.Spec.SamePlace = true
+				near.Spec.SameZone = true
 				w.QuickBoots(true)
 				at(3 * time.Second)
 				met := 0
@@ -683,7 +683,7 @@
 				w.Submit(s, 0)
 				w.Submit(a, 0)
 				for _, j := range []standin.Truth{first, second, third} {
-					j.Spec.Owner = "red"
+					j.Spec.Team = "red"
 					w.Know(j)
 					go insist(t, w, j, false, 0)
 				}
--- a/meet_users_test.go
+++ b/meet_users_test.go
@@ -27,7 +27,7 @@
 // archives tells whether a transaction replaces a job by its final record, and
 // writesCancel whether it is a user's cancellation of it.
 func archives(x *wire.Txn, id wire.JobID) bool {
-	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return w.Drop == store.JobKey(id) })
+	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return w.Delete == store.JobKey(id) })
 }
 
 func writesCancel(x *wire.Txn, id wire.JobID) bool {
@@ -283,7 +283,7 @@
 			for i := range 6 {
 				begin := time.Now()
 				got, raw, h := w.Ask(i%3, method, path, body)
-				var b wire.JobBrief
+				var b wire.JobSummary
 				if got != want || got == 200 && (wire.Decode(raw, &b) != nil || b.Status != status) {
 					t.Errorf("%s at node %d: %d %q, want %d %q", what, i%3, got, b.Status, want, status)
 				}
@@ -415,7 +415,7 @@
 					return 1200 * time.Millisecond
 				default:
 					for _, j := range over {
-						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.Drop, store.RunPrefix+string(j.Spec.ID)) }) {
+						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.Delete, store.RunPrefix+string(j.Spec.ID)) }) {
 							hit = &j
 							close(crosses)
 							return 150 * time.Millisecond
@@ -483,11 +483,11 @@
 		at(3 * time.Second)
 		large := func(n, bundle int) standin.Truth {
 			j := service(n, 1)
-			j.Spec.Kits = []wire.Kit{"c4", "c16"}
+			j.Spec.MachineTypes = []wire.MachineType{"c4", "c16"}
 			for k := range 43 {
-				j.Spec.Kits = append(j.Spec.Kits, wire.Kit(fmt.Sprintf("%080d", k)))
+				j.Spec.MachineTypes = append(j.Spec.MachineTypes, wire.MachineType(fmt.Sprintf("%080d", k)))
 			}
-			j.Spec.Bundle = wire.ImageID(strings.Repeat("i", bundle))
+			j.Spec.Image = wire.ImageID(strings.Repeat("i", bundle))
 			return j
 		}
 		// The longest name of an image with which it is accepted.
--- a/next_test.go
+++ b/next_test.go
@@ -30,7 +30,7 @@
 // crumbs is an array of many small tasks.
 func crumbs(n, parts int, run float64) standin.Truth {
 	j := array(n, parts, run)
-	j.Spec.CPUs, j.Spec.RAM = 0.1, 0.3
+	j.Spec.CPUs, j.Spec.MemoryGB = 0.1, 0.3
 	return j
 }
 
@@ -86,7 +86,7 @@
 		for i := range w.Set.Size {
 			status, raw, _ := w.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
 			var s wire.JobState
-			if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done || s.Done != j.Spec.Parts {
+			if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done || s.Done != j.Spec.Tasks {
 				t.Errorf("%s is %d %+v by node %d", j.Spec.ID, status, s, i)
 			}
 		}
@@ -243,13 +243,13 @@
 		large := func(n int) standin.Truth {
 			j := crumbs(n, 300, 200)
 			for i := range 60 {
-				j.Spec.Kits = append(j.Spec.Kits, wire.Kit(fmt.Sprintf("kit-%s-%03d", strings.Repeat("x", 36), i)))
+				j.Spec.MachineTypes = append(j.Spec.MachineTypes, wire.MachineType(fmt.Sprintf("kit-%s-%03d", strings.Repeat("x", 36), i)))
 			}
-			j.Spec.Kits = append(j.Spec.Kits, "c4", "c16")
+			j.Spec.MachineTypes = append(j.Spec.MachineTypes, "c4", "c16")
 			return j
 		}
 		a, b, c, plain, never := large(1), large(2), large(3), crumbs(4, 300, 200), large(5)
-		b.RunS, c.Spec.Parts = 60, 2
+		b.RunS, c.Spec.Tasks = 60, 2
 		at(2 * time.Second)
 		w.Submit(a, 0)
 		w.Submit(b, 0)
--- a/node.go
+++ b/node.go
@@ -241,10 +241,10 @@
 // earlier leader left them, or from the cloud.
 func (n *Node) learnFlavors(ctx context.Context) {
 	for n.flavors.Get() == nil {
-		var f wire.Flavors
+		var f wire.MachineSpecs
 		e, err := n.store.Get(ctx, store.Duty, store.FlavorsKey)
-		if err == nil && wire.Decode(e.Value, &f) == nil && len(f.Kits) > 0 {
-			n.flavors.Set(f.Kits)
+		if err == nil && wire.Decode(e.Value, &f) == nil && len(f.Types) > 0 {
+			n.flavors.Set(f.Types)
 			return
 		}
 		if errors.Is(err, store.ErrMissing) {
--- a/parted_test.go
+++ b/parted_test.go
@@ -120,7 +120,7 @@
 				for n := range 36 {
 					j := array(10+n, 1+rng.IntN(9), float64(5+rng.IntN(30)))
 					if rng.IntN(4) == 0 {
-						j.Spec.Urgency, j.Spec.CPUs, j.Spec.RAM, j.Spec.Lane, j.Spec.Owner = wire.Urgent, 4, 14, "check", "blue"
+						j.Spec.Priority, j.Spec.CPUs, j.Spec.MemoryGB, j.Spec.Class, j.Spec.Team = wire.PriorityUrgent, 4, 14, "check", "blue"
 					}
 					cancel := mayCancel(rng)
 					if cancel == 0 {
@@ -176,7 +176,7 @@
 func TestSmallRecords(t *testing.T) {
 	playOdd(t, 52, func(w *standin.World, at func(time.Duration)) {
 		wide, other := array(1, 300, 60), array(2, 3, 10)
-		wide.Spec.CPUs, wide.Spec.RAM = 0.1, 0.1
+		wide.Spec.CPUs, wide.Spec.MemoryGB = 0.1, 0.1
 		at(2 * time.Second)
 		w.Submit(wide, 0)
 		at(45 * time.Second)
--- a/troubles_test.go
+++ b/troubles_test.go
@@ -33,8 +33,8 @@
 func mustRun(t *testing.T, w *standin.World, s standin.Truth, when string) {
 	t.Helper()
 	w.Checked(func(c *standin.Checker) {
-		if n := c.On(s.Spec.ID); n != s.Spec.Parts {
-			t.Errorf("%d of %d replicas %s", n, s.Spec.Parts, when)
+		if n := c.On(s.Spec.ID); n != s.Spec.Tasks {
+			t.Errorf("%d of %d replicas %s", n, s.Spec.Tasks, when)
 		}
 	})
 }
@@ -437,8 +437,8 @@
 func TestLargestBeginsUnderOverload(t *testing.T) {
 	playAs(t, sized(3), 35, func(w *standin.World, at func(time.Duration)) {
 		big, low := array(1, 90, 30), array(2, 4, 20)
-		big.Spec.CPUs, big.Spec.RAM, big.Spec.Lane = 4, 16, "big"
-		low.Spec.Urgency, low.Spec.Lane = wire.BestEffort, "low"
+		big.Spec.CPUs, big.Spec.MemoryGB, big.Spec.Class = 4, 16, "big"
+		low.Spec.Priority, low.Spec.Class = wire.PriorityBestEffort, "low"
 		at(2 * time.Second)
 		for n := range 10 {
 			w.Submit(array(100+n, 8, 20), 0)
@@ -458,8 +458,8 @@
 // cancelled within the limits of the state service.
 func TestHundredThousandTasks(t *testing.T) {
 	play(t, 36, func(w *standin.World, at func(time.Duration)) {
-		j, s := array(1, wire.MaxParts, 20), service(2, 3)
-		j.Spec.Expected = 2
+		j, s := array(1, wire.MaxTasks, 20), service(2, 3)
+		j.Spec.ExpectedRunTime = 2
 		at(2 * time.Second)
 		w.Submit(j, 100*time.Second)
 		w.Submit(s, 0)
--- a/upgrade_test.go
+++ b/upgrade_test.go
@@ -48,24 +48,24 @@
 }
 
 func oldSpec() wire.Spec {
-	return wire.Spec{ID: "req-000412", Lane: "train", Owner: "vision", Shape: wire.Sweep, Urgency: wire.Urgent, Parts: 1600, CPUs: 8, Cards: 1, RAM: 64,
-		Bundle: "img-07", ImageGB: 6.2, Kits: []wire.Kit{"g8", "c4"}, Site: "a", SamePlace: true, Standby: true, Expected: 240, SnapshotEveryS: 30, SnapshotS: 4, Due: 900}
+	return wire.Spec{ID: "req-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityUrgent, Tasks: 1600, CPUs: 8, GPUs: 1, MemoryGB: 64,
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []wire.MachineType{"g8", "c4"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedRunTime: 240, CheckpointInterval: 30, CheckpointTime: 4, Deadline: 900}
 }
 
 func TestProductionsRecordsAreRead(t *testing.T) {
 	reads(t, "job", store.JobRecord{Spec: oldSpec(), Status: wire.Queued, At: 1796000000123, Chunk: 256})
 	reads(t, "cancelled", store.JobRecord{Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 256,
-		Spec: wire.Spec{ID: "req-000413", Lane: "live", Owner: "portal", Shape: wire.Daemon, Urgency: wire.Prod, Parts: 3, CPUs: 1, RAM: 4.8, Bundle: "img-b", ImageGB: 1, Apart: true}})
+		Spec: wire.Spec{ID: "req-000413", Class: "live", Team: "portal", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 4.8, Image: "img-b", ImageGB: 1, Spread: true}})
 	reads(t, "run", store.ChunkRecord{Next: 17, Done: []int{0, 3, 9, 200}, Held: []store.Held{{Task: 4, Try: 12, On: "n-000231"}, {Task: 255, Try: 16, On: "n-001200"}}})
 	reads(t, "past", store.PastRecord{Status: wire.Done, Done: 1600})
 	reads(t, "lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"})
-	reads(t, "flavors", wire.Flavors{Kits: []wire.Flavor{{Name: "g8", CPUs: 96, Cards: 8, RAM: 768, LocalGB: 200, PullGBPerS: 1, Rate: 12, LowPrice: 4.5, ReadyS: 45, Sites: []wire.Zone{"a", "b"}}}})
+	reads(t, "flavors", wire.MachineSpecs{Types: []wire.MachineSpec{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a", "b"}}}})
 	reads(t, "beat", peer.Beat{From: "worker-1", Seq: 9, Token: 41, Leads: true, Serves: true, Hears: 120})
 	reads(t, "ack", peer.Beat{From: "worker-2", Seq: 9, Token: 41, Serves: true, Grants: 41, Stood: 3 * time.Second, Age: time.Minute, Unproven: time.Second,
 		Word: cancels.Word{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, Vouches: 20 * time.Second, Knew: 500 * time.Millisecond}})
 	warning := wire.Seconds(12.5)
-	reads(t, "report", wire.Report{Host: "n-000231", Addr: "10.1.0.232:9000", Kit: "g8", Site: "a", Standby: true, Shift: 1, Tally: 88, Baton: 41, WarningS: &warning,
-		Parts: []wire.PartState{{Part: "req-000412/3", Try: 2, Phase: wire.Active}, {Part: "req-000398/0", Try: 1, Phase: wire.Exited, Cause: wire.CauseDone}}})
+	reads(t, "report", wire.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Sequence: 88, Token: 41, SpotNotice: &warning,
+		Tasks: []wire.TaskState{{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}}})
 	var m map[string]any
 	raw, _ := hex.DecodeString(production["settings"])
 	if err := wire.Decode(raw, &m); err != nil || m["services.spare_units"] != 2.0 || m["log.level"] != "debug" {
--- a/world_test.go
+++ b/world_test.go
@@ -35,14 +35,14 @@
 
 func array(n, parts int, run float64) standin.Truth {
 	return standin.Truth{RunS: run, Spec: wire.Spec{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Lane: "solve", Owner: "red", Shape: wire.Sweep, Urgency: wire.Standard,
-		Parts: parts, CPUs: 2, RAM: 4, Bundle: "img-a", ImageGB: 1, Standby: true, Expected: wire.Seconds(run)}}
+		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard,
+		Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: wire.Seconds(run)}}
 }
 
 func service(n, parts int) standin.Truth {
 	return standin.Truth{Spec: wire.Spec{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Lane: "portal", Owner: "blue", Shape: wire.Daemon, Urgency: wire.Prod,
-		Parts: parts, CPUs: 1, RAM: 3, Bundle: "img-b", ImageGB: 1, Apart: true}}
+		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "portal", Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProd,
+		Tasks: parts, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}}
 }
 
 // play runs a world in virtual time: all nodes up, some jobs, and then what
@@ -131,7 +131,7 @@
 		}
 		// A repeat of a finished job's submission is answered with its state.
 		status, raw, _ := w.Ask(1, "POST", "/v1/jobs", standin.Submission(a.Spec))
-		var brief wire.JobBrief
+		var brief wire.JobSummary
 		if status != 200 || wire.Decode(raw, &brief) != nil || brief.Status != wire.Done {
 			t.Errorf("repeat answered %d %+v", status, brief)
 		}
@@ -307,7 +307,7 @@
 		time.Sleep(300 * time.Millisecond)
 		w.Checked(func(c *standin.Checker) { c.CancelAsked(s.Spec.ID) })
 		status, raw, _ := w.Ask((l+1)%3, "POST", "/v1/jobs/"+string(s.Spec.ID)+"/cancel", nil)
-		var b wire.JobBrief
+		var b wire.JobSummary
 		if status != 200 || wire.Decode(raw, &b) != nil || b.Status != wire.Cancelled || w.Leader() == (l+1)%3 {
 			t.Fatalf("cancel answered %d %+v, leader %d", status, b, w.Leader())
 		}
@@ -699,8 +699,8 @@
 // limits of the state service, across a change of leader.
 func TestLargestJob(t *testing.T) {
 	play(t, 17, func(w *standin.World, at func(time.Duration)) {
-		big, small := array(1, wire.MaxParts, 3), array(2, 4, 5)
-		big.Spec.CPUs, big.Spec.RAM = 0.5, 1
+		big, small := array(1, wire.MaxTasks, 3), array(2, 4, 5)
+		big.Spec.CPUs, big.Spec.MemoryGB = 0.5, 1
 		at(2 * time.Second)
 		w.Submit(big, 0)
 		at(40 * time.Second)
