--- a/cmd/standin/main.go
+++ b/cmd/simulator/main.go
@@ -1,4 +1,4 @@
-// Command standin is a small deployment on the loopback network to try
+// Command simulator is a small deployment on the loopback network to try
 // lilaclead against: a state service, a cloud with its workers, and users
 // who submit jobs, with a checker for the protocol's rules. It writes a
 // settings file for each of three controllers, which are started by hand.
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/pelletier/go-toml/v2"
 
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
@@ -25,14 +25,14 @@
 }
 
 func run(ctx context.Context) error {
-	set := standin.DefaultSettings()
-	w := standin.NewWorld(ctx, set, uint64(time.Now().UnixNano()), nil, standin.Loopback)
+	set := simulator.DefaultSettings()
+	w := simulator.NewWorld(ctx, set, uint64(time.Now().UnixNano()), nil, simulator.Loopback)
 	for i := range set.Size {
 		c := w.Config(i)
-		c.Front, c.PeerBind = standin.LoopbackAddr(c.Front), standin.LoopbackAddr(c.PeerBind)
-		c.Endpoints.State, c.Endpoints.Cloud = standin.LoopbackAddr(c.Endpoints.State), standin.LoopbackAddr(c.Endpoints.Cloud)
+		c.Front, c.PeerBind = simulator.LoopbackAddr(c.Front), simulator.LoopbackAddr(c.PeerBind)
+		c.Endpoints.State, c.Endpoints.Cloud = simulator.LoopbackAddr(c.Endpoints.State), simulator.LoopbackAddr(c.Endpoints.Cloud)
 		for k := range c.Others {
-			c.Others[k].Addr = standin.LoopbackAddr(c.Others[k].Addr)
+			c.Others[k].Addr = simulator.LoopbackAddr(c.Others[k].Addr)
 		}
 		b, err := toml.Marshal(c)
 		if err != nil {
@@ -47,7 +47,7 @@
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
 	for n := 0; ; n++ {
-		t := standin.Truth{RunS: 8, Spec: wire.Spec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray,
+		t := simulator.Truth{RunS: 8, Spec: wire.Spec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray,
 			Priority: wire.PriorityStandard, Tasks: 1 + n%6, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: 8}}
 		if n%4 == 3 {
 			t.Spec.Kind, t.Spec.Priority, t.Spec.Team, t.Spec.SpotAllowed, t.Spec.ExpectedRunTime = wire.KindService, wire.PriorityProd, "blue", false, 0
@@ -60,7 +60,7 @@
 			return nil
 		case <-tick.C:
 		}
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			fmt.Printf("%d jobs submitted, %d done, %d cancelled; %d broken rules %v\n", n+1, done, cancelled, len(c.Breaks), c.Breaks)
 		})
@@ -68,13 +68,13 @@
 }
 
 func main() {
-	kong.Parse(&cli, kong.Name("standin"), kong.Description("Stand-ins for the state service, the cloud, workers and users, on the loopback network."))
+	kong.Parse(&cli, kong.Name("simulator"), kong.Description("Fakes of the state service, the cloud, workers and users, on the loopback network."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, cli.For)
 	defer cancel()
 	if err := run(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "standin:", err)
+		fmt.Fprintln(os.Stderr, "simulator:", err)
 		os.Exit(1)
 	}
 }
--- a/door_test.go
+++ b/door_test.go
@@ -11,14 +11,14 @@
 
 	"lilaclead/internal/config"
 	"lilaclead/internal/netio"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 )
 
 // At the limit of connections the one that has been idle longest makes room,
 // users' before workers'; when none is idle, the next waits without a spin.
 func TestDoor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nw := standin.NewNetwork(time.Millisecond)
+		nw := simulator.NewNetwork(time.Millisecond)
 		l, err := nw.Host("10.0.0.1").Listen("tcp4", "10.0.0.1:8080")
 		if err != nil {
 			t.Fatal(err)
--- a/internal/leader/hearing_test.go
+++ b/internal/leader/hearing_test.go
@@ -12,14 +12,14 @@
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
 	"lilaclead/internal/peer"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // away gives a term a cloud and workers that can't be reached.
 func away(tm *term) {
-	nw := standin.NewNetwork(0).Host("10.0.0.1")
+	nw := simulator.NewNetwork(0).Host("10.0.0.1")
 	tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
 	tm.l.direct = &http.Client{Transport: nw.Transport(2, 2)}
 }
@@ -63,7 +63,7 @@
 			}, false},
 	}
 	for name, c := range cases {
-		desk(t, func(tm *term, m *machine, _ *standin.State, _ func()) {
+		desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 			away(tm)
 			c.setup(tm, m)
 			for _, rep := range c.reports(tm.token) {
@@ -88,7 +88,7 @@
 // A report that is older than the last one known is a late copy, unless it
 // crossed a newer message just now: it renews nothing and proves nothing.
 func TestOlderReports(t *testing.T) {
-	desk(t, func(tm *term, m *machine, _ *standin.State, _ func()) {
+	desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		away(tm)
 		tm.tell(said(1, 20, tm.token))
 		if r := tm.tell(said(1, 19, tm.token)); r.orders == nil || len(r.orders.Commands) > 0 {
@@ -129,7 +129,7 @@
 // kept, but for those with replicas, which are returned shortly before their
 // leases would end. A machine that is silent alone is returned at once.
 func TestCutZoneIsKept(t *testing.T) {
-	desk(t, func(tm *term, m *machine, _ *standin.State, _ func()) {
+	desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		away(tm)
 		m.zone = "b"
 		zone := map[wire.Zone][]*machine{}
@@ -192,11 +192,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		tm, _, _ := rig(t)
-		nw := standin.NewNetwork(time.Millisecond)
+		nw := simulator.NewNetwork(time.Millisecond)
 		mesh := func(name wire.NodeID, i, other int, to wire.NodeID, leads bool) *peer.Mesh {
-			m := peer.New(name, []config.Other{{HostName: to, Addr: standin.NodeIP(other) + ":8081"}},
-				func() peer.Self { return peer.Self{Leads: leads} }, cancels.New(nil, time.Minute), nw.Host(standin.NodeIP(i)), tm.l.Log)
-			l, err := nw.Host(standin.NodeIP(i)).Listen("tcp4", standin.NodeIP(i)+":8081")
+			m := peer.New(name, []config.Other{{HostName: to, Addr: simulator.NodeIP(other) + ":8081"}},
+				func() peer.Self { return peer.Self{Leads: leads} }, cancels.New(nil, time.Minute), nw.Host(simulator.NodeIP(i)), tm.l.Log)
+			l, err := nw.Host(simulator.NodeIP(i)).Listen("tcp4", simulator.NodeIP(i)+":8081")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -217,7 +217,7 @@
 		if got := l.leads(time.Now()); got != "b" {
 			t.Errorf("hears %q lead", got)
 		}
-		nw.Cut(standin.NodeIP(0), standin.NodeIP(1), true)
+		nw.Cut(simulator.NodeIP(0), simulator.NodeIP(1), true)
 		time.Sleep(6 * time.Second)
 		if got := l.leads(time.Now()); got != "" {
 			t.Errorf("cut off it still says that %q leads", got)
--- a/internal/leader/pieces_test.go
+++ b/internal/leader/pieces_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
 	"lilaclead/internal/wire"
@@ -229,9 +229,9 @@
 
 // lowDesk is a desk whose state service has dropped to 2 KiB and 4 changes, with
 // jobs that were accepted before.
-func lowDesk(t *testing.T, f func(tm *term, m *machine, st *standin.State, job func(id wire.JobID, parts, per int) *job, settle func())) {
+func lowDesk(t *testing.T, f func(tm *term, m *machine, st *simulator.State, job func(id wire.JobID, parts, per int) *job, settle func())) {
 	t.Helper()
-	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		tm.set.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		st.Lower(2, 4, 1000, 1000)
 		f(tm, m, st, func(id wire.JobID, parts, per int) *job {
@@ -259,7 +259,7 @@
 // for ever, in the order of their marks; in virtual time these are equal, and the
 // former code came through this test.)
 func TestSmallChunkBesideALargeOne(t *testing.T) {
-	lowDesk(t, func(tm *term, m *machine, st *standin.State, job func(wire.JobID, int, int) *job, settle func()) {
+	lowDesk(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
 		j := job("req-2", 512, 256)
 		hold(tm, j, 1, 250, m)
 		tm.start(j, m, time.Now())
@@ -276,7 +276,7 @@
 // A record that is refused for ever, for whatever reason, holds up nothing else:
 // launches, books, ends and left-over records of others go on.
 func TestBadRecordHoldsUpNothing(t *testing.T) {
-	lowDesk(t, func(tm *term, m *machine, st *standin.State, job func(wire.JobID, int, int) *job, settle func()) {
+	lowDesk(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
 		odd := tm.machine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
 		odd.upAt = time.Now()
 		bad, worse := job("req-3", 4, 1), job("req-4", 4, 1)
@@ -316,7 +316,7 @@
 // Before a chunk over the limit to come was refused by itself no piece is
 // written: an earlier version would drop it.
 func TestNoPieceBeforeTheDrop(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		tm.set.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 256, CPUs: 1}, At: wire.TimestampOf(time.Now())}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
@@ -338,7 +338,7 @@
 // A machine that is drained is kept until the end of what was on it is stored.
 // (The next leader took 37 tasks that were done for lost with their machine.)
 func TestDrainedMachineWaitsForItsBooks(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		settle()
 		j := tm.jobs["req-1"]
 		tm.start(j, m, time.Now())
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -9,7 +9,7 @@
 
 	"lilaclead/internal/config"
 	"lilaclead/internal/peer"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -45,7 +45,7 @@
 	tb.Cleanup(cancel)
 	tm.ctx = ctx
 	away(tm)
-	tm.l.Mesh = peer.New("a", nil, func() peer.Self { return peer.Self{} }, known(), standin.NewNetwork(0).Host("10.0.0.1"), tm.l.Log)
+	tm.l.Mesh = peer.New("a", nil, func() peer.Self { return peer.Self{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.l.Log)
 	tm.l.Metrics.Round = func(time.Duration, int, int) {}
 	tm.l.Metrics.Report = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -12,27 +12,27 @@
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
 	"lilaclead/internal/peer"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // desk is a term that writes to a stand-in of the state service. Its loop is
 // the test: settle runs what the helpers post until nothing happens.
-func desk(t *testing.T, f func(tm *term, m *machine, st *standin.State, settle func())) {
+func desk(t *testing.T, f func(tm *term, m *machine, st *simulator.State, settle func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		tm, m, a := rig(t)
-		nw := standin.NewNetwork(time.Millisecond)
-		st := standin.NewState(12, 16)
-		l, err := nw.Host("10.2.0.1").Listen("tcp4", standin.StateAddr)
+		nw := simulator.NewNetwork(time.Millisecond)
+		st := simulator.NewState(12, 16)
+		l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.StateAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		srv := &http.Server{Handler: st, ErrorLog: log.New(io.Discard, "", 0)}
 		go srv.Serve(l) //nolint:errcheck // ends with Close
-		tm.l.Store = store.New(standin.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
+		tm.l.Store = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 		tm.l.Mesh = peer.New("a", nil, func() peer.Self { return peer.Self{} }, tm.l.Cancels, nw.Host("10.0.0.1"), tm.l.Log)
 		go tm.l.Mesh.Run(ctx)
 		tm.ctx, tm.l.nonce = ctx, "this life"
@@ -73,7 +73,7 @@
 // A launch is stored only while its job's record is the one that the leader
 // knows: a job that was cancelled meanwhile starts nothing.
 func TestLaunchGuardsItsJob(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		j := tm.jobs["req-1"]
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.spec, Status: wire.Cancelled})
 		tm.start(j, m, time.Now())
@@ -90,11 +90,11 @@
 // A transaction without an answer is neither repeated blindly nor taken for
 // done: a new token ends what may still come, and a look tells what was.
 func TestOutcomeUnknown(t *testing.T) {
-	for name, lose := range map[string]func(*standin.State){
-		"executed, answer lost": func(st *standin.State) { st.LoseAnswers(1) },
-		"lost before it came":   func(st *standin.State) { st.DropRequests(1) },
+	for name, lose := range map[string]func(*simulator.State){
+		"executed, answer lost": func(st *simulator.State) { st.LoseAnswers(1) },
+		"lost before it came":   func(st *simulator.State) { st.DropRequests(1) },
 	} {
-		desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+		desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 			j, token := tm.jobs["req-1"], tm.token
 			lose(st)
 			tm.start(j, m, time.Now())
@@ -118,7 +118,7 @@
 
 // A leader whose key is another's writes nothing and stops.
 func TestLateLeaderWritesNothing(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		st.Put(store.LeadKey, store.LeadRecord{Node: "b", Nonce: "other"})
 		tm.start(tm.jobs["req-1"], m, time.Now())
 		settle()
@@ -133,8 +133,8 @@
 // same. (Its replicas once waited for its lease.) And the first round must
 // not wait for it either.
 func TestMachineNeverHeardOf(t *testing.T) {
-	desk(t, func(tm *term, m *machine, _ *standin.State, _ func()) {
-		tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, standin.NewNetwork(0).Host("10.0.0.1"))
+	desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+		tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
 		tm.listed = true
 		m.baton, m.addr, m.upAt = 0, "", time.Time{}
 		if !tm.enoughHeard(time.Now()) {
@@ -156,7 +156,7 @@
 // What has no room in a chunk's record, machines' names being longer than was
 // counted on, waits; the rest of the chunk is stored all the same.
 func TestRecordOverTheLimit(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 		j.stamp = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
 		tm.jobs[j.spec.ID] = j
@@ -177,7 +177,7 @@
 // its user having cancelled just then; with the job still live its end then failed
 // for ever at the chunks that were gone, and all that was to be written beside it.)
 func TestChunksStayUntilTheEndIsStored(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, Status: wire.Queued, At: wire.TimestampOf(time.Now()), Chunk: 1}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
 		tm.jobs[j.spec.ID] = j
@@ -219,7 +219,7 @@
 // to life and don't end the term.
 func TestLateNewsOfAnArchivedJob(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
-		desk(t, func(tm *term, m *machine, st *standin.State, settle func()) {
+		desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 			j := tm.jobs["req-1"]
 			rec := store.JobRecord{Spec: j.spec, Status: wire.Cancelled}
 			put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(rec), Revision: st.Put(store.JobKey("req-1"), rec)}
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
@@ -14,7 +14,7 @@
 // bound nothing is sent, and who waits learns so in time.
 func TestBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nw := standin.NewNetwork(time.Millisecond)
+		nw := simulator.NewNetwork(time.Millisecond)
 		if _, err := nw.Host("10.0.0.2").Listen("tcp4", "10.0.0.2:1"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -11,7 +11,7 @@
 
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
@@ -35,7 +35,7 @@
 func TestBeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		nw := standin.NewNetwork(time.Millisecond)
+		nw := simulator.NewNetwork(time.Millisecond)
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		var protocols http.Protocols
 		protocols.SetUnencryptedHTTP2(true)
--- a/gang_test.go
+++ b/internal/scenarios/gang_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -9,13 +9,13 @@
 	"time"
 
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
 // gang is a job whose tasks start together or never, and save.
-func gang(n, parts int, run float64) standin.Truth {
-	return standin.Truth{RunS: run, Spec: wire.Spec{
+func gang(n, parts int, run float64) simulator.Truth {
+	return simulator.Truth{RunS: run, Spec: wire.Spec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent,
 		Tasks: parts, CPUs: 2, MemoryGB: 6, Image: "img-g", ImageGB: 1, SameZone: true, ExpectedRunTime: wire.Seconds(run),
 		CheckpointInterval: 20, CheckpointTime: 2}}
@@ -34,27 +34,27 @@
 }
 
 // recorded counts the chunks that are stored of a job's progress.
-func recorded(w *standin.World, j standin.Truth) int {
+func recorded(w *simulator.World, j simulator.Truth) int {
 	return len(w.State.Keys("run/" + string(j.Spec.ID) + "/"))
 }
 
 // runs waits until all of the gang runs.
-func runs(t *testing.T, w *standin.World, j standin.Truth, most time.Duration) bool {
+func runs(t *testing.T, w *simulator.World, j simulator.Truth, most time.Duration) bool {
 	t.Helper()
 	return shows(t, most, string(j.Spec.ID)+" runs whole", func() bool { return w.Gang(j.Spec.ID).Running == j.Spec.Tasks })
 }
 
 func TestGangQuiet(t *testing.T) {
-	playBoth(t, 800, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 800, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a, b, c := gang(1, 4, 30), gang(2, 1, 10), gang(3, 8, 25)
 		c.Spec.SameZone, c.Spec.CPUs, c.Spec.CheckpointInterval, c.Spec.CheckpointTime = false, 1, 0, 0
 		at(2 * time.Second)
-		for _, j := range []standin.Truth{a, b, c} {
+		for _, j := range []simulator.Truth{a, b, c} {
 			w.Submit(j, 0)
 		}
 		at(120 * time.Second)
 		mustFinish(t, w, a, b, c)
-		for _, j := range []standin.Truth{a, b, c} {
+		for _, j := range []simulator.Truth{a, b, c} {
 			if g := w.Gang(j.Spec.ID); g.Starts != 1 || g.Falls != 0 {
 				t.Errorf("%s: %+v, want one start and no fall", j.Spec.ID, g)
 			}
@@ -71,7 +71,7 @@
 func TestGangLosesAMemberBeforeTheStart(t *testing.T) {
 	for _, how := range []string{"machine taken", "refused"} {
 		t.Run(how, func(t *testing.T) {
-			playBoth(t, 801, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 801, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				warm, j := array(1, 12, 60), gang(2, 4, 20)
 				warm.Spec.CPUs = 1
 				j.Spec.ImageGB = 6 // it is fetched for a while
@@ -106,7 +106,7 @@
 func TestGangLosesAMemberAfterTheStart(t *testing.T) {
 	for _, how := range []string{"taken", "hangs", "hangs for long", "reborn"} {
 		t.Run(how, func(t *testing.T) {
-			playBoth(t, 802, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 802, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				j := gang(1, 4, 60)
 				at(2 * time.Second)
 				w.Submit(j, 0)
@@ -141,7 +141,7 @@
 }
 
 // uneven makes machines fetch at different speeds, also those yet to come.
-func uneven(w *standin.World) {
+func uneven(w *simulator.World) {
 	for i := range 40 {
 		w.SlowMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)), 1/(1+0.5*float64(i%6)))
 	}
@@ -152,20 +152,20 @@
 func TestGangLosesTheLeader(t *testing.T) {
 	id := gang(1, 4, 40)
 	id.Spec.MachineTypes = []wire.MachineType{"c4"}
-	step := map[string]func(g standin.Gang, recorded int) bool{
-		"recorded": func(g standin.Gang, n int) bool { return n > 0 && g.Pulling+g.Waiting+g.Running == 0 },
-		"first launched": func(g standin.Gang, _ int) bool {
+	step := map[string]func(g simulator.Gang, recorded int) bool{
+		"recorded": func(g simulator.Gang, n int) bool { return n > 0 && g.Pulling+g.Waiting+g.Running == 0 },
+		"first launched": func(g simulator.Gang, _ int) bool {
 			n := g.Pulling + g.Waiting
 			return n > 0 && n < 4 && g.Running == 0
 		},
-		"all launched":  func(g standin.Gang, _ int) bool { return g.Pulling == 4 },
-		"first waiting": func(g standin.Gang, _ int) bool { return g.Waiting > 0 && g.Running == 0 },
-		"running":       func(g standin.Gang, _ int) bool { return g.Running == 4 },
+		"all launched":  func(g simulator.Gang, _ int) bool { return g.Pulling == 4 },
+		"first waiting": func(g simulator.Gang, _ int) bool { return g.Waiting > 0 && g.Running == 0 },
+		"running":       func(g simulator.Gang, _ int) bool { return g.Running == 4 },
 	}
 	for name, is := range step {
 		for _, down := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
 			t.Run(fmt.Sprint(name, " ", down), func(t *testing.T) {
-				playBoth(t, 803, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+				playBoth(t, 803, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 					j := id
 					warm := array(9, 10, 15)
 					warm.Spec.SpotAllowed, warm.Spec.MachineTypes = false, id.Spec.MachineTypes
@@ -176,11 +176,11 @@
 						uneven(w)
 					}
 					if name == "recorded" || name == "first launched" {
-						w.LagCommands(standin.Lag{Command: 300 * time.Millisecond})
+						w.LagCommands(simulator.Lag{Command: 300 * time.Millisecond})
 						l := w.Leader()
 						if name == "first launched" { // one of the machines gets its command later
 							for i := range 40 { // also those that are yet to come
-								w.Net.SlowLink(standin.NodeIP(l), fmt.Sprintf("10.1.0.%d", i+1), time.Duration(i%6)*500*time.Millisecond)
+								w.Net.SlowLink(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i+1), time.Duration(i%6)*500*time.Millisecond)
 							}
 						}
 					}
@@ -190,7 +190,7 @@
 					}
 					l := w.Leader()
 					w.Kill(l)
-					w.LagCommands(standin.Lag{})
+					w.LagCommands(simulator.Lag{})
 					time.Sleep(down)
 					w.Up(l)
 					begin := time.Now()
@@ -214,7 +214,7 @@
 func TestGangIsPreempted(t *testing.T) {
 	for _, how := range []string{"quiet", "a halt is late", "leader ends at the first halt", "and the service is cancelled"} {
 		t.Run(how, func(t *testing.T) {
-			playAs(t, standin.DefaultSettings(), 804, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, simulator.DefaultSettings(), 804, func(w *simulator.World, at func(time.Duration)) {
 				j, s := gang(1, 4, 50), service(2, 4)
 				j.Spec.Priority, j.Spec.MachineTypes = wire.PriorityStandard, []wire.MachineType{"c4"}
 				s.Spec.Spread, s.Spec.MemoryGB = false, 6
@@ -231,10 +231,10 @@
 				if on := w.Members(j.Spec.ID); len(on) < 2 {
 					t.Fatalf("all on %v", on)
 				} else if how == "leader ends at the first halt" || how == "and the service is cancelled" {
-					w.Net.Hold(standin.NodeIP(l), w.IP(on[1]), true)
-					defer w.Net.Hold(standin.NodeIP(l), w.IP(on[1]), false)
+					w.Net.Hold(simulator.NodeIP(l), w.IP(on[1]), true)
+					defer w.Net.Hold(simulator.NodeIP(l), w.IP(on[1]), false)
 				} else if how != "quiet" {
-					w.Net.SlowLink(standin.NodeIP(l), w.IP(on[1]), 2500*time.Millisecond)
+					w.Net.SlowLink(simulator.NodeIP(l), w.IP(on[1]), 2500*time.Millisecond)
 				}
 				w.Submit(s, 0)
 				if !shows(t, 20*time.Second, "is stopped", func() bool { return w.Gang(j.Spec.ID).Saving > 0 }) {
@@ -272,7 +272,7 @@
 func TestGangSpotNotice(t *testing.T) {
 	for _, left := range []time.Duration{25 * time.Second, 12 * time.Second} {
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
-			playBoth(t, 805, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 805, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				j := gang(1, 4, 60)
 				j.Spec.SpotAllowed = true
 				at(2 * time.Second)
@@ -293,16 +293,16 @@
 
 // A gang is cancelled in each phase: all of it is gone within cancel_s.
 func TestGangCancelled(t *testing.T) {
-	phases := map[string]func(g standin.Gang) bool{
-		"queued":  func(g standin.Gang) bool { return true },
-		"pulling": func(g standin.Gang) bool { return g.Pulling > 0 },
-		"waiting": func(g standin.Gang) bool { return g.Waiting > 0 },
-		"running": func(g standin.Gang) bool { return g.Running == 4 },
-		"saving":  func(g standin.Gang) bool { return g.Saving > 0 },
+	phases := map[string]func(g simulator.Gang) bool{
+		"queued":  func(g simulator.Gang) bool { return true },
+		"pulling": func(g simulator.Gang) bool { return g.Pulling > 0 },
+		"waiting": func(g simulator.Gang) bool { return g.Waiting > 0 },
+		"running": func(g simulator.Gang) bool { return g.Running == 4 },
+		"saving":  func(g simulator.Gang) bool { return g.Saving > 0 },
 	}
 	for name, is := range phases {
 		t.Run(name, func(t *testing.T) {
-			playBoth(t, 806, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 806, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				j, warm := gang(1, 4, 60), array(9, 10, 15)
 				j.Spec.SpotAllowed, j.Spec.CheckpointTime, j.Spec.MachineTypes = true, 4, []wire.MachineType{"c4"}
 				warm.Spec.MachineTypes = j.Spec.MachineTypes
@@ -338,8 +338,8 @@
 // Gangs compete with arrays for room that is always full, and with each other,
 // also under their team's limit: each begins within four minutes.
 func TestGangsCompete(t *testing.T) {
-	playBoth(t, 807, func(t *testing.T, w *standin.World, at func(time.Duration)) {
-		var gangs []standin.Truth
+	playBoth(t, 807, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+		var gangs []simulator.Truth
 		at(2 * time.Second)
 		for n := range 12 {
 			w.Submit(array(100+n, 8, 20), 0)
@@ -368,7 +368,7 @@
 		}
 		submitted := func(k int) time.Duration { return time.Duration(36+45*(k/2)) * time.Second }
 		at(520 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			for k, j := range gangs {
 				d, ok := c.Waited(j.Spec.ID)
 				began[j.Spec.ID] = d
@@ -387,7 +387,7 @@
 	for _, d := range []time.Duration{5 * time.Second, 30 * time.Second, 70 * time.Second} {
 		for _, leads := range []bool{false, true} {
 			t.Run(fmt.Sprint(d, " leader inside ", leads), func(t *testing.T) {
-				playAs(t, sized(5), 808, func(w *standin.World, at func(time.Duration)) {
+				playAs(t, sized(5), 808, func(w *simulator.World, at func(time.Duration)) {
 					at(2 * time.Second)
 					time.Sleep(3 * time.Second)
 					z := leadersZone(w, leads)
@@ -417,7 +417,7 @@
 // Copies of reports that show an older attempt come while the next one waits and
 // runs, also to a new leader.
 func TestGangLateCopies(t *testing.T) {
-	playAs(t, sized(5), 809, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, sized(5), 809, func(w *simulator.World, at func(time.Duration)) {
 		j := gang(1, 4, 60)
 		at(2 * time.Second)
 		w.Submit(j, 0)
@@ -452,10 +452,10 @@
 	for seed := range uint64(max(6, most)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			set := []config.Settings{sized(3), sized(5), standin.GasSettings()}[seed%3]
-			playAs(t, set, 820+seed, func(w *standin.World, at func(time.Duration)) {
+			set := []config.Settings{sized(3), sized(5), simulator.GasSettings()}[seed%3]
+			playAs(t, set, 820+seed, func(w *simulator.World, at func(time.Duration)) {
 				seconds, size := within(rng), set.Size
-				var all []standin.Truth
+				var all []simulator.Truth
 				at(2 * time.Second)
 				w.Submit(service(900, 3), 0)
 				for n := range 24 {
@@ -514,9 +514,9 @@
 					case 9:
 						_, ip, ok := w.Some(func(n int) bool { return n > 0 })
 						if i := rng.IntN(size); ok {
-							w.Net.Hold(standin.NodeIP(i), ip, true)
+							w.Net.Hold(simulator.NodeIP(i), ip, true)
 							time.Sleep(seconds(25))
-							w.Net.Hold(standin.NodeIP(i), ip, false)
+							w.Net.Hold(simulator.NodeIP(i), ip, false)
 						}
 					case 10:
 						for _, id := range w.All() {
@@ -524,7 +524,7 @@
 						}
 					}
 				}
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				time.Sleep(220 * time.Second)
 				mustFinish(t, w, all...)
 				starts, saves, falls, alone := 0, 0, 0, 0
@@ -541,7 +541,7 @@
 // With the cloud sold out, the room that is free is kept for the next replicas. A
 // gang that fits into it must not wait for ever, as an array must not.
 func TestGangInKeptRoom(t *testing.T) {
-	playAs(t, standin.DefaultSettings(), 810, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, simulator.DefaultSettings(), 810, func(w *simulator.World, at func(time.Duration)) {
 		s, j := service(1, 4), gang(2, 3, 20)
 		s.Spec.Spread, s.Spec.MachineTypes, s.Spec.Zone = false, []wire.MachineType{"c16"}, "a"
 		j.Spec.CPUs, j.Spec.Priority, j.Spec.MachineTypes, j.Spec.Zone = 4, wire.PriorityStandard, s.Spec.MachineTypes, "a" // 12 of 16 CPUs, 4 used, 2 kept
@@ -564,7 +564,7 @@
 // some only when their tasks have saved. What is free first must be kept until all
 // of it is.
 func TestGangWaitsForThoseWhoSave(t *testing.T) {
-	playAs(t, standin.DefaultSettings(), 811, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, simulator.DefaultSettings(), 811, func(w *simulator.World, at func(time.Duration)) {
 		w.SlowSaves()
 		saves, j := array(1, 2, 300), gang(3, 4, 20)
 		for _, s := range []*wire.Spec{&saves.Spec, &j.Spec} {
@@ -587,14 +587,14 @@
 		}
 		at(60 * time.Second)
 		w.Submit(j, 0)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(saves.Spec.ID) != 2 {
 				t.Errorf("%d of 2 tasks that save", c.On(saves.Spec.ID))
 			}
 		})
 		at(250 * time.Second)
 		mustFinish(t, w, j)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			d, ok := c.Waited(j.Spec.ID)
 			t.Logf("began after %v, %d started again", d, c.Again())
 			if !ok || d > 22*time.Second || c.Again() > 4 {
@@ -607,7 +607,7 @@
 // A spot notice is in the first report that a new leader hears of a gang: it
 // stops all of it in order.
 func TestGangNoticeToANewLeader(t *testing.T) {
-	playBoth(t, 812, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 812, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		j := gang(1, 4, 60)
 		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
 		at(2 * time.Second)
@@ -632,7 +632,7 @@
 
 // A spot notice comes in an outage of the state service.
 func TestGangNoticeInAnOutage(t *testing.T) {
-	playBoth(t, 813, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 813, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		j := gang(1, 4, 80)
 		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
 		at(2 * time.Second)
@@ -653,7 +653,7 @@
 
 // Cancelling races the end of gangs.
 func TestGangCancelRacesCompletion(t *testing.T) {
-	play(t, 814, func(w *standin.World, at func(time.Duration)) {
+	play(t, 814, func(w *simulator.World, at func(time.Duration)) {
 		at(2 * time.Second)
 		for n := range 14 {
 			j := gang(100+n, 2, 10)
@@ -661,7 +661,7 @@
 			w.Submit(j, time.Duration(18+n)*time.Second)
 		}
 		at(150 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			if done+cancelled != 14 || done == 0 || cancelled == 0 {
 				t.Errorf("%d done, %d cancelled of 14", done, cancelled)
@@ -673,7 +673,7 @@
 // One member's machine fails everything: the gang runs elsewhere. A gang that
 // fails everywhere condemns no machines.
 func TestGangFails(t *testing.T) {
-	play(t, 815, func(w *standin.World, at func(time.Duration)) {
+	play(t, 815, func(w *simulator.World, at func(time.Duration)) {
 		good, bad := gang(1, 4, 40), gang(2, 4, 15)
 		good.Spec.MachineTypes = []wire.MachineType{"c4"}
 		bad.Fails = true
@@ -706,7 +706,7 @@
 func TestGangUnderItsTeamsLimit(t *testing.T) {
 	for _, u := range []wire.Priority{wire.PriorityUrgent, wire.PriorityStandard, wire.PriorityBestEffort} {
 		t.Run(string(u), func(t *testing.T) {
-			play(t, 816, func(w *standin.World, at func(time.Duration)) {
+			play(t, 816, func(w *simulator.World, at func(time.Duration)) {
 				j := gang(1, 8, 25)
 				j.Spec.SameZone, j.Spec.Priority = false, u
 				j.Spec.MemoryGB = 4
@@ -715,7 +715,7 @@
 					w.Submit(array(100+n, 8, 20), 0)
 				}
 				at(40 * time.Second)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.Uses("red") < 38 {
 						t.Errorf("red uses %v of 40", c.Uses("red"))
 					}
@@ -726,7 +726,7 @@
 					w.Submit(array(200+n, 8, 25), 0)
 				}
 				at(320 * time.Second)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					d, ok := c.Waited(j.Spec.ID)
 					t.Logf("began after %v, %v", d, ok)
 					if !ok || d > 4*time.Minute {
--- a/meet_leaders_test.go
+++ b/internal/scenarios/meet_leaders_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 
 	"lilaclead/internal/admin"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 // once.
 
 // layout plays a day on a layout of zones and controllers.
-type layout = func(*testing.T, uint64, func(*standin.World, func(time.Duration)))
+type layout = func(*testing.T, uint64, func(*simulator.World, func(time.Duration)))
 
 // until waits for something to come true, looking every few milliseconds.
 func until(t *testing.T, most time.Duration, what string, f func() bool) {
@@ -31,14 +31,14 @@
 }
 
 // another waits until some other node than this one leads.
-func another(t *testing.T, w *standin.World, than int, most time.Duration) int {
+func another(t *testing.T, w *simulator.World, than int, most time.Duration) int {
 	t.Helper()
 	until(t, most, "another leader", func() bool { l := w.Leader(); return l >= 0 && l != than })
 	return w.Leader()
 }
 
 // up starts nodes.
-func up(t *testing.T, w *standin.World, nodes ...int) {
+func up(t *testing.T, w *simulator.World, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
 		if err := w.Up(i); err != nil {
@@ -49,7 +49,7 @@
 
 // cancelsAt asks a node to cancel a job, again and again until it is confirmed,
 // and tells when it was.
-func cancelsAt(t *testing.T, w *standin.World, i int, j standin.Truth) time.Time {
+func cancelsAt(t *testing.T, w *simulator.World, i int, j simulator.Truth) time.Time {
 	t.Helper()
 	id := j.Spec.ID
 	for begin := time.Now(); time.Since(begin) < 20*time.Second; time.Sleep(100 * time.Millisecond) {
@@ -66,7 +66,7 @@
 
 // polls has users ask one node about jobs, once a second, until the stop: what
 // it answers is checked against what any node has told before.
-func polls(w *standin.World, i int, jobs ...standin.Truth) (answered *int, stop func()) {
+func polls(w *simulator.World, i int, jobs ...simulator.Truth) (answered *int, stop func()) {
 	n, done := 0, make(chan struct{})
 	for _, j := range jobs {
 		go func() {
@@ -79,7 +79,7 @@
 				status, raw, _ := w.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
 				var s wire.JobState
 				if status == 404 || status == 200 && wire.Decode(raw, &s) == nil {
-					w.Checked(func(c *standin.Checker) { n++; c.Polled(j.Spec.ID, status, s.Status, time.Now()) })
+					w.Checked(func(c *simulator.Checker) { n++; c.Polled(j.Spec.ID, status, s.Status, time.Now()) })
 				}
 			}
 		}()
@@ -88,7 +88,7 @@
 }
 
 // leads tells whether a node itself says that it leads.
-func leads(t *testing.T, w *standin.World, i int) bool {
+func leads(t *testing.T, w *simulator.World, i int) bool {
 	t.Helper()
 	var v admin.View
 	status, raw, _ := w.Operate(i, "GET", "/admin/view", nil)
@@ -101,11 +101,11 @@
 // endOfDay checks, once all troubles are over, that every accepted job which
 // nobody cancelled is answered by every node within 75 s and runs or is done
 // within 90 s, and that all of them, and those named, come to their end.
-func endOfDay(t *testing.T, w *standin.World, size int, all ...standin.Truth) {
+func endOfDay(t *testing.T, w *simulator.World, size int, all ...simulator.Truth) {
 	t.Helper()
 	calm := time.Now()
 	var owed []wire.JobID
-	w.Checked(func(c *standin.Checker) { c.Calm(calm); owed = c.Owed() })
+	w.Checked(func(c *simulator.Checker) { c.Calm(calm); owed = c.Owed() })
 	for i := range size {
 		for _, id := range owed {
 			until(t, 75*time.Second-time.Since(calm), fmt.Sprintf("node %d answers about %s", i, id), func() bool {
@@ -115,13 +115,13 @@
 					time.Sleep(time.Second)
 					return false
 				}
-				w.Checked(func(c *standin.Checker) { c.Polled(id, status, s.Status, time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Polled(id, status, s.Status, time.Now()) })
 				return true
 			})
 		}
 	}
 	time.Sleep(time.Until(calm.Add(90 * time.Second)))
-	w.Checked(func(c *standin.Checker) {
+	w.Checked(func(c *simulator.Checker) {
 		for _, id := range c.Owed() {
 			if !c.Complete(id) && c.On(id) == 0 {
 				t.Errorf("%s neither runs nor is done 90 s after the troubles", id)
@@ -130,7 +130,7 @@
 	})
 	for until := time.Now().Add(100 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
 		left := 0
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			for _, j := range all {
 				if !j.Spec.Service() && !c.Complete(j.Spec.ID) {
 					left++
@@ -167,16 +167,16 @@
 	type way struct {
 		name   string
 		afters [3]time.Duration // since an end
-		change func(t *testing.T, w *standin.World, l int, end func())
+		change func(t *testing.T, w *simulator.World, l int, end func())
 	}
 	for k, c := range []way{
-		{"killed", [3]time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond}, func(t *testing.T, w *standin.World, l int, end func()) {
+		{"killed", [3]time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond}, func(t *testing.T, w *simulator.World, l int, end func()) {
 			w.Kill(l)
 			another(t, w, l, 10*time.Second)
 			end()
 			up(t, w, l)
 		}},
-		{"back at once", [3]time.Duration{4 * time.Millisecond, 0, 3 * time.Second}, func(t *testing.T, w *standin.World, l int, end func()) {
+		{"back at once", [3]time.Duration{4 * time.Millisecond, 0, 3 * time.Second}, func(t *testing.T, w *simulator.World, l int, end func()) {
 			old := w.LeadStamp()
 			w.Kill(l)
 			time.Sleep(200 * time.Millisecond)
@@ -184,23 +184,23 @@
 			until(t, 10*time.Second, "a new term", func() bool { o := w.LeadStamp(); return o > old })
 			end()
 		}},
-		{"refused by the state service", [3]time.Duration{400 * time.Millisecond, 4 * time.Millisecond, 0}, func(t *testing.T, w *standin.World, l int, end func()) {
-			w.State.Refuse(standin.NodeIP(l), true)
+		{"refused by the state service", [3]time.Duration{400 * time.Millisecond, 4 * time.Millisecond, 0}, func(t *testing.T, w *simulator.World, l int, end func()) {
+			w.State.Refuse(simulator.NodeIP(l), true)
 			another(t, w, l, 10*time.Second)
 			end()
 			time.Sleep(5 * time.Second)
-			w.State.Refuse(standin.NodeIP(l), false)
+			w.State.Refuse(simulator.NodeIP(l), false)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			playAs(t, sized(3), 60+uint64(k), func(w *standin.World, at func(time.Duration)) {
+			playAs(t, sized(3), 60+uint64(k), func(w *simulator.World, at func(time.Duration)) {
 				two, three := array(1, 2, 0), array(2, 3, 0)
 				two.EachS, three.EachS = []float64{14, 75}, []float64{16, 48, 80}
 				at(2 * time.Second)
 				w.Submit(two, 0)
 				w.Submit(three, 0)
 				ended := func() (n int) {
-					w.Checked(func(c *standin.Checker) { n = c.Completed(two.Spec.ID) + c.Completed(three.Spec.ID) })
+					w.Checked(func(c *simulator.Checker) { n = c.Completed(two.Spec.ID) + c.Completed(three.Spec.ID) })
 					return n
 				}
 				// Three of the five ends are met by a change each.
@@ -218,7 +218,7 @@
 					time.Sleep(time.Second)
 				}
 				endOfDay(t, w, 3, two, three)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.Again() != 0 {
 						t.Errorf("%d tasks were started again", c.Again())
 					}
@@ -234,11 +234,11 @@
 func TestAllControllersAwayBeyondTheLease(t *testing.T) {
 	for first, run := range map[int]layout{0: play, 1: playOdd, 3: play} { // how many are back first; 0: the last leader
 		t.Run(fmt.Sprint("first back ", first), func(t *testing.T) {
-			run(t, 61, func(w *standin.World, at func(time.Duration)) {
+			run(t, 61, func(w *simulator.World, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 8, 40), array(3, 3, 30)
 				gone, late := service(4, 3), array(5, 4, 100)
 				at(2 * time.Second)
-				for _, j := range []standin.Truth{s, a, gone, late} {
+				for _, j := range []simulator.Truth{s, a, gone, late} {
 					w.Submit(j, 0)
 				}
 				at(45 * time.Second)
@@ -255,8 +255,8 @@
 				}
 				away := time.Now()
 				time.Sleep(w.Set.Workers.LeaseS.Duration() + 5*time.Second)
-				w.Checked(func(c *standin.Checker) {
-					for _, j := range []standin.Truth{s, a, gone, late} {
+				w.Checked(func(c *simulator.Checker) {
+					for _, j := range []simulator.Truth{s, a, gone, late} {
 						if c.On(j.Spec.ID) != 0 {
 							t.Errorf("%s is on a machine %v after the end of all", j.Spec.ID, time.Since(away))
 						}
@@ -273,7 +273,7 @@
 				time.Sleep(10 * time.Second)
 				up(t, w, 0, 1, 2)
 				endOfDay(t, w, 3, s, a, b)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if n := c.On(gone.Spec.ID) + c.On(late.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of cancelled jobs", n)
 					}
@@ -290,19 +290,19 @@
 func TestOneZoneJobsBehindACut(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
-			playOdd(t, 62, func(w *standin.World, at func(time.Duration)) {
+			playOdd(t, 62, func(w *simulator.World, at func(time.Duration)) {
 				z := wire.Zone("b") // node 1
-				in := func(j standin.Truth) standin.Truth { j.Spec.Zone = z; return j }
+				in := func(j simulator.Truth) simulator.Truth { j.Spec.Zone = z; return j }
 				stays, same := in(array(1, 4, 120)), array(2, 3, 60)
 				same.Spec.SameZone = true
-				whole := func(j standin.Truth) standin.Truth { j.Spec.Spread = false; return in(j) }
+				whole := func(j simulator.Truth) simulator.Truth { j.Spec.Spread = false; return in(j) }
 				before, early, late, unborn := whole(service(3, 2)), whole(service(4, 2)), whole(service(5, 2)), whole(service(6, 2))
 				free := array(7, 6, 30)
 				at(2 * time.Second)
 				if leaderIn(t, w, "a"); inside {
 					leaderIn(t, w, z)
 				}
-				for _, j := range []standin.Truth{stays, same, before, early, late} {
+				for _, j := range []simulator.Truth{stays, same, before, early, late} {
 					w.Submit(j, 0)
 				}
 				time.Sleep(40 * time.Second)
@@ -312,7 +312,7 @@
 				cut := time.Now()
 				w.CloudOutage(true)
 				w.CutZone(z, true)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.On(early.Spec.ID) != 2 || c.On(late.Spec.ID) != 2 || c.On(stays.Spec.ID) == 0 {
 						t.Error("not all that should runs in the zone when it is cut off")
 					}
@@ -346,26 +346,26 @@
 	for k, back := range []time.Duration{50 * time.Millisecond, 450 * time.Millisecond, 950 * time.Millisecond, 3 * time.Second} {
 		same := k%2 == 0
 		t.Run(fmt.Sprintf("back after %v, the same one %v", back, same), func(t *testing.T) {
-			playAs(t, standin.DefaultSettings(), 63, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, simulator.DefaultSettings(), 63, func(w *simulator.World, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 6, 50), array(3, 4, 20)
 				gone, fresh := array(4, 4, 200), array(5, 4, 200)
 				at(2 * time.Second)
-				for _, j := range []standin.Truth{s, a, gone, fresh} {
+				for _, j := range []simulator.Truth{s, a, gone, fresh} {
 					w.Submit(j, 0)
 				}
 				at(40 * time.Second)
 				one := w.Leader()
-				w.State.Refuse(standin.NodeIP(one), true)
+				w.State.Refuse(simulator.NodeIP(one), true)
 				two := another(t, w, one, 10*time.Second)
-				w.State.Refuse(standin.NodeIP(one), false)
+				w.State.Refuse(simulator.NodeIP(one), false)
 				time.Sleep(500 * time.Millisecond)
 				third := 3 - one - two
 				w.Kill(third) // so that it goes back
-				w.State.Refuse(standin.NodeIP(two), true)
+				w.State.Refuse(simulator.NodeIP(two), true)
 				if another(t, w, two, 10*time.Second) != one {
 					t.Fatal("not handed back")
 				}
-				w.State.Refuse(standin.NodeIP(two), false)
+				w.State.Refuse(simulator.NodeIP(two), false)
 				w.Submit(b, 0)
 				time.Sleep(150 * time.Millisecond)
 				cancelsAt(t, w, two, gone)
@@ -395,7 +395,7 @@
 				time.Sleep(time.Second)
 				up(t, w, 0, 1, 2)
 				endOfDay(t, w, 3, s, a, b)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.On(s.Spec.ID) != 4 || c.On(gone.Spec.ID)+c.On(fresh.Spec.ID) != 0 {
 						t.Errorf("%d of 4 replicas, %d and %d tasks of cancelled jobs", c.On(s.Spec.ID), c.On(gone.Spec.ID), c.On(fresh.Spec.ID))
 					}
@@ -408,9 +408,9 @@
 // The leader changes ten times in two minutes, every other time inside an outage
 // of the state service, with submissions and cancellations all the while.
 func TestTenLeadersInTwoMinutes(t *testing.T) {
-	play(t, 64, func(w *standin.World, at func(time.Duration)) {
+	play(t, 64, func(w *simulator.World, at func(time.Duration)) {
 		s := service(1, 4)
-		all := []standin.Truth{s}
+		all := []simulator.Truth{s}
 		at(2 * time.Second)
 		w.Submit(s, 0)
 		at(35 * time.Second)
@@ -457,17 +457,17 @@
 // nothing but its silence ends their tasks. Users at the old one get no older
 // answer than the new one's.
 func TestLeaderCutWhileJobsAreCancelled(t *testing.T) {
-	for _, mode := range standin.CutModes {
+	for _, mode := range simulator.CutModes {
 		for _, only := range []bool{true, false} {
-			if !only && mode != standin.CutRefused {
+			if !only && mode != simulator.CutRefused {
 				continue
 			}
 			t.Run(fmt.Sprintf("%s, workers reach the old one only %v", mode, only), func(t *testing.T) {
-				playAs(t, sized(3), 65, func(w *standin.World, at func(time.Duration)) {
+				playAs(t, sized(3), 65, func(w *simulator.World, at func(time.Duration)) {
 					s, a := service(1, 4), array(2, 4, 60)
 					gone, late := service(3, 4), array(4, 4, 300)
 					at(2 * time.Second)
-					for _, j := range []standin.Truth{s, a, gone, late} {
+					for _, j := range []simulator.Truth{s, a, gone, late} {
 						w.Submit(j, 0)
 					}
 					at(45 * time.Second)
@@ -484,7 +484,7 @@
 						for ip := range behind {
 							for i := range 3 {
 								if only && i != l {
-									w.Net.Cut(standin.NodeIP(i), ip, on)
+									w.Net.Cut(simulator.NodeIP(i), ip, on)
 								}
 							}
 						}
@@ -498,7 +498,7 @@
 					if got := cancelsAt(t, w, next, gone); got.Sub(begin) > 8*time.Second {
 						t.Errorf("cancelled only %v after the cut", got.Sub(begin))
 					}
-					w.Checked(func(c *standin.Checker) {
+					w.Checked(func(c *simulator.Checker) {
 						if !only && c.On(late.Spec.ID) == 0 || only && c.On(gone.Spec.ID) == 0 {
 							t.Error("nothing of the cancelled jobs runs any more when they are cancelled")
 						}
@@ -512,7 +512,7 @@
 						t.Errorf("/ready of the old leader answers %d", status)
 					}
 					for i := range 3 {
-						if i != l && !w.Net.NodeCut(standin.NodeIP(l), standin.NodeIP(i)) {
+						if i != l && !w.Net.NodeCut(simulator.NodeIP(l), simulator.NodeIP(i)) {
 							t.Error("the cut is over too early")
 						}
 					}
@@ -521,7 +521,7 @@
 					}
 					time.Sleep(45 * time.Second)
 					if only {
-						w.Checked(func(c *standin.Checker) {
+						w.Checked(func(c *simulator.Checker) {
 							if n := c.On(gone.Spec.ID) + c.On(late.Spec.ID); n != 0 {
 								t.Errorf("%d tasks of cancelled jobs behind the old leader", n)
 							}
@@ -549,32 +549,32 @@
 		name      string
 		run       layout
 		vacant    bool // the cancellation waits for the end of the old one's grant
-		lose, end func(t *testing.T, w *standin.World, l int)
+		lose, end func(t *testing.T, w *simulator.World, l int)
 	}
-	workers := func(on bool) func(t *testing.T, w *standin.World, l int) {
-		return func(t *testing.T, w *standin.World, l int) {
+	workers := func(on bool) func(t *testing.T, w *simulator.World, l int) {
+		return func(t *testing.T, w *simulator.World, l int) {
 			for i := 1; i <= 100; i++ {
-				w.Net.Cut(standin.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), on)
+				w.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), on)
 			}
 		}
 	}
-	refuse := func(on bool) func(t *testing.T, w *standin.World, l int) {
-		return func(t *testing.T, w *standin.World, l int) { w.State.Refuse(standin.NodeIP(l), on) }
+	refuse := func(on bool) func(t *testing.T, w *simulator.World, l int) {
+		return func(t *testing.T, w *simulator.World, l int) { w.State.Refuse(simulator.NodeIP(l), on) }
 	}
 	for _, c := range []way{
-		{"killed", play, false, func(t *testing.T, w *standin.World, l int) { w.Kill(l) }, func(t *testing.T, w *standin.World, l int) { up(t, w, l) }},
+		{"killed", play, false, func(t *testing.T, w *simulator.World, l int) { w.Kill(l) }, func(t *testing.T, w *simulator.World, l int) { up(t, w, l) }},
 		{"resigns", playOdd, true, workers(true), workers(false)},
 		{"refused", play, true, refuse(true), refuse(false)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.run(t, 66, func(w *standin.World, at func(time.Duration)) {
+			c.run(t, 66, func(w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 10, 50)
 				at(2 * time.Second)
 				w.Submit(s, 0)
 				w.Submit(a, 0)
 				for round := range 3 {
 					at(time.Duration(40+50*round) * time.Second)
-					var ran, begins [3]standin.Truth
+					var ran, begins [3]simulator.Truth
 					for k := range 3 {
 						ran[k], begins[k] = array(100*round+10+k, 2, 200), array(100*round+20+k, 2, 200)
 						w.Submit(ran[k], 0)
@@ -610,7 +610,7 @@
 					time.Sleep(5 * time.Second)
 					c.end(t, w, l)
 					time.Sleep(15 * time.Second)
-					w.Checked(func(c *standin.Checker) {
+					w.Checked(func(c *simulator.Checker) {
 						for k := range 3 {
 							if n := c.On(ran[k].Spec.ID) + c.On(begins[k].Spec.ID); n != 0 {
 								t.Errorf("round %d: %d tasks are left of what was cancelled %s the election", round, n, [3]string{"before", "in", "after"}[k])
@@ -627,9 +627,9 @@
 // All teams' work after a day on which everything above has happened: whatever
 // was accepted and not cancelled is answered by every node, and done or running.
 func TestAllTeamsWorkAfterSuchDays(t *testing.T) {
-	playBoth(t, 67, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 67, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		rng := rand.New(rand.NewPCG(67, 4))
-		var all []standin.Truth
+		var all []simulator.Truth
 		n := 0
 		submit := func() {
 			for range 3 {
@@ -661,11 +661,11 @@
 		w.CloudOutage(true)
 		submit()
 		l := w.Leader()
-		w.CutNode(l, standin.CutRefused, true)
+		w.CutNode(l, simulator.CutRefused, true)
 		another(t, w, l, 10*time.Second)
 		submit()
 		time.Sleep(10 * time.Second)
-		w.CutNode(l, standin.CutRefused, false)
+		w.CutNode(l, simulator.CutRefused, false)
 		w.CloudOutage(false)
 		// A zone is cut off, and all outside it end for longer than a lease.
 		time.Sleep(10 * time.Second)
@@ -705,11 +705,11 @@
 	for seed := range uint64(max(2, most)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 5))
-			playBoth(t, 700+seed, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 700+seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				seconds := within(rng)
-				s, all := service(900, 4), []standin.Truth{}
+				s, all := service(900, 4), []simulator.Truth{}
 				n := 0
-				submit := func() standin.Truth {
+				submit := func() simulator.Truth {
 					n++
 					j := array(n, 1+rng.IntN(8), float64(5+rng.IntN(40)))
 					if rng.IntN(4) == 0 {
@@ -751,11 +751,11 @@
 					},
 					func() func() { // the state service refuses one node
 						i := (w.Leader() + 3 + rng.IntN(2)) % 3
-						w.State.Refuse(standin.NodeIP(i), true)
-						return func() { w.State.Refuse(standin.NodeIP(i), false) }
+						w.State.Refuse(simulator.NodeIP(i), true)
+						return func() { w.State.Refuse(simulator.NodeIP(i), false) }
 					},
 					func() func() { // the leader is cut from state service and peers
-						l, mode := (w.Leader()+3)%3, standin.CutModes[rng.IntN(3)]
+						l, mode := (w.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
 						w.CutNode(l, mode, true)
 						return func() { w.CutNode(l, mode, false) }
 					},
@@ -823,7 +823,7 @@
 	// With elected the leader is another one than before the cut.
 	for elected, cut := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
 		t.Run(fmt.Sprintf("cut for %v, another leader %v", cut, elected), func(t *testing.T) {
-			playAs(t, sized(3), 68, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, sized(3), 68, func(w *simulator.World, at func(time.Duration)) {
 				a, s, room := array(1, 14, 120), service(2, 4), array(3, 6, 300)
 				room.Spec.Zone = "a"
 				at(2 * time.Second)
@@ -842,7 +842,7 @@
 				}
 				time.Sleep(cut - 300*time.Millisecond)
 				there := 0
-				w.Checked(func(c *standin.Checker) { there = c.InZones(a.Spec.ID)["b"] })
+				w.Checked(func(c *simulator.Checker) { there = c.InZones(a.Spec.ID)["b"] })
 				if there == 0 {
 					t.Error("nothing runs behind the cut")
 				}
@@ -861,7 +861,7 @@
 				hold := func(on bool) {
 					for _, ip := range silent {
 						for i := range 3 {
-							w.Net.Cut(standin.NodeIP(i), ip, on)
+							w.Net.Cut(simulator.NodeIP(i), ip, on)
 						}
 					}
 				}
@@ -887,10 +887,10 @@
 		back bool // the last leader is back at once and takes the office again
 	}{{"another leads", play, false}, {"the same one is back", playOdd, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			c.run(t, 69, func(w *standin.World, at func(time.Duration)) {
+			c.run(t, 69, func(w *simulator.World, at func(time.Duration)) {
 				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 60)
 				at(2 * time.Second)
-				for _, j := range []standin.Truth{s, gone, a} {
+				for _, j := range []simulator.Truth{s, gone, a} {
 					w.Submit(j, 0)
 				}
 				at(45 * time.Second)
@@ -908,13 +908,13 @@
 				if !c.back {
 					up(t, w, l)
 				}
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.On(gone.Spec.ID) != 4 {
 						t.Error("the cancelled job was stopped before the outage")
 					}
 				})
 				time.Sleep(time.Until(confirmed.Add(w.Set.Workers.CancelS.Duration() + 10*time.Second)))
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if n := c.On(gone.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job", n)
 					}
@@ -930,7 +930,7 @@
 // finds out by a write that fails, closes them, and only then hears of them from
 // the watch. That must not cost it the office.
 func TestCancellationsHeardTwice(t *testing.T) {
-	play(t, 70, func(w *standin.World, at func(time.Duration)) {
+	play(t, 70, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 10, 60)
 		a.Spec.CPUs = 1.5 // with room beside them
 		at(2 * time.Second)
--- a/meet_limits_test.go
+++ b/internal/scenarios/meet_limits_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"lilaclead/internal/admin"
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
@@ -29,14 +29,14 @@
 
 // limited is a deployment whose teams both have a limit that tests can reach.
 func limited() config.Settings {
-	s := standin.DefaultSettings()
+	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 16, CPUsMax: 16}}
 	return s
 }
 
 // cancelNow cancels a job as its user, at whichever node answers, and notes that
 // the user was told. It tells whether that was within the time.
-func cancelNow(t *testing.T, w *standin.World, id wire.JobID, within time.Duration) bool {
+func cancelNow(t *testing.T, w *simulator.World, id wire.JobID, within time.Duration) bool {
 	t.Helper()
 	for begin, i := time.Now(), 0; time.Since(begin) < within; i++ {
 		if status, ok := askCancel(w, i%w.Set.Size, id); ok {
@@ -49,7 +49,7 @@
 
 // changeLeader ends the leader, waits until another leads, and has the old one
 // back. It checks that the office did change hands.
-func changeLeader(t *testing.T, w *standin.World) {
+func changeLeader(t *testing.T, w *simulator.World) {
 	t.Helper()
 	l := w.Leader()
 	if l < 0 {
@@ -61,7 +61,7 @@
 
 // followed waits until another leads than the one that was killed, and has that
 // one back.
-func followed(t *testing.T, w *standin.World, l int) {
+func followed(t *testing.T, w *simulator.World, l int) {
 	t.Helper()
 	begin := time.Now()
 	for n := w.Leader(); n == l || n < 0; n = w.Leader() {
@@ -76,9 +76,9 @@
 }
 
 // usage checks how many processors the tasks of a team use.
-func usage(t *testing.T, w *standin.World, team wire.TeamID, want float64) {
+func usage(t *testing.T, w *simulator.World, team wire.TeamID, want float64) {
 	t.Helper()
-	w.Checked(func(c *standin.Checker) {
+	w.Checked(func(c *simulator.Checker) {
 		if n := c.Uses(team); n != want {
 			t.Errorf("team %s uses %.0f processors, want %.0f", team, n, want)
 		}
@@ -92,10 +92,10 @@
 // it. And once it is known to be gone the rest runs, even if the machines never
 // come back.
 func TestLimitsWithCancelledBehindAFault(t *testing.T) {
-	faults := map[string]func(w *standin.World, id wire.MachineID, on bool){
-		"cut":  (*standin.World).Unlink,
-		"hang": (*standin.World).Stall,
-		"deaf": func(w *standin.World, id wire.MachineID, on bool) { w.Net.Deafen(w.IP(id), on) },
+	faults := map[string]func(w *simulator.World, id wire.MachineID, on bool){
+		"cut":  (*simulator.World).Unlink,
+		"hang": (*simulator.World).Stall,
+		"deaf": func(w *simulator.World, id wire.MachineID, on bool) { w.Net.Deafen(w.IP(id), on) },
 	}
 	for _, c := range []struct {
 		fault  string
@@ -112,7 +112,7 @@
 	} {
 		for seed := range meetSeeds(1) {
 			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", c.fault, c.before, c.half, c.cloud, c.lasts, seed), func(t *testing.T) {
-				playAs(t, limited(), 400+seed, func(w *standin.World, at func(time.Duration)) {
+				playAs(t, limited(), 400+seed, func(w *simulator.World, at func(time.Duration)) {
 					gone, goneS := array(1, 12, 400), service(2, 16)
 					next, nextS := array(3, 12, 15), service(4, 16)
 					at(2 * time.Second)
@@ -145,11 +145,11 @@
 						w.Kill(l)
 						time.Sleep(300 * time.Millisecond)
 					}
-					for _, j := range []standin.Truth{gone, goneS} {
+					for _, j := range []simulator.Truth{gone, goneS} {
 						if !cancelNow(t, w, j.Spec.ID, 3*time.Second) {
 							t.Fatalf("%s was not cancelled while the fault was on", j.Spec.ID)
 						}
-						w.Checked(func(c *standin.Checker) {
+						w.Checked(func(c *simulator.Checker) {
 							if c.On(j.Spec.ID) == 0 {
 								t.Errorf("nothing of %s runs when it is cancelled", j.Spec.ID)
 							}
@@ -157,7 +157,7 @@
 					}
 					if !c.before {
 						time.Sleep(time.Second)
-						w.Checked(func(c *standin.Checker) {
+						w.Checked(func(c *simulator.Checker) {
 							if c.On(gone.Spec.ID) == 0 || c.On(goneS.Spec.ID) == 0 {
 								t.Error("nothing runs behind the fault when the leader ends")
 							}
@@ -171,7 +171,7 @@
 					}
 					if c.lasts > 60*time.Second {
 						time.Sleep(time.Until(begin.Add(c.lasts)))
-						w.Checked(func(c *standin.Checker) {
+						w.Checked(func(c *simulator.Checker) {
 							if c.On(gone.Spec.ID) != 0 || c.On(goneS.Spec.ID) != 0 {
 								t.Error("cancelled tasks outlive their time")
 							}
@@ -184,7 +184,7 @@
 						time.Sleep(time.Until(begin.Add(c.lasts)))
 					}
 					fault(false)
-					w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 					time.Sleep(75 * time.Second)
 					mustFinish(t, w, next)
 					mustRun(t, w, nextS, "when all is over")
@@ -214,14 +214,14 @@
 		leader bool // changes meanwhile
 		cloud  bool // is away too, so that no list says where anything is
 		moves  bool // all of the first zone is lost, so that jobs move while it lasts
-		hit    func(w *standin.World, on bool, ids []wire.MachineID)
+		hit    func(w *simulator.World, on bool, ids []wire.MachineID)
 	}{
-		{"all vanish, cloud away, leader changes", true, true, false, func(w *standin.World, on bool, ids []wire.MachineID) {
+		{"all vanish, cloud away, leader changes", true, true, false, func(w *simulator.World, on bool, ids []wire.MachineID) {
 			if on {
 				w.Vanish(ids...)
 			}
 		}},
-		{"half cut, half vanish, leader changes", true, false, true, func(w *standin.World, on bool, ids []wire.MachineID) {
+		{"half cut, half vanish, leader changes", true, false, true, func(w *simulator.World, on bool, ids []wire.MachineID) {
 			for i, id := range ids {
 				if i%2 == 0 {
 					w.Unlink(id, on)
@@ -230,8 +230,8 @@
 				}
 			}
 		}},
-		{"cut off, leader changes", true, false, true, func(w *standin.World, on bool, ids []wire.MachineID) { w.CutZone("a", on) }},
-		{"half hang", false, false, false, func(w *standin.World, on bool, ids []wire.MachineID) {
+		{"cut off, leader changes", true, false, true, func(w *simulator.World, on bool, ids []wire.MachineID) { w.CutZone("a", on) }},
+		{"half hang", false, false, false, func(w *simulator.World, on bool, ids []wire.MachineID) {
 			for _, id := range some(ids, 2) {
 				w.Stall(id, on)
 			}
@@ -239,7 +239,7 @@
 	} {
 		for seed := range meetSeeds(1) {
 			t.Run(fmt.Sprintf("%s, seed %d", c.name, seed), func(t *testing.T) {
-				playIn(t, standin.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(w *standin.World, at func(time.Duration)) {
+				playIn(t, simulator.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(w *simulator.World, at func(time.Duration)) {
 					bound, same := array(1, 8, 70), array(2, 14, 50)
 					bound.Spec.Zone, same.Spec.SameZone = "a", true
 					boundS, sameS, spread := service(3, 3), service(4, 3), service(5, 4)
@@ -248,12 +248,12 @@
 					w.SellOut("b", true)
 					w.SellOut("c", true)
 					at(2 * time.Second)
-					for _, j := range []standin.Truth{same, sameS, boundS, spread, bound} {
+					for _, j := range []simulator.Truth{same, sameS, boundS, spread, bound} {
 						w.Submit(j, 0)
 					}
 					at(50 * time.Second)
-					w.Checked(func(c *standin.Checker) {
-						for _, j := range []standin.Truth{same, sameS, boundS, spread} {
+					w.Checked(func(c *simulator.Checker) {
+						for _, j := range []simulator.Truth{same, sameS, boundS, spread} {
 							if z := c.InZones(j.Spec.ID); z["a"] == 0 || len(z) != 1 {
 								t.Errorf("%s runs in %v before the fault", j.Spec.ID, z)
 							}
@@ -279,9 +279,9 @@
 							t.Errorf("no task is on a machine of unknown zone: %+v", v.Term)
 						}
 					} else {
-						w.Checked(func(c *standin.Checker) {
+						w.Checked(func(c *simulator.Checker) {
 							n := 0
-							for _, j := range []standin.Truth{same, sameS, spread, bound, boundS} {
+							for _, j := range []simulator.Truth{same, sameS, spread, bound, boundS} {
 								n += c.InZones(j.Spec.ID)["a"]
 							}
 							if n == 0 {
@@ -293,7 +293,7 @@
 					w.CloudOutage(false)
 					at(190 * time.Second)
 					if c.moves {
-						w.Checked(func(c *standin.Checker) {
+						w.Checked(func(c *simulator.Checker) {
 							if z := c.InZones(sameS.Spec.ID); len(z) != 1 || z["a"] > 0 {
 								t.Errorf("the service in one place runs in %v while that is lost", z)
 							}
@@ -305,13 +305,13 @@
 					}
 					w.SellOut("a", false)
 					c.hit(w, false, ids)
-					w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 					at(300 * time.Second)
 					mustFinish(t, w, same)
-					for _, j := range []standin.Truth{sameS, boundS, spread} {
+					for _, j := range []simulator.Truth{sameS, boundS, spread} {
 						mustRun(t, w, j, "of "+string(j.Spec.ID)+" when all is over")
 					}
-					w.Checked(func(c *standin.Checker) {
+					w.Checked(func(c *simulator.Checker) {
 						if n := c.Waiting(bound.Spec.ID); n > 0 {
 							t.Errorf("%d of the bound array's 8 tasks wait 110 s after the troubles", n)
 						}
@@ -323,7 +323,7 @@
 }
 
 // preempted is how many tasks the leader has had stopped to make room.
-func preempted(t *testing.T, w *standin.World) float64 {
+func preempted(t *testing.T, w *simulator.World) float64 {
 	t.Helper()
 	_, raw, _ := w.Operate(w.Leader(), "GET", "/metrics", nil)
 	for line := range strings.Lines(string(raw)) {
@@ -346,9 +346,9 @@
 	for _, slow := range []time.Duration{700 * time.Millisecond, 1300 * time.Millisecond} {
 		for seed := range meetSeeds(1) {
 			t.Run(fmt.Sprintf("%v, seed %d", slow, seed), func(t *testing.T) {
-				play(t, 440+seed, func(w *standin.World, at func(time.Duration)) {
+				play(t, 440+seed, func(w *simulator.World, at func(time.Duration)) {
 					w.SlowSaves()
-					job := func(n, parts int, run float64, u wire.Priority, team wire.TeamID) standin.Truth {
+					job := func(n, parts int, run float64, u wire.Priority, team wire.TeamID) simulator.Truth {
 						j := array(n, parts, run)
 						j.Spec.Priority, j.Spec.Team = u, team
 						j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 10, 3
@@ -357,7 +357,7 @@
 					low := job(1, 200, 40, wire.PriorityBestEffort, "blue")
 					low.Spec.SpotAllowed = false // where replicas may go too
 					usual := job(2, 24, 20, wire.PriorityStandard, "red")
-					urgent := []standin.Truth{job(3, 6, 15, wire.PriorityUrgent, "red"), job(4, 5, 15, wire.PriorityUrgent, "blue"), job(5, 12, 10, wire.PriorityUrgent, "red")}
+					urgent := []simulator.Truth{job(3, 6, 15, wire.PriorityUrgent, "red"), job(4, 5, 15, wire.PriorityUrgent, "blue"), job(5, 12, 10, wire.PriorityUrgent, "red")}
 					urgent[1].Spec.CPUs, urgent[1].Spec.MemoryGB = 4, 8
 					s := service(6, 4)
 					s.Spec.Spread = false
@@ -375,7 +375,7 @@
 					}
 					at(52 * time.Second)
 					w.Submit(s, 0)
-					w.Checked(func(c *standin.Checker) {
+					w.Checked(func(c *simulator.Checker) {
 						if c.Waiting(low.Spec.ID) == 0 || c.Waiting(usual.Spec.ID) == 0 || c.On(low.Spec.ID) == 0 {
 							t.Errorf("there is no more work than room: %d and %d wait, %d on", c.Waiting(low.Spec.ID), c.Waiting(usual.Spec.ID), c.On(low.Spec.ID))
 						}
@@ -385,7 +385,7 @@
 					w.Submit(urgent[2], 0)
 					at(120 * time.Second)
 					mustFinish(t, w, urgent...)
-					w.Checked(func(c *standin.Checker) {
+					w.Checked(func(c *simulator.Checker) {
 						if n := c.Again(); n == 0 || n > 40 {
 							t.Errorf("%d tasks were stopped and started again", n)
 						}
@@ -394,7 +394,7 @@
 					w.Slow(0)
 					w.SellOut("a", false)
 					w.SellOut("b", false)
-					w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 					at(300 * time.Second)
 					mustFinish(t, w, append(urgent, low, usual)...)
 					mustRun(t, w, s, "when all is over")
@@ -411,7 +411,7 @@
 func TestRoomIsMadeWithinTheLimit(t *testing.T) {
 	for seed := range meetSeeds(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, 460+seed, func(w *standin.World, at func(time.Duration)) {
+			play(t, 460+seed, func(w *simulator.World, at func(time.Duration)) {
 				most, low := array(1, 19, 400), array(2, 200, 60)
 				low.Spec.Priority, low.Spec.Team, low.Spec.SpotAllowed, most.Spec.SpotAllowed = wire.PriorityBestEffort, "blue", false, false
 				low.Spec.CheckpointInterval, low.Spec.CheckpointTime = 10, 3
@@ -426,14 +426,14 @@
 				usage(t, w, "red", 38)
 				w.Slow(700 * time.Millisecond)
 				at(45 * time.Second)
-				var urgent []standin.Truth
+				var urgent []simulator.Truth
 				for n := range 10 {
 					j := array(10+n, 1, 8)
 					j.Spec.Priority = wire.PriorityUrgent
 					urgent = append(urgent, j)
 					w.Submit(j, 0)
 				}
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.Waiting(low.Spec.ID) == 0 {
 						t.Error("there is no more work than room")
 					}
@@ -450,10 +450,10 @@
 
 // leftOver lists the jobs that the state service still has as not over, but for
 // those named, and progress of others.
-func leftOver(w *standin.World, live ...standin.Truth) []string {
+func leftOver(w *simulator.World, live ...simulator.Truth) []string {
 	var out []string
 	for _, k := range append(w.State.Keys("job/"), w.State.Keys("run/")...) {
-		if !slices.ContainsFunc(live, func(j standin.Truth) bool { return strings.Contains(k, string(j.Spec.ID)) }) {
+		if !slices.ContainsFunc(live, func(j simulator.Truth) bool { return strings.Contains(k, string(j.Spec.ID)) }) {
 			out = append(out, k)
 		}
 	}
@@ -462,7 +462,7 @@
 
 // noneLeftWaiting lets time pass, after which no job may have waited for 90 s
 // without a start while a machine had room for it and its team was under its limit.
-func noneLeftWaiting(t *testing.T, w *standin.World, d time.Duration) {
+func noneLeftWaiting(t *testing.T, w *simulator.World, d time.Duration) {
 	t.Helper()
 	type wait struct {
 		n     int
@@ -495,7 +495,7 @@
 func TestMachinesThatNoListEverHad(t *testing.T) {
 	for seed := range meetSeeds(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			playAs(t, limited(), 480+seed, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, limited(), 480+seed, func(w *simulator.World, at func(time.Duration)) {
 				w.Boots(0.05)
 				same, sameS := array(1, 12, 30), service(2, 4)
 				same.Spec.SameZone, sameS.Spec.SameZone, sameS.Spec.Spread = true, true, false
@@ -525,7 +525,7 @@
 					t.Errorf("no task is on a machine of unknown zone: %+v", v.Term)
 				}
 				w.Up(l) //nolint:errcheck // it was killed above
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				time.Sleep(90 * time.Second)
 				mustFinish(t, w, same)
 				mustRun(t, w, sameS, "when all is over")
@@ -543,7 +543,7 @@
 func TestReleaseUnansweredWhenTheLeaderEnds(t *testing.T) {
 	for seed := range meetSeeds(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			playAs(t, limited(), 490+seed, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, limited(), 490+seed, func(w *simulator.World, at func(time.Duration)) {
 				gone, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
 				at(2 * time.Second)
 				w.Submit(gone, 0)
@@ -563,7 +563,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				lost := 0
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if lost = c.On(gone.Spec.ID); lost == 0 {
 						t.Error("nothing of the cancelled job runs where it can't be stopped")
 					}
@@ -575,14 +575,14 @@
 					time.Sleep(100 * time.Millisecond)
 				}
 				// They are gone, and the leader can't know: they count.
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if n := c.On(next.Spec.ID); c.On(gone.Spec.ID) > 0 || n > 12-lost {
 						t.Errorf("%d tasks of the next job run before the release of %d is answered", n, lost)
 					}
 				})
 				changeLeader(t, w)
 				w.LoseReleases(0)
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				time.Sleep(90 * time.Second)
 				mustFinish(t, w, next)
 				mustRun(t, w, s, "when all is over")
@@ -600,7 +600,7 @@
 	for seed := range meetSeeds(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			playAs(t, limited(), 500+seed, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, limited(), 500+seed, func(w *simulator.World, at func(time.Duration)) {
 				seconds := within(rng)
 				zone := func() wire.Zone { return []wire.Zone{"a", "b"}[rng.IntN(2)] }
 				s, sameS := service(1, 4), service(2, 3)
@@ -608,7 +608,7 @@
 				at(2 * time.Second)
 				w.Submit(s, 0)
 				w.Submit(sameS, 0)
-				var all []standin.Truth
+				var all []simulator.Truth
 				jobs := func(n int) {
 					for range n {
 						j := array(10+len(all), 1+rng.IntN(8), float64(4+rng.IntN(12)))
@@ -705,7 +705,7 @@
 						time.Sleep(seconds(3))
 					}
 				}
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				if met < 3 {
 					t.Errorf("only %d troubles fell into another one", met)
 				}
@@ -726,7 +726,7 @@
 func TestMostMachinesGoneWhenTheLeaderEnds(t *testing.T) {
 	for seed := range meetSeeds(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, 510+seed, func(w *standin.World, at func(time.Duration)) {
+			play(t, 510+seed, func(w *simulator.World, at func(time.Duration)) {
 				j, s := array(1, 12, 300), service(2, 4)
 				at(2 * time.Second)
 				w.Submit(j, 90*time.Second)
@@ -745,7 +745,7 @@
 				followed(t, w, l)
 				w.SellOut("a", true)
 				w.SellOut("b", true)
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				time.Sleep(60 * time.Second)
 				_, raw, _ := w.Operate(w.Leader(), "GET", "/admin/view", nil)
 				var v admin.View
@@ -769,7 +769,7 @@
 func TestSpotTakenForGoodInTheMiddleOfAnArray(t *testing.T) {
 	for _, site := range []wire.Zone{"", "a"} {
 		t.Run("bound to "+string(site), func(t *testing.T) {
-			play(t, 520, func(w *standin.World, at func(time.Duration)) {
+			play(t, 520, func(w *simulator.World, at func(time.Duration)) {
 				j := array(1, 12, 20)
 				j.Spec.Zone = site
 				at(2 * time.Second)
@@ -777,14 +777,14 @@
 				done := 0
 				for done == 0 {
 					time.Sleep(100 * time.Millisecond)
-					w.Checked(func(c *standin.Checker) { done = j.Spec.Tasks - c.On(j.Spec.ID) - c.Waiting(j.Spec.ID) })
+					w.Checked(func(c *simulator.Checker) { done = j.Spec.Tasks - c.On(j.Spec.ID) - c.Waiting(j.Spec.ID) })
 				}
 				w.NoSpot(true)
 				if w.Take(100, func(spot bool, _ int) bool { return spot }) == 0 {
 					t.Error("no spot machine to take")
 				}
 				changeLeader(t, w)
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				if done == j.Spec.Tasks {
 					t.Error("the array was done already")
 				}
--- a/meet_reports_test.go
+++ b/internal/scenarios/meet_reports_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"time"
 
 	"lilaclead/internal/admin"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
 // mustCancel has a user cancel a job at a node, again and again until it is
 // confirmed.
-func mustCancel(t *testing.T, w *standin.World, j standin.Truth) {
+func mustCancel(t *testing.T, w *simulator.World, j simulator.Truth) {
 	t.Helper()
 	if !cancelNow(t, w, j.Spec.ID, 10*time.Second) {
 		t.Errorf("%s could not be cancelled", j.Spec.ID)
@@ -22,7 +22,7 @@
 }
 
 // nextLeader waits for the office to be taken anew and says by whom.
-func nextLeader(t *testing.T, w *standin.World, old wire.Token) (int, wire.Token) {
+func nextLeader(t *testing.T, w *simulator.World, old wire.Token) (int, wire.Token) {
 	t.Helper()
 	for range 20_000 {
 		if l, token := w.Holder(); l >= 0 && token > old {
@@ -35,14 +35,14 @@
 }
 
 // hasRecovered tells whether a leader has read what is stored.
-func hasRecovered(w *standin.World, i int) bool {
+func hasRecovered(w *simulator.World, i int) bool {
 	status, raw, _ := w.Operate(i, "GET", "/admin/view", nil)
 	var v admin.View
 	return status == 200 && wire.Decode(raw, &v) == nil && v.Term != nil && len(v.Term.Jobs) > 0
 }
 
 // cancelledIsGone checks that nothing of a cancelled job is left.
-func cancelledIsGone(t *testing.T, w *standin.World, j standin.Truth, when string) {
+func cancelledIsGone(t *testing.T, w *simulator.World, j simulator.Truth, when string) {
 	t.Helper()
 	if n := alive(w, j.Spec.ID); n != 0 {
 		t.Errorf("%d tasks of the cancelled %s %s", n, j.Spec.ID, when)
@@ -56,7 +56,7 @@
 func TestReportHeldUntilTheNextLeaderActed(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprint("before the next ones ", before), func(t *testing.T) {
-			playBoth(t, 600, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 600, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				w.KeepReports()
 				a, gone, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
 				at(2 * time.Second)
@@ -114,7 +114,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				w.Up(l)
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				at(200 * time.Second)
 				mustFinish(t, w, a, late)
 				cancelledIsGone(t, w, gone, "at the end")
@@ -128,7 +128,7 @@
 // well after a lease meanwhile, a leader ends, and a job is cancelled that the
 // old ones list.
 func TestOldReportsOfEarlierSessionsAndAttempts(t *testing.T) {
-	playBoth(t, 610, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 610, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		lease := w.Set.Workers.LeaseS.Duration()
 		w.KeepReports()
 		a, gone, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
@@ -205,7 +205,7 @@
 		}
 		w.CopyShare(0, 0, 0)
 		time.Sleep(lease * 5 / 2)
-		w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+		w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 		time.Sleep(120 * time.Second)
 		mustFinish(t, w, a)
 		mustRun(t, w, s, "when all is over")
@@ -224,7 +224,7 @@
 				play = playOdd
 			}
 			t.Run(fmt.Sprintf("recovered %v, first reports %v", recovered, first), func(t *testing.T) {
-				play(t, 620, func(w *standin.World, at func(time.Duration)) {
+				play(t, 620, func(w *simulator.World, at func(time.Duration)) {
 					w.KeepReports()
 					a, gone, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
 					at(2 * time.Second)
@@ -252,7 +252,7 @@
 					// A slow state service makes the recovery take a while.
 					slow := func(d time.Duration) {
 						for i := range w.Set.Size {
-							w.Net.SlowLink("10.2.0.1", standin.NodeIP(i), d)
+							w.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), d)
 						}
 					}
 					if !recovered {
@@ -289,7 +289,7 @@
 					time.Sleep(5 * time.Second)
 					w.Up(l)
 					cancelledIsGone(t, w, gone, "some seconds after the new leader began")
-					w.Checked(func(c *standin.Checker) {
+					w.Checked(func(c *simulator.Checker) {
 						if c.Again() != 0 {
 							t.Errorf("%d tasks were started again", c.Again())
 						}
@@ -310,21 +310,21 @@
 func TestCommandsHeldUp(t *testing.T) {
 	cases := []struct {
 		name string
-		lag  standin.Lag
+		lag  simulator.Lag
 		hang bool
 		then []string
 	}{
-		{"commands for 2 s", standin.Lag{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
-		{"commands for 9 s", standin.Lag{Command: 9 * time.Second}, false, []string{"leader", "both"}},
-		{"answers for 9 s", standin.Lag{Answer: 9 * time.Second, Hello: 3500 * time.Millisecond}, false, []string{"cancel"}},
-		{"both, and the answers to reports", standin.Lag{Command: 4 * time.Second, Answer: 4 * time.Second, Hello: 3900 * time.Millisecond}, false, []string{"both"}},
-		{"answers to reports for 3 s", standin.Lag{Hello: 3 * time.Second}, false, []string{"leader"}},
-		{"the machines hang", standin.Lag{}, true, []string{"cancel", "both"}},
+		{"commands for 2 s", simulator.Lag{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
+		{"commands for 9 s", simulator.Lag{Command: 9 * time.Second}, false, []string{"leader", "both"}},
+		{"answers for 9 s", simulator.Lag{Answer: 9 * time.Second, Hello: 3500 * time.Millisecond}, false, []string{"cancel"}},
+		{"both, and the answers to reports", simulator.Lag{Command: 4 * time.Second, Answer: 4 * time.Second, Hello: 3900 * time.Millisecond}, false, []string{"both"}},
+		{"answers to reports for 3 s", simulator.Lag{Hello: 3 * time.Second}, false, []string{"leader"}},
+		{"the machines hang", simulator.Lag{}, true, []string{"cancel", "both"}},
 	}
 	for _, c := range cases {
 		for _, then := range c.then {
 			t.Run(c.name+", "+then, func(t *testing.T) {
-				play(t, 630, func(w *standin.World, at func(time.Duration)) {
+				play(t, 630, func(w *simulator.World, at func(time.Duration)) {
 					s, gone, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
 					a, late, quick := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
 					at(2 * time.Second)
@@ -371,17 +371,17 @@
 					}
 					cancelledIsGone(t, w, gone, "20 s later")
 					cancelledIsGone(t, w, late, "20 s later")
-					w.LagCommands(standin.Lag{})
+					w.LagCommands(simulator.Lag{})
 					for verb, want := range map[wire.Verb]bool{
 						wire.Launch: c.hang || c.lag.Command > 0, wire.Halt: c.hang || c.lag.Command == 2*time.Second,
-						standin.Answered: c.lag.Answer > 0, wire.Forget: c.lag.Hello > 0 && c.lag.Answer == 0,
+						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.Hello > 0 && c.lag.Answer == 0,
 					} {
 						if want && w.Late(verb) == 0 {
 							t.Errorf("no %s came late", verb)
 						}
 					}
 					time.Sleep(20 * time.Second)
-					w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 					time.Sleep(90 * time.Second)
 					mustFinish(t, w, warm, a, quick)
 					mustRun(t, w, s, "at the end")
@@ -405,7 +405,7 @@
 				continue // as deaf to the next
 			}
 			t.Run(fmt.Sprintf("%s, longer than a lease %v", how, long), func(t *testing.T) {
-				play(t, 650, func(w *standin.World, at func(time.Duration)) {
+				play(t, 650, func(w *simulator.World, at func(time.Duration)) {
 					s, a := service(1, 3), array(2, 12, 70)
 					at(2 * time.Second)
 					w.Submit(s, 0)
@@ -421,9 +421,9 @@
 								switch {
 								case ip == "":
 								case how == "cut":
-									w.Net.Cut(standin.NodeIP(i), ip, on)
+									w.Net.Cut(simulator.NodeIP(i), ip, on)
 								case how == "deaf", how == "deaf to the next" && i != l:
-									w.Net.Hold(standin.NodeIP(i), ip, on)
+									w.Net.Hold(simulator.NodeIP(i), ip, on)
 								}
 							}
 						}
@@ -454,7 +454,7 @@
 					}
 					off(false)
 					w.Up(l)
-					w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 					time.Sleep(130 * time.Second)
 					mustFinish(t, w, a)
 					mustRun(t, w, s, "at the end")
@@ -480,7 +480,7 @@
 				}
 				t.Run(fmt.Sprintf("%s, cloud away %v, leader ends %v", how, cloud, leader), func(t *testing.T) {
 					rng := rand.New(rand.NewPCG(660, 1))
-					play(t, 660, func(w *standin.World, at func(time.Duration)) {
+					play(t, 660, func(w *simulator.World, at func(time.Duration)) {
 						s, gone, a := service(1, 3), array(2, 10, 300), array(3, 6, 20)
 						kept := service(4, 2)
 						at(2 * time.Second)
@@ -534,7 +534,7 @@
 						off(false)
 						time.Sleep(20 * time.Second)
 						w.CloudOutage(false)
-						w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+						w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 						time.Sleep(80 * time.Second)
 						mustFinish(t, w, a)
 						mustRun(t, w, s, "at the end")
@@ -552,19 +552,19 @@
 // leases run out all the same. What can't live there must be done elsewhere, and
 // what is cancelled there must be gone in time.
 func TestMuteMachines(t *testing.T) {
-	for name, some := range map[string]func(w *standin.World) []wire.MachineID{
-		"one":         func(w *standin.World) []wire.MachineID { return w.Working("")[:1] },
-		"some":        func(w *standin.World) []wire.MachineID { ms := w.Working(""); return ms[:(len(ms)+1)/2] },
-		"most a zone": func(w *standin.World) []wire.MachineID { ms := w.Working("a"); return ms[:(len(ms)*3+3)/4] },
+	for name, some := range map[string]func(w *simulator.World) []wire.MachineID{
+		"one":         func(w *simulator.World) []wire.MachineID { return w.Working("")[:1] },
+		"some":        func(w *simulator.World) []wire.MachineID { ms := w.Working(""); return ms[:(len(ms)+1)/2] },
+		"most a zone": func(w *simulator.World) []wire.MachineID { ms := w.Working("a"); return ms[:(len(ms)*3+3)/4] },
 	} {
 		t.Run(name, func(t *testing.T) {
 			both := playBoth
 			if name == "one" {
-				both = func(t *testing.T, seed uint64, script func(*testing.T, *standin.World, func(time.Duration))) {
-					playOdd(t, seed, func(w *standin.World, at func(time.Duration)) { script(t, w, at) })
+				both = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.World, func(time.Duration))) {
+					playOdd(t, seed, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
 				}
 			}
-			both(t, 640, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			both(t, 640, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, a, gone := service(1, 3), array(2, 12, 60), array(3, 4, 300)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -600,7 +600,7 @@
 	}
 }
 
-func countGone(w *standin.World, ids []wire.MachineID) (n int) {
+func countGone(w *simulator.World, ids []wire.MachineID) (n int) {
 	for _, id := range ids {
 		if w.IP(id) == "" {
 			n++
@@ -616,7 +616,7 @@
 func TestCancelledJustBeforeAnOutage(t *testing.T) {
 	for _, how := range []string{"hang", "deaf", "not recovered"} {
 		t.Run(how, func(t *testing.T) {
-			playBoth(t, 670, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 670, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, gone, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -633,17 +633,17 @@
 					// It reads of no change any more, and goes on answering reports
 					// until its grant ends. What the others tell it of it can't
 					// halt: the machines hang as well.
-					w.State.Refuse(standin.NodeIP(l), true)
+					w.State.Refuse(simulator.NodeIP(l), true)
 					w.Hang(true, ms...)
 					time.Sleep(2 * time.Second)
 				}
 				mustCancel(t, w, gone)
 				if how == "not recovered" {
 					for i := range w.Set.Size {
-						w.Net.SlowLink("10.2.0.1", standin.NodeIP(i), 300*time.Millisecond)
+						w.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 300*time.Millisecond)
 					}
 					n, _ := nextLeader(t, w, old)
-					w.State.Refuse(standin.NodeIP(l), false)
+					w.State.Refuse(simulator.NodeIP(l), false)
 					time.Sleep(320 * time.Millisecond)
 					w.State.Outage(true)
 					time.Sleep(time.Second)
@@ -663,7 +663,7 @@
 				time.Sleep(w.Set.Workers.CancelS.Duration() + 5*time.Second)
 				cancelledIsGone(t, w, gone, "although their time is up")
 				for i := range w.Set.Size {
-					w.Net.SlowLink("10.2.0.1", standin.NodeIP(i), 0)
+					w.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 0)
 				}
 				w.State.Outage(false)
 				w.Submit(a, 0)
--- a/meet_state_test.go
+++ b/internal/scenarios/meet_state_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -26,13 +26,13 @@
 // whatever a user was told before he asked, the answer must not be older. (What
 // he is told while the answer is on its way can't be in it.)
 type reader struct {
-	w     *standin.World
+	w     *simulator.World
 	stop  chan struct{}
 	ended chan struct{}
 	news  []seen
 }
 
-func read(t *testing.T, w *standin.World, id wire.JobID) *reader {
+func read(t *testing.T, w *simulator.World, id wire.JobID) *reader {
 	r := &reader{w: w, stop: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(r.ended)
@@ -44,7 +44,7 @@
 			case <-time.After(time.Duration(1+8*(rank/2)) * 250 * time.Millisecond): // rarely once it is over
 			}
 			n := i % w.Set.Size
-			w.Checked(func(c *standin.Checker) { rank = max(rank, c.Said(id)) })
+			w.Checked(func(c *simulator.Checker) { rank = max(rank, c.Said(id)) })
 			status, raw, _ := w.Ask(n, "GET", "/v1/jobs/"+string(id), nil)
 			var s wire.JobState
 			now := 0
@@ -57,7 +57,7 @@
 			default:
 				continue // no answer says nothing
 			}
-			w.Checked(func(c *standin.Checker) {
+			w.Checked(func(c *simulator.Checker) {
 				if now < rank {
 					t.Errorf("%s: node %d says %d %s after %v", id, n, status, s.Status, r.news)
 				}
@@ -82,7 +82,7 @@
 
 // first is when an answer of the rank came first; zero: never.
 func (r *reader) first(rank int) (at time.Time) {
-	r.w.Checked(func(*standin.Checker) {
+	r.w.Checked(func(*simulator.Checker) {
 		if i := slices.IndexFunc(r.news, func(n seen) bool { return n.rank >= rank }); i >= 0 {
 			at = r.news[i].at
 		}
@@ -93,20 +93,20 @@
 // insist is a user who submits a job or asks to cancel it again and again at
 // node after node, beginning with the given one, until it is answered, and who
 // then asks the others all the same. It tells when which node answered first.
-func insist(t *testing.T, w *standin.World, j standin.Truth, cancel bool, from int) (when time.Time, node int, said wire.Status) {
+func insist(t *testing.T, w *simulator.World, j simulator.Truth, cancel bool, from int) (when time.Time, node int, said wire.Status) {
 	t.Helper()
 	id := j.Spec.ID
-	path, body := "/v1/jobs", any(standin.Submission(j.Spec))
+	path, body := "/v1/jobs", any(simulator.Submission(j.Spec))
 	if cancel {
 		path, body = path+"/"+string(id)+"/cancel", nil
-		w.Checked(func(c *standin.Checker) { c.CancelAsked(id) })
+		w.Checked(func(c *simulator.Checker) { c.CancelAsked(id) })
 	}
 	more := w.Set.Size
 	for i, begin := from, time.Now(); more > 0 && time.Since(begin) < 60*time.Second; i++ {
 		n := i % w.Set.Size
 		status, raw, _ := w.Ask(n, "POST", path, body)
 		now := time.Now()
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			var b wire.JobSummary
 			if status != 200 && status != 201 || wire.Decode(raw, &b) != nil {
 				if c.Refused(id, status, now); status == 400 || status == 404 || status == 422 {
@@ -134,28 +134,28 @@
 
 // fates are those of the faults' transactions that change a key with the prefix
 // and pass the test.
-func fates(w *standin.World, prefix string, which func(f *standin.Fate) bool) []standin.Fate {
-	return slices.DeleteFunc(w.State.Fates(), func(f standin.Fate) bool { return !f.Changes(prefix) || !which(&f) })
+func fates(w *simulator.World, prefix string, which func(f *simulator.Fate) bool) []simulator.Fate {
+	return slices.DeleteFunc(w.State.Fates(), func(f simulator.Fate) bool { return !f.Changes(prefix) || !which(&f) })
 }
 
-func executed(f *standin.Fate) bool { return f.Status == http.StatusOK }
+func executed(f *simulator.Fate) bool { return f.Status == http.StatusOK }
 
 // tooLate are those that came after newer ones of the same client and failed.
-func tooLate(f *standin.Fate) bool {
+func tooLate(f *simulator.Fate) bool {
 	return f.Late && f.Newer > 0 && f.Status != 0 && f.Status != http.StatusOK
 }
 
 // everyNode are the hosts of all controllers.
-func everyNode(w *standin.World) (out []string) {
+func everyNode(w *simulator.World) (out []string) {
 	for i := range w.Set.Size {
-		out = append(out, standin.NodeIP(i))
+		out = append(out, simulator.NodeIP(i))
 	}
 	return
 }
 
 // meet plays a meeting of troubles on the usual layout or, by turns of the seed, on
 // the one where a zone has machines and no controller.
-func meet(t *testing.T, seed uint64, script func(t *testing.T, w *standin.World, at func(time.Duration))) {
+func meet(t *testing.T, seed uint64, script func(t *testing.T, w *simulator.World, at func(time.Duration))) {
 	t.Helper()
 	for i := range seeds() {
 		name, run := "usual layout", play
@@ -163,7 +163,7 @@
 			name, run = "odd layout", playOdd
 		}
 		t.Run(fmt.Sprint(name, " ", seed+i), func(t *testing.T) {
-			run(t, seed+i, func(w *standin.World, at func(time.Duration)) { script(t, w, at) })
+			run(t, seed+i, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
 		})
 	}
 }
@@ -175,9 +175,9 @@
 }
 
 // rest ends all troubles of transactions, and gives the jobs some time.
-func rest(w *standin.World, d time.Duration) {
+func rest(w *simulator.World, d time.Duration) {
 	w.State.Trouble(0)
-	w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+	w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 	time.Sleep(d)
 }
 
@@ -189,11 +189,11 @@
 	for i, kind := range []string{"acceptance", "cancellation", "launch", "office", "end", "all"} {
 		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.RunPrefix, "office": store.LeadKey, "end": "past/"}[kind]
 		t.Run(kind, func(t *testing.T) {
-			meet(t, uint64(500+10*i+i), func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			meet(t, uint64(500+10*i+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				a, b, gone, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
-				faults := []standin.TxnFault{{Prefix: prefix}}
+				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each for sure, then half of all
-					faults = []standin.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.RunPrefix, Most: 1}, {Share: 0.5}}
+					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.RunPrefix, Most: 1}, {Share: 0.5}}
 				}
 				var begin, end time.Time
 				on := func() { w.State.Trouble(uint64(i), faults...); begin = time.Now() }
@@ -264,7 +264,7 @@
 				case "launch", "end":
 					during("first read to be over", ra.first(2))
 				case "office":
-					if l := w.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f standin.Fate) bool { return f.From == standin.NodeIP(l) }) {
+					if l := w.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f simulator.Fate) bool { return f.From == simulator.NodeIP(l) }) {
 						t.Errorf("node %d leads by a key whose writing was answered", l)
 					}
 					during("the next leader's first job was over", rb.first(2))
@@ -282,11 +282,11 @@
 
 // once asks one node one time to submit a job or to cancel it, and tells the
 // answer's status. Without an answer nothing is known.
-func once(w *standin.World, j standin.Truth, cancel bool, node int) int {
-	path, body := "/v1/jobs", any(standin.Submission(j.Spec))
+func once(w *simulator.World, j simulator.Truth, cancel bool, node int) int {
+	path, body := "/v1/jobs", any(simulator.Submission(j.Spec))
 	if cancel {
 		path, body = path+"/"+string(j.Spec.ID)+"/cancel", nil
-		w.Checked(func(c *standin.Checker) { c.CancelAsked(j.Spec.ID) })
+		w.Checked(func(c *simulator.Checker) { c.CancelAsked(j.Spec.ID) })
 	}
 	status, _, _ := w.Ask(node, "POST", path, body)
 	return status
@@ -295,7 +295,7 @@
 // mustBeLate checks that one of the transactions was carried out, or refused,
 // after newer ones of the same client had been carried out, and after all that
 // came before it here.
-func mustBeLate(t *testing.T, what string, hit []standin.Fate, after ...time.Time) {
+func mustBeLate(t *testing.T, what string, hit []simulator.Fate, after ...time.Time) {
 	t.Helper()
 	for _, f := range hit {
 		if f.Newer > 0 && !slices.ContainsFunc(after, func(x time.Time) bool { return x.IsZero() || !f.Done.After(x) }) {
@@ -306,8 +306,8 @@
 }
 
 // refusedFor are the fates that failed at a guard on such a key.
-func refusedFor(prefix string) func(*standin.Fate) bool {
-	return func(f *standin.Fate) bool {
+func refusedFor(prefix string) func(*simulator.Fate) bool {
+	return func(f *simulator.Fate) bool {
 		return tooLate(f) && slices.ContainsFunc(f.Failed, func(k string) bool { return strings.HasPrefix(k, prefix) })
 	}
 }
@@ -316,13 +316,13 @@
 // they speak of has gone on: nothing may come back to life, and a job that was
 // done stays so.
 func TestUsersChangesCarriedOutLate(t *testing.T) {
-	late := func(w *standin.World, node int) {
-		w.State.Trouble(1, standin.TxnFault{Prefix: store.JobPrefix, Hosts: []string{standin.NodeIP(node)}, Most: 1, Late: [2]time.Duration{10 * time.Second, 12 * time.Second}})
+	late := func(w *simulator.World, node int) {
+		w.State.Trouble(1, simulator.TxnFault{Prefix: store.JobPrefix, Hosts: []string{simulator.NodeIP(node)}, Most: 1, Late: [2]time.Duration{10 * time.Second, 12 * time.Second}})
 	}
 	for i, kind := range []string{"acceptance, after the job's end", "acceptance, after its cancellation", "acceptance, nobody asks again",
 		"cancellation, after the job's end", "cancellation, after another", "cancellation, nobody asks again"} {
 		t.Run(kind, func(t *testing.T) {
-			meet(t, uint64(600+i), func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			meet(t, uint64(600+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				warm, a, small, s := array(1, 8, 10), array(2, 2, 2), array(4, 1, 1), service(3, 3)
 				if i == 2 || i == 4 || i == 5 {
 					a.RunS = 40
@@ -372,7 +372,7 @@
 				rest(w, 75*time.Second) // a cancelled one must be gone by then
 				r.end()
 				over := r.first(2)
-				hit := fates(w, store.JobPrefix+string(a.Spec.ID), func(f *standin.Fate) bool { return f.Late })
+				hit := fates(w, store.JobPrefix+string(a.Spec.ID), func(f *simulator.Fate) bool { return f.Late })
 				if len(hit) != 1 || hit[0].Done.IsZero() {
 					t.Fatalf("fates %+v", hit)
 				}
@@ -398,7 +398,7 @@
 						t.Errorf("%+v, first known to be over at %v", hit[0], over)
 					}
 				}
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if n := c.On(a.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of a job that is over", n)
 					}
@@ -430,7 +430,7 @@
 		{"end of a job, after the next leader came", "past/", long, true, false},
 	} {
 		t.Run(c.what, func(t *testing.T) {
-			meet(t, uint64(620+i), func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			meet(t, uint64(620+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				warm, a, b, s := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -444,9 +444,9 @@
 				if !c.ends {
 					most = 3
 				}
-				faults := []standin.TxnFault{{Prefix: c.prefix, Hosts: []string{standin.NodeIP(l)}, Most: most, Late: c.late, Hang: c.ends}}
+				faults := []simulator.TxnFault{{Prefix: c.prefix, Hosts: []string{simulator.NodeIP(l)}, Most: most, Late: c.late, Hang: c.ends}}
 				if c.lead {
-					faults = append(faults, standin.TxnFault{Prefix: store.LeadKey, Hosts: []string{standin.NodeIP(l)}, Most: 2, Late: c.late})
+					faults = append(faults, simulator.TxnFault{Prefix: store.LeadKey, Hosts: []string{simulator.NodeIP(l)}, Most: 2, Late: c.late})
 				}
 				w.State.Trouble(uint64(i), faults...)
 				w.Know(a)
@@ -482,7 +482,7 @@
 				if r.first(2).IsZero() {
 					t.Errorf("nobody was told that the job is done")
 				}
-				hit := fates(w, c.prefix, func(f *standin.Fate) bool { return f.Late && !f.Done.IsZero() })
+				hit := fates(w, c.prefix, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() })
 				switch {
 				case len(hit) == 0:
 					t.Fatal("nothing was late")
@@ -512,7 +512,7 @@
 func TestOfficeTakenLate(t *testing.T) {
 	for i, most := range []int{1, 6} {
 		t.Run(fmt.Sprint(most), func(t *testing.T) {
-			meet(t, uint64(640+i), func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			meet(t, uint64(640+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 3), array(2, 6, 15)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -523,7 +523,7 @@
 					if l < 0 {
 						t.Fatal("nobody leads")
 					}
-					w.State.Trouble(uint64(10*i+k), standin.TxnFault{Prefix: store.LeadKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
+					w.State.Trouble(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeadKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
 					w.Kill(l)
 					time.Sleep(20 * time.Second)
 					w.Up(l)
@@ -533,8 +533,8 @@
 				rest(w, 45*time.Second)
 				mustFinish(t, w, a, array(3, 4, 5))
 				mustRun(t, w, s, "afterwards")
-				hit := fates(w, store.LeadKey, func(f *standin.Fate) bool { return f.Late && !f.Done.IsZero() })
-				dead := fates(w, store.LeadKey, func(f *standin.Fate) bool { return f.Status == http.StatusBadRequest })
+				hit := fates(w, store.LeadKey, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() })
+				dead := fates(w, store.LeadKey, func(f *simulator.Fate) bool { return f.Status == http.StatusBadRequest })
 				if len(hit) < 2*most || len(dead) == 0 || slices.ContainsFunc(hit, executed1) {
 					t.Errorf("%d late, %d of them with a dead grant: %+v", len(hit), len(dead), hit)
 				}
@@ -543,14 +543,14 @@
 	}
 }
 
-func executed1(f standin.Fate) bool { return executed(&f) }
+func executed1(f simulator.Fate) bool { return executed(&f) }
 
 // Of all that all nodes write a share is carried out late, and of the rest the
 // answers of a share are lost, while users submit, cancel and ask, machines are
 // taken and the leader ends.
 func TestLateAndLostTogether(t *testing.T) {
-	meet(t, 650, func(t *testing.T, w *standin.World, at func(time.Duration)) {
-		var all []standin.Truth
+	meet(t, 650, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+		var all []simulator.Truth
 		var readers []*reader
 		s := service(900, 3)
 		at(2 * time.Second)
@@ -558,9 +558,9 @@
 		at(15 * time.Second)
 		late := [2]time.Duration{2 * time.Second, 12 * time.Second}
 		w.State.Trouble(7, // the first of each kind for sure, then a share of all
-			standin.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: late}, standin.TxnFault{Prefix: store.JobPrefix, Most: 1},
-			standin.TxnFault{Prefix: store.RunPrefix, Most: 1, Late: late}, standin.TxnFault{Prefix: store.RunPrefix, Most: 1},
-			standin.TxnFault{Share: 0.25, Late: late}, standin.TxnFault{Share: 0.25})
+			simulator.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.JobPrefix, Most: 1},
+			simulator.TxnFault{Prefix: store.RunPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.RunPrefix, Most: 1},
+			simulator.TxnFault{Share: 0.25, Late: late}, simulator.TxnFault{Share: 0.25})
 		for n := 1; n <= 8; n++ {
 			j := array(n, 1+n%4, float64(4+n%3*8))
 			cancel := time.Duration(0)
@@ -590,12 +590,12 @@
 		}
 		mustFinish(t, w, all...)
 		mustRun(t, w, s, "afterwards")
-		mustBeLate(t, "launches", fates(w, store.RunPrefix, func(f *standin.Fate) bool { return f.Late && !f.Done.IsZero() }))
+		mustBeLate(t, "launches", fates(w, store.RunPrefix, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() }))
 		for _, p := range []string{store.JobPrefix, store.RunPrefix} {
-			if len(fates(w, p, func(f *standin.Fate) bool { return f.Late && !f.Done.IsZero() })) == 0 {
+			if len(fates(w, p, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() })) == 0 {
 				t.Errorf("nothing of %s was late", p)
 			}
-			if len(fates(w, p, func(f *standin.Fate) bool { return !f.Late && executed(f) })) == 0 {
+			if len(fates(w, p, func(f *simulator.Fate) bool { return !f.Late && executed(f) })) == 0 {
 				t.Errorf("no answer for %s was lost", p)
 			}
 		}
@@ -609,19 +609,19 @@
 func TestLeaderEndsAsNewMachinesGetWork(t *testing.T) {
 	for i, kind := range []string{"slow", "lost", "late", "late, soon"} {
 		t.Run(kind, func(t *testing.T) {
-			meet(t, uint64(660+i), func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			meet(t, uint64(660+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, near, a := service(1, 4), array(2, 4, 12), array(3, 14, 10)
 				near.Spec.SameZone = true
 				w.QuickBoots(true)
 				at(3 * time.Second)
 				met := 0
-				for k, jobs := range [][]standin.Truth{{s, a}, {near, array(4, 10, 9)}, {array(5, 16, 8)}} {
+				for k, jobs := range [][]simulator.Truth{{s, a}, {near, array(4, 10, 9)}, {array(5, 16, 8)}} {
 					l := w.Leader()
 					if l < 0 {
 						t.Fatal("nobody leads")
 					}
-					host := standin.NodeIP(l)
-					fault := standin.TxnFault{Prefix: store.RunPrefix, Hosts: []string{host}, Hang: true}
+					host := simulator.NodeIP(l)
+					fault := simulator.TxnFault{Prefix: store.RunPrefix, Hosts: []string{host}, Hang: true}
 					switch kind {
 					case "slow":
 						w.State.Slow(host, 400*time.Millisecond)
@@ -676,13 +676,13 @@
 func TestSlowThenRefusedAloneThenAll(t *testing.T) {
 	for i, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
 		t.Run(kind, func(t *testing.T) {
-			meet(t, uint64(670+i), func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			meet(t, uint64(670+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, a := service(900, 3), array(901, 4, 60)
 				first, second, third := service(1, 2), service(2, 2), service(3, 2)
 				at(2 * time.Second)
 				w.Submit(s, 0)
 				w.Submit(a, 0)
-				for _, j := range []standin.Truth{first, second, third} {
+				for _, j := range []simulator.Truth{first, second, third} {
 					j.Spec.Team = "red"
 					w.Know(j)
 					go insist(t, w, j, false, 0)
@@ -696,14 +696,14 @@
 				r := read(t, w, first.Spec.ID)
 				at(40 * time.Second)
 				cancelled := []time.Time{}
-				cancel := func(j standin.Truth) {
+				cancel := func(j simulator.Truth) {
 					for n := l + 1; ; n++ {
 						if n%w.Set.Size == l {
 							continue
 						}
 						if once(w, j, true, n%w.Set.Size) == 200 {
 							cancelled = append(cancelled, time.Now())
-							w.Checked(func(c *standin.Checker) { c.Told(j.Spec.ID, wire.Cancelled, time.Now()) })
+							w.Checked(func(c *simulator.Checker) { c.Told(j.Spec.ID, wire.Cancelled, time.Now()) })
 							return
 						}
 						if time.Sleep(100 * time.Millisecond); n > l+20 {
@@ -718,12 +718,12 @@
 				}
 				var refused, outage time.Time
 				if kind != "cancelled while slow" {
-					w.State.Refuse(standin.NodeIP(l), true)
+					w.State.Refuse(simulator.NodeIP(l), true)
 					refused = time.Now()
 					cancel(second)
 				} else {
 					cancel(second)
-					w.State.Refuse(standin.NodeIP(l), true)
+					w.State.Refuse(simulator.NodeIP(l), true)
 					refused = time.Now()
 				}
 				if kind == "the next leader is new" {
@@ -740,7 +740,7 @@
 				outage = time.Now()
 				time.Sleep(65 * time.Second)
 				w.State.Outage(false)
-				w.State.Refuse(standin.NodeIP(l), false)
+				w.State.Refuse(simulator.NodeIP(l), false)
 				w.State.Slow("", 0)
 				if len(cancelled) != 2 || r.first(2).IsZero() || r.first(2).After(outage) || cancelled[1].After(outage) || (kind != "cancelled while slow") != cancelled[1].After(refused) {
 					t.Errorf("cancelled at %v, read to be at %v, the leader refused at %v and everybody at %v", cancelled, r.first(2), refused, outage)
@@ -762,11 +762,11 @@
 // state service slow: once that node has told that it is cancelled, no answer that
 // it sends later says otherwise.
 func TestPollBesideCancellation(t *testing.T) {
-	meet(t, 690, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	meet(t, 690, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		w.Submit(array(100, 2, 10), 0)
 		at(20 * time.Second)
 		const jobs = 12
-		all := make([]standin.Truth, jobs)
+		all := make([]simulator.Truth, jobs)
 		for k := range all {
 			all[k] = array(k, 1, 300)
 			w.Know(all[k])
@@ -799,7 +799,7 @@
 				t.Fatalf("cancellation answered %d", status)
 			}
 			told := time.Now()
-			w.Checked(func(c *standin.Checker) { c.Told(j.Spec.ID, wire.Cancelled, told) })
+			w.Checked(func(c *simulator.Checker) { c.Told(j.Spec.ID, wire.Cancelled, told) })
 			for range 40 {
 				// Answers of the same moment may cross on their way.
 				p := <-polled
--- a/meet_users_test.go
+++ b/internal/scenarios/meet_users_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"time"
 
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -19,7 +19,7 @@
 // roomy is the default deployment with a state service so fast that questions
 // wait for hardly anything, and answers cross within milliseconds.
 func roomy() config.Settings {
-	s := standin.DefaultSettings()
+	s := simulator.DefaultSettings()
 	s.State.RPS, s.State.WriteRPS = 4000, 2000
 	return s
 }
@@ -49,8 +49,8 @@
 		keep, page int
 		late       time.Duration
 	}{
-		{"usual", standin.DefaultSettings(), 0, 0, 0},
-		{"small", standin.GasSettings(), 0, 0, 0},
+		{"usual", simulator.DefaultSettings(), 0, 0, 0},
+		{"small", simulator.GasSettings(), 0, 0, 0},
 		{"fast", roomy(), 0, 0, 0},
 		{"late", roomy(), 0, 0, 120 * time.Millisecond},
 		{"lists", roomy(), 6, 2, 0},
@@ -58,7 +58,7 @@
 	}
 	for k, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			playAs(t, c.set, uint64(400+k), func(w *standin.World, at func(time.Duration)) {
+			playAs(t, c.set, uint64(400+k), func(w *simulator.World, at func(time.Duration)) {
 				w.State.Short(c.keep, c.page)
 				n := atomic.Int32{}
 				w.State.Late(func() time.Duration {
@@ -75,12 +75,12 @@
 					w.Submit(service(901+n, 1), 0)
 				}
 				at(30 * time.Second)
-				var all []standin.Truth
+				var all []simulator.Truth
 				l.For = 100 * time.Millisecond
 				for n := range 12 {
 					j := array(1+n, 1+n%2, 3+float64(n%3))
 					all = append(all, j)
-					l.Submit(j, []standin.Cancel{standin.Never, standin.AtOnce, standin.AfterEnd, standin.AtEnd}[n%4], time.Duration(n/4)*130*time.Millisecond)
+					l.Submit(j, []simulator.Cancel{simulator.Never, simulator.AtOnce, simulator.AfterEnd, simulator.AtEnd}[n%4], time.Duration(n/4)*130*time.Millisecond)
 					time.Sleep(700 * time.Millisecond)
 				}
 				at(90 * time.Second)
@@ -103,16 +103,16 @@
 // A job is cancelled around the moment of its last task's end, by no more than
 // milliseconds: whoever wins, one end is told, and it is the state service's.
 func TestCancelMeetsTheLastEnd(t *testing.T) {
-	for _, set := range []config.Settings{standin.DefaultSettings(), roomy()} {
+	for _, set := range []config.Settings{simulator.DefaultSettings(), roomy()} {
 		t.Run(fmt.Sprint(set.State.RPS), func(t *testing.T) {
-			playAs(t, set, 410, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, set, 410, func(w *simulator.World, at func(time.Duration)) {
 				l := w.Looks()
 				l.For = 60 * time.Millisecond
 				warm := array(900, 20, 8)
 				at(2 * time.Second)
 				w.Submit(warm, 0)
 				at(34 * time.Second)
-				var all []standin.Truth
+				var all []simulator.Truth
 				for n := range 40 {
 					j := array(1+n, 1+n%2, 2)
 					all = append(all, j)
@@ -120,7 +120,7 @@
 					if n%2 == 0 {
 						after = time.Duration(n) * time.Millisecond
 					}
-					l.Submit(j, standin.AtEnd, after)
+					l.Submit(j, simulator.AtEnd, after)
 					time.Sleep(400 * time.Millisecond)
 				}
 				at(100 * time.Second)
@@ -149,7 +149,7 @@
 // the final record is on its way, and the final record while a cancellation is.
 func TestCancelCrossesTheFinalRecord(t *testing.T) {
 	for seed := range uint64(3) {
-		playAs(t, standin.DefaultSettings(), 420+seed, func(w *standin.World, at func(time.Duration)) {
+		playAs(t, simulator.DefaultSettings(), 420+seed, func(w *simulator.World, at func(time.Duration)) {
 			l := w.Looks()
 			early, late := array(1, 2, 4), array(2, 2, 4)
 			var once sync.Once
@@ -166,8 +166,8 @@
 				return 0
 			})
 			at(2 * time.Second)
-			l.Submit(early, standin.Never, 0)
-			l.Submit(late, standin.AtEnd, time.Duration(seed)*20*time.Millisecond)
+			l.Submit(early, simulator.Never, 0)
+			l.Submit(late, simulator.AtEnd, time.Duration(seed)*20*time.Millisecond)
 			<-onItsWay
 			// The cancellation is confirmed, and asked about everywhere, while the
 			// final record waits.
@@ -183,7 +183,7 @@
 			if n := w.State.Lost(func(x *wire.Txn) bool { return writesCancel(x, late.Spec.ID) }); n != 1 {
 				t.Errorf("%d cancellations failed at a final record", n)
 			}
-			w.Checked(func(c *standin.Checker) {
+			w.Checked(func(c *simulator.Checker) {
 				if a, b := c.Final(early.Spec.ID), c.Final(late.Spec.ID); a != wire.Cancelled || b != wire.Done {
 					t.Errorf("ended as %q and %q", a, b)
 				}
@@ -200,21 +200,21 @@
 // boot must be worked off, then all must begin at once and nothing be refused any
 // more; and nothing may be left of them but their final records.
 func TestManySmallJobs(t *testing.T) {
-	for name, set := range map[string]config.Settings{"usual": standin.DefaultSettings(), "small": standin.GasSettings()} {
+	for name, set := range map[string]config.Settings{"usual": simulator.DefaultSettings(), "small": simulator.GasSettings()} {
 		t.Run(name, func(t *testing.T) {
-			playAs(t, set, 430, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, set, 430, func(w *simulator.World, at func(time.Duration)) {
 				w.State.Limit(set.State.RPS, set.State.WriteRPS)
 				l := w.Looks()
 				l.For, l.Polls = 0, 3*time.Second
 				at(2 * time.Second)
-				var all []standin.Truth
+				var all []simulator.Truth
 				before := 0
 				for n := range 600 {
 					j := array(1+n, 1, 2)
 					all = append(all, j)
-					c, after := standin.Never, time.Duration(0)
+					c, after := simulator.Never, time.Duration(0)
 					if n%4 == 0 {
-						c, after = []standin.Cancel{standin.AtOnce, standin.AtEnd}[n/4%2], time.Duration(n%16)*150*time.Millisecond
+						c, after = []simulator.Cancel{simulator.AtOnce, simulator.AtEnd}[n/4%2], time.Duration(n%16)*150*time.Millisecond
 					}
 					l.Submit(j, c, after)
 					time.Sleep(250 * time.Millisecond)
@@ -222,14 +222,14 @@
 						before, _ = w.State.Over()
 					}
 				}
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				time.Sleep(40 * time.Second)
 				done, cancelled := w.Ended(all)
 				if done+cancelled != len(all) || cancelled < 75 {
 					t.Errorf("%d done, %d cancelled of %d", done, cancelled, len(all))
 				}
-				longest := func(jobs []standin.Truth) (longest time.Duration) {
-					w.Checked(func(c *standin.Checker) {
+				longest := func(jobs []simulator.Truth) (longest time.Duration) {
+					w.Checked(func(c *simulator.Checker) {
 						for _, j := range jobs {
 							if d, ok := c.Waited(j.Spec.ID); ok {
 								longest = max(longest, d)
@@ -266,12 +266,12 @@
 // Odd requests get what the page says, at every node, again and again, and also
 // while nodes don't know the machine types yet.
 func TestOddRequests(t *testing.T) {
-	play(t, 440, func(w *standin.World, at func(time.Duration)) {
+	play(t, 440, func(w *simulator.World, at func(time.Duration)) {
 		w.CloudOutage(true)
 		n := 500
 		with := func(k string, v any) map[string]any {
 			n++
-			m := standin.Submission(array(n, 1, 1).Spec)
+			m := simulator.Submission(array(n, 1, 1).Spec)
 			if m[k] = v; v == "missing" {
 				delete(m, k)
 			}
@@ -297,7 +297,7 @@
 		}
 		odd := func(known bool) {
 			t.Helper()
-			for k := range standin.Submission(array(1, 1, 1).Spec) {
+			for k := range simulator.Submission(array(1, 1, 1).Spec) {
 				if k == "kits" || k == "site" || k == "dueS" { // may be null, so may be missing
 					continue
 				}
@@ -312,7 +312,7 @@
 			ask("no CBOR", "POST", "/v1/jobs", bytes.Repeat([]byte{0xff}, 9), 400, "")
 			ask("unknown team", "POST", "/v1/jobs", with("owner", "green"), 422, "")
 			ask("a task over the limit", "POST", "/v1/jobs", with("cpus", 41.0), 422, "")
-			large := standin.Submission(service(499, 30).Spec)
+			large := simulator.Submission(service(499, 30).Spec)
 			large["owner"], large["cpus"] = "red", 1.5
 			ask("a service over the limit", "POST", "/v1/jobs", large, 422, "")
 			ask("question for nothing", "GET", "/v1/jobs/req-888888", nil, 404, "")
@@ -335,18 +335,18 @@
 		odd(true)
 		// An array may have more tasks than its team's limit.
 		wide, s, gone := array(1, 60, 3), service(2, 2), service(3, 2)
-		for _, j := range []standin.Truth{wide, s, gone} {
+		for _, j := range []simulator.Truth{wide, s, gone} {
 			w.Submit(j, 0)
 		}
 		time.Sleep(2 * time.Second)
-		w.Checked(func(c *standin.Checker) { c.CancelAsked(gone.Spec.ID) })
+		w.Checked(func(c *simulator.Checker) { c.CancelAsked(gone.Spec.ID) })
 		ask("cancel", "POST", "/v1/jobs/"+string(gone.Spec.ID)+"/cancel", nil, 200, wire.Cancelled)
 		at(80 * time.Second)
 		mustFinish(t, w, wide)
 		known := func() {
 			t.Helper()
-			for j, want := range map[*standin.Truth]wire.Status{&wide: wire.Done, &s: wire.Queued, &gone: wire.Cancelled} {
-				ask("repeat of "+string(want), "POST", "/v1/jobs", standin.Submission(j.Spec), 200, want)
+			for j, want := range map[*simulator.Truth]wire.Status{&wide: wire.Done, &s: wire.Queued, &gone: wire.Cancelled} {
+				ask("repeat of "+string(want), "POST", "/v1/jobs", simulator.Submission(j.Spec), 200, want)
 				if want != wire.Queued {
 					ask("cancel of "+string(want), "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil, 200, want)
 					ask("poll of "+string(want), "GET", "/v1/jobs/"+string(j.Spec.ID), nil, 200, want)
@@ -388,20 +388,20 @@
 // all that the leader would write beside it.)
 func TestCancelCrossesAFullTransaction(t *testing.T) {
 	for seed := range uint64(3) {
-		playAs(t, standin.GasSettings(), 450+seed, func(w *standin.World, at func(time.Duration)) {
+		playAs(t, simulator.GasSettings(), 450+seed, func(w *simulator.World, at func(time.Duration)) {
 			l := w.Looks()
-			var all []standin.Truth
+			var all []simulator.Truth
 			for n := range 6 {
 				all = append(all, array(1+n, 1, 4))
 			}
 			var mu sync.Mutex
-			var hit *standin.Truth
+			var hit *simulator.Truth
 			slow, first := false, true
 			crosses := make(chan struct{})
 			w.State.Delay(func(x *wire.Txn) time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
-				var over []standin.Truth
+				var over []simulator.Truth
 				for _, j := range all {
 					if archives(x, j.Spec.ID) {
 						over = append(over, j)
@@ -437,10 +437,10 @@
 			at(2 * time.Second)
 			w.Submit(warm, 0)
 			for up := false; !up; time.Sleep(100 * time.Millisecond) {
-				w.Checked(func(c *standin.Checker) { up = c.Complete(warm.Spec.ID) })
+				w.Checked(func(c *simulator.Checker) { up = c.Complete(warm.Spec.ID) })
 			}
 			for _, j := range all {
-				l.Submit(j, standin.Never, 0)
+				l.Submit(j, simulator.Never, 0)
 			}
 			select {
 			case <-crosses:
@@ -457,10 +457,10 @@
 			mu.Unlock()
 			time.Sleep(2 * time.Second)
 			after := array(20, 2, 2)
-			l.Submit(after, standin.Never, 0)
+			l.Submit(after, simulator.Never, 0)
 			time.Sleep(40 * time.Second)
 			mustFinish(t, w, append(all, after)...)
-			w.Checked(func(c *standin.Checker) {
+			w.Checked(func(c *simulator.Checker) {
 				if d, ok := c.Waited(after.Spec.ID); !ok || d > 3*time.Second {
 					t.Errorf("the next job waited for %v", d)
 				}
@@ -479,9 +479,9 @@
 // as every other, though a cancelled record says more. (Its cancellation was
 // refused for ever.)
 func TestCancelOfTheLargestRecord(t *testing.T) {
-	playAs(t, standin.GasSettings(), 460, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, simulator.GasSettings(), 460, func(w *simulator.World, at func(time.Duration)) {
 		at(3 * time.Second)
-		large := func(n, bundle int) standin.Truth {
+		large := func(n, bundle int) simulator.Truth {
 			j := service(n, 1)
 			j.Spec.MachineTypes = []wire.MachineType{"c4", "c16"}
 			for k := range 43 {
@@ -495,10 +495,10 @@
 		for over := 120; over-fits > 1; n++ {
 			mid := (fits + over) / 2
 			j := large(n, mid)
-			switch status, _, _ := w.Ask(n%3, "POST", "/v1/jobs", standin.Submission(j.Spec)); status {
+			switch status, _, _ := w.Ask(n%3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status {
 			case 201:
 				fits = mid
-				w.Checked(func(c *standin.Checker) { c.Submitted(j.Spec); c.CancelAsked(j.Spec.ID) })
+				w.Checked(func(c *simulator.Checker) { c.Submitted(j.Spec); c.CancelAsked(j.Spec.ID) })
 				if status, _, _ := w.Ask(n%3, "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil); status != 200 {
 					t.Errorf("with %d bytes the cancellation is answered %d", mid, status)
 				}
@@ -519,7 +519,7 @@
 		at(25 * time.Second)
 		mustRun(t, w, j, "before it is cancelled")
 		at(75 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if s := c.Final(j.Spec.ID); s != wire.Cancelled || c.On(j.Spec.ID) != 0 {
 				t.Errorf("it is %q, %d tasks run", s, c.On(j.Spec.ID))
 			}
@@ -534,22 +534,22 @@
 // rented for together: for one of them alone every machine would be too dear. (A
 // hundred of them waited two minutes, until the first was taken for starving.)
 func TestSmallJobsRentTogether(t *testing.T) {
-	playAs(t, standin.DefaultSettings(), 470, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, simulator.DefaultSettings(), 470, func(w *simulator.World, at func(time.Duration)) {
 		l := w.Looks()
 		l.For, l.Polls = 0, 3*time.Second
 		at(2 * time.Second)
-		var all []standin.Truth
+		var all []simulator.Truth
 		for n := range 160 {
 			j := array(1+n, 1, 2)
 			j.Spec.CPUs = 1
 			all = append(all, j)
-			l.Submit(j, standin.Never, 0)
+			l.Submit(j, simulator.Never, 0)
 			time.Sleep(250 * time.Millisecond)
 		}
 		at(90 * time.Second)
 		mustFinish(t, w, all...)
 		longest := time.Duration(0)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			for _, j := range all {
 				if d, ok := c.Waited(j.Spec.ID); ok {
 					longest = max(longest, d)
--- a/next_test.go
+++ b/internal/scenarios/next_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -21,14 +21,14 @@
 
 // lowering is a deployment with room for many small tasks.
 func lowering() config.Settings {
-	s := standin.DefaultSettings()
+	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", CPUs: 400, CPUsMax: 400}, {Name: "blue", CPUs: 16}}
 	s.State = config.State{RPS: 200, WriteRPS: 60, ValueKB: 32, TxnOps: 12}
 	return s
 }
 
 // crumbs is an array of many small tasks.
-func crumbs(n, parts int, run float64) standin.Truth {
+func crumbs(n, parts int, run float64) simulator.Truth {
 	j := array(n, parts, run)
 	j.Spec.CPUs, j.Spec.MemoryGB = 0.1, 0.3
 	return j
@@ -36,7 +36,7 @@
 
 // upgrade restarts all nodes with settings that tell of the limits to come. Until
 // then they accept jobs as the version in production does.
-func upgrade(t *testing.T, w *standin.World) {
+func upgrade(t *testing.T, w *simulator.World) {
 	t.Helper()
 	for i := range w.Set.Size {
 		w.Configure(i, func(s *config.Settings) { s.State.Next = &nextLimits })
@@ -49,13 +49,13 @@
 	}
 }
 
-func drop(w *standin.World) {
+func drop(w *simulator.World) {
 	w.State.Lower(int(nextLimits.ValueKB), nextLimits.TxnOps, nextLimits.RPS, nextLimits.WriteRPS)
 }
 
 // grown checks that a job's progress is stored in values over the limit to come:
 // else the drop would meet nothing.
-func grown(t *testing.T, w *standin.World, jobs ...standin.Truth) {
+func grown(t *testing.T, w *simulator.World, jobs ...simulator.Truth) {
 	t.Helper()
 	for _, j := range jobs {
 		if n := w.State.LargestValue(store.RunPrefix + string(j.Spec.ID) + "/"); n <= int(nextLimits.ValueKB*1024) {
@@ -65,7 +65,7 @@
 }
 
 // pieces counts what is stored in pieces.
-func pieces(w *standin.World) int {
+func pieces(w *simulator.World) int {
 	n := 0
 	for _, k := range w.State.Keys(store.RunPrefix) {
 		if strings.Count(k, "/") == 3 {
@@ -76,7 +76,7 @@
 }
 
 // settled checks that nothing is left of jobs that are over.
-func settled(t *testing.T, w *standin.World, jobs ...standin.Truth) {
+func settled(t *testing.T, w *simulator.World, jobs ...simulator.Truth) {
 	t.Helper()
 	mustFinish(t, w, jobs...)
 	for _, j := range jobs {
@@ -96,16 +96,16 @@
 // The limits drop while jobs are under way whose progress was stored under the
 // larger ones, in quiet and as other troubles come with it.
 func TestStateLimitsDrop(t *testing.T) {
-	kinds := map[string]func(t *testing.T, w *standin.World, at func(time.Duration)){
-		"quiet": func(t *testing.T, w *standin.World, at func(time.Duration)) { drop(w) },
-		"outage": func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	kinds := map[string]func(t *testing.T, w *simulator.World, at func(time.Duration)){
+		"quiet": func(t *testing.T, w *simulator.World, at func(time.Duration)) { drop(w) },
+		"outage": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			w.State.Outage(true)
 			time.Sleep(5 * time.Second)
 			drop(w)
 			time.Sleep(15 * time.Second)
 			w.State.Outage(false)
 		},
-		"change of leader": func(t *testing.T, w *standin.World, at func(time.Duration)) {
+		"change of leader": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			l := w.Leader()
 			w.Kill(l)
 			time.Sleep(time.Second)
@@ -115,7 +115,7 @@
 			drop(w)
 			followed(t, w, l)
 		},
-		"recovery": func(t *testing.T, w *standin.World, at func(time.Duration)) {
+		"recovery": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			l := w.Leader()
 			w.Kill(l)
 			w.State.Late(func() time.Duration { return 300 * time.Millisecond }) // both lists
@@ -133,7 +133,7 @@
 				t.Fatal(err)
 			}
 		},
-		"changes of leader after it": func(t *testing.T, w *standin.World, at func(time.Duration)) {
+		"changes of leader after it": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			drop(w)
 			for begin := time.Now(); pieces(w) == 0 && time.Since(begin) < time.Minute; {
 				time.Sleep(100 * time.Millisecond)
@@ -146,13 +146,13 @@
 				time.Sleep(1500 * time.Millisecond)
 			}
 		},
-		"answers lost": func(t *testing.T, w *standin.World, at func(time.Duration)) {
-			w.State.Trouble(7, standin.TxnFault{Prefix: store.RunPrefix, Share: 0.3})
+		"answers lost": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			w.State.Trouble(7, simulator.TxnFault{Prefix: store.RunPrefix, Share: 0.3})
 			drop(w)
 			time.Sleep(20 * time.Second)
 			w.State.Trouble(0)
 		},
-		"all controllers end": func(t *testing.T, w *standin.World, at func(time.Duration)) {
+		"all controllers end": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			drop(w)
 			time.Sleep(1500 * time.Millisecond)
 			for i := range w.Set.Size {
@@ -166,7 +166,7 @@
 			}
 		},
 	}
-	kinds["cancellations"] = func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	kinds["cancellations"] = func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		drop(w)
 		if !cancelNow(t, w, "req-000006", 10*time.Second) {
 			t.Error("not cancelled")
@@ -180,7 +180,7 @@
 	for i, name := range names {
 		for seed := range meetSeeds(1) {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
-				playAs(t, lowering(), uint64(700+i)+100*seed, func(w *standin.World, at func(time.Duration)) {
+				playAs(t, lowering(), uint64(700+i)+100*seed, func(w *simulator.World, at func(time.Duration)) {
 					a, b := crumbs(1, 600, 60), crumbs(2, 250, 75)
 					after, s, gone := crumbs(3, 100, 10), service(4, 3), service(5, 2)
 					at(2 * time.Second)
@@ -196,7 +196,7 @@
 					if n := pieces(w); n > 0 || w.State.Oversize() > 0 {
 						t.Errorf("%d pieces, %d refused before the limits drop", n, w.State.Oversize())
 					}
-					w.Checked(func(ck *standin.Checker) {
+					w.Checked(func(ck *simulator.Checker) {
 						if n := ck.On(a.Spec.ID) + ck.On(b.Spec.ID) + ck.On(c.Spec.ID); n < 500 {
 							t.Errorf("only %d tasks are under way", n)
 						}
@@ -221,7 +221,7 @@
 						settled(t, w, c)
 					}
 					mustRun(t, w, s, "after the drop")
-					w.Checked(func(c *standin.Checker) {
+					w.Checked(func(c *simulator.Checker) {
 						if c.On(gone.Spec.ID) != 0 || c.On("req-000006") != 0 {
 							t.Error("what was cancelled still runs")
 						}
@@ -239,8 +239,8 @@
 // asked about and submitted again; what could not be stored is refused at once,
 // before the drop too.
 func TestLargeJobRecordsAcrossTheDrop(t *testing.T) {
-	playAs(t, lowering(), 720, func(w *standin.World, at func(time.Duration)) {
-		large := func(n int) standin.Truth {
+	playAs(t, lowering(), 720, func(w *simulator.World, at func(time.Duration)) {
+		large := func(n int) simulator.Truth {
 			j := crumbs(n, 300, 200)
 			for i := range 60 {
 				j.Spec.MachineTypes = append(j.Spec.MachineTypes, wire.MachineType(fmt.Sprintf("kit-%s-%03d", strings.Repeat("x", 36), i)))
@@ -258,12 +258,12 @@
 		at(20 * time.Second)
 		upgrade(t, w)
 		for _, when := range []string{"before", "after"} {
-			status, _, _ := w.Ask(1, "POST", "/v1/jobs", standin.Submission(never.Spec))
+			status, _, _ := w.Ask(1, "POST", "/v1/jobs", simulator.Submission(never.Spec))
 			if status != 422 {
 				t.Errorf("what can't be stored is answered %d %s the drop", status, when)
 			}
 			for i := range w.Set.Size {
-				if status, raw, _ := w.Ask(i, "POST", "/v1/jobs", standin.Submission(a.Spec)); status != 200 {
+				if status, raw, _ := w.Ask(i, "POST", "/v1/jobs", simulator.Submission(a.Spec)); status != 200 {
 					t.Errorf("an accepted job submitted again %s the drop is answered %d %x", when, status, raw)
 				}
 			}
@@ -271,7 +271,7 @@
 				drop(w)
 			}
 		}
-		for _, j := range []standin.Truth{a, c, plain} {
+		for _, j := range []simulator.Truth{a, c, plain} {
 			if !cancelNow(t, w, j.Spec.ID, 10*time.Second) {
 				t.Errorf("%s could not be cancelled", j.Spec.ID)
 			}
@@ -280,8 +280,8 @@
 		changeLeader(t, w)
 		time.Sleep(120 * time.Second)
 		settled(t, w, b)
-		w.Checked(func(ck *standin.Checker) {
-			for _, j := range []standin.Truth{a, c, plain} {
+		w.Checked(func(ck *simulator.Checker) {
+			for _, j := range []simulator.Truth{a, c, plain} {
 				if ck.On(j.Spec.ID) != 0 {
 					t.Errorf("%d tasks of %s are left", ck.On(j.Spec.ID), j.Spec.ID)
 				}
@@ -296,7 +296,7 @@
 // A job of 100,000 tasks goes through the drop, and its cancellation leaves
 // nothing behind.
 func TestLargestJobAcrossTheDrop(t *testing.T) {
-	playAs(t, lowering(), 730, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, lowering(), 730, func(w *simulator.World, at func(time.Duration)) {
 		old, young := crumbs(1, 100_000, 30), crumbs(2, 100_000, 30)
 		old.Spec.CPUs, young.Spec.CPUs = 0.5, 0.5
 		at(2 * time.Second)
@@ -317,7 +317,7 @@
 		if done = s.Done; done < 300 {
 			t.Errorf("%d tasks done", done)
 		}
-		for _, j := range []standin.Truth{old, young} {
+		for _, j := range []simulator.Truth{old, young} {
 			if !cancelNow(t, w, j.Spec.ID, 10*time.Second) {
 				t.Errorf("%s could not be cancelled", j.Spec.ID)
 			}
--- a/parted_test.go
+++ b/internal/scenarios/parted_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
@@ -18,13 +18,13 @@
 var oddZones = []wire.Zone{"a", "b", "a"}
 
 // playOdd plays a day on that layout.
-func playOdd(t *testing.T, seed uint64, script func(w *standin.World, at func(time.Duration))) {
+func playOdd(t *testing.T, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
-	playIn(t, standin.GasSettings(), oddZones, seed, script)
+	playIn(t, simulator.GasSettings(), oddZones, seed, script)
 }
 
 // leaderIn sees to it that the leader is in a zone.
-func leaderIn(t *testing.T, w *standin.World, z wire.Zone) {
+func leaderIn(t *testing.T, w *simulator.World, z wire.Zone) {
 	t.Helper()
 	for range 10 {
 		l := w.Leader()
@@ -49,7 +49,7 @@
 func TestAnyZoneCutOff(t *testing.T) {
 	for _, c := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
 		t.Run(fmt.Sprintf("%s, leader in %s", c[0], c[1]), func(t *testing.T) {
-			playOdd(t, 50, func(w *standin.World, at func(time.Duration)) {
+			playOdd(t, 50, func(w *simulator.World, at func(time.Duration)) {
 				a, b := array(1, 18, 40), array(2, 6, 20)
 				at(2 * time.Second)
 				leaderIn(t, w, c[1])
@@ -74,7 +74,7 @@
 func TestZonesParted(t *testing.T) {
 	for _, leader := range []wire.Zone{"a", "b"} {
 		t.Run("leader in "+string(leader), func(t *testing.T) {
-			playOdd(t, 51, func(w *standin.World, at func(time.Duration)) {
+			playOdd(t, 51, func(w *simulator.World, at func(time.Duration)) {
 				a := array(1, 18, 70)
 				at(2 * time.Second)
 				leaderIn(t, w, leader)
@@ -95,7 +95,7 @@
 				}
 				time.Sleep(80 * time.Second)
 				mustFinish(t, w, a)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.Again() != 0 {
 						t.Errorf("%d tasks were started again", c.Again())
 					}
@@ -113,10 +113,10 @@
 	for seed := range uint64(max(6, most)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
-			playOdd(t, 500+seed, func(w *standin.World, at func(time.Duration)) {
+			playOdd(t, 500+seed, func(w *simulator.World, at func(time.Duration)) {
 				seconds := within(rng)
 				zones := []wire.Zone{"a", "b", "c"}
-				var all []standin.Truth
+				var all []simulator.Truth
 				for n := range 36 {
 					j := array(10+n, 1+rng.IntN(9), float64(5+rng.IntN(30)))
 					if rng.IntN(4) == 0 {
@@ -162,7 +162,7 @@
 					time.Sleep(seconds(10))
 					w.CloudOutage(false)
 				}
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				time.Sleep(240 * time.Second)
 				mustFinish(t, w, all...)
 			})
@@ -174,13 +174,13 @@
 // once stays within them, and starts again after a change of leader. (One record
 // over the limit was refused again and again, and nothing else was written.)
 func TestSmallRecords(t *testing.T) {
-	playOdd(t, 52, func(w *standin.World, at func(time.Duration)) {
+	playOdd(t, 52, func(w *simulator.World, at func(time.Duration)) {
 		wide, other := array(1, 300, 60), array(2, 3, 10)
 		wide.Spec.CPUs, wide.Spec.MemoryGB = 0.1, 0.1
 		at(2 * time.Second)
 		w.Submit(wide, 0)
 		at(45 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if n := c.On(wide.Spec.ID); n != 300 {
 				t.Errorf("%d of 300 tasks run", n)
 			}
@@ -196,11 +196,11 @@
 // 1 KiB, a few requests a second, and leases that leave no time to stand in. It
 // starts and serves.
 func TestTightDeployment(t *testing.T) {
-	set := standin.GasSettings()
+	set := simulator.GasSettings()
 	set.State = config.State{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
 	set.Workers = config.Workers{ReportS: 4, LeaseS: 8, CancelS: 12}
 	set.Limits = config.Limits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
-	playIn(t, set, oddZones, 53, func(w *standin.World, at func(time.Duration)) {
+	playIn(t, set, oddZones, 53, func(w *simulator.World, at func(time.Duration)) {
 		a, b, gone := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
 		at(3 * time.Second)
 		w.Submit(a, 0)
--- a/troubles_test.go
+++ b/internal/scenarios/troubles_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"fmt"
@@ -10,19 +10,19 @@
 	"time"
 
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
 
 // sized is the default deployment with another number of controllers.
 func sized(n int) config.Settings {
-	s := standin.DefaultSettings()
+	s := simulator.DefaultSettings()
 	s.Size = n
 	return s
 }
 
 // leadersZone is the zone that the leader is in, or the other one of two.
-func leadersZone(w *standin.World, in bool) wire.Zone {
+func leadersZone(w *simulator.World, in bool) wire.Zone {
 	if (w.Config(w.Leader()).Zone == "a") == in {
 		return "a"
 	}
@@ -30,9 +30,9 @@
 }
 
 // mustRun checks that all replicas of a service run.
-func mustRun(t *testing.T, w *standin.World, s standin.Truth, when string) {
+func mustRun(t *testing.T, w *simulator.World, s simulator.Truth, when string) {
 	t.Helper()
-	w.Checked(func(c *standin.Checker) {
+	w.Checked(func(c *simulator.Checker) {
 		if n := c.On(s.Spec.ID); n != s.Spec.Tasks {
 			t.Errorf("%d of %d replicas %s", n, s.Spec.Tasks, when)
 		}
@@ -46,7 +46,7 @@
 func TestDeafMachine(t *testing.T) {
 	for _, inherited := range []bool{false, true} {
 		t.Run(fmt.Sprint("inherited ", inherited), func(t *testing.T) {
-			playBoth(t, 30, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+			playBoth(t, 30, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 10)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -83,7 +83,7 @@
 // hears of a machine. They must free nothing, bring nothing back, and not
 // make a dead machine seem alive.
 func TestLateCopiesOfReports(t *testing.T) {
-	playAs(t, sized(5), 31, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, sized(5), 31, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 12, 30)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -124,7 +124,7 @@
 // reports must not be taken for late copies for ever: what it ran is started
 // elsewhere well before its lease or anybody's patience ends.
 func TestMachineBackAtOnce(t *testing.T) {
-	playBoth(t, 32, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 32, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 60)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -154,7 +154,7 @@
 func TestLeaderCutFromAllButItsWorkers(t *testing.T) {
 	for _, size := range []int{5, 7} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			playAs(t, sized(size), 33, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, sized(size), 33, func(w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 40)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -164,10 +164,10 @@
 				cut := func(on bool) {
 					for i := range size {
 						if i != l {
-							w.Net.Cut(standin.NodeIP(l), standin.NodeIP(i), on)
+							w.Net.Cut(simulator.NodeIP(l), simulator.NodeIP(i), on)
 						}
 					}
-					w.Net.Cut(standin.NodeIP(l), "10.2.0.1", on)
+					w.Net.Cut(simulator.NodeIP(l), "10.2.0.1", on)
 				}
 				cut(true)
 				at(55 * time.Second)
@@ -178,7 +178,7 @@
 					t.Errorf("/ready of a node that reaches neither state service nor peers answers %d", status)
 				}
 				at(70 * time.Second)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.On(s.Spec.ID) != 4 || c.Again() != 0 {
 						t.Errorf("%d of 4 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
 					}
@@ -198,7 +198,7 @@
 func TestZoneCutOff(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
-			playAs(t, sized(5), 37, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, sized(5), 37, func(w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 30)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -214,7 +214,7 @@
 				w.CutZone(z, false)
 				at(95 * time.Second)
 				mustRun(t, w, s, "when the zone is back")
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if c.Again() != 0 {
 						t.Errorf("%d tasks were started again", c.Again())
 					}
@@ -232,7 +232,7 @@
 func TestCancelledBehindACut(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
-			playAs(t, sized(5), 38, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, sized(5), 38, func(w *simulator.World, at func(time.Duration)) {
 				s, gone := service(1, 4), service(2, 6)
 				at(2 * time.Second)
 				w.Submit(s, 0)
@@ -242,7 +242,7 @@
 				w.CloudOutage(true)
 				w.CutZone(z, true)
 				at(115 * time.Second)
-				w.Checked(func(c *standin.Checker) {
+				w.Checked(func(c *simulator.Checker) {
 					if n := c.On(gone.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run behind the cut", n)
 					}
@@ -259,7 +259,7 @@
 // The leader ends in an outage of the state service that outlasts a lease. The
 // others stand in for it; before, every replica was lost.
 func TestLeaderEndsInALongOutage(t *testing.T) {
-	playAs(t, sized(5), 39, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, sized(5), 39, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 50)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -276,7 +276,7 @@
 		w.State.Outage(false)
 		at(90 * time.Second)
 		mustRun(t, w, s, "after the outage")
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.Again() != 0 {
 				t.Errorf("%d tasks were started again", c.Again())
 			}
@@ -291,7 +291,7 @@
 // election, while copies of old reports come in and submissions are repeated.
 // The replicas must outlive it, and nothing may run twice or be forgotten.
 func TestAllEndAgainInTheElection(t *testing.T) {
-	playAs(t, sized(5), 40, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, sized(5), 40, func(w *simulator.World, at func(time.Duration)) {
 		all := func(f func(i int)) {
 			for i := range 5 {
 				f(i)
@@ -302,7 +302,7 @@
 				t.Error(err)
 			}
 		}
-		s, burst := service(1, 4), []standin.Truth{}
+		s, burst := service(1, 4), []simulator.Truth{}
 		at(2 * time.Second)
 		w.Submit(s, 0)
 		at(40 * time.Second)
@@ -330,13 +330,13 @@
 			t.Error("nobody leads 8 s after the last end")
 		}
 		for _, j := range burst {
-			if status, _, _ := w.Ask(3, "POST", "/v1/jobs", standin.Submission(j.Spec)); status != 200 && status != 201 && status != 503 {
+			if status, _, _ := w.Ask(3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status != 200 && status != 201 && status != 503 {
 				t.Errorf("repeated submission answered %d", status)
 			}
 		}
 		at(70 * time.Second)
 		mustRun(t, w, s, "after all that")
-		w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+		w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 		at(240 * time.Second)
 		mustFinish(t, w, burst...)
 	})
@@ -363,9 +363,9 @@
 	for seed := range uint64(max(6, most)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 2))
-			playAs(t, sized(5), 300+seed, func(w *standin.World, at func(time.Duration)) {
+			playAs(t, sized(5), 300+seed, func(w *simulator.World, at func(time.Duration)) {
 				seconds := within(rng)
-				s, all := service(1, 4), []standin.Truth{}
+				s, all := service(1, 4), []simulator.Truth{}
 				at(2 * time.Second)
 				w.Submit(s, 0)
 				for n := range 30 {
@@ -408,13 +408,13 @@
 // A user's connection is at a node that the state service refuses while it
 // serves others: the node says so at once and leaves the load balancer's set.
 func TestUserAtANodeThatCannotAnswer(t *testing.T) {
-	playBoth(t, 34, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 34, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a := array(1, 2, 100)
 		at(2 * time.Second)
 		w.Submit(a, 0)
 		at(20 * time.Second)
 		i := (w.Leader() + 1) % 3
-		w.State.Refuse(standin.NodeIP(i), true)
+		w.State.Refuse(simulator.NodeIP(i), true)
 		at(24 * time.Second)
 		begin := time.Now()
 		status, _, h := w.Ask(i, "GET", "/v1/jobs/req-000001", nil)
@@ -425,8 +425,8 @@
 			t.Errorf("/ready answers %d", status)
 		}
 		at(40 * time.Second)
-		w.State.Refuse(standin.NodeIP(i), false)
-		w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+		w.State.Refuse(simulator.NodeIP(i), false)
+		w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 		at(200 * time.Second)
 		mustFinish(t, w, a)
 	})
@@ -435,7 +435,7 @@
 // Under a steady overload of small arrays a large one and one of the lowest
 // priority must begin within four minutes all the same.
 func TestLargestBeginsUnderOverload(t *testing.T) {
-	playAs(t, sized(3), 35, func(w *standin.World, at func(time.Duration)) {
+	playAs(t, sized(3), 35, func(w *simulator.World, at func(time.Duration)) {
 		big, low := array(1, 90, 30), array(2, 4, 20)
 		big.Spec.CPUs, big.Spec.MemoryGB, big.Spec.Class = 4, 16, "big"
 		low.Spec.Priority, low.Spec.Class = wire.PriorityBestEffort, "low"
@@ -457,7 +457,7 @@
 // The largest array that the protocol allows is stored, run, polled and
 // cancelled within the limits of the state service.
 func TestHundredThousandTasks(t *testing.T) {
-	play(t, 36, func(w *standin.World, at func(time.Duration)) {
+	play(t, 36, func(w *simulator.World, at func(time.Duration)) {
 		j, s := array(1, wire.MaxTasks, 20), service(2, 3)
 		j.Spec.ExpectedRunTime = 2
 		at(2 * time.Second)
@@ -470,7 +470,7 @@
 			t.Errorf("poll answered %d %+v", status, st)
 		}
 		at(150 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if n, r := c.On(j.Spec.ID), c.On(s.Spec.ID); n != 0 || r != 3 {
 				t.Errorf("%d tasks of the cancelled array, %d of 3 replicas", n, r)
 			}
--- a/upgrade_test.go
+++ b/internal/scenarios/upgrade_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"encoding/hex"
--- a/waiting_test.go
+++ b/internal/scenarios/waiting_test.go
@@ -1,16 +1,16 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"testing"
 	"time"
 
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 )
 
 // The cloud has no more machines, and what is free is kept for the next replicas
 // of a service: an array that fits there must not wait for ever.
 func TestSpareRoomIsNotKeptForEver(t *testing.T) {
-	play(t, 60, func(w *standin.World, at func(time.Duration)) {
+	play(t, 60, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 2, 10)
 		at(2 * time.Second)
 		w.Submit(s, 0)
--- a/world_test.go
+++ b/internal/scenarios/world_test.go
@@ -1,4 +1,4 @@
-package lilaclead_test
+package scenarios_test
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"lilaclead/internal/admin"
 	"lilaclead/internal/config"
 	"lilaclead/internal/netio"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/tuning"
 	"lilaclead/internal/wire"
 )
@@ -33,48 +33,48 @@
 	return n.Run, nil
 }
 
-func array(n, parts int, run float64) standin.Truth {
-	return standin.Truth{RunS: run, Spec: wire.Spec{
+func array(n, parts int, run float64) simulator.Truth {
+	return simulator.Truth{RunS: run, Spec: wire.Spec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard,
 		Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: wire.Seconds(run)}}
 }
 
-func service(n, parts int) standin.Truth {
-	return standin.Truth{Spec: wire.Spec{
+func service(n, parts int) simulator.Truth {
+	return simulator.Truth{Spec: wire.Spec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "portal", Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProd,
 		Tasks: parts, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}}
 }
 
 // play runs a world in virtual time: all nodes up, some jobs, and then what
 // the test does to it; at the end every rule must have held.
-func play(t *testing.T, seed uint64, script func(w *standin.World, at func(time.Duration))) {
+func play(t *testing.T, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
-	playAs(t, standin.DefaultSettings(), seed, script)
+	playAs(t, simulator.DefaultSettings(), seed, script)
 }
 
 // playBoth is play on the usual layout, and on the one where a zone has machines
 // and no controller.
-func playBoth(t *testing.T, seed uint64, script func(t *testing.T, w *standin.World, at func(time.Duration))) {
+func playBoth(t *testing.T, seed uint64, script func(t *testing.T, w *simulator.World, at func(time.Duration))) {
 	t.Helper()
-	for name, run := range map[string]func(*testing.T, uint64, func(*standin.World, func(time.Duration))){"usual layout": play, "odd layout": playOdd} {
+	for name, run := range map[string]func(*testing.T, uint64, func(*simulator.World, func(time.Duration))){"usual layout": play, "odd layout": playOdd} {
 		t.Run(name, func(t *testing.T) {
-			run(t, seed, func(w *standin.World, at func(time.Duration)) { script(t, w, at) })
+			run(t, seed, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
 		})
 	}
 }
 
 // playAs is play with settings of the test's own.
-func playAs(t *testing.T, set config.Settings, seed uint64, script func(w *standin.World, at func(time.Duration))) {
+func playAs(t *testing.T, set config.Settings, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
 	playIn(t, set, set.Zones, seed, script)
 }
 
 // playIn is playAs with controllers in some zones only.
-func playIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(w *standin.World, at func(time.Duration))) {
+func playIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := standin.NewWorld(ctx, set, seed, start, nil)
+		w := simulator.NewWorld(ctx, set, seed, start, nil)
 		w.Nodes(zones...)
 		begin := time.Now()
 		for i := range set.Size {
@@ -84,7 +84,7 @@
 		}
 		script(w, func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) })
 		w.AskAll()
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			c.End(time.Now())
 			if late, slow := c.LateStarts(), c.LateDone(); late+slow > 0 {
 				t.Logf("%d starts after a confirmed cancellation, %d polls not told done in time", late, slow)
@@ -98,9 +98,9 @@
 	})
 }
 
-func mustFinish(t *testing.T, w *standin.World, jobs ...standin.Truth) {
+func mustFinish(t *testing.T, w *simulator.World, jobs ...simulator.Truth) {
 	t.Helper()
-	w.Checked(func(c *standin.Checker) {
+	w.Checked(func(c *simulator.Checker) {
 		for _, j := range jobs {
 			if !c.Complete(j.Spec.ID) {
 				t.Errorf("%s is not complete", j.Spec.ID)
@@ -110,7 +110,7 @@
 }
 
 func TestQuietDay(t *testing.T) {
-	play(t, 1, func(w *standin.World, at func(time.Duration)) {
+	play(t, 1, func(w *simulator.World, at func(time.Duration)) {
 		a, b, s := array(1, 10, 15), array(2, 6, 20), service(3, 3)
 		gone := service(4, 2)
 		at(2 * time.Second)
@@ -121,7 +121,7 @@
 		w.Submit(b, 0)
 		at(150 * time.Second)
 		mustFinish(t, w, a, b)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 || c.On(gone.Spec.ID) != 0 {
 				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.On(s.Spec.ID), c.On(gone.Spec.ID))
 			}
@@ -130,7 +130,7 @@
 			t.Errorf("progress of a finished job is left: %v", keys)
 		}
 		// A repeat of a finished job's submission is answered with its state.
-		status, raw, _ := w.Ask(1, "POST", "/v1/jobs", standin.Submission(a.Spec))
+		status, raw, _ := w.Ask(1, "POST", "/v1/jobs", simulator.Submission(a.Spec))
 		var brief wire.JobSummary
 		if status != 200 || wire.Decode(raw, &brief) != nil || brief.Status != wire.Done {
 			t.Errorf("repeat answered %d %+v", status, brief)
@@ -141,7 +141,7 @@
 // A leader's end must not touch services, and its successor must know what
 // ran where.
 func TestLeaderEndsAndRolls(t *testing.T) {
-	playBoth(t, 2, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 2, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a, s := array(1, 12, 40), service(2, 3)
 		at(2 * time.Second)
 		w.Submit(a, 0)
@@ -160,7 +160,7 @@
 			w.Up(l)
 			time.Sleep(6 * time.Second)
 		}
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 {
 				t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
 			}
@@ -176,7 +176,7 @@
 // A state outage longer than a worker's lease loses no task while a majority
 // of nodes is linked.
 func TestBlindService(t *testing.T) {
-	play(t, 3, func(w *standin.World, at func(time.Duration)) {
+	play(t, 3, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 4, 60)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -184,7 +184,7 @@
 		at(40 * time.Second)
 		w.State.Outage(true)
 		at(48 * time.Second)
-		status, _, h := w.Ask(0, "POST", "/v1/jobs", standin.Submission(array(9, 1, 1).Spec))
+		status, _, h := w.Ask(0, "POST", "/v1/jobs", simulator.Submission(array(9, 1, 1).Spec))
 		if status != 503 || h.Get("Retry-After") == "" {
 			t.Errorf("submission in an outage answered %d, Retry-After %q", status, h.Get("Retry-After"))
 		}
@@ -195,7 +195,7 @@
 		w.State.Outage(false)
 		at(140 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 || c.Again() != 0 {
 				t.Errorf("%d of 3 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
 			}
@@ -207,7 +207,7 @@
 // when the nodes come back.
 func TestOutageWithAllNodesEnding(t *testing.T) {
 	for seed := range uint64(3) {
-		playBoth(t, 20+seed, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+		playBoth(t, 20+seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			a, s := array(1, 10, 30), service(2, 3)
 			at(2 * time.Second)
 			w.Submit(a, 0)
@@ -226,7 +226,7 @@
 			w.State.Outage(false)
 			at(220 * time.Second)
 			mustFinish(t, w, a)
-			w.Checked(func(c *standin.Checker) {
+			w.Checked(func(c *simulator.Checker) {
 				if c.On(s.Spec.ID) != 3 {
 					t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
 				}
@@ -238,7 +238,7 @@
 // A leader that only the state service refuses gives way, and its late
 // commands, held up for minutes, start nothing twice.
 func TestLeaderRefusedAndPacketsHeld(t *testing.T) {
-	play(t, 4, func(w *standin.World, at func(time.Duration)) {
+	play(t, 4, func(w *simulator.World, at func(time.Duration)) {
 		a, b := array(1, 8, 30), array(2, 8, 30)
 		at(2 * time.Second)
 		w.Submit(a, 0)
@@ -249,10 +249,10 @@
 			t.Fatal("no machine")
 		}
 		// Commands from the leader to one worker hang from now on.
-		w.Net.Hold(standin.NodeIP(l), ip, true)
+		w.Net.Hold(simulator.NodeIP(l), ip, true)
 		w.Submit(b, 0)
 		at(27 * time.Second)
-		w.State.Refuse(standin.NodeIP(l), true)
+		w.State.Refuse(simulator.NodeIP(l), true)
 		at(60 * time.Second)
 		if n := w.Leader(); n == l || n < 0 {
 			t.Errorf("leader is %d, was %d", n, l)
@@ -260,9 +260,9 @@
 		if status, _, _ := w.Ask(l, "GET", "/ready", nil); status != 503 {
 			t.Errorf("/ready of the refused node answers %d while others serve", status)
 		}
-		w.State.Refuse(standin.NodeIP(l), false)
+		w.State.Refuse(simulator.NodeIP(l), false)
 		at(90 * time.Second)
-		w.Net.Hold(standin.NodeIP(l), ip, false)
+		w.Net.Hold(simulator.NodeIP(l), ip, false)
 		at(200 * time.Second)
 		mustFinish(t, w, a, b)
 	})
@@ -270,7 +270,7 @@
 
 // A launch that was never answered arrives after its job was cancelled.
 func TestLateLaunchOfACancelledJob(t *testing.T) {
-	play(t, 5, func(w *standin.World, at func(time.Duration)) {
+	play(t, 5, func(w *simulator.World, at func(time.Duration)) {
 		warm, late := array(1, 12, 200), array(2, 6, 10)
 		at(2 * time.Second)
 		w.Submit(warm, 0)
@@ -282,12 +282,12 @@
 			held = append(held, ip)
 		}
 		for _, ip := range held {
-			w.Net.Hold(standin.NodeIP(l), ip, true)
+			w.Net.Hold(simulator.NodeIP(l), ip, true)
 		}
 		w.Submit(late, 12*time.Second)
 		at(150 * time.Second)
 		for _, ip := range held {
-			w.Net.Hold(standin.NodeIP(l), ip, false)
+			w.Net.Hold(simulator.NodeIP(l), ip, false)
 		}
 		at(200 * time.Second)
 	})
@@ -297,7 +297,7 @@
 // cancelled and must still chase the tasks that it reads afterwards. (It once
 // archived such a job before it had read them, and they ran on.)
 func TestCancelWhileNobodyLeads(t *testing.T) {
-	play(t, 14, func(w *standin.World, at func(time.Duration)) {
+	play(t, 14, func(w *simulator.World, at func(time.Duration)) {
 		s := service(1, 3)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -305,15 +305,15 @@
 		l := w.Leader()
 		w.Kill(l)
 		time.Sleep(300 * time.Millisecond)
-		w.Checked(func(c *standin.Checker) { c.CancelAsked(s.Spec.ID) })
+		w.Checked(func(c *simulator.Checker) { c.CancelAsked(s.Spec.ID) })
 		status, raw, _ := w.Ask((l+1)%3, "POST", "/v1/jobs/"+string(s.Spec.ID)+"/cancel", nil)
 		var b wire.JobSummary
 		if status != 200 || wire.Decode(raw, &b) != nil || b.Status != wire.Cancelled || w.Leader() == (l+1)%3 {
 			t.Fatalf("cancel answered %d %+v, leader %d", status, b, w.Leader())
 		}
-		w.Checked(func(c *standin.Checker) { c.Told(s.Spec.ID, b.Status, time.Now()) })
+		w.Checked(func(c *simulator.Checker) { c.Told(s.Spec.ID, b.Status, time.Now()) })
 		at(60 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if n := c.On(s.Spec.ID); n != 0 {
 				t.Errorf("%d tasks left 15 s after the cancellation", n)
 			}
@@ -325,14 +325,14 @@
 // Cancelling races the last completions; whoever wins, one final state is
 // told for ever.
 func TestCancelRacesCompletion(t *testing.T) {
-	play(t, 6, func(w *standin.World, at func(time.Duration)) {
+	play(t, 6, func(w *simulator.World, at func(time.Duration)) {
 		at(2 * time.Second)
 		for n := range 12 {
 			j := array(100+n, 2, 10)
 			w.Submit(j, time.Duration(18+n)*time.Second)
 		}
 		at(150 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			if done+cancelled != 12 {
 				t.Errorf("%d done, %d cancelled of 12", done, cancelled)
@@ -343,7 +343,7 @@
 
 // Transactions whose answers are lost are looked up, not guessed.
 func TestLostAnswersOfTheStateService(t *testing.T) {
-	play(t, 7, func(w *standin.World, at func(time.Duration)) {
+	play(t, 7, func(w *simulator.World, at func(time.Duration)) {
 		a, b := array(1, 10, 10), array(2, 10, 10)
 		at(2 * time.Second)
 		w.Submit(a, 0)
@@ -360,7 +360,7 @@
 // The answers of releases and bookings are lost, machines vanish silently,
 // and the cloud's interface goes away.
 func TestCloudTroubles(t *testing.T) {
-	play(t, 8, func(w *standin.World, at func(time.Duration)) {
+	play(t, 8, func(w *simulator.World, at func(time.Duration)) {
 		a, s := array(1, 20, 20), service(2, 3)
 		at(time.Second)
 		w.LoseRents(2)
@@ -379,7 +379,7 @@
 		w.CloudOutage(false)
 		at(220 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 {
 				t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
 			}
@@ -393,7 +393,7 @@
 // A machine that fails everything is returned; a job that fails everywhere
 // condemns no machines.
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
-	play(t, 9, func(w *standin.World, at func(time.Duration)) {
+	play(t, 9, func(w *simulator.World, at func(time.Duration)) {
 		good, bad := array(1, 16, 15), array(2, 4, 15)
 		bad.Fails = true
 		at(2 * time.Second)
@@ -422,7 +422,7 @@
 // A leader cut off from all workers resigns in favour of a node that they
 // reach.
 func TestLeaderCutFromWorkers(t *testing.T) {
-	playBoth(t, 10, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 10, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 30, 25)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -430,18 +430,18 @@
 		at(40 * time.Second)
 		l := w.Leader()
 		for i := 1; i <= 100; i++ {
-			w.Net.Cut(standin.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), true)
+			w.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), true)
 		}
 		at(75 * time.Second)
 		if n := w.Leader(); n == l {
 			t.Error("the leader that reaches no worker still leads")
 		}
 		for i := 1; i <= 100; i++ {
-			w.Net.Cut(standin.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), false)
+			w.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), false)
 		}
 		at(220 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 {
 				t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
 			}
@@ -453,7 +453,7 @@
 // and their machines are kept. (A leader cut off from half of its workers
 // once released them all.)
 func TestWorkersCutFromLeaderOnly(t *testing.T) {
-	playBoth(t, 13, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 13, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 12, 20)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -464,14 +464,14 @@
 		if !ok {
 			t.Fatal("no machine at work")
 		}
-		w.Net.Cut(standin.NodeIP(l), ip, true)
+		w.Net.Cut(simulator.NodeIP(l), ip, true)
 		at(100 * time.Second) // against a lease of 16 s
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 || c.Again() != 0 {
 				t.Errorf("%d of 3 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
 			}
 		})
-		w.Net.Cut(standin.NodeIP(l), ip, false)
+		w.Net.Cut(simulator.NodeIP(l), ip, false)
 		at(160 * time.Second)
 		mustFinish(t, w, a)
 	})
@@ -480,7 +480,7 @@
 // Nodes restart within a fraction of a second, also in the middle of an
 // election.
 func TestQuickRestarts(t *testing.T) {
-	playBoth(t, 11, func(t *testing.T, w *standin.World, at func(time.Duration)) {
+	playBoth(t, 11, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a, s := array(1, 10, 30), service(2, 3)
 		at(2 * time.Second)
 		w.Submit(a, 0)
@@ -506,8 +506,8 @@
 	for seed := uint64(100); seed < 108; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			playBoth(t, seed, func(t *testing.T, w *standin.World, at func(time.Duration)) {
-				var all []standin.Truth
+			playBoth(t, seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+				var all []simulator.Truth
 				at(2 * time.Second)
 				s := service(900, 3)
 				w.Submit(s, 0)
@@ -536,16 +536,16 @@
 					case 3:
 						w.Take(1, func(bool, int) bool { return true })
 					case 4:
-						a, b := standin.NodeIP(rng.IntN(3)), standin.NodeIP(rng.IntN(3))
+						a, b := simulator.NodeIP(rng.IntN(3)), simulator.NodeIP(rng.IntN(3))
 						w.Net.Cut(a, b, true)
 						time.Sleep(time.Duration(rng.IntN(15)) * time.Second)
 						w.Net.Cut(a, b, false)
 					case 5:
 						_, ip, ok := w.Some(func(n int) bool { return n > 0 })
 						if i := rng.IntN(3); ok {
-							w.Net.Cut(standin.NodeIP(i), ip, true)
+							w.Net.Cut(simulator.NodeIP(i), ip, true)
 							time.Sleep(time.Duration(rng.IntN(25)) * time.Second)
-							w.Net.Cut(standin.NodeIP(i), ip, false)
+							w.Net.Cut(simulator.NodeIP(i), ip, false)
 						}
 					case 6:
 						if id, _, ok := w.Some(func(n int) bool { return n > 0 }); ok {
@@ -555,7 +555,7 @@
 						w.State.LoseAnswers(1)
 					}
 				}
-				w.Checked(func(c *standin.Checker) { c.Calm(time.Now()) })
+				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 				time.Sleep(150 * time.Second)
 				mustFinish(t, w, all...)
 			})
@@ -566,7 +566,7 @@
 // Operators' settings: checked, guarded by their version, applied by all
 // nodes without a restart, and kept when all nodes end.
 func TestOperatorsSettings(t *testing.T) {
-	play(t, 15, func(w *standin.World, at func(time.Duration)) {
+	play(t, 15, func(w *simulator.World, at func(time.Duration)) {
 		at(3 * time.Second)
 		ask := func(i int, method string, body any, out any) int {
 			status, raw, _ := w.Operate(i, method, "/admin/settings", body)
@@ -633,7 +633,7 @@
 // then, since no majority agrees, and nothing may run twice when the leases
 // have run out.
 func TestLeaderCutFromPeers(t *testing.T) {
-	play(t, 18, func(w *standin.World, at func(time.Duration)) {
+	play(t, 18, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -642,11 +642,11 @@
 		l := w.Leader()
 		for i := range 3 {
 			if i != l {
-				w.Net.Cut(standin.NodeIP(l), standin.NodeIP(i), true)
+				w.Net.Cut(simulator.NodeIP(l), simulator.NodeIP(i), true)
 			}
 		}
 		at(70 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 || c.Again() != 0 {
 				t.Errorf("%d of 3 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
 			}
@@ -658,7 +658,7 @@
 		at(95 * time.Second)
 		mustRun(t, w, s, "25 s after the state service is gone too")
 		at(112 * time.Second)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if n := c.On(s.Spec.ID); n != 0 {
 				t.Errorf("%d replicas outlive their leases without a majority", n)
 			}
@@ -671,7 +671,7 @@
 
 // The leader ends in the middle of an outage.
 func TestLeaderEndsInAnOutage(t *testing.T) {
-	play(t, 19, func(w *standin.World, at func(time.Duration)) {
+	play(t, 19, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
 		w.Submit(s, 0)
@@ -687,7 +687,7 @@
 		w.State.Outage(false)
 		at(180 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *standin.Checker) {
+		w.Checked(func(c *simulator.Checker) {
 			if c.On(s.Spec.ID) != 3 {
 				t.Errorf("%d of 3 replicas", c.On(s.Spec.ID))
 			}
@@ -698,7 +698,7 @@
 // The largest job that users may submit: its progress stays within the
 // limits of the state service, across a change of leader.
 func TestLargestJob(t *testing.T) {
-	play(t, 17, func(w *standin.World, at func(time.Duration)) {
+	play(t, 17, func(w *simulator.World, at func(time.Duration)) {
 		big, small := array(1, wire.MaxTasks, 3), array(2, 4, 5)
 		big.Spec.CPUs, big.Spec.MemoryGB = 0.5, 1
 		at(2 * time.Second)
@@ -719,9 +719,9 @@
 
 // What a node can't take it refuses as the page says.
 func TestBadInput(t *testing.T) {
-	play(t, 12, func(w *standin.World, at func(time.Duration)) {
+	play(t, 12, func(w *simulator.World, at func(time.Duration)) {
 		at(3 * time.Second)
-		ok := standin.Submission(array(1, 1, 1).Spec)
+		ok := simulator.Submission(array(1, 1, 1).Spec)
 		with := func(k string, v any) map[string]any {
 			m := map[string]any{}
 			for a, b := range ok {
@@ -734,7 +734,7 @@
 			return m
 		}
 		over := gang(3, 21, 10)
-		gangOver := standin.Submission(over.Spec) // 42 CPUs of 40
+		gangOver := simulator.Submission(over.Spec) // 42 CPUs of 40
 		cases := []struct {
 			name, method, path string
 			body               any
--- a/internal/standin/gang.go
+++ b/internal/simulator/gang.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"math"
--- a/internal/standin/net.go
+++ b/internal/simulator/net.go
@@ -1,9 +1,9 @@
-// Package standin holds stand-ins for everything outside a node: a network,
+// Package simulator holds fakes of everything outside a node: a network,
 // the state service, the cloud, the workers and the users, with a checker
 // for the rules of PROTOCOL. They are written from the protocol's page, for
 // tests and for trying the program out. Time is whatever the time package
 // says, so that a test can run them in virtual time.
-package standin
+package simulator
 
 import (
 	"context"
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // serve lets the state service listen.
-func serve(t *testing.T, nw *standin.Network, st *standin.State) *http.Server {
-	l, err := nw.Host("10.2.0.1").Listen("tcp4", standin.StateAddr)
+func serve(t *testing.T, nw *simulator.Network, st *simulator.State) *http.Server {
+	l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.StateAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,8 +30,8 @@
 func TestOutcomes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		nw, st := standin.NewNetwork(time.Millisecond), standin.NewState(12, 16)
-		c := store.New(standin.StateAddr, config.State{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
+		nw, st := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
+		c := store.New(simulator.StateAddr, config.State{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 		if _, err := c.Get(ctx, store.Duty, "k"); !errors.Is(err, store.ErrRefused) {
 			t.Errorf("no listener: %v", err)
 		}
--- a/internal/store/copy_test.go
+++ b/internal/store/copy_test.go
@@ -12,15 +12,15 @@
 
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
-	"lilaclead/internal/standin"
+	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // rig is a copy that a node asks, with the state service and network beneath it.
 type rig struct {
-	nw *standin.Network
-	st *standin.State
+	nw *simulator.Network
+	st *simulator.State
 	c  *store.Client
 	y  *store.Copy
 }
@@ -30,9 +30,9 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		r := rig{nw: standin.NewNetwork(time.Millisecond), st: standin.NewState(12, 16)}
+		r := rig{nw: simulator.NewNetwork(time.Millisecond), st: simulator.NewState(12, 16)}
 		srv := serve(t, r.nw, r.st)
-		r.c = store.New(standin.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, r.nw.Host("10.0.0.1"))
+		r.c = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, r.nw.Host("10.0.0.1"))
 		r.y = store.NewCopy(r.c, cancels.New(nil, time.Minute), rps, 1)
 		go r.y.Run(ctx)
 		f(t, ctx, r)
