--- /dev/null
+++ b/internal/leader/commands.go
@@ -0,0 +1,209 @@
+package leader
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"lilaclead/internal/netio"
+	"lilaclead/internal/wire"
+)
+
+// mostOrders keeps an answer, or a command, within the size that workers take.
+const mostOrders = 400
+
+// orders for the answer to a report: whatever has not been shown to have
+// arrived is repeated.
+func (t *term) orders(m *machine, rep *wire.Report, now time.Time) []wire.Command {
+	out := []wire.Command{}
+	for task, a := range m.tasks {
+		if len(out) >= mostOrders {
+			return out
+		}
+		if a.halting && !a.planned {
+			out = append(out, haltOrder(task, a))
+			a.haltSent = now
+		} else if !a.planned && !a.seen && !a.directBusy && m.drain == "" && !a.job.cancelled && !a.inherited && m.hearing.deaf.IsZero() && a.mayLaunch() {
+			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
+			a.sent, a.sentShift, a.helloShift, a.helloTally = true, rep.Session, rep.Session, rep.Sequence
+		}
+	}
+	for i := range rep.Tasks {
+		p := &rep.Tasks[i]
+		if len(out) >= mostOrders {
+			return out
+		}
+		task, err := wire.ParseTask(p.Task)
+		if err != nil {
+			continue
+		}
+		if a := m.tasks[task]; a != nil && a.try == p.Attempt {
+			continue
+		}
+		switch {
+		case p.Phase != wire.PhaseExited:
+			zero := wire.Seconds(0)
+			out = append(out, wire.Command{Verb: wire.Halt, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
+		case t.mayForget(m, task, rep):
+			out = append(out, wire.Command{Verb: wire.Forget, Task: p.Task, Attempt: p.Attempt})
+		}
+	}
+	return out
+}
+
+// mayForget: the outcome is stored, and no launch that could start the
+// attempt again is under way to the worker. A forgotten attempt that is
+// launched late would run once more.
+func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Report) bool {
+	if m.lostAt(rep) {
+		t.wantRaise = true // a new token ends what may still be on its way
+		return false
+	}
+	if m.busy || rep.Token < t.first {
+		return false
+	}
+	j := t.jobs[task.Job]
+	if j == nil {
+		return true
+	}
+	if j.over || j.archiving {
+		return false
+	}
+	n := task.Index / j.per
+	if n >= len(j.chunks) {
+		return true
+	}
+	c := j.chunks[n]
+	return c == nil || !c.dirty && !c.busy
+}
+
+func haltOrder(task wire.Task, a *attempt) wire.Command {
+	w := a.windDown
+	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.try, GracePeriod: &w}
+}
+
+// dispatch sends what is new for a machine straight to it.
+func (t *term) dispatch(m *machine) {
+	// Without the state service what is cancelled is still halted.
+	blind := !t.deciding()
+	if m.busy || m.addr == "" || m.upAt.IsZero() || m.releasing || blind && !t.answering() {
+		return
+	}
+	now := time.Now()
+	cmd := wire.Commands{Token: t.token, Session: m.shift}
+	var launched []*attempt
+	for task, a := range m.tasks {
+		switch {
+		case a.planned || len(cmd.Commands) >= mostOrders || blind && !a.job.cancelled:
+		case a.halting:
+			if now.Sub(a.haltSent) > 1500*time.Millisecond {
+				cmd.Commands = append(cmd.Commands, haltOrder(task, a))
+				a.haltSent = now
+			}
+		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.seen && m.drain == "" && !a.job.cancelled:
+			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
+			a.sent, a.sentShift, a.directBusy = true, m.shift, true
+			launched = append(launched, a)
+		}
+	}
+	if len(cmd.Commands) > 0 {
+		t.command(m, cmd, launched)
+	}
+}
+
+// command sends a direct command and takes in its answer.
+func (t *term) command(m *machine, cmd wire.Commands, launched []*attempt) {
+	m.busy = true
+	addr, asked := m.addr, position{m.shift, m.tally}
+	go func() {
+		rep, status, err := t.l.post(t.ctx, addr, cmd, commandTimeout)
+		t.post(func() { t.commanded(m, asked, cmd, launched, rep, status, err) })
+	}()
+}
+
+// position in a machine's life.
+type position struct {
+	shift wire.Session
+	tally wire.Sequence
+}
+
+func (t *term) commanded(m *machine, asked position, cmd wire.Commands, launched []*attempt, rep *wire.Report, status int, err error) {
+	m.busy = false
+	now := time.Now()
+	for _, a := range launched {
+		a.directBusy = false
+	}
+	switch {
+	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
+		t.l.Metrics.Command("ok")
+		t.hears(m)
+		m.seenAt = now
+		if !rep.Newer(asked.shift, asked.tally) && !m.reborn {
+			// Made after we asked, and yet not newer than what we had then.
+			t.reborn(m, rep, now)
+			break
+		}
+		t.apply(m, rep, false, now)
+	case err != nil && wire.NotSent(err):
+		t.l.Metrics.Command("not sent")
+		m.probes++
+		m.muteAt = time.Time{} // silent, which is looked after otherwise
+		m.hearing.fails++
+		for _, a := range launched {
+			if !a.seen {
+				a.sent = false // certainly never left; the next report's answer carries it
+			}
+		}
+	default:
+		t.l.Metrics.Command("lost")
+		m.probes++
+		m.muteAt = time.Time{}
+		m.hearing.fails++
+		t.log().Debug("command not answered", "machine", m.id, "orders", len(cmd.Commands), "err", err, "status", status)
+		for _, a := range launched {
+			a.lost, a.lostToken = true, cmd.Token
+		}
+		if len(launched) > 0 {
+			m.lost = lostCommand{max(m.lost.token, cmd.Token), max(m.lost.shift, cmd.Session)}
+		}
+	}
+	if m.probes == 0 {
+		t.dispatch(m)
+	}
+}
+
+const (
+	// commandTimeout is how long a command's answer is waited for. What is
+	// not answered may still be executed: launches are careful with it.
+	commandTimeout = 2500 * time.Millisecond
+	// probeTimeout is shorter, as two in a row tell a machine's end.
+	probeTimeout = 1200 * time.Millisecond
+)
+
+// post sends a command to a worker.
+func (l *Leader) post(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Report, int, error) {
+	if cmd.Commands == nil {
+		cmd.Commands = []wire.Command{}
+	}
+	line := l.lines
+	if len(cmd.Commands) == 0 {
+		line = l.asks
+	}
+	select {
+	case line <- struct{}{}:
+		defer func() { <-line }()
+	case <-ctx.Done():
+		return nil, 0, ctx.Err()
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	status, raw, _, err := netio.Call(ctx, l.direct, "POST", "http://"+addr+"/commands", cmd, 1<<20)
+	if err != nil {
+		return nil, 0, err
+	}
+	var rep wire.Report
+	if err := wire.Decode(raw, &rep); err != nil {
+		return nil, 0, err
+	}
+	return &rep, status, nil
+}
--- /dev/null
+++ b/internal/leader/leases.go
@@ -0,0 +1,60 @@
+package leader
+
+import (
+	"time"
+
+	"lilaclead/internal/peer"
+)
+
+// expire ends the tasks of a machine whose lease has surely run out: nobody
+// can have answered it within the lease, the clocks' drift and a margin.
+func (t *term) expire(m *machine, now time.Time) {
+	if len(m.tasks) == 0 || !t.recovered {
+		return
+	}
+	life := t.set.Workers.LeaseS.Duration()
+	life += life/500 + 1500*time.Millisecond // two clocks of 0.05% each, and the step to a full second
+	// Up to when it first showed our token an earlier leader may have answered
+	// it; from then on only we can have.
+	// A new session has its full time even if no report of it was answered: a
+	// launch sent into it may run that long. (Tasks started right after a
+	// lease had run out were once given up at once, and started again.)
+	last := later(later(m.answered, m.tokenAt), later(m.shiftAt, t.stood))
+	if m.baton < t.first {
+		last = later(last, t.othersUntil())
+	}
+	if now.Sub(last) < life {
+		return
+	}
+	for _, a := range m.tasks {
+		if a.planned {
+			continue
+		}
+		// A direct launch of ours may still come, even after the lease; and
+		// a machine in a new session could take it only with that session.
+		if a.directBusy {
+			continue
+		}
+		t.log().Info("lease of a silent machine has run out", "task", a.task(), "try", a.try, "machine", m.id)
+		t.l.Metrics.Moved("lease ran out")
+		t.drop(a, taskPending)
+	}
+}
+
+// othersUntil is until when an earlier leader can have answered a worker that
+// has not seen our token: X after a majority took our token, or B at most. One
+// that never acknowledged a token of ours has had no acknowledgement from us
+// since this term began either, but for a fresh process's empty ones, which say no
+// token for X and count as asked for another 2X; then it stops as if alone. (Where
+// one zone holds most controllers no majority is left when it is cut off, and what
+// ran there was once counted for B.)
+func (t *term) othersUntil() time.Time {
+	other := t.born.Add(peer.B)
+	if t.l.standFor > 0 {
+		other = t.born.Add(max(t.l.standFor, 3*peer.X+time.Second))
+	}
+	if !t.acked.IsZero() && t.acked.Add(peer.X).Before(other) {
+		other = t.acked.Add(peer.X)
+	}
+	return other
+}
--- /dev/null
+++ b/internal/leader/liveness.go
@@ -0,0 +1,246 @@
+package leader
+
+import (
+	"context"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// watchMachines looks for machines that are silent, late, or empty and
+// unwanted.
+func (t *term) watchMachines(now time.Time) {
+	for id, at := range t.gone {
+		if now.Sub(at) > 10*time.Minute {
+			delete(t.gone, id)
+		}
+	}
+	// Reports come every report_s, give or take a quarter. A machine that is
+	// overdue is asked directly; two asks without an answer tell its end.
+	report := t.set.Workers.ReportS.Duration()
+	silentAfter := report*5/4 + 600*time.Millisecond
+	lostAfter := silentAfter + 2*probeTimeout
+	up, silent, lost, relayed, deaf, mute, serving, quietServing := 0, 0, 0, 0, 0, 0, 0, 0
+	zoneUp, zoneLost := map[wire.Zone]int{}, map[wire.Zone]int{}
+	for _, m := range t.machines {
+		if m.booting || m.releasing {
+			continue
+		}
+		up++
+		if m.relayed {
+			relayed++
+		}
+		if !m.hearing.deaf.IsZero() {
+			deaf++
+		}
+		if t.mute(m, now) {
+			mute++
+		}
+		zoneUp[m.zone]++
+		if t.silence(m, now) > silentAfter {
+			silent++
+		}
+		if t.serves(m) {
+			if serving++; t.silence(m, now) > askServing+2*probeTimeout {
+				quietServing++
+			}
+		}
+		if t.silence(m, now) > lostAfter {
+			lost++
+			zoneLost[m.zone]++
+		}
+	}
+	t.l.Metrics.Machines(t.states())
+	// When many are silent it is rather this node that is cut off from them.
+	cutOff := silent >= 3 && silent*2 > up
+	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.deciding() && now.Sub(t.born) > lostAfter+t.set.Workers.LeaseS.Duration()/8 {
+		for name, o := range t.l.Mesh.View().Others {
+			if o.Near(now) && o.Serves && o.Hears*2 > up {
+				t.resign("workers reach " + string(name) + ", not this node")
+				return
+			}
+		}
+	}
+	// A zone most of whose machines are silent is cut off as a whole. They
+	// will be back, and what runs on them goes on until their leases end: they
+	// are kept, and returned only if the cut outlasts that by far.
+	lease := t.set.Workers.LeaseS.Duration()
+	t.stood = t.stoodIn(now)
+	for z, n := range zoneUp {
+		if z != "" && !cutOff && t.hushed(z, n, zoneLost[z], up, now) {
+			if !t.wasCut(z, now) {
+				t.log().Info("zone seems cut off", "zone", z, "silent", zoneLost[z], "of", n)
+			}
+			t.cutAt[z] = now
+		}
+	}
+	// A machine with replicas is not left alone for as long as reports may take:
+	// the replicas of one that has stopped are down until that is known. When
+	// many such are quiet it is rather the way to them.
+	fewQuiet := quietServing <= max(3, serving/4)
+	for _, m := range t.machines {
+		// Where the cut is over the machines need a while to be heard again.
+		cut := t.wasCut(m.zone, now)
+		quiet := t.silence(m, now)
+		if t.isCut(m.zone, now) && !cutOff && t.movable(m, now) {
+			// Its replicas end with its lease, and nothing tells just when. The
+			// cloud can end them for sure, and they are started elsewhere. If
+			// the cloud is away too, its lease is waited out below.
+			t.release(m, "its lease ends while its zone is cut off")
+		}
+		// Before the first list nothing is known of a machine that an earlier
+		// leader used and that has not reported, not even its zone.
+		unknown := m.zone == "" && !t.listed
+		ask, gone := silentAfter, lostAfter
+		if t.serves(m) {
+			if ask = min(ask, askServing); fewQuiet {
+				gone = min(gone, ask+3*probeTimeout)
+			}
+		}
+		kept := cutOff || cut && quiet < max(lease*5/2, t.set.Workers.CancelS.Duration()*2)
+		t.watchMachine(m, now, ask, gone, kept && !t.unlisted(m) || unknown)
+		if deaf <= max(3, up/4) {
+			t.watchHearing(m, now)
+		}
+		t.watchMute(m, now, mute <= max(3, up/4))
+	}
+	if !t.deciding() || !t.recovered {
+		return
+	}
+	for _, j := range t.jobs {
+		if j.cancelled && j.held > 0 && now.Sub(j.cancelAt) > t.set.Workers.CancelS.Duration()*6/10 {
+			for _, a := range j.attempts() {
+				t.release(a.m, "a cancelled task could not be stopped")
+			}
+		}
+	}
+}
+
+func (t *term) watchMachine(m *machine, now time.Time, silentAfter, lostAfter time.Duration, cutOff bool) {
+	if m.releasing {
+		t.expire(m, now)
+		return
+	}
+	if m.booting {
+		ready := 30 * time.Second
+		if f := t.flavor(m.kit); f != nil {
+			ready = f.BootTime.Duration()
+		}
+		if now.Sub(m.rentedAt) > ready*11/4+5*time.Second && t.deciding() {
+			t.release(m, "never came up")
+		}
+		return
+	}
+	if !t.recovered {
+		return
+	}
+	for _, a := range m.tasks {
+		if a.halting && !a.planned && (a.haltSent.IsZero() || now.Sub(a.haltSent) > 2*time.Second) {
+			t.dispatch(m)
+			break
+		}
+	}
+	if !t.deciding() {
+		return
+	}
+	if m.failed {
+		t.release(m, "failed")
+		return
+	}
+	quiet := t.silence(m, now)
+	if quiet > silentAfter && m.probes < 4 && !m.busy && !(m.probes > 0 && t.behindCut(m, now)) {
+		t.probe(m)
+	}
+	gone := !m.notice.IsZero() && now.After(m.notice.Add(time.Second)) && quiet > report(t)+time.Second
+	// A machine that an earlier leader used, that is in no list and says
+	// nothing has no address to probe; it is as lost as one that was probed.
+	late := report(t)*13/4 + 2*time.Second
+	if (quiet > lostAfter && m.probes > 1 && m.lostToPeer || quiet > late && (m.probes > 0 || m.addr == "") || gone) && !cutOff {
+		t.release(m, "silent")
+		return
+	}
+	t.expire(m, now)
+	if m.drain != "" && len(m.tasks) == 0 && len(m.strays) == 0 && t.allStored(m) {
+		t.release(m, m.drain)
+		return
+	}
+	for _, a := range m.tasks {
+		if a.planned {
+			continue
+		}
+		spec := &a.job.spec
+		if !m.notice.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.notice.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
+			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), "saves before its machine is taken")
+		}
+		if !m.notice.IsZero() && spec.Service() && !a.halting {
+			t.halt(a, 0, "its machine is taken")
+		}
+		if a.lost && !a.seen && (a.halting || m.drain != "") && now.Sub(a.at) > 6*time.Second {
+			t.wantRaise = true
+		}
+	}
+}
+
+// silence is how long a machine has said nothing to this term.
+func (t *term) silence(m *machine, now time.Time) time.Duration {
+	return now.Sub(later(m.seenAt, t.born))
+}
+
+// unlisted tells whether the lists have lacked a machine for longer than they may
+// lag. That is no proof of its end, but there is no cut behind which it lives and
+// is to be kept: asking for its release costs nothing and brings the proof. (When
+// most machines had vanished at once it looked like a cut of this node for as long
+// as no more were rented than that, and none of them was ever asked for.)
+func (t *term) unlisted(m *machine) bool {
+	return t.listAt.Sub(m.listed) > 2*t.set.Cloud.ListLagS.Duration()+10*time.Second
+}
+
+// askServing is how long a machine with replicas may be silent before it is
+// asked itself, where reports come more rarely than that.
+const askServing = 4 * time.Second
+
+func report(t *term) time.Duration { return t.set.Workers.ReportS.Duration() }
+
+// movable tells whether a machine in a zone that is cut off holds replicas that
+// could be started elsewhere before long: their leases end about now, as no
+// controller in the zone can stand in any more, and other zones may have all
+// that their service runs in this one. (With two zones a service that is spread
+// has nowhere to go; to end its replicas early would gain nothing.)
+func (t *term) movable(m *machine, now time.Time) bool {
+	answered := m.seenAt
+	if lost := t.lostSince(m.zone); !lost.IsZero() {
+		answered = later(answered, lost.Add(t.l.standFor-report(t)*5/4))
+	} else if answered.IsZero() {
+		answered = t.born
+	}
+	if now.Sub(answered) < t.set.Workers.LeaseS.Duration()*95/100 {
+		return false
+	}
+	for _, a := range m.tasks {
+		if !a.job.spec.Service() || a.job.spec.Zone != "" {
+			continue
+		}
+		if !a.job.spec.Spread {
+			return true
+		}
+		held, room := a.job.zones(), 0
+		for _, z := range t.zones() {
+			if z != m.zone && !t.wasCut(z, now) {
+				room += a.job.spec.ZoneCap() - held[z]
+			}
+		}
+		if room >= held[m.zone] {
+			return true
+		}
+	}
+	return false
+}
+
+// resign gives the office up to a node that the workers reach.
+func (t *term) resign(why string) {
+	t.log().Info("resigns", "why", why)
+	t.l.shunned = time.Now().Add(15 * time.Second)
+	permit := t.permit
+	go t.l.Store.End(context.WithoutCancel(t.ctx), permit) //nolint:errcheck // else it runs out by itself
+	t.end(why)
+}
