--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -187,7 +187,7 @@
 	out := View{Node: a.cfg.HostName, Token: v.Token, Leader: v.Leader, Leads: a.leader.Leads(), Serves: a.store.Reachable()}
 	if out.Leads {
 		out.Leader = a.cfg.HostName
-		out.Term = a.leader.Look(r.Context())
+		out.Term = a.leader.View(r.Context())
 	}
 	wire.Answer(w, http.StatusOK, out)
 }
--- a/internal/leader/standin_test.go
+++ b/internal/leader/delegation_test.go
@@ -11,17 +11,17 @@
 	"lilaclead/internal/wire"
 )
 
-// How long a node may stand in: what it lets live on is gone within the time
-// for cancellations, and where there is no such time it never stands in.
-func TestStandFor(t *testing.T) {
+// How long a node may be a delegate: what it lets live on is gone within the time
+// for cancellations, and where there is no such time it never is.
+func TestDelegationTime(t *testing.T) {
 	for _, w := range []config.Workers{{LeaseS: 45, CancelS: 70}, {LeaseS: 17.5, CancelS: 42.5}, {LeaseS: 16, CancelS: 41}} {
-		d := standFor(w)
+		d := delegationTime(w)
 		if d < 10*time.Second || d+w.LeaseS.Duration()*1001/1000+2*time.Second > w.CancelS.Duration() {
-			t.Errorf("%+v: stands in for %v", w, d)
+			t.Errorf("%+v: delegates for %v", w, d)
 		}
 	}
-	if d := standFor(config.Workers{LeaseS: 45, CancelS: 48}); d != 0 {
-		t.Errorf("stands in for %v where a lease is all that the time for cancellations leaves", d)
+	if d := delegationTime(config.Workers{LeaseS: 45, CancelS: 48}); d != 0 {
+		t.Errorf("delegates for %v where a lease is all that the time for cancellations leaves", d)
 	}
 }
 
@@ -78,7 +78,7 @@
 		watch(20*time.Second, none)
 		time.Sleep(5 * time.Second) // nothing comes in at all
 		watch(20*time.Second, none)
-		for _, z := range tm.set.Zones {
+		for _, z := range tm.settings.Zones {
 			if tm.wasCut(z, time.Now()) {
 				t.Errorf("zone %s is called cut off when this node stood still", z)
 			}
@@ -112,11 +112,11 @@
 
 // When another node can have answered a worker last, as a leader must count it
 // before it takes a lease for run out.
-func TestStandsUntil(t *testing.T) {
+func TestDelegateAnswersUntil(t *testing.T) {
 	tm, _, _ := rig(t)
 	now := time.Now()
-	tm.l.standFor = 20 * time.Second
-	tm.born = now.Add(-time.Minute)
+	tm.l.delegationTime = 20 * time.Second
+	tm.startedAt = now.Add(-time.Minute)
 	ago := func(s float64) time.Time { return now.Add(-time.Duration(s * float64(time.Second))) }
 	cases := []struct {
 		name string
@@ -124,18 +124,18 @@
 		back time.Time
 		want time.Time
 	}{
-		{"in touch, never stood in", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5)}, time.Time{}, time.Time{}},
-		{"in touch, stood in a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(12)}, time.Time{}, ago(12)},
+		{"in touch, never a delegate", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5)}, time.Time{}, time.Time{}},
+		{"in touch, a delegate a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(12)}, time.Time{}, ago(12)},
 		{"in touch, began a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(20), Born: ago(9)}, time.Time{}, ago(9)},
 		{"in touch, and perhaps still at it", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(15), Stood: ago(1)}, time.Time{}, ago(-5)},
-		{"lost after our word", peer.Other{AckSent: ago(10), AckToken: 50, Granted: ago(9)}, time.Time{}, ago(-11)},
-		{"never heard in this term: an earlier leader's word", peer.Other{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
+		{"lost after our grant", peer.Other{AckSent: ago(10), AckToken: 50, Granted: ago(9)}, time.Time{}, ago(-11)},
+		{"never heard in this term: an earlier leader's grant", peer.Other{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
 		{"fresh, acknowledges nothing yet", peer.Other{AckSent: ago(1)}, time.Time{}, ago(40)},
 		{"in touch, but we did not lead until now", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(7)}, ago(2), ago(-13)},
 	}
 	for _, c := range cases {
-		tm.backAt = c.back
-		if got := tm.standsUntil(c.o, now); !got.Equal(c.want) {
+		tm.stateBackAt = c.back
+		if got := tm.delegateAnswersUntil(c.o, now); !got.Equal(c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got.Sub(now), c.want.Sub(now))
 		}
 	}
@@ -143,39 +143,39 @@
 
 // A successor that a majority never acknowledges, since most controllers are in
 // the zone that is cut off, counts what an earlier leader may answer for as long
-// as a node may stand in, and not for B; and a leader that not all acknowledge
+// as a node may be a delegate, and not for B; and a leader that not all acknowledge
 // keeps to that, whatever comes late from those it has lost.
 func TestLeadersWithoutEachOther(t *testing.T) {
 	tm, _, _ := rig(t)
 	tm.l.Config.Others = []config.Other{{HostName: "b"}, {HostName: "c"}}
 	now := time.Now()
-	tm.born = now.Add(-40 * time.Second)
-	since := func(at time.Time) time.Duration { return at.Sub(tm.born).Round(time.Second) }
-	// Without a time to stand in, and with a majority.
+	tm.startedAt = now.Add(-40 * time.Second)
+	since := func(at time.Time) time.Duration { return at.Sub(tm.startedAt).Round(time.Second) }
+	// Without a time for delegates, and with a majority.
 	if got := since(tm.othersUntil()); got != peer.B {
-		t.Errorf("without standing in: %v", got)
+		t.Errorf("without delegates: %v", got)
 	}
-	tm.l.standFor = 22 * time.Second
+	tm.l.delegationTime = 22 * time.Second
 	if got := since(tm.othersUntil()); got != 22*time.Second {
 		t.Errorf("never acknowledged: %v", got)
 	}
-	tm.l.standFor = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
+	tm.l.delegationTime = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
 	if got := since(tm.othersUntil()); got != 7*time.Second {
-		t.Errorf("never acknowledged, little time to stand in: %v", got)
+		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
-	tm.l.standFor = 22 * time.Second
-	tm.acked = tm.born.Add(3 * time.Second)
+	tm.l.delegationTime = 22 * time.Second
+	tm.majorityAckedAt = tm.startedAt.Add(3 * time.Second)
 	if got := since(tm.othersUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
 	}
 	// Its last good renewal was asked for 10 s into the term.
-	tm.until.Store(int64(10*time.Second + grantLife - haste))
+	tm.decidesUntil.Store(int64(10*time.Second + grantTTL - leaseMargin))
 	view := func(b, c float64) *peer.View {
-		asked := func(s float64) time.Time { return tm.born.Add(time.Duration(s * float64(time.Second))) }
+		asked := func(s float64) time.Time { return tm.startedAt.Add(time.Duration(s * float64(time.Second))) }
 		return &peer.View{Others: map[wire.NodeID]peer.Other{"b": {AckSent: asked(b), Heard: now}, "c": {AckSent: asked(c), Heard: now}}}
 	}
 	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 44}, {39.5, 20, 32}, {39.5, 33, 37}, {0, 0, 32}} {
-		if got := tm.blindFor(view(c.b, c.c), now).Round(time.Second).Seconds(); got != math.Round(c.want) && got != math.Round(c.want-0.5) {
+		if got := tm.answersWithoutStateUntil(view(c.b, c.c), now).Round(time.Second).Seconds(); got != math.Round(c.want) && got != math.Round(c.want-0.5) {
 			t.Errorf("acknowledged beats of %v and %v s: may answer until %v s, want %v", c.b, c.c, got, c.want)
 		}
 	}
--- a/internal/leader/office.go
+++ b/internal/leader/election.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// grantLife is how long the office stays taken when its holder is gone.
-	grantLife = 3 * time.Second
+	// grantTTL is how long the leadership stays taken when its holder is gone.
+	grantTTL = 3 * time.Second
 	// renewEvery gives a renewal three tries within the grant's life.
 	renewEvery = 700 * time.Millisecond
-	// haste is how much earlier than the grant a leader stops deciding: the
-	// drift of the clocks over the grant's life, and a turn of the processor.
-	haste = 150 * time.Millisecond
-	// pollEvery is how often the others look at the office.
+	// leaseMargin is how much earlier than its grant ends a leader stops deciding:
+	// the drift of the clocks over that time, and the time to be scheduled.
+	leaseMargin = 150 * time.Millisecond
+	// pollEvery is how often the others read who leads.
 	pollEvery = 500 * time.Millisecond
 )
 
-// office is what the holder knows of it.
-type office struct {
-	permit wire.GrantID
-	token  wire.Token // the revision of the leader's key
-	until  time.Time  // may decide until then
-	at     time.Time  // when it was taken
+// leadership is a leader's lease as its holder knows it.
+type leadership struct {
+	grant        wire.GrantID
+	token        wire.Token // the revision of the leader's key
+	decidesUntil time.Time  // may decide until then
+	takenAt      time.Time  // when it was taken
 }
 
-// lease is until when a holder may decide that asked for its grant at sent.
-func lease(sent time.Time) time.Time { return sent.Add(grantLife - haste) }
+// decidesUntil is until when a holder may decide that asked for its grant at sent.
+func decidesUntil(sent time.Time) time.Time { return sent.Add(grantTTL - leaseMargin) }
 
-// campaign waits until the office is free and takes it.
-func (l *Leader) campaign(ctx context.Context) (office, bool) {
+// campaign waits until nobody leads and takes the leadership.
+func (l *Leader) campaign(ctx context.Context) (leadership, bool) {
 	for {
 		select {
 		case <-ctx.Done():
-			return office{}, false
+			return leadership{}, false
 		case <-time.After(l.pollEvery() + rand.N(pollEvery/4)):
 		}
 		e, err := l.Store.Get(ctx, store.Vital, store.LeadKey)
@@ -48,13 +48,13 @@
 			if wire.Decode(e.Value, &rec) != nil {
 				continue
 			}
-			l.holder.Store(&holder{rec.Node, time.Now()})
+			l.holder.Store(&leaseHolder{rec.Node, time.Now()})
 			if rec.Node != l.Config.HostName || rec.Nonce == l.nonce {
 				continue
 			}
-			// Our own last life holds the office. It is over, since a host
+			// An earlier process of this node holds the lease. It is over, since a host
 			// runs one process; dropping the key makes its late writes fail.
-			l.Log.Info("ends the office of this node's last life", "token", e.Revision)
+			l.Log.Info("ends the leadership of this node's last process", "token", e.Revision)
 			_, err = l.Store.Commit(ctx, store.Vital, wire.Txn{
 				Guards: []wire.Guard{{Key: store.LeadKey, Revision: e.Revision}},
 				Writes: []wire.Write{{Delete: store.LeadKey}},
@@ -66,7 +66,7 @@
 			continue
 		}
 		l.holder.Store(nil)
-		if time.Now().Before(l.shunned) {
+		if time.Now().Before(l.campaignAfter) {
 			continue
 		}
 		if o, ok := l.take(ctx); ok {
@@ -75,38 +75,38 @@
 	}
 }
 
-// pollEvery is longer where the state service serves little: the looks of all
+// pollEvery is longer where the state service serves little: the reads of all
 // nodes take a sixth of its rate at most.
 func (l *Leader) pollEvery() time.Duration {
 	s := &l.Config.Settings
 	return max(pollEvery, min(4*pollEvery, time.Duration(float64(time.Second)*6*float64(s.Size-1)/max(1, s.State.Least().RPS))))
 }
 
-// take tries to take the free office once.
-func (l *Leader) take(ctx context.Context) (office, bool) {
+// take tries once to become the leader.
+func (l *Leader) take(ctx context.Context) (leadership, bool) {
 	sent := time.Now()
-	permit, err := l.Store.Grant(ctx, grantLife)
+	grant, err := l.Store.Grant(ctx, grantTTL)
 	if err != nil {
-		return office{}, false
+		return leadership{}, false
 	}
 	rev, err := l.Store.Commit(ctx, store.Vital, wire.Txn{
 		Guards: []wire.Guard{{Key: store.LeadKey, Revision: 0}},
-		Writes: []wire.Write{{Put: store.LeadKey, Value: wire.Encode(store.LeadRecord{Node: l.Config.HostName, Nonce: l.nonce}), Grant: permit}},
+		Writes: []wire.Write{{Put: store.LeadKey, Value: wire.Encode(store.LeadRecord{Node: l.Config.HostName, Nonce: l.nonce}), Grant: grant}},
 	})
 	if errors.Is(err, store.ErrUnknown) {
-		// It may have been executed: then the key names this life and grant.
+		// It may have been executed: then the key names this process and grant.
 		e, err2 := l.Store.Get(ctx, store.Vital, store.LeadKey)
 		var rec store.LeadRecord
-		if err2 == nil && e.Grant == permit && wire.Decode(e.Value, &rec) == nil && rec.Nonce == l.nonce {
+		if err2 == nil && e.Grant == grant && wire.Decode(e.Value, &rec) == nil && rec.Nonce == l.nonce {
 			rev, err = e.Revision, nil
 		}
 	}
 	if err != nil {
 		// A late execution of the write is harmless without its grant.
-		l.Store.End(ctx, permit) //nolint:errcheck // it ends by itself
-		return office{}, false
+		l.Store.End(ctx, grant) //nolint:errcheck // it ends by itself
+		return leadership{}, false
 	}
-	return office{permit: permit, token: wire.Token(rev), until: lease(sent), at: time.Now()}, true
+	return leadership{grant: grant, token: wire.Token(rev), decidesUntil: decidesUntil(sent), takenAt: time.Now()}, true
 }
 
 // renew keeps the grant until the context ends or the grant is gone.
@@ -119,10 +119,10 @@
 		case <-time.After(wait):
 		}
 		sent := time.Now()
-		err := t.l.Store.Renew(ctx, t.permit, time.Second)
+		err := t.l.Store.Renew(ctx, t.grant, time.Second)
 		switch {
 		case err == nil:
-			t.renewed(sent)
+			t.leaseRenewed(sent)
 			wait = renewEvery
 		case errors.Is(err, store.ErrMissing):
 			t.end("the grant is gone")
@@ -133,12 +133,12 @@
 	}
 }
 
-// deciding tells whether this node surely holds the office.
-func (t *term) deciding() bool { return int64(time.Since(t.born)) < t.until.Load() }
+// deciding tells whether this node surely holds the leadership.
+func (t *term) deciding() bool { return int64(time.Since(t.startedAt)) < t.decidesUntil.Load() }
 
-// answering tells whether reports may be answered: as long as the office is
-// surely held, or, with the state service away, as long as a majority of the
+// answering tells whether reports may be answered: as long as the lease
+// surely runs, or, with the state service away, as long as a majority of the
 // nodes acknowledged our token lately and B has not passed.
 func (t *term) answering() bool {
-	return t.deciding() || int64(time.Since(t.born)) < t.blind.Load()
+	return t.deciding() || int64(time.Since(t.startedAt)) < t.answersUntil.Load()
 }
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -32,16 +32,16 @@
 
 // timed compares a completed run with the job's others.
 func (t *term) timed(a *attempt, now time.Time) {
-	took := now.Sub(a.runAt).Seconds()
+	took := now.Sub(a.runningSince).Seconds()
 	j := a.job
 	if len(j.runs.s) >= 3 {
 		if took > slowFactor*j.runs.median()+2 {
-			a.m.slow.slow++
+			a.machine.slow.slow++
 		} else {
-			a.m.slow.fine++
+			a.machine.slow.fine++
 		}
-		if a.m.slow.slow >= 3 && a.m.slow.slow > 3*a.m.slow.fine && t.sparable() {
-			t.drainMachine(a.m, "slow")
+		if a.machine.slow.slow >= 3 && a.machine.slow.slow > 3*a.machine.slow.fine && t.sparable() {
+			t.drainMachine(a.machine, "slow")
 		}
 	}
 	j.runs.add(took)
@@ -51,21 +51,21 @@
 // it runs is retried ever more rarely; a machine on which several jobs fail,
 // or one that others' machines run well, is drained and returned.
 func (t *term) failed(a *attempt, now time.Time) {
-	j, m := a.job, a.m
+	j, m := a.job, a.machine
 	if j.failedOn == nil {
 		j.failedOn = map[wire.MachineID]bool{}
 	}
 	j.failedOn[m.id] = true
-	j.fails++
+	j.failures++
 	m.errs[j.spec.ID] = true
 	m.errCount++
-	t.log().Info("task failed", "task", a.task(), "try", a.try, "machine", m.id, "job_machines", len(j.failedOn), "machine_jobs", len(m.errs))
-	faultyMachine := len(m.errs) >= 2 || j.succeeded && m.errCount >= 2 || m.errCount >= 2 && len(j.failedOn) == 1 && j.fails >= 3
+	t.log().Info("task failed", "task", a.task(), "try", a.number, "machine", m.id, "job_machines", len(j.failedOn), "machine_jobs", len(m.errs))
+	faultyMachine := len(m.errs) >= 2 || j.succeeded && m.errCount >= 2 || m.errCount >= 2 && len(j.failedOn) == 1 && j.failures >= 3
 	if faultyMachine && t.sparable() {
 		t.drainMachine(m, "faulty")
 	}
 	if len(j.failedOn) >= 2 {
-		n := min(j.fails, 6)
+		n := min(j.failures, 6)
 		j.notBefore = now.Add(time.Duration(1<<n) * time.Second)
 		if len(j.failedOn) >= 3 {
 			// The job is to blame: what it did to the machines is forgiven.
@@ -114,5 +114,5 @@
 			t.halt(a, t.windDownOf(a.job), why)
 		}
 	}
-	t.wantRound()
+	t.requestRound()
 }
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -28,24 +28,24 @@
 // them has had. Nothing is sent before all of it is stored.
 func (t *term) startGang(j *job, ms []*machine, now time.Time) {
 	g := &gang{try: 1, from: now}
-	n := (j.spec.Tasks + j.per - 1) / j.per
+	n := (j.spec.Tasks + j.chunkTasks - 1) / j.chunkTasks
 	for i := range n {
-		g.try = max(g.try, j.chunk(i).next)
+		g.try = max(g.try, j.chunk(i).nextAttempt)
 	}
 	j.gang = g
 	for i := range n {
-		j.chunks[i].next = g.try
+		j.chunks[i].nextAttempt = g.try
 	}
 	for _, m := range ms {
 		t.startWith(j, m, g.try, now)
 	}
 	for i := range n {
-		j.chunks[i].next = g.try + 1
+		j.chunks[i].nextAttempt = g.try + 1
 	}
 }
 
 // complete tells whether every task of the gang has an attempt that is stored.
-func (j *job) complete() bool { return j.held == j.spec.Tasks && j.plans == 0 }
+func (j *job) complete() bool { return j.held == j.spec.Tasks && j.unstored == 0 }
 
 // mayLaunch tells whether the attempt's launch may be sent. A gang's may once all
 // of the gang is stored, and no more once a task of it is lost.
@@ -60,8 +60,8 @@
 // last. Once the gang has run it is lost with that task.
 func (t *term) launchAgain(a *attempt) bool {
 	g := a.job.gang
-	wait := t.set.Workers.GangWaitS.Duration()
-	return g != nil && !a.seen && !a.halting && !g.ran && a.mayLaunch() && !a.job.cancelled && a.m.drain == "" && !a.m.releasing &&
+	wait := t.settings.Workers.GangWaitS.Duration()
+	return g != nil && !a.reported && !a.halting && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drain == "" && !a.machine.releasing &&
 		time.Since(g.from) < wait
 }
 
@@ -85,14 +85,14 @@
 // do nothing, and is stopped. Those that were told to stop in order end by
 // themselves.
 func (t *term) mendGangs() {
-	for j := range t.lacking {
-		delete(t.lacking, j)
+	for j := range t.incompleteGangs {
+		delete(t.incompleteGangs, j)
 		g := j.gang
 		switch {
 		case g == nil:
 		case j.held == 0:
 			j.gang = nil
-			t.wantRound()
+			t.requestRound()
 		case !g.lost:
 			g.lost = true
 			if !g.stopping {
@@ -111,16 +111,16 @@
 	}
 	for n := range j.chunks {
 		c := j.chunk(n)
-		for i, s := range c.state {
+		for i, s := range c.taskStates {
 			if s != taskDone {
-				c.state[i] = taskDone
+				c.taskStates[i] = taskDone
 				j.done++
-				t.mark(c)
+				t.markPending(c)
 			}
 		}
 	}
 	j.gang = nil
-	t.checkOver(j)
+	t.checkFinished(j)
 }
 
 // readGang finds out how the attempt of a gang stands that an earlier leader
@@ -136,13 +136,13 @@
 	if j.held == 0 {
 		return
 	}
-	j.gang = &gang{from: t.born}
+	j.gang = &gang{from: t.startedAt}
 	for _, a := range j.attempts() {
-		j.gang.try = max(j.gang.try, a.try)
+		j.gang.try = max(j.gang.try, a.number)
 	}
 	for _, a := range j.attempts() {
-		if a.try != j.gang.try || !j.complete() {
-			t.lacking[j] = struct{}{}
+		if a.number != j.gang.try || !j.complete() {
+			t.incompleteGangs[j] = struct{}{}
 		}
 	}
 }
@@ -168,7 +168,7 @@
 // nothing, and should start sooner than anything ends on a full deployment.
 func (t *term) nextGangs(times float64, now time.Time) []*wire.Spec {
 	for _, j := range t.jobs {
-		if j.spec.Gang() && !j.cancelled && !j.over {
+		if j.spec.Gang() && !j.cancelled && !j.finished {
 			t.gangsSeen[gangKind{string(j.spec.Class), j.spec.Tasks, placement.Of(&j.spec)}] = gangSeen{&j.spec, now}
 		}
 	}
@@ -198,7 +198,7 @@
 func (t *term) windDownOf(j *job) wire.Seconds {
 	w := windDownOf(j)
 	if w > 0 && j.spec.Gang() {
-		w += t.set.Workers.GangPeerS
+		w += t.settings.Workers.GangPeerS
 	}
 	return w
 }
--- a/internal/leader/hearing_test.go
+++ b/internal/leader/hearing_test.go
@@ -21,7 +21,7 @@
 func away(tm *term) {
 	nw := simulator.NewNetwork(0).Host("10.0.0.1")
 	tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
-	tm.l.direct = &http.Client{Transport: nw.Transport(2, 2)}
+	tm.l.workerClient = &http.Client{Transport: nw.Transport(2, 2)}
 }
 
 func (t *term) tell(rep *wire.Report) reply {
@@ -36,7 +36,7 @@
 func TestDeafIsToldByWhatItDoesNotDo(t *testing.T) {
 	launch := func(tm *term, m *machine) {
 		j := tm.jobs["req-1"]
-		a := &attempt{job: j, chunk: j.chunk(0), index: 0, try: 8, m: m, at: time.Now()}
+		a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 8, machine: m, decidedAt: time.Now()}
 		a.chunk.hold(a)
 	}
 	shown := wire.TaskState{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
@@ -63,7 +63,7 @@
 			}, false},
 	}
 	for name, c := range cases {
-		desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+		withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 			away(tm)
 			c.setup(tm, m)
 			for _, rep := range c.reports(tm.token) {
@@ -88,7 +88,7 @@
 // A report that is older than the last one known is a late copy, unless it
 // crossed a newer message just now: it renews nothing and proves nothing.
 func TestOlderReports(t *testing.T) {
-	desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		away(tm)
 		tm.tell(said(1, 20, tm.token))
 		if r := tm.tell(said(1, 19, tm.token)); r.orders == nil || len(r.orders.Commands) > 0 {
@@ -116,10 +116,10 @@
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
-		tm.recovered, tm.early = false, map[wire.MachineID]wire.Report{}
+		tm.recovered, tm.earlyReports = false, map[wire.MachineID]wire.Report{}
 		tm.tell(said(2, 5, tm.token))
 		tm.tell(said(1, 40, tm.token))
-		if got := tm.early["n-1"]; got.Session != 2 {
+		if got := tm.earlyReports["n-1"]; got.Session != 2 {
 			t.Errorf("kept report %d/%d", got.Session, got.Sequence)
 		}
 	})
@@ -129,7 +129,7 @@
 // kept, but for those with replicas, which are returned shortly before their
 // leases would end. A machine that is silent alone is returned at once.
 func TestCutZoneIsKept(t *testing.T) {
-	desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		away(tm)
 		m.zone = "b"
 		zone := map[wire.Zone][]*machine{}
@@ -144,7 +144,7 @@
 		serving := zone["a"][0]
 		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 		tm.jobs["req-2"] = j
-		j.chunk(0).hold(&attempt{job: j, chunk: j.chunk(0), index: 0, try: 1, m: serving, seen: true})
+		j.chunk(0).hold(&attempt{job: j, chunk: j.chunk(0), index: 0, number: 1, machine: serving, reported: true})
 		returned := func() (n int) {
 			for _, x := range zone["a"] {
 				if x.releasing {
@@ -214,20 +214,20 @@
 		b := mesh("b", 1, 0, "a", true)
 		b.Raise(ctx, 7)
 		time.Sleep(3 * time.Second)
-		if got := l.leads(time.Now()); got != "b" {
+		if got := l.currentLeader(time.Now()); got != "b" {
 			t.Errorf("hears %q lead", got)
 		}
 		nw.Cut(simulator.NodeIP(0), simulator.NodeIP(1), true)
 		time.Sleep(6 * time.Second)
-		if got := l.leads(time.Now()); got != "" {
+		if got := l.currentLeader(time.Now()); got != "" {
 			t.Errorf("cut off it still says that %q leads", got)
 		}
-		l.holder.Store(&holder{"c", time.Now()})
-		if got := l.leads(time.Now()); got != "c" {
+		l.holder.Store(&leaseHolder{"c", time.Now()})
+		if got := l.currentLeader(time.Now()); got != "c" {
 			t.Errorf("by the state service's word: %q", got)
 		}
 		time.Sleep(3 * time.Second)
-		if got := l.leads(time.Now()); got != "" {
+		if got := l.currentLeader(time.Now()); got != "" {
 			t.Errorf("that word is old, and yet %q", got)
 		}
 		cancel()
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -71,31 +71,30 @@
 // Set replaces them.
 func (b *FlavorBox) Set(f []wire.MachineSpec) { b.p.Store(&f) }
 
-// Leader campaigns for the office and serves it.
+// Leader campaigns for the leadership and serves while it holds it.
 type Leader struct {
 	Deps
 	nonce string
 	term  atomic.Pointer[term]
-	// heard is when each worker last turned to this node; the handlers feed
-	// it through a channel.
-	turned chan wire.MachineID
-	hears  atomic.Int64
-	direct *http.Client
-	// lines bounds the commands under way to workers and asks the mere
-	// questions, each with a connection of its own: those to a zone that is cut
+	// workerContacts names each worker that reports to this node, whoever leads.
+	workerContacts   chan wire.MachineID
+	workersInContact atomic.Int64
+	workerClient     *http.Client
+	// commandSlots bounds the commands under way to workers and probeSlots the
+	// probes, each with a connection of its own: those to a zone that is cut
 	// off hang, and launches must not wait behind them.
-	lines, asks chan struct{}
-	holder      atomic.Pointer[holder]
-	// shunned: until when this node leaves the office to others.
-	shunned time.Time
-	// standFor is how long this node may stand in for a leader that it has
-	// lost; own is its word to itself, from when it led.
-	standFor time.Duration
-	own      atomic.Pointer[peer.Grant]
-	// renewFor is D of the rule by which a lease may be renewed.
-	renewFor time.Duration
-	// sentOn is when workers were last sent on to a leader that is not heard.
-	sentOn struct {
+	commandSlots, probeSlots chan struct{}
+	holder                   atomic.Pointer[leaseHolder]
+	// campaignAfter: until then this node leaves the leadership to others.
+	campaignAfter time.Time
+	// delegationTime is how long this node may renew leases for a leader that it
+	// has lost; ownGrant is what it granted itself while it led.
+	delegationTime time.Duration
+	ownGrant       atomic.Pointer[peer.Grant]
+	// maxCancelAge is D of the rule by which a lease may be renewed.
+	maxCancelAge time.Duration
+	// redirected is when workers were last sent to a leader that is not heard.
+	redirected struct {
 		sync.Mutex
 		at map[wire.MachineID]time.Time
 	}
@@ -104,25 +103,25 @@
 // New makes the leader's part of a node.
 func New(d Deps) *Leader {
 	l := &Leader{
-		Deps:   d,
-		nonce:  rand.Text(),
-		turned: make(chan wire.MachineID, 64), standFor: standFor(d.Config.Settings.Workers), renewFor: renewFor(d.Config.Settings.Workers),
-		direct: &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
-		lines:  make(chan struct{}, max(4, d.Sockets/3)), asks: make(chan struct{}, max(2, d.Sockets/6)),
+		Deps:           d,
+		nonce:          rand.Text(),
+		workerContacts: make(chan wire.MachineID, 64), delegationTime: delegationTime(d.Config.Settings.Workers), maxCancelAge: maxCancelAge(d.Config.Settings.Workers),
+		workerClient: &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
+		commandSlots: make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
 	}
-	l.sentOn.at = map[wire.MachineID]time.Time{}
+	l.redirected.at = map[wire.MachineID]time.Time{}
 	return l
 }
 
-// Leads tells whether this node holds the office now.
+// Leads tells whether this node holds the leadership now.
 func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.answering() }
 
-// Hears is how many workers turned to this node lately.
-func (l *Leader) Hears() int { return int(l.hears.Load()) }
+// WorkersInContact is how many workers turned to this node lately.
+func (l *Leader) WorkersInContact() int { return int(l.workersInContact.Load()) }
 
 // Run campaigns and serves until the context ends.
 func (l *Leader) Run(ctx context.Context) {
-	go l.listen(ctx)
+	go l.countWorkers(ctx)
 	for ctx.Err() == nil {
 		o, ok := l.campaign(ctx)
 		if !ok {
@@ -139,8 +138,8 @@
 	}
 }
 
-// listen counts the workers that turn to this node.
-func (l *Leader) listen(ctx context.Context) {
+// countWorkers counts the workers that turn to this node.
+func (l *Leader) countWorkers(ctx context.Context) {
 	seen := map[wire.MachineID]time.Time{}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -148,7 +147,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-l.turned:
+		case id := <-l.workerContacts:
 			seen[id] = time.Now()
 		case now := <-tick.C:
 			for id, at := range seen {
@@ -156,7 +155,7 @@
 					delete(seen, id)
 				}
 			}
-			l.hears.Store(int64(len(seen)))
+			l.workersInContact.Store(int64(len(seen)))
 		}
 	}
 }
@@ -175,24 +174,24 @@
 		return
 	}
 	select {
-	case l.turned <- rep.Machine:
+	case l.workerContacts <- rep.Machine:
 	default:
 	}
 	t := l.term.Load()
 	if t == nil || !t.answering() {
 		l.Metrics.Report("elsewhere")
-		if lead := l.leads(time.Now()); lead != "" {
+		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
-			if !l.stoodLately() && l.Mesh.View().Others[lead].Near(now) && l.relay(r.Context(), w, lead, &rep) {
+			if !l.delegateLately() && l.Mesh.View().Others[lead].Near(now) && l.relay(r.Context(), w, lead, &rep) {
 				return
 			}
-			if l.cameBack(rep.Machine, now) && l.stand(w, &rep) {
+			if l.returnedHere(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
 				return
 			}
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: lead})
 			return
 		}
-		if l.stand(w, &rep) {
+		if l.answerAsDelegate(w, &rep) {
 			return
 		}
 		wire.Refuse(w, http.StatusServiceUnavailable, "no leader known", 1)
@@ -201,22 +200,22 @@
 	l.serve(r.Context(), w, t, rep, false)
 }
 
-// stand answers a report in the lost leader's stead, if it may.
-func (l *Leader) stand(w http.ResponseWriter, rep *wire.Report) bool {
-	o := l.standIn(rep)
+// answerAsDelegate renews a worker's lease for a lost leader, if it may.
+func (l *Leader) answerAsDelegate(w http.ResponseWriter, rep *wire.Report) bool {
+	o := l.delegateAnswer(rep)
 	if o == nil {
 		return false
 	}
-	l.Metrics.Report("stood in")
+	l.Metrics.Report("by a delegate")
 	wire.Answer(w, http.StatusOK, o)
 	return true
 }
 
-// leads is the node that leads as far as this node knows of late: by a beat,
+// currentLeader is the node that leads as far as this node knows of late: by a beat,
 // or, when the links between the nodes are down, by the state service. What
 // it knew before it was cut off from both is no help: workers would be sent
 // to and fro between it and a node that leads no more.
-func (l *Leader) leads(now time.Time) wire.NodeID {
+func (l *Leader) currentLeader(now time.Time) wire.NodeID {
 	v := l.Mesh.View()
 	if v.Leader != "" && now.Sub(v.Others[v.Leader].Heard) < 2*peer.X {
 		return v.Leader
@@ -227,8 +226,8 @@
 	return ""
 }
 
-// holder of the office by the state service's word.
-type holder struct {
+// leaseHolder is the node that leads by the state service's record.
+type leaseHolder struct {
 	node wire.NodeID
 	at   time.Time
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -101,7 +101,7 @@
 				_, err := t.l.Store.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Put: store.FlavorsKey, Value: wire.Encode(wire.MachineSpecs{Types: fs})}}})
 				stored = err == nil
 			}
-			t.post(t.wantRound)
+			t.post(t.requestRound)
 		} else {
 			next = 2*time.Second + rand.N(time.Second)
 		}
@@ -134,7 +134,7 @@
 			if age := now.Add(-h.Age.Duration()); age.Before(m.rentedAt) {
 				m.rentedAt = age
 			}
-			if h.State == wire.ListedRunning && m.baton < t.first && m.probes == 0 && !m.releasing {
+			if h.State == wire.ListedRunning && m.baton < t.firstToken && m.probes == 0 && !m.releasing {
 				t.probed = false
 			}
 		}
@@ -144,7 +144,7 @@
 		}
 	}
 	if !t.placing {
-		t.watchOffice(now)
+		t.watchLeadership(now)
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 	// Reports come every report_s, give or take a quarter. A machine that is
 	// overdue is asked directly; two asks without an answer tell its end.
-	report := t.set.Workers.ReportS.Duration()
+	report := t.settings.Workers.ReportS.Duration()
 	silentAfter := report*5/4 + 600*time.Millisecond
 	lostAfter := silentAfter + 2*probeTimeout
 	up, silent, lost, relayed, deaf, mute, serving, quietServing := 0, 0, 0, 0, 0, 0, 0, 0
@@ -202,7 +202,7 @@
 	t.l.Metrics.Machines(t.states())
 	// When many are silent it is rather this node that is cut off from them.
 	cutOff := silent >= 3 && silent*2 > up
-	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.deciding() && now.Sub(t.born) > lostAfter+t.set.Workers.LeaseS.Duration()/8 {
+	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.deciding() && now.Sub(t.startedAt) > lostAfter+t.settings.Workers.LeaseS.Duration()/8 {
 		for name, o := range t.l.Mesh.View().Others {
 			if o.Near(now) && o.Serves && o.Hears*2 > up {
 				t.resign("workers reach " + string(name) + ", not this node")
@@ -213,8 +213,8 @@
 	// A zone most of whose machines are silent is cut off as a whole. They
 	// will be back, and what runs on them goes on until their leases end: they
 	// are kept, and returned only if the cut outlasts that by far.
-	lease := t.set.Workers.LeaseS.Duration()
-	t.stood = t.stoodIn(now)
+	lease := t.settings.Workers.LeaseS.Duration()
+	t.delegatesAnsweredUntil = t.anyDelegateAnswersUntil(now)
 	for z, n := range zoneUp {
 		if z != "" && !cutOff && t.hushed(z, n, zoneLost[z], up, now) {
 			if !t.wasCut(z, now) {
@@ -246,7 +246,7 @@
 				gone = min(gone, ask+3*probeTimeout)
 			}
 		}
-		kept := cutOff || cut && quiet < max(lease*5/2, t.set.Workers.CancelS.Duration()*2)
+		kept := cutOff || cut && quiet < max(lease*5/2, t.settings.Workers.CancelS.Duration()*2)
 		t.watchMachine(m, now, ask, gone, kept && !t.unlisted(m) || unknown)
 		if deaf <= max(3, up/4) {
 			t.watchHearing(m, now)
@@ -257,9 +257,9 @@
 		return
 	}
 	for _, j := range t.jobs {
-		if j.cancelled && j.held > 0 && now.Sub(j.cancelAt) > t.set.Workers.CancelS.Duration()*6/10 {
+		if j.cancelled && j.held > 0 && now.Sub(j.cancelledAt) > t.settings.Workers.CancelS.Duration()*6/10 {
 			for _, a := range j.attempts() {
-				t.release(a.m, "a cancelled task could not be stopped")
+				t.release(a.machine, "a cancelled task could not be stopped")
 			}
 		}
 	}
@@ -271,7 +271,7 @@
 // most machines had vanished at once it looked like a cut of this node for as long
 // as no more were rented than that, and none of them was ever asked for.)
 func (t *term) unlisted(m *machine) bool {
-	return t.listAt.Sub(m.listed) > 2*t.set.Cloud.ListLagS.Duration()+10*time.Second
+	return t.listAt.Sub(m.listed) > 2*t.settings.Cloud.ListLagS.Duration()+10*time.Second
 }
 
 // heard is when something last came from a zone's machines, and how many
@@ -298,11 +298,11 @@
 // zone.
 func (t *term) hushed(z wire.Zone, n, lost, up int, now time.Time) bool {
 	need, least := hushReports, 4
-	if at := t.lostSince(z); !at.IsZero() && now.Sub(at) > peer.X {
+	if at := t.zoneSilentSince(z); !at.IsZero() && now.Sub(at) > peer.X {
 		need, least = need/6, 2
 	}
 	h := t.heard[z]
-	return lost >= least && lost*2 > n || n >= least && now.Sub(later(h.at, t.born)) > hushAfter && (t.reports-h.reports)*n >= need*up
+	return lost >= least && lost*2 > n || n >= least && now.Sub(latest(h.at, t.startedAt)) > hushAfter && (t.reports-h.reports)*n >= need*up
 }
 
 // wasCut tells whether a zone seems cut off, or did so lately: its machines
@@ -347,12 +347,12 @@
 // has nowhere to go; to end its replicas early would gain nothing.)
 func (t *term) movable(m *machine, now time.Time) bool {
 	answered := m.seenAt
-	if lost := t.lostSince(m.zone); !lost.IsZero() {
-		answered = later(answered, lost.Add(t.l.standFor-report(t)*5/4))
+	if lost := t.zoneSilentSince(m.zone); !lost.IsZero() {
+		answered = latest(answered, lost.Add(t.l.delegationTime-report(t)*5/4))
 	} else if answered.IsZero() {
-		answered = t.born
+		answered = t.startedAt
 	}
-	if now.Sub(answered) < t.set.Workers.LeaseS.Duration()*95/100 {
+	if now.Sub(answered) < t.settings.Workers.LeaseS.Duration()*95/100 {
 		return false
 	}
 	for _, a := range m.tasks {
@@ -378,7 +378,7 @@
 // zones are those of the settings, of what can be rented, and of the machines
 // that were heard of: some may be in no settings.
 func (t *term) zones() []wire.Zone {
-	out := slices.Clone(t.set.Zones)
+	out := slices.Clone(t.settings.Zones)
 	add := func(z wire.Zone) {
 		if z != "" && !slices.Contains(out, z) {
 			out = append(out, z)
@@ -392,7 +392,7 @@
 	for z := range t.heard {
 		add(z)
 	}
-	slices.Sort(out[len(t.set.Zones):])
+	slices.Sort(out[len(t.settings.Zones):])
 	return out
 }
 
@@ -427,10 +427,10 @@
 	}
 	stuck := false
 	for _, a := range m.tasks {
-		stuck = stuck || !a.planned && (!a.seen || a.halting)
+		stuck = stuck || !a.planned && (!a.reported || a.halting)
 	}
 	since := now.Sub(m.hearing.deaf)
-	if stuck && since > report(t)/2+2*time.Second && m.hearing.fails > 0 || since > t.set.Workers.LeaseS.Duration() {
+	if stuck && since > report(t)/2+2*time.Second && m.hearing.fails > 0 || since > t.settings.Workers.LeaseS.Duration() {
 		t.release(m, "does not hear")
 	}
 }
@@ -442,7 +442,7 @@
 	if m.muteAt.IsZero() {
 		return 0
 	}
-	return now.Sub(later(m.muteAt, later(t.backAt, t.stood)))
+	return now.Sub(latest(m.muteAt, latest(t.stateBackAt, t.delegatesAnsweredUntil)))
 }
 
 // mute tells whether a machine looks alive but can't reach any controller: its
@@ -450,25 +450,25 @@
 // nothing new, and its room is not counted on. (Tasks longer than a lease were
 // once started on such machines for ever and never completed.)
 func (t *term) mute(m *machine, now time.Time) bool {
-	return t.muteFor(m, now) > max(t.set.Workers.LeaseS.Duration()/2, 2*report(t))
+	return t.muteFor(m, now) > max(t.settings.Workers.LeaseS.Duration()/2, 2*report(t))
 }
 
 // watchMute returns a mute machine when its lease must have run out, so that
 // nothing is lost by it, or much later when they are many: then it is rather
 // the way from them, which will be back.
 func (t *term) watchMute(m *machine, now time.Time, few bool) {
-	lease := t.set.Workers.LeaseS.Duration()
+	lease := t.settings.Workers.LeaseS.Duration()
 	if m.releasing || !t.recovered || t.muteFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || t.muteFor(m, now) > max(lease*5/2, t.set.Workers.CancelS.Duration()*2) {
+	if few || t.muteFor(m, now) > max(lease*5/2, t.settings.Workers.CancelS.Duration()*2) {
 		t.release(m, "its reports don't arrive")
 	}
 }
 
 // silence is how long a machine has said nothing to this term.
 func (t *term) silence(m *machine, now time.Time) time.Duration {
-	return now.Sub(later(m.seenAt, t.born))
+	return now.Sub(latest(m.seenAt, t.startedAt))
 }
 
 func (t *term) watchMachine(m *machine, now time.Time, silentAfter, lostAfter time.Duration, cutOff bool) {
@@ -530,13 +530,13 @@
 		if !m.notice.IsZero() && spec.Service() && !a.halting {
 			t.halt(a, 0, "its machine is taken")
 		}
-		if a.lost && !a.seen && (a.halting || m.drain != "") && now.Sub(a.at) > 6*time.Second {
-			t.wantRaise = true
+		if a.launchUnanswered && !a.reported && (a.halting || m.drain != "") && now.Sub(a.decidedAt) > 6*time.Second {
+			t.raiseWanted = true
 		}
 	}
 }
 
-func report(t *term) time.Duration { return t.set.Workers.ReportS.Duration() }
+func report(t *term) time.Duration { return t.settings.Workers.ReportS.Duration() }
 
 // expire ends the tasks of a machine whose lease has surely run out: nobody
 // can have answered it within the lease, the clocks' drift and a margin.
@@ -544,16 +544,16 @@
 	if len(m.tasks) == 0 || !t.recovered {
 		return
 	}
-	life := t.set.Workers.LeaseS.Duration()
+	life := t.settings.Workers.LeaseS.Duration()
 	life += life/500 + 1500*time.Millisecond // two clocks of 0.05% each, and the step to a full second
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := later(later(m.answered, m.tokenAt), later(m.shiftAt, t.stood))
-	if m.baton < t.first {
-		last = later(last, t.othersUntil())
+	last := latest(latest(m.answered, m.tokenAt), latest(m.shiftAt, t.delegatesAnsweredUntil))
+	if m.baton < t.firstToken {
+		last = latest(last, t.othersUntil())
 	}
 	if now.Sub(last) < life {
 		return
@@ -564,10 +564,10 @@
 		}
 		// A direct launch of ours may still come, even after the lease; and
 		// a machine in a new session could take it only with that session.
-		if a.directBusy {
+		if a.launchInFlight {
 			continue
 		}
-		t.log().Info("lease of a silent machine has run out", "task", a.task(), "try", a.try, "machine", m.id)
+		t.log().Info("lease of a silent machine has run out", "task", a.task(), "try", a.number, "machine", m.id)
 		t.l.Metrics.Moved("lease ran out")
 		t.drop(a, taskPending)
 	}
@@ -581,12 +581,12 @@
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
 func (t *term) othersUntil() time.Time {
-	other := t.born.Add(peer.B)
-	if t.l.standFor > 0 {
-		other = t.born.Add(max(t.l.standFor, 3*peer.X+time.Second))
+	other := t.startedAt.Add(peer.B)
+	if t.l.delegationTime > 0 {
+		other = t.startedAt.Add(max(t.l.delegationTime, 3*peer.X+time.Second))
 	}
-	if !t.acked.IsZero() && t.acked.Add(peer.X).Before(other) {
-		other = t.acked.Add(peer.X)
+	if !t.majorityAckedAt.IsZero() && t.majorityAckedAt.Add(peer.X).Before(other) {
+		other = t.majorityAckedAt.Add(peer.X)
 	}
 	return other
 }
@@ -651,14 +651,14 @@
 		t.drop(a, taskPending)
 	}
 	delete(t.machines, m.id)
-	t.wantRound()
+	t.requestRound()
 }
 
 // resign gives the office up to a node that the workers reach.
 func (t *term) resign(why string) {
 	t.log().Info("resigns", "why", why)
-	t.l.shunned = time.Now().Add(15 * time.Second)
-	permit := t.permit
+	t.l.campaignAfter = time.Now().Add(15 * time.Second)
+	permit := t.grant
 	go t.l.Store.End(context.WithoutCancel(t.ctx), permit) //nolint:errcheck // else it runs out by itself
 	t.end(why)
 }
@@ -670,7 +670,7 @@
 		return
 	}
 	// What an earlier leader rented last is not listed yet.
-	lag := t.set.Cloud.ListLagS.Duration()
+	lag := t.settings.Cloud.ListLagS.Duration()
 	v := t.l.Tuning.Get()
 	s := &fleet.Snapshot{MaxRents: maxRents, DearLimit: v.DearLimit,
 		Cheapest: func(spec *wire.Spec) float64 { return cheapest(flavors, spec) }}
@@ -701,8 +701,8 @@
 				continue
 			}
 			in := a.job.expected()
-			if !a.runAt.IsZero() {
-				in -= now.Sub(a.runAt).Seconds()
+			if !a.runningSince.IsZero() {
+				in -= now.Sub(a.runningSince).Seconds()
 			}
 			res := a.res()
 			fm.Soon = append(fm.Soon, fleet.Soon{InS: max(in, 1), Room: res})
@@ -712,7 +712,7 @@
 		}
 		slices.SortFunc(fm.Soon, func(a, b fleet.Soon) int { return cmp.Compare(a.InS, b.InS) })
 		if !m.booting && len(m.tasks) == 0 && len(m.strays) == 0 {
-			fm.Idle, fm.IdleS = true, now.Sub(later(m.usedAt, m.upAt)).Seconds()
+			fm.Idle, fm.IdleS = true, now.Sub(latest(m.usedAt, m.upAt)).Seconds()
 		}
 		s.Machines = append(s.Machines, fm)
 	}
@@ -724,7 +724,7 @@
 			}
 		}
 	}
-	if now.Sub(t.born) > lag+time.Second {
+	if now.Sub(t.startedAt) > lag+time.Second {
 		s.Offers = t.offers(flavors, now)
 	}
 	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
@@ -799,11 +799,13 @@
 func (t *term) demands(now time.Time, stretch, spareUnits float64) []fleet.Demand {
 	jobs := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
-		if !j.cancelled && !j.over && j.pending() > 0 && j.fails < 3 {
+		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 {
 			jobs = append(jobs, j)
 		}
 	}
-	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.spec.ID, b.spec.ID)) })
+	slices.SortFunc(jobs, func(a, b *job) int {
+		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
+	})
 	waits := t.queueing(jobs, now)
 	zones := t.zones()
 	var out []fleet.Demand
@@ -812,7 +814,7 @@
 		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.held)))
 	}
 	for _, j := range jobs {
-		team, ok := t.set.Team(j.spec.Team)
+		team, ok := t.settings.Team(j.spec.Team)
 		if !ok {
 			continue
 		}
@@ -899,9 +901,9 @@
 // its expected run time. Aims may name several times for a class; the first
 // that can still be met counts, else the last.
 func (t *term) due(j *job, now time.Time) float64 {
-	need := now.Sub(j.at).Seconds() + j.expected()
+	need := now.Sub(j.acceptedAt).Seconds() + j.expected()
 	due, ok := float64(j.spec.Deadline), j.spec.Deadline > 0
-	for _, o := range t.set.Objectives {
+	for _, o := range t.settings.Objectives {
 		at := 0.0
 		switch {
 		case o.Class != j.spec.Class:
@@ -924,7 +926,7 @@
 
 // slack is how long the job's waiting tasks may still wait.
 func (t *term) slack(j *job, now time.Time) float64 {
-	return t.due(j, now) - now.Sub(j.at).Seconds() - j.expected()
+	return t.due(j, now) - now.Sub(j.acceptedAt).Seconds() - j.expected()
 }
 
 const (
@@ -968,7 +970,7 @@
 	var queue []entry
 	for _, j := range jobs {
 		if !j.spec.Service() {
-			w := t.weight(j, sure[j.spec.ID], now) * (1 + now.Sub(j.at).Seconds()/raise)
+			w := t.weight(j, sure[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise)
 			queue = append(queue, entry{j, w})
 		}
 	}
@@ -990,7 +992,7 @@
 // be late if it waited for cheap room, and dear room brings it home in time.
 func (t *term) dearer(j *job, wait float64, now time.Time) float64 {
 	share := 0.0
-	for _, o := range t.set.Objectives {
+	for _, o := range t.settings.Objectives {
 		if o.Class == j.spec.Class && (o.Kind == "finished" || o.Kind == "deadline") {
 			share = max(share, o.Share)
 		}
@@ -998,7 +1000,7 @@
 	// A class that may miss its time more often waits for cheap room first, but
 	// not for ever: cheap room alone may never catch up. (With 24 cheap machines
 	// of 40 a backlog of 16 minutes grew, and no ordinary one was rented.)
-	patient := share <= dearShare && now.Sub(j.at) < startBy/2
+	patient := share <= dearShare && now.Sub(j.acceptedAt) < startBy/2
 	if j.spec.Service() || patient {
 		return 1
 	}
@@ -1008,7 +1010,7 @@
 			boot = min(boot, float64(f.BootTime)+j.spec.ImageGB/f.FetchGBPerS)
 		}
 	}
-	due, age := t.due(j, now), now.Sub(j.at).Seconds()
+	due, age := t.due(j, now), now.Sub(j.acceptedAt).Seconds()
 	if age+wait+j.expected() > due && age+boot+j.expected() < due {
 		return dearStretch
 	}
@@ -1022,14 +1024,14 @@
 // which nothing has run for as long: when the cheap machines that it was on had
 // been taken and there were no more of them, the rest of it was never run.
 func (t *term) starves(j *job, now time.Time) bool {
-	return !j.spec.Service() && j.held == 0 && now.Sub(j.at) > startBy/2 && (j.done == 0 || now.Sub(later(j.leftAt, t.born)) > startBy/2)
+	return !j.spec.Service() && j.held == 0 && now.Sub(j.acceptedAt) > startBy/2 && (j.done == 0 || now.Sub(latest(j.lastHeldAt, t.startedAt)) > startBy/2)
 }
 
 // parallel is how many of a job's waiting tasks should run at a time.
 func (t *term) parallel(j *job, now time.Time, stretch float64) int {
 	n := j.pending()
 	est := max(1, j.expected())
-	window := (t.due(j, now) - now.Sub(j.at).Seconds()) * stretch
+	window := (t.due(j, now) - now.Sub(j.acceptedAt).Seconds()) * stretch
 	rounds := max(1, int(window/est))
 	return (n + rounds - 1) / rounds
 }
@@ -1038,7 +1040,7 @@
 // has answered.
 func (t *term) rent(r fleet.Rent) {
 	t.fleet.seq++
-	b := &booking{RentalRequest: wire.RentalRequest{Name: fmt.Sprintf("b-%d-%d", t.first, t.fleet.seq), Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, since: time.Now()}
+	b := &booking{RentalRequest: wire.RentalRequest{Name: fmt.Sprintf("b-%d-%d", t.firstToken, t.fleet.seq), Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, since: time.Now()}
 	t.fleet.bookings[b.Name] = b
 	t.log().Info("rents", "kit", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	go func() {
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -82,19 +82,19 @@
 		h.reply <- reply{refused: "can't tell whether this node still leads"}
 		return
 	}
-	if !t.l.mayRenew(now) {
+	if !t.l.mayRenewLeases(now) {
 		h.reply <- reply{refused: "can't tell what was cancelled"}
 		return
 	}
-	o := &wire.Commands{Token: t.token, Commands: t.l.haltsFor(&h.rep)}
+	o := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(&h.rep)}
 	if _, gone := t.gone[h.rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		h.reply <- reply{refused: "this machine was returned"}
 		return
 	}
 	if !t.recovered {
-		if e, ok := t.early[h.rep.Machine]; !ok || h.rep.Newer(e.Session, e.Sequence) {
-			t.early[h.rep.Machine] = h.rep
+		if e, ok := t.earlyReports[h.rep.Machine]; !ok || h.rep.Newer(e.Session, e.Sequence) {
+			t.earlyReports[h.rep.Machine] = h.rep
 		}
 		m := t.machine(h.rep.Machine)
 		m.seenAt, m.answered = now, now
@@ -125,7 +125,7 @@
 	m.relayed = h.relayed
 	t.listen(m, &h.rep, now)
 	t.apply(m, &h.rep, true, now)
-	if t.withheld(m, &h.rep, now) {
+	if t.renewalWithheld(m, &h.rep, now) {
 		h.reply <- reply{refused: "a cancelled task may still start there"}
 		return
 	}
@@ -167,7 +167,7 @@
 	t.log().Info("machine began a new life", "machine", m.id, "tasks", len(m.tasks), "shift", rep.Session, "tally", rep.Sequence, "was_shift", m.shift, "was_tally", m.tally)
 	m.shift, m.tally, m.images = 0, 0, imageCache{}
 	for _, a := range m.tasks {
-		a.helloTally = 0 // the answer that carried it went to the last life
+		a.answerSequence = 0 // the answer that carried it went to the last life
 	}
 	t.drainMachine(m, "began a new life")
 	t.apply(m, rep, false, now)
@@ -200,7 +200,7 @@
 		return
 	case h.tally == 0:
 		return
-	case rep.Session > h.shift && now.Sub(m.answered) < t.set.Workers.LeaseS.Duration()/2:
+	case rep.Session > h.shift && now.Sub(m.answered) < t.settings.Workers.LeaseS.Duration()/2:
 		h.ignored += 2 // its lease ran out although its reports were answered
 	case rep.Session != h.shift || rep.Sequence <= h.tally:
 		return
@@ -219,11 +219,11 @@
 // should know of by now.
 func (t *term) unheard(m *machine, rep *wire.Report) bool {
 	for task, a := range m.tasks {
-		if a.seen || a.helloTally == 0 || a.helloShift != rep.Session || rep.Sequence <= a.helloTally {
+		if a.reported || a.answerSequence == 0 || a.answerSession != rep.Session || rep.Sequence <= a.answerSequence {
 			continue
 		}
 		name := task.String()
-		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.try }) {
+		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.number }) {
 			return true
 		}
 	}
@@ -234,7 +234,7 @@
 func (t *term) hears(m *machine) {
 	if !m.hearing.deaf.IsZero() {
 		t.log().Info("machine hears again", "machine", m.id)
-		t.wantRound()
+		t.requestRound()
 	}
 	m.hearing.ignored, m.hearing.fails, m.hearing.deaf = 0, 0, time.Time{}
 }
@@ -252,7 +252,7 @@
 	if m.upAt.IsZero() {
 		m.upAt = now
 		t.fleetUp(m, now)
-		t.wantRound()
+		t.requestRound()
 	}
 	if rep.Session > m.shift {
 		// A lease that ran out leaves the images where they are; a new life
@@ -261,7 +261,7 @@
 	}
 	m.addr, m.kit, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
 	m.shift, m.tally, m.seenAt, m.booting, m.probes = rep.Session, rep.Sequence, now, false, 0
-	if m.baton < t.first && rep.Token >= t.first {
+	if m.baton < t.firstToken && rep.Token >= t.firstToken {
 		m.tokenAt = now
 	}
 	m.baton = max(m.baton, rep.Token)
@@ -286,7 +286,7 @@
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.try == p.Attempt {
+		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
 			listed[task] = p
 			t.progress(a, p, now)
 		} else if p.Phase != wire.PhaseExited {
@@ -299,16 +299,16 @@
 		}
 		switch {
 		case t.launchAgain(a):
-			a.inherited, a.sent, a.lost, a.helloTally = false, false, false, 0
-		case a.seen, a.inherited, rep.Session > a.sentShift && a.sent:
-			t.log().Info("task is gone from its machine", "task", task, "try", a.try, "machine", m.id, "shift", rep.Session)
+			a.inherited, a.sent, a.launchUnanswered, a.answerSequence = false, false, false, 0
+		case a.reported, a.inherited, rep.Session > a.sentSession && a.sent:
+			t.log().Info("task is gone from its machine", "task", task, "try", a.number, "machine", m.id, "shift", rep.Session)
 			t.l.Metrics.Moved("gone")
 			t.drop(a, taskPending)
 		case a.halting, m.drain != "", a.job.cancelled:
 			t.drop(a, taskPending)
 		default:
 			// Stored, not delivered: it is sent (again).
-			a.lost, a.helloTally = false, 0
+			a.launchUnanswered, a.answerSequence = false, 0
 		}
 	}
 	return true
@@ -316,23 +316,23 @@
 
 // progress takes in the state of an attempt of ours.
 func (t *term) progress(a *attempt, p *wire.TaskState, now time.Time) {
-	m, j := a.m, a.job
-	if a.sent && !a.seen {
+	m, j := a.machine, a.job
+	if a.sent && !a.reported {
 		t.hears(m)
 	}
-	a.seen = true
+	a.reported = true
 	if p.Phase != wire.PhaseFetching && p.Cause != wire.CauseFull && p.Cause != wire.CauseBusy && p.Cause != wire.CauseNoSuch &&
 		!(p.Phase == wire.PhaseExited && a.phase == wire.PhaseFetching && (p.Cause == wire.CauseStopped || p.Cause == wire.CauseGangBroken || p.Cause == wire.CauseGangIncomplete)) {
 		m.images.touch(j.spec.Image, j.spec.ImageGB, t.localGB(m.kit), now)
-		if a.ready.IsZero() {
-			a.ready = now
+		if a.fetchedAt.IsZero() {
+			a.fetchedAt = now
 		}
 	}
-	if p.Phase == wire.PhaseRunning && a.runAt.IsZero() {
-		a.runAt = now
+	if p.Phase == wire.PhaseRunning && a.runningSince.IsZero() {
+		a.runningSince = now
 		if !j.started {
 			j.started = true
-			t.l.Metrics.Waited(j.spec.Class, now.Sub(j.at).Seconds())
+			t.l.Metrics.Waited(j.spec.Class, now.Sub(j.acceptedAt).Seconds())
 		}
 	}
 	a.phase = p.Phase
@@ -349,10 +349,10 @@
 	}
 	switch p.Cause {
 	case wire.CauseDone:
-		if !a.runAt.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
+		if !a.runningSince.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
 			t.timed(a, now)
 		}
-		j.succeeded, j.fails = true, 0
+		j.succeeded, j.failures = true, 0
 		clear(j.failedOn)
 		clear(m.errs)
 		m.errCount = 0
@@ -367,7 +367,7 @@
 		t.failed(a, now)
 		t.drop(a, taskPending)
 	default:
-		t.log().Info("start refused", "task", a.task(), "try", a.try, "machine", m.id, "cause", p.Cause)
+		t.log().Info("start refused", "task", a.task(), "try", a.number, "machine", m.id, "cause", p.Cause)
 		m.fullUntil = now.Add(2 * time.Second)
 		if p.Cause == wire.CauseNoSuch {
 			j.notBefore = now.Add(2 * time.Second)
@@ -390,9 +390,9 @@
 		if a.halting && !a.planned {
 			out = append(out, haltOrder(task, a))
 			a.haltSent = now
-		} else if !a.planned && !a.seen && !a.directBusy && m.drain == "" && !a.job.cancelled && !a.inherited && m.hearing.deaf.IsZero() && a.mayLaunch() {
-			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
-			a.sent, a.sentShift, a.helloShift, a.helloTally = true, rep.Session, rep.Session, rep.Sequence
+		} else if !a.planned && !a.reported && !a.launchInFlight && m.drain == "" && !a.job.cancelled && !a.inherited && m.hearing.deaf.IsZero() && a.mayLaunch() {
+			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
+			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Session, rep.Session, rep.Sequence
 		}
 	}
 	for i := range rep.Tasks {
@@ -404,7 +404,7 @@
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.try == p.Attempt {
+		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
 			continue
 		}
 		switch {
@@ -423,30 +423,30 @@
 // launched late would run once more.
 func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Report) bool {
 	if m.lostAt(rep) {
-		t.wantRaise = true // a new token ends what may still be on its way
+		t.raiseWanted = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.busy || rep.Token < t.first {
+	if m.busy || rep.Token < t.firstToken {
 		return false
 	}
 	j := t.jobs[task.Job]
 	if j == nil {
 		return true
 	}
-	if j.over || j.archiving {
+	if j.finished || j.archiving {
 		return false
 	}
-	n := task.Index / j.per
+	n := task.Index / j.chunkTasks
 	if n >= len(j.chunks) {
 		return true
 	}
 	c := j.chunks[n]
-	return c == nil || !c.dirty && !c.busy
+	return c == nil || !c.changed && !c.beingWritten
 }
 
 func haltOrder(task wire.Task, a *attempt) wire.Command {
-	w := a.windDown
-	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.try, GracePeriod: &w}
+	w := a.gracePeriod
+	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.number, GracePeriod: &w}
 }
 
 // dispatch sends what is new for a machine straight to it.
@@ -467,9 +467,9 @@
 				cmd.Commands = append(cmd.Commands, haltOrder(task, a))
 				a.haltSent = now
 			}
-		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.seen && m.drain == "" && !a.job.cancelled:
-			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
-			a.sent, a.sentShift, a.directBusy = true, m.shift, true
+		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.reported && m.drain == "" && !a.job.cancelled:
+			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
+			a.sent, a.sentSession, a.launchInFlight = true, m.shift, true
 			launched = append(launched, a)
 		}
 	}
@@ -498,7 +498,7 @@
 	m.busy = false
 	now := time.Now()
 	for _, a := range launched {
-		a.directBusy = false
+		a.launchInFlight = false
 	}
 	switch {
 	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
@@ -517,7 +517,7 @@
 		m.muteAt = time.Time{} // silent, which is looked after otherwise
 		m.hearing.fails++
 		for _, a := range launched {
-			if !a.seen {
+			if !a.reported {
 				a.sent = false // certainly never left; the next report's answer carries it
 			}
 		}
@@ -528,7 +528,7 @@
 		m.hearing.fails++
 		t.log().Debug("command not answered", "machine", m.id, "orders", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
-			a.lost, a.lostToken = true, cmd.Token
+			a.launchUnanswered, a.unansweredToken = true, cmd.Token
 		}
 		if len(launched) > 0 {
 			m.lost = lostCommand{max(m.lost.token, cmd.Token), max(m.lost.shift, cmd.Session)}
@@ -552,9 +552,9 @@
 	if cmd.Commands == nil {
 		cmd.Commands = []wire.Command{}
 	}
-	line := l.lines
+	line := l.commandSlots
 	if len(cmd.Commands) == 0 {
-		line = l.asks
+		line = l.probeSlots
 	}
 	select {
 	case line <- struct{}{}:
@@ -564,7 +564,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, raw, _, err := netio.Call(ctx, l.direct, "POST", "http://"+addr+"/commands", cmd, 1<<20)
+	status, raw, _, err := netio.Call(ctx, l.workerClient, "POST", "http://"+addr+"/commands", cmd, 1<<20)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -670,7 +670,7 @@
 	}
 	n := 0
 	for _, m := range t.machines {
-		if m.booting || m.baton >= t.first || m.busy || m.addr == "" || m.probes > 0 {
+		if m.booting || m.baton >= t.firstToken || m.busy || m.addr == "" || m.probes > 0 {
 			continue
 		}
 		if n++; n > probesMost {
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -12,7 +12,7 @@
 
 // round places what waits.
 func (t *term) round(now time.Time) {
-	t.lastRound, t.roundWant = now, false
+	t.lastRound, t.roundWanted = now, false
 	var waiting []*job
 	for _, j := range t.jobs {
 		if t.canPlace(j, now) {
@@ -47,9 +47,9 @@
 	for _, v := range res.Halts {
 		if a := t.attempt(v.Task); a != nil {
 			t.halt(a, t.windDownOf(a.job), "makes room")
-			for i := range a.m.claims { // it may take that long to save
-				c := &a.m.claims[i]
-				c.until = later(c.until, now.Add(t.haltBy(a.windDown)))
+			for i := range a.machine.claims { // it may take that long to save
+				c := &a.machine.claims[i]
+				c.until = latest(c.until, now.Add(t.haltBy(a.gracePeriod)))
 			}
 		}
 	}
@@ -73,17 +73,17 @@
 			}
 		}
 	}
-	each(func(c *claim) { last[c.Job] = later(last[c.Job], c.until) })
+	each(func(c *claim) { last[c.Job] = latest(last[c.Job], c.until) })
 	each(func(c *claim) { c.until = last[c.Job] })
 }
 
 // attempt that holds a task; nil if none does.
 func (t *term) attempt(task wire.Task) *attempt {
 	j := t.jobs[task.Job]
-	if j == nil || j.chunks[task.Index/j.per] == nil {
+	if j == nil || j.chunks[task.Index/j.chunkTasks] == nil {
 		return nil
 	}
-	return j.chunks[task.Index/j.per].holds[task.Index%j.per]
+	return j.chunks[task.Index/j.chunkTasks].attempts[task.Index%j.chunkTasks]
 }
 
 // claim is room that is being made on a machine, and until when it is kept.
@@ -144,7 +144,7 @@
 }
 
 func (t *term) canPlace(j *job, now time.Time) bool {
-	return !j.cancelled && !j.over && !j.archiving && !j.stale && j.pending() > 0 && !now.Before(j.notBefore) &&
+	return !j.cancelled && !j.finished && !j.archiving && !j.stale && j.pending() > 0 && !now.Before(j.notBefore) &&
 		(j.held == 0 || !j.spec.Gang()) // a gang only when nothing of its last attempt is left
 }
 
@@ -154,20 +154,20 @@
 // startWith starts a task with an attempt's number, 0: the next one.
 func (t *term) startWith(j *job, m *machine, try wire.Attempt, now time.Time) {
 	j.eachPending(1, func(c *chunk, i int) {
-		a := &attempt{job: j, chunk: c, index: i, try: try, m: m, at: now, planned: true}
+		a := &attempt{job: j, chunk: c, index: i, number: try, machine: m, decidedAt: now, planned: true}
 		if try == 0 {
-			a.try = c.next
-			c.next++
+			a.number = c.nextAttempt
+			c.nextAttempt++
 		}
-		c.plans++
-		j.plans++
+		c.unstored++
+		j.unstored++
 		c.hold(a)
-		j.moved = now
+		j.lastStartAt = now
 		if i := slices.IndexFunc(m.claims, func(c claim) bool { return c.Job == j.spec.ID }); i >= 0 {
 			m.claims = slices.Delete(m.claims, i, i+1)
 		}
-		t.mark(c)
-		t.log().Debug("starts", "task", a.task(), "try", a.try, "machine", m.id, "waited", now.Sub(j.at))
+		t.markPending(c)
+		t.log().Debug("starts", "task", a.task(), "try", a.number, "machine", m.id, "waited", now.Sub(j.acceptedAt))
 	})
 }
 
@@ -176,15 +176,17 @@
 func (t *term) guaranteed() map[wire.JobID]bool {
 	jobs := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
-		if !j.cancelled && !j.over {
+		if !j.cancelled && !j.finished {
 			jobs = append(jobs, j)
 		}
 	}
-	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.spec.ID, b.spec.ID)) })
+	slices.SortFunc(jobs, func(a, b *job) int {
+		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
+	})
 	sum := map[wire.TeamID]placement.Res{}
 	out := map[wire.JobID]bool{}
 	for _, j := range jobs {
-		team, ok := t.set.Team(j.spec.Team)
+		team, ok := t.settings.Team(j.spec.Team)
 		if !ok {
 			continue
 		}
@@ -235,9 +237,9 @@
 		return 0
 	}
 	if j.spec.Gang() && !placement.MayPreempt(&j.spec) {
-		return min(gatherMost, patienceMost+now.Sub(j.at).Seconds()/2)
+		return min(gatherMost, patienceMost+now.Sub(j.acceptedAt).Seconds()/2)
 	}
-	return max(0, min(patienceMost, t.slack(j, now)/8, patienceMost+1-now.Sub(j.at).Seconds()))
+	return max(0, min(patienceMost, t.slack(j, now)/8, patienceMost+1-now.Sub(j.acceptedAt).Seconds()))
 }
 
 // gatherMost is how long room may be kept for a gang until all of it is free. A
@@ -248,14 +250,14 @@
 // left is in how many seconds a task is expected to end by itself. Until some of
 // its job's tasks are done there is only its owner's word, which is often short.
 func (a *attempt) left(now time.Time) float64 {
-	if a.runAt.IsZero() || a.job.spec.Service() {
+	if a.runningSince.IsZero() || a.job.spec.Service() {
 		return math.Inf(1)
 	}
 	need := a.job.expected()
 	if len(a.job.runs.s) == 0 {
 		need *= 1.5
 	}
-	return max(need/10, need-now.Sub(a.runAt).Seconds())
+	return max(need/10, need-now.Sub(a.runningSince).Seconds())
 }
 
 // expected run time of a task: what was seen, else what the owner says.
@@ -275,7 +277,7 @@
 		Factors: placement.Factors{Preferred: v.Preferred, Fallback: v.Fallback, WaitRaiseS: v.WaitRaiseS},
 		Preempt: true,
 	}
-	for _, team := range t.set.Teams {
+	for _, team := range t.settings.Teams {
 		s.Teams[team.Name] = &placement.Team{Limit: placement.Res{CPUs: team.CPUsMax, Cards: team.GPUsMax}}
 	}
 	for _, j := range t.jobs {
@@ -317,7 +319,7 @@
 	byID := func(a, b *machine) int { return cmp.Compare(a.id, b.id) }
 	slices.SortFunc(ms, byID)
 	beyond := func(j *job) bool {
-		team, _ := t.set.Team(j.spec.Team)
+		team, _ := t.settings.Team(j.spec.Team)
 		u := s.Teams[j.spec.Team]
 		return u != nil && (u.Used.CPUs > team.CPUs+wire.Eps || u.Used.Cards > team.GPUs+wire.Eps)
 	}
@@ -342,12 +344,12 @@
 			// What was told to stop and does not end is no room to count on.
 			ending := slices.Contains(awaited, a.task())
 			if a.halting {
-				ending = !a.planned && now.Sub(a.haltAt) < t.haltBy(a.windDown)
+				ending = !a.planned && now.Sub(a.haltAt) < t.haltBy(a.gracePeriod)
 			}
 			if ending {
 				pm.Stopping = pm.Stopping.Plus(a.res())
 			}
-			if a.ready.IsZero() && pm.Images[a.job.spec.Image] == placement.Absent {
+			if a.fetchedAt.IsZero() && pm.Images[a.job.spec.Image] == placement.Absent {
 				pm.Images[a.job.spec.Image] = placement.Fetching
 				if _, has := m.images.has[a.job.spec.Image]; !has {
 					pm.PullGB += a.job.spec.ImageGB
@@ -357,8 +359,8 @@
 				continue
 			}
 			lost := 0.0
-			if !a.runAt.IsZero() {
-				lost = now.Sub(a.runAt).Seconds()
+			if !a.runningSince.IsZero() {
+				lost = now.Sub(a.runningSince).Seconds()
 				if every := float64(a.job.spec.CheckpointInterval); every > 0 {
 					lost = min(lost, float64(a.job.spec.CheckpointTime))
 				}
@@ -388,20 +390,22 @@
 		}
 		return out
 	}
-	slices.SortFunc(js, func(a, b *job) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.spec.ID, b.spec.ID)) })
+	slices.SortFunc(js, func(a, b *job) int {
+		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
+	})
 	sure, zones := t.guaranteed(), t.zones()
 	kept := js[:0]
 	for _, j := range js {
 		pj := placement.Job{Spec: &j.spec, Pending: j.pending(), ZoneHeld: map[wire.Zone]int{},
-			WaitedS: now.Sub(j.at).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), Weight: t.weight(j, sure[j.spec.ID], now),
-			Lingers: now.Sub(later(later(j.at, j.moved), t.born)) > lingerMost}
+			WaitedS: now.Sub(j.acceptedAt).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), Weight: t.weight(j, sure[j.spec.ID], now),
+			Lingers: now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt)) > lingerMost}
 		if t.starves(j, now) {
 			pj.Weight = starvingWeight
 			if !j.spec.Gang() {
 				pj.Pending = 1
 			}
 		}
-		if j.fails > 0 && !j.spec.Gang() {
+		if j.failures > 0 && !j.spec.Gang() {
 			pj.Pending = min(pj.Pending, max(1, 2-j.held)) // try a suspect job with little
 		}
 		if j.spec.Spread || j.spec.SameZone {
@@ -434,7 +438,7 @@
 func (t *term) keepLimits(s *placement.Snapshot, js []*job, now time.Time) {
 	for _, j := range js { // the oldest first
 		team := s.Teams[j.spec.Team]
-		if team == nil || !j.spec.Gang() || now.Sub(later(later(j.at, j.moved), t.born)) < keepLimitAfter {
+		if team == nil || !j.spec.Gang() || now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt)) < keepLimitAfter {
 			continue
 		}
 		rank := j.spec.Priority.Rank()
@@ -449,8 +453,8 @@
 
 // usable tells whether a machine may take a launch now.
 func (t *term) usable(m *machine, now time.Time) bool {
-	return !m.booting && !m.upAt.IsZero() && m.drain == "" && !m.releasing && m.baton >= t.first && m.probes == 0 && m.hearing.deaf.IsZero() && !t.behindCut(m, now) && !t.mute(m, now) &&
-		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.set.Workers.ReportS.Duration()+time.Second
+	return !m.booting && !m.upAt.IsZero() && m.drain == "" && !m.releasing && m.baton >= t.firstToken && m.probes == 0 && m.hearing.deaf.IsZero() && !t.behindCut(m, now) && !t.mute(m, now) &&
+		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.settings.Workers.ReportS.Duration()+time.Second
 }
 
 // spare is the room to keep for the next replicas: the largest replica that
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -27,14 +27,14 @@
 	cfg := &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{ReportS: 2, LeaseS: 16, CancelS: 41}, State: config.State{ValueKB: 16}}}
 	l := &Leader{Deps: Deps{Config: cfg, Cancels: known(), Tuning: tuning.NewBox(), Flavors: &FlavorBox{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: Metrics{Moved: func(string) {}, Waited: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
-	l.renewFor = renewFor(cfg.Settings.Workers)
-	tm := newTerm(l, office{token: 50, at: time.Now(), until: time.Now().Add(time.Hour)})
+	l.maxCancelAge = maxCancelAge(cfg.Settings.Workers)
+	tm := newTerm(l, leadership{token: 50, takenAt: time.Now(), decidesUntil: time.Now().Add(time.Hour)})
 	tm.recovered = true
 	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 	tm.jobs[j.spec.ID] = j
 	m := tm.machine("n-1")
 	m.shift, m.tally, m.baton, m.upAt = 1, 10, 50, time.Now()
-	a := &attempt{job: j, chunk: j.chunk(0), index: 0, try: 7, m: m}
+	a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 7, machine: m}
 	a.chunk.hold(a)
 	return tm, m, a
 }
@@ -58,13 +58,23 @@
 		{"an old report", func(a *attempt) { a.inherited = true }, said(1, 9, 50), true, false},
 		{"stored, not yet written", func(a *attempt) { a.planned = true }, said(1, 11, 50), true, false},
 		{"stored, never sent", func(a *attempt) {}, said(1, 11, 50), true, false},
-		{"command under way", func(a *attempt) { a.sent, a.sentShift, a.directBusy = true, 1, true }, said(1, 11, 50), true, false},
-		{"command lost, token not raised", func(a *attempt) { a.seen, a.sent, a.sentShift, a.lost, a.lostToken = true, true, 1, true, 50 }, said(1, 11, 50), true, false},
-		{"command lost, token raised", func(a *attempt) { a.seen, a.sent, a.sentShift, a.lost, a.lostToken = true, true, 1, true, 50 }, said(1, 11, 51), true, true},
-		{"command lost, session over", func(a *attempt) { a.seen, a.sent, a.sentShift, a.lost, a.lostToken = true, true, 1, true, 50 }, said(2, 1, 50), true, true},
-		{"in an answer that the worker may still execute", func(a *attempt) { a.seen, a.sent, a.sentShift, a.helloShift, a.helloTally = true, true, 1, 1, 10 }, said(1, 11, 50), false, false},
-		{"in an answer, and the next report is here", func(a *attempt) { a.seen, a.sent, a.sentShift, a.helloShift, a.helloTally = true, true, 1, 1, 10 }, said(1, 11, 50), true, true},
-		{"the session is over", func(a *attempt) { a.sent, a.sentShift = true, 1 }, said(2, 1, 50), true, true},
+		{"command under way", func(a *attempt) { a.sent, a.sentSession, a.launchInFlight = true, 1, true }, said(1, 11, 50), true, false},
+		{"command lost, token not raised", func(a *attempt) {
+			a.reported, a.sent, a.sentSession, a.launchUnanswered, a.unansweredToken = true, true, 1, true, 50
+		}, said(1, 11, 50), true, false},
+		{"command lost, token raised", func(a *attempt) {
+			a.reported, a.sent, a.sentSession, a.launchUnanswered, a.unansweredToken = true, true, 1, true, 50
+		}, said(1, 11, 51), true, true},
+		{"command lost, session over", func(a *attempt) {
+			a.reported, a.sent, a.sentSession, a.launchUnanswered, a.unansweredToken = true, true, 1, true, 50
+		}, said(2, 1, 50), true, true},
+		{"in an answer that the worker may still execute", func(a *attempt) {
+			a.reported, a.sent, a.sentSession, a.answerSession, a.answerSequence = true, true, 1, 1, 10
+		}, said(1, 11, 50), false, false},
+		{"in an answer, and the next report is here", func(a *attempt) {
+			a.reported, a.sent, a.sentSession, a.answerSession, a.answerSequence = true, true, 1, 1, 10
+		}, said(1, 11, 50), true, true},
+		{"the session is over", func(a *attempt) { a.sent, a.sentSession = true, 1 }, said(2, 1, 50), true, true},
 	}
 	for _, c := range cases {
 		tm, m, a := rig(t)
@@ -86,16 +96,16 @@
 		setup func(tm *term, m *machine)
 		from  func(tm *term, m *machine) time.Time
 	}{
-		{"answered by us", func(tm *term, m *machine) { m.answered = tm.born.Add(5 * time.Second) },
+		{"answered by us", func(tm *term, m *machine) { m.answered = tm.startedAt.Add(5 * time.Second) },
 			func(_ *term, m *machine) time.Time { return m.answered }},
-		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenAt = tm.born.Add(time.Second) },
+		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenAt = tm.startedAt.Add(time.Second) },
 			func(_ *term, m *machine) time.Time { return m.tokenAt }},
-		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *machine) { m.answered, m.shiftAt = tm.born, tm.born.Add(15*time.Second) },
+		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *machine) { m.answered, m.shiftAt = tm.startedAt, tm.startedAt.Add(15*time.Second) },
 			func(_ *term, m *machine) time.Time { return m.shiftAt }},
-		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.baton, tm.acked = 0, tm.born.Add(time.Second) },
-			func(tm *term, _ *machine) time.Time { return tm.acked.Add(peer.X) }},
+		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.baton, tm.majorityAckedAt = 0, tm.startedAt.Add(time.Second) },
+			func(tm *term, _ *machine) time.Time { return tm.majorityAckedAt.Add(peer.X) }},
 		{"never heard, no majority", func(tm *term, m *machine) { m.baton = 0 },
-			func(tm *term, _ *machine) time.Time { return tm.born.Add(peer.B) }},
+			func(tm *term, _ *machine) time.Time { return tm.startedAt.Add(peer.B) }},
 	}
 	for _, c := range cases {
 		tm, m, a := rig(t)
@@ -122,22 +132,22 @@
 		raise  bool
 	}{
 		"stored":                 {func(*term, *machine, *attempt) {}, true, false},
-		"not yet stored":         {func(_ *term, _ *machine, a *attempt) { a.chunk.dirty = true }, false, false},
-		"being stored":           {func(_ *term, _ *machine, a *attempt) { a.chunk.busy = true }, false, false},
+		"not yet stored":         {func(_ *term, _ *machine, a *attempt) { a.chunk.changed = true }, false, false},
+		"being stored":           {func(_ *term, _ *machine, a *attempt) { a.chunk.beingWritten = true }, false, false},
 		"a launch is on its way": {func(_ *term, m *machine, _ *attempt) { m.lost = lostCommand{50, 1} }, false, true},
 		"it died with its token": {func(_ *term, m *machine, _ *attempt) { m.lost = lostCommand{49, 1} }, true, false},
 	} {
 		tm, m, a := rig(t)
 		rep := said(1, 11, 50, exited)
 		tm.apply(m, rep, true, time.Now())
-		a.chunk.dirty = false
+		a.chunk.changed = false
 		c.setup(tm, m, a)
 		got := false
 		for _, o := range tm.orders(m, rep, time.Now()) {
 			got = got || o.Verb == wire.Forget && o.Attempt == 7
 		}
-		if got != c.forget || tm.wantRaise != c.raise {
-			t.Errorf("%s: forget %v, raise %v", name, got, tm.wantRaise)
+		if got != c.forget || tm.raiseWanted != c.raise {
+			t.Errorf("%s: forget %v, raise %v", name, got, tm.raiseWanted)
 		}
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -27,7 +27,7 @@
 func (f *filling) put(m *machine, now time.Time) {
 	i := f.j.spec.Tasks - f.left
 	f.left--
-	f.j.chunk(0).hold(&attempt{job: f.j, chunk: f.j.chunk(0), index: i, try: wire.Attempt(i + 1), m: m, at: now, sent: true, sentShift: 1, seen: true, phase: wire.PhaseRunning, runAt: now, ready: now})
+	f.j.chunk(0).hold(&attempt{job: f.j, chunk: f.j.chunk(0), index: i, number: wire.Attempt(i + 1), machine: m, decidedAt: now, sent: true, sentSession: 1, reported: true, phase: wire.PhaseRunning, runningSince: now, fetchedAt: now})
 	m.images.touch(f.j.spec.Image, 1, 50, now)
 }
 
@@ -39,8 +39,8 @@
 	tm.drop(a, taskDone)
 	delete(tm.machines, first.id)
 	delete(tm.jobs, "req-1")
-	clear(tm.dirty)
-	clear(tm.closing)
+	clear(tm.pendingWrites)
+	clear(tm.finishedJobs)
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	tm.ctx = ctx
@@ -49,14 +49,14 @@
 	tm.l.Metrics.Round = func(time.Duration, int, int) {}
 	tm.l.Metrics.Report = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
-	tm.set.Zones = zones
-	tm.set.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
-	tm.set.State.TxnOps = 12
-	tm.set.Workers = config.Workers{ReportS: 10, LeaseS: 45, CancelS: 70}
+	tm.settings.Zones = zones
+	tm.settings.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
+	tm.settings.State.TxnOps = 12
+	tm.settings.Workers = config.Workers{ReportS: 10, LeaseS: 45, CancelS: 70}
 	tm.l.Flavors.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
 	tm.listed, tm.placing = true, true
-	tm.born = now.Add(-time.Minute)
+	tm.startedAt = now.Add(-time.Minute)
 	job := func(id int, parts int, s wire.Spec) *job {
 		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
 		s.Image, s.ImageGB = wire.ImageID(fmt.Sprint("img-", id%24)), 1
@@ -100,7 +100,7 @@
 func reportOf(m *machine) wire.Report {
 	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.kit, Zone: m.zone, Spot: m.spot, Session: m.shift, Sequence: m.tally + 1, Token: m.baton}
 	for task, a := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.try, Phase: a.phase})
+		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.number, Phase: a.phase})
 	}
 	return r
 }
@@ -171,9 +171,9 @@
 func BenchmarkSettle(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for _, j := range tm.jobs {
-			tm.mark(j.chunk(0))
+			tm.markPending(j.chunk(0))
 		}
-		tm.bookAt = time.Now().Add(time.Hour)
+		tm.routineWriteAt = time.Now().Add(time.Hour)
 		tm.lastRound = time.Now().Add(time.Hour)
 		for b.Loop() {
 			tm.settle(time.Now())
@@ -196,13 +196,13 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		var jobs, runs []wire.Entry
 		for _, j := range tm.jobs {
-			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.stamp, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, At: wire.TimestampOf(j.at)})})
-			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.stamp, Value: wire.Encode(j.chunk(0).record())})
+			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, At: wire.TimestampOf(j.acceptedAt)})})
+			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(j.chunk(0).record())})
 		}
 		for b.Loop() {
-			next := newTerm(tm.l, office{token: 51, at: time.Now(), until: time.Now().Add(time.Hour)})
+			next := newTerm(tm.l, leadership{token: 51, takenAt: time.Now(), decidesUntil: time.Now().Add(time.Hour)})
 			next.ctx = tm.ctx
-			next.take(jobs, runs)
+			next.loadRecords(jobs, runs)
 			if len(next.jobs) != len(jobs) {
 				b.Fatal(len(next.jobs))
 			}
@@ -214,7 +214,7 @@
 // were heard of: a service that is spread has room there.
 func TestZonesOutsideTheSettings(t *testing.T) {
 	tm := sized(t, 30)
-	tm.set.Zones = []wire.Zone{"b"}
+	tm.settings.Zones = []wire.Zone{"b"}
 	tm.heard["d"] = heard{}
 	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, At: wire.TimestampOf(time.Now())}, 9)
 	tm.jobs[j.spec.ID] = j
@@ -234,7 +234,7 @@
 // machines of 40 the backlog grew to 16 minutes.)
 func TestDearRoomForWhatWaitsTooLong(t *testing.T) {
 	tm := sized(t, 30)
-	tm.set.Objectives = []config.Objective{{Kind: "finished", Class: "recon", WithinS: 300, Share: 0.9}}
+	tm.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", WithinS: 300, Share: 0.9}}
 	now := time.Now()
 	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, dearStretch}, {200, 90, dearStretch}, {290, 90, 1}} {
 		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
--- a/internal/leader/pieces_test.go
+++ b/internal/leader/subchunks_test.go
@@ -46,12 +46,12 @@
 	if n := rec.JSONSize(); n > most {
 		t.Fatalf("%s has %d bytes of %d", c.key(), n, most)
 	}
-	if e := s.keys[c.key()]; e.Revision != c.stamp {
-		t.Fatalf("%s is stored with stamp %d, known as %d", c.key(), e.Revision, c.stamp)
+	if e := s.keys[c.key()]; e.Revision != c.revision {
+		t.Fatalf("%s is stored at revision %d, known as %d", c.key(), e.Revision, c.revision)
 	}
 	s.rev++
 	s.keys[c.key()] = wire.Entry{Key: c.key(), Value: wire.Encode(rec), Revision: s.rev}
-	c.stamp, c.dirty = s.rev, false
+	c.revision, c.changed = s.rev, false
 }
 
 func (s *shelf) list() (out []wire.Entry) {
@@ -64,7 +64,7 @@
 // Random starts, ends, writes, drops of the limit and changes of leader, against a
 // plain list of tasks: nothing is lost, no number is used twice by a task, every
 // record is within the limit, and what a job has stored is listed whole.
-func TestPiecesAgainstPlainTasks(t *testing.T) {
+func TestSubChunksAgainstPlainTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parts := rapid.IntRange(1, 700).Draw(t, "parts")
 		per := rapid.SampledFrom([]int{0, 256, 200, 113, 56, 7}).Draw(t, "per")
@@ -75,11 +75,11 @@
 		var tm *term
 		var j *job
 		lead := func() {
-			tm = newTerm(&Leader{Deps: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}, office{token: 50, at: time.Now()})
+			tm = newTerm(&Leader{Deps: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}, leadership{token: 50, takenAt: time.Now()})
 			tm.recovered = true
 			j = newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now()), Chunk: per}, 1)
 			tm.jobs[spec.ID] = j
-			tm.readRuns(s.list())
+			tm.readProgress(s.list())
 			if len(tm.fleet.orphans) > 0 {
 				t.Fatalf("taken for left over: %v", tm.fleet.orphans)
 			}
@@ -90,15 +90,15 @@
 		same := func(want []plain, what string) {
 			done, held := 0, 0
 			for i, p := range want {
-				c := j.chunk(i / j.per)
-				a := c.holds[i%j.per]
+				c := j.chunk(i / j.chunkTasks)
+				a := c.attempts[i%j.chunkTasks]
 				switch p.state {
 				case taskDone:
 					done++
 				case taskHeld:
 					held++
 				}
-				if got := c.state[i%j.per]; got != p.state || (a != nil) != (p.state == taskHeld) || a != nil && (a.try != p.try || a.m.id != p.on || a.m.tasks[a.task()] != a || a.task().Index != i) {
+				if got := c.taskStates[i%j.chunkTasks]; got != p.state || (a != nil) != (p.state == taskHeld) || a != nil && (a.number != p.try || a.machine.id != p.on || a.machine.tasks[a.task()] != a || a.task().Index != i) {
 					t.Fatalf("%s: task %d is %d %+v, want %+v", what, i, got, a, p)
 				}
 			}
@@ -114,25 +114,25 @@
 			}
 		}
 		write := func() {
-			if j.over {
+			if j.finished {
 				return
 			}
-			tm.lowered = tm.lowered || lowered // refused by itself
+			tm.valueLimitLowered = tm.valueLimitLowered || lowered // refused by itself
 			tm.splitLarge()
-			for c := range tm.dirty {
+			for c := range tm.pendingWrites {
 				if rapid.IntRange(0, 2).Draw(t, "writes") == 0 {
 					continue
 				}
-				s.put(t, c, tm.valueMost())
-				delete(tm.dirty, c)
-				for i := range c.state {
-					stored[c.n*j.per+i] = now[c.n*j.per+i]
+				s.put(t, c, tm.valueLimit())
+				delete(tm.pendingWrites, c)
+				for i := range c.taskStates {
+					stored[c.index*j.chunkTasks+i] = now[c.index*j.chunkTasks+i]
 				}
-				for _, a := range c.holds {
+				for _, a := range c.attempts {
 					if a.planned {
 						a.planned = false
-						c.plans--
-						j.plans--
+						c.unstored--
+						j.unstored--
 					}
 				}
 			}
@@ -143,18 +143,18 @@
 				n := rapid.IntRange(1, 300).Draw(t, "starts")
 				m := tm.machine(wire.MachineID(fmt.Sprintf("n-%012d", rapid.IntRange(0, 30).Draw(t, "machine"))))
 				var at []int
-				j.eachPending(n, func(c *chunk, i int) { at = append(at, c.n*j.per+i) })
-				j.from = 0
+				j.eachPending(n, func(c *chunk, i int) { at = append(at, c.index*j.chunkTasks+i) })
+				j.firstPendingChunk = 0
 				for _, c := range j.chunks {
 					if c != nil {
-						c.from = 0
+						c.firstPending = 0
 					}
 				}
 				for range at {
 					tm.start(j, m, time.Now())
 				}
 				for _, i := range at {
-					a := j.chunk(i / j.per).holds[i%j.per]
+					a := j.chunk(i / j.chunkTasks).attempts[i%j.chunkTasks]
 					if a == nil {
 						t.Fatalf("task %d was not started", i)
 					}
@@ -162,10 +162,10 @@
 						used[i] = map[wire.Attempt]bool{}
 					}
 					// What was never stored was never sent, and its number is free.
-					if used[i][a.try] {
-						t.Fatalf("task %d has number %d twice", i, a.try)
+					if used[i][a.number] {
+						t.Fatalf("task %d has number %d twice", i, a.number)
 					}
-					now[i] = plain{taskHeld, a.try, m.id}
+					now[i] = plain{taskHeld, a.number, m.id}
 				}
 			case 4, 5: // ends
 				for _, a := range j.attempts() {
@@ -219,7 +219,7 @@
 			if !lowered {
 				for k := range s.keys {
 					if strings.Count(k, "/") > 2 {
-						t.Fatalf("%s is a piece, and the limits have not dropped", k)
+						t.Fatalf("%s is a sub-chunk, and the limits have not dropped", k)
 					}
 				}
 			}
@@ -227,12 +227,12 @@
 	})
 }
 
-// lowDesk is a desk whose state service has dropped to 2 KiB and 4 changes, with
+// withLowerLimit is a desk whose state service has dropped to 2 KiB and 4 changes, with
 // jobs that were accepted before.
-func lowDesk(t *testing.T, f func(tm *term, m *machine, st *simulator.State, job func(id wire.JobID, parts, per int) *job, settle func())) {
+func withLowerLimit(t *testing.T, f func(tm *term, m *machine, st *simulator.State, job func(id wire.JobID, parts, per int) *job, settle func())) {
 	t.Helper()
-	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		tm.set.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
+	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+		tm.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		st.Lower(2, 4, 1000, 1000)
 		f(tm, m, st, func(id wire.JobID, parts, per int) *job {
 			rec := store.JobRecord{Spec: wire.Spec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}, At: wire.TimestampOf(time.Now()), Chunk: per}
@@ -247,25 +247,25 @@
 func hold(tm *term, j *job, n, tasks int, m *machine) {
 	c := j.chunk(n)
 	for i := range tasks {
-		c.hold(&attempt{job: j, chunk: c, index: i, try: c.next, m: m, seen: true})
-		c.next++
+		c.hold(&attempt{job: j, chunk: c, index: i, number: c.nextAttempt, machine: m, reported: true})
+		c.nextAttempt++
 	}
-	tm.mark(c)
+	tm.markPending(c)
 }
 
 // A large chunk and a small one of the same job are to be written, the small one
 // first, as it holds a launch. (A job was not split while its small chunk was in
-// the transaction. By reading, two that only keep books could be refused together
+// the transaction. By reading, two that start nothing could be refused together
 // for ever, in the order of their marks; in virtual time these are equal, and the
 // former code came through this test.)
 func TestSmallChunkBesideALargeOne(t *testing.T) {
-	lowDesk(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
+	withLowerLimit(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
 		j := job("req-2", 512, 256)
 		hold(tm, j, 1, 250, m)
 		tm.start(j, m, time.Now())
 		settle()
-		if len(tm.dirty) > 0 || j.plans > 0 || j.held != 251 || j.pieces == 0 || ended(tm) {
-			t.Errorf("%d chunks not written, pieces %d, term over: %v", len(tm.dirty), j.pieces, ended(tm))
+		if len(tm.pendingWrites) > 0 || j.unstored > 0 || j.held != 251 || j.subChunks == 0 || ended(tm) {
+			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.pendingWrites), j.subChunks, ended(tm))
 		}
 		if n := st.LargestValue(store.RunPrefix); n > 2048 || n == 0 {
 			t.Errorf("the largest record has %d bytes", n)
@@ -274,17 +274,17 @@
 }
 
 // A record that is refused for ever, for whatever reason, holds up nothing else:
-// launches, books, ends and left-over records of others go on.
+// launches, routine writes, ends and left-over records of others go on.
 func TestBadRecordHoldsUpNothing(t *testing.T) {
-	lowDesk(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
+	withLowerLimit(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
 		odd := tm.machine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
 		odd.upAt = time.Now()
 		bad, worse := job("req-3", 4, 1), job("req-4", 4, 1)
 		hold(tm, bad, 0, 1, odd)
 		tm.start(worse, odd, time.Now()) // a launch that can't be stored
-		launch, book, end := job("req-5", 2, 56), job("req-6", 2, 56), job("req-7", 1, 56)
+		launch, routine, end := job("req-5", 2, 56), job("req-6", 2, 56), job("req-7", 1, 56)
 		tm.start(launch, m, time.Now())
-		hold(tm, book, 0, 2, m)
+		hold(tm, routine, 0, 2, m)
 		hold(tm, end, 0, 1, m)
 		for _, a := range end.attempts() {
 			tm.drop(a, taskDone)
@@ -292,11 +292,11 @@
 		orphan := store.ChunkKey("req-8", 0)
 		tm.fleet.orphans = append(tm.fleet.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{Next: 2})})
 		settle()
-		if launch.plans > 0 || len(st.Keys(store.RunPrefix+"req-5/")) == 0 {
+		if launch.unstored > 0 || len(st.Keys(store.RunPrefix+"req-5/")) == 0 {
 			t.Error("a launch is held up")
 		}
 		if n := len(st.Keys(store.RunPrefix + "req-6/")); n == 0 {
-			t.Error("books are held up")
+			t.Error("routine writes are held up")
 		}
 		if len(st.Keys(store.PastKey("req-7"))) == 0 {
 			t.Error("a job's end is held up")
@@ -313,11 +313,11 @@
 	})
 }
 
-// Before a chunk over the limit to come was refused by itself no piece is
+// Before a chunk over the limit to come was refused by itself no sub-chunk is
 // written: an earlier version would drop it.
-func TestNoPieceBeforeTheDrop(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		tm.set.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
+func TestNoSubChunkBeforeTheDrop(t *testing.T) {
+	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+		tm.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 256, CPUs: 1}, At: wire.TimestampOf(time.Now())}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
 		tm.jobs["req-2"] = j
@@ -337,8 +337,8 @@
 
 // A machine that is drained is kept until the end of what was on it is stored.
 // (The next leader took 37 tasks that were done for lost with their machine.)
-func TestDrainedMachineWaitsForItsBooks(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+func TestDrainedMachineWaitsForItsWrites(t *testing.T) {
+	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		settle()
 		j := tm.jobs["req-1"]
 		tm.start(j, m, time.Now())
@@ -351,11 +351,11 @@
 			tm.drop(a, taskDone)
 		}
 		if len(m.tasks) > 0 || tm.allStored(m) {
-			t.Error("released before its books are written")
+			t.Error("released before its progress is written")
 		}
 		tm.flush(time.Now())
 		if !tm.writing || tm.allStored(m) {
-			t.Error("released while its books are being written")
+			t.Error("released while its progress is being written")
 		}
 		settle()
 		if !tm.allStored(m) || len(st.Keys(store.PastKey("req-1"))) == 0 {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -31,81 +31,81 @@
 	refused string         // why the report is not answered
 }
 
-// term is one time in office. Its loop owns everything below the line; the
+// term is one period of leadership. Its loop owns everything below the line; the
 // helpers that do I/O hand their results back through the inbox.
 type term struct {
-	l      *Leader
-	permit wire.GrantID
-	born   time.Time
-	until  atomic.Int64  // since born
-	blind  atomic.Int64  // since born: until then reports may be answered without the state service
-	grants atomic.Uint64 // the token under which others may stand in; 0: none yet
-	// unproven: see Leader.Unproven.
-	unproven atomic.Pointer[time.Time]
-	hellos   chan hello
-	inbox    chan func()
-	over     chan struct{}
-	endOnce  sync.Once
-	why      string
+	l               *Leader
+	grant           wire.GrantID
+	startedAt       time.Time
+	decidesUntil    atomic.Int64  // since born
+	answersUntil    atomic.Int64  // since born: until then reports may be answered without the state service
+	delegationToken atomic.Uint64 // the token under which others may renew leases; 0: none yet
+	// unprovenCancelSince: see Leader.UnprovenCancelSince.
+	unprovenCancelSince atomic.Pointer[time.Time]
+	hellos              chan hello
+	inbox               chan func()
+	over                chan struct{}
+	endOnce             sync.Once
+	endReason           string
 
 	// ---- owned by the loop ----
-	ctx       context.Context
-	set       *config.Settings
-	token     wire.Token // also the revision of the leader's key
-	first     wire.Token // the token at the start of the term
-	raising   bool
-	recovered bool
-	placing   bool      // the first report round is over
-	listed    bool      // a machine list has come in
-	listAt    time.Time // when the last one was asked for
-	early     map[wire.MachineID]wire.Report
-	jobs      map[wire.JobID]*job
-	past      map[wire.JobID]bool // archived, and news of them may still come
-	machines  map[wire.MachineID]*machine
-	gone      map[wire.MachineID]time.Time // released, answered 200
-	probed    bool                         // every machine of the first list has been asked
-	cutAt     map[wire.Zone]time.Time      // when a zone last seemed cut off
-	heard     map[wire.Zone]heard          // what last came from each zone
-	reports   int                          // that came in, in all
-	stood     time.Time                    // when another node can last have stood in for a leader
-	blindAt   time.Time                    // since when the state service is away; zero: it is not
-	backAt    time.Time                    // when it was last back
-	acked     time.Time                    // when a majority first held our token
-
-	dirty      map[*chunk]struct{} // differ from what is stored
-	closing    map[*job]struct{}   // can be archived
-	lacking    map[*job]struct{}   // gangs of which a task was lost, not yet looked after
-	gangsSeen  map[gangKind]gangSeen
-	chasing    map[*job]struct{} // cancelled, with attempts that may be on machines
-	noted      uint64            // what of the ledger of cancellations has been taken in
-	writing    bool
-	lowered    bool      // the state service has refused what the former limits allowed
-	alone      int       // so many transactions hold one thing each, to find what is refused
-	writeAt    time.Time // when the last write began
-	retryAt    time.Time
-	bookAt     time.Time // when bookkeeping may be written again
-	raiseAt    time.Time
-	wantRaise  bool
-	claimed    map[*machine]struct{} // on which room is being made
-	roundWant  bool
-	lastRound  time.Time
-	roundAfter time.Time
-	roundTook  time.Duration // the last one
+	ctx                    context.Context
+	settings               *config.Settings
+	token                  wire.Token // also the revision of the leader's key
+	firstToken             wire.Token // the token at the start of the term
+	raising                bool
+	recovered              bool
+	placing                bool      // the first report round is over
+	listed                 bool      // a machine list has come in
+	listAt                 time.Time // when the last one was asked for
+	earlyReports           map[wire.MachineID]wire.Report
+	jobs                   map[wire.JobID]*job
+	archived               map[wire.JobID]bool // archived, and news of them may still come
+	machines               map[wire.MachineID]*machine
+	gone                   map[wire.MachineID]time.Time // released, answered 200
+	probed                 bool                         // every machine of the first list has been asked
+	cutAt                  map[wire.Zone]time.Time      // when a zone last seemed cut off
+	heard                  map[wire.Zone]heard          // what last came from each zone
+	reports                int                          // that came in, in all
+	delegatesAnsweredUntil time.Time                    // when another node can last have answered as a delegate
+	stateAwaySince         time.Time                    // since when the state service is away; zero: it is not
+	stateBackAt            time.Time                    // when it was last back
+	majorityAckedAt        time.Time                    // when a majority first held our token
+
+	pendingWrites     map[*chunk]struct{} // differ from what is stored
+	finishedJobs      map[*job]struct{}   // can be archived
+	incompleteGangs   map[*job]struct{}   // gangs of which a task was lost, not yet looked after
+	gangsSeen         map[gangKind]gangSeen
+	cancelledJobs     map[*job]struct{} // cancelled, with attempts that may be on machines
+	cancelCursor      uint64            // what of the ledger of cancellations has been taken in
+	writing           bool
+	valueLimitLowered bool      // the state service has refused what the former limits allowed
+	singleWrites      int       // so many transactions hold one thing each, to find what is refused
+	writeStartedAt    time.Time // when the last write began
+	retryAt           time.Time
+	routineWriteAt    time.Time // when routine writes may go out again
+	raiseAt           time.Time
+	raiseWanted       bool
+	claimed           map[*machine]struct{} // on which room is being made
+	roundWanted       bool
+	lastRound         time.Time
+	roundAfter        time.Time
+	roundTook         time.Duration // the last one
 
 	fleet fleetState
 }
 
-func newTerm(l *Leader, o office) *term {
+func newTerm(l *Leader, o leadership) *term {
 	t := &term{
-		l: l, permit: o.permit, born: o.at, token: o.token, first: o.token,
-		set:    &l.Config.Settings,
-		hellos: make(chan hello, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
-		early: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, past: map[wire.JobID]bool{},
+		l: l, grant: o.grant, startedAt: o.takenAt, token: o.token, firstToken: o.token,
+		settings: &l.Config.Settings,
+		hellos:   make(chan hello, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
+		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		cutAt: map[wire.Zone]time.Time{}, heard: map[wire.Zone]heard{}, dirty: map[*chunk]struct{}{}, closing: map[*job]struct{}{},
-		claimed: map[*machine]struct{}{}, chasing: map[*job]struct{}{}, lacking: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
+		cutAt: map[wire.Zone]time.Time{}, heard: map[wire.Zone]heard{}, pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
+		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
 	}
-	t.until.Store(int64(o.until.Sub(o.at)))
+	t.decidesUntil.Store(int64(o.decidesUntil.Sub(o.takenAt)))
 	t.fleet.init()
 	return t
 }
@@ -113,7 +113,7 @@
 // end ends the term; safe from any goroutine.
 func (t *term) end(why string) {
 	t.endOnce.Do(func() {
-		t.why = why
+		t.endReason = why
 		close(t.over)
 	})
 }
@@ -143,16 +143,16 @@
 	for {
 		select {
 		case <-t.over:
-			return t.why
+			return t.endReason
 		case <-parent.Done():
 			t.end("stopped")
-			return t.why
+			return t.endReason
 		case h := <-t.hellos:
 			t.onHello(h)
 		case f := <-t.inbox:
 			f()
 		case now := <-tick.C:
-			t.watchOffice(now)
+			t.watchLeadership(now)
 			t.probeSome()
 			if slow++; slow%5 == 0 {
 				t.watchMachines(now)
@@ -161,7 +161,7 @@
 				t.planFleet(now)
 			}
 			if slow%100 == 0 {
-				t.standing(now)
+				t.logStatus(now)
 			}
 		}
 		t.settle(time.Now())
@@ -175,32 +175,32 @@
 	}
 	t.mendGangs()
 	v := t.l.Tuning.Get()
-	if t.placing && (t.roundWant && now.After(t.roundAfter) || now.Sub(t.lastRound) >= wire.Seconds(v.RoundS).Duration()) {
+	if t.placing && (t.roundWanted && now.After(t.roundAfter) || now.Sub(t.lastRound) >= wire.Seconds(v.RoundS).Duration()) {
 		t.round(now)
 	}
 	t.flush(now)
 }
 
-// wantRound asks for a round soon; a few events are gathered first.
-func (t *term) wantRound() {
-	if !t.roundWant {
-		t.roundWant = true
+// requestRound asks for a round soon; a few events are gathered first.
+func (t *term) requestRound() {
+	if !t.roundWanted {
+		t.roundWanted = true
 		// At most a fifth of the time goes to rounds, however large they are.
 		pause := max(100*time.Millisecond, 4*t.roundTook)
-		t.roundAfter = later(time.Now().Add(10*time.Millisecond), t.lastRound.Add(pause))
+		t.roundAfter = latest(time.Now().Add(10*time.Millisecond), t.lastRound.Add(pause))
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// watchOffice yields to a higher token and keeps the blind service in its
-// bounds.
-func (t *term) watchOffice(now time.Time) {
+// watchLeadership yields to a higher token and bounds the service without the
+// state service.
+func (t *term) watchLeadership(now time.Time) {
 	v := t.l.Mesh.View()
 	if v.Token > t.token && !t.raising {
 		// Our own raised token comes back through the peers only after we
@@ -208,47 +208,47 @@
 		t.end("a higher token is known")
 		return
 	}
-	until := v.AckedUntil(t.token, t.set.Size/2+1)
+	until := v.AckedUntil(t.token, t.settings.Size/2+1)
 	acked := now.Before(until)
-	if acked && t.acked.IsZero() {
-		t.acked = now
+	if acked && t.majorityAckedAt.IsZero() {
+		t.majorityAckedAt = now
 	}
-	t.blind.Store(int64(min(until.Sub(t.born), t.blindFor(v, now))))
-	t.learnCancels()
+	t.answersUntil.Store(int64(min(until.Sub(t.startedAt), t.answersWithoutStateUntil(v, now))))
+	t.applyCancellations()
 	if t.deciding() {
-		if !t.blindAt.IsZero() {
-			t.log().Info("state service back", "token", t.token, "away", now.Sub(t.blindAt))
-			t.blindAt, t.backAt = time.Time{}, now
-			t.wantRound()
+		if !t.stateAwaySince.IsZero() {
+			t.log().Info("state service back", "token", t.token, "away", now.Sub(t.stateAwaySince))
+			t.stateAwaySince, t.stateBackAt = time.Time{}, now
+			t.requestRound()
 		}
 	} else {
-		if t.blindAt.IsZero() {
-			t.blindAt = now
+		if t.stateAwaySince.IsZero() {
+			t.stateAwaySince = now
 			t.log().Info("state service away; keeps answering reports while a majority agrees", "token", t.token, "agrees", acked)
 		}
 	}
 	if !t.placing && t.recovered {
-		bound := t.set.Workers.ReportS.Duration()*5/4 + 1500*time.Millisecond
-		if t.enoughHeard(now) || now.Sub(t.born) > bound {
+		bound := t.settings.Workers.ReportS.Duration()*5/4 + 1500*time.Millisecond
+		if t.enoughMachinesReported(now) || now.Sub(t.startedAt) > bound {
 			t.placing = true
-			t.log().Info("places", "machines", len(t.machines), "jobs", len(t.jobs), "after", now.Sub(t.born))
-			t.wantRound()
+			t.log().Info("places", "machines", len(t.machines), "jobs", len(t.jobs), "after", now.Sub(t.startedAt))
+			t.requestRound()
 		}
 	}
 }
 
-// blindFor bounds, since the term began, for how long reports may be answered
+// answersWithoutStateUntil bounds, since the term began, for how long reports may be answered
 // without the state service, by B from the end of the grant, so that a successor
 // knows when this node answered last, at the latest. While not all nodes
 // acknowledge it may be no outage but a cut, behind which another leads and users
-// cancel jobs: then it is no longer than a node may stand in for a leader. A
+// cancel jobs: then it is no longer than a node may be a delegate. A
 // successor counts on that, since one that it never had acknowledged its token
 // has had no acknowledgement from it either. (Counted by when they were asked,
 // not heard: what was held up on its way says nothing of now.)
-func (t *term) blindFor(v *peer.View, now time.Time) time.Duration {
-	until := time.Duration(t.until.Load())
-	if t.l.standFor == 0 {
-		return until + peer.B - haste
+func (t *term) answersWithoutStateUntil(v *peer.View, now time.Time) time.Duration {
+	until := time.Duration(t.decidesUntil.Load())
+	if t.l.delegationTime == 0 {
+		return until + peer.B - leaseMargin
 	}
 	oldest := now
 	for _, o := range t.l.Config.Others {
@@ -256,26 +256,26 @@
 			oldest = at
 		}
 	}
-	alone := until - (grantLife - haste) + t.l.standFor
-	return min(until+peer.B-haste, max(alone, oldest.Add(2*peer.X).Sub(t.born)))
+	alone := until - (grantTTL - leaseMargin) + t.l.delegationTime
+	return min(until+peer.B-leaseMargin, max(alone, oldest.Add(2*peer.X).Sub(t.startedAt)))
 }
 
-// enoughHeard tells whether the machines that should be up have reported with
+// enoughMachinesReported tells whether the machines that should be up have reported with
 // our token: all of a small deployment, and half of a large one, where
 // showing the token to the last takes seconds. One that is in no list or did
 // not answer a probe is not waited for. What was not heard takes nothing new,
 // and its tasks count until it is known to be gone. Without a list (the
 // cloud's interface may be down for minutes) it is the machines of which
 // something is stored that are waited for.
-func (t *term) enoughHeard(now time.Time) bool {
-	if !t.listed && now.Sub(t.born) < time.Second {
+func (t *term) enoughMachinesReported(now time.Time) bool {
+	if !t.listed && now.Sub(t.startedAt) < time.Second {
 		return false
 	}
 	heard, missing := 0, 0
 	for _, m := range t.machines {
 		switch {
 		case m.booting:
-		case m.baton >= t.first:
+		case m.baton >= t.firstToken:
 			heard++
 		case m.probes == 0 && (m.addr != "" || !t.listed):
 			missing++
@@ -293,7 +293,7 @@
 			var runs []wire.Entry
 			if runs, _, err = t.l.Store.List(ctx, store.Duty, store.RunPrefix); err == nil {
 				t.post(func() {
-					t.take(jobs, runs)
+					t.loadRecords(jobs, runs)
 					t.l.Cancels.Read(began)
 				})
 				t.follow(ctx, rev)
@@ -332,101 +332,101 @@
 			rev = ch.Revision
 		}
 		t.post(func() {
-			t.news(ch.Events)
+			t.applyChanges(ch.Events)
 			t.l.Cancels.Read(began)
 		})
 	}
 }
 
-// news takes in what has changed among the jobs' records.
-func (t *term) news(changes []wire.Change) {
+// applyChanges takes in what has changed among the jobs' records.
+func (t *term) applyChanges(changes []wire.Change) {
 	for _, c := range changes {
 		if c.Put != "" {
-			t.learn(c.Value, c.Revision)
+			t.applyJobRecord(c.Value, c.Revision)
 			continue
 		}
 		// The last that comes of a job.
 		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
-		if delete(t.past, id); t.jobs[id] != nil {
-			t.jobs[id].dropped = true
+		if delete(t.archived, id); t.jobs[id] != nil {
+			t.jobs[id].recordGone = true
 		}
 	}
 }
 
-// take builds the term's picture from what was read.
-func (t *term) take(jobs, runs []wire.Entry) {
+// loadRecords builds the term's picture from what was read.
+func (t *term) loadRecords(jobs, runs []wire.Entry) {
 	for _, e := range jobs {
-		t.learn(e.Value, e.Revision)
+		t.applyJobRecord(e.Value, e.Revision)
 	}
-	t.readRuns(runs)
+	t.readProgress(runs)
 	for _, j := range t.jobs {
 		t.readGang(j)
 	}
 	t.recovered = true
-	t.log().Info("recovered", "jobs", len(t.jobs), "machines", len(t.machines), "took", time.Since(t.born))
+	t.log().Info("recovered", "jobs", len(t.jobs), "machines", len(t.machines), "took", time.Since(t.startedAt))
 	for _, j := range t.jobs {
 		if j.cancelled {
-			t.chase(j)
+			t.haltCancelled(j)
 		}
-		t.checkOver(j)
+		t.checkFinished(j)
 	}
-	for _, rep := range t.early {
+	for _, rep := range t.earlyReports {
 		t.apply(t.machine(rep.Machine), &rep, true, time.Now())
 	}
-	t.early = nil
-	t.noted = 0
-	t.learnCancels()
-	t.grants.Store(uint64(t.token)) // only now cancellations are known
+	t.earlyReports = nil
+	t.cancelCursor = 0
+	t.applyCancellations()
+	t.delegationToken.Store(uint64(t.token)) // only now cancellations are known
 	t.probeSome()
 }
 
-// learn takes in a job record that is new or has changed.
-func (t *term) learn(v wire.Raw, stamp wire.Revision) {
+// applyJobRecord takes in a job record that is new or has changed.
+func (t *term) applyJobRecord(v wire.Raw, revision wire.Revision) {
 	var rec store.JobRecord
 	if err := wire.Decode(v, &rec); err != nil {
-		t.log().Error("undecodable job record", "stamp", stamp, "err", err)
+		t.log().Error("undecodable job record", "revision", revision, "err", err)
 		return
 	}
 	j := t.jobs[rec.Spec.ID]
 	if j == nil {
-		if t.past[rec.Spec.ID] {
+		if t.archived[rec.Spec.ID] {
 			return // late news of a job that is over
 		}
-		j = newJob(rec, stamp)
+		j = newJob(rec, revision)
 		t.jobs[rec.Spec.ID] = j
-		t.wantRound()
+		t.requestRound()
 	}
-	if stamp < j.stamp {
+	if revision < j.revision {
 		return
 	}
-	j.stamp, j.stale = stamp, j.cancelled && rec.Status != wire.Cancelled
+	j.revision, j.stale = revision, j.cancelled && rec.Status != wire.Cancelled
 	rec.Tell(t.l.Cancels)
 	if rec.Status == wire.Cancelled && !j.cancelled {
 		j.cancelled = true
-		j.cancelAt = time.Now().Add(-rec.Cancelled())
+		j.cancelledAt = time.Now().Add(-rec.Cancelled())
 		if t.recovered {
-			t.chase(j)
+			t.haltCancelled(j)
 		}
 	}
 }
 
-// chase stops what is left of a cancelled job. A job that is read during
-// recovery is chased only once its attempts have been read too: before, it
+// haltCancelled stops what is left of a cancelled job. For a job that is read
+// during recovery this comes only once its attempts have been read too: before, it
 // looks as if nothing of it were left.
-func (t *term) chase(j *job) {
+func (t *term) haltCancelled(j *job) {
 	t.log().Info("cancels", "job", j.spec.ID, "held", j.held)
-	t.chasing[j] = struct{}{}
+	t.cancelledJobs[j] = struct{}{}
 	for _, a := range j.attempts() {
 		t.haltOne(a, 0, "cancelled")
 	}
-	t.checkOver(j)
+	t.checkFinished(j)
 }
 
-// checkOver notes that a job can be archived.
-func (t *term) checkOver(j *job) {
+// checkFinished notes that a job can be archived.
+func (t *term) checkFinished(j *job) {
 	if j.cancelled && j.held == 0 || j.done == j.spec.Tasks {
-		j.over = true
-		t.closing[j] = struct{}{}
+		j.finished = true
+		t.finishedJobs[j] = struct{}{}
 	}
 }
 
@@ -439,47 +439,47 @@
 )
 
 type job struct {
-	spec      wire.Spec
-	stamp     wire.Revision
-	at        time.Time
-	cancelled bool
-	cancelAt  time.Time
-	stale     bool // its record has changed in a way not yet read
-	over      bool // to be archived
-	archiving bool
-	barred    time.Time // its end is not written before: it was refused by itself
-	dropped   bool      // the watch has shown that its record is gone
-	chunks    []*chunk
-	per       int // tasks of a chunk
-	// pieces is how many chunks each one that was stored was split into, 0: none
-	// was, and bases the stamps of those that were.
-	pieces int
-	bases  []wire.Revision
-	gang   *gang // its attempt that may be on machines; nil: none
-	plans  int   // attempts held that are not yet stored
-	done   int
-	held   int
+	spec        wire.Spec
+	revision    wire.Revision
+	acceptedAt  time.Time
+	cancelled   bool
+	cancelledAt time.Time
+	stale       bool // its record has changed in a way not yet read
+	finished    bool // to be archived
+	archiving   bool
+	writeAfter  time.Time // its end is not written before: it was refused by itself
+	recordGone  bool      // the watch has shown that its record is gone
+	chunks      []*chunk
+	chunkTasks  int // tasks of a chunk
+	// subChunks is how many chunks each one that was stored was split into, 0: none
+	// was, and baseRevisions the revisions of those that were.
+	subChunks     int
+	baseRevisions []wire.Revision
+	gang          *gang // its attempt that may be on machines; nil: none
+	unstored      int   // attempts held that are not yet stored
+	done          int
+	held          int
 	// Faults: machines on which a task of it failed in a row.
-	failedOn  map[wire.MachineID]bool
-	succeeded bool
-	fails     int
-	notBefore time.Time
-	started   bool
-	leftAt    time.Time // when a task of it was last on a machine
-	moved     time.Time // when a task of it was started last, in this term
-	runs      runStats
-	from      int // no task of an earlier chunk is pending
-}
-
-func newJob(rec store.JobRecord, stamp wire.Revision) *job {
-	j := &job{spec: rec.Spec, stamp: stamp, at: rec.At.Time(), per: rec.ChunkTasks()}
+	failedOn          map[wire.MachineID]bool
+	succeeded         bool
+	failures          int
+	notBefore         time.Time
+	started           bool
+	lastHeldAt        time.Time // when a task of it was last on a machine
+	lastStartAt       time.Time // when a task of it was started last, in this term
+	runs              runStats
+	firstPendingChunk int // no task of an earlier chunk is pending
+}
+
+func newJob(rec store.JobRecord, revision wire.Revision) *job {
+	j := &job{spec: rec.Spec, revision: revision, acceptedAt: rec.At.Time(), chunkTasks: rec.ChunkTasks()}
 	// Steady from here on; a clock that is off makes no job wait negatively.
-	if age := time.Since(j.at); age > 0 {
-		j.at = time.Now().Add(-age)
+	if age := time.Since(j.acceptedAt); age > 0 {
+		j.acceptedAt = time.Now().Add(-age)
 	} else {
-		j.at = time.Now()
+		j.acceptedAt = time.Now()
 	}
-	j.chunks = make([]*chunk, (rec.Spec.Tasks+j.per-1)/j.per)
+	j.chunks = make([]*chunk, (rec.Spec.Tasks+j.chunkTasks-1)/j.chunkTasks)
 	return j
 }
 
@@ -487,8 +487,8 @@
 
 func (j *job) chunk(n int) *chunk {
 	if j.chunks[n] == nil {
-		j.chunks[n] = &chunk{job: j, n: n, next: 1,
-			state: make([]uint8, min(j.per, j.spec.Tasks-n*j.per)), holds: map[int]*attempt{}}
+		j.chunks[n] = &chunk{job: j, index: n, nextAttempt: 1,
+			taskStates: make([]uint8, min(j.chunkTasks, j.spec.Tasks-n*j.chunkTasks)), attempts: map[int]*attempt{}}
 	}
 	return j.chunks[n]
 }
@@ -498,7 +498,7 @@
 	var out []*attempt
 	for _, c := range j.chunks {
 		if c != nil {
-			for _, a := range c.holds {
+			for _, a := range c.attempts {
 				out = append(out, a)
 			}
 		}
@@ -511,74 +511,74 @@
 func (j *job) zones() map[wire.Zone]int {
 	n := map[wire.Zone]int{}
 	for _, a := range j.attempts() {
-		n[a.m.zone]++
+		n[a.machine.zone]++
 	}
 	return n
 }
 
 // eachPending calls f for up to n pending tasks.
 func (j *job) eachPending(n int, f func(c *chunk, index int)) {
-	for ci := j.from; ci < len(j.chunks); ci++ {
+	for ci := j.firstPendingChunk; ci < len(j.chunks); ci++ {
 		c := j.chunk(ci)
-		for i := c.from; i < len(c.state); i++ {
+		for i := c.firstPending; i < len(c.taskStates); i++ {
 			if n == 0 {
 				return
 			}
-			if c.state[i] == taskPending {
+			if c.taskStates[i] == taskPending {
 				f(c, i)
 				n--
 			}
-			c.from = i + 1
+			c.firstPending = i + 1
 		}
-		j.from = ci + 1
+		j.firstPendingChunk = ci + 1
 	}
 }
 
 type chunk struct {
-	job   *job
-	n     int
-	stamp wire.Revision
-	next  wire.Attempt
-	state []uint8
-	from  int       // no earlier task is pending
-	plans int       // attempts held that are not yet stored
-	since time.Time // when it came to differ from what is stored
-	holds map[int]*attempt
-	dirty bool // differs from what is stored or being stored
-	busy  bool // being written
-	// barred: it is not written before, as it was refused by itself.
-	barred time.Time
+	job          *job
+	index        int
+	revision     wire.Revision
+	nextAttempt  wire.Attempt
+	taskStates   []uint8
+	firstPending int       // no earlier task is pending
+	unstored     int       // attempts held that are not yet stored
+	changedAt    time.Time // when it came to differ from what is stored
+	attempts     map[int]*attempt
+	changed      bool // differs from what is stored or being stored
+	beingWritten bool // being written
+	// writeAfter: it is not written before, as it was refused by itself.
+	writeAfter time.Time
 }
 
 func (c *chunk) hold(a *attempt) {
-	c.state[a.index] = taskHeld
-	c.holds[a.index] = a
+	c.taskStates[a.index] = taskHeld
+	c.attempts[a.index] = a
 	c.job.held++
-	a.m.tasks[a.task()] = a
-	a.m.used = a.m.used.Plus(a.res())
+	a.machine.tasks[a.task()] = a
+	a.machine.used = a.machine.used.Plus(a.res())
 }
 
-// mark notes that a chunk must be written.
-func (t *term) mark(c *chunk) {
-	if !c.dirty {
-		c.since = time.Now()
+// markPending notes that a chunk must be written.
+func (t *term) markPending(c *chunk) {
+	if !c.changed {
+		c.changedAt = time.Now()
 	}
-	c.dirty = true
-	t.dirty[c] = struct{}{}
+	c.changed = true
+	t.pendingWrites[c] = struct{}{}
 }
 
 // record is the chunk as it is stored.
 func (c *chunk) record() store.ChunkRecord {
-	done := make([]bool, len(c.state))
-	for i, s := range c.state {
+	done := make([]bool, len(c.taskStates))
+	for i, s := range c.taskStates {
 		done[i] = s == taskDone
 	}
-	rec := store.ChunkRecord{Next: c.next, Done: store.Ranges(done), Held: []store.Held{}}
-	if c.job.pieces > 0 {
-		rec.Size = c.job.per
+	rec := store.ChunkRecord{Next: c.nextAttempt, Done: store.Ranges(done), Held: []store.Held{}}
+	if c.job.subChunks > 0 {
+		rec.Size = c.job.chunkTasks
 	}
-	for i, a := range c.holds {
-		rec.Held = append(rec.Held, store.Held{Task: i, Try: a.try, On: a.m.id})
+	for i, a := range c.attempts {
+		rec.Held = append(rec.Held, store.Held{Task: i, Try: a.number, On: a.machine.id})
 	}
 	slices.SortFunc(rec.Held, func(a, b store.Held) int { return a.Task - b.Task })
 	return rec
@@ -587,38 +587,38 @@
 // attempt is one start of a task that may be on its machine, or may still
 // get there.
 type attempt struct {
-	job   *job
-	chunk *chunk
-	index int
-	try   wire.Attempt
-	m     *machine
-	at    time.Time // when it was decided on
-
-	planned   bool // not yet stored; must not be sent
-	inherited bool // stored by an earlier leader, who may have sent it
-	seen      bool // was in a report in this term
-	phase     wire.TaskPhase
-	runAt     time.Time // first seen running
-	ready     time.Time // when it was first seen past its fetch
+	job       *job
+	chunk     *chunk
+	index     int
+	number    wire.Attempt
+	machine   *machine
+	decidedAt time.Time // when it was decided on
+
+	planned      bool // not yet stored; must not be sent
+	inherited    bool // stored by an earlier leader, who may have sent it
+	reported     bool // was in a report in this term
+	phase        wire.TaskPhase
+	runningSince time.Time // first seen running
+	fetchedAt    time.Time // when it was first seen past its fetch
 
 	// What of ours may still deliver its launch.
-	sent       bool
-	sentShift  wire.Session
-	directBusy bool
-	lost       bool // a direct launch was never answered
-	lostToken  wire.Token
-	helloShift wire.Session
-	helloTally wire.Sequence
+	sent             bool
+	sentSession      wire.Session
+	launchInFlight   bool
+	launchUnanswered bool // a direct launch was never answered
+	unansweredToken  wire.Token
+	answerSession    wire.Session
+	answerSequence   wire.Sequence
 
-	halting  bool
-	haltAt   time.Time // since when
-	windDown wire.Seconds
-	haltSent time.Time
-	haltWhy  string
+	halting     bool
+	haltAt      time.Time // since when
+	gracePeriod wire.Seconds
+	haltSent    time.Time
+	haltReason  string
 }
 
 func (a *attempt) task() wire.Task {
-	return wire.Task{Job: a.job.spec.ID, Index: a.chunk.n*a.job.per + a.index}
+	return wire.Task{Job: a.job.spec.ID, Index: a.chunk.index*a.job.chunkTasks + a.index}
 }
 
 // canStart tells whether a launch of the attempt may still take effect on
@@ -627,15 +627,15 @@
 	switch {
 	case a.planned:
 		return false
-	case a.inherited && rep.Token < t.first:
+	case a.inherited && rep.Token < t.firstToken:
 		// An earlier leader's launch dies only by a higher token.
 		return true
-	case a.directBusy && rep.Session <= a.sentShift:
+	case a.launchInFlight && rep.Session <= a.sentSession:
 		return true
-	case a.lost && rep.Token <= a.lostToken && rep.Session <= a.sentShift:
+	case a.launchUnanswered && rep.Token <= a.unansweredToken && rep.Session <= a.sentSession:
 		// Held up on its way, it may come minutes late.
 		return true
-	case a.helloTally > 0 && a.helloShift == rep.Session && !(viaHello && rep.Sequence > a.helloTally):
+	case a.answerSequence > 0 && a.answerSession == rep.Session && !(viaHello && rep.Sequence > a.answerSequence):
 		// The worker has not yet done with the answer that carried it.
 		return true
 	}
@@ -645,38 +645,38 @@
 // drop ends an attempt: nothing of it is on its machine, nor can get there.
 func (t *term) drop(a *attempt, state uint8) {
 	c := a.chunk
-	if c.holds[a.index] != a {
+	if c.attempts[a.index] != a {
 		return
 	}
-	delete(c.holds, a.index)
+	delete(c.attempts, a.index)
 	if a.planned {
 		a.planned = false
-		c.plans--
-		a.job.plans--
-	}
-	if a.m.tasks[a.task()] == a {
-		delete(a.m.tasks, a.task())
-		a.m.used = a.m.used.Minus(a.res())
-		if len(a.m.tasks) == 0 {
-			a.m.used = placement.Res{} // sums of decimals drift
+		c.unstored--
+		a.job.unstored--
+	}
+	if a.machine.tasks[a.task()] == a {
+		delete(a.machine.tasks, a.task())
+		a.machine.used = a.machine.used.Minus(a.res())
+		if len(a.machine.tasks) == 0 {
+			a.machine.used = placement.Res{} // sums of decimals drift
 		}
 	}
-	c.state[a.index] = state
+	c.taskStates[a.index] = state
 	if state == taskPending {
-		c.from, a.job.from = min(c.from, a.index), min(a.job.from, c.n)
+		c.firstPending, a.job.firstPendingChunk = min(c.firstPending, a.index), min(a.job.firstPendingChunk, c.index)
 	}
-	t.mark(c)
+	t.markPending(c)
 	a.job.held--
 	if state == taskPending && a.job.spec.Gang() {
-		t.lacking[a.job] = struct{}{}
+		t.incompleteGangs[a.job] = struct{}{}
 	}
 	if state == taskDone {
 		a.job.done++
 	}
-	a.m.usedAt = time.Now()
-	a.job.leftAt = a.m.usedAt
-	t.checkOver(a.job)
-	t.wantRound()
+	a.machine.usedAt = time.Now()
+	a.job.lastHeldAt = a.machine.usedAt
+	t.checkFinished(a.job)
+	t.requestRound()
 }
 
 // halt wants the attempt stopped, and with a gang's task all of the gang.
@@ -690,25 +690,25 @@
 
 func (t *term) haltOne(a *attempt, windDown wire.Seconds, why string) {
 	if a.planned {
-		if !a.chunk.busy {
+		if !a.chunk.beingWritten {
 			t.drop(a, taskPending)
 		} else {
-			a.halting, a.windDown, a.haltWhy = true, windDown, why
+			a.halting, a.gracePeriod, a.haltReason = true, windDown, why
 		}
 		return
 	}
-	if a.halting && a.windDown <= windDown {
+	if a.halting && a.gracePeriod <= windDown {
 		return
 	}
 	if !a.halting {
 		a.haltAt = time.Now()
 	}
-	a.halting, a.windDown, a.haltWhy, a.haltSent = true, windDown, why, time.Time{}
+	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, windDown, why, time.Time{}
 	if why != "cancelled" {
-		t.log().Info("stops", "task", a.task(), "try", a.try, "machine", a.m.id, "why", why)
+		t.log().Info("stops", "task", a.task(), "try", a.number, "machine", a.machine.id, "why", why)
 		t.l.Metrics.Moved(why)
 	}
-	t.dispatch(a.m)
+	t.dispatch(a.machine)
 }
 
 // res of the attempt.
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -43,14 +43,14 @@
 	Cancelled bool        `cbor:"cancelled"`
 }
 
-// Look asks the term's loop for a view; nil if this node does not lead.
-func (l *Leader) Look(ctx context.Context) *View {
+// View asks the term's loop for a view; nil if this node does not lead.
+func (l *Leader) View(ctx context.Context) *View {
 	t := l.term.Load()
 	if t == nil {
 		return nil
 	}
 	out := make(chan *View, 1)
-	ask := func() { out <- t.look(time.Now()) }
+	ask := func() { out <- t.view(time.Now()) }
 	select {
 	case t.inbox <- ask:
 	case <-t.over:
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// standing logs, every ten seconds, how the deployment stands.
-func (t *term) standing(now time.Time) {
+// logStatus logs, every ten seconds, the deployment's machines, jobs and tasks.
+func (t *term) logStatus(now time.Time) {
 	up, booting, idle, tasks, held, done, waiting := 0, 0, 0, 0, 0, 0, 0
 	for _, m := range t.machines {
 		switch {
@@ -90,26 +90,26 @@
 	if most := t.l.Workers; up > most {
 		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.l.Needed(up))
 	}
-	t.log().Info("standing", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
+	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
 		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.fleet.backlog), "round", t.roundTook, "late", time.Since(now))
 }
 
 // viewMost bounds the view of a large cluster.
-const viewMost = 500
+const viewLimit = 500
 
-func (t *term) look(now time.Time) *View {
+func (t *term) view(now time.Time) *View {
 	v := &View{Deciding: t.deciding(), Bookings: len(t.fleet.bookings)}
 	for _, m := range t.machines {
-		if len(v.Machines) == viewMost {
+		if len(v.Machines) == viewLimit {
 			break
 		}
 		v.Machines = append(v.Machines, MachineView{m.id, m.kit, m.zone, m.spot, m.booting, m.drain, len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
 	}
 	for _, j := range t.jobs {
-		if len(v.Jobs) == viewMost {
+		if len(v.Jobs) == viewLimit {
 			break
 		}
-		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.done, j.held, j.fails, now.Sub(j.at).Seconds(), j.cancelled})
+		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.done, j.held, j.failures, now.Sub(j.acceptedAt).Seconds(), j.cancelled})
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	slices.SortFunc(v.Jobs, func(a, b JobView) int { return strings.Compare(string(a.ID), string(b.ID)) })
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// bookEvery paces writes that only keep books, to spare the write budget
-	// for submissions, launches and final states.
-	bookEvery = 300 * time.Millisecond
-	// bookBy is how long books may wait for launches: what is not stored is not
+	// routineWriteEvery paces writes that start and end nothing, to spare the write
+	// budget for submissions, launches and final states.
+	routineWriteEvery = 300 * time.Millisecond
+	// routineWriteWithin is how long routine writes may wait for launches: what is not stored is not
 	// forgotten by the workers either, and their reports grow.
-	bookBy = 6 * time.Second
+	routineWriteWithin = 6 * time.Second
 	// maxTxnBytes keeps a transaction below the service's 64 KiB, with room
 	// for guards.
 	maxTxnBytes = 48 << 10
@@ -24,17 +24,17 @@
 
 // batch is one transaction under way, with what it stands for.
 type batch struct {
-	txn     wire.Txn
-	chunks  []*chunk
-	planned []*attempt
-	over    []*job       // archived by it
-	orphans []wire.Guard // what it drops of jobs that are archived
-	later   []wire.Guard // what is to be dropped once it is executed
-	largest int          // size of the largest value in it
+	txn       wire.Txn
+	chunks    []*chunk
+	planned   []*attempt
+	finished  []*job       // archived by it
+	orphans   []wire.Guard // what it drops of jobs that are archived
+	dropAfter []wire.Guard // what is to be dropped once it is executed
+	largest   int          // size of the largest value in it
 }
 
-// things is how many things it holds that can be written one by one.
-func (b *batch) things() int { return len(b.chunks) + len(b.over) + len(b.orphans) }
+// records is how many records it holds that can be written one by one.
+func (b *batch) records() int { return len(b.chunks) + len(b.finished) + len(b.orphans) }
 
 // keys that it writes, for the log.
 func (b *batch) keys() (out []string) {
@@ -44,57 +44,57 @@
 	return
 }
 
-// barFor is how long a record that is refused by itself is left alone.
-const barFor = 10 * time.Second
+// refusedPause is how long a record that is refused by itself is left alone.
+const refusedPause = 10 * time.Second
 
 // flush writes what has changed, in one transaction at a time: final states
-// and launches first, then bookkeeping at its own pace.
+// and launches first, then routine writes at their own pace.
 func (t *term) flush(now time.Time) {
 	if t.writing || t.raising || now.Before(t.retryAt) {
 		return
 	}
-	if t.wantRaise && now.After(t.raiseAt) {
+	if t.raiseWanted && now.After(t.raiseAt) {
 		t.raise(nil)
 		return
 	}
 	b := &batch{txn: wire.Txn{Guards: []wire.Guard{{Key: store.LeadKey, Revision: wire.Revision(t.token)}}}}
-	ops, size := t.set.State.Least().TxnOps, 0
+	ops, size := t.settings.State.Least().TxnOps, 0
 	guards := 4 * ops
 	full := func(n, bytes int) bool {
-		return t.alone > 0 && b.things() > 0 || len(b.txn.Writes)+n > ops || len(b.txn.Guards)+2*n > guards || size+bytes > maxTxnBytes
+		return t.singleWrites > 0 && b.records() > 0 || len(b.txn.Writes)+n > ops || len(b.txn.Guards)+2*n > guards || size+bytes > maxTxnBytes
 	}
 	put := func(c *chunk, rec *store.ChunkRecord) {
 		size += rec.JSONSize()
 		b.largest = max(b.largest, rec.JSONSize())
-		b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: c.key(), Revision: c.stamp})
+		b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: c.key(), Revision: c.revision})
 		b.txn.Writes = append(b.txn.Writes, wire.Write{Put: c.key(), Value: wire.Encode(rec)})
 		b.chunks = append(b.chunks, c)
 	}
 	urgent := false
-	for j := range t.closing {
-		if !j.archiving && !j.stale && !now.Before(j.barred) {
+	for j := range t.finishedJobs {
+		if !j.archiving && !j.stale && !now.Before(j.writeAfter) {
 			t.archive(b, j, full)
 			urgent = true
 		}
 	}
 	t.splitLarge()
-	var launches, book []*chunk
-	for c := range t.dirty {
+	var launches, routine []*chunk
+	for c := range t.pendingWrites {
 		switch j := c.job; {
-		case j.archiving || j.over || j.stale || now.Before(c.barred):
-		case c.plans > 0:
+		case j.archiving || j.finished || j.stale || now.Before(c.writeAfter):
+		case c.unstored > 0:
 			launches = append(launches, c)
 		default:
-			book = append(book, c)
+			routine = append(routine, c)
 		}
 	}
 	slices.SortFunc(launches, func(a, b *chunk) int {
-		return cmp.Or(b.job.spec.Priority.Rank()-a.job.spec.Priority.Rank(), a.job.at.Compare(b.job.at), a.n-b.n)
+		return cmp.Or(b.job.spec.Priority.Rank()-a.job.spec.Priority.Rank(), a.job.acceptedAt.Compare(b.job.acceptedAt), a.index-b.index)
 	})
-	most := t.valueMost()
+	most := t.valueLimit()
 	for _, c := range launches {
 		rec := c.record()
-		for rec.JSONSize() > most && t.unplan(c, now) {
+		for rec.JSONSize() > most && t.withdrawStart(c, now) {
 			rec = c.record()
 		}
 		if full(1, rec.JSONSize()) {
@@ -104,33 +104,33 @@
 		key := store.JobKey(c.job.spec.ID)
 		if !slices.ContainsFunc(b.txn.Guards, func(g wire.Guard) bool { return g.Key == key }) {
 			// A job that was cancelled meanwhile starts nothing.
-			b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Revision: c.job.stamp})
+			b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Revision: c.job.revision})
 		}
-		for _, a := range c.holds {
+		for _, a := range c.attempts {
 			if a.planned {
 				b.planned = append(b.planned, a)
 			}
 		}
 		urgent = true
 	}
-	if len(book) > 0 && now.After(t.bookAt) {
-		// Books are kept from what the budget has left; those that wait
-		// longest go first.
-		slices.SortFunc(book, func(a, b *chunk) int { return a.since.Compare(b.since) })
+	if len(routine) > 0 && now.After(t.routineWriteAt) {
+		// Routine writes take what the budget has left; those that wait longest go
+		// first.
+		slices.SortFunc(routine, func(a, b *chunk) int { return a.changedAt.Compare(b.changedAt) })
 		_, left := t.l.Store.Left()
-		n := min(len(book), max(0, int(left)-len(b.txn.Writes)))
-		for n < len(book) && now.Sub(book[n].since) > bookBy {
+		n := min(len(routine), max(0, int(left)-len(b.txn.Writes)))
+		for n < len(routine) && now.Sub(routine[n].changedAt) > routineWriteWithin {
 			n++
 			urgent = true
 		}
-		for _, c := range book[:n] {
+		for _, c := range routine[:n] {
 			rec := c.record()
 			if full(1, rec.JSONSize()) {
 				continue
 			}
 			put(c, &rec)
 		}
-		t.bookAt = now.Add(bookEvery)
+		t.routineWriteAt = now.Add(routineWriteEvery)
 	}
 	for len(t.fleet.orphans) > 0 && !urgent && len(b.chunks) == 0 && !full(1, 0) {
 		o := t.fleet.orphans[0]
@@ -143,26 +143,26 @@
 		return
 	}
 	for _, c := range b.chunks {
-		c.dirty, c.busy = false, true
-		delete(t.dirty, c)
+		c.changed, c.beingWritten = false, true
+		delete(t.pendingWrites, c)
 	}
 	class := store.Duty
 	if urgent {
 		class = store.Vital
 	}
-	t.writing, t.writeAt = true, now
+	t.writing, t.writeStartedAt = true, now
 	go func() {
 		rev, err := t.l.Store.Commit(t.ctx, class, b.txn)
 		t.post(func() { t.written(b, rev, err) })
 	}()
 }
 
-// unplan takes back a start that is not stored yet, as the chunk's record has no
+// withdrawStart takes back a start that is not stored yet, as the chunk's record has no
 // room for it: machines' names and attempts' numbers may be longer than was
 // counted on. A record over the limit would be refused again and again, and with
 // it all that is written beside it.
-func (t *term) unplan(c *chunk, now time.Time) bool {
-	for _, a := range c.holds {
+func (t *term) withdrawStart(c *chunk, now time.Time) bool {
+	for _, a := range c.attempts {
 		if a.planned {
 			t.drop(a, taskPending)
 			c.job.notBefore = now.Add(time.Second)
@@ -178,7 +178,7 @@
 // guards on chunks that are gone would fail for ever.
 func (t *term) archive(b *batch, j *job, full func(n, bytes int) bool) {
 	for _, c := range j.chunks {
-		if c != nil && c.busy {
+		if c != nil && c.beingWritten {
 			return
 		}
 	}
@@ -191,31 +191,31 @@
 	}
 	id := j.spec.ID
 	b.txn.Guards = append(b.txn.Guards,
-		wire.Guard{Key: store.JobKey(id), Revision: j.stamp}, wire.Guard{Key: store.PastKey(id), Revision: 0})
+		wire.Guard{Key: store.JobKey(id), Revision: j.revision}, wire.Guard{Key: store.PastKey(id), Revision: 0})
 	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: store.JobKey(id)},
 		wire.Write{Put: store.PastKey(id), Value: wire.Encode(store.PastRecord{Status: status, Done: j.done})})
 	for _, g := range j.stored() {
 		if full(1, 0) {
-			b.later = append(b.later, g)
+			b.dropAfter = append(b.dropAfter, g)
 			continue
 		}
 		b.txn.Guards = append(b.txn.Guards, g)
 		b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: g.Key})
 	}
 	j.archiving = true
-	b.over = append(b.over, j)
+	b.finished = append(b.finished, j)
 }
 
 // written takes in the outcome of a transaction.
 func (t *term) written(b *batch, rev wire.Revision, err error) {
 	t.writing = false
-	t.alone = max(0, t.alone-1)
+	t.singleWrites = max(0, t.singleWrites-1)
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
 		t.committed(b, rev)
 	case errors.As(err, &conflict) && conflict.Has(store.LeadKey):
-		t.end("the office is another's")
+		t.end("another node leads")
 	case errors.As(err, &conflict):
 		b.orphans = slices.DeleteFunc(b.orphans, func(g wire.Guard) bool { return conflict.Has(g.Key) }) // gone already
 		t.undo(b)
@@ -226,18 +226,18 @@
 		}
 		for _, c := range b.chunks {
 			if conflict.Has(c.key()) {
-				t.end("a chunk was written by another hand: " + c.key())
+				t.end("a chunk was written by another process: " + c.key())
 			}
 		}
 	case errors.Is(err, store.ErrUnknown):
 		// It may be applied yet, minutes from now. A new token ends that;
-		// then a look tells what was.
+		// then a read tells what was.
 		t.log().Info("outcome of a write unknown", "writes", len(b.txn.Writes))
 		t.writing = true
 		t.raise(b)
 	case errors.Is(err, store.ErrInvalid):
 		t.undo(b)
-		t.invalid(b, time.Now())
+		t.isolateRefused(b, time.Now())
 	default:
 		t.undo(b)
 		t.retryAt = time.Now().Add(150 * time.Millisecond)
@@ -247,45 +247,45 @@
 // allStored tells whether the end of all that was on a machine is stored. Before,
 // the next leader would take it for lost with the machine, and start it again.
 func (t *term) allStored(m *machine) bool {
-	if t.writing && !m.usedAt.After(t.writeAt) {
+	if t.writing && !m.usedAt.After(t.writeStartedAt) {
 		return false
 	}
-	for c := range t.dirty {
-		if !c.since.After(m.usedAt) && time.Now().After(c.barred) && time.Now().After(c.job.barred) {
+	for c := range t.pendingWrites {
+		if !c.changedAt.After(m.usedAt) && time.Now().After(c.writeAfter) && time.Now().After(c.job.writeAfter) {
 			return false
 		}
 	}
 	return true
 }
 
-// invalid finds out what the service does not take of a transaction, which is
+// isolateRefused finds out what the service does not take of a transaction, which is
 // undone: whatever it is, it must hold up nothing else. What was in it is written
 // one by one. A chunk that is refused by itself and too large for the limits to
 // come shows that these are in force, without notice: what was accepted under the
-// former ones is from now on written in pieces. (Only that shows it: before all
-// nodes know of pieces none may be written.) Anything else that is refused by
+// former ones is from now on written in sub-chunks. (Only that shows it: before all
+// nodes know of sub-chunks none may be written.) Anything else that is refused by
 // itself is left alone for a while.
-func (t *term) invalid(b *batch, now time.Time) {
-	if n := b.things(); n > 1 {
+func (t *term) isolateRefused(b *batch, now time.Time) {
+	if n := b.records(); n > 1 {
 		t.log().Info("a transaction is refused as invalid; its parts go one by one", "writes", len(b.txn.Writes))
-		t.alone = n
+		t.singleWrites = n
 		return
 	}
-	if now, next := t.set.State.ValueKB, t.set.State.Least().ValueKB; len(b.chunks) == 1 && !t.lowered && b.largest > int(next*1024) && b.largest <= int(now*1024) {
+	if now, next := t.settings.State.ValueKB, t.settings.State.Least().ValueKB; len(b.chunks) == 1 && !t.valueLimitLowered && b.largest > int(next*1024) && b.largest <= int(now*1024) {
 		t.log().Info("the state service takes less than it did", "refused", b.keys(), "bytes", b.largest)
-		t.lowered = true
+		t.valueLimitLowered = true
 		return
 	}
 	t.log().Error("a record is refused as invalid", "keys", b.keys(), "bytes", b.largest)
-	for _, j := range b.over {
-		j.barred = now.Add(barFor)
+	for _, j := range b.finished {
+		j.writeAfter = now.Add(refusedPause)
 	}
 	for _, c := range b.chunks {
-		c.barred = now.Add(barFor)
-		for _, a := range c.holds {
+		c.writeAfter = now.Add(refusedPause)
+		for _, a := range c.attempts {
 			if a.planned { // its room is of use to others meanwhile
 				t.drop(a, taskPending)
-				c.job.notBefore = now.Add(barFor)
+				c.job.notBefore = now.Add(refusedPause)
 			}
 		}
 	}
@@ -295,42 +295,42 @@
 
 func (t *term) committed(b *batch, rev wire.Revision) {
 	// Not before: until its end is stored a job needs all of its chunks.
-	t.fleet.orphans = append(t.fleet.orphans, b.later...)
+	t.fleet.orphans = append(t.fleet.orphans, b.dropAfter...)
 	for _, c := range b.chunks {
-		c.stamp, c.busy = rev, false
+		c.revision, c.beingWritten = rev, false
 	}
-	for _, j := range b.over {
+	for _, j := range b.finished {
 		status := wire.Done
 		if j.cancelled {
 			status = wire.Cancelled
 		}
-		t.log().Info("job over", "job", j.spec.ID, "status", status, "took", time.Since(j.at))
+		t.log().Info("job over", "job", j.spec.ID, "status", status, "took", time.Since(j.acceptedAt))
 		delete(t.jobs, j.spec.ID)
-		delete(t.closing, j)
-		if !j.dropped {
-			t.past[j.spec.ID] = true
+		delete(t.finishedJobs, j)
+		if !j.recordGone {
+			t.archived[j.spec.ID] = true
 		}
 		for _, c := range j.chunks {
-			delete(t.dirty, c)
+			delete(t.pendingWrites, c)
 		}
 	}
 	touched := map[*machine]bool{}
 	for _, a := range b.planned {
-		if a.chunk.holds[a.index] != a {
+		if a.chunk.attempts[a.index] != a {
 			continue
 		}
 		a.planned = false
-		a.chunk.plans--
-		a.job.plans--
-		if a.halting || a.job.cancelled || a.m.drain != "" || a.m.releasing || t.machines[a.m.id] != a.m {
-			// Never sent by anyone: it needs no chase.
+		a.chunk.unstored--
+		a.job.unstored--
+		if a.halting || a.job.cancelled || a.machine.drain != "" || a.machine.releasing || t.machines[a.machine.id] != a.machine {
+			// Never sent by anyone: there is nothing to halt.
 			t.drop(a, taskPending)
 			continue
 		}
-		touched[a.m] = true
+		touched[a.machine] = true
 		if a.job.gang != nil && a.job.complete() {
 			for _, other := range a.job.attempts() {
-				touched[other.m] = true
+				touched[other.machine] = true
 			}
 		}
 	}
@@ -344,14 +344,14 @@
 func (t *term) undo(b *batch) {
 	t.fleet.orphans = append(t.fleet.orphans, b.orphans...)
 	for _, c := range b.chunks {
-		c.busy = false
-		t.mark(c)
+		c.beingWritten = false
+		t.markPending(c)
 	}
-	for _, j := range b.over {
+	for _, j := range b.finished {
 		j.archiving = false
 	}
 	for _, a := range b.planned {
-		if a.halting && a.chunk.holds[a.index] == a {
+		if a.halting && a.chunk.attempts[a.index] == a {
 			t.drop(a, taskPending)
 		}
 	}
@@ -367,7 +367,7 @@
 			switch {
 			case t.jobs[id] != j: // the watch told of it meanwhile, and it is archived
 			case err == nil:
-				t.learn(e.Value, e.Revision)
+				t.applyJobRecord(e.Value, e.Revision)
 			case errors.Is(err, store.ErrMissing):
 				if j.stale { // else it is being archived
 					t.end("a live job's record is gone: " + string(id))
@@ -385,14 +385,14 @@
 // b is given, its outcome is then looked up.
 func (t *term) raise(b *batch) {
 	t.raising = true
-	t.wantRaise, t.raiseAt = false, time.Now().Add(t.set.Workers.LeaseS.Duration()/2)
+	t.raiseWanted, t.raiseAt = false, time.Now().Add(t.settings.Workers.LeaseS.Duration()/2)
 	old := t.token
 	value := wire.Encode(store.LeadRecord{Node: t.l.Config.HostName, Nonce: t.l.nonce})
 	go func() {
 		for t.ctx.Err() == nil {
 			rev, err := t.l.Store.Commit(t.ctx, store.Vital, wire.Txn{
 				Guards: []wire.Guard{{Key: store.LeadKey, Revision: wire.Revision(old)}},
-				Writes: []wire.Write{{Put: store.LeadKey, Value: value, Grant: t.permit}},
+				Writes: []wire.Write{{Put: store.LeadKey, Value: value, Grant: t.grant}},
 			})
 			if err != nil {
 				// Executed, perhaps by an earlier try: then the key is ours
@@ -401,11 +401,11 @@
 				var rec store.LeadRecord
 				switch {
 				case errors.Is(err2, store.ErrMissing):
-					t.end("the office is vacant")
+					t.end("the leadership is vacant")
 					return
 				case err2 == nil && wire.Decode(e.Value, &rec) == nil:
-					if rec.Nonce != t.l.nonce || e.Grant != t.permit {
-						t.end("the office is another's")
+					if rec.Nonce != t.l.nonce || e.Grant != t.grant {
+						t.end("another node leads")
 						return
 					}
 					if wire.Token(e.Revision) > old {
@@ -429,18 +429,18 @@
 	t.log().Info("token raised", "from", t.token, "to", token)
 	t.token = token
 	if t.recovered {
-		t.grants.Store(uint64(token))
+		t.delegationToken.Store(uint64(token))
 	}
 	t.l.Mesh.Raise(t.ctx, token)
 	t.raising = false
 	if b != nil {
-		go t.lookUp(b)
+		go t.readOutcome(b)
 	}
 }
 
-// lookUp finds out what became of a transaction that can't be executed any
+// readOutcome finds out what became of a transaction that can't be executed any
 // more. All its writes share one fate, so one key tells.
-func (t *term) lookUp(b *batch) {
+func (t *term) readOutcome(b *batch) {
 	for t.ctx.Err() == nil {
 		g := b.txn.Guards[len(b.txn.Guards)-1]
 		for _, x := range b.txn.Guards[1:] {
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -17,9 +17,9 @@
 	"lilaclead/internal/wire"
 )
 
-// desk is a term that writes to a stand-in of the state service. Its loop is
+// withState runs a term that writes to a simulated state service. Its loop is
 // the test: settle runs what the helpers post until nothing happens.
-func desk(t *testing.T, f func(tm *term, m *machine, st *simulator.State, settle func())) {
+func withState(t *testing.T, f func(tm *term, m *machine, st *simulator.State, settle func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -36,13 +36,13 @@
 		tm.l.Mesh = peer.New("a", nil, func() peer.Self { return peer.Self{} }, tm.l.Cancels, nw.Host("10.0.0.1"), tm.l.Log)
 		go tm.l.Mesh.Run(ctx)
 		tm.ctx, tm.l.nonce = ctx, "this life"
-		tm.set.State.TxnOps = 12
+		tm.settings.State.TxnOps = 12
 		tm.token = wire.Token(st.Put(store.LeadKey, store.LeadRecord{Node: "a", Nonce: "this life"}))
-		tm.first = tm.token
+		tm.firstToken = tm.token
 		m.baton = tm.token
 		tm.drop(a, taskPending)
-		a.chunk.dirty, a.job.over = false, false
-		a.job.stamp = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
+		a.chunk.changed, a.job.finished = false, false
+		a.job.revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
 		f(tm, m, st, func() {
 			for range 200 {
 				tm.flush(time.Now())
@@ -73,7 +73,7 @@
 // A launch is stored only while its job's record is the one that the leader
 // knows: a job that was cancelled meanwhile starts nothing.
 func TestLaunchGuardsItsJob(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		j := tm.jobs["req-1"]
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.spec, Status: wire.Cancelled})
 		tm.start(j, m, time.Now())
@@ -88,25 +88,25 @@
 }
 
 // A transaction without an answer is neither repeated blindly nor taken for
-// done: a new token ends what may still come, and a look tells what was.
+// done: a new token ends what may still come, and a read tells what was.
 func TestOutcomeUnknown(t *testing.T) {
 	for name, lose := range map[string]func(*simulator.State){
 		"executed, answer lost": func(st *simulator.State) { st.LoseAnswers(1) },
 		"lost before it came":   func(st *simulator.State) { st.DropRequests(1) },
 	} {
-		desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 			j, token := tm.jobs["req-1"], tm.token
 			lose(st)
 			tm.start(j, m, time.Now())
 			settle()
-			a := j.chunks[0].holds[0]
+			a := j.chunks[0].attempts[0]
 			if a == nil || a.planned || len(st.Keys(store.RunPrefix)) != 1 || ended(tm) {
 				t.Errorf("%s: attempt %+v, stored %v, term over: %v", name, a, st.Keys(store.RunPrefix), ended(tm))
 			}
 			if tm.token <= token {
 				t.Errorf("%s: the token was not raised", name)
 			}
-			// The books still agree with what is stored.
+			// What is known still agrees with what is stored.
 			tm.drop(a, taskDone)
 			settle()
 			if past := st.Keys(store.PastKey("req-1")); len(past) != 1 || ended(tm) {
@@ -118,7 +118,7 @@
 
 // A leader whose key is another's writes nothing and stops.
 func TestLateLeaderWritesNothing(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		st.Put(store.LeadKey, store.LeadRecord{Node: "b", Nonce: "other"})
 		tm.start(tm.jobs["req-1"], m, time.Now())
 		settle()
@@ -133,11 +133,11 @@
 // same. (Its replicas once waited for its lease.) And the first round must
 // not wait for it either.
 func TestMachineNeverHeardOf(t *testing.T) {
-	desk(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
 		tm.listed = true
 		m.baton, m.addr, m.upAt = 0, "", time.Time{}
-		if !tm.enoughHeard(time.Now()) {
+		if !tm.enoughMachinesReported(time.Now()) {
 			t.Error("the first round waits for a machine that nothing is known of")
 		}
 		time.Sleep(5 * time.Second)
@@ -156,18 +156,18 @@
 // What has no room in a chunk's record, machines' names being longer than was
 // counted on, waits; the rest of the chunk is stored all the same.
 func TestRecordOverTheLimit(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
-		j.stamp = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
+		j.revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
 		tm.jobs[j.spec.ID] = j
-		tm.set.State.ValueKB = 0.5
+		tm.settings.State.ValueKB = 0.5
 		long := tm.machine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
 			tm.start(j, long, time.Now())
 		}
 		settle()
-		if j.held == 0 || j.held > 8 || j.pending() != 40-j.held || j.chunk(0).stamp == 0 {
-			t.Errorf("%d of 40 held, %d pending, stored with stamp %d", j.held, j.pending(), j.chunk(0).stamp)
+		if j.held == 0 || j.held > 8 || j.pending() != 40-j.held || j.chunk(0).revision == 0 {
+			t.Errorf("%d of 40 held, %d pending, stored at revision %d", j.held, j.pending(), j.chunk(0).revision)
 		}
 	})
 }
@@ -177,20 +177,20 @@
 // its user having cancelled just then; with the job still live its end then failed
 // for ever at the chunks that were gone, and all that was to be written beside it.)
 func TestChunksStayUntilTheEndIsStored(t *testing.T) {
-	desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, Status: wire.Queued, At: wire.TimestampOf(time.Now()), Chunk: 1}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
 		tm.jobs[j.spec.ID] = j
 		for n := range j.chunks {
 			c := j.chunk(n)
-			c.state[0] = taskDone
-			c.stamp = st.Put(store.ChunkKey("req-2", n), c.record())
+			c.taskStates[0] = taskDone
+			c.revision = st.Put(store.ChunkKey("req-2", n), c.record())
 			j.done++
 		}
 		rec.Status = wire.Cancelled
 		st.Put(store.JobKey("req-2"), rec) // not yet known to the leader
 		st.Slow("", 300*time.Millisecond)
-		tm.checkOver(j)
+		tm.checkFinished(j)
 		conflicts := 0
 		for range 100 {
 			tm.flush(time.Now())
@@ -219,7 +219,7 @@
 // to life and don't end the term.
 func TestLateNewsOfAnArchivedJob(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
-		desk(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 			j := tm.jobs["req-1"]
 			rec := store.JobRecord{Spec: j.spec, Status: wire.Cancelled}
 			put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(rec), Revision: st.Put(store.JobKey("req-1"), rec)}
@@ -231,7 +231,7 @@
 				tm.reread(j)
 				time.Sleep(20 * time.Millisecond)
 				st.Slow("", 0)
-				tm.news([]wire.Change{put})
+				tm.applyChanges([]wire.Change{put})
 				for range 8 {
 					tm.flush(time.Now())
 					select {
@@ -243,7 +243,7 @@
 				if len(st.Keys(store.PastKey("req-1"))) != 1 {
 					t.Error("not archived while the answer is under way")
 				}
-				tm.news([]wire.Change{drop})
+				tm.applyChanges([]wire.Change{drop})
 			} else {
 				tm.start(j, m, time.Now())
 			}
@@ -254,15 +254,15 @@
 			tm.reread(j) // as one that was under way
 			settle()
 			if !watchFirst {
-				tm.news([]wire.Change{put})
+				tm.applyChanges([]wire.Change{put})
 				settle()
 			}
 			if len(tm.jobs) != 0 || ended(tm) {
-				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.jobs, ended(tm), tm.why)
+				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.jobs, ended(tm), tm.endReason)
 			}
-			tm.news([]wire.Change{drop})
-			if len(tm.past) != 0 {
-				t.Errorf("remembered for ever: %v", tm.past)
+			tm.applyChanges([]wire.Change{drop})
+			if len(tm.archived) != 0 {
+				t.Errorf("remembered for ever: %v", tm.archived)
 			}
 		})
 	}
--- a/node.go
+++ b/node.go
@@ -86,7 +86,7 @@
 	}
 	ledger := cancels.New(others, set.Workers.CancelS.Duration())
 	n.mesh = peer.New(cfg.HostName, cfg.Others, func() peer.Self {
-		return peer.Self{Leads: n.leader.Leads(), Grants: n.leader.Grants(), Serves: n.store.Reachable(), Hears: n.leader.Hears(), Unproven: n.leader.Unproven()}
+		return peer.Self{Leads: n.leader.Leads(), Grants: n.leader.DelegationToken(), Serves: n.store.Reachable(), Hears: n.leader.WorkersInContact(), Unproven: n.leader.UnprovenCancelSince()}
 	}, ledger, n.net, n.log)
 	n.sockets = splitSockets(set.Limits, set.Size)
 	met := admin.NewMetrics()
