--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -23,9 +23,9 @@
 		if a.halting && !a.planned {
 			out = append(out, haltOrder(task, a))
 			a.haltSent = now
-		} else if !a.planned && !a.seen && !a.directBusy && m.drain == "" && !a.job.cancelled && !a.inherited && m.hearing.deaf.IsZero() && a.mayLaunch() {
-			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
-			a.sent, a.sentShift, a.helloShift, a.helloTally = true, rep.Session, rep.Session, rep.Sequence
+		} else if !a.planned && !a.reported && !a.launchInFlight && m.drain == "" && !a.job.cancelled && !a.inherited && m.hearing.deaf.IsZero() && a.mayLaunch() {
+			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
+			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Session, rep.Session, rep.Sequence
 		}
 	}
 	for i := range rep.Tasks {
@@ -37,7 +37,7 @@
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.try == p.Attempt {
+		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
 			continue
 		}
 		switch {
@@ -56,30 +56,30 @@
 // launched late would run once more.
 func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Report) bool {
 	if m.lostAt(rep) {
-		t.wantRaise = true // a new token ends what may still be on its way
+		t.raiseWanted = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.busy || rep.Token < t.first {
+	if m.busy || rep.Token < t.firstToken {
 		return false
 	}
 	j := t.jobs[task.Job]
 	if j == nil {
 		return true
 	}
-	if j.over || j.archiving {
+	if j.finished || j.archiving {
 		return false
 	}
-	n := task.Index / j.per
+	n := task.Index / j.chunkTasks
 	if n >= len(j.chunks) {
 		return true
 	}
 	c := j.chunks[n]
-	return c == nil || !c.dirty && !c.busy
+	return c == nil || !c.changed && !c.beingWritten
 }
 
 func haltOrder(task wire.Task, a *attempt) wire.Command {
-	w := a.windDown
-	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.try, GracePeriod: &w}
+	w := a.gracePeriod
+	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.number, GracePeriod: &w}
 }
 
 // dispatch sends what is new for a machine straight to it.
@@ -100,9 +100,9 @@
 				cmd.Commands = append(cmd.Commands, haltOrder(task, a))
 				a.haltSent = now
 			}
-		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.seen && m.drain == "" && !a.job.cancelled:
-			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.try})
-			a.sent, a.sentShift, a.directBusy = true, m.shift, true
+		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.reported && m.drain == "" && !a.job.cancelled:
+			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
+			a.sent, a.sentSession, a.launchInFlight = true, m.shift, true
 			launched = append(launched, a)
 		}
 	}
@@ -131,7 +131,7 @@
 	m.busy = false
 	now := time.Now()
 	for _, a := range launched {
-		a.directBusy = false
+		a.launchInFlight = false
 	}
 	switch {
 	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
@@ -150,7 +150,7 @@
 		m.muteAt = time.Time{} // silent, which is looked after otherwise
 		m.hearing.fails++
 		for _, a := range launched {
-			if !a.seen {
+			if !a.reported {
 				a.sent = false // certainly never left; the next report's answer carries it
 			}
 		}
@@ -161,7 +161,7 @@
 		m.hearing.fails++
 		t.log().Debug("command not answered", "machine", m.id, "orders", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
-			a.lost, a.lostToken = true, cmd.Token
+			a.launchUnanswered, a.unansweredToken = true, cmd.Token
 		}
 		if len(launched) > 0 {
 			m.lost = lostCommand{max(m.lost.token, cmd.Token), max(m.lost.shift, cmd.Session)}
@@ -185,9 +185,9 @@
 	if cmd.Commands == nil {
 		cmd.Commands = []wire.Command{}
 	}
-	line := l.lines
+	line := l.commandSlots
 	if len(cmd.Commands) == 0 {
-		line = l.asks
+		line = l.probeSlots
 	}
 	select {
 	case line <- struct{}{}:
@@ -197,7 +197,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, raw, _, err := netio.Call(ctx, l.direct, "POST", "http://"+addr+"/commands", cmd, 1<<20)
+	status, raw, _, err := netio.Call(ctx, l.workerClient, "POST", "http://"+addr+"/commands", cmd, 1<<20)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -16,11 +16,13 @@
 func (t *term) demands(now time.Time, stretch, spareUnits float64) []fleet.Demand {
 	jobs := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
-		if !j.cancelled && !j.over && j.pending() > 0 && j.fails < 3 {
+		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 {
 			jobs = append(jobs, j)
 		}
 	}
-	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.spec.ID, b.spec.ID)) })
+	slices.SortFunc(jobs, func(a, b *job) int {
+		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
+	})
 	waits := t.queueing(jobs, now)
 	zones := t.zones()
 	var out []fleet.Demand
@@ -29,7 +31,7 @@
 		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.held)))
 	}
 	for _, j := range jobs {
-		team, ok := t.set.Team(j.spec.Team)
+		team, ok := t.settings.Team(j.spec.Team)
 		if !ok {
 			continue
 		}
@@ -116,9 +118,9 @@
 // its expected run time. Aims may name several times for a class; the first
 // that can still be met counts, else the last.
 func (t *term) due(j *job, now time.Time) float64 {
-	need := now.Sub(j.at).Seconds() + j.expected()
+	need := now.Sub(j.acceptedAt).Seconds() + j.expected()
 	due, ok := float64(j.spec.Deadline), j.spec.Deadline > 0
-	for _, o := range t.set.Objectives {
+	for _, o := range t.settings.Objectives {
 		at := 0.0
 		switch {
 		case o.Class != j.spec.Class:
@@ -141,7 +143,7 @@
 
 // slack is how long the job's waiting tasks may still wait.
 func (t *term) slack(j *job, now time.Time) float64 {
-	return t.due(j, now) - now.Sub(j.at).Seconds() - j.expected()
+	return t.due(j, now) - now.Sub(j.acceptedAt).Seconds() - j.expected()
 }
 
 const (
@@ -185,7 +187,7 @@
 	var queue []entry
 	for _, j := range jobs {
 		if !j.spec.Service() {
-			w := t.weight(j, sure[j.spec.ID], now) * (1 + now.Sub(j.at).Seconds()/raise)
+			w := t.weight(j, sure[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise)
 			queue = append(queue, entry{j, w})
 		}
 	}
@@ -207,7 +209,7 @@
 // be late if it waited for cheap room, and dear room brings it home in time.
 func (t *term) dearer(j *job, wait float64, now time.Time) float64 {
 	share := 0.0
-	for _, o := range t.set.Objectives {
+	for _, o := range t.settings.Objectives {
 		if o.Class == j.spec.Class && (o.Kind == "finished" || o.Kind == "deadline") {
 			share = max(share, o.Share)
 		}
@@ -215,7 +217,7 @@
 	// A class that may miss its time more often waits for cheap room first, but
 	// not for ever: cheap room alone may never catch up. (With 24 cheap machines
 	// of 40 a backlog of 16 minutes grew, and no ordinary one was rented.)
-	patient := share <= dearShare && now.Sub(j.at) < startBy/2
+	patient := share <= dearShare && now.Sub(j.acceptedAt) < startBy/2
 	if j.spec.Service() || patient {
 		return 1
 	}
@@ -225,7 +227,7 @@
 			boot = min(boot, float64(f.BootTime)+j.spec.ImageGB/f.FetchGBPerS)
 		}
 	}
-	due, age := t.due(j, now), now.Sub(j.at).Seconds()
+	due, age := t.due(j, now), now.Sub(j.acceptedAt).Seconds()
 	if age+wait+j.expected() > due && age+boot+j.expected() < due {
 		return dearStretch
 	}
@@ -239,14 +241,14 @@
 // which nothing has run for as long: when the cheap machines that it was on had
 // been taken and there were no more of them, the rest of it was never run.
 func (t *term) starves(j *job, now time.Time) bool {
-	return !j.spec.Service() && j.held == 0 && now.Sub(j.at) > startBy/2 && (j.done == 0 || now.Sub(later(j.leftAt, t.born)) > startBy/2)
+	return !j.spec.Service() && j.held == 0 && now.Sub(j.acceptedAt) > startBy/2 && (j.done == 0 || now.Sub(latest(j.lastHeldAt, t.startedAt)) > startBy/2)
 }
 
 // parallel is how many of a job's waiting tasks should run at a time.
 func (t *term) parallel(j *job, now time.Time, stretch float64) int {
 	n := j.pending()
 	est := max(1, j.expected())
-	window := (t.due(j, now) - now.Sub(j.at).Seconds()) * stretch
+	window := (t.due(j, now) - now.Sub(j.acceptedAt).Seconds()) * stretch
 	rounds := max(1, int(window/est))
 	return (n + rounds - 1) / rounds
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -12,16 +12,16 @@
 	if len(m.tasks) == 0 || !t.recovered {
 		return
 	}
-	life := t.set.Workers.LeaseS.Duration()
+	life := t.settings.Workers.LeaseS.Duration()
 	life += life/500 + 1500*time.Millisecond // two clocks of 0.05% each, and the step to a full second
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := later(later(m.answered, m.tokenAt), later(m.shiftAt, t.stood))
-	if m.baton < t.first {
-		last = later(last, t.othersUntil())
+	last := latest(latest(m.answered, m.tokenAt), latest(m.shiftAt, t.delegatesAnsweredUntil))
+	if m.baton < t.firstToken {
+		last = latest(last, t.othersUntil())
 	}
 	if now.Sub(last) < life {
 		return
@@ -32,10 +32,10 @@
 		}
 		// A direct launch of ours may still come, even after the lease; and
 		// a machine in a new session could take it only with that session.
-		if a.directBusy {
+		if a.launchInFlight {
 			continue
 		}
-		t.log().Info("lease of a silent machine has run out", "task", a.task(), "try", a.try, "machine", m.id)
+		t.log().Info("lease of a silent machine has run out", "task", a.task(), "try", a.number, "machine", m.id)
 		t.l.Metrics.Moved("lease ran out")
 		t.drop(a, taskPending)
 	}
@@ -49,12 +49,12 @@
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
 func (t *term) othersUntil() time.Time {
-	other := t.born.Add(peer.B)
-	if t.l.standFor > 0 {
-		other = t.born.Add(max(t.l.standFor, 3*peer.X+time.Second))
+	other := t.startedAt.Add(peer.B)
+	if t.l.delegationTime > 0 {
+		other = t.startedAt.Add(max(t.l.delegationTime, 3*peer.X+time.Second))
 	}
-	if !t.acked.IsZero() && t.acked.Add(peer.X).Before(other) {
-		other = t.acked.Add(peer.X)
+	if !t.majorityAckedAt.IsZero() && t.majorityAckedAt.Add(peer.X).Before(other) {
+		other = t.majorityAckedAt.Add(peer.X)
 	}
 	return other
 }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -17,7 +17,7 @@
 	}
 	// Reports come every report_s, give or take a quarter. A machine that is
 	// overdue is asked directly; two asks without an answer tell its end.
-	report := t.set.Workers.ReportS.Duration()
+	report := t.settings.Workers.ReportS.Duration()
 	silentAfter := report*5/4 + 600*time.Millisecond
 	lostAfter := silentAfter + 2*probeTimeout
 	up, silent, lost, relayed, deaf, mute, serving, quietServing := 0, 0, 0, 0, 0, 0, 0, 0
@@ -53,7 +53,7 @@
 	t.l.Metrics.Machines(t.states())
 	// When many are silent it is rather this node that is cut off from them.
 	cutOff := silent >= 3 && silent*2 > up
-	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.deciding() && now.Sub(t.born) > lostAfter+t.set.Workers.LeaseS.Duration()/8 {
+	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.deciding() && now.Sub(t.startedAt) > lostAfter+t.settings.Workers.LeaseS.Duration()/8 {
 		for name, o := range t.l.Mesh.View().Others {
 			if o.Near(now) && o.Serves && o.Hears*2 > up {
 				t.resign("workers reach " + string(name) + ", not this node")
@@ -64,8 +64,8 @@
 	// A zone most of whose machines are silent is cut off as a whole. They
 	// will be back, and what runs on them goes on until their leases end: they
 	// are kept, and returned only if the cut outlasts that by far.
-	lease := t.set.Workers.LeaseS.Duration()
-	t.stood = t.stoodIn(now)
+	lease := t.settings.Workers.LeaseS.Duration()
+	t.delegatesAnsweredUntil = t.anyDelegateAnswersUntil(now)
 	for z, n := range zoneUp {
 		if z != "" && !cutOff && t.hushed(z, n, zoneLost[z], up, now) {
 			if !t.wasCut(z, now) {
@@ -97,7 +97,7 @@
 				gone = min(gone, ask+3*probeTimeout)
 			}
 		}
-		kept := cutOff || cut && quiet < max(lease*5/2, t.set.Workers.CancelS.Duration()*2)
+		kept := cutOff || cut && quiet < max(lease*5/2, t.settings.Workers.CancelS.Duration()*2)
 		t.watchMachine(m, now, ask, gone, kept && !t.unlisted(m) || unknown)
 		if deaf <= max(3, up/4) {
 			t.watchHearing(m, now)
@@ -108,9 +108,9 @@
 		return
 	}
 	for _, j := range t.jobs {
-		if j.cancelled && j.held > 0 && now.Sub(j.cancelAt) > t.set.Workers.CancelS.Duration()*6/10 {
+		if j.cancelled && j.held > 0 && now.Sub(j.cancelledAt) > t.settings.Workers.CancelS.Duration()*6/10 {
 			for _, a := range j.attempts() {
-				t.release(a.m, "a cancelled task could not be stopped")
+				t.release(a.machine, "a cancelled task could not be stopped")
 			}
 		}
 	}
@@ -175,15 +175,15 @@
 		if !m.notice.IsZero() && spec.Service() && !a.halting {
 			t.halt(a, 0, "its machine is taken")
 		}
-		if a.lost && !a.seen && (a.halting || m.drain != "") && now.Sub(a.at) > 6*time.Second {
-			t.wantRaise = true
+		if a.launchUnanswered && !a.reported && (a.halting || m.drain != "") && now.Sub(a.decidedAt) > 6*time.Second {
+			t.raiseWanted = true
 		}
 	}
 }
 
 // silence is how long a machine has said nothing to this term.
 func (t *term) silence(m *machine, now time.Time) time.Duration {
-	return now.Sub(later(m.seenAt, t.born))
+	return now.Sub(latest(m.seenAt, t.startedAt))
 }
 
 // unlisted tells whether the lists have lacked a machine for longer than they may
@@ -192,14 +192,14 @@
 // most machines had vanished at once it looked like a cut of this node for as long
 // as no more were rented than that, and none of them was ever asked for.)
 func (t *term) unlisted(m *machine) bool {
-	return t.listAt.Sub(m.listed) > 2*t.set.Cloud.ListLagS.Duration()+10*time.Second
+	return t.listAt.Sub(m.listed) > 2*t.settings.Cloud.ListLagS.Duration()+10*time.Second
 }
 
 // askServing is how long a machine with replicas may be silent before it is
 // asked itself, where reports come more rarely than that.
 const askServing = 4 * time.Second
 
-func report(t *term) time.Duration { return t.set.Workers.ReportS.Duration() }
+func report(t *term) time.Duration { return t.settings.Workers.ReportS.Duration() }
 
 // movable tells whether a machine in a zone that is cut off holds replicas that
 // could be started elsewhere before long: their leases end about now, as no
@@ -208,12 +208,12 @@
 // has nowhere to go; to end its replicas early would gain nothing.)
 func (t *term) movable(m *machine, now time.Time) bool {
 	answered := m.seenAt
-	if lost := t.lostSince(m.zone); !lost.IsZero() {
-		answered = later(answered, lost.Add(t.l.standFor-report(t)*5/4))
+	if lost := t.zoneSilentSince(m.zone); !lost.IsZero() {
+		answered = latest(answered, lost.Add(t.l.delegationTime-report(t)*5/4))
 	} else if answered.IsZero() {
-		answered = t.born
+		answered = t.startedAt
 	}
-	if now.Sub(answered) < t.set.Workers.LeaseS.Duration()*95/100 {
+	if now.Sub(answered) < t.settings.Workers.LeaseS.Duration()*95/100 {
 		return false
 	}
 	for _, a := range m.tasks {
@@ -239,8 +239,8 @@
 // resign gives the office up to a node that the workers reach.
 func (t *term) resign(why string) {
 	t.log().Info("resigns", "why", why)
-	t.l.shunned = time.Now().Add(15 * time.Second)
-	permit := t.permit
+	t.l.campaignAfter = time.Now().Add(15 * time.Second)
+	permit := t.grant
 	go t.l.Store.End(context.WithoutCancel(t.ctx), permit) //nolint:errcheck // else it runs out by itself
 	t.end(why)
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -92,7 +92,7 @@
 			if age := now.Add(-h.Age.Duration()); age.Before(m.rentedAt) {
 				m.rentedAt = age
 			}
-			if h.State == wire.ListedRunning && m.baton < t.first && m.probes == 0 && !m.releasing {
+			if h.State == wire.ListedRunning && m.baton < t.firstToken && m.probes == 0 && !m.releasing {
 				t.probed = false
 			}
 		}
@@ -102,7 +102,7 @@
 		}
 	}
 	if !t.placing {
-		t.watchOffice(now)
+		t.watchLeadership(now)
 	}
 }
 
@@ -128,7 +128,7 @@
 // zones are those of the settings, of what can be rented, and of the machines
 // that were heard of: some may be in no settings.
 func (t *term) zones() []wire.Zone {
-	out := slices.Clone(t.set.Zones)
+	out := slices.Clone(t.settings.Zones)
 	add := func(z wire.Zone) {
 		if z != "" && !slices.Contains(out, z) {
 			out = append(out, z)
@@ -142,7 +142,7 @@
 	for z := range t.heard {
 		add(z)
 	}
-	slices.Sort(out[len(t.set.Zones):])
+	slices.Sort(out[len(t.settings.Zones):])
 	return out
 }
 
@@ -252,7 +252,7 @@
 				_, err := t.l.Store.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Put: store.FlavorsKey, Value: wire.Encode(wire.MachineSpecs{Types: fs})}}})
 				stored = err == nil
 			}
-			t.post(t.wantRound)
+			t.post(t.requestRound)
 		} else {
 			next = 2*time.Second + rand.N(time.Second)
 		}
--- a/internal/leader/partitions.go
+++ b/internal/leader/partitions.go
@@ -31,11 +31,11 @@
 // zone.
 func (t *term) hushed(z wire.Zone, n, lost, up int, now time.Time) bool {
 	need, least := hushReports, 4
-	if at := t.lostSince(z); !at.IsZero() && now.Sub(at) > peer.X {
+	if at := t.zoneSilentSince(z); !at.IsZero() && now.Sub(at) > peer.X {
 		need, least = need/6, 2
 	}
 	h := t.heard[z]
-	return lost >= least && lost*2 > n || n >= least && now.Sub(later(h.at, t.born)) > hushAfter && (t.reports-h.reports)*n >= need*up
+	return lost >= least && lost*2 > n || n >= least && now.Sub(latest(h.at, t.startedAt)) > hushAfter && (t.reports-h.reports)*n >= need*up
 }
 
 // wasCut tells whether a zone seems cut off, or did so lately: its machines
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -32,7 +32,7 @@
 		return
 	case h.tally == 0:
 		return
-	case rep.Session > h.shift && now.Sub(m.answered) < t.set.Workers.LeaseS.Duration()/2:
+	case rep.Session > h.shift && now.Sub(m.answered) < t.settings.Workers.LeaseS.Duration()/2:
 		h.ignored += 2 // its lease ran out although its reports were answered
 	case rep.Session != h.shift || rep.Sequence <= h.tally:
 		return
@@ -51,11 +51,11 @@
 // should know of by now.
 func (t *term) unheard(m *machine, rep *wire.Report) bool {
 	for task, a := range m.tasks {
-		if a.seen || a.helloTally == 0 || a.helloShift != rep.Session || rep.Sequence <= a.helloTally {
+		if a.reported || a.answerSequence == 0 || a.answerSession != rep.Session || rep.Sequence <= a.answerSequence {
 			continue
 		}
 		name := task.String()
-		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.try }) {
+		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.number }) {
 			return true
 		}
 	}
@@ -66,7 +66,7 @@
 func (t *term) hears(m *machine) {
 	if !m.hearing.deaf.IsZero() {
 		t.log().Info("machine hears again", "machine", m.id)
-		t.wantRound()
+		t.requestRound()
 	}
 	m.hearing.ignored, m.hearing.fails, m.hearing.deaf = 0, 0, time.Time{}
 }
@@ -84,10 +84,10 @@
 	}
 	stuck := false
 	for _, a := range m.tasks {
-		stuck = stuck || !a.planned && (!a.seen || a.halting)
+		stuck = stuck || !a.planned && (!a.reported || a.halting)
 	}
 	since := now.Sub(m.hearing.deaf)
-	if stuck && since > report(t)/2+2*time.Second && m.hearing.fails > 0 || since > t.set.Workers.LeaseS.Duration() {
+	if stuck && since > report(t)/2+2*time.Second && m.hearing.fails > 0 || since > t.settings.Workers.LeaseS.Duration() {
 		t.release(m, "does not hear")
 	}
 }
@@ -99,7 +99,7 @@
 	if m.muteAt.IsZero() {
 		return 0
 	}
-	return now.Sub(later(m.muteAt, later(t.backAt, t.stood)))
+	return now.Sub(latest(m.muteAt, latest(t.stateBackAt, t.delegatesAnsweredUntil)))
 }
 
 // mute tells whether a machine looks alive but can't reach any controller: its
@@ -107,18 +107,18 @@
 // nothing new, and its room is not counted on. (Tasks longer than a lease were
 // once started on such machines for ever and never completed.)
 func (t *term) mute(m *machine, now time.Time) bool {
-	return t.muteFor(m, now) > max(t.set.Workers.LeaseS.Duration()/2, 2*report(t))
+	return t.muteFor(m, now) > max(t.settings.Workers.LeaseS.Duration()/2, 2*report(t))
 }
 
 // watchMute returns a mute machine when its lease must have run out, so that
 // nothing is lost by it, or much later when they are many: then it is rather
 // the way from them, which will be back.
 func (t *term) watchMute(m *machine, now time.Time, few bool) {
-	lease := t.set.Workers.LeaseS.Duration()
+	lease := t.settings.Workers.LeaseS.Duration()
 	if m.releasing || !t.recovered || t.muteFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || t.muteFor(m, now) > max(lease*5/2, t.set.Workers.CancelS.Duration()*2) {
+	if few || t.muteFor(m, now) > max(lease*5/2, t.settings.Workers.CancelS.Duration()*2) {
 		t.release(m, "its reports don't arrive")
 	}
 }
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -67,5 +67,5 @@
 		t.drop(a, taskPending)
 	}
 	delete(t.machines, m.id)
-	t.wantRound()
+	t.requestRound()
 }
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -13,19 +13,19 @@
 		h.reply <- reply{refused: "can't tell whether this node still leads"}
 		return
 	}
-	if !t.l.mayRenew(now) {
+	if !t.l.mayRenewLeases(now) {
 		h.reply <- reply{refused: "can't tell what was cancelled"}
 		return
 	}
-	o := &wire.Commands{Token: t.token, Commands: t.l.haltsFor(&h.rep)}
+	o := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(&h.rep)}
 	if _, gone := t.gone[h.rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		h.reply <- reply{refused: "this machine was returned"}
 		return
 	}
 	if !t.recovered {
-		if e, ok := t.early[h.rep.Machine]; !ok || h.rep.Newer(e.Session, e.Sequence) {
-			t.early[h.rep.Machine] = h.rep
+		if e, ok := t.earlyReports[h.rep.Machine]; !ok || h.rep.Newer(e.Session, e.Sequence) {
+			t.earlyReports[h.rep.Machine] = h.rep
 		}
 		m := t.machine(h.rep.Machine)
 		m.seenAt, m.answered = now, now
@@ -56,7 +56,7 @@
 	m.relayed = h.relayed
 	t.listen(m, &h.rep, now)
 	t.apply(m, &h.rep, true, now)
-	if t.withheld(m, &h.rep, now) {
+	if t.renewalWithheld(m, &h.rep, now) {
 		h.reply <- reply{refused: "a cancelled task may still start there"}
 		return
 	}
@@ -98,7 +98,7 @@
 	t.log().Info("machine began a new life", "machine", m.id, "tasks", len(m.tasks), "shift", rep.Session, "tally", rep.Sequence, "was_shift", m.shift, "was_tally", m.tally)
 	m.shift, m.tally, m.images = 0, 0, imageCache{}
 	for _, a := range m.tasks {
-		a.helloTally = 0 // the answer that carried it went to the last life
+		a.answerSequence = 0 // the answer that carried it went to the last life
 	}
 	t.drainMachine(m, "began a new life")
 	t.apply(m, rep, false, now)
@@ -119,7 +119,7 @@
 	if m.upAt.IsZero() {
 		m.upAt = now
 		t.fleetUp(m, now)
-		t.wantRound()
+		t.requestRound()
 	}
 	if rep.Session > m.shift {
 		// A lease that ran out leaves the images where they are; a new life
@@ -128,7 +128,7 @@
 	}
 	m.addr, m.kit, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
 	m.shift, m.tally, m.seenAt, m.booting, m.probes = rep.Session, rep.Sequence, now, false, 0
-	if m.baton < t.first && rep.Token >= t.first {
+	if m.baton < t.firstToken && rep.Token >= t.firstToken {
 		m.tokenAt = now
 	}
 	m.baton = max(m.baton, rep.Token)
@@ -153,7 +153,7 @@
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.try == p.Attempt {
+		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
 			listed[task] = p
 			t.progress(a, p, now)
 		} else if p.Phase != wire.PhaseExited {
@@ -166,16 +166,16 @@
 		}
 		switch {
 		case t.launchAgain(a):
-			a.inherited, a.sent, a.lost, a.helloTally = false, false, false, 0
-		case a.seen, a.inherited, rep.Session > a.sentShift && a.sent:
-			t.log().Info("task is gone from its machine", "task", task, "try", a.try, "machine", m.id, "shift", rep.Session)
+			a.inherited, a.sent, a.launchUnanswered, a.answerSequence = false, false, false, 0
+		case a.reported, a.inherited, rep.Session > a.sentSession && a.sent:
+			t.log().Info("task is gone from its machine", "task", task, "try", a.number, "machine", m.id, "shift", rep.Session)
 			t.l.Metrics.Moved("gone")
 			t.drop(a, taskPending)
 		case a.halting, m.drain != "", a.job.cancelled:
 			t.drop(a, taskPending)
 		default:
 			// Stored, not delivered: it is sent (again).
-			a.lost, a.helloTally = false, 0
+			a.launchUnanswered, a.answerSequence = false, 0
 		}
 	}
 	return true
@@ -183,23 +183,23 @@
 
 // progress takes in the state of an attempt of ours.
 func (t *term) progress(a *attempt, p *wire.TaskState, now time.Time) {
-	m, j := a.m, a.job
-	if a.sent && !a.seen {
+	m, j := a.machine, a.job
+	if a.sent && !a.reported {
 		t.hears(m)
 	}
-	a.seen = true
+	a.reported = true
 	if p.Phase != wire.PhaseFetching && p.Cause != wire.CauseFull && p.Cause != wire.CauseBusy && p.Cause != wire.CauseNoSuch &&
 		!(p.Phase == wire.PhaseExited && a.phase == wire.PhaseFetching && (p.Cause == wire.CauseStopped || p.Cause == wire.CauseGangBroken || p.Cause == wire.CauseGangIncomplete)) {
 		m.images.touch(j.spec.Image, j.spec.ImageGB, t.localGB(m.kit), now)
-		if a.ready.IsZero() {
-			a.ready = now
+		if a.fetchedAt.IsZero() {
+			a.fetchedAt = now
 		}
 	}
-	if p.Phase == wire.PhaseRunning && a.runAt.IsZero() {
-		a.runAt = now
+	if p.Phase == wire.PhaseRunning && a.runningSince.IsZero() {
+		a.runningSince = now
 		if !j.started {
 			j.started = true
-			t.l.Metrics.Waited(j.spec.Class, now.Sub(j.at).Seconds())
+			t.l.Metrics.Waited(j.spec.Class, now.Sub(j.acceptedAt).Seconds())
 		}
 	}
 	a.phase = p.Phase
@@ -216,10 +216,10 @@
 	}
 	switch p.Cause {
 	case wire.CauseDone:
-		if !a.runAt.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
+		if !a.runningSince.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
 			t.timed(a, now)
 		}
-		j.succeeded, j.fails = true, 0
+		j.succeeded, j.failures = true, 0
 		clear(j.failedOn)
 		clear(m.errs)
 		m.errCount = 0
@@ -234,7 +234,7 @@
 		t.failed(a, now)
 		t.drop(a, taskPending)
 	default:
-		t.log().Info("start refused", "task", a.task(), "try", a.try, "machine", m.id, "cause", p.Cause)
+		t.log().Info("start refused", "task", a.task(), "try", a.number, "machine", m.id, "cause", p.Cause)
 		m.fullUntil = now.Add(2 * time.Second)
 		if p.Cause == wire.CauseNoSuch {
 			j.notBefore = now.Add(2 * time.Second)
