--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Flavor is a machine type as the cloud offers it.
+// MachineSpec is a machine type as the cloud offers it.
 type MachineSpec struct {
 	Name          MachineType `cbor:"name"`
 	CPUs          float64     `cbor:"cpus"`
@@ -39,12 +39,12 @@
 // Eps absorbs the rounding of sums of decimal amounts.
 const Eps = 1e-6
 
-// Flavors is the answer of GET /flavors.
+// MachineSpecs is the answer to GET /flavors.
 type MachineSpecs struct {
 	Types []MachineSpec `cbor:"kits"`
 }
 
-// Booking asks for machines.
+// RentalRequest asks for machines; a request repeated under its name rents nothing twice.
 type RentalRequest struct {
 	Name  string      `cbor:"booking"`
 	Type  MachineType `cbor:"kit"`
@@ -53,12 +53,12 @@
 	Count int         `cbor:"count"`
 }
 
-// Hosts names machines, in the answer to a booking and in a release.
+// MachineNames lists machines, in the answer to a rental request and in a release.
 type MachineNames struct {
 	Machines []MachineID `cbor:"hosts"`
 }
 
-// HostState of the machine list.
+// ListedState is the state of a machine in the cloud's machine list.
 type ListedState string
 
 // The states of the machine list.
@@ -68,7 +68,7 @@
 	ListedFailed   ListedState = "failed"
 )
 
-// Host is one line of the machine list.
+// ListedMachine is one entry of the cloud's machine list.
 type ListedMachine struct {
 	Name  MachineID   `cbor:"nameId"`
 	Addr  string      `cbor:"addr"`
@@ -79,7 +79,7 @@
 	Age   Seconds     `cbor:"ageS"`
 }
 
-// HostPage is one page of the machine list.
+// MachinePage is one page of the machine list.
 type MachinePage struct {
 	Machines  []ListedMachine `cbor:"hosts"`
 	Truncated bool            `cbor:"truncated"`
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -23,7 +23,7 @@
 	TeamID string
 	// Zone names a zone.
 	Zone string
-	// Kit names a machine type.
+	// MachineType names a machine type.
 	MachineType string
 	// ImageID names an image.
 	ImageID string
@@ -35,13 +35,13 @@
 	GrantID uint64
 	// Attempt numbers the starts of a task; it is never used twice.
 	Attempt uint64
-	// Session counts the lives of a worker between two ends of its lease.
+	// Session counts how often a worker's lease has ended, from 1.
 	Session uint64
-	// Tally orders the messages of a worker within a session.
+	// Sequence orders the messages of a worker within a session.
 	Sequence uint64
 	// Seconds is a duration as the protocol writes it.
 	Seconds float64
-	// Stamp is a time of day in milliseconds, comparable between nodes only
+	// Timestamp is a time of day in milliseconds, comparable between nodes only
 	// within the bound that the settings give.
 	Timestamp int64
 )
@@ -49,7 +49,7 @@
 // Duration converts to the time package's type.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// StampOf converts a time of day.
+// TimestampOf converts a time of day.
 func TimestampOf(t time.Time) Timestamp { return Timestamp(t.UnixMilli()) }
 
 // Time converts back.
@@ -84,7 +84,7 @@
 	return Task{Job: id, Index: n}, nil
 }
 
-// MaxParts is the largest number of tasks that a job may have.
+// MaxTasks is the largest number of tasks that a job may have.
 const MaxTasks = 100_000
 
 const maxDigits = 32
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -46,7 +46,7 @@
 	Failed   []string `cbor:"failed,omitempty"`
 }
 
-// GrantAsk asks for a lease of the state service.
+// GrantRequest asks for a lease of the state service.
 type GrantRequest struct {
 	TTLMillis int64 `cbor:"lifeMs"`
 }
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// Shape of a job.
+// JobKind says how the tasks of a job run.
 type JobKind string
 
-// The shapes that users submit.
+// The kinds that users submit.
 const (
 	KindArray   JobKind = "sweep"    // an array of independent tasks
 	KindService JobKind = "daemon"   // a service: replicas until cancelled
 	KindGang    JobKind = "ensemble" // a gang: all tasks run at the same time, or none
 )
 
-// Urgency is a job's priority.
+// Priority is a job's priority.
 type Priority string
 
 // The priorities, highest first.
@@ -81,7 +81,7 @@
 // Gang tells whether all of the job's tasks run at the same time or none does.
 func (s *Spec) Gang() bool { return s.Kind == KindGang }
 
-// Together is how many of the job's tasks must be able to run at the same time:
+// MinTogether is how many of the job's tasks must be able to run at the same time:
 // all of a service or a gang.
 func (s *Spec) MinTogether() int {
 	if s.Service() || s.Gang() {
@@ -234,7 +234,7 @@
 	Running int    `cbor:"running"`
 }
 
-// JobBrief is the answer to a submission or a cancellation.
+// JobSummary is the answer to a submission or a cancellation.
 type JobSummary struct {
 	ID     JobID  `cbor:"nameId"`
 	Status Status `cbor:"status"`
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -1,6 +1,6 @@
 package wire
 
-// Phase of a task on its machine.
+// TaskPhase is the state of a task on its machine.
 type TaskPhase string
 
 // The phases that workers report.
@@ -12,7 +12,7 @@
 	PhaseExited   TaskPhase = "exited"
 )
 
-// Cause of an exit.
+// ExitCause says why a task ended.
 type ExitCause string
 
 // The causes that workers report.
@@ -29,7 +29,7 @@
 	CauseGangIncomplete ExitCause = "alone"
 )
 
-// PartState is one task in a report.
+// TaskState is one task in a report.
 type TaskState struct {
 	Task    string    `cbor:"part"`
 	Attempt Attempt   `cbor:"try"`
@@ -52,10 +52,10 @@
 	Tasks      []TaskState `cbor:"parts"`
 }
 
-// Newer tells whether the report was made after the given point of the
-// worker's life.
-func (r *Report) Newer(shift Session, tally Sequence) bool {
-	return r.Session > shift || r.Session == shift && r.Sequence > tally
+// Newer tells whether the report was made after the given session and sequence
+// number.
+func (r *Report) Newer(session Session, sequence Sequence) bool {
+	return r.Session > session || r.Session == session && r.Sequence > sequence
 }
 
 // Verb of a command.
@@ -68,7 +68,7 @@
 	Forget Verb = "forget"
 )
 
-// Order is one command to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb        Verb     `cbor:"verb"`
 	Task        string   `cbor:"part"`
@@ -76,14 +76,14 @@
 	GracePeriod *Seconds `cbor:"windDownS,omitempty"`
 }
 
-// Orders answers a report (no session) or goes straight to a worker.
+// Commands answers a report (no session) or goes straight to a worker.
 type Commands struct {
 	Token    Token     `cbor:"baton"`
 	Session  Session   `cbor:"shift,omitempty"`
 	Commands []Command `cbor:"orders"`
 }
 
-// Elsewhere sends a worker to the node that leads.
+// Redirect sends a worker to the node that leads.
 type Redirect struct {
 	ReportsTo NodeID `cbor:"reportsTo,omitempty"`
 }
