--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -18,7 +18,7 @@
 		return
 	}
 	// What an earlier leader rented last is not listed yet.
-	lag := t.set.Cloud.ListLagS.Duration()
+	lag := t.settings.Cloud.ListLagS.Duration()
 	v := t.l.Tuning.Get()
 	s := &fleet.Snapshot{MaxRents: maxRents, DearLimit: v.DearLimit,
 		Cheapest: func(spec *wire.Spec) float64 { return cheapest(flavors, spec) }}
@@ -49,8 +49,8 @@
 				continue
 			}
 			in := a.job.expected()
-			if !a.runAt.IsZero() {
-				in -= now.Sub(a.runAt).Seconds()
+			if !a.runningSince.IsZero() {
+				in -= now.Sub(a.runningSince).Seconds()
 			}
 			res := a.res()
 			fm.Soon = append(fm.Soon, fleet.Soon{InS: max(in, 1), Room: res})
@@ -60,7 +60,7 @@
 		}
 		slices.SortFunc(fm.Soon, func(a, b fleet.Soon) int { return cmp.Compare(a.InS, b.InS) })
 		if !m.booting && len(m.tasks) == 0 && len(m.strays) == 0 {
-			fm.Idle, fm.IdleS = true, now.Sub(later(m.usedAt, m.upAt)).Seconds()
+			fm.Idle, fm.IdleS = true, now.Sub(latest(m.usedAt, m.upAt)).Seconds()
 		}
 		s.Machines = append(s.Machines, fm)
 	}
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	if now.Sub(t.born) > lag+time.Second {
+	if now.Sub(t.startedAt) > lag+time.Second {
 		s.Offers = t.offers(flavors, now)
 	}
 	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -107,7 +107,7 @@
 	}
 	n := 0
 	for _, m := range t.machines {
-		if m.booting || m.baton >= t.first || m.busy || m.addr == "" || m.probes > 0 {
+		if m.booting || m.baton >= t.firstToken || m.busy || m.addr == "" || m.probes > 0 {
 			continue
 		}
 		if n++; n > probesMost {
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -90,7 +90,7 @@
 // has answered.
 func (t *term) rent(r fleet.Rent) {
 	t.fleet.seq++
-	b := &booking{RentalRequest: wire.RentalRequest{Name: fmt.Sprintf("b-%d-%d", t.first, t.fleet.seq), Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, since: time.Now()}
+	b := &booking{RentalRequest: wire.RentalRequest{Name: fmt.Sprintf("b-%d-%d", t.firstToken, t.fleet.seq), Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, since: time.Now()}
 	t.fleet.bookings[b.Name] = b
 	t.log().Info("rents", "kit", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	go func() {
