--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,6 +16,7 @@
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
+	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
 )
 
@@ -28,6 +29,8 @@
 	mesh   *peer.Mesh
 	met    *Metrics
 	log    *slog.Logger
+	// Undecodable is told of stored settings that can't be decoded.
+	Undecodable *undecodable.Log
 }
 
 // New makes the operators' side of a node.
@@ -75,7 +78,7 @@
 	}
 	m := map[string]any{}
 	if err := wire.Decode(e.Value, &m); err != nil {
-		a.log.Error("stored settings are undecodable", "err", err)
+		a.Undecodable.Note(store.SettingsKey, err)
 	}
 	return m, e.Revision, nil
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -18,6 +18,7 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
 	"lilaclead/internal/store"
+	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
 )
 
@@ -35,6 +36,8 @@
 	counts counts
 	// Observe is told of every answer, for the metrics.
 	Observe func(op string, status int, took time.Duration)
+	// Undecodable is told of records that can\'t be decoded.
+	Undecodable *undecodable.Log
 }
 
 // New makes an intake. The stage is small: what waits in it waits for the
@@ -315,6 +318,7 @@
 	}
 	var rec store.PastRecord
 	if err := wire.Decode(e.Value, &rec); err != nil {
+		in.Undecodable.Note(store.PastKey(id), err)
 		return wire.JobState{}, err
 	}
 	s := wire.JobState{ID: id, Status: rec.Status, Done: rec.Done}
@@ -377,9 +381,9 @@
 		if err != nil {
 			return unavailable
 		}
-		var rec store.JobRecord
-		if err := wire.Decode(e.Value, &rec); err != nil {
-			in.log.Error("undecodable job record", "job", id, "err", err)
+		rec, err := store.DecodeJob(store.JobKey(id), e.Value)
+		if err != nil {
+			in.Undecodable.Note(store.JobKey(id), err)
 			return unavailable
 		}
 		if rec.Status == wire.Cancelled {
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -41,6 +41,7 @@
 			continue
 		}
 		switch {
+		case t.isAside(task.Job): // it may be one of those that can't be read
 		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Halt, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -16,7 +16,7 @@
 func (t *term) demands(now time.Time, stretch, spareUnits float64) []fleet.Demand {
 	jobs := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
-		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 {
+		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !t.isAside(j.spec.ID) {
 			jobs = append(jobs, j)
 		}
 	}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -141,7 +141,7 @@
 		j.gang.try = max(j.gang.try, a.number)
 	}
 	for _, a := range j.attempts() {
-		if a.number != j.gang.try || !j.complete() {
+		if (a.number != j.gang.try || !j.complete()) && !t.isAside(j.spec.ID) {
 			t.incompleteGangs[j] = struct{}{}
 		}
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -20,6 +20,7 @@
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
+	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
 )
 
@@ -35,6 +36,8 @@
 	Flavors *FlavorBox
 	Log     *slog.Logger
 	Metrics Metrics
+	// Undecodable is told of records and reports that can't be decoded.
+	Undecodable *undecodable.Log
 	// Sockets is how many connections may go to workers at a time, Workers how
 	// many of them one node can hold, and Needed the limit that more need.
 	Sockets int
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -144,7 +144,7 @@
 }
 
 func (t *term) canPlace(j *job, now time.Time) bool {
-	return !j.cancelled && !j.finished && !j.archiving && !j.stale && j.pending() > 0 && !now.Before(j.notBefore) &&
+	return !j.cancelled && !j.finished && !j.archiving && !j.stale && !t.isAside(j.spec.ID) && j.pending() > 0 && !now.Before(j.notBefore) &&
 		(j.held == 0 || !j.spec.Gang()) // a gang only when nothing of its last attempt is left
 }
 
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -132,18 +132,35 @@
 			continue
 		}
 		j := t.jobs[id]
-		var rec store.ChunkRecord
-		if j == nil || n >= len(j.chunks) || wire.Decode(e.Value, &rec) != nil {
+		if j == nil && t.isAside(id) {
+			continue
+		}
+		if j == nil || n >= len(j.chunks) {
 			orphan(e)
 			continue
 		}
+		var rec store.ChunkRecord
+		if err := wire.Decode(e.Value, &rec); err != nil {
+			t.setAside(e.Key, id, err)
+			j.chunk(n).revision = e.Revision // it goes with the job's record, once that is cancelled
+			continue
+		}
 		t.readChunk(j.chunk(n), e.Revision, &rec)
 	}
 	for _, e := range subChunks {
 		id, n, k, ok := store.ParsePieceKey(e.Key)
 		j := t.jobs[id]
+		if ok && j == nil && t.isAside(id) {
+			continue
+		}
 		var rec store.ChunkRecord
-		if !ok || j == nil || wire.Decode(e.Value, &rec) != nil || rec.Size < 1 ||
+		if ok && j != nil {
+			if err := wire.Decode(e.Value, &rec); err != nil {
+				t.setAside(e.Key, id, err)
+				continue
+			}
+		}
+		if !ok || j == nil || rec.Size < 1 ||
 			j.subChunks == 0 && (rec.Size >= j.chunkTasks || j.chunkTasks%rec.Size != 0) || j.subChunks > 0 && rec.Size != j.chunkTasks {
 			orphan(e)
 			continue
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -61,6 +61,7 @@
 	earlyReports           map[wire.MachineID]wire.Report
 	jobs                   map[wire.JobID]*job
 	archived               map[wire.JobID]bool // archived, and news of them may still come
+	undecodable            map[wire.JobID]bool // of which a record can't be decoded: see setAside
 	machines               map[wire.MachineID]*machine
 	gone                   map[wire.MachineID]time.Time // released, answered 200
 	probed                 bool                         // every machine of the first list has been asked
@@ -100,7 +101,7 @@
 		l: l, grant: o.grant, startedAt: o.takenAt, token: o.token, firstToken: o.token,
 		settings: &l.Config.Settings,
 		hellos:   make(chan hello, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
-		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{},
+		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
 		cutAt: map[wire.Zone]time.Time{}, heard: map[wire.Zone]heard{}, pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
 		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
@@ -342,11 +343,12 @@
 func (t *term) applyChanges(changes []wire.Change) {
 	for _, c := range changes {
 		if c.Put != "" {
-			t.applyJobRecord(c.Value, c.Revision)
+			t.applyJobRecord(c.Put, c.Value, c.Revision)
 			continue
 		}
 		// The last that comes of a job.
 		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
+		delete(t.undecodable, id)
 		if delete(t.archived, id); t.jobs[id] != nil {
 			t.jobs[id].recordGone = true
 		}
@@ -356,7 +358,7 @@
 // loadRecords builds the term's picture from what was read.
 func (t *term) loadRecords(jobs, runs []wire.Entry) {
 	for _, e := range jobs {
-		t.applyJobRecord(e.Value, e.Revision)
+		t.applyJobRecord(e.Key, e.Value, e.Revision)
 	}
 	t.readProgress(runs)
 	for _, j := range t.jobs {
@@ -381,14 +383,18 @@
 }
 
 // applyJobRecord takes in a job record that is new or has changed.
-func (t *term) applyJobRecord(v wire.Raw, revision wire.Revision) {
-	var rec store.JobRecord
-	if err := wire.Decode(v, &rec); err != nil {
-		t.log().Error("undecodable job record", "revision", revision, "err", err)
+func (t *term) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
+	rec, err := store.DecodeJob(key, v)
+	if err != nil {
+		t.setAside(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
 		return
 	}
 	j := t.jobs[rec.Spec.ID]
 	if j == nil {
+		if t.undecodable[rec.Spec.ID] {
+			t.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
+			return
+		}
 		if t.archived[rec.Spec.ID] {
 			return // late news of a job that is over
 		}
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -81,7 +81,7 @@
 	var launches, routine []*chunk
 	for c := range t.pendingWrites {
 		switch j := c.job; {
-		case j.archiving || j.finished || j.stale || now.Before(c.writeAfter):
+		case j.archiving || j.finished || j.stale || t.isAside(j.spec.ID) || now.Before(c.writeAfter):
 		case c.unstored > 0:
 			launches = append(launches, c)
 		default:
@@ -251,7 +251,7 @@
 		return false
 	}
 	for c := range t.pendingWrites {
-		if !c.changedAt.After(m.usedAt) && time.Now().After(c.writeAfter) && time.Now().After(c.job.writeAfter) {
+		if !c.changedAt.After(m.usedAt) && time.Now().After(c.writeAfter) && time.Now().After(c.job.writeAfter) && !t.isAside(c.job.spec.ID) {
 			return false
 		}
 	}
@@ -306,6 +306,7 @@
 		}
 		t.log().Info("job over", "job", j.spec.ID, "status", status, "took", time.Since(j.acceptedAt))
 		delete(t.jobs, j.spec.ID)
+		delete(t.undecodable, j.spec.ID)
 		delete(t.finishedJobs, j)
 		if !j.recordGone {
 			t.archived[j.spec.ID] = true
@@ -367,7 +368,7 @@
 			switch {
 			case t.jobs[id] != j: // the watch told of it meanwhile, and it is archived
 			case err == nil:
-				t.applyJobRecord(e.Value, e.Revision)
+				t.applyJobRecord(store.JobKey(id), e.Value, e.Revision)
 			case errors.Is(err, store.ErrMissing):
 				if j.stale { // else it is being archived
 					t.end("a live job's record is gone: " + string(id))
--- /dev/null
+++ b/internal/scenarios/undecodable_test.go
@@ -0,0 +1,167 @@
+package scenarios_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lilaclead"
+	"lilaclead/internal/config"
+	"lilaclead/internal/netio"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/store"
+)
+
+// lines keeps what one life of a node logs.
+type lines struct {
+	mu  sync.Mutex
+	buf bytes.Buffer
+}
+
+func (l *lines) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buf.Write(p)
+}
+
+// errors counts the error lines with a word in them.
+func (l *lines) errors(word string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	n := 0
+	for line := range strings.Lines(l.buf.String()) {
+		if strings.Contains(line, "ERROR") && strings.Contains(line, word) {
+			n++
+		}
+	}
+	return n
+}
+
+// Records that nobody can read appear in the state service while nobody leads: of a
+// job's progress, a job, the machine types, the operators' settings. Each is logged
+// once in the life of a node that meets it, stays as it is, and harms nothing beside
+// it: what runs goes on, also what the unreadable record is about, nothing is
+// started twice, and new jobs run.
+func TestUndecodableRecords(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		var lives []*lines
+		logged := func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error) {
+			out := &lines{}
+			lives = append(lives, out)
+			n, err := lilaclead.New(cfg, lilaclead.Options{Net: nw, Log: out})
+			if err != nil {
+				return nil, err
+			}
+			return n.Run, nil
+		}
+		set := simulator.DefaultSettings()
+		w := simulator.NewWorld(ctx, set, 900, logged, nil)
+		w.Nodes(set.Zones...)
+		begin := time.Now()
+		at := func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) }
+		for i := range set.Size {
+			if err := w.Up(i); err != nil {
+				t.Fatal(err)
+			}
+		}
+		a, s, g, later := array(1, 6, 400), service(2, 3), gang(3, 3, 400), array(4, 4, 10)
+		at(2 * time.Second)
+		for _, j := range []simulator.Truth{a, s, g} {
+			w.Submit(j, 0)
+		}
+		at(60 * time.Second)
+		l := w.Leader()
+		w.Kill(l)
+		unreadable := map[string]any{
+			"run/req-000001/0": "no record", "job/req-000777": []int{1, 2}, "job/req-000778": map[string]any{"unknown": true},
+			"job/req-000779": map[string]any{"spec": map[string]any{"nameId": "req-000779", "parts": 1 << 40}, "status": "queued"},
+		}
+		for key, v := range unreadable {
+			w.State.Put(key, v)
+		}
+		w.State.Put("run/req-000777/0", store.ChunkRecord{Next: 5, Held: []store.Held{{Task: 0, Try: 4, On: "n-000000"}}})
+		w.State.Put(store.FlavorsKey, 7)
+		w.State.Put(store.SettingsKey, "no settings")
+		at(64 * time.Second)
+		if err := w.Up(l); err != nil {
+			t.Fatal(err)
+		}
+		at(70 * time.Second)
+		w.Submit(later, 0)
+		at(120 * time.Second)
+		// The next leader meets them too.
+		changeLeader(t, w)
+		at(150 * time.Second)
+		mustFinish(t, w, later)
+		w.Checked(func(c *simulator.Checker) {
+			if c.On(a.Spec.ID) != 6 || c.On(s.Spec.ID) != 3 || c.On(g.Spec.ID) != 3 || c.Again() != 0 {
+				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 of a gang run, %d were started again", c.On(a.Spec.ID), c.On(s.Spec.ID), c.On(g.Spec.ID), c.Again())
+			}
+		})
+		for key := range unreadable {
+			if len(w.State.Keys(key)) != 1 {
+				t.Errorf("%s is gone", key)
+			}
+		}
+		if len(w.State.Keys("run/req-000777/0")) != 1 {
+			t.Error("the progress of a job whose record can't be read is gone")
+		}
+		for i := range set.Size {
+			for _, id := range []string{"req-000777", "req-000778", "req-000779"} {
+				status, _, h := w.Ask(i, "GET", "/v1/jobs/"+id, nil)
+				stop, _, _ := w.Ask(i, "POST", "/v1/jobs/"+id+"/cancel", nil)
+				if status != 503 || h.Get("Retry-After") == "" || stop != 503 {
+					t.Errorf("%s is answered %d by node %d, its cancellation %d", id, status, i, stop)
+				}
+			}
+		}
+		for key, least := range map[string]int{"run/req-000001/0": 2, "job/req-000777": 2, "job/req-000778": 2, "job/req-000779": 2, store.SettingsKey: set.Size, store.FlavorsKey: 0} {
+			total := 0
+			for _, life := range lives {
+				n := life.errors(key)
+				if total += n; n > 1 {
+					t.Errorf("%s is logged %d times in one life", key, n)
+				}
+			}
+			if total < least {
+				t.Errorf("%s is logged %d times by all, want %d", key, total, least)
+			}
+		}
+		// A job of which some progress can't be read can be cancelled: what runs of it
+		// ends.
+		if !cancelNow(t, w, a.Spec.ID, 10*time.Second) {
+			t.Error("not cancelled")
+		}
+		at(220 * time.Second)
+		w.Checked(func(c *simulator.Checker) {
+			if n := c.On(a.Spec.ID); n != 0 {
+				t.Errorf("%d tasks of the cancelled job run", n)
+			}
+			c.End(time.Now())
+			for _, b := range c.Breaks {
+				t.Errorf("%6.1f s %s: %s", b.At.Sub(begin).Seconds(), b.Rule, b.What)
+			}
+		})
+		if k := slices.Concat(w.State.Keys(store.JobKey(a.Spec.ID)), w.State.Keys(store.RunPrefix+string(a.Spec.ID)+"/")); len(k) > 0 {
+			t.Errorf("of the cancelled job is left %v", k)
+		}
+		if t.Failed() {
+			for i, life := range lives {
+				for line := range strings.Lines(life.buf.String()) {
+					if strings.Contains(line, "ERROR") {
+						fmt.Print(i, " ", line)
+					}
+				}
+			}
+		}
+		cancel()
+		w.Close()
+	})
+}
--- a/internal/store/copy.go
+++ b/internal/store/copy.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"strings"
 	"sync"
 	"time"
 
@@ -30,6 +31,8 @@
 type Live struct {
 	Status wire.Status
 	Stamp  wire.Revision
+	// err: there is a job, but its record can't be decoded.
+	err error
 }
 
 // copyTimeout bounds one look; a user waits two seconds in all. An open watch
@@ -91,7 +94,7 @@
 				if n.Delete != "" {
 					delete(y.live, wire.JobID(n.Delete[len(JobPrefix):]))
 				} else {
-					y.put(n.Value, n.Revision)
+					y.put(n.Put, n.Value, n.Revision)
 				}
 			}
 			y.rev = max(y.rev, ch.Revision)
@@ -110,7 +113,7 @@
 	defer y.mu.Unlock()
 	clear(y.live)
 	for _, e := range entries {
-		y.put(e.Value, e.Revision)
+		y.put(e.Key, e.Value, e.Revision)
 	}
 	y.rev = rev
 	y.ledger.Read(began)
@@ -119,14 +122,14 @@
 
 // put takes in a record. A list of several pages may be newer than the
 // revision that the next look starts from.
-func (y *Copy) put(v wire.Raw, stamp wire.Revision) {
-	var rec JobRecord
-	if wire.Decode(v, &rec) != nil {
-		return
+func (y *Copy) put(key string, v wire.Raw, stamp wire.Revision) {
+	id := wire.JobID(strings.TrimPrefix(key, JobPrefix))
+	rec, err := DecodeJob(key, v)
+	if err == nil {
+		rec.Tell(y.ledger)
 	}
-	rec.Tell(y.ledger)
-	if stamp >= y.live[rec.Spec.ID].Stamp {
-		y.live[rec.Spec.ID] = Live{rec.Status, stamp}
+	if stamp >= y.live[id].Stamp {
+		y.live[id] = Live{rec.Status, stamp, err}
 	}
 }
 
@@ -153,5 +156,5 @@
 	if !ok {
 		return Live{}, ErrMissing
 	}
-	return l, nil
+	return l, l.err
 }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"errors"
 	"strconv"
 	"strings"
 	"time"
@@ -75,6 +76,23 @@
 	Chunk int `cbor:"chunk,omitempty"`
 }
 
+// ErrNotAJob is returned for a record that decodes, but is no job's.
+var ErrNotAJob = errors.New("state: not the record of that job")
+
+// DecodeJob reads the record of a live job that lies under the key. A record that
+// names another job, or no number of tasks that a job may have, is none: taken for
+// one, it would be written to another key, or take all memory.
+func DecodeJob(key string, v wire.Raw) (JobRecord, error) {
+	var rec JobRecord
+	if err := wire.Decode(v, &rec); err != nil {
+		return JobRecord{}, err
+	}
+	if JobKey(rec.Spec.ID) != key || rec.Spec.Tasks < 1 || rec.Spec.Tasks > wire.MaxTasks {
+		return JobRecord{}, ErrNotAJob
+	}
+	return rec, nil
+}
+
 // Tell notes the job's cancellation, if it is cancelled.
 func (r *JobRecord) Tell(l *cancels.Ledger) {
 	if r.Status == wire.Cancelled {
--- a/node.go
+++ b/node.go
@@ -28,6 +28,7 @@
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
+	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
 )
 
@@ -39,20 +40,21 @@
 
 // Node is one controller.
 type Node struct {
-	cfg     *config.Config
-	net     netio.Net
-	log     *slog.Logger
-	level   *slog.LevelVar
-	base    slog.Level
-	store   *store.Client
-	cloud   *cloud.Client
-	mesh    *peer.Mesh
-	leader  *leader.Leader
-	intake  *intake.Intake
-	flavors *leader.FlavorBox
-	tuning  *tuning.Box
-	admin   *admin.Admin
-	sockets sockets
+	cfg         *config.Config
+	net         netio.Net
+	log         *slog.Logger
+	level       *slog.LevelVar
+	base        slog.Level
+	store       *store.Client
+	cloud       *cloud.Client
+	mesh        *peer.Mesh
+	leader      *leader.Leader
+	intake      *intake.Intake
+	flavors     *leader.FlavorBox
+	tuning      *tuning.Box
+	admin       *admin.Admin
+	undecodable *undecodable.Log
+	sockets     sockets
 }
 
 // Options of a node; the zero value is the machine's own network and standard
@@ -94,13 +96,15 @@
 	n.cloud.Observe = met.Call("cloud")
 	met.Budget("state requests", func() float64 { calls, _ := n.store.Left(); return calls })
 	met.Budget("state changes", func() float64 { _, writes := n.store.Left(); return writes })
+	n.undecodable = undecodable.New(n.log)
 	n.leader = leader.New(leader.Deps{
-		Config: cfg, Net: n.net, Store: n.store, Cloud: n.cloud, Mesh: n.mesh, Cancels: ledger, Tuning: n.tuning, Flavors: n.flavors, Log: n.log, Metrics: met.Leader(),
+		Config: cfg, Net: n.net, Store: n.store, Cloud: n.cloud, Mesh: n.mesh, Cancels: ledger, Tuning: n.tuning, Flavors: n.flavors, Log: n.log, Metrics: met.Leader(), Undecodable: n.undecodable,
 		Sockets: n.sockets.direct, Workers: n.sockets.workers(), Needed: func(workers int) int { return needed(workers, set.Limits, set.Size) },
 	})
 	n.intake = intake.New(set, n.store, ledger, n.flavors.Get, n.log)
-	n.intake.Observe = met.Request
+	n.intake.Observe, n.intake.Undecodable = met.Request, n.undecodable
 	n.admin = admin.New(cfg, n.store, n.tuning, n.leader, n.mesh, met, n.log)
+	n.admin.Undecodable = n.undecodable
 	return n, nil
 }
 
@@ -243,7 +247,13 @@
 	for n.flavors.Get() == nil {
 		var f wire.MachineSpecs
 		e, err := n.store.Get(ctx, store.Duty, store.FlavorsKey)
-		if err == nil && wire.Decode(e.Value, &f) == nil && len(f.Types) > 0 {
+		if err == nil {
+			if err = wire.Decode(e.Value, &f); err != nil {
+				n.undecodable.Note(store.FlavorsKey, err)
+				err = store.ErrMissing
+			}
+		}
+		if err == nil && len(f.Types) > 0 {
 			n.flavors.Set(f.Types)
 			return
 		}
