--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -9,28 +9,28 @@
 	"lilaclead/internal/wire"
 )
 
-// mostOrders keeps an answer, or a command, within the size that workers take.
-const mostOrders = 400
+// maxCommands keeps an answer, or a command, within the size that workers take.
+const maxCommands = 400
 
-// orders for the answer to a report: whatever has not been shown to have
+// commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
-func (t *term) orders(m *machine, rep *wire.Report, now time.Time) []wire.Command {
+func (t *term) commandsFor(m *machine, rep *wire.Report, now time.Time) []wire.Command {
 	out := []wire.Command{}
 	for task, a := range m.tasks {
-		if len(out) >= mostOrders {
+		if len(out) >= maxCommands {
 			return out
 		}
 		if a.halting && !a.planned {
-			out = append(out, haltOrder(task, a))
+			out = append(out, haltCommand(task, a))
 			a.haltSent = now
-		} else if !a.planned && !a.reported && !a.launchInFlight && m.drain == "" && !a.job.cancelled && !a.inherited && m.hearing.deaf.IsZero() && a.mayLaunch() {
+		} else if !a.planned && !a.reported && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.unreachableSince.IsZero() && a.mayLaunch() {
 			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
 			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Session, rep.Session, rep.Sequence
 		}
 	}
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
-		if len(out) >= mostOrders {
+		if len(out) >= maxCommands {
 			return out
 		}
 		task, err := wire.ParseTask(p.Task)
@@ -55,11 +55,11 @@
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
 func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Report) bool {
-	if m.lostAt(rep) {
+	if m.mayStillLaunch(rep) {
 		t.raiseWanted = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.busy || rep.Token < t.firstToken {
+	if m.commandInFlight || rep.Token < t.firstToken {
 		return false
 	}
 	j := t.jobs[task.Job]
@@ -77,7 +77,7 @@
 	return c == nil || !c.changed && !c.beingWritten
 }
 
-func haltOrder(task wire.Task, a *attempt) wire.Command {
+func haltCommand(task wire.Task, a *attempt) wire.Command {
 	w := a.gracePeriod
 	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.number, GracePeriod: &w}
 }
@@ -86,49 +86,49 @@
 func (t *term) dispatch(m *machine) {
 	// Without the state service what is cancelled is still halted.
 	blind := !t.deciding()
-	if m.busy || m.addr == "" || m.upAt.IsZero() || m.releasing || blind && !t.answering() {
+	if m.commandInFlight || m.addr == "" || m.upAt.IsZero() || m.releasing || blind && !t.answering() {
 		return
 	}
 	now := time.Now()
-	cmd := wire.Commands{Token: t.token, Session: m.shift}
+	cmd := wire.Commands{Token: t.token, Session: m.session}
 	var launched []*attempt
 	for task, a := range m.tasks {
 		switch {
-		case a.planned || len(cmd.Commands) >= mostOrders || blind && !a.job.cancelled:
+		case a.planned || len(cmd.Commands) >= maxCommands || blind && !a.job.cancelled:
 		case a.halting:
 			if now.Sub(a.haltSent) > 1500*time.Millisecond {
-				cmd.Commands = append(cmd.Commands, haltOrder(task, a))
+				cmd.Commands = append(cmd.Commands, haltCommand(task, a))
 				a.haltSent = now
 			}
-		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.reported && m.drain == "" && !a.job.cancelled:
+		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.reported && m.drainReason == "" && !a.job.cancelled:
 			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
-			a.sent, a.sentSession, a.launchInFlight = true, m.shift, true
+			a.sent, a.sentSession, a.launchInFlight = true, m.session, true
 			launched = append(launched, a)
 		}
 	}
 	if len(cmd.Commands) > 0 {
-		t.command(m, cmd, launched)
+		t.sendCommands(m, cmd, launched)
 	}
 }
 
-// command sends a direct command and takes in its answer.
-func (t *term) command(m *machine, cmd wire.Commands, launched []*attempt) {
-	m.busy = true
-	addr, asked := m.addr, position{m.shift, m.tally}
+// sendCommands sends a direct command and takes in its answer.
+func (t *term) sendCommands(m *machine, cmd wire.Commands, launched []*attempt) {
+	m.commandInFlight = true
+	addr, asked := m.addr, position{m.session, m.sequence}
 	go func() {
 		rep, status, err := t.l.post(t.ctx, addr, cmd, commandTimeout)
-		t.post(func() { t.commanded(m, asked, cmd, launched, rep, status, err) })
+		t.post(func() { t.onCommandAnswer(m, asked, cmd, launched, rep, status, err) })
 	}()
 }
 
 // position in a machine's life.
 type position struct {
-	shift wire.Session
-	tally wire.Sequence
+	session  wire.Session
+	sequence wire.Sequence
 }
 
-func (t *term) commanded(m *machine, asked position, cmd wire.Commands, launched []*attempt, rep *wire.Report, status int, err error) {
-	m.busy = false
+func (t *term) onCommandAnswer(m *machine, asked position, cmd wire.Commands, launched []*attempt, rep *wire.Report, status int, err error) {
+	m.commandInFlight = false
 	now := time.Now()
 	for _, a := range launched {
 		a.launchInFlight = false
@@ -136,19 +136,19 @@
 	switch {
 	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
 		t.l.Metrics.Command("ok")
-		t.hears(m)
+		t.inboundWorks(m)
 		m.seenAt = now
-		if !rep.Newer(asked.shift, asked.tally) && !m.reborn {
+		if !rep.Newer(asked.session, asked.sequence) && !m.restarted {
 			// Made after we asked, and yet not newer than what we had then.
-			t.reborn(m, rep, now)
+			t.onRestart(m, rep, now)
 			break
 		}
 		t.apply(m, rep, false, now)
 	case err != nil && wire.NotSent(err):
 		t.l.Metrics.Command("not sent")
-		m.probes++
-		m.muteAt = time.Time{} // silent, which is looked after otherwise
-		m.hearing.fails++
+		m.unansweredProbes++
+		m.reportsMissingSince = time.Time{} // silent, which is looked after otherwise
+		m.inbound.unansweredCommands++
 		for _, a := range launched {
 			if !a.reported {
 				a.sent = false // certainly never left; the next report's answer carries it
@@ -156,18 +156,18 @@
 		}
 	default:
 		t.l.Metrics.Command("lost")
-		m.probes++
-		m.muteAt = time.Time{}
-		m.hearing.fails++
-		t.log().Debug("command not answered", "machine", m.id, "orders", len(cmd.Commands), "err", err, "status", status)
+		m.unansweredProbes++
+		m.reportsMissingSince = time.Time{}
+		m.inbound.unansweredCommands++
+		t.log().Debug("command not answered", "machine", m.id, "commands", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
 			a.launchUnanswered, a.unansweredToken = true, cmd.Token
 		}
 		if len(launched) > 0 {
-			m.lost = lostCommand{max(m.lost.token, cmd.Token), max(m.lost.shift, cmd.Session)}
+			m.unansweredLaunch = unansweredCommand{max(m.unansweredLaunch.token, cmd.Token), max(m.unansweredLaunch.session, cmd.Session)}
 		}
 	}
-	if m.probes == 0 {
+	if m.unansweredProbes == 0 {
 		t.dispatch(m)
 	}
 }
--- a/internal/leader/delegation.go
+++ b/internal/leader/delegation.go
@@ -60,7 +60,7 @@
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
 		task, err := wire.ParseTask(p.Task)
-		if err != nil || p.Phase == wire.PhaseExited || len(out) >= mostOrders {
+		if err != nil || p.Phase == wire.PhaseExited || len(out) >= maxCommands {
 			continue
 		}
 		if _, ok := l.Cancels.At(task.Job); ok {
--- a/internal/leader/delegation_test.go
+++ b/internal/leader/delegation_test.go
@@ -38,7 +38,7 @@
 				if !skip(m) {
 					rep := reportOf(m)
 					tm.apply(m, &rep, true, time.Now())
-					m.answered = time.Now()
+					m.answeredAt = time.Now()
 				}
 			}
 		}
@@ -79,14 +79,14 @@
 		time.Sleep(5 * time.Second) // nothing comes in at all
 		watch(20*time.Second, none)
 		for _, z := range tm.settings.Zones {
-			if tm.wasCut(z, time.Now()) {
+			if tm.latelyPartitioned(z, time.Now()) {
 				t.Errorf("zone %s is called cut off when this node stood still", z)
 			}
 		}
 		cut := time.Now()
 		inA := func(m *machine) bool { return m.zone == "a" }
 		watch(3*time.Second, inA)
-		if !tm.wasCut("a", time.Now()) || tm.wasCut("b", time.Now()) {
+		if !tm.latelyPartitioned("a", time.Now()) || tm.latelyPartitioned("b", time.Now()) {
 			t.Error("after 3 s the zone is not told to be cut off, or another one is")
 		}
 		watch(25*time.Second, inA)
@@ -104,8 +104,8 @@
 			}
 		}
 		watch(40*time.Second, none)
-		if n := returned("a"); n != 0 || tm.wasCut("a", time.Now()) {
-			t.Errorf("%d machines are returned when the zone is back, cut off: %v", n, tm.wasCut("a", time.Now()))
+		if n := returned("a"); n != 0 || tm.latelyPartitioned("a", time.Now()) {
+			t.Errorf("%d machines are returned when the zone is back, cut off: %v", n, tm.latelyPartitioned("a", time.Now()))
 		}
 	})
 }
@@ -192,7 +192,7 @@
 			silent := map[*machine]bool{}
 			for _, m := range tm.machines {
 				switch {
-				case !tm.serves(m):
+				case !tm.holdsReplicas(m):
 					other = m
 				case many && len(silent) < 10 || serving == nil:
 					serving = m
@@ -206,7 +206,7 @@
 					time.Sleep(500 * time.Millisecond)
 					for _, m := range tm.machines {
 						if silent[m] {
-							m.probes, m.lostToPeer = 2, true
+							m.unansweredProbes, m.peerUnanswered = 2, true
 						} else {
 							m.seenAt = time.Now()
 						}
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -23,7 +23,7 @@
 	slices.SortFunc(jobs, func(a, b *job) int {
 		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
-	waits := t.queueing(jobs, now)
+	waits := t.predictWaits(jobs, now)
 	zones := t.zones()
 	var out []fleet.Demand
 	used := map[wire.TeamID]placement.Res{}
@@ -40,7 +40,7 @@
 		case j.spec.Gang() && j.held > 0:
 			continue // what is left of its last attempt goes first
 		case !j.spec.Service() && !j.spec.Gang():
-			units = t.parallel(j, now, stretch)
+			units = t.parallelTasks(j, now, stretch)
 		}
 		take := placement.Of(&j.spec)
 		// The limit bounds what can run at all.
@@ -61,17 +61,17 @@
 		switch {
 		case j.spec.Service():
 			d.Rank += 10
-		case j.spec.Gang() && t.starves(j, now):
+		case j.spec.Gang() && t.startOverdue(j, now):
 			d.Rank += 5
 			d.Dear = math.Inf(1)
-		case t.starves(j, now):
+		case t.startOverdue(j, now):
 			// Room is had for its first task at any price.
 			first := d
 			first.Units, first.Rank, first.Dear = 1, d.Rank+5, math.Inf(1)
 			out = append(out, first)
 			d.Units--
 		}
-		d.Dear = max(d.Dear, t.dearer(j, waits[j], now))
+		d.Dear = max(d.Dear, t.priceStretch(j, waits[j], now))
 		if j.spec.Spread || j.spec.SameZone {
 			d.ZoneLeft = map[wire.Zone]int{}
 			held := j.zones()
@@ -96,9 +96,9 @@
 	return out
 }
 
-// nextDemands are for the room that is kept for the next gangs. It goes before
+// gangReserves are for the room that is kept for the next gangs. It goes before
 // the arrays and behind services and their spare room.
-func (t *term) nextDemands(times float64, now time.Time) []fleet.Demand {
+func (t *term) gangReserves(times float64, now time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	for _, spec := range t.nextGangs(times, now) {
 		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: 8.5, Whole: true}
@@ -113,11 +113,11 @@
 	return out
 }
 
-// due is when the job should be complete, counted from its submission: what
+// dueAfter is when the job should be complete, counted from its submission: what
 // its owner says, else what the users' aims say of its class, else a few times
 // its expected run time. Aims may name several times for a class; the first
 // that can still be met counts, else the last.
-func (t *term) due(j *job, now time.Time) float64 {
+func (t *term) dueAfter(j *job, now time.Time) float64 {
 	need := now.Sub(j.acceptedAt).Seconds() + j.expected()
 	due, ok := float64(j.spec.Deadline), j.spec.Deadline > 0
 	for _, o := range t.settings.Objectives {
@@ -143,34 +143,34 @@
 
 // slack is how long the job's waiting tasks may still wait.
 func (t *term) slack(j *job, now time.Time) float64 {
-	return t.due(j, now) - now.Sub(j.acceptedAt).Seconds() - j.expected()
+	return t.dueAfter(j, now) - now.Sub(j.acceptedAt).Seconds() - j.expected()
 }
 
 const (
-	// dearStretch is how far beyond the limit a job may rent that would be
-	// late otherwise, if its class's aim is above dearShare or it has waited for
+	// latePriceStretch is how far beyond the limit a job may rent that would be
+	// late otherwise, if its class's aim is above patientShare or it has waited for
 	// half of startBy.
-	dearStretch = 1.35
-	dearShare   = 0.9
-	// startBy is when every job should have begun, whatever else waits. Half
+	latePriceStretch = 1.35
+	patientShare     = 0.9
+	// startWithin is when every job should have begun, whatever else waits. Half
 	// of it may pass before the exception is made that sees to it.
-	startBy = 4 * time.Minute
+	startWithin = 4 * time.Minute
 )
 
-// queueing predicts how long each waiting array will wait for the room there
+// predictWaits predicts how long each waiting array will wait for the room there
 // is: the work that goes before it, and half of its own, over the processors
 // that work on arrays now or soon. Room that is rented shortens the wait, so
 // that a steady overload rents as much dear room as it needs and a short rush
 // none.
-func (t *term) queueing(jobs []*job, now time.Time) map[*job]float64 {
+func (t *term) predictWaits(jobs []*job, now time.Time) map[*job]float64 {
 	room := 0.0
 	for _, m := range t.machines {
-		if !m.releasing && m.drain == "" {
+		if !m.releasing && m.drainReason == "" {
 			room += t.total(m).CPUs
 		}
 	}
 	for _, b := range t.fleet.bookings {
-		if f := t.flavor(b.Type); f != nil {
+		if f := t.machineSpec(b.Type); f != nil {
 			room += float64(b.Count) * f.CPUs
 		}
 	}
@@ -201,13 +201,13 @@
 		out[e.j] = (ahead + own/2) / max(1, room)
 		ahead += own
 	}
-	t.fleet.backlog = ahead / max(1, room)
+	t.fleet.backlogS = ahead / max(1, room)
 	return out
 }
 
-// dearer tells how far a job may go beyond the limit on the price: it would
+// priceStretch tells how far a job may go beyond the limit on the price: it would
 // be late if it waited for cheap room, and dear room brings it home in time.
-func (t *term) dearer(j *job, wait float64, now time.Time) float64 {
+func (t *term) priceStretch(j *job, wait float64, now time.Time) float64 {
 	share := 0.0
 	for _, o := range t.settings.Objectives {
 		if o.Class == j.spec.Class && (o.Kind == "finished" || o.Kind == "deadline") {
@@ -217,7 +217,7 @@
 	// A class that may miss its time more often waits for cheap room first, but
 	// not for ever: cheap room alone may never catch up. (With 24 cheap machines
 	// of 40 a backlog of 16 minutes grew, and no ordinary one was rented.)
-	patient := share <= dearShare && now.Sub(j.acceptedAt) < startBy/2
+	patient := share <= patientShare && now.Sub(j.acceptedAt) < startWithin/2
 	if j.spec.Service() || patient {
 		return 1
 	}
@@ -227,28 +227,28 @@
 			boot = min(boot, float64(f.BootTime)+j.spec.ImageGB/f.FetchGBPerS)
 		}
 	}
-	due, age := t.due(j, now), now.Sub(j.acceptedAt).Seconds()
+	due, age := t.dueAfter(j, now), now.Sub(j.acceptedAt).Seconds()
 	if age+wait+j.expected() > due && age+boot+j.expected() < due {
-		return dearStretch
+		return latePriceStretch
 	}
 	return 1
 }
 
-// starves tells whether an array has waited so long without a start that its
+// startOverdue tells whether an array has waited so long without a start that its
 // first task goes before everything but services. Little work left, prices
 // and priorities order the rest; under a steady overload they would keep a
 // large or cheap job waiting for ever. So it is with one that has begun and of
 // which nothing has run for as long: when the cheap machines that it was on had
 // been taken and there were no more of them, the rest of it was never run.
-func (t *term) starves(j *job, now time.Time) bool {
-	return !j.spec.Service() && j.held == 0 && now.Sub(j.acceptedAt) > startBy/2 && (j.done == 0 || now.Sub(latest(j.lastHeldAt, t.startedAt)) > startBy/2)
+func (t *term) startOverdue(j *job, now time.Time) bool {
+	return !j.spec.Service() && j.held == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.done == 0 || now.Sub(latest(j.lastHeldAt, t.startedAt)) > startWithin/2)
 }
 
-// parallel is how many of a job's waiting tasks should run at a time.
-func (t *term) parallel(j *job, now time.Time, stretch float64) int {
+// parallelTasks is how many of a job's waiting tasks should run at a time.
+func (t *term) parallelTasks(j *job, now time.Time, stretch float64) int {
 	n := j.pending()
 	est := max(1, j.expected())
-	window := (t.due(j, now) - now.Sub(j.acceptedAt).Seconds()) * stretch
+	window := (t.dueAfter(j, now) - now.Sub(j.acceptedAt).Seconds()) * stretch
 	rounds := max(1, int(window/est))
 	return (n + rounds - 1) / rounds
 }
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -9,16 +9,16 @@
 
 // runStats keeps the last run times of a job's tasks.
 type runStats struct {
-	s   []float64
-	mid float64
+	seconds []float64
+	mid     float64
 }
 
 func (r *runStats) add(v float64) {
-	r.s = append(r.s, v)
-	if len(r.s) > 15 {
-		r.s = r.s[1:]
+	r.seconds = append(r.seconds, v)
+	if len(r.seconds) > 15 {
+		r.seconds = r.seconds[1:]
 	}
-	c := slices.Clone(r.s)
+	c := slices.Clone(r.seconds)
 	slices.Sort(c)
 	r.mid = c[len(c)/2]
 }
@@ -26,42 +26,42 @@
 func (r *runStats) median() float64 { return r.mid }
 
 // slowStats counts completions of a machine against its peers'.
-type slowStats struct{ slow, fine int }
+type runTimeCounts struct{ slow, normal int }
 
 const slowFactor = 1.6
 
-// timed compares a completed run with the job's others.
-func (t *term) timed(a *attempt, now time.Time) {
+// onCompletion compares a completed run with the job's others.
+func (t *term) onCompletion(a *attempt, now time.Time) {
 	took := now.Sub(a.runningSince).Seconds()
 	j := a.job
-	if len(j.runs.s) >= 3 {
+	if len(j.runs.seconds) >= 3 {
 		if took > slowFactor*j.runs.median()+2 {
-			a.machine.slow.slow++
+			a.machine.runTimes.slow++
 		} else {
-			a.machine.slow.fine++
+			a.machine.runTimes.normal++
 		}
-		if a.machine.slow.slow >= 3 && a.machine.slow.slow > 3*a.machine.slow.fine && t.sparable() {
+		if a.machine.runTimes.slow >= 3 && a.machine.runTimes.slow > 3*a.machine.runTimes.normal && t.mayCondemn() {
 			t.drainMachine(a.machine, "slow")
 		}
 	}
 	j.runs.add(took)
 }
 
-// failed tells a faulty machine from a faulty job. A job that fails wherever
+// onFailure tells a faulty machine from a faulty job. A job that fails wherever
 // it runs is retried ever more rarely; a machine on which several jobs fail,
 // or one that others' machines run well, is drained and returned.
-func (t *term) failed(a *attempt, now time.Time) {
+func (t *term) onFailure(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
 	if j.failedOn == nil {
 		j.failedOn = map[wire.MachineID]bool{}
 	}
 	j.failedOn[m.id] = true
 	j.failures++
-	m.errs[j.spec.ID] = true
-	m.errCount++
-	t.log().Info("task failed", "task", a.task(), "try", a.number, "machine", m.id, "job_machines", len(j.failedOn), "machine_jobs", len(m.errs))
-	faultyMachine := len(m.errs) >= 2 || j.succeeded && m.errCount >= 2 || m.errCount >= 2 && len(j.failedOn) == 1 && j.failures >= 3
-	if faultyMachine && t.sparable() {
+	m.failedJobs[j.spec.ID] = true
+	m.failures++
+	t.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedOn), "machine_jobs", len(m.failedJobs))
+	faultyMachine := len(m.failedJobs) >= 2 || j.succeeded && m.failures >= 2 || m.failures >= 2 && len(j.failedOn) == 1 && j.failures >= 3
+	if faultyMachine && t.mayCondemn() {
 		t.drainMachine(m, "faulty")
 	}
 	if len(j.failedOn) >= 2 {
@@ -70,9 +70,9 @@
 		if len(j.failedOn) >= 3 {
 			// The job is to blame: what it did to the machines is forgiven.
 			for _, other := range t.machines {
-				if other.errs[j.spec.ID] {
-					delete(other.errs, j.spec.ID)
-					other.errCount = 0
+				if other.failedJobs[j.spec.ID] {
+					delete(other.failedJobs, j.spec.ID)
+					other.failures = 0
 				}
 			}
 		}
@@ -81,16 +81,16 @@
 	}
 }
 
-// sparable bounds what suspicion may take out of service at a time: a fault
+// mayCondemn bounds what suspicion may take out of service at a time: a fault
 // that shows on many machines is not the machines'.
-func (t *term) sparable() bool {
+func (t *term) mayCondemn() bool {
 	n, all := 0, 0
 	for _, m := range t.machines {
 		if m.booting {
 			continue
 		}
 		all++
-		if m.drain == "faulty" || m.drain == "slow" {
+		if m.drainReason == "faulty" || m.drainReason == "slow" {
 			n++
 		}
 	}
@@ -99,10 +99,10 @@
 
 // drainMachine takes a machine out of service; it is returned when empty.
 func (t *term) drainMachine(m *machine, why string) {
-	if m.drain != "" || m.releasing {
+	if m.drainReason != "" || m.releasing {
 		return
 	}
-	m.drain = why
+	m.drainReason = why
 	t.log().Info("drains", "machine", m.id, "why", why, "tasks", len(m.tasks))
 	t.l.Metrics.Fleet("drained", 1)
 	for _, a := range m.tasks {
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -14,33 +14,33 @@
 // planFleet rents for what can't be placed and returns what is not needed.
 func (t *term) planFleet(now time.Time) {
 	flavors := t.l.Flavors.Get()
-	if !t.recovered || !t.placing || !t.listed || !t.deciding() || flavors == nil || now.Before(t.fleet.cloudDown) {
+	if !t.recovered || !t.placing || !t.listReceived || !t.deciding() || flavors == nil || now.Before(t.fleet.pausedUntil) {
 		return
 	}
 	// What an earlier leader rented last is not listed yet.
 	lag := t.settings.Cloud.ListLagS.Duration()
 	v := t.l.Tuning.Get()
-	s := &fleet.Snapshot{MaxRents: maxRents, DearLimit: v.DearLimit,
+	s := &fleet.Snapshot{MaxRents: maxRentsPerPlan, DearLimit: v.DearLimit,
 		Cheapest: func(spec *wire.Spec) float64 { return cheapest(flavors, spec) }}
 	var order []*machine
 	for _, m := range t.machines {
-		if m.releasing || m.drain != "" || m.kit == "" {
+		if m.releasing || m.drainReason != "" || m.machineType == "" {
 			continue
 		}
 		order = append(order, m)
 	}
 	slices.SortFunc(order, func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
 	for _, m := range order {
-		f := t.flavor(m.kit)
+		f := t.machineSpec(m.machineType)
 		if f == nil {
 			continue
 		}
-		fm := fleet.Machine{ID: m.id, Kit: m.kit, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
+		fm := fleet.Machine{ID: m.id, Kit: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
 			PaidS: 60 - now.Sub(m.rentedAt).Seconds(), Price: f.Price(m.spot), KeepS: v.KeepBoots * float64(f.BootTime)}
 		if m.booting && now.Sub(m.rentedAt) > f.BootTime.Duration()*2 {
 			continue // not to be counted on
 		}
-		if !m.booting && t.silence(m, now) > 3*report(t) || t.behindCut(m, now) || t.mute(m, now) {
+		if !m.booting && t.silence(m, now) > 3*reportInterval(t) || t.behindPartition(m, now) || t.outboundLost(m, now) {
 			continue
 		}
 		for _, a := range m.tasks {
@@ -59,13 +59,13 @@
 			}
 		}
 		slices.SortFunc(fm.Soon, func(a, b fleet.Soon) int { return cmp.Compare(a.InS, b.InS) })
-		if !m.booting && len(m.tasks) == 0 && len(m.strays) == 0 {
+		if !m.booting && len(m.tasks) == 0 && len(m.orphans) == 0 {
 			fm.Idle, fm.IdleS = true, now.Sub(latest(m.usedAt, m.upAt)).Seconds()
 		}
 		s.Machines = append(s.Machines, fm)
 	}
 	for _, b := range t.fleet.bookings {
-		if f := t.flavor(b.Type); f != nil {
+		if f := t.machineSpec(b.Type); f != nil {
 			total := placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB}
 			for range b.Count {
 				s.Machines = append(s.Machines, fleet.Machine{Kit: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: f.Price(b.Spot)})
@@ -76,7 +76,7 @@
 		s.Offers = t.offers(flavors, now)
 	}
 	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
-	s.Demands = append(s.Demands, t.nextDemands(v.SpareGangs, now)...)
+	s.Demands = append(s.Demands, t.gangReserves(v.SpareGangs, now)...)
 	plan := fleet.Make(s)
 	for _, r := range plan.Rents {
 		for left := r.Count; left > 0; left -= maxBooking {
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -61,7 +61,7 @@
 func (t *term) launchAgain(a *attempt) bool {
 	g := a.job.gang
 	wait := t.settings.Workers.GangWaitS.Duration()
-	return g != nil && !a.reported && !a.halting && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drain == "" && !a.machine.releasing &&
+	return g != nil && !a.reported && !a.halting && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drainReason == "" && !a.machine.releasing &&
 		time.Since(g.from) < wait
 }
 
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -64,7 +64,7 @@
 	if got := names(1, now.Add(nextFor+time.Second)); len(got) != 1 || got[0] != "req-2" {
 		t.Errorf("later: room for %v", got)
 	}
-	ds := tm.nextDemands(1, now.Add(nextFor+time.Second))
+	ds := tm.gangReserves(1, now.Add(nextFor+time.Second))
 	if len(ds) != 1 || !ds[0].Whole || ds[0].Units != 2 || ds[0].Rank >= 9 {
 		t.Errorf("demands %+v", ds)
 	}
--- a/internal/leader/hearing_test.go
+++ b/internal/leader/hearing_test.go
@@ -24,9 +24,9 @@
 	tm.l.workerClient = &http.Client{Transport: nw.Transport(2, 2)}
 }
 
-func (t *term) tell(rep *wire.Report) reply {
-	h := hello{rep: *rep, reply: make(chan reply, 1)}
-	t.onHello(h)
+func (t *term) tell(rep *wire.Report) reportAnswer {
+	h := reportCall{report: *rep, reply: make(chan reportAnswer, 1)}
+	t.onReport(h)
 	return <-h.reply
 }
 
@@ -51,7 +51,7 @@
 		"shows it in the end": {launch, func(k wire.Token) []*wire.Report {
 			return []*wire.Report{said(1, 11, k), said(1, 12, k), said(1, 13, k, shown)}
 		}, false},
-		"takes no token": {func(_ *term, m *machine) { m.baton = 0 },
+		"takes no token": {func(_ *term, m *machine) { m.token = 0 },
 			func(k wire.Token) []*wire.Report {
 				return []*wire.Report{said(1, 11, 0), said(1, 12, 0), said(1, 13, 0)}
 			}, true},
@@ -70,7 +70,7 @@
 				tm.tell(rep)
 				time.Sleep(time.Second)
 			}
-			if deaf := !m.hearing.deaf.IsZero(); deaf != c.deaf || deaf && tm.usable(m, time.Now()) {
+			if deaf := !m.inbound.unreachableSince.IsZero(); deaf != c.deaf || deaf && tm.usable(m, time.Now()) {
 				t.Errorf("%s: deaf %v, usable %v", name, deaf, tm.usable(m, time.Now()))
 			}
 			for n := wire.Sequence(20); n < 30; n++ {
@@ -91,7 +91,7 @@
 	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		away(tm)
 		tm.tell(said(1, 20, tm.token))
-		if r := tm.tell(said(1, 19, tm.token)); r.orders == nil || len(r.orders.Commands) > 0 {
+		if r := tm.tell(said(1, 19, tm.token)); r.commands == nil || len(r.commands.Commands) > 0 {
 			t.Errorf("a report that crossed a newer one: %+v", r)
 		}
 		time.Sleep(10 * time.Second)
@@ -102,11 +102,11 @@
 				t.Errorf("copy %d/%d answered %+v", rep.Session, rep.Sequence, r)
 			}
 		}
-		if m.seenAt != before.seenAt || m.answered != before.answered || m.tally != before.tally {
+		if m.seenAt != before.seenAt || m.answeredAt != before.answeredAt || m.sequence != before.sequence {
 			t.Error("late copies make a silent machine seem alive")
 		}
 		// Two copies at a time cost one question to the machine itself.
-		if !m.busy || m.verified != time.Now() {
+		if !m.commandInFlight || m.verifiedAt != time.Now() {
 			t.Error("the machine was not asked which it is")
 		}
 		tm.gone["n-9"] = time.Now()
@@ -135,7 +135,7 @@
 		zone := map[wire.Zone][]*machine{}
 		for i := range 26 {
 			x := tm.machine(wire.MachineID(fmt.Sprint("n-", 100+i)))
-			x.baton, x.upAt, x.seenAt, x.answered, x.zone = tm.token, time.Now(), time.Now(), time.Now(), "b"
+			x.token, x.upAt, x.seenAt, x.answeredAt, x.zone = tm.token, time.Now(), time.Now(), time.Now(), "b"
 			if i < 10 {
 				x.zone = "a"
 			}
@@ -160,7 +160,7 @@
 					if x.zone == "b" && x != zone["b"][0] {
 						x.seenAt = time.Now()
 					} else {
-						x.probes, x.lostToPeer = 2, true
+						x.unansweredProbes, x.peerUnanswered = 2, true
 					}
 				}
 				tm.watchMachines(time.Now())
--- a/internal/leader/images.go
+++ b/internal/leader/images.go
@@ -9,30 +9,30 @@
 // imageCache is what the reports imply of a machine's images: an image is
 // there once a task of it got past its fetch, until later ones push it out.
 type imageCache struct {
-	has map[wire.ImageID]image
+	images map[wire.ImageID]cachedImage
 }
 
-type image struct {
-	gb float64
-	at time.Time
+type cachedImage struct {
+	sizeGB float64
+	usedAt time.Time
 }
 
 func (c *imageCache) touch(id wire.ImageID, gb, room float64, now time.Time) {
-	if c.has == nil {
-		c.has = map[wire.ImageID]image{}
+	if c.images == nil {
+		c.images = map[wire.ImageID]cachedImage{}
 	}
-	c.has[id] = image{gb, now}
+	c.images[id] = cachedImage{gb, now}
 	for room > 0 {
 		sum, oldest := 0.0, id
-		for k, i := range c.has {
-			sum += i.gb
-			if i.at.Before(c.has[oldest].at) {
+		for k, i := range c.images {
+			sum += i.sizeGB
+			if i.usedAt.Before(c.images[oldest].usedAt) {
 				oldest = k
 			}
 		}
 		if sum <= room || oldest == id {
 			return
 		}
-		delete(c.has, oldest)
+		delete(c.images, oldest)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// Hello handles a worker's report.
-func (l *Leader) Hello(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// Report handles a worker's report.
+func (l *Leader) Report(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
 		w.Header().Set("Connection", "close")
@@ -234,26 +234,26 @@
 
 // serve has the term's loop answer a report.
 func (l *Leader) serve(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Report, relayed bool) {
-	ask := hello{rep: rep, relayed: relayed, reply: make(chan reply, 1)}
+	ask := reportCall{report: rep, relayed: relayed, reply: make(chan reportAnswer, 1)}
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	select {
-	case t.hellos <- ask:
+	case t.reportCalls <- ask:
 	case <-t.over:
 	case <-ctx.Done():
 	}
 	select {
 	case a := <-ask.reply:
 		switch {
-		case a.here:
+		case a.redirect:
 			l.Metrics.Report("sent here")
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
-		case a.orders == nil:
+		case a.commands == nil:
 			l.Metrics.Report("refused")
 			wire.Refuse(w, http.StatusServiceUnavailable, a.refused, 1)
 		default:
 			l.Metrics.Report("ok")
-			wire.Answer(w, http.StatusOK, a.orders)
+			wire.Answer(w, http.StatusOK, a.commands)
 		}
 	case <-t.over:
 		wire.Refuse(w, http.StatusServiceUnavailable, "no longer leads", 1)
@@ -279,8 +279,8 @@
 	return true
 }
 
-// Relayed handles a report that another node passes on.
-func (l *Leader) Relayed(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// RelayReport handles a report that another node passes on.
+func (l *Leader) RelayReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	var rep wire.Report
 	if err != nil || wire.Decode(raw, &rep) != nil || rep.Machine == "" {
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -19,8 +19,8 @@
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := latest(latest(m.answered, m.tokenAt), latest(m.shiftAt, t.delegatesAnsweredUntil))
-	if m.baton < t.firstToken {
+	last := latest(latest(m.answeredAt, m.tokenShownAt), latest(m.sessionSince, t.delegatesAnsweredUntil))
+	if m.token < t.firstToken {
 		last = latest(last, t.othersUntil())
 	}
 	if now.Sub(last) < life {
@@ -35,7 +35,7 @@
 		if a.launchInFlight {
 			continue
 		}
-		t.log().Info("lease of a silent machine has run out", "task", a.task(), "try", a.number, "machine", m.id)
+		t.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
 		t.l.Metrics.Moved("lease ran out")
 		t.drop(a, taskPending)
 	}
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -30,18 +30,18 @@
 		if m.relayed {
 			relayed++
 		}
-		if !m.hearing.deaf.IsZero() {
+		if !m.inbound.unreachableSince.IsZero() {
 			deaf++
 		}
-		if t.mute(m, now) {
+		if t.outboundLost(m, now) {
 			mute++
 		}
 		zoneUp[m.zone]++
 		if t.silence(m, now) > silentAfter {
 			silent++
 		}
-		if t.serves(m) {
-			if serving++; t.silence(m, now) > askServing+2*probeTimeout {
+		if t.holdsReplicas(m) {
+			if serving++; t.silence(m, now) > servingSilence+2*probeTimeout {
 				quietServing++
 			}
 		}
@@ -67,11 +67,11 @@
 	lease := t.settings.Workers.LeaseS.Duration()
 	t.delegatesAnsweredUntil = t.anyDelegateAnswersUntil(now)
 	for z, n := range zoneUp {
-		if z != "" && !cutOff && t.hushed(z, n, zoneLost[z], up, now) {
-			if !t.wasCut(z, now) {
-				t.log().Info("zone seems cut off", "zone", z, "silent", zoneLost[z], "of", n)
+		if z != "" && !cutOff && t.zoneSilent(z, n, zoneLost[z], up, now) {
+			if !t.latelyPartitioned(z, now) {
+				t.log().Info("zone partitioned", "zone", z, "silent", zoneLost[z], "of", n)
 			}
-			t.cutAt[z] = now
+			t.partitionedAt[z] = now
 		}
 	}
 	// A machine with replicas is not left alone for as long as reports may take:
@@ -80,9 +80,9 @@
 	fewQuiet := quietServing <= max(3, serving/4)
 	for _, m := range t.machines {
 		// Where the cut is over the machines need a while to be heard again.
-		cut := t.wasCut(m.zone, now)
+		cut := t.latelyPartitioned(m.zone, now)
 		quiet := t.silence(m, now)
-		if t.isCut(m.zone, now) && !cutOff && t.movable(m, now) {
+		if t.partitioned(m.zone, now) && !cutOff && t.replicasMovable(m, now) {
 			// Its replicas end with its lease, and nothing tells just when. The
 			// cloud can end them for sure, and they are started elsewhere. If
 			// the cloud is away too, its lease is waited out below.
@@ -90,19 +90,19 @@
 		}
 		// Before the first list nothing is known of a machine that an earlier
 		// leader used and that has not reported, not even its zone.
-		unknown := m.zone == "" && !t.listed
+		unknown := m.zone == "" && !t.listReceived
 		ask, gone := silentAfter, lostAfter
-		if t.serves(m) {
-			if ask = min(ask, askServing); fewQuiet {
+		if t.holdsReplicas(m) {
+			if ask = min(ask, servingSilence); fewQuiet {
 				gone = min(gone, ask+3*probeTimeout)
 			}
 		}
 		kept := cutOff || cut && quiet < max(lease*5/2, t.settings.Workers.CancelS.Duration()*2)
 		t.watchMachine(m, now, ask, gone, kept && !t.unlisted(m) || unknown)
 		if deaf <= max(3, up/4) {
-			t.watchHearing(m, now)
+			t.watchInbound(m, now)
 		}
-		t.watchMute(m, now, mute <= max(3, up/4))
+		t.watchOutbound(m, now, mute <= max(3, up/4))
 	}
 	if !t.deciding() || !t.recovered {
 		return
@@ -123,7 +123,7 @@
 	}
 	if m.booting {
 		ready := 30 * time.Second
-		if f := t.flavor(m.kit); f != nil {
+		if f := t.machineSpec(m.machineType); f != nil {
 			ready = f.BootTime.Duration()
 		}
 		if now.Sub(m.rentedAt) > ready*11/4+5*time.Second && t.deciding() {
@@ -148,20 +148,20 @@
 		return
 	}
 	quiet := t.silence(m, now)
-	if quiet > silentAfter && m.probes < 4 && !m.busy && !(m.probes > 0 && t.behindCut(m, now)) {
+	if quiet > silentAfter && m.unansweredProbes < 4 && !m.commandInFlight && !(m.unansweredProbes > 0 && t.behindPartition(m, now)) {
 		t.probe(m)
 	}
-	gone := !m.notice.IsZero() && now.After(m.notice.Add(time.Second)) && quiet > report(t)+time.Second
+	gone := !m.takenBackAt.IsZero() && now.After(m.takenBackAt.Add(time.Second)) && quiet > reportInterval(t)+time.Second
 	// A machine that an earlier leader used, that is in no list and says
 	// nothing has no address to probe; it is as lost as one that was probed.
-	late := report(t)*13/4 + 2*time.Second
-	if (quiet > lostAfter && m.probes > 1 && m.lostToPeer || quiet > late && (m.probes > 0 || m.addr == "") || gone) && !cutOff {
+	late := reportInterval(t)*13/4 + 2*time.Second
+	if (quiet > lostAfter && m.unansweredProbes > 1 && m.peerUnanswered || quiet > late && (m.unansweredProbes > 0 || m.addr == "") || gone) && !cutOff {
 		t.release(m, "silent")
 		return
 	}
 	t.expire(m, now)
-	if m.drain != "" && len(m.tasks) == 0 && len(m.strays) == 0 && t.allStored(m) {
-		t.release(m, m.drain)
+	if m.drainReason != "" && len(m.tasks) == 0 && len(m.orphans) == 0 && t.allStored(m) {
+		t.release(m, m.drainReason)
 		return
 	}
 	for _, a := range m.tasks {
@@ -169,13 +169,13 @@
 			continue
 		}
 		spec := &a.job.spec
-		if !m.notice.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.notice.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
+		if !m.takenBackAt.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.takenBackAt.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
 			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), "saves before its machine is taken")
 		}
-		if !m.notice.IsZero() && spec.Service() && !a.halting {
+		if !m.takenBackAt.IsZero() && spec.Service() && !a.halting {
 			t.halt(a, 0, "its machine is taken")
 		}
-		if a.launchUnanswered && !a.reported && (a.halting || m.drain != "") && now.Sub(a.decidedAt) > 6*time.Second {
+		if a.launchUnanswered && !a.reported && (a.halting || m.drainReason != "") && now.Sub(a.decidedAt) > 6*time.Second {
 			t.raiseWanted = true
 		}
 	}
@@ -192,24 +192,24 @@
 // most machines had vanished at once it looked like a cut of this node for as long
 // as no more were rented than that, and none of them was ever asked for.)
 func (t *term) unlisted(m *machine) bool {
-	return t.listAt.Sub(m.listed) > 2*t.settings.Cloud.ListLagS.Duration()+10*time.Second
+	return t.listAskedAt.Sub(m.listedAt) > 2*t.settings.Cloud.ListLagS.Duration()+10*time.Second
 }
 
-// askServing is how long a machine with replicas may be silent before it is
+// servingSilence is how long a machine with replicas may be silent before it is
 // asked itself, where reports come more rarely than that.
-const askServing = 4 * time.Second
+const servingSilence = 4 * time.Second
 
-func report(t *term) time.Duration { return t.settings.Workers.ReportS.Duration() }
+func reportInterval(t *term) time.Duration { return t.settings.Workers.ReportS.Duration() }
 
-// movable tells whether a machine in a zone that is cut off holds replicas that
+// replicasMovable tells whether a machine in a zone that is cut off holds replicas that
 // could be started elsewhere before long: their leases end about now, as no
 // controller in the zone can stand in any more, and other zones may have all
 // that their service runs in this one. (With two zones a service that is spread
 // has nowhere to go; to end its replicas early would gain nothing.)
-func (t *term) movable(m *machine, now time.Time) bool {
+func (t *term) replicasMovable(m *machine, now time.Time) bool {
 	answered := m.seenAt
 	if lost := t.zoneSilentSince(m.zone); !lost.IsZero() {
-		answered = latest(answered, lost.Add(t.l.delegationTime-report(t)*5/4))
+		answered = latest(answered, lost.Add(t.l.delegationTime-reportInterval(t)*5/4))
 	} else if answered.IsZero() {
 		answered = t.startedAt
 	}
@@ -225,7 +225,7 @@
 		}
 		held, room := a.job.zones(), 0
 		for _, z := range t.zones() {
-			if z != m.zone && !t.wasCut(z, now) {
+			if z != m.zone && !t.latelyPartitioned(z, now) {
 				room += a.job.spec.ZoneCap() - held[z]
 			}
 		}
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -14,19 +14,19 @@
 
 // probe asks a worker for its report and shows it our token.
 func (t *term) probe(m *machine) {
-	if m.busy || m.addr == "" {
+	if m.commandInFlight || m.addr == "" {
 		return
 	}
-	shift := max(m.shift, 1)
-	m.busy = true
-	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Session: shift}, position{m.shift, m.tally}
+	session := max(m.session, 1)
+	m.commandInFlight = true
+	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Session: session}, position{m.session, m.sequence}
 	ask := func() (*wire.Report, int, error) { return t.l.post(t.ctx, addr, cmd, probeTimeout) }
 	// What doesn't answer this node is asked once more through another one: it
 	// may be only the way from here that is cut.
-	helper := wire.NodeID("")
-	if m.probes > 0 {
-		if helper = t.l.helper(time.Now()); helper != "" {
-			ask = func() (*wire.Report, int, error) { return t.l.askVia(t.ctx, helper, addr, cmd) }
+	relay := wire.NodeID("")
+	if m.unansweredProbes > 0 {
+		if relay = t.l.linkedNode(time.Now()); relay != "" {
+			ask = func() (*wire.Report, int, error) { return t.l.probeVia(t.ctx, relay, addr, cmd) }
 		}
 	}
 	go func() {
@@ -37,20 +37,20 @@
 			rep, status, err = ask()
 		}
 		t.post(func() {
-			t.commanded(m, asked, cmd, nil, rep, status, err)
-			m.lostToPeer = err != nil && helper != ""
+			t.onCommandAnswer(m, asked, cmd, nil, rep, status, err)
+			m.peerUnanswered = err != nil && relay != ""
 		})
 	}()
 }
 
-// question is one that another node passes on to a worker.
-type question struct {
-	Addr   string        `cbor:"addr"`
-	Orders wire.Commands `cbor:"orders"`
+// relayedProbe is one that another node passes on to a worker.
+type relayedProbe struct {
+	Addr     string        `cbor:"addr"`
+	Commands wire.Commands `cbor:"orders"`
 }
 
-// helper is some other node that is linked to this one.
-func (l *Leader) helper(now time.Time) wire.NodeID {
+// linkedNode is some other node that is linked to this one.
+func (l *Leader) linkedNode(now time.Time) wire.NodeID {
 	var near []wire.NodeID
 	for id, o := range l.Mesh.View().Others {
 		if o.Near(now) {
@@ -63,9 +63,9 @@
 	return near[rand.IntN(len(near))]
 }
 
-// askVia asks a worker for its report through another node.
-func (l *Leader) askVia(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Report, int, error) {
-	status, raw, err := l.Mesh.Relay(ctx, node, "/peer/ask", question{addr, cmd})
+// probeVia asks a worker for its report through another node.
+func (l *Leader) probeVia(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Report, int, error) {
+	status, raw, err := l.Mesh.Relay(ctx, node, "/peer/ask", relayedProbe{addr, cmd})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -76,16 +76,16 @@
 	return &rep, status, nil
 }
 
-// Ask handles a leader's question to a worker that the leader can't reach.
+// RelayProbe handles a leader's question to a worker that the leader can't reach.
 // It passes on no launches: those the leader keeps account of itself.
-func (l *Leader) Ask(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (l *Leader) RelayProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	var a question
-	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Orders.Commands) > 0 {
+	var a relayedProbe
+	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Commands.Commands) > 0 {
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a question to a worker"})
 		return
 	}
-	rep, status, err := l.post(r.Context(), a.Addr, a.Orders, probeTimeout)
+	rep, status, err := l.post(r.Context(), a.Addr, a.Commands, probeTimeout)
 	if err != nil {
 		wire.Refuse(w, http.StatusBadGateway, "worker not reached", 1)
 		return
@@ -93,27 +93,27 @@
 	wire.Answer(w, status, rep)
 }
 
-// probesMost is how many machines are asked directly in a tenth of a second.
+// maxProbesPerTick is how many machines are asked directly in a tenth of a second.
 // All at once, those of a large deployment would hold up the renewals and the
 // reports behind them.
-const probesMost = 25
+const maxProbesPerTick = 25
 
-// probeSome shows our token to the machines that have not seen it and whose
+// showToken shows our token to the machines that have not seen it and whose
 // address is known, so that a new leader's report round takes a moment and
 // not a report's interval.
-func (t *term) probeSome() {
-	if t.probed || !t.recovered || !t.deciding() {
+func (t *term) showToken() {
+	if t.tokenShown || !t.recovered || !t.deciding() {
 		return
 	}
 	n := 0
 	for _, m := range t.machines {
-		if m.booting || m.baton >= t.firstToken || m.busy || m.addr == "" || m.probes > 0 {
+		if m.booting || m.token >= t.firstToken || m.commandInFlight || m.addr == "" || m.unansweredProbes > 0 {
 			continue
 		}
-		if n++; n > probesMost {
+		if n++; n > maxProbesPerTick {
 			return
 		}
 		t.probe(m)
 	}
-	t.probed = n == 0 && t.listed
+	t.tokenShown = n == 0 && t.listReceived
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -7,49 +7,50 @@
 	"lilaclead/internal/wire"
 )
 
-// hearing tells whether a machine whose reports come in hears us. Answers and
+// inboundPath is what is known of the way from this node to a machine whose
+// reports come in. Answers and
 // commands may be lost on their way while reports arrive: such a machine
 // looks alive, but starts nothing, and its lease runs out.
-type hearing struct {
+type inboundPath struct {
 	// The last answer to a report of it: the token in it, and the report's
 	// place in the machine's life.
-	told  wire.Token
-	shift wire.Session
-	tally wire.Sequence
+	answeredToken    wire.Token
+	answeredSession  wire.Session
+	answeredSequence wire.Sequence
 
-	ignored int       // answers in a row that it seems not to have had
-	fails   int       // direct commands in a row that were not answered
-	deaf    time.Time // since when it is taken not to hear us; zero: it does
+	ignoredAnswers     int       // answers in a row that it seems not to have had
+	unansweredCommands int       // direct commands in a row that were not answered
+	unreachableSince   time.Time // since when nothing of ours is taken to arrive; zero: it does
 }
 
-// listen compares a report with what the machine was told in the answer to
+// checkInbound compares a report with what the machine was told in the answer to
 // an earlier one.
-func (t *term) listen(m *machine, rep *wire.Report, now time.Time) {
-	h := &m.hearing
+func (t *term) checkInbound(m *machine, rep *wire.Report, now time.Time) {
+	h := &m.inbound
 	switch {
-	case rep.Token > m.baton && m.baton > 0:
-		t.hears(m)
+	case rep.Token > m.token && m.token > 0:
+		t.inboundWorks(m)
 		return
-	case h.tally == 0:
+	case h.answeredSequence == 0:
 		return
-	case rep.Session > h.shift && now.Sub(m.answered) < t.settings.Workers.LeaseS.Duration()/2:
-		h.ignored += 2 // its lease ran out although its reports were answered
-	case rep.Session != h.shift || rep.Sequence <= h.tally:
+	case rep.Session > h.answeredSession && now.Sub(m.answeredAt) < t.settings.Workers.LeaseS.Duration()/2:
+		h.ignoredAnswers += 2 // its lease ran out although its reports were answered
+	case rep.Session != h.answeredSession || rep.Sequence <= h.answeredSequence:
 		return
-	case rep.Token < h.told || t.unheard(m, rep):
-		h.ignored++
+	case rep.Token < h.answeredToken || t.missesLaunch(m, rep):
+		h.ignoredAnswers++
 	default:
 		return
 	}
-	if h.deaf.IsZero() && (h.ignored >= 2 || h.fails > 0) {
-		h.deaf = now
-		t.log().Info("machine reports but does not hear", "machine", m.id, "tasks", len(m.tasks))
+	if h.unreachableSince.IsZero() && (h.ignoredAnswers >= 2 || h.unansweredCommands > 0) {
+		h.unreachableSince = now
+		t.log().Info("machine reports but receives nothing", "machine", m.id, "tasks", len(m.tasks))
 	}
 }
 
-// unheard tells whether an earlier answer carried a launch that the machine
+// missesLaunch tells whether an earlier answer carried a launch that the machine
 // should know of by now.
-func (t *term) unheard(m *machine, rep *wire.Report) bool {
+func (t *term) missesLaunch(m *machine, rep *wire.Report) bool {
 	for task, a := range m.tasks {
 		if a.reported || a.answerSequence == 0 || a.answerSession != rep.Session || rep.Sequence <= a.answerSequence {
 			continue
@@ -62,63 +63,63 @@
 	return false
 }
 
-// hears notes that something of ours has reached the machine.
-func (t *term) hears(m *machine) {
-	if !m.hearing.deaf.IsZero() {
-		t.log().Info("machine hears again", "machine", m.id)
+// inboundWorks notes that something of ours has reached the machine.
+func (t *term) inboundWorks(m *machine) {
+	if !m.inbound.unreachableSince.IsZero() {
+		t.log().Info("machine receives again", "machine", m.id)
 		t.requestRound()
 	}
-	m.hearing.ignored, m.hearing.fails, m.hearing.deaf = 0, 0, time.Time{}
+	m.inbound.ignoredAnswers, m.inbound.unansweredCommands, m.inbound.unreachableSince = 0, 0, time.Time{}
 }
 
-// watchHearing returns a machine that reports but does not hear: at once when
+// watchInbound returns a machine that reports but receives nothing: at once when
 // something on it waits for a proof that it can't give, else when its lease
-// must have run out. When many seem deaf it is rather this node that is slow.
-func (t *term) watchHearing(m *machine, now time.Time) {
-	if m.hearing.deaf.IsZero() || m.releasing || !t.deciding() || !t.recovered {
+// must have run out. When many seem so it is rather this node that is slow.
+func (t *term) watchInbound(m *machine, now time.Time) {
+	if m.inbound.unreachableSince.IsZero() || m.releasing || !t.deciding() || !t.recovered {
 		return
 	}
-	if now.Sub(m.verified) > 2*time.Second {
-		m.verified = now
+	if now.Sub(m.verifiedAt) > 2*time.Second {
+		m.verifiedAt = now
 		t.probe(m)
 	}
 	stuck := false
 	for _, a := range m.tasks {
 		stuck = stuck || !a.planned && (!a.reported || a.halting)
 	}
-	since := now.Sub(m.hearing.deaf)
-	if stuck && since > report(t)/2+2*time.Second && m.hearing.fails > 0 || since > t.settings.Workers.LeaseS.Duration() {
-		t.release(m, "does not hear")
+	since := now.Sub(m.inbound.unreachableSince)
+	if stuck && since > reportInterval(t)/2+2*time.Second && m.inbound.unansweredCommands > 0 || since > t.settings.Workers.LeaseS.Duration() {
+		t.release(m, "receives nothing")
 	}
 }
 
-// muteFor is how long a machine has answered direct commands while no report
+// reportsMissingFor is how long a machine has answered direct commands while no report
 // of it came, neither here nor through another node, nor to one that may stand
 // in.
-func (t *term) muteFor(m *machine, now time.Time) time.Duration {
-	if m.muteAt.IsZero() {
+func (t *term) reportsMissingFor(m *machine, now time.Time) time.Duration {
+	if m.reportsMissingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(latest(m.muteAt, latest(t.stateBackAt, t.delegatesAnsweredUntil)))
+	return now.Sub(latest(m.reportsMissingSince, latest(t.stateBackAt, t.delegatesAnsweredUntil)))
 }
 
-// mute tells whether a machine looks alive but can't reach any controller: its
+// outboundLost tells whether a machine looks alive but can't reach any controller: its
 // lease runs out again and again, with all that is started there. It takes
 // nothing new, and its room is not counted on. (Tasks longer than a lease were
 // once started on such machines for ever and never completed.)
-func (t *term) mute(m *machine, now time.Time) bool {
-	return t.muteFor(m, now) > max(t.settings.Workers.LeaseS.Duration()/2, 2*report(t))
+func (t *term) outboundLost(m *machine, now time.Time) bool {
+	return t.reportsMissingFor(m, now) > max(t.settings.Workers.LeaseS.Duration()/2, 2*reportInterval(t))
 }
 
-// watchMute returns a mute machine when its lease must have run out, so that
+// watchOutbound returns a machine whose reports are lost when its lease must have run out, so that
 // nothing is lost by it, or much later when they are many: then it is rather
 // the way from them, which will be back.
-func (t *term) watchMute(m *machine, now time.Time, few bool) {
+func (t *term) watchOutbound(m *machine, now time.Time, few bool) {
 	lease := t.settings.Workers.LeaseS.Duration()
-	if m.releasing || !t.recovered || t.muteFor(m, now) <= lease*5/4 {
+	if m.releasing || !t.recovered || t.reportsMissingFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || t.muteFor(m, now) > max(lease*5/2, t.settings.Workers.CancelS.Duration()*2) {
+	if few || t.reportsMissingFor(m, now) > max(lease*5/2, t.settings.Workers.CancelS.Duration()*2) {
 		t.release(m, "its reports don't arrive")
 	}
 }
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -14,10 +14,10 @@
 		return
 	}
 	m.releasing = true
-	if m.drain == "" {
-		m.drain = why
+	if m.drainReason == "" {
+		m.drainReason = why
 	}
-	t.log().Info("releases", "machine", m.id, "kit", m.kit, "zone", m.zone, "spot", m.spot, "why", why, "tasks", len(m.tasks), "age", time.Since(m.rentedAt))
+	t.log().Info("releases", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", why, "tasks", len(m.tasks), "age", time.Since(m.rentedAt))
 	t.l.Metrics.Fleet("released", 1)
 	t.fleet.toRelease = append(t.fleet.toRelease, m)
 	t.sendReleases()
@@ -26,12 +26,12 @@
 // sendReleases has one release request under way at a time; what comes
 // meanwhile shares the next one.
 func (t *term) sendReleases() {
-	if t.fleet.releases || len(t.fleet.toRelease) == 0 {
+	if t.fleet.releasing || len(t.fleet.toRelease) == 0 {
 		return
 	}
 	n := min(len(t.fleet.toRelease), maxRelease)
 	ms := t.fleet.toRelease[:n:n]
-	t.fleet.toRelease, t.fleet.releases = t.fleet.toRelease[n:], true
+	t.fleet.toRelease, t.fleet.releasing = t.fleet.toRelease[n:], true
 	ids := make([]wire.MachineID, n)
 	for i, m := range ms {
 		ids[i] = m.id
@@ -43,9 +43,9 @@
 			if err == nil {
 				t.post(func() {
 					for _, m := range ms {
-						t.wasReleased(m)
+						t.onReleased(m)
 					}
-					t.fleet.releases = false
+					t.fleet.releasing = false
 					t.sendReleases()
 				})
 				return
@@ -60,7 +60,7 @@
 	}()
 }
 
-func (t *term) wasReleased(m *machine) {
+func (t *term) onReleased(m *machine) {
 	t.gone[m.id] = time.Now()
 	for _, a := range m.tasks {
 		t.l.Metrics.Moved("machine gone")
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -16,23 +16,23 @@
 	// maxBooking and maxRelease are the cloud's bounds for one request.
 	maxBooking = 50
 	maxRelease = 100
-	// offerRoom is what one plan asks of an offer at most: two bookings.
-	offerRoom = 2 * maxBooking
-	// maxRents bounds one plan's rentals: some seconds' worth of calls.
-	maxRents = 8 * maxBooking
+	// maxOffer is what one plan asks of an offer at most: two bookings.
+	maxOffer = 2 * maxBooking
+	// maxRentsPerPlan bounds one plan's rentals: some seconds' worth of calls.
+	maxRentsPerPlan = 8 * maxBooking
 )
 
 // offerID names what can be rented.
 type offerID struct {
-	kit  wire.MachineType
-	zone wire.Zone
-	spot bool
+	machineType wire.MachineType
+	zone        wire.Zone
+	spot        bool
 }
 
 // backoff of one offer after it was refused.
 type backoff struct {
 	until time.Time
-	wait  time.Duration
+	delay time.Duration
 }
 
 // booking that is not yet answered.
@@ -41,19 +41,19 @@
 	since time.Time
 }
 
-type fleetState struct {
-	offers    map[offerID]*backoff
-	bookings  map[string]*booking
-	seq       int
-	cloudDown time.Time // no plans before
-	downWait  time.Duration
-	orphans   []wire.Guard
-	toRelease []*machine // not yet asked for
-	releases  bool       // a request to release is under way
-	backlog   float64    // seconds in which the room there is would do what waits
+type rentals struct {
+	offers      map[offerID]*backoff
+	bookings    map[string]*booking
+	sequence    int
+	pausedUntil time.Time // no plans before
+	pause       time.Duration
+	orphans     []wire.Guard
+	toRelease   []*machine // not yet asked for
+	releasing   bool       // a request to release is under way
+	backlogS    float64    // seconds in which the room there is would do what waits
 }
 
-func (f *fleetState) init() {
+func (f *rentals) init() {
 	f.offers = map[offerID]*backoff{}
 	f.bookings = map[string]*booking{}
 }
@@ -63,14 +63,14 @@
 	for _, f := range flavors {
 		for _, z := range f.Zones {
 			for _, spot := range []bool{false, true} {
-				if b := t.fleet.offers[offerID{f.Name, z, spot}]; b != nil && now.Before(b.until) || t.isCut(z, now) {
+				if b := t.fleet.offers[offerID{f.Name, z, spot}]; b != nil && now.Before(b.until) || t.partitioned(z, now) {
 					continue // refused, or not to be heard of for now
 				}
 				if t.booked(offerID{f.Name, z, spot}) {
 					continue // one unresolved booking for each
 				}
 				out = append(out, fleet.Offer{Kit: f.Name, Zone: z, Spot: spot, Total: placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB},
-					Price: f.Price(spot), PullRate: f.FetchGBPerS, Room: offerRoom})
+					Price: f.Price(spot), PullRate: f.FetchGBPerS, Room: maxOffer})
 			}
 		}
 	}
@@ -89,10 +89,10 @@
 // rent books machines and keeps asking under the same name until the cloud
 // has answered.
 func (t *term) rent(r fleet.Rent) {
-	t.fleet.seq++
-	b := &booking{RentalRequest: wire.RentalRequest{Name: fmt.Sprintf("b-%d-%d", t.firstToken, t.fleet.seq), Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, since: time.Now()}
+	t.fleet.sequence++
+	b := &booking{RentalRequest: wire.RentalRequest{Name: fmt.Sprintf("b-%d-%d", t.firstToken, t.fleet.sequence), Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, since: time.Now()}
 	t.fleet.bookings[b.Name] = b
-	t.log().Info("rents", "kit", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
+	t.log().Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	go func() {
 		wait := 400 * time.Millisecond
 		unsure := false
@@ -102,7 +102,7 @@
 			// what was rented; a refusal of the repeat tells nothing.
 			unsure = unsure || err != nil && !errors.Is(err, cloud.ErrBusy) && !errors.Is(err, cloud.ErrNoCapacity) && !errors.Is(err, cloud.ErrInvalid)
 			if err == nil || !unsure || errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalid) {
-				t.post(func() { t.rented(b, hosts, err) })
+				t.post(func() { t.onBookingAnswer(b, hosts, err) })
 				return
 			}
 			select {
@@ -114,7 +114,7 @@
 	}()
 }
 
-func (t *term) rented(b *booking, hosts []wire.MachineID, err error) {
+func (t *term) onBookingAnswer(b *booking, hosts []wire.MachineID, err error) {
 	now := time.Now()
 	delete(t.fleet.bookings, b.Name)
 	id := offerID{b.Type, b.Zone, b.Spot}
@@ -126,34 +126,34 @@
 	switch {
 	case err == nil:
 		t.l.Metrics.Fleet("rented", len(hosts))
-		t.fleet.downWait = 0
+		t.fleet.pause = 0
 		for _, h := range hosts {
 			if _, gone := t.gone[h]; gone {
 				continue
 			}
 			m := t.machine(h)
 			if m.upAt.IsZero() {
-				m.kit, m.zone, m.spot, m.booting, m.rentedAt = b.Type, b.Zone, b.Spot, true, b.since
+				m.machineType, m.zone, m.spot, m.booting, m.rentedAt = b.Type, b.Zone, b.Spot, true, b.since
 			}
 		}
 		if len(hosts) < b.Count {
-			o.wait = 8 * time.Second
-			o.until = now.Add(o.wait)
+			o.delay = 8 * time.Second
+			o.until = now.Add(o.delay)
 			t.log().Info("booking only partly filled", "booking", b.Name, "got", len(hosts), "of", b.Count)
 		} else {
-			o.wait = 0
+			o.delay = 0
 		}
 	case errors.Is(err, cloud.ErrNoCapacity), errors.Is(err, cloud.ErrInvalid):
-		o.wait = min(max(5*time.Second, o.wait*2), 40*time.Second)
-		o.until = now.Add(o.wait + rand.N(o.wait/4))
-		t.log().Info("no capacity", "kit", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", o.wait, "err", err)
-	case now.Before(t.fleet.cloudDown):
+		o.delay = min(max(5*time.Second, o.delay*2), 40*time.Second)
+		o.until = now.Add(o.delay + rand.N(o.delay/4))
+		t.log().Info("no capacity", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", o.delay, "err", err)
+	case now.Before(t.fleet.pausedUntil):
 		// Asked beside one that was refused before: the same trouble. (The
 		// bookings of one plan once made each other wait for ten seconds.)
 	default:
 		// Busy or down: certainly not rented; the want is judged anew later.
-		t.fleet.downWait = min(max(500*time.Millisecond, t.fleet.downWait*2), 5*time.Second)
-		t.fleet.cloudDown = now.Add(t.fleet.downWait + rand.N(t.fleet.downWait))
-		t.log().Info("cloud busy or down", "again_in", t.fleet.downWait, "err", err)
+		t.fleet.pause = min(max(500*time.Millisecond, t.fleet.pause*2), 5*time.Second)
+		t.fleet.pausedUntil = now.Add(t.fleet.pause + rand.N(t.fleet.pause))
+		t.log().Info("cloud busy or down", "again_in", t.fleet.pause, "err", err)
 	}
 }
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -7,145 +7,145 @@
 )
 
 // onHello answers a report.
-func (t *term) onHello(h hello) {
+func (t *term) onReport(h reportCall) {
 	now := time.Now()
 	if !t.answering() {
-		h.reply <- reply{refused: "can't tell whether this node still leads"}
+		h.reply <- reportAnswer{refused: "can't tell whether this node still leads"}
 		return
 	}
 	if !t.l.mayRenewLeases(now) {
-		h.reply <- reply{refused: "can't tell what was cancelled"}
+		h.reply <- reportAnswer{refused: "can't tell what was cancelled"}
 		return
 	}
-	o := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(&h.rep)}
-	if _, gone := t.gone[h.rep.Machine]; gone {
+	o := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(&h.report)}
+	if _, gone := t.gone[h.report.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
-		h.reply <- reply{refused: "this machine was returned"}
+		h.reply <- reportAnswer{refused: "this machine was returned"}
 		return
 	}
 	if !t.recovered {
-		if e, ok := t.earlyReports[h.rep.Machine]; !ok || h.rep.Newer(e.Session, e.Sequence) {
-			t.earlyReports[h.rep.Machine] = h.rep
+		if e, ok := t.earlyReports[h.report.Machine]; !ok || h.report.Newer(e.Session, e.Sequence) {
+			t.earlyReports[h.report.Machine] = h.report
 		}
-		m := t.machine(h.rep.Machine)
-		m.seenAt, m.answered = now, now
-		h.reply <- reply{orders: o}
+		m := t.machine(h.report.Machine)
+		m.seenAt, m.answeredAt = now, now
+		h.reply <- reportAnswer{commands: o}
 		return
 	}
-	m := t.machine(h.rep.Machine)
-	if !h.rep.Newer(m.shift, m.tally) {
-		h.reply <- t.older(m, &h.rep, o, now)
+	m := t.machine(h.report.Machine)
+	if !h.report.Newer(m.session, m.sequence) {
+		h.reply <- t.onStaleReport(m, &h.report, o, now)
 		return
 	}
 	if h.relayed {
 		// A worker that is new, or new to this leader, is sent here first. If
 		// it was here before, or was sent here and turns up elsewhere again,
 		// it can't reach this node.
-		first := m.directAt.IsZero() && m.sentAt.IsZero()
-		m.sentAt = now
+		first := m.directReportAt.IsZero() && m.relayedReportAt.IsZero()
+		m.relayedReportAt = now
 		if first {
-			h.reply <- reply{here: true}
+			h.reply <- reportAnswer{redirect: true}
 			return
 		}
 		if !m.relayed {
 			t.log().Info("worker reaches the leader only through another node", "machine", m.id)
 		}
 	} else {
-		m.directAt = now
+		m.directReportAt = now
 	}
 	m.relayed = h.relayed
-	t.listen(m, &h.rep, now)
-	t.apply(m, &h.rep, true, now)
-	if t.renewalWithheld(m, &h.rep, now) {
-		h.reply <- reply{refused: "a cancelled task may still start there"}
+	t.checkInbound(m, &h.report, now)
+	t.apply(m, &h.report, true, now)
+	if t.renewalWithheld(m, &h.report, now) {
+		h.reply <- reportAnswer{refused: "a cancelled task may still start there"}
 		return
 	}
-	m.answered = now
-	m.hearing.told, m.hearing.shift, m.hearing.tally = t.token, h.rep.Session, h.rep.Sequence
+	m.answeredAt = now
+	m.inbound.answeredToken, m.inbound.answeredSession, m.inbound.answeredSequence = t.token, h.report.Session, h.report.Sequence
 	if t.deciding() {
-		o.Commands = t.orders(m, &h.rep, now)
+		o.Commands = t.commandsFor(m, &h.report, now)
 	}
-	h.reply <- reply{orders: o}
+	h.reply <- reportAnswer{commands: o}
 }
 
 // crossing is how long after a message of a worker an older report of it may
 // still be waiting for its answer: workers give up after 4 s.
 const crossing = 4 * time.Second
 
-// older deals with a report that is not newer than what is known. Mostly it
+// onStaleReport deals with a report that is not newer than what is known. Mostly it
 // has crossed the answer to a direct command; it may be a copy that comes
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (t *term) older(m *machine, rep *wire.Report, o *wire.Commands, now time.Time) reply {
+func (t *term) onStaleReport(m *machine, rep *wire.Report, o *wire.Commands, now time.Time) reportAnswer {
 	crossed := now.Sub(m.seenAt) < crossing
-	if (!crossed || rep.Session != m.shift || rep.Sequence+2 < m.tally) && now.Sub(m.verified) > time.Second && !m.releasing && t.deciding() {
-		m.verified = now
+	if (!crossed || rep.Session != m.session || rep.Sequence+2 < m.sequence) && now.Sub(m.verifiedAt) > time.Second && !m.releasing && t.deciding() {
+		m.verifiedAt = now
 		t.probe(m)
 	}
 	if !crossed {
-		return reply{refused: "an older report than the last"}
+		return reportAnswer{refused: "an older report than the last"}
 	}
-	m.answered = now
-	return reply{orders: o}
+	m.answeredAt = now
+	return reportAnswer{commands: o}
 }
 
-// reborn takes in the answer of a machine that counts from the start again:
+// restarted takes in the answer of a machine that counts from the start again:
 // it was back before anybody missed it. What its answer lacks is gone. It is
 // returned, as from now on its reports can't be told from late copies of its
 // last life.
-func (t *term) reborn(m *machine, rep *wire.Report, now time.Time) {
-	t.log().Info("machine began a new life", "machine", m.id, "tasks", len(m.tasks), "shift", rep.Session, "tally", rep.Sequence, "was_shift", m.shift, "was_tally", m.tally)
-	m.shift, m.tally, m.images = 0, 0, imageCache{}
+func (t *term) onRestart(m *machine, rep *wire.Report, now time.Time) {
+	t.log().Info("machine restarted", "machine", m.id, "tasks", len(m.tasks), "session", rep.Session, "sequence", rep.Sequence, "was_session", m.session, "was_sequence", m.sequence)
+	m.session, m.sequence, m.images = 0, 0, imageCache{}
 	for _, a := range m.tasks {
 		a.answerSequence = 0 // the answer that carried it went to the last life
 	}
-	t.drainMachine(m, "began a new life")
+	t.drainMachine(m, "restarted")
 	t.apply(m, rep, false, now)
-	m.reborn = true
-	t.release(m, "began a new life")
+	m.restarted = true
+	t.release(m, "restarted")
 }
 
 // apply takes in a report, however it came. It tells whether it was newer
 // than what was known.
 func (t *term) apply(m *machine, rep *wire.Report, viaHello bool, now time.Time) bool {
-	if !rep.Newer(m.shift, m.tally) || m.reborn {
+	if !rep.Newer(m.session, m.sequence) || m.restarted {
 		return false
 	}
 	if viaHello {
-		t.reports++
+		t.reportCount++
 	}
-	t.heard[rep.Zone] = heard{now, t.reports}
+	t.lastFromZone[rep.Zone] = zoneContact{now, t.reportCount}
 	if m.upAt.IsZero() {
 		m.upAt = now
-		t.fleetUp(m, now)
+		t.noteUp(m, now)
 		t.requestRound()
 	}
-	if rep.Session > m.shift {
+	if rep.Session > m.session {
 		// A lease that ran out leaves the images where they are; a new life
 		// starts from the first session again.
-		m.shiftAt = now
+		m.sessionSince = now
 	}
-	m.addr, m.kit, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
-	m.shift, m.tally, m.seenAt, m.booting, m.probes = rep.Session, rep.Sequence, now, false, 0
-	if m.baton < t.firstToken && rep.Token >= t.firstToken {
-		m.tokenAt = now
+	m.addr, m.machineType, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
+	m.session, m.sequence, m.seenAt, m.booting, m.unansweredProbes = rep.Session, rep.Sequence, now, false, 0
+	if m.token < t.firstToken && rep.Token >= t.firstToken {
+		m.tokenShownAt = now
 	}
-	m.baton = max(m.baton, rep.Token)
+	m.token = max(m.token, rep.Token)
 	if viaHello {
-		m.muteAt = time.Time{}
-	} else if m.muteAt.IsZero() {
-		m.muteAt = now
+		m.reportsMissingSince = time.Time{}
+	} else if m.reportsMissingSince.IsZero() {
+		m.reportsMissingSince = now
 	}
 	if rep.SpotNotice != nil {
 		at := now.Add(rep.SpotNotice.Duration())
-		if m.notice.IsZero() {
+		if m.takenBackAt.IsZero() {
 			t.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
 			t.drainMachine(m, "spot notice")
 		}
-		m.notice = at
+		m.takenBackAt = at
 	}
-	clear(m.strays)
+	clear(m.orphans)
 	listed := make(map[wire.Task]*wire.TaskState, len(rep.Tasks))
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
@@ -157,7 +157,7 @@
 			listed[task] = p
 			t.progress(a, p, now)
 		} else if p.Phase != wire.PhaseExited {
-			m.strays[task] = true
+			m.orphans[task] = true
 		}
 	}
 	for task, a := range m.tasks {
@@ -168,10 +168,10 @@
 		case t.launchAgain(a):
 			a.inherited, a.sent, a.launchUnanswered, a.answerSequence = false, false, false, 0
 		case a.reported, a.inherited, rep.Session > a.sentSession && a.sent:
-			t.log().Info("task is gone from its machine", "task", task, "try", a.number, "machine", m.id, "shift", rep.Session)
+			t.log().Info("task is gone from its machine", "task", task, "attempt", a.number, "machine", m.id, "session", rep.Session)
 			t.l.Metrics.Moved("gone")
 			t.drop(a, taskPending)
-		case a.halting, m.drain != "", a.job.cancelled:
+		case a.halting, m.drainReason != "", a.job.cancelled:
 			t.drop(a, taskPending)
 		default:
 			// Stored, not delivered: it is sent (again).
@@ -185,12 +185,12 @@
 func (t *term) progress(a *attempt, p *wire.TaskState, now time.Time) {
 	m, j := a.machine, a.job
 	if a.sent && !a.reported {
-		t.hears(m)
+		t.inboundWorks(m)
 	}
 	a.reported = true
 	if p.Phase != wire.PhaseFetching && p.Cause != wire.CauseFull && p.Cause != wire.CauseBusy && p.Cause != wire.CauseNoSuch &&
 		!(p.Phase == wire.PhaseExited && a.phase == wire.PhaseFetching && (p.Cause == wire.CauseStopped || p.Cause == wire.CauseGangBroken || p.Cause == wire.CauseGangIncomplete)) {
-		m.images.touch(j.spec.Image, j.spec.ImageGB, t.localGB(m.kit), now)
+		m.images.touch(j.spec.Image, j.spec.ImageGB, t.imageCacheGB(m.machineType), now)
 		if a.fetchedAt.IsZero() {
 			a.fetchedAt = now
 		}
@@ -217,12 +217,12 @@
 	switch p.Cause {
 	case wire.CauseDone:
 		if !a.runningSince.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
-			t.timed(a, now)
+			t.onCompletion(a, now)
 		}
 		j.succeeded, j.failures = true, 0
 		clear(j.failedOn)
-		clear(m.errs)
-		m.errCount = 0
+		clear(m.failedJobs)
+		m.failures = 0
 		if j.spec.Gang() {
 			t.gangDone(j)
 			break
@@ -231,10 +231,10 @@
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
 		t.drop(a, taskPending)
 	case wire.CauseError:
-		t.failed(a, now)
+		t.onFailure(a, now)
 		t.drop(a, taskPending)
 	default:
-		t.log().Info("start refused", "task", a.task(), "try", a.number, "machine", m.id, "cause", p.Cause)
+		t.log().Info("start refused", "task", a.task(), "attempt", a.number, "machine", m.id, "cause", p.Cause)
 		m.fullUntil = now.Add(2 * time.Second)
 		if p.Cause == wire.CauseNoSuch {
 			j.notBefore = now.Add(2 * time.Second)
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -101,7 +101,7 @@
 	for m := range t.claimed {
 		m.claims = slices.DeleteFunc(m.claims, func(c claim) bool {
 			j := t.jobs[c.Job]
-			if now.After(c.until) || t.machines[m.id] != m || m.releasing || m.drain != "" || j == nil || j.cancelled || n[c.Job] >= j.pending() {
+			if now.After(c.until) || t.machines[m.id] != m || m.releasing || m.drainReason != "" || j == nil || j.cancelled || n[c.Job] >= j.pending() {
 				return true
 			}
 			n[c.Job]++
@@ -132,7 +132,7 @@
 // haltBy is how long a task that is told to stop takes to be gone, even if only
 // the answer to its machine's next report tells it.
 func (t *term) haltBy(windDown wire.Seconds) time.Duration {
-	return windDown.Duration() + report(t)*5/4 + 2*time.Second
+	return windDown.Duration() + reportInterval(t)*5/4 + 2*time.Second
 }
 
 // windDownOf is how long a task of the job is given to save.
@@ -167,7 +167,7 @@
 			m.claims = slices.Delete(m.claims, i, i+1)
 		}
 		t.markPending(c)
-		t.log().Debug("starts", "task", a.task(), "try", a.number, "machine", m.id, "waited", now.Sub(j.acceptedAt))
+		t.log().Debug("starts", "task", a.task(), "attempt", a.number, "machine", m.id, "waited", now.Sub(j.acceptedAt))
 	})
 }
 
@@ -254,7 +254,7 @@
 		return math.Inf(1)
 	}
 	need := a.job.expected()
-	if len(a.job.runs.s) == 0 {
+	if len(a.job.runs.seconds) == 0 {
 		need *= 1.5
 	}
 	return max(need/10, need-now.Sub(a.runningSince).Seconds())
@@ -262,7 +262,7 @@
 
 // expected run time of a task: what was seen, else what the owner says.
 func (j *job) expected() float64 {
-	if n := len(j.runs.s); n > 0 {
+	if n := len(j.runs.seconds); n > 0 {
 		return j.runs.median()
 	}
 	return float64(j.spec.ExpectedRunTime)
@@ -286,7 +286,7 @@
 		}
 	}
 	for _, m := range t.machines {
-		for task := range m.strays {
+		for task := range m.orphans {
 			if j := t.jobs[task.Job]; j != nil && m.tasks[task] == nil {
 				if team := s.Teams[j.spec.Team]; team != nil {
 					team.Used = team.Used.Plus(placement.Of(&j.spec))
@@ -327,9 +327,9 @@
 	preempts := slices.ContainsFunc(js, func(j *job) bool { return placement.MayPreempt(&j.spec) || j.spec.Gang() })
 	claims := t.claims(now)
 	view := func(m *machine) placement.Machine {
-		pm := placement.Machine{ID: m.id, Kit: m.kit, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Cordoned: m.cordoned,
-			Images: make(map[wire.ImageID]placement.Image, len(m.images.has)+len(m.tasks))}
-		if f := t.flavor(m.kit); f != nil {
+		pm := placement.Machine{ID: m.id, Kit: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Cordoned: m.cordoned,
+			Images: make(map[wire.ImageID]placement.Image, len(m.images.images)+len(m.tasks))}
+		if f := t.machineSpec(m.machineType); f != nil {
 			pm.PullRate = f.FetchGBPerS
 		}
 		var awaited []wire.Task
@@ -351,7 +351,7 @@
 			}
 			if a.fetchedAt.IsZero() && pm.Images[a.job.spec.Image] == placement.Absent {
 				pm.Images[a.job.spec.Image] = placement.Fetching
-				if _, has := m.images.has[a.job.spec.Image]; !has {
+				if _, has := m.images.images[a.job.spec.Image]; !has {
 					pm.PullGB += a.job.spec.ImageGB
 				}
 			}
@@ -374,7 +374,7 @@
 		slices.SortFunc(pm.Victims, func(a, b placement.Victim) int {
 			return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), a.Task.Index-b.Task.Index)
 		})
-		for id := range m.images.has {
+		for id := range m.images.images {
 			pm.Images[id] = placement.Present
 		}
 		return pm
@@ -399,7 +399,7 @@
 		pj := placement.Job{Spec: &j.spec, Pending: j.pending(), ZoneHeld: map[wire.Zone]int{},
 			WaitedS: now.Sub(j.acceptedAt).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), Weight: t.weight(j, sure[j.spec.ID], now),
 			Lingers: now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt)) > lingerMost}
-		if t.starves(j, now) {
+		if t.startOverdue(j, now) {
 			pj.Weight = starvingWeight
 			if !j.spec.Gang() {
 				pj.Pending = 1
@@ -442,7 +442,7 @@
 			continue
 		}
 		rank := j.spec.Priority.Rank()
-		if t.starves(j, now) {
+		if t.startOverdue(j, now) {
 			rank = wire.PriorityProd.Rank()
 		}
 		if team.KeptFor == "" || rank > team.KeptRank {
@@ -453,7 +453,7 @@
 
 // usable tells whether a machine may take a launch now.
 func (t *term) usable(m *machine, now time.Time) bool {
-	return !m.booting && !m.upAt.IsZero() && m.drain == "" && !m.releasing && m.baton >= t.firstToken && m.probes == 0 && m.hearing.deaf.IsZero() && !t.behindCut(m, now) && !t.mute(m, now) &&
+	return !m.booting && !m.upAt.IsZero() && m.drainReason == "" && !m.releasing && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.unreachableSince.IsZero() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
 		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.settings.Workers.ReportS.Duration()+time.Second
 }
 
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -33,7 +33,7 @@
 	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 	tm.jobs[j.spec.ID] = j
 	m := tm.machine("n-1")
-	m.shift, m.tally, m.baton, m.upAt = 1, 10, 50, time.Now()
+	m.session, m.sequence, m.token, m.upAt = 1, 10, 50, time.Now()
 	a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 7, machine: m}
 	a.chunk.hold(a)
 	return tm, m, a
@@ -96,15 +96,17 @@
 		setup func(tm *term, m *machine)
 		from  func(tm *term, m *machine) time.Time
 	}{
-		{"answered by us", func(tm *term, m *machine) { m.answered = tm.startedAt.Add(5 * time.Second) },
-			func(_ *term, m *machine) time.Time { return m.answered }},
-		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenAt = tm.startedAt.Add(time.Second) },
-			func(_ *term, m *machine) time.Time { return m.tokenAt }},
-		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *machine) { m.answered, m.shiftAt = tm.startedAt, tm.startedAt.Add(15*time.Second) },
-			func(_ *term, m *machine) time.Time { return m.shiftAt }},
-		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.baton, tm.majorityAckedAt = 0, tm.startedAt.Add(time.Second) },
+		{"answered by us", func(tm *term, m *machine) { m.answeredAt = tm.startedAt.Add(5 * time.Second) },
+			func(_ *term, m *machine) time.Time { return m.answeredAt }},
+		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenShownAt = tm.startedAt.Add(time.Second) },
+			func(_ *term, m *machine) time.Time { return m.tokenShownAt }},
+		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *machine) {
+			m.answeredAt, m.sessionSince = tm.startedAt, tm.startedAt.Add(15*time.Second)
+		},
+			func(_ *term, m *machine) time.Time { return m.sessionSince }},
+		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.token, tm.majorityAckedAt = 0, tm.startedAt.Add(time.Second) },
 			func(tm *term, _ *machine) time.Time { return tm.majorityAckedAt.Add(peer.X) }},
-		{"never heard, no majority", func(tm *term, m *machine) { m.baton = 0 },
+		{"never heard, no majority", func(tm *term, m *machine) { m.token = 0 },
 			func(tm *term, _ *machine) time.Time { return tm.startedAt.Add(peer.B) }},
 	}
 	for _, c := range cases {
@@ -134,8 +136,8 @@
 		"stored":                 {func(*term, *machine, *attempt) {}, true, false},
 		"not yet stored":         {func(_ *term, _ *machine, a *attempt) { a.chunk.changed = true }, false, false},
 		"being stored":           {func(_ *term, _ *machine, a *attempt) { a.chunk.beingWritten = true }, false, false},
-		"a launch is on its way": {func(_ *term, m *machine, _ *attempt) { m.lost = lostCommand{50, 1} }, false, true},
-		"it died with its token": {func(_ *term, m *machine, _ *attempt) { m.lost = lostCommand{49, 1} }, true, false},
+		"a launch is on its way": {func(_ *term, m *machine, _ *attempt) { m.unansweredLaunch = unansweredCommand{50, 1} }, false, true},
+		"it died with its token": {func(_ *term, m *machine, _ *attempt) { m.unansweredLaunch = unansweredCommand{49, 1} }, true, false},
 	} {
 		tm, m, a := rig(t)
 		rep := said(1, 11, 50, exited)
@@ -143,7 +145,7 @@
 		a.chunk.changed = false
 		c.setup(tm, m, a)
 		got := false
-		for _, o := range tm.orders(m, rep, time.Now()) {
+		for _, o := range tm.commandsFor(m, rep, time.Now()) {
 			got = got || o.Verb == wire.Forget && o.Attempt == 7
 		}
 		if got != c.forget || tm.raiseWanted != c.raise {
@@ -164,7 +166,7 @@
 		t.Errorf("%g cpus free beside a task of unknown size", f.CPUs)
 	}
 	halts := 0
-	for _, o := range tm.orders(m, rep, time.Now()) {
+	for _, o := range tm.commandsFor(m, rep, time.Now()) {
 		if o.Verb == wire.Halt && o.Task == "req-77/0" {
 			halts++
 		}
@@ -182,10 +184,10 @@
 	for i, id := range []wire.ImageID{"a", "b", "a", "c"} {
 		c.touch(id, 4, 10, t0.Add(time.Duration(i)*time.Second))
 	}
-	if _, a := c.has["a"]; !a {
+	if _, a := c.images["a"]; !a {
 		t.Error("a was used after b and is gone")
 	}
-	if _, b := c.has["b"]; b {
+	if _, b := c.images["b"]; b {
 		t.Error("b does not fit any more and is still there")
 	}
 }
@@ -194,17 +196,17 @@
 // quarter of them is not the machines' fault.
 func TestSuspicionIsBounded(t *testing.T) {
 	tm, m, _ := rig(t)
-	m.drain = "faulty"
+	m.drainReason = "faulty"
 	for _, id := range []wire.MachineID{"n-2", "n-3", "n-4"} {
 		tm.machine(id)
 	}
-	if tm.sparable() {
+	if tm.mayCondemn() {
 		t.Error("a second of four machines may be condemned")
 	}
 	for _, id := range []wire.MachineID{"n-5", "n-6", "n-7", "n-8"} {
 		tm.machine(id)
 	}
-	if !tm.sparable() {
+	if !tm.mayCondemn() {
 		t.Error("a second of eight machines may not be condemned")
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -55,7 +55,7 @@
 	tm.settings.Workers = config.Workers{ReportS: 10, LeaseS: 45, CancelS: 70}
 	tm.l.Flavors.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
-	tm.listed, tm.placing = true, true
+	tm.listReceived, tm.placing = true, true
 	tm.startedAt = now.Add(-time.Minute)
 	job := func(id int, parts int, s wire.Spec) *job {
 		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
@@ -70,8 +70,8 @@
 	var serving, working *filling
 	for i := range n {
 		m := tm.machine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
-		m.kit, m.zone, m.spot, m.addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
-		m.shift, m.tally, m.baton, m.upAt, m.seenAt, m.directAt, m.answered = 1, 10, tm.token, now, now, now, now
+		m.machineType, m.zone, m.spot, m.addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
+		m.session, m.sequence, m.token, m.upAt, m.seenAt, m.directReportAt, m.answeredAt = 1, 10, tm.token, now, now, now, now
 		m.rentedAt = now.Add(-2 * time.Minute)
 		if i%2 == 0 {
 			for range 4 {
@@ -98,7 +98,7 @@
 
 // reportOf what runs on a machine.
 func reportOf(m *machine) wire.Report {
-	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.kit, Zone: m.zone, Spot: m.spot, Session: m.shift, Sequence: m.tally + 1, Token: m.baton}
+	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Session: m.session, Sequence: m.sequence + 1, Token: m.token}
 	for task, a := range m.tasks {
 		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.number, Phase: a.phase})
 	}
@@ -120,11 +120,11 @@
 func BenchmarkReportRound(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		go func() {
-			for h := range tm.hellos {
-				tm.onHello(h)
+			for h := range tm.reportCalls {
+				tm.onReport(h)
 			}
 		}()
-		defer close(tm.hellos)
+		defer close(tm.reportCalls)
 		for b.Loop() {
 			for _, m := range tm.machines {
 				r := httptest.NewRequest("POST", "/hello", nil)
@@ -215,7 +215,7 @@
 func TestZonesOutsideTheSettings(t *testing.T) {
 	tm := sized(t, 30)
 	tm.settings.Zones = []wire.Zone{"b"}
-	tm.heard["d"] = heard{}
+	tm.lastFromZone["d"] = zoneContact{}
 	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, At: wire.TimestampOf(time.Now())}, 9)
 	tm.jobs[j.spec.ID] = j
 	if got := fmt.Sprint(tm.zones()); got != "[b a c d]" {
@@ -236,10 +236,10 @@
 	tm := sized(t, 30)
 	tm.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", WithinS: 300, Share: 0.9}}
 	now := time.Now()
-	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, dearStretch}, {200, 90, dearStretch}, {290, 90, 1}} {
+	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, latePriceStretch}, {200, 90, latePriceStretch}, {290, 90, 1}} {
 		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
 			At: wire.TimestampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
-		if got := tm.dearer(j, c.wait, now); got != c.want {
+		if got := tm.priceStretch(j, c.wait, now); got != c.want {
 			t.Errorf("waited %g s, %g s more expected: %g, want %g", c.age, c.wait, got, c.want)
 		}
 	}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -17,18 +17,18 @@
 	"lilaclead/internal/wire"
 )
 
-// hello is a report with the channel for its answer.
-type hello struct {
-	rep     wire.Report
+// reportCall is a report with the channel for its answer.
+type reportCall struct {
+	report  wire.Report
 	relayed bool // by another node
-	reply   chan reply
+	reply   chan reportAnswer
 }
 
-// reply to a report.
-type reply struct {
-	orders  *wire.Commands // the answer; nil: none
-	here    bool           // the worker should come to this node itself
-	refused string         // why the report is not answered
+// reportAnswer to a report.
+type reportAnswer struct {
+	commands *wire.Commands // the answer; nil: none
+	redirect bool           // the worker should come to this node itself
+	refused  string         // why the report is not answered
 }
 
 // term is one period of leadership. Its loop owns everything below the line; the
@@ -42,7 +42,7 @@
 	delegationToken atomic.Uint64 // the token under which others may renew leases; 0: none yet
 	// unprovenCancelSince: see Leader.UnprovenCancelSince.
 	unprovenCancelSince atomic.Pointer[time.Time]
-	hellos              chan hello
+	reportCalls         chan reportCall
 	inbox               chan func()
 	over                chan struct{}
 	endOnce             sync.Once
@@ -56,17 +56,17 @@
 	raising                bool
 	recovered              bool
 	placing                bool      // the first report round is over
-	listed                 bool      // a machine list has come in
-	listAt                 time.Time // when the last one was asked for
+	listReceived           bool      // a machine list has come in
+	listAskedAt            time.Time // when the last one was asked for
 	earlyReports           map[wire.MachineID]wire.Report
 	jobs                   map[wire.JobID]*job
 	archived               map[wire.JobID]bool // archived, and news of them may still come
 	machines               map[wire.MachineID]*machine
 	gone                   map[wire.MachineID]time.Time // released, answered 200
-	probed                 bool                         // every machine of the first list has been asked
-	cutAt                  map[wire.Zone]time.Time      // when a zone last seemed cut off
-	heard                  map[wire.Zone]heard          // what last came from each zone
-	reports                int                          // that came in, in all
+	tokenShown             bool                         // every machine of the first list has been asked
+	partitionedAt          map[wire.Zone]time.Time      // when a zone last seemed cut off
+	lastFromZone           map[wire.Zone]zoneContact    // what last came from each zone
+	reportCount            int                          // that came in, in all
 	delegatesAnsweredUntil time.Time                    // when another node can last have answered as a delegate
 	stateAwaySince         time.Time                    // since when the state service is away; zero: it is not
 	stateBackAt            time.Time                    // when it was last back
@@ -92,17 +92,17 @@
 	roundAfter        time.Time
 	roundTook         time.Duration // the last one
 
-	fleet fleetState
+	fleet rentals
 }
 
 func newTerm(l *Leader, o leadership) *term {
 	t := &term{
 		l: l, grant: o.grant, startedAt: o.takenAt, token: o.token, firstToken: o.token,
-		settings: &l.Config.Settings,
-		hellos:   make(chan hello, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
+		settings:    &l.Config.Settings,
+		reportCalls: make(chan reportCall, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
 		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		cutAt: map[wire.Zone]time.Time{}, heard: map[wire.Zone]heard{}, pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
+		partitionedAt: map[wire.Zone]time.Time{}, lastFromZone: map[wire.Zone]zoneContact{}, pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
 		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
 	}
 	t.decidesUntil.Store(int64(o.decidesUntil.Sub(o.takenAt)))
@@ -135,8 +135,8 @@
 	t.ctx = ctx
 	go t.renew(ctx)
 	go t.recover(ctx)
-	go t.listHosts(ctx)
-	go t.watchFlavors(ctx)
+	go t.pollMachineList(ctx)
+	go t.pollMachineSpecs(ctx)
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	slow := 0
@@ -147,13 +147,13 @@
 		case <-parent.Done():
 			t.end("stopped")
 			return t.endReason
-		case h := <-t.hellos:
-			t.onHello(h)
+		case h := <-t.reportCalls:
+			t.onReport(h)
 		case f := <-t.inbox:
 			f()
 		case now := <-tick.C:
 			t.watchLeadership(now)
-			t.probeSome()
+			t.showToken()
 			if slow++; slow%5 == 0 {
 				t.watchMachines(now)
 			}
@@ -268,20 +268,20 @@
 // cloud's interface may be down for minutes) it is the machines of which
 // something is stored that are waited for.
 func (t *term) enoughMachinesReported(now time.Time) bool {
-	if !t.listed && now.Sub(t.startedAt) < time.Second {
+	if !t.listReceived && now.Sub(t.startedAt) < time.Second {
 		return false
 	}
 	heard, missing := 0, 0
 	for _, m := range t.machines {
 		switch {
 		case m.booting:
-		case m.baton >= t.firstToken:
+		case m.token >= t.firstToken:
 			heard++
-		case m.probes == 0 && (m.addr != "" || !t.listed):
+		case m.unansweredProbes == 0 && (m.addr != "" || !t.listReceived):
 			missing++
 		}
 	}
-	return missing == 0 || missing <= heard && heard > 4*probesMost
+	return missing == 0 || missing <= heard && heard > 4*maxProbesPerTick
 }
 
 // recover reads everything from the state service.
@@ -377,7 +377,7 @@
 	t.cancelCursor = 0
 	t.applyCancellations()
 	t.delegationToken.Store(uint64(t.token)) // only now cancellations are known
-	t.probeSome()
+	t.showToken()
 }
 
 // applyJobRecord takes in a job record that is new or has changed.
@@ -705,7 +705,7 @@
 	}
 	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, windDown, why, time.Time{}
 	if why != "cancelled" {
-		t.log().Info("stops", "task", a.task(), "try", a.number, "machine", a.machine.id, "why", why)
+		t.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
 		t.l.Metrics.Moved(why)
 	}
 	t.dispatch(a.machine)
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -91,7 +91,7 @@
 		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.l.Needed(up))
 	}
 	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.fleet.backlog), "round", t.roundTook, "late", time.Since(now))
+		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.fleet.backlogS), "round", t.roundTook, "late", time.Since(now))
 }
 
 // viewMost bounds the view of a large cluster.
@@ -103,7 +103,7 @@
 		if len(v.Machines) == viewLimit {
 			break
 		}
-		v.Machines = append(v.Machines, MachineView{m.id, m.kit, m.zone, m.spot, m.booting, m.drain, len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
+		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, m.drainReason, len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
 	}
 	for _, j := range t.jobs {
 		if len(v.Jobs) == viewLimit {
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -322,7 +322,7 @@
 		a.planned = false
 		a.chunk.unstored--
 		a.job.unstored--
-		if a.halting || a.job.cancelled || a.machine.drain != "" || a.machine.releasing || t.machines[a.machine.id] != a.machine {
+		if a.halting || a.job.cancelled || a.machine.drainReason != "" || a.machine.releasing || t.machines[a.machine.id] != a.machine {
 			// Never sent by anyone: there is nothing to halt.
 			t.drop(a, taskPending)
 			continue
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -39,7 +39,7 @@
 		tm.settings.State.TxnOps = 12
 		tm.token = wire.Token(st.Put(store.LeadKey, store.LeadRecord{Node: "a", Nonce: "this life"}))
 		tm.firstToken = tm.token
-		m.baton = tm.token
+		m.token = tm.token
 		tm.drop(a, taskPending)
 		a.chunk.changed, a.job.finished = false, false
 		a.job.revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
@@ -135,8 +135,8 @@
 func TestMachineNeverHeardOf(t *testing.T) {
 	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
-		tm.listed = true
-		m.baton, m.addr, m.upAt = 0, "", time.Time{}
+		tm.listReceived = true
+		m.token, m.addr, m.upAt = 0, "", time.Time{}
 		if !tm.enoughMachinesReported(time.Now()) {
 			t.Error("the first round waits for a machine that nothing is known of")
 		}
--- a/node.go
+++ b/node.go
@@ -184,7 +184,7 @@
 func (n *Node) frontRoutes() http.Handler {
 	r := router()
 	n.intake.Routes(r)
-	r.POST("/hello", n.leader.Hello)
+	r.POST("/hello", n.leader.Report)
 	r.GET("/ready", n.ready)
 	return r
 }
@@ -192,8 +192,8 @@
 func (n *Node) peerRoutes() http.Handler {
 	r := router()
 	r.Handler("POST", "/peer/beats", n.mesh)
-	r.POST("/peer/hello", n.leader.Relayed)
-	r.POST("/peer/ask", n.leader.Ask)
+	r.POST("/peer/hello", n.leader.RelayReport)
+	r.POST("/peer/ask", n.leader.RelayProbe)
 	n.admin.Routes(r)
 	return r
 }
