--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -169,7 +169,7 @@
 			room += t.total(m).CPUs
 		}
 	}
-	for _, b := range t.fleet.bookings {
+	for _, b := range t.rentals.Bookings() {
 		if f := t.machineSpec(b.Type); f != nil {
 			room += float64(b.Count) * f.CPUs
 		}
@@ -201,7 +201,7 @@
 		out[e.j] = (ahead + own/2) / max(1, room)
 		ahead += own
 	}
-	t.fleet.backlogS = ahead / max(1, room)
+	t.backlogS = ahead / max(1, room)
 	return out
 }
 
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lilaclead/internal/fleet"
+	"lilaclead/internal/leader/rentals"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
@@ -14,7 +15,7 @@
 // planFleet rents for what can't be placed and returns what is not needed.
 func (t *term) planFleet(now time.Time) {
 	flavors := t.l.Flavors.Get()
-	if !t.recovered || !t.placing || !t.listReceived || !t.deciding() || flavors == nil || now.Before(t.fleet.pausedUntil) {
+	if !t.recovered || !t.placing || !t.listReceived || !t.deciding() || flavors == nil || t.rentals.Paused(now) {
 		return
 	}
 	// What an earlier leader rented last is not listed yet.
@@ -64,9 +65,9 @@
 		}
 		s.Machines = append(s.Machines, fm)
 	}
-	for _, b := range t.fleet.bookings {
+	for _, b := range t.rentals.Bookings() {
 		if f := t.machineSpec(b.Type); f != nil {
-			total := placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB}
+			total := placementRes(f)
 			for range b.Count {
 				s.Machines = append(s.Machines, fleet.Machine{Kit: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: f.Price(b.Spot)})
 			}
@@ -79,8 +80,8 @@
 	s.Demands = append(s.Demands, t.gangReserves(v.SpareGangs, now)...)
 	plan := fleet.Make(s)
 	for _, r := range plan.Rents {
-		for left := r.Count; left > 0; left -= maxBooking {
-			r.Count = min(left, maxBooking)
+		for left := r.Count; left > 0; left -= rentals.MaxBooking {
+			r.Count = min(left, rentals.MaxBooking)
 			t.rent(r)
 		}
 	}
@@ -105,7 +106,7 @@
 		if !f.Fits(s) {
 			continue
 		}
-		n := placement.Of(s).Units(placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB})
+		n := placement.Of(s).Units(placementRes(f))
 		best = min(best, f.OnDemandPrice/float64(n))
 		if s.SpotAllowed {
 			best = min(best, f.SpotPrice/float64(n))
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -196,7 +196,7 @@
 // name can hold nothing.
 func (t *term) total(m *machine) placement.Res {
 	if f := t.machineSpec(m.machineType); f != nil {
-		return placement.Res{CPUs: f.CPUs, Cards: f.GPUs, RAM: f.MemoryGB}
+		return placementRes(f)
 	}
 	return placement.Res{}
 }
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -7,6 +7,13 @@
 	"lilaclead/internal/wire"
 )
 
+// A request to release that is not answered is sent again after a pause that grows
+// from the one to the other.
+const (
+	minReleaseRetry = 500 * time.Millisecond
+	maxReleaseRetry = 2 * time.Second
+)
+
 // release returns a machine; its tasks count until the cloud has said that
 // it is gone.
 func (t *term) release(m *machine, why string) {
@@ -19,35 +26,23 @@
 	}
 	t.log().Info("releases", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", why, "tasks", len(m.tasks), "age", time.Since(m.rentedAt))
 	t.l.Metrics.Fleet("released", 1)
-	t.fleet.toRelease = append(t.fleet.toRelease, m)
+	t.rentals.Release(m.id)
 	t.sendReleases()
 }
 
-// sendReleases has one release request under way at a time; what comes
-// meanwhile shares the next one.
+// sendReleases sends the next request to release, if none is under way, and
+// repeats it until the cloud has answered.
 func (t *term) sendReleases() {
-	if t.fleet.releasing || len(t.fleet.toRelease) == 0 {
+	ids := t.rentals.NextRelease()
+	if len(ids) == 0 {
 		return
 	}
-	n := min(len(t.fleet.toRelease), maxRelease)
-	ms := t.fleet.toRelease[:n:n]
-	t.fleet.toRelease, t.fleet.releasing = t.fleet.toRelease[n:], true
-	ids := make([]wire.MachineID, n)
-	for i, m := range ms {
-		ids[i] = m.id
-	}
 	go func() {
-		wait := 500 * time.Millisecond
+		wait := minReleaseRetry
 		for t.ctx.Err() == nil {
 			err := t.l.Cloud.Release(t.ctx, ids)
 			if err == nil {
-				t.post(func() {
-					for _, m := range ms {
-						t.onReleased(m)
-					}
-					t.fleet.releasing = false
-					t.sendReleases()
-				})
+				t.post(func() { t.onReleased(ids) })
 				return
 			}
 			t.log().Debug("release not answered", "machines", len(ids), "err", err)
@@ -55,12 +50,21 @@
 			case <-t.ctx.Done():
 			case <-time.After(wait + rand.N(wait/2)):
 			}
-			wait = min(2*wait, 2*time.Second) // one request at a time, whatever waits
+			wait = min(2*wait, maxReleaseRetry) // one request at a time, whatever waits
 		}
 	}()
 }
 
-func (t *term) onReleased(m *machine) {
+// onReleased takes in that machines are gone, and with them what ran there.
+func (t *term) onReleased(ids []wire.MachineID) {
+	for _, id := range ids {
+		t.forgetMachine(t.machines[id])
+	}
+	t.rentals.Released()
+	t.sendReleases()
+}
+
+func (t *term) forgetMachine(m *machine) {
 	t.gone[m.id] = time.Now()
 	for _, a := range m.tasks {
 		t.l.Metrics.Moved("machine gone")
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/rentals"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
@@ -186,7 +187,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			tm.planFleet(time.Now())
-			tm.fleet.bookings = map[string]*booking{}
+			tm.rentals = rentals.New(tm.firstToken)
 		}
 	})
 }
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -122,7 +122,7 @@
 func (t *term) readProgress(progress []wire.Entry) {
 	orphan := func(e wire.Entry) {
 		// Left over from a job that was archived in several steps.
-		t.fleet.orphans = append(t.fleet.orphans, wire.Guard{Key: e.Key, Revision: e.Revision})
+		t.orphanedRecords = append(t.orphanedRecords, wire.Guard{Key: e.Key, Revision: e.Revision})
 	}
 	var subChunks []wire.Entry
 	for _, e := range progress {
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -80,8 +80,8 @@
 			j = newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now()), Chunk: per}, 1)
 			tm.jobs[spec.ID] = j
 			tm.readProgress(s.list())
-			if len(tm.fleet.orphans) > 0 {
-				t.Fatalf("taken for left over: %v", tm.fleet.orphans)
+			if len(tm.orphanedRecords) > 0 {
+				t.Fatalf("taken for left over: %v", tm.orphanedRecords)
 			}
 		}
 		lead()
@@ -290,7 +290,7 @@
 			tm.drop(a, taskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
-		tm.fleet.orphans = append(tm.fleet.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{Next: 2})})
+		tm.orphanedRecords = append(tm.orphanedRecords, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{Next: 2})})
 		settle()
 		if launch.unstored > 0 || len(st.Keys(store.RunPrefix+"req-5/")) == 0 {
 			t.Error("a launch is held up")
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/rentals"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/store"
@@ -92,7 +93,9 @@
 	roundAfter        time.Time
 	roundTook         time.Duration // the last one
 
-	fleet rentals
+	rentals         *rentals.Tracker
+	backlogS        float64      // seconds in which the room there is would do what waits
+	orphanedRecords []wire.Guard // chunks of jobs that are archived, to be dropped
 }
 
 func newTerm(l *Leader, o leadership) *term {
@@ -106,7 +109,7 @@
 		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
 	}
 	t.decidesUntil.Store(int64(o.decidesUntil.Sub(o.takenAt)))
-	t.fleet.init()
+	t.rentals = rentals.New(o.token)
 	return t
 }
 
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -91,14 +91,14 @@
 		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.l.Needed(up))
 	}
 	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.fleet.backlogS), "round", t.roundTook, "late", time.Since(now))
+		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.roundTook, "late", time.Since(now))
 }
 
 // viewMost bounds the view of a large cluster.
 const viewLimit = 500
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.deciding(), Bookings: len(t.fleet.bookings)}
+	v := &View{Deciding: t.deciding(), Bookings: len(t.rentals.Bookings())}
 	for _, m := range t.machines {
 		if len(v.Machines) == viewLimit {
 			break
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -132,9 +132,9 @@
 		}
 		t.routineWriteAt = now.Add(routineWriteEvery)
 	}
-	for len(t.fleet.orphans) > 0 && !urgent && len(b.chunks) == 0 && !full(1, 0) {
-		o := t.fleet.orphans[0]
-		t.fleet.orphans = t.fleet.orphans[1:]
+	for len(t.orphanedRecords) > 0 && !urgent && len(b.chunks) == 0 && !full(1, 0) {
+		o := t.orphanedRecords[0]
+		t.orphanedRecords = t.orphanedRecords[1:]
 		b.txn.Guards = append(b.txn.Guards, o)
 		b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: o.Key})
 		b.orphans = append(b.orphans, o)
@@ -290,12 +290,12 @@
 		}
 	}
 	// The next leader reads it again.
-	t.fleet.orphans = slices.DeleteFunc(t.fleet.orphans, func(g wire.Guard) bool { return slices.Contains(b.orphans, g) })
+	t.orphanedRecords = slices.DeleteFunc(t.orphanedRecords, func(g wire.Guard) bool { return slices.Contains(b.orphans, g) })
 }
 
 func (t *term) committed(b *batch, rev wire.Revision) {
 	// Not before: until its end is stored a job needs all of its chunks.
-	t.fleet.orphans = append(t.fleet.orphans, b.dropAfter...)
+	t.orphanedRecords = append(t.orphanedRecords, b.dropAfter...)
 	for _, c := range b.chunks {
 		c.revision, c.beingWritten = rev, false
 	}
@@ -342,7 +342,7 @@
 // undo marks all of a transaction that was not executed as still to be
 // written.
 func (t *term) undo(b *batch) {
-	t.fleet.orphans = append(t.fleet.orphans, b.orphans...)
+	t.orphanedRecords = append(t.orphanedRecords, b.orphans...)
 	for _, c := range b.chunks {
 		c.beingWritten = false
 		t.markPending(c)
