--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -85,8 +85,8 @@
 // dispatch sends what is new for a machine straight to it.
 func (t *term) dispatch(m *machine) {
 	// Without the state service what is cancelled is still halted.
-	blind := !t.deciding()
-	if m.busy || m.addr == "" || m.upAt.IsZero() || m.releasing || blind && !t.answering() {
+	blind := !t.lease.Deciding()
+	if m.busy || m.addr == "" || m.upAt.IsZero() || m.releasing || blind && !t.lease.Answering() {
 		return
 	}
 	now := time.Now()
--- a/internal/leader/delegation.go
+++ b/internal/leader/delegation.go
@@ -121,7 +121,7 @@
 
 // DelegationToken is the token with which this node surely leads, 0 if it does not.
 func (l *Leader) DelegationToken() wire.Token {
-	if t := l.term.Load(); t != nil && t.deciding() {
+	if t := l.term.Load(); t != nil && t.lease.Deciding() {
 		return wire.Token(t.delegationToken.Load())
 	}
 	return 0
@@ -155,7 +155,7 @@
 		}
 		j.cancelled, j.stale = true, true
 		j.cancelledAt, _ = t.l.Cancels.At(id)
-		t.log().Info("hears of a cancellation", "job", id, "deciding", t.deciding())
+		t.log().Info("hears of a cancellation", "job", id, "deciding", t.lease.Deciding())
 		if t.recovered {
 			t.haltCancelled(j)
 		}
@@ -203,7 +203,6 @@
 // leaseRenewed notes a renewal of the leadership that was asked for at sent: for a
 // while after it this node may be its own delegate, once it leads no more.
 func (t *term) leaseRenewed(sent time.Time) {
-	t.decidesUntil.Store(int64(decidesUntil(sent).Sub(t.startedAt)))
 	if token := wire.Token(t.delegationToken.Load()); token > 0 {
 		if at := t.unprovenCancel(); !at.IsZero() && at.Before(sent) {
 			sent = at
--- a/internal/leader/delegation_test.go
+++ b/internal/leader/delegation_test.go
@@ -168,15 +168,14 @@
 	if got := since(tm.othersUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
 	}
-	// Its last good renewal was asked for 10 s into the term.
-	tm.decidesUntil.Store(int64(10*time.Second + grantTTL - leaseMargin))
+	// Of the others' last acknowledged beats the oldest counts.
 	view := func(b, c float64) *peer.View {
 		asked := func(s float64) time.Time { return tm.startedAt.Add(time.Duration(s * float64(time.Second))) }
 		return &peer.View{Others: map[wire.NodeID]peer.Other{"b": {AckSent: asked(b), Heard: now}, "c": {AckSent: asked(c), Heard: now}}}
 	}
-	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 44}, {39.5, 20, 32}, {39.5, 33, 37}, {0, 0, 32}} {
-		if got := tm.answersWithoutStateUntil(view(c.b, c.c), now).Round(time.Second).Seconds(); got != math.Round(c.want) && got != math.Round(c.want-0.5) {
-			t.Errorf("acknowledged beats of %v and %v s: may answer until %v s, want %v", c.b, c.c, got, c.want)
+	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 39.5}, {39.5, 20, 20}, {39.5, 33, 33}, {0, 0, 0}} {
+		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.startedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
+			t.Errorf("acknowledged beats of %v and %v s: the oldest is of %v s, want %v", c.b, c.c, got, c.want)
 		}
 	}
 }
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -14,7 +14,7 @@
 // planFleet rents for what can't be placed and returns what is not needed.
 func (t *term) planFleet(now time.Time) {
 	flavors := t.l.Flavors.Get()
-	if !t.recovered || !t.placing || !t.listed || !t.deciding() || flavors == nil || now.Before(t.fleet.cloudDown) {
+	if !t.recovered || !t.placing || !t.listed || !t.lease.Deciding() || flavors == nil || now.Before(t.fleet.cloudDown) {
 		return
 	}
 	// What an earlier leader rented last is not listed yet.
--- a/internal/leader/hearing_test.go
+++ b/internal/leader/hearing_test.go
@@ -11,6 +11,7 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
@@ -210,6 +211,7 @@
 		}
 		l := tm.l
 		l.Config.HostName = "a"
+		l.candidate = election.NewCandidate(l.Config, nil, l.Log, nil)
 		l.Mesh = mesh("a", 0, 1, "b", false)
 		b := mesh("b", 1, 0, "a", true)
 		b.Raise(ctx, 7)
@@ -222,7 +224,7 @@
 		if got := l.currentLeader(time.Now()); got != "" {
 			t.Errorf("cut off it still says that %q leads", got)
 		}
-		l.holder.Store(&leaseHolder{"c", time.Now()})
+		l.candidate.Observed("c", time.Now())
 		if got := l.currentLeader(time.Now()); got != "c" {
 			t.Errorf("by the state service's word: %q", got)
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"crypto/rand"
 	"log/slog"
 	"net/http"
 	"sync"
@@ -16,6 +15,7 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/election"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
@@ -74,8 +74,8 @@
 // Leader campaigns for the leadership and serves while it holds it.
 type Leader struct {
 	Deps
-	nonce string
-	term  atomic.Pointer[term]
+	candidate *election.Candidate
+	term      atomic.Pointer[term]
 	// workerContacts names each worker that reports to this node, whoever leads.
 	workerContacts   chan wire.MachineID
 	workersInContact atomic.Int64
@@ -84,9 +84,6 @@
 	// probes, each with a connection of its own: those to a zone that is cut
 	// off hang, and launches must not wait behind them.
 	commandSlots, probeSlots chan struct{}
-	holder                   atomic.Pointer[leaseHolder]
-	// campaignAfter: until then this node leaves the leadership to others.
-	campaignAfter time.Time
 	// delegationTime is how long this node may renew leases for a leader that it
 	// has lost; ownGrant is what it granted itself while it led.
 	delegationTime time.Duration
@@ -104,7 +101,7 @@
 func New(d Deps) *Leader {
 	l := &Leader{
 		Deps:           d,
-		nonce:          rand.Text(),
+		candidate:      election.NewCandidate(d.Config, d.Store, d.Log, d.Mesh.Raise),
 		workerContacts: make(chan wire.MachineID, 64), delegationTime: delegationTime(d.Config.Settings.Workers), maxCancelAge: maxCancelAge(d.Config.Settings.Workers),
 		workerClient: &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
 		commandSlots: make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
@@ -114,7 +111,7 @@
 }
 
 // Leads tells whether this node holds the leadership now.
-func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.answering() }
+func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.lease.Answering() }
 
 // WorkersInContact is how many workers turned to this node lately.
 func (l *Leader) WorkersInContact() int { return int(l.workersInContact.Load()) }
@@ -123,18 +120,18 @@
 func (l *Leader) Run(ctx context.Context) {
 	go l.countWorkers(ctx)
 	for ctx.Err() == nil {
-		o, ok := l.campaign(ctx)
-		if !ok {
+		lease := l.candidate.Campaign(ctx)
+		if lease == nil {
 			continue
 		}
-		l.Mesh.Raise(ctx, o.token)
-		t := newTerm(l, o)
+		l.Mesh.Raise(ctx, lease.Token())
+		t := newTerm(l, lease)
 		l.term.Store(t)
 		l.Metrics.Led()
-		l.Log.Info("leads", "token", o.token)
+		l.Log.Info("leads", "token", lease.Token())
 		why := t.run(ctx)
 		l.term.Store(nil)
-		l.Log.Info("leads no more", "token", o.token, "why", why)
+		l.Log.Info("leads no more", "token", lease.Token(), "why", why)
 	}
 }
 
@@ -178,7 +175,7 @@
 	default:
 	}
 	t := l.term.Load()
-	if t == nil || !t.answering() {
+	if t == nil || !t.lease.Answering() {
 		l.Metrics.Report("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
@@ -220,16 +217,7 @@
 	if v.Leader != "" && now.Sub(v.Others[v.Leader].Heard) < 2*peer.X {
 		return v.Leader
 	}
-	if h := l.holder.Load(); h != nil && now.Sub(h.at) < peer.X && h.node != l.Config.HostName {
-		return h.node
-	}
-	return ""
-}
-
-// leaseHolder is the node that leads by the state service's record.
-type leaseHolder struct {
-	node wire.NodeID
-	at   time.Time
+	return l.candidate.Holder(now, peer.X)
 }
 
 // serve has the term's loop answer a report.
@@ -288,7 +276,7 @@
 		return
 	}
 	t := l.term.Load()
-	if t == nil || !t.answering() {
+	if t == nil || !t.lease.Answering() {
 		wire.Refuse(w, http.StatusServiceUnavailable, "does not lead", 1)
 		return
 	}
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -1,7 +1,6 @@
 package leader
 
 import (
-	"context"
 	"time"
 
 	"lilaclead/internal/wire"
@@ -53,7 +52,7 @@
 	t.l.Metrics.Machines(t.states())
 	// When many are silent it is rather this node that is cut off from them.
 	cutOff := silent >= 3 && silent*2 > up
-	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.deciding() && now.Sub(t.startedAt) > lostAfter+t.settings.Workers.LeaseS.Duration()/8 {
+	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.lease.Deciding() && now.Sub(t.startedAt) > lostAfter+t.settings.Workers.LeaseS.Duration()/8 {
 		for name, o := range t.l.Mesh.View().Others {
 			if o.Near(now) && o.Serves && o.Hears*2 > up {
 				t.resign("workers reach " + string(name) + ", not this node")
@@ -104,7 +103,7 @@
 		}
 		t.watchMute(m, now, mute <= max(3, up/4))
 	}
-	if !t.deciding() || !t.recovered {
+	if !t.lease.Deciding() || !t.recovered {
 		return
 	}
 	for _, j := range t.jobs {
@@ -126,7 +125,7 @@
 		if f := t.flavor(m.kit); f != nil {
 			ready = f.BootTime.Duration()
 		}
-		if now.Sub(m.rentedAt) > ready*11/4+5*time.Second && t.deciding() {
+		if now.Sub(m.rentedAt) > ready*11/4+5*time.Second && t.lease.Deciding() {
 			t.release(m, "never came up")
 		}
 		return
@@ -140,7 +139,7 @@
 			break
 		}
 	}
-	if !t.deciding() {
+	if !t.lease.Deciding() {
 		return
 	}
 	if m.failed {
@@ -236,11 +235,9 @@
 	return false
 }
 
-// resign gives the office up to a node that the workers reach.
+// resign gives the leadership up to a node that the workers reach.
 func (t *term) resign(why string) {
 	t.log().Info("resigns", "why", why)
-	t.l.campaignAfter = time.Now().Add(15 * time.Second)
-	permit := t.grant
-	go t.l.Store.End(context.WithoutCancel(t.ctx), permit) //nolint:errcheck // else it runs out by itself
+	t.lease.Resign(t.ctx, time.Now().Add(15*time.Second))
 	t.end(why)
 }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -102,7 +102,7 @@
 // address is known, so that a new leader's report round takes a moment and
 // not a report's interval.
 func (t *term) probeSome() {
-	if t.probed || !t.recovered || !t.deciding() {
+	if t.probed || !t.recovered || !t.lease.Deciding() {
 		return
 	}
 	n := 0
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -75,7 +75,7 @@
 // something on it waits for a proof that it can't give, else when its lease
 // must have run out. When many seem deaf it is rather this node that is slow.
 func (t *term) watchHearing(m *machine, now time.Time) {
-	if m.hearing.deaf.IsZero() || m.releasing || !t.deciding() || !t.recovered {
+	if m.hearing.deaf.IsZero() || m.releasing || !t.lease.Deciding() || !t.recovered {
 		return
 	}
 	if now.Sub(m.verified) > 2*time.Second {
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -10,7 +10,7 @@
 // release returns a machine; its tasks count until the cloud has said that
 // it is gone.
 func (t *term) release(m *machine, why string) {
-	if m.releasing || !t.deciding() {
+	if m.releasing || !t.lease.Deciding() {
 		return
 	}
 	m.releasing = true
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -9,7 +9,7 @@
 // onHello answers a report.
 func (t *term) onHello(h hello) {
 	now := time.Now()
-	if !t.answering() {
+	if !t.lease.Answering() {
 		h.reply <- reply{refused: "can't tell whether this node still leads"}
 		return
 	}
@@ -62,7 +62,7 @@
 	}
 	m.answered = now
 	m.hearing.told, m.hearing.shift, m.hearing.tally = t.token, h.rep.Session, h.rep.Sequence
-	if t.deciding() {
+	if t.lease.Deciding() {
 		o.Commands = t.orders(m, &h.rep, now)
 	}
 	h.reply <- reply{orders: o}
@@ -79,7 +79,7 @@
 // itself is asked which.
 func (t *term) older(m *machine, rep *wire.Report, o *wire.Commands, now time.Time) reply {
 	crossed := now.Sub(m.seenAt) < crossing
-	if (!crossed || rep.Session != m.shift || rep.Sequence+2 < m.tally) && now.Sub(m.verified) > time.Second && !m.releasing && t.deciding() {
+	if (!crossed || rep.Session != m.shift || rep.Sequence+2 < m.tally) && now.Sub(m.verified) > time.Second && !m.releasing && t.lease.Deciding() {
 		m.verified = now
 		t.probe(m)
 	}
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -8,6 +8,7 @@
 
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
@@ -21,6 +22,12 @@
 	return l
 }
 
+// leaseFor is a lease that was just taken and decides for so long.
+func leaseFor(l *Leader, token wire.Token, d time.Duration) *election.Lease {
+	now := time.Now()
+	return election.NewLease(l.candidate, election.Terms{Token: token, TakenAt: now, DecidesUntil: now.Add(d)})
+}
+
 // rig is a term without I/O, with one job of one task held on one machine.
 func rig(tb testing.TB) (*term, *machine, *attempt) {
 	tb.Helper()
@@ -28,7 +35,7 @@
 	l := &Leader{Deps: Deps{Config: cfg, Cancels: known(), Tuning: tuning.NewBox(), Flavors: &FlavorBox{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: Metrics{Moved: func(string) {}, Waited: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
 	l.maxCancelAge = maxCancelAge(cfg.Settings.Workers)
-	tm := newTerm(l, leadership{token: 50, takenAt: time.Now(), decidesUntil: time.Now().Add(time.Hour)})
+	tm := newTerm(l, leaseFor(l, 50, time.Hour))
 	tm.recovered = true
 	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
 	tm.jobs[j.spec.ID] = j
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -200,7 +200,7 @@
 			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(j.chunk(0).record())})
 		}
 		for b.Loop() {
-			next := newTerm(tm.l, leadership{token: 51, takenAt: time.Now(), decidesUntil: time.Now().Add(time.Hour)})
+			next := newTerm(tm.l, leaseFor(tm.l, 51, time.Hour))
 			next.ctx = tm.ctx
 			next.loadRecords(jobs, runs)
 			if len(next.jobs) != len(jobs) {
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -75,7 +75,8 @@
 		var tm *term
 		var j *job
 		lead := func() {
-			tm = newTerm(&Leader{Deps: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}, leadership{token: 50, takenAt: time.Now()})
+			l := &Leader{Deps: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}
+			tm = newTerm(l, leaseFor(l, 50, 0))
 			tm.recovered = true
 			j = newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now()), Chunk: per}, 1)
 			tm.jobs[spec.ID] = j
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/store"
@@ -35,10 +36,8 @@
 // helpers that do I/O hand their results back through the inbox.
 type term struct {
 	l               *Leader
-	grant           wire.GrantID
+	lease           *election.Lease
 	startedAt       time.Time
-	decidesUntil    atomic.Int64  // since born
-	answersUntil    atomic.Int64  // since born: until then reports may be answered without the state service
 	delegationToken atomic.Uint64 // the token under which others may renew leases; 0: none yet
 	// unprovenCancelSince: see Leader.UnprovenCancelSince.
 	unprovenCancelSince atomic.Pointer[time.Time]
@@ -95,9 +94,9 @@
 	fleet fleetState
 }
 
-func newTerm(l *Leader, o leadership) *term {
+func newTerm(l *Leader, lease *election.Lease) *term {
 	t := &term{
-		l: l, grant: o.grant, startedAt: o.takenAt, token: o.token, firstToken: o.token,
+		l: l, lease: lease, startedAt: lease.TakenAt(), token: lease.Token(), firstToken: lease.Token(),
 		settings: &l.Config.Settings,
 		hellos:   make(chan hello, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
 		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{},
@@ -105,7 +104,6 @@
 		cutAt: map[wire.Zone]time.Time{}, heard: map[wire.Zone]heard{}, pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
 		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
 	}
-	t.decidesUntil.Store(int64(o.decidesUntil.Sub(o.takenAt)))
 	t.fleet.init()
 	return t
 }
@@ -133,7 +131,7 @@
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	t.ctx = ctx
-	go t.renew(ctx)
+	go t.keepLease(ctx)
 	go t.recover(ctx)
 	go t.listHosts(ctx)
 	go t.watchFlavors(ctx)
@@ -170,7 +168,7 @@
 
 // settle does what has become due after an event: a round, a write.
 func (t *term) settle(now time.Time) {
-	if !t.recovered || !t.deciding() {
+	if !t.recovered || !t.lease.Deciding() {
 		return
 	}
 	t.mendGangs()
@@ -213,9 +211,9 @@
 	if acked && t.majorityAckedAt.IsZero() {
 		t.majorityAckedAt = now
 	}
-	t.answersUntil.Store(int64(min(until.Sub(t.startedAt), t.answersWithoutStateUntil(v, now))))
+	t.lease.Acknowledged(until, t.oldestAck(v, now), t.l.delegationTime)
 	t.applyCancellations()
-	if t.deciding() {
+	if t.lease.Deciding() {
 		if !t.stateAwaySince.IsZero() {
 			t.log().Info("state service back", "token", t.token, "away", now.Sub(t.stateAwaySince))
 			t.stateAwaySince, t.stateBackAt = time.Time{}, now
@@ -237,27 +235,23 @@
 	}
 }
 
-// answersWithoutStateUntil bounds, since the term began, for how long reports may be answered
-// without the state service, by B from the end of the grant, so that a successor
-// knows when this node answered last, at the latest. While not all nodes
-// acknowledge it may be no outage but a cut, behind which another leads and users
-// cancel jobs: then it is no longer than a node may be a delegate. A
-// successor counts on that, since one that it never had acknowledged its token
-// has had no acknowledgement from it either. (Counted by when they were asked,
-// not heard: what was held up on its way says nothing of now.)
-func (t *term) answersWithoutStateUntil(v *peer.View, now time.Time) time.Duration {
-	until := time.Duration(t.decidesUntil.Load())
-	if t.l.delegationTime == 0 {
-		return until + peer.B - leaseMargin
-	}
+// oldestAck is when the oldest of the other nodes' last acknowledgements was asked
+// for.
+func (t *term) oldestAck(v *peer.View, now time.Time) time.Time {
 	oldest := now
 	for _, o := range t.l.Config.Others {
 		if at := v.Others[o.HostName].AckSent; at.Before(oldest) {
 			oldest = at
 		}
 	}
-	alone := until - (grantTTL - leaseMargin) + t.l.delegationTime
-	return min(until+peer.B-leaseMargin, max(alone, oldest.Add(2*peer.X).Sub(t.startedAt)))
+	return oldest
+}
+
+// keepLease renews the leadership and ends the term when it is lost.
+func (t *term) keepLease(ctx context.Context) {
+	if err := t.lease.Keep(ctx, t.leaseRenewed); err != nil {
+		t.end(err.Error())
+	}
 }
 
 // enoughMachinesReported tells whether the machines that should be up have reported with
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -98,7 +98,7 @@
 const viewLimit = 500
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.deciding(), Bookings: len(t.fleet.bookings)}
+	v := &View{Deciding: t.lease.Deciding(), Bookings: len(t.fleet.bookings)}
 	for _, m := range t.machines {
 		if len(v.Machines) == viewLimit {
 			break
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"lilaclead/internal/leader/election"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -215,7 +216,7 @@
 	case err == nil:
 		t.committed(b, rev)
 	case errors.As(err, &conflict) && conflict.Has(store.LeadKey):
-		t.end("another node leads")
+		t.end(election.ErrTaken.Error())
 	case errors.As(err, &conflict):
 		b.orphans = slices.DeleteFunc(b.orphans, func(g wire.Guard) bool { return conflict.Has(g.Key) }) // gone already
 		t.undo(b)
@@ -387,40 +388,13 @@
 	t.raising = true
 	t.raiseWanted, t.raiseAt = false, time.Now().Add(t.settings.Workers.LeaseS.Duration()/2)
 	old := t.token
-	value := wire.Encode(store.LeadRecord{Node: t.l.Config.HostName, Nonce: t.l.nonce})
 	go func() {
-		for t.ctx.Err() == nil {
-			rev, err := t.l.Store.Commit(t.ctx, store.Vital, wire.Txn{
-				Guards: []wire.Guard{{Key: store.LeadKey, Revision: wire.Revision(old)}},
-				Writes: []wire.Write{{Put: store.LeadKey, Value: value, Grant: t.grant}},
-			})
-			if err != nil {
-				// Executed, perhaps by an earlier try: then the key is ours
-				// with a new revision.
-				e, err2 := t.l.Store.Get(t.ctx, store.Vital, store.LeadKey)
-				var rec store.LeadRecord
-				switch {
-				case errors.Is(err2, store.ErrMissing):
-					t.end("the leadership is vacant")
-					return
-				case err2 == nil && wire.Decode(e.Value, &rec) == nil:
-					if rec.Nonce != t.l.nonce || e.Grant != t.grant {
-						t.end("another node leads")
-						return
-					}
-					if wire.Token(e.Revision) > old {
-						rev, err = e.Revision, nil
-					}
-				}
-			}
-			if err == nil {
-				t.post(func() { t.raised(wire.Token(rev), b) })
-				return
-			}
-			select {
-			case <-t.ctx.Done():
-			case <-time.After(200 * time.Millisecond):
-			}
+		token, err := t.lease.RaiseToken(t.ctx, old)
+		switch {
+		case err == nil:
+			t.post(func() { t.raised(token, b) })
+		case t.ctx.Err() == nil:
+			t.end(err.Error())
 		}
 	}()
 }
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -11,6 +11,7 @@
 
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
@@ -35,10 +36,11 @@
 		tm.l.Store = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 		tm.l.Mesh = peer.New("a", nil, func() peer.Self { return peer.Self{} }, tm.l.Cancels, nw.Host("10.0.0.1"), tm.l.Log)
 		go tm.l.Mesh.Run(ctx)
-		tm.ctx, tm.l.nonce = ctx, "this life"
+		tm.ctx = ctx
 		tm.settings.State.TxnOps = 12
-		tm.token = wire.Token(st.Put(store.LeadKey, store.LeadRecord{Node: "a", Nonce: "this life"}))
-		tm.firstToken = tm.token
+		tm.l.candidate = election.NewCandidate(tm.l.Config, tm.l.Store, tm.l.Log, tm.l.Mesh.Raise)
+		tm.token = wire.Token(st.Put(store.LeadKey, tm.l.candidate.Record()))
+		tm.lease, tm.firstToken = leaseFor(tm.l, tm.token, time.Hour), tm.token
 		m.baton = tm.token
 		tm.drop(a, taskPending)
 		a.chunk.changed, a.job.finished = false, false
