--- /dev/null
+++ b/internal/leader/cancellations.go
@@ -0,0 +1,93 @@
+package leader
+
+import (
+	"slices"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// haltCancelled stops what is left of a cancelled job. For a job that is read
+// during recovery this comes only once its attempts have been read too: before, it
+// looks as if nothing of it were left.
+func (t *term) haltCancelled(j *job) {
+	t.log().Info("cancels", "job", j.spec.ID, "held", j.held)
+	t.cancelledJobs[j] = struct{}{}
+	for _, a := range j.attempts() {
+		t.haltOne(a, 0, "cancelled")
+	}
+	t.checkFinished(j)
+}
+
+// UnprovenCancelSince is since when there are cancellations of which a launch may still be
+// on its way unseen: nobody can halt that by what a report shows. Zero: none.
+func (l *Leader) UnprovenCancelSince() time.Time {
+	if t := l.term.Load(); t != nil {
+		return t.unprovenCancel()
+	}
+	return time.Time{}
+}
+
+func (t *term) unprovenCancel() time.Time {
+	if at := t.unprovenCancelSince.Load(); at != nil {
+		return *at
+	}
+	return time.Time{}
+}
+
+// applyCancellations takes in cancellations that were heard of by whatever way. The
+// record itself is read when the state service is there.
+func (t *term) applyCancellations() {
+	var ids []wire.JobID
+	ids, t.cancelCursor = t.l.Cancels.Since(t.cancelCursor)
+	for _, id := range ids {
+		j := t.jobs[id]
+		if j == nil || j.cancelled {
+			continue
+		}
+		j.cancelled, j.stale = true, true
+		j.cancelledAt, _ = t.l.Cancels.At(id)
+		t.log().Info("hears of a cancellation", "job", id, "deciding", t.lease.Deciding())
+		if t.recovered {
+			t.haltCancelled(j)
+		}
+	}
+	t.findUnprovenCancels()
+}
+
+// findUnprovenCancels finds the cancelled jobs of which a launch may be on its way.
+func (t *term) findUnprovenCancels() {
+	var first time.Time
+	for j := range t.cancelledJobs {
+		if j.held == 0 {
+			delete(t.cancelledJobs, j)
+			continue
+		}
+		if first.IsZero() || j.cancelledAt.Before(first) {
+			for _, a := range j.attempts() {
+				if !a.planned && (!a.reported || a.launchUnanswered || a.launchInFlight) {
+					first = j.cancelledAt
+					break
+				}
+			}
+		}
+	}
+	t.unprovenCancelSince.Store(&first)
+}
+
+// renewalWithheld tells whether a machine's lease must not be renewed any more: a
+// launch of a cancelled task may be on its way there that its report does not
+// show, and that only the end of the session, or a token above the launch's,
+// can keep from starting too late.
+func (t *term) renewalWithheld(m *machine, rep *wire.Report, now time.Time) bool {
+	for task, a := range m.tasks {
+		if !a.job.cancelled || a.planned || now.Sub(a.job.cancelledAt) < t.l.maxCancelAge || !a.launchInFlight && !(a.launchUnanswered && t.token <= a.unansweredToken) {
+			continue
+		}
+		name := task.String()
+		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.number }) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/leader/chunk.go
@@ -0,0 +1,59 @@
+package leader
+
+import (
+	"slices"
+	"time"
+
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+type chunk struct {
+	job          *job
+	index        int
+	revision     wire.Revision
+	nextAttempt  wire.Attempt
+	taskStates   []uint8
+	firstPending int       // no earlier task is pending
+	unstored     int       // attempts held that are not yet stored
+	changedAt    time.Time // when it came to differ from what is stored
+	attempts     map[int]*attempt
+	changed      bool // differs from what is stored or being stored
+	beingWritten bool // being written
+	// writeAfter: it is not written before, as it was refused by itself.
+	writeAfter time.Time
+}
+
+func (c *chunk) hold(a *attempt) {
+	c.taskStates[a.index] = taskHeld
+	c.attempts[a.index] = a
+	c.job.held++
+	a.machine.tasks[a.task()] = a
+	a.machine.used = a.machine.used.Plus(a.res())
+}
+
+// markPending notes that a chunk must be written.
+func (t *term) markPending(c *chunk) {
+	if !c.changed {
+		c.changedAt = time.Now()
+	}
+	c.changed = true
+	t.pendingWrites[c] = struct{}{}
+}
+
+// record is the chunk as it is stored.
+func (c *chunk) record() store.ChunkRecord {
+	done := make([]bool, len(c.taskStates))
+	for i, s := range c.taskStates {
+		done[i] = s == taskDone
+	}
+	rec := store.ChunkRecord{Next: c.nextAttempt, Done: store.Ranges(done), Held: []store.Held{}}
+	if c.job.subChunks > 0 {
+		rec.Size = c.job.chunkTasks
+	}
+	for i, a := range c.attempts {
+		rec.Held = append(rec.Held, store.Held{Task: i, Try: a.number, On: a.machine.id})
+	}
+	slices.SortFunc(rec.Held, func(a, b store.Held) int { return a.Task - b.Task })
+	return rec
+}
