--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -15,7 +15,7 @@
 // planFleet rents for what can't be placed and returns what is not needed.
 func (t *term) planFleet(now time.Time) {
 	flavors := t.l.Flavors.Get()
-	if !t.recovered || !t.placing || !t.listReceived || !t.deciding() || flavors == nil || t.rentals.Paused(now) {
+	if !t.recovered || !t.placing || !t.listReceived || !t.lease.Deciding() || flavors == nil || t.rentals.Paused(now) {
 		return
 	}
 	// What an earlier leader rented last is not listed yet.
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -102,7 +102,7 @@
 // address is known, so that a new leader's report round takes a moment and
 // not a report's interval.
 func (t *term) showToken() {
-	if t.tokenShown || !t.recovered || !t.deciding() {
+	if t.tokenShown || !t.recovered || !t.lease.Deciding() {
 		return
 	}
 	n := 0
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -76,7 +76,7 @@
 // something on it waits for a proof that it can't give, else when its lease
 // must have run out. When many seem so it is rather this node that is slow.
 func (t *term) watchInbound(m *machine, now time.Time) {
-	if m.inbound.unreachableSince.IsZero() || m.releasing || !t.deciding() || !t.recovered {
+	if m.inbound.unreachableSince.IsZero() || m.releasing || !t.lease.Deciding() || !t.recovered {
 		return
 	}
 	if now.Sub(m.verifiedAt) > 2*time.Second {
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -17,7 +17,7 @@
 // release returns a machine; its tasks count until the cloud has said that
 // it is gone.
 func (t *term) release(m *machine, why string) {
-	if m.releasing || !t.deciding() {
+	if m.releasing || !t.lease.Deciding() {
 		return
 	}
 	m.releasing = true
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -9,7 +9,7 @@
 // onHello answers a report.
 func (t *term) onReport(h reportCall) {
 	now := time.Now()
-	if !t.answering() {
+	if !t.lease.Answering() {
 		h.reply <- reportAnswer{refused: "can't tell whether this node still leads"}
 		return
 	}
@@ -62,7 +62,7 @@
 	}
 	m.answeredAt = now
 	m.inbound.answeredToken, m.inbound.answeredSession, m.inbound.answeredSequence = t.token, h.report.Session, h.report.Sequence
-	if t.deciding() {
+	if t.lease.Deciding() {
 		o.Commands = t.commandsFor(m, &h.report, now)
 	}
 	h.reply <- reportAnswer{commands: o}
@@ -79,7 +79,7 @@
 // itself is asked which.
 func (t *term) onStaleReport(m *machine, rep *wire.Report, o *wire.Commands, now time.Time) reportAnswer {
 	crossed := now.Sub(m.seenAt) < crossing
-	if (!crossed || rep.Session != m.session || rep.Sequence+2 < m.sequence) && now.Sub(m.verifiedAt) > time.Second && !m.releasing && t.deciding() {
+	if (!crossed || rep.Session != m.session || rep.Sequence+2 < m.sequence) && now.Sub(m.verifiedAt) > time.Second && !m.releasing && t.lease.Deciding() {
 		m.verifiedAt = now
 		t.probe(m)
 	}
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -98,7 +98,7 @@
 const viewLimit = 500
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.deciding(), Bookings: len(t.rentals.Bookings())}
+	v := &View{Deciding: t.lease.Deciding(), Bookings: len(t.rentals.Bookings())}
 	for _, m := range t.machines {
 		if len(v.Machines) == viewLimit {
 			break
