--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -12,6 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
+// mustFinish checks that all tasks of the jobs have completed.
 func mustFinish(t *testing.T, w *simulator.World, jobs ...simulator.Truth) {
 	t.Helper()
 	w.Checked(func(c *simulator.Checker) {
@@ -33,13 +34,13 @@
 	})
 }
 
-// alive is how many tasks of a job are on machines.
+// tasksOnMachines is how many tasks of a job are on machines.
 func tasksOnMachines(w *simulator.World, id wire.JobID) (n int) {
 	w.Checked(func(c *simulator.Checker) { n = c.On(id) })
 	return n
 }
 
-// cancelledIsGone checks that nothing of a cancelled job is left.
+// mustBeGone checks that nothing of a cancelled job is left.
 func mustBeGone(t *testing.T, w *simulator.World, j simulator.Truth, when string) {
 	t.Helper()
 	if n := tasksOnMachines(w, j.Spec.ID); n != 0 {
@@ -47,6 +48,7 @@
 	}
 }
 
+// lostMachines counts the machines that exist no more.
 func lostMachines(w *simulator.World, ids []wire.MachineID) (n int) {
 	for _, id := range ids {
 		if w.IP(id) == "" {
@@ -56,7 +58,7 @@
 	return n
 }
 
-// usage checks how many processors the tasks of a team use.
+// mustUseCPUs checks how many processors the tasks of a team use.
 func mustUseCPUs(t *testing.T, w *simulator.World, team wire.TeamID, want float64) {
 	t.Helper()
 	w.Checked(func(c *simulator.Checker) {
@@ -66,7 +68,7 @@
 	})
 }
 
-// preempted is how many tasks the leader has had stopped to make room.
+// preemptionCount is how many tasks the leader has preempted.
 func preemptionCount(t *testing.T, w *simulator.World) float64 {
 	t.Helper()
 	_, raw, _ := w.Operate(w.Leader(), "GET", "/metrics", nil)
@@ -81,8 +83,8 @@
 	return 0
 }
 
-// leftOver lists the jobs that the state service still has as not over, but for
-// those named, and progress of others.
+// leftoverKeys lists the records of live jobs and of their progress that the state
+// service still has, but for those of the jobs named.
 func leftoverKeys(w *simulator.World, live ...simulator.Truth) []string {
 	var out []string
 	for _, k := range append(w.State.Keys("job/"), w.State.Keys("run/")...) {
@@ -93,7 +95,7 @@
 	return out
 }
 
-// noneLeftWaiting lets time pass, after which no job may have waited for 90 s
+// mustLeaveNothingWaiting lets time pass, after which no job may have waited for 90 s
 // without a start while a machine had room for it and its team was under its limit.
 func mustLeaveNothingWaiting(t *testing.T, w *simulator.World, d time.Duration) {
 	t.Helper()
@@ -121,12 +123,38 @@
 	}
 }
 
-// endOfDay checks, once all troubles are over, that every accepted job which
-// nobody cancelled is answered by every node within 75 s and runs or is done
+// mustRecover checks, once all faults are over, that every accepted job which
+// nobody cancelled is answered by every controller within 75 s and runs or is done
 // within 90 s, and that all of them, and those named, come to their end.
 func mustRecover(t *testing.T, w *simulator.World, size int, all ...simulator.Truth) {
 	t.Helper()
 	calm := time.Now()
+	mustAnswerAll(t, w, size, calm)
+	time.Sleep(time.Until(calm.Add(90 * time.Second)))
+	w.Checked(func(c *simulator.Checker) {
+		for _, id := range c.Owed() {
+			if !c.Complete(id) && c.On(id) == 0 {
+				t.Errorf("%s neither runs nor is done 90 s after the troubles", id)
+			}
+		}
+	})
+	// What does not complete in time is found by the check below.
+	poll(100*time.Second, time.Second, func() bool { return allComplete(w, all) })
+	time.Sleep(4 * time.Second)
+	for _, j := range all {
+		if j.Spec.Service() {
+			mustRun(t, w, j, "at the end")
+			continue
+		}
+		mustFinish(t, w, j)
+		mustBeAnsweredDone(t, w, size, j.Spec.ID)
+	}
+}
+
+// mustAnswerAll checks that every controller answers about every accepted job that
+// nobody cancelled, within 75 s of the end of all faults.
+func mustAnswerAll(t *testing.T, w *simulator.World, size int, calm time.Time) {
+	t.Helper()
 	var owed []wire.JobID
 	w.Checked(func(c *simulator.Checker) { c.Calm(calm); owed = c.Owed() })
 	for i := range size {
@@ -143,46 +171,32 @@
 			})
 		}
 	}
-	time.Sleep(time.Until(calm.Add(90 * time.Second)))
+}
+
+// allComplete tells whether all jobs but services have completed.
+func allComplete(w *simulator.World, jobs []simulator.Truth) bool {
+	all := true
 	w.Checked(func(c *simulator.Checker) {
-		for _, id := range c.Owed() {
-			if !c.Complete(id) && c.On(id) == 0 {
-				t.Errorf("%s neither runs nor is done 90 s after the troubles", id)
-			}
+		for _, j := range jobs {
+			all = all && (j.Spec.Service() || c.Complete(j.Spec.ID))
 		}
 	})
-	for until := time.Now().Add(100 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
-		left := 0
-		w.Checked(func(c *simulator.Checker) {
-			for _, j := range all {
-				if !j.Spec.Service() && !c.Complete(j.Spec.ID) {
-					left++
-				}
-			}
-		})
-		if left == 0 {
-			break
-		}
-	}
-	time.Sleep(4 * time.Second)
-	for _, j := range all {
-		id := j.Spec.ID
-		if j.Spec.Service() {
-			mustRun(t, w, j, "at the end of the day")
-			continue
-		}
-		mustFinish(t, w, j)
-		for i := range size {
-			status, raw, _ := w.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
-			var s wire.JobState
-			if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done {
-				t.Errorf("node %d answers %d %+v about %s, which is done", i, status, s, id)
-			}
+	return all
+}
+
+// mustBeAnsweredDone checks that every controller tells users that a job is done.
+func mustBeAnsweredDone(t *testing.T, w *simulator.World, size int, id wire.JobID) {
+	t.Helper()
+	for i := range size {
+		status, raw, _ := w.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
+		var s wire.JobState
+		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done {
+			t.Errorf("node %d answers %d %+v about %s, which is done", i, status, s, id)
 		}
 	}
 }
 
-// recorded counts the chunks that are stored of a job's progress.
+// storedChunks counts the chunks that are stored of a job's progress.
 func storedChunks(w *simulator.World, j simulator.Truth) int {
 	return len(w.State.Keys("run/" + string(j.Spec.ID) + "/"))
 }
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -17,10 +17,11 @@
 	"lilaclead/internal/wire"
 )
 
-// start makes real nodes for the stand-ins' world.
+// startController makes a real controller for a simulated deployment. With
+// SCENARIO_LOG set its log goes to standard error.
 func startController(cfg *config.Config, nw netio.Net) (func(context.Context) error, error) {
 	var out io.Writer = io.Discard
-	if os.Getenv("WORLD_LOG") != "" {
+	if os.Getenv("SCENARIO_LOG") != "" {
 		out = os.Stderr
 	}
 	n, err := lilaclead.New(cfg, lilaclead.Options{Net: nw, Log: out})
@@ -30,44 +31,52 @@
 	return n.Run, nil
 }
 
-// layout plays a day on a layout of zones and controllers.
+// scenarioRunner runs a script on a deployment with one layout of zones and
+// controllers. The script sleeps until a time after the start with its last
+// argument.
 type scenarioRunner = func(*testing.T, uint64, func(*simulator.World, func(time.Duration)))
 
-// play runs a world in virtual time: all nodes up, some jobs, and then what
-// the test does to it; at the end every rule must have held.
+// runScenario runs a script on the default deployment, in virtual time. All
+// controllers are up when it begins; when it ends every rule must have held.
 func runScenario(t *testing.T, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
 	runWithSettings(t, simulator.DefaultSettings(), seed, script)
 }
 
-// playBoth is play on the usual layout, and on the one where a zone has machines
-// and no controller.
+// runOnBothLayouts runs a script with controllers in every zone, and with a zone
+// that has machines and no controller.
 func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, w *simulator.World, at func(time.Duration))) {
 	t.Helper()
-	for name, run := range map[string]func(*testing.T, uint64, func(*simulator.World, func(time.Duration))){"usual layout": runScenario, "odd layout": runOnUnevenLayout} {
-		t.Run(name, func(t *testing.T) {
-			run(t, seed, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
+	for _, layout := range layouts {
+		t.Run(layout.name, func(t *testing.T) {
+			layout.run(t, seed, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
 		})
 	}
 }
 
-// playAs is play with settings of the test's own.
+// runWithSettings is runScenario with settings of the test's own.
 func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, set, set.Zones, seed, script)
 }
 
-// Three zones with machines; of three controllers two are in the first and one
-// is in the second.
+// layouts are the two layouts that tests choose from.
+var layouts = []struct {
+	name string
+	run  scenarioRunner
+}{{"controllers in every zone", runScenario}, {"zone without controller", runOnUnevenLayout}}
+
+// unevenZones are the zones of three controllers of a deployment with machines in
+// three zones: the third zone has none.
 var unevenZones = []wire.Zone{"a", "b", "a"}
 
-// playOdd plays a day on that layout.
+// runOnUnevenLayout is runScenario with controllers in two of three zones.
 func runOnUnevenLayout(t *testing.T, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, simulator.GasSettings(), unevenZones, seed, script)
 }
 
-// playIn is playAs with controllers in some zones only.
+// runWithControllersIn is runWithSettings with controllers in some zones only.
 func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -96,57 +105,49 @@
 	})
 }
 
-// meet plays a meeting of troubles on the usual layout or, by turns of the seed, on
-// the one where a zone has machines and no controller.
+// runOnAlternatingLayouts runs a script with one seed or as many as asked for: even
+// ones on the first layout, odd ones on the second.
 func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, w *simulator.World, at func(time.Duration))) {
 	t.Helper()
-	for i := range seeds() {
-		name, run := "usual layout", runScenario
-		if (seed+i)%2 == 1 {
-			name, run = "odd layout", runOnUnevenLayout
-		}
-		t.Run(fmt.Sprint(name, " ", seed+i), func(t *testing.T) {
-			run(t, seed+i, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
+	for i := range seedCount(1) {
+		layout := layouts[(seed+i)%2]
+		t.Run(fmt.Sprint(layout.name, " ", seed+i), func(t *testing.T) {
+			layout.run(t, seed+i, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
 		})
 	}
 }
 
-// meetSeeds is how many seeds each meeting is played with; WORLD_SEEDS asks for
-// more of them.
-func seedCount(n int) uint64 {
-	most, _ := strconv.Atoi(os.Getenv("WORLD_SEEDS"))
-	return uint64(max(n, most))
-}
-
-// seeds is how many seeds each meeting is played with: one, or more on demand.
-func seeds() uint64 {
-	n, _ := strconv.ParseUint(os.Getenv("MEET_SEEDS"), 10, 64)
-	return max(1, n)
+// seedCount is how many seeds a scenario is run with: at least so many, or as many
+// as SCENARIO_SEEDS asks for.
+func seedCount(least int) uint64 {
+	asked, _ := strconv.Atoi(os.Getenv("SCENARIO_SEEDS"))
+	return uint64(max(least, asked))
 }
 
-// sized is the default deployment with another number of controllers.
+// settingsOfSize are the default settings with another number of controllers.
 func settingsOfSize(n int) config.Settings {
 	s := simulator.DefaultSettings()
 	s.Size = n
 	return s
 }
 
-// limited is a deployment whose teams both have a limit that tests can reach.
+// settingsWithTeamLimits are the default settings with limits of both teams that
+// tests can reach.
 func settingsWithTeamLimits() config.Settings {
 	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 16, CPUsMax: 16}}
 	return s
 }
 
-// roomy is the default deployment with a state service so fast that questions
-// wait for hardly anything, and answers cross within milliseconds.
+// settingsWithFastStateService are the default settings with a state service so
+// fast that requests hardly queue, and answers cross within milliseconds.
 func settingsWithFastStateService() config.Settings {
 	s := simulator.DefaultSettings()
 	s.State.RPS, s.State.WriteRPS = 4000, 2000
 	return s
 }
 
-// up starts nodes.
+// startControllers starts those of the controllers that are down.
 func startControllers(t *testing.T, w *simulator.World, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
--- a/internal/scenarios/helpers_jobs_test.go
+++ b/internal/scenarios/helpers_jobs_test.go
@@ -9,12 +9,14 @@
 	"lilaclead/internal/wire"
 )
 
+// array is a job of independent tasks, which may use spot machines.
 func array(n, parts int, run float64) simulator.Truth {
 	return simulator.Truth{RunS: run, Spec: wire.Spec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard,
 		Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: wire.Seconds(run)}}
 }
 
+// service is a job of replicas that run until it is cancelled.
 func service(n, parts int) simulator.Truth {
 	return simulator.Truth{Spec: wire.Spec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "portal", Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProd,
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -12,24 +12,27 @@
 	"lilaclead/internal/wire"
 )
 
-// fates are those of the faults' transactions that change a key with the prefix
+// faultedTransactions are those that a fault hit, that change a key with the prefix
 // and pass the test.
 func faultedTransactions(w *simulator.World, prefix string, which func(f *simulator.Fate) bool) []simulator.Fate {
 	return slices.DeleteFunc(w.State.Fates(), func(f simulator.Fate) bool { return !f.Changes(prefix) || !which(&f) })
 }
 
+// wasExecuted tells whether the transaction changed what is stored.
 func wasExecuted(f *simulator.Fate) bool { return f.Status == http.StatusOK }
 
+// wasExecutedValue is wasExecuted for values.
 func wasExecutedValue(f simulator.Fate) bool { return wasExecuted(&f) }
 
-// tooLate are those that came after newer ones of the same client and failed.
+// failedAfterNewer tells whether the transaction came after newer ones of the same
+// client and failed.
 func failedAfterNewer(f *simulator.Fate) bool {
 	return f.Late && f.Newer > 0 && f.Status != 0 && f.Status != http.StatusOK
 }
 
-// mustBeLate checks that one of the transactions was carried out, or refused,
-// after newer ones of the same client had been carried out, and after all that
-// came before it here.
+// mustBeExecutedLate checks that one of the transactions was executed, or refused,
+// after newer ones of the same client had been executed, and after all the times
+// given.
 func mustBeExecutedLate(t *testing.T, what string, hit []simulator.Fate, after ...time.Time) {
 	t.Helper()
 	for _, f := range hit {
@@ -40,37 +43,30 @@
 	t.Errorf("%s: none came late, after newer ones and after %v: %+v", what, after, hit)
 }
 
-// refusedFor are the fates that failed at a guard on such a key.
+// refusedByGuardOn are the transactions that came after newer ones and failed at a
+// guard on a key with the prefix.
 func refusedByGuardOn(prefix string) func(*simulator.Fate) bool {
 	return func(f *simulator.Fate) bool {
 		return failedAfterNewer(f) && slices.ContainsFunc(f.Failed, func(k string) bool { return strings.HasPrefix(k, prefix) })
 	}
 }
 
-// rest ends all troubles of transactions, and gives the jobs some time.
+// endFaultsAndWait ends all faults of transactions, and gives the jobs some time.
 func endFaultsAndWait(w *simulator.World, d time.Duration) {
 	w.State.Trouble(0)
 	w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
 	time.Sleep(d)
 }
 
-// archives tells whether a transaction replaces a job by its final record, and
-// writesCancel whether it is a user's cancellation of it.
+// isFinalRecordOf tells whether a transaction replaces a job by its final record.
 func isFinalRecordOf(x *wire.Txn, id wire.JobID) bool {
 	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return w.Delete == store.JobKey(id) })
 }
 
+// isCancellationOf tells whether a transaction is a user's cancellation of a job.
 func isCancellationOf(x *wire.Txn, id wire.JobID) bool {
 	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool {
 		var rec store.JobRecord
 		return w.Put == store.JobKey(id) && wire.Decode(w.Value, &rec) == nil && rec.Status == wire.Cancelled
 	})
 }
-
-// everyNode are the hosts of all controllers.
-func everyNode(w *simulator.World) (out []string) {
-	for i := range w.Set.Size {
-		out = append(out, simulator.NodeIP(i))
-	}
-	return
-}
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// askCancel asks a node once to cancel a job, as its user, and tells the status
-// that the user was told, if any.
+// requestCancel asks a controller once to cancel a job, as its user, and tells the
+// status that the user was told, if any.
 func requestCancel(w *simulator.World, node int, id wire.JobID) (wire.Status, bool) {
 	w.Checked(func(c *simulator.Checker) { c.CancelAsked(id) })
 	status, raw, _ := w.Ask(node, "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
@@ -23,45 +23,43 @@
 	return b.Status, true
 }
 
-// cancelAt cancels a job at one node as its user, and tells whether the node
-// confirmed it.
+// cancelOnceAt asks a controller once to cancel a job, as its user, and tells
+// whether it confirmed that.
 func cancelOnceAt(w *simulator.World, node int, id wire.JobID) bool {
 	status, ok := requestCancel(w, node, id)
 	return ok && status == wire.Cancelled
 }
 
-// cancelNow cancels a job as its user, at whichever node answers, and notes that
-// the user was told. It tells whether that was within the time.
+// cancelWithin has a user ask all controllers in turn to cancel a job until one
+// confirms it, and tells whether that was within the time.
 func cancelWithin(t *testing.T, w *simulator.World, id wire.JobID, within time.Duration) bool {
 	t.Helper()
-	for begin, i := time.Now(), 0; time.Since(begin) < within; i++ {
-		if status, ok := requestCancel(w, i%w.Set.Size, id); ok {
-			return status == wire.Cancelled
-		}
-		time.Sleep(200 * time.Millisecond)
-	}
-	return false
+	var status wire.Status
+	i := -1
+	answered := poll(within, 200*time.Millisecond, func() (ok bool) {
+		i++
+		status, ok = requestCancel(w, i%w.Set.Size, id)
+		return ok
+	})
+	return answered && status == wire.Cancelled
 }
 
-// cancelsAt asks a node to cancel a job, again and again until it is confirmed,
-// and tells when it was.
+// cancelAtController has a user ask one controller to cancel a job until it is
+// confirmed, and tells when it was.
 func cancelAtController(t *testing.T, w *simulator.World, i int, j simulator.Truth) time.Time {
 	t.Helper()
 	id := j.Spec.ID
-	for begin := time.Now(); time.Since(begin) < 20*time.Second; time.Sleep(100 * time.Millisecond) {
-		if status, ok := requestCancel(w, i, id); ok {
-			if status != wire.Cancelled {
-				t.Errorf("%s is called %s when its user cancels it", id, status)
-			}
-			return time.Now()
-		}
+	var status wire.Status
+	if !poll(20*time.Second, 100*time.Millisecond, func() (ok bool) { status, ok = requestCancel(w, i, id); return ok }) {
+		t.Fatalf("%s can't be cancelled at node %d", id, i)
+	}
+	if status != wire.Cancelled {
+		t.Errorf("%s is called %s when its user cancels it", id, status)
 	}
-	t.Fatalf("%s can't be cancelled at node %d", id, i)
-	return time.Time{}
+	return time.Now()
 }
 
-// mustCancel has a user cancel a job at a node, again and again until it is
-// confirmed.
+// mustCancel has a user cancel a job, at whichever controller answers.
 func mustCancel(t *testing.T, w *simulator.World, j simulator.Truth) {
 	t.Helper()
 	if !cancelWithin(t, w, j.Spec.ID, 10*time.Second) {
@@ -69,29 +67,31 @@
 	}
 }
 
-// once asks one node one time to submit a job or to cancel it, and tells the
-// answer's status. Without an answer nothing is known.
-func requestOnce(w *simulator.World, j simulator.Truth, cancel bool, node int) int {
-	path, body := "/v1/jobs", any(simulator.Submission(j.Spec))
-	if cancel {
-		path, body = path+"/"+string(j.Spec.ID)+"/cancel", nil
-		w.Checked(func(c *simulator.Checker) { c.CancelAsked(j.Spec.ID) })
+// request is the path and the body with which a user submits a job or asks to
+// cancel it. The checker learns that the user will ask to cancel.
+func request(w *simulator.World, j simulator.Truth, cancel bool) (path string, body any) {
+	if !cancel {
+		return "/v1/jobs", simulator.Submission(j.Spec)
 	}
+	w.Checked(func(c *simulator.Checker) { c.CancelAsked(j.Spec.ID) })
+	return "/v1/jobs/" + string(j.Spec.ID) + "/cancel", nil
+}
+
+// requestOnce asks one controller once to submit a job or to cancel it, and tells
+// the answer's status. Without an answer nothing is known.
+func requestOnce(w *simulator.World, j simulator.Truth, cancel bool, node int) int {
+	path, body := request(w, j, cancel)
 	status, _, _ := w.Ask(node, "POST", path, body)
 	return status
 }
 
-// insist is a user who submits a job or asks to cancel it again and again at
-// node after node, beginning with the given one, until it is answered, and who
-// then asks the others all the same. It tells when which node answered first.
+// requestUntilAnswered has a user submit a job or ask to cancel it, again and again
+// at one controller after the other, beginning with the given one, until it is
+// answered, and then at all others once. It tells when which one answered first.
 func requestUntilAnswered(t *testing.T, w *simulator.World, j simulator.Truth, cancel bool, from int) (when time.Time, node int, said wire.Status) {
 	t.Helper()
 	id := j.Spec.ID
-	path, body := "/v1/jobs", any(simulator.Submission(j.Spec))
-	if cancel {
-		path, body = path+"/"+string(id)+"/cancel", nil
-		w.Checked(func(c *simulator.Checker) { c.CancelAsked(id) })
-	}
+	path, body := request(w, j, cancel)
 	more := w.Set.Size
 	for i, begin := from, time.Now(); more > 0 && time.Since(begin) < 60*time.Second; i++ {
 		n := i % w.Set.Size
@@ -123,8 +123,8 @@
 	return
 }
 
-// polls has users ask one node about jobs, once a second, until the stop: what
-// it answers is checked against what any node has told before.
+// pollInBackground has users ask one controller about jobs, once a second, until the
+// stop: what it answers is checked against what any controller has told before.
 func pollInBackground(w *simulator.World, i int, jobs ...simulator.Truth) (answered *int, stop func()) {
 	n, done := 0, make(chan struct{})
 	for _, j := range jobs {
@@ -146,16 +146,16 @@
 	return &n, func() { close(done) }
 }
 
-// seen is an answer about a job that is newer than all before.
+// statusSeen is an answer about a job that is newer than all before.
 type statusSeen struct {
 	at   time.Time
 	node int
 	rank int // 0: not known, 1: accepted, 2: over
 }
 
-// reader asks the nodes in turn about one job, one question after the other:
-// whatever a user was told before he asked, the answer must not be older. (What
-// he is told while the answer is on its way can't be in it.)
+// statusReader asks the controllers in turn about one job, one question after the
+// other: whatever a user was told before a question, its answer must not be older.
+// (What users are told while the answer is on its way can't be in it.)
 type statusReader struct {
 	w     *simulator.World
 	stop  chan struct{}
@@ -163,6 +163,7 @@
 	news  []statusSeen
 }
 
+// startReader starts a reader of a job's status.
 func startReader(t *testing.T, w *simulator.World, id wire.JobID) *statusReader {
 	r := &statusReader{w: w, stop: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
@@ -205,13 +206,13 @@
 	return r
 }
 
-// end stops the reader.
+// stopReading ends the reader.
 func (r *statusReader) stopReading() {
 	close(r.stop)
 	<-r.ended
 }
 
-// first is when an answer of the rank came first; zero: never.
+// firstSeen is when an answer of the rank came first; zero: never.
 func (r *statusReader) firstSeen(rank int) (at time.Time) {
 	r.w.Checked(func(*simulator.Checker) {
 		if i := slices.IndexFunc(r.news, func(n statusSeen) bool { return n.rank >= rank }); i >= 0 {
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -9,72 +9,74 @@
 	"lilaclead/internal/wire"
 )
 
-// until waits for something to come true, looking every few milliseconds.
-func waitUntil(t *testing.T, most time.Duration, what string, f func() bool) {
-	t.Helper()
-	for begin := time.Now(); !f(); time.Sleep(2 * time.Millisecond) {
-		if time.Since(begin) > most {
-			t.Fatalf("%s: not within %v", what, most)
+// poll waits until a condition holds, looking at once and then after every step of
+// virtual time, and tells whether that was within the time.
+func poll(most, step time.Duration, holds func() bool) bool {
+	for begin := time.Now(); !holds(); {
+		time.Sleep(step)
+		if time.Since(begin) >= most {
+			return false
 		}
 	}
+	return true
 }
 
-// shows waits for something that the stand-ins show.
-func eventually(t *testing.T, most time.Duration, what string, is func() bool) bool {
+// waitUntil waits for a condition and ends the test if it does not come in time.
+func waitUntil(t *testing.T, most time.Duration, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if is() {
-			return true
-		}
+	if !poll(most, 2*time.Millisecond, holds) {
+		t.Fatalf("%s: not within %v", what, most)
+	}
+}
+
+// eventually waits for a condition. If it does not come in time the test has failed
+// and goes on.
+func eventually(t *testing.T, most time.Duration, what string, holds func() bool) bool {
+	t.Helper()
+	if poll(most, 5*time.Millisecond, holds) {
+		return true
 	}
 	t.Errorf("not within %v: %s", most, what)
 	return false
 }
 
-// runs waits until all of the gang runs.
+// awaitGangRunning waits until all tasks of a gang run.
 func awaitGangRunning(t *testing.T, w *simulator.World, j simulator.Truth, most time.Duration) bool {
 	t.Helper()
 	return eventually(t, most, string(j.Spec.ID)+" runs whole", func() bool { return w.Gang(j.Spec.ID).Running == j.Spec.Tasks })
 }
 
-// another waits until some other node than this one leads.
+// awaitOtherLeader waits until another controller than this one leads.
 func awaitOtherLeader(t *testing.T, w *simulator.World, than int, most time.Duration) int {
 	t.Helper()
 	waitUntil(t, most, "another leader", func() bool { l := w.Leader(); return l >= 0 && l != than })
 	return w.Leader()
 }
 
-// nextLeader waits for the office to be taken anew and says by whom.
-func awaitNewToken(t *testing.T, w *simulator.World, old wire.Token) (int, wire.Token) {
+// awaitNewToken waits for an election after the one with the old token, and tells
+// who leads then.
+func awaitNewToken(t *testing.T, w *simulator.World, old wire.Token) (leader int, token wire.Token) {
 	t.Helper()
-	for range 20_000 {
-		if l, token := w.Holder(); l >= 0 && token > old {
-			return l, token
-		}
-		time.Sleep(time.Millisecond)
+	if !poll(20*time.Second, time.Millisecond, func() bool { leader, token = w.Holder(); return leader >= 0 && token > old }) {
+		t.Fatal("nobody leads")
 	}
-	t.Fatal("nobody leads")
-	return -1, 0
+	return leader, token
 }
 
-// followed waits until another leads than the one that was killed, and has that
-// one back.
-func awaitSuccessor(t *testing.T, w *simulator.World, l int) {
+// awaitSuccessor waits until another controller leads than the one that was killed,
+// and starts that one again.
+func awaitSuccessor(t *testing.T, w *simulator.World, killed int) {
 	t.Helper()
-	begin := time.Now()
-	for n := w.Leader(); n == l || n < 0; n = w.Leader() {
-		if time.Since(begin) > 15*time.Second {
-			t.Fatal("nobody followed the leader within 15 s")
-		}
-		time.Sleep(100 * time.Millisecond)
+	if !poll(15*time.Second, 100*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && l != killed }) {
+		t.Fatal("nobody followed the leader within 15 s")
 	}
-	if err := w.Up(l); err != nil {
+	if err := w.Up(killed); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// changeLeader ends the leader, waits until another leads, and has the old one
-// back. It checks that the office did change hands.
+// replaceLeader kills the leader, waits until another one leads, and starts the
+// killed one again.
 func replaceLeader(t *testing.T, w *simulator.World) {
 	t.Helper()
 	l := w.Leader()
@@ -85,7 +87,7 @@
 	awaitSuccessor(t, w, l)
 }
 
-// leaderIn sees to it that the leader is in a zone.
+// moveLeadershipTo kills leaders until one in the zone leads.
 func moveLeadershipTo(t *testing.T, w *simulator.World, z wire.Zone) {
 	t.Helper()
 	for range 10 {
@@ -105,7 +107,7 @@
 	t.Fatalf("no leader in zone %s", z)
 }
 
-// leadersZone is the zone that the leader is in, or the other one of two.
+// leaderZoneOrOther is the zone that the leader is in, or the other one of two.
 func leaderZoneOrOther(w *simulator.World, in bool) wire.Zone {
 	if (w.Config(w.Leader()).Zone == "a") == in {
 		return "a"
@@ -113,20 +115,25 @@
 	return "b"
 }
 
-// hasRecovered tells whether a leader has read what is stored.
-func hasRecovered(w *simulator.World, i int) bool {
+// adminView is what a controller shows its operators; false: nothing readable.
+func adminView(w *simulator.World, i int) (admin.View, bool) {
 	status, raw, _ := w.Operate(i, "GET", "/admin/view", nil)
 	var v admin.View
-	return status == 200 && wire.Decode(raw, &v) == nil && v.Term != nil && len(v.Term.Jobs) > 0
+	return v, status == 200 && wire.Decode(raw, &v) == nil
+}
+
+// hasRecovered tells whether a leader has read what is stored.
+func hasRecovered(w *simulator.World, i int) bool {
+	v, ok := adminView(w, i)
+	return ok && v.Term != nil && len(v.Term.Jobs) > 0
 }
 
-// leads tells whether a node itself says that it leads.
+// saysItLeads tells whether a controller itself says that it leads.
 func saysItLeads(t *testing.T, w *simulator.World, i int) bool {
 	t.Helper()
-	var v admin.View
-	status, raw, _ := w.Operate(i, "GET", "/admin/view", nil)
-	if status != 200 || wire.Decode(raw, &v) != nil {
-		t.Fatalf("view of node %d: %d", i, status)
+	v, ok := adminView(w, i)
+	if !ok {
+		t.Fatalf("no view of controller %d", i)
 	}
 	return v.Leads
 }
