--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -20,22 +20,14 @@
 			at(35 * time.Second)
 			w.State.Outage(true)
 			at(50 * time.Second)
-			for i := range 3 {
-				w.Kill(i)
-			}
+			killAll(w)
 			at(time.Duration(54+4*seed) * time.Second)
-			for i := range 3 {
-				w.Up(i)
-			}
+			startAll(t, w)
 			at(time.Duration(60+8*seed) * time.Second)
 			w.State.Outage(false)
 			at(220 * time.Second)
 			mustFinish(t, w, a)
-			w.Checked(func(c *simulator.Checker) {
-				if c.On(s.Spec.ID) != 3 {
-					t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
-				}
-			})
+			mustRun(t, w, s, "run")
 		})
 	}
 }
@@ -90,7 +82,7 @@
 		}
 		at(70 * time.Second)
 		mustRun(t, w, s, "after all that")
-		w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+		faultsAreOver(w)
 		at(240 * time.Second)
 		mustFinish(t, w, burst...)
 	})
@@ -115,9 +107,7 @@
 				time.Sleep(100 * time.Millisecond)
 				l := w.Leader()
 				confirmed := cancelAtController(t, w, (l+1)%3, gone)
-				for i := range 3 {
-					w.Kill(i)
-				}
+				killAll(w)
 				if time.Since(confirmed) > 20*time.Millisecond {
 					t.Errorf("cancelled %v before the end of all", time.Since(confirmed))
 				}
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -161,16 +161,10 @@
 		known()
 		// All nodes begin anew, and find the machine types neither in the state
 		// service nor at the cloud.
-		for i := range 3 {
-			w.Kill(i)
-		}
+		killAll(w)
 		w.CloudOutage(true)
 		w.State.Drop(store.FlavorsKey)
-		for i := range 3 {
-			if err := w.Up(i); err != nil {
-				t.Fatal(err)
-			}
-		}
+		startAll(t, w)
 		time.Sleep(3 * time.Second)
 		known()
 		odd(false)
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -150,9 +150,7 @@
 					t.Errorf("ended as %q and %q", a, b)
 				}
 			})
-			if keys := append(w.State.Keys("job/"), w.State.Keys("run/")...); len(keys) != 0 {
-				t.Errorf("left over: %v", keys)
-			}
+			mustLeaveNoKeys(t, w)
 		})
 	}
 }
@@ -244,9 +242,7 @@
 			if n := w.State.Lost(func(x *wire.Txn) bool { return isFinalRecordOf(x, hit.Spec.ID) }); n != 1 {
 				t.Errorf("%d final records failed at a cancellation", n)
 			}
-			if keys := append(w.State.Keys("job/"), w.State.Keys("run/")...); len(keys) != 0 {
-				t.Errorf("left over: %v", keys)
-			}
+			mustLeaveNoKeys(t, w)
 		})
 	}
 }
@@ -300,9 +296,7 @@
 				t.Errorf("it is %q, %d tasks run", s, c.On(j.Spec.ID))
 			}
 		})
-		if keys := append(w.State.Keys("job/"), w.State.Keys("run/")...); len(keys) != 0 {
-			t.Errorf("left over: %v", keys)
-		}
+		mustLeaveNoKeys(t, w)
 	})
 }
 
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -60,10 +60,7 @@
 		}
 		w.TakeMachine(on[0])
 		time.Sleep(15 * time.Second)
-		l := w.Leader()
-		w.Kill(l)
-		time.Sleep(time.Second)
-		w.Up(l)
+		restartLeader(t, w, time.Second)
 		time.Sleep(150 * time.Second)
 		mustFinish(t, w, j)
 		if g := w.Gang(j.Spec.ID); g.Starts != 2 || g.Falls != 1 {
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"strconv"
 	"testing"
 	"time"
 
@@ -13,11 +11,10 @@
 	"lilaclead/internal/wire"
 )
 
-// Seeded troubles, with gangs beside arrays and services. WORLD_SEEDS asks for
+// Seeded troubles, with gangs beside arrays and services. SCENARIO_SEEDS asks for
 // more of them.
 func TestGangRandomFaults(t *testing.T) {
-	most, _ := strconv.Atoi(os.Getenv("WORLD_SEEDS"))
-	for seed := range uint64(max(6, most)) {
+	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			set := []config.Settings{settingsOfSize(3), settingsOfSize(5), simulator.GasSettings()}[seed%3]
@@ -92,7 +89,7 @@
 						}
 					}
 				}
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(220 * time.Second)
 				mustFinish(t, w, all...)
 				starts, saves, falls, alone := 0, 0, 0, 0
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/leader"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
@@ -95,6 +96,36 @@
 	return out
 }
 
+// mustLeaveNoKeys checks that the state service has no records of live jobs and of
+// their progress, but for those of the jobs named.
+func mustLeaveNoKeys(t *testing.T, w *simulator.World, live ...simulator.Truth) {
+	t.Helper()
+	if keys := leftoverKeys(w, live...); len(keys) > 0 {
+		t.Errorf("left over: %v", keys)
+	}
+}
+
+// mustRestartNoTask checks that no task was started a second time.
+func mustRestartNoTask(t *testing.T, w *simulator.World) {
+	t.Helper()
+	w.Checked(func(c *simulator.Checker) {
+		if c.Again() != 0 {
+			t.Errorf("%d tasks were started again", c.Again())
+		}
+	})
+}
+
+// mustHaveTaskInUnknownZone checks that the leader knows of a task on a machine
+// that no list has shown to it, so that it can't tell its zone.
+func mustHaveTaskInUnknownZone(t *testing.T, w *simulator.World) {
+	t.Helper()
+	v, ok := adminView(w, w.Leader())
+	unknown := func(m leader.MachineView) bool { return m.Zone == "" && m.Tasks > 0 }
+	if !ok || v.Term == nil || !slices.ContainsFunc(v.Term.Machines, unknown) {
+		t.Errorf("no task is on a machine of unknown zone: %+v", v.Term)
+	}
+}
+
 // mustLeaveNothingWaiting lets time pass, after which no job may have waited for 90 s
 // without a start while a machine had room for it and its team was under its limit.
 func mustLeaveNothingWaiting(t *testing.T, w *simulator.World, d time.Duration) {
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -156,3 +156,33 @@
 		}
 	}
 }
+
+// startAll starts the controllers that are down.
+func startAll(t *testing.T, w *simulator.World) {
+	t.Helper()
+	for i := range w.Set.Size {
+		startControllers(t, w, i)
+	}
+}
+
+// killAll ends all controllers, as a power cut does.
+func killAll(w *simulator.World) {
+	for i := range w.Set.Size {
+		w.Kill(i)
+	}
+}
+
+// restartLeader kills the leader and starts it again after a time, in which another
+// may have been elected.
+func restartLeader(t *testing.T, w *simulator.World, after time.Duration) {
+	t.Helper()
+	l := w.Leader()
+	w.Kill(l)
+	time.Sleep(after)
+	startControllers(t, w, l)
+}
+
+// faultsAreOver tells the checker that no fault lasts from now on.
+func faultsAreOver(w *simulator.World) {
+	w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+}
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -54,7 +54,7 @@
 // endFaultsAndWait ends all faults of transactions, and gives the jobs some time.
 func endFaultsAndWait(w *simulator.World, d time.Duration) {
 	w.State.Trouble(0)
-	w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+	faultsAreOver(w)
 	time.Sleep(d)
 }
 
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -110,7 +110,7 @@
 						}
 					}
 					time.Sleep(20 * time.Second)
-					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+					faultsAreOver(w)
 					time.Sleep(90 * time.Second)
 					mustFinish(t, w, warm, a, quick)
 					mustRun(t, w, s, "at the end")
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -117,7 +117,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				w.Up(l)
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				at(200 * time.Second)
 				mustFinish(t, w, a, late)
 				mustBeGone(t, w, gone, "at the end")
@@ -208,7 +208,7 @@
 		}
 		w.CopyShare(0, 0, 0)
 		time.Sleep(lease * 5 / 2)
-		w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+		faultsAreOver(w)
 		time.Sleep(120 * time.Second)
 		mustFinish(t, w, a)
 		mustRun(t, w, s, "when all is over")
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -174,11 +174,7 @@
 					time.Sleep(time.Second)
 				}
 				mustRecover(t, w, 3, two, three)
-				w.Checked(func(c *simulator.Checker) {
-					if c.Again() != 0 {
-						t.Errorf("%d tasks were started again", c.Again())
-					}
-				})
+				mustRestartNoTask(t, w)
 			})
 		})
 	}
@@ -334,9 +330,7 @@
 		submit()
 		w.State.Outage(true)
 		time.Sleep(3 * time.Second)
-		for i := range 3 {
-			w.Kill(i)
-		}
+		killAll(w)
 		time.Sleep(time.Second)
 		startControllers(t, w, 1)
 		w.State.Outage(false)
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -30,11 +30,7 @@
 		}
 		at(220 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 {
-				t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
-			}
-		})
+		mustRun(t, w, s, "run")
 	})
 }
 
@@ -55,11 +51,8 @@
 		}
 		w.Net.Cut(simulator.NodeIP(l), ip, true)
 		at(100 * time.Second) // against a lease of 16 s
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 || c.Again() != 0 {
-				t.Errorf("%d of 3 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
-			}
-		})
+		mustRun(t, w, s, "run")
+		mustRestartNoTask(t, w)
 		w.Net.Cut(simulator.NodeIP(l), ip, false)
 		at(160 * time.Second)
 		mustFinish(t, w, a)
@@ -84,11 +77,8 @@
 			}
 		}
 		at(70 * time.Second)
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 || c.Again() != 0 {
-				t.Errorf("%d of 3 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
-			}
-		})
+		mustRun(t, w, s, "run")
+		mustRestartNoTask(t, w)
 		if w.Leader() != l {
 			t.Error("the leader changed")
 		}
@@ -137,11 +127,8 @@
 					t.Errorf("/ready of a node that reaches neither state service nor peers answers %d", status)
 				}
 				at(70 * time.Second)
-				w.Checked(func(c *simulator.Checker) {
-					if c.On(s.Spec.ID) != 4 || c.Again() != 0 {
-						t.Errorf("%d of 4 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
-					}
-				})
+				mustRun(t, w, s, "run")
+				mustRestartNoTask(t, w)
 				cut(false)
 				at(160 * time.Second)
 				mustFinish(t, w, a)
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -100,7 +100,7 @@
 				w.State.Outage(false)
 				w.Net.Island(simulator.NodeIP(confirmer), false)
 				w.Up(confirmer)
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(80 * time.Second)
 				if n := tasksOnMachines(w, keep.Spec.ID); n != 3 {
 					t.Errorf("%d of 3 replicas after the outage", n)
@@ -156,7 +156,7 @@
 					time.Sleep(20 * time.Second)
 					odd(false)
 					w.CloudOutage(false)
-					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+					faultsAreOver(w)
 					time.Sleep(90 * time.Second)
 					if tasksOnMachines(w, keep.Spec.ID) != 3 || tasksOnMachines(w, gone.Spec.ID) != 0 {
 						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(w, keep.Spec.ID), tasksOnMachines(w, gone.Spec.ID))
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -145,15 +145,9 @@
 		"all controllers end": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			lowerLimits(w)
 			time.Sleep(1500 * time.Millisecond)
-			for i := range w.Set.Size {
-				w.Kill(i)
-			}
+			killAll(w)
 			time.Sleep(5 * time.Second)
-			for i := range w.Set.Size {
-				if err := w.Up(i); err != nil {
-					t.Fatal(err)
-				}
-			}
+			startAll(t, w)
 		},
 	}
 	kinds["cancellations"] = func(t *testing.T, w *simulator.World, at func(time.Duration)) {
@@ -262,9 +256,7 @@
 			}
 		}
 		for _, j := range []simulator.Truth{a, c, plain} {
-			if !cancelWithin(t, w, j.Spec.ID, 10*time.Second) {
-				t.Errorf("%s could not be cancelled", j.Spec.ID)
-			}
+			mustCancel(t, w, j)
 		}
 		time.Sleep(30 * time.Second)
 		replaceLeader(t, w)
@@ -308,9 +300,7 @@
 			t.Errorf("%d tasks done", done)
 		}
 		for _, j := range []simulator.Truth{old, young} {
-			if !cancelWithin(t, w, j.Spec.ID, 10*time.Second) {
-				t.Errorf("%s could not be cancelled", j.Spec.ID)
-			}
+			mustCancel(t, w, j)
 		}
 		time.Sleep(150 * time.Second)
 		if k := w.State.Keys(store.RunPrefix); len(k) > 0 {
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"lilaclead/internal/admin"
-	"lilaclead/internal/leader"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
@@ -34,11 +33,7 @@
 		w.CloudOutage(false)
 		at(220 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 {
-				t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
-			}
-		})
+		mustRun(t, w, s, "run")
 		if n := w.Machines(); n > 8 {
 			t.Errorf("%d machines are kept for three replicas", n)
 		}
@@ -133,19 +128,13 @@
 				if n := w.Leader(); n == l || n < 0 {
 					t.Fatalf("leader is %d, was %d", n, l)
 				}
-				_, raw, _ := w.Operate(w.Leader(), "GET", "/admin/view", nil)
-				var v admin.View
-				if wire.Decode(raw, &v) != nil || v.Term == nil || !slices.ContainsFunc(v.Term.Machines, func(m leader.MachineView) bool { return m.Zone == "" && m.Tasks > 0 }) {
-					t.Errorf("no task is on a machine of unknown zone: %+v", v.Term)
-				}
+				mustHaveTaskInUnknownZone(t, w)
 				w.Up(l) //nolint:errcheck // it was killed above
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, w, same)
 				mustRun(t, w, sameS, "when all is over")
-				if k := leftoverKeys(w, sameS); len(k) > 0 {
-					t.Errorf("left over: %v", k)
-				}
+				mustLeaveNoKeys(t, w, sameS)
 			})
 		})
 	}
@@ -196,13 +185,11 @@
 				})
 				replaceLeader(t, w)
 				w.LoseReleases(0)
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, w, next)
 				mustRun(t, w, s, "when all is over")
-				if k := leftoverKeys(w, s); len(k) > 0 {
-					t.Errorf("left over: %v", k)
-				}
+				mustLeaveNoKeys(t, w, s)
 			})
 		})
 	}
@@ -233,7 +220,7 @@
 				awaitSuccessor(t, w, l)
 				w.SellOut("a", true)
 				w.SellOut("b", true)
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(60 * time.Second)
 				_, raw, _ := w.Operate(w.Leader(), "GET", "/admin/view", nil)
 				var v admin.View
@@ -272,7 +259,7 @@
 					t.Error("no spot machine to take")
 				}
 				replaceLeader(t, w)
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				if done == j.Spec.Tasks {
 					t.Error("the array was done already")
 				}
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -76,12 +76,8 @@
 		if status := ask(2, "PUT", set(0, "round.period_s", 3), nil); status != 409 {
 			t.Errorf("set with an old version: %d", status)
 		}
-		for i := range 3 {
-			w.Kill(i)
-		}
-		for i := range 3 {
-			w.Up(i)
-		}
+		killAll(w)
+		startAll(t, w)
 		time.Sleep(8 * time.Second)
 		for i := range 3 {
 			if ask(i, "GET", nil, &l); l.Settings[3].Name != "round.period_s" || fmt.Sprint(l.Settings[3].Value) != "2" {
@@ -156,7 +152,7 @@
 						before, _ = w.State.Over()
 					}
 				}
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(40 * time.Second)
 				done, cancelled := w.Ended(all)
 				if done+cancelled != len(all) || cancelled < 75 {
@@ -186,9 +182,7 @@
 				case most > int(set.State.RPS)*5/4:
 					t.Errorf("%d requests in a second to a state service for %v", most, set.State.RPS)
 				}
-				if keys := append(w.State.Keys("job/"), w.State.Keys("run/")...); len(keys) != 0 {
-					t.Errorf("left over: %v", keys)
-				}
+				mustLeaveNoKeys(t, w)
 				if n := len(w.State.Keys("past/")); n != len(all) {
 					t.Errorf("%d final records of %d", n, len(all))
 				}
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"strconv"
 	"testing"
 	"time"
 
@@ -13,10 +11,9 @@
 )
 
 // Seeded meetings: two troubles drawn at random that overlap, three times a day.
-// WORLD_SEEDS asks for more of them.
+// SCENARIO_SEEDS asks for more of them.
 func TestRandomFaultPairs(t *testing.T) {
-	most, _ := strconv.Atoi(os.Getenv("WORLD_SEEDS"))
-	for seed := range uint64(max(2, most)) {
+	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			runOnBothLayouts(t, 700+seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
@@ -51,9 +48,7 @@
 						return func() { startControllers(t, w, i) }
 					},
 					func() func() { // all end
-						for i := range 3 {
-							w.Kill(i)
-						}
+						killAll(w)
 						return func() { startControllers(t, w, 0, 1, 2) }
 					},
 					func() func() { // the leader is back at once
@@ -241,16 +236,14 @@
 						time.Sleep(seconds(3))
 					}
 				}
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				if met < 3 {
 					t.Errorf("only %d troubles fell into another one", met)
 				}
 				mustLeaveNothingWaiting(t, w, 200*time.Second)
 				mustRun(t, w, s, "when all is over")
 				mustRun(t, w, sameS, "of the one in one place when all is over")
-				if k := leftoverKeys(w, s, sameS); len(k) > 0 {
-					t.Errorf("left over: %v", k)
-				}
+				mustLeaveNoKeys(t, w, s, sameS)
 			})
 		})
 	}
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"strconv"
 	"testing"
 	"time"
 
@@ -66,7 +64,7 @@
 						w.State.LoseAnswers(1)
 					}
 				}
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(150 * time.Second)
 				mustFinish(t, w, all...)
 			})
@@ -76,10 +74,9 @@
 
 // Seeded cuts of a zone, from seconds to well over a lease and the time for
 // cancellations, with the cloud or the state service away, leaders that end and
-// jobs that are cancelled meanwhile. WORLD_SEEDS asks for more of them.
+// jobs that are cancelled meanwhile. SCENARIO_SEEDS asks for more of them.
 func TestRandomZonePartitions(t *testing.T) {
-	most, _ := strconv.Atoi(os.Getenv("WORLD_SEEDS"))
-	for seed := range uint64(max(6, most)) {
+	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 2))
 			runWithSettings(t, settingsOfSize(5), 300+seed, func(w *simulator.World, at func(time.Duration)) {
@@ -128,8 +125,7 @@
 // to well over a lease and the time for cancellations, with controllers that
 // end, one or all, and the cloud or the state service away meanwhile.
 func TestRandomFaultsOnUnevenLayout(t *testing.T) {
-	most, _ := strconv.Atoi(os.Getenv("WORLD_SEEDS"))
-	for seed := range uint64(max(6, most)) {
+	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 3))
 			runOnUnevenLayout(t, 500+seed, func(w *simulator.World, at func(time.Duration)) {
@@ -181,7 +177,7 @@
 					time.Sleep(seconds(10))
 					w.CloudOutage(false)
 				}
-				w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+				faultsAreOver(w)
 				time.Sleep(240 * time.Second)
 				mustFinish(t, w, all...)
 			})
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -30,11 +30,8 @@
 		w.State.Outage(false)
 		at(140 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 || c.Again() != 0 {
-				t.Errorf("%d of 3 replicas, %d tasks started again", c.On(s.Spec.ID), c.Again())
-			}
-		})
+		mustRun(t, w, s, "run")
+		mustRestartNoTask(t, w)
 	})
 }
 
@@ -56,11 +53,7 @@
 		w.State.Outage(false)
 		at(180 * time.Second)
 		mustFinish(t, w, a)
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 {
-				t.Errorf("%d of 3 replicas", c.On(s.Spec.ID))
-			}
-		})
+		mustRun(t, w, s, "run")
 	})
 }
 
@@ -84,11 +77,7 @@
 		w.State.Outage(false)
 		at(90 * time.Second)
 		mustRun(t, w, s, "after the outage")
-		w.Checked(func(c *simulator.Checker) {
-			if c.Again() != 0 {
-				t.Errorf("%d tasks were started again", c.Again())
-			}
-		})
+		mustRestartNoTask(t, w)
 		at(200 * time.Second)
 		mustFinish(t, w, a)
 	})
@@ -115,7 +104,7 @@
 		}
 		at(40 * time.Second)
 		w.State.Refuse(simulator.NodeIP(i), false)
-		w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+		faultsAreOver(w)
 		at(200 * time.Second)
 		mustFinish(t, w, a)
 	})
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -108,7 +108,7 @@
 						time.Sleep(time.Until(begin.Add(c.lasts)))
 					}
 					fault(false)
-					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+					faultsAreOver(w)
 					time.Sleep(75 * time.Second)
 					mustFinish(t, w, next)
 					mustRun(t, w, nextS, "when all is over")
@@ -220,7 +220,7 @@
 					w.Slow(0)
 					w.SellOut("a", false)
 					w.SellOut("b", false)
-					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+					faultsAreOver(w)
 					at(300 * time.Second)
 					mustFinish(t, w, append(urgent, low, usual)...)
 					mustRun(t, w, s, "when all is over")
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -30,10 +30,7 @@
 				w.Net.Deafen(w.IP(on[0]), true)
 				if inherited {
 					// The next leader can never show its token to the machine.
-					l := w.Leader()
-					w.Kill(l)
-					time.Sleep(5 * time.Second)
-					w.Up(l)
+					restartLeader(t, w, 5*time.Second)
 				}
 				at(52 * time.Second)
 				w.Submit(a, 0)
@@ -165,7 +162,7 @@
 					}
 					off(false)
 					w.Up(l)
-					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+					faultsAreOver(w)
 					time.Sleep(130 * time.Second)
 					mustFinish(t, w, a)
 					mustRun(t, w, s, "at the end")
@@ -245,7 +242,7 @@
 						off(false)
 						time.Sleep(20 * time.Second)
 						w.CloudOutage(false)
-						w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+						faultsAreOver(w)
 						time.Sleep(80 * time.Second)
 						mustFinish(t, w, a)
 						mustRun(t, w, s, "at the end")
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -2,12 +2,9 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 	"time"
 
-	"lilaclead/internal/admin"
-	"lilaclead/internal/leader"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
 )
@@ -90,11 +87,7 @@
 					// The next leader meets what still runs there, or what it can't
 					// even place.
 					if c.cloud {
-						_, raw, _ := w.Operate(w.Leader(), "GET", "/admin/view", nil)
-						var v admin.View
-						if wire.Decode(raw, &v) != nil || v.Term == nil || !slices.ContainsFunc(v.Term.Machines, func(m leader.MachineView) bool { return m.Zone == "" && m.Tasks > 0 }) {
-							t.Errorf("no task is on a machine of unknown zone: %+v", v.Term)
-						}
+						mustHaveTaskInUnknownZone(t, w)
 					} else {
 						w.Checked(func(c *simulator.Checker) {
 							n := 0
@@ -122,7 +115,7 @@
 					}
 					w.SellOut("a", false)
 					c.hit(w, false, ids)
-					w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+					faultsAreOver(w)
 					at(300 * time.Second)
 					mustFinish(t, w, same)
 					for _, j := range []simulator.Truth{sameS, boundS, spread} {
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -32,11 +32,7 @@
 				w.CutZone(z, false)
 				at(95 * time.Second)
 				mustRun(t, w, s, "when the zone is back")
-				w.Checked(func(c *simulator.Checker) {
-					if c.Again() != 0 {
-						t.Errorf("%d tasks were started again", c.Again())
-					}
-				})
+				mustRestartNoTask(t, w)
 				at(200 * time.Second)
 				mustFinish(t, w, a)
 			})
@@ -96,11 +92,7 @@
 				}
 				time.Sleep(80 * time.Second)
 				mustFinish(t, w, a)
-				w.Checked(func(c *simulator.Checker) {
-					if c.Again() != 0 {
-						t.Errorf("%d tasks were started again", c.Again())
-					}
-				})
+				mustRestartNoTask(t, w)
 			})
 		})
 	}
