--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -11,6 +11,7 @@
 // All nodes end during an outage: leases run out, and nothing may run twice
 // when the nodes come back.
 func TestAllControllersRestartDuringOutage(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		runOnBothLayouts(t, 20+seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 			a, s := array(1, 10, 30), service(2, 3)
@@ -37,6 +38,7 @@
 // election, while copies of old reports come in and submissions are repeated.
 // The replicas must outlive it, and nothing may run twice or be forgotten.
 func TestAllControllersRestartDuringElection(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 40, func(w *simulator.World, at func(time.Duration)) {
 		all := func(f func(i int)) {
 			for i := range 5 {
@@ -92,8 +94,10 @@
 // jobs were cancelled just before and are cancelled as soon as one is back: what
 // ran has ended everywhere, is started again once, and the cancelled are not.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
+	t.Parallel()
 	for first, run := range map[int]scenarioRunner{0: runScenario, 1: runOnUnevenLayout, 3: runScenario} { // how many are back first; 0: the last leader
 		t.Run(fmt.Sprint("first back ", first), func(t *testing.T) {
+			t.Parallel()
 			run(t, 61, func(w *simulator.World, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 8, 40), array(3, 3, 30)
 				gone, late := service(4, 3), array(5, 4, 100)
@@ -145,9 +149,11 @@
 // within a second, is ended in the middle of its election (its key is written,
 // nothing is read yet), and another one returns.
 func TestLeadershipReturnsThenAllControllersRestart(t *testing.T) {
+	t.Parallel()
 	for k, back := range []time.Duration{50 * time.Millisecond, 450 * time.Millisecond, 950 * time.Millisecond, 3 * time.Second} {
 		same := k%2 == 0
 		t.Run(fmt.Sprintf("back after %v, the same one %v", back, same), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 63, func(w *simulator.World, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 6, 50), array(3, 4, 20)
 				gone, fresh := array(4, 4, 200), array(5, 4, 200)
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -13,6 +13,7 @@
 
 // What a node can't take it refuses as the page says.
 func TestBadInput(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 12, func(w *simulator.World, at func(time.Duration)) {
 		at(3 * time.Second)
 		ok := simulator.Submission(array(1, 1, 1).Spec)
@@ -71,6 +72,7 @@
 // Odd requests get what the page says, at every node, again and again, and also
 // while nodes don't know the machine types yet.
 func TestInvalidRequestsAtEveryController(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 440, func(w *simulator.World, at func(time.Duration)) {
 		w.CloudOutage(true)
 		n := 500
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -13,6 +13,7 @@
 // the election, in it, and just after it, always confirmed by another node. Some
 // of them run, some are just being started.
 func TestCancelDuringLeaderChange(t *testing.T) {
+	t.Parallel()
 	type way struct {
 		name      string
 		run       scenarioRunner
@@ -35,6 +36,7 @@
 		{"refused", runScenario, true, refuse(true), refuse(false)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
 			c.run(t, 66, func(w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 10, 50)
 				at(2 * time.Second)
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -18,6 +18,7 @@
 // cancelled and must still chase the tasks that it reads afterwards. (It once
 // archived such a job before it had read them, and they ran on.)
 func TestCancelWithoutLeader(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 14, func(w *simulator.World, at func(time.Duration)) {
 		s := service(1, 3)
 		at(2 * time.Second)
@@ -46,6 +47,7 @@
 // Cancelling races the last completions; whoever wins, one final state is
 // told for ever.
 func TestCancelRacesCompletion(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 6, func(w *simulator.World, at func(time.Duration)) {
 		at(2 * time.Second)
 		for n := range 12 {
@@ -65,8 +67,10 @@
 // A job is cancelled around the moment of its last task's end, by no more than
 // milliseconds: whoever wins, one end is told, and it is the state service's.
 func TestCancelAtLastTaskEnd(t *testing.T) {
+	t.Parallel()
 	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStateService()} {
 		t.Run(fmt.Sprint(set.State.RPS), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, set, 410, func(w *simulator.World, at func(time.Duration)) {
 				l := w.Looks()
 				l.For = 60 * time.Millisecond
@@ -110,6 +114,7 @@
 // The two writes cross at the state service itself: a cancellation comes while
 // the final record is on its way, and the final record while a cancellation is.
 func TestCancelCrossesFinalRecord(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(w *simulator.World, at func(time.Duration)) {
 			l := w.Looks()
@@ -161,6 +166,7 @@
 // took a moment to be read; then the final record failed for ever, and with it
 // all that the leader would write beside it.)
 func TestCancelCrossesFullTransaction(t *testing.T) {
+	t.Parallel()
 	for seed := range uint64(3) {
 		runWithSettings(t, simulator.GasSettings(), 450+seed, func(w *simulator.World, at func(time.Duration)) {
 			l := w.Looks()
@@ -251,6 +257,7 @@
 // as every other, though a cancelled record says more. (Its cancellation was
 // refused for ever.)
 func TestCancelOfLargestRecord(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, simulator.GasSettings(), 460, func(w *simulator.World, at func(time.Duration)) {
 		at(3 * time.Second)
 		large := func(n, bundle int) simulator.Truth {
@@ -304,6 +311,7 @@
 // finds out by a write that fails, closes them, and only then hears of them from
 // the watch. That must not cost it the office.
 func TestCancellationsReadTwice(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 70, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 10, 60)
 		a.Spec.CPUs = 1.5 // with room beside them
--- a/internal/scenarios/gang_capacity_test.go
+++ b/internal/scenarios/gang_capacity_test.go
@@ -11,6 +11,7 @@
 // Gangs compete with arrays for room that is always full, and with each other,
 // also under their team's limit: each begins within four minutes.
 func TestGangsCompeteWithArrays(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 807, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		var gangs []simulator.Truth
 		at(2 * time.Second)
@@ -57,6 +58,7 @@
 // With the cloud sold out, the room that is free is kept for the next replicas. A
 // gang that fits into it must not wait for ever, as an array must not.
 func TestGangUsesReservedRoom(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, simulator.DefaultSettings(), 810, func(w *simulator.World, at func(time.Duration)) {
 		s, j := service(1, 4), gang(2, 3, 20)
 		s.Spec.Spread, s.Spec.MachineTypes, s.Spec.Zone = false, []wire.MachineType{"c16"}, "a"
@@ -80,6 +82,7 @@
 // some only when their tasks have saved. What is free first must be kept until all
 // of it is.
 func TestGangWaitsForCheckpoints(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, simulator.DefaultSettings(), 811, func(w *simulator.World, at func(time.Duration)) {
 		w.SlowSaves()
 		saves, j := array(1, 2, 300), gang(3, 4, 20)
@@ -123,8 +126,10 @@
 // A team's arrays keep it at its limit for ever, with room enough. Its gangs, which
 // need much of the limit at once, must begin within four minutes all the same.
 func TestGangUnderTeamLimit(t *testing.T) {
+	t.Parallel()
 	for _, u := range []wire.Priority{wire.PriorityUrgent, wire.PriorityStandard, wire.PriorityBestEffort} {
 		t.Run(string(u), func(t *testing.T) {
+			t.Parallel()
 			runScenario(t, 816, func(w *simulator.World, at func(time.Duration)) {
 				j := gang(1, 8, 25)
 				j.Spec.SameZone, j.Spec.Priority = false, u
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -11,9 +11,11 @@
 // A zone is cut off with a gang inside, shorter and longer than its lease, while
 // copies of its old reports come in.
 func TestGangInPartitionedZone(t *testing.T) {
+	t.Parallel()
 	for _, d := range []time.Duration{5 * time.Second, 30 * time.Second, 70 * time.Second} {
 		for _, leads := range []bool{false, true} {
 			t.Run(fmt.Sprint(d, " leader inside ", leads), func(t *testing.T) {
+				t.Parallel()
 				runWithSettings(t, settingsOfSize(5), 808, func(w *simulator.World, at func(time.Duration)) {
 					at(2 * time.Second)
 					time.Sleep(3 * time.Second)
@@ -44,6 +46,7 @@
 // Copies of reports that show an older attempt come while the next one waits and
 // runs, also to a new leader.
 func TestGangDuplicatedReportsArriveLate(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 809, func(w *simulator.World, at func(time.Duration)) {
 		j := gang(1, 4, 60)
 		at(2 * time.Second)
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -14,8 +14,10 @@
 // Seeded troubles, with gangs beside arrays and services. SCENARIO_SEEDS asks for
 // more of them.
 func TestGangRandomFaults(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			set := []config.Settings{settingsOfSize(3), settingsOfSize(5), simulator.GasSettings()}[seed%3]
 			runWithSettings(t, set, 820+seed, func(w *simulator.World, at func(time.Duration)) {
--- a/internal/scenarios/gang_start_test.go
+++ b/internal/scenarios/gang_start_test.go
@@ -10,6 +10,7 @@
 )
 
 func TestGangRunsWithoutFailures(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 800, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a, b, c := gang(1, 4, 30), gang(2, 1, 10), gang(3, 8, 25)
 		c.Spec.SameZone, c.Spec.CPUs, c.Spec.CheckpointInterval, c.Spec.CheckpointTime = false, 1, 0, 0
@@ -34,8 +35,10 @@
 // refusal: the gang must run soon all the same, well before the others have
 // waited in vain.
 func TestGangLosesMemberBeforeStart(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"machine taken", "refused"} {
 		t.Run(how, func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 801, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				warm, j := array(1, 12, 60), gang(2, 4, 20)
 				warm.Spec.CPUs = 1
@@ -69,8 +72,10 @@
 // A member is gone, hangs or fails after the start: the gang starts again as a
 // whole from its last checkpoint.
 func TestGangLosesMemberAfterStart(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"taken", "hangs", "hangs for long", "reborn"} {
 		t.Run(how, func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 802, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				j := gang(1, 4, 60)
 				at(2 * time.Second)
@@ -115,6 +120,7 @@
 // The leader ends at each step between a gang's record and its start, and in its
 // orderly stop: no half is left, and it starts soon.
 func TestLeaderChangeDuringGangStart(t *testing.T) {
+	t.Parallel()
 	id := gang(1, 4, 40)
 	id.Spec.MachineTypes = []wire.MachineType{"c4"}
 	step := map[string]func(g simulator.Gang, recorded int) bool{
@@ -130,6 +136,7 @@
 	for name, is := range step {
 		for _, down := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
 			t.Run(fmt.Sprint(name, " ", down), func(t *testing.T) {
+				t.Parallel()
 				runOnBothLayouts(t, 803, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 					j := id
 					warm := array(9, 10, 15)
@@ -175,6 +182,7 @@
 // One member's machine fails everything: the gang runs elsewhere. A gang that
 // fails everywhere condemns no machines.
 func TestGangOnFaultyMachineAndFaultyGang(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 815, func(w *simulator.World, at func(time.Duration)) {
 		good, bad := gang(1, 4, 40), gang(2, 4, 15)
 		good.Spec.MachineTypes = []wire.MachineType{"c4"}
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -14,8 +14,10 @@
 // end in the middle; then a save may fail, and the gang goes on from its last
 // checkpoint.
 func TestGangPreempted(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"quiet", "a halt is late", "leader ends at the first halt", "and the service is cancelled"} {
 		t.Run(how, func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 804, func(w *simulator.World, at func(time.Duration)) {
 				j, s := gang(1, 4, 50), service(2, 4)
 				j.Spec.Priority, j.Spec.MachineTypes = wire.PriorityStandard, []wire.MachineType{"c4"}
@@ -72,8 +74,10 @@
 
 // A spot notice on one member's machine: all of the gang saves.
 func TestGangSpotNotice(t *testing.T) {
+	t.Parallel()
 	for _, left := range []time.Duration{25 * time.Second, 12 * time.Second} {
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 805, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				j := gang(1, 4, 60)
 				j.Spec.SpotAllowed = true
@@ -96,6 +100,7 @@
 // A spot notice is in the first report that a new leader hears of a gang: it
 // stops all of it in order.
 func TestGangSpotNoticeToNewLeader(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 812, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		j := gang(1, 4, 60)
 		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
@@ -121,6 +126,7 @@
 
 // A spot notice comes in an outage of the state service.
 func TestGangSpotNoticeDuringOutage(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 813, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		j := gang(1, 4, 80)
 		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
@@ -142,6 +148,7 @@
 
 // A gang is cancelled in each phase: all of it is gone within cancel_s.
 func TestGangCancelled(t *testing.T) {
+	t.Parallel()
 	phases := map[string]func(g simulator.Gang) bool{
 		"queued":  func(g simulator.Gang) bool { return true },
 		"pulling": func(g simulator.Gang) bool { return g.Pulling > 0 },
@@ -151,6 +158,7 @@
 	}
 	for name, is := range phases {
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 806, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				j, warm := gang(1, 4, 60), array(9, 10, 15)
 				j.Spec.SpotAllowed, j.Spec.CheckpointTime, j.Spec.MachineTypes = true, 4, []wire.MachineType{"c4"}
@@ -186,6 +194,7 @@
 
 // Cancelling races the end of gangs.
 func TestGangCancelRacesCompletion(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 814, func(w *simulator.World, at func(time.Duration)) {
 		at(2 * time.Second)
 		for n := range 14 {
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -49,6 +49,7 @@
 	t.Helper()
 	for _, layout := range layouts {
 		t.Run(layout.name, func(t *testing.T) {
+			t.Parallel()
 			layout.run(t, seed, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
 		})
 	}
@@ -112,6 +113,7 @@
 	for i := range seedCount(1) {
 		layout := layouts[(seed+i)%2]
 		t.Run(fmt.Sprint(layout.name, " ", seed+i), func(t *testing.T) {
+			t.Parallel()
 			layout.run(t, seed+i, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
 		})
 	}
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -10,6 +10,7 @@
 
 // A launch that was never answered arrives after its job was cancelled.
 func TestLateLaunchOfCancelledJob(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 5, func(w *simulator.World, at func(time.Duration)) {
 		warm, late := array(1, 12, 200), array(2, 6, 10)
 		at(2 * time.Second)
@@ -37,6 +38,7 @@
 // hangs, and the machine then goes on: launches, halts, and answers to reports
 // that forget. Meanwhile a job is cancelled, the leader ends, or both.
 func TestCommandsDelayed(t *testing.T) {
+	t.Parallel()
 	cases := []struct {
 		name string
 		lag  simulator.Lag
@@ -53,6 +55,7 @@
 	for _, c := range cases {
 		for _, then := range c.then {
 			t.Run(c.name+", "+then, func(t *testing.T) {
+				t.Parallel()
 				runScenario(t, 630, func(w *simulator.World, at func(time.Duration)) {
 					s, gone, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
 					a, late, quick := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -15,6 +15,7 @@
 // hears of a machine. They must free nothing, bring nothing back, and not
 // make a dead machine seem alive.
 func TestDuplicatedReportsArriveLate(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 31, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 12, 30)
 		at(2 * time.Second)
@@ -57,8 +58,10 @@
 // others. Then they arrive there, before the machines' own next ones or after.
 // What they lack is not gone, and what they list is not there any more.
 func TestReportDelayedUntilNewLeaderActed(t *testing.T) {
+	t.Parallel()
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprint("before the next ones ", before), func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 600, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				w.KeepReports()
 				a, gone, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
@@ -131,6 +134,7 @@
 // well after a lease meanwhile, a leader ends, and a job is cancelled that the
 // old ones list.
 func TestReportsOfEarlierSessionsAndAttempts(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 610, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		lease := w.Set.Workers.LeaseS.Duration()
 		w.KeepReports()
@@ -220,6 +224,7 @@
 // inherits tasks on those machines, some of which the old reports lack, and a
 // job is cancelled while nobody leads.
 func TestOldReportsDuringLeaderRecovery(t *testing.T) {
+	t.Parallel()
 	for _, recovered := range []bool{false, true} {
 		for _, first := range []bool{false, true} {
 			play := runScenario
@@ -227,6 +232,7 @@
 				play = runOnUnevenLayout
 			}
 			t.Run(fmt.Sprintf("recovered %v, first reports %v", recovered, first), func(t *testing.T) {
+				t.Parallel()
 				play(t, 620, func(w *simulator.World, at func(time.Duration)) {
 					w.KeepReports()
 					a, gone, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -16,12 +16,14 @@
 // they speak of has gone on: nothing may come back to life, and a job that was
 // done stays so.
 func TestUserWritesExecutedLate(t *testing.T) {
+	t.Parallel()
 	late := func(w *simulator.World, node int) {
 		w.State.Trouble(1, simulator.TxnFault{Prefix: store.JobPrefix, Hosts: []string{simulator.NodeIP(node)}, Most: 1, Late: [2]time.Duration{10 * time.Second, 12 * time.Second}})
 	}
 	for i, kind := range []string{"acceptance, after the job's end", "acceptance, after its cancellation", "acceptance, nobody asks again",
 		"cancellation, after the job's end", "cancellation, after another", "cancellation, nobody asks again"} {
 		t.Run(kind, func(t *testing.T) {
+			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(600+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				warm, a, small, s := array(1, 8, 10), array(2, 2, 2), array(4, 1, 1), service(3, 3)
 				if i == 2 || i == 4 || i == 5 {
@@ -113,6 +115,7 @@
 // newer transactions, or after the leader's end: under the grant that is still
 // there, or after another has come.
 func TestLeaderWritesExecutedLate(t *testing.T) {
+	t.Parallel()
 	type late = [2]time.Duration
 	soon, long := late{2 * time.Second, 2100 * time.Millisecond}, late{6 * time.Second, 12 * time.Second}
 	for i, c := range []struct {
@@ -130,6 +133,7 @@
 		{"end of a job, after the next leader came", "past/", long, true, false},
 	} {
 		t.Run(c.what, func(t *testing.T) {
+			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(620+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				warm, a, b, s := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
 				at(2 * time.Second)
@@ -210,8 +214,10 @@
 // Candidates' writes of the leader's key are carried out late: while the office is
 // another's, or still vacant, by a grant that was given up. Nobody may lead by it.
 func TestLeaderKeyWrittenLate(t *testing.T) {
+	t.Parallel()
 	for i, most := range []int{1, 6} {
 		t.Run(fmt.Sprint(most), func(t *testing.T) {
+			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(640+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 3), array(2, 6, 15)
 				at(2 * time.Second)
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -13,6 +13,7 @@
 // A leader's end must not touch services, and its successor must know what
 // ran where.
 func TestLeaderRestartsKeepServices(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 2, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a, s := array(1, 12, 40), service(2, 3)
 		at(2 * time.Second)
@@ -48,6 +49,7 @@
 // Nodes restart within a fraction of a second, also in the middle of an
 // election.
 func TestQuickRestarts(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 11, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a, s := array(1, 10, 30), service(2, 3)
 		at(2 * time.Second)
@@ -72,6 +74,7 @@
 // The leader changes ten times in two minutes, every other time inside an outage
 // of the state service, with submissions and cancellations all the while.
 func TestTenLeaderChangesInTwoMinutes(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 64, func(w *simulator.World, at func(time.Duration)) {
 		s := service(1, 4)
 		all := []simulator.Truth{s}
@@ -120,6 +123,7 @@
 // is on its way, when it is being stored, and later. No task is lost, run twice,
 // or called done early, and none that was done is started again.
 func TestTasksEndAcrossLeaderChange(t *testing.T) {
+	t.Parallel()
 	type way struct {
 		name   string
 		afters [3]time.Duration // since an end
@@ -149,6 +153,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsOfSize(3), 60+uint64(k), func(w *simulator.World, at func(time.Duration)) {
 				two, three := array(1, 2, 0), array(2, 3, 0)
 				two.EachS, three.EachS = []float64{14, 75}, []float64{16, 48, 80}
@@ -185,8 +190,10 @@
 // the leader ends just then, before it knows what is stored; the machine list does
 // not show the machines yet.
 func TestLeaderChangeAsNewMachinesGetTasks(t *testing.T) {
+	t.Parallel()
 	for i, kind := range []string{"slow", "lost", "late", "late, soon"} {
 		t.Run(kind, func(t *testing.T) {
+			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(660+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, near, a := service(1, 4), array(2, 4, 12), array(3, 14, 10)
 				near.Spec.SameZone = true
@@ -250,6 +257,7 @@
 // The largest job that users may submit: its progress stays within the
 // limits of the state service, across a change of leader.
 func TestLargestJobAcrossLeaderChange(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 17, func(w *simulator.World, at func(time.Duration)) {
 		big, small := array(1, wire.MaxTasks, 3), array(2, 4, 5)
 		big.Spec.CPUs, big.Spec.MemoryGB = 0.5, 1
@@ -272,6 +280,7 @@
 // All teams' work after a day on which everything above has happened: whatever
 // was accepted and not cancelled is answered by every node, and done or running.
 func TestAllJobsFinishAfterManyFaults(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 67, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		rng := rand.New(rand.NewPCG(67, 4))
 		var all []simulator.Truth
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -11,6 +11,7 @@
 // A leader cut off from all workers resigns in favour of a node that they
 // reach.
 func TestLeaderPartitionedFromWorkers(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 10, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 30, 25)
 		at(2 * time.Second)
@@ -38,6 +39,7 @@
 // and their machines are kept. (A leader cut off from half of its workers
 // once released them all.)
 func TestWorkerPartitionedFromLeaderOnly(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 13, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 12, 20)
 		at(2 * time.Second)
@@ -64,6 +66,7 @@
 // then, since no majority agrees, and nothing may run twice when the leases
 // have run out.
 func TestLeaderPartitionedFromPeers(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 18, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
@@ -101,8 +104,10 @@
 // workers: it must stop answering them, and they must find the next leader
 // before their leases end.
 func TestLeaderPartitionedFromAllButWorkers(t *testing.T) {
+	t.Parallel()
 	for _, size := range []int{5, 7} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsOfSize(size), 33, func(w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 40)
 				at(2 * time.Second)
@@ -143,12 +148,14 @@
 // nothing but its silence ends their tasks. Users at the old one get no older
 // answer than the new one's.
 func TestCancelWhileLeaderIsPartitioned(t *testing.T) {
+	t.Parallel()
 	for _, mode := range simulator.CutModes {
 		for _, only := range []bool{true, false} {
 			if !only && mode != simulator.CutRefused {
 				continue
 			}
 			t.Run(fmt.Sprintf("%s, workers reach the old one only %v", mode, only), func(t *testing.T) {
+				t.Parallel()
 				runWithSettings(t, settingsOfSize(3), 65, func(w *simulator.World, at func(time.Duration)) {
 					s, a := service(1, 4), array(2, 4, 60)
 					gone, late := service(3, 4), array(4, 4, 300)
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -16,6 +16,7 @@
 // all that they confirmed, and must halt what they tell of; what none can
 // vouch for any more ends with the leases.
 func TestCancelWhileStateServiceRefusesLeader(t *testing.T) {
+	t.Parallel()
 	cases := []struct {
 		name   string
 		refuse func(w *simulator.World, leader int, on bool)
@@ -51,6 +52,7 @@
 	}
 	for k, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), uint64(200+k), func(w *simulator.World, at func(time.Duration)) {
 				keep, gone, long := service(1, 3), service(2, 4), array(3, 6, 300)
 				for _, s := range []simulator.Truth{keep, gone, long} {
@@ -114,9 +116,11 @@
 // them are held up on their way: what can't be halted must end with its lease,
 // or with its machine.
 func TestCancelOnUnreachableMachinesWhileLeaderIsRefused(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"deaf", "no commands", "answers held"} {
 		for _, cloud := range []bool{true, false} {
 			t.Run(fmt.Sprint(how, ", cloud there: ", cloud), func(t *testing.T) {
+				t.Parallel()
 				runWithSettings(t, settingsOfSize(5), 230, func(w *simulator.World, at func(time.Duration)) {
 					keep, gone := service(1, 3), service(2, 4)
 					w.Submit(keep, 0)
@@ -172,8 +176,10 @@
 // cancelled task may last: after the leader alone was refused for a moment, or
 // just when the next one has come and has read nothing yet.
 func TestSlowStateServiceThenLeaderRefusedThenOutage(t *testing.T) {
+	t.Parallel()
 	for i, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
 		t.Run(kind, func(t *testing.T) {
+			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(670+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, a := service(900, 3), array(901, 4, 60)
 				first, second, third := service(1, 2), service(2, 2), service(3, 2)
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -86,6 +86,7 @@
 // The limits drop while jobs are under way whose progress was stored under the
 // larger ones, in quiet and as other troubles come with it.
 func TestStateLimitsLowered(t *testing.T) {
+	t.Parallel()
 	kinds := map[string]func(t *testing.T, w *simulator.World, at func(time.Duration)){
 		"quiet": func(t *testing.T, w *simulator.World, at func(time.Duration)) { lowerLimits(w) },
 		"outage": func(t *testing.T, w *simulator.World, at func(time.Duration)) {
@@ -164,6 +165,7 @@
 	for i, name := range names {
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
+				t.Parallel()
 				runWithSettings(t, settingsBeforeLowering(), uint64(700+i)+100*seed, func(w *simulator.World, at func(time.Duration)) {
 					a, b := arrayOfSmallTasks(1, 600, 60), arrayOfSmallTasks(2, 250, 75)
 					after, s, gone := arrayOfSmallTasks(3, 100, 10), service(4, 3), service(5, 2)
@@ -223,6 +225,7 @@
 // asked about and submitted again; what could not be stored is refused at once,
 // before the drop too.
 func TestLargeJobRecordsAcrossLoweredLimits(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, settingsBeforeLowering(), 720, func(w *simulator.World, at func(time.Duration)) {
 		large := func(n int) simulator.Truth {
 			j := arrayOfSmallTasks(n, 300, 200)
@@ -278,6 +281,7 @@
 // A job of 100,000 tasks goes through the drop, and its cancellation leaves
 // nothing behind.
 func TestLargestJobAcrossLoweredLimits(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, settingsBeforeLowering(), 730, func(w *simulator.World, at func(time.Duration)) {
 		old, young := arrayOfSmallTasks(1, 100_000, 30), arrayOfSmallTasks(2, 100_000, 30)
 		old.Spec.CPUs, young.Spec.CPUs = 0.5, 0.5
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -14,6 +14,7 @@
 // The answers of releases and bookings are lost, machines vanish silently,
 // and the cloud's interface goes away.
 func TestCloudFaults(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 8, func(w *simulator.World, at func(time.Duration)) {
 		a, s := array(1, 20, 20), service(2, 3)
 		at(time.Second)
@@ -43,6 +44,7 @@
 // A machine that fails everything is returned; a job that fails everywhere
 // condemns no machines.
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 9, func(w *simulator.World, at func(time.Duration)) {
 		good, bad := array(1, 16, 15), array(2, 4, 15)
 		bad.Fails = true
@@ -73,6 +75,7 @@
 // reports must not be taken for late copies for ever: what it ran is started
 // elsewhere well before its lease or anybody's patience ends.
 func TestMachineRestartsAtOnce(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 32, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 60)
 		at(2 * time.Second)
@@ -102,8 +105,10 @@
 // list will ever say where they were. What is bound to one place must not wait
 // for that.
 func TestMachinesNeverListedByCloud(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsWithTeamLimits(), 480+seed, func(w *simulator.World, at func(time.Duration)) {
 				w.Boots(0.05)
 				same, sameS := array(1, 12, 30), service(2, 4)
@@ -144,8 +149,10 @@
 // ends: tasks of a team at its limit were on that machine, some of them cancelled
 // meanwhile, and lists go on showing it for a while.
 func TestReleaseUnansweredAcrossLeaderChange(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(w *simulator.World, at func(time.Duration)) {
 				gone, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
 				at(2 * time.Second)
@@ -199,8 +206,10 @@
 // next it looks as if it were itself cut off from them, and it keeps them. It must
 // not do so for ever: they are in no list any more.
 func TestMostMachinesLostAcrossLeaderChange(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			runScenario(t, 510+seed, func(w *simulator.World, at func(time.Duration)) {
 				j, s := array(1, 12, 300), service(2, 4)
 				at(2 * time.Second)
@@ -242,8 +251,10 @@
 // done, the cloud has no more of them for good, and the leader changes. The rest
 // of the array must run on ordinary machines in the end, whatever they cost.
 func TestSpotCapacityLostDuringArray(t *testing.T) {
+	t.Parallel()
 	for _, site := range []wire.Zone{"", "a"} {
 		t.Run("bound to "+string(site), func(t *testing.T) {
+			t.Parallel()
 			runScenario(t, 520, func(w *simulator.World, at func(time.Duration)) {
 				j := array(1, 12, 20)
 				j.Spec.Zone = site
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -14,6 +14,7 @@
 )
 
 func TestJobsRunWithoutFailures(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 1, func(w *simulator.World, at func(time.Duration)) {
 		a, b, s := array(1, 10, 15), array(2, 6, 20), service(3, 3)
 		gone := service(4, 2)
@@ -45,6 +46,7 @@
 // Operators' settings: checked, guarded by their version, applied by all
 // nodes without a restart, and kept when all nodes end.
 func TestOperatorSettings(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 15, func(w *simulator.World, at func(time.Duration)) {
 		at(3 * time.Second)
 		ask := func(i int, method string, body any, out any) int {
@@ -106,6 +108,7 @@
 // Under a steady overload of small arrays a large one and one of the lowest
 // priority must begin within four minutes all the same.
 func TestLargestJobStartsUnderOverload(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, settingsOfSize(3), 35, func(w *simulator.World, at func(time.Duration)) {
 		big, low := array(1, 90, 30), array(2, 4, 20)
 		big.Spec.CPUs, big.Spec.MemoryGB, big.Spec.Class = 4, 16, "big"
@@ -130,8 +133,10 @@
 // boot must be worked off, then all must begin at once and nothing be refused any
 // more; and nothing may be left of them but their final records.
 func TestManySmallJobs(t *testing.T) {
+	t.Parallel()
 	for name, set := range map[string]config.Settings{"usual": simulator.DefaultSettings(), "small": simulator.GasSettings()} {
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, set, 430, func(w *simulator.World, at func(time.Duration)) {
 				w.State.Limit(set.State.RPS, set.State.WriteRPS)
 				l := w.Looks()
@@ -195,6 +200,7 @@
 // rented for together: for one of them alone every machine would be too dear. (A
 // hundred of them waited two minutes, until the first was taken for starving.)
 func TestSmallJobsShareRentalCost(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, simulator.DefaultSettings(), 470, func(w *simulator.World, at func(time.Duration)) {
 		l := w.Looks()
 		l.For, l.Polls = 0, 3*time.Second
@@ -226,6 +232,7 @@
 // The largest array that the protocol allows is stored, run, polled and
 // cancelled within the limits of the state service.
 func TestHundredThousandTasks(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 36, func(w *simulator.World, at func(time.Duration)) {
 		j, s := array(1, wire.MaxTasks, 20), service(2, 3)
 		j.Spec.ExpectedRunTime = 2
@@ -251,6 +258,7 @@
 // once stays within them, and starts again after a change of leader. (One record
 // over the limit was refused again and again, and nothing else was written.)
 func TestSmallValueLimit(t *testing.T) {
+	t.Parallel()
 	runOnUnevenLayout(t, 52, func(w *simulator.World, at func(time.Duration)) {
 		wide, other := array(1, 300, 60), array(2, 3, 10)
 		wide.Spec.CPUs, wide.Spec.MemoryGB = 0.1, 0.1
@@ -273,6 +281,7 @@
 // 1 KiB, a few requests a second, and leases that leave no time to stand in. It
 // starts and serves.
 func TestMinimalDeployment(t *testing.T) {
+	t.Parallel()
 	set := simulator.GasSettings()
 	set.State = config.State{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
 	set.Workers = config.Workers{ReportS: 4, LeaseS: 8, CancelS: 12}
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -13,10 +13,12 @@
 // Seeded meetings: two troubles drawn at random that overlap, three times a day.
 // SCENARIO_SEEDS asks for more of them.
 func TestRandomFaultPairs(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			rng := rand.New(rand.NewPCG(seed, 5))
+			t.Parallel()
 			runOnBothLayouts(t, 700+seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+				rng := rand.New(rand.NewPCG(seed, 5))
 				seconds := randomDelay(rng)
 				s, all := service(900, 4), []simulator.Truth{}
 				n := 0
@@ -128,8 +130,10 @@
 // Seeded meetings of two or three troubles at a time, with teams at their limits,
 // bound jobs and cancellations; when they are over nothing may wait any more.
 func TestRandomFaultsLeaveNothingWaiting(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			runWithSettings(t, settingsWithTeamLimits(), 500+seed, func(w *simulator.World, at func(time.Duration)) {
 				seconds := randomDelay(rng)
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -12,10 +12,12 @@
 
 // Seeded schedules of troubles, alone and together.
 func TestRandomFaults(t *testing.T) {
+	t.Parallel()
 	for seed := uint64(100); seed < 108; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			rng := rand.New(rand.NewPCG(seed, 1))
+			t.Parallel()
 			runOnBothLayouts(t, seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+				rng := rand.New(rand.NewPCG(seed, 1))
 				var all []simulator.Truth
 				at(2 * time.Second)
 				s := service(900, 3)
@@ -76,8 +78,10 @@
 // cancellations, with the cloud or the state service away, leaders that end and
 // jobs that are cancelled meanwhile. SCENARIO_SEEDS asks for more of them.
 func TestRandomZonePartitions(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 2))
 			runWithSettings(t, settingsOfSize(5), 300+seed, func(w *simulator.World, at func(time.Duration)) {
 				seconds := randomDelay(rng)
@@ -125,8 +129,10 @@
 // to well over a lease and the time for cancellations, with controllers that
 // end, one or all, and the cloud or the state service away meanwhile.
 func TestRandomFaultsOnUnevenLayout(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			runOnUnevenLayout(t, 500+seed, func(w *simulator.World, at func(time.Duration)) {
 				seconds := randomDelay(rng)
--- a/internal/scenarios/rolling_upgrade_test.go
+++ b/internal/scenarios/rolling_upgrade_test.go
@@ -50,6 +50,7 @@
 }
 
 func TestProductionRecordsAreRead(t *testing.T) {
+	t.Parallel()
 	mustMatchProduction(t, "job", store.JobRecord{Spec: productionSpec(), Status: wire.Queued, At: 1796000000123, Chunk: 256})
 	mustMatchProduction(t, "cancelled", store.JobRecord{Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 256,
 		Spec: wire.Spec{ID: "req-000413", Class: "live", Team: "portal", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 4.8, Image: "img-b", ImageGB: 1, Spread: true}})
@@ -116,6 +117,7 @@
 
 // What is written now, until the limits have dropped, is read by production.
 func TestProductionReadsWhatIsWritten(t *testing.T) {
+	t.Parallel()
 	// Chunks are smaller, and their size is part of the job's record, as before.
 	size := store.ChunkFor(2)
 	var j productionJob
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -16,6 +16,7 @@
 // or, as these are kept for too short a time, lists all jobs page by page, and
 // though some of what it reads is old when it arrives.
 func TestNoStaleAnswerAfterChange(t *testing.T) {
+	t.Parallel()
 	cases := []struct {
 		name       string
 		set        config.Settings
@@ -31,6 +32,7 @@
 	}
 	for k, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, c.set, uint64(400+k), func(w *simulator.World, at func(time.Duration)) {
 				w.State.Short(c.keep, c.page)
 				n := atomic.Int32{}
@@ -77,6 +79,7 @@
 // state service slow: once that node has told that it is cancelled, no answer that
 // it sends later says otherwise.
 func TestPollDuringCancellation(t *testing.T) {
+	t.Parallel()
 	runOnAlternatingLayouts(t, 690, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		w.Submit(array(100, 2, 10), 0)
 		at(20 * time.Second)
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -11,6 +11,7 @@
 // A state outage longer than a worker's lease loses no task while a majority
 // of nodes is linked.
 func TestServiceSurvivesStateServiceOutage(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 3, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 4, 60)
 		at(2 * time.Second)
@@ -37,6 +38,7 @@
 
 // The leader ends in the middle of an outage.
 func TestLeaderRestartsDuringOutage(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 19, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
@@ -60,6 +62,7 @@
 // The leader ends in an outage of the state service that outlasts a lease. The
 // others stand in for it; before, every replica was lost.
 func TestLeaderRestartsDuringLongOutage(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 39, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 50)
 		at(2 * time.Second)
@@ -86,6 +89,7 @@
 // A user's connection is at a node that the state service refuses while it
 // serves others: the node says so at once and leaves the load balancer's set.
 func TestPollAtControllerRefusedByStateService(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 34, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		a := array(1, 2, 100)
 		at(2 * time.Second)
@@ -113,6 +117,7 @@
 // A leader that only the state service refuses gives way, and its late
 // commands, held up for minutes, start nothing twice.
 func TestStateServiceRefusesLeaderWithDelayedCommands(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 4, func(w *simulator.World, at func(time.Duration)) {
 		a, b := array(1, 8, 30), array(2, 8, 30)
 		at(2 * time.Second)
@@ -147,12 +152,14 @@
 // time for cancellations: the new leader holds the office, and has not read what
 // was cancelled while nobody led. It must not keep alive what it knows nothing of.
 func TestOutageDuringElectionAfterCancel(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct {
 		name string
 		run  scenarioRunner
 		back bool // the last leader is back at once and takes the office again
 	}{{"another leads", runScenario, false}, {"the same one is back", runOnUnevenLayout, true}} {
 		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
 			c.run(t, 69, func(w *simulator.World, at func(time.Duration)) {
 				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 60)
 				at(2 * time.Second)
@@ -197,8 +204,10 @@
 // goes on answering reports: the machines hang just then, or the next leader has
 // not yet read what is stored. The tasks must be gone in time all the same.
 func TestCancelJustBeforeOutage(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"hang", "deaf", "not recovered"} {
 		t.Run(how, func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 670, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, gone, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
 				at(2 * time.Second)
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -16,6 +16,7 @@
 // it. And once it is known to be gone the rest runs, even if the machines never
 // come back.
 func TestTeamLimitsCountUnreachableCancelledTasks(t *testing.T) {
+	t.Parallel()
 	faults := map[string]func(w *simulator.World, id wire.MachineID, on bool){
 		"cut":  (*simulator.World).Unlink,
 		"hang": (*simulator.World).Stall,
@@ -36,6 +37,7 @@
 	} {
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", c.fault, c.before, c.half, c.cloud, c.lasts, seed), func(t *testing.T) {
+				t.Parallel()
 				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(w *simulator.World, at func(time.Duration)) {
 					gone, goneS := array(1, 12, 400), service(2, 16)
 					next, nextS := array(3, 12, 15), service(4, 16)
@@ -124,8 +126,10 @@
 // can run at a time, so room is made for one at a time: what was stopped for those
 // that the limit keeps back was stopped for nothing.
 func TestPreemptionWithinTeamLimit(t *testing.T) {
+	t.Parallel()
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
 			runScenario(t, 460+seed, func(w *simulator.World, at func(time.Duration)) {
 				most, low := array(1, 19, 400), array(2, 200, 60)
 				low.Spec.Priority, low.Spec.Team, low.Spec.SpotAllowed, most.Spec.SpotAllowed = wire.PriorityBestEffort, "blue", false, false
@@ -169,9 +173,11 @@
 // must get room soon, by stopping what is of less priority; what is stopped for
 // them must not be stopped over and over; and at the end all is done.
 func TestPreemptionOverSlowLinks(t *testing.T) {
+	t.Parallel()
 	for _, slow := range []time.Duration{700 * time.Millisecond, 1300 * time.Millisecond} {
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%v, seed %d", slow, seed), func(t *testing.T) {
+				t.Parallel()
 				runScenario(t, 440+seed, func(w *simulator.World, at func(time.Duration)) {
 					w.SlowSaves()
 					job := func(n, parts int, run float64, u wire.Priority, team wire.TeamID) simulator.Truth {
@@ -233,6 +239,7 @@
 // The cloud has no more machines, and what is free is kept for the next replicas
 // of a service: an array that fits there must not wait for ever.
 func TestReservedRoomIsGivenUp(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 60, func(w *simulator.World, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 2, 10)
 		at(2 * time.Second)
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -11,6 +11,7 @@
 
 // Transactions whose answers are lost are looked up, not guessed.
 func TestStateServiceAnswersLost(t *testing.T) {
+	t.Parallel()
 	runScenario(t, 7, func(w *simulator.World, at func(time.Duration)) {
 		a, b := array(1, 10, 10), array(2, 10, 10)
 		at(2 * time.Second)
@@ -30,9 +31,11 @@
 // after node: acceptances, cancellations, launches, the leader's key, and what
 // replaces a job that is over.
 func TestTransactionAnswersLostDuringReads(t *testing.T) {
+	t.Parallel()
 	for i, kind := range []string{"acceptance", "cancellation", "launch", "office", "end", "all"} {
 		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.RunPrefix, "office": store.LeadKey, "end": "past/"}[kind]
 		t.Run(kind, func(t *testing.T) {
+			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				a, b, gone, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
@@ -128,6 +131,7 @@
 // answers of a share are lost, while users submit, cancel and ask, machines are
 // taken and the leader ends.
 func TestLateAndUnansweredWrites(t *testing.T) {
+	t.Parallel()
 	runOnAlternatingLayouts(t, 650, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 		var all []simulator.Truth
 		var readers []*statusReader
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -49,6 +49,7 @@
 // it: what runs goes on, also what the unreadable record is about, nothing is
 // started twice, and new jobs run.
 func TestUndecodableRecords(t *testing.T) {
+	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var lives []*lines
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -15,8 +15,10 @@
 // elsewhere soon after its lease has ended them, what is cancelled there must
 // be gone in time, and a job that comes meanwhile must not wait for it.
 func TestMachineReceivesNothing(t *testing.T) {
+	t.Parallel()
 	for _, inherited := range []bool{false, true} {
 		t.Run(fmt.Sprint("inherited ", inherited), func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 30, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
 				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 10)
 				at(2 * time.Second)
@@ -51,12 +53,14 @@
 // leases run out all the same. What can't live there must be done elsewhere, and
 // what is cancelled there must be gone in time.
 func TestMachinesCannotConnect(t *testing.T) {
+	t.Parallel()
 	for name, some := range map[string]func(w *simulator.World) []wire.MachineID{
 		"one":         func(w *simulator.World) []wire.MachineID { return w.Working("")[:1] },
 		"some":        func(w *simulator.World) []wire.MachineID { ms := w.Working(""); return ms[:(len(ms)+1)/2] },
 		"most a zone": func(w *simulator.World) []wire.MachineID { ms := w.Working("a"); return ms[:(len(ms)*3+3)/4] },
 	} {
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			both := runOnBothLayouts
 			if name == "one" {
 				both = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.World, func(time.Duration))) {
@@ -103,6 +107,7 @@
 // of the new leader's answers, for less than a lease or more. Their tasks are
 // neither started twice nor given up for ever.
 func TestLeaderChangeWhileMachinesAreUnreachable(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"cut", "deaf", "deaf to the next", "hang"} {
 		for _, long := range []bool{false, true} {
 			play := runScenario
@@ -113,6 +118,7 @@
 				continue // as deaf to the next
 			}
 			t.Run(fmt.Sprintf("%s, longer than a lease %v", how, long), func(t *testing.T) {
+				t.Parallel()
 				play(t, 650, func(w *simulator.World, at func(time.Duration)) {
 					s, a := service(1, 3), array(2, 12, 70)
 					at(2 * time.Second)
@@ -176,6 +182,7 @@
 // be away and the leader may end. The tasks must be gone in time, also when the
 // machines go on later.
 func TestCancelOnUnresponsiveMachines(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"hang", "deaf", "mute"} {
 		for _, cloud := range []bool{false, true} {
 			for _, leader := range []bool{false, true} {
@@ -187,6 +194,7 @@
 					play = runOnUnevenLayout
 				}
 				t.Run(fmt.Sprintf("%s, cloud away %v, leader ends %v", how, cloud, leader), func(t *testing.T) {
+					t.Parallel()
 					rng := rand.New(rand.NewPCG(660, 1))
 					play(t, 660, func(w *simulator.World, at func(time.Duration)) {
 						s, gone, a := service(1, 3), array(2, 10, 300), array(3, 6, 20)
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -15,6 +15,7 @@
 // those are known to be gone, by whatever proof there is, nothing waits for
 // another. A service that is spread counts what may still run behind the fault.
 func TestSingleZoneJobsLoseTheirZone(t *testing.T) {
+	t.Parallel()
 	some := func(ids []wire.MachineID, every int) (out []wire.MachineID) {
 		for i, id := range ids {
 			if i%every == 0 {
@@ -53,6 +54,7 @@
 	} {
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, seed %d", c.name, seed), func(t *testing.T) {
+				t.Parallel()
 				runWithControllersIn(t, simulator.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(w *simulator.World, at func(time.Duration)) {
 					bound, same := array(1, 8, 70), array(2, 14, 50)
 					bound.Spec.Zone, same.Spec.SameZone = "a", true
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -14,8 +14,10 @@
 // those of a service that is spread could be nowhere else. It must not matter
 // whether the leader is in that zone.
 func TestZonePartitionedWithItsControllers(t *testing.T) {
+	t.Parallel()
 	for _, leads := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), 37, func(w *simulator.World, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 30)
 				at(2 * time.Second)
@@ -44,8 +46,10 @@
 // and the one with none, whose workers reach nobody. What ran there is done
 // elsewhere while the cut lasts, never twice, wherever the leader was.
 func TestAnyZonePartitioned(t *testing.T) {
+	t.Parallel()
 	for _, c := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
 		t.Run(fmt.Sprintf("%s, leader in %s", c[0], c[1]), func(t *testing.T) {
+			t.Parallel()
 			runOnUnevenLayout(t, 50, func(w *simulator.World, at func(time.Duration)) {
 				a, b := array(1, 18, 40), array(2, 6, 20)
 				at(2 * time.Second)
@@ -69,8 +73,10 @@
 // the node there stands in for it: what runs goes on. It must not matter in
 // which zone the leader is, and the office must not change hands.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
+	t.Parallel()
 	for _, leader := range []wire.Zone{"a", "b"} {
 		t.Run("leader in "+string(leader), func(t *testing.T) {
+			t.Parallel()
 			runOnUnevenLayout(t, 51, func(w *simulator.World, at func(time.Duration)) {
 				a := array(1, 18, 70)
 				at(2 * time.Second)
@@ -102,8 +108,10 @@
 // for cancellations, while the cloud is away: nobody can stop its tasks, and
 // those who stand in there don't know. They must stop answering in time.
 func TestCancelInPartitionedZone(t *testing.T) {
+	t.Parallel()
 	for _, leads := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), 38, func(w *simulator.World, at func(time.Duration)) {
 				s, gone := service(1, 4), service(2, 6)
 				at(2 * time.Second)
@@ -133,8 +141,10 @@
 // cut; one is submitted and cancelled in it; others wait for its end. With the
 // cloud away nobody but those behind the cut can end what runs there.
 func TestSingleZoneJobsInPartitionedZone(t *testing.T) {
+	t.Parallel()
 	for _, inside := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
+			t.Parallel()
 			runOnUnevenLayout(t, 62, func(w *simulator.World, at func(time.Duration)) {
 				z := wire.Zone("b") // node 1
 				in := func(j simulator.Truth) simulator.Truth { j.Spec.Zone = z; return j }
@@ -188,9 +198,11 @@
 // ends and is back at once just as the cut is over: its new life does not know
 // what its last one answered. The leases that it gave are waited for all the same.
 func TestDelegateRestartsAsPartitionHeals(t *testing.T) {
+	t.Parallel()
 	// With elected the leader is another one than before the cut.
 	for elected, cut := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
 		t.Run(fmt.Sprintf("cut for %v, another leader %v", cut, elected), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsOfSize(3), 68, func(w *simulator.World, at func(time.Duration)) {
 				a, s, room := array(1, 14, 120), service(2, 4), array(3, 6, 300)
 				room.Spec.Zone = "a"
