--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -26,9 +26,9 @@
 
 func run(ctx context.Context) error {
 	set := simulator.DefaultSettings()
-	w := simulator.NewWorld(ctx, set, uint64(time.Now().UnixNano()), nil, simulator.Loopback)
+	sim := simulator.New(ctx, set, uint64(time.Now().UnixNano()), nil, simulator.Loopback)
 	for i := range set.Size {
-		c := w.Config(i)
+		c := sim.Config(i)
 		c.Front, c.PeerBind = simulator.LoopbackAddr(c.Front), simulator.LoopbackAddr(c.PeerBind)
 		c.Endpoints.State, c.Endpoints.Cloud = simulator.LoopbackAddr(c.Endpoints.State), simulator.LoopbackAddr(c.Endpoints.Cloud)
 		for k := range c.Others {
@@ -47,22 +47,22 @@
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
 	for n := 0; ; n++ {
-		t := simulator.Truth{RunS: 8, Spec: wire.Spec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray,
+		t := simulator.JobScript{RunTime: 8, Spec: wire.Spec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray,
 			Priority: wire.PriorityStandard, Tasks: 1 + n%6, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: 8}}
 		if n%4 == 3 {
 			t.Spec.Kind, t.Spec.Priority, t.Spec.Team, t.Spec.SpotAllowed, t.Spec.ExpectedRunTime = wire.KindService, wire.PriorityProd, "blue", false, 0
-			w.Submit(t, 40*time.Second)
+			sim.Submit(t, 40*time.Second)
 		} else {
-			w.Submit(t, 0)
+			sim.Submit(t, 0)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
 		}
-		w.Checked(func(c *simulator.Checker) {
+		sim.WithChecker(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
-			fmt.Printf("%d jobs submitted, %d done, %d cancelled; %d broken rules %v\n", n+1, done, cancelled, len(c.Breaks), c.Breaks)
+			fmt.Printf("%d jobs submitted, %d done, %d cancelled; %d broken rules %v\n", n+1, done, cancelled, len(c.Violations), c.Violations)
 		})
 	}
 }
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -62,12 +62,12 @@
 			lost := keep(ctx, first)
 			next := make(chan *Lease, 1)
 			go func() { next <- process(1).Campaign(ctx) }()
-			st.Slow(simulator.NodeIP(0), late)
+			st.DelayAnswers(simulator.NodeIP(0), late)
 			time.Sleep(10 * time.Second)
 			if !first.Deciding() || len(next) > 0 {
 				t.Errorf("answers %v late: decides %v, followed %v", late, first.Deciding(), len(next) > 0)
 			}
-			st.Refuse(simulator.NodeIP(0), true)
+			st.RefuseClient(simulator.NodeIP(0), true)
 			for first.Deciding() {
 				if len(st.Keys(store.LeadKey)) == 0 {
 					t.Errorf("answers %v late: decides without a grant", late)
@@ -79,7 +79,7 @@
 			if first.Deciding() || !second.Deciding() || second.Token() <= first.Token() {
 				t.Errorf("answers %v late: tokens %d and %d, decide %v and %v", late, first.Token(), second.Token(), first.Deciding(), second.Deciding())
 			}
-			st.Refuse(simulator.NodeIP(0), false)
+			st.RefuseClient(simulator.NodeIP(0), false)
 			if err := <-lost; !errors.Is(err, ErrGrantGone) {
 				t.Errorf("answers %v late: lost by %v", late, err)
 			}
@@ -129,7 +129,7 @@
 			}
 			old = token
 		}
-		st.Drop(store.LeadKey)
+		st.Delete(store.LeadKey)
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrVacant) {
 			t.Errorf("without a key: %v", err)
 		}
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -234,7 +234,7 @@
 	t.Helper()
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		tm.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
-		st.Lower(2, 4, 1000, 1000)
+		st.LowerLimits(2, 4, 1000, 1000)
 		f(tm, m, st, func(id wire.JobID, parts, per int) *job {
 			rec := store.JobRecord{Spec: wire.Spec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}, At: wire.TimestampOf(time.Now()), Chunk: per}
 			j := newJob(rec, st.Put(store.JobKey(id), rec))
@@ -308,7 +308,7 @@
 		if worse.held > 0 || bad.held != 1 || ended(tm) {
 			t.Errorf("held %d and %d, term over: %v", worse.held, bad.held, ended(tm))
 		}
-		if n := st.Oversize(); n > 30 {
+		if n := st.OversizeRefusals(); n > 30 {
 			t.Errorf("%d transactions were refused", n)
 		}
 	})
@@ -330,7 +330,7 @@
 		if k := st.Keys(store.RunPrefix + "req-2/"); len(k) != 1 || k[0] != store.ChunkKey("req-2", 0) {
 			t.Errorf("stored %v", k)
 		}
-		if st.Oversize() == 0 {
+		if st.OversizeRefusals() == 0 {
 			t.Error("nothing was refused")
 		}
 	})
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -191,7 +191,7 @@
 		}
 		rec.Status = wire.Cancelled
 		st.Put(store.JobKey("req-2"), rec) // not yet known to the leader
-		st.Slow("", 300*time.Millisecond)
+		st.DelayAnswers("", 300*time.Millisecond)
 		tm.checkFinished(j)
 		conflicts := 0
 		for range 100 {
@@ -229,10 +229,10 @@
 			if watchFirst {
 				// It is read again after a guard that failed; the watch tells first,
 				// and the answer comes when the watch has shown its end as well.
-				st.Slow("", time.Second)
+				st.DelayAnswers("", time.Second)
 				tm.reread(j)
 				time.Sleep(20 * time.Millisecond)
-				st.Slow("", 0)
+				st.DelayAnswers("", 0)
 				tm.applyChanges([]wire.Change{put})
 				for range 8 {
 					tm.flush(time.Now())
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -18,7 +18,7 @@
 		if _, err := nw.Host("10.0.0.2").Listen("tcp4", "10.0.0.2:1"); err != nil {
 			t.Fatal(err)
 		}
-		nw.Down("10.0.0.3", true)
+		nw.SetPowerOff("10.0.0.3", true)
 		bounded := nw.Host("10.0.0.1").Bounded(2, time.Second)
 		dial := func(to string) (net.Conn, error) { return bounded.Dial(t.Context(), "tcp4", to) }
 		a, err := dial("10.0.0.2:1")
--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -13,22 +13,22 @@
 func TestAllControllersRestartDuringOutage(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		runOnBothLayouts(t, 20+seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+		runOnBothLayouts(t, 20+seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 			a, s := array(1, 10, 30), service(2, 3)
 			at(2 * time.Second)
-			w.Submit(a, 0)
-			w.Submit(s, 0)
+			sim.Submit(a, 0)
+			sim.Submit(s, 0)
 			at(35 * time.Second)
-			w.State.Outage(true)
+			sim.State.Outage(true)
 			at(50 * time.Second)
-			killAll(w)
+			killAll(sim)
 			at(time.Duration(54+4*seed) * time.Second)
-			startAll(t, w)
+			startAll(t, sim)
 			at(time.Duration(60+8*seed) * time.Second)
-			w.State.Outage(false)
+			sim.State.Outage(false)
 			at(220 * time.Second)
-			mustFinish(t, w, a)
-			mustRun(t, w, s, "run")
+			mustFinish(t, sim, a)
+			mustRun(t, sim, s, "run")
 		})
 	}
 }
@@ -39,54 +39,54 @@
 // The replicas must outlive it, and nothing may run twice or be forgotten.
 func TestAllControllersRestartDuringElection(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(5), 40, func(w *simulator.World, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(5), 40, func(sim *simulator.Simulation, at func(time.Duration)) {
 		all := func(f func(i int)) {
 			for i := range 5 {
 				f(i)
 			}
 		}
 		up := func(i int) {
-			if err := w.Up(i); err != nil {
+			if err := sim.StartController(i); err != nil {
 				t.Error(err)
 			}
 		}
-		s, burst := service(1, 4), []simulator.Truth{}
+		s, burst := service(1, 4), []simulator.JobScript{}
 		at(2 * time.Second)
-		w.Submit(s, 0)
+		sim.Submit(s, 0)
 		at(40 * time.Second)
 		for n := range 12 {
 			burst = append(burst, array(10+n, 6, 20))
-			w.Submit(burst[n], 0)
+			sim.Submit(burst[n], 0)
 		}
-		for _, id := range w.Holds(s.Spec.ID) {
-			w.Copy(id, 3*time.Second, 8*time.Second, 12*time.Second, 25*time.Second)
+		for _, id := range sim.MachinesRunning(s.Spec.ID) {
+			sim.ResendLastReport(id, 3*time.Second, 8*time.Second, 12*time.Second, 25*time.Second)
 		}
-		w.State.Outage(true)
+		sim.State.Outage(true)
 		at(46 * time.Second)
-		w.State.Outage(false)
-		all(w.Kill)
+		sim.State.Outage(false)
+		all(sim.KillController)
 		at(46300 * time.Millisecond)
 		up(0)
 		at(47 * time.Second)
 		up(1)
 		at(49500 * time.Millisecond) // about when the last leader's grant ends
-		all(w.Kill)
+		all(sim.KillController)
 		at(49700 * time.Millisecond)
 		all(up)
 		at(58 * time.Second)
-		if l := w.Leader(); l < 0 {
+		if l := sim.Leader(); l < 0 {
 			t.Error("nobody leads 8 s after the last end")
 		}
 		for _, j := range burst {
-			if status, _, _ := w.Ask(3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status != 200 && status != 201 && status != 503 {
+			if status, _, _ := sim.Ask(3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status != 200 && status != 201 && status != 503 {
 				t.Errorf("repeated submission answered %d", status)
 			}
 		}
 		at(70 * time.Second)
-		mustRun(t, w, s, "after all that")
-		faultsAreOver(w)
+		mustRun(t, sim, s, "after all that")
+		faultsAreOver(sim)
 		at(240 * time.Second)
-		mustFinish(t, w, burst...)
+		mustFinish(t, sim, burst...)
 	})
 }
 
@@ -98,28 +98,28 @@
 	for first, run := range map[int]scenarioRunner{0: runScenario, 1: runOnUnevenLayout, 3: runScenario} { // how many are back first; 0: the last leader
 		t.Run(fmt.Sprint("first back ", first), func(t *testing.T) {
 			t.Parallel()
-			run(t, 61, func(w *simulator.World, at func(time.Duration)) {
+			run(t, 61, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 8, 40), array(3, 3, 30)
 				gone, late := service(4, 3), array(5, 4, 100)
 				at(2 * time.Second)
-				for _, j := range []simulator.Truth{s, a, gone, late} {
-					w.Submit(j, 0)
+				for _, j := range []simulator.JobScript{s, a, gone, late} {
+					sim.Submit(j, 0)
 				}
 				at(45 * time.Second)
-				mustRun(t, w, s, "before")
-				w.Submit(b, 0)
+				mustRun(t, sim, s, "before")
+				sim.Submit(b, 0)
 				time.Sleep(100 * time.Millisecond)
-				l := w.Leader()
-				confirmed := cancelAtController(t, w, (l+1)%3, gone)
-				killAll(w)
+				l := sim.Leader()
+				confirmed := cancelAtController(t, sim, (l+1)%3, gone)
+				killAll(sim)
 				if time.Since(confirmed) > 20*time.Millisecond {
 					t.Errorf("cancelled %v before the end of all", time.Since(confirmed))
 				}
 				away := time.Now()
-				time.Sleep(w.Set.Workers.LeaseS.Duration() + 5*time.Second)
-				w.Checked(func(c *simulator.Checker) {
-					for _, j := range []simulator.Truth{s, a, gone, late} {
-						if c.On(j.Spec.ID) != 0 {
+				time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 5*time.Second)
+				sim.WithChecker(func(c *simulator.Checker) {
+					for _, j := range []simulator.JobScript{s, a, gone, late} {
+						if c.OnMachines(j.Spec.ID) != 0 {
 							t.Errorf("%s is on a machine %v after the end of all", j.Spec.ID, time.Since(away))
 						}
 					}
@@ -130,13 +130,13 @@
 				} else if first == 3 {
 					back = []int{0, 1, 2}
 				}
-				startControllers(t, w, back...)
-				cancelAtController(t, w, back[0], late)
+				startControllers(t, sim, back...)
+				cancelAtController(t, sim, back[0], late)
 				time.Sleep(10 * time.Second)
-				startControllers(t, w, 0, 1, 2)
-				mustRecover(t, w, 3, s, a, b)
-				w.Checked(func(c *simulator.Checker) {
-					if n := c.On(gone.Spec.ID) + c.On(late.Spec.ID); n != 0 {
+				startControllers(t, sim, 0, 1, 2)
+				mustRecover(t, sim, 3, s, a, b)
+				sim.WithChecker(func(c *simulator.Checker) {
+					if n := c.OnMachines(gone.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of cancelled jobs", n)
 					}
 				})
@@ -154,58 +154,58 @@
 		same := k%2 == 0
 		t.Run(fmt.Sprintf("back after %v, the same one %v", back, same), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, simulator.DefaultSettings(), 63, func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, simulator.DefaultSettings(), 63, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 6, 50), array(3, 4, 20)
 				gone, fresh := array(4, 4, 200), array(5, 4, 200)
 				at(2 * time.Second)
-				for _, j := range []simulator.Truth{s, a, gone, fresh} {
-					w.Submit(j, 0)
+				for _, j := range []simulator.JobScript{s, a, gone, fresh} {
+					sim.Submit(j, 0)
 				}
 				at(40 * time.Second)
-				one := w.Leader()
-				w.State.Refuse(simulator.NodeIP(one), true)
-				two := awaitOtherLeader(t, w, one, 10*time.Second)
-				w.State.Refuse(simulator.NodeIP(one), false)
+				one := sim.Leader()
+				sim.State.RefuseClient(simulator.NodeIP(one), true)
+				two := awaitOtherLeader(t, sim, one, 10*time.Second)
+				sim.State.RefuseClient(simulator.NodeIP(one), false)
 				time.Sleep(500 * time.Millisecond)
 				third := 3 - one - two
-				w.Kill(third) // so that it goes back
-				w.State.Refuse(simulator.NodeIP(two), true)
-				if awaitOtherLeader(t, w, two, 10*time.Second) != one {
+				sim.KillController(third) // so that it goes back
+				sim.State.RefuseClient(simulator.NodeIP(two), true)
+				if awaitOtherLeader(t, sim, two, 10*time.Second) != one {
 					t.Fatal("not handed back")
 				}
-				w.State.Refuse(simulator.NodeIP(two), false)
-				w.Submit(b, 0)
+				sim.State.RefuseClient(simulator.NodeIP(two), false)
+				sim.Submit(b, 0)
 				time.Sleep(150 * time.Millisecond)
-				cancelAtController(t, w, two, gone)
-				w.Kill(one)
-				w.Kill(two)
-				old := w.LeadStamp()
+				cancelAtController(t, sim, two, gone)
+				sim.KillController(one)
+				sim.KillController(two)
+				old := sim.LeaderKeyRevision()
 				time.Sleep(back)
 				i, k := one, two
 				if !same {
 					i, k = two, one
 				}
-				startControllers(t, w, i)
-				waitUntil(t, 8*time.Second, "an election", func() bool { return w.LeadStamp() > old })
-				old = w.LeadStamp()
-				w.Kill(i) // it has taken the office just now
-				if w.Leader() != i {
-					t.Errorf("node %d leads, not %d", w.Leader(), i)
+				startControllers(t, sim, i)
+				waitUntil(t, 8*time.Second, "an election", func() bool { return sim.LeaderKeyRevision() > old })
+				old = sim.LeaderKeyRevision()
+				sim.KillController(i) // it has taken the office just now
+				if sim.Leader() != i {
+					t.Errorf("node %d leads, not %d", sim.Leader(), i)
 				}
 				time.Sleep(back)
-				startControllers(t, w, k)
+				startControllers(t, sim, k)
 				// Cancelled while nobody leads: the grant of the one that ended is not over.
-				cancelAtController(t, w, k, fresh)
-				if back < time.Second && w.LeadStamp() != old {
+				cancelAtController(t, sim, k, fresh)
+				if back < time.Second && sim.LeaderKeyRevision() != old {
 					t.Error("cancelled after the election, not in it")
 				}
-				waitUntil(t, 8*time.Second, "the last election", func() bool { return w.LeadStamp() > old })
+				waitUntil(t, 8*time.Second, "the last election", func() bool { return sim.LeaderKeyRevision() > old })
 				time.Sleep(time.Second)
-				startControllers(t, w, 0, 1, 2)
-				mustRecover(t, w, 3, s, a, b)
-				w.Checked(func(c *simulator.Checker) {
-					if c.On(s.Spec.ID) != 4 || c.On(gone.Spec.ID)+c.On(fresh.Spec.ID) != 0 {
-						t.Errorf("%d of 4 replicas, %d and %d tasks of cancelled jobs", c.On(s.Spec.ID), c.On(gone.Spec.ID), c.On(fresh.Spec.ID))
+				startControllers(t, sim, 0, 1, 2)
+				mustRecover(t, sim, 3, s, a, b)
+				sim.WithChecker(func(c *simulator.Checker) {
+					if c.OnMachines(s.Spec.ID) != 4 || c.OnMachines(gone.Spec.ID)+c.OnMachines(fresh.Spec.ID) != 0 {
+						t.Errorf("%d of 4 replicas, %d and %d tasks of cancelled jobs", c.OnMachines(s.Spec.ID), c.OnMachines(gone.Spec.ID), c.OnMachines(fresh.Spec.ID))
 					}
 				})
 			})
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -14,7 +14,7 @@
 // What a node can't take it refuses as the page says.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 12, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 12, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
 		ok := simulator.Submission(array(1, 1, 1).Spec)
 		with := func(k string, v any) map[string]any {
@@ -60,11 +60,11 @@
 			{"not a report", "POST", "/hello", []byte{0x01}, 400},
 		}
 		for i, c := range cases {
-			if status, _, _ := w.Ask(i%3, c.method, c.path, c.body); status != c.want {
+			if status, _, _ := sim.Ask(i%3, c.method, c.path, c.body); status != c.want {
 				t.Errorf("%s: %d, want %d", c.name, status, c.want)
 			}
 		}
-		w.Submit(array(2, 1, 1), 0)
+		sim.Submit(array(2, 1, 1), 0)
 		at(60 * time.Second)
 	})
 }
@@ -73,8 +73,8 @@
 // while nodes don't know the machine types yet.
 func TestInvalidRequestsAtEveryController(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 440, func(w *simulator.World, at func(time.Duration)) {
-		w.CloudOutage(true)
+	runScenario(t, 440, func(sim *simulator.Simulation, at func(time.Duration)) {
+		sim.CloudOutage(true)
 		n := 500
 		with := func(k string, v any) map[string]any {
 			n++
@@ -89,7 +89,7 @@
 			t.Helper()
 			for i := range 6 {
 				begin := time.Now()
-				got, raw, h := w.Ask(i%3, method, path, body)
+				got, raw, h := sim.Ask(i%3, method, path, body)
 				var b wire.JobSummary
 				if got != want || got == 200 && (wire.Decode(raw, &b) != nil || b.Status != status) {
 					t.Errorf("%s at node %d: %d %q, want %d %q", what, i%3, got, b.Status, want, status)
@@ -137,22 +137,22 @@
 		}
 		at(3 * time.Second)
 		odd(false)
-		w.CloudOutage(false)
+		sim.CloudOutage(false)
 		at(18 * time.Second)
 		odd(true)
 		// An array may have more tasks than its team's limit.
 		wide, s, gone := array(1, 60, 3), service(2, 2), service(3, 2)
-		for _, j := range []simulator.Truth{wide, s, gone} {
-			w.Submit(j, 0)
+		for _, j := range []simulator.JobScript{wide, s, gone} {
+			sim.Submit(j, 0)
 		}
 		time.Sleep(2 * time.Second)
-		w.Checked(func(c *simulator.Checker) { c.CancelAsked(gone.Spec.ID) })
+		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(gone.Spec.ID) })
 		ask("cancel", "POST", "/v1/jobs/"+string(gone.Spec.ID)+"/cancel", nil, 200, wire.Cancelled)
 		at(80 * time.Second)
-		mustFinish(t, w, wide)
+		mustFinish(t, sim, wide)
 		known := func() {
 			t.Helper()
-			for j, want := range map[*simulator.Truth]wire.Status{&wide: wire.Done, &s: wire.Queued, &gone: wire.Cancelled} {
+			for j, want := range map[*simulator.JobScript]wire.Status{&wide: wire.Done, &s: wire.Queued, &gone: wire.Cancelled} {
 				ask("repeat of "+string(want), "POST", "/v1/jobs", simulator.Submission(j.Spec), 200, want)
 				if want != wire.Queued {
 					ask("cancel of "+string(want), "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil, 200, want)
@@ -163,18 +163,18 @@
 		known()
 		// All nodes begin anew, and find the machine types neither in the state
 		// service nor at the cloud.
-		killAll(w)
-		w.CloudOutage(true)
-		w.State.Drop(store.FlavorsKey)
-		startAll(t, w)
+		killAll(sim)
+		sim.CloudOutage(true)
+		sim.State.Delete(store.FlavorsKey)
+		startAll(t, sim)
 		time.Sleep(3 * time.Second)
 		known()
 		odd(false)
-		w.CloudOutage(false)
+		sim.CloudOutage(false)
 		time.Sleep(20 * time.Second)
 		known()
-		mustRun(t, w, s, "after the nodes began anew")
-		for _, k := range w.State.Keys("job/") {
+		mustRun(t, sim, s, "after the nodes began anew")
+		for _, k := range sim.State.Keys("job/") {
 			if !strings.HasSuffix(k, string(s.Spec.ID)) {
 				t.Errorf("%s was taken in", k)
 			}
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -19,24 +19,24 @@
 // archived such a job before it had read them, and they ran on.)
 func TestCancelWithoutLeader(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 14, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 14, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s := service(1, 3)
 		at(2 * time.Second)
-		w.Submit(s, 0)
+		sim.Submit(s, 0)
 		at(44 * time.Second)
-		l := w.Leader()
-		w.Kill(l)
+		l := sim.Leader()
+		sim.KillController(l)
 		time.Sleep(300 * time.Millisecond)
-		w.Checked(func(c *simulator.Checker) { c.CancelAsked(s.Spec.ID) })
-		status, raw, _ := w.Ask((l+1)%3, "POST", "/v1/jobs/"+string(s.Spec.ID)+"/cancel", nil)
+		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(s.Spec.ID) })
+		status, raw, _ := sim.Ask((l+1)%3, "POST", "/v1/jobs/"+string(s.Spec.ID)+"/cancel", nil)
 		var b wire.JobSummary
-		if status != 200 || wire.Decode(raw, &b) != nil || b.Status != wire.Cancelled || w.Leader() == (l+1)%3 {
-			t.Fatalf("cancel answered %d %+v, leader %d", status, b, w.Leader())
+		if status != 200 || wire.Decode(raw, &b) != nil || b.Status != wire.Cancelled || sim.Leader() == (l+1)%3 {
+			t.Fatalf("cancel answered %d %+v, leader %d", status, b, sim.Leader())
 		}
-		w.Checked(func(c *simulator.Checker) { c.Told(s.Spec.ID, b.Status, time.Now()) })
+		sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(s.Spec.ID, b.Status, time.Now()) })
 		at(60 * time.Second)
-		w.Checked(func(c *simulator.Checker) {
-			if n := c.On(s.Spec.ID); n != 0 {
+		sim.WithChecker(func(c *simulator.Checker) {
+			if n := c.OnMachines(s.Spec.ID); n != 0 {
 				t.Errorf("%d tasks left 15 s after the cancellation", n)
 			}
 		})
@@ -48,14 +48,14 @@
 // told for ever.
 func TestCancelRacesCompletion(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 6, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 6, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
 		for n := range 12 {
 			j := array(100+n, 2, 10)
-			w.Submit(j, time.Duration(18+n)*time.Second)
+			sim.Submit(j, time.Duration(18+n)*time.Second)
 		}
 		at(150 * time.Second)
-		w.Checked(func(c *simulator.Checker) {
+		sim.WithChecker(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			if done+cancelled != 12 {
 				t.Errorf("%d done, %d cancelled of 12", done, cancelled)
@@ -71,14 +71,14 @@
 	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStateService()} {
 		t.Run(fmt.Sprint(set.State.RPS), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, set, 410, func(w *simulator.World, at func(time.Duration)) {
-				l := w.Looks()
-				l.For = 60 * time.Millisecond
+			runWithSettings(t, set, 410, func(sim *simulator.Simulation, at func(time.Duration)) {
+				l := sim.NewBurstReaders()
+				l.BurstLength = 60 * time.Millisecond
 				warm := array(900, 20, 8)
 				at(2 * time.Second)
-				w.Submit(warm, 0)
+				sim.Submit(warm, 0)
 				at(34 * time.Second)
-				var all []simulator.Truth
+				var all []simulator.JobScript
 				for n := range 40 {
 					j := array(1+n, 1+n%2, 2)
 					all = append(all, j)
@@ -86,11 +86,11 @@
 					if n%2 == 0 {
 						after = time.Duration(n) * time.Millisecond
 					}
-					l.Submit(j, simulator.AtEnd, after)
+					l.Submit(j, simulator.CancelAtEnd, after)
 					time.Sleep(400 * time.Millisecond)
 				}
 				at(100 * time.Second)
-				done, cancelled := w.Ended(all)
+				done, cancelled := sim.CountEnded(all)
 				if done+cancelled != len(all) {
 					t.Errorf("%d done, %d cancelled of %d", done, cancelled, len(all))
 				}
@@ -116,12 +116,12 @@
 func TestCancelCrossesFinalRecord(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(w *simulator.World, at func(time.Duration)) {
-			l := w.Looks()
+		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			l := sim.NewBurstReaders()
 			early, late := array(1, 2, 4), array(2, 2, 4)
 			var once sync.Once
 			onItsWay := make(chan struct{})
-			w.State.Delay(func(x *wire.Txn) time.Duration {
+			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
 				switch {
 				case isFinalRecordOf(x, early.Spec.ID):
 					wait := time.Duration(0)
@@ -133,8 +133,8 @@
 				return 0
 			})
 			at(2 * time.Second)
-			l.Submit(early, simulator.Never, 0)
-			l.Submit(late, simulator.AtEnd, time.Duration(seed)*20*time.Millisecond)
+			l.Submit(early, simulator.NeverCancel, 0)
+			l.Submit(late, simulator.CancelAtEnd, time.Duration(seed)*20*time.Millisecond)
 			<-onItsWay
 			// The cancellation is confirmed, and asked about everywhere, while the
 			// final record waits.
@@ -144,18 +144,18 @@
 				t.Errorf("cancel answered %d %s after %v", status, s.Status, time.Since(begin))
 			}
 			at(70 * time.Second)
-			if n := w.State.Lost(func(x *wire.Txn) bool { return isFinalRecordOf(x, early.Spec.ID) }); n != 1 {
+			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isFinalRecordOf(x, early.Spec.ID) }); n != 1 {
 				t.Errorf("%d final records failed at a cancellation", n)
 			}
-			if n := w.State.Lost(func(x *wire.Txn) bool { return isCancellationOf(x, late.Spec.ID) }); n != 1 {
+			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isCancellationOf(x, late.Spec.ID) }); n != 1 {
 				t.Errorf("%d cancellations failed at a final record", n)
 			}
-			w.Checked(func(c *simulator.Checker) {
-				if a, b := c.Final(early.Spec.ID), c.Final(late.Spec.ID); a != wire.Cancelled || b != wire.Done {
+			sim.WithChecker(func(c *simulator.Checker) {
+				if a, b := c.FinalStatus(early.Spec.ID), c.FinalStatus(late.Spec.ID); a != wire.Cancelled || b != wire.Done {
 					t.Errorf("ended as %q and %q", a, b)
 				}
 			})
-			mustLeaveNoKeys(t, w)
+			mustLeaveNoKeys(t, sim)
 		})
 	}
 }
@@ -168,20 +168,20 @@
 func TestCancelCrossesFullTransaction(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		runWithSettings(t, simulator.GasSettings(), 450+seed, func(w *simulator.World, at func(time.Duration)) {
-			l := w.Looks()
-			var all []simulator.Truth
+		runWithSettings(t, simulator.GasSettings(), 450+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			l := sim.NewBurstReaders()
+			var all []simulator.JobScript
 			for n := range 6 {
 				all = append(all, array(1+n, 1, 4))
 			}
 			var mu sync.Mutex
-			var hit *simulator.Truth
+			var hit *simulator.JobScript
 			slow, first := false, true
 			crosses := make(chan struct{})
-			w.State.Delay(func(x *wire.Txn) time.Duration {
+			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
-				var over []simulator.Truth
+				var over []simulator.JobScript
 				for _, j := range all {
 					if isFinalRecordOf(x, j.Spec.ID) {
 						over = append(over, j)
@@ -204,7 +204,7 @@
 				}
 				return 0
 			})
-			w.State.SlowReads(func(key string) time.Duration {
+			sim.State.DelayReads(func(key string) time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
 				if slow && key == store.JobKey(hit.Spec.ID) {
@@ -215,12 +215,12 @@
 			// Machines are up, so that all six begin together.
 			warm := array(19, 16, 12)
 			at(2 * time.Second)
-			w.Submit(warm, 0)
+			sim.Submit(warm, 0)
 			for up := false; !up; time.Sleep(100 * time.Millisecond) {
-				w.Checked(func(c *simulator.Checker) { up = c.Complete(warm.Spec.ID) })
+				sim.WithChecker(func(c *simulator.Checker) { up = c.Complete(warm.Spec.ID) })
 			}
 			for _, j := range all {
-				l.Submit(j, simulator.Never, 0)
+				l.Submit(j, simulator.NeverCancel, 0)
 			}
 			select {
 			case <-crosses:
@@ -237,18 +237,18 @@
 			mu.Unlock()
 			time.Sleep(2 * time.Second)
 			after := array(20, 2, 2)
-			l.Submit(after, simulator.Never, 0)
+			l.Submit(after, simulator.NeverCancel, 0)
 			time.Sleep(40 * time.Second)
-			mustFinish(t, w, append(all, after)...)
-			w.Checked(func(c *simulator.Checker) {
-				if d, ok := c.Waited(after.Spec.ID); !ok || d > 3*time.Second {
+			mustFinish(t, sim, append(all, after)...)
+			sim.WithChecker(func(c *simulator.Checker) {
+				if d, ok := c.TimeToStart(after.Spec.ID); !ok || d > 3*time.Second {
 					t.Errorf("the next job waited for %v", d)
 				}
 			})
-			if n := w.State.Lost(func(x *wire.Txn) bool { return isFinalRecordOf(x, hit.Spec.ID) }); n != 1 {
+			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isFinalRecordOf(x, hit.Spec.ID) }); n != 1 {
 				t.Errorf("%d final records failed at a cancellation", n)
 			}
-			mustLeaveNoKeys(t, w)
+			mustLeaveNoKeys(t, sim)
 		})
 	}
 }
@@ -258,9 +258,9 @@
 // refused for ever.)
 func TestCancelOfLargestRecord(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, simulator.GasSettings(), 460, func(w *simulator.World, at func(time.Duration)) {
+	runWithSettings(t, simulator.GasSettings(), 460, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
-		large := func(n, bundle int) simulator.Truth {
+		large := func(n, bundle int) simulator.JobScript {
 			j := service(n, 1)
 			j.Spec.MachineTypes = []wire.MachineType{"c4", "c16"}
 			for k := range 43 {
@@ -274,11 +274,11 @@
 		for over := 120; over-fits > 1; n++ {
 			mid := (fits + over) / 2
 			j := large(n, mid)
-			switch status, _, _ := w.Ask(n%3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status {
+			switch status, _, _ := sim.Ask(n%3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status {
 			case 201:
 				fits = mid
-				w.Checked(func(c *simulator.Checker) { c.Submitted(j.Spec); c.CancelAsked(j.Spec.ID) })
-				if status, _, _ := w.Ask(n%3, "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil); status != 200 {
+				sim.WithChecker(func(c *simulator.Checker) { c.Submitted(j.Spec); c.CancelRequested(j.Spec.ID) })
+				if status, _, _ := sim.Ask(n%3, "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil); status != 200 {
 					t.Errorf("with %d bytes the cancellation is answered %d", mid, status)
 				}
 			case 422:
@@ -293,17 +293,17 @@
 			return
 		}
 		j := large(1, fits)
-		w.Submit(j, 30*time.Second)
-		w.Submit(array(2, 2, 3), 0)
+		sim.Submit(j, 30*time.Second)
+		sim.Submit(array(2, 2, 3), 0)
 		at(25 * time.Second)
-		mustRun(t, w, j, "before it is cancelled")
+		mustRun(t, sim, j, "before it is cancelled")
 		at(75 * time.Second)
-		w.Checked(func(c *simulator.Checker) {
-			if s := c.Final(j.Spec.ID); s != wire.Cancelled || c.On(j.Spec.ID) != 0 {
-				t.Errorf("it is %q, %d tasks run", s, c.On(j.Spec.ID))
+		sim.WithChecker(func(c *simulator.Checker) {
+			if s := c.FinalStatus(j.Spec.ID); s != wire.Cancelled || c.OnMachines(j.Spec.ID) != 0 {
+				t.Errorf("it is %q, %d tasks run", s, c.OnMachines(j.Spec.ID))
 			}
 		})
-		mustLeaveNoKeys(t, w)
+		mustLeaveNoKeys(t, sim)
 	})
 }
 
@@ -312,30 +312,30 @@
 // the watch. That must not cost it the office.
 func TestCancellationsReadTwice(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 70, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 70, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 10, 60)
 		a.Spec.CPUs = 1.5 // with room beside them
 		at(2 * time.Second)
-		w.Submit(s, 0)
-		w.Submit(a, 0)
+		sim.Submit(s, 0)
+		sim.Submit(a, 0)
 		at(45 * time.Second)
-		l, old := w.Leader(), w.LeadStamp()
-		w.State.LagWatches(300 * time.Millisecond)
+		l, old := sim.Leader(), sim.LeaderKeyRevision()
+		sim.State.DelayWatches(300 * time.Millisecond)
 		for n := range 8 {
 			gone := array(10+n, 2, 100)
 			gone.Spec.CPUs, gone.Spec.MemoryGB = 0.1, 0.1
-			w.Submit(gone, 0)
+			sim.Submit(gone, 0)
 			time.Sleep(time.Duration(100+40*n) * time.Millisecond)
-			cancelAtController(t, w, (l+1)%3, gone)
+			cancelAtController(t, sim, (l+1)%3, gone)
 			time.Sleep(1500 * time.Millisecond)
-			if keys := w.State.Keys("job/" + string(gone.Spec.ID)); len(keys) != 0 {
+			if keys := sim.State.Keys("job/" + string(gone.Spec.ID)); len(keys) != 0 {
 				t.Errorf("%s is not closed", gone.Spec.ID)
 			}
 		}
-		if w.LeadStamp() != old {
-			t.Errorf("the office has changed hands: node %d leads, was %d", w.Leader(), l)
+		if sim.LeaderKeyRevision() != old {
+			t.Errorf("the office has changed hands: node %d leads, was %d", sim.Leader(), l)
 		}
-		w.State.LagWatches(0)
-		mustRecover(t, w, 3, s, a)
+		sim.State.DelayWatches(0)
+		mustRecover(t, sim, 3, s, a)
 	})
 }
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -16,27 +16,27 @@
 		for _, leads := range []bool{false, true} {
 			t.Run(fmt.Sprint(d, " leader inside ", leads), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsOfSize(5), 808, func(w *simulator.World, at func(time.Duration)) {
+				runWithSettings(t, settingsOfSize(5), 808, func(sim *simulator.Simulation, at func(time.Duration)) {
 					at(2 * time.Second)
 					time.Sleep(3 * time.Second)
-					z := leaderZoneOrOther(w, leads)
+					z := leaderZoneOrOther(sim, leads)
 					in, other := gang(1, 4, 50), gang(2, 4, 50)
 					across := gang(3, 6, 50)
 					in.Spec.Zone, across.Spec.SameZone, across.Spec.Spread = z, false, true
-					w.Submit(in, 0)
-					w.Submit(other, 0)
-					w.Submit(across, 0)
-					awaitGangRunning(t, w, in, 40*time.Second)
+					sim.Submit(in, 0)
+					sim.Submit(other, 0)
+					sim.Submit(across, 0)
+					awaitGangRunning(t, sim, in, 40*time.Second)
 					time.Sleep(10 * time.Second)
-					for _, id := range w.Members(in.Spec.ID) {
-						w.Copy(id, 3*time.Second, 20*time.Second, 60*time.Second, 100*time.Second)
+					for _, id := range sim.MachinesHolding(in.Spec.ID) {
+						sim.ResendLastReport(id, 3*time.Second, 20*time.Second, 60*time.Second, 100*time.Second)
 					}
-					w.CutZone(z, true)
+					sim.IsolateZone(z, true)
 					time.Sleep(d)
-					w.CutZone(z, false)
+					sim.IsolateZone(z, false)
 					time.Sleep(180 * time.Second)
-					mustFinish(t, w, in, other, across)
-					t.Logf("in %+v\nother %+v\nacross %+v", w.Gang(in.Spec.ID), w.Gang(other.Spec.ID), w.Gang(across.Spec.ID))
+					mustFinish(t, sim, in, other, across)
+					t.Logf("in %+v\nother %+v\nacross %+v", sim.GangState(in.Spec.ID), sim.GangState(other.Spec.ID), sim.GangState(across.Spec.ID))
 				})
 			})
 		}
@@ -47,26 +47,26 @@
 // runs, also to a new leader.
 func TestGangDuplicatedReportsArriveLate(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(5), 809, func(w *simulator.World, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(5), 809, func(sim *simulator.Simulation, at func(time.Duration)) {
 		j := gang(1, 4, 60)
 		at(2 * time.Second)
-		w.Submit(j, 0)
-		awaitGangRunning(t, w, j, 40*time.Second)
-		on := w.Members(j.Spec.ID)
+		sim.Submit(j, 0)
+		awaitGangRunning(t, sim, j, 40*time.Second)
+		on := sim.MachinesHolding(j.Spec.ID)
 		var late []time.Duration
 		for d := 1; d < 70; d += 2 {
 			late = append(late, time.Duration(d)*time.Second)
 		}
 		time.Sleep(2 * time.Second)
 		for _, id := range on {
-			w.Copy(id, late...)
+			sim.ResendLastReport(id, late...)
 		}
-		w.TakeMachine(on[0])
+		sim.ReclaimMachine(on[0])
 		time.Sleep(15 * time.Second)
-		restartLeader(t, w, time.Second)
+		restartLeader(t, sim, time.Second)
 		time.Sleep(150 * time.Second)
-		mustFinish(t, w, j)
-		if g := w.Gang(j.Spec.ID); g.Starts != 2 || g.Falls != 1 {
+		mustFinish(t, sim, j)
+		if g := sim.GangState(j.Spec.ID); g.Starts != 2 || g.Rollbacks != 1 {
 			t.Errorf("%+v, want two starts", g)
 		}
 	})
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -20,11 +20,11 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			set := []config.Settings{settingsOfSize(3), settingsOfSize(5), simulator.GasSettings()}[seed%3]
-			runWithSettings(t, set, 820+seed, func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, set, 820+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				seconds, size := randomDelay(rng), set.Size
-				var all []simulator.Truth
+				var all []simulator.JobScript
 				at(2 * time.Second)
-				w.Submit(service(900, 3), 0)
+				sim.Submit(service(900, 3), 0)
 				for n := range 24 {
 					at(time.Duration(3+6*n)*time.Second + seconds(4))
 					j := gang(10+n, 2+rng.IntN(4), float64(5+rng.IntN(50)))
@@ -39,65 +39,65 @@
 					if cancel == 0 {
 						all = append(all, j)
 					}
-					w.Submit(j, cancel)
+					sim.Submit(j, cancel)
 					switch k := rng.IntN(11); k {
 					case 0, 1:
 						i := rng.IntN(size)
-						if l := w.Leader(); k == 1 && l >= 0 {
+						if l := sim.Leader(); k == 1 && l >= 0 {
 							i = l
 						}
-						w.Kill(i)
+						sim.KillController(i)
 						time.Sleep(seconds(5))
-						w.Up(i)
+						sim.StartController(i)
 					case 2:
-						w.State.Outage(true)
+						sim.State.Outage(true)
 						time.Sleep(seconds(20))
-						w.State.Outage(false)
+						sim.State.Outage(false)
 					case 3, 4:
-						if on := w.Members(j.Spec.ID); len(on) > 0 {
-							w.TakeMachine(on[0])
+						if on := sim.MachinesHolding(j.Spec.ID); len(on) > 0 {
+							sim.ReclaimMachine(on[0])
 						} else {
-							w.Take(1, func(_ bool, tasks int) bool { return tasks > 0 })
+							sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 						}
 					case 5:
-						if id, _, ok := w.Some(func(n int) bool { return n > 0 }); ok {
-							w.Notice(id, 8*time.Second+seconds(20))
+						if id, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 }); ok {
+							sim.GiveSpotNotice(id, 8*time.Second+seconds(20))
 						}
 					case 6:
-						if id, _, ok := w.Some(func(n int) bool { return n > 0 }); ok {
-							w.Unrest(true)
-							w.Hang(true, id)
+						if id, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 }); ok {
+							sim.CountFault(true)
+							sim.HangMachines(true, id)
 							time.Sleep(seconds(30))
-							w.Hang(false, id)
-							w.Unrest(false)
+							sim.HangMachines(false, id)
+							sim.CountFault(false)
 						}
 					case 7:
-						w.State.LoseAnswers(1)
+						sim.State.LoseAnswers(1)
 					case 8:
 						z := set.Zones[rng.IntN(len(set.Zones))]
-						w.CutZone(z, true)
+						sim.IsolateZone(z, true)
 						time.Sleep(seconds(40))
-						w.CutZone(z, false)
+						sim.IsolateZone(z, false)
 					case 9:
-						_, ip, ok := w.Some(func(n int) bool { return n > 0 })
+						_, ip, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 						if i := rng.IntN(size); ok {
-							w.Net.Hold(simulator.NodeIP(i), ip, true)
+							sim.Net.Hold(simulator.NodeIP(i), ip, true)
 							time.Sleep(seconds(25))
-							w.Net.Hold(simulator.NodeIP(i), ip, false)
+							sim.Net.Hold(simulator.NodeIP(i), ip, false)
 						}
 					case 10:
-						for _, id := range w.All() {
-							w.Copy(id, seconds(30))
+						for _, id := range sim.RunningMachines() {
+							sim.ResendLastReport(id, seconds(30))
 						}
 					}
 				}
-				faultsAreOver(w)
+				faultsAreOver(sim)
 				time.Sleep(220 * time.Second)
-				mustFinish(t, w, all...)
+				mustFinish(t, sim, all...)
 				starts, saves, falls, alone := 0, 0, 0, 0
 				for _, j := range all {
-					g := w.Gang(j.Spec.ID)
-					starts, saves, falls, alone = starts+g.Starts, saves+g.Saves, falls+g.Falls, alone+g.Alone
+					g := sim.GangState(j.Spec.ID)
+					starts, saves, falls, alone = starts+g.Starts, saves+g.Saves, falls+g.Rollbacks, alone+g.Incomplete
 				}
 				t.Logf("%d jobs, %d starts of gangs, %d saved, %d fell back, %d tasks alone", len(all), starts, saves, falls, alone)
 			})
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -14,9 +14,9 @@
 )
 
 // mustFinish checks that all tasks of the jobs have completed.
-func mustFinish(t *testing.T, w *simulator.World, jobs ...simulator.Truth) {
+func mustFinish(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
-	w.Checked(func(c *simulator.Checker) {
+	sim.WithChecker(func(c *simulator.Checker) {
 		for _, j := range jobs {
 			if !c.Complete(j.Spec.ID) {
 				t.Errorf("%s is not complete", j.Spec.ID)
@@ -26,33 +26,33 @@
 }
 
 // mustRun checks that all replicas of a service run.
-func mustRun(t *testing.T, w *simulator.World, s simulator.Truth, when string) {
+func mustRun(t *testing.T, sim *simulator.Simulation, s simulator.JobScript, when string) {
 	t.Helper()
-	w.Checked(func(c *simulator.Checker) {
-		if n := c.On(s.Spec.ID); n != s.Spec.Tasks {
+	sim.WithChecker(func(c *simulator.Checker) {
+		if n := c.OnMachines(s.Spec.ID); n != s.Spec.Tasks {
 			t.Errorf("%d of %d replicas %s", n, s.Spec.Tasks, when)
 		}
 	})
 }
 
 // tasksOnMachines is how many tasks of a job are on machines.
-func tasksOnMachines(w *simulator.World, id wire.JobID) (n int) {
-	w.Checked(func(c *simulator.Checker) { n = c.On(id) })
+func tasksOnMachines(sim *simulator.Simulation, id wire.JobID) (n int) {
+	sim.WithChecker(func(c *simulator.Checker) { n = c.OnMachines(id) })
 	return n
 }
 
 // mustBeGone checks that nothing of a cancelled job is left.
-func mustBeGone(t *testing.T, w *simulator.World, j simulator.Truth, when string) {
+func mustBeGone(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, when string) {
 	t.Helper()
-	if n := tasksOnMachines(w, j.Spec.ID); n != 0 {
+	if n := tasksOnMachines(sim, j.Spec.ID); n != 0 {
 		t.Errorf("%d tasks of the cancelled %s %s", n, j.Spec.ID, when)
 	}
 }
 
 // lostMachines counts the machines that exist no more.
-func lostMachines(w *simulator.World, ids []wire.MachineID) (n int) {
+func lostMachines(sim *simulator.Simulation, ids []wire.MachineID) (n int) {
 	for _, id := range ids {
-		if w.IP(id) == "" {
+		if sim.MachineIP(id) == "" {
 			n++
 		}
 	}
@@ -60,19 +60,19 @@
 }
 
 // mustUseCPUs checks how many processors the tasks of a team use.
-func mustUseCPUs(t *testing.T, w *simulator.World, team wire.TeamID, want float64) {
+func mustUseCPUs(t *testing.T, sim *simulator.Simulation, team wire.TeamID, want float64) {
 	t.Helper()
-	w.Checked(func(c *simulator.Checker) {
-		if n := c.Uses(team); n != want {
+	sim.WithChecker(func(c *simulator.Checker) {
+		if n := c.CPUsUsed(team); n != want {
 			t.Errorf("team %s uses %.0f processors, want %.0f", team, n, want)
 		}
 	})
 }
 
 // preemptionCount is how many tasks the leader has preempted.
-func preemptionCount(t *testing.T, w *simulator.World) float64 {
+func preemptionCount(t *testing.T, sim *simulator.Simulation) float64 {
 	t.Helper()
-	_, raw, _ := w.Operate(w.Leader(), "GET", "/metrics", nil)
+	_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/metrics", nil)
 	for line := range strings.Lines(string(raw)) {
 		if v, ok := strings.CutPrefix(line, "lilaclead_preemptions_total "); ok {
 			if n, err := strconv.ParseFloat(strings.TrimSpace(v), 64); err == nil {
@@ -86,10 +86,10 @@
 
 // leftoverKeys lists the records of live jobs and of their progress that the state
 // service still has, but for those of the jobs named.
-func leftoverKeys(w *simulator.World, live ...simulator.Truth) []string {
+func leftoverKeys(sim *simulator.Simulation, live ...simulator.JobScript) []string {
 	var out []string
-	for _, k := range append(w.State.Keys("job/"), w.State.Keys("run/")...) {
-		if !slices.ContainsFunc(live, func(j simulator.Truth) bool { return strings.Contains(k, string(j.Spec.ID)) }) {
+	for _, k := range append(sim.State.Keys("job/"), sim.State.Keys("run/")...) {
+		if !slices.ContainsFunc(live, func(j simulator.JobScript) bool { return strings.Contains(k, string(j.Spec.ID)) }) {
 			out = append(out, k)
 		}
 	}
@@ -98,28 +98,28 @@
 
 // mustLeaveNoKeys checks that the state service has no records of live jobs and of
 // their progress, but for those of the jobs named.
-func mustLeaveNoKeys(t *testing.T, w *simulator.World, live ...simulator.Truth) {
+func mustLeaveNoKeys(t *testing.T, sim *simulator.Simulation, live ...simulator.JobScript) {
 	t.Helper()
-	if keys := leftoverKeys(w, live...); len(keys) > 0 {
+	if keys := leftoverKeys(sim, live...); len(keys) > 0 {
 		t.Errorf("left over: %v", keys)
 	}
 }
 
 // mustRestartNoTask checks that no task was started a second time.
-func mustRestartNoTask(t *testing.T, w *simulator.World) {
+func mustRestartNoTask(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
-	w.Checked(func(c *simulator.Checker) {
-		if c.Again() != 0 {
-			t.Errorf("%d tasks were started again", c.Again())
+	sim.WithChecker(func(c *simulator.Checker) {
+		if c.Restarts() != 0 {
+			t.Errorf("%d tasks were started again", c.Restarts())
 		}
 	})
 }
 
 // mustHaveTaskInUnknownZone checks that the leader knows of a task on a machine
 // that no list has shown to it, so that it can't tell its zone.
-func mustHaveTaskInUnknownZone(t *testing.T, w *simulator.World) {
+func mustHaveTaskInUnknownZone(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
-	v, ok := adminView(w, w.Leader())
+	v, ok := adminView(sim, sim.Leader())
 	unknown := func(m leader.MachineView) bool { return m.Zone == "" && m.Tasks > 0 }
 	if !ok || v.Term == nil || !slices.ContainsFunc(v.Term.Machines, unknown) {
 		t.Errorf("no task is on a machine of unknown zone: %+v", v.Term)
@@ -128,7 +128,7 @@
 
 // mustLeaveNothingWaiting lets time pass, after which no job may have waited for 90 s
 // without a start while a machine had room for it and its team was under its limit.
-func mustLeaveNothingWaiting(t *testing.T, w *simulator.World, d time.Duration) {
+func mustLeaveNothingWaiting(t *testing.T, sim *simulator.Simulation, d time.Duration) {
 	t.Helper()
 	type wait struct {
 		n     int
@@ -136,7 +136,7 @@
 	}
 	waits := map[wire.JobID]wait{}
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
-		could := w.CouldRun()
+		could := sim.JobsWithRoom()
 		for id, x := range waits {
 			if could[id] != x.n {
 				delete(waits, id)
@@ -157,47 +157,47 @@
 // mustRecover checks, once all faults are over, that every accepted job which
 // nobody cancelled is answered by every controller within 75 s and runs or is done
 // within 90 s, and that all of them, and those named, come to their end.
-func mustRecover(t *testing.T, w *simulator.World, size int, all ...simulator.Truth) {
+func mustRecover(t *testing.T, sim *simulator.Simulation, size int, all ...simulator.JobScript) {
 	t.Helper()
 	calm := time.Now()
-	mustAnswerAll(t, w, size, calm)
+	mustAnswerAll(t, sim, size, calm)
 	time.Sleep(time.Until(calm.Add(90 * time.Second)))
-	w.Checked(func(c *simulator.Checker) {
-		for _, id := range c.Owed() {
-			if !c.Complete(id) && c.On(id) == 0 {
+	sim.WithChecker(func(c *simulator.Checker) {
+		for _, id := range c.AcceptedAndNotCancelled() {
+			if !c.Complete(id) && c.OnMachines(id) == 0 {
 				t.Errorf("%s neither runs nor is done 90 s after the troubles", id)
 			}
 		}
 	})
 	// What does not complete in time is found by the check below.
-	poll(100*time.Second, time.Second, func() bool { return allComplete(w, all) })
+	poll(100*time.Second, time.Second, func() bool { return allComplete(sim, all) })
 	time.Sleep(4 * time.Second)
 	for _, j := range all {
 		if j.Spec.Service() {
-			mustRun(t, w, j, "at the end")
+			mustRun(t, sim, j, "at the end")
 			continue
 		}
-		mustFinish(t, w, j)
-		mustBeAnsweredDone(t, w, size, j.Spec.ID)
+		mustFinish(t, sim, j)
+		mustBeAnsweredDone(t, sim, size, j.Spec.ID)
 	}
 }
 
 // mustAnswerAll checks that every controller answers about every accepted job that
 // nobody cancelled, within 75 s of the end of all faults.
-func mustAnswerAll(t *testing.T, w *simulator.World, size int, calm time.Time) {
+func mustAnswerAll(t *testing.T, sim *simulator.Simulation, size int, calm time.Time) {
 	t.Helper()
 	var owed []wire.JobID
-	w.Checked(func(c *simulator.Checker) { c.Calm(calm); owed = c.Owed() })
+	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(calm); owed = c.AcceptedAndNotCancelled() })
 	for i := range size {
 		for _, id := range owed {
 			waitUntil(t, 75*time.Second-time.Since(calm), fmt.Sprintf("node %d answers about %s", i, id), func() bool {
-				status, raw, _ := w.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
+				status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
 				var s wire.JobState
 				if status != 200 || wire.Decode(raw, &s) != nil {
 					time.Sleep(time.Second)
 					return false
 				}
-				w.Checked(func(c *simulator.Checker) { c.Polled(id, status, s.Status, time.Now()) })
+				sim.WithChecker(func(c *simulator.Checker) { c.PollAnsweredNow(id, status, s.Status, time.Now()) })
 				return true
 			})
 		}
@@ -205,9 +205,9 @@
 }
 
 // allComplete tells whether all jobs but services have completed.
-func allComplete(w *simulator.World, jobs []simulator.Truth) bool {
+func allComplete(sim *simulator.Simulation, jobs []simulator.JobScript) bool {
 	all := true
-	w.Checked(func(c *simulator.Checker) {
+	sim.WithChecker(func(c *simulator.Checker) {
 		for _, j := range jobs {
 			all = all && (j.Spec.Service() || c.Complete(j.Spec.ID))
 		}
@@ -216,10 +216,10 @@
 }
 
 // mustBeAnsweredDone checks that every controller tells users that a job is done.
-func mustBeAnsweredDone(t *testing.T, w *simulator.World, size int, id wire.JobID) {
+func mustBeAnsweredDone(t *testing.T, sim *simulator.Simulation, size int, id wire.JobID) {
 	t.Helper()
 	for i := range size {
-		status, raw, _ := w.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
+		status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
 		var s wire.JobState
 		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done {
 			t.Errorf("node %d answers %d %+v about %s, which is done", i, status, s, id)
@@ -228,6 +228,6 @@
 }
 
 // storedChunks counts the chunks that are stored of a job's progress.
-func storedChunks(w *simulator.World, j simulator.Truth) int {
-	return len(w.State.Keys("run/" + string(j.Spec.ID) + "/"))
+func storedChunks(sim *simulator.Simulation, j simulator.JobScript) int {
+	return len(sim.State.Keys("run/" + string(j.Spec.ID) + "/"))
 }
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -20,11 +20,11 @@
 // startController makes a real controller for a simulated deployment. With
 // SCENARIO_LOG set its log goes to standard error.
 func startController(cfg *config.Config, nw netio.Net) (func(context.Context) error, error) {
-	var out io.Writer = io.Discard
+	options := lilaclead.Options{Net: nw, Log: io.Discard}
 	if os.Getenv("SCENARIO_LOG") != "" {
-		out = os.Stderr
+		options.Log = os.Stderr
 	}
-	n, err := lilaclead.New(cfg, lilaclead.Options{Net: nw, Log: out})
+	n, err := lilaclead.New(cfg, options)
 	if err != nil {
 		return nil, err
 	}
@@ -34,29 +34,29 @@
 // scenarioRunner runs a script on a deployment with one layout of zones and
 // controllers. The script sleeps until a time after the start with its last
 // argument.
-type scenarioRunner = func(*testing.T, uint64, func(*simulator.World, func(time.Duration)))
+type scenarioRunner = func(*testing.T, uint64, func(*simulator.Simulation, func(time.Duration)))
 
 // runScenario runs a script on the default deployment, in virtual time. All
 // controllers are up when it begins; when it ends every rule must have held.
-func runScenario(t *testing.T, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
+func runScenario(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	runWithSettings(t, simulator.DefaultSettings(), seed, script)
 }
 
 // runOnBothLayouts runs a script with controllers in every zone, and with a zone
 // that has machines and no controller.
-func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, w *simulator.World, at func(time.Duration))) {
+func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	for _, layout := range layouts {
 		t.Run(layout.name, func(t *testing.T) {
 			t.Parallel()
-			layout.run(t, seed, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
+			layout.run(t, seed, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
 		})
 	}
 }
 
 // runWithSettings is runScenario with settings of the test's own.
-func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
+func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, set, set.Zones, seed, script)
 }
@@ -72,49 +72,49 @@
 var unevenZones = []wire.Zone{"a", "b", "a"}
 
 // runOnUnevenLayout is runScenario with controllers in two of three zones.
-func runOnUnevenLayout(t *testing.T, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
+func runOnUnevenLayout(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, simulator.GasSettings(), unevenZones, seed, script)
 }
 
 // runWithControllersIn is runWithSettings with controllers in some zones only.
-func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(w *simulator.World, at func(time.Duration))) {
+func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := simulator.NewWorld(ctx, set, seed, startController, nil)
-		w.Nodes(zones...)
+		sim := simulator.New(ctx, set, seed, startController, nil)
+		sim.PlaceControllers(zones...)
 		begin := time.Now()
 		for i := range set.Size {
-			if err := w.Up(i); err != nil {
+			if err := sim.StartController(i); err != nil {
 				t.Fatal(err)
 			}
 		}
-		script(w, func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) })
-		w.AskAll()
-		w.Checked(func(c *simulator.Checker) {
-			c.End(time.Now())
+		script(sim, func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) })
+		sim.AskAllAboutAll()
+		sim.WithChecker(func(c *simulator.Checker) {
+			c.Finish(time.Now())
 			if late, slow := c.LateStarts(), c.LateDone(); late+slow > 0 {
 				t.Logf("%d starts after a confirmed cancellation, %d polls not told done in time", late, slow)
 			}
-			for _, b := range c.Breaks {
+			for _, b := range c.Violations {
 				t.Errorf("%6.1f s %s: %s", b.At.Sub(begin).Seconds(), b.Rule, b.What)
 			}
 		})
 		cancel()
-		w.Close()
+		sim.Close()
 	})
 }
 
 // runOnAlternatingLayouts runs a script with one seed or as many as asked for: even
 // ones on the first layout, odd ones on the second.
-func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, w *simulator.World, at func(time.Duration))) {
+func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	for i := range seedCount(1) {
 		layout := layouts[(seed+i)%2]
 		t.Run(fmt.Sprint(layout.name, " ", seed+i), func(t *testing.T) {
 			t.Parallel()
-			layout.run(t, seed+i, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
+			layout.run(t, seed+i, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
 		})
 	}
 }
@@ -150,41 +150,41 @@
 }
 
 // startControllers starts those of the controllers that are down.
-func startControllers(t *testing.T, w *simulator.World, nodes ...int) {
+func startControllers(t *testing.T, sim *simulator.Simulation, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
-		if err := w.Up(i); err != nil {
+		if err := sim.StartController(i); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
 // startAll starts the controllers that are down.
-func startAll(t *testing.T, w *simulator.World) {
+func startAll(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
-	for i := range w.Set.Size {
-		startControllers(t, w, i)
+	for i := range sim.Settings.Size {
+		startControllers(t, sim, i)
 	}
 }
 
 // killAll ends all controllers, as a power cut does.
-func killAll(w *simulator.World) {
-	for i := range w.Set.Size {
-		w.Kill(i)
+func killAll(sim *simulator.Simulation) {
+	for i := range sim.Settings.Size {
+		sim.KillController(i)
 	}
 }
 
 // restartLeader kills the leader and starts it again after a time, in which another
 // may have been elected.
-func restartLeader(t *testing.T, w *simulator.World, after time.Duration) {
+func restartLeader(t *testing.T, sim *simulator.Simulation, after time.Duration) {
 	t.Helper()
-	l := w.Leader()
-	w.Kill(l)
+	l := sim.Leader()
+	sim.KillController(l)
 	time.Sleep(after)
-	startControllers(t, w, l)
+	startControllers(t, sim, l)
 }
 
 // faultsAreOver tells the checker that no fault lasts from now on.
-func faultsAreOver(w *simulator.World) {
-	w.Checked(func(c *simulator.Checker) { c.Calm(time.Now()) })
+func faultsAreOver(sim *simulator.Simulation) {
+	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(time.Now()) })
 }
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -14,26 +14,26 @@
 
 // faultedTransactions are those that a fault hit, that change a key with the prefix
 // and pass the test.
-func faultedTransactions(w *simulator.World, prefix string, which func(f *simulator.Fate) bool) []simulator.Fate {
-	return slices.DeleteFunc(w.State.Fates(), func(f simulator.Fate) bool { return !f.Changes(prefix) || !which(&f) })
+func faultedTransactions(sim *simulator.Simulation, prefix string, which func(f *simulator.TxnOutcome) bool) []simulator.TxnOutcome {
+	return slices.DeleteFunc(sim.State.TxnOutcomes(), func(f simulator.TxnOutcome) bool { return !f.ChangesPrefix(prefix) || !which(&f) })
 }
 
 // wasExecuted tells whether the transaction changed what is stored.
-func wasExecuted(f *simulator.Fate) bool { return f.Status == http.StatusOK }
+func wasExecuted(f *simulator.TxnOutcome) bool { return f.Status == http.StatusOK }
 
 // wasExecutedValue is wasExecuted for values.
-func wasExecutedValue(f simulator.Fate) bool { return wasExecuted(&f) }
+func wasExecutedValue(f simulator.TxnOutcome) bool { return wasExecuted(&f) }
 
 // failedAfterNewer tells whether the transaction came after newer ones of the same
 // client and failed.
-func failedAfterNewer(f *simulator.Fate) bool {
+func failedAfterNewer(f *simulator.TxnOutcome) bool {
 	return f.Late && f.Newer > 0 && f.Status != 0 && f.Status != http.StatusOK
 }
 
 // mustBeExecutedLate checks that one of the transactions was executed, or refused,
 // after newer ones of the same client had been executed, and after all the times
 // given.
-func mustBeExecutedLate(t *testing.T, what string, hit []simulator.Fate, after ...time.Time) {
+func mustBeExecutedLate(t *testing.T, what string, hit []simulator.TxnOutcome, after ...time.Time) {
 	t.Helper()
 	for _, f := range hit {
 		if f.Newer > 0 && !slices.ContainsFunc(after, func(x time.Time) bool { return x.IsZero() || !f.Done.After(x) }) {
@@ -45,16 +45,16 @@
 
 // refusedByGuardOn are the transactions that came after newer ones and failed at a
 // guard on a key with the prefix.
-func refusedByGuardOn(prefix string) func(*simulator.Fate) bool {
-	return func(f *simulator.Fate) bool {
+func refusedByGuardOn(prefix string) func(*simulator.TxnOutcome) bool {
+	return func(f *simulator.TxnOutcome) bool {
 		return failedAfterNewer(f) && slices.ContainsFunc(f.Failed, func(k string) bool { return strings.HasPrefix(k, prefix) })
 	}
 }
 
 // endFaultsAndWait ends all faults of transactions, and gives the jobs some time.
-func endFaultsAndWait(w *simulator.World, d time.Duration) {
-	w.State.Trouble(0)
-	faultsAreOver(w)
+func endFaultsAndWait(sim *simulator.Simulation, d time.Duration) {
+	sim.State.InjectTxnFaults(0)
+	faultsAreOver(sim)
 	time.Sleep(d)
 }
 
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -12,33 +12,33 @@
 
 // requestCancel asks a controller once to cancel a job, as its user, and tells the
 // status that the user was told, if any.
-func requestCancel(w *simulator.World, node int, id wire.JobID) (wire.Status, bool) {
-	w.Checked(func(c *simulator.Checker) { c.CancelAsked(id) })
-	status, raw, _ := w.Ask(node, "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
+func requestCancel(sim *simulator.Simulation, node int, id wire.JobID) (wire.Status, bool) {
+	sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(id) })
+	status, raw, _ := sim.Ask(node, "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
 	var b wire.JobSummary
 	if status != 200 || wire.Decode(raw, &b) != nil {
 		return "", false
 	}
-	w.Checked(func(c *simulator.Checker) { c.Told(id, b.Status, time.Now()) })
+	sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(id, b.Status, time.Now()) })
 	return b.Status, true
 }
 
 // cancelOnceAt asks a controller once to cancel a job, as its user, and tells
 // whether it confirmed that.
-func cancelOnceAt(w *simulator.World, node int, id wire.JobID) bool {
-	status, ok := requestCancel(w, node, id)
+func cancelOnceAt(sim *simulator.Simulation, node int, id wire.JobID) bool {
+	status, ok := requestCancel(sim, node, id)
 	return ok && status == wire.Cancelled
 }
 
 // cancelWithin has a user ask all controllers in turn to cancel a job until one
 // confirms it, and tells whether that was within the time.
-func cancelWithin(t *testing.T, w *simulator.World, id wire.JobID, within time.Duration) bool {
+func cancelWithin(t *testing.T, sim *simulator.Simulation, id wire.JobID, within time.Duration) bool {
 	t.Helper()
 	var status wire.Status
 	i := -1
 	answered := poll(within, 200*time.Millisecond, func() (ok bool) {
 		i++
-		status, ok = requestCancel(w, i%w.Set.Size, id)
+		status, ok = requestCancel(sim, i%sim.Settings.Size, id)
 		return ok
 	})
 	return answered && status == wire.Cancelled
@@ -46,11 +46,11 @@
 
 // cancelAtController has a user ask one controller to cancel a job until it is
 // confirmed, and tells when it was.
-func cancelAtController(t *testing.T, w *simulator.World, i int, j simulator.Truth) time.Time {
+func cancelAtController(t *testing.T, sim *simulator.Simulation, i int, j simulator.JobScript) time.Time {
 	t.Helper()
 	id := j.Spec.ID
 	var status wire.Status
-	if !poll(20*time.Second, 100*time.Millisecond, func() (ok bool) { status, ok = requestCancel(w, i, id); return ok }) {
+	if !poll(20*time.Second, 100*time.Millisecond, func() (ok bool) { status, ok = requestCancel(sim, i, id); return ok }) {
 		t.Fatalf("%s can't be cancelled at node %d", id, i)
 	}
 	if status != wire.Cancelled {
@@ -60,44 +60,44 @@
 }
 
 // mustCancel has a user cancel a job, at whichever controller answers.
-func mustCancel(t *testing.T, w *simulator.World, j simulator.Truth) {
+func mustCancel(t *testing.T, sim *simulator.Simulation, j simulator.JobScript) {
 	t.Helper()
-	if !cancelWithin(t, w, j.Spec.ID, 10*time.Second) {
+	if !cancelWithin(t, sim, j.Spec.ID, 10*time.Second) {
 		t.Errorf("%s could not be cancelled", j.Spec.ID)
 	}
 }
 
 // request is the path and the body with which a user submits a job or asks to
 // cancel it. The checker learns that the user will ask to cancel.
-func request(w *simulator.World, j simulator.Truth, cancel bool) (path string, body any) {
+func request(sim *simulator.Simulation, j simulator.JobScript, cancel bool) (path string, body any) {
 	if !cancel {
 		return "/v1/jobs", simulator.Submission(j.Spec)
 	}
-	w.Checked(func(c *simulator.Checker) { c.CancelAsked(j.Spec.ID) })
+	sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(j.Spec.ID) })
 	return "/v1/jobs/" + string(j.Spec.ID) + "/cancel", nil
 }
 
 // requestOnce asks one controller once to submit a job or to cancel it, and tells
 // the answer's status. Without an answer nothing is known.
-func requestOnce(w *simulator.World, j simulator.Truth, cancel bool, node int) int {
-	path, body := request(w, j, cancel)
-	status, _, _ := w.Ask(node, "POST", path, body)
+func requestOnce(sim *simulator.Simulation, j simulator.JobScript, cancel bool, node int) int {
+	path, body := request(sim, j, cancel)
+	status, _, _ := sim.Ask(node, "POST", path, body)
 	return status
 }
 
 // requestUntilAnswered has a user submit a job or ask to cancel it, again and again
 // at one controller after the other, beginning with the given one, until it is
 // answered, and then at all others once. It tells when which one answered first.
-func requestUntilAnswered(t *testing.T, w *simulator.World, j simulator.Truth, cancel bool, from int) (when time.Time, node int, said wire.Status) {
+func requestUntilAnswered(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, cancel bool, from int) (when time.Time, node int, said wire.Status) {
 	t.Helper()
 	id := j.Spec.ID
-	path, body := request(w, j, cancel)
-	more := w.Set.Size
+	path, body := request(sim, j, cancel)
+	more := sim.Settings.Size
 	for i, begin := from, time.Now(); more > 0 && time.Since(begin) < 60*time.Second; i++ {
-		n := i % w.Set.Size
-		status, raw, _ := w.Ask(n, "POST", path, body)
+		n := i % sim.Settings.Size
+		status, raw, _ := sim.Ask(n, "POST", path, body)
 		now := time.Now()
-		w.Checked(func(c *simulator.Checker) {
+		sim.WithChecker(func(c *simulator.Checker) {
 			var b wire.JobSummary
 			if status != 200 && status != 201 || wire.Decode(raw, &b) != nil {
 				if c.Refused(id, status, now); status == 400 || status == 404 || status == 422 {
@@ -106,7 +106,7 @@
 				return
 			}
 			if c.Accepted(id, now); cancel || b.Status.Final() {
-				c.Told(id, b.Status, now)
+				c.StatusToldNow(id, b.Status, now)
 			}
 			if when.IsZero() {
 				when, node, said = now, n, b.Status
@@ -125,7 +125,7 @@
 
 // pollInBackground has users ask one controller about jobs, once a second, until the
 // stop: what it answers is checked against what any controller has told before.
-func pollInBackground(w *simulator.World, i int, jobs ...simulator.Truth) (answered *int, stop func()) {
+func pollInBackground(sim *simulator.Simulation, i int, jobs ...simulator.JobScript) (answered *int, stop func()) {
 	n, done := 0, make(chan struct{})
 	for _, j := range jobs {
 		go func() {
@@ -135,10 +135,10 @@
 					return
 				case <-time.After(time.Second):
 				}
-				status, raw, _ := w.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
+				status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
 				var s wire.JobState
 				if status == 404 || status == 200 && wire.Decode(raw, &s) == nil {
-					w.Checked(func(c *simulator.Checker) { n++; c.Polled(j.Spec.ID, status, s.Status, time.Now()) })
+					sim.WithChecker(func(c *simulator.Checker) { n++; c.PollAnsweredNow(j.Spec.ID, status, s.Status, time.Now()) })
 				}
 			}
 		}()
@@ -157,15 +157,15 @@
 // other: whatever a user was told before a question, its answer must not be older.
 // (What users are told while the answer is on its way can't be in it.)
 type statusReader struct {
-	w     *simulator.World
+	w     *simulator.Simulation
 	stop  chan struct{}
 	ended chan struct{}
 	news  []statusSeen
 }
 
 // startReader starts a reader of a job's status.
-func startReader(t *testing.T, w *simulator.World, id wire.JobID) *statusReader {
-	r := &statusReader{w: w, stop: make(chan struct{}), ended: make(chan struct{})}
+func startReader(t *testing.T, sim *simulator.Simulation, id wire.JobID) *statusReader {
+	r := &statusReader{w: sim, stop: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(r.ended)
 		rank := 0
@@ -175,9 +175,9 @@
 				return
 			case <-time.After(time.Duration(1+8*(rank/2)) * 250 * time.Millisecond): // rarely once it is over
 			}
-			n := i % w.Set.Size
-			w.Checked(func(c *simulator.Checker) { rank = max(rank, c.Said(id)) })
-			status, raw, _ := w.Ask(n, "GET", "/v1/jobs/"+string(id), nil)
+			n := i % sim.Settings.Size
+			sim.WithChecker(func(c *simulator.Checker) { rank = max(rank, c.ToldSoFar(id)) })
+			status, raw, _ := sim.Ask(n, "GET", "/v1/jobs/"+string(id), nil)
 			var s wire.JobState
 			now := 0
 			switch {
@@ -189,7 +189,7 @@
 			default:
 				continue // no answer says nothing
 			}
-			w.Checked(func(c *simulator.Checker) {
+			sim.WithChecker(func(c *simulator.Checker) {
 				if now < rank {
 					t.Errorf("%s: node %d says %d %s after %v", id, n, status, s.Status, r.news)
 				}
@@ -197,8 +197,8 @@
 					rank = max(rank, now)
 					r.news = append(r.news, statusSeen{time.Now(), n, now})
 				}
-				if now >= c.Said(id) {
-					c.Polled(id, status, s.Status, time.Now())
+				if now >= c.ToldSoFar(id) {
+					c.PollAnsweredNow(id, status, s.Status, time.Now())
 				}
 			})
 		}
@@ -214,7 +214,7 @@
 
 // firstSeen is when an answer of the rank came first; zero: never.
 func (r *statusReader) firstSeen(rank int) (at time.Time) {
-	r.w.Checked(func(*simulator.Checker) {
+	r.w.WithChecker(func(*simulator.Checker) {
 		if i := slices.IndexFunc(r.news, func(n statusSeen) bool { return n.rank >= rank }); i >= 0 {
 			at = r.news[i].at
 		}
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -41,23 +41,23 @@
 }
 
 // awaitGangRunning waits until all tasks of a gang run.
-func awaitGangRunning(t *testing.T, w *simulator.World, j simulator.Truth, most time.Duration) bool {
+func awaitGangRunning(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, most time.Duration) bool {
 	t.Helper()
-	return eventually(t, most, string(j.Spec.ID)+" runs whole", func() bool { return w.Gang(j.Spec.ID).Running == j.Spec.Tasks })
+	return eventually(t, most, string(j.Spec.ID)+" runs whole", func() bool { return sim.GangState(j.Spec.ID).Running == j.Spec.Tasks })
 }
 
 // awaitOtherLeader waits until another controller than this one leads.
-func awaitOtherLeader(t *testing.T, w *simulator.World, than int, most time.Duration) int {
+func awaitOtherLeader(t *testing.T, sim *simulator.Simulation, than int, most time.Duration) int {
 	t.Helper()
-	waitUntil(t, most, "another leader", func() bool { l := w.Leader(); return l >= 0 && l != than })
-	return w.Leader()
+	waitUntil(t, most, "another leader", func() bool { l := sim.Leader(); return l >= 0 && l != than })
+	return sim.Leader()
 }
 
 // awaitNewToken waits for an election after the one with the old token, and tells
 // who leads then.
-func awaitNewToken(t *testing.T, w *simulator.World, old wire.Token) (leader int, token wire.Token) {
+func awaitNewToken(t *testing.T, sim *simulator.Simulation, old wire.Token) (leader int, token wire.Token) {
 	t.Helper()
-	if !poll(20*time.Second, time.Millisecond, func() bool { leader, token = w.Holder(); return leader >= 0 && token > old }) {
+	if !poll(20*time.Second, time.Millisecond, func() bool { leader, token = sim.LeaderAndToken(); return leader >= 0 && token > old }) {
 		t.Fatal("nobody leads")
 	}
 	return leader, token
@@ -65,40 +65,40 @@
 
 // awaitSuccessor waits until another controller leads than the one that was killed,
 // and starts that one again.
-func awaitSuccessor(t *testing.T, w *simulator.World, killed int) {
+func awaitSuccessor(t *testing.T, sim *simulator.Simulation, killed int) {
 	t.Helper()
-	if !poll(15*time.Second, 100*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && l != killed }) {
+	if !poll(15*time.Second, 100*time.Millisecond, func() bool { l := sim.Leader(); return l >= 0 && l != killed }) {
 		t.Fatal("nobody followed the leader within 15 s")
 	}
-	if err := w.Up(killed); err != nil {
+	if err := sim.StartController(killed); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // replaceLeader kills the leader, waits until another one leads, and starts the
 // killed one again.
-func replaceLeader(t *testing.T, w *simulator.World) {
+func replaceLeader(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
-	l := w.Leader()
+	l := sim.Leader()
 	if l < 0 {
 		t.Fatal("nobody leads")
 	}
-	w.Kill(l)
-	awaitSuccessor(t, w, l)
+	sim.KillController(l)
+	awaitSuccessor(t, sim, l)
 }
 
 // moveLeadershipTo kills leaders until one in the zone leads.
-func moveLeadershipTo(t *testing.T, w *simulator.World, z wire.Zone) {
+func moveLeadershipTo(t *testing.T, sim *simulator.Simulation, z wire.Zone) {
 	t.Helper()
 	for range 10 {
-		l := w.Leader()
-		if l >= 0 && w.Config(l).Zone == z {
+		l := sim.Leader()
+		if l >= 0 && sim.Config(l).Zone == z {
 			return
 		}
 		if l >= 0 {
-			w.Kill(l)
+			sim.KillController(l)
 			time.Sleep(6 * time.Second)
-			if err := w.Up(l); err != nil {
+			if err := sim.StartController(l); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -108,30 +108,30 @@
 }
 
 // leaderZoneOrOther is the zone that the leader is in, or the other one of two.
-func leaderZoneOrOther(w *simulator.World, in bool) wire.Zone {
-	if (w.Config(w.Leader()).Zone == "a") == in {
+func leaderZoneOrOther(sim *simulator.Simulation, in bool) wire.Zone {
+	if (sim.Config(sim.Leader()).Zone == "a") == in {
 		return "a"
 	}
 	return "b"
 }
 
 // adminView is what a controller shows its operators; false: nothing readable.
-func adminView(w *simulator.World, i int) (admin.View, bool) {
-	status, raw, _ := w.Operate(i, "GET", "/admin/view", nil)
+func adminView(sim *simulator.Simulation, i int) (admin.View, bool) {
+	status, raw, _ := sim.AskAsOperator(i, "GET", "/admin/view", nil)
 	var v admin.View
 	return v, status == 200 && wire.Decode(raw, &v) == nil
 }
 
 // hasRecovered tells whether a leader has read what is stored.
-func hasRecovered(w *simulator.World, i int) bool {
-	v, ok := adminView(w, i)
+func hasRecovered(sim *simulator.Simulation, i int) bool {
+	v, ok := adminView(sim, i)
 	return ok && v.Term != nil && len(v.Term.Jobs) > 0
 }
 
 // saysItLeads tells whether a controller itself says that it leads.
-func saysItLeads(t *testing.T, w *simulator.World, i int) bool {
+func saysItLeads(t *testing.T, sim *simulator.Simulation, i int) bool {
 	t.Helper()
-	v, ok := adminView(w, i)
+	v, ok := adminView(sim, i)
 	if !ok {
 		t.Fatalf("no view of controller %d", i)
 	}
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -11,24 +11,24 @@
 // A launch that was never answered arrives after its job was cancelled.
 func TestLateLaunchOfCancelledJob(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 5, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 5, func(sim *simulator.Simulation, at func(time.Duration)) {
 		warm, late := array(1, 12, 200), array(2, 6, 10)
 		at(2 * time.Second)
-		w.Submit(warm, 0)
+		sim.Submit(warm, 0)
 		at(40 * time.Second)
-		l := w.Leader()
+		l := sim.Leader()
 		var held []string
 		for range 40 {
-			_, ip, _ := w.Some(func(int) bool { return len(held) >= 0 })
+			_, ip, _ := sim.FirstMachine(func(int) bool { return len(held) >= 0 })
 			held = append(held, ip)
 		}
 		for _, ip := range held {
-			w.Net.Hold(simulator.NodeIP(l), ip, true)
+			sim.Net.Hold(simulator.NodeIP(l), ip, true)
 		}
-		w.Submit(late, 12*time.Second)
+		sim.Submit(late, 12*time.Second)
 		at(150 * time.Second)
 		for _, ip := range held {
-			w.Net.Hold(simulator.NodeIP(l), ip, false)
+			sim.Net.Hold(simulator.NodeIP(l), ip, false)
 		}
 		at(200 * time.Second)
 	})
@@ -41,82 +41,82 @@
 	t.Parallel()
 	cases := []struct {
 		name string
-		lag  simulator.Lag
+		lag  simulator.CommandDelay
 		hang bool
 		then []string
 	}{
-		{"commands for 2 s", simulator.Lag{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
-		{"commands for 9 s", simulator.Lag{Command: 9 * time.Second}, false, []string{"leader", "both"}},
-		{"answers for 9 s", simulator.Lag{Answer: 9 * time.Second, Hello: 3500 * time.Millisecond}, false, []string{"cancel"}},
-		{"both, and the answers to reports", simulator.Lag{Command: 4 * time.Second, Answer: 4 * time.Second, Hello: 3900 * time.Millisecond}, false, []string{"both"}},
-		{"answers to reports for 3 s", simulator.Lag{Hello: 3 * time.Second}, false, []string{"leader"}},
-		{"the machines hang", simulator.Lag{}, true, []string{"cancel", "both"}},
+		{"commands for 2 s", simulator.CommandDelay{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
+		{"commands for 9 s", simulator.CommandDelay{Command: 9 * time.Second}, false, []string{"leader", "both"}},
+		{"answers for 9 s", simulator.CommandDelay{Answer: 9 * time.Second, ReportAnswer: 3500 * time.Millisecond}, false, []string{"cancel"}},
+		{"both, and the answers to reports", simulator.CommandDelay{Command: 4 * time.Second, Answer: 4 * time.Second, ReportAnswer: 3900 * time.Millisecond}, false, []string{"both"}},
+		{"answers to reports for 3 s", simulator.CommandDelay{ReportAnswer: 3 * time.Second}, false, []string{"leader"}},
+		{"the machines hang", simulator.CommandDelay{}, true, []string{"cancel", "both"}},
 	}
 	for _, c := range cases {
 		for _, then := range c.then {
 			t.Run(c.name+", "+then, func(t *testing.T) {
 				t.Parallel()
-				runScenario(t, 630, func(w *simulator.World, at func(time.Duration)) {
+				runScenario(t, 630, func(sim *simulator.Simulation, at func(time.Duration)) {
 					s, gone, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
 					a, late, quick := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
 					at(2 * time.Second)
-					w.Submit(s, 0)
-					w.Submit(gone, 0)
-					w.Submit(warm, 0)
+					sim.Submit(s, 0)
+					sim.Submit(gone, 0)
+					sim.Submit(warm, 0)
 					at(44 * time.Second)
-					ms := w.Working("")
-					w.LagCommands(c.lag)
+					ms := sim.BusyMachines("")
+					sim.DelayCommands(c.lag)
 					if c.hang {
-						w.Hang(true, ms...)
+						sim.HangMachines(true, ms...)
 					}
-					w.Submit(a, 0)
-					w.Submit(late, 0)
-					w.Submit(quick, 0)
+					sim.Submit(a, 0)
+					sim.Submit(late, 0)
+					sim.Submit(quick, 0)
 					time.Sleep(time.Second)
 					if then == "cancel" || then == "both" {
-						mustCancel(t, w, gone)
-						mustCancel(t, w, late)
+						mustCancel(t, sim, gone)
+						mustCancel(t, sim, late)
 					}
 					if then == "leader" || then == "both" {
-						l, old := w.Holder()
-						w.Kill(l)
-						awaitNewToken(t, w, old)
+						l, old := sim.LeaderAndToken()
+						sim.KillController(l)
+						awaitNewToken(t, sim, old)
 						time.Sleep(time.Second)
-						w.Up(l)
+						sim.StartController(l)
 					}
 					if c.hang {
 						time.Sleep(5 * time.Second)
-						w.Hang(false, ms...)
+						sim.HangMachines(false, ms...)
 					}
 					time.Sleep(20 * time.Second)
 					if then == "leader" {
 						if c.hang {
-							w.Hang(true, w.Working("")...)
+							sim.HangMachines(true, sim.BusyMachines("")...)
 						}
-						mustCancel(t, w, gone) // so that halts are held up too
-						mustCancel(t, w, late)
+						mustCancel(t, sim, gone) // so that halts are held up too
+						mustCancel(t, sim, late)
 						time.Sleep(6 * time.Second)
 						if c.hang {
-							w.Hang(false, w.All()...)
+							sim.HangMachines(false, sim.RunningMachines()...)
 						}
 						time.Sleep(8 * time.Second)
 					}
-					mustBeGone(t, w, gone, "20 s later")
-					mustBeGone(t, w, late, "20 s later")
-					w.LagCommands(simulator.Lag{})
+					mustBeGone(t, sim, gone, "20 s later")
+					mustBeGone(t, sim, late, "20 s later")
+					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
 						wire.Launch: c.hang || c.lag.Command > 0, wire.Halt: c.hang || c.lag.Command == 2*time.Second,
-						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.Hello > 0 && c.lag.Answer == 0,
+						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.ReportAnswer > 0 && c.lag.Answer == 0,
 					} {
-						if want && w.Late(verb) == 0 {
+						if want && sim.LateCommands(verb) == 0 {
 							t.Errorf("no %s came late", verb)
 						}
 					}
 					time.Sleep(20 * time.Second)
-					faultsAreOver(w)
+					faultsAreOver(sim)
 					time.Sleep(90 * time.Second)
-					mustFinish(t, w, warm, a, quick)
-					mustRun(t, w, s, "at the end")
+					mustFinish(t, sim, warm, a, quick)
+					mustRun(t, sim, s, "at the end")
 				})
 			})
 		}
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -16,40 +16,40 @@
 // make a dead machine seem alive.
 func TestDuplicatedReportsArriveLate(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(5), 31, func(w *simulator.World, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(5), 31, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 12, 30)
 		at(2 * time.Second)
-		w.Submit(s, 0)
-		w.Submit(a, 0)
+		sim.Submit(s, 0)
+		sim.Submit(a, 0)
 		var late []time.Duration
 		for d := 2; d < 60; d += 3 {
 			late = append(late, time.Duration(d)*time.Second)
 		}
 		copies := func() {
-			for _, id := range append(w.Holds(s.Spec.ID), w.Holds(a.Spec.ID)...) {
-				w.Copy(id, late...)
+			for _, id := range append(sim.MachinesRunning(s.Spec.ID), sim.MachinesRunning(a.Spec.ID)...) {
+				sim.ResendLastReport(id, late...)
 			}
 		}
 		at(40 * time.Second)
 		copies()
 		at(50 * time.Second)
 		// A machine with replicas dies while copies of its reports come in.
-		on := w.Holds(s.Spec.ID)
-		if w.Take(1, func(_ bool, tasks int) bool { return tasks > 0 }) != 1 || len(on) == 0 {
+		on := sim.MachinesRunning(s.Spec.ID)
+		if sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 }) != 1 || len(on) == 0 {
 			t.Fatal("nothing to take")
 		}
 		at(80 * time.Second)
-		mustRun(t, w, s, "30 s after a machine's end")
+		mustRun(t, sim, s, "30 s after a machine's end")
 		copies()
-		l := w.Leader()
-		w.Kill(l)
-		w.Take(1, func(_ bool, tasks int) bool { return tasks > 0 })
+		l := sim.Leader()
+		sim.KillController(l)
+		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 		time.Sleep(300 * time.Millisecond)
-		w.Up(l)
+		sim.StartController(l)
 		at(115 * time.Second)
-		mustRun(t, w, s, "35 s after the leader's and a machine's end")
+		mustRun(t, sim, s, "35 s after the leader's and a machine's end")
 		at(200 * time.Second)
-		mustFinish(t, w, a)
+		mustFinish(t, sim, a)
 	})
 }
 
@@ -62,44 +62,44 @@
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprint("before the next ones ", before), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 600, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
-				w.KeepReports()
+			runOnBothLayouts(t, 600, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+				sim.KeepReports()
 				a, gone, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
 				at(2 * time.Second)
-				w.Submit(a, 0)
-				w.Submit(gone, 0)
+				sim.Submit(a, 0)
+				sim.Submit(gone, 0)
 				at(45 * time.Second)
-				ms := w.Working("")
-				if len(ms) == 0 || tasksOnMachines(w, gone.Spec.ID) != 4 {
-					t.Fatalf("%d machines at work, %d tasks to cancel", len(ms), tasksOnMachines(w, gone.Spec.ID))
+				ms := sim.BusyMachines("")
+				if len(ms) == 0 || tasksOnMachines(sim, gone.Spec.ID) != 4 {
+					t.Fatalf("%d machines at work, %d tasks to cancel", len(ms), tasksOnMachines(sim, gone.Spec.ID))
 				}
 				held := map[wire.MachineID]int{}
 				for _, id := range ms {
-					held[id] = len(w.Kept(id))
-					w.HoldReports(id, true)
+					held[id] = len(sim.KeptReports(id))
+					sim.HoldReports(id, true)
 				}
-				time.Sleep(w.Set.Workers.ReportS.Duration() * 3 / 2)
-				l, old := w.Holder()
-				w.Kill(l)
-				_, token := awaitNewToken(t, w, old)
+				time.Sleep(sim.Settings.Workers.ReportS.Duration() * 3 / 2)
+				l, old := sim.LeaderAndToken()
+				sim.KillController(l)
+				_, token := awaitNewToken(t, sim, old)
 				var reps []wire.Report
 				for _, id := range ms {
-					if k := w.Kept(id); len(k) > held[id] {
+					if k := sim.KeptReports(id); len(k) > held[id] {
 						reps = append(reps, k[held[id]])
 					}
 				}
-				mustCancel(t, w, gone)
-				w.Submit(late, 0)
+				mustCancel(t, sim, gone)
+				sim.Submit(late, 0)
 				time.Sleep(4 * time.Second)
-				mustBeGone(t, w, gone, "while reports are held up")
+				mustBeGone(t, sim, gone, "while reports are held up")
 				if !before {
 					for _, id := range ms {
-						w.HoldReports(id, false)
+						sim.HoldReports(id, false)
 					}
 					time.Sleep(6 * time.Second)
 				}
 				late200, listed := 0, 0
-				for _, h := range w.Hand(reps...) {
+				for _, h := range sim.DeliverReports(reps...) {
 					if !h.Newer || h.Report.Token >= token {
 						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Report.Machine, h.Report.Sequence, h.Report.Token, token)
 					}
@@ -116,14 +116,14 @@
 					t.Errorf("%d reports were held, listing %d tasks that were cancelled meanwhile", len(reps), listed)
 				}
 				for _, id := range ms {
-					w.HoldReports(id, false)
+					sim.HoldReports(id, false)
 				}
 				time.Sleep(3 * time.Second)
-				w.Up(l)
-				faultsAreOver(w)
+				sim.StartController(l)
+				faultsAreOver(sim)
 				at(200 * time.Second)
-				mustFinish(t, w, a, late)
-				mustBeGone(t, w, gone, "at the end")
+				mustFinish(t, sim, a, late)
+				mustBeGone(t, sim, gone, "at the end")
 			})
 		})
 	}
@@ -135,30 +135,30 @@
 // old ones list.
 func TestReportsOfEarlierSessionsAndAttempts(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 610, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
-		lease := w.Set.Workers.LeaseS.Duration()
-		w.KeepReports()
+	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		lease := sim.Settings.Workers.LeaseS.Duration()
+		sim.KeepReports()
 		a, gone, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
 		at(2 * time.Second)
-		w.Submit(a, 0)
-		w.Submit(gone, 0)
-		w.Submit(s, 0)
+		sim.Submit(a, 0)
+		sim.Submit(gone, 0)
+		sim.Submit(s, 0)
 		at(45 * time.Second)
-		w.CopyShare(0.3, 2*time.Second, lease*5/2)
+		sim.DuplicateReports(0.3, 2*time.Second, lease*5/2)
 		// Their leases run out although they answer all commands.
-		ms := w.Holds(gone.Spec.ID)
-		w.Mute(true, ms...)
+		ms := sim.MachinesRunning(gone.Spec.ID)
+		sim.BlockOutbound(true, ms...)
 		time.Sleep(lease + time.Second)
-		w.Mute(false, ms...)
+		sim.BlockOutbound(false, ms...)
 		time.Sleep(6 * time.Second)
 		for _, id := range ms {
-			if shift, _, _ := w.Life(id); shift == 1 {
+			if shift, _, _ := sim.MachineSession(id); shift == 1 {
 				t.Errorf("%s is still in its first session", id)
 			}
 		}
 		tries := map[wire.Attempt]bool{}
 		for _, id := range ms {
-			for _, r := range w.Kept(id) {
+			for _, r := range sim.KeptReports(id) {
 				for _, p := range r.Tasks {
 					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
 						tries[p.Attempt] = true
@@ -171,7 +171,7 @@
 		}
 		old := func() (reps []wire.Report) {
 			for _, id := range ms {
-				k := w.Kept(id)
+				k := sim.KeptReports(id)
 				if len(k) > 0 {
 					// When its tasks ran, and its first.
 					i := slices.IndexFunc(k, func(r wire.Report) bool { return r.Session == 1 && len(r.Tasks) > 0 })
@@ -185,37 +185,37 @@
 		}
 		earlier := 0
 		hand := func() {
-			for _, h := range w.Hand(old()...) {
-				if shift, _, _ := w.Life(h.Report.Machine); h.Newer && shift > h.Report.Session && len(h.Report.Tasks) > 0 {
+			for _, h := range sim.DeliverReports(old()...) {
+				if shift, _, _ := sim.MachineSession(h.Report.Machine); h.Newer && shift > h.Report.Session && len(h.Report.Tasks) > 0 {
 					earlier++
 				}
 			}
 		}
 		hand()
-		mustCancel(t, w, gone)
+		mustCancel(t, sim, gone)
 		hand()
-		l, token := w.Holder()
-		w.Kill(l)
-		awaitNewToken(t, w, token)
+		l, token := sim.LeaderAndToken()
+		sim.KillController(l)
+		awaitNewToken(t, sim, token)
 		hand()
 		time.Sleep(3 * time.Second)
-		w.Up(l)
+		sim.StartController(l)
 		hand()
 		time.Sleep(5 * time.Second)
-		mustBeGone(t, w, gone, "after old reports listed them")
+		mustBeGone(t, sim, gone, "after old reports listed them")
 		hand()
 		if earlier == 0 {
 			t.Error("no report of an earlier session came after newer ones")
 		}
-		if all, older := w.Copied(); older < all/2 || older < 10 {
+		if all, older := sim.DuplicateCounts(); older < all/2 || older < 10 {
 			t.Errorf("%d of %d copies came after a newer report", older, all)
 		}
-		w.CopyShare(0, 0, 0)
+		sim.DuplicateReports(0, 0, 0)
 		time.Sleep(lease * 5 / 2)
-		faultsAreOver(w)
+		faultsAreOver(sim)
 		time.Sleep(120 * time.Second)
-		mustFinish(t, w, a)
-		mustRun(t, w, s, "when all is over")
+		mustFinish(t, sim, a)
+		mustRun(t, sim, s, "when all is over")
 	})
 }
 
@@ -233,44 +233,44 @@
 			}
 			t.Run(fmt.Sprintf("recovered %v, first reports %v", recovered, first), func(t *testing.T) {
 				t.Parallel()
-				play(t, 620, func(w *simulator.World, at func(time.Duration)) {
-					w.KeepReports()
+				play(t, 620, func(sim *simulator.Simulation, at func(time.Duration)) {
+					sim.KeepReports()
 					a, gone, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
 					at(2 * time.Second)
-					w.Submit(a, 0)
-					w.Submit(gone, 0)
-					w.Submit(s, 0)
+					sim.Submit(a, 0)
+					sim.Submit(gone, 0)
+					sim.Submit(s, 0)
 					at(45 * time.Second)
-					ms := w.Working("")
+					ms := sim.BusyMachines("")
 					var reps []wire.Report
 					for _, id := range ms {
-						k := w.Kept(id)
+						k := sim.KeptReports(id)
 						if first {
 							reps = append(reps, k[0]) // lacks all that runs there now
 						} else {
 							reps = append(reps, k[len(k)-2])
 						}
 					}
-					l, old := w.Holder()
-					w.Kill(l)
+					l, old := sim.LeaderAndToken()
+					sim.KillController(l)
 					time.Sleep(300 * time.Millisecond)
-					mustCancel(t, w, gone)
-					if n, _ := w.Holder(); n >= 0 && n != l {
+					mustCancel(t, sim, gone)
+					if n, _ := sim.LeaderAndToken(); n >= 0 && n != l {
 						t.Error("somebody leads before the job is cancelled")
 					}
 					// A slow state service makes the recovery take a while.
 					slow := func(d time.Duration) {
-						for i := range w.Set.Size {
-							w.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), d)
+						for i := range sim.Settings.Size {
+							sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), d)
 						}
 					}
 					if !recovered {
 						slow(200 * time.Millisecond)
 					}
-					n, token := awaitNewToken(t, w, old)
+					n, token := awaitNewToken(t, sim, old)
 					if recovered {
 						for range 1000 {
-							if hasRecovered(w, n) {
+							if hasRecovered(sim, n) {
 								break
 							}
 							time.Sleep(time.Millisecond)
@@ -278,35 +278,35 @@
 					} else {
 						time.Sleep(250 * time.Millisecond) // the answer to its taking is on its way
 					}
-					is := hasRecovered(w, n)
+					is := hasRecovered(sim, n)
 					taken := 0
-					for _, h := range w.Hand(reps...) {
-						if h.Node == n && h.Status == 200 && h.Baton >= token {
+					for _, h := range sim.DeliverReports(reps...) {
+						if h.Node == n && h.Status == 200 && h.Token >= token {
 							taken++
 						}
 					}
-					if is != recovered || !recovered && hasRecovered(w, n) {
-						t.Errorf("recovered before %v and after %v", is, hasRecovered(w, n))
+					if is != recovered || !recovered && hasRecovered(sim, n) {
+						t.Errorf("recovered before %v and after %v", is, hasRecovered(sim, n))
 					}
 					if taken == 0 {
 						t.Error("the new leader took none of the old reports")
 					}
 					slow(0)
-					w.Submit(b, 0)
+					sim.Submit(b, 0)
 					time.Sleep(2 * time.Second)
-					w.Hand(reps...)
+					sim.DeliverReports(reps...)
 					time.Sleep(5 * time.Second)
-					w.Up(l)
-					mustBeGone(t, w, gone, "some seconds after the new leader began")
-					w.Checked(func(c *simulator.Checker) {
-						if c.Again() != 0 {
-							t.Errorf("%d tasks were started again", c.Again())
+					sim.StartController(l)
+					mustBeGone(t, sim, gone, "some seconds after the new leader began")
+					sim.WithChecker(func(c *simulator.Checker) {
+						if c.Restarts() != 0 {
+							t.Errorf("%d tasks were started again", c.Restarts())
 						}
-						c.Calm(time.Now())
+						c.FaultsOver(time.Now())
 					})
 					at(170 * time.Second)
-					mustFinish(t, w, a, b)
-					mustRun(t, w, s, "at the end")
+					mustFinish(t, sim, a, b)
+					mustRun(t, sim, s, "at the end")
 				})
 			})
 		}
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -17,82 +17,82 @@
 // done stays so.
 func TestUserWritesExecutedLate(t *testing.T) {
 	t.Parallel()
-	late := func(w *simulator.World, node int) {
-		w.State.Trouble(1, simulator.TxnFault{Prefix: store.JobPrefix, Hosts: []string{simulator.NodeIP(node)}, Most: 1, Late: [2]time.Duration{10 * time.Second, 12 * time.Second}})
+	late := func(sim *simulator.Simulation, node int) {
+		sim.State.InjectTxnFaults(1, simulator.TxnFault{Prefix: store.JobPrefix, Hosts: []string{simulator.NodeIP(node)}, Most: 1, Late: [2]time.Duration{10 * time.Second, 12 * time.Second}})
 	}
 	for i, kind := range []string{"acceptance, after the job's end", "acceptance, after its cancellation", "acceptance, nobody asks again",
 		"cancellation, after the job's end", "cancellation, after another", "cancellation, nobody asks again"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(600+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(600+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				warm, a, small, s := array(1, 8, 10), array(2, 2, 2), array(4, 1, 1), service(3, 3)
 				if i == 2 || i == 4 || i == 5 {
-					a.RunS = 40
+					a.RunTime = 40
 				}
 				if i == 3 {
-					a.RunS = 5
+					a.RunTime = 5
 				}
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(warm, 0) // what it leaves has room for the next
+				sim.Submit(s, 0)
+				sim.Submit(warm, 0) // what it leaves has room for the next
 				at(27 * time.Second)
-				w.Know(a)
-				r := startReader(t, w, a.Spec.ID)
-				k := i % w.Set.Size
+				sim.RegisterJob(a)
+				r := startReader(t, sim, a.Spec.ID)
+				k := i % sim.Settings.Size
 				var other time.Time
 				switch i {
 				case 0:
-					late(w, k)
-					requestUntilAnswered(t, w, a, false, k)
+					late(sim, k)
+					requestUntilAnswered(t, sim, a, false, k)
 				case 1:
-					late(w, k)
-					requestUntilAnswered(t, w, a, false, k)
-					other, _, _ = requestUntilAnswered(t, w, a, true, k+1)
+					late(sim, k)
+					requestUntilAnswered(t, sim, a, false, k)
+					other, _, _ = requestUntilAnswered(t, sim, a, true, k+1)
 				case 2:
-					late(w, k)
-					if status := requestOnce(w, a, false, k); status == 200 || status == 201 {
+					late(sim, k)
+					if status := requestOnce(sim, a, false, k); status == 200 || status == 201 {
 						t.Errorf("answered %d", status)
 					}
 				case 3:
-					requestUntilAnswered(t, w, a, false, k)
-					late(w, k)
-					if status := requestOnce(w, a, true, k); status == 200 {
+					requestUntilAnswered(t, sim, a, false, k)
+					late(sim, k)
+					if status := requestOnce(sim, a, true, k); status == 200 {
 						t.Errorf("answered %d", status)
 					}
 				case 4:
-					requestUntilAnswered(t, w, a, false, k)
-					late(w, k)
-					other, _, _ = requestUntilAnswered(t, w, a, true, k)
+					requestUntilAnswered(t, sim, a, false, k)
+					late(sim, k)
+					other, _, _ = requestUntilAnswered(t, sim, a, true, k)
 				case 5:
-					requestUntilAnswered(t, w, a, false, k)
-					late(w, k)
-					requestOnce(w, a, true, k)
+					requestUntilAnswered(t, sim, a, false, k)
+					late(sim, k)
+					requestOnce(sim, a, true, k)
 				}
-				w.Know(small) // something newer of the same node
-				requestOnce(w, small, false, k)
+				sim.RegisterJob(small) // something newer of the same node
+				requestOnce(sim, small, false, k)
 				at(55 * time.Second)
-				endFaultsAndWait(w, 75*time.Second) // a cancelled one must be gone by then
+				endFaultsAndWait(sim, 75*time.Second) // a cancelled one must be gone by then
 				r.stopReading()
 				over := r.firstSeen(2)
-				hit := faultedTransactions(w, store.JobPrefix+string(a.Spec.ID), func(f *simulator.Fate) bool { return f.Late })
+				hit := faultedTransactions(sim, store.JobPrefix+string(a.Spec.ID), func(f *simulator.TxnOutcome) bool { return f.Late })
 				if len(hit) != 1 || hit[0].Done.IsZero() {
 					t.Fatalf("fates %+v", hit)
 				}
 				switch i {
 				case 0:
-					mustFinish(t, w, a)
-					mustBeExecutedLate(t, kind, faultedTransactions(w, store.JobPrefix, refusedByGuardOn("past/")), over)
+					mustFinish(t, sim, a)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), over)
 				case 1, 4:
-					mustBeExecutedLate(t, kind, faultedTransactions(w, store.JobPrefix, failedAfterNewer), over, other)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), over, other)
 				case 2:
-					mustFinish(t, w, a)
+					mustFinish(t, sim, a)
 					if hit[0].Status != http.StatusOK || !r.firstSeen(1).After(hit[0].Done) || hit[0].Done.Sub(hit[0].Sent) < 10*time.Second {
 						t.Errorf("%+v, first known at %v", hit[0], r.firstSeen(1))
 					}
 				case 3:
-					mustFinish(t, w, a)
-					mustBeExecutedLate(t, kind, faultedTransactions(w, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), over)
-					if when, _, said := requestUntilAnswered(t, w, a, true, k); when.IsZero() || said != wire.Done {
+					mustFinish(t, sim, a)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), over)
+					if when, _, said := requestUntilAnswered(t, sim, a, true, k); when.IsZero() || said != wire.Done {
 						t.Errorf("a job that was done is called %s", said)
 					}
 				case 5:
@@ -100,12 +100,12 @@
 						t.Errorf("%+v, first known to be over at %v", hit[0], over)
 					}
 				}
-				w.Checked(func(c *simulator.Checker) {
-					if n := c.On(a.Spec.ID); n != 0 {
+				sim.WithChecker(func(c *simulator.Checker) {
+					if n := c.OnMachines(a.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of a job that is over", n)
 					}
 				})
-				mustRun(t, w, s, "afterwards")
+				mustRun(t, sim, s, "afterwards")
 			})
 		})
 	}
@@ -134,13 +134,13 @@
 	} {
 		t.Run(c.what, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(620+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(620+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				warm, a, b, s := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(warm, 0)
+				sim.Submit(s, 0)
+				sim.Submit(warm, 0)
 				at(27 * time.Second)
-				l := w.Leader()
+				l := sim.Leader()
 				if l < 0 {
 					t.Fatal("nobody leads")
 				}
@@ -152,41 +152,41 @@
 				if c.lead {
 					faults = append(faults, simulator.TxnFault{Prefix: store.LeadKey, Hosts: []string{simulator.NodeIP(l)}, Most: 2, Late: c.late})
 				}
-				w.State.Trouble(uint64(i), faults...)
-				w.Know(a)
-				r := startReader(t, w, a.Spec.ID)
+				sim.State.InjectTxnFaults(uint64(i), faults...)
+				sim.RegisterJob(a)
+				r := startReader(t, sim, a.Spec.ID)
 				asked := make(chan bool)
 				go func() {
-					requestUntilAnswered(t, w, a, false, i)
+					requestUntilAnswered(t, sim, a, false, i)
 					close(asked)
 				}()
 				var killed, next time.Time
 				if c.ends {
-					for begin := time.Now(); len(w.State.Fates()) == 0 && time.Since(begin) < 30*time.Second; {
+					for begin := time.Now(); len(sim.State.TxnOutcomes()) == 0 && time.Since(begin) < 30*time.Second; {
 						time.Sleep(5 * time.Millisecond)
 					}
-					w.Kill(l)
+					sim.KillController(l)
 					killed = time.Now()
 					for time.Since(killed) < 6*time.Second {
 						time.Sleep(50 * time.Millisecond)
-						if n := w.Leader(); next.IsZero() && n >= 0 && n != l {
+						if n := sim.Leader(); next.IsZero() && n >= 0 && n != l {
 							next = time.Now()
 						}
 					}
-					w.Up(l)
+					sim.StartController(l)
 				}
 				<-asked
 				time.Sleep(10 * time.Second)
-				w.Submit(b, 0)
+				sim.Submit(b, 0)
 				time.Sleep(20 * time.Second)
-				endFaultsAndWait(w, 20*time.Second)
+				endFaultsAndWait(sim, 20*time.Second)
 				r.stopReading()
-				mustFinish(t, w, a, b)
-				mustRun(t, w, s, "afterwards")
+				mustFinish(t, sim, a, b)
+				mustRun(t, sim, s, "afterwards")
 				if r.firstSeen(2).IsZero() {
 					t.Errorf("nobody was told that the job is done")
 				}
-				hit := faultedTransactions(w, c.prefix, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() })
+				hit := faultedTransactions(sim, c.prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
 				switch {
 				case len(hit) == 0:
 					t.Fatal("nothing was late")
@@ -201,10 +201,10 @@
 						t.Errorf("ended at %v, next at %v: %+v", killed, next, f)
 					}
 				default:
-					mustBeExecutedLate(t, c.what, faultedTransactions(w, c.prefix, refusedByGuardOn(store.LeadKey)))
+					mustBeExecutedLate(t, c.what, faultedTransactions(sim, c.prefix, refusedByGuardOn(store.LeadKey)))
 				}
 				if c.lead {
-					mustBeExecutedLate(t, "the new token", faultedTransactions(w, store.LeadKey, refusedByGuardOn(store.LeadKey)))
+					mustBeExecutedLate(t, "the new token", faultedTransactions(sim, store.LeadKey, refusedByGuardOn(store.LeadKey)))
 				}
 			})
 		})
@@ -218,29 +218,29 @@
 	for i, most := range []int{1, 6} {
 		t.Run(fmt.Sprint(most), func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(640+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(640+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 3), array(2, 6, 15)
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(a, 0)
+				sim.Submit(s, 0)
+				sim.Submit(a, 0)
 				at(30 * time.Second)
 				for k := range 2 {
-					l := w.Leader()
+					l := sim.Leader()
 					if l < 0 {
 						t.Fatal("nobody leads")
 					}
-					w.State.Trouble(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeadKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
-					w.Kill(l)
+					sim.State.InjectTxnFaults(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeadKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
+					sim.KillController(l)
 					time.Sleep(20 * time.Second)
-					w.Up(l)
+					sim.StartController(l)
 					time.Sleep(10 * time.Second)
 				}
-				w.Submit(array(3, 4, 5), 0)
-				endFaultsAndWait(w, 45*time.Second)
-				mustFinish(t, w, a, array(3, 4, 5))
-				mustRun(t, w, s, "afterwards")
-				hit := faultedTransactions(w, store.LeadKey, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() })
-				dead := faultedTransactions(w, store.LeadKey, func(f *simulator.Fate) bool { return f.Status == http.StatusBadRequest })
+				sim.Submit(array(3, 4, 5), 0)
+				endFaultsAndWait(sim, 45*time.Second)
+				mustFinish(t, sim, a, array(3, 4, 5))
+				mustRun(t, sim, s, "afterwards")
+				hit := faultedTransactions(sim, store.LeadKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
+				dead := faultedTransactions(sim, store.LeadKey, func(f *simulator.TxnOutcome) bool { return f.Status == http.StatusBadRequest })
 				if len(hit) < 2*most || len(dead) == 0 || slices.ContainsFunc(hit, wasExecutedValue) {
 					t.Errorf("%d late, %d of them with a dead grant: %+v", len(hit), len(dead), hit)
 				}
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -14,35 +14,35 @@
 // ran where.
 func TestLeaderRestartsKeepServices(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 2, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 12, 40), service(2, 3)
 		at(2 * time.Second)
-		w.Submit(a, 0)
-		w.Submit(s, 0)
+		sim.Submit(a, 0)
+		sim.Submit(s, 0)
 		at(45 * time.Second)
 		for range 3 {
-			l := w.Leader()
+			l := sim.Leader()
 			if l < 0 {
 				t.Fatal("nobody leads")
 			}
-			w.Kill(l)
+			sim.KillController(l)
 			time.Sleep(6 * time.Second)
-			if w.Leader() < 0 {
+			if sim.Leader() < 0 {
 				t.Error("a dead leader was not replaced within 6 s")
 			}
-			w.Up(l)
+			sim.StartController(l)
 			time.Sleep(6 * time.Second)
 		}
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 {
-				t.Errorf("service has %d of 3 replicas", c.On(s.Spec.ID))
+		sim.WithChecker(func(c *simulator.Checker) {
+			if c.OnMachines(s.Spec.ID) != 3 {
+				t.Errorf("service has %d of 3 replicas", c.OnMachines(s.Spec.ID))
 			}
-			if c.Again() > 0 {
-				t.Errorf("%d tasks were started again by changes of leader", c.Again())
+			if c.Restarts() > 0 {
+				t.Errorf("%d tasks were started again by changes of leader", c.Restarts())
 			}
 		})
 		at(160 * time.Second)
-		mustFinish(t, w, a)
+		mustFinish(t, sim, a)
 	})
 }
 
@@ -50,24 +50,24 @@
 // election.
 func TestQuickRestarts(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 11, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 10, 30), service(2, 3)
 		at(2 * time.Second)
-		w.Submit(a, 0)
-		w.Submit(s, 0)
+		sim.Submit(a, 0)
+		sim.Submit(s, 0)
 		at(30 * time.Second)
 		for k := range 12 {
-			i := (w.Leader() + 3) % 3
+			i := (sim.Leader() + 3) % 3
 			if k%3 == 2 {
 				i = k % 3
 			}
-			w.Kill(i)
+			sim.KillController(i)
 			time.Sleep(time.Duration(50+k*60) * time.Millisecond)
-			w.Up(i)
+			sim.StartController(i)
 			time.Sleep(time.Duration(k%4) * time.Second)
 		}
 		at(160 * time.Second)
-		mustFinish(t, w, a)
+		mustFinish(t, sim, a)
 	})
 }
 
@@ -75,46 +75,46 @@
 // of the state service, with submissions and cancellations all the while.
 func TestTenLeaderChangesInTwoMinutes(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 64, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 64, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s := service(1, 4)
-		all := []simulator.Truth{s}
+		all := []simulator.JobScript{s}
 		at(2 * time.Second)
-		w.Submit(s, 0)
+		sim.Submit(s, 0)
 		at(35 * time.Second)
 		begin := time.Now()
 		inOutage := 0
 		for n := range 10 {
 			j, gone := array(10+n, 1+n%3, float64(10+5*n)), array(30+n, 2, 100)
 			all = append(all, j)
-			w.Submit(j, 0)
-			w.Submit(gone, 0)
+			sim.Submit(j, 0)
+			sim.Submit(gone, 0)
 			time.Sleep(700 * time.Millisecond)
-			l := w.Leader()
+			l := sim.Leader()
 			if n%2 == 0 {
-				w.Kill(l)
-				cancelAtController(t, w, (l+1)%3, gone)
-				awaitOtherLeader(t, w, l, 8*time.Second)
-				startControllers(t, w, l)
+				sim.KillController(l)
+				cancelAtController(t, sim, (l+1)%3, gone)
+				awaitOtherLeader(t, sim, l, 8*time.Second)
+				startControllers(t, sim, l)
 				time.Sleep(2 * time.Second)
 				continue
 			}
-			w.State.Outage(true)
+			sim.State.Outage(true)
 			time.Sleep(1500 * time.Millisecond)
-			if w.Leader() == l && w.State.Out() {
+			if sim.Leader() == l && sim.State.InOutage() {
 				inOutage++
 			}
-			w.Kill(l)
+			sim.KillController(l)
 			time.Sleep(2 * time.Second)
-			w.State.Outage(false)
-			cancelAtController(t, w, (l+1)%3, gone)
-			awaitOtherLeader(t, w, l, 8*time.Second)
-			startControllers(t, w, l)
+			sim.State.Outage(false)
+			cancelAtController(t, sim, (l+1)%3, gone)
+			awaitOtherLeader(t, sim, l, 8*time.Second)
+			startControllers(t, sim, l)
 			time.Sleep(time.Second)
 		}
 		if took := time.Since(begin); took > 2*time.Minute || inOutage != 5 {
 			t.Errorf("ten changes took %v, %d of them in an outage", took, inOutage)
 		}
-		mustRecover(t, w, 3, all...)
+		mustRecover(t, sim, 3, all...)
 	})
 }
 
@@ -127,48 +127,48 @@
 	type way struct {
 		name   string
 		afters [3]time.Duration // since an end
-		change func(t *testing.T, w *simulator.World, l int, end func())
+		change func(t *testing.T, sim *simulator.Simulation, l int, end func())
 	}
 	for k, c := range []way{
-		{"killed", [3]time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond}, func(t *testing.T, w *simulator.World, l int, end func()) {
-			w.Kill(l)
-			awaitOtherLeader(t, w, l, 10*time.Second)
+		{"killed", [3]time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond}, func(t *testing.T, sim *simulator.Simulation, l int, end func()) {
+			sim.KillController(l)
+			awaitOtherLeader(t, sim, l, 10*time.Second)
 			end()
-			startControllers(t, w, l)
+			startControllers(t, sim, l)
 		}},
-		{"back at once", [3]time.Duration{4 * time.Millisecond, 0, 3 * time.Second}, func(t *testing.T, w *simulator.World, l int, end func()) {
-			old := w.LeadStamp()
-			w.Kill(l)
+		{"back at once", [3]time.Duration{4 * time.Millisecond, 0, 3 * time.Second}, func(t *testing.T, sim *simulator.Simulation, l int, end func()) {
+			old := sim.LeaderKeyRevision()
+			sim.KillController(l)
 			time.Sleep(200 * time.Millisecond)
-			startControllers(t, w, l)
-			waitUntil(t, 10*time.Second, "a new term", func() bool { o := w.LeadStamp(); return o > old })
+			startControllers(t, sim, l)
+			waitUntil(t, 10*time.Second, "a new term", func() bool { o := sim.LeaderKeyRevision(); return o > old })
 			end()
 		}},
-		{"refused by the state service", [3]time.Duration{400 * time.Millisecond, 4 * time.Millisecond, 0}, func(t *testing.T, w *simulator.World, l int, end func()) {
-			w.State.Refuse(simulator.NodeIP(l), true)
-			awaitOtherLeader(t, w, l, 10*time.Second)
+		{"refused by the state service", [3]time.Duration{400 * time.Millisecond, 4 * time.Millisecond, 0}, func(t *testing.T, sim *simulator.Simulation, l int, end func()) {
+			sim.State.RefuseClient(simulator.NodeIP(l), true)
+			awaitOtherLeader(t, sim, l, 10*time.Second)
 			end()
 			time.Sleep(5 * time.Second)
-			w.State.Refuse(simulator.NodeIP(l), false)
+			sim.State.RefuseClient(simulator.NodeIP(l), false)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(3), 60+uint64(k), func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(3), 60+uint64(k), func(sim *simulator.Simulation, at func(time.Duration)) {
 				two, three := array(1, 2, 0), array(2, 3, 0)
-				two.EachS, three.EachS = []float64{14, 75}, []float64{16, 48, 80}
+				two.RunTimes, three.RunTimes = []float64{14, 75}, []float64{16, 48, 80}
 				at(2 * time.Second)
-				w.Submit(two, 0)
-				w.Submit(three, 0)
+				sim.Submit(two, 0)
+				sim.Submit(three, 0)
 				ended := func() (n int) {
-					w.Checked(func(c *simulator.Checker) { n = c.Completed(two.Spec.ID) + c.Completed(three.Spec.ID) })
+					sim.WithChecker(func(c *simulator.Checker) { n = c.Completed(two.Spec.ID) + c.Completed(three.Spec.ID) })
 					return n
 				}
 				// Three of the five ends are met by a change each.
 				for n := 1; n <= 3; n++ {
 					waitUntil(t, 80*time.Second, "an end", func() bool { return ended() >= n })
 					time.Sleep(c.afters[n-1])
-					c.change(t, w, w.Leader(), func() {
+					c.change(t, sim, sim.Leader(), func() {
 						if k := ended(); k != n && !(n == 1 && k == 2) {
 							t.Errorf("%d tasks had ended when the next one led, not %d", k, n)
 						}
@@ -178,8 +178,8 @@
 					}
 					time.Sleep(time.Second)
 				}
-				mustRecover(t, w, 3, two, three)
-				mustRestartNoTask(t, w)
+				mustRecover(t, sim, 3, two, three)
+				mustRestartNoTask(t, sim)
 			})
 		})
 	}
@@ -194,14 +194,14 @@
 	for i, kind := range []string{"slow", "lost", "late", "late, soon"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(660+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(660+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, near, a := service(1, 4), array(2, 4, 12), array(3, 14, 10)
 				near.Spec.SameZone = true
-				w.QuickBoots(true)
+				sim.SetQuickBoots(true)
 				at(3 * time.Second)
 				met := 0
-				for k, jobs := range [][]simulator.Truth{{s, a}, {near, array(4, 10, 9)}, {array(5, 16, 8)}} {
-					l := w.Leader()
+				for k, jobs := range [][]simulator.JobScript{{s, a}, {near, array(4, 10, 9)}, {array(5, 16, 8)}} {
+					l := sim.Leader()
 					if l < 0 {
 						t.Fatal("nobody leads")
 					}
@@ -209,46 +209,46 @@
 					fault := simulator.TxnFault{Prefix: store.RunPrefix, Hosts: []string{host}, Hang: true}
 					switch kind {
 					case "slow":
-						w.State.Slow(host, 400*time.Millisecond)
+						sim.State.DelayAnswers(host, 400*time.Millisecond)
 					case "lost":
-						w.State.Trouble(uint64(k), fault)
+						sim.State.InjectTxnFaults(uint64(k), fault)
 					case "late":
 						fault.Late = [2]time.Duration{2 * time.Second, 12 * time.Second}
-						w.State.Trouble(uint64(k), fault)
+						sim.State.InjectTxnFaults(uint64(k), fault)
 					case "late, soon":
 						fault.Late = [2]time.Duration{time.Second, 2 * time.Second}
-						w.State.Trouble(uint64(k), fault)
+						sim.State.InjectTxnFaults(uint64(k), fault)
 					}
-					before := len(w.State.Fates())
+					before := len(sim.State.TxnOutcomes())
 					for _, j := range jobs {
-						w.Submit(j, 0)
+						sim.Submit(j, 0)
 					}
 					// A machine was up within two seconds, is not listed yet, and a launch
 					// is on its way into the service or its answer on its way back.
 					for begin := time.Now(); time.Since(begin) < 15*time.Second; time.Sleep(5 * time.Millisecond) {
-						under := w.State.Unsaid(host, store.RunPrefix) > 0
-						for _, f := range w.State.Fates()[before:] {
+						under := sim.State.UnansweredWrites(host, store.RunPrefix) > 0
+						for _, f := range sim.State.TxnOutcomes()[before:] {
 							under = under || time.Since(f.Sent) < time.Second
 						}
-						if age, boot := w.Newest(); boot > 0 && boot < 2*time.Second && age < w.Set.Cloud.ListLagS.Duration() && under {
+						if age, boot := sim.NewestMachine(); boot > 0 && boot < 2*time.Second && age < sim.Settings.Cloud.ListLagS.Duration() && under {
 							met++
 							break
 						}
 					}
 					time.Sleep(time.Duration(k*120) * time.Millisecond)
-					w.Kill(l)
+					sim.KillController(l)
 					time.Sleep(7 * time.Second)
-					w.State.Trouble(0)
-					w.State.Slow(host, 0)
-					w.Up(l)
+					sim.State.InjectTxnFaults(0)
+					sim.State.DelayAnswers(host, 0)
+					sim.StartController(l)
 					time.Sleep(8 * time.Second)
 				}
 				if met == 0 {
 					t.Error("the leader never ended while a new machine was up and a launch under way")
 				}
-				endFaultsAndWait(w, 75*time.Second)
-				mustFinish(t, w, near, a, array(4, 10, 9), array(5, 16, 8))
-				mustRun(t, w, s, "afterwards")
+				endFaultsAndWait(sim, 75*time.Second)
+				mustFinish(t, sim, near, a, array(4, 10, 9), array(5, 16, 8))
+				mustRun(t, sim, s, "afterwards")
 			})
 		})
 	}
@@ -258,18 +258,18 @@
 // limits of the state service, across a change of leader.
 func TestLargestJobAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 17, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 17, func(sim *simulator.Simulation, at func(time.Duration)) {
 		big, small := array(1, wire.MaxTasks, 3), array(2, 4, 5)
 		big.Spec.CPUs, big.Spec.MemoryGB = 0.5, 1
 		at(2 * time.Second)
-		w.Submit(big, 0)
+		sim.Submit(big, 0)
 		at(40 * time.Second)
-		w.Kill(w.Leader())
+		sim.KillController(sim.Leader())
 		at(50 * time.Second)
-		w.Submit(small, 0)
+		sim.Submit(small, 0)
 		at(90 * time.Second)
-		mustFinish(t, w, small)
-		status, raw, _ := w.Ask(w.Leader(), "GET", "/v1/jobs/req-000001", nil)
+		mustFinish(t, sim, small)
+		status, raw, _ := sim.Ask(sim.Leader(), "GET", "/v1/jobs/req-000001", nil)
 		var s wire.JobState
 		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Running || s.Done < 500 {
 			t.Errorf("%d %+v", status, s)
@@ -281,9 +281,9 @@
 // was accepted and not cancelled is answered by every node, and done or running.
 func TestAllJobsFinishAfterManyFaults(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 67, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+	runOnBothLayouts(t, 67, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		rng := rand.New(rand.NewPCG(67, 4))
-		var all []simulator.Truth
+		var all []simulator.JobScript
 		n := 0
 		submit := func() {
 			for range 3 {
@@ -303,49 +303,49 @@
 				} else {
 					all = append(all, j)
 				}
-				w.Submit(j, cancel)
+				sim.Submit(j, cancel)
 			}
 		}
 		at(2 * time.Second)
 		s := service(900, 4)
-		w.Submit(s, 0)
+		sim.Submit(s, 0)
 		submit()
 		at(35 * time.Second)
 		// Handed over while the cloud is away.
-		w.CloudOutage(true)
+		sim.CloudOutage(true)
 		submit()
-		l := w.Leader()
-		w.CutNode(l, simulator.CutRefused, true)
-		awaitOtherLeader(t, w, l, 10*time.Second)
+		l := sim.Leader()
+		sim.IsolateController(l, simulator.CutRefused, true)
+		awaitOtherLeader(t, sim, l, 10*time.Second)
 		submit()
 		time.Sleep(10 * time.Second)
-		w.CutNode(l, simulator.CutRefused, false)
-		w.CloudOutage(false)
+		sim.IsolateController(l, simulator.CutRefused, false)
+		sim.CloudOutage(false)
 		// A zone is cut off, and all outside it end for longer than a lease.
 		time.Sleep(10 * time.Second)
 		submit()
-		w.CutZone("b", true)
+		sim.IsolateZone("b", true)
 		time.Sleep(2 * time.Second)
-		w.Kill(0)
-		w.Kill(2)
-		time.Sleep(w.Set.Workers.LeaseS.Duration() + 6*time.Second)
-		startControllers(t, w, 2)
+		sim.KillController(0)
+		sim.KillController(2)
+		time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 6*time.Second)
+		startControllers(t, sim, 2)
 		submit()
 		time.Sleep(4 * time.Second)
-		w.CutZone("b", false)
-		startControllers(t, w, 0)
+		sim.IsolateZone("b", false)
+		startControllers(t, sim, 0)
 		time.Sleep(10 * time.Second)
 		// All end in an outage, and come back one by one.
 		submit()
-		w.State.Outage(true)
+		sim.State.Outage(true)
 		time.Sleep(3 * time.Second)
-		killAll(w)
+		killAll(sim)
 		time.Sleep(time.Second)
-		startControllers(t, w, 1)
-		w.State.Outage(false)
+		startControllers(t, sim, 1)
+		sim.State.Outage(false)
 		submit()
 		time.Sleep(5 * time.Second)
-		startControllers(t, w, 0, 2)
-		mustRecover(t, w, 3, append(all, s)...)
+		startControllers(t, sim, 0, 2)
+		mustRecover(t, sim, 3, append(all, s)...)
 	})
 }
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -19,9 +19,9 @@
 	t.Parallel()
 	cases := []struct {
 		name   string
-		refuse func(w *simulator.World, leader int, on bool)
+		refuse func(sim *simulator.Simulation, leader int, on bool)
 		// after the outage began
-		then func(w *simulator.World, leader, confirmer int)
+		then func(sim *simulator.Simulation, leader, confirmer int)
 		out  time.Duration
 		// lives: the service that nobody cancelled lives through the outage.
 		lives bool
@@ -33,78 +33,78 @@
 		{"twice B", nil, nil, 120 * time.Second, false},
 		// No word of a node that has ended, nor of one that is back and has
 		// forgotten.
-		{"who confirmed it ends", nil, func(w *simulator.World, _, c int) { w.Kill(c) }, 57 * time.Second, false},
-		{"who confirmed it is back at once", nil, func(w *simulator.World, _, c int) {
-			w.Kill(c)
+		{"who confirmed it ends", nil, func(sim *simulator.Simulation, _, c int) { sim.KillController(c) }, 57 * time.Second, false},
+		{"who confirmed it is back at once", nil, func(sim *simulator.Simulation, _, c int) {
+			sim.KillController(c)
 			time.Sleep(200 * time.Millisecond)
-			w.Up(c)
+			sim.StartController(c)
 		}, 57 * time.Second, false},
-		{"who confirmed it is cut off", nil, func(w *simulator.World, _, c int) { w.Net.Island(simulator.NodeIP(c), true) }, 57 * time.Second, false},
-		{"the leader ends", nil, func(w *simulator.World, l, _ int) {
-			w.Kill(l)
+		{"who confirmed it is cut off", nil, func(sim *simulator.Simulation, _, c int) { sim.Net.Isolate(simulator.NodeIP(c), true) }, 57 * time.Second, false},
+		{"the leader ends", nil, func(sim *simulator.Simulation, l, _ int) {
+			sim.KillController(l)
 			time.Sleep(300 * time.Millisecond)
-			w.Up(l)
+			sim.StartController(l)
 		}, 57 * time.Second, false},
 		// The leader's packets to the state service are held, and come late.
-		{"its packets are held", func(w *simulator.World, l int, on bool) { w.Net.Hold(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
-		{"the answers are held", func(w *simulator.World, l int, on bool) { w.Net.Hold("10.2.0.1", simulator.NodeIP(l), on) }, nil, 57 * time.Second, true},
-		{"both", func(w *simulator.World, l int, on bool) { w.Net.Cut(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
+		{"its packets are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
+		{"the answers are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold("10.2.0.1", simulator.NodeIP(l), on) }, nil, 57 * time.Second, true},
+		{"both", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Cut(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
 	}
 	for k, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), uint64(200+k), func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), uint64(200+k), func(sim *simulator.Simulation, at func(time.Duration)) {
 				keep, gone, long := service(1, 3), service(2, 4), array(3, 6, 300)
-				for _, s := range []simulator.Truth{keep, gone, long} {
-					w.Submit(s, 0)
+				for _, s := range []simulator.JobScript{keep, gone, long} {
+					sim.Submit(s, 0)
 				}
 				// Other users, who can't be answered in the outage either. (Without
 				// them most of the few polls were those of the two cancelled jobs,
 				// whose end nodes remember, and the third seemed forgotten.)
 				for n := range 4 {
-					w.Submit(service(10+n, 1), 0)
+					sim.Submit(service(10+n, 1), 0)
 				}
 				at(45 * time.Second)
-				l := w.Leader()
-				if l < 0 || tasksOnMachines(w, gone.Spec.ID) != 4 || tasksOnMachines(w, long.Spec.ID) == 0 {
+				l := sim.Leader()
+				if l < 0 || tasksOnMachines(sim, gone.Spec.ID) != 4 || tasksOnMachines(sim, long.Spec.ID) == 0 {
 					t.Fatal("nothing runs yet")
 				}
 				refuse := c.refuse
 				if refuse == nil {
-					refuse = func(w *simulator.World, l int, on bool) { w.State.Refuse(simulator.NodeIP(l), on) }
+					refuse = func(sim *simulator.Simulation, l int, on bool) { sim.State.RefuseClient(simulator.NodeIP(l), on) }
 				}
-				refuse(w, l, true)
+				refuse(sim, l, true)
 				confirmer := (l + 1) % 5
 				for _, id := range []wire.JobID{gone.Spec.ID, long.Spec.ID} {
-					if !cancelOnceAt(w, confirmer, id) {
+					if !cancelOnceAt(sim, confirmer, id) {
 						t.Fatalf("%s was not cancelled while the leader was refused", id)
 					}
 				}
 				time.Sleep(200 * time.Millisecond)
-				w.State.Outage(true)
-				if w.Leader() != l {
+				sim.State.Outage(true)
+				if sim.Leader() != l {
 					t.Fatal("another leads already")
 				}
 				out := time.Now()
 				if c.then != nil {
-					c.then(w, l, confirmer)
+					c.then(sim, l, confirmer)
 				}
 				time.Sleep(14 * time.Second)
-				refuse(w, l, false)
+				refuse(sim, l, false)
 				time.Sleep(time.Until(out.Add(c.out - time.Second)))
-				if n := tasksOnMachines(w, keep.Spec.ID); c.lives && n != 3 {
+				if n := tasksOnMachines(sim, keep.Spec.ID); c.lives && n != 3 {
 					t.Errorf("%d of 3 replicas that nobody cancelled live through the outage", n)
 				}
-				if n := tasksOnMachines(w, gone.Spec.ID) + tasksOnMachines(w, long.Spec.ID); c.lives && n != 0 {
+				if n := tasksOnMachines(sim, gone.Spec.ID) + tasksOnMachines(sim, long.Spec.ID); c.lives && n != 0 {
 					t.Errorf("%d cancelled tasks are left, of which the leader could hear from the others", n)
 				}
 				time.Sleep(time.Second)
-				w.State.Outage(false)
-				w.Net.Island(simulator.NodeIP(confirmer), false)
-				w.Up(confirmer)
-				faultsAreOver(w)
+				sim.State.Outage(false)
+				sim.Net.Isolate(simulator.NodeIP(confirmer), false)
+				sim.StartController(confirmer)
+				faultsAreOver(sim)
 				time.Sleep(80 * time.Second)
-				if n := tasksOnMachines(w, keep.Spec.ID); n != 3 {
+				if n := tasksOnMachines(sim, keep.Spec.ID); n != 3 {
 					t.Errorf("%d of 3 replicas after the outage", n)
 				}
 			})
@@ -121,49 +121,49 @@
 		for _, cloud := range []bool{true, false} {
 			t.Run(fmt.Sprint(how, ", cloud there: ", cloud), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsOfSize(5), 230, func(w *simulator.World, at func(time.Duration)) {
+				runWithSettings(t, settingsOfSize(5), 230, func(sim *simulator.Simulation, at func(time.Duration)) {
 					keep, gone := service(1, 3), service(2, 4)
-					w.Submit(keep, 0)
-					w.Submit(gone, 0)
+					sim.Submit(keep, 0)
+					sim.Submit(gone, 0)
 					at(45 * time.Second)
-					l := w.Leader()
-					on := w.Holds(gone.Spec.ID)
+					l := sim.Leader()
+					on := sim.MachinesRunning(gone.Spec.ID)
 					if l < 0 || len(on) == 0 {
 						t.Fatal("nothing runs yet")
 					}
 					odd := func(b bool) {
 						for _, id := range on {
-							ip := w.IP(id)
+							ip := sim.MachineIP(id)
 							switch how {
 							case "deaf":
-								w.Net.Deafen(ip, b)
+								sim.Net.BlockInbound(ip, b)
 							case "no commands":
-								w.Net.Hold(simulator.NodeIP(l), ip, b)
+								sim.Net.Hold(simulator.NodeIP(l), ip, b)
 							case "answers held":
 								for i := range 5 {
-									w.Net.Hold(ip, simulator.NodeIP(i), b)
+									sim.Net.Hold(ip, simulator.NodeIP(i), b)
 								}
 							}
 						}
 					}
 					odd(true)
-					w.CloudOutage(!cloud)
-					w.State.Refuse(simulator.NodeIP(l), true)
-					if !cancelOnceAt(w, (l+1)%5, gone.Spec.ID) {
+					sim.CloudOutage(!cloud)
+					sim.State.RefuseClient(simulator.NodeIP(l), true)
+					if !cancelOnceAt(sim, (l+1)%5, gone.Spec.ID) {
 						t.Fatal("not cancelled")
 					}
-					w.State.Outage(true)
+					sim.State.Outage(true)
 					time.Sleep(14 * time.Second)
-					w.State.Refuse(simulator.NodeIP(l), false)
+					sim.State.RefuseClient(simulator.NodeIP(l), false)
 					time.Sleep(43 * time.Second)
-					w.State.Outage(false)
+					sim.State.Outage(false)
 					time.Sleep(20 * time.Second)
 					odd(false)
-					w.CloudOutage(false)
-					faultsAreOver(w)
+					sim.CloudOutage(false)
+					faultsAreOver(sim)
 					time.Sleep(90 * time.Second)
-					if tasksOnMachines(w, keep.Spec.ID) != 3 || tasksOnMachines(w, gone.Spec.ID) != 0 {
-						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(w, keep.Spec.ID), tasksOnMachines(w, gone.Spec.ID))
+					if tasksOnMachines(sim, keep.Spec.ID) != 3 || tasksOnMachines(sim, gone.Spec.ID) != 0 {
+						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(sim, keep.Spec.ID), tasksOnMachines(sim, gone.Spec.ID))
 					}
 				})
 			})
@@ -180,34 +180,34 @@
 	for i, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(670+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(670+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(900, 3), array(901, 4, 60)
 				first, second, third := service(1, 2), service(2, 2), service(3, 2)
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(a, 0)
-				for _, j := range []simulator.Truth{first, second, third} {
+				sim.Submit(s, 0)
+				sim.Submit(a, 0)
+				for _, j := range []simulator.JobScript{first, second, third} {
 					j.Spec.Team = "red"
-					w.Know(j)
-					go requestUntilAnswered(t, w, j, false, 0)
+					sim.RegisterJob(j)
+					go requestUntilAnswered(t, sim, j, false, 0)
 				}
 				at(35 * time.Second)
-				l := w.Leader()
+				l := sim.Leader()
 				if l < 0 {
 					t.Fatal("nobody leads")
 				}
-				w.State.Slow("", 600*time.Millisecond)
-				r := startReader(t, w, first.Spec.ID)
+				sim.State.DelayAnswers("", 600*time.Millisecond)
+				r := startReader(t, sim, first.Spec.ID)
 				at(40 * time.Second)
 				cancelled := []time.Time{}
-				cancel := func(j simulator.Truth) {
+				cancel := func(j simulator.JobScript) {
 					for n := l + 1; ; n++ {
-						if n%w.Set.Size == l {
+						if n%sim.Settings.Size == l {
 							continue
 						}
-						if requestOnce(w, j, true, n%w.Set.Size) == 200 {
+						if requestOnce(sim, j, true, n%sim.Settings.Size) == 200 {
 							cancelled = append(cancelled, time.Now())
-							w.Checked(func(c *simulator.Checker) { c.Told(j.Spec.ID, wire.Cancelled, time.Now()) })
+							sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.Cancelled, time.Now()) })
 							return
 						}
 						if time.Sleep(100 * time.Millisecond); n > l+20 {
@@ -222,41 +222,41 @@
 				}
 				var refused, outage time.Time
 				if kind != "cancelled while slow" {
-					w.State.Refuse(simulator.NodeIP(l), true)
+					sim.State.RefuseClient(simulator.NodeIP(l), true)
 					refused = time.Now()
 					cancel(second)
 				} else {
 					cancel(second)
-					w.State.Refuse(simulator.NodeIP(l), true)
+					sim.State.RefuseClient(simulator.NodeIP(l), true)
 					refused = time.Now()
 				}
 				if kind == "the next leader is new" {
-					for time.Since(refused) < 20*time.Second && (w.Leader() < 0 || w.Leader() == l) {
+					for time.Since(refused) < 20*time.Second && (sim.Leader() < 0 || sim.Leader() == l) {
 						time.Sleep(5 * time.Millisecond)
 					}
-					if n := w.Leader(); n < 0 || n == l {
+					if n := sim.Leader(); n < 0 || n == l {
 						t.Error("no other node leads")
 					}
-				} else if w.Leader() != l {
+				} else if sim.Leader() != l {
 					t.Error("another node leads before the outage")
 				}
-				w.State.Outage(true)
+				sim.State.Outage(true)
 				outage = time.Now()
 				time.Sleep(65 * time.Second)
-				w.State.Outage(false)
-				w.State.Refuse(simulator.NodeIP(l), false)
-				w.State.Slow("", 0)
+				sim.State.Outage(false)
+				sim.State.RefuseClient(simulator.NodeIP(l), false)
+				sim.State.DelayAnswers("", 0)
 				if len(cancelled) != 2 || r.firstSeen(2).IsZero() || r.firstSeen(2).After(outage) || cancelled[1].After(outage) || (kind != "cancelled while slow") != cancelled[1].After(refused) {
 					t.Errorf("cancelled at %v, read to be at %v, the leader refused at %v and everybody at %v", cancelled, r.firstSeen(2), refused, outage)
 				}
-				endFaultsAndWait(w, 15*time.Second)
+				endFaultsAndWait(sim, 15*time.Second)
 				b := array(5, 4, 10)
-				w.Submit(b, 0)
+				sim.Submit(b, 0)
 				cancel(third)
 				time.Sleep(60 * time.Second)
 				r.stopReading()
-				mustFinish(t, w, a, b)
-				mustRun(t, w, s, "afterwards")
+				mustFinish(t, sim, a, b)
+				mustRun(t, sim, s, "afterwards")
 			})
 		})
 	}
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -15,27 +15,27 @@
 // and the cloud's interface goes away.
 func TestCloudFaults(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 8, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 8, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 20, 20), service(2, 3)
 		at(time.Second)
-		w.LoseRents(2)
+		sim.LoseRentalAnswers(2)
 		at(2 * time.Second)
-		w.Submit(a, 0)
-		w.Submit(s, 0)
+		sim.Submit(a, 0)
+		sim.Submit(s, 0)
 		at(40 * time.Second)
-		w.LoseReleases(2)
-		if w.Take(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
+		sim.LoseReleaseAnswers(2)
+		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
 			t.Error("nothing to take")
 		}
 		at(60 * time.Second)
-		w.CloudOutage(true)
-		w.Take(1, func(_ bool, tasks int) bool { return tasks > 0 })
+		sim.CloudOutage(true)
+		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 		at(110 * time.Second)
-		w.CloudOutage(false)
+		sim.CloudOutage(false)
 		at(220 * time.Second)
-		mustFinish(t, w, a)
-		mustRun(t, w, s, "run")
-		if n := w.Machines(); n > 8 {
+		mustFinish(t, sim, a)
+		mustRun(t, sim, s, "run")
+		if n := sim.Machines(); n > 8 {
 			t.Errorf("%d machines are kept for three replicas", n)
 		}
 	})
@@ -45,29 +45,29 @@
 // condemns no machines.
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 9, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 9, func(sim *simulator.Simulation, at func(time.Duration)) {
 		good, bad := array(1, 16, 15), array(2, 4, 15)
-		bad.Fails = true
+		bad.AlwaysFails = true
 		at(2 * time.Second)
-		w.Submit(good, 0)
+		sim.Submit(good, 0)
 		at(25 * time.Second)
-		sick, _, ok := w.Some(func(n int) bool { return n > 0 })
+		sick, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 		if !ok {
 			t.Fatal("no machine at work")
 		}
-		w.Sick(sick)
+		sim.MakeFaulty(sick)
 		at(70 * time.Second)
-		mustFinish(t, w, good)
-		w.Submit(bad, 90*time.Second)
-		before := w.Rented()
+		mustFinish(t, sim, good)
+		sim.Submit(bad, 90*time.Second)
+		before := sim.RentedSoFar()
 		at(150 * time.Second)
-		if n := w.Rented() - before; n > 6 {
+		if n := sim.RentedSoFar() - before; n > 6 {
 			t.Errorf("a faulty job cost %d machines", n)
 		}
 		after := array(3, 4, 10)
-		w.Submit(after, 0)
+		sim.Submit(after, 0)
 		at(210 * time.Second)
-		mustFinish(t, w, after)
+		mustFinish(t, sim, after)
 	})
 }
 
@@ -76,27 +76,27 @@
 // elsewhere well before its lease or anybody's patience ends.
 func TestMachineRestartsAtOnce(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 32, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+	runOnBothLayouts(t, 32, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 60)
 		at(2 * time.Second)
-		w.Submit(s, 0)
-		w.Submit(a, 0)
+		sim.Submit(s, 0)
+		sim.Submit(a, 0)
 		at(45 * time.Second)
-		on := w.Holds(s.Spec.ID)
+		on := sim.MachinesRunning(s.Spec.ID)
 		for _, id := range on {
-			w.Copy(id, 3*time.Second, 9*time.Second, 20*time.Second)
-			w.Rebirth(id)
+			sim.ResendLastReport(id, 3*time.Second, 9*time.Second, 20*time.Second)
+			sim.RestartMachine(id)
 		}
 		at(50 * time.Second)
 		for _, id := range on {
-			if w.IP(id) != "" {
+			if sim.MachineIP(id) != "" {
 				t.Errorf("%s was not noticed within 5 s", id)
 			}
 		}
 		at(75 * time.Second)
-		mustRun(t, w, s, "after 30 s")
+		mustRun(t, sim, s, "after 30 s")
 		at(200 * time.Second)
-		mustFinish(t, w, a)
+		mustFinish(t, sim, a)
 	})
 }
 
@@ -109,37 +109,37 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsWithTeamLimits(), 480+seed, func(w *simulator.World, at func(time.Duration)) {
-				w.Boots(0.05)
+			runWithSettings(t, settingsWithTeamLimits(), 480+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+				sim.SetBootFactor(0.05)
 				same, sameS := array(1, 12, 30), service(2, 4)
 				same.Spec.SameZone, sameS.Spec.SameZone, sameS.Spec.Spread = true, true, false
 				same.Spec.Deadline = 40
-				w.Unlisted(true)
+				sim.SetUnlisted(true)
 				at(10 * time.Second)
-				w.Submit(same, 0)
-				w.Submit(sameS, 0)
-				for n := 0; len(w.Holds(same.Spec.ID)) == 0 || len(w.Holds(sameS.Spec.ID)) == 0; n++ {
+				sim.Submit(same, 0)
+				sim.Submit(sameS, 0)
+				for n := 0; len(sim.MachinesRunning(same.Spec.ID)) == 0 || len(sim.MachinesRunning(sameS.Spec.ID)) == 0; n++ {
 					if n > 60 {
-						t.Fatalf("tasks on %v and %v", w.Holds(same.Spec.ID), w.Holds(sameS.Spec.ID))
+						t.Fatalf("tasks on %v and %v", sim.MachinesRunning(same.Spec.ID), sim.MachinesRunning(sameS.Spec.ID))
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
 				time.Sleep(2 * time.Second)
-				l := w.Leader()
-				w.Kill(l)
-				w.Vanish(append(w.In("a"), w.In("b")...)...)
-				w.Unlisted(false)
+				l := sim.Leader()
+				sim.KillController(l)
+				sim.RemoveMachines(append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...)...)
+				sim.SetUnlisted(false)
 				time.Sleep(5 * time.Second)
-				if n := w.Leader(); n == l || n < 0 {
+				if n := sim.Leader(); n == l || n < 0 {
 					t.Fatalf("leader is %d, was %d", n, l)
 				}
-				mustHaveTaskInUnknownZone(t, w)
-				w.Up(l) //nolint:errcheck // it was killed above
-				faultsAreOver(w)
+				mustHaveTaskInUnknownZone(t, sim)
+				sim.StartController(l) //nolint:errcheck // it was killed above
+				faultsAreOver(sim)
 				time.Sleep(90 * time.Second)
-				mustFinish(t, w, same)
-				mustRun(t, w, sameS, "when all is over")
-				mustLeaveNoKeys(t, w, sameS)
+				mustFinish(t, sim, same)
+				mustRun(t, sim, sameS, "when all is over")
+				mustLeaveNoKeys(t, sim, sameS)
 			})
 		})
 	}
@@ -153,50 +153,50 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				gone, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
 				at(2 * time.Second)
-				w.Submit(gone, 0)
-				w.Submit(s, 0)
+				sim.Submit(gone, 0)
+				sim.Submit(s, 0)
 				at(30 * time.Second)
-				w.Submit(next, 0)
+				sim.Submit(next, 0)
 				at(45 * time.Second)
-				mustUseCPUs(t, w, "red", 24)
-				hit := w.Holds(gone.Spec.ID)
+				mustUseCPUs(t, sim, "red", 24)
+				hit := sim.MachinesRunning(gone.Spec.ID)
 				hit = hit[:1]
-				w.LoseReleases(1000)
+				sim.LoseReleaseAnswers(1000)
 				for _, id := range hit {
-					w.Unlink(id, true)
+					sim.PartitionMachine(id, true)
 				}
-				if !cancelWithin(t, w, gone.Spec.ID, 2*time.Second) {
+				if !cancelWithin(t, sim, gone.Spec.ID, 2*time.Second) {
 					t.Fatal("not cancelled")
 				}
 				time.Sleep(3 * time.Second)
 				lost := 0
-				w.Checked(func(c *simulator.Checker) {
-					if lost = c.On(gone.Spec.ID); lost == 0 {
+				sim.WithChecker(func(c *simulator.Checker) {
+					if lost = c.OnMachines(gone.Spec.ID); lost == 0 {
 						t.Error("nothing of the cancelled job runs where it can't be stopped")
 					}
 				})
-				for n := 0; slices.ContainsFunc(hit, func(id wire.MachineID) bool { return w.IP(id) != "" }); n++ {
+				for n := 0; slices.ContainsFunc(hit, func(id wire.MachineID) bool { return sim.MachineIP(id) != "" }); n++ {
 					if n > 100 {
 						t.Fatal("the machines were not released")
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
 				// They are gone, and the leader can't know: they count.
-				w.Checked(func(c *simulator.Checker) {
-					if n := c.On(next.Spec.ID); c.On(gone.Spec.ID) > 0 || n > 12-lost {
+				sim.WithChecker(func(c *simulator.Checker) {
+					if n := c.OnMachines(next.Spec.ID); c.OnMachines(gone.Spec.ID) > 0 || n > 12-lost {
 						t.Errorf("%d tasks of the next job run before the release of %d is answered", n, lost)
 					}
 				})
-				replaceLeader(t, w)
-				w.LoseReleases(0)
-				faultsAreOver(w)
+				replaceLeader(t, sim)
+				sim.LoseReleaseAnswers(0)
+				faultsAreOver(sim)
 				time.Sleep(90 * time.Second)
-				mustFinish(t, w, next)
-				mustRun(t, w, s, "when all is over")
-				mustLeaveNoKeys(t, w, s)
+				mustFinish(t, sim, next)
+				mustRun(t, sim, s, "when all is over")
+				mustLeaveNoKeys(t, sim, s)
 			})
 		})
 	}
@@ -210,38 +210,38 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, 510+seed, func(w *simulator.World, at func(time.Duration)) {
+			runScenario(t, 510+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				j, s := array(1, 12, 300), service(2, 4)
 				at(2 * time.Second)
-				w.Submit(j, 90*time.Second)
-				w.Submit(s, 0)
+				sim.Submit(j, 90*time.Second)
+				sim.Submit(s, 0)
 				at(45 * time.Second)
-				mustRun(t, w, s, "before the fault")
-				all := append(w.In("a"), w.In("b")...)
-				keep := w.Holds(s.Spec.ID)
+				mustRun(t, sim, s, "before the fault")
+				all := append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...)
+				keep := sim.MachinesRunning(s.Spec.ID)
 				lost := slices.DeleteFunc(all, func(id wire.MachineID) bool { return slices.Contains(keep, id) })
 				if len(lost) < 3 || len(lost) <= len(keep) {
 					t.Fatalf("%v hold replicas, %v don't", keep, lost)
 				}
-				l := w.Leader()
-				w.Kill(l)
-				w.Vanish(lost...)
-				awaitSuccessor(t, w, l)
-				w.SellOut("a", true)
-				w.SellOut("b", true)
-				faultsAreOver(w)
+				l := sim.Leader()
+				sim.KillController(l)
+				sim.RemoveMachines(lost...)
+				awaitSuccessor(t, sim, l)
+				sim.SetSoldOut("a", true)
+				sim.SetSoldOut("b", true)
+				faultsAreOver(sim)
 				time.Sleep(60 * time.Second)
-				_, raw, _ := w.Operate(w.Leader(), "GET", "/admin/view", nil)
+				_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
 				var v admin.View
 				if wire.Decode(raw, &v) != nil || v.Term == nil {
 					t.Fatal("no view")
 				}
 				for _, m := range v.Term.Machines {
-					if w.IP(m.Name) == "" {
+					if sim.MachineIP(m.Name) == "" {
 						t.Errorf("%s is gone and still kept, silent for %.0f s", m.Name, m.SilentS)
 					}
 				}
-				mustRun(t, w, s, "when all is over")
+				mustRun(t, sim, s, "when all is over")
 			})
 		})
 	}
@@ -255,29 +255,29 @@
 	for _, site := range []wire.Zone{"", "a"} {
 		t.Run("bound to "+string(site), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, 520, func(w *simulator.World, at func(time.Duration)) {
+			runScenario(t, 520, func(sim *simulator.Simulation, at func(time.Duration)) {
 				j := array(1, 12, 20)
 				j.Spec.Zone = site
 				at(2 * time.Second)
-				w.Submit(j, 0)
+				sim.Submit(j, 0)
 				done := 0
 				for done == 0 {
 					time.Sleep(100 * time.Millisecond)
-					w.Checked(func(c *simulator.Checker) { done = j.Spec.Tasks - c.On(j.Spec.ID) - c.Waiting(j.Spec.ID) })
+					sim.WithChecker(func(c *simulator.Checker) { done = j.Spec.Tasks - c.OnMachines(j.Spec.ID) - c.Waiting(j.Spec.ID) })
 				}
-				w.NoSpot(true)
-				if w.Take(100, func(spot bool, _ int) bool { return spot }) == 0 {
+				sim.SetSpotSoldOut(true)
+				if sim.ReclaimMachines(100, func(spot bool, _ int) bool { return spot }) == 0 {
 					t.Error("no spot machine to take")
 				}
-				replaceLeader(t, w)
-				faultsAreOver(w)
+				replaceLeader(t, sim)
+				faultsAreOver(sim)
 				if done == j.Spec.Tasks {
 					t.Error("the array was done already")
 				}
-				for n := 0; n < 400 && w.State.Keys("job/") != nil; n++ {
+				for n := 0; n < 400 && sim.State.Keys("job/") != nil; n++ {
 					time.Sleep(time.Second)
 				}
-				mustFinish(t, w, j)
+				mustFinish(t, sim, j)
 			})
 		})
 	}
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -15,27 +15,27 @@
 
 func TestJobsRunWithoutFailures(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 1, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 1, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b, s := array(1, 10, 15), array(2, 6, 20), service(3, 3)
 		gone := service(4, 2)
 		at(2 * time.Second)
-		w.Submit(a, 0)
-		w.Submit(s, 0)
-		w.Submit(gone, 60*time.Second)
+		sim.Submit(a, 0)
+		sim.Submit(s, 0)
+		sim.Submit(gone, 60*time.Second)
 		at(30 * time.Second)
-		w.Submit(b, 0)
+		sim.Submit(b, 0)
 		at(150 * time.Second)
-		mustFinish(t, w, a, b)
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(s.Spec.ID) != 3 || c.On(gone.Spec.ID) != 0 {
-				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.On(s.Spec.ID), c.On(gone.Spec.ID))
+		mustFinish(t, sim, a, b)
+		sim.WithChecker(func(c *simulator.Checker) {
+			if c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(gone.Spec.ID) != 0 {
+				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.OnMachines(s.Spec.ID), c.OnMachines(gone.Spec.ID))
 			}
 		})
-		if keys := w.State.Keys("run/req-000001/"); len(keys) != 0 {
+		if keys := sim.State.Keys("run/req-000001/"); len(keys) != 0 {
 			t.Errorf("progress of a finished job is left: %v", keys)
 		}
 		// A repeat of a finished job's submission is answered with its state.
-		status, raw, _ := w.Ask(1, "POST", "/v1/jobs", simulator.Submission(a.Spec))
+		status, raw, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(a.Spec))
 		var brief wire.JobSummary
 		if status != 200 || wire.Decode(raw, &brief) != nil || brief.Status != wire.Done {
 			t.Errorf("repeat answered %d %+v", status, brief)
@@ -47,10 +47,10 @@
 // nodes without a restart, and kept when all nodes end.
 func TestOperatorSettings(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 15, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 15, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
 		ask := func(i int, method string, body any, out any) int {
-			status, raw, _ := w.Operate(i, method, "/admin/settings", body)
+			status, raw, _ := sim.AskAsOperator(i, method, "/admin/settings", body)
 			if out != nil && wire.Decode(raw, out) != nil {
 				t.Errorf("unreadable answer to %s (%d)", method, status)
 			}
@@ -78,27 +78,27 @@
 		if status := ask(2, "PUT", set(0, "round.period_s", 3), nil); status != 409 {
 			t.Errorf("set with an old version: %d", status)
 		}
-		killAll(w)
-		startAll(t, w)
+		killAll(sim)
+		startAll(t, sim)
 		time.Sleep(8 * time.Second)
 		for i := range 3 {
 			if ask(i, "GET", nil, &l); l.Settings[3].Name != "round.period_s" || fmt.Sprint(l.Settings[3].Value) != "2" {
 				t.Errorf("node %d has %+v", i, l.Settings[3])
 			}
 		}
-		w.State.Outage(true)
+		sim.State.Outage(true)
 		if status := ask(0, "PUT", set(uint64(l.Version), "round.period_s", 4), nil); status != 503 {
 			t.Errorf("set in an outage: %d", status)
 		}
-		w.State.Outage(false)
-		w.Submit(array(1, 1, 100), 0)
+		sim.State.Outage(false)
+		sim.Submit(array(1, 1, 100), 0)
 		at(80 * time.Second)
-		status, raw, _ := w.Operate(w.Leader(), "GET", "/metrics", nil)
+		status, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/metrics", nil)
 		if status != 200 || !bytes.Contains(raw, []byte("lilaclead_terms_total 1")) || !bytes.Contains(raw, []byte(`lilaclead_machines{state="up"}`)) {
 			t.Errorf("metrics: %d\n%s", status, raw)
 		}
 		var v admin.View
-		status, raw, _ = w.Operate(w.Leader(), "GET", "/admin/view", nil)
+		status, raw, _ = sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
 		if status != 200 || wire.Decode(raw, &v) != nil || !v.Leads || v.Term == nil || len(v.Term.Machines) == 0 {
 			t.Errorf("view: %d %+v", status, v)
 		}
@@ -109,20 +109,20 @@
 // priority must begin within four minutes all the same.
 func TestLargestJobStartsUnderOverload(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(3), 35, func(w *simulator.World, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(3), 35, func(sim *simulator.Simulation, at func(time.Duration)) {
 		big, low := array(1, 90, 30), array(2, 4, 20)
 		big.Spec.CPUs, big.Spec.MemoryGB, big.Spec.Class = 4, 16, "big"
 		low.Spec.Priority, low.Spec.Class = wire.PriorityBestEffort, "low"
 		at(2 * time.Second)
 		for n := range 10 {
-			w.Submit(array(100+n, 8, 20), 0)
+			sim.Submit(array(100+n, 8, 20), 0)
 		}
 		at(5 * time.Second)
-		w.Submit(big, 0)
-		w.Submit(low, 0)
+		sim.Submit(big, 0)
+		sim.Submit(low, 0)
 		for n := range 60 {
 			at(time.Duration(6+5*n) * time.Second)
-			w.Submit(array(200+n, 10, 30), 0)
+			sim.Submit(array(200+n, 10, 30), 0)
 		}
 		at(310 * time.Second)
 	})
@@ -137,36 +137,36 @@
 	for name, set := range map[string]config.Settings{"usual": simulator.DefaultSettings(), "small": simulator.GasSettings()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, set, 430, func(w *simulator.World, at func(time.Duration)) {
-				w.State.Limit(set.State.RPS, set.State.WriteRPS)
-				l := w.Looks()
-				l.For, l.Polls = 0, 3*time.Second
+			runWithSettings(t, set, 430, func(sim *simulator.Simulation, at func(time.Duration)) {
+				sim.State.SetRateLimits(set.State.RPS, set.State.WriteRPS)
+				l := sim.NewBurstReaders()
+				l.BurstLength, l.PollInterval = 0, 3*time.Second
 				at(2 * time.Second)
-				var all []simulator.Truth
+				var all []simulator.JobScript
 				before := 0
 				for n := range 600 {
 					j := array(1+n, 1, 2)
 					all = append(all, j)
-					c, after := simulator.Never, time.Duration(0)
+					c, after := simulator.NeverCancel, time.Duration(0)
 					if n%4 == 0 {
-						c, after = []simulator.Cancel{simulator.AtOnce, simulator.AtEnd}[n/4%2], time.Duration(n%16)*150*time.Millisecond
+						c, after = []simulator.CancelTime{simulator.CancelAtOnce, simulator.CancelAtEnd}[n/4%2], time.Duration(n%16)*150*time.Millisecond
 					}
 					l.Submit(j, c, after)
 					time.Sleep(250 * time.Millisecond)
 					if n == 449 {
-						before, _ = w.State.Over()
+						before, _ = sim.State.RateRefusals()
 					}
 				}
-				faultsAreOver(w)
+				faultsAreOver(sim)
 				time.Sleep(40 * time.Second)
-				done, cancelled := w.Ended(all)
+				done, cancelled := sim.CountEnded(all)
 				if done+cancelled != len(all) || cancelled < 75 {
 					t.Errorf("%d done, %d cancelled of %d", done, cancelled, len(all))
 				}
-				longest := func(jobs []simulator.Truth) (longest time.Duration) {
-					w.Checked(func(c *simulator.Checker) {
+				longest := func(jobs []simulator.JobScript) (longest time.Duration) {
+					sim.WithChecker(func(c *simulator.Checker) {
 						for _, j := range jobs {
-							if d, ok := c.Waited(j.Spec.ID); ok {
+							if d, ok := c.TimeToStart(j.Spec.ID); ok {
 								longest = max(longest, d)
 							}
 						}
@@ -179,7 +179,7 @@
 				if d := longest(all[450:]); d > time.Second {
 					t.Errorf("with machines up and nothing gathered a job waited for %v", d)
 				}
-				switch over, most := w.State.Over(); {
+				switch over, most := sim.State.RateRefusals(); {
 				case over != before:
 					t.Errorf("the state service refuses %d requests with nothing gathered", over-before)
 				case over > 300:
@@ -187,8 +187,8 @@
 				case most > int(set.State.RPS)*5/4:
 					t.Errorf("%d requests in a second to a state service for %v", most, set.State.RPS)
 				}
-				mustLeaveNoKeys(t, w)
-				if n := len(w.State.Keys("past/")); n != len(all) {
+				mustLeaveNoKeys(t, sim)
+				if n := len(sim.State.Keys("past/")); n != len(all) {
 					t.Errorf("%d final records of %d", n, len(all))
 				}
 			})
@@ -201,24 +201,24 @@
 // hundred of them waited two minutes, until the first was taken for starving.)
 func TestSmallJobsShareRentalCost(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, simulator.DefaultSettings(), 470, func(w *simulator.World, at func(time.Duration)) {
-		l := w.Looks()
-		l.For, l.Polls = 0, 3*time.Second
+	runWithSettings(t, simulator.DefaultSettings(), 470, func(sim *simulator.Simulation, at func(time.Duration)) {
+		l := sim.NewBurstReaders()
+		l.BurstLength, l.PollInterval = 0, 3*time.Second
 		at(2 * time.Second)
-		var all []simulator.Truth
+		var all []simulator.JobScript
 		for n := range 160 {
 			j := array(1+n, 1, 2)
 			j.Spec.CPUs = 1
 			all = append(all, j)
-			l.Submit(j, simulator.Never, 0)
+			l.Submit(j, simulator.NeverCancel, 0)
 			time.Sleep(250 * time.Millisecond)
 		}
 		at(90 * time.Second)
-		mustFinish(t, w, all...)
+		mustFinish(t, sim, all...)
 		longest := time.Duration(0)
-		w.Checked(func(c *simulator.Checker) {
+		sim.WithChecker(func(c *simulator.Checker) {
 			for _, j := range all {
-				if d, ok := c.Waited(j.Spec.ID); ok {
+				if d, ok := c.TimeToStart(j.Spec.ID); ok {
 					longest = max(longest, d)
 				}
 			}
@@ -233,21 +233,21 @@
 // cancelled within the limits of the state service.
 func TestHundredThousandTasks(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 36, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 36, func(sim *simulator.Simulation, at func(time.Duration)) {
 		j, s := array(1, wire.MaxTasks, 20), service(2, 3)
 		j.Spec.ExpectedRunTime = 2
 		at(2 * time.Second)
-		w.Submit(j, 100*time.Second)
-		w.Submit(s, 0)
+		sim.Submit(j, 100*time.Second)
+		sim.Submit(s, 0)
 		at(60 * time.Second)
-		status, raw, _ := w.Ask(1, "GET", "/v1/jobs/req-000001", nil)
+		status, raw, _ := sim.Ask(1, "GET", "/v1/jobs/req-000001", nil)
 		var st wire.JobState
 		if status != 200 || wire.Decode(raw, &st) != nil || st.Running == 0 {
 			t.Errorf("poll answered %d %+v", status, st)
 		}
 		at(150 * time.Second)
-		w.Checked(func(c *simulator.Checker) {
-			if n, r := c.On(j.Spec.ID), c.On(s.Spec.ID); n != 0 || r != 3 {
+		sim.WithChecker(func(c *simulator.Checker) {
+			if n, r := c.OnMachines(j.Spec.ID), c.OnMachines(s.Spec.ID); n != 0 || r != 3 {
 				t.Errorf("%d tasks of the cancelled array, %d of 3 replicas", n, r)
 			}
 		})
@@ -259,21 +259,21 @@
 // over the limit was refused again and again, and nothing else was written.)
 func TestSmallValueLimit(t *testing.T) {
 	t.Parallel()
-	runOnUnevenLayout(t, 52, func(w *simulator.World, at func(time.Duration)) {
+	runOnUnevenLayout(t, 52, func(sim *simulator.Simulation, at func(time.Duration)) {
 		wide, other := array(1, 300, 60), array(2, 3, 10)
 		wide.Spec.CPUs, wide.Spec.MemoryGB = 0.1, 0.1
 		at(2 * time.Second)
-		w.Submit(wide, 0)
+		sim.Submit(wide, 0)
 		at(45 * time.Second)
-		w.Checked(func(c *simulator.Checker) {
-			if n := c.On(wide.Spec.ID); n != 300 {
+		sim.WithChecker(func(c *simulator.Checker) {
+			if n := c.OnMachines(wide.Spec.ID); n != 300 {
 				t.Errorf("%d of 300 tasks run", n)
 			}
 		})
-		w.Submit(other, 0)
-		w.Kill(w.Leader())
+		sim.Submit(other, 0)
+		sim.KillController(sim.Leader())
 		at(140 * time.Second)
-		mustFinish(t, w, wide, other)
+		mustFinish(t, sim, wide, other)
 	})
 }
 
@@ -286,16 +286,16 @@
 	set.State = config.State{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
 	set.Workers = config.Workers{ReportS: 4, LeaseS: 8, CancelS: 12}
 	set.Limits = config.Limits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
-	runWithControllersIn(t, set, unevenZones, 53, func(w *simulator.World, at func(time.Duration)) {
+	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b, gone := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
 		at(3 * time.Second)
-		w.Submit(a, 0)
-		w.Submit(gone, 45*time.Second)
+		sim.Submit(a, 0)
+		sim.Submit(gone, 45*time.Second)
 		at(30 * time.Second)
-		w.Submit(b, 0)
+		sim.Submit(b, 0)
 		at(60 * time.Second)
-		w.Kill(w.Leader())
+		sim.KillController(sim.Leader())
 		at(240 * time.Second)
-		mustFinish(t, w, a, b)
+		mustFinish(t, sim, a, b)
 	})
 }
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -17,12 +17,12 @@
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 700+seed, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnBothLayouts(t, 700+seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				rng := rand.New(rand.NewPCG(seed, 5))
 				seconds := randomDelay(rng)
-				s, all := service(900, 4), []simulator.Truth{}
+				s, all := service(900, 4), []simulator.JobScript{}
 				n := 0
-				submit := func() simulator.Truth {
+				submit := func() simulator.JobScript {
 					n++
 					j := array(n, 1+rng.IntN(8), float64(5+rng.IntN(40)))
 					if rng.IntN(4) == 0 {
@@ -32,74 +32,74 @@
 					if cancel == 0 {
 						all = append(all, j)
 					}
-					w.Submit(j, cancel)
+					sim.Submit(j, cancel)
 					return j
 				}
 				some := func() (id wire.MachineID, ip string) {
-					id, ip, _ = w.Some(func(n int) bool { return n > 0 })
+					id, ip, _ = sim.FirstMachine(func(n int) bool { return n > 0 })
 					return id, ip
 				}
 				// Each begins a trouble and returns what ends it.
 				troubles := []func() func(){
 					func() func() { // a node ends, and is back at once or later
 						i := rng.IntN(3)
-						if l := w.Leader(); l >= 0 && rng.IntN(2) == 0 {
+						if l := sim.Leader(); l >= 0 && rng.IntN(2) == 0 {
 							i = l
 						}
-						w.Kill(i)
-						return func() { startControllers(t, w, i) }
+						sim.KillController(i)
+						return func() { startControllers(t, sim, i) }
 					},
 					func() func() { // all end
-						killAll(w)
-						return func() { startControllers(t, w, 0, 1, 2) }
+						killAll(sim)
+						return func() { startControllers(t, sim, 0, 1, 2) }
 					},
 					func() func() { // the leader is back at once
-						l := (w.Leader() + 3) % 3
-						w.Kill(l)
+						l := (sim.Leader() + 3) % 3
+						sim.KillController(l)
 						time.Sleep(time.Duration(50+rng.IntN(900)) * time.Millisecond)
-						startControllers(t, w, l)
+						startControllers(t, sim, l)
 						return func() {}
 					},
 					func() func() { // the state service refuses one node
-						i := (w.Leader() + 3 + rng.IntN(2)) % 3
-						w.State.Refuse(simulator.NodeIP(i), true)
-						return func() { w.State.Refuse(simulator.NodeIP(i), false) }
+						i := (sim.Leader() + 3 + rng.IntN(2)) % 3
+						sim.State.RefuseClient(simulator.NodeIP(i), true)
+						return func() { sim.State.RefuseClient(simulator.NodeIP(i), false) }
 					},
 					func() func() { // the leader is cut from state service and peers
-						l, mode := (w.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
-						w.CutNode(l, mode, true)
-						return func() { w.CutNode(l, mode, false) }
+						l, mode := (sim.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
+						sim.IsolateController(l, mode, true)
+						return func() { sim.IsolateController(l, mode, false) }
 					},
-					func() func() { w.State.Outage(true); return func() { w.State.Outage(false) } },
+					func() func() { sim.State.Outage(true); return func() { sim.State.Outage(false) } },
 					func() func() {
 						z := []wire.Zone{"a", "b"}[rng.IntN(2)]
-						w.CutZone(z, true)
-						return func() { w.CutZone(z, false) }
+						sim.IsolateZone(z, true)
+						return func() { sim.IsolateZone(z, false) }
 					},
 					func() func() { // a machine is deaf
 						_, ip := some()
-						w.Net.Deafen(ip, true)
-						return func() { w.Net.Deafen(ip, false) }
+						sim.Net.BlockInbound(ip, true)
+						return func() { sim.Net.BlockInbound(ip, false) }
 					},
-					func() func() { w.Take(2, func(_ bool, n int) bool { return n > 0 }); return func() {} },
-					func() func() { w.CloudOutage(true); return func() { w.CloudOutage(false) } },
-					func() func() { w.State.LoseAnswers(1 + rng.IntN(4)); return func() {} },
+					func() func() { sim.ReclaimMachines(2, func(_ bool, n int) bool { return n > 0 }); return func() {} },
+					func() func() { sim.CloudOutage(true); return func() { sim.CloudOutage(false) } },
+					func() func() { sim.State.LoseAnswers(1 + rng.IntN(4)); return func() {} },
 					func() func() { // late copies
 						id, _ := some()
-						w.Copy(id, seconds(10), seconds(20), seconds(40))
+						sim.ResendLastReport(id, seconds(10), seconds(20), seconds(40))
 						return func() {}
 					},
 					func() func() { // a burst, half of it cancelled
 						for range 4 {
 							n++
 							j := array(n, 2, 100)
-							w.Submit(j, time.Second+seconds(15))
+							sim.Submit(j, time.Second+seconds(15))
 						}
 						return func() {}
 					},
 				}
 				at(2 * time.Second)
-				w.Submit(s, 0)
+				sim.Submit(s, 0)
 				for range 3 {
 					for range 4 {
 						submit()
@@ -121,7 +121,7 @@
 					time.Sleep(seconds(1 + 14*rng.IntN(2)))
 					second()
 				}
-				mustRecover(t, w, 3, append(all, s)...)
+				mustRecover(t, sim, 3, append(all, s)...)
 			})
 		})
 	}
@@ -135,15 +135,15 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
-			runWithSettings(t, settingsWithTeamLimits(), 500+seed, func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, settingsWithTeamLimits(), 500+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				seconds := randomDelay(rng)
 				zone := func() wire.Zone { return []wire.Zone{"a", "b"}[rng.IntN(2)] }
 				s, sameS := service(1, 4), service(2, 3)
 				sameS.Spec.SameZone, sameS.Spec.Spread = true, false
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(sameS, 0)
-				var all []simulator.Truth
+				sim.Submit(s, 0)
+				sim.Submit(sameS, 0)
+				var all []simulator.JobScript
 				jobs := func(n int) {
 					for range n {
 						j := array(10+len(all), 1+rng.IntN(8), float64(4+rng.IntN(12)))
@@ -157,13 +157,13 @@
 						case 2:
 							j.Spec.Zone = zone()
 						}
-						w.Submit(j, randomCancelDelay(rng))
+						sim.Submit(j, randomCancelDelay(rng))
 						all = append(all, j)
 					}
 				}
 				some := func() (out []wire.MachineID) {
 					bits := rng.Uint64()
-					for i, id := range append(w.In("a"), w.In("b")...) {
+					for i, id := range append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...) {
 						if bits>>(i%64)&1 == 1 {
 							out = append(out, id)
 						}
@@ -177,7 +177,7 @@
 					jobs(2)
 					time.Sleep(seconds(6))
 					var over []func()
-					leaders := w.Leader()
+					leaders := sim.Leader()
 					for n := range 2 + rng.IntN(2) {
 						ids, z := some(), zone()
 						kind := rng.IntN(9)
@@ -186,42 +186,42 @@
 						}
 						switch kind {
 						case 0:
-							w.CutZone(z, true)
-							over = append(over, func() { w.CutZone(z, false) })
+							sim.IsolateZone(z, true)
+							over = append(over, func() { sim.IsolateZone(z, false) })
 						case 1:
 							for _, id := range ids {
-								w.Stall(id, true)
+								sim.StallMachine(id, true)
 							}
 							over = append(over, func() {
 								for _, id := range ids {
-									w.Stall(id, false)
+									sim.StallMachine(id, false)
 								}
 							})
 						case 2:
-							w.CloudOutage(true)
-							over = append(over, func() { w.CloudOutage(false) })
+							sim.CloudOutage(true)
+							over = append(over, func() { sim.CloudOutage(false) })
 						case 3:
-							w.State.Outage(true)
-							over = append(over, func() { w.State.Outage(false) })
+							sim.State.Outage(true)
+							over = append(over, func() { sim.State.Outage(false) })
 						case 4:
-							w.Slow(seconds(2) * 6 / 10)
-							over = append(over, func() { w.Slow(0) })
+							sim.SlowMachineLinks(seconds(2) * 6 / 10)
+							over = append(over, func() { sim.SlowMachineLinks(0) })
 						case 5:
 							for _, id := range ids {
-								w.Net.Deafen(w.IP(id), true)
+								sim.Net.BlockInbound(sim.MachineIP(id), true)
 							}
 							over = append(over, func() {
 								for _, id := range ids {
-									w.Net.Deafen(w.IP(id), false)
+									sim.Net.BlockInbound(sim.MachineIP(id), false)
 								}
 							})
 						case 6:
-							w.Vanish(ids...)
+							sim.RemoveMachines(ids...)
 						case 7:
-							w.State.LoseAnswers(1 + rng.IntN(4))
+							sim.State.LoseAnswers(1 + rng.IntN(4))
 						case 8:
-							w.LoseReleases(3)
-							w.LoseRents(2)
+							sim.LoseReleaseAnswers(3)
+							sim.LoseRentalAnswers(2)
 						}
 						if n > 0 && len(over) > 0 {
 							met++
@@ -230,9 +230,9 @@
 					}
 					jobs(2)
 					if leaders >= 0 && rng.IntN(3) > 0 {
-						w.Kill(leaders)
+						sim.KillController(leaders)
 						time.Sleep(seconds(8))
-						w.Up(leaders) //nolint:errcheck // it was killed above
+						sim.StartController(leaders) //nolint:errcheck // it was killed above
 					}
 					time.Sleep(seconds(40))
 					for _, f := range over {
@@ -240,14 +240,14 @@
 						time.Sleep(seconds(3))
 					}
 				}
-				faultsAreOver(w)
+				faultsAreOver(sim)
 				if met < 3 {
 					t.Errorf("only %d troubles fell into another one", met)
 				}
-				mustLeaveNothingWaiting(t, w, 200*time.Second)
-				mustRun(t, w, s, "when all is over")
-				mustRun(t, w, sameS, "of the one in one place when all is over")
-				mustLeaveNoKeys(t, w, s, sameS)
+				mustLeaveNothingWaiting(t, sim, 200*time.Second)
+				mustRun(t, sim, s, "when all is over")
+				mustRun(t, sim, sameS, "of the one in one place when all is over")
+				mustLeaveNoKeys(t, sim, s, sameS)
 			})
 		})
 	}
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -33,33 +33,33 @@
 	for k, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, c.set, uint64(400+k), func(w *simulator.World, at func(time.Duration)) {
-				w.State.Short(c.keep, c.page)
+			runWithSettings(t, c.set, uint64(400+k), func(sim *simulator.Simulation, at func(time.Duration)) {
+				sim.State.LimitHistory(c.keep, c.page)
 				n := atomic.Int32{}
-				w.State.Late(func() time.Duration {
+				sim.State.DelayLists(func() time.Duration {
 					if n.Add(1)%3 == 0 {
 						return c.late
 					}
 					return 0
 				})
-				l := w.Looks()
+				l := sim.NewBurstReaders()
 				at(2 * time.Second)
 				// What stays makes the list several pages long.
-				w.Submit(service(900, 3), 0)
+				sim.Submit(service(900, 3), 0)
 				for n := range 4 {
-					w.Submit(service(901+n, 1), 0)
+					sim.Submit(service(901+n, 1), 0)
 				}
 				at(30 * time.Second)
-				var all []simulator.Truth
-				l.For = 100 * time.Millisecond
+				var all []simulator.JobScript
+				l.BurstLength = 100 * time.Millisecond
 				for n := range 12 {
 					j := array(1+n, 1+n%2, 3+float64(n%3))
 					all = append(all, j)
-					l.Submit(j, []simulator.Cancel{simulator.Never, simulator.AtOnce, simulator.AfterEnd, simulator.AtEnd}[n%4], time.Duration(n/4)*130*time.Millisecond)
+					l.Submit(j, []simulator.CancelTime{simulator.NeverCancel, simulator.CancelAtOnce, simulator.CancelAfterEnd, simulator.CancelAtEnd}[n%4], time.Duration(n/4)*130*time.Millisecond)
 					time.Sleep(700 * time.Millisecond)
 				}
 				at(90 * time.Second)
-				done, cancelled := w.Ended(all)
+				done, cancelled := sim.CountEnded(all)
 				if done < 6 || cancelled < 3 || done+cancelled != len(all) {
 					t.Errorf("%d done, %d cancelled of %d", done, cancelled, len(all))
 				}
@@ -80,21 +80,21 @@
 // it sends later says otherwise.
 func TestPollDuringCancellation(t *testing.T) {
 	t.Parallel()
-	runOnAlternatingLayouts(t, 690, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
-		w.Submit(array(100, 2, 10), 0)
+	runOnAlternatingLayouts(t, 690, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		sim.Submit(array(100, 2, 10), 0)
 		at(20 * time.Second)
 		const jobs = 12
-		all := make([]simulator.Truth, jobs)
+		all := make([]simulator.JobScript, jobs)
 		for k := range all {
 			all[k] = array(k, 1, 300)
-			w.Know(all[k])
-			go requestUntilAnswered(t, w, all[k], false, k)
+			sim.RegisterJob(all[k])
+			go requestUntilAnswered(t, sim, all[k], false, k)
 		}
 		at(40 * time.Second)
-		w.State.Slow("", 500*time.Millisecond)
+		sim.State.DelayAnswers("", 500*time.Millisecond)
 		between := 0
 		for k, j := range all {
-			node, path := k%w.Set.Size, "/v1/jobs/"+string(j.Spec.ID)
+			node, path := k%sim.Settings.Size, "/v1/jobs/"+string(j.Spec.ID)
 			type said struct {
 				sent, at time.Time
 				status   wire.Status
@@ -104,7 +104,7 @@
 				go func() {
 					time.Sleep(time.Duration(i) * 50 * time.Millisecond)
 					sent := time.Now()
-					status, raw, _ := w.Ask(node, "GET", path, nil)
+					status, raw, _ := sim.Ask(node, "GET", path, nil)
 					var s wire.JobState
 					if status != 200 || wire.Decode(raw, &s) != nil {
 						s.Status = ""
@@ -113,11 +113,11 @@
 				}()
 			}
 			time.Sleep(300 * time.Millisecond)
-			if status := requestOnce(w, j, true, node); status != 200 {
+			if status := requestOnce(sim, j, true, node); status != 200 {
 				t.Fatalf("cancellation answered %d", status)
 			}
 			told := time.Now()
-			w.Checked(func(c *simulator.Checker) { c.Told(j.Spec.ID, wire.Cancelled, told) })
+			sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.Cancelled, told) })
 			for range 40 {
 				// Answers of the same moment may cross on their way.
 				p := <-polled
@@ -129,7 +129,7 @@
 				}
 			}
 		}
-		w.State.Slow("", 0)
+		sim.State.DelayAnswers("", 0)
 		if between < jobs {
 			t.Errorf("only %d answers were on their way when a cancellation was told", between)
 		}
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -17,10 +17,12 @@
 // come back.
 func TestTeamLimitsCountUnreachableCancelledTasks(t *testing.T) {
 	t.Parallel()
-	faults := map[string]func(w *simulator.World, id wire.MachineID, on bool){
-		"cut":  (*simulator.World).Unlink,
-		"hang": (*simulator.World).Stall,
-		"deaf": func(w *simulator.World, id wire.MachineID, on bool) { w.Net.Deafen(w.IP(id), on) },
+	faults := map[string]func(sim *simulator.Simulation, id wire.MachineID, on bool){
+		"cut":  (*simulator.Simulation).PartitionMachine,
+		"hang": (*simulator.Simulation).StallMachine,
+		"deaf": func(sim *simulator.Simulation, id wire.MachineID, on bool) {
+			sim.Net.BlockInbound(sim.MachineIP(id), on)
+		},
 	}
 	for _, c := range []struct {
 		fault  string
@@ -38,83 +40,83 @@
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", c.fault, c.before, c.half, c.cloud, c.lasts, seed), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(w *simulator.World, at func(time.Duration)) {
+				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					gone, goneS := array(1, 12, 400), service(2, 16)
 					next, nextS := array(3, 12, 15), service(4, 16)
 					at(2 * time.Second)
-					w.Submit(gone, 0)
-					w.Submit(goneS, 0)
+					sim.Submit(gone, 0)
+					sim.Submit(goneS, 0)
 					at(20 * time.Second)
-					w.Submit(next, 0)
-					w.Submit(nextS, 0)
+					sim.Submit(next, 0)
+					sim.Submit(nextS, 0)
 					at(45 * time.Second)
-					mustUseCPUs(t, w, "red", 24)
-					mustUseCPUs(t, w, "blue", 16)
+					mustUseCPUs(t, sim, "red", 24)
+					mustUseCPUs(t, sim, "blue", 16)
 					var hit []wire.MachineID
-					for i, id := range append(w.Holds(gone.Spec.ID), w.Holds(goneS.Spec.ID)...) {
+					for i, id := range append(sim.MachinesRunning(gone.Spec.ID), sim.MachinesRunning(goneS.Spec.ID)...) {
 						if !c.half || i%2 == 0 {
 							hit = append(hit, id)
 						}
 					}
 					fault := func(on bool) {
 						for _, id := range hit {
-							faults[c.fault](w, id, on)
+							faults[c.fault](sim, id, on)
 						}
 						if c.cloud {
-							w.CloudOutage(on)
+							sim.CloudOutage(on)
 						}
 					}
 					fault(true)
 					begin := time.Now()
-					l := w.Leader()
+					l := sim.Leader()
 					if c.before {
-						w.Kill(l)
+						sim.KillController(l)
 						time.Sleep(300 * time.Millisecond)
 					}
-					for _, j := range []simulator.Truth{gone, goneS} {
-						if !cancelWithin(t, w, j.Spec.ID, 3*time.Second) {
+					for _, j := range []simulator.JobScript{gone, goneS} {
+						if !cancelWithin(t, sim, j.Spec.ID, 3*time.Second) {
 							t.Fatalf("%s was not cancelled while the fault was on", j.Spec.ID)
 						}
-						w.Checked(func(c *simulator.Checker) {
-							if c.On(j.Spec.ID) == 0 {
+						sim.WithChecker(func(c *simulator.Checker) {
+							if c.OnMachines(j.Spec.ID) == 0 {
 								t.Errorf("nothing of %s runs when it is cancelled", j.Spec.ID)
 							}
 						})
 					}
 					if !c.before {
 						time.Sleep(time.Second)
-						w.Checked(func(c *simulator.Checker) {
-							if c.On(gone.Spec.ID) == 0 || c.On(goneS.Spec.ID) == 0 {
+						sim.WithChecker(func(c *simulator.Checker) {
+							if c.OnMachines(gone.Spec.ID) == 0 || c.OnMachines(goneS.Spec.ID) == 0 {
 								t.Error("nothing runs behind the fault when the leader ends")
 							}
 						})
-						replaceLeader(t, w)
+						replaceLeader(t, sim)
 					} else {
-						if n := w.Leader(); n >= 0 && n != l {
+						if n := sim.Leader(); n >= 0 && n != l {
 							t.Errorf("node %d leads already when all is cancelled", n)
 						}
-						awaitSuccessor(t, w, l)
+						awaitSuccessor(t, sim, l)
 					}
 					if c.lasts > 60*time.Second {
 						time.Sleep(time.Until(begin.Add(c.lasts)))
-						w.Checked(func(c *simulator.Checker) {
-							if c.On(gone.Spec.ID) != 0 || c.On(goneS.Spec.ID) != 0 {
+						sim.WithChecker(func(c *simulator.Checker) {
+							if c.OnMachines(gone.Spec.ID) != 0 || c.OnMachines(goneS.Spec.ID) != 0 {
 								t.Error("cancelled tasks outlive their time")
 							}
 						})
 						if !c.cloud { // else there may be no room
-							mustFinish(t, w, next)
-							mustRun(t, w, nextS, "while the machines are still lost")
+							mustFinish(t, sim, next)
+							mustRun(t, sim, nextS, "while the machines are still lost")
 						}
 					} else {
 						time.Sleep(time.Until(begin.Add(c.lasts)))
 					}
 					fault(false)
-					faultsAreOver(w)
+					faultsAreOver(sim)
 					time.Sleep(75 * time.Second)
-					mustFinish(t, w, next)
-					mustRun(t, w, nextS, "when all is over")
-					mustUseCPUs(t, w, "blue", 16)
+					mustFinish(t, sim, next)
+					mustRun(t, sim, nextS, "when all is over")
+					mustUseCPUs(t, sim, "blue", 16)
 				})
 			})
 		}
@@ -130,36 +132,36 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, 460+seed, func(w *simulator.World, at func(time.Duration)) {
+			runScenario(t, 460+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				most, low := array(1, 19, 400), array(2, 200, 60)
 				low.Spec.Priority, low.Spec.Team, low.Spec.SpotAllowed, most.Spec.SpotAllowed = wire.PriorityBestEffort, "blue", false, false
 				low.Spec.CheckpointInterval, low.Spec.CheckpointTime = 10, 3
-				w.SlowSaves()
-				w.SellOut("b", true)
+				sim.EnableSlowSaves()
+				sim.SetSoldOut("b", true)
 				at(2 * time.Second)
-				w.Submit(most, 0)
+				sim.Submit(most, 0)
 				at(20 * time.Second)
-				w.Submit(low, 0)
+				sim.Submit(low, 0)
 				at(42 * time.Second)
-				w.SellOut("a", true)
-				mustUseCPUs(t, w, "red", 38)
-				w.Slow(700 * time.Millisecond)
+				sim.SetSoldOut("a", true)
+				mustUseCPUs(t, sim, "red", 38)
+				sim.SlowMachineLinks(700 * time.Millisecond)
 				at(45 * time.Second)
-				var urgent []simulator.Truth
+				var urgent []simulator.JobScript
 				for n := range 10 {
 					j := array(10+n, 1, 8)
 					j.Spec.Priority = wire.PriorityUrgent
 					urgent = append(urgent, j)
-					w.Submit(j, 0)
+					sim.Submit(j, 0)
 				}
-				w.Checked(func(c *simulator.Checker) {
+				sim.WithChecker(func(c *simulator.Checker) {
 					if c.Waiting(low.Spec.ID) == 0 {
 						t.Error("there is no more work than room")
 					}
 				})
 				at(170 * time.Second)
-				mustFinish(t, w, urgent...)
-				if n := preemptionCount(t, w); n < 1 || n > 2 {
+				mustFinish(t, sim, urgent...)
+				if n := preemptionCount(t, sim); n < 1 || n > 2 {
 					t.Errorf("%.0f tasks were stopped for ten that run one by one", n)
 				}
 			})
@@ -178,9 +180,9 @@
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%v, seed %d", slow, seed), func(t *testing.T) {
 				t.Parallel()
-				runScenario(t, 440+seed, func(w *simulator.World, at func(time.Duration)) {
-					w.SlowSaves()
-					job := func(n, parts int, run float64, u wire.Priority, team wire.TeamID) simulator.Truth {
+				runScenario(t, 440+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+					sim.EnableSlowSaves()
+					job := func(n, parts int, run float64, u wire.Priority, team wire.TeamID) simulator.JobScript {
 						j := array(n, parts, run)
 						j.Spec.Priority, j.Spec.Team = u, team
 						j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 10, 3
@@ -189,47 +191,47 @@
 					low := job(1, 200, 40, wire.PriorityBestEffort, "blue")
 					low.Spec.SpotAllowed = false // where replicas may go too
 					usual := job(2, 24, 20, wire.PriorityStandard, "red")
-					urgent := []simulator.Truth{job(3, 6, 15, wire.PriorityUrgent, "red"), job(4, 5, 15, wire.PriorityUrgent, "blue"), job(5, 12, 10, wire.PriorityUrgent, "red")}
+					urgent := []simulator.JobScript{job(3, 6, 15, wire.PriorityUrgent, "red"), job(4, 5, 15, wire.PriorityUrgent, "blue"), job(5, 12, 10, wire.PriorityUrgent, "red")}
 					urgent[1].Spec.CPUs, urgent[1].Spec.MemoryGB = 4, 8
 					s := service(6, 4)
 					s.Spec.Spread = false
-					w.SellOut("b", true)
+					sim.SetSoldOut("b", true)
 					at(2 * time.Second)
-					w.Submit(low, 0)
+					sim.Submit(low, 0)
 					at(38 * time.Second)
-					w.SellOut("a", true)
-					w.Submit(usual, 0)
+					sim.SetSoldOut("a", true)
+					sim.Submit(usual, 0)
 					at(45 * time.Second)
-					w.Slow(slow)
+					sim.SlowMachineLinks(slow)
 					at(50 * time.Second)
 					for _, j := range urgent[:2] {
-						w.Submit(j, 0)
+						sim.Submit(j, 0)
 					}
 					at(52 * time.Second)
-					w.Submit(s, 0)
-					w.Checked(func(c *simulator.Checker) {
-						if c.Waiting(low.Spec.ID) == 0 || c.Waiting(usual.Spec.ID) == 0 || c.On(low.Spec.ID) == 0 {
-							t.Errorf("there is no more work than room: %d and %d wait, %d on", c.Waiting(low.Spec.ID), c.Waiting(usual.Spec.ID), c.On(low.Spec.ID))
+					sim.Submit(s, 0)
+					sim.WithChecker(func(c *simulator.Checker) {
+						if c.Waiting(low.Spec.ID) == 0 || c.Waiting(usual.Spec.ID) == 0 || c.OnMachines(low.Spec.ID) == 0 {
+							t.Errorf("there is no more work than room: %d and %d wait, %d on", c.Waiting(low.Spec.ID), c.Waiting(usual.Spec.ID), c.OnMachines(low.Spec.ID))
 						}
 					})
 					at(75 * time.Second)
-					mustRun(t, w, s, "23 s after it was submitted over slow links")
-					w.Submit(urgent[2], 0)
+					mustRun(t, sim, s, "23 s after it was submitted over slow links")
+					sim.Submit(urgent[2], 0)
 					at(120 * time.Second)
-					mustFinish(t, w, urgent...)
-					w.Checked(func(c *simulator.Checker) {
-						if n := c.Again(); n == 0 || n > 40 {
+					mustFinish(t, sim, urgent...)
+					sim.WithChecker(func(c *simulator.Checker) {
+						if n := c.Restarts(); n == 0 || n > 40 {
 							t.Errorf("%d tasks were stopped and started again", n)
 						}
 					})
 					at(180 * time.Second)
-					w.Slow(0)
-					w.SellOut("a", false)
-					w.SellOut("b", false)
-					faultsAreOver(w)
+					sim.SlowMachineLinks(0)
+					sim.SetSoldOut("a", false)
+					sim.SetSoldOut("b", false)
+					faultsAreOver(sim)
 					at(300 * time.Second)
-					mustFinish(t, w, append(urgent, low, usual)...)
-					mustRun(t, w, s, "when all is over")
+					mustFinish(t, sim, append(urgent, low, usual)...)
+					mustRun(t, sim, s, "when all is over")
 				})
 			})
 		}
@@ -240,15 +242,15 @@
 // of a service: an array that fits there must not wait for ever.
 func TestReservedRoomIsGivenUp(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 60, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 60, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 2, 10)
 		at(2 * time.Second)
-		w.Submit(s, 0)
+		sim.Submit(s, 0)
 		at(60 * time.Second)
-		w.NoMore()
-		w.Submit(a, 0)
+		sim.SellOutEverything()
+		sim.Submit(a, 0)
 		at(220 * time.Second)
-		mustRun(t, w, s, "beside an array")
-		mustFinish(t, w, a)
+		mustRun(t, sim, s, "beside an array")
+		mustFinish(t, sim, a)
 	})
 }
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -12,17 +12,17 @@
 // Transactions whose answers are lost are looked up, not guessed.
 func TestStateServiceAnswersLost(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 7, func(w *simulator.World, at func(time.Duration)) {
+	runScenario(t, 7, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b := array(1, 10, 10), array(2, 10, 10)
 		at(2 * time.Second)
-		w.Submit(a, 0)
+		sim.Submit(a, 0)
 		at(20 * time.Second)
-		w.State.LoseAnswers(3)
-		w.Submit(b, 0)
+		sim.State.LoseAnswers(3)
+		sim.Submit(b, 0)
 		at(35 * time.Second)
-		w.State.LoseAnswers(2)
+		sim.State.LoseAnswers(2)
 		at(150 * time.Second)
-		mustFinish(t, w, a, b)
+		mustFinish(t, sim, a, b)
 	})
 }
 
@@ -36,27 +36,27 @@
 		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.RunPrefix, "office": store.LeadKey, "end": "past/"}[kind]
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				a, b, gone, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each for sure, then half of all
 					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.RunPrefix, Most: 1}, {Share: 0.5}}
 				}
 				var begin, end time.Time
-				on := func() { w.State.Trouble(uint64(i), faults...); begin = time.Now() }
-				off := func() { w.State.Trouble(0); end = time.Now() }
+				on := func() { sim.State.InjectTxnFaults(uint64(i), faults...); begin = time.Now() }
+				off := func() { sim.State.InjectTxnFaults(0); end = time.Now() }
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Know(gone)
-				requestUntilAnswered(t, w, gone, false, 0)
+				sim.Submit(s, 0)
+				sim.RegisterJob(gone)
+				requestUntilAnswered(t, sim, gone, false, 0)
 				at(25 * time.Second)
-				w.Know(a)
-				w.Know(b)
-				ra, rb, rg := startReader(t, w, a.Spec.ID), startReader(t, w, b.Spec.ID), startReader(t, w, gone.Spec.ID)
+				sim.RegisterJob(a)
+				sim.RegisterJob(b)
+				ra, rb, rg := startReader(t, sim, a.Spec.ID), startReader(t, sim, b.Spec.ID), startReader(t, sim, gone.Spec.ID)
 				if kind != "cancellation" {
 					on()
 				}
-				accepted, _, _ := requestUntilAnswered(t, w, a, false, i)
+				accepted, _, _ := requestUntilAnswered(t, sim, a, false, i)
 				if kind == "acceptance" {
 					off()
 				}
@@ -64,35 +64,35 @@
 				if kind == "cancellation" {
 					on()
 				}
-				cancelled, _, _ := requestUntilAnswered(t, w, gone, true, i)
+				cancelled, _, _ := requestUntilAnswered(t, sim, gone, true, i)
 				if kind == "cancellation" {
 					off()
 				}
 				at(50 * time.Second)
 				if kind == "office" || kind == "all" {
-					l := w.Leader()
+					l := sim.Leader()
 					if l < 0 {
 						t.Fatal("nobody leads")
 					}
-					w.Kill(l)
+					sim.KillController(l)
 					time.Sleep(8 * time.Second)
-					w.Up(l)
+					sim.StartController(l)
 				}
-				requestUntilAnswered(t, w, b, false, 0)
+				requestUntilAnswered(t, sim, b, false, 0)
 				at(85 * time.Second)
 				if end.IsZero() {
 					off()
 				}
-				endFaultsAndWait(w, 30*time.Second)
+				endFaultsAndWait(sim, 30*time.Second)
 				ra.stopReading()
 				rb.stopReading()
 				rg.stopReading()
-				mustFinish(t, w, a, b)
-				mustRun(t, w, s, "afterwards")
+				mustFinish(t, sim, a, b)
+				mustRun(t, sim, s, "afterwards")
 
 				// The meeting: an answer was lost for what was carried out, and
 				// others told of it, or went on with it, while that went on.
-				hit := faultedTransactions(w, prefix, wasExecuted)
+				hit := faultedTransactions(sim, prefix, wasExecuted)
 				if len(hit) == 0 {
 					t.Fatal("no transaction was carried out without an answer")
 				}
@@ -111,13 +111,13 @@
 				case "launch", "end":
 					during("first read to be over", ra.firstSeen(2))
 				case "office":
-					if l := w.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f simulator.Fate) bool { return f.From == simulator.NodeIP(l) }) {
+					if l := sim.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(l) }) {
 						t.Errorf("node %d leads by a key whose writing was answered", l)
 					}
 					during("the next leader's first job was over", rb.firstSeen(2))
 				case "all":
 					for _, p := range []string{store.RunPrefix, store.JobPrefix} {
-						if len(faultedTransactions(w, p, wasExecuted)) == 0 {
+						if len(faultedTransactions(sim, p, wasExecuted)) == 0 {
 							t.Errorf("nothing of %s was hit", p)
 						}
 					}
@@ -132,15 +132,15 @@
 // taken and the leader ends.
 func TestLateAndUnansweredWrites(t *testing.T) {
 	t.Parallel()
-	runOnAlternatingLayouts(t, 650, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
-		var all []simulator.Truth
+	runOnAlternatingLayouts(t, 650, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		var all []simulator.JobScript
 		var readers []*statusReader
 		s := service(900, 3)
 		at(2 * time.Second)
-		w.Submit(s, 0)
+		sim.Submit(s, 0)
 		at(15 * time.Second)
 		late := [2]time.Duration{2 * time.Second, 12 * time.Second}
-		w.State.Trouble(7, // the first of each kind for sure, then a share of all
+		sim.State.InjectTxnFaults(7, // the first of each kind for sure, then a share of all
 			simulator.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.JobPrefix, Most: 1},
 			simulator.TxnFault{Prefix: store.RunPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.RunPrefix, Most: 1},
 			simulator.TxnFault{Share: 0.25, Late: late}, simulator.TxnFault{Share: 0.25})
@@ -152,33 +152,33 @@
 			} else {
 				all = append(all, j)
 			}
-			w.Submit(j, cancel)
+			sim.Submit(j, cancel)
 			if n%2 == 0 {
-				readers = append(readers, startReader(t, w, j.Spec.ID))
+				readers = append(readers, startReader(t, sim, j.Spec.ID))
 			}
 			time.Sleep(6 * time.Second)
 			switch n {
 			case 3, 6:
-				l := max(0, w.Leader())
-				w.Kill(l)
+				l := max(0, sim.Leader())
+				sim.KillController(l)
 				time.Sleep(3 * time.Second)
-				w.Up(l)
+				sim.StartController(l)
 			case 5:
-				w.Take(1, func(bool, int) bool { return true })
+				sim.ReclaimMachines(1, func(bool, int) bool { return true })
 			}
 		}
-		endFaultsAndWait(w, 90*time.Second)
+		endFaultsAndWait(sim, 90*time.Second)
 		for _, r := range readers {
 			r.stopReading()
 		}
-		mustFinish(t, w, all...)
-		mustRun(t, w, s, "afterwards")
-		mustBeExecutedLate(t, "launches", faultedTransactions(w, store.RunPrefix, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() }))
+		mustFinish(t, sim, all...)
+		mustRun(t, sim, s, "afterwards")
+		mustBeExecutedLate(t, "launches", faultedTransactions(sim, store.RunPrefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() }))
 		for _, p := range []string{store.JobPrefix, store.RunPrefix} {
-			if len(faultedTransactions(w, p, func(f *simulator.Fate) bool { return f.Late && !f.Done.IsZero() })) == 0 {
+			if len(faultedTransactions(sim, p, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })) == 0 {
 				t.Errorf("nothing of %s was late", p)
 			}
-			if len(faultedTransactions(w, p, func(f *simulator.Fate) bool { return !f.Late && wasExecuted(f) })) == 0 {
+			if len(faultedTransactions(sim, p, func(f *simulator.TxnOutcome) bool { return !f.Late && wasExecuted(f) })) == 0 {
 				t.Errorf("no answer for %s was lost", p)
 			}
 		}
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -63,61 +63,61 @@
 			return n.Run, nil
 		}
 		set := simulator.DefaultSettings()
-		w := simulator.NewWorld(ctx, set, 900, logged, nil)
-		w.Nodes(set.Zones...)
+		sim := simulator.New(ctx, set, 900, logged, nil)
+		sim.PlaceControllers(set.Zones...)
 		begin := time.Now()
 		at := func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) }
 		for i := range set.Size {
-			if err := w.Up(i); err != nil {
+			if err := sim.StartController(i); err != nil {
 				t.Fatal(err)
 			}
 		}
 		a, s, g, later := array(1, 6, 400), service(2, 3), gang(3, 3, 400), array(4, 4, 10)
 		at(2 * time.Second)
-		for _, j := range []simulator.Truth{a, s, g} {
-			w.Submit(j, 0)
+		for _, j := range []simulator.JobScript{a, s, g} {
+			sim.Submit(j, 0)
 		}
 		at(60 * time.Second)
-		l := w.Leader()
-		w.Kill(l)
+		l := sim.Leader()
+		sim.KillController(l)
 		unreadable := map[string]any{
 			"run/req-000001/0": "no record", "job/req-000777": []int{1, 2}, "job/req-000778": map[string]any{"unknown": true},
 			"job/req-000779": map[string]any{"spec": map[string]any{"nameId": "req-000779", "parts": 1 << 40}, "status": "queued"},
 		}
 		for key, v := range unreadable {
-			w.State.Put(key, v)
+			sim.State.Put(key, v)
 		}
-		w.State.Put("run/req-000777/0", store.ChunkRecord{Next: 5, Held: []store.Held{{Task: 0, Try: 4, On: "n-000000"}}})
-		w.State.Put(store.FlavorsKey, 7)
-		w.State.Put(store.SettingsKey, "no settings")
+		sim.State.Put("run/req-000777/0", store.ChunkRecord{Next: 5, Held: []store.Held{{Task: 0, Try: 4, On: "n-000000"}}})
+		sim.State.Put(store.FlavorsKey, 7)
+		sim.State.Put(store.SettingsKey, "no settings")
 		at(64 * time.Second)
-		if err := w.Up(l); err != nil {
+		if err := sim.StartController(l); err != nil {
 			t.Fatal(err)
 		}
 		at(70 * time.Second)
-		w.Submit(later, 0)
+		sim.Submit(later, 0)
 		at(120 * time.Second)
 		// The next leader meets them too.
-		replaceLeader(t, w)
+		replaceLeader(t, sim)
 		at(150 * time.Second)
-		mustFinish(t, w, later)
-		w.Checked(func(c *simulator.Checker) {
-			if c.On(a.Spec.ID) != 6 || c.On(s.Spec.ID) != 3 || c.On(g.Spec.ID) != 3 || c.Again() != 0 {
-				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 of a gang run, %d were started again", c.On(a.Spec.ID), c.On(s.Spec.ID), c.On(g.Spec.ID), c.Again())
+		mustFinish(t, sim, later)
+		sim.WithChecker(func(c *simulator.Checker) {
+			if c.OnMachines(a.Spec.ID) != 6 || c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(g.Spec.ID) != 3 || c.Restarts() != 0 {
+				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 of a gang run, %d were started again", c.OnMachines(a.Spec.ID), c.OnMachines(s.Spec.ID), c.OnMachines(g.Spec.ID), c.Restarts())
 			}
 		})
 		for key := range unreadable {
-			if len(w.State.Keys(key)) != 1 {
+			if len(sim.State.Keys(key)) != 1 {
 				t.Errorf("%s is gone", key)
 			}
 		}
-		if len(w.State.Keys("run/req-000777/0")) != 1 {
+		if len(sim.State.Keys("run/req-000777/0")) != 1 {
 			t.Error("the progress of a job whose record can't be read is gone")
 		}
 		for i := range set.Size {
 			for _, id := range []string{"req-000777", "req-000778", "req-000779"} {
-				status, _, h := w.Ask(i, "GET", "/v1/jobs/"+id, nil)
-				stop, _, _ := w.Ask(i, "POST", "/v1/jobs/"+id+"/cancel", nil)
+				status, _, h := sim.Ask(i, "GET", "/v1/jobs/"+id, nil)
+				stop, _, _ := sim.Ask(i, "POST", "/v1/jobs/"+id+"/cancel", nil)
 				if status != 503 || h.Get("Retry-After") == "" || stop != 503 {
 					t.Errorf("%s is answered %d by node %d, its cancellation %d", id, status, i, stop)
 				}
@@ -137,20 +137,20 @@
 		}
 		// A job of which some progress can't be read can be cancelled: what runs of it
 		// ends.
-		if !cancelWithin(t, w, a.Spec.ID, 10*time.Second) {
+		if !cancelWithin(t, sim, a.Spec.ID, 10*time.Second) {
 			t.Error("not cancelled")
 		}
 		at(220 * time.Second)
-		w.Checked(func(c *simulator.Checker) {
-			if n := c.On(a.Spec.ID); n != 0 {
+		sim.WithChecker(func(c *simulator.Checker) {
+			if n := c.OnMachines(a.Spec.ID); n != 0 {
 				t.Errorf("%d tasks of the cancelled job run", n)
 			}
-			c.End(time.Now())
-			for _, b := range c.Breaks {
+			c.Finish(time.Now())
+			for _, b := range c.Violations {
 				t.Errorf("%6.1f s %s: %s", b.At.Sub(begin).Seconds(), b.Rule, b.What)
 			}
 		})
-		if k := slices.Concat(w.State.Keys(store.JobKey(a.Spec.ID)), w.State.Keys(store.RunPrefix+string(a.Spec.ID)+"/")); len(k) > 0 {
+		if k := slices.Concat(sim.State.Keys(store.JobKey(a.Spec.ID)), sim.State.Keys(store.RunPrefix+string(a.Spec.ID)+"/")); len(k) > 0 {
 			t.Errorf("of the cancelled job is left %v", k)
 		}
 		if t.Failed() {
@@ -163,6 +163,6 @@
 			}
 		}
 		cancel()
-		w.Close()
+		sim.Close()
 	})
 }
