--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -19,30 +19,30 @@
 	for _, inherited := range []bool{false, true} {
 		t.Run(fmt.Sprint("inherited ", inherited), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 30, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 10)
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(gone, 55*time.Second)
+				sim.Submit(s, 0)
+				sim.Submit(gone, 55*time.Second)
 				at(45 * time.Second)
-				on := w.Holds(s.Spec.ID)
+				on := sim.MachinesRunning(s.Spec.ID)
 				if len(on) == 0 {
 					t.Fatal("no replica runs")
 				}
-				w.Net.Deafen(w.IP(on[0]), true)
+				sim.Net.BlockInbound(sim.MachineIP(on[0]), true)
 				if inherited {
 					// The next leader can never show its token to the machine.
-					restartLeader(t, w, 5*time.Second)
+					restartLeader(t, sim, 5*time.Second)
 				}
 				at(52 * time.Second)
-				w.Submit(a, 0)
+				sim.Submit(a, 0)
 				at(90 * time.Second)
-				mustRun(t, w, s, "while a machine does not hear")
-				mustFinish(t, w, a)
+				mustRun(t, sim, s, "while a machine does not hear")
+				mustFinish(t, sim, a)
 				at(130 * time.Second)
-				w.Net.Deafen(w.IP(on[0]), false)
+				sim.Net.BlockInbound(sim.MachineIP(on[0]), false)
 				at(200 * time.Second)
-				mustRun(t, w, s, "afterwards")
+				mustRun(t, sim, s, "afterwards")
 			})
 		})
 	}
@@ -54,50 +54,56 @@
 // what is cancelled there must be gone in time.
 func TestMachinesCannotConnect(t *testing.T) {
 	t.Parallel()
-	for name, some := range map[string]func(w *simulator.World) []wire.MachineID{
-		"one":         func(w *simulator.World) []wire.MachineID { return w.Working("")[:1] },
-		"some":        func(w *simulator.World) []wire.MachineID { ms := w.Working(""); return ms[:(len(ms)+1)/2] },
-		"most a zone": func(w *simulator.World) []wire.MachineID { ms := w.Working("a"); return ms[:(len(ms)*3+3)/4] },
+	for name, some := range map[string]func(sim *simulator.Simulation) []wire.MachineID{
+		"one": func(sim *simulator.Simulation) []wire.MachineID { return sim.BusyMachines("")[:1] },
+		"some": func(sim *simulator.Simulation) []wire.MachineID {
+			ms := sim.BusyMachines("")
+			return ms[:(len(ms)+1)/2]
+		},
+		"most a zone": func(sim *simulator.Simulation) []wire.MachineID {
+			ms := sim.BusyMachines("a")
+			return ms[:(len(ms)*3+3)/4]
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			both := runOnBothLayouts
 			if name == "one" {
-				both = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.World, func(time.Duration))) {
-					runOnUnevenLayout(t, seed, func(w *simulator.World, at func(time.Duration)) { script(t, w, at) })
+				both = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.Simulation, func(time.Duration))) {
+					runOnUnevenLayout(t, seed, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
 				}
 			}
-			both(t, 640, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+			both(t, 640, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, a, gone := service(1, 3), array(2, 12, 60), array(3, 4, 300)
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(a, 0)
-				w.Submit(gone, 0)
+				sim.Submit(s, 0)
+				sim.Submit(a, 0)
+				sim.Submit(gone, 0)
 				at(45 * time.Second)
-				mute := some(w)
-				w.Mute(true, mute...)
+				mute := some(sim)
+				sim.BlockOutbound(true, mute...)
 				// Each has outlived a lease without a report, and yet answers.
-				time.Sleep(w.Set.Workers.LeaseS.Duration() + time.Second)
+				time.Sleep(sim.Settings.Workers.LeaseS.Duration() + time.Second)
 				n := 0
 				for _, id := range mute {
-					if shift, _, _ := w.Life(id); shift > 1 {
+					if shift, _, _ := sim.MachineSession(id); shift > 1 {
 						n++
 					}
 				}
-				if n+lostMachines(w, mute) != len(mute) || n == 0 {
+				if n+lostMachines(sim, mute) != len(mute) || n == 0 {
 					t.Errorf("%d of %d mute machines are there in a new session", n, len(mute))
 				}
-				mustCancel(t, w, gone)
+				mustCancel(t, sim, gone)
 				time.Sleep(5 * time.Second)
-				mustBeGone(t, w, gone, "5 s later, on mute machines")
+				mustBeGone(t, sim, gone, "5 s later, on mute machines")
 				// Where they are many they are kept for a while, and the cloud may
 				// have no more of their cheap type.
 				time.Sleep(170 * time.Second)
-				mustFinish(t, w, a)
-				mustRun(t, w, s, "while machines are mute")
-				w.Mute(false, mute...)
+				mustFinish(t, sim, a)
+				mustRun(t, sim, s, "while machines are mute")
+				sim.BlockOutbound(false, mute...)
 				time.Sleep(30 * time.Second)
-				mustRun(t, w, s, "afterwards")
+				mustRun(t, sim, s, "afterwards")
 			})
 		})
 	}
@@ -119,40 +125,40 @@
 			}
 			t.Run(fmt.Sprintf("%s, longer than a lease %v", how, long), func(t *testing.T) {
 				t.Parallel()
-				play(t, 650, func(w *simulator.World, at func(time.Duration)) {
+				play(t, 650, func(sim *simulator.Simulation, at func(time.Duration)) {
 					s, a := service(1, 3), array(2, 12, 70)
 					at(2 * time.Second)
-					w.Submit(s, 0)
-					w.Submit(a, 0)
+					sim.Submit(s, 0)
+					sim.Submit(a, 0)
 					at(45 * time.Second)
-					ms := w.Holds(a.Spec.ID)
+					ms := sim.MachinesRunning(a.Spec.ID)
 					ms = ms[:(len(ms)+1)/2]
-					l, old := w.Holder()
+					l, old := sim.LeaderAndToken()
 					off := func(on bool) {
 						for _, id := range ms {
-							ip := w.IP(id)
-							for i := range w.Set.Size {
+							ip := sim.MachineIP(id)
+							for i := range sim.Settings.Size {
 								switch {
 								case ip == "":
 								case how == "cut":
-									w.Net.Cut(simulator.NodeIP(i), ip, on)
+									sim.Net.Cut(simulator.NodeIP(i), ip, on)
 								case how == "deaf", how == "deaf to the next" && i != l:
-									w.Net.Hold(simulator.NodeIP(i), ip, on)
+									sim.Net.Hold(simulator.NodeIP(i), ip, on)
 								}
 							}
 						}
 						if how == "hang" {
-							w.Hang(on, ms...)
+							sim.HangMachines(on, ms...)
 						}
 					}
 					off(true)
 					time.Sleep(500 * time.Millisecond)
-					w.Kill(l)
-					_, token := awaitNewToken(t, w, old)
+					sim.KillController(l)
+					_, token := awaitNewToken(t, sim, old)
 					time.Sleep(2 * time.Second)
 					unheard := 0
 					for _, id := range ms {
-						if _, _, baton := w.Life(id); baton < token {
+						if _, _, baton := sim.MachineSession(id); baton < token {
 							unheard++
 						}
 					}
@@ -160,18 +166,18 @@
 						t.Errorf("%d of %d machines have not heard the new leader", unheard, len(ms))
 					}
 					if how != "deaf to the next" {
-						w.Up(l)
+						sim.StartController(l)
 					}
 					time.Sleep(3 * time.Second)
 					if long {
-						time.Sleep(w.Set.Workers.LeaseS.Duration() + 10*time.Second)
+						time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 10*time.Second)
 					}
 					off(false)
-					w.Up(l)
-					faultsAreOver(w)
+					sim.StartController(l)
+					faultsAreOver(sim)
 					time.Sleep(130 * time.Second)
-					mustFinish(t, w, a)
-					mustRun(t, w, s, "at the end")
+					mustFinish(t, sim, a)
+					mustRun(t, sim, s, "at the end")
 				})
 			})
 		}
@@ -196,66 +202,66 @@
 				t.Run(fmt.Sprintf("%s, cloud away %v, leader ends %v", how, cloud, leader), func(t *testing.T) {
 					t.Parallel()
 					rng := rand.New(rand.NewPCG(660, 1))
-					play(t, 660, func(w *simulator.World, at func(time.Duration)) {
+					play(t, 660, func(sim *simulator.Simulation, at func(time.Duration)) {
 						s, gone, a := service(1, 3), array(2, 10, 300), array(3, 6, 20)
 						kept := service(4, 2)
 						at(2 * time.Second)
-						w.Submit(s, 0)
-						w.Submit(gone, 0)
-						w.Submit(kept, 0)
+						sim.Submit(s, 0)
+						sim.Submit(gone, 0)
+						sim.Submit(kept, 0)
 						at(45 * time.Second)
-						ms := w.Working("")
+						ms := sim.BusyMachines("")
 						off := func(on bool) {
 							switch how {
 							case "hang":
-								w.Hang(on, ms...)
+								sim.HangMachines(on, ms...)
 							case "deaf":
-								w.Deafen(on, ms...)
+								sim.BlockInbound(on, ms...)
 							default:
-								w.Mute(on, ms...)
+								sim.BlockOutbound(on, ms...)
 							}
 						}
-						w.CloudOutage(cloud)
+						sim.CloudOutage(cloud)
 						off(true)
 						time.Sleep(randomDelay(rng)(3))
-						if n := tasksOnMachines(w, gone.Spec.ID); n != 10 {
+						if n := tasksOnMachines(sim, gone.Spec.ID); n != 10 {
 							t.Errorf("%d of 10 tasks run when they are cancelled", n)
 						}
-						mustCancel(t, w, gone)
-						mustCancel(t, w, kept)
+						mustCancel(t, sim, gone)
+						mustCancel(t, sim, kept)
 						if how == "mute" {
 							time.Sleep(4 * time.Second)
-							mustBeGone(t, w, gone, "on mute machines")
+							mustBeGone(t, sim, gone, "on mute machines")
 						}
 						if leader {
-							l, old := w.Holder()
-							w.Kill(l)
-							awaitNewToken(t, w, old)
+							l, old := sim.LeaderAndToken()
+							sim.KillController(l)
+							awaitNewToken(t, sim, old)
 							time.Sleep(time.Second)
-							w.Up(l)
+							sim.StartController(l)
 						}
-						w.Submit(a, 0)
+						sim.Submit(a, 0)
 						time.Sleep(randomDelay(rng)(8))
-						if how == "hang" && tasksOnMachines(w, gone.Spec.ID) == 0 && cloud {
+						if how == "hang" && tasksOnMachines(sim, gone.Spec.ID) == 0 && cloud {
 							t.Error("the hanging machines lost their tasks before they went on")
 						}
 						if how != "mute" {
 							off(false) // within the lease
 							time.Sleep(6 * time.Second)
-							mustBeGone(t, w, gone, "when the machines go on")
+							mustBeGone(t, sim, gone, "when the machines go on")
 							off(true)
 						}
-						time.Sleep(w.Set.Workers.LeaseS.Duration() + 4*time.Second)
-						mustBeGone(t, w, gone, "after a lease")
+						time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 4*time.Second)
+						mustBeGone(t, sim, gone, "after a lease")
 						off(false)
 						time.Sleep(20 * time.Second)
-						w.CloudOutage(false)
-						faultsAreOver(w)
+						sim.CloudOutage(false)
+						faultsAreOver(sim)
 						time.Sleep(80 * time.Second)
-						mustFinish(t, w, a)
-						mustRun(t, w, s, "at the end")
-						mustBeGone(t, w, gone, "at the end")
-						mustBeGone(t, w, kept, "at the end")
+						mustFinish(t, sim, a)
+						mustRun(t, sim, s, "at the end")
+						mustBeGone(t, sim, gone, "at the end")
+						mustBeGone(t, sim, kept, "at the end")
 					})
 				})
 			}
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -29,72 +29,72 @@
 		leader bool // changes meanwhile
 		cloud  bool // is away too, so that no list says where anything is
 		moves  bool // all of the first zone is lost, so that jobs move while it lasts
-		hit    func(w *simulator.World, on bool, ids []wire.MachineID)
+		hit    func(sim *simulator.Simulation, on bool, ids []wire.MachineID)
 	}{
-		{"all vanish, cloud away, leader changes", true, true, false, func(w *simulator.World, on bool, ids []wire.MachineID) {
+		{"all vanish, cloud away, leader changes", true, true, false, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) {
 			if on {
-				w.Vanish(ids...)
+				sim.RemoveMachines(ids...)
 			}
 		}},
-		{"half cut, half vanish, leader changes", true, false, true, func(w *simulator.World, on bool, ids []wire.MachineID) {
+		{"half cut, half vanish, leader changes", true, false, true, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) {
 			for i, id := range ids {
 				if i%2 == 0 {
-					w.Unlink(id, on)
+					sim.PartitionMachine(id, on)
 				} else if on {
-					w.Vanish(id)
+					sim.RemoveMachines(id)
 				}
 			}
 		}},
-		{"cut off, leader changes", true, false, true, func(w *simulator.World, on bool, ids []wire.MachineID) { w.CutZone("a", on) }},
-		{"half hang", false, false, false, func(w *simulator.World, on bool, ids []wire.MachineID) {
+		{"cut off, leader changes", true, false, true, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) { sim.IsolateZone("a", on) }},
+		{"half hang", false, false, false, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) {
 			for _, id := range some(ids, 2) {
-				w.Stall(id, on)
+				sim.StallMachine(id, on)
 			}
 		}},
 	} {
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, seed %d", c.name, seed), func(t *testing.T) {
 				t.Parallel()
-				runWithControllersIn(t, simulator.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(w *simulator.World, at func(time.Duration)) {
+				runWithControllersIn(t, simulator.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					bound, same := array(1, 8, 70), array(2, 14, 50)
 					bound.Spec.Zone, same.Spec.SameZone = "a", true
 					boundS, sameS, spread := service(3, 3), service(4, 3), service(5, 4)
 					boundS.Spec.Zone, boundS.Spec.Spread = "a", false
 					sameS.Spec.SameZone, sameS.Spec.Spread = true, false
-					w.SellOut("b", true)
-					w.SellOut("c", true)
+					sim.SetSoldOut("b", true)
+					sim.SetSoldOut("c", true)
 					at(2 * time.Second)
-					for _, j := range []simulator.Truth{same, sameS, boundS, spread, bound} {
-						w.Submit(j, 0)
+					for _, j := range []simulator.JobScript{same, sameS, boundS, spread, bound} {
+						sim.Submit(j, 0)
 					}
 					at(50 * time.Second)
-					w.Checked(func(c *simulator.Checker) {
-						for _, j := range []simulator.Truth{same, sameS, boundS, spread} {
-							if z := c.InZones(j.Spec.ID); z["a"] == 0 || len(z) != 1 {
+					sim.WithChecker(func(c *simulator.Checker) {
+						for _, j := range []simulator.JobScript{same, sameS, boundS, spread} {
+							if z := c.TasksByZone(j.Spec.ID); z["a"] == 0 || len(z) != 1 {
 								t.Errorf("%s runs in %v before the fault", j.Spec.ID, z)
 							}
 						}
 					})
-					w.SellOut("b", false)
-					w.SellOut("c", false)
-					w.SellOut("a", true)
-					w.CloudOutage(c.cloud)
-					ids := w.In("a")
-					c.hit(w, true, ids)
+					sim.SetSoldOut("b", false)
+					sim.SetSoldOut("c", false)
+					sim.SetSoldOut("a", true)
+					sim.CloudOutage(c.cloud)
+					ids := sim.RunningMachinesIn("a")
+					c.hit(sim, true, ids)
 					if c.leader {
 						time.Sleep(time.Second)
-						replaceLeader(t, w)
+						replaceLeader(t, sim)
 						time.Sleep(time.Second)
 					}
 					// The next leader meets what still runs there, or what it can't
 					// even place.
 					if c.cloud {
-						mustHaveTaskInUnknownZone(t, w)
+						mustHaveTaskInUnknownZone(t, sim)
 					} else {
-						w.Checked(func(c *simulator.Checker) {
+						sim.WithChecker(func(c *simulator.Checker) {
 							n := 0
-							for _, j := range []simulator.Truth{same, sameS, spread, bound, boundS} {
-								n += c.InZones(j.Spec.ID)["a"]
+							for _, j := range []simulator.JobScript{same, sameS, spread, bound, boundS} {
+								n += c.TasksByZone(j.Spec.ID)["a"]
 							}
 							if n == 0 {
 								t.Error("nothing runs in the zone that is lost")
@@ -102,28 +102,28 @@
 						})
 					}
 					at(100 * time.Second)
-					w.CloudOutage(false)
+					sim.CloudOutage(false)
 					at(190 * time.Second)
 					if c.moves {
-						w.Checked(func(c *simulator.Checker) {
-							if z := c.InZones(sameS.Spec.ID); len(z) != 1 || z["a"] > 0 {
+						sim.WithChecker(func(c *simulator.Checker) {
+							if z := c.TasksByZone(sameS.Spec.ID); len(z) != 1 || z["a"] > 0 {
 								t.Errorf("the service in one place runs in %v while that is lost", z)
 							}
-							if z := c.InZones(same.Spec.ID); z["a"] > 0 || len(z) == 0 && !c.Complete(same.Spec.ID) {
+							if z := c.TasksByZone(same.Spec.ID); z["a"] > 0 || len(z) == 0 && !c.Complete(same.Spec.ID) {
 								t.Errorf("the array in one place runs in %v while that is lost", z)
 							}
 						})
-						mustRun(t, w, spread, "while a zone is lost")
+						mustRun(t, sim, spread, "while a zone is lost")
 					}
-					w.SellOut("a", false)
-					c.hit(w, false, ids)
-					faultsAreOver(w)
+					sim.SetSoldOut("a", false)
+					c.hit(sim, false, ids)
+					faultsAreOver(sim)
 					at(300 * time.Second)
-					mustFinish(t, w, same)
-					for _, j := range []simulator.Truth{sameS, boundS, spread} {
-						mustRun(t, w, j, "of "+string(j.Spec.ID)+" when all is over")
+					mustFinish(t, sim, same)
+					for _, j := range []simulator.JobScript{sameS, boundS, spread} {
+						mustRun(t, sim, j, "of "+string(j.Spec.ID)+" when all is over")
 					}
-					w.Checked(func(c *simulator.Checker) {
+					sim.WithChecker(func(c *simulator.Checker) {
 						if n := c.Waiting(bound.Spec.ID); n > 0 {
 							t.Errorf("%d of the bound array's 8 tasks wait 110 s after the troubles", n)
 						}
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -18,25 +18,25 @@
 	for _, leads := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), 37, func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 30)
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(a, 0)
+				sim.Submit(s, 0)
+				sim.Submit(a, 0)
 				at(45 * time.Second)
-				z := leaderZoneOrOther(w, leads)
-				w.CutZone(z, true)
+				z := leaderZoneOrOther(sim, leads)
+				sim.IsolateZone(z, true)
 				at(78 * time.Second)
-				mustRun(t, w, s, "33 s after their zone was cut off")
-				if l := w.Leader(); l < 0 || w.Config(l).Zone == z {
+				mustRun(t, sim, s, "33 s after their zone was cut off")
+				if l := sim.Leader(); l < 0 || sim.Config(l).Zone == z {
 					t.Errorf("the leader is %d", l)
 				}
-				w.CutZone(z, false)
+				sim.IsolateZone(z, false)
 				at(95 * time.Second)
-				mustRun(t, w, s, "when the zone is back")
-				mustRestartNoTask(t, w)
+				mustRun(t, sim, s, "when the zone is back")
+				mustRestartNoTask(t, sim)
 				at(200 * time.Second)
-				mustFinish(t, w, a)
+				mustFinish(t, sim, a)
 			})
 		})
 	}
@@ -50,18 +50,18 @@
 	for _, c := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
 		t.Run(fmt.Sprintf("%s, leader in %s", c[0], c[1]), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 50, func(w *simulator.World, at func(time.Duration)) {
+			runOnUnevenLayout(t, 50, func(sim *simulator.Simulation, at func(time.Duration)) {
 				a, b := array(1, 18, 40), array(2, 6, 20)
 				at(2 * time.Second)
-				moveLeadershipTo(t, w, c[1])
-				w.Submit(a, 0)
+				moveLeadershipTo(t, sim, c[1])
+				sim.Submit(a, 0)
 				at(45 * time.Second)
-				w.CutZone(c[0], true)
+				sim.IsolateZone(c[0], true)
 				time.Sleep(8 * time.Second)
-				w.Submit(b, 0)
+				sim.Submit(b, 0)
 				time.Sleep(160 * time.Second)
-				mustFinish(t, w, a, b)
-				w.CutZone(c[0], false)
+				mustFinish(t, sim, a, b)
+				sim.IsolateZone(c[0], false)
 				time.Sleep(60 * time.Second)
 			})
 		})
@@ -77,28 +77,28 @@
 	for _, leader := range []wire.Zone{"a", "b"} {
 		t.Run("leader in "+string(leader), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 51, func(w *simulator.World, at func(time.Duration)) {
+			runOnUnevenLayout(t, 51, func(sim *simulator.Simulation, at func(time.Duration)) {
 				a := array(1, 18, 70)
 				at(2 * time.Second)
-				moveLeadershipTo(t, w, leader)
-				w.Submit(a, 0)
+				moveLeadershipTo(t, sim, leader)
+				sim.Submit(a, 0)
 				at(60 * time.Second)
-				l := w.Leader()
-				w.Part("a", "b", true)
+				l := sim.Leader()
+				sim.PartitionZones("a", "b", true)
 				time.Sleep(20 * time.Second)
 				for i := range 3 {
-					if status, _, _ := w.Ask(i, "GET", "/ready", nil); status != 200 {
+					if status, _, _ := sim.Ask(i, "GET", "/ready", nil); status != 200 {
 						t.Errorf("/ready of node %d answers %d", i, status)
 					}
 				}
 				time.Sleep(16 * time.Second)
-				w.Part("a", "b", false)
-				if w.Leader() != l {
+				sim.PartitionZones("a", "b", false)
+				if sim.Leader() != l {
 					t.Error("the office changed hands")
 				}
 				time.Sleep(80 * time.Second)
-				mustFinish(t, w, a)
-				mustRestartNoTask(t, w)
+				mustFinish(t, sim, a)
+				mustRestartNoTask(t, sim)
 			})
 		})
 	}
@@ -112,25 +112,25 @@
 	for _, leads := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), 38, func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, gone := service(1, 4), service(2, 6)
 				at(2 * time.Second)
-				w.Submit(s, 0)
-				w.Submit(gone, 44*time.Second)
+				sim.Submit(s, 0)
+				sim.Submit(gone, 44*time.Second)
 				at(45 * time.Second)
-				z := leaderZoneOrOther(w, leads)
-				w.CloudOutage(true)
-				w.CutZone(z, true)
+				z := leaderZoneOrOther(sim, leads)
+				sim.CloudOutage(true)
+				sim.IsolateZone(z, true)
 				at(115 * time.Second)
-				w.Checked(func(c *simulator.Checker) {
-					if n := c.On(gone.Spec.ID); n != 0 {
+				sim.WithChecker(func(c *simulator.Checker) {
+					if n := c.OnMachines(gone.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run behind the cut", n)
 					}
 				})
-				w.CutZone(z, false)
-				w.CloudOutage(false)
+				sim.IsolateZone(z, false)
+				sim.CloudOutage(false)
 				at(160 * time.Second)
-				mustRun(t, w, s, "when all is over")
+				mustRun(t, sim, s, "when all is over")
 			})
 		})
 	}
@@ -145,50 +145,50 @@
 	for _, inside := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 62, func(w *simulator.World, at func(time.Duration)) {
+			runOnUnevenLayout(t, 62, func(sim *simulator.Simulation, at func(time.Duration)) {
 				z := wire.Zone("b") // node 1
-				in := func(j simulator.Truth) simulator.Truth { j.Spec.Zone = z; return j }
+				in := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = z; return j }
 				stays, same := in(array(1, 4, 120)), array(2, 3, 60)
 				same.Spec.SameZone = true
-				whole := func(j simulator.Truth) simulator.Truth { j.Spec.Spread = false; return in(j) }
+				whole := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return in(j) }
 				before, early, late, unborn := whole(service(3, 2)), whole(service(4, 2)), whole(service(5, 2)), whole(service(6, 2))
 				free := array(7, 6, 30)
 				at(2 * time.Second)
-				if moveLeadershipTo(t, w, "a"); inside {
-					moveLeadershipTo(t, w, z)
+				if moveLeadershipTo(t, sim, "a"); inside {
+					moveLeadershipTo(t, sim, z)
 				}
-				for _, j := range []simulator.Truth{stays, same, before, early, late} {
-					w.Submit(j, 0)
+				for _, j := range []simulator.JobScript{stays, same, before, early, late} {
+					sim.Submit(j, 0)
 				}
 				time.Sleep(40 * time.Second)
-				w.Submit(free, 0)
+				sim.Submit(free, 0)
 				time.Sleep(5 * time.Second)
-				cancelAtController(t, w, 0, before)
+				cancelAtController(t, sim, 0, before)
 				cut := time.Now()
-				w.CloudOutage(true)
-				w.CutZone(z, true)
-				w.Checked(func(c *simulator.Checker) {
-					if c.On(early.Spec.ID) != 2 || c.On(late.Spec.ID) != 2 || c.On(stays.Spec.ID) == 0 {
+				sim.CloudOutage(true)
+				sim.IsolateZone(z, true)
+				sim.WithChecker(func(c *simulator.Checker) {
+					if c.OnMachines(early.Spec.ID) != 2 || c.OnMachines(late.Spec.ID) != 2 || c.OnMachines(stays.Spec.ID) == 0 {
 						t.Error("not all that should runs in the zone when it is cut off")
 					}
 				})
 				time.Sleep(3 * time.Second)
-				cancelAtController(t, w, 0, early)
-				w.Submit(unborn, 0)
+				cancelAtController(t, sim, 0, early)
+				sim.Submit(unborn, 0)
 				time.Sleep(15 * time.Second)
-				cancelAtController(t, w, 0, unborn)
-				confirmed := cancelAtController(t, w, 0, late)
-				if time.Since(cut) > w.Set.Workers.LeaseS.Duration() || !confirmed.After(cut) {
+				cancelAtController(t, sim, 0, unborn)
+				confirmed := cancelAtController(t, sim, 0, late)
+				if time.Since(cut) > sim.Settings.Workers.LeaseS.Duration() || !confirmed.After(cut) {
 					t.Errorf("cancelled %v after the cut", confirmed.Sub(cut))
 				}
 				time.Sleep(50 * time.Second)
-				if time.Since(cut) < w.Set.Workers.LeaseS.Duration()*2 {
+				if time.Since(cut) < sim.Settings.Workers.LeaseS.Duration()*2 {
 					t.Error("the cut was too short")
 				}
-				w.CutZone(z, false)
+				sim.IsolateZone(z, false)
 				time.Sleep(2 * time.Second)
-				w.CloudOutage(false)
-				mustRecover(t, w, 3, stays, same, free)
+				sim.CloudOutage(false)
+				mustRecover(t, sim, 3, stays, same, free)
 			})
 		})
 	}
@@ -203,55 +203,55 @@
 	for elected, cut := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
 		t.Run(fmt.Sprintf("cut for %v, another leader %v", cut, elected), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(3), 68, func(w *simulator.World, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(3), 68, func(sim *simulator.Simulation, at func(time.Duration)) {
 				a, s, room := array(1, 14, 120), service(2, 4), array(3, 6, 300)
 				room.Spec.Zone = "a"
 				at(2 * time.Second)
-				moveLeadershipTo(t, w, "a")
-				w.Submit(a, 0)
-				w.Submit(s, 0)
-				w.Submit(room, 0)
+				moveLeadershipTo(t, sim, "a")
+				sim.Submit(a, 0)
+				sim.Submit(s, 0)
+				sim.Submit(room, 0)
 				time.Sleep(60 * time.Second)
-				l := w.Leader()
-				w.CutZone("b", true)
-				w.CloudOutage(true) // nothing is returned
+				l := sim.Leader()
+				sim.IsolateZone("b", true)
+				sim.CloudOutage(true) // nothing is returned
 				if elected {
-					w.Kill(l)
-					awaitOtherLeader(t, w, l, 10*time.Second)
-					startControllers(t, w, l)
+					sim.KillController(l)
+					awaitOtherLeader(t, sim, l, 10*time.Second)
+					startControllers(t, sim, l)
 				}
 				time.Sleep(cut - 300*time.Millisecond)
 				there := 0
-				w.Checked(func(c *simulator.Checker) { there = c.InZones(a.Spec.ID)["b"] })
+				sim.WithChecker(func(c *simulator.Checker) { there = c.TasksByZone(a.Spec.ID)["b"] })
 				if there == 0 {
 					t.Error("nothing runs behind the cut")
 				}
-				cancelAtController(t, w, w.Leader(), room) // now there is room to start it elsewhere
-				w.Kill(1)
+				cancelAtController(t, sim, sim.Leader(), room) // now there is room to start it elsewhere
+				sim.KillController(1)
 				time.Sleep(200 * time.Millisecond)
-				startControllers(t, w, 1)
+				startControllers(t, sim, 1)
 				time.Sleep(100 * time.Millisecond)
 				// Machines take some seconds longer to be heard than controllers.
 				var silent []string
-				for _, id := range append(w.Holds(a.Spec.ID), w.Holds(s.Spec.ID)...) {
-					if w.Zone(id) == "b" {
-						silent = append(silent, w.IP(id))
+				for _, id := range append(sim.MachinesRunning(a.Spec.ID), sim.MachinesRunning(s.Spec.ID)...) {
+					if sim.MachineZone(id) == "b" {
+						silent = append(silent, sim.MachineIP(id))
 					}
 				}
 				hold := func(on bool) {
 					for _, ip := range silent {
 						for i := range 3 {
-							w.Net.Cut(simulator.NodeIP(i), ip, on)
+							sim.Net.Cut(simulator.NodeIP(i), ip, on)
 						}
 					}
 				}
 				hold(true)
-				w.CutZone("b", false)
+				sim.IsolateZone("b", false)
 				time.Sleep(2500 * time.Millisecond)
 				hold(false)
 				time.Sleep(8 * time.Second)
-				w.CloudOutage(false)
-				mustRecover(t, w, 3, a, s)
+				sim.CloudOutage(false)
+				mustRecover(t, sim, 3, a, s)
 			})
 		})
 	}
--- /dev/null
+++ b/internal/simulator/checker.go
@@ -0,0 +1,193 @@
+package simulator
+
+import (
+	"fmt"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// Rule of PROTOCOL's list.
+type Rule string
+
+// The rules.
+const (
+	RanTwice     Rule = "ran_twice"
+	Quota        Rule = "quota"
+	WrongPlace   Rule = "wrong_place"
+	RanCancelled Rule = "ran_cancelled"
+	Forgotten    Rule = "forgotten"
+	Invented     Rule = "invented"
+	NotDone      Rule = "not_done"
+	WentBack     Rule = "went_back"
+	NothingRan   Rule = "nothing_ran"
+	// Unserved is checked at the end of a day: half of each class, of each
+	// team and of each class's largest jobs must have begun, the largest ones
+	// within four minutes.
+	Unserved Rule = "unserved"
+	// AcceptedWrongly: a submission that is malformed or can never run was
+	// accepted; RefusedWrongly: one that is neither was answered 400 or 422.
+	AcceptedWrongly Rule = "accepted_wrongly"
+	RefusedWrongly  Rule = "refused_wrongly"
+	// LeftWaiting: while all was calm a job started nothing although a machine
+	// that fits had room all that time and its team was under its limit.
+	LeftWaiting Rule = "left_waiting"
+	// HalfRun: a gang ran without some of its tasks.
+	HalfRun Rule = "half_run"
+)
+
+// NoRetryAfter is broken by a refusal for now that does not say when to come back.
+const NoRetryAfter Rule = "no_retry_after"
+
+// Violation of a rule.
+type Violation struct {
+	Rule Rule
+	What string
+	At   time.Time
+}
+
+// Place of a machine, as far as rules care.
+type Place struct {
+	Machine wire.MachineID
+	Type    wire.MachineType
+	Zone    wire.Zone
+	Spot    bool
+}
+
+// TeamLimit of a team; 0: none.
+type TeamLimit struct{ CPUs, GPUs float64 }
+
+// Checker watches what the fakes see and notes every broken rule. It is
+// fed by calls only and takes the time from its caller.
+type Checker struct {
+	CancelS      time.Duration
+	Limits       map[wire.TeamID]TeamLimit
+	MachineSpecs []wire.MachineSpec // nil: not known, and what fits is not judged
+	Violations   []Violation
+
+	jobs   map[wire.JobID]*jobHistory
+	on     map[wire.Task]Place
+	starts int
+	// again counts the starts of tasks that had been started before.
+	restarts    int
+	everStarted map[wire.Task]bool
+	// lastAnswered is when a user's poll was last answered.
+	lastAnswered time.Time
+	// polls of all users.
+	polls pollCount
+	// calm is since when all faults are over, by the test's word; zero: not
+	// yet. quiet is the same by what the simulation sees.
+	faultsOverSince, noFaultSince time.Time
+	// late counts starts after a cancellation was confirmed, lateDone polls
+	// that were not told done in time.
+	lateStarts, lateDone int
+	// latest is the latest time that the checker was told.
+	latest time.Time
+	// posted are the ids that some submission named, in whatever form.
+	posted map[wire.JobID]bool
+}
+
+type jobHistory struct {
+	spec              wire.Spec
+	accepted          bool
+	finalStatus       wire.Status // the final state that a user was told
+	finalToldAt       time.Time
+	cancelRequested   bool
+	cancelRequestedAt time.Time // when its user first asked to cancel
+	cancelToldAt      time.Time // when a user was told
+	overstayNoted     bool      // noted that it outlives its cancellation
+	done              map[int]bool
+	completed         time.Time // of the last task
+	notDoneToldAt     time.Time // when a user was told last that it goes on nevertheless
+	unansweredSince   time.Time // since when every poll failed
+	pollsUntilThen    pollCount // all polls until then, and its own since
+	submittedAt       time.Time // of the first attempt to submit
+	acceptedAt        time.Time // of the acceptance
+	startedAt         time.Time // of the first task
+	end               endHistory
+	waits             waitHistory
+}
+
+// pollCount of polls.
+type pollCount struct{ answered, failed int }
+
+// NewChecker makes a checker.
+func NewChecker(cancelS time.Duration, limits map[wire.TeamID]TeamLimit) *Checker {
+	return &Checker{CancelS: cancelS, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, on: map[wire.Task]Place{}, everStarted: map[wire.Task]bool{}, posted: map[wire.JobID]bool{}}
+}
+
+// noteTime notes how late it is.
+func (c *Checker) noteTime(now time.Time) {
+	if now.After(c.latest) {
+		c.latest = now
+	}
+}
+
+func (c *Checker) violated(at time.Time, r Rule, format string, args ...any) {
+	c.Violations = append(c.Violations, Violation{r, fmt.Sprintf(format, args...), at})
+}
+
+// FaultsOver notes that all faults are over from now on.
+func (c *Checker) FaultsOver(now time.Time) { c.faultsOverSince = now }
+
+// ObserveFaults notes whether the simulation sees a fault now; over since a time.
+func (c *Checker) ObserveFaults(since time.Time, quiet bool) {
+	if !quiet {
+		since = time.Time{}
+	}
+	c.noFaultSince = since
+}
+
+// faultsOverFor tells whether all faults have been over for so long.
+func (c *Checker) faultsOverFor(now time.Time, long time.Duration) bool {
+	return !c.faultsOverSince.IsZero() && now.Sub(c.faultsOverSince) > long || !c.noFaultSince.IsZero() && now.Sub(c.noFaultSince) > long
+}
+
+// largestStartWithin is when the largest jobs must have begun.
+const largestStartWithin = 4 * time.Minute
+
+// checkAllServed checks that no class, team or size was left out.
+func (c *Checker) checkAllServed(now time.Time) {
+	type share struct{ all, served int }
+	count := map[string]*share{}
+	add := func(what string, served bool) {
+		k := count[what]
+		if k == nil {
+			k = &share{}
+			count[what] = k
+		}
+		k.all++
+		if served {
+			k.served++
+		}
+	}
+	largest := map[string]int{}
+	for _, j := range c.jobs {
+		largest[j.spec.Class] = max(largest[j.spec.Class], j.spec.Tasks)
+	}
+	for _, j := range c.jobs {
+		// A job whose user gave it up in time, or that is too young, tells
+		// nothing.
+		if !j.accepted || j.cancelRequested && j.cancelRequestedAt.Sub(j.submittedAt) < largestStartWithin || now.Sub(j.submittedAt) < largestStartWithin {
+			continue
+		}
+		add("class "+j.spec.Class, !j.startedAt.IsZero())
+		add("team "+string(j.spec.Team), !j.startedAt.IsZero())
+		if j.spec.Tasks*2 > largest[j.spec.Class] {
+			add("the largest of class "+j.spec.Class, !j.startedAt.IsZero() && j.startedAt.Sub(j.submittedAt) <= largestStartWithin)
+		}
+	}
+	for what, k := range count {
+		if k.served*2 < k.all {
+			c.violated(now, Unserved, "%s: %d of %d", what, k.served, k.all)
+		}
+	}
+}
+
+// Finish makes the checks of the end.
+func (c *Checker) Finish(now time.Time) {
+	c.checkAllServed(now)
+	if c.starts == 0 {
+		c.violated(now, NothingRan, "no task was started")
+	}
+}
--- /dev/null
+++ b/internal/simulator/checker_answers.go
@@ -0,0 +1,235 @@
+package simulator
+
+import (
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// Submitted notes a user's attempt to submit.
+func (c *Checker) Submitted(s wire.Spec) {
+	if c.jobs[s.ID] == nil {
+		c.jobs[s.ID] = &jobHistory{spec: s, done: map[int]bool{}, submittedAt: c.latest}
+	}
+}
+
+// Accepted notes a 201 or 200 to a submission.
+func (c *Checker) Accepted(id wire.JobID, now time.Time) {
+	c.noteTime(now)
+	j := c.jobs[id]
+	if j == nil {
+		if !c.posted[id] {
+			c.violated(now, Invented, "%s accepted", id)
+		}
+		return
+	}
+	if why := c.cannotRun(&j.spec); why != "" && !j.accepted {
+		c.violated(now, AcceptedWrongly, "%s accepted, but %s", id, why)
+	}
+	c.noteAccepted(j, now)
+	j.unansweredSince = time.Time{}
+}
+
+// noteAccepted notes that a user knows that the job is accepted.
+func (c *Checker) noteAccepted(j *jobHistory, now time.Time) {
+	if !j.accepted {
+		j.accepted, j.acceptedAt = true, now
+		if j.submittedAt.IsZero() {
+			j.submittedAt = now
+		}
+	}
+}
+
+// Refused notes the answer to a submission that is not retried.
+func (c *Checker) Refused(id wire.JobID, status int, now time.Time) {
+	c.noteTime(now)
+	j := c.jobs[id]
+	if j == nil || status != 400 && status != 422 {
+		return
+	}
+	if j.accepted {
+		c.violated(now, Forgotten, "repeated submission of %s answered %d", id, status)
+	} else if c.MachineSpecs != nil && c.cannotRun(&j.spec) == "" {
+		c.violated(now, RefusedWrongly, "%s answered %d", id, status)
+	}
+}
+
+// CancelRequested notes that a user asks to cancel.
+func (c *Checker) CancelRequested(id wire.JobID) {
+	if j := c.jobs[id]; j != nil && !j.cancelRequested {
+		j.cancelRequested, j.cancelRequestedAt = true, c.latest
+	}
+}
+
+// SubmissionAnswered notes the answer to a submission that was sent at a certain time.
+func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, asked, now time.Time) {
+	var sent, got wire.JobSummary
+	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
+		return
+	}
+	j := c.jobs[sent.ID]
+	switch {
+	case status != 200 && status != 201:
+		c.Refused(sent.ID, status, now)
+		return
+	case status == 201 && j.accepted && !asked.Before(j.acceptedAt):
+		c.violated(now, Forgotten, "%s accepted anew", sent.ID)
+	}
+	c.Accepted(sent.ID, now)
+	if wire.Decode(answer, &got) == nil && got.ID == sent.ID {
+		c.StatusTold(sent.ID, got.Status, asked, now)
+	}
+}
+
+// CancelAnswered notes the answer to a request to cancel.
+func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, asked, now time.Time) {
+	c.noteTime(now)
+	j := c.jobs[id]
+	switch {
+	case status == 404 && j != nil && j.accepted && !asked.Before(j.acceptedAt):
+		c.violated(now, Forgotten, "cancellation of %s answered 404", id)
+	case status == 200 && j == nil && !c.posted[id]:
+		c.violated(now, Invented, "cancellation of %s answered 200", id)
+	case status == 200 && j != nil:
+		var got wire.JobSummary
+		if wire.Decode(answer, &got) == nil {
+			c.StatusTold(id, got.Status, asked, now)
+		}
+	}
+}
+
+// PollAnsweredNow notes the answer of now to a poll of now; status 0: none.
+func (c *Checker) PollAnsweredNow(id wire.JobID, status int, st wire.Status, now time.Time) {
+	c.PollAnswered(id, status, st, now, now)
+}
+
+// PollAnswered notes the answer to a poll that was sent at a certain time; status
+// 0: none.
+func (c *Checker) PollAnswered(id wire.JobID, status int, st wire.Status, asked, now time.Time) {
+	c.noteTime(now)
+	j := c.jobs[id]
+	if status == 200 || status == 404 {
+		c.polls.answered++
+	} else {
+		c.polls.failed++
+	}
+	switch {
+	case status == 200 && j == nil:
+		if !c.posted[id] {
+			c.violated(now, Invented, "%s answered %s", id, st)
+		}
+	case status == 404 && j != nil && j.accepted:
+		// Not so if the question was on its way when its user was told.
+		if !asked.Before(j.acceptedAt) {
+			c.violated(now, Forgotten, "%s answered 404", id)
+		}
+	case status == 200:
+		c.lastAnswered = now
+		j.unansweredSince = time.Time{}
+		c.StatusTold(id, st, asked, now)
+		if !st.Final() && !j.cancelRequested && !j.completed.IsZero() && asked.Sub(j.completed) > 3*time.Second {
+			c.lateDone++
+			j.notDoneToldAt = now
+		}
+	case j != nil && j.accepted:
+		if j.unansweredSince.IsZero() {
+			j.unansweredSince, j.pollsUntilThen = asked, pollCount{c.polls.answered, c.polls.failed - 1}
+		}
+		j.pollsUntilThen.failed++ // its own
+		spell := now.Sub(j.unansweredSince)
+		most := c.polls.answered-j.pollsUntilThen.answered > c.polls.failed-j.pollsUntilThen.failed
+		others := spell > 90*time.Second && (most || now.Sub(c.lastAnswered) < 10*time.Second)
+		calm := c.faultsOverFor(now, 75*time.Second) && spell > 75*time.Second
+		if others || calm {
+			c.violated(now, Forgotten, "every poll for %s fails", id)
+			j.unansweredSince = time.Time{}
+		}
+	}
+}
+
+// StatusToldNow notes a state that a user was told now, by whatever answer.
+func (c *Checker) StatusToldNow(id wire.JobID, st wire.Status, now time.Time) {
+	c.StatusTold(id, st, now, now)
+}
+
+// StatusTold notes a state that a user was told in answer to a question that
+// was sent at a certain time: what was on its way when a newer answer arrived
+// may be older. Final states exclude each other whenever they were asked for.
+func (c *Checker) StatusTold(id wire.JobID, st wire.Status, asked, now time.Time) {
+	c.noteTime(now)
+	j := c.jobs[id]
+	if j == nil {
+		return
+	}
+	c.noteAccepted(j, now)
+	if j.finalStatus != "" && st != j.finalStatus && (st.Final() || !asked.Before(j.finalToldAt)) {
+		c.violated(now, WentBack, "%s was %s and is called %s", id, j.finalStatus, st)
+	}
+	switch st {
+	case wire.Done:
+		if len(j.done) < j.spec.Tasks || j.spec.Service() {
+			c.violated(now, NotDone, "%s called done with %d of %d tasks", id, len(j.done), j.spec.Tasks)
+		}
+	case wire.Cancelled:
+		if !j.cancelRequested {
+			c.violated(now, WentBack, "%s called cancelled, which nobody asked for", id)
+		}
+		if j.finalStatus == "" {
+			j.cancelToldAt = now
+		}
+	}
+	if st.Final() && j.finalStatus != st {
+		j.finalStatus, j.finalToldAt = st, now
+	}
+}
+
+// endHistory is what the checker keeps of a job for burst readers.
+type endHistory struct {
+	ended   chan struct{} // closed when the last task has completed
+	endedAt time.Time
+	at      time.Time // when the newest answer arrived
+}
+
+// knownStatus is the newest that users had been told of a job when a question left.
+type knownStatus struct {
+	accepted bool
+	final    wire.Status
+}
+
+func (m knownStatus) String() string {
+	switch {
+	case m.final != "":
+		return string(m.final)
+	case m.accepted:
+		return "accepted"
+	}
+	return "new"
+}
+
+// answered checks an answer against what had been told when its question left.
+// Answers to questions that crossed each other may come in either order, but
+// there is one end only.
+func (c *Checker) answered(id wire.JobID, m knownStatus, op string, status int, st wire.Status, now time.Time) {
+	j := c.jobs[id]
+	switch {
+	case j == nil:
+		if status == 200 || status == 201 {
+			c.violated(now, Invented, "%s answered %d to %s", id, status, op)
+		}
+		return
+	case status == 404 && m.accepted, (status == 400 || status == 422) && m.accepted:
+		c.violated(now, Forgotten, "%s was %s and %s is answered %d", id, m, op, status)
+	case status == 201 && m.accepted:
+		c.violated(now, WentBack, "%s was %s and is accepted again", id, m)
+	case status == 200 && m.final != "" && st != m.final:
+		c.violated(now, WentBack, "%s was %s and %s is answered %s", id, m, op, st)
+	case status == 200 && st.Final():
+		c.StatusToldNow(id, st, now)
+	}
+	if status == 200 || status == 201 {
+		if op != "cancel" {
+			c.Accepted(id, now)
+		}
+		c.lastAnswered, j.unansweredSince = now, time.Time{}
+	}
+}
--- /dev/null
+++ b/internal/simulator/checker_queries.go
@@ -0,0 +1,139 @@
+package simulator
+
+import (
+	"slices"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// Complete tells whether every task of the job has completed.
+func (c *Checker) Complete(id wire.JobID) bool {
+	j := c.jobs[id]
+	return j != nil && len(j.done) == j.spec.Tasks
+}
+
+// Completed counts the job's tasks that have completed.
+func (c *Checker) Completed(id wire.JobID) int {
+	if j := c.jobs[id]; j != nil {
+		return len(j.done)
+	}
+	return 0
+}
+
+// Finished counts the jobs that users were told the end of.
+func (c *Checker) Finished() (done, cancelled int) {
+	for _, j := range c.jobs {
+		switch j.finalStatus {
+		case wire.Done:
+			done++
+		case wire.Cancelled:
+			cancelled++
+		}
+	}
+	return
+}
+
+// OnMachines counts the tasks of a job that are on machines.
+func (c *Checker) OnMachines(id wire.JobID) int {
+	n := 0
+	for t := range c.on {
+		if t.Job == id {
+			n++
+		}
+	}
+	return n
+}
+
+// TasksByZone counts a job's tasks on machines by zone.
+func (c *Checker) TasksByZone(id wire.JobID) map[wire.Zone]int {
+	n := map[wire.Zone]int{}
+	for t, p := range c.on {
+		if t.Job == id {
+			n[p.Zone]++
+		}
+	}
+	return n
+}
+
+// CPUsUsed is how many processors a team's tasks use that are on machines.
+func (c *Checker) CPUsUsed(team wire.TeamID) float64 {
+	n := 0.0
+	for t := range c.on {
+		if j := c.jobs[t.Job]; j != nil && j.spec.Team == team {
+			n += j.spec.CPUs
+		}
+	}
+	return n
+}
+
+// Waiting counts the tasks of a job that have neither completed nor are on a
+// machine.
+func (c *Checker) Waiting(id wire.JobID) int {
+	j, n := c.jobs[id], 0
+	for i := range j.spec.Tasks {
+		if _, on := c.on[wire.Task{Job: id, Index: i}]; !on && !j.done[i] {
+			n++
+		}
+	}
+	return n
+}
+
+// TimeToStart is how long a job waited for its first task; false: it still waits.
+func (c *Checker) TimeToStart(id wire.JobID) (time.Duration, bool) {
+	j := c.jobs[id]
+	return j.startedAt.Sub(j.acceptedAt), !j.startedAt.IsZero()
+}
+
+// CompletedAt tells when a job's last task completed, Began when its first began and
+// Told how it ended by its user's knowledge.
+func (c *Checker) CompletedAt(id wire.JobID) time.Time { return c.jobs[id].end.endedAt }
+
+// FinalStatus is the end of a job as far as users were told.
+func (c *Checker) FinalStatus(id wire.JobID) wire.Status { return c.jobs[id].finalStatus }
+
+// CancelConfirmedAt is when a user was first told that the job is cancelled.
+func (c *Checker) CancelConfirmedAt(id wire.JobID) (time.Time, bool) {
+	j := c.jobs[id]
+	if j == nil || j.finalStatus != wire.Cancelled {
+		return time.Time{}, false
+	}
+	return j.cancelToldAt, true
+}
+
+// AcceptedAndNotCancelled lists the accepted jobs that nobody asked to cancel.
+func (c *Checker) AcceptedAndNotCancelled() []wire.JobID {
+	var out []wire.JobID
+	for id, j := range c.jobs {
+		if j.accepted && !j.cancelRequested {
+			out = append(out, id)
+		}
+	}
+	slices.Sort(out)
+	return out
+}
+
+// ToldSoFar is what users were told of a job so far: 0 nothing, 1 that it is accepted,
+// 2 that it is over.
+func (c *Checker) ToldSoFar(id wire.JobID) int {
+	switch j := c.jobs[id]; {
+	case j == nil:
+		return 0
+	case j.finalStatus != "":
+		return 2
+	case j.accepted:
+		return 1
+	}
+	return 0
+}
+
+// LateStarts counts the starts after a user was told that the job is cancelled,
+// also those within the time in which its tasks must be gone.
+func (c *Checker) LateStarts() int { return c.lateStarts }
+
+// LateDone counts the polls that were sent more than 3 s after a job's last task
+// had completed and were not answered with its end.
+func (c *Checker) LateDone() int { return c.lateDone }
+
+// Restarts counts the starts of tasks that had been started before.
+func (c *Checker) Restarts() int { return c.restarts }
--- /dev/null
+++ b/internal/simulator/checker_tasks.go
@@ -0,0 +1,150 @@
+package simulator
+
+import (
+	"slices"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// TaskStarted notes that a task is on a machine now.
+func (c *Checker) TaskStarted(t wire.Task, p Place, now time.Time) {
+	c.noteTime(now)
+	c.starts++
+	if c.everStarted[t] {
+		c.restarts++
+	}
+	c.everStarted[t] = true
+	j := c.jobs[t.Job]
+	if j == nil {
+		c.violated(now, WrongPlace, "%s was never submitted", t)
+		return
+	}
+	j.waits.end()
+	if !j.cancelToldAt.IsZero() {
+		c.lateStarts++
+	}
+	c.noteOnMachine(t, j, p, now, "starts")
+	if j.startedAt.IsZero() && !j.spec.Gang() {
+		j.startedAt = now // a gang begins when all of it runs
+	}
+	s := &j.spec
+	if p.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != p.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, p.Type) {
+		c.violated(now, WrongPlace, "%s on %v", t, p)
+	}
+	inZone, elsewhere := 0, 0
+	var used TeamLimit
+	for o, at := range c.on {
+		oj := c.jobs[o.Job]
+		if o.Job == t.Job {
+			if at.Zone == p.Zone {
+				inZone++
+			} else {
+				elsewhere++
+			}
+		}
+		if oj.spec.Team == s.Team {
+			used.CPUs += oj.spec.CPUs
+			used.GPUs += oj.spec.GPUs
+		}
+	}
+	if s.Spread && inZone > (s.Tasks+1)/2 || s.SameZone && elsewhere > 0 {
+		c.violated(now, WrongPlace, "%s in %s with %d there and %d elsewhere", t, p.Zone, inZone-1, elsewhere)
+	}
+	if l := c.Limits[s.Team]; l.CPUs > 0 && used.CPUs > l.CPUs+wire.Eps || l.GPUs > 0 && used.GPUs > l.GPUs+wire.Eps {
+		c.violated(now, Quota, "team %s uses %.1f cpus", s.Team, used.CPUs)
+	}
+}
+
+// TaskResumed notes that a task goes on after its machine hung: like a start, but
+// for what depends on where it was started.
+func (c *Checker) TaskResumed(t wire.Task, p Place, now time.Time) {
+	c.noteTime(now)
+	if j := c.jobs[t.Job]; j != nil {
+		c.noteOnMachine(t, j, p, now, "goes on")
+	}
+}
+
+func (c *Checker) noteOnMachine(t wire.Task, j *jobHistory, p Place, now time.Time, what string) {
+	if at, on := c.on[t]; on && at.Machine != p.Machine {
+		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, at.Machine, what, p.Machine)
+	}
+	c.on[t] = p
+	if !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelS {
+		c.violated(now, RanCancelled, "%s %s on %s", t, what, p.Machine)
+	}
+}
+
+// TaskLeft notes that a task is no longer on a machine.
+func (c *Checker) TaskLeft(t wire.Task, m wire.MachineID, done bool) {
+	if at, on := c.on[t]; on && at.Machine == m {
+		delete(c.on, t)
+	}
+	if j := c.jobs[t.Job]; j != nil && done {
+		j.done[t.Index] = true
+		j.noteAllDone()
+	}
+}
+
+// TaskFailed notes that a task failed: it may be tried again later, and elsewhere.
+func (c *Checker) TaskFailed(t wire.Task, m wire.MachineID) {
+	if j := c.jobs[t.Job]; j != nil {
+		j.waits.end()
+		if j.waits.failed == nil {
+			j.waits.failed = map[wire.MachineID]bool{}
+		}
+		j.waits.failed[m] = true
+	}
+}
+
+// noteAllDone notes that the last task has completed.
+func (j *jobHistory) noteAllDone() {
+	if len(j.done) == j.spec.Tasks && j.end.endedAt.IsZero() {
+		j.end.endedAt = time.Now()
+		if j.end.ended != nil {
+			close(j.end.ended)
+		}
+	}
+}
+
+// Tick looks for tasks of cancelled jobs that are still on a machine.
+func (c *Checker) Tick(now time.Time) {
+	c.noteTime(now)
+	for t, p := range c.on {
+		// Once for each job is enough.
+		if j := c.jobs[t.Job]; !j.overstayNoted && !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelS {
+			c.violated(now, RanCancelled, "%s still on %s", t, p.Machine)
+			j.overstayNoted = true
+		}
+	}
+	for _, j := range c.jobs {
+		if j.completed.IsZero() && len(j.done) >= j.spec.Tasks {
+			j.completed = now
+		}
+	}
+}
+
+// GangBegan notes that a gang runs: all its tasks are on machines.
+func (c *Checker) GangBegan(id wire.JobID, now time.Time) {
+	c.noteTime(now)
+	j := c.jobs[id]
+	if j == nil {
+		return
+	}
+	if n := c.OnMachines(id); n != j.spec.Tasks {
+		c.violated(now, HalfRun, "%s runs with %d of %d tasks on machines", id, n, j.spec.Tasks)
+	}
+	if j.startedAt.IsZero() {
+		j.startedAt = now
+	}
+}
+
+// GangDone notes that a gang has completed: its tasks complete together.
+func (c *Checker) GangDone(id wire.JobID) {
+	if j := c.jobs[id]; j != nil {
+		for i := range j.spec.Tasks {
+			j.done[i] = true
+		}
+		j.noteAllDone()
+	}
+}
--- a/internal/simulator/check_test.go
+++ b/internal/simulator/checker_test.go
@@ -8,14 +8,14 @@
 )
 
 // beside is a machine with room for two tasks of the tests' job.
-var beside = Room{Place: Place{Machine: "n-1", Kit: "c4", Zone: "a"}, Open: true, CPUs: 8, RAM: 8, ImageRoom: 20}
+var beside = MachineRoom{Place: Place{Machine: "n-1", Type: "c4", Zone: "a"}, Usable: true, CPUs: 8, MemoryGB: 8, DiskGB: 20}
 
 // survey shows a quiet world with that machine for some seconds.
 func survey(c *Checker, seconds int) {
 	t0 := time.Unix(1000, 0)
 	for s := range seconds {
-		c.Quiet(t0, true)
-		c.Survey([]Room{beside}, t0.Add(time.Duration(s)*time.Second))
+		c.ObserveFaults(t0, true)
+		c.ObserveRoom([]MachineRoom{beside}, t0.Add(time.Duration(s)*time.Second))
 	}
 }
 
@@ -30,119 +30,119 @@
 func TestEveryRuleCanBreak(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	spec := wire.Spec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, Spread: true}
-	here := Place{Machine: "n-1", Kit: "c4", Zone: "a"}
-	there := Place{Machine: "n-2", Kit: "c4", Zone: "b"}
+	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
+	there := Place{Machine: "n-2", Type: "c4", Zone: "b"}
 	task := func(i int) wire.Task { return wire.Task{Job: "req-1", Index: i} }
 	cases := map[string]struct {
 		rule Rule
 		do   func(c *Checker)
 	}{
-		"on two machines": {RanTwice, func(c *Checker) { c.Started(task(0), here, t0); c.Started(task(0), there, t0) }},
+		"on two machines": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(0), there, t0) }},
 		"over the limit": {Quota, func(c *Checker) {
-			c.Started(task(0), here, t0)
-			c.Started(task(1), there, t0)
-			c.Started(task(2), there, t0)
+			c.TaskStarted(task(0), here, t0)
+			c.TaskStarted(task(1), there, t0)
+			c.TaskStarted(task(2), there, t0)
 		}},
-		"spot not allowed": {WrongPlace, func(c *Checker) { c.Started(task(0), Place{Machine: "n-3", Zone: "a", Spot: true}, t0) }},
+		"spot not allowed": {WrongPlace, func(c *Checker) { c.TaskStarted(task(0), Place{Machine: "n-3", Zone: "a", Spot: true}, t0) }},
 		"too many in a zone": {WrongPlace, func(c *Checker) {
 			c.Limits = nil
 			for i := range 3 {
-				c.Started(task(i), here, t0)
+				c.TaskStarted(task(i), here, t0)
 			}
 		}},
 		"starts after a cancel": {RanCancelled, func(c *Checker) {
-			c.CancelAsked("req-1")
-			c.Told("req-1", wire.Cancelled, t0)
-			c.Started(task(0), here, t0.Add(11*time.Second))
+			c.CancelRequested("req-1")
+			c.StatusToldNow("req-1", wire.Cancelled, t0)
+			c.TaskStarted(task(0), here, t0.Add(11*time.Second))
 		}},
 		"stays after a cancel": {RanCancelled, func(c *Checker) {
-			c.Started(task(0), here, t0)
-			c.CancelAsked("req-1")
-			c.Told("req-1", wire.Cancelled, t0)
+			c.TaskStarted(task(0), here, t0)
+			c.CancelRequested("req-1")
+			c.StatusToldNow("req-1", wire.Cancelled, t0)
 			c.Tick(t0.Add(11 * time.Second))
 		}},
-		"answered 404":        {Forgotten, func(c *Checker) { c.Polled("req-1", 404, "", t0) }},
+		"answered 404":        {Forgotten, func(c *Checker) { c.PollAnsweredNow("req-1", 404, "", t0) }},
 		"repeat answered 422": {Forgotten, func(c *Checker) { c.Refused("req-1", 422, t0) }},
-		"never submitted":     {Invented, func(c *Checker) { c.Polled("req-9", 200, wire.Queued, t0) }},
-		"done too early":      {NotDone, func(c *Checker) { c.Polled("req-1", 200, wire.Done, t0) }},
-		"cancelled by nobody": {WentBack, func(c *Checker) { c.Polled("req-1", 200, wire.Cancelled, t0) }},
+		"never submitted":     {Invented, func(c *Checker) { c.PollAnsweredNow("req-9", 200, wire.Queued, t0) }},
+		"done too early":      {NotDone, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.Done, t0) }},
+		"cancelled by nobody": {WentBack, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.Cancelled, t0) }},
 		"final and then otherwise": {WentBack, func(c *Checker) {
-			c.CancelAsked("req-1")
-			c.Told("req-1", wire.Cancelled, t0)
-			c.Polled("req-1", 200, wire.Running, t0)
+			c.CancelRequested("req-1")
+			c.StatusToldNow("req-1", wire.Cancelled, t0)
+			c.PollAnsweredNow("req-1", 200, wire.Running, t0)
 		}},
 		"polls fail when all is well": {Forgotten, func(c *Checker) {
-			c.Calm(t0)
+			c.FaultsOver(t0)
 			for s := range 80 {
-				c.Polled("req-1", 503, "", t0.Add(time.Duration(s)*time.Second))
+				c.PollAnsweredNow("req-1", 503, "", t0.Add(time.Duration(s)*time.Second))
 			}
 		}},
 		"a class never begins": {Unserved, func(c *Checker) {
 			c.Submitted(wire.Spec{ID: "req-2", Class: "other", Team: "blue"})
-			c.Started(wire.Task{Job: "req-2"}, here, t0)
-			c.End(t0.Add(5 * time.Minute))
+			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
+			c.Finish(t0.Add(5 * time.Minute))
 		}},
 		"the largest begin late": {Unserved, func(c *Checker) {
-			c.Started(task(0), here, t0.Add(250*time.Second))
-			c.End(t0.Add(5 * time.Minute))
+			c.TaskStarted(task(0), here, t0.Add(250*time.Second))
+			c.Finish(t0.Add(5 * time.Minute))
 		}},
-		"goes on elsewhere after a hang": {RanTwice, func(c *Checker) { c.Started(task(0), here, t0); c.Resumed(task(0), there, t0) }},
+		"goes on elsewhere after a hang": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskResumed(task(0), there, t0) }},
 		"goes on after a hang though cancelled": {RanCancelled, func(c *Checker) {
-			c.Started(task(0), here, t0)
-			c.Left(task(0), "n-1", false)
-			c.CancelAsked("req-1")
-			c.Told("req-1", wire.Cancelled, t0)
-			c.Resumed(task(0), here, t0.Add(11*time.Second))
+			c.TaskStarted(task(0), here, t0)
+			c.TaskLeft(task(0), "n-1", false)
+			c.CancelRequested("req-1")
+			c.StatusToldNow("req-1", wire.Cancelled, t0)
+			c.TaskResumed(task(0), here, t0.Add(11*time.Second))
 		}},
 		"one zone, elsewhere": {WrongPlace, func(c *Checker) {
 			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, SameZone: true})
-			c.Started(wire.Task{Job: "req-2", Index: 0}, here, t0)
-			c.Started(wire.Task{Job: "req-2", Index: 1}, there, t0)
+			c.TaskStarted(wire.Task{Job: "req-2", Index: 0}, here, t0)
+			c.TaskStarted(wire.Task{Job: "req-2", Index: 1}, there, t0)
 		}},
 		"wrong type": {WrongPlace, func(c *Checker) {
 			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, MachineTypes: []wire.MachineType{"c16"}})
-			c.Started(wire.Task{Job: "req-2"}, here, t0)
+			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
 		}},
 		"wrong zone": {WrongPlace, func(c *Checker) {
 			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, Zone: "b"})
-			c.Started(wire.Task{Job: "req-2"}, here, t0)
+			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
 		}},
 		"a service called done": {NotDone, func(c *Checker) {
 			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
-			c.Started(wire.Task{Job: "req-2"}, here, t0)
-			c.Left(wire.Task{Job: "req-2"}, "n-1", true)
-			c.Told("req-2", wire.Done, t0)
+			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
+			c.TaskLeft(wire.Task{Job: "req-2"}, "n-1", true)
+			c.StatusToldNow("req-2", wire.Done, t0)
 		}},
 		"404 after a poll that knew it": {Forgotten, func(c *Checker) {
 			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1})
-			c.Polled("req-2", 200, wire.Queued, t0)
-			c.Polled("req-2", 404, "", t0.Add(time.Second))
+			c.PollAnsweredNow("req-2", 200, wire.Queued, t0)
+			c.PollAnsweredNow("req-2", 404, "", t0.Add(time.Second))
 		}},
 		"cancellation answered 404": {Forgotten, func(c *Checker) { c.CancelAnswered("req-1", 404, nil, t0, t0) }},
-		"accepted anew":             {Forgotten, func(c *Checker) { c.Replied(sent(spec), 201, brief("req-1", wire.Queued), t0, t0) }},
+		"accepted anew":             {Forgotten, func(c *Checker) { c.SubmissionAnswered(sent(spec), 201, brief("req-1", wire.Queued), t0, t0) }},
 		"a repeat is answered an older": {WentBack, func(c *Checker) {
-			c.CancelAsked("req-1")
-			c.Told("req-1", wire.Cancelled, t0)
-			c.Replied(sent(spec), 200, brief("req-1", wire.Queued), t0, t0)
+			c.CancelRequested("req-1")
+			c.StatusToldNow("req-1", wire.Cancelled, t0)
+			c.SubmissionAnswered(sent(spec), 200, brief("req-1", wire.Queued), t0, t0)
 		}},
 		"asked before, and two ends": {WentBack, func(c *Checker) {
-			c.CancelAsked("req-1")
+			c.CancelRequested("req-1")
 			for i := range 4 {
-				c.Started(task(i), Place{Machine: "n-1", Zone: wire.Zone(rune('a' + i))}, t0)
-				c.Left(task(i), "n-1", true)
+				c.TaskStarted(task(i), Place{Machine: "n-1", Zone: wire.Zone(rune('a' + i))}, t0)
+				c.TaskLeft(task(i), "n-1", true)
 			}
-			c.Told("req-1", wire.Done, t0.Add(2*time.Second))
-			c.Answered("req-1", 200, wire.Cancelled, t0, t0.Add(3*time.Second))
+			c.StatusToldNow("req-1", wire.Done, t0.Add(2*time.Second))
+			c.PollAnswered("req-1", 200, wire.Cancelled, t0, t0.Add(3*time.Second))
 		}},
 		"cancellation of nothing":  {Invented, func(c *Checker) { c.CancelAnswered("req-9", 200, brief("req-9", wire.Cancelled), t0, t0) }},
 		"accepts what nobody sent": {Invented, func(c *Checker) { c.Accepted("req-9", t0) }},
 		"polls fail although few others do": {Forgotten, func(c *Checker) {
 			for s := range 100 {
 				now := t0.Add(time.Duration(s) * time.Second)
-				c.Polled("req-1", 503, "", now)
+				c.PollAnsweredNow("req-1", 503, "", now)
 				if s < 60 {
-					c.Polled("req-9", 404, "", now)
-					c.Polled("req-9", 404, "", now)
+					c.PollAnsweredNow("req-9", 404, "", now)
+					c.PollAnsweredNow("req-9", 404, "", now)
 				}
 			}
 		}},
@@ -173,26 +173,26 @@
 		"left waiting": {LeftWaiting, func(c *Checker) { survey(c, 100) }},
 		"left waiting, its results lost": {LeftWaiting, func(c *Checker) {
 			for i := range 4 {
-				c.Left(task(i), "n-9", true)
+				c.TaskLeft(task(i), "n-9", true)
 			}
 			c.Tick(t0)
 			for s := range 110 {
 				now := t0.Add(time.Duration(s) * time.Second)
-				c.Polled("req-1", 200, wire.Queued, now)
-				c.Quiet(t0, true)
-				c.Survey([]Room{beside}, now)
+				c.PollAnsweredNow("req-1", 200, wire.Queued, now)
+				c.ObserveFaults(t0, true)
+				c.ObserveRoom([]MachineRoom{beside}, now)
 			}
 		}},
 		"left waiting after a trouble": {LeftWaiting, func(c *Checker) {
 			survey(c, 80)
-			c.Quiet(time.Time{}, false)
-			c.Survey([]Room{beside}, t0)
-			if len(c.Breaks) > 0 {
+			c.ObserveFaults(time.Time{}, false)
+			c.ObserveRoom([]MachineRoom{beside}, t0)
+			if len(c.Violations) > 0 {
 				return
 			}
 			survey(c, 100)
 		}},
-		"nothing ran": {NothingRan, func(c *Checker) { c.End(t0) }},
+		"nothing ran": {NothingRan, func(c *Checker) { c.Finish(t0) }},
 		"polls fail": {Forgotten, func(c *Checker) {
 			other := spec
 			other.ID = "req-2"
@@ -200,19 +200,19 @@
 			c.Accepted("req-2", t0)
 			for s := range 100 {
 				now := t0.Add(time.Duration(s) * time.Second)
-				c.Polled("req-1", 503, "", now)
-				c.Polled("req-2", 200, wire.Queued, now)
+				c.PollAnsweredNow("req-1", 503, "", now)
+				c.PollAnsweredNow("req-2", 200, wire.Queued, now)
 			}
 		}},
 	}
 	for name, k := range cases {
-		c := NewChecker(10*time.Second, map[wire.TeamID]Limit{"red": {CPUs: 8}})
-		c.Flavors = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
+		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 8}})
+		c.MachineSpecs = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
 		c.Submitted(spec)
 		c.Accepted("req-1", t0)
 		k.do(c)
-		if len(c.Breaks) == 0 || c.Breaks[0].Rule != k.rule {
-			t.Errorf("%s: noted %v, want %s", name, c.Breaks, k.rule)
+		if len(c.Violations) == 0 || c.Violations[0].Rule != k.rule {
+			t.Errorf("%s: noted %v, want %s", name, c.Violations, k.rule)
 		}
 	}
 }
@@ -222,72 +222,72 @@
 	t0 := time.Unix(1000, 0)
 	after := func(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 	task := wire.Task{Job: "req-1", Index: 0}
-	here := Place{Machine: "n-1", Kit: "c4", Zone: "a"}
-	with := func(change func(r *Room)) Room {
+	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
+	with := func(change func(r *MachineRoom)) MachineRoom {
 		r := beside
 		change(&r)
 		return r
 	}
-	waiting := func(r Room) func(*Checker) {
+	waiting := func(r MachineRoom) func(*Checker) {
 		return func(c *Checker) {
 			for s := range 200 {
-				c.Quiet(t0, true)
-				c.Survey([]Room{r}, after(float64(s)))
+				c.ObserveFaults(t0, true)
+				c.ObserveRoom([]MachineRoom{r}, after(float64(s)))
 			}
 		}
 	}
 	cases := map[string]func(c *Checker){
 		"an answer on its way while a newer one came": func(c *Checker) {
-			c.CancelAsked("req-1")
-			c.Answered("req-1", 200, wire.Cancelled, after(1), after(2))
-			c.Answered("req-1", 200, wire.Running, after(1), after(3))
+			c.CancelRequested("req-1")
+			c.PollAnswered("req-1", 200, wire.Cancelled, after(1), after(2))
+			c.PollAnswered("req-1", 200, wire.Running, after(1), after(3))
 		},
-		"a 404 that was on its way": func(c *Checker) { c.Answered("req-1", 404, "", after(-1), after(1)) },
-		"no room":                   waiting(with(func(r *Room) { r.CPUs = 3 })),
-		"no memory":                 waiting(with(func(r *Room) { r.RAM = 3 })),
-		"not up, or faulty":         waiting(with(func(r *Room) { r.Open = false })),
-		"a spot machine":            waiting(with(func(r *Room) { r.Spot = true })),
-		"an image too large":        waiting(with(func(r *Room) { r.ImageRoom = 0.5 })),
-		"the team at its limit":     waiting(with(func(r *Room) { r.Tasks = []wire.Task{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
-		"half is there already":     waiting(with(func(r *Room) { r.Tasks = []wire.Task{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
+		"a 404 that was on its way": func(c *Checker) { c.PollAnswered("req-1", 404, "", after(-1), after(1)) },
+		"no room":                   waiting(with(func(r *MachineRoom) { r.CPUs = 3 })),
+		"no memory":                 waiting(with(func(r *MachineRoom) { r.MemoryGB = 3 })),
+		"not up, or faulty":         waiting(with(func(r *MachineRoom) { r.Usable = false })),
+		"a spot machine":            waiting(with(func(r *MachineRoom) { r.Spot = true })),
+		"an image too large":        waiting(with(func(r *MachineRoom) { r.DiskGB = 0.5 })),
+		"the team at its limit":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
+		"half is there already":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
 		"all of it runs": func(c *Checker) {
 			c.Submitted(wire.Spec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
 			c.Accepted("req-3", t0)
-			c.CancelAsked("req-1")
-			waiting(with(func(r *Room) { r.Tasks = []wire.Task{{Job: "req-3"}} }))(c)
+			c.CancelRequested("req-1")
+			waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-3"}} }))(c)
 		},
 		"something starts now and then": func(c *Checker) {
 			for s := range 200 {
-				c.Quiet(t0, true)
+				c.ObserveFaults(t0, true)
 				if s%80 == 79 {
-					c.Started(task, here, after(float64(s)))
+					c.TaskStarted(task, here, after(float64(s)))
 				}
-				c.Survey([]Room{beside}, after(float64(s)))
+				c.ObserveRoom([]MachineRoom{beside}, after(float64(s)))
 			}
 		},
 		"troubles between": func(c *Checker) {
 			for s := range 200 {
-				c.Quiet(t0, s%80 != 79)
-				c.Survey([]Room{beside}, after(float64(s)))
+				c.ObserveFaults(t0, s%80 != 79)
+				c.ObserveRoom([]MachineRoom{beside}, after(float64(s)))
 			}
 		},
 		"all of it is done, and nobody asks": func(c *Checker) {
 			for i := range 4 {
-				c.Left(wire.Task{Job: "req-1", Index: i}, "n-9", true)
+				c.TaskLeft(wire.Task{Job: "req-1", Index: i}, "n-9", true)
 			}
 			waiting(beside)(c)
 		},
-		"its user gave up": func(c *Checker) { c.CancelAsked("req-1"); waiting(beside)(c) },
+		"its user gave up": func(c *Checker) { c.CancelRequested("req-1"); waiting(beside)(c) },
 	}
 	for name, do := range cases {
-		c := NewChecker(10*time.Second, map[wire.TeamID]Limit{"red": {CPUs: 8}, "blue": {}})
-		c.Flavors = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
+		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 8}, "blue": {}})
+		c.MachineSpecs = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
 		c.Submitted(wire.Spec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, MemoryGB: 4, ImageGB: 1, Spread: true})
 		c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 4})
 		c.Accepted("req-1", t0)
 		do(c)
-		if len(c.Breaks) > 0 {
-			t.Errorf("%s: noted %v", name, c.Breaks)
+		if len(c.Violations) > 0 {
+			t.Errorf("%s: noted %v", name, c.Violations)
 		}
 	}
 }
@@ -297,29 +297,29 @@
 func TestCountsOfWhatIsLate(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	c := NewChecker(10*time.Second, nil)
-	here := Place{Machine: "n-1", Kit: "c4", Zone: "a"}
+	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
 	for n, id := range []wire.JobID{"req-1", "req-2"} {
 		c.Submitted(wire.Spec{ID: id, Tasks: 2, CPUs: 1})
 		c.Accepted(id, t0)
-		c.Started(wire.Task{Job: id}, here, t0)
-		c.Left(wire.Task{Job: id}, "n-1", true)
+		c.TaskStarted(wire.Task{Job: id}, here, t0)
+		c.TaskLeft(wire.Task{Job: id}, "n-1", true)
 		if n == 0 {
-			c.Started(wire.Task{Job: id, Index: 1}, here, t0)
-			c.Left(wire.Task{Job: id, Index: 1}, "n-1", true)
+			c.TaskStarted(wire.Task{Job: id, Index: 1}, here, t0)
+			c.TaskLeft(wire.Task{Job: id, Index: 1}, "n-1", true)
 		}
 	}
 	c.Tick(t0)
-	c.Answered("req-1", 200, wire.Running, t0.Add(2*time.Second), t0.Add(4*time.Second))
+	c.PollAnswered("req-1", 200, wire.Running, t0.Add(2*time.Second), t0.Add(4*time.Second))
 	if c.LateDone() != 0 {
 		t.Error("a poll 2 s after the end is counted")
 	}
-	c.Answered("req-1", 200, wire.Running, t0.Add(4*time.Second), t0.Add(4*time.Second))
-	c.Answered("req-2", 200, wire.Running, t0.Add(4*time.Second), t0.Add(4*time.Second))
-	c.CancelAsked("req-2")
-	c.Told("req-2", wire.Cancelled, t0.Add(5*time.Second))
-	c.Started(wire.Task{Job: "req-2", Index: 1}, here, t0.Add(6*time.Second))
-	if c.LateDone() != 1 || c.LateStarts() != 1 || len(c.Breaks) > 0 {
-		t.Errorf("%d late polls, %d late starts, %v", c.LateDone(), c.LateStarts(), c.Breaks)
+	c.PollAnswered("req-1", 200, wire.Running, t0.Add(4*time.Second), t0.Add(4*time.Second))
+	c.PollAnswered("req-2", 200, wire.Running, t0.Add(4*time.Second), t0.Add(4*time.Second))
+	c.CancelRequested("req-2")
+	c.StatusToldNow("req-2", wire.Cancelled, t0.Add(5*time.Second))
+	c.TaskStarted(wire.Task{Job: "req-2", Index: 1}, here, t0.Add(6*time.Second))
+	if c.LateDone() != 1 || c.LateStarts() != 1 || len(c.Violations) > 0 {
+		t.Errorf("%d late polls, %d late starts, %v", c.LateDone(), c.LateStarts(), c.Violations)
 	}
 }
 
@@ -329,13 +329,13 @@
 	good := wire.Spec{ID: "req-000001", Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-a"}
 	noted := func(body any) bool {
 		c := NewChecker(time.Second, nil)
-		c.Posted(bodyOf(body), 201, time.Unix(1000, 0))
-		for _, b := range c.Breaks {
+		c.SubmissionSent(bodyOf(body), 201, time.Unix(1000, 0))
+		for _, b := range c.Violations {
 			if b.Rule != AcceptedWrongly {
 				t.Errorf("%v noted %v", body, b)
 			}
 		}
-		return len(c.Breaks) > 0
+		return len(c.Violations) > 0
 	}
 	if noted(Submission(good)) {
 		t.Error("a good submission is blamed")
--- /dev/null
+++ b/internal/simulator/checker_waiting.go
@@ -0,0 +1,138 @@
+package simulator
+
+import (
+	"slices"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// longestWait is how long a job may be left waiting when all is calm.
+const longestWait = 90 * time.Second
+
+// MachineRoom is a machine that exists, with what is on it or on its way there.
+type MachineRoom struct {
+	Place
+	Usable   bool // sound, up, and not about to be taken
+	CPUs     float64
+	GPUs     float64
+	MemoryGB float64 // these three are free
+	Tasks    []wire.Task
+	DiskGB   float64
+}
+
+// waitHistory is what the checker knows of a job that waits.
+type waitHistory struct {
+	since  map[wire.MachineID]time.Time // since when it could have used a machine
+	failed map[wire.MachineID]bool      // where a task of it failed
+	held   int                          // of its tasks, at the last look
+	noted  bool
+}
+
+// end ends the spell in which the job is left waiting.
+func (w *waitHistory) end() { w.since = nil }
+
+// ObserveRoom looks for jobs that are left waiting beside machines they could use.
+// While there are faults no spell counts.
+func (c *Checker) ObserveRoom(rooms []MachineRoom, now time.Time) {
+	c.noteTime(now)
+	calm := c.faultsOverFor(now, 0)
+	held := map[wire.JobID]map[int]wire.Zone{}
+	used := map[wire.TeamID]TeamLimit{}
+	for i := range rooms {
+		for _, t := range rooms[i].Tasks {
+			j := c.jobs[t.Job]
+			if j == nil {
+				continue
+			}
+			if held[t.Job] == nil {
+				held[t.Job] = map[int]wire.Zone{}
+			}
+			held[t.Job][t.Index] = rooms[i].Zone
+			u := used[j.spec.Team]
+			used[j.spec.Team] = TeamLimit{u.CPUs + j.spec.CPUs, u.GPUs + j.spec.GPUs}
+		}
+	}
+	for id, j := range c.jobs {
+		s, mine := &j.spec, held[id]
+		taken, zones := len(j.done), map[wire.Zone]int{}
+		for i, z := range mine {
+			zones[z]++
+			if !j.done[i] {
+				taken++
+			}
+		}
+		moved := len(mine) > j.waits.held
+		j.waits.held = len(mine)
+		limit, u := c.Limits[s.Team], used[s.Team]
+		more := 1.0
+		if s.Gang() {
+			more = float64(s.Tasks)
+		}
+		full := limit.CPUs > 0 && u.CPUs+more*s.CPUs > limit.CPUs+wire.Eps || limit.GPUs > 0 && u.GPUs+more*s.GPUs > limit.GPUs+wire.Eps
+		// What completed may have been lost on its way, with its machine: then its
+		// user is told that it goes on, and it waits to be started again.
+		lost := len(mine) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
+		all := taken >= s.Tasks && !lost
+		if s.Gang() && (len(mine) > 0 || !gangFits(rooms, s, j.waits.failed)) {
+			j.waits.end() // what is left of its last attempt goes first
+			continue
+		}
+		if !calm || !j.accepted || j.cancelRequested || j.finalStatus != "" || all || moved || full {
+			j.waits.end()
+			continue
+		}
+		could := map[wire.MachineID]time.Time{}
+		for i := range rooms {
+			r := &rooms[i]
+			if !r.Usable || j.waits.failed[r.Machine] || !r.takes(s, zones) {
+				continue
+			}
+			since, known := j.waits.since[r.Machine]
+			if !known {
+				since = now
+			}
+			could[r.Machine] = since
+			if now.Sub(since) >= longestWait && !j.waits.noted {
+				j.waits.noted = true
+				c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", id, taken, s.Tasks, r.Machine)
+			}
+		}
+		j.waits.since = could
+	}
+}
+
+// gangFits tells whether all tasks of a gang would fit on the open machines.
+func gangFits(rooms []MachineRoom, s *wire.Spec, not map[wire.MachineID]bool) bool {
+	zones := map[wire.Zone]int{}
+	for i := range rooms {
+		r := rooms[i]
+		for n := 0; r.Usable && !not[r.Machine] && n < s.Tasks && r.takes(s, nil); n++ {
+			r.CPUs, r.GPUs, r.MemoryGB = r.CPUs-s.CPUs, r.GPUs-s.GPUs, r.MemoryGB-s.MemoryGB
+			zones[r.Zone]++
+		}
+	}
+	all := 0
+	for _, n := range zones {
+		if s.SameZone && n >= s.Tasks {
+			return true
+		}
+		if s.Spread {
+			n = min(n, s.ZoneCap())
+		}
+		all += n
+	}
+	return !s.SameZone && all >= s.Tasks
+}
+
+// takes tells whether the machine can take one more task of a job whose tasks
+// are in certain zones.
+func (r *MachineRoom) takes(s *wire.Spec, zones map[wire.Zone]int) bool {
+	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
+		return false
+	}
+	if s.SameZone && len(zones) > 0 && (len(zones) > 1 || zones[r.Zone] == 0) || s.Spread && zones[r.Zone] >= (s.Tasks+1)/2 {
+		return false
+	}
+	return s.CPUs <= r.CPUs+wire.Eps && s.GPUs <= r.GPUs+wire.Eps && s.MemoryGB <= r.MemoryGB+wire.Eps && s.ImageGB <= r.DiskGB+wire.Eps
+}
--- /dev/null
+++ b/internal/simulator/cloud.go
@@ -0,0 +1,177 @@
+package simulator
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sort"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+type listSnapshot struct {
+	at    time.Time
+	hosts []wire.ListedMachine
+}
+
+func capacityKey(k wire.MachineType, z wire.Zone, spot bool) string {
+	return fmt.Sprintf("%s/%s/%v", k, z, spot)
+}
+
+// listedMachines lists the machines now; call with the lock held.
+func (sim *Simulation) listedMachines() []wire.ListedMachine {
+	out := []wire.ListedMachine{}
+	for _, m := range sim.machines {
+		if m.unlisted {
+			continue
+		}
+		st := wire.ListedStarting
+		if m.up {
+			st = wire.ListedRunning
+		}
+		out = append(out, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: st, Age: wire.Seconds(time.Since(m.rented).Seconds())})
+	}
+	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
+	return out
+}
+
+func (sim *Simulation) cloud(rw http.ResponseWriter, r *http.Request) {
+	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	if err != nil {
+		return
+	}
+	time.Sleep(50 * time.Millisecond)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.cloudOutage {
+		wire.Answer(rw, http.StatusServiceUnavailable, wire.Reason{Error: "trouble"})
+		return
+	}
+	switch r.URL.Path {
+	case "/flavors":
+		wire.Answer(rw, http.StatusOK, wire.MachineSpecs{Types: sim.machineTypes})
+	case "/machines/release":
+		var h wire.MachineNames
+		if wire.Decode(raw, &h) != nil || len(h.Machines) > 100 {
+			wire.Answer(rw, http.StatusBadRequest, wire.Reason{Error: "malformed"})
+			return
+		}
+		for _, id := range h.Machines {
+			sim.remove(id)
+		}
+		if sim.loseReleaseAnswers > 0 {
+			sim.loseReleaseAnswers--
+			panic(http.ErrAbortHandler)
+		}
+		wire.Answer(rw, http.StatusOK, struct{}{})
+	case "/machines":
+		if r.Method == "GET" {
+			sim.list(rw, r)
+			return
+		}
+		sim.rent(rw, raw)
+	}
+}
+
+func (sim *Simulation) list(rw http.ResponseWriter, r *http.Request) {
+	now := time.Now()
+	sim.listHistory = append(sim.listHistory, listSnapshot{now, sim.listedMachines()})
+	lag := sim.listLag
+	if sim.rng.IntN(4) == 0 {
+		lag *= 2 // older than the one before
+	}
+	page := wire.MachinePage{Machines: []wire.ListedMachine{}}
+	for i := len(sim.listHistory) - 1; i >= 0; i-- {
+		if now.Sub(sim.listHistory[i].at) >= lag {
+			for _, h := range sim.listHistory[i].hosts {
+				if string(h.Name) > r.URL.Query().Get("after") {
+					page.Machines = append(page.Machines, h)
+				}
+			}
+			break
+		}
+	}
+	if len(sim.listHistory) > 200 {
+		sim.listHistory = append([]listSnapshot(nil), sim.listHistory[100:]...)
+	}
+	wire.Answer(rw, http.StatusOK, page)
+}
+
+func (sim *Simulation) rent(rw http.ResponseWriter, raw []byte) {
+	var b wire.RentalRequest
+	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
+		wire.Answer(rw, http.StatusBadRequest, wire.Reason{Error: "malformed"})
+		return
+	}
+	ids, known := sim.rentals[b.Name]
+	if !known {
+		of := capacityKey(b.Type, b.Zone, b.Spot)
+		n := min(b.Count, sim.capacity[of])
+		if n <= 0 || sim.soldOut[b.Zone] || sim.noSpot && b.Spot {
+			wire.Answer(rw, http.StatusServiceUnavailable, wire.Reason{Error: "no capacity"})
+			return
+		}
+		sim.capacity[of] -= n
+		for range n {
+			ids = append(ids, sim.boot(b.Type, b.Zone, b.Spot, time.Duration(float64(10*time.Second)*sim.bootFactor*(0.6+0.9*sim.rng.Float64()))))
+		}
+		sim.rentals[b.Name] = ids
+	}
+	if sim.loseRentalAnswers > 0 {
+		sim.loseRentalAnswers--
+		panic(http.ErrAbortHandler)
+	}
+	wire.Answer(rw, http.StatusOK, wire.MachineNames{Machines: ids})
+}
+
+// boot makes a machine; call with the lock held.
+func (sim *Simulation) boot(kit wire.MachineType, zone wire.Zone, spot bool, after time.Duration) wire.MachineID {
+	id := wire.MachineID(fmt.Sprintf("n-%06d", sim.rentedCount))
+	ip := fmt.Sprintf("10.1.%d.%d", sim.rentedCount/250, sim.rentedCount%250+1)
+	sim.rentedCount++
+	var f wire.MachineSpec
+	for _, x := range sim.machineTypes {
+		if x.Name == kit {
+			f = x
+		}
+	}
+	ctx, cancel := context.WithCancel(sim.ctx)
+	m := &worker{sim: sim, id: id, ip: ip, addr: ip + ":9000", machineType: kit, zone: zone, spot: spot, spec: f, rented: time.Now(), ctx: ctx, cancel: cancel,
+		session: 1, tasks: map[wire.Task]*taskRun{}, cached: map[wire.ImageID]bool{}, clockRate: 1 + (sim.rng.Float64()-0.5)*0.001, wake: make(chan struct{}, 1)}
+	sim.machines[id] = m
+	sim.Net.SlowHost(ip, sim.linkDelay)
+	m.unlisted = sim.unlisted
+	if zone == sim.isolatedZone {
+		sim.Net.Isolate(ip, true)
+	}
+	if sim.partitionedZones[0] != "" {
+		sim.partitionMachine(m, sim.partitionedZones[0], sim.partitionedZones[1], true)
+	}
+	sim.spawn(func() {
+		sleep(ctx, after)
+		if ctx.Err() == nil {
+			m.run()
+		}
+	})
+	return id
+}
+
+// remove takes a machine away with all that is on it; call with the lock
+// held.
+func (sim *Simulation) remove(id wire.MachineID) {
+	m := sim.machines[id]
+	if m == nil {
+		return
+	}
+	delete(sim.machines, id)
+	sim.capacity[capacityKey(m.machineType, m.zone, m.spot)]++
+	m.cancel()
+	for t, x := range m.tasks {
+		sim.checker.TaskLeft(t, id, false)
+		sim.gangTaskGone(t, x)
+	}
+	m.tasks = map[wire.Task]*taskRun{}
+	m.gone = true
+	sim.Net.SetPowerOff(m.ip, true)
+}
--- /dev/null
+++ b/internal/simulator/cloud_faults.go
@@ -0,0 +1,131 @@
+package simulator
+
+import (
+	"sort"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// CloudOutage begins or ends an outage of the cloud's interface.
+func (sim *Simulation) CloudOutage(on bool) {
+	sim.mu.Lock()
+	sim.cloudOutage = on
+	sim.mu.Unlock()
+}
+
+// LoseReleaseAnswers makes the next releases take effect without an answer.
+func (sim *Simulation) LoseReleaseAnswers(n int) {
+	sim.mu.Lock()
+	sim.loseReleaseAnswers = n
+	sim.mu.Unlock()
+}
+
+// LoseRentalAnswers makes the next bookings take effect without an answer.
+func (sim *Simulation) LoseRentalAnswers(n int) {
+	sim.mu.Lock()
+	sim.loseRentalAnswers = n
+	sim.mu.Unlock()
+}
+
+// SetSoldOut makes the cloud have nothing more to rent in a zone, or have it again.
+func (sim *Simulation) SetSoldOut(z wire.Zone, on bool) {
+	sim.mu.Lock()
+	sim.soldOut[z] = on
+	sim.mu.Unlock()
+}
+
+// SetSpotSoldOut makes the cloud have no more spot machines to rent, or have them again.
+func (sim *Simulation) SetSpotSoldOut(on bool) {
+	sim.mu.Lock()
+	sim.noSpot = on
+	sim.mu.Unlock()
+}
+
+// SellOutEverything makes the cloud refuse every further machine, whatever is returned.
+func (sim *Simulation) SellOutEverything() {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for of := range sim.capacity {
+		sim.capacity[of] = -1000
+	}
+}
+
+// SetUnlisted makes the machines that are rented from now on ones that no list ever
+// shows, or no more of them. (Lists lag, and one that does not live as long as
+// they do may be in none.)
+func (sim *Simulation) SetUnlisted(on bool) {
+	sim.mu.Lock()
+	sim.unlisted = on
+	sim.mu.Unlock()
+}
+
+// SetBootFactor makes machines come up in so many times the usual time.
+func (sim *Simulation) SetBootFactor(factor float64) {
+	sim.mu.Lock()
+	sim.bootFactor = factor
+	sim.mu.Unlock()
+}
+
+// SetQuickBoots lets machines be up within two seconds of their rental, or no more.
+func (sim *Simulation) SetQuickBoots(on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.bootFactor = 1; on {
+		sim.bootFactor = 0.1
+	}
+}
+
+// ReclaimMachines makes the cloud take machines back without notice, at most n that
+// pass the test.
+func (sim *Simulation) ReclaimMachines(n int, which func(spot bool, tasks int) bool) int {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var ids []wire.MachineID
+	for id, m := range sim.machines {
+		if m.up && which(m.spot, len(m.tasks)) {
+			ids = append(ids, id)
+		}
+	}
+	sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
+	ids = ids[:min(n, len(ids))]
+	for _, id := range ids {
+		sim.remove(id)
+		sim.lastFault = time.Now()
+	}
+	return len(ids)
+}
+
+// ReclaimMachine makes the cloud take a machine back without notice.
+func (sim *Simulation) ReclaimMachine(id wire.MachineID) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.remove(id)
+	sim.lastFault = time.Now()
+}
+
+// RemoveMachines takes machines away at once and without a trace.
+func (sim *Simulation) RemoveMachines(ids ...wire.MachineID) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, id := range ids {
+		sim.remove(id)
+	}
+}
+
+// GiveSpotNotice gives a machine a spot notice.
+func (sim *Simulation) GiveSpotNotice(id wire.MachineID, left time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if m := sim.machines[id]; m != nil {
+		m.notice = time.Now().Add(left)
+		m.changed()
+		sim.spawn(func() {
+			sleep(sim.ctx, left)
+			sim.mu.Lock()
+			sim.remove(id)
+			sim.lastFault = time.Now()
+			sim.mu.Unlock()
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulator/connection.go
@@ -0,0 +1,175 @@
+package simulator
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"time"
+)
+
+// pipe is one direction of a connection.
+type pipe struct {
+	mu     sync.Mutex
+	wake   chan struct{} // closed and replaced on every change
+	buf    []byte
+	late   []packet // on their way
+	closed bool
+	reset  bool
+	from   string
+	to     string
+	n      *Network
+	read   time.Time // read deadline
+}
+
+type packet struct {
+	data []byte
+	fin  bool
+	due  time.Time
+}
+
+func (p *pipe) change() {
+	close(p.wake)
+	p.wake = make(chan struct{})
+}
+
+// arrive moves what is on its way into the buffer, unless the link is held.
+func (p *pipe) arrive() {
+	p.n.mu.Lock()
+	blocked := p.n.held[[2]string{p.from, p.to}] || p.n.down[p.to] || p.n.down[p.from] || p.n.deaf[p.to] || p.n.island[p.from] != p.n.island[p.to]
+	p.n.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now, n := time.Now(), 0
+	for n < len(p.late) && !p.late[n].due.After(now) {
+		n++
+	}
+	if blocked || n == 0 {
+		return
+	}
+	for _, k := range p.late[:n] {
+		p.buf = append(p.buf, k.data...)
+		p.closed = p.closed || k.fin
+	}
+	p.late = p.late[n:]
+	p.change()
+}
+
+func (p *pipe) send(k packet) error {
+	takes := p.n.takes(p.from, p.to)
+	p.mu.Lock()
+	if p.reset {
+		p.mu.Unlock()
+		return &net.OpError{Op: "write", Net: "tcp", Err: errors.New("connection reset")}
+	}
+	k.due = time.Now().Add(takes)
+	p.late = append(p.late, k)
+	p.mu.Unlock()
+	time.AfterFunc(takes, p.arrive)
+	return nil
+}
+
+type conn struct {
+	in, out       *pipe
+	local, remote addr
+	n             *Network
+	once          sync.Once
+	done          chan struct{}
+}
+
+func (n *Network) pair(from, to string) (*conn, *conn) {
+	ab := &pipe{wake: make(chan struct{}), n: n, from: from, to: hostOf(to)}
+	ba := &pipe{wake: make(chan struct{}), n: n, from: hostOf(to), to: from}
+	a := &conn{in: ba, out: ab, local: addr(from + ":0"), remote: addr(to), n: n, done: make(chan struct{})}
+	b := &conn{in: ab, out: ba, local: addr(to), remote: addr(from + ":0"), n: n, done: make(chan struct{})}
+	n.mu.Lock()
+	n.conns[a], n.conns[b] = true, true
+	n.mu.Unlock()
+	return a, b
+}
+
+func (c *conn) Read(b []byte) (int, error) {
+	p := c.in
+	for {
+		p.mu.Lock()
+		if len(p.buf) > 0 {
+			k := copy(b, p.buf)
+			p.buf = p.buf[k:]
+			p.mu.Unlock()
+			return k, nil
+		}
+		wake, closed, reset, until := p.wake, p.closed, p.reset, p.read
+		p.mu.Unlock()
+		if reset {
+			return 0, &net.OpError{Op: "read", Net: "tcp", Err: errors.New("connection reset")}
+		}
+		if closed {
+			return 0, io.EOF
+		}
+		var timer <-chan time.Time
+		if !until.IsZero() {
+			left := time.Until(until)
+			if left <= 0 {
+				return 0, os.ErrDeadlineExceeded
+			}
+			timer = time.After(left)
+		}
+		select {
+		case <-wake:
+		case <-timer:
+		case <-c.done:
+			return 0, net.ErrClosed
+		}
+	}
+}
+
+func (c *conn) Write(b []byte) (int, error) {
+	select {
+	case <-c.done:
+		return 0, net.ErrClosed
+	default:
+	}
+	if err := c.out.send(packet{data: append([]byte(nil), b...)}); err != nil {
+		return 0, err
+	}
+	return len(b), nil
+}
+
+func (c *conn) Close() error {
+	c.once.Do(func() {
+		close(c.done)
+		c.out.send(packet{fin: true}) //nolint:errcheck // a reset link needs no end
+		c.n.mu.Lock()
+		delete(c.n.conns, c)
+		c.n.mu.Unlock()
+	})
+	return nil
+}
+
+func (c *conn) LocalAddr() net.Addr { return c.local }
+
+func (c *conn) RemoteAddr() net.Addr { return c.remote }
+
+func (c *conn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
+
+func (c *conn) SetReadDeadline(t time.Time) error {
+	c.in.mu.Lock()
+	c.in.read = t
+	c.in.change()
+	c.in.mu.Unlock()
+	return nil
+}
+
+func (c *conn) SetWriteDeadline(time.Time) error { return nil }
+
+// shut ends a connection after marking both of its directions.
+func (c *conn) shut(mark func(*pipe)) {
+	for _, p := range []*pipe{c.in, c.out} {
+		p.mu.Lock()
+		mark(p)
+		p.change()
+		p.mu.Unlock()
+	}
+	c.Close()
+}
--- /dev/null
+++ b/internal/simulator/controllers.go
@@ -0,0 +1,131 @@
+package simulator
+
+import (
+	"context"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"lilaclead/internal/config"
+	"lilaclead/internal/wire"
+)
+
+// PlaceControllers says in which zones the nodes are, before they are up: by turns, so that
+// some zones may have none.
+func (sim *Simulation) PlaceControllers(zones ...wire.Zone) {
+	zone := func(i int) wire.Zone { return zones[i%len(zones)] }
+	for i, n := range sim.controllers {
+		n.cfg.Zone = zone(i)
+		n.cfg.Others = slices.Clone(n.cfg.Others)
+		for k := range n.cfg.Others {
+			o := &n.cfg.Others[k]
+			o.Zone = zone(slices.IndexFunc(sim.controllers, func(m *controller) bool { return m.cfg.HostName == o.HostName }))
+		}
+	}
+}
+
+// Config of the i-th node.
+func (sim *Simulation) Config(i int) config.Config { return sim.controllers[i].cfg }
+
+// ChangeSettings changes the settings that a node starts with the next time.
+func (sim *Simulation) ChangeSettings(i int, f func(*config.Settings)) {
+	f(&sim.controllers[i].cfg.Settings)
+}
+
+// StartController starts the i-th node if it is down.
+func (sim *Simulation) StartController(i int) error {
+	n := sim.controllers[i]
+	if n.cancel != nil {
+		return nil
+	}
+	cfg := n.cfg
+	run, err := sim.start(&cfg, sim.hostNet(NodeIP(i)))
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithCancel(sim.ctx)
+	n.cancel = cancel
+	sim.setPower(n, true)
+	sim.spawn(func() { run(ctx) }) //nolint:errcheck // it is killed
+	return nil
+}
+
+// KillController ends the i-th node as a power cut does.
+func (sim *Simulation) KillController(i int) {
+	n := sim.controllers[i]
+	if n.cancel == nil {
+		return
+	}
+	sim.Net.Reset(NodeIP(i))
+	n.cancel()
+	n.cancel = nil
+	sim.setPower(n, false)
+	sim.Net.Reset(NodeIP(i))
+}
+
+// setPower notes that a node begins or ends, which is a fault to others.
+func (sim *Simulation) setPower(n *controller, up bool) {
+	sim.mu.Lock()
+	n.up, sim.lastFault = up, time.Now()
+	sim.mu.Unlock()
+}
+
+// Leader is the index of the node that leads by the state service's
+// record, or -1.
+func (sim *Simulation) Leader() int {
+	sim.State.mu.Lock()
+	defer sim.State.mu.Unlock()
+	e := sim.State.keys["lead"]
+	if e == nil {
+		return -1
+	}
+	var rec struct {
+		Node wire.NodeID `cbor:"node"`
+	}
+	if wire.Decode(e.v, &rec) != nil {
+		return -1
+	}
+	for i, n := range sim.controllers {
+		if n.cfg.HostName == rec.Node {
+			return i
+		}
+	}
+	return -1
+}
+
+// LeaderKeyRevision is the revision of the leader's key, 0 while nobody holds it.
+func (sim *Simulation) LeaderKeyRevision() wire.Revision {
+	sim.State.mu.Lock()
+	defer sim.State.mu.Unlock()
+	if e := sim.State.keys["lead"]; e != nil {
+		return e.stamp
+	}
+	return 0
+}
+
+// LeaderAndToken is who leads by the state service's record, -1 if nobody, and
+// the revision of its key.
+func (sim *Simulation) LeaderAndToken() (int, wire.Token) {
+	i, at := sim.Leader(), sim.LeaderKeyRevision()
+	if i < 0 || at == 0 {
+		return -1, 0
+	}
+	return i, wire.Token(at)
+}
+
+// IsolateController cuts the i-th node from the state service and from the other nodes,
+// not from workers, users and the cloud, or ends the cut.
+func (sim *Simulation) IsolateController(i int, mode CutMode, on bool) {
+	for k := range sim.controllers {
+		if k != i {
+			sim.Net.CutWithMode(NodeIP(i), NodeIP(k), mode, on)
+		}
+	}
+	sim.Net.CutWithMode(NodeIP(i), hostOf(StateAddr), mode, on)
+}
+
+func parseID(s string) int {
+	n, _ := strconv.Atoi(strings.TrimPrefix(s, "worker-"))
+	return n
+}
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -17,11 +17,11 @@
 // Each check that gangs brought is broken here once, deliberately.
 func TestEveryGangCheckCanBreak(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	here, there := Place{Machine: "n-1", Kit: "c4", Zone: "a"}, Place{Machine: "n-2", Kit: "c4", Zone: "b"}
+	here, there := Place{Machine: "n-1", Type: "c4", Zone: "a"}, Place{Machine: "n-2", Type: "c4", Zone: "b"}
 	task := func(i int) wire.Task { return wire.Task{Job: "req-000001", Index: i} }
 	whole := func(c *Checker) {
 		for i := range 2 {
-			c.Started(task(i), here, t0)
+			c.TaskStarted(task(i), here, t0)
 		}
 	}
 	big := ensemble("req-000002", 6)
@@ -29,22 +29,22 @@
 		rule Rule
 		do   func(c *Checker)
 	}{
-		"runs by half":                       {HalfRun, func(c *Checker) { c.Started(task(0), here, t0); c.GangBegan("req-000001", t0) }},
-		"waits in another zone":              {WrongPlace, func(c *Checker) { c.Started(task(0), here, t0); c.Started(task(1), there, t0) }},
-		"waits while an older attempt is on": {RanTwice, func(c *Checker) { c.Started(task(0), here, t0); c.Started(task(0), there, t0) }},
+		"runs by half":                       {HalfRun, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.GangBegan("req-000001", t0) }},
+		"waits in another zone":              {WrongPlace, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(1), there, t0) }},
+		"waits while an older attempt is on": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(0), there, t0) }},
 		"waits over the limit": {Quota, func(c *Checker) {
-			c.Limits["red"] = Limit{CPUs: 3}
+			c.Limits["red"] = TeamLimit{CPUs: 3}
 			whole(c)
 		}},
 		"called done before its end": {NotDone, func(c *Checker) {
 			whole(c)
 			c.GangBegan("req-000001", t0)
-			c.Told("req-000001", wire.Done, t0)
+			c.StatusToldNow("req-000001", wire.Done, t0)
 		}},
 		"waits after a cancellation": {RanCancelled, func(c *Checker) {
-			c.CancelAsked("req-000001")
-			c.Told("req-000001", wire.Cancelled, t0)
-			c.Started(task(0), here, t0.Add(11*time.Second))
+			c.CancelRequested("req-000001")
+			c.StatusToldNow("req-000001", wire.Cancelled, t0)
+			c.TaskStarted(task(0), here, t0.Add(11*time.Second))
 		}},
 		"accepted over the limit": {AcceptedWrongly, func(c *Checker) { c.Submitted(big); c.Accepted("req-000002", t0) }},
 		"refused within the limit": {RefusedWrongly, func(c *Checker) {
@@ -54,28 +54,28 @@
 		"never runs whole": {Unserved, func(c *Checker) {
 			c.Accepted("req-000001", t0)
 			whole(c)
-			c.End(t0.Add(5 * time.Minute))
+			c.Finish(t0.Add(5 * time.Minute))
 		}},
 		"left waiting beside room": {LeftWaiting, func(c *Checker) {
 			c.Accepted("req-000001", t0)
-			r := Room{Place: here, Open: true, CPUs: 4, RAM: 16, ImageRoom: 20}
+			r := MachineRoom{Place: here, Usable: true, CPUs: 4, MemoryGB: 16, DiskGB: 20}
 			for s := range 200 {
-				c.Quiet(t0, true)
-				c.Survey([]Room{r}, t0.Add(time.Duration(s)*time.Second))
+				c.ObserveFaults(t0, true)
+				c.ObserveRoom([]MachineRoom{r}, t0.Add(time.Duration(s)*time.Second))
 			}
 		}},
 	}
 	for name, k := range cases {
-		c := NewChecker(10*time.Second, map[wire.TeamID]Limit{"red": {CPUs: 10}})
-		c.Flavors = []wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
+		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
+		c.MachineSpecs = []wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
 		c.Submitted(ensemble("req-000001", 2))
 		k.do(c)
 		found := false
-		for _, b := range c.Breaks {
+		for _, b := range c.Violations {
 			found = found || b.Rule == k.rule
 		}
 		if !found {
-			t.Errorf("%s: noted %v, want %s", name, c.Breaks, k.rule)
+			t.Errorf("%s: noted %v, want %s", name, c.Violations, k.rule)
 		}
 	}
 }
@@ -83,50 +83,50 @@
 // What breaks no rule of gangs must not be noted.
 func TestWhatGangsAreAllowed(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	room := func(z wire.Zone, cpus float64) Room {
-		return Room{Place: Place{Machine: wire.MachineID("n-" + string(z)), Kit: "c4", Zone: z}, Open: true, CPUs: cpus, RAM: 16, ImageRoom: 20}
+	room := func(z wire.Zone, cpus float64) MachineRoom {
+		return MachineRoom{Place: Place{Machine: wire.MachineID("n-" + string(z)), Type: "c4", Zone: z}, Usable: true, CPUs: cpus, MemoryGB: 16, DiskGB: 20}
 	}
-	cases := map[string][]Room{
+	cases := map[string][]MachineRoom{
 		"room in two zones for one place": {room("a", 2), room("b", 2)},
 		"room for half of it":             {room("a", 2)},
-		"an attempt is there":             {func() Room { r := room("a", 4); r.Tasks = []wire.Task{{Job: "req-000001"}}; return r }()},
+		"an attempt is there":             {func() MachineRoom { r := room("a", 4); r.Tasks = []wire.Task{{Job: "req-000001"}}; return r }()},
 	}
 	for name, rooms := range cases {
-		c := NewChecker(10*time.Second, map[wire.TeamID]Limit{"red": {CPUs: 10}})
+		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
 		c.Submitted(ensemble("req-000001", 2))
 		c.Accepted("req-000001", t0)
 		for s := range 200 {
-			c.Quiet(t0, true)
-			c.Survey(rooms, t0.Add(time.Duration(s)*time.Second))
+			c.ObserveFaults(t0, true)
+			c.ObserveRoom(rooms, t0.Add(time.Duration(s)*time.Second))
 		}
-		if len(c.Breaks) > 0 {
-			t.Errorf("%s: noted %v", name, c.Breaks)
+		if len(c.Violations) > 0 {
+			t.Errorf("%s: noted %v", name, c.Violations)
 		}
 	}
 }
 
 // yard is some machines without controllers, whose workers are told what to do.
-func yard(t *testing.T, n int, do func(w *World, ms []*worker, order func(i int, o ...wire.Command))) {
+func yard(t *testing.T, n int, do func(sim *Simulation, ms []*worker, order func(i int, o ...wire.Command))) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		set := DefaultSettings()
 		set.Size = 1
-		w := NewWorld(ctx, set, 1, nil, nil)
+		sim := New(ctx, set, 1, nil, nil)
 		var ms []*worker
-		w.mu.Lock()
+		sim.mu.Lock()
 		for range n {
-			ms = append(ms, w.machines[w.boot("c4", "a", false, 0)])
+			ms = append(ms, sim.machines[sim.boot("c4", "a", false, 0)])
 		}
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
-		do(w, ms, func(i int, o ...wire.Command) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
+		do(sim, ms, func(i int, o ...wire.Command) {
+			sim.mu.Lock()
+			defer sim.mu.Unlock()
 			ms[i].answered = time.Now().Add(time.Hour) // nobody answers here
 			ms[i].execute(o)
 		})
 		cancel()
-		w.Close()
+		sim.Close()
 	})
 }
 
@@ -146,9 +146,9 @@
 			order(i, launch(i, try))
 		}
 	}
-	cases := map[string]func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool)){
-		"start and end together at the slowest speed": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			w.SlowMachine(ms[1].id, 0.5)
+	cases := map[string]func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool)){
+		"start and end together at the slowest speed": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			sim.SetMachineSpeed(ms[1].id, 0.5)
 			all(order, 3, 1)
 			time.Sleep(1500 * time.Millisecond)
 			is(0, wire.PhaseWaiting, "", false)
@@ -162,14 +162,14 @@
 				is(i, wire.PhaseExited, wire.CauseDone, false)
 			}
 		},
-		"alone": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"alone": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			time.Sleep(45 * s)
 			is(0, wire.PhaseWaiting, "", false)
 			time.Sleep(3 * s)
 			is(0, wire.PhaseExited, wire.CauseGangIncomplete, false)
 		},
-		"a replacement completes it, another attempt does not": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a replacement completes it, another attempt does not": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			order(2, launch(2, 2))
 			time.Sleep(5 * s)
@@ -179,29 +179,29 @@
 			time.Sleep(2 * s)
 			is(0, wire.PhaseRunning, "", false)
 		},
-		"a loss": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a loss": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(32 * s)
-			w.TakeMachine(ms[0].id)
+			sim.ReclaimMachine(ms[0].id)
 			is(1, wire.PhaseRunning, "", false)
 			time.Sleep(9 * s)
 			is(1, wire.PhaseExited, wire.CauseGangBroken, false)
-			if g := w.Gang("req-000001"); g.Saved != 20 {
+			if g := sim.GangState("req-000001"); g.Saved != 20 {
 				t.Errorf("%+v, want 20 s kept", g)
 			}
 		},
-		"a hung machine": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a hung machine": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(10 * s)
-			w.Hang(true, ms[0].id)
+			sim.HangMachines(true, ms[0].id)
 			time.Sleep(13 * s)
 			is(1, wire.PhaseExited, wire.CauseGangBroken, false)
 			is(0, wire.PhaseRunning, "", false)
-			w.Hang(false, ms[0].id)
+			sim.HangMachines(false, ms[0].id)
 			time.Sleep(s)
 			is(0, wire.PhaseExited, wire.CauseGangBroken, false)
 		},
-		"an orderly stop": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"an orderly stop": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
 			order(0, halt(0, 1, 2))
@@ -219,18 +219,18 @@
 			time.Sleep(6 * s)
 			is(0, wire.PhaseExited, wire.CauseDone, false)
 		},
-		"told too late": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"told too late": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
 			order(0, halt(0, 1, 2))
 			order(1, halt(1, 1, 2))
 			time.Sleep(9 * s)
 			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
-			if g := w.Gang("req-000001"); g.Saved != 0 || g.Falls != 1 {
+			if g := sim.GangState("req-000001"); g.Saved != 0 || g.Rollbacks != 1 {
 				t.Errorf("%+v, want nothing kept", g)
 			}
 		},
-		"too little grace": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"too little grace": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
 			order(0, halt(0, 1, 2))
@@ -238,11 +238,11 @@
 			is(1, wire.PhaseExited, wire.CauseStopped, false)
 			time.Sleep(9 * s)
 			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
-			if g := w.Gang("req-000001"); g.Saved != 0 || g.Falls != 1 {
+			if g := sim.GangState("req-000001"); g.Saved != 0 || g.Rollbacks != 1 {
 				t.Errorf("%+v, want nothing kept", g)
 			}
 		},
-		"stopped while it waits": func(t *testing.T, w *World, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"stopped while it waits": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			time.Sleep(3 * s)
 			order(0, halt(0, 1, 30))
@@ -252,13 +252,13 @@
 	}
 	for name, do := range cases {
 		t.Run(name, func(t *testing.T) {
-			yard(t, 3, func(w *World, ms []*worker, order func(int, ...wire.Command)) {
-				truth := Truth{RunS: 50, Spec: ensemble("req-000001", 3)}
-				w.Know(truth)
-				do(t, w, ms, order, func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool) {
+			yard(t, 3, func(sim *Simulation, ms []*worker, order func(int, ...wire.Command)) {
+				truth := JobScript{RunTime: 50, Spec: ensemble("req-000001", 3)}
+				sim.RegisterJob(truth)
+				do(t, sim, ms, order, func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool) {
 					t.Helper()
-					w.mu.Lock()
-					defer w.mu.Unlock()
+					sim.mu.Lock()
+					defer sim.mu.Unlock()
 					x := ms[i].tasks[wire.Task{Job: "req-000001", Index: i}]
 					if x == nil || x.phase != p || x.cause != c || x.saved != saved {
 						t.Errorf("task %d is %+v, want %s %s %v", i, x, p, c, saved)
--- /dev/null
+++ b/internal/simulator/network.go
@@ -0,0 +1,157 @@
+package simulator
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"lilaclead/internal/netio"
+)
+
+// Network is an in-memory network whose links can be held up or cut.
+type Network struct {
+	mu        sync.Mutex
+	listeners map[string]*listener
+	conns     map[*conn]bool
+	down      map[string]bool             // hosts without power: silent
+	held      map[[2]string]bool          // from, to: packets wait
+	deaf      map[string]bool             // hosts that nothing reaches, though they are heard
+	island    map[string]bool             // hosts that reach only each other
+	filtered  map[[2]string]bool          // from, to: connections are refused
+	slow      map[string]time.Duration    // hosts to and from which all takes so much longer
+	mute      map[string]bool             // hosts that can open no connection
+	lag       map[[2]string]time.Duration // from, to: so much longer
+	latency   time.Duration
+}
+
+// NewNetwork makes a network.
+func NewNetwork(latency time.Duration) *Network {
+	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, down: map[string]bool{}, held: map[[2]string]bool{}, deaf: map[string]bool{}, island: map[string]bool{}, filtered: map[[2]string]bool{}, slow: map[string]time.Duration{}, latency: latency}
+}
+
+// Host is the network as one host sees it.
+func (n *Network) Host(ip string) netio.Net {
+	return netio.Net{
+		Dial:   func(ctx context.Context, _, addr string) (net.Conn, error) { return n.dial(ctx, ip, addr) },
+		Listen: func(_, addr string) (net.Listener, error) { return n.listen(addr) },
+	}
+}
+
+type addr string
+
+func (a addr) Network() string { return "tcp" }
+
+func (a addr) String() string { return string(a) }
+
+type listener struct {
+	n      *Network
+	addr   string
+	queue  chan *conn
+	closed chan struct{}
+	once   sync.Once
+}
+
+func (n *Network) listen(at string) (net.Listener, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.listeners[at] != nil {
+		return nil, errors.New("address in use: " + at)
+	}
+	l := &listener{n: n, addr: at, queue: make(chan *conn, 64), closed: make(chan struct{})}
+	n.listeners[at] = l
+	return l, nil
+}
+
+func (l *listener) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.queue:
+		return c, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *listener) Close() error {
+	l.once.Do(func() {
+		close(l.closed)
+		l.n.mu.Lock()
+		if l.n.listeners[l.addr] == l {
+			delete(l.n.listeners, l.addr)
+		}
+		l.n.mu.Unlock()
+	})
+	return nil
+}
+
+func (l *listener) Addr() net.Addr { return addr(l.addr) }
+
+func hostOf(a string) string {
+	h, _, err := net.SplitHostPort(a)
+	if err != nil {
+		return a
+	}
+	return h
+}
+
+func (n *Network) dial(ctx context.Context, from, to string) (net.Conn, error) {
+	fail := func(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Addr: addr(to), Err: err} }
+	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+	defer cancel()
+	for {
+		n.mu.Lock()
+		silent := n.down[from] || n.mute[from] || n.down[hostOf(to)] || n.deaf[hostOf(to)] || n.held[[2]string{from, hostOf(to)}] || n.held[[2]string{hostOf(to), from}] ||
+			n.island[from] != n.island[hostOf(to)]
+		l, filtered := n.listeners[to], n.filtered[[2]string{from, hostOf(to)}]
+		n.mu.Unlock()
+		if !silent {
+			if l == nil || filtered {
+				return nil, fail(errors.New("connection refused"))
+			}
+			a, b := n.pair(from, to)
+			select {
+			case l.queue <- b:
+				return a, nil
+			case <-l.closed:
+				return nil, fail(errors.New("connection refused"))
+			case <-ctx.Done():
+				return nil, fail(ctx.Err())
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return nil, fail(ctx.Err())
+		case <-time.After(100 * time.Millisecond):
+		}
+	}
+}
+
+// takes is how long a packet is on its way.
+func (n *Network) takes(from, to string) time.Duration {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.latency + n.slow[from] + n.slow[to] + n.lag[[2]string{from, to}]
+}
+
+// matching lists the open connections that pass the test.
+func (n *Network) matching(which func(*conn) bool) []*conn {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var out []*conn
+	for c := range n.conns {
+		if which(c) {
+			out = append(out, c)
+		}
+	}
+	return out
+}
+
+func every(*conn) bool { return true }
+
+// Close ends every connection.
+func (n *Network) Close() {
+	for _, c := range n.matching(every) {
+		c.shut(func(p *pipe) { p.closed = true })
+	}
+}
--- /dev/null
+++ b/internal/simulator/settings.go
@@ -0,0 +1,61 @@
+package simulator
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"strings"
+
+	"lilaclead/internal/config"
+	"lilaclead/internal/netio"
+	"lilaclead/internal/wire"
+)
+
+// StateAddr and CloudAddr are the endpoints of the fakes on the in-memory network.
+const (
+	StateAddr = "10.2.0.1:2379"
+	CloudAddr = "10.2.0.2:8443"
+)
+
+// NodeIP of the i-th node.
+func NodeIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
+
+// DefaultSettings of a small deployment.
+func DefaultSettings() config.Settings {
+	return config.Settings{
+		Size: 3, Zones: []wire.Zone{"a", "b"}, ClockOffMs: 250,
+		Teams:   []config.Team{{Name: "red", CPUs: 16, CPUsMax: 40}, {Name: "blue", CPUs: 16}},
+		Workers: config.Workers{ReportS: 2, LeaseS: 16, CancelS: 41, GangWaitS: 45, GangPeerS: 8},
+		State:   config.State{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 12},
+		Cloud:   config.Cloud{RPS: 6, ListLagS: 4},
+		Limits:  config.Limits{Cores: 0.2, MemoryMB: 98, FDLimit: 900},
+	}
+}
+
+// GasSettings are those of three controllers for three zones, a small state
+// service, and leases and cancellations close to each other. One of the zones
+// has no controller if Nodes says so.
+func GasSettings() config.Settings {
+	s := DefaultSettings()
+	s.Zones = []wire.Zone{"a", "b", "c"}
+	s.Workers = config.Workers{ReportS: 4, LeaseS: 22, CancelS: 47, GangWaitS: 45, GangPeerS: 8}
+	s.State = config.State{RPS: 80, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
+	s.Cloud = config.Cloud{RPS: 10, ListLagS: 6}
+	return s
+}
+
+// Loopback is the machine's own loopback network in place of the one in
+// memory: host 10.a.b.c is 127.a.b.c.
+func Loopback(string) netio.Net {
+	real := netio.Real()
+	at := func(addr string) string { return LoopbackAddr(addr) }
+	return netio.Net{
+		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
+			return real.Dial(ctx, network, at(addr))
+		},
+		Listen: func(network, addr string) (net.Listener, error) { return real.Listen(network, at(addr)) },
+	}
+}
+
+// LoopbackAddr is where an address of the simulation is on the loopback network.
+func LoopbackAddr(addr string) string { return "127." + strings.TrimPrefix(addr, "10.") }
--- /dev/null
+++ b/internal/simulator/simulation.go
@@ -0,0 +1,248 @@
+package simulator
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"lilaclead/internal/config"
+	"lilaclead/internal/netio"
+	"lilaclead/internal/wire"
+)
+
+// StartFunc makes a node that runs until its context ends.
+type StartFunc func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error)
+
+// JobScript is what the fakes know of a job beside its submission.
+type JobScript struct {
+	Spec        wire.Spec
+	RunTime     float64   // true run time of a task
+	AlwaysFails bool      // its tasks fail on every machine
+	RunTimes    []float64 // the first tasks' own run times; the others take RunTime
+}
+
+// runTimeOf is the true run time of one of the job's tasks.
+func (t *JobScript) runTimeOf(index int) float64 {
+	if index < len(t.RunTimes) {
+		return t.RunTimes[index]
+	}
+	return t.RunTime
+}
+
+// Simulation is a deployment of fakes around real controllers. One lock guards it all.
+type Simulation struct {
+	Net      *Network // the network in memory, with its faults
+	hostNet  func(ip string) netio.Net
+	State    *State
+	Settings config.Settings
+
+	mu            sync.Mutex
+	checker       *Checker
+	ctx           context.Context
+	start         StartFunc
+	rng           *rand.Rand
+	machineTypes  []wire.MachineSpec
+	capacity      map[string]int // type/zone/kind -> how many more
+	machines      map[wire.MachineID]*worker
+	rentals       map[string][]wire.MachineID
+	listHistory   []listSnapshot
+	rentedCount   int
+	scripts       map[wire.JobID]*JobScript
+	controllers   []*controller
+	servers       []*http.Server
+	wg            sync.WaitGroup
+	machineFaults machineFaults
+	gangs         gangTable
+
+	isolatedZone       wire.Zone
+	partitionedZones   [2]wire.Zone // zones that can't reach each other; empty: none
+	cloudOutage        bool
+	loseReleaseAnswers int
+	loseRentalAnswers  int
+	linkDelay          time.Duration
+	unlisted           bool
+	slowSaves          bool
+	noSpot             bool
+	soldOut            map[wire.Zone]bool
+	listLag            time.Duration
+	bootFactor         float64
+	faultCount         int       // faults that last and that nothing else shows
+	lastFault          time.Time // when there last was a fault
+}
+
+type controller struct {
+	cfg    config.Config
+	cancel context.CancelFunc
+	up     bool // the simulation's lock guards it
+}
+
+// New builds a deployment; no node runs yet. Without a host function it
+// lives on its own network in memory.
+func New(ctx context.Context, set config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
+	limits := map[wire.TeamID]TeamLimit{}
+	for _, t := range set.Teams {
+		limits[t.Name] = TeamLimit{t.CPUsMax, t.GPUsMax}
+	}
+	sim := &Simulation{
+		Net: NewNetwork(time.Millisecond), State: NewState(set.State.TxnOps, int(set.State.ValueKB)), Settings: set,
+		checker: NewChecker(set.Workers.CancelS.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
+		machineTypes: []wire.MachineSpec{
+			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
+			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: set.Zones},
+		},
+		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, rentals: map[string][]wire.MachineID{},
+		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLagS.Duration(), bootFactor: 1,
+	}
+	if sim.hostNet = host; host == nil {
+		sim.hostNet = sim.Net.Host
+	}
+	for _, f := range sim.machineTypes {
+		for _, z := range set.Zones {
+			sim.capacity[capacityKey(f.Name, z, false)] = 6
+			sim.capacity[capacityKey(f.Name, z, true)] = 3
+		}
+	}
+	sim.checker.MachineSpecs, sim.lastFault = sim.machineTypes, time.Now()
+	sim.serve(StateAddr, sim.State)
+	sim.serve(CloudAddr, http.HandlerFunc(sim.cloud))
+	sim.controllers = make([]*controller, set.Size)
+	for i := range sim.controllers {
+		c := config.Config{HostName: wire.NodeID(fmt.Sprintf("worker-%d", i)), Zone: set.Zones[i%len(set.Zones)],
+			Front: NodeIP(i) + ":8080", PeerBind: NodeIP(i) + ":8081", Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
+		for k := range sim.controllers {
+			if k != i {
+				c.Others = append(c.Others, config.Other{HostName: wire.NodeID(fmt.Sprintf("worker-%d", k)), Zone: set.Zones[k%len(set.Zones)], Addr: NodeIP(k) + ":8081"})
+			}
+		}
+		sim.controllers[i] = &controller{cfg: c}
+	}
+	sim.spawn(func() {
+		for ctx.Err() == nil {
+			sim.mu.Lock()
+			sim.observe(time.Now())
+			sim.mu.Unlock()
+			sleep(ctx, time.Second)
+		}
+	})
+	return sim
+}
+
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
+
+func (sim *Simulation) spawn(f func()) {
+	sim.wg.Add(1)
+	go func() {
+		defer sim.wg.Done()
+		f()
+	}()
+}
+
+func (sim *Simulation) serve(at string, h http.Handler) *http.Server {
+	l, err := sim.hostNet(hostOf(at)).Listen("tcp4", at)
+	if err != nil {
+		panic(err)
+	}
+	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
+	sim.mu.Lock()
+	sim.servers = append(sim.servers, s)
+	sim.mu.Unlock()
+	sim.spawn(func() { s.Serve(l) }) //nolint:errcheck // ends with Close
+	return s
+}
+
+// Close ends everything.
+func (sim *Simulation) Close() {
+	for i := range sim.controllers {
+		sim.KillController(i)
+	}
+	sim.mu.Lock()
+	servers := sim.servers
+	sim.mu.Unlock()
+	sim.Net.Close()
+	for _, s := range servers {
+		s.Close()
+	}
+	sim.wg.Wait()
+	sim.Net.Close()
+	time.Sleep(time.Second) // handlers that were still thinking
+}
+
+// WithChecker runs f with the checker under the simulation's lock.
+func (sim *Simulation) WithChecker(f func(*Checker)) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	f(sim.checker)
+}
+
+// observe feeds the checker with what there is now; call with the lock held.
+func (sim *Simulation) observe(now time.Time) {
+	if sim.hasFault(now) {
+		sim.lastFault = now
+	}
+	sim.checker.ObserveFaults(sim.lastFault, sim.lastFault != now)
+	sim.checker.Tick(now)
+	rooms := make([]MachineRoom, 0, len(sim.machines))
+	for _, id := range slices.Sorted(maps.Keys(sim.machines)) {
+		m := sim.machines[id]
+		r := MachineRoom{Place: Place{m.id, m.machineType, m.zone, m.spot}, Usable: m.up && !m.faulty && m.notice.IsZero(),
+			CPUs: m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB}
+		for t, x := range m.tasks {
+			if truth := sim.scripts[t.Job]; truth != nil && x.phase != wire.PhaseExited {
+				r.CPUs -= truth.Spec.CPUs
+				r.GPUs -= truth.Spec.GPUs
+				r.MemoryGB -= truth.Spec.MemoryGB
+				r.Tasks = append(r.Tasks, t)
+			}
+		}
+		rooms = append(rooms, r)
+	}
+	sim.checker.ObserveRoom(rooms, now)
+}
+
+// hasFault tells whether the simulation sees a fault; call with the lock held.
+func (sim *Simulation) hasFault(now time.Time) bool {
+	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseReleaseAnswers > 0 || sim.loseRentalAnswers > 0 {
+		return true
+	}
+	for _, m := range sim.machines {
+		if m.notice.After(now) {
+			return true
+		}
+	}
+	for _, n := range sim.controllers {
+		if !n.up {
+			return true
+		}
+	}
+	return sim.State.faulty() || sim.Net.faulty()
+}
+
+// CountFault begins or ends a fault that the simulation can't see by itself: while one
+// is on, no job counts as left waiting.
+func (sim *Simulation) CountFault(on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.countFault(on)
+}
+
+// countFault is CountFault with the lock held.
+func (sim *Simulation) countFault(on bool) {
+	if on {
+		sim.faultCount++
+	} else {
+		sim.faultCount--
+	}
+	sim.lastFault = time.Now()
+}
--- a/internal/simulator/latewrites.go
+++ b/internal/simulator/state_faults.go
@@ -10,6 +10,62 @@
 	"lilaclead/internal/wire"
 )
 
+// Outage begins or ends an outage. After it every grant has its full time.
+func (s *State) Outage(on bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expire()
+	s.outage = on
+	if !on {
+		for _, g := range s.grants {
+			g.ends = time.Now().Add(g.life)
+		}
+	}
+	s.notify()
+}
+
+// InOutage tells whether an outage is on.
+func (s *State) InOutage() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.outage
+}
+
+// RefuseClient makes the service refuse one host only.
+func (s *State) RefuseClient(host string, on bool) {
+	s.mu.Lock()
+	s.refused[host] = on
+	s.mu.Unlock()
+}
+
+// LoseAnswers makes the next transactions take effect without an answer.
+func (s *State) LoseAnswers(n int) {
+	s.mu.Lock()
+	s.loseAnswers = n
+	s.mu.Unlock()
+}
+
+// DropRequests makes the next transactions vanish without effect or answer.
+func (s *State) DropRequests(n int) {
+	s.mu.Lock()
+	s.dropRequests = n
+	s.mu.Unlock()
+}
+
+// DelayWatches makes the answers to open watches come late, as the service's
+// answers do at times.
+func (s *State) DelayWatches(d time.Duration) {
+	s.mu.Lock()
+	s.watchDelay = d
+	s.mu.Unlock()
+}
+
+func (s *State) faulty() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.outage || s.loseAnswers > 0 || s.dropRequests > 0 || has(s.refused)
+}
+
 // TxnFault is what the state service does to some transactions: it gives no
 // answer, and carries them out at once or, with Late, some time later, when
 // newer ones have been carried out.
@@ -25,12 +81,12 @@
 	Hang bool
 }
 
-// Fate of a transaction that a fault hit.
-type Fate struct {
-	From string
-	Keys []string // that it changes
-	Sent time.Time
-	Late bool
+// TxnOutcome of a transaction that a fault hit.
+type TxnOutcome struct {
+	Client string
+	Keys   []string // that it changes
+	Sent   time.Time
+	Late   bool
 	// Done is when it was carried out or refused; zero: not yet. Status is what
 	// the answer would have been, Failed the guards that failed.
 	Done   time.Time
@@ -41,111 +97,56 @@
 	Newer int
 }
 
-// Changes tells whether the transaction changes a key with the prefix.
-func (f *Fate) Changes(prefix string) bool {
+// ChangesPrefix tells whether the transaction changes a key with the prefix.
+func (f *TxnOutcome) ChangesPrefix(prefix string) bool {
 	return slices.ContainsFunc(f.Keys, func(k string) bool { return strings.HasPrefix(k, prefix) })
 }
 
-// lateWrites is the part of the service that makes such trouble. The service's
+// txnFaults is the part of the service that injects such faults. The service's
 // lock guards it.
-type lateWrites struct {
+type txnFaults struct {
 	rng    *rand.Rand
 	faults []TxnFault
-	fates  []*Fate
+	fates  []*TxnOutcome
 	slow   map[string]time.Duration // by client; "" stands for all
 	unsaid map[string][]string      // by client: keys changed by what is not answered yet
 	count  map[string]int           // by client: transactions carried out
 }
 
-func (l *lateWrites) ran(from string) {
+func (l *txnFaults) ran(from string) {
 	if l.count == nil {
 		l.count = map[string]int{}
 	}
 	l.count[from]++
 }
 
-// Trouble puts these faults in place of the former ones; without any it ends
+// InjectTxnFaults puts these faults in place of the former ones; without any it ends
 // them. What is on its way is carried out all the same.
-func (s *State) Trouble(seed uint64, faults ...TxnFault) {
+func (s *State) InjectTxnFaults(seed uint64, faults ...TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.late.rng, s.late.faults = rand.New(rand.NewPCG(seed, 11)), faults
+	s.txnFaults.rng, s.txnFaults.faults = rand.New(rand.NewPCG(seed, 11)), faults
 }
 
-// Slow delays every answer to a host, "" for all, after what was asked for has
-// been done.
-func (s *State) Slow(host string, by time.Duration) {
+// TxnOutcomes of the transactions that were hit so far, in the order of their coming.
+func (s *State) TxnOutcomes() []TxnOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.late.slow == nil {
-		s.late.slow = map[string]time.Duration{}
-	}
-	s.late.slow[host] = by
-}
-
-// Fates of the transactions that were hit so far, in the order of their coming.
-func (s *State) Fates() []Fate {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := make([]Fate, len(s.late.fates))
-	for i, f := range s.late.fates {
+	out := make([]TxnOutcome, len(s.txnFaults.fates))
+	for i, f := range s.txnFaults.fates {
 		out[i] = *f
 	}
 	return out
 }
 
-// unsaid notes what a transaction has changed until it is answered.
-func (s *State) unsaid(from string, t *wire.Txn) (said func()) {
-	keys := keysOf(t)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.late.unsaid == nil {
-		s.late.unsaid = map[string][]string{}
-	}
-	s.late.unsaid[from] = append(s.late.unsaid[from], keys...)
-	return func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		left := s.late.unsaid[from]
-		for _, k := range keys {
-			if i := slices.Index(left, k); i >= 0 {
-				left = slices.Delete(left, i, i+1)
-			}
-		}
-		s.late.unsaid[from] = left
-	}
-}
-
-// Unsaid counts the keys with a prefix that a host has changed without having
-// its answer yet, the service being slow.
-func (s *State) Unsaid(host, prefix string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	n := 0
-	for _, k := range s.late.unsaid[host] {
-		if strings.HasPrefix(k, prefix) {
-			n++
-		}
-	}
-	return n
-}
-
-func keysOf(t *wire.Txn) []string {
-	var out []string
-	for _, x := range t.Writes {
-		out = append(out, x.Put+x.Delete)
-	}
-	return out
-}
-
-// troubled tells whether a fault hits the transaction, and plays it.
-func (s *State) troubled(r *http.Request, t *wire.Txn) bool {
+// injectFault tells whether a fault hits the transaction, and plays it.
+func (s *State) injectFault(r *http.Request, t *wire.Txn) bool {
 	from := hostOf(r.RemoteAddr)
-	f := &Fate{From: from, Keys: keysOf(t), Sent: time.Now()}
+	f := &TxnOutcome{Client: from, Keys: keysOf(t), Sent: time.Now()}
 	s.mu.Lock()
-	l := &s.late
+	l := &s.txnFaults
 	i := slices.IndexFunc(l.faults, func(x TxnFault) bool {
-		return (x.Hosts == nil || slices.Contains(x.Hosts, from)) && f.Changes(x.Prefix) && (x.Share == 0 || l.rng.Float64() < x.Share)
+		return (x.Hosts == nil || slices.Contains(x.Hosts, from)) && f.ChangesPrefix(x.Prefix) && (x.Share == 0 || l.rng.Float64() < x.Share)
 	})
 	if i < 0 {
 		s.mu.Unlock()
@@ -186,11 +187,30 @@
 	panic(http.ErrAbortHandler)
 }
 
-// slowly is the writer through which an answer goes to a slow service's client.
-func (s *State) slowly(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
+func keysOf(t *wire.Txn) []string {
+	var out []string
+	for _, x := range t.Writes {
+		out = append(out, x.Put+x.Delete)
+	}
+	return out
+}
+
+// DelayAnswers delays every answer to a host, "" for all, after what was asked for has
+// been done.
+func (s *State) DelayAnswers(host string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	by := max(s.late.slow[""], s.late.slow[hostOf(r.RemoteAddr)])
+	if s.txnFaults.slow == nil {
+		s.txnFaults.slow = map[string]time.Duration{}
+	}
+	s.txnFaults.slow[host] = by
+}
+
+// delayed is the writer through which an answer goes to a slow service's client.
+func (s *State) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	by := max(s.txnFaults.slow[""], s.txnFaults.slow[hostOf(r.RemoteAddr)])
 	if by == 0 {
 		return w
 	}
@@ -214,47 +234,38 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// QuickBoots lets machines be up within two seconds of their rental, or no more.
-func (w *World) QuickBoots(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.bootFactor = 1; on {
-		w.bootFactor = 0.1
+// noteUnanswered notes what a transaction has changed until it is answered.
+func (s *State) noteUnanswered(from string, t *wire.Txn) (said func()) {
+	keys := keysOf(t)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.txnFaults.unsaid == nil {
+		s.txnFaults.unsaid = map[string][]string{}
 	}
-}
-
-// Newest tells of the newest machine that is up how long ago it was rented and how
-// long after that it was up; zero if there is none.
-func (w *World) Newest() (age, boot time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, m := range w.machines {
-		if old := time.Since(m.rented); m.up && (boot == 0 || old < age) {
-			age, boot = old, m.upAt.Sub(m.rented)
+	s.txnFaults.unsaid[from] = append(s.txnFaults.unsaid[from], keys...)
+	return func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		left := s.txnFaults.unsaid[from]
+		for _, k := range keys {
+			if i := slices.Index(left, k); i >= 0 {
+				left = slices.Delete(left, i, i+1)
+			}
 		}
+		s.txnFaults.unsaid[from] = left
 	}
-	return
 }
 
-// Know makes a job known to the workers and the checker; the test itself is its
-// user.
-func (w *World) Know(t Truth) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.truths[t.Spec.ID] = &t
-	w.check.Submitted(t.Spec)
-}
-
-// Said is what users were told of a job so far: 0 nothing, 1 that it is accepted,
-// 2 that it is over.
-func (c *Checker) Said(id wire.JobID) int {
-	switch j := c.jobs[id]; {
-	case j == nil:
-		return 0
-	case j.told != "":
-		return 2
-	case j.accepted:
-		return 1
+// UnansweredWrites counts the keys with a prefix that a host has changed without having
+// its answer yet, the service being slow.
+func (s *State) UnansweredWrites(host, prefix string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := 0
+	for _, k := range s.txnFaults.unsaid[host] {
+		if strings.HasPrefix(k, prefix) {
+			n++
+		}
 	}
-	return 0
+	return n
 }
--- a/internal/simulator/state.go
+++ b/internal/simulator/state_service.go
@@ -1,11 +1,6 @@
 package simulator
 
 import (
-	"encoding/json"
-	"math"
-	"reflect"
-
-	"github.com/fxamacker/cbor/v2"
 	"net/http"
 	"slices"
 	"sort"
@@ -19,115 +14,120 @@
 
 // State is the state service: revisions, guards, grants and watches.
 type State struct {
-	mu      sync.Mutex
-	rev     wire.Revision
-	keys    map[string]*entry
-	grants  map[wire.GrantID]*grant
-	next    wire.GrantID
-	changes []change
-	wake    chan struct{}
+	mu        sync.Mutex
+	revision  wire.Revision
+	keys      map[string]*stateEntry
+	grants    map[wire.GrantID]*stateGrant
+	nextGrant wire.GrantID
+	changes   []stateChange
+	wake      chan struct{}
 	// Faults.
-	out     bool
-	refused map[string]bool // hosts that get 503
-	loseTxn int             // so many transactions are executed, and their answers lost
-	dropTxn int             // so many are lost before they are executed
-	late    lateWrites
-	maxOps  int
-	valueKB int
+	outage       bool
+	refused      map[string]bool // hosts that get 503
+	loseAnswers  int             // so many transactions are executed, and their answers lost
+	dropRequests int             // so many are lost before they are executed
+	txnFaults    txnFaults
+	maxOps       int
+	valueKB      int
 	// oversize counts the transactions that were refused for their size.
-	oversize int
-	limits   limits
-	lag      time.Duration // of the answers to open watches
-	cut      wire.Revision // the newest change that is no longer kept
+	oversize      int
+	limits        stateLimits
+	watchDelay    time.Duration // of the answers to open watches
+	forgottenUpTo wire.Revision // the newest change that is no longer kept
 }
 
-type entry struct {
+type stateEntry struct {
 	v      wire.Raw
 	stamp  wire.Revision
 	permit wire.GrantID
 }
 
-type grant struct {
+type stateGrant struct {
 	life time.Duration
 	ends time.Time
 }
 
-type change struct {
+type stateChange struct {
 	rev wire.Revision
 	c   wire.Change
 }
 
 // NewState makes an empty service.
 func NewState(maxOps, valueKB int) *State {
-	return &State{keys: map[string]*entry{}, grants: map[wire.GrantID]*grant{}, next: 1, wake: make(chan struct{}),
+	return &State{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
 		refused: map[string]bool{}, maxOps: maxOps, valueKB: valueKB}
 }
 
-// Outage begins or ends an outage. After it every grant has its full time.
-func (s *State) Outage(on bool) {
+// Put writes a key as some client would, for tests.
+func (s *State) Put(key string, v any) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire()
-	s.out = on
-	if !on {
-		for _, g := range s.grants {
-			g.ends = time.Now().Add(g.life)
-		}
-	}
-	s.bump()
+	s.revision++
+	s.keys[key] = &stateEntry{v: wire.Encode(v), stamp: s.revision}
+	s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: key, Value: wire.Encode(v), Revision: s.revision}})
+	s.notify()
+	return s.revision
 }
 
-// Refuse makes the service refuse one host only.
-func (s *State) Refuse(host string, on bool) {
+// Delete removes a key as some client would, for tests.
+func (s *State) Delete(key string) {
 	s.mu.Lock()
-	s.refused[host] = on
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	if s.keys[key] == nil {
+		return
+	}
+	s.revision++
+	delete(s.keys, key)
+	s.changes = append(s.changes, stateChange{s.revision, wire.Change{Delete: key, Revision: s.revision}})
+	s.notify()
 }
 
-// LoseAnswers makes the next transactions take effect without an answer.
-func (s *State) LoseAnswers(n int) {
+// Keys lists the keys with a prefix, for tests.
+func (s *State) Keys(prefix string) []string {
 	s.mu.Lock()
-	s.loseTxn = n
-	s.mu.Unlock()
+	defer s.mu.Unlock()
+	var out []string
+	for k := range s.keys {
+		if strings.HasPrefix(k, prefix) {
+			out = append(out, k)
+		}
+	}
+	sort.Strings(out)
+	return out
 }
 
-// DropRequests makes the next transactions vanish without effect or answer.
-func (s *State) DropRequests(n int) {
-	s.mu.Lock()
-	s.dropTxn = n
-	s.mu.Unlock()
-}
-
-// Put writes a key as some client would, for tests.
-func (s *State) Put(key string, v any) wire.Revision {
+// LargestValue is the size of the largest value under a prefix.
+func (s *State) LargestValue(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev++
-	s.keys[key] = &entry{v: wire.Encode(v), stamp: s.rev}
-	s.changes = append(s.changes, change{s.rev, wire.Change{Put: key, Value: wire.Encode(v), Revision: s.rev}})
-	s.bump()
-	return s.rev
+	n := 0
+	for k, e := range s.keys {
+		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
+			n = max(n, jsonSize(e.v))
+		}
+	}
+	return n
 }
 
-func (s *State) bump() {
+func (s *State) notify() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
 
 // expire ends grants; during an outage nothing ends.
 func (s *State) expire() {
-	if s.out {
+	if s.outage {
 		return
 	}
 	now := time.Now()
 	for id, g := range s.grants {
 		if !now.Before(g.ends) {
-			s.end(id)
+			s.endGrant(id)
 		}
 	}
 }
 
-func (s *State) end(id wire.GrantID) {
+func (s *State) endGrant(id wire.GrantID) {
 	delete(s.grants, id)
 	var dead []string
 	for k, e := range s.keys {
@@ -138,27 +138,13 @@
 	if len(dead) == 0 {
 		return
 	}
-	s.rev++
+	s.revision++
 	sort.Strings(dead)
 	for _, k := range dead {
 		delete(s.keys, k)
-		s.changes = append(s.changes, change{s.rev, wire.Change{Delete: k, Revision: s.rev}})
+		s.changes = append(s.changes, stateChange{s.revision, wire.Change{Delete: k, Revision: s.revision}})
 	}
-	s.bump()
-}
-
-// Keys lists the keys with a prefix, for tests.
-func (s *State) Keys(prefix string) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	var out []string
-	for k := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, k)
-		}
-	}
-	sort.Strings(out)
-	return out
+	s.notify()
 }
 
 type ledger struct {
@@ -173,13 +159,13 @@
 	time.Sleep(2 * time.Millisecond)
 	s.mu.Lock()
 	s.expire()
-	refuse := s.out || s.refused[hostOf(r.RemoteAddr)]
+	refuse := s.outage || s.refused[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
 	if !refuse && !s.limits.admits(1, 0) {
 		wire.Answer(w, http.StatusTooManyRequests, wire.Reason{Error: "too many requests"})
 		return
 	}
-	w = s.slowly(w, r)
+	w = s.delayed(w, r)
 	if r.URL.Path == "/changes" {
 		s.watch(w, r)
 		return
@@ -196,7 +182,7 @@
 		k := strings.TrimPrefix(r.URL.Path, "/kv/")
 		s.limits.read(k)
 		s.mu.Lock()
-		e, rev := s.keys[k], s.rev
+		e, rev := s.keys[k], s.revision
 		var out wire.Entry
 		if e != nil {
 			out = wire.Entry{Key: k, Value: e.v, Revision: e.stamp, Grant: e.permit}
@@ -218,7 +204,7 @@
 			return
 		}
 		s.limits.await(&t)
-		if !s.troubled(r, &t) {
+		if !s.injectFault(r, &t) {
 			s.txn(w, hostOf(r.RemoteAddr), &t)
 		}
 	case r.URL.Path == "/grants" && r.Method == "POST":
@@ -228,10 +214,10 @@
 			return
 		}
 		s.mu.Lock()
-		id := s.next
-		s.next++
+		id := s.nextGrant
+		s.nextGrant++
 		life := time.Duration(a.TTLMillis) * time.Millisecond
-		s.grants[id] = &grant{life, time.Now().Add(life)}
+		s.grants[id] = &stateGrant{life, time.Now().Add(life)}
 		s.mu.Unlock()
 		wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: id})
 	case strings.HasPrefix(r.URL.Path, "/grants/"):
@@ -244,7 +230,7 @@
 		case renew:
 			g.ends = time.Now().Add(g.life)
 		case r.Method == "DELETE":
-			s.end(wire.GrantID(n))
+			s.endGrant(wire.GrantID(n))
 		}
 		s.mu.Unlock()
 		if g == nil {
@@ -272,7 +258,7 @@
 		}
 	}
 	sort.Strings(ks)
-	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.rev}
+	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.revision}
 	for _, k := range ks {
 		if len(page.Entries) == most {
 			page.Truncated = true
@@ -286,48 +272,24 @@
 	wire.Answer(w, http.StatusOK, page)
 }
 
-// jsonSize is the size of a value as the service counts it.
-func jsonSize(v wire.Raw) int {
-	if len(v) == 0 {
-		return 0
-	}
-	var x any
-	b, err := []byte(nil), valueMode.Unmarshal(v, &x)
-	if err == nil {
-		b, err = json.Marshal(x)
-	}
-	if err != nil {
-		return math.MaxInt
-	}
-	return len(b)
-}
-
-var valueMode = func() cbor.DecMode {
-	m, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
-	if err != nil {
-		panic(err)
-	}
-	return m
-}()
-
 func (s *State) txn(w http.ResponseWriter, from string, t *wire.Txn) {
 	s.mu.Lock()
-	if s.dropTxn > 0 {
-		s.dropTxn--
+	if s.dropRequests > 0 {
+		s.dropRequests--
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	status, answer := s.execute(from, t)
-	lose := status == http.StatusOK && s.loseTxn > 0
+	lose := status == http.StatusOK && s.loseAnswers > 0
 	if lose {
-		s.loseTxn--
+		s.loseAnswers--
 	}
 	s.mu.Unlock()
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusOK {
-		defer s.unsaid(from, t)()
+		defer s.noteUnanswered(from, t)()
 	}
 	wire.Answer(w, status, answer)
 }
@@ -349,27 +311,27 @@
 	}
 	if failed != nil {
 		s.limits.fails(t)
-		return http.StatusConflict, wire.TxnResult{Revision: s.rev, Failed: failed}
+		return http.StatusConflict, wire.TxnResult{Revision: s.revision, Failed: failed}
 	}
 	if len(t.Writes) > 0 {
-		s.rev++
+		s.revision++
 		for _, x := range t.Writes {
 			if x.Delete != "" {
 				delete(s.keys, x.Delete)
-				s.changes = append(s.changes, change{s.rev, wire.Change{Delete: x.Delete, Revision: s.rev}})
+				s.changes = append(s.changes, stateChange{s.revision, wire.Change{Delete: x.Delete, Revision: s.revision}})
 				continue
 			}
-			s.keys[x.Put] = &entry{append(wire.Raw(nil), x.Value...), s.rev, x.Grant}
-			s.changes = append(s.changes, change{s.rev, wire.Change{Put: x.Put, Value: append(wire.Raw(nil), x.Value...), Revision: s.rev}})
+			s.keys[x.Put] = &stateEntry{append(wire.Raw(nil), x.Value...), s.revision, x.Grant}
+			s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: x.Put, Value: append(wire.Raw(nil), x.Value...), Revision: s.revision}})
 		}
 		if keep := s.limits.kept(); len(s.changes) > keep {
-			s.cut = s.changes[len(s.changes)-keep-1].rev
-			s.changes = append([]change(nil), s.changes[len(s.changes)-keep:]...)
+			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].rev
+			s.changes = append([]stateChange(nil), s.changes[len(s.changes)-keep:]...)
 		}
-		s.late.ran(from)
-		s.bump()
+		s.txnFaults.ran(from)
+		s.notify()
 	}
-	return http.StatusOK, wire.TxnResult{Revision: s.rev}
+	return http.StatusOK, wire.TxnResult{Revision: s.revision}
 }
 
 func (s *State) watch(w http.ResponseWriter, r *http.Request) {
@@ -381,9 +343,9 @@
 	for {
 		s.mu.Lock()
 		s.expire()
-		res := wire.Changes{Revision: s.rev, Events: []wire.Change{}}
-		silent := s.out || s.refused[hostOf(r.RemoteAddr)]
-		if s.cut > wire.Revision(after) {
+		res := wire.Changes{Revision: s.revision, Events: []wire.Change{}}
+		silent := s.outage || s.refused[hostOf(r.RemoteAddr)]
+		if s.forgottenUpTo > wire.Revision(after) {
 			s.mu.Unlock()
 			wire.Answer(w, http.StatusGone, wire.Reason{Error: "too old"})
 			return
@@ -395,7 +357,7 @@
 				}
 			}
 		}
-		wake, lag := s.wake, s.lag
+		wake, lag := s.wake, s.watchDelay
 		s.mu.Unlock()
 		slices.Reverse(res.Events) // as in the page's example, which promises no order
 		if len(res.Events) > 0 || timeUp && !silent {
--- a/internal/simulator/user.go
+++ b/internal/simulator/users.go
@@ -55,25 +55,25 @@
 
 // Ask makes one request as a user to the i-th node. The checker learns of
 // whatever is asked and answered here.
-func (w *World) Ask(i int, method, path string, body any) (int, []byte, http.Header) {
+func (sim *Simulation) Ask(i int, method, path string, body any) (int, []byte, http.Header) {
 	asked := time.Now()
 	rest := strings.TrimPrefix(path, jobsPath)
 	id, cancel := strings.CutSuffix(strings.TrimPrefix(rest, "/"), "/cancel")
 	if method == "POST" && cancel {
-		w.Checked(func(c *Checker) { c.CancelAsked(wire.JobID(id)) })
+		sim.WithChecker(func(c *Checker) { c.CancelRequested(wire.JobID(id)) })
 	}
 	if method == "POST" && path == jobsPath {
-		w.Checked(func(c *Checker) { c.Posted(bodyOf(body), 0, asked) })
+		sim.WithChecker(func(c *Checker) { c.SubmissionSent(bodyOf(body), 0, asked) })
 	}
-	status, out, h := w.ask(i, method, path, body)
-	if w.ctx.Err() != nil || !strings.HasPrefix(path, jobsPath) {
+	status, out, h := sim.ask(i, method, path, body)
+	if sim.ctx.Err() != nil || !strings.HasPrefix(path, jobsPath) {
 		return status, out, h
 	}
-	w.Checked(func(c *Checker) {
+	sim.WithChecker(func(c *Checker) {
 		switch {
 		case method == "POST" && rest == "":
-			c.Posted(bodyOf(body), status, time.Now())
-			c.Replied(bodyOf(body), status, out, asked, time.Now())
+			c.SubmissionSent(bodyOf(body), status, time.Now())
+			c.SubmissionAnswered(bodyOf(body), status, out, asked, time.Now())
 		case method == "POST" && cancel:
 			c.CancelAnswered(wire.JobID(id), status, out, asked, time.Now())
 		case method == "GET" && !cancel:
@@ -82,15 +82,15 @@
 			if got == 200 && wire.Decode(out, &s) != nil {
 				got = 0
 			}
-			c.Answered(wire.JobID(id), got, s.Status, asked, time.Now())
+			c.PollAnswered(wire.JobID(id), got, s.Status, asked, time.Now())
 		}
 	})
 	return status, out, h
 }
 
 // ask is Ask without the checker.
-func (w *World) ask(i int, method, path string, body any) (int, []byte, http.Header) {
-	return Ask(w.ctx, w.host(userIP), method, "http://"+NodeIP(i)+":8080"+path, body)
+func (sim *Simulation) ask(i int, method, path string, body any) (int, []byte, http.Header) {
+	return Ask(sim.ctx, sim.hostNet(userIP), method, "http://"+NodeIP(i)+":8080"+path, body)
 }
 
 const jobsPath = "/v1/jobs"
@@ -103,30 +103,30 @@
 	return wire.Encode(v)
 }
 
-// AskAll asks every node that is up about every job that a user knows to be
+// AskAllAboutAll asks every node that is up about every job that a user knows to be
 // accepted, as users may at any later time.
-func (w *World) AskAll() {
+func (sim *Simulation) AskAllAboutAll() {
 	var ids []wire.JobID
-	up := make([]bool, len(w.nodes))
-	w.mu.Lock()
-	for id, j := range w.check.jobs {
+	up := make([]bool, len(sim.controllers))
+	sim.mu.Lock()
+	for id, j := range sim.checker.jobs {
 		if j.accepted {
 			ids = append(ids, id)
 		}
 	}
-	for i, n := range w.nodes {
+	for i, n := range sim.controllers {
 		up[i] = n.up
 	}
-	w.mu.Unlock()
+	sim.mu.Unlock()
 	slices.Sort(ids)
 	var all sync.WaitGroup
-	for i := range w.nodes {
+	for i := range sim.controllers {
 		if !up[i] {
 			continue
 		}
 		all.Go(func() {
 			for _, id := range ids {
-				if status, _, _ := w.Ask(i, "GET", jobsPath+"/"+string(id), nil); status == 0 {
+				if status, _, _ := sim.Ask(i, "GET", jobsPath+"/"+string(id), nil); status == 0 {
 					return // it does not answer, and each question takes 2 s
 				}
 			}
@@ -135,27 +135,36 @@
 	all.Wait()
 }
 
-// Operate makes one request as an operator to the i-th node.
-func (w *World) Operate(i int, method, path string, body any) (int, []byte, http.Header) {
-	return Ask(w.ctx, w.host("10.3.0.9"), method, "http://"+NodeIP(i)+":8081"+path, body)
+// AskAsOperator makes one request as an operator to the i-th node.
+func (sim *Simulation) AskAsOperator(i int, method, path string, body any) (int, []byte, http.Header) {
+	return Ask(sim.ctx, sim.hostNet("10.3.0.9"), method, "http://"+NodeIP(i)+":8081"+path, body)
+}
+
+// RegisterJob makes a job known to the workers and the checker; the test itself is its
+// user.
+func (sim *Simulation) RegisterJob(t JobScript) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.scripts[t.Spec.ID] = &t
+	sim.checker.Submitted(t.Spec)
 }
 
 // Submit plays a user: submits with retries, then polls until the job is
 // over, asking any node in turn. Cancel, if above 0, is when the user asks
 // to cancel.
-func (w *World) Submit(t Truth, cancel time.Duration) {
-	w.mu.Lock()
-	w.truths[t.Spec.ID] = &t
-	w.check.Submitted(t.Spec)
-	turn := w.rng.IntN(len(w.nodes))
-	w.mu.Unlock()
+func (sim *Simulation) Submit(t JobScript, cancel time.Duration) {
+	sim.mu.Lock()
+	sim.scripts[t.Spec.ID] = &t
+	sim.checker.Submitted(t.Spec)
+	turn := sim.rng.IntN(len(sim.controllers))
+	sim.mu.Unlock()
 	id := t.Spec.ID
-	w.spawn(func() {
+	sim.spawn(func() {
 		begin := time.Now()
-		next := func() int { turn++; return turn % len(w.nodes) }
+		next := func() int { turn++; return turn % len(sim.controllers) }
 		for {
-			status, _, h := w.Ask(next(), "POST", "/v1/jobs", Submission(t.Spec))
-			if w.ctx.Err() != nil {
+			status, _, h := sim.Ask(next(), "POST", "/v1/jobs", Submission(t.Spec))
+			if sim.ctx.Err() != nil {
 				return
 			}
 			if status == 200 || status == 201 {
@@ -168,20 +177,20 @@
 			if s, err := strconv.Atoi(h.Get("Retry-After")); err == nil {
 				wait = max(wait, min(30, time.Duration(s))*time.Second)
 			}
-			sleep(w.ctx, wait)
+			sleep(sim.ctx, wait)
 		}
 		cancelled := false
-		for w.ctx.Err() == nil {
-			sleep(w.ctx, 5*time.Second)
+		for sim.ctx.Err() == nil {
+			sleep(sim.ctx, 5*time.Second)
 			if cancel > 0 && !cancelled && time.Since(begin) > cancel {
-				status, raw, _ := w.Ask(next(), "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
+				status, raw, _ := sim.Ask(next(), "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
 				var b wire.JobSummary
 				if status == 200 && wire.Decode(raw, &b) == nil {
 					cancelled = true
 				}
 			}
-			status, raw, _ := w.Ask(next(), "GET", "/v1/jobs/"+string(id), nil)
-			if w.ctx.Err() != nil {
+			status, raw, _ := sim.Ask(next(), "GET", "/v1/jobs/"+string(id), nil)
+			if sim.ctx.Err() != nil {
 				return
 			}
 			var s wire.JobState
@@ -194,3 +203,18 @@
 		}
 	})
 }
+
+// CountEnded counts the jobs of which users were told the end.
+func (sim *Simulation) CountEnded(jobs []JobScript) (done, cancelled int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, t := range jobs {
+		switch sim.checker.jobs[t.Spec.ID].finalStatus {
+		case wire.Done:
+			done++
+		case wire.Cancelled:
+			cancelled++
+		}
+	}
+	return
+}
--- a/internal/store/copy_test.go
+++ b/internal/store/copy_test.go
@@ -115,14 +115,14 @@
 		for _, id := range []wire.JobID{"req-1", "req-2", "req-3", "req-4", "req-5"} {
 			put(id, wire.Queued)
 		}
-		st.Short(0, 2)
+		st.LimitHistory(0, 2)
 		pages := 0
-		st.Late(func() time.Duration {
+		st.DelayLists(func() time.Duration {
 			if pages++; pages == 1 {
 				put("req-1", wire.Cancelled) // listed already
 				put("req-3", wire.Cancelled) // not yet
-				st.Drop(store.JobKey("req-2"))
-				st.Drop(store.JobKey("req-4"))
+				st.Delete(store.JobKey("req-2"))
+				st.Delete(store.JobKey("req-4"))
 				return 50 * time.Millisecond
 			}
 			return 0
@@ -145,7 +145,7 @@
 func TestCopyFromShortBooks(t *testing.T) {
 	withCopy(t, 1000, func(t *testing.T, ctx context.Context, r rig) {
 		st, c, y := r.st, r.c, r.y
-		st.Short(2, 0)
+		st.LimitHistory(2, 0)
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.Spec{ID: "req-1", Tasks: 1}, Status: wire.Queued})
 		if got, err := y.Get(ctx, "req-1"); err != nil || got.Status != wire.Queued {
 			t.Errorf("%v %v", got, err)
