--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// The office is handed over and back, all controllers end, and one returns
+// Leadership moves to another controller and back, all controllers end, and one returns
 // within a second, is ended in the middle of its election (its key is written,
 // nothing is read yet), and another one returns.
 func TestLeadershipReturnsThenAllControllersRestart(t *testing.T) {
@@ -188,7 +188,7 @@
 				startControllers(t, sim, i)
 				waitUntil(t, 8*time.Second, "an election", func() bool { return sim.LeaderKeyRevision() > old })
 				old = sim.LeaderKeyRevision()
-				sim.KillController(i) // it has taken the office just now
+				sim.KillController(i) // it has been elected just now
 				if sim.Leader() != i {
 					t.Errorf("node %d leads, not %d", sim.Leader(), i)
 				}
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -69,7 +69,7 @@
 	})
 }
 
-// Odd requests get what the page says, at every node, again and again, and also
+// Invalid requests get what the page says, at every node, again and again, and also
 // while nodes don't know the machine types yet.
 func TestInvalidRequestsAtEveryController(t *testing.T) {
 	t.Parallel()
@@ -102,7 +102,7 @@
 				}
 			}
 		}
-		odd := func(known bool) {
+		invalid := func(known bool) {
 			t.Helper()
 			for k := range simulator.Submission(array(1, 1, 1).Spec) {
 				if k == "kits" || k == "site" || k == "dueS" { // may be null, so may be missing
@@ -136,10 +136,10 @@
 			ask("image fits no disk", "POST", "/v1/jobs", with("imageGb", 21.0), want, "")
 		}
 		at(3 * time.Second)
-		odd(false)
+		invalid(false)
 		sim.CloudOutage(false)
 		at(18 * time.Second)
-		odd(true)
+		invalid(true)
 		// An array may have more tasks than its team's limit.
 		wide, s, gone := array(1, 60, 3), service(2, 2), service(3, 2)
 		for _, j := range []simulator.JobScript{wide, s, gone} {
@@ -169,7 +169,7 @@
 		startAll(t, sim)
 		time.Sleep(3 * time.Second)
 		known()
-		odd(false)
+		invalid(false)
 		sim.CloudOutage(false)
 		time.Sleep(20 * time.Second)
 		known()
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -70,7 +70,7 @@
 					since := time.Now()
 					cancelAtController(t, sim, by, ran[1])
 					cancelAtController(t, sim, by, begins[1])
-					// The next one may have taken the office meanwhile, but has read nothing yet.
+					// The next one may have been elected meanwhile, but has read nothing yet.
 					if n := sim.Leader(); n >= 0 && n != l && !c.vacant || time.Since(since) > 50*time.Millisecond {
 						t.Errorf("elected before the cancellation, which took %v", time.Since(since))
 					}
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -309,7 +309,7 @@
 
 // Jobs are cancelled while they are being started and the leader's watch lags: it
 // finds out by a write that fails, closes them, and only then hears of them from
-// the watch. That must not cost it the office.
+// the watch. It must not resign for that.
 func TestCancellationsReadTwice(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 70, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -333,7 +333,7 @@
 			}
 		}
 		if sim.LeaderKeyRevision() != old {
-			t.Errorf("the office has changed hands: node %d leads, was %d", sim.Leader(), l)
+			t.Errorf("leadership has changed: node %d leads, was %d", sim.Leader(), l)
 		}
 		sim.State.DelayWatches(0)
 		mustRecover(t, sim, 3, s, a)
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// Candidates' writes of the leader's key are carried out late: while the office is
-// another's, or still vacant, by a grant that was given up. Nobody may lead by it.
+// Candidates' writes of the leader's key are carried out late: while another one
+// leads, or nobody yet, by a grant that was given up. Nobody may lead by it.
 func TestLeaderKeyWrittenLate(t *testing.T) {
 	t.Parallel()
 	for i, most := range []int{1, 6} {
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -62,7 +62,7 @@
 }
 
 // A leader cut off from its peers only goes on leading; in an outage on top it
-// may answer for as long as a node may stand in for a lost leader and must stop
+// may answer for as long as a node may be delegate of a lost leader and must stop
 // then, since no majority agrees, and nothing may run twice when the leases
 // have run out.
 func TestLeaderPartitionedFromPeers(t *testing.T) {
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -112,12 +112,12 @@
 	}
 }
 
-// The same, and the machines of the cancelled tasks are deaf, or the halts to
+// The same, and the machines of the cancelled tasks receive nothing, or the halts to
 // them are held up on their way: what can't be halted must end with its lease,
 // or with its machine.
 func TestCancelOnUnreachableMachinesWhileLeaderIsRefused(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"deaf", "no commands", "answers held"} {
+	for _, how := range []string{"no inbound", "no commands", "answers held"} {
 		for _, cloud := range []bool{true, false} {
 			t.Run(fmt.Sprint(how, ", cloud there: ", cloud), func(t *testing.T) {
 				t.Parallel()
@@ -131,11 +131,11 @@
 					if l < 0 || len(on) == 0 {
 						t.Fatal("nothing runs yet")
 					}
-					odd := func(b bool) {
+					setFault := func(b bool) {
 						for _, id := range on {
 							ip := sim.MachineIP(id)
 							switch how {
-							case "deaf":
+							case "no inbound":
 								sim.Net.BlockInbound(ip, b)
 							case "no commands":
 								sim.Net.Hold(simulator.NodeIP(l), ip, b)
@@ -146,7 +146,7 @@
 							}
 						}
 					}
-					odd(true)
+					setFault(true)
 					sim.CloudOutage(!cloud)
 					sim.State.RefuseClient(simulator.NodeIP(l), true)
 					if !cancelOnceAt(sim, (l+1)%5, gone.Spec.ID) {
@@ -158,7 +158,7 @@
 					time.Sleep(43 * time.Second)
 					sim.State.Outage(false)
 					time.Sleep(20 * time.Second)
-					odd(false)
+					setFault(false)
 					sim.CloudOutage(false)
 					faultsAreOver(sim)
 					time.Sleep(90 * time.Second)
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -84,7 +84,7 @@
 }
 
 // The limits drop while jobs are under way whose progress was stored under the
-// larger ones, in quiet and as other troubles come with it.
+// larger ones, alone and with other faults.
 func TestStateLimitsLowered(t *testing.T) {
 	t.Parallel()
 	kinds := map[string]func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)){
@@ -101,7 +101,7 @@
 			sim.KillController(l)
 			time.Sleep(time.Second)
 			if sim.Leader() != l {
-				t.Error("the office passed on before the drop")
+				t.Error("leadership passed on before the drop")
 			}
 			lowerLimits(sim)
 			awaitSuccessor(t, sim, l)
@@ -117,7 +117,7 @@
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
-			lowerLimits(sim) // it has the office, and reads for 0.6 s
+			lowerLimits(sim) // it is elected, and reads for 0.6 s
 			time.Sleep(3 * time.Second)
 			sim.State.DelayLists(nil)
 			if err := sim.StartController(l); err != nil {
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -278,7 +278,7 @@
 }
 
 // The smallest state service that can work: two changes a transaction, values of
-// 1 KiB, a few requests a second, and leases that leave no time to stand in. It
+// 1 KiB, a few requests a second, and leases that leave no time for delegates. It
 // starts and serves.
 func TestMinimalDeployment(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -10,8 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Seeded meetings: two troubles drawn at random that overlap, three times a day.
-// SCENARIO_SEEDS asks for more of them.
+// Two faults drawn at random overlap, three times in each run. SCENARIO_SEEDS asks for more of them.
 func TestRandomFaultPairs(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(2) {
@@ -39,8 +38,8 @@
 					id, ip, _ = sim.FirstMachine(func(n int) bool { return n > 0 })
 					return id, ip
 				}
-				// Each begins a trouble and returns what ends it.
-				troubles := []func() func(){
+				// Each begins a fault and returns what ends it.
+				faults := []func() func(){
 					func() func() { // a node ends, and is back at once or later
 						i := rng.IntN(3)
 						if l := sim.Leader(); l >= 0 && rng.IntN(2) == 0 {
@@ -76,7 +75,7 @@
 						sim.IsolateZone(z, true)
 						return func() { sim.IsolateZone(z, false) }
 					},
-					func() func() { // a machine is deaf
+					func() func() { // nothing reaches a machine
 						_, ip := some()
 						sim.Net.BlockInbound(ip, true)
 						return func() { sim.Net.BlockInbound(ip, false) }
@@ -105,12 +104,12 @@
 						submit()
 						time.Sleep(3*time.Second + seconds(5))
 					}
-					x := rng.IntN(len(troubles))
-					y := (x + 1 + rng.IntN(len(troubles)-1)) % len(troubles)
-					endX := troubles[x]()
+					x := rng.IntN(len(faults))
+					y := (x + 1 + rng.IntN(len(faults)-1)) % len(faults)
+					endX := faults[x]()
 					submit()
 					time.Sleep(seconds(1 + 9*rng.IntN(2))) // sometimes close, sometimes seconds apart
-					endY := troubles[y]()
+					endY := faults[y]()
 					submit()
 					time.Sleep(seconds(1 + 29*rng.IntN(2)))
 					first, second := endX, endY
@@ -127,7 +126,7 @@
 	}
 }
 
-// Seeded meetings of two or three troubles at a time, with teams at their limits,
+// Two or three faults drawn at random at a time, with teams at their limits,
 // bound jobs and cancellations; when they are over nothing may wait any more.
 func TestRandomFaultsLeaveNothingWaiting(t *testing.T) {
 	t.Parallel()
@@ -242,7 +241,7 @@
 				}
 				faultsAreOver(sim)
 				if met < 3 {
-					t.Errorf("only %d troubles fell into another one", met)
+					t.Errorf("only %d faults fell into another one", met)
 				}
 				mustLeaveNothingWaiting(t, sim, 200*time.Second)
 				mustRun(t, sim, s, "when all is over")
--- a/internal/scenarios/rolling_upgrade_test.go
+++ b/internal/scenarios/rolling_upgrade_test.go
@@ -136,7 +136,7 @@
 		t.Errorf("production reads %+v, %v", c, err)
 	}
 	// A piece's key is no chunk's key: production would take it for left over.
-	// So none is written before the drop: TestNoPieceBeforeTheDrop.
+	// So none is written before the drop: TestNoSubChunkBeforeTheDrop.
 	if _, _, ok := store.ParseChunkKey(store.PieceKey("req-000412", 3, 1)); ok {
 		t.Error("a piece is read as a chunk")
 	}
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -60,7 +60,7 @@
 }
 
 // The leader ends in an outage of the state service that outlasts a lease. The
-// others stand in for it; before, every replica was lost.
+// others renew leases as its delegates; before, every replica was lost.
 func TestLeaderRestartsDuringLongOutage(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 39, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -149,14 +149,14 @@
 }
 
 // The state service goes out in the middle of an election, for longer than the
-// time for cancellations: the new leader holds the office, and has not read what
+// time for cancellations: the new leader is elected, and has not read what
 // was cancelled while nobody led. It must not keep alive what it knows nothing of.
 func TestOutageDuringElectionAfterCancel(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
 		run  scenarioRunner
-		back bool // the last leader is back at once and takes the office again
+		back bool // the last leader is back at once and is elected again
 	}{{"another leads", runScenario, false}, {"the same one is back", runOnUnevenLayout, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -205,7 +205,7 @@
 // not yet read what is stored. The tasks must be gone in time all the same.
 func TestCancelJustBeforeOutage(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"hang", "deaf", "not recovered"} {
+	for _, how := range []string{"hang", "no inbound", "not recovered"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 670, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
@@ -219,7 +219,7 @@
 				switch how {
 				case "hang":
 					sim.HangMachines(true, ms...)
-				case "deaf":
+				case "no inbound":
 					sim.BlockInbound(true, ms...)
 				default:
 					// It reads of no change any more, and goes on answering reports
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -20,7 +20,7 @@
 	faults := map[string]func(sim *simulator.Simulation, id wire.MachineID, on bool){
 		"cut":  (*simulator.Simulation).PartitionMachine,
 		"hang": (*simulator.Simulation).StallMachine,
-		"deaf": func(sim *simulator.Simulation, id wire.MachineID, on bool) {
+		"no inbound": func(sim *simulator.Simulation, id wire.MachineID, on bool) {
 			sim.Net.BlockInbound(sim.MachineIP(id), on)
 		},
 	}
@@ -35,7 +35,7 @@
 		{"cut", false, true, true, 75 * time.Second},
 		{"hang", false, false, false, 75 * time.Second},
 		{"hang", true, true, false, 25 * time.Second},
-		{"deaf", true, false, true, 75 * time.Second},
+		{"no inbound", true, false, true, 75 * time.Second},
 	} {
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", c.fault, c.before, c.half, c.cloud, c.lasts, seed), func(t *testing.T) {
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -32,8 +32,8 @@
 // replaces a job that is over.
 func TestTransactionAnswersLostDuringReads(t *testing.T) {
 	t.Parallel()
-	for i, kind := range []string{"acceptance", "cancellation", "launch", "office", "end", "all"} {
-		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.RunPrefix, "office": store.LeadKey, "end": "past/"}[kind]
+	for i, kind := range []string{"acceptance", "cancellation", "launch", "leader key", "end", "all"} {
+		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.RunPrefix, "leader key": store.LeadKey, "end": "past/"}[kind]
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
@@ -69,7 +69,7 @@
 					off()
 				}
 				at(50 * time.Second)
-				if kind == "office" || kind == "all" {
+				if kind == "leader key" || kind == "all" {
 					l := sim.Leader()
 					if l < 0 {
 						t.Fatal("nobody leads")
@@ -90,7 +90,7 @@
 				mustFinish(t, sim, a, b)
 				mustRun(t, sim, s, "afterwards")
 
-				// The meeting: an answer was lost for what was carried out, and
+				// Both faults met: an answer was lost for what was carried out, and
 				// others told of it, or went on with it, while that went on.
 				hit := faultedTransactions(sim, prefix, wasExecuted)
 				if len(hit) == 0 {
@@ -110,7 +110,7 @@
 					during("first read", rg.firstSeen(2))
 				case "launch", "end":
 					during("first read to be over", ra.firstSeen(2))
-				case "office":
+				case "leader key":
 					if l := sim.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(l) }) {
 						t.Errorf("node %d leads by a key whose writing was answered", l)
 					}
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -80,28 +80,28 @@
 				sim.Submit(a, 0)
 				sim.Submit(gone, 0)
 				at(45 * time.Second)
-				mute := some(sim)
-				sim.BlockOutbound(true, mute...)
+				unconnected := some(sim)
+				sim.BlockOutbound(true, unconnected...)
 				// Each has outlived a lease without a report, and yet answers.
 				time.Sleep(sim.Settings.Workers.LeaseS.Duration() + time.Second)
 				n := 0
-				for _, id := range mute {
+				for _, id := range unconnected {
 					if shift, _, _ := sim.MachineSession(id); shift > 1 {
 						n++
 					}
 				}
-				if n+lostMachines(sim, mute) != len(mute) || n == 0 {
-					t.Errorf("%d of %d mute machines are there in a new session", n, len(mute))
+				if n+lostMachines(sim, unconnected) != len(unconnected) || n == 0 {
+					t.Errorf("%d of %d machines that can't connect are there in a new session", n, len(unconnected))
 				}
 				mustCancel(t, sim, gone)
 				time.Sleep(5 * time.Second)
-				mustBeGone(t, sim, gone, "5 s later, on mute machines")
+				mustBeGone(t, sim, gone, "5 s later, on machines that can't connect")
 				// Where they are many they are kept for a while, and the cloud may
 				// have no more of their cheap type.
 				time.Sleep(170 * time.Second)
 				mustFinish(t, sim, a)
-				mustRun(t, sim, s, "while machines are mute")
-				sim.BlockOutbound(false, mute...)
+				mustRun(t, sim, s, "while machines can't connect")
+				sim.BlockOutbound(false, unconnected...)
 				time.Sleep(30 * time.Second)
 				mustRun(t, sim, s, "afterwards")
 			})
@@ -114,14 +114,14 @@
 // neither started twice nor given up for ever.
 func TestLeaderChangeWhileMachinesAreUnreachable(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"cut", "deaf", "deaf to the next", "hang"} {
+	for _, how := range []string{"cut", "no inbound", "no inbound from the next", "hang"} {
 		for _, long := range []bool{false, true} {
 			play := runScenario
 			if long {
 				play = runOnUnevenLayout
 			}
-			if how == "deaf" && !long {
-				continue // as deaf to the next
+			if how == "no inbound" && !long {
+				continue // as with no inbound from the next
 			}
 			t.Run(fmt.Sprintf("%s, longer than a lease %v", how, long), func(t *testing.T) {
 				t.Parallel()
@@ -142,7 +142,7 @@
 								case ip == "":
 								case how == "cut":
 									sim.Net.Cut(simulator.NodeIP(i), ip, on)
-								case how == "deaf", how == "deaf to the next" && i != l:
+								case how == "no inbound", how == "no inbound from the next" && i != l:
 									sim.Net.Hold(simulator.NodeIP(i), ip, on)
 								}
 							}
@@ -165,7 +165,7 @@
 					if unheard != len(ms) {
 						t.Errorf("%d of %d machines have not heard the new leader", unheard, len(ms))
 					}
-					if how != "deaf to the next" {
+					if how != "no inbound from the next" {
 						sim.StartController(l)
 					}
 					time.Sleep(3 * time.Second)
@@ -184,12 +184,12 @@
 	}
 }
 
-// Jobs are cancelled whose machines hang, are deaf or mute, while the cloud may
+// Jobs are cancelled whose machines hang, receive nothing or can't connect, while the cloud may
 // be away and the leader may end. The tasks must be gone in time, also when the
 // machines go on later.
 func TestCancelOnUnresponsiveMachines(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"hang", "deaf", "mute"} {
+	for _, how := range []string{"hang", "no inbound", "no outbound"} {
 		for _, cloud := range []bool{false, true} {
 			for _, leader := range []bool{false, true} {
 				if !cloud && (leader || how != "hang") {
@@ -215,7 +215,7 @@
 							switch how {
 							case "hang":
 								sim.HangMachines(on, ms...)
-							case "deaf":
+							case "no inbound":
 								sim.BlockInbound(on, ms...)
 							default:
 								sim.BlockOutbound(on, ms...)
@@ -229,9 +229,9 @@
 						}
 						mustCancel(t, sim, gone)
 						mustCancel(t, sim, kept)
-						if how == "mute" {
+						if how == "no outbound" {
 							time.Sleep(4 * time.Second)
-							mustBeGone(t, sim, gone, "on mute machines")
+							mustBeGone(t, sim, gone, "on machines that can't connect")
 						}
 						if leader {
 							l, old := sim.LeaderAndToken()
@@ -245,7 +245,7 @@
 						if how == "hang" && tasksOnMachines(sim, gone.Spec.ID) == 0 && cloud {
 							t.Error("the hanging machines lost their tasks before they went on")
 						}
-						if how != "mute" {
+						if how != "no outbound" {
 							off(false) // within the lease
 							time.Sleep(6 * time.Second)
 							mustBeGone(t, sim, gone, "when the machines go on")
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -9,8 +9,8 @@
 	"lilaclead/internal/wire"
 )
 
-// A zone is cut off with its controllers for longer than a lease. They stand in
-// for the leader that they have lost, so its replicas go on; with two zones
+// A zone is cut off with its controllers for longer than a lease. They renew
+// leases as delegates of the leader that they have lost, so its replicas go on; with two zones
 // those of a service that is spread could be nowhere else. It must not matter
 // whether the leader is in that zone.
 func TestZonePartitionedWithItsControllers(t *testing.T) {
@@ -70,8 +70,8 @@
 
 // Two zones can't reach each other for longer than a lease; both still reach the
 // state service. The workers of one reach no node that reaches the leader, and
-// the node there stands in for it: what runs goes on. It must not matter in
-// which zone the leader is, and the office must not change hands.
+// the node there is its delegate: what runs goes on. It must not matter in
+// which zone the leader is, and leadership must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
 	t.Parallel()
 	for _, leader := range []wire.Zone{"a", "b"} {
@@ -94,7 +94,7 @@
 				time.Sleep(16 * time.Second)
 				sim.PartitionZones("a", "b", false)
 				if sim.Leader() != l {
-					t.Error("the office changed hands")
+					t.Error("the leader changed")
 				}
 				time.Sleep(80 * time.Second)
 				mustFinish(t, sim, a)
@@ -106,7 +106,7 @@
 
 // A job is cancelled just after its zone was cut off, for longer than the time
 // for cancellations, while the cloud is away: nobody can stop its tasks, and
-// those who stand in there don't know. They must stop answering in time.
+// the delegates there don't know. They must stop answering in time.
 func TestCancelInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	for _, leads := range []bool{false, true} {
@@ -194,7 +194,7 @@
 	}
 }
 
-// The controller of a zone that is cut off has stood in for the leader there, and
+// The controller of a zone that is cut off was the leader's delegate there, and
 // ends and is back at once just as the cut is over: its new life does not know
 // what its last one answered. The leases that it gave are waited for all the same.
 func TestDelegateRestartsAsPartitionHeals(t *testing.T) {
