--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -81,7 +81,7 @@
 // can keep from starting too late.
 func (t *term) renewalWithheld(m *machine, rep *wire.Report, now time.Time) bool {
 	for task, a := range m.tasks {
-		if !a.job.cancelled || a.planned || now.Sub(a.job.cancelledAt) < t.l.maxCancelAge || !a.launchInFlight && !(a.launchUnanswered && t.token <= a.unansweredToken) {
+		if !a.job.cancelled || a.planned || now.Sub(a.job.cancelledAt) < t.l.delegation.MaxCancelAge || !a.launchInFlight && !(a.launchUnanswered && t.token <= a.unansweredToken) {
 			continue
 		}
 		name := task.String()
--- a/internal/leader/delegation_test.go
+++ b/internal/leader/delegation_test.go
@@ -11,20 +11,6 @@
 	"lilaclead/internal/wire"
 )
 
-// How long a node may be a delegate: what it lets live on is gone within the time
-// for cancellations, and where there is no such time it never is.
-func TestDelegationTime(t *testing.T) {
-	for _, w := range []config.Workers{{LeaseS: 45, CancelS: 70}, {LeaseS: 17.5, CancelS: 42.5}, {LeaseS: 16, CancelS: 41}} {
-		d := delegationTime(w)
-		if d < 10*time.Second || d+w.LeaseS.Duration()*1001/1000+2*time.Second > w.CancelS.Duration() {
-			t.Errorf("%+v: delegates for %v", w, d)
-		}
-	}
-	if d := delegationTime(config.Workers{LeaseS: 45, CancelS: 48}); d != 0 {
-		t.Errorf("delegates for %v where a lease is all that the time for cancellations leaves", d)
-	}
-}
-
 // A large zone goes silent at once. It is told within seconds, before the first
 // of its machines is taken for lost: none is returned, nothing is placed or
 // rented there, and its room is not counted on. (The leader once returned 467
@@ -110,37 +96,6 @@
 	})
 }
 
-// When another node can have answered a worker last, as a leader must count it
-// before it takes a lease for run out.
-func TestDelegateAnswersUntil(t *testing.T) {
-	tm, _, _ := rig(t)
-	now := time.Now()
-	tm.l.delegationTime = 20 * time.Second
-	tm.startedAt = now.Add(-time.Minute)
-	ago := func(s float64) time.Time { return now.Add(-time.Duration(s * float64(time.Second))) }
-	cases := []struct {
-		name string
-		o    peer.Other
-		back time.Time
-		want time.Time
-	}{
-		{"in touch, never a delegate", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5)}, time.Time{}, time.Time{}},
-		{"in touch, a delegate a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(12)}, time.Time{}, ago(12)},
-		{"in touch, began a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(20), Born: ago(9)}, time.Time{}, ago(9)},
-		{"in touch, and perhaps still at it", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(15), Stood: ago(1)}, time.Time{}, ago(-5)},
-		{"lost after our grant", peer.Other{AckSent: ago(10), AckToken: 50, Granted: ago(9)}, time.Time{}, ago(-11)},
-		{"never heard in this term: an earlier leader's grant", peer.Other{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
-		{"fresh, acknowledges nothing yet", peer.Other{AckSent: ago(1)}, time.Time{}, ago(40)},
-		{"in touch, but we did not lead until now", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(7)}, ago(2), ago(-13)},
-	}
-	for _, c := range cases {
-		tm.stateBackAt = c.back
-		if got := tm.delegateAnswersUntil(c.o, now); !got.Equal(c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got.Sub(now), c.want.Sub(now))
-		}
-	}
-}
-
 // A successor that a majority never acknowledges, since most controllers are in
 // the zone that is cut off, counts what an earlier leader may answer for as long
 // as a node may be a delegate, and not for B; and a leader that not all acknowledge
@@ -155,15 +110,15 @@
 	if got := since(tm.othersUntil()); got != peer.B {
 		t.Errorf("without delegates: %v", got)
 	}
-	tm.l.delegationTime = 22 * time.Second
+	tm.l.delegation.Time = 22 * time.Second
 	if got := since(tm.othersUntil()); got != 22*time.Second {
 		t.Errorf("never acknowledged: %v", got)
 	}
-	tm.l.delegationTime = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
+	tm.l.delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
 	if got := since(tm.othersUntil()); got != 7*time.Second {
 		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
-	tm.l.delegationTime = 22 * time.Second
+	tm.l.delegation.Time = 22 * time.Second
 	tm.majorityAckedAt = tm.startedAt.Add(3 * time.Second)
 	if got := since(tm.othersUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -6,7 +6,6 @@
 	"context"
 	"log/slog"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -15,6 +14,7 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/peer"
@@ -87,17 +87,10 @@
 	// probes, each with a connection of its own: those to a zone that is cut
 	// off hang, and launches must not wait behind them.
 	commandSlots, probeSlots chan struct{}
-	// delegationTime is how long this node may renew leases for a leader that it
-	// has lost; ownGrant is what it granted itself while it led.
-	delegationTime time.Duration
-	ownGrant       atomic.Pointer[peer.Grant]
-	// maxCancelAge is D of the rule by which a lease may be renewed.
-	maxCancelAge time.Duration
-	// redirected is when workers were last sent to a leader that is not heard.
-	redirected struct {
-		sync.Mutex
-		at map[wire.MachineID]time.Time
-	}
+	// delegation bounds for how long leases may be renewed on a leader's behalf;
+	// delegate is this node in that part.
+	delegation delegation.Bounds
+	delegate   *delegation.Delegate
 }
 
 // New makes the leader's part of a node.
@@ -105,14 +98,23 @@
 	l := &Leader{
 		Deps:           d,
 		candidate:      election.NewCandidate(d.Config, d.Store, d.Log, d.Mesh.Raise),
-		workerContacts: make(chan wire.MachineID, 64), delegationTime: delegationTime(d.Config.Settings.Workers), maxCancelAge: maxCancelAge(d.Config.Settings.Workers),
-		workerClient: &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
-		commandSlots: make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
+		workerContacts: make(chan wire.MachineID, 64),
+		delegation:     delegation.BoundsOf(d.Config.Settings.Workers),
+		workerClient:   &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
+		commandSlots:   make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
 	}
-	l.redirected.at = map[wire.MachineID]time.Time{}
+	l.delegate = newDelegate(d, l.delegation)
 	return l
 }
 
+func newDelegate(d Deps, bounds delegation.Bounds) *delegation.Delegate {
+	s := &d.Config.Settings
+	return delegation.New(delegation.Config{
+		Bounds: bounds, Mesh: d.Mesh, Cancels: d.Cancels, Nodes: s.Size, Workers: d.Workers,
+		ReportEvery: s.Workers.ReportS.Duration(), MaxCommands: maxCommands,
+	})
+}
+
 // Leads tells whether this node holds the leadership now.
 func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.lease.Answering() }
 
@@ -182,10 +184,10 @@
 		l.Metrics.Report("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
-			if !l.delegateLately() && l.Mesh.View().Others[lead].Near(now) && l.relay(r.Context(), w, lead, &rep) {
+			if !l.delegate.Lately() && l.Mesh.View().Others[lead].Near(now) && l.relay(r.Context(), w, lead, &rep) {
 				return
 			}
-			if l.returnedHere(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
+			if l.delegate.Returned(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
 				return
 			}
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: lead})
@@ -202,7 +204,7 @@
 
 // answerAsDelegate renews a worker's lease for a lost leader, if it may.
 func (l *Leader) answerAsDelegate(w http.ResponseWriter, rep *wire.Report) bool {
-	o := l.delegateAnswer(rep)
+	o := l.delegate.Answer(rep)
 	if o == nil {
 		return false
 	}
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -50,8 +50,8 @@
 // ran there was once counted for B.)
 func (t *term) othersUntil() time.Time {
 	other := t.startedAt.Add(peer.B)
-	if t.l.delegationTime > 0 {
-		other = t.startedAt.Add(max(t.l.delegationTime, 3*peer.X+time.Second))
+	if t.l.delegation.Time > 0 {
+		other = t.startedAt.Add(max(t.l.delegation.Time, 3*peer.X+time.Second))
 	}
 	if !t.majorityAckedAt.IsZero() && t.majorityAckedAt.Add(peer.X).Before(other) {
 		other = t.majorityAckedAt.Add(peer.X)
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -208,7 +208,7 @@
 func (t *term) replicasMovable(m *machine, now time.Time) bool {
 	answered := m.seenAt
 	if lost := t.zoneSilentSince(m.zone); !lost.IsZero() {
-		answered = latest(answered, lost.Add(t.l.delegationTime-reportInterval(t)*5/4))
+		answered = latest(answered, lost.Add(t.l.delegation.Time-reportInterval(t)*5/4))
 	} else if answered.IsZero() {
 		answered = t.startedAt
 	}
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -13,11 +13,11 @@
 		h.reply <- reportAnswer{refused: "can't tell whether this node still leads"}
 		return
 	}
-	if !t.l.mayRenewLeases(now) {
+	if !t.l.delegate.MayRenew(now) {
 		h.reply <- reportAnswer{refused: "can't tell what was cancelled"}
 		return
 	}
-	o := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(&h.report)}
+	o := &wire.Commands{Token: t.token, Commands: t.l.delegate.Halts(&h.report)}
 	if _, gone := t.gone[h.report.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		h.reply <- reportAnswer{refused: "this machine was returned"}
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -8,6 +8,7 @@
 
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
@@ -34,7 +35,8 @@
 	cfg := &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{ReportS: 2, LeaseS: 16, CancelS: 41}, State: config.State{ValueKB: 16}}}
 	l := &Leader{Deps: Deps{Config: cfg, Cancels: known(), Tuning: tuning.NewBox(), Flavors: &FlavorBox{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: Metrics{Moved: func(string) {}, Waited: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
-	l.maxCancelAge = maxCancelAge(cfg.Settings.Workers)
+	l.delegation.MaxCancelAge = delegation.BoundsOf(cfg.Settings.Workers).MaxCancelAge
+	l.delegate = newDelegate(l.Deps, l.delegation)
 	tm := newTerm(l, leaseFor(l, 50, time.Hour))
 	tm.recovered = true
 	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -210,7 +210,7 @@
 	if acked && t.majorityAckedAt.IsZero() {
 		t.majorityAckedAt = now
 	}
-	t.lease.Acknowledged(until, t.oldestAck(v, now), t.l.delegationTime)
+	t.lease.Acknowledged(until, t.oldestAck(v, now), t.l.delegation.Time)
 	t.applyCancellations()
 	if t.lease.Deciding() {
 		if !t.stateAwaySince.IsZero() {
