--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -88,7 +88,7 @@
 	if state == taskPending {
 		c.firstPending, a.job.firstPendingChunk = min(c.firstPending, a.index), min(a.job.firstPendingChunk, c.index)
 	}
-	t.markPending(c)
+	t.writer.markPending(c)
 	a.job.held--
 	if state == taskPending && a.job.spec.Gang() {
 		t.incompleteGangs[a.job] = struct{}{}
--- a/internal/leader/chunk.go
+++ b/internal/leader/chunk.go
@@ -32,15 +32,6 @@
 	a.machine.used = a.machine.used.Plus(a.res())
 }
 
-// markPending notes that a chunk must be written.
-func (t *term) markPending(c *chunk) {
-	if !c.changed {
-		c.changedAt = time.Now()
-	}
-	c.changed = true
-	t.pendingWrites[c] = struct{}{}
-}
-
 // record is the chunk as it is stored.
 func (c *chunk) record() store.ChunkRecord {
 	done := make([]bool, len(c.taskStates))
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -115,7 +115,7 @@
 			if s != taskDone {
 				c.taskStates[i] = taskDone
 				j.done++
-				t.markPending(c)
+				t.writer.markPending(c)
 			}
 		}
 	}
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -58,6 +58,14 @@
 	return j
 }
 
+// finalStatus is the status with which a job that is over is archived.
+func (j *job) finalStatus() wire.Status {
+	if j.cancelled {
+		return wire.Cancelled
+	}
+	return wire.Done
+}
+
 func (j *job) pending() int { return j.spec.Tasks - j.done - j.held }
 
 func (j *job) chunk(n int) *chunk {
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -159,7 +159,7 @@
 		return
 	}
 	t.expire(m, now)
-	if m.drainReason != "" && len(m.tasks) == 0 && len(m.orphans) == 0 && t.allStored(m) {
+	if m.drainReason != "" && len(m.tasks) == 0 && len(m.orphans) == 0 && t.writer.allStored(m.usedAt, time.Now()) {
 		t.release(m, m.drainReason)
 		return
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -145,7 +145,7 @@
 func (t *term) checkFinished(j *job) {
 	if j.cancelled && j.held == 0 || j.done == j.spec.Tasks {
 		j.finished = true
-		t.finishedJobs[j] = struct{}{}
+		t.writer.markFinished(j)
 	}
 }
 
@@ -154,7 +154,7 @@
 func (t *term) readProgress(progress []wire.Entry) {
 	orphan := func(e wire.Entry) {
 		// Left over from a job that was archived in several steps.
-		t.orphanedRecords = append(t.orphanedRecords, wire.Guard{Key: e.Key, Revision: e.Revision})
+		t.writer.addOrphan(wire.Guard{Key: e.Key, Revision: e.Revision})
 	}
 	var subChunks []wire.Entry
 	for _, e := range progress {
@@ -204,7 +204,7 @@
 			orphan(e)
 			continue
 		}
-		t.valueLimitLowered = true // else there were none
+		t.writer.limitWasLowered() // else there were none
 		c := j.chunk(n*j.subChunks + k)
 		for _, a := range c.attempts {
 			a.release()
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -166,7 +166,7 @@
 		if i := slices.IndexFunc(m.claims, func(c claim) bool { return c.Job == j.spec.ID }); i >= 0 {
 			m.claims = slices.Delete(m.claims, i, i+1)
 		}
-		t.markPending(c)
+		t.writer.markPending(c)
 		t.log().Debug("starts", "task", a.task(), "attempt", a.number, "machine", m.id, "waited", now.Sub(j.acceptedAt))
 	})
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -40,8 +40,8 @@
 	tm.drop(a, taskDone)
 	delete(tm.machines, first.id)
 	delete(tm.jobs, "req-1")
-	clear(tm.pendingWrites)
-	clear(tm.finishedJobs)
+	clear(tm.writer.pending)
+	clear(tm.writer.finished)
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	tm.ctx = ctx
@@ -172,9 +172,9 @@
 func BenchmarkSettle(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for _, j := range tm.jobs {
-			tm.markPending(j.chunk(0))
+			tm.writer.markPending(j.chunk(0))
 		}
-		tm.routineWriteAt = time.Now().Add(time.Hour)
+		tm.writer.routineAt = time.Now().Add(time.Hour)
 		tm.lastRound = time.Now().Add(time.Hour)
 		for b.Loop() {
 			tm.settle(time.Now())
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -16,24 +16,24 @@
 // service has refused a chunk, after all nodes have this version.)
 
 // valueLimit is the size in bytes that a value may have.
-func (t *term) valueLimit() int {
-	if t.valueLimitLowered {
-		return int(t.settings.State.Least().ValueKB * 1024)
+func (w *writer) valueLimit() int {
+	if w.limitLowered {
+		return int(w.limits.Least().ValueKB * 1024)
 	}
-	return int(t.settings.State.ValueKB * 1024)
+	return int(w.limits.ValueKB * 1024)
 }
 
 // splitLarge splits the chunks of jobs of which one is to be written that has
 // become too large. It is called while nothing is being written.
-func (t *term) splitLarge() {
-	if !t.valueLimitLowered {
+func (w *writer) splitLarge() {
+	if !w.limitLowered {
 		return
 	}
-	most, small := t.valueLimit(), store.ChunkFor(t.settings.State.Least().ValueKB)
-	for c := range t.pendingWrites {
+	most, small := w.valueLimit(), store.ChunkFor(w.limits.Least().ValueKB)
+	for c := range w.pending {
 		if j := c.job; j.subChunks == 0 && j.chunkTasks > small && !j.finished && !j.archiving {
 			if rec := c.record(); rec.JSONSize() > most {
-				t.splitChunks(j, small)
+				w.splitChunks(j, small)
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 
 // splitChunks splits all chunks of a job, so that they fit under the limits to
 // come.
-func (t *term) splitChunks(j *job, small int) {
+func (w *writer) splitChunks(j *job, small int) {
 	n := (j.chunkTasks + small - 1) / small
 	for j.chunkTasks%n != 0 {
 		n++
@@ -52,17 +52,17 @@
 		if c == nil {
 			continue
 		}
-		if _, dirty := t.pendingWrites[c]; dirty {
-			delete(t.pendingWrites, c)
+		if _, dirty := w.pending[c]; dirty {
+			delete(w.pending, c)
 			for k := range n {
 				if i := c.index*n + k; i < len(j.chunks) && j.chunks[i] != nil {
-					t.markPending(j.chunks[i])
+					w.markPending(j.chunks[i])
 					j.chunks[i].changedAt = c.changedAt
 				}
 			}
 		}
 	}
-	t.log().Info("splits progress", "job", j.spec.ID, "tasks", j.chunkTasks)
+	w.log.Info("splits progress", "job", j.spec.ID, "tasks", j.chunkTasks)
 }
 
 // split makes chunks of so many tasks of the job's chunks, whose records stay
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -81,8 +81,8 @@
 			j = newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now()), Chunk: per}, 1)
 			tm.jobs[spec.ID] = j
 			tm.readProgress(s.list())
-			if len(tm.orphanedRecords) > 0 {
-				t.Fatalf("taken for left over: %v", tm.orphanedRecords)
+			if len(tm.writer.orphans) > 0 {
+				t.Fatalf("taken for left over: %v", tm.writer.orphans)
 			}
 		}
 		lead()
@@ -118,14 +118,14 @@
 			if j.finished {
 				return
 			}
-			tm.valueLimitLowered = tm.valueLimitLowered || lowered // refused by itself
-			tm.splitLarge()
-			for c := range tm.pendingWrites {
+			tm.writer.limitLowered = tm.writer.limitLowered || lowered // refused by itself
+			tm.writer.splitLarge()
+			for c := range tm.writer.pending {
 				if rapid.IntRange(0, 2).Draw(t, "writes") == 0 {
 					continue
 				}
-				s.put(t, c, tm.valueLimit())
-				delete(tm.pendingWrites, c)
+				s.put(t, c, tm.writer.valueLimit())
+				delete(tm.writer.pending, c)
 				for i := range c.taskStates {
 					stored[c.index*j.chunkTasks+i] = now[c.index*j.chunkTasks+i]
 				}
@@ -251,7 +251,7 @@
 		c.hold(&attempt{job: j, chunk: c, index: i, number: c.nextAttempt, machine: m, reported: true})
 		c.nextAttempt++
 	}
-	tm.markPending(c)
+	tm.writer.markPending(c)
 }
 
 // A large chunk and a small one of the same job are to be written, the small one
@@ -265,8 +265,8 @@
 		hold(tm, j, 1, 250, m)
 		tm.start(j, m, time.Now())
 		settle()
-		if len(tm.pendingWrites) > 0 || j.unstored > 0 || j.held != 251 || j.subChunks == 0 || ended(tm) {
-			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.pendingWrites), j.subChunks, ended(tm))
+		if len(tm.writer.pending) > 0 || j.unstored > 0 || j.held != 251 || j.subChunks == 0 || ended(tm) {
+			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.writer.pending), j.subChunks, ended(tm))
 		}
 		if n := st.LargestValue(store.RunPrefix); n > 2048 || n == 0 {
 			t.Errorf("the largest record has %d bytes", n)
@@ -291,7 +291,7 @@
 			tm.drop(a, taskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
-		tm.orphanedRecords = append(tm.orphanedRecords, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{Next: 2})})
+		tm.writer.orphans = append(tm.writer.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{Next: 2})})
 		settle()
 		if launch.unstored > 0 || len(st.Keys(store.RunPrefix+"req-5/")) == 0 {
 			t.Error("a launch is held up")
@@ -344,22 +344,22 @@
 		j := tm.jobs["req-1"]
 		tm.start(j, m, time.Now())
 		settle()
-		if !tm.allStored(m) {
+		if !tm.writer.allStored(m.usedAt, time.Now()) {
 			t.Error("all is stored")
 		}
 		time.Sleep(time.Second)
 		for _, a := range j.attempts() {
 			tm.drop(a, taskDone)
 		}
-		if len(m.tasks) > 0 || tm.allStored(m) {
+		if len(m.tasks) > 0 || tm.writer.allStored(m.usedAt, time.Now()) {
 			t.Error("released before its progress is written")
 		}
 		tm.flush(time.Now())
-		if !tm.writing || tm.allStored(m) {
+		if !tm.writer.inFlight || tm.writer.allStored(m.usedAt, time.Now()) {
 			t.Error("released while its progress is being written")
 		}
 		settle()
-		if !tm.allStored(m) || len(st.Keys(store.PastKey("req-1"))) == 0 {
+		if !tm.writer.allStored(m.usedAt, time.Now()) || len(st.Keys(store.PastKey("req-1"))) == 0 {
 			t.Error("kept for ever")
 		}
 	})
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -68,29 +68,21 @@
 	stateBackAt            time.Time                    // when it was last back
 	majorityAckedAt        time.Time                    // when a majority first held our token
 
-	pendingWrites     map[*chunk]struct{} // differ from what is stored
-	finishedJobs      map[*job]struct{}   // can be archived
-	incompleteGangs   map[*job]struct{}   // gangs of which a task was lost, not yet looked after
-	gangsSeen         map[gangKind]gangSeen
-	cancelledJobs     map[*job]struct{} // cancelled, with attempts that may be on machines
-	cancelCursor      uint64            // what of the ledger of cancellations has been taken in
-	writing           bool
-	valueLimitLowered bool      // the state service has refused what the former limits allowed
-	singleWrites      int       // so many transactions hold one thing each, to find what is refused
-	writeStartedAt    time.Time // when the last write began
-	retryAt           time.Time
-	routineWriteAt    time.Time // when routine writes may go out again
-	raiseAt           time.Time
-	raiseWanted       bool
-	claimed           map[*machine]struct{} // on which room is being made
-	roundWanted       bool
-	lastRound         time.Time
-	roundAfter        time.Time
-	roundTook         time.Duration // the last one
+	writer          *writer           // of the jobs' progress
+	incompleteGangs map[*job]struct{} // gangs of which a task was lost, not yet looked after
+	gangsSeen       map[gangKind]gangSeen
+	cancelledJobs   map[*job]struct{} // cancelled, with attempts that may be on machines
+	cancelCursor    uint64            // what of the ledger of cancellations has been taken in
+	raiseAt         time.Time
+	raiseWanted     bool
+	claimed         map[*machine]struct{} // on which room is being made
+	roundWanted     bool
+	lastRound       time.Time
+	roundAfter      time.Time
+	roundTook       time.Duration // the last one
 
-	rentals         *rentals.Tracker
-	backlogS        float64      // seconds in which the room there is would do what waits
-	orphanedRecords []wire.Guard // chunks of jobs that are archived, to be dropped
+	rentals  *rentals.Tracker
+	backlogS float64 // seconds in which the room there is would do what waits
 }
 
 func newTerm(l *Leader, lease *election.Lease) *term {
@@ -100,10 +92,16 @@
 		reportCalls: make(chan reportCall, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
 		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		partitionedAt: map[wire.Zone]time.Time{}, lastFromZone: map[wire.Zone]zoneContact{}, pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
+		partitionedAt: map[wire.Zone]time.Time{}, lastFromZone: map[wire.Zone]zoneContact{},
 		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
 	}
 	t.rentals = rentals.New(lease.Token())
+	t.writer = newWriter(&t.settings.State, t.log())
+	t.writer.withdraw, t.writer.isAside = t.withdrawStart, t.isAside
+	t.writer.budget = func() float64 {
+		_, writes := l.Store.Left()
+		return writes
+	}
 	return t
 }
 
--- /dev/null
+++ b/internal/leader/writer_test.go
@@ -0,0 +1,162 @@
+package leader
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lilaclead/internal/config"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// testWriter is a writer whose rate limit leaves so many changes.
+func testWriter(maxOps, budget int) *writer {
+	w := newWriter(&config.State{ValueKB: 16, TxnOps: maxOps}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	w.budget = func() float64 { return float64(budget) }
+	w.withdraw = func(*chunk, time.Time) bool { return false }
+	w.isAside = func(wire.JobID) bool { return false }
+	return w
+}
+
+// pendingChunk is the only chunk of a job, with a start that is not stored yet if
+// it launches.
+func pendingChunk(w *writer, id string, priority wire.Priority, launches bool) *chunk {
+	spec := wire.Spec{ID: wire.JobID(id), Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Priority: priority}
+	j := newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now())}, 1)
+	c := j.chunk(0)
+	if launches {
+		c.hold(&attempt{job: j, chunk: c, machine: &machine{id: "n-1", tasks: map[wire.Task]*attempt{}}, planned: true})
+		c.unstored, j.unstored = 1, 1
+	}
+	w.markPending(c)
+	return c
+}
+
+// writes lists the jobs of a batch's chunks.
+func writes(b *batch) string {
+	if b == nil {
+		return "nothing"
+	}
+	ids := []wire.JobID{}
+	for _, c := range b.chunks {
+		ids = append(ids, c.job.spec.ID)
+	}
+	return fmt.Sprint(ids, " ", b.urgent)
+}
+
+// Launches go before routine writes, by priority; routine writes take what the
+// budget has left, at their own pace, and go at its expense when they have waited
+// long; what a transaction has no room for waits for the next, and nothing goes out
+// while one is under way.
+func TestOrderOfWrites(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		time.Sleep(time.Minute)
+		w := testWriter(2, 1)
+		next := func(want string) *batch {
+			t.Helper()
+			if !w.ready(time.Now()) {
+				t.Fatal("not ready")
+			}
+			b := w.next(50, time.Now())
+			if got := writes(b); got != want {
+				t.Errorf("writes %s, want %s", got, want)
+			}
+			return b
+		}
+		done := func(b *batch) {
+			for _, a := range b.planned {
+				a.planned = false
+				a.chunk.unstored, a.job.unstored = 0, 0
+			}
+			w.answered()
+			w.committed(b, 7)
+		}
+		pendingChunk(w, "routine-1", wire.PriorityStandard, false)
+		time.Sleep(time.Millisecond)
+		pendingChunk(w, "routine-2", wire.PriorityStandard, false)
+		earlier := pendingChunk(w, "batch", wire.PriorityStandard, true)
+		earlier.job.acceptedAt = earlier.job.acceptedAt.Add(-time.Second)
+		pendingChunk(w, "prod", wire.PriorityProd, true)
+		b := next("[prod batch] true")
+		if g := b.txn.Guards[0]; g != (wire.Guard{Key: store.LeadKey, Revision: 50}) {
+			t.Errorf("the first guard is %+v", g)
+		}
+		if w.ready(time.Now()) {
+			t.Error("ready while a transaction is under way")
+		}
+		done(b)
+		time.Sleep(routineWriteEvery + time.Millisecond)
+		done(next("[routine-1] false"))
+		next("nothing") // too soon
+		w.budget = func() float64 { return 0 }
+		time.Sleep(routineWriteEvery + time.Millisecond)
+		next("nothing") // no budget
+		time.Sleep(routineWriteWithin)
+		done(next("[routine-2] true"))
+		w.addOrphan(wire.Guard{Key: "run/old/0", Revision: 3})
+		c := pendingChunk(w, "late", wire.PriorityStandard, true)
+		b = next("[late] true")
+		w.answered()
+		w.undone(b)
+		w.retryLater(time.Now())
+		if w.ready(time.Now()) || !c.changed || c.beingWritten {
+			t.Errorf("after a transaction that was not executed: ready %v, %+v", w.ready(time.Now()), c)
+		}
+		time.Sleep(writeRetry)
+		done(next("[late] true"))
+		if b = next("[] false"); len(b.orphans) != 1 || len(w.orphans) != 0 {
+			t.Errorf("left over: %v in the transaction, %v waiting", b.orphans, w.orphans)
+		}
+	})
+}
+
+// Of records that are refused together each is tried by itself; the one that is
+// refused then is left alone for a while, and the others are stored.
+func TestRefusedOneByOne(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		time.Sleep(time.Minute)
+		w := testWriter(12, 100)
+		bad := pendingChunk(w, "bad", wire.PriorityStandard, true)
+		for _, id := range []string{"good-1", "good-2"} {
+			pendingChunk(w, id, wire.PriorityStandard, true)
+		}
+		stored, alone := map[wire.JobID]bool{}, false
+		refusedAt := time.Time{}
+		for range 100 {
+			time.Sleep(100 * time.Millisecond)
+			b := w.next(50, time.Now())
+			if b == nil {
+				continue
+			}
+			w.answered()
+			refused := false
+			for _, c := range b.chunks {
+				refused = refused || c == bad
+			}
+			if !refused {
+				w.committed(b, 7)
+				for _, c := range b.chunks {
+					stored[c.job.spec.ID] = true
+				}
+				continue
+			}
+			if !refusedAt.IsZero() && time.Since(refusedAt) < refusedPause {
+				t.Fatalf("tried again after %v", time.Since(refusedAt))
+			}
+			w.undone(b)
+			if w.refused(b, time.Now()) {
+				alone, refusedAt = len(b.chunks) == 1, time.Now()
+			}
+		}
+		if !alone || len(stored) != 2 || w.limitLowered {
+			t.Errorf("refused by itself: %v, stored %v, limit lowered: %v", alone, stored, w.limitLowered)
+		}
+		if w.allStored(time.Now(), time.Now()) != true {
+			t.Error("a record that is left alone keeps machines")
+		}
+	})
+}
