--- a/internal/leader/chunk.go
+++ b/internal/leader/chunk.go
@@ -48,3 +48,16 @@
 	slices.SortFunc(rec.Held, func(a, b store.Held) int { return a.Task - b.Task })
 	return rec
 }
+
+// clear forgets all that is known of the chunk's tasks.
+func (c *chunk) clear() {
+	for _, a := range c.attempts {
+		a.release()
+	}
+	for i, state := range c.taskStates {
+		if state == taskDone {
+			c.job.done--
+		}
+		c.taskStates[i] = taskPending
+	}
+}
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -116,3 +116,12 @@
 	}
 	return out
 }
+
+// splitsInto tells whether the job's chunks are, or can be, split into sub-chunks of
+// so many tasks.
+func (j *job) splitsInto(size int) bool {
+	if j.subChunks > 0 {
+		return size == j.chunkTasks
+	}
+	return size >= 1 && size < j.chunkTasks && j.chunkTasks%size == 0
+}
