--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -7,6 +7,18 @@
 	"lilaclead/internal/wire"
 )
 
+// haltReason says why an attempt is stopped, in the log and the metrics.
+type haltReason string
+
+const (
+	haltCancelledJob   haltReason = "cancelled"
+	haltForRoom        haltReason = "makes room"
+	haltMachineTaken   haltReason = "its machine is taken"
+	haltToSave         haltReason = "saves before its machine is taken"
+	haltIncompleteGang haltReason = "its gang is not complete"
+	haltInheritedGang  haltReason = "an earlier leader stops its gang"
+)
+
 // attempt is one start of a task that may be on its machine, or may still
 // get there.
 type attempt struct {
@@ -37,7 +49,7 @@
 	haltAt      time.Time // since when
 	gracePeriod wire.Seconds
 	haltSent    time.Time
-	haltReason  string
+	haltReason  haltReason
 }
 
 func (a *attempt) task() wire.Task {
@@ -103,7 +115,7 @@
 }
 
 // halt wants the attempt stopped, and with a gang's task all of the gang.
-func (t *term) halt(a *attempt, windDown wire.Seconds, why string) {
+func (t *term) halt(a *attempt, windDown wire.Seconds, why haltReason) {
 	if a.job.gang != nil {
 		t.haltGang(a.job, windDown, why)
 		return
@@ -111,7 +123,7 @@
 	t.haltOne(a, windDown, why)
 }
 
-func (t *term) haltOne(a *attempt, windDown wire.Seconds, why string) {
+func (t *term) haltOne(a *attempt, windDown wire.Seconds, why haltReason) {
 	if a.planned {
 		if !a.chunk.beingWritten {
 			t.drop(a, taskPending)
@@ -127,9 +139,9 @@
 		a.haltAt = time.Now()
 	}
 	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, windDown, why, time.Time{}
-	if why != "cancelled" {
+	if why != haltCancelledJob {
 		t.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
-		t.l.Metrics.Moved(why)
+		t.l.Metrics.Moved(string(why))
 	}
 	t.dispatch(a.machine)
 }
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -111,7 +111,7 @@
 		case !a.sent && !a.inherited:
 			t.drop(a, taskPending) // never sent by anyone
 		case why == "faulty", why == "slow" && a.job.spec.Service():
-			t.halt(a, t.windDownOf(a.job), why)
+			t.halt(a, t.windDownOf(a.job), haltReason(why))
 		}
 	}
 	t.requestRound()
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -169,10 +169,10 @@
 		}
 		spec := &a.job.spec
 		if !m.takenBackAt.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.takenBackAt.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
-			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), "saves before its machine is taken")
+			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), haltToSave)
 		}
 		if !m.takenBackAt.IsZero() && spec.Service() && !a.halting {
-			t.halt(a, 0, "its machine is taken")
+			t.halt(a, 0, haltMachineTaken)
 		}
 		if a.launchUnanswered && !a.reported && (a.halting || m.drainReason != "") && now.Sub(a.decidedAt) > 6*time.Second {
 			t.raiseWanted = true
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -209,7 +209,7 @@
 	if g := j.gang; g != nil && p.Phase == wire.PhaseSaving && !g.told && !g.lost && !j.cancelled && a.inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
 		// that don't hear of it in time don't save.
-		t.haltGang(j, t.windDownOf(j), "an earlier leader stops its gang")
+		t.haltGang(j, t.windDownOf(j), haltInheritedGang)
 	}
 	if p.Phase != wire.PhaseExited {
 		return
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -46,7 +46,7 @@
 	}
 	for _, v := range res.Halts {
 		if a := t.attempt(v.Task); a != nil {
-			t.halt(a, t.windDownOf(a.job), "makes room")
+			t.halt(a, t.windDownOf(a.job), haltForRoom)
 			for i := range a.machine.claims { // it may take that long to save
 				c := &a.machine.claims[i]
 				c.until = latest(c.until, now.Add(t.haltBy(a.gracePeriod)))
