--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,5 +1,18 @@
-// Package leader is the part of the service that one node at a time runs:
-// the election, the workers' reports, the rounds, the commands and the fleet.
+// Package leader is the part of the service that one node at a time runs. While a
+// node leads, one term's loop owns the state of jobs and machines; it alone starts
+// I/O, whose results come back to it through a channel. Around the loop (term.go):
+//
+//   - package election says who leads and until when, package delegation who may
+//     renew leases for a leader that was lost;
+//   - recovery.go, progress.go and cancellations.go read and follow the jobs'
+//     records; job.go, chunk.go and attempt.go model them, with the proofs that an
+//     attempt has ended;
+//   - writer.go decides what is stored next, write.go executes it;
+//   - reports.go and commands.go talk to workers; machines.go, liveness.go,
+//     reachability.go, partitions.go and leases.go judge what they are and whether
+//     their leases have run out;
+//   - round.go and gang.go place tasks; demand.go and package rentals rent and
+//     return machines.
 package leader
 
 import (
