--- a/internal/leader/chunk.go
+++ b/internal/leader/chunk.go
@@ -32,15 +32,6 @@
 	a.machine.used = a.machine.used.Plus(a.res())
 }
 
-// markPending notes that a chunk must be written.
-func (t *term) markPending(c *chunk) {
-	if !c.changed {
-		c.changedAt = time.Now()
-	}
-	c.changed = true
-	t.pendingWrites[c] = struct{}{}
-}
-
 // record is the chunk as it is stored.
 func (c *chunk) record() store.ChunkRecord {
 	done := make([]bool, len(c.taskStates))
@@ -57,3 +48,16 @@
 	slices.SortFunc(rec.Held, func(a, b store.Held) int { return a.Task - b.Task })
 	return rec
 }
+
+// clear forgets all that is known of the chunk's tasks.
+func (c *chunk) clear() {
+	for _, a := range c.attempts {
+		a.release()
+	}
+	for i, state := range c.taskStates {
+		if state == taskDone {
+			c.job.done--
+		}
+		c.taskStates[i] = taskPending
+	}
+}
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -159,7 +159,7 @@
 		return
 	}
 	t.expire(m, now)
-	if m.drainReason != "" && len(m.tasks) == 0 && len(m.orphans) == 0 && t.allStored(m) {
+	if m.drainReason != "" && len(m.tasks) == 0 && len(m.orphans) == 0 && t.writer.allStored(m.usedAt, time.Now()) {
 		t.release(m, m.drainReason)
 		return
 	}
@@ -169,10 +169,10 @@
 		}
 		spec := &a.job.spec
 		if !m.takenBackAt.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.takenBackAt.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
-			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), "saves before its machine is taken")
+			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), haltToSave)
 		}
 		if !m.takenBackAt.IsZero() && spec.Service() && !a.halting {
-			t.halt(a, 0, "its machine is taken")
+			t.halt(a, 0, haltMachineTaken)
 		}
 		if a.launchUnanswered && !a.reported && (a.halting || m.drainReason != "") && now.Sub(a.decidedAt) > 6*time.Second {
 			t.raiseWanted = true
@@ -208,7 +208,7 @@
 func (t *term) replicasMovable(m *machine, now time.Time) bool {
 	answered := m.seenAt
 	if lost := t.zoneSilentSince(m.zone); !lost.IsZero() {
-		answered = latest(answered, lost.Add(t.l.delegationTime-reportInterval(t)*5/4))
+		answered = latest(answered, lost.Add(t.l.delegation.Time-reportInterval(t)*5/4))
 	} else if answered.IsZero() {
 		answered = t.startedAt
 	}
