--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -7,13 +7,47 @@
 	"time"
 
 	"lilaclead/internal/fleet"
+	"lilaclead/internal/leader/demand"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
-// demands of the jobs that wait. An array need not run all at once: its work
-// may be stretched over a share of what its deadline leaves.
+// Ranks order the demands of a plan: what is higher is packed first. A job's
+// priority ranks it among its like.
+const (
+	serviceRank      = 10  // added: services go before all else
+	spareRank        = 9   // the room that is kept for the next replicas
+	gangReserveRank  = 8.5 // the room that is kept for the next gangs
+	startOverdueRank = 5   // added: what has waited too long for its first start
+)
+
+// unlimited is the room that a team without a limit may take.
+const unlimited = 1e9
+
+// demands of the jobs that wait, and for the room that is kept for replicas.
 func (t *term) demands(now time.Time, stretch, spareUnits float64) []fleet.Demand {
+	jobs := t.waitingJobs()
+	waits := t.predictWaits(jobs, now)
+	zones := t.zones()
+	used := t.usedByTeam()
+	var out []fleet.Demand
+	for _, j := range jobs {
+		units := t.wantedUnits(j, used, now, stretch)
+		if units <= 0 {
+			continue
+		}
+		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(units)))
+		out = t.appendDemand(out, j, units, waits[j.spec.ID], zones, now, stretch)
+	}
+	if d, ok := t.spareDemand(spareUnits, zones); ok {
+		out = append(out, d)
+	}
+	return out
+}
+
+// waitingJobs are those with tasks to be placed, in the order they were accepted.
+// One that fails wherever it runs gets no room rented.
+func (t *term) waitingJobs() []*job {
 	jobs := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
 		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !t.isAside(j.spec.ID) {
@@ -23,77 +57,97 @@
 	slices.SortFunc(jobs, func(a, b *job) int {
 		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
-	waits := t.predictWaits(jobs, now)
-	zones := t.zones()
-	var out []fleet.Demand
+	return jobs
+}
+
+// usedByTeam is the room that each team's tasks hold.
+func (t *term) usedByTeam() map[wire.TeamID]placement.Res {
 	used := map[wire.TeamID]placement.Res{}
 	for _, j := range t.jobs {
 		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.held)))
 	}
-	for _, j := range jobs {
-		team, ok := t.settings.Team(j.spec.Team)
-		if !ok {
-			continue
-		}
-		units := j.pending()
-		switch {
-		case j.spec.Gang() && j.held > 0:
-			continue // what is left of its last attempt goes first
-		case !j.spec.Service() && !j.spec.Gang():
-			units = t.parallelTasks(j, now, stretch)
-		}
-		take := placement.Of(&j.spec)
-		// The limit bounds what can run at all.
-		left := placement.Res{CPUs: 1e9, Cards: 1e9, RAM: 1e9}
-		if team.CPUsMax > 0 {
-			left.CPUs = team.CPUsMax - used[j.spec.Team].CPUs
-		}
-		if team.GPUsMax > 0 {
-			left.Cards = team.GPUsMax - used[j.spec.Team].Cards
-		}
-		if most := take.Units(left); j.spec.Gang() && most < units {
-			continue
-		} else if units = min(units, most); units <= 0 {
-			continue
-		}
-		used[j.spec.Team] = used[j.spec.Team].Plus(take.Times(float64(units)))
-		d := fleet.Demand{Spec: &j.spec, Units: units, Whole: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slack(j, now) * stretch}
-		switch {
-		case j.spec.Service():
-			d.Rank += 10
-		case j.spec.Gang() && t.startOverdue(j, now):
-			d.Rank += 5
-			d.Dear = math.Inf(1)
-		case t.startOverdue(j, now):
-			// Room is had for its first task at any price.
-			first := d
-			first.Units, first.Rank, first.Dear = 1, d.Rank+5, math.Inf(1)
-			out = append(out, first)
-			d.Units--
-		}
-		d.Dear = max(d.Dear, t.priceStretch(j, waits[j], now))
-		if j.spec.Spread || j.spec.SameZone {
-			d.ZoneLeft = map[wire.Zone]int{}
-			held := j.zones()
-			for _, z := range zones {
-				d.ZoneLeft[z] = max(0, j.spec.ZoneCap()-held[z])
-				if j.spec.SameZone && j.held > 0 && held[z] == 0 {
-					d.ZoneLeft[z] = 0
-				}
-			}
-		}
-		out = append(out, d)
+	return used
+}
+
+// wantedUnits is for how many tasks of a job room is wanted now. An array need not
+// run all at once: its work may be stretched over a share of what its deadline
+// leaves. The team's limit bounds what can run at all.
+func (t *term) wantedUnits(j *job, used map[wire.TeamID]placement.Res, now time.Time, stretch float64) int {
+	team, ok := t.settings.Team(j.spec.Team)
+	if !ok {
+		return 0
 	}
-	if n, r := t.spare(spareUnits); n > 0 {
-		spec := &wire.Spec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: n, CPUs: r.CPUs, MemoryGB: r.RAM}
-		// In one zone alone it would not serve a service that is spread.
-		left := map[wire.Zone]int{}
-		for _, z := range zones {
-			left[z] = (n + 1) / 2
+	gang := j.spec.Gang()
+	units := j.pending()
+	switch {
+	case gang && j.held > 0:
+		return 0 // what is left of its last attempt goes first
+	case !j.spec.Service() && !gang:
+		units = demand.ParallelTasks(units, t.work(j, now), t.settings.Objectives, stretch)
+	}
+	left := placement.Res{CPUs: unlimited, Cards: unlimited, RAM: unlimited}
+	if team.CPUsMax > 0 {
+		left.CPUs = team.CPUsMax - used[j.spec.Team].CPUs
+	}
+	if team.GPUsMax > 0 {
+		left.Cards = team.GPUsMax - used[j.spec.Team].Cards
+	}
+	most := placement.Of(&j.spec).Units(left)
+	if gang && most < units {
+		return 0
+	}
+	return min(units, most)
+}
+
+// appendDemand adds the demand of a job for so many of its tasks.
+func (t *term) appendDemand(out []fleet.Demand, j *job, units int, waitS float64, zones []wire.Zone, now time.Time, stretch float64) []fleet.Demand {
+	d := fleet.Demand{Spec: &j.spec, Units: units, Whole: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slack(j, now) * stretch}
+	switch {
+	case j.spec.Service():
+		d.Rank += serviceRank
+	case j.spec.Gang() && t.startOverdue(j, now):
+		d.Rank += startOverdueRank
+		d.Dear = math.Inf(1)
+	case t.startOverdue(j, now):
+		// Room is had for its first task at any price.
+		first := d
+		first.Units, first.Rank, first.Dear = 1, d.Rank+startOverdueRank, math.Inf(1)
+		out = append(out, first)
+		d.Units--
+	}
+	d.Dear = max(d.Dear, t.priceStretch(j, waitS, now))
+	if j.spec.Spread || j.spec.SameZone {
+		d.ZoneLeft = j.zoneLeft(zones)
+	}
+	return append(out, d)
+}
+
+// zoneLeft is how many more tasks of a job that is bound to zones each may take.
+func (j *job) zoneLeft(zones []wire.Zone) map[wire.Zone]int {
+	left := map[wire.Zone]int{}
+	held := j.zones()
+	for _, z := range zones {
+		left[z] = max(0, j.spec.ZoneCap()-held[z])
+		if j.spec.SameZone && j.held > 0 && held[z] == 0 {
+			left[z] = 0
 		}
-		out = append(out, fleet.Demand{Spec: spec, Units: n, Rank: 9, ZoneLeft: left})
 	}
-	return out
+	return left
+}
+
+// spareDemand is for the room that is kept for the next replicas. In one zone alone
+// it would not serve a service that is spread.
+func (t *term) spareDemand(spareUnits float64, zones []wire.Zone) (fleet.Demand, bool) {
+	n, r := t.spare(spareUnits)
+	if n <= 0 {
+		return fleet.Demand{}, false
+	}
+	spec := &wire.Spec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: n, CPUs: r.CPUs, MemoryGB: r.RAM}
+	left := map[wire.Zone]int{}
+	for _, z := range zones {
+		left[z] = (n + 1) / 2
+	}
+	return fleet.Demand{Spec: spec, Units: n, Rank: spareRank, ZoneLeft: left}, true
 }
 
 // gangReserves are for the room that is kept for the next gangs. It goes before
@@ -101,7 +155,7 @@
 func (t *term) gangReserves(times float64, now time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	for _, spec := range t.nextGangs(times, now) {
-		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: 8.5, Whole: true}
+		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, Whole: true}
 		if spec.Spread {
 			d.ZoneLeft = map[wire.Zone]int{}
 			for _, z := range t.zones() {
@@ -113,127 +167,82 @@
 	return out
 }
 
-// dueAfter is when the job should be complete, counted from its submission: what
-// its owner says, else what the users' aims say of its class, else a few times
-// its expected run time. Aims may name several times for a class; the first
-// that can still be met counts, else the last.
-func (t *term) dueAfter(j *job, now time.Time) float64 {
-	need := now.Sub(j.acceptedAt).Seconds() + j.expected()
-	due, ok := float64(j.spec.Deadline), j.spec.Deadline > 0
-	for _, o := range t.settings.Objectives {
-		at := 0.0
-		switch {
-		case o.Class != j.spec.Class:
-		case o.Kind == "finished":
-			at = float64(o.WithinS)
-		case o.Kind == "deadline":
-			at = float64(j.spec.Deadline) * o.Times
-		}
-		switch {
-		case at <= 0:
-		case !ok, due < need && at > due, at >= need && at < due:
-			due, ok = at, true
-		}
-	}
-	if !ok {
-		return 3*j.expected() + 30
-	}
-	return due
+// work is what the rules of package demand need to know of a job.
+func (t *term) work(j *job, now time.Time) demand.Work {
+	return demand.Work{Class: j.spec.Class, DeadlineS: float64(j.spec.Deadline), AgeS: now.Sub(j.acceptedAt).Seconds(), ExpectedS: j.expected()}
 }
 
-// slack is how long the job's waiting tasks may still wait.
+// slack is for how many seconds the job's waiting tasks may still wait.
 func (t *term) slack(j *job, now time.Time) float64 {
-	return t.dueAfter(j, now) - now.Sub(j.acceptedAt).Seconds() - j.expected()
+	return demand.SlackS(t.work(j, now), t.settings.Objectives)
 }
 
-const (
-	// latePriceStretch is how far beyond the limit a job may rent that would be
-	// late otherwise, if its class's aim is above patientShare or it has waited for
-	// half of startBy.
-	latePriceStretch = 1.35
-	patientShare     = 0.9
-	// startWithin is when every job should have begun, whatever else waits. Half
-	// of it may pass before the exception is made that sees to it.
-	startWithin = 4 * time.Minute
-)
+// predictWaits predicts how many seconds each waiting array and gang will wait for
+// the room there is, and notes the backlog.
+func (t *term) predictWaits(jobs []*job, now time.Time) map[wire.JobID]float64 {
+	guaranteed := t.guaranteed()
+	raise := max(1, t.l.Tuning.Get().WaitRaiseS)
+	queue := make([]demand.Queued, 0, len(jobs))
+	for _, j := range jobs {
+		if j.spec.Service() {
+			continue
+		}
+		queue = append(queue, demand.Queued{
+			ID:     j.spec.ID,
+			Weight: t.weight(j, guaranteed[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise),
+			WorkS:  float64(j.pending()) * j.spec.CPUs * max(1, j.expected()),
+		})
+	}
+	waits, backlogS := demand.WaitsS(queue, t.batchProcessors())
+	t.backlogS = backlogS
+	return waits
+}
 
-// predictWaits predicts how long each waiting array will wait for the room there
-// is: the work that goes before it, and half of its own, over the processors
-// that work on arrays now or soon. Room that is rented shortens the wait, so
-// that a steady overload rents as much dear room as it needs and a short rush
-// none.
-func (t *term) predictWaits(jobs []*job, now time.Time) map[*job]float64 {
-	room := 0.0
+// batchProcessors are those that work on arrays and gangs now or soon.
+func (t *term) batchProcessors() float64 {
+	processors := 0.0
 	for _, m := range t.machines {
 		if !m.releasing && m.drainReason == "" {
-			room += t.total(m).CPUs
+			processors += t.total(m).CPUs
 		}
 	}
 	for _, b := range t.rentals.Bookings() {
-		if f := t.machineSpec(b.Type); f != nil {
-			room += float64(b.Count) * f.CPUs
+		if spec := t.machineSpec(b.Type); spec != nil {
+			processors += float64(b.Count) * spec.CPUs
 		}
 	}
 	for _, j := range t.jobs {
 		if j.spec.Service() {
-			room -= float64(j.spec.Tasks) * j.spec.CPUs
+			processors -= float64(j.spec.Tasks) * j.spec.CPUs
 		}
 	}
-	type entry struct {
-		j      *job
-		weight float64
-	}
-	sure, raise := t.guaranteed(), max(1, t.l.Tuning.Get().WaitRaiseS)
-	var queue []entry
-	for _, j := range jobs {
-		if !j.spec.Service() {
-			w := t.weight(j, sure[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise)
-			queue = append(queue, entry{j, w})
-		}
-	}
-	slices.SortFunc(queue, func(a, b entry) int {
-		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.j.spec.ID, b.j.spec.ID))
-	})
-	out := make(map[*job]float64, len(queue))
-	ahead := 0.0
-	for _, e := range queue {
-		own := float64(e.j.pending()) * e.j.spec.CPUs * max(1, e.j.expected())
-		out[e.j] = (ahead + own/2) / max(1, room)
-		ahead += own
-	}
-	t.backlogS = ahead / max(1, room)
-	return out
+	return processors
 }
 
-// priceStretch tells how far a job may go beyond the limit on the price: it would
-// be late if it waited for cheap room, and dear room brings it home in time.
-func (t *term) priceStretch(j *job, wait float64, now time.Time) float64 {
-	share := 0.0
-	for _, o := range t.settings.Objectives {
-		if o.Class == j.spec.Class && (o.Kind == "finished" || o.Kind == "deadline") {
-			share = max(share, o.Share)
-		}
-	}
-	// A class that may miss its time more often waits for cheap room first, but
-	// not for ever: cheap room alone may never catch up. (With 24 cheap machines
-	// of 40 a backlog of 16 minutes grew, and no ordinary one was rented.)
-	patient := share <= patientShare && now.Sub(j.acceptedAt) < startWithin/2
-	if j.spec.Service() || patient {
+// priceStretch tells how far a job may go beyond the limit on the price if it would
+// wait so many seconds for room within it.
+func (t *term) priceStretch(j *job, waitS float64, now time.Time) float64 {
+	if j.spec.Service() {
 		return 1
 	}
+	return demand.PriceStretch(t.work(j, now), t.settings.Objectives, waitS, t.bootS(&j.spec))
+}
+
+// bootS is after how many seconds a machine that is rented now can run a task of
+// the job at the earliest; infinite if no type fits it.
+func (t *term) bootS(spec *wire.Spec) float64 {
 	boot := math.Inf(1)
 	for _, f := range t.l.Flavors.Get() {
-		if f.Fits(&j.spec) && f.FetchGBPerS > 0 {
-			boot = min(boot, float64(f.BootTime)+j.spec.ImageGB/f.FetchGBPerS)
+		if f.Fits(spec) && f.FetchGBPerS > 0 {
+			boot = min(boot, float64(f.BootTime)+spec.ImageGB/f.FetchGBPerS)
 		}
 	}
-	due, age := t.dueAfter(j, now), now.Sub(j.acceptedAt).Seconds()
-	if age+wait+j.expected() > due && age+boot+j.expected() < due {
-		return latePriceStretch
-	}
-	return 1
+	return boot
 }
 
+// startWithin is when every job should have begun.
+const startWithin = demand.StartWithinS * time.Second
+
 // startOverdue tells whether an array has waited so long without a start that its
 // first task goes before everything but services. Little work left, prices
 // and priorities order the rest; under a steady overload they would keep a
@@ -243,12 +252,3 @@
 func (t *term) startOverdue(j *job, now time.Time) bool {
 	return !j.spec.Service() && j.held == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.done == 0 || now.Sub(latest(j.lastHeldAt, t.startedAt)) > startWithin/2)
 }
-
-// parallelTasks is how many of a job's waiting tasks should run at a time.
-func (t *term) parallelTasks(j *job, now time.Time, stretch float64) int {
-	n := j.pending()
-	est := max(1, j.expected())
-	window := (t.dueAfter(j, now) - now.Sub(j.acceptedAt).Seconds()) * stretch
-	rounds := max(1, int(window/est))
-	return (n + rounds - 1) / rounds
-}
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -14,78 +14,19 @@
 
 // planFleet rents for what can't be placed and returns what is not needed.
 func (t *term) planFleet(now time.Time) {
-	flavors := t.l.Flavors.Get()
-	if !t.recovered || !t.placing || !t.listReceived || !t.lease.Deciding() || flavors == nil || t.rentals.Paused(now) {
+	specs := t.l.Flavors.Get()
+	if !t.recovered || !t.placing || !t.listReceived || !t.lease.Deciding() || specs == nil || t.rentals.Paused(now) {
 		return
 	}
-	// What an earlier leader rented last is not listed yet.
-	lag := t.settings.Cloud.ListLagS.Duration()
-	v := t.l.Tuning.Get()
-	s := &fleet.Snapshot{MaxRents: maxRentsPerPlan, DearLimit: v.DearLimit,
-		Cheapest: func(spec *wire.Spec) float64 { return cheapest(flavors, spec) }}
-	var order []*machine
-	for _, m := range t.machines {
-		if m.releasing || m.drainReason != "" || m.machineType == "" {
-			continue
-		}
-		order = append(order, m)
-	}
-	slices.SortFunc(order, func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
-	for _, m := range order {
-		f := t.machineSpec(m.machineType)
-		if f == nil {
-			continue
-		}
-		fm := fleet.Machine{ID: m.id, Kit: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
-			PaidS: 60 - now.Sub(m.rentedAt).Seconds(), Price: f.Price(m.spot), KeepS: v.KeepBoots * float64(f.BootTime)}
-		if m.booting && now.Sub(m.rentedAt) > f.BootTime.Duration()*2 {
-			continue // not to be counted on
-		}
-		if !m.booting && t.silence(m, now) > 3*reportInterval(t) || t.behindPartition(m, now) || t.outboundLost(m, now) {
-			continue
-		}
-		for _, a := range m.tasks {
-			if a.job.spec.Service() {
-				fm.Services++
-				continue
-			}
-			in := a.job.expected()
-			if !a.runningSince.IsZero() {
-				in -= now.Sub(a.runningSince).Seconds()
-			}
-			res := a.res()
-			fm.Soon = append(fm.Soon, fleet.Soon{InS: max(in, 1), Room: res})
-			if res.CPUs > fm.Unit.CPUs {
-				fm.Unit = res
-			}
-		}
-		slices.SortFunc(fm.Soon, func(a, b fleet.Soon) int { return cmp.Compare(a.InS, b.InS) })
-		if !m.booting && len(m.tasks) == 0 && len(m.orphans) == 0 {
-			fm.Idle, fm.IdleS = true, now.Sub(latest(m.usedAt, m.upAt)).Seconds()
-		}
-		s.Machines = append(s.Machines, fm)
-	}
-	for _, b := range t.rentals.Bookings() {
-		if f := t.machineSpec(b.Type); f != nil {
-			total := placementRes(f)
-			for range b.Count {
-				s.Machines = append(s.Machines, fleet.Machine{Kit: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: f.Price(b.Spot)})
-			}
-		}
-	}
-	if now.Sub(t.startedAt) > lag+time.Second {
-		s.Offers = t.offers(flavors, now)
-	}
-	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
-	s.Demands = append(s.Demands, t.gangReserves(v.SpareGangs, now)...)
-	plan := fleet.Make(s)
+	candidates := t.planCandidates()
+	plan := fleet.Make(t.fleetSnapshot(candidates, specs, now))
 	for _, r := range plan.Rents {
 		for left := r.Count; left > 0; left -= rentals.MaxBooking {
 			r.Count = min(left, rentals.MaxBooking)
 			t.rent(r)
 		}
 	}
-	for _, m := range order {
+	for _, m := range candidates {
 		m.cordoned = false
 	}
 	for _, id := range plan.Cordons {
@@ -98,6 +39,106 @@
 	}
 }
 
+// planCandidates are the machines that a plan may use or return, in a steady order.
+func (t *term) planCandidates() []*machine {
+	var out []*machine
+	for _, m := range t.machines {
+		if !m.releasing && m.drainReason == "" && m.machineType != "" {
+			out = append(out, m)
+		}
+	}
+	slices.SortFunc(out, func(a, b *machine) int { return cmp.Compare(a.id, b.id) })
+	return out
+}
+
+// fleetSnapshot is what a plan is made from.
+func (t *term) fleetSnapshot(candidates []*machine, specs []wire.MachineSpec, now time.Time) *fleet.Snapshot {
+	v := t.l.Tuning.Get()
+	s := &fleet.Snapshot{MaxRents: maxRentsPerPlan, DearLimit: v.DearLimit,
+		Cheapest: func(spec *wire.Spec) float64 { return cheapest(specs, spec) }}
+	for _, m := range candidates {
+		spec := t.machineSpec(m.machineType)
+		if spec != nil && t.countedOn(m, spec, now) {
+			s.Machines = append(s.Machines, t.planMachine(m, spec, v.KeepBoots, now))
+		}
+	}
+	s.Machines = t.appendBooked(s.Machines)
+	// What an earlier leader rented last is not listed yet.
+	if now.Sub(t.startedAt) > t.settings.Cloud.ListLagS.Duration()+time.Second {
+		s.Offers = t.offers(specs, now)
+	}
+	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
+	s.Demands = append(s.Demands, t.gangReserves(v.SpareGangs, now)...)
+	return s
+}
+
+const (
+	// maxBoots is for how many boot times a machine that has not reported is
+	// counted on.
+	maxBoots = 2
+	// maxSilentReports is for how many report intervals one may be silent.
+	maxSilentReports = 3
+	// billedUpfrontS is for how many seconds every machine is paid from its start.
+	billedUpfrontS = 60
+)
+
+// countedOn tells whether a machine's room may be counted on.
+func (t *term) countedOn(m *machine, spec *wire.MachineSpec, now time.Time) bool {
+	if m.booting && now.Sub(m.rentedAt) > spec.BootTime.Duration()*maxBoots {
+		return false
+	}
+	if !m.booting && t.silence(m, now) > maxSilentReports*reportInterval(t) {
+		return false
+	}
+	return !t.behindPartition(m, now) && !t.outboundLost(m, now)
+}
+
+// planMachine is a machine as the plan sees it.
+func (t *term) planMachine(m *machine, spec *wire.MachineSpec, keepBoots float64, now time.Time) fleet.Machine {
+	out := fleet.Machine{ID: m.id, Kit: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
+		PaidS: billedUpfrontS - now.Sub(m.rentedAt).Seconds(), Price: spec.Price(m.spot), KeepS: keepBoots * float64(spec.BootTime)}
+	for _, a := range m.tasks {
+		if a.job.spec.Service() {
+			out.Services++
+			continue
+		}
+		res := a.res()
+		out.Soon = append(out.Soon, fleet.Soon{InS: a.remainingS(now), Room: res})
+		if res.CPUs > out.Unit.CPUs {
+			out.Unit = res
+		}
+	}
+	slices.SortFunc(out.Soon, func(a, b fleet.Soon) int { return cmp.Compare(a.InS, b.InS) })
+	if !m.booting && len(m.tasks) == 0 && len(m.orphans) == 0 {
+		out.Idle, out.IdleS = true, now.Sub(latest(m.usedAt, m.upAt)).Seconds()
+	}
+	return out
+}
+
+// remainingS is in how many seconds the attempt is expected to end, one at least.
+func (a *attempt) remainingS(now time.Time) float64 {
+	in := a.job.expected()
+	if !a.runningSince.IsZero() {
+		in -= now.Sub(a.runningSince).Seconds()
+	}
+	return max(in, 1)
+}
+
+// appendBooked adds the machines of bookings that are not yet answered.
+func (t *term) appendBooked(out []fleet.Machine) []fleet.Machine {
+	for _, b := range t.rentals.Bookings() {
+		spec := t.machineSpec(b.Type)
+		if spec == nil {
+			continue
+		}
+		total := placementRes(spec)
+		for range b.Count {
+			out = append(out, fleet.Machine{Kit: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: spec.Price(b.Spot)})
+		}
+	}
+	return out
+}
+
 // cheapest is the lowest price of room for one task of the job.
 func cheapest(flavors []wire.MachineSpec, s *wire.Spec) float64 {
 	best := math.Inf(1)
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/demand"
 	"lilaclead/internal/leader/rentals"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
@@ -237,7 +238,7 @@
 	tm := sized(t, 30)
 	tm.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", WithinS: 300, Share: 0.9}}
 	now := time.Now()
-	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, latePriceStretch}, {200, 90, latePriceStretch}, {290, 90, 1}} {
+	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, demand.LatePriceStretch}, {200, 90, demand.LatePriceStretch}, {290, 90, 1}} {
 		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
 			At: wire.TimestampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
 		if got := tm.priceStretch(j, c.wait, now); got != c.want {
