--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -23,7 +23,7 @@
 		if a.halting && !a.planned {
 			out = append(out, haltCommand(task, a))
 			a.haltSent = now
-		} else if !a.planned && !a.reported && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.unreachableSince.IsZero() && a.mayLaunch() {
+		} else if !a.planned && !a.reported && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.Works() && a.mayLaunch() {
 			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
 			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Session, rep.Session, rep.Sequence
 		}
@@ -149,7 +149,7 @@
 		t.l.Metrics.Command("not sent")
 		m.unansweredProbes++
 		m.reportsMissingSince = time.Time{} // silent, which is looked after otherwise
-		m.inbound.unansweredCommands++
+		m.inbound.Unanswered()
 		for _, a := range launched {
 			if !a.reported {
 				a.sent = false // certainly never left; the next report's answer carries it
@@ -159,7 +159,7 @@
 		t.l.Metrics.Command("lost")
 		m.unansweredProbes++
 		m.reportsMissingSince = time.Time{}
-		m.inbound.unansweredCommands++
+		m.inbound.Unanswered()
 		t.log().Debug("command not answered", "machine", m.id, "commands", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
 			a.launchUnanswered, a.unansweredToken = true, cmd.Token
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -6,103 +6,180 @@
 	"lilaclead/internal/wire"
 )
 
-// watchMachines looks for machines that are silent, late, or empty and
-// unwanted.
-func (t *term) watchMachines(now time.Time) {
-	for id, at := range t.gone {
-		if now.Sub(at) > 10*time.Minute {
-			delete(t.gone, id)
-		}
-	}
-	// Reports come every report_s, give or take a quarter. A machine that is
-	// overdue is asked directly; two asks without an answer tell its end.
-	report := t.settings.Workers.ReportS.Duration()
-	silentAfter := report*5/4 + 600*time.Millisecond
-	lostAfter := silentAfter + 2*probeTimeout
-	up, silent, lost, relayed, deaf, mute, serving, quietServing := 0, 0, 0, 0, 0, 0, 0, 0
-	zoneUp, zoneLost := map[wire.Zone]int{}, map[wire.Zone]int{}
+const (
+	// forgetGoneAfter is how long late copies of a released machine's reports are
+	// still told apart from those of a new one.
+	forgetGoneAfter = 10 * time.Minute
+	// reportDelay is how late a report may be on its way.
+	reportDelay = 600 * time.Millisecond
+	// servingSilence is how long a machine with replicas may be silent before it is
+	// asked itself, where reports come more rarely than that.
+	servingSilence = 4 * time.Second
+	// maxProbes is how often a silent machine is probed.
+	maxProbes = 4
+	// haltRepeat is after how long a halt that has had no effect is sent again.
+	haltRepeat = 2 * time.Second
+	// defaultBootTime is that of a type that the cloud no longer names.
+	defaultBootTime = 30 * time.Second
+	// manyMachines: so many silent or relayed ones are not taken for single faults.
+	manyMachines = 3
+)
+
+// silentAfter is how long a machine may be silent before it is asked directly:
+// reports come every report_s, give or take a quarter.
+func (t *term) silentAfter() time.Duration { return reportInterval(t)*5/4 + reportDelay }
+
+// lostAfter is when a silent machine is taken for lost: two probes without an answer
+// tell its end.
+func (t *term) lostAfter() time.Duration { return t.silentAfter() + 2*probeTimeout }
+
+// census counts the machines that should report, by how they can be reached.
+type census struct {
+	up           int
+	silent       int // overdue
+	lost         int // long overdue
+	relayed      int // reach this node only through another one
+	inboundLost  int // report, and receive nothing
+	outboundLost int // answer, and no report of theirs comes
+	serving      int // hold replicas
+	servingQuiet int // and are silent
+	zoneUp       map[wire.Zone]int
+	zoneLost     map[wire.Zone]int
+}
+
+func (t *term) takeCensus(now time.Time) *census {
+	c := &census{zoneUp: map[wire.Zone]int{}, zoneLost: map[wire.Zone]int{}}
+	silentAfter, lostAfter := t.silentAfter(), t.lostAfter()
 	for _, m := range t.machines {
 		if m.booting || m.releasing {
 			continue
 		}
-		up++
+		silence := t.silence(m, now)
+		c.up++
+		c.zoneUp[m.zone]++
 		if m.relayed {
-			relayed++
+			c.relayed++
 		}
-		if !m.inbound.unreachableSince.IsZero() {
-			deaf++
+		if !m.inbound.Works() {
+			c.inboundLost++
 		}
 		if t.outboundLost(m, now) {
-			mute++
+			c.outboundLost++
 		}
-		zoneUp[m.zone]++
-		if t.silence(m, now) > silentAfter {
-			silent++
+		if silence > silentAfter {
+			c.silent++
 		}
-		if t.holdsReplicas(m) {
-			if serving++; t.silence(m, now) > servingSilence+2*probeTimeout {
-				quietServing++
-			}
+		if silence > lostAfter {
+			c.lost++
+			c.zoneLost[m.zone]++
+		}
+		if !t.holdsReplicas(m) {
+			continue
 		}
-		if t.silence(m, now) > lostAfter {
-			lost++
-			zoneLost[m.zone]++
+		c.serving++
+		if silence > servingSilence+2*probeTimeout {
+			c.servingQuiet++
 		}
 	}
-	t.l.Metrics.Machines(t.states())
-	// When many are silent it is rather this node that is cut off from them.
-	cutOff := silent >= 3 && silent*2 > up
-	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.lease.Deciding() && now.Sub(t.startedAt) > lostAfter+t.settings.Workers.LeaseS.Duration()/8 {
-		for name, o := range t.l.Mesh.View().Others {
-			if o.Near(now) && o.Serves && o.Hears*2 > up {
-				t.resign("workers reach " + string(name) + ", not this node")
-				return
-			}
+	return c
+}
+
+// isolated tells whether it is rather this node that is cut off: many are silent.
+func (c *census) isolated() bool { return c.silent >= manyMachines && c.silent*2 > c.up }
+
+// unreachable tells whether most machines are lost, or come through other nodes.
+func (c *census) unreachable() bool {
+	return c.isolated() && c.lost*2 > c.up || c.relayed >= manyMachines && c.relayed*2 > c.up
+}
+
+// few tells whether so many machines of all may be faulty each by itself.
+func few(n, all int) bool { return n <= max(manyMachines, all/4) }
+
+// watchMachines looks for machines that are silent, late, or empty and
+// unwanted.
+func (t *term) watchMachines(now time.Time) {
+	for id, at := range t.gone {
+		if now.Sub(at) > forgetGoneAfter {
+			delete(t.gone, id)
 		}
 	}
-	// A zone most of whose machines are silent is cut off as a whole. They
-	// will be back, and what runs on them goes on until their leases end: they
-	// are kept, and returned only if the cut outlasts that by far.
-	lease := t.settings.Workers.LeaseS.Duration()
+	c := t.takeCensus(now)
+	t.l.Metrics.Machines(t.states())
+	if node, ok := t.betterReached(c, now); ok {
+		t.resign("workers reach " + string(node) + ", not this node")
+		return
+	}
 	t.delegatesAnsweredUntil = t.anyDelegateAnswersUntil(now)
-	for z, n := range zoneUp {
-		if z != "" && !cutOff && t.zoneSilent(z, n, zoneLost[z], up, now) {
-			if !t.latelyPartitioned(z, now) {
-				t.log().Info("zone partitioned", "zone", z, "silent", zoneLost[z], "of", n)
-			}
-			t.partitionedAt[z] = now
-		}
+	if !c.isolated() {
+		t.judgePartitions(c, now)
 	}
-	// A machine with replicas is not left alone for as long as reports may take:
-	// the replicas of one that has stopped are down until that is known. When
-	// many such are quiet it is rather the way to them.
-	fewQuiet := quietServing <= max(3, serving/4)
 	for _, m := range t.machines {
-		// Where the cut is over the machines need a while to be heard again.
-		cut := t.latelyPartitioned(m.zone, now)
-		quiet := t.silence(m, now)
-		if t.partitioned(m.zone, now) && !cutOff && t.replicasMovable(m, now) {
-			// Its replicas end with its lease, and nothing tells just when. The
-			// cloud can end them for sure, and they are started elsewhere. If
-			// the cloud is away too, its lease is waited out below.
-			t.release(m, "its lease ends while its zone is cut off")
-		}
-		// Before the first list nothing is known of a machine that an earlier
-		// leader used and that has not reported, not even its zone.
-		unknown := m.zone == "" && !t.listReceived
-		ask, gone := silentAfter, lostAfter
-		if t.holdsReplicas(m) {
-			if ask = min(ask, servingSilence); fewQuiet {
-				gone = min(gone, ask+3*probeTimeout)
-			}
-		}
-		kept := cutOff || cut && quiet < max(lease*5/2, t.settings.Workers.CancelS.Duration()*2)
-		t.watchMachine(m, now, ask, gone, kept && !t.unlisted(m) || unknown)
-		if deaf <= max(3, up/4) {
+		t.watchReplicas(m, c, now)
+		t.watchMachine(m, c, now)
+		if few(c.inboundLost, c.up) {
 			t.watchInbound(m, now)
 		}
-		t.watchOutbound(m, now, mute <= max(3, up/4))
+		t.watchOutbound(m, now, few(c.outboundLost, c.up))
+	}
+	t.releaseUncancellable(now)
+}
+
+// betterReached is a node that most workers reach, if they don't reach this one.
+func (t *term) betterReached(c *census, now time.Time) (wire.NodeID, bool) {
+	settled := t.lostAfter() + t.settings.Workers.LeaseS.Duration()/8
+	if !c.unreachable() || !t.lease.Deciding() || now.Sub(t.startedAt) <= settled {
+		return "", false
+	}
+	for name, o := range t.l.Mesh.View().Others {
+		if o.Near(now) && o.Serves && o.Hears*2 > c.up {
+			return name, true
+		}
+	}
+	return "", false
+}
+
+// watchReplicas returns a machine in a partitioned zone whose replicas can be
+// started elsewhere. They end with its lease, and nothing tells just when. The cloud
+// can end them for sure. If the cloud is away too, the lease is waited out.
+func (t *term) watchReplicas(m *machine, c *census, now time.Time) {
+	if t.partitioned(m.zone, now) && !c.isolated() && t.replicasMovable(m, now) {
+		t.release(m, "its lease ends while its zone is partitioned")
+	}
+}
+
+// silenceLimits is how long a machine may be silent before it is probed, and before it
+// is taken for lost. A machine with replicas is not left alone for as long as
+// reports may take: the replicas of one that has stopped are down until that is
+// known. When many such are quiet it is rather the way to them.
+func (t *term) silenceLimits(m *machine, c *census) (probeAfter, lostAfter time.Duration) {
+	probeAfter, lostAfter = t.silentAfter(), t.lostAfter()
+	if !t.holdsReplicas(m) {
+		return probeAfter, lostAfter
+	}
+	probeAfter = min(probeAfter, servingSilence)
+	if few(c.servingQuiet, c.serving) {
+		lostAfter = min(lostAfter, probeAfter+3*probeTimeout)
+	}
+	return probeAfter, lostAfter
+}
+
+// keptThoughSilent tells whether a machine is not returned for its silence.
+func (t *term) keptThoughSilent(m *machine, c *census, now time.Time) bool {
+	// Before the first list nothing is known of a machine that an earlier
+	// leader used and that has not reported, not even its zone.
+	if m.zone == "" && !t.listReceived {
+		return true
 	}
+	if t.unlisted(m) {
+		return false
+	}
+	// Where the partition is over the machines need a while to report again.
+	outlasted := max(t.settings.Workers.LeaseS.Duration()*5/2, t.settings.Workers.CancelS.Duration()*2)
+	return c.isolated() || t.latelyPartitioned(m.zone, now) && t.silence(m, now) < outlasted
+}
+
+// releaseUncancellable returns machines on which a cancelled task goes on.
+func (t *term) releaseUncancellable(now time.Time) {
 	if !t.lease.Deciding() || !t.recovered {
 		return
 	}
@@ -115,30 +192,20 @@
 	}
 }
 
-func (t *term) watchMachine(m *machine, now time.Time, silentAfter, lostAfter time.Duration, cutOff bool) {
-	if m.releasing {
+// watchMachine looks after one machine: its boot, its silence, its lease, and what
+// it is still to be told.
+func (t *term) watchMachine(m *machine, c *census, now time.Time) {
+	switch {
+	case m.releasing:
 		t.expire(m, now)
 		return
-	}
-	if m.booting {
-		ready := 30 * time.Second
-		if f := t.machineSpec(m.machineType); f != nil {
-			ready = f.BootTime.Duration()
-		}
-		if now.Sub(m.rentedAt) > ready*11/4+5*time.Second && t.lease.Deciding() {
-			t.release(m, "never came up")
-		}
+	case m.booting:
+		t.watchBoot(m, now)
 		return
-	}
-	if !t.recovered {
+	case !t.recovered:
 		return
 	}
-	for _, a := range m.tasks {
-		if a.halting && !a.planned && (a.haltSent.IsZero() || now.Sub(a.haltSent) > 2*time.Second) {
-			t.dispatch(m)
-			break
-		}
-	}
+	t.repeatHalts(m, now)
 	if !t.lease.Deciding() {
 		return
 	}
@@ -146,15 +213,8 @@
 		t.release(m, "failed")
 		return
 	}
-	quiet := t.silence(m, now)
-	if quiet > silentAfter && m.unansweredProbes < 4 && !m.commandInFlight && !(m.unansweredProbes > 0 && t.behindPartition(m, now)) {
-		t.probe(m)
-	}
-	gone := !m.takenBackAt.IsZero() && now.After(m.takenBackAt.Add(time.Second)) && quiet > reportInterval(t)+time.Second
-	// A machine that an earlier leader used, that is in no list and says
-	// nothing has no address to probe; it is as lost as one that was probed.
-	late := reportInterval(t)*13/4 + 2*time.Second
-	if (quiet > lostAfter && m.unansweredProbes > 1 && m.peerUnanswered || quiet > late && (m.unansweredProbes > 0 || m.addr == "") || gone) && !cutOff {
+	t.probeSilent(m, c, now)
+	if t.lost(m, c, now) {
 		t.release(m, "silent")
 		return
 	}
@@ -163,6 +223,57 @@
 		t.release(m, m.drainReason)
 		return
 	}
+	t.watchTasks(m, now)
+}
+
+// watchBoot returns a machine that should have come up long ago.
+func (t *term) watchBoot(m *machine, now time.Time) {
+	boot := defaultBootTime
+	if spec := t.machineSpec(m.machineType); spec != nil {
+		boot = spec.BootTime.Duration()
+	}
+	if now.Sub(m.rentedAt) > boot*11/4+5*time.Second && t.lease.Deciding() {
+		t.release(m, "never came up")
+	}
+}
+
+// repeatHalts sends halts again that have had no effect.
+func (t *term) repeatHalts(m *machine, now time.Time) {
+	for _, a := range m.tasks {
+		if a.halting && !a.planned && (a.haltSent.IsZero() || now.Sub(a.haltSent) > haltRepeat) {
+			t.dispatch(m)
+			return
+		}
+	}
+}
+
+// probeSilent probes a machine that is overdue.
+func (t *term) probeSilent(m *machine, c *census, now time.Time) {
+	probeAfter, _ := t.silenceLimits(m, c)
+	if t.silence(m, now) <= probeAfter || m.unansweredProbes >= maxProbes || m.commandInFlight {
+		return
+	}
+	if m.unansweredProbes > 0 && t.behindPartition(m, now) {
+		return
+	}
+	t.probe(m)
+}
+
+// lost tells whether a silent machine is to be given up.
+func (t *term) lost(m *machine, c *census, now time.Time) bool {
+	_, lostAfter := t.silenceLimits(m, c)
+	silence := t.silence(m, now)
+	probed := silence > lostAfter && m.unansweredProbes > 1 && m.peerUnanswered
+	// A machine that an earlier leader used, that is in no list and says
+	// nothing has no address to probe; it is as lost as one that was probed.
+	late := silence > reportInterval(t)*13/4+2*time.Second && (m.unansweredProbes > 0 || m.addr == "")
+	taken := !m.takenBackAt.IsZero() && now.After(m.takenBackAt.Add(time.Second)) && silence > reportInterval(t)+time.Second
+	return (probed || late || taken) && !t.keptThoughSilent(m, c, now)
+}
+
+// watchTasks stops what runs on a machine that the cloud takes back, and ends
+// launches that may still be on their way to one that takes nothing new.
+func (t *term) watchTasks(m *machine, now time.Time) {
 	for _, a := range m.tasks {
 		if a.planned {
 			continue
@@ -194,15 +305,12 @@
 	return t.listAskedAt.Sub(m.listedAt) > 2*t.settings.Cloud.ListLagS.Duration()+10*time.Second
 }
 
-// servingSilence is how long a machine with replicas may be silent before it is
-// asked itself, where reports come more rarely than that.
-const servingSilence = 4 * time.Second
-
+// reportInterval is how often a worker reports, give or take a quarter.
 func reportInterval(t *term) time.Duration { return t.settings.Workers.ReportS.Duration() }
 
 // replicasMovable tells whether a machine in a zone that is cut off holds replicas that
 // could be started elsewhere before long: their leases end about now, as no
-// controller in the zone can stand in any more, and other zones may have all
+// delegate in the zone can renew them any more, and other zones may have all
 // that their service runs in this one. (With two zones a service that is spread
 // has nowhere to go; to end its replicas early would gain nothing.)
 func (t *term) replicasMovable(m *machine, now time.Time) bool {
@@ -235,9 +343,12 @@
 	return false
 }
 
+// resignFor is how long this node then leaves the leadership to others.
+const resignFor = 15 * time.Second
+
 // resign gives the leadership up to a node that the workers reach.
 func (t *term) resign(why string) {
 	t.log().Info("resigns", "why", why)
-	t.lease.Resign(t.ctx, time.Now().Add(15*time.Second))
+	t.lease.Resign(t.ctx, time.Now().Add(resignFor))
 	t.end(why)
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
@@ -50,7 +51,7 @@
 	peerUnanswered bool
 	verifiedAt     time.Time // when it was last asked directly because of an odd report
 	restarted      bool      // it restarted, with smaller counters; to be returned
-	inbound        inboundPath
+	inbound        detector.Inbound
 	drainReason    string // why it takes nothing new; empty: it does
 	releasing      bool
 	cordoned       bool // see fleet.Plan
@@ -139,7 +140,7 @@
 			add(z)
 		}
 	}
-	for z := range t.lastFromZone {
+	for _, z := range t.zoneDetector.Known() {
 		add(z)
 	}
 	slices.Sort(out[len(t.settings.Zones):])
--- a/internal/leader/hearing_test.go
+++ b/internal/leader/reachability_test.go
@@ -71,7 +71,7 @@
 				tm.tell(rep)
 				time.Sleep(time.Second)
 			}
-			if deaf := !m.inbound.unreachableSince.IsZero(); deaf != c.deaf || deaf && tm.usable(m, time.Now()) {
+			if deaf := !m.inbound.Works(); deaf != c.deaf || deaf && tm.usable(m, time.Now()) {
 				t.Errorf("%s: deaf %v, usable %v", name, deaf, tm.usable(m, time.Now()))
 			}
 			for n := wire.Sequence(20); n < 30; n++ {
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -61,7 +61,7 @@
 		return
 	}
 	m.answeredAt = now
-	m.inbound.answeredToken, m.inbound.answeredSession, m.inbound.answeredSequence = t.token, h.report.Session, h.report.Sequence
+	m.inbound.Answered(t.token, h.report.Session, h.report.Sequence)
 	if t.lease.Deciding() {
 		o.Commands = t.commandsFor(m, &h.report, now)
 	}
@@ -112,10 +112,7 @@
 	if !rep.Newer(m.session, m.sequence) || m.restarted {
 		return false
 	}
-	if viaHello {
-		t.reportCount++
-	}
-	t.lastFromZone[rep.Zone] = zoneContact{now, t.reportCount}
+	t.zoneDetector.Heard(rep.Zone, viaHello, now)
 	if m.upAt.IsZero() {
 		m.upAt = now
 		t.noteUp(m, now)
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -453,7 +453,7 @@
 
 // usable tells whether a machine may take a launch now.
 func (t *term) usable(m *machine, now time.Time) bool {
-	return !m.booting && !m.upAt.IsZero() && m.drainReason == "" && !m.releasing && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.unreachableSince.IsZero() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
+	return !m.booting && !m.upAt.IsZero() && m.drainReason == "" && !m.releasing && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
 		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.settings.Workers.ReportS.Duration()+time.Second
 }
 
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -217,7 +217,7 @@
 func TestZonesOutsideTheSettings(t *testing.T) {
 	tm := sized(t, 30)
 	tm.settings.Zones = []wire.Zone{"b"}
-	tm.lastFromZone["d"] = zoneContact{}
+	tm.zoneDetector.Heard("d", false, time.Now())
 	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, At: wire.TimestampOf(time.Now())}, 9)
 	tm.jobs[j.spec.ID] = j
 	if got := fmt.Sprint(tm.zones()); got != "[b a c d]" {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/leader/rentals"
 	"lilaclead/internal/peer"
@@ -60,9 +61,7 @@
 	machines               map[wire.MachineID]*machine
 	gone                   map[wire.MachineID]time.Time // released, answered 200
 	tokenShown             bool                         // every machine of the first list has been asked
-	partitionedAt          map[wire.Zone]time.Time      // when a zone last seemed cut off
-	lastFromZone           map[wire.Zone]zoneContact    // what last came from each zone
-	reportCount            int                          // that came in, in all
+	zoneDetector           *detector.Zones              // which zones are partitioned from this node
 	delegatesAnsweredUntil time.Time                    // when another node can last have answered as a delegate
 	stateAwaySince         time.Time                    // since when the state service is away; zero: it is not
 	stateBackAt            time.Time                    // when it was last back
@@ -100,7 +99,7 @@
 		reportCalls: make(chan reportCall, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
 		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		partitionedAt: map[wire.Zone]time.Time{}, lastFromZone: map[wire.Zone]zoneContact{}, pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
+		zoneDetector: detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.ReportS.Duration()), pendingWrites: map[*chunk]struct{}{}, finishedJobs: map[*job]struct{}{},
 		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
 	}
 	t.rentals = rentals.New(lease.Token())
