--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -37,7 +37,7 @@
 	haltAt      time.Time // since when
 	gracePeriod wire.Seconds
 	haltSent    time.Time
-	haltReason  string
+	haltReason  moveCause
 }
 
 func (a *attempt) task() wire.Task {
@@ -103,7 +103,7 @@
 }
 
 // halt wants the attempt stopped, and with a gang's task all of the gang.
-func (t *term) halt(a *attempt, windDown wire.Seconds, why string) {
+func (t *term) halt(a *attempt, windDown wire.Seconds, why moveCause) {
 	if a.job.gang != nil {
 		t.haltGang(a.job, windDown, why)
 		return
@@ -111,7 +111,7 @@
 	t.haltOne(a, windDown, why)
 }
 
-func (t *term) haltOne(a *attempt, windDown wire.Seconds, why string) {
+func (t *term) haltOne(a *attempt, windDown wire.Seconds, why moveCause) {
 	if a.planned {
 		if !a.chunk.beingWritten {
 			t.drop(a, taskPending)
@@ -127,9 +127,9 @@
 		a.haltAt = time.Now()
 	}
 	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, windDown, why, time.Time{}
-	if why != "cancelled" {
+	if why != moveCancelled {
 		t.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
-		t.l.Metrics.Moved(why)
+		t.l.Metrics.Moved(string(why))
 	}
 	t.dispatch(a.machine)
 }
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -14,7 +14,7 @@
 	t.log().Info("cancels", "job", j.spec.ID, "held", j.held)
 	t.cancelledJobs[j] = struct{}{}
 	for _, a := range j.attempts() {
-		t.haltOne(a, 0, "cancelled")
+		t.haltOne(a, 0, moveCancelled)
 	}
 	t.checkFinished(j)
 }
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -41,7 +41,7 @@
 			a.machine.runTimes.normal++
 		}
 		if a.machine.runTimes.slow >= 3 && a.machine.runTimes.slow > 3*a.machine.runTimes.normal && t.mayCondemn() {
-			t.drainMachine(a.machine, "slow")
+			t.drainMachine(a.machine, drainSlow)
 		}
 	}
 	j.runs.add(took)
@@ -62,7 +62,7 @@
 	t.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedOn), "machine_jobs", len(m.failedJobs))
 	faultyMachine := len(m.failedJobs) >= 2 || j.succeeded && m.failures >= 2 || m.failures >= 2 && len(j.failedOn) == 1 && j.failures >= 3
 	if faultyMachine && t.mayCondemn() {
-		t.drainMachine(m, "faulty")
+		t.drainMachine(m, drainFaulty)
 	}
 	if len(j.failedOn) >= 2 {
 		n := min(j.failures, 6)
@@ -90,7 +90,7 @@
 			continue
 		}
 		all++
-		if m.drainReason == "faulty" || m.drainReason == "slow" {
+		if m.drainReason == drainFaulty || m.drainReason == drainSlow {
 			n++
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 // drainMachine takes a machine out of service; it is returned when empty.
-func (t *term) drainMachine(m *machine, why string) {
+func (t *term) drainMachine(m *machine, why drainReason) {
 	if m.drainReason != "" || m.releasing {
 		return
 	}
@@ -110,8 +110,8 @@
 		case a.planned:
 		case !a.sent && !a.inherited:
 			t.drop(a, taskPending) // never sent by anyone
-		case why == "faulty", why == "slow" && a.job.spec.Service():
-			t.halt(a, t.windDownOf(a.job), why)
+		case why == drainFaulty, why == drainSlow && a.job.spec.Service():
+			t.halt(a, t.windDownOf(a.job), moveCause(why))
 		}
 	}
 	t.requestRound()
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -34,7 +34,7 @@
 	}
 	for _, id := range plan.Releases {
 		if m := t.machines[id]; m != nil && len(m.tasks) == 0 {
-			t.release(m, "idle")
+			t.release(m, drainIdle)
 		}
 	}
 }
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -67,7 +67,7 @@
 
 // haltGang stops all tasks of a gang, all of them at once: those that are told
 // late don't save.
-func (t *term) haltGang(j *job, windDown wire.Seconds, why string) {
+func (t *term) haltGang(j *job, windDown wire.Seconds, why moveCause) {
 	g := j.gang
 	if !g.ran {
 		windDown = 0 // there is nothing to save
@@ -97,7 +97,7 @@
 			g.lost = true
 			if !g.stopping {
 				for _, a := range j.attempts() {
-					t.haltOne(a, 0, "its gang is not complete")
+					t.haltOne(a, 0, moveGangLacks)
 				}
 			}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -241,7 +241,7 @@
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
 		case a.commands == nil:
 			l.Metrics.Report("refused")
-			wire.Refuse(w, http.StatusServiceUnavailable, a.refused, 1)
+			wire.Refuse(w, http.StatusServiceUnavailable, string(a.refused), 1)
 		default:
 			l.Metrics.Report("ok")
 			wire.Answer(w, http.StatusOK, a.commands)
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		t.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
-		t.l.Metrics.Moved("lease ran out")
+		t.l.Metrics.Moved(string(moveLeaseEnded))
 		t.drop(a, taskPending)
 	}
 }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -143,7 +143,7 @@
 // can end them for sure. If the cloud is away too, the lease is waited out.
 func (t *term) watchReplicas(m *machine, c *census, now time.Time) {
 	if t.partitioned(m.zone, now) && !c.isolated() && t.replicasMovable(m, now) {
-		t.release(m, "its lease ends while its zone is partitioned")
+		t.release(m, drainLeaseEnds)
 	}
 }
 
@@ -186,7 +186,7 @@
 	for _, j := range t.jobs {
 		if j.cancelled && j.held > 0 && now.Sub(j.cancelledAt) > t.settings.Workers.CancelS.Duration()*6/10 {
 			for _, a := range j.attempts() {
-				t.release(a.machine, "a cancelled task could not be stopped")
+				t.release(a.machine, drainUncancellable)
 			}
 		}
 	}
@@ -210,12 +210,12 @@
 		return
 	}
 	if m.failed {
-		t.release(m, "failed")
+		t.release(m, drainFailed)
 		return
 	}
 	t.probeSilent(m, c, now)
 	if t.lost(m, c, now) {
-		t.release(m, "silent")
+		t.release(m, drainSilent)
 		return
 	}
 	t.expire(m, now)
@@ -233,7 +233,7 @@
 		boot = spec.BootTime.Duration()
 	}
 	if now.Sub(m.rentedAt) > boot*11/4+5*time.Second && t.lease.Deciding() {
-		t.release(m, "never came up")
+		t.release(m, drainNeverUp)
 	}
 }
 
@@ -280,10 +280,10 @@
 		}
 		spec := &a.job.spec
 		if !m.takenBackAt.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.takenBackAt.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
-			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), "saves before its machine is taken")
+			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), moveSaves)
 		}
 		if !m.takenBackAt.IsZero() && spec.Service() && !a.halting {
-			t.halt(a, 0, "its machine is taken")
+			t.halt(a, 0, moveMachineTaken)
 		}
 		if a.launchUnanswered && !a.reported && (a.halting || m.drainReason != "") && now.Sub(a.decidedAt) > 6*time.Second {
 			t.raiseWanted = true
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -52,7 +52,7 @@
 	verifiedAt     time.Time // when it was last asked directly because of an odd report
 	restarted      bool      // it restarted, with smaller counters; to be returned
 	inbound        detector.Inbound
-	drainReason    string // why it takes nothing new; empty: it does
+	drainReason    drainReason // why it takes nothing new; empty: it does
 	releasing      bool
 	cordoned       bool // see fleet.Plan
 	claims         []claim
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -68,7 +68,7 @@
 	lostFor := m.inbound.LostFor(now)
 	stuckFor := reportInterval(t)/2 + inboundProbeInterval
 	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > t.settings.Workers.LeaseS.Duration() {
-		t.release(m, "receives nothing")
+		t.release(m, drainInboundLost)
 	}
 }
 
@@ -98,6 +98,6 @@
 		return
 	}
 	if few || t.reportsMissingFor(m, now) > max(lease*5/2, t.settings.Workers.CancelS.Duration()*2) {
-		t.release(m, "its reports don't arrive")
+		t.release(m, drainOutboundLost)
 	}
 }
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -16,7 +16,7 @@
 
 // release returns a machine; its tasks count until the cloud has said that
 // it is gone.
-func (t *term) release(m *machine, why string) {
+func (t *term) release(m *machine, why drainReason) {
 	if m.releasing || !t.lease.Deciding() {
 		return
 	}
@@ -67,7 +67,7 @@
 func (t *term) forgetMachine(m *machine) {
 	t.gone[m.id] = time.Now()
 	for _, a := range m.tasks {
-		t.l.Metrics.Moved("machine gone")
+		t.l.Metrics.Moved(string(moveMachineGone))
 		t.drop(a, taskPending)
 	}
 	delete(t.machines, m.id)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -26,7 +26,7 @@
 type reportAnswer struct {
 	commands *wire.Commands // the answer; nil: none
 	redirect bool           // the worker should come to this node itself
-	refused  string         // why the report is not answered
+	refused  refusal        // why the report is not answered
 }
 
 // term is one period of leadership. Its loop owns everything below the line; the
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -103,7 +103,7 @@
 		if len(v.Machines) == viewLimit {
 			break
 		}
-		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, m.drainReason, len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
+		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
 	}
 	for _, j := range t.jobs {
 		if len(v.Jobs) == viewLimit {
