--- a/internal/leader/images.go
+++ b/internal/leader/images.go
@@ -17,20 +17,28 @@
 	usedAt time.Time
 }
 
+// has tells whether an image is taken to be there.
+func (c *imageCache) has(id wire.ImageID) bool {
+	_, ok := c.images[id]
+	return ok
+}
+
+// touch notes that an image was used, in a cache of so much room (0: unknown), and
+// drops the least recently used ones that no longer fit.
 func (c *imageCache) touch(id wire.ImageID, gb, room float64, now time.Time) {
 	if c.images == nil {
 		c.images = map[wire.ImageID]cachedImage{}
 	}
 	c.images[id] = cachedImage{gb, now}
 	for room > 0 {
-		sum, oldest := 0.0, id
+		used, oldest := 0.0, id
 		for k, i := range c.images {
-			sum += i.sizeGB
+			used += i.sizeGB
 			if i.usedAt.Before(c.images[oldest].usedAt) {
 				oldest = k
 			}
 		}
-		if sum <= room || oldest == id {
+		if used <= room || oldest == id {
 			return
 		}
 		delete(c.images, oldest)
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -6,66 +6,73 @@
 	"lilaclead/internal/wire"
 )
 
-// onHello answers a report.
-func (t *term) onReport(h reportCall) {
-	now := time.Now()
+// onReport answers a report.
+func (t *term) onReport(c reportCall) { c.reply <- t.answerReport(&c.report, c.relayed, time.Now()) }
+
+func (t *term) answerReport(rep *wire.Report, relayed bool, now time.Time) reportAnswer {
 	if !t.lease.Answering() {
-		h.reply <- reportAnswer{refused: "can't tell whether this node still leads"}
-		return
+		return reportAnswer{refused: refusedNotLeading}
 	}
 	if !t.l.mayRenewLeases(now) {
-		h.reply <- reportAnswer{refused: "can't tell what was cancelled"}
-		return
+		return reportAnswer{refused: refusedCancels}
 	}
-	o := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(&h.report)}
-	if _, gone := t.gone[h.report.Machine]; gone {
+	if _, gone := t.gone[rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
-		h.reply <- reportAnswer{refused: "this machine was returned"}
-		return
+		return reportAnswer{refused: refusedReleased}
 	}
+	answer := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(rep)}
+	m := t.machine(rep.Machine)
 	if !t.recovered {
-		if e, ok := t.earlyReports[h.report.Machine]; !ok || h.report.Newer(e.Session, e.Sequence) {
-			t.earlyReports[h.report.Machine] = h.report
-		}
-		m := t.machine(h.report.Machine)
+		t.keepEarlyReport(rep)
 		m.seenAt, m.answeredAt = now, now
-		h.reply <- reportAnswer{commands: o}
-		return
+		return reportAnswer{commands: answer}
 	}
-	m := t.machine(h.report.Machine)
-	if !h.report.Newer(m.session, m.sequence) {
-		h.reply <- t.onStaleReport(m, &h.report, o, now)
-		return
+	if !rep.Newer(m.session, m.sequence) {
+		return t.onStaleReport(m, rep, answer, now)
 	}
-	if h.relayed {
-		// A worker that is new, or new to this leader, is sent here first. If
-		// it was here before, or was sent here and turns up elsewhere again,
-		// it can't reach this node.
-		first := m.directReportAt.IsZero() && m.relayedReportAt.IsZero()
-		m.relayedReportAt = now
-		if first {
-			h.reply <- reportAnswer{redirect: true}
-			return
-		}
-		if !m.relayed {
-			t.log().Info("worker reaches the leader only through another node", "machine", m.id)
-		}
-	} else {
-		m.directReportAt = now
+	if t.notePath(m, relayed, now) {
+		return reportAnswer{redirect: true}
 	}
-	m.relayed = h.relayed
-	t.checkInbound(m, &h.report, now)
-	t.apply(m, &h.report, true, now)
-	if t.renewalWithheld(m, &h.report, now) {
-		h.reply <- reportAnswer{refused: "a cancelled task may still start there"}
-		return
+	t.checkInbound(m, rep, now)
+	t.apply(m, rep, true, now)
+	if t.renewalWithheld(m, rep, now) {
+		return reportAnswer{refused: refusedCancelPends}
 	}
 	m.answeredAt = now
-	m.inbound.Answered(t.token, h.report.Session, h.report.Sequence)
+	m.inbound.Answered(t.token, rep.Session, rep.Sequence)
 	if t.lease.Deciding() {
-		o.Commands = t.commandsFor(m, &h.report, now)
+		answer.Commands = t.commandsFor(m, rep, now)
 	}
-	h.reply <- reportAnswer{commands: o}
+	return reportAnswer{commands: answer}
+}
+
+// keepEarlyReport keeps the newest report of a machine until the records are read.
+func (t *term) keepEarlyReport(rep *wire.Report) {
+	if e, ok := t.earlyReports[rep.Machine]; !ok || rep.Newer(e.Session, e.Sequence) {
+		t.earlyReports[rep.Machine] = *rep
+	}
+}
+
+// notePath notes by which way a report came. It tells whether the worker should
+// come here by itself: one that is new, or new to this leader, is sent here first.
+// If it was here before, or was sent here and turns up elsewhere again, it can't
+// reach this node.
+func (t *term) notePath(m *machine, relayed bool, now time.Time) (redirect bool) {
+	if !relayed {
+		m.directReportAt = now
+		m.relayed = false
+		return false
+	}
+	first := m.directReportAt.IsZero() && m.relayedReportAt.IsZero()
+	m.relayedReportAt = now
+	if first {
+		return true
+	}
+	if !m.relayed {
+		t.log().Info("worker reaches the leader only through another node", "machine", m.id)
+	}
+	m.relayed = true
+	return false
 }
 
 // crossing is how long after a message of a worker an older report of it may
@@ -84,66 +91,89 @@
 		t.probe(m)
 	}
 	if !crossed {
-		return reportAnswer{refused: "an older report than the last"}
+		return reportAnswer{refused: refusedStale}
 	}
 	m.answeredAt = now
 	return reportAnswer{commands: o}
 }
 
-// restarted takes in the answer of a machine that counts from the start again:
+// onRestart takes in the answer of a machine that counts from the start again:
 // it was back before anybody missed it. What its answer lacks is gone. It is
 // returned, as from now on its reports can't be told from late copies of its
-// last life.
+// last run.
 func (t *term) onRestart(m *machine, rep *wire.Report, now time.Time) {
 	t.log().Info("machine restarted", "machine", m.id, "tasks", len(m.tasks), "session", rep.Session, "sequence", rep.Sequence, "was_session", m.session, "was_sequence", m.sequence)
 	m.session, m.sequence, m.images = 0, 0, imageCache{}
 	for _, a := range m.tasks {
-		a.answerSequence = 0 // the answer that carried it went to the last life
+		a.answerSequence = 0 // the answer that carried it went to the last run
 	}
-	t.drainMachine(m, "restarted")
+	t.drainMachine(m, drainRestarted)
 	t.apply(m, rep, false, now)
 	m.restarted = true
-	t.release(m, "restarted")
+	t.release(m, drainRestarted)
 }
 
-// apply takes in a report, however it came. It tells whether it was newer
-// than what was known.
-func (t *term) apply(m *machine, rep *wire.Report, viaHello bool, now time.Time) bool {
+// apply takes in a report, or the answer to a command, which is the same. It tells
+// whether it was newer than what was known.
+func (t *term) apply(m *machine, rep *wire.Report, sent bool, now time.Time) bool {
 	if !rep.Newer(m.session, m.sequence) || m.restarted {
 		return false
 	}
-	t.zoneDetector.Heard(rep.Zone, viaHello, now)
+	t.zoneDetector.Heard(rep.Zone, sent, now)
 	if m.upAt.IsZero() {
 		m.upAt = now
 		t.noteUp(m, now)
 		t.requestRound()
 	}
+	t.applyPosition(m, rep, now)
+	if sent {
+		m.reportsMissingSince = time.Time{}
+	} else if m.reportsMissingSince.IsZero() {
+		m.reportsMissingSince = now
+	}
+	t.applySpotNotice(m, rep, now)
+	listed := t.applyTasks(m, rep, now)
+	for task, a := range m.tasks {
+		if !listed[task] && !a.planned && !t.canStart(a, rep, sent) {
+			t.onMissing(a, rep)
+		}
+	}
+	return true
+}
+
+// applyPosition takes in what a report says of the machine itself.
+func (t *term) applyPosition(m *machine, rep *wire.Report, now time.Time) {
 	if rep.Session > m.session {
-		// A lease that ran out leaves the images where they are; a new life
-		// starts from the first session again.
+		// A lease that ran out leaves the images where they are; a restart
+		// begins with the first session again.
 		m.sessionSince = now
 	}
 	m.addr, m.machineType, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
-	m.session, m.sequence, m.seenAt, m.booting, m.unansweredProbes = rep.Session, rep.Sequence, now, false, 0
+	m.session, m.sequence = rep.Session, rep.Sequence
+	m.seenAt, m.booting, m.unansweredProbes = now, false, 0
 	if m.token < t.firstToken && rep.Token >= t.firstToken {
 		m.tokenShownAt = now
 	}
 	m.token = max(m.token, rep.Token)
-	if viaHello {
-		m.reportsMissingSince = time.Time{}
-	} else if m.reportsMissingSince.IsZero() {
-		m.reportsMissingSince = now
+}
+
+// applySpotNotice takes in that the cloud will take the machine back.
+func (t *term) applySpotNotice(m *machine, rep *wire.Report, now time.Time) {
+	if rep.SpotNotice == nil {
+		return
 	}
-	if rep.SpotNotice != nil {
-		at := now.Add(rep.SpotNotice.Duration())
-		if m.takenBackAt.IsZero() {
-			t.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
-			t.drainMachine(m, "spot notice")
-		}
-		m.takenBackAt = at
+	if m.takenBackAt.IsZero() {
+		t.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
+		t.drainMachine(m, drainSpotNotice)
 	}
+	m.takenBackAt = now.Add(rep.SpotNotice.Duration())
+}
+
+// applyTasks takes in the states of the tasks in a report. It returns which of ours
+// were in it; what else runs there is orphaned.
+func (t *term) applyTasks(m *machine, rep *wire.Report, now time.Time) map[wire.Task]bool {
 	clear(m.orphans)
-	listed := make(map[wire.Task]*wire.TaskState, len(rep.Tasks))
+	listed := make(map[wire.Task]bool, len(rep.Tasks))
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
 		task, err := wire.ParseTask(p.Task)
@@ -151,33 +181,38 @@
 			continue
 		}
 		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
-			listed[task] = p
+			listed[task] = true
 			t.progress(a, p, now)
 		} else if p.Phase != wire.PhaseExited {
 			m.orphans[task] = true
 		}
 	}
-	for task, a := range m.tasks {
-		if listed[task] != nil || a.planned || t.canStart(a, rep, viaHello) {
-			continue
-		}
-		switch {
-		case t.launchAgain(a):
-			a.inherited, a.sent, a.launchUnanswered, a.answerSequence = false, false, false, 0
-		case a.reported, a.inherited, rep.Session > a.sentSession && a.sent:
-			t.log().Info("task is gone from its machine", "task", task, "attempt", a.number, "machine", m.id, "session", rep.Session)
-			t.l.Metrics.Moved("gone")
-			t.drop(a, taskPending)
-		case a.halting, m.drainReason != "", a.job.cancelled:
-			t.drop(a, taskPending)
-		default:
-			// Stored, not delivered: it is sent (again).
-			a.launchUnanswered, a.answerSequence = false, 0
-		}
+	return listed
+}
+
+// onMissing deals with an attempt that its machine's report lacks and that can't
+// start there any more by what was sent.
+func (t *term) onMissing(a *attempt, rep *wire.Report) {
+	m := a.machine
+	switch {
+	case t.launchAgain(a):
+		a.inherited, a.sent, a.launchUnanswered, a.answerSequence = false, false, false, 0
+	case a.reported, a.inherited, rep.Session > a.sentSession && a.sent:
+		t.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Session)
+		t.l.Metrics.Moved(string(moveGone))
+		t.drop(a, taskPending)
+	case a.halting, m.drainReason != "", a.job.cancelled:
+		t.drop(a, taskPending)
+	default:
+		// Stored, not delivered: it is sent (again).
+		a.launchUnanswered, a.answerSequence = false, 0
 	}
-	return true
 }
 
+// refusedRest is how long a machine that refused a start, or a job whose image was
+// not there, gets no further one.
+const refusedRest = 2 * time.Second
+
 // progress takes in the state of an attempt of ours.
 func (t *term) progress(a *attempt, p *wire.TaskState, now time.Time) {
 	m, j := a.machine, a.job
@@ -185,8 +220,7 @@
 		t.inboundWorks(m)
 	}
 	a.reported = true
-	if p.Phase != wire.PhaseFetching && p.Cause != wire.CauseFull && p.Cause != wire.CauseBusy && p.Cause != wire.CauseNoSuch &&
-		!(p.Phase == wire.PhaseExited && a.phase == wire.PhaseFetching && (p.Cause == wire.CauseStopped || p.Cause == wire.CauseGangBroken || p.Cause == wire.CauseGangIncomplete)) {
+	if hasImage(a, p) {
 		m.images.touch(j.spec.Image, j.spec.ImageGB, t.imageCacheGB(m.machineType), now)
 		if a.fetchedAt.IsZero() {
 			a.fetchedAt = now
@@ -200,31 +234,48 @@
 		}
 	}
 	a.phase = p.Phase
-	if j.gang != nil && (p.Phase == wire.PhaseRunning || p.Phase == wire.PhaseSaving || p.Cause == wire.CauseGangBroken) {
-		j.gang.ran = true
+	t.gangProgress(a, p)
+	if p.Phase == wire.PhaseExited {
+		t.onExit(a, p, now)
 	}
-	if g := j.gang; g != nil && p.Phase == wire.PhaseSaving && !g.told && !g.lost && !j.cancelled && a.inherited {
-		// An earlier leader began to stop it, and may not have told all. Those
-		// that don't hear of it in time don't save.
-		t.haltGang(j, t.windDownOf(j), "an earlier leader stops its gang")
+}
+
+// hasImage tells whether an attempt's state shows that its image is on the machine.
+func hasImage(a *attempt, p *wire.TaskState) bool {
+	if p.Phase == wire.PhaseFetching {
+		return false
 	}
-	if p.Phase != wire.PhaseExited {
+	switch p.Cause {
+	case wire.CauseFull, wire.CauseBusy, wire.CauseNoSuch:
+		return false
+	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
+		return p.Phase != wire.PhaseExited || a.phase != wire.PhaseFetching
+	}
+	return true
+}
+
+// gangProgress notes what the state of a task says of its gang.
+func (t *term) gangProgress(a *attempt, p *wire.TaskState) {
+	j, g := a.job, a.job.gang
+	if g == nil {
 		return
 	}
+	if p.Phase == wire.PhaseRunning || p.Phase == wire.PhaseSaving || p.Cause == wire.CauseGangBroken {
+		g.ran = true
+	}
+	if p.Phase == wire.PhaseSaving && !g.told && !g.lost && !j.cancelled && a.inherited {
+		// An earlier leader began to stop it, and may not have told all. Those
+		// that don't hear of it in time don't save.
+		t.haltGang(j, t.windDownOf(j), moveEarlierLeader)
+	}
+}
+
+// onExit takes in that an attempt has ended.
+func (t *term) onExit(a *attempt, p *wire.TaskState, now time.Time) {
+	m, j := a.machine, a.job
 	switch p.Cause {
 	case wire.CauseDone:
-		if !a.runningSince.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
-			t.onCompletion(a, now)
-		}
-		j.succeeded, j.failures = true, 0
-		clear(j.failedOn)
-		clear(m.failedJobs)
-		m.failures = 0
-		if j.spec.Gang() {
-			t.gangDone(j)
-			break
-		}
-		t.drop(a, taskDone)
+		t.onDone(a, now)
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
 		t.drop(a, taskPending)
 	case wire.CauseError:
@@ -232,10 +283,27 @@
 		t.drop(a, taskPending)
 	default:
 		t.log().Info("start refused", "task", a.task(), "attempt", a.number, "machine", m.id, "cause", p.Cause)
-		m.fullUntil = now.Add(2 * time.Second)
+		m.fullUntil = now.Add(refusedRest)
 		if p.Cause == wire.CauseNoSuch {
-			j.notBefore = now.Add(2 * time.Second)
+			j.notBefore = now.Add(refusedRest)
 		}
 		t.drop(a, taskPending)
 	}
 }
+
+// onDone takes in that a task is complete.
+func (t *term) onDone(a *attempt, now time.Time) {
+	m, j := a.machine, a.job
+	if !a.runningSince.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
+		t.onCompletion(a, now)
+	}
+	j.succeeded, j.failures = true, 0
+	clear(j.failedOn)
+	clear(m.failedJobs)
+	m.failures = 0
+	if j.spec.Gang() {
+		t.gangDone(j)
+		return
+	}
+	t.drop(a, taskDone)
+}
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -46,7 +46,7 @@
 	}
 	for _, v := range res.Halts {
 		if a := t.attempt(v.Task); a != nil {
-			t.halt(a, t.windDownOf(a.job), "makes room")
+			t.halt(a, t.windDownOf(a.job), movePreempted)
 			for i := range a.machine.claims { // it may take that long to save
 				c := &a.machine.claims[i]
 				c.until = latest(c.until, now.Add(t.haltBy(a.gracePeriod)))
@@ -351,7 +351,7 @@
 			}
 			if a.fetchedAt.IsZero() && pm.Images[a.job.spec.Image] == placement.Absent {
 				pm.Images[a.job.spec.Image] = placement.Fetching
-				if _, has := m.images.images[a.job.spec.Image]; !has {
+				if !m.images.has(a.job.spec.Image) {
 					pm.PullGB += a.job.spec.ImageGB
 				}
 			}
