--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -86,8 +86,8 @@
 // dispatch sends what is new for a machine straight to it.
 func (t *term) dispatch(m *machine) {
 	// Without the state service what is cancelled is still halted.
-	blind := !t.lease.Deciding()
-	if m.commandInFlight || m.addr == "" || m.upAt.IsZero() || m.releasing || blind && !t.lease.Answering() {
+	cancelledOnly := !t.lease.Deciding()
+	if m.commandInFlight || m.addr == "" || m.upAt.IsZero() || m.releasing || cancelledOnly && !t.lease.Answering() {
 		return
 	}
 	now := time.Now()
@@ -95,13 +95,13 @@
 	var launched []*attempt
 	for task, a := range m.tasks {
 		switch {
-		case a.planned || len(cmd.Commands) >= maxCommands || blind && !a.job.cancelled:
+		case a.planned || len(cmd.Commands) >= maxCommands || cancelledOnly && !a.job.cancelled:
 		case a.halting:
 			if now.Sub(a.haltSent) > 1500*time.Millisecond {
 				cmd.Commands = append(cmd.Commands, haltCommand(task, a))
 				a.haltSent = now
 			}
-		case !blind && a.mayLaunch() && !a.sent && !a.inherited && !a.reported && m.drainReason == "" && !a.job.cancelled:
+		case !cancelledOnly && a.mayLaunch() && !a.sent && !a.inherited && !a.reported && m.drainReason == "" && !a.job.cancelled:
 			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
 			a.sent, a.sentSession, a.launchInFlight = true, m.session, true
 			launched = append(launched, a)
@@ -122,7 +122,7 @@
 	}()
 }
 
-// position in a machine's life.
+// position of a report among all of a machine's.
 type position struct {
 	session  wire.Session
 	sequence wire.Sequence
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -140,10 +140,10 @@
 }
 
 // cheapest is the lowest price of room for one task of the job.
-func cheapest(flavors []wire.MachineSpec, s *wire.Spec) float64 {
+func cheapest(types []wire.MachineSpec, s *wire.Spec) float64 {
 	best := math.Inf(1)
-	for i := range flavors {
-		f := &flavors[i]
+	for i := range types {
+		f := &types[i]
 		if !f.Fits(s) {
 			continue
 		}
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -6,14 +6,22 @@
 	"lilaclead/internal/peer"
 )
 
+const (
+	// clockDriftPart of a lease covers two clocks that are each off by 0.05 %,
+	// twice over: a five-hundredth.
+	clockDriftPart = 500
+	// leaseRounding is the step to a full second, and a margin.
+	leaseRounding = 1500 * time.Millisecond
+)
+
 // expire ends the tasks of a machine whose lease has surely run out: nobody
 // can have answered it within the lease, the clocks' drift and a margin.
 func (t *term) expire(m *machine, now time.Time) {
 	if len(m.tasks) == 0 || !t.recovered {
 		return
 	}
-	life := t.settings.Workers.LeaseS.Duration()
-	life += life/500 + 1500*time.Millisecond // two clocks of 0.05% each, and the step to a full second
+	lease := t.settings.Workers.LeaseS.Duration()
+	surelyOver := lease + lease/clockDriftPart + leaseRounding
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
 	// A new session has its full time even if no report of it was answered: a
@@ -23,7 +31,7 @@
 	if m.token < t.firstToken {
 		last = latest(last, t.othersUntil())
 	}
-	if now.Sub(last) < life {
+	if now.Sub(last) < surelyOver {
 		return
 	}
 	for _, a := range m.tasks {
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -297,9 +297,9 @@
 }
 
 // unlisted tells whether the lists have lacked a machine for longer than they may
-// lag. That is no proof of its end, but there is no cut behind which it lives and
+// lag. That is no proof of its end, but there is no partition behind which it lives and
 // is to be kept: asking for its release costs nothing and brings the proof. (When
-// most machines had vanished at once it looked like a cut of this node for as long
+// most machines had vanished at once it looked as if this node were cut off for as long
 // as no more were rented than that, and none of them was ever asked for.)
 func (t *term) unlisted(m *machine) bool {
 	return t.listAskedAt.Sub(m.listedAt) > 2*t.settings.Cloud.ListLagS.Duration()+10*time.Second
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -28,12 +28,12 @@
 	relayed             bool      // the last report came through another node
 	booting             bool      // never reported, as far as we know
 	rentedAt            time.Time
-	listedAt            time.Time // when a list last had it; else when it was first heard of
+	listedAt            time.Time // when a list last had it; else when it became known
 	seenAt              time.Time // last message from it
 	tokenShownAt        time.Time // when it first showed a token of this term
 	answeredAt          time.Time // last answer to a report of it
 	reportsMissingSince time.Time // since when it only answers direct commands; zero: it reports
-	sessionSince        time.Time // when its session was first heard of
+	sessionSince        time.Time // when its session became known
 	usedAt              time.Time // last time that a task was on it
 	upAt                time.Time // first report in this term
 	failed              bool      // the list says that it has stopped by itself
@@ -47,9 +47,9 @@
 	unansweredLaunch unansweredCommand // the last launches that were never answered
 	commandInFlight  bool              // a direct command is under way
 	unansweredProbes int               // direct tries without an answer since seenAt
-	// lostToPeer: the last of these went through another node, in vain too.
+	// peerUnanswered: the last of these went through another node, in vain too.
 	peerUnanswered bool
-	verifiedAt     time.Time // when it was last asked directly because of an odd report
+	verifiedAt     time.Time // when it was last asked directly because of a stale report
 	restarted      bool      // it restarted, with smaller counters; to be returned
 	inbound        detector.Inbound
 	drainReason    drainReason // why it takes nothing new; empty: it does
@@ -62,6 +62,7 @@
 	runTimes       runTimeCounts
 }
 
+// machine is the entry of a machine in the inventory, made if there is none.
 func (t *term) machine(id wire.MachineID) *machine {
 	m := t.machines[id]
 	if m == nil {
@@ -74,10 +75,10 @@
 
 // onMachineList takes in a machine list. A list lags and goes backwards: what it
 // lacks means nothing, and what it shows may be gone.
-func (t *term) onMachineList(hosts []wire.ListedMachine) {
+func (t *term) onMachineList(list []wire.ListedMachine) {
 	now := time.Now()
 	t.listReceived = true
-	for _, h := range hosts {
+	for _, h := range list {
 		if _, gone := t.gone[h.Name]; gone {
 			continue
 		}
@@ -115,6 +116,7 @@
 	}
 }
 
+// unansweredCommand is the newest direct command that was never answered.
 type unansweredCommand struct {
 	token   wire.Token
 	session wire.Session
@@ -127,7 +129,7 @@
 }
 
 // zones are those of the settings, of what can be rented, and of the machines
-// that were heard of: some may be in no settings.
+// that have reported: some may be in no settings.
 func (t *term) zones() []wire.Zone {
 	out := slices.Clone(t.settings.Zones)
 	add := func(z wire.Zone) {
@@ -221,12 +223,12 @@
 	wait := 4 * time.Second
 	for {
 		asked := time.Now()
-		hosts, err := t.l.Cloud.List(ctx)
+		list, err := t.l.Cloud.List(ctx)
 		next := wait
 		if err == nil {
 			t.post(func() {
 				t.listAskedAt = asked
-				t.onMachineList(hosts)
+				t.onMachineList(list)
 			})
 		} else {
 			next = time.Second + rand.N(time.Second)
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -31,10 +31,10 @@
 	return <-h.reply
 }
 
-// A machine whose reports come in and that hears nothing is told by what it
+// A machine whose reports come in and that receives nothing is told by what it
 // does not do; one that does something again is trusted again; and one that
-// stays deaf with work on it that can't be accounted for is returned.
-func TestDeafIsToldByWhatItDoesNotDo(t *testing.T) {
+// stays so with work on it that can't be accounted for is returned.
+func TestLostInboundIsToldByWhatItDoesNotDo(t *testing.T) {
 	launch := func(tm *term, m *machine) {
 		j := tm.jobs["req-1"]
 		a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 8, machine: m, decidedAt: time.Now()}
@@ -44,7 +44,7 @@
 	cases := map[string]struct {
 		setup   func(tm *term, m *machine)
 		reports func(token wire.Token) []*wire.Report
-		deaf    bool
+		lost    bool
 	}{
 		"shows no launch twice": {launch, func(k wire.Token) []*wire.Report {
 			return []*wire.Report{said(1, 11, k), said(1, 12, k), said(1, 13, k)}
@@ -71,15 +71,15 @@
 				tm.tell(rep)
 				time.Sleep(time.Second)
 			}
-			if deaf := !m.inbound.Works(); deaf != c.deaf || deaf && tm.usable(m, time.Now()) {
-				t.Errorf("%s: deaf %v, usable %v", name, deaf, tm.usable(m, time.Now()))
+			if lost := !m.inbound.Works(); lost != c.lost || lost && tm.usable(m, time.Now()) {
+				t.Errorf("%s: lost %v, usable %v", name, lost, tm.usable(m, time.Now()))
 			}
 			for n := wire.Sequence(20); n < 30; n++ {
 				time.Sleep(2 * time.Second)
 				m.seenAt = time.Now() // it goes on reporting
 				tm.watchMachines(time.Now())
 			}
-			if m.releasing != c.deaf {
+			if m.releasing != c.lost {
 				t.Errorf("%s: returned %v", name, m.releasing)
 			}
 		})
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -28,7 +28,7 @@
 		spec := &specs[i]
 		for _, zone := range spec.Zones {
 			if t.partitioned(zone, now) {
-				continue // nothing would be heard of what is rented there
+				continue // what is rented there could not report
 			}
 			for _, spot := range []bool{false, true} {
 				if t.rentals.Available(rentals.Offer{Type: spec.Name, Zone: zone, Spot: spot}, now) {
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -265,7 +265,7 @@
 	}
 	if p.Phase == wire.PhaseSaving && !g.told && !g.lost && !j.cancelled && a.inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
-		// that don't hear of it in time don't save.
+		// that don't learn of it in time don't save.
 		t.haltGang(j, t.windDownOf(j), moveEarlierLeader)
 	}
 }
