--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -46,7 +46,7 @@
 	}
 	for _, v := range res.Halts {
 		if a := t.attempt(v.Task); a != nil {
-			t.halt(a, t.windDownOf(a.job), haltForRoom)
+			t.halt(a, t.windDownOf(a.job), movePreempted)
 			for i := range a.machine.claims { // it may take that long to save
 				c := &a.machine.claims[i]
 				c.until = latest(c.until, now.Add(t.haltBy(a.gracePeriod)))
@@ -351,7 +351,7 @@
 			}
 			if a.fetchedAt.IsZero() && pm.Images[a.job.spec.Image] == placement.Absent {
 				pm.Images[a.job.spec.Image] = placement.Fetching
-				if _, has := m.images.images[a.job.spec.Image]; !has {
+				if !m.images.has(a.job.spec.Image) {
 					pm.PullGB += a.job.spec.ImageGB
 				}
 			}
@@ -453,7 +453,7 @@
 
 // usable tells whether a machine may take a launch now.
 func (t *term) usable(m *machine, now time.Time) bool {
-	return !m.booting && !m.upAt.IsZero() && m.drainReason == "" && !m.releasing && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.unreachableSince.IsZero() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
+	return !m.booting && !m.upAt.IsZero() && m.drainReason == "" && !m.releasing && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
 		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.settings.Workers.ReportS.Duration()+time.Second
 }
 
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/leader/rentals"
 	"lilaclead/internal/peer"
@@ -25,7 +26,7 @@
 type reportAnswer struct {
 	commands *wire.Commands // the answer; nil: none
 	redirect bool           // the worker should come to this node itself
-	refused  string         // why the report is not answered
+	refused  refusal        // why the report is not answered
 }
 
 // term is one period of leadership. Its loop owns everything below the line; the
@@ -60,9 +61,7 @@
 	machines               map[wire.MachineID]*machine
 	gone                   map[wire.MachineID]time.Time // released, answered 200
 	tokenShown             bool                         // every machine of the first list has been asked
-	partitionedAt          map[wire.Zone]time.Time      // when a zone last seemed cut off
-	lastFromZone           map[wire.Zone]zoneContact    // what last came from each zone
-	reportCount            int                          // that came in, in all
+	zoneDetector           *detector.Zones              // which zones are partitioned from this node
 	delegatesAnsweredUntil time.Time                    // when another node can last have answered as a delegate
 	stateAwaySince         time.Time                    // since when the state service is away; zero: it is not
 	stateBackAt            time.Time                    // when it was last back
@@ -92,8 +91,8 @@
 		reportCalls: make(chan reportCall, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
 		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		partitionedAt: map[wire.Zone]time.Time{}, lastFromZone: map[wire.Zone]zoneContact{},
-		claimed: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
+		zoneDetector: detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.ReportS.Duration()),
+		claimed:      map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
 	}
 	t.rentals = rentals.New(lease.Token())
 	t.writer = newWriter(&t.settings.State, t.log())
