--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -71,25 +71,17 @@
 	if c.attempts[a.index] != a {
 		return
 	}
-	delete(c.attempts, a.index)
+	a.release()
 	if a.planned {
 		a.planned = false
 		c.unstored--
 		a.job.unstored--
 	}
-	if a.machine.tasks[a.task()] == a {
-		delete(a.machine.tasks, a.task())
-		a.machine.used = a.machine.used.Minus(a.res())
-		if len(a.machine.tasks) == 0 {
-			a.machine.used = placement.Res{} // sums of decimals drift
-		}
-	}
 	c.taskStates[a.index] = state
 	if state == taskPending {
 		c.firstPending, a.job.firstPendingChunk = min(c.firstPending, a.index), min(a.job.firstPendingChunk, c.index)
 	}
 	t.markPending(c)
-	a.job.held--
 	if state == taskPending && a.job.spec.Gang() {
 		t.incompleteGangs[a.job] = struct{}{}
 	}
@@ -137,12 +129,16 @@
 // res of the attempt.
 func (a *attempt) res() placement.Res { return placement.Of(&a.job.spec) }
 
-// release takes an attempt off its chunk and machine as if it had never been.
+// release takes an attempt off its chunk and machine.
 func (a *attempt) release() {
 	delete(a.chunk.attempts, a.index)
 	a.job.held--
-	if a.machine.tasks[a.task()] == a {
-		delete(a.machine.tasks, a.task())
-		a.machine.used = a.machine.used.Minus(a.res())
+	if a.machine.tasks[a.task()] != a {
+		return
+	}
+	delete(a.machine.tasks, a.task())
+	a.machine.used = a.machine.used.Minus(a.res())
+	if len(a.machine.tasks) == 0 {
+		a.machine.used = placement.Res{} // sums of decimals drift
 	}
 }
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -33,9 +33,6 @@
 		g.try = max(g.try, j.chunk(i).nextAttempt)
 	}
 	j.gang = g
-	for i := range n {
-		j.chunks[i].nextAttempt = g.try
-	}
 	for _, m := range ms {
 		t.startWith(j, m, g.try, now)
 	}
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -17,7 +17,6 @@
 		h.reply <- reportAnswer{refused: "can't tell what was cancelled"}
 		return
 	}
-	o := &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(&h.report)}
 	if _, gone := t.gone[h.report.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		h.reply <- reportAnswer{refused: "this machine was returned"}
@@ -29,12 +28,12 @@
 		}
 		m := t.machine(h.report.Machine)
 		m.seenAt, m.answeredAt = now, now
-		h.reply <- reportAnswer{commands: o}
+		h.reply <- reportAnswer{commands: t.cancelsFor(&h.report)}
 		return
 	}
 	m := t.machine(h.report.Machine)
 	if !h.report.Newer(m.session, m.sequence) {
-		h.reply <- t.onStaleReport(m, &h.report, o, now)
+		h.reply <- t.onStaleReport(m, &h.report, now)
 		return
 	}
 	if h.relayed {
@@ -63,9 +62,16 @@
 	m.answeredAt = now
 	m.inbound.answeredToken, m.inbound.answeredSession, m.inbound.answeredSequence = t.token, h.report.Session, h.report.Sequence
 	if t.lease.Deciding() {
-		o.Commands = t.commandsFor(m, &h.report, now)
+		h.reply <- reportAnswer{commands: &wire.Commands{Token: t.token, Commands: t.commandsFor(m, &h.report, now)}}
+		return
 	}
-	h.reply <- reportAnswer{commands: o}
+	h.reply <- reportAnswer{commands: t.cancelsFor(&h.report)}
+}
+
+// cancelsFor answers a report with no more than the halts of what is known to be
+// cancelled.
+func (t *term) cancelsFor(rep *wire.Report) *wire.Commands {
+	return &wire.Commands{Token: t.token, Commands: t.l.cancelledTaskHalts(rep)}
 }
 
 // crossing is how long after a message of a worker an older report of it may
@@ -77,7 +83,7 @@
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (t *term) onStaleReport(m *machine, rep *wire.Report, o *wire.Commands, now time.Time) reportAnswer {
+func (t *term) onStaleReport(m *machine, rep *wire.Report, now time.Time) reportAnswer {
 	crossed := now.Sub(m.seenAt) < crossing
 	if (!crossed || rep.Session != m.session || rep.Sequence+2 < m.sequence) && now.Sub(m.verifiedAt) > time.Second && !m.releasing && t.lease.Deciding() {
 		m.verifiedAt = now
@@ -87,7 +93,7 @@
 		return reportAnswer{refused: "an older report than the last"}
 	}
 	m.answeredAt = now
-	return reportAnswer{commands: o}
+	return reportAnswer{commands: t.cancelsFor(rep)}
 }
 
 // restarted takes in the answer of a machine that counts from the start again:
