--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -163,15 +163,12 @@
 		t.release(m, m.drainReason)
 		return
 	}
+	t.saveBeforeNotice(m, now)
 	for _, a := range m.tasks {
 		if a.planned {
 			continue
 		}
-		spec := &a.job.spec
-		if !m.takenBackAt.IsZero() && spec.CheckpointInterval > 0 && !a.halting && m.takenBackAt.Sub(now) < spec.CheckpointTime.Duration()+3*time.Second {
-			t.halt(a, max(spec.CheckpointTime+1, t.windDownOf(a.job)), "saves before its machine is taken")
-		}
-		if !m.takenBackAt.IsZero() && spec.Service() && !a.halting {
+		if !m.takenBackAt.IsZero() && a.job.spec.Service() && !a.halting {
 			t.halt(a, 0, "its machine is taken")
 		}
 		if a.launchUnanswered && !a.reported && (a.halting || m.drainReason != "") && now.Sub(a.decidedAt) > 6*time.Second {
@@ -180,6 +177,32 @@
 	}
 }
 
+// noticeMargin is how much earlier than they need to save tasks are told of a spot
+// notice: two tries of a command, and the time until the machine is looked at.
+const noticeMargin = 3 * time.Second
+
+// saveBeforeNotice stops what can save on a machine with a spot notice while it
+// still has the time. All of a gang is told, and who has saved waits for the
+// others for gang_peer_s, on this machine too.
+func (t *term) saveBeforeNotice(m *machine, now time.Time) {
+	if m.takenBackAt.IsZero() {
+		return
+	}
+	for _, a := range m.tasks {
+		spec := &a.job.spec
+		if a.planned || a.halting || spec.CheckpointInterval == 0 {
+			continue
+		}
+		need := spec.CheckpointTime.Duration() + noticeMargin
+		if spec.Gang() {
+			need += t.settings.Workers.GangPeerS.Duration()
+		}
+		if m.takenBackAt.Sub(now) < need {
+			t.halt(a, t.windDownOf(a.job), "saves before its machine is taken")
+		}
+	}
+}
+
 // silence is how long a machine has said nothing to this term.
 func (t *term) silence(m *machine, now time.Time) time.Duration {
 	return now.Sub(latest(m.seenAt, t.startedAt))
