--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -16,6 +16,9 @@
 	try  wire.Attempt
 	from time.Time // when it was decided on, or inherited
 	ran  bool      // a task of it ran: it was complete
+	// inherited from an earlier leader: it may have run before any report of this
+	// term shows it.
+	inherited bool
 	// lost: a task of it is gone, or was never there. The rest is stopped, and
 	// the gang is queued again when nothing of it is left.
 	lost bool
@@ -66,7 +69,7 @@
 // late don't save.
 func (t *term) haltGang(j *job, windDown wire.Seconds, why string) {
 	g := j.gang
-	if !g.ran {
+	if !g.ran && !g.inherited {
 		windDown = 0 // there is nothing to save
 	}
 	if g.told && g.windDown <= windDown {
@@ -133,7 +136,7 @@
 	if j.held == 0 {
 		return
 	}
-	j.gang = &gang{from: t.startedAt}
+	j.gang = &gang{from: t.startedAt, inherited: true}
 	for _, a := range j.attempts() {
 		j.gang.try = max(j.gang.try, a.number)
 	}
