--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -15,15 +15,12 @@
 // commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
 func (t *term) commandsFor(m *machine, rep *wire.Report, now time.Time) []wire.Command {
-	out := []wire.Command{}
+	out := t.haltCommands(m, []wire.Command{}, now)
 	for task, a := range m.tasks {
 		if len(out) >= maxCommands {
 			return out
 		}
-		if a.halting && !a.planned {
-			out = append(out, haltCommand(task, a))
-			a.haltSent = now
-		} else if !a.planned && !a.reported && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.unreachableSince.IsZero() && a.mayLaunch() {
+		if !a.halting && !a.planned && !a.reported && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.unreachableSince.IsZero() && a.mayLaunch() {
 			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
 			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Session, rep.Session, rep.Sequence
 		}
@@ -52,6 +49,21 @@
 	return out
 }
 
+// haltCommands adds the halts of a machine's tasks that are to stop. These may be
+// sent without the state service too: a halt starts nothing.
+func (t *term) haltCommands(m *machine, out []wire.Command, now time.Time) []wire.Command {
+	for task, a := range m.tasks {
+		if len(out) >= maxCommands {
+			break
+		}
+		if a.halting && !a.planned {
+			out = append(out, haltCommand(task, a))
+			a.haltSent = now
+		}
+	}
+	return out
+}
+
 // mayForget: the outcome is stored, and no launch that could start the
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
@@ -85,7 +97,7 @@
 
 // dispatch sends what is new for a machine straight to it.
 func (t *term) dispatch(m *machine) {
-	// Without the state service what is cancelled is still halted.
+	// Without the state service what is to stop is still halted.
 	blind := !t.lease.Deciding()
 	if m.commandInFlight || m.addr == "" || m.upAt.IsZero() || m.releasing || blind && !t.lease.Answering() {
 		return
@@ -95,7 +107,7 @@
 	var launched []*attempt
 	for task, a := range m.tasks {
 		switch {
-		case a.planned || len(cmd.Commands) >= maxCommands || blind && !a.job.cancelled:
+		case a.planned || len(cmd.Commands) >= maxCommands:
 		case a.halting:
 			if now.Sub(a.haltSent) > 1500*time.Millisecond {
 				cmd.Commands = append(cmd.Commands, haltCommand(task, a))
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -140,6 +140,9 @@
 		}
 	}
 	if !t.lease.Deciding() {
+		if t.lease.Answering() {
+			t.saveBeforeNotice(m, now)
+		}
 		return
 	}
 	if m.failed {
@@ -184,6 +187,9 @@
 // saveBeforeNotice stops what can save on a machine with a spot notice while it
 // still has the time. All of a gang is told, and who has saved waits for the
 // others for gang_peer_s, on this machine too.
+//
+// A leader that answers reports without the state service does so as well: halts
+// start nothing, and workers that have seen a successor's token drop them.
 func (t *term) saveBeforeNotice(m *machine, now time.Time) {
 	if m.takenBackAt.IsZero() {
 		return
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -61,11 +61,13 @@
 	}
 	m.answeredAt = now
 	m.inbound.answeredToken, m.inbound.answeredSession, m.inbound.answeredSequence = t.token, h.report.Session, h.report.Sequence
+	answer := &wire.Commands{Token: t.token}
 	if t.lease.Deciding() {
-		h.reply <- reportAnswer{commands: &wire.Commands{Token: t.token, Commands: t.commandsFor(m, &h.report, now)}}
-		return
+		answer.Commands = t.commandsFor(m, &h.report, now)
+	} else {
+		answer.Commands = t.haltCommands(m, t.l.cancelledTaskHalts(&h.report), now)
 	}
-	h.reply <- reportAnswer{commands: t.cancelsFor(&h.report)}
+	h.reply <- reportAnswer{commands: answer}
 }
 
 // cancelsFor answers a report with no more than the halts of what is known to be
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -1,6 +1,7 @@
 package scenarios_test
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -56,3 +57,63 @@
 		mustFinish(t, w, j)
 	})
 }
+
+// A spot notice comes while the state service is away: the leader, whom a
+// majority acknowledges, stops the gang in order all the same. It starts again
+// from there once the service is back, also under another leader.
+func TestGangSavesInAnOutage(t *testing.T) {
+	for _, how := range []string{"the same leader", "another leader"} {
+		t.Run(how, func(t *testing.T) {
+			playBoth(t, 821, func(t *testing.T, w *simulator.World, at func(time.Duration)) {
+				j := runningSpotGang(t, w, at, 30*time.Second)
+				w.State.Outage(true)
+				time.Sleep(5 * time.Second)
+				w.Notice(w.Members(j.Spec.ID)[0], 20*time.Second)
+				time.Sleep(25 * time.Second)
+				mustHaveSaved(t, w, j, 35)
+				leader := w.Leader()
+				if how == "another leader" {
+					w.Kill(leader)
+				}
+				w.State.Outage(false)
+				shows(t, 60*time.Second, "starts again", func() bool { return w.Gang(j.Spec.ID).Starts == 2 })
+				if how == "another leader" {
+					w.Up(leader)
+				}
+				mustHaveSaved(t, w, j, 35)
+				time.Sleep(60 * time.Second)
+				mustFinish(t, w, j)
+			})
+		})
+	}
+}
+
+// The leader alone loses the state service, and another takes over while the
+// first stops a gang under a notice, and may no more be able to tell all of it.
+// No rule breaks, and the gang loses no more than what it did since its last
+// checkpoint.
+func TestGangNoticeBetweenTwoLeaders(t *testing.T) {
+	for _, after := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
+		t.Run(fmt.Sprint(after), func(t *testing.T) {
+			playAs(t, simulator.DefaultSettings(), 822, func(w *simulator.World, at func(time.Duration)) {
+				j := runningSpotGang(t, w, at, 33*time.Second)
+				on := w.Members(j.Spec.ID)
+				leader := w.Leader()
+				w.State.Refuse(simulator.NodeIP(leader), true)
+				time.Sleep(after)
+				w.Net.Hold(simulator.NodeIP(leader), w.IP(on[len(on)-1]), true)
+				w.Notice(on[0], 12*time.Second)
+				time.Sleep(30 * time.Second)
+				w.Net.Hold(simulator.NodeIP(leader), w.IP(on[len(on)-1]), false)
+				w.State.Refuse(simulator.NodeIP(leader), false)
+				shows(t, 90*time.Second, "starts again", func() bool { return w.Gang(j.Spec.ID).Starts == 2 })
+				if g := w.Gang(j.Spec.ID); g.Saved < 20 {
+					t.Errorf("%+v, want at least the checkpoint at 20 s", g)
+				}
+				t.Logf("%+v", w.Gang(j.Spec.ID))
+				time.Sleep(90 * time.Second)
+				mustFinish(t, w, j)
+			})
+		})
+	}
+}
