--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -95,6 +95,7 @@
 			t.requestRound()
 		case !g.lost:
 			g.lost = true
+			t.log().Info("gang lost a task", "job", j.spec.ID, "try", g.try, "ran", g.ran, "stopping", g.stopping, "age", time.Since(g.from), "left", j.held)
 			if !g.stopping {
 				for _, a := range j.attempts() {
 					t.haltOne(a, 0, "its gang is not complete")
