--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -20,15 +20,14 @@
 		// Released, and the cloud said so: only a late copy can come.
 		return reportAnswer{refused: refusedReleased}
 	}
-	answer := &wire.Commands{Token: t.token, Commands: t.l.delegate.Halts(rep)}
 	m := t.machine(rep.Machine)
 	if !t.recovered {
 		t.keepEarlyReport(rep)
 		m.seenAt, m.answeredAt = now, now
-		return reportAnswer{commands: answer}
+		return reportAnswer{commands: t.cancelledHalts(rep)}
 	}
 	if !rep.Newer(m.session, m.sequence) {
-		return t.onStaleReport(m, rep, answer, now)
+		return t.onStaleReport(m, rep, now)
 	}
 	if t.notePath(m, relayed, now) {
 		return reportAnswer{redirect: true}
@@ -40,12 +39,21 @@
 	}
 	m.answeredAt = now
 	m.inbound.Answered(t.token, rep.Session, rep.Sequence)
+	answer := &wire.Commands{Token: t.token}
 	if t.lease.Deciding() {
 		answer.Commands = t.commandsFor(m, rep, now)
+	} else {
+		answer.Commands = t.haltCommands(m, t.l.delegate.Halts(rep), now)
 	}
 	return reportAnswer{commands: answer}
 }
 
+// cancelledHalts answers a report with no more than the halts of what is known to be
+// cancelled.
+func (t *term) cancelledHalts(rep *wire.Report) *wire.Commands {
+	return &wire.Commands{Token: t.token, Commands: t.l.delegate.Halts(rep)}
+}
+
 // keepEarlyReport keeps the newest report of a machine until the records are read.
 func (t *term) keepEarlyReport(rep *wire.Report) {
 	if e, ok := t.earlyReports[rep.Machine]; !ok || rep.Newer(e.Session, e.Sequence) {
@@ -84,7 +92,7 @@
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (t *term) onStaleReport(m *machine, rep *wire.Report, o *wire.Commands, now time.Time) reportAnswer {
+func (t *term) onStaleReport(m *machine, rep *wire.Report, now time.Time) reportAnswer {
 	crossed := now.Sub(m.seenAt) < crossing
 	if (!crossed || rep.Session != m.session || rep.Sequence+2 < m.sequence) && now.Sub(m.verifiedAt) > time.Second && !m.releasing && t.lease.Deciding() {
 		m.verifiedAt = now
@@ -94,7 +102,7 @@
 		return reportAnswer{refused: refusedStale}
 	}
 	m.answeredAt = now
-	return reportAnswer{commands: o}
+	return reportAnswer{commands: t.cancelledHalts(rep)}
 }
 
 // onRestart takes in the answer of a machine that counts from the start again:
