--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -18,7 +18,7 @@
 // the state service drop.
 
 // largeGang is a gang of many small tasks.
-func largeGang(n, tasks int, run float64) simulator.Truth {
+func largeGang(n, tasks int, run float64) simulator.JobScript {
 	j := gang(n, tasks, run)
 	j.Spec.CPUs, j.Spec.MemoryGB, j.Spec.SameZone = 0.1, 0.3, false
 	return j
@@ -27,14 +27,14 @@
 // smallChunks are settings by which 56 tasks go into a chunk, and four writes into a
 // transaction.
 func smallChunks() config.Settings {
-	s := lowering()
-	s.State.Next = &nextLimits
+	s := settingsBeforeLowering()
+	s.State.Next = &loweredLimits
 	return s
 }
 
 // slowRecords delays what is written of jobs' progress.
-func slowRecords(w *simulator.World, by time.Duration) {
-	w.State.Delay(func(txn *wire.Txn) time.Duration {
+func slowRecords(sim *simulator.Simulation, by time.Duration) {
+	sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
 		for _, write := range txn.Writes {
 			if strings.HasPrefix(write.Put, store.RunPrefix) {
 				return by
@@ -46,7 +46,7 @@
 
 // numbersOnce checks that no attempt of a task was ever on two machines, by all that
 // the workers have reported.
-func numbersOnce(t *testing.T, w *simulator.World) {
+func numbersOnce(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	type attempt struct {
 		task   string
@@ -55,7 +55,7 @@
 	on := map[attempt]wire.MachineID{}
 	for n := range 400 { // also those that are gone
 		id := wire.MachineID(fmt.Sprintf("n-%06d", n))
-		for _, rep := range w.Kept(id) {
+		for _, rep := range sim.KeptReports(id) {
 			for _, p := range rep.Tasks {
 				a := attempt{p.Task, p.Attempt}
 				if other, ok := on[a]; ok && other != id {
@@ -71,9 +71,9 @@
 }
 
 // storedAttempts lists the attempts that are recorded of a job, and their machines.
-func storedAttempts(t *testing.T, w *simulator.World, id wire.JobID) map[[2]int]wire.MachineID {
+func storedAttempts(t *testing.T, sim *simulator.Simulation, id wire.JobID) map[[2]int]wire.MachineID {
 	t.Helper()
-	reader := store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, w.Net.Host("10.9.9.9"))
+	reader := store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
 	entries, _, err := reader.List(context.Background(), store.Duty, store.RunPrefix+string(id)+"/")
 	if err != nil {
@@ -87,7 +87,7 @@
 			t.Fatalf("%s is no chunk", e.Key)
 		}
 		for _, h := range rec.Held {
-			out[[2]int{n*store.ChunkFor(nextLimits.ValueKB) + h.Task, int(h.Try)}] = h.On
+			out[[2]int{n*store.ChunkFor(loweredLimits.ValueKB) + h.Task, int(h.Try)}] = h.On
 		}
 	}
 	return out
@@ -113,48 +113,48 @@
 // as a whole.
 func TestGangOfManyChunksLosesTheLeader(t *testing.T) {
 	const chunks = 6
-	steps := map[string]func(g simulator.Gang, recorded int) bool{
-		"half recorded":  func(g simulator.Gang, n int) bool { return n > 0 && n < chunks },
-		"recorded":       func(g simulator.Gang, n int) bool { return n == chunks && g.Pulling+g.Waiting+g.Running == 0 },
-		"first launched": func(g simulator.Gang, n int) bool { return g.Pulling+g.Waiting > 0 },
+	steps := map[string]func(g simulator.GangState, recorded int) bool{
+		"half recorded":  func(g simulator.GangState, n int) bool { return n > 0 && n < chunks },
+		"recorded":       func(g simulator.GangState, n int) bool { return n == chunks && g.Fetching+g.Waiting+g.Running == 0 },
+		"first launched": func(g simulator.GangState, n int) bool { return g.Fetching+g.Waiting > 0 },
 	}
 	for name, is := range steps {
 		for _, down := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
 			t.Run(fmt.Sprint(name, " ", down), func(t *testing.T) {
-				playAs(t, smallChunks(), 850, func(w *simulator.World, at func(time.Duration)) {
-					w.KeepReports()
+				runWithSettings(t, smallChunks(), 850, func(sim *simulator.Simulation, at func(time.Duration)) {
+					sim.KeepReports()
 					j := largeGang(1, 300, 40)
 					at(2 * time.Second)
-					slowRecords(w, 400*time.Millisecond)
+					slowRecords(sim, 400*time.Millisecond)
 					if name != "half recorded" {
-						w.LagCommands(simulator.Lag{Command: 300 * time.Millisecond})
+						sim.DelayCommands(simulator.CommandDelay{Command: 300 * time.Millisecond})
 					}
-					w.Submit(j, 0)
-					if !shows(t, 60*time.Second, name, func() bool { return is(w.Gang(j.Spec.ID), recorded(w, j)) }) {
+					sim.Submit(j, 0)
+					if !eventually(t, 60*time.Second, name, func() bool { return is(sim.GangState(j.Spec.ID), storedChunks(sim, j)) }) {
 						return
 					}
-					l := w.Leader()
-					w.Kill(l)
-					if g, n := w.Gang(j.Spec.ID), recorded(w, j); name == "half recorded" && (n == chunks || g.Pulling+g.Waiting > 0) {
+					l := sim.Leader()
+					sim.KillController(l)
+					if g, n := sim.GangState(j.Spec.ID), storedChunks(sim, j); name == "half recorded" && (n == chunks || g.Fetching+g.Waiting > 0) {
 						t.Errorf("%d of %d chunks recorded, %+v: not half recorded", n, chunks, g)
 					}
-					before := storedAttempts(t, w, j.Spec.ID)
-					w.LagCommands(simulator.Lag{})
+					before := storedAttempts(t, sim, j.Spec.ID)
+					sim.DelayCommands(simulator.CommandDelay{})
 					time.Sleep(down)
-					if err := w.Up(l); err != nil {
+					if err := sim.StartController(l); err != nil {
 						t.Fatal(err)
 					}
-					slowRecords(w, 0)
+					slowRecords(sim, 0)
 					begin := time.Now()
-					shows(t, 60*time.Second, "runs", func() bool { return w.Gang(j.Spec.ID).Starts > 0 })
-					t.Logf("%s: runs %v after, %+v", name, time.Since(begin), w.Gang(j.Spec.ID))
-					recordedOnce(t, before, storedAttempts(t, w, j.Spec.ID))
+					eventually(t, 60*time.Second, "runs", func() bool { return sim.GangState(j.Spec.ID).Starts > 0 })
+					t.Logf("%s: runs %v after, %+v", name, time.Since(begin), sim.GangState(j.Spec.ID))
+					recordedOnce(t, before, storedAttempts(t, sim, j.Spec.ID))
 					time.Sleep(120 * time.Second)
-					settled(t, w, j)
-					if g := w.Gang(j.Spec.ID); g.Starts != 1 || g.Falls != 0 || g.Alone > 0 {
+					mustBeArchived(t, sim, j)
+					if g := sim.GangState(j.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
 						t.Errorf("%+v: want one start, no fall, nobody alone", g)
 					}
-					numbersOnce(t, w)
+					numbersOnce(t, sim)
 				})
 			})
 		}
@@ -164,38 +164,38 @@
 // The leader ends twice while a gang is recorded, so that two attempts are left in
 // part, in different chunks.
 func TestGangOfManyChunksIsRecordedInPartTwice(t *testing.T) {
-	playAs(t, smallChunks(), 851, func(w *simulator.World, at func(time.Duration)) {
-		w.KeepReports()
+	runWithSettings(t, smallChunks(), 851, func(sim *simulator.Simulation, at func(time.Duration)) {
+		sim.KeepReports()
 		j := largeGang(1, 500, 30)
 		at(2 * time.Second)
-		slowRecords(w, 500*time.Millisecond)
-		w.Submit(j, 0)
+		slowRecords(sim, 500*time.Millisecond)
+		sim.Submit(j, 0)
 		all := map[[2]int]wire.MachineID{}
 		for range 2 {
-			before := w.Leader()
-			if !shows(t, 60*time.Second, "recorded in part", func() bool { n := recorded(w, j); return n > 0 && n < 9 }) {
+			before := sim.Leader()
+			if !eventually(t, 60*time.Second, "recorded in part", func() bool { n := storedChunks(sim, j); return n > 0 && n < 9 }) {
 				return
 			}
-			stored := storedAttempts(t, w, j.Spec.ID)
+			stored := storedAttempts(t, sim, j.Spec.ID)
 			if len(all) > 0 {
 				recordedOnce(t, all, stored)
 			}
 			maps.Copy(all, stored)
-			changeLeader(t, w)
-			if w.Leader() == before {
+			replaceLeader(t, sim)
+			if sim.Leader() == before {
 				t.Error("the leader has not changed")
 			}
 			time.Sleep(1200 * time.Millisecond)
 		}
-		slowRecords(w, 0)
-		runs(t, w, j, 60*time.Second)
-		recordedOnce(t, all, storedAttempts(t, w, j.Spec.ID))
+		slowRecords(sim, 0)
+		awaitGangRunning(t, sim, j, 60*time.Second)
+		recordedOnce(t, all, storedAttempts(t, sim, j.Spec.ID))
 		time.Sleep(150 * time.Second)
-		settled(t, w, j)
-		if g := w.Gang(j.Spec.ID); g.Starts != 1 || g.Falls != 0 || g.Alone > 0 {
+		mustBeArchived(t, sim, j)
+		if g := sim.GangState(j.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
 			t.Errorf("%+v: want one start, no fall, nobody alone", g)
 		}
-		numbersOnce(t, w)
+		numbersOnce(t, sim)
 	})
 }
 
@@ -204,63 +204,63 @@
 func TestGangsAcrossTheDrop(t *testing.T) {
 	for i, trouble := range []string{"quiet", "change of leader", "outage"} {
 		t.Run(trouble, func(t *testing.T) {
-			playAs(t, lowering(), 860+uint64(i), func(w *simulator.World, at func(time.Duration)) {
-				w.KeepReports()
+			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, at func(time.Duration)) {
+				sim.KeepReports()
 				// Of the first a chunk of 256 tasks is stored, over the limit to come.
 				running, young := largeGang(1, 200, 120), largeGang(2, 150, 100)
 				waiting := gang(3, 4, 20)
 				waiting.Spec.CPUs, waiting.Spec.MachineTypes, waiting.Spec.Zone = 16, []wire.MachineType{"c16"}, "a"
 				recording := largeGang(4, 300, 40)
 				at(2 * time.Second)
-				w.Submit(running, 0)
-				runs(t, w, running, 60*time.Second)
-				upgrade(t, w)
-				w.Submit(young, 0)
-				runs(t, w, young, 60*time.Second)
-				grown(t, w, running)
-				w.SellOut("a", true)
-				w.Submit(waiting, 0)
-				slowRecords(w, 400*time.Millisecond)
-				w.Submit(recording, 0)
-				shows(t, 60*time.Second, "is being recorded", func() bool { n := recorded(w, recording); return n > 0 && n < 6 })
+				sim.Submit(running, 0)
+				awaitGangRunning(t, sim, running, 60*time.Second)
+				announceLoweredLimits(t, sim)
+				sim.Submit(young, 0)
+				awaitGangRunning(t, sim, young, 60*time.Second)
+				mustExceedLoweredLimits(t, sim, running)
+				sim.SetSoldOut("a", true)
+				sim.Submit(waiting, 0)
+				slowRecords(sim, 400*time.Millisecond)
+				sim.Submit(recording, 0)
+				eventually(t, 60*time.Second, "is being recorded", func() bool { n := storedChunks(sim, recording); return n > 0 && n < 6 })
 				switch trouble {
 				case "change of leader":
-					l := w.Leader()
-					w.Kill(l)
-					drop(w)
-					followed(t, w, l)
+					l := sim.Leader()
+					sim.KillController(l)
+					lowerLimits(sim)
+					awaitSuccessor(t, sim, l)
 				case "outage":
-					w.State.Outage(true)
-					drop(w)
+					sim.State.Outage(true)
+					lowerLimits(sim)
 					time.Sleep(10 * time.Second)
-					w.State.Outage(false)
+					sim.State.Outage(false)
 				default:
-					drop(w)
+					lowerLimits(sim)
 				}
-				if g := w.Gang(waiting.Spec.ID); g.Pulling+g.Waiting+g.Running > 0 {
+				if g := sim.GangState(waiting.Spec.ID); g.Fetching+g.Waiting+g.Running > 0 {
 					t.Errorf("the gang that is to wait does not: %+v", g)
 				}
-				slowRecords(w, 0)
-				w.SellOut("a", false)
+				slowRecords(sim, 0)
+				sim.SetSoldOut("a", false)
 				time.Sleep(time.Second)
 				// A task of the first is lost: its large chunk is written again, in parts.
-				w.TakeMachine(w.Members(running.Spec.ID)[0])
-				shows(t, 30*time.Second, "is written in parts", func() bool { return pieces(w) > 0 })
+				sim.ReclaimMachine(sim.MachinesHolding(running.Spec.ID)[0])
+				eventually(t, 30*time.Second, "is written in parts", func() bool { return storedPieces(sim) > 0 })
 				time.Sleep(300 * time.Second)
-				settled(t, w, running, young, waiting, recording)
-				for _, j := range []simulator.Truth{running, young, waiting, recording} {
+				mustBeArchived(t, sim, running, young, waiting, recording)
+				for _, j := range []simulator.JobScript{running, young, waiting, recording} {
 					again := 0
 					if j.Spec.ID == running.Spec.ID {
 						again = 1
 					}
-					if g := w.Gang(j.Spec.ID); g.Starts != 1+again || g.Falls != again || g.Alone > 0 {
+					if g := sim.GangState(j.Spec.ID); g.Starts != 1+again || g.Rollbacks != again || g.Incomplete > 0 {
 						t.Errorf("%s: %+v: want %d starts, nobody alone", j.Spec.ID, g, 1+again)
 					}
 				}
-				if w.State.Oversize() == 0 {
+				if sim.State.OversizeRefusals() == 0 {
 					t.Error("nothing was refused by the lower limits")
 				}
-				numbersOnce(t, w)
+				numbersOnce(t, sim)
 			})
 		})
 	}
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -13,7 +13,7 @@
 	"lilaclead/internal/wire"
 )
 
-// nextLimits are the limits to come.
+// loweredLimits are the limits to come.
 var loweredLimits = config.NextState{RPS: 200, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
 
 // lowering is a deployment with room for many small tasks.
