--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -31,8 +31,8 @@
 		c := w.Config(i)
 		c.Front, c.PeerBind = simulator.LoopbackAddr(c.Front), simulator.LoopbackAddr(c.PeerBind)
 		c.Endpoints.State, c.Endpoints.Cloud = simulator.LoopbackAddr(c.Endpoints.State), simulator.LoopbackAddr(c.Endpoints.Cloud)
-		for k := range c.Others {
-			c.Others[k].Addr = simulator.LoopbackAddr(c.Others[k].Addr)
+		for k := range c.Peers {
+			c.Peers[k].Addr = simulator.LoopbackAddr(c.Peers[k].Addr)
 		}
 		b, err := toml.Marshal(c)
 		if err != nil {
--- a/internal/cancels/cancels_test.go
+++ b/internal/cancels/cancels_test.go
@@ -33,7 +33,7 @@
 
 func known3(t *rapid.T) {
 	names := []wire.NodeID{"a", "b", "c"}
-	fresh := func(i int) *Ledger {
+	fresh := func(i int) *Log {
 		var others []wire.NodeID
 		for k, n := range names {
 			if k != i {
@@ -44,9 +44,9 @@
 	}
 	type answer struct {
 		sent time.Time
-		w    Word
+		w    Update
 	}
-	var ls [3]*Ledger
+	var ls [3]*Log
 	var told [3][3]uint64        // by whom, to whom
 	var under [3][3][]answer     // on their way on the stream that is open
 	var confirmed []confirmation // by anyone, in order
@@ -65,7 +65,7 @@
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0, 1:
 			id := wire.JobID(fmt.Sprintf("req-%d", step))
-			ls[i].Note(id, 0)
+			ls[i].Add(id, 0)
 			confirmed = append(confirmed, confirmation{id, time.Now()})
 		case 2:
 			// A read takes a while, and tells what was stored when it began.
@@ -73,19 +73,19 @@
 			stored := confirmed
 			time.Sleep(time.Duration(rapid.IntRange(0, 900).Draw(t, "read")) * time.Millisecond)
 			for _, c := range stored {
-				ls[i].Note(c.job, time.Since(c.at))
+				ls[i].Add(c.job, time.Since(c.at))
 			}
-			ls[i].Read(began)
+			ls[i].RecordRead(began)
 		case 3, 4, 5:
 			// k asks i, whose answer is made after a moment.
 			sent := time.Now()
 			time.Sleep(time.Duration(rapid.IntRange(0, 200).Draw(t, "ask")) * time.Millisecond)
-			var w Word
-			w, told[i][k] = ls[i].Word(told[i][k])
+			var w Update
+			w, told[i][k] = ls[i].UpdateSince(told[i][k])
 			under[i][k] = append(under[i][k], answer{sent, w})
 		case 6, 7:
 			for _, a := range under[i][k] {
-				ls[k].Heard(names[i], a.sent, &a.w)
+				ls[k].Apply(names[i], a.sent, &a.w)
 			}
 			under[i][k] = nil
 		case 8:
@@ -97,13 +97,13 @@
 			time.Sleep(time.Duration(rapid.IntRange(0, 8000).Draw(t, "wait")) * time.Millisecond)
 		}
 		for n, l := range ls {
-			until := l.Known()
+			until := l.Watermark()
 			if until.After(time.Now()) {
 				t.Fatalf("%s knows the future", names[n])
 			}
 			for _, c := range confirmed {
-				_, ok := l.At(c.job)
-				if c.at.Before(until) && !ok && time.Since(c.at) < l.keep {
+				_, ok := l.ConfirmedAt(c.job)
+				if c.at.Before(until) && !ok && time.Since(c.at) < l.retention {
 					t.Fatalf("%s says it knows all until %v ago, but not %s of %v ago", names[n], time.Since(until), c.job, time.Since(c.at))
 				}
 			}
@@ -118,20 +118,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		a, b, c := New([]wire.NodeID{"b", "c"}, modelCancel), New([]wire.NodeID{"a", "c"}, modelCancel), New([]wire.NodeID{"a", "b"}, modelCancel)
 		time.Sleep(time.Second)
-		a.Read(time.Now())
+		a.RecordRead(time.Now())
 		var fromB, fromC uint64
-		word := func(from wire.NodeID, l *Ledger, cursor *uint64) {
-			var w Word
-			w, *cursor = l.Word(*cursor)
-			a.Heard(from, time.Now(), &w)
+		word := func(from wire.NodeID, l *Log, cursor *uint64) {
+			var w Update
+			w, *cursor = l.UpdateSince(*cursor)
+			a.Apply(from, time.Now(), &w)
 		}
 		for range 30 {
 			time.Sleep(time.Second)
-			b.Note(wire.JobID(fmt.Sprint("req-", time.Now().Unix())), 0)
+			b.Add(wire.JobID(fmt.Sprint("req-", time.Now().Unix())), 0)
 			word("b", b, &fromB)
 			word("c", c, &fromC)
 		}
-		if ago := time.Since(a.Known()); ago > time.Second {
+		if ago := time.Since(a.Watermark()); ago > time.Second {
 			t.Errorf("with the word of all others it is known until %v ago", ago)
 		}
 		last := time.Now()
@@ -141,14 +141,14 @@
 			word("b", b, &fromB)
 			word("c", c, &fromC)
 		}
-		if at := a.Known(); !at.Equal(last) {
+		if at := a.Watermark(); !at.Equal(last) {
 			t.Errorf("a node that is back with nothing vouches until %v after its last life's word", at.Sub(last))
 		}
-		a.Read(time.Now())
+		a.RecordRead(time.Now())
 		time.Sleep(time.Second)
 		word("b", b, &fromB)
 		word("c", c, &fromC)
-		if ago := time.Since(a.Known()); ago > time.Second {
+		if ago := time.Since(a.Watermark()); ago > time.Second {
 			t.Errorf("after a read it is known until %v ago", ago)
 		}
 	})
@@ -158,28 +158,28 @@
 func TestBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New([]wire.NodeID{"b"}, modelCancel)
-		l.Read(time.Now())
-		for n := range most + 100 {
-			l.Note(wire.JobID(fmt.Sprint("req-", n)), 0)
+		l.RecordRead(time.Now())
+		for n := range maxRecords + 100 {
+			l.Add(wire.JobID(fmt.Sprint("req-", n)), 0)
 			time.Sleep(time.Millisecond / 10)
 		}
-		if len(l.log) > most || len(l.known) != len(l.log) {
-			t.Errorf("%d and %d are kept", len(l.log), len(l.known))
+		if len(l.records) > maxRecords || len(l.confirmedAt) != len(l.records) {
+			t.Errorf("%d and %d are kept", len(l.records), len(l.confirmedAt))
 		}
-		w, cursor := l.Word(0)
-		if w.Vouches != 0 || len(w.Cancelled) != wordMost {
-			t.Errorf("the first word of many tells %d and vouches for %v", len(w.Cancelled), w.Vouches)
+		w, cursor := l.UpdateSince(0)
+		if w.OwnSpan != 0 || len(w.Cancelled) != maxUpdateEntries {
+			t.Errorf("the first word of many tells %d and vouches for %v", len(w.Cancelled), w.OwnSpan)
 		}
-		for w.Vouches == 0 {
-			w, cursor = l.Word(cursor)
+		for w.OwnSpan == 0 {
+			w, cursor = l.UpdateSince(cursor)
 		}
-		if w.Vouches >= time.Since(l.log[0].in)+time.Millisecond {
-			t.Errorf("vouches for %v, but the log begins %v ago", w.Vouches, time.Since(l.log[0].in))
+		if w.OwnSpan >= time.Since(l.records[0].addedAt)+time.Millisecond {
+			t.Errorf("vouches for %v, but the log begins %v ago", w.OwnSpan, time.Since(l.records[0].addedAt))
 		}
 		time.Sleep(3 * modelCancel)
-		l.Note("req-x", 0)
-		if len(l.log) != 1 {
-			t.Errorf("%d are kept for ever", len(l.log))
+		l.Add("req-x", 0)
+		if len(l.records) != 1 {
+			t.Errorf("%d are kept for ever", len(l.records))
 		}
 	})
 }
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -48,7 +48,7 @@
 		{"lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"}},
 
 		{"beat", fullBeat()},
-		{"beat, leads", peer.Beat{From: "worker-3", Seq: 10, Token: 43, Leads: true, Hears: 122}},
+		{"beat, leads", peer.Heartbeat{From: "worker-3", Seq: 10, Token: 43, Leads: true, ReachableWorkers: 122}},
 		{"word", fullWord()},
 		{"cancellation", cancels.Entry{Job: "req-000414", Age: 3 * time.Second}},
 
@@ -101,13 +101,13 @@
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []wire.MachineType{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedRunTime: 240, CheckpointInterval: 30, CheckpointTime: 4, Deadline: 900}
 }
 
-func fullWord() cancels.Word {
-	return cancels.Word{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, Vouches: 20 * time.Second, Knew: 500 * time.Millisecond}
+func fullWord() cancels.Update {
+	return cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}
 }
 
-func fullBeat() peer.Beat {
-	return peer.Beat{From: "worker-2", Seq: 9, Token: 41, Leads: true, Serves: true, Hears: 120, Grants: 42, Stood: 3 * time.Second, Age: time.Minute,
-		Unproven: time.Second, Word: fullWord()}
+func fullBeat() peer.Heartbeat {
+	return peer.Heartbeat{From: "worker-2", Seq: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120, Delegation: 42, SinceRenewal: 3 * time.Second, Uptime: time.Minute,
+		UnconfirmedFor: time.Second, Update: fullWord()}
 }
 
 func fullFlavor() wire.MachineSpec {
--- a/internal/compat/versions_test.go
+++ b/internal/compat/versions_test.go
@@ -74,9 +74,9 @@
 // messagesOfBoth are the messages that both versions wrote.
 func messagesOfBoth() map[string]any {
 	return map[string]any{
-		"message beat": peer.Beat{From: "worker-1", Seq: 9, Token: 41, Leads: true, Serves: true, Hears: 120},
-		"message ack": peer.Beat{From: "worker-2", Seq: 9, Token: 41, Serves: true, Grants: 41, Stood: 3 * time.Second, Age: time.Minute, Unproven: time.Second,
-			Word: cancels.Word{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, Vouches: 20 * time.Second, Knew: 500 * time.Millisecond}},
+		"message beat": peer.Heartbeat{From: "worker-1", Seq: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120},
+		"message ack": peer.Heartbeat{From: "worker-2", Seq: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedFor: time.Second,
+			Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}},
 		"message report": sentReport(wire.TaskState{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning},
 			wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone, Saved: true}),
 		"message orders": wire.Commands{Token: 41, Session: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "req-000412/3", Attempt: 2},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,13 +21,13 @@
 	Zone      wire.Zone   `toml:"zone"`
 	Front     string      `toml:"front"`
 	PeerBind  string      `toml:"peer_bind"`
-	Others    []Other     `toml:"others"`
+	Peers     []Peer      `toml:"others"`
 	Endpoints Endpoints   `toml:"endpoints"`
 	Settings  Settings    `toml:"settings"`
 }
 
 // Other is another node.
-type Other struct {
+type Peer struct {
 	HostName wire.NodeID `toml:"host_name"`
 	Zone     wire.Zone   `toml:"zone"`
 	Addr     string      `toml:"addr"`
@@ -179,7 +179,7 @@
 	addr("front", c.Front)
 	addr("peer_bind", c.PeerBind)
 	seen := map[wire.NodeID]bool{c.HostName: true}
-	for i, o := range c.Others {
+	for i, o := range c.Peers {
 		at := fmt.Sprintf("others[%d].", i)
 		text(at+"host_name", string(o.HostName))
 		addr(at+"addr", o.Addr)
@@ -193,8 +193,8 @@
 	s := &c.Settings
 	if s.Size < 1 {
 		bad("settings.size", "must be 1 or more")
-	} else if s.Size != len(c.Others)+1 {
-		bad("settings.size", fmt.Sprintf("is %d, but others and this node make %d", s.Size, len(c.Others)+1))
+	} else if s.Size != len(c.Peers)+1 {
+		bad("settings.size", fmt.Sprintf("is %d, but others and this node make %d", s.Size, len(c.Peers)+1))
 	}
 	if len(s.Zones) == 0 {
 		bad("settings.zones", "missing")
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -27,7 +27,7 @@
 	set     *config.Settings
 	store   *store.Client
 	live    *store.Copy
-	ledger  *cancels.Ledger
+	cancels *cancels.Log
 	flavors func() []wire.MachineSpec
 	log     *slog.Logger
 	// stage holds the requests in work; a full stage refuses at once.
@@ -42,9 +42,9 @@
 
 // New makes an intake. The stage is small: what waits in it waits for the
 // state service, which takes milliseconds.
-func New(set *config.Settings, st *store.Client, ledger *cancels.Ledger, flavors func() []wire.MachineSpec, log *slog.Logger) *Intake {
+func New(set *config.Settings, st *store.Client, cancelled *cancels.Log, flavors func() []wire.MachineSpec, log *slog.Logger) *Intake {
 	return &Intake{
-		set: set, store: st, live: store.NewCopy(st, ledger, set.State.Least().RPS, set.Size), ledger: ledger, flavors: flavors, log: log,
+		set: set, store: st, live: store.NewCopy(st, cancelled, set.State.Least().RPS, set.Size), cancels: cancelled, flavors: flavors, log: log,
 		counts:  newCounts(set),
 		stage:   make(chan struct{}, max(8, min(48, set.Limits.FDLimit/20))),
 		Observe: func(string, int, time.Duration) {},
@@ -150,7 +150,7 @@
 // noted before, so that this node's word to the others covers it.
 func (in *Intake) confirm(s wire.JobState) {
 	if s.Status == wire.Cancelled {
-		in.ledger.Note(s.ID, 0)
+		in.cancels.Add(s.ID, 0)
 	}
 	in.finals.put(s)
 }
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		j.cancelled, j.stale = true, true
-		j.cancelledAt, _ = t.l.Cancels.At(id)
+		j.cancelledAt, _ = t.l.Cancels.ConfirmedAt(id)
 		t.log().Info("hears of a cancellation", "job", id, "deciding", t.lease.Deciding())
 		if t.recovered {
 			t.haltCancelled(j)
--- a/internal/leader/delegation.go
+++ b/internal/leader/delegation.go
@@ -25,7 +25,7 @@
 
 // delegationTime is how long a node may renew leases for a leader that it has lost.
 func delegationTime(w config.Workers) time.Duration {
-	if d := cancelTimeAfterLease(w); d > 2*peer.X {
+	if d := cancelTimeAfterLease(w); d > 2*peer.AckLifetime {
 		return d
 	}
 	return 0
@@ -40,7 +40,9 @@
 
 // maxCancelAge is D of the rule in package cancels. Where a lease leaves next to
 // nothing, it is the time in which halts themselves get there.
-func maxCancelAge(w config.Workers) time.Duration { return max(cancelTimeAfterLease(w), 2*peer.X) }
+func maxCancelAge(w config.Workers) time.Duration {
+	return max(cancelTimeAfterLease(w), 2*peer.AckLifetime)
+}
 
 // mayRenewLeases tells whether a worker's lease may be renewed now, by whoever
 // answers it and whyever it may: every cancellation that any node confirmed
@@ -48,7 +50,7 @@
 // and that went on serving in the outage after it renewed leases for B without
 // knowing of what other nodes had confirmed in between.)
 func (l *Leader) mayRenewLeases(now time.Time) bool {
-	at := l.Cancels.Known()
+	at := l.Cancels.Watermark()
 	return !at.IsZero() && now.Sub(at) < l.maxCancelAge
 }
 
@@ -62,7 +64,7 @@
 		if err != nil || p.Phase == wire.PhaseExited || len(out) >= maxCommands {
 			continue
 		}
-		if _, ok := l.Cancels.At(task.Job); ok {
+		if _, ok := l.Cancels.ConfirmedAt(task.Job); ok {
 			zero := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Halt, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
 		}
@@ -75,11 +77,11 @@
 // of, from a leader that it has not heard since.
 func (l *Leader) delegateToken(baton wire.Token) (wire.Token, bool) {
 	v, now := l.Mesh.View(), time.Now()
-	g := v.Grant
+	g := v.Delegation
 	if own := l.ownGrant.Load(); own != nil && own.Token >= g.Token {
 		g = *own
 	}
-	ok := g.Token > 0 && g.Token == v.Token && baton <= g.Token && now.Sub(g.Sent) < l.delegationTime && now.Sub(v.Led) >= 2*peer.X && l.mayRenewLeases(now)
+	ok := g.Token > 0 && g.Token == v.Token && baton <= g.Token && now.Sub(g.RequestedAt) < l.delegationTime && now.Sub(v.LeaderSeen) >= 2*peer.AckLifetime && l.mayRenewLeases(now)
 	return g.Token, ok
 }
 
@@ -103,7 +105,7 @@
 	if _, ok := l.delegateToken(rep.Token); !ok {
 		return nil
 	}
-	l.Mesh.StandsIn()
+	l.Mesh.RecordRenewal()
 	token, ok := l.delegateToken(rep.Token) // again, now that others can know
 	if !ok {
 		return nil
@@ -114,8 +116,8 @@
 // delegateLately tells whether workers stayed with this node as a delegate:
 // they are not cut off from the leader that is back.
 func (l *Leader) delegateLately() bool {
-	ago := l.Mesh.Stood()
-	return ago > 0 && ago < 2*l.Config.Settings.Workers.ReportS.Duration()+2*peer.X
+	ago := l.Mesh.SinceRenewal()
+	return ago > 0 && ago < 2*l.Config.Settings.Workers.ReportS.Duration()+2*peer.AckLifetime
 }
 
 // DelegationToken is the token with which this node surely leads, 0 if it does not.
@@ -133,7 +135,7 @@
 		if at := t.unprovenCancel(); !at.IsZero() && at.Before(sent) {
 			sent = at
 		}
-		t.l.ownGrant.Store(&peer.Grant{Token: token, Sent: sent})
+		t.l.ownGrant.Store(&peer.Delegation{Token: token, RequestedAt: sent})
 	}
 }
 
@@ -144,14 +146,14 @@
 // it may be at it still. What its last process did it does not know: that may have
 // been a delegate until this one began. Of one that never acknowledged our token, an earlier
 // leader's grant may be in force: that leader's last was before this term.
-func (t *term) delegateAnswersUntil(o peer.Other, now time.Time) time.Time {
-	at := latest(o.Stood, o.Born)
+func (t *term) delegateAnswersUntil(o peer.Peer, now time.Time) time.Time {
+	at := latest(o.LastRenewal, o.StartedBy)
 	if o.AckToken < t.firstToken {
 		at = latest(at, t.startedAt.Add(t.l.delegationTime))
 	}
-	lost := now.Sub(o.AckSent) > 3*peer.X/2 || now.Sub(o.Stood) < 3*peer.X || now.Sub(t.stateBackAt) < 3*peer.X
-	if lost && !o.Granted.IsZero() {
-		at = latest(at, o.Granted.Add(t.l.delegationTime))
+	lost := now.Sub(o.AckSent) > 3*peer.AckLifetime/2 || now.Sub(o.LastRenewal) < 3*peer.AckLifetime || now.Sub(t.stateBackAt) < 3*peer.AckLifetime
+	if lost && !o.DelegatedAt.IsZero() {
+		at = latest(at, o.DelegatedAt.Add(t.l.delegationTime))
 	}
 	return at
 }
@@ -163,8 +165,8 @@
 		return at
 	}
 	v := t.l.Mesh.View()
-	for _, o := range t.l.Config.Others {
-		at = latest(at, t.delegateAnswersUntil(v.Others[o.HostName], now))
+	for _, o := range t.l.Config.Peers {
+		at = latest(at, t.delegateAnswersUntil(v.Peers[o.HostName], now))
 	}
 	return at
 }
@@ -175,9 +177,9 @@
 func (t *term) zoneSilentSince(zone wire.Zone) time.Time {
 	var at time.Time
 	v := t.l.Mesh.View()
-	for _, o := range t.l.Config.Others {
+	for _, o := range t.l.Config.Peers {
 		if o.Zone == zone {
-			at = latest(at, v.Others[o.HostName].Heard)
+			at = latest(at, v.Peers[o.HostName].LastContact)
 		}
 	}
 	return at
--- a/internal/leader/delegation_test.go
+++ b/internal/leader/delegation_test.go
@@ -120,18 +120,18 @@
 	ago := func(s float64) time.Time { return now.Add(-time.Duration(s * float64(time.Second))) }
 	cases := []struct {
 		name string
-		o    peer.Other
+		o    peer.Peer
 		back time.Time
 		want time.Time
 	}{
-		{"in touch, never a delegate", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5)}, time.Time{}, time.Time{}},
-		{"in touch, a delegate a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(12)}, time.Time{}, ago(12)},
-		{"in touch, began a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(20), Born: ago(9)}, time.Time{}, ago(9)},
-		{"in touch, and perhaps still at it", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(15), Stood: ago(1)}, time.Time{}, ago(-5)},
-		{"lost after our grant", peer.Other{AckSent: ago(10), AckToken: 50, Granted: ago(9)}, time.Time{}, ago(-11)},
-		{"never heard in this term: an earlier leader's grant", peer.Other{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
-		{"fresh, acknowledges nothing yet", peer.Other{AckSent: ago(1)}, time.Time{}, ago(40)},
-		{"in touch, but we did not lead until now", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(7)}, ago(2), ago(-13)},
+		{"in touch, never a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5)}, time.Time{}, time.Time{}},
+		{"in touch, a delegate a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(12)}, time.Time{}, ago(12)},
+		{"in touch, began a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(20), StartedBy: ago(9)}, time.Time{}, ago(9)},
+		{"in touch, and perhaps still at it", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(15), LastRenewal: ago(1)}, time.Time{}, ago(-5)},
+		{"lost after our grant", peer.Peer{AckSent: ago(10), AckToken: 50, DelegatedAt: ago(9)}, time.Time{}, ago(-11)},
+		{"never heard in this term: an earlier leader's grant", peer.Peer{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
+		{"fresh, acknowledges nothing yet", peer.Peer{AckSent: ago(1)}, time.Time{}, ago(40)},
+		{"in touch, but we did not lead until now", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(7)}, ago(2), ago(-13)},
 	}
 	for _, c := range cases {
 		tm.stateBackAt = c.back
@@ -147,12 +147,12 @@
 // keeps to that, whatever comes late from those it has lost.
 func TestLeadersWithoutEachOther(t *testing.T) {
 	tm, _, _ := rig(t)
-	tm.l.Config.Others = []config.Other{{HostName: "b"}, {HostName: "c"}}
+	tm.l.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
 	now := time.Now()
 	tm.startedAt = now.Add(-40 * time.Second)
 	since := func(at time.Time) time.Duration { return at.Sub(tm.startedAt).Round(time.Second) }
 	// Without a time for delegates, and with a majority.
-	if got := since(tm.othersUntil()); got != peer.B {
+	if got := since(tm.othersUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
 	}
 	tm.l.delegationTime = 22 * time.Second
@@ -171,7 +171,7 @@
 	// Of the others' last acknowledged beats the oldest counts.
 	view := func(b, c float64) *peer.View {
 		asked := func(s float64) time.Time { return tm.startedAt.Add(time.Duration(s * float64(time.Second))) }
-		return &peer.View{Others: map[wire.NodeID]peer.Other{"b": {AckSent: asked(b), Heard: now}, "c": {AckSent: asked(c), Heard: now}}}
+		return &peer.View{Peers: map[wire.NodeID]peer.Peer{"b": {AckSent: asked(b), LastContact: now}, "c": {AckSent: asked(c), LastContact: now}}}
 	}
 	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 39.5}, {39.5, 20, 20}, {39.5, 33, 33}, {0, 0, 0}} {
 		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.startedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -84,13 +84,13 @@
 // not heard: what was held up on its way says nothing of now.)
 func (l *Lease) outageLimit(oldest time.Time, delegationTime time.Duration) time.Duration {
 	decidesUntil := time.Duration(l.decidesUntil.Load())
-	limit := decidesUntil + peer.B - margin
+	limit := decidesUntil + peer.OutageLimit - margin
 	if delegationTime == 0 {
 		return limit
 	}
 	renewalSent := decidesUntil - (grantTTL - margin)
 	alone := renewalSent + delegationTime
-	return min(limit, max(alone, oldest.Add(2*peer.X).Sub(l.terms.TakenAt)))
+	return min(limit, max(alone, oldest.Add(2*peer.AckLifetime).Sub(l.terms.TakenAt)))
 }
 
 // Keep renews the grant until the context ends, nil, or the lease is lost. It
--- a/internal/leader/election/lease_test.go
+++ b/internal/leader/election/lease_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("acknowledged beats of %v and %v s: may answer until %v s, want %v", c.b, c.c, got, c.want)
 		}
 	}
-	if got, most := l.outageLimit(now, 0), 10*time.Second+grantTTL+peer.B; got > most || got < most-time.Second {
+	if got, most := l.outageLimit(now, 0), 10*time.Second+grantTTL+peer.OutageLimit; got > most || got < most-time.Second {
 		t.Errorf("without delegates: may answer until %v, want just below %v", got, most)
 	}
 	// Neither bound lets it answer longer than the majority acknowledges.
--- a/internal/leader/hearing_test.go
+++ b/internal/leader/hearing_test.go
@@ -195,8 +195,8 @@
 		tm, _, _ := rig(t)
 		nw := simulator.NewNetwork(time.Millisecond)
 		mesh := func(name wire.NodeID, i, other int, to wire.NodeID, leads bool) *peer.Mesh {
-			m := peer.New(name, []config.Other{{HostName: to, Addr: simulator.NodeIP(other) + ":8081"}},
-				func() peer.Self { return peer.Self{Leads: leads} }, cancels.New(nil, time.Minute), nw.Host(simulator.NodeIP(i)), tm.l.Log)
+			m := peer.New(name, []config.Peer{{HostName: to, Addr: simulator.NodeIP(other) + ":8081"}},
+				func() peer.Status { return peer.Status{Leads: leads} }, cancels.New(nil, time.Minute), nw.Host(simulator.NodeIP(i)), tm.l.Log)
 			l, err := nw.Host(simulator.NodeIP(i)).Listen("tcp4", simulator.NodeIP(i)+":8081")
 			if err != nil {
 				t.Fatal(err)
@@ -214,7 +214,7 @@
 		l.candidate = election.NewCandidate(l.Config, nil, l.Log, nil)
 		l.Mesh = mesh("a", 0, 1, "b", false)
 		b := mesh("b", 1, 0, "a", true)
-		b.Raise(ctx, 7)
+		b.ObserveToken(ctx, 7)
 		time.Sleep(3 * time.Second)
 		if got := l.currentLeader(time.Now()); got != "b" {
 			t.Errorf("hears %q lead", got)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -31,7 +31,7 @@
 	Store   *store.Client
 	Cloud   *cloud.Client
 	Mesh    *peer.Mesh
-	Cancels *cancels.Ledger
+	Cancels *cancels.Log
 	Tuning  *tuning.Box
 	Flavors *FlavorBox
 	Log     *slog.Logger
@@ -90,7 +90,7 @@
 	// delegationTime is how long this node may renew leases for a leader that it
 	// has lost; ownGrant is what it granted itself while it led.
 	delegationTime time.Duration
-	ownGrant       atomic.Pointer[peer.Grant]
+	ownGrant       atomic.Pointer[peer.Delegation]
 	// maxCancelAge is D of the rule by which a lease may be renewed.
 	maxCancelAge time.Duration
 	// redirected is when workers were last sent to a leader that is not heard.
@@ -104,7 +104,7 @@
 func New(d Deps) *Leader {
 	l := &Leader{
 		Deps:           d,
-		candidate:      election.NewCandidate(d.Config, d.Store, d.Log, d.Mesh.Raise),
+		candidate:      election.NewCandidate(d.Config, d.Store, d.Log, d.Mesh.ObserveToken),
 		workerContacts: make(chan wire.MachineID, 64), delegationTime: delegationTime(d.Config.Settings.Workers), maxCancelAge: maxCancelAge(d.Config.Settings.Workers),
 		workerClient: &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
 		commandSlots: make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
@@ -127,7 +127,7 @@
 		if lease == nil {
 			continue
 		}
-		l.Mesh.Raise(ctx, lease.Token())
+		l.Mesh.ObserveToken(ctx, lease.Token())
 		t := newTerm(l, lease)
 		l.term.Store(t)
 		l.Metrics.Led()
@@ -182,7 +182,7 @@
 		l.Metrics.Report("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
-			if !l.delegateLately() && l.Mesh.View().Others[lead].Near(now) && l.relay(r.Context(), w, lead, &rep) {
+			if !l.delegateLately() && l.Mesh.View().Peers[lead].Connected(now) && l.relay(r.Context(), w, lead, &rep) {
 				return
 			}
 			if l.returnedHere(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
@@ -217,10 +217,10 @@
 // to and fro between it and a node that leads no more.
 func (l *Leader) currentLeader(now time.Time) wire.NodeID {
 	v := l.Mesh.View()
-	if v.Leader != "" && now.Sub(v.Others[v.Leader].Heard) < 2*peer.X {
+	if v.Leader != "" && now.Sub(v.Peers[v.Leader].LastContact) < 2*peer.AckLifetime {
 		return v.Leader
 	}
-	return l.candidate.Holder(now, peer.X)
+	return l.candidate.Holder(now, peer.AckLifetime)
 }
 
 // serve has the term's loop answer a report.
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -49,12 +49,12 @@
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
 func (t *term) othersUntil() time.Time {
-	other := t.startedAt.Add(peer.B)
+	other := t.startedAt.Add(peer.OutageLimit)
 	if t.l.delegationTime > 0 {
-		other = t.startedAt.Add(max(t.l.delegationTime, 3*peer.X+time.Second))
+		other = t.startedAt.Add(max(t.l.delegationTime, 3*peer.AckLifetime+time.Second))
 	}
-	if !t.majorityAckedAt.IsZero() && t.majorityAckedAt.Add(peer.X).Before(other) {
-		other = t.majorityAckedAt.Add(peer.X)
+	if !t.majorityAckedAt.IsZero() && t.majorityAckedAt.Add(peer.AckLifetime).Before(other) {
+		other = t.majorityAckedAt.Add(peer.AckLifetime)
 	}
 	return other
 }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -53,8 +53,8 @@
 	// When many are silent it is rather this node that is cut off from them.
 	cutOff := silent >= 3 && silent*2 > up
 	if (cutOff && lost*2 > up || relayed >= 3 && relayed*2 > up) && t.lease.Deciding() && now.Sub(t.startedAt) > lostAfter+t.settings.Workers.LeaseS.Duration()/8 {
-		for name, o := range t.l.Mesh.View().Others {
-			if o.Near(now) && o.Serves && o.Hears*2 > up {
+		for name, o := range t.l.Mesh.View().Peers {
+			if o.Connected(now) && o.StateReachable && o.ReachableWorkers*2 > up {
 				t.resign("workers reach " + string(name) + ", not this node")
 				return
 			}
--- a/internal/leader/partitions.go
+++ b/internal/leader/partitions.go
@@ -31,7 +31,7 @@
 // zone.
 func (t *term) zoneSilent(z wire.Zone, n, lost, up int, now time.Time) bool {
 	need, least := partitionReports, 4
-	if at := t.zoneSilentSince(z); !at.IsZero() && now.Sub(at) > peer.X {
+	if at := t.zoneSilentSince(z); !at.IsZero() && now.Sub(at) > peer.AckLifetime {
 		need, least = need/6, 2
 	}
 	h := t.lastFromZone[z]
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -52,8 +52,8 @@
 // linkedNode is some other node that is linked to this one.
 func (l *Leader) linkedNode(now time.Time) wire.NodeID {
 	var near []wire.NodeID
-	for id, o := range l.Mesh.View().Others {
-		if o.Near(now) {
+	for id, o := range l.Mesh.View().Peers {
+		if o.Connected(now) {
 			near = append(near, id)
 		}
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -20,7 +20,7 @@
 			if runs, _, err = t.l.Store.List(ctx, store.Duty, store.RunPrefix); err == nil {
 				t.post(func() {
 					t.loadRecords(jobs, runs)
-					t.l.Cancels.Read(began)
+					t.l.Cancels.RecordRead(began)
 				})
 				t.follow(ctx, rev)
 				return
@@ -59,7 +59,7 @@
 		}
 		t.post(func() {
 			t.applyChanges(ch.Events)
-			t.l.Cancels.Read(began)
+			t.l.Cancels.RecordRead(began)
 		})
 	}
 }
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -15,10 +15,10 @@
 	"lilaclead/internal/wire"
 )
 
-// known is a ledger of one node that has read the state service.
-func known() *cancels.Ledger {
+// known is a log of cancellations of one node that has read the state service.
+func known() *cancels.Log {
 	l := cancels.New(nil, time.Minute)
-	l.Read(time.Now())
+	l.RecordRead(time.Now())
 	return l
 }
 
@@ -112,9 +112,9 @@
 		},
 			func(_ *term, m *machine) time.Time { return m.sessionSince }},
 		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.token, tm.majorityAckedAt = 0, tm.startedAt.Add(time.Second) },
-			func(tm *term, _ *machine) time.Time { return tm.majorityAckedAt.Add(peer.X) }},
+			func(tm *term, _ *machine) time.Time { return tm.majorityAckedAt.Add(peer.AckLifetime) }},
 		{"never heard, no majority", func(tm *term, m *machine) { m.token = 0 },
-			func(tm *term, _ *machine) time.Time { return tm.startedAt.Add(peer.B) }},
+			func(tm *term, _ *machine) time.Time { return tm.startedAt.Add(peer.OutageLimit) }},
 	}
 	for _, c := range cases {
 		tm, m, a := rig(t)
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -46,7 +46,7 @@
 	tb.Cleanup(cancel)
 	tm.ctx = ctx
 	away(tm)
-	tm.l.Mesh = peer.New("a", nil, func() peer.Self { return peer.Self{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.l.Log)
+	tm.l.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.l.Log)
 	tm.l.Metrics.Round = func(time.Duration, int, int) {}
 	tm.l.Metrics.Report = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -73,7 +73,7 @@
 	incompleteGangs   map[*job]struct{}   // gangs of which a task was lost, not yet looked after
 	gangsSeen         map[gangKind]gangSeen
 	cancelledJobs     map[*job]struct{} // cancelled, with attempts that may be on machines
-	cancelCursor      uint64            // what of the ledger of cancellations has been taken in
+	cancelCursor      uint64            // up to where the log of cancellations has been read
 	writing           bool
 	valueLimitLowered bool      // the state service has refused what the former limits allowed
 	singleWrites      int       // so many transactions hold one thing each, to find what is refused
@@ -238,8 +238,8 @@
 // for.
 func (t *term) oldestAck(v *peer.View, now time.Time) time.Time {
 	oldest := now
-	for _, o := range t.l.Config.Others {
-		if at := v.Others[o.HostName].AckSent; at.Before(oldest) {
+	for _, o := range t.l.Config.Peers {
+		if at := v.Peers[o.HostName].AckSent; at.Before(oldest) {
 			oldest = at
 		}
 	}
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -406,7 +406,7 @@
 	if t.recovered {
 		t.delegationToken.Store(uint64(token))
 	}
-	t.l.Mesh.Raise(t.ctx, token)
+	t.l.Mesh.ObserveToken(t.ctx, token)
 	t.raising = false
 	if b != nil {
 		go t.readOutcome(b)
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -34,11 +34,11 @@
 		srv := &http.Server{Handler: st, ErrorLog: log.New(io.Discard, "", 0)}
 		go srv.Serve(l) //nolint:errcheck // ends with Close
 		tm.l.Store = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
-		tm.l.Mesh = peer.New("a", nil, func() peer.Self { return peer.Self{} }, tm.l.Cancels, nw.Host("10.0.0.1"), tm.l.Log)
+		tm.l.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.l.Cancels, nw.Host("10.0.0.1"), tm.l.Log)
 		go tm.l.Mesh.Run(ctx)
 		tm.ctx = ctx
 		tm.settings.State.TxnOps = 12
-		tm.l.candidate = election.NewCandidate(tm.l.Config, tm.l.Store, tm.l.Log, tm.l.Mesh.Raise)
+		tm.l.candidate = election.NewCandidate(tm.l.Config, tm.l.Store, tm.l.Log, tm.l.Mesh.ObserveToken)
 		tm.token = wire.Token(st.Put(store.LeadKey, tm.l.candidate.Record()))
 		tm.lease, tm.firstToken = leaseFor(tm.l, tm.token, time.Hour), tm.token
 		m.token = tm.token
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -18,9 +18,9 @@
 // A majority's acknowledgement counts from when the beat was sent, for X.
 func TestAckedUntil(t *testing.T) {
 	t0 := time.Unix(100, 0)
-	v := &View{Token: 9, Others: map[wire.NodeID]Other{
+	v := &View{Token: 9, Peers: map[wire.NodeID]Peer{
 		"a": {AckToken: 9, AckSent: t0}, "b": {AckToken: 9, AckSent: t0.Add(time.Second)}, "c": {AckToken: 8, AckSent: t0.Add(9 * time.Second)}}}
-	for n, want := range map[int]time.Time{2: t0.Add(time.Second + X), 3: t0.Add(X), 4: {}} {
+	for n, want := range map[int]time.Time{2: t0.Add(time.Second + AckLifetime), 3: t0.Add(AckLifetime), 4: {}} {
 		if got := v.AckedUntil(9, n); !got.Equal(want) {
 			t.Errorf("%d nodes: until %v, want %v", n, got, want)
 		}
@@ -41,7 +41,9 @@
 		protocols.SetUnencryptedHTTP2(true)
 		var servers []*http.Server
 		node := func(name, other wire.NodeID, ip, otherIP string, leads bool) *Mesh {
-			m := New(name, []config.Other{{HostName: other, Addr: otherIP + ":1"}}, func() Self { return Self{Leads: leads, Grants: map[bool]wire.Token{true: 7}[leads], Serves: true} }, cancels.New(nil, time.Minute), nw.Host(ip), log)
+			m := New(name, []config.Peer{{HostName: other, Addr: otherIP + ":1"}}, func() Status {
+				return Status{Leads: leads, Delegation: map[bool]wire.Token{true: 7}[leads], StateReachable: true}
+			}, cancels.New(nil, time.Minute), nw.Host(ip), log)
 			l, err := nw.Host(ip).Listen("tcp4", ip+":1")
 			if err != nil {
 				t.Fatal(err)
@@ -53,7 +55,7 @@
 			return m
 		}
 		a, b := node("a", "b", "10.0.0.1", "10.0.0.2", true), node("b", "a", "10.0.0.2", "10.0.0.1", false)
-		a.Raise(ctx, 7)
+		a.ObserveToken(ctx, 7)
 		time.Sleep(1500 * time.Millisecond)
 		if got := a.View().AckedUntil(7, 2); got.After(time.Now()) {
 			t.Error("a fresh process acknowledges")
@@ -67,25 +69,25 @@
 		}
 		// The leader's word reaches the other, counted from its asking, and only
 		// under the token that both know; who stood in says so.
-		if g := b.View().Grant; g.Token != 7 || time.Since(g.Sent) > time.Second || a.View().Others["b"].Granted.Before(g.Sent) || !a.View().Others["b"].Stood.IsZero() {
-			t.Errorf("word %+v, given %v", g, a.View().Others["b"].Granted)
+		if g := b.View().Delegation; g.Token != 7 || time.Since(g.RequestedAt) > time.Second || a.View().Peers["b"].DelegatedAt.Before(g.RequestedAt) || !a.View().Peers["b"].LastRenewal.IsZero() {
+			t.Errorf("word %+v, given %v", g, a.View().Peers["b"].DelegatedAt)
 		}
-		b.StandsIn()
+		b.RecordRenewal()
 		at := time.Now()
 		time.Sleep(time.Second)
-		if stood := a.View().Others["b"].Stood; stood.Before(at) || stood.After(at.Add(100*time.Millisecond)) {
+		if stood := a.View().Peers["b"].LastRenewal; stood.Before(at) || stood.After(at.Add(100*time.Millisecond)) {
 			t.Errorf("b stood in at %v, a knows of %v", at, stood)
 		}
-		b.Raise(ctx, 9)
+		b.ObserveToken(ctx, 9)
 		time.Sleep(time.Second)
-		if g := b.View().Grant; g.Token != 7 || time.Since(g.Sent) < 900*time.Millisecond {
+		if g := b.View().Delegation; g.Token != 7 || time.Since(g.RequestedAt) < 900*time.Millisecond {
 			t.Errorf("word under an older token is renewed: %+v", g)
 		}
 		if got := a.View().AckedUntil(7, 1); got.After(time.Now()) || a.View().Token != 9 {
 			t.Errorf("the lower token still counts until %v", got)
 		}
 		nw.Cut("10.0.0.1", "10.0.0.2", true)
-		time.Sleep(X + time.Second)
+		time.Sleep(AckLifetime + time.Second)
 		if got := a.View().AckedUntil(9, 2); got.After(time.Now()) {
 			t.Error("acknowledged through a cut")
 		}
--- a/internal/scenarios/upgrade_test.go
+++ b/internal/scenarios/upgrade_test.go
@@ -60,9 +60,9 @@
 	reads(t, "past", store.PastRecord{Status: wire.Done, Done: 1600})
 	reads(t, "lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"})
 	reads(t, "flavors", wire.MachineSpecs{Types: []wire.MachineSpec{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a", "b"}}}})
-	reads(t, "beat", peer.Beat{From: "worker-1", Seq: 9, Token: 41, Leads: true, Serves: true, Hears: 120})
-	reads(t, "ack", peer.Beat{From: "worker-2", Seq: 9, Token: 41, Serves: true, Grants: 41, Stood: 3 * time.Second, Age: time.Minute, Unproven: time.Second,
-		Word: cancels.Word{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, Vouches: 20 * time.Second, Knew: 500 * time.Millisecond}})
+	reads(t, "beat", peer.Heartbeat{From: "worker-1", Seq: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120})
+	reads(t, "ack", peer.Heartbeat{From: "worker-2", Seq: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedFor: time.Second,
+		Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}})
 	warning := wire.Seconds(12.5)
 	reads(t, "report", wire.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Sequence: 88, Token: 41, SpotNotice: &warning,
 		Tasks: []wire.TaskState{{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}}})
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -167,7 +167,7 @@
 			Front: NodeIP(i) + ":8080", PeerBind: NodeIP(i) + ":8081", Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
 		for k := range w.nodes {
 			if k != i {
-				c.Others = append(c.Others, config.Other{HostName: wire.NodeID(fmt.Sprintf("worker-%d", k)), Zone: set.Zones[k%len(set.Zones)], Addr: NodeIP(k) + ":8081"})
+				c.Peers = append(c.Peers, config.Peer{HostName: wire.NodeID(fmt.Sprintf("worker-%d", k)), Zone: set.Zones[k%len(set.Zones)], Addr: NodeIP(k) + ":8081"})
 			}
 		}
 		w.nodes[i] = &node{cfg: c}
@@ -338,9 +338,9 @@
 	zone := func(i int) wire.Zone { return zones[i%len(zones)] }
 	for i, n := range w.nodes {
 		n.cfg.Zone = zone(i)
-		n.cfg.Others = slices.Clone(n.cfg.Others)
-		for k := range n.cfg.Others {
-			o := &n.cfg.Others[k]
+		n.cfg.Peers = slices.Clone(n.cfg.Peers)
+		for k := range n.cfg.Peers {
+			o := &n.cfg.Peers[k]
 			o.Zone = zone(slices.IndexFunc(w.nodes, func(m *node) bool { return m.cfg.HostName == o.HostName }))
 		}
 	}
--- a/internal/store/copy.go
+++ b/internal/store/copy.go
@@ -17,10 +17,10 @@
 // state service was then. All who ask meanwhile share the next look, and the
 // cost of polls no longer grows with their number.
 type Copy struct {
-	c      *Client
-	ledger *cancels.Ledger
-	asks   chan chan error
-	gap    time.Duration
+	c       *Client
+	cancels *cancels.Log
+	asks    chan chan error
+	gap     time.Duration
 
 	mu   sync.RWMutex
 	live map[wire.JobID]Live
@@ -41,8 +41,8 @@
 
 // NewCopy makes a copy. All nodes' looks together take a quarter of the
 // service's rate at most.
-func NewCopy(c *Client, ledger *cancels.Ledger, rps float64, size int) *Copy {
-	return &Copy{c: c, ledger: ledger, asks: make(chan chan error, 64), live: map[wire.JobID]Live{},
+func NewCopy(c *Client, cancelled *cancels.Log, rps float64, size int) *Copy {
+	return &Copy{c: c, cancels: cancelled, asks: make(chan chan error, 64), live: map[wire.JobID]Live{},
 		gap: time.Duration(float64(time.Second) * float64(max(1, size)) / max(1, rps/4))}
 }
 
@@ -98,7 +98,7 @@
 				}
 			}
 			y.rev = max(y.rev, ch.Revision)
-			y.ledger.Read(began)
+			y.cancels.RecordRead(began)
 			return nil
 		}
 		if !errors.Is(err, ErrTooOld) {
@@ -116,7 +116,7 @@
 		y.put(e.Key, e.Value, e.Revision)
 	}
 	y.rev = rev
-	y.ledger.Read(began)
+	y.cancels.RecordRead(began)
 	return nil
 }
 
@@ -126,7 +126,7 @@
 	id := wire.JobID(strings.TrimPrefix(key, JobPrefix))
 	rec, err := DecodeJob(key, v)
 	if err == nil {
-		rec.Tell(y.ledger)
+		rec.Tell(y.cancels)
 	}
 	if stamp >= y.live[id].Stamp {
 		y.live[id] = Live{rec.Status, stamp, err}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -94,9 +94,9 @@
 }
 
 // Tell notes the job's cancellation, if it is cancelled.
-func (r *JobRecord) Tell(l *cancels.Ledger) {
+func (r *JobRecord) Tell(l *cancels.Log) {
 	if r.Status == wire.Cancelled {
-		l.Note(r.Spec.ID, r.Cancelled())
+		l.Add(r.Spec.ID, r.Cancelled())
 	}
 }
 
--- a/node.go
+++ b/node.go
@@ -83,13 +83,13 @@
 	n.store = store.New(cfg.Endpoints.State, set.State.Least(), set.Size, n.net)
 	n.cloud = cloud.New(cfg.Endpoints.Cloud, set.Cloud, n.net)
 	var others []wire.NodeID
-	for _, o := range cfg.Others {
+	for _, o := range cfg.Peers {
 		others = append(others, o.HostName)
 	}
-	ledger := cancels.New(others, set.Workers.CancelS.Duration())
-	n.mesh = peer.New(cfg.HostName, cfg.Others, func() peer.Self {
-		return peer.Self{Leads: n.leader.Leads(), Grants: n.leader.DelegationToken(), Serves: n.store.Reachable(), Hears: n.leader.WorkersInContact(), Unproven: n.leader.UnprovenCancelSince()}
-	}, ledger, n.net, n.log)
+	cancelled := cancels.New(others, set.Workers.CancelS.Duration())
+	n.mesh = peer.New(cfg.HostName, cfg.Peers, func() peer.Status {
+		return peer.Status{Leads: n.leader.Leads(), Delegation: n.leader.DelegationToken(), StateReachable: n.store.Reachable(), ReachableWorkers: n.leader.WorkersInContact(), UnconfirmedSince: n.leader.UnprovenCancelSince()}
+	}, cancelled, n.net, n.log)
 	n.sockets = splitSockets(set.Limits, set.Size)
 	met := admin.NewMetrics()
 	n.store.Observe = met.Call("state")
@@ -98,10 +98,10 @@
 	met.Budget("state changes", func() float64 { _, writes := n.store.Left(); return writes })
 	n.undecodable = undecodable.New(n.log)
 	n.leader = leader.New(leader.Deps{
-		Config: cfg, Net: n.net, Store: n.store, Cloud: n.cloud, Mesh: n.mesh, Cancels: ledger, Tuning: n.tuning, Flavors: n.flavors, Log: n.log, Metrics: met.Leader(), Undecodable: n.undecodable,
+		Config: cfg, Net: n.net, Store: n.store, Cloud: n.cloud, Mesh: n.mesh, Cancels: cancelled, Tuning: n.tuning, Flavors: n.flavors, Log: n.log, Metrics: met.Leader(), Undecodable: n.undecodable,
 		Sockets: n.sockets.direct, Workers: n.sockets.workers(), Needed: func(workers int) int { return needed(workers, set.Limits, set.Size) },
 	})
-	n.intake = intake.New(set, n.store, ledger, n.flavors.Get, n.log)
+	n.intake = intake.New(set, n.store, cancelled, n.flavors.Get, n.log)
 	n.intake.Observe, n.intake.Undecodable = met.Request, n.undecodable
 	n.admin = admin.New(cfg, n.store, n.tuning, n.leader, n.mesh, met, n.log)
 	n.admin.Undecodable = n.undecodable
@@ -220,13 +220,13 @@
 func (n *Node) ready(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if !n.store.Reachable() {
 		now := time.Now()
-		hears := len(n.cfg.Others) == 0
-		for _, o := range n.mesh.View().Others {
-			if !o.Near(now) {
+		hears := len(n.cfg.Peers) == 0
+		for _, o := range n.mesh.View().Peers {
+			if !o.Connected(now) {
 				continue
 			}
 			hears = true
-			if o.Serves {
+			if o.StateReachable {
 				wire.Refuse(w, http.StatusServiceUnavailable, "state service not reachable from here", 1)
 				return
 			}
