--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -15,7 +15,8 @@
 	"lilaclead/internal/wire"
 )
 
-// A majority's acknowledgement counts from when the beat was sent, for X.
+// A majority's acknowledgement counts from when the heartbeat was sent, for
+// AckLifetime.
 func TestAckedUntil(t *testing.T) {
 	t0 := time.Unix(100, 0)
 	v := &View{Token: 9, Peers: map[wire.NodeID]Peer{
@@ -31,8 +32,8 @@
 }
 
 // Tokens spread, the higher one wins, a fresh process acknowledges nothing
-// for X, and a cut ends the acknowledgements.
-func TestBeats(t *testing.T) {
+// for AckLifetime, and a cut ends the acknowledgements.
+func TestHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		nw := simulator.NewNetwork(time.Millisecond)
@@ -67,21 +68,21 @@
 		if v := b.View(); v.Token != 7 || v.Leader != "a" {
 			t.Errorf("b knows token %d, leader %q", v.Token, v.Leader)
 		}
-		// The leader's word reaches the other, counted from its asking, and only
-		// under the token that both know; who stood in says so.
+		// The leader's delegation reaches the other, counted from its request, and
+		// only under the token that both know; who renewed as a delegate says so.
 		if g := b.View().Delegation; g.Token != 7 || time.Since(g.RequestedAt) > time.Second || a.View().Peers["b"].DelegatedAt.Before(g.RequestedAt) || !a.View().Peers["b"].LastRenewal.IsZero() {
-			t.Errorf("word %+v, given %v", g, a.View().Peers["b"].DelegatedAt)
+			t.Errorf("delegation %+v, given %v", g, a.View().Peers["b"].DelegatedAt)
 		}
 		b.RecordRenewal()
 		at := time.Now()
 		time.Sleep(time.Second)
-		if stood := a.View().Peers["b"].LastRenewal; stood.Before(at) || stood.After(at.Add(100*time.Millisecond)) {
-			t.Errorf("b stood in at %v, a knows of %v", at, stood)
+		if renewed := a.View().Peers["b"].LastRenewal; renewed.Before(at) || renewed.After(at.Add(100*time.Millisecond)) {
+			t.Errorf("b renewed as a delegate at %v, a knows of %v", at, renewed)
 		}
 		b.ObserveToken(ctx, 9)
 		time.Sleep(time.Second)
 		if g := b.View().Delegation; g.Token != 7 || time.Since(g.RequestedAt) < 900*time.Millisecond {
-			t.Errorf("word under an older token is renewed: %+v", g)
+			t.Errorf("delegation under an older token is renewed: %+v", g)
 		}
 		if got := a.View().AckedUntil(7, 1); got.After(time.Now()) || a.View().Token != 9 {
 			t.Errorf("the lower token still counts until %v", got)
