--- a/internal/cancels/cancels.go
+++ b/internal/cancels/cancels.go
@@ -1,15 +1,18 @@
-// Package cancels keeps what a node knows of the cancellations that users were
-// told of, and up to when it knows all of them, whoever told. On that rests the
-// one rule by which a worker's lease may be renewed:
+// Package cancels keeps the cancellations that users were told of, and a
+// completeness watermark: the time up to which this node knows all of them,
+// whichever node confirmed them. On the watermark rests the one rule by which a
+// worker's lease may be renewed:
 //
 //	A node may renew a worker's lease at t only if it knows every cancellation
 //	that any node confirmed before t - D, where D is cancel_s less the lease,
 //	drift and margin.
 //
-// It knows them from the state service, by a read that began then, or from the
-// word of every other node, each of which vouches for what it confirmed itself
-// in its own unbroken life. What it knows it halts in the same answer that
-// renews the lease; what it does not know yet ends with the lease.
+// The watermark rises by a read of the state service, to when the read began,
+// and by the updates that the nodes send each other. In these each node states
+// for how long all that it confirmed itself has been in its log; one that has
+// restarted starts from nothing. A task of a cancellation that is known is
+// halted in the same answer that renews the lease; one of a cancellation that is
+// not known yet ends with the lease.
 package cancels
 
 import (
@@ -19,64 +22,84 @@
 	"lilaclead/internal/wire"
 )
 
+const (
+	// maxRecords bounds what is kept, at 100 cancellations a second for more than
+	// a minute; beyond it a node's own span is shorter.
+	maxRecords = 8192
+	// maxUpdateEntries bounds one update, to some 10 KB; the rest follows in the
+	// next.
+	maxUpdateEntries = 300
+	// driftDivisor: times from another node's clock are stretched by 1/500, twice
+	// what two clocks can differ in rate (0.05% each).
+	driftDivisor = 500
+)
+
 // Entry is one cancelled job, as nodes tell each other.
 type Entry struct {
 	Job wire.JobID    `cbor:"j"`
 	Age time.Duration `cbor:"a"` // since its user was told, at the most
 }
 
-// Word is what one node tells another in an answer.
+// Update is what one node tells another of cancellations. It is sent in the
+// answers of a stream, each with what is new since the last.
 type Update struct {
-	// Cancelled are those that the other was not told yet on the same stream.
+	// Cancelled are those that were not sent yet on the same stream.
 	Cancelled []Entry `cbor:"cancelled,omitempty"`
-	// Vouches: the other has been told of every cancellation that this node
-	// confirmed in so long; 0: no word.
+	// OwnSpan: the receiver has been sent every cancellation that the sender
+	// confirmed itself within this last span; 0: more follows, nothing is said.
 	OwnSpan time.Duration `cbor:"vouches,omitempty"`
-	// Knew: and of every one that anybody confirmed until so long ago; 0: no
-	// word.
+	// WatermarkAge: the receiver has been sent every cancellation that any node
+	// confirmed before so long ago; 0: nothing is said.
 	WatermarkAge time.Duration `cbor:"knew,omitempty"`
 }
 
-const (
-	// most bounds what is kept; beyond it a node vouches for less.
-	maxRecords = 8192
-	// wordMost bounds one word; the rest follows in the next.
-	maxUpdateEntries = 300
-	// drift is more than two clocks' difference in rate.
-	driftDivisor = 500
-)
+// empty tells whether the update says nothing, as those of older versions.
+func (u *Update) empty() bool {
+	return len(u.Cancelled) == 0 && u.OwnSpan == 0 && u.WatermarkAge == 0
+}
 
+// record is one cancellation in the log.
 type record struct {
 	job         wire.JobID
 	confirmedAt time.Time // when its user was told, at the earliest
-	addedAt     time.Time // when it was noted here
+	addedAt     time.Time // when it was added here
 }
 
-// Ledger is safe for concurrent use.
+// Log keeps cancellations in the order in which they were added, numbered from
+// 1, so that readers can go on from a cursor. It is safe for concurrent use.
 type Log struct {
 	retention time.Duration
 
-	mu             sync.Mutex
-	records        []record
-	firstNumber    uint64 // the number of log[0]; numbers start at 1
-	confirmedAt    map[wire.JobID]time.Time
-	completeSince  time.Time // all that was noted here since then is in the log
-	watermark      time.Time // every cancellation confirmed before is known; zero: not even that of an earlier life
+	mu            sync.Mutex
+	records       []record
+	firstNumber   uint64 // of records[0]
+	confirmedAt   map[wire.JobID]time.Time
+	completeSince time.Time // all that was added since then is in records
+	// watermark: every cancellation confirmed before is known; zero: there was no
+	// read yet, and not even those of this node's former process are known.
+	watermark time.Time
+	// peerWatermarks: every cancellation that this peer confirmed before is known.
 	peerWatermarks map[wire.NodeID]time.Time
 }
 
-// New makes an empty ledger. What it holds is kept for twice the time that a
+// New makes an empty log. What it holds is kept for twice the time that a
 // cancelled task may last.
-func New(others []wire.NodeID, cancel time.Duration) *Log {
-	l := &Log{retention: 2 * cancel, firstNumber: 1, confirmedAt: map[wire.JobID]time.Time{}, completeSince: time.Now(), peerWatermarks: map[wire.NodeID]time.Time{}}
-	for _, id := range others {
+func New(peers []wire.NodeID, cancelTime time.Duration) *Log {
+	l := &Log{
+		retention:      2 * cancelTime,
+		firstNumber:    1,
+		confirmedAt:    map[wire.JobID]time.Time{},
+		completeSince:  time.Now(),
+		peerWatermarks: map[wire.NodeID]time.Time{},
+	}
+	for _, id := range peers {
 		l.peerWatermarks[id] = time.Time{}
 	}
 	return l
 }
 
-// Note notes a cancellation that was confirmed so long ago. A node that
-// confirms one calls it before its user has the answer.
+// Add adds a cancellation that was confirmed so long ago. A node that confirms
+// one calls it before its user has the answer.
 func (l *Log) Add(id wire.JobID, ago time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +116,7 @@
 	l.prune(now)
 }
 
-// prune drops what is old, and what is too much: then less is vouched for.
+// prune drops what is old, and what is too much: then the own span is shorter.
 func (l *Log) prune(now time.Time) {
 	n := 0
 	for n < len(l.records) && (now.Sub(l.records[n].addedAt) > l.retention || len(l.records)-n > maxRecords) {
@@ -109,8 +132,11 @@
 	}
 }
 
-// Read notes that the state service was read, by a request that began then,
-// after all that it told has been noted.
+// next is the number that the next record will have.
+func (l *Log) next() uint64 { return l.firstNumber + uint64(len(l.records)) }
+
+// RecordRead raises the watermark to when a read of the state service began,
+// after all that it showed has been added.
 func (l *Log) RecordRead(began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,9 +149,9 @@
 	}
 }
 
-// Known is up to when every cancellation that any node confirmed is known;
-// zero: none are. What this node confirmed itself it knows; an earlier life of
-// it counts as another node until the first read.
+// Watermark is up to when every cancellation that any node confirmed is known;
+// zero: none are. What this node confirmed itself it knows; its former process
+// counts as another node until the first read.
 func (l *Log) Watermark() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -148,7 +174,8 @@
 	return l.watermark
 }
 
-// At is when a job's user was told that it is cancelled, as far as is known.
+// ConfirmedAt is when a job's user was told that it is cancelled, as far as is
+// known.
 func (l *Log) ConfirmedAt(id wire.JobID) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,72 +183,79 @@
 	return at, ok
 }
 
-// Since lists what was noted after the cursor, and the next cursor. It starts
+// Since lists what was added after the cursor, and the next cursor. It starts
 // at 0.
 func (l *Log) Since(cursor uint64) ([]wire.JobID, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []wire.JobID
-	for n := max(cursor, l.firstNumber); n < l.firstNumber+uint64(len(l.records)); n++ {
-		out = append(out, l.records[n-l.firstNumber].job)
+	var jobs []wire.JobID
+	for n := max(cursor, l.firstNumber); n < l.next(); n++ {
+		jobs = append(jobs, l.records[n-l.firstNumber].job)
 	}
-	return out, l.firstNumber + uint64(len(l.records))
+	return jobs, l.next()
 }
 
-// Word is what to tell a node on a stream on which it was told all before the
-// cursor, which starts at 0, and the next cursor.
+// UpdateSince is what to send on a stream on which all before the cursor was
+// sent, and the next cursor. It starts at 0.
 func (l *Log) UpdateSince(cursor uint64) (Update, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	l.prune(now)
-	var w Update
-	next, end := max(cursor, l.firstNumber), l.firstNumber+uint64(len(l.records))
-	for ; next < end && len(w.Cancelled) < maxUpdateEntries; next++ {
-		i := l.records[next-l.firstNumber]
-		w.Cancelled = append(w.Cancelled, Entry{i.job, now.Sub(i.confirmedAt)})
+	var u Update
+	number := max(cursor, l.firstNumber)
+	for ; number < l.next() && len(u.Cancelled) < maxUpdateEntries; number++ {
+		r := l.records[number-l.firstNumber]
+		u.Cancelled = append(u.Cancelled, Entry{r.job, now.Sub(r.confirmedAt)})
 	}
-	if next < end {
-		return w, next // the rest first
+	if number < l.next() {
+		return u, number // spans are stated only once all is sent
 	}
-	// What is older than keep is gone from the log and from all machines.
+	// What is older than the retention is gone from the log and from all machines.
 	since := l.completeSince
 	if now.Sub(since) > l.retention {
 		since = now.Add(-l.retention)
 	}
-	w.OwnSpan = max(1, now.Sub(since))
+	u.OwnSpan = max(1, now.Sub(since))
 	if at := l.watermarkAt(now); !at.IsZero() && now.Sub(at) < l.retention && len(l.records) < maxRecords {
-		w.WatermarkAge = max(1, now.Sub(at))
+		u.WatermarkAge = max(1, now.Sub(at))
 	}
-	return w, next
+	return u, number
 }
 
-// Heard takes in another node's word, in answer to what was sent then.
-func (l *Log) Apply(from wire.NodeID, sent time.Time, w *Update) {
-	if len(w.Cancelled) == 0 && w.OwnSpan == 0 && w.WatermarkAge == 0 {
+// Apply takes in another node's update, in an answer to what was sent then.
+func (l *Log) Apply(from wire.NodeID, sent time.Time, u *Update) {
+	if u.empty() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for _, e := range w.Cancelled {
+	for _, e := range u.Cancelled {
 		l.add(e.Job, max(0, e.Age)+now.Sub(sent), now)
 	}
-	if w.WatermarkAge > 0 {
-		l.raiseWatermark(sent.Add(-w.WatermarkAge - w.WatermarkAge/driftDivisor))
+	if u.WatermarkAge > 0 {
+		l.raiseWatermark(sent.Add(-u.WatermarkAge - u.WatermarkAge/driftDivisor))
 	}
-	// The word covers what was confirmed there from a while ago until after
-	// sent. If we know all from before that while, we know all until sent. A
-	// node that has started since vouches for less: what it confirmed between
-	// its last word and its end it has forgotten.
-	at, ok := l.peerWatermarks[from]
-	if l.watermark.After(at) {
-		at = l.watermark
+	l.raisePeerWatermark(from, sent, now, u.OwnSpan)
+}
+
+// raisePeerWatermark takes in a peer's own span, stated after sent. It covers
+// what the peer confirmed from its beginning until after sent: if all from before
+// the beginning is known, all until sent is. The span of a node that has restarted
+// is too short for that, since it has forgotten what it confirmed between its last
+// update and its end.
+func (l *Log) raisePeerWatermark(peer wire.NodeID, sent, now time.Time, span time.Duration) {
+	known, ok := l.peerWatermarks[peer]
+	if !ok {
+		return
 	}
-	if from := now.Add(-w.OwnSpan + w.OwnSpan/driftDivisor); ok && w.OwnSpan > 0 && !at.Before(from) && sent.After(at) {
-		at = sent
+	if l.watermark.After(known) {
+		known = l.watermark
 	}
-	if ok {
-		l.peerWatermarks[from] = at
+	begin := now.Add(-span + span/driftDivisor)
+	if span > 0 && !known.Before(begin) && sent.After(known) {
+		known = sent
 	}
+	l.peerWatermarks[peer] = known
 }
--- a/internal/cancels/cancels_test.go
+++ b/internal/cancels/cancels_test.go
@@ -17,10 +17,10 @@
 // Nodes that confirm cancellations, read the state service or are refused by
 // it, tell each other over streams whose answers come late or never, end, and
 // are back with nothing. The plain model is the list of all that was ever
-// confirmed: whatever a node says it knows, it knows.
-func TestKnownIsKnown(t *testing.T) {
+// confirmed: all before a node's watermark it knows.
+func TestWatermarkIsComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		synctest.Test(t, func(*testing.T) { known3(rt) })
+		synctest.Test(t, func(*testing.T) { checkWatermarks(rt) })
 	})
 }
 
@@ -31,7 +31,7 @@
 	at  time.Time
 }
 
-func known3(t *rapid.T) {
+func checkWatermarks(t *rapid.T) {
 	names := []wire.NodeID{"a", "b", "c"}
 	fresh := func(i int) *Log {
 		var others []wire.NodeID
@@ -43,20 +43,20 @@
 		return New(others, modelCancel)
 	}
 	type answer struct {
-		sent time.Time
-		w    Update
+		sent   time.Time
+		update Update
 	}
-	var ls [3]*Log
-	var told [3][3]uint64        // by whom, to whom
-	var under [3][3][]answer     // on their way on the stream that is open
+	var logs [3]*Log
+	var cursors [3][3]uint64     // by sender, then receiver
+	var pending [3][3][]answer   // on their way on the stream that is open
 	var confirmed []confirmation // by anyone, in order
-	for i := range ls {
-		ls[i] = fresh(i)
+	for i := range logs {
+		logs[i] = fresh(i)
 	}
-	breaks := func(i int) {
-		for k := range ls {
-			told[i][k], told[k][i] = 0, 0
-			under[i][k], under[k][i] = nil, nil
+	breakStreams := func(i int) {
+		for k := range logs {
+			cursors[i][k], cursors[k][i] = 0, 0
+			pending[i][k], pending[k][i] = nil, nil
 		}
 	}
 	for step := range rapid.IntRange(10, 120).Draw(t, "steps") {
@@ -65,7 +65,7 @@
 		switch rapid.IntRange(0, 9).Draw(t, "what") {
 		case 0, 1:
 			id := wire.JobID(fmt.Sprintf("req-%d", step))
-			ls[i].Add(id, 0)
+			logs[i].Add(id, 0)
 			confirmed = append(confirmed, confirmation{id, time.Now()})
 		case 2:
 			// A read takes a while, and tells what was stored when it began.
@@ -73,30 +73,30 @@
 			stored := confirmed
 			time.Sleep(time.Duration(rapid.IntRange(0, 900).Draw(t, "read")) * time.Millisecond)
 			for _, c := range stored {
-				ls[i].Add(c.job, time.Since(c.at))
+				logs[i].Add(c.job, time.Since(c.at))
 			}
-			ls[i].RecordRead(began)
+			logs[i].RecordRead(began)
 		case 3, 4, 5:
 			// k asks i, whose answer is made after a moment.
 			sent := time.Now()
 			time.Sleep(time.Duration(rapid.IntRange(0, 200).Draw(t, "ask")) * time.Millisecond)
-			var w Update
-			w, told[i][k] = ls[i].UpdateSince(told[i][k])
-			under[i][k] = append(under[i][k], answer{sent, w})
+			var u Update
+			u, cursors[i][k] = logs[i].UpdateSince(cursors[i][k])
+			pending[i][k] = append(pending[i][k], answer{sent, u})
 		case 6, 7:
-			for _, a := range under[i][k] {
-				ls[k].Apply(names[i], a.sent, &a.w)
+			for _, a := range pending[i][k] {
+				logs[k].Apply(names[i], a.sent, &a.update)
 			}
-			under[i][k] = nil
+			pending[i][k] = nil
 		case 8:
 			if rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
-				ls[i] = fresh(i)
+				logs[i] = fresh(i)
 			}
-			breaks(i) // or its links only
+			breakStreams(i) // or its links only
 		case 9:
 			time.Sleep(time.Duration(rapid.IntRange(0, 8000).Draw(t, "wait")) * time.Millisecond)
 		}
-		for n, l := range ls {
+		for n, l := range logs {
 			until := l.Watermark()
 			if until.After(time.Now()) {
 				t.Fatalf("%s knows the future", names[n])
@@ -112,50 +112,50 @@
 	}
 }
 
-// In an outage the words of all other nodes keep it known; of one that is
-// silent, or back with nothing, only until its last word.
-func TestWordsOfAll(t *testing.T) {
+// In an outage the updates of all other nodes raise the watermark; with one that
+// is silent, or back with nothing, it stays at its last update.
+func TestUpdatesOfAllPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, c := New([]wire.NodeID{"b", "c"}, modelCancel), New([]wire.NodeID{"a", "c"}, modelCancel), New([]wire.NodeID{"a", "b"}, modelCancel)
 		time.Sleep(time.Second)
 		a.RecordRead(time.Now())
 		var fromB, fromC uint64
-		word := func(from wire.NodeID, l *Log, cursor *uint64) {
-			var w Update
-			w, *cursor = l.UpdateSince(*cursor)
-			a.Apply(from, time.Now(), &w)
+		update := func(from wire.NodeID, l *Log, cursor *uint64) {
+			var u Update
+			u, *cursor = l.UpdateSince(*cursor)
+			a.Apply(from, time.Now(), &u)
 		}
 		for range 30 {
 			time.Sleep(time.Second)
 			b.Add(wire.JobID(fmt.Sprint("req-", time.Now().Unix())), 0)
-			word("b", b, &fromB)
-			word("c", c, &fromC)
+			update("b", b, &fromB)
+			update("c", c, &fromC)
 		}
 		if ago := time.Since(a.Watermark()); ago > time.Second {
-			t.Errorf("with the word of all others it is known until %v ago", ago)
+			t.Errorf("with the updates of all others the watermark is %v ago", ago)
 		}
 		last := time.Now()
 		c, fromC = New([]wire.NodeID{"a", "b"}, modelCancel), 0
 		for range 10 {
 			time.Sleep(time.Second)
-			word("b", b, &fromB)
-			word("c", c, &fromC)
+			update("b", b, &fromB)
+			update("c", c, &fromC)
 		}
 		if at := a.Watermark(); !at.Equal(last) {
-			t.Errorf("a node that is back with nothing vouches until %v after its last life's word", at.Sub(last))
+			t.Errorf("a node that is back with nothing raises the watermark to %v after its former process's last update", at.Sub(last))
 		}
 		a.RecordRead(time.Now())
 		time.Sleep(time.Second)
-		word("b", b, &fromB)
-		word("c", c, &fromC)
+		update("b", b, &fromB)
+		update("c", c, &fromC)
 		if ago := time.Since(a.Watermark()); ago > time.Second {
-			t.Errorf("after a read it is known until %v ago", ago)
+			t.Errorf("after a read the watermark is %v ago", ago)
 		}
 	})
 }
 
-// What is kept is bounded; a node that had to drop some vouches for less.
-func TestBounded(t *testing.T) {
+// What is kept is bounded; a node that had to drop some states a shorter span.
+func TestLogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New([]wire.NodeID{"b"}, modelCancel)
 		l.RecordRead(time.Now())
@@ -166,15 +166,15 @@
 		if len(l.records) > maxRecords || len(l.confirmedAt) != len(l.records) {
 			t.Errorf("%d and %d are kept", len(l.records), len(l.confirmedAt))
 		}
-		w, cursor := l.UpdateSince(0)
-		if w.OwnSpan != 0 || len(w.Cancelled) != maxUpdateEntries {
-			t.Errorf("the first word of many tells %d and vouches for %v", len(w.Cancelled), w.OwnSpan)
+		u, cursor := l.UpdateSince(0)
+		if u.OwnSpan != 0 || len(u.Cancelled) != maxUpdateEntries {
+			t.Errorf("the first update of many has %d entries and a span of %v", len(u.Cancelled), u.OwnSpan)
 		}
-		for w.OwnSpan == 0 {
-			w, cursor = l.UpdateSince(cursor)
+		for u.OwnSpan == 0 {
+			u, cursor = l.UpdateSince(cursor)
 		}
-		if w.OwnSpan >= time.Since(l.records[0].addedAt)+time.Millisecond {
-			t.Errorf("vouches for %v, but the log begins %v ago", w.OwnSpan, time.Since(l.records[0].addedAt))
+		if u.OwnSpan >= time.Since(l.records[0].addedAt)+time.Millisecond {
+			t.Errorf("states a span of %v, but the log begins %v ago", u.OwnSpan, time.Since(l.records[0].addedAt))
 		}
 		time.Sleep(3 * modelCancel)
 		l.Add("req-x", 0)
