--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -8,6 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
+	"lilaclead/internal/intake"
 	"lilaclead/internal/leader"
 )
 
@@ -59,8 +60,8 @@
 }
 
 // Request observes users' requests.
-func (m *Metrics) Request(op string, status int, took time.Duration) {
-	m.requests.WithLabelValues(op, strconv.Itoa(status)).Observe(took.Seconds())
+func (m *Metrics) Request(op intake.Operation, status int, took time.Duration) {
+	m.requests.WithLabelValues(string(op), strconv.Itoa(status)).Observe(took.Seconds())
 }
 
 // Leader is the leader's view of the metrics.
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -22,7 +22,7 @@
 	"lilaclead/internal/wire"
 )
 
-func rig(t *testing.T) (*Intake, http.Handler) {
+func newIntake(t *testing.T) (*Intake, http.Handler) {
 	set := &config.Settings{Teams: []config.Team{{Name: "red"}}, State: config.State{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16}, Limits: config.Limits{FDLimit: 900}}
 	away := netio.Net{Dial: func(context.Context, string, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
@@ -35,32 +35,32 @@
 	return in, r
 }
 
-// A full stage refuses at once, and says when to come back.
-func TestFullStage(t *testing.T) {
-	in, h := rig(t)
-	for range cap(in.stage) {
-		in.stage <- struct{}{}
+// Beyond the requests in work more are refused at once, with when to come back.
+func TestTooManyInFlight(t *testing.T) {
+	in, h := newIntake(t)
+	for range cap(in.inFlight) {
+		in.inFlight <- struct{}{}
 	}
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest("GET", "/v1/jobs/req-1", nil))
 	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") == "" {
 		t.Errorf("answered %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 	}
-	<-in.stage
+	<-in.inFlight
 	w = httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest("GET", "/v1/jobs/req-1", nil))
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 		t.Errorf("with room, and the state service away: %d", w.Code)
 	}
-	if len(in.stage) != cap(in.stage)-1 {
-		t.Error("the stage's place was not given back")
+	if len(in.inFlight) != cap(in.inFlight)-1 {
+		t.Error("the request's place was not given back")
 	}
 }
 
-// A final state is answered without the state service, for ever; what can't
+// A final state is answered without the state service, forever; what can't
 // be read is 503 and never 404; what can't be judged yet is 503.
 func TestAnswersWithoutTheStateService(t *testing.T) {
-	in, h := rig(t)
+	in, h := newIntake(t)
 	in.finals.put(wire.JobState{ID: "req-1", Status: wire.Done, Done: 3})
 	in.finals.put(wire.JobState{ID: "req-2", Status: wire.Running})
 	ask := func(method, path string, body []byte) int {
@@ -92,16 +92,16 @@
 }
 
 // The memory of final states is bounded and keeps the newest.
-func TestFinalsAreBounded(t *testing.T) {
-	var f finals
+func TestFinalStatesAreBounded(t *testing.T) {
+	var f finalStates
 	id := func(n int) wire.JobID { return wire.JobID("req-" + strconv.Itoa(n)) }
-	for n := range 5 * finalsMost {
+	for n := range 5 * maxFinalStates {
 		f.put(wire.JobState{ID: id(n), Status: wire.Done})
 	}
-	if len(f.young)+len(f.old) > 2*finalsMost {
+	if len(f.young)+len(f.old) > 2*maxFinalStates {
 		t.Errorf("%d states are kept", len(f.young)+len(f.old))
 	}
-	if _, ok := f.get(id(5*finalsMost - 1)); !ok {
+	if _, ok := f.get(id(5*maxFinalStates - 1)); !ok {
 		t.Error("the newest is gone")
 	}
 }
