--- a/door_test.go
+++ b/listener_test.go
@@ -14,18 +14,18 @@
 	"lilaclead/internal/simulator"
 )
 
-// At the limit of connections the one that has been idle longest makes room,
+// At the limit of connections the one that has been idle longest is closed,
 // users' before workers'; when none is idle, the next waits without a spin.
-func TestDoor(t *testing.T) {
+func TestBoundedListener(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := simulator.NewNetwork(time.Millisecond)
 		l, err := nw.Host("10.0.0.1").Listen("tcp4", "10.0.0.1:8080")
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := newDoor(l, 4, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		d := newBoundedListener(l, 4, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		hold := make(chan struct{})
-		srv := &http.Server{ConnState: d.state, ConnContext: d.context, Handler: d.knows(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		srv := &http.Server{ConnState: d.connState, ConnContext: d.connContext, Handler: d.classify(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Has("hold") {
 				<-hold
 			}
@@ -42,6 +42,7 @@
 				return err == nil && status == 200
 			}
 		}
+		idle := func(kind clientKind) int { d.mu.Lock(); defer d.mu.Unlock(); return d.idle[kind].Len() }
 		open := func() int { d.mu.Lock(); defer d.mu.Unlock(); return d.open }
 		worker1, worker2, user1, user2 := client(), client(), client(), client()
 		for i, ask := range []func(string) bool{worker1, worker2} {
@@ -50,8 +51,8 @@
 			}
 		}
 		// Full but for the place that is kept for the next.
-		if !client()("/ready") || d.idle[visitor].Len() == 0 || d.idle[worker].Len() != 2 {
-			t.Errorf("a health check at the limit; idle: %d users', %d workers'", d.idle[visitor].Len(), d.idle[worker].Len())
+		if !client()("/ready") || idle(userClient) == 0 || idle(workerClient) != 2 {
+			t.Errorf("a health check at the limit; idle: %d users', %d workers'", idle(userClient), idle(workerClient))
 		}
 		var more []func(string) bool
 		for range 6 {
@@ -61,8 +62,8 @@
 				t.Error("a worker is not served at the limit")
 			}
 		}
-		if d.idle[visitor].Len() != 0 || open() > 4 {
-			t.Errorf("%d users' connections stay beside workers', %d open", d.idle[visitor].Len(), open())
+		if idle(userClient) != 0 || open() > 4 {
+			t.Errorf("%d users' connections stay beside workers', %d open", idle(userClient), open())
 		}
 		for _, c := range more[3:] {
 			go c("/hello?hold")
@@ -96,10 +97,10 @@
 	}{{4296, 322, 5, 2870}, {2900, 322, 7, 1170}, {5000, 342, 5, 3300}, {900, 98, 7, 370}, {900, 98, 3, 48}, {64, 98, 3, 10}, {4296, 60, 5, 500}} {
 		lim := config.Limits{FDLimit: c.fd, MemoryMB: c.mb}
 		s := splitSockets(lim, c.nodes)
-		if s.workers() < c.workers || s.front+s.direct+s.own > max(c.fd, 70) {
+		if s.workers() < c.workers || s.accepted+s.direct+s.internal > max(c.fd, 70) {
 			t.Errorf("%+v: %+v holds %d workers", c, s, s.workers())
 		}
-		if n := needed(3*s.workers(), lim, c.nodes); n <= c.fd && c.mb > 90 {
+		if n := socketsNeeded(3*s.workers(), lim, c.nodes); n <= c.fd && c.mb > 90 {
 			t.Errorf("%+v: %d sockets are called enough for %d workers", c, n, 3*s.workers())
 		}
 		if tight := c.mb < 90; tight != (s.memoryNeeded > c.mb) {
--- a/node.go
+++ b/node.go
@@ -16,8 +16,6 @@
 	"strings"
 	"time"
 
-	"github.com/julienschmidt/httprouter"
-
 	"lilaclead/internal/admin"
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
@@ -53,8 +51,8 @@
 	flavors     *leader.FlavorBox
 	tuning      *tuning.Box
 	admin       *admin.Admin
+	sockets     socketBudget
 	undecodable *undecodable.Log
-	sockets     sockets
 }
 
 // Options of a node; the zero value is the machine's own network and standard
@@ -79,41 +77,67 @@
 	n.base = Level(os.Getenv("LOG_LEVEL"))
 	n.level.Set(n.base)
 	n.log = slog.New(slog.NewTextHandler(opt.Log, &slog.HandlerOptions{Level: n.level})).With("node", cfg.HostName)
-	set := &cfg.Settings
-	n.store = store.New(cfg.Endpoints.State, set.State.Least(), set.Size, n.net)
-	n.cloud = cloud.New(cfg.Endpoints.Cloud, set.Cloud, n.net)
-	var others []wire.NodeID
-	for _, o := range cfg.Peers {
-		others = append(others, o.HostName)
-	}
-	cancelled := cancels.New(others, set.Workers.CancelS.Duration())
-	n.mesh = peer.New(cfg.HostName, cfg.Peers, func() peer.Status {
-		return peer.Status{Leads: n.leader.Leads(), Delegation: n.leader.DelegationToken(), StateReachable: n.store.Reachable(), ReachableWorkers: n.leader.WorkersInContact(), UnconfirmedSince: n.leader.UnprovenCancelSince()}
-	}, cancelled, n.net, n.log)
-	n.sockets = splitSockets(set.Limits, set.Size)
-	met := admin.NewMetrics()
-	n.store.Observe = met.Call("state")
-	n.cloud.Observe = met.Call("cloud")
-	met.Budget("state requests", func() float64 { calls, _ := n.store.Left(); return calls })
-	met.Budget("state changes", func() float64 { _, writes := n.store.Left(); return writes })
+	settings := &cfg.Settings
+	n.store = store.New(cfg.Endpoints.State, settings.State.Least(), settings.Size, n.net)
+	n.cloud = cloud.New(cfg.Endpoints.Cloud, settings.Cloud, n.net)
+	cancelled := cancels.New(peerNames(cfg), settings.Workers.CancelS.Duration())
+	n.mesh = peer.New(cfg.HostName, cfg.Peers, n.status, cancelled, n.net, n.log)
+	n.sockets = splitSockets(settings.Limits, settings.Size)
+	metrics := admin.NewMetrics()
+	n.store.Observe = metrics.Call("state")
+	n.cloud.Observe = metrics.Call("cloud")
+	metrics.Budget("state requests", func() float64 { calls, _ := n.store.Left(); return calls })
+	metrics.Budget("state changes", func() float64 { _, writes := n.store.Left(); return writes })
 	n.undecodable = undecodable.New(n.log)
 	n.leader = leader.New(leader.Deps{
-		Config: cfg, Net: n.net, Store: n.store, Cloud: n.cloud, Mesh: n.mesh, Cancels: cancelled, Tuning: n.tuning, Flavors: n.flavors, Log: n.log, Metrics: met.Leader(), Undecodable: n.undecodable,
-		Sockets: n.sockets.direct, Workers: n.sockets.workers(), Needed: func(workers int) int { return needed(workers, set.Limits, set.Size) },
+		Config: cfg, Net: n.net, Store: n.store, Cloud: n.cloud, Mesh: n.mesh, Cancels: cancelled,
+		Tuning: n.tuning, Flavors: n.flavors, Log: n.log, Metrics: metrics.Leader(), Undecodable: n.undecodable,
+		Sockets: n.sockets.direct, Workers: n.sockets.workers(),
+		Needed: func(workers int) int { return socketsNeeded(workers, settings.Limits, settings.Size) },
 	})
-	n.intake = intake.New(set, n.store, cancelled, n.flavors.Get, n.log)
-	n.intake.Observe, n.intake.Undecodable = met.Request, n.undecodable
-	n.admin = admin.New(cfg, n.store, n.tuning, n.leader, n.mesh, met, n.log)
+	n.intake = intake.New(settings, n.store, cancelled, n.flavors.Get, n.log)
+	n.intake.Observe = metrics.Request
+	n.intake.Undecodable = n.undecodable
+	n.admin = admin.New(cfg, n.store, n.tuning, n.leader, n.mesh, metrics, n.log)
 	n.admin.Undecodable = n.undecodable
 	return n, nil
 }
 
+// status is what the other nodes are told of this one.
+func (n *Node) status() peer.Status {
+	return peer.Status{
+		Leads:            n.leader.Leads(),
+		Delegation:       n.leader.DelegationToken(),
+		StateReachable:   n.store.Reachable(),
+		ReachableWorkers: n.leader.WorkersInContact(),
+		UnconfirmedSince: n.leader.UnprovenCancelSince(),
+	}
+}
+
+func peerNames(cfg *Config) []wire.NodeID {
+	var names []wire.NodeID
+	for _, p := range cfg.Peers {
+		names = append(names, p.HostName)
+	}
+	return names
+}
+
+const (
+	// processorThreads: a controller is given one core or less.
+	processorThreads = 1
+	// heapShare is the part of memory_mb for the heap; stacks and the runtime take
+	// the rest.
+	heapShare = 0.7
+	// collectorPercent: the heap may triple between collections below its limit.
+	collectorPercent = 200
+)
+
 // LimitProcess fits the Go runtime into the limits of the settings file. It
 // is for a process that is a node and nothing else.
 func LimitProcess(cfg *Config) {
-	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemoryMB * 0.7 * (1 << 20)))
-	debug.SetGCPercent(200)
+	runtime.GOMAXPROCS(processorThreads)
+	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemoryMB * heapShare * (1 << 20)))
+	debug.SetGCPercent(collectorPercent)
 }
 
 // Level reads a log level's name.
@@ -128,11 +152,21 @@
 	}
 }
 
+// Limits of time and size of the servers for users, workers and peers.
+const (
+	headerTimeout   = 4 * time.Second
+	requestTimeout  = 8 * time.Second
+	responseTimeout = 10 * time.Second
+	// idleTimeout outlives the longest pause between two reports.
+	idleTimeout     = 75 * time.Second
+	peerIdleTimeout = 60 * time.Second
+	maxHeaderBytes  = 16 << 10
+)
+
 // Run serves until the context ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	lim := n.cfg.Settings.Limits
 	front, err := n.net.Listen("tcp4", n.cfg.Front)
 	if err != nil {
 		return fmt.Errorf("front: %w", err)
@@ -142,34 +176,13 @@
 		front.Close()
 		return fmt.Errorf("peer_bind: %w", err)
 	}
-	split := n.sockets
-	n.log.Info("sockets", "limit", lim.FDLimit, "split", split, "workers_alone", split.workers())
-	if split.memoryNeeded > lim.MemoryMB {
-		n.log.Warn("memory_mb is too small for fd_limit: fewer connections are accepted", "memory_mb", lim.MemoryMB, "needed", int(split.memoryNeeded))
-	}
-	door := newDoor(front, split.front, n.log)
-	frontSrv := &http.Server{
-		Handler: door.knows(n.frontRoutes()), ConnState: door.state, ConnContext: door.context, ReadHeaderTimeout: 4 * time.Second, ReadTimeout: 8 * time.Second,
-		WriteTimeout: 10 * time.Second, IdleTimeout: 75 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
-	}
-	var protocols http.Protocols
-	protocols.SetHTTP1(true)
-	protocols.SetUnencryptedHTTP2(true)
-	peerSrv := &http.Server{Handler: n.peerRoutes(), Protocols: &protocols, ReadHeaderTimeout: 4 * time.Second,
-		IdleTimeout: 60 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
-	go n.mesh.Run(ctx)
-	go n.leader.Run(ctx)
-	go n.intake.Run(ctx)
-	go n.learnFlavors(ctx)
-	go n.admin.Follow(ctx, func(v tuning.Values) {
-		n.level.Set(n.base)
-		if v.LogLevel != "" {
-			n.level.Set(Level(v.LogLevel))
-		}
-	})
+	n.logLimits()
+	bounded := newBoundedListener(front, n.sockets.accepted, n.log)
+	frontServer, peerServer := n.frontServer(bounded), n.peerServer()
+	n.startActors(ctx)
 	errs := make(chan error, 2)
-	go func() { errs <- frontSrv.Serve(door) }()
-	go func() { errs <- peerSrv.Serve(peers) }()
+	go func() { errs <- frontServer.Serve(bounded) }()
+	go func() { errs <- peerServer.Serve(peers) }()
 	n.log.Info("serves", "front", n.cfg.Front, "peers", n.cfg.PeerBind)
 	select {
 	case err = <-errs:
@@ -177,96 +190,96 @@
 		err = nil
 	}
 	cancel()
-	frontSrv.Close()
-	peerSrv.Close()
+	frontServer.Close()
+	peerServer.Close()
 	if errors.Is(err, http.ErrServerClosed) {
 		err = nil
 	}
 	return err
 }
 
-func (n *Node) frontRoutes() http.Handler {
-	r := router()
-	n.intake.Routes(r)
-	r.POST("/hello", n.leader.Report)
-	r.GET("/ready", n.ready)
-	return r
+// startActors starts what runs until the context ends.
+func (n *Node) startActors(ctx context.Context) {
+	go n.mesh.Run(ctx)
+	go n.leader.Run(ctx)
+	go n.intake.Run(ctx)
+	go n.learnFlavors(ctx)
+	go n.admin.Follow(ctx, func(v tuning.Values) {
+		n.level.Set(n.base)
+		if v.LogLevel != "" {
+			n.level.Set(Level(v.LogLevel))
+		}
+	})
 }
 
-func (n *Node) peerRoutes() http.Handler {
-	r := router()
-	r.Handler("POST", "/peer/beats", n.mesh)
-	r.POST("/peer/hello", n.leader.RelayReport)
-	r.POST("/peer/ask", n.leader.RelayProbe)
-	n.admin.Routes(r)
-	return r
+// logLimits logs how the sockets are split, and limits that don't fit each other.
+func (n *Node) logLimits() {
+	limits := n.cfg.Settings.Limits
+	n.log.Info("sockets", "limit", limits.FDLimit, "split", n.sockets, "workers_alone", n.sockets.workers())
+	if n.sockets.memoryNeeded > limits.MemoryMB {
+		n.log.Warn("memory_mb is too small for fd_limit: fewer connections are accepted", "memory_mb", limits.MemoryMB, "needed", int(n.sockets.memoryNeeded))
+	}
 }
 
-func router() *httprouter.Router {
-	r := httprouter.New()
-	r.RedirectTrailingSlash, r.RedirectFixedPath, r.HandleOPTIONS = false, false, false
-	r.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		wire.Answer(w, http.StatusNotFound, wire.Reason{Error: "no such path"})
-	})
-	r.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		wire.Answer(w, http.StatusMethodNotAllowed, wire.Reason{Error: "method not allowed"})
-	})
-	return r
+// frontServer serves users and workers.
+func (n *Node) frontServer(l *boundedListener) *http.Server {
+	return &http.Server{
+		Handler:           l.classify(n.frontRoutes()),
+		ConnState:         l.connState,
+		ConnContext:       l.connContext,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       requestTimeout,
+		WriteTimeout:      responseTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+	}
 }
 
-// ready fails only when this node can't serve and another says that it can,
-// or may, since none is heard: in an outage that all share, every node stays
-// ready and refuses fast.
-func (n *Node) ready(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-	if !n.store.Reachable() {
-		now := time.Now()
-		hears := len(n.cfg.Peers) == 0
-		for _, o := range n.mesh.View().Peers {
-			if !o.Connected(now) {
-				continue
-			}
-			hears = true
-			if o.StateReachable {
-				wire.Refuse(w, http.StatusServiceUnavailable, "state service not reachable from here", 1)
-				return
-			}
-		}
-		if !hears {
-			wire.Refuse(w, http.StatusServiceUnavailable, "neither state service nor another node reachable from here", 1)
-			return
-		}
+// peerServer serves the other nodes, whose streams have no end, and operators.
+func (n *Node) peerServer() *http.Server {
+	var protocols http.Protocols
+	protocols.SetHTTP1(true)
+	protocols.SetUnencryptedHTTP2(true)
+	return &http.Server{
+		Handler:           n.peerRoutes(),
+		Protocols:         &protocols,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       peerIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
-	wire.Answer(w, http.StatusOK, struct {
-		Ready bool `cbor:"ready"`
-	}{true})
 }
 
+// flavorsRetry is the pause before the machine types are asked for again.
+const flavorsRetry = 500 * time.Millisecond
+
 // learnFlavors finds the machine types, from the state service where an
 // earlier leader left them, or from the cloud.
 func (n *Node) learnFlavors(ctx context.Context) {
 	for n.flavors.Get() == nil {
-		var f wire.MachineSpecs
+		var stored wire.MachineSpecs
 		e, err := n.store.Get(ctx, store.Duty, store.FlavorsKey)
 		if err == nil {
-			if err = wire.Decode(e.Value, &f); err != nil {
+			if err = wire.Decode(e.Value, &stored); err != nil {
 				n.undecodable.Note(store.FlavorsKey, err)
 				err = store.ErrMissing
 			}
 		}
-		if err == nil && len(f.Types) > 0 {
-			n.flavors.Set(f.Types)
+		if err == nil && len(stored.Types) > 0 {
+			n.flavors.Set(stored.Types)
 			return
 		}
 		if errors.Is(err, store.ErrMissing) {
-			if fs, err := n.cloud.Flavors(ctx); err == nil {
-				n.flavors.Set(fs)
+			if offered, err := n.cloud.Flavors(ctx); err == nil {
+				n.flavors.Set(offered)
 				return
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(500 * time.Millisecond):
+		case <-time.After(flavorsRetry):
 		}
 	}
 }
