--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -38,9 +38,9 @@
 	m.rounds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lilaclead_round_seconds", Help: "Placement rounds.", Buckets: buckets})
 	m.starts = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_starts_total", Help: "Tasks placed."})
 	m.halts = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_preemptions_total", Help: "Tasks stopped to make room."})
-	m.led = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_terms_total", Help: "Times that this node took the office."})
+	m.led = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_terms_total", Help: "Times that this node became leader."})
 	m.reports = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_reports_total", Help: "Workers' reports."}, []string{"outcome"})
-	m.waits = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_wait_seconds", Help: "From acceptance to a job's first running task.", Buckets: []float64{.5, 1, 2, 5, 10, 20, 40, 80, 160}}, []string{"lane"})
+	m.waits = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_wait_seconds", Help: "From acceptance to a job's first running task.", Buckets: []float64{.5, 1, 2, 5, 10, 20, 40, 80, 160}}, []string{"class"})
 	m.commands = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_commands_total", Help: "Direct commands to workers."}, []string{"outcome"})
 	m.moved = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_moves_total", Help: "Tasks that ended before they were done."}, []string{"why"})
 	m.fleet = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_fleet_total", Help: "Machines rented, drained and released."}, []string{"what"})
@@ -74,7 +74,7 @@
 		},
 		Led:     m.led.Inc,
 		Report:  func(s string) { m.reports.WithLabelValues(s).Inc() },
-		Waited:  func(lane string, s float64) { m.waits.WithLabelValues(lane).Observe(s) },
+		Waited:  func(class string, s float64) { m.waits.WithLabelValues(class).Observe(s) },
 		Command: func(s string) { m.commands.WithLabelValues(s).Inc() },
 		Moved:   func(s string) { m.moved.WithLabelValues(s).Inc() },
 		Machines: func(n map[string]int) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -50,7 +50,7 @@
 	Round   func(took time.Duration, starts, halts int)
 	Led     func()
 	Report  func(status string)
-	Waited  func(lane string, seconds float64)
+	Waited  func(class string, seconds float64)
 	Command func(outcome string)
 	Moved   func(why string)
 	Fleet   func(what string, n int)
