--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,7 +26,7 @@
 	Settings  Settings    `toml:"settings"`
 }
 
-// Other is another node.
+// Peer is another node.
 type Peer struct {
 	HostName wire.NodeID `toml:"host_name"`
 	Zone     wire.Zone   `toml:"zone"`
