--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -135,7 +135,7 @@
 	for k, v := range c.Set {
 		m[k] = v
 	}
-	rev, err := a.store.Commit(r.Context(), store.Duty, wire.Txn{
+	rev, err := a.store.Commit(r.Context(), store.Background, wire.Txn{
 		Guards: []wire.Guard{{Key: store.SettingsKey, Revision: version}},
 		Writes: []wire.Write{{Put: store.SettingsKey, Value: wire.Encode(m)}},
 	})
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -42,8 +42,8 @@
 func samples() []sample {
 	return []sample{
 		{"job", store.JobRecord{Spec: fullSpec(), Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 37}},
-		{"chunk", store.ChunkRecord{Next: 17, Done: []int{0, 3}, Held: []store.Held{{Task: 4, Try: 12, On: "n-000231"}}, Size: 64}},
-		{"held", store.Held{Task: 5, Try: 13, On: "n-000232"}},
+		{"chunk", store.ChunkRecord{Next: 17, Done: []int{0, 3}, Held: []store.HeldAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}},
+		{"held", store.HeldAttempt{Task: 5, Attempt: 13, Machine: "n-000232"}},
 		{"past", store.PastRecord{Status: wire.Done, Done: 1600}},
 		{"lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"}},
 
@@ -422,13 +422,13 @@
 // What records lie under in the state service.
 func TestStoredUnderTheSameKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		store.JobKey("req-1"):         "job/req-1",
-		store.ChunkKey("req-1", 2):    "run/req-1/2",
-		store.PieceKey("req-1", 2, 3): "run/req-1/2/3",
-		store.PastKey("req-1"):        "past/req-1",
-		store.LeadKey:                 "lead",
-		store.FlavorsKey:              "fact/flavors",
-		store.SettingsKey:             "fact/settings",
+		store.JobKey("req-1"):            "job/req-1",
+		store.ChunkKey("req-1", 2):       "run/req-1/2",
+		store.SubchunkKey("req-1", 2, 3): "run/req-1/2/3",
+		store.PastKey("req-1"):           "past/req-1",
+		store.LeadKey:                    "lead",
+		store.FlavorsKey:                 "fact/flavors",
+		store.SettingsKey:                "fact/settings",
 	} {
 		if got != want {
 			t.Errorf("stored under %q, not %q", got, want)
--- a/internal/compat/versions_test.go
+++ b/internal/compat/versions_test.go
@@ -39,11 +39,11 @@
 	on    wire.MachineID
 }
 
-func held(step wire.Attempt, runs ...placed) []store.Held {
-	var out []store.Held
+func held(step wire.Attempt, runs ...placed) []store.HeldAttempt {
+	var out []store.HeldAttempt
 	for _, r := range runs {
 		for i := range r.count {
-			out = append(out, store.Held{Task: r.task + i, Try: r.try + step*wire.Attempt(i), On: r.on})
+			out = append(out, store.HeldAttempt{Task: r.task + i, Attempt: r.try + step*wire.Attempt(i), Machine: r.on})
 		}
 	}
 	return out
@@ -116,10 +116,10 @@
 			// A chunk of 256 tasks, and a piece that holds in its place for 32.
 			"run/req-000007/0": store.ChunkRecord{Next: 80, Held: held(1, placed{0, 1, 6, "n-000013"}, placed{6, 7, 1, "n-000015"}, placed{7, 8, 4, "n-000016"},
 				placed{11, 12, 8, "n-000012"}, placed{19, 20, 28, "n-000016"}, placed{47, 48, 31, "n-000015"}, placed{78, 79, 1, "n-000017"})},
-			"run/req-000007/0/1": store.ChunkRecord{Next: 111, Size: 32, Held: held(1, placed{0, 33, 15, "n-000016"}, placed{15, 48, 17, "n-000015"})},
+			"run/req-000007/0/1": store.ChunkRecord{Next: 111, SubchunkTasks: 32, Held: held(1, placed{0, 33, 15, "n-000016"}, placed{15, 48, 17, "n-000015"})},
 			// Pieces of a job with completed tasks.
-			"run/req-000001/0/7": store.ChunkRecord{Next: 257, Done: []int{0, 32}, Held: []store.Held{}, Size: 32},
-			"run/req-000001/1/0": store.ChunkRecord{Next: 5, Done: []int{0, 2}, Held: held(1, placed{2, 3, 2, "n-000013"}), Size: 32},
+			"run/req-000001/0/7": store.ChunkRecord{Next: 257, Done: []int{0, 32}, Held: []store.HeldAttempt{}, SubchunkTasks: 32},
+			"run/req-000001/1/0": store.ChunkRecord{Next: 5, Done: []int{0, 2}, Held: held(1, placed{2, 3, 2, "n-000013"}), SubchunkTasks: 32},
 			// A gang in one chunk, and one in two.
 			"run/req-000005/0": store.ChunkRecord{Next: 2, Held: held(0, placed{0, 1, 3, "n-000006"})},
 			"run/req-000008/0": store.ChunkRecord{Next: 2, Held: held(0, placed{0, 1, 4, "n-000006"}, placed{4, 1, 8, "n-000003"}, placed{12, 1, 4, "n-000007"},
@@ -291,7 +291,7 @@
 func TestEarlierVersionsReadWhatIsWritten(t *testing.T) {
 	spec := fullSpec()
 	spec.Spread = true
-	chunk := store.ChunkRecord{Next: 17, Done: []int{1, 3}, Held: []store.Held{{Task: 4, Try: 12, On: "n-000231"}}, Size: 64}
+	chunk := store.ChunkRecord{Next: 17, Done: []int{1, 3}, Held: []store.HeldAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}
 	for _, c := range []struct{ now, earlier any }{
 		{store.JobRecord{Spec: spec, Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 37}, earlierJob{}},
 		{chunk, productionChunk{}},
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -52,7 +52,7 @@
 type Intake struct {
 	settings *config.Settings
 	store    *store.Client
-	jobs     *store.Copy
+	jobs     *store.JobCache
 	cancels  *cancels.Log
 	flavors  func() []wire.MachineSpec
 	log      *slog.Logger
@@ -74,7 +74,7 @@
 	return &Intake{
 		settings: settings,
 		store:    st,
-		jobs:     store.NewCopy(st, cancelled, limits.RPS, settings.Size),
+		jobs:     store.NewJobCache(st, cancelled, limits.RPS, settings.Size),
 		cancels:  cancelled,
 		flavors:  flavors,
 		log:      log,
@@ -84,7 +84,7 @@
 	}
 }
 
-// Run keeps the copy that polls are answered from until the context ends.
+// Run keeps the cache that polls are answered from until the context ends.
 func (in *Intake) Run(ctx context.Context) { in.jobs.Run(ctx) }
 
 // Routes adds the users' paths.
--- a/internal/intake/poll.go
+++ b/internal/intake/poll.go
@@ -87,7 +87,7 @@
 		return c
 	}
 	c = taskCount{readAt: time.Now()}
-	c.done, c.running = store.CountAll(entries)
+	c.done, c.running = store.CountTasks(entries)
 	counts.mu.Lock()
 	defer counts.mu.Unlock()
 	if len(counts.byJob) >= maxFinalStates {
--- a/internal/leader/chunk.go
+++ b/internal/leader/chunk.go
@@ -47,13 +47,13 @@
 	for i, s := range c.taskStates {
 		done[i] = s == taskDone
 	}
-	rec := store.ChunkRecord{Next: c.nextAttempt, Done: store.Ranges(done), Held: []store.Held{}}
+	rec := store.ChunkRecord{Next: c.nextAttempt, Done: store.PackRanges(done), Held: []store.HeldAttempt{}}
 	if c.job.subChunks > 0 {
-		rec.Size = c.job.chunkTasks
+		rec.SubchunkTasks = c.job.chunkTasks
 	}
 	for i, a := range c.attempts {
-		rec.Held = append(rec.Held, store.Held{Task: i, Try: a.number, On: a.machine.id})
+		rec.Held = append(rec.Held, store.HeldAttempt{Task: i, Attempt: a.number, Machine: a.machine.id})
 	}
-	slices.SortFunc(rec.Held, func(a, b store.Held) int { return a.Task - b.Task })
+	slices.SortFunc(rec.Held, func(a, b store.HeldAttempt) int { return a.Task - b.Task })
 	return rec
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -249,7 +249,7 @@
 		if err == nil {
 			t.l.Flavors.Set(fs)
 			if !stored {
-				_, err := t.l.Store.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Put: store.FlavorsKey, Value: wire.Encode(wire.MachineSpecs{Types: fs})}}})
+				_, err := t.l.Store.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Put: store.FlavorsKey, Value: wire.Encode(wire.MachineSpecs{Types: fs})}}})
 				stored = err == nil
 			}
 			t.post(t.requestRound)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -14,10 +14,10 @@
 func (t *term) recover(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		jobs, rev, err := t.l.Store.List(ctx, store.Duty, store.JobPrefix)
+		jobs, rev, err := t.l.Store.List(ctx, store.Background, store.JobPrefix)
 		if err == nil {
 			var runs []wire.Entry
-			if runs, _, err = t.l.Store.List(ctx, store.Duty, store.RunPrefix); err == nil {
+			if runs, _, err = t.l.Store.List(ctx, store.Background, store.RunPrefix); err == nil {
 				t.post(func() {
 					t.loadRecords(jobs, runs)
 					t.l.Cancels.RecordRead(began)
@@ -131,7 +131,7 @@
 		return
 	}
 	j.revision, j.stale = revision, j.cancelled && rec.Status != wire.Cancelled
-	rec.Tell(t.l.Cancels)
+	rec.LogCancellation(t.l.Cancels)
 	if rec.Status == wire.Cancelled && !j.cancelled {
 		j.cancelled = true
 		j.cancelledAt = time.Now().Add(-rec.Cancelled())
@@ -180,7 +180,7 @@
 		t.readChunk(j.chunk(n), e.Revision, &rec)
 	}
 	for _, e := range subChunks {
-		id, n, k, ok := store.ParsePieceKey(e.Key)
+		id, n, k, ok := store.ParseSubchunkKey(e.Key)
 		j := t.jobs[id]
 		if ok && j == nil && t.isAside(id) {
 			continue
@@ -192,13 +192,13 @@
 				continue
 			}
 		}
-		if !ok || j == nil || rec.Size < 1 ||
-			j.subChunks == 0 && (rec.Size >= j.chunkTasks || j.chunkTasks%rec.Size != 0) || j.subChunks > 0 && rec.Size != j.chunkTasks {
+		if !ok || j == nil || rec.SubchunkTasks < 1 ||
+			j.subChunks == 0 && (rec.SubchunkTasks >= j.chunkTasks || j.chunkTasks%rec.SubchunkTasks != 0) || j.subChunks > 0 && rec.SubchunkTasks != j.chunkTasks {
 			orphan(e)
 			continue
 		}
 		if j.subChunks == 0 {
-			j.split(rec.Size)
+			j.split(rec.SubchunkTasks)
 		}
 		if k >= j.subChunks || n*j.subChunks+k >= len(j.chunks) {
 			orphan(e)
@@ -224,7 +224,7 @@
 	j := c.job
 	c.revision, c.nextAttempt = revision, rec.Next
 	done := make([]bool, len(c.taskStates))
-	store.Unpack(rec.Done, done)
+	store.SetFlags(rec.Done, done)
 	for i, d := range done {
 		if d {
 			c.taskStates[i] = taskDone
@@ -235,6 +235,6 @@
 		if h.Task < 0 || h.Task >= len(c.taskStates) || c.taskStates[h.Task] != taskPending {
 			continue
 		}
-		c.hold(&attempt{job: j, chunk: c, index: h.Task, number: h.Try, machine: t.machine(h.On), inherited: true, decidedAt: t.startedAt})
+		c.hold(&attempt{job: j, chunk: c, index: h.Task, number: h.Attempt, machine: t.machine(h.Machine), inherited: true, decidedAt: t.startedAt})
 	}
 }
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -96,7 +96,7 @@
 // key under which the chunk is stored.
 func (c *chunk) key() string {
 	if n := c.job.subChunks; n > 0 {
-		return store.PieceKey(c.job.spec.ID, c.index/n, c.index%n)
+		return store.SubchunkKey(c.job.spec.ID, c.index/n, c.index%n)
 	}
 	return store.ChunkKey(c.job.spec.ID, c.index)
 }
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -206,7 +206,7 @@
 					held++
 				}
 			}
-			if d, h := store.CountAll(s.list()); d != done || h != held {
+			if d, h := store.CountTasks(s.list()); d != done || h != held {
 				t.Fatalf("counted %d done, %d held; stored are %d and %d", d, h, done, held)
 			}
 			if g := j.stored(); len(g) != len(s.keys) {
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -147,7 +147,7 @@
 		c.changed, c.beingWritten = false, true
 		delete(t.pendingWrites, c)
 	}
-	class := store.Duty
+	class := store.Background
 	if urgent {
 		class = store.Vital
 	}
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -86,7 +86,7 @@
 		for key, v := range unreadable {
 			w.State.Put(key, v)
 		}
-		w.State.Put("run/req-000777/0", store.ChunkRecord{Next: 5, Held: []store.Held{{Task: 0, Try: 4, On: "n-000000"}}})
+		w.State.Put("run/req-000777/0", store.ChunkRecord{Next: 5, Held: []store.HeldAttempt{{Task: 0, Attempt: 4, Machine: "n-000000"}}})
 		w.State.Put(store.FlavorsKey, 7)
 		w.State.Put(store.SettingsKey, "no settings")
 		at(64 * time.Second)
--- a/internal/scenarios/upgrade_test.go
+++ b/internal/scenarios/upgrade_test.go
@@ -56,7 +56,7 @@
 	reads(t, "job", store.JobRecord{Spec: oldSpec(), Status: wire.Queued, At: 1796000000123, Chunk: 256})
 	reads(t, "cancelled", store.JobRecord{Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 256,
 		Spec: wire.Spec{ID: "req-000413", Class: "live", Team: "portal", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 4.8, Image: "img-b", ImageGB: 1, Spread: true}})
-	reads(t, "run", store.ChunkRecord{Next: 17, Done: []int{0, 3, 9, 200}, Held: []store.Held{{Task: 4, Try: 12, On: "n-000231"}, {Task: 255, Try: 16, On: "n-001200"}}})
+	reads(t, "run", store.ChunkRecord{Next: 17, Done: []int{0, 3, 9, 200}, Held: []store.HeldAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}, {Task: 255, Attempt: 16, Machine: "n-001200"}}})
 	reads(t, "past", store.PastRecord{Status: wire.Done, Done: 1600})
 	reads(t, "lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"})
 	reads(t, "flavors", wire.MachineSpecs{Types: []wire.MachineSpec{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a", "b"}}}})
@@ -132,13 +132,13 @@
 		t.Errorf("production reads %+v", j)
 	}
 	var c oldChunk
-	if err := wire.Decode(wire.Encode(store.ChunkRecord{Next: 9, Done: []int{1, 3}, Held: []store.Held{{Task: 4, Try: 8, On: "n-1"}}}), &c); err != nil ||
+	if err := wire.Decode(wire.Encode(store.ChunkRecord{Next: 9, Done: []int{1, 3}, Held: []store.HeldAttempt{{Task: 4, Attempt: 8, Machine: "n-1"}}}), &c); err != nil ||
 		!reflect.DeepEqual(c, oldChunk{Next: 9, Done: []int{1, 3}, Held: []oldHeld{{Task: 4, Try: 8, On: "n-1"}}}) {
 		t.Errorf("production reads %+v, %v", c, err)
 	}
 	// A piece's key is no chunk's key: production would take it for left over.
 	// So none is written before the drop: TestNoPieceBeforeTheDrop.
-	if _, _, ok := store.ParseChunkKey(store.PieceKey("req-000412", 3, 1)); ok {
+	if _, _, ok := store.ParseChunkKey(store.SubchunkKey("req-000412", 3, 1)); ok {
 		t.Error("a piece is read as a chunk")
 	}
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,5 +1,7 @@
-// Package store is the client of the state service: requests within the rate
-// budgets, and a clear word on what is known of a transaction afterwards.
+// Package store is the client of the state service and the layout of what is
+// kept there. Client makes requests within the rate budgets and tells what is
+// known of a transaction afterwards; JobCache is a node's copy of the live jobs;
+// the records and their keys are in records.go and chunks.go.
 package store
 
 import (
@@ -55,16 +57,16 @@
 	return false
 }
 
-// Class of a request: who waits for the budget and who does not.
-type Class int
+// RequestClass says whether a request waits for the rate budget.
+type RequestClass int
 
 // The classes.
 const (
 	// Vital requests (renewals, elections, launches) never wait for the
-	// budget, but are counted in it, into debt: what keeps books waits then.
-	Vital Class = iota
-	// Duty requests (bookkeeping, recovery) wait for the budget.
-	Duty
+	// budget, but are counted in it, into debt: background requests wait then.
+	Vital RequestClass = iota
+	// Background requests (progress, recovery, settings) wait for the budget.
+	Background
 	// User requests are refused at once when the budget is used up.
 	User
 )
@@ -75,37 +77,52 @@
 	http    *http.Client
 	watches *http.Client
 	calls   *rate.Limiter
-	writes  *rate.Limiter // by the node's own duties
+	writes  *rate.Limiter // by the node itself
 	users   *rate.Limiter // changes that users ask for
 
-	// lastGood is the steady time of the last answer that shows the service
+	// lastSuccess is the monotonic time of the last answer that shows the service
 	// serves us, in nanoseconds since started.
-	lastGood atomic.Int64
-	lastBad  atomic.Int64
-	started  time.Time
+	lastSuccess atomic.Int64
+	lastRefusal atomic.Int64
+	started     time.Time
 	// Observe is told of every call, for the metrics.
 	Observe func(op string, outcome string, took time.Duration)
 }
 
-// ops and errors of one request must be over within this time.
-const callTimeout = 1500 * time.Millisecond
-
-// silentFor is how long the service must have answered nothing before users
-// are refused without a try.
-const silentFor = 2 * time.Second
+const (
+	// callTimeout bounds one request; a user waits two seconds in all.
+	callTimeout = 1500 * time.Millisecond
+	// watchMargin is what an answer may take beyond the time that a watch blocks.
+	watchMargin = 3 * time.Second
+	// outageAfter is how long the service must have answered nothing before users
+	// are refused without a try.
+	outageAfter = 2 * time.Second
+	// nodeShare is the part of the deployment's budgets that one node uses.
+	nodeShare = 0.6
+	// minRate (a second) keeps a node working under the lowest limits.
+	minRate = 2
+	// callConnections and watchConnections bound the connections to the service;
+	// the socket budget counts with their sum.
+	callConnections  = 12
+	watchConnections = 4
+	// pageSize is the number of keys asked for at a time.
+	pageSize = 500
+	// maxAnswer bounds an answer, in bytes: a page of the largest values.
+	maxAnswer = 8 << 20
+)
 
 // New makes a client. The budgets are the whole deployment's; a node takes
 // the larger half of what is left if the others take little, since mostly
 // one node leads and writes.
 func New(addr string, s config.State, size int, nw netio.Net) *Client {
-	share := func(total float64) float64 { return max(2, total*0.6) }
+	share := func(total float64) float64 { return max(minRate, total*nodeShare) }
 	if size == 1 {
 		share = func(total float64) float64 { return total }
 	}
 	return &Client{
 		base:    "http://" + addr,
-		http:    &http.Client{Transport: nw.Transport(12, 12)},
-		watches: &http.Client{Transport: nw.Transport(4, 4)},
+		http:    &http.Client{Transport: nw.Transport(callConnections, callConnections)},
+		watches: &http.Client{Transport: nw.Transport(watchConnections, watchConnections)},
 		calls:   rate.NewLimiter(rate.Limit(share(s.RPS)), int(share(s.RPS))),
 		writes:  rate.NewLimiter(rate.Limit(share(s.WriteRPS)), int(share(s.WriteRPS))),
 		users:   rate.NewLimiter(rate.Limit(share(s.WriteRPS)), int(share(s.WriteRPS))),
@@ -119,14 +136,14 @@
 
 // Reachable tells whether the service has served this node lately: its last
 // good answer is newer than its last refusal.
-func (c *Client) Reachable() bool { return c.lastGood.Load() >= c.lastBad.Load() }
+func (c *Client) Reachable() bool { return c.lastSuccess.Load() >= c.lastRefusal.Load() }
 
-func (c *Client) admit(ctx context.Context, class Class, writes int) error {
+func (c *Client) admit(ctx context.Context, class RequestClass, writes int) error {
 	switch class {
 	case Vital:
 		charge(c.calls, 1)
 		charge(c.writes, writes)
-	case Duty:
+	case Background:
 		if err := c.calls.Wait(ctx); err != nil {
 			return ErrRefused
 		}
@@ -138,10 +155,10 @@
 	case User:
 		// A user isn't kept waiting for a service that has answered nothing
 		// for a while; the election's own polls find out when it is back.
-		if !c.Reachable() && time.Since(c.started)-time.Duration(c.lastGood.Load()) > silentFor {
+		if !c.Reachable() && time.Since(c.started)-time.Duration(c.lastSuccess.Load()) > outageAfter {
 			return ErrRefused
 		}
-		// The calls of a leader's duties must not shut out the users that come
+		// A leader's own calls must not shut out the users that come
 		// to the same node: changes have a budget of their own, and reads of
 		// users are few, since polls share them.
 		if writes == 0 && !c.calls.Allow() || writes > 0 && !c.users.AllowN(time.Now(), min(writes, c.users.Burst())) {
@@ -172,9 +189,9 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var raw []byte
-	status, raw, _, err = netio.Call(ctx, hc, method, c.base+path, body, 8<<20)
+	status, raw, _, err = netio.Call(ctx, hc, method, c.base+path, body, maxAnswer)
 	if err != nil {
-		c.lastBad.Store(int64(time.Since(c.started)))
+		c.lastRefusal.Store(int64(time.Since(c.started)))
 		if wire.NotSent(err) {
 			return 0, ErrRefused
 		}
@@ -182,17 +199,17 @@
 	}
 	switch status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
-		c.lastGood.Store(int64(time.Since(c.started)))
+		c.lastSuccess.Store(int64(time.Since(c.started)))
 		if out != nil && len(raw) > 0 {
 			if err := wire.Decode(raw, out); err != nil {
-				return 0, fmt.Errorf("%w: bad answer: %v", ErrUnknown, err)
+				return 0, fmt.Errorf("%w: bad answer: %w", ErrUnknown, err)
 			}
 		}
 		return status, nil
 	case http.StatusTooManyRequests:
 		return status, ErrBusy
 	case http.StatusServiceUnavailable:
-		c.lastBad.Store(int64(time.Since(c.started)))
+		c.lastRefusal.Store(int64(time.Since(c.started)))
 		return status, ErrRefused
 	case http.StatusGone:
 		return status, ErrTooOld
@@ -204,7 +221,7 @@
 }
 
 // Get reads one key.
-func (c *Client) Get(ctx context.Context, class Class, key string) (wire.Entry, error) {
+func (c *Client) Get(ctx context.Context, class RequestClass, key string) (wire.Entry, error) {
 	var e wire.Entry
 	if err := c.admit(ctx, class, 0); err != nil {
 		return e, err
@@ -220,7 +237,7 @@
 }
 
 // List reads all keys with a prefix, page by page.
-func (c *Client) List(ctx context.Context, class Class, prefix string) ([]wire.Entry, wire.Revision, error) {
+func (c *Client) List(ctx context.Context, class RequestClass, prefix string) ([]wire.Entry, wire.Revision, error) {
 	var all []wire.Entry
 	var first wire.Revision
 	after := ""
@@ -228,7 +245,7 @@
 		if err := c.admit(ctx, class, 0); err != nil {
 			return nil, 0, err
 		}
-		q := "/kv?under=" + url.QueryEscape(prefix) + "&page=500"
+		q := "/kv?under=" + url.QueryEscape(prefix) + "&page=" + strconv.Itoa(pageSize)
 		if after != "" {
 			q += "&after=" + url.QueryEscape(after)
 		}
@@ -254,7 +271,7 @@
 }
 
 // Commit executes a transaction and returns its revision.
-func (c *Client) Commit(ctx context.Context, class Class, txn wire.Txn) (wire.Revision, error) {
+func (c *Client) Commit(ctx context.Context, class RequestClass, txn wire.Txn) (wire.Revision, error) {
 	if txn.Guards == nil {
 		txn.Guards = []wire.Guard{}
 	}
@@ -317,10 +334,10 @@
 
 // Watch waits for changes under a prefix after a revision, for up to block.
 func (c *Client) Watch(ctx context.Context, prefix string, after wire.Revision, block time.Duration) (wire.Changes, error) {
-	return c.changes(ctx, Vital, c.watches, prefix, after, block, block+3*time.Second)
+	return c.changes(ctx, Vital, c.watches, prefix, after, block, block+watchMargin)
 }
 
-func (c *Client) changes(ctx context.Context, class Class, hc *http.Client, prefix string, after wire.Revision, block, timeout time.Duration) (wire.Changes, error) {
+func (c *Client) changes(ctx context.Context, class RequestClass, hc *http.Client, prefix string, after wire.Revision, block, timeout time.Duration) (wire.Changes, error) {
 	var res wire.Changes
 	if err := c.admit(ctx, class, 0); err != nil {
 		return res, err
@@ -330,7 +347,7 @@
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("%w: status %d", ErrUnknown, status)
 	}
-	// The service promises no order; the last word on a key must come last.
+	// The service promises no order; the newest value of a key must come last.
 	slices.SortStableFunc(res.Events, func(a, b wire.Change) int { return cmp.Compare(a.Revision, b.Revision) })
 	return res, err
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -32,28 +32,28 @@
 		ctx := context.Background()
 		nw, st := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
 		c := store.New(simulator.StateAddr, config.State{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
-		if _, err := c.Get(ctx, store.Duty, "k"); !errors.Is(err, store.ErrRefused) {
+		if _, err := c.Get(ctx, store.Background, "k"); !errors.Is(err, store.ErrRefused) {
 			t.Errorf("no listener: %v", err)
 		}
 		srv := serve(t, nw, st)
 		put := wire.Txn{Guards: []wire.Guard{{Key: "k"}}, Writes: []wire.Write{{Put: "k", Value: wire.Encode(1)}}}
-		if _, err := c.Commit(ctx, store.Duty, put); err != nil {
+		if _, err := c.Commit(ctx, store.Background, put); err != nil {
 			t.Errorf("first put: %v", err)
 		}
 		var conflict *store.ConflictError
-		if _, err := c.Commit(ctx, store.Duty, put); !errors.As(err, &conflict) || !conflict.Has("k") {
+		if _, err := c.Commit(ctx, store.Background, put); !errors.As(err, &conflict) || !conflict.Has("k") {
 			t.Errorf("second put: %v", err)
 		}
-		if _, err := c.Get(ctx, store.Duty, "none"); !errors.Is(err, store.ErrMissing) {
+		if _, err := c.Get(ctx, store.Background, "none"); !errors.Is(err, store.ErrMissing) {
 			t.Errorf("no such key: %v", err)
 		}
 		st.Outage(true)
-		if _, err := c.Commit(ctx, store.Duty, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
+		if _, err := c.Commit(ctx, store.Background, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
 			t.Errorf("outage: %v, reachable %v", err, c.Reachable())
 		}
 		st.Outage(false)
 		st.LoseAnswers(1)
-		if _, err := c.Commit(ctx, store.Duty, wire.Txn{Writes: []wire.Write{{Delete: "k"}}}); !errors.Is(err, store.ErrUnknown) {
+		if _, err := c.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Delete: "k"}}}); !errors.Is(err, store.ErrUnknown) {
 			t.Errorf("answer lost: %v", err)
 		}
 		if n := st.Keys("k"); len(n) != 0 {
@@ -75,7 +75,7 @@
 		// The budget refuses users and lets vital calls pass; and what the
 		// node's duties write does not shut out its users. (A leader that
 		// launched much once refused every submission that came to it.)
-		write := func(class store.Class) error {
+		write := func(class store.RequestClass) error {
 			_, err := c.Commit(ctx, class, wire.Txn{Writes: []wire.Write{{Put: "x", Value: wire.Encode(1)}}})
 			return err
 		}
--- a/internal/store/copy_test.go
+++ b/internal/store/job_cache_test.go
@@ -17,23 +17,23 @@
 	"lilaclead/internal/wire"
 )
 
-// rig is a copy that a node asks, with the state service and network beneath it.
+// rig is a cache that a node asks, with the state service and network beneath it.
 type rig struct {
 	nw *simulator.Network
 	st *simulator.State
 	c  *store.Client
-	y  *store.Copy
+	y  *store.JobCache
 }
 
-// withCopy runs f in virtual time with a copy for so many requests a second.
-func withCopy(t *testing.T, rps float64, f func(t *testing.T, ctx context.Context, r rig)) {
+// withCache runs f in virtual time with a cache for so many requests a second.
+func withCache(t *testing.T, rps float64, f func(t *testing.T, ctx context.Context, r rig)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		r := rig{nw: simulator.NewNetwork(time.Millisecond), st: simulator.NewState(12, 16)}
 		srv := serve(t, r.nw, r.st)
 		r.c = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, r.nw.Host("10.0.0.1"))
-		r.y = store.NewCopy(r.c, cancels.New(nil, time.Minute), rps, 1)
+		r.y = store.NewJobCache(r.c, cancels.New(nil, time.Minute), rps, 1)
 		go r.y.Run(ctx)
 		f(t, ctx, r)
 		cancel()
@@ -44,11 +44,11 @@
 	})
 }
 
-// The copy against the plain model, a map: whatever was written before a
-// question is in its answer; questions that come together share a look; and
+// The cache against the plain model, a map: whatever was written before a
+// question is in its answer; questions that come together share a refresh; and
 // with the service away they are refused soon.
-func TestCopyIsNeverStale(t *testing.T) {
-	withCopy(t, 40, func(t *testing.T, ctx context.Context, r rig) { // a look every tenth of a second at most
+func TestCacheIsNeverStale(t *testing.T) {
+	withCache(t, 40, func(t *testing.T, ctx context.Context, r rig) { // a refresh every tenth of a second at most
 		nw, st, c, y := r.nw, r.st, r.c, r.y
 		var calls sync.Map
 		c.Observe = func(string, string, time.Duration) {
@@ -73,7 +73,7 @@
 				}
 			}
 			if rng.IntN(2) == 0 {
-				continue // several changes of a key may come with one look
+				continue // several changes of a key may come with one refresh
 			}
 			ask := wire.JobID("req-" + strconv.Itoa(rng.IntN(12)))
 			got, err := y.Get(ctx, ask)
@@ -105,9 +105,9 @@
 }
 
 // A list of several pages is older at its beginning than at its end: what changes
-// meanwhile on a page that was read already must be seen by the next look.
-func TestCopyListedWhileJobsChange(t *testing.T) {
-	withCopy(t, 1000, func(t *testing.T, ctx context.Context, r rig) {
+// meanwhile on a page that was read already must be seen by the next refresh.
+func TestCacheListedWhileJobsChange(t *testing.T) {
+	withCache(t, 1000, func(t *testing.T, ctx context.Context, r rig) {
 		st, y := r.st, r.y
 		put := func(id wire.JobID, s wire.Status) {
 			st.Put(store.JobKey(id), store.JobRecord{Spec: wire.Spec{ID: id, Tasks: 1}, Status: s})
@@ -139,11 +139,11 @@
 	})
 }
 
-// The stand-in keeps the changes of a revision whole: where one of them is no
-// longer kept, the copy must be told to list. (It once was given the rest, and
+// The simulated service keeps the changes of a revision whole: where one of them is no
+// longer kept, the cache must be told to list. (It once was given the rest, and
 // took a job that had ended for a live one.)
-func TestCopyFromShortBooks(t *testing.T) {
-	withCopy(t, 1000, func(t *testing.T, ctx context.Context, r rig) {
+func TestCacheAfterCompaction(t *testing.T) {
+	withCache(t, 1000, func(t *testing.T, ctx context.Context, r rig) {
 		st, c, y := r.st, r.c, r.y
 		st.Short(2, 0)
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.Spec{ID: "req-1", Tasks: 1}, Status: wire.Queued})
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -18,9 +18,9 @@
 func TestRangesAgainstFlags(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flags := rapid.SliceOfN(rapid.Bool(), 0, ChunkSize).Draw(t, "flags")
-		r := Ranges(flags)
+		r := PackRanges(flags)
 		back := make([]bool, len(flags))
-		Unpack(r, back)
+		SetFlags(r, back)
 		n := 0
 		for i := range flags {
 			if flags[i] != back[i] {
@@ -39,7 +39,7 @@
 // Garbage in stored ranges must not reach outside the chunk.
 func TestUnpackBounds(t *testing.T) {
 	flags := make([]bool, 4)
-	Unpack([]int{-3, 2, 3, 900, 7}, flags)
+	SetFlags([]int{-3, 2, 3, 900, 7}, flags)
 	if want := [4]bool{true, true, false, true}; [4]bool(flags) != want {
 		t.Fatalf("flags %v", flags)
 	}
@@ -51,25 +51,25 @@
 	for _, kb := range []float64{1, 4, 16, 32} {
 		rapid.Check(t, func(t *rapid.T) {
 			size := ChunkFor(kb)
-			rec := ChunkRecord{Next: 1e8, Done: []int{}, Held: []Held{}}
+			rec := ChunkRecord{Next: 1e8, Done: []int{}, Held: []HeldAttempt{}}
 			done := make([]bool, size)
 			share := rapid.IntRange(0, 4).Draw(t, "share")
 			for i := range size {
 				switch what := rapid.IntRange(0, 5).Draw(t, "state"); {
 				case what > share:
-					rec.Held = append(rec.Held, Held{Task: i, Try: 1e8 - 1 - wire.Attempt(i), On: "n-000000001231"})
+					rec.Held = append(rec.Held, HeldAttempt{Task: i, Attempt: 1e8 - 1 - wire.Attempt(i), Machine: "n-000000001231"})
 				case what > 0:
 					done[i] = true
 				}
 			}
-			rec.Done = Ranges(done)
+			rec.Done = PackRanges(done)
 			var back ChunkRecord
 			if err := wire.Decode(wire.Encode(rec), &back); err != nil || len(back.Held) != len(rec.Held) || len(rec.Held) > 0 && back.Held[0] != rec.Held[0] || back.Next != rec.Next {
 				t.Fatalf("came back as %v, %v", back, err)
 			}
 			list := [][]any{}
 			for _, h := range rec.Held {
-				list = append(list, []any{h.Task, h.Try, h.On})
+				list = append(list, []any{h.Task, h.Attempt, h.Machine})
 			}
 			j, _ := json.Marshal(map[string]any{"n": rec.Next, "d": rec.Done, "r": list})
 			spaced := len(j) + bytes.Count(j, []byte(",")) + bytes.Count(j, []byte(":"))
--- a/node.go
+++ b/node.go
@@ -259,7 +259,7 @@
 func (n *Node) learnFlavors(ctx context.Context) {
 	for n.flavors.Get() == nil {
 		var stored wire.MachineSpecs
-		e, err := n.store.Get(ctx, store.Duty, store.FlavorsKey)
+		e, err := n.store.Get(ctx, store.Background, store.FlavorsKey)
 		if err == nil {
 			if err = wire.Decode(e.Value, &stored); err != nil {
 				n.undecodable.Note(store.FlavorsKey, err)
