--- a/internal/cancels/cancels.go
+++ b/internal/cancels/cancels.go
@@ -1,15 +1,18 @@
-// Package cancels keeps what a node knows of the cancellations that users were
-// told of, and up to when it knows all of them, whoever told. On that rests the
-// one rule by which a worker's lease may be renewed:
+// Package cancels keeps the cancellations that users were told of, and a
+// completeness watermark: the time up to which this node knows all of them,
+// whichever node confirmed them. On the watermark rests the one rule by which a
+// worker's lease may be renewed:
 //
 //	A node may renew a worker's lease at t only if it knows every cancellation
 //	that any node confirmed before t - D, where D is cancel_s less the lease,
 //	drift and margin.
 //
-// It knows them from the state service, by a read that began then, or from the
-// word of every other node, each of which vouches for what it confirmed itself
-// in its own unbroken life. What it knows it halts in the same answer that
-// renews the lease; what it does not know yet ends with the lease.
+// The watermark rises by a read of the state service, to when the read began,
+// and by the updates that the nodes send each other. In these each node states
+// for how long all that it confirmed itself has been in its log; one that has
+// restarted starts from nothing. A task of a cancellation that is known is
+// halted in the same answer that renews the lease; one of a cancellation that is
+// not known yet ends with the lease.
 package cancels
 
 import (
@@ -19,209 +22,240 @@
 	"lilaclead/internal/wire"
 )
 
+const (
+	// maxRecords bounds what is kept, at 100 cancellations a second for more than
+	// a minute; beyond it a node's own span is shorter.
+	maxRecords = 8192
+	// maxUpdateEntries bounds one update, to some 10 KB; the rest follows in the
+	// next.
+	maxUpdateEntries = 300
+	// driftDivisor: times from another node's clock are stretched by 1/500, twice
+	// what two clocks can differ in rate (0.05% each).
+	driftDivisor = 500
+)
+
 // Entry is one cancelled job, as nodes tell each other.
 type Entry struct {
 	Job wire.JobID    `cbor:"j"`
 	Age time.Duration `cbor:"a"` // since its user was told, at the most
 }
 
-// Word is what one node tells another in an answer.
-type Word struct {
-	// Cancelled are those that the other was not told yet on the same stream.
+// Update is what one node tells another of cancellations. It is sent in the
+// answers of a stream, each with what is new since the last.
+type Update struct {
+	// Cancelled are those that were not sent yet on the same stream.
 	Cancelled []Entry `cbor:"cancelled,omitempty"`
-	// Vouches: the other has been told of every cancellation that this node
-	// confirmed in so long; 0: no word.
-	Vouches time.Duration `cbor:"vouches,omitempty"`
-	// Knew: and of every one that anybody confirmed until so long ago; 0: no
-	// word.
-	Knew time.Duration `cbor:"knew,omitempty"`
+	// OwnSpan: the receiver has been sent every cancellation that the sender
+	// confirmed itself within this last span; 0: more follows, nothing is said.
+	OwnSpan time.Duration `cbor:"vouches,omitempty"`
+	// WatermarkAge: the receiver has been sent every cancellation that any node
+	// confirmed before so long ago; 0: nothing is said.
+	WatermarkAge time.Duration `cbor:"knew,omitempty"`
 }
 
-const (
-	// most bounds what is kept; beyond it a node vouches for less.
-	most = 8192
-	// wordMost bounds one word; the rest follows in the next.
-	wordMost = 300
-	// drift is more than two clocks' difference in rate.
-	drift = 500
-)
+// empty tells whether the update says nothing, as those of older versions.
+func (u *Update) empty() bool {
+	return len(u.Cancelled) == 0 && u.OwnSpan == 0 && u.WatermarkAge == 0
+}
 
-type item struct {
-	job wire.JobID
-	at  time.Time // when its user was told, at the earliest
-	in  time.Time // when it was noted here
+// record is one cancellation in the log.
+type record struct {
+	job         wire.JobID
+	confirmedAt time.Time // when its user was told, at the earliest
+	addedAt     time.Time // when it was added here
 }
 
-// Ledger is safe for concurrent use.
-type Ledger struct {
-	keep time.Duration
+// Log keeps cancellations in the order in which they were added, numbered from
+// 1, so that readers can go on from a cursor. It is safe for concurrent use.
+type Log struct {
+	retention time.Duration
 
-	mu    sync.Mutex
-	log   []item
-	first uint64 // the number of log[0]; numbers start at 1
-	known map[wire.JobID]time.Time
-	whole time.Time // all that was noted here since then is in the log
-	all   time.Time // every cancellation confirmed before is known; zero: not even that of an earlier life
-	by    map[wire.NodeID]time.Time
+	mu            sync.Mutex
+	records       []record
+	firstNumber   uint64 // of records[0]
+	confirmedAt   map[wire.JobID]time.Time
+	completeSince time.Time // all that was added since then is in records
+	// watermark: every cancellation confirmed before is known; zero: there was no
+	// read yet, and not even those of this node's former process are known.
+	watermark time.Time
+	// peerWatermarks: every cancellation that this peer confirmed before is known.
+	peerWatermarks map[wire.NodeID]time.Time
 }
 
-// New makes an empty ledger. What it holds is kept for twice the time that a
+// New makes an empty log. What it holds is kept for twice the time that a
 // cancelled task may last.
-func New(others []wire.NodeID, cancel time.Duration) *Ledger {
-	l := &Ledger{keep: 2 * cancel, first: 1, known: map[wire.JobID]time.Time{}, whole: time.Now(), by: map[wire.NodeID]time.Time{}}
-	for _, id := range others {
-		l.by[id] = time.Time{}
+func New(peers []wire.NodeID, cancelTime time.Duration) *Log {
+	l := &Log{
+		retention:      2 * cancelTime,
+		firstNumber:    1,
+		confirmedAt:    map[wire.JobID]time.Time{},
+		completeSince:  time.Now(),
+		peerWatermarks: map[wire.NodeID]time.Time{},
+	}
+	for _, id := range peers {
+		l.peerWatermarks[id] = time.Time{}
 	}
 	return l
 }
 
-// Note notes a cancellation that was confirmed so long ago. A node that
-// confirms one calls it before its user has the answer.
-func (l *Ledger) Note(id wire.JobID, ago time.Duration) {
+// Add adds a cancellation that was confirmed so long ago. A node that confirms
+// one calls it before its user has the answer.
+func (l *Log) Add(id wire.JobID, ago time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.note(id, ago, time.Now())
+	l.add(id, ago, time.Now())
 }
 
-func (l *Ledger) note(id wire.JobID, ago time.Duration, now time.Time) {
-	if _, ok := l.known[id]; ok {
+func (l *Log) add(id wire.JobID, ago time.Duration, now time.Time) {
+	if _, ok := l.confirmedAt[id]; ok {
 		return
 	}
 	at := now.Add(-max(0, ago))
-	l.known[id] = at
-	l.log = append(l.log, item{id, at, now})
+	l.confirmedAt[id] = at
+	l.records = append(l.records, record{id, at, now})
 	l.prune(now)
 }
 
-// prune drops what is old, and what is too much: then less is vouched for.
-func (l *Ledger) prune(now time.Time) {
+// prune drops what is old, and what is too much: then the own span is shorter.
+func (l *Log) prune(now time.Time) {
 	n := 0
-	for n < len(l.log) && (now.Sub(l.log[n].in) > l.keep || len(l.log)-n > most) {
-		delete(l.known, l.log[n].job)
-		if at := l.log[n].in; at.After(l.whole) {
-			l.whole = at
+	for n < len(l.records) && (now.Sub(l.records[n].addedAt) > l.retention || len(l.records)-n > maxRecords) {
+		delete(l.confirmedAt, l.records[n].job)
+		if at := l.records[n].addedAt; at.After(l.completeSince) {
+			l.completeSince = at
 		}
 		n++
 	}
 	if n > 0 {
-		l.log = append([]item(nil), l.log[n:]...)
-		l.first += uint64(n)
+		l.records = append([]record(nil), l.records[n:]...)
+		l.firstNumber += uint64(n)
 	}
 }
 
-// Read notes that the state service was read, by a request that began then,
-// after all that it told has been noted.
-func (l *Ledger) Read(began time.Time) {
+// next is the number that the next record will have.
+func (l *Log) next() uint64 { return l.firstNumber + uint64(len(l.records)) }
+
+// RecordRead raises the watermark to when a read of the state service began,
+// after all that it showed has been added.
+func (l *Log) RecordRead(began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.allUntil(began)
+	l.raiseWatermark(began)
 }
 
-func (l *Ledger) allUntil(at time.Time) {
-	if at.After(l.all) {
-		l.all = at
+func (l *Log) raiseWatermark(at time.Time) {
+	if at.After(l.watermark) {
+		l.watermark = at
 	}
 }
 
-// Known is up to when every cancellation that any node confirmed is known;
-// zero: none are. What this node confirmed itself it knows; an earlier life of
-// it counts as another node until the first read.
-func (l *Ledger) Known() time.Time {
+// Watermark is up to when every cancellation that any node confirmed is known;
+// zero: none are. What this node confirmed itself it knows; its former process
+// counts as another node until the first read.
+func (l *Log) Watermark() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knownUntil(time.Now())
+	return l.watermarkAt(time.Now())
 }
 
-func (l *Ledger) knownUntil(now time.Time) time.Time {
-	if l.all.IsZero() {
-		return l.all
+func (l *Log) watermarkAt(now time.Time) time.Time {
+	if l.watermark.IsZero() {
+		return l.watermark
 	}
 	least := now
-	for _, at := range l.by {
+	for _, at := range l.peerWatermarks {
 		if at.Before(least) {
 			least = at
 		}
 	}
-	if least.After(l.all) {
+	if least.After(l.watermark) {
 		return least
 	}
-	return l.all
+	return l.watermark
 }
 
-// At is when a job's user was told that it is cancelled, as far as is known.
-func (l *Ledger) At(id wire.JobID) (time.Time, bool) {
+// ConfirmedAt is when a job's user was told that it is cancelled, as far as is
+// known.
+func (l *Log) ConfirmedAt(id wire.JobID) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at, ok := l.known[id]
+	at, ok := l.confirmedAt[id]
 	return at, ok
 }
 
-// Since lists what was noted after the cursor, and the next cursor. It starts
+// Since lists what was added after the cursor, and the next cursor. It starts
 // at 0.
-func (l *Ledger) Since(cursor uint64) ([]wire.JobID, uint64) {
+func (l *Log) Since(cursor uint64) ([]wire.JobID, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []wire.JobID
-	for n := max(cursor, l.first); n < l.first+uint64(len(l.log)); n++ {
-		out = append(out, l.log[n-l.first].job)
+	var jobs []wire.JobID
+	for n := max(cursor, l.firstNumber); n < l.next(); n++ {
+		jobs = append(jobs, l.records[n-l.firstNumber].job)
 	}
-	return out, l.first + uint64(len(l.log))
+	return jobs, l.next()
 }
 
-// Word is what to tell a node on a stream on which it was told all before the
-// cursor, which starts at 0, and the next cursor.
-func (l *Ledger) Word(cursor uint64) (Word, uint64) {
+// UpdateSince is what to send on a stream on which all before the cursor was
+// sent, and the next cursor. It starts at 0.
+func (l *Log) UpdateSince(cursor uint64) (Update, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	l.prune(now)
-	var w Word
-	next, end := max(cursor, l.first), l.first+uint64(len(l.log))
-	for ; next < end && len(w.Cancelled) < wordMost; next++ {
-		i := l.log[next-l.first]
-		w.Cancelled = append(w.Cancelled, Entry{i.job, now.Sub(i.at)})
+	var u Update
+	number := max(cursor, l.firstNumber)
+	for ; number < l.next() && len(u.Cancelled) < maxUpdateEntries; number++ {
+		r := l.records[number-l.firstNumber]
+		u.Cancelled = append(u.Cancelled, Entry{r.job, now.Sub(r.confirmedAt)})
 	}
-	if next < end {
-		return w, next // the rest first
+	if number < l.next() {
+		return u, number // spans are stated only once all is sent
 	}
-	// What is older than keep is gone from the log and from all machines.
-	since := l.whole
-	if now.Sub(since) > l.keep {
-		since = now.Add(-l.keep)
+	// What is older than the retention is gone from the log and from all machines.
+	since := l.completeSince
+	if now.Sub(since) > l.retention {
+		since = now.Add(-l.retention)
 	}
-	w.Vouches = max(1, now.Sub(since))
-	if at := l.knownUntil(now); !at.IsZero() && now.Sub(at) < l.keep && len(l.log) < most {
-		w.Knew = max(1, now.Sub(at))
+	u.OwnSpan = max(1, now.Sub(since))
+	if at := l.watermarkAt(now); !at.IsZero() && now.Sub(at) < l.retention && len(l.records) < maxRecords {
+		u.WatermarkAge = max(1, now.Sub(at))
 	}
-	return w, next
+	return u, number
 }
 
-// Heard takes in another node's word, in answer to what was sent then.
-func (l *Ledger) Heard(from wire.NodeID, sent time.Time, w *Word) {
-	if len(w.Cancelled) == 0 && w.Vouches == 0 && w.Knew == 0 {
+// Apply takes in another node's update, in an answer to what was sent then.
+func (l *Log) Apply(from wire.NodeID, sent time.Time, u *Update) {
+	if u.empty() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for _, e := range w.Cancelled {
-		l.note(e.Job, max(0, e.Age)+now.Sub(sent), now)
+	for _, e := range u.Cancelled {
+		l.add(e.Job, max(0, e.Age)+now.Sub(sent), now)
 	}
-	if w.Knew > 0 {
-		l.allUntil(sent.Add(-w.Knew - w.Knew/drift))
+	if u.WatermarkAge > 0 {
+		l.raiseWatermark(sent.Add(-u.WatermarkAge - u.WatermarkAge/driftDivisor))
 	}
-	// The word covers what was confirmed there from a while ago until after
-	// sent. If we know all from before that while, we know all until sent. A
-	// node that has started since vouches for less: what it confirmed between
-	// its last word and its end it has forgotten.
-	at, ok := l.by[from]
-	if l.all.After(at) {
-		at = l.all
+	l.raisePeerWatermark(from, sent, now, u.OwnSpan)
+}
+
+// raisePeerWatermark takes in a peer's own span, stated after sent. It covers
+// what the peer confirmed from its beginning until after sent: if all from before
+// the beginning is known, all until sent is. The span of a node that has restarted
+// is too short for that, since it has forgotten what it confirmed between its last
+// update and its end.
+func (l *Log) raisePeerWatermark(peer wire.NodeID, sent, now time.Time, span time.Duration) {
+	known, ok := l.peerWatermarks[peer]
+	if !ok {
+		return
 	}
-	if from := now.Add(-w.Vouches + w.Vouches/drift); ok && w.Vouches > 0 && !at.Before(from) && sent.After(at) {
-		at = sent
+	if l.watermark.After(known) {
+		known = l.watermark
 	}
-	if ok {
-		l.by[from] = at
+	begin := now.Add(-span + span/driftDivisor)
+	if span > 0 && !known.Before(begin) && sent.After(known) {
+		known = sent
 	}
+	l.peerWatermarks[peer] = known
 }
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -42,13 +42,13 @@
 func samples() []sample {
 	return []sample{
 		{"job", store.JobRecord{Spec: fullSpec(), Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 37}},
-		{"chunk", store.ChunkRecord{Next: 17, Done: []int{0, 3}, Held: []store.Held{{Task: 4, Try: 12, On: "n-000231"}}, Size: 64}},
-		{"held", store.Held{Task: 5, Try: 13, On: "n-000232"}},
+		{"chunk", store.ChunkRecord{Next: 17, Done: []int{0, 3}, Held: []store.HeldAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}},
+		{"held", store.HeldAttempt{Task: 5, Attempt: 13, Machine: "n-000232"}},
 		{"past", store.PastRecord{Status: wire.Done, Done: 1600}},
 		{"lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"}},
 
 		{"beat", fullBeat()},
-		{"beat, leads", peer.Beat{From: "worker-3", Seq: 10, Token: 43, Leads: true, Hears: 122}},
+		{"beat, leads", peer.Heartbeat{From: "worker-3", Seq: 10, Token: 43, Leads: true, ReachableWorkers: 122}},
 		{"word", fullWord()},
 		{"cancellation", cancels.Entry{Job: "req-000414", Age: 3 * time.Second}},
 
@@ -101,13 +101,13 @@
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []wire.MachineType{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedRunTime: 240, CheckpointInterval: 30, CheckpointTime: 4, Deadline: 900}
 }
 
-func fullWord() cancels.Word {
-	return cancels.Word{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, Vouches: 20 * time.Second, Knew: 500 * time.Millisecond}
+func fullWord() cancels.Update {
+	return cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}
 }
 
-func fullBeat() peer.Beat {
-	return peer.Beat{From: "worker-2", Seq: 9, Token: 41, Leads: true, Serves: true, Hears: 120, Grants: 42, Stood: 3 * time.Second, Age: time.Minute,
-		Unproven: time.Second, Word: fullWord()}
+func fullBeat() peer.Heartbeat {
+	return peer.Heartbeat{From: "worker-2", Seq: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120, Delegation: 42, SinceRenewal: 3 * time.Second, Uptime: time.Minute,
+		UnconfirmedFor: time.Second, Update: fullWord()}
 }
 
 func fullFlavor() wire.MachineSpec {
@@ -422,13 +422,13 @@
 // What records lie under in the state service.
 func TestStoredUnderTheSameKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		store.JobKey("req-1"):         "job/req-1",
-		store.ChunkKey("req-1", 2):    "run/req-1/2",
-		store.PieceKey("req-1", 2, 3): "run/req-1/2/3",
-		store.PastKey("req-1"):        "past/req-1",
-		store.LeadKey:                 "lead",
-		store.FlavorsKey:              "fact/flavors",
-		store.SettingsKey:             "fact/settings",
+		store.JobKey("req-1"):            "job/req-1",
+		store.ChunkKey("req-1", 2):       "run/req-1/2",
+		store.SubchunkKey("req-1", 2, 3): "run/req-1/2/3",
+		store.PastKey("req-1"):           "past/req-1",
+		store.LeadKey:                    "lead",
+		store.FlavorsKey:                 "fact/flavors",
+		store.SettingsKey:                "fact/settings",
 	} {
 		if got != want {
 			t.Errorf("stored under %q, not %q", got, want)
--- a/internal/leader/batch.go
+++ b/internal/leader/batch.go
@@ -41,11 +41,11 @@
 }
 
 // class of the calls' budget that it is charged to.
-func (b *batch) class() store.Class {
+func (b *batch) class() store.RequestClass {
 	if b.urgent {
 		return store.Vital
 	}
-	return store.Duty
+	return store.Background
 }
 
 // full tells whether it has no room for so many writes, each with a guard or two,
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -35,8 +35,8 @@
 	}
 	tenure := delegation.Tenure{Began: t.startedAt, FirstToken: t.firstToken, StateBack: t.stateBackAt}
 	v := t.l.Mesh.View()
-	for _, o := range t.l.Config.Others {
-		at = latest(at, t.l.delegation.AnswersUntil(tenure, v.Others[o.HostName], now))
+	for _, o := range t.l.Config.Peers {
+		at = latest(at, t.l.delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
 	}
 	return at
 }
@@ -47,9 +47,9 @@
 func (t *term) zoneSilentSince(zone wire.Zone) time.Time {
 	var at time.Time
 	v := t.l.Mesh.View()
-	for _, o := range t.l.Config.Others {
+	for _, o := range t.l.Config.Peers {
 		if o.Zone == zone {
-			at = latest(at, v.Others[o.HostName].Heard)
+			at = latest(at, v.Peers[o.HostName].LastContact)
 		}
 	}
 	return at
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -46,8 +46,8 @@
 	lease := w.LeaseS.Duration()
 	// What a lease leaves of the time for cancellations, less drift and margin.
 	left := w.CancelS.Duration() - lease - lease/500 - cancelMargin
-	b := Bounds{MaxCancelAge: max(left, 2*peer.X)}
-	if left > 2*peer.X {
+	b := Bounds{MaxCancelAge: max(left, 2*peer.AckLifetime)}
+	if left > 2*peer.AckLifetime {
 		b.Time = left
 	}
 	return b
@@ -56,17 +56,17 @@
 // Mesh is what a delegate needs of the links between the nodes.
 type Mesh interface {
 	View() *peer.View
-	// StandsIn notes that this node is about to be a delegate, for others to know.
-	StandsIn()
+	// RecordRenewal notes that this node is about to renew leases as a delegate, for others to know.
+	RecordRenewal()
 	// Stood is how long ago it last was; 0: never.
-	Stood() time.Duration
+	SinceRenewal() time.Duration
 }
 
 // Config is what a delegate works with.
 type Config struct {
 	Bounds  Bounds
 	Mesh    Mesh
-	Cancels *cancels.Ledger
+	Cancels *cancels.Log
 	// Nodes and Workers are how many there are; ReportEvery is the pace of reports.
 	Nodes, Workers int
 	ReportEvery    time.Duration
@@ -78,7 +78,7 @@
 type Delegate struct {
 	Config
 	// own is what this node granted itself while it led.
-	own atomic.Pointer[peer.Grant]
+	own atomic.Pointer[peer.Delegation]
 	// redirected is when workers were last here without being answered.
 	mu         sync.Mutex
 	redirected map[wire.MachineID]time.Time
@@ -92,7 +92,7 @@
 // GrantSelf lets this node be its own delegate for a while after sent, when it
 // surely led with the token, once it leads no more.
 func (d *Delegate) GrantSelf(token wire.Token, sent time.Time) {
-	d.own.Store(&peer.Grant{Token: token, Sent: sent})
+	d.own.Store(&peer.Delegation{Token: token, RequestedAt: sent})
 }
 
 // MayRenew tells whether a worker's lease may be renewed now, by whoever
@@ -101,7 +101,7 @@
 // and that went on serving in the outage after it renewed leases for B without
 // knowing of what other nodes had confirmed in between.)
 func (d *Delegate) MayRenew(now time.Time) bool {
-	known := d.Cancels.Known()
+	known := d.Cancels.Watermark()
 	return !known.IsZero() && now.Sub(known) < d.Bounds.MaxCancelAge
 }
 
@@ -115,7 +115,7 @@
 		if err != nil || state.Phase == wire.PhaseExited || len(out) >= d.MaxCommands {
 			continue
 		}
-		if _, cancelled := d.Cancels.At(task.Job); cancelled {
+		if _, cancelled := d.Cancels.ConfirmedAt(task.Job); cancelled {
 			atOnce := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Halt, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
 		}
@@ -128,13 +128,13 @@
 // has not heard since.
 func (d *Delegate) token(seen wire.Token) (wire.Token, bool) {
 	v, now := d.Mesh.View(), time.Now()
-	g := v.Grant
+	g := v.Delegation
 	if own := d.own.Load(); own != nil && own.Token >= g.Token {
 		g = *own
 	}
 	newest := g.Token > 0 && g.Token == v.Token && seen <= g.Token
-	recent := now.Sub(g.Sent) < d.Bounds.Time
-	leaderLost := now.Sub(v.Led) >= 2*peer.X
+	recent := now.Sub(g.RequestedAt) < d.Bounds.Time
+	leaderLost := now.Sub(v.LeaderSeen) >= 2*peer.AckLifetime
 	return g.Token, newest && recent && leaderLost && d.MayRenew(now)
 }
 
@@ -143,7 +143,7 @@
 	if _, ok := d.token(rep.Token); !ok {
 		return nil
 	}
-	d.Mesh.StandsIn()
+	d.Mesh.RecordRenewal()
 	token, ok := d.token(rep.Token) // again, now that others can know
 	if !ok {
 		return nil
@@ -167,6 +167,6 @@
 // Lately tells whether workers stayed with this node as a delegate: they are not
 // cut off from the leader that is back.
 func (d *Delegate) Lately() bool {
-	ago := d.Mesh.Stood()
-	return ago > 0 && ago < 2*d.ReportEvery+2*peer.X
+	ago := d.Mesh.SinceRenewal()
+	return ago > 0 && ago < 2*d.ReportEvery+2*peer.AckLifetime
 }
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -34,18 +34,18 @@
 	ago := func(s float64) time.Time { return now.Add(-time.Duration(s * float64(time.Second))) }
 	cases := []struct {
 		name string
-		o    peer.Other
+		o    peer.Peer
 		back time.Time
 		want time.Time
 	}{
-		{"in touch, never a delegate", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5)}, time.Time{}, time.Time{}},
-		{"in touch, a delegate a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(12)}, time.Time{}, ago(12)},
-		{"in touch, began a while ago", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(0.5), Stood: ago(20), Born: ago(9)}, time.Time{}, ago(9)},
-		{"in touch, and perhaps still at it", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(15), Stood: ago(1)}, time.Time{}, ago(-5)},
-		{"lost after our grant", peer.Other{AckSent: ago(10), AckToken: 50, Granted: ago(9)}, time.Time{}, ago(-11)},
-		{"never heard in this term: an earlier leader's grant", peer.Other{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
-		{"fresh, acknowledges nothing yet", peer.Other{AckSent: ago(1)}, time.Time{}, ago(40)},
-		{"in touch, but we did not lead until now", peer.Other{AckSent: ago(1), AckToken: 50, Granted: ago(7)}, ago(2), ago(-13)},
+		{"in touch, never a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5)}, time.Time{}, time.Time{}},
+		{"in touch, a delegate a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(12)}, time.Time{}, ago(12)},
+		{"in touch, began a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(20), StartedBy: ago(9)}, time.Time{}, ago(9)},
+		{"in touch, and perhaps still at it", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(15), LastRenewal: ago(1)}, time.Time{}, ago(-5)},
+		{"lost after our grant", peer.Peer{AckSent: ago(10), AckToken: 50, DelegatedAt: ago(9)}, time.Time{}, ago(-11)},
+		{"never heard in this term: an earlier leader's grant", peer.Peer{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
+		{"fresh, acknowledges nothing yet", peer.Peer{AckSent: ago(1)}, time.Time{}, ago(40)},
+		{"in touch, but we did not lead until now", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(7)}, ago(2), ago(-13)},
 	}
 	for _, c := range cases {
 		tenure.StateBack = c.back
@@ -59,20 +59,20 @@
 type fakeMesh struct {
 	view  peer.View
 	stood time.Time
-	// onStandsIn is called when the node notes that it is a delegate.
-	onStandsIn func()
+	// onRenewal is called when the node notes that it is a delegate.
+	onRenewal func()
 }
 
 func (m *fakeMesh) View() *peer.View { return &m.view }
 
-func (m *fakeMesh) StandsIn() {
+func (m *fakeMesh) RecordRenewal() {
 	m.stood = time.Now()
-	if m.onStandsIn != nil {
-		m.onStandsIn()
+	if m.onRenewal != nil {
+		m.onRenewal()
 	}
 }
 
-func (m *fakeMesh) Stood() time.Duration {
+func (m *fakeMesh) SinceRenewal() time.Duration {
 	if m.stood.IsZero() {
 		return 0
 	}
@@ -112,9 +112,9 @@
 			c.change(&s)
 			now := time.Now()
 			ledger := cancels.New([]wire.NodeID{"b"}, time.Minute)
-			ledger.Read(now.Add(-s.known))
-			ledger.Note("req-7", 0)
-			mesh := &fakeMesh{view: peer.View{Token: s.newest, Led: now.Add(-s.led), Grant: peer.Grant{Token: s.token, Sent: now.Add(-s.granted)}}}
+			ledger.RecordRead(now.Add(-s.known))
+			ledger.Add("req-7", 0)
+			mesh := &fakeMesh{view: peer.View{Token: s.newest, LeaderSeen: now.Add(-s.led), Delegation: peer.Delegation{Token: s.token, RequestedAt: now.Add(-s.granted)}}}
 			d := New(Config{Bounds: Bounds{Time: 20 * time.Second, MaxCancelAge: 20 * time.Second}, Mesh: mesh, Cancels: ledger, Nodes: 3, MaxCommands: 10})
 			if s.own {
 				d.GrantSelf(50, now.Add(-s.granted))
@@ -132,7 +132,7 @@
 				t.Errorf("%s: answers %+v", name, answer)
 			}
 			// News that comes between the note and the answer still counts.
-			mesh.onStandsIn = func() { mesh.view.Token = 51 }
+			mesh.onRenewal = func() { mesh.view.Token = 51 }
 			if d.Answer(rep) != nil {
 				t.Errorf("%s: answers though a newer token came meanwhile", name)
 			}
--- a/internal/leader/delegation/tenure.go
+++ b/internal/leader/delegation/tenure.go
@@ -24,16 +24,16 @@
 // at it still. What its last process did it does not know: that may have been a
 // delegate until this one began. Of one that never acknowledged our token, an
 // earlier leader's grant may be in force: that leader's last was before this term.
-func (b Bounds) AnswersUntil(t Tenure, o peer.Other, now time.Time) time.Time {
-	at := latest(o.Stood, o.Born)
+func (b Bounds) AnswersUntil(t Tenure, o peer.Peer, now time.Time) time.Time {
+	at := latest(o.LastRenewal, o.StartedBy)
 	if o.AckToken < t.FirstToken {
 		at = latest(at, t.Began.Add(b.Time))
 	}
-	unheard := now.Sub(o.AckSent) > 3*peer.X/2
-	stillAtIt := now.Sub(o.Stood) < 3*peer.X
-	justBack := now.Sub(t.StateBack) < 3*peer.X
-	if (unheard || stillAtIt || justBack) && !o.Granted.IsZero() {
-		at = latest(at, o.Granted.Add(b.Time))
+	unheard := now.Sub(o.AckSent) > 3*peer.AckLifetime/2
+	stillAtIt := now.Sub(o.LastRenewal) < 3*peer.AckLifetime
+	justBack := now.Sub(t.StateBack) < 3*peer.AckLifetime
+	if (unheard || stillAtIt || justBack) && !o.DelegatedAt.IsZero() {
+		at = latest(at, o.DelegatedAt.Add(b.Time))
 	}
 	return at
 }
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -252,11 +252,11 @@
 func heldRecords(tries ...wire.Attempt) (recs []store.ChunkRecord) {
 	for i, try := range tries {
 		if i%2 == 0 {
-			recs = append(recs, store.ChunkRecord{Next: 1, Held: []store.Held{}})
+			recs = append(recs, store.ChunkRecord{Next: 1, Held: []store.HeldAttempt{}})
 		}
 		if rec := &recs[i/2]; try > 0 {
 			rec.Next = max(rec.Next, try+1)
-			rec.Held = append(rec.Held, store.Held{Task: i % 2, Try: try, On: wire.MachineID(fmt.Sprint("n-", i+1))})
+			rec.Held = append(rec.Held, store.HeldAttempt{Task: i % 2, Attempt: try, Machine: wire.MachineID(fmt.Sprint("n-", i+1))})
 		}
 	}
 	return recs
@@ -299,7 +299,7 @@
 		"one as done, one as held":                    heldRecords(4, 0, 0),
 		"one as done, nothing as held":                heldRecords(0, 0, 0),
 	} {
-		recs[0].Done = store.Ranges([]bool{false, true})
+		recs[0].Done = store.PackRanges([]bool{false, true})
 		tm, j := readRig(t, recs)
 		mustBeDone(t, name, tm, j)
 	}
@@ -384,7 +384,7 @@
 			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.halting, array.gracePeriod)
 		}
 		other := member(j, 1).machine
-		tm.l.Cancels.Read(time.Now())
+		tm.l.Cancels.RecordRead(time.Now())
 		r := tm.tell(&wire.Report{Machine: other.id, Session: 1, Sequence: 11, Token: tm.firstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -44,7 +44,7 @@
 	Store   *store.Client
 	Cloud   *cloud.Client
 	Mesh    *peer.Mesh
-	Cancels *cancels.Ledger
+	Cancels *cancels.Log
 	Tuning  *tuning.Box
 	Flavors *FlavorBox
 	Log     *slog.Logger
@@ -110,7 +110,7 @@
 func New(d Deps) *Leader {
 	l := &Leader{
 		Deps:           d,
-		candidate:      election.NewCandidate(d.Config, d.Store, d.Log, d.Mesh.Raise),
+		candidate:      election.NewCandidate(d.Config, d.Store, d.Log, d.Mesh.ObserveToken),
 		workerContacts: make(chan wire.MachineID, 64),
 		delegation:     delegation.BoundsOf(d.Config.Settings.Workers),
 		workerClient:   &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
@@ -142,7 +142,7 @@
 		if lease == nil {
 			continue
 		}
-		l.Mesh.Raise(ctx, lease.Token())
+		l.Mesh.ObserveToken(ctx, lease.Token())
 		t := newTerm(l, lease)
 		l.term.Store(t)
 		l.Metrics.Led()
@@ -197,7 +197,7 @@
 		l.Metrics.Report("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
-			if !l.delegate.Lately() && l.Mesh.View().Others[lead].Near(now) && l.relay(r.Context(), w, lead, &rep) {
+			if !l.delegate.Lately() && l.Mesh.View().Peers[lead].Connected(now) && l.relay(r.Context(), w, lead, &rep) {
 				return
 			}
 			if l.delegate.Returned(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
@@ -232,10 +232,10 @@
 // to and fro between it and a node that leads no more.
 func (l *Leader) currentLeader(now time.Time) wire.NodeID {
 	v := l.Mesh.View()
-	if v.Leader != "" && now.Sub(v.Others[v.Leader].Heard) < 2*peer.X {
+	if v.Leader != "" && now.Sub(v.Peers[v.Leader].LastContact) < 2*peer.AckLifetime {
 		return v.Leader
 	}
-	return l.candidate.Holder(now, peer.X)
+	return l.candidate.Holder(now, peer.AckLifetime)
 }
 
 // serve has the term's loop answer a report.
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -130,8 +130,8 @@
 	if !c.unreachable() || !t.lease.Deciding() || now.Sub(t.startedAt) <= settled {
 		return "", false
 	}
-	for name, o := range t.l.Mesh.View().Others {
-		if o.Near(now) && o.Serves && o.Hears*2 > c.up {
+	for name, o := range t.l.Mesh.View().Peers {
+		if o.Connected(now) && o.StateReachable && o.ReachableWorkers*2 > c.up {
 			return name, true
 		}
 	}
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -102,12 +102,12 @@
 // keeps to that, whatever comes late from those it has lost.
 func TestLeadersWithoutEachOther(t *testing.T) {
 	tm, _, _ := rig(t)
-	tm.l.Config.Others = []config.Other{{HostName: "b"}, {HostName: "c"}}
+	tm.l.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
 	now := time.Now()
 	tm.startedAt = now.Add(-40 * time.Second)
 	since := func(at time.Time) time.Duration { return at.Sub(tm.startedAt).Round(time.Second) }
 	// Without a time for delegates, and with a majority.
-	if got := since(tm.othersUntil()); got != peer.B {
+	if got := since(tm.othersUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
 	}
 	tm.l.delegation.Time = 22 * time.Second
@@ -126,7 +126,7 @@
 	// Of the others' last acknowledged beats the oldest counts.
 	view := func(b, c float64) *peer.View {
 		asked := func(s float64) time.Time { return tm.startedAt.Add(time.Duration(s * float64(time.Second))) }
-		return &peer.View{Others: map[wire.NodeID]peer.Other{"b": {AckSent: asked(b), Heard: now}, "c": {AckSent: asked(c), Heard: now}}}
+		return &peer.View{Peers: map[wire.NodeID]peer.Peer{"b": {AckSent: asked(b), LastContact: now}, "c": {AckSent: asked(c), LastContact: now}}}
 	}
 	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 39.5}, {39.5, 20, 20}, {39.5, 33, 33}, {0, 0, 0}} {
 		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.startedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
--- a/internal/leader/partitions.go
+++ b/internal/leader/partitions.go
@@ -18,7 +18,7 @@
 		}
 		silentSince := t.zoneSilentSince(zone)
 		counts := detector.Counts{Up: up, Lost: c.zoneLost[zone], AllUp: c.up,
-			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.X}
+			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.AckLifetime}
 		if t.zoneDetector.Judge(zone, counts, now) {
 			t.log().Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
 		}
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -49,7 +49,7 @@
 // readSubChunkEntry takes in a sub-chunk, which holds in place of its part of a
 // chunk that was read before.
 func (t *term) readSubChunkEntry(e wire.Entry) {
-	id, index, part, ok := store.ParsePieceKey(e.Key)
+	id, index, part, ok := store.ParseSubchunkKey(e.Key)
 	j := t.jobs[id]
 	if ok && j == nil && t.isAside(id) {
 		return
@@ -63,12 +63,12 @@
 		t.setAside(e.Key, id, err)
 		return
 	}
-	if !j.splitsInto(rec.Size) {
+	if !j.splitsInto(rec.SubchunkTasks) {
 		t.leftOver(e)
 		return
 	}
 	if j.subChunks == 0 {
-		j.split(rec.Size)
+		j.split(rec.SubchunkTasks)
 	}
 	if part >= j.subChunks || index*j.subChunks+part >= len(j.chunks) {
 		t.leftOver(e)
@@ -85,7 +85,7 @@
 	j := c.job
 	c.revision, c.nextAttempt = revision, rec.Next
 	done := make([]bool, len(c.taskStates))
-	store.Unpack(rec.Done, done)
+	store.SetFlags(rec.Done, done)
 	for i, d := range done {
 		if d {
 			c.taskStates[i] = taskDone
@@ -96,6 +96,6 @@
 		if h.Task < 0 || h.Task >= len(c.taskStates) || c.taskStates[h.Task] != taskPending {
 			continue
 		}
-		c.hold(&attempt{job: j, chunk: c, index: h.Task, number: h.Try, machine: t.machine(h.On), inherited: true, decidedAt: t.startedAt})
+		c.hold(&attempt{job: j, chunk: c, index: h.Task, number: h.Attempt, machine: t.machine(h.Machine), inherited: true, decidedAt: t.startedAt})
 	}
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -14,13 +14,13 @@
 func (t *term) recover(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		jobs, rev, err := t.l.Store.List(ctx, store.Duty, store.JobPrefix)
+		jobs, rev, err := t.l.Store.List(ctx, store.Background, store.JobPrefix)
 		if err == nil {
 			var runs []wire.Entry
-			if runs, _, err = t.l.Store.List(ctx, store.Duty, store.RunPrefix); err == nil {
+			if runs, _, err = t.l.Store.List(ctx, store.Background, store.RunPrefix); err == nil {
 				t.post(func() {
 					t.loadRecords(jobs, runs)
-					t.l.Cancels.Read(began)
+					t.l.Cancels.RecordRead(began)
 				})
 				t.follow(ctx, rev)
 				return
@@ -59,7 +59,7 @@
 		}
 		t.post(func() {
 			t.applyChanges(ch.Events)
-			t.l.Cancels.Read(began)
+			t.l.Cancels.RecordRead(began)
 		})
 	}
 }
@@ -131,7 +131,7 @@
 		return
 	}
 	j.revision, j.stale = revision, j.cancelled && rec.Status != wire.Cancelled
-	rec.Tell(t.l.Cancels)
+	rec.LogCancellation(t.l.Cancels)
 	if rec.Status == wire.Cancelled && !j.cancelled {
 		j.cancelled = true
 		j.cancelledAt = time.Now().Add(-rec.Cancelled())
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -235,8 +235,8 @@
 // for.
 func (t *term) oldestAck(v *peer.View, now time.Time) time.Time {
 	oldest := now
-	for _, o := range t.l.Config.Others {
-		if at := v.Others[o.HostName].AckSent; at.Before(oldest) {
+	for _, o := range t.l.Config.Peers {
+		if at := v.Peers[o.HostName].AckSent; at.Before(oldest) {
 			oldest = at
 		}
 	}
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -75,7 +75,7 @@
 	t.Helper()
 	reader := store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
-	entries, _, err := reader.List(context.Background(), store.Duty, store.RunPrefix+string(id)+"/")
+	entries, _, err := reader.List(context.Background(), store.Background, store.RunPrefix+string(id)+"/")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 			t.Fatalf("%s is no chunk", e.Key)
 		}
 		for _, h := range rec.Held {
-			out[[2]int{n*store.ChunkFor(loweredLimits.ValueKB) + h.Task, int(h.Try)}] = h.On
+			out[[2]int{n*store.ChunkFor(loweredLimits.ValueKB) + h.Task, int(h.Attempt)}] = h.Machine
 		}
 	}
 	return out
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -17,9 +17,9 @@
 	zone := func(i int) wire.Zone { return zones[i%len(zones)] }
 	for i, n := range sim.controllers {
 		n.cfg.Zone = zone(i)
-		n.cfg.Others = slices.Clone(n.cfg.Others)
-		for k := range n.cfg.Others {
-			o := &n.cfg.Others[k]
+		n.cfg.Peers = slices.Clone(n.cfg.Peers)
+		for k := range n.cfg.Peers {
+			o := &n.cfg.Peers[k]
 			o.Zone = zone(slices.IndexFunc(sim.controllers, func(m *controller) bool { return m.cfg.HostName == o.HostName }))
 		}
 	}
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -118,7 +118,7 @@
 			Front: NodeIP(i) + ":8080", PeerBind: NodeIP(i) + ":8081", Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
 		for k := range sim.controllers {
 			if k != i {
-				c.Others = append(c.Others, config.Other{HostName: wire.NodeID(fmt.Sprintf("worker-%d", k)), Zone: set.Zones[k%len(set.Zones)], Addr: NodeIP(k) + ":8081"})
+				c.Peers = append(c.Peers, config.Peer{HostName: wire.NodeID(fmt.Sprintf("worker-%d", k)), Zone: set.Zones[k%len(set.Zones)], Addr: NodeIP(k) + ":8081"})
 			}
 		}
 		sim.controllers[i] = &controller{cfg: c}
