--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/config"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
@@ -69,3 +70,29 @@
 		t.Errorf("demands %+v", ds)
 	}
 }
+
+// While an urgent gang can still start within its class's aim it does not wait for
+// tasks that will end by themselves later than that; once it is late it may again.
+func TestPatienceEndsWithTheStartAim(t *testing.T) {
+	tm, _, _ := rig(t)
+	now := time.Now()
+	gang := gangJob(tm, "req-2", 3)
+	gang.spec.Priority, gang.spec.ExpectedRunTime = wire.PriorityUrgent, 30
+	after := func(waited time.Duration) float64 {
+		gang.acceptedAt = now.Add(-waited)
+		return tm.patience(gang, now)
+	}
+	if got := after(0); got != patienceMost {
+		t.Errorf("without an aim: %g s", got)
+	}
+	tm.set.Objectives = []config.Objective{{Kind: "wait", Class: "other", WithinS: 1}, {Kind: "wait", Class: gang.spec.Class, WithinS: 2}}
+	if got := after(0); got != 1 {
+		t.Errorf("at once: %g s of 2 s", got)
+	}
+	if got := after(1500 * time.Millisecond); got != 0.25 {
+		t.Errorf("after 1.5 s: %g s of the last 0.5 s", got)
+	}
+	if got := after(2 * time.Second); got != patienceMost+1-2 {
+		t.Errorf("late: %g s", got)
+	}
+}
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -239,7 +239,26 @@
 	if j.spec.Gang() && !placement.MayPreempt(&j.spec) {
 		return min(gatherMost, patienceMost+now.Sub(j.acceptedAt).Seconds()/2)
 	}
-	return max(0, min(patienceMost, t.slack(j, now)/8, patienceMost+1-now.Sub(j.acceptedAt).Seconds()))
+	waited := now.Sub(j.acceptedAt).Seconds()
+	patience := min(patienceMost, t.slack(j, now)/8, patienceMost+1-waited)
+	// While its start can still be in time it must not be given away: urgent gangs
+	// with an aim of 2 s waited for tasks that were expected to end within 3 s, often
+	// ended later, and kept the gangs from having anything else stopped meanwhile.
+	if left := t.startAim(j.spec.Class) - waited; j.spec.Gang() && left > 0 {
+		patience = min(patience, left/2)
+	}
+	return max(0, patience)
+}
+
+// startAim is within how many seconds the users' aims want jobs of a class
+// started; 0: they don't say.
+func (t *term) startAim(class string) float64 {
+	for _, o := range t.set.Objectives {
+		if o.Kind == "wait" && o.Class == class {
+			return float64(o.WithinS)
+		}
+	}
+	return 0
 }
 
 // gatherMost is how long room may be kept for a gang until all of it is free. A
