--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -321,3 +322,49 @@
 		}
 	}
 }
+
+// A gang that must fetch goes where its last image is there soonest: neither where
+// the fewest machines fetch, nor where it leaves the least room.
+func TestGangFetchesWhereItIsQuickest(t *testing.T) {
+	at := func(id wire.MachineID, z wire.Zone, free, rate float64, image Image) Machine {
+		m := inZone(id, z, free)
+		m.PullRate, m.Images = rate, map[wire.ImageID]Image{"i": image}
+		return m
+	}
+	place := func(ms ...Machine) map[wire.MachineID]int {
+		spec := gangSpec("req-1", wire.PriorityUrgent, 2, 2)
+		spec.ImageGB = 1.4
+		for i := range ms {
+			ms[i].Images = maps.Clone(ms[i].Images) // the pass notes its fetches there
+		}
+		s := snapOf(ms, Job{Spec: spec})
+		got := map[wire.MachineID]int{}
+		for _, st := range Place(s).Starts {
+			got[s.Machines[st.Machine].ID]++
+		}
+		return got
+	}
+	slow, quick, other := at("m", "a", 4, 0.3, Absent), at("n", "a", 2, 1, Absent), at("o", "a", 2, 1, Absent)
+	if got := place(slow, quick, other); got["n"] != 1 || got["o"] != 1 {
+		t.Errorf("beside a slow one that has room for both: %v", got)
+	}
+	quick.Zone, other.Zone = "b", "b"
+	if got := place(slow, quick, other); got["n"] != 1 || got["o"] != 1 {
+		t.Errorf("in another zone: %v", got)
+	}
+	busy := other
+	busy.PullGB = 3 // of other images, which share its rate
+	if got := place(slow, quick, busy); got["m"] != 0 || got["n"] != 1 || got["o"] != 1 {
+		t.Errorf("4.4 s against 4.7 s: %v", got)
+	}
+	busy.PullGB = 4
+	if got := place(slow, quick, busy); got["m"] != 2 {
+		t.Errorf("5.4 s against 4.7 s: %v", got)
+	}
+	if got := place(at("m", "a", 4, 0.3, Present), quick, other); got["m"] != 2 {
+		t.Errorf("beside one that holds the image: %v", got)
+	}
+	if got := place(at("m", "a", 2, 0.3, Fetching), at("n", "a", 2, 0.8, Absent), at("o", "a", 2, 1, Absent)); got["n"] != 0 {
+		t.Errorf("beside one that fetches the image already: %v", got)
+	}
+}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -460,8 +460,26 @@
 	return out
 }
 
+// fetchStep is what fetches may differ by, in seconds, and count as equally long:
+// the rate of each is only known to a third.
+const fetchStep = 0.25
+
+// fetchSteps is how many steps a unit of a gang would wait for its image on a
+// machine. A fetch that is under way may be nearly over, or have just begun.
+func fetchSteps(m *Machine, j *Job) int {
+	switch m.Images[j.Spec.Image] {
+	case Present:
+		return 0
+	case Fetching:
+		return 1
+	}
+	return 1 + int(fetchS(m, j)/fetchStep)
+}
+
 // chooseWhole finds machines for all units of a gang: in the preferred class
-// alone if all of it fits there, else anywhere, with the fewest that must fetch.
+// alone if all of it fits there, else anywhere, where the last image is there
+// soonest, as the others wait for it. (Fewest fetches went first: a gang went to
+// one full machine type that fetches slowly rather than to two that are quick.)
 func (p *pass) chooseWhole(ji int) choice {
 	j := &p.s.Jobs[ji]
 	take := Of(j.Spec)
@@ -473,9 +491,10 @@
 		mi    int
 		class utility.Class
 		last  bool
+		steps int // for which it waits for its image
 		score float64
 	}
-	bestFetch, bestScore := 0, 0.0
+	bestSteps, bestFetch, bestScore := 0, 0, 0.0
 	for _, g := range groups(p.s, j) {
 		var seats []seat
 		for _, mi := range g {
@@ -484,7 +503,7 @@
 			if !take.Fits(m.Free) || !Allowed(j.Spec, m) || !zoneOpen(j, m.Zone) || kept && !j.Lingers || m.claimed(j, take) {
 				continue
 			}
-			st := seat{mi, without, m.Cordoned || j.Avoid[m.ID] || kept, fit(j, m, take)}
+			st := seat{mi, without, m.Cordoned || j.Avoid[m.ID] || kept, fetchSteps(m, j), fit(j, m, take)}
 			if m.Images[j.Spec.Image] == Present {
 				st.class = withImage
 			}
@@ -497,10 +516,10 @@
 			case a.last != b.last:
 				return -1
 			}
-			return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score))
+			return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.steps, b.steps), cmp.Compare(b.score, a.score))
 		})
 		var picks []int
-		fetch, score := 0, 0.0
+		steps, fetch, score := 0, 0, 0.0
 		inZone := map[wire.Zone]int{}
 		for _, st := range seats {
 			m := p.s.Machines[st.mi] // a copy, from which units are taken
@@ -510,6 +529,7 @@
 				m.used(j.Spec.ID)
 				inZone[m.Zone]++
 				picks = append(picks, st.mi)
+				steps = max(steps, st.steps)
 				if st.class == without && first {
 					fetch++
 				}
@@ -523,12 +543,12 @@
 		if len(picks) < j.Pending {
 			continue
 		}
-		if out.machine == none || fetch < bestFetch || fetch == bestFetch && score > bestScore {
+		if out.machine == none || cmp.Or(cmp.Compare(steps, bestSteps), cmp.Compare(fetch, bestFetch), cmp.Compare(bestScore, score)) < 0 {
 			class := withImage
 			if fetch > 0 {
 				class = without
 			}
-			out, bestFetch, bestScore = choice{machine: picks[0], picks: picks, gain: p.gains[ji][class]}, fetch, score
+			out, bestSteps, bestFetch, bestScore = choice{machine: picks[0], picks: picks, gain: p.gains[ji][class]}, steps, fetch, score
 		}
 	}
 	return out
