--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -73,7 +73,7 @@
 
 // While an urgent gang can still start within its class's aim it does not wait for
 // tasks that will end by themselves later than that; once it is late it may again.
-func TestPatienceEndsWithTheStartAim(t *testing.T) {
+func TestPatienceEndsWithTheStartObjective(t *testing.T) {
 	tm, _, _ := rig(t)
 	now := time.Now()
 	gang := gangJob(tm, "req-2", 3)
@@ -85,7 +85,7 @@
 	if got := after(0); got != patienceMost {
 		t.Errorf("without an aim: %g s", got)
 	}
-	tm.set.Objectives = []config.Objective{{Kind: "wait", Class: "other", WithinS: 1}, {Kind: "wait", Class: gang.spec.Class, WithinS: 2}}
+	tm.settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", WithinS: 1}, {Kind: "wait", Class: gang.spec.Class, WithinS: 2}}
 	if got := after(0); got != 1 {
 		t.Errorf("at once: %g s of 2 s", got)
 	}
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -253,7 +253,7 @@
 // startAim is within how many seconds the users' aims want jobs of a class
 // started; 0: they don't say.
 func (t *term) startAim(class string) float64 {
-	for _, o := range t.set.Objectives {
+	for _, o := range t.settings.Objectives {
 		if o.Kind == "wait" && o.Class == class {
 			return float64(o.WithinS)
 		}
@@ -377,8 +377,9 @@
 			if !preempts || a.planned || a.halting || ending || a.job.spec.Service() && a.job.spec.Priority == wire.PriorityProd {
 				continue
 			}
-			lost := 0.0
+			lost, saves := 0.0, 0.0
 			if !a.runningSince.IsZero() {
+				saves = float64(a.job.spec.CheckpointTime)
 				lost = now.Sub(a.runningSince).Seconds()
 				if every := float64(a.job.spec.CheckpointInterval); every > 0 {
 					lost = min(lost, float64(a.job.spec.CheckpointTime))
@@ -388,7 +389,7 @@
 				lost = (lost + 5) * float64(a.job.spec.Tasks)
 			}
 			pm.Victims = append(pm.Victims, placement.Victim{Task: a.task(), Rank: a.job.spec.Priority.Rank(), Takes: a.res(),
-				Lost: lost, LeftS: a.left(now), Beyond: beyond(a.job), Team: a.job.spec.Team})
+				Lost: lost, LeftS: a.left(now), SavesS: saves, Beyond: beyond(a.job), Team: a.job.spec.Team})
 		}
 		slices.SortFunc(pm.Victims, func(a, b placement.Victim) int {
 			return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), a.Task.Index-b.Task.Index)
@@ -416,7 +417,7 @@
 	kept := js[:0]
 	for _, j := range js {
 		pj := placement.Job{Spec: &j.spec, Pending: j.pending(), ZoneHeld: map[wire.Zone]int{},
-			WaitedS: now.Sub(j.acceptedAt).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), Weight: t.weight(j, sure[j.spec.ID], now),
+			WaitedS: now.Sub(j.acceptedAt).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), StartsInS: max(0, t.startAim(j.spec.Class)-now.Sub(j.acceptedAt).Seconds()), Weight: t.weight(j, sure[j.spec.ID], now),
 			Lingers: now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt)) > lingerMost}
 		if t.startOverdue(j, now) {
 			pj.Weight = starvingWeight
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -368,3 +368,38 @@
 		t.Errorf("beside one that fetches the image already: %v", got)
 	}
 }
+
+// For an urgent gang that can still start in time what would save for longer is
+// stopped only where nothing else can be; one without an aim, or late already, stops
+// the lowest priority first.
+func TestGangInTimeStopsWhatLeavesAtOnce(t *testing.T) {
+	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Takes: Res{4, 0, 4}, Lost: 3, LeftS: 99, SavesS: 3, Team: "t"}
+	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Takes: Res{4, 0, 4}, Lost: 30, LeftS: 99, Team: "t"}
+	full := func(vs ...Victim) Machine {
+		m := inZone("m", "a", 0, vs...)
+		m.Total = Res{4 * float64(len(vs)), 0, 32}
+		return m
+	}
+	other := inZone("n", "a", 0, atOnce)
+	for name, c := range map[string]struct {
+		ms       []Machine
+		priority wire.Priority
+		startsIn float64
+		want     wire.JobID
+	}{
+		"no aim, one machine":        {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 0, "req-8"},
+		"no aim, two machines":       {[]Machine{full(saving), other}, wire.PriorityUrgent, 0, "req-8"},
+		"in time, one machine":       {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 2, "req-9"},
+		"in time, two machines":      {[]Machine{full(saving), other}, wire.PriorityUrgent, 2, "req-9"},
+		"there is time to save":      {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 4, "req-8"},
+		"nothing else can be":        {[]Machine{full(saving)}, wire.PriorityUrgent, 2, "req-8"},
+		"an everyday gang, of these": {[]Machine{full(saving, atOnce), other}, wire.PriorityStandard, 2, ""},
+	} {
+		res := Place(snapOf(c.ms, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartsInS: c.startsIn}))
+		switch {
+		case c.want == "" && len(res.Halts) == 0:
+		case len(res.Halts) != 1 || res.Halts[0].Task.Job != c.want:
+			t.Errorf("%s: halts %+v, want %q", name, res.Halts, c.want)
+		}
+	}
+}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -73,6 +73,7 @@
 	Beyond bool    // its team runs beyond its own guarantee
 	Team   wire.TeamID
 	LeftS  float64 // in which it is expected to end by itself
+	SavesS float64 // for which it saves once it is told to stop
 }
 
 // Machine that can take tasks.
@@ -153,6 +154,9 @@
 	// PatienceS is how long a unit may wait for tasks to end by themselves,
 	// rather than have them stopped.
 	PatienceS float64
+	// StartsInS is how long it may still wait to start in time; 0: no aim says, or
+	// it is late already.
+	StartsInS float64
 }
 
 // Team with what its tasks take and its limit; a limit of 0 is none.
@@ -837,20 +841,31 @@
 	return v.Rank < j.Spec.Priority.Rank() || j.Guaranteed && v.Beyond && v.Team != j.Spec.Team && j.Spec.Service()
 }
 
-// fetchWeight is how many seconds of repeated work a second of fetching may
-// cost that a service waits for: on a full deployment most replicas start in
-// room that was made for them, and the image decides whether they start in
-// time.
+// hurries tells whether the job is a gang that others are stopped for and that can
+// still start in time.
+func hurries(j *Job) bool { return j.Spec.Gang() && MayPreempt(j.Spec) && j.StartsInS > 0 }
+
+// outlasts tells whether the task would still be saving when a gang that hurries
+// should have started. (Urgent gangs with an aim of 2 s stopped tasks of the lowest priority,
+// which take 3 s to save, beside others that would have ended at once.)
+func outlasts(j *Job, v *Victim) bool {
+	return hurries(j) && v.SavesS > j.StartsInS
+}
+
+// fetchWeight is how many seconds of repeated work a second of waiting, for an
+// image or for what saves, may cost a service, or a gang that hurries: on a full
+// deployment most replicas start in room that was made for them, and the image
+// decides whether they start in time.
 const fetchWeight = 20
 
 func fetchCost(m *Machine, j *Job) float64 {
 	if m.Images[j.Spec.Image] == Present {
 		return 0
 	}
-	if !j.Spec.Service() {
-		return fetchS(m, j)
+	if j.Spec.Service() || hurries(j) {
+		return fetchWeight * fetchS(m, j)
 	}
-	return fetchWeight * fetchS(m, j)
+	return fetchS(m, j)
 }
 
 // fetchS is how long a machine takes to fetch the job's image beside those
@@ -902,6 +917,12 @@
 		case eb:
 			return 1
 		}
+		switch oa, ob := outlasts(j, va), outlasts(j, vb); {
+		case oa && !ob:
+			return 1
+		case ob && !oa:
+			return -1
+		}
 		return cmp.Or(cmp.Compare(va.Rank, vb.Rank), cmp.Compare(va.Lost, vb.Lost))
 	})
 	for _, vi := range order {
@@ -913,6 +934,9 @@
 			c.lost += v.LeftS
 		} else {
 			c.lost += v.Lost + 5
+			if outlasts(j, v) {
+				c.lost += fetchWeight * v.SavesS
+			}
 		}
 		c.picks = append(c.picks, vi)
 	}
