--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -403,3 +403,20 @@
 		}
 	}
 }
+
+// Room that was made for a gang is not kept for the next replicas when it becomes
+// free; what is free beside it is.
+func TestRoomMadeForAGangIsItsOwn(t *testing.T) {
+	for free, spare := range map[float64]int{4: 0, 5: 1, 9: 2} {
+		m := inZone("m", "a", free)
+		m.Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Res{2, 0, 2}}, {"req-1", wire.PriorityUrgent.Rank(), Res{2, 0, 2}}}
+		s := snapOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), Claims: 2})
+		s.Spare, s.SpareTakes = 4, Res{1, 0, 1} // half of it in one zone at most
+		if n := len(Place(s).Starts); n != 2 {
+			t.Errorf("%g free: %d of 2 tasks start in the room made for them", free, n)
+		}
+		if n := s.Machines[0].kept; n != spare {
+			t.Errorf("%g free: room for %d replicas is kept, want %d", free, n, spare)
+		}
+	}
+}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -602,6 +602,11 @@
 		m := &s.Machines[i]
 		// Half of it in one zone at most, as services that are spread need.
 		n := min(left, s.SpareTakes.Units(m.Free), (s.Spare+1)/2-zones[m.Zone])
+		if len(m.Claims) > 0 {
+			// Not what was made for others: room that urgent gangs had tasks stopped for
+			// was kept from them as soon as it was free, for as long as their claims held.
+			n = min(n, s.SpareTakes.Units(m.left(func(*Claim) bool { return false })))
+		}
 		m.kept, m.keeps = n, s.SpareTakes.Times(float64(n))
 		left -= n
 		zones[m.Zone] += n
