--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -239,7 +239,26 @@
 	if j.spec.Gang() && !placement.MayPreempt(&j.spec) {
 		return min(gatherMost, patienceMost+now.Sub(j.acceptedAt).Seconds()/2)
 	}
-	return max(0, min(patienceMost, t.slack(j, now)/8, patienceMost+1-now.Sub(j.acceptedAt).Seconds()))
+	waited := now.Sub(j.acceptedAt).Seconds()
+	patience := min(patienceMost, t.slack(j, now)/8, patienceMost+1-waited)
+	// While its start can still be in time it must not be given away: urgent gangs
+	// with an aim of 2 s waited for tasks that were expected to end within 3 s, often
+	// ended later, and kept the gangs from having anything else stopped meanwhile.
+	if left := t.startAim(j.spec.Class) - waited; j.spec.Gang() && left > 0 {
+		patience = min(patience, left/2)
+	}
+	return max(0, patience)
+}
+
+// startAim is within how many seconds the users' aims want jobs of a class
+// started; 0: they don't say.
+func (t *term) startAim(class string) float64 {
+	for _, o := range t.settings.Objectives {
+		if o.Kind == "wait" && o.Class == class {
+			return float64(o.WithinS)
+		}
+	}
+	return 0
 }
 
 // gatherMost is how long room may be kept for a gang until all of it is free. A
@@ -358,8 +377,9 @@
 			if !preempts || a.planned || a.halting || ending || a.job.spec.Service() && a.job.spec.Priority == wire.PriorityProd {
 				continue
 			}
-			lost := 0.0
+			lost, saves := 0.0, 0.0
 			if !a.runningSince.IsZero() {
+				saves = float64(a.job.spec.CheckpointTime)
 				lost = now.Sub(a.runningSince).Seconds()
 				if every := float64(a.job.spec.CheckpointInterval); every > 0 {
 					lost = min(lost, float64(a.job.spec.CheckpointTime))
@@ -369,7 +389,7 @@
 				lost = (lost + 5) * float64(a.job.spec.Tasks)
 			}
 			pm.Victims = append(pm.Victims, placement.Victim{Task: a.task(), Rank: a.job.spec.Priority.Rank(), Takes: a.res(),
-				Lost: lost, LeftS: a.left(now), Beyond: beyond(a.job), Team: a.job.spec.Team})
+				Lost: lost, LeftS: a.left(now), SavesS: saves, Beyond: beyond(a.job), Team: a.job.spec.Team})
 		}
 		slices.SortFunc(pm.Victims, func(a, b placement.Victim) int {
 			return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), a.Task.Index-b.Task.Index)
@@ -397,7 +417,7 @@
 	kept := js[:0]
 	for _, j := range js {
 		pj := placement.Job{Spec: &j.spec, Pending: j.pending(), ZoneHeld: map[wire.Zone]int{},
-			WaitedS: now.Sub(j.acceptedAt).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), Weight: t.weight(j, sure[j.spec.ID], now),
+			WaitedS: now.Sub(j.acceptedAt).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), StartsInS: max(0, t.startAim(j.spec.Class)-now.Sub(j.acceptedAt).Seconds()), Weight: t.weight(j, sure[j.spec.ID], now),
 			Lingers: now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt)) > lingerMost}
 		if t.startOverdue(j, now) {
 			pj.Weight = starvingWeight
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -321,3 +322,101 @@
 		}
 	}
 }
+
+// A gang that must fetch goes where its last image is there soonest: neither where
+// the fewest machines fetch, nor where it leaves the least room.
+func TestGangFetchesWhereItIsQuickest(t *testing.T) {
+	at := func(id wire.MachineID, z wire.Zone, free, rate float64, image Image) Machine {
+		m := inZone(id, z, free)
+		m.PullRate, m.Images = rate, map[wire.ImageID]Image{"i": image}
+		return m
+	}
+	place := func(ms ...Machine) map[wire.MachineID]int {
+		spec := gangSpec("req-1", wire.PriorityUrgent, 2, 2)
+		spec.ImageGB = 1.4
+		for i := range ms {
+			ms[i].Images = maps.Clone(ms[i].Images) // the pass notes its fetches there
+		}
+		s := snapOf(ms, Job{Spec: spec})
+		got := map[wire.MachineID]int{}
+		for _, st := range Place(s).Starts {
+			got[s.Machines[st.Machine].ID]++
+		}
+		return got
+	}
+	slow, quick, other := at("m", "a", 4, 0.3, Absent), at("n", "a", 2, 1, Absent), at("o", "a", 2, 1, Absent)
+	if got := place(slow, quick, other); got["n"] != 1 || got["o"] != 1 {
+		t.Errorf("beside a slow one that has room for both: %v", got)
+	}
+	quick.Zone, other.Zone = "b", "b"
+	if got := place(slow, quick, other); got["n"] != 1 || got["o"] != 1 {
+		t.Errorf("in another zone: %v", got)
+	}
+	busy := other
+	busy.PullGB = 3 // of other images, which share its rate
+	if got := place(slow, quick, busy); got["m"] != 0 || got["n"] != 1 || got["o"] != 1 {
+		t.Errorf("4.4 s against 4.7 s: %v", got)
+	}
+	busy.PullGB = 4
+	if got := place(slow, quick, busy); got["m"] != 2 {
+		t.Errorf("5.4 s against 4.7 s: %v", got)
+	}
+	if got := place(at("m", "a", 4, 0.3, Present), quick, other); got["m"] != 2 {
+		t.Errorf("beside one that holds the image: %v", got)
+	}
+	if got := place(at("m", "a", 2, 0.3, Fetching), at("n", "a", 2, 0.8, Absent), at("o", "a", 2, 1, Absent)); got["n"] != 0 {
+		t.Errorf("beside one that fetches the image already: %v", got)
+	}
+}
+
+// For an urgent gang that can still start in time what would save for longer is
+// stopped only where nothing else can be; one without an aim, or late already, stops
+// the lowest priority first.
+func TestGangInTimeStopsWhatLeavesAtOnce(t *testing.T) {
+	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Takes: Res{4, 0, 4}, Lost: 3, LeftS: 99, SavesS: 3, Team: "t"}
+	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Takes: Res{4, 0, 4}, Lost: 30, LeftS: 99, Team: "t"}
+	full := func(vs ...Victim) Machine {
+		m := inZone("m", "a", 0, vs...)
+		m.Total = Res{4 * float64(len(vs)), 0, 32}
+		return m
+	}
+	other := inZone("n", "a", 0, atOnce)
+	for name, c := range map[string]struct {
+		ms       []Machine
+		priority wire.Priority
+		startsIn float64
+		want     wire.JobID
+	}{
+		"no aim, one machine":        {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 0, "req-8"},
+		"no aim, two machines":       {[]Machine{full(saving), other}, wire.PriorityUrgent, 0, "req-8"},
+		"in time, one machine":       {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 2, "req-9"},
+		"in time, two machines":      {[]Machine{full(saving), other}, wire.PriorityUrgent, 2, "req-9"},
+		"there is time to save":      {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 4, "req-8"},
+		"nothing else can be":        {[]Machine{full(saving)}, wire.PriorityUrgent, 2, "req-8"},
+		"an everyday gang, of these": {[]Machine{full(saving, atOnce), other}, wire.PriorityStandard, 2, ""},
+	} {
+		res := Place(snapOf(c.ms, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartsInS: c.startsIn}))
+		switch {
+		case c.want == "" && len(res.Halts) == 0:
+		case len(res.Halts) != 1 || res.Halts[0].Task.Job != c.want:
+			t.Errorf("%s: halts %+v, want %q", name, res.Halts, c.want)
+		}
+	}
+}
+
+// Room that was made for a gang is not kept for the next replicas when it becomes
+// free; what is free beside it is.
+func TestRoomMadeForAGangIsItsOwn(t *testing.T) {
+	for free, spare := range map[float64]int{4: 0, 5: 1, 9: 2} {
+		m := inZone("m", "a", free)
+		m.Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Res{2, 0, 2}}, {"req-1", wire.PriorityUrgent.Rank(), Res{2, 0, 2}}}
+		s := snapOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), Claims: 2})
+		s.Spare, s.SpareTakes = 4, Res{1, 0, 1} // half of it in one zone at most
+		if n := len(Place(s).Starts); n != 2 {
+			t.Errorf("%g free: %d of 2 tasks start in the room made for them", free, n)
+		}
+		if n := s.Machines[0].kept; n != spare {
+			t.Errorf("%g free: room for %d replicas is kept, want %d", free, n, spare)
+		}
+	}
+}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -73,6 +73,7 @@
 	Beyond bool    // its team runs beyond its own guarantee
 	Team   wire.TeamID
 	LeftS  float64 // in which it is expected to end by itself
+	SavesS float64 // for which it saves once it is told to stop
 }
 
 // Machine that can take tasks.
@@ -153,6 +154,9 @@
 	// PatienceS is how long a unit may wait for tasks to end by themselves,
 	// rather than have them stopped.
 	PatienceS float64
+	// StartsInS is how long it may still wait to start in time; 0: no aim says, or
+	// it is late already.
+	StartsInS float64
 }
 
 // Team with what its tasks take and its limit; a limit of 0 is none.
@@ -460,8 +464,26 @@
 	return out
 }
 
+// fetchStep is what fetches may differ by, in seconds, and count as equally long:
+// the rate of each is only known to a third.
+const fetchStep = 0.25
+
+// fetchSteps is how many steps a unit of a gang would wait for its image on a
+// machine. A fetch that is under way may be nearly over, or have just begun.
+func fetchSteps(m *Machine, j *Job) int {
+	switch m.Images[j.Spec.Image] {
+	case Present:
+		return 0
+	case Fetching:
+		return 1
+	}
+	return 1 + int(fetchS(m, j)/fetchStep)
+}
+
 // chooseWhole finds machines for all units of a gang: in the preferred class
-// alone if all of it fits there, else anywhere, with the fewest that must fetch.
+// alone if all of it fits there, else anywhere, where the last image is there
+// soonest, as the others wait for it. (Fewest fetches went first: a gang went to
+// one full machine type that fetches slowly rather than to two that are quick.)
 func (p *pass) chooseWhole(ji int) choice {
 	j := &p.s.Jobs[ji]
 	take := Of(j.Spec)
@@ -473,9 +495,10 @@
 		mi    int
 		class utility.Class
 		last  bool
+		steps int // for which it waits for its image
 		score float64
 	}
-	bestFetch, bestScore := 0, 0.0
+	bestSteps, bestFetch, bestScore := 0, 0, 0.0
 	for _, g := range groups(p.s, j) {
 		var seats []seat
 		for _, mi := range g {
@@ -484,7 +507,7 @@
 			if !take.Fits(m.Free) || !Allowed(j.Spec, m) || !zoneOpen(j, m.Zone) || kept && !j.Lingers || m.claimed(j, take) {
 				continue
 			}
-			st := seat{mi, without, m.Cordoned || j.Avoid[m.ID] || kept, fit(j, m, take)}
+			st := seat{mi, without, m.Cordoned || j.Avoid[m.ID] || kept, fetchSteps(m, j), fit(j, m, take)}
 			if m.Images[j.Spec.Image] == Present {
 				st.class = withImage
 			}
@@ -497,10 +520,10 @@
 			case a.last != b.last:
 				return -1
 			}
-			return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(b.score, a.score))
+			return cmp.Or(cmp.Compare(a.class, b.class), cmp.Compare(a.steps, b.steps), cmp.Compare(b.score, a.score))
 		})
 		var picks []int
-		fetch, score := 0, 0.0
+		steps, fetch, score := 0, 0, 0.0
 		inZone := map[wire.Zone]int{}
 		for _, st := range seats {
 			m := p.s.Machines[st.mi] // a copy, from which units are taken
@@ -510,6 +533,7 @@
 				m.used(j.Spec.ID)
 				inZone[m.Zone]++
 				picks = append(picks, st.mi)
+				steps = max(steps, st.steps)
 				if st.class == without && first {
 					fetch++
 				}
@@ -523,12 +547,12 @@
 		if len(picks) < j.Pending {
 			continue
 		}
-		if out.machine == none || fetch < bestFetch || fetch == bestFetch && score > bestScore {
+		if out.machine == none || cmp.Or(cmp.Compare(steps, bestSteps), cmp.Compare(fetch, bestFetch), cmp.Compare(bestScore, score)) < 0 {
 			class := withImage
 			if fetch > 0 {
 				class = without
 			}
-			out, bestFetch, bestScore = choice{machine: picks[0], picks: picks, gain: p.gains[ji][class]}, fetch, score
+			out, bestSteps, bestFetch, bestScore = choice{machine: picks[0], picks: picks, gain: p.gains[ji][class]}, steps, fetch, score
 		}
 	}
 	return out
@@ -578,6 +602,11 @@
 		m := &s.Machines[i]
 		// Half of it in one zone at most, as services that are spread need.
 		n := min(left, s.SpareTakes.Units(m.Free), (s.Spare+1)/2-zones[m.Zone])
+		if len(m.Claims) > 0 {
+			// Not what was made for others: room that urgent gangs had tasks stopped for
+			// was kept from them as soon as it was free, for as long as their claims held.
+			n = min(n, s.SpareTakes.Units(m.left(func(*Claim) bool { return false })))
+		}
 		m.kept, m.keeps = n, s.SpareTakes.Times(float64(n))
 		left -= n
 		zones[m.Zone] += n
@@ -817,20 +846,31 @@
 	return v.Rank < j.Spec.Priority.Rank() || j.Guaranteed && v.Beyond && v.Team != j.Spec.Team && j.Spec.Service()
 }
 
-// fetchWeight is how many seconds of repeated work a second of fetching may
-// cost that a service waits for: on a full deployment most replicas start in
-// room that was made for them, and the image decides whether they start in
-// time.
+// hurries tells whether the job is a gang that others are stopped for and that can
+// still start in time.
+func hurries(j *Job) bool { return j.Spec.Gang() && MayPreempt(j.Spec) && j.StartsInS > 0 }
+
+// outlasts tells whether the task would still be saving when a gang that hurries
+// should have started. (Urgent gangs with an aim of 2 s stopped tasks of the lowest priority,
+// which take 3 s to save, beside others that would have ended at once.)
+func outlasts(j *Job, v *Victim) bool {
+	return hurries(j) && v.SavesS > j.StartsInS
+}
+
+// fetchWeight is how many seconds of repeated work a second of waiting, for an
+// image or for what saves, may cost a service, or a gang that hurries: on a full
+// deployment most replicas start in room that was made for them, and the image
+// decides whether they start in time.
 const fetchWeight = 20
 
 func fetchCost(m *Machine, j *Job) float64 {
 	if m.Images[j.Spec.Image] == Present {
 		return 0
 	}
-	if !j.Spec.Service() {
-		return fetchS(m, j)
+	if j.Spec.Service() || hurries(j) {
+		return fetchWeight * fetchS(m, j)
 	}
-	return fetchWeight * fetchS(m, j)
+	return fetchS(m, j)
 }
 
 // fetchS is how long a machine takes to fetch the job's image beside those
@@ -882,6 +922,12 @@
 		case eb:
 			return 1
 		}
+		switch oa, ob := outlasts(j, va), outlasts(j, vb); {
+		case oa && !ob:
+			return 1
+		case ob && !oa:
+			return -1
+		}
 		return cmp.Or(cmp.Compare(va.Rank, vb.Rank), cmp.Compare(va.Lost, vb.Lost))
 	})
 	for _, vi := range order {
@@ -893,6 +939,9 @@
 			c.lost += v.LeftS
 		} else {
 			c.lost += v.Lost + 5
+			if outlasts(j, v) {
+				c.lost += fetchWeight * v.SavesS
+			}
 		}
 		c.picks = append(c.picks, vi)
 	}
