--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -135,7 +135,7 @@
 		Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
 	for k := range set.Size {
 		if k != i {
-			c.Others = append(c.Others, config.Other{HostName: name(k), Zone: zone(k), Addr: NodeIP(k) + ":8081"})
+			c.Peers = append(c.Peers, config.Peer{HostName: name(k), Zone: zone(k), Addr: NodeIP(k) + ":8081"})
 		}
 	}
 	return c
