--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -199,6 +199,24 @@
 	})
 }
 
+// machineOnlyWith is a machine that holds tasks of one job and none of the others.
+func machineOnlyWith(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, others ...simulator.JobScript) wire.MachineID {
+	t.Helper()
+	shared := map[wire.MachineID]bool{}
+	for _, other := range others {
+		for _, id := range sim.MachinesHolding(other.Spec.ID) {
+			shared[id] = true
+		}
+	}
+	for _, id := range sim.MachinesHolding(j.Spec.ID) {
+		if !shared[id] {
+			return id
+		}
+	}
+	t.Fatalf("every machine of %s holds tasks of others", j.Spec.ID)
+	return ""
+}
+
 // The limits drop while gangs run, wait for room, and are being recorded, accepted
 // before and after the upgrade, alone and with a change of leader or an outage.
 func TestGangsAcrossTheDrop(t *testing.T) {
@@ -244,7 +262,7 @@
 				sim.SetSoldOut("a", false)
 				time.Sleep(time.Second)
 				// A task of the first is lost: its large chunk is written again, in parts.
-				sim.ReclaimMachine(sim.MachinesHolding(running.Spec.ID)[0])
+				sim.ReclaimMachine(machineOnlyWith(t, sim, running, young, recording))
 				eventually(t, 30*time.Second, "is written in parts", func() bool { return storedPieces(sim) > 0 })
 				time.Sleep(300 * time.Second)
 				mustBeArchived(t, sim, running, young, waiting, recording)
