--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -185,6 +185,7 @@
 	}
 	var rep wire.Report
 	if err := wire.Decode(raw, &rep); err != nil || rep.Machine == "" {
+		l.Undecodable.Note("a report from "+undecodable.Sender(r), err)
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
 		return
 	}
@@ -289,7 +290,11 @@
 func (l *Leader) RelayReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	var rep wire.Report
-	if err != nil || wire.Decode(raw, &rep) != nil || rep.Machine == "" {
+	if err == nil {
+		err = wire.Decode(raw, &rep)
+	}
+	if err != nil || rep.Machine == "" {
+		l.Undecodable.Note("a relayed report from "+undecodable.Sender(r), err)
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
 		return
 	}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -19,6 +19,7 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
 	"lilaclead/internal/netio"
+	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
 )
 
@@ -45,6 +46,8 @@
 	tokens  chan wire.Token
 	view    atomic.Pointer[View]
 	client  *http.Client
+	// undecodable is told of messages that can't be decoded.
+	undecodable *undecodable.Log
 
 	startedAt    time.Time
 	renewedAfter atomic.Int64 // from startedAt to the last renewal as a delegate, in nanoseconds; 0: none
@@ -71,15 +74,16 @@
 		HTTP2:       &http.HTTP2Config{SendPingTimeout: pingTimeout, PingTimeout: pingTimeout},
 	}
 	m := &Mesh{
-		name:      name,
-		peers:     peers,
-		status:    status,
-		cancels:   cancelled,
-		log:       log,
-		events:    make(chan event, eventBuffer),
-		tokens:    make(chan wire.Token, tokenBuffer),
-		client:    &http.Client{Transport: transport},
-		startedAt: time.Now(),
+		name:        name,
+		peers:       peers,
+		status:      status,
+		cancels:     cancelled,
+		log:         log,
+		events:      make(chan event, eventBuffer),
+		undecodable: undecodable.New(log),
+		tokens:      make(chan wire.Token, tokenBuffer),
+		client:      &http.Client{Transport: transport},
+		startedAt:   time.Now(),
 	}
 	m.view.Store(&View{})
 	return m
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -10,6 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/undecodable"
 )
 
 var (
@@ -60,6 +61,7 @@
 	for {
 		var answer Heartbeat
 		if err := answers.Decode(&answer); err != nil {
+			m.noteUndecodable("an answer to a heartbeat from "+string(p.HostName), err)
 			return err
 		}
 		watchdog.Reset(silenceLimit)
@@ -129,7 +131,8 @@
 	for {
 		control.SetReadDeadline(time.Now().Add(silenceLimit)) //nolint:errcheck // then the stream ends later, by itself
 		var h Heartbeat
-		if heartbeats.Decode(&h) != nil {
+		if err := heartbeats.Decode(&h); err != nil {
+			m.noteUndecodable("a heartbeat from "+undecodable.Sender(r), err)
 			return
 		}
 		if _, ok := m.peer(h.From); !ok {
@@ -151,3 +154,13 @@
 		}
 	}
 }
+
+// noteUndecodable logs a message that has arrived and can't be decoded. Its stream is
+// opened anew, and links to other nodes go on.
+func (m *Mesh) noteUndecodable(what string, err error) {
+	var wrongType *cbor.UnmarshalTypeError
+	var malformed *cbor.SyntaxError
+	if errors.As(err, &wrongType) || errors.As(err, &malformed) {
+		m.undecodable.Note(what, err)
+	}
+}
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"sync"
@@ -16,6 +17,7 @@
 	"lilaclead/internal/netio"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
 )
 
 // lines keeps what one life of a node logs.
@@ -43,6 +45,19 @@
 	return n
 }
 
+// keepLogs makes real nodes, and keeps what each life of one logs.
+func keepLogs(lives *[]*lines) func(*config.Config, netio.Net) (func(context.Context) error, error) {
+	return func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error) {
+		out := &lines{}
+		*lives = append(*lives, out)
+		n, err := lilaclead.New(cfg, lilaclead.Options{Net: nw, Log: out})
+		if err != nil {
+			return nil, err
+		}
+		return n.Run, nil
+	}
+}
+
 // Records that nobody can read appear in the state service while nobody leads: of a
 // job's progress, a job, the machine types, the operators' settings. Each is logged
 // once in the life of a node that meets it, stays as it is, and harms nothing beside
@@ -53,15 +68,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var lives []*lines
-		logged := func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error) {
-			out := &lines{}
-			lives = append(lives, out)
-			n, err := lilaclead.New(cfg, lilaclead.Options{Net: nw, Log: out})
-			if err != nil {
-				return nil, err
-			}
-			return n.Run, nil
-		}
+		logged := keepLogs(&lives)
 		set := simulator.DefaultSettings()
 		sim := simulator.New(ctx, set, 900, logged, nil)
 		sim.PlaceControllers(set.Zones...)
@@ -166,3 +173,58 @@
 		sim.Close()
 	})
 }
+
+// Messages that nobody can read reach each node again and again: a worker's report, a
+// relayed one, a beat. Each kind is logged once for a sender; the links between the
+// nodes stand, and jobs run.
+func TestUndecodableMessages(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		var lives []*lines
+		set := simulator.DefaultSettings()
+		w := simulator.NewWorld(ctx, set, 901, keepLogs(&lives), nil)
+		w.Nodes(set.Zones...)
+		for i := range set.Size {
+			if err := w.Up(i); err != nil {
+				t.Fatal(err)
+			}
+		}
+		time.Sleep(5 * time.Second)
+		leader, stamp := w.Leader(), w.LeadStamp()
+		j := array(1, 6, 10)
+		w.Submit(j, 0)
+		var protocols http.Protocols // beats come over HTTP/2
+		protocols.SetUnencryptedHTTP2(true)
+		peerClient := &http.Client{Transport: &http.Transport{Protocols: &protocols, DialContext: w.Net.Host("10.3.0.8").Dial}}
+		for range 60 {
+			for i := range set.Size {
+				resp, err := peerClient.Post("http://"+simulator.NodeIP(i)+":8081/peer/beats", wire.ContentType, bytes.NewReader(wire.Encode("no beat")))
+				if err != nil {
+					t.Fatal(err)
+				}
+				resp.Body.Close()
+				if status, _, _ := w.Operate(i, "POST", "/peer/hello", "no report"); status != 400 {
+					t.Errorf("a relayed report that can't be decoded is answered %d", status)
+				}
+				if status, _, _ := w.Ask(i, "POST", "/hello", "no report"); status != 400 {
+					t.Errorf("a report that can't be decoded is answered %d", status)
+				}
+			}
+			time.Sleep(time.Second)
+		}
+		peerClient.CloseIdleConnections()
+		mustFinish(t, w, j)
+		if w.Leader() != leader || w.LeadStamp() != stamp {
+			t.Errorf("node %d leads, and %d did", w.Leader(), leader)
+		}
+		for i, life := range lives {
+			for _, what := range []string{"a heartbeat from", "a relayed report from", "\"a report from"} {
+				if n := life.errors(what); n != 1 {
+					t.Errorf("node %d logs %d times of %s", i, n, what)
+				}
+			}
+		}
+		cancel()
+		w.Close()
+	})
+}
--- a/internal/undecodable/undecodable.go
+++ b/internal/undecodable/undecodable.go
@@ -4,6 +4,8 @@
 
 import (
 	"log/slog"
+	"net"
+	"net/http"
 	"sync"
 )
 
@@ -22,6 +24,15 @@
 // New makes a Log that has logged nothing yet.
 func New(log *slog.Logger) *Log { return &Log{log: log, seen: map[string]struct{}{}} }
 
+// Sender is the host that a request is from.
+func Sender(r *http.Request) string {
+	host, _, err := net.SplitHostPort(r.RemoteAddr)
+	if err != nil {
+		return r.RemoteAddr
+	}
+	return host
+}
+
 // Note logs what can't be decoded, unless it was logged before: a key of the state
 // service, or whom a message is from.
 func (l *Log) Note(what string, err error) {
