--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -139,7 +139,7 @@
 			// The cancellation is confirmed, and asked about everywhere, while the
 			// final record waits.
 			begin := time.Now()
-			status, s := l.Ask(int(seed), "cancel", early)
+			status, s := l.Ask(int(seed), simulator.CancelOperation, early)
 			if status != 200 || s.Status != wire.Cancelled || time.Since(begin) > 120*time.Millisecond {
 				t.Errorf("cancel answered %d %s after %v", status, s.Status, time.Since(begin))
 			}
@@ -228,7 +228,7 @@
 				t.Error("no transaction was too full")
 				return
 			}
-			status, s := l.Ask(1, "cancel", *hit)
+			status, s := l.Ask(1, simulator.CancelOperation, *hit)
 			if status != 200 || s.Status != wire.Cancelled {
 				t.Errorf("cancel answered %d %s", status, s.Status)
 			}
--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -22,6 +22,16 @@
 	CancelAfterEnd
 )
 
+// Operation is what a user asks about a job.
+type Operation string
+
+// The operations.
+const (
+	PollOperation   Operation = "poll"
+	SubmitOperation Operation = "submit"
+	CancelOperation Operation = "cancel"
+)
+
 // BurstReaders are users who ask all nodes about their jobs again and again within
 // milliseconds, whenever there is news, and repeat the submission then.
 type BurstReaders struct {
@@ -65,26 +75,16 @@
 }
 
 // Ask makes one request about a job to a node and checks the answer.
-func (l *BurstReaders) Ask(i int, op string, t JobScript) (int, wire.JobState) {
+func (l *BurstReaders) Ask(i int, op Operation, t JobScript) (int, wire.JobState) {
 	sim, id := l.sim, t.Spec.ID
-	method, path, body := "GET", "/v1/jobs/"+string(id), any(nil)
+	method, path, body := "GET", jobsPath+"/"+string(id), any(nil)
 	switch op {
-	case "submit":
-		method, path, body = "POST", "/v1/jobs", Submission(t.Spec)
-	case "cancel":
+	case SubmitOperation:
+		method, path, body = "POST", jobsPath, Submission(t.Spec)
+	case CancelOperation:
 		method, path = "POST", path+"/cancel"
 	}
-	sim.mu.Lock()
-	before, at := sim.knownStatus(id)
-	if op == "cancel" {
-		sim.checker.CancelRequested(id)
-	}
-	fresh := before.accepted && time.Since(at) < 50*time.Millisecond
-	atEnd := false
-	if j := sim.checker.jobs[id]; j != nil && before.final == "" && !j.end.endedAt.IsZero() {
-		atEnd = time.Since(j.end.endedAt) < 50*time.Millisecond
-	}
-	sim.mu.Unlock()
+	q := l.noteQuestion(id, op)
 	status, raw, h := sim.ask(i, method, path, body)
 	if sim.ctx.Err() != nil {
 		return 0, wire.JobState{}
@@ -93,31 +93,67 @@
 	if (status == 200 || status == 201) && wire.Decode(raw, &s) != nil {
 		status = 0
 	}
-	now := time.Now()
+	news := l.noteAnswer(id, op, q.before, status, s.Status, h.Get("Retry-After") != "")
+	l.countAnswer(op, q, status)
+	if news {
+		l.AskAllRepeatedly(t)
+	}
+	return status, s
+}
+
+// question is what was known when a question left.
+type question struct {
+	before knownStatus
+	fresh  bool // it left just after the news
+	atEnd  bool // it left just after the last task's end, of which nobody was told
+}
+
+// justAfter is how long after an event a question counts as one that met it.
+const justAfter = 50 * time.Millisecond
+
+// noteQuestion notes that a question about a job leaves now.
+func (l *BurstReaders) noteQuestion(id wire.JobID, op Operation) (q question) {
+	l.sim.mu.Lock()
+	defer l.sim.mu.Unlock()
+	before, at := l.sim.knownStatus(id)
+	if op == CancelOperation {
+		l.sim.checker.CancelRequested(id)
+	}
+	q.before, q.fresh = before, before.accepted && time.Since(at) < justAfter
+	if j := l.sim.checker.jobs[id]; j != nil && before.final == "" && !j.end.endedAt.IsZero() {
+		q.atEnd = time.Since(j.end.endedAt) < justAfter
+	}
+	return q
+}
+
+// noteAnswer has the checker look at an answer, and tells whether it brought news.
+func (l *BurstReaders) noteAnswer(id wire.JobID, op Operation, before knownStatus, status int, said wire.Status, retryAfter bool) bool {
+	sim, now := l.sim, time.Now()
 	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	was, _ := sim.knownStatus(id)
-	sim.checker.answered(id, before, op, status, s.Status, now)
-	if (status == 429 || status == 503) && h.Get("Retry-After") == "" {
+	sim.checker.answered(id, before, op, status, said, now)
+	if (status == 429 || status == 503) && !retryAfter {
 		sim.checker.violated(now, NoRetryAfter, "%s of %s answered %d", op, id, status)
 	}
 	is, _ := sim.knownStatus(id)
 	if is != was {
 		sim.checker.jobs[id].end.at = now
 	}
-	sim.mu.Unlock()
+	return is != was
+}
+
+// countAnswer counts an answer by what its question met.
+func (l *BurstReaders) countAnswer(op Operation, q question, status int) {
 	l.mu.Lock()
+	defer l.mu.Unlock()
 	l.counts[fmt.Sprint(op, " ", status)]++
-	if fresh {
-		l.counts[fmt.Sprint(before, " ", op, " ", status)]++
+	if q.fresh {
+		l.counts[fmt.Sprint(q.before, " ", op, " ", status)]++
 	}
-	if atEnd {
+	if q.atEnd {
 		l.counts[fmt.Sprint("ending ", op, " ", status)]++
 	}
-	l.mu.Unlock()
-	if is != was {
-		l.AskAllRepeatedly(t)
-	}
-	return status, s
 }
 
 // AskAllRepeatedly asks all nodes again and again for a while, without waiting for the
@@ -129,9 +165,9 @@
 	for i := range l.sim.controllers {
 		l.sim.spawn(func() {
 			for k := 0; time.Duration(k)*l.BurstInterval < l.BurstLength && l.sim.ctx.Err() == nil; k++ {
-				op := "poll"
+				op := PollOperation
 				if k%4 == i%4 {
-					op = "submit"
+					op = SubmitOperation
 				}
 				l.sim.spawn(func() { l.Ask(i, op, t) })
 				sleep(l.sim.ctx, l.BurstInterval)
@@ -141,7 +177,7 @@
 }
 
 // until repeats a request at all nodes in turn until it is answered.
-func (l *BurstReaders) until(op string, t JobScript, turn int) wire.JobState {
+func (l *BurstReaders) until(op Operation, t JobScript, turn int) wire.JobState {
 	for begin := time.Now(); l.sim.ctx.Err() == nil && time.Since(begin) < time.Minute; turn++ {
 		status, s := l.Ask(turn%len(l.sim.controllers), op, t)
 		switch status {
@@ -170,47 +206,52 @@
 		n, _ := strconv.Atoi(string(id)[len("req-"):])
 		rng := rand.New(rand.NewPCG(uint64(n), 11))
 		turn := rng.IntN(len(sim.controllers))
-		if l.until("submit", t, turn).Status == "" {
+		if l.until(SubmitOperation, t, turn).Status == "" {
 			return
 		}
+		sim.spawn(func() { l.pollUntilOver(t, c, turn) })
 		sim.spawn(func() {
-			for sim.ctx.Err() == nil {
-				sleep(sim.ctx, l.PollInterval)
-				turn++
-				if _, s := l.Ask(turn%len(sim.controllers), "poll", t); s.Status.Final() {
-					break
-				}
-			}
-			sleep(sim.ctx, l.BurstLength+time.Second)
-			if c == CancelAfterEnd {
-				l.until("cancel", t, turn)
-			}
-			// Once more when the job's final record has taken its place.
-			sleep(sim.ctx, 4*time.Second)
-			l.AskAllRepeatedly(t)
-		})
-		sim.spawn(func() {
-			select {
-			case <-ended:
+			if l.awaitEnd(ended) {
 				l.AskAllRepeatedly(t)
-			case <-sim.ctx.Done():
 			}
 		})
-		switch c {
-		case CancelAtEnd:
-			select {
-			case <-ended:
-			case <-sim.ctx.Done():
-				return
-			}
-		case CancelAtOnce:
-		default:
+		if c != CancelAtOnce && c != CancelAtEnd || c == CancelAtEnd && !l.awaitEnd(ended) {
 			return
 		}
 		sleep(sim.ctx, after)
-		s := l.until("cancel", t, turn+1)
+		s := l.until(CancelOperation, t, turn+1)
 		l.mu.Lock()
 		l.counts["cancels "+string(s.Status)]++
 		l.mu.Unlock()
 	})
 }
+
+// awaitEnd waits until the last task has completed; false: until all is over.
+func (l *BurstReaders) awaitEnd(ended <-chan struct{}) bool {
+	select {
+	case <-ended:
+		return true
+	case <-l.sim.ctx.Done():
+		return false
+	}
+}
+
+// pollUntilOver polls a job until it is over, and then has bursts of questions come
+// again.
+func (l *BurstReaders) pollUntilOver(t JobScript, c CancelTime, turn int) {
+	sim := l.sim
+	for sim.ctx.Err() == nil {
+		sleep(sim.ctx, l.PollInterval)
+		turn++
+		if _, s := l.Ask(turn%len(sim.controllers), PollOperation, t); s.Status.Final() {
+			break
+		}
+	}
+	sleep(sim.ctx, l.BurstLength+time.Second)
+	if c == CancelAfterEnd {
+		l.until(CancelOperation, t, turn)
+	}
+	// Once more when the job's final record has taken its place.
+	sleep(sim.ctx, 4*time.Second)
+	l.AskAllRepeatedly(t)
+}
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -87,6 +87,7 @@
 	posted map[wire.JobID]bool
 }
 
+// jobHistory is what the checker knows of a job.
 type jobHistory struct {
 	spec              wire.Spec
 	accepted          bool
@@ -123,6 +124,7 @@
 	}
 }
 
+// violated notes a violation.
 func (c *Checker) violated(at time.Time, r Rule, format string, args ...any) {
 	c.Violations = append(c.Violations, Violation{r, fmt.Sprintf(format, args...), at})
 }
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -209,7 +209,7 @@
 // answered checks an answer against what had been told when its question left.
 // Answers to questions that crossed each other may come in either order, but
 // there is one end only.
-func (c *Checker) answered(id wire.JobID, m knownStatus, op string, status int, st wire.Status, now time.Time) {
+func (c *Checker) answered(id wire.JobID, m knownStatus, op Operation, status int, st wire.Status, now time.Time) {
 	j := c.jobs[id]
 	switch {
 	case j == nil:
@@ -227,7 +227,7 @@
 		c.StatusToldNow(id, st, now)
 	}
 	if status == 200 || status == 201 {
-		if op != "cancel" {
+		if op != CancelOperation {
 			c.Accepted(id, now)
 		}
 		c.lastAnswered, j.unansweredSince = now, time.Time{}
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -58,6 +58,7 @@
 	}
 }
 
+// formOfID is the form of jobs' names.
 var formOfID = regexp.MustCompile(`^req-[0-9]{6,}$`)
 
 // malformed says what is wrong with a submission by PROTOCOL's table; empty:
@@ -110,6 +111,7 @@
 	return ""
 }
 
+// number reads a number of any kind.
 func number(v any) (float64, bool) {
 	switch n := v.(type) {
 	case uint64:
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -65,6 +65,7 @@
 	}
 }
 
+// noteOnMachine notes that a task starts or goes on on a machine.
 func (c *Checker) noteOnMachine(t wire.Task, j *jobHistory, p Place, now time.Time, what string) {
 	if at, on := c.on[t]; on && at.Machine != p.Machine {
 		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, at.Machine, what, p.Machine)
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -32,29 +32,40 @@
 // end ends the spell in which the job is left waiting.
 func (w *waitHistory) end() { w.since = nil }
 
-// ObserveRoom looks for jobs that are left waiting beside machines they could use.
-// While there are faults no spell counts.
-func (c *Checker) ObserveRoom(rooms []MachineRoom, now time.Time) {
-	c.noteTime(now)
-	calm := c.faultsOverFor(now, 0)
-	held := map[wire.JobID]map[int]wire.Zone{}
-	used := map[wire.TeamID]TeamLimit{}
+// capacityUse is what an observation shows of jobs and teams.
+type capacityUse struct {
+	held map[wire.JobID]map[int]wire.Zone // the zones of the tasks on machines
+	used map[wire.TeamID]TeamLimit
+}
+
+// useOf sums up what is on the machines.
+func (c *Checker) useOf(rooms []MachineRoom) capacityUse {
+	use := capacityUse{map[wire.JobID]map[int]wire.Zone{}, map[wire.TeamID]TeamLimit{}}
 	for i := range rooms {
 		for _, t := range rooms[i].Tasks {
 			j := c.jobs[t.Job]
 			if j == nil {
 				continue
 			}
-			if held[t.Job] == nil {
-				held[t.Job] = map[int]wire.Zone{}
+			if use.held[t.Job] == nil {
+				use.held[t.Job] = map[int]wire.Zone{}
 			}
-			held[t.Job][t.Index] = rooms[i].Zone
-			u := used[j.spec.Team]
-			used[j.spec.Team] = TeamLimit{u.CPUs + j.spec.CPUs, u.GPUs + j.spec.GPUs}
+			use.held[t.Job][t.Index] = rooms[i].Zone
+			u := use.used[j.spec.Team]
+			use.used[j.spec.Team] = TeamLimit{u.CPUs + j.spec.CPUs, u.GPUs + j.spec.GPUs}
 		}
 	}
+	return use
+}
+
+// ObserveRoom looks for jobs that are left waiting beside machines they could use.
+// While there are faults no spell counts.
+func (c *Checker) ObserveRoom(rooms []MachineRoom, now time.Time) {
+	c.noteTime(now)
+	calm := c.faultsOverFor(now, 0)
+	use := c.useOf(rooms)
 	for id, j := range c.jobs {
-		s, mine := &j.spec, held[id]
+		mine := use.held[id]
 		taken, zones := len(j.done), map[wire.Zone]int{}
 		for i, z := range mine {
 			zones[z]++
@@ -64,42 +75,52 @@
 		}
 		moved := len(mine) > j.waits.held
 		j.waits.held = len(mine)
-		limit, u := c.Limits[s.Team], used[s.Team]
-		more := 1.0
-		if s.Gang() {
-			more = float64(s.Tasks)
-		}
-		full := limit.CPUs > 0 && u.CPUs+more*s.CPUs > limit.CPUs+wire.Eps || limit.GPUs > 0 && u.GPUs+more*s.GPUs > limit.GPUs+wire.Eps
 		// What completed may have been lost on its way, with its machine: then its
 		// user is told that it goes on, and it waits to be started again.
 		lost := len(mine) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
-		all := taken >= s.Tasks && !lost
-		if s.Gang() && (len(mine) > 0 || !gangFits(rooms, s, j.waits.failed)) {
+		all := taken >= j.spec.Tasks && !lost
+		if j.spec.Gang() && (len(mine) > 0 || !gangFits(rooms, &j.spec, j.waits.failed)) {
 			j.waits.end() // what is left of its last attempt goes first
 			continue
 		}
-		if !calm || !j.accepted || j.cancelRequested || j.finalStatus != "" || all || moved || full {
+		if !calm || !j.accepted || j.cancelRequested || j.finalStatus != "" || all || moved || c.atLimit(&j.spec, use.used[j.spec.Team]) {
 			j.waits.end()
 			continue
 		}
-		could := map[wire.MachineID]time.Time{}
-		for i := range rooms {
-			r := &rooms[i]
-			if !r.Usable || j.waits.failed[r.Machine] || !r.takes(s, zones) {
-				continue
-			}
-			since, known := j.waits.since[r.Machine]
-			if !known {
-				since = now
-			}
-			could[r.Machine] = since
-			if now.Sub(since) >= longestWait && !j.waits.noted {
-				j.waits.noted = true
-				c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", id, taken, s.Tasks, r.Machine)
-			}
+		c.noteUsableMachines(j, rooms, zones, taken, now)
+	}
+}
+
+// atLimit tells whether the next task of a job, or all of a gang, would bring its
+// team over its limit.
+func (c *Checker) atLimit(s *wire.Spec, used TeamLimit) bool {
+	limit, more := c.Limits[s.Team], 1.0
+	if s.Gang() {
+		more = float64(s.Tasks)
+	}
+	return limit.CPUs > 0 && used.CPUs+more*s.CPUs > limit.CPUs+wire.Eps || limit.GPUs > 0 && used.GPUs+more*s.GPUs > limit.GPUs+wire.Eps
+}
+
+// noteUsableMachines notes which machines a waiting job could use, and a violation
+// when it could use one for too long.
+func (c *Checker) noteUsableMachines(j *jobHistory, rooms []MachineRoom, zones map[wire.Zone]int, taken int, now time.Time) {
+	could := map[wire.MachineID]time.Time{}
+	for i := range rooms {
+		r := &rooms[i]
+		if !r.Usable || j.waits.failed[r.Machine] || !r.takes(&j.spec, zones) {
+			continue
+		}
+		since, known := j.waits.since[r.Machine]
+		if !known {
+			since = now
+		}
+		could[r.Machine] = since
+		if now.Sub(since) >= longestWait && !j.waits.noted {
+			j.waits.noted = true
+			c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", j.spec.ID, taken, j.spec.Tasks, r.Machine)
 		}
-		j.waits.since = could
 	}
+	j.waits.since = could
 }
 
 // gangFits tells whether all tasks of a gang would fit on the open machines.
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -10,11 +10,13 @@
 	"lilaclead/internal/wire"
 )
 
+// listSnapshot is what a list of machines showed at a time.
 type listSnapshot struct {
 	at    time.Time
 	hosts []wire.ListedMachine
 }
 
+// capacityKey names what the cloud has a limited number of.
 func capacityKey(k wire.MachineType, z wire.Zone, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", k, z, spot)
 }
@@ -36,6 +38,7 @@
 	return out
 }
 
+// cloud answers the requests of the cloud's page.
 func (sim *Simulation) cloud(rw http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
@@ -74,6 +77,7 @@
 	}
 }
 
+// list answers with the machines as they were a while ago.
 func (sim *Simulation) list(rw http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	sim.listHistory = append(sim.listHistory, listSnapshot{now, sim.listedMachines()})
@@ -98,6 +102,7 @@
 	wire.Answer(rw, http.StatusOK, page)
 }
 
+// rent answers a rental; a repeated one gets the same machines.
 func (sim *Simulation) rent(rw http.ResponseWriter, raw []byte) {
 	var b wire.RentalRequest
 	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -23,12 +23,14 @@
 	read   time.Time // read deadline
 }
 
+// packet is what one write sends, or the end of a connection.
 type packet struct {
 	data []byte
 	fin  bool
 	due  time.Time
 }
 
+// change wakes the reader; call with the lock held.
 func (p *pipe) change() {
 	close(p.wake)
 	p.wake = make(chan struct{})
@@ -56,6 +58,7 @@
 	p.change()
 }
 
+// send puts a packet on its way.
 func (p *pipe) send(k packet) error {
 	takes := p.n.takes(p.from, p.to)
 	p.mu.Lock()
@@ -70,6 +73,7 @@
 	return nil
 }
 
+// conn is one end of a connection.
 type conn struct {
 	in, out       *pipe
 	local, remote addr
@@ -78,6 +82,7 @@
 	done          chan struct{}
 }
 
+// pair makes both ends of a connection.
 func (n *Network) pair(from, to string) (*conn, *conn) {
 	ab := &pipe{wake: make(chan struct{}), n: n, from: from, to: hostOf(to)}
 	ba := &pipe{wake: make(chan struct{}), n: n, from: hostOf(to), to: from}
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -125,6 +125,7 @@
 	sim.Net.CutWithMode(NodeIP(i), hostOf(StateAddr), mode, on)
 }
 
+// parseID is the index of a controller by its name.
 func parseID(s string) int {
 	n, _ := strconv.Atoi(strings.TrimPrefix(s, "worker-"))
 	return n
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -40,6 +40,7 @@
 	saved         bool
 }
 
+// gangMember is a gang's task that has its image.
 type gangMember struct {
 	worker       *worker
 	run          *taskRun
@@ -52,8 +53,10 @@
 	hungSince    time.Time // since when its machine hangs
 }
 
+// gangTick is how often the state of gangs is looked at.
 const gangTick = 50 * time.Millisecond
 
+// gangOf is what is known of a gang; call with the lock held.
 func (sim *Simulation) gangOf(id wire.JobID) *gangJob {
 	if sim.gangs.jobs == nil {
 		sim.gangs.jobs = map[wire.JobID]*gangJob{}
@@ -104,7 +107,7 @@
 		b.run.phase = wire.PhaseRunning
 		r.speed = min(r.speed, b.worker.sim.speedOf(b.worker.id))
 		if b.worker.faulty || m.sim.scripts[t.Job].AlwaysFails {
-			b.failAt = now.Add(500 * time.Millisecond)
+			b.failAt = now.Add(timeToFail)
 		}
 		b.worker.changed()
 	}
@@ -206,72 +209,85 @@
 	}
 }
 
-func (sim *Simulation) stepGang(truth *JobScript, g *gangJob, r *gangRun, now time.Time) {
-	wait, peer := sim.Settings.Workers.GangWaitS.Duration(), sim.Settings.Workers.GangPeerS.Duration()
+// stepGang lets time pass for one attempt of a gang; call with the lock held.
+func (sim *Simulation) stepGang(script *JobScript, g *gangJob, r *gangRun, now time.Time) {
 	sim.advance(g, r, now)
 	var order []*gangMember
-	for i := range truth.Spec.Tasks {
+	for i := range script.Spec.Tasks {
 		if b := r.members[i]; b != nil {
 			order = append(order, b)
 		}
 	}
-	hangs := func(b *gangMember) bool { return sim.machineFaults.hung[b.worker.id] != nil || b.worker.stalled }
-	end := func(b *gangMember, c wire.ExitCause, saved bool) {
-		b.run.saved = saved
-		b.run.cancel()
-		b.worker.exit(b.task, b.run, c)
-	}
-	told := r.running && len(order) == truth.Spec.Tasks
+	sim.noteHungMembers(g, r, order, now)
+	allTold := r.running && len(order) == script.Spec.Tasks
 	for _, b := range order {
-		if !hangs(b) {
-			b.hungSince = time.Time{}
-		} else if b.hungSince.IsZero() {
-			b.hungSince = now
-		} else if r.running && !r.saved && now.Sub(b.hungSince) > peer/2 {
-			sim.rollBack(g, r, now)
-		}
-		told = told && b.toldToStop
+		allTold = allTold && b.toldToStop
 	}
-	if told && r.brokenSince.IsZero() && !r.saved {
-		for _, b := range order {
-			if !hangs(b) && !now.Before(b.savedAt) {
-				r.saved, g.saved = true, max(g.saved, r.progress)
-				g.saves++
-				break
-			}
-		}
+	if allTold && r.brokenSince.IsZero() && !r.saved && slices.ContainsFunc(order, func(b *gangMember) bool { return !sim.hangs(b.worker) && !now.Before(b.savedAt) }) {
+		r.saved, g.saved = true, max(g.saved, r.progress)
+		g.saves++
 	}
-	if !r.stoppingSince.IsZero() && !r.saved && now.Sub(r.stoppingSince) > peer && !told {
+	if !r.stoppingSince.IsZero() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerS.Duration() && !allTold {
 		sim.rollBack(g, r, now)
 		for _, b := range order {
 			b.leavesAt = now
 		}
 	}
-	if r.running && r.brokenSince.IsZero() && r.stoppingSince.IsZero() && r.progress >= truth.RunTime {
+	if r.running && r.brokenSince.IsZero() && r.stoppingSince.IsZero() && r.progress >= script.RunTime {
 		g.done = true
-		sim.checker.GangDone(truth.Spec.ID)
+		sim.checker.GangDone(script.Spec.ID)
 	}
 	for _, b := range order {
-		switch {
-		case hangs(b) || r.members[b.task.Index] != b:
-		case g.done && b.run.phase != wire.PhaseWaiting:
-			end(b, wire.CauseDone, false)
-		case b.run.phase == wire.PhaseWaiting:
-			if now.Sub(b.waitingSince) > wait {
-				g.incomplete++
-				end(b, wire.CauseGangIncomplete, false)
-			}
-		case r.saved:
-			if b.toldToStop && !now.Before(b.savedAt) {
-				end(b, wire.CauseStopped, true)
-			}
-		case !r.brokenSince.IsZero():
-			if !now.Before(b.leavesAt) {
-				end(b, wire.CauseGangBroken, false)
-			}
-		case !b.failAt.IsZero() && !now.Before(b.failAt):
-			end(b, wire.CauseError, false)
+		if !sim.hangs(b.worker) && r.members[b.task.Index] == b {
+			sim.stepMember(g, r, b, now)
+		}
+	}
+}
+
+// hangs tells whether a machine hangs; call with the lock held.
+func (sim *Simulation) hangs(m *worker) bool {
+	return sim.machineFaults.hung[m.id] != nil || m.stalled
+}
+
+// noteHungMembers breaks a running gang of which a member hangs for long.
+func (sim *Simulation) noteHungMembers(g *gangJob, r *gangRun, order []*gangMember, now time.Time) {
+	peer := sim.Settings.Workers.GangPeerS.Duration()
+	for _, b := range order {
+		if !sim.hangs(b.worker) {
+			b.hungSince = time.Time{}
+		} else if b.hungSince.IsZero() {
+			b.hungSince = now
+		} else if r.running && !r.saved && now.Sub(b.hungSince) > peer/2 {
+			sim.rollBack(g, r, now)
+		}
+	}
+}
+
+// stepMember ends a gang's task if it is time for that.
+func (sim *Simulation) stepMember(g *gangJob, r *gangRun, b *gangMember, now time.Time) {
+	end := func(c wire.ExitCause, saved bool) {
+		b.run.saved = saved
+		b.run.cancel()
+		b.worker.exit(b.task, b.run, c)
+	}
+	switch {
+	case g.done && b.run.phase != wire.PhaseWaiting:
+		end(wire.CauseDone, false)
+	case b.run.phase == wire.PhaseWaiting:
+		if now.Sub(b.waitingSince) > sim.Settings.Workers.GangWaitS.Duration() {
+			g.incomplete++
+			end(wire.CauseGangIncomplete, false)
+		}
+	case r.saved:
+		if b.toldToStop && !now.Before(b.savedAt) {
+			end(wire.CauseStopped, true)
+		}
+	case !r.brokenSince.IsZero():
+		if !now.Before(b.leavesAt) {
+			end(wire.CauseGangBroken, false)
 		}
+	case !b.failAt.IsZero() && !now.Before(b.failAt):
+		end(wire.CauseError, false)
 	}
 }
 
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -179,6 +179,7 @@
 	sim.gangs.speed[id] = speed
 }
 
+// speedOf is a machine's speed; call with the lock held.
 func (sim *Simulation) speedOf(id wire.MachineID) float64 {
 	if s, ok := sim.gangs.speed[id]; ok {
 		return s
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -39,12 +39,14 @@
 	}
 }
 
+// addr is an address of the network in memory.
 type addr string
 
 func (a addr) Network() string { return "tcp" }
 
 func (a addr) String() string { return string(a) }
 
+// listener takes the connections to one address.
 type listener struct {
 	n      *Network
 	addr   string
@@ -53,6 +55,7 @@
 	once   sync.Once
 }
 
+// listen opens an address.
 func (n *Network) listen(at string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,6 +90,7 @@
 
 func (l *listener) Addr() net.Addr { return addr(l.addr) }
 
+// hostOf is the host of an address.
 func hostOf(a string) string {
 	h, _, err := net.SplitHostPort(a)
 	if err != nil {
@@ -95,6 +99,7 @@
 	return h
 }
 
+// dial connects, waits while the link is cut, and gives up after 2 s.
 func (n *Network) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	fail := func(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Addr: addr(to), Err: err} }
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -147,6 +152,7 @@
 	return out
 }
 
+// every passes all connections.
 func every(*conn) bool { return true }
 
 // Close ends every connection.
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -156,12 +156,14 @@
 	}
 }
 
+// faulty tells whether any fault of the network lasts.
 func (n *Network) faulty() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return has(n.held) || has(n.deaf) || has(n.island) || has(n.mute) || has(n.filtered)
 }
 
+// has tells whether any entry is true.
 func has[K comparable](m map[K]bool) bool {
 	for _, on := range m {
 		if on {
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -77,6 +77,7 @@
 	lastFault          time.Time // when there last was a fault
 }
 
+// controller is a node under test, which may be down.
 type controller struct {
 	cfg    config.Config
 	cancel context.CancelFunc
@@ -112,16 +113,8 @@
 	sim.checker.MachineSpecs, sim.lastFault = sim.machineTypes, time.Now()
 	sim.serve(StateAddr, sim.State)
 	sim.serve(CloudAddr, http.HandlerFunc(sim.cloud))
-	sim.controllers = make([]*controller, set.Size)
-	for i := range sim.controllers {
-		c := config.Config{HostName: wire.NodeID(fmt.Sprintf("worker-%d", i)), Zone: set.Zones[i%len(set.Zones)],
-			Front: NodeIP(i) + ":8080", PeerBind: NodeIP(i) + ":8081", Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
-		for k := range sim.controllers {
-			if k != i {
-				c.Peers = append(c.Peers, config.Peer{HostName: wire.NodeID(fmt.Sprintf("worker-%d", k)), Zone: set.Zones[k%len(set.Zones)], Addr: NodeIP(k) + ":8081"})
-			}
-		}
-		sim.controllers[i] = &controller{cfg: c}
+	for i := range set.Size {
+		sim.controllers = append(sim.controllers, &controller{cfg: controllerConfig(set, i)})
 	}
 	sim.spawn(func() {
 		for ctx.Err() == nil {
@@ -134,6 +127,21 @@
 	return sim
 }
 
+// controllerConfig is the configuration of the i-th controller.
+func controllerConfig(set config.Settings, i int) config.Config {
+	name := func(k int) wire.NodeID { return wire.NodeID(fmt.Sprintf("worker-%d", k)) }
+	zone := func(k int) wire.Zone { return set.Zones[k%len(set.Zones)] }
+	c := config.Config{HostName: name(i), Zone: zone(i), Front: NodeIP(i) + ":8080", PeerBind: NodeIP(i) + ":8081",
+		Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
+	for k := range set.Size {
+		if k != i {
+			c.Peers = append(c.Peers, config.Peer{HostName: name(k), Zone: zone(k), Addr: NodeIP(k) + ":8081"})
+		}
+	}
+	return c
+}
+
+// sleep waits for a time or the end of the context.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -141,6 +149,7 @@
 	}
 }
 
+// spawn runs f beside the caller; Close waits for its end.
 func (sim *Simulation) spawn(f func()) {
 	sim.wg.Add(1)
 	go func() {
@@ -149,6 +158,7 @@
 	}()
 }
 
+// serve begins to answer requests to an address.
 func (sim *Simulation) serve(at string, h http.Handler) *http.Server {
 	l, err := sim.hostNet(hostOf(at)).Listen("tcp4", at)
 	if err != nil {
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -60,6 +60,7 @@
 	s.mu.Unlock()
 }
 
+// faulty tells whether any fault of the service lasts.
 func (s *State) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,6 +114,7 @@
 	count  map[string]int           // by client: transactions carried out
 }
 
+// ran counts a transaction of a client.
 func (l *txnFaults) ran(from string) {
 	if l.count == nil {
 		l.count = map[string]int{}
@@ -187,6 +189,7 @@
 	panic(http.ErrAbortHandler)
 }
 
+// keysOf lists the keys that a transaction changes.
 func keysOf(t *wire.Txn) []string {
 	var out []string
 	for _, x := range t.Writes {
@@ -217,6 +220,7 @@
 	return &slowWriter{ResponseWriter: w, by: by}
 }
 
+// slowWriter sends an answer after a time.
 type slowWriter struct {
 	http.ResponseWriter
 	by time.Duration
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -77,6 +77,7 @@
 	return len(b)
 }
 
+// valueMode decodes values so that they can be written as JSON.
 var valueMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
 	if err != nil {
@@ -190,6 +191,7 @@
 	}
 }
 
+// fails notes a transaction that failed at a guard.
 func (l *stateLimits) fails(t *wire.Txn) {
 	l.mu.Lock()
 	l.lost = append(l.lost, *t)
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -36,17 +36,20 @@
 	forgottenUpTo wire.Revision // the newest change that is no longer kept
 }
 
+// stateEntry is what is stored under a key.
 type stateEntry struct {
 	v      wire.Raw
 	stamp  wire.Revision
 	permit wire.GrantID
 }
 
+// stateGrant is a grant: keys written under it are gone when it ends.
 type stateGrant struct {
 	life time.Duration
 	ends time.Time
 }
 
+// stateChange is a change that watches may still ask for.
 type stateChange struct {
 	rev wire.Revision
 	c   wire.Change
@@ -109,6 +112,7 @@
 	return n
 }
 
+// notify wakes all open watches; call with the lock held.
 func (s *State) notify() {
 	close(s.wake)
 	s.wake = make(chan struct{})
@@ -127,6 +131,7 @@
 	}
 }
 
+// endGrant ends a grant and removes its keys; call with the lock held.
 func (s *State) endGrant(id wire.GrantID) {
 	delete(s.grants, id)
 	var dead []string
@@ -147,10 +152,12 @@
 	s.notify()
 }
 
+// ledger is the answer about a key that there is not: the revision of all keys.
 type ledger struct {
 	Ledger wire.Revision `cbor:"ledger"`
 }
 
+// ServeHTTP answers the requests of the state service's page.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
@@ -174,75 +181,98 @@
 		wire.Answer(w, http.StatusServiceUnavailable, wire.Reason{Error: "trouble"})
 		return
 	}
-	bad := func() { wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "malformed"}) }
 	switch {
 	case r.URL.Path == "/kv":
 		s.list(w, r)
 	case strings.HasPrefix(r.URL.Path, "/kv/"):
-		k := strings.TrimPrefix(r.URL.Path, "/kv/")
-		s.limits.read(k)
-		s.mu.Lock()
-		e, rev := s.keys[k], s.revision
-		var out wire.Entry
-		if e != nil {
-			out = wire.Entry{Key: k, Value: e.v, Revision: e.stamp, Grant: e.permit}
-		}
-		s.mu.Unlock()
-		if e == nil {
-			wire.Answer(w, http.StatusNotFound, ledger{rev})
-			return
-		}
-		wire.Answer(w, http.StatusOK, out)
+		s.read(w, strings.TrimPrefix(r.URL.Path, "/kv/"))
 	case r.URL.Path == "/txn" && r.Method == "POST":
-		var t wire.Txn
-		if wire.Decode(raw, &t) != nil || !s.allows(&t, len(raw)) {
-			bad()
-			return
-		}
-		if !s.limits.admits(0, len(t.Writes)) {
-			wire.Answer(w, http.StatusTooManyRequests, wire.Reason{Error: "too many changes"})
-			return
-		}
-		s.limits.await(&t)
-		if !s.injectFault(r, &t) {
-			s.txn(w, hostOf(r.RemoteAddr), &t)
-		}
+		s.serveTxn(w, r, raw)
 	case r.URL.Path == "/grants" && r.Method == "POST":
-		var a wire.GrantRequest
-		if wire.Decode(raw, &a) != nil || a.TTLMillis < 100 || a.TTLMillis > 600_000 {
-			bad()
-			return
-		}
-		s.mu.Lock()
-		id := s.nextGrant
-		s.nextGrant++
-		life := time.Duration(a.TTLMillis) * time.Millisecond
-		s.grants[id] = &stateGrant{life, time.Now().Add(life)}
-		s.mu.Unlock()
-		wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: id})
+		s.newGrant(w, raw)
 	case strings.HasPrefix(r.URL.Path, "/grants/"):
-		rest, renew := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/renew")
-		n, _ := strconv.ParseUint(rest, 10, 64)
-		s.mu.Lock()
-		g := s.grants[wire.GrantID(n)]
-		switch {
-		case g == nil:
-		case renew:
-			g.ends = time.Now().Add(g.life)
-		case r.Method == "DELETE":
-			s.endGrant(wire.GrantID(n))
-		}
-		s.mu.Unlock()
-		if g == nil {
-			wire.Answer(w, http.StatusNotFound, wire.Reason{Error: "no such lease"})
-			return
-		}
-		wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: wire.GrantID(n)})
+		s.renewOrEndGrant(w, r)
 	default:
-		bad()
+		malformedRequest(w)
+	}
+}
+
+func malformedRequest(w http.ResponseWriter) {
+	wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "malformed"})
+}
+
+// read answers with one key.
+func (s *State) read(w http.ResponseWriter, key string) {
+	s.limits.read(key)
+	s.mu.Lock()
+	e, rev := s.keys[key], s.revision
+	var out wire.Entry
+	if e != nil {
+		out = wire.Entry{Key: key, Value: e.v, Revision: e.stamp, Grant: e.permit}
+	}
+	s.mu.Unlock()
+	if e == nil {
+		wire.Answer(w, http.StatusNotFound, ledger{rev})
+		return
+	}
+	wire.Answer(w, http.StatusOK, out)
+}
+
+// serveTxn executes a transaction within the limits, unless a fault hits it.
+func (s *State) serveTxn(w http.ResponseWriter, r *http.Request, raw []byte) {
+	var t wire.Txn
+	if wire.Decode(raw, &t) != nil || !s.allows(&t, len(raw)) {
+		malformedRequest(w)
+		return
+	}
+	if !s.limits.admits(0, len(t.Writes)) {
+		wire.Answer(w, http.StatusTooManyRequests, wire.Reason{Error: "too many changes"})
+		return
+	}
+	s.limits.await(&t)
+	if !s.injectFault(r, &t) {
+		s.txn(w, hostOf(r.RemoteAddr), &t)
+	}
+}
+
+// newGrant gives a grant of the time asked for.
+func (s *State) newGrant(w http.ResponseWriter, raw []byte) {
+	var a wire.GrantRequest
+	if wire.Decode(raw, &a) != nil || a.TTLMillis < 100 || a.TTLMillis > 600_000 {
+		malformedRequest(w)
+		return
+	}
+	s.mu.Lock()
+	id := s.nextGrant
+	s.nextGrant++
+	life := time.Duration(a.TTLMillis) * time.Millisecond
+	s.grants[id] = &stateGrant{life, time.Now().Add(life)}
+	s.mu.Unlock()
+	wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: id})
+}
+
+// renewOrEndGrant does what the path and the method say with a grant.
+func (s *State) renewOrEndGrant(w http.ResponseWriter, r *http.Request) {
+	rest, renew := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/renew")
+	n, _ := strconv.ParseUint(rest, 10, 64)
+	s.mu.Lock()
+	g := s.grants[wire.GrantID(n)]
+	switch {
+	case g == nil:
+	case renew:
+		g.ends = time.Now().Add(g.life)
+	case r.Method == "DELETE":
+		s.endGrant(wire.GrantID(n))
+	}
+	s.mu.Unlock()
+	if g == nil {
+		wire.Answer(w, http.StatusNotFound, wire.Reason{Error: "no such lease"})
+		return
 	}
+	wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: wire.GrantID(n)})
 }
 
+// list answers with a page of the keys with a prefix.
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	most, _ := strconv.Atoi(q.Get("page"))
@@ -272,6 +302,7 @@
 	wire.Answer(w, http.StatusOK, page)
 }
 
+// txn executes a transaction and answers, unless the request or the answer is lost.
 func (s *State) txn(w http.ResponseWriter, from string, t *wire.Txn) {
 	s.mu.Lock()
 	if s.dropRequests > 0 {
@@ -334,6 +365,7 @@
 	return http.StatusOK, wire.TxnResult{Revision: s.revision}
 }
 
+// watch answers with the changes after a revision, as soon as there are any.
 func (s *State) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -13,7 +13,11 @@
 	"lilaclead/internal/wire"
 )
 
-const userIP = "10.3.0.1"
+// Hosts of users and operators.
+const (
+	userIP     = "10.3.0.1"
+	operatorIP = "10.3.0.9"
+)
 
 // Submission is the map that a user sends.
 func Submission(s wire.Spec) map[string]any {
@@ -93,6 +97,7 @@
 	return Ask(sim.ctx, sim.hostNet(userIP), method, "http://"+NodeIP(i)+":8080"+path, body)
 }
 
+// jobsPath is where users submit jobs.
 const jobsPath = "/v1/jobs"
 
 // bodyOf a request as it is sent.
@@ -137,7 +142,7 @@
 
 // AskAsOperator makes one request as an operator to the i-th node.
 func (sim *Simulation) AskAsOperator(i int, method, path string, body any) (int, []byte, http.Header) {
-	return Ask(sim.ctx, sim.hostNet("10.3.0.9"), method, "http://"+NodeIP(i)+":8081"+path, body)
+	return Ask(sim.ctx, sim.hostNet(operatorIP), method, "http://"+NodeIP(i)+":8081"+path, body)
 }
 
 // RegisterJob makes a job known to the workers and the checker; the test itself is its
@@ -158,52 +163,67 @@
 	sim.checker.Submitted(t.Spec)
 	turn := sim.rng.IntN(len(sim.controllers))
 	sim.mu.Unlock()
-	id := t.Spec.ID
+	next := func() int { turn++; return turn % len(sim.controllers) }
 	sim.spawn(func() {
 		begin := time.Now()
-		next := func() int { turn++; return turn % len(sim.controllers) }
-		for {
-			status, _, h := sim.Ask(next(), "POST", "/v1/jobs", Submission(t.Spec))
-			if sim.ctx.Err() != nil {
-				return
-			}
-			if status == 200 || status == 201 {
-				break
-			}
-			if status == 400 || status == 422 || time.Since(begin) > 60*time.Second {
-				return
-			}
-			wait := time.Second
-			if s, err := strconv.Atoi(h.Get("Retry-After")); err == nil {
-				wait = max(wait, min(30, time.Duration(s))*time.Second)
-			}
-			sleep(sim.ctx, wait)
-		}
-		cancelled := false
-		for sim.ctx.Err() == nil {
-			sleep(sim.ctx, 5*time.Second)
-			if cancel > 0 && !cancelled && time.Since(begin) > cancel {
-				status, raw, _ := sim.Ask(next(), "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
-				var b wire.JobSummary
-				if status == 200 && wire.Decode(raw, &b) == nil {
-					cancelled = true
-				}
-			}
-			status, raw, _ := sim.Ask(next(), "GET", "/v1/jobs/"+string(id), nil)
-			if sim.ctx.Err() != nil {
-				return
-			}
-			var s wire.JobState
-			if status != 200 || wire.Decode(raw, &s) != nil {
-				continue
-			}
-			if s.Status.Final() && time.Since(begin) > cancel+20*time.Second {
-				return
-			}
+		if sim.submitUntilAccepted(&t, begin, next) {
+			sim.pollUntilOver(t.Spec.ID, begin, cancel, next)
 		}
 	})
 }
 
+// How users repeat themselves.
+const (
+	submissionPatience = 60 * time.Second // after which a user gives up
+	retryPause         = time.Second      // without a Retry-After
+	longestRetryPause  = 30 * time.Second // whatever Retry-After says
+	pollPause          = 5 * time.Second
+	lastPollAfter      = 20 * time.Second // after the time to cancel, even if the job is over
+)
+
+// submitUntilAccepted submits a job at one node after the other, and tells whether it
+// was accepted.
+func (sim *Simulation) submitUntilAccepted(t *JobScript, begin time.Time, next func() int) bool {
+	for {
+		status, _, h := sim.Ask(next(), "POST", jobsPath, Submission(t.Spec))
+		switch {
+		case sim.ctx.Err() != nil:
+			return false
+		case status == 200 || status == 201:
+			return true
+		case status == 400 || status == 422 || time.Since(begin) > submissionPatience:
+			return false
+		}
+		wait := retryPause
+		if s, err := strconv.Atoi(h.Get("Retry-After")); err == nil {
+			wait = max(wait, min(longestRetryPause, time.Duration(s)*time.Second))
+		}
+		sleep(sim.ctx, wait)
+	}
+}
+
+// pollUntilOver polls a job at one node after the other until it is over, and asks to
+// cancel it when its time has come.
+func (sim *Simulation) pollUntilOver(id wire.JobID, begin time.Time, cancel time.Duration, next func() int) {
+	path, cancelled := jobsPath+"/"+string(id), false
+	for sim.ctx.Err() == nil {
+		sleep(sim.ctx, pollPause)
+		if cancel > 0 && !cancelled && time.Since(begin) > cancel {
+			status, raw, _ := sim.Ask(next(), "POST", path+"/cancel", nil)
+			var b wire.JobSummary
+			cancelled = status == 200 && wire.Decode(raw, &b) == nil
+		}
+		status, raw, _ := sim.Ask(next(), "GET", path, nil)
+		if sim.ctx.Err() != nil {
+			return
+		}
+		var s wire.JobState
+		if status == 200 && wire.Decode(raw, &s) == nil && s.Status.Final() && time.Since(begin) > cancel+lastPollAfter {
+			return
+		}
+	}
+}
+
 // CountEnded counts the jobs of which users were told the end.
 func (sim *Simulation) CountEnded(jobs []JobScript) (done, cancelled int) {
 	sim.mu.Lock()
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -42,6 +42,7 @@
 	lastReport wire.Report // the last report
 }
 
+// taskRun is an attempt of a task on a machine.
 type taskRun struct {
 	attempt wire.Attempt
 	phase   wire.TaskPhase
@@ -88,67 +89,81 @@
 		s.Close()
 	})
 	sim.spawn(m.watchLease)
-	hc := &http.Client{Transport: sim.hostNet(m.ip).Transport(1, 1)}
+	m.reportUntilGone()
+}
+
+// Pauses of a worker between two reports.
+const (
+	// reportTimeout is how long a worker waits for the answer to a report.
+	reportTimeout = 4 * time.Second
+	// redirectPause comes before a report to the controller that an answer named.
+	redirectPause = 250 * time.Millisecond
+	// failurePause comes before a report to the next controller.
+	failurePause = time.Second
+	// leastReportPause is the least time between two reports to the same one.
+	leastReportPause = 500 * time.Millisecond
+)
+
+// reportUntilGone sends reports to one controller after the other, or the one that
+// an answer names, until the machine is gone.
+func (m *worker) reportUntilGone() {
+	hc := &http.Client{Transport: m.sim.hostNet(m.ip).Transport(1, 1)}
+	defer hc.CloseIdleConnections()
 	at := 0
 	for m.ctx.Err() == nil {
-		m.awaitAwake(m.ctx)
-		sim.mu.Lock()
-		rep, life := m.report(), m.restarts
-		m.lastReport = rep
-		held := sim.noteReport(m, rep)
-		sim.mu.Unlock()
-		sent := time.Now()
-		status, body := 0, []byte(nil)
-		if held {
-			sleep(m.ctx, reportTimeout)
-		} else {
-			status, body = m.sendReport(hc, "http://"+NodeIP(at)+":8080/hello", rep)
-		}
-		sleep(m.ctx, m.lag().ReportAnswer)
-		if m.awaitAwake(m.ctx); time.Since(sent) > reportTimeout {
-			status = 0 // it hung meanwhile
-		}
-		again := false
-		switch status {
-		case http.StatusOK:
-			var o wire.Commands
-			if wire.Decode(body, &o) == nil {
-				m.takeAnswer(&o, life, rep.Session, sent)
-			}
-		case http.StatusMisdirectedRequest:
-			var e wire.Redirect
-			hc.CloseIdleConnections()
-			if wire.Decode(body, &e) == nil && e.ReportsTo != "" && parseID(string(e.ReportsTo)) != at {
-				at = parseID(string(e.ReportsTo))
-				again = true
-			} else {
-				at = (at + 1) % len(sim.controllers)
-				sleep(m.ctx, time.Second)
-				continue
-			}
-		default:
-			hc.CloseIdleConnections()
-			at = (at + 1) % len(sim.controllers)
-			sleep(m.ctx, time.Second)
+		status, body := m.reportTo(hc, at)
+		if status == http.StatusOK {
+			m.awaitNextReport()
 			continue
 		}
-		if again {
-			sleep(m.ctx, 250*time.Millisecond)
+		hc.CloseIdleConnections()
+		var e wire.Redirect
+		if status == http.StatusMisdirectedRequest && wire.Decode(body, &e) == nil && e.ReportsTo != "" && parseID(string(e.ReportsTo)) != at {
+			at = parseID(string(e.ReportsTo))
+			sleep(m.ctx, redirectPause)
 			continue
 		}
-		sleep(m.ctx, 500*time.Millisecond)
-		select {
-		case <-m.ctx.Done():
-		case <-m.wake:
-		case <-time.After(sim.Settings.Workers.ReportS.Duration() - 500*time.Millisecond):
-		}
+		at = (at + 1) % len(m.sim.controllers)
+		sleep(m.ctx, failurePause)
 	}
-	hc.CloseIdleConnections()
 }
 
-// reportTimeout is how long a worker waits for the answer to a report.
-const reportTimeout = 4 * time.Second
+// reportTo sends a report of now to the i-th controller and takes its answer.
+func (m *worker) reportTo(hc *http.Client, i int) (status int, body []byte) {
+	m.awaitAwake(m.ctx)
+	m.sim.mu.Lock()
+	rep, life := m.report(), m.restarts
+	m.lastReport = rep
+	held := m.sim.noteReport(m, rep)
+	m.sim.mu.Unlock()
+	sent := time.Now()
+	if held {
+		sleep(m.ctx, reportTimeout)
+	} else {
+		status, body = m.sendReport(hc, "http://"+NodeIP(i)+":8080/hello", rep)
+	}
+	sleep(m.ctx, m.lag().ReportAnswer)
+	if m.awaitAwake(m.ctx); time.Since(sent) > reportTimeout {
+		return 0, nil // it hung meanwhile
+	}
+	var o wire.Commands
+	if status == http.StatusOK && wire.Decode(body, &o) == nil {
+		m.takeAnswer(&o, life, rep.Session, sent)
+	}
+	return status, body
+}
+
+// awaitNextReport waits until the next report is due, or something has changed.
+func (m *worker) awaitNextReport() {
+	sleep(m.ctx, leastReportPause)
+	select {
+	case <-m.ctx.Done():
+	case <-m.wake:
+	case <-time.After(m.sim.Settings.Workers.ReportS.Duration() - leastReportPause):
+	}
+}
 
+// sendReport posts a report; status 0: no answer.
 func (m *worker) sendReport(hc *http.Client, url string, v any) (int, []byte) {
 	ctx, cancel := context.WithTimeout(m.ctx, reportTimeout)
 	defer cancel()
@@ -172,6 +187,7 @@
 	m.sim.countLate(sent, o.Commands, wire.Forget)
 }
 
+// noteToken remembers the highest token that the worker has seen.
 func (m *worker) noteToken(b wire.Token) {
 	if b > m.token {
 		m.token = b
@@ -210,6 +226,7 @@
 	m.tasks = map[wire.Task]*taskRun{}
 }
 
+// handle serves what controllers ask a worker directly.
 func (m *worker) handle(rw http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, 1<<20)
 	if err != nil {
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -43,85 +43,83 @@
 	}
 }
 
-func (m *worker) launch(t wire.Task, try wire.Attempt, old *taskRun) {
-	ctx, cancel := context.WithCancel(m.ctx)
-	x := &taskRun{attempt: try, phase: wire.PhaseFetching, cancel: cancel}
+// launch starts an attempt of a task, or lists it as refused; call with the lock
+// held.
+func (m *worker) launch(t wire.Task, attempt wire.Attempt, old *taskRun) {
+	script := m.sim.scripts[t.Job]
 	refuse := func(c wire.ExitCause) {
-		x.phase, x.cause = wire.PhaseExited, c
-		m.tasks[t] = x
+		m.tasks[t] = &taskRun{attempt: attempt, phase: wire.PhaseExited, cause: c, cancel: func() {}}
 		m.changed()
 	}
-	truth := m.sim.scripts[t.Job]
 	switch {
-	case truth == nil || t.Index >= truth.Spec.Tasks:
+	case script == nil || t.Index >= script.Spec.Tasks:
 		refuse(wire.CauseNoSuch)
 		return
 	case old != nil && old.phase != wire.PhaseExited:
 		return // busy: the running attempt stays listed
-	}
-	if m.refusesLaunch() {
+	case m.refusesLaunch():
 		refuse(wire.CauseFull)
 		return
 	}
-	cpus, ram := m.spec.CPUs, m.spec.MemoryGB
-	for o, r := range m.tasks {
-		if r.phase != wire.PhaseExited {
-			cpus -= m.sim.scripts[o.Job].Spec.CPUs
-			ram -= m.sim.scripts[o.Job].Spec.MemoryGB
-		}
-	}
-	if truth.Spec.CPUs > cpus+wire.Eps || truth.Spec.MemoryGB > ram+wire.Eps {
+	cpus, memory := m.freeRoom()
+	if script.Spec.CPUs > cpus+wire.Eps || script.Spec.MemoryGB > memory+wire.Eps {
 		refuse(wire.CauseFull)
 		return
 	}
+	ctx, cancel := context.WithCancel(m.ctx)
+	x := &taskRun{attempt: attempt, phase: wire.PhaseFetching, cancel: cancel}
 	m.tasks[t] = x
 	m.changed()
 	fetch := time.Duration(0)
-	if !m.cached[truth.Spec.Image] {
-		fetch = time.Duration(truth.Spec.ImageGB / m.spec.FetchGBPerS / m.sim.speedOf(m.id) * float64(time.Second))
+	if !m.cached[script.Spec.Image] {
+		fetch = time.Duration(script.Spec.ImageGB / m.spec.FetchGBPerS / m.sim.speedOf(m.id) * float64(time.Second))
 	}
 	m.sim.spawn(func() {
 		m.workFor(ctx, fetch)
 		m.awaitUnstalled(ctx)
-		m.sim.mu.Lock()
-		if ctx.Err() != nil || m.tasks[t] != x {
-			m.sim.mu.Unlock()
-			return
-		}
-		m.cached[truth.Spec.Image] = true
-		x.phase = wire.PhaseRunning
-		if truth.Spec.Gang() {
-			m.sim.checker.TaskStarted(t, Place{m.id, m.machineType, m.zone, m.spot}, time.Now())
-			m.join(t, x)
-			m.sim.mu.Unlock()
-			return
-		}
-		m.sim.checker.TaskStarted(t, Place{m.id, m.machineType, m.zone, m.spot}, time.Now())
-		m.changed()
-		sick := m.faulty || truth.AlwaysFails
-		m.sim.mu.Unlock()
-		switch {
-		case sick:
-			m.workFor(ctx, 500*time.Millisecond)
-		case truth.Spec.Service():
-			<-ctx.Done()
-		default:
-			m.workFor(ctx, time.Duration(truth.runTimeOf(t.Index)*float64(time.Second)))
-			m.awaitUnstalled(ctx)
-		}
-		m.sim.mu.Lock()
-		defer m.sim.mu.Unlock()
-		if ctx.Err() != nil || m.tasks[t] != x {
-			return
-		}
-		if sick {
-			m.exit(t, x, wire.CauseError)
-		} else {
-			m.exit(t, x, wire.CauseDone)
-		}
+		m.begin(ctx, t, x, script)
 	})
 }
 
+// begin runs a task that has its image to its end, or has it join its gang.
+func (m *worker) begin(ctx context.Context, t wire.Task, x *taskRun, script *JobScript) {
+	m.sim.mu.Lock()
+	if ctx.Err() != nil || m.tasks[t] != x {
+		m.sim.mu.Unlock()
+		return
+	}
+	m.cached[script.Spec.Image] = true
+	x.phase = wire.PhaseRunning
+	m.sim.checker.TaskStarted(t, Place{m.id, m.machineType, m.zone, m.spot}, time.Now())
+	if script.Spec.Gang() {
+		m.join(t, x)
+		m.sim.mu.Unlock()
+		return
+	}
+	m.changed()
+	fails := m.faulty || script.AlwaysFails
+	m.sim.mu.Unlock()
+	cause := wire.CauseDone
+	switch {
+	case fails:
+		m.workFor(ctx, timeToFail)
+		cause = wire.CauseError
+	case script.Spec.Service():
+		<-ctx.Done()
+	default:
+		m.workFor(ctx, time.Duration(script.runTimeOf(t.Index)*float64(time.Second)))
+		m.awaitUnstalled(ctx)
+	}
+	m.sim.mu.Lock()
+	defer m.sim.mu.Unlock()
+	if ctx.Err() == nil && m.tasks[t] == x {
+		m.exit(t, x, cause)
+	}
+}
+
+// timeToFail is how long a task runs that fails.
+const timeToFail = 500 * time.Millisecond
+
 // startSaving lets a task that was told to stop save first, and tells whether it does.
 // What saves already goes on with it unless it is told to end at once. Call with
 // the lock held.
