--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -134,7 +134,7 @@
 	was, _ := sim.knownStatus(id)
 	sim.checker.answered(id, before, op, status, said, now)
 	if (status == 429 || status == 503) && !retryAfter {
-		sim.checker.violated(now, NoRetryAfter, "%s of %s answered %d", op, id, status)
+		sim.checker.violated(now, MissingRetryAfter, "%s of %s answered %d", op, id, status)
 	}
 	is, _ := sim.knownStatus(id)
 	if is != was {
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -36,8 +36,8 @@
 	HalfRun Rule = "half_run"
 )
 
-// NoRetryAfter is broken by a refusal for now that does not say when to come back.
-const NoRetryAfter Rule = "no_retry_after"
+// MissingRetryAfter is broken by a refusal for now that does not say when to come back.
+const MissingRetryAfter Rule = "no_retry_after"
 
 // Violation of a rule.
 type Violation struct {
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -7,27 +7,29 @@
 	"lilaclead/internal/wire"
 )
 
-// beside is a machine with room for two tasks of the tests' job.
-var beside = MachineRoom{Place: Place{Machine: "n-1", Type: "c4", Zone: "a"}, Usable: true, CPUs: 8, MemoryGB: 8, DiskGB: 20}
+// freeMachine is a machine with room for two tasks of the tests' job.
+var freeMachine = MachineRoom{Place: Place{Machine: "n-1", Type: "c4", Zone: "a"}, Usable: true, CPUs: 8, MemoryGB: 8, DiskGB: 20}
 
-// survey shows a quiet world with that machine for some seconds.
-func survey(c *Checker, seconds int) {
+// observeRoom shows that machine, and no fault, for some seconds.
+func observeRoom(c *Checker, seconds int) {
 	t0 := time.Unix(1000, 0)
 	for s := range seconds {
 		c.ObserveFaults(t0, true)
-		c.ObserveRoom([]MachineRoom{beside}, t0.Add(time.Duration(s)*time.Second))
+		c.ObserveRoom([]MachineRoom{freeMachine}, t0.Add(time.Duration(s)*time.Second))
 	}
 }
 
-func sent(s wire.Spec) []byte { return wire.Encode(Submission(s)) }
+// encodedSubmission is a submission as a user sends it.
+func encodedSubmission(s wire.Spec) []byte { return wire.Encode(Submission(s)) }
 
-func brief(id wire.JobID, st wire.Status) []byte {
+// encodedSummary is an answer about a job.
+func encodedSummary(id wire.JobID, st wire.Status) []byte {
 	return wire.Encode(wire.JobSummary{ID: id, Status: st})
 }
 
 // A checker that can't fail proves nothing: each rule is broken here once,
 // deliberately, and must be the one that is noted.
-func TestEveryRuleCanBreak(t *testing.T) {
+func TestEveryRuleCanBeViolated(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	spec := wire.Spec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, Spread: true}
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
@@ -119,11 +121,13 @@
 			c.PollAnsweredNow("req-2", 404, "", t0.Add(time.Second))
 		}},
 		"cancellation answered 404": {Forgotten, func(c *Checker) { c.CancelAnswered("req-1", 404, nil, t0, t0) }},
-		"accepted anew":             {Forgotten, func(c *Checker) { c.SubmissionAnswered(sent(spec), 201, brief("req-1", wire.Queued), t0, t0) }},
+		"accepted anew": {Forgotten, func(c *Checker) {
+			c.SubmissionAnswered(encodedSubmission(spec), 201, encodedSummary("req-1", wire.Queued), t0, t0)
+		}},
 		"a repeat is answered an older": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
 			c.StatusToldNow("req-1", wire.Cancelled, t0)
-			c.SubmissionAnswered(sent(spec), 200, brief("req-1", wire.Queued), t0, t0)
+			c.SubmissionAnswered(encodedSubmission(spec), 200, encodedSummary("req-1", wire.Queued), t0, t0)
 		}},
 		"asked before, and two ends": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
@@ -134,7 +138,7 @@
 			c.StatusToldNow("req-1", wire.Done, t0.Add(2*time.Second))
 			c.PollAnswered("req-1", 200, wire.Cancelled, t0, t0.Add(3*time.Second))
 		}},
-		"cancellation of nothing":  {Invented, func(c *Checker) { c.CancelAnswered("req-9", 200, brief("req-9", wire.Cancelled), t0, t0) }},
+		"cancellation of nothing":  {Invented, func(c *Checker) { c.CancelAnswered("req-9", 200, encodedSummary("req-9", wire.Cancelled), t0, t0) }},
 		"accepts what nobody sent": {Invented, func(c *Checker) { c.Accepted("req-9", t0) }},
 		"polls fail although few others do": {Forgotten, func(c *Checker) {
 			for s := range 100 {
@@ -170,7 +174,7 @@
 			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 3, CPUs: 4})
 			c.Refused("req-2", 422, t0)
 		}},
-		"left waiting": {LeftWaiting, func(c *Checker) { survey(c, 100) }},
+		"left waiting": {LeftWaiting, func(c *Checker) { observeRoom(c, 100) }},
 		"left waiting, its results lost": {LeftWaiting, func(c *Checker) {
 			for i := range 4 {
 				c.TaskLeft(task(i), "n-9", true)
@@ -180,17 +184,17 @@
 				now := t0.Add(time.Duration(s) * time.Second)
 				c.PollAnsweredNow("req-1", 200, wire.Queued, now)
 				c.ObserveFaults(t0, true)
-				c.ObserveRoom([]MachineRoom{beside}, now)
+				c.ObserveRoom([]MachineRoom{freeMachine}, now)
 			}
 		}},
 		"left waiting after a trouble": {LeftWaiting, func(c *Checker) {
-			survey(c, 80)
+			observeRoom(c, 80)
 			c.ObserveFaults(time.Time{}, false)
-			c.ObserveRoom([]MachineRoom{beside}, t0)
+			c.ObserveRoom([]MachineRoom{freeMachine}, t0)
 			if len(c.Violations) > 0 {
 				return
 			}
-			survey(c, 100)
+			observeRoom(c, 100)
 		}},
 		"nothing ran": {NothingRan, func(c *Checker) { c.Finish(t0) }},
 		"polls fail": {Forgotten, func(c *Checker) {
@@ -218,13 +222,13 @@
 }
 
 // What breaks no rule must not be noted, or the tests would be eased.
-func TestWhatIsAllowed(t *testing.T) {
+func TestAllowedBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	after := func(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 	task := wire.Task{Job: "req-1", Index: 0}
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
 	with := func(change func(r *MachineRoom)) MachineRoom {
-		r := beside
+		r := freeMachine
 		change(&r)
 		return r
 	}
@@ -262,22 +266,22 @@
 				if s%80 == 79 {
 					c.TaskStarted(task, here, after(float64(s)))
 				}
-				c.ObserveRoom([]MachineRoom{beside}, after(float64(s)))
+				c.ObserveRoom([]MachineRoom{freeMachine}, after(float64(s)))
 			}
 		},
 		"troubles between": func(c *Checker) {
 			for s := range 200 {
 				c.ObserveFaults(t0, s%80 != 79)
-				c.ObserveRoom([]MachineRoom{beside}, after(float64(s)))
+				c.ObserveRoom([]MachineRoom{freeMachine}, after(float64(s)))
 			}
 		},
 		"all of it is done, and nobody asks": func(c *Checker) {
 			for i := range 4 {
 				c.TaskLeft(wire.Task{Job: "req-1", Index: i}, "n-9", true)
 			}
-			waiting(beside)(c)
+			waiting(freeMachine)(c)
 		},
-		"its user gave up": func(c *Checker) { c.CancelRequested("req-1"); waiting(beside)(c) },
+		"its user gave up": func(c *Checker) { c.CancelRequested("req-1"); waiting(freeMachine)(c) },
 	}
 	for name, do := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 8}, "blue": {}})
@@ -294,7 +298,7 @@
 
 // Starts after a cancellation and polls that are not told done in time break no
 // rule by themselves, and are counted.
-func TestCountsOfWhatIsLate(t *testing.T) {
+func TestLateStartsAndPollsAreCounted(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	c := NewChecker(10*time.Second, nil)
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
@@ -325,7 +329,7 @@
 
 // A submission that is malformed must not be accepted, whichever field is to
 // blame, and one that is not must not be blamed.
-func TestMalformedIsKnown(t *testing.T) {
+func TestMalformedSubmissions(t *testing.T) {
 	good := wire.Spec{ID: "req-000001", Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-a"}
 	noted := func(body any) bool {
 		c := NewChecker(time.Second, nil)
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -9,13 +9,14 @@
 	"lilaclead/internal/wire"
 )
 
-func ensemble(id wire.JobID, parts int) wire.Spec {
+// gangSpec is a gang of so many tasks.
+func gangSpec(id wire.JobID, parts int) wire.Spec {
 	return wire.Spec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1,
 		SameZone: true, CheckpointInterval: 20, CheckpointTime: 2, ExpectedRunTime: 50}
 }
 
 // Each check that gangs brought is broken here once, deliberately.
-func TestEveryGangCheckCanBreak(t *testing.T) {
+func TestEveryGangRuleCanBeViolated(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	here, there := Place{Machine: "n-1", Type: "c4", Zone: "a"}, Place{Machine: "n-2", Type: "c4", Zone: "b"}
 	task := func(i int) wire.Task { return wire.Task{Job: "req-000001", Index: i} }
@@ -24,7 +25,7 @@
 			c.TaskStarted(task(i), here, t0)
 		}
 	}
-	big := ensemble("req-000002", 6)
+	big := gangSpec("req-000002", 6)
 	cases := map[string]struct {
 		rule Rule
 		do   func(c *Checker)
@@ -48,7 +49,7 @@
 		}},
 		"accepted over the limit": {AcceptedWrongly, func(c *Checker) { c.Submitted(big); c.Accepted("req-000002", t0) }},
 		"refused within the limit": {RefusedWrongly, func(c *Checker) {
-			c.Submitted(ensemble("req-000003", 5))
+			c.Submitted(gangSpec("req-000003", 5))
 			c.Refused("req-000003", 422, t0)
 		}},
 		"never runs whole": {Unserved, func(c *Checker) {
@@ -68,7 +69,7 @@
 	for name, k := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
 		c.MachineSpecs = []wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
-		c.Submitted(ensemble("req-000001", 2))
+		c.Submitted(gangSpec("req-000001", 2))
 		k.do(c)
 		found := false
 		for _, b := range c.Violations {
@@ -81,7 +82,7 @@
 }
 
 // What breaks no rule of gangs must not be noted.
-func TestWhatGangsAreAllowed(t *testing.T) {
+func TestAllowedGangBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	room := func(z wire.Zone, cpus float64) MachineRoom {
 		return MachineRoom{Place: Place{Machine: wire.MachineID("n-" + string(z)), Type: "c4", Zone: z}, Usable: true, CPUs: cpus, MemoryGB: 16, DiskGB: 20}
@@ -93,7 +94,7 @@
 	}
 	for name, rooms := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
-		c.Submitted(ensemble("req-000001", 2))
+		c.Submitted(gangSpec("req-000001", 2))
 		c.Accepted("req-000001", t0)
 		for s := range 200 {
 			c.ObserveFaults(t0, true)
@@ -105,8 +106,8 @@
 	}
 }
 
-// yard is some machines without controllers, whose workers are told what to do.
-func yard(t *testing.T, n int, do func(sim *Simulation, ms []*worker, order func(i int, o ...wire.Command))) {
+// runWithWorkers runs a test with some machines without controllers, whose workers are told what to do.
+func runWithWorkers(t *testing.T, n int, do func(sim *Simulation, ms []*worker, order func(i int, o ...wire.Command))) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		set := DefaultSettings()
@@ -130,11 +131,13 @@
 	})
 }
 
-func launch(i int, try wire.Attempt) wire.Command {
+// launchCommand starts a task of the tests' gang.
+func launchCommand(i int, try wire.Attempt) wire.Command {
 	return wire.Command{Verb: wire.Launch, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try}
 }
 
-func halt(i int, try wire.Attempt, windDown wire.Seconds) wire.Command {
+// haltCommand stops one.
+func haltCommand(i int, try wire.Attempt, windDown wire.Seconds) wire.Command {
 	return wire.Command{Verb: wire.Halt, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &windDown}
 }
 
@@ -143,7 +146,7 @@
 	const s = time.Second
 	all := func(order func(int, ...wire.Command), n int, try wire.Attempt) {
 		for i := range n {
-			order(i, launch(i, try))
+			order(i, launchCommand(i, try))
 		}
 	}
 	cases := map[string]func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool)){
@@ -171,11 +174,11 @@
 		},
 		"a replacement completes it, another attempt does not": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
-			order(2, launch(2, 2))
+			order(2, launchCommand(2, 2))
 			time.Sleep(5 * s)
 			is(0, wire.PhaseWaiting, "", false)
 			is(2, wire.PhaseWaiting, "", false)
-			order(2, halt(2, 2, 10), launch(2, 1))
+			order(2, haltCommand(2, 2, 10), launchCommand(2, 1))
 			time.Sleep(2 * s)
 			is(0, wire.PhaseRunning, "", false)
 		},
@@ -204,11 +207,11 @@
 		"an orderly stop": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
-			order(0, halt(0, 1, 2))
+			order(0, haltCommand(0, 1, 2))
 			time.Sleep(6 * s)
 			is(0, wire.PhaseSaving, "", false)
-			order(1, halt(1, 1, 2))
-			order(2, halt(2, 1, 2))
+			order(1, haltCommand(1, 1, 2))
+			order(2, haltCommand(2, 1, 2))
 			time.Sleep(3 * s)
 			for i := range 3 {
 				is(i, wire.PhaseExited, wire.CauseStopped, true)
@@ -222,8 +225,8 @@
 		"told too late": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
-			order(0, halt(0, 1, 2))
-			order(1, halt(1, 1, 2))
+			order(0, haltCommand(0, 1, 2))
+			order(1, haltCommand(1, 1, 2))
 			time.Sleep(9 * s)
 			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
 			if g := sim.GangState("req-000001"); g.Saved != 0 || g.Rollbacks != 1 {
@@ -233,8 +236,8 @@
 		"too little grace": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
-			order(0, halt(0, 1, 2))
-			order(1, halt(1, 1, 1))
+			order(0, haltCommand(0, 1, 2))
+			order(1, haltCommand(1, 1, 1))
 			is(1, wire.PhaseExited, wire.CauseStopped, false)
 			time.Sleep(9 * s)
 			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
@@ -245,15 +248,15 @@
 		"stopped while it waits": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			time.Sleep(3 * s)
-			order(0, halt(0, 1, 30))
+			order(0, haltCommand(0, 1, 30))
 			is(0, wire.PhaseExited, wire.CauseStopped, false)
 			is(1, wire.PhaseWaiting, "", false)
 		},
 	}
 	for name, do := range cases {
 		t.Run(name, func(t *testing.T) {
-			yard(t, 3, func(sim *Simulation, ms []*worker, order func(int, ...wire.Command)) {
-				truth := JobScript{RunTime: 50, Spec: ensemble("req-000001", 3)}
+			runWithWorkers(t, 3, func(sim *Simulation, ms []*worker, order func(int, ...wire.Command)) {
+				truth := JobScript{RunTime: 50, Spec: gangSpec("req-000001", 3)}
 				sim.RegisterJob(truth)
 				do(t, sim, ms, order, func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool) {
 					t.Helper()
