--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -11,7 +11,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Seeded troubles, with gangs beside arrays and services. SCENARIO_SEEDS asks for
+// Faults drawn at random, with gangs beside arrays and services. SCENARIO_SEEDS asks for
 // more of them.
 func TestGangRandomFaults(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -277,7 +277,7 @@
 	})
 }
 
-// All teams' work after a day on which everything above has happened: whatever
+// All teams' work after several kinds of faults one after the other: whatever
 // was accepted and not cancelled is answered by every node, and done or running.
 func TestAllJobsFinishAfterManyFaults(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -12,9 +12,9 @@
 // Jobs are cancelled at the moment at which the state service refuses the
 // leader alone, and then it is out for everybody, for longer than a cancelled
 // task may last. Workers go on reporting to the leader, which can't read what
-// was cancelled. It may renew their leases only while the other nodes vouch for
-// all that they confirmed, and must halt what they tell of; what none can
-// vouch for any more ends with the leases.
+// was cancelled. It may renew their leases only while the other controllers tell
+// it of all that they confirmed, and must halt what they tell of; what none can
+// tell of any more ends with the leases.
 func TestCancelWhileStateServiceRefusesLeader(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -31,7 +31,7 @@
 		{"cancel_s", nil, nil, 41 * time.Second, true},
 		{"longer", nil, nil, 57 * time.Second, true},
 		{"twice B", nil, nil, 120 * time.Second, false},
-		// No word of a node that has ended, nor of one that is back and has
+		// No list of cancellations of a node that has ended, nor of one that is back and has
 		// forgotten.
 		{"who confirmed it ends", nil, func(sim *simulator.Simulation, _, c int) { sim.KillController(c) }, 57 * time.Second, false},
 		{"who confirmed it is back at once", nil, func(sim *simulator.Simulation, _, c int) {
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -44,7 +44,7 @@
 }
 
 // grown checks that a job's progress is stored in values over the limit to come:
-// else the drop would meet nothing.
+// else lowering them would affect nothing.
 func mustExceedLoweredLimits(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	for _, j := range jobs {
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -101,7 +101,7 @@
 }
 
 // Machines come up at once, take tasks before any list has them, and vanish when
-// the leader ends: the next one knows their names only, from its own books, and no
+// the leader ends: the next one knows their names only, from the stored records, and no
 // list will ever say where they were. What is bound to one place must not wait
 // for that.
 func TestMachinesNeverListedByCloud(t *testing.T) {
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Seeded schedules of troubles, alone and together.
+// Faults drawn at random, one at a time, with jobs all the while.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(100); seed < 108; seed++ {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Seeded cuts of a zone, from seconds to well over a lease and the time for
+// Random partitions of a zone, from seconds to well over a lease and the time for
 // cancellations, with the cloud or the state service away, leaders that end and
 // jobs that are cancelled meanwhile. SCENARIO_SEEDS asks for more of them.
 func TestRandomZonePartitions(t *testing.T) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// Seeded days on this layout: any zone cut off or any two parted, from seconds
+// Random faults on this layout: any zone cut off, or any two from each other, for seconds
 // to well over a lease and the time for cancellations, with controllers that
 // end, one or all, and the cloud or the state service away meanwhile.
 func TestRandomFaultsOnUnevenLayout(t *testing.T) {
