--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -112,6 +112,7 @@
 // is recorded in part is stopped, what is whole is completed, and the gang runs once,
 // as a whole.
 func TestGangOfManyChunksLosesTheLeader(t *testing.T) {
+	t.Parallel()
 	const chunks = 6
 	steps := map[string]func(g simulator.GangState, recorded int) bool{
 		"half recorded":  func(g simulator.GangState, n int) bool { return n > 0 && n < chunks },
@@ -121,6 +122,7 @@
 	for name, is := range steps {
 		for _, down := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
 			t.Run(fmt.Sprint(name, " ", down), func(t *testing.T) {
+				t.Parallel()
 				runWithSettings(t, smallChunks(), 850, func(sim *simulator.Simulation, at func(time.Duration)) {
 					sim.KeepReports()
 					j := largeGang(1, 300, 40)
@@ -164,6 +166,7 @@
 // The leader ends twice while a gang is recorded, so that two attempts are left in
 // part, in different chunks.
 func TestGangOfManyChunksIsRecordedInPartTwice(t *testing.T) {
+	t.Parallel()
 	runWithSettings(t, smallChunks(), 851, func(sim *simulator.Simulation, at func(time.Duration)) {
 		sim.KeepReports()
 		j := largeGang(1, 500, 30)
@@ -202,8 +205,10 @@
 // The limits drop while gangs run, wait for room, and are being recorded, accepted
 // before and after the upgrade, alone and with a change of leader or an outage.
 func TestGangsAcrossTheDrop(t *testing.T) {
+	t.Parallel()
 	for i, trouble := range []string{"quiet", "change of leader", "outage"} {
 		t.Run(trouble, func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, at func(time.Duration)) {
 				sim.KeepReports()
 				// Of the first a chunk of 256 tasks is stored, over the limit to come.
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -35,6 +35,7 @@
 // shortly before gang_peer_s has passed: the stop begins early enough that all
 // are told and have saved before the machine goes.
 func TestGangNoticeWithALateHalt(t *testing.T) {
+	t.Parallel()
 	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		j := runningSpotGang(t, sim, at, 33*time.Second)
 		on := sim.MachinesHolding(j.Spec.ID)
@@ -62,8 +63,10 @@
 // majority acknowledges, stops the gang in order all the same. It starts again
 // from there once the service is back, also under another leader.
 func TestGangSavesInAnOutage(t *testing.T) {
+	t.Parallel()
 	for _, how := range []string{"the same leader", "another leader"} {
 		t.Run(how, func(t *testing.T) {
+			t.Parallel()
 			runOnBothLayouts(t, 821, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				j := runningSpotGang(t, sim, at, 30*time.Second)
 				sim.State.Outage(true)
@@ -93,8 +96,10 @@
 // No rule breaks, and the gang loses no more than what it did since its last
 // checkpoint.
 func TestGangNoticeBetweenTwoLeaders(t *testing.T) {
+	t.Parallel()
 	for _, after := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
+			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 822, func(sim *simulator.Simulation, at func(time.Duration)) {
 				j := runningSpotGang(t, sim, at, 33*time.Second)
 				on := sim.MachinesHolding(j.Spec.ID)
