--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -140,7 +140,8 @@
 		m.reportsMissingSince = now
 	}
 	t.applySpotNotice(m, rep, now)
-	listed := t.applyTasks(m, rep, now)
+	listed := make(map[wire.Task]bool, len(rep.Tasks)) // made here, it needs no heap
+	t.applyTasks(m, rep, listed, now)
 	for task, a := range m.tasks {
 		if !listed[task] && !a.planned && !t.canStart(a, rep, sent) {
 			t.onMissing(a, rep)
@@ -177,11 +178,10 @@
 	m.takenBackAt = now.Add(rep.SpotNotice.Duration())
 }
 
-// applyTasks takes in the states of the tasks in a report. It returns which of ours
-// were in it; what else runs there is orphaned.
-func (t *term) applyTasks(m *machine, rep *wire.Report, now time.Time) map[wire.Task]bool {
+// applyTasks takes in the states of the tasks in a report and notes which of ours
+// are in it; what else runs there is orphaned.
+func (t *term) applyTasks(m *machine, rep *wire.Report, listed map[wire.Task]bool, now time.Time) {
 	clear(m.orphans)
-	listed := make(map[wire.Task]bool, len(rep.Tasks))
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
 		task, err := wire.ParseTask(p.Task)
@@ -195,7 +195,6 @@
 			m.orphans[task] = true
 		}
 	}
-	return listed
 }
 
 // onMissing deals with an attempt that its machine's report lacks and that can't
