--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,13 +1,12 @@
-// Package config reads the settings file that the platform hands over.
-// Fields that it does not know are ignored; everything wrong is reported at
-// once, each error with its field.
+// Package config reads the settings file that the platform hands over: the
+// node's own addresses, its peers and what holds for the whole deployment. Fields
+// that it does not know are ignored; everything wrong is reported at once, each
+// error with its field.
 package config
 
 import (
 	"errors"
 	"fmt"
-	"math"
-	"net"
 	"os"
 
 	"github.com/pelletier/go-toml/v2"
@@ -155,120 +154,6 @@
 	return &c, c.Validate()
 }
 
-// Validate reports everything that is wrong, each error with its field.
-func (c *Config) Validate() error {
-	var errs []error
-	bad := func(field, reason string) { errs = append(errs, wire.FieldError{Field: field, Reason: reason}) }
-	text := func(field, v string) {
-		if v == "" {
-			bad(field, "missing")
-		}
-	}
-	addr := func(field, v string) {
-		if _, port, err := net.SplitHostPort(v); err != nil || port == "" {
-			bad(field, "must be host:port")
-		}
-	}
-	positive := func(field string, v float64) {
-		if !(v > 0) || math.IsInf(v, 1) {
-			bad(field, "must be above 0")
-		}
-	}
-	text("host_name", string(c.HostName))
-	text("zone", string(c.Zone))
-	addr("front", c.Front)
-	addr("peer_bind", c.PeerBind)
-	seen := map[wire.NodeID]bool{c.HostName: true}
-	for i, o := range c.Peers {
-		at := fmt.Sprintf("others[%d].", i)
-		text(at+"host_name", string(o.HostName))
-		addr(at+"addr", o.Addr)
-		if seen[o.HostName] {
-			bad(at+"host_name", "named twice")
-		}
-		seen[o.HostName] = true
-	}
-	addr("endpoints.cloud", c.Endpoints.Cloud)
-	addr("endpoints.state", c.Endpoints.State)
-	s := &c.Settings
-	if s.Size < 1 {
-		bad("settings.size", "must be 1 or more")
-	} else if s.Size != len(c.Peers)+1 {
-		bad("settings.size", fmt.Sprintf("is %d, but others and this node make %d", s.Size, len(c.Peers)+1))
-	}
-	if len(s.Zones) == 0 {
-		bad("settings.zones", "missing")
-	}
-	if len(s.Teams) == 0 {
-		bad("settings.teams", "missing")
-	}
-	for i, z := range s.Zones {
-		text(fmt.Sprintf("settings.zones[%d]", i), string(z))
-	}
-	teams := map[wire.TeamID]bool{}
-	for i, t := range s.Teams {
-		at := fmt.Sprintf("settings.teams[%d].", i)
-		text(at+"name", string(t.Name))
-		if teams[t.Name] {
-			bad(at+"name", "named twice")
-		}
-		teams[t.Name] = true
-		for _, a := range []struct {
-			field string
-			v     float64
-		}{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
-			if !(a.v >= 0) {
-				bad(at+a.field, "must be 0 or more")
-			}
-		}
-	}
-	positive("settings.workers.report_s", float64(s.Workers.ReportS))
-	positive("settings.workers.lease_s", float64(s.Workers.LeaseS))
-	positive("settings.workers.cancel_s", float64(s.Workers.CancelS))
-	if s.Workers.LeaseS > 0 && !(s.Workers.LeaseS > s.Workers.ReportS) {
-		bad("settings.workers.lease_s", "must be longer than report_s: leases would end between two reports")
-	}
-	if !(s.Workers.GangWaitS >= 0) || math.IsInf(float64(s.Workers.GangWaitS), 1) {
-		bad("settings.workers.gang_wait_s", "must be 0 or more")
-	}
-	if !(s.Workers.GangPeerS >= 0) || math.IsInf(float64(s.Workers.GangPeerS), 1) {
-		bad("settings.workers.gang_peer_s", "must be 0 or more")
-	}
-	if n := s.State.Next; n != nil {
-		if !(n.RPS >= 0) {
-			bad("settings.state.next.rps", "must be 0 or more")
-		}
-		if !(n.WriteRPS >= 0) {
-			bad("settings.state.next.write_rps", "must be 0 or more")
-		}
-		if !(n.ValueKB >= 0) || n.ValueKB > 0 && n.ValueKB < 0.5 {
-			bad("settings.state.next.value_kb", "must be 0.5 or more, to hold one job")
-		}
-		if n.TxnOps < 0 || n.TxnOps == 1 {
-			bad("settings.state.next.txn_ops", "must be 2 or more: a job's record is replaced by its final one")
-		}
-	}
-	positive("settings.state.rps", s.State.RPS)
-	positive("settings.state.write_rps", s.State.WriteRPS)
-	positive("settings.state.value_kb", s.State.ValueKB)
-	if s.State.ValueKB > 0 && s.State.ValueKB < 0.5 {
-		bad("settings.state.value_kb", "must be 0.5 or more, to hold one job")
-	}
-	if s.State.TxnOps < 2 {
-		bad("settings.state.txn_ops", "must be 2 or more: a job's record is replaced by its final one")
-	}
-	positive("settings.cloud.rps", s.Cloud.RPS)
-	if !(s.Cloud.ListLagS >= 0) {
-		bad("settings.cloud.list_lag_s", "must be 0 or more")
-	}
-	positive("settings.limits.cores", s.Limits.Cores)
-	positive("settings.limits.memory_mb", s.Limits.MemoryMB)
-	if s.Limits.FDLimit < 64 {
-		bad("settings.limits.fd_limit", "must be 64 or more")
-	}
-	return errors.Join(errs...)
-}
-
 // Team finds a team.
 func (s *Settings) Team(id wire.TeamID) (Team, bool) {
 	for _, t := range s.Teams {
