--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,6 @@
-// Package cloud is the client of the cloud's interface, within its rate
-// budget.
+// Package cloud is the client of the cloud's interface: machine types, rentals,
+// releases and the machine list, within the rate budget. A rental without an
+// answer may be carried out late, so callers repeat it under its name.
 package cloud
 
 import (
@@ -20,7 +21,7 @@
 
 // What a call can come to, other than its result.
 var (
-	// ErrNoCapacity: none of this type, zone and kind now.
+	// ErrNoCapacity: no machine of this type and price in this zone now.
 	ErrNoCapacity = errors.New("cloud: no capacity")
 	// ErrBusy: too many requests, or the interface is down; not executed.
 	ErrBusy = errors.New("cloud: busy or down")
@@ -39,17 +40,34 @@
 	Observe func(op string, outcome string, took time.Duration)
 }
 
-// The longest that a call may take.
-const callTimeout = 4 * time.Second
+const (
+	// callTimeout is the longest that a call may take, its wait for the budget
+	// included.
+	callTimeout = 4 * time.Second
+	// nodeShare is the part of the deployment's budget that one node uses, and
+	// minRate (a second) what it uses at least.
+	nodeShare = 0.85
+	minRate   = 0.5
+	// burstSeconds is below the two seconds' worth that the cloud allows.
+	burstSeconds = 1.5
+	// connections to the cloud; the socket budget counts with them.
+	connections = 4
+	// pageSize is the number of machines asked for at a time.
+	pageSize = 500
+	// maxAnswer bounds an answer, in bytes.
+	maxAnswer = 4 << 20
+	// noCapacity is the cloud's reason for a refusal that is not an outage.
+	noCapacity = "no capacity"
+)
 
 // New makes a client. Only a leader makes more than a call a minute, so a
 // node may use most of the budget, and of the bursts of two seconds' worth.
 func New(addr string, s config.Cloud, nw netio.Net) *Client {
-	own := max(0.5, s.RPS*0.85)
+	limit := max(minRate, s.RPS*nodeShare)
 	return &Client{
 		base:    "http://" + addr,
-		http:    &http.Client{Transport: nw.Transport(4, 4)},
-		budget:  rate.NewLimiter(rate.Limit(own), max(1, int(1.5*own))),
+		http:    &http.Client{Transport: nw.Transport(connections, connections)},
+		budget:  rate.NewLimiter(rate.Limit(limit), max(1, int(burstSeconds*limit))),
 		Observe: func(string, string, time.Duration) {},
 	}
 }
@@ -68,7 +86,7 @@
 	if err := c.budget.Wait(ctx); err != nil {
 		return ErrBusy
 	}
-	status, raw, _, err := netio.Call(ctx, c.http, method, c.base+path, body, 4<<20)
+	status, raw, _, err := netio.Call(ctx, c.http, method, c.base+path, body, maxAnswer)
 	if err != nil {
 		if wire.NotSent(err) {
 			return ErrBusy
@@ -79,7 +97,7 @@
 	case http.StatusOK:
 		if out != nil {
 			if err := wire.Decode(raw, out); err != nil {
-				return fmt.Errorf("%w: bad answer: %v", ErrUnknown, err)
+				return fmt.Errorf("%w: bad answer: %w", ErrUnknown, err)
 			}
 		}
 		return nil
@@ -87,7 +105,7 @@
 		return ErrBusy
 	case http.StatusServiceUnavailable:
 		var reason wire.Reason
-		if wire.Decode(raw, &reason) == nil && reason.Error == "no capacity" {
+		if wire.Decode(raw, &reason) == nil && reason.Error == noCapacity {
 			return ErrNoCapacity
 		}
 		return ErrBusy
@@ -100,26 +118,26 @@
 
 // Flavors reads the machine types and their current prices.
 func (c *Client) Flavors(ctx context.Context) ([]wire.MachineSpec, error) {
-	var f wire.MachineSpecs
-	err := c.do(ctx, "flavors", "GET", "/flavors", nil, &f)
-	if err == nil && len(f.Types) == 0 {
+	var offered wire.MachineSpecs
+	err := c.do(ctx, "flavors", "GET", "/flavors", nil, &offered)
+	if err == nil && len(offered.Types) == 0 {
 		err = fmt.Errorf("%w: no machine types", ErrUnknown)
 	}
-	return f.Types, err
+	return offered.Types, err
 }
 
-// Rent asks for machines; a booking is repeated under its name until it is
+// Rent asks for machines; a request is repeated under its name until it is
 // answered.
-func (c *Client) Rent(ctx context.Context, b wire.RentalRequest) ([]wire.MachineID, error) {
-	var h wire.MachineNames
-	err := c.do(ctx, "rent", "POST", "/machines", b, &h)
-	return h.Machines, err
+func (c *Client) Rent(ctx context.Context, request wire.RentalRequest) ([]wire.MachineID, error) {
+	var rented wire.MachineNames
+	err := c.do(ctx, "rent", "POST", "/machines", request, &rented)
+	return rented.Machines, err
 }
 
 // Release returns machines; after nil they are gone with all that was on
 // them.
-func (c *Client) Release(ctx context.Context, hosts []wire.MachineID) error {
-	return c.do(ctx, "release", "POST", "/machines/release", wire.MachineNames{Machines: hosts}, nil)
+func (c *Client) Release(ctx context.Context, machines []wire.MachineID) error {
+	return c.do(ctx, "release", "POST", "/machines/release", wire.MachineNames{Machines: machines}, nil)
 }
 
 // List reads the whole machine list.
@@ -127,12 +145,12 @@
 	var all []wire.ListedMachine
 	after := ""
 	for {
-		q := url.Values{"page": {strconv.Itoa(500)}}
+		query := url.Values{"page": {strconv.Itoa(pageSize)}}
 		if after != "" {
-			q.Set("after", after)
+			query.Set("after", after)
 		}
 		var page wire.MachinePage
-		if err := c.do(ctx, "list", "GET", "/machines?"+q.Encode(), nil, &page); err != nil {
+		if err := c.do(ctx, "list", "GET", "/machines?"+query.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -19,17 +19,26 @@
 	Listen func(network, addr string) (net.Listener, error)
 }
 
+const (
+	// dialTimeout bounds the attempt to connect to a host that does not answer.
+	dialTimeout = 2 * time.Second
+	// keepAlive finds connections whose other end is gone.
+	keepAlive = 15 * time.Second
+	// idleTimeout gives back connections that are not used.
+	idleTimeout = 25 * time.Second
+)
+
 // Real is the machine's own network.
 func Real() Net {
-	d := &net.Dialer{Timeout: 2 * time.Second, KeepAlive: 15 * time.Second}
+	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	return Net{Dial: d.DialContext, Listen: net.Listen}
 }
 
-// Bounded is the network with at most so many connections to others at a time,
+// Bounded is the network with a limit on the connections to others at a time,
 // those included that are still being opened: a client's requests may be given
 // up long before the network gives up on their connections.
-func (n Net) Bounded(most int, within time.Duration) Net {
-	slots := make(chan struct{}, most)
+func (n Net) Bounded(limit int, within time.Duration) Net {
+	slots := make(chan struct{}, limit)
 	dial := n.Dial
 	n.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, within)
@@ -44,18 +53,18 @@
 			<-slots
 			return nil, err
 		}
-		return &slotConn{Conn: c, free: sync.OnceFunc(func() { <-slots })}, nil
+		return &slotConn{Conn: c, release: sync.OnceFunc(func() { <-slots })}, nil
 	}
 	return n
 }
 
 type slotConn struct {
 	net.Conn
-	free func()
+	release func()
 }
 
 func (c *slotConn) Close() error {
-	defer c.free()
+	defer c.release()
 	return c.Conn.Close()
 }
 
@@ -67,17 +76,17 @@
 		MaxConnsPerHost:     perHost,
 		MaxIdleConnsPerHost: min(perHost, idle),
 		MaxIdleConns:        idle,
-		IdleConnTimeout:     25 * time.Second,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 }
 
 // Call makes one request with a CBOR body (none if nil; bytes go as they
-// are) and reads the whole answer of at most most bytes. It never sends a
+// are) and reads the whole answer of at most maxAnswer bytes. It never sends a
 // request twice by itself: its caller decides on retries.
-func Call(ctx context.Context, hc *http.Client, method, url string, body any, most int64) (status int, answer []byte, h http.Header, err error) {
-	raw, plain := body.([]byte)
-	if body != nil && !plain {
+func Call(ctx context.Context, hc *http.Client, method, url string, body any, maxAnswer int64) (status int, answer []byte, h http.Header, err error) {
+	raw, isBytes := body.([]byte)
+	if body != nil && !isBytes {
 		raw = wire.Encode(body)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
@@ -93,6 +102,6 @@
 		return 0, nil, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err = wire.ReadBody(resp.Body, most)
+	answer, err = wire.ReadBody(resp.Body, maxAnswer)
 	return resp.StatusCode, answer, resp.Header, err
 }
