--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
 // Package admin is the operators' side of a node: their own settings, the
-// metrics and a view of what goes on, on the peers' address.
+// metrics and a view of what goes on, on the address that peers use.
 package admin
 
 import (
@@ -22,20 +22,20 @@
 
 // Admin serves operators.
 type Admin struct {
-	cfg    *config.Config
-	store  *store.Client
-	box    *tuning.Box
-	leader *leader.Leader
-	mesh   *peer.Mesh
-	met    *Metrics
-	log    *slog.Logger
+	cfg     *config.Config
+	store   *store.Client
+	tuning  *tuning.Box
+	leader  *leader.Leader
+	mesh    *peer.Mesh
+	metrics *Metrics
+	log     *slog.Logger
 	// Undecodable is told of stored settings that can't be decoded.
 	Undecodable *undecodable.Log
 }
 
 // New makes the operators' side of a node.
 func New(cfg *config.Config, st *store.Client, box *tuning.Box, l *leader.Leader, mesh *peer.Mesh, met *Metrics, log *slog.Logger) *Admin {
-	return &Admin{cfg: cfg, store: st, box: box, leader: l, mesh: mesh, met: met, log: log}
+	return &Admin{cfg: cfg, store: st, tuning: box, leader: l, mesh: mesh, metrics: met, log: log}
 }
 
 // Routes adds the operators' paths.
@@ -43,7 +43,7 @@
 	r.GET("/admin/settings", a.list)
 	r.PUT("/admin/settings", a.put)
 	r.GET("/admin/view", a.view)
-	r.Handler("GET", "/metrics", a.met.handler())
+	r.Handler("GET", "/metrics", a.metrics.handler())
 }
 
 // Setting as it is listed.
@@ -83,10 +83,21 @@
 	return m, e.Revision, nil
 }
 
+// retryAfterS is in how many seconds a refused operator should come back.
+const retryAfterS = 1
+
+func refuseUnavailable(w http.ResponseWriter) {
+	wire.Refuse(w, http.StatusServiceUnavailable, "state service not available", retryAfterS)
+}
+
+func answerConflict(w http.ResponseWriter) {
+	wire.Answer(w, http.StatusConflict, wire.Reason{Error: "the settings have changed since that version"})
+}
+
 func (a *Admin) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	m, version, err := a.stored(r.Context())
 	if err != nil {
-		wire.Refuse(w, http.StatusServiceUnavailable, "state service not available", 1)
+		refuseUnavailable(w)
 		return
 	}
 	v, err := tuning.Apply(tuning.Default(), m, false)
@@ -119,7 +130,7 @@
 	}
 	m, version, err := a.stored(r.Context())
 	if err != nil {
-		wire.Refuse(w, http.StatusServiceUnavailable, "state service not available", 1)
+		refuseUnavailable(w)
 		return
 	}
 	if _, err := tuning.Apply(tuning.Default(), c.Set, true); err != nil {
@@ -129,7 +140,7 @@
 		return
 	}
 	if version != *c.Version {
-		wire.Answer(w, http.StatusConflict, wire.Reason{Error: "the settings have changed since that version"})
+		answerConflict(w)
 		return
 	}
 	for k, v := range c.Set {
@@ -142,9 +153,9 @@
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		wire.Answer(w, http.StatusConflict, wire.Reason{Error: "the settings have changed since that version"})
+		answerConflict(w)
 	case err != nil:
-		wire.Refuse(w, http.StatusServiceUnavailable, "state service not available", 1)
+		refuseUnavailable(w)
 	default:
 		a.log.Info("settings changed", "version", rev, "set", c.Set)
 		wire.Answer(w, http.StatusOK, struct {
@@ -153,6 +164,9 @@
 	}
 }
 
+// followPeriod is how soon a change of settings is applied on every node.
+const followPeriod = 5 * time.Second
+
 // Follow applies what operators set, on every node, until the context ends.
 func (a *Admin) Follow(ctx context.Context, changed func(tuning.Values)) {
 	var last wire.Revision
@@ -163,14 +177,14 @@
 			if err != nil {
 				a.log.Error("stored settings are out of range; the rest applies", "err", err)
 			}
-			a.box.Set(v)
+			a.tuning.Set(v)
 			changed(v)
 			a.log.Info("settings applied", "version", version)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(5 * time.Second):
+		case <-time.After(followPeriod):
 		}
 	}
 }
@@ -186,8 +200,8 @@
 }
 
 func (a *Admin) view(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	v := a.mesh.View()
-	out := View{Node: a.cfg.HostName, Token: v.Token, Leader: v.Leader, Leads: a.leader.Leads(), Serves: a.store.Reachable()}
+	known := a.mesh.View()
+	out := View{Node: a.cfg.HostName, Token: known.Token, Leader: known.Leader, Leads: a.leader.Leads(), Serves: a.store.Reachable()}
 	if out.Leads {
 		out.Leader = a.cfg.HostName
 		out.Term = a.leader.View(r.Context())
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -14,47 +14,48 @@
 
 // Metrics of one node, in Prometheus' form.
 type Metrics struct {
-	reg      *prometheus.Registry
-	calls    *prometheus.HistogramVec
-	requests *prometheus.HistogramVec
-	rounds   prometheus.Histogram
-	starts   prometheus.Counter
-	halts    prometheus.Counter
-	led      prometheus.Counter
-	reports  *prometheus.CounterVec
-	waits    *prometheus.HistogramVec
-	commands *prometheus.CounterVec
-	moved    *prometheus.CounterVec
-	fleet    *prometheus.CounterVec
-	machines *prometheus.GaugeVec
+	registry    *prometheus.Registry
+	calls       *prometheus.HistogramVec
+	requests    *prometheus.HistogramVec
+	rounds      prometheus.Histogram
+	starts      prometheus.Counter
+	preemptions prometheus.Counter
+	terms       prometheus.Counter
+	reports     *prometheus.CounterVec
+	waits       *prometheus.HistogramVec
+	commands    *prometheus.CounterVec
+	moved       *prometheus.CounterVec
+	fleet       *prometheus.CounterVec
+	machines    *prometheus.GaugeVec
 }
 
 // NewMetrics makes the metrics of a node.
 func NewMetrics() *Metrics {
-	m := &Metrics{reg: prometheus.NewRegistry()}
+	m := &Metrics{registry: prometheus.NewRegistry()}
 	buckets := []float64{.001, .005, .02, .05, .1, .25, .5, 1, 2, 5}
 	m.calls = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_call_seconds", Help: "Calls to the state service and the cloud.", Buckets: buckets}, []string{"service", "op", "outcome"})
 	m.requests = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_request_seconds", Help: "Users' requests.", Buckets: buckets}, []string{"op", "status"})
 	m.rounds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lilaclead_round_seconds", Help: "Placement rounds.", Buckets: buckets})
 	m.starts = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_starts_total", Help: "Tasks placed."})
-	m.halts = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_preemptions_total", Help: "Tasks stopped to make room."})
-	m.led = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_terms_total", Help: "Times that this node became leader."})
+	m.preemptions = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_preemptions_total", Help: "Tasks stopped to make room."})
+	m.terms = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_terms_total", Help: "Times that this node became leader."})
 	m.reports = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_reports_total", Help: "Workers' reports."}, []string{"outcome"})
 	m.waits = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_wait_seconds", Help: "From acceptance to a job's first running task.", Buckets: []float64{.5, 1, 2, 5, 10, 20, 40, 80, 160}}, []string{"class"})
 	m.commands = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_commands_total", Help: "Direct commands to workers."}, []string{"outcome"})
 	m.moved = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_moves_total", Help: "Tasks that ended before they were done."}, []string{"why"})
 	m.fleet = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_fleet_total", Help: "Machines rented, drained and released."}, []string{"what"})
 	m.machines = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lilaclead_machines", Help: "Machines by state, as the leader knows them."}, []string{"state"})
-	m.reg.MustRegister(m.calls, m.requests, m.rounds, m.starts, m.halts, m.led, m.reports, m.waits, m.commands, m.moved, m.fleet, m.machines)
+	m.registry.MustRegister(m.calls, m.requests, m.rounds, m.starts, m.preemptions, m.terms, m.reports, m.waits, m.commands, m.moved, m.fleet, m.machines)
 	return m
 }
 
+// maxOutcome bounds a label's length, since outcomes may hold texts of errors.
+const maxOutcome = 40
+
 // Call observes calls to one outside service.
 func (m *Metrics) Call(service string) func(op, outcome string, took time.Duration) {
 	return func(op, outcome string, took time.Duration) {
-		if len(outcome) > 40 {
-			outcome = outcome[:40]
-		}
+		outcome = outcome[:min(len(outcome), maxOutcome)]
 		m.calls.WithLabelValues(service, op, outcome).Observe(took.Seconds())
 	}
 }
@@ -70,9 +71,9 @@
 		Round: func(took time.Duration, starts, halts int) {
 			m.rounds.Observe(took.Seconds())
 			m.starts.Add(float64(starts))
-			m.halts.Add(float64(halts))
+			m.preemptions.Add(float64(halts))
 		},
-		Led:     m.led.Inc,
+		Led:     m.terms.Inc,
 		Report:  func(s string) { m.reports.WithLabelValues(s).Inc() },
 		Waited:  func(class string, s float64) { m.waits.WithLabelValues(class).Observe(s) },
 		Command: func(s string) { m.commands.WithLabelValues(s).Inc() },
@@ -89,10 +90,10 @@
 
 // Budget shows what is left of a rate budget.
 func (m *Metrics) Budget(name string, left func() float64) {
-	m.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "lilaclead_budget_left", Help: "Requests left in a budget now; below 0: ahead of it.",
+	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "lilaclead_budget_left", Help: "Requests left in a budget now; below 0: ahead of it.",
 		ConstLabels: prometheus.Labels{"budget": name}}, left))
 }
 
 func (m *Metrics) handler() http.Handler {
-	return promhttp.HandlerFor(m.reg, promhttp.HandlerOpts{DisableCompression: true})
+	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{DisableCompression: true})
 }
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"sync/atomic"
 
 	"lilaclead/internal/wire"
@@ -35,49 +36,49 @@
 	Name     string
 	About    string
 	Min, Max float64
-	Words    []string // the allowed words of a setting that is no number
-	num      func(*Values) *float64
-	word     func(*Values) *string
+	Choices  []string // the allowed values of a setting that is no number
+	number   func(*Values) *float64
+	text     func(*Values) *string
 }
 
 // Fields lists the settings.
 var Fields = []Field{
-	{Name: "utility.preferred", About: "factor of the branch over machines that hold the image", Min: 0.01, Max: 100, num: func(v *Values) *float64 { return &v.Preferred }},
-	{Name: "utility.fallback", About: "factor of the branch over any fitting machine", Min: 0.01, Max: 100, num: func(v *Values) *float64 { return &v.Fallback }},
-	{Name: "utility.wait_raise_s", About: "waiting this many seconds doubles a job's utility", Min: 1, Max: 86400, num: func(v *Values) *float64 { return &v.WaitRaiseS }},
-	{Name: "round.period_s", About: "longest time between rounds while jobs wait", Min: 0.2, Max: 30, num: func(v *Values) *float64 { return &v.RoundS }},
-	{Name: "services.spare_units", About: "room kept free for the next replicas of services, in replicas", Min: 0, Max: 1000, num: func(v *Values) *float64 { return &v.SpareUnits }},
-	{Name: "gangs.spare", About: "room kept free from arrays for the next gangs, in times the largest gang seen lately of each class", Min: 0, Max: 100, num: func(v *Values) *float64 { return &v.SpareGangs }},
-	{Name: "fleet.keep_boots", About: "how long a machine is kept with nothing to do, in boot times of its type", Min: 0, Max: 100, num: func(v *Values) *float64 { return &v.KeepBoots }},
-	{Name: "fleet.stretch_share", About: "share of a deadline's slack that an array's work may be stretched over", Min: 0.05, Max: 1, num: func(v *Values) *float64 { return &v.StretchShare }},
-	{Name: "fleet.dear_limit", About: "how many times the cheapest price the room for an array's task may cost", Min: 1, Max: 1000, num: func(v *Values) *float64 { return &v.DearLimit }},
-	{Name: "log.level", About: "log level of all nodes; empty: as LOG_LEVEL says", Words: []string{"", "error", "info", "debug"}, word: func(v *Values) *string { return &v.LogLevel }},
+	{Name: "utility.preferred", About: "factor of the branch over machines that hold the image", Min: 0.01, Max: 100, number: func(v *Values) *float64 { return &v.Preferred }},
+	{Name: "utility.fallback", About: "factor of the branch over any fitting machine", Min: 0.01, Max: 100, number: func(v *Values) *float64 { return &v.Fallback }},
+	{Name: "utility.wait_raise_s", About: "waiting this many seconds doubles a job's utility", Min: 1, Max: 86400, number: func(v *Values) *float64 { return &v.WaitRaiseS }},
+	{Name: "round.period_s", About: "longest time between rounds while jobs wait", Min: 0.2, Max: 30, number: func(v *Values) *float64 { return &v.RoundS }},
+	{Name: "services.spare_units", About: "room kept free for the next replicas of services, in replicas", Min: 0, Max: 1000, number: func(v *Values) *float64 { return &v.SpareUnits }},
+	{Name: "gangs.spare", About: "room kept free from arrays for the next gangs, in times the largest gang seen lately of each class", Min: 0, Max: 100, number: func(v *Values) *float64 { return &v.SpareGangs }},
+	{Name: "fleet.keep_boots", About: "how long a machine is kept with nothing to do, in boot times of its type", Min: 0, Max: 100, number: func(v *Values) *float64 { return &v.KeepBoots }},
+	{Name: "fleet.stretch_share", About: "share of a deadline's slack that an array's work may be stretched over", Min: 0.05, Max: 1, number: func(v *Values) *float64 { return &v.StretchShare }},
+	{Name: "fleet.dear_limit", About: "how many times the cheapest price the room for an array's task may cost", Min: 1, Max: 1000, number: func(v *Values) *float64 { return &v.DearLimit }},
+	{Name: "log.level", About: "log level of all nodes; empty: as LOG_LEVEL says", Choices: []string{"", "error", "info", "debug"}, text: func(v *Values) *string { return &v.LogLevel }},
 }
 
-// Range words what is allowed.
+// Range describes what is allowed.
 func (f Field) Range() string {
-	if f.word != nil {
-		return fmt.Sprintf("one of %q", f.Words)
+	if f.text != nil {
+		return fmt.Sprintf("one of %q", f.Choices)
 	}
 	return fmt.Sprintf("%g to %g", f.Min, f.Max)
 }
 
 // Get reads the field from values.
 func (f Field) Get(v *Values) any {
-	if f.word != nil {
-		return *f.word(v)
+	if f.text != nil {
+		return *f.text(v)
 	}
-	return *f.num(v)
+	return *f.number(v)
 }
 
 // Set checks and writes the field.
 func (f Field) Set(v *Values, to any) error {
 	bad := wire.FieldError{Field: f.Name, Reason: "must be " + f.Range()}
-	if f.word != nil {
+	if f.text != nil {
 		s, ok := to.(string)
-		for _, w := range f.Words {
-			if ok && s == w {
-				*f.word(v) = s
+		for _, choice := range f.Choices {
+			if ok && s == choice {
+				*f.text(v) = s
 				return nil
 			}
 		}
@@ -97,43 +98,41 @@
 	if math.IsNaN(n) || n < f.Min || n > f.Max {
 		return bad
 	}
-	*f.num(v) = n
+	*f.number(v) = n
 	return nil
 }
 
 // Apply sets what the map names, all or nothing. Unknown names are errors
 // when strict, and ignored otherwise: a newer node may have stored them.
-func Apply(base Values, m map[string]any, strict bool) (Values, error) {
-next:
-	for name, to := range m {
-		for _, f := range Fields {
-			if f.Name == name {
-				if err := f.Set(&base, to); err != nil {
-					return base, err
-				}
-				continue next
-			}
-		}
-		if strict {
+func Apply(base Values, set map[string]any, strict bool) (Values, error) {
+	for name, value := range set {
+		i := slices.IndexFunc(Fields, func(f Field) bool { return f.Name == name })
+		if i < 0 && strict {
 			return base, wire.FieldError{Field: name, Reason: "unknown setting"}
 		}
+		if i < 0 {
+			continue
+		}
+		if err := Fields[i].Set(&base, value); err != nil {
+			return base, err
+		}
 	}
 	return base, nil
 }
 
 // Box shares the current values between the actors of a node.
-type Box struct{ p atomic.Pointer[Values] }
+type Box struct{ current atomic.Pointer[Values] }
 
 // NewBox holds the default values.
 func NewBox() *Box {
 	b := &Box{}
 	v := Default()
-	b.p.Store(&v)
+	b.current.Store(&v)
 	return b
 }
 
 // Get is the current values.
-func (b *Box) Get() Values { return *b.p.Load() }
+func (b *Box) Get() Values { return *b.current.Load() }
 
 // Set replaces them.
-func (b *Box) Set(v Values) { b.p.Store(&v) }
+func (b *Box) Set(v Values) { b.current.Store(&v) }
