--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -112,20 +112,30 @@
 	wire.Answer(w, http.StatusOK, out)
 }
 
-func (a *Admin) put(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// readChange reads a change of settings from a request's body; it answers what is
+// wrong itself.
+func readChange(w http.ResponseWriter, r *http.Request) (Change, bool) {
+	var c Change
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
 		w.Header().Set("Connection", "close")
 		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.Reason{Error: err.Error()})
-		return
+		return c, false
 	}
-	var c Change
 	if !wire.IsMap(raw) || wire.Decode(raw, &c) != nil {
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a CBOR map of version and set"})
-		return
+		return c, false
 	}
 	if c.Version == nil || len(c.Set) == 0 {
 		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "missing", Field: "version and set"})
+		return c, false
+	}
+	return c, true
+}
+
+func (a *Admin) put(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	c, ok := readChange(w, r)
+	if !ok {
 		return
 	}
 	m, version, err := a.stored(r.Context())
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -296,12 +296,12 @@
 }
 
 // Grant opens a lease.
-func (c *Client) Grant(ctx context.Context, life time.Duration) (wire.GrantID, error) {
+func (c *Client) Grant(ctx context.Context, ttl time.Duration) (wire.GrantID, error) {
 	if err := c.admit(ctx, Vital, 0); err != nil {
 		return 0, err
 	}
 	var res wire.GrantResult
-	status, err := c.do(ctx, c.http, "grant", "POST", "/grants", wire.GrantRequest{TTLMillis: life.Milliseconds()}, &res, callTimeout)
+	status, err := c.do(ctx, c.http, "grant", "POST", "/grants", wire.GrantRequest{TTLMillis: ttl.Milliseconds()}, &res, callTimeout)
 	if err != nil {
 		return 0, err
 	}
