--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -31,7 +31,7 @@
 	for _, c := range cands {
 		m := &s.Machines[c.i]
 		load := m.Total.Minus(bins[c.i].free)
-		need := int(max(load.CPUs/m.Unit.CPUs, load.RAM/max(0.001, m.Unit.RAM)) + 0.999)
+		need := int(max(load.CPUs/m.Unit.CPUs, load.MemoryGB/max(0.001, m.Unit.MemoryGB)) + 0.999)
 		room := 0
 		for i := range s.Machines {
 			if i == c.i || out[i] || s.Machines[i].Booting || s.Machines[i].Idle && !bins[i].used {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -10,13 +10,13 @@
 
 // Offer is a type, zone and kind that may be rented now.
 type Offer struct {
-	Kit   wire.MachineType
+	Type  wire.MachineType
 	Zone  wire.Zone
 	Spot  bool
-	Total placement.Res
+	Total placement.Resources
 	Price float64 // per hour, now
 	// PullRate in GB a second.
-	PullRate float64
+	FetchGBPerS float64
 	// Room is how many more may be asked for at once.
 	Room int
 }
@@ -24,11 +24,11 @@
 // Machine that we have, or that is on its way.
 type Machine struct {
 	ID   wire.MachineID
-	Kit  wire.MachineType
+	Type wire.MachineType
 	Zone wire.Zone
 	Spot bool
 	// Free room; of a machine that still boots, all of it.
-	Free, Total placement.Res
+	Free, Total placement.Resources
 	Booting     bool
 	// Idle: up, with nothing on it for IdleS.
 	Idle  bool
@@ -40,16 +40,16 @@
 	Price float64
 	// Services on it.
 	Services int
-	// Soon is room that tasks of arrays there are expected to free.
-	Soon []Soon
+	// Freeing is room that tasks of arrays there are expected to free.
+	Freeing []Freeing
 	// Unit is the largest task of an array there.
-	Unit placement.Res
+	Unit placement.Resources
 }
 
-// Soon is room that is expected to be free in a while.
-type Soon struct {
+// Freeing is room that is expected to be free in a while.
+type Freeing struct {
 	InS  float64
-	Room placement.Res
+	Room placement.Resources
 }
 
 // Demand is a number of equal units that should run at the same time.
@@ -65,7 +65,7 @@
 	// Whole: all of the units or none, in one zone if the job wants that.
 	Whole bool
 	// Dear stretches the limit on the price; 0 leaves it as it is.
-	Dear float64
+	PriceStretch float64
 }
 
 // Snapshot is all that a plan looks at.
@@ -75,7 +75,7 @@
 	Demands  []Demand
 	// DearLimit is how many times the cheapest price that the types have for
 	// a unit may be paid for a unit of an array.
-	DearLimit float64
+	PriceLimit float64
 	// Cheapest is the lowest nominal price of a unit's worth of any type,
 	// spot or not as the job allows; nil: no limit.
 	Cheapest func(*wire.Spec) float64
@@ -85,7 +85,7 @@
 
 // Rent asks for machines of one offer.
 type Rent struct {
-	Kit   wire.MachineType
+	Type  wire.MachineType
 	Zone  wire.Zone
 	Spot  bool
 	Count int
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,31 +14,31 @@
 // The same cases every time.
 func init() { flag.Set("rapid.seed", "20261201") } //nolint:errcheck // rapid defines the flag
 
-var types = map[wire.MachineType]placement.Res{"c4": {CPUs: 4, RAM: 16}, "c16": {CPUs: 16, RAM: 64}}
+var types = map[wire.MachineType]placement.Resources{"c4": {CPUs: 4, MemoryGB: 16}, "c16": {CPUs: 16, MemoryGB: 64}}
 
 func snapshots(t *rapid.T) *Snapshot {
-	s := &Snapshot{MaxRents: 8, DearLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.02 }}
+	s := &Snapshot{MaxRents: 8, PriceLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.02 }}
 	kit := func() wire.MachineType { return rapid.SampledFrom([]wire.MachineType{"c4", "c16"}).Draw(t, "kit") }
 	zone := func() wire.Zone { return rapid.SampledFrom([]wire.Zone{"a", "b"}).Draw(t, "zone") }
 	for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
 		k := kit()
-		m := Machine{ID: wire.MachineID(fmt.Sprint("n-", i)), Kit: k, Zone: zone(), Spot: rapid.Bool().Draw(t, "spot"), Total: types[k], Free: types[k], Price: 0.3, KeepS: 10}
+		m := Machine{ID: wire.MachineID(fmt.Sprint("n-", i)), Type: k, Zone: zone(), Spot: rapid.Bool().Draw(t, "spot"), Total: types[k], Free: types[k], Price: 0.3, KeepS: 10}
 		switch rapid.IntRange(0, 2).Draw(t, "what") {
 		case 0:
 			m.Booting = true
 		case 1:
 			m.Idle, m.IdleS, m.PaidS = true, float64(rapid.IntRange(0, 30).Draw(t, "idle")), float64(rapid.IntRange(-20, 20).Draw(t, "paid"))
 		default:
-			used := placement.Res{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "used")), RAM: 4}
+			used := placement.Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "used")), MemoryGB: 4}
 			m.Free, m.Unit = m.Free.Minus(used), used
-			m.Soon = []Soon{{InS: float64(rapid.IntRange(1, 40).Draw(t, "in")), Room: used}}
+			m.Freeing = []Freeing{{InS: float64(rapid.IntRange(1, 40).Draw(t, "in")), Room: used}}
 		}
 		s.Machines = append(s.Machines, m)
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "offers") {
 		k := kit()
-		s.Offers = append(s.Offers, Offer{Kit: k, Zone: zone(), Spot: rapid.Bool().Draw(t, "spot"), Total: types[k],
-			Price: float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100, PullRate: 1, Room: rapid.IntRange(0, 4).Draw(t, "room")})
+		s.Offers = append(s.Offers, Offer{Type: k, Zone: zone(), Spot: rapid.Bool().Draw(t, "spot"), Total: types[k],
+			Price: float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100, FetchGBPerS: 1, Room: rapid.IntRange(0, 4).Draw(t, "room")})
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, "demands") {
 		shape := rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindService}).Draw(t, "shape")
@@ -56,7 +56,7 @@
 		plan := Make(s)
 		room := map[string]int{}
 		for _, o := range s.Offers {
-			room[fmt.Sprint(o.Kit, o.Zone, o.Spot)] += o.Room
+			room[fmt.Sprint(o.Type, o.Zone, o.Spot)] += o.Room
 		}
 		spotless := true
 		total := 0
@@ -65,7 +65,7 @@
 		}
 		for _, r := range plan.Rents {
 			total += r.Count
-			if r.Count > room[fmt.Sprint(r.Kit, r.Zone, r.Spot)] {
+			if r.Count > room[fmt.Sprint(r.Type, r.Zone, r.Spot)] {
 				t.Fatalf("rents more than is offered: %+v", r)
 			}
 			if r.Spot && spotless {
@@ -96,8 +96,8 @@
 // that no demand needs is returned once it is paid up.
 func TestRoomFirst(t *testing.T) {
 	spec := &wire.Spec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
-	m := Machine{ID: "n", Kit: "c4", Zone: "a", Total: types["c4"], Free: types["c4"], Idle: true, IdleS: 20, KeepS: 10}
-	o := Offer{Kit: "c4", Zone: "a", Total: types["c4"], Price: 0.3, PullRate: 1, Room: 9}
+	m := Machine{ID: "n", Type: "c4", Zone: "a", Total: types["c4"], Free: types["c4"], Idle: true, IdleS: 20, KeepS: 10}
+	o := Offer{Type: "c4", Zone: "a", Total: types["c4"], Price: 0.3, FetchGBPerS: 1, Room: 9}
 	plan := Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 2}}, MaxRents: 9})
 	if len(plan.Rents) != 0 || len(plan.Releases) != 0 {
 		t.Fatalf("plan %+v", plan)
@@ -115,10 +115,10 @@
 // An array doesn't rent at a price at which it is better late; a service
 // does. (Bursts once rented the largest type for a few tasks.)
 func TestDearLimit(t *testing.T) {
-	o := Offer{Kit: "c16", Zone: "a", Total: types["c16"], Price: 4, PullRate: 1, Room: 1}
+	o := Offer{Type: "c16", Zone: "a", Total: types["c16"], Price: 4, FetchGBPerS: 1, Room: 1}
 	for shape, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
 		plan := Make(&Snapshot{Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Kind: shape, CPUs: 2, MemoryGB: 4}, Units: 1}},
-			MaxRents: 9, DearLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.05 }})
+			MaxRents: 9, PriceLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.05 }})
 		if len(plan.Rents) != want {
 			t.Errorf("%s rents %v", shape, plan.Rents)
 		}
@@ -127,8 +127,8 @@
 
 // Room that frees in time spares a rental; room that frees too late doesn't.
 func TestRoomThatFrees(t *testing.T) {
-	m := Machine{ID: "n", Kit: "c4", Zone: "a", Total: types["c4"], Soon: []Soon{{InS: 10, Room: types["c4"]}}, Unit: types["c4"]}
-	o := Offer{Kit: "c4", Zone: "a", Total: types["c4"], Price: 0.1, PullRate: 1, Room: 9}
+	m := Machine{ID: "n", Type: "c4", Zone: "a", Total: types["c4"], Freeing: []Freeing{{InS: 10, Room: types["c4"]}}, Unit: types["c4"]}
+	o := Offer{Type: "c4", Zone: "a", Total: types["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
 	for slack, want := range map[float64]int{15: 0, 5: 1} {
 		plan := Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackS: slack}}, MaxRents: 9})
 		if len(plan.Rents) != want {
@@ -146,8 +146,8 @@
 		}
 		return out
 	}
-	s := Snapshot{MaxRents: 8, DearLimit: 2.5, Cheapest: func(*wire.Spec) float64 { return 0.025 },
-		Offers: []Offer{{Kit: "c4", Zone: "a", Spot: true, Total: types["c4"], Price: 0.1, Room: 9}}}
+	s := Snapshot{MaxRents: 8, PriceLimit: 2.5, Cheapest: func(*wire.Spec) float64 { return 0.025 },
+		Offers: []Offer{{Type: "c4", Zone: "a", Spot: true, Total: types["c4"], Price: 0.1, Room: 9}}}
 	rents := func(d []Demand) (n int) {
 		s.Demands = d
 		for _, r := range Make(&s).Rents {
--- a/internal/fleet/gang_test.go
+++ b/internal/fleet/gang_test.go
@@ -13,12 +13,12 @@
 func TestWholeDemand(t *testing.T) {
 	spec := &wire.Spec{ID: "req-1", Kind: wire.KindGang, Tasks: 4, CPUs: 1, MemoryGB: 4, SameZone: true}
 	free := func(z wire.Zone, cpus float64) Machine {
-		return Machine{ID: "n", Kit: "c4", Zone: z, Total: types["c4"], Free: placement.Res{CPUs: cpus, RAM: 16}}
+		return Machine{ID: "n", Type: "c4", Zone: z, Total: types["c4"], Free: placement.Resources{CPUs: cpus, MemoryGB: 16}}
 	}
 	soon := free("a", 0)
-	soon.Soon = []Soon{{InS: 10, Room: types["c4"]}}
+	soon.Freeing = []Freeing{{InS: 10, Room: types["c4"]}}
 	offer := func(z wire.Zone, price float64, room int) Offer {
-		return Offer{Kit: "c4", Zone: z, Total: types["c4"], Price: price, PullRate: 1, Room: room}
+		return Offer{Type: "c4", Zone: z, Total: types["c4"], Price: price, FetchGBPerS: 1, Room: room}
 	}
 	big := *spec
 	big.Tasks = 8
@@ -34,7 +34,7 @@
 		{"room in two zones is none", Snapshot{Machines: []Machine{free("a", 2), free("b", 2)}, Offers: []Offer{offer("a", 0.26, 9)}}, Demand{Spec: spec, Units: 4}, map[wire.Zone]int{"a": 1}},
 		{"the last task", Snapshot{Machines: []Machine{free("a", 3)}, Offers: []Offer{offer("a", 0.26, 9)}}, Demand{Spec: spec, Units: 4}, map[wire.Zone]int{"a": 1}},
 		{"too dear", Snapshot{Offers: []Offer{offer("a", 1.2, 9)}}, Demand{Spec: spec, Units: 4}, nil},
-		{"too dear, but allowed", Snapshot{Offers: []Offer{offer("a", 1.2, 9)}}, Demand{Spec: spec, Units: 4, Dear: 10}, map[wire.Zone]int{"a": 1}},
+		{"too dear, but allowed", Snapshot{Offers: []Offer{offer("a", 1.2, 9)}}, Demand{Spec: spec, Units: 4, PriceStretch: 10}, map[wire.Zone]int{"a": 1}},
 		{"frees in time", Snapshot{Machines: []Machine{soon}, Offers: []Offer{offer("b", 0.26, 9)}}, Demand{Spec: spec, Units: 4, SlackS: 15}, nil},
 		{"frees too late", Snapshot{Machines: []Machine{soon}, Offers: []Offer{offer("b", 0.26, 9)}}, Demand{Spec: spec, Units: 4, SlackS: 5}, map[wire.Zone]int{"b": 1}},
 		{"half can be had in each zone", Snapshot{Offers: []Offer{offer("a", 0.26, 1), offer("b", 0.26, 1)}}, Demand{Spec: &big, Units: 8}, nil},
@@ -43,7 +43,7 @@
 		{"more than a plan rents", Snapshot{Offers: []Offer{offer("a", 0.20, 9)}, MaxRents: 1}, Demand{Spec: &big, Units: 8}, nil},
 	} {
 		c.d.Whole = true
-		c.s.Demands, c.s.DearLimit, c.s.Cheapest = []Demand{c.d}, 2.3, func(*wire.Spec) float64 { return 0.065 }
+		c.s.Demands, c.s.PriceLimit, c.s.Cheapest = []Demand{c.d}, 2.3, func(*wire.Spec) float64 { return 0.065 }
 		if c.s.MaxRents == 0 {
 			c.s.MaxRents = 9
 		}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -31,24 +31,24 @@
 
 // bin is a machine, there or to be rented, into which demands are packed.
 type bin struct {
-	kit      wire.MachineType
-	zone     wire.Zone
-	spot     bool
-	free     placement.Res
-	services bool
-	used     bool
-	soon     []Soon
+	machineType wire.MachineType
+	zone        wire.Zone
+	spot        bool
+	free        placement.Resources
+	services    bool
+	used        bool
+	freeing     []Freeing
 }
 
 func (b *bin) allowed(s *wire.Spec) bool {
-	m := placement.Machine{Kit: b.kit, Zone: b.zone, Spot: b.spot}
+	m := placement.Machine{Type: b.machineType, Zone: b.zone, Spot: b.spot}
 	return placement.Allowed(s, &m)
 }
 
 // soonFree is the room in a bin that is free, or will be in time.
-func (b *bin) soonFree(slack float64) placement.Res {
+func (b *bin) freeWithin(slack float64) placement.Resources {
 	free := b.free
-	for _, f := range b.soon {
+	for _, f := range b.freeing {
 		if f.InS <= slack {
 			free = free.Plus(f.Room)
 		}
@@ -58,13 +58,13 @@
 
 // newBin is a machine of the offer with nothing on it.
 func (o *Offer) newBin() bin {
-	return bin{kit: o.Kit, zone: o.Zone, spot: o.Spot, free: o.Total}
+	return bin{machineType: o.Type, zone: o.Zone, spot: o.Spot, free: o.Total}
 }
 
 // serves tells whether the offer has a machine that the job may run on.
 func (o *Offer) serves(s *wire.Spec) bool {
 	b := o.newBin()
-	return o.Room > 0 && b.allowed(s) && (s.ImageGB == 0 || o.PullRate > 0)
+	return o.Room > 0 && b.allowed(s) && (s.ImageGB == 0 || o.FetchGBPerS > 0)
 }
 
 // rental is one machine to rent of an offer, and for which job.
@@ -96,7 +96,7 @@
 		alike:   map[kind]int{},
 	}
 	for i, m := range s.Machines {
-		p.bins[i] = bin{m.Kit, m.Zone, m.Spot, m.Free, m.Services > 0, !m.Idle && !m.Booting, slices.Clone(m.Soon)}
+		p.bins[i] = bin{m.Type, m.Zone, m.Spot, m.Free, m.Services > 0, !m.Idle && !m.Booting, slices.Clone(m.Freeing)}
 		p.inZone[m.Zone]++
 	}
 	slices.SortStableFunc(p.demands, func(a, b Demand) int { return cmp.Compare(b.Rank, a.Rank) })
@@ -110,7 +110,7 @@
 
 // kind of a unit: what takes the same room on the same machines.
 type kind struct {
-	take    placement.Res
+	take    placement.Resources
 	types   string
 	zone    wire.Zone
 	spot    bool
@@ -244,7 +244,7 @@
 
 // tooDear tells whether a unit of the demand is not worth that price.
 func (p *packer) tooDear(d *Demand, cost float64) bool {
-	return p.s.Cheapest != nil && cost > p.s.DearLimit*max(1, d.Dear)*p.s.Cheapest(d.Spec)
+	return p.s.Cheapest != nil && cost > p.s.PriceLimit*max(1, d.PriceStretch)*p.s.Cheapest(d.Spec)
 }
 
 // rent adds a machine of the offer to the bins.
@@ -259,21 +259,21 @@
 
 // waitFor counts the units that room which running tasks will free in time
 // can take, and takes it.
-func waitFor(bins []bin, d *Demand, take placement.Res, left int) int {
+func waitFor(bins []bin, d *Demand, take placement.Resources, left int) int {
 	got := 0
 	for i := range bins {
 		b := &bins[i]
 		if got == left {
 			break
 		}
-		if len(b.soon) == 0 || b.soon[0].InS > d.SlackS || !b.allowed(d.Spec) {
+		if len(b.freeing) == 0 || b.freeing[0].InS > d.SlackS || !b.allowed(d.Spec) {
 			continue
 		}
 		// Neighbouring tasks of a machine may have to end together to make
 		// room for a larger one.
-		var sum placement.Res
-		kept := b.soon[:0]
-		for _, f := range b.soon {
+		var sum placement.Resources
+		kept := b.freeing[:0]
+		for _, f := range b.freeing {
 			if f.InS > d.SlackS || got == left {
 				kept = append(kept, f)
 				continue
@@ -281,10 +281,10 @@
 			sum = sum.Plus(f.Room)
 			if n := min(left-got, take.Units(sum)); n > 0 {
 				got += n
-				sum = placement.Res{}
+				sum = placement.Resources{}
 			}
 		}
-		b.soon = kept
+		b.freeing = kept
 	}
 	return got
 }
@@ -294,9 +294,9 @@
 	var out []Rent
 	for _, r := range p.rentals {
 		o := &p.offers[r.offer]
-		at := slices.IndexFunc(out, func(r Rent) bool { return r.Kit == o.Kit && r.Zone == o.Zone && r.Spot == o.Spot })
+		at := slices.IndexFunc(out, func(r Rent) bool { return r.Type == o.Type && r.Zone == o.Zone && r.Spot == o.Spot })
 		if at < 0 {
-			out = append(out, Rent{o.Kit, o.Zone, o.Spot, 0, r.id})
+			out = append(out, Rent{o.Type, o.Zone, o.Spot, 0, r.id})
 			at = len(out) - 1
 		}
 		out[at].Count++
--- a/internal/fleet/whole.go
+++ b/internal/fleet/whole.go
@@ -73,7 +73,7 @@
 		if z != "" && b.zone != z || !b.allowed(u.d.Spec) {
 			continue
 		}
-		n := u.most(b.zone, take.Units(b.soonFree(u.d.SlackS)))
+		n := u.most(b.zone, take.Units(b.freeWithin(u.d.SlackS)))
 		if n <= 0 {
 			continue
 		}
--- a/internal/fleet/whole_test.go
+++ b/internal/fleet/whole_test.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		room := m.Free
-		for _, s := range m.Soon {
+		for _, s := range m.Freeing {
 			if s.InS <= d.SlackS {
 				room = room.Plus(s.Room)
 			}
@@ -39,7 +39,7 @@
 	}
 	for _, r := range rents {
 		if !r.Spot || d.Spec.SpotAllowed {
-			units[r.Zone] += r.Count * take.Units(types[r.Kit])
+			units[r.Zone] += r.Count * take.Units(types[r.Type])
 		}
 	}
 	return units
@@ -99,7 +99,7 @@
 		}
 		var all []Rent
 		for _, o := range s.Offers {
-			all = append(all, Rent{Kit: o.Kit, Zone: o.Zone, Spot: o.Spot, Count: o.Room})
+			all = append(all, Rent{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Room})
 		}
 		if holds(&d, roomFor(&d, s.Machines, all)) {
 			t.Fatalf("rents nothing, although %v and the offers hold it", there)
@@ -120,7 +120,7 @@
 		s := snapshots(t)
 		d := wholeDemand(t)
 		s.Demands, s.MaxRents = append(s.Demands, d), 20
-		s.Offers = append(s.Offers, Offer{Kit: "c4", Zone: "b", Total: types["c4"], Price: 0.1, PullRate: 1, Room: 3})
+		s.Offers = append(s.Offers, Offer{Type: "c4", Zone: "b", Total: types["c4"], Price: 0.1, FetchGBPerS: 1, Room: 3})
 		rents := Make(s).Rents
 		if !slices.ContainsFunc(rents, func(r Rent) bool { return r.For == d.Spec.ID }) {
 			return
--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -127,7 +127,7 @@
 }
 
 // res of the attempt.
-func (a *attempt) res() placement.Res { return placement.Of(&a.job.spec) }
+func (a *attempt) res() placement.Resources { return placement.Of(&a.job.spec) }
 
 // release takes an attempt off its chunk and machine.
 func (a *attempt) release() {
@@ -139,6 +139,6 @@
 	delete(a.machine.tasks, a.task())
 	a.machine.used = a.machine.used.Minus(a.res())
 	if len(a.machine.tasks) == 0 {
-		a.machine.used = placement.Res{} // sums of decimals drift
+		a.machine.used = placement.Resources{} // sums of decimals drift
 	}
 }
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -61,8 +61,8 @@
 }
 
 // usedByTeam is the room that each team's tasks hold.
-func (t *term) usedByTeam() map[wire.TeamID]placement.Res {
-	used := map[wire.TeamID]placement.Res{}
+func (t *term) usedByTeam() map[wire.TeamID]placement.Resources {
+	used := map[wire.TeamID]placement.Resources{}
 	for _, j := range t.jobs {
 		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.held)))
 	}
@@ -72,7 +72,7 @@
 // wantedUnits is for how many tasks of a job room is wanted now. An array need not
 // run all at once: its work may be stretched over a share of what its deadline
 // leaves. The team's limit bounds what can run at all.
-func (t *term) wantedUnits(j *job, used map[wire.TeamID]placement.Res, now time.Time, stretch float64) int {
+func (t *term) wantedUnits(j *job, used map[wire.TeamID]placement.Resources, now time.Time, stretch float64) int {
 	team, ok := t.settings.Team(j.spec.Team)
 	if !ok {
 		return 0
@@ -85,12 +85,12 @@
 	case !j.spec.Service() && !gang:
 		units = demand.ParallelTasks(units, t.work(j, now), t.settings.Objectives, stretch)
 	}
-	left := placement.Res{CPUs: unlimited, Cards: unlimited, RAM: unlimited}
+	left := placement.Resources{CPUs: unlimited, GPUs: unlimited, MemoryGB: unlimited}
 	if team.CPUsMax > 0 {
 		left.CPUs = team.CPUsMax - used[j.spec.Team].CPUs
 	}
 	if team.GPUsMax > 0 {
-		left.Cards = team.GPUsMax - used[j.spec.Team].Cards
+		left.GPUs = team.GPUsMax - used[j.spec.Team].GPUs
 	}
 	most := placement.Of(&j.spec).Units(left)
 	if gang && most < units {
@@ -107,15 +107,15 @@
 		d.Rank += serviceRank
 	case j.spec.Gang() && t.startOverdue(j, now):
 		d.Rank += startOverdueRank
-		d.Dear = math.Inf(1)
+		d.PriceStretch = math.Inf(1)
 	case t.startOverdue(j, now):
 		// Room is had for its first task at any price.
 		first := d
-		first.Units, first.Rank, first.Dear = 1, d.Rank+startOverdueRank, math.Inf(1)
+		first.Units, first.Rank, first.PriceStretch = 1, d.Rank+startOverdueRank, math.Inf(1)
 		out = append(out, first)
 		d.Units--
 	}
-	d.Dear = max(d.Dear, t.priceStretch(j, waitS, now))
+	d.PriceStretch = max(d.PriceStretch, t.priceStretch(j, waitS, now))
 	if j.spec.Spread || j.spec.SameZone {
 		d.ZoneLeft = j.zoneLeft(zones)
 	}
@@ -142,7 +142,7 @@
 	if n <= 0 {
 		return fleet.Demand{}, false
 	}
-	spec := &wire.Spec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: n, CPUs: r.CPUs, MemoryGB: r.RAM}
+	spec := &wire.Spec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: n, CPUs: r.CPUs, MemoryGB: r.MemoryGB}
 	left := map[wire.Zone]int{}
 	for _, z := range zones {
 		left[z] = (n + 1) / 2
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -54,7 +54,7 @@
 // fleetSnapshot is what a plan is made from.
 func (t *term) fleetSnapshot(candidates []*machine, specs []wire.MachineSpec, now time.Time) *fleet.Snapshot {
 	v := t.l.Tuning.Get()
-	s := &fleet.Snapshot{MaxRents: maxRentsPerPlan, DearLimit: v.DearLimit,
+	s := &fleet.Snapshot{MaxRents: maxRentsPerPlan, PriceLimit: v.DearLimit,
 		Cheapest: func(spec *wire.Spec) float64 { return cheapest(specs, spec) }}
 	for _, m := range candidates {
 		spec := t.machineSpec(m.machineType)
@@ -95,7 +95,7 @@
 
 // planMachine is a machine as the plan sees it.
 func (t *term) planMachine(m *machine, spec *wire.MachineSpec, keepBoots float64, now time.Time) fleet.Machine {
-	out := fleet.Machine{ID: m.id, Kit: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
+	out := fleet.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
 		PaidS: billedUpfrontS - now.Sub(m.rentedAt).Seconds(), Price: spec.Price(m.spot), KeepS: keepBoots * float64(spec.BootTime)}
 	for _, a := range m.tasks {
 		if a.job.spec.Service() {
@@ -103,12 +103,12 @@
 			continue
 		}
 		res := a.res()
-		out.Soon = append(out.Soon, fleet.Soon{InS: a.remainingS(now), Room: res})
+		out.Freeing = append(out.Freeing, fleet.Freeing{InS: a.remainingS(now), Room: res})
 		if res.CPUs > out.Unit.CPUs {
 			out.Unit = res
 		}
 	}
-	slices.SortFunc(out.Soon, func(a, b fleet.Soon) int { return cmp.Compare(a.InS, b.InS) })
+	slices.SortFunc(out.Freeing, func(a, b fleet.Freeing) int { return cmp.Compare(a.InS, b.InS) })
 	if !m.booting && len(m.tasks) == 0 && len(m.orphans) == 0 {
 		out.Idle, out.IdleS = true, now.Sub(latest(m.usedAt, m.upAt)).Seconds()
 	}
@@ -133,7 +133,7 @@
 		}
 		total := placementRes(spec)
 		for range b.Count {
-			out = append(out, fleet.Machine{Kit: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: spec.Price(b.Spot)})
+			out = append(out, fleet.Machine{Type: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: spec.Price(b.Spot)})
 		}
 	}
 	return out
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -158,7 +158,7 @@
 type gangKind struct {
 	lane  string
 	parts int
-	takes placement.Res
+	takes placement.Resources
 }
 
 // nextFor is how long room is kept for the gangs of a class after its last one.
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -39,9 +39,9 @@
 	failed              bool      // the list says that it has stopped by itself
 
 	tasks       map[wire.Task]*attempt
-	used        placement.Res      // by tasks
-	orphans     map[wire.Task]bool // on it, but not ours to want there
-	takenBackAt time.Time          // the cloud takes it then; zero: no notice
+	used        placement.Resources // by tasks
+	orphans     map[wire.Task]bool  // on it, but not ours to want there
+	takenBackAt time.Time           // the cloud takes it then; zero: no notice
 	images      imageCache
 
 	unansweredLaunch unansweredCommand // the last launches that were never answered
@@ -197,19 +197,19 @@
 
 // total and free room of a machine. What the cloud's list of types does not
 // name can hold nothing.
-func (t *term) total(m *machine) placement.Res {
+func (t *term) total(m *machine) placement.Resources {
 	if f := t.machineSpec(m.machineType); f != nil {
 		return placementRes(f)
 	}
-	return placement.Res{}
+	return placement.Resources{}
 }
 
-func (t *term) free(m *machine) placement.Res {
+func (t *term) free(m *machine) placement.Resources {
 	free := t.total(m).Minus(m.used)
 	for task := range m.orphans {
 		j := t.jobs[task.Job]
 		if j == nil {
-			return placement.Res{} // of unknown size
+			return placement.Resources{} // of unknown size
 		}
 		if m.tasks[task] == nil {
 			free = free.Minus(placement.Of(&j.spec))
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -32,8 +32,8 @@
 			}
 			for _, spot := range []bool{false, true} {
 				if t.rentals.Available(rentals.Offer{Type: spec.Name, Zone: zone, Spot: spot}, now) {
-					out = append(out, fleet.Offer{Kit: spec.Name, Zone: zone, Spot: spot, Total: placementRes(spec),
-						Price: spec.Price(spot), PullRate: spec.FetchGBPerS, Room: maxOffer})
+					out = append(out, fleet.Offer{Type: spec.Name, Zone: zone, Spot: spot, Total: placementRes(spec),
+						Price: spec.Price(spot), FetchGBPerS: spec.FetchGBPerS, Room: maxOffer})
 				}
 			}
 		}
@@ -42,8 +42,8 @@
 }
 
 // placementRes is all the room of a machine of the type.
-func placementRes(spec *wire.MachineSpec) placement.Res {
-	return placement.Res{CPUs: spec.CPUs, Cards: spec.GPUs, RAM: spec.MemoryGB}
+func placementRes(spec *wire.MachineSpec) placement.Resources {
+	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
 // rent books machines and keeps asking under the same name until the cloud
--- a/internal/leader/rentals/rentals.go
+++ b/internal/leader/rentals/rentals.go
@@ -74,7 +74,7 @@
 func (t *Tracker) Book(r fleet.Rent, now time.Time) *Booking {
 	t.sequence++
 	name := fmt.Sprintf("b-%d-%d", t.token, t.sequence)
-	b := &Booking{wire.RentalRequest{Name: name, Type: r.Kit, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, now}
+	b := &Booking{wire.RentalRequest{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, now}
 	t.bookings[name] = b
 	return b
 }
--- a/internal/leader/rentals/rentals_test.go
+++ b/internal/leader/rentals/rentals_test.go
@@ -17,7 +17,7 @@
 // time up to a bound, until it is filled again. Other offers go on.
 func TestOffersRest(t *testing.T) {
 	tr, now := New(7), start
-	rent := fleet.Rent{Kit: "std", Zone: "a", Count: 3}
+	rent := fleet.Rent{Type: "std", Zone: "a", Count: 3}
 	offer, other := Offer{"std", "a", false}, Offer{"std", "a", true}
 	refuse := func(err error) time.Duration {
 		b := tr.Book(rent, now)
@@ -55,7 +55,7 @@
 func TestCloudPaused(t *testing.T) {
 	tr, now := New(7), start
 	for _, want := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 5 * time.Second, 5 * time.Second} {
-		a, b := tr.Book(fleet.Rent{Kit: "std", Zone: "a", Count: 1}, now), tr.Book(fleet.Rent{Kit: "std", Zone: "b", Count: 1}, now)
+		a, b := tr.Book(fleet.Rent{Type: "std", Zone: "a", Count: 1}, now), tr.Book(fleet.Rent{Type: "std", Zone: "b", Count: 1}, now)
 		if a.Name == b.Name {
 			t.Fatalf("two bookings named %s", a.Name)
 		}
@@ -71,8 +71,8 @@
 		}
 		now = now.Add(2 * pause)
 	}
-	tr.Answered(tr.Book(fleet.Rent{Kit: "std", Zone: "a", Count: 1}, now), 1, nil, now)
-	if _, pause := tr.Answered(tr.Book(fleet.Rent{Kit: "std", Zone: "a", Count: 1}, now), 0, cloud.ErrBusy, now); pause != 500*time.Millisecond {
+	tr.Answered(tr.Book(fleet.Rent{Type: "std", Zone: "a", Count: 1}, now), 1, nil, now)
+	if _, pause := tr.Answered(tr.Book(fleet.Rent{Type: "std", Zone: "a", Count: 1}, now), 0, cloud.ErrBusy, now); pause != 500*time.Millisecond {
 		t.Errorf("after an answer it is left alone for %v", pause)
 	}
 }
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -35,7 +35,7 @@
 	for j, ms := range gangs {
 		t.startGang(j, ms, now)
 	}
-	for _, c := range res.Clears {
+	for _, c := range res.Clearances {
 		m := t.machines[c.On]
 		until := now.Add(t.haltBy(0))
 		if j := t.jobs[c.Job]; j != nil && j.spec.Gang() {
@@ -53,7 +53,7 @@
 			}
 		}
 	}
-	if len(res.Clears) > 0 {
+	if len(res.Clearances) > 0 {
 		t.gather()
 	}
 	t.roundTook = time.Since(now)
@@ -183,7 +183,7 @@
 	slices.SortFunc(jobs, func(a, b *job) int {
 		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
-	sum := map[wire.TeamID]placement.Res{}
+	sum := map[wire.TeamID]placement.Resources{}
 	out := map[wire.JobID]bool{}
 	for _, j := range jobs {
 		team, ok := t.settings.Team(j.spec.Team)
@@ -192,7 +192,7 @@
 		}
 		u := sum[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.spec.Tasks - j.done)))
 		sum[j.spec.Team] = u
-		out[j.spec.ID] = u.CPUs <= team.CPUs+wire.Eps && u.Cards <= team.GPUs+wire.Eps
+		out[j.spec.ID] = u.CPUs <= team.CPUs+wire.Eps && u.GPUs <= team.GPUs+wire.Eps
 	}
 	return out
 }
@@ -297,7 +297,7 @@
 		Preempt: true,
 	}
 	for _, team := range t.settings.Teams {
-		s.Teams[team.Name] = &placement.Team{Limit: placement.Res{CPUs: team.CPUsMax, Cards: team.GPUsMax}}
+		s.Teams[team.Name] = &placement.Team{Limit: placement.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}}
 	}
 	for _, j := range t.jobs {
 		if team := s.Teams[j.spec.Team]; team != nil {
@@ -318,12 +318,12 @@
 	least := placement.Of(&js[0].spec)
 	for _, j := range js {
 		o := placement.Of(&j.spec)
-		least = placement.Res{CPUs: min(least.CPUs, o.CPUs), Cards: min(least.Cards, o.Cards), RAM: min(least.RAM, o.RAM)}
+		least = placement.Resources{CPUs: min(least.CPUs, o.CPUs), GPUs: min(least.GPUs, o.GPUs), MemoryGB: min(least.MemoryGB, o.MemoryGB)}
 	}
 	next := t.nextGangs(v.SpareGangs, now)
 	for _, g := range next { // its room may be smaller than all that waits takes
 		o := placement.Of(g)
-		least = placement.Res{CPUs: min(least.CPUs, o.CPUs), Cards: min(least.Cards, o.Cards), RAM: min(least.RAM, o.RAM)}
+		least = placement.Resources{CPUs: min(least.CPUs, o.CPUs), GPUs: min(least.GPUs, o.GPUs), MemoryGB: min(least.MemoryGB, o.MemoryGB)}
 	}
 	var ms, full []*machine
 	for _, m := range t.machines {
@@ -340,16 +340,16 @@
 	beyond := func(j *job) bool {
 		team, _ := t.settings.Team(j.spec.Team)
 		u := s.Teams[j.spec.Team]
-		return u != nil && (u.Used.CPUs > team.CPUs+wire.Eps || u.Used.Cards > team.GPUs+wire.Eps)
+		return u != nil && (u.Used.CPUs > team.CPUs+wire.Eps || u.Used.GPUs > team.GPUs+wire.Eps)
 	}
 	// A gang that does not preempt waits for others to end, which are looked at too.
 	preempts := slices.ContainsFunc(js, func(j *job) bool { return placement.MayPreempt(&j.spec) || j.spec.Gang() })
 	claims := t.claims(now)
 	view := func(m *machine) placement.Machine {
-		pm := placement.Machine{ID: m.id, Kit: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Cordoned: m.cordoned,
+		pm := placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Cordoned: m.cordoned,
 			Images: make(map[wire.ImageID]placement.Image, len(m.images.images)+len(m.tasks))}
 		if f := t.machineSpec(m.machineType); f != nil {
-			pm.PullRate = f.FetchGBPerS
+			pm.FetchGBPerS = f.FetchGBPerS
 		}
 		var awaited []wire.Task
 		for _, c := range m.claims {
@@ -371,7 +371,7 @@
 			if a.fetchedAt.IsZero() && pm.Images[a.job.spec.Image] == placement.Absent {
 				pm.Images[a.job.spec.Image] = placement.Fetching
 				if !m.images.has(a.job.spec.Image) {
-					pm.PullGB += a.job.spec.ImageGB
+					pm.FetchingGB += a.job.spec.ImageGB
 				}
 			}
 			if !preempts || a.planned || a.halting || ending || a.job.spec.Service() && a.job.spec.Priority == wire.PriorityProd {
@@ -388,8 +388,8 @@
 			if a.job.spec.Gang() { // it costs all of the gang
 				lost = (lost + 5) * float64(a.job.spec.Tasks)
 			}
-			pm.Victims = append(pm.Victims, placement.Victim{Task: a.task(), Rank: a.job.spec.Priority.Rank(), Takes: a.res(),
-				Lost: lost, LeftS: a.left(now), SavesS: saves, Beyond: beyond(a.job), Team: a.job.spec.Team})
+			pm.Victims = append(pm.Victims, placement.Victim{Task: a.task(), Rank: a.job.spec.Priority.Rank(), Uses: a.res(),
+				LostS: lost, LeftS: a.left(now), SavesS: saves, BeyondGuarantee: beyond(a.job), Team: a.job.spec.Team})
 		}
 		slices.SortFunc(pm.Victims, func(a, b placement.Victim) int {
 			return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), a.Task.Index-b.Task.Index)
@@ -402,7 +402,7 @@
 	for _, m := range ms {
 		s.Machines = append(s.Machines, view(m))
 	}
-	s.More = func() []placement.Machine {
+	s.FullMachines = func() []placement.Machine {
 		slices.SortFunc(full, byID)
 		out := make([]placement.Machine, len(full))
 		for i, m := range full {
@@ -416,9 +416,9 @@
 	sure, zones := t.guaranteed(), t.zones()
 	kept := js[:0]
 	for _, j := range js {
-		pj := placement.Job{Spec: &j.spec, Pending: j.pending(), ZoneHeld: map[wire.Zone]int{},
+		pj := placement.Job{Spec: &j.spec, Pending: j.pending(), TasksByZone: map[wire.Zone]int{},
 			WaitedS: now.Sub(j.acceptedAt).Seconds(), Avoid: j.failedOn, Guaranteed: sure[j.spec.ID], Claims: claims[j.spec.ID], PatienceS: t.patience(j, now), StartsInS: max(0, t.startAim(j.spec.Class)-now.Sub(j.acceptedAt).Seconds()), Weight: t.weight(j, sure[j.spec.ID], now),
-			Lingers: now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt)) > lingerMost}
+			WaitedLong: now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt)) > lingerMost}
 		if t.startOverdue(j, now) {
 			pj.Weight = starvingWeight
 			if !j.spec.Gang() {
@@ -429,22 +429,22 @@
 			pj.Pending = min(pj.Pending, max(1, 2-j.held)) // try a suspect job with little
 		}
 		if j.spec.Spread || j.spec.SameZone {
-			pj.ZoneHeld = j.zones()
-			unknown := pj.ZoneHeld[""]
+			pj.TasksByZone = j.zones()
+			unknown := pj.TasksByZone[""]
 			if unknown > 0 && j.spec.SameZone {
 				continue // where its tasks are is not known yet
 			}
 			// Each of these may be in any zone, so it counts in all.
 			for _, z := range zones {
-				pj.ZoneHeld[z] += unknown
+				pj.TasksByZone[z] += unknown
 			}
 		}
 		s.Jobs = append(s.Jobs, pj)
 		kept = append(kept, j)
 	}
 	t.keepLimits(s, kept, now)
-	s.Spare, s.SpareTakes = t.spare(v.SpareUnits)
-	s.Gangs = next
+	s.SpareUnits, s.SpareUnit = t.spare(v.SpareUnits)
+	s.ExpectedGangs = next
 	return s, ms, kept
 }
 
@@ -465,8 +465,8 @@
 		if t.startOverdue(j, now) {
 			rank = wire.PriorityProd.Rank()
 		}
-		if team.KeptFor == "" || rank > team.KeptRank {
-			team.Kept, team.KeptFor, team.KeptRank = placement.Of(&j.spec).Times(float64(j.spec.Tasks)), j.spec.ID, rank
+		if team.ReservedFor == "" || rank > team.ReservedRank {
+			team.Reserved, team.ReservedFor, team.ReservedRank = placement.Of(&j.spec).Times(float64(j.spec.Tasks)), j.spec.ID, rank
 		}
 	}
 }
@@ -480,14 +480,14 @@
 // spare is the room to keep for the next replicas: the largest replica that
 // services now have, as often as operators say, and at least for half of the
 // largest service.
-func (t *term) spare(units float64) (int, placement.Res) {
-	var r placement.Res
+func (t *term) spare(units float64) (int, placement.Resources) {
+	var r placement.Resources
 	largest := 0
 	for _, j := range t.jobs {
 		if j.spec.Service() && !j.spec.SpotAllowed {
 			largest = max(largest, j.spec.Tasks)
 			o := placement.Of(&j.spec)
-			r = placement.Res{CPUs: max(r.CPUs, o.CPUs), Cards: 0, RAM: max(r.RAM, o.RAM)}
+			r = placement.Resources{CPUs: max(r.CPUs, o.CPUs), GPUs: 0, MemoryGB: max(r.MemoryGB, o.MemoryGB)}
 		}
 	}
 	if r.CPUs == 0 {
--- a/internal/placement/gang_choice_test.go
+++ b/internal/placement/gang_choice_test.go
@@ -8,7 +8,7 @@
 
 // victimIn is a lower task that fills a machine, with so much work to lose.
 func victimIn(index int, lost float64) Victim {
-	return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: 1, Takes: Res{4, 0, 4}, LeftS: 500, Lost: lost, Team: "t"}
+	return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: 1, Uses: Resources{4, 0, 4}, LeftS: 500, LostS: lost, Team: "t"}
 }
 
 // Room for a gang that must be in one zone is made in the one of two zones that hold
@@ -23,8 +23,8 @@
 			machines = append(cheap, dear...)
 		}
 		res := Place(snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4)}))
-		if len(res.Halts) != 2 || len(res.Clears) != 2 {
-			t.Fatalf("%s first: stops %v for %v", first, res.Halts, res.Clears)
+		if len(res.Halts) != 2 || len(res.Clearances) != 2 {
+			t.Fatalf("%s first: stops %v for %v", first, res.Halts, res.Clearances)
 		}
 		for _, v := range res.Halts {
 			if v.Task.Index < 2 {
@@ -40,12 +40,12 @@
 	for claims, want := range map[int]int{0: 2, 1: 0, 2: 0} {
 		machines := []Machine{inZone("m", "a", 0, victimIn(0, 5)), inZone("n", "a", 0, victimIn(1, 5)), inZone("o", "a", 0, victimIn(2, 5)), inZone("p", "a", 0, victimIn(3, 5))}
 		for i := range claims {
-			machines[i].Victims, machines[i].Stopping = nil, Res{4, 0, 4}
-			machines[i].Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Res{4, 0, 4}}}
+			machines[i].Victims, machines[i].Stopping = nil, Resources{4, 0, 4}
+			machines[i].Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Resources{4, 0, 4}}}
 		}
 		res := Place(snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Claims: claims}))
-		if len(res.Clears) != want || len(res.Halts) != want {
-			t.Errorf("with %d claims: stops %v for %v, want room for %d", claims, res.Halts, res.Clears, want)
+		if len(res.Clearances) != want || len(res.Halts) != want {
+			t.Errorf("with %d claims: stops %v for %v, want room for %d", claims, res.Halts, res.Clearances, want)
 		}
 	}
 }
@@ -56,8 +56,8 @@
 	for limit, want := range map[float64]int{12: 0, 16: 2} {
 		machines := []Machine{inZone("m", "a", 0), inZone("n", "a", 0), inZone("o", "a", 0, victimIn(2, 5)), inZone("p", "a", 0, victimIn(3, 5))}
 		for i := range 2 {
-			machines[i].Stopping = Res{4, 0, 4}
-			machines[i].Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Res{4, 0, 4}}}
+			machines[i].Stopping = Resources{4, 0, 4}
+			machines[i].Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Resources{4, 0, 4}}}
 		}
 		s := snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Claims: 2}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 2, 4)})
 		for i := range s.Machines {
@@ -65,9 +65,9 @@
 				s.Machines[i].Victims[v].Team = "other"
 			}
 		}
-		s.Teams["t"].Limit = Res{CPUs: limit}
-		if res := Place(s); len(res.Clears) != want || len(res.Halts) != want {
-			t.Errorf("limit %g: stops %v for %v, want room for %d", limit, res.Halts, res.Clears, want)
+		s.Teams["t"].Limit = Resources{CPUs: limit}
+		if res := Place(s); len(res.Clearances) != want || len(res.Halts) != want {
+			t.Errorf("limit %g: stops %v for %v, want room for %d", limit, res.Halts, res.Clearances, want)
 		}
 	}
 }
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -16,21 +16,21 @@
 	s.Preempt = true
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		m.Claims, m.Stopping = nil, Res{}
+		m.Claims, m.Stopping = nil, Resources{}
 		for k := range rapid.IntRange(0, 4).Draw(t, "victims") {
 			v := Victim{Task: wire.Task{Job: wire.JobID(fmt.Sprint("req-9", i)), Index: k}, Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Team: "blue",
-				Takes: Res{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "takes")), RAM: 2}, Lost: float64(rapid.IntRange(0, 60).Draw(t, "lost")), LeftS: float64(rapid.IntRange(1, 60).Draw(t, "left"))}
-			if !v.Takes.Fits(m.Free) {
+				Uses: Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "takes")), MemoryGB: 2}, LostS: float64(rapid.IntRange(0, 60).Draw(t, "lost")), LeftS: float64(rapid.IntRange(1, 60).Draw(t, "left"))}
+			if !v.Uses.Fits(m.Free) {
 				break
 			}
-			m.Free = m.Free.Minus(v.Takes)
+			m.Free = m.Free.Minus(v.Uses)
 			m.Victims = append(m.Victims, v)
 		}
 	}
 	for i := range s.Jobs {
 		if sp := s.Jobs[i].Spec; rapid.IntRange(0, 2).Draw(t, "gang") > 0 {
 			sp.Kind, sp.Tasks, sp.MachineTypes, sp.Zone, sp.SpotAllowed = wire.KindGang, rapid.IntRange(1, 4).Draw(t, "tasks"), nil, "", true
-			s.Jobs[i].Pending, s.Jobs[i].ZoneHeld = sp.Tasks, map[wire.Zone]int{}
+			s.Jobs[i].Pending, s.Jobs[i].TasksByZone = sp.Tasks, map[wire.Zone]int{}
 		}
 		s.Jobs[i].PatienceS = float64(rapid.IntRange(0, 30).Draw(t, "patience"))
 	}
@@ -56,7 +56,7 @@
 		}
 		for _, v := range m.Victims {
 			if v.LeftS <= j.PatienceS && j.PatienceS > 0 || j.Spec.Priority.Rank() >= wire.PriorityUrgent.Rank() && v.Rank < j.Spec.Priority.Rank() {
-				room = room.Plus(v.Takes)
+				room = room.Plus(v.Uses)
 			}
 		}
 		in[m.Zone] += Of(j.Spec).Units(room)
@@ -96,7 +96,7 @@
 		for i := range after.Machines {
 			byID[after.Machines[i].ID] = &after.Machines[i]
 		}
-		for _, c := range res.Clears {
+		for _, c := range res.Clearances {
 			clears[c.Job]++
 			inZone[on{c.Job, byID[c.On].Zone}]++
 			for _, task := range c.Awaits {
@@ -111,7 +111,7 @@
 			for _, v := range was.Victims {
 				_, stops := halted[v.Task]
 				if stops || reason[v.Task] {
-					room = room.Plus(v.Takes)
+					room = room.Plus(v.Uses)
 				}
 				if stops && len(m.Claims) == 0 {
 					t.Fatalf("%v is stopped on %s, for nothing", v.Task, m.ID)
@@ -120,7 +120,7 @@
 			for _, c := range m.Claims {
 				room = room.Minus(c.Takes)
 			}
-			if room.CPUs < -wire.Eps || room.RAM < -wire.Eps {
+			if room.CPUs < -wire.Eps || room.MemoryGB < -wire.Eps {
 				t.Fatalf("more is claimed on %s than will be free: %v", m.ID, room)
 			}
 		}
@@ -170,10 +170,10 @@
 		s.Jobs = s.Jobs[i : i+1]
 		could := couldFit(s, &s.Jobs[0])
 		res := Place(clone(s))
-		if got := len(res.Starts)+len(res.Clears) > 0; got != could {
-			t.Fatalf("starts %v, clears %v, but it could fit: %v", res.Starts, res.Clears, could)
+		if got := len(res.Starts)+len(res.Clearances) > 0; got != could {
+			t.Fatalf("starts %v, clears %v, but it could fit: %v", res.Starts, res.Clearances, could)
 		}
-		if len(res.Clears) > 0 {
+		if len(res.Clearances) > 0 {
 			made++
 		} else if !could {
 			not++
@@ -189,12 +189,12 @@
 }
 
 func inZone(id wire.MachineID, z wire.Zone, free float64, vs ...Victim) Machine {
-	return Machine{ID: id, Zone: z, Total: Res{4, 0, 16}, Free: Res{free, 0, 16}, PullRate: 1, Victims: vs}
+	return Machine{ID: id, Zone: z, Total: Resources{4, 0, 16}, Free: Resources{free, 0, 16}, FetchGBPerS: 1, Victims: vs}
 }
 
 func snapOf(ms []Machine, jobs ...Job) *Snapshot {
 	for i := range jobs {
-		jobs[i].Pending, jobs[i].ZoneHeld = jobs[i].Spec.Tasks, map[wire.Zone]int{}
+		jobs[i].Pending, jobs[i].TasksByZone = jobs[i].Spec.Tasks, map[wire.Zone]int{}
 		if jobs[i].Weight == 0 {
 			jobs[i].Weight = 1
 		}
@@ -207,26 +207,26 @@
 // what it lacks.
 func TestGangsDontWaitForEachOther(t *testing.T) {
 	task := func(i int, left float64) Victim {
-		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Takes: Res{4, 0, 4}, LeftS: left, Lost: 9, Team: "t"}
+		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: Resources{4, 0, 4}, LeftS: left, LostS: 9, Team: "t"}
 	}
 	// Two everyday gangs of two, two machines: the earlier claims both, the later
 	// neither of them and none in part.
 	ms := []Machine{inZone("m", "a", 0, task(0, 3)), inZone("n", "a", 0, task(1, 5))}
 	res := Place(snapOf(ms, Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.PriorityStandard, 2, 4), PatienceS: 9}))
-	if len(res.Clears) != 2 || res.Clears[0].Job != "req-1" || res.Clears[1].Job != "req-1" || len(res.Halts) != 0 {
-		t.Fatalf("clears %+v, halts %v", res.Clears, res.Halts)
+	if len(res.Clearances) != 2 || res.Clearances[0].Job != "req-1" || res.Clearances[1].Job != "req-1" || len(res.Halts) != 0 {
+		t.Fatalf("clears %+v, halts %v", res.Clearances, res.Halts)
 	}
 	// The first machine is free, the second not yet: neither the later gang nor an
 	// array gets the half.
-	claim := func(id wire.JobID) []Claim { return []Claim{{id, 1, Res{4, 0, 4}}} }
+	claim := func(id wire.JobID) []Claim { return []Claim{{id, 1, Resources{4, 0, 4}}} }
 	array := &wire.Spec{ID: "req-3", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 4, MemoryGB: 4, SpotAllowed: true}
 	half := func() []Machine {
 		a, b := inZone("m", "a", 4), inZone("n", "a", 0)
-		a.Claims, b.Claims, b.Stopping = claim("req-1"), claim("req-1"), Res{4, 0, 4}
+		a.Claims, b.Claims, b.Stopping = claim("req-1"), claim("req-1"), Resources{4, 0, 4}
 		return []Machine{a, b}
 	}
 	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}, Job{Spec: gangSpec("req-2", wire.PriorityStandard, 1, 4), PatienceS: 9, Weight: 9}))
-	if len(res.Starts)+len(res.Clears)+len(res.Halts) != 0 {
+	if len(res.Starts)+len(res.Clearances)+len(res.Halts) != 0 {
 		t.Fatalf("beside a gang's claims %+v", res)
 	}
 	// An urgent gang passes over them.
@@ -236,7 +236,7 @@
 	}
 	// Both free: it starts, whatever gains more.
 	both := half()
-	both[1].Free, both[1].Stopping = Res{4, 0, 16}, Res{}
+	both[1].Free, both[1].Stopping = Resources{4, 0, 16}, Resources{}
 	res = Place(snapOf(both, Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}))
 	if len(res.Starts) != 2 || res.Starts[0].Job != 0 {
 		t.Fatalf("with all its room free %+v", res)
@@ -246,28 +246,28 @@
 // Room kept for the next replicas is none that can be made for a gang: it claimed
 // it, could not use it, and waited beside it for ever. One that lingers uses it.
 func TestGangBesideKeptRoom(t *testing.T) {
-	task := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Takes: Res{4, 0, 4}, Lost: 9, LeftS: 99, Team: "t"}
+	task := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 9, LeftS: 99, Team: "t"}
 	ms := func() []Machine { return []Machine{inZone("m", "a", 4), inZone("n", "a", 0, task)} }
 	urgent := Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)}
 	s := snapOf(ms(), urgent)
-	s.Spare, s.SpareTakes = 1, Res{4, 0, 4}
-	if res := Place(s); len(res.Starts) != 0 || len(res.Clears) != 1 || res.Clears[0].On != "n" || len(res.Halts) != 1 {
+	s.SpareUnits, s.SpareUnit = 1, Resources{4, 0, 4}
+	if res := Place(s); len(res.Starts) != 0 || len(res.Clearances) != 1 || res.Clearances[0].On != "n" || len(res.Halts) != 1 {
 		t.Errorf("an urgent gang: %+v", res)
 	}
 	everyday := Job{Spec: gangSpec("req-1", wire.PriorityStandard, 1, 4), PatienceS: 5}
 	s = snapOf(ms(), everyday)
-	s.Spare, s.SpareTakes = 1, Res{4, 0, 4}
-	if res := Place(s); len(res.Starts) != 0 || len(res.Clears) != 0 {
+	s.SpareUnits, s.SpareUnit = 1, Resources{4, 0, 4}
+	if res := Place(s); len(res.Starts) != 0 || len(res.Clearances) != 0 {
 		t.Errorf("an everyday gang: %+v", res)
 	}
-	everyday.Lingers = true
+	everyday.WaitedLong = true
 	s = snapOf(ms(), everyday)
-	s.Spare, s.SpareTakes = 1, Res{4, 0, 4}
+	s.SpareUnits, s.SpareUnit = 1, Resources{4, 0, 4}
 	if res := Place(s); len(res.Starts) != 1 {
 		t.Errorf("one that lingers: %+v", res)
 	}
 	s = snapOf(append(ms(), inZone("o", "a", 4)), everyday)
-	s.Spare, s.SpareTakes = 1, Res{4, 0, 4}
+	s.SpareUnits, s.SpareUnit = 1, Resources{4, 0, 4}
 	if res := Place(s); len(res.Starts) != 1 || res.Starts[0].Machine != 2 {
 		t.Errorf("one that lingers, beside other room: %+v", res)
 	}
@@ -277,7 +277,7 @@
 // what all of its gang loses, which the leader counts.
 func TestGangIsClearedLast(t *testing.T) {
 	v := func(i int, lost float64) Victim {
-		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Takes: Res{4, 0, 4}, Lost: lost, LeftS: 99, Team: "t"}
+		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: lost, LeftS: 99, Team: "t"}
 	}
 	s := snapOf([]Machine{inZone("m", "a", 0, v(0, 4*(10+5))), inZone("n", "a", 0, v(1, 40))}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)})
 	if res := Place(s); len(res.Halts) != 1 || res.Halts[0].Task.Index != 1 {
@@ -294,8 +294,8 @@
 			ms = ms[1:2]
 		}
 		ms[min(1, len(ms)-1)].Images = map[wire.ImageID]Image{"i": Present}
-		s := snapOf(ms, Job{Spec: spec, Lingers: lingers})
-		s.Preempt, s.Gangs = false, []*wire.Spec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
+		s := snapOf(ms, Job{Spec: spec, WaitedLong: lingers})
+		s.Preempt, s.ExpectedGangs = false, []*wire.Spec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
 		got := map[wire.MachineID]int{}
 		for _, st := range Place(s).Starts {
 			got[s.Machines[st.Machine].ID]++
@@ -328,7 +328,7 @@
 func TestGangFetchesWhereItIsQuickest(t *testing.T) {
 	at := func(id wire.MachineID, z wire.Zone, free, rate float64, image Image) Machine {
 		m := inZone(id, z, free)
-		m.PullRate, m.Images = rate, map[wire.ImageID]Image{"i": image}
+		m.FetchGBPerS, m.Images = rate, map[wire.ImageID]Image{"i": image}
 		return m
 	}
 	place := func(ms ...Machine) map[wire.MachineID]int {
@@ -353,11 +353,11 @@
 		t.Errorf("in another zone: %v", got)
 	}
 	busy := other
-	busy.PullGB = 3 // of other images, which share its rate
+	busy.FetchingGB = 3 // of other images, which share its rate
 	if got := place(slow, quick, busy); got["m"] != 0 || got["n"] != 1 || got["o"] != 1 {
 		t.Errorf("4.4 s against 4.7 s: %v", got)
 	}
-	busy.PullGB = 4
+	busy.FetchingGB = 4
 	if got := place(slow, quick, busy); got["m"] != 2 {
 		t.Errorf("5.4 s against 4.7 s: %v", got)
 	}
@@ -373,11 +373,11 @@
 // stopped only where nothing else can be; one without an aim, or late already, stops
 // the lowest priority first.
 func TestGangInTimeStopsWhatLeavesAtOnce(t *testing.T) {
-	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Takes: Res{4, 0, 4}, Lost: 3, LeftS: 99, SavesS: 3, Team: "t"}
-	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Takes: Res{4, 0, 4}, Lost: 30, LeftS: 99, Team: "t"}
+	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 3, LeftS: 99, SavesS: 3, Team: "t"}
+	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: 30, LeftS: 99, Team: "t"}
 	full := func(vs ...Victim) Machine {
 		m := inZone("m", "a", 0, vs...)
-		m.Total = Res{4 * float64(len(vs)), 0, 32}
+		m.Total = Resources{4 * float64(len(vs)), 0, 32}
 		return m
 	}
 	other := inZone("n", "a", 0, atOnce)
@@ -409,13 +409,13 @@
 func TestRoomMadeForAGangIsItsOwn(t *testing.T) {
 	for free, spare := range map[float64]int{4: 0, 5: 1, 9: 2} {
 		m := inZone("m", "a", free)
-		m.Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Res{2, 0, 2}}, {"req-1", wire.PriorityUrgent.Rank(), Res{2, 0, 2}}}
+		m.Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}, {"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}}
 		s := snapOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), Claims: 2})
-		s.Spare, s.SpareTakes = 4, Res{1, 0, 1} // half of it in one zone at most
+		s.SpareUnits, s.SpareUnit = 4, Resources{1, 0, 1} // half of it in one zone at most
 		if n := len(Place(s).Starts); n != 2 {
 			t.Errorf("%g free: %d of 2 tasks start in the room made for them", free, n)
 		}
-		if n := s.Machines[0].kept; n != spare {
+		if n := s.Machines[0].spareUnits; n != spare {
 			t.Errorf("%g free: room for %d replicas is kept, want %d", free, n, spare)
 		}
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -53,7 +53,7 @@
 				if m.Images[j.Spec.Image] == Present {
 					class = withImage
 				}
-				u := Unit(s.Factors).Value(utility.Grant{class: 1})
+				u := TaskTree(s.Factors).Value(utility.Grant{class: 1})
 				if g := u * j.Weight * (1 + j.WaitedS/max(1, s.Factors.WaitRaiseS)); g > best+1e-12 {
 					best, bj, bm, bw = g, ji, mi, nil
 				}
@@ -107,7 +107,7 @@
 			if len(got) < n {
 				continue
 			}
-			if u := Whole(s.Factors, n).Value(utility.Grant{class: n}) / float64(n); u > unit {
+			if u := GangTree(s.Factors, n).Value(utility.Grant{class: n}) / float64(n); u > unit {
 				unit, where = u, got
 			}
 		}
@@ -130,20 +130,20 @@
 			left, claimed = left.Minus(c.Takes), true
 		}
 	}
-	if claimed && (sp.CPUs > left.CPUs+wire.Eps || sp.MemoryGB > left.RAM+wire.Eps) {
+	if claimed && (sp.CPUs > left.CPUs+wire.Eps || sp.MemoryGB > left.MemoryGB+wire.Eps) {
 		return false
 	}
-	if sp.CPUs > m.Free.CPUs+wire.Eps || sp.GPUs > m.Free.Cards+wire.Eps || sp.MemoryGB > m.Free.RAM+wire.Eps {
+	if sp.CPUs > m.Free.CPUs+wire.Eps || sp.GPUs > m.Free.GPUs+wire.Eps || sp.MemoryGB > m.Free.MemoryGB+wire.Eps {
 		return false
 	}
-	if m.Spot && !sp.SpotAllowed || sp.Zone != "" && sp.Zone != m.Zone || sp.MachineTypes != nil && !slices.Contains(sp.MachineTypes, m.Kit) {
+	if m.Spot && !sp.SpotAllowed || sp.Zone != "" && sp.Zone != m.Zone || sp.MachineTypes != nil && !slices.Contains(sp.MachineTypes, m.Type) {
 		return false
 	}
-	if sp.Spread && j.ZoneHeld[m.Zone]+1 > (sp.Tasks+1)/2 {
+	if sp.Spread && j.TasksByZone[m.Zone]+1 > (sp.Tasks+1)/2 {
 		return false
 	}
 	if sp.SameZone {
-		for z, n := range j.ZoneHeld {
+		for z, n := range j.TasksByZone {
 			if z != m.Zone && n > 0 {
 				return false
 			}
@@ -156,7 +156,7 @@
 	j, m := &s.Jobs[ji], &s.Machines[mi]
 	m.Free = m.Free.Minus(Of(j.Spec))
 	s.Teams[j.Spec.Team].Used = s.Teams[j.Spec.Team].Used.Plus(Of(j.Spec))
-	j.ZoneHeld[m.Zone]++
+	j.TasksByZone[m.Zone]++
 	for i, c := range m.Claims {
 		if c.Job == j.Spec.ID {
 			m.Claims = slices.Delete(slices.Clone(m.Claims), i, i+1)
@@ -175,7 +175,7 @@
 	}
 	c.Jobs = slices.Clone(s.Jobs)
 	for i := range c.Jobs {
-		c.Jobs[i].ZoneHeld = maps.Clone(s.Jobs[i].ZoneHeld)
+		c.Jobs[i].TasksByZone = maps.Clone(s.Jobs[i].TasksByZone)
 	}
 	c.Teams = map[wire.TeamID]*Team{}
 	for k, v := range s.Teams {
@@ -189,7 +189,7 @@
 	zones := []wire.Zone{"a", "b"}
 	s := &Snapshot{
 		Teams: map[wire.TeamID]*Team{
-			"red":  {Limit: Res{CPUs: float64(rapid.IntRange(0, 24).Draw(t, "limit"))}},
+			"red":  {Limit: Resources{CPUs: float64(rapid.IntRange(0, 24).Draw(t, "limit"))}},
 			"blue": {},
 		},
 		Factors: Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 60},
@@ -198,9 +198,9 @@
 		cpus := float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "cpus"))
 		used := float64(rapid.IntRange(0, 4).Draw(t, "used"))
 		s.Machines = append(s.Machines, Machine{
-			ID: wire.MachineID(fmt.Sprint("n-", i)), Kit: wire.MachineType(fmt.Sprint("c", cpus)), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
-			Spot: rapid.Bool().Draw(t, "spot"), Total: Res{CPUs: cpus, RAM: cpus * 4}, Free: Res{CPUs: cpus - used, RAM: cpus*4 - used},
-			PullRate: 1, Images: map[wire.ImageID]Image{wire.ImageID(fmt.Sprint("img-", i%2)): Image(rapid.IntRange(0, 2).Draw(t, "image"))},
+			ID: wire.MachineID(fmt.Sprint("n-", i)), Type: wire.MachineType(fmt.Sprint("c", cpus)), Zone: rapid.SampledFrom(zones).Draw(t, "zone"),
+			Spot: rapid.Bool().Draw(t, "spot"), Total: Resources{CPUs: cpus, MemoryGB: cpus * 4}, Free: Resources{CPUs: cpus - used, MemoryGB: cpus*4 - used},
+			FetchGBPerS: 1, Images: map[wire.ImageID]Image{wire.ImageID(fmt.Sprint("img-", i%2)): Image(rapid.IntRange(0, 2).Draw(t, "image"))},
 		})
 	}
 	for i := range rapid.IntRange(0, 5).Draw(t, "jobs") {
@@ -220,19 +220,19 @@
 			held["b"] = rapid.IntRange(0, 1).Draw(t, "held")
 		}
 		// Weights differ by job, so that the order of jobs is decided.
-		s.Jobs = append(s.Jobs, Job{Spec: sp, Pending: parts - held["b"], ZoneHeld: held,
+		s.Jobs = append(s.Jobs, Job{Spec: sp, Pending: parts - held["b"], TasksByZone: held,
 			WaitedS: float64(rapid.IntRange(0, 90).Draw(t, "waited")), Weight: 1 + 0.137*float64(i)})
 	}
 	for i := range s.Machines {
 		if m := &s.Machines[i]; rapid.IntRange(0, 3).Draw(t, "claimed") == 0 {
-			c := Claim{wire.JobID(fmt.Sprint("req-", rapid.IntRange(0, 5).Draw(t, "claimant"))), rapid.IntRange(1, 2).Draw(t, "rank"), Res{CPUs: float64(rapid.IntRange(1, 5).Draw(t, "claim")), RAM: 2}}
+			c := Claim{wire.JobID(fmt.Sprint("req-", rapid.IntRange(0, 5).Draw(t, "claimant"))), rapid.IntRange(1, 2).Draw(t, "rank"), Resources{CPUs: float64(rapid.IntRange(1, 5).Draw(t, "claim")), MemoryGB: 2}}
 			for j := range s.Jobs {
 				if sp := s.Jobs[j].Spec; sp.ID == c.Job {
 					c.Rank, c.Takes = sp.Priority.Rank(), Of(sp)
 				}
 			}
 			m.Claims = []Claim{c}
-			m.Stopping = Res{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "stopping")), RAM: 2}
+			m.Stopping = Resources{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "stopping")), MemoryGB: 2}
 		}
 	}
 	return s
@@ -303,10 +303,10 @@
 	s := &Snapshot{
 		Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60},
 		Machines: []Machine{
-			{ID: "cold", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1},
-			{ID: "warm", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1, Images: map[wire.ImageID]Image{"i": Present}},
+			{ID: "cold", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1},
+			{ID: "warm", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Images: map[wire.ImageID]Image{"i": Present}},
 		},
-		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 2, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
+		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 2, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 	}
 	res := Place(s)
 	if len(res.Starts) != 2 || res.Starts[0].Machine != 1 || res.Starts[1].Machine != 0 {
@@ -320,10 +320,10 @@
 	s := &Snapshot{
 		Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60},
 		Machines: []Machine{
-			{ID: "failed", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1, Services: 1, Images: map[wire.ImageID]Image{"i": Present}},
-			{ID: "cold", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}, PullRate: 1},
+			{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Services: 1, Images: map[wire.ImageID]Image{"i": Present}},
+			{ID: "cold", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1},
 		},
-		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 1, ZoneHeld: map[wire.Zone]int{}, Weight: 1,
+		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1,
 			Avoid: map[wire.MachineID]bool{"failed": true}}},
 	}
 	if res := Place(s); len(res.Starts) != 1 || res.Starts[0].Machine != 1 {
@@ -335,9 +335,9 @@
 func TestSpareRoom(t *testing.T) {
 	mk := func(shape wire.JobKind) int {
 		s := &Snapshot{
-			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, Spare: 2, SpareTakes: Res{1, 0, 4},
-			Machines: []Machine{{ID: "m", Zone: "a", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}}, {ID: "n", Zone: "b", Free: Res{4, 0, 16}, Total: Res{4, 0, 16}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Tasks: 9, CPUs: 1, MemoryGB: 4}, Pending: 9, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
+			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, SpareUnits: 2, SpareUnit: Resources{1, 0, 4},
+			Machines: []Machine{{ID: "m", Zone: "a", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}}, {ID: "n", Zone: "b", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}}},
+			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Tasks: 9, CPUs: 1, MemoryGB: 4}, Pending: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 		}
 		return len(Place(s).Starts)
 	}
@@ -353,12 +353,12 @@
 func TestSpareRoomForWhatLingers(t *testing.T) {
 	starts := func(other bool) (out []wire.MachineID) {
 		s := &Snapshot{
-			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, Spare: 2, SpareTakes: Res{1, 0, 4},
-			Machines: []Machine{{ID: "m", Zone: "a", Free: Res{1, 0, 4}, Total: Res{4, 0, 16}}, {ID: "n", Zone: "b", Free: Res{1, 0, 4}, Total: Res{4, 0, 16}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true}, Pending: 9, ZoneHeld: map[wire.Zone]int{}, Weight: 1, Lingers: true}},
+			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, SpareUnits: 2, SpareUnit: Resources{1, 0, 4},
+			Machines: []Machine{{ID: "m", Zone: "a", Free: Resources{1, 0, 4}, Total: Resources{4, 0, 16}}, {ID: "n", Zone: "b", Free: Resources{1, 0, 4}, Total: Resources{4, 0, 16}}},
+			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true}, Pending: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1, WaitedLong: true}},
 		}
 		if other {
-			s.Machines = append(s.Machines, Machine{ID: "o", Zone: "a", Spot: true, Free: Res{1, 0, 4}, Total: Res{16, 0, 64}})
+			s.Machines = append(s.Machines, Machine{ID: "o", Zone: "a", Spot: true, Free: Resources{1, 0, 4}, Total: Resources{16, 0, 64}})
 		}
 		for _, st := range Place(s).Starts {
 			out = append(out, s.Machines[st.Machine].ID)
@@ -379,12 +379,12 @@
 func TestPreemption(t *testing.T) {
 	mk := func(u wire.Priority, shape wire.JobKind, rank int) []Victim {
 		v := func(n int, lost float64) Victim {
-			return Victim{Task: wire.Task{Job: "req-1", Index: n}, Rank: rank, Takes: Res{4, 0, 4}, Lost: lost, Team: "t"}
+			return Victim{Task: wire.Task{Job: "req-1", Index: n}, Rank: rank, Uses: Resources{4, 0, 4}, LostS: lost, Team: "t"}
 		}
 		s := &Snapshot{Preempt: true,
 			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60},
-			Machines: []Machine{{ID: "m", Total: Res{4, 0, 16}, Victims: []Victim{v(0, 30)}}, {ID: "n", Total: Res{4, 0, 16}, Victims: []Victim{v(1, 3)}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Priority: u, Tasks: 1, CPUs: 2, MemoryGB: 4}, Pending: 1, ZoneHeld: map[wire.Zone]int{}, Weight: 1}},
+			Machines: []Machine{{ID: "m", Total: Resources{4, 0, 16}, Victims: []Victim{v(0, 30)}}, {ID: "n", Total: Resources{4, 0, 16}, Victims: []Victim{v(1, 3)}}},
+			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Priority: u, Tasks: 1, CPUs: 2, MemoryGB: 4}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 		}
 		return Place(s).Halts
 	}
@@ -409,25 +409,25 @@
 		return &wire.Spec{ID: id, Team: "t", Kind: wire.KindArray, Priority: u, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
 	}
 	urgent, small, prod := spec("req-1", wire.PriorityUrgent, 4), spec("req-2", wire.PriorityStandard, 2), spec("req-3", wire.PriorityProd, 2)
-	half := Res{2, 0, 7}
-	whole := Res{4, 0, 16}
+	half := Resources{2, 0, 7}
+	whole := Resources{4, 0, 16}
 	snap := func(m Machine, jobs ...Job) *Snapshot {
-		m.ID, m.Total, m.PullRate = "n", whole, 1
+		m.ID, m.Total, m.FetchGBPerS = "n", whole, 1
 		for i := range jobs {
-			jobs[i].ZoneHeld = map[wire.Zone]int{}
+			jobs[i].TasksByZone = map[wire.Zone]int{}
 		}
 		return &Snapshot{Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, Preempt: true, Machines: []Machine{m}, Jobs: jobs}
 	}
-	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Takes: half} }
+	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: half} }
 	claim := []Claim{{urgent.ID, urgent.Priority.Rank(), Of(urgent)}}
-	full := Machine{Victims: []Victim{victim(0), victim(1)}, Free: Res{0, 0, 2}}
-	free := Machine{Claims: claim, Free: Res{2, 0, 9}, Stopping: half}
+	full := Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}
+	free := Machine{Claims: claim, Free: Resources{2, 0, 9}, Stopping: half}
 	soon := func(v Victim, in float64) Victim {
 		v.LeftS = in
 		return v
 	}
 	twoOf := func(s *Snapshot, m Machine) *Snapshot {
-		m.Total, m.PullRate = whole, 1
+		m.Total, m.FetchGBPerS = whole, 1
 		s.Machines = append(s.Machines, m)
 		return s
 	}
@@ -445,24 +445,24 @@
 		s                     *Snapshot
 		starts, halts, clears int
 	}{
-		{"what ends soon is awaited", snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 4)}, Free: Res{0, 0, 2}}, patient), 0, 0, 1},
-		{"one is awaited, the other stopped", snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 40)}, Free: Res{0, 0, 2}}, patient), 0, 1, 1},
-		{"what may not be stopped can be awaited", snap(Machine{Victims: []Victim{{Task: wire.Task{Job: "req-8"}, Rank: 2, Takes: whole, LeftS: 2}}}, patient), 0, 0, 1},
-		{"a fetch is no reason to stop two tasks", twoOf(snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 4)}, Free: Res{0, 0, 2}}, imaged),
-			Machine{ID: "warm", Images: map[wire.ImageID]Image{"i": Present}, Victims: []Victim{soon(victim(2), 40), soon(victim(3), 40)}, Free: Res{0, 0, 2}}), 0, 0, 1},
+		{"what ends soon is awaited", snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 4)}, Free: Resources{0, 0, 2}}, patient), 0, 0, 1},
+		{"one is awaited, the other stopped", snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 40)}, Free: Resources{0, 0, 2}}, patient), 0, 1, 1},
+		{"what may not be stopped can be awaited", snap(Machine{Victims: []Victim{{Task: wire.Task{Job: "req-8"}, Rank: 2, Uses: whole, LeftS: 2}}}, patient), 0, 0, 1},
+		{"a fetch is no reason to stop two tasks", twoOf(snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 4)}, Free: Resources{0, 0, 2}}, imaged),
+			Machine{ID: "warm", Images: map[wire.ImageID]Image{"i": Present}, Victims: []Victim{soon(victim(2), 40), soon(victim(3), 40)}, Free: Resources{0, 0, 2}}), 0, 0, 1},
 		{"a full machine is cleared", snap(full, Job{Spec: urgent, Pending: 1, Weight: 8}), 0, 2, 1},
 		{"the half that is free is kept", snap(free, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: small, Pending: 2, Weight: 99}), 0, 0, 0},
 		{"the whole is used", snap(Machine{Claims: claim, Free: whole}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: small, Pending: 2, Weight: 99}), 1, 0, 0},
 		{"without a claim the small ones go", snap(Machine{Free: whole}, Job{Spec: urgent, Pending: 1, Weight: 8}, Job{Spec: small, Pending: 2, Weight: 99}), 2, 0, 0},
 		{"a claimed machine is no room for a second unit", snap(free, Job{Spec: urgent, Pending: 2, Weight: 8, Claims: 1}), 0, 0, 0},
 		{"a higher priority passes over it", snap(free, Job{Spec: prod, Pending: 1, Weight: 256}), 1, 0, 0},
-		{"no room is made beyond the team's limit", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Res{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 4), 0, 0, 0},
-		{"within it some is made for a second job", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Res{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 8), 0, 2, 1},
+		{"no room is made beyond the team's limit", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 4), 0, 0, 0},
+		{"within it some is made for a second job", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 8), 0, 2, 1},
 		{"what was claimed and is used counts once", limit(snap(Machine{Claims: claim, Free: whole, Victims: []Victim{victim(0), victim(1)}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 7}), 8), 1, 2, 1},
 	}
 	for _, c := range cases {
 		res := Place(c.s)
-		if len(res.Starts) != c.starts || len(res.Halts) != c.halts || len(res.Clears) != c.clears {
+		if len(res.Starts) != c.starts || len(res.Halts) != c.halts || len(res.Clearances) != c.clears {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
@@ -488,13 +488,13 @@
 		"the limit, against higher rank": {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
 	} {
 		s := &Snapshot{
-			Machines: []Machine{{ID: "m", Zone: "a", Total: Res{CPUs: 16, RAM: 16}, Free: Res{CPUs: k.free, RAM: 16}}},
-			Teams:    map[wire.TeamID]*Team{"red": {Limit: Res{CPUs: 9}, Kept: Res{CPUs: 8, RAM: 4}, KeptFor: "g", KeptRank: wire.PriorityStandard.Rank()}},
-			Factors:  Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 30}, Spare: k.spare, SpareTakes: Res{CPUs: 1, RAM: 1},
-			Jobs: []Job{{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), Pending: 4, ZoneHeld: map[wire.Zone]int{}, Weight: 1, Lingers: k.lingers}},
+			Machines: []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: k.free, MemoryGB: 16}}},
+			Teams:    map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
+			Factors:  Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 30}, SpareUnits: k.spare, SpareUnit: Resources{CPUs: 1, MemoryGB: 1},
+			Jobs: []Job{{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), Pending: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, WaitedLong: k.lingers}},
 		}
 		if k.other != nil {
-			s.Jobs = append(s.Jobs, Job{Spec: k.other, Pending: k.other.Tasks, ZoneHeld: map[wire.Zone]int{}, Weight: 1})
+			s.Jobs = append(s.Jobs, Job{Spec: k.other, Pending: k.other.Tasks, TasksByZone: map[wire.Zone]int{}, Weight: 1})
 		}
 		if n := len(Place(s).Starts); n != k.want {
 			t.Errorf("%s: %d starts, want %d", name, n, k.want)
