--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,7 +15,7 @@
 	Spot  bool
 	Total placement.Resources
 	Price float64 // per hour, now
-	// PullRate in GB a second.
+	// FetchGBPerS in GB a second.
 	FetchGBPerS float64
 	// Room is how many more may be asked for at once.
 	Room int
@@ -64,7 +64,7 @@
 	SlackS float64
 	// Whole: all of the units or none, in one zone if the job wants that.
 	Whole bool
-	// Dear stretches the limit on the price; 0 leaves it as it is.
+	// PriceStretch stretches the limit on the price; 0 leaves it as it is.
 	PriceStretch float64
 }
 
@@ -73,7 +73,7 @@
 	Machines []Machine
 	Offers   []Offer
 	Demands  []Demand
-	// DearLimit is how many times the cheapest price that the types have for
+	// PriceLimit is how many times the cheapest price that the types have for
 	// a unit may be paid for a unit of an array.
 	PriceLimit float64
 	// Cheapest is the lowest nominal price of a unit's worth of any type,
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -45,7 +45,7 @@
 	return placement.Allowed(s, &m)
 }
 
-// soonFree is the room in a bin that is free, or will be in time.
+// freeWithin is the room in a bin that is free, or will be in time.
 func (b *bin) freeWithin(slack float64) placement.Resources {
 	free := b.free
 	for _, f := range b.freeing {
--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -95,30 +95,30 @@
 }
 
 // halt wants the attempt stopped, and with a gang's task all of the gang.
-func (t *term) halt(a *attempt, windDown wire.Seconds, why moveCause) {
+func (t *term) halt(a *attempt, grace wire.Seconds, why moveCause) {
 	if a.job.gang != nil {
-		t.haltGang(a.job, windDown, why)
+		t.haltGang(a.job, grace, why)
 		return
 	}
-	t.haltOne(a, windDown, why)
+	t.haltOne(a, grace, why)
 }
 
-func (t *term) haltOne(a *attempt, windDown wire.Seconds, why moveCause) {
+func (t *term) haltOne(a *attempt, grace wire.Seconds, why moveCause) {
 	if a.planned {
 		if !a.chunk.beingWritten {
 			t.drop(a, taskPending)
 		} else {
-			a.halting, a.gracePeriod, a.haltReason = true, windDown, why
+			a.halting, a.gracePeriod, a.haltReason = true, grace, why
 		}
 		return
 	}
-	if a.halting && a.gracePeriod <= windDown {
+	if a.halting && a.gracePeriod <= grace {
 		return
 	}
 	if !a.halting {
 		a.haltAt = time.Now()
 	}
-	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, windDown, why, time.Time{}
+	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, grace, why, time.Time{}
 	if why != moveCancelled {
 		t.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
 		t.l.Metrics.Moved(string(why))
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -138,7 +138,7 @@
 // spareDemand is for the room that is kept for the next replicas. In one zone alone
 // it would not serve a service that is spread.
 func (t *term) spareDemand(spareUnits float64, zones []wire.Zone) (fleet.Demand, bool) {
-	n, r := t.spare(spareUnits)
+	n, r := t.spareRoom(spareUnits)
 	if n <= 0 {
 		return fleet.Demand{}, false
 	}
@@ -154,7 +154,7 @@
 // the arrays and behind services and their spare room.
 func (t *term) gangReserves(times float64, now time.Time) []fleet.Demand {
 	var out []fleet.Demand
-	for _, spec := range t.nextGangs(times, now) {
+	for _, spec := range t.expectedGangs(times, now) {
 		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, Whole: true}
 		if spec.Spread {
 			d.ZoneLeft = map[wire.Zone]int{}
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -111,7 +111,7 @@
 		case !a.sent && !a.inherited:
 			t.drop(a, taskPending) // never sent by anyone
 		case why == drainFaulty, why == drainSlow && a.job.spec.Service():
-			t.halt(a, t.windDownOf(a.job), moveCause(why))
+			t.halt(a, t.gracePeriodOf(a.job), moveCause(why))
 		}
 	}
 	t.requestRound()
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -13,9 +13,9 @@
 // carry one number, by which they find each other, and start together when the
 // last has its image.
 type gang struct {
-	try  wire.Attempt
-	from time.Time // when it was decided on, or inherited
-	ran  bool      // a task of it ran: it was complete
+	number    wire.Attempt
+	startedAt time.Time // when it was decided on, or inherited
+	ran       bool      // a task of it ran: it was complete
 	// inherited from an earlier leader: it may have run before any report of this
 	// term shows it.
 	inherited bool
@@ -23,24 +23,24 @@
 	// the gang is queued again when nothing of it is left.
 	lost bool
 	// told: all were told to stop, with so much time to save; stopping: with any.
-	told, stopping bool
-	windDown       wire.Seconds
+	haltSent, stopping bool
+	gracePeriod        wire.Seconds
 }
 
 // startGang decides on all tasks of a gang at once, with a number that none of
 // them has had. Nothing is sent before all of it is stored.
 func (t *term) startGang(j *job, ms []*machine, now time.Time) {
-	g := &gang{try: 1, from: now}
+	g := &gang{number: 1, startedAt: now}
 	n := (j.spec.Tasks + j.chunkTasks - 1) / j.chunkTasks
 	for i := range n {
-		g.try = max(g.try, j.chunk(i).nextAttempt)
+		g.number = max(g.number, j.chunk(i).nextAttempt)
 	}
 	j.gang = g
 	for _, m := range ms {
-		t.startWith(j, m, g.try, now)
+		t.startWith(j, m, g.number, now)
 	}
 	for i := range n {
-		j.chunks[i].nextAttempt = g.try + 1
+		j.chunks[i].nextAttempt = g.number + 1
 	}
 }
 
@@ -62,29 +62,29 @@
 	g := a.job.gang
 	wait := t.settings.Workers.GangWaitS.Duration()
 	return g != nil && !a.reported && !a.halting && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drainReason == "" && !a.machine.releasing &&
-		time.Since(g.from) < wait
+		time.Since(g.startedAt) < wait
 }
 
 // haltGang stops all tasks of a gang, all of them at once: those that are told
 // late don't save.
-func (t *term) haltGang(j *job, windDown wire.Seconds, why moveCause) {
+func (t *term) haltGang(j *job, grace wire.Seconds, why moveCause) {
 	g := j.gang
 	if !g.ran && !g.inherited {
-		windDown = 0 // there is nothing to save
+		grace = 0 // there is nothing to save
 	}
-	if g.told && g.windDown <= windDown {
+	if g.haltSent && g.gracePeriod <= grace {
 		return
 	}
-	g.told, g.windDown, g.stopping = true, windDown, windDown > 0
+	g.haltSent, g.gracePeriod, g.stopping = true, grace, grace > 0
 	for _, a := range j.attempts() {
-		t.haltOne(a, windDown, why)
+		t.haltOne(a, grace, why)
 	}
 }
 
-// mendGangs looks after the gangs that have lost a task: what is left of one can
+// stopIncompleteGangs looks after the gangs that have lost a task: what is left of one can
 // do nothing, and is stopped. Those that were told to stop in order end by
 // themselves.
-func (t *term) mendGangs() {
+func (t *term) stopIncompleteGangs() {
 	for j := range t.incompleteGangs {
 		delete(t.incompleteGangs, j)
 		g := j.gang
@@ -95,7 +95,7 @@
 			t.requestRound()
 		case !g.lost:
 			g.lost = true
-			t.log().Info("gang lost a task", "job", j.spec.ID, "try", g.try, "ran", g.ran, "stopping", g.stopping, "age", time.Since(g.from), "left", j.held)
+			t.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stopping, "age", time.Since(g.startedAt), "left", j.held)
 			if !g.stopping {
 				for _, a := range j.attempts() {
 					t.haltOne(a, 0, moveGangLacks)
@@ -137,49 +137,49 @@
 	if j.held == 0 {
 		return
 	}
-	j.gang = &gang{from: t.startedAt, inherited: true}
+	j.gang = &gang{startedAt: t.startedAt, inherited: true}
 	for _, a := range j.attempts() {
-		j.gang.try = max(j.gang.try, a.number)
+		j.gang.number = max(j.gang.number, a.number)
 	}
 	for _, a := range j.attempts() {
-		if (a.number != j.gang.try || !j.complete()) && !t.isAside(j.spec.ID) {
+		if (a.number != j.gang.number || !j.complete()) && !t.isAside(j.spec.ID) {
 			t.incompleteGangs[j] = struct{}{}
 		}
 	}
 }
 
-// gangSeen is a gang of a class, and when one like it was last unfinished.
-type gangSeen struct {
-	spec *wire.Spec
-	at   time.Time
+// recentGang is a gang of a class, and when one like it was last unfinished.
+type recentGang struct {
+	spec     *wire.Spec
+	lastSeen time.Time
 }
 
-// gangKind tells the sizes of gangs of a class apart.
-type gangKind struct {
-	lane  string
-	parts int
+// gangSize tells the sizes of gangs of a class apart.
+type gangSize struct {
+	class string
+	tasks int
 	takes placement.Resources
 }
 
-// nextFor is how long room is kept for the gangs of a class after its last one.
-const nextFor = 3 * time.Minute
+// recentGangLife is how long room is kept for the gangs of a class after its last one.
+const recentGangLife = 3 * time.Minute
 
-// nextGangs are the gangs for which room is kept free of arrays: the largest of
+// expectedGangs are the gangs for which room is kept free of arrays: the largest of
 // each class seen lately, as often as operators say. Everyday gangs may stop
 // nothing, and should start sooner than anything ends on a full deployment.
-func (t *term) nextGangs(times float64, now time.Time) []*wire.Spec {
+func (t *term) expectedGangs(times float64, now time.Time) []*wire.Spec {
 	for _, j := range t.jobs {
 		if j.spec.Gang() && !j.cancelled && !j.finished {
-			t.gangsSeen[gangKind{string(j.spec.Class), j.spec.Tasks, placement.Of(&j.spec)}] = gangSeen{&j.spec, now}
+			t.recentGangs[gangSize{string(j.spec.Class), j.spec.Tasks, placement.Of(&j.spec)}] = recentGang{&j.spec, now}
 		}
 	}
 	size := func(s *wire.Spec) float64 { return float64(s.Tasks) * (s.CPUs + s.MemoryGB/1000 + 10*s.GPUs) }
 	largest := map[string]*wire.Spec{}
-	for k, g := range t.gangsSeen {
-		if now.Sub(g.at) > nextFor {
-			delete(t.gangsSeen, k)
-		} else if l := largest[k.lane]; l == nil || size(g.spec) > size(l) || size(g.spec) == size(l) && g.spec.ID < l.ID {
-			largest[k.lane] = g.spec
+	for k, g := range t.recentGangs {
+		if now.Sub(g.lastSeen) > recentGangLife {
+			delete(t.recentGangs, k)
+		} else if l := largest[k.class]; l == nil || size(g.spec) > size(l) || size(g.spec) == size(l) && g.spec.ID < l.ID {
+			largest[k.class] = g.spec
 		}
 	}
 	var out []*wire.Spec
@@ -194,10 +194,10 @@
 	return out
 }
 
-// windDown of a gang: each has its time to save, and what is saved waits for the
+// grace of a gang: each has its time to save, and what is saved waits for the
 // others.
-func (t *term) windDownOf(j *job) wire.Seconds {
-	w := windDownOf(j)
+func (t *term) gracePeriodOf(j *job) wire.Seconds {
+	w := gracePeriodOf(j)
 	if w > 0 && j.spec.Gang() {
 		w += t.settings.Workers.GangPeerS
 	}
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -22,7 +22,7 @@
 	j.spec.CheckpointInterval, j.spec.CheckpointTime = 20, 3
 	j.chunkTasks = 2
 	j.chunks = make([]*chunk, (parts+1)/2)
-	j.gang = &gang{try: try, from: time.Now()}
+	j.gang = &gang{number: try, startedAt: time.Now()}
 	for i := range parts {
 		m := gangMachine(tm, i)
 		a := &attempt{job: j, chunk: j.chunk(i / j.chunkTasks), index: i % j.chunkTasks, number: try, machine: m, decidedAt: time.Now()}
@@ -99,8 +99,8 @@
 		"the job was cancelled":     {func(_ *term, j *job, _ *attempt) { j.cancelled = true }, false},
 		"its machine is drained":    {func(_ *term, _ *job, a *attempt) { a.machine.drainReason = "slow" }, false},
 		"its machine is returned":   {func(_ *term, _ *job, a *attempt) { a.machine.releasing = true }, false},
-		"just before the wait ends": {func(_ *term, j *job, _ *attempt) { j.gang.from = time.Now().Add(-39 * time.Second) }, true},
-		"they have waited in vain":  {func(_ *term, j *job, _ *attempt) { j.gang.from = time.Now().Add(-40 * time.Second) }, false},
+		"just before the wait ends": {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-39 * time.Second) }, true},
+		"they have waited in vain":  {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-40 * time.Second) }, false},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
@@ -184,12 +184,12 @@
 func TestMendGangs(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	j.gang.ran = true
-	tm.mendGangs()
+	tm.stopIncompleteGangs()
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
 	tm.drop(member(j, 1), taskPending)
-	tm.mendGangs()
+	tm.stopIncompleteGangs()
 	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.lost {
 		t.Errorf("one is lost: %v", got)
 	}
@@ -199,7 +199,7 @@
 	tm.drop(member(j, 0), taskPending)
 	tm.drop(member(j, 2), taskPending)
 	tm.roundWanted = false
-	tm.mendGangs()
+	tm.stopIncompleteGangs()
 	if j.gang != nil || !tm.roundWanted || !tm.canPlace(j, time.Now()) {
 		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.roundWanted, tm.canPlace(j, time.Now()))
 	}
@@ -208,7 +208,7 @@
 	j.gang.ran = true
 	tm.halt(member(j, 0), 13, "makes room")
 	tm.drop(member(j, 1), taskPending)
-	tm.mendGangs()
+	tm.stopIncompleteGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
 	}
@@ -220,7 +220,7 @@
 	m := member(j, 1).machine
 	tm.apply(m, &wire.Report{Machine: m.id, Session: 1, Sequence: 11, Token: tm.firstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
-	tm.mendGangs()
+	tm.stopIncompleteGangs()
 	mustBeDone(t, "one reported done", tm, j)
 }
 
@@ -281,10 +281,10 @@
 			t.Errorf("%s: gang %+v", name, j.gang)
 			continue
 		}
-		if c.gang && (j.gang.try != 4 || !j.gang.inherited || j.gang.ran) {
+		if c.gang && (j.gang.number != 4 || !j.gang.inherited || j.gang.ran) {
 			t.Errorf("%s: %+v", name, j.gang)
 		}
-		tm.mendGangs()
+		tm.stopIncompleteGangs()
 		if c.gang && j.gang.lost != c.mend {
 			t.Errorf("%s: lost %v", name, j.gang.lost)
 		}
@@ -331,7 +331,7 @@
 		ms = append(ms, gangMachine(tm, i))
 	}
 	tm.startGang(j, ms, time.Now())
-	if len(j.attempts()) != 3 || j.unstored != 3 || j.gang.try != 7 || j.gang.inherited || j.complete() {
+	if len(j.attempts()) != 3 || j.unstored != 3 || j.gang.number != 7 || j.gang.inherited || j.complete() {
 		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.attempts()), j.unstored, j.gang, j.complete())
 	}
 	for _, a := range j.attempts() {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -42,7 +42,7 @@
 	tm, _, _ := rig(t)
 	now := time.Now()
 	names := func(times float64, at time.Time) (out []wire.JobID) {
-		for _, s := range tm.nextGangs(times, at) {
+		for _, s := range tm.expectedGangs(times, at) {
 			out = append(out, s.ID)
 		}
 		return
@@ -59,13 +59,13 @@
 		t.Errorf("none: room for %v", got)
 	}
 	delete(tm.jobs, "req-3")
-	if got := names(1, now.Add(nextFor-time.Second)); len(got) != 1 || got[0] != "req-3" {
+	if got := names(1, now.Add(recentGangLife-time.Second)); len(got) != 1 || got[0] != "req-3" {
 		t.Errorf("lately: room for %v", got)
 	}
-	if got := names(1, now.Add(nextFor+time.Second)); len(got) != 1 || got[0] != "req-2" {
+	if got := names(1, now.Add(recentGangLife+time.Second)); len(got) != 1 || got[0] != "req-2" {
 		t.Errorf("later: room for %v", got)
 	}
-	ds := tm.gangReserves(1, now.Add(nextFor+time.Second))
+	ds := tm.gangReserves(1, now.Add(recentGangLife+time.Second))
 	if len(ds) != 1 || !ds[0].Whole || ds[0].Units != 2 || ds[0].Rank >= 9 {
 		t.Errorf("demands %+v", ds)
 	}
@@ -82,7 +82,7 @@
 		gang.acceptedAt = now.Add(-waited)
 		return tm.patience(gang, now)
 	}
-	if got := after(0); got != patienceMost {
+	if got := after(0); got != maxPatienceS {
 		t.Errorf("without an aim: %g s", got)
 	}
 	tm.settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", WithinS: 1}, {Kind: "wait", Class: gang.spec.Class, WithinS: 2}}
@@ -92,7 +92,7 @@
 	if got := after(1500 * time.Millisecond); got != 0.25 {
 		t.Errorf("after 1.5 s: %g s of the last 0.5 s", got)
 	}
-	if got := after(2 * time.Second); got != patienceMost+1-2 {
+	if got := after(2 * time.Second); got != maxPatienceS+1-2 {
 		t.Errorf("late: %g s", got)
 	}
 }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -315,7 +315,7 @@
 			need += t.settings.Workers.GangPeerS.Duration()
 		}
 		if m.takenBackAt.Sub(now) < need {
-			t.halt(a, t.windDownOf(a.job), "saves before its machine is taken")
+			t.halt(a, t.gracePeriodOf(a.job), "saves before its machine is taken")
 		}
 	}
 }
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -270,10 +270,10 @@
 	if p.Phase == wire.PhaseRunning || p.Phase == wire.PhaseSaving || p.Cause == wire.CauseGangBroken {
 		g.ran = true
 	}
-	if p.Phase == wire.PhaseSaving && !g.told && !g.lost && !j.cancelled && a.inherited {
+	if p.Phase == wire.PhaseSaving && !g.haltSent && !g.lost && !j.cancelled && a.inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
 		// that don't learn of it in time don't save.
-		t.haltGang(j, t.windDownOf(j), moveEarlierLeader)
+		t.haltGang(j, t.gracePeriodOf(j), moveEarlierLeader)
 	}
 }
 
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -69,7 +69,7 @@
 
 	writer          *writer           // of the jobs' progress
 	incompleteGangs map[*job]struct{} // gangs of which a task was lost, not yet looked after
-	gangsSeen       map[gangKind]gangSeen
+	recentGangs     map[gangSize]recentGang
 	cancelledJobs   map[*job]struct{} // cancelled, with attempts that may be on machines
 	cancelCursor    uint64            // what of the ledger of cancellations has been taken in
 	raiseAt         time.Time
@@ -92,7 +92,7 @@
 		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
 		zoneDetector: detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.ReportS.Duration()),
-		claimed:      map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, gangsSeen: map[gangKind]gangSeen{},
+		claimed:      map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, recentGangs: map[gangSize]recentGang{},
 	}
 	t.rentals = rentals.New(lease.Token())
 	t.writer = newWriter(&t.settings.State, t.log())
@@ -167,7 +167,7 @@
 	if !t.recovered || !t.lease.Deciding() {
 		return
 	}
-	t.mendGangs()
+	t.stopIncompleteGangs()
 	v := t.l.Tuning.Get()
 	if t.placing && (t.roundWanted && now.After(t.roundAfter) || now.Sub(t.lastRound) >= wire.Seconds(v.RoundS).Duration()) {
 		t.round(now)
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -25,6 +25,11 @@
 	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
 }
 
+// Min is the lesser of each.
+func (r Resources) Min(o Resources) Resources {
+	return Resources{min(r.CPUs, o.CPUs), min(r.GPUs, o.GPUs), min(r.MemoryGB, o.MemoryGB)}
+}
+
 // Times multiplies.
 func (r Resources) Times(k float64) Resources {
 	return Resources{r.CPUs * k, r.GPUs * k, r.MemoryGB * k}
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -37,7 +37,7 @@
 	return j.TasksByZone[z] < j.Spec.ZoneCap()
 }
 
-// room tells whether the team's limit allows so much more for the
+// allows tells whether the team's limit allows so much more for the
 // job.
 func (t *Team) allows(j *Job, take Resources) bool {
 	u := t.Used.Plus(take)
@@ -48,7 +48,7 @@
 		(t.Limit.GPUs == 0 || u.GPUs <= t.Limit.GPUs+wire.Eps)
 }
 
-// ends tells whether the task is worth waiting for: it is expected to end by
+// endsInTime tells whether the task is worth waiting for: it is expected to end by
 // itself within the job's patience. That needs no leave, whatever its priority.
 func endsInTime(j *Job, v *Victim) bool { return j.PatienceS > 0 && v.LeftS <= j.PatienceS }
 
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -68,7 +68,7 @@
 	Takes Resources
 }
 
-// left is the room there will be when all that is being stopped is gone and
+// roomLeft is the room there will be when all that is being stopped is gone and
 // every claim but those that a job may pass over is used.
 func (m *Machine) roomLeft(passes func(*Claim) bool) Resources {
 	left := m.Free.Plus(m.Stopping)
@@ -80,14 +80,14 @@
 	return left
 }
 
-// claimed tells whether others' claims leave no room for the job here.
+// claimedFor tells whether others' claims leave no room for the job here.
 func (m *Machine) claimedFor(j *Job, take Resources) bool {
 	return len(m.Claims) > 0 && !take.Fits(m.roomLeft(func(c *Claim) bool {
 		return c.Job == j.Spec.ID || c.Rank < j.Spec.Priority.Rank()
 	}))
 }
 
-// used takes away the claim that a unit of the job has used.
+// useClaim takes away the claim that a unit of the job has used.
 func (m *Machine) useClaim(id wire.JobID) {
 	if i := slices.IndexFunc(m.Claims, func(c Claim) bool { return c.Job == id }); i >= 0 {
 		m.Claims = slices.Delete(slices.Clone(m.Claims), i, i+1)
@@ -121,7 +121,7 @@
 // Team with what its tasks take and its limit; a limit of 0 is none.
 type Team struct {
 	Used, Limit Resources
-	// Kept is what is kept of the limit for a gang of the team that has waited
+	// Reserved is what is kept of the limit for a gang of the team that has waited
 	// long, KeptFor: tasks of arrays and gangs up to KeptRank leave it alone, or
 	// they would take for ever what the gang needs all at once.
 	Reserved     Resources
@@ -135,11 +135,11 @@
 	Jobs     []Job
 	Teams    map[wire.TeamID]*Team
 	Factors  Factors
-	// Spare is room kept free for the next replicas, of SpareTakes each;
+	// SpareUnits is room kept free for the next replicas, of SpareTakes each;
 	// only services may use it.
 	SpareUnits int
 	SpareUnit  Resources
-	// Gangs are those for which room is kept free of arrays.
+	// ExpectedGangs are those for which room is kept free of arrays.
 	ExpectedGangs []*wire.Spec
 	// Preempt allows to stop tasks for jobs of higher priority.
 	Preempt bool
