--- a/cmd/lilaclead/main.go
+++ b/cmd/lilaclead/main.go
@@ -151,7 +151,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		var r wire.Reason
+		var r wire.ErrorBody
 		if wire.Decode(raw, &r) != nil {
 			r.Error = "unreadable answer"
 		}
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -29,7 +29,7 @@
 	sim := simulator.New(ctx, set, uint64(time.Now().UnixNano()), nil, simulator.Loopback)
 	for i := range set.Size {
 		c := sim.Config(i)
-		c.Front, c.PeerBind = simulator.LoopbackAddr(c.Front), simulator.LoopbackAddr(c.PeerBind)
+		c.UserAddr, c.PeerAddr = simulator.LoopbackAddr(c.UserAddr), simulator.LoopbackAddr(c.PeerAddr)
 		c.Endpoints.State, c.Endpoints.Cloud = simulator.LoopbackAddr(c.Endpoints.State), simulator.LoopbackAddr(c.Endpoints.Cloud)
 		for k := range c.Peers {
 			c.Peers[k].Addr = simulator.LoopbackAddr(c.Peers[k].Addr)
@@ -47,7 +47,7 @@
 	tick := time.NewTicker(5 * time.Second)
 	defer tick.Stop()
 	for n := 0; ; n++ {
-		t := simulator.JobScript{RunTime: 8, Spec: wire.Spec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray,
+		t := simulator.JobScript{RunTime: 8, Spec: wire.JobSpec{ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray,
 			Priority: wire.PriorityStandard, Tasks: 1 + n%6, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: 8}}
 		if n%4 == 3 {
 			t.Spec.Kind, t.Spec.Priority, t.Spec.Team, t.Spec.SpotAllowed, t.Spec.ExpectedRunTime = wire.KindService, wire.PriorityProd, "blue", false, 0
--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -16,8 +16,8 @@
 
 // Timing of a lease.
 type Timing struct {
-	// Life is how long the lease stays taken when its holder is gone.
-	Life time.Duration
+	// TTL is how long the lease stays taken when its holder is gone.
+	TTL time.Duration
 	// RenewEvery is the pause between renewals; a failed one is repeated after a
 	// third of it.
 	RenewEvery time.Duration
@@ -42,14 +42,14 @@
 			errs = append(errs, fmt.Errorf("%s: must be above 0", name))
 		}
 	}
-	positive("life", t.Life)
+	positive("life", t.TTL)
 	positive("renew_every", t.RenewEvery)
 	positive("renew_timeout", t.RenewTimeout)
 	positive("poll", t.Poll)
 	if t.Drift < 0 || t.Drift >= 1 {
 		errs = append(errs, errors.New("drift: must be from 0 to below 1"))
 	}
-	if t.reserve()+t.RenewEvery >= t.Life {
+	if t.reserve()+t.RenewEvery >= t.TTL {
 		errs = append(errs, errors.New("life: leaves no time between a renewal and its end"))
 	}
 	return errors.Join(errs...)
@@ -57,12 +57,12 @@
 
 // reserve is how much earlier than the lease its holder stops.
 func (t Timing) reserve() time.Duration {
-	return t.Margin + time.Duration(t.Drift*float64(t.Life))
+	return t.Margin + time.Duration(t.Drift*float64(t.TTL))
 }
 
-// Holds is for how long a lease is surely held after the request for it, or for its
+// SafeTTL is for how long a lease is surely held after the request for it, or for its
 // renewal, was sent.
-func (t Timing) Holds() time.Duration { return t.Life - t.reserve() }
+func (t Timing) SafeTTL() time.Duration { return t.TTL - t.reserve() }
 
 // Options of a candidate. Key, Node and Store are needed.
 type Options struct {
@@ -73,7 +73,7 @@
 	Clock  Clock        // nil: the machine's own
 	Log    *slog.Logger // nil: none
 	// ObserveToken is told every token that is seen.
-	ObserveToken func(context.Context, Token)
+	ObserveToken func(context.Context, FencingToken)
 	// Eligible tells whether this process may take the lease now; nil: always.
 	Eligible func() bool
 	// Observe is told of what is decided.
@@ -109,7 +109,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	if o.ObserveToken == nil {
-		o.ObserveToken = func(context.Context, Token) {}
+		o.ObserveToken = func(context.Context, FencingToken) {}
 	}
 	if o.Eligible == nil {
 		o.Eligible = func() bool { return true }
@@ -138,9 +138,9 @@
 	c.holder.Store(&observedHolder{node, at})
 }
 
-// StandAside leaves the lease to others until then. It is called by the goroutine
+// BackOffUntil leaves the lease to others until then. It is called by the goroutine
 // that campaigns, while it holds the lease.
-func (c *Candidate) StandAside(until time.Time) { c.notBefore = until }
+func (c *Candidate) BackOffUntil(until time.Time) { c.notBefore = until }
 
 // Campaign waits until nobody holds the lease and takes it; nil once the context has
 // ended.
@@ -171,12 +171,12 @@
 // vacant reads who holds the lease and tells whether nobody does. A record that
 // can't be decoded is somebody's: it is never overwritten.
 func (c *Candidate) vacant(ctx context.Context) bool {
-	e, err := c.Store.Get(ctx, store.Vital, c.Key)
+	e, err := c.Store.Get(ctx, store.Critical, c.Key)
 	if err != nil {
 		return errors.Is(err, ErrMissing)
 	}
-	c.ObserveToken(ctx, Token(e.Revision))
-	var rec store.LeadRecord
+	c.ObserveToken(ctx, FencingToken(e.Revision))
+	var rec store.LeaderRecord
 	if err := wire.Decode(e.Value, &rec); err != nil {
 		c.Undecodable(c.Key, err)
 		return false
@@ -188,7 +188,7 @@
 	// An earlier process of this node holds the lease. It is over, since a host
 	// runs one process; dropping the key makes its late writes fail.
 	c.Log.Info("ends the leadership of this node's last process", "token", e.Revision)
-	_, err = c.Store.Commit(ctx, store.Vital, Txn{
+	_, err = c.Store.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: e.Revision}},
 		Writes: []Write{{Delete: c.Key}},
 	})
@@ -196,40 +196,40 @@
 }
 
 // Record is the lease's key as this process writes it.
-func (c *Candidate) Record() store.LeadRecord {
-	return store.LeadRecord{Node: c.Node, Nonce: c.nonce}
+func (c *Candidate) Record() store.LeaderRecord {
+	return store.LeaderRecord{Node: c.Node, Nonce: c.nonce}
 }
 
 // wrote tells whether the lease's key was written by this process under the grant.
 func (c *Candidate) wrote(e Entry, grant GrantID) bool {
-	var rec store.LeadRecord
+	var rec store.LeaderRecord
 	return e.Grant == grant && wire.Decode(e.Value, &rec) == nil && rec.Nonce == c.nonce
 }
 
 // take tries once to get the lease; nil if it did not.
 func (c *Candidate) take(ctx context.Context) *Lease {
 	sent := c.Clock.Now()
-	grant, err := c.Store.Grant(ctx, c.Timing.Life)
+	grant, err := c.Store.Grant(ctx, c.Timing.TTL)
 	if err != nil {
 		return nil
 	}
-	revision, err := c.Store.Commit(ctx, store.Vital, Txn{
+	revision, err := c.Store.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: 0}},
 		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.Record()), Grant: grant}},
 	})
 	if errors.Is(err, ErrUnknown) {
 		// It may have been executed: then the key names this process and grant.
-		e, readErr := c.Store.Get(ctx, store.Vital, c.Key)
+		e, readErr := c.Store.Get(ctx, store.Critical, c.Key)
 		if readErr == nil && c.wrote(e, grant) {
 			revision, err = e.Revision, nil
 		}
 	}
 	if err != nil {
 		// A late execution of the write is harmless without its grant.
-		c.Store.End(ctx, grant) //nolint:errcheck // it ends by itself
+		c.Store.EndGrant(ctx, grant) //nolint:errcheck // it ends by itself
 		return nil
 	}
-	l := NewLease(c, Terms{Grant: grant, Token: Token(revision), TakenAt: c.Clock.Now(), HeldUntil: sent.Add(c.Timing.Holds())})
+	l := NewLease(c, Tenure{Grant: grant, Token: FencingToken(revision), TakenAt: c.Clock.Now(), HeldUntil: sent.Add(c.Timing.SafeTTL())})
 	l.event(Acquired, "", "")
 	return l
 }
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -17,9 +17,9 @@
 
 // The state service's types, as its protocol has them.
 type (
-	// Token says who is entitled to act: the holder with the highest one. It is the
+	// FencingToken says who is entitled to act: the holder with the highest one. It is the
 	// revision of the lease's key.
-	Token = wire.Token
+	FencingToken = wire.FencingToken
 	// Revision of a key.
 	Revision = wire.Revision
 	// GrantID names a grant of the state service, to which the lease's key is bound.
@@ -45,7 +45,7 @@
 type Store interface {
 	Grant(ctx context.Context, life time.Duration) (GrantID, error)
 	Renew(ctx context.Context, grant GrantID, timeout time.Duration) error
-	End(ctx context.Context, grant GrantID) error
+	EndGrant(ctx context.Context, grant GrantID) error
 	Get(ctx context.Context, class RequestClass, key string) (Entry, error)
 	Commit(ctx context.Context, class RequestClass, txn Txn) (Revision, error)
 }
@@ -62,12 +62,12 @@
 
 // Why something is not done.
 var (
-	// ErrGrantGone: the state service has ended the lease's grant.
-	ErrGrantGone = errors.New("the grant is gone")
-	// ErrVacant: nobody holds the lease.
-	ErrVacant = errors.New("the leadership is vacant")
-	// ErrTaken: another process holds the lease.
-	ErrTaken = errors.New("another node leads")
+	// ErrGrantExpired: the state service has ended the lease's grant.
+	ErrGrantExpired = errors.New("the grant is gone")
+	// ErrNoHolder: nobody holds the lease.
+	ErrNoHolder = errors.New("the leadership is vacant")
+	// ErrHeldByOther: another process holds the lease.
+	ErrHeldByOther = errors.New("another node leads")
 	// ErrNotHeld: the lease is not surely held now.
 	ErrNotHeld = errors.New("the lease is not surely held")
 	// ErrNoPermit: the permit was not given by a lease.
@@ -93,24 +93,24 @@
 
 // The scheduler's own duties.
 type (
-	// Renting asks the cloud for machines.
-	Renting struct{}
-	// Returning gives machines back to the cloud.
-	Returning struct{}
-	// Reclaiming stops tasks: to make room, to drain a machine, or as nobody owns them.
-	Reclaiming struct{}
+	// ScaleOut asks the cloud for machines.
+	ScaleOut struct{}
+	// ScaleIn gives machines back to the cloud.
+	ScaleIn struct{}
+	// Preemption stops tasks: to make room, to drain a machine, or as nobody owns them.
+	Preemption struct{}
 	// Cleanup changes and drops records.
 	Cleanup struct{}
 )
 
 // Name of the duty.
-func (Renting) Name() Name { return "renting" }
+func (ScaleOut) Name() Name { return "renting" }
 
 // Name of the duty.
-func (Returning) Name() Name { return "returning" }
+func (ScaleIn) Name() Name { return "returning" }
 
 // Name of the duty.
-func (Reclaiming) Name() Name { return "reclaiming" }
+func (Preemption) Name() Name { return "reclaiming" }
 
 // Name of the duty.
 func (Cleanup) Name() Name { return "cleanup" }
@@ -147,11 +147,11 @@
 
 // Event is something that was decided. Duty is empty where it is about the lease.
 type Event struct {
-	At    time.Time
-	Kind  EventKind
-	Duty  Name
-	Token Token
-	Why   string
+	At     time.Time
+	Kind   EventKind
+	Duty   Name
+	Token  FencingToken
+	Reason string
 }
 
 // Observer is told of events. It must not block.
--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -27,7 +27,7 @@
 }
 
 // timing of the leases: three seconds, and no margin beyond the clocks' drift.
-var timing = duty.Timing{Life: 3 * time.Second, RenewEvery: 700 * time.Millisecond, RenewTimeout: time.Second, Poll: 100 * time.Millisecond, Drift: 0.02}
+var timing = duty.Timing{TTL: 3 * time.Second, RenewEvery: 700 * time.Millisecond, RenewTimeout: time.Second, Poll: 100 * time.Millisecond, Drift: 0.02}
 
 func inWorld(t *testing.T, f func(w *world)) {
 	t.Helper()
@@ -48,7 +48,7 @@
 func (w *world) candidate(host int, clock duty.Clock, timing duty.Timing) *duty.Candidate {
 	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	client := store.New(simulator.StateAddr, limits, 3, w.network.Host(simulator.NodeIP(host)))
-	return duty.NewCandidate(duty.Options{Key: store.LeadKey, Node: duty.NodeID(rune('a' + host)), Store: client, Timing: timing, Clock: clock,
+	return duty.NewCandidate(duty.Options{Key: store.LeaderKey, Node: duty.NodeID(rune('a' + host)), Store: client, Timing: timing, Clock: clock,
 		Observe: func(e duty.Event) { w.events = append(w.events, e) }, Undecodable: func(key string, _ error) { w.damaged = append(w.damaged, key) }})
 }
 
@@ -87,7 +87,7 @@
 			act, cancel := lease.Context(w.ctx)
 			defer cancel()
 			w.state.RefuseClient(simulator.NodeIP(0), true)
-			for len(w.state.Keys(store.LeadKey)) > 0 && act.Err() == nil {
+			for len(w.state.Keys(store.LeaderKey)) > 0 && act.Err() == nil {
 				time.Sleep(time.Millisecond)
 			}
 			if ended := act.Err() != nil && !lease.Held(); ended != c.before {
@@ -104,17 +104,17 @@
 // lease gave, nor with one from before the lease was given up.
 func TestPermits(t *testing.T) {
 	inWorld(t, func(w *world) {
-		var none duty.Permit[duty.Returning]
+		var none duty.Permit[duty.ScaleIn]
 		if err := none.Do(w.ctx, func(context.Context) error { t.Error("done without a permit"); return nil }); !errors.Is(err, duty.ErrNoPermit) {
 			t.Errorf("no permit: %v", err)
 		}
 		first := w.candidate(0, nil, timing).Campaign(w.ctx)
-		permit, err := duty.For[duty.Cleanup](first)
+		permit, err := duty.PermitFor[duty.Cleanup](first)
 		if err != nil || permit.Token() != first.Token() || permit.Name() != "cleanup" {
 			t.Fatalf("%+v, %v", permit, err)
 		}
 		put := duty.Txn{Writes: []duty.Write{{Put: "fact/x", Value: wire.Encode(1)}}}
-		if _, err := permit.Commit(w.ctx, store.Vital, put); err != nil {
+		if _, err := permit.Commit(w.ctx, store.Critical, put); err != nil {
 			t.Errorf("held: %v", err)
 		}
 		act, cancel := first.Context(w.ctx)
@@ -124,10 +124,10 @@
 		if took := second.TakenAt().Sub(first.TakenAt()); took > time.Second || second.Token() <= first.Token() {
 			t.Errorf("after resigning: token %d after %d, taken %v later", second.Token(), first.Token(), took)
 		}
-		if _, err := permit.Commit(w.ctx, store.Vital, put); !errors.Is(err, duty.ErrNotHeld) {
+		if _, err := permit.Commit(w.ctx, store.Critical, put); !errors.Is(err, duty.ErrNotHeld) {
 			t.Errorf("resigned: %v", err)
 		}
-		if _, err := duty.For[duty.Renting](first); !errors.Is(err, duty.ErrNotHeld) {
+		if _, err := duty.PermitFor[duty.ScaleOut](first); !errors.Is(err, duty.ErrNotHeld) {
 			t.Errorf("resigned: %v", err)
 		}
 		time.Sleep(4 * time.Second)
@@ -143,14 +143,14 @@
 	inWorld(t, func(w *world) {
 		c := w.candidate(0, nil, timing)
 		first := c.Campaign(w.ctx)
-		permit, err := duty.For[duty.Cleanup](first)
+		permit, err := duty.PermitFor[duty.Cleanup](first)
 		if err != nil {
 			t.Fatal(err)
 		}
 		w.state.DelayTransactions(func(*wire.Txn) time.Duration { return 700 * time.Millisecond })
 		late := make(chan error, 1)
 		go func() {
-			_, err := permit.Commit(w.ctx, store.Vital, duty.Txn{Writes: []duty.Write{{Put: "fact/late", Value: wire.Encode(1)}}})
+			_, err := permit.Commit(w.ctx, store.Critical, duty.Txn{Writes: []duty.Write{{Put: "fact/late", Value: wire.Encode(1)}}})
 			late <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
@@ -158,7 +158,7 @@
 		first.Resign(w.ctx, time.Now())
 		second := c.Campaign(w.ctx)
 		var conflict *duty.ConflictError
-		if err := <-late; !errors.As(err, &conflict) || !conflict.Has(store.LeadKey) {
+		if err := <-late; !errors.As(err, &conflict) || !conflict.Has(store.LeaderKey) {
 			t.Errorf("sent under token %d, with %d in force: %v", first.Token(), second.Token(), err)
 		}
 		if first.Held() || !second.Held() || second.Token() <= first.Token() {
@@ -173,7 +173,7 @@
 	inWorld(t, func(w *world) {
 		first := w.candidate(0, nil, timing).Campaign(w.ctx)
 		w.keep(first)
-		intents := duty.OpenIntents[duty.Returning, string](first, 200)
+		intents := duty.OpenIntents[duty.ScaleIn, string](first, 200)
 		if err := intents.Record(w.ctx, []string{"early"}); !errors.Is(err, duty.ErrNoPermit) {
 			t.Errorf("before the record was read: %v", err)
 		}
@@ -198,7 +198,7 @@
 			if err := intents.Record(w.ctx, []string{name}); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
-			next := duty.OpenIntents[duty.Returning, string](first, 200)
+			next := duty.OpenIntents[duty.ScaleIn, string](first, 200)
 			if rec, err := next.Load(w.ctx); err != nil || len(rec.Open) != 1 || rec.Open[0] != name || rec.Token != first.Token() {
 				t.Errorf("%s: recorded %+v, %v", name, rec, err)
 			}
@@ -209,7 +209,7 @@
 			t.Errorf("by the earlier holder: %v", err)
 		}
 		w.state.Put(duty.IntentKey("returning"), "not a record")
-		damaged := duty.OpenIntents[duty.Returning, string](second, 200)
+		damaged := duty.OpenIntents[duty.ScaleIn, string](second, 200)
 		if _, err := damaged.Load(w.ctx); !errors.Is(err, duty.ErrUndecodable) || len(w.damaged) != 1 {
 			t.Errorf("undecodable: %v, noted %v", err, w.damaged)
 		}
@@ -225,7 +225,7 @@
 	inWorld(t, func(w *world) {
 		lease := w.candidate(0, nil, timing).Campaign(w.ctx)
 		w.keep(lease)
-		intents := duty.OpenIntents[duty.Returning, string](lease, 200)
+		intents := duty.OpenIntents[duty.ScaleIn, string](lease, 200)
 		if _, err := intents.Load(w.ctx); err != nil {
 			t.Fatal(err)
 		}
@@ -250,11 +250,11 @@
 // is not overwritten.
 func TestUndecodableLease(t *testing.T) {
 	inWorld(t, func(w *world) {
-		revision := w.state.Put(store.LeadKey, "no holder")
+		revision := w.state.Put(store.LeaderKey, "no holder")
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 		defer cancel()
-		if lease := w.candidate(0, nil, timing).Campaign(ctx); lease != nil || w.state.Revision(store.LeadKey) != revision || len(w.damaged) == 0 {
-			t.Errorf("lease %+v, revision %d, noted %v", lease, w.state.Revision(store.LeadKey), w.damaged)
+		if lease := w.candidate(0, nil, timing).Campaign(ctx); lease != nil || w.state.Revision(store.LeaderKey) != revision || len(w.damaged) == 0 {
+			t.Errorf("lease %+v, revision %d, noted %v", lease, w.state.Revision(store.LeaderKey), w.damaged)
 		}
 	})
 }
@@ -263,7 +263,7 @@
 func TestEvents(t *testing.T) {
 	inWorld(t, func(w *world) {
 		lease := w.candidate(0, nil, timing).Campaign(w.ctx)
-		permit, err := duty.For[duty.Renting](lease)
+		permit, err := duty.PermitFor[duty.ScaleOut](lease)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -295,7 +295,7 @@
 	if err := timing.Validate(); err != nil {
 		t.Error(err)
 	}
-	err := duty.Timing{Life: time.Second, RenewEvery: 2 * time.Second, Drift: 1.5}.Validate()
+	err := duty.Timing{TTL: time.Second, RenewEvery: 2 * time.Second, Drift: 1.5}.Validate()
 	for _, field := range []string{"renew_timeout", "poll", "drift", "life"} {
 		if err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%v does not name %s", err, field)
--- a/duty/freeze_test.go
+++ b/duty/freeze_test.go
@@ -227,7 +227,7 @@
 	}
 	slices.Sort(takeovers)
 	t.Logf("%d runs; from freeze to the successor's first act: median %v, 99th %v, worst %v (a lease of %v)", len(takeovers),
-		takeovers[len(takeovers)/2], takeovers[len(takeovers)*99/100], takeovers[len(takeovers)-1], testTiming.Life)
+		takeovers[len(takeovers)/2], takeovers[len(takeovers)*99/100], takeovers[len(takeovers)-1], testTiming.TTL)
 }
 
 // Without permits, intents and guards, and with a worker that checks no tokens, the
@@ -243,7 +243,7 @@
 		}
 	}
 	t.Logf("stale acts accepted without a fence: %v", found)
-	for _, d := range []duty.Duty{duty.Renting{}, duty.Returning{}, duty.Reclaiming{}, duty.Cleanup{}} {
+	for _, d := range []duty.Duty{duty.ScaleOut{}, duty.ScaleIn{}, duty.Preemption{}, duty.Cleanup{}} {
 		if found[d.Name()] == 0 {
 			t.Errorf("no stale act of %s in 40 runs without a fence", d.Name())
 		}
--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -20,7 +20,7 @@
 )
 
 // testTiming is that of a lease that a test can wait for.
-var testTiming = duty.Timing{Life: 300 * time.Millisecond, RenewEvery: 40 * time.Millisecond, RenewTimeout: 100 * time.Millisecond,
+var testTiming = duty.Timing{TTL: 300 * time.Millisecond, RenewEvery: 40 * time.Millisecond, RenewTimeout: 100 * time.Millisecond,
 	Poll: 15 * time.Millisecond, PollJitter: 10 * time.Millisecond, Margin: 30 * time.Millisecond, Drift: 0.002}
 
 // holder is a program that carries out all duties while it holds the lease, one act
@@ -35,8 +35,8 @@
 	gate   *gate
 
 	lease     *duty.Lease
-	rentals   *duty.Intents[duty.Renting, leader.RentIntent]
-	returns   *duty.Intents[duty.Returning, wire.MachineID]
+	rentals   *duty.Intents[duty.ScaleOut, leader.ScaleOutIntent]
+	returns   *duty.Intents[duty.ScaleIn, wire.MachineID]
 	machines  []string
 	bookings  int
 	candidate *duty.Candidate
@@ -168,8 +168,8 @@
 
 // hold takes over and then acts until the lease is lost.
 func (h *holder) hold(ctx context.Context) {
-	h.rentals = duty.OpenIntents[duty.Renting, leader.RentIntent](h.lease, 16<<10)
-	h.returns = duty.OpenIntents[duty.Returning, wire.MachineID](h.lease, 16<<10)
+	h.rentals = duty.OpenIntents[duty.ScaleOut, leader.ScaleOutIntent](h.lease, 16<<10)
+	h.returns = duty.OpenIntents[duty.ScaleIn, wire.MachineID](h.lease, 16<<10)
 	h.machines, h.bookings = nil, 0
 	if h.takeOver(ctx) != nil {
 		return
@@ -191,7 +191,7 @@
 				err = h.giveBack(ctx, wire.MachineID(id))
 			}
 		}
-		if errors.Is(err, duty.ErrNotHeld) || errors.Is(err, duty.ErrTaken) || errors.Is(err, errTermOver) {
+		if errors.Is(err, duty.ErrNotHeld) || errors.Is(err, duty.ErrHeldByOther) || errors.Is(err, errTermOver) {
 			return
 		}
 	}
@@ -203,7 +203,7 @@
 	if err := h.reclaim(ctx); err != nil {
 		return err
 	}
-	var rentals duty.IntentRecord[leader.RentIntent]
+	var rentals duty.IntentRecord[leader.ScaleOutIntent]
 	var returns duty.IntentRecord[wire.MachineID]
 	if h.fenced {
 		var err error
@@ -246,7 +246,7 @@
 	if !h.fenced {
 		return act(ctx)
 	}
-	permit, err := duty.For[D](h.lease)
+	permit, err := duty.PermitFor[D](h.lease)
 	if err != nil {
 		return err
 	}
@@ -256,13 +256,13 @@
 func (h *holder) rent(ctx context.Context, booking string) error {
 	if h.fenced {
 		// One booking is open at a time; an earlier holder's was this one, or is done.
-		request := wire.RentalRequest{Name: booking, Type: "c4", Zone: "a", Count: 2}
-		if err := h.rentals.Record(ctx, []leader.RentIntent{{Request: request}}); err != nil {
+		request := wire.ScaleOutRequest{Name: booking, Type: "c4", Zone: "a", Count: 2}
+		if err := h.rentals.Record(ctx, []leader.ScaleOutIntent{{Request: request}}); err != nil {
 			return err
 		}
 	}
 	for ctx.Err() == nil {
-		err := permitted[duty.Renting](ctx, h, func(ctx context.Context) error {
+		err := permitted[duty.ScaleOut](ctx, h, func(ctx context.Context) error {
 			made, err := h.ask(ctx, "/cloud/rent", booking)
 			h.machines = append(h.machines, made...)
 			return err
@@ -281,7 +281,7 @@
 		}
 	}
 	for ctx.Err() == nil {
-		err := permitted[duty.Returning](ctx, h, func(ctx context.Context) error {
+		err := permitted[duty.ScaleIn](ctx, h, func(ctx context.Context) error {
 			_, err := h.ask(ctx, "/cloud/return", string(id))
 			return err
 		})
@@ -293,7 +293,7 @@
 }
 
 func (h *holder) reclaim(ctx context.Context) error {
-	return permitted[duty.Reclaiming](ctx, h, func(ctx context.Context) error {
+	return permitted[duty.Preemption](ctx, h, func(ctx context.Context) error {
 		_, err := h.ask(ctx, "/worker/halt", "task")
 		return err
 	})
@@ -302,14 +302,14 @@
 func (h *holder) cleanUp(ctx context.Context) error {
 	txn := duty.Txn{Writes: []duty.Write{{Put: factPrefix + strconv.FormatUint(uint64(h.lease.FirstToken()), 10), Value: wire.Encode(time.Now().UnixNano())}}}
 	if !h.fenced {
-		_, err := h.store.Commit(ctx, store.Vital, txn)
+		_, err := h.store.Commit(ctx, store.Critical, txn)
 		return err
 	}
-	permit, err := duty.For[duty.Cleanup](h.lease)
+	permit, err := duty.PermitFor[duty.Cleanup](h.lease)
 	if err != nil {
 		return err
 	}
-	_, err = permit.Commit(ctx, store.Vital, txn)
+	_, err = permit.Commit(ctx, store.Critical, txn)
 	return err
 }
 
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -19,7 +19,7 @@
 // IntentRecord is what is stored of a duty's open intents: requests that may be on
 // their way to a receiver. It is written under the lease's token.
 type IntentRecord[T any] struct {
-	Token Token          `cbor:"token"`
+	Token FencingToken   `cbor:"token"`
 	At    wire.Timestamp `cbor:"at"`
 	Open  []T            `cbor:"open"`
 }
@@ -53,7 +53,7 @@
 // can be recorded before.
 func (i *Intents[D, T]) Load(ctx context.Context) (IntentRecord[T], error) {
 	var rec IntentRecord[T]
-	e, err := i.lease.candidate.Store.Get(ctx, store.Vital, i.key())
+	e, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
 	switch {
 	case errors.Is(err, ErrMissing):
 	case err != nil:
@@ -108,13 +108,13 @@
 
 // tryRecord tries once; false without an error: it is to be tried again.
 func (i *Intents[D, T]) tryRecord(ctx context.Context, open []T) (bool, error) {
-	permit, err := For[D](i.lease)
+	permit, err := PermitFor[D](i.lease)
 	if err != nil {
 		return false, err
 	}
 	// The record's own revision is a guard too: a try without an answer that is
 	// executed late must not undo a later one.
-	revision, err := permit.Commit(ctx, store.Vital, Txn{
+	revision, err := permit.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: i.key(), Revision: i.revision}},
 		Writes: []Write{{Put: i.key(), Value: wire.Encode(i.record(open))}},
 	})
@@ -136,12 +136,12 @@
 func (i *Intents[D, T]) conflicted(ctx context.Context, conflict *ConflictError) error {
 	// The lease's key may have a new revision by a raised token of ours.
 	if conflict.Has(i.lease.candidate.Key) && !i.ours(ctx) {
-		return ErrTaken
+		return ErrHeldByOther
 	}
 	if conflict.Has(i.key()) {
 		// An earlier try of ours was executed: nobody else can write the record
 		// while we hold the lease.
-		e, err := i.lease.candidate.Store.Get(ctx, store.Vital, i.key())
+		e, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
 		if err == nil || errors.Is(err, ErrMissing) {
 			i.revision = e.Revision
 		}
@@ -152,7 +152,7 @@
 // ours tells whether the lease's key may still be this holder's.
 func (i *Intents[D, T]) ours(ctx context.Context) bool {
 	c := i.lease.candidate
-	e, err := c.Store.Get(ctx, store.Vital, c.Key)
+	e, err := c.Store.Get(ctx, store.Critical, c.Key)
 	if errors.Is(err, ErrMissing) {
 		return false
 	}
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -14,10 +14,10 @@
 // raiseRetry is the pause before a try to raise the token is repeated.
 const raiseRetry = 200 * time.Millisecond
 
-// Terms are the terms on which a lease was taken.
-type Terms struct {
+// Tenure are the terms on which a lease was taken.
+type Tenure struct {
 	Grant     GrantID
-	Token     Token // the revision of the lease's key
+	Token     FencingToken // the revision of the lease's key
 	TakenAt   time.Time
 	HeldUntil time.Time
 }
@@ -26,7 +26,7 @@
 // whether it is still held.
 type Lease struct {
 	candidate *Candidate
-	terms     Terms
+	terms     Tenure
 	token     atomic.Uint64
 	// heldUntil is a time since the lease was taken, which no step of the wall clock
 	// changes.
@@ -38,7 +38,7 @@
 
 // NewLease is a lease that was taken on these terms, for whoever takes or restores
 // leases by other means than Campaign.
-func NewLease(c *Candidate, terms Terms) *Lease {
+func NewLease(c *Candidate, terms Tenure) *Lease {
 	l := &Lease{candidate: c, terms: terms}
 	l.token.Store(uint64(terms.Token))
 	l.heldUntil.Store(int64(terms.HeldUntil.Sub(terms.TakenAt)))
@@ -54,15 +54,15 @@
 
 func (l *Lease) event(kind EventKind, duty Name, why string) {
 	if l.candidate != nil {
-		l.candidate.Observe(Event{At: l.clock().Now(), Kind: kind, Duty: duty, Token: l.Token(), Why: why})
+		l.candidate.Observe(Event{At: l.clock().Now(), Kind: kind, Duty: duty, Token: l.Token(), Reason: why})
 	}
 }
 
 // FirstToken is the token with which the lease was taken.
-func (l *Lease) FirstToken() Token { return l.terms.Token }
+func (l *Lease) FirstToken() FencingToken { return l.terms.Token }
 
 // Token is the token now; it only grows.
-func (l *Lease) Token() Token { return Token(l.token.Load()) }
+func (l *Lease) Token() FencingToken { return FencingToken(l.token.Load()) }
 
 // TakenAt is when the lease was taken.
 func (l *Lease) TakenAt() time.Time { return l.terms.TakenAt }
@@ -78,7 +78,7 @@
 
 // extend counts a renewal that was sent then.
 func (l *Lease) extend(sent time.Time) {
-	next := int64(sent.Add(l.candidate.Timing.Holds()).Sub(l.terms.TakenAt))
+	next := int64(sent.Add(l.candidate.Timing.SafeTTL()).Sub(l.terms.TakenAt))
 	for {
 		now := l.heldUntil.Load()
 		if now == resigned || now >= next || l.heldUntil.CompareAndSwap(now, next) {
@@ -127,8 +127,8 @@
 			renewed(sent)
 			wait = timing.RenewEvery
 		case errors.Is(err, ErrMissing):
-			l.event(Lost, "", ErrGrantGone.Error())
-			return ErrGrantGone
+			l.event(Lost, "", ErrGrantExpired.Error())
+			return ErrGrantExpired
 		default:
 			wait = timing.RenewEvery / 3
 		}
@@ -139,7 +139,7 @@
 // long it takes. Nothing that was sent under the old one can take effect
 // afterwards: transactions fail at their guard, and commands at every receiver that
 // has seen the new one.
-func (l *Lease) RaiseToken(ctx context.Context, old Token) (Token, error) {
+func (l *Lease) RaiseToken(ctx context.Context, old FencingToken) (FencingToken, error) {
 	for {
 		token, err := l.tryRaise(ctx, old)
 		if err == nil && token > old {
@@ -158,27 +158,27 @@
 }
 
 // tryRaise tries once; without an error and without a token the outcome is open.
-func (l *Lease) tryRaise(ctx context.Context, old Token) (Token, error) {
+func (l *Lease) tryRaise(ctx context.Context, old FencingToken) (FencingToken, error) {
 	c := l.candidate
-	revision, err := c.Store.Commit(ctx, store.Vital, Txn{
+	revision, err := c.Store.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: Revision(old)}},
 		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.Record()), Grant: l.terms.Grant}},
 	})
 	if err == nil {
-		return Token(revision), nil
+		return FencingToken(revision), nil
 	}
 	// Executed, perhaps by an earlier try: then the key is ours with a new revision.
-	e, err := c.Store.Get(ctx, store.Vital, c.Key)
-	var rec store.LeadRecord
+	e, err := c.Store.Get(ctx, store.Critical, c.Key)
+	var rec store.LeaderRecord
 	switch {
 	case errors.Is(err, ErrMissing):
-		return 0, ErrVacant
+		return 0, ErrNoHolder
 	case err != nil || wire.Decode(e.Value, &rec) != nil:
 		return 0, nil
 	case !c.wrote(e, l.terms.Grant):
-		return 0, ErrTaken
+		return 0, ErrHeldByOther
 	}
-	return Token(e.Revision), nil
+	return FencingToken(e.Revision), nil
 }
 
 // Resign gives the lease up and leaves it to others until then. No act is permitted
@@ -187,6 +187,6 @@
 func (l *Lease) Resign(ctx context.Context, until time.Time) {
 	l.heldUntil.Store(resigned)
 	l.event(Resigned, "", "")
-	l.candidate.StandAside(until)
-	go l.candidate.Store.End(context.WithoutCancel(ctx), l.terms.Grant) //nolint:errcheck // else it runs out by itself
+	l.candidate.BackOffUntil(until)
+	go l.candidate.Store.EndGrant(context.WithoutCancel(ctx), l.terms.Grant) //nolint:errcheck // else it runs out by itself
 }
--- a/duty/permit.go
+++ b/duty/permit.go
@@ -10,8 +10,8 @@
 // before the act.
 type Permit[D Duty] struct{ lease *Lease }
 
-// For gives a permit for a duty, or ErrNotHeld.
-func For[D Duty](l *Lease) (Permit[D], error) {
+// PermitFor gives a permit for a duty, or ErrNotHeld.
+func PermitFor[D Duty](l *Lease) (Permit[D], error) {
 	p := Permit[D]{l}
 	return p, p.Check()
 }
@@ -32,7 +32,7 @@
 }
 
 // Token under which the act is carried out; 0: none.
-func (p Permit[D]) Token() Token {
+func (p Permit[D]) Token() FencingToken {
 	if p.lease == nil {
 		return 0
 	}
--- a/duty/receivers_test.go
+++ b/duty/receivers_test.go
@@ -22,7 +22,7 @@
 // act is something that a receiver was asked to do.
 type act struct {
 	duty   duty.Name
-	token  duty.Token
+	token  duty.FencingToken
 	what   string // booking, machine, worker or key
 	effect bool   // it changed something
 	at     time.Time
@@ -39,11 +39,11 @@
 	acts     []act
 	bookings map[string][]string
 	machines map[string]bool
-	used     map[string]duty.Token // by whom a machine was last used
+	used     map[string]duty.FencingToken // by whom a machine was last used
 	nextID   int
-	highest  duty.Token // that the worker has seen
+	highest  duty.FencingToken // that the worker has seen
 	// promoted is when the lease was last taken, and by which token.
-	promoted    duty.Token
+	promoted    duty.FencingToken
 	promotedAt  time.Time
 	actsBefore  int                      // acts until then
 	facts       map[string]duty.Revision // of the records that clean-up writes
@@ -52,7 +52,7 @@
 }
 
 func newReceivers(checks bool) *receivers {
-	return &receivers{state: simulator.NewState(12, 16), checks: checks, bookings: map[string][]string{}, machines: map[string]bool{}, used: map[string]duty.Token{}, facts: map[string]duty.Revision{}}
+	return &receivers{state: simulator.NewState(12, 16), checks: checks, bookings: map[string][]string{}, machines: map[string]bool{}, used: map[string]duty.FencingToken{}, facts: map[string]duty.Revision{}}
 }
 
 func (r *receivers) ServeHTTP(w http.ResponseWriter, q *http.Request) {
@@ -70,10 +70,10 @@
 	defer r.mu.Unlock()
 	r.state.ServeHTTP(w, q)
 	r.noteFacts()
-	if now := duty.Token(r.state.Revision(leaseKey)); now > r.promoted {
+	if now := duty.FencingToken(r.state.Revision(leaseKey)); now > r.promoted {
 		r.promoted, r.promotedAt, r.actsBefore = now, time.Now(), len(r.acts)
 		r.openRentals, r.openReturns = map[string]bool{}, map[string]bool{}
-		var rentals duty.IntentRecord[leader.RentIntent]
+		var rentals duty.IntentRecord[leader.ScaleOutIntent]
 		var returns duty.IntentRecord[wire.MachineID]
 		decode(r.state.Value(duty.IntentKey("renting")), &rentals)
 		decode(r.state.Value(duty.IntentKey("returning")), &returns)
@@ -95,7 +95,7 @@
 		}
 		r.facts[key] = revision
 		token, _ := strconv.ParseUint(key[len(factPrefix):], 10, 64)
-		r.acts = append(r.acts, act{duty: duty.Cleanup{}.Name(), token: duty.Token(token), what: key, effect: true, at: time.Now()})
+		r.acts = append(r.acts, act{duty: duty.Cleanup{}.Name(), token: duty.FencingToken(token), what: key, effect: true, at: time.Now()})
 	}
 }
 
@@ -118,16 +118,16 @@
 		return
 	}
 	token, _ := strconv.ParseUint(q.Header.Get(tokenHeader), 10, 64)
-	a := act{token: duty.Token(token), what: in.Name, at: time.Now()}
+	a := act{token: duty.FencingToken(token), what: in.Name, at: time.Now()}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	status, answer := http.StatusOK, []string{}
 	switch q.URL.Path {
 	case "/cloud/rent":
-		a.duty = duty.Renting{}.Name()
+		a.duty = duty.ScaleOut{}.Name()
 		answer, a.effect = r.rent(in.Name)
 	case "/cloud/return":
-		a.duty = duty.Returning{}.Name()
+		a.duty = duty.ScaleIn{}.Name()
 		a.effect = r.machines[in.Name]
 		delete(r.machines, in.Name)
 	case "/cloud/use":
@@ -141,7 +141,7 @@
 			answer = append(answer, id)
 		}
 	case "/worker/halt":
-		a.duty = duty.Reclaiming{}.Name()
+		a.duty = duty.Preemption{}.Name()
 		a.effect = !r.checks || a.token >= r.highest
 		r.highest = max(r.highest, a.token)
 		if !a.effect {
@@ -179,7 +179,7 @@
 	defer r.mu.Unlock()
 	shown := false // the last holder has acted on the worker
 	for _, a := range r.acts[r.actsBefore:] {
-		if a.duty == (duty.Reclaiming{}).Name() && a.token == r.promoted {
+		if a.duty == (duty.Preemption{}).Name() && a.token == r.promoted {
 			shown = true
 		}
 		if a.token == r.promoted {
@@ -190,17 +190,17 @@
 			continue
 		}
 		switch a.duty {
-		case duty.Renting{}.Name():
+		case duty.ScaleOut{}.Name():
 			if r.openRentals[a.what] {
 				completed++
 				continue
 			}
-		case duty.Returning{}.Name():
+		case duty.ScaleIn{}.Name():
 			if r.openReturns[a.what] && r.used[a.what] != r.promoted {
 				completed++
 				continue
 			}
-		case duty.Reclaiming{}.Name():
+		case duty.Preemption{}.Name():
 			if !shown {
 				inWindow++
 				continue
@@ -229,14 +229,14 @@
 }
 
 // holder is the token of who holds the lease.
-func (r *receivers) holder() duty.Token {
+func (r *receivers) holder() duty.FencingToken {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.promoted
 }
 
 const (
-	leaseKey = store.LeadKey
+	leaseKey = store.LeaderKey
 	// launching is no duty of the package: it stands for what a holder does with a
 	// machine that it believes to be its own.
 	launching duty.Name = "launching"
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -24,7 +24,7 @@
 type Admin struct {
 	cfg     *config.Config
 	store   *store.Client
-	tuning  *tuning.Box
+	tuning  *tuning.Current
 	leader  *leader.Leader
 	mesh    *peer.Mesh
 	metrics *Metrics
@@ -34,7 +34,7 @@
 }
 
 // New makes the operators' side of a node.
-func New(cfg *config.Config, st *store.Client, box *tuning.Box, l *leader.Leader, mesh *peer.Mesh, met *Metrics, log *slog.Logger) *Admin {
+func New(cfg *config.Config, st *store.Client, box *tuning.Current, l *leader.Leader, mesh *peer.Mesh, met *Metrics, log *slog.Logger) *Admin {
 	return &Admin{cfg: cfg, store: st, tuning: box, leader: l, mesh: mesh, metrics: met, log: log}
 }
 
@@ -88,11 +88,11 @@
 const retryAfterS = 1
 
 func refuseUnavailable(w http.ResponseWriter) {
-	wire.Refuse(w, http.StatusServiceUnavailable, "state service not available", retryAfterS)
+	wire.RefuseRetryable(w, http.StatusServiceUnavailable, "state service not available", retryAfterS)
 }
 
 func answerConflict(w http.ResponseWriter) {
-	wire.Answer(w, http.StatusConflict, wire.Reason{Error: "the settings have changed since that version"})
+	wire.Answer(w, http.StatusConflict, wire.ErrorBody{Error: "the settings have changed since that version"})
 }
 
 func (a *Admin) list(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -120,15 +120,15 @@
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
 		w.Header().Set("Connection", "close")
-		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.Reason{Error: err.Error()})
+		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
 		return c, false
 	}
 	if !wire.IsMap(raw) || wire.Decode(raw, &c) != nil {
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a CBOR map of version and set"})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"})
 		return c, false
 	}
 	if c.Version == nil || len(c.Set) == 0 {
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "missing", Field: "version and set"})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "missing", Field: "version and set"})
 		return c, false
 	}
 	return c, true
@@ -147,7 +147,7 @@
 	if _, err := tuning.Apply(tuning.Default(), c.Set, true); err != nil {
 		var fe wire.FieldError
 		errors.As(err, &fe)
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: fe.Reason, Field: fe.Field})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: fe.Reason, Field: fe.Field})
 		return
 	}
 	if version != *c.Version {
@@ -202,12 +202,12 @@
 
 // View of a node, read-only.
 type View struct {
-	Node   wire.NodeID  `cbor:"node"`
-	Token  wire.Token   `cbor:"token"`
-	Leader wire.NodeID  `cbor:"leader"`
-	Leads  bool         `cbor:"leads"`
-	Serves bool         `cbor:"serves"`
-	Term   *leader.View `cbor:"term,omitempty"`
+	Node   wire.NodeID       `cbor:"node"`
+	Token  wire.FencingToken `cbor:"token"`
+	Leader wire.NodeID       `cbor:"leader"`
+	Leads  bool              `cbor:"leads"`
+	Serves bool              `cbor:"serves"`
+	Term   *leader.View      `cbor:"term,omitempty"`
 }
 
 func (a *Admin) view(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -225,9 +225,9 @@
 	status, err := a.leader.UpgradeStatus(r.Context())
 	switch {
 	case err != nil:
-		wire.Refuse(w, http.StatusServiceUnavailable, err.Error(), retryAfterS)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, err.Error(), retryAfterS)
 	case status == nil:
-		wire.Answer(w, http.StatusNotFound, wire.Reason{Error: "versions are not negotiated (upgrades.negotiate is off)"})
+		wire.Answer(w, http.StatusNotFound, wire.ErrorBody{Error: "versions are not negotiated (upgrades.negotiate is off)"})
 	default:
 		wire.Answer(w, http.StatusOK, status)
 	}
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -81,16 +81,16 @@
 // Leader is the leader's view of the metrics.
 func (m *Metrics) Leader() leader.Metrics {
 	return leader.Metrics{
-		Round: func(took time.Duration, starts, halts int) {
+		SchedulingCycle: func(took time.Duration, starts, halts int) {
 			m.rounds.Observe(took.Seconds())
 			m.starts.Add(float64(starts))
 			m.preemptions.Add(float64(halts))
 		},
-		Led:     m.terms.Inc,
-		Report:  func(s string) { m.reports.WithLabelValues(s).Inc() },
-		Waited:  func(class string, s float64) { m.waits.WithLabelValues(class).Observe(s) },
-		Command: func(s string) { m.commands.WithLabelValues(s).Inc() },
-		Moved:   func(s string) { m.moved.WithLabelValues(s).Inc() },
+		BecameLeader: m.terms.Inc,
+		Heartbeat:    func(s string) { m.reports.WithLabelValues(s).Inc() },
+		StartDelay:   func(class string, s float64) { m.waits.WithLabelValues(class).Observe(s) },
+		Command:      func(s string) { m.commands.WithLabelValues(s).Inc() },
+		TaskMoved:    func(s string) { m.moved.WithLabelValues(s).Inc() },
 		Machines: func(n map[string]int) {
 			m.machines.Reset()
 			for state, k := range n {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -113,7 +113,7 @@
 	case http.StatusTooManyRequests:
 		return ErrBusy
 	case http.StatusServiceUnavailable:
-		var reason wire.Reason
+		var reason wire.ErrorBody
 		if wire.Decode(raw, &reason) == nil && reason.Error == noCapacity {
 			return ErrNoCapacity
 		}
@@ -125,8 +125,8 @@
 	}
 }
 
-// Flavors reads the machine types and their current prices.
-func (c *Client) Flavors(ctx context.Context) ([]wire.MachineSpec, error) {
+// MachineSpecs reads the machine types and their current prices.
+func (c *Client) MachineSpecs(ctx context.Context) ([]wire.MachineSpec, error) {
 	var offered wire.MachineSpecs
 	err := c.do(ctx, unguarded, "flavors", "GET", "/flavors", nil, &offered)
 	if err == nil && len(offered.Types) == 0 {
@@ -135,9 +135,9 @@
 	return offered.Types, err
 }
 
-// Rent asks for machines; a request is repeated under its name until it is
+// ScaleOut asks for machines; a request is repeated under its name until it is
 // answered. An error that is duty.ErrNotHeld says that it was not sent.
-func (c *Client) Rent(ctx context.Context, permit duty.Permit[duty.Renting], request wire.RentalRequest) ([]wire.MachineID, error) {
+func (c *Client) ScaleOut(ctx context.Context, permit duty.Permit[duty.ScaleOut], request wire.ScaleOutRequest) ([]wire.MachineID, error) {
 	var rented wire.MachineNames
 	err := permit.Do(ctx, func(ctx context.Context) error {
 		return c.do(ctx, permit.Check, "rent", "POST", "/machines", request, &rented)
@@ -145,9 +145,9 @@
 	return rented.Machines, err
 }
 
-// Release returns machines; after nil they are gone with all that was on
+// ScaleIn returns machines; after nil they are gone with all that was on
 // them.
-func (c *Client) Release(ctx context.Context, permit duty.Permit[duty.Returning], machines []wire.MachineID) error {
+func (c *Client) ScaleIn(ctx context.Context, permit duty.Permit[duty.ScaleIn], machines []wire.MachineID) error {
 	return permit.Do(ctx, func(ctx context.Context) error {
 		return c.do(ctx, permit.Check, "release", "POST", "/machines/release", wire.MachineNames{Machines: machines}, nil)
 	})
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -43,19 +43,19 @@
 // that a changed, dropped or exchanged key shows.
 func samples() []sample {
 	return []sample{
-		{"job", store.JobRecord{Spec: fullSpec(), Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 37}},
-		{"chunk", store.ChunkRecord{Next: 17, Done: []int{0, 3}, Held: []store.HeldAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}},
-		{"held", store.HeldAttempt{Task: 5, Attempt: 13, Machine: "n-000232"}},
-		{"past", store.PastRecord{Status: wire.Done, Done: 1600}},
-		{"bookings", duty.IntentRecord[leader.RentIntent]{Token: 43, At: 1796000000124, Open: []leader.RentIntent{{Request: wire.RentalRequest{Name: "b-43-1", Type: "g8", Zone: "a", Spot: true, Count: 9}, Since: 1796000000125}}}},
-		{"booking, recorded", leader.RentIntent{Request: wire.RentalRequest{Name: "b-43-2", Type: "g8", Zone: "b", Spot: true, Count: 8}, Since: 1796000000126}},
+		{"job", store.JobRecord{Spec: fullSpec(), Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, Chunk: 37}},
+		{"chunk", store.ChunkRecord{NextAttempt: 17, Done: []int{0, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}},
+		{"held", store.ActiveAttempt{Task: 5, Attempt: 13, Machine: "n-000232"}},
+		{"past", store.FinalRecord{Status: wire.Done, Done: 1600}},
+		{"bookings", duty.IntentRecord[leader.ScaleOutIntent]{Token: 43, At: 1796000000124, Open: []leader.ScaleOutIntent{{Request: wire.ScaleOutRequest{Name: "b-43-1", Type: "g8", Zone: "a", Spot: true, Count: 9}, Since: 1796000000125}}}},
+		{"booking, recorded", leader.ScaleOutIntent{Request: wire.ScaleOutRequest{Name: "b-43-2", Type: "g8", Zone: "b", Spot: true, Count: 8}, Since: 1796000000126}},
 		{"returns", duty.IntentRecord[wire.MachineID]{Token: 44, At: 1796000000127, Open: []wire.MachineID{"n-000231", "n-000232"}}},
 		{"active version", upgrade.ActiveRecord{Version: 2, By: "worker-2", At: 1796000000128}},
 		{"support", upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "c0ffee", At: 1796000000129}},
-		{"job, later", store.JobRecord{Spec: fullSpec(), Status: wire.Queued, At: 1796000000130, Needs: 2}},
+		{"job, later", store.JobRecord{Spec: fullSpec(), Status: wire.Queued, AcceptedAt: 1796000000130, MinVersion: 2}},
 		{"upgrade status", upgrade.Status{Active: 1, Next: 2, Ceiling: 3, Held: true, Controllers: []upgrade.ControllerStatus{fullControllerStatus()}}},
 		{"upgrade status, controller", fullControllerStatus()},
-		{"lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"}},
+		{"lead", store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"}},
 
 		{"beat", fullBeat()},
 		{"beat, leads", peer.Heartbeat{From: "worker-3", Seq: 10, Token: 43, Leads: true, ReachableWorkers: 122}},
@@ -63,10 +63,10 @@
 		{"word", fullWord()},
 		{"cancellation", cancels.Entry{Job: "req-000414", Age: 3 * time.Second}},
 
-		{"reason", wire.Reason{Error: "missing", Field: "owner"}},
+		{"reason", wire.ErrorBody{Error: "missing", Field: "owner"}},
 		{"flavor", fullFlavor()},
 		{"flavors", wire.MachineSpecs{Types: []wire.MachineSpec{fullFlavor()}}},
-		{"booking", wire.RentalRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 9}},
+		{"booking", wire.ScaleOutRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 9}},
 		{"hosts", wire.MachineNames{Machines: []wire.MachineID{"n-1", "n-2"}}},
 		{"host", fullHost()},
 		{"host page", wire.MachinePage{Machines: []wire.ListedMachine{fullHost()}, Truncated: true}},
@@ -83,14 +83,14 @@
 		{"changes", wire.Changes{Revision: 19, Events: []wire.Change{{Put: "job/req-9", Delete: "job/req-10", Value: wire.Raw{0x18, 0x68}, Revision: 20}}}},
 
 		{"spec", fullSpec()},
-		{"spec, flags", wire.Spec{ID: "req-000416", SameZone: true, Spread: true}},
+		{"spec, flags", wire.JobSpec{ID: "req-000416", SameZone: true, Spread: true}},
 		{"job state", wire.JobState{ID: "req-000417", Status: wire.Running, Done: 21, Running: 22}},
 		{"job brief", wire.JobSummary{ID: "req-000418", Status: wire.Queued}},
 
 		{"part state", fullPartState()},
 		{"report", fullReport()},
 		{"order", fullOrder()},
-		{"orders", wire.Commands{Token: 23, Session: 24, Commands: []wire.Command{fullOrder()}}},
+		{"orders", wire.Commands{Token: 23, Epoch: 24, Commands: []wire.Command{fullOrder()}}},
 		{"elsewhere", wire.Redirect{ReportsTo: "worker-4"}},
 
 		{"setting", admin.Setting{Name: "log.level", Value: "debug", Default: "info", Allowed: "words", About: "about"}},
@@ -107,8 +107,8 @@
 
 func pointer[T any](v T) *T { return &v }
 
-func fullSpec() wire.Spec {
-	return wire.Spec{ID: "req-000412", Class: "train", Team: "vision", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: 1600, CPUs: 8, GPUs: 1.5, MemoryGB: 64,
+func fullSpec() wire.JobSpec {
+	return wire.JobSpec{ID: "req-000412", Class: "train", Team: "vision", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: 1600, CPUs: 8, GPUs: 1.5, MemoryGB: 64,
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []wire.MachineType{"g8"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedRunTime: 240, CheckpointInterval: 30, CheckpointTime: 4, Deadline: 900}
 }
 
@@ -137,13 +137,13 @@
 	return wire.TaskState{Task: "req-000419/0", Attempt: 27, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken, Saved: true}
 }
 
-func fullReport() wire.Report {
-	return wire.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 2, Sequence: 88, Token: 41,
+func fullReport() wire.Heartbeat {
+	return wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 2, Sequence: 88, Token: 41,
 		SpotNotice: pointer(wire.Seconds(12.5)), Tasks: []wire.TaskState{fullPartState()}}
 }
 
 func fullOrder() wire.Command {
-	return wire.Command{Verb: wire.Halt, Task: "req-000420/1", Attempt: 28, GracePeriod: pointer(wire.Seconds(2.5))}
+	return wire.Command{Verb: wire.Stop, Task: "req-000420/1", Attempt: 28, GracePeriod: pointer(wire.Seconds(2.5))}
 }
 
 func fullNodeView() admin.View {
@@ -152,15 +152,15 @@
 }
 
 func fullLeaderView() leader.View {
-	return leader.View{Machines: []leader.MachineView{fullMachineView()}, Jobs: []leader.JobView{fullJobView()}, Deciding: true, Bookings: 29}
+	return leader.View{Machines: []leader.MachineView{fullMachineView()}, Jobs: []leader.JobView{fullJobView()}, Deciding: true, PendingScaleOuts: 29}
 }
 
 func fullMachineView() leader.MachineView {
-	return leader.MachineView{Name: "n-5", Kit: "g8", Zone: "a", Spot: true, Booting: true, Drain: "notice", Tasks: 30, SilentS: 1.25, FreeCPUs: 3.75}
+	return leader.MachineView{Name: "n-5", Type: "g8", Zone: "a", Spot: true, Booting: true, Drain: "notice", Tasks: 30, SilentSeconds: 1.25, FreeCPUs: 3.75}
 }
 
 func fullJobView() leader.JobView {
-	return leader.JobView{ID: "req-000421", Lane: "train", Team: "vision", Parts: 31, Done: 32, Held: 33, Fails: 34, AgeS: 35.5, Cancelled: true}
+	return leader.JobView{ID: "req-000421", Class: "train", Team: "vision", Tasks: 31, Done: 32, Active: 33, Failures: 34, AgeSeconds: 35.5, Cancelled: true}
 }
 
 // keyData reads the bytes of the samples by their names.
@@ -413,7 +413,7 @@
 // send.
 func TestSubmissionsKeys(t *testing.T) {
 	raw := keyData(t)["spec"]
-	spec, err := wire.DecodeSpec(raw)
+	spec, err := wire.DecodeJobSpec(raw)
 	if err != nil || !reflect.DeepEqual(spec, fullSpec()) {
 		t.Errorf("%s is read as %+v, %v", diagnosis(raw), spec, err)
 	}
@@ -423,7 +423,7 @@
 func TestSettingsKeepTheirNames(t *testing.T) {
 	stored := map[string]any{"utility.preferred": 1.5, "utility.fallback": 0.25, "utility.wait_raise_s": 61.0, "round.period_s": 2.0, "services.spare_units": 3.0,
 		"gangs.spare": 4.0, "fleet.keep_boots": 0.75, "fleet.stretch_share": 0.7, "fleet.dear_limit": 2.25, "upgrade.max_version": 12.0, "log.level": "debug"}
-	want := tuning.Values{Preferred: 1.5, Fallback: 0.25, WaitRaiseS: 61, RoundS: 2, SpareUnits: 3, SpareGangs: 4, KeepBoots: 0.75, LogLevel: "debug", DearLimit: 2.25, StretchShare: 0.7, MaxVersion: 12}
+	want := tuning.Values{Preferred: 1.5, Fallback: 0.25, WaitRaiseS: 61, RoundS: 2, SpareUnits: 3, SpareGangs: 4, IdleBoots: 0.75, LogLevel: "debug", PriceLimit: 2.25, StretchShare: 0.7, MaxVersion: 12}
 	raw, err := hex.DecodeString(settingsData)
 	if err != nil {
 		t.Fatal(err)
@@ -443,17 +443,17 @@
 // What records lie under in the state service.
 func TestStoredUnderTheSameKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		store.JobKey("req-1"):                   "job/req-1",
-		store.ChunkKey("req-1", 2):              "run/req-1/2",
-		store.SubchunkKey("req-1", 2, 3):        "run/req-1/2/3",
-		store.PastKey("req-1"):                  "past/req-1",
-		upgrade.ActiveKey:                       "version/active",
-		upgrade.SupportKey("worker-2"):          "version/support/worker-2",
-		store.LeadKey:                           "lead",
-		duty.IntentKey(duty.Renting{}.Name()):   "intent/renting",
-		duty.IntentKey(duty.Returning{}.Name()): "intent/returning",
-		store.FlavorsKey:                        "fact/flavors",
-		store.SettingsKey:                       "fact/settings",
+		store.JobKey("req-1"):                  "job/req-1",
+		store.ChunkKey("req-1", 2):             "run/req-1/2",
+		store.SubchunkKey("req-1", 2, 3):       "run/req-1/2/3",
+		store.FinalKey("req-1"):                "past/req-1",
+		upgrade.ActiveKey:                      "version/active",
+		upgrade.SupportKey("worker-2"):         "version/support/worker-2",
+		store.LeaderKey:                        "lead",
+		duty.IntentKey(duty.ScaleOut{}.Name()): "intent/renting",
+		duty.IntentKey(duty.ScaleIn{}.Name()):  "intent/returning",
+		store.MachineSpecsKey:                  "fact/flavors",
+		store.SettingsKey:                      "fact/settings",
 	} {
 		if got != want {
 			t.Errorf("stored under %q, not %q", got, want)
@@ -472,7 +472,7 @@
 		{wire.PhaseExited, wire.TaskPhase("exited")},
 		{wire.CauseDone, wire.ExitCause("done")}, {wire.CauseStopped, wire.ExitCause("stopped")}, {wire.CauseError, wire.ExitCause("error")}, {wire.CauseFull, wire.ExitCause("full")},
 		{wire.CauseBusy, wire.ExitCause("busy")}, {wire.CauseNoSuch, wire.ExitCause("no_such")}, {wire.CauseGangBroken, wire.ExitCause("mates_gone")}, {wire.CauseGangIncomplete, wire.ExitCause("alone")},
-		{wire.Launch, wire.Verb("launch")}, {wire.Halt, wire.Verb("halt")}, {wire.Forget, wire.Verb("forget")},
+		{wire.Launch, wire.Verb("launch")}, {wire.Stop, wire.Verb("halt")}, {wire.Forget, wire.Verb("forget")},
 	} {
 		if c.got != c.want {
 			t.Errorf("%q was %q", c.got, c.want)
--- a/internal/compat/versions_test.go
+++ b/internal/compat/versions_test.go
@@ -39,23 +39,23 @@
 	on    wire.MachineID
 }
 
-func held(step wire.Attempt, runs ...placed) []store.HeldAttempt {
-	var out []store.HeldAttempt
+func held(step wire.Attempt, runs ...placed) []store.ActiveAttempt {
+	var out []store.ActiveAttempt
 	for _, r := range runs {
 		for i := range r.count {
-			out = append(out, store.HeldAttempt{Task: r.task + i, Attempt: r.try + step*wire.Attempt(i), Machine: r.on})
+			out = append(out, store.ActiveAttempt{Task: r.task + i, Attempt: r.try + step*wire.Attempt(i), Machine: r.on})
 		}
 	}
 	return out
 }
 
-func smallArray(id wire.JobID, expected wire.Seconds) wire.Spec {
-	return wire.Spec{ID: id, Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 260, CPUs: 0.5, MemoryGB: 1.5, Image: "img-a", ImageGB: 1,
+func smallArray(id wire.JobID, expected wire.Seconds) wire.JobSpec {
+	return wire.JobSpec{ID: id, Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 260, CPUs: 0.5, MemoryGB: 1.5, Image: "img-a", ImageGB: 1,
 		MachineTypes: []wire.MachineType{"c4", "c16"}, SpotAllowed: true, ExpectedRunTime: expected, CheckpointInterval: 30, CheckpointTime: 4, Deadline: 900}
 }
 
-func smallGang(id wire.JobID, tasks int, cpus, ram float64, oneZone bool) wire.Spec {
-	return wire.Spec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: tasks, CPUs: cpus, MemoryGB: ram, Image: "img-g", ImageGB: 1,
+func smallGang(id wire.JobID, tasks int, cpus, ram float64, oneZone bool) wire.JobSpec {
+	return wire.JobSpec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: tasks, CPUs: cpus, MemoryGB: ram, Image: "img-g", ImageGB: 1,
 		SameZone: oneZone, ExpectedRunTime: 100, CheckpointInterval: 20, CheckpointTime: 2}
 }
 
@@ -66,8 +66,8 @@
 	}}
 }
 
-func sentReport(tasks ...wire.TaskState) wire.Report {
-	return wire.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Sequence: 88, Token: 41,
+func sentReport(tasks ...wire.TaskState) wire.Heartbeat {
+	return wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 1, Sequence: 88, Token: 41,
 		SpotNotice: pointer(wire.Seconds(12.5)), Tasks: tasks}
 }
 
@@ -79,8 +79,8 @@
 			Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}},
 		"message report": sentReport(wire.TaskState{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning},
 			wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone, Saved: true}),
-		"message orders": wire.Commands{Token: 41, Session: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "req-000412/3", Attempt: 2},
-			{Verb: wire.Halt, Task: "req-000398/0", Attempt: 1, GracePeriod: pointer(wire.Seconds(6))}}},
+		"message orders": wire.Commands{Token: 41, Epoch: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "req-000412/3", Attempt: 2},
+			{Verb: wire.Stop, Task: "req-000398/0", Attempt: 1, GracePeriod: pointer(wire.Seconds(6))}}},
 	}
 }
 
@@ -91,15 +91,15 @@
 	case production:
 		maps.Copy(values, map[string]any{
 			"fact/flavors":   storedFlavors(),
-			"job/req-000001": store.JobRecord{Spec: smallArray("req-000001", 60), Status: wire.Queued, At: 946684802001, Chunk: 256},
-			"job/req-000002": store.JobRecord{Status: wire.Queued, At: 946684802001, Chunk: 256, Spec: wire.Spec{ID: "req-000002", Class: "portal", Team: "blue",
+			"job/req-000001": store.JobRecord{Spec: smallArray("req-000001", 60), Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256},
+			"job/req-000002": store.JobRecord{Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256, Spec: wire.JobSpec{ID: "req-000002", Class: "portal", Team: "blue",
 				Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}},
-			"lead":            store.LeadRecord{Node: "worker-1", Nonce: "OA5NX7QCZ6OJIQ3476RZVCWUEP"},
-			"past/req-000003": store.PastRecord{Status: wire.Done, Done: 4},
-			"past/req-000004": store.PastRecord{Status: wire.Cancelled},
-			"run/req-000001/0": store.ChunkRecord{Next: 39, Held: held(1, placed{0, 1, 4, "n-000004"}, placed{4, 5, 8, "n-000001"}, placed{12, 13, 8, "n-000002"},
+			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "OA5NX7QCZ6OJIQ3476RZVCWUEP"},
+			"past/req-000003": store.FinalRecord{Status: wire.Done, Done: 4},
+			"past/req-000004": store.FinalRecord{Status: wire.Cancelled},
+			"run/req-000001/0": store.ChunkRecord{NextAttempt: 39, Active: held(1, placed{0, 1, 4, "n-000004"}, placed{4, 5, 8, "n-000001"}, placed{12, 13, 8, "n-000002"},
 				placed{20, 21, 2, "n-000000"}, placed{22, 23, 8, "n-000005"}, placed{30, 31, 4, "n-000004"}, placed{34, 35, 2, "n-000000"}, placed{36, 37, 2, "n-000003"})},
-			"run/req-000002/0": store.ChunkRecord{Next: 4, Held: held(1, placed{0, 1, 2, "n-000003"}, placed{2, 3, 1, "n-000000"})},
+			"run/req-000002/0": store.ChunkRecord{NextAttempt: 4, Active: held(1, placed{0, 1, 2, "n-000003"}, placed{2, 3, 1, "n-000000"})},
 		})
 	case firstGangs:
 		maps.Copy(values, map[string]any{
@@ -107,25 +107,25 @@
 				wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken},
 				wire.TaskState{Task: "req-000399/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangIncomplete}),
 			"fact/flavors":    storedFlavors(),
-			"job/req-000005":  store.JobRecord{Spec: smallGang("req-000005", 3, 2, 6, true), Status: wire.Queued, At: 946684802001, Chunk: 256},
-			"job/req-000007":  store.JobRecord{Spec: smallArray("req-000007", 500), Status: wire.Queued, At: 946684802001, Chunk: 256},
-			"job/req-000008":  store.JobRecord{Spec: smallGang("req-000008", 60, 0.25, 0.5, false), Status: wire.Queued, At: 946684877001, Chunk: 56},
-			"lead":            store.LeadRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
-			"past/req-000004": store.PastRecord{Status: wire.Cancelled},
-			"past/req-000006": store.PastRecord{Status: wire.Done, Done: 60},
+			"job/req-000005":  store.JobRecord{Spec: smallGang("req-000005", 3, 2, 6, true), Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256},
+			"job/req-000007":  store.JobRecord{Spec: smallArray("req-000007", 500), Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256},
+			"job/req-000008":  store.JobRecord{Spec: smallGang("req-000008", 60, 0.25, 0.5, false), Status: wire.Queued, AcceptedAt: 946684877001, Chunk: 56},
+			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
+			"past/req-000004": store.FinalRecord{Status: wire.Cancelled},
+			"past/req-000006": store.FinalRecord{Status: wire.Done, Done: 60},
 			// A chunk of 256 tasks, and a piece that holds in its place for 32.
-			"run/req-000007/0": store.ChunkRecord{Next: 80, Held: held(1, placed{0, 1, 6, "n-000013"}, placed{6, 7, 1, "n-000015"}, placed{7, 8, 4, "n-000016"},
+			"run/req-000007/0": store.ChunkRecord{NextAttempt: 80, Active: held(1, placed{0, 1, 6, "n-000013"}, placed{6, 7, 1, "n-000015"}, placed{7, 8, 4, "n-000016"},
 				placed{11, 12, 8, "n-000012"}, placed{19, 20, 28, "n-000016"}, placed{47, 48, 31, "n-000015"}, placed{78, 79, 1, "n-000017"})},
-			"run/req-000007/0/1": store.ChunkRecord{Next: 111, SubchunkTasks: 32, Held: held(1, placed{0, 33, 15, "n-000016"}, placed{15, 48, 17, "n-000015"})},
+			"run/req-000007/0/1": store.ChunkRecord{NextAttempt: 111, SubchunkTasks: 32, Active: held(1, placed{0, 33, 15, "n-000016"}, placed{15, 48, 17, "n-000015"})},
 			// Pieces of a job with completed tasks.
-			"run/req-000001/0/7": store.ChunkRecord{Next: 257, Done: []int{0, 32}, Held: []store.HeldAttempt{}, SubchunkTasks: 32},
-			"run/req-000001/1/0": store.ChunkRecord{Next: 5, Done: []int{0, 2}, Held: held(1, placed{2, 3, 2, "n-000013"}), SubchunkTasks: 32},
+			"run/req-000001/0/7": store.ChunkRecord{NextAttempt: 257, Done: []int{0, 32}, Active: []store.ActiveAttempt{}, SubchunkTasks: 32},
+			"run/req-000001/1/0": store.ChunkRecord{NextAttempt: 5, Done: []int{0, 2}, Active: held(1, placed{2, 3, 2, "n-000013"}), SubchunkTasks: 32},
 			// A gang in one chunk, and one in two.
-			"run/req-000005/0": store.ChunkRecord{Next: 2, Held: held(0, placed{0, 1, 3, "n-000006"})},
-			"run/req-000008/0": store.ChunkRecord{Next: 2, Held: held(0, placed{0, 1, 4, "n-000006"}, placed{4, 1, 8, "n-000003"}, placed{12, 1, 4, "n-000007"},
+			"run/req-000005/0": store.ChunkRecord{NextAttempt: 2, Active: held(0, placed{0, 1, 3, "n-000006"})},
+			"run/req-000008/0": store.ChunkRecord{NextAttempt: 2, Active: held(0, placed{0, 1, 4, "n-000006"}, placed{4, 1, 8, "n-000003"}, placed{12, 1, 4, "n-000007"},
 				placed{16, 1, 12, "n-000005"}, placed{28, 1, 16, "n-000000"}, placed{44, 1, 12, "n-000001"})},
-			"run/req-000008/1": store.ChunkRecord{Next: 2, Held: held(0, placed{0, 1, 4, "n-000001"})},
-			"run/req-000002/0": store.ChunkRecord{Next: 4, Held: held(1, placed{0, 1, 2, "n-000007"}, placed{2, 3, 1, "n-000006"})},
+			"run/req-000008/1": store.ChunkRecord{NextAttempt: 2, Active: held(0, placed{0, 1, 4, "n-000001"})},
+			"run/req-000002/0": store.ChunkRecord{NextAttempt: 4, Active: held(1, placed{0, 1, 2, "n-000007"}, placed{2, 3, 1, "n-000006"})},
 		})
 	}
 	return values
@@ -291,17 +291,17 @@
 func TestEarlierVersionsReadWhatIsWritten(t *testing.T) {
 	spec := fullSpec()
 	spec.Spread = true
-	chunk := store.ChunkRecord{Next: 17, Done: []int{1, 3}, Held: []store.HeldAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}
+	chunk := store.ChunkRecord{NextAttempt: 17, Done: []int{1, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}
 	for _, c := range []struct{ now, earlier any }{
-		{store.JobRecord{Spec: spec, Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 37}, earlierJob{}},
+		{store.JobRecord{Spec: spec, Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, Chunk: 37}, earlierJob{}},
 		{chunk, productionChunk{}},
 		{chunk, firstGangsChunk{}},
-		{store.PastRecord{Status: wire.Done, Done: 1600}, earlierPast{}},
-		{store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"}, earlierLead{}},
+		{store.FinalRecord{Status: wire.Done, Done: 1600}, earlierPast{}},
+		{store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"}, earlierLead{}},
 		{wire.MachineSpecs{Types: []wire.MachineSpec{fullFlavor()}}, earlierFlavors{}},
 		{fullBeat(), earlierBeat{}},
 		{fullReport(), earlierReport{}},
-		{wire.Commands{Token: 23, Session: 24, Commands: []wire.Command{fullOrder()}}, earlierOrders{}},
+		{wire.Commands{Token: 23, Epoch: 24, Commands: []wire.Command{fullOrder()}}, earlierOrders{}},
 		{wire.Redirect{ReportsTo: "worker-4"}, earlierRedirect{}},
 	} {
 		raw, typ := wire.Encode(c.now), reflect.TypeOf(c.earlier)
@@ -319,7 +319,7 @@
 	}
 	// Other sizes of chunks earlier versions take for 256.
 	for _, valueKB := range []float64{0.25, 2, 32} {
-		if n := store.ChunkFor(valueKB); n < 1 || n > 256 {
+		if n := store.ChunkTasksFor(valueKB); n < 1 || n > 256 {
 			t.Errorf("chunks of %d tasks at %g KiB", n, valueKB)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,8 +18,8 @@
 type Config struct {
 	HostName  wire.NodeID `toml:"host_name"`
 	Zone      wire.Zone   `toml:"zone"`
-	Front     string      `toml:"front"`
-	PeerBind  string      `toml:"peer_bind"`
+	UserAddr  string      `toml:"front"`
+	PeerAddr  string      `toml:"peer_bind"`
 	Peers     []Peer      `toml:"others"`
 	Endpoints Endpoints   `toml:"endpoints"`
 	Settings  Settings    `toml:"settings"`
@@ -62,24 +62,24 @@
 
 // Objective restates one aim of the users.
 type Objective struct {
-	Kind    string       `toml:"kind"`
-	Class   string       `toml:"class"`
-	WithinS wire.Seconds `toml:"within_s"`
-	Share   float64      `toml:"share"`
+	Kind   string       `toml:"kind"`
+	Class  string       `toml:"class"`
+	Within wire.Seconds `toml:"within_s"`
+	Share  float64      `toml:"share"`
 	// Times is the multiple of a job's own deadline that a deadline aim means.
 	Times float64 `toml:"times"`
 }
 
 // Workers says how workers behave.
 type Workers struct {
-	ReportS wire.Seconds `toml:"report_s"`
-	LeaseS  wire.Seconds `toml:"lease_s"`
-	CancelS wire.Seconds `toml:"cancel_s"`
-	// GangWaitS is how long a gang's task waits for the others, GangPeerS how
+	HeartbeatInterval wire.Seconds `toml:"report_s"`
+	Lease             wire.Seconds `toml:"lease_s"`
+	CancelTimeout     wire.Seconds `toml:"cancel_s"`
+	// GangWait is how long a gang's task waits for the others, GangPeerTimeout how
 	// soon the others notice that one is gone, and in which all must be told to
 	// stop. Older files lack them.
-	GangWaitS wire.Seconds `toml:"gang_wait_s"`
-	GangPeerS wire.Seconds `toml:"gang_peer_s"`
+	GangWait        wire.Seconds `toml:"gang_wait_s"`
+	GangPeerTimeout wire.Seconds `toml:"gang_peer_s"`
 }
 
 // State holds the limits of the state service.
@@ -120,8 +120,8 @@
 
 // Cloud holds the limits of the cloud.
 type Cloud struct {
-	RPS      float64      `toml:"rps"`
-	ListLagS wire.Seconds `toml:"list_lag_s"`
+	RPS     float64      `toml:"rps"`
+	ListLag wire.Seconds `toml:"list_lag_s"`
 }
 
 // Limits of this process.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Settings.Workers.LeaseS != 45 || c.Settings.Teams[0].Name != "t" {
+	if c.Settings.Workers.Lease != 45 || c.Settings.Teams[0].Name != "t" {
 		t.Fatalf("read %+v", c.Settings)
 	}
 }
@@ -104,14 +104,14 @@
 		return Parse([]byte(strings.NewReplacer("[settings.cloud]", next+"\n[settings.cloud]", "cancel_s = 70.0", "cancel_s = 70.0\n"+workers).Replace(good)))
 	}
 	c, err := change("", "")
-	if err != nil || c.Settings.State.Next != nil || c.Settings.State.Least() != c.Settings.State || c.Settings.Workers.GangWaitS != 0 {
+	if err != nil || c.Settings.State.Next != nil || c.Settings.State.Least() != c.Settings.State || c.Settings.Workers.GangWait != 0 {
 		t.Errorf("without them: %v, %+v", err, c.Settings.State)
 	}
 	c, err = change("gang_wait_s = 40.0\ngang_peer_s = 3.0", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := c.Settings.Workers; w.GangWaitS != 40 || w.GangPeerS != 3 {
+	if w := c.Settings.Workers; w.GangWait != 40 || w.GangPeerTimeout != 3 {
 		t.Errorf("read %+v", w)
 	}
 	if got := c.Settings.State.Least(); got != (State{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}) {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -46,7 +46,7 @@
 	v.nextState(c.Settings.State.Next)
 	v.state(&c.Settings.State)
 	v.positive("settings.cloud.rps", c.Settings.Cloud.RPS)
-	v.require(c.Settings.Cloud.ListLagS >= 0, "settings.cloud.list_lag_s", negative)
+	v.require(c.Settings.Cloud.ListLag >= 0, "settings.cloud.list_lag_s", negative)
 	v.limits(&c.Settings.Limits)
 	return errors.Join(v.errs...)
 }
@@ -77,8 +77,8 @@
 func (v *validator) node(c *Config) {
 	v.text("host_name", string(c.HostName))
 	v.text("zone", string(c.Zone))
-	v.address("front", c.Front)
-	v.address("peer_bind", c.PeerBind)
+	v.address("front", c.UserAddr)
+	v.address("peer_bind", c.PeerAddr)
 	seen := map[wire.NodeID]bool{c.HostName: true}
 	for i, p := range c.Peers {
 		at := fmt.Sprintf("others[%d].", i)
@@ -119,14 +119,14 @@
 }
 
 func (v *validator) workers(w *Workers) {
-	v.positive("settings.workers.report_s", float64(w.ReportS))
-	v.positive("settings.workers.lease_s", float64(w.LeaseS))
-	v.positive("settings.workers.cancel_s", float64(w.CancelS))
-	if w.LeaseS > 0 {
-		v.require(w.LeaseS > w.ReportS, "settings.workers.lease_s", leaseTooShort)
+	v.positive("settings.workers.report_s", float64(w.HeartbeatInterval))
+	v.positive("settings.workers.lease_s", float64(w.Lease))
+	v.positive("settings.workers.cancel_s", float64(w.CancelTimeout))
+	if w.Lease > 0 {
+		v.require(w.Lease > w.HeartbeatInterval, "settings.workers.lease_s", leaseTooShort)
 	}
-	v.finite("settings.workers.gang_wait_s", float64(w.GangWaitS))
-	v.finite("settings.workers.gang_peer_s", float64(w.GangPeerS))
+	v.finite("settings.workers.gang_wait_s", float64(w.GangWait))
+	v.finite("settings.workers.gang_peer_s", float64(w.GangPeerTimeout))
 }
 
 // nextState checks limits to come, of which 0 means as before.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -54,7 +54,7 @@
 
 // Demand is a number of equal units that should run at the same time.
 type Demand struct {
-	Spec  *wire.Spec
+	Spec  *wire.JobSpec
 	Units int
 	// Rank orders demands, the highest first.
 	Rank float64
@@ -62,8 +62,8 @@
 	ZoneLeft map[wire.Zone]int
 	// SlackS is how long the units may wait for room and still be in time.
 	SlackS float64
-	// Whole: all of the units or none, in one zone if the job wants that.
-	Whole bool
+	// AllOrNothing: all of the units or none, in one zone if the job wants that.
+	AllOrNothing bool
 	// PriceStretch stretches the limit on the price; 0 leaves it as it is.
 	PriceStretch float64
 }
@@ -78,13 +78,13 @@
 	PriceLimit float64
 	// Cheapest is the lowest nominal price of a unit's worth of any type,
 	// spot or not as the job allows; nil: no limit.
-	Cheapest func(*wire.Spec) float64
-	// MaxRents bounds the machines rented by one plan.
-	MaxRents int
+	Cheapest func(*wire.JobSpec) float64
+	// MaxScaleOuts bounds the machines rented by one plan.
+	MaxScaleOuts int
 }
 
-// Rent asks for machines of one offer.
-type Rent struct {
+// ScaleOut asks for machines of one offer.
+type ScaleOut struct {
 	Type  wire.MachineType
 	Zone  wire.Zone
 	Spot  bool
@@ -94,8 +94,8 @@
 
 // Plan is what to do.
 type Plan struct {
-	Rents    []Rent
-	Releases []wire.MachineID
+	ScaleOuts []ScaleOut
+	ScaleIns  []wire.MachineID
 	// Cordons are machines that should take tasks only when no other can:
 	// what runs there would fit on the others, so that they can be returned.
 	Cordons []wire.MachineID
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 var types = map[wire.MachineType]placement.Resources{"c4": {CPUs: 4, MemoryGB: 16}, "c16": {CPUs: 16, MemoryGB: 64}}
 
 func snapshots(t *rapid.T) *Snapshot {
-	s := &Snapshot{MaxRents: 8, PriceLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.02 }}
+	s := &Snapshot{MaxScaleOuts: 8, PriceLimit: 3, Cheapest: func(*wire.JobSpec) float64 { return 0.02 }}
 	kit := func() wire.MachineType { return rapid.SampledFrom([]wire.MachineType{"c4", "c16"}).Draw(t, "kit") }
 	zone := func() wire.Zone { return rapid.SampledFrom([]wire.Zone{"a", "b"}).Draw(t, "zone") }
 	for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
@@ -43,7 +43,7 @@
 	for i := range rapid.IntRange(0, 4).Draw(t, "demands") {
 		shape := rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindService}).Draw(t, "shape")
 		s.Demands = append(s.Demands, Demand{Units: rapid.IntRange(1, 20).Draw(t, "units"), Rank: float64(i % 2), SlackS: float64(rapid.IntRange(-10, 60).Draw(t, "slack")),
-			Spec: &wire.Spec{ID: wire.JobID(fmt.Sprint("req-", i)), Kind: shape, CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), MemoryGB: 4,
+			Spec: &wire.JobSpec{ID: wire.JobID(fmt.Sprint("req-", i)), Kind: shape, CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), MemoryGB: 4,
 				SpotAllowed: rapid.Bool().Draw(t, "standby"), ImageGB: 1}})
 	}
 	return s
@@ -53,7 +53,7 @@
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := snapshots(t)
-		plan := Make(s)
+		plan := MakePlan(s)
 		room := map[string]int{}
 		for _, o := range s.Offers {
 			room[fmt.Sprint(o.Type, o.Zone, o.Spot)] += o.Room
@@ -63,7 +63,7 @@
 		for _, d := range s.Demands {
 			spotless = spotless && !d.Spec.SpotAllowed
 		}
-		for _, r := range plan.Rents {
+		for _, r := range plan.ScaleOuts {
 			total += r.Count
 			if r.Count > room[fmt.Sprint(r.Type, r.Zone, r.Spot)] {
 				t.Fatalf("rents more than is offered: %+v", r)
@@ -72,14 +72,14 @@
 				t.Fatalf("rents spot for jobs that don't allow it: %+v", r)
 			}
 		}
-		if total > s.MaxRents || len(s.Demands) == 0 && total > 0 {
+		if total > s.MaxScaleOuts || len(s.Demands) == 0 && total > 0 {
 			t.Fatalf("rents %d machines", total)
 		}
 		by := map[wire.MachineID]Machine{}
 		for _, m := range s.Machines {
 			by[m.ID] = m
 		}
-		for _, id := range plan.Releases {
+		for _, id := range plan.ScaleIns {
 			if m := by[id]; !m.Idle || m.Booting || m.IdleS < m.KeepS || m.PaidS > 0 {
 				t.Fatalf("releases %+v", m)
 			}
@@ -95,19 +95,19 @@
 // Demand that the room there is takes rents nothing, and an idle machine
 // that no demand needs is returned once it is paid up.
 func TestRoomFirst(t *testing.T) {
-	spec := &wire.Spec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
+	spec := &wire.JobSpec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
 	m := Machine{ID: "n", Type: "c4", Zone: "a", Total: types["c4"], Free: types["c4"], Idle: true, IdleS: 20, KeepS: 10}
 	o := Offer{Type: "c4", Zone: "a", Total: types["c4"], Price: 0.3, FetchGBPerS: 1, Room: 9}
-	plan := Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 2}}, MaxRents: 9})
-	if len(plan.Rents) != 0 || len(plan.Releases) != 0 {
+	plan := MakePlan(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 2}}, MaxScaleOuts: 9})
+	if len(plan.ScaleOuts) != 0 || len(plan.ScaleIns) != 0 {
 		t.Fatalf("plan %+v", plan)
 	}
-	plan = Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 5}}, MaxRents: 9})
-	if len(plan.Rents) != 1 || plan.Rents[0].Count != 2 {
+	plan = MakePlan(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 5}}, MaxScaleOuts: 9})
+	if len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].Count != 2 {
 		t.Fatalf("plan %+v", plan)
 	}
-	plan = Make(&Snapshot{Machines: []Machine{m}})
-	if len(plan.Releases) != 1 {
+	plan = MakePlan(&Snapshot{Machines: []Machine{m}})
+	if len(plan.ScaleIns) != 1 {
 		t.Fatalf("plan %+v", plan)
 	}
 }
@@ -117,10 +117,10 @@
 func TestDearLimit(t *testing.T) {
 	o := Offer{Type: "c16", Zone: "a", Total: types["c16"], Price: 4, FetchGBPerS: 1, Room: 1}
 	for shape, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
-		plan := Make(&Snapshot{Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Kind: shape, CPUs: 2, MemoryGB: 4}, Units: 1}},
-			MaxRents: 9, PriceLimit: 3, Cheapest: func(*wire.Spec) float64 { return 0.05 }})
-		if len(plan.Rents) != want {
-			t.Errorf("%s rents %v", shape, plan.Rents)
+		plan := MakePlan(&Snapshot{Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.JobSpec{Kind: shape, CPUs: 2, MemoryGB: 4}, Units: 1}},
+			MaxScaleOuts: 9, PriceLimit: 3, Cheapest: func(*wire.JobSpec) float64 { return 0.05 }})
+		if len(plan.ScaleOuts) != want {
+			t.Errorf("%s rents %v", shape, plan.ScaleOuts)
 		}
 	}
 }
@@ -130,9 +130,9 @@
 	m := Machine{ID: "n", Type: "c4", Zone: "a", Total: types["c4"], Freeing: []Freeing{{InS: 10, Room: types["c4"]}}, Unit: types["c4"]}
 	o := Offer{Type: "c4", Zone: "a", Total: types["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
 	for slack, want := range map[float64]int{15: 0, 5: 1} {
-		plan := Make(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.Spec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackS: slack}}, MaxRents: 9})
-		if len(plan.Rents) != want {
-			t.Errorf("slack %g: rents %v", slack, plan.Rents)
+		plan := MakePlan(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackS: slack}}, MaxScaleOuts: 9})
+		if len(plan.ScaleOuts) != want {
+			t.Errorf("slack %g: rents %v", slack, plan.ScaleOuts)
 		}
 	}
 }
@@ -142,15 +142,15 @@
 	small := func(n int, cpus float64) []Demand {
 		var out []Demand
 		for range n {
-			out = append(out, Demand{Spec: &wire.Spec{Kind: wire.KindArray, CPUs: cpus, MemoryGB: 1, SpotAllowed: true}, Units: 1})
+			out = append(out, Demand{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: cpus, MemoryGB: 1, SpotAllowed: true}, Units: 1})
 		}
 		return out
 	}
-	s := Snapshot{MaxRents: 8, PriceLimit: 2.5, Cheapest: func(*wire.Spec) float64 { return 0.025 },
+	s := Snapshot{MaxScaleOuts: 8, PriceLimit: 2.5, Cheapest: func(*wire.JobSpec) float64 { return 0.025 },
 		Offers: []Offer{{Type: "c4", Zone: "a", Spot: true, Total: types["c4"], Price: 0.1, Room: 9}}}
 	rents := func(d []Demand) (n int) {
 		s.Demands = d
-		for _, r := range Make(&s).Rents {
+		for _, r := range MakePlan(&s).ScaleOuts {
 			n += r.Count
 		}
 		return
--- a/internal/fleet/gang_test.go
+++ b/internal/fleet/gang_test.go
@@ -11,7 +11,7 @@
 // judged by the price of all of it. (A gang of four of which three had room was
 // never rented for: its last task alone was too dear for any machine.)
 func TestWholeDemand(t *testing.T) {
-	spec := &wire.Spec{ID: "req-1", Kind: wire.KindGang, Tasks: 4, CPUs: 1, MemoryGB: 4, SameZone: true}
+	spec := &wire.JobSpec{ID: "req-1", Kind: wire.KindGang, Tasks: 4, CPUs: 1, MemoryGB: 4, SameZone: true}
 	free := func(z wire.Zone, cpus float64) Machine {
 		return Machine{ID: "n", Type: "c4", Zone: z, Total: types["c4"], Free: placement.Resources{CPUs: cpus, MemoryGB: 16}}
 	}
@@ -40,15 +40,15 @@
 		{"half can be had in each zone", Snapshot{Offers: []Offer{offer("a", 0.26, 1), offer("b", 0.26, 1)}}, Demand{Spec: &big, Units: 8}, nil},
 		{"the other zone", Snapshot{Offers: []Offer{offer("a", 0.20, 1), offer("b", 0.26, 2)}}, Demand{Spec: &big, Units: 8}, map[wire.Zone]int{"b": 2}},
 		{"apart", Snapshot{Offers: []Offer{offer("a", 0.20, 9), offer("b", 0.26, 9)}}, Demand{Spec: &spread, Units: 8, ZoneLeft: map[wire.Zone]int{"a": 4, "b": 4}}, map[wire.Zone]int{"a": 1, "b": 1}},
-		{"more than a plan rents", Snapshot{Offers: []Offer{offer("a", 0.20, 9)}, MaxRents: 1}, Demand{Spec: &big, Units: 8}, nil},
+		{"more than a plan rents", Snapshot{Offers: []Offer{offer("a", 0.20, 9)}, MaxScaleOuts: 1}, Demand{Spec: &big, Units: 8}, nil},
 	} {
-		c.d.Whole = true
-		c.s.Demands, c.s.PriceLimit, c.s.Cheapest = []Demand{c.d}, 2.3, func(*wire.Spec) float64 { return 0.065 }
-		if c.s.MaxRents == 0 {
-			c.s.MaxRents = 9
+		c.d.AllOrNothing = true
+		c.s.Demands, c.s.PriceLimit, c.s.Cheapest = []Demand{c.d}, 2.3, func(*wire.JobSpec) float64 { return 0.065 }
+		if c.s.MaxScaleOuts == 0 {
+			c.s.MaxScaleOuts = 9
 		}
 		got := map[wire.Zone]int{}
-		for _, r := range Make(&c.s).Rents {
+		for _, r := range MakePlan(&c.s).ScaleOuts {
 			got[r.Zone] += r.Count
 		}
 		if len(got) != len(c.zones) || got["a"] != c.zones["a"] || got["b"] != c.zones["b"] {
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -8,22 +8,22 @@
 	"lilaclead/internal/wire"
 )
 
-// Make computes a plan: demands are packed into the room there is, the rest
+// MakePlan computes a plan: demands are packed into the room there is, the rest
 // into the offers that are cheapest per unit that they would really hold,
 // and what stays idle after that is returned.
-func Make(s *Snapshot) Plan {
+func MakePlan(s *Snapshot) Plan {
 	p := newPacker(s)
 	for di := range p.demands {
 		d := &p.demands[di]
 		p.alike[p.kinds[di]] -= d.Units
-		if d.Whole {
+		if d.AllOrNothing {
 			p.packWhole(d)
 		} else {
 			p.pack(d, p.kinds[di])
 		}
 	}
-	plan := Plan{Rents: p.rents(), Releases: p.releases()}
-	if len(plan.Rents) == 0 {
+	plan := Plan{ScaleOuts: p.rents(), ScaleIns: p.releases()}
+	if len(plan.ScaleOuts) == 0 {
 		plan.Cordons = cordon(s, p.bins)
 	}
 	return plan
@@ -40,7 +40,7 @@
 	freeing     []Freeing
 }
 
-func (b *bin) allowed(s *wire.Spec) bool {
+func (b *bin) allowed(s *wire.JobSpec) bool {
 	m := placement.Machine{Type: b.machineType, Zone: b.zone, Spot: b.spot}
 	return placement.Allowed(s, &m)
 }
@@ -62,7 +62,7 @@
 }
 
 // serves tells whether the offer has a machine that the job may run on.
-func (o *Offer) serves(s *wire.Spec) bool {
+func (o *Offer) serves(s *wire.JobSpec) bool {
 	b := o.newBin()
 	return o.Room > 0 && b.allowed(s) && (s.ImageGB == 0 || o.FetchGBPerS > 0)
 }
@@ -118,7 +118,7 @@
 }
 
 func kindOf(d *Demand) kind {
-	k := kind{take: placement.Of(d.Spec), zone: d.Spec.Zone, spot: d.Spec.SpotAllowed, spreads: !d.Spec.Service() && d.ZoneLeft == nil}
+	k := kind{take: placement.ResourcesOf(d.Spec), zone: d.Spec.Zone, spot: d.Spec.SpotAllowed, spreads: !d.Spec.Service() && d.ZoneLeft == nil}
 	for _, t := range d.Spec.MachineTypes {
 		k.types += string(t) + " "
 	}
@@ -144,9 +144,9 @@
 		left -= p.fill(&p.bins[i], d, left)
 	}
 	if !d.Spec.Service() {
-		left -= waitFor(p.bins, d, placement.Of(d.Spec), left)
+		left -= waitFor(p.bins, d, placement.ResourcesOf(d.Spec), left)
 	}
-	for left > 0 && len(p.rentals) < p.s.MaxRents {
+	for left > 0 && len(p.rentals) < p.s.MaxScaleOuts {
 		best, cost := p.cheapestOffer(d, k, left)
 		if best < 0 {
 			return
@@ -161,7 +161,7 @@
 // fill takes as much room in a bin as the demand may use of it, and tells how many
 // units that is.
 func (p *packer) fill(b *bin, d *Demand, left int) int {
-	take := placement.Of(d.Spec)
+	take := placement.ResourcesOf(d.Spec)
 	n := d.zoneUnits(b.zone, min(left, take.Units(b.free)))
 	if n <= 0 || !b.allowed(d.Spec) {
 		return 0
@@ -178,7 +178,7 @@
 // candidates lists the bins with room for a unit: what is in use before what
 // stands idle, the cheap before the dear, the fuller before the emptier.
 func (p *packer) candidates(d *Demand) []int {
-	take := placement.Of(d.Spec)
+	take := placement.ResourcesOf(d.Spec)
 	p.order = p.order[:0]
 	for i := range p.bins {
 		if take.Fits(p.bins[i].free) && p.bins[i].allowed(d.Spec) {
@@ -219,7 +219,7 @@
 // cheapestOffer finds the offer to rent next for the demand, and what a unit
 // costs there; -1 if there is none.
 func (p *packer) cheapestOffer(d *Demand, k kind, left int) (best int, bestCost float64) {
-	take := placement.Of(d.Spec)
+	take := placement.ResourcesOf(d.Spec)
 	best, bestRank := -1, 0.0
 	for i := range p.offers {
 		o := &p.offers[i]
@@ -290,13 +290,13 @@
 }
 
 // rents gathers the rentals of each offer.
-func (p *packer) rents() []Rent {
-	var out []Rent
+func (p *packer) rents() []ScaleOut {
+	var out []ScaleOut
 	for _, r := range p.rentals {
 		o := &p.offers[r.offer]
-		at := slices.IndexFunc(out, func(r Rent) bool { return r.Type == o.Type && r.Zone == o.Zone && r.Spot == o.Spot })
+		at := slices.IndexFunc(out, func(r ScaleOut) bool { return r.Type == o.Type && r.Zone == o.Zone && r.Spot == o.Spot })
 		if at < 0 {
-			out = append(out, Rent{o.Type, o.Zone, o.Spot, 0, r.id})
+			out = append(out, ScaleOut{o.Type, o.Zone, o.Spot, 0, r.id})
 			at = len(out) - 1
 		}
 		out[at].Count++
--- a/internal/fleet/whole.go
+++ b/internal/fleet/whole.go
@@ -64,7 +64,7 @@
 // placeWhole places units of a whole demand in the bins of a zone ("": of any),
 // where room is free within the demand's slack, and tells each use of a bin.
 func placeWhole(u *placedUnits, bins []bin, z wire.Zone, use func(b *bin, units int)) {
-	take := placement.Of(u.d.Spec)
+	take := placement.ResourcesOf(u.d.Spec)
 	for i := range bins {
 		b := &bins[i]
 		if u.left == 0 {
@@ -103,7 +103,7 @@
 	units := newPlacedUnits(d)
 	placeWhole(units, p.bins, z, func(*bin, int) {})
 	taken := map[int]int{}
-	for units.left > 0 && len(p.rentals)+len(rents) < p.s.MaxRents {
+	for units.left > 0 && len(p.rentals)+len(rents) < p.s.MaxScaleOuts {
 		pick, n := p.cheapestWhole(z, units, taken)
 		if pick < 0 {
 			break
@@ -124,7 +124,7 @@
 // cheapestWhole is the offer that is cheapest for a unit of what is left of a
 // whole demand, and how many units its machine takes; -1 if there is none.
 func (p *packer) cheapestWhole(z wire.Zone, units *placedUnits, taken map[int]int) (pick, pickUnits int) {
-	take := placement.Of(units.d.Spec)
+	take := placement.ResourcesOf(units.d.Spec)
 	pick, pickCost := -1, 0.0
 	for i := range p.offers {
 		o := &p.offers[i]
@@ -142,7 +142,7 @@
 // fillWhole takes the room of a whole demand, in the first zone where all of it is
 // found.
 func fillWhole(d *Demand, bins []bin) {
-	take := placement.Of(d.Spec)
+	take := placement.ResourcesOf(d.Spec)
 	for _, z := range zonesForWhole(d, bins, nil) {
 		units := newPlacedUnits(d)
 		placeWhole(units, bins, z, func(*bin, int) {})
--- a/internal/fleet/whole_test.go
+++ b/internal/fleet/whole_test.go
@@ -12,9 +12,9 @@
 
 // wholeDemand is a gang of a few tasks.
 func wholeDemand(t *rapid.T) Demand {
-	spec := &wire.Spec{ID: "req-77", Kind: wire.KindGang, Tasks: rapid.IntRange(1, 10).Draw(t, "gang's tasks"), CPUs: float64(rapid.IntRange(1, 5).Draw(t, "gang's cpus")),
+	spec := &wire.JobSpec{ID: "req-77", Kind: wire.KindGang, Tasks: rapid.IntRange(1, 10).Draw(t, "gang's tasks"), CPUs: float64(rapid.IntRange(1, 5).Draw(t, "gang's cpus")),
 		MemoryGB: 4, SpotAllowed: rapid.Bool().Draw(t, "gang on spot"), SameZone: rapid.Bool().Draw(t, "same zone"), ImageGB: 1}
-	d := Demand{Spec: spec, Units: spec.Tasks, SlackS: float64(rapid.IntRange(-10, 60).Draw(t, "gang's slack")), Rank: float64(rapid.IntRange(0, 1).Draw(t, "gang's rank")), Whole: true}
+	d := Demand{Spec: spec, Units: spec.Tasks, SlackS: float64(rapid.IntRange(-10, 60).Draw(t, "gang's slack")), Rank: float64(rapid.IntRange(0, 1).Draw(t, "gang's rank")), AllOrNothing: true}
 	if spec.Spread = !spec.SameZone && rapid.Bool().Draw(t, "spread"); spec.Spread {
 		d.ZoneLeft = map[wire.Zone]int{"a": spec.ZoneCap(), "b": spec.ZoneCap()}
 	}
@@ -23,8 +23,8 @@
 
 // roomFor counts, by plain sums, the units of a demand that have room in each zone
 // on the machines, those to rent among them.
-func roomFor(d *Demand, machines []Machine, rents []Rent) map[wire.Zone]int {
-	take, units := placement.Of(d.Spec), map[wire.Zone]int{}
+func roomFor(d *Demand, machines []Machine, rents []ScaleOut) map[wire.Zone]int {
+	take, units := placement.ResourcesOf(d.Spec), map[wire.Zone]int{}
 	for _, m := range machines {
 		if m.Spot && !d.Spec.SpotAllowed {
 			continue
@@ -71,9 +71,9 @@
 		s.Demands = []Demand{d}
 		limited := rapid.Bool().Draw(t, "limited")
 		if !limited {
-			s.Cheapest, s.MaxRents = nil, 1000
+			s.Cheapest, s.MaxScaleOuts = nil, 1000
 		}
-		rents := Make(s).Rents
+		rents := MakePlan(s).ScaleOuts
 		zones, total := map[wire.Zone]bool{}, 0
 		for _, r := range rents {
 			zones[r.Zone] = true
@@ -81,7 +81,7 @@
 		}
 		there := roomFor(&d, s.Machines, nil)
 		switch {
-		case total > s.MaxRents:
+		case total > s.MaxScaleOuts:
 			t.Fatalf("%d machines rented", total)
 		case total > 0 && holds(&d, there):
 			t.Fatalf("rents %+v although %v has room for it", rents, there)
@@ -97,9 +97,9 @@
 		if limited || holds(&d, there) {
 			return
 		}
-		var all []Rent
+		var all []ScaleOut
 		for _, o := range s.Offers {
-			all = append(all, Rent{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Room})
+			all = append(all, ScaleOut{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Room})
 		}
 		if holds(&d, roomFor(&d, s.Machines, all)) {
 			t.Fatalf("rents nothing, although %v and the offers hold it", there)
@@ -119,10 +119,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := snapshots(t)
 		d := wholeDemand(t)
-		s.Demands, s.MaxRents = append(s.Demands, d), 20
+		s.Demands, s.MaxScaleOuts = append(s.Demands, d), 20
 		s.Offers = append(s.Offers, Offer{Type: "c4", Zone: "b", Total: types["c4"], Price: 0.1, FetchGBPerS: 1, Room: 3})
-		rents := Make(s).Rents
-		if !slices.ContainsFunc(rents, func(r Rent) bool { return r.For == d.Spec.ID }) {
+		rents := MakePlan(s).ScaleOuts
+		if !slices.ContainsFunc(rents, func(r ScaleOut) bool { return r.For == d.Spec.ID }) {
 			return
 		}
 		rented++
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -69,7 +69,7 @@
 		in.confirm(wire.JobState{ID: id, Status: wire.Cancelled})
 		return answer{}, errChanged
 	}
-	rec.Status, rec.Ended = wire.Cancelled, wire.TimestampOf(time.Now())
+	rec.Status, rec.CancelledAt = wire.Cancelled, wire.TimestampOf(time.Now())
 	in.shrinkToFit(&rec, shrink)
 	err = in.commit(ctx, wire.Txn{
 		Guards: []wire.Guard{{Key: store.JobKey(id), Revision: e.Revision}},
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -103,12 +103,12 @@
 
 // refusal is an answer for now: the user comes back.
 func refusal(status int, reason string) answer {
-	return answer{status: status, body: wire.Reason{Error: reason}, retryS: retryAfterS}
+	return answer{status: status, body: wire.ErrorBody{Error: reason}, retryS: retryAfterS}
 }
 
 // rejection is an answer for good.
 func rejection(status int, reason string) answer {
-	return answer{status: status, body: wire.Reason{Error: reason}}
+	return answer{status: status, body: wire.ErrorBody{Error: reason}}
 }
 
 // summary tells a job's status.
@@ -151,7 +151,7 @@
 	}
 	if a.retryS > 0 {
 		in.log.Debug("refuses", "op", op, "status", a.status, "body", a.body)
-		wire.Refuse(w, a.status, a.body.(wire.Reason).Error, a.retryS)
+		wire.RefuseRetryable(w, a.status, a.body.(wire.ErrorBody).Error, a.retryS)
 		return
 	}
 	wire.Answer(w, a.status, a.body)
@@ -197,13 +197,13 @@
 	if !errors.Is(err, store.ErrMissing) {
 		return wire.JobState{}, err
 	}
-	e, err := in.store.Get(ctx, store.User, store.PastKey(id))
+	e, err := in.store.Get(ctx, store.User, store.FinalKey(id))
 	if err != nil {
 		return wire.JobState{}, err
 	}
-	var rec store.PastRecord
+	var rec store.FinalRecord
 	if err := wire.Decode(e.Value, &rec); err != nil {
-		in.Undecodable.Note(store.PastKey(id), err)
+		in.Undecodable.Note(store.FinalKey(id), err)
 		return wire.JobState{}, err
 	}
 	s := wire.JobState{ID: id, Status: rec.Status, Done: rec.Done}
--- a/internal/intake/poll.go
+++ b/internal/intake/poll.go
@@ -82,7 +82,7 @@
 	if known && time.Since(c.readAt) < countLifetime || !counts.budget.Allow() {
 		return c
 	}
-	entries, _, err := in.store.List(ctx, store.User, store.RunPrefix+string(id)+"/")
+	entries, _, err := in.store.List(ctx, store.User, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
 		return c
 	}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -35,12 +35,12 @@
 	if err != nil {
 		return rejection(http.StatusBadRequest, "body not readable")
 	}
-	spec, err := wire.DecodeSpec(raw)
+	spec, err := wire.DecodeJobSpec(raw)
 	if err != nil {
 		var field wire.FieldError
 		errors.As(err, &field)
 		in.log.Info("refuses a malformed submission", "err", err)
-		return answer{status: http.StatusBadRequest, body: wire.Reason{Error: field.Reason, Field: field.Field}}
+		return answer{status: http.StatusBadRequest, body: wire.ErrorBody{Error: field.Reason, Field: field.Field}}
 	}
 	if s, ok := in.finals.get(spec.ID); ok {
 		return summary(s.ID, s.Status)
@@ -61,15 +61,15 @@
 }
 
 // accept stores a new job's record.
-func (in *Intake) accept(ctx context.Context, spec *wire.Spec) answer {
+func (in *Intake) accept(ctx context.Context, spec *wire.JobSpec) answer {
 	rec := store.JobRecord{
-		Spec:   *spec,
-		Status: wire.Queued,
-		At:     wire.TimestampOf(time.Now()),
-		Chunk:  store.ChunkFor(in.settings.State.Least().ValueKB),
+		Spec:       *spec,
+		Status:     wire.Queued,
+		AcceptedAt: wire.TimestampOf(time.Now()),
+		Chunk:      store.ChunkTasksFor(in.settings.State.Least().ValueKB),
 	}
 	err := in.commit(ctx, wire.Txn{
-		Guards: []wire.Guard{{Key: store.JobKey(spec.ID), Revision: 0}, {Key: store.PastKey(spec.ID), Revision: 0}},
+		Guards: []wire.Guard{{Key: store.JobKey(spec.ID), Revision: 0}, {Key: store.FinalKey(spec.ID), Revision: 0}},
 		Writes: []wire.Write{{Put: store.JobKey(spec.ID), Value: wire.Encode(rec)}},
 	})
 	var conflict *store.ConflictError
@@ -111,7 +111,7 @@
 
 // judge says why a job can never run, "" if it can; errUndecided while that
 // can't be told.
-func (in *Intake) judge(s *wire.Spec) (impossible, error) {
+func (in *Intake) judge(s *wire.JobSpec) (impossible, error) {
 	team, ok := in.settings.Team(s.Team)
 	if !ok {
 		return unknownTeam, nil
@@ -121,7 +121,7 @@
 		return overTeamLimit, nil
 	}
 	now := wire.TimestampOf(time.Now())
-	if !in.storable(&store.JobRecord{Spec: *s, Status: wire.Cancelled, At: now, Ended: now, Chunk: store.ChunkSize}) {
+	if !in.storable(&store.JobRecord{Spec: *s, Status: wire.Cancelled, AcceptedAt: now, CancelledAt: now, Chunk: store.ChunkSize}) {
 		return tooLarge, nil
 	}
 	types := in.flavors()
--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -26,11 +26,11 @@
 
 	// What of ours may still deliver its launch.
 	sent             bool
-	sentSession      wire.Session
+	sentSession      wire.AgentEpoch
 	launchInFlight   bool
 	launchUnanswered bool // a direct launch was never answered
-	unansweredToken  wire.Token
-	answerSession    wire.Session
+	unansweredToken  wire.FencingToken
+	answerSession    wire.AgentEpoch
 	answerSequence   wire.Sequence
 
 	halting     bool
@@ -46,19 +46,19 @@
 
 // canStart tells whether a launch of the attempt may still take effect on
 // the worker after it made this report.
-func (t *term) canStart(a *attempt, rep *wire.Report, viaHello bool) bool {
+func (t *term) canStart(a *attempt, rep *wire.Heartbeat, viaHello bool) bool {
 	switch {
 	case a.planned:
 		return false
 	case a.inherited && rep.Token < t.firstToken:
 		// An earlier leader's launch dies only by a higher token.
 		return true
-	case a.launchInFlight && rep.Session <= a.sentSession:
+	case a.launchInFlight && rep.Epoch <= a.sentSession:
 		return true
-	case a.launchUnanswered && rep.Token <= a.unansweredToken && rep.Session <= a.sentSession:
+	case a.launchUnanswered && rep.Token <= a.unansweredToken && rep.Epoch <= a.sentSession:
 		// Held up on its way, it may come minutes late.
 		return true
-	case a.answerSequence > 0 && a.answerSession == rep.Session && !(viaHello && rep.Sequence > a.answerSequence):
+	case a.answerSequence > 0 && a.answerSession == rep.Epoch && !(viaHello && rep.Sequence > a.answerSequence):
 		// The worker has not yet done with the answer that carried it.
 		return true
 	}
@@ -121,13 +121,13 @@
 	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, grace, why, time.Time{}
 	if why != moveCancelled {
 		t.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
-		t.l.Metrics.Moved(string(why))
+		t.l.Metrics.TaskMoved(string(why))
 	}
 	t.dispatch(a.machine)
 }
 
 // res of the attempt.
-func (a *attempt) res() placement.Resources { return placement.Of(&a.job.spec) }
+func (a *attempt) res() placement.Resources { return placement.ResourcesOf(&a.job.spec) }
 
 // release takes an attempt off its chunk and machine.
 func (a *attempt) release() {
--- a/internal/leader/batch.go
+++ b/internal/leader/batch.go
@@ -35,15 +35,15 @@
 
 // newBatch is an empty transaction that is executed only while the token is the
 // leader's.
-func newBatch(token wire.Token, maxOps int, single bool) *batch {
-	leads := wire.Guard{Key: store.LeadKey, Revision: wire.Revision(token)}
+func newBatch(token wire.FencingToken, maxOps int, single bool) *batch {
+	leads := wire.Guard{Key: store.LeaderKey, Revision: wire.Revision(token)}
 	return &batch{txn: wire.Txn{Guards: []wire.Guard{leads}}, maxOps: maxOps, single: single}
 }
 
 // class of the calls' budget that it is charged to.
 func (b *batch) class() store.RequestClass {
 	if b.urgent {
-		return store.Vital
+		return store.Critical
 	}
 	return store.Background
 }
@@ -104,11 +104,11 @@
 		return
 	}
 	id := j.spec.ID
-	final := store.PastRecord{Status: j.finalStatus(), Done: j.done}
+	final := store.FinalRecord{Status: j.finalStatus(), Done: j.done}
 	b.guard(store.JobKey(id), j.revision)
-	b.guard(store.PastKey(id), 0)
+	b.guard(store.FinalKey(id), 0)
 	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: store.JobKey(id)},
-		wire.Write{Put: store.PastKey(id), Value: wire.Encode(final)})
+		wire.Write{Put: store.FinalKey(id), Value: wire.Encode(final)})
 	for _, g := range j.stored() {
 		if b.full(1, 0) {
 			b.dropAfter = append(b.dropAfter, g)
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -79,7 +79,7 @@
 // launch of a cancelled task may be on its way there that its report does not
 // show, and that only the end of the session, or a token above the launch's,
 // can keep from starting too late.
-func (t *term) renewalWithheld(m *machine, rep *wire.Report, now time.Time) bool {
+func (t *term) renewalWithheld(m *machine, rep *wire.Heartbeat, now time.Time) bool {
 	for task, a := range m.tasks {
 		if !a.job.cancelled || a.planned || now.Sub(a.job.cancelledAt) < t.l.delegation.MaxCancelAge || !a.launchInFlight && !(a.launchUnanswered && t.token <= a.unansweredToken) {
 			continue
--- a/internal/leader/chunk.go
+++ b/internal/leader/chunk.go
@@ -38,14 +38,14 @@
 	for i, s := range c.taskStates {
 		done[i] = s == taskDone
 	}
-	rec := store.ChunkRecord{Next: c.nextAttempt, Done: store.PackRanges(done), Held: []store.HeldAttempt{}}
+	rec := store.ChunkRecord{NextAttempt: c.nextAttempt, Done: store.PackRanges(done), Active: []store.ActiveAttempt{}}
 	if c.job.subChunks > 0 {
 		rec.SubchunkTasks = c.job.chunkTasks
 	}
 	for i, a := range c.attempts {
-		rec.Held = append(rec.Held, store.HeldAttempt{Task: i, Attempt: a.number, Machine: a.machine.id})
+		rec.Active = append(rec.Active, store.ActiveAttempt{Task: i, Attempt: a.number, Machine: a.machine.id})
 	}
-	slices.SortFunc(rec.Held, func(a, b store.HeldAttempt) int { return a.Task - b.Task })
+	slices.SortFunc(rec.Active, func(a, b store.ActiveAttempt) int { return a.Task - b.Task })
 	return rec
 }
 
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -14,7 +14,7 @@
 
 // commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
-func (t *term) commandsFor(m *machine, rep *wire.Report, now time.Time) []wire.Command {
+func (t *term) commandsFor(m *machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
 	out := t.haltCommands(m, []wire.Command{}, now)
 	for task, a := range m.tasks {
 		if len(out) >= maxCommands {
@@ -22,7 +22,7 @@
 		}
 		if !a.halting && !a.planned && !a.reported && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.Works() && a.mayLaunch() {
 			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
-			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Session, rep.Session, rep.Sequence
+			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Epoch, rep.Epoch, rep.Sequence
 		}
 	}
 	for i := range rep.Tasks {
@@ -41,7 +41,7 @@
 		case t.isAside(task.Job): // it may be one of those that can't be read
 		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
-			out = append(out, wire.Command{Verb: wire.Halt, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
+			out = append(out, wire.Command{Verb: wire.Stop, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
 		case t.mayForget(m, task, rep):
 			out = append(out, wire.Command{Verb: wire.Forget, Task: p.Task, Attempt: p.Attempt})
 		}
@@ -67,7 +67,7 @@
 // mayForget: the outcome is stored, and no launch that could start the
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
-func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Report) bool {
+func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Heartbeat) bool {
 	if m.mayStillLaunch(rep) {
 		t.raiseWanted = true // a new token ends what may still be on its way
 		return false
@@ -92,7 +92,7 @@
 
 func haltCommand(task wire.Task, a *attempt) wire.Command {
 	w := a.gracePeriod
-	return wire.Command{Verb: wire.Halt, Task: task.String(), Attempt: a.number, GracePeriod: &w}
+	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: a.number, GracePeriod: &w}
 }
 
 // dispatch sends what is new for a machine straight to it.
@@ -103,7 +103,7 @@
 		return
 	}
 	now := time.Now()
-	cmd := wire.Commands{Token: t.token, Session: m.session}
+	cmd := wire.Commands{Token: t.token, Epoch: m.session}
 	var launched []*attempt
 	for task, a := range m.tasks {
 		switch {
@@ -136,11 +136,11 @@
 
 // position of a report among all of a machine's.
 type position struct {
-	session  wire.Session
+	session  wire.AgentEpoch
 	sequence wire.Sequence
 }
 
-func (t *term) onCommandAnswer(m *machine, asked position, cmd wire.Commands, launched []*attempt, rep *wire.Report, status int, err error) {
+func (t *term) onCommandAnswer(m *machine, asked position, cmd wire.Commands, launched []*attempt, rep *wire.Heartbeat, status int, err error) {
 	m.commandInFlight = false
 	now := time.Now()
 	for _, a := range launched {
@@ -177,7 +177,7 @@
 			a.launchUnanswered, a.unansweredToken = true, cmd.Token
 		}
 		if len(launched) > 0 {
-			m.unansweredLaunch = unansweredCommand{max(m.unansweredLaunch.token, cmd.Token), max(m.unansweredLaunch.session, cmd.Session)}
+			m.unansweredLaunch = unansweredCommand{max(m.unansweredLaunch.token, cmd.Token), max(m.unansweredLaunch.session, cmd.Epoch)}
 		}
 	}
 	if m.unansweredProbes == 0 {
@@ -194,7 +194,7 @@
 )
 
 // post sends a command to a worker.
-func (l *Leader) post(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Report, int, error) {
+func (l *Leader) post(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Heartbeat, int, error) {
 	if cmd.Commands == nil {
 		cmd.Commands = []wire.Command{}
 	}
@@ -214,7 +214,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err := wire.Decode(raw, &rep); err != nil {
 		return nil, 0, err
 	}
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -8,9 +8,9 @@
 )
 
 // DelegationToken is the token with which this node surely leads, 0 if it does not.
-func (l *Leader) DelegationToken() wire.Token {
+func (l *Leader) DelegationToken() wire.FencingToken {
 	if t := l.term.Load(); t != nil && t.lease.Deciding() {
-		return wire.Token(t.delegationToken.Load())
+		return wire.FencingToken(t.delegationToken.Load())
 	}
 	return 0
 }
@@ -18,7 +18,7 @@
 // leaseRenewed notes a renewal of the leadership that was asked for at sent: for a
 // while after it this node may be its own delegate, once it leads no more.
 func (t *term) leaseRenewed(sent time.Time) {
-	if token := wire.Token(t.delegationToken.Load()); token > 0 {
+	if token := wire.FencingToken(t.delegationToken.Load()); token > 0 {
 		if at := t.unprovenCancel(); !at.IsZero() && at.Before(sent) {
 			sent = at
 		}
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -43,9 +43,9 @@
 
 // BoundsOf follow from the leases and the time for cancellations.
 func BoundsOf(w config.Workers) Bounds {
-	lease := w.LeaseS.Duration()
+	lease := w.Lease.Duration()
 	// What a lease leaves of the time for cancellations, less drift and margin.
-	left := w.CancelS.Duration() - lease - lease/500 - cancelMargin
+	left := w.CancelTimeout.Duration() - lease - lease/500 - cancelMargin
 	b := Bounds{MaxCancelAge: max(left, 2*peer.AckLifetime)}
 	if left > 2*peer.AckLifetime {
 		b.Time = left
@@ -91,7 +91,7 @@
 
 // GrantSelf lets this node be its own delegate for a while after sent, when it
 // surely led with the token, once it leads no more.
-func (d *Delegate) GrantSelf(token wire.Token, sent time.Time) {
+func (d *Delegate) GrantSelf(token wire.FencingToken, sent time.Time) {
 	d.own.Store(&peer.Delegation{Token: token, RequestedAt: sent})
 }
 
@@ -107,7 +107,7 @@
 
 // Halts is what a node that may start nothing tells a worker with the renewal of
 // its lease: to halt what is known to be cancelled.
-func (d *Delegate) Halts(rep *wire.Report) []wire.Command {
+func (d *Delegate) Halts(rep *wire.Heartbeat) []wire.Command {
 	out := []wire.Command{}
 	for i := range rep.Tasks {
 		state := &rep.Tasks[i]
@@ -117,7 +117,7 @@
 		}
 		if _, cancelled := d.Cancels.ConfirmedAt(task.Job); cancelled {
 			atOnce := wire.Seconds(0)
-			out = append(out, wire.Command{Verb: wire.Halt, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
+			out = append(out, wire.Command{Verb: wire.Stop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
 		}
 	}
 	return out
@@ -126,7 +126,7 @@
 // token tells whether this node may renew the lease of a worker that has seen
 // a token, and with which one: the newest that it knows of, from a leader that it
 // has not heard since.
-func (d *Delegate) token(seen wire.Token) (wire.Token, bool) {
+func (d *Delegate) token(seen wire.FencingToken) (wire.FencingToken, bool) {
 	v, now := d.Mesh.View(), time.Now()
 	g := v.Delegation
 	if own := d.own.Load(); own != nil && own.Token >= g.Token {
@@ -139,7 +139,7 @@
 }
 
 // Answer to a report for a lost leader, nil if there may be none.
-func (d *Delegate) Answer(rep *wire.Report) *wire.Commands {
+func (d *Delegate) Answer(rep *wire.Heartbeat) *wire.Commands {
 	if _, ok := d.token(rep.Token); !ok {
 		return nil
 	}
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -14,13 +14,13 @@
 // How long a node may be a delegate: what it lets live on is gone within the time
 // for cancellations, and where there is no such time it never is.
 func TestDelegationTime(t *testing.T) {
-	for _, w := range []config.Workers{{LeaseS: 45, CancelS: 70}, {LeaseS: 17.5, CancelS: 42.5}, {LeaseS: 16, CancelS: 41}} {
+	for _, w := range []config.Workers{{Lease: 45, CancelTimeout: 70}, {Lease: 17.5, CancelTimeout: 42.5}, {Lease: 16, CancelTimeout: 41}} {
 		d := BoundsOf(w).Time
-		if d < 10*time.Second || d+w.LeaseS.Duration()*1001/1000+2*time.Second > w.CancelS.Duration() {
+		if d < 10*time.Second || d+w.Lease.Duration()*1001/1000+2*time.Second > w.CancelTimeout.Duration() {
 			t.Errorf("%+v: delegates for %v", w, d)
 		}
 	}
-	if d := BoundsOf(config.Workers{LeaseS: 45, CancelS: 48}).Time; d != 0 {
+	if d := BoundsOf(config.Workers{Lease: 45, CancelTimeout: 48}).Time; d != 0 {
 		t.Errorf("delegates for %v where a lease is all that the time for cancellations leaves", d)
 	}
 }
@@ -40,7 +40,7 @@
 	}{
 		{"in touch, never a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5)}, time.Time{}, time.Time{}},
 		{"in touch, a delegate a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(12)}, time.Time{}, ago(12)},
-		{"in touch, began a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(20), StartedBy: ago(9)}, time.Time{}, ago(9)},
+		{"in touch, began a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(20), StartedBefore: ago(9)}, time.Time{}, ago(9)},
 		{"in touch, and perhaps still at it", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(15), LastRenewal: ago(1)}, time.Time{}, ago(-5)},
 		{"lost after our grant", peer.Peer{AckSent: ago(10), AckToken: 50, DelegatedAt: ago(9)}, time.Time{}, ago(-11)},
 		{"never heard in this term: an earlier leader's grant", peer.Peer{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
@@ -85,7 +85,7 @@
 func TestWhoMayBeADelegate(t *testing.T) {
 	type setting struct {
 		granted, led, known time.Duration // ago
-		token, newest, seen wire.Token
+		token, newest, seen wire.FencingToken
 		own                 bool
 	}
 	good := setting{granted: 10 * time.Second, led: 8 * time.Second, known: 2 * time.Second, token: 50, newest: 50, seen: 50}
@@ -119,7 +119,7 @@
 			if s.own {
 				d.GrantSelf(50, now.Add(-s.granted))
 			}
-			rep := &wire.Report{Machine: "n-1", Token: s.seen, Tasks: []wire.TaskState{
+			rep := &wire.Heartbeat{Machine: "n-1", Token: s.seen, Tasks: []wire.TaskState{
 				{Task: "req-7/0", Attempt: 1, Phase: wire.PhaseRunning}, {Task: "req-8/0", Attempt: 1, Phase: wire.PhaseRunning}, {Task: "req-7/1", Attempt: 2, Phase: wire.PhaseExited}}}
 			answer := d.Answer(rep)
 			if (answer != nil) != c.want || !mesh.stood.IsZero() != c.want {
@@ -128,7 +128,7 @@
 			if answer == nil {
 				return
 			}
-			if answer.Token != 50 || len(answer.Commands) != 1 || answer.Commands[0].Verb != wire.Halt || answer.Commands[0].Task != "req-7/0" {
+			if answer.Token != 50 || len(answer.Commands) != 1 || answer.Commands[0].Verb != wire.Stop || answer.Commands[0].Task != "req-7/0" {
 				t.Errorf("%s: answers %+v", name, answer)
 			}
 			// News that comes between the note and the answer still counts.
--- a/internal/leader/delegation/tenure.go
+++ b/internal/leader/delegation/tenure.go
@@ -12,7 +12,7 @@
 type Tenure struct {
 	Began time.Time
 	// FirstToken is the one with which it began.
-	FirstToken wire.Token
+	FirstToken wire.FencingToken
 	// StateBack is when the state service was last back after an outage.
 	StateBack time.Time
 }
@@ -25,7 +25,7 @@
 // delegate until this one began. Of one that never acknowledged our token, an
 // earlier leader's grant may be in force: that leader's last was before this term.
 func (b Bounds) AnswersUntil(t Tenure, o peer.Peer, now time.Time) time.Time {
-	at := latest(o.LastRenewal, o.StartedBy)
+	at := latest(o.LastRenewal, o.StartedBefore)
 	if o.AckToken < t.FirstToken {
 		at = latest(at, t.Began.Add(b.Time))
 	}
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -36,7 +36,7 @@
 		if units <= 0 {
 			continue
 		}
-		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(units)))
+		used[j.spec.Team] = used[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(units)))
 		out = t.appendDemand(out, j, units, waits[j.spec.ID], zones, now, stretch)
 	}
 	if d, ok := t.spareDemand(spareUnits, zones); ok {
@@ -64,7 +64,7 @@
 func (t *term) usedByTeam() map[wire.TeamID]placement.Resources {
 	used := map[wire.TeamID]placement.Resources{}
 	for _, j := range t.jobs {
-		used[j.spec.Team] = used[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.held)))
+		used[j.spec.Team] = used[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.held)))
 	}
 	return used
 }
@@ -92,7 +92,7 @@
 	if team.GPUsMax > 0 {
 		left.GPUs = team.GPUsMax - used[j.spec.Team].GPUs
 	}
-	most := placement.Of(&j.spec).Units(left)
+	most := placement.ResourcesOf(&j.spec).Units(left)
 	if gang && most < units {
 		return 0
 	}
@@ -101,7 +101,7 @@
 
 // appendDemand adds the demand of a job for so many of its tasks.
 func (t *term) appendDemand(out []fleet.Demand, j *job, units int, waitS float64, zones []wire.Zone, now time.Time, stretch float64) []fleet.Demand {
-	d := fleet.Demand{Spec: &j.spec, Units: units, Whole: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slack(j, now) * stretch}
+	d := fleet.Demand{Spec: &j.spec, Units: units, AllOrNothing: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slack(j, now) * stretch}
 	switch {
 	case j.spec.Service():
 		d.Rank += serviceRank
@@ -142,7 +142,7 @@
 	if n <= 0 {
 		return fleet.Demand{}, false
 	}
-	spec := &wire.Spec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: n, CPUs: r.CPUs, MemoryGB: r.MemoryGB}
+	spec := &wire.JobSpec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: n, CPUs: r.CPUs, MemoryGB: r.MemoryGB}
 	left := map[wire.Zone]int{}
 	for _, z := range zones {
 		left[z] = (n + 1) / 2
@@ -155,7 +155,7 @@
 func (t *term) gangReserves(times float64, now time.Time) []fleet.Demand {
 	var out []fleet.Demand
 	for _, spec := range t.expectedGangs(times, now) {
-		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, Whole: true}
+		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, AllOrNothing: true}
 		if spec.Spread {
 			d.ZoneLeft = map[wire.Zone]int{}
 			for _, z := range t.zones() {
@@ -206,7 +206,7 @@
 			processors += t.total(m).CPUs
 		}
 	}
-	for _, b := range t.rentals.Bookings() {
+	for _, b := range t.scaling.PendingScaleOuts() {
 		if spec := t.machineSpec(b.Type); spec != nil {
 			processors += float64(b.Count) * spec.CPUs
 		}
@@ -230,9 +230,9 @@
 
 // bootS is after how many seconds a machine that is rented now can run a task of
 // the job at the earliest; infinite if no type fits it.
-func (t *term) bootS(spec *wire.Spec) float64 {
+func (t *term) bootS(spec *wire.JobSpec) float64 {
 	boot := math.Inf(1)
-	for _, f := range t.l.Flavors.Get() {
+	for _, f := range t.l.Catalog.Get() {
 		if f.Fits(spec) && f.FetchGBPerS > 0 {
 			boot = min(boot, float64(f.BootTime)+spec.ImageGB/f.FetchGBPerS)
 		}
--- a/internal/leader/demand/demand.go
+++ b/internal/leader/demand/demand.go
@@ -66,7 +66,7 @@
 	case aim.Class != w.Class:
 		return 0
 	case aim.Kind == aimFinished:
-		return float64(aim.WithinS)
+		return float64(aim.Within)
 	case aim.Kind == aimDeadline:
 		return w.DeadlineS * aim.Times
 	}
--- a/internal/leader/demand/demand_test.go
+++ b/internal/leader/demand/demand_test.go
@@ -12,13 +12,13 @@
 // earliest that can still be met, else the latest.
 func TestDue(t *testing.T) {
 	within := func(s wire.Seconds) config.Objective {
-		return config.Objective{Kind: "finished", Class: "batch", WithinS: s, Share: 0.8}
+		return config.Objective{Kind: "finished", Class: "batch", Within: s, Share: 0.8}
 	}
 	times := func(x float64) config.Objective {
 		return config.Objective{Kind: "deadline", Class: "batch", Times: x, Share: 0.95}
 	}
-	other := config.Objective{Kind: "finished", Class: "other", WithinS: 1}
-	begun := config.Objective{Kind: "started", Class: "batch", WithinS: 1}
+	other := config.Objective{Kind: "finished", Class: "other", Within: 1}
+	begun := config.Objective{Kind: "started", Class: "batch", Within: 1}
 	for name, c := range map[string]struct {
 		work Work
 		aims []config.Objective
--- a/internal/leader/detector/detector_test.go
+++ b/internal/leader/detector/detector_test.go
@@ -94,11 +94,11 @@
 	const token = 50
 	none := func() bool { return false }
 	misses := func() bool { return true }
-	report := func(session wire.Session, sequence wire.Sequence, token wire.Token) *wire.Report {
-		return &wire.Report{Session: session, Sequence: sequence, Token: token}
+	report := func(session wire.AgentEpoch, sequence wire.Sequence, token wire.FencingToken) *wire.Heartbeat {
+		return &wire.Heartbeat{Epoch: session, Sequence: sequence, Token: token}
 	}
 	type step struct {
-		report   *wire.Report
+		report   *wire.Heartbeat
 		evidence Evidence
 		command  bool // a direct command is not answered, before the report
 		want     Change
--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -16,8 +16,8 @@
 type Inbound struct {
 	// The last answer to a report: the token in it, and the report's place in the
 	// machine's sessions.
-	token    wire.Token
-	session  wire.Session
+	token    wire.FencingToken
+	session  wire.AgentEpoch
 	sequence wire.Sequence
 
 	ignoredAnswers     int       // in a row
@@ -27,7 +27,7 @@
 
 // Evidence is what a report shows of earlier answers.
 type Evidence struct {
-	KnownToken wire.Token // that the machine had shown before
+	KnownToken wire.FencingToken // that the machine had shown before
 	// RenewedLately: its lease can't have run out if it had the last answer.
 	RenewedLately bool
 	// MissesLaunch tells whether the report lacks a task that an earlier answer
@@ -46,21 +46,21 @@
 )
 
 // Answered notes that a report is answered.
-func (p *Inbound) Answered(token wire.Token, session wire.Session, sequence wire.Sequence) {
+func (p *Inbound) Answered(token wire.FencingToken, session wire.AgentEpoch, sequence wire.Sequence) {
 	p.token, p.session, p.sequence = token, session, sequence
 }
 
 // Reported compares a report with what the machine was told in the answer to an
 // earlier one.
-func (p *Inbound) Reported(r *wire.Report, e Evidence, now time.Time) Change {
+func (p *Inbound) Reported(r *wire.Heartbeat, e Evidence, now time.Time) Change {
 	switch {
 	case r.Token > e.KnownToken && e.KnownToken > 0:
 		return p.Received()
 	case p.sequence == 0:
 		return Unchanged
-	case r.Session > p.session && e.RenewedLately:
+	case r.Epoch > p.session && e.RenewedLately:
 		p.ignoredAnswers += maxIgnoredAnswers // its lease ran out although its reports were answered
-	case r.Session != p.session || r.Sequence <= p.sequence:
+	case r.Epoch != p.session || r.Sequence <= p.sequence:
 		return Unchanged
 	case r.Token < p.token || e.MissesLaunch():
 		p.ignoredAnswers++
--- a/internal/leader/election/candidate.go
+++ b/internal/leader/election/candidate.go
@@ -36,7 +36,7 @@
 type Candidate struct{ *duty.Candidate }
 
 // NewCandidate makes the candidate of a node; observe is told of tokens.
-func NewCandidate(cfg *config.Config, client *store.Client, log *slog.Logger, observe func(context.Context, wire.Token)) *Candidate {
+func NewCandidate(cfg *config.Config, client *store.Client, log *slog.Logger, observe func(context.Context, wire.FencingToken)) *Candidate {
 	return New(Options(cfg, client, log, observe))
 }
 
@@ -44,9 +44,9 @@
 func New(o duty.Options) *Candidate { return &Candidate{duty.NewCandidate(o)} }
 
 // Options of a candidate for the leadership.
-func Options(cfg *config.Config, client *store.Client, log *slog.Logger, observe func(context.Context, wire.Token)) duty.Options {
-	return duty.Options{Key: store.LeadKey, Node: cfg.HostName, Store: client, Log: log, ObserveToken: observe, Timing: duty.Timing{
-		Life: grantTTL, RenewEvery: renewEvery, RenewTimeout: renewTimeout, Margin: margin,
+func Options(cfg *config.Config, client *store.Client, log *slog.Logger, observe func(context.Context, wire.FencingToken)) duty.Options {
+	return duty.Options{Key: store.LeaderKey, Node: cfg.HostName, Store: client, Log: log, ObserveToken: observe, Timing: duty.Timing{
+		TTL: grantTTL, RenewEvery: renewEvery, RenewTimeout: renewTimeout, Margin: margin,
 		Poll: pollInterval(&cfg.Settings), PollJitter: pollEvery / 4,
 	}}
 }
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -31,7 +31,7 @@
 			limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 			cfg := &config.Config{HostName: wire.NodeID(rune('a' + node)), Settings: config.Settings{Size: 3, State: limits}}
 			client := store.New(simulator.StateAddr, limits, 3, network.Host(simulator.NodeIP(node)))
-			return NewCandidate(cfg, client, slog.New(slog.NewTextHandler(io.Discard, nil)), func(context.Context, wire.Token) {})
+			return NewCandidate(cfg, client, slog.New(slog.NewTextHandler(io.Discard, nil)), func(context.Context, wire.FencingToken) {})
 		})
 		cancel()
 		stop()
@@ -62,7 +62,7 @@
 			}
 			st.RefuseClient(simulator.NodeIP(0), true)
 			for first.Deciding() {
-				if len(st.Keys(store.LeadKey)) == 0 {
+				if len(st.Keys(store.LeaderKey)) == 0 {
 					t.Errorf("answers %v late: decides without a grant", late)
 					break
 				}
@@ -122,11 +122,11 @@
 			}
 			old = token
 		}
-		st.Delete(store.LeadKey)
+		st.Delete(store.LeaderKey)
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrVacant) {
 			t.Errorf("without a key: %v", err)
 		}
-		st.Put(store.LeadKey, store.LeadRecord{Node: "b", Nonce: "other"})
+		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrTaken) {
 			t.Errorf("with another's key: %v", err)
 		}
@@ -145,7 +145,7 @@
 		if err := <-lost; !errors.Is(err, ErrGrantGone) {
 			t.Errorf("after resigning: %v", err)
 		}
-		if len(st.Keys(store.LeadKey)) != 0 {
+		if len(st.Keys(store.LeaderKey)) != 0 {
 			t.Error("the key is still there")
 		}
 		if a.Campaign(ctx); time.Now().Before(until) {
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -10,13 +10,13 @@
 
 // Why a lease is lost.
 var (
-	ErrGrantGone = duty.ErrGrantGone
-	ErrVacant    = duty.ErrVacant
-	ErrTaken     = duty.ErrTaken
+	ErrGrantGone = duty.ErrGrantExpired
+	ErrVacant    = duty.ErrNoHolder
+	ErrTaken     = duty.ErrHeldByOther
 )
 
 // Terms are the terms on which a lease was taken.
-type Terms = duty.Terms
+type Terms = duty.Tenure
 
 // Lease is the leadership as its holder knows it. It may be asked from any
 // goroutine whether it still holds.
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -7,24 +7,24 @@
 	"time"
 
 	"lilaclead/internal/fleet"
-	"lilaclead/internal/leader/rentals"
+	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
 // planFleet rents for what can't be placed and returns what is not needed.
 func (t *term) planFleet(now time.Time) {
-	specs := t.l.Flavors.Get()
+	specs := t.l.Catalog.Get()
 	t.recordBookings(now)
 	t.clearReturns(now)
-	if !t.recovered || !t.placing || !t.listReceived || !t.lease.Deciding() || specs == nil || t.rentals.Paused(now) {
+	if !t.recovered || !t.placing || !t.listReceived || !t.lease.Deciding() || specs == nil || t.scaling.Paused(now) {
 		return
 	}
 	candidates := t.planCandidates()
-	plan := fleet.Make(t.fleetSnapshot(candidates, specs, now))
-	for _, r := range plan.Rents {
-		for left := r.Count; left > 0; left -= rentals.MaxBooking {
-			r.Count = min(left, rentals.MaxBooking)
+	plan := fleet.MakePlan(t.fleetSnapshot(candidates, specs, now))
+	for _, r := range plan.ScaleOuts {
+		for left := r.Count; left > 0; left -= scaling.MaxScaleOut {
+			r.Count = min(left, scaling.MaxScaleOut)
 			t.rent(r)
 		}
 	}
@@ -35,7 +35,7 @@
 	for _, id := range plan.Cordons {
 		t.machines[id].cordoned = true
 	}
-	for _, id := range plan.Releases {
+	for _, id := range plan.ScaleIns {
 		if m := t.machines[id]; m != nil && len(m.tasks) == 0 {
 			t.release(m, drainIdle)
 		}
@@ -57,17 +57,17 @@
 // fleetSnapshot is what a plan is made from.
 func (t *term) fleetSnapshot(candidates []*machine, specs []wire.MachineSpec, now time.Time) *fleet.Snapshot {
 	v := t.l.Tuning.Get()
-	s := &fleet.Snapshot{MaxRents: maxRentsPerPlan, PriceLimit: v.DearLimit,
-		Cheapest: func(spec *wire.Spec) float64 { return cheapest(specs, spec) }}
+	s := &fleet.Snapshot{MaxScaleOuts: maxRentsPerPlan, PriceLimit: v.PriceLimit,
+		Cheapest: func(spec *wire.JobSpec) float64 { return cheapest(specs, spec) }}
 	for _, m := range candidates {
 		spec := t.machineSpec(m.machineType)
 		if spec != nil && t.countedOn(m, spec, now) {
-			s.Machines = append(s.Machines, t.planMachine(m, spec, v.KeepBoots, now))
+			s.Machines = append(s.Machines, t.planMachine(m, spec, v.IdleBoots, now))
 		}
 	}
 	s.Machines = t.appendBooked(s.Machines)
 	// What an earlier leader rented last is not listed yet.
-	if t.mayRent() && now.Sub(t.startedAt) > t.settings.Cloud.ListLagS.Duration()+time.Second {
+	if t.mayRent() && now.Sub(t.startedAt) > t.settings.Cloud.ListLag.Duration()+time.Second {
 		s.Offers = t.offers(specs, now)
 	}
 	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
@@ -129,7 +129,7 @@
 
 // appendBooked adds the machines of bookings that are not yet answered.
 func (t *term) appendBooked(out []fleet.Machine) []fleet.Machine {
-	for _, b := range t.rentals.Bookings() {
+	for _, b := range t.scaling.PendingScaleOuts() {
 		spec := t.machineSpec(b.Type)
 		if spec == nil {
 			continue
@@ -143,14 +143,14 @@
 }
 
 // cheapest is the lowest price of room for one task of the job.
-func cheapest(types []wire.MachineSpec, s *wire.Spec) float64 {
+func cheapest(types []wire.MachineSpec, s *wire.JobSpec) float64 {
 	best := math.Inf(1)
 	for i := range types {
 		f := &types[i]
 		if !f.Fits(s) {
 			continue
 		}
-		n := placement.Of(s).Units(placementRes(f))
+		n := placement.ResourcesOf(s).Units(placementRes(f))
 		best = min(best, f.OnDemandPrice/float64(n))
 		if s.SpotAllowed {
 			best = min(best, f.SpotPrice/float64(n))
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -60,7 +60,7 @@
 // last. Once the gang has run it is lost with that task.
 func (t *term) launchAgain(a *attempt) bool {
 	g := a.job.gang
-	wait := t.settings.Workers.GangWaitS.Duration()
+	wait := t.settings.Workers.GangWait.Duration()
 	return g != nil && !a.reported && !a.halting && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drainReason == "" && !a.machine.releasing &&
 		time.Since(g.startedAt) < wait
 }
@@ -150,7 +150,7 @@
 
 // recentGang is a gang of a class, and when one like it was last unfinished.
 type recentGang struct {
-	spec     *wire.Spec
+	spec     *wire.JobSpec
 	lastSeen time.Time
 }
 
@@ -167,14 +167,14 @@
 // expectedGangs are the gangs for which room is kept free of arrays: the largest of
 // each class seen lately, as often as operators say. Everyday gangs may stop
 // nothing, and should start sooner than anything ends on a full deployment.
-func (t *term) expectedGangs(times float64, now time.Time) []*wire.Spec {
+func (t *term) expectedGangs(times float64, now time.Time) []*wire.JobSpec {
 	for _, j := range t.jobs {
 		if j.spec.Gang() && !j.cancelled && !j.finished {
-			t.recentGangs[gangSize{string(j.spec.Class), j.spec.Tasks, placement.Of(&j.spec)}] = recentGang{&j.spec, now}
+			t.recentGangs[gangSize{string(j.spec.Class), j.spec.Tasks, placement.ResourcesOf(&j.spec)}] = recentGang{&j.spec, now}
 		}
 	}
-	size := func(s *wire.Spec) float64 { return float64(s.Tasks) * (s.CPUs + s.MemoryGB/1000 + 10*s.GPUs) }
-	largest := map[string]*wire.Spec{}
+	size := func(s *wire.JobSpec) float64 { return float64(s.Tasks) * (s.CPUs + s.MemoryGB/1000 + 10*s.GPUs) }
+	largest := map[string]*wire.JobSpec{}
 	for k, g := range t.recentGangs {
 		if now.Sub(g.lastSeen) > recentGangLife {
 			delete(t.recentGangs, k)
@@ -182,13 +182,13 @@
 			largest[k.class] = g.spec
 		}
 	}
-	var out []*wire.Spec
+	var out []*wire.JobSpec
 	for _, s := range largest {
 		for range int(times) {
 			out = append(out, s)
 		}
 	}
-	slices.SortFunc(out, func(a, b *wire.Spec) int {
+	slices.SortFunc(out, func(a, b *wire.JobSpec) int {
 		return cmp.Or(cmp.Compare(b.Priority.Rank(), a.Priority.Rank()), cmp.Compare(a.ID, b.ID))
 	})
 	return out
@@ -199,7 +199,7 @@
 func (t *term) gracePeriodOf(j *job) wire.Seconds {
 	w := gracePeriodOf(j)
 	if w > 0 && j.spec.Gang() {
-		w += t.settings.Workers.GangPeerS
+		w += t.settings.Workers.GangPeerTimeout
 	}
 	return w
 }
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -17,7 +17,7 @@
 	tm, _, single := rig(t)
 	tm.drop(single, taskPending)
 	delete(tm.jobs, single.job.spec.ID)
-	tm.settings.Workers.GangWaitS, tm.settings.Workers.GangPeerS = 40, 8
+	tm.settings.Workers.GangWait, tm.settings.Workers.GangPeerTimeout = 40, 8
 	j := gangJob(tm, "req-2", parts)
 	j.spec.CheckpointInterval, j.spec.CheckpointTime = 20, 3
 	j.chunkTasks = 2
@@ -218,7 +218,7 @@
 func TestGangDone(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	m := member(j, 1).machine
-	tm.apply(m, &wire.Report{Machine: m.id, Session: 1, Sequence: 11, Token: tm.firstToken,
+	tm.apply(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.firstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
 	tm.stopIncompleteGangs()
 	mustBeDone(t, "one reported done", tm, j)
@@ -231,8 +231,8 @@
 	}
 	for n := range j.chunks {
 		c := j.chunk(n)
-		if rec := c.record(); len(rec.Held) > 0 || !c.changed {
-			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Held, c.changed)
+		if rec := c.record(); len(rec.Active) > 0 || !c.changed {
+			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Active, c.changed)
 		}
 		for i, s := range c.taskStates {
 			if s != taskDone {
@@ -252,11 +252,11 @@
 func heldRecords(tries ...wire.Attempt) (recs []store.ChunkRecord) {
 	for i, try := range tries {
 		if i%2 == 0 {
-			recs = append(recs, store.ChunkRecord{Next: 1, Held: []store.HeldAttempt{}})
+			recs = append(recs, store.ChunkRecord{NextAttempt: 1, Active: []store.ActiveAttempt{}})
 		}
 		if rec := &recs[i/2]; try > 0 {
-			rec.Next = max(rec.Next, try+1)
-			rec.Held = append(rec.Held, store.HeldAttempt{Task: i % 2, Attempt: try, Machine: wire.MachineID(fmt.Sprint("n-", i+1))})
+			rec.NextAttempt = max(rec.NextAttempt, try+1)
+			rec.Active = append(rec.Active, store.ActiveAttempt{Task: i % 2, Attempt: try, Machine: wire.MachineID(fmt.Sprint("n-", i+1))})
 		}
 	}
 	return recs
@@ -340,8 +340,8 @@
 		}
 	}
 	for n := range j.chunks {
-		if rec := j.chunk(n).record(); rec.Next != 8 || !j.chunk(n).changed {
-			t.Errorf("chunk %d: next %d, to be written %v", n, rec.Next, j.chunk(n).changed)
+		if rec := j.chunk(n).record(); rec.NextAttempt != 8 || !j.chunk(n).changed {
+			t.Errorf("chunk %d: next %d, to be written %v", n, rec.NextAttempt, j.chunk(n).changed)
 		}
 	}
 }
@@ -354,7 +354,7 @@
 		tm, j := gangRig(t, 3, 4)
 		j.gang.ran = true
 		m := member(j, 0).machine
-		single := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, At: wire.TimestampOf(time.Now())}, 2)
+		single := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
 		tm.jobs["req-3"] = single
 		array := &attempt{job: single, chunk: single.chunk(0), number: 2, machine: m, reported: true}
 		array.chunk.hold(array)
@@ -385,12 +385,12 @@
 		}
 		other := member(j, 1).machine
 		tm.l.Cancels.RecordRead(time.Now())
-		r := tm.tell(&wire.Report{Machine: other.id, Session: 1, Sequence: 11, Token: tm.firstToken,
+		r := tm.tell(&wire.Heartbeat{Machine: other.id, Epoch: 1, Sequence: 11, Token: tm.firstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
 		if r.commands != nil {
 			for _, o := range r.commands.Commands {
-				if o.Verb == wire.Halt && o.Task == "req-2/1" && *o.GracePeriod == 13 {
+				if o.Verb == wire.Stop && o.Task == "req-2/1" && *o.GracePeriod == 13 {
 					told++
 				}
 			}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -11,7 +11,7 @@
 )
 
 func gangJob(tm *term, id wire.JobID, parts int) *job {
-	j := newJob(store.JobRecord{Spec: wire.Spec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: parts, CPUs: 2, MemoryGB: 4, SameZone: true}, At: wire.TimestampOf(time.Now())}, 2)
+	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: parts, CPUs: 2, MemoryGB: 4, SameZone: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
 	tm.jobs[id] = j
 	return j
 }
@@ -24,7 +24,7 @@
 	other := tm.machine("n-2")
 	now := time.Now()
 	for _, x := range []*machine{m, other} {
-		x.claims = []claim{{placement.Claim{Job: "req-2", Rank: 1}, nil, now.Add(time.Minute)}}
+		x.claims = []claim{{placement.Reservation{Job: "req-2", Rank: 1}, nil, now.Add(time.Minute)}}
 		tm.claimed[x] = struct{}{}
 	}
 	if n := tm.claims(now); n["req-2"] != 2 {
@@ -66,7 +66,7 @@
 		t.Errorf("later: room for %v", got)
 	}
 	ds := tm.gangReserves(1, now.Add(recentGangLife+time.Second))
-	if len(ds) != 1 || !ds[0].Whole || ds[0].Units != 2 || ds[0].Rank >= 9 {
+	if len(ds) != 1 || !ds[0].AllOrNothing || ds[0].Units != 2 || ds[0].Rank >= 9 {
 		t.Errorf("demands %+v", ds)
 	}
 }
@@ -85,7 +85,7 @@
 	if got := after(0); got != maxPatienceS {
 		t.Errorf("without an aim: %g s", got)
 	}
-	tm.settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", WithinS: 1}, {Kind: "wait", Class: gang.spec.Class, WithinS: 2}}
+	tm.settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: gang.spec.Class, Within: 2}}
 	if got := after(0); got != 1 {
 		t.Errorf("at once: %g s of 2 s", got)
 	}
--- a/internal/leader/intents.go
+++ b/internal/leader/intents.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lilaclead/duty"
-	"lilaclead/internal/leader/rentals"
+	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/wire"
 )
 
@@ -15,22 +15,22 @@
 // which all is done is emptied: a write of its own, that the next intent would spare.
 const clearIntentsAfter = 5 * time.Second
 
-// RentIntent is a booking that may be on its way to the cloud, as it is stored.
-type RentIntent struct {
-	Request wire.RentalRequest `cbor:"request"`
-	Since   wire.Timestamp     `cbor:"since"`
+// ScaleOutIntent is a booking that may be on its way to the cloud, as it is stored.
+type ScaleOutIntent struct {
+	Request wire.ScaleOutRequest `cbor:"request"`
+	Since   wire.Timestamp       `cbor:"since"`
 }
 
 // cloudIntents are what the term is about to ask of the cloud, recorded before it is
 // sent (package duty). The cloud knows no tokens: a request of an earlier leader is
 // carried out as well as one of ours, however late. Off, nothing is recorded.
 type cloudIntents struct {
-	renting   *duty.Intents[duty.Renting, RentIntent]
-	returning *duty.Intents[duty.Returning, wire.MachineID]
+	renting   *duty.Intents[duty.ScaleOut, ScaleOutIntent]
+	returning *duty.Intents[duty.ScaleIn, wire.MachineID]
 
 	// ---- of renting, owned by the loop ----
-	recording  bool               // a write is under way
-	unrecorded []*rentals.Booking // not sent yet
+	recording  bool                       // a write is under way
+	unrecorded []*scaling.PendingScaleOut // not sent yet
 	recordedAt time.Time
 	// ---- of returning, owned by the loop ----
 	returnedAt time.Time // when the last machines were gone
@@ -39,14 +39,14 @@
 func newCloudIntents(t *term) *cloudIntents {
 	limit := int(t.settings.State.Least().ValueKB * 1024)
 	return &cloudIntents{
-		renting:   duty.OpenIntents[duty.Renting, RentIntent](t.lease.Lease, limit),
-		returning: duty.OpenIntents[duty.Returning, wire.MachineID](t.lease.Lease, limit),
+		renting:   duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](t.lease.Lease, limit),
+		returning: duty.OpenIntents[duty.ScaleIn, wire.MachineID](t.lease.Lease, limit),
 	}
 }
 
 // earlierIntents is what an earlier leader left open.
 type earlierIntents struct {
-	bookings  []RentIntent
+	bookings  []ScaleOutIntent
 	returning []wire.MachineID
 }
 
@@ -79,8 +79,8 @@
 		t.release(m, drainReturning)
 	}
 	for _, intent := range earlier.bookings {
-		b := t.rentals.Adopt(intent.Request, intent.Since.Time())
-		t.log().Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.Since))
+		b := t.scaling.Adopt(intent.Request, intent.Since.Time())
+		t.log().Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.RequestedAt))
 		go t.book(b)
 	}
 }
@@ -111,7 +111,7 @@
 // a while.
 func (t *term) bookingsSettled(now time.Time) bool {
 	c := t.intents
-	return len(c.renting.Open()) > 0 && len(t.rentals.Bookings()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
+	return len(c.renting.Open()) > 0 && len(t.scaling.PendingScaleOuts()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
 }
 
 // withdrawUnfitting withdraws the newest bookings for which the record has no room.
@@ -119,33 +119,33 @@
 	c := t.intents
 	for len(c.unrecorded) > 0 && !c.renting.Fits(t.rentIntents()) {
 		last := len(c.unrecorded) - 1
-		t.rentals.Withdraw(c.unrecorded[last])
+		t.scaling.Withdraw(c.unrecorded[last])
 		c.unrecorded = c.unrecorded[:last]
 	}
 }
 
 // rentIntents are the open bookings as they are stored.
-func (t *term) rentIntents() []RentIntent {
-	out := []RentIntent{}
-	for _, b := range t.rentals.Bookings() {
-		out = append(out, RentIntent{b.RentalRequest, wire.TimestampOf(b.Since)})
+func (t *term) rentIntents() []ScaleOutIntent {
+	out := []ScaleOutIntent{}
+	for _, b := range t.scaling.PendingScaleOuts() {
+		out = append(out, ScaleOutIntent{b.ScaleOutRequest, wire.TimestampOf(b.RequestedAt)})
 	}
 	return out
 }
 
 // bookingsRecorded has the bookings sent that are recorded now, or withdraws them.
-func (t *term) bookingsRecorded(fresh []*rentals.Booking, err error) {
+func (t *term) bookingsRecorded(fresh []*scaling.PendingScaleOut, err error) {
 	c := t.intents
 	c.recording, c.recordedAt = false, time.Now()
 	for _, b := range fresh {
 		if err != nil {
-			t.rentals.Withdraw(b)
+			t.scaling.Withdraw(b)
 			continue
 		}
 		go t.book(b)
 	}
 	switch {
-	case errors.Is(err, duty.ErrTaken):
+	case errors.Is(err, duty.ErrHeldByOther):
 		t.end(err.Error())
 	case err != nil:
 		t.log().Info("bookings could not be recorded", "bookings", len(fresh), "err", err)
@@ -161,7 +161,7 @@
 		if err == nil {
 			return true
 		}
-		if errors.Is(err, duty.ErrTaken) {
+		if errors.Is(err, duty.ErrHeldByOther) {
 			t.end(err.Error())
 			return false
 		}
@@ -176,11 +176,11 @@
 // later leader asks for them again.
 func (t *term) clearReturns(now time.Time) {
 	c := t.intents
-	if !t.recordsIntents() || !t.lease.Deciding() || !t.rentals.StartRelease() {
+	if !t.recordsIntents() || !t.lease.Deciding() || !t.scaling.BeginScaleIn() {
 		return
 	}
 	if len(c.returning.Open()) == 0 || now.Sub(c.returnedAt) <= clearIntentsAfter {
-		t.rentals.Released()
+		t.scaling.EndScaleIn()
 		return
 	}
 	go func() {
@@ -193,9 +193,9 @@
 // returnsAtOnce is how many machines one record of returns has room for.
 func (t *term) returnsAtOnce() int {
 	if !t.recordsIntents() {
-		return rentals.MaxRelease
+		return scaling.MaxScaleIn
 	}
-	n := rentals.MaxRelease
+	n := scaling.MaxScaleIn
 	for n > 1 && !t.intents.returning.Fits(namesOfLength(n)) {
 		n /= 2
 	}
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -36,12 +36,12 @@
 func TestMachineSpecsAreGuarded(t *testing.T) {
 	withState(t, func(tm *term, _ *machine, st *simulator.State, _ func()) {
 		specs := []wire.MachineSpec{{Name: "c4"}}
-		if !tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.FlavorsKey) == 0 {
+		if !tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) == 0 {
 			t.Error("not stored while this node leads")
 		}
-		stored := st.Revision(store.FlavorsKey)
-		st.Put(store.LeadKey, store.LeadRecord{Node: "b", Nonce: "other"})
-		if tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.FlavorsKey) != stored {
+		stored := st.Revision(store.MachineSpecsKey)
+		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
+		if tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) != stored {
 			t.Error("stored though another node leads")
 		}
 	})
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -14,7 +14,7 @@
 )
 
 type job struct {
-	spec        wire.Spec
+	spec        wire.JobSpec
 	revision    wire.Revision
 	acceptedAt  time.Time
 	cancelled   bool
@@ -47,7 +47,7 @@
 }
 
 func newJob(rec store.JobRecord, revision wire.Revision) *job {
-	j := &job{spec: rec.Spec, revision: revision, acceptedAt: rec.At.Time(), chunkTasks: rec.ChunkTasks()}
+	j := &job{spec: rec.Spec, revision: revision, acceptedAt: rec.AcceptedAt.Time(), chunkTasks: rec.ChunkTasks()}
 	// Steady from here on; a clock that is off makes no job wait negatively.
 	if age := time.Since(j.acceptedAt); age > 0 {
 		j.acceptedAt = time.Now().Add(-age)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -39,16 +39,16 @@
 	"lilaclead/upgrade"
 )
 
-// Deps is what the leader works with.
-type Deps struct {
+// Dependencies is what the leader works with.
+type Dependencies struct {
 	Config  *config.Config
 	Net     netio.Net
 	Store   *store.Client
 	Cloud   *cloud.Client
 	Mesh    *peer.Mesh
 	Cancels *cancels.Log
-	Tuning  *tuning.Box
-	Flavors *FlavorBox
+	Tuning  *tuning.Current
+	Catalog *MachineCatalog
 	Log     *slog.Logger
 	Metrics Metrics
 	// Undecodable is told of records and reports that can't be decoded.
@@ -62,31 +62,31 @@
 	Versions *upgrade.Member
 	// Sockets is how many connections may go to workers at a time, Workers how
 	// many of them one node can hold, and Needed the limit that more need.
-	Sockets int
-	Workers int
-	Needed  func(workers int) int
+	Sockets     int
+	Workers     int
+	RequiredFDs func(workers int) int
 }
 
 // Metrics is told what happens; nil functions are not allowed.
 type Metrics struct {
-	Round   func(took time.Duration, starts, halts int)
-	Led     func()
-	Report  func(status string)
-	Waited  func(lane string, seconds float64)
-	Command func(outcome string)
-	Moved   func(why string)
-	Fleet   func(what string, n int)
+	SchedulingCycle func(took time.Duration, starts, halts int)
+	BecameLeader    func()
+	Heartbeat       func(status string)
+	StartDelay      func(lane string, seconds float64)
+	Command         func(outcome string)
+	TaskMoved       func(why string)
+	Fleet           func(what string, n int)
 	// Machines is told the number of machines in each state.
 	Machines func(map[string]int)
 }
 
-// FlavorBox shares the machine types between the actors of a node.
-type FlavorBox struct {
+// MachineCatalog shares the machine types between the actors of a node.
+type MachineCatalog struct {
 	p atomic.Pointer[[]wire.MachineSpec]
 }
 
 // Get is the types last seen, nil if none ever were.
-func (b *FlavorBox) Get() []wire.MachineSpec {
+func (b *MachineCatalog) Get() []wire.MachineSpec {
 	if f := b.p.Load(); f != nil {
 		return *f
 	}
@@ -94,11 +94,11 @@
 }
 
 // Set replaces them.
-func (b *FlavorBox) Set(f []wire.MachineSpec) { b.p.Store(&f) }
+func (b *MachineCatalog) Set(f []wire.MachineSpec) { b.p.Store(&f) }
 
 // Leader campaigns for the leadership and serves while it holds it.
 type Leader struct {
-	Deps
+	Dependencies
 	candidate *election.Candidate
 	term      atomic.Pointer[term]
 	// workerContacts names each worker that reports to this node, whoever leads.
@@ -116,9 +116,9 @@
 }
 
 // New makes the leader's part of a node.
-func New(d Deps) *Leader {
+func New(d Dependencies) *Leader {
 	l := &Leader{
-		Deps:           d,
+		Dependencies:   d,
 		candidate:      newCandidate(d),
 		workerContacts: make(chan wire.MachineID, 64),
 		delegation:     delegation.BoundsOf(d.Config.Settings.Workers),
@@ -129,7 +129,7 @@
 	return l
 }
 
-func newCandidate(d Deps) *election.Candidate {
+func newCandidate(d Dependencies) *election.Candidate {
 	o := election.Options(d.Config, d.Store, d.Log, d.Mesh.ObserveToken)
 	o.Observe, o.Undecodable = d.Observe, d.Undecodable.Note
 	if d.Versions != nil {
@@ -138,11 +138,11 @@
 	return election.New(o)
 }
 
-func newDelegate(d Deps, bounds delegation.Bounds) *delegation.Delegate {
+func newDelegate(d Dependencies, bounds delegation.Bounds) *delegation.Delegate {
 	s := &d.Config.Settings
 	return delegation.New(delegation.Config{
 		Bounds: bounds, Mesh: d.Mesh, Cancels: d.Cancels, Nodes: s.Size, Workers: d.Workers,
-		ReportEvery: s.Workers.ReportS.Duration(), MaxCommands: maxCommands,
+		ReportEvery: s.Workers.HeartbeatInterval.Duration(), MaxCommands: maxCommands,
 	})
 }
 
@@ -163,7 +163,7 @@
 		l.Mesh.ObserveToken(ctx, lease.Token())
 		t := newTerm(l, lease)
 		l.term.Store(t)
-		l.Metrics.Led()
+		l.Metrics.BecameLeader()
 		l.Log.Info("leads", "token", lease.Token())
 		why := t.run(ctx)
 		l.term.Store(nil)
@@ -193,18 +193,18 @@
 	}
 }
 
-// Report handles a worker's report.
-func (l *Leader) Report(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// ServeHeartbeat handles a worker's report.
+func (l *Leader) ServeHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
 		w.Header().Set("Connection", "close")
-		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.Reason{Error: err.Error()})
+		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
 		return
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err := wire.Decode(raw, &rep); err != nil || rep.Machine == "" {
 		l.Undecodable.Note("a report from "+undecodable.Sender(r), err)
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 		return
 	}
 	select {
@@ -213,7 +213,7 @@
 	}
 	t := l.term.Load()
 	if t == nil || !t.lease.Answering() {
-		l.Metrics.Report("elsewhere")
+		l.Metrics.Heartbeat("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
 			if !l.delegate.Lately() && l.Mesh.View().Peers[lead].Connected(now) && l.relay(r.Context(), w, lead, &rep) {
@@ -228,19 +228,19 @@
 		if l.answerAsDelegate(w, &rep) {
 			return
 		}
-		wire.Refuse(w, http.StatusServiceUnavailable, "no leader known", 1)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no leader known", 1)
 		return
 	}
 	l.serve(r.Context(), w, t, rep, false)
 }
 
 // answerAsDelegate renews a worker's lease for a lost leader, if it may.
-func (l *Leader) answerAsDelegate(w http.ResponseWriter, rep *wire.Report) bool {
+func (l *Leader) answerAsDelegate(w http.ResponseWriter, rep *wire.Heartbeat) bool {
 	o := l.delegate.Answer(rep)
 	if o == nil {
 		return false
 	}
-	l.Metrics.Report("by a delegate")
+	l.Metrics.Heartbeat("by a delegate")
 	wire.Answer(w, http.StatusOK, o)
 	return true
 }
@@ -258,7 +258,7 @@
 }
 
 // serve has the term's loop answer a report.
-func (l *Leader) serve(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Report, relayed bool) {
+func (l *Leader) serve(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Heartbeat, relayed bool) {
 	ask := reportCall{report: rep, relayed: relayed, reply: make(chan reportAnswer, 1)}
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
@@ -271,26 +271,26 @@
 	case a := <-ask.reply:
 		switch {
 		case a.redirect:
-			l.Metrics.Report("sent here")
+			l.Metrics.Heartbeat("sent here")
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
 		case a.commands == nil:
-			l.Metrics.Report("refused")
-			wire.Refuse(w, http.StatusServiceUnavailable, string(a.refused), 1)
+			l.Metrics.Heartbeat("refused")
+			wire.RefuseRetryable(w, http.StatusServiceUnavailable, string(a.refused), 1)
 		default:
-			l.Metrics.Report("ok")
+			l.Metrics.Heartbeat("ok")
 			wire.Answer(w, http.StatusOK, a.commands)
 		}
 	case <-t.over:
-		wire.Refuse(w, http.StatusServiceUnavailable, "no longer leads", 1)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no longer leads", 1)
 	case <-ctx.Done():
-		wire.Refuse(w, http.StatusServiceUnavailable, "busy", 1)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "busy", 1)
 	}
 }
 
 // relay passes a report on to the leader, which answers it if the worker
 // seems unable to reach the leader itself. A worker that is cut off from the
 // leader only would otherwise go to and fro until its lease ends.
-func (l *Leader) relay(ctx context.Context, w http.ResponseWriter, to wire.NodeID, rep *wire.Report) bool {
+func (l *Leader) relay(ctx context.Context, w http.ResponseWriter, to wire.NodeID, rep *wire.Heartbeat) bool {
 	status, raw, err := l.Mesh.Relay(ctx, to, "/peer/hello", rep)
 	if err != nil || status != http.StatusOK {
 		return false
@@ -299,26 +299,26 @@
 	if wire.Decode(raw, &o) != nil {
 		return false
 	}
-	l.Metrics.Report("relayed")
+	l.Metrics.Heartbeat("relayed")
 	wire.Answer(w, http.StatusOK, o)
 	return true
 }
 
-// RelayReport handles a report that another node passes on.
-func (l *Leader) RelayReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// ServeRelayedHeartbeat handles a report that another node passes on.
+func (l *Leader) ServeRelayedHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err == nil {
 		err = wire.Decode(raw, &rep)
 	}
 	if err != nil || rep.Machine == "" {
 		l.Undecodable.Note("a relayed report from "+undecodable.Sender(r), err)
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 		return
 	}
 	t := l.term.Load()
 	if t == nil || !t.lease.Answering() {
-		wire.Refuse(w, http.StatusServiceUnavailable, "does not lead", 1)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "does not lead", 1)
 		return
 	}
 	l.serve(r.Context(), w, t, rep, true)
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -20,7 +20,7 @@
 	if len(m.tasks) == 0 || !t.recovered {
 		return
 	}
-	lease := t.settings.Workers.LeaseS.Duration()
+	lease := t.settings.Workers.Lease.Duration()
 	surelyOver := lease + lease/clockDriftPart + leaseRounding
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
@@ -44,7 +44,7 @@
 			continue
 		}
 		t.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
-		t.l.Metrics.Moved(string(moveLeaseEnded))
+		t.l.Metrics.TaskMoved(string(moveLeaseEnded))
 		t.drop(a, taskPending)
 	}
 }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -126,7 +126,7 @@
 
 // betterReached is a node that most workers reach, if they don't reach this one.
 func (t *term) betterReached(c *census, now time.Time) (wire.NodeID, bool) {
-	settled := t.lostAfter() + t.settings.Workers.LeaseS.Duration()/8
+	settled := t.lostAfter() + t.settings.Workers.Lease.Duration()/8
 	if !c.unreachable() || !t.lease.Deciding() || now.Sub(t.startedAt) <= settled {
 		return "", false
 	}
@@ -174,7 +174,7 @@
 		return false
 	}
 	// Where the partition is over the machines need a while to report again.
-	outlasted := max(t.settings.Workers.LeaseS.Duration()*5/2, t.settings.Workers.CancelS.Duration()*2)
+	outlasted := max(t.settings.Workers.Lease.Duration()*5/2, t.settings.Workers.CancelTimeout.Duration()*2)
 	return c.isolated() || t.latelyPartitioned(m.zone, now) && t.silence(m, now) < outlasted
 }
 
@@ -184,7 +184,7 @@
 		return
 	}
 	for _, j := range t.jobs {
-		if j.cancelled && j.held > 0 && now.Sub(j.cancelledAt) > t.settings.Workers.CancelS.Duration()*6/10 {
+		if j.cancelled && j.held > 0 && now.Sub(j.cancelledAt) > t.settings.Workers.CancelTimeout.Duration()*6/10 {
 			for _, a := range j.attempts() {
 				t.release(a.machine, drainUncancellable)
 			}
@@ -313,7 +313,7 @@
 		}
 		need := spec.CheckpointTime.Duration() + noticeMargin
 		if spec.Gang() {
-			need += t.settings.Workers.GangPeerS.Duration()
+			need += t.settings.Workers.GangPeerTimeout.Duration()
 		}
 		if m.takenBackAt.Sub(now) < need {
 			t.halt(a, t.gracePeriodOf(a.job), "saves before its machine is taken")
@@ -332,11 +332,11 @@
 // most machines had vanished at once it looked as if this node were cut off for as long
 // as no more were rented than that, and none of them was ever asked for.)
 func (t *term) unlisted(m *machine) bool {
-	return t.listAskedAt.Sub(m.listedAt) > 2*t.settings.Cloud.ListLagS.Duration()+10*time.Second
+	return t.listAskedAt.Sub(m.listedAt) > 2*t.settings.Cloud.ListLag.Duration()+10*time.Second
 }
 
 // reportInterval is how often a worker reports, give or take a quarter.
-func reportInterval(t *term) time.Duration { return t.settings.Workers.ReportS.Duration() }
+func reportInterval(t *term) time.Duration { return t.settings.Workers.HeartbeatInterval.Duration() }
 
 // replicasMovable tells whether a machine in a zone that is cut off holds replicas that
 // could be started elsewhere before long: their leases end about now, as no
@@ -350,7 +350,7 @@
 	} else if answered.IsZero() {
 		answered = t.startedAt
 	}
-	if now.Sub(answered) < t.settings.Workers.LeaseS.Duration()*95/100 {
+	if now.Sub(answered) < t.settings.Workers.Lease.Duration()*95/100 {
 		return false
 	}
 	for _, a := range m.tasks {
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -84,7 +84,7 @@
 				t.Fatalf("%s takes launches behind the cut", m.id)
 			}
 		}
-		for _, o := range tm.offers(tm.l.Flavors.Get(), time.Now()) {
+		for _, o := range tm.offers(tm.l.Catalog.Get(), time.Now()) {
 			if o.Zone == "a" {
 				t.Error("machines would be rented behind the cut")
 			}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -20,9 +20,9 @@
 	machineType wire.MachineType
 	zone        wire.Zone
 	spot        bool
-	session     wire.Session
+	session     wire.AgentEpoch
 	sequence    wire.Sequence
-	token       wire.Token
+	token       wire.FencingToken
 
 	directReportAt      time.Time // last report that came here by itself
 	relayedReportAt     time.Time // last report through another node
@@ -119,14 +119,14 @@
 
 // unansweredCommand is the newest direct command that was never answered.
 type unansweredCommand struct {
-	token   wire.Token
-	session wire.Session
+	token   wire.FencingToken
+	session wire.AgentEpoch
 }
 
 // mayStillLaunch tells whether an unanswered launch may still reach the worker.
-func (m *machine) mayStillLaunch(rep *wire.Report) bool {
+func (m *machine) mayStillLaunch(rep *wire.Heartbeat) bool {
 	l := m.unansweredLaunch
-	return l.token > 0 && rep.Token <= l.token && rep.Session <= l.session
+	return l.token > 0 && rep.Token <= l.token && rep.Epoch <= l.session
 }
 
 // zones are those of the settings, of what can be rented, and of the machines
@@ -138,7 +138,7 @@
 			out = append(out, z)
 		}
 	}
-	for _, f := range t.l.Flavors.Get() {
+	for _, f := range t.l.Catalog.Get() {
 		for _, z := range f.Zones {
 			add(z)
 		}
@@ -187,7 +187,7 @@
 }
 
 func (t *term) machineSpec(k wire.MachineType) *wire.MachineSpec {
-	fs := t.l.Flavors.Get()
+	fs := t.l.Catalog.Get()
 	for i := range fs {
 		if fs[i].Name == k {
 			return &fs[i]
@@ -213,7 +213,7 @@
 			return placement.Resources{} // of unknown size
 		}
 		if m.tasks[task] == nil {
-			free = free.Minus(placement.Of(&j.spec))
+			free = free.Minus(placement.ResourcesOf(&j.spec))
 		}
 	}
 	return free
@@ -245,11 +245,11 @@
 
 // storeMachineSpecs stores the types and prices, as long as this node leads.
 func (t *term) storeMachineSpecs(ctx context.Context, specs []wire.MachineSpec) bool {
-	permit, err := duty.For[duty.Cleanup](t.lease.Lease)
+	permit, err := duty.PermitFor[duty.Cleanup](t.lease.Lease)
 	if err != nil {
 		return false
 	}
-	_, err = permit.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Put: store.FlavorsKey, Value: wire.Encode(wire.MachineSpecs{Types: specs})}}})
+	_, err = permit.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Put: store.MachineSpecsKey, Value: wire.Encode(wire.MachineSpecs{Types: specs})}}})
 	return err == nil
 }
 
@@ -258,10 +258,10 @@
 func (t *term) pollMachineSpecs(ctx context.Context) {
 	stored := false
 	for {
-		fs, err := t.l.Cloud.Flavors(ctx)
+		fs, err := t.l.Cloud.MachineSpecs(ctx)
 		next := 20 * time.Second
 		if err == nil {
-			t.l.Flavors.Set(fs)
+			t.l.Catalog.Set(fs)
 			stored = stored || t.storeMachineSpecs(ctx, fs)
 			t.post(t.requestRound)
 		} else {
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -19,21 +19,21 @@
 	}
 	session := max(m.session, 1)
 	m.commandInFlight = true
-	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Session: session}, position{m.session, m.sequence}
-	ask := func() (*wire.Report, int, error) { return t.l.post(t.ctx, addr, cmd, probeTimeout) }
+	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Epoch: session}, position{m.session, m.sequence}
+	ask := func() (*wire.Heartbeat, int, error) { return t.l.post(t.ctx, addr, cmd, probeTimeout) }
 	// What doesn't answer this node is asked once more through another one: it
 	// may be only the way from here that is cut.
 	relay := wire.NodeID("")
 	if m.unansweredProbes > 0 {
 		if relay = t.l.linkedNode(time.Now()); relay != "" {
-			ask = func() (*wire.Report, int, error) { return t.l.probeVia(t.ctx, relay, addr, cmd) }
+			ask = func() (*wire.Heartbeat, int, error) { return t.l.probeVia(t.ctx, relay, addr, cmd) }
 		}
 	}
 	go func() {
 		rep, status, err := ask()
-		if err == nil && status == http.StatusConflict && rep.Session != cmd.Session && rep.Token <= cmd.Token {
+		if err == nil && status == http.StatusConflict && rep.Epoch != cmd.Epoch && rep.Token <= cmd.Token {
 			// Wrong session: now we know the right one.
-			cmd.Session = rep.Session
+			cmd.Epoch = rep.Epoch
 			rep, status, err = ask()
 		}
 		t.post(func() {
@@ -64,30 +64,30 @@
 }
 
 // probeVia asks a worker for its report through another node.
-func (l *Leader) probeVia(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Report, int, error) {
+func (l *Leader) probeVia(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Heartbeat, int, error) {
 	status, raw, err := l.Mesh.Relay(ctx, node, "/peer/ask", relayedProbe{addr, cmd})
 	if err != nil {
 		return nil, 0, err
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if status != http.StatusOK && status != http.StatusConflict || wire.Decode(raw, &rep) != nil {
 		return nil, status, errors.New("not reached through " + string(node))
 	}
 	return &rep, status, nil
 }
 
-// RelayProbe handles a leader's question to a worker that the leader can't reach.
+// ServeRelayedProbe handles a leader's question to a worker that the leader can't reach.
 // It passes on no launches: those the leader keeps account of itself.
-func (l *Leader) RelayProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (l *Leader) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	var a relayedProbe
 	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Commands.Commands) > 0 {
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a question to a worker"})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a question to a worker"})
 		return
 	}
 	rep, status, err := l.post(r.Context(), a.Addr, a.Commands, probeTimeout)
 	if err != nil {
-		wire.Refuse(w, http.StatusBadGateway, "worker not reached", 1)
+		wire.RefuseRetryable(w, http.StatusBadGateway, "worker not reached", 1)
 		return
 	}
 	wire.Answer(w, status, rep)
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -83,7 +83,7 @@
 // readChunk takes in a record of a chunk.
 func (t *term) readChunk(c *chunk, revision wire.Revision, rec *store.ChunkRecord) {
 	j := c.job
-	c.revision, c.nextAttempt = revision, rec.Next
+	c.revision, c.nextAttempt = revision, rec.NextAttempt
 	done := make([]bool, len(c.taskStates))
 	store.SetFlags(rec.Done, done)
 	for i, d := range done {
@@ -92,7 +92,7 @@
 			j.done++
 		}
 	}
-	for _, h := range rec.Held {
+	for _, h := range rec.Active {
 		if h.Task < 0 || h.Task >= len(c.taskStates) || c.taskStates[h.Task] != taskPending {
 			continue
 		}
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -10,10 +10,10 @@
 
 // checkInbound compares a report with what the machine was told in the answer to
 // an earlier one.
-func (t *term) checkInbound(m *machine, rep *wire.Report, now time.Time) {
+func (t *term) checkInbound(m *machine, rep *wire.Heartbeat, now time.Time) {
 	evidence := detector.Evidence{
 		KnownToken:    m.token,
-		RenewedLately: now.Sub(m.answeredAt) < t.settings.Workers.LeaseS.Duration()/2,
+		RenewedLately: now.Sub(m.answeredAt) < t.settings.Workers.Lease.Duration()/2,
 		MissesLaunch:  func() bool { return m.missesLaunch(rep) },
 	}
 	t.inboundChanged(m, m.inbound.Reported(rep, evidence, now))
@@ -34,9 +34,9 @@
 
 // missesLaunch tells whether an earlier answer carried a launch that the machine
 // should know of by now.
-func (m *machine) missesLaunch(rep *wire.Report) bool {
+func (m *machine) missesLaunch(rep *wire.Heartbeat) bool {
 	for task, a := range m.tasks {
-		if a.reported || a.answerSequence == 0 || a.answerSession != rep.Session || rep.Sequence <= a.answerSequence {
+		if a.reported || a.answerSequence == 0 || a.answerSession != rep.Epoch || rep.Sequence <= a.answerSequence {
 			continue
 		}
 		name := task.String()
@@ -67,7 +67,7 @@
 	}
 	lostFor := m.inbound.LostFor(now)
 	stuckFor := reportInterval(t)/2 + inboundProbeInterval
-	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > t.settings.Workers.LeaseS.Duration() {
+	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > t.settings.Workers.Lease.Duration() {
 		t.release(m, drainInboundLost)
 	}
 }
@@ -86,18 +86,18 @@
 // nothing new, and its room is not counted on. (Tasks longer than a lease were
 // once started on such machines for ever and never completed.)
 func (t *term) outboundLost(m *machine, now time.Time) bool {
-	return t.reportsMissingFor(m, now) > max(t.settings.Workers.LeaseS.Duration()/2, 2*reportInterval(t))
+	return t.reportsMissingFor(m, now) > max(t.settings.Workers.Lease.Duration()/2, 2*reportInterval(t))
 }
 
 // watchOutbound returns a machine whose reports are lost when its lease must have
 // run out, so that nothing is lost by it, or much later when they are many: then it
 // is rather the way from them, which will be back.
 func (t *term) watchOutbound(m *machine, now time.Time, few bool) {
-	lease := t.settings.Workers.LeaseS.Duration()
+	lease := t.settings.Workers.Lease.Duration()
 	if m.releasing || !t.recovered || t.reportsMissingFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || t.reportsMissingFor(m, now) > max(lease*5/2, t.settings.Workers.CancelS.Duration()*2) {
+	if few || t.reportsMissingFor(m, now) > max(lease*5/2, t.settings.Workers.CancelTimeout.Duration()*2) {
 		t.release(m, drainOutboundLost)
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -25,7 +25,7 @@
 	tm.l.workerClient = &http.Client{Transport: nw.Transport(2, 2)}
 }
 
-func (t *term) tell(rep *wire.Report) reportAnswer {
+func (t *term) tell(rep *wire.Heartbeat) reportAnswer {
 	h := reportCall{report: *rep, reply: make(chan reportAnswer, 1)}
 	t.onReport(h)
 	return <-h.reply
@@ -43,24 +43,24 @@
 	shown := wire.TaskState{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
 	cases := map[string]struct {
 		setup   func(tm *term, m *machine)
-		reports func(token wire.Token) []*wire.Report
+		reports func(token wire.FencingToken) []*wire.Heartbeat
 		lost    bool
 	}{
-		"shows no launch twice": {launch, func(k wire.Token) []*wire.Report {
-			return []*wire.Report{said(1, 11, k), said(1, 12, k), said(1, 13, k)}
+		"shows no launch twice": {launch, func(k wire.FencingToken) []*wire.Heartbeat {
+			return []*wire.Heartbeat{said(1, 11, k), said(1, 12, k), said(1, 13, k)}
 		}, true},
-		"shows it in the end": {launch, func(k wire.Token) []*wire.Report {
-			return []*wire.Report{said(1, 11, k), said(1, 12, k), said(1, 13, k, shown)}
+		"shows it in the end": {launch, func(k wire.FencingToken) []*wire.Heartbeat {
+			return []*wire.Heartbeat{said(1, 11, k), said(1, 12, k), said(1, 13, k, shown)}
 		}, false},
 		"takes no token": {func(_ *term, m *machine) { m.token = 0 },
-			func(k wire.Token) []*wire.Report {
-				return []*wire.Report{said(1, 11, 0), said(1, 12, 0), said(1, 13, 0)}
+			func(k wire.FencingToken) []*wire.Heartbeat {
+				return []*wire.Heartbeat{said(1, 11, 0), said(1, 12, 0), said(1, 13, 0)}
 			}, true},
 		"its lease runs out though it is answered": {func(*term, *machine) {},
-			func(k wire.Token) []*wire.Report { return []*wire.Report{said(1, 11, k), said(2, 1, k)} }, true},
+			func(k wire.FencingToken) []*wire.Heartbeat { return []*wire.Heartbeat{said(1, 11, k), said(2, 1, k)} }, true},
 		"has nothing to show": {func(*term, *machine) {},
-			func(k wire.Token) []*wire.Report {
-				return []*wire.Report{said(1, 11, k), said(1, 12, k), said(1, 13, k)}
+			func(k wire.FencingToken) []*wire.Heartbeat {
+				return []*wire.Heartbeat{said(1, 11, k), said(1, 12, k), said(1, 13, k)}
 			}, false},
 	}
 	for name, c := range cases {
@@ -98,9 +98,9 @@
 		time.Sleep(10 * time.Second)
 		m.addr = "10.1.0.1:9000"
 		before := *m
-		for _, rep := range []*wire.Report{said(1, 20, tm.token), said(1, 3, tm.token), said(0, 99, 0)} {
+		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.token), said(1, 3, tm.token), said(0, 99, 0)} {
 			if r := tm.tell(rep); r.refused == "" {
-				t.Errorf("copy %d/%d answered %+v", rep.Session, rep.Sequence, r)
+				t.Errorf("copy %d/%d answered %+v", rep.Epoch, rep.Sequence, r)
 			}
 		}
 		if m.seenAt != before.seenAt || m.answeredAt != before.answeredAt || m.sequence != before.sequence {
@@ -117,11 +117,11 @@
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
-		tm.recovered, tm.earlyReports = false, map[wire.MachineID]wire.Report{}
+		tm.recovered, tm.earlyReports = false, map[wire.MachineID]wire.Heartbeat{}
 		tm.tell(said(2, 5, tm.token))
 		tm.tell(said(1, 40, tm.token))
-		if got := tm.earlyReports["n-1"]; got.Session != 2 {
-			t.Errorf("kept report %d/%d", got.Session, got.Sequence)
+		if got := tm.earlyReports["n-1"]; got.Epoch != 2 {
+			t.Errorf("kept report %d/%d", got.Epoch, got.Sequence)
 		}
 	})
 }
@@ -143,7 +143,7 @@
 			zone[x.zone] = append(zone[x.zone], x)
 		}
 		serving := zone["a"][0]
-		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
+		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 		tm.jobs["req-2"] = j
 		j.chunk(0).hold(&attempt{job: j, chunk: j.chunk(0), index: 0, number: 1, machine: serving, reported: true})
 		returned := func() (n int) {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -18,7 +18,7 @@
 		jobs, rev, err := t.l.Store.List(ctx, store.Background, store.JobPrefix)
 		var runs []wire.Entry
 		if err == nil {
-			runs, _, err = t.l.Store.List(ctx, store.Background, store.RunPrefix)
+			runs, _, err = t.l.Store.List(ctx, store.Background, store.ProgressPrefix)
 		}
 		var version upgrade.Version
 		if err == nil {
@@ -146,7 +146,7 @@
 	rec.LogCancellation(t.l.Cancels)
 	if rec.Status == wire.Cancelled && !j.cancelled {
 		j.cancelled = true
-		j.cancelledAt = time.Now().Add(-rec.Cancelled())
+		j.cancelledAt = time.Now().Add(-rec.SinceCancelled())
 		if t.recovered {
 			t.haltCancelled(j)
 		}
--- a/internal/leader/relayed_probe_test.go
+++ b/internal/leader/relayed_probe_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := relayedProbe{Addr: "10.1.0.232:9000", Commands: wire.Commands{Token: 41, Session: 2, Commands: []wire.Command{}}}
+	want := relayedProbe{Addr: "10.1.0.232:9000", Commands: wire.Commands{Token: 41, Epoch: 2, Commands: []wire.Command{}}}
 	var got relayedProbe
 	if err := wire.Decode(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the probe is read as %+v, %v, not as %+v", got, err, want)
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -27,14 +27,14 @@
 	}
 	t.log().Info("releases", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", why, "tasks", len(m.tasks), "age", time.Since(m.rentedAt))
 	t.l.Metrics.Fleet("released", 1)
-	t.rentals.Release(m.id)
+	t.scaling.QueueScaleIn(m.id)
 	t.sendReleases()
 }
 
 // sendReleases sends the next request to release, if none is under way, and
 // repeats it until the cloud has answered.
 func (t *term) sendReleases() {
-	ids := t.rentals.NextRelease(t.returnsAtOnce())
+	ids := t.scaling.NextScaleIn(t.returnsAtOnce())
 	if len(ids) == 0 {
 		return
 	}
@@ -64,11 +64,11 @@
 
 // requestRelease asks the cloud once, if the lease is held.
 func (t *term) requestRelease(ids []wire.MachineID) error {
-	permit, err := duty.For[duty.Returning](t.lease.Lease)
+	permit, err := duty.PermitFor[duty.ScaleIn](t.lease.Lease)
 	if err != nil {
 		return err
 	}
-	return t.l.Cloud.Release(t.ctx, permit, ids)
+	return t.l.Cloud.ScaleIn(t.ctx, permit, ids)
 }
 
 // onReleased takes in that machines are gone, and with them what ran there.
@@ -79,14 +79,14 @@
 	if t.intents != nil {
 		t.intents.returnedAt = time.Now()
 	}
-	t.rentals.Released()
+	t.scaling.EndScaleIn()
 	t.sendReleases()
 }
 
 func (t *term) forgetMachine(m *machine) {
 	t.gone[m.id] = time.Now()
 	for _, a := range m.tasks {
-		t.l.Metrics.Moved(string(moveMachineGone))
+		t.l.Metrics.TaskMoved(string(moveMachineGone))
 		t.drop(a, taskPending)
 	}
 	delete(t.machines, m.id)
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -7,16 +7,16 @@
 
 	"lilaclead/duty"
 	"lilaclead/internal/fleet"
-	"lilaclead/internal/leader/rentals"
+	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
 const (
 	// maxOffer is what one plan asks of an offer at most: two bookings.
-	maxOffer = 2 * rentals.MaxBooking
+	maxOffer = 2 * scaling.MaxScaleOut
 	// maxRentsPerPlan bounds one plan's rentals: some seconds' worth of calls.
-	maxRentsPerPlan = 8 * rentals.MaxBooking
+	maxRentsPerPlan = 8 * scaling.MaxScaleOut
 	// A booking without a final answer is sent again after a pause that grows from
 	// the one to the other.
 	minBookingRetry = 400 * time.Millisecond
@@ -33,7 +33,7 @@
 				continue // what is rented there could not report
 			}
 			for _, spot := range []bool{false, true} {
-				if t.rentals.Available(rentals.Offer{Type: spec.Name, Zone: zone, Spot: spot}, now) {
+				if t.scaling.Available(scaling.Offer{Type: spec.Name, Zone: zone, Spot: spot}, now) {
 					out = append(out, fleet.Offer{Type: spec.Name, Zone: zone, Spot: spot, Total: placementRes(spec),
 						Price: spec.Price(spot), FetchGBPerS: spec.FetchGBPerS, Room: maxOffer})
 				}
@@ -49,8 +49,8 @@
 }
 
 // rent books machines, once that is recorded if it is to be.
-func (t *term) rent(r fleet.Rent) {
-	b := t.rentals.Book(r, time.Now())
+func (t *term) rent(r fleet.ScaleOut) {
+	b := t.scaling.StartScaleOut(r, time.Now())
 	t.log().Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	if t.recordsIntents() {
 		t.intents.unrecorded = append(t.intents.unrecorded, b)
@@ -61,8 +61,8 @@
 
 // book keeps asking for machines under the booking's name until the cloud has
 // answered, and only while the lease is held.
-func (t *term) book(b *rentals.Booking) {
-	var tries rentals.Tries
+func (t *term) book(b *scaling.PendingScaleOut) {
+	var tries scaling.RetryState
 	wait := minBookingRetry
 	for t.ctx.Err() == nil {
 		machines, err := t.requestMachines(b)
@@ -76,29 +76,29 @@
 }
 
 // requestMachines asks the cloud once, if the lease is held.
-func (t *term) requestMachines(b *rentals.Booking) ([]wire.MachineID, error) {
-	permit, err := duty.For[duty.Renting](t.lease.Lease)
+func (t *term) requestMachines(b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
+	permit, err := duty.PermitFor[duty.ScaleOut](t.lease.Lease)
 	if err != nil {
 		return nil, err
 	}
-	return t.l.Cloud.Rent(t.ctx, permit, b.RentalRequest)
+	return t.l.Cloud.ScaleOut(t.ctx, permit, b.ScaleOutRequest)
 }
 
 // onBookingAnswer takes in the final answer to a booking.
-func (t *term) onBookingAnswer(b *rentals.Booking, machines []wire.MachineID, err error) {
-	outcome, rest := t.rentals.Answered(b, len(machines), err, time.Now())
+func (t *term) onBookingAnswer(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
+	outcome, rest := t.scaling.Answered(b, len(machines), err, time.Now())
 	switch outcome {
-	case rentals.Filled, rentals.PartlyFilled:
+	case scaling.Filled, scaling.PartlyFilled:
 		t.l.Metrics.Fleet("rented", len(machines))
 		if t.maybeUnlisted(b) {
 			t.addRented(b, machines)
 		}
-		if outcome == rentals.PartlyFilled {
+		if outcome == scaling.PartlyFilled {
 			t.log().Info("booking only partly filled", "booking", b.Name, "got", len(machines), "of", b.Count)
 		}
-	case rentals.NoCapacity:
+	case scaling.NoCapacity:
 		t.log().Info("no capacity", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", rest, "err", err)
-	case rentals.Unavailable:
+	case scaling.Unavailable:
 		t.log().Info("cloud busy or down", "again_in", rest, "err", err)
 	}
 }
@@ -108,21 +108,21 @@
 
 // maybeUnlisted tells whether the machines of a booking may be in no list yet. Those
 // of one that an earlier leader sent longer ago are, unless they are gone.
-func (t *term) maybeUnlisted(b *rentals.Booking) bool {
-	lag := t.settings.Cloud.ListLagS.Duration()*listLagTimes + time.Second
-	return !b.Adopted || time.Since(b.Since) < lag
+func (t *term) maybeUnlisted(b *scaling.PendingScaleOut) bool {
+	lag := t.settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
+	return !b.Adopted || time.Since(b.RequestedAt) < lag
 }
 
 // addRented adds the machines of a booking to the inventory. They may have
 // reported, or be gone again, before the booking's answer came.
-func (t *term) addRented(b *rentals.Booking, machines []wire.MachineID) {
+func (t *term) addRented(b *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
 		if _, gone := t.gone[id]; gone {
 			continue
 		}
 		m := t.machine(id)
 		if m.upAt.IsZero() {
-			m.machineType, m.zone, m.spot, m.booting, m.rentedAt = b.Type, b.Zone, b.Spot, true, b.Since
+			m.machineType, m.zone, m.spot, m.booting, m.rentedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
 		}
 	}
 }
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -9,7 +9,7 @@
 // onReport answers a report.
 func (t *term) onReport(c reportCall) { c.reply <- t.answerReport(&c.report, c.relayed, time.Now()) }
 
-func (t *term) answerReport(rep *wire.Report, relayed bool, now time.Time) reportAnswer {
+func (t *term) answerReport(rep *wire.Heartbeat, relayed bool, now time.Time) reportAnswer {
 	if !t.lease.Answering() {
 		return reportAnswer{refused: refusedNotLeading}
 	}
@@ -38,7 +38,7 @@
 		return reportAnswer{refused: refusedCancelPends}
 	}
 	m.answeredAt = now
-	m.inbound.Answered(t.token, rep.Session, rep.Sequence)
+	m.inbound.Answered(t.token, rep.Epoch, rep.Sequence)
 	answer := &wire.Commands{Token: t.token}
 	if t.lease.Deciding() {
 		answer.Commands = t.commandsFor(m, rep, now)
@@ -50,13 +50,13 @@
 
 // cancelledHalts answers a report with no more than the halts of what is known to be
 // cancelled.
-func (t *term) cancelledHalts(rep *wire.Report) *wire.Commands {
+func (t *term) cancelledHalts(rep *wire.Heartbeat) *wire.Commands {
 	return &wire.Commands{Token: t.token, Commands: t.l.delegate.Halts(rep)}
 }
 
 // keepEarlyReport keeps the newest report of a machine until the records are read.
-func (t *term) keepEarlyReport(rep *wire.Report) {
-	if e, ok := t.earlyReports[rep.Machine]; !ok || rep.Newer(e.Session, e.Sequence) {
+func (t *term) keepEarlyReport(rep *wire.Heartbeat) {
+	if e, ok := t.earlyReports[rep.Machine]; !ok || rep.Newer(e.Epoch, e.Sequence) {
 		t.earlyReports[rep.Machine] = *rep
 	}
 }
@@ -92,9 +92,9 @@
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (t *term) onStaleReport(m *machine, rep *wire.Report, now time.Time) reportAnswer {
+func (t *term) onStaleReport(m *machine, rep *wire.Heartbeat, now time.Time) reportAnswer {
 	crossed := now.Sub(m.seenAt) < crossing
-	if (!crossed || rep.Session != m.session || rep.Sequence+2 < m.sequence) && now.Sub(m.verifiedAt) > time.Second && !m.releasing && t.lease.Deciding() {
+	if (!crossed || rep.Epoch != m.session || rep.Sequence+2 < m.sequence) && now.Sub(m.verifiedAt) > time.Second && !m.releasing && t.lease.Deciding() {
 		m.verifiedAt = now
 		t.probe(m)
 	}
@@ -109,8 +109,8 @@
 // it was back before anybody missed it. What its answer lacks is gone. It is
 // returned, as from now on its reports can't be told from late copies of its
 // last run.
-func (t *term) onRestart(m *machine, rep *wire.Report, now time.Time) {
-	t.log().Info("machine restarted", "machine", m.id, "tasks", len(m.tasks), "session", rep.Session, "sequence", rep.Sequence, "was_session", m.session, "was_sequence", m.sequence)
+func (t *term) onRestart(m *machine, rep *wire.Heartbeat, now time.Time) {
+	t.log().Info("machine restarted", "machine", m.id, "tasks", len(m.tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.session, "was_sequence", m.sequence)
 	m.session, m.sequence, m.images = 0, 0, imageCache{}
 	for _, a := range m.tasks {
 		a.answerSequence = 0 // the answer that carried it went to the last run
@@ -123,7 +123,7 @@
 
 // apply takes in a report, or the answer to a command, which is the same. It tells
 // whether it was newer than what was known.
-func (t *term) apply(m *machine, rep *wire.Report, sent bool, now time.Time) bool {
+func (t *term) apply(m *machine, rep *wire.Heartbeat, sent bool, now time.Time) bool {
 	if !rep.Newer(m.session, m.sequence) || m.restarted {
 		return false
 	}
@@ -151,14 +151,14 @@
 }
 
 // applyPosition takes in what a report says of the machine itself.
-func (t *term) applyPosition(m *machine, rep *wire.Report, now time.Time) {
-	if rep.Session > m.session {
+func (t *term) applyPosition(m *machine, rep *wire.Heartbeat, now time.Time) {
+	if rep.Epoch > m.session {
 		// A lease that ran out leaves the images where they are; a restart
 		// begins with the first session again.
 		m.sessionSince = now
 	}
 	m.addr, m.machineType, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
-	m.session, m.sequence = rep.Session, rep.Sequence
+	m.session, m.sequence = rep.Epoch, rep.Sequence
 	m.seenAt, m.booting, m.unansweredProbes = now, false, 0
 	if m.token < t.firstToken && rep.Token >= t.firstToken {
 		m.tokenShownAt = now
@@ -167,7 +167,7 @@
 }
 
 // applySpotNotice takes in that the cloud will take the machine back.
-func (t *term) applySpotNotice(m *machine, rep *wire.Report, now time.Time) {
+func (t *term) applySpotNotice(m *machine, rep *wire.Heartbeat, now time.Time) {
 	if rep.SpotNotice == nil {
 		return
 	}
@@ -180,7 +180,7 @@
 
 // applyTasks takes in the states of the tasks in a report and notes which of ours
 // are in it; what else runs there is orphaned.
-func (t *term) applyTasks(m *machine, rep *wire.Report, listed map[wire.Task]bool, now time.Time) {
+func (t *term) applyTasks(m *machine, rep *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
 	clear(m.orphans)
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
@@ -199,14 +199,14 @@
 
 // onMissing deals with an attempt that its machine's report lacks and that can't
 // start there any more by what was sent.
-func (t *term) onMissing(a *attempt, rep *wire.Report) {
+func (t *term) onMissing(a *attempt, rep *wire.Heartbeat) {
 	m := a.machine
 	switch {
 	case t.launchAgain(a):
 		a.inherited, a.sent, a.launchUnanswered, a.answerSequence = false, false, false, 0
-	case a.reported, a.inherited, rep.Session > a.sentSession && a.sent:
-		t.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Session)
-		t.l.Metrics.Moved(string(moveGone))
+	case a.reported, a.inherited, rep.Epoch > a.sentSession && a.sent:
+		t.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Epoch)
+		t.l.Metrics.TaskMoved(string(moveGone))
 		t.drop(a, taskPending)
 	case a.halting, m.drainReason != "", a.job.cancelled:
 		t.drop(a, taskPending)
@@ -237,7 +237,7 @@
 		a.runningSince = now
 		if !j.started {
 			j.started = true
-			t.l.Metrics.Waited(j.spec.Class, now.Sub(j.acceptedAt).Seconds())
+			t.l.Metrics.StartDelay(j.spec.Class, now.Sub(j.acceptedAt).Seconds())
 		}
 	}
 	a.phase = p.Phase
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -33,16 +33,16 @@
 	for j, ms := range gangs {
 		t.startGang(j, ms, now)
 	}
-	for _, c := range res.Clearances {
-		m := t.machines[c.On]
+	for _, c := range res.Reservations {
+		m := t.machines[c.Machine]
 		until := now.Add(t.haltTime(0))
 		if j := t.jobs[c.Job]; j != nil && j.spec.Gang() {
 			until = until.Add(wire.Seconds(t.patience(j, now)).Duration()) // for as long as the others' room takes
 		}
-		m.claims = append(m.claims, claim{c.Claim, c.Awaits, until})
+		m.claims = append(m.claims, claim{c.Reservation, c.AwaitedTasks, until})
 		t.claimed[m] = struct{}{}
 	}
-	for _, v := range res.Halts {
+	for _, v := range res.Preemptions {
 		if a := t.attempt(v.Task); a != nil {
 			t.halt(a, t.gracePeriodOf(a.job), movePreempted)
 			for i := range a.machine.claims { // it may take that long to save
@@ -51,11 +51,11 @@
 			}
 		}
 	}
-	if len(res.Clearances) > 0 {
+	if len(res.Reservations) > 0 {
 		t.extendGangClaims()
 	}
 	t.roundTook = time.Since(now)
-	t.l.Metrics.Round(t.roundTook, len(res.Starts), len(res.Halts))
+	t.l.Metrics.SchedulingCycle(t.roundTook, len(res.Starts), len(res.Preemptions))
 }
 
 // extendGangClaims keeps all the room that is being made for a gang until the last of it can
@@ -86,7 +86,7 @@
 
 // claim is room that is being made on a machine, and until when it is kept.
 type claim struct {
-	placement.Claim
+	placement.Reservation
 	awaits []wire.Task // expected to end by themselves
 	until  time.Time
 }
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -24,7 +24,7 @@
 }
 
 // leaseFor is a lease that was just taken and decides for so long.
-func leaseFor(l *Leader, token wire.Token, d time.Duration) *election.Lease {
+func leaseFor(l *Leader, token wire.FencingToken, d time.Duration) *election.Lease {
 	now := time.Now()
 	return election.NewLease(l.candidate, election.Terms{Token: token, TakenAt: now, HeldUntil: now.Add(d)})
 }
@@ -32,14 +32,14 @@
 // rig is a term without I/O, with one job of one task held on one machine.
 func rig(tb testing.TB) (*term, *machine, *attempt) {
 	tb.Helper()
-	cfg := &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{ReportS: 2, LeaseS: 16, CancelS: 41}, State: config.State{ValueKB: 16}}}
-	l := &Leader{Deps: Deps{Config: cfg, Cancels: known(), Tuning: tuning.NewBox(), Flavors: &FlavorBox{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Metrics: Metrics{Moved: func(string) {}, Waited: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
+	cfg := &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41}, State: config.State{ValueKB: 16}}}
+	l := &Leader{Dependencies: Dependencies{Config: cfg, Cancels: known(), Tuning: tuning.NewCurrent(), Catalog: &MachineCatalog{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Metrics: Metrics{TaskMoved: func(string) {}, StartDelay: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
 	l.delegation.MaxCancelAge = delegation.BoundsOf(cfg.Settings.Workers).MaxCancelAge
-	l.delegate = newDelegate(l.Deps, l.delegation)
+	l.delegate = newDelegate(l.Dependencies, l.delegation)
 	tm := newTerm(l, leaseFor(l, 50, time.Hour))
 	tm.recovered = true
-	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
+	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 	tm.jobs[j.spec.ID] = j
 	m := tm.machine("n-1")
 	m.session, m.sequence, m.token, m.upAt = 1, 10, 50, time.Now()
@@ -48,8 +48,8 @@
 	return tm, m, a
 }
 
-func said(shift wire.Session, tally wire.Sequence, baton wire.Token, parts ...wire.TaskState) *wire.Report {
-	return &wire.Report{Machine: "n-1", Session: shift, Sequence: tally, Token: baton, Tasks: parts}
+func said(shift wire.AgentEpoch, tally wire.Sequence, baton wire.FencingToken, parts ...wire.TaskState) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "n-1", Epoch: shift, Sequence: tally, Token: baton, Tasks: parts}
 }
 
 // When a task that a report lacks counts as gone: only when no launch of it
@@ -58,7 +58,7 @@
 	cases := []struct {
 		name  string
 		setup func(*attempt)
-		rep   *wire.Report
+		rep   *wire.Heartbeat
 		hello bool
 		gone  bool
 	}{
@@ -167,7 +167,7 @@
 // room is not given away.
 func TestStray(t *testing.T) {
 	tm, m, _ := rig(t)
-	tm.l.Flavors.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
+	tm.l.Catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
 	rep := said(1, 11, 50, wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning}, wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
 	rep.Type = "c4"
 	tm.apply(m, rep, true, time.Now())
@@ -176,7 +176,7 @@
 	}
 	halts := 0
 	for _, o := range tm.commandsFor(m, rep, time.Now()) {
-		if o.Verb == wire.Halt && o.Task == "req-77/0" {
+		if o.Verb == wire.Stop && o.Task == "req-77/0" {
 			halts++
 		}
 	}
--- a/internal/leader/rentals/rentals.go
+++ b/internal/leader/scaling/scaling.go
@@ -1,8 +1,8 @@
-// Package rentals keeps account of what is asked of the cloud: bookings that are
+// Package scaling keeps account of what is asked of the cloud: bookings that are
 // not yet answered, offers that were refused and rest for a while, and machines
 // that wait for their release. It does no I/O and reads no clock: its owner asks it
 // for the next request, sends that, and tells it the answer.
-package rentals
+package scaling
 
 import (
 	"errors"
@@ -16,15 +16,15 @@
 )
 
 const (
-	// MaxBooking and MaxRelease are the cloud's bounds for one request.
-	MaxBooking = 50
-	MaxRelease = 100
+	// MaxScaleOut and MaxScaleIn are the cloud's bounds for one request.
+	MaxScaleOut = 50
+	MaxScaleIn  = 100
 
-	// partlyFilledRest is how long an offer rests that gave less than was booked.
-	partlyFilledRest = 8 * time.Second
+	// partlyFilledBackoff is how long an offer rests that gave less than was booked.
+	partlyFilledBackoff = 8 * time.Second
 	// An offer without capacity rests for twice as long each time, within these.
-	minOfferRest = 5 * time.Second
-	maxOfferRest = 40 * time.Second
+	minOfferBackoff = 5 * time.Second
+	maxOfferBackoff = 40 * time.Second
 	// So does the cloud as a whole when it is busy or down.
 	minPause = 500 * time.Millisecond
 	maxPause = 5 * time.Second
@@ -37,16 +37,16 @@
 	Spot bool
 }
 
-// Booking is a request for machines that is not yet answered.
-type Booking struct {
-	wire.RentalRequest
-	Since time.Time
+// PendingScaleOut is a request for machines that is not yet answered.
+type PendingScaleOut struct {
+	wire.ScaleOutRequest
+	RequestedAt time.Time
 	// Adopted: an earlier leader made it.
 	Adopted bool
 }
 
 // Offer that the booking is for.
-func (b *Booking) Offer() Offer { return Offer{b.Type, b.Zone, b.Spot} }
+func (b *PendingScaleOut) Offer() Offer { return Offer{b.Type, b.Zone, b.Spot} }
 
 // backoff of one offer after it was refused.
 type backoff struct {
@@ -56,45 +56,45 @@
 
 // Tracker is the account of one leader. It is not safe for concurrent use.
 type Tracker struct {
-	token       wire.Token // makes the bookings' names unique among leaders
-	sequence    int
-	offers      map[Offer]*backoff
-	bookings    map[string]*Booking
-	pausedUntil time.Time
-	pause       time.Duration
-	toRelease   []wire.MachineID
-	releasing   bool // a request to release is under way
+	token         wire.FencingToken // makes the bookings' names unique among leaders
+	sequence      int
+	backoffs      map[Offer]*backoff
+	pending       map[string]*PendingScaleOut
+	pausedUntil   time.Time
+	pause         time.Duration
+	scaleInQueue  []wire.MachineID
+	scaleInActive bool // a request to release is under way
 }
 
 // New makes the account of the leader with the token.
-func New(token wire.Token) *Tracker {
-	return &Tracker{token: token, offers: map[Offer]*backoff{}, bookings: map[string]*Booking{}}
+func New(token wire.FencingToken) *Tracker {
+	return &Tracker{token: token, backoffs: map[Offer]*backoff{}, pending: map[string]*PendingScaleOut{}}
 }
 
-// Book notes a booking of up to MaxBooking machines and returns it under a name of
+// StartScaleOut notes a booking of up to MaxScaleOut machines and returns it under a name of
 // its own, to be sent until it is answered.
-func (t *Tracker) Book(r fleet.Rent, now time.Time) *Booking {
+func (t *Tracker) StartScaleOut(r fleet.ScaleOut, now time.Time) *PendingScaleOut {
 	t.sequence++
 	name := fmt.Sprintf("b-%d-%d", t.token, t.sequence)
-	b := &Booking{RentalRequest: wire.RentalRequest{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, Since: now}
-	t.bookings[name] = b
+	b := &PendingScaleOut{ScaleOutRequest: wire.ScaleOutRequest{Name: name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}, RequestedAt: now}
+	t.pending[name] = b
 	return b
 }
 
 // Adopt notes a booking that an earlier leader made, under the name that it gave.
-func (t *Tracker) Adopt(request wire.RentalRequest, since time.Time) *Booking {
-	b := &Booking{RentalRequest: request, Since: since, Adopted: true}
-	t.bookings[request.Name] = b
+func (t *Tracker) Adopt(request wire.ScaleOutRequest, since time.Time) *PendingScaleOut {
+	b := &PendingScaleOut{ScaleOutRequest: request, RequestedAt: since, Adopted: true}
+	t.pending[request.Name] = b
 	return b
 }
 
 // Withdraw forgets a booking that was not sent.
-func (t *Tracker) Withdraw(b *Booking) { delete(t.bookings, b.Name) }
+func (t *Tracker) Withdraw(b *PendingScaleOut) { delete(t.pending, b.Name) }
 
-// Bookings are those that are not yet answered, in no order.
-func (t *Tracker) Bookings() []*Booking {
-	out := make([]*Booking, 0, len(t.bookings))
-	for _, b := range t.bookings {
+// PendingScaleOuts are those that are not yet answered, in no order.
+func (t *Tracker) PendingScaleOuts() []*PendingScaleOut {
+	out := make([]*PendingScaleOut, 0, len(t.pending))
+	for _, b := range t.pending {
 		out = append(out, b)
 	}
 	return out
@@ -103,10 +103,10 @@
 // Available tells whether an offer may be booked: it does not rest, and no booking
 // of it is unanswered.
 func (t *Tracker) Available(o Offer, now time.Time) bool {
-	if b := t.offers[o]; b != nil && now.Before(b.until) {
+	if b := t.backoffs[o]; b != nil && now.Before(b.until) {
 		return false
 	}
-	for _, b := range t.bookings {
+	for _, b := range t.pending {
 		if b.Offer() == o {
 			return false
 		}
@@ -131,17 +131,17 @@
 
 // Answered ends a booking with the cloud's final answer, which is err or so many
 // machines. It returns what came of it and how long the offer or the cloud rests.
-func (t *Tracker) Answered(b *Booking, machines int, err error, now time.Time) (Outcome, time.Duration) {
-	delete(t.bookings, b.Name)
-	o := t.offers[b.Offer()]
+func (t *Tracker) Answered(b *PendingScaleOut, machines int, err error, now time.Time) (Outcome, time.Duration) {
+	delete(t.pending, b.Name)
+	o := t.backoffs[b.Offer()]
 	if o == nil {
 		o = &backoff{}
-		t.offers[b.Offer()] = o
+		t.backoffs[b.Offer()] = o
 	}
 	switch {
 	case err == nil && machines < b.Count:
 		t.pause = 0
-		o.delay = partlyFilledRest
+		o.delay = partlyFilledBackoff
 		o.until = now.Add(o.delay)
 		return PartlyFilled, o.delay
 	case err == nil:
@@ -149,7 +149,7 @@
 		o.delay = 0
 		return Filled, 0
 	case refused(err):
-		o.delay = min(max(minOfferRest, o.delay*2), maxOfferRest)
+		o.delay = min(max(minOfferBackoff, o.delay*2), maxOfferBackoff)
 		o.until = now.Add(o.delay + rand.N(o.delay/4))
 		return NoCapacity, o.delay
 	case t.Paused(now):
@@ -168,44 +168,44 @@
 	return errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalid)
 }
 
-// Tries judges the answers to one booking, which is sent again under its name until
+// RetryState judges the answers to one booking, which is sent again under its name until
 // one is final.
-type Tries struct {
-	unsure bool // an answer was lost: machines may have been rented
+type RetryState struct {
+	outcomeUnknown bool // an answer was lost: machines may have been rented
 }
 
 // Final tells whether the answer ends the booking. After a lost answer only a
 // repeat tells what was rented; that the cloud is busy then tells nothing.
-func (t *Tries) Final(err error) bool {
+func (t *RetryState) Final(err error) bool {
 	if err != nil && !errors.Is(err, cloud.ErrBusy) && !refused(err) {
-		t.unsure = true
+		t.outcomeUnknown = true
 	}
-	return err == nil || refused(err) || !t.unsure
+	return err == nil || refused(err) || !t.outcomeUnknown
 }
 
-// Release notes that a machine is to be released.
-func (t *Tracker) Release(id wire.MachineID) { t.toRelease = append(t.toRelease, id) }
+// QueueScaleIn notes that a machine is to be released.
+func (t *Tracker) QueueScaleIn(id wire.MachineID) { t.scaleInQueue = append(t.scaleInQueue, id) }
 
-// NextRelease is the request to be sent now, none if one is under way: what comes
+// NextScaleIn is the request to be sent now, none if one is under way: what comes
 // meanwhile shares the next one. It names most machines, or the cloud's bound.
-func (t *Tracker) NextRelease(most int) []wire.MachineID {
-	if len(t.toRelease) == 0 || !t.StartRelease() {
+func (t *Tracker) NextScaleIn(most int) []wire.MachineID {
+	if len(t.scaleInQueue) == 0 || !t.BeginScaleIn() {
 		return nil
 	}
-	n := min(len(t.toRelease), MaxRelease, most)
-	ids := t.toRelease[:n:n]
-	t.toRelease = t.toRelease[n:]
+	n := min(len(t.scaleInQueue), MaxScaleIn, most)
+	ids := t.scaleInQueue[:n:n]
+	t.scaleInQueue = t.scaleInQueue[n:]
 	return ids
 }
 
-// StartRelease notes that a request is under way; false: one is already.
-func (t *Tracker) StartRelease() bool {
-	if t.releasing {
+// BeginScaleIn notes that a request is under way; false: one is already.
+func (t *Tracker) BeginScaleIn() bool {
+	if t.scaleInActive {
 		return false
 	}
-	t.releasing = true
+	t.scaleInActive = true
 	return true
 }
 
-// Released notes that the request under way was answered.
-func (t *Tracker) Released() { t.releasing = false }
+// EndScaleIn notes that the request under way was answered.
+func (t *Tracker) EndScaleIn() { t.scaleInActive = false }
