--- a/internal/leader/rentals/rentals_test.go
+++ b/internal/leader/scaling/scaling_test.go
@@ -1,4 +1,4 @@
-package rentals
+package scaling
 
 import (
 	"fmt"
@@ -17,10 +17,10 @@
 // time up to a bound, until it is filled again. Other offers go on.
 func TestOffersRest(t *testing.T) {
 	tr, now := New(7), start
-	rent := fleet.Rent{Type: "std", Zone: "a", Count: 3}
+	rent := fleet.ScaleOut{Type: "std", Zone: "a", Count: 3}
 	offer, other := Offer{"std", "a", false}, Offer{"std", "a", true}
 	refuse := func(err error) time.Duration {
-		b := tr.Book(rent, now)
+		b := tr.StartScaleOut(rent, now)
 		if tr.Available(offer, now) || !tr.Available(other, now) {
 			t.Fatalf("while booked: offer %v, other %v", tr.Available(offer, now), tr.Available(other, now))
 		}
@@ -38,11 +38,11 @@
 	if want := []time.Duration{5 * time.Second, 10 * time.Second, 20 * time.Second, 40 * time.Second, 40 * time.Second}; !slices.Equal(rests, want) {
 		t.Errorf("rests %v, want %v", rests, want)
 	}
-	if outcome, rest := tr.Answered(tr.Book(rent, now), 2, nil, now); outcome != PartlyFilled || tr.Available(offer, now.Add(rest-1)) || !tr.Available(offer, now.Add(rest)) {
+	if outcome, rest := tr.Answered(tr.StartScaleOut(rent, now), 2, nil, now); outcome != PartlyFilled || tr.Available(offer, now.Add(rest-1)) || !tr.Available(offer, now.Add(rest)) {
 		t.Errorf("partly filled: outcome %d, rest %v", outcome, rest)
 	}
 	now = now.Add(time.Minute)
-	if outcome, _ := tr.Answered(tr.Book(rent, now), 3, nil, now); outcome != Filled || !tr.Available(offer, now) || len(tr.Bookings()) > 0 {
+	if outcome, _ := tr.Answered(tr.StartScaleOut(rent, now), 3, nil, now); outcome != Filled || !tr.Available(offer, now) || len(tr.PendingScaleOuts()) > 0 {
 		t.Errorf("filled: outcome %d", outcome)
 	}
 	if rest := refuse(cloud.ErrNoCapacity); rest != 5*time.Second {
@@ -55,7 +55,7 @@
 func TestCloudPaused(t *testing.T) {
 	tr, now := New(7), start
 	for _, want := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 5 * time.Second, 5 * time.Second} {
-		a, b := tr.Book(fleet.Rent{Type: "std", Zone: "a", Count: 1}, now), tr.Book(fleet.Rent{Type: "std", Zone: "b", Count: 1}, now)
+		a, b := tr.StartScaleOut(fleet.ScaleOut{Type: "std", Zone: "a", Count: 1}, now), tr.StartScaleOut(fleet.ScaleOut{Type: "std", Zone: "b", Count: 1}, now)
 		if a.Name == b.Name {
 			t.Fatalf("two bookings named %s", a.Name)
 		}
@@ -71,8 +71,8 @@
 		}
 		now = now.Add(2 * pause)
 	}
-	tr.Answered(tr.Book(fleet.Rent{Type: "std", Zone: "a", Count: 1}, now), 1, nil, now)
-	if _, pause := tr.Answered(tr.Book(fleet.Rent{Type: "std", Zone: "a", Count: 1}, now), 0, cloud.ErrBusy, now); pause != 500*time.Millisecond {
+	tr.Answered(tr.StartScaleOut(fleet.ScaleOut{Type: "std", Zone: "a", Count: 1}, now), 1, nil, now)
+	if _, pause := tr.Answered(tr.StartScaleOut(fleet.ScaleOut{Type: "std", Zone: "a", Count: 1}, now), 0, cloud.ErrBusy, now); pause != 500*time.Millisecond {
 		t.Errorf("after an answer it is left alone for %v", pause)
 	}
 }
@@ -92,7 +92,7 @@
 		{[]error{lost, busy, lost, nil}, []bool{false, false, false, true}},
 		{[]error{lost, none}, []bool{false, true}},
 	} {
-		var tries Tries
+		var tries RetryState
 		for i, err := range c.answers {
 			if got := tries.Final(err); got != c.final[i] {
 				t.Errorf("%v: answer %d is final: %v", c.answers, i, got)
@@ -109,25 +109,25 @@
 	for i := range 250 {
 		id := wire.MachineID(fmt.Sprint("n-", i))
 		want = append(want, id)
-		tr.Release(id)
+		tr.QueueScaleIn(id)
 		if i == 0 {
-			got = append(got, tr.NextRelease(MaxRelease)...)
+			got = append(got, tr.NextScaleIn(MaxScaleIn)...)
 		}
 	}
 	if len(got) != 1 {
 		t.Fatalf("the first request names %v", got)
 	}
 	for range 4 {
-		if ids := tr.NextRelease(MaxRelease); ids != nil {
+		if ids := tr.NextScaleIn(MaxScaleIn); ids != nil {
 			t.Fatalf("a second request beside one: %v", ids)
 		}
-		tr.Released()
-		ids := tr.NextRelease(MaxRelease)
-		if len(ids) > MaxRelease {
+		tr.EndScaleIn()
+		ids := tr.NextScaleIn(MaxScaleIn)
+		if len(ids) > MaxScaleIn {
 			t.Fatalf("%d machines in one request", len(ids))
 		}
 		got = append(got, ids...)
-		tr.Release("late") // shares a later one
+		tr.QueueScaleIn("late") // shares a later one
 		want = append(want, "late")
 	}
 	if n := len(got); n < 250 || !slices.Equal(got, want[:n]) {
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -9,7 +9,7 @@
 
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/demand"
-	"lilaclead/internal/leader/rentals"
+	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
@@ -48,26 +48,26 @@
 	tm.ctx = ctx
 	away(tm)
 	tm.l.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.l.Log)
-	tm.l.Metrics.Round = func(time.Duration, int, int) {}
-	tm.l.Metrics.Report = func(string) {}
+	tm.l.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
+	tm.l.Metrics.Heartbeat = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
 	tm.settings.Zones = zones
 	tm.settings.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
 	tm.settings.State.TxnOps = 12
-	tm.settings.Workers = config.Workers{ReportS: 10, LeaseS: 45, CancelS: 70}
-	tm.l.Flavors.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
+	tm.settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
+	tm.l.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
 	tm.listReceived, tm.placing = true, true
 	tm.startedAt = now.Add(-time.Minute)
-	job := func(id int, parts int, s wire.Spec) *job {
+	job := func(id int, parts int, s wire.JobSpec) *job {
 		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
 		s.Image, s.ImageGB = wire.ImageID(fmt.Sprint("img-", id%24)), 1
-		j := newJob(store.JobRecord{Spec: s, At: wire.TimestampOf(now.Add(-20 * time.Second))}, wire.Revision(id))
+		j := newJob(store.JobRecord{Spec: s, AcceptedAt: wire.TimestampOf(now.Add(-20 * time.Second))}, wire.Revision(id))
 		tm.jobs[s.ID] = j
 		return j
 	}
-	service := wire.Spec{Class: "live", Kind: wire.KindService, Priority: wire.PriorityProd, CPUs: 1, MemoryGB: 4.8, Spread: true}
-	array := wire.Spec{Class: "recon", Kind: wire.KindArray, Priority: wire.PriorityStandard, CPUs: 3, MemoryGB: 25, SpotAllowed: true, ExpectedRunTime: 25, Deadline: 80}
+	service := wire.JobSpec{Class: "live", Kind: wire.KindService, Priority: wire.PriorityProd, CPUs: 1, MemoryGB: 4.8, Spread: true}
+	array := wire.JobSpec{Class: "recon", Kind: wire.KindArray, Priority: wire.PriorityStandard, CPUs: 3, MemoryGB: 25, SpotAllowed: true, ExpectedRunTime: 25, Deadline: 80}
 	id := 0
 	var serving, working *filling
 	for i := range n {
@@ -99,8 +99,8 @@
 }
 
 // reportOf what runs on a machine.
-func reportOf(m *machine) wire.Report {
-	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Session: m.session, Sequence: m.sequence + 1, Token: m.token}
+func reportOf(m *machine) wire.Heartbeat {
+	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.session, Sequence: m.sequence + 1, Token: m.token}
 	for task, a := range m.tasks {
 		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.number, Phase: a.phase})
 	}
@@ -132,7 +132,7 @@
 				r := httptest.NewRequest("POST", "/hello", nil)
 				rep := reportOf(m)
 				raw := wire.Encode(rep)
-				var got wire.Report
+				var got wire.Heartbeat
 				if wire.Decode(raw, &got) != nil {
 					b.Fatal("report")
 				}
@@ -188,7 +188,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			tm.planFleet(time.Now())
-			tm.rentals = rentals.New(tm.firstToken)
+			tm.scaling = scaling.New(tm.firstToken)
 		}
 	})
 }
@@ -198,7 +198,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		var jobs, runs []wire.Entry
 		for _, j := range tm.jobs {
-			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, At: wire.TimestampOf(j.acceptedAt)})})
+			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.acceptedAt)})})
 			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(j.chunk(0).record())})
 		}
 		for b.Loop() {
@@ -218,7 +218,7 @@
 	tm := sized(t, 30)
 	tm.settings.Zones = []wire.Zone{"b"}
 	tm.zoneDetector.Heard("d", false, time.Now())
-	j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, At: wire.TimestampOf(time.Now())}, 9)
+	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 9)
 	tm.jobs[j.spec.ID] = j
 	if got := fmt.Sprint(tm.zones()); got != "[b a c d]" {
 		t.Errorf("zones %s", got)
@@ -236,11 +236,11 @@
 // machines of 40 the backlog grew to 16 minutes.)
 func TestDearRoomForWhatWaitsTooLong(t *testing.T) {
 	tm := sized(t, 30)
-	tm.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", WithinS: 300, Share: 0.9}}
+	tm.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
 	now := time.Now()
 	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, demand.LatePriceStretch}, {200, 90, demand.LatePriceStretch}, {290, 90, 1}} {
-		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
-			At: wire.TimestampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
+		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
+			AcceptedAt: wire.TimestampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
 		if got := tm.priceStretch(j, c.wait, now); got != c.want {
 			t.Errorf("waited %g s, %g s more expected: %g, want %g", c.age, c.wait, got, c.want)
 		}
@@ -260,7 +260,7 @@
 			tm.onReport(call)
 		}
 	}()
-	reports := make([]wire.Report, 0, len(tm.machines))
+	reports := make([]wire.Heartbeat, 0, len(tm.machines))
 	for _, m := range tm.machines {
 		reports = append(reports, reportOf(m))
 	}
@@ -288,7 +288,7 @@
 	held := 0
 	for _, j := range tm.jobs {
 		held += j.held
-		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, At: wire.TimestampOf(j.acceptedAt)})})
+		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.acceptedAt)})})
 		rec := j.chunk(0).record()
 		if limit := tm.writer.valueLimit(); rec.JSONSize() > limit {
 			t.Errorf("a record of %d bytes, over %d", rec.JSONSize(), limit)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -34,7 +34,7 @@
 	}
 	use := func(j *job, tasks int) {
 		if team := teams[j.spec.Team]; team != nil {
-			team.Used = team.Used.Plus(placement.Of(&j.spec).Times(float64(tasks)))
+			team.Used = team.Used.Plus(placement.ResourcesOf(&j.spec).Times(float64(tasks)))
 		}
 	}
 	for _, j := range t.jobs {
@@ -67,13 +67,13 @@
 // smallest thing that waits is left for later: in a full deployment these are
 // nearly all machines.
 func (b *snapshotBuilder) addMachines(waiting []*job) {
-	least := placement.Of(&waiting[0].spec)
+	least := placement.ResourcesOf(&waiting[0].spec)
 	for _, j := range waiting {
-		least = least.Min(placement.Of(&j.spec))
+		least = least.Min(placement.ResourcesOf(&j.spec))
 		b.victims = b.victims || placement.MayPreempt(&j.spec) || j.spec.Gang()
 	}
 	for _, spec := range b.s.ExpectedGangs { // its room may be smaller than all that waits takes
-		least = least.Min(placement.Of(spec))
+		least = least.Min(placement.ResourcesOf(spec))
 	}
 	var full []*machine
 	for _, m := range b.t.machines {
@@ -108,7 +108,7 @@
 	}
 	var awaited []wire.Task
 	for _, c := range m.claims {
-		view.Claims = append(view.Claims, c.Claim)
+		view.Reservations = append(view.Reservations, c.Reservation)
 		awaited = append(awaited, c.awaits...)
 	}
 	for _, a := range m.tasks {
@@ -168,7 +168,7 @@
 		lost = (lost + gangStopCostS) * float64(spec.Tasks)
 	}
 	return placement.Victim{Task: a.task(), Rank: spec.Priority.Rank(), Uses: a.res(),
-		LostS: lost, LeftS: a.left(b.now), SavesS: saves, BeyondGuarantee: b.beyondGuarantee(spec.Team), Team: spec.Team}
+		LostS: lost, RemainingS: a.left(b.now), CheckpointS: saves, BeyondGuarantee: b.beyondGuarantee(spec.Team), Team: spec.Team}
 }
 
 // beyondGuarantee tells whether a team uses more than its guarantee.
@@ -206,7 +206,7 @@
 	t, now := b.t, b.now
 	waited := now.Sub(j.acceptedAt).Seconds()
 	view := placement.Job{Spec: &j.spec, Pending: j.pending(), TasksByZone: map[wire.Zone]int{}, WaitedS: waited, Avoid: j.failedOn,
-		Guaranteed: guaranteed, Claims: b.claims[j.spec.ID], PatienceS: t.patience(j, now), StartsInS: max(0, t.startAim(j.spec.Class)-waited),
+		Guaranteed: guaranteed, Reservations: b.claims[j.spec.ID], PatienceS: t.patience(j, now), StartsInS: max(0, t.startAim(j.spec.Class)-waited),
 		Weight: t.weight(j, guaranteed, now), WaitedLong: t.sinceStart(j, now) > maxLinger}
 	if t.startOverdue(j, now) {
 		view.Weight = starvingWeight
@@ -243,7 +243,7 @@
 			rank = wire.PriorityProd.Rank()
 		}
 		if team.ReservedFor == "" || rank > team.ReservedRank {
-			team.Reserved, team.ReservedFor, team.ReservedRank = placement.Of(&j.spec).Times(float64(j.spec.Tasks)), j.spec.ID, rank
+			team.Reserved, team.ReservedFor, team.ReservedRank = placement.ResourcesOf(&j.spec).Times(float64(j.spec.Tasks)), j.spec.ID, rank
 		}
 	}
 }
@@ -251,7 +251,7 @@
 // usable tells whether a machine may take a launch now.
 func (t *term) usable(m *machine, now time.Time) bool {
 	return !m.booting && !m.upAt.IsZero() && m.drainReason == "" && !m.releasing && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
-		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.settings.Workers.ReportS.Duration()+time.Second
+		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.settings.Workers.HeartbeatInterval.Duration()+time.Second
 }
 
 // spareRoom is the room to keep for the next replicas: the largest replica that
@@ -263,7 +263,7 @@
 	for _, j := range t.jobs {
 		if j.spec.Service() && !j.spec.SpotAllowed {
 			largest = max(largest, j.spec.Tasks)
-			o := placement.Of(&j.spec)
+			o := placement.ResourcesOf(&j.spec)
 			r = placement.Resources{CPUs: max(r.CPUs, o.CPUs), GPUs: 0, MemoryGB: max(r.MemoryGB, o.MemoryGB)}
 		}
 	}
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -29,7 +29,7 @@
 	if !w.limitLowered {
 		return
 	}
-	most, small := w.valueLimit(), store.ChunkFor(w.limits.Least().ValueKB)
+	most, small := w.valueLimit(), store.ChunkTasksFor(w.limits.Least().ValueKB)
 	for c := range w.pending {
 		if j := c.job; j.subChunks == 0 && j.chunkTasks > small && !j.finished && !j.archiving {
 			if rec := c.record(); rec.JSONSize() > most {
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -22,9 +22,9 @@
 func init() { flag.Set("rapid.seed", "20261202") } //nolint:errcheck // rapid defines the flag
 
 // deps of a leader that talks to nobody.
-func deps(s config.State) Deps {
-	return Deps{Config: &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{ReportS: 2, LeaseS: 16, CancelS: 41}, State: s}},
-		Cancels: known(), Tuning: tuning.NewBox(), Flavors: &FlavorBox{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+func deps(s config.State) Dependencies {
+	return Dependencies{Config: &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41}, State: s}},
+		Cancels: known(), Tuning: tuning.NewCurrent(), Catalog: &MachineCatalog{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
 // plain is a task as a model without chunks knows it.
@@ -69,16 +69,16 @@
 		parts := rapid.IntRange(1, 700).Draw(t, "parts")
 		per := rapid.SampledFrom([]int{0, 256, 200, 113, 56, 7}).Draw(t, "per")
 		next := rapid.SampledFrom([]float64{0.5, 1, 2, 4}).Draw(t, "next")
-		spec := wire.Spec{ID: "req-000007", Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}
+		spec := wire.JobSpec{ID: "req-000007", Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}
 		s := &shelf{keys: map[string]wire.Entry{}}
 		lowered := false
 		var tm *term
 		var j *job
 		lead := func() {
-			l := &Leader{Deps: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}
+			l := &Leader{Dependencies: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}
 			tm = newTerm(l, leaseFor(l, 50, 0))
 			tm.recovered = true
-			j = newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now()), Chunk: per}, 1)
+			j = newJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: per}, 1)
 			tm.jobs[spec.ID] = j
 			tm.readProgress(s.list())
 			if len(tm.writer.orphans) > 0 {
@@ -236,7 +236,7 @@
 		tm.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		st.LowerLimits(2, 4, 1000, 1000)
 		f(tm, m, st, func(id wire.JobID, parts, per int) *job {
-			rec := store.JobRecord{Spec: wire.Spec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}, At: wire.TimestampOf(time.Now()), Chunk: per}
+			rec := store.JobRecord{Spec: wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: per}
 			j := newJob(rec, st.Put(store.JobKey(id), rec))
 			tm.jobs[id] = j
 			return j
@@ -268,7 +268,7 @@
 		if len(tm.writer.pending) > 0 || j.unstored > 0 || j.held != 251 || j.subChunks == 0 || ended(tm) {
 			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.writer.pending), j.subChunks, ended(tm))
 		}
-		if n := st.LargestValue(store.RunPrefix); n > 2048 || n == 0 {
+		if n := st.LargestValue(store.ProgressPrefix); n > 2048 || n == 0 {
 			t.Errorf("the largest record has %d bytes", n)
 		}
 	})
@@ -291,15 +291,15 @@
 			tm.drop(a, taskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
-		tm.writer.orphans = append(tm.writer.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{Next: 2})})
+		tm.writer.orphans = append(tm.writer.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{NextAttempt: 2})})
 		settle()
-		if launch.unstored > 0 || len(st.Keys(store.RunPrefix+"req-5/")) == 0 {
+		if launch.unstored > 0 || len(st.Keys(store.ProgressPrefix+"req-5/")) == 0 {
 			t.Error("a launch is held up")
 		}
-		if n := len(st.Keys(store.RunPrefix + "req-6/")); n == 0 {
+		if n := len(st.Keys(store.ProgressPrefix + "req-6/")); n == 0 {
 			t.Error("routine writes are held up")
 		}
-		if len(st.Keys(store.PastKey("req-7"))) == 0 {
+		if len(st.Keys(store.FinalKey("req-7"))) == 0 {
 			t.Error("a job's end is held up")
 		}
 		if len(st.Keys(orphan)) > 0 {
@@ -319,15 +319,15 @@
 func TestNoSubChunkBeforeTheDrop(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		tm.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
-		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 256, CPUs: 1}, At: wire.TimestampOf(time.Now())}
+		rec := store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 256, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
 		tm.jobs["req-2"] = j
 		hold(tm, j, 0, 250, m)
-		bad := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-3", Team: "red", Tasks: 1, CPUs: 1}}, st.Put(store.JobKey("req-3"), rec))
+		bad := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Tasks: 1, CPUs: 1}}, st.Put(store.JobKey("req-3"), rec))
 		tm.jobs["req-3"] = bad
 		hold(tm, bad, 0, 1, tm.machine(wire.MachineID("n-"+strings.Repeat("9", 20_000))))
 		settle()
-		if k := st.Keys(store.RunPrefix + "req-2/"); len(k) != 1 || k[0] != store.ChunkKey("req-2", 0) {
+		if k := st.Keys(store.ProgressPrefix + "req-2/"); len(k) != 1 || k[0] != store.ChunkKey("req-2", 0) {
 			t.Errorf("stored %v", k)
 		}
 		if st.OversizeRefusals() == 0 {
@@ -359,7 +359,7 @@
 			t.Error("released while its progress is being written")
 		}
 		settle()
-		if !tm.writer.allStored(m.usedAt, time.Now()) || len(st.Keys(store.PastKey("req-1"))) == 0 {
+		if !tm.writer.allStored(m.usedAt, time.Now()) || len(st.Keys(store.FinalKey("req-1"))) == 0 {
 			t.Error("kept for ever")
 		}
 	})
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/leader/election"
-	"lilaclead/internal/leader/rentals"
+	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
@@ -18,7 +18,7 @@
 
 // reportCall is a report with the channel for its answer.
 type reportCall struct {
-	report  wire.Report
+	report  wire.Heartbeat
 	relayed bool // by another node
 	reply   chan reportAnswer
 }
@@ -48,14 +48,14 @@
 	// ---- owned by the loop ----
 	ctx                    context.Context
 	settings               *config.Settings
-	token                  wire.Token // also the revision of the leader's key
-	firstToken             wire.Token // the token at the start of the term
+	token                  wire.FencingToken // also the revision of the leader's key
+	firstToken             wire.FencingToken // the token at the start of the term
 	raising                bool
 	recovered              bool
 	placing                bool      // the first report round is over
 	listReceived           bool      // a machine list has come in
 	listAskedAt            time.Time // when the last one was asked for
-	earlyReports           map[wire.MachineID]wire.Report
+	earlyReports           map[wire.MachineID]wire.Heartbeat
 	jobs                   map[wire.JobID]*job
 	archived               map[wire.JobID]bool // archived, and news of them may still come
 	undecodable            map[wire.JobID]bool // of which a record can't be decoded: see setAside
@@ -81,7 +81,7 @@
 	roundAfter      time.Time
 	roundTook       time.Duration // the last one
 
-	rentals  *rentals.Tracker
+	scaling  *scaling.Tracker
 	intents  *cloudIntents   // nil: they are not recorded
 	version  upgrade.Version // that is active, as far as this leader acts by it
 	backlogS float64         // seconds in which the room there is would do what waits
@@ -92,19 +92,19 @@
 		l: l, lease: lease, startedAt: lease.TakenAt(), token: lease.Token(), firstToken: lease.Token(),
 		settings:    &l.Config.Settings,
 		reportCalls: make(chan reportCall, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
-		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
+		earlyReports: map[wire.MachineID]wire.Heartbeat{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
 		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		zoneDetector: detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.ReportS.Duration()),
+		zoneDetector: detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.HeartbeatInterval.Duration()),
 		claimed:      map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, recentGangs: map[gangSize]recentGang{},
 	}
-	t.rentals = rentals.New(lease.Token())
+	t.scaling = scaling.New(lease.Token())
 	if l.RecordIntents {
 		t.intents = newCloudIntents(t)
 	}
 	t.writer = newWriter(&t.settings.State, t.log())
 	t.writer.withdraw, t.writer.isAside = t.withdrawStart, t.isAside
 	t.writer.budget = func() float64 {
-		_, writes := l.Store.Left()
+		_, writes := l.Store.Budget()
 		return writes
 	}
 	return t
@@ -229,7 +229,7 @@
 		}
 	}
 	if !t.placing && t.recovered {
-		bound := t.settings.Workers.ReportS.Duration()*5/4 + 1500*time.Millisecond
+		bound := t.settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
 		if t.enoughMachinesReported(now) || now.Sub(t.startedAt) > bound {
 			t.placing = true
 			t.log().Info("places", "machines", len(t.machines), "jobs", len(t.jobs), "after", now.Sub(t.startedAt))
--- a/internal/leader/utility.go
+++ b/internal/leader/utility.go
@@ -29,7 +29,7 @@
 		if !ok {
 			continue
 		}
-		u := sum[j.spec.Team].Plus(placement.Of(&j.spec).Times(float64(j.spec.Tasks - j.done)))
+		u := sum[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.spec.Tasks - j.done)))
 		sum[j.spec.Team] = u
 		out[j.spec.ID] = u.CPUs <= team.CPUs+wire.Eps && u.GPUs <= team.GPUs+wire.Eps
 	}
@@ -94,7 +94,7 @@
 func (t *term) startAim(class string) float64 {
 	for _, o := range t.settings.Objectives {
 		if o.Kind == "wait" && o.Class == class {
-			return float64(o.WithinS)
+			return float64(o.Within)
 		}
 	}
 	return 0
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -64,7 +64,7 @@
 	if active := versions.Active(); active >= versions.Supports.Max {
 		return active, nil
 	}
-	permit, err := duty.For[duty.Cleanup](t.lease.Lease)
+	permit, err := duty.PermitFor[duty.Cleanup](t.lease.Lease)
 	if err != nil {
 		return 0, nil // it is tried again when the lease is held
 	}
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -11,36 +11,36 @@
 
 // View is what a leader shows operators.
 type View struct {
-	Machines []MachineView `cbor:"machines"`
-	Jobs     []JobView     `cbor:"jobs"`
-	Deciding bool          `cbor:"deciding"`
-	Bookings int           `cbor:"bookings"`
+	Machines         []MachineView `cbor:"machines"`
+	Jobs             []JobView     `cbor:"jobs"`
+	Deciding         bool          `cbor:"deciding"`
+	PendingScaleOuts int           `cbor:"bookings"`
 }
 
 // MachineView is one machine.
 type MachineView struct {
-	Name     wire.MachineID   `cbor:"name"`
-	Kit      wire.MachineType `cbor:"kit"`
-	Zone     wire.Zone        `cbor:"zone"`
-	Spot     bool             `cbor:"spot"`
-	Booting  bool             `cbor:"booting"`
-	Drain    string           `cbor:"drain,omitempty"`
-	Tasks    int              `cbor:"tasks"`
-	SilentS  float64          `cbor:"silent_s"`
-	FreeCPUs float64          `cbor:"free_cpus"`
+	Name          wire.MachineID   `cbor:"name"`
+	Type          wire.MachineType `cbor:"kit"`
+	Zone          wire.Zone        `cbor:"zone"`
+	Spot          bool             `cbor:"spot"`
+	Booting       bool             `cbor:"booting"`
+	Drain         string           `cbor:"drain,omitempty"`
+	Tasks         int              `cbor:"tasks"`
+	SilentSeconds float64          `cbor:"silent_s"`
+	FreeCPUs      float64          `cbor:"free_cpus"`
 }
 
 // JobView is one unfinished job.
 type JobView struct {
-	ID        wire.JobID  `cbor:"id"`
-	Lane      string      `cbor:"lane"`
-	Team      wire.TeamID `cbor:"team"`
-	Parts     int         `cbor:"parts"`
-	Done      int         `cbor:"done"`
-	Held      int         `cbor:"held"`
-	Fails     int         `cbor:"fails"`
-	AgeS      float64     `cbor:"age_s"`
-	Cancelled bool        `cbor:"cancelled"`
+	ID         wire.JobID  `cbor:"id"`
+	Class      string      `cbor:"lane"`
+	Team       wire.TeamID `cbor:"team"`
+	Tasks      int         `cbor:"parts"`
+	Done       int         `cbor:"done"`
+	Active     int         `cbor:"held"`
+	Failures   int         `cbor:"fails"`
+	AgeSeconds float64     `cbor:"age_s"`
+	Cancelled  bool        `cbor:"cancelled"`
 }
 
 // View asks the term's loop for a view; nil if this node does not lead.
@@ -88,14 +88,14 @@
 		}
 	}
 	if most := t.l.Workers; up > most {
-		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.l.Needed(up))
+		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.l.RequiredFDs(up))
 	}
 	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
 		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.roundTook, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.lease.Deciding(), Bookings: len(t.rentals.Bookings())}
+	v := &View{Deciding: t.lease.Deciding(), PendingScaleOuts: len(t.scaling.PendingScaleOuts())}
 	for _, m := range t.machines {
 		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
 	}
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -59,7 +59,7 @@
 	switch {
 	case err == nil:
 		t.committed(b, revision)
-	case errors.As(err, &conflict) && conflict.Has(store.LeadKey):
+	case errors.As(err, &conflict) && conflict.Has(store.LeaderKey):
 		t.end(election.ErrTaken.Error())
 	case errors.As(err, &conflict):
 		t.conflicted(b, conflict)
@@ -166,7 +166,7 @@
 	j.stale = true
 	id := j.spec.ID
 	go func() {
-		e, err := t.l.Store.Get(t.ctx, store.Vital, store.JobKey(id))
+		e, err := t.l.Store.Get(t.ctx, store.Critical, store.JobKey(id))
 		t.post(func() {
 			switch {
 			case t.jobs[id] != j: // the watch told of it meanwhile, and it is archived
@@ -189,7 +189,7 @@
 // b is given, its outcome is then looked up.
 func (t *term) raise(b *batch) {
 	t.raising = true
-	t.raiseWanted, t.raiseAt = false, time.Now().Add(t.settings.Workers.LeaseS.Duration()/2)
+	t.raiseWanted, t.raiseAt = false, time.Now().Add(t.settings.Workers.Lease.Duration()/2)
 	old := t.token
 	go func() {
 		token, err := t.lease.RaiseToken(t.ctx, old)
@@ -202,7 +202,7 @@
 	}()
 }
 
-func (t *term) raised(token wire.Token, b *batch) {
+func (t *term) raised(token wire.FencingToken, b *batch) {
 	t.log().Info("token raised", "from", t.token, "to", token)
 	t.token = token
 	if t.recovered {
@@ -220,7 +220,7 @@
 func (t *term) readOutcome(b *batch) {
 	g := b.tellingGuard()
 	for t.ctx.Err() == nil {
-		e, err := t.l.Store.Get(t.ctx, store.Vital, g.Key)
+		e, err := t.l.Store.Get(t.ctx, store.Critical, g.Key)
 		if err == nil || errors.Is(err, store.ErrMissing) {
 			t.post(func() {
 				t.writer.outcomeRead()
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -34,7 +34,7 @@
 		tm.ctx = ctx
 		tm.settings.State.TxnOps = 12
 		tm.l.candidate = election.NewCandidate(tm.l.Config, tm.l.Store, tm.l.Log, tm.l.Mesh.ObserveToken)
-		tm.token = wire.Token(st.Put(store.LeadKey, tm.l.candidate.Record()))
+		tm.token = wire.FencingToken(st.Put(store.LeaderKey, tm.l.candidate.Record()))
 		tm.lease, tm.firstToken = leaseFor(tm.l, tm.token, time.Hour), tm.token
 		m.token = tm.token
 		tm.drop(a, taskPending)
@@ -72,10 +72,10 @@
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.spec, Status: wire.Cancelled})
 		tm.start(j, m, time.Now())
 		settle()
-		if n := st.Keys(store.RunPrefix); len(n) != 0 || j.held != 0 || !j.cancelled {
+		if n := st.Keys(store.ProgressPrefix); len(n) != 0 || j.held != 0 || !j.cancelled {
 			t.Errorf("stored %v, held %d, cancelled %v", n, j.held, j.cancelled)
 		}
-		if past := st.Keys(store.PastKey("req-1")); len(past) != 1 || ended(tm) {
+		if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 			t.Errorf("final records %v, term over: %v", past, ended(tm))
 		}
 	})
@@ -94,8 +94,8 @@
 			tm.start(j, m, time.Now())
 			settle()
 			a := j.chunks[0].attempts[0]
-			if a == nil || a.planned || len(st.Keys(store.RunPrefix)) != 1 || ended(tm) {
-				t.Errorf("%s: attempt %+v, stored %v, term over: %v", name, a, st.Keys(store.RunPrefix), ended(tm))
+			if a == nil || a.planned || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
+				t.Errorf("%s: attempt %+v, stored %v, term over: %v", name, a, st.Keys(store.ProgressPrefix), ended(tm))
 			}
 			if tm.token <= token {
 				t.Errorf("%s: the token was not raised", name)
@@ -103,7 +103,7 @@
 			// What is known still agrees with what is stored.
 			tm.drop(a, taskDone)
 			settle()
-			if past := st.Keys(store.PastKey("req-1")); len(past) != 1 || ended(tm) {
+			if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 				t.Errorf("%s: final records %v, term over: %v", name, past, ended(tm))
 			}
 		})
@@ -113,11 +113,11 @@
 // A leader whose key is another's writes nothing and stops.
 func TestLateLeaderWritesNothing(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		st.Put(store.LeadKey, store.LeadRecord{Node: "b", Nonce: "other"})
+		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
 		tm.start(tm.jobs["req-1"], m, time.Now())
 		settle()
-		if !ended(tm) || len(st.Keys(store.RunPrefix)) != 0 {
-			t.Errorf("term over: %v, stored %v", ended(tm), st.Keys(store.RunPrefix))
+		if !ended(tm) || len(st.Keys(store.ProgressPrefix)) != 0 {
+			t.Errorf("term over: %v, stored %v", ended(tm), st.Keys(store.ProgressPrefix))
 		}
 	})
 }
@@ -151,7 +151,7 @@
 // counted on, waits; the rest of the chunk is stored all the same.
 func TestRecordOverTheLimit(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		j := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, At: wire.TimestampOf(time.Now())}, 1)
+		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 		j.revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
 		tm.jobs[j.spec.ID] = j
 		tm.settings.State.ValueKB = 0.5
@@ -172,7 +172,7 @@
 // for ever at the chunks that were gone, and all that was to be written beside it.)
 func TestChunksStayUntilTheEndIsStored(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		rec := store.JobRecord{Spec: wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, Status: wire.Queued, At: wire.TimestampOf(time.Now()), Chunk: 1}
+		rec := store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: 1}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
 		tm.jobs[j.spec.ID] = j
 		for n := range j.chunks {
@@ -196,14 +196,14 @@
 			if j.stale {
 				conflicts++
 			}
-			if live, chunks := len(st.Keys(store.JobKey("req-2"))), len(st.Keys(store.RunPrefix+"req-2/")); live == 1 && chunks != 20 {
+			if live, chunks := len(st.Keys(store.JobKey("req-2"))), len(st.Keys(store.ProgressPrefix+"req-2/")); live == 1 && chunks != 20 {
 				t.Errorf("%d of 20 chunks of a live job", chunks)
 				break
 			}
 		}
 		settle()
-		if conflicts == 0 || len(st.Keys(store.PastKey("req-2"))) != 1 || len(st.Keys(store.RunPrefix+"req-2/")) != 0 || ended(tm) {
-			t.Errorf("record read again: %v, final records %v, chunks %v, term over: %v", conflicts > 0, st.Keys(store.PastKey("req-2")), st.Keys(store.RunPrefix+"req-2/"), ended(tm))
+		if conflicts == 0 || len(st.Keys(store.FinalKey("req-2"))) != 1 || len(st.Keys(store.ProgressPrefix+"req-2/")) != 0 || ended(tm) {
+			t.Errorf("record read again: %v, final records %v, chunks %v, term over: %v", conflicts > 0, st.Keys(store.FinalKey("req-2")), st.Keys(store.ProgressPrefix+"req-2/"), ended(tm))
 		}
 	})
 }
@@ -234,7 +234,7 @@
 					case <-time.After(50 * time.Millisecond):
 					}
 				}
-				if len(st.Keys(store.PastKey("req-1"))) != 1 {
+				if len(st.Keys(store.FinalKey("req-1"))) != 1 {
 					t.Error("not archived while the answer is under way")
 				}
 				tm.applyChanges([]wire.Change{drop})
@@ -242,7 +242,7 @@
 				tm.start(j, m, time.Now())
 			}
 			settle()
-			if len(st.Keys(store.PastKey("req-1"))) != 1 || len(tm.jobs) != 0 {
+			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.jobs) != 0 {
 				t.Errorf("not archived: %v, %v", tm.jobs, st.Keys(""))
 			}
 			tm.reread(j) // as one that was under way
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -81,7 +81,7 @@
 
 // next takes what has changed into a transaction, nil if there is nothing to
 // write: final states and launches first, then routine writes at their own pace.
-func (w *writer) next(token wire.Token, now time.Time) *batch {
+func (w *writer) next(token wire.FencingToken, now time.Time) *batch {
 	b := newBatch(token, w.limits.Least().TxnOps, w.singles > 0)
 	w.addFinished(b, now)
 	w.splitLarge()
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -25,8 +25,8 @@
 // pendingChunk is the only chunk of a job, with a start that is not stored yet if
 // it launches.
 func pendingChunk(w *writer, id string, priority wire.Priority, launches bool) *chunk {
-	spec := wire.Spec{ID: wire.JobID(id), Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Priority: priority}
-	j := newJob(store.JobRecord{Spec: spec, At: wire.TimestampOf(time.Now())}, 1)
+	spec := wire.JobSpec{ID: wire.JobID(id), Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Priority: priority}
+	j := newJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 	c := j.chunk(0)
 	if launches {
 		c.hold(&attempt{job: j, chunk: c, machine: &machine{id: "n-1", tasks: map[wire.Task]*attempt{}}, planned: true})
@@ -82,7 +82,7 @@
 		earlier.job.acceptedAt = earlier.job.acceptedAt.Add(-time.Second)
 		pendingChunk(w, "prod", wire.PriorityProd, true)
 		b := next("[prod batch] true")
-		if g := b.txn.Guards[0]; g != (wire.Guard{Key: store.LeadKey, Revision: 50}) {
+		if g := b.txn.Guards[0]; g != (wire.Guard{Key: store.LeaderKey, Revision: 50}) {
 			t.Errorf("the first guard is %+v", g)
 		}
 		if w.ready(time.Now()) {
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -31,7 +31,7 @@
 	Seq  uint64      `cbor:"seq"`
 	// Token is the highest that the sender knows; in an answer it is the
 	// acknowledgement, 0 for none.
-	Token wire.Token `cbor:"token"`
+	Token wire.FencingToken `cbor:"token"`
 	// Leads: the sender leads with that token.
 	Leads bool `cbor:"leads"`
 	// StateReachable: the sender reaches the state service.
@@ -41,7 +41,7 @@
 	// Delegation, in an answer, is the token with which the sender surely leads:
 	// the receiver may renew workers' leases on its behalf for a while, counted
 	// from when it sent the heartbeat.
-	Delegation wire.Token `cbor:"grants,omitempty"`
+	Delegation wire.FencingToken `cbor:"grants,omitempty"`
 	// SinceRenewal, in an answer, is how long ago the sender last renewed a lease
 	// as a delegate; 0: never since it started.
 	SinceRenewal time.Duration `cbor:"stood,omitempty"`
@@ -63,7 +63,7 @@
 // Status is what this node tells the others of itself.
 type Status struct {
 	Leads            bool
-	Delegation       wire.Token
+	Delegation       wire.FencingToken
 	StateReachable   bool
 	ReachableWorkers int
 	// UnconfirmedSince is when the oldest cancellation was confirmed of which a
@@ -72,7 +72,7 @@
 	// Incarnation and ActiveVersion: see Heartbeat.
 	Incarnation   string
 	ActiveVersion uint64
-	// Refuses: this node must not acknowledge any token, as it may not understand what
+	// RefusesAcks: this node must not acknowledge any token, as it may not understand what
 	// is active.
-	Refuses bool
+	RefusesAcks bool
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -43,7 +43,7 @@
 	cancels *cancels.Log
 	log     *slog.Logger
 	events  chan event
-	tokens  chan wire.Token
+	tokens  chan wire.FencingToken
 	view    atomic.Pointer[View]
 	client  *http.Client
 	// LearnVersion is told of versions of the behaviour that others know to be active;
@@ -84,7 +84,7 @@
 		log:         log,
 		events:      make(chan event, eventBuffer),
 		undecodable: undecodable.New(log),
-		tokens:      make(chan wire.Token, tokenBuffer),
+		tokens:      make(chan wire.FencingToken, tokenBuffer),
 		client:      &http.Client{Transport: transport},
 		startedAt:   time.Now(),
 	}
@@ -96,7 +96,7 @@
 func (m *Mesh) View() *View { return m.view.Load() }
 
 // ObserveToken tells the mesh of a token that this node has learnt of.
-func (m *Mesh) ObserveToken(ctx context.Context, t wire.Token) {
+func (m *Mesh) ObserveToken(ctx context.Context, t wire.FencingToken) {
 	select {
 	case m.tokens <- t:
 	case <-ctx.Done():
@@ -165,7 +165,7 @@
 func (m *Mesh) answer(current *View, p *Peer, seq uint64) Heartbeat {
 	s := m.status()
 	answer := Heartbeat{From: m.name, Seq: seq, Incarnation: s.Incarnation, ActiveVersion: s.ActiveVersion}
-	if time.Since(m.startedAt) >= AckLifetime && !s.Refuses {
+	if time.Since(m.startedAt) >= AckLifetime && !s.RefusesAcks {
 		answer.Token = current.Token
 	}
 	if s.Delegation > 0 && s.Delegation == current.Token {
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -43,7 +43,7 @@
 		var servers []*http.Server
 		node := func(name, other wire.NodeID, ip, otherIP string, leads bool) *Mesh {
 			m := New(name, []config.Peer{{HostName: other, Addr: otherIP + ":1"}}, func() Status {
-				return Status{Leads: leads, Delegation: map[bool]wire.Token{true: 7}[leads], StateReachable: true}
+				return Status{Leads: leads, Delegation: map[bool]wire.FencingToken{true: 7}[leads], StateReachable: true}
 			}, cancels.New(nil, time.Minute), nw.Host(ip), log)
 			l, err := nw.Host(ip).Listen("tcp4", ip+":1")
 			if err != nil {
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -16,15 +16,15 @@
 	// AckSent is when the heartbeat was sent that was answered last, and AckToken
 	// the token acknowledged by it.
 	AckSent  time.Time
-	AckToken wire.Token
+	AckToken wire.FencingToken
 	// DelegatedAt is when this node last let the other renew leases for it.
 	DelegatedAt time.Time
 	// LastRenewal is when the other last renewed a lease as a delegate, at the
 	// latest, as of its last answer.
 	LastRenewal time.Time
-	// StartedBy is when the other started, at the latest. Until then its former
+	// StartedBefore is when the other started, at the latest. Until then its former
 	// process may have renewed leases, of which it knows nothing.
-	StartedBy time.Time
+	StartedBefore time.Time
 }
 
 // Connected tells whether the node was in contact lately.
@@ -41,14 +41,14 @@
 		p.LastRenewal = p.LastContact.Add(-answer.SinceRenewal)
 	}
 	if answer.Uptime > 0 {
-		p.StartedBy = p.LastContact.Add(-answer.Uptime)
+		p.StartedBefore = p.LastContact.Add(-answer.Uptime)
 	}
 }
 
 // Delegation is a leader's permission for this node to renew workers' leases on
 // its behalf.
 type Delegation struct {
-	Token wire.Token
+	Token wire.FencingToken
 	// RequestedAt is when this node asked for it, or earlier: a launch of what
 	// was cancelled before can't arrive any more.
 	RequestedAt time.Time
@@ -57,7 +57,7 @@
 // View is what one node knows of all. It is never changed once published.
 type View struct {
 	// Token is the highest that this node knows of.
-	Token wire.Token
+	Token wire.FencingToken
 	// Leader is who leads with it, if a heartbeat said so lately.
 	Leader wire.NodeID
 	Peers  map[wire.NodeID]Peer
@@ -69,7 +69,7 @@
 
 // AckedUntil is until when an acknowledgement of the token by so many nodes,
 // this one included, is young enough to count; zero if it never was.
-func (v *View) AckedUntil(t wire.Token, nodes int) time.Time {
+func (v *View) AckedUntil(t wire.FencingToken, nodes int) time.Time {
 	if v.Token > t {
 		return time.Time{}
 	}
@@ -90,7 +90,7 @@
 }
 
 // observeToken takes in a token; nobody is known to lead with a new one.
-func (v *View) observeToken(t wire.Token) {
+func (v *View) observeToken(t wire.FencingToken) {
 	if t > v.Token {
 		v.Token, v.Leader = t, ""
 	}
--- a/internal/placement/clearing.go
+++ b/internal/placement/clearing.go
@@ -40,7 +40,7 @@
 
 // clear takes the tasks of a clearing off a machine, claims their room, and returns
 // them.
-func (m *Machine) clear(c clearing, claim Claim) []Victim {
+func (m *Machine) clear(c clearing, claim Reservation) []Victim {
 	var taken, left []Victim
 	for vi, v := range m.Victims {
 		if !slices.Contains(c.picks, vi) {
@@ -50,7 +50,7 @@
 		taken = append(taken, v)
 		m.Stopping = m.Stopping.Plus(v.Uses)
 	}
-	m.Victims, m.Claims = left, append(slices.Clone(m.Claims), claim)
+	m.Victims, m.Reservations = left, append(slices.Clone(m.Reservations), claim)
 	return taken
 }
 
@@ -63,7 +63,7 @@
 		return clearing{}
 	}
 	c := clearing{lost: fetchCost(m, j)}
-	free := m.roomLeft(func(*Claim) bool { return false })
+	free := m.roomLeft(func(*Reservation) bool { return false })
 	if j.Spec.Gang() && !j.WaitedLong {
 		free = free.Minus(m.spareRoom) // it may not use that, and would claim it for ever
 	}
@@ -96,7 +96,7 @@
 		va, vb := &m.Victims[a], &m.Victims[b]
 		switch ea, eb := endsInTime(j, va), endsInTime(j, vb); {
 		case ea && eb:
-			return cmp.Compare(va.LeftS, vb.LeftS)
+			return cmp.Compare(va.RemainingS, vb.RemainingS)
 		case ea:
 			return -1
 		case eb:
@@ -119,11 +119,11 @@
 // clearingCost is what it costs to await or stop a task, in seconds of work.
 func clearingCost(j *Job, v *Victim) float64 {
 	if endsInTime(j, v) {
-		return v.LeftS
+		return v.RemainingS
 	}
 	lost := v.LostS + stopCostS
 	if outlasts(j, v) {
-		lost += fetchWeight * v.SavesS
+		lost += fetchWeight * v.CheckpointS
 	}
 	return lost
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -51,7 +51,7 @@
 func (p *pass) chooseForGang(ji int) choice {
 	j := &p.s.Jobs[ji]
 	out := choice{machine: none}
-	if !p.s.Teams[j.Spec.Team].allows(j, Of(j.Spec).Times(float64(j.Pending))) {
+	if !p.s.Teams[j.Spec.Team].allows(j, ResourcesOf(j.Spec).Times(float64(j.Pending))) {
 		return out
 	}
 	var best gangFit
@@ -81,7 +81,7 @@
 
 // candidates of a group of machines, the best first.
 func (p *pass) candidates(j *Job, group []int) []candidate {
-	take := Of(j.Spec)
+	take := ResourcesOf(j.Spec)
 	var out []candidate
 	for _, mi := range group {
 		m := &p.s.Machines[mi]
@@ -125,7 +125,7 @@
 
 // fitGang packs all units of a gang into the candidates, if they fit.
 func (p *pass) fitGang(j *Job, candidates []candidate) (f gangFit, ok bool) {
-	take := Of(j.Spec)
+	take := ResourcesOf(j.Spec)
 	inZone := map[wire.Zone]int{}
 	for _, c := range candidates {
 		m := p.s.Machines[c.machine] // a copy, from which units are taken
--- a/internal/placement/gang_choice_test.go
+++ b/internal/placement/gang_choice_test.go
@@ -8,7 +8,7 @@
 
 // victimIn is a lower task that fills a machine, with so much work to lose.
 func victimIn(index int, lost float64) Victim {
-	return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: 1, Uses: Resources{4, 0, 4}, LeftS: 500, LostS: lost, Team: "t"}
+	return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: 1, Uses: Resources{4, 0, 4}, RemainingS: 500, LostS: lost, Team: "t"}
 }
 
 // Room for a gang that must be in one zone is made in the one of two zones that hold
@@ -23,12 +23,12 @@
 			machines = append(cheap, dear...)
 		}
 		res := Place(snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4)}))
-		if len(res.Halts) != 2 || len(res.Clearances) != 2 {
-			t.Fatalf("%s first: stops %v for %v", first, res.Halts, res.Clearances)
+		if len(res.Preemptions) != 2 || len(res.Reservations) != 2 {
+			t.Fatalf("%s first: stops %v for %v", first, res.Preemptions, res.Reservations)
 		}
-		for _, v := range res.Halts {
+		for _, v := range res.Preemptions {
 			if v.Task.Index < 2 {
-				t.Errorf("%s first: stops %v, which costs 60, not 40", first, res.Halts)
+				t.Errorf("%s first: stops %v, which costs 60, not 40", first, res.Preemptions)
 			}
 		}
 	}
@@ -41,11 +41,11 @@
 		machines := []Machine{inZone("m", "a", 0, victimIn(0, 5)), inZone("n", "a", 0, victimIn(1, 5)), inZone("o", "a", 0, victimIn(2, 5)), inZone("p", "a", 0, victimIn(3, 5))}
 		for i := range claims {
 			machines[i].Victims, machines[i].Stopping = nil, Resources{4, 0, 4}
-			machines[i].Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Resources{4, 0, 4}}}
+			machines[i].Reservations = []Reservation{{"req-1", wire.PriorityUrgent.Rank(), Resources{4, 0, 4}}}
 		}
-		res := Place(snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Claims: claims}))
-		if len(res.Clearances) != want || len(res.Halts) != want {
-			t.Errorf("with %d claims: stops %v for %v, want room for %d", claims, res.Halts, res.Clearances, want)
+		res := Place(snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Reservations: claims}))
+		if len(res.Reservations) != want || len(res.Preemptions) != want {
+			t.Errorf("with %d claims: stops %v for %v, want room for %d", claims, res.Preemptions, res.Reservations, want)
 		}
 	}
 }
@@ -57,17 +57,17 @@
 		machines := []Machine{inZone("m", "a", 0), inZone("n", "a", 0), inZone("o", "a", 0, victimIn(2, 5)), inZone("p", "a", 0, victimIn(3, 5))}
 		for i := range 2 {
 			machines[i].Stopping = Resources{4, 0, 4}
-			machines[i].Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Resources{4, 0, 4}}}
+			machines[i].Reservations = []Reservation{{"req-1", wire.PriorityUrgent.Rank(), Resources{4, 0, 4}}}
 		}
-		s := snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Claims: 2}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 2, 4)})
+		s := snapOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Reservations: 2}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 2, 4)})
 		for i := range s.Machines {
 			for v := range s.Machines[i].Victims {
 				s.Machines[i].Victims[v].Team = "other"
 			}
 		}
 		s.Teams["t"].Limit = Resources{CPUs: limit}
-		if res := Place(s); len(res.Clearances) != want || len(res.Halts) != want {
-			t.Errorf("limit %g: stops %v for %v, want room for %d", limit, res.Halts, res.Clearances, want)
+		if res := Place(s); len(res.Reservations) != want || len(res.Preemptions) != want {
+			t.Errorf("limit %g: stops %v for %v, want room for %d", limit, res.Preemptions, res.Reservations, want)
 		}
 	}
 }
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -16,10 +16,10 @@
 	s.Preempt = true
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		m.Claims, m.Stopping = nil, Resources{}
+		m.Reservations, m.Stopping = nil, Resources{}
 		for k := range rapid.IntRange(0, 4).Draw(t, "victims") {
 			v := Victim{Task: wire.Task{Job: wire.JobID(fmt.Sprint("req-9", i)), Index: k}, Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Team: "blue",
-				Uses: Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "takes")), MemoryGB: 2}, LostS: float64(rapid.IntRange(0, 60).Draw(t, "lost")), LeftS: float64(rapid.IntRange(1, 60).Draw(t, "left"))}
+				Uses: Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "takes")), MemoryGB: 2}, LostS: float64(rapid.IntRange(0, 60).Draw(t, "lost")), RemainingS: float64(rapid.IntRange(1, 60).Draw(t, "left"))}
 			if !v.Uses.Fits(m.Free) {
 				break
 			}
@@ -51,15 +51,15 @@
 			continue
 		}
 		room := m.Free.Plus(m.Stopping)
-		for _, c := range m.Claims {
+		for _, c := range m.Reservations {
 			room = room.Minus(c.Takes)
 		}
 		for _, v := range m.Victims {
-			if v.LeftS <= j.PatienceS && j.PatienceS > 0 || j.Spec.Priority.Rank() >= wire.PriorityUrgent.Rank() && v.Rank < j.Spec.Priority.Rank() {
+			if v.RemainingS <= j.PatienceS && j.PatienceS > 0 || j.Spec.Priority.Rank() >= wire.PriorityUrgent.Rank() && v.Rank < j.Spec.Priority.Rank() {
 				room = room.Plus(v.Uses)
 			}
 		}
-		in[m.Zone] += Of(j.Spec).Units(room)
+		in[m.Zone] += ResourcesOf(j.Spec).Units(room)
 	}
 	all := 0
 	for _, n := range in {
@@ -84,7 +84,7 @@
 			starts[st.Job]++
 		}
 		halted := map[wire.Task]Victim{}
-		for _, v := range res.Halts {
+		for _, v := range res.Preemptions {
 			halted[v.Task] = v
 		}
 		type on struct {
@@ -96,10 +96,10 @@
 		for i := range after.Machines {
 			byID[after.Machines[i].ID] = &after.Machines[i]
 		}
-		for _, c := range res.Clearances {
+		for _, c := range res.Reservations {
 			clears[c.Job]++
-			inZone[on{c.Job, byID[c.On].Zone}]++
-			for _, task := range c.Awaits {
+			inZone[on{c.Job, byID[c.Machine].Zone}]++
+			for _, task := range c.AwaitedTasks {
 				reason[task] = true
 			}
 		}
@@ -113,11 +113,11 @@
 				if stops || reason[v.Task] {
 					room = room.Plus(v.Uses)
 				}
-				if stops && len(m.Claims) == 0 {
+				if stops && len(m.Reservations) == 0 {
 					t.Fatalf("%v is stopped on %s, for nothing", v.Task, m.ID)
 				}
 			}
-			for _, c := range m.Claims {
+			for _, c := range m.Reservations {
 				room = room.Minus(c.Takes)
 			}
 			if room.CPUs < -wire.Eps || room.MemoryGB < -wire.Eps {
@@ -149,7 +149,7 @@
 				t.Fatalf("%s uses %v of %v", sp.Team, team.Used, team.Limit)
 			}
 		}
-		stopped += len(res.Halts)
+		stopped += len(res.Preemptions)
 	})
 	if made < 20 || stopped < 20 {
 		t.Errorf("room was made for %d gangs, %d tasks were stopped: too few to tell", made, stopped)
@@ -170,10 +170,10 @@
 		s.Jobs = s.Jobs[i : i+1]
 		could := couldFit(s, &s.Jobs[0])
 		res := Place(clone(s))
-		if got := len(res.Starts)+len(res.Clearances) > 0; got != could {
-			t.Fatalf("starts %v, clears %v, but it could fit: %v", res.Starts, res.Clearances, could)
+		if got := len(res.Starts)+len(res.Reservations) > 0; got != could {
+			t.Fatalf("starts %v, clears %v, but it could fit: %v", res.Starts, res.Reservations, could)
 		}
-		if len(res.Clearances) > 0 {
+		if len(res.Reservations) > 0 {
 			made++
 		} else if !could {
 			not++
@@ -184,8 +184,8 @@
 	}
 }
 
-func gangSpec(id wire.JobID, u wire.Priority, parts int, cpus float64) *wire.Spec {
-	return &wire.Spec{ID: id, Team: "t", Kind: wire.KindGang, Priority: u, Tasks: parts, CPUs: cpus, MemoryGB: cpus, SameZone: true, SpotAllowed: true, Image: "i"}
+func gangSpec(id wire.JobID, u wire.Priority, parts int, cpus float64) *wire.JobSpec {
+	return &wire.JobSpec{ID: id, Team: "t", Kind: wire.KindGang, Priority: u, Tasks: parts, CPUs: cpus, MemoryGB: cpus, SameZone: true, SpotAllowed: true, Image: "i"}
 }
 
 func inZone(id wire.MachineID, z wire.Zone, free float64, vs ...Victim) Machine {
@@ -207,37 +207,37 @@
 // what it lacks.
 func TestGangsDontWaitForEachOther(t *testing.T) {
 	task := func(i int, left float64) Victim {
-		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: Resources{4, 0, 4}, LeftS: left, LostS: 9, Team: "t"}
+		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: Resources{4, 0, 4}, RemainingS: left, LostS: 9, Team: "t"}
 	}
 	// Two everyday gangs of two, two machines: the earlier claims both, the later
 	// neither of them and none in part.
 	ms := []Machine{inZone("m", "a", 0, task(0, 3)), inZone("n", "a", 0, task(1, 5))}
 	res := Place(snapOf(ms, Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.PriorityStandard, 2, 4), PatienceS: 9}))
-	if len(res.Clearances) != 2 || res.Clearances[0].Job != "req-1" || res.Clearances[1].Job != "req-1" || len(res.Halts) != 0 {
-		t.Fatalf("clears %+v, halts %v", res.Clearances, res.Halts)
+	if len(res.Reservations) != 2 || res.Reservations[0].Job != "req-1" || res.Reservations[1].Job != "req-1" || len(res.Preemptions) != 0 {
+		t.Fatalf("clears %+v, halts %v", res.Reservations, res.Preemptions)
 	}
 	// The first machine is free, the second not yet: neither the later gang nor an
 	// array gets the half.
-	claim := func(id wire.JobID) []Claim { return []Claim{{id, 1, Resources{4, 0, 4}}} }
-	array := &wire.Spec{ID: "req-3", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 4, MemoryGB: 4, SpotAllowed: true}
+	claim := func(id wire.JobID) []Reservation { return []Reservation{{id, 1, Resources{4, 0, 4}}} }
+	array := &wire.JobSpec{ID: "req-3", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 4, MemoryGB: 4, SpotAllowed: true}
 	half := func() []Machine {
 		a, b := inZone("m", "a", 4), inZone("n", "a", 0)
-		a.Claims, b.Claims, b.Stopping = claim("req-1"), claim("req-1"), Resources{4, 0, 4}
+		a.Reservations, b.Reservations, b.Stopping = claim("req-1"), claim("req-1"), Resources{4, 0, 4}
 		return []Machine{a, b}
 	}
-	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}, Job{Spec: gangSpec("req-2", wire.PriorityStandard, 1, 4), PatienceS: 9, Weight: 9}))
-	if len(res.Starts)+len(res.Clearances)+len(res.Halts) != 0 {
+	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Reservations: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}, Job{Spec: gangSpec("req-2", wire.PriorityStandard, 1, 4), PatienceS: 9, Weight: 9}))
+	if len(res.Starts)+len(res.Reservations)+len(res.Preemptions) != 0 {
 		t.Fatalf("beside a gang's claims %+v", res)
 	}
 	// An urgent gang passes over them.
-	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 1, 4)}))
+	res = Place(snapOf(half(), Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Reservations: 2, PatienceS: 9}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 1, 4)}))
 	if len(res.Starts) != 1 || res.Starts[0].Job != 1 {
 		t.Fatalf("an urgent gang beside a lower one's claims: %+v", res)
 	}
 	// Both free: it starts, whatever gains more.
 	both := half()
 	both[1].Free, both[1].Stopping = Resources{4, 0, 16}, Resources{}
-	res = Place(snapOf(both, Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Claims: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}))
+	res = Place(snapOf(both, Job{Spec: gangSpec("req-1", wire.PriorityStandard, 2, 4), Reservations: 2, PatienceS: 9}, Job{Spec: array, Weight: 50}))
 	if len(res.Starts) != 2 || res.Starts[0].Job != 0 {
 		t.Fatalf("with all its room free %+v", res)
 	}
@@ -246,18 +246,18 @@
 // Room kept for the next replicas is none that can be made for a gang: it claimed
 // it, could not use it, and waited beside it for ever. One that lingers uses it.
 func TestGangBesideKeptRoom(t *testing.T) {
-	task := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 9, LeftS: 99, Team: "t"}
+	task := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 9, RemainingS: 99, Team: "t"}
 	ms := func() []Machine { return []Machine{inZone("m", "a", 4), inZone("n", "a", 0, task)} }
 	urgent := Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)}
 	s := snapOf(ms(), urgent)
 	s.SpareUnits, s.SpareUnit = 1, Resources{4, 0, 4}
-	if res := Place(s); len(res.Starts) != 0 || len(res.Clearances) != 1 || res.Clearances[0].On != "n" || len(res.Halts) != 1 {
+	if res := Place(s); len(res.Starts) != 0 || len(res.Reservations) != 1 || res.Reservations[0].Machine != "n" || len(res.Preemptions) != 1 {
 		t.Errorf("an urgent gang: %+v", res)
 	}
 	everyday := Job{Spec: gangSpec("req-1", wire.PriorityStandard, 1, 4), PatienceS: 5}
 	s = snapOf(ms(), everyday)
 	s.SpareUnits, s.SpareUnit = 1, Resources{4, 0, 4}
-	if res := Place(s); len(res.Starts) != 0 || len(res.Clearances) != 0 {
+	if res := Place(s); len(res.Starts) != 0 || len(res.Reservations) != 0 {
 		t.Errorf("an everyday gang: %+v", res)
 	}
 	everyday.WaitedLong = true
@@ -277,33 +277,33 @@
 // what all of its gang loses, which the leader counts.
 func TestGangIsClearedLast(t *testing.T) {
 	v := func(i int, lost float64) Victim {
-		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: lost, LeftS: 99, Team: "t"}
+		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: lost, RemainingS: 99, Team: "t"}
 	}
 	s := snapOf([]Machine{inZone("m", "a", 0, v(0, 4*(10+5))), inZone("n", "a", 0, v(1, 40))}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)})
-	if res := Place(s); len(res.Halts) != 1 || res.Halts[0].Task.Index != 1 {
-		t.Errorf("halts %+v", res.Halts)
+	if res := Place(s); len(res.Preemptions) != 1 || res.Preemptions[0].Task.Index != 1 {
+		t.Errorf("halts %+v", res.Preemptions)
 	}
 }
 
 // Room for the next gang is kept from arrays, all of it in one zone, where its
 // image is; services and gangs use it, and an array that lingers.
 func TestRoomForTheNextGang(t *testing.T) {
-	place := func(spec *wire.Spec, lingers, alone bool) map[wire.MachineID]int {
+	place := func(spec *wire.JobSpec, lingers, alone bool) map[wire.MachineID]int {
 		ms := []Machine{inZone("m", "a", 4), inZone("n", "b", 4), inZone("o", "a", 2), inZone("p", "b", 4)}
 		if alone {
 			ms = ms[1:2]
 		}
 		ms[min(1, len(ms)-1)].Images = map[wire.ImageID]Image{"i": Present}
 		s := snapOf(ms, Job{Spec: spec, WaitedLong: lingers})
-		s.Preempt, s.ExpectedGangs = false, []*wire.Spec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
+		s.Preempt, s.ExpectedGangs = false, []*wire.JobSpec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
 		got := map[wire.MachineID]int{}
 		for _, st := range Place(s).Starts {
 			got[s.Machines[st.Machine].ID]++
 		}
 		return got
 	}
-	of := func(shape wire.JobKind, parts int) *wire.Spec {
-		return &wire.Spec{ID: "req-1", Team: "t", Kind: shape, Tasks: parts, CPUs: 2, MemoryGB: 2, SpotAllowed: true}
+	of := func(shape wire.JobKind, parts int) *wire.JobSpec {
+		return &wire.JobSpec{ID: "req-1", Team: "t", Kind: shape, Tasks: parts, CPUs: 2, MemoryGB: 2, SpotAllowed: true}
 	}
 	// Two of three units are kept on n, which has the image, one on p.
 	if got := place(of(wire.KindArray, 9), false, false); got["n"] != 0 || got["p"] != 1 || got["m"] != 2 || got["o"] != 1 {
@@ -373,8 +373,8 @@
 // stopped only where nothing else can be; one without an aim, or late already, stops
 // the lowest priority first.
 func TestGangInTimeStopsWhatLeavesAtOnce(t *testing.T) {
-	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 3, LeftS: 99, SavesS: 3, Team: "t"}
-	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: 30, LeftS: 99, Team: "t"}
+	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 3, RemainingS: 99, CheckpointS: 3, Team: "t"}
+	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: 30, RemainingS: 99, Team: "t"}
 	full := func(vs ...Victim) Machine {
 		m := inZone("m", "a", 0, vs...)
 		m.Total = Resources{4 * float64(len(vs)), 0, 32}
@@ -397,9 +397,9 @@
 	} {
 		res := Place(snapOf(c.ms, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartsInS: c.startsIn}))
 		switch {
-		case c.want == "" && len(res.Halts) == 0:
-		case len(res.Halts) != 1 || res.Halts[0].Task.Job != c.want:
-			t.Errorf("%s: halts %+v, want %q", name, res.Halts, c.want)
+		case c.want == "" && len(res.Preemptions) == 0:
+		case len(res.Preemptions) != 1 || res.Preemptions[0].Task.Job != c.want:
+			t.Errorf("%s: halts %+v, want %q", name, res.Preemptions, c.want)
 		}
 	}
 }
@@ -409,8 +409,8 @@
 func TestRoomMadeForAGangIsItsOwn(t *testing.T) {
 	for free, spare := range map[float64]int{4: 0, 5: 1, 9: 2} {
 		m := inZone("m", "a", free)
-		m.Claims = []Claim{{"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}, {"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}}
-		s := snapOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), Claims: 2})
+		m.Reservations = []Reservation{{"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}, {"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}}
+		s := snapOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), Reservations: 2})
 		s.SpareUnits, s.SpareUnit = 4, Resources{1, 0, 1} // half of it in one zone at most
 		if n := len(Place(s).Starts); n != 2 {
 			t.Errorf("%g free: %d of 2 tasks start in the room made for them", free, n)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -20,17 +20,17 @@
 
 // Result of a round.
 type Result struct {
-	Starts     []Start
-	Halts      []Victim
-	Clearances []Clearance
+	Starts       []Start
+	Preemptions  []Victim
+	Reservations []MachineReservation
 }
 
-// Clearance says for what room is made on a machine.
-type Clearance struct {
-	On wire.MachineID
-	Claim
-	// Awaits are tasks that will end by themselves in time.
-	Awaits []wire.Task
+// MachineReservation says for what room is made on a machine.
+type MachineReservation struct {
+	Machine wire.MachineID
+	Reservation
+	// AwaitedTasks are tasks that will end by themselves in time.
+	AwaitedTasks []wire.Task
 }
 
 // Place runs one round.
@@ -43,7 +43,7 @@
 	p.run()
 	res := Result{Starts: p.starts}
 	if s.Preempt {
-		res.Halts, res.Clearances = preempt(s)
+		res.Preemptions, res.Reservations = preempt(s)
 	}
 	return res
 }
@@ -148,7 +148,7 @@
 	if best.machine == unknown {
 		return true
 	}
-	take := Of(j.Spec)
+	take := ResourcesOf(j.Spec)
 	if j.Spec.Gang() {
 		take = take.Times(float64(j.Pending))
 		if slices.ContainsFunc(best.picks, func(mi int) bool { return p.changed[mi] >= best.step }) {
@@ -181,7 +181,7 @@
 // start grants one unit of a job on a machine.
 func (p *pass) start(job, machine, step int) {
 	j := &p.s.Jobs[job]
-	p.take(j, &p.s.Machines[machine], Of(j.Spec))
+	p.take(j, &p.s.Machines[machine], ResourcesOf(j.Spec))
 	j.Pending--
 	p.starts = append(p.starts, Start{job, machine})
 	p.changed[machine] = step
@@ -231,7 +231,7 @@
 // larger gain first, and within it the machine that fits best.
 func (p *pass) chooseForTask(ji int) choice {
 	j := &p.s.Jobs[ji]
-	take := Of(j.Spec)
+	take := ResourcesOf(j.Spec)
 	if !p.s.Teams[j.Spec.Team].allows(j, take) {
 		return choice{machine: none}
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -125,7 +125,7 @@
 	}
 	// Nothing takes the room that is made for others of its rank or above.
 	left, claimed := m.Free.Plus(m.Stopping), false
-	for _, c := range m.Claims {
+	for _, c := range m.Reservations {
 		if c.Job != sp.ID && c.Rank >= sp.Priority.Rank() {
 			left, claimed = left.Minus(c.Takes), true
 		}
@@ -154,12 +154,12 @@
 
 func apply(s *Snapshot, ji, mi int) {
 	j, m := &s.Jobs[ji], &s.Machines[mi]
-	m.Free = m.Free.Minus(Of(j.Spec))
-	s.Teams[j.Spec.Team].Used = s.Teams[j.Spec.Team].Used.Plus(Of(j.Spec))
+	m.Free = m.Free.Minus(ResourcesOf(j.Spec))
+	s.Teams[j.Spec.Team].Used = s.Teams[j.Spec.Team].Used.Plus(ResourcesOf(j.Spec))
 	j.TasksByZone[m.Zone]++
-	for i, c := range m.Claims {
+	for i, c := range m.Reservations {
 		if c.Job == j.Spec.ID {
-			m.Claims = slices.Delete(slices.Clone(m.Claims), i, i+1)
+			m.Reservations = slices.Delete(slices.Clone(m.Reservations), i, i+1)
 			break
 		}
 	}
@@ -171,7 +171,7 @@
 	for i := range c.Machines {
 		c.Machines[i].Images = maps.Clone(s.Machines[i].Images)
 		c.Machines[i].Victims = slices.Clone(s.Machines[i].Victims)
-		c.Machines[i].Claims = slices.Clone(s.Machines[i].Claims)
+		c.Machines[i].Reservations = slices.Clone(s.Machines[i].Reservations)
 	}
 	c.Jobs = slices.Clone(s.Jobs)
 	for i := range c.Jobs {
@@ -205,7 +205,7 @@
 	}
 	for i := range rapid.IntRange(0, 5).Draw(t, "jobs") {
 		parts := rapid.IntRange(1, 7).Draw(t, "parts")
-		sp := &wire.Spec{ID: wire.JobID(fmt.Sprint("req-", i)), Team: rapid.SampledFrom([]wire.TeamID{"red", "blue"}).Draw(t, "team"),
+		sp := &wire.JobSpec{ID: wire.JobID(fmt.Sprint("req-", i)), Team: rapid.SampledFrom([]wire.TeamID{"red", "blue"}).Draw(t, "team"),
 			Kind: rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindService, wire.KindGang}).Draw(t, "shape"), Priority: rapid.SampledFrom([]wire.Priority{wire.PriorityStandard, wire.PriorityUrgent}).Draw(t, "urgency"), Tasks: parts,
 			CPUs: float64(rapid.IntRange(1, 5).Draw(t, "take")), MemoryGB: float64(rapid.IntRange(1, 9).Draw(t, "ram")), Image: wire.ImageID(fmt.Sprint("img-", i%3)), ImageGB: 1,
 			Spread: rapid.Bool().Draw(t, "apart"), SameZone: rapid.IntRange(0, 3).Draw(t, "same") == 0, SpotAllowed: rapid.Bool().Draw(t, "standby")}
@@ -225,13 +225,13 @@
 	}
 	for i := range s.Machines {
 		if m := &s.Machines[i]; rapid.IntRange(0, 3).Draw(t, "claimed") == 0 {
-			c := Claim{wire.JobID(fmt.Sprint("req-", rapid.IntRange(0, 5).Draw(t, "claimant"))), rapid.IntRange(1, 2).Draw(t, "rank"), Resources{CPUs: float64(rapid.IntRange(1, 5).Draw(t, "claim")), MemoryGB: 2}}
+			c := Reservation{wire.JobID(fmt.Sprint("req-", rapid.IntRange(0, 5).Draw(t, "claimant"))), rapid.IntRange(1, 2).Draw(t, "rank"), Resources{CPUs: float64(rapid.IntRange(1, 5).Draw(t, "claim")), MemoryGB: 2}}
 			for j := range s.Jobs {
 				if sp := s.Jobs[j].Spec; sp.ID == c.Job {
-					c.Rank, c.Takes = sp.Priority.Rank(), Of(sp)
+					c.Rank, c.Takes = sp.Priority.Rank(), ResourcesOf(sp)
 				}
 			}
-			m.Claims = []Claim{c}
+			m.Reservations = []Reservation{c}
 			m.Stopping = Resources{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "stopping")), MemoryGB: 2}
 		}
 	}
@@ -306,7 +306,7 @@
 			{ID: "cold", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1},
 			{ID: "warm", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Images: map[wire.ImageID]Image{"i": Present}},
 		},
-		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 2, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
+		Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 2, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 	}
 	res := Place(s)
 	if len(res.Starts) != 2 || res.Starts[0].Machine != 1 || res.Starts[1].Machine != 0 {
@@ -323,7 +323,7 @@
 			{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Services: 1, Images: map[wire.ImageID]Image{"i": Present}},
 			{ID: "cold", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1},
 		},
-		Jobs: []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1,
+		Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1,
 			Avoid: map[wire.MachineID]bool{"failed": true}}},
 	}
 	if res := Place(s); len(res.Starts) != 1 || res.Starts[0].Machine != 1 {
@@ -337,7 +337,7 @@
 		s := &Snapshot{
 			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, SpareUnits: 2, SpareUnit: Resources{1, 0, 4},
 			Machines: []Machine{{ID: "m", Zone: "a", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}}, {ID: "n", Zone: "b", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Tasks: 9, CPUs: 1, MemoryGB: 4}, Pending: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
+			Jobs:     []Job{{Spec: &wire.JobSpec{Team: "t", Kind: shape, Tasks: 9, CPUs: 1, MemoryGB: 4}, Pending: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 		}
 		return len(Place(s).Starts)
 	}
@@ -355,7 +355,7 @@
 		s := &Snapshot{
 			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, SpareUnits: 2, SpareUnit: Resources{1, 0, 4},
 			Machines: []Machine{{ID: "m", Zone: "a", Free: Resources{1, 0, 4}, Total: Resources{4, 0, 16}}, {ID: "n", Zone: "b", Free: Resources{1, 0, 4}, Total: Resources{4, 0, 16}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true}, Pending: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1, WaitedLong: true}},
+			Jobs:     []Job{{Spec: &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true}, Pending: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1, WaitedLong: true}},
 		}
 		if other {
 			s.Machines = append(s.Machines, Machine{ID: "o", Zone: "a", Spot: true, Free: Resources{1, 0, 4}, Total: Resources{16, 0, 64}})
@@ -384,9 +384,9 @@
 		s := &Snapshot{Preempt: true,
 			Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60},
 			Machines: []Machine{{ID: "m", Total: Resources{4, 0, 16}, Victims: []Victim{v(0, 30)}}, {ID: "n", Total: Resources{4, 0, 16}, Victims: []Victim{v(1, 3)}}},
-			Jobs:     []Job{{Spec: &wire.Spec{Team: "t", Kind: shape, Priority: u, Tasks: 1, CPUs: 2, MemoryGB: 4}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
+			Jobs:     []Job{{Spec: &wire.JobSpec{Team: "t", Kind: shape, Priority: u, Tasks: 1, CPUs: 2, MemoryGB: 4}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 		}
-		return Place(s).Halts
+		return Place(s).Preemptions
 	}
 	if h := mk(wire.PriorityProd, wire.KindService, wire.PriorityStandard.Rank()); len(h) != 1 || h[0].Task.Index != 1 {
 		t.Errorf("a service stops %v", h)
@@ -405,8 +405,8 @@
 // stopped for it meanwhile, a second unit gets room of its own, and a job of a
 // higher priority passes over the claim.
 func TestRoomIsKeptForWhatItIsMadeFor(t *testing.T) {
-	spec := func(id wire.JobID, u wire.Priority, cpus float64) *wire.Spec {
-		return &wire.Spec{ID: id, Team: "t", Kind: wire.KindArray, Priority: u, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
+	spec := func(id wire.JobID, u wire.Priority, cpus float64) *wire.JobSpec {
+		return &wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, Priority: u, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
 	}
 	urgent, small, prod := spec("req-1", wire.PriorityUrgent, 4), spec("req-2", wire.PriorityStandard, 2), spec("req-3", wire.PriorityProd, 2)
 	half := Resources{2, 0, 7}
@@ -419,11 +419,11 @@
 		return &Snapshot{Teams: map[wire.TeamID]*Team{"t": {}}, Factors: Factors{1, 0.5, 60}, Preempt: true, Machines: []Machine{m}, Jobs: jobs}
 	}
 	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: half} }
-	claim := []Claim{{urgent.ID, urgent.Priority.Rank(), Of(urgent)}}
+	claim := []Reservation{{urgent.ID, urgent.Priority.Rank(), ResourcesOf(urgent)}}
 	full := Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}
-	free := Machine{Claims: claim, Free: Resources{2, 0, 9}, Stopping: half}
+	free := Machine{Reservations: claim, Free: Resources{2, 0, 9}, Stopping: half}
 	soon := func(v Victim, in float64) Victim {
-		v.LeftS = in
+		v.RemainingS = in
 		return v
 	}
 	twoOf := func(s *Snapshot, m Machine) *Snapshot {
@@ -447,22 +447,22 @@
 	}{
 		{"what ends soon is awaited", snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 4)}, Free: Resources{0, 0, 2}}, patient), 0, 0, 1},
 		{"one is awaited, the other stopped", snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 40)}, Free: Resources{0, 0, 2}}, patient), 0, 1, 1},
-		{"what may not be stopped can be awaited", snap(Machine{Victims: []Victim{{Task: wire.Task{Job: "req-8"}, Rank: 2, Uses: whole, LeftS: 2}}}, patient), 0, 0, 1},
+		{"what may not be stopped can be awaited", snap(Machine{Victims: []Victim{{Task: wire.Task{Job: "req-8"}, Rank: 2, Uses: whole, RemainingS: 2}}}, patient), 0, 0, 1},
 		{"a fetch is no reason to stop two tasks", twoOf(snap(Machine{Victims: []Victim{soon(victim(0), 3), soon(victim(1), 4)}, Free: Resources{0, 0, 2}}, imaged),
 			Machine{ID: "warm", Images: map[wire.ImageID]Image{"i": Present}, Victims: []Victim{soon(victim(2), 40), soon(victim(3), 40)}, Free: Resources{0, 0, 2}}), 0, 0, 1},
 		{"a full machine is cleared", snap(full, Job{Spec: urgent, Pending: 1, Weight: 8}), 0, 2, 1},
-		{"the half that is free is kept", snap(free, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: small, Pending: 2, Weight: 99}), 0, 0, 0},
-		{"the whole is used", snap(Machine{Claims: claim, Free: whole}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: small, Pending: 2, Weight: 99}), 1, 0, 0},
+		{"the half that is free is kept", snap(free, Job{Spec: urgent, Pending: 1, Weight: 8, Reservations: 1}, Job{Spec: small, Pending: 2, Weight: 99}), 0, 0, 0},
+		{"the whole is used", snap(Machine{Reservations: claim, Free: whole}, Job{Spec: urgent, Pending: 1, Weight: 8, Reservations: 1}, Job{Spec: small, Pending: 2, Weight: 99}), 1, 0, 0},
 		{"without a claim the small ones go", snap(Machine{Free: whole}, Job{Spec: urgent, Pending: 1, Weight: 8}, Job{Spec: small, Pending: 2, Weight: 99}), 2, 0, 0},
-		{"a claimed machine is no room for a second unit", snap(free, Job{Spec: urgent, Pending: 2, Weight: 8, Claims: 1}), 0, 0, 0},
+		{"a claimed machine is no room for a second unit", snap(free, Job{Spec: urgent, Pending: 2, Weight: 8, Reservations: 1}), 0, 0, 0},
 		{"a higher priority passes over it", snap(free, Job{Spec: prod, Pending: 1, Weight: 256}), 1, 0, 0},
-		{"no room is made beyond the team's limit", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 4), 0, 0, 0},
-		{"within it some is made for a second job", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 8), 0, 2, 1},
-		{"what was claimed and is used counts once", limit(snap(Machine{Claims: claim, Free: whole, Victims: []Victim{victim(0), victim(1)}}, Job{Spec: urgent, Pending: 1, Weight: 8, Claims: 1}, Job{Spec: other, Pending: 1, Weight: 7}), 8), 1, 2, 1},
+		{"no room is made beyond the team's limit", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Reservations: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 4), 0, 0, 0},
+		{"within it some is made for a second job", limit(snap(Machine{Victims: []Victim{victim(0), victim(1)}, Free: Resources{0, 0, 2}}, Job{Spec: urgent, Pending: 1, Weight: 8, Reservations: 1}, Job{Spec: other, Pending: 1, Weight: 8}), 8), 0, 2, 1},
+		{"what was claimed and is used counts once", limit(snap(Machine{Reservations: claim, Free: whole, Victims: []Victim{victim(0), victim(1)}}, Job{Spec: urgent, Pending: 1, Weight: 8, Reservations: 1}, Job{Spec: other, Pending: 1, Weight: 7}), 8), 1, 2, 1},
 	}
 	for _, c := range cases {
 		res := Place(c.s)
-		if len(res.Starts) != c.starts || len(res.Halts) != c.halts || len(res.Clearances) != c.clears {
+		if len(res.Starts) != c.starts || len(res.Preemptions) != c.halts || len(res.Reservations) != c.clears {
 			t.Errorf("%s: %+v", c.name, res)
 		}
 	}
@@ -471,12 +471,12 @@
 // A gang that lingers may use the room kept for replicas, and what is kept of its
 // team's limit is left alone by arrays up to its rank, not by services.
 func TestGangsAreNotPassedOver(t *testing.T) {
-	spec := func(id wire.JobID, shape wire.JobKind, u wire.Priority, parts int) *wire.Spec {
-		return &wire.Spec{ID: id, Team: "red", Kind: shape, Priority: u, Tasks: parts, CPUs: 2, MemoryGB: 1}
+	spec := func(id wire.JobID, shape wire.JobKind, u wire.Priority, parts int) *wire.JobSpec {
+		return &wire.JobSpec{ID: id, Team: "red", Kind: shape, Priority: u, Tasks: parts, CPUs: 2, MemoryGB: 1}
 	}
 	for name, k := range map[string]struct {
 		lingers bool
-		other   *wire.Spec
+		other   *wire.JobSpec
 		spare   int
 		free    float64
 		want    int // starts
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -9,7 +9,7 @@
 
 // preempt picks tasks to stop so that what still waits with a higher
 // priority finds room: the machine where the least work is lost.
-func preempt(s *Snapshot) ([]Victim, []Clearance) {
+func preempt(s *Snapshot) ([]Victim, []MachineReservation) {
 	waiting := waitingForRoom(s)
 	if len(waiting) == 0 {
 		return nil, nil
@@ -35,13 +35,13 @@
 	var waiting []int
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if s.Teams[j.Spec.Team] == nil || j.Pending <= j.Claims {
+		if s.Teams[j.Spec.Team] == nil || j.Pending <= j.Reservations {
 			continue
 		}
 		wants := MayPreempt(j.Spec)
 		if j.Spec.Gang() {
 			// Room is made for all of it or for none.
-			wants = j.Claims == 0 && j.Pending == j.Spec.Tasks && (wants || j.PatienceS > 0)
+			wants = j.Reservations == 0 && j.Pending == j.Spec.Tasks && (wants || j.PatienceS > 0)
 		}
 		if wants {
 			waiting = append(waiting, i)
@@ -59,7 +59,7 @@
 	claimed    map[wire.TeamID]*[4]Resources
 	offers     []clearing // a buffer, by machine
 	halts      []Victim
-	clearances []Clearance
+	clearances []MachineReservation
 }
 
 // allows tells whether the team's limit allows so much more for the job beside
@@ -70,11 +70,11 @@
 
 // clearGang makes room for all of a gang, or for nothing of it.
 func (p *preemption) clearGang(j *Job) {
-	if !p.allows(j, Of(j.Spec).Times(float64(j.Pending))) {
+	if !p.allows(j, ResourcesOf(j.Spec).Times(float64(j.Pending))) {
 		return
 	}
 	for _, mi := range clearingsForGang(p.s, j) {
-		p.clearUnit(j, mi, clearForUnit(&p.s.Machines[mi], j, Of(j.Spec)))
+		p.clearUnit(j, mi, clearForUnit(&p.s.Machines[mi], j, ResourcesOf(j.Spec)))
 	}
 }
 
@@ -83,11 +83,11 @@
 
 // clearTasks makes room for units of a job where that costs least.
 func (p *preemption) clearTasks(j *Job) {
-	take := Of(j.Spec)
+	take := ResourcesOf(j.Spec)
 	for mi := range p.s.Machines {
 		p.offers[mi] = clearForUnit(&p.s.Machines[mi], j, take)
 	}
-	for range min(j.Pending-j.Claims, maxClearedUnits) {
+	for range min(j.Pending-j.Reservations, maxClearedUnits) {
 		if !p.allows(j, take) {
 			return
 		}
@@ -108,11 +108,11 @@
 // clearUnit makes room for one unit on a machine.
 func (p *preemption) clearUnit(j *Job, mi int, c clearing) {
 	m := &p.s.Machines[mi]
-	claim := Claim{j.Spec.ID, j.Spec.Priority.Rank(), Of(j.Spec)}
-	clearance := Clearance{On: m.ID, Claim: claim}
+	claim := Reservation{j.Spec.ID, j.Spec.Priority.Rank(), ResourcesOf(j.Spec)}
+	clearance := MachineReservation{Machine: m.ID, Reservation: claim}
 	for _, v := range m.clear(c, claim) {
 		if endsInTime(j, &v) {
-			clearance.Awaits = append(clearance.Awaits, v.Task)
+			clearance.AwaitedTasks = append(clearance.AwaitedTasks, v.Task)
 		} else {
 			p.halts = append(p.halts, v)
 		}
@@ -134,13 +134,13 @@
 	}
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		n := min(j.Claims, j.Pending)
+		n := min(j.Reservations, j.Pending)
 		if n <= 0 || out[j.Spec.Team] == nil {
 			continue
 		}
 		for r := 0; r <= j.Spec.Priority.Rank(); r++ {
 			c := &out[j.Spec.Team][r]
-			*c = c.Plus(Of(j.Spec).Times(float64(n)))
+			*c = c.Plus(ResourcesOf(j.Spec).Times(float64(n)))
 		}
 	}
 	return out
@@ -163,7 +163,7 @@
 // clearingsIn picks machines of a group one by one, each where the next unit costs
 // least, and sums up what is lost.
 func clearingsIn(s *Snapshot, j *Job, group []int) (picks []int, lost float64) {
-	take := Of(j.Spec)
+	take := ResourcesOf(j.Spec)
 	machines := make(map[int]*Machine, len(group)) // as they would be with what is picked so far
 	offers := make(map[int]clearing, len(group))
 	for _, mi := range group {
@@ -192,7 +192,7 @@
 		picks = append(picks, best)
 		lost += offers[best].lost
 		inZone[m.Zone]++
-		m.clear(offers[best], Claim{j.Spec.ID, j.Spec.Priority.Rank(), take})
+		m.clear(offers[best], Reservation{j.Spec.ID, j.Spec.Priority.Rank(), take})
 		offers[best] = clearForUnit(m, j, take)
 	}
 	return picks, lost
--- a/internal/placement/reserve.go
+++ b/internal/placement/reserve.go
@@ -29,10 +29,10 @@
 		m := &s.Machines[i]
 		// Half of it in one zone at most, as services that are spread need.
 		n := min(left, s.SpareUnit.Units(m.Free), (s.SpareUnits+1)/2-zones[m.Zone])
-		if len(m.Claims) > 0 {
+		if len(m.Reservations) > 0 {
 			// Not what was made for others: room that urgent gangs had tasks stopped for
 			// was kept from them as soon as it was free, for as long as their claims held.
-			n = min(n, s.SpareUnit.Units(m.roomLeft(func(*Claim) bool { return false })))
+			n = min(n, s.SpareUnit.Units(m.roomLeft(func(*Reservation) bool { return false })))
 		}
 		m.spareUnits, m.spareRoom = n, s.SpareUnit.Times(float64(n))
 		left -= n
@@ -42,7 +42,7 @@
 
 // reserveGangRoom marks room for a gang, where most of it fits: what it lacks is
 // reserved as it becomes free. Machines with its image go first, then the fullest.
-func reserveGangRoom(s *Snapshot, spec *wire.Spec) {
+func reserveGangRoom(s *Snapshot, spec *wire.JobSpec) {
 	var best gangRoom
 	for _, group := range zoneGroups(s, &Job{Spec: spec}) {
 		room := gangRoomIn(s, spec, group)
@@ -52,7 +52,7 @@
 	}
 	for mi, units := range best.units {
 		m := &s.Machines[mi]
-		m.gangRoom = m.gangRoom.Plus(Of(spec).Times(float64(units)))
+		m.gangRoom = m.gangRoom.Plus(ResourcesOf(spec).Times(float64(units)))
 	}
 }
 
@@ -65,7 +65,7 @@
 
 // gangRoomIn finds room for as many units of a gang as there is in a group of
 // machines.
-func gangRoomIn(s *Snapshot, spec *wire.Spec, group []int) gangRoom {
+func gangRoomIn(s *Snapshot, spec *wire.JobSpec, group []int) gangRoom {
 	room := gangRoom{units: map[int]int{}}
 	var order []int
 	for _, mi := range group {
@@ -97,14 +97,14 @@
 
 // unreservedUnits is how many units of a gang a machine has room for that is
 // neither reserved nor claimed.
-func unreservedUnits(m *Machine, spec *wire.Spec) int {
+func unreservedUnits(m *Machine, spec *wire.JobSpec) int {
 	if m.Cordoned || !Allowed(spec, m) {
 		return 0
 	}
-	take, reserved := Of(spec), m.spareRoom.Plus(m.gangRoom)
+	take, reserved := ResourcesOf(spec), m.spareRoom.Plus(m.gangRoom)
 	n := take.Units(m.Free.Minus(reserved))
-	if len(m.Claims) > 0 {
-		n = min(n, take.Units(m.roomLeft(func(*Claim) bool { return false }).Minus(reserved)))
+	if len(m.Reservations) > 0 {
+		n = min(n, take.Units(m.roomLeft(func(*Reservation) bool { return false }).Minus(reserved)))
 	}
 	return n
 }
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -7,8 +7,8 @@
 // Resources is an amount of each resource.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Of is what one task of a job takes.
-func Of(s *wire.Spec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
+// ResourcesOf is what one task of a job takes.
+func ResourcesOf(s *wire.JobSpec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
 // Fits tells whether the amount is available.
 func (r Resources) Fits(free Resources) bool {
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -9,12 +9,12 @@
 // MayPreempt tells whether tasks may be stopped to make room for the job.
 // Arrays of everyday priority wait for room: a stopped array's work is mostly
 // repeated, and what makes room for one delays another.
-func MayPreempt(s *wire.Spec) bool {
+func MayPreempt(s *wire.JobSpec) bool {
 	return s.Service() || s.Priority.Rank() >= wire.PriorityUrgent.Rank()
 }
 
 // Allowed tells whether the job may run on the machine at all.
-func Allowed(s *wire.Spec, m *Machine) bool {
+func Allowed(s *wire.JobSpec, m *Machine) bool {
 	if m.Spot && !s.SpotAllowed {
 		return false
 	}
@@ -50,7 +50,7 @@
 
 // endsInTime tells whether the task is worth waiting for: it is expected to end by
 // itself within the job's patience. That needs no leave, whatever its priority.
-func endsInTime(j *Job, v *Victim) bool { return j.PatienceS > 0 && v.LeftS <= j.PatienceS }
+func endsInTime(j *Job, v *Victim) bool { return j.PatienceS > 0 && v.RemainingS <= j.PatienceS }
 
 // mayStop is the page's rule: a lower priority, or for a team's guarantee
 // what another team runs beyond its own.
@@ -66,5 +66,5 @@
 // should have started. (Urgent gangs with an aim of 2 s stopped tasks of the lowest priority,
 // which take 3 s to save, beside others that would have ended at once.)
 func outlasts(j *Job, v *Victim) bool {
-	return hurries(j) && v.SavesS > j.StartsInS
+	return hurries(j) && v.CheckpointS > j.StartsInS
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -31,8 +31,8 @@
 	LostS           float64 // run time that would be repeated, seconds
 	BeyondGuarantee bool    // its team runs beyond its own guarantee
 	Team            wire.TeamID
-	LeftS           float64 // in which it is expected to end by itself
-	SavesS          float64 // for which it saves once it is told to stop
+	RemainingS      float64 // in which it is expected to end by itself
+	CheckpointS     float64 // for which it saves once it is told to stop
 }
 
 // Machine that can take tasks.
@@ -49,20 +49,20 @@
 	Images      map[wire.ImageID]Image
 	Victims     []Victim
 	Cordoned    bool // takes tasks of arrays only when no other machine can
-	// Claims is room that is being made here, Stopping what the tasks take that
+	// Reservations is room that is being made here, Stopping what the tasks take that
 	// are being stopped or awaited. Until a claim is used nothing of its rank or below
 	// takes that room. (Two tasks of two processors were stopped for one of
 	// four; they ended one after the other, and each time another of two took
 	// the half that was free. One day stopped 84,361 tasks that way.)
-	Claims     []Claim
-	Stopping   Resources
-	spareUnits int       // units of spare room kept here in this round
-	spareRoom  Resources // what they take
-	gangRoom   Resources // room kept here for the next gangs
+	Reservations []Reservation
+	Stopping     Resources
+	spareUnits   int       // units of spare room kept here in this round
+	spareRoom    Resources // what they take
+	gangRoom     Resources // room kept here for the next gangs
 }
 
-// Claim is room that is being made for one unit of a job.
-type Claim struct {
+// Reservation is room that is being made for one unit of a job.
+type Reservation struct {
 	Job   wire.JobID
 	Rank  int
 	Takes Resources
@@ -70,11 +70,11 @@
 
 // roomLeft is the room there will be when all that is being stopped is gone and
 // every claim but those that a job may pass over is used.
-func (m *Machine) roomLeft(passes func(*Claim) bool) Resources {
+func (m *Machine) roomLeft(passes func(*Reservation) bool) Resources {
 	left := m.Free.Plus(m.Stopping)
-	for i := range m.Claims {
-		if !passes(&m.Claims[i]) {
-			left = left.Minus(m.Claims[i].Takes)
+	for i := range m.Reservations {
+		if !passes(&m.Reservations[i]) {
+			left = left.Minus(m.Reservations[i].Takes)
 		}
 	}
 	return left
@@ -82,21 +82,21 @@
 
 // claimedFor tells whether others' claims leave no room for the job here.
 func (m *Machine) claimedFor(j *Job, take Resources) bool {
-	return len(m.Claims) > 0 && !take.Fits(m.roomLeft(func(c *Claim) bool {
+	return len(m.Reservations) > 0 && !take.Fits(m.roomLeft(func(c *Reservation) bool {
 		return c.Job == j.Spec.ID || c.Rank < j.Spec.Priority.Rank()
 	}))
 }
 
 // useClaim takes away the claim that a unit of the job has used.
 func (m *Machine) useClaim(id wire.JobID) {
-	if i := slices.IndexFunc(m.Claims, func(c Claim) bool { return c.Job == id }); i >= 0 {
-		m.Claims = slices.Delete(slices.Clone(m.Claims), i, i+1)
+	if i := slices.IndexFunc(m.Reservations, func(c Reservation) bool { return c.Job == id }); i >= 0 {
+		m.Reservations = slices.Delete(slices.Clone(m.Reservations), i, i+1)
 	}
 }
 
 // Job with tasks that wait.
 type Job struct {
-	Spec        *wire.Spec
+	Spec        *wire.JobSpec
 	Pending     int
 	TasksByZone map[wire.Zone]int
 	WaitedS     float64
@@ -108,8 +108,8 @@
 	// Lingers: has waited so long without a start that its next unit may use
 	// room kept for services.
 	WaitedLong bool
-	// Claims is for how many of its units room is being made.
-	Claims int
+	// Reservations is for how many of its units room is being made.
+	Reservations int
 	// PatienceS is how long a unit may wait for tasks to end by themselves,
 	// rather than have them stopped.
 	PatienceS float64
@@ -140,7 +140,7 @@
 	SpareUnits int
 	SpareUnit  Resources
 	// ExpectedGangs are those for which room is kept free of arrays.
-	ExpectedGangs []*wire.Spec
+	ExpectedGangs []*wire.JobSpec
 	// Preempt allows to stop tasks for jobs of higher priority.
 	Preempt bool
 	// More, if set, adds the machines that have no room for anything that
--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -116,7 +116,7 @@
 					t.Errorf("cancelled %v before the end of all", time.Since(confirmed))
 				}
 				away := time.Now()
-				time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 5*time.Second)
+				time.Sleep(sim.Settings.Workers.Lease.Duration() + 5*time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					for _, j := range []simulator.JobScript{s, a, gone, late} {
 						if c.OnMachines(j.Spec.ID) != 0 {
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -165,7 +165,7 @@
 		// service nor at the cloud.
 		killAll(sim)
 		sim.CloudOutage(true)
-		sim.State.Delete(store.FlavorsKey)
+		sim.State.Delete(store.MachineSpecsKey)
 		startAll(t, sim)
 		time.Sleep(3 * time.Second)
 		known()
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -195,7 +195,7 @@
 					return 1200 * time.Millisecond
 				default:
 					for _, j := range over {
-						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.Delete, store.RunPrefix+string(j.Spec.ID)) }) {
+						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.Delete, store.ProgressPrefix+string(j.Spec.ID)) }) {
 							hit = &j
 							close(crosses)
 							return 150 * time.Millisecond
--- a/internal/scenarios/gang_capacity_test.go
+++ b/internal/scenarios/gang_capacity_test.go
@@ -86,7 +86,7 @@
 	runWithSettings(t, simulator.DefaultSettings(), 811, func(sim *simulator.Simulation, at func(time.Duration)) {
 		sim.EnableSlowSaves()
 		saves, j := array(1, 2, 300), gang(3, 4, 20)
-		for _, s := range []*wire.Spec{&saves.Spec, &j.Spec} {
+		for _, s := range []*wire.JobSpec{&saves.Spec, &j.Spec} {
 			s.CPUs, s.MemoryGB, s.MachineTypes, s.SpotAllowed, s.Zone = 4, 8, []wire.MachineType{"c4"}, false, "a"
 		}
 		saves.Spec.Team = "blue"
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -36,7 +36,7 @@
 func slowRecords(sim *simulator.Simulation, by time.Duration) {
 	sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
 		for _, write := range txn.Writes {
-			if strings.HasPrefix(write.Put, store.RunPrefix) {
+			if strings.HasPrefix(write.Put, store.ProgressPrefix) {
 				return by
 			}
 		}
@@ -75,7 +75,7 @@
 	t.Helper()
 	reader := store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
-	entries, _, err := reader.List(context.Background(), store.Background, store.RunPrefix+string(id)+"/")
+	entries, _, err := reader.List(context.Background(), store.Background, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,8 +86,8 @@
 		if !ok || wire.Decode(e.Value, &rec) != nil {
 			t.Fatalf("%s is no chunk", e.Key)
 		}
-		for _, h := range rec.Held {
-			out[[2]int{n*store.ChunkFor(loweredLimits.ValueKB) + h.Task, int(h.Attempt)}] = h.Machine
+		for _, h := range rec.Active {
+			out[[2]int{n*store.ChunkTasksFor(loweredLimits.ValueKB) + h.Task, int(h.Attempt)}] = h.Machine
 		}
 	}
 	return out
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -55,7 +55,7 @@
 
 // awaitNewToken waits for an election after the one with the old token, and tells
 // who leads then.
-func awaitNewToken(t *testing.T, sim *simulator.Simulation, old wire.Token) (leader int, token wire.Token) {
+func awaitNewToken(t *testing.T, sim *simulator.Simulation, old wire.FencingToken) (leader int, token wire.FencingToken) {
 	t.Helper()
 	if !poll(20*time.Second, time.Millisecond, func() bool { leader, token = sim.LeaderAndToken(); return leader >= 0 && token > old }) {
 		t.Fatal("nobody leads")
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -105,7 +105,7 @@
 					mustBeGone(t, sim, late, "20 s later")
 					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
-						wire.Launch: c.hang || c.lag.Command > 0, wire.Halt: c.hang || c.lag.Command == 2*time.Second,
+						wire.Launch: c.hang || c.lag.Command > 0, wire.Stop: c.hang || c.lag.Command == 2*time.Second,
 						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.ReportAnswer > 0 && c.lag.Answer == 0,
 					} {
 						if want && sim.LateCommands(verb) == 0 {
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -78,11 +78,11 @@
 					held[id] = len(sim.KeptReports(id))
 					sim.HoldReports(id, true)
 				}
-				time.Sleep(sim.Settings.Workers.ReportS.Duration() * 3 / 2)
+				time.Sleep(sim.Settings.Workers.HeartbeatInterval.Duration() * 3 / 2)
 				l, old := sim.LeaderAndToken()
 				sim.KillController(l)
 				_, token := awaitNewToken(t, sim, old)
-				var reps []wire.Report
+				var reps []wire.Heartbeat
 				for _, id := range ms {
 					if k := sim.KeptReports(id); len(k) > held[id] {
 						reps = append(reps, k[held[id]])
@@ -136,7 +136,7 @@
 func TestReportsOfEarlierSessionsAndAttempts(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		lease := sim.Settings.Workers.LeaseS.Duration()
+		lease := sim.Settings.Workers.Lease.Duration()
 		sim.KeepReports()
 		a, gone, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
 		at(2 * time.Second)
@@ -169,14 +169,14 @@
 		if len(tries) < 2 {
 			t.Errorf("the tasks had attempts %v only", tries)
 		}
-		old := func() (reps []wire.Report) {
+		old := func() (reps []wire.Heartbeat) {
 			for _, id := range ms {
 				k := sim.KeptReports(id)
 				if len(k) > 0 {
 					// When its tasks ran, and its first.
-					i := slices.IndexFunc(k, func(r wire.Report) bool { return r.Session == 1 && len(r.Tasks) > 0 })
+					i := slices.IndexFunc(k, func(r wire.Heartbeat) bool { return r.Epoch == 1 && len(r.Tasks) > 0 })
 					reps = append(reps, k[0], k[max(0, i)])
-					if i = slices.IndexFunc(k, func(r wire.Report) bool { return r.Session > 1 }); i > 0 {
+					if i = slices.IndexFunc(k, func(r wire.Heartbeat) bool { return r.Epoch > 1 }); i > 0 {
 						reps = append(reps, k[i-1], k[i])
 					}
 				}
@@ -186,7 +186,7 @@
 		earlier := 0
 		hand := func() {
 			for _, h := range sim.DeliverReports(old()...) {
-				if shift, _, _ := sim.MachineSession(h.Report.Machine); h.Newer && shift > h.Report.Session && len(h.Report.Tasks) > 0 {
+				if shift, _, _ := sim.MachineSession(h.Report.Machine); h.Newer && shift > h.Report.Epoch && len(h.Report.Tasks) > 0 {
 					earlier++
 				}
 			}
@@ -242,7 +242,7 @@
 					sim.Submit(s, 0)
 					at(45 * time.Second)
 					ms := sim.BusyMachines("")
-					var reps []wire.Report
+					var reps []wire.Heartbeat
 					for _, id := range ms {
 						k := sim.KeptReports(id)
 						if first {
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -123,10 +123,10 @@
 		late         late
 		ends, lead   bool // the leader ends; the first writes of its key are late too
 	}{
-		{"launch", store.RunPrefix, late{2 * time.Second, 12 * time.Second}, false, false},
-		{"launch, and the new token", store.RunPrefix, long, false, true},
-		{"launch, under a dead leader's grant", store.RunPrefix, soon, true, false},
-		{"launch, after the next leader came", store.RunPrefix, long, true, false},
+		{"launch", store.ProgressPrefix, late{2 * time.Second, 12 * time.Second}, false, false},
+		{"launch, and the new token", store.ProgressPrefix, long, false, true},
+		{"launch, under a dead leader's grant", store.ProgressPrefix, soon, true, false},
+		{"launch, after the next leader came", store.ProgressPrefix, long, true, false},
 		{"end of a job", "past/", long, false, false},
 		{"end of a job, and the new token", "past/", long, false, true},
 		{"end of a job, under a dead leader's grant", "past/", soon, true, false},
@@ -150,7 +150,7 @@
 				}
 				faults := []simulator.TxnFault{{Prefix: c.prefix, Hosts: []string{simulator.NodeIP(l)}, Most: most, Late: c.late, Hang: c.ends}}
 				if c.lead {
-					faults = append(faults, simulator.TxnFault{Prefix: store.LeadKey, Hosts: []string{simulator.NodeIP(l)}, Most: 2, Late: c.late})
+					faults = append(faults, simulator.TxnFault{Prefix: store.LeaderKey, Hosts: []string{simulator.NodeIP(l)}, Most: 2, Late: c.late})
 				}
 				sim.State.InjectTxnFaults(uint64(i), faults...)
 				sim.RegisterJob(a)
@@ -201,10 +201,10 @@
 						t.Errorf("ended at %v, next at %v: %+v", killed, next, f)
 					}
 				default:
-					mustBeExecutedLate(t, c.what, faultedTransactions(sim, c.prefix, refusedByGuardOn(store.LeadKey)))
+					mustBeExecutedLate(t, c.what, faultedTransactions(sim, c.prefix, refusedByGuardOn(store.LeaderKey)))
 				}
 				if c.lead {
-					mustBeExecutedLate(t, "the new token", faultedTransactions(sim, store.LeadKey, refusedByGuardOn(store.LeadKey)))
+					mustBeExecutedLate(t, "the new token", faultedTransactions(sim, store.LeaderKey, refusedByGuardOn(store.LeaderKey)))
 				}
 			})
 		})
@@ -229,7 +229,7 @@
 					if l < 0 {
 						t.Fatal("nobody leads")
 					}
-					sim.State.InjectTxnFaults(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeadKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
+					sim.State.InjectTxnFaults(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeaderKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
 					sim.KillController(l)
 					time.Sleep(20 * time.Second)
 					sim.StartController(l)
@@ -239,8 +239,8 @@
 				endFaultsAndWait(sim, 45*time.Second)
 				mustFinish(t, sim, a, array(3, 4, 5))
 				mustRun(t, sim, s, "afterwards")
-				hit := faultedTransactions(sim, store.LeadKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
-				dead := faultedTransactions(sim, store.LeadKey, func(f *simulator.TxnOutcome) bool { return f.Status == http.StatusBadRequest })
+				hit := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
+				dead := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Status == http.StatusBadRequest })
 				if len(hit) < 2*most || len(dead) == 0 || slices.ContainsFunc(hit, wasExecutedValue) {
 					t.Errorf("%d late, %d of them with a dead grant: %+v", len(hit), len(dead), hit)
 				}
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -204,7 +204,7 @@
 						t.Fatal("nobody leads")
 					}
 					host := simulator.NodeIP(l)
-					fault := simulator.TxnFault{Prefix: store.RunPrefix, Hosts: []string{host}, Hang: true}
+					fault := simulator.TxnFault{Prefix: store.ProgressPrefix, Hosts: []string{host}, Hang: true}
 					switch kind {
 					case "slow":
 						sim.State.DelayAnswers(host, 400*time.Millisecond)
@@ -224,11 +224,11 @@
 					// A machine was up within two seconds, is not listed yet, and a launch
 					// is on its way into the service or its answer on its way back.
 					for begin := time.Now(); time.Since(begin) < 15*time.Second; time.Sleep(5 * time.Millisecond) {
-						under := sim.State.UnansweredWrites(host, store.RunPrefix) > 0
+						under := sim.State.UnansweredWrites(host, store.ProgressPrefix) > 0
 						for _, f := range sim.State.TxnOutcomes()[before:] {
 							under = under || time.Since(f.Sent) < time.Second
 						}
-						if age, boot := sim.NewestMachine(); boot > 0 && boot < 2*time.Second && age < sim.Settings.Cloud.ListLagS.Duration() && under {
+						if age, boot := sim.NewestMachine(); boot > 0 && boot < 2*time.Second && age < sim.Settings.Cloud.ListLag.Duration() && under {
 							met++
 							break
 						}
@@ -326,7 +326,7 @@
 		time.Sleep(2 * time.Second)
 		sim.KillController(0)
 		sim.KillController(2)
-		time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 6*time.Second)
+		time.Sleep(sim.Settings.Workers.Lease.Duration() + 6*time.Second)
 		startControllers(t, sim, 2)
 		submit()
 		time.Sleep(4 * time.Second)
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -48,7 +48,7 @@
 func mustExceedLoweredLimits(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	for _, j := range jobs {
-		if n := sim.State.LargestValue(store.RunPrefix + string(j.Spec.ID) + "/"); n <= int(loweredLimits.ValueKB*1024) {
+		if n := sim.State.LargestValue(store.ProgressPrefix + string(j.Spec.ID) + "/"); n <= int(loweredLimits.ValueKB*1024) {
 			t.Errorf("the largest record of %s has %d bytes: the drop meets nothing", j.Spec.ID, n)
 		}
 	}
@@ -57,7 +57,7 @@
 // pieces counts what is stored in pieces.
 func storedPieces(sim *simulator.Simulation) int {
 	n := 0
-	for _, k := range sim.State.Keys(store.RunPrefix) {
+	for _, k := range sim.State.Keys(store.ProgressPrefix) {
 		if strings.Count(k, "/") == 3 {
 			n++
 		}
@@ -70,7 +70,7 @@
 	t.Helper()
 	mustFinish(t, sim, jobs...)
 	for _, j := range jobs {
-		if k := sim.State.Keys(store.RunPrefix + string(j.Spec.ID) + "/"); len(k) > 0 {
+		if k := sim.State.Keys(store.ProgressPrefix + string(j.Spec.ID) + "/"); len(k) > 0 {
 			t.Errorf("of %s is left %v", j.Spec.ID, k)
 		}
 		for i := range sim.Settings.Size {
@@ -138,7 +138,7 @@
 			}
 		},
 		"answers lost": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-			sim.State.InjectTxnFaults(7, simulator.TxnFault{Prefix: store.RunPrefix, Share: 0.3})
+			sim.State.InjectTxnFaults(7, simulator.TxnFault{Prefix: store.ProgressPrefix, Share: 0.3})
 			lowerLimits(sim)
 			time.Sleep(20 * time.Second)
 			sim.State.InjectTxnFaults(0)
@@ -307,7 +307,7 @@
 			mustCancel(t, sim, j)
 		}
 		time.Sleep(150 * time.Second)
-		if k := sim.State.Keys(store.RunPrefix); len(k) > 0 {
+		if k := sim.State.Keys(store.ProgressPrefix); len(k) > 0 {
 			t.Errorf("%d records are left of jobs that are over", len(k))
 		}
 	})
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -238,7 +238,7 @@
 				}
 				for _, m := range v.Term.Machines {
 					if sim.MachineIP(m.Name) == "" {
-						t.Errorf("%s is gone and still kept, silent for %.0f s", m.Name, m.SilentS)
+						t.Errorf("%s is gone and still kept, silent for %.0f s", m.Name, m.SilentSeconds)
 					}
 				}
 				mustRun(t, sim, s, "when all is over")
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -63,7 +63,7 @@
 		if status := ask(0, "GET", nil, &l); status != 200 || len(l.Settings) != len(tuning.Fields) || l.Version != 0 {
 			t.Fatalf("listing %d %+v", status, l)
 		}
-		var why wire.Reason
+		var why wire.ErrorBody
 		if status := ask(0, "PUT", set(0, "round.period_s", 99.0), &why); status != 400 || why.Field != "round.period_s" || why.Error != "must be 0.2 to 30" {
 			t.Errorf("out of range: %d %+v", status, why)
 		}
@@ -284,7 +284,7 @@
 	t.Parallel()
 	set := simulator.GasSettings()
 	set.State = config.State{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
-	set.Workers = config.Workers{ReportS: 4, LeaseS: 8, CancelS: 12}
+	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
 	set.Limits = config.Limits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
 	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b, gone := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
--- a/internal/scenarios/rolling_upgrade_test.go
+++ b/internal/scenarios/rolling_upgrade_test.go
@@ -44,25 +44,25 @@
 	}
 }
 
-func productionSpec() wire.Spec {
-	return wire.Spec{ID: "req-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityUrgent, Tasks: 1600, CPUs: 8, GPUs: 1, MemoryGB: 64,
+func productionSpec() wire.JobSpec {
+	return wire.JobSpec{ID: "req-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityUrgent, Tasks: 1600, CPUs: 8, GPUs: 1, MemoryGB: 64,
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []wire.MachineType{"g8", "c4"}, Zone: "a", SameZone: true, SpotAllowed: true, ExpectedRunTime: 240, CheckpointInterval: 30, CheckpointTime: 4, Deadline: 900}
 }
 
 func TestProductionRecordsAreRead(t *testing.T) {
 	t.Parallel()
-	mustMatchProduction(t, "job", store.JobRecord{Spec: productionSpec(), Status: wire.Queued, At: 1796000000123, Chunk: 256})
-	mustMatchProduction(t, "cancelled", store.JobRecord{Status: wire.Cancelled, At: 1796000000123, Ended: 1796000005321, Chunk: 256,
-		Spec: wire.Spec{ID: "req-000413", Class: "live", Team: "portal", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 4.8, Image: "img-b", ImageGB: 1, Spread: true}})
-	mustMatchProduction(t, "run", store.ChunkRecord{Next: 17, Done: []int{0, 3, 9, 200}, Held: []store.HeldAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}, {Task: 255, Attempt: 16, Machine: "n-001200"}}})
-	mustMatchProduction(t, "past", store.PastRecord{Status: wire.Done, Done: 1600})
-	mustMatchProduction(t, "lead", store.LeadRecord{Node: "worker-2", Nonce: "c0ffee"})
+	mustMatchProduction(t, "job", store.JobRecord{Spec: productionSpec(), Status: wire.Queued, AcceptedAt: 1796000000123, Chunk: 256})
+	mustMatchProduction(t, "cancelled", store.JobRecord{Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, Chunk: 256,
+		Spec: wire.JobSpec{ID: "req-000413", Class: "live", Team: "portal", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 4.8, Image: "img-b", ImageGB: 1, Spread: true}})
+	mustMatchProduction(t, "run", store.ChunkRecord{NextAttempt: 17, Done: []int{0, 3, 9, 200}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}, {Task: 255, Attempt: 16, Machine: "n-001200"}}})
+	mustMatchProduction(t, "past", store.FinalRecord{Status: wire.Done, Done: 1600})
+	mustMatchProduction(t, "lead", store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"})
 	mustMatchProduction(t, "flavors", wire.MachineSpecs{Types: []wire.MachineSpec{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a", "b"}}}})
 	mustMatchProduction(t, "beat", peer.Heartbeat{From: "worker-1", Seq: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120})
 	mustMatchProduction(t, "ack", peer.Heartbeat{From: "worker-2", Seq: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedFor: time.Second,
 		Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}})
 	warning := wire.Seconds(12.5)
-	mustMatchProduction(t, "report", wire.Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Sequence: 88, Token: 41, SpotNotice: &warning,
+	mustMatchProduction(t, "report", wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 1, Sequence: 88, Token: 41, SpotNotice: &warning,
 		Tasks: []wire.TaskState{{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}}})
 	var m map[string]any
 	raw, _ := hex.DecodeString(productionBytes["settings"])
@@ -119,9 +119,9 @@
 func TestProductionReadsWhatIsWritten(t *testing.T) {
 	t.Parallel()
 	// Chunks are smaller, and their size is part of the job's record, as before.
-	size := store.ChunkFor(2)
+	size := store.ChunkTasksFor(2)
 	var j productionJob
-	if err := wire.Decode(wire.Encode(store.JobRecord{Spec: productionSpec(), Status: wire.Cancelled, At: 5, Ended: 7, Chunk: size}), &j); err != nil {
+	if err := wire.Decode(wire.Encode(store.JobRecord{Spec: productionSpec(), Status: wire.Cancelled, AcceptedAt: 5, CancelledAt: 7, Chunk: size}), &j); err != nil {
 		t.Fatal(err)
 	}
 	want := productionJob{Status: "cancelled", At: 5, Ended: 7, Chunk: size, Spec: productionJobSpec{ID: "req-000412", Lane: "train", Owner: "vision", Shape: "sweep", Urgency: "urgent",
@@ -131,7 +131,7 @@
 		t.Errorf("production reads %+v", j)
 	}
 	var c productionChunk
-	if err := wire.Decode(wire.Encode(store.ChunkRecord{Next: 9, Done: []int{1, 3}, Held: []store.HeldAttempt{{Task: 4, Attempt: 8, Machine: "n-1"}}}), &c); err != nil ||
+	if err := wire.Decode(wire.Encode(store.ChunkRecord{NextAttempt: 9, Done: []int{1, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 8, Machine: "n-1"}}}), &c); err != nil ||
 		!reflect.DeepEqual(c, productionChunk{Next: 9, Done: []int{1, 3}, Held: []productionAttempt{{Task: 4, Try: 8, On: "n-1"}}}) {
 		t.Errorf("production reads %+v, %v", c, err)
 	}
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -138,7 +138,7 @@
 		replaceLeader(t, sim)
 		time.Sleep(150 * time.Second)
 		mustFinish(t, sim, b)
-		if len(sim.State.Keys(store.LeadKey)) != 1 {
+		if len(sim.State.Keys(store.LeaderKey)) != 1 {
 			t.Error("nobody leads")
 		}
 	})
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -186,7 +186,7 @@
 						t.Error("the cancelled job was stopped before the outage")
 					}
 				})
-				time.Sleep(time.Until(confirmed.Add(sim.Settings.Workers.CancelS.Duration() + 10*time.Second)))
+				time.Sleep(time.Until(confirmed.Add(sim.Settings.Workers.CancelTimeout.Duration() + 10*time.Second)))
 				sim.WithChecker(func(c *simulator.Checker) {
 					if n := c.OnMachines(gone.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job", n)
@@ -252,7 +252,7 @@
 				}
 				sim.HangMachines(false, ms...)
 				sim.BlockInbound(false, ms...)
-				time.Sleep(sim.Settings.Workers.CancelS.Duration() + 5*time.Second)
+				time.Sleep(sim.Settings.Workers.CancelTimeout.Duration() + 5*time.Second)
 				mustBeGone(t, sim, gone, "although their time is up")
 				for i := range sim.Settings.Size {
 					sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 0)
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -33,14 +33,14 @@
 func TestTransactionAnswersLostDuringReads(t *testing.T) {
 	t.Parallel()
 	for i, kind := range []string{"acceptance", "cancellation", "launch", "leader key", "end", "all"} {
-		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.RunPrefix, "leader key": store.LeadKey, "end": "past/"}[kind]
+		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.ProgressPrefix, "leader key": store.LeaderKey, "end": "past/"}[kind]
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				a, b, gone, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each for sure, then half of all
-					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.RunPrefix, Most: 1}, {Share: 0.5}}
+					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.ProgressPrefix, Most: 1}, {Share: 0.5}}
 				}
 				var begin, end time.Time
 				on := func() { sim.State.InjectTxnFaults(uint64(i), faults...); begin = time.Now() }
@@ -116,7 +116,7 @@
 					}
 					during("the next leader's first job was over", rb.firstSeen(2))
 				case "all":
-					for _, p := range []string{store.RunPrefix, store.JobPrefix} {
+					for _, p := range []string{store.ProgressPrefix, store.JobPrefix} {
 						if len(faultedTransactions(sim, p, wasExecuted)) == 0 {
 							t.Errorf("nothing of %s was hit", p)
 						}
@@ -142,7 +142,7 @@
 		late := [2]time.Duration{2 * time.Second, 12 * time.Second}
 		sim.State.InjectTxnFaults(7, // the first of each kind for sure, then a share of all
 			simulator.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.JobPrefix, Most: 1},
-			simulator.TxnFault{Prefix: store.RunPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.RunPrefix, Most: 1},
+			simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1},
 			simulator.TxnFault{Share: 0.25, Late: late}, simulator.TxnFault{Share: 0.25})
 		for n := 1; n <= 8; n++ {
 			j := array(n, 1+n%4, float64(4+n%3*8))
@@ -173,8 +173,8 @@
 		}
 		mustFinish(t, sim, all...)
 		mustRun(t, sim, s, "afterwards")
-		mustBeExecutedLate(t, "launches", faultedTransactions(sim, store.RunPrefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() }))
-		for _, p := range []string{store.JobPrefix, store.RunPrefix} {
+		mustBeExecutedLate(t, "launches", faultedTransactions(sim, store.ProgressPrefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() }))
+		for _, p := range []string{store.JobPrefix, store.ProgressPrefix} {
 			if len(faultedTransactions(sim, p, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })) == 0 {
 				t.Errorf("nothing of %s was late", p)
 			}
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -96,8 +96,8 @@
 		for key, v := range unreadable {
 			sim.State.Put(key, v)
 		}
-		sim.State.Put("run/req-000777/0", store.ChunkRecord{Next: 5, Held: []store.HeldAttempt{{Task: 0, Attempt: 4, Machine: "n-000000"}}})
-		sim.State.Put(store.FlavorsKey, 7)
+		sim.State.Put("run/req-000777/0", store.ChunkRecord{NextAttempt: 5, Active: []store.ActiveAttempt{{Task: 0, Attempt: 4, Machine: "n-000000"}}})
+		sim.State.Put(store.MachineSpecsKey, 7)
 		sim.State.Put(store.SettingsKey, "no settings")
 		at(64 * time.Second)
 		if err := sim.StartController(l); err != nil {
@@ -132,7 +132,7 @@
 				}
 			}
 		}
-		for key, least := range map[string]int{"run/req-000001/0": 2, "job/req-000777": 2, "job/req-000778": 2, "job/req-000779": 2, store.SettingsKey: set.Size, store.FlavorsKey: 0} {
+		for key, least := range map[string]int{"run/req-000001/0": 2, "job/req-000777": 2, "job/req-000778": 2, "job/req-000779": 2, store.SettingsKey: set.Size, store.MachineSpecsKey: 0} {
 			total := 0
 			for _, life := range lives {
 				n := life.errors(key)
@@ -159,7 +159,7 @@
 				t.Errorf("%6.1f s %s: %s", b.At.Sub(begin).Seconds(), b.Rule, b.What)
 			}
 		})
-		if k := slices.Concat(sim.State.Keys(store.JobKey(a.Spec.ID)), sim.State.Keys(store.RunPrefix+string(a.Spec.ID)+"/")); len(k) > 0 {
+		if k := slices.Concat(sim.State.Keys(store.JobKey(a.Spec.ID)), sim.State.Keys(store.ProgressPrefix+string(a.Spec.ID)+"/")); len(k) > 0 {
 			t.Errorf("of the cancelled job is left %v", k)
 		}
 		if t.Failed() {
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -83,7 +83,7 @@
 				unconnected := some(sim)
 				sim.BlockOutbound(true, unconnected...)
 				// Each has outlived a lease without a report, and yet answers.
-				time.Sleep(sim.Settings.Workers.LeaseS.Duration() + time.Second)
+				time.Sleep(sim.Settings.Workers.Lease.Duration() + time.Second)
 				n := 0
 				for _, id := range unconnected {
 					if shift, _, _ := sim.MachineSession(id); shift > 1 {
@@ -170,7 +170,7 @@
 					}
 					time.Sleep(3 * time.Second)
 					if long {
-						time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 10*time.Second)
+						time.Sleep(sim.Settings.Workers.Lease.Duration() + 10*time.Second)
 					}
 					off(false)
 					sim.StartController(l)
@@ -251,7 +251,7 @@
 							mustBeGone(t, sim, gone, "when the machines go on")
 							off(true)
 						}
-						time.Sleep(sim.Settings.Workers.LeaseS.Duration() + 4*time.Second)
+						time.Sleep(sim.Settings.Workers.Lease.Duration() + 4*time.Second)
 						mustBeGone(t, sim, gone, "after a lease")
 						off(false)
 						time.Sleep(20 * time.Second)
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -178,11 +178,11 @@
 				time.Sleep(15 * time.Second)
 				cancelAtController(t, sim, 0, unborn)
 				confirmed := cancelAtController(t, sim, 0, late)
-				if time.Since(cut) > sim.Settings.Workers.LeaseS.Duration() || !confirmed.After(cut) {
+				if time.Since(cut) > sim.Settings.Workers.Lease.Duration() || !confirmed.After(cut) {
 					t.Errorf("cancelled %v after the cut", confirmed.Sub(cut))
 				}
 				time.Sleep(50 * time.Second)
-				if time.Since(cut) < sim.Settings.Workers.LeaseS.Duration()*2 {
+				if time.Since(cut) < sim.Settings.Workers.Lease.Duration()*2 {
 					t.Error("the cut was too short")
 				}
 				sim.IsolateZone(z, false)
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -89,7 +89,7 @@
 
 // jobHistory is what the checker knows of a job.
 type jobHistory struct {
-	spec              wire.Spec
+	spec              wire.JobSpec
 	accepted          bool
 	finalStatus       wire.Status // the final state that a user was told
 	finalToldAt       time.Time
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -7,7 +7,7 @@
 )
 
 // Submitted notes a user's attempt to submit.
-func (c *Checker) Submitted(s wire.Spec) {
+func (c *Checker) Submitted(s wire.JobSpec) {
 	if c.jobs[s.ID] == nil {
 		c.jobs[s.ID] = &jobHistory{spec: s, done: map[int]bool{}, submittedAt: c.latest}
 	}
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -10,7 +10,7 @@
 )
 
 // cannotRun says why a job can never run; empty: it can.
-func (c *Checker) cannotRun(s *wire.Spec) string {
+func (c *Checker) cannotRun(s *wire.JobSpec) string {
 	if c.MachineSpecs == nil {
 		return ""
 	}
@@ -50,7 +50,7 @@
 	if why != "" {
 		c.violated(now, AcceptedWrongly, "%q accepted, but %s", id, why)
 	}
-	var s wire.Spec
+	var s wire.JobSpec
 	if j := c.jobs[wire.JobID(id)]; j == nil && wire.Decode(raw, &s) == nil && why == "" {
 		if why := c.cannotRun(&s); why != "" {
 			c.violated(now, AcceptedWrongly, "%s accepted, but %s", id, why)
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -20,7 +20,7 @@
 }
 
 // encodedSubmission is a submission as a user sends it.
-func encodedSubmission(s wire.Spec) []byte { return wire.Encode(Submission(s)) }
+func encodedSubmission(s wire.JobSpec) []byte { return wire.Encode(Submission(s)) }
 
 // encodedSummary is an answer about a job.
 func encodedSummary(id wire.JobID, st wire.Status) []byte {
@@ -31,7 +31,7 @@
 // deliberately, and must be the one that is noted.
 func TestEveryRuleCanBeViolated(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	spec := wire.Spec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, Spread: true}
+	spec := wire.JobSpec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, Spread: true}
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
 	there := Place{Machine: "n-2", Type: "c4", Zone: "b"}
 	task := func(i int) wire.Task { return wire.Task{Job: "req-1", Index: i} }
@@ -80,7 +80,7 @@
 			}
 		}},
 		"a class never begins": {Unserved, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Class: "other", Team: "blue"})
+			c.Submitted(wire.JobSpec{ID: "req-2", Class: "other", Team: "blue"})
 			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
 			c.Finish(t0.Add(5 * time.Minute))
 		}},
@@ -97,26 +97,26 @@
 			c.TaskResumed(task(0), here, t0.Add(11*time.Second))
 		}},
 		"one zone, elsewhere": {WrongPlace, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, SameZone: true})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, SameZone: true})
 			c.TaskStarted(wire.Task{Job: "req-2", Index: 0}, here, t0)
 			c.TaskStarted(wire.Task{Job: "req-2", Index: 1}, there, t0)
 		}},
 		"wrong type": {WrongPlace, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, MachineTypes: []wire.MachineType{"c16"}})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, MachineTypes: []wire.MachineType{"c16"}})
 			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
 		}},
 		"wrong zone": {WrongPlace, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, Zone: "b"})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, Zone: "b"})
 			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
 		}},
 		"a service called done": {NotDone, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
 			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
 			c.TaskLeft(wire.Task{Job: "req-2"}, "n-1", true)
 			c.StatusToldNow("req-2", wire.Done, t0)
 		}},
 		"404 after a poll that knew it": {Forgotten, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1})
 			c.PollAnsweredNow("req-2", 200, wire.Queued, t0)
 			c.PollAnsweredNow("req-2", 404, "", t0.Add(time.Second))
 		}},
@@ -151,27 +151,27 @@
 			}
 		}},
 		"unknown team": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "green", Tasks: 1, CPUs: 1})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "green", Tasks: 1, CPUs: 1})
 			c.Accepted("req-2", t0)
 		}},
 		"fits no type": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 99})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1, MemoryGB: 99})
 			c.Accepted("req-2", t0)
 		}},
 		"fits no allowed type": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1, MachineTypes: []wire.MachineType{"g8"}})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1, MachineTypes: []wire.MachineType{"g8"}})
 			c.Accepted("req-2", t0)
 		}},
 		"a task over the limit": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 9})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 9})
 			c.Accepted("req-2", t0)
 		}},
 		"a service over the limit": {AcceptedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 3, CPUs: 4})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 3, CPUs: 4})
 			c.Accepted("req-2", t0)
 		}},
 		"what could run is refused": {RefusedWrongly, func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 3, CPUs: 4})
+			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 3, CPUs: 4})
 			c.Refused("req-2", 422, t0)
 		}},
 		"left waiting": {LeftWaiting, func(c *Checker) { observeRoom(c, 100) }},
@@ -255,7 +255,7 @@
 		"the team at its limit":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
 		"half is there already":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
 		"all of it runs": func(c *Checker) {
-			c.Submitted(wire.Spec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
+			c.Submitted(wire.JobSpec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
 			c.Accepted("req-3", t0)
 			c.CancelRequested("req-1")
 			waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-3"}} }))(c)
@@ -286,8 +286,8 @@
 	for name, do := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 8}, "blue": {}})
 		c.MachineSpecs = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
-		c.Submitted(wire.Spec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, MemoryGB: 4, ImageGB: 1, Spread: true})
-		c.Submitted(wire.Spec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 4})
+		c.Submitted(wire.JobSpec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, MemoryGB: 4, ImageGB: 1, Spread: true})
+		c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 4})
 		c.Accepted("req-1", t0)
 		do(c)
 		if len(c.Violations) > 0 {
@@ -303,7 +303,7 @@
 	c := NewChecker(10*time.Second, nil)
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
 	for n, id := range []wire.JobID{"req-1", "req-2"} {
-		c.Submitted(wire.Spec{ID: id, Tasks: 2, CPUs: 1})
+		c.Submitted(wire.JobSpec{ID: id, Tasks: 2, CPUs: 1})
 		c.Accepted(id, t0)
 		c.TaskStarted(wire.Task{Job: id}, here, t0)
 		c.TaskLeft(wire.Task{Job: id}, "n-1", true)
@@ -330,7 +330,7 @@
 // A submission that is malformed must not be accepted, whichever field is to
 // blame, and one that is not must not be blamed.
 func TestMalformedSubmissions(t *testing.T) {
-	good := wire.Spec{ID: "req-000001", Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-a"}
+	good := wire.JobSpec{ID: "req-000001", Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-a"}
 	noted := func(body any) bool {
 		c := NewChecker(time.Second, nil)
 		c.SubmissionSent(bodyOf(body), 201, time.Unix(1000, 0))
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -93,7 +93,7 @@
 
 // atLimit tells whether the next task of a job, or all of a gang, would bring its
 // team over its limit.
-func (c *Checker) atLimit(s *wire.Spec, used TeamLimit) bool {
+func (c *Checker) atLimit(s *wire.JobSpec, used TeamLimit) bool {
 	limit, more := c.Limits[s.Team], 1.0
 	if s.Gang() {
 		more = float64(s.Tasks)
@@ -124,7 +124,7 @@
 }
 
 // gangFits tells whether all tasks of a gang would fit on the open machines.
-func gangFits(rooms []MachineRoom, s *wire.Spec, not map[wire.MachineID]bool) bool {
+func gangFits(rooms []MachineRoom, s *wire.JobSpec, not map[wire.MachineID]bool) bool {
 	zones := map[wire.Zone]int{}
 	for i := range rooms {
 		r := rooms[i]
@@ -148,7 +148,7 @@
 
 // takes tells whether the machine can take one more task of a job whose tasks
 // are in certain zones.
-func (r *MachineRoom) takes(s *wire.Spec, zones map[wire.Zone]int) bool {
+func (r *MachineRoom) takes(s *wire.JobSpec, zones map[wire.Zone]int) bool {
 	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
 		return false
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -51,7 +51,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if sim.cloudOutage {
-		wire.Answer(rw, http.StatusServiceUnavailable, wire.Reason{Error: "trouble"})
+		wire.Answer(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
 		return
 	}
 	if sim.holdBack(r, raw) {
@@ -62,7 +62,7 @@
 		wire.Answer(rw, http.StatusOK, wire.MachineSpecs{Types: sim.machineTypes})
 	case "/machines/release":
 		if !sim.release(raw) {
-			wire.Answer(rw, http.StatusBadRequest, wire.Reason{Error: "malformed"})
+			wire.Answer(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 			return
 		}
 		if sim.loseReleaseAnswers > 0 {
@@ -144,9 +144,9 @@
 
 // rent answers a rental; a repeated one gets the same machines.
 func (sim *Simulation) rent(rw http.ResponseWriter, raw []byte) {
-	var b wire.RentalRequest
+	var b wire.ScaleOutRequest
 	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
-		wire.Answer(rw, http.StatusBadRequest, wire.Reason{Error: "malformed"})
+		wire.Answer(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 		return
 	}
 	ids, known := sim.rentals[b.Name]
@@ -154,7 +154,7 @@
 		of := capacityKey(b.Type, b.Zone, b.Spot)
 		n := min(b.Count, sim.capacity[of])
 		if n <= 0 || sim.soldOut[b.Zone] || sim.noSpot && b.Spot {
-			wire.Answer(rw, http.StatusServiceUnavailable, wire.Reason{Error: "no capacity"})
+			wire.Answer(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
 			return
 		}
 		sim.capacity[of] -= n
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -106,12 +106,12 @@
 
 // LeaderAndToken is who leads by the state service's record, -1 if nobody, and
 // the revision of its key.
-func (sim *Simulation) LeaderAndToken() (int, wire.Token) {
+func (sim *Simulation) LeaderAndToken() (int, wire.FencingToken) {
 	i, at := sim.Leader(), sim.LeaderKeyRevision()
 	if i < 0 || at == 0 {
 		return -1, 0
 	}
-	return i, wire.Token(at)
+	return i, wire.FencingToken(at)
 }
 
 // IsolateController cuts the i-th node from the state service and from the other nodes,
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -154,7 +154,7 @@
 	}
 	r.brokenSince = now
 	g.rollbacks++
-	peer := sim.Settings.Workers.GangPeerS.Duration()
+	peer := sim.Settings.Workers.GangPeerTimeout.Duration()
 	for i, b := range r.members {
 		if every := float64(sim.scripts[b.task.Job].Spec.CheckpointInterval); every > 0 {
 			g.saved = max(g.saved, math.Floor((r.progress+wire.Eps)/every)*every)
@@ -227,7 +227,7 @@
 		r.saved, g.saved = true, max(g.saved, r.progress)
 		g.saves++
 	}
-	if !r.stoppingSince.IsZero() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerS.Duration() && !allTold {
+	if !r.stoppingSince.IsZero() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration() && !allTold {
 		sim.rollBack(g, r, now)
 		for _, b := range order {
 			b.leavesAt = now
@@ -251,7 +251,7 @@
 
 // noteHungMembers breaks a running gang of which a member hangs for long.
 func (sim *Simulation) noteHungMembers(g *gangJob, r *gangRun, order []*gangMember, now time.Time) {
-	peer := sim.Settings.Workers.GangPeerS.Duration()
+	peer := sim.Settings.Workers.GangPeerTimeout.Duration()
 	for _, b := range order {
 		if !sim.hangs(b.worker) {
 			b.hungSince = time.Time{}
@@ -274,7 +274,7 @@
 	case g.done && b.run.phase != wire.PhaseWaiting:
 		end(wire.CauseDone, false)
 	case b.run.phase == wire.PhaseWaiting:
-		if now.Sub(b.waitingSince) > sim.Settings.Workers.GangWaitS.Duration() {
+		if now.Sub(b.waitingSince) > sim.Settings.Workers.GangWait.Duration() {
 			g.incomplete++
 			end(wire.CauseGangIncomplete, false)
 		}
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -10,8 +10,8 @@
 )
 
 // gangSpec is a gang of so many tasks.
-func gangSpec(id wire.JobID, parts int) wire.Spec {
-	return wire.Spec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1,
+func gangSpec(id wire.JobID, parts int) wire.JobSpec {
+	return wire.JobSpec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1,
 		SameZone: true, CheckpointInterval: 20, CheckpointTime: 2, ExpectedRunTime: 50}
 }
 
@@ -138,7 +138,7 @@
 
 // haltCommand stops one.
 func haltCommand(i int, try wire.Attempt, windDown wire.Seconds) wire.Command {
-	return wire.Command{Verb: wire.Halt, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &windDown}
+	return wire.Command{Verb: wire.Stop, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &windDown}
 }
 
 // The workers do with gangs what the page says.
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -11,15 +11,15 @@
 // that are copied or held up on their way, and machines that hang. The simulation's
 // lock guards it.
 type machineFaults struct {
-	kept   map[wire.MachineID][]wire.Report // nil: none are kept
-	held   map[wire.MachineID]bool          // their next reports arrive nowhere
-	share  float64                          // of the reports that are copied
-	after  [2]time.Duration                 // when the copies come
-	copies int                              // that came
-	older  int                              // of these, after a newer report of their machine
-	hung   map[wire.MachineID]chan struct{} // closed when the machine goes on
-	hangs  map[wire.MachineID]time.Duration // how long each hung until now
-	since  map[wire.MachineID]time.Time     // when it last began to hang
+	kept   map[wire.MachineID][]wire.Heartbeat // nil: none are kept
+	held   map[wire.MachineID]bool             // their next reports arrive nowhere
+	share  float64                             // of the reports that are copied
+	after  [2]time.Duration                    // when the copies come
+	copies int                                 // that came
+	older  int                                 // of these, after a newer report of their machine
+	hung   map[wire.MachineID]chan struct{}    // closed when the machine goes on
+	hangs  map[wire.MachineID]time.Duration    // how long each hung until now
+	since  map[wire.MachineID]time.Time        // when it last began to hang
 	lag    CommandDelay
 	late   map[wire.Verb]int // commands that came late, and direct ones answered late
 }
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -134,7 +134,7 @@
 
 // MachineSession is a machine's session, the number of its last message and the highest
 // token it has seen; zero if it is gone.
-func (sim *Simulation) MachineSession(id wire.MachineID) (wire.Session, wire.Sequence, wire.Token) {
+func (sim *Simulation) MachineSession(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if m := sim.machines[id]; m != nil {
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -63,11 +63,11 @@
 func (sim *Simulation) KeepReports() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.machineFaults.kept = map[wire.MachineID][]wire.Report{}
+	sim.machineFaults.kept = map[wire.MachineID][]wire.Heartbeat{}
 }
 
 // KeptReports are the reports of a machine that were kept, in order.
-func (sim *Simulation) KeptReports(id wire.MachineID) []wire.Report {
+func (sim *Simulation) KeptReports(id wire.MachineID) []wire.Heartbeat {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return slices.Clone(sim.machineFaults.kept[id])
@@ -101,7 +101,7 @@
 
 // noteReport notes a report that is about to be sent and tells whether it is
 // held up; call with the lock held.
-func (sim *Simulation) noteReport(m *worker, rep wire.Report) bool {
+func (sim *Simulation) noteReport(m *worker, rep wire.Heartbeat) bool {
 	o := &sim.machineFaults
 	if o.kept != nil {
 		o.kept[m.id] = append(o.kept[m.id], rep)
@@ -119,15 +119,15 @@
 // DeliveredReport is how a node answered a report that was handed to it.
 type DeliveredReport struct {
 	Node   int
-	Report wire.Report
+	Report wire.Heartbeat
 	Status int
-	Token  wire.Token // of a 200
-	Newer  bool       // the machine had made a newer message before it came
+	Token  wire.FencingToken // of a 200
+	Newer  bool              // the machine had made a newer message before it came
 }
 
 // DeliverReports hands reports to all nodes at once, as the network does with packets
 // that it had held, and waits for the answers, which reach no worker.
-func (sim *Simulation) DeliverReports(reps ...wire.Report) []DeliveredReport {
+func (sim *Simulation) DeliverReports(reps ...wire.Heartbeat) []DeliveredReport {
 	out := make([]DeliveredReport, 0, len(reps)*len(sim.controllers))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -135,7 +135,7 @@
 		sim.mu.Lock()
 		sim.machineFaults.copies++
 		m := sim.machines[rep.Machine]
-		newer := m != nil && (m.session > rep.Session || m.session == rep.Session && m.sequence > rep.Sequence)
+		newer := m != nil && (m.session > rep.Epoch || m.session == rep.Epoch && m.sequence > rep.Sequence)
 		if newer {
 			sim.machineFaults.older++
 		}
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -25,9 +25,9 @@
 	return config.Settings{
 		Size: 3, Zones: []wire.Zone{"a", "b"}, ClockOffMs: 250,
 		Teams:   []config.Team{{Name: "red", CPUs: 16, CPUsMax: 40}, {Name: "blue", CPUs: 16}},
-		Workers: config.Workers{ReportS: 2, LeaseS: 16, CancelS: 41, GangWaitS: 45, GangPeerS: 8},
+		Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41, GangWait: 45, GangPeerTimeout: 8},
 		State:   config.State{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 12},
-		Cloud:   config.Cloud{RPS: 6, ListLagS: 4},
+		Cloud:   config.Cloud{RPS: 6, ListLag: 4},
 		Limits:  config.Limits{Cores: 0.2, MemoryMB: 98, FDLimit: 900},
 	}
 }
@@ -38,9 +38,9 @@
 func GasSettings() config.Settings {
 	s := DefaultSettings()
 	s.Zones = []wire.Zone{"a", "b", "c"}
-	s.Workers = config.Workers{ReportS: 4, LeaseS: 22, CancelS: 47, GangWaitS: 45, GangPeerS: 8}
+	s.Workers = config.Workers{HeartbeatInterval: 4, Lease: 22, CancelTimeout: 47, GangWait: 45, GangPeerTimeout: 8}
 	s.State = config.State{RPS: 80, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
-	s.Cloud = config.Cloud{RPS: 10, ListLagS: 6}
+	s.Cloud = config.Cloud{RPS: 10, ListLag: 6}
 	return s
 }
 
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -22,7 +22,7 @@
 
 // JobScript is what the fakes know of a job beside its submission.
 type JobScript struct {
-	Spec        wire.Spec
+	Spec        wire.JobSpec
 	RunTime     float64   // true run time of a task
 	AlwaysFails bool      // its tasks fail on every machine
 	RunTimes    []float64 // the first tasks' own run times; the others take RunTime
@@ -95,13 +95,13 @@
 	}
 	sim := &Simulation{
 		Net: NewNetwork(time.Millisecond), State: NewState(set.State.TxnOps, int(set.State.ValueKB)), Settings: set,
-		checker: NewChecker(set.Workers.CancelS.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
+		checker: NewChecker(set.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
 		machineTypes: []wire.MachineSpec{
 			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
 			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: set.Zones},
 		},
 		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, rentals: map[string][]wire.MachineID{},
-		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLagS.Duration(), bootFactor: 1,
+		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLag.Duration(), bootFactor: 1,
 	}
 	if sim.hostNet = host; host == nil {
 		sim.hostNet = sim.Net.Host
@@ -133,7 +133,7 @@
 func controllerConfig(set config.Settings, i int) config.Config {
 	name := func(k int) wire.NodeID { return wire.NodeID(fmt.Sprintf("worker-%d", k)) }
 	zone := func(k int) wire.Zone { return set.Zones[k%len(set.Zones)] }
-	c := config.Config{HostName: name(i), Zone: zone(i), Front: NodeIP(i) + ":8080", PeerBind: NodeIP(i) + ":8081",
+	c := config.Config{HostName: name(i), Zone: zone(i), UserAddr: NodeIP(i) + ":8080", PeerAddr: NodeIP(i) + ":8081",
 		Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
 	for k := range set.Size {
 		if k != i {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -208,7 +208,7 @@
 	refuse := s.outage || s.refused[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
 	if !refuse && !s.limits.admits(1, 0) {
-		wire.Answer(w, http.StatusTooManyRequests, wire.Reason{Error: "too many requests"})
+		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
 		return
 	}
 	w = s.delayed(w, r)
@@ -217,7 +217,7 @@
 		return
 	}
 	if refuse {
-		wire.Answer(w, http.StatusServiceUnavailable, wire.Reason{Error: "trouble"})
+		wire.Answer(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
 		return
 	}
 	switch {
@@ -237,7 +237,7 @@
 }
 
 func malformedRequest(w http.ResponseWriter) {
-	wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "malformed"})
+	wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 }
 
 // read answers with one key.
@@ -265,7 +265,7 @@
 		return
 	}
 	if !s.limits.admits(0, len(t.Writes)) {
-		wire.Answer(w, http.StatusTooManyRequests, wire.Reason{Error: "too many changes"})
+		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many changes"})
 		return
 	}
 	s.limits.await(&t)
@@ -305,7 +305,7 @@
 	}
 	s.mu.Unlock()
 	if g == nil {
-		wire.Answer(w, http.StatusNotFound, wire.Reason{Error: "no such lease"})
+		wire.Answer(w, http.StatusNotFound, wire.ErrorBody{Error: "no such lease"})
 		return
 	}
 	wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: wire.GrantID(n)})
@@ -369,7 +369,7 @@
 	// An expired lease is told first, whatever the conditions.
 	for _, x := range t.Writes {
 		if x.Put != "" && x.Grant != 0 && s.grants[x.Grant] == nil {
-			return http.StatusBadRequest, wire.Reason{Error: "no such lease"}
+			return http.StatusBadRequest, wire.ErrorBody{Error: "no such lease"}
 		}
 	}
 	var failed []string
@@ -418,7 +418,7 @@
 		silent := s.outage || s.refused[hostOf(r.RemoteAddr)]
 		if s.forgottenUpTo > wire.Revision(after) {
 			s.mu.Unlock()
-			wire.Answer(w, http.StatusGone, wire.Reason{Error: "too old"})
+			wire.Answer(w, http.StatusGone, wire.ErrorBody{Error: "too old"})
 			return
 		}
 		if !silent {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -20,7 +20,7 @@
 )
 
 // Submission is the map that a user sends.
-func Submission(s wire.Spec) map[string]any {
+func Submission(s wire.JobSpec) map[string]any {
 	m := map[string]any{
 		"nameId": string(s.ID), "lane": s.Class, "owner": string(s.Team), "shape": string(s.Kind), "urgency": string(s.Priority),
 		"parts": s.Tasks, "cpus": s.CPUs, "cards": s.GPUs, "ramGb": s.MemoryGB, "bundle": string(s.Image), "imageGb": s.ImageGB,
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -30,16 +30,16 @@
 	stalled    bool
 	unlisted   bool
 	notice     time.Time
-	session    wire.Session
+	session    wire.AgentEpoch
 	sequence   wire.Sequence
-	token      wire.Token
+	token      wire.FencingToken
 	answered   time.Time // sending time of the last answered report
 	clockRate  float64
 	tasks      map[wire.Task]*taskRun
 	cached     map[wire.ImageID]bool
 	wake       chan struct{}
-	restarts   int         // counts the machine's own restarts
-	lastReport wire.Report // the last report
+	restarts   int            // counts the machine's own restarts
+	lastReport wire.Heartbeat // the last report
 }
 
 // taskRun is an attempt of a task on a machine.
@@ -60,9 +60,9 @@
 }
 
 // report of now; call with the lock held.
-func (m *worker) report() wire.Report {
+func (m *worker) report() wire.Heartbeat {
 	m.sequence++
-	r := wire.Report{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Session: m.session, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
+	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.session, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
 	if !m.notice.IsZero() {
 		left := wire.Seconds(max(0, time.Until(m.notice).Seconds()))
 		r.SpotNotice = &left
@@ -148,7 +148,7 @@
 	}
 	var o wire.Commands
 	if status == http.StatusOK && wire.Decode(body, &o) == nil {
-		m.takeAnswer(&o, life, rep.Session, sent)
+		m.takeAnswer(&o, life, rep.Epoch, sent)
 	}
 	return status, body
 }
@@ -159,7 +159,7 @@
 	select {
 	case <-m.ctx.Done():
 	case <-m.wake:
-	case <-time.After(m.sim.Settings.Workers.ReportS.Duration() - leastReportPause):
+	case <-time.After(m.sim.Settings.Workers.HeartbeatInterval.Duration() - leastReportPause):
 	}
 }
 
@@ -175,7 +175,7 @@
 }
 
 // takeAnswer takes the answer of a report that was sent in the given session.
-func (m *worker) takeAnswer(o *wire.Commands, life int, shift wire.Session, sent time.Time) {
+func (m *worker) takeAnswer(o *wire.Commands, life int, shift wire.AgentEpoch, sent time.Time) {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
 	if m.gone || o.Token < m.token || o.Token == 0 || shift != m.session || life != m.restarts {
@@ -188,7 +188,7 @@
 }
 
 // noteToken remembers the highest token that the worker has seen.
-func (m *worker) noteToken(b wire.Token) {
+func (m *worker) noteToken(b wire.FencingToken) {
 	if b > m.token {
 		m.token = b
 		m.changed()
@@ -208,7 +208,7 @@
 
 // checkLease ends the session if the lease has run out; call with the lock held.
 func (m *worker) checkLease() {
-	if time.Since(m.answered).Seconds()*m.clockRate > float64(m.sim.Settings.Workers.LeaseS) && !m.gone {
+	if time.Since(m.answered).Seconds()*m.clockRate > float64(m.sim.Settings.Workers.Lease) && !m.gone {
 		m.endAllTasks()
 		m.session++
 		m.answered = time.Now()
@@ -244,11 +244,11 @@
 	if r.URL.Path == "/commands" {
 		var o wire.Commands
 		err := wire.Decode(raw, &o)
-		m.sim.countLate(came, o.Commands, wire.Launch, wire.Halt)
+		m.sim.countLate(came, o.Commands, wire.Launch, wire.Stop)
 		switch {
-		case err != nil || o.Token == 0 || o.Session == 0:
+		case err != nil || o.Token == 0 || o.Epoch == 0:
 			status = http.StatusBadRequest
-		case o.Token < m.token || o.Session != m.session:
+		case o.Token < m.token || o.Epoch != m.session:
 			status = http.StatusConflict
 		default:
 			m.noteToken(o.Token)
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -21,7 +21,7 @@
 				continue
 			}
 			m.launch(t, o.Attempt, x)
-		case wire.Halt:
+		case wire.Stop:
 			if x == nil || x.attempt != o.Attempt || x.phase == wire.PhaseExited {
 				continue
 			}
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -5,11 +5,11 @@
 // ChunkSize is the number of tasks of one chunk at most.
 const ChunkSize = 256
 
-// ChunkFor is the number of tasks that a chunk may have where values have so many
+// ChunkTasksFor is the number of tasks that a chunk may have where values have so many
 // KiB: it fits with every task on a machine, however often started, and in every
 // mix of states. (At 4 KiB an array of 200 tasks in one chunk was just too large
 // once most had been started again.)
-func ChunkFor(valueKB float64) int {
+func ChunkTasksFor(valueKB float64) int {
 	return max(1, min(ChunkSize, int(valueKB*1024-recordBytes)/heldBytes))
 }
 
@@ -22,8 +22,8 @@
 	heldMarks   = 10 // brackets, commas with a space, quotation marks
 )
 
-// HeldAttempt is an attempt that may be on a machine.
-type HeldAttempt struct {
+// ActiveAttempt is an attempt that may be on a machine.
+type ActiveAttempt struct {
 	_       struct{} `cbor:",toarray"`
 	Task    int      // counted within the chunk
 	Attempt wire.Attempt
@@ -32,12 +32,12 @@
 
 // ChunkRecord is the progress of up to ChunkSize tasks.
 type ChunkRecord struct {
-	// Next is the next attempt's number; it only grows.
-	Next wire.Attempt `cbor:"n"`
+	// NextAttempt is the next attempt's number; it only grows.
+	NextAttempt wire.Attempt `cbor:"n"`
 	// Done lists ranges of completed tasks: from, to (exclusive), from, …
 	Done []int `cbor:"d"`
-	// Held lists the attempts that may be on a machine.
-	Held []HeldAttempt `cbor:"r"`
+	// Active lists the attempts that may be on a machine.
+	Active []ActiveAttempt `cbor:"r"`
 	// SubchunkTasks, of a subchunk, is how many tasks each subchunk has.
 	SubchunkTasks int `cbor:"s,omitempty"`
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// Count is the number of tasks within the ranges.
-func Count(ranges []int) int {
+// CountRanges is the number of tasks within the ranges.
+func CountRanges(ranges []int) int {
 	n := 0
 	for i := 0; i+1 < len(ranges); i += 2 {
 		n += ranges[i+1] - ranges[i]
@@ -84,7 +84,7 @@
 	for _, d := range c.Done {
 		n += digits(uint64(d)) + 2
 	}
-	for _, h := range c.Held {
+	for _, h := range c.Active {
 		n += digits(uint64(h.Task)) + digits(uint64(h.Attempt)) + len(h.Machine) + heldMarks
 	}
 	return n
@@ -113,7 +113,7 @@
 	}
 	for i, e := range entries {
 		rec := &recs[i]
-		done, held = done+Count(rec.Done), held+len(rec.Held)
+		done, held = done+CountRanges(rec.Done), held+len(rec.Active)
 		_, n, ok := ParseChunkKey(e.Key)
 		if !ok {
 			continue
@@ -122,7 +122,7 @@
 			for k := 0; k+1 < len(rec.Done); k += 2 {
 				done -= max(0, min(rec.Done[k+1], p.to)-max(rec.Done[k], p.from))
 			}
-			for _, h := range rec.Held {
+			for _, h := range rec.Active {
 				if h.Task >= p.from && h.Task < p.to {
 					held--
 				}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -64,9 +64,9 @@
 
 // The classes.
 const (
-	// Vital requests (renewals, elections, launches) never wait for the
+	// Critical requests (renewals, elections, launches) never wait for the
 	// budget, but are counted in it, into debt: background requests wait then.
-	Vital RequestClass = iota
+	Critical RequestClass = iota
 	// Background requests (progress, recovery, settings) wait for the budget.
 	Background
 	// User requests are refused at once when the budget is used up.
@@ -133,8 +133,8 @@
 	}
 }
 
-// Left is what is left of the budgets for requests and for changes.
-func (c *Client) Left() (calls, writes float64) { return c.calls.Tokens(), c.writes.Tokens() }
+// Budget is what is left of the budgets for requests and for changes.
+func (c *Client) Budget() (calls, writes float64) { return c.calls.Tokens(), c.writes.Tokens() }
 
 // Reachable tells whether the service has served this node lately: its last
 // good answer is newer than its last refusal.
@@ -142,7 +142,7 @@
 
 func (c *Client) admit(ctx context.Context, class RequestClass, writes int) error {
 	switch class {
-	case Vital:
+	case Critical:
 		charge(c.calls, 1)
 		charge(c.writes, writes)
 	case Background:
@@ -302,7 +302,7 @@
 
 // Grant opens a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (wire.GrantID, error) {
-	if err := c.admit(ctx, Vital, 0); err != nil {
+	if err := c.admit(ctx, Critical, 0); err != nil {
 		return 0, err
 	}
 	var res wire.GrantResult
@@ -318,7 +318,7 @@
 
 // Renew gives a lease its full time again.
 func (c *Client) Renew(ctx context.Context, id wire.GrantID, timeout time.Duration) error {
-	if err := c.admit(ctx, Vital, 0); err != nil {
+	if err := c.admit(ctx, Critical, 0); err != nil {
 		return err
 	}
 	status, err := c.do(ctx, c.http, "renew", "POST", fmt.Sprintf("/grants/%d/renew", id), map[string]any{}, nil, timeout)
@@ -331,15 +331,15 @@
 	return nil
 }
 
-// End gives a lease back.
-func (c *Client) End(ctx context.Context, id wire.GrantID) error {
+// EndGrant gives a lease back.
+func (c *Client) EndGrant(ctx context.Context, id wire.GrantID) error {
 	_, err := c.do(ctx, c.http, "end", "DELETE", fmt.Sprintf("/grants/%d", id), nil, nil, callTimeout)
 	return err
 }
 
 // Watch waits for changes under a prefix after a revision, for up to block.
 func (c *Client) Watch(ctx context.Context, prefix string, after wire.Revision, block time.Duration) (wire.Changes, error) {
-	return c.changes(ctx, Vital, c.watches, prefix, after, block, block+watchMargin)
+	return c.changes(ctx, Critical, c.watches, prefix, after, block, block+watchMargin)
 }
 
 func (c *Client) changes(ctx context.Context, class RequestClass, hc *http.Client, prefix string, after wire.Revision, block, timeout time.Duration) (wire.Changes, error) {
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -61,14 +61,14 @@
 		}
 		nw.Cut("10.0.0.1", "10.2.0.1", true)
 		for range 2 {
-			c.Get(ctx, store.Vital, "k") //nolint:errcheck // it can't work
+			c.Get(ctx, store.Critical, "k") //nolint:errcheck // it can't work
 		}
 		begin := time.Now()
 		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
 			t.Errorf("a user waits %v for a silent service: %v", time.Since(begin), err)
 		}
 		nw.Cut("10.0.0.1", "10.2.0.1", false)
-		c.Get(ctx, store.Vital, "k") //nolint:errcheck // makes it known that the service is back
+		c.Get(ctx, store.Critical, "k") //nolint:errcheck // makes it known that the service is back
 		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrMissing) {
 			t.Errorf("after the cut: %v", err)
 		}
@@ -80,7 +80,7 @@
 			return err
 		}
 		for range 30 {
-			if err := write(store.Vital); err != nil {
+			if err := write(store.Critical); err != nil {
 				t.Fatalf("vital: %v", err)
 			}
 		}
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -62,13 +62,13 @@
 			switch _, live := model[id]; {
 			case !live:
 				model[id] = wire.Queued
-				st.Put(store.JobKey(id), store.JobRecord{Spec: wire.Spec{ID: id, Tasks: 1}, Status: wire.Queued})
+				st.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.Queued})
 			case rng.IntN(2) == 0:
 				model[id] = wire.Cancelled
-				st.Put(store.JobKey(id), store.JobRecord{Spec: wire.Spec{ID: id, Tasks: 1}, Status: wire.Cancelled})
+				st.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.Cancelled})
 			default:
 				delete(model, id)
-				if _, err := c.Commit(ctx, store.Vital, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey(id)}}}); err != nil {
+				if _, err := c.Commit(ctx, store.Critical, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey(id)}}}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -110,7 +110,7 @@
 	withCache(t, 1000, func(t *testing.T, ctx context.Context, r rig) {
 		st, y := r.st, r.y
 		put := func(id wire.JobID, s wire.Status) {
-			st.Put(store.JobKey(id), store.JobRecord{Spec: wire.Spec{ID: id, Tasks: 1}, Status: s})
+			st.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: s})
 		}
 		for _, id := range []wire.JobID{"req-1", "req-2", "req-3", "req-4", "req-5"} {
 			put(id, wire.Queued)
@@ -146,12 +146,12 @@
 	withCache(t, 1000, func(t *testing.T, ctx context.Context, r rig) {
 		st, c, y := r.st, r.c, r.y
 		st.LimitHistory(2, 0)
-		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.Spec{ID: "req-1", Tasks: 1}, Status: wire.Queued})
+		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Tasks: 1}, Status: wire.Queued})
 		if got, err := y.Get(ctx, "req-1"); err != nil || got.Status != wire.Queued {
 			t.Errorf("%v %v", got, err)
 		}
-		if _, err := c.Commit(ctx, store.Vital, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey("req-1")},
-			{Put: store.PastKey("req-1"), Value: wire.Encode(store.PastRecord{Status: wire.Done})}, {Delete: store.ChunkKey("req-1", 0)}}}); err != nil {
+		if _, err := c.Commit(ctx, store.Critical, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey("req-1")},
+			{Put: store.FinalKey("req-1"), Value: wire.Encode(store.FinalRecord{Status: wire.Done})}, {Delete: store.ChunkKey("req-1", 0)}}}); err != nil {
 			t.Fatal(err)
 		}
 		if got, err := y.Get(ctx, "req-1"); !errors.Is(err, store.ErrMissing) {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -16,14 +16,14 @@
 // transaction replaces these by past/<id>. A reader that finds no job/<id>
 // reads past/<id> next, in this order, so that it can't miss both.
 const (
-	JobPrefix  = "job/"
-	RunPrefix  = "run/"
-	pastPrefix = "past/"
-	// LeadKey is held by the leader on its grant.
-	LeadKey = "lead"
-	// FlavorsKey keeps the machine types last seen, so that a node that
+	JobPrefix      = "job/"
+	ProgressPrefix = "run/"
+	finalPrefix    = "past/"
+	// LeaderKey is held by the leader on its grant.
+	LeaderKey = "lead"
+	// MachineSpecsKey keeps the machine types last seen, so that a node that
 	// starts while the cloud is down can still judge submissions.
-	FlavorsKey = "fact/flavors"
+	MachineSpecsKey = "fact/flavors"
 	// SettingsKey holds the operators' own settings.
 	SettingsKey = "fact/settings"
 )
@@ -31,17 +31,17 @@
 // JobKey of a live job.
 func JobKey(id wire.JobID) string { return JobPrefix + string(id) }
 
-// PastKey of a job that is over.
-func PastKey(id wire.JobID) string { return pastPrefix + string(id) }
+// FinalKey of a job that is over.
+func FinalKey(id wire.JobID) string { return finalPrefix + string(id) }
 
 // ChunkKey of a chunk of a job's progress.
 func ChunkKey(id wire.JobID, n int) string {
-	return RunPrefix + string(id) + "/" + strconv.Itoa(n)
+	return ProgressPrefix + string(id) + "/" + strconv.Itoa(n)
 }
 
 // ParseChunkKey reverses ChunkKey.
 func ParseChunkKey(key string) (wire.JobID, int, bool) {
-	id, n, ok := strings.Cut(strings.TrimPrefix(key, RunPrefix), "/")
+	id, n, ok := strings.Cut(strings.TrimPrefix(key, ProgressPrefix), "/")
 	i, err := strconv.Atoi(n)
 	return wire.JobID(id), i, ok && err == nil && i >= 0 && wire.JobID(id).Valid()
 }
@@ -66,17 +66,17 @@
 
 // JobRecord is the value of job/<id>.
 type JobRecord struct {
-	Spec   wire.Spec   `cbor:"spec"`
-	Status wire.Status `cbor:"status"`
-	// At is when the job was accepted, Ended when it was cancelled.
-	At    wire.Timestamp `cbor:"at"`
-	Ended wire.Timestamp `cbor:"ended,omitempty"`
+	Spec   wire.JobSpec `cbor:"spec"`
+	Status wire.Status  `cbor:"status"`
+	// AcceptedAt is when the job was accepted, Ended when it was cancelled.
+	AcceptedAt  wire.Timestamp `cbor:"at"`
+	CancelledAt wire.Timestamp `cbor:"ended,omitempty"`
 	// Chunk is how many tasks a chunk of its progress has, fixed when the job
 	// is accepted; 0: ChunkSize.
 	Chunk int `cbor:"chunk,omitempty"`
-	// Needs is the version of the behaviour (package upgrade) from which on programs
+	// MinVersion is the version of the behaviour (package upgrade) from which on programs
 	// understand the record in full; 0: all do.
-	Needs uint64 `cbor:"needs,omitempty"`
+	MinVersion uint64 `cbor:"needs,omitempty"`
 }
 
 // Version is the highest version of the behaviour that this program understands.
@@ -100,7 +100,7 @@
 	if JobKey(rec.Spec.ID) != key || rec.Spec.Tasks < 1 || rec.Spec.Tasks > wire.MaxTasks {
 		return JobRecord{}, ErrNotAJob
 	}
-	if rec.Needs > Version {
+	if rec.MinVersion > Version {
 		return JobRecord{}, ErrNewer
 	}
 	return rec, nil
@@ -109,12 +109,12 @@
 // LogCancellation adds the job to the log of cancellations, if it is cancelled.
 func (r *JobRecord) LogCancellation(l *cancels.Log) {
 	if r.Status == wire.Cancelled {
-		l.Add(r.Spec.ID, r.Cancelled())
+		l.Add(r.Spec.ID, r.SinceCancelled())
 	}
 }
 
-// Cancelled is how long ago the job was cancelled, by clocks that may be off.
-func (r *JobRecord) Cancelled() time.Duration { return max(0, time.Since(r.Ended.Time())) }
+// SinceCancelled is how long ago the job was cancelled, by clocks that may be off.
+func (r *JobRecord) SinceCancelled() time.Duration { return max(0, time.Since(r.CancelledAt.Time())) }
 
 // ChunkTasks is how many tasks a chunk of the job's progress has.
 func (r *JobRecord) ChunkTasks() int {
@@ -124,14 +124,14 @@
 	return r.Chunk
 }
 
-// PastRecord is the value of past/<id>.
-type PastRecord struct {
+// FinalRecord is the value of past/<id>.
+type FinalRecord struct {
 	Status wire.Status `cbor:"status"`
 	Done   int         `cbor:"done"`
 }
 
-// LeadRecord is the value of the leader's key.
-type LeadRecord struct {
+// LeaderRecord is the value of the leader's key.
+type LeaderRecord struct {
 	Node wire.NodeID `cbor:"node"`
 	// Nonce tells one process of a node from the next.
 	Nonce string `cbor:"nonce"`
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -30,8 +30,8 @@
 				n++
 			}
 		}
-		if Count(r) != n {
-			t.Fatalf("count %d, want %d", Count(r), n)
+		if CountRanges(r) != n {
+			t.Fatalf("count %d, want %d", CountRanges(r), n)
 		}
 	})
 }
@@ -50,35 +50,35 @@
 func TestChunkRecord(t *testing.T) {
 	for _, kb := range []float64{1, 4, 16, 32} {
 		rapid.Check(t, func(t *rapid.T) {
-			size := ChunkFor(kb)
-			rec := ChunkRecord{Next: 1e8, Done: []int{}, Held: []HeldAttempt{}}
+			size := ChunkTasksFor(kb)
+			rec := ChunkRecord{NextAttempt: 1e8, Done: []int{}, Active: []ActiveAttempt{}}
 			done := make([]bool, size)
 			share := rapid.IntRange(0, 4).Draw(t, "share")
 			for i := range size {
 				switch what := rapid.IntRange(0, 5).Draw(t, "state"); {
 				case what > share:
-					rec.Held = append(rec.Held, HeldAttempt{Task: i, Attempt: 1e8 - 1 - wire.Attempt(i), Machine: "n-000000001231"})
+					rec.Active = append(rec.Active, ActiveAttempt{Task: i, Attempt: 1e8 - 1 - wire.Attempt(i), Machine: "n-000000001231"})
 				case what > 0:
 					done[i] = true
 				}
 			}
 			rec.Done = PackRanges(done)
 			var back ChunkRecord
-			if err := wire.Decode(wire.Encode(rec), &back); err != nil || len(back.Held) != len(rec.Held) || len(rec.Held) > 0 && back.Held[0] != rec.Held[0] || back.Next != rec.Next {
+			if err := wire.Decode(wire.Encode(rec), &back); err != nil || len(back.Active) != len(rec.Active) || len(rec.Active) > 0 && back.Active[0] != rec.Active[0] || back.NextAttempt != rec.NextAttempt {
 				t.Fatalf("came back as %v, %v", back, err)
 			}
 			list := [][]any{}
-			for _, h := range rec.Held {
+			for _, h := range rec.Active {
 				list = append(list, []any{h.Task, h.Attempt, h.Machine})
 			}
-			j, _ := json.Marshal(map[string]any{"n": rec.Next, "d": rec.Done, "r": list})
+			j, _ := json.Marshal(map[string]any{"n": rec.NextAttempt, "d": rec.Done, "r": list})
 			spaced := len(j) + bytes.Count(j, []byte(",")) + bytes.Count(j, []byte(":"))
 			if spaced > int(kb*1024) || rec.JSONSize() < spaced {
 				t.Fatalf("%d bytes, estimated %d, of %g KiB", spaced, rec.JSONSize(), kb)
 			}
 		})
 	}
-	if n := ChunkFor(32); n != ChunkSize {
+	if n := ChunkTasksFor(32); n != ChunkSize {
 		t.Errorf("%d tasks in a chunk where there is room for all", n)
 	}
 	if id, n, ok := ParseChunkKey(ChunkKey("req-7", 3)); id != "req-7" || n != 3 || !ok {
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -22,16 +22,16 @@
 	RoundS       float64 // the longest time between rounds with waiting jobs
 	SpareUnits   float64 // room kept for the next replicas of services
 	SpareGangs   float64 // room kept for the largest gang of each class, so many times
-	KeepBoots    float64 // how long a machine is kept with nothing to do, in boot times of its type
+	IdleBoots    float64 // how long a machine is kept with nothing to do, in boot times of its type
 	LogLevel     string  // error, info, debug; empty: as LOG_LEVEL says
-	DearLimit    float64 // how many times the cheapest price an array's room may cost
+	PriceLimit   float64 // how many times the cheapest price an array's room may cost
 	MaxVersion   float64 // the highest version of the behaviour that is switched to; 0: any
 	StretchShare float64 // share of a deadline's slack that work may be stretched over
 }
 
 // Default values; docs/design.md says how they were found.
 func Default() Values {
-	return Values{Preferred: 1, Fallback: 0.5, WaitRaiseS: 60, RoundS: 1, SpareUnits: 2, SpareGangs: 1, KeepBoots: 0.6, StretchShare: 0.6, DearLimit: 2.3}
+	return Values{Preferred: 1, Fallback: 0.5, WaitRaiseS: 60, RoundS: 1, SpareUnits: 2, SpareGangs: 1, IdleBoots: 0.6, StretchShare: 0.6, PriceLimit: 2.3}
 }
 
 // Field describes one setting.
@@ -52,9 +52,9 @@
 	{Name: "round.period_s", About: "longest time between rounds while jobs wait", Min: 0.2, Max: 30, number: func(v *Values) *float64 { return &v.RoundS }},
 	{Name: "services.spare_units", About: "room kept free for the next replicas of services, in replicas", Min: 0, Max: 1000, number: func(v *Values) *float64 { return &v.SpareUnits }},
 	{Name: "gangs.spare", About: "room kept free from arrays for the next gangs, in times the largest gang seen lately of each class", Min: 0, Max: 100, number: func(v *Values) *float64 { return &v.SpareGangs }},
-	{Name: "fleet.keep_boots", About: "how long a machine is kept with nothing to do, in boot times of its type", Min: 0, Max: 100, number: func(v *Values) *float64 { return &v.KeepBoots }},
+	{Name: "fleet.keep_boots", About: "how long a machine is kept with nothing to do, in boot times of its type", Min: 0, Max: 100, number: func(v *Values) *float64 { return &v.IdleBoots }},
 	{Name: "fleet.stretch_share", About: "share of a deadline's slack that an array's work may be stretched over", Min: 0.05, Max: 1, number: func(v *Values) *float64 { return &v.StretchShare }},
-	{Name: "fleet.dear_limit", About: "how many times the cheapest price the room for an array's task may cost", Min: 1, Max: 1000, number: func(v *Values) *float64 { return &v.DearLimit }},
+	{Name: "fleet.dear_limit", About: "how many times the cheapest price the room for an array's task may cost", Min: 1, Max: 1000, number: func(v *Values) *float64 { return &v.PriceLimit }},
 	{Name: "upgrade.max_version", About: "highest version of the behaviour that is switched to; 0: any that every controller understands", Min: 0, Max: 1e6, number: func(v *Values) *float64 { return &v.MaxVersion }},
 	{Name: "log.level", About: "log level of all nodes; empty: as LOG_LEVEL says", Choices: []string{"", "error", "info", "debug"}, text: func(v *Values) *string { return &v.LogLevel }},
 }
@@ -130,19 +130,19 @@
 	return applied, errors.Join(errs...)
 }
 
-// Box shares the current values between the actors of a node.
-type Box struct{ current atomic.Pointer[Values] }
+// Current shares the current values between the actors of a node.
+type Current struct{ current atomic.Pointer[Values] }
 
-// NewBox holds the default values.
-func NewBox() *Box {
-	b := &Box{}
+// NewCurrent holds the default values.
+func NewCurrent() *Current {
+	b := &Current{}
 	v := Default()
 	b.current.Store(&v)
 	return b
 }
 
 // Get is the current values.
-func (b *Box) Get() Values { return *b.current.Load() }
+func (b *Current) Get() Values { return *b.current.Load() }
 
 // Set replaces them.
-func (b *Box) Set(v Values) { b.current.Store(&v) }
+func (b *Current) Set(v Values) { b.current.Store(&v) }
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -11,7 +11,7 @@
 func TestApply(t *testing.T) {
 	set := map[string]any{"fleet.keep_boots": 2.0, "fleet.dear_limit": -1.0, "gangs.of_tomorrow": "yes", "log.level": "loud", "round.period_s": 2.0}
 	v, err := Apply(Default(), set, false)
-	if v.KeepBoots != 2 || v.RoundS != 2 || v.DearLimit != Default().DearLimit || v.LogLevel != "" {
+	if v.IdleBoots != 2 || v.RoundS != 2 || v.PriceLimit != Default().PriceLimit || v.LogLevel != "" {
 		t.Errorf("applied as %+v", v)
 	}
 	for _, field := range []string{"fleet.dear_limit", "log.level"} {
--- a/internal/wire/cbor.go
+++ b/internal/wire/cbor.go
@@ -72,8 +72,8 @@
 	return b, nil
 }
 
-// Reason is the body of every refusal.
-type Reason struct {
+// ErrorBody is the body of every refusal.
+type ErrorBody struct {
 	Error string `cbor:"error"`
 	Field string `cbor:"field,omitempty"`
 }
@@ -88,9 +88,9 @@
 	w.Write(b) //nolint:errcheck // the client has gone; nothing to do
 }
 
-// Refuse answers at once that the request can't be served now, and when to
+// RefuseRetryable answers at once that the request can't be served now, and when to
 // come back.
-func Refuse(w http.ResponseWriter, status int, reason string, retryAfterS int) {
+func RefuseRetryable(w http.ResponseWriter, status int, reason string, retryAfterS int) {
 	w.Header().Set("Retry-After", strconv.Itoa(retryAfterS))
-	Answer(w, status, Reason{Error: reason})
+	Answer(w, status, ErrorBody{Error: reason})
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -26,7 +26,7 @@
 
 // Fits tells whether one task of the job fits an empty machine of this type
 // that the job allows.
-func (f *MachineSpec) Fits(s *Spec) bool {
+func (f *MachineSpec) Fits(s *JobSpec) bool {
 	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, f.Name) {
 		return false
 	}
@@ -44,8 +44,8 @@
 	Types []MachineSpec `cbor:"kits"`
 }
 
-// RentalRequest asks for machines; a request repeated under its name rents nothing twice.
-type RentalRequest struct {
+// ScaleOutRequest asks for machines; a request repeated under its name rents nothing twice.
+type ScaleOutRequest struct {
 	Name  string      `cbor:"booking"`
 	Type  MachineType `cbor:"kit"`
 	Zone  Zone        `cbor:"site"`
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -27,16 +27,16 @@
 	MachineType string
 	// ImageID names an image.
 	ImageID string
-	// Token says who may command the workers; the higher one wins.
-	Token uint64
+	// FencingToken says who may command the workers; the higher one wins.
+	FencingToken uint64
 	// Revision counts the changes of the state service.
 	Revision uint64
 	// GrantID names a lease of the state service.
 	GrantID uint64
 	// Attempt numbers the starts of a task; it is never used twice.
 	Attempt uint64
-	// Session counts how often a worker's lease has ended, from 1.
-	Session uint64
+	// AgentEpoch counts how often a worker's lease has ended, from 1.
+	AgentEpoch uint64
 	// Sequence orders the messages of a worker within a session.
 	Sequence uint64
 	// Seconds is a duration as the protocol writes it.
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -51,8 +51,8 @@
 // Final tells whether the status never changes again.
 func (s Status) Final() bool { return s == Done || s == Cancelled }
 
-// Spec is what a user submitted, checked.
-type Spec struct {
+// JobSpec is what a user submitted, checked.
+type JobSpec struct {
 	ID                 JobID         `cbor:"nameId"`
 	Class              string        `cbor:"lane"`
 	Team               TeamID        `cbor:"owner"`
@@ -76,14 +76,14 @@
 }
 
 // Service tells whether the job's tasks run until it is cancelled.
-func (s *Spec) Service() bool { return s.Kind == KindService }
+func (s *JobSpec) Service() bool { return s.Kind == KindService }
 
 // Gang tells whether all of the job's tasks run at the same time or none does.
-func (s *Spec) Gang() bool { return s.Kind == KindGang }
+func (s *JobSpec) Gang() bool { return s.Kind == KindGang }
 
 // MinTogether is how many of the job's tasks must be able to run at the same time:
 // all of a service or a gang.
-func (s *Spec) MinTogether() int {
+func (s *JobSpec) MinTogether() int {
 	if s.Service() || s.Gang() {
 		return s.Tasks
 	}
@@ -91,7 +91,7 @@
 }
 
 // ZoneCap is how many of the job's tasks may be in one zone.
-func (s *Spec) ZoneCap() int {
+func (s *JobSpec) ZoneCap() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
 	}
@@ -124,15 +124,15 @@
 
 const maxText = 120
 
-// DecodeSpec reads and checks a submission. The error is a FieldError where
+// DecodeJobSpec reads and checks a submission. The error is a FieldError where
 // a field is to blame.
-func DecodeSpec(b []byte) (Spec, error) {
+func DecodeJobSpec(b []byte) (JobSpec, error) {
 	if !IsMap(b) {
-		return Spec{}, FieldError{"body", "not a CBOR map"}
+		return JobSpec{}, FieldError{"body", "not a CBOR map"}
 	}
 	var in submission
 	if err := Decode(b, &in); err != nil {
-		return Spec{}, FieldError{"body", "not decodable: " + err.Error()}
+		return JobSpec{}, FieldError{"body", "not decodable: " + err.Error()}
 	}
 	var bad error
 	fail := func(field, reason string) {
@@ -169,7 +169,7 @@
 		}
 		return *p
 	}
-	s := Spec{
+	s := JobSpec{
 		ID:                 JobID(text("nameId", in.ID)),
 		Class:              text("lane", in.Class),
 		Team:               TeamID(text("owner", in.Team)),
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -38,24 +38,24 @@
 	Saved   bool      `cbor:"saved,omitempty"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine    MachineID   `cbor:"host"`
-	Addr       string      `cbor:"addr"`
-	Type       MachineType `cbor:"kit"`
-	Zone       Zone        `cbor:"site"`
-	Spot       bool        `cbor:"standby"`
-	Session    Session     `cbor:"shift"`
-	Sequence   Sequence    `cbor:"tally"`
-	Token      Token       `cbor:"baton"`
-	SpotNotice *Seconds    `cbor:"warningS"`
-	Tasks      []TaskState `cbor:"parts"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine    MachineID    `cbor:"host"`
+	Addr       string       `cbor:"addr"`
+	Type       MachineType  `cbor:"kit"`
+	Zone       Zone         `cbor:"site"`
+	Spot       bool         `cbor:"standby"`
+	Epoch      AgentEpoch   `cbor:"shift"`
+	Sequence   Sequence     `cbor:"tally"`
+	Token      FencingToken `cbor:"baton"`
+	SpotNotice *Seconds     `cbor:"warningS"`
+	Tasks      []TaskState  `cbor:"parts"`
 }
 
 // Newer tells whether the report was made after the given session and sequence
 // number.
-func (r *Report) Newer(session Session, sequence Sequence) bool {
-	return r.Session > session || r.Session == session && r.Sequence > sequence
+func (r *Heartbeat) Newer(session AgentEpoch, sequence Sequence) bool {
+	return r.Epoch > session || r.Epoch == session && r.Sequence > sequence
 }
 
 // Verb of a command.
@@ -64,7 +64,7 @@
 // The verbs that workers know.
 const (
 	Launch Verb = "launch"
-	Halt   Verb = "halt"
+	Stop   Verb = "halt"
 	Forget Verb = "forget"
 )
 
@@ -78,9 +78,9 @@
 
 // Commands answers a report (no session) or goes straight to a worker.
 type Commands struct {
-	Token    Token     `cbor:"baton"`
-	Session  Session   `cbor:"shift,omitempty"`
-	Commands []Command `cbor:"orders"`
+	Token    FencingToken `cbor:"baton"`
+	Epoch    AgentEpoch   `cbor:"shift,omitempty"`
+	Commands []Command    `cbor:"orders"`
 }
 
 // Redirect sends a worker to the node that leads.
--- a/node.go
+++ b/node.go
@@ -69,8 +69,8 @@
 	mesh        *peer.Mesh
 	leader      *leader.Leader
 	intake      *intake.Intake
-	flavors     *leader.FlavorBox
-	tuning      *tuning.Box
+	flavors     *leader.MachineCatalog
+	tuning      *tuning.Current
 	admin       *admin.Admin
 	sockets     socketBudget
 	undecodable *undecodable.Log
@@ -100,21 +100,21 @@
 	if opt.Log == nil {
 		opt.Log = os.Stderr
 	}
-	n := &Node{cfg: cfg, net: opt.Net, features: opt.Features, level: &slog.LevelVar{}, flavors: &leader.FlavorBox{}, tuning: tuning.NewBox()}
+	n := &Node{cfg: cfg, net: opt.Net, features: opt.Features, level: &slog.LevelVar{}, flavors: &leader.MachineCatalog{}, tuning: tuning.NewCurrent()}
 	n.base = Level(os.Getenv("LOG_LEVEL"))
 	n.level.Set(n.base)
 	n.log = slog.New(slog.NewTextHandler(opt.Log, &slog.HandlerOptions{Level: n.level})).With("node", cfg.HostName)
 	settings := &cfg.Settings
 	n.store = store.New(cfg.Endpoints.State, settings.State.Least(), settings.Size, n.net)
 	n.cloud = cloud.New(cfg.Endpoints.Cloud, settings.Cloud, n.net)
-	cancelled := cancels.New(peerNames(cfg), settings.Workers.CancelS.Duration())
+	cancelled := cancels.New(peerNames(cfg), settings.Workers.CancelTimeout.Duration())
 	n.mesh = peer.New(cfg.HostName, cfg.Peers, n.status, cancelled, n.net, n.log)
 	n.sockets = splitSockets(settings.Limits, settings.Size)
 	metrics := admin.NewMetrics()
 	n.store.Observe = metrics.Call("state")
 	n.cloud.Observe = metrics.Call("cloud")
-	metrics.Budget("state requests", func() float64 { calls, _ := n.store.Left(); return calls })
-	metrics.Budget("state changes", func() float64 { _, writes := n.store.Left(); return writes })
+	metrics.Budget("state requests", func() float64 { calls, _ := n.store.Budget(); return calls })
+	metrics.Budget("state changes", func() float64 { _, writes := n.store.Budget(); return writes })
 	n.undecodable = undecodable.New(n.log)
 	if err := n.openHistory(metrics); err != nil {
 		return nil, err
@@ -122,12 +122,12 @@
 	if err := n.joinVersions(opt.Versions); err != nil {
 		return nil, err
 	}
-	n.leader = leader.New(leader.Deps{
+	n.leader = leader.New(leader.Dependencies{
 		Config: cfg, Net: n.net, Store: n.store, Cloud: n.cloud, Mesh: n.mesh, Cancels: cancelled,
-		Tuning: n.tuning, Flavors: n.flavors, Log: n.log, Metrics: metrics.Leader(), Undecodable: n.undecodable,
+		Tuning: n.tuning, Catalog: n.flavors, Log: n.log, Metrics: metrics.Leader(), Undecodable: n.undecodable,
 		RecordIntents: opt.Features.RecordIntents, Observe: n.recordDuty, Versions: n.versions,
 		Sockets: n.sockets.direct, Workers: n.sockets.workers(),
-		Needed: func(workers int) int { return socketsNeeded(workers, settings.Limits, settings.Size) },
+		RequiredFDs: func(workers int) int { return socketsNeeded(workers, settings.Limits, settings.Size) },
 	})
 	n.intake = intake.New(settings, n.store, cancelled, n.flavors.Get, n.log)
 	n.intake.Observe = metrics.Request
@@ -174,12 +174,12 @@
 
 // recordVersion records an event of package upgrade.
 func (n *Node) recordVersion(e upgrade.Event) {
-	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Token: uint64(e.Token), Version: uint64(e.Version), Why: e.Why})
+	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Token: uint64(e.Token), Version: uint64(e.Version), Why: e.Reason})
 }
 
 // recordDuty records an event of package duty.
 func (n *Node) recordDuty(e duty.Event) {
-	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Duty: string(e.Duty), Token: uint64(e.Token), Why: e.Why})
+	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Duty: string(e.Duty), Token: uint64(e.Token), Why: e.Reason})
 }
 
 // status is what the other nodes are told of this one.
@@ -193,7 +193,7 @@
 	}
 	if n.versions != nil {
 		s.Incarnation, s.ActiveVersion = n.versions.Incarnation(), uint64(n.versions.Active())
-		s.Refuses = n.versions.Understands() != nil
+		s.RefusesAcks = n.versions.Understands() != nil
 	}
 	return s
 }
@@ -253,11 +253,11 @@
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	front, err := n.net.Listen("tcp4", n.cfg.Front)
+	front, err := n.net.Listen("tcp4", n.cfg.UserAddr)
 	if err != nil {
 		return fmt.Errorf("front: %w", err)
 	}
-	peers, err := n.net.Listen("tcp4", n.cfg.PeerBind)
+	peers, err := n.net.Listen("tcp4", n.cfg.PeerAddr)
 	if err != nil {
 		front.Close()
 		return fmt.Errorf("peer_bind: %w", err)
@@ -270,7 +270,7 @@
 	errs := make(chan error, 2)
 	go func() { errs <- frontServer.Serve(bounded) }()
 	go func() { errs <- peerServer.Serve(peers) }()
-	n.log.Info("serves", "front", n.cfg.Front, "peers", n.cfg.PeerBind, "features", n.features)
+	n.log.Info("serves", "front", n.cfg.UserAddr, "peers", n.cfg.PeerAddr, "features", n.features)
 	select {
 	case err = <-errs:
 	case <-ctx.Done():
@@ -368,10 +368,10 @@
 func (n *Node) learnFlavors(ctx context.Context) {
 	for n.flavors.Get() == nil {
 		var stored wire.MachineSpecs
-		e, err := n.store.Get(ctx, store.Background, store.FlavorsKey)
+		e, err := n.store.Get(ctx, store.Background, store.MachineSpecsKey)
 		if err == nil {
 			if err = wire.Decode(e.Value, &stored); err != nil {
-				n.undecodable.Note(store.FlavorsKey, err)
+				n.undecodable.Note(store.MachineSpecsKey, err)
 				err = store.ErrMissing
 			}
 		}
@@ -380,7 +380,7 @@
 			return
 		}
 		if errors.Is(err, store.ErrMissing) {
-			if offered, err := n.cloud.Flavors(ctx); err == nil {
+			if offered, err := n.cloud.MachineSpecs(ctx); err == nil {
 				n.flavors.Set(offered)
 				return
 			}
--- a/routes.go
+++ b/routes.go
@@ -21,7 +21,7 @@
 	// What is not named here is a user's path, or none: the users' router answers that.
 	r := router()
 	r.NotFound = n.unlessRefused(n.mayServe, users)
-	r.POST(reportPath, n.unlessRefusedHandle(n.understands, n.leader.Report))
+	r.POST(reportPath, n.unlessRefusedHandle(n.understands, n.leader.ServeHeartbeat))
 	r.GET("/ready", n.ready)
 	return r
 }
@@ -47,7 +47,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := why(); err != nil {
 			w.Header().Set("Connection", "close")
-			wire.Refuse(w, http.StatusServiceUnavailable, err.Error(), 1)
+			wire.RefuseRetryable(w, http.StatusServiceUnavailable, err.Error(), 1)
 			return
 		}
 		h.ServeHTTP(w, r)
@@ -64,8 +64,8 @@
 func (n *Node) peerRoutes() http.Handler {
 	r := router()
 	r.Handler("POST", "/peer/beats", n.mesh)
-	r.POST("/peer/hello", n.unlessRefusedHandle(n.understands, n.leader.RelayReport))
-	r.POST("/peer/ask", n.unlessRefusedHandle(n.understands, n.leader.RelayProbe))
+	r.POST("/peer/hello", n.unlessRefusedHandle(n.understands, n.leader.ServeRelayedHeartbeat))
+	r.POST("/peer/ask", n.unlessRefusedHandle(n.understands, n.leader.ServeRelayedProbe))
 	n.admin.Routes(r)
 	return r
 }
@@ -75,10 +75,10 @@
 	r := httprouter.New()
 	r.RedirectTrailingSlash, r.RedirectFixedPath, r.HandleOPTIONS = false, false, false
 	r.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		wire.Answer(w, http.StatusNotFound, wire.Reason{Error: "no such path"})
+		wire.Answer(w, http.StatusNotFound, wire.ErrorBody{Error: "no such path"})
 	})
 	r.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		wire.Answer(w, http.StatusMethodNotAllowed, wire.Reason{Error: "method not allowed"})
+		wire.Answer(w, http.StatusMethodNotAllowed, wire.ErrorBody{Error: "method not allowed"})
 	})
 	return r
 }
@@ -88,7 +88,7 @@
 // stays ready and refuses fast.
 func (n *Node) ready(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if why := n.notReady(); why != "" {
-		wire.Refuse(w, http.StatusServiceUnavailable, why, 1)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, why, 1)
 		return
 	}
 	wire.Answer(w, http.StatusOK, struct {
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -148,7 +148,7 @@
 
 // step looks at the records once; false: it is to be tried again soon.
 func (m *Member) step(ctx context.Context) bool {
-	class := store.Vital
+	class := store.Critical
 	if m.state.Load().published {
 		class = store.Background
 	}
@@ -200,7 +200,7 @@
 // name. It fails if another version is active by then, or if somebody else publishes.
 func (m *Member) publish(ctx context.Context, r *records) bool {
 	record := SupportRecord{Min: m.Supports.Min, Max: m.Supports.Max, Incarnation: m.incarnation, At: wire.TimestampOf(m.Clock.Now())}
-	_, err := m.Store.Commit(ctx, store.Vital, duty.Txn{
+	_, err := m.Store.Commit(ctx, store.Critical, duty.Txn{
 		Guards: []duty.Guard{{Key: ActiveKey, Revision: r.activeAt}, {Key: SupportKey(m.Node), Revision: r.supports[m.Node].revision}},
 		Writes: []duty.Write{{Put: SupportKey(m.Node), Value: wire.Encode(record)}},
 	})
@@ -216,7 +216,7 @@
 // ownRecord tells whether this process has published. It did so while the version was
 // active that it had read: the write's guard says so.
 func (m *Member) ownRecord(ctx context.Context) bool {
-	e, err := m.Store.Get(ctx, store.Vital, SupportKey(m.Node))
+	e, err := m.Store.Get(ctx, store.Critical, SupportKey(m.Node))
 	var record SupportRecord
 	return err == nil && wire.Decode(e.Value, &record) == nil && record.Incarnation == m.incarnation
 }
@@ -228,5 +228,5 @@
 	}
 	m.warned = active
 	m.Log.Error("does not serve", "why", why, "active", active, "understands", m.Supports)
-	m.Observe(Event{At: m.Clock.Now(), Kind: Refused, Version: active, Why: why.Error()})
+	m.Observe(Event{At: m.Clock.Now(), Kind: Refused, Version: active, Reason: why.Error()})
 }
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -138,14 +138,14 @@
 		guards = append(guards, duty.Guard{Key: SupportKey(node), Revision: r.supports[node].revision})
 	}
 	record := ActiveRecord{Version: status.Next, By: m.Node, At: wire.TimestampOf(m.Clock.Now())}
-	revision, err := permit.Commit(ctx, store.Vital, duty.Txn{Guards: guards, Writes: []duty.Write{{Put: ActiveKey, Value: wire.Encode(record)}}})
+	revision, err := permit.Commit(ctx, store.Critical, duty.Txn{Guards: guards, Writes: []duty.Write{{Put: ActiveKey, Value: wire.Encode(record)}}})
 	if err != nil {
 		return status.Active, err
 	}
 	m.state.Store(&state{active: status.Next, activeAt: revision, published: true})
 	m.Learn(status.Next)
 	m.Log.Info("switches the active version", "from", status.Active, "to", status.Next)
-	m.Observe(Event{At: m.Clock.Now(), Kind: Switched, Version: status.Next, Token: permit.Token(), Why: fmt.Sprintf("from %d", status.Active)})
+	m.Observe(Event{At: m.Clock.Now(), Kind: Switched, Version: status.Next, Token: permit.Token(), Reason: fmt.Sprintf("from %d", status.Active)})
 	return status.Next, nil
 }
 
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -163,7 +163,7 @@
 
 // readActive reads the active version alone.
 func readActive(ctx context.Context, s Store) (ActiveRecord, duty.Revision, error) {
-	e, err := s.Get(ctx, store.Vital, ActiveKey)
+	e, err := s.Get(ctx, store.Critical, ActiveKey)
 	if errors.Is(err, duty.ErrMissing) {
 		return ActiveRecord{Version: Base}, 0, nil
 	}
@@ -192,6 +192,6 @@
 	At      time.Time
 	Kind    EventKind
 	Version Version
-	Token   duty.Token // of who switched
-	Why     string
+	Token   duty.FencingToken // of who switched
+	Reason  string
 }
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -92,8 +92,8 @@
 
 // lease is one that a process of its own holds.
 func (d *deployment) lease() *duty.Lease {
-	timing := duty.Timing{Life: 3 * time.Second, RenewEvery: 700 * time.Millisecond, RenewTimeout: time.Second, Poll: 100 * time.Millisecond, Margin: 150 * time.Millisecond}
-	l := duty.NewCandidate(duty.Options{Key: store.LeadKey, Node: "lead", Store: d.client(5), Timing: timing}).Campaign(d.ctx)
+	timing := duty.Timing{TTL: 3 * time.Second, RenewEvery: 700 * time.Millisecond, RenewTimeout: time.Second, Poll: 100 * time.Millisecond, Margin: 150 * time.Millisecond}
+	l := duty.NewCandidate(duty.Options{Key: store.LeaderKey, Node: "lead", Store: d.client(5), Timing: timing}).Campaign(d.ctx)
 	go l.Keep(d.ctx, func(time.Time) {}) //nolint:errcheck // the tests look at the lease
 	return l
 }
@@ -113,7 +113,7 @@
 
 // advance has a controller's process try to switch.
 func (d *deployment) advance(l *duty.Lease, by duty.NodeID, ceiling upgrade.Version) (upgrade.Version, error) {
-	permit, err := duty.For[duty.Cleanup](l)
+	permit, err := duty.PermitFor[duty.Cleanup](l)
 	if err != nil {
 		return 0, err
 	}
