--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -17,65 +17,65 @@
 	machine   *machine
 	decidedAt time.Time // when it was decided on
 
-	planned      bool // not yet stored; must not be sent
+	unstored     bool // not yet stored; must not be sent
 	inherited    bool // stored by an earlier leader, who may have sent it
-	reported     bool // was in a report in this term
+	observed     bool // was in a report in this term
 	phase        wire.TaskPhase
 	runningSince time.Time // first seen running
-	fetchedAt    time.Time // when it was first seen past its fetch
+	imageReadyAt time.Time // when it was first seen past its fetch
 
 	// What of ours may still deliver its launch.
-	sent             bool
-	sentSession      wire.AgentEpoch
-	launchInFlight   bool
-	launchUnanswered bool // a direct launch was never answered
-	unansweredToken  wire.FencingToken
-	answerSession    wire.AgentEpoch
-	answerSequence   wire.Sequence
+	launchSent            bool
+	launchEpoch           wire.AgentEpoch
+	launchInFlight        bool
+	launchUnanswered      bool // a direct launch was never answered
+	unansweredLaunchToken wire.FencingToken
+	replyEpoch            wire.AgentEpoch
+	replySequence         wire.Sequence
 
-	halting     bool
-	haltAt      time.Time // since when
-	gracePeriod wire.Seconds
-	haltSent    time.Time
-	haltReason  moveCause
+	stopping        bool
+	stopRequestedAt time.Time // since when
+	gracePeriod     wire.Seconds
+	stopSentAt      time.Time
+	stopReason      EvictionReason
 }
 
 func (a *attempt) task() wire.Task {
-	return wire.Task{Job: a.job.spec.ID, Index: a.chunk.index*a.job.chunkTasks + a.index}
+	return wire.Task{Job: a.job.spec.ID, Index: a.chunk.index*a.job.tasksPerChunk + a.index}
 }
 
-// canStart tells whether a launch of the attempt may still take effect on
+// launchMayTakeEffect tells whether a launch of the attempt may still take effect on
 // the worker after it made this report.
-func (t *term) canStart(a *attempt, rep *wire.Heartbeat, viaHello bool) bool {
+func (t *term) launchMayTakeEffect(a *attempt, rep *wire.Heartbeat, viaHello bool) bool {
 	switch {
-	case a.planned:
+	case a.unstored:
 		return false
 	case a.inherited && rep.Token < t.firstToken:
 		// An earlier leader's launch dies only by a higher token.
 		return true
-	case a.launchInFlight && rep.Epoch <= a.sentSession:
+	case a.launchInFlight && rep.Epoch <= a.launchEpoch:
 		return true
-	case a.launchUnanswered && rep.Token <= a.unansweredToken && rep.Epoch <= a.sentSession:
+	case a.launchUnanswered && rep.Token <= a.unansweredLaunchToken && rep.Epoch <= a.launchEpoch:
 		// Held up on its way, it may come minutes late.
 		return true
-	case a.answerSequence > 0 && a.answerSession == rep.Epoch && !(viaHello && rep.Sequence > a.answerSequence):
+	case a.replySequence > 0 && a.replyEpoch == rep.Epoch && !(viaHello && rep.Sequence > a.replySequence):
 		// The worker has not yet done with the answer that carried it.
 		return true
 	}
 	return false
 }
 
-// drop ends an attempt: nothing of it is on its machine, nor can get there.
-func (t *term) drop(a *attempt, state uint8) {
+// endAttempt ends an attempt: nothing of it is on its machine, nor can get there.
+func (t *term) endAttempt(a *attempt, state uint8) {
 	c := a.chunk
 	if c.attempts[a.index] != a {
 		return
 	}
-	a.release()
-	if a.planned {
-		a.planned = false
-		c.unstored--
-		a.job.unstored--
+	a.detach()
+	if a.unstored {
+		a.unstored = false
+		c.unstoredAttempts--
+		a.job.unstoredAttempts--
 	}
 	c.taskStates[a.index] = state
 	if state == taskPending {
@@ -83,62 +83,62 @@
 	}
 	t.writer.markPending(c)
 	if state == taskPending && a.job.spec.Gang() {
-		t.incompleteGangs[a.job] = struct{}{}
+		t.brokenGangs[a.job] = struct{}{}
 	}
 	if state == taskDone {
-		a.job.done++
+		a.job.doneTasks++
 	}
-	a.machine.usedAt = time.Now()
-	a.job.lastHeldAt = a.machine.usedAt
-	t.checkFinished(a.job)
-	t.requestRound()
+	a.machine.lastUsedAt = time.Now()
+	a.job.lastActiveAt = a.machine.lastUsedAt
+	t.markIfFinished(a.job)
+	t.requestCycle()
 }
 
-// halt wants the attempt stopped, and with a gang's task all of the gang.
-func (t *term) halt(a *attempt, grace wire.Seconds, why moveCause) {
+// stop wants the attempt stopped, and with a gang's task all of the gang.
+func (t *term) stop(a *attempt, grace wire.Seconds, why EvictionReason) {
 	if a.job.gang != nil {
-		t.haltGang(a.job, grace, why)
+		t.stopGang(a.job, grace, why)
 		return
 	}
-	t.haltOne(a, grace, why)
+	t.stopAttempt(a, grace, why)
 }
 
-func (t *term) haltOne(a *attempt, grace wire.Seconds, why moveCause) {
-	if a.planned {
-		if !a.chunk.beingWritten {
-			t.drop(a, taskPending)
+func (t *term) stopAttempt(a *attempt, grace wire.Seconds, why EvictionReason) {
+	if a.unstored {
+		if !a.chunk.writeInFlight {
+			t.endAttempt(a, taskPending)
 		} else {
-			a.halting, a.gracePeriod, a.haltReason = true, grace, why
+			a.stopping, a.gracePeriod, a.stopReason = true, grace, why
 		}
 		return
 	}
-	if a.halting && a.gracePeriod <= grace {
+	if a.stopping && a.gracePeriod <= grace {
 		return
 	}
-	if !a.halting {
-		a.haltAt = time.Now()
+	if !a.stopping {
+		a.stopRequestedAt = time.Now()
 	}
-	a.halting, a.gracePeriod, a.haltReason, a.haltSent = true, grace, why, time.Time{}
-	if why != moveCancelled {
+	a.stopping, a.gracePeriod, a.stopReason, a.stopSentAt = true, grace, why, time.Time{}
+	if why != EvictedCancelled {
 		t.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
-		t.l.Metrics.TaskMoved(string(why))
+		t.leader.Metrics.TaskMoved(string(why))
 	}
 	t.dispatch(a.machine)
 }
 
-// res of the attempt.
-func (a *attempt) res() placement.Resources { return placement.ResourcesOf(&a.job.spec) }
+// resources of the attempt.
+func (a *attempt) resources() placement.Resources { return placement.ResourcesOf(&a.job.spec) }
 
-// release takes an attempt off its chunk and machine.
-func (a *attempt) release() {
+// detach takes an attempt off its chunk and machine.
+func (a *attempt) detach() {
 	delete(a.chunk.attempts, a.index)
-	a.job.held--
+	a.job.activeTasks--
 	if a.machine.tasks[a.task()] != a {
 		return
 	}
 	delete(a.machine.tasks, a.task())
-	a.machine.used = a.machine.used.Minus(a.res())
+	a.machine.usedResources = a.machine.usedResources.Minus(a.resources())
 	if len(a.machine.tasks) == 0 {
-		a.machine.used = placement.Resources{} // sums of decimals drift
+		a.machine.usedResources = placement.Resources{} // sums of decimals drift
 	}
 }
--- a/internal/leader/batch.go
+++ b/internal/leader/batch.go
@@ -96,7 +96,7 @@
 // guards on chunks that are gone would fail for ever.
 func (b *batch) archive(j *job) {
 	for _, c := range j.chunks {
-		if c != nil && c.beingWritten {
+		if c != nil && c.writeInFlight {
 			return
 		}
 	}
@@ -104,12 +104,12 @@
 		return
 	}
 	id := j.spec.ID
-	final := store.FinalRecord{Status: j.finalStatus(), Done: j.done}
+	final := store.FinalRecord{Status: j.finalStatus(), Done: j.doneTasks}
 	b.guard(store.JobKey(id), j.revision)
 	b.guard(store.FinalKey(id), 0)
 	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: store.JobKey(id)},
 		wire.Write{Put: store.FinalKey(id), Value: wire.Encode(final)})
-	for _, g := range j.stored() {
+	for _, g := range j.storedGuards() {
 		if b.full(1, 0) {
 			b.dropAfter = append(b.dropAfter, g)
 			continue
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -7,29 +7,29 @@
 	"lilaclead/internal/wire"
 )
 
-// haltCancelled stops what is left of a cancelled job. For a job that is read
+// stopCancelledJob stops what is left of a cancelled job. For a job that is read
 // during recovery this comes only once its attempts have been read too: before, it
 // looks as if nothing of it were left.
-func (t *term) haltCancelled(j *job) {
-	t.log().Info("cancels", "job", j.spec.ID, "held", j.held)
+func (t *term) stopCancelledJob(j *job) {
+	t.log().Info("cancels", "job", j.spec.ID, "held", j.activeTasks)
 	t.cancelledJobs[j] = struct{}{}
 	for _, a := range j.attempts() {
-		t.haltOne(a, 0, moveCancelled)
+		t.stopAttempt(a, 0, EvictedCancelled)
 	}
-	t.checkFinished(j)
+	t.markIfFinished(j)
 }
 
-// UnprovenCancelSince is since when there are cancellations of which a launch may still be
+// UnconfirmedCancelSince is since when there are cancellations of which a launch may still be
 // on its way unseen: nobody can halt that by what a report shows. Zero: none.
-func (l *Leader) UnprovenCancelSince() time.Time {
+func (l *Leader) UnconfirmedCancelSince() time.Time {
 	if t := l.term.Load(); t != nil {
-		return t.unprovenCancel()
+		return t.unconfirmedCancel()
 	}
 	return time.Time{}
 }
 
-func (t *term) unprovenCancel() time.Time {
-	if at := t.unprovenCancelSince.Load(); at != nil {
+func (t *term) unconfirmedCancel() time.Time {
+	if at := t.unconfirmedCancelSince.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
@@ -39,40 +39,40 @@
 // record itself is read when the state service is there.
 func (t *term) applyCancellations() {
 	var ids []wire.JobID
-	ids, t.cancelCursor = t.l.Cancels.Since(t.cancelCursor)
+	ids, t.cancellationCursor = t.leader.Cancels.Since(t.cancellationCursor)
 	for _, id := range ids {
 		j := t.jobs[id]
 		if j == nil || j.cancelled {
 			continue
 		}
-		j.cancelled, j.stale = true, true
-		j.cancelledAt, _ = t.l.Cancels.ConfirmedAt(id)
+		j.cancelled, j.recordOutdated = true, true
+		j.cancelledAt, _ = t.leader.Cancels.ConfirmedAt(id)
 		t.log().Info("hears of a cancellation", "job", id, "deciding", t.lease.Deciding())
 		if t.recovered {
-			t.haltCancelled(j)
+			t.stopCancelledJob(j)
 		}
 	}
-	t.findUnprovenCancels()
+	t.findUnconfirmedCancels()
 }
 
-// findUnprovenCancels finds the cancelled jobs of which a launch may be on its way.
-func (t *term) findUnprovenCancels() {
+// findUnconfirmedCancels finds the cancelled jobs of which a launch may be on its way.
+func (t *term) findUnconfirmedCancels() {
 	var first time.Time
 	for j := range t.cancelledJobs {
-		if j.held == 0 {
+		if j.activeTasks == 0 {
 			delete(t.cancelledJobs, j)
 			continue
 		}
 		if first.IsZero() || j.cancelledAt.Before(first) {
 			for _, a := range j.attempts() {
-				if !a.planned && (!a.reported || a.launchUnanswered || a.launchInFlight) {
+				if !a.unstored && (!a.observed || a.launchUnanswered || a.launchInFlight) {
 					first = j.cancelledAt
 					break
 				}
 			}
 		}
 	}
-	t.unprovenCancelSince.Store(&first)
+	t.unconfirmedCancelSince.Store(&first)
 }
 
 // renewalWithheld tells whether a machine's lease must not be renewed any more: a
@@ -81,7 +81,7 @@
 // can keep from starting too late.
 func (t *term) renewalWithheld(m *machine, rep *wire.Heartbeat, now time.Time) bool {
 	for task, a := range m.tasks {
-		if !a.job.cancelled || a.planned || now.Sub(a.job.cancelledAt) < t.l.delegation.MaxCancelAge || !a.launchInFlight && !(a.launchUnanswered && t.token <= a.unansweredToken) {
+		if !a.job.cancelled || a.unstored || now.Sub(a.job.cancelledAt) < t.leader.delegation.MaxCancelAge || !a.launchInFlight && !(a.launchUnanswered && t.token <= a.unansweredLaunchToken) {
 			continue
 		}
 		name := task.String()
--- a/internal/leader/chunk.go
+++ b/internal/leader/chunk.go
@@ -9,27 +9,27 @@
 )
 
 type chunk struct {
-	job          *job
-	index        int
-	revision     wire.Revision
-	nextAttempt  wire.Attempt
-	taskStates   []uint8
-	firstPending int       // no earlier task is pending
-	unstored     int       // attempts held that are not yet stored
-	changedAt    time.Time // when it came to differ from what is stored
-	attempts     map[int]*attempt
-	changed      bool // differs from what is stored or being stored
-	beingWritten bool // being written
-	// writeAfter: it is not written before, as it was refused by itself.
-	writeAfter time.Time
+	job              *job
+	index            int
+	revision         wire.Revision
+	nextAttempt      wire.Attempt
+	taskStates       []uint8
+	firstPending     int       // no earlier task is pending
+	unstoredAttempts int       // attempts held that are not yet stored
+	dirtySince       time.Time // when it came to differ from what is stored
+	attempts         map[int]*attempt
+	dirty            bool // differs from what is stored or being stored
+	writeInFlight    bool // being written
+	// writeNotBefore: it is not written before, as it was refused by itself.
+	writeNotBefore time.Time
 }
 
-func (c *chunk) hold(a *attempt) {
-	c.taskStates[a.index] = taskHeld
+func (c *chunk) add(a *attempt) {
+	c.taskStates[a.index] = taskActive
 	c.attempts[a.index] = a
-	c.job.held++
+	c.job.activeTasks++
 	a.machine.tasks[a.task()] = a
-	a.machine.used = a.machine.used.Plus(a.res())
+	a.machine.usedResources = a.machine.usedResources.Plus(a.resources())
 }
 
 // record is the chunk as it is stored.
@@ -39,8 +39,8 @@
 		done[i] = s == taskDone
 	}
 	rec := store.ChunkRecord{NextAttempt: c.nextAttempt, Done: store.PackRanges(done), Active: []store.ActiveAttempt{}}
-	if c.job.subChunks > 0 {
-		rec.SubchunkTasks = c.job.chunkTasks
+	if c.job.subchunksPerChunk > 0 {
+		rec.SubchunkTasks = c.job.tasksPerChunk
 	}
 	for i, a := range c.attempts {
 		rec.Active = append(rec.Active, store.ActiveAttempt{Task: i, Attempt: a.number, Machine: a.machine.id})
@@ -49,14 +49,14 @@
 	return rec
 }
 
-// clear forgets all that is known of the chunk's tasks.
-func (c *chunk) clear() {
+// reset forgets all that is known of the chunk's tasks.
+func (c *chunk) reset() {
 	for _, a := range c.attempts {
-		a.release()
+		a.detach()
 	}
 	for i, state := range c.taskStates {
 		if state == taskDone {
-			c.job.done--
+			c.job.doneTasks--
 		}
 		c.taskStates[i] = taskPending
 	}
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -15,14 +15,14 @@
 // commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
 func (t *term) commandsFor(m *machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
-	out := t.haltCommands(m, []wire.Command{}, now)
+	out := t.stopCommands(m, []wire.Command{}, now)
 	for task, a := range m.tasks {
 		if len(out) >= maxCommands {
 			return out
 		}
-		if !a.halting && !a.planned && !a.reported && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.Works() && a.mayLaunch() {
+		if !a.stopping && !a.unstored && !a.observed && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.Works() && a.mayLaunch() {
 			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
-			a.sent, a.sentSession, a.answerSession, a.answerSequence = true, rep.Epoch, rep.Epoch, rep.Sequence
+			a.launchSent, a.launchEpoch, a.replyEpoch, a.replySequence = true, rep.Epoch, rep.Epoch, rep.Sequence
 		}
 	}
 	for i := range rep.Tasks {
@@ -38,7 +38,7 @@
 			continue
 		}
 		switch {
-		case t.isAside(task.Job): // it may be one of those that can't be read
+		case t.quarantined(task.Job): // it may be one of those that can't be read
 		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Stop, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
@@ -49,16 +49,16 @@
 	return out
 }
 
-// haltCommands adds the halts of a machine's tasks that are to stop. These may be
+// stopCommands adds the halts of a machine's tasks that are to stop. These may be
 // sent without the state service too: a halt starts nothing.
-func (t *term) haltCommands(m *machine, out []wire.Command, now time.Time) []wire.Command {
+func (t *term) stopCommands(m *machine, out []wire.Command, now time.Time) []wire.Command {
 	for task, a := range m.tasks {
 		if len(out) >= maxCommands {
 			break
 		}
-		if a.halting && !a.planned {
-			out = append(out, haltCommand(task, a))
-			a.haltSent = now
+		if a.stopping && !a.unstored {
+			out = append(out, stopCommand(task, a))
+			a.stopSentAt = now
 		}
 	}
 	return out
@@ -68,8 +68,8 @@
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
 func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Heartbeat) bool {
-	if m.mayStillLaunch(rep) {
-		t.raiseWanted = true // a new token ends what may still be on its way
+	if m.launchMayArrive(rep) {
+		t.tokenRaiseRequested = true // a new token ends what may still be on its way
 		return false
 	}
 	if m.commandInFlight || rep.Token < t.firstToken {
@@ -82,15 +82,15 @@
 	if j.finished || j.archiving {
 		return false
 	}
-	n := task.Index / j.chunkTasks
+	n := task.Index / j.tasksPerChunk
 	if n >= len(j.chunks) {
 		return true
 	}
 	c := j.chunks[n]
-	return c == nil || !c.changed && !c.beingWritten
+	return c == nil || !c.dirty && !c.writeInFlight
 }
 
-func haltCommand(task wire.Task, a *attempt) wire.Command {
+func stopCommand(task wire.Task, a *attempt) wire.Command {
 	w := a.gracePeriod
 	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: a.number, GracePeriod: &w}
 }
@@ -99,23 +99,23 @@
 func (t *term) dispatch(m *machine) {
 	// Without the state service what is to stop is still halted.
 	withoutState := !t.lease.Deciding()
-	if m.commandInFlight || m.addr == "" || m.upAt.IsZero() || m.releasing || withoutState && !t.lease.Answering() {
+	if m.commandInFlight || m.addr == "" || m.firstHeartbeatAt.IsZero() || m.scalingIn || withoutState && !t.lease.Answering() {
 		return
 	}
 	now := time.Now()
-	cmd := wire.Commands{Token: t.token, Epoch: m.session}
+	cmd := wire.Commands{Token: t.token, Epoch: m.epoch}
 	var launched []*attempt
 	for task, a := range m.tasks {
 		switch {
-		case a.planned || len(cmd.Commands) >= maxCommands:
-		case a.halting:
-			if now.Sub(a.haltSent) > 1500*time.Millisecond {
-				cmd.Commands = append(cmd.Commands, haltCommand(task, a))
-				a.haltSent = now
+		case a.unstored || len(cmd.Commands) >= maxCommands:
+		case a.stopping:
+			if now.Sub(a.stopSentAt) > 1500*time.Millisecond {
+				cmd.Commands = append(cmd.Commands, stopCommand(task, a))
+				a.stopSentAt = now
 			}
-		case !withoutState && a.mayLaunch() && !a.sent && !a.inherited && !a.reported && m.drainReason == "" && !a.job.cancelled:
+		case !withoutState && a.mayLaunch() && !a.launchSent && !a.inherited && !a.observed && m.drainReason == "" && !a.job.cancelled:
 			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
-			a.sent, a.sentSession, a.launchInFlight = true, m.session, true
+			a.launchSent, a.launchEpoch, a.launchInFlight = true, m.epoch, true
 			launched = append(launched, a)
 		}
 	}
@@ -127,20 +127,20 @@
 // sendCommands sends a direct command and takes in its answer.
 func (t *term) sendCommands(m *machine, cmd wire.Commands, launched []*attempt) {
 	m.commandInFlight = true
-	addr, asked := m.addr, position{m.session, m.sequence}
+	addr, asked := m.addr, heartbeatPosition{m.epoch, m.sequence}
 	go func() {
-		rep, status, err := t.l.post(t.ctx, addr, cmd, commandTimeout)
+		rep, status, err := t.leader.sendCommands(t.ctx, addr, cmd, commandTimeout)
 		t.post(func() { t.onCommandAnswer(m, asked, cmd, launched, rep, status, err) })
 	}()
 }
 
-// position of a report among all of a machine's.
-type position struct {
-	session  wire.AgentEpoch
+// heartbeatPosition of a report among all of a machine's.
+type heartbeatPosition struct {
+	epoch    wire.AgentEpoch
 	sequence wire.Sequence
 }
 
-func (t *term) onCommandAnswer(m *machine, asked position, cmd wire.Commands, launched []*attempt, rep *wire.Heartbeat, status int, err error) {
+func (t *term) onCommandAnswer(m *machine, asked heartbeatPosition, cmd wire.Commands, launched []*attempt, rep *wire.Heartbeat, status int, err error) {
 	m.commandInFlight = false
 	now := time.Now()
 	for _, a := range launched {
@@ -148,36 +148,36 @@
 	}
 	switch {
 	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
-		t.l.Metrics.Command("ok")
+		t.leader.Metrics.Command("ok")
 		t.inboundWorks(m)
-		m.seenAt = now
-		if !rep.Newer(asked.session, asked.sequence) && !m.restarted {
+		m.lastMessageAt = now
+		if !rep.Newer(asked.epoch, asked.sequence) && !m.restarted {
 			// Made after we asked, and yet not newer than what we had then.
 			t.onRestart(m, rep, now)
 			break
 		}
-		t.apply(m, rep, false, now)
+		t.reconcile(m, rep, false, now)
 	case err != nil && wire.NotSent(err):
-		t.l.Metrics.Command("not sent")
+		t.leader.Metrics.Command("not sent")
 		m.unansweredProbes++
-		m.reportsMissingSince = time.Time{} // silent, which is looked after otherwise
+		m.heartbeatsMissingSince = time.Time{} // silent, which is looked after otherwise
 		m.inbound.Unanswered()
 		for _, a := range launched {
-			if !a.reported {
-				a.sent = false // certainly never left; the next report's answer carries it
+			if !a.observed {
+				a.launchSent = false // certainly never left; the next report's answer carries it
 			}
 		}
 	default:
-		t.l.Metrics.Command("lost")
+		t.leader.Metrics.Command("lost")
 		m.unansweredProbes++
-		m.reportsMissingSince = time.Time{}
+		m.heartbeatsMissingSince = time.Time{}
 		m.inbound.Unanswered()
 		t.log().Debug("command not answered", "machine", m.id, "commands", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
-			a.launchUnanswered, a.unansweredToken = true, cmd.Token
+			a.launchUnanswered, a.unansweredLaunchToken = true, cmd.Token
 		}
 		if len(launched) > 0 {
-			m.unansweredLaunch = unansweredCommand{max(m.unansweredLaunch.token, cmd.Token), max(m.unansweredLaunch.session, cmd.Epoch)}
+			m.unansweredLaunch = unansweredCommand{max(m.unansweredLaunch.token, cmd.Token), max(m.unansweredLaunch.epoch, cmd.Epoch)}
 		}
 	}
 	if m.unansweredProbes == 0 {
@@ -193,8 +193,8 @@
 	probeTimeout = 1200 * time.Millisecond
 )
 
-// post sends a command to a worker.
-func (l *Leader) post(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Heartbeat, int, error) {
+// sendCommands sends a command to a worker.
+func (l *Leader) sendCommands(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Heartbeat, int, error) {
 	if cmd.Commands == nil {
 		cmd.Commands = []wire.Command{}
 	}
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -19,10 +19,10 @@
 // while after it this node may be its own delegate, once it leads no more.
 func (t *term) leaseRenewed(sent time.Time) {
 	if token := wire.FencingToken(t.delegationToken.Load()); token > 0 {
-		if at := t.unprovenCancel(); !at.IsZero() && at.Before(sent) {
+		if at := t.unconfirmedCancel(); !at.IsZero() && at.Before(sent) {
 			sent = at
 		}
-		t.l.delegate.GrantSelf(token, sent)
+		t.leader.delegate.GrantSelf(token, sent)
 	}
 }
 
@@ -30,24 +30,24 @@
 // worker as a leader's delegate, or can have.
 func (t *term) anyDelegateAnswersUntil(now time.Time) time.Time {
 	var at time.Time
-	if t.l.delegation.Time == 0 {
+	if t.leader.delegation.Time == 0 {
 		return at
 	}
-	tenure := delegation.Tenure{Began: t.startedAt, FirstToken: t.firstToken, StateBack: t.stateBackAt}
-	v := t.l.Mesh.View()
-	for _, o := range t.l.Config.Peers {
-		at = latest(at, t.l.delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
+	tenure := delegation.Tenure{Began: t.startedAt, FirstToken: t.firstToken, StateBack: t.storeAvailableSince}
+	v := t.leader.Mesh.View()
+	for _, o := range t.leader.Config.Peers {
+		at = latest(at, t.leader.delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
 	}
 	return at
 }
 
-// zoneSilentSince is since when no node in a zone is heard, zero if none ever was: a
+// zoneControllersLastContact is since when no node in a zone is heard, zero if none ever was: a
 // guess at when those there were cut off, whoever led then. Nothing that has to
 // be sure rests on it.
-func (t *term) zoneSilentSince(zone wire.Zone) time.Time {
+func (t *term) zoneControllersLastContact(zone wire.Zone) time.Time {
 	var at time.Time
-	v := t.l.Mesh.View()
-	for _, o := range t.l.Config.Peers {
+	v := t.leader.Mesh.View()
+	for _, o := range t.leader.Config.Peers {
 		if o.Zone == zone {
 			at = latest(at, v.Peers[o.HostName].LastContact)
 		}
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -50,7 +50,7 @@
 func (t *term) waitingJobs() []*job {
 	jobs := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
-		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !t.isAside(j.spec.ID) {
+		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !t.quarantined(j.spec.ID) {
 			jobs = append(jobs, j)
 		}
 	}
@@ -64,7 +64,7 @@
 func (t *term) usedByTeam() map[wire.TeamID]placement.Resources {
 	used := map[wire.TeamID]placement.Resources{}
 	for _, j := range t.jobs {
-		used[j.spec.Team] = used[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.held)))
+		used[j.spec.Team] = used[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.activeTasks)))
 	}
 	return used
 }
@@ -80,10 +80,10 @@
 	gang := j.spec.Gang()
 	units := j.pending()
 	switch {
-	case gang && j.held > 0:
+	case gang && j.activeTasks > 0:
 		return 0 // what is left of its last attempt goes first
 	case !j.spec.Service() && !gang:
-		units = demand.ParallelTasks(units, t.work(j, now), t.settings.Objectives, stretch)
+		units = demand.ParallelTasks(units, t.demandWork(j, now), t.settings.Objectives, stretch)
 	}
 	left := placement.Resources{CPUs: unlimited, GPUs: unlimited, MemoryGB: unlimited}
 	if team.CPUsMax > 0 {
@@ -101,7 +101,7 @@
 
 // appendDemand adds the demand of a job for so many of its tasks.
 func (t *term) appendDemand(out []fleet.Demand, j *job, units int, waitS float64, zones []wire.Zone, now time.Time, stretch float64) []fleet.Demand {
-	d := fleet.Demand{Spec: &j.spec, Units: units, AllOrNothing: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slack(j, now) * stretch}
+	d := fleet.Demand{Spec: &j.spec, Units: units, AllOrNothing: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slackSeconds(j, now) * stretch}
 	switch {
 	case j.spec.Service():
 		d.Rank += serviceRank
@@ -117,18 +117,18 @@
 	}
 	d.PriceStretch = max(d.PriceStretch, t.priceStretch(j, waitS, now))
 	if j.spec.Spread || j.spec.SameZone {
-		d.ZoneLeft = j.zoneLeft(zones)
+		d.ZoneLeft = j.zoneCapacityLeft(zones)
 	}
 	return append(out, d)
 }
 
-// zoneLeft is how many more tasks of a job that is bound to zones each may take.
-func (j *job) zoneLeft(zones []wire.Zone) map[wire.Zone]int {
+// zoneCapacityLeft is how many more tasks of a job that is bound to zones each may take.
+func (j *job) zoneCapacityLeft(zones []wire.Zone) map[wire.Zone]int {
 	left := map[wire.Zone]int{}
-	held := j.zones()
+	held := j.activeByZone()
 	for _, z := range zones {
 		left[z] = max(0, j.spec.ZoneCap()-held[z])
-		if j.spec.SameZone && j.held > 0 && held[z] == 0 {
+		if j.spec.SameZone && j.activeTasks > 0 && held[z] == 0 {
 			left[z] = 0
 		}
 	}
@@ -167,21 +167,21 @@
 	return out
 }
 
-// work is what the rules of package demand need to know of a job.
-func (t *term) work(j *job, now time.Time) demand.Work {
-	return demand.Work{Class: j.spec.Class, DeadlineS: float64(j.spec.Deadline), AgeS: now.Sub(j.acceptedAt).Seconds(), ExpectedS: j.expected()}
+// demandWork is what the rules of package demand need to know of a job.
+func (t *term) demandWork(j *job, now time.Time) demand.Work {
+	return demand.Work{Class: j.spec.Class, DeadlineS: float64(j.spec.Deadline), AgeS: now.Sub(j.acceptedAt).Seconds(), ExpectedS: j.expectedSeconds()}
 }
 
-// slack is for how many seconds the job's waiting tasks may still wait.
-func (t *term) slack(j *job, now time.Time) float64 {
-	return demand.SlackS(t.work(j, now), t.settings.Objectives)
+// slackSeconds is for how many seconds the job's waiting tasks may still wait.
+func (t *term) slackSeconds(j *job, now time.Time) float64 {
+	return demand.SlackS(t.demandWork(j, now), t.settings.Objectives)
 }
 
 // predictWaits predicts how many seconds each waiting array and gang will wait for
 // the room there is, and notes the backlog.
 func (t *term) predictWaits(jobs []*job, now time.Time) map[wire.JobID]float64 {
 	guaranteed := t.guaranteed()
-	raise := max(1, t.l.Tuning.Get().WaitRaiseS)
+	raise := max(1, t.leader.Tuning.Get().WaitRaiseS)
 	queue := make([]demand.Queued, 0, len(jobs))
 	for _, j := range jobs {
 		if j.spec.Service() {
@@ -189,8 +189,8 @@
 		}
 		queue = append(queue, demand.Queued{
 			ID:     j.spec.ID,
-			Weight: t.weight(j, guaranteed[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise),
-			WorkS:  float64(j.pending()) * j.spec.CPUs * max(1, j.expected()),
+			Weight: t.utilityWeight(j, guaranteed[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise),
+			WorkS:  float64(j.pending()) * j.spec.CPUs * max(1, j.expectedSeconds()),
 		})
 	}
 	waits, backlogS := demand.WaitsS(queue, t.batchProcessors())
@@ -202,8 +202,8 @@
 func (t *term) batchProcessors() float64 {
 	processors := 0.0
 	for _, m := range t.machines {
-		if !m.releasing && m.drainReason == "" {
-			processors += t.total(m).CPUs
+		if !m.scalingIn && m.drainReason == "" {
+			processors += t.totalResources(m).CPUs
 		}
 	}
 	for _, b := range t.scaling.PendingScaleOuts() {
@@ -225,14 +225,14 @@
 	if j.spec.Service() {
 		return 1
 	}
-	return demand.PriceStretch(t.work(j, now), t.settings.Objectives, waitS, t.bootS(&j.spec))
+	return demand.PriceStretch(t.demandWork(j, now), t.settings.Objectives, waitS, t.bootSeconds(&j.spec))
 }
 
-// bootS is after how many seconds a machine that is rented now can run a task of
+// bootSeconds is after how many seconds a machine that is rented now can run a task of
 // the job at the earliest; infinite if no type fits it.
-func (t *term) bootS(spec *wire.JobSpec) float64 {
+func (t *term) bootSeconds(spec *wire.JobSpec) float64 {
 	boot := math.Inf(1)
-	for _, f := range t.l.Catalog.Get() {
+	for _, f := range t.leader.Catalog.Get() {
 		if f.Fits(spec) && f.FetchGBPerS > 0 {
 			boot = min(boot, float64(f.BootTime)+spec.ImageGB/f.FetchGBPerS)
 		}
@@ -250,5 +250,5 @@
 // which nothing has run for as long: when the cheap machines that it was on had
 // been taken and there were no more of them, the rest of it was never run.
 func (t *term) startOverdue(j *job, now time.Time) bool {
-	return !j.spec.Service() && j.held == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.done == 0 || now.Sub(latest(j.lastHeldAt, t.startedAt)) > startWithin/2)
+	return !j.spec.Service() && j.activeTasks == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.doneTasks == 0 || now.Sub(latest(j.lastActiveAt, t.startedAt)) > startWithin/2)
 }
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -7,67 +7,67 @@
 	"lilaclead/internal/wire"
 )
 
-// runStats keeps the last run times of a job's tasks.
-type runStats struct {
-	seconds []float64
-	mid     float64
+// runTimeStats keeps the last run times of a job's tasks.
+type runTimeStats struct {
+	samples       []float64
+	medianSeconds float64
 }
 
-func (r *runStats) add(v float64) {
-	r.seconds = append(r.seconds, v)
-	if len(r.seconds) > 15 {
-		r.seconds = r.seconds[1:]
+func (r *runTimeStats) add(v float64) {
+	r.samples = append(r.samples, v)
+	if len(r.samples) > 15 {
+		r.samples = r.samples[1:]
 	}
-	c := slices.Clone(r.seconds)
+	c := slices.Clone(r.samples)
 	slices.Sort(c)
-	r.mid = c[len(c)/2]
+	r.medianSeconds = c[len(c)/2]
 }
 
-func (r *runStats) median() float64 { return r.mid }
+func (r *runTimeStats) median() float64 { return r.medianSeconds }
 
 // slowStats counts completions of a machine against its peers'.
-type runTimeCounts struct{ slow, normal int }
+type slowRunCounts struct{ slow, normal int }
 
 const slowFactor = 1.6
 
-// onCompletion compares a completed run with the job's others.
-func (t *term) onCompletion(a *attempt, now time.Time) {
+// recordRunTime compares a completed run with the job's others.
+func (t *term) recordRunTime(a *attempt, now time.Time) {
 	took := now.Sub(a.runningSince).Seconds()
 	j := a.job
-	if len(j.runs.seconds) >= 3 {
-		if took > slowFactor*j.runs.median()+2 {
-			a.machine.runTimes.slow++
+	if len(j.runTimes.samples) >= 3 {
+		if took > slowFactor*j.runTimes.median()+2 {
+			a.machine.slowRuns.slow++
 		} else {
-			a.machine.runTimes.normal++
+			a.machine.slowRuns.normal++
 		}
-		if a.machine.runTimes.slow >= 3 && a.machine.runTimes.slow > 3*a.machine.runTimes.normal && t.mayCondemn() {
+		if a.machine.slowRuns.slow >= 3 && a.machine.slowRuns.slow > 3*a.machine.slowRuns.normal && t.mayDrainSuspect() {
 			t.drainMachine(a.machine, drainSlow)
 		}
 	}
-	j.runs.add(took)
+	j.runTimes.add(took)
 }
 
-// onFailure tells a faulty machine from a faulty job. A job that fails wherever
+// onTaskFailure tells a faulty machine from a faulty job. A job that fails wherever
 // it runs is retried ever more rarely; a machine on which several jobs fail,
 // or one that others' machines run well, is drained and returned.
-func (t *term) onFailure(a *attempt, now time.Time) {
+func (t *term) onTaskFailure(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
-	if j.failedOn == nil {
-		j.failedOn = map[wire.MachineID]bool{}
+	if j.failedMachines == nil {
+		j.failedMachines = map[wire.MachineID]bool{}
 	}
-	j.failedOn[m.id] = true
+	j.failedMachines[m.id] = true
 	j.failures++
 	m.failedJobs[j.spec.ID] = true
 	m.failures++
-	t.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedOn), "machine_jobs", len(m.failedJobs))
-	faultyMachine := len(m.failedJobs) >= 2 || j.succeeded && m.failures >= 2 || m.failures >= 2 && len(j.failedOn) == 1 && j.failures >= 3
-	if faultyMachine && t.mayCondemn() {
+	t.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedMachines), "machine_jobs", len(m.failedJobs))
+	faultyMachine := len(m.failedJobs) >= 2 || j.succeeded && m.failures >= 2 || m.failures >= 2 && len(j.failedMachines) == 1 && j.failures >= 3
+	if faultyMachine && t.mayDrainSuspect() {
 		t.drainMachine(m, drainFaulty)
 	}
-	if len(j.failedOn) >= 2 {
+	if len(j.failedMachines) >= 2 {
 		n := min(j.failures, 6)
-		j.notBefore = now.Add(time.Duration(1<<n) * time.Second)
-		if len(j.failedOn) >= 3 {
+		j.startNotBefore = now.Add(time.Duration(1<<n) * time.Second)
+		if len(j.failedMachines) >= 3 {
 			// The job is to blame: what it did to the machines is forgiven.
 			for _, other := range t.machines {
 				if other.failedJobs[j.spec.ID] {
@@ -77,13 +77,13 @@
 			}
 		}
 	} else {
-		j.notBefore = now.Add(500 * time.Millisecond)
+		j.startNotBefore = now.Add(500 * time.Millisecond)
 	}
 }
 
-// mayCondemn bounds what suspicion may take out of service at a time: a fault
+// mayDrainSuspect bounds what suspicion may take out of service at a time: a fault
 // that shows on many machines is not the machines'.
-func (t *term) mayCondemn() bool {
+func (t *term) mayDrainSuspect() bool {
 	n, all := 0, 0
 	for _, m := range t.machines {
 		if m.booting {
@@ -99,20 +99,20 @@
 
 // drainMachine takes a machine out of service; it is returned when empty.
 func (t *term) drainMachine(m *machine, why drainReason) {
-	if m.drainReason != "" || m.releasing {
+	if m.drainReason != "" || m.scalingIn {
 		return
 	}
 	m.drainReason = why
 	t.log().Info("drains", "machine", m.id, "why", why, "tasks", len(m.tasks))
-	t.l.Metrics.Fleet("drained", 1)
+	t.leader.Metrics.Fleet("drained", 1)
 	for _, a := range m.tasks {
 		switch {
-		case a.planned:
-		case !a.sent && !a.inherited:
-			t.drop(a, taskPending) // never sent by anyone
+		case a.unstored:
+		case !a.launchSent && !a.inherited:
+			t.endAttempt(a, taskPending) // never sent by anyone
 		case why == drainFaulty, why == drainSlow && a.job.spec.Service():
-			t.halt(a, t.gracePeriodOf(a.job), moveCause(why))
+			t.stop(a, t.gracePeriodOf(a.job), EvictionReason(why))
 		}
 	}
-	t.requestRound()
+	t.requestCycle()
 }
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -14,10 +14,10 @@
 
 // planFleet rents for what can't be placed and returns what is not needed.
 func (t *term) planFleet(now time.Time) {
-	specs := t.l.Catalog.Get()
-	t.recordBookings(now)
-	t.clearReturns(now)
-	if !t.recovered || !t.placing || !t.listReceived || !t.lease.Deciding() || specs == nil || t.scaling.Paused(now) {
+	specs := t.leader.Catalog.Get()
+	t.recordScaleOuts(now)
+	t.clearScaleIns(now)
+	if !t.recovered || !t.schedulingEnabled || !t.machineListReceived || !t.lease.Deciding() || specs == nil || t.scaling.Paused(now) {
 		return
 	}
 	candidates := t.planCandidates()
@@ -25,10 +25,10 @@
 	for _, r := range plan.ScaleOuts {
 		for left := r.Count; left > 0; left -= scaling.MaxScaleOut {
 			r.Count = min(left, scaling.MaxScaleOut)
-			t.rent(r)
+			t.requestScaleOut(r)
 		}
 	}
-	t.recordBookings(now)
+	t.recordScaleOuts(now)
 	for _, m := range candidates {
 		m.cordoned = false
 	}
@@ -37,7 +37,7 @@
 	}
 	for _, id := range plan.ScaleIns {
 		if m := t.machines[id]; m != nil && len(m.tasks) == 0 {
-			t.release(m, drainIdle)
+			t.scaleIn(m, drainIdle)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 func (t *term) planCandidates() []*machine {
 	var out []*machine
 	for _, m := range t.machines {
-		if !m.releasing && m.drainReason == "" && m.machineType != "" {
+		if !m.scalingIn && m.drainReason == "" && m.machineType != "" {
 			out = append(out, m)
 		}
 	}
@@ -56,8 +56,8 @@
 
 // fleetSnapshot is what a plan is made from.
 func (t *term) fleetSnapshot(candidates []*machine, specs []wire.MachineSpec, now time.Time) *fleet.Snapshot {
-	v := t.l.Tuning.Get()
-	s := &fleet.Snapshot{MaxScaleOuts: maxRentsPerPlan, PriceLimit: v.PriceLimit,
+	v := t.leader.Tuning.Get()
+	s := &fleet.Snapshot{MaxScaleOuts: maxScaleOutsPerPlan, PriceLimit: v.PriceLimit,
 		Cheapest: func(spec *wire.JobSpec) float64 { return cheapest(specs, spec) }}
 	for _, m := range candidates {
 		spec := t.machineSpec(m.machineType)
@@ -67,7 +67,7 @@
 	}
 	s.Machines = t.appendBooked(s.Machines)
 	// What an earlier leader rented last is not listed yet.
-	if t.mayRent() && now.Sub(t.startedAt) > t.settings.Cloud.ListLag.Duration()+time.Second {
+	if t.mayScaleOut() && now.Sub(t.startedAt) > t.settings.Cloud.ListLag.Duration()+time.Second {
 		s.Offers = t.offers(specs, now)
 	}
 	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
@@ -79,18 +79,18 @@
 	// maxBoots is for how many boot times a machine that has not reported is
 	// counted on.
 	maxBoots = 2
-	// maxSilentReports is for how many report intervals one may be silent.
-	maxSilentReports = 3
+	// maxMissedHeartbeats is for how many report intervals one may be silent.
+	maxMissedHeartbeats = 3
 	// billedUpfrontS is for how many seconds every machine is paid from its start.
 	billedUpfrontS = 60
 )
 
 // countedOn tells whether a machine's room may be counted on.
 func (t *term) countedOn(m *machine, spec *wire.MachineSpec, now time.Time) bool {
-	if m.booting && now.Sub(m.rentedAt) > spec.BootTime.Duration()*maxBoots {
+	if m.booting && now.Sub(m.requestedAt) > spec.BootTime.Duration()*maxBoots {
 		return false
 	}
-	if !m.booting && t.silence(m, now) > maxSilentReports*reportInterval(t) {
+	if !m.booting && t.sinceLastMessage(m, now) > maxMissedHeartbeats*heartbeatInterval(t) {
 		return false
 	}
 	return !t.behindPartition(m, now) && !t.outboundLost(m, now)
@@ -98,29 +98,29 @@
 
 // planMachine is a machine as the plan sees it.
 func (t *term) planMachine(m *machine, spec *wire.MachineSpec, keepBoots float64, now time.Time) fleet.Machine {
-	out := fleet.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.total(m), Free: t.free(m), Booting: m.booting,
-		PaidS: billedUpfrontS - now.Sub(m.rentedAt).Seconds(), Price: spec.Price(m.spot), KeepS: keepBoots * float64(spec.BootTime)}
+	out := fleet.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.totalResources(m), Free: t.freeResources(m), Booting: m.booting,
+		PaidS: billedUpfrontS - now.Sub(m.requestedAt).Seconds(), Price: spec.Price(m.spot), KeepS: keepBoots * float64(spec.BootTime)}
 	for _, a := range m.tasks {
 		if a.job.spec.Service() {
 			out.Services++
 			continue
 		}
-		res := a.res()
-		out.Freeing = append(out.Freeing, fleet.Freeing{InS: a.remainingS(now), Room: res})
+		res := a.resources()
+		out.Freeing = append(out.Freeing, fleet.Freeing{InS: a.plannedRemainingSeconds(now), Room: res})
 		if res.CPUs > out.Unit.CPUs {
 			out.Unit = res
 		}
 	}
 	slices.SortFunc(out.Freeing, func(a, b fleet.Freeing) int { return cmp.Compare(a.InS, b.InS) })
-	if !m.booting && len(m.tasks) == 0 && len(m.orphans) == 0 {
-		out.Idle, out.IdleS = true, now.Sub(latest(m.usedAt, m.upAt)).Seconds()
+	if !m.booting && len(m.tasks) == 0 && len(m.orphanTasks) == 0 {
+		out.Idle, out.IdleS = true, now.Sub(latest(m.lastUsedAt, m.firstHeartbeatAt)).Seconds()
 	}
 	return out
 }
 
-// remainingS is in how many seconds the attempt is expected to end, one at least.
-func (a *attempt) remainingS(now time.Time) float64 {
-	in := a.job.expected()
+// plannedRemainingSeconds is in how many seconds the attempt is expected to end, one at least.
+func (a *attempt) plannedRemainingSeconds(now time.Time) float64 {
+	in := a.job.expectedSeconds()
 	if !a.runningSince.IsZero() {
 		in -= now.Sub(a.runningSince).Seconds()
 	}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -19,39 +19,39 @@
 	// inherited from an earlier leader: it may have run before any report of this
 	// term shows it.
 	inherited bool
-	// lost: a task of it is gone, or was never there. The rest is stopped, and
+	// broken: a task of it is gone, or was never there. The rest is stopped, and
 	// the gang is queued again when nothing of it is left.
-	lost bool
+	broken bool
 	// told: all were told to stop, with so much time to save; stopping: with any.
-	haltSent, stopping bool
-	gracePeriod        wire.Seconds
+	stopRequested, stoppingGracefully bool
+	gracePeriod                       wire.Seconds
 }
 
 // startGang decides on all tasks of a gang at once, with a number that none of
 // them has had. Nothing is sent before all of it is stored.
 func (t *term) startGang(j *job, ms []*machine, now time.Time) {
 	g := &gang{number: 1, startedAt: now}
-	n := (j.spec.Tasks + j.chunkTasks - 1) / j.chunkTasks
+	n := (j.spec.Tasks + j.tasksPerChunk - 1) / j.tasksPerChunk
 	for i := range n {
 		g.number = max(g.number, j.chunk(i).nextAttempt)
 	}
 	j.gang = g
 	for _, m := range ms {
-		t.startWith(j, m, g.number, now)
+		t.startAttempt(j, m, g.number, now)
 	}
 	for i := range n {
 		j.chunks[i].nextAttempt = g.number + 1
 	}
 }
 
-// complete tells whether every task of the gang has an attempt that is stored.
-func (j *job) complete() bool { return j.held == j.spec.Tasks && j.unstored == 0 }
+// fullyStored tells whether every task of the gang has an attempt that is stored.
+func (j *job) fullyStored() bool { return j.activeTasks == j.spec.Tasks && j.unstoredAttempts == 0 }
 
 // mayLaunch tells whether the attempt's launch may be sent. A gang's may once all
 // of the gang is stored, and no more once a task of it is lost.
 func (a *attempt) mayLaunch() bool {
 	g := a.job.gang
-	return g == nil || a.job.complete() && !g.lost && !g.stopping
+	return g == nil || a.job.fullyStored() && !g.broken && !g.stoppingGracefully
 }
 
 // launchAgain tells whether a gang's task that its machine surely does not have,
@@ -61,80 +61,80 @@
 func (t *term) launchAgain(a *attempt) bool {
 	g := a.job.gang
 	wait := t.settings.Workers.GangWait.Duration()
-	return g != nil && !a.reported && !a.halting && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drainReason == "" && !a.machine.releasing &&
+	return g != nil && !a.observed && !a.stopping && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drainReason == "" && !a.machine.scalingIn &&
 		time.Since(g.startedAt) < wait
 }
 
-// haltGang stops all tasks of a gang, all of them at once: those that are told
+// stopGang stops all tasks of a gang, all of them at once: those that are told
 // late don't save.
-func (t *term) haltGang(j *job, grace wire.Seconds, why moveCause) {
+func (t *term) stopGang(j *job, grace wire.Seconds, why EvictionReason) {
 	g := j.gang
 	if !g.ran && !g.inherited {
 		grace = 0 // there is nothing to save
 	}
-	if g.haltSent && g.gracePeriod <= grace {
+	if g.stopRequested && g.gracePeriod <= grace {
 		return
 	}
-	g.haltSent, g.gracePeriod, g.stopping = true, grace, grace > 0
+	g.stopRequested, g.gracePeriod, g.stoppingGracefully = true, grace, grace > 0
 	for _, a := range j.attempts() {
-		t.haltOne(a, grace, why)
+		t.stopAttempt(a, grace, why)
 	}
 }
 
-// stopIncompleteGangs looks after the gangs that have lost a task: what is left of one can
+// stopBrokenGangs looks after the gangs that have lost a task: what is left of one can
 // do nothing, and is stopped. Those that were told to stop in order end by
 // themselves.
-func (t *term) stopIncompleteGangs() {
-	for j := range t.incompleteGangs {
-		delete(t.incompleteGangs, j)
+func (t *term) stopBrokenGangs() {
+	for j := range t.brokenGangs {
+		delete(t.brokenGangs, j)
 		g := j.gang
 		switch {
 		case g == nil:
-		case j.held == 0:
+		case j.activeTasks == 0:
 			j.gang = nil
-			t.requestRound()
-		case !g.lost:
-			g.lost = true
-			t.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stopping, "age", time.Since(g.startedAt), "left", j.held)
-			if !g.stopping {
+			t.requestCycle()
+		case !g.broken:
+			g.broken = true
+			t.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stoppingGracefully, "age", time.Since(g.startedAt), "left", j.activeTasks)
+			if !g.stoppingGracefully {
 				for _, a := range j.attempts() {
-					t.haltOne(a, 0, moveGangLacks)
+					t.stopAttempt(a, 0, EvictedGangIncomplete)
 				}
 			}
 		}
 	}
 }
 
-// gangDone notes that a task of a gang has completed: they complete together.
-func (t *term) gangDone(j *job) {
+// completeGang notes that a task of a gang has completed: they complete together.
+func (t *term) completeGang(j *job) {
 	for _, a := range j.attempts() {
-		t.drop(a, taskDone)
+		t.endAttempt(a, taskDone)
 	}
 	for n := range j.chunks {
 		c := j.chunk(n)
 		for i, s := range c.taskStates {
 			if s != taskDone {
 				c.taskStates[i] = taskDone
-				j.done++
+				j.doneTasks++
 				t.writer.markPending(c)
 			}
 		}
 	}
 	j.gang = nil
-	t.checkFinished(j)
+	t.markIfFinished(j)
 }
 
-// readGang finds out how the attempt of a gang stands that an earlier leader
+// restoreGang finds out how the attempt of a gang stands that an earlier leader
 // recorded: whole, in part, or completed in part of the record.
-func (t *term) readGang(j *job) {
+func (t *term) restoreGang(j *job) {
 	if !j.spec.Gang() {
 		return
 	}
-	if j.done > 0 && j.done < j.spec.Tasks {
-		t.gangDone(j)
+	if j.doneTasks > 0 && j.doneTasks < j.spec.Tasks {
+		t.completeGang(j)
 		return
 	}
-	if j.held == 0 {
+	if j.activeTasks == 0 {
 		return
 	}
 	j.gang = &gang{startedAt: t.startedAt, inherited: true}
@@ -142,8 +142,8 @@
 		j.gang.number = max(j.gang.number, a.number)
 	}
 	for _, a := range j.attempts() {
-		if (a.number != j.gang.number || !j.complete()) && !t.isAside(j.spec.ID) {
-			t.incompleteGangs[j] = struct{}{}
+		if (a.number != j.gang.number || !j.fullyStored()) && !t.quarantined(j.spec.ID) {
+			t.brokenGangs[j] = struct{}{}
 		}
 	}
 }
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -15,31 +15,31 @@
 func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *job) {
 	t.Helper()
 	tm, _, single := rig(t)
-	tm.drop(single, taskPending)
+	tm.endAttempt(single, taskPending)
 	delete(tm.jobs, single.job.spec.ID)
 	tm.settings.Workers.GangWait, tm.settings.Workers.GangPeerTimeout = 40, 8
 	j := gangJob(tm, "req-2", parts)
 	j.spec.CheckpointInterval, j.spec.CheckpointTime = 20, 3
-	j.chunkTasks = 2
+	j.tasksPerChunk = 2
 	j.chunks = make([]*chunk, (parts+1)/2)
 	j.gang = &gang{number: try, startedAt: time.Now()}
 	for i := range parts {
 		m := gangMachine(tm, i)
-		a := &attempt{job: j, chunk: j.chunk(i / j.chunkTasks), index: i % j.chunkTasks, number: try, machine: m, decidedAt: time.Now()}
-		a.chunk.hold(a)
+		a := &attempt{job: j, chunk: j.chunk(i / j.tasksPerChunk), index: i % j.tasksPerChunk, number: try, machine: m, decidedAt: time.Now()}
+		a.chunk.add(a)
 		a.chunk.nextAttempt = try + 1
 	}
 	return tm, j
 }
 
 func gangMachine(tm *term, i int) *machine {
-	m := tm.machine(wire.MachineID(fmt.Sprint("n-", i+1)))
-	m.session, m.sequence, m.token, m.upAt, m.seenAt, m.answeredAt = 1, 10, tm.firstToken, time.Now(), time.Now(), time.Now()
+	m := tm.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
+	m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.lastReplyAt = 1, 10, tm.firstToken, time.Now(), time.Now(), time.Now()
 	return m
 }
 
 // member is the attempt of the gang's i-th task.
-func member(j *job, i int) *attempt { return j.chunk(i / j.chunkTasks).attempts[i%j.chunkTasks] }
+func member(j *job, i int) *attempt { return j.chunk(i / j.tasksPerChunk).attempts[i%j.tasksPerChunk] }
 
 func launches(orders []wire.Command) (n int) {
 	for _, o := range orders {
@@ -61,15 +61,15 @@
 		"no gang at all": {func(_ *term, j *job) { j.gang = nil }, true},
 		"one is not yet stored": {func(_ *term, j *job) {
 			a := member(j, 2)
-			a.planned = true
-			a.chunk.unstored++
-			j.unstored++
+			a.unstored = true
+			a.chunk.unstoredAttempts++
+			j.unstoredAttempts++
 		}, false},
-		"one is not held":       {func(tm *term, j *job) { tm.drop(member(j, 2), taskPending) }, false},
-		"one was lost":          {func(_ *term, j *job) { j.gang.lost = true }, false},
-		"it is told to stop":    {func(_ *term, j *job) { j.gang.stopping = true }, false},
-		"one has no time left":  {func(tm *term, j *job) { tm.haltGang(j, 0, "makes room") }, false},
-		"it was told to stop":   {func(tm *term, j *job) { j.gang.ran = true; tm.haltGang(j, 13, "makes room") }, false},
+		"one is not held":       {func(tm *term, j *job) { tm.endAttempt(member(j, 2), taskPending) }, false},
+		"one was lost":          {func(_ *term, j *job) { j.gang.broken = true }, false},
+		"it is told to stop":    {func(_ *term, j *job) { j.gang.stoppingGracefully = true }, false},
+		"one has no time left":  {func(tm *term, j *job) { tm.stopGang(j, 0, "makes room") }, false},
+		"it was told to stop":   {func(tm *term, j *job) { j.gang.ran = true; tm.stopGang(j, 13, "makes room") }, false},
 		"its job was cancelled": {func(_ *term, j *job) { j.cancelled = true }, false},
 	}
 	for name, c := range cases {
@@ -92,20 +92,20 @@
 	}{
 		"the others wait":           {func(*term, *job, *attempt) {}, true},
 		"an array's task":           {func(_ *term, j *job, _ *attempt) { j.gang = nil }, false},
-		"it was seen":               {func(_ *term, _ *job, a *attempt) { a.reported = true }, false},
-		"it is told to stop":        {func(_ *term, _ *job, a *attempt) { a.halting = true }, false},
+		"it was seen":               {func(_ *term, _ *job, a *attempt) { a.observed = true }, false},
+		"it is told to stop":        {func(_ *term, _ *job, a *attempt) { a.stopping = true }, false},
 		"the gang ran":              {func(_ *term, j *job, _ *attempt) { j.gang.ran = true }, false},
-		"another was lost":          {func(_ *term, j *job, _ *attempt) { j.gang.lost = true }, false},
+		"another was lost":          {func(_ *term, j *job, _ *attempt) { j.gang.broken = true }, false},
 		"the job was cancelled":     {func(_ *term, j *job, _ *attempt) { j.cancelled = true }, false},
 		"its machine is drained":    {func(_ *term, _ *job, a *attempt) { a.machine.drainReason = "slow" }, false},
-		"its machine is returned":   {func(_ *term, _ *job, a *attempt) { a.machine.releasing = true }, false},
+		"its machine is returned":   {func(_ *term, _ *job, a *attempt) { a.machine.scalingIn = true }, false},
 		"just before the wait ends": {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-39 * time.Second) }, true},
 		"they have waited in vain":  {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-40 * time.Second) }, false},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
 		a := member(j, 0)
-		a.inherited, a.sent = true, true
+		a.inherited, a.launchSent = true, true
 		c.setup(tm, j, a)
 		if again := tm.launchAgain(a); again != c.again {
 			t.Errorf("%s: sent again %v", name, again)
@@ -113,9 +113,9 @@
 		if name != "the others wait" {
 			continue
 		}
-		tm.apply(a.machine, said(1, 11, tm.firstToken), true, time.Now())
-		if n := launches(tm.commandsFor(a.machine, said(1, 11, tm.firstToken), time.Now())); j.held != 3 || n != 1 {
-			t.Errorf("%s: %d held, %d launches", name, j.held, n)
+		tm.reconcile(a.machine, said(1, 11, tm.firstToken), true, time.Now())
+		if n := launches(tm.commandsFor(a.machine, said(1, 11, tm.firstToken), time.Now())); j.activeTasks != 3 || n != 1 {
+			t.Errorf("%s: %d held, %d launches", name, j.activeTasks, n)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 		switch a := member(j, i); {
 		case a == nil:
 			out = append(out, -2)
-		case !a.halting:
+		case !a.stopping:
 			out = append(out, -1)
 		default:
 			out = append(out, a.gracePeriod)
@@ -155,15 +155,15 @@
 		tm, j := gangRig(t, 3, 4)
 		c.setup(j.gang)
 		for _, windDown := range c.told {
-			tm.halt(member(j, 1), windDown, "makes room")
+			tm.stop(member(j, 1), windDown, "makes room")
 		}
 		for i, got := range halts(j) {
 			if got != c.want {
 				t.Errorf("%s: task %d has %v to save, want %v", name, i, got, c.want)
 			}
 		}
-		if j.gang.stopping != (c.want > 0) {
-			t.Errorf("%s: stops in order: %v", name, j.gang.stopping)
+		if j.gang.stoppingGracefully != (c.want > 0) {
+			t.Errorf("%s: stops in order: %v", name, j.gang.stoppingGracefully)
 		}
 	}
 }
@@ -172,8 +172,8 @@
 func TestGangCancelledWhileSaving(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	j.gang.ran = true
-	tm.halt(member(j, 1), 13, "makes room")
-	tm.haltCancelled(j)
+	tm.stop(member(j, 1), 13, "makes room")
+	tm.stopCancelledJob(j)
 	if got := halts(j); got[0] != 0 || got[1] != 0 || got[2] != 0 {
 		t.Errorf("time to save %v", got)
 	}
@@ -184,31 +184,31 @@
 func TestMendGangs(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	j.gang.ran = true
-	tm.stopIncompleteGangs()
+	tm.stopBrokenGangs()
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
-	tm.drop(member(j, 1), taskPending)
-	tm.stopIncompleteGangs()
-	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.lost {
+	tm.endAttempt(member(j, 1), taskPending)
+	tm.stopBrokenGangs()
+	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.broken {
 		t.Errorf("one is lost: %v", got)
 	}
-	if tm.canPlace(j, time.Now()) {
+	if tm.schedulable(j, time.Now()) {
 		t.Error("placed while two of its tasks are left")
 	}
-	tm.drop(member(j, 0), taskPending)
-	tm.drop(member(j, 2), taskPending)
-	tm.roundWanted = false
-	tm.stopIncompleteGangs()
-	if j.gang != nil || !tm.roundWanted || !tm.canPlace(j, time.Now()) {
-		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.roundWanted, tm.canPlace(j, time.Now()))
+	tm.endAttempt(member(j, 0), taskPending)
+	tm.endAttempt(member(j, 2), taskPending)
+	tm.cycleRequested = false
+	tm.stopBrokenGangs()
+	if j.gang != nil || !tm.cycleRequested || !tm.schedulable(j, time.Now()) {
+		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.cycleRequested, tm.schedulable(j, time.Now()))
 	}
 
 	tm, j = gangRig(t, 3, 4)
 	j.gang.ran = true
-	tm.halt(member(j, 0), 13, "makes room")
-	tm.drop(member(j, 1), taskPending)
-	tm.stopIncompleteGangs()
+	tm.stop(member(j, 0), 13, "makes room")
+	tm.endAttempt(member(j, 1), taskPending)
+	tm.stopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
 	}
@@ -218,21 +218,21 @@
 func TestGangDone(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	m := member(j, 1).machine
-	tm.apply(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.firstToken,
+	tm.reconcile(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.firstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
-	tm.stopIncompleteGangs()
+	tm.stopBrokenGangs()
 	mustBeDone(t, "one reported done", tm, j)
 }
 
 func mustBeDone(t *testing.T, name string, tm *term, j *job) {
 	t.Helper()
-	if j.done != j.spec.Tasks || j.held != 0 || j.gang != nil || !j.finished {
-		t.Errorf("%s: %d done, %d held, gang %+v, over %v", name, j.done, j.held, j.gang, j.finished)
+	if j.doneTasks != j.spec.Tasks || j.activeTasks != 0 || j.gang != nil || !j.finished {
+		t.Errorf("%s: %d done, %d held, gang %+v, over %v", name, j.doneTasks, j.activeTasks, j.gang, j.finished)
 	}
 	for n := range j.chunks {
 		c := j.chunk(n)
-		if rec := c.record(); len(rec.Active) > 0 || !c.changed {
-			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Active, c.changed)
+		if rec := c.record(); len(rec.Active) > 0 || !c.dirty {
+			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Active, c.dirty)
 		}
 		for i, s := range c.taskStates {
 			if s != taskDone {
@@ -284,13 +284,13 @@
 		if c.gang && (j.gang.number != 4 || !j.gang.inherited || j.gang.ran) {
 			t.Errorf("%s: %+v", name, j.gang)
 		}
-		tm.stopIncompleteGangs()
-		if c.gang && j.gang.lost != c.mend {
-			t.Errorf("%s: lost %v", name, j.gang.lost)
+		tm.stopBrokenGangs()
+		if c.gang && j.gang.broken != c.mend {
+			t.Errorf("%s: lost %v", name, j.gang.broken)
 		}
 		for _, a := range j.attempts() {
-			if a.halting != c.mend || a.mayLaunch() == c.mend {
-				t.Errorf("%s: %v is told to stop: %v, may be sent: %v", name, a.task(), a.halting, a.mayLaunch())
+			if a.stopping != c.mend || a.mayLaunch() == c.mend {
+				t.Errorf("%s: %v is told to stop: %v, may be sent: %v", name, a.task(), a.stopping, a.mayLaunch())
 			}
 		}
 	}
@@ -310,14 +310,14 @@
 	t.Helper()
 	tm, j := gangRig(t, 3, 4)
 	for _, a := range j.attempts() {
-		a.release()
+		a.detach()
 		a.chunk.taskStates[a.index] = taskPending
 	}
 	j.gang = nil
 	for n := range recs {
 		tm.readChunk(j.chunk(n), wire.Revision(40+n), &recs[n])
 	}
-	tm.readGang(j)
+	tm.restoreGang(j)
 	return tm, j
 }
 
@@ -331,17 +331,17 @@
 		ms = append(ms, gangMachine(tm, i))
 	}
 	tm.startGang(j, ms, time.Now())
-	if len(j.attempts()) != 3 || j.unstored != 3 || j.gang.number != 7 || j.gang.inherited || j.complete() {
-		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.attempts()), j.unstored, j.gang, j.complete())
+	if len(j.attempts()) != 3 || j.unstoredAttempts != 3 || j.gang.number != 7 || j.gang.inherited || j.fullyStored() {
+		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.attempts()), j.unstoredAttempts, j.gang, j.fullyStored())
 	}
 	for _, a := range j.attempts() {
-		if a.number != 7 || !a.planned || a.mayLaunch() {
-			t.Errorf("%v: number %d, to be stored %v, may be sent %v", a.task(), a.number, a.planned, a.mayLaunch())
+		if a.number != 7 || !a.unstored || a.mayLaunch() {
+			t.Errorf("%v: number %d, to be stored %v, may be sent %v", a.task(), a.number, a.unstored, a.mayLaunch())
 		}
 	}
 	for n := range j.chunks {
-		if rec := j.chunk(n).record(); rec.NextAttempt != 8 || !j.chunk(n).changed {
-			t.Errorf("chunk %d: next %d, to be written %v", n, rec.NextAttempt, j.chunk(n).changed)
+		if rec := j.chunk(n).record(); rec.NextAttempt != 8 || !j.chunk(n).dirty {
+			t.Errorf("chunk %d: next %d, to be written %v", n, rec.NextAttempt, j.chunk(n).dirty)
 		}
 	}
 }
@@ -356,20 +356,20 @@
 		m := member(j, 0).machine
 		single := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
 		tm.jobs["req-3"] = single
-		array := &attempt{job: single, chunk: single.chunk(0), number: 2, machine: m, reported: true}
-		array.chunk.hold(array)
+		array := &attempt{job: single, chunk: single.chunk(0), number: 2, machine: m, observed: true}
+		array.chunk.add(array)
 		waiting := &attempt{job: single, chunk: single.chunk(0), index: 1, number: 3, machine: member(j, 1).machine}
-		waiting.chunk.hold(waiting)
+		waiting.chunk.add(waiting)
 		if !deciding {
-			tm.lease = leaseFor(tm.l, tm.token, -time.Millisecond)
+			tm.lease = leaseFor(tm.leader, tm.token, -time.Millisecond)
 		}
 		watch := func(left time.Duration) {
 			now := time.Now()
-			m.takenBackAt, m.drainReason = now.Add(left), drainSpotNotice
-			tm.watchMachine(m, tm.takeCensus(now), now)
+			m.reclaimAt, m.drainReason = now.Add(left), drainSpotNotice
+			tm.checkMachine(m, tm.countMachines(now), now)
 		}
 		if !deciding {
-			if watch(time.Second); array.halting || member(j, 0).halting {
+			if watch(time.Second); array.stopping || member(j, 0).stopping {
 				t.Error("stopped by a leader that no majority agrees with")
 			}
 			tm.lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
@@ -377,14 +377,14 @@
 		if watch(14100 * time.Millisecond); halts(j)[0] != -1 {
 			t.Errorf("deciding %v: told %v at 14.1 s", deciding, halts(j))
 		}
-		if watch(13900 * time.Millisecond); halts(j)[0] != 13 || halts(j)[1] != 13 || halts(j)[2] != 13 || array.halting {
-			t.Errorf("deciding %v: told %v at 13.9 s, the array %v", deciding, halts(j), array.halting)
+		if watch(13900 * time.Millisecond); halts(j)[0] != 13 || halts(j)[1] != 13 || halts(j)[2] != 13 || array.stopping {
+			t.Errorf("deciding %v: told %v at 13.9 s, the array %v", deciding, halts(j), array.stopping)
 		}
-		if watch(5900 * time.Millisecond); !array.halting || array.gracePeriod != 5 {
-			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.halting, array.gracePeriod)
+		if watch(5900 * time.Millisecond); !array.stopping || array.gracePeriod != 5 {
+			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.stopping, array.gracePeriod)
 		}
 		other := member(j, 1).machine
-		tm.l.Cancels.RecordRead(time.Now())
+		tm.leader.Cancels.RecordRead(time.Now())
 		r := tm.tell(&wire.Heartbeat{Machine: other.id, Epoch: 1, Sequence: 11, Token: tm.firstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
@@ -399,9 +399,9 @@
 			ended, end := context.WithCancel(t.Context())
 			end() // the command itself goes nowhere
 			tm.ctx, other.addr = ended, "10.1.0.1:9000"
-			member(j, 1).haltSent = time.Time{}
-			if tm.dispatch(other); waiting.sent || member(j, 1).haltSent.IsZero() {
-				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.sent, !member(j, 1).haltSent.IsZero())
+			member(j, 1).stopSentAt = time.Time{}
+			if tm.dispatch(other); waiting.launchSent || member(j, 1).stopSentAt.IsZero() {
+				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.launchSent, !member(j, 1).stopSentAt.IsZero())
 			}
 		}
 		if n := launches(r.commands.Commands); told != 1 || (n == 1) != deciding {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -21,18 +21,18 @@
 func TestClaimsOfAGangLapseTogether(t *testing.T) {
 	tm, m, _ := rig(t)
 	gangJob(tm, "req-2", 2)
-	other := tm.machine("n-2")
+	other := tm.getOrAddMachine("n-2")
 	now := time.Now()
 	for _, x := range []*machine{m, other} {
-		x.claims = []claim{{placement.Reservation{Job: "req-2", Rank: 1}, nil, now.Add(time.Minute)}}
-		tm.claimed[x] = struct{}{}
+		x.reservations = []reservation{{placement.Reservation{Job: "req-2", Rank: 1}, nil, now.Add(time.Minute)}}
+		tm.reservedMachines[x] = struct{}{}
 	}
-	if n := tm.claims(now); n["req-2"] != 2 {
+	if n := tm.pruneReservations(now); n["req-2"] != 2 {
 		t.Fatalf("claims %v", n)
 	}
 	delete(tm.machines, other.id)
-	if n := tm.claims(now); n["req-2"] != 0 || len(m.claims) != 0 || len(tm.claimed) != 0 {
-		t.Errorf("claims %v, on the machine that is left %v", n, m.claims)
+	if n := tm.pruneReservations(now); n["req-2"] != 0 || len(m.reservations) != 0 || len(tm.reservedMachines) != 0 {
+		t.Errorf("claims %v, on the machine that is left %v", n, m.reservations)
 	}
 }
 
@@ -80,7 +80,7 @@
 	gang.spec.Priority, gang.spec.ExpectedRunTime = wire.PriorityUrgent, 30
 	after := func(waited time.Duration) float64 {
 		gang.acceptedAt = now.Add(-waited)
-		return tm.patience(gang, now)
+		return tm.patienceSeconds(gang, now)
 	}
 	if got := after(0); got != maxPatienceS {
 		t.Errorf("without an aim: %g s", got)
--- a/internal/leader/intents.go
+++ b/internal/leader/intents.go
@@ -25,107 +25,107 @@
 // sent (package duty). The cloud knows no tokens: a request of an earlier leader is
 // carried out as well as one of ours, however late. Off, nothing is recorded.
 type cloudIntents struct {
-	renting   *duty.Intents[duty.ScaleOut, ScaleOutIntent]
-	returning *duty.Intents[duty.ScaleIn, wire.MachineID]
+	scaleOuts *duty.Intents[duty.ScaleOut, ScaleOutIntent]
+	scaleIns  *duty.Intents[duty.ScaleIn, wire.MachineID]
 
 	// ---- of renting, owned by the loop ----
 	recording  bool                       // a write is under way
 	unrecorded []*scaling.PendingScaleOut // not sent yet
 	recordedAt time.Time
 	// ---- of returning, owned by the loop ----
-	returnedAt time.Time // when the last machines were gone
+	scaledInAt time.Time // when the last machines were gone
 }
 
 func newCloudIntents(t *term) *cloudIntents {
 	limit := int(t.settings.State.Least().ValueKB * 1024)
 	return &cloudIntents{
-		renting:   duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](t.lease.Lease, limit),
-		returning: duty.OpenIntents[duty.ScaleIn, wire.MachineID](t.lease.Lease, limit),
+		scaleOuts: duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](t.lease.Lease, limit),
+		scaleIns:  duty.OpenIntents[duty.ScaleIn, wire.MachineID](t.lease.Lease, limit),
 	}
 }
 
 // earlierIntents is what an earlier leader left open.
 type earlierIntents struct {
-	bookings  []ScaleOutIntent
-	returning []wire.MachineID
+	scaleOuts []ScaleOutIntent
+	scaleIns  []wire.MachineID
 }
 
 // load reads what an earlier leader left open. A record that can't be decoded is left
 // alone, and what rests on it is refused for the whole term.
 func (c *cloudIntents) load(ctx context.Context) (earlierIntents, error) {
-	bookings, err := c.renting.Load(ctx)
+	bookings, err := c.scaleOuts.Load(ctx)
 	if err != nil && !errors.Is(err, duty.ErrUndecodable) {
 		return earlierIntents{}, err
 	}
-	returning, err := c.returning.Load(ctx)
+	returning, err := c.scaleIns.Load(ctx)
 	if err != nil && !errors.Is(err, duty.ErrUndecodable) {
 		return earlierIntents{}, err
 	}
 	return earlierIntents{bookings.Open, returning.Open}, nil
 }
 
-// adopt goes on with what an earlier leader was about to ask of the cloud, under the
+// adoptIntents goes on with what an earlier leader was about to ask of the cloud, under the
 // same names: what it had done already is found done, and what comes late of it
 // changes nothing.
-func (t *term) adopt(earlier earlierIntents) {
-	for _, id := range earlier.returning {
-		if _, gone := t.gone[id]; gone {
+func (t *term) adoptIntents(earlier earlierIntents) {
+	for _, id := range earlier.scaleIns {
+		if _, gone := t.removedMachines[id]; gone {
 			continue
 		}
 		// It takes nothing from now on, also where the lease is not held for a moment and
 		// the release comes with a later look at the machine.
-		m := t.machine(id)
-		m.drainReason = drainReturning
-		t.release(m, drainReturning)
+		m := t.getOrAddMachine(id)
+		m.drainReason = drainAdoptedScaleIn
+		t.scaleIn(m, drainAdoptedScaleIn)
 	}
-	for _, intent := range earlier.bookings {
+	for _, intent := range earlier.scaleOuts {
 		b := t.scaling.Adopt(intent.Request, intent.Since.Time())
 		t.log().Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.RequestedAt))
-		go t.book(b)
+		go t.sendScaleOut(b)
 	}
 }
 
-// mayRent tells whether bookings can be recorded, or need not be.
-func (t *term) mayRent() bool { return !t.recordsIntents() || t.intents.renting.Loaded() }
+// mayScaleOut tells whether bookings can be recorded, or need not be.
+func (t *term) mayScaleOut() bool { return !t.recordsIntents() || t.intents.scaleOuts.Loaded() }
 
-// recordBookings records the open bookings if some were made, or if none is left, and
+// recordScaleOuts records the open bookings if some were made, or if none is left, and
 // then has the new ones sent.
-func (t *term) recordBookings(now time.Time) {
+func (t *term) recordScaleOuts(now time.Time) {
 	c := t.intents
-	if !t.recordsIntents() || c.recording || !c.renting.Loaded() || !t.lease.Deciding() {
+	if !t.recordsIntents() || c.recording || !c.scaleOuts.Loaded() || !t.lease.Deciding() {
 		return
 	}
-	if len(c.unrecorded) == 0 && !t.bookingsSettled(now) {
+	if len(c.unrecorded) == 0 && !t.scaleOutsSettled(now) {
 		return
 	}
 	t.withdrawUnfitting()
-	fresh, open := c.unrecorded, t.rentIntents()
+	fresh, open := c.unrecorded, t.scaleOutIntents()
 	c.unrecorded, c.recording = nil, true
 	go func() {
-		err := c.renting.Record(t.ctx, open)
-		t.post(func() { t.bookingsRecorded(fresh, err) })
+		err := c.scaleOuts.Record(t.ctx, open)
+		t.post(func() { t.onScaleOutsRecorded(fresh, err) })
 	}()
 }
 
-// bookingsSettled tells whether the record holds bookings that are all answered, for
+// scaleOutsSettled tells whether the record holds bookings that are all answered, for
 // a while.
-func (t *term) bookingsSettled(now time.Time) bool {
+func (t *term) scaleOutsSettled(now time.Time) bool {
 	c := t.intents
-	return len(c.renting.Open()) > 0 && len(t.scaling.PendingScaleOuts()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
+	return len(c.scaleOuts.Open()) > 0 && len(t.scaling.PendingScaleOuts()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
 }
 
 // withdrawUnfitting withdraws the newest bookings for which the record has no room.
 func (t *term) withdrawUnfitting() {
 	c := t.intents
-	for len(c.unrecorded) > 0 && !c.renting.Fits(t.rentIntents()) {
+	for len(c.unrecorded) > 0 && !c.scaleOuts.Fits(t.scaleOutIntents()) {
 		last := len(c.unrecorded) - 1
 		t.scaling.Withdraw(c.unrecorded[last])
 		c.unrecorded = c.unrecorded[:last]
 	}
 }
 
-// rentIntents are the open bookings as they are stored.
-func (t *term) rentIntents() []ScaleOutIntent {
+// scaleOutIntents are the open bookings as they are stored.
+func (t *term) scaleOutIntents() []ScaleOutIntent {
 	out := []ScaleOutIntent{}
 	for _, b := range t.scaling.PendingScaleOuts() {
 		out = append(out, ScaleOutIntent{b.ScaleOutRequest, wire.TimestampOf(b.RequestedAt)})
@@ -133,8 +133,8 @@
 	return out
 }
 
-// bookingsRecorded has the bookings sent that are recorded now, or withdraws them.
-func (t *term) bookingsRecorded(fresh []*scaling.PendingScaleOut, err error) {
+// onScaleOutsRecorded has the bookings sent that are recorded now, or withdraws them.
+func (t *term) onScaleOutsRecorded(fresh []*scaling.PendingScaleOut, err error) {
 	c := t.intents
 	c.recording, c.recordedAt = false, time.Now()
 	for _, b := range fresh {
@@ -142,7 +142,7 @@
 			t.scaling.Withdraw(b)
 			continue
 		}
-		go t.book(b)
+		go t.sendScaleOut(b)
 	}
 	switch {
 	case errors.Is(err, duty.ErrHeldByOther):
@@ -150,14 +150,14 @@
 	case err != nil:
 		t.log().Info("bookings could not be recorded", "bookings", len(fresh), "err", err)
 	}
-	t.recordBookings(time.Now())
+	t.recordScaleOuts(time.Now())
 }
 
-// recordReturns records that machines are to be returned, for good: nothing will run
+// recordScaleIns records that machines are to be returned, for good: nothing will run
 // on them again under whatever leader. False: the term is over.
-func (t *term) recordReturns(ids []wire.MachineID) bool {
+func (t *term) recordScaleIns(ids []wire.MachineID) bool {
 	for {
-		err := t.intents.returning.Record(t.ctx, ids)
+		err := t.intents.scaleIns.Record(t.ctx, ids)
 		if err == nil {
 			return true
 		}
@@ -166,37 +166,37 @@
 			return false
 		}
 		t.log().Debug("returns could not be recorded", "machines", len(ids), "err", err)
-		if !t.pause(maxReleaseRetry) {
+		if !t.pause(maxScaleInRetry) {
 			return false
 		}
 	}
 }
 
-// clearReturns empties the record of returns when all are done for a while, so that no
+// clearScaleIns empties the record of returns when all are done for a while, so that no
 // later leader asks for them again.
-func (t *term) clearReturns(now time.Time) {
+func (t *term) clearScaleIns(now time.Time) {
 	c := t.intents
 	if !t.recordsIntents() || !t.lease.Deciding() || !t.scaling.BeginScaleIn() {
 		return
 	}
-	if len(c.returning.Open()) == 0 || now.Sub(c.returnedAt) <= clearIntentsAfter {
+	if len(c.scaleIns.Open()) == 0 || now.Sub(c.scaledInAt) <= clearIntentsAfter {
 		t.scaling.EndScaleIn()
 		return
 	}
 	go func() {
-		if t.recordReturns([]wire.MachineID{}) {
-			t.post(func() { t.onReleased(nil) })
+		if t.recordScaleIns([]wire.MachineID{}) {
+			t.post(func() { t.onScaledIn(nil) })
 		}
 	}()
 }
 
-// returnsAtOnce is how many machines one record of returns has room for.
-func (t *term) returnsAtOnce() int {
+// maxScaleInBatch is how many machines one record of returns has room for.
+func (t *term) maxScaleInBatch() int {
 	if !t.recordsIntents() {
 		return scaling.MaxScaleIn
 	}
 	n := scaling.MaxScaleIn
-	for n > 1 && !t.intents.returning.Fits(namesOfLength(n)) {
+	for n > 1 && !t.intents.scaleIns.Fits(namesOfLength(n)) {
 		n /= 2
 	}
 	return n
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -16,19 +16,19 @@
 	ctx := t.Context()
 	tm.ctx = ctx
 	away(tm)
-	a.sent, a.reported, a.phase = true, true, wire.PhaseRunning
+	a.launchSent, a.observed, a.phase = true, true, wire.PhaseRunning
 	held := tm.lease
-	tm.lease = leaseFor(tm.l, tm.token, -time.Second)
-	tm.adopt(earlierIntents{returning: []wire.MachineID{m.id}})
-	if m.releasing || m.drainReason != drainReturning {
-		t.Errorf("without a lease: releasing %v, drains as %q", m.releasing, m.drainReason)
+	tm.lease = leaseFor(tm.leader, tm.token, -time.Second)
+	tm.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.id}})
+	if m.scalingIn || m.drainReason != drainAdoptedScaleIn {
+		t.Errorf("without a lease: releasing %v, drains as %q", m.scalingIn, m.drainReason)
 	}
 	tm.lease = held
 	now := time.Now()
-	m.seenAt, m.directReportAt, m.answeredAt = now, now, now
-	tm.watchMachines(now)
-	if !m.releasing || len(m.tasks) != 1 {
-		t.Errorf("with the lease: releasing %v, %d tasks", m.releasing, len(m.tasks))
+	m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = now, now, now
+	tm.checkMachines(now)
+	if !m.scalingIn || len(m.tasks) != 1 {
+		t.Errorf("with the lease: releasing %v, %d tasks", m.scalingIn, len(m.tasks))
 	}
 }
 
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -9,52 +9,52 @@
 
 const (
 	taskPending uint8 = iota
-	taskHeld
+	taskActive
 	taskDone
 )
 
 type job struct {
-	spec        wire.JobSpec
-	revision    wire.Revision
-	acceptedAt  time.Time
-	cancelled   bool
-	cancelledAt time.Time
-	stale       bool // its record has changed in a way not yet read
-	finished    bool // to be archived
-	archiving   bool
-	writeAfter  time.Time // its end is not written before: it was refused by itself
-	recordGone  bool      // the watch has shown that its record is gone
-	chunks      []*chunk
-	chunkTasks  int // tasks of a chunk
-	// subChunks is how many chunks each one that was stored was split into, 0: none
+	spec           wire.JobSpec
+	revision       wire.Revision
+	acceptedAt     time.Time
+	cancelled      bool
+	cancelledAt    time.Time
+	recordOutdated bool // its record has changed in a way not yet read
+	finished       bool // to be archived
+	archiving      bool
+	writeNotBefore time.Time // its end is not written before: it was refused by itself
+	recordDeleted  bool      // the watch has shown that its record is gone
+	chunks         []*chunk
+	tasksPerChunk  int // tasks of a chunk
+	// subchunksPerChunk is how many chunks each one that was stored was split into, 0: none
 	// was, and baseRevisions the revisions of those that were.
-	subChunks     int
-	baseRevisions []wire.Revision
-	gang          *gang // its attempt that may be on machines; nil: none
-	unstored      int   // attempts held that are not yet stored
-	done          int
-	held          int
+	subchunksPerChunk int
+	baseRevisions     []wire.Revision
+	gang              *gang // its attempt that may be on machines; nil: none
+	unstoredAttempts  int   // attempts held that are not yet stored
+	doneTasks         int
+	activeTasks       int
 	// Faults: machines on which a task of it failed in a row.
-	failedOn          map[wire.MachineID]bool
+	failedMachines    map[wire.MachineID]bool
 	succeeded         bool
 	failures          int
-	notBefore         time.Time
-	started           bool
-	lastHeldAt        time.Time // when a task of it was last on a machine
+	startNotBefore    time.Time
+	hasRun            bool
+	lastActiveAt      time.Time // when a task of it was last on a machine
 	lastStartAt       time.Time // when a task of it was started last, in this term
-	runs              runStats
+	runTimes          runTimeStats
 	firstPendingChunk int // no task of an earlier chunk is pending
 }
 
 func newJob(rec store.JobRecord, revision wire.Revision) *job {
-	j := &job{spec: rec.Spec, revision: revision, acceptedAt: rec.AcceptedAt.Time(), chunkTasks: rec.ChunkTasks()}
+	j := &job{spec: rec.Spec, revision: revision, acceptedAt: rec.AcceptedAt.Time(), tasksPerChunk: rec.ChunkTasks()}
 	// Steady from here on; a clock that is off makes no job wait negatively.
 	if age := time.Since(j.acceptedAt); age > 0 {
 		j.acceptedAt = time.Now().Add(-age)
 	} else {
 		j.acceptedAt = time.Now()
 	}
-	j.chunks = make([]*chunk, (rec.Spec.Tasks+j.chunkTasks-1)/j.chunkTasks)
+	j.chunks = make([]*chunk, (rec.Spec.Tasks+j.tasksPerChunk-1)/j.tasksPerChunk)
 	return j
 }
 
@@ -66,12 +66,12 @@
 	return wire.Done
 }
 
-func (j *job) pending() int { return j.spec.Tasks - j.done - j.held }
+func (j *job) pending() int { return j.spec.Tasks - j.doneTasks - j.activeTasks }
 
 func (j *job) chunk(n int) *chunk {
 	if j.chunks[n] == nil {
 		j.chunks[n] = &chunk{job: j, index: n, nextAttempt: 1,
-			taskStates: make([]uint8, min(j.chunkTasks, j.spec.Tasks-n*j.chunkTasks)), attempts: map[int]*attempt{}}
+			taskStates: make([]uint8, min(j.tasksPerChunk, j.spec.Tasks-n*j.tasksPerChunk)), attempts: map[int]*attempt{}}
 	}
 	return j.chunks[n]
 }
@@ -89,9 +89,9 @@
 	return out
 }
 
-// zones counts what may be on machines by zone; what is on a machine of an
+// activeByZone counts what may be on machines by zone; what is on a machine of an
 // unknown zone counts under none.
-func (j *job) zones() map[wire.Zone]int {
+func (j *job) activeByZone() map[wire.Zone]int {
 	n := map[wire.Zone]int{}
 	for _, a := range j.attempts() {
 		n[a.machine.zone]++
@@ -99,8 +99,8 @@
 	return n
 }
 
-// eachPending calls f for up to n pending tasks.
-func (j *job) eachPending(n int, f func(c *chunk, index int)) {
+// forEachPending calls f for up to n pending tasks.
+func (j *job) forEachPending(n int, f func(c *chunk, index int)) {
 	for ci := j.firstPendingChunk; ci < len(j.chunks); ci++ {
 		c := j.chunk(ci)
 		for i := c.firstPending; i < len(c.taskStates); i++ {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -101,10 +101,10 @@
 	Dependencies
 	candidate *election.Candidate
 	term      atomic.Pointer[term]
-	// workerContacts names each worker that reports to this node, whoever leads.
-	workerContacts   chan wire.MachineID
-	workersInContact atomic.Int64
-	workerClient     *http.Client
+	// agentContacts names each worker that reports to this node, whoever leads.
+	agentContacts   chan wire.MachineID
+	agentsInContact atomic.Int64
+	workerClient    *http.Client
 	// commandSlots bounds the commands under way to workers and probeSlots the
 	// probes, each with a connection of its own: those to a zone that is cut
 	// off hang, and launches must not wait behind them.
@@ -118,12 +118,12 @@
 // New makes the leader's part of a node.
 func New(d Dependencies) *Leader {
 	l := &Leader{
-		Dependencies:   d,
-		candidate:      newCandidate(d),
-		workerContacts: make(chan wire.MachineID, 64),
-		delegation:     delegation.BoundsOf(d.Config.Settings.Workers),
-		workerClient:   &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
-		commandSlots:   make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
+		Dependencies:  d,
+		candidate:     newCandidate(d),
+		agentContacts: make(chan wire.MachineID, 64),
+		delegation:    delegation.BoundsOf(d.Config.Settings.Workers),
+		workerClient:  &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
+		commandSlots:  make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
 	}
 	l.delegate = newDelegate(d, l.delegation)
 	return l
@@ -150,7 +150,7 @@
 func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.lease.Answering() }
 
 // WorkersInContact is how many workers turned to this node lately.
-func (l *Leader) WorkersInContact() int { return int(l.workersInContact.Load()) }
+func (l *Leader) WorkersInContact() int { return int(l.agentsInContact.Load()) }
 
 // Run campaigns and serves until the context ends.
 func (l *Leader) Run(ctx context.Context) {
@@ -180,7 +180,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-l.workerContacts:
+		case id := <-l.agentContacts:
 			seen[id] = time.Now()
 		case now := <-tick.C:
 			for id, at := range seen {
@@ -188,7 +188,7 @@
 					delete(seen, id)
 				}
 			}
-			l.workersInContact.Store(int64(len(seen)))
+			l.agentsInContact.Store(int64(len(seen)))
 		}
 	}
 }
@@ -208,7 +208,7 @@
 		return
 	}
 	select {
-	case l.workerContacts <- rep.Machine:
+	case l.agentContacts <- rep.Machine:
 	default:
 	}
 	t := l.term.Load()
@@ -216,7 +216,7 @@
 		l.Metrics.Heartbeat("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
-			if !l.delegate.Lately() && l.Mesh.View().Peers[lead].Connected(now) && l.relay(r.Context(), w, lead, &rep) {
+			if !l.delegate.Lately() && l.Mesh.View().Peers[lead].Connected(now) && l.relayHeartbeat(r.Context(), w, lead, &rep) {
 				return
 			}
 			if l.delegate.Returned(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
@@ -231,7 +231,7 @@
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no leader known", 1)
 		return
 	}
-	l.serve(r.Context(), w, t, rep, false)
+	l.answerFromTerm(r.Context(), w, t, rep, false)
 }
 
 // answerAsDelegate renews a worker's lease for a lost leader, if it may.
@@ -257,14 +257,14 @@
 	return l.candidate.Holder(now, peer.AckLifetime)
 }
 
-// serve has the term's loop answer a report.
-func (l *Leader) serve(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Heartbeat, relayed bool) {
-	ask := reportCall{report: rep, relayed: relayed, reply: make(chan reportAnswer, 1)}
+// answerFromTerm has the term's loop answer a report.
+func (l *Leader) answerFromTerm(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Heartbeat, relayed bool) {
+	ask := heartbeatCall{heartbeat: rep, relayed: relayed, reply: make(chan heartbeatReply, 1)}
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	select {
-	case t.reportCalls <- ask:
-	case <-t.over:
+	case t.heartbeatCalls <- ask:
+	case <-t.done:
 	case <-ctx.Done():
 	}
 	select {
@@ -275,22 +275,22 @@
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
 		case a.commands == nil:
 			l.Metrics.Heartbeat("refused")
-			wire.RefuseRetryable(w, http.StatusServiceUnavailable, string(a.refused), 1)
+			wire.RefuseRetryable(w, http.StatusServiceUnavailable, string(a.rejected), 1)
 		default:
 			l.Metrics.Heartbeat("ok")
 			wire.Answer(w, http.StatusOK, a.commands)
 		}
-	case <-t.over:
+	case <-t.done:
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no longer leads", 1)
 	case <-ctx.Done():
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "busy", 1)
 	}
 }
 
-// relay passes a report on to the leader, which answers it if the worker
+// relayHeartbeat passes a report on to the leader, which answers it if the worker
 // seems unable to reach the leader itself. A worker that is cut off from the
 // leader only would otherwise go to and fro until its lease ends.
-func (l *Leader) relay(ctx context.Context, w http.ResponseWriter, to wire.NodeID, rep *wire.Heartbeat) bool {
+func (l *Leader) relayHeartbeat(ctx context.Context, w http.ResponseWriter, to wire.NodeID, rep *wire.Heartbeat) bool {
 	status, raw, err := l.Mesh.Relay(ctx, to, "/peer/hello", rep)
 	if err != nil || status != http.StatusOK {
 		return false
@@ -321,5 +321,5 @@
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "does not lead", 1)
 		return
 	}
-	l.serve(r.Context(), w, t, rep, true)
+	l.answerFromTerm(r.Context(), w, t, rep, true)
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -14,9 +14,9 @@
 	leaseRounding = 1500 * time.Millisecond
 )
 
-// expire ends the tasks of a machine whose lease has surely run out: nobody
+// expireLease ends the tasks of a machine whose lease has surely run out: nobody
 // can have answered it within the lease, the clocks' drift and a margin.
-func (t *term) expire(m *machine, now time.Time) {
+func (t *term) expireLease(m *machine, now time.Time) {
 	if len(m.tasks) == 0 || !t.recovered {
 		return
 	}
@@ -27,15 +27,15 @@
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := latest(latest(m.answeredAt, m.tokenShownAt), latest(m.sessionSince, t.delegatesAnsweredUntil))
+	last := latest(latest(m.lastReplyAt, m.tokenSeenAt), latest(m.epochSince, t.delegatesRenewedUntil))
 	if m.token < t.firstToken {
-		last = latest(last, t.othersUntil())
+		last = latest(last, t.earlierLeaderRepliesUntil())
 	}
 	if now.Sub(last) < surelyOver {
 		return
 	}
 	for _, a := range m.tasks {
-		if a.planned {
+		if a.unstored {
 			continue
 		}
 		// A direct launch of ours may still come, even after the lease; and
@@ -44,25 +44,25 @@
 			continue
 		}
 		t.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
-		t.l.Metrics.TaskMoved(string(moveLeaseEnded))
-		t.drop(a, taskPending)
+		t.leader.Metrics.TaskMoved(string(EvictedLeaseExpired))
+		t.endAttempt(a, taskPending)
 	}
 }
 
-// othersUntil is until when an earlier leader can have answered a worker that
+// earlierLeaderRepliesUntil is until when an earlier leader can have answered a worker that
 // has not seen our token: X after a majority took our token, or B at most. One
 // that never acknowledged a token of ours has had no acknowledgement from us
 // since this term began either, but for a fresh process's empty ones, which say no
 // token for X and count as asked for another 2X; then it stops as if alone. (Where
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
-func (t *term) othersUntil() time.Time {
+func (t *term) earlierLeaderRepliesUntil() time.Time {
 	other := t.startedAt.Add(peer.OutageLimit)
-	if t.l.delegation.Time > 0 {
-		other = t.startedAt.Add(max(t.l.delegation.Time, 3*peer.AckLifetime+time.Second))
+	if t.leader.delegation.Time > 0 {
+		other = t.startedAt.Add(max(t.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
 	}
-	if !t.majorityAckedAt.IsZero() && t.majorityAckedAt.Add(peer.AckLifetime).Before(other) {
-		other = t.majorityAckedAt.Add(peer.AckLifetime)
+	if !t.quorumAckedAt.IsZero() && t.quorumAckedAt.Add(peer.AckLifetime).Before(other) {
+		other = t.quorumAckedAt.Add(peer.AckLifetime)
 	}
 	return other
 }
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -23,8 +23,8 @@
 			for _, m := range tm.machines {
 				if !skip(m) {
 					rep := reportOf(m)
-					tm.apply(m, &rep, true, time.Now())
-					m.answeredAt = time.Now()
+					tm.reconcile(m, &rep, true, time.Now())
+					m.lastReplyAt = time.Now()
 				}
 			}
 		}
@@ -40,7 +40,7 @@
 					}
 					return silent(m) || n%20 != turn
 				})
-				tm.watchMachines(time.Now())
+				tm.checkMachines(time.Now())
 				for more := true; more; {
 					select {
 					case f := <-tm.inbox:
@@ -55,7 +55,7 @@
 		none := func(*machine) bool { return false }
 		returned := func(z wire.Zone) (n int) {
 			for _, m := range tm.machines {
-				if m.zone == z && m.releasing {
+				if m.zone == z && m.scalingIn {
 					n++
 				}
 			}
@@ -84,7 +84,7 @@
 				t.Fatalf("%s takes launches behind the cut", m.id)
 			}
 		}
-		for _, o := range tm.offers(tm.l.Catalog.Get(), time.Now()) {
+		for _, o := range tm.offers(tm.leader.Catalog.Get(), time.Now()) {
 			if o.Zone == "a" {
 				t.Error("machines would be rented behind the cut")
 			}
@@ -102,25 +102,25 @@
 // keeps to that, whatever comes late from those it has lost.
 func TestLeadersWithoutEachOther(t *testing.T) {
 	tm, _, _ := rig(t)
-	tm.l.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
+	tm.leader.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
 	now := time.Now()
 	tm.startedAt = now.Add(-40 * time.Second)
 	since := func(at time.Time) time.Duration { return at.Sub(tm.startedAt).Round(time.Second) }
 	// Without a time for delegates, and with a majority.
-	if got := since(tm.othersUntil()); got != peer.OutageLimit {
+	if got := since(tm.earlierLeaderRepliesUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
 	}
-	tm.l.delegation.Time = 22 * time.Second
-	if got := since(tm.othersUntil()); got != 22*time.Second {
+	tm.leader.delegation.Time = 22 * time.Second
+	if got := since(tm.earlierLeaderRepliesUntil()); got != 22*time.Second {
 		t.Errorf("never acknowledged: %v", got)
 	}
-	tm.l.delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
-	if got := since(tm.othersUntil()); got != 7*time.Second {
+	tm.leader.delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
+	if got := since(tm.earlierLeaderRepliesUntil()); got != 7*time.Second {
 		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
-	tm.l.delegation.Time = 22 * time.Second
-	tm.majorityAckedAt = tm.startedAt.Add(3 * time.Second)
-	if got := since(tm.othersUntil()); got != 5*time.Second {
+	tm.leader.delegation.Time = 22 * time.Second
+	tm.quorumAckedAt = tm.startedAt.Add(3 * time.Second)
+	if got := since(tm.earlierLeaderRepliesUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
 	}
 	// Of the others' last acknowledged beats the oldest counts.
@@ -160,26 +160,26 @@
 					time.Sleep(500 * time.Millisecond)
 					for _, m := range tm.machines {
 						if silent[m] {
-							m.unansweredProbes, m.peerUnanswered = 2, true
+							m.unansweredProbes, m.relayUnanswered = 2, true
 						} else {
-							m.seenAt = time.Now()
+							m.lastMessageAt = time.Now()
 						}
 					}
-					tm.watchMachines(time.Now())
+					tm.checkMachines(time.Now())
 				}
 			}
 			defer tm.end("the test is over")
 			watch(6 * time.Second)
-			if serving.releasing {
+			if serving.scalingIn {
 				t.Error("returned after 6 s")
 			}
 			watch(9 * time.Second)
-			if serving.releasing == many || other.releasing {
-				t.Errorf("%d silent: after 9 s the one with replicas is returned: %v, the other: %v", len(silent), serving.releasing, other.releasing)
+			if serving.scalingIn == many || other.scalingIn {
+				t.Errorf("%d silent: after 9 s the one with replicas is returned: %v, the other: %v", len(silent), serving.scalingIn, other.scalingIn)
 			}
 			watch(17 * time.Second)
-			if !serving.releasing || !other.releasing {
-				t.Errorf("%d silent: after 17 s returned: %v, %v", len(silent), serving.releasing, other.releasing)
+			if !serving.scalingIn || !other.scalingIn {
+				t.Errorf("%d silent: after 17 s returned: %v, %v", len(silent), serving.scalingIn, other.scalingIn)
 			}
 		})
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -20,55 +20,55 @@
 	machineType wire.MachineType
 	zone        wire.Zone
 	spot        bool
-	session     wire.AgentEpoch
+	epoch       wire.AgentEpoch
 	sequence    wire.Sequence
 	token       wire.FencingToken
 
-	directReportAt      time.Time // last report that came here by itself
-	relayedReportAt     time.Time // last report through another node
-	relayed             bool      // the last report came through another node
-	booting             bool      // never reported, as far as we know
-	rentedAt            time.Time
-	listedAt            time.Time // when a list last had it; else when it became known
-	seenAt              time.Time // last message from it
-	tokenShownAt        time.Time // when it first showed a token of this term
-	answeredAt          time.Time // last answer to a report of it
-	reportsMissingSince time.Time // since when it only answers direct commands; zero: it reports
-	sessionSince        time.Time // when its session became known
-	usedAt              time.Time // last time that a task was on it
-	upAt                time.Time // first report in this term
-	failed              bool      // the list says that it has stopped by itself
+	directHeartbeatAt      time.Time // last report that came here by itself
+	relayedHeartbeatAt     time.Time // last report through another node
+	relayedOnly            bool      // the last report came through another node
+	booting                bool      // never reported, as far as we know
+	requestedAt            time.Time
+	listedAt               time.Time // when a list last had it; else when it became known
+	lastMessageAt          time.Time // last message from it
+	tokenSeenAt            time.Time // when it first showed a token of this term
+	lastReplyAt            time.Time // last answer to a report of it
+	heartbeatsMissingSince time.Time // since when it only answers direct commands; zero: it reports
+	epochSince             time.Time // when its session became known
+	lastUsedAt             time.Time // last time that a task was on it
+	firstHeartbeatAt       time.Time // first report in this term
+	failedInCloud          bool      // the list says that it has stopped by itself
 
-	tasks       map[wire.Task]*attempt
-	used        placement.Resources // by tasks
-	orphans     map[wire.Task]bool  // on it, but not ours to want there
-	takenBackAt time.Time           // the cloud takes it then; zero: no notice
-	images      imageCache
+	tasks         map[wire.Task]*attempt
+	usedResources placement.Resources // by tasks
+	orphanTasks   map[wire.Task]bool  // on it, but not ours to want there
+	reclaimAt     time.Time           // the cloud takes it then; zero: no notice
+	images        imageCache
 
 	unansweredLaunch unansweredCommand // the last launches that were never answered
 	commandInFlight  bool              // a direct command is under way
-	unansweredProbes int               // direct tries without an answer since seenAt
-	// peerUnanswered: the last of these went through another node, in vain too.
-	peerUnanswered bool
-	verifiedAt     time.Time // when it was last asked directly because of a stale report
-	restarted      bool      // it restarted, with smaller counters; to be returned
-	inbound        detector.Inbound
-	drainReason    drainReason // why it takes nothing new; empty: it does
-	releasing      bool
-	cordoned       bool // see fleet.Plan
-	claims         []claim
-	fullUntil      time.Time
-	failedJobs     map[wire.JobID]bool // jobs that failed here in a row
-	failures       int
-	runTimes       runTimeCounts
+	unansweredProbes int               // direct tries without an answer since lastMessageAt
+	// relayUnanswered: the last of these went through another node, in vain too.
+	relayUnanswered bool
+	lastVerifiedAt  time.Time // when it was last asked directly because of a stale report
+	restarted       bool      // it restarted, with smaller counters; to be returned
+	inbound         detector.Inbound
+	drainReason     drainReason // why it takes nothing new; empty: it does
+	scalingIn       bool
+	cordoned        bool // see fleet.Plan
+	reservations    []reservation
+	refusedUntil    time.Time
+	failedJobs      map[wire.JobID]bool // jobs that failed here in a row
+	failures        int
+	slowRuns        slowRunCounts
 }
 
-// machine is the entry of a machine in the inventory, made if there is none.
-func (t *term) machine(id wire.MachineID) *machine {
+// getOrAddMachine is the entry of a machine in the inventory, made if there is none.
+func (t *term) getOrAddMachine(id wire.MachineID) *machine {
 	m := t.machines[id]
 	if m == nil {
 		now := time.Now()
-		m = &machine{id: id, tasks: map[wire.Task]*attempt{}, orphans: map[wire.Task]bool{}, usedAt: now, rentedAt: now, listedAt: now, failedJobs: map[wire.JobID]bool{}}
+		m = &machine{id: id, tasks: map[wire.Task]*attempt{}, orphanTasks: map[wire.Task]bool{}, lastUsedAt: now, requestedAt: now, listedAt: now, failedJobs: map[wire.JobID]bool{}}
 		t.machines[id] = m
 	}
 	return m
@@ -78,55 +78,55 @@
 // lacks means nothing, and what it shows may be gone.
 func (t *term) onMachineList(list []wire.ListedMachine) {
 	now := time.Now()
-	t.listReceived = true
+	t.machineListReceived = true
 	for _, h := range list {
-		if _, gone := t.gone[h.Name]; gone {
+		if _, gone := t.removedMachines[h.Name]; gone {
 			continue
 		}
 		known := t.machines[h.Name] != nil
-		m := t.machine(h.Name)
+		m := t.getOrAddMachine(h.Name)
 		m.listedAt = now
 		if !known {
-			m.rentedAt = now.Add(-h.Age.Duration())
+			m.requestedAt = now.Add(-h.Age.Duration())
 			m.booting = h.State == wire.ListedStarting
 		}
-		if m.upAt.IsZero() {
+		if m.firstHeartbeatAt.IsZero() {
 			m.addr, m.machineType, m.zone, m.spot = h.Addr, h.Type, h.Zone, h.Spot
-			if age := now.Add(-h.Age.Duration()); age.Before(m.rentedAt) {
-				m.rentedAt = age
+			if age := now.Add(-h.Age.Duration()); age.Before(m.requestedAt) {
+				m.requestedAt = age
 			}
-			if h.State == wire.ListedRunning && m.token < t.firstToken && m.unansweredProbes == 0 && !m.releasing {
-				t.tokenShown = false
+			if h.State == wire.ListedRunning && m.token < t.firstToken && m.unansweredProbes == 0 && !m.scalingIn {
+				t.tokenAnnounced = false
 			}
 		}
-		if h.State == wire.ListedFailed && !m.failed {
-			m.failed, m.booting = true, false
+		if h.State == wire.ListedFailed && !m.failedInCloud {
+			m.failedInCloud, m.booting = true, false
 			t.log().Info("machine failed", "machine", m.id, "tasks", len(m.tasks))
 		}
 	}
-	if !t.placing {
-		t.watchLeadership(now)
+	if !t.schedulingEnabled {
+		t.checkLeadership(now)
 	}
 }
 
-// noteUp notes that a machine reports for the first time.
-func (t *term) noteUp(m *machine, now time.Time) {
+// logMachineUp notes that a machine reports for the first time.
+func (t *term) logMachineUp(m *machine, now time.Time) {
 	if m.booting {
-		t.log().Info("machine up", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.rentedAt))
-		m.usedAt = now
+		t.log().Info("machine up", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.requestedAt))
+		m.lastUsedAt = now
 	}
 }
 
 // unansweredCommand is the newest direct command that was never answered.
 type unansweredCommand struct {
-	token   wire.FencingToken
-	session wire.AgentEpoch
+	token wire.FencingToken
+	epoch wire.AgentEpoch
 }
 
-// mayStillLaunch tells whether an unanswered launch may still reach the worker.
-func (m *machine) mayStillLaunch(rep *wire.Heartbeat) bool {
+// launchMayArrive tells whether an unanswered launch may still reach the worker.
+func (m *machine) launchMayArrive(rep *wire.Heartbeat) bool {
 	l := m.unansweredLaunch
-	return l.token > 0 && rep.Token <= l.token && rep.Epoch <= l.session
+	return l.token > 0 && rep.Token <= l.token && rep.Epoch <= l.epoch
 }
 
 // zones are those of the settings, of what can be rented, and of the machines
@@ -138,7 +138,7 @@
 			out = append(out, z)
 		}
 	}
-	for _, f := range t.l.Catalog.Get() {
+	for _, f := range t.leader.Catalog.Get() {
 		for _, z := range f.Zones {
 			add(z)
 		}
@@ -155,7 +155,7 @@
 	n := map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}
 	for _, m := range t.machines {
 		switch {
-		case m.releasing:
+		case m.scalingIn:
 			n["releasing"]++
 		case m.drainReason != "":
 			n["draining"]++
@@ -187,7 +187,7 @@
 }
 
 func (t *term) machineSpec(k wire.MachineType) *wire.MachineSpec {
-	fs := t.l.Catalog.Get()
+	fs := t.leader.Catalog.Get()
 	for i := range fs {
 		if fs[i].Name == k {
 			return &fs[i]
@@ -196,18 +196,18 @@
 	return nil
 }
 
-// total and free room of a machine. What the cloud's list of types does not
+// totalResources and free room of a machine. What the cloud's list of types does not
 // name can hold nothing.
-func (t *term) total(m *machine) placement.Resources {
+func (t *term) totalResources(m *machine) placement.Resources {
 	if f := t.machineSpec(m.machineType); f != nil {
 		return placementRes(f)
 	}
 	return placement.Resources{}
 }
 
-func (t *term) free(m *machine) placement.Resources {
-	free := t.total(m).Minus(m.used)
-	for task := range m.orphans {
+func (t *term) freeResources(m *machine) placement.Resources {
+	free := t.totalResources(m).Minus(m.usedResources)
+	for task := range m.orphanTasks {
 		j := t.jobs[task.Job]
 		if j == nil {
 			return placement.Resources{} // of unknown size
@@ -224,11 +224,11 @@
 	wait := 4 * time.Second
 	for {
 		asked := time.Now()
-		list, err := t.l.Cloud.List(ctx)
+		list, err := t.leader.Cloud.List(ctx)
 		next := wait
 		if err == nil {
 			t.post(func() {
-				t.listAskedAt = asked
+				t.machineListRequestedAt = asked
 				t.onMachineList(list)
 			})
 		} else {
@@ -258,12 +258,12 @@
 func (t *term) pollMachineSpecs(ctx context.Context) {
 	stored := false
 	for {
-		fs, err := t.l.Cloud.MachineSpecs(ctx)
+		fs, err := t.leader.Cloud.MachineSpecs(ctx)
 		next := 20 * time.Second
 		if err == nil {
-			t.l.Catalog.Set(fs)
+			t.leader.Catalog.Set(fs)
 			stored = stored || t.storeMachineSpecs(ctx, fs)
-			t.post(t.requestRound)
+			t.post(t.requestCycle)
 		} else {
 			next = 2*time.Second + rand.N(time.Second)
 		}
--- a/internal/leader/partitions.go
+++ b/internal/leader/partitions.go
@@ -11,12 +11,12 @@
 // judgePartitions looks for zones that are silent as a whole. Their machines will be
 // back, and what runs on them goes on until their leases end: they are kept, and
 // returned only if the partition outlasts that by far.
-func (t *term) judgePartitions(c *census, now time.Time) {
+func (t *term) judgePartitions(c *machineCounts, now time.Time) {
 	for zone, up := range c.zoneUp {
 		if zone == "" {
 			continue
 		}
-		silentSince := t.zoneSilentSince(zone)
+		silentSince := t.zoneControllersLastContact(zone)
 		counts := detector.Counts{Up: up, Lost: c.zoneLost[zone], AllUp: c.up,
 			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.AckLifetime}
 		if t.zoneDetector.Judge(zone, counts, now) {
@@ -41,5 +41,5 @@
 // there once waited for the end of the partition, and nothing was rented in its
 // place.
 func (t *term) behindPartition(m *machine, now time.Time) bool {
-	return t.zoneDetector.Behind(m.zone, m.seenAt, now)
+	return t.zoneDetector.Behind(m.zone, m.lastMessageAt, now)
 }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -17,16 +17,16 @@
 	if m.commandInFlight || m.addr == "" {
 		return
 	}
-	session := max(m.session, 1)
+	session := max(m.epoch, 1)
 	m.commandInFlight = true
-	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Epoch: session}, position{m.session, m.sequence}
-	ask := func() (*wire.Heartbeat, int, error) { return t.l.post(t.ctx, addr, cmd, probeTimeout) }
+	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Epoch: session}, heartbeatPosition{m.epoch, m.sequence}
+	ask := func() (*wire.Heartbeat, int, error) { return t.leader.sendCommands(t.ctx, addr, cmd, probeTimeout) }
 	// What doesn't answer this node is asked once more through another one: it
 	// may be only the way from here that is cut.
 	relay := wire.NodeID("")
 	if m.unansweredProbes > 0 {
-		if relay = t.l.linkedNode(time.Now()); relay != "" {
-			ask = func() (*wire.Heartbeat, int, error) { return t.l.probeVia(t.ctx, relay, addr, cmd) }
+		if relay = t.leader.randomConnectedPeer(time.Now()); relay != "" {
+			ask = func() (*wire.Heartbeat, int, error) { return t.leader.probeThroughPeer(t.ctx, relay, addr, cmd) }
 		}
 	}
 	go func() {
@@ -38,7 +38,7 @@
 		}
 		t.post(func() {
 			t.onCommandAnswer(m, asked, cmd, nil, rep, status, err)
-			m.peerUnanswered = err != nil && relay != ""
+			m.relayUnanswered = err != nil && relay != ""
 		})
 	}()
 }
@@ -49,8 +49,8 @@
 	Commands wire.Commands `cbor:"orders"`
 }
 
-// linkedNode is some other node that is linked to this one.
-func (l *Leader) linkedNode(now time.Time) wire.NodeID {
+// randomConnectedPeer is some other node that is linked to this one.
+func (l *Leader) randomConnectedPeer(now time.Time) wire.NodeID {
 	var near []wire.NodeID
 	for id, o := range l.Mesh.View().Peers {
 		if o.Connected(now) {
@@ -63,8 +63,8 @@
 	return near[rand.IntN(len(near))]
 }
 
-// probeVia asks a worker for its report through another node.
-func (l *Leader) probeVia(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Heartbeat, int, error) {
+// probeThroughPeer asks a worker for its report through another node.
+func (l *Leader) probeThroughPeer(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Heartbeat, int, error) {
 	status, raw, err := l.Mesh.Relay(ctx, node, "/peer/ask", relayedProbe{addr, cmd})
 	if err != nil {
 		return nil, 0, err
@@ -85,7 +85,7 @@
 		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a question to a worker"})
 		return
 	}
-	rep, status, err := l.post(r.Context(), a.Addr, a.Commands, probeTimeout)
+	rep, status, err := l.sendCommands(r.Context(), a.Addr, a.Commands, probeTimeout)
 	if err != nil {
 		wire.RefuseRetryable(w, http.StatusBadGateway, "worker not reached", 1)
 		return
@@ -98,11 +98,11 @@
 // reports behind them.
 const maxProbesPerTick = 25
 
-// showToken shows our token to the machines that have not seen it and whose
+// announceToken shows our token to the machines that have not seen it and whose
 // address is known, so that a new leader's report round takes a moment and
 // not a report's interval.
-func (t *term) showToken() {
-	if t.tokenShown || !t.recovered || !t.lease.Deciding() {
+func (t *term) announceToken() {
+	if t.tokenAnnounced || !t.recovered || !t.lease.Deciding() {
 		return
 	}
 	n := 0
@@ -115,5 +115,5 @@
 		}
 		t.probe(m)
 	}
-	t.tokenShown = n == 0 && t.listReceived
+	t.tokenAnnounced = n == 0 && t.machineListReceived
 }
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -22,24 +22,24 @@
 	}
 }
 
-// leftOver notes what is left from a job that was archived in several steps.
-func (t *term) leftOver(e wire.Entry) {
+// discardLeftover notes what is left from a job that was archived in several steps.
+func (t *term) discardLeftover(e wire.Entry) {
 	t.writer.addOrphan(wire.Guard{Key: e.Key, Revision: e.Revision})
 }
 
 // readChunkEntry takes in the chunk of a job with an index.
 func (t *term) readChunkEntry(e wire.Entry, id wire.JobID, index int) {
 	j := t.jobs[id]
-	if j == nil && t.isAside(id) {
+	if j == nil && t.quarantined(id) {
 		return
 	}
 	if j == nil || index >= len(j.chunks) {
-		t.leftOver(e)
+		t.discardLeftover(e)
 		return
 	}
 	var rec store.ChunkRecord
 	if err := wire.Decode(e.Value, &rec); err != nil {
-		t.setAside(e.Key, id, err)
+		t.quarantine(e.Key, id, err)
 		j.chunk(index).revision = e.Revision // it goes with the job's record, once that is cancelled
 		return
 	}
@@ -51,32 +51,32 @@
 func (t *term) readSubChunkEntry(e wire.Entry) {
 	id, index, part, ok := store.ParseSubchunkKey(e.Key)
 	j := t.jobs[id]
-	if ok && j == nil && t.isAside(id) {
+	if ok && j == nil && t.quarantined(id) {
 		return
 	}
 	if !ok || j == nil {
-		t.leftOver(e)
+		t.discardLeftover(e)
 		return
 	}
 	var rec store.ChunkRecord
 	if err := wire.Decode(e.Value, &rec); err != nil {
-		t.setAside(e.Key, id, err)
+		t.quarantine(e.Key, id, err)
 		return
 	}
-	if !j.splitsInto(rec.SubchunkTasks) {
-		t.leftOver(e)
+	if !j.canSplitInto(rec.SubchunkTasks) {
+		t.discardLeftover(e)
 		return
 	}
-	if j.subChunks == 0 {
+	if j.subchunksPerChunk == 0 {
 		j.split(rec.SubchunkTasks)
 	}
-	if part >= j.subChunks || index*j.subChunks+part >= len(j.chunks) {
-		t.leftOver(e)
+	if part >= j.subchunksPerChunk || index*j.subchunksPerChunk+part >= len(j.chunks) {
+		t.discardLeftover(e)
 		return
 	}
 	t.writer.limitWasLowered() // else there were none
-	c := j.chunk(index*j.subChunks + part)
-	c.clear()
+	c := j.chunk(index*j.subchunksPerChunk + part)
+	c.reset()
 	t.readChunk(c, e.Revision, &rec)
 }
 
@@ -89,13 +89,13 @@
 	for i, d := range done {
 		if d {
 			c.taskStates[i] = taskDone
-			j.done++
+			j.doneTasks++
 		}
 	}
 	for _, h := range rec.Active {
 		if h.Task < 0 || h.Task >= len(c.taskStates) || c.taskStates[h.Task] != taskPending {
 			continue
 		}
-		c.hold(&attempt{job: j, chunk: c, index: h.Task, number: h.Attempt, machine: t.machine(h.Machine), inherited: true, decidedAt: t.startedAt})
+		c.add(&attempt{job: j, chunk: c, index: h.Task, number: h.Attempt, machine: t.getOrAddMachine(h.Machine), inherited: true, decidedAt: t.startedAt})
 	}
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -13,7 +13,7 @@
 func (t *term) checkInbound(m *machine, rep *wire.Heartbeat, now time.Time) {
 	evidence := detector.Evidence{
 		KnownToken:    m.token,
-		RenewedLately: now.Sub(m.answeredAt) < t.settings.Workers.Lease.Duration()/2,
+		RenewedLately: now.Sub(m.lastReplyAt) < t.settings.Workers.Lease.Duration()/2,
 		MissesLaunch:  func() bool { return m.missesLaunch(rep) },
 	}
 	t.inboundChanged(m, m.inbound.Reported(rep, evidence, now))
@@ -28,7 +28,7 @@
 		t.log().Info("machine reports but receives nothing", "machine", m.id, "tasks", len(m.tasks))
 	case detector.Restored:
 		t.log().Info("machine receives again", "machine", m.id)
-		t.requestRound()
+		t.requestCycle()
 	}
 }
 
@@ -36,7 +36,7 @@
 // should know of by now.
 func (m *machine) missesLaunch(rep *wire.Heartbeat) bool {
 	for task, a := range m.tasks {
-		if a.reported || a.answerSequence == 0 || a.answerSession != rep.Epoch || rep.Sequence <= a.answerSequence {
+		if a.observed || a.replySequence == 0 || a.replyEpoch != rep.Epoch || rep.Sequence <= a.replySequence {
 			continue
 		}
 		name := task.String()
@@ -50,35 +50,35 @@
 // inboundProbeInterval is how often a machine that seems to receive nothing is probed.
 const inboundProbeInterval = 2 * time.Second
 
-// watchInbound returns a machine that reports but receives nothing: at once when
+// checkInboundPath returns a machine that reports but receives nothing: at once when
 // something on it waits for a proof that it can't give, else when its lease
 // must have run out. When many seem so it is rather this node that is slow.
-func (t *term) watchInbound(m *machine, now time.Time) {
-	if m.inbound.Works() || m.releasing || !t.lease.Deciding() || !t.recovered {
+func (t *term) checkInboundPath(m *machine, now time.Time) {
+	if m.inbound.Works() || m.scalingIn || !t.lease.Deciding() || !t.recovered {
 		return
 	}
-	if now.Sub(m.verifiedAt) > inboundProbeInterval {
-		m.verifiedAt = now
+	if now.Sub(m.lastVerifiedAt) > inboundProbeInterval {
+		m.lastVerifiedAt = now
 		t.probe(m)
 	}
 	stuck := false
 	for _, a := range m.tasks {
-		stuck = stuck || !a.planned && (!a.reported || a.halting)
+		stuck = stuck || !a.unstored && (!a.observed || a.stopping)
 	}
 	lostFor := m.inbound.LostFor(now)
-	stuckFor := reportInterval(t)/2 + inboundProbeInterval
+	stuckFor := heartbeatInterval(t)/2 + inboundProbeInterval
 	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > t.settings.Workers.Lease.Duration() {
-		t.release(m, drainInboundLost)
+		t.scaleIn(m, drainInboundLost)
 	}
 }
 
-// reportsMissingFor is how long a machine has answered direct commands while no report
+// heartbeatsMissingFor is how long a machine has answered direct commands while no report
 // of it came, neither here nor through another node, nor to a delegate.
-func (t *term) reportsMissingFor(m *machine, now time.Time) time.Duration {
-	if m.reportsMissingSince.IsZero() {
+func (t *term) heartbeatsMissingFor(m *machine, now time.Time) time.Duration {
+	if m.heartbeatsMissingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(latest(m.reportsMissingSince, latest(t.stateBackAt, t.delegatesAnsweredUntil)))
+	return now.Sub(latest(m.heartbeatsMissingSince, latest(t.storeAvailableSince, t.delegatesRenewedUntil)))
 }
 
 // outboundLost tells whether a machine looks alive but can't reach any controller: its
@@ -86,18 +86,18 @@
 // nothing new, and its room is not counted on. (Tasks longer than a lease were
 // once started on such machines for ever and never completed.)
 func (t *term) outboundLost(m *machine, now time.Time) bool {
-	return t.reportsMissingFor(m, now) > max(t.settings.Workers.Lease.Duration()/2, 2*reportInterval(t))
+	return t.heartbeatsMissingFor(m, now) > max(t.settings.Workers.Lease.Duration()/2, 2*heartbeatInterval(t))
 }
 
-// watchOutbound returns a machine whose reports are lost when its lease must have
+// checkOutboundPath returns a machine whose reports are lost when its lease must have
 // run out, so that nothing is lost by it, or much later when they are many: then it
 // is rather the way from them, which will be back.
-func (t *term) watchOutbound(m *machine, now time.Time, few bool) {
+func (t *term) checkOutboundPath(m *machine, now time.Time, few bool) {
 	lease := t.settings.Workers.Lease.Duration()
-	if m.releasing || !t.recovered || t.reportsMissingFor(m, now) <= lease*5/4 {
+	if m.scalingIn || !t.recovered || t.heartbeatsMissingFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || t.reportsMissingFor(m, now) > max(lease*5/2, t.settings.Workers.CancelTimeout.Duration()*2) {
-		t.release(m, drainOutboundLost)
+	if few || t.heartbeatsMissingFor(m, now) > max(lease*5/2, t.settings.Workers.CancelTimeout.Duration()*2) {
+		t.scaleIn(m, drainOutboundLost)
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -21,13 +21,13 @@
 // away gives a term a cloud and workers that can't be reached.
 func away(tm *term) {
 	nw := simulator.NewNetwork(0).Host("10.0.0.1")
-	tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
-	tm.l.workerClient = &http.Client{Transport: nw.Transport(2, 2)}
+	tm.leader.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
+	tm.leader.workerClient = &http.Client{Transport: nw.Transport(2, 2)}
 }
 
-func (t *term) tell(rep *wire.Heartbeat) reportAnswer {
-	h := reportCall{report: *rep, reply: make(chan reportAnswer, 1)}
-	t.onReport(h)
+func (t *term) tell(rep *wire.Heartbeat) heartbeatReply {
+	h := heartbeatCall{heartbeat: *rep, reply: make(chan heartbeatReply, 1)}
+	t.onHeartbeat(h)
 	return <-h.reply
 }
 
@@ -38,7 +38,7 @@
 	launch := func(tm *term, m *machine) {
 		j := tm.jobs["req-1"]
 		a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 8, machine: m, decidedAt: time.Now()}
-		a.chunk.hold(a)
+		a.chunk.add(a)
 	}
 	shown := wire.TaskState{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
 	cases := map[string]struct {
@@ -76,11 +76,11 @@
 			}
 			for n := wire.Sequence(20); n < 30; n++ {
 				time.Sleep(2 * time.Second)
-				m.seenAt = time.Now() // it goes on reporting
-				tm.watchMachines(time.Now())
+				m.lastMessageAt = time.Now() // it goes on reporting
+				tm.checkMachines(time.Now())
 			}
-			if m.releasing != c.lost {
-				t.Errorf("%s: returned %v", name, m.releasing)
+			if m.scalingIn != c.lost {
+				t.Errorf("%s: returned %v", name, m.scalingIn)
 			}
 		})
 	}
@@ -99,28 +99,28 @@
 		m.addr = "10.1.0.1:9000"
 		before := *m
 		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.token), said(1, 3, tm.token), said(0, 99, 0)} {
-			if r := tm.tell(rep); r.refused == "" {
+			if r := tm.tell(rep); r.rejected == "" {
 				t.Errorf("copy %d/%d answered %+v", rep.Epoch, rep.Sequence, r)
 			}
 		}
-		if m.seenAt != before.seenAt || m.answeredAt != before.answeredAt || m.sequence != before.sequence {
+		if m.lastMessageAt != before.lastMessageAt || m.lastReplyAt != before.lastReplyAt || m.sequence != before.sequence {
 			t.Error("late copies make a silent machine seem alive")
 		}
 		// Two copies at a time cost one question to the machine itself.
-		if !m.commandInFlight || m.verifiedAt != time.Now() {
+		if !m.commandInFlight || m.lastVerifiedAt != time.Now() {
 			t.Error("the machine was not asked which it is")
 		}
-		tm.gone["n-9"] = time.Now()
+		tm.removedMachines["n-9"] = time.Now()
 		gone := said(9, 9, tm.token)
 		gone.Machine = "n-9"
-		if r := tm.tell(gone); r.refused == "" || tm.machines["n-9"] != nil {
+		if r := tm.tell(gone); r.rejected == "" || tm.machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
-		tm.recovered, tm.earlyReports = false, map[wire.MachineID]wire.Heartbeat{}
+		tm.recovered, tm.earlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
 		tm.tell(said(2, 5, tm.token))
 		tm.tell(said(1, 40, tm.token))
-		if got := tm.earlyReports["n-1"]; got.Epoch != 2 {
+		if got := tm.earlyHeartbeats["n-1"]; got.Epoch != 2 {
 			t.Errorf("kept report %d/%d", got.Epoch, got.Sequence)
 		}
 	})
@@ -135,8 +135,8 @@
 		m.zone = "b"
 		zone := map[wire.Zone][]*machine{}
 		for i := range 26 {
-			x := tm.machine(wire.MachineID(fmt.Sprint("n-", 100+i)))
-			x.token, x.upAt, x.seenAt, x.answeredAt, x.zone = tm.token, time.Now(), time.Now(), time.Now(), "b"
+			x := tm.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
+			x.token, x.firstHeartbeatAt, x.lastMessageAt, x.lastReplyAt, x.zone = tm.token, time.Now(), time.Now(), time.Now(), "b"
 			if i < 10 {
 				x.zone = "a"
 			}
@@ -145,10 +145,10 @@
 		serving := zone["a"][0]
 		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 		tm.jobs["req-2"] = j
-		j.chunk(0).hold(&attempt{job: j, chunk: j.chunk(0), index: 0, number: 1, machine: serving, reported: true})
+		j.chunk(0).add(&attempt{job: j, chunk: j.chunk(0), index: 0, number: 1, machine: serving, observed: true})
 		returned := func() (n int) {
 			for _, x := range zone["a"] {
-				if x.releasing {
+				if x.scalingIn {
 					n++
 				}
 			}
@@ -159,24 +159,24 @@
 				time.Sleep(500 * time.Millisecond)
 				for _, x := range tm.machines {
 					if x.zone == "b" && x != zone["b"][0] {
-						x.seenAt = time.Now()
+						x.lastMessageAt = time.Now()
 					} else {
-						x.unansweredProbes, x.peerUnanswered = 2, true
+						x.unansweredProbes, x.relayUnanswered = 2, true
 					}
 				}
-				tm.watchMachines(time.Now())
+				tm.checkMachines(time.Now())
 			}
 		}
 		watch(10 * time.Second)
-		if !zone["b"][0].releasing || returned() != 0 {
-			t.Errorf("after 10 s the silent machine beside live ones is returned: %v; of the cut zone %d are", zone["b"][0].releasing, returned())
+		if !zone["b"][0].scalingIn || returned() != 0 {
+			t.Errorf("after 10 s the silent machine beside live ones is returned: %v; of the cut zone %d are", zone["b"][0].scalingIn, returned())
 		}
 		watch(5500 * time.Millisecond) // 15.5 s of a lease of 16 s
-		if !serving.releasing || returned() != 1 {
-			t.Errorf("near the lease's end the machine with a replica is returned: %v; %d in all", serving.releasing, returned())
+		if !serving.scalingIn || returned() != 1 {
+			t.Errorf("near the lease's end the machine with a replica is returned: %v; %d in all", serving.scalingIn, returned())
 		}
 		watch(2500 * time.Millisecond)
-		if n := j.held; n != 0 {
+		if n := j.activeTasks; n != 0 {
 			// (The cloud is away here. Such replicas once waited for its return.)
 			t.Errorf("after the lease %d replicas of the cut zone are still counted", n)
 		}
@@ -196,7 +196,7 @@
 		nw := simulator.NewNetwork(time.Millisecond)
 		mesh := func(name wire.NodeID, i, other int, to wire.NodeID, leads bool) *peer.Mesh {
 			m := peer.New(name, []config.Peer{{HostName: to, Addr: simulator.NodeIP(other) + ":8081"}},
-				func() peer.Status { return peer.Status{Leads: leads} }, cancels.New(nil, time.Minute), nw.Host(simulator.NodeIP(i)), tm.l.Log)
+				func() peer.Status { return peer.Status{Leads: leads} }, cancels.New(nil, time.Minute), nw.Host(simulator.NodeIP(i)), tm.leader.Log)
 			l, err := nw.Host(simulator.NodeIP(i)).Listen("tcp4", simulator.NodeIP(i)+":8081")
 			if err != nil {
 				t.Fatal(err)
@@ -209,7 +209,7 @@
 			t.Cleanup(func() { srv.Close() })
 			return m
 		}
-		l := tm.l
+		l := tm.leader
 		l.Config.HostName = "a"
 		l.candidate = election.NewCandidate(l.Config, nil, l.Log, nil)
 		l.Mesh = mesh("a", 0, 1, "b", false)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -11,14 +11,14 @@
 	"lilaclead/upgrade"
 )
 
-// recover reads everything from the state service.
-func (t *term) recover(ctx context.Context) {
+// readRecords reads everything from the state service.
+func (t *term) readRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		jobs, rev, err := t.l.Store.List(ctx, store.Background, store.JobPrefix)
+		jobs, rev, err := t.leader.Store.List(ctx, store.Background, store.JobPrefix)
 		var runs []wire.Entry
 		if err == nil {
-			runs, _, err = t.l.Store.List(ctx, store.Background, store.ProgressPrefix)
+			runs, _, err = t.leader.Store.List(ctx, store.Background, store.ProgressPrefix)
 		}
 		var version upgrade.Version
 		if err == nil {
@@ -32,10 +32,10 @@
 			t.post(func() {
 				t.loadRecords(jobs, runs)
 				t.version = version
-				t.adopt(earlier)
-				t.l.Cancels.RecordRead(began)
+				t.adoptIntents(earlier)
+				t.leader.Cancels.RecordRead(began)
 			})
-			t.follow(ctx, rev)
+			t.watchJobRecords(ctx, rev)
 			return
 		}
 		t.log().Info("recovery: state service refuses", "err", err)
@@ -50,11 +50,11 @@
 // new as its beginning, and leases are renewed by that.
 const followFor = time.Second
 
-// follow watches the jobs.
-func (t *term) follow(ctx context.Context, rev wire.Revision) {
+// watchJobRecords watches the jobs.
+func (t *term) watchJobRecords(ctx context.Context, rev wire.Revision) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		ch, err := t.l.Store.Watch(ctx, store.JobPrefix, rev, followFor)
+		ch, err := t.leader.Store.Watch(ctx, store.JobPrefix, rev, followFor)
 		if errors.Is(err, store.ErrTooOld) {
 			t.end("fell behind the changes")
 			return
@@ -71,7 +71,7 @@
 		}
 		t.post(func() {
 			t.applyChanges(ch.Events)
-			t.l.Cancels.RecordRead(began)
+			t.leader.Cancels.RecordRead(began)
 		})
 	}
 }
@@ -85,9 +85,9 @@
 		}
 		// The last that comes of a job.
 		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
-		delete(t.undecodable, id)
-		if delete(t.archived, id); t.jobs[id] != nil {
-			t.jobs[id].recordGone = true
+		delete(t.quarantinedJobs, id)
+		if delete(t.archivedJobs, id); t.jobs[id] != nil {
+			t.jobs[id].recordDeleted = true
 		}
 	}
 }
@@ -99,63 +99,63 @@
 	}
 	t.readProgress(runs)
 	for _, j := range t.jobs {
-		t.readGang(j)
+		t.restoreGang(j)
 	}
 	t.recovered = true
 	t.log().Info("recovered", "jobs", len(t.jobs), "machines", len(t.machines), "took", time.Since(t.startedAt))
 	for _, j := range t.jobs {
 		if j.cancelled {
-			t.haltCancelled(j)
+			t.stopCancelledJob(j)
 		}
-		t.checkFinished(j)
+		t.markIfFinished(j)
 	}
-	for _, rep := range t.earlyReports {
-		t.apply(t.machine(rep.Machine), &rep, true, time.Now())
+	for _, rep := range t.earlyHeartbeats {
+		t.reconcile(t.getOrAddMachine(rep.Machine), &rep, true, time.Now())
 	}
-	t.earlyReports = nil
-	t.cancelCursor = 0
+	t.earlyHeartbeats = nil
+	t.cancellationCursor = 0
 	t.applyCancellations()
 	t.delegationToken.Store(uint64(t.token)) // only now cancellations are known
-	t.showToken()
+	t.announceToken()
 }
 
 // applyJobRecord takes in a job record that is new or has changed.
 func (t *term) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
 	rec, err := store.DecodeJob(key, v)
 	if err != nil {
-		t.setAside(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
+		t.quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
 		return
 	}
 	j := t.jobs[rec.Spec.ID]
 	if j == nil {
-		if t.undecodable[rec.Spec.ID] {
+		if t.quarantinedJobs[rec.Spec.ID] {
 			t.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
 			return
 		}
-		if t.archived[rec.Spec.ID] {
+		if t.archivedJobs[rec.Spec.ID] {
 			return // late news of a job that is over
 		}
 		j = newJob(rec, revision)
 		t.jobs[rec.Spec.ID] = j
-		t.requestRound()
+		t.requestCycle()
 	}
 	if revision < j.revision {
 		return
 	}
-	j.revision, j.stale = revision, j.cancelled && rec.Status != wire.Cancelled
-	rec.LogCancellation(t.l.Cancels)
+	j.revision, j.recordOutdated = revision, j.cancelled && rec.Status != wire.Cancelled
+	rec.LogCancellation(t.leader.Cancels)
 	if rec.Status == wire.Cancelled && !j.cancelled {
 		j.cancelled = true
 		j.cancelledAt = time.Now().Add(-rec.SinceCancelled())
 		if t.recovered {
-			t.haltCancelled(j)
+			t.stopCancelledJob(j)
 		}
 	}
 }
 
-// checkFinished notes that a job can be archived.
-func (t *term) checkFinished(j *job) {
-	if j.cancelled && j.held == 0 || j.done == j.spec.Tasks {
+// markIfFinished notes that a job can be archived.
+func (t *term) markIfFinished(j *job) {
+	if j.cancelled && j.activeTasks == 0 || j.doneTasks == j.spec.Tasks {
 		j.finished = true
 		t.writer.markFinished(j)
 	}
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -15,12 +15,12 @@
 const (
 	// maxOffer is what one plan asks of an offer at most: two bookings.
 	maxOffer = 2 * scaling.MaxScaleOut
-	// maxRentsPerPlan bounds one plan's rentals: some seconds' worth of calls.
-	maxRentsPerPlan = 8 * scaling.MaxScaleOut
+	// maxScaleOutsPerPlan bounds one plan's rentals: some seconds' worth of calls.
+	maxScaleOutsPerPlan = 8 * scaling.MaxScaleOut
 	// A booking without a final answer is sent again after a pause that grows from
 	// the one to the other.
-	minBookingRetry = 400 * time.Millisecond
-	maxBookingRetry = 5 * time.Second
+	minScaleOutRetry = 400 * time.Millisecond
+	maxScaleOutRetry = 5 * time.Second
 )
 
 // offers are what may be booked now.
@@ -48,50 +48,50 @@
 	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
-// rent books machines, once that is recorded if it is to be.
-func (t *term) rent(r fleet.ScaleOut) {
+// requestScaleOut books machines, once that is recorded if it is to be.
+func (t *term) requestScaleOut(r fleet.ScaleOut) {
 	b := t.scaling.StartScaleOut(r, time.Now())
 	t.log().Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	if t.recordsIntents() {
 		t.intents.unrecorded = append(t.intents.unrecorded, b)
 		return
 	}
-	go t.book(b)
+	go t.sendScaleOut(b)
 }
 
-// book keeps asking for machines under the booking's name until the cloud has
+// sendScaleOut keeps asking for machines under the booking's name until the cloud has
 // answered, and only while the lease is held.
-func (t *term) book(b *scaling.PendingScaleOut) {
+func (t *term) sendScaleOut(b *scaling.PendingScaleOut) {
 	var tries scaling.RetryState
-	wait := minBookingRetry
+	wait := minScaleOutRetry
 	for t.ctx.Err() == nil {
-		machines, err := t.requestMachines(b)
+		machines, err := t.callScaleOut(b)
 		if !errors.Is(err, duty.ErrNotHeld) && tries.Final(err) {
-			t.post(func() { t.onBookingAnswer(b, machines, err) })
+			t.post(func() { t.onScaleOutAnswered(b, machines, err) })
 			return
 		}
 		t.pause(wait + rand.N(wait/2))
-		wait = min(2*wait, maxBookingRetry)
+		wait = min(2*wait, maxScaleOutRetry)
 	}
 }
 
-// requestMachines asks the cloud once, if the lease is held.
-func (t *term) requestMachines(b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
+// callScaleOut asks the cloud once, if the lease is held.
+func (t *term) callScaleOut(b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
 	permit, err := duty.PermitFor[duty.ScaleOut](t.lease.Lease)
 	if err != nil {
 		return nil, err
 	}
-	return t.l.Cloud.ScaleOut(t.ctx, permit, b.ScaleOutRequest)
+	return t.leader.Cloud.ScaleOut(t.ctx, permit, b.ScaleOutRequest)
 }
 
-// onBookingAnswer takes in the final answer to a booking.
-func (t *term) onBookingAnswer(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
+// onScaleOutAnswered takes in the final answer to a booking.
+func (t *term) onScaleOutAnswered(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
 	outcome, rest := t.scaling.Answered(b, len(machines), err, time.Now())
 	switch outcome {
 	case scaling.Filled, scaling.PartlyFilled:
-		t.l.Metrics.Fleet("rented", len(machines))
+		t.leader.Metrics.Fleet("rented", len(machines))
 		if t.maybeUnlisted(b) {
-			t.addRented(b, machines)
+			t.addProvisioned(b, machines)
 		}
 		if outcome == scaling.PartlyFilled {
 			t.log().Info("booking only partly filled", "booking", b.Name, "got", len(machines), "of", b.Count)
@@ -113,16 +113,16 @@
 	return !b.Adopted || time.Since(b.RequestedAt) < lag
 }
 
-// addRented adds the machines of a booking to the inventory. They may have
+// addProvisioned adds the machines of a booking to the inventory. They may have
 // reported, or be gone again, before the booking's answer came.
-func (t *term) addRented(b *scaling.PendingScaleOut, machines []wire.MachineID) {
+func (t *term) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
-		if _, gone := t.gone[id]; gone {
+		if _, gone := t.removedMachines[id]; gone {
 			continue
 		}
-		m := t.machine(id)
-		if m.upAt.IsZero() {
-			m.machineType, m.zone, m.spot, m.booting, m.rentedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
+		m := t.getOrAddMachine(id)
+		if m.firstHeartbeatAt.IsZero() {
+			m.machineType, m.zone, m.spot, m.booting, m.requestedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
 		}
 	}
 }
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -8,12 +8,12 @@
 	"lilaclead/internal/wire"
 )
 
-// round places what waits.
-func (t *term) round(now time.Time) {
-	t.lastRound, t.roundWanted = now, false
+// runCycle places what waits.
+func (t *term) runCycle(now time.Time) {
+	t.lastCycleAt, t.cycleRequested = now, false
 	var waiting []*job
 	for _, j := range t.jobs {
-		if t.canPlace(j, now) {
+		if t.schedulable(j, now) {
 			waiting = append(waiting, j)
 		}
 	}
@@ -27,7 +27,7 @@
 		if j := js[st.Job]; j.spec.Gang() {
 			gangs[j] = append(gangs[j], ms[st.Machine])
 		} else {
-			t.start(j, ms[st.Machine], now)
+			t.startTask(j, ms[st.Machine], now)
 		}
 	}
 	for j, ms := range gangs {
@@ -35,78 +35,78 @@
 	}
 	for _, c := range res.Reservations {
 		m := t.machines[c.Machine]
-		until := now.Add(t.haltTime(0))
+		until := now.Add(t.stopDuration(0))
 		if j := t.jobs[c.Job]; j != nil && j.spec.Gang() {
-			until = until.Add(wire.Seconds(t.patience(j, now)).Duration()) // for as long as the others' room takes
+			until = until.Add(wire.Seconds(t.patienceSeconds(j, now)).Duration()) // for as long as the others' room takes
 		}
-		m.claims = append(m.claims, claim{c.Reservation, c.AwaitedTasks, until})
-		t.claimed[m] = struct{}{}
+		m.reservations = append(m.reservations, reservation{c.Reservation, c.AwaitedTasks, until})
+		t.reservedMachines[m] = struct{}{}
 	}
 	for _, v := range res.Preemptions {
 		if a := t.attempt(v.Task); a != nil {
-			t.halt(a, t.gracePeriodOf(a.job), movePreempted)
-			for i := range a.machine.claims { // it may take that long to save
-				c := &a.machine.claims[i]
-				c.until = latest(c.until, now.Add(t.haltTime(a.gracePeriod)))
+			t.stop(a, t.gracePeriodOf(a.job), EvictedPreempted)
+			for i := range a.machine.reservations { // it may take that long to save
+				c := &a.machine.reservations[i]
+				c.until = latest(c.until, now.Add(t.stopDuration(a.gracePeriod)))
 			}
 		}
 	}
 	if len(res.Reservations) > 0 {
-		t.extendGangClaims()
+		t.extendGangReservations()
 	}
-	t.roundTook = time.Since(now)
-	t.l.Metrics.SchedulingCycle(t.roundTook, len(res.Starts), len(res.Preemptions))
+	t.lastCycleDuration = time.Since(now)
+	t.leader.Metrics.SchedulingCycle(t.lastCycleDuration, len(res.Starts), len(res.Preemptions))
 }
 
-// extendGangClaims keeps all the room that is being made for a gang until the last of it can
+// extendGangReservations keeps all the room that is being made for a gang until the last of it can
 // be free: it needs all of it at once, and what is free first would go to others.
-func (t *term) extendGangClaims() {
+func (t *term) extendGangReservations() {
 	last := map[wire.JobID]time.Time{}
-	each := func(f func(c *claim)) {
-		for m := range t.claimed {
-			for i := range m.claims {
-				if j := t.jobs[m.claims[i].Job]; j != nil && j.spec.Gang() {
-					f(&m.claims[i])
+	each := func(f func(c *reservation)) {
+		for m := range t.reservedMachines {
+			for i := range m.reservations {
+				if j := t.jobs[m.reservations[i].Job]; j != nil && j.spec.Gang() {
+					f(&m.reservations[i])
 				}
 			}
 		}
 	}
-	each(func(c *claim) { last[c.Job] = latest(last[c.Job], c.until) })
-	each(func(c *claim) { c.until = last[c.Job] })
+	each(func(c *reservation) { last[c.Job] = latest(last[c.Job], c.until) })
+	each(func(c *reservation) { c.until = last[c.Job] })
 }
 
 // attempt that holds a task; nil if none does.
 func (t *term) attempt(task wire.Task) *attempt {
 	j := t.jobs[task.Job]
-	if j == nil || j.chunks[task.Index/j.chunkTasks] == nil {
+	if j == nil || j.chunks[task.Index/j.tasksPerChunk] == nil {
 		return nil
 	}
-	return j.chunks[task.Index/j.chunkTasks].attempts[task.Index%j.chunkTasks]
+	return j.chunks[task.Index/j.tasksPerChunk].attempts[task.Index%j.tasksPerChunk]
 }
 
-// claim is room that is being made on a machine, and until when it is kept.
-type claim struct {
+// reservation is room that is being made on a machine, and until when it is kept.
+type reservation struct {
 	placement.Reservation
-	awaits []wire.Task // expected to end by themselves
-	until  time.Time
+	awaitedTasks []wire.Task // expected to end by themselves
+	until        time.Time
 }
 
-// claims drops what is no longer claimed, since it took too long or the job's
+// pruneReservations drops what is no longer claimed, since it took too long or the job's
 // tasks found room elsewhere, and counts for how many units of each job room is
 // being made.
-func (t *term) claims(now time.Time) map[wire.JobID]int {
+func (t *term) pruneReservations(now time.Time) map[wire.JobID]int {
 	n := map[wire.JobID]int{}
-	for m := range t.claimed {
-		m.claims = slices.DeleteFunc(m.claims, func(c claim) bool {
+	for m := range t.reservedMachines {
+		m.reservations = slices.DeleteFunc(m.reservations, func(c reservation) bool {
 			j := t.jobs[c.Job]
-			if now.After(c.until) || t.machines[m.id] != m || m.releasing || m.drainReason != "" || j == nil || j.cancelled || n[c.Job] >= j.pending() {
+			if now.After(c.until) || t.machines[m.id] != m || m.scalingIn || m.drainReason != "" || j == nil || j.cancelled || n[c.Job] >= j.pending() {
 				return true
 			}
 			n[c.Job]++
 			return false
 		})
-		if len(m.claims) == 0 {
-			delete(t.claimed, m)
+		if len(m.reservations) == 0 {
+			delete(t.reservedMachines, m)
 		}
 	}
 	// What is left of a gang's claims is of no use; room is made for all of it anew.
@@ -114,9 +114,9 @@
 		j := t.jobs[id]
 		return j != nil && j.spec.Gang() && n[id] > 0 && n[id] < j.spec.Tasks
 	}
-	for m := range t.claimed {
-		if m.claims = slices.DeleteFunc(m.claims, func(c claim) bool { return short(c.Job) }); len(m.claims) == 0 {
-			delete(t.claimed, m)
+	for m := range t.reservedMachines {
+		if m.reservations = slices.DeleteFunc(m.reservations, func(c reservation) bool { return short(c.Job) }); len(m.reservations) == 0 {
+			delete(t.reservedMachines, m)
 		}
 	}
 	for id := range n {
@@ -127,10 +127,10 @@
 	return n
 }
 
-// haltTime is how long a task that is told to stop takes to be gone, even if only
+// stopDuration is how long a task that is told to stop takes to be gone, even if only
 // the answer to its machine's next report tells it.
-func (t *term) haltTime(grace wire.Seconds) time.Duration {
-	return grace.Duration() + reportInterval(t)*5/4 + 2*time.Second
+func (t *term) stopDuration(grace wire.Seconds) time.Duration {
+	return grace.Duration() + heartbeatInterval(t)*5/4 + 2*time.Second
 }
 
 // gracePeriodOf is how long a task of the job is given to save.
@@ -141,28 +141,28 @@
 	return 0
 }
 
-func (t *term) canPlace(j *job, now time.Time) bool {
-	return !j.cancelled && !j.finished && !j.archiving && !j.stale && !t.isAside(j.spec.ID) && j.pending() > 0 && !now.Before(j.notBefore) &&
-		(j.held == 0 || !j.spec.Gang()) // a gang only when nothing of its last attempt is left
+func (t *term) schedulable(j *job, now time.Time) bool {
+	return !j.cancelled && !j.finished && !j.archiving && !j.recordOutdated && !t.quarantined(j.spec.ID) && j.pending() > 0 && !now.Before(j.startNotBefore) &&
+		(j.activeTasks == 0 || !j.spec.Gang()) // a gang only when nothing of its last attempt is left
 }
 
-// start decides on one task of the job.
-func (t *term) start(j *job, m *machine, now time.Time) { t.startWith(j, m, 0, now) }
+// startTask decides on one task of the job.
+func (t *term) startTask(j *job, m *machine, now time.Time) { t.startAttempt(j, m, 0, now) }
 
-// startWith starts a task with an attempt's number, 0: the next one.
-func (t *term) startWith(j *job, m *machine, try wire.Attempt, now time.Time) {
-	j.eachPending(1, func(c *chunk, i int) {
-		a := &attempt{job: j, chunk: c, index: i, number: try, machine: m, decidedAt: now, planned: true}
+// startAttempt starts a task with an attempt's number, 0: the next one.
+func (t *term) startAttempt(j *job, m *machine, try wire.Attempt, now time.Time) {
+	j.forEachPending(1, func(c *chunk, i int) {
+		a := &attempt{job: j, chunk: c, index: i, number: try, machine: m, decidedAt: now, unstored: true}
 		if try == 0 {
 			a.number = c.nextAttempt
 			c.nextAttempt++
 		}
-		c.unstored++
-		j.unstored++
-		c.hold(a)
+		c.unstoredAttempts++
+		j.unstoredAttempts++
+		c.add(a)
 		j.lastStartAt = now
-		if i := slices.IndexFunc(m.claims, func(c claim) bool { return c.Job == j.spec.ID }); i >= 0 {
-			m.claims = slices.Delete(m.claims, i, i+1)
+		if i := slices.IndexFunc(m.reservations, func(c reservation) bool { return c.Job == j.spec.ID }); i >= 0 {
+			m.reservations = slices.Delete(m.reservations, i, i+1)
 		}
 		t.writer.markPending(c)
 		t.log().Debug("starts", "task", a.task(), "attempt", a.number, "machine", m.id, "waited", now.Sub(j.acceptedAt))
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -41,10 +41,10 @@
 	tm.recovered = true
 	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 	tm.jobs[j.spec.ID] = j
-	m := tm.machine("n-1")
-	m.session, m.sequence, m.token, m.upAt = 1, 10, 50, time.Now()
+	m := tm.getOrAddMachine("n-1")
+	m.epoch, m.sequence, m.token, m.firstHeartbeatAt = 1, 10, 50, time.Now()
 	a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 7, machine: m}
-	a.chunk.hold(a)
+	a.chunk.add(a)
 	return tm, m, a
 }
 
@@ -65,31 +65,31 @@
 		{"inherited, the worker has not seen our token", func(a *attempt) { a.inherited = true }, said(1, 11, 49), true, false},
 		{"inherited, our token seen", func(a *attempt) { a.inherited = true }, said(1, 11, 50), true, true},
 		{"an old report", func(a *attempt) { a.inherited = true }, said(1, 9, 50), true, false},
-		{"stored, not yet written", func(a *attempt) { a.planned = true }, said(1, 11, 50), true, false},
+		{"stored, not yet written", func(a *attempt) { a.unstored = true }, said(1, 11, 50), true, false},
 		{"stored, never sent", func(a *attempt) {}, said(1, 11, 50), true, false},
-		{"command under way", func(a *attempt) { a.sent, a.sentSession, a.launchInFlight = true, 1, true }, said(1, 11, 50), true, false},
+		{"command under way", func(a *attempt) { a.launchSent, a.launchEpoch, a.launchInFlight = true, 1, true }, said(1, 11, 50), true, false},
 		{"command lost, token not raised", func(a *attempt) {
-			a.reported, a.sent, a.sentSession, a.launchUnanswered, a.unansweredToken = true, true, 1, true, 50
+			a.observed, a.launchSent, a.launchEpoch, a.launchUnanswered, a.unansweredLaunchToken = true, true, 1, true, 50
 		}, said(1, 11, 50), true, false},
 		{"command lost, token raised", func(a *attempt) {
-			a.reported, a.sent, a.sentSession, a.launchUnanswered, a.unansweredToken = true, true, 1, true, 50
+			a.observed, a.launchSent, a.launchEpoch, a.launchUnanswered, a.unansweredLaunchToken = true, true, 1, true, 50
 		}, said(1, 11, 51), true, true},
 		{"command lost, session over", func(a *attempt) {
-			a.reported, a.sent, a.sentSession, a.launchUnanswered, a.unansweredToken = true, true, 1, true, 50
+			a.observed, a.launchSent, a.launchEpoch, a.launchUnanswered, a.unansweredLaunchToken = true, true, 1, true, 50
 		}, said(2, 1, 50), true, true},
 		{"in an answer that the worker may still execute", func(a *attempt) {
-			a.reported, a.sent, a.sentSession, a.answerSession, a.answerSequence = true, true, 1, 1, 10
+			a.observed, a.launchSent, a.launchEpoch, a.replyEpoch, a.replySequence = true, true, 1, 1, 10
 		}, said(1, 11, 50), false, false},
 		{"in an answer, and the next report is here", func(a *attempt) {
-			a.reported, a.sent, a.sentSession, a.answerSession, a.answerSequence = true, true, 1, 1, 10
+			a.observed, a.launchSent, a.launchEpoch, a.replyEpoch, a.replySequence = true, true, 1, 1, 10
 		}, said(1, 11, 50), true, true},
-		{"the session is over", func(a *attempt) { a.sent, a.sentSession = true, 1 }, said(2, 1, 50), true, true},
+		{"the session is over", func(a *attempt) { a.launchSent, a.launchEpoch = true, 1 }, said(2, 1, 50), true, true},
 	}
 	for _, c := range cases {
 		tm, m, a := rig(t)
 		c.setup(a)
-		tm.apply(m, c.rep, c.hello, time.Now())
-		if gone := a.job.held == 0; gone != c.gone {
+		tm.reconcile(m, c.rep, c.hello, time.Now())
+		if gone := a.job.activeTasks == 0; gone != c.gone {
 			t.Errorf("%s: gone %v, want %v", c.name, gone, c.gone)
 		}
 	}
@@ -105,16 +105,16 @@
 		setup func(tm *term, m *machine)
 		from  func(tm *term, m *machine) time.Time
 	}{
-		{"answered by us", func(tm *term, m *machine) { m.answeredAt = tm.startedAt.Add(5 * time.Second) },
-			func(_ *term, m *machine) time.Time { return m.answeredAt }},
-		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenShownAt = tm.startedAt.Add(time.Second) },
-			func(_ *term, m *machine) time.Time { return m.tokenShownAt }},
+		{"answered by us", func(tm *term, m *machine) { m.lastReplyAt = tm.startedAt.Add(5 * time.Second) },
+			func(_ *term, m *machine) time.Time { return m.lastReplyAt }},
+		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenSeenAt = tm.startedAt.Add(time.Second) },
+			func(_ *term, m *machine) time.Time { return m.tokenSeenAt }},
 		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *machine) {
-			m.answeredAt, m.sessionSince = tm.startedAt, tm.startedAt.Add(15*time.Second)
+			m.lastReplyAt, m.epochSince = tm.startedAt, tm.startedAt.Add(15*time.Second)
 		},
-			func(_ *term, m *machine) time.Time { return m.sessionSince }},
-		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.token, tm.majorityAckedAt = 0, tm.startedAt.Add(time.Second) },
-			func(tm *term, _ *machine) time.Time { return tm.majorityAckedAt.Add(peer.AckLifetime) }},
+			func(_ *term, m *machine) time.Time { return m.epochSince }},
+		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.token, tm.quorumAckedAt = 0, tm.startedAt.Add(time.Second) },
+			func(tm *term, _ *machine) time.Time { return tm.quorumAckedAt.Add(peer.AckLifetime) }},
 		{"never heard, no majority", func(tm *term, m *machine) { m.token = 0 },
 			func(tm *term, _ *machine) time.Time { return tm.startedAt.Add(peer.OutageLimit) }},
 	}
@@ -122,12 +122,12 @@
 		tm, m, a := rig(t)
 		c.setup(tm, m)
 		edge := c.from(tm, m).Add(life)
-		tm.expire(m, edge.Add(-time.Millisecond))
-		if a.job.held != 1 {
+		tm.expireLease(m, edge.Add(-time.Millisecond))
+		if a.job.activeTasks != 1 {
 			t.Errorf("%s: gone before the lease ends", c.name)
 		}
-		tm.expire(m, edge)
-		if a.job.held != 0 {
+		tm.expireLease(m, edge)
+		if a.job.activeTasks != 0 {
 			t.Errorf("%s: still held after the lease", c.name)
 		}
 	}
@@ -143,22 +143,22 @@
 		raise  bool
 	}{
 		"stored":                 {func(*term, *machine, *attempt) {}, true, false},
-		"not yet stored":         {func(_ *term, _ *machine, a *attempt) { a.chunk.changed = true }, false, false},
-		"being stored":           {func(_ *term, _ *machine, a *attempt) { a.chunk.beingWritten = true }, false, false},
+		"not yet stored":         {func(_ *term, _ *machine, a *attempt) { a.chunk.dirty = true }, false, false},
+		"being stored":           {func(_ *term, _ *machine, a *attempt) { a.chunk.writeInFlight = true }, false, false},
 		"a launch is on its way": {func(_ *term, m *machine, _ *attempt) { m.unansweredLaunch = unansweredCommand{50, 1} }, false, true},
 		"it died with its token": {func(_ *term, m *machine, _ *attempt) { m.unansweredLaunch = unansweredCommand{49, 1} }, true, false},
 	} {
 		tm, m, a := rig(t)
 		rep := said(1, 11, 50, exited)
-		tm.apply(m, rep, true, time.Now())
-		a.chunk.changed = false
+		tm.reconcile(m, rep, true, time.Now())
+		a.chunk.dirty = false
 		c.setup(tm, m, a)
 		got := false
 		for _, o := range tm.commandsFor(m, rep, time.Now()) {
 			got = got || o.Verb == wire.Forget && o.Attempt == 7
 		}
-		if got != c.forget || tm.raiseWanted != c.raise {
-			t.Errorf("%s: forget %v, raise %v", name, got, tm.raiseWanted)
+		if got != c.forget || tm.tokenRaiseRequested != c.raise {
+			t.Errorf("%s: forget %v, raise %v", name, got, tm.tokenRaiseRequested)
 		}
 	}
 }
@@ -167,11 +167,11 @@
 // room is not given away.
 func TestStray(t *testing.T) {
 	tm, m, _ := rig(t)
-	tm.l.Catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
+	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
 	rep := said(1, 11, 50, wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning}, wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
 	rep.Type = "c4"
-	tm.apply(m, rep, true, time.Now())
-	if f := tm.free(m); f.CPUs != 0 {
+	tm.reconcile(m, rep, true, time.Now())
+	if f := tm.freeResources(m); f.CPUs != 0 {
 		t.Errorf("%g cpus free beside a task of unknown size", f.CPUs)
 	}
 	halts := 0
@@ -207,15 +207,15 @@
 	tm, m, _ := rig(t)
 	m.drainReason = "faulty"
 	for _, id := range []wire.MachineID{"n-2", "n-3", "n-4"} {
-		tm.machine(id)
+		tm.getOrAddMachine(id)
 	}
-	if tm.mayCondemn() {
+	if tm.mayDrainSuspect() {
 		t.Error("a second of four machines may be condemned")
 	}
 	for _, id := range []wire.MachineID{"n-5", "n-6", "n-7", "n-8"} {
-		tm.machine(id)
+		tm.getOrAddMachine(id)
 	}
-	if !tm.mayCondemn() {
+	if !tm.mayDrainSuspect() {
 		t.Error("a second of eight machines may not be condemned")
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -29,7 +29,7 @@
 func (f *filling) put(m *machine, now time.Time) {
 	i := f.j.spec.Tasks - f.left
 	f.left--
-	f.j.chunk(0).hold(&attempt{job: f.j, chunk: f.j.chunk(0), index: i, number: wire.Attempt(i + 1), machine: m, decidedAt: now, sent: true, sentSession: 1, reported: true, phase: wire.PhaseRunning, runningSince: now, fetchedAt: now})
+	f.j.chunk(0).add(&attempt{job: f.j, chunk: f.j.chunk(0), index: i, number: wire.Attempt(i + 1), machine: m, decidedAt: now, launchSent: true, launchEpoch: 1, observed: true, phase: wire.PhaseRunning, runningSince: now, imageReadyAt: now})
 	m.images.touch(f.j.spec.Image, 1, 50, now)
 }
 
@@ -38,7 +38,7 @@
 func sized(tb testing.TB, n int) *term {
 	tb.Helper()
 	tm, first, a := rig(tb)
-	tm.drop(a, taskDone)
+	tm.endAttempt(a, taskDone)
 	delete(tm.machines, first.id)
 	delete(tm.jobs, "req-1")
 	clear(tm.writer.pending)
@@ -47,17 +47,17 @@
 	tb.Cleanup(cancel)
 	tm.ctx = ctx
 	away(tm)
-	tm.l.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.l.Log)
-	tm.l.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
-	tm.l.Metrics.Heartbeat = func(string) {}
+	tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.leader.Log)
+	tm.leader.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
+	tm.leader.Metrics.Heartbeat = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
 	tm.settings.Zones = zones
 	tm.settings.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
 	tm.settings.State.TxnOps = 12
 	tm.settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
-	tm.l.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
+	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
-	tm.listReceived, tm.placing = true, true
+	tm.machineListReceived, tm.schedulingEnabled = true, true
 	tm.startedAt = now.Add(-time.Minute)
 	job := func(id int, parts int, s wire.JobSpec) *job {
 		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
@@ -71,10 +71,10 @@
 	id := 0
 	var serving, working *filling
 	for i := range n {
-		m := tm.machine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
+		m := tm.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
 		m.machineType, m.zone, m.spot, m.addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
-		m.session, m.sequence, m.token, m.upAt, m.seenAt, m.directReportAt, m.answeredAt = 1, 10, tm.token, now, now, now, now
-		m.rentedAt = now.Add(-2 * time.Minute)
+		m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = 1, 10, tm.token, now, now, now, now
+		m.requestedAt = now.Add(-2 * time.Minute)
 		if i%2 == 0 {
 			for range 4 {
 				if serving == nil || serving.left == 0 {
@@ -100,7 +100,7 @@
 
 // reportOf what runs on a machine.
 func reportOf(m *machine) wire.Heartbeat {
-	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.session, Sequence: m.sequence + 1, Token: m.token}
+	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence + 1, Token: m.token}
 	for task, a := range m.tasks {
 		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.number, Phase: a.phase})
 	}
@@ -122,11 +122,11 @@
 func BenchmarkReportRound(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		go func() {
-			for h := range tm.reportCalls {
-				tm.onReport(h)
+			for h := range tm.heartbeatCalls {
+				tm.onHeartbeat(h)
 			}
 		}()
-		defer close(tm.reportCalls)
+		defer close(tm.heartbeatCalls)
 		for b.Loop() {
 			for _, m := range tm.machines {
 				r := httptest.NewRequest("POST", "/hello", nil)
@@ -137,7 +137,7 @@
 					b.Fatal("report")
 				}
 				w := httptest.NewRecorder()
-				tm.l.serve(r.Context(), w, tm, got, false)
+				tm.leader.answerFromTerm(r.Context(), w, tm, got, false)
 				if w.Code != 200 {
 					b.Fatal(w.Code, w.Body)
 				}
@@ -150,7 +150,7 @@
 func BenchmarkRound(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
-			tm.round(time.Now())
+			tm.runCycle(time.Now())
 		}
 	})
 }
@@ -161,9 +161,9 @@
 		for b.Loop() {
 			now := time.Now()
 			for _, m := range tm.machines {
-				m.seenAt = now
+				m.lastMessageAt = now
 			}
-			tm.watchMachines(now)
+			tm.checkMachines(now)
 		}
 	})
 }
@@ -176,9 +176,9 @@
 			tm.writer.markPending(j.chunk(0))
 		}
 		tm.writer.routineAt = time.Now().Add(time.Hour)
-		tm.lastRound = time.Now().Add(time.Hour)
+		tm.lastCycleAt = time.Now().Add(time.Hour)
 		for b.Loop() {
-			tm.settle(time.Now())
+			tm.runDueWork(time.Now())
 		}
 	})
 }
@@ -202,7 +202,7 @@
 			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(j.chunk(0).record())})
 		}
 		for b.Loop() {
-			next := newTerm(tm.l, leaseFor(tm.l, 51, time.Hour))
+			next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
 			next.ctx = tm.ctx
 			next.loadRecords(jobs, runs)
 			if len(next.jobs) != len(jobs) {
@@ -256,8 +256,8 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for call := range tm.reportCalls {
-			tm.onReport(call)
+		for call := range tm.heartbeatCalls {
+			tm.onHeartbeat(call)
 		}
 	}()
 	reports := make([]wire.Heartbeat, 0, len(tm.machines))
@@ -266,12 +266,12 @@
 	}
 	for _, rep := range reports {
 		w := httptest.NewRecorder()
-		tm.l.serve(context.Background(), w, tm, rep, false)
+		tm.leader.answerFromTerm(context.Background(), w, tm, rep, false)
 		if w.Code == 200 {
 			answered++
 		}
 	}
-	close(tm.reportCalls)
+	close(tm.heartbeatCalls)
 	<-done
 	return answered
 }
@@ -287,7 +287,7 @@
 	var jobs, runs []wire.Entry
 	held := 0
 	for _, j := range tm.jobs {
-		held += j.held
+		held += j.activeTasks
 		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.acceptedAt)})})
 		rec := j.chunk(0).record()
 		if limit := tm.writer.valueLimit(); rec.JSONSize() > limit {
@@ -295,7 +295,7 @@
 		}
 		runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(rec)})
 	}
-	next := newTerm(tm.l, leaseFor(tm.l, 51, time.Hour))
+	next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
 	next.ctx = tm.ctx
 	began := time.Now()
 	next.loadRecords(jobs, runs)
@@ -306,16 +306,16 @@
 	}
 	next.onMachineList(listed)
 	for id, m := range next.machines {
-		m.session, m.sequence, m.token = 1, tm.machines[id].sequence, next.token
+		m.epoch, m.sequence, m.token = 1, tm.machines[id].sequence, next.token
 	}
 	began = time.Now()
 	if n := reportAll(next); n != largestFleet {
 		t.Errorf("%d reports were answered by the next leader", n)
 	}
 	reports := time.Since(began)
-	next.placing = true
+	next.schedulingEnabled = true
 	began = time.Now()
-	next.round(time.Now())
+	next.runCycle(time.Now())
 	round := time.Since(began)
 	if now := heldTasks(next); now != held || held < largestFleet {
 		t.Errorf("%d tasks are held, %d were", now, held)
@@ -333,7 +333,7 @@
 
 func heldTasks(tm *term) (n int) {
 	for _, j := range tm.jobs {
-		n += j.held
+		n += j.activeTasks
 	}
 	return n
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -12,7 +12,7 @@
 // snapshot is what a round looks at, with the machines and jobs that its
 // indexes stand for.
 func (t *term) snapshot(waiting []*job, now time.Time) (*placement.Snapshot, []*machine, []*job) {
-	settings := t.l.Tuning.Get()
+	settings := t.leader.Tuning.Get()
 	b := &snapshotBuilder{t: t, now: now, s: &placement.Snapshot{
 		Teams:         t.teamUsage(),
 		Factors:       placement.Factors{Preferred: settings.Preferred, Fallback: settings.Fallback, WaitRaiseS: settings.WaitRaiseS},
@@ -38,10 +38,10 @@
 		}
 	}
 	for _, j := range t.jobs {
-		use(j, j.held)
+		use(j, j.activeTasks)
 	}
 	for _, m := range t.machines {
-		for task := range m.orphans {
+		for task := range m.orphanTasks {
 			if j := t.jobs[task.Job]; j != nil && m.tasks[task] == nil {
 				use(j, 1)
 			}
@@ -52,12 +52,12 @@
 
 // snapshotBuilder gathers what a round looks at.
 type snapshotBuilder struct {
-	t        *term
-	now      time.Time
-	s        *placement.Snapshot
-	machines []*machine
-	jobs     []*job
-	claims   map[wire.JobID]int // for how many units of each job room is being made
+	t             *term
+	now           time.Time
+	s             *placement.Snapshot
+	machines      []*machine
+	jobs          []*job
+	reservedUnits map[wire.JobID]int // for how many units of each job room is being made
 	// victims: some job may have tasks stopped or awaited. A gang that does not
 	// preempt waits for others to end.
 	victims bool
@@ -79,13 +79,13 @@
 	for _, m := range b.t.machines {
 		switch {
 		case !b.t.usable(m, b.now):
-		case least.Fits(b.t.free(m)):
+		case least.Fits(b.t.freeResources(m)):
 			b.machines = append(b.machines, m)
 		default:
 			full = append(full, m)
 		}
 	}
-	b.claims = b.t.claims(b.now)
+	b.reservedUnits = b.t.pruneReservations(b.now)
 	b.s.Machines = b.views(b.machines)
 	b.s.FullMachines = func() []placement.Machine { return b.views(full) }
 }
@@ -101,15 +101,15 @@
 }
 
 func (b *snapshotBuilder) machineView(m *machine) placement.Machine {
-	view := placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: b.t.total(m), Free: b.t.free(m), Cordoned: m.cordoned,
+	view := placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: b.t.totalResources(m), Free: b.t.freeResources(m), Cordoned: m.cordoned,
 		Images: make(map[wire.ImageID]placement.Image, len(m.images.images)+len(m.tasks))}
 	if f := b.t.machineSpec(m.machineType); f != nil {
 		view.FetchGBPerS = f.FetchGBPerS
 	}
 	var awaited []wire.Task
-	for _, c := range m.claims {
+	for _, c := range m.reservations {
 		view.Reservations = append(view.Reservations, c.Reservation)
-		awaited = append(awaited, c.awaits...)
+		awaited = append(awaited, c.awaitedTasks...)
 	}
 	for _, a := range m.tasks {
 		b.addTask(&view, a, slices.Contains(awaited, a.task()))
@@ -131,19 +131,19 @@
 	}
 	// What was told to stop and does not end is no room to count on.
 	ending := awaited
-	if a.halting {
-		ending = !a.planned && b.now.Sub(a.haltAt) < b.t.haltTime(a.gracePeriod)
+	if a.stopping {
+		ending = !a.unstored && b.now.Sub(a.stopRequestedAt) < b.t.stopDuration(a.gracePeriod)
 	}
 	if ending {
-		view.Stopping = view.Stopping.Plus(a.res())
+		view.Stopping = view.Stopping.Plus(a.resources())
 	}
-	if a.fetchedAt.IsZero() && view.Images[spec.Image] == placement.Absent {
+	if a.imageReadyAt.IsZero() && view.Images[spec.Image] == placement.Absent {
 		view.Images[spec.Image] = placement.Fetching
 		if !a.machine.images.has(spec.Image) {
 			view.FetchingGB += spec.ImageGB
 		}
 	}
-	if !b.victims || a.planned || a.halting || ending || spec.Service() && spec.Priority == wire.PriorityProd {
+	if !b.victims || a.unstored || a.stopping || ending || spec.Service() && spec.Priority == wire.PriorityProd {
 		return
 	}
 	view.Victims = append(view.Victims, b.victim(a))
@@ -167,8 +167,8 @@
 	if spec.Gang() { // it costs all of the gang
 		lost = (lost + gangStopCostS) * float64(spec.Tasks)
 	}
-	return placement.Victim{Task: a.task(), Rank: spec.Priority.Rank(), Uses: a.res(),
-		LostS: lost, RemainingS: a.left(b.now), CheckpointS: saves, BeyondGuarantee: b.beyondGuarantee(spec.Team), Team: spec.Team}
+	return placement.Victim{Task: a.task(), Rank: spec.Priority.Rank(), Uses: a.resources(),
+		LostS: lost, RemainingS: a.expectedRemainingSeconds(b.now), CheckpointS: saves, BeyondGuarantee: b.beyondGuarantee(spec.Team), Team: spec.Team}
 }
 
 // beyondGuarantee tells whether a team uses more than its guarantee.
@@ -187,7 +187,7 @@
 	for _, j := range waiting {
 		view := b.jobView(j, guaranteed[j.spec.ID])
 		if j.spec.Spread || j.spec.SameZone {
-			view.TasksByZone = j.zones()
+			view.TasksByZone = j.activeByZone()
 			unknown := view.TasksByZone[""]
 			if unknown > 0 && j.spec.SameZone {
 				continue // where its tasks are is not known yet
@@ -205,9 +205,9 @@
 func (b *snapshotBuilder) jobView(j *job, guaranteed bool) placement.Job {
 	t, now := b.t, b.now
 	waited := now.Sub(j.acceptedAt).Seconds()
-	view := placement.Job{Spec: &j.spec, Pending: j.pending(), TasksByZone: map[wire.Zone]int{}, WaitedS: waited, Avoid: j.failedOn,
-		Guaranteed: guaranteed, Reservations: b.claims[j.spec.ID], PatienceS: t.patience(j, now), StartsInS: max(0, t.startAim(j.spec.Class)-waited),
-		Weight: t.weight(j, guaranteed, now), WaitedLong: t.sinceStart(j, now) > maxLinger}
+	view := placement.Job{Spec: &j.spec, Pending: j.pending(), TasksByZone: map[wire.Zone]int{}, WaitedS: waited, Avoid: j.failedMachines,
+		Guaranteed: guaranteed, Reservations: b.reservedUnits[j.spec.ID], PatienceS: t.patienceSeconds(j, now), StartsInS: max(0, t.startObjectiveSeconds(j.spec.Class)-waited),
+		Weight: t.utilityWeight(j, guaranteed, now), WaitedLong: t.sinceStart(j, now) > maxLinger}
 	if t.startOverdue(j, now) {
 		view.Weight = starvingWeight
 		if !j.spec.Gang() {
@@ -215,7 +215,7 @@
 		}
 	}
 	if j.failures > 0 && !j.spec.Gang() {
-		view.Pending = min(view.Pending, max(1, 2-j.held)) // try a suspect job with little
+		view.Pending = min(view.Pending, max(1, 2-j.activeTasks)) // try a suspect job with little
 	}
 	return view
 }
@@ -250,8 +250,8 @@
 
 // usable tells whether a machine may take a launch now.
 func (t *term) usable(m *machine, now time.Time) bool {
-	return !m.booting && !m.upAt.IsZero() && m.drainReason == "" && !m.releasing && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
-		!now.Before(m.fullUntil) && now.Sub(m.seenAt) < 2*t.settings.Workers.HeartbeatInterval.Duration()+time.Second
+	return !m.booting && !m.firstHeartbeatAt.IsZero() && m.drainReason == "" && !m.scalingIn && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
+		!now.Before(m.refusedUntil) && now.Sub(m.lastMessageAt) < 2*t.settings.Workers.HeartbeatInterval.Duration()+time.Second
 }
 
 // spareRoom is the room to keep for the next replicas: the largest replica that
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -31,7 +31,7 @@
 	}
 	most, small := w.valueLimit(), store.ChunkTasksFor(w.limits.Least().ValueKB)
 	for c := range w.pending {
-		if j := c.job; j.subChunks == 0 && j.chunkTasks > small && !j.finished && !j.archiving {
+		if j := c.job; j.subchunksPerChunk == 0 && j.tasksPerChunk > small && !j.finished && !j.archiving {
 			if rec := c.record(); rec.JSONSize() > most {
 				w.splitChunks(j, small)
 			}
@@ -42,12 +42,12 @@
 // splitChunks splits all chunks of a job, so that they fit under the limits to
 // come.
 func (w *writer) splitChunks(j *job, small int) {
-	n := (j.chunkTasks + small - 1) / small
-	for j.chunkTasks%n != 0 {
+	n := (j.tasksPerChunk + small - 1) / small
+	for j.tasksPerChunk%n != 0 {
 		n++
 	}
 	old := j.chunks
-	j.split(j.chunkTasks / n)
+	j.split(j.tasksPerChunk / n)
 	for _, c := range old {
 		if c == nil {
 			continue
@@ -57,19 +57,19 @@
 			for k := range n {
 				if i := c.index*n + k; i < len(j.chunks) && j.chunks[i] != nil {
 					w.markPending(j.chunks[i])
-					j.chunks[i].changedAt = c.changedAt
+					j.chunks[i].dirtySince = c.dirtySince
 				}
 			}
 		}
 	}
-	w.log.Info("splits progress", "job", j.spec.ID, "tasks", j.chunkTasks)
+	w.log.Info("splits progress", "job", j.spec.ID, "tasks", j.tasksPerChunk)
 }
 
 // split makes chunks of so many tasks of the job's chunks, whose records stay
 // below them.
 func (j *job) split(size int) {
-	old, n := j.chunks, j.chunkTasks/size
-	j.subChunks, j.chunkTasks, j.firstPendingChunk = n, size, 0
+	old, n := j.chunks, j.tasksPerChunk/size
+	j.subchunksPerChunk, j.tasksPerChunk, j.firstPendingChunk = n, size, 0
 	j.baseRevisions = make([]wire.Revision, len(old))
 	j.chunks = make([]*chunk, (j.spec.Tasks+size-1)/size)
 	for _, c := range old {
@@ -86,8 +86,8 @@
 			p := j.chunk(c.index*n + i/size)
 			a.chunk, a.index = p, i%size
 			p.attempts[a.index] = a
-			if a.planned {
-				p.unstored++
+			if a.unstored {
+				p.unstoredAttempts++
 			}
 		}
 	}
@@ -95,14 +95,14 @@
 
 // key under which the chunk is stored.
 func (c *chunk) key() string {
-	if n := c.job.subChunks; n > 0 {
+	if n := c.job.subchunksPerChunk; n > 0 {
 		return store.SubchunkKey(c.job.spec.ID, c.index/n, c.index%n)
 	}
 	return store.ChunkKey(c.job.spec.ID, c.index)
 }
 
-// stored lists all that is stored of the job's progress.
-func (j *job) stored() []wire.Guard {
+// storedGuards lists all that is stored of the job's progress.
+func (j *job) storedGuards() []wire.Guard {
 	var out []wire.Guard
 	for _, c := range j.chunks {
 		if c != nil && c.revision != 0 {
@@ -117,11 +117,11 @@
 	return out
 }
 
-// splitsInto tells whether the job's chunks are, or can be, split into sub-chunks of
+// canSplitInto tells whether the job's chunks are, or can be, split into sub-chunks of
 // so many tasks.
-func (j *job) splitsInto(size int) bool {
-	if j.subChunks > 0 {
-		return size == j.chunkTasks
+func (j *job) canSplitInto(size int) bool {
+	if j.subchunksPerChunk > 0 {
+		return size == j.tasksPerChunk
 	}
-	return size >= 1 && size < j.chunkTasks && j.chunkTasks%size == 0
+	return size >= 1 && size < j.tasksPerChunk && j.tasksPerChunk%size == 0
 }
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -51,7 +51,7 @@
 	}
 	s.rev++
 	s.keys[c.key()] = wire.Entry{Key: c.key(), Value: wire.Encode(rec), Revision: s.rev}
-	c.revision, c.changed = s.rev, false
+	c.revision, c.dirty = s.rev, false
 }
 
 func (s *shelf) list() (out []wire.Entry) {
@@ -91,20 +91,20 @@
 		same := func(want []plain, what string) {
 			done, held := 0, 0
 			for i, p := range want {
-				c := j.chunk(i / j.chunkTasks)
-				a := c.attempts[i%j.chunkTasks]
+				c := j.chunk(i / j.tasksPerChunk)
+				a := c.attempts[i%j.tasksPerChunk]
 				switch p.state {
 				case taskDone:
 					done++
-				case taskHeld:
+				case taskActive:
 					held++
 				}
-				if got := c.taskStates[i%j.chunkTasks]; got != p.state || (a != nil) != (p.state == taskHeld) || a != nil && (a.number != p.try || a.machine.id != p.on || a.machine.tasks[a.task()] != a || a.task().Index != i) {
+				if got := c.taskStates[i%j.tasksPerChunk]; got != p.state || (a != nil) != (p.state == taskActive) || a != nil && (a.number != p.try || a.machine.id != p.on || a.machine.tasks[a.task()] != a || a.task().Index != i) {
 					t.Fatalf("%s: task %d is %d %+v, want %+v", what, i, got, a, p)
 				}
 			}
-			if j.done != done || j.held != held {
-				t.Fatalf("%s: %d done, %d held, want %d and %d", what, j.done, j.held, done, held)
+			if j.doneTasks != done || j.activeTasks != held {
+				t.Fatalf("%s: %d done, %d held, want %d and %d", what, j.doneTasks, j.activeTasks, done, held)
 			}
 			n := 0
 			for _, m := range tm.machines {
@@ -127,13 +127,13 @@
 				s.put(t, c, tm.writer.valueLimit())
 				delete(tm.writer.pending, c)
 				for i := range c.taskStates {
-					stored[c.index*j.chunkTasks+i] = now[c.index*j.chunkTasks+i]
+					stored[c.index*j.tasksPerChunk+i] = now[c.index*j.tasksPerChunk+i]
 				}
 				for _, a := range c.attempts {
-					if a.planned {
-						a.planned = false
-						c.unstored--
-						j.unstored--
+					if a.unstored {
+						a.unstored = false
+						c.unstoredAttempts--
+						j.unstoredAttempts--
 					}
 				}
 			}
@@ -142,9 +142,9 @@
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2, 3: // starts
 				n := rapid.IntRange(1, 300).Draw(t, "starts")
-				m := tm.machine(wire.MachineID(fmt.Sprintf("n-%012d", rapid.IntRange(0, 30).Draw(t, "machine"))))
+				m := tm.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%012d", rapid.IntRange(0, 30).Draw(t, "machine"))))
 				var at []int
-				j.eachPending(n, func(c *chunk, i int) { at = append(at, c.index*j.chunkTasks+i) })
+				j.forEachPending(n, func(c *chunk, i int) { at = append(at, c.index*j.tasksPerChunk+i) })
 				j.firstPendingChunk = 0
 				for _, c := range j.chunks {
 					if c != nil {
@@ -152,10 +152,10 @@
 					}
 				}
 				for range at {
-					tm.start(j, m, time.Now())
+					tm.startTask(j, m, time.Now())
 				}
 				for _, i := range at {
-					a := j.chunk(i / j.chunkTasks).attempts[i%j.chunkTasks]
+					a := j.chunk(i / j.tasksPerChunk).attempts[i%j.tasksPerChunk]
 					if a == nil {
 						t.Fatalf("task %d was not started", i)
 					}
@@ -166,22 +166,22 @@
 					if used[i][a.number] {
 						t.Fatalf("task %d has number %d twice", i, a.number)
 					}
-					now[i] = plain{taskHeld, a.number, m.id}
+					now[i] = plain{taskActive, a.number, m.id}
 				}
 			case 4, 5: // ends
 				for _, a := range j.attempts() {
-					if a.planned || rapid.IntRange(0, 2).Draw(t, "ends") > 0 {
+					if a.unstored || rapid.IntRange(0, 2).Draw(t, "ends") > 0 {
 						continue
 					}
 					i := a.task().Index
 					state := rapid.SampledFrom([]uint8{taskDone, taskPending}).Draw(t, "end")
-					tm.drop(a, state)
+					tm.endAttempt(a, state)
 					now[i] = plain{state: state}
 				}
 			case 6, 7:
 				write()
 				for i, p := range stored {
-					if p.state == taskHeld {
+					if p.state == taskActive {
 						if used[i] == nil {
 							used[i] = map[wire.Attempt]bool{}
 						}
@@ -195,24 +195,24 @@
 				copy(now, stored)
 				same(now, "read")
 			}
-			if j.done < parts {
+			if j.doneTasks < parts {
 				same(now, "known")
 			}
 			done, held := 0, 0
 			for _, p := range stored {
 				if p.state == taskDone {
 					done++
-				} else if p.state == taskHeld {
+				} else if p.state == taskActive {
 					held++
 				}
 			}
 			if d, h := store.CountTasks(s.list()); d != done || h != held {
 				t.Fatalf("counted %d done, %d held; stored are %d and %d", d, h, done, held)
 			}
-			if g := j.stored(); len(g) != len(s.keys) {
+			if g := j.storedGuards(); len(g) != len(s.keys) {
 				t.Fatalf("%d keys known of %d", len(g), len(s.keys))
 			}
-			for _, g := range j.stored() {
+			for _, g := range j.storedGuards() {
 				if s.keys[g.Key].Revision != g.Revision {
 					t.Fatalf("%s known as %d, stored as %d", g.Key, g.Revision, s.keys[g.Key].Revision)
 				}
@@ -248,7 +248,7 @@
 func hold(tm *term, j *job, n, tasks int, m *machine) {
 	c := j.chunk(n)
 	for i := range tasks {
-		c.hold(&attempt{job: j, chunk: c, index: i, number: c.nextAttempt, machine: m, reported: true})
+		c.add(&attempt{job: j, chunk: c, index: i, number: c.nextAttempt, machine: m, observed: true})
 		c.nextAttempt++
 	}
 	tm.writer.markPending(c)
@@ -263,10 +263,10 @@
 	withLowerLimit(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
 		j := job("req-2", 512, 256)
 		hold(tm, j, 1, 250, m)
-		tm.start(j, m, time.Now())
+		tm.startTask(j, m, time.Now())
 		settle()
-		if len(tm.writer.pending) > 0 || j.unstored > 0 || j.held != 251 || j.subChunks == 0 || ended(tm) {
-			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.writer.pending), j.subChunks, ended(tm))
+		if len(tm.writer.pending) > 0 || j.unstoredAttempts > 0 || j.activeTasks != 251 || j.subchunksPerChunk == 0 || ended(tm) {
+			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.writer.pending), j.subchunksPerChunk, ended(tm))
 		}
 		if n := st.LargestValue(store.ProgressPrefix); n > 2048 || n == 0 {
 			t.Errorf("the largest record has %d bytes", n)
@@ -278,22 +278,22 @@
 // launches, routine writes, ends and left-over records of others go on.
 func TestBadRecordHoldsUpNothing(t *testing.T) {
 	withLowerLimit(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
-		odd := tm.machine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
-		odd.upAt = time.Now()
+		odd := tm.getOrAddMachine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
+		odd.firstHeartbeatAt = time.Now()
 		bad, worse := job("req-3", 4, 1), job("req-4", 4, 1)
 		hold(tm, bad, 0, 1, odd)
-		tm.start(worse, odd, time.Now()) // a launch that can't be stored
+		tm.startTask(worse, odd, time.Now()) // a launch that can't be stored
 		launch, routine, end := job("req-5", 2, 56), job("req-6", 2, 56), job("req-7", 1, 56)
-		tm.start(launch, m, time.Now())
+		tm.startTask(launch, m, time.Now())
 		hold(tm, routine, 0, 2, m)
 		hold(tm, end, 0, 1, m)
 		for _, a := range end.attempts() {
-			tm.drop(a, taskDone)
+			tm.endAttempt(a, taskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
 		tm.writer.orphans = append(tm.writer.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{NextAttempt: 2})})
 		settle()
-		if launch.unstored > 0 || len(st.Keys(store.ProgressPrefix+"req-5/")) == 0 {
+		if launch.unstoredAttempts > 0 || len(st.Keys(store.ProgressPrefix+"req-5/")) == 0 {
 			t.Error("a launch is held up")
 		}
 		if n := len(st.Keys(store.ProgressPrefix + "req-6/")); n == 0 {
@@ -305,8 +305,8 @@
 		if len(st.Keys(orphan)) > 0 {
 			t.Error("a left-over record is held up")
 		}
-		if worse.held > 0 || bad.held != 1 || ended(tm) {
-			t.Errorf("held %d and %d, term over: %v", worse.held, bad.held, ended(tm))
+		if worse.activeTasks > 0 || bad.activeTasks != 1 || ended(tm) {
+			t.Errorf("held %d and %d, term over: %v", worse.activeTasks, bad.activeTasks, ended(tm))
 		}
 		if n := st.OversizeRefusals(); n > 30 {
 			t.Errorf("%d transactions were refused", n)
@@ -325,7 +325,7 @@
 		hold(tm, j, 0, 250, m)
 		bad := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Tasks: 1, CPUs: 1}}, st.Put(store.JobKey("req-3"), rec))
 		tm.jobs["req-3"] = bad
-		hold(tm, bad, 0, 1, tm.machine(wire.MachineID("n-"+strings.Repeat("9", 20_000))))
+		hold(tm, bad, 0, 1, tm.getOrAddMachine(wire.MachineID("n-"+strings.Repeat("9", 20_000))))
 		settle()
 		if k := st.Keys(store.ProgressPrefix + "req-2/"); len(k) != 1 || k[0] != store.ChunkKey("req-2", 0) {
 			t.Errorf("stored %v", k)
@@ -342,24 +342,24 @@
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		settle()
 		j := tm.jobs["req-1"]
-		tm.start(j, m, time.Now())
+		tm.startTask(j, m, time.Now())
 		settle()
-		if !tm.writer.allStored(m.usedAt, time.Now()) {
+		if !tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("all is stored")
 		}
 		time.Sleep(time.Second)
 		for _, a := range j.attempts() {
-			tm.drop(a, taskDone)
+			tm.endAttempt(a, taskDone)
 		}
-		if len(m.tasks) > 0 || tm.writer.allStored(m.usedAt, time.Now()) {
+		if len(m.tasks) > 0 || tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("released before its progress is written")
 		}
 		tm.flush(time.Now())
-		if !tm.writer.inFlight || tm.writer.allStored(m.usedAt, time.Now()) {
+		if !tm.writer.inFlight || tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("released while its progress is being written")
 		}
 		settle()
-		if !tm.writer.allStored(m.usedAt, time.Now()) || len(st.Keys(store.FinalKey("req-1"))) == 0 {
+		if !tm.writer.allStored(m.lastUsedAt, time.Now()) || len(st.Keys(store.FinalKey("req-1"))) == 0 {
 			t.Error("kept for ever")
 		}
 	})
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -16,70 +16,70 @@
 	"lilaclead/upgrade"
 )
 
-// reportCall is a report with the channel for its answer.
-type reportCall struct {
-	report  wire.Heartbeat
-	relayed bool // by another node
-	reply   chan reportAnswer
+// heartbeatCall is a report with the channel for its answer.
+type heartbeatCall struct {
+	heartbeat wire.Heartbeat
+	relayed   bool // by another node
+	reply     chan heartbeatReply
 }
 
-// reportAnswer to a report.
-type reportAnswer struct {
+// heartbeatReply to a report.
+type heartbeatReply struct {
 	commands *wire.Commands // the answer; nil: none
 	redirect bool           // the worker should come to this node itself
-	refused  refusal        // why the report is not answered
+	rejected rejection      // why the report is not answered
 }
 
 // term is one period of leadership. Its loop owns everything below the line; the
 // goroutines that do I/O hand their results back through the inbox.
 type term struct {
-	l               *Leader
+	leader          *Leader
 	lease           *election.Lease
 	startedAt       time.Time
 	delegationToken atomic.Uint64 // the token under which others may renew leases; 0: none yet
-	// unprovenCancelSince: see Leader.UnprovenCancelSince.
-	unprovenCancelSince atomic.Pointer[time.Time]
-	reportCalls         chan reportCall
-	inbox               chan func()
-	over                chan struct{}
-	endOnce             sync.Once
-	endReason           string
+	// unconfirmedCancelSince: see Leader.UnconfirmedCancelSince.
+	unconfirmedCancelSince atomic.Pointer[time.Time]
+	heartbeatCalls         chan heartbeatCall
+	inbox                  chan func()
+	done                   chan struct{}
+	endOnce                sync.Once
+	endReason              string
 
 	// ---- owned by the loop ----
 	ctx                    context.Context
 	settings               *config.Settings
 	token                  wire.FencingToken // also the revision of the leader's key
 	firstToken             wire.FencingToken // the token at the start of the term
-	raising                bool
+	raisingToken           bool
 	recovered              bool
-	placing                bool      // the first report round is over
-	listReceived           bool      // a machine list has come in
-	listAskedAt            time.Time // when the last one was asked for
-	earlyReports           map[wire.MachineID]wire.Heartbeat
+	schedulingEnabled      bool      // the first report round is over
+	machineListReceived    bool      // a machine list has come in
+	machineListRequestedAt time.Time // when the last one was asked for
+	earlyHeartbeats        map[wire.MachineID]wire.Heartbeat
 	jobs                   map[wire.JobID]*job
-	archived               map[wire.JobID]bool // archived, and news of them may still come
-	undecodable            map[wire.JobID]bool // of which a record can't be decoded: see setAside
+	archivedJobs           map[wire.JobID]bool // archived, and news of them may still come
+	quarantinedJobs        map[wire.JobID]bool // of which a record can't be decoded: see quarantine
 	machines               map[wire.MachineID]*machine
-	gone                   map[wire.MachineID]time.Time // released, answered 200
-	tokenShown             bool                         // every machine of the first list has been asked
+	removedMachines        map[wire.MachineID]time.Time // released, answered 200
+	tokenAnnounced         bool                         // every machine of the first list has been asked
 	zoneDetector           *detector.Zones              // which zones are partitioned from this node
-	delegatesAnsweredUntil time.Time                    // when another node can last have answered as a delegate
-	stateAwaySince         time.Time                    // since when the state service is away; zero: it is not
-	stateBackAt            time.Time                    // when it was last back
-	majorityAckedAt        time.Time                    // when a majority first held our token
+	delegatesRenewedUntil  time.Time                    // when another node can last have answered as a delegate
+	storeUnavailableSince  time.Time                    // since when the state service is away; zero: it is not
+	storeAvailableSince    time.Time                    // when it was last back
+	quorumAckedAt          time.Time                    // when a majority first held our token
 
-	writer          *writer           // of the jobs' progress
-	incompleteGangs map[*job]struct{} // gangs of which a task was lost, not yet looked after
-	recentGangs     map[gangSize]recentGang
-	cancelledJobs   map[*job]struct{} // cancelled, with attempts that may be on machines
-	cancelCursor    uint64            // what of the ledger of cancellations has been taken in
-	raiseAt         time.Time
-	raiseWanted     bool
-	claimed         map[*machine]struct{} // on which room is being made
-	roundWanted     bool
-	lastRound       time.Time
-	roundAfter      time.Time
-	roundTook       time.Duration // the last one
+	writer              *writer           // of the jobs' progress
+	brokenGangs         map[*job]struct{} // gangs of which a task was lost, not yet looked after
+	recentGangs         map[gangSize]recentGang
+	cancelledJobs       map[*job]struct{} // cancelled, with attempts that may be on machines
+	cancellationCursor  uint64            // what of the ledger of cancellations has been taken in
+	raiseNotBefore      time.Time
+	tokenRaiseRequested bool
+	reservedMachines    map[*machine]struct{} // on which room is being made
+	cycleRequested      bool
+	lastCycleAt         time.Time
+	cycleNotBefore      time.Time
+	lastCycleDuration   time.Duration // the last one
 
 	scaling  *scaling.Tracker
 	intents  *cloudIntents   // nil: they are not recorded
@@ -89,20 +89,20 @@
 
 func newTerm(l *Leader, lease *election.Lease) *term {
 	t := &term{
-		l: l, lease: lease, startedAt: lease.TakenAt(), token: lease.Token(), firstToken: lease.Token(),
-		settings:    &l.Config.Settings,
-		reportCalls: make(chan reportCall, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
-		earlyReports: map[wire.MachineID]wire.Heartbeat{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
-		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		zoneDetector: detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.HeartbeatInterval.Duration()),
-		claimed:      map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, recentGangs: map[gangSize]recentGang{},
+		leader: l, lease: lease, startedAt: lease.TakenAt(), token: lease.Token(), firstToken: lease.Token(),
+		settings:       &l.Config.Settings,
+		heartbeatCalls: make(chan heartbeatCall, 32), inbox: make(chan func(), 32), done: make(chan struct{}),
+		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}, jobs: map[wire.JobID]*job{}, archivedJobs: map[wire.JobID]bool{}, quarantinedJobs: map[wire.JobID]bool{},
+		machines: map[wire.MachineID]*machine{}, removedMachines: map[wire.MachineID]time.Time{},
+		zoneDetector:     detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.HeartbeatInterval.Duration()),
+		reservedMachines: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, brokenGangs: map[*job]struct{}{}, recentGangs: map[gangSize]recentGang{},
 	}
 	t.scaling = scaling.New(lease.Token())
 	if l.RecordIntents {
 		t.intents = newCloudIntents(t)
 	}
 	t.writer = newWriter(&t.settings.State, t.log())
-	t.writer.withdraw, t.writer.isAside = t.withdrawStart, t.isAside
+	t.writer.withdraw, t.writer.quarantined = t.withdrawUnstoredStart, t.quarantined
 	t.writer.budget = func() float64 {
 		_, writes := l.Store.Budget()
 		return writes
@@ -114,7 +114,7 @@
 func (t *term) end(why string) {
 	t.endOnce.Do(func() {
 		t.endReason = why
-		close(t.over)
+		close(t.done)
 	})
 }
 
@@ -122,11 +122,11 @@
 func (t *term) post(f func()) {
 	select {
 	case t.inbox <- f:
-	case <-t.over:
+	case <-t.done:
 	}
 }
 
-func (t *term) log() *slog.Logger { return t.l.Log }
+func (t *term) log() *slog.Logger { return t.leader.Log }
 
 // run serves the term until it is over and says why.
 func (t *term) run(parent context.Context) string {
@@ -134,7 +134,7 @@
 	defer cancel()
 	t.ctx = ctx
 	go t.keepLease(ctx)
-	go t.recover(ctx)
+	go t.readRecords(ctx)
 	go t.pollMachineList(ctx)
 	go t.pollMachineSpecs(ctx)
 	go t.advanceVersion(ctx)
@@ -143,20 +143,20 @@
 	slow := 0
 	for {
 		select {
-		case <-t.over:
+		case <-t.done:
 			return t.endReason
 		case <-parent.Done():
 			t.end("stopped")
 			return t.endReason
-		case h := <-t.reportCalls:
-			t.onReport(h)
+		case h := <-t.heartbeatCalls:
+			t.onHeartbeat(h)
 		case f := <-t.inbox:
 			f()
 		case now := <-tick.C:
-			t.watchLeadership(now)
-			t.showToken()
+			t.checkLeadership(now)
+			t.announceToken()
 			if slow++; slow%5 == 0 {
-				t.watchMachines(now)
+				t.checkMachines(now)
 			}
 			if slow%10 == 0 {
 				t.planFleet(now)
@@ -165,30 +165,30 @@
 				t.logStatus(now)
 			}
 		}
-		t.settle(time.Now())
+		t.runDueWork(time.Now())
 	}
 }
 
-// settle does what has become due after an event: a round, a write.
-func (t *term) settle(now time.Time) {
+// runDueWork does what has become due after an event: a round, a write.
+func (t *term) runDueWork(now time.Time) {
 	if !t.recovered || !t.lease.Deciding() {
 		return
 	}
-	t.stopIncompleteGangs()
-	v := t.l.Tuning.Get()
-	if t.placing && (t.roundWanted && now.After(t.roundAfter) || now.Sub(t.lastRound) >= wire.Seconds(v.RoundS).Duration()) {
-		t.round(now)
+	t.stopBrokenGangs()
+	v := t.leader.Tuning.Get()
+	if t.schedulingEnabled && (t.cycleRequested && now.After(t.cycleNotBefore) || now.Sub(t.lastCycleAt) >= wire.Seconds(v.RoundS).Duration()) {
+		t.runCycle(now)
 	}
 	t.flush(now)
 }
 
-// requestRound asks for a round soon; a few events are gathered first.
-func (t *term) requestRound() {
-	if !t.roundWanted {
-		t.roundWanted = true
+// requestCycle asks for a round soon; a few events are gathered first.
+func (t *term) requestCycle() {
+	if !t.cycleRequested {
+		t.cycleRequested = true
 		// At most a fifth of the time goes to rounds, however large they are.
-		pause := max(100*time.Millisecond, 4*t.roundTook)
-		t.roundAfter = latest(time.Now().Add(10*time.Millisecond), t.lastRound.Add(pause))
+		pause := max(100*time.Millisecond, 4*t.lastCycleDuration)
+		t.cycleNotBefore = latest(time.Now().Add(10*time.Millisecond), t.lastCycleAt.Add(pause))
 	}
 }
 
@@ -199,11 +199,11 @@
 	return b
 }
 
-// watchLeadership yields to a higher token and bounds the service without the
+// checkLeadership yields to a higher token and bounds the service without the
 // state service.
-func (t *term) watchLeadership(now time.Time) {
-	v := t.l.Mesh.View()
-	if v.Token > t.token && !t.raising {
+func (t *term) checkLeadership(now time.Time) {
+	v := t.leader.Mesh.View()
+	if v.Token > t.token && !t.raisingToken {
 		// Our own raised token comes back through the peers only after we
 		// know of it, or while raising is set.
 		t.end("a higher token is known")
@@ -211,29 +211,29 @@
 	}
 	until := v.AckedUntil(t.token, t.settings.Size/2+1)
 	acked := now.Before(until)
-	if acked && t.majorityAckedAt.IsZero() {
-		t.majorityAckedAt = now
+	if acked && t.quorumAckedAt.IsZero() {
+		t.quorumAckedAt = now
 	}
-	t.lease.Acknowledged(until, t.oldestAck(v, now), t.l.delegation.Time)
+	t.lease.Acknowledged(until, t.oldestAck(v, now), t.leader.delegation.Time)
 	t.applyCancellations()
 	if t.lease.Deciding() {
-		if !t.stateAwaySince.IsZero() {
-			t.log().Info("state service back", "token", t.token, "away", now.Sub(t.stateAwaySince))
-			t.stateAwaySince, t.stateBackAt = time.Time{}, now
-			t.requestRound()
+		if !t.storeUnavailableSince.IsZero() {
+			t.log().Info("state service back", "token", t.token, "away", now.Sub(t.storeUnavailableSince))
+			t.storeUnavailableSince, t.storeAvailableSince = time.Time{}, now
+			t.requestCycle()
 		}
 	} else {
-		if t.stateAwaySince.IsZero() {
-			t.stateAwaySince = now
+		if t.storeUnavailableSince.IsZero() {
+			t.storeUnavailableSince = now
 			t.log().Info("state service away; keeps answering reports while a majority agrees", "token", t.token, "agrees", acked)
 		}
 	}
-	if !t.placing && t.recovered {
+	if !t.schedulingEnabled && t.recovered {
 		bound := t.settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
-		if t.enoughMachinesReported(now) || now.Sub(t.startedAt) > bound {
-			t.placing = true
+		if t.enoughMachinesHeard(now) || now.Sub(t.startedAt) > bound {
+			t.schedulingEnabled = true
 			t.log().Info("places", "machines", len(t.machines), "jobs", len(t.jobs), "after", now.Sub(t.startedAt))
-			t.requestRound()
+			t.requestCycle()
 		}
 	}
 }
@@ -242,7 +242,7 @@
 // for.
 func (t *term) oldestAck(v *peer.View, now time.Time) time.Time {
 	oldest := now
-	for _, o := range t.l.Config.Peers {
+	for _, o := range t.leader.Config.Peers {
 		if at := v.Peers[o.HostName].AckSent; at.Before(oldest) {
 			oldest = at
 		}
@@ -257,24 +257,24 @@
 	}
 }
 
-// enoughMachinesReported tells whether the machines that should be up have reported with
+// enoughMachinesHeard tells whether the machines that should be up have reported with
 // our token: all of a small deployment, and half of a large one, where
 // showing the token to the last takes seconds. One that is in no list or did
 // not answer a probe is not waited for. What was not heard takes nothing new,
 // and its tasks count until it is known to be gone. Without a list (the
 // cloud's interface may be down for minutes) it is the machines of which
 // something is stored that are waited for.
-func (t *term) enoughMachinesReported(now time.Time) bool {
-	if !t.listReceived && now.Sub(t.startedAt) < time.Second {
+func (t *term) enoughMachinesHeard(now time.Time) bool {
+	if !t.machineListReceived && now.Sub(t.startedAt) < time.Second {
 		return false
 	}
 	heard, missing := 0, 0
 	for _, m := range t.machines {
 		switch {
-		case m.booting, m.drainReason == drainReturning:
+		case m.booting, m.drainReason == drainAdoptedScaleIn:
 		case m.token >= t.firstToken:
 			heard++
-		case m.unansweredProbes == 0 && (m.addr != "" || !t.listReceived):
+		case m.unansweredProbes == 0 && (m.addr != "" || !t.machineListReceived):
 			missing++
 		}
 	}
--- a/internal/leader/utility.go
+++ b/internal/leader/utility.go
@@ -29,7 +29,7 @@
 		if !ok {
 			continue
 		}
-		u := sum[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.spec.Tasks - j.done)))
+		u := sum[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.spec.Tasks - j.doneTasks)))
 		sum[j.spec.Team] = u
 		out[j.spec.ID] = u.CPUs <= team.CPUs+wire.Eps && u.GPUs <= team.GPUs+wire.Eps
 	}
@@ -43,19 +43,19 @@
 // starvingWeight lies above that of every array and below that of services.
 const starvingWeight = 100
 
-// weight of one unit of a job: priority first, then guarantee and deadline.
-func (t *term) weight(j *job, guaranteed bool, now time.Time) float64 {
+// utilityWeight of one unit of a job: priority first, then guarantee and deadline.
+func (t *term) utilityWeight(j *job, guaranteed bool, now time.Time) float64 {
 	w := [4]float64{1, 2, 8, 256}[j.spec.Priority.Rank()]
 	if guaranteed {
 		w *= 3
 	}
 	if !j.spec.Service() {
-		need := j.expected()
+		need := j.expectedSeconds()
 		// The job is worth something only when all of it is done: a unit of
 		// a job with little left brings more.
-		work := float64(j.spec.Tasks-j.done) * j.spec.CPUs * max(1, need)
+		work := float64(j.spec.Tasks-j.doneTasks) * j.spec.CPUs * max(1, need)
 		w *= 1000 / (work + 50)
-		switch slack := t.slack(j, now); {
+		switch slack := t.slackSeconds(j, now); {
 		case slack < -need/2:
 			w *= 0.1 // late whatever we do
 		case slack < need:
@@ -69,9 +69,9 @@
 // themselves in place of being stopped.
 const maxPatienceS = 5.0
 
-// patience of an urgent array: a small part of its slack, and little once it has
+// patienceSeconds of an urgent array: a small part of its slack, and little once it has
 // waited. What is always on has none.
-func (t *term) patience(j *job, now time.Time) float64 {
+func (t *term) patienceSeconds(j *job, now time.Time) float64 {
 	if j.spec.Service() {
 		return 0
 	}
@@ -79,19 +79,19 @@
 		return min(maxGangPatienceS, maxPatienceS+now.Sub(j.acceptedAt).Seconds()/2)
 	}
 	waited := now.Sub(j.acceptedAt).Seconds()
-	patience := min(maxPatienceS, t.slack(j, now)/8, maxPatienceS+1-waited)
+	patience := min(maxPatienceS, t.slackSeconds(j, now)/8, maxPatienceS+1-waited)
 	// While its start can still be in time it must not be given away: urgent gangs
 	// with an aim of 2 s waited for tasks that were expected to end within 3 s, often
 	// ended later, and kept the gangs from having anything else stopped meanwhile.
-	if left := t.startAim(j.spec.Class) - waited; j.spec.Gang() && left > 0 {
+	if left := t.startObjectiveSeconds(j.spec.Class) - waited; j.spec.Gang() && left > 0 {
 		patience = min(patience, left/2)
 	}
 	return max(0, patience)
 }
 
-// startAim is within how many seconds the users' aims want jobs of a class
+// startObjectiveSeconds is within how many seconds the users' aims want jobs of a class
 // started; 0: they don't say.
-func (t *term) startAim(class string) float64 {
+func (t *term) startObjectiveSeconds(class string) float64 {
 	for _, o := range t.settings.Objectives {
 		if o.Kind == "wait" && o.Class == class {
 			return float64(o.Within)
@@ -105,23 +105,23 @@
 // each task's room as it becomes free.
 const maxGangPatienceS = 45.0
 
-// left is in how many seconds a task is expected to end by itself. Until some of
+// expectedRemainingSeconds is in how many seconds a task is expected to end by itself. Until some of
 // its job's tasks are done there is only its owner's word, which is often short.
-func (a *attempt) left(now time.Time) float64 {
+func (a *attempt) expectedRemainingSeconds(now time.Time) float64 {
 	if a.runningSince.IsZero() || a.job.spec.Service() {
 		return math.Inf(1)
 	}
-	need := a.job.expected()
-	if len(a.job.runs.seconds) == 0 {
+	need := a.job.expectedSeconds()
+	if len(a.job.runTimes.samples) == 0 {
 		need *= 1.5
 	}
 	return max(need/10, need-now.Sub(a.runningSince).Seconds())
 }
 
-// expected run time of a task: what was seen, else what the owner says.
-func (j *job) expected() float64 {
-	if n := len(j.runs.seconds); n > 0 {
-		return j.runs.median()
+// expectedSeconds run time of a task: what was seen, else what the owner says.
+func (j *job) expectedSeconds() float64 {
+	if n := len(j.runTimes.samples); n > 0 {
+		return j.runTimes.median()
 	}
 	return float64(j.spec.ExpectedRunTime)
 }
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -24,17 +24,17 @@
 // recordsIntents tells whether intents are recorded now: the part is on and, where
 // versions are negotiated, every controller understands it.
 func (t *term) recordsIntents() bool {
-	return t.intents != nil && (t.l.Versions == nil || t.version >= VersionIntents)
+	return t.intents != nil && (t.leader.Versions == nil || t.version >= VersionIntents)
 }
 
 // readVersion reads the active version for this term. It is read after the lease was
 // taken, and only leaders switch, by writes that their token guards: no earlier one can
 // switch any more.
 func (t *term) readVersion(ctx context.Context) (upgrade.Version, error) {
-	if t.l.Versions == nil {
+	if t.leader.Versions == nil {
 		return 0, nil
 	}
-	v, err := t.l.Versions.ReadActive(ctx)
+	v, err := t.leader.Versions.ReadActive(ctx)
 	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
 		t.post(func() { t.resign(err.Error()) })
 	}
@@ -43,7 +43,7 @@
 
 // advanceVersion switches to the next version once all controllers understand it.
 func (t *term) advanceVersion(ctx context.Context) {
-	if t.l.Versions == nil {
+	if t.leader.Versions == nil {
 		return
 	}
 	var logged string
@@ -60,7 +60,7 @@
 // tryAdvance switches once if that is due, and returns the active version as far as it
 // is known then.
 func (t *term) tryAdvance(ctx context.Context) (upgrade.Version, error) {
-	versions := t.l.Versions
+	versions := t.leader.Versions
 	if active := versions.Active(); active >= versions.Supports.Max {
 		return active, nil
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, nil // it is tried again when the lease is held
 	}
-	deployment, err := t.l.deployment(ctx)
+	deployment, err := t.leader.deployment(ctx)
 	if err != nil {
 		return 0, err
 	}
