--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -53,7 +53,7 @@
 	ask := func() { out <- t.view(time.Now()) }
 	select {
 	case t.inbox <- ask:
-	case <-t.over:
+	case <-t.done:
 		return nil
 	case <-ctx.Done():
 		return nil
@@ -61,7 +61,7 @@
 	select {
 	case v := <-out:
 		return v
-	case <-t.over:
+	case <-t.done:
 	case <-ctx.Done():
 	}
 	return nil
@@ -82,25 +82,25 @@
 		}
 	}
 	for _, j := range t.jobs {
-		tasks, held, done = tasks+j.spec.Tasks, held+j.held, done+j.done
+		tasks, held, done = tasks+j.spec.Tasks, held+j.activeTasks, done+j.doneTasks
 		if !j.cancelled && j.pending() > 0 {
 			waiting++
 		}
 	}
-	if most := t.l.Workers; up > most {
-		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.l.RequiredFDs(up))
+	if most := t.leader.Workers; up > most {
+		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
 	}
 	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.roundTook, "late", time.Since(now))
+		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.lastCycleDuration, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
 	v := &View{Deciding: t.lease.Deciding(), PendingScaleOuts: len(t.scaling.PendingScaleOuts())}
 	for _, m := range t.machines {
-		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
+		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.sinceLastMessage(m, now).Seconds(), t.freeResources(m).CPUs})
 	}
 	for _, j := range t.jobs {
-		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.done, j.held, j.failures, now.Sub(j.acceptedAt).Seconds(), j.cancelled})
+		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.doneTasks, j.activeTasks, j.failures, now.Sub(j.acceptedAt).Seconds(), j.cancelled})
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	slices.SortFunc(v.Jobs, func(a, b JobView) int { return strings.Compare(string(a.ID), string(b.ID)) })
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -15,18 +15,18 @@
 	rereadRetry = 300 * time.Millisecond
 	// outcomeRetry is the pause before a transaction's outcome is read again.
 	outcomeRetry = 200 * time.Millisecond
-	// withdrawnFor is how long a job waits whose start had no room in its record.
-	withdrawnFor = time.Second
+	// withdrawnStartBackoff is how long a job waits whose start had no room in its record.
+	withdrawnStartBackoff = time.Second
 )
 
 // flush has the writer's next transaction executed, or the token raised where
 // somebody waits for that.
 func (t *term) flush(now time.Time) {
-	if t.raising || !t.writer.ready(now) {
+	if t.raisingToken || !t.writer.ready(now) {
 		return
 	}
-	if t.raiseWanted && now.After(t.raiseAt) {
-		t.raise(nil)
+	if t.tokenRaiseRequested && now.After(t.raiseNotBefore) {
+		t.raiseToken(nil)
 		return
 	}
 	b := t.writer.next(t.token, now)
@@ -34,56 +34,56 @@
 		return
 	}
 	go func() {
-		revision, err := t.l.Store.Commit(t.ctx, b.class(), b.txn)
-		t.post(func() { t.written(b, revision, err) })
+		revision, err := t.leader.Store.Commit(t.ctx, b.class(), b.txn)
+		t.post(func() { t.onTxnResult(b, revision, err) })
 	}()
 }
 
-// withdrawStart takes back a start that is not stored yet, as the chunk's record
+// withdrawUnstoredStart takes back a start that is not stored yet, as the chunk's record
 // has no room for it.
-func (t *term) withdrawStart(c *chunk, now time.Time) bool {
+func (t *term) withdrawUnstoredStart(c *chunk, now time.Time) bool {
 	for _, a := range c.attempts {
-		if a.planned {
-			t.drop(a, taskPending)
-			c.job.notBefore = now.Add(withdrawnFor)
+		if a.unstored {
+			t.endAttempt(a, taskPending)
+			c.job.startNotBefore = now.Add(withdrawnStartBackoff)
 			return true
 		}
 	}
 	return false
 }
 
-// written takes in the outcome of a transaction.
-func (t *term) written(b *batch, revision wire.Revision, err error) {
+// onTxnResult takes in the outcome of a transaction.
+func (t *term) onTxnResult(b *batch, revision wire.Revision, err error) {
 	t.writer.answered()
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		t.committed(b, revision)
+		t.onTxnCommitted(b, revision)
 	case errors.As(err, &conflict) && conflict.Has(store.LeaderKey):
 		t.end(election.ErrTaken.Error())
 	case errors.As(err, &conflict):
-		t.conflicted(b, conflict)
+		t.onTxnConflict(b, conflict)
 	case errors.Is(err, store.ErrUnknown):
 		// It may be applied yet, minutes from now. A new token ends that;
 		// then a read tells what was.
 		t.log().Info("outcome of a write unknown", "writes", len(b.txn.Writes))
 		t.writer.outcomeOpen()
-		t.raise(b)
+		t.raiseToken(b)
 	case errors.Is(err, store.ErrInvalid):
-		t.undo(b)
+		t.revertTxn(b)
 		if now := time.Now(); t.writer.refused(b, now) {
 			t.withdrawRefused(b, now)
 		}
 	default:
-		t.undo(b)
+		t.revertTxn(b)
 		t.writer.retryLater(time.Now())
 	}
 }
 
-// conflicted takes in that a transaction's guards failed.
-func (t *term) conflicted(b *batch, conflict *store.ConflictError) {
+// onTxnConflict takes in that a transaction's guards failed.
+func (t *term) onTxnConflict(b *batch, conflict *store.ConflictError) {
 	b.orphans = slices.DeleteFunc(b.orphans, func(g wire.Guard) bool { return conflict.Has(g.Key) }) // gone already
-	t.undo(b)
+	t.revertTxn(b)
 	for _, j := range t.jobs {
 		if conflict.Has(store.JobKey(j.spec.ID)) {
 			t.reread(j)
@@ -101,45 +101,45 @@
 func (t *term) withdrawRefused(b *batch, now time.Time) {
 	for _, c := range b.chunks {
 		for _, a := range c.attempts {
-			if a.planned {
-				t.drop(a, taskPending)
-				c.job.notBefore = now.Add(refusedPause)
+			if a.unstored {
+				t.endAttempt(a, taskPending)
+				c.job.startNotBefore = now.Add(refusedPause)
 			}
 		}
 	}
 }
 
-// committed takes in that a transaction was executed.
-func (t *term) committed(b *batch, revision wire.Revision) {
+// onTxnCommitted takes in that a transaction was executed.
+func (t *term) onTxnCommitted(b *batch, revision wire.Revision) {
 	t.writer.committed(b, revision)
 	for _, j := range b.finished {
 		t.log().Info("job over", "job", j.spec.ID, "status", j.finalStatus(), "took", time.Since(j.acceptedAt))
 		delete(t.jobs, j.spec.ID)
-		delete(t.undecodable, j.spec.ID)
-		if !j.recordGone {
-			t.archived[j.spec.ID] = true
+		delete(t.quarantinedJobs, j.spec.ID)
+		if !j.recordDeleted {
+			t.archivedJobs[j.spec.ID] = true
 		}
 	}
-	t.sendStored(b.planned)
+	t.sendStoredLaunches(b.planned)
 }
 
-// sendStored sends the launches that are stored now.
-func (t *term) sendStored(planned []*attempt) {
+// sendStoredLaunches sends the launches that are stored now.
+func (t *term) sendStoredLaunches(planned []*attempt) {
 	touched := map[*machine]bool{}
 	for _, a := range planned {
 		if a.chunk.attempts[a.index] != a {
 			continue
 		}
-		a.planned = false
-		a.chunk.unstored--
-		a.job.unstored--
-		if a.halting || a.job.cancelled || a.machine.drainReason != "" || a.machine.releasing || t.machines[a.machine.id] != a.machine {
+		a.unstored = false
+		a.chunk.unstoredAttempts--
+		a.job.unstoredAttempts--
+		if a.stopping || a.job.cancelled || a.machine.drainReason != "" || a.machine.scalingIn || t.machines[a.machine.id] != a.machine {
 			// Never sent by anyone: there is nothing to halt.
-			t.drop(a, taskPending)
+			t.endAttempt(a, taskPending)
 			continue
 		}
 		touched[a.machine] = true
-		if a.job.gang != nil && a.job.complete() {
+		if a.job.gang != nil && a.job.fullyStored() {
 			for _, other := range a.job.attempts() {
 				touched[other.machine] = true
 			}
@@ -150,66 +150,66 @@
 	}
 }
 
-// undo marks all of a transaction that was not executed as still to be
+// revertTxn marks all of a transaction that was not executed as still to be
 // written.
-func (t *term) undo(b *batch) {
+func (t *term) revertTxn(b *batch) {
 	t.writer.undone(b)
 	for _, a := range b.planned {
-		if a.halting && a.chunk.attempts[a.index] == a {
-			t.drop(a, taskPending)
+		if a.stopping && a.chunk.attempts[a.index] == a {
+			t.endAttempt(a, taskPending)
 		}
 	}
 }
 
 // reread reads a job's record again after a guard on it failed.
 func (t *term) reread(j *job) {
-	j.stale = true
+	j.recordOutdated = true
 	id := j.spec.ID
 	go func() {
-		e, err := t.l.Store.Get(t.ctx, store.Critical, store.JobKey(id))
+		e, err := t.leader.Store.Get(t.ctx, store.Critical, store.JobKey(id))
 		t.post(func() {
 			switch {
 			case t.jobs[id] != j: // the watch told of it meanwhile, and it is archived
 			case err == nil:
 				t.applyJobRecord(store.JobKey(id), e.Value, e.Revision)
 			case errors.Is(err, store.ErrMissing):
-				if j.stale { // else it is being archived
+				if j.recordOutdated { // else it is being archived
 					t.end("a live job's record is gone: " + string(id))
 				}
-			case j.stale:
+			case j.recordOutdated:
 				time.AfterFunc(rereadRetry, func() { t.post(func() { t.reread(j) }) })
 			}
 		})
 	}()
 }
 
-// raise takes a higher token for this term by a guarded write. Nothing that
+// raiseToken takes a higher token for this term by a guarded write. Nothing that
 // was sent under the old one can take effect afterwards: transactions fail
 // at their guard, and commands at every worker that has seen the new one. If
 // b is given, its outcome is then looked up.
-func (t *term) raise(b *batch) {
-	t.raising = true
-	t.raiseWanted, t.raiseAt = false, time.Now().Add(t.settings.Workers.Lease.Duration()/2)
+func (t *term) raiseToken(b *batch) {
+	t.raisingToken = true
+	t.tokenRaiseRequested, t.raiseNotBefore = false, time.Now().Add(t.settings.Workers.Lease.Duration()/2)
 	old := t.token
 	go func() {
 		token, err := t.lease.RaiseToken(t.ctx, old)
 		switch {
 		case err == nil:
-			t.post(func() { t.raised(token, b) })
+			t.post(func() { t.onTokenRaised(token, b) })
 		case t.ctx.Err() == nil:
 			t.end(err.Error())
 		}
 	}()
 }
 
-func (t *term) raised(token wire.FencingToken, b *batch) {
+func (t *term) onTokenRaised(token wire.FencingToken, b *batch) {
 	t.log().Info("token raised", "from", t.token, "to", token)
 	t.token = token
 	if t.recovered {
 		t.delegationToken.Store(uint64(token))
 	}
-	t.l.Mesh.ObserveToken(t.ctx, token)
-	t.raising = false
+	t.leader.Mesh.ObserveToken(t.ctx, token)
+	t.raisingToken = false
 	if b != nil {
 		go t.readOutcome(b)
 	}
@@ -220,15 +220,15 @@
 func (t *term) readOutcome(b *batch) {
 	g := b.tellingGuard()
 	for t.ctx.Err() == nil {
-		e, err := t.l.Store.Get(t.ctx, store.Critical, g.Key)
+		e, err := t.leader.Store.Get(t.ctx, store.Critical, g.Key)
 		if err == nil || errors.Is(err, store.ErrMissing) {
 			t.post(func() {
 				t.writer.outcomeRead()
 				switch {
 				case e.Revision == g.Revision: // 0: still missing
-					t.undo(b)
+					t.revertTxn(b)
 				default:
-					t.committed(b, e.Revision)
+					t.onTxnCommitted(b, e.Revision)
 				}
 			})
 			return
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -28,17 +28,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tm.l.Store = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
-		tm.l.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.l.Cancels, nw.Host("10.0.0.1"), tm.l.Log)
-		go tm.l.Mesh.Run(ctx)
+		tm.leader.Store = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
+		tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, nw.Host("10.0.0.1"), tm.leader.Log)
+		go tm.leader.Mesh.Run(ctx)
 		tm.ctx = ctx
 		tm.settings.State.TxnOps = 12
-		tm.l.candidate = election.NewCandidate(tm.l.Config, tm.l.Store, tm.l.Log, tm.l.Mesh.ObserveToken)
-		tm.token = wire.FencingToken(st.Put(store.LeaderKey, tm.l.candidate.Record()))
-		tm.lease, tm.firstToken = leaseFor(tm.l, tm.token, time.Hour), tm.token
+		tm.leader.candidate = election.NewCandidate(tm.leader.Config, tm.leader.Store, tm.leader.Log, tm.leader.Mesh.ObserveToken)
+		tm.token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
+		tm.lease, tm.firstToken = leaseFor(tm.leader, tm.token, time.Hour), tm.token
 		m.token = tm.token
-		tm.drop(a, taskPending)
-		a.chunk.changed, a.job.finished = false, false
+		tm.endAttempt(a, taskPending)
+		a.chunk.dirty, a.job.finished = false, false
 		a.job.revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
 		f(tm, m, st, func() {
 			for range 200 {
@@ -57,7 +57,7 @@
 
 func ended(tm *term) bool {
 	select {
-	case <-tm.over:
+	case <-tm.done:
 		return true
 	default:
 		return false
@@ -70,10 +70,10 @@
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		j := tm.jobs["req-1"]
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.spec, Status: wire.Cancelled})
-		tm.start(j, m, time.Now())
+		tm.startTask(j, m, time.Now())
 		settle()
-		if n := st.Keys(store.ProgressPrefix); len(n) != 0 || j.held != 0 || !j.cancelled {
-			t.Errorf("stored %v, held %d, cancelled %v", n, j.held, j.cancelled)
+		if n := st.Keys(store.ProgressPrefix); len(n) != 0 || j.activeTasks != 0 || !j.cancelled {
+			t.Errorf("stored %v, held %d, cancelled %v", n, j.activeTasks, j.cancelled)
 		}
 		if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 			t.Errorf("final records %v, term over: %v", past, ended(tm))
@@ -91,17 +91,17 @@
 		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 			j, token := tm.jobs["req-1"], tm.token
 			lose(st)
-			tm.start(j, m, time.Now())
+			tm.startTask(j, m, time.Now())
 			settle()
 			a := j.chunks[0].attempts[0]
-			if a == nil || a.planned || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
+			if a == nil || a.unstored || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
 				t.Errorf("%s: attempt %+v, stored %v, term over: %v", name, a, st.Keys(store.ProgressPrefix), ended(tm))
 			}
 			if tm.token <= token {
 				t.Errorf("%s: the token was not raised", name)
 			}
 			// What is known still agrees with what is stored.
-			tm.drop(a, taskDone)
+			tm.endAttempt(a, taskDone)
 			settle()
 			if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 				t.Errorf("%s: final records %v, term over: %v", name, past, ended(tm))
@@ -114,7 +114,7 @@
 func TestLateLeaderWritesNothing(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
-		tm.start(tm.jobs["req-1"], m, time.Now())
+		tm.startTask(tm.jobs["req-1"], m, time.Now())
 		settle()
 		if !ended(tm) || len(st.Keys(store.ProgressPrefix)) != 0 {
 			t.Errorf("term over: %v, stored %v", ended(tm), st.Keys(store.ProgressPrefix))
@@ -128,20 +128,20 @@
 // not wait for it either.
 func TestMachineNeverHeardOf(t *testing.T) {
 	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
-		tm.l.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
-		tm.listReceived = true
-		m.token, m.addr, m.upAt = 0, "", time.Time{}
-		if !tm.enoughMachinesReported(time.Now()) {
+		tm.leader.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
+		tm.machineListReceived = true
+		m.token, m.addr, m.firstHeartbeatAt = 0, "", time.Time{}
+		if !tm.enoughMachinesHeard(time.Now()) {
 			t.Error("the first round waits for a machine that nothing is known of")
 		}
 		time.Sleep(5 * time.Second)
-		tm.watchMachines(time.Now())
-		if m.releasing {
+		tm.checkMachines(time.Now())
+		if m.scalingIn {
 			t.Error("released after 5 s")
 		}
 		time.Sleep(5 * time.Second)
-		tm.watchMachines(time.Now())
-		if !m.releasing {
+		tm.checkMachines(time.Now())
+		if !m.scalingIn {
 			t.Error("not released after 10 s")
 		}
 	})
@@ -155,13 +155,13 @@
 		j.revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
 		tm.jobs[j.spec.ID] = j
 		tm.settings.State.ValueKB = 0.5
-		long := tm.machine("n-a-very-long-name-of-a-machine-000000001")
+		long := tm.getOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
-			tm.start(j, long, time.Now())
+			tm.startTask(j, long, time.Now())
 		}
 		settle()
-		if j.held == 0 || j.held > 8 || j.pending() != 40-j.held || j.chunk(0).revision == 0 {
-			t.Errorf("%d of 40 held, %d pending, stored at revision %d", j.held, j.pending(), j.chunk(0).revision)
+		if j.activeTasks == 0 || j.activeTasks > 8 || j.pending() != 40-j.activeTasks || j.chunk(0).revision == 0 {
+			t.Errorf("%d of 40 held, %d pending, stored at revision %d", j.activeTasks, j.pending(), j.chunk(0).revision)
 		}
 	})
 }
@@ -179,12 +179,12 @@
 			c := j.chunk(n)
 			c.taskStates[0] = taskDone
 			c.revision = st.Put(store.ChunkKey("req-2", n), c.record())
-			j.done++
+			j.doneTasks++
 		}
 		rec.Status = wire.Cancelled
 		st.Put(store.JobKey("req-2"), rec) // not yet known to the leader
 		st.DelayAnswers("", 300*time.Millisecond)
-		tm.checkFinished(j)
+		tm.markIfFinished(j)
 		conflicts := 0
 		for range 100 {
 			tm.flush(time.Now())
@@ -193,7 +193,7 @@
 				g()
 			case <-time.After(50 * time.Millisecond):
 			}
-			if j.stale {
+			if j.recordOutdated {
 				conflicts++
 			}
 			if live, chunks := len(st.Keys(store.JobKey("req-2"))), len(st.Keys(store.ProgressPrefix+"req-2/")); live == 1 && chunks != 20 {
@@ -239,7 +239,7 @@
 				}
 				tm.applyChanges([]wire.Change{drop})
 			} else {
-				tm.start(j, m, time.Now())
+				tm.startTask(j, m, time.Now())
 			}
 			settle()
 			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.jobs) != 0 {
@@ -255,8 +255,8 @@
 				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.jobs, ended(tm), tm.endReason)
 			}
 			tm.applyChanges([]wire.Change{drop})
-			if len(tm.archived) != 0 {
-				t.Errorf("remembered for ever: %v", tm.archived)
+			if len(tm.archivedJobs) != 0 {
+				t.Errorf("remembered for ever: %v", tm.archivedJobs)
 			}
 		})
 	}
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -35,9 +35,9 @@
 	// withdraw takes back a start of a chunk that is not stored yet; false: there
 	// is none.
 	withdraw func(c *chunk, now time.Time) bool
-	// isAside tells whether nothing of a job is written, as one of its records can't
+	// quarantined tells whether nothing of a job is written, as one of its records can't
 	// be decoded.
-	isAside func(wire.JobID) bool
+	quarantined func(wire.JobID) bool
 
 	pending  map[*chunk]struct{} // differ from what is stored
 	finished map[*job]struct{}   // can be archived
@@ -59,10 +59,10 @@
 
 // markPending notes that a chunk must be written.
 func (w *writer) markPending(c *chunk) {
-	if !c.changed {
-		c.changedAt = time.Now()
+	if !c.dirty {
+		c.dirtySince = time.Now()
 	}
-	c.changed = true
+	c.dirty = true
 	w.pending[c] = struct{}{}
 }
 
@@ -93,7 +93,7 @@
 		return nil
 	}
 	for _, c := range b.chunks {
-		c.changed, c.beingWritten = false, true
+		c.dirty, c.writeInFlight = false, true
 		delete(w.pending, c)
 	}
 	w.inFlight, w.startedAt = true, now
@@ -103,7 +103,7 @@
 // addFinished archives the jobs that are over.
 func (w *writer) addFinished(b *batch, now time.Time) {
 	for j := range w.finished {
-		if !j.archiving && !j.stale && !now.Before(j.writeAfter) {
+		if !j.archiving && !j.recordOutdated && !now.Before(j.writeNotBefore) {
 			b.archive(j)
 			b.urgent = true
 		}
@@ -115,8 +115,8 @@
 func (w *writer) due(now time.Time) (launches, routine []*chunk) {
 	for c := range w.pending {
 		switch j := c.job; {
-		case j.archiving || j.finished || j.stale || w.isAside(j.spec.ID) || now.Before(c.writeAfter):
-		case c.unstored > 0:
+		case j.archiving || j.finished || j.recordOutdated || w.quarantined(j.spec.ID) || now.Before(c.writeNotBefore):
+		case c.unstoredAttempts > 0:
 			launches = append(launches, c)
 		default:
 			routine = append(routine, c)
@@ -125,7 +125,7 @@
 	slices.SortFunc(launches, func(a, b *chunk) int {
 		return cmp.Or(b.job.spec.Priority.Rank()-a.job.spec.Priority.Rank(), a.job.acceptedAt.Compare(b.job.acceptedAt), a.index-b.index)
 	})
-	slices.SortFunc(routine, func(a, b *chunk) int { return a.changedAt.Compare(b.changedAt) })
+	slices.SortFunc(routine, func(a, b *chunk) int { return a.dirtySince.Compare(b.dirtySince) })
 	return launches, routine
 }
 
@@ -149,7 +149,7 @@
 			b.guard(key, c.job.revision)
 		}
 		for _, a := range c.attempts {
-			if a.planned {
+			if a.unstored {
 				b.planned = append(b.planned, a)
 			}
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	n := min(len(routine), max(0, int(w.budget())-len(b.txn.Writes)))
-	for n < len(routine) && now.Sub(routine[n].changedAt) > routineWriteWithin {
+	for n < len(routine) && now.Sub(routine[n].dirtySince) > routineWriteWithin {
 		n++
 		b.urgent = true
 	}
@@ -203,7 +203,7 @@
 	// Not before: until its end is stored a job needs all of its chunks.
 	w.orphans = append(w.orphans, b.dropAfter...)
 	for _, c := range b.chunks {
-		c.revision, c.beingWritten = revision, false
+		c.revision, c.writeInFlight = revision, false
 	}
 	for _, j := range b.finished {
 		delete(w.finished, j)
@@ -218,7 +218,7 @@
 func (w *writer) undone(b *batch) {
 	w.orphans = append(w.orphans, b.orphans...)
 	for _, c := range b.chunks {
-		c.beingWritten = false
+		c.writeInFlight = false
 		w.markPending(c)
 	}
 	for _, j := range b.finished {
@@ -250,10 +250,10 @@
 	}
 	w.log.Error("a record is refused as invalid", "keys", b.keys(), "bytes", b.largest)
 	for _, j := range b.finished {
-		j.writeAfter = now.Add(refusedPause)
+		j.writeNotBefore = now.Add(refusedPause)
 	}
 	for _, c := range b.chunks {
-		c.writeAfter = now.Add(refusedPause)
+		c.writeNotBefore = now.Add(refusedPause)
 	}
 	// The next leader reads it again.
 	w.orphans = slices.DeleteFunc(w.orphans, func(g wire.Guard) bool { return slices.Contains(b.orphans, g) })
@@ -261,14 +261,14 @@
 }
 
 // allStored tells whether the end of all that was on a machine is stored, which was
-// used last at usedAt. Before, the next leader would take it for lost with the
+// used last at lastUsedAt. Before, the next leader would take it for lost with the
 // machine, and start it again.
 func (w *writer) allStored(usedAt, now time.Time) bool {
 	if w.inFlight && !usedAt.After(w.startedAt) {
 		return false
 	}
 	for c := range w.pending {
-		if !c.changedAt.After(usedAt) && now.After(c.writeAfter) && now.After(c.job.writeAfter) && !w.isAside(c.job.spec.ID) {
+		if !c.dirtySince.After(usedAt) && now.After(c.writeNotBefore) && now.After(c.job.writeNotBefore) && !w.quarantined(c.job.spec.ID) {
 			return false
 		}
 	}
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -18,7 +18,7 @@
 	w := newWriter(&config.State{ValueKB: 16, TxnOps: maxOps}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.budget = func() float64 { return float64(budget) }
 	w.withdraw = func(*chunk, time.Time) bool { return false }
-	w.isAside = func(wire.JobID) bool { return false }
+	w.quarantined = func(wire.JobID) bool { return false }
 	return w
 }
 
@@ -29,8 +29,8 @@
 	j := newJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 	c := j.chunk(0)
 	if launches {
-		c.hold(&attempt{job: j, chunk: c, machine: &machine{id: "n-1", tasks: map[wire.Task]*attempt{}}, planned: true})
-		c.unstored, j.unstored = 1, 1
+		c.add(&attempt{job: j, chunk: c, machine: &machine{id: "n-1", tasks: map[wire.Task]*attempt{}}, unstored: true})
+		c.unstoredAttempts, j.unstoredAttempts = 1, 1
 	}
 	w.markPending(c)
 	return c
@@ -69,8 +69,8 @@
 		}
 		done := func(b *batch) {
 			for _, a := range b.planned {
-				a.planned = false
-				a.chunk.unstored, a.job.unstored = 0, 0
+				a.unstored = false
+				a.chunk.unstoredAttempts, a.job.unstoredAttempts = 0, 0
 			}
 			w.answered()
 			w.committed(b, 7)
@@ -103,7 +103,7 @@
 		w.answered()
 		w.undone(b)
 		w.retryLater(time.Now())
-		if w.ready(time.Now()) || !c.changed || c.beingWritten {
+		if w.ready(time.Now()) || !c.dirty || c.writeInFlight {
 			t.Errorf("after a transaction that was not executed: ready %v, %+v", w.ready(time.Now()), c)
 		}
 		time.Sleep(writeRetry)
--- a/node.go
+++ b/node.go
@@ -189,7 +189,7 @@
 		Delegation:       n.leader.DelegationToken(),
 		StateReachable:   n.store.Reachable(),
 		ReachableWorkers: n.leader.WorkersInContact(),
-		UnconfirmedSince: n.leader.UnprovenCancelSince(),
+		UnconfirmedSince: n.leader.UnconfirmedCancelSince(),
 	}
 	if n.versions != nil {
 		s.Incarnation, s.ActiveVersion = n.versions.Incarnation(), uint64(n.versions.Active())
