--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -46,11 +46,11 @@
 
 // launchMayTakeEffect tells whether a launch of the attempt may still take effect on
 // the worker after it made this report.
-func (t *term) launchMayTakeEffect(a *attempt, rep *wire.Heartbeat, viaHello bool) bool {
+func (s *State) launchMayTakeEffect(a *attempt, rep *wire.Heartbeat, viaHello bool) bool {
 	switch {
 	case a.unstored:
 		return false
-	case a.inherited && rep.Token < t.firstToken:
+	case a.inherited && rep.Token < s.firstToken:
 		// An earlier leader's launch dies only by a higher token.
 		return true
 	case a.launchInFlight && rep.Epoch <= a.launchEpoch:
@@ -66,7 +66,7 @@
 }
 
 // endAttempt ends an attempt: nothing of it is on its machine, nor can get there.
-func (t *term) endAttempt(a *attempt, state uint8) {
+func (s *State) endAttempt(a *attempt, state uint8) {
 	c := a.chunk
 	if c.attempts[a.index] != a {
 		return
@@ -81,17 +81,17 @@
 	if state == taskPending {
 		c.firstPending, a.job.firstPendingChunk = min(c.firstPending, a.index), min(a.job.firstPendingChunk, c.index)
 	}
-	t.writer.markPending(c)
+	s.unsaved.markDirty(c)
 	if state == taskPending && a.job.spec.Gang() {
-		t.brokenGangs[a.job] = struct{}{}
+		s.brokenGangs[a.job] = struct{}{}
 	}
 	if state == taskDone {
 		a.job.doneTasks++
 	}
 	a.machine.lastUsedAt = time.Now()
 	a.job.lastActiveAt = a.machine.lastUsedAt
-	t.markIfFinished(a.job)
-	t.requestCycle()
+	s.markIfFinished(a.job)
+	s.requestCycle()
 }
 
 // stop wants the attempt stopped, and with a gang's task all of the gang.
@@ -106,7 +106,7 @@
 func (t *term) stopAttempt(a *attempt, grace wire.Seconds, why EvictionReason) {
 	if a.unstored {
 		if !a.chunk.writeInFlight {
-			t.endAttempt(a, taskPending)
+			t.state.endAttempt(a, taskPending)
 		} else {
 			a.stopping, a.gracePeriod, a.stopReason = true, grace, why
 		}
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -12,11 +12,11 @@
 // looks as if nothing of it were left.
 func (t *term) stopCancelledJob(j *job) {
 	t.log().Info("cancels", "job", j.spec.ID, "held", j.activeTasks)
-	t.cancelledJobs[j] = struct{}{}
+	t.state.cancelledJobs[j] = struct{}{}
 	for _, a := range j.attempts() {
 		t.stopAttempt(a, 0, EvictedCancelled)
 	}
-	t.markIfFinished(j)
+	t.state.markIfFinished(j)
 }
 
 // UnconfirmedCancelSince is since when there are cancellations of which a launch may still be
@@ -41,7 +41,7 @@
 	var ids []wire.JobID
 	ids, t.cancellationCursor = t.leader.Cancels.Since(t.cancellationCursor)
 	for _, id := range ids {
-		j := t.jobs[id]
+		j := t.state.jobs[id]
 		if j == nil || j.cancelled {
 			continue
 		}
@@ -58,9 +58,9 @@
 // findUnconfirmedCancels finds the cancelled jobs of which a launch may be on its way.
 func (t *term) findUnconfirmedCancels() {
 	var first time.Time
-	for j := range t.cancelledJobs {
+	for j := range t.state.cancelledJobs {
 		if j.activeTasks == 0 {
-			delete(t.cancelledJobs, j)
+			delete(t.state.cancelledJobs, j)
 			continue
 		}
 		if first.IsZero() || j.cancelledAt.Before(first) {
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		switch {
-		case t.quarantined(task.Job): // it may be one of those that can't be read
+		case t.state.quarantined(task.Job): // it may be one of those that can't be read
 		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Stop, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
@@ -72,10 +72,10 @@
 		t.tokenRaiseRequested = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.commandInFlight || rep.Token < t.firstToken {
+	if m.commandInFlight || rep.Token < t.state.firstToken {
 		return false
 	}
-	j := t.jobs[task.Job]
+	j := t.state.jobs[task.Job]
 	if j == nil {
 		return true
 	}
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -33,7 +33,7 @@
 	if t.leader.delegation.Time == 0 {
 		return at
 	}
-	tenure := delegation.Tenure{Began: t.startedAt, FirstToken: t.firstToken, StateBack: t.storeAvailableSince}
+	tenure := delegation.Tenure{Began: t.state.termStartedAt, FirstToken: t.state.firstToken, StateBack: t.state.storeAvailableSince}
 	v := t.leader.Mesh.View()
 	for _, o := range t.leader.Config.Peers {
 		at = latest(at, t.leader.delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -28,7 +28,7 @@
 func (t *term) demands(now time.Time, stretch, spareUnits float64) []fleet.Demand {
 	jobs := t.waitingJobs()
 	waits := t.predictWaits(jobs, now)
-	zones := t.zones()
+	zones := t.state.zones()
 	used := t.usedByTeam()
 	var out []fleet.Demand
 	for _, j := range jobs {
@@ -48,9 +48,9 @@
 // waitingJobs are those with tasks to be placed, in the order they were accepted.
 // One that fails wherever it runs gets no room rented.
 func (t *term) waitingJobs() []*job {
-	jobs := make([]*job, 0, len(t.jobs))
-	for _, j := range t.jobs {
-		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !t.quarantined(j.spec.ID) {
+	jobs := make([]*job, 0, len(t.state.jobs))
+	for _, j := range t.state.jobs {
+		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !t.state.quarantined(j.spec.ID) {
 			jobs = append(jobs, j)
 		}
 	}
@@ -63,7 +63,7 @@
 // usedByTeam is the room that each team's tasks hold.
 func (t *term) usedByTeam() map[wire.TeamID]placement.Resources {
 	used := map[wire.TeamID]placement.Resources{}
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		used[j.spec.Team] = used[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.activeTasks)))
 	}
 	return used
@@ -73,7 +73,7 @@
 // run all at once: its work may be stretched over a share of what its deadline
 // leaves. The team's limit bounds what can run at all.
 func (t *term) wantedUnits(j *job, used map[wire.TeamID]placement.Resources, now time.Time, stretch float64) int {
-	team, ok := t.settings.Team(j.spec.Team)
+	team, ok := t.state.settings.Team(j.spec.Team)
 	if !ok {
 		return 0
 	}
@@ -83,7 +83,7 @@
 	case gang && j.activeTasks > 0:
 		return 0 // what is left of its last attempt goes first
 	case !j.spec.Service() && !gang:
-		units = demand.ParallelTasks(units, t.demandWork(j, now), t.settings.Objectives, stretch)
+		units = demand.ParallelTasks(units, t.demandWork(j, now), t.state.settings.Objectives, stretch)
 	}
 	left := placement.Resources{CPUs: unlimited, GPUs: unlimited, MemoryGB: unlimited}
 	if team.CPUsMax > 0 {
@@ -105,10 +105,10 @@
 	switch {
 	case j.spec.Service():
 		d.Rank += serviceRank
-	case j.spec.Gang() && t.startOverdue(j, now):
+	case j.spec.Gang() && t.state.startOverdue(j, now):
 		d.Rank += startOverdueRank
 		d.PriceStretch = math.Inf(1)
-	case t.startOverdue(j, now):
+	case t.state.startOverdue(j, now):
 		// Room is had for its first task at any price.
 		first := d
 		first.Units, first.Rank, first.PriceStretch = 1, d.Rank+startOverdueRank, math.Inf(1)
@@ -158,7 +158,7 @@
 		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, AllOrNothing: true}
 		if spec.Spread {
 			d.ZoneLeft = map[wire.Zone]int{}
-			for _, z := range t.zones() {
+			for _, z := range t.state.zones() {
 				d.ZoneLeft[z] = spec.ZoneCap()
 			}
 		}
@@ -174,7 +174,7 @@
 
 // slackSeconds is for how many seconds the job's waiting tasks may still wait.
 func (t *term) slackSeconds(j *job, now time.Time) float64 {
-	return demand.SlackS(t.demandWork(j, now), t.settings.Objectives)
+	return demand.SlackS(t.demandWork(j, now), t.state.settings.Objectives)
 }
 
 // predictWaits predicts how many seconds each waiting array and gang will wait for
@@ -201,17 +201,17 @@
 // batchProcessors are those that work on arrays and gangs now or soon.
 func (t *term) batchProcessors() float64 {
 	processors := 0.0
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		if !m.scalingIn && m.drainReason == "" {
-			processors += t.totalResources(m).CPUs
+			processors += t.state.totalResources(m).CPUs
 		}
 	}
 	for _, b := range t.scaling.PendingScaleOuts() {
-		if spec := t.machineSpec(b.Type); spec != nil {
+		if spec := t.state.machineSpec(b.Type); spec != nil {
 			processors += float64(b.Count) * spec.CPUs
 		}
 	}
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		if j.spec.Service() {
 			processors -= float64(j.spec.Tasks) * j.spec.CPUs
 		}
@@ -225,7 +225,7 @@
 	if j.spec.Service() {
 		return 1
 	}
-	return demand.PriceStretch(t.demandWork(j, now), t.settings.Objectives, waitS, t.bootSeconds(&j.spec))
+	return demand.PriceStretch(t.demandWork(j, now), t.state.settings.Objectives, waitS, t.bootSeconds(&j.spec))
 }
 
 // bootSeconds is after how many seconds a machine that is rented now can run a task of
@@ -249,6 +249,6 @@
 // large or cheap job waiting for ever. So it is with one that has begun and of
 // which nothing has run for as long: when the cheap machines that it was on had
 // been taken and there were no more of them, the rest of it was never run.
-func (t *term) startOverdue(j *job, now time.Time) bool {
-	return !j.spec.Service() && j.activeTasks == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.doneTasks == 0 || now.Sub(latest(j.lastActiveAt, t.startedAt)) > startWithin/2)
+func (s *State) startOverdue(j *job, now time.Time) bool {
+	return !j.spec.Service() && j.activeTasks == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.doneTasks == 0 || now.Sub(latest(j.lastActiveAt, s.termStartedAt)) > startWithin/2)
 }
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -69,7 +69,7 @@
 		j.startNotBefore = now.Add(time.Duration(1<<n) * time.Second)
 		if len(j.failedMachines) >= 3 {
 			// The job is to blame: what it did to the machines is forgiven.
-			for _, other := range t.machines {
+			for _, other := range t.state.machines {
 				if other.failedJobs[j.spec.ID] {
 					delete(other.failedJobs, j.spec.ID)
 					other.failures = 0
@@ -85,7 +85,7 @@
 // that shows on many machines is not the machines'.
 func (t *term) mayDrainSuspect() bool {
 	n, all := 0, 0
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		if m.booting {
 			continue
 		}
@@ -109,10 +109,10 @@
 		switch {
 		case a.unstored:
 		case !a.launchSent && !a.inherited:
-			t.endAttempt(a, taskPending) // never sent by anyone
+			t.state.endAttempt(a, taskPending) // never sent by anyone
 		case why == drainFaulty, why == drainSlow && a.job.spec.Service():
-			t.stop(a, t.gracePeriodOf(a.job), EvictionReason(why))
+			t.stop(a, t.state.gracePeriodOf(a.job), EvictionReason(why))
 		}
 	}
-	t.requestCycle()
+	t.state.requestCycle()
 }
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -33,10 +33,10 @@
 		m.cordoned = false
 	}
 	for _, id := range plan.Cordons {
-		t.machines[id].cordoned = true
+		t.state.machines[id].cordoned = true
 	}
 	for _, id := range plan.ScaleIns {
-		if m := t.machines[id]; m != nil && len(m.tasks) == 0 {
+		if m := t.state.machines[id]; m != nil && len(m.tasks) == 0 {
 			t.scaleIn(m, drainIdle)
 		}
 	}
@@ -45,7 +45,7 @@
 // planCandidates are the machines that a plan may use or return, in a steady order.
 func (t *term) planCandidates() []*machine {
 	var out []*machine
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		if !m.scalingIn && m.drainReason == "" && m.machineType != "" {
 			out = append(out, m)
 		}
@@ -60,14 +60,14 @@
 	s := &fleet.Snapshot{MaxScaleOuts: maxScaleOutsPerPlan, PriceLimit: v.PriceLimit,
 		Cheapest: func(spec *wire.JobSpec) float64 { return cheapest(specs, spec) }}
 	for _, m := range candidates {
-		spec := t.machineSpec(m.machineType)
+		spec := t.state.machineSpec(m.machineType)
 		if spec != nil && t.countedOn(m, spec, now) {
 			s.Machines = append(s.Machines, t.planMachine(m, spec, v.IdleBoots, now))
 		}
 	}
 	s.Machines = t.appendBooked(s.Machines)
 	// What an earlier leader rented last is not listed yet.
-	if t.mayScaleOut() && now.Sub(t.startedAt) > t.settings.Cloud.ListLag.Duration()+time.Second {
+	if t.mayScaleOut() && now.Sub(t.state.termStartedAt) > t.state.settings.Cloud.ListLag.Duration()+time.Second {
 		s.Offers = t.offers(specs, now)
 	}
 	s.Demands = t.demands(now, v.StretchShare, v.SpareUnits)
@@ -90,15 +90,15 @@
 	if m.booting && now.Sub(m.requestedAt) > spec.BootTime.Duration()*maxBoots {
 		return false
 	}
-	if !m.booting && t.sinceLastMessage(m, now) > maxMissedHeartbeats*heartbeatInterval(t) {
+	if !m.booting && t.state.sinceLastMessage(m, now) > maxMissedHeartbeats*t.state.heartbeatInterval() {
 		return false
 	}
-	return !t.behindPartition(m, now) && !t.outboundLost(m, now)
+	return !t.state.behindPartition(m, now) && !t.state.outboundLost(m, now)
 }
 
 // planMachine is a machine as the plan sees it.
 func (t *term) planMachine(m *machine, spec *wire.MachineSpec, keepBoots float64, now time.Time) fleet.Machine {
-	out := fleet.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.totalResources(m), Free: t.freeResources(m), Booting: m.booting,
+	out := fleet.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: t.state.totalResources(m), Free: t.state.freeResources(m), Booting: m.booting,
 		PaidS: billedUpfrontS - now.Sub(m.requestedAt).Seconds(), Price: spec.Price(m.spot), KeepS: keepBoots * float64(spec.BootTime)}
 	for _, a := range m.tasks {
 		if a.job.spec.Service() {
@@ -130,7 +130,7 @@
 // appendBooked adds the machines of bookings that are not yet answered.
 func (t *term) appendBooked(out []fleet.Machine) []fleet.Machine {
 	for _, b := range t.scaling.PendingScaleOuts() {
-		spec := t.machineSpec(b.Type)
+		spec := t.state.machineSpec(b.Type)
 		if spec == nil {
 			continue
 		}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -54,13 +54,13 @@
 	return g == nil || a.job.fullyStored() && !g.broken && !g.stoppingGracefully
 }
 
-// launchAgain tells whether a gang's task that its machine surely does not have,
+// mayRelaunch tells whether a gang's task that its machine surely does not have,
 // nor can get any more, is to be sent there again: the others wait for it, and
 // its record stands. A leader may have ended between the first launch and the
 // last. Once the gang has run it is lost with that task.
-func (t *term) launchAgain(a *attempt) bool {
+func (s *State) mayRelaunch(a *attempt) bool {
 	g := a.job.gang
-	wait := t.settings.Workers.GangWait.Duration()
+	wait := s.settings.Workers.GangWait.Duration()
 	return g != nil && !a.observed && !a.stopping && !g.ran && a.mayLaunch() && !a.job.cancelled && a.machine.drainReason == "" && !a.machine.scalingIn &&
 		time.Since(g.startedAt) < wait
 }
@@ -85,14 +85,14 @@
 // do nothing, and is stopped. Those that were told to stop in order end by
 // themselves.
 func (t *term) stopBrokenGangs() {
-	for j := range t.brokenGangs {
-		delete(t.brokenGangs, j)
+	for j := range t.state.brokenGangs {
+		delete(t.state.brokenGangs, j)
 		g := j.gang
 		switch {
 		case g == nil:
 		case j.activeTasks == 0:
 			j.gang = nil
-			t.requestCycle()
+			t.state.requestCycle()
 		case !g.broken:
 			g.broken = true
 			t.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stoppingGracefully, "age", time.Since(g.startedAt), "left", j.activeTasks)
@@ -106,44 +106,44 @@
 }
 
 // completeGang notes that a task of a gang has completed: they complete together.
-func (t *term) completeGang(j *job) {
+func (s *State) completeGang(j *job) {
 	for _, a := range j.attempts() {
-		t.endAttempt(a, taskDone)
+		s.endAttempt(a, taskDone)
 	}
 	for n := range j.chunks {
 		c := j.chunk(n)
-		for i, s := range c.taskStates {
-			if s != taskDone {
+		for i, state := range c.taskStates {
+			if state != taskDone {
 				c.taskStates[i] = taskDone
 				j.doneTasks++
-				t.writer.markPending(c)
+				s.unsaved.markDirty(c)
 			}
 		}
 	}
 	j.gang = nil
-	t.markIfFinished(j)
+	s.markIfFinished(j)
 }
 
 // restoreGang finds out how the attempt of a gang stands that an earlier leader
 // recorded: whole, in part, or completed in part of the record.
-func (t *term) restoreGang(j *job) {
+func (s *State) restoreGang(j *job) {
 	if !j.spec.Gang() {
 		return
 	}
 	if j.doneTasks > 0 && j.doneTasks < j.spec.Tasks {
-		t.completeGang(j)
+		s.completeGang(j)
 		return
 	}
 	if j.activeTasks == 0 {
 		return
 	}
-	j.gang = &gang{startedAt: t.startedAt, inherited: true}
+	j.gang = &gang{startedAt: s.termStartedAt, inherited: true}
 	for _, a := range j.attempts() {
 		j.gang.number = max(j.gang.number, a.number)
 	}
 	for _, a := range j.attempts() {
-		if (a.number != j.gang.number || !j.fullyStored()) && !t.quarantined(j.spec.ID) {
-			t.brokenGangs[j] = struct{}{}
+		if (a.number != j.gang.number || !j.fullyStored()) && !s.quarantined(j.spec.ID) {
+			s.brokenGangs[j] = struct{}{}
 		}
 	}
 }
@@ -168,7 +168,7 @@
 // each class seen lately, as often as operators say. Everyday gangs may stop
 // nothing, and should start sooner than anything ends on a full deployment.
 func (t *term) expectedGangs(times float64, now time.Time) []*wire.JobSpec {
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		if j.spec.Gang() && !j.cancelled && !j.finished {
 			t.recentGangs[gangSize{string(j.spec.Class), j.spec.Tasks, placement.ResourcesOf(&j.spec)}] = recentGang{&j.spec, now}
 		}
@@ -196,10 +196,10 @@
 
 // grace of a gang: each has its time to save, and what is saved waits for the
 // others.
-func (t *term) gracePeriodOf(j *job) wire.Seconds {
+func (s *State) gracePeriodOf(j *job) wire.Seconds {
 	w := gracePeriodOf(j)
 	if w > 0 && j.spec.Gang() {
-		w += t.settings.Workers.GangPeerTimeout
+		w += s.settings.Workers.GangPeerTimeout
 	}
 	return w
 }
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -15,9 +15,9 @@
 func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *job) {
 	t.Helper()
 	tm, _, single := rig(t)
-	tm.endAttempt(single, taskPending)
-	delete(tm.jobs, single.job.spec.ID)
-	tm.settings.Workers.GangWait, tm.settings.Workers.GangPeerTimeout = 40, 8
+	tm.state.endAttempt(single, taskPending)
+	delete(tm.state.jobs, single.job.spec.ID)
+	tm.state.settings.Workers.GangWait, tm.state.settings.Workers.GangPeerTimeout = 40, 8
 	j := gangJob(tm, "req-2", parts)
 	j.spec.CheckpointInterval, j.spec.CheckpointTime = 20, 3
 	j.tasksPerChunk = 2
@@ -33,8 +33,8 @@
 }
 
 func gangMachine(tm *term, i int) *machine {
-	m := tm.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
-	m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.lastReplyAt = 1, 10, tm.firstToken, time.Now(), time.Now(), time.Now()
+	m := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
+	m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.lastReplyAt = 1, 10, tm.state.firstToken, time.Now(), time.Now(), time.Now()
 	return m
 }
 
@@ -65,7 +65,7 @@
 			a.chunk.unstoredAttempts++
 			j.unstoredAttempts++
 		}, false},
-		"one is not held":       {func(tm *term, j *job) { tm.endAttempt(member(j, 2), taskPending) }, false},
+		"one is not held":       {func(tm *term, j *job) { tm.state.endAttempt(member(j, 2), taskPending) }, false},
 		"one was lost":          {func(_ *term, j *job) { j.gang.broken = true }, false},
 		"it is told to stop":    {func(_ *term, j *job) { j.gang.stoppingGracefully = true }, false},
 		"one has no time left":  {func(tm *term, j *job) { tm.stopGang(j, 0, "makes room") }, false},
@@ -76,7 +76,7 @@
 		tm, j := gangRig(t, 3, 4)
 		first := member(j, 0)
 		c.setup(tm, j)
-		rep := said(1, 11, tm.firstToken)
+		rep := said(1, 11, tm.state.firstToken)
 		if sent := launches(tm.commandsFor(first.machine, rep, time.Now())) == 1; sent != c.may {
 			t.Errorf("%s: the first task's launch is sent: %v", name, sent)
 		}
@@ -107,14 +107,14 @@
 		a := member(j, 0)
 		a.inherited, a.launchSent = true, true
 		c.setup(tm, j, a)
-		if again := tm.launchAgain(a); again != c.again {
+		if again := tm.state.mayRelaunch(a); again != c.again {
 			t.Errorf("%s: sent again %v", name, again)
 		}
 		if name != "the others wait" {
 			continue
 		}
-		tm.reconcile(a.machine, said(1, 11, tm.firstToken), true, time.Now())
-		if n := launches(tm.commandsFor(a.machine, said(1, 11, tm.firstToken), time.Now())); j.activeTasks != 3 || n != 1 {
+		tm.reconcile(a.machine, said(1, 11, tm.state.firstToken), true, time.Now())
+		if n := launches(tm.commandsFor(a.machine, said(1, 11, tm.state.firstToken), time.Now())); j.activeTasks != 3 || n != 1 {
 			t.Errorf("%s: %d held, %d launches", name, j.activeTasks, n)
 		}
 	}
@@ -188,7 +188,7 @@
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
-	tm.endAttempt(member(j, 1), taskPending)
+	tm.state.endAttempt(member(j, 1), taskPending)
 	tm.stopBrokenGangs()
 	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.broken {
 		t.Errorf("one is lost: %v", got)
@@ -196,18 +196,18 @@
 	if tm.schedulable(j, time.Now()) {
 		t.Error("placed while two of its tasks are left")
 	}
-	tm.endAttempt(member(j, 0), taskPending)
-	tm.endAttempt(member(j, 2), taskPending)
-	tm.cycleRequested = false
+	tm.state.endAttempt(member(j, 0), taskPending)
+	tm.state.endAttempt(member(j, 2), taskPending)
+	tm.state.cycle.requested = false
 	tm.stopBrokenGangs()
-	if j.gang != nil || !tm.cycleRequested || !tm.schedulable(j, time.Now()) {
-		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.cycleRequested, tm.schedulable(j, time.Now()))
+	if j.gang != nil || !tm.state.cycle.requested || !tm.schedulable(j, time.Now()) {
+		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.state.cycle.requested, tm.schedulable(j, time.Now()))
 	}
 
 	tm, j = gangRig(t, 3, 4)
 	j.gang.ran = true
 	tm.stop(member(j, 0), 13, "makes room")
-	tm.endAttempt(member(j, 1), taskPending)
+	tm.state.endAttempt(member(j, 1), taskPending)
 	tm.stopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
@@ -218,7 +218,7 @@
 func TestGangDone(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	m := member(j, 1).machine
-	tm.reconcile(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.firstToken,
+	tm.reconcile(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.state.firstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
 	tm.stopBrokenGangs()
 	mustBeDone(t, "one reported done", tm, j)
@@ -240,7 +240,7 @@
 			}
 		}
 	}
-	for _, m := range tm.machines {
+	for _, m := range tm.state.machines {
 		if len(m.tasks) > 0 {
 			t.Errorf("%s: %v are on %s", name, m.tasks, m.id)
 		}
@@ -317,7 +317,7 @@
 	for n := range recs {
 		tm.readChunk(j.chunk(n), wire.Revision(40+n), &recs[n])
 	}
-	tm.restoreGang(j)
+	tm.state.restoreGang(j)
 	return tm, j
 }
 
@@ -355,7 +355,7 @@
 		j.gang.ran = true
 		m := member(j, 0).machine
 		single := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
-		tm.jobs["req-3"] = single
+		tm.state.jobs["req-3"] = single
 		array := &attempt{job: single, chunk: single.chunk(0), number: 2, machine: m, observed: true}
 		array.chunk.add(array)
 		waiting := &attempt{job: single, chunk: single.chunk(0), index: 1, number: 3, machine: member(j, 1).machine}
@@ -385,7 +385,7 @@
 		}
 		other := member(j, 1).machine
 		tm.leader.Cancels.RecordRead(time.Now())
-		r := tm.tell(&wire.Heartbeat{Machine: other.id, Epoch: 1, Sequence: 11, Token: tm.firstToken,
+		r := tm.tell(&wire.Heartbeat{Machine: other.id, Epoch: 1, Sequence: 11, Token: tm.state.firstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
 		if r.commands != nil {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -12,7 +12,7 @@
 
 func gangJob(tm *term, id wire.JobID, parts int) *job {
 	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: parts, CPUs: 2, MemoryGB: 4, SameZone: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
-	tm.jobs[id] = j
+	tm.state.jobs[id] = j
 	return j
 }
 
@@ -21,7 +21,7 @@
 func TestClaimsOfAGangLapseTogether(t *testing.T) {
 	tm, m, _ := rig(t)
 	gangJob(tm, "req-2", 2)
-	other := tm.getOrAddMachine("n-2")
+	other := tm.state.getOrAddMachine("n-2")
 	now := time.Now()
 	for _, x := range []*machine{m, other} {
 		x.reservations = []reservation{{placement.Reservation{Job: "req-2", Rank: 1}, nil, now.Add(time.Minute)}}
@@ -30,7 +30,7 @@
 	if n := tm.pruneReservations(now); n["req-2"] != 2 {
 		t.Fatalf("claims %v", n)
 	}
-	delete(tm.machines, other.id)
+	delete(tm.state.machines, other.id)
 	if n := tm.pruneReservations(now); n["req-2"] != 0 || len(m.reservations) != 0 || len(tm.reservedMachines) != 0 {
 		t.Errorf("claims %v, on the machine that is left %v", n, m.reservations)
 	}
@@ -58,7 +58,7 @@
 	if got := names(0, now); len(got) != 0 {
 		t.Errorf("none: room for %v", got)
 	}
-	delete(tm.jobs, "req-3")
+	delete(tm.state.jobs, "req-3")
 	if got := names(1, now.Add(recentGangLife-time.Second)); len(got) != 1 || got[0] != "req-3" {
 		t.Errorf("lately: room for %v", got)
 	}
@@ -85,7 +85,7 @@
 	if got := after(0); got != maxPatienceS {
 		t.Errorf("without an aim: %g s", got)
 	}
-	tm.settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: gang.spec.Class, Within: 2}}
+	tm.state.settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: gang.spec.Class, Within: 2}}
 	if got := after(0); got != 1 {
 		t.Errorf("at once: %g s of 2 s", got)
 	}
--- a/internal/leader/intents.go
+++ b/internal/leader/intents.go
@@ -37,7 +37,7 @@
 }
 
 func newCloudIntents(t *term) *cloudIntents {
-	limit := int(t.settings.State.Least().ValueKB * 1024)
+	limit := int(t.state.settings.State.Least().ValueKB * 1024)
 	return &cloudIntents{
 		scaleOuts: duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](t.lease.Lease, limit),
 		scaleIns:  duty.OpenIntents[duty.ScaleIn, wire.MachineID](t.lease.Lease, limit),
@@ -69,12 +69,12 @@
 // changes nothing.
 func (t *term) adoptIntents(earlier earlierIntents) {
 	for _, id := range earlier.scaleIns {
-		if _, gone := t.removedMachines[id]; gone {
+		if _, gone := t.state.removedMachines[id]; gone {
 			continue
 		}
 		// It takes nothing from now on, also where the lease is not held for a moment and
 		// the release comes with a later look at the machine.
-		m := t.getOrAddMachine(id)
+		m := t.state.getOrAddMachine(id)
 		m.drainReason = drainAdoptedScaleIn
 		t.scaleIn(m, drainAdoptedScaleIn)
 	}
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -20,15 +20,15 @@
 	if len(m.tasks) == 0 || !t.recovered {
 		return
 	}
-	lease := t.settings.Workers.Lease.Duration()
+	lease := t.state.settings.Workers.Lease.Duration()
 	surelyOver := lease + lease/clockDriftPart + leaseRounding
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := latest(latest(m.lastReplyAt, m.tokenSeenAt), latest(m.epochSince, t.delegatesRenewedUntil))
-	if m.token < t.firstToken {
+	last := latest(latest(m.lastReplyAt, m.tokenSeenAt), latest(m.epochSince, t.state.delegatesRenewedUntil))
+	if m.token < t.state.firstToken {
 		last = latest(last, t.earlierLeaderRepliesUntil())
 	}
 	if now.Sub(last) < surelyOver {
@@ -45,7 +45,7 @@
 		}
 		t.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
 		t.leader.Metrics.TaskMoved(string(EvictedLeaseExpired))
-		t.endAttempt(a, taskPending)
+		t.state.endAttempt(a, taskPending)
 	}
 }
 
@@ -57,9 +57,9 @@
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
 func (t *term) earlierLeaderRepliesUntil() time.Time {
-	other := t.startedAt.Add(peer.OutageLimit)
+	other := t.state.termStartedAt.Add(peer.OutageLimit)
 	if t.leader.delegation.Time > 0 {
-		other = t.startedAt.Add(max(t.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
+		other = t.state.termStartedAt.Add(max(t.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
 	}
 	if !t.quorumAckedAt.IsZero() && t.quorumAckedAt.Add(peer.AckLifetime).Before(other) {
 		other = t.quorumAckedAt.Add(peer.AckLifetime)
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -27,7 +27,9 @@
 
 // unresponsiveAfter is how long a machine may be silent before it is asked directly:
 // reports come every report_s, give or take a quarter.
-func (t *term) unresponsiveAfter() time.Duration { return heartbeatInterval(t)*5/4 + heartbeatDelay }
+func (t *term) unresponsiveAfter() time.Duration {
+	return t.state.heartbeatInterval()*5/4 + heartbeatDelay
+}
 
 // lostAfter is when a silent machine is taken for lost: two probes without an answer
 // tell its end.
@@ -50,11 +52,11 @@
 func (t *term) countMachines(now time.Time) *machineCounts {
 	c := &machineCounts{zoneUp: map[wire.Zone]int{}, zoneLost: map[wire.Zone]int{}}
 	silentAfter, lostAfter := t.unresponsiveAfter(), t.lostAfter()
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		if m.booting || m.scalingIn {
 			continue
 		}
-		silence := t.sinceLastMessage(m, now)
+		silence := t.state.sinceLastMessage(m, now)
 		c.up++
 		c.zoneUp[m.zone]++
 		if m.relayedOnly {
@@ -63,7 +65,7 @@
 		if !m.inbound.Works() {
 			c.inboundLost++
 		}
-		if t.outboundLost(m, now) {
+		if t.state.outboundLost(m, now) {
 			c.outboundLost++
 		}
 		if silence > silentAfter {
@@ -73,7 +75,7 @@
 			c.lost++
 			c.zoneLost[m.zone]++
 		}
-		if !t.holdsReplicas(m) {
+		if !t.state.holdsReplicas(m) {
 			continue
 		}
 		c.replicaHosts++
@@ -100,22 +102,22 @@
 // checkMachines looks for machines that are silent, late, or empty and
 // unwanted.
 func (t *term) checkMachines(now time.Time) {
-	for id, at := range t.removedMachines {
+	for id, at := range t.state.removedMachines {
 		if now.Sub(at) > forgetRemovedAfter {
-			delete(t.removedMachines, id)
+			delete(t.state.removedMachines, id)
 		}
 	}
 	c := t.countMachines(now)
-	t.leader.Metrics.Machines(t.states())
+	t.leader.Metrics.Machines(t.state.machineStateCounts())
 	if node, ok := t.betterConnectedPeer(c, now); ok {
 		t.resign("workers reach " + string(node) + ", not this node")
 		return
 	}
-	t.delegatesRenewedUntil = t.anyDelegateAnswersUntil(now)
+	t.state.delegatesRenewedUntil = t.anyDelegateAnswersUntil(now)
 	if !c.isolated() {
 		t.judgePartitions(c, now)
 	}
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		t.checkReplicas(m, c, now)
 		t.checkMachine(m, c, now)
 		if fewEnoughForSingleFaults(c.inboundLost, c.up) {
@@ -128,8 +130,8 @@
 
 // betterConnectedPeer is a node that most workers reach, if they don't reach this one.
 func (t *term) betterConnectedPeer(c *machineCounts, now time.Time) (wire.NodeID, bool) {
-	settled := t.lostAfter() + t.settings.Workers.Lease.Duration()/8
-	if !c.unreachable() || !t.lease.Deciding() || now.Sub(t.startedAt) <= settled {
+	settled := t.lostAfter() + t.state.settings.Workers.Lease.Duration()/8
+	if !c.unreachable() || !t.lease.Deciding() || now.Sub(t.state.termStartedAt) <= settled {
 		return "", false
 	}
 	for name, o := range t.leader.Mesh.View().Peers {
@@ -144,7 +146,7 @@
 // started elsewhere. They end with its lease, and nothing tells just when. The cloud
 // can end them for sure. If the cloud is away too, the lease is waited out.
 func (t *term) checkReplicas(m *machine, c *machineCounts, now time.Time) {
-	if t.partitioned(m.zone, now) && !c.isolated() && t.replicasMovable(m, now) {
+	if t.state.partitioned(m.zone, now) && !c.isolated() && t.replicasMovable(m, now) {
 		t.scaleIn(m, drainLeaseExpiring)
 	}
 }
@@ -155,7 +157,7 @@
 // known. When many such are quiet it is rather the way to them.
 func (t *term) unresponsiveLimits(m *machine, c *machineCounts) (probeAfter, lostAfter time.Duration) {
 	probeAfter, lostAfter = t.unresponsiveAfter(), t.lostAfter()
-	if !t.holdsReplicas(m) {
+	if !t.state.holdsReplicas(m) {
 		return probeAfter, lostAfter
 	}
 	probeAfter = min(probeAfter, replicaHostProbeAfter)
@@ -176,8 +178,8 @@
 		return false
 	}
 	// Where the partition is over the machines need a while to report again.
-	outlasted := max(t.settings.Workers.Lease.Duration()*5/2, t.settings.Workers.CancelTimeout.Duration()*2)
-	return c.isolated() || t.latelyPartitioned(m.zone, now) && t.sinceLastMessage(m, now) < outlasted
+	outlasted := max(t.state.settings.Workers.Lease.Duration()*5/2, t.state.settings.Workers.CancelTimeout.Duration()*2)
+	return c.isolated() || t.state.latelyPartitioned(m.zone, now) && t.state.sinceLastMessage(m, now) < outlasted
 }
 
 // releaseUncancellable returns machines on which a cancelled task goes on.
@@ -185,8 +187,8 @@
 	if !t.lease.Deciding() || !t.recovered {
 		return
 	}
-	for _, j := range t.jobs {
-		if j.cancelled && j.activeTasks > 0 && now.Sub(j.cancelledAt) > t.settings.Workers.CancelTimeout.Duration()*6/10 {
+	for _, j := range t.state.jobs {
+		if j.cancelled && j.activeTasks > 0 && now.Sub(j.cancelledAt) > t.state.settings.Workers.CancelTimeout.Duration()*6/10 {
 			for _, a := range j.attempts() {
 				t.scaleIn(a.machine, drainUncancellable)
 			}
@@ -235,7 +237,7 @@
 // checkBoot returns a machine that should have come up long ago.
 func (t *term) checkBoot(m *machine, now time.Time) {
 	boot := defaultBootTime
-	if spec := t.machineSpec(m.machineType); spec != nil {
+	if spec := t.state.machineSpec(m.machineType); spec != nil {
 		boot = spec.BootTime.Duration()
 	}
 	if now.Sub(m.requestedAt) > boot*11/4+5*time.Second && t.lease.Deciding() {
@@ -256,10 +258,10 @@
 // probeUnresponsive probes a machine that is overdue.
 func (t *term) probeUnresponsive(m *machine, c *machineCounts, now time.Time) {
 	probeAfter, _ := t.unresponsiveLimits(m, c)
-	if t.sinceLastMessage(m, now) <= probeAfter || m.unansweredProbes >= maxProbes || m.commandInFlight {
+	if t.state.sinceLastMessage(m, now) <= probeAfter || m.unansweredProbes >= maxProbes || m.commandInFlight {
 		return
 	}
-	if m.unansweredProbes > 0 && t.behindPartition(m, now) {
+	if m.unansweredProbes > 0 && t.state.behindPartition(m, now) {
 		return
 	}
 	t.probe(m)
@@ -268,12 +270,12 @@
 // machineLost tells whether a silent machine is to be given up.
 func (t *term) machineLost(m *machine, c *machineCounts, now time.Time) bool {
 	_, lostAfter := t.unresponsiveLimits(m, c)
-	silence := t.sinceLastMessage(m, now)
+	silence := t.state.sinceLastMessage(m, now)
 	probed := silence > lostAfter && m.unansweredProbes > 1 && m.relayUnanswered
 	// A machine that an earlier leader used, that is in no list and says
 	// nothing has no address to probe; it is as lost as one that was probed.
-	late := silence > heartbeatInterval(t)*13/4+2*time.Second && (m.unansweredProbes > 0 || m.addr == "")
-	taken := !m.reclaimAt.IsZero() && now.After(m.reclaimAt.Add(time.Second)) && silence > heartbeatInterval(t)+time.Second
+	late := silence > t.state.heartbeatInterval()*13/4+2*time.Second && (m.unansweredProbes > 0 || m.addr == "")
+	taken := !m.reclaimAt.IsZero() && now.After(m.reclaimAt.Add(time.Second)) && silence > t.state.heartbeatInterval()+time.Second
 	return (probed || late || taken) && !t.keptThoughUnresponsive(m, c, now)
 }
 
@@ -315,17 +317,17 @@
 		}
 		need := spec.CheckpointTime.Duration() + reclaimMargin
 		if spec.Gang() {
-			need += t.settings.Workers.GangPeerTimeout.Duration()
+			need += t.state.settings.Workers.GangPeerTimeout.Duration()
 		}
 		if m.reclaimAt.Sub(now) < need {
-			t.stop(a, t.gracePeriodOf(a.job), "saves before its machine is taken")
+			t.stop(a, t.state.gracePeriodOf(a.job), "saves before its machine is taken")
 		}
 	}
 }
 
 // sinceLastMessage is how long a machine has said nothing to this term.
-func (t *term) sinceLastMessage(m *machine, now time.Time) time.Duration {
-	return now.Sub(latest(m.lastMessageAt, t.startedAt))
+func (s *State) sinceLastMessage(m *machine, now time.Time) time.Duration {
+	return now.Sub(latest(m.lastMessageAt, s.termStartedAt))
 }
 
 // unlisted tells whether the lists have lacked a machine for longer than they may
@@ -334,11 +336,13 @@
 // most machines had vanished at once it looked as if this node were cut off for as long
 // as no more were rented than that, and none of them was ever asked for.)
 func (t *term) unlisted(m *machine) bool {
-	return t.machineListRequestedAt.Sub(m.listedAt) > 2*t.settings.Cloud.ListLag.Duration()+10*time.Second
+	return t.machineListRequestedAt.Sub(m.listedAt) > 2*t.state.settings.Cloud.ListLag.Duration()+10*time.Second
 }
 
 // heartbeatInterval is how often a worker reports, give or take a quarter.
-func heartbeatInterval(t *term) time.Duration { return t.settings.Workers.HeartbeatInterval.Duration() }
+func (s *State) heartbeatInterval() time.Duration {
+	return s.settings.Workers.HeartbeatInterval.Duration()
+}
 
 // replicasMovable tells whether a machine in a zone that is cut off holds replicas that
 // could be started elsewhere before long: their leases end about now, as no
@@ -348,11 +352,11 @@
 func (t *term) replicasMovable(m *machine, now time.Time) bool {
 	answered := m.lastMessageAt
 	if lost := t.zoneControllersLastContact(m.zone); !lost.IsZero() {
-		answered = latest(answered, lost.Add(t.leader.delegation.Time-heartbeatInterval(t)*5/4))
+		answered = latest(answered, lost.Add(t.leader.delegation.Time-t.state.heartbeatInterval()*5/4))
 	} else if answered.IsZero() {
-		answered = t.startedAt
+		answered = t.state.termStartedAt
 	}
-	if now.Sub(answered) < t.settings.Workers.Lease.Duration()*95/100 {
+	if now.Sub(answered) < t.state.settings.Workers.Lease.Duration()*95/100 {
 		return false
 	}
 	for _, a := range m.tasks {
@@ -363,8 +367,8 @@
 			return true
 		}
 		held, room := a.job.activeByZone(), 0
-		for _, z := range t.zones() {
-			if z != m.zone && !t.latelyPartitioned(z, now) {
+		for _, z := range t.state.zones() {
+			if z != m.zone && !t.state.latelyPartitioned(z, now) {
 				room += a.job.spec.ZoneCap() - held[z]
 			}
 		}
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tm := sized(t, 300)
 		report := func(skip func(*machine) bool) {
-			for _, m := range tm.machines {
+			for _, m := range tm.state.machines {
 				if !skip(m) {
 					rep := reportOf(m)
 					tm.reconcile(m, &rep, true, time.Now())
@@ -54,7 +54,7 @@
 		defer tm.end("the test is over")
 		none := func(*machine) bool { return false }
 		returned := func(z wire.Zone) (n int) {
-			for _, m := range tm.machines {
+			for _, m := range tm.state.machines {
 				if m.zone == z && m.scalingIn {
 					n++
 				}
@@ -64,22 +64,22 @@
 		watch(20*time.Second, none)
 		time.Sleep(5 * time.Second) // nothing comes in at all
 		watch(20*time.Second, none)
-		for _, z := range tm.settings.Zones {
-			if tm.latelyPartitioned(z, time.Now()) {
+		for _, z := range tm.state.settings.Zones {
+			if tm.state.latelyPartitioned(z, time.Now()) {
 				t.Errorf("zone %s is called cut off when this node stood still", z)
 			}
 		}
 		cut := time.Now()
 		inA := func(m *machine) bool { return m.zone == "a" }
 		watch(3*time.Second, inA)
-		if !tm.latelyPartitioned("a", time.Now()) || tm.latelyPartitioned("b", time.Now()) {
+		if !tm.state.latelyPartitioned("a", time.Now()) || tm.state.latelyPartitioned("b", time.Now()) {
 			t.Error("after 3 s the zone is not told to be cut off, or another one is")
 		}
 		watch(25*time.Second, inA)
 		if n := returned("a"); n != 0 {
 			t.Errorf("%d machines of the cut zone are returned after %v", n, time.Since(cut))
 		}
-		for _, m := range tm.machines {
+		for _, m := range tm.state.machines {
 			if m.zone == "a" && tm.usable(m, time.Now()) {
 				t.Fatalf("%s takes launches behind the cut", m.id)
 			}
@@ -90,8 +90,8 @@
 			}
 		}
 		watch(40*time.Second, none)
-		if n := returned("a"); n != 0 || tm.latelyPartitioned("a", time.Now()) {
-			t.Errorf("%d machines are returned when the zone is back, cut off: %v", n, tm.latelyPartitioned("a", time.Now()))
+		if n := returned("a"); n != 0 || tm.state.latelyPartitioned("a", time.Now()) {
+			t.Errorf("%d machines are returned when the zone is back, cut off: %v", n, tm.state.latelyPartitioned("a", time.Now()))
 		}
 	})
 }
@@ -104,8 +104,8 @@
 	tm, _, _ := rig(t)
 	tm.leader.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
 	now := time.Now()
-	tm.startedAt = now.Add(-40 * time.Second)
-	since := func(at time.Time) time.Duration { return at.Sub(tm.startedAt).Round(time.Second) }
+	tm.state.termStartedAt = now.Add(-40 * time.Second)
+	since := func(at time.Time) time.Duration { return at.Sub(tm.state.termStartedAt).Round(time.Second) }
 	// Without a time for delegates, and with a majority.
 	if got := since(tm.earlierLeaderRepliesUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
@@ -119,17 +119,17 @@
 		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
 	tm.leader.delegation.Time = 22 * time.Second
-	tm.quorumAckedAt = tm.startedAt.Add(3 * time.Second)
+	tm.quorumAckedAt = tm.state.termStartedAt.Add(3 * time.Second)
 	if got := since(tm.earlierLeaderRepliesUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
 	}
 	// Of the others' last acknowledged beats the oldest counts.
 	view := func(b, c float64) *peer.View {
-		asked := func(s float64) time.Time { return tm.startedAt.Add(time.Duration(s * float64(time.Second))) }
+		asked := func(s float64) time.Time { return tm.state.termStartedAt.Add(time.Duration(s * float64(time.Second))) }
 		return &peer.View{Peers: map[wire.NodeID]peer.Peer{"b": {AckSent: asked(b), LastContact: now}, "c": {AckSent: asked(c), LastContact: now}}}
 	}
 	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 39.5}, {39.5, 20, 20}, {39.5, 33, 33}, {0, 0, 0}} {
-		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.startedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
+		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.state.termStartedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
 			t.Errorf("acknowledged beats of %v and %v s: the oldest is of %v s, want %v", c.b, c.c, got, c.want)
 		}
 	}
@@ -144,9 +144,9 @@
 			tm := sized(t, 60)
 			var serving, other *machine
 			silent := map[*machine]bool{}
-			for _, m := range tm.machines {
+			for _, m := range tm.state.machines {
 				switch {
-				case !tm.holdsReplicas(m):
+				case !tm.state.holdsReplicas(m):
 					other = m
 				case many && len(silent) < 10 || serving == nil:
 					serving = m
@@ -158,7 +158,7 @@
 			watch := func(until time.Duration) {
 				for time.Since(begin) < until {
 					time.Sleep(500 * time.Millisecond)
-					for _, m := range tm.machines {
+					for _, m := range tm.state.machines {
 						if silent[m] {
 							m.unansweredProbes, m.relayUnanswered = 2, true
 						} else {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -64,12 +64,12 @@
 }
 
 // getOrAddMachine is the entry of a machine in the inventory, made if there is none.
-func (t *term) getOrAddMachine(id wire.MachineID) *machine {
-	m := t.machines[id]
+func (s *State) getOrAddMachine(id wire.MachineID) *machine {
+	m := s.machines[id]
 	if m == nil {
 		now := time.Now()
 		m = &machine{id: id, tasks: map[wire.Task]*attempt{}, orphanTasks: map[wire.Task]bool{}, lastUsedAt: now, requestedAt: now, listedAt: now, failedJobs: map[wire.JobID]bool{}}
-		t.machines[id] = m
+		s.machines[id] = m
 	}
 	return m
 }
@@ -80,11 +80,11 @@
 	now := time.Now()
 	t.machineListReceived = true
 	for _, h := range list {
-		if _, gone := t.removedMachines[h.Name]; gone {
+		if _, gone := t.state.removedMachines[h.Name]; gone {
 			continue
 		}
-		known := t.machines[h.Name] != nil
-		m := t.getOrAddMachine(h.Name)
+		known := t.state.machines[h.Name] != nil
+		m := t.state.getOrAddMachine(h.Name)
 		m.listedAt = now
 		if !known {
 			m.requestedAt = now.Add(-h.Age.Duration())
@@ -95,7 +95,7 @@
 			if age := now.Add(-h.Age.Duration()); age.Before(m.requestedAt) {
 				m.requestedAt = age
 			}
-			if h.State == wire.ListedRunning && m.token < t.firstToken && m.unansweredProbes == 0 && !m.scalingIn {
+			if h.State == wire.ListedRunning && m.token < t.state.firstToken && m.unansweredProbes == 0 && !m.scalingIn {
 				t.tokenAnnounced = false
 			}
 		}
@@ -131,29 +131,29 @@
 
 // zones are those of the settings, of what can be rented, and of the machines
 // that have reported: some may be in no settings.
-func (t *term) zones() []wire.Zone {
-	out := slices.Clone(t.settings.Zones)
+func (s *State) zones() []wire.Zone {
+	out := slices.Clone(s.settings.Zones)
 	add := func(z wire.Zone) {
 		if z != "" && !slices.Contains(out, z) {
 			out = append(out, z)
 		}
 	}
-	for _, f := range t.leader.Catalog.Get() {
+	for _, f := range s.catalog.Get() {
 		for _, z := range f.Zones {
 			add(z)
 		}
 	}
-	for _, z := range t.zoneDetector.Known() {
+	for _, z := range s.zoneDetector.Known() {
 		add(z)
 	}
-	slices.Sort(out[len(t.settings.Zones):])
+	slices.Sort(out[len(s.settings.Zones):])
 	return out
 }
 
 // states counts the machines in each state, for the metrics.
-func (t *term) states() map[string]int {
+func (s *State) machineStateCounts() map[string]int {
 	n := map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}
-	for _, m := range t.machines {
+	for _, m := range s.machines {
 		switch {
 		case m.scalingIn:
 			n["releasing"]++
@@ -169,7 +169,7 @@
 }
 
 // holdsReplicas tells whether a machine holds replicas of services.
-func (t *term) holdsReplicas(m *machine) bool {
+func (s *State) holdsReplicas(m *machine) bool {
 	for _, a := range m.tasks {
 		if a.job.spec.Service() {
 			return true
@@ -179,15 +179,15 @@
 }
 
 // imageCacheGB is the size of a type's image cache.
-func (t *term) imageCacheGB(k wire.MachineType) float64 {
-	if f := t.machineSpec(k); f != nil {
+func (s *State) imageCacheGB(k wire.MachineType) float64 {
+	if f := s.machineSpec(k); f != nil {
 		return f.DiskGB
 	}
 	return 0
 }
 
-func (t *term) machineSpec(k wire.MachineType) *wire.MachineSpec {
-	fs := t.leader.Catalog.Get()
+func (s *State) machineSpec(k wire.MachineType) *wire.MachineSpec {
+	fs := s.catalog.Get()
 	for i := range fs {
 		if fs[i].Name == k {
 			return &fs[i]
@@ -198,17 +198,17 @@
 
 // totalResources and free room of a machine. What the cloud's list of types does not
 // name can hold nothing.
-func (t *term) totalResources(m *machine) placement.Resources {
-	if f := t.machineSpec(m.machineType); f != nil {
+func (s *State) totalResources(m *machine) placement.Resources {
+	if f := s.machineSpec(m.machineType); f != nil {
 		return placementRes(f)
 	}
 	return placement.Resources{}
 }
 
-func (t *term) freeResources(m *machine) placement.Resources {
-	free := t.totalResources(m).Minus(m.usedResources)
+func (s *State) freeResources(m *machine) placement.Resources {
+	free := s.totalResources(m).Minus(m.usedResources)
 	for task := range m.orphanTasks {
-		j := t.jobs[task.Job]
+		j := s.jobs[task.Job]
 		if j == nil {
 			return placement.Resources{} // of unknown size
 		}
@@ -263,7 +263,7 @@
 		if err == nil {
 			t.leader.Catalog.Set(fs)
 			stored = stored || t.storeMachineSpecs(ctx, fs)
-			t.post(t.requestCycle)
+			t.post(t.state.requestCycle)
 		} else {
 			next = 2*time.Second + rand.N(time.Second)
 		}
--- a/internal/leader/partitions.go
+++ b/internal/leader/partitions.go
@@ -19,7 +19,7 @@
 		silentSince := t.zoneControllersLastContact(zone)
 		counts := detector.Counts{Up: up, Lost: c.zoneLost[zone], AllUp: c.up,
 			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.AckLifetime}
-		if t.zoneDetector.Judge(zone, counts, now) {
+		if t.state.zoneDetector.Judge(zone, counts, now) {
 			t.log().Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
 		}
 	}
@@ -27,19 +27,19 @@
 
 // latelyPartitioned tells whether a zone seems partitioned from this node, or did so
 // lately: its machines need a while to report again.
-func (t *term) latelyPartitioned(z wire.Zone, now time.Time) bool {
-	return t.zoneDetector.LatelyPartitioned(z, now)
+func (s *State) latelyPartitioned(z wire.Zone, now time.Time) bool {
+	return s.zoneDetector.LatelyPartitioned(z, now)
 }
 
 // partitioned tells whether a zone seems partitioned from this node now.
-func (t *term) partitioned(z wire.Zone, now time.Time) bool {
-	return t.zoneDetector.Partitioned(z, now)
+func (s *State) partitioned(z wire.Zone, now time.Time) bool {
+	return s.zoneDetector.Partitioned(z, now)
 }
 
 // behindPartition tells whether a machine was not seen since its zone seemed
 // partitioned. It takes nothing new, and its room is not counted on: what was placed
 // there once waited for the end of the partition, and nothing was rented in its
 // place.
-func (t *term) behindPartition(m *machine, now time.Time) bool {
-	return t.zoneDetector.Behind(m.zone, m.lastMessageAt, now)
+func (s *State) behindPartition(m *machine, now time.Time) bool {
+	return s.zoneDetector.Behind(m.zone, m.lastMessageAt, now)
 }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -106,8 +106,8 @@
 		return
 	}
 	n := 0
-	for _, m := range t.machines {
-		if m.booting || m.token >= t.firstToken || m.commandInFlight || m.addr == "" || m.unansweredProbes > 0 {
+	for _, m := range t.state.machines {
+		if m.booting || m.token >= t.state.firstToken || m.commandInFlight || m.addr == "" || m.unansweredProbes > 0 {
 			continue
 		}
 		if n++; n > maxProbesPerTick {
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -29,8 +29,8 @@
 
 // readChunkEntry takes in the chunk of a job with an index.
 func (t *term) readChunkEntry(e wire.Entry, id wire.JobID, index int) {
-	j := t.jobs[id]
-	if j == nil && t.quarantined(id) {
+	j := t.state.jobs[id]
+	if j == nil && t.state.quarantined(id) {
 		return
 	}
 	if j == nil || index >= len(j.chunks) {
@@ -50,8 +50,8 @@
 // chunk that was read before.
 func (t *term) readSubChunkEntry(e wire.Entry) {
 	id, index, part, ok := store.ParseSubchunkKey(e.Key)
-	j := t.jobs[id]
-	if ok && j == nil && t.quarantined(id) {
+	j := t.state.jobs[id]
+	if ok && j == nil && t.state.quarantined(id) {
 		return
 	}
 	if !ok || j == nil {
@@ -96,6 +96,6 @@
 		if h.Task < 0 || h.Task >= len(c.taskStates) || c.taskStates[h.Task] != taskPending {
 			continue
 		}
-		c.add(&attempt{job: j, chunk: c, index: h.Task, number: h.Attempt, machine: t.getOrAddMachine(h.Machine), inherited: true, decidedAt: t.startedAt})
+		c.add(&attempt{job: j, chunk: c, index: h.Task, number: h.Attempt, machine: t.state.getOrAddMachine(h.Machine), inherited: true, decidedAt: t.state.termStartedAt})
 	}
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -13,7 +13,7 @@
 func (t *term) checkInbound(m *machine, rep *wire.Heartbeat, now time.Time) {
 	evidence := detector.Evidence{
 		KnownToken:    m.token,
-		RenewedLately: now.Sub(m.lastReplyAt) < t.settings.Workers.Lease.Duration()/2,
+		RenewedLately: now.Sub(m.lastReplyAt) < t.state.settings.Workers.Lease.Duration()/2,
 		MissesLaunch:  func() bool { return m.missesLaunch(rep) },
 	}
 	t.inboundChanged(m, m.inbound.Reported(rep, evidence, now))
@@ -28,7 +28,7 @@
 		t.log().Info("machine reports but receives nothing", "machine", m.id, "tasks", len(m.tasks))
 	case detector.Restored:
 		t.log().Info("machine receives again", "machine", m.id)
-		t.requestCycle()
+		t.state.requestCycle()
 	}
 }
 
@@ -66,38 +66,38 @@
 		stuck = stuck || !a.unstored && (!a.observed || a.stopping)
 	}
 	lostFor := m.inbound.LostFor(now)
-	stuckFor := heartbeatInterval(t)/2 + inboundProbeInterval
-	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > t.settings.Workers.Lease.Duration() {
+	stuckFor := t.state.heartbeatInterval()/2 + inboundProbeInterval
+	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > t.state.settings.Workers.Lease.Duration() {
 		t.scaleIn(m, drainInboundLost)
 	}
 }
 
 // heartbeatsMissingFor is how long a machine has answered direct commands while no report
 // of it came, neither here nor through another node, nor to a delegate.
-func (t *term) heartbeatsMissingFor(m *machine, now time.Time) time.Duration {
+func (s *State) heartbeatsMissingFor(m *machine, now time.Time) time.Duration {
 	if m.heartbeatsMissingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(latest(m.heartbeatsMissingSince, latest(t.storeAvailableSince, t.delegatesRenewedUntil)))
+	return now.Sub(latest(m.heartbeatsMissingSince, latest(s.storeAvailableSince, s.delegatesRenewedUntil)))
 }
 
 // outboundLost tells whether a machine looks alive but can't reach any controller: its
 // lease runs out again and again, with all that is started there. It takes
 // nothing new, and its room is not counted on. (Tasks longer than a lease were
 // once started on such machines for ever and never completed.)
-func (t *term) outboundLost(m *machine, now time.Time) bool {
-	return t.heartbeatsMissingFor(m, now) > max(t.settings.Workers.Lease.Duration()/2, 2*heartbeatInterval(t))
+func (s *State) outboundLost(m *machine, now time.Time) bool {
+	return s.heartbeatsMissingFor(m, now) > max(s.settings.Workers.Lease.Duration()/2, 2*s.heartbeatInterval())
 }
 
 // checkOutboundPath returns a machine whose reports are lost when its lease must have
 // run out, so that nothing is lost by it, or much later when they are many: then it
 // is rather the way from them, which will be back.
 func (t *term) checkOutboundPath(m *machine, now time.Time, few bool) {
-	lease := t.settings.Workers.Lease.Duration()
-	if m.scalingIn || !t.recovered || t.heartbeatsMissingFor(m, now) <= lease*5/4 {
+	lease := t.state.settings.Workers.Lease.Duration()
+	if m.scalingIn || !t.recovered || t.state.heartbeatsMissingFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || t.heartbeatsMissingFor(m, now) > max(lease*5/2, t.settings.Workers.CancelTimeout.Duration()*2) {
+	if few || t.state.heartbeatsMissingFor(m, now) > max(lease*5/2, t.state.settings.Workers.CancelTimeout.Duration()*2) {
 		t.scaleIn(m, drainOutboundLost)
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -36,7 +36,7 @@
 // stays so with work on it that can't be accounted for is returned.
 func TestLostInboundIsToldByWhatItDoesNotDo(t *testing.T) {
 	launch := func(tm *term, m *machine) {
-		j := tm.jobs["req-1"]
+		j := tm.state.jobs["req-1"]
 		a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 8, machine: m, decidedAt: time.Now()}
 		a.chunk.add(a)
 	}
@@ -110,10 +110,10 @@
 		if !m.commandInFlight || m.lastVerifiedAt != time.Now() {
 			t.Error("the machine was not asked which it is")
 		}
-		tm.removedMachines["n-9"] = time.Now()
+		tm.state.removedMachines["n-9"] = time.Now()
 		gone := said(9, 9, tm.token)
 		gone.Machine = "n-9"
-		if r := tm.tell(gone); r.rejected == "" || tm.machines["n-9"] != nil {
+		if r := tm.tell(gone); r.rejected == "" || tm.state.machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
@@ -135,7 +135,7 @@
 		m.zone = "b"
 		zone := map[wire.Zone][]*machine{}
 		for i := range 26 {
-			x := tm.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
+			x := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
 			x.token, x.firstHeartbeatAt, x.lastMessageAt, x.lastReplyAt, x.zone = tm.token, time.Now(), time.Now(), time.Now(), "b"
 			if i < 10 {
 				x.zone = "a"
@@ -144,7 +144,7 @@
 		}
 		serving := zone["a"][0]
 		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
-		tm.jobs["req-2"] = j
+		tm.state.jobs["req-2"] = j
 		j.chunk(0).add(&attempt{job: j, chunk: j.chunk(0), index: 0, number: 1, machine: serving, observed: true})
 		returned := func() (n int) {
 			for _, x := range zone["a"] {
@@ -157,7 +157,7 @@
 		watch := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
 				time.Sleep(500 * time.Millisecond)
-				for _, x := range tm.machines {
+				for _, x := range tm.state.machines {
 					if x.zone == "b" && x != zone["b"][0] {
 						x.lastMessageAt = time.Now()
 					} else {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -85,9 +85,9 @@
 		}
 		// The last that comes of a job.
 		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
-		delete(t.quarantinedJobs, id)
-		if delete(t.archivedJobs, id); t.jobs[id] != nil {
-			t.jobs[id].recordDeleted = true
+		delete(t.state.quarantinedJobs, id)
+		if delete(t.state.archivedJobs, id); t.state.jobs[id] != nil {
+			t.state.jobs[id].recordDeleted = true
 		}
 	}
 }
@@ -98,19 +98,19 @@
 		t.applyJobRecord(e.Key, e.Value, e.Revision)
 	}
 	t.readProgress(runs)
-	for _, j := range t.jobs {
-		t.restoreGang(j)
+	for _, j := range t.state.jobs {
+		t.state.restoreGang(j)
 	}
 	t.recovered = true
-	t.log().Info("recovered", "jobs", len(t.jobs), "machines", len(t.machines), "took", time.Since(t.startedAt))
-	for _, j := range t.jobs {
+	t.log().Info("recovered", "jobs", len(t.state.jobs), "machines", len(t.state.machines), "took", time.Since(t.state.termStartedAt))
+	for _, j := range t.state.jobs {
 		if j.cancelled {
 			t.stopCancelledJob(j)
 		}
-		t.markIfFinished(j)
+		t.state.markIfFinished(j)
 	}
 	for _, rep := range t.earlyHeartbeats {
-		t.reconcile(t.getOrAddMachine(rep.Machine), &rep, true, time.Now())
+		t.reconcile(t.state.getOrAddMachine(rep.Machine), &rep, true, time.Now())
 	}
 	t.earlyHeartbeats = nil
 	t.cancellationCursor = 0
@@ -126,18 +126,18 @@
 		t.quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
 		return
 	}
-	j := t.jobs[rec.Spec.ID]
+	j := t.state.jobs[rec.Spec.ID]
 	if j == nil {
-		if t.quarantinedJobs[rec.Spec.ID] {
+		if t.state.quarantinedJobs[rec.Spec.ID] {
 			t.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
 			return
 		}
-		if t.archivedJobs[rec.Spec.ID] {
+		if t.state.archivedJobs[rec.Spec.ID] {
 			return // late news of a job that is over
 		}
 		j = newJob(rec, revision)
-		t.jobs[rec.Spec.ID] = j
-		t.requestCycle()
+		t.state.jobs[rec.Spec.ID] = j
+		t.state.requestCycle()
 	}
 	if revision < j.revision {
 		return
@@ -152,11 +152,3 @@
 		}
 	}
 }
-
-// markIfFinished notes that a job can be archived.
-func (t *term) markIfFinished(j *job) {
-	if j.cancelled && j.activeTasks == 0 || j.doneTasks == j.spec.Tasks {
-		j.finished = true
-		t.writer.markFinished(j)
-	}
-}
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -74,7 +74,7 @@
 // onScaledIn takes in that machines are gone, and with them what ran there.
 func (t *term) onScaledIn(ids []wire.MachineID) {
 	for _, id := range ids {
-		t.removeMachine(t.machines[id])
+		t.removeMachine(t.state.machines[id])
 	}
 	if t.intents != nil {
 		t.intents.scaledInAt = time.Now()
@@ -84,11 +84,11 @@
 }
 
 func (t *term) removeMachine(m *machine) {
-	t.removedMachines[m.id] = time.Now()
+	t.state.removedMachines[m.id] = time.Now()
 	for _, a := range m.tasks {
 		t.leader.Metrics.TaskMoved(string(EvictedMachineRemoved))
-		t.endAttempt(a, taskPending)
+		t.state.endAttempt(a, taskPending)
 	}
-	delete(t.machines, m.id)
-	t.requestCycle()
+	delete(t.state.machines, m.id)
+	t.state.requestCycle()
 }
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -29,7 +29,7 @@
 	for i := range specs {
 		spec := &specs[i]
 		for _, zone := range spec.Zones {
-			if t.partitioned(zone, now) {
+			if t.state.partitioned(zone, now) {
 				continue // what is rented there could not report
 			}
 			for _, spot := range []bool{false, true} {
@@ -109,7 +109,7 @@
 // maybeUnlisted tells whether the machines of a booking may be in no list yet. Those
 // of one that an earlier leader sent longer ago are, unless they are gone.
 func (t *term) maybeUnlisted(b *scaling.PendingScaleOut) bool {
-	lag := t.settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
+	lag := t.state.settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
 	return !b.Adopted || time.Since(b.RequestedAt) < lag
 }
 
@@ -117,10 +117,10 @@
 // reported, or be gone again, before the booking's answer came.
 func (t *term) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
-		if _, gone := t.removedMachines[id]; gone {
+		if _, gone := t.state.removedMachines[id]; gone {
 			continue
 		}
-		m := t.getOrAddMachine(id)
+		m := t.state.getOrAddMachine(id)
 		if m.firstHeartbeatAt.IsZero() {
 			m.machineType, m.zone, m.spot, m.booting, m.requestedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
 		}
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -18,11 +18,11 @@
 	if !t.leader.delegate.MayRenew(now) {
 		return heartbeatReply{rejected: rejectedCancellationsUnknown}
 	}
-	if _, gone := t.removedMachines[rep.Machine]; gone {
+	if _, gone := t.state.removedMachines[rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		return heartbeatReply{rejected: rejectedMachineRemoved}
 	}
-	m := t.getOrAddMachine(rep.Machine)
+	m := t.state.getOrAddMachine(rep.Machine)
 	if !t.recovered {
 		t.keepEarlyHeartbeat(rep)
 		m.lastMessageAt, m.lastReplyAt = now, now
@@ -129,11 +129,11 @@
 	if !rep.Newer(m.epoch, m.sequence) || m.restarted {
 		return false
 	}
-	t.zoneDetector.Heard(rep.Zone, sent, now)
+	t.state.zoneDetector.Heard(rep.Zone, sent, now)
 	if m.firstHeartbeatAt.IsZero() {
 		m.firstHeartbeatAt = now
 		t.logMachineUp(m, now)
-		t.requestCycle()
+		t.state.requestCycle()
 	}
 	t.updateMachine(m, rep, now)
 	if sent {
@@ -145,7 +145,7 @@
 	listed := make(map[wire.Task]bool, len(rep.Tasks)) // made here, it needs no heap
 	t.reconcileTasks(m, rep, listed, now)
 	for task, a := range m.tasks {
-		if !listed[task] && !a.unstored && !t.launchMayTakeEffect(a, rep, sent) {
+		if !listed[task] && !a.unstored && !t.state.launchMayTakeEffect(a, rep, sent) {
 			t.onMissingAttempt(a, rep)
 		}
 	}
@@ -162,7 +162,7 @@
 	m.addr, m.machineType, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
 	m.epoch, m.sequence = rep.Epoch, rep.Sequence
 	m.lastMessageAt, m.booting, m.unansweredProbes = now, false, 0
-	if m.token < t.firstToken && rep.Token >= t.firstToken {
+	if m.token < t.state.firstToken && rep.Token >= t.state.firstToken {
 		m.tokenSeenAt = now
 	}
 	m.token = max(m.token, rep.Token)
@@ -204,14 +204,14 @@
 func (t *term) onMissingAttempt(a *attempt, rep *wire.Heartbeat) {
 	m := a.machine
 	switch {
-	case t.launchAgain(a):
+	case t.state.mayRelaunch(a):
 		a.inherited, a.launchSent, a.launchUnanswered, a.replySequence = false, false, false, 0
 	case a.observed, a.inherited, rep.Epoch > a.launchEpoch && a.launchSent:
 		t.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Epoch)
 		t.leader.Metrics.TaskMoved(string(EvictedMissing))
-		t.endAttempt(a, taskPending)
+		t.state.endAttempt(a, taskPending)
 	case a.stopping, m.drainReason != "", a.job.cancelled:
-		t.endAttempt(a, taskPending)
+		t.state.endAttempt(a, taskPending)
 	default:
 		// Stored, not delivered: it is sent (again).
 		a.launchUnanswered, a.replySequence = false, 0
@@ -230,7 +230,7 @@
 	}
 	a.observed = true
 	if hasImage(a, p) {
-		m.images.touch(j.spec.Image, j.spec.ImageGB, t.imageCacheGB(m.machineType), now)
+		m.images.touch(j.spec.Image, j.spec.ImageGB, t.state.imageCacheGB(m.machineType), now)
 		if a.imageReadyAt.IsZero() {
 			a.imageReadyAt = now
 		}
@@ -275,7 +275,7 @@
 	if p.Phase == wire.PhaseSaving && !g.stopRequested && !g.broken && !j.cancelled && a.inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
 		// that don't learn of it in time don't save.
-		t.stopGang(j, t.gracePeriodOf(j), EvictedByEarlierLeader)
+		t.stopGang(j, t.state.gracePeriodOf(j), EvictedByEarlierLeader)
 	}
 }
 
@@ -286,17 +286,17 @@
 	case wire.CauseDone:
 		t.onTaskDone(a, now)
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
-		t.endAttempt(a, taskPending)
+		t.state.endAttempt(a, taskPending)
 	case wire.CauseError:
 		t.onTaskFailure(a, now)
-		t.endAttempt(a, taskPending)
+		t.state.endAttempt(a, taskPending)
 	default:
 		t.log().Info("start refused", "task", a.task(), "attempt", a.number, "machine", m.id, "cause", p.Cause)
 		m.refusedUntil = now.Add(refusedStartBackoff)
 		if p.Cause == wire.CauseNoSuch {
 			j.startNotBefore = now.Add(refusedStartBackoff)
 		}
-		t.endAttempt(a, taskPending)
+		t.state.endAttempt(a, taskPending)
 	}
 }
 
@@ -311,8 +311,8 @@
 	clear(m.failedJobs)
 	m.failures = 0
 	if j.spec.Gang() {
-		t.completeGang(j)
+		t.state.completeGang(j)
 		return
 	}
-	t.endAttempt(a, taskDone)
+	t.state.endAttempt(a, taskDone)
 }
--- a/internal/leader/round.go
+++ b/internal/leader/round.go
@@ -10,9 +10,9 @@
 
 // runCycle places what waits.
 func (t *term) runCycle(now time.Time) {
-	t.lastCycleAt, t.cycleRequested = now, false
+	t.state.cycle.begin(now)
 	var waiting []*job
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		if t.schedulable(j, now) {
 			waiting = append(waiting, j)
 		}
@@ -34,17 +34,17 @@
 		t.startGang(j, ms, now)
 	}
 	for _, c := range res.Reservations {
-		m := t.machines[c.Machine]
+		m := t.state.machines[c.Machine]
 		until := now.Add(t.stopDuration(0))
-		if j := t.jobs[c.Job]; j != nil && j.spec.Gang() {
+		if j := t.state.jobs[c.Job]; j != nil && j.spec.Gang() {
 			until = until.Add(wire.Seconds(t.patienceSeconds(j, now)).Duration()) // for as long as the others' room takes
 		}
 		m.reservations = append(m.reservations, reservation{c.Reservation, c.AwaitedTasks, until})
 		t.reservedMachines[m] = struct{}{}
 	}
 	for _, v := range res.Preemptions {
-		if a := t.attempt(v.Task); a != nil {
-			t.stop(a, t.gracePeriodOf(a.job), EvictedPreempted)
+		if a := t.state.activeAttempt(v.Task); a != nil {
+			t.stop(a, t.state.gracePeriodOf(a.job), EvictedPreempted)
 			for i := range a.machine.reservations { // it may take that long to save
 				c := &a.machine.reservations[i]
 				c.until = latest(c.until, now.Add(t.stopDuration(a.gracePeriod)))
@@ -54,8 +54,8 @@
 	if len(res.Reservations) > 0 {
 		t.extendGangReservations()
 	}
-	t.lastCycleDuration = time.Since(now)
-	t.leader.Metrics.SchedulingCycle(t.lastCycleDuration, len(res.Starts), len(res.Preemptions))
+	t.state.cycle.lastDuration = time.Since(now)
+	t.leader.Metrics.SchedulingCycle(t.state.cycle.lastDuration, len(res.Starts), len(res.Preemptions))
 }
 
 // extendGangReservations keeps all the room that is being made for a gang until the last of it can
@@ -65,7 +65,7 @@
 	each := func(f func(c *reservation)) {
 		for m := range t.reservedMachines {
 			for i := range m.reservations {
-				if j := t.jobs[m.reservations[i].Job]; j != nil && j.spec.Gang() {
+				if j := t.state.jobs[m.reservations[i].Job]; j != nil && j.spec.Gang() {
 					f(&m.reservations[i])
 				}
 			}
@@ -76,8 +76,8 @@
 }
 
 // attempt that holds a task; nil if none does.
-func (t *term) attempt(task wire.Task) *attempt {
-	j := t.jobs[task.Job]
+func (s *State) activeAttempt(task wire.Task) *attempt {
+	j := s.jobs[task.Job]
 	if j == nil || j.chunks[task.Index/j.tasksPerChunk] == nil {
 		return nil
 	}
@@ -98,8 +98,8 @@
 	n := map[wire.JobID]int{}
 	for m := range t.reservedMachines {
 		m.reservations = slices.DeleteFunc(m.reservations, func(c reservation) bool {
-			j := t.jobs[c.Job]
-			if now.After(c.until) || t.machines[m.id] != m || m.scalingIn || m.drainReason != "" || j == nil || j.cancelled || n[c.Job] >= j.pending() {
+			j := t.state.jobs[c.Job]
+			if now.After(c.until) || t.state.machines[m.id] != m || m.scalingIn || m.drainReason != "" || j == nil || j.cancelled || n[c.Job] >= j.pending() {
 				return true
 			}
 			n[c.Job]++
@@ -111,7 +111,7 @@
 	}
 	// What is left of a gang's claims is of no use; room is made for all of it anew.
 	short := func(id wire.JobID) bool {
-		j := t.jobs[id]
+		j := t.state.jobs[id]
 		return j != nil && j.spec.Gang() && n[id] > 0 && n[id] < j.spec.Tasks
 	}
 	for m := range t.reservedMachines {
@@ -130,7 +130,7 @@
 // stopDuration is how long a task that is told to stop takes to be gone, even if only
 // the answer to its machine's next report tells it.
 func (t *term) stopDuration(grace wire.Seconds) time.Duration {
-	return grace.Duration() + heartbeatInterval(t)*5/4 + 2*time.Second
+	return grace.Duration() + t.state.heartbeatInterval()*5/4 + 2*time.Second
 }
 
 // gracePeriodOf is how long a task of the job is given to save.
@@ -142,7 +142,7 @@
 }
 
 func (t *term) schedulable(j *job, now time.Time) bool {
-	return !j.cancelled && !j.finished && !j.archiving && !j.recordOutdated && !t.quarantined(j.spec.ID) && j.pending() > 0 && !now.Before(j.startNotBefore) &&
+	return !j.cancelled && !j.finished && !j.archiving && !j.recordOutdated && !t.state.quarantined(j.spec.ID) && j.pending() > 0 && !now.Before(j.startNotBefore) &&
 		(j.activeTasks == 0 || !j.spec.Gang()) // a gang only when nothing of its last attempt is left
 }
 
@@ -164,7 +164,7 @@
 		if i := slices.IndexFunc(m.reservations, func(c reservation) bool { return c.Job == j.spec.ID }); i >= 0 {
 			m.reservations = slices.Delete(m.reservations, i, i+1)
 		}
-		t.writer.markPending(c)
+		t.state.unsaved.markDirty(c)
 		t.log().Debug("starts", "task", a.task(), "attempt", a.number, "machine", m.id, "waited", now.Sub(j.acceptedAt))
 	})
 }
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -40,8 +40,8 @@
 	tm := newTerm(l, leaseFor(l, 50, time.Hour))
 	tm.recovered = true
 	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
-	tm.jobs[j.spec.ID] = j
-	m := tm.getOrAddMachine("n-1")
+	tm.state.jobs[j.spec.ID] = j
+	m := tm.state.getOrAddMachine("n-1")
 	m.epoch, m.sequence, m.token, m.firstHeartbeatAt = 1, 10, 50, time.Now()
 	a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 7, machine: m}
 	a.chunk.add(a)
@@ -105,18 +105,18 @@
 		setup func(tm *term, m *machine)
 		from  func(tm *term, m *machine) time.Time
 	}{
-		{"answered by us", func(tm *term, m *machine) { m.lastReplyAt = tm.startedAt.Add(5 * time.Second) },
+		{"answered by us", func(tm *term, m *machine) { m.lastReplyAt = tm.state.termStartedAt.Add(5 * time.Second) },
 			func(_ *term, m *machine) time.Time { return m.lastReplyAt }},
-		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenSeenAt = tm.startedAt.Add(time.Second) },
+		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenSeenAt = tm.state.termStartedAt.Add(time.Second) },
 			func(_ *term, m *machine) time.Time { return m.tokenSeenAt }},
 		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *machine) {
-			m.lastReplyAt, m.epochSince = tm.startedAt, tm.startedAt.Add(15*time.Second)
+			m.lastReplyAt, m.epochSince = tm.state.termStartedAt, tm.state.termStartedAt.Add(15*time.Second)
 		},
 			func(_ *term, m *machine) time.Time { return m.epochSince }},
-		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.token, tm.quorumAckedAt = 0, tm.startedAt.Add(time.Second) },
+		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.token, tm.quorumAckedAt = 0, tm.state.termStartedAt.Add(time.Second) },
 			func(tm *term, _ *machine) time.Time { return tm.quorumAckedAt.Add(peer.AckLifetime) }},
 		{"never heard, no majority", func(tm *term, m *machine) { m.token = 0 },
-			func(tm *term, _ *machine) time.Time { return tm.startedAt.Add(peer.OutageLimit) }},
+			func(tm *term, _ *machine) time.Time { return tm.state.termStartedAt.Add(peer.OutageLimit) }},
 	}
 	for _, c := range cases {
 		tm, m, a := rig(t)
@@ -171,7 +171,7 @@
 	rep := said(1, 11, 50, wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning}, wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
 	rep.Type = "c4"
 	tm.reconcile(m, rep, true, time.Now())
-	if f := tm.freeResources(m); f.CPUs != 0 {
+	if f := tm.state.freeResources(m); f.CPUs != 0 {
 		t.Errorf("%g cpus free beside a task of unknown size", f.CPUs)
 	}
 	halts := 0
@@ -207,13 +207,13 @@
 	tm, m, _ := rig(t)
 	m.drainReason = "faulty"
 	for _, id := range []wire.MachineID{"n-2", "n-3", "n-4"} {
-		tm.getOrAddMachine(id)
+		tm.state.getOrAddMachine(id)
 	}
 	if tm.mayDrainSuspect() {
 		t.Error("a second of four machines may be condemned")
 	}
 	for _, id := range []wire.MachineID{"n-5", "n-6", "n-7", "n-8"} {
-		tm.getOrAddMachine(id)
+		tm.state.getOrAddMachine(id)
 	}
 	if !tm.mayDrainSuspect() {
 		t.Error("a second of eight machines may not be condemned")
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -38,11 +38,11 @@
 func sized(tb testing.TB, n int) *term {
 	tb.Helper()
 	tm, first, a := rig(tb)
-	tm.endAttempt(a, taskDone)
-	delete(tm.machines, first.id)
-	delete(tm.jobs, "req-1")
-	clear(tm.writer.pending)
-	clear(tm.writer.finished)
+	tm.state.endAttempt(a, taskDone)
+	delete(tm.state.machines, first.id)
+	delete(tm.state.jobs, "req-1")
+	clear(tm.state.unsaved.chunks)
+	clear(tm.state.unsaved.finishedJobs)
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	tm.ctx = ctx
@@ -51,19 +51,19 @@
 	tm.leader.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
 	tm.leader.Metrics.Heartbeat = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
-	tm.settings.Zones = zones
-	tm.settings.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
-	tm.settings.State.TxnOps = 12
-	tm.settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
+	tm.state.settings.Zones = zones
+	tm.state.settings.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
+	tm.state.settings.State.TxnOps = 12
+	tm.state.settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
 	tm.machineListReceived, tm.schedulingEnabled = true, true
-	tm.startedAt = now.Add(-time.Minute)
+	tm.state.termStartedAt = now.Add(-time.Minute)
 	job := func(id int, parts int, s wire.JobSpec) *job {
 		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
 		s.Image, s.ImageGB = wire.ImageID(fmt.Sprint("img-", id%24)), 1
 		j := newJob(store.JobRecord{Spec: s, AcceptedAt: wire.TimestampOf(now.Add(-20 * time.Second))}, wire.Revision(id))
-		tm.jobs[s.ID] = j
+		tm.state.jobs[s.ID] = j
 		return j
 	}
 	service := wire.JobSpec{Class: "live", Kind: wire.KindService, Priority: wire.PriorityProd, CPUs: 1, MemoryGB: 4.8, Spread: true}
@@ -71,7 +71,7 @@
 	id := 0
 	var serving, working *filling
 	for i := range n {
-		m := tm.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
+		m := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
 		m.machineType, m.zone, m.spot, m.addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
 		m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = 1, 10, tm.token, now, now, now, now
 		m.requestedAt = now.Add(-2 * time.Minute)
@@ -128,7 +128,7 @@
 		}()
 		defer close(tm.heartbeatCalls)
 		for b.Loop() {
-			for _, m := range tm.machines {
+			for _, m := range tm.state.machines {
 				r := httptest.NewRequest("POST", "/hello", nil)
 				rep := reportOf(m)
 				raw := wire.Encode(rep)
@@ -160,7 +160,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			now := time.Now()
-			for _, m := range tm.machines {
+			for _, m := range tm.state.machines {
 				m.lastMessageAt = now
 			}
 			tm.checkMachines(now)
@@ -172,11 +172,11 @@
 // waiting for the budget.
 func BenchmarkSettle(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
-		for _, j := range tm.jobs {
-			tm.writer.markPending(j.chunk(0))
+		for _, j := range tm.state.jobs {
+			tm.state.unsaved.markDirty(j.chunk(0))
 		}
 		tm.writer.routineAt = time.Now().Add(time.Hour)
-		tm.lastCycleAt = time.Now().Add(time.Hour)
+		tm.state.cycle.lastAt = time.Now().Add(time.Hour)
 		for b.Loop() {
 			tm.runDueWork(time.Now())
 		}
@@ -188,7 +188,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			tm.planFleet(time.Now())
-			tm.scaling = scaling.New(tm.firstToken)
+			tm.scaling = scaling.New(tm.state.firstToken)
 		}
 	})
 }
@@ -197,7 +197,7 @@
 func BenchmarkRecovery(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		var jobs, runs []wire.Entry
-		for _, j := range tm.jobs {
+		for _, j := range tm.state.jobs {
 			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.acceptedAt)})})
 			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(j.chunk(0).record())})
 		}
@@ -205,8 +205,8 @@
 			next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
 			next.ctx = tm.ctx
 			next.loadRecords(jobs, runs)
-			if len(next.jobs) != len(jobs) {
-				b.Fatal(len(next.jobs))
+			if len(next.state.jobs) != len(jobs) {
+				b.Fatal(len(next.state.jobs))
 			}
 		}
 	})
@@ -216,11 +216,11 @@
 // were heard of: a service that is spread has room there.
 func TestZonesOutsideTheSettings(t *testing.T) {
 	tm := sized(t, 30)
-	tm.settings.Zones = []wire.Zone{"b"}
-	tm.zoneDetector.Heard("d", false, time.Now())
+	tm.state.settings.Zones = []wire.Zone{"b"}
+	tm.state.zoneDetector.Heard("d", false, time.Now())
 	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 9)
-	tm.jobs[j.spec.ID] = j
-	if got := fmt.Sprint(tm.zones()); got != "[b a c d]" {
+	tm.state.jobs[j.spec.ID] = j
+	if got := fmt.Sprint(tm.state.zones()); got != "[b a c d]" {
 		t.Errorf("zones %s", got)
 	}
 	for _, d := range tm.demands(time.Now(), 0.6, 2) {
@@ -236,7 +236,7 @@
 // machines of 40 the backlog grew to 16 minutes.)
 func TestDearRoomForWhatWaitsTooLong(t *testing.T) {
 	tm := sized(t, 30)
-	tm.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
+	tm.state.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
 	now := time.Now()
 	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, demand.LatePriceStretch}, {200, 90, demand.LatePriceStretch}, {290, 90, 1}} {
 		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
@@ -260,8 +260,8 @@
 			tm.onHeartbeat(call)
 		}
 	}()
-	reports := make([]wire.Heartbeat, 0, len(tm.machines))
-	for _, m := range tm.machines {
+	reports := make([]wire.Heartbeat, 0, len(tm.state.machines))
+	for _, m := range tm.state.machines {
 		reports = append(reports, reportOf(m))
 	}
 	for _, rep := range reports {
@@ -286,7 +286,7 @@
 	}
 	var jobs, runs []wire.Entry
 	held := 0
-	for _, j := range tm.jobs {
+	for _, j := range tm.state.jobs {
 		held += j.activeTasks
 		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.acceptedAt)})})
 		rec := j.chunk(0).record()
@@ -301,12 +301,12 @@
 	next.loadRecords(jobs, runs)
 	recovery := time.Since(began)
 	listed := make([]wire.ListedMachine, 0, largestFleet)
-	for _, m := range tm.machines {
+	for _, m := range tm.state.machines {
 		listed = append(listed, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: wire.ListedRunning, Age: 120})
 	}
 	next.onMachineList(listed)
-	for id, m := range next.machines {
-		m.epoch, m.sequence, m.token = 1, tm.machines[id].sequence, next.token
+	for id, m := range next.state.machines {
+		m.epoch, m.sequence, m.token = 1, tm.state.machines[id].sequence, next.token
 	}
 	began = time.Now()
 	if n := reportAll(next); n != largestFleet {
@@ -321,7 +321,7 @@
 		t.Errorf("%d tasks are held, %d were", now, held)
 	}
 	view := next.view(time.Now())
-	if len(view.Machines) != largestFleet || len(view.Jobs) != len(tm.jobs) {
+	if len(view.Machines) != largestFleet || len(view.Jobs) != len(tm.state.jobs) {
 		t.Errorf("%d machines and %d jobs in view", len(view.Machines), len(view.Jobs))
 	}
 	var read View
@@ -332,7 +332,7 @@
 }
 
 func heldTasks(tm *term) (n int) {
-	for _, j := range tm.jobs {
+	for _, j := range tm.state.jobs {
 		n += j.activeTasks
 	}
 	return n
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -29,7 +29,7 @@
 // teamUsage is what each team uses, with all that may be on machines.
 func (t *term) teamUsage() map[wire.TeamID]*placement.Team {
 	teams := map[wire.TeamID]*placement.Team{}
-	for _, team := range t.settings.Teams {
+	for _, team := range t.state.settings.Teams {
 		teams[team.Name] = &placement.Team{Limit: placement.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}}
 	}
 	use := func(j *job, tasks int) {
@@ -37,12 +37,12 @@
 			team.Used = team.Used.Plus(placement.ResourcesOf(&j.spec).Times(float64(tasks)))
 		}
 	}
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		use(j, j.activeTasks)
 	}
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		for task := range m.orphanTasks {
-			if j := t.jobs[task.Job]; j != nil && m.tasks[task] == nil {
+			if j := t.state.jobs[task.Job]; j != nil && m.tasks[task] == nil {
 				use(j, 1)
 			}
 		}
@@ -76,10 +76,10 @@
 		least = least.Min(placement.ResourcesOf(spec))
 	}
 	var full []*machine
-	for _, m := range b.t.machines {
+	for _, m := range b.t.state.machines {
 		switch {
 		case !b.t.usable(m, b.now):
-		case least.Fits(b.t.freeResources(m)):
+		case least.Fits(b.t.state.freeResources(m)):
 			b.machines = append(b.machines, m)
 		default:
 			full = append(full, m)
@@ -101,9 +101,9 @@
 }
 
 func (b *snapshotBuilder) machineView(m *machine) placement.Machine {
-	view := placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: b.t.totalResources(m), Free: b.t.freeResources(m), Cordoned: m.cordoned,
+	view := placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: b.t.state.totalResources(m), Free: b.t.state.freeResources(m), Cordoned: m.cordoned,
 		Images: make(map[wire.ImageID]placement.Image, len(m.images.images)+len(m.tasks))}
-	if f := b.t.machineSpec(m.machineType); f != nil {
+	if f := b.t.state.machineSpec(m.machineType); f != nil {
 		view.FetchGBPerS = f.FetchGBPerS
 	}
 	var awaited []wire.Task
@@ -173,7 +173,7 @@
 
 // beyondGuarantee tells whether a team uses more than its guarantee.
 func (b *snapshotBuilder) beyondGuarantee(name wire.TeamID) bool {
-	team, _ := b.t.settings.Team(name)
+	team, _ := b.t.state.settings.Team(name)
 	usage := b.s.Teams[name]
 	return usage != nil && (usage.Used.CPUs > team.CPUs+wire.Eps || usage.Used.GPUs > team.GPUs+wire.Eps)
 }
@@ -183,7 +183,7 @@
 	slices.SortFunc(waiting, func(a, b *job) int {
 		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
-	guaranteed, zones := b.t.guaranteed(), b.t.zones()
+	guaranteed, zones := b.t.guaranteed(), b.t.state.zones()
 	for _, j := range waiting {
 		view := b.jobView(j, guaranteed[j.spec.ID])
 		if j.spec.Spread || j.spec.SameZone {
@@ -207,8 +207,8 @@
 	waited := now.Sub(j.acceptedAt).Seconds()
 	view := placement.Job{Spec: &j.spec, Pending: j.pending(), TasksByZone: map[wire.Zone]int{}, WaitedS: waited, Avoid: j.failedMachines,
 		Guaranteed: guaranteed, Reservations: b.reservedUnits[j.spec.ID], PatienceS: t.patienceSeconds(j, now), StartsInS: max(0, t.startObjectiveSeconds(j.spec.Class)-waited),
-		Weight: t.utilityWeight(j, guaranteed, now), WaitedLong: t.sinceStart(j, now) > maxLinger}
-	if t.startOverdue(j, now) {
+		Weight: t.utilityWeight(j, guaranteed, now), WaitedLong: t.state.sinceLastStart(j, now) > maxLinger}
+	if t.state.startOverdue(j, now) {
 		view.Weight = starvingWeight
 		if !j.spec.Gang() {
 			view.Pending = 1
@@ -220,9 +220,9 @@
 	return view
 }
 
-// sinceStart is how long the job has started nothing, as far as this term knows.
-func (t *term) sinceStart(j *job, now time.Time) time.Duration {
-	return now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), t.startedAt))
+// sinceLastStart is how long the job has started nothing, as far as this term knows.
+func (s *State) sinceLastStart(j *job, now time.Time) time.Duration {
+	return now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), s.termStartedAt))
 }
 
 // reserveLimitAfter is how long a gang waits before its part of its team's limit is
@@ -235,11 +235,11 @@
 func (t *term) reserveTeamLimits(s *placement.Snapshot, js []*job, now time.Time) {
 	for _, j := range js { // the oldest first
 		team := s.Teams[j.spec.Team]
-		if team == nil || !j.spec.Gang() || t.sinceStart(j, now) < reserveLimitAfter {
+		if team == nil || !j.spec.Gang() || t.state.sinceLastStart(j, now) < reserveLimitAfter {
 			continue
 		}
 		rank := j.spec.Priority.Rank()
-		if t.startOverdue(j, now) {
+		if t.state.startOverdue(j, now) {
 			rank = wire.PriorityProd.Rank()
 		}
 		if team.ReservedFor == "" || rank > team.ReservedRank {
@@ -250,8 +250,8 @@
 
 // usable tells whether a machine may take a launch now.
 func (t *term) usable(m *machine, now time.Time) bool {
-	return !m.booting && !m.firstHeartbeatAt.IsZero() && m.drainReason == "" && !m.scalingIn && m.token >= t.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.behindPartition(m, now) && !t.outboundLost(m, now) &&
-		!now.Before(m.refusedUntil) && now.Sub(m.lastMessageAt) < 2*t.settings.Workers.HeartbeatInterval.Duration()+time.Second
+	return !m.booting && !m.firstHeartbeatAt.IsZero() && m.drainReason == "" && !m.scalingIn && m.token >= t.state.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.state.behindPartition(m, now) && !t.state.outboundLost(m, now) &&
+		!now.Before(m.refusedUntil) && now.Sub(m.lastMessageAt) < 2*t.state.settings.Workers.HeartbeatInterval.Duration()+time.Second
 }
 
 // spareRoom is the room to keep for the next replicas: the largest replica that
@@ -260,7 +260,7 @@
 func (t *term) spareRoom(units float64) (int, placement.Resources) {
 	var r placement.Resources
 	largest := 0
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		if j.spec.Service() && !j.spec.SpotAllowed {
 			largest = max(largest, j.spec.Tasks)
 			o := placement.ResourcesOf(&j.spec)
--- a/internal/leader/subchunks.go
+++ b/internal/leader/subchunks.go
@@ -18,9 +18,9 @@
 // valueLimit is the size in bytes that a value may have.
 func (w *writer) valueLimit() int {
 	if w.limitLowered {
-		return int(w.limits.Least().ValueKB * 1024)
+		return int(w.limits().Least().ValueKB * 1024)
 	}
-	return int(w.limits.ValueKB * 1024)
+	return int(w.limits().ValueKB * 1024)
 }
 
 // splitLarge splits the chunks of jobs of which one is to be written that has
@@ -29,8 +29,8 @@
 	if !w.limitLowered {
 		return
 	}
-	most, small := w.valueLimit(), store.ChunkTasksFor(w.limits.Least().ValueKB)
-	for c := range w.pending {
+	most, small := w.valueLimit(), store.ChunkTasksFor(w.limits().Least().ValueKB)
+	for c := range w.state.unsaved.chunks {
 		if j := c.job; j.subchunksPerChunk == 0 && j.tasksPerChunk > small && !j.finished && !j.archiving {
 			if rec := c.record(); rec.JSONSize() > most {
 				w.splitChunks(j, small)
@@ -52,11 +52,11 @@
 		if c == nil {
 			continue
 		}
-		if _, dirty := w.pending[c]; dirty {
-			delete(w.pending, c)
+		if _, dirty := w.state.unsaved.chunks[c]; dirty {
+			delete(w.state.unsaved.chunks, c)
 			for k := range n {
 				if i := c.index*n + k; i < len(j.chunks) && j.chunks[i] != nil {
-					w.markPending(j.chunks[i])
+					w.state.unsaved.markDirty(j.chunks[i])
 					j.chunks[i].dirtySince = c.dirtySince
 				}
 			}
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -79,7 +79,7 @@
 			tm = newTerm(l, leaseFor(l, 50, 0))
 			tm.recovered = true
 			j = newJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: per}, 1)
-			tm.jobs[spec.ID] = j
+			tm.state.jobs[spec.ID] = j
 			tm.readProgress(s.list())
 			if len(tm.writer.orphans) > 0 {
 				t.Fatalf("taken for left over: %v", tm.writer.orphans)
@@ -107,7 +107,7 @@
 				t.Fatalf("%s: %d done, %d held, want %d and %d", what, j.doneTasks, j.activeTasks, done, held)
 			}
 			n := 0
-			for _, m := range tm.machines {
+			for _, m := range tm.state.machines {
 				n += len(m.tasks)
 			}
 			if n != held {
@@ -120,12 +120,12 @@
 			}
 			tm.writer.limitLowered = tm.writer.limitLowered || lowered // refused by itself
 			tm.writer.splitLarge()
-			for c := range tm.writer.pending {
+			for c := range tm.state.unsaved.chunks {
 				if rapid.IntRange(0, 2).Draw(t, "writes") == 0 {
 					continue
 				}
 				s.put(t, c, tm.writer.valueLimit())
-				delete(tm.writer.pending, c)
+				delete(tm.state.unsaved.chunks, c)
 				for i := range c.taskStates {
 					stored[c.index*j.tasksPerChunk+i] = now[c.index*j.tasksPerChunk+i]
 				}
@@ -142,7 +142,7 @@
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2, 3: // starts
 				n := rapid.IntRange(1, 300).Draw(t, "starts")
-				m := tm.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%012d", rapid.IntRange(0, 30).Draw(t, "machine"))))
+				m := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%012d", rapid.IntRange(0, 30).Draw(t, "machine"))))
 				var at []int
 				j.forEachPending(n, func(c *chunk, i int) { at = append(at, c.index*j.tasksPerChunk+i) })
 				j.firstPendingChunk = 0
@@ -175,7 +175,7 @@
 					}
 					i := a.task().Index
 					state := rapid.SampledFrom([]uint8{taskDone, taskPending}).Draw(t, "end")
-					tm.endAttempt(a, state)
+					tm.state.endAttempt(a, state)
 					now[i] = plain{state: state}
 				}
 			case 6, 7:
@@ -233,12 +233,12 @@
 func withLowerLimit(t *testing.T, f func(tm *term, m *machine, st *simulator.State, job func(id wire.JobID, parts, per int) *job, settle func())) {
 	t.Helper()
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		tm.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
+		tm.state.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		st.LowerLimits(2, 4, 1000, 1000)
 		f(tm, m, st, func(id wire.JobID, parts, per int) *job {
 			rec := store.JobRecord{Spec: wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: parts, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: per}
 			j := newJob(rec, st.Put(store.JobKey(id), rec))
-			tm.jobs[id] = j
+			tm.state.jobs[id] = j
 			return j
 		}, settle)
 	})
@@ -251,7 +251,7 @@
 		c.add(&attempt{job: j, chunk: c, index: i, number: c.nextAttempt, machine: m, observed: true})
 		c.nextAttempt++
 	}
-	tm.writer.markPending(c)
+	tm.state.unsaved.markDirty(c)
 }
 
 // A large chunk and a small one of the same job are to be written, the small one
@@ -265,8 +265,8 @@
 		hold(tm, j, 1, 250, m)
 		tm.startTask(j, m, time.Now())
 		settle()
-		if len(tm.writer.pending) > 0 || j.unstoredAttempts > 0 || j.activeTasks != 251 || j.subchunksPerChunk == 0 || ended(tm) {
-			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.writer.pending), j.subchunksPerChunk, ended(tm))
+		if len(tm.state.unsaved.chunks) > 0 || j.unstoredAttempts > 0 || j.activeTasks != 251 || j.subchunksPerChunk == 0 || ended(tm) {
+			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.state.unsaved.chunks), j.subchunksPerChunk, ended(tm))
 		}
 		if n := st.LargestValue(store.ProgressPrefix); n > 2048 || n == 0 {
 			t.Errorf("the largest record has %d bytes", n)
@@ -278,7 +278,7 @@
 // launches, routine writes, ends and left-over records of others go on.
 func TestBadRecordHoldsUpNothing(t *testing.T) {
 	withLowerLimit(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
-		odd := tm.getOrAddMachine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
+		odd := tm.state.getOrAddMachine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
 		odd.firstHeartbeatAt = time.Now()
 		bad, worse := job("req-3", 4, 1), job("req-4", 4, 1)
 		hold(tm, bad, 0, 1, odd)
@@ -288,7 +288,7 @@
 		hold(tm, routine, 0, 2, m)
 		hold(tm, end, 0, 1, m)
 		for _, a := range end.attempts() {
-			tm.endAttempt(a, taskDone)
+			tm.state.endAttempt(a, taskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
 		tm.writer.orphans = append(tm.writer.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{NextAttempt: 2})})
@@ -318,14 +318,14 @@
 // written: an earlier version would drop it.
 func TestNoSubChunkBeforeTheDrop(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		tm.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
+		tm.state.settings.State = config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
 		rec := store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 256, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
-		tm.jobs["req-2"] = j
+		tm.state.jobs["req-2"] = j
 		hold(tm, j, 0, 250, m)
 		bad := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Tasks: 1, CPUs: 1}}, st.Put(store.JobKey("req-3"), rec))
-		tm.jobs["req-3"] = bad
-		hold(tm, bad, 0, 1, tm.getOrAddMachine(wire.MachineID("n-"+strings.Repeat("9", 20_000))))
+		tm.state.jobs["req-3"] = bad
+		hold(tm, bad, 0, 1, tm.state.getOrAddMachine(wire.MachineID("n-"+strings.Repeat("9", 20_000))))
 		settle()
 		if k := st.Keys(store.ProgressPrefix + "req-2/"); len(k) != 1 || k[0] != store.ChunkKey("req-2", 0) {
 			t.Errorf("stored %v", k)
@@ -341,7 +341,7 @@
 func TestDrainedMachineWaitsForItsWrites(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		settle()
-		j := tm.jobs["req-1"]
+		j := tm.state.jobs["req-1"]
 		tm.startTask(j, m, time.Now())
 		settle()
 		if !tm.writer.allStored(m.lastUsedAt, time.Now()) {
@@ -349,7 +349,7 @@
 		}
 		time.Sleep(time.Second)
 		for _, a := range j.attempts() {
-			tm.endAttempt(a, taskDone)
+			tm.state.endAttempt(a, taskDone)
 		}
 		if len(m.tasks) > 0 || tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("released before its progress is written")
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -7,8 +7,6 @@
 	"sync/atomic"
 	"time"
 
-	"lilaclead/internal/config"
-	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/peer"
@@ -47,39 +45,24 @@
 
 	// ---- owned by the loop ----
 	ctx                    context.Context
-	settings               *config.Settings
+	state                  *State
 	token                  wire.FencingToken // also the revision of the leader's key
-	firstToken             wire.FencingToken // the token at the start of the term
 	raisingToken           bool
 	recovered              bool
-	schedulingEnabled      bool      // the first report round is over
+	schedulingEnabled      bool      // the first round of heartbeats is over
 	machineListReceived    bool      // a machine list has come in
 	machineListRequestedAt time.Time // when the last one was asked for
 	earlyHeartbeats        map[wire.MachineID]wire.Heartbeat
-	jobs                   map[wire.JobID]*job
-	archivedJobs           map[wire.JobID]bool // archived, and news of them may still come
-	quarantinedJobs        map[wire.JobID]bool // of which a record can't be decoded: see quarantine
-	machines               map[wire.MachineID]*machine
-	removedMachines        map[wire.MachineID]time.Time // released, answered 200
-	tokenAnnounced         bool                         // every machine of the first list has been asked
-	zoneDetector           *detector.Zones              // which zones are partitioned from this node
-	delegatesRenewedUntil  time.Time                    // when another node can last have answered as a delegate
-	storeUnavailableSince  time.Time                    // since when the state service is away; zero: it is not
-	storeAvailableSince    time.Time                    // when it was last back
-	quorumAckedAt          time.Time                    // when a majority first held our token
+	tokenAnnounced         bool      // every machine of the first list has been asked
+	storeUnavailableSince  time.Time // zero: the state service is available
+	quorumAckedAt          time.Time // when a quorum first held our token
 
-	writer              *writer           // of the jobs' progress
-	brokenGangs         map[*job]struct{} // gangs of which a task was lost, not yet looked after
+	writer              *writer // of the jobs' progress
 	recentGangs         map[gangSize]recentGang
-	cancelledJobs       map[*job]struct{} // cancelled, with attempts that may be on machines
-	cancellationCursor  uint64            // what of the ledger of cancellations has been taken in
+	cancellationCursor  uint64 // how much of the log of cancellations has been applied
 	raiseNotBefore      time.Time
 	tokenRaiseRequested bool
 	reservedMachines    map[*machine]struct{} // on which room is being made
-	cycleRequested      bool
-	lastCycleAt         time.Time
-	cycleNotBefore      time.Time
-	lastCycleDuration   time.Duration // the last one
 
 	scaling  *scaling.Tracker
 	intents  *cloudIntents   // nil: they are not recorded
@@ -88,28 +71,27 @@
 }
 
 func newTerm(l *Leader, lease *election.Lease) *term {
+	state := newState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token())
 	t := &term{
-		leader: l, lease: lease, startedAt: lease.TakenAt(), token: lease.Token(), firstToken: lease.Token(),
-		settings:       &l.Config.Settings,
+		leader: l, lease: lease, token: lease.Token(), state: state,
 		heartbeatCalls: make(chan heartbeatCall, 32), inbox: make(chan func(), 32), done: make(chan struct{}),
-		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}, jobs: map[wire.JobID]*job{}, archivedJobs: map[wire.JobID]bool{}, quarantinedJobs: map[wire.JobID]bool{},
-		machines: map[wire.MachineID]*machine{}, removedMachines: map[wire.MachineID]time.Time{},
-		zoneDetector:     detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.HeartbeatInterval.Duration()),
-		reservedMachines: map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, brokenGangs: map[*job]struct{}{}, recentGangs: map[gangSize]recentGang{},
+		earlyHeartbeats:  map[wire.MachineID]wire.Heartbeat{},
+		reservedMachines: map[*machine]struct{}{}, recentGangs: map[gangSize]recentGang{},
+		scaling: scaling.New(lease.Token()),
 	}
-	t.scaling = scaling.New(lease.Token())
 	if l.RecordIntents {
 		t.intents = newCloudIntents(t)
 	}
-	t.writer = newWriter(&t.settings.State, t.log())
-	t.writer.withdraw, t.writer.quarantined = t.withdrawUnstoredStart, t.quarantined
-	t.writer.budget = func() float64 {
-		_, writes := l.Store.Budget()
-		return writes
-	}
+	t.writer = newWriter(state, t.writeBudget, l.Log)
 	return t
 }
 
+// writeBudget returns how many changes the state service's rate limit leaves now.
+func (t *term) writeBudget() float64 {
+	_, writes := t.leader.Store.Budget()
+	return writes
+}
+
 // end ends the term; safe from any goroutine.
 func (t *term) end(why string) {
 	t.endOnce.Do(func() {
@@ -176,29 +158,12 @@
 	}
 	t.stopBrokenGangs()
 	v := t.leader.Tuning.Get()
-	if t.schedulingEnabled && (t.cycleRequested && now.After(t.cycleNotBefore) || now.Sub(t.lastCycleAt) >= wire.Seconds(v.RoundS).Duration()) {
+	if t.schedulingEnabled && t.state.cycle.due(now, wire.Seconds(v.RoundS).Duration()) {
 		t.runCycle(now)
 	}
 	t.flush(now)
 }
 
-// requestCycle asks for a round soon; a few events are gathered first.
-func (t *term) requestCycle() {
-	if !t.cycleRequested {
-		t.cycleRequested = true
-		// At most a fifth of the time goes to rounds, however large they are.
-		pause := max(100*time.Millisecond, 4*t.lastCycleDuration)
-		t.cycleNotBefore = latest(time.Now().Add(10*time.Millisecond), t.lastCycleAt.Add(pause))
-	}
-}
-
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
 // checkLeadership yields to a higher token and bounds the service without the
 // state service.
 func (t *term) checkLeadership(now time.Time) {
@@ -209,7 +174,7 @@
 		t.end("a higher token is known")
 		return
 	}
-	until := v.AckedUntil(t.token, t.settings.Size/2+1)
+	until := v.AckedUntil(t.token, t.state.settings.Size/2+1)
 	acked := now.Before(until)
 	if acked && t.quorumAckedAt.IsZero() {
 		t.quorumAckedAt = now
@@ -219,8 +184,8 @@
 	if t.lease.Deciding() {
 		if !t.storeUnavailableSince.IsZero() {
 			t.log().Info("state service back", "token", t.token, "away", now.Sub(t.storeUnavailableSince))
-			t.storeUnavailableSince, t.storeAvailableSince = time.Time{}, now
-			t.requestCycle()
+			t.storeUnavailableSince, t.state.storeAvailableSince = time.Time{}, now
+			t.state.requestCycle()
 		}
 	} else {
 		if t.storeUnavailableSince.IsZero() {
@@ -229,11 +194,11 @@
 		}
 	}
 	if !t.schedulingEnabled && t.recovered {
-		bound := t.settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
-		if t.enoughMachinesHeard(now) || now.Sub(t.startedAt) > bound {
+		bound := t.state.settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
+		if t.enoughMachinesHeard(now) || now.Sub(t.state.termStartedAt) > bound {
 			t.schedulingEnabled = true
-			t.log().Info("places", "machines", len(t.machines), "jobs", len(t.jobs), "after", now.Sub(t.startedAt))
-			t.requestCycle()
+			t.log().Info("places", "machines", len(t.state.machines), "jobs", len(t.state.jobs), "after", now.Sub(t.state.termStartedAt))
+			t.state.requestCycle()
 		}
 	}
 }
@@ -265,14 +230,14 @@
 // cloud's interface may be down for minutes) it is the machines of which
 // something is stored that are waited for.
 func (t *term) enoughMachinesHeard(now time.Time) bool {
-	if !t.machineListReceived && now.Sub(t.startedAt) < time.Second {
+	if !t.machineListReceived && now.Sub(t.state.termStartedAt) < time.Second {
 		return false
 	}
 	heard, missing := 0, 0
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		switch {
 		case m.booting, m.drainReason == drainAdoptedScaleIn:
-		case m.token >= t.firstToken:
+		case m.token >= t.state.firstToken:
 			heard++
 		case m.unansweredProbes == 0 && (m.addr != "" || !t.machineListReceived):
 			missing++
--- a/internal/leader/undecodable.go
+++ b/internal/leader/undecodable.go
@@ -12,18 +12,18 @@
 // other jobs go on.
 func (t *term) quarantine(key string, id wire.JobID, err error) {
 	t.leader.Undecodable.Note(key, err)
-	t.quarantinedJobs[id] = true
-	if j := t.jobs[id]; j != nil && key == store.JobKey(id) {
+	t.state.quarantinedJobs[id] = true
+	if j := t.state.jobs[id]; j != nil && key == store.JobKey(id) {
 		j.recordOutdated = true // a write that is guarded by what was known of it would fail
 	}
 }
 
 // quarantined tells whether a job is set aside. A cancelled one is not: whatever is on
 // machines of it is to be halted.
-func (t *term) quarantined(id wire.JobID) bool {
-	if !t.quarantinedJobs[id] {
+func (s *State) quarantined(id wire.JobID) bool {
+	if !s.quarantinedJobs[id] {
 		return false
 	}
-	j := t.jobs[id]
+	j := s.jobs[id]
 	return j == nil || !j.cancelled
 }
--- a/internal/leader/utility.go
+++ b/internal/leader/utility.go
@@ -13,8 +13,8 @@
 // guaranteed finds the jobs that fit into their team's guarantee together
 // with the team's earlier unfinished jobs.
 func (t *term) guaranteed() map[wire.JobID]bool {
-	jobs := make([]*job, 0, len(t.jobs))
-	for _, j := range t.jobs {
+	jobs := make([]*job, 0, len(t.state.jobs))
+	for _, j := range t.state.jobs {
 		if !j.cancelled && !j.finished {
 			jobs = append(jobs, j)
 		}
@@ -25,7 +25,7 @@
 	sum := map[wire.TeamID]placement.Resources{}
 	out := map[wire.JobID]bool{}
 	for _, j := range jobs {
-		team, ok := t.settings.Team(j.spec.Team)
+		team, ok := t.state.settings.Team(j.spec.Team)
 		if !ok {
 			continue
 		}
@@ -92,7 +92,7 @@
 // startObjectiveSeconds is within how many seconds the users' aims want jobs of a class
 // started; 0: they don't say.
 func (t *term) startObjectiveSeconds(class string) float64 {
-	for _, o := range t.settings.Objectives {
+	for _, o := range t.state.settings.Objectives {
 		if o.Kind == "wait" && o.Class == class {
 			return float64(o.Within)
 		}
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -70,7 +70,7 @@
 // logStatus logs, every ten seconds, the deployment's machines, jobs and tasks.
 func (t *term) logStatus(now time.Time) {
 	up, booting, idle, tasks, held, done, waiting := 0, 0, 0, 0, 0, 0, 0
-	for _, m := range t.machines {
+	for _, m := range t.state.machines {
 		switch {
 		case m.booting:
 			booting++
@@ -81,7 +81,7 @@
 			up++
 		}
 	}
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		tasks, held, done = tasks+j.spec.Tasks, held+j.activeTasks, done+j.doneTasks
 		if !j.cancelled && j.pending() > 0 {
 			waiting++
@@ -90,16 +90,16 @@
 	if most := t.leader.Workers; up > most {
 		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
 	}
-	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.lastCycleDuration, "late", time.Since(now))
+	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.jobs), "jobs_waiting", waiting,
+		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.state.cycle.lastDuration, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
 	v := &View{Deciding: t.lease.Deciding(), PendingScaleOuts: len(t.scaling.PendingScaleOuts())}
-	for _, m := range t.machines {
-		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.sinceLastMessage(m, now).Seconds(), t.freeResources(m).CPUs})
+	for _, m := range t.state.machines {
+		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.state.sinceLastMessage(m, now).Seconds(), t.state.freeResources(m).CPUs})
 	}
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.doneTasks, j.activeTasks, j.failures, now.Sub(j.acceptedAt).Seconds(), j.cancelled})
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(string(a.Name), string(b.Name)) })
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -41,10 +41,10 @@
 
 // withdrawUnstoredStart takes back a start that is not stored yet, as the chunk's record
 // has no room for it.
-func (t *term) withdrawUnstoredStart(c *chunk, now time.Time) bool {
+func (s *State) withdrawUnstoredStart(c *chunk, now time.Time) bool {
 	for _, a := range c.attempts {
 		if a.unstored {
-			t.endAttempt(a, taskPending)
+			s.endAttempt(a, taskPending)
 			c.job.startNotBefore = now.Add(withdrawnStartBackoff)
 			return true
 		}
@@ -84,7 +84,7 @@
 func (t *term) onTxnConflict(b *batch, conflict *store.ConflictError) {
 	b.orphans = slices.DeleteFunc(b.orphans, func(g wire.Guard) bool { return conflict.Has(g.Key) }) // gone already
 	t.revertTxn(b)
-	for _, j := range t.jobs {
+	for _, j := range t.state.jobs {
 		if conflict.Has(store.JobKey(j.spec.ID)) {
 			t.reread(j)
 		}
@@ -102,7 +102,7 @@
 	for _, c := range b.chunks {
 		for _, a := range c.attempts {
 			if a.unstored {
-				t.endAttempt(a, taskPending)
+				t.state.endAttempt(a, taskPending)
 				c.job.startNotBefore = now.Add(refusedPause)
 			}
 		}
@@ -114,10 +114,10 @@
 	t.writer.committed(b, revision)
 	for _, j := range b.finished {
 		t.log().Info("job over", "job", j.spec.ID, "status", j.finalStatus(), "took", time.Since(j.acceptedAt))
-		delete(t.jobs, j.spec.ID)
-		delete(t.quarantinedJobs, j.spec.ID)
+		delete(t.state.jobs, j.spec.ID)
+		delete(t.state.quarantinedJobs, j.spec.ID)
 		if !j.recordDeleted {
-			t.archivedJobs[j.spec.ID] = true
+			t.state.archivedJobs[j.spec.ID] = true
 		}
 	}
 	t.sendStoredLaunches(b.planned)
@@ -133,9 +133,9 @@
 		a.unstored = false
 		a.chunk.unstoredAttempts--
 		a.job.unstoredAttempts--
-		if a.stopping || a.job.cancelled || a.machine.drainReason != "" || a.machine.scalingIn || t.machines[a.machine.id] != a.machine {
+		if a.stopping || a.job.cancelled || a.machine.drainReason != "" || a.machine.scalingIn || t.state.machines[a.machine.id] != a.machine {
 			// Never sent by anyone: there is nothing to halt.
-			t.endAttempt(a, taskPending)
+			t.state.endAttempt(a, taskPending)
 			continue
 		}
 		touched[a.machine] = true
@@ -156,7 +156,7 @@
 	t.writer.undone(b)
 	for _, a := range b.planned {
 		if a.stopping && a.chunk.attempts[a.index] == a {
-			t.endAttempt(a, taskPending)
+			t.state.endAttempt(a, taskPending)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 		e, err := t.leader.Store.Get(t.ctx, store.Critical, store.JobKey(id))
 		t.post(func() {
 			switch {
-			case t.jobs[id] != j: // the watch told of it meanwhile, and it is archived
+			case t.state.jobs[id] != j: // the watch told of it meanwhile, and it is archived
 			case err == nil:
 				t.applyJobRecord(store.JobKey(id), e.Value, e.Revision)
 			case errors.Is(err, store.ErrMissing):
@@ -189,7 +189,7 @@
 // b is given, its outcome is then looked up.
 func (t *term) raiseToken(b *batch) {
 	t.raisingToken = true
-	t.tokenRaiseRequested, t.raiseNotBefore = false, time.Now().Add(t.settings.Workers.Lease.Duration()/2)
+	t.tokenRaiseRequested, t.raiseNotBefore = false, time.Now().Add(t.state.settings.Workers.Lease.Duration()/2)
 	old := t.token
 	go func() {
 		token, err := t.lease.RaiseToken(t.ctx, old)
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -32,12 +32,12 @@
 		tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, nw.Host("10.0.0.1"), tm.leader.Log)
 		go tm.leader.Mesh.Run(ctx)
 		tm.ctx = ctx
-		tm.settings.State.TxnOps = 12
+		tm.state.settings.State.TxnOps = 12
 		tm.leader.candidate = election.NewCandidate(tm.leader.Config, tm.leader.Store, tm.leader.Log, tm.leader.Mesh.ObserveToken)
 		tm.token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
-		tm.lease, tm.firstToken = leaseFor(tm.leader, tm.token, time.Hour), tm.token
+		tm.lease, tm.state.firstToken = leaseFor(tm.leader, tm.token, time.Hour), tm.token
 		m.token = tm.token
-		tm.endAttempt(a, taskPending)
+		tm.state.endAttempt(a, taskPending)
 		a.chunk.dirty, a.job.finished = false, false
 		a.job.revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
 		f(tm, m, st, func() {
@@ -68,7 +68,7 @@
 // knows: a job that was cancelled meanwhile starts nothing.
 func TestLaunchGuardsItsJob(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		j := tm.jobs["req-1"]
+		j := tm.state.jobs["req-1"]
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.spec, Status: wire.Cancelled})
 		tm.startTask(j, m, time.Now())
 		settle()
@@ -89,7 +89,7 @@
 		"lost before it came":   func(st *simulator.State) { st.DropRequests(1) },
 	} {
 		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-			j, token := tm.jobs["req-1"], tm.token
+			j, token := tm.state.jobs["req-1"], tm.token
 			lose(st)
 			tm.startTask(j, m, time.Now())
 			settle()
@@ -101,7 +101,7 @@
 				t.Errorf("%s: the token was not raised", name)
 			}
 			// What is known still agrees with what is stored.
-			tm.endAttempt(a, taskDone)
+			tm.state.endAttempt(a, taskDone)
 			settle()
 			if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 				t.Errorf("%s: final records %v, term over: %v", name, past, ended(tm))
@@ -114,7 +114,7 @@
 func TestLateLeaderWritesNothing(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
-		tm.startTask(tm.jobs["req-1"], m, time.Now())
+		tm.startTask(tm.state.jobs["req-1"], m, time.Now())
 		settle()
 		if !ended(tm) || len(st.Keys(store.ProgressPrefix)) != 0 {
 			t.Errorf("term over: %v, stored %v", ended(tm), st.Keys(store.ProgressPrefix))
@@ -153,9 +153,9 @@
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 		j.revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
-		tm.jobs[j.spec.ID] = j
-		tm.settings.State.ValueKB = 0.5
-		long := tm.getOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
+		tm.state.jobs[j.spec.ID] = j
+		tm.state.settings.State.ValueKB = 0.5
+		long := tm.state.getOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
 			tm.startTask(j, long, time.Now())
 		}
@@ -174,7 +174,7 @@
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		rec := store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: 1}
 		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
-		tm.jobs[j.spec.ID] = j
+		tm.state.jobs[j.spec.ID] = j
 		for n := range j.chunks {
 			c := j.chunk(n)
 			c.taskStates[0] = taskDone
@@ -184,7 +184,7 @@
 		rec.Status = wire.Cancelled
 		st.Put(store.JobKey("req-2"), rec) // not yet known to the leader
 		st.DelayAnswers("", 300*time.Millisecond)
-		tm.markIfFinished(j)
+		tm.state.markIfFinished(j)
 		conflicts := 0
 		for range 100 {
 			tm.flush(time.Now())
@@ -214,7 +214,7 @@
 func TestLateNewsOfAnArchivedJob(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
 		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-			j := tm.jobs["req-1"]
+			j := tm.state.jobs["req-1"]
 			rec := store.JobRecord{Spec: j.spec, Status: wire.Cancelled}
 			put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(rec), Revision: st.Put(store.JobKey("req-1"), rec)}
 			drop := wire.Change{Delete: store.JobKey("req-1"), Revision: put.Revision + 1}
@@ -242,8 +242,8 @@
 				tm.startTask(j, m, time.Now())
 			}
 			settle()
-			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.jobs) != 0 {
-				t.Errorf("not archived: %v, %v", tm.jobs, st.Keys(""))
+			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.state.jobs) != 0 {
+				t.Errorf("not archived: %v, %v", tm.state.jobs, st.Keys(""))
 			}
 			tm.reread(j) // as one that was under way
 			settle()
@@ -251,12 +251,12 @@
 				tm.applyChanges([]wire.Change{put})
 				settle()
 			}
-			if len(tm.jobs) != 0 || ended(tm) {
-				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.jobs, ended(tm), tm.endReason)
+			if len(tm.state.jobs) != 0 || ended(tm) {
+				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.state.jobs, ended(tm), tm.endReason)
 			}
 			tm.applyChanges([]wire.Change{drop})
-			if len(tm.archivedJobs) != 0 {
-				t.Errorf("remembered for ever: %v", tm.archivedJobs)
+			if len(tm.state.archivedJobs) != 0 {
+				t.Errorf("remembered for ever: %v", tm.state.archivedJobs)
 			}
 		})
 	}
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -28,20 +28,12 @@
 // transaction, one at a time. It does no I/O itself: the term's loop executes the
 // transactions and tells it of their outcome.
 type writer struct {
-	limits *config.State
-	log    *slog.Logger
-	// budget is how many changes the rate limit leaves now.
-	budget func() float64
-	// withdraw takes back a start of a chunk that is not stored yet; false: there
-	// is none.
-	withdraw func(c *chunk, now time.Time) bool
-	// quarantined tells whether nothing of a job is written, as one of its records can't
-	// be decoded.
-	quarantined func(wire.JobID) bool
+	state *State
+	log   *slog.Logger
+	// writeBudget returns how many changes the rate limit leaves now.
+	writeBudget func() float64
 
-	pending  map[*chunk]struct{} // differ from what is stored
-	finished map[*job]struct{}   // can be archived
-	orphans  []wire.Guard        // left over from jobs that were archived in several steps
+	orphans []wire.Guard // left over from jobs that were archived in several steps
 
 	inFlight  bool      // a transaction is, or its outcome is not known yet
 	startedAt time.Time // when the last one was sent
@@ -53,21 +45,12 @@
 	limitLowered bool
 }
 
-func newWriter(limits *config.State, log *slog.Logger) *writer {
-	return &writer{limits: limits, log: log, pending: map[*chunk]struct{}{}, finished: map[*job]struct{}{}}
+func newWriter(state *State, writeBudget func() float64, log *slog.Logger) *writer {
+	return &writer{state: state, writeBudget: writeBudget, log: log}
 }
 
-// markPending notes that a chunk must be written.
-func (w *writer) markPending(c *chunk) {
-	if !c.dirty {
-		c.dirtySince = time.Now()
-	}
-	c.dirty = true
-	w.pending[c] = struct{}{}
-}
-
-// markFinished notes that a job can be archived.
-func (w *writer) markFinished(j *job) { w.finished[j] = struct{}{} }
+// limits returns the state service's limits.
+func (w *writer) limits() *config.State { return &w.state.settings.State }
 
 // addOrphan notes what is left over and can be dropped.
 func (w *writer) addOrphan(g wire.Guard) { w.orphans = append(w.orphans, g) }
@@ -82,7 +65,7 @@
 // next takes what has changed into a transaction, nil if there is nothing to
 // write: final states and launches first, then routine writes at their own pace.
 func (w *writer) next(token wire.FencingToken, now time.Time) *batch {
-	b := newBatch(token, w.limits.Least().TxnOps, w.singles > 0)
+	b := newBatch(token, w.limits().Least().TxnOps, w.singles > 0)
 	w.addFinished(b, now)
 	w.splitLarge()
 	launches, routine := w.due(now)
@@ -94,7 +77,7 @@
 	}
 	for _, c := range b.chunks {
 		c.dirty, c.writeInFlight = false, true
-		delete(w.pending, c)
+		delete(w.state.unsaved.chunks, c)
 	}
 	w.inFlight, w.startedAt = true, now
 	return b
@@ -102,7 +85,7 @@
 
 // addFinished archives the jobs that are over.
 func (w *writer) addFinished(b *batch, now time.Time) {
-	for j := range w.finished {
+	for j := range w.state.unsaved.finishedJobs {
 		if !j.archiving && !j.recordOutdated && !now.Before(j.writeNotBefore) {
 			b.archive(j)
 			b.urgent = true
@@ -113,9 +96,9 @@
 // due lists the chunks that may be written now, those with launches in the order
 // of their jobs, and those that wait longest first.
 func (w *writer) due(now time.Time) (launches, routine []*chunk) {
-	for c := range w.pending {
+	for c := range w.state.unsaved.chunks {
 		switch j := c.job; {
-		case j.archiving || j.finished || j.recordOutdated || w.quarantined(j.spec.ID) || now.Before(c.writeNotBefore):
+		case j.archiving || j.finished || j.recordOutdated || w.state.quarantined(j.spec.ID) || now.Before(c.writeNotBefore):
 		case c.unstoredAttempts > 0:
 			launches = append(launches, c)
 		default:
@@ -137,7 +120,7 @@
 		// Machines' names and attempts' numbers may be longer than was counted on. A
 		// record over the limit would be refused again and again, and with it all
 		// that is written beside it.
-		for rec.JSONSize() > limit && w.withdraw(c, now) {
+		for rec.JSONSize() > limit && w.state.withdrawUnstoredStart(c, now) {
 			rec = c.record()
 		}
 		if b.full(1, rec.JSONSize()) {
@@ -162,7 +145,7 @@
 	if len(routine) == 0 || !now.After(w.routineAt) {
 		return
 	}
-	n := min(len(routine), max(0, int(w.budget())-len(b.txn.Writes)))
+	n := min(len(routine), max(0, int(w.writeBudget())-len(b.txn.Writes)))
 	for n < len(routine) && now.Sub(routine[n].dirtySince) > routineWriteWithin {
 		n++
 		b.urgent = true
@@ -206,9 +189,9 @@
 		c.revision, c.writeInFlight = revision, false
 	}
 	for _, j := range b.finished {
-		delete(w.finished, j)
+		delete(w.state.unsaved.finishedJobs, j)
 		for _, c := range j.chunks {
-			delete(w.pending, c)
+			delete(w.state.unsaved.chunks, c)
 		}
 	}
 }
@@ -219,7 +202,7 @@
 	w.orphans = append(w.orphans, b.orphans...)
 	for _, c := range b.chunks {
 		c.writeInFlight = false
-		w.markPending(c)
+		w.state.unsaved.markDirty(c)
 	}
 	for _, j := range b.finished {
 		j.archiving = false
@@ -242,7 +225,7 @@
 		w.singles = n
 		return false
 	}
-	former, next := int(w.limits.ValueKB*1024), int(w.limits.Least().ValueKB*1024)
+	former, next := int(w.limits().ValueKB*1024), int(w.limits().Least().ValueKB*1024)
 	if len(b.chunks) == 1 && !w.limitLowered && b.largest > next && b.largest <= former {
 		w.log.Info("the state service takes less than it did", "refused", b.keys(), "bytes", b.largest)
 		w.limitLowered = true
@@ -267,8 +250,8 @@
 	if w.inFlight && !usedAt.After(w.startedAt) {
 		return false
 	}
-	for c := range w.pending {
-		if !c.dirtySince.After(usedAt) && now.After(c.writeNotBefore) && now.After(c.job.writeNotBefore) && !w.quarantined(c.job.spec.ID) {
+	for c := range w.state.unsaved.chunks {
+		if !c.dirtySince.After(usedAt) && now.After(c.writeNotBefore) && now.After(c.job.writeNotBefore) && !w.state.quarantined(c.job.spec.ID) {
 			return false
 		}
 	}
--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"log/slog"
 	"testing"
 	"testing/synctest"
@@ -15,11 +14,9 @@
 
 // testWriter is a writer whose rate limit leaves so many changes.
 func testWriter(maxOps, budget int) *writer {
-	w := newWriter(&config.State{ValueKB: 16, TxnOps: maxOps}, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.budget = func() float64 { return float64(budget) }
-	w.withdraw = func(*chunk, time.Time) bool { return false }
-	w.quarantined = func(wire.JobID) bool { return false }
-	return w
+	settings := &config.Settings{State: config.State{ValueKB: 16, TxnOps: maxOps}}
+	state := newState(settings, &MachineCatalog{}, time.Now(), 50)
+	return newWriter(state, func() float64 { return float64(budget) }, slog.New(slog.DiscardHandler))
 }
 
 // pendingChunk is the only chunk of a job, with a start that is not stored yet if
@@ -32,7 +29,7 @@
 		c.add(&attempt{job: j, chunk: c, machine: &machine{id: "n-1", tasks: map[wire.Task]*attempt{}}, unstored: true})
 		c.unstoredAttempts, j.unstoredAttempts = 1, 1
 	}
-	w.markPending(c)
+	w.state.unsaved.markDirty(c)
 	return c
 }
 
@@ -92,7 +89,7 @@
 		time.Sleep(routineWriteEvery + time.Millisecond)
 		done(next("[routine-1] false"))
 		next("nothing") // too soon
-		w.budget = func() float64 { return 0 }
+		w.writeBudget = func() float64 { return 0 }
 		time.Sleep(routineWriteEvery + time.Millisecond)
 		next("nothing") // no budget
 		time.Sleep(routineWriteWithin)
