--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -142,3 +142,12 @@
 		a.machine.usedResources = placement.Resources{} // sums of decimals drift
 	}
 }
+
+// attempt that holds a task; nil if none does.
+func (s *State) activeAttempt(task wire.Task) *attempt {
+	j := s.jobs[task.Job]
+	if j == nil || j.chunks[task.Index/j.tasksPerChunk] == nil {
+		return nil
+	}
+	return j.chunks[task.Index/j.tasksPerChunk].attempts[task.Index%j.tasksPerChunk]
+}
--- a/internal/leader/demand/demand.go
+++ b/internal/leader/demand/demand.go
@@ -88,7 +88,7 @@
 
 // PriceStretch tells how far a job may go beyond the limit on the price: it would
 // be late if it waited for cheap room for waitS, and dear room, which is there
-// after bootSeconds, brings it home in time.
+// after scheduler.bootSeconds, brings it home in time.
 func PriceStretch(w Work, aims []config.Objective, waitS, bootS float64) float64 {
 	if patient(w, aims) {
 		return 1
--- a/internal/leader/demand.go
+++ b/internal/leader/demands.go
@@ -25,21 +25,21 @@
 const unlimited = 1e9
 
 // demands of the jobs that wait, and for the room that is kept for replicas.
-func (t *term) demands(now time.Time, stretch, spareUnits float64) []fleet.Demand {
-	jobs := t.waitingJobs()
-	waits := t.predictWaits(jobs, now)
-	zones := t.state.zones()
-	used := t.usedByTeam()
+func (sc *scheduler) demands(now time.Time, stretch, spareUnits float64) []fleet.Demand {
+	jobs := sc.waitingJobs()
+	waits := sc.predictWaits(jobs, now)
+	zones := sc.state.zones()
+	used := sc.usedByTeam()
 	var out []fleet.Demand
 	for _, j := range jobs {
-		units := t.wantedUnits(j, used, now, stretch)
+		units := sc.wantedUnits(j, used, now, stretch)
 		if units <= 0 {
 			continue
 		}
 		used[j.spec.Team] = used[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(units)))
-		out = t.appendDemand(out, j, units, waits[j.spec.ID], zones, now, stretch)
+		out = sc.appendDemand(out, j, units, waits[j.spec.ID], zones, now, stretch)
 	}
-	if d, ok := t.spareDemand(spareUnits, zones); ok {
+	if d, ok := sc.spareDemand(spareUnits, zones); ok {
 		out = append(out, d)
 	}
 	return out
@@ -47,10 +47,10 @@
 
 // waitingJobs are those with tasks to be placed, in the order they were accepted.
 // One that fails wherever it runs gets no room rented.
-func (t *term) waitingJobs() []*job {
-	jobs := make([]*job, 0, len(t.state.jobs))
-	for _, j := range t.state.jobs {
-		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !t.state.quarantined(j.spec.ID) {
+func (sc *scheduler) waitingJobs() []*job {
+	jobs := make([]*job, 0, len(sc.state.jobs))
+	for _, j := range sc.state.jobs {
+		if !j.cancelled && !j.finished && j.pending() > 0 && j.failures < 3 && !sc.state.quarantined(j.spec.ID) {
 			jobs = append(jobs, j)
 		}
 	}
@@ -61,9 +61,9 @@
 }
 
 // usedByTeam is the room that each team's tasks hold.
-func (t *term) usedByTeam() map[wire.TeamID]placement.Resources {
+func (sc *scheduler) usedByTeam() map[wire.TeamID]placement.Resources {
 	used := map[wire.TeamID]placement.Resources{}
-	for _, j := range t.state.jobs {
+	for _, j := range sc.state.jobs {
 		used[j.spec.Team] = used[j.spec.Team].Plus(placement.ResourcesOf(&j.spec).Times(float64(j.activeTasks)))
 	}
 	return used
@@ -72,8 +72,8 @@
 // wantedUnits is for how many tasks of a job room is wanted now. An array need not
 // run all at once: its work may be stretched over a share of what its deadline
 // leaves. The team's limit bounds what can run at all.
-func (t *term) wantedUnits(j *job, used map[wire.TeamID]placement.Resources, now time.Time, stretch float64) int {
-	team, ok := t.state.settings.Team(j.spec.Team)
+func (sc *scheduler) wantedUnits(j *job, used map[wire.TeamID]placement.Resources, now time.Time, stretch float64) int {
+	team, ok := sc.state.settings.Team(j.spec.Team)
 	if !ok {
 		return 0
 	}
@@ -83,7 +83,7 @@
 	case gang && j.activeTasks > 0:
 		return 0 // what is left of its last attempt goes first
 	case !j.spec.Service() && !gang:
-		units = demand.ParallelTasks(units, t.demandWork(j, now), t.state.settings.Objectives, stretch)
+		units = demand.ParallelTasks(units, sc.demandWork(j, now), sc.state.settings.Objectives, stretch)
 	}
 	left := placement.Resources{CPUs: unlimited, GPUs: unlimited, MemoryGB: unlimited}
 	if team.CPUsMax > 0 {
@@ -100,22 +100,22 @@
 }
 
 // appendDemand adds the demand of a job for so many of its tasks.
-func (t *term) appendDemand(out []fleet.Demand, j *job, units int, waitS float64, zones []wire.Zone, now time.Time, stretch float64) []fleet.Demand {
-	d := fleet.Demand{Spec: &j.spec, Units: units, AllOrNothing: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: t.slackSeconds(j, now) * stretch}
+func (sc *scheduler) appendDemand(out []fleet.Demand, j *job, units int, waitS float64, zones []wire.Zone, now time.Time, stretch float64) []fleet.Demand {
+	d := fleet.Demand{Spec: &j.spec, Units: units, AllOrNothing: j.spec.Gang(), Rank: float64(j.spec.Priority.Rank()), SlackS: sc.slackSeconds(j, now) * stretch}
 	switch {
 	case j.spec.Service():
 		d.Rank += serviceRank
-	case j.spec.Gang() && t.state.startOverdue(j, now):
+	case j.spec.Gang() && sc.state.startOverdue(j, now):
 		d.Rank += startOverdueRank
 		d.PriceStretch = math.Inf(1)
-	case t.state.startOverdue(j, now):
+	case sc.state.startOverdue(j, now):
 		// Room is had for its first task at any price.
 		first := d
 		first.Units, first.Rank, first.PriceStretch = 1, d.Rank+startOverdueRank, math.Inf(1)
 		out = append(out, first)
 		d.Units--
 	}
-	d.PriceStretch = max(d.PriceStretch, t.priceStretch(j, waitS, now))
+	d.PriceStretch = max(d.PriceStretch, sc.priceStretch(j, waitS, now))
 	if j.spec.Spread || j.spec.SameZone {
 		d.ZoneLeft = j.zoneCapacityLeft(zones)
 	}
@@ -137,8 +137,8 @@
 
 // spareDemand is for the room that is kept for the next replicas. In one zone alone
 // it would not serve a service that is spread.
-func (t *term) spareDemand(spareUnits float64, zones []wire.Zone) (fleet.Demand, bool) {
-	n, r := t.spareRoom(spareUnits)
+func (sc *scheduler) spareDemand(spareUnits float64, zones []wire.Zone) (fleet.Demand, bool) {
+	n, r := sc.spareRoom(spareUnits)
 	if n <= 0 {
 		return fleet.Demand{}, false
 	}
@@ -152,13 +152,13 @@
 
 // gangReserves are for the room that is kept for the next gangs. It goes before
 // the arrays and behind services and their spare room.
-func (t *term) gangReserves(times float64, now time.Time) []fleet.Demand {
+func (sc *scheduler) gangReserves(times float64, now time.Time) []fleet.Demand {
 	var out []fleet.Demand
-	for _, spec := range t.expectedGangs(times, now) {
+	for _, spec := range sc.expectedGangs(times, now) {
 		d := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, AllOrNothing: true}
 		if spec.Spread {
 			d.ZoneLeft = map[wire.Zone]int{}
-			for _, z := range t.state.zones() {
+			for _, z := range sc.state.zones() {
 				d.ZoneLeft[z] = spec.ZoneCap()
 			}
 		}
@@ -168,20 +168,20 @@
 }
 
 // demandWork is what the rules of package demand need to know of a job.
-func (t *term) demandWork(j *job, now time.Time) demand.Work {
+func (sc *scheduler) demandWork(j *job, now time.Time) demand.Work {
 	return demand.Work{Class: j.spec.Class, DeadlineS: float64(j.spec.Deadline), AgeS: now.Sub(j.acceptedAt).Seconds(), ExpectedS: j.expectedSeconds()}
 }
 
 // slackSeconds is for how many seconds the job's waiting tasks may still wait.
-func (t *term) slackSeconds(j *job, now time.Time) float64 {
-	return demand.SlackS(t.demandWork(j, now), t.state.settings.Objectives)
+func (sc *scheduler) slackSeconds(j *job, now time.Time) float64 {
+	return demand.SlackS(sc.demandWork(j, now), sc.state.settings.Objectives)
 }
 
 // predictWaits predicts how many seconds each waiting array and gang will wait for
 // the room there is, and notes the backlog.
-func (t *term) predictWaits(jobs []*job, now time.Time) map[wire.JobID]float64 {
-	guaranteed := t.guaranteed()
-	raise := max(1, t.leader.Tuning.Get().WaitRaiseS)
+func (sc *scheduler) predictWaits(jobs []*job, now time.Time) map[wire.JobID]float64 {
+	guaranteed := sc.guaranteed()
+	raise := max(1, sc.tuning.Get().WaitRaiseS)
 	queue := make([]demand.Queued, 0, len(jobs))
 	for _, j := range jobs {
 		if j.spec.Service() {
@@ -189,29 +189,29 @@
 		}
 		queue = append(queue, demand.Queued{
 			ID:     j.spec.ID,
-			Weight: t.utilityWeight(j, guaranteed[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise),
+			Weight: sc.utilityWeight(j, guaranteed[j.spec.ID], now) * (1 + now.Sub(j.acceptedAt).Seconds()/raise),
 			WorkS:  float64(j.pending()) * j.spec.CPUs * max(1, j.expectedSeconds()),
 		})
 	}
-	waits, backlogS := demand.WaitsS(queue, t.batchProcessors())
-	t.backlogS = backlogS
+	waits, backlogS := demand.WaitsS(queue, sc.batchProcessors())
+	sc.backlogS = backlogS
 	return waits
 }
 
 // batchProcessors are those that work on arrays and gangs now or soon.
-func (t *term) batchProcessors() float64 {
+func (sc *scheduler) batchProcessors() float64 {
 	processors := 0.0
-	for _, m := range t.state.machines {
+	for _, m := range sc.state.machines {
 		if !m.scalingIn && m.drainReason == "" {
-			processors += t.state.totalResources(m).CPUs
+			processors += sc.state.totalResources(m).CPUs
 		}
 	}
-	for _, b := range t.scaling.PendingScaleOuts() {
-		if spec := t.state.machineSpec(b.Type); spec != nil {
+	for _, b := range sc.scaling.PendingScaleOuts() {
+		if spec := sc.state.machineSpec(b.Type); spec != nil {
 			processors += float64(b.Count) * spec.CPUs
 		}
 	}
-	for _, j := range t.state.jobs {
+	for _, j := range sc.state.jobs {
 		if j.spec.Service() {
 			processors -= float64(j.spec.Tasks) * j.spec.CPUs
 		}
@@ -221,18 +221,18 @@
 
 // priceStretch tells how far a job may go beyond the limit on the price if it would
 // wait so many seconds for room within it.
-func (t *term) priceStretch(j *job, waitS float64, now time.Time) float64 {
+func (sc *scheduler) priceStretch(j *job, waitS float64, now time.Time) float64 {
 	if j.spec.Service() {
 		return 1
 	}
-	return demand.PriceStretch(t.demandWork(j, now), t.state.settings.Objectives, waitS, t.bootSeconds(&j.spec))
+	return demand.PriceStretch(sc.demandWork(j, now), sc.state.settings.Objectives, waitS, sc.bootSeconds(&j.spec))
 }
 
 // bootSeconds is after how many seconds a machine that is rented now can run a task of
 // the job at the earliest; infinite if no type fits it.
-func (t *term) bootSeconds(spec *wire.JobSpec) float64 {
+func (sc *scheduler) bootSeconds(spec *wire.JobSpec) float64 {
 	boot := math.Inf(1)
-	for _, f := range t.leader.Catalog.Get() {
+	for _, f := range sc.state.catalog.Get() {
 		if f.Fits(spec) && f.FetchGBPerS > 0 {
 			boot = min(boot, float64(f.BootTime)+spec.ImageGB/f.FetchGBPerS)
 		}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -1,11 +1,8 @@
 package leader
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
-	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
@@ -27,23 +24,6 @@
 	gracePeriod                       wire.Seconds
 }
 
-// startGang decides on all tasks of a gang at once, with a number that none of
-// them has had. Nothing is sent before all of it is stored.
-func (t *term) startGang(j *job, ms []*machine, now time.Time) {
-	g := &gang{number: 1, startedAt: now}
-	n := (j.spec.Tasks + j.tasksPerChunk - 1) / j.tasksPerChunk
-	for i := range n {
-		g.number = max(g.number, j.chunk(i).nextAttempt)
-	}
-	j.gang = g
-	for _, m := range ms {
-		t.startAttempt(j, m, g.number, now)
-	}
-	for i := range n {
-		j.chunks[i].nextAttempt = g.number + 1
-	}
-}
-
 // fullyStored tells whether every task of the gang has an attempt that is stored.
 func (j *job) fullyStored() bool { return j.activeTasks == j.spec.Tasks && j.unstoredAttempts == 0 }
 
@@ -147,59 +127,3 @@
 		}
 	}
 }
-
-// recentGang is a gang of a class, and when one like it was last unfinished.
-type recentGang struct {
-	spec     *wire.JobSpec
-	lastSeen time.Time
-}
-
-// gangSize tells the sizes of gangs of a class apart.
-type gangSize struct {
-	class string
-	tasks int
-	takes placement.Resources
-}
-
-// recentGangLife is how long room is kept for the gangs of a class after its last one.
-const recentGangLife = 3 * time.Minute
-
-// expectedGangs are the gangs for which room is kept free of arrays: the largest of
-// each class seen lately, as often as operators say. Everyday gangs may stop
-// nothing, and should start sooner than anything ends on a full deployment.
-func (t *term) expectedGangs(times float64, now time.Time) []*wire.JobSpec {
-	for _, j := range t.state.jobs {
-		if j.spec.Gang() && !j.cancelled && !j.finished {
-			t.recentGangs[gangSize{string(j.spec.Class), j.spec.Tasks, placement.ResourcesOf(&j.spec)}] = recentGang{&j.spec, now}
-		}
-	}
-	size := func(s *wire.JobSpec) float64 { return float64(s.Tasks) * (s.CPUs + s.MemoryGB/1000 + 10*s.GPUs) }
-	largest := map[string]*wire.JobSpec{}
-	for k, g := range t.recentGangs {
-		if now.Sub(g.lastSeen) > recentGangLife {
-			delete(t.recentGangs, k)
-		} else if l := largest[k.class]; l == nil || size(g.spec) > size(l) || size(g.spec) == size(l) && g.spec.ID < l.ID {
-			largest[k.class] = g.spec
-		}
-	}
-	var out []*wire.JobSpec
-	for _, s := range largest {
-		for range int(times) {
-			out = append(out, s)
-		}
-	}
-	slices.SortFunc(out, func(a, b *wire.JobSpec) int {
-		return cmp.Or(cmp.Compare(b.Priority.Rank(), a.Priority.Rank()), cmp.Compare(a.ID, b.ID))
-	})
-	return out
-}
-
-// grace of a gang: each has its time to save, and what is saved waits for the
-// others.
-func (s *State) gracePeriodOf(j *job) wire.Seconds {
-	w := gracePeriodOf(j)
-	if w > 0 && j.spec.Gang() {
-		w += s.settings.Workers.GangPeerTimeout
-	}
-	return w
-}
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -193,15 +193,15 @@
 	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.broken {
 		t.Errorf("one is lost: %v", got)
 	}
-	if tm.schedulable(j, time.Now()) {
+	if tm.scheduler.schedulable(j, time.Now()) {
 		t.Error("placed while two of its tasks are left")
 	}
 	tm.state.endAttempt(member(j, 0), taskPending)
 	tm.state.endAttempt(member(j, 2), taskPending)
 	tm.state.cycle.requested = false
 	tm.stopBrokenGangs()
-	if j.gang != nil || !tm.state.cycle.requested || !tm.schedulable(j, time.Now()) {
-		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.state.cycle.requested, tm.schedulable(j, time.Now()))
+	if j.gang != nil || !tm.state.cycle.requested || !tm.scheduler.schedulable(j, time.Now()) {
+		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.state.cycle.requested, tm.scheduler.schedulable(j, time.Now()))
 	}
 
 	tm, j = gangRig(t, 3, 4)
@@ -330,7 +330,7 @@
 	for i := range j.spec.Tasks {
 		ms = append(ms, gangMachine(tm, i))
 	}
-	tm.startGang(j, ms, time.Now())
+	tm.scheduler.startGang(j, ms, time.Now())
 	if len(j.attempts()) != 3 || j.unstoredAttempts != 3 || j.gang.number != 7 || j.gang.inherited || j.fullyStored() {
 		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.attempts()), j.unstoredAttempts, j.gang, j.fullyStored())
 	}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -25,13 +25,13 @@
 	now := time.Now()
 	for _, x := range []*machine{m, other} {
 		x.reservations = []reservation{{placement.Reservation{Job: "req-2", Rank: 1}, nil, now.Add(time.Minute)}}
-		tm.reservedMachines[x] = struct{}{}
+		tm.scheduler.reservedMachines[x] = struct{}{}
 	}
-	if n := tm.pruneReservations(now); n["req-2"] != 2 {
+	if n := tm.scheduler.pruneReservations(now); n["req-2"] != 2 {
 		t.Fatalf("claims %v", n)
 	}
 	delete(tm.state.machines, other.id)
-	if n := tm.pruneReservations(now); n["req-2"] != 0 || len(m.reservations) != 0 || len(tm.reservedMachines) != 0 {
+	if n := tm.scheduler.pruneReservations(now); n["req-2"] != 0 || len(m.reservations) != 0 || len(tm.scheduler.reservedMachines) != 0 {
 		t.Errorf("claims %v, on the machine that is left %v", n, m.reservations)
 	}
 }
@@ -42,7 +42,7 @@
 	tm, _, _ := rig(t)
 	now := time.Now()
 	names := func(times float64, at time.Time) (out []wire.JobID) {
-		for _, s := range tm.expectedGangs(times, at) {
+		for _, s := range tm.scheduler.expectedGangs(times, at) {
 			out = append(out, s.ID)
 		}
 		return
@@ -65,7 +65,7 @@
 	if got := names(1, now.Add(recentGangLife+time.Second)); len(got) != 1 || got[0] != "req-2" {
 		t.Errorf("later: room for %v", got)
 	}
-	ds := tm.gangReserves(1, now.Add(recentGangLife+time.Second))
+	ds := tm.scheduler.gangReserves(1, now.Add(recentGangLife+time.Second))
 	if len(ds) != 1 || !ds[0].AllOrNothing || ds[0].Units != 2 || ds[0].Rank >= 9 {
 		t.Errorf("demands %+v", ds)
 	}
@@ -80,7 +80,7 @@
 	gang.spec.Priority, gang.spec.ExpectedRunTime = wire.PriorityUrgent, 30
 	after := func(waited time.Duration) float64 {
 		gang.acceptedAt = now.Add(-waited)
-		return tm.patienceSeconds(gang, now)
+		return tm.scheduler.patienceSeconds(gang, now)
 	}
 	if got := after(0); got != maxPatienceS {
 		t.Errorf("without an aim: %g s", got)
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -116,3 +116,21 @@
 		j.firstPendingChunk = ci + 1
 	}
 }
+
+// gracePeriodOf is how long a task of the job is given to save.
+func gracePeriodOf(j *job) wire.Seconds {
+	if j.spec.CheckpointInterval > 0 {
+		return j.spec.CheckpointTime + 2
+	}
+	return 0
+}
+
+// grace of a gang: each has its time to save, and what is saved waits for the
+// others.
+func (s *State) gracePeriodOf(j *job) wire.Seconds {
+	w := gracePeriodOf(j)
+	if w > 0 && j.spec.Gang() {
+		w += s.settings.Workers.GangPeerTimeout
+	}
+	return w
+}
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -80,11 +80,11 @@
 			t.Errorf("%d machines of the cut zone are returned after %v", n, time.Since(cut))
 		}
 		for _, m := range tm.state.machines {
-			if m.zone == "a" && tm.usable(m, time.Now()) {
+			if m.zone == "a" && tm.scheduler.usable(m, time.Now()) {
 				t.Fatalf("%s takes launches behind the cut", m.id)
 			}
 		}
-		for _, o := range tm.offers(tm.leader.Catalog.Get(), time.Now()) {
+		for _, o := range tm.scheduler.offers(tm.leader.Catalog.Get(), time.Now()) {
 			if o.Zone == "a" {
 				t.Error("machines would be rented behind the cut")
 			}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -71,8 +71,8 @@
 				tm.tell(rep)
 				time.Sleep(time.Second)
 			}
-			if lost := !m.inbound.Works(); lost != c.lost || lost && tm.usable(m, time.Now()) {
-				t.Errorf("%s: lost %v, usable %v", name, lost, tm.usable(m, time.Now()))
+			if lost := !m.inbound.Works(); lost != c.lost || lost && tm.scheduler.usable(m, time.Now()) {
+				t.Errorf("%s: lost %v, usable %v", name, lost, tm.scheduler.usable(m, time.Now()))
 			}
 			for n := wire.Sequence(20); n < 30; n++ {
 				time.Sleep(2 * time.Second)
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -8,46 +8,16 @@
 	"lilaclead/duty"
 	"lilaclead/internal/fleet"
 	"lilaclead/internal/leader/scaling"
-	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
 const (
-	// maxOffer is what one plan asks of an offer at most: two bookings.
-	maxOffer = 2 * scaling.MaxScaleOut
-	// maxScaleOutsPerPlan bounds one plan's rentals: some seconds' worth of calls.
-	maxScaleOutsPerPlan = 8 * scaling.MaxScaleOut
 	// A booking without a final answer is sent again after a pause that grows from
 	// the one to the other.
 	minScaleOutRetry = 400 * time.Millisecond
 	maxScaleOutRetry = 5 * time.Second
 )
 
-// offers are what may be booked now.
-func (t *term) offers(specs []wire.MachineSpec, now time.Time) []fleet.Offer {
-	var out []fleet.Offer
-	for i := range specs {
-		spec := &specs[i]
-		for _, zone := range spec.Zones {
-			if t.state.partitioned(zone, now) {
-				continue // what is rented there could not report
-			}
-			for _, spot := range []bool{false, true} {
-				if t.scaling.Available(scaling.Offer{Type: spec.Name, Zone: zone, Spot: spot}, now) {
-					out = append(out, fleet.Offer{Type: spec.Name, Zone: zone, Spot: spot, Total: placementRes(spec),
-						Price: spec.Price(spot), FetchGBPerS: spec.FetchGBPerS, Room: maxOffer})
-				}
-			}
-		}
-	}
-	return out
-}
-
-// placementRes is all the room of a machine of the type.
-func placementRes(spec *wire.MachineSpec) placement.Resources {
-	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
-}
-
 // requestScaleOut books machines, once that is recorded if it is to be.
 func (t *term) requestScaleOut(r fleet.ScaleOut) {
 	b := t.scaling.StartScaleOut(r, time.Now())
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -223,7 +223,7 @@
 	if got := fmt.Sprint(tm.state.zones()); got != "[b a c d]" {
 		t.Errorf("zones %s", got)
 	}
-	for _, d := range tm.demands(time.Now(), 0.6, 2) {
+	for _, d := range tm.scheduler.demands(time.Now(), 0.6, 2) {
 		if d.Spec.ID == j.spec.ID && (d.ZoneLeft["a"] != 3 || d.ZoneLeft["d"] != 3) {
 			t.Errorf("may take %v", d.ZoneLeft)
 		}
@@ -241,7 +241,7 @@
 	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, demand.LatePriceStretch}, {200, 90, demand.LatePriceStretch}, {290, 90, 1}} {
 		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
 			AcceptedAt: wire.TimestampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
-		if got := tm.priceStretch(j, c.wait, now); got != c.want {
+		if got := tm.scheduler.priceStretch(j, c.wait, now); got != c.want {
 			t.Errorf("waited %g s, %g s more expected: %g, want %g", c.age, c.wait, got, c.want)
 		}
 	}
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -11,25 +11,25 @@
 
 // snapshot is what a round looks at, with the machines and jobs that its
 // indexes stand for.
-func (t *term) snapshot(waiting []*job, now time.Time) (*placement.Snapshot, []*machine, []*job) {
-	settings := t.leader.Tuning.Get()
-	b := &snapshotBuilder{t: t, now: now, s: &placement.Snapshot{
-		Teams:         t.teamUsage(),
+func (sc *scheduler) snapshot(waiting []*job, now time.Time) (*placement.Snapshot, []*machine, []*job) {
+	settings := sc.tuning.Get()
+	b := &snapshotBuilder{sc: sc, now: now, s: &placement.Snapshot{
+		Teams:         sc.teamUsage(),
 		Factors:       placement.Factors{Preferred: settings.Preferred, Fallback: settings.Fallback, WaitRaiseS: settings.WaitRaiseS},
 		Preempt:       true,
-		ExpectedGangs: t.expectedGangs(settings.SpareGangs, now),
+		ExpectedGangs: sc.expectedGangs(settings.SpareGangs, now),
 	}}
-	b.s.SpareUnits, b.s.SpareUnit = t.spareRoom(settings.SpareUnits)
+	b.s.SpareUnits, b.s.SpareUnit = sc.spareRoom(settings.SpareUnits)
 	b.addMachines(waiting)
 	b.addJobs(waiting)
-	t.reserveTeamLimits(b.s, b.jobs, now)
+	sc.reserveTeamLimits(b.s, b.jobs, now)
 	return b.s, b.machines, b.jobs
 }
 
 // teamUsage is what each team uses, with all that may be on machines.
-func (t *term) teamUsage() map[wire.TeamID]*placement.Team {
+func (sc *scheduler) teamUsage() map[wire.TeamID]*placement.Team {
 	teams := map[wire.TeamID]*placement.Team{}
-	for _, team := range t.state.settings.Teams {
+	for _, team := range sc.state.settings.Teams {
 		teams[team.Name] = &placement.Team{Limit: placement.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}}
 	}
 	use := func(j *job, tasks int) {
@@ -37,12 +37,12 @@
 			team.Used = team.Used.Plus(placement.ResourcesOf(&j.spec).Times(float64(tasks)))
 		}
 	}
-	for _, j := range t.state.jobs {
+	for _, j := range sc.state.jobs {
 		use(j, j.activeTasks)
 	}
-	for _, m := range t.state.machines {
+	for _, m := range sc.state.machines {
 		for task := range m.orphanTasks {
-			if j := t.state.jobs[task.Job]; j != nil && m.tasks[task] == nil {
+			if j := sc.state.jobs[task.Job]; j != nil && m.tasks[task] == nil {
 				use(j, 1)
 			}
 		}
@@ -52,7 +52,7 @@
 
 // snapshotBuilder gathers what a round looks at.
 type snapshotBuilder struct {
-	t             *term
+	sc            *scheduler
 	now           time.Time
 	s             *placement.Snapshot
 	machines      []*machine
@@ -76,16 +76,16 @@
 		least = least.Min(placement.ResourcesOf(spec))
 	}
 	var full []*machine
-	for _, m := range b.t.state.machines {
+	for _, m := range b.sc.state.machines {
 		switch {
-		case !b.t.usable(m, b.now):
-		case least.Fits(b.t.state.freeResources(m)):
+		case !b.sc.usable(m, b.now):
+		case least.Fits(b.sc.state.freeResources(m)):
 			b.machines = append(b.machines, m)
 		default:
 			full = append(full, m)
 		}
 	}
-	b.reservedUnits = b.t.pruneReservations(b.now)
+	b.reservedUnits = b.sc.pruneReservations(b.now)
 	b.s.Machines = b.views(b.machines)
 	b.s.FullMachines = func() []placement.Machine { return b.views(full) }
 }
@@ -101,9 +101,9 @@
 }
 
 func (b *snapshotBuilder) machineView(m *machine) placement.Machine {
-	view := placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: b.t.state.totalResources(m), Free: b.t.state.freeResources(m), Cordoned: m.cordoned,
+	view := placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: b.sc.state.totalResources(m), Free: b.sc.state.freeResources(m), Cordoned: m.cordoned,
 		Images: make(map[wire.ImageID]placement.Image, len(m.images.images)+len(m.tasks))}
-	if f := b.t.state.machineSpec(m.machineType); f != nil {
+	if f := b.sc.state.machineSpec(m.machineType); f != nil {
 		view.FetchGBPerS = f.FetchGBPerS
 	}
 	var awaited []wire.Task
@@ -132,7 +132,7 @@
 	// What was told to stop and does not end is no room to count on.
 	ending := awaited
 	if a.stopping {
-		ending = !a.unstored && b.now.Sub(a.stopRequestedAt) < b.t.stopDuration(a.gracePeriod)
+		ending = !a.unstored && b.now.Sub(a.stopRequestedAt) < b.sc.stopDuration(a.gracePeriod)
 	}
 	if ending {
 		view.Stopping = view.Stopping.Plus(a.resources())
@@ -173,7 +173,7 @@
 
 // beyondGuarantee tells whether a team uses more than its guarantee.
 func (b *snapshotBuilder) beyondGuarantee(name wire.TeamID) bool {
-	team, _ := b.t.state.settings.Team(name)
+	team, _ := b.sc.state.settings.Team(name)
 	usage := b.s.Teams[name]
 	return usage != nil && (usage.Used.CPUs > team.CPUs+wire.Eps || usage.Used.GPUs > team.GPUs+wire.Eps)
 }
@@ -183,7 +183,7 @@
 	slices.SortFunc(waiting, func(a, b *job) int {
 		return cmp.Or(a.acceptedAt.Compare(b.acceptedAt), cmp.Compare(a.spec.ID, b.spec.ID))
 	})
-	guaranteed, zones := b.t.guaranteed(), b.t.state.zones()
+	guaranteed, zones := b.sc.guaranteed(), b.sc.state.zones()
 	for _, j := range waiting {
 		view := b.jobView(j, guaranteed[j.spec.ID])
 		if j.spec.Spread || j.spec.SameZone {
@@ -203,12 +203,12 @@
 }
 
 func (b *snapshotBuilder) jobView(j *job, guaranteed bool) placement.Job {
-	t, now := b.t, b.now
+	sc, now := b.sc, b.now
 	waited := now.Sub(j.acceptedAt).Seconds()
 	view := placement.Job{Spec: &j.spec, Pending: j.pending(), TasksByZone: map[wire.Zone]int{}, WaitedS: waited, Avoid: j.failedMachines,
-		Guaranteed: guaranteed, Reservations: b.reservedUnits[j.spec.ID], PatienceS: t.patienceSeconds(j, now), StartsInS: max(0, t.startObjectiveSeconds(j.spec.Class)-waited),
-		Weight: t.utilityWeight(j, guaranteed, now), WaitedLong: t.state.sinceLastStart(j, now) > maxLinger}
-	if t.state.startOverdue(j, now) {
+		Guaranteed: guaranteed, Reservations: b.reservedUnits[j.spec.ID], PatienceS: sc.patienceSeconds(j, now), StartsInS: max(0, sc.startObjectiveSeconds(j.spec.Class)-waited),
+		Weight: sc.utilityWeight(j, guaranteed, now), WaitedLong: sc.state.sinceLastStart(j, now) > maxLinger}
+	if sc.state.startOverdue(j, now) {
 		view.Weight = starvingWeight
 		if !j.spec.Gang() {
 			view.Pending = 1
@@ -232,14 +232,14 @@
 // reserveTeamLimits keeps part of each team's limit for the gang of it that comes first
 // among those that have waited long. After two minutes even higher priorities,
 // but for services, leave it alone.
-func (t *term) reserveTeamLimits(s *placement.Snapshot, js []*job, now time.Time) {
+func (sc *scheduler) reserveTeamLimits(s *placement.Snapshot, js []*job, now time.Time) {
 	for _, j := range js { // the oldest first
 		team := s.Teams[j.spec.Team]
-		if team == nil || !j.spec.Gang() || t.state.sinceLastStart(j, now) < reserveLimitAfter {
+		if team == nil || !j.spec.Gang() || sc.state.sinceLastStart(j, now) < reserveLimitAfter {
 			continue
 		}
 		rank := j.spec.Priority.Rank()
-		if t.state.startOverdue(j, now) {
+		if sc.state.startOverdue(j, now) {
 			rank = wire.PriorityProd.Rank()
 		}
 		if team.ReservedFor == "" || rank > team.ReservedRank {
@@ -249,18 +249,18 @@
 }
 
 // usable tells whether a machine may take a launch now.
-func (t *term) usable(m *machine, now time.Time) bool {
-	return !m.booting && !m.firstHeartbeatAt.IsZero() && m.drainReason == "" && !m.scalingIn && m.token >= t.state.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !t.state.behindPartition(m, now) && !t.state.outboundLost(m, now) &&
-		!now.Before(m.refusedUntil) && now.Sub(m.lastMessageAt) < 2*t.state.settings.Workers.HeartbeatInterval.Duration()+time.Second
+func (sc *scheduler) usable(m *machine, now time.Time) bool {
+	return !m.booting && !m.firstHeartbeatAt.IsZero() && m.drainReason == "" && !m.scalingIn && m.token >= sc.state.firstToken && m.unansweredProbes == 0 && m.inbound.Works() && !sc.state.behindPartition(m, now) && !sc.state.outboundLost(m, now) &&
+		!now.Before(m.refusedUntil) && now.Sub(m.lastMessageAt) < 2*sc.state.settings.Workers.HeartbeatInterval.Duration()+time.Second
 }
 
 // spareRoom is the room to keep for the next replicas: the largest replica that
 // services now have, as often as operators say, and at least for half of the
 // largest service.
-func (t *term) spareRoom(units float64) (int, placement.Resources) {
+func (sc *scheduler) spareRoom(units float64) (int, placement.Resources) {
 	var r placement.Resources
 	largest := 0
-	for _, j := range t.state.jobs {
+	for _, j := range sc.state.jobs {
 		if j.spec.Service() && !j.spec.SpotAllowed {
 			largest = max(largest, j.spec.Tasks)
 			o := placement.ResourcesOf(&j.spec)
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -152,7 +152,7 @@
 					}
 				}
 				for range at {
-					tm.startTask(j, m, time.Now())
+					tm.scheduler.startTask(j, m, time.Now())
 				}
 				for _, i := range at {
 					a := j.chunk(i / j.tasksPerChunk).attempts[i%j.tasksPerChunk]
@@ -263,7 +263,7 @@
 	withLowerLimit(t, func(tm *term, m *machine, st *simulator.State, job func(wire.JobID, int, int) *job, settle func()) {
 		j := job("req-2", 512, 256)
 		hold(tm, j, 1, 250, m)
-		tm.startTask(j, m, time.Now())
+		tm.scheduler.startTask(j, m, time.Now())
 		settle()
 		if len(tm.state.unsaved.chunks) > 0 || j.unstoredAttempts > 0 || j.activeTasks != 251 || j.subchunksPerChunk == 0 || ended(tm) {
 			t.Errorf("%d chunks not written, sub-chunks %d, term over: %v", len(tm.state.unsaved.chunks), j.subchunksPerChunk, ended(tm))
@@ -282,9 +282,9 @@
 		odd.firstHeartbeatAt = time.Now()
 		bad, worse := job("req-3", 4, 1), job("req-4", 4, 1)
 		hold(tm, bad, 0, 1, odd)
-		tm.startTask(worse, odd, time.Now()) // a launch that can't be stored
+		tm.scheduler.startTask(worse, odd, time.Now()) // a launch that can't be stored
 		launch, routine, end := job("req-5", 2, 56), job("req-6", 2, 56), job("req-7", 1, 56)
-		tm.startTask(launch, m, time.Now())
+		tm.scheduler.startTask(launch, m, time.Now())
 		hold(tm, routine, 0, 2, m)
 		hold(tm, end, 0, 1, m)
 		for _, a := range end.attempts() {
@@ -342,7 +342,7 @@
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		settle()
 		j := tm.state.jobs["req-1"]
-		tm.startTask(j, m, time.Now())
+		tm.scheduler.startTask(j, m, time.Now())
 		settle()
 		if !tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("all is stored")
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -58,16 +58,14 @@
 	quorumAckedAt          time.Time // when a quorum first held our token
 
 	writer              *writer // of the jobs' progress
-	recentGangs         map[gangSize]recentGang
-	cancellationCursor  uint64 // how much of the log of cancellations has been applied
+	cancellationCursor  uint64  // how much of the log of cancellations has been applied
 	raiseNotBefore      time.Time
 	tokenRaiseRequested bool
-	reservedMachines    map[*machine]struct{} // on which room is being made
 
-	scaling  *scaling.Tracker
-	intents  *cloudIntents   // nil: they are not recorded
-	version  upgrade.Version // that is active, as far as this leader acts by it
-	backlogS float64         // seconds in which the room there is would do what waits
+	scheduler *scheduler
+	scaling   *scaling.Tracker
+	intents   *cloudIntents   // nil: they are not recorded
+	version   upgrade.Version // that is active, as far as this leader acts by it
 }
 
 func newTerm(l *Leader, lease *election.Lease) *term {
@@ -75,13 +73,13 @@
 	t := &term{
 		leader: l, lease: lease, token: lease.Token(), state: state,
 		heartbeatCalls: make(chan heartbeatCall, 32), inbox: make(chan func(), 32), done: make(chan struct{}),
-		earlyHeartbeats:  map[wire.MachineID]wire.Heartbeat{},
-		reservedMachines: map[*machine]struct{}{}, recentGangs: map[gangSize]recentGang{},
-		scaling: scaling.New(lease.Token()),
+		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{},
+		scaling:         scaling.New(lease.Token()),
 	}
 	if l.RecordIntents {
 		t.intents = newCloudIntents(t)
 	}
+	t.scheduler = newScheduler(state, l.Tuning, t.scaling, l.Log)
 	t.writer = newWriter(state, t.writeBudget, l.Log)
 	return t
 }
--- a/internal/leader/utility.go
+++ b/internal/leader/valuation.go
@@ -12,9 +12,9 @@
 
 // guaranteed finds the jobs that fit into their team's guarantee together
 // with the team's earlier unfinished jobs.
-func (t *term) guaranteed() map[wire.JobID]bool {
-	jobs := make([]*job, 0, len(t.state.jobs))
-	for _, j := range t.state.jobs {
+func (sc *scheduler) guaranteed() map[wire.JobID]bool {
+	jobs := make([]*job, 0, len(sc.state.jobs))
+	for _, j := range sc.state.jobs {
 		if !j.cancelled && !j.finished {
 			jobs = append(jobs, j)
 		}
@@ -25,7 +25,7 @@
 	sum := map[wire.TeamID]placement.Resources{}
 	out := map[wire.JobID]bool{}
 	for _, j := range jobs {
-		team, ok := t.state.settings.Team(j.spec.Team)
+		team, ok := sc.state.settings.Team(j.spec.Team)
 		if !ok {
 			continue
 		}
@@ -44,7 +44,7 @@
 const starvingWeight = 100
 
 // utilityWeight of one unit of a job: priority first, then guarantee and deadline.
-func (t *term) utilityWeight(j *job, guaranteed bool, now time.Time) float64 {
+func (sc *scheduler) utilityWeight(j *job, guaranteed bool, now time.Time) float64 {
 	w := [4]float64{1, 2, 8, 256}[j.spec.Priority.Rank()]
 	if guaranteed {
 		w *= 3
@@ -55,7 +55,7 @@
 		// a job with little left brings more.
 		work := float64(j.spec.Tasks-j.doneTasks) * j.spec.CPUs * max(1, need)
 		w *= 1000 / (work + 50)
-		switch slack := t.slackSeconds(j, now); {
+		switch slack := sc.slackSeconds(j, now); {
 		case slack < -need/2:
 			w *= 0.1 // late whatever we do
 		case slack < need:
@@ -71,7 +71,7 @@
 
 // patienceSeconds of an urgent array: a small part of its slack, and little once it has
 // waited. What is always on has none.
-func (t *term) patienceSeconds(j *job, now time.Time) float64 {
+func (sc *scheduler) patienceSeconds(j *job, now time.Time) float64 {
 	if j.spec.Service() {
 		return 0
 	}
@@ -79,11 +79,11 @@
 		return min(maxGangPatienceS, maxPatienceS+now.Sub(j.acceptedAt).Seconds()/2)
 	}
 	waited := now.Sub(j.acceptedAt).Seconds()
-	patience := min(maxPatienceS, t.slackSeconds(j, now)/8, maxPatienceS+1-waited)
+	patience := min(maxPatienceS, sc.slackSeconds(j, now)/8, maxPatienceS+1-waited)
 	// While its start can still be in time it must not be given away: urgent gangs
 	// with an aim of 2 s waited for tasks that were expected to end within 3 s, often
 	// ended later, and kept the gangs from having anything else stopped meanwhile.
-	if left := t.startObjectiveSeconds(j.spec.Class) - waited; j.spec.Gang() && left > 0 {
+	if left := sc.startObjectiveSeconds(j.spec.Class) - waited; j.spec.Gang() && left > 0 {
 		patience = min(patience, left/2)
 	}
 	return max(0, patience)
@@ -91,8 +91,8 @@
 
 // startObjectiveSeconds is within how many seconds the users' aims want jobs of a class
 // started; 0: they don't say.
-func (t *term) startObjectiveSeconds(class string) float64 {
-	for _, o := range t.state.settings.Objectives {
+func (sc *scheduler) startObjectiveSeconds(class string) float64 {
+	for _, o := range sc.state.settings.Objectives {
 		if o.Kind == "wait" && o.Class == class {
 			return float64(o.Within)
 		}
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -91,7 +91,7 @@
 		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
 	}
 	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.state.cycle.lastDuration, "late", time.Since(now))
+		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.scheduler.backlogS), "round", t.state.cycle.lastDuration, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -70,7 +70,7 @@
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		j := tm.state.jobs["req-1"]
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.spec, Status: wire.Cancelled})
-		tm.startTask(j, m, time.Now())
+		tm.scheduler.startTask(j, m, time.Now())
 		settle()
 		if n := st.Keys(store.ProgressPrefix); len(n) != 0 || j.activeTasks != 0 || !j.cancelled {
 			t.Errorf("stored %v, held %d, cancelled %v", n, j.activeTasks, j.cancelled)
@@ -91,7 +91,7 @@
 		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 			j, token := tm.state.jobs["req-1"], tm.token
 			lose(st)
-			tm.startTask(j, m, time.Now())
+			tm.scheduler.startTask(j, m, time.Now())
 			settle()
 			a := j.chunks[0].attempts[0]
 			if a == nil || a.unstored || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
@@ -114,7 +114,7 @@
 func TestLateLeaderWritesNothing(t *testing.T) {
 	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
 		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
-		tm.startTask(tm.state.jobs["req-1"], m, time.Now())
+		tm.scheduler.startTask(tm.state.jobs["req-1"], m, time.Now())
 		settle()
 		if !ended(tm) || len(st.Keys(store.ProgressPrefix)) != 0 {
 			t.Errorf("term over: %v, stored %v", ended(tm), st.Keys(store.ProgressPrefix))
@@ -157,7 +157,7 @@
 		tm.state.settings.State.ValueKB = 0.5
 		long := tm.state.getOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
-			tm.startTask(j, long, time.Now())
+			tm.scheduler.startTask(j, long, time.Now())
 		}
 		settle()
 		if j.activeTasks == 0 || j.activeTasks > 8 || j.pending() != 40-j.activeTasks || j.chunk(0).revision == 0 {
@@ -239,7 +239,7 @@
 				}
 				tm.applyChanges([]wire.Change{drop})
 			} else {
-				tm.startTask(j, m, time.Now())
+				tm.scheduler.startTask(j, m, time.Now())
 			}
 			settle()
 			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.state.jobs) != 0 {
