--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -95,18 +95,18 @@
 }
 
 // stop wants the attempt stopped, and with a gang's task all of the gang.
-func (t *term) stop(a *attempt, grace wire.Seconds, why EvictionReason) {
+func (dp *dispatcher) stop(a *attempt, grace wire.Seconds, why EvictionReason) {
 	if a.job.gang != nil {
-		t.stopGang(a.job, grace, why)
+		dp.stopGang(a.job, grace, why)
 		return
 	}
-	t.stopAttempt(a, grace, why)
+	dp.stopAttempt(a, grace, why)
 }
 
-func (t *term) stopAttempt(a *attempt, grace wire.Seconds, why EvictionReason) {
+func (dp *dispatcher) stopAttempt(a *attempt, grace wire.Seconds, why EvictionReason) {
 	if a.unstored {
 		if !a.chunk.writeInFlight {
-			t.state.endAttempt(a, taskPending)
+			dp.state.endAttempt(a, taskPending)
 		} else {
 			a.stopping, a.gracePeriod, a.stopReason = true, grace, why
 		}
@@ -120,10 +120,10 @@
 	}
 	a.stopping, a.gracePeriod, a.stopReason, a.stopSentAt = true, grace, why, time.Time{}
 	if why != EvictedCancelled {
-		t.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
-		t.leader.Metrics.TaskMoved(string(why))
+		dp.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
+		dp.leader.Metrics.TaskMoved(string(why))
 	}
-	t.dispatch(a.machine)
+	dp.dispatch(a.machine)
 }
 
 // resources of the attempt.
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -9,13 +9,23 @@
 	"lilaclead/internal/wire"
 )
 
+// dispatcher sends commands to the agents: launches of what is stored, stops, and
+// probes. What is not known to have arrived it sends again.
+type dispatcher struct {
+	*eventLoop
+	state   *State
+	fencing *fencing
+	// tokenAnnounced: every machine of the first list has been shown the token.
+	tokenAnnounced bool
+}
+
 // maxCommands keeps an answer, or a command, within the size that workers take.
 const maxCommands = 400
 
 // commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
-func (t *term) commandsFor(m *machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
-	out := t.stopCommands(m, []wire.Command{}, now)
+func (dp *dispatcher) commandsFor(m *machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
+	out := dp.stopCommands(m, []wire.Command{}, now)
 	for task, a := range m.tasks {
 		if len(out) >= maxCommands {
 			return out
@@ -38,11 +48,11 @@
 			continue
 		}
 		switch {
-		case t.state.quarantined(task.Job): // it may be one of those that can't be read
+		case dp.state.quarantined(task.Job): // it may be one of those that can't be read
 		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Stop, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
-		case t.mayForget(m, task, rep):
+		case dp.mayForget(m, task, rep):
 			out = append(out, wire.Command{Verb: wire.Forget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
@@ -51,7 +61,7 @@
 
 // stopCommands adds the halts of a machine's tasks that are to stop. These may be
 // sent without the state service too: a halt starts nothing.
-func (t *term) stopCommands(m *machine, out []wire.Command, now time.Time) []wire.Command {
+func (dp *dispatcher) stopCommands(m *machine, out []wire.Command, now time.Time) []wire.Command {
 	for task, a := range m.tasks {
 		if len(out) >= maxCommands {
 			break
@@ -64,18 +74,18 @@
 	return out
 }
 
-// mayForget: the outcome is stored, and no launch that could start the
+// dispatcher.mayForget: the outcome is stored, and no launch that could start the
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
-func (t *term) mayForget(m *machine, task wire.Task, rep *wire.Heartbeat) bool {
+func (dp *dispatcher) mayForget(m *machine, task wire.Task, rep *wire.Heartbeat) bool {
 	if m.launchMayArrive(rep) {
-		t.tokenRaiseRequested = true // a new token ends what may still be on its way
+		dp.fencing.raiseRequested = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.commandInFlight || rep.Token < t.state.firstToken {
+	if m.commandInFlight || rep.Token < dp.state.firstToken {
 		return false
 	}
-	j := t.state.jobs[task.Job]
+	j := dp.state.jobs[task.Job]
 	if j == nil {
 		return true
 	}
@@ -96,14 +106,14 @@
 }
 
 // dispatch sends what is new for a machine straight to it.
-func (t *term) dispatch(m *machine) {
+func (dp *dispatcher) dispatch(m *machine) {
 	// Without the state service what is to stop is still halted.
-	withoutState := !t.lease.Deciding()
-	if m.commandInFlight || m.addr == "" || m.firstHeartbeatAt.IsZero() || m.scalingIn || withoutState && !t.lease.Answering() {
+	withoutState := !dp.lease.Deciding()
+	if m.commandInFlight || m.addr == "" || m.firstHeartbeatAt.IsZero() || m.scalingIn || withoutState && !dp.lease.Answering() {
 		return
 	}
 	now := time.Now()
-	cmd := wire.Commands{Token: t.token, Epoch: m.epoch}
+	cmd := wire.Commands{Token: dp.fencing.token, Epoch: m.epoch}
 	var launched []*attempt
 	for task, a := range m.tasks {
 		switch {
@@ -120,18 +130,18 @@
 		}
 	}
 	if len(cmd.Commands) > 0 {
-		t.sendCommands(m, cmd, launched)
+		dp.sendCommands(m, cmd, launched)
 	}
 }
 
 // sendCommands sends a direct command and takes in its answer.
-func (t *term) sendCommands(m *machine, cmd wire.Commands, launched []*attempt) {
+func (dp *dispatcher) sendCommands(m *machine, cmd wire.Commands, launched []*attempt) {
 	m.commandInFlight = true
 	addr, asked := m.addr, heartbeatPosition{m.epoch, m.sequence}
-	go func() {
-		rep, status, err := t.leader.sendCommands(t.ctx, addr, cmd, commandTimeout)
-		t.post(func() { t.onCommandAnswer(m, asked, cmd, launched, rep, status, err) })
-	}()
+	dp.spawn(func(ctx context.Context) {
+		heartbeat, status, err := dp.leader.sendCommands(ctx, addr, cmd, commandTimeout)
+		dp.post(commandAnswer{m, asked, cmd, launched, heartbeat, status, err})
+	})
 }
 
 // heartbeatPosition of a report among all of a machine's.
@@ -140,7 +150,8 @@
 	sequence wire.Sequence
 }
 
-func (t *term) onCommandAnswer(m *machine, asked heartbeatPosition, cmd wire.Commands, launched []*attempt, rep *wire.Heartbeat, status int, err error) {
+func (rc *reconciler) onCommandAnswer(e commandAnswer) {
+	m, asked, cmd, launched, rep, status, err := e.machine, e.askedAt, e.commands, e.launched, e.heartbeat, e.status, e.err
 	m.commandInFlight = false
 	now := time.Now()
 	for _, a := range launched {
@@ -148,17 +159,17 @@
 	}
 	switch {
 	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
-		t.leader.Metrics.Command("ok")
-		t.inboundWorks(m)
+		rc.leader.Metrics.Command("ok")
+		rc.inboundWorks(m)
 		m.lastMessageAt = now
 		if !rep.Newer(asked.epoch, asked.sequence) && !m.restarted {
 			// Made after we asked, and yet not newer than what we had then.
-			t.onRestart(m, rep, now)
+			rc.onRestart(m, rep, now)
 			break
 		}
-		t.reconcile(m, rep, false, now)
+		rc.reconcile(m, rep, false, now)
 	case err != nil && wire.NotSent(err):
-		t.leader.Metrics.Command("not sent")
+		rc.leader.Metrics.Command("not sent")
 		m.unansweredProbes++
 		m.heartbeatsMissingSince = time.Time{} // silent, which is looked after otherwise
 		m.inbound.Unanswered()
@@ -168,11 +179,11 @@
 			}
 		}
 	default:
-		t.leader.Metrics.Command("lost")
+		rc.leader.Metrics.Command("lost")
 		m.unansweredProbes++
 		m.heartbeatsMissingSince = time.Time{}
 		m.inbound.Unanswered()
-		t.log().Debug("command not answered", "machine", m.id, "commands", len(cmd.Commands), "err", err, "status", status)
+		rc.log().Debug("command not answered", "machine", m.id, "commands", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
 			a.launchUnanswered, a.unansweredLaunchToken = true, cmd.Token
 		}
@@ -181,7 +192,7 @@
 		}
 	}
 	if m.unansweredProbes == 0 {
-		t.dispatch(m)
+		rc.dispatcher.dispatch(m)
 	}
 }
 
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -13,7 +13,7 @@
 	for _, victim := range cycle.preemptions {
 		// Stopping one task of a gang stops them all: look each up when it is its turn.
 		if a := t.state.activeAttempt(victim.Task); a != nil {
-			t.stop(a, t.state.gracePeriodOf(a.job), EvictedPreempted)
+			t.dispatcher.stop(a, t.state.gracePeriodOf(a.job), EvictedPreempted)
 			t.scheduler.extendReservations(a, now)
 		}
 	}
--- a/internal/leader/detector/zones.go
+++ b/internal/leader/detector/zones.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// A zone is taken for partitioned when nothing came from it for unresponsiveAfter, in
+	// A zone is taken for partitioned when nothing came from it for monitor.unresponsiveAfter, in
 	// which minMissedReports of its own were due, by what came from the others.
 	// (Waiting until most of its machines were overdue, the leader had returned
 	// three quarters of a large zone one by one.)
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -31,7 +31,7 @@
 const slowFactor = 1.6
 
 // recordRunTime compares a completed run with the job's others.
-func (t *term) recordRunTime(a *attempt, now time.Time) {
+func (rc *reconciler) recordRunTime(a *attempt, now time.Time) {
 	took := now.Sub(a.runningSince).Seconds()
 	j := a.job
 	if len(j.runTimes.samples) >= 3 {
@@ -40,8 +40,8 @@
 		} else {
 			a.machine.slowRuns.normal++
 		}
-		if a.machine.slowRuns.slow >= 3 && a.machine.slowRuns.slow > 3*a.machine.slowRuns.normal && t.mayDrainSuspect() {
-			t.drainMachine(a.machine, drainSlow)
+		if a.machine.slowRuns.slow >= 3 && a.machine.slowRuns.slow > 3*a.machine.slowRuns.normal && rc.mayDrainSuspect() {
+			rc.drainMachine(a.machine, drainSlow)
 		}
 	}
 	j.runTimes.add(took)
@@ -50,7 +50,7 @@
 // onTaskFailure tells a faulty machine from a faulty job. A job that fails wherever
 // it runs is retried ever more rarely; a machine on which several jobs fail,
 // or one that others' machines run well, is drained and returned.
-func (t *term) onTaskFailure(a *attempt, now time.Time) {
+func (rc *reconciler) onTaskFailure(a *attempt, now time.Time) {
 	j, m := a.job, a.machine
 	if j.failedMachines == nil {
 		j.failedMachines = map[wire.MachineID]bool{}
@@ -59,17 +59,17 @@
 	j.failures++
 	m.failedJobs[j.spec.ID] = true
 	m.failures++
-	t.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedMachines), "machine_jobs", len(m.failedJobs))
+	rc.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedMachines), "machine_jobs", len(m.failedJobs))
 	faultyMachine := len(m.failedJobs) >= 2 || j.succeeded && m.failures >= 2 || m.failures >= 2 && len(j.failedMachines) == 1 && j.failures >= 3
-	if faultyMachine && t.mayDrainSuspect() {
-		t.drainMachine(m, drainFaulty)
+	if faultyMachine && rc.mayDrainSuspect() {
+		rc.drainMachine(m, drainFaulty)
 	}
 	if len(j.failedMachines) >= 2 {
 		n := min(j.failures, 6)
 		j.startNotBefore = now.Add(time.Duration(1<<n) * time.Second)
 		if len(j.failedMachines) >= 3 {
 			// The job is to blame: what it did to the machines is forgiven.
-			for _, other := range t.state.machines {
+			for _, other := range rc.state.machines {
 				if other.failedJobs[j.spec.ID] {
 					delete(other.failedJobs, j.spec.ID)
 					other.failures = 0
@@ -83,9 +83,9 @@
 
 // mayDrainSuspect bounds what suspicion may take out of service at a time: a fault
 // that shows on many machines is not the machines'.
-func (t *term) mayDrainSuspect() bool {
+func (rc *reconciler) mayDrainSuspect() bool {
 	n, all := 0, 0
-	for _, m := range t.state.machines {
+	for _, m := range rc.state.machines {
 		if m.booting {
 			continue
 		}
@@ -98,21 +98,21 @@
 }
 
 // drainMachine takes a machine out of service; it is returned when empty.
-func (t *term) drainMachine(m *machine, why drainReason) {
+func (rc *reconciler) drainMachine(m *machine, why drainReason) {
 	if m.drainReason != "" || m.scalingIn {
 		return
 	}
 	m.drainReason = why
-	t.log().Info("drains", "machine", m.id, "why", why, "tasks", len(m.tasks))
-	t.leader.Metrics.Fleet("drained", 1)
+	rc.log().Info("drains", "machine", m.id, "why", why, "tasks", len(m.tasks))
+	rc.leader.Metrics.Fleet("drained", 1)
 	for _, a := range m.tasks {
 		switch {
 		case a.unstored:
 		case !a.launchSent && !a.inherited:
-			t.state.endAttempt(a, taskPending) // never sent by anyone
+			rc.state.endAttempt(a, taskPending) // never sent by anyone
 		case why == drainFaulty, why == drainSlow && a.job.spec.Service():
-			t.stop(a, t.state.gracePeriodOf(a.job), EvictionReason(why))
+			rc.dispatcher.stop(a, rc.state.gracePeriodOf(a.job), EvictionReason(why))
 		}
 	}
-	t.state.requestCycle()
+	rc.state.requestCycle()
 }
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -7,25 +7,25 @@
 )
 
 // planFleet rents for what can't be placed and returns what is not needed.
-func (t *term) planFleet(now time.Time) {
-	specs := t.leader.Catalog.Get()
-	t.recordScaleOuts(now)
-	t.clearScaleIns(now)
-	if !t.recovered || !t.schedulingEnabled || !t.machineListReceived || !t.lease.Deciding() || specs == nil || t.scaling.Paused(now) {
+func (sl *scaler) planFleet(now time.Time) {
+	specs := sl.leader.Catalog.Get()
+	sl.recordScaleOuts(now)
+	sl.clearScaleIns(now)
+	if !sl.state.recovered || !sl.state.schedulingEnabled || !sl.state.machineListReceived || !sl.lease.Deciding() || specs == nil || sl.tracker.Paused(now) {
 		return
 	}
-	plan := t.scheduler.planCapacity(specs, t.mayScaleOut(), now)
+	plan := sl.scheduler.planCapacity(specs, sl.mayScaleOut(), now)
 	for _, r := range plan.ScaleOuts {
 		for left := r.Count; left > 0; left -= scaling.MaxScaleOut {
 			r.Count = min(left, scaling.MaxScaleOut)
-			t.requestScaleOut(r)
+			sl.requestScaleOut(r)
 		}
 	}
-	t.recordScaleOuts(now)
-	t.scheduler.applyCordons(plan)
+	sl.recordScaleOuts(now)
+	sl.scheduler.applyCordons(plan)
 	for _, id := range plan.ScaleIns {
-		if m := t.state.machines[id]; m != nil && len(m.tasks) == 0 {
-			t.scaleIn(m, drainIdle)
+		if m := sl.state.machines[id]; m != nil && len(m.tasks) == 0 {
+			sl.scaleIn(m, drainIdle)
 		}
 	}
 }
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -47,7 +47,7 @@
 
 // stopGang stops all tasks of a gang, all of them at once: those that are told
 // late don't save.
-func (t *term) stopGang(j *job, grace wire.Seconds, why EvictionReason) {
+func (dp *dispatcher) stopGang(j *job, grace wire.Seconds, why EvictionReason) {
 	g := j.gang
 	if !g.ran && !g.inherited {
 		grace = 0 // there is nothing to save
@@ -57,28 +57,28 @@
 	}
 	g.stopRequested, g.gracePeriod, g.stoppingGracefully = true, grace, grace > 0
 	for _, a := range j.attempts() {
-		t.stopAttempt(a, grace, why)
+		dp.stopAttempt(a, grace, why)
 	}
 }
 
 // stopBrokenGangs looks after the gangs that have lost a task: what is left of one can
 // do nothing, and is stopped. Those that were told to stop in order end by
 // themselves.
-func (t *term) stopBrokenGangs() {
-	for j := range t.state.brokenGangs {
-		delete(t.state.brokenGangs, j)
+func (dp *dispatcher) stopBrokenGangs() {
+	for j := range dp.state.brokenGangs {
+		delete(dp.state.brokenGangs, j)
 		g := j.gang
 		switch {
 		case g == nil:
 		case j.activeTasks == 0:
 			j.gang = nil
-			t.state.requestCycle()
+			dp.state.requestCycle()
 		case !g.broken:
 			g.broken = true
-			t.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stoppingGracefully, "age", time.Since(g.startedAt), "left", j.activeTasks)
+			dp.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stoppingGracefully, "age", time.Since(g.startedAt), "left", j.activeTasks)
 			if !g.stoppingGracefully {
 				for _, a := range j.attempts() {
-					t.stopAttempt(a, 0, EvictedGangIncomplete)
+					dp.stopAttempt(a, 0, EvictedGangIncomplete)
 				}
 			}
 		}
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -68,8 +68,8 @@
 		"one is not held":       {func(tm *term, j *job) { tm.state.endAttempt(member(j, 2), taskPending) }, false},
 		"one was lost":          {func(_ *term, j *job) { j.gang.broken = true }, false},
 		"it is told to stop":    {func(_ *term, j *job) { j.gang.stoppingGracefully = true }, false},
-		"one has no time left":  {func(tm *term, j *job) { tm.stopGang(j, 0, "makes room") }, false},
-		"it was told to stop":   {func(tm *term, j *job) { j.gang.ran = true; tm.stopGang(j, 13, "makes room") }, false},
+		"one has no time left":  {func(tm *term, j *job) { tm.dispatcher.stopGang(j, 0, "makes room") }, false},
+		"it was told to stop":   {func(tm *term, j *job) { j.gang.ran = true; tm.dispatcher.stopGang(j, 13, "makes room") }, false},
 		"its job was cancelled": {func(_ *term, j *job) { j.cancelled = true }, false},
 	}
 	for name, c := range cases {
@@ -77,7 +77,7 @@
 		first := member(j, 0)
 		c.setup(tm, j)
 		rep := said(1, 11, tm.state.firstToken)
-		if sent := launches(tm.commandsFor(first.machine, rep, time.Now())) == 1; sent != c.may {
+		if sent := launches(tm.dispatcher.commandsFor(first.machine, rep, time.Now())) == 1; sent != c.may {
 			t.Errorf("%s: the first task's launch is sent: %v", name, sent)
 		}
 	}
@@ -113,8 +113,8 @@
 		if name != "the others wait" {
 			continue
 		}
-		tm.reconcile(a.machine, said(1, 11, tm.state.firstToken), true, time.Now())
-		if n := launches(tm.commandsFor(a.machine, said(1, 11, tm.state.firstToken), time.Now())); j.activeTasks != 3 || n != 1 {
+		tm.reconciler.reconcile(a.machine, said(1, 11, tm.state.firstToken), true, time.Now())
+		if n := launches(tm.dispatcher.commandsFor(a.machine, said(1, 11, tm.state.firstToken), time.Now())); j.activeTasks != 3 || n != 1 {
 			t.Errorf("%s: %d held, %d launches", name, j.activeTasks, n)
 		}
 	}
@@ -155,7 +155,7 @@
 		tm, j := gangRig(t, 3, 4)
 		c.setup(j.gang)
 		for _, windDown := range c.told {
-			tm.stop(member(j, 1), windDown, "makes room")
+			tm.dispatcher.stop(member(j, 1), windDown, "makes room")
 		}
 		for i, got := range halts(j) {
 			if got != c.want {
@@ -172,8 +172,8 @@
 func TestGangCancelledWhileSaving(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	j.gang.ran = true
-	tm.stop(member(j, 1), 13, "makes room")
-	tm.stopCancelledJob(j)
+	tm.dispatcher.stop(member(j, 1), 13, "makes room")
+	tm.dispatcher.stopCancelledJob(j)
 	if got := halts(j); got[0] != 0 || got[1] != 0 || got[2] != 0 {
 		t.Errorf("time to save %v", got)
 	}
@@ -184,12 +184,12 @@
 func TestMendGangs(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	j.gang.ran = true
-	tm.stopBrokenGangs()
+	tm.dispatcher.stopBrokenGangs()
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
 	tm.state.endAttempt(member(j, 1), taskPending)
-	tm.stopBrokenGangs()
+	tm.dispatcher.stopBrokenGangs()
 	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.broken {
 		t.Errorf("one is lost: %v", got)
 	}
@@ -199,16 +199,16 @@
 	tm.state.endAttempt(member(j, 0), taskPending)
 	tm.state.endAttempt(member(j, 2), taskPending)
 	tm.state.cycle.requested = false
-	tm.stopBrokenGangs()
+	tm.dispatcher.stopBrokenGangs()
 	if j.gang != nil || !tm.state.cycle.requested || !tm.scheduler.schedulable(j, time.Now()) {
 		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.state.cycle.requested, tm.scheduler.schedulable(j, time.Now()))
 	}
 
 	tm, j = gangRig(t, 3, 4)
 	j.gang.ran = true
-	tm.stop(member(j, 0), 13, "makes room")
+	tm.dispatcher.stop(member(j, 0), 13, "makes room")
 	tm.state.endAttempt(member(j, 1), taskPending)
-	tm.stopBrokenGangs()
+	tm.dispatcher.stopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
 	}
@@ -218,9 +218,9 @@
 func TestGangDone(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	m := member(j, 1).machine
-	tm.reconcile(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.state.firstToken,
+	tm.reconciler.reconcile(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.state.firstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
-	tm.stopBrokenGangs()
+	tm.dispatcher.stopBrokenGangs()
 	mustBeDone(t, "one reported done", tm, j)
 }
 
@@ -284,7 +284,7 @@
 		if c.gang && (j.gang.number != 4 || !j.gang.inherited || j.gang.ran) {
 			t.Errorf("%s: %+v", name, j.gang)
 		}
-		tm.stopBrokenGangs()
+		tm.dispatcher.stopBrokenGangs()
 		if c.gang && j.gang.broken != c.mend {
 			t.Errorf("%s: lost %v", name, j.gang.broken)
 		}
@@ -315,7 +315,7 @@
 	}
 	j.gang = nil
 	for n := range recs {
-		tm.readChunk(j.chunk(n), wire.Revision(40+n), &recs[n])
+		tm.records.readChunk(j.chunk(n), wire.Revision(40+n), &recs[n])
 	}
 	tm.state.restoreGang(j)
 	return tm, j
@@ -361,12 +361,12 @@
 		waiting := &attempt{job: single, chunk: single.chunk(0), index: 1, number: 3, machine: member(j, 1).machine}
 		waiting.chunk.add(waiting)
 		if !deciding {
-			tm.lease = leaseFor(tm.leader, tm.token, -time.Millisecond)
+			tm.lease = leaseFor(tm.leader, tm.fencing.token, -time.Millisecond)
 		}
 		watch := func(left time.Duration) {
 			now := time.Now()
 			m.reclaimAt, m.drainReason = now.Add(left), drainSpotNotice
-			tm.checkMachine(m, tm.countMachines(now), now)
+			tm.monitor.checkMachine(m, tm.monitor.countMachines(now), now)
 		}
 		if !deciding {
 			if watch(time.Second); array.stopping || member(j, 0).stopping {
@@ -400,7 +400,7 @@
 			end() // the command itself goes nowhere
 			tm.ctx, other.addr = ended, "10.1.0.1:9000"
 			member(j, 1).stopSentAt = time.Time{}
-			if tm.dispatch(other); waiting.launchSent || member(j, 1).stopSentAt.IsZero() {
+			if tm.dispatcher.dispatch(other); waiting.launchSent || member(j, 1).stopSentAt.IsZero() {
 				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.launchSent, !member(j, 1).stopSentAt.IsZero())
 			}
 		}
--- a/internal/leader/intents.go
+++ b/internal/leader/intents.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lilaclead/duty"
+	"lilaclead/internal/config"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/wire"
 )
@@ -36,11 +37,11 @@
 	scaledInAt time.Time // when the last machines were gone
 }
 
-func newCloudIntents(t *term) *cloudIntents {
-	limit := int(t.state.settings.State.Least().ValueKB * 1024)
+func newCloudIntents(lease *duty.Lease, settings *config.Settings) *cloudIntents {
+	limit := int(settings.State.Least().ValueKB * 1024)
 	return &cloudIntents{
-		scaleOuts: duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](t.lease.Lease, limit),
-		scaleIns:  duty.OpenIntents[duty.ScaleIn, wire.MachineID](t.lease.Lease, limit),
+		scaleOuts: duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](lease, limit),
+		scaleIns:  duty.OpenIntents[duty.ScaleIn, wire.MachineID](lease, limit),
 	}
 }
 
@@ -67,106 +68,108 @@
 // adoptIntents goes on with what an earlier leader was about to ask of the cloud, under the
 // same names: what it had done already is found done, and what comes late of it
 // changes nothing.
-func (t *term) adoptIntents(earlier earlierIntents) {
+func (sl *scaler) adoptIntents(earlier earlierIntents) {
 	for _, id := range earlier.scaleIns {
-		if _, gone := t.state.removedMachines[id]; gone {
+		if _, gone := sl.state.removedMachines[id]; gone {
 			continue
 		}
 		// It takes nothing from now on, also where the lease is not held for a moment and
 		// the release comes with a later look at the machine.
-		m := t.state.getOrAddMachine(id)
+		m := sl.state.getOrAddMachine(id)
 		m.drainReason = drainAdoptedScaleIn
-		t.scaleIn(m, drainAdoptedScaleIn)
+		sl.scaleIn(m, drainAdoptedScaleIn)
 	}
 	for _, intent := range earlier.scaleOuts {
-		b := t.scaling.Adopt(intent.Request, intent.Since.Time())
-		t.log().Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.RequestedAt))
-		go t.sendScaleOut(b)
+		b := sl.tracker.Adopt(intent.Request, intent.Since.Time())
+		sl.log().Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.RequestedAt))
+		sl.spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
 	}
 }
 
 // mayScaleOut tells whether bookings can be recorded, or need not be.
-func (t *term) mayScaleOut() bool { return !t.recordsIntents() || t.intents.scaleOuts.Loaded() }
+func (sl *scaler) mayScaleOut() bool {
+	return !sl.recordsIntents() || sl.intents.scaleOuts.Loaded()
+}
 
 // recordScaleOuts records the open bookings if some were made, or if none is left, and
 // then has the new ones sent.
-func (t *term) recordScaleOuts(now time.Time) {
-	c := t.intents
-	if !t.recordsIntents() || c.recording || !c.scaleOuts.Loaded() || !t.lease.Deciding() {
+func (sl *scaler) recordScaleOuts(now time.Time) {
+	c := sl.intents
+	if !sl.recordsIntents() || c.recording || !c.scaleOuts.Loaded() || !sl.lease.Deciding() {
 		return
 	}
-	if len(c.unrecorded) == 0 && !t.scaleOutsSettled(now) {
+	if len(c.unrecorded) == 0 && !sl.scaleOutsSettled(now) {
 		return
 	}
-	t.withdrawUnfitting()
-	fresh, open := c.unrecorded, t.scaleOutIntents()
+	sl.withdrawUnfitting()
+	fresh, open := c.unrecorded, sl.scaleOutIntents()
 	c.unrecorded, c.recording = nil, true
-	go func() {
-		err := c.scaleOuts.Record(t.ctx, open)
-		t.post(func() { t.onScaleOutsRecorded(fresh, err) })
-	}()
+	sl.spawn(func(ctx context.Context) {
+		err := c.scaleOuts.Record(ctx, open)
+		sl.post(scaleOutsRecorded{fresh, err})
+	})
 }
 
 // scaleOutsSettled tells whether the record holds bookings that are all answered, for
 // a while.
-func (t *term) scaleOutsSettled(now time.Time) bool {
-	c := t.intents
-	return len(c.scaleOuts.Open()) > 0 && len(t.scaling.PendingScaleOuts()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
+func (sl *scaler) scaleOutsSettled(now time.Time) bool {
+	c := sl.intents
+	return len(c.scaleOuts.Open()) > 0 && len(sl.tracker.PendingScaleOuts()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
 }
 
 // withdrawUnfitting withdraws the newest bookings for which the record has no room.
-func (t *term) withdrawUnfitting() {
-	c := t.intents
-	for len(c.unrecorded) > 0 && !c.scaleOuts.Fits(t.scaleOutIntents()) {
+func (sl *scaler) withdrawUnfitting() {
+	c := sl.intents
+	for len(c.unrecorded) > 0 && !c.scaleOuts.Fits(sl.scaleOutIntents()) {
 		last := len(c.unrecorded) - 1
-		t.scaling.Withdraw(c.unrecorded[last])
+		sl.tracker.Withdraw(c.unrecorded[last])
 		c.unrecorded = c.unrecorded[:last]
 	}
 }
 
 // scaleOutIntents are the open bookings as they are stored.
-func (t *term) scaleOutIntents() []ScaleOutIntent {
+func (sl *scaler) scaleOutIntents() []ScaleOutIntent {
 	out := []ScaleOutIntent{}
-	for _, b := range t.scaling.PendingScaleOuts() {
+	for _, b := range sl.tracker.PendingScaleOuts() {
 		out = append(out, ScaleOutIntent{b.ScaleOutRequest, wire.TimestampOf(b.RequestedAt)})
 	}
 	return out
 }
 
 // onScaleOutsRecorded has the bookings sent that are recorded now, or withdraws them.
-func (t *term) onScaleOutsRecorded(fresh []*scaling.PendingScaleOut, err error) {
-	c := t.intents
+func (sl *scaler) onScaleOutsRecorded(fresh []*scaling.PendingScaleOut, err error) {
+	c := sl.intents
 	c.recording, c.recordedAt = false, time.Now()
 	for _, b := range fresh {
 		if err != nil {
-			t.scaling.Withdraw(b)
+			sl.tracker.Withdraw(b)
 			continue
 		}
-		go t.sendScaleOut(b)
+		sl.spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
 	}
 	switch {
 	case errors.Is(err, duty.ErrHeldByOther):
-		t.end(err.Error())
+		sl.end(err.Error())
 	case err != nil:
-		t.log().Info("bookings could not be recorded", "bookings", len(fresh), "err", err)
+		sl.log().Info("bookings could not be recorded", "bookings", len(fresh), "err", err)
 	}
-	t.recordScaleOuts(time.Now())
+	sl.recordScaleOuts(time.Now())
 }
 
 // recordScaleIns records that machines are to be returned, for good: nothing will run
 // on them again under whatever leader. False: the term is over.
-func (t *term) recordScaleIns(ids []wire.MachineID) bool {
+func (sl *scaler) recordScaleIns(ctx context.Context, ids []wire.MachineID) bool {
 	for {
-		err := t.intents.scaleIns.Record(t.ctx, ids)
+		err := sl.intents.scaleIns.Record(ctx, ids)
 		if err == nil {
 			return true
 		}
 		if errors.Is(err, duty.ErrHeldByOther) {
-			t.end(err.Error())
+			sl.end(err.Error())
 			return false
 		}
-		t.log().Debug("returns could not be recorded", "machines", len(ids), "err", err)
-		if !t.pause(maxScaleInRetry) {
+		sl.log().Debug("returns could not be recorded", "machines", len(ids), "err", err)
+		if !pause(ctx, maxScaleInRetry) {
 			return false
 		}
 	}
@@ -174,29 +177,29 @@
 
 // clearScaleIns empties the record of returns when all are done for a while, so that no
 // later leader asks for them again.
-func (t *term) clearScaleIns(now time.Time) {
-	c := t.intents
-	if !t.recordsIntents() || !t.lease.Deciding() || !t.scaling.BeginScaleIn() {
+func (sl *scaler) clearScaleIns(now time.Time) {
+	c := sl.intents
+	if !sl.recordsIntents() || !sl.lease.Deciding() || !sl.tracker.BeginScaleIn() {
 		return
 	}
 	if len(c.scaleIns.Open()) == 0 || now.Sub(c.scaledInAt) <= clearIntentsAfter {
-		t.scaling.EndScaleIn()
+		sl.tracker.EndScaleIn()
 		return
 	}
-	go func() {
-		if t.recordScaleIns([]wire.MachineID{}) {
-			t.post(func() { t.onScaledIn(nil) })
+	sl.spawn(func(ctx context.Context) {
+		if sl.recordScaleIns(ctx, []wire.MachineID{}) {
+			sl.post(scaledIn{})
 		}
-	}()
+	})
 }
 
 // maxScaleInBatch is how many machines one record of returns has room for.
-func (t *term) maxScaleInBatch() int {
-	if !t.recordsIntents() {
+func (sl *scaler) maxScaleInBatch() int {
+	if !sl.recordsIntents() {
 		return scaling.MaxScaleIn
 	}
 	n := scaling.MaxScaleIn
-	for n > 1 && !t.intents.scaleIns.Fits(namesOfLength(n)) {
+	for n > 1 && !sl.intents.scaleIns.Fits(namesOfLength(n)) {
 		n /= 2
 	}
 	return n
@@ -211,13 +214,3 @@
 	}
 	return out
 }
-
-// pause waits; false: the term is over.
-func (t *term) pause(d time.Duration) bool {
-	select {
-	case <-t.ctx.Done():
-		return false
-	case <-time.After(d):
-		return true
-	}
-}
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -14,19 +14,19 @@
 func TestAdoptedReturnWithoutLease(t *testing.T) {
 	tm, m, a := rig(t)
 	ctx := t.Context()
-	tm.ctx = ctx
+	tm.begin(ctx)
 	away(tm)
 	a.launchSent, a.observed, a.phase = true, true, wire.PhaseRunning
 	held := tm.lease
-	tm.lease = leaseFor(tm.leader, tm.token, -time.Second)
-	tm.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.id}})
+	tm.lease = leaseFor(tm.leader, tm.fencing.token, -time.Second)
+	tm.scaler.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.id}})
 	if m.scalingIn || m.drainReason != drainAdoptedScaleIn {
 		t.Errorf("without a lease: releasing %v, drains as %q", m.scalingIn, m.drainReason)
 	}
 	tm.lease = held
 	now := time.Now()
 	m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = now, now, now
-	tm.checkMachines(now)
+	tm.monitor.checkMachines(now)
 	if !m.scalingIn || len(m.tasks) != 1 {
 		t.Errorf("with the lease: releasing %v, %d tasks", m.scalingIn, len(m.tasks))
 	}
@@ -36,12 +36,12 @@
 func TestMachineSpecsAreGuarded(t *testing.T) {
 	withState(t, func(tm *term, _ *machine, st *simulator.State, _ func()) {
 		specs := []wire.MachineSpec{{Name: "c4"}}
-		if !tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) == 0 {
+		if !tm.inventory.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) == 0 {
 			t.Error("not stored while this node leads")
 		}
 		stored := st.Revision(store.MachineSpecsKey)
 		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
-		if tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) != stored {
+		if tm.inventory.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) != stored {
 			t.Error("stored though another node leads")
 		}
 	})
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -19,6 +19,7 @@
 	"context"
 	"log/slog"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -154,25 +155,31 @@
 
 // Run campaigns and serves until the context ends.
 func (l *Leader) Run(ctx context.Context) {
-	go l.countWorkers(ctx)
+	var counting sync.WaitGroup
+	counting.Go(func() { l.countAgents(ctx) })
+	defer counting.Wait()
 	for ctx.Err() == nil {
-		lease := l.candidate.Campaign(ctx)
-		if lease == nil {
-			continue
+		if lease := l.candidate.Campaign(ctx); lease != nil {
+			l.lead(ctx, lease)
 		}
-		l.Mesh.ObserveToken(ctx, lease.Token())
-		t := newTerm(l, lease)
-		l.term.Store(t)
-		l.Metrics.BecameLeader()
-		l.Log.Info("leads", "token", lease.Token())
-		why := t.run(ctx)
-		l.term.Store(nil)
-		l.Log.Info("leads no more", "token", lease.Token(), "why", why)
 	}
 }
 
-// countWorkers counts the workers that turn to this node.
-func (l *Leader) countWorkers(ctx context.Context) {
+// lead serves one term of leadership until it is over.
+func (l *Leader) lead(ctx context.Context, lease *election.Lease) {
+	l.Mesh.ObserveToken(ctx, lease.Token())
+	t := newTerm(l, lease)
+	l.term.Store(t)
+	l.Metrics.BecameLeader()
+	l.Log.Info("became leader", "token", lease.Token())
+	reason := t.run(ctx)
+	l.term.Store(nil)
+	l.Log.Info("lost leadership", "token", lease.Token(), "reason", reason)
+	t.wait()
+}
+
+// countAgents counts the workers that turn to this node.
+func (l *Leader) countAgents(ctx context.Context) {
 	seen := map[wire.MachineID]time.Time{}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -16,20 +16,20 @@
 
 // expireLease ends the tasks of a machine whose lease has surely run out: nobody
 // can have answered it within the lease, the clocks' drift and a margin.
-func (t *term) expireLease(m *machine, now time.Time) {
-	if len(m.tasks) == 0 || !t.recovered {
+func (mo *monitor) expireLease(m *machine, now time.Time) {
+	if len(m.tasks) == 0 || !mo.state.recovered {
 		return
 	}
-	lease := t.state.settings.Workers.Lease.Duration()
+	lease := mo.state.settings.Workers.Lease.Duration()
 	surelyOver := lease + lease/clockDriftPart + leaseRounding
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := latest(latest(m.lastReplyAt, m.tokenSeenAt), latest(m.epochSince, t.state.delegatesRenewedUntil))
-	if m.token < t.state.firstToken {
-		last = latest(last, t.earlierLeaderRepliesUntil())
+	last := latest(latest(m.lastReplyAt, m.tokenSeenAt), latest(m.epochSince, mo.state.delegatesRenewedUntil))
+	if m.token < mo.state.firstToken {
+		last = latest(last, mo.earlierLeaderRepliesUntil())
 	}
 	if now.Sub(last) < surelyOver {
 		return
@@ -43,9 +43,9 @@
 		if a.launchInFlight {
 			continue
 		}
-		t.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
-		t.leader.Metrics.TaskMoved(string(EvictedLeaseExpired))
-		t.state.endAttempt(a, taskPending)
+		mo.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
+		mo.leader.Metrics.TaskMoved(string(EvictedLeaseExpired))
+		mo.state.endAttempt(a, taskPending)
 	}
 }
 
@@ -56,13 +56,13 @@
 // token for X and count as asked for another 2X; then it stops as if alone. (Where
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
-func (t *term) earlierLeaderRepliesUntil() time.Time {
-	other := t.state.termStartedAt.Add(peer.OutageLimit)
-	if t.leader.delegation.Time > 0 {
-		other = t.state.termStartedAt.Add(max(t.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
+func (mo *monitor) earlierLeaderRepliesUntil() time.Time {
+	other := mo.state.termStartedAt.Add(peer.OutageLimit)
+	if mo.leader.delegation.Time > 0 {
+		other = mo.state.termStartedAt.Add(max(mo.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
 	}
-	if !t.quorumAckedAt.IsZero() && t.quorumAckedAt.Add(peer.AckLifetime).Before(other) {
-		other = t.quorumAckedAt.Add(peer.AckLifetime)
+	if !mo.state.quorumAckedAt.IsZero() && mo.state.quorumAckedAt.Add(peer.AckLifetime).Before(other) {
+		other = mo.state.quorumAckedAt.Add(peer.AckLifetime)
 	}
 	return other
 }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -6,6 +6,17 @@
 	"lilaclead/internal/wire"
 )
 
+// monitor judges from what arrives and what does not which machines are alive, whose
+// leases have expired, and acts on it.
+type monitor struct {
+	*eventLoop
+	state      *State
+	fencing    *fencing
+	writer     *writer
+	dispatcher *dispatcher
+	scaler     *scaler
+}
+
 const (
 	// forgetRemovedAfter is how long late copies of a released machine's reports are
 	// still told apart from those of a new one.
@@ -27,13 +38,13 @@
 
 // unresponsiveAfter is how long a machine may be silent before it is asked directly:
 // reports come every report_s, give or take a quarter.
-func (t *term) unresponsiveAfter() time.Duration {
-	return t.state.heartbeatInterval()*5/4 + heartbeatDelay
+func (mo *monitor) unresponsiveAfter() time.Duration {
+	return mo.state.heartbeatInterval()*5/4 + heartbeatDelay
 }
 
 // lostAfter is when a silent machine is taken for lost: two probes without an answer
 // tell its end.
-func (t *term) lostAfter() time.Duration { return t.unresponsiveAfter() + 2*probeTimeout }
+func (mo *monitor) lostAfter() time.Duration { return mo.unresponsiveAfter() + 2*probeTimeout }
 
 // machineCounts counts the machines that should report, by how they can be reached.
 type machineCounts struct {
@@ -49,14 +60,14 @@
 	zoneLost                 map[wire.Zone]int
 }
 
-func (t *term) countMachines(now time.Time) *machineCounts {
+func (mo *monitor) countMachines(now time.Time) *machineCounts {
 	c := &machineCounts{zoneUp: map[wire.Zone]int{}, zoneLost: map[wire.Zone]int{}}
-	silentAfter, lostAfter := t.unresponsiveAfter(), t.lostAfter()
-	for _, m := range t.state.machines {
+	silentAfter, lostAfter := mo.unresponsiveAfter(), mo.lostAfter()
+	for _, m := range mo.state.machines {
 		if m.booting || m.scalingIn {
 			continue
 		}
-		silence := t.state.sinceLastMessage(m, now)
+		silence := mo.state.sinceLastMessage(m, now)
 		c.up++
 		c.zoneUp[m.zone]++
 		if m.relayedOnly {
@@ -65,7 +76,7 @@
 		if !m.inbound.Works() {
 			c.inboundLost++
 		}
-		if t.state.outboundLost(m, now) {
+		if mo.state.outboundLost(m, now) {
 			c.outboundLost++
 		}
 		if silence > silentAfter {
@@ -75,7 +86,7 @@
 			c.lost++
 			c.zoneLost[m.zone]++
 		}
-		if !t.state.holdsReplicas(m) {
+		if !mo.state.holdsReplicas(m) {
 			continue
 		}
 		c.replicaHosts++
@@ -101,40 +112,40 @@
 
 // checkMachines looks for machines that are silent, late, or empty and
 // unwanted.
-func (t *term) checkMachines(now time.Time) {
-	for id, at := range t.state.removedMachines {
+func (mo *monitor) checkMachines(now time.Time) {
+	for id, at := range mo.state.removedMachines {
 		if now.Sub(at) > forgetRemovedAfter {
-			delete(t.state.removedMachines, id)
+			delete(mo.state.removedMachines, id)
 		}
 	}
-	c := t.countMachines(now)
-	t.leader.Metrics.Machines(t.state.machineStateCounts())
-	if node, ok := t.betterConnectedPeer(c, now); ok {
-		t.resign("workers reach " + string(node) + ", not this node")
+	c := mo.countMachines(now)
+	mo.leader.Metrics.Machines(mo.state.machineStateCounts())
+	if node, ok := mo.betterConnectedPeer(c, now); ok {
+		mo.resign("workers reach " + string(node) + ", not this node")
 		return
 	}
-	t.state.delegatesRenewedUntil = t.anyDelegateAnswersUntil(now)
+	mo.state.delegatesRenewedUntil = mo.anyDelegateAnswersUntil(now)
 	if !c.isolated() {
-		t.judgePartitions(c, now)
+		mo.judgePartitions(c, now)
 	}
-	for _, m := range t.state.machines {
-		t.checkReplicas(m, c, now)
-		t.checkMachine(m, c, now)
+	for _, m := range mo.state.machines {
+		mo.checkReplicas(m, c, now)
+		mo.checkMachine(m, c, now)
 		if fewEnoughForSingleFaults(c.inboundLost, c.up) {
-			t.checkInboundPath(m, now)
+			mo.checkInboundPath(m, now)
 		}
-		t.checkOutboundPath(m, now, fewEnoughForSingleFaults(c.outboundLost, c.up))
+		mo.checkOutboundPath(m, now, fewEnoughForSingleFaults(c.outboundLost, c.up))
 	}
-	t.releaseUncancellable(now)
+	mo.releaseUncancellable(now)
 }
 
 // betterConnectedPeer is a node that most workers reach, if they don't reach this one.
-func (t *term) betterConnectedPeer(c *machineCounts, now time.Time) (wire.NodeID, bool) {
-	settled := t.lostAfter() + t.state.settings.Workers.Lease.Duration()/8
-	if !c.unreachable() || !t.lease.Deciding() || now.Sub(t.state.termStartedAt) <= settled {
+func (mo *monitor) betterConnectedPeer(c *machineCounts, now time.Time) (wire.NodeID, bool) {
+	settled := mo.lostAfter() + mo.state.settings.Workers.Lease.Duration()/8
+	if !c.unreachable() || !mo.lease.Deciding() || now.Sub(mo.state.termStartedAt) <= settled {
 		return "", false
 	}
-	for name, o := range t.leader.Mesh.View().Peers {
+	for name, o := range mo.leader.Mesh.View().Peers {
 		if o.Connected(now) && o.StateReachable && o.ReachableWorkers*2 > c.up {
 			return name, true
 		}
@@ -145,9 +156,9 @@
 // checkReplicas returns a machine in a partitioned zone whose replicas can be
 // started elsewhere. They end with its lease, and nothing tells just when. The cloud
 // can end them for sure. If the cloud is away too, the lease is waited out.
-func (t *term) checkReplicas(m *machine, c *machineCounts, now time.Time) {
-	if t.state.partitioned(m.zone, now) && !c.isolated() && t.replicasMovable(m, now) {
-		t.scaleIn(m, drainLeaseExpiring)
+func (mo *monitor) checkReplicas(m *machine, c *machineCounts, now time.Time) {
+	if mo.state.partitioned(m.zone, now) && !c.isolated() && mo.replicasMovable(m, now) {
+		mo.scaler.scaleIn(m, drainLeaseExpiring)
 	}
 }
 
@@ -155,9 +166,9 @@
 // is taken for lost. A machine with replicas is not left alone for as long as
 // reports may take: the replicas of one that has stopped are down until that is
 // known. When many such are quiet it is rather the way to them.
-func (t *term) unresponsiveLimits(m *machine, c *machineCounts) (probeAfter, lostAfter time.Duration) {
-	probeAfter, lostAfter = t.unresponsiveAfter(), t.lostAfter()
-	if !t.state.holdsReplicas(m) {
+func (mo *monitor) unresponsiveLimits(m *machine, c *machineCounts) (probeAfter, lostAfter time.Duration) {
+	probeAfter, lostAfter = mo.unresponsiveAfter(), mo.lostAfter()
+	if !mo.state.holdsReplicas(m) {
 		return probeAfter, lostAfter
 	}
 	probeAfter = min(probeAfter, replicaHostProbeAfter)
@@ -168,29 +179,29 @@
 }
 
 // keptThoughUnresponsive tells whether a machine is not returned for its silence.
-func (t *term) keptThoughUnresponsive(m *machine, c *machineCounts, now time.Time) bool {
+func (mo *monitor) keptThoughUnresponsive(m *machine, c *machineCounts, now time.Time) bool {
 	// Before the first list nothing is known of a machine that an earlier
 	// leader used and that has not reported, not even its zone.
-	if m.zone == "" && !t.machineListReceived {
+	if m.zone == "" && !mo.state.machineListReceived {
 		return true
 	}
-	if t.unlisted(m) {
+	if mo.unlisted(m) {
 		return false
 	}
 	// Where the partition is over the machines need a while to report again.
-	outlasted := max(t.state.settings.Workers.Lease.Duration()*5/2, t.state.settings.Workers.CancelTimeout.Duration()*2)
-	return c.isolated() || t.state.latelyPartitioned(m.zone, now) && t.state.sinceLastMessage(m, now) < outlasted
+	outlasted := max(mo.state.settings.Workers.Lease.Duration()*5/2, mo.state.settings.Workers.CancelTimeout.Duration()*2)
+	return c.isolated() || mo.state.latelyPartitioned(m.zone, now) && mo.state.sinceLastMessage(m, now) < outlasted
 }
 
 // releaseUncancellable returns machines on which a cancelled task goes on.
-func (t *term) releaseUncancellable(now time.Time) {
-	if !t.lease.Deciding() || !t.recovered {
+func (mo *monitor) releaseUncancellable(now time.Time) {
+	if !mo.lease.Deciding() || !mo.state.recovered {
 		return
 	}
-	for _, j := range t.state.jobs {
-		if j.cancelled && j.activeTasks > 0 && now.Sub(j.cancelledAt) > t.state.settings.Workers.CancelTimeout.Duration()*6/10 {
+	for _, j := range mo.state.jobs {
+		if j.cancelled && j.activeTasks > 0 && now.Sub(j.cancelledAt) > mo.state.settings.Workers.CancelTimeout.Duration()*6/10 {
 			for _, a := range j.attempts() {
-				t.scaleIn(a.machine, drainUncancellable)
+				mo.scaler.scaleIn(a.machine, drainUncancellable)
 			}
 		}
 	}
@@ -198,100 +209,100 @@
 
 // checkMachine looks after one machine: its boot, its silence, its lease, and what
 // it is still to be told.
-func (t *term) checkMachine(m *machine, c *machineCounts, now time.Time) {
+func (mo *monitor) checkMachine(m *machine, c *machineCounts, now time.Time) {
 	switch {
 	case m.scalingIn:
-		t.expireLease(m, now)
+		mo.expireLease(m, now)
 		return
 	case m.booting:
-		t.checkBoot(m, now)
+		mo.checkBoot(m, now)
 		return
-	case !t.recovered:
+	case !mo.state.recovered:
 		return
 	}
-	t.repeatStops(m, now)
-	if !t.lease.Deciding() {
-		if t.lease.Answering() {
-			t.checkpointBeforeReclaim(m, now)
+	mo.repeatStops(m, now)
+	if !mo.lease.Deciding() {
+		if mo.lease.Answering() {
+			mo.checkpointBeforeReclaim(m, now)
 		}
 		return
 	}
 	if m.failedInCloud {
-		t.scaleIn(m, drainFailed)
+		mo.scaler.scaleIn(m, drainFailed)
 		return
 	}
-	t.probeUnresponsive(m, c, now)
-	if t.machineLost(m, c, now) {
-		t.scaleIn(m, drainUnresponsive)
+	mo.probeUnresponsive(m, c, now)
+	if mo.machineLost(m, c, now) {
+		mo.scaler.scaleIn(m, drainUnresponsive)
 		return
 	}
-	t.expireLease(m, now)
-	idle := len(m.tasks) == 0 && len(m.orphanTasks) == 0 && t.writer.allStored(m.lastUsedAt, time.Now())
+	mo.expireLease(m, now)
+	idle := len(m.tasks) == 0 && len(m.orphanTasks) == 0 && mo.writer.allStored(m.lastUsedAt, time.Now())
 	if m.drainReason == drainAdoptedScaleIn || m.drainReason != "" && idle {
-		t.scaleIn(m, m.drainReason)
+		mo.scaler.scaleIn(m, m.drainReason)
 		return
 	}
-	t.checkTasks(m, now)
+	mo.checkTasks(m, now)
 }
 
 // checkBoot returns a machine that should have come up long ago.
-func (t *term) checkBoot(m *machine, now time.Time) {
+func (mo *monitor) checkBoot(m *machine, now time.Time) {
 	boot := defaultBootTime
-	if spec := t.state.machineSpec(m.machineType); spec != nil {
+	if spec := mo.state.machineSpec(m.machineType); spec != nil {
 		boot = spec.BootTime.Duration()
 	}
-	if now.Sub(m.requestedAt) > boot*11/4+5*time.Second && t.lease.Deciding() {
-		t.scaleIn(m, drainNeverUp)
+	if now.Sub(m.requestedAt) > boot*11/4+5*time.Second && mo.lease.Deciding() {
+		mo.scaler.scaleIn(m, drainNeverUp)
 	}
 }
 
 // repeatStops sends halts again that have had no effect.
-func (t *term) repeatStops(m *machine, now time.Time) {
+func (mo *monitor) repeatStops(m *machine, now time.Time) {
 	for _, a := range m.tasks {
 		if a.stopping && !a.unstored && (a.stopSentAt.IsZero() || now.Sub(a.stopSentAt) > stopRepeat) {
-			t.dispatch(m)
+			mo.dispatcher.dispatch(m)
 			return
 		}
 	}
 }
 
 // probeUnresponsive probes a machine that is overdue.
-func (t *term) probeUnresponsive(m *machine, c *machineCounts, now time.Time) {
-	probeAfter, _ := t.unresponsiveLimits(m, c)
-	if t.state.sinceLastMessage(m, now) <= probeAfter || m.unansweredProbes >= maxProbes || m.commandInFlight {
+func (mo *monitor) probeUnresponsive(m *machine, c *machineCounts, now time.Time) {
+	probeAfter, _ := mo.unresponsiveLimits(m, c)
+	if mo.state.sinceLastMessage(m, now) <= probeAfter || m.unansweredProbes >= maxProbes || m.commandInFlight {
 		return
 	}
-	if m.unansweredProbes > 0 && t.state.behindPartition(m, now) {
+	if m.unansweredProbes > 0 && mo.state.behindPartition(m, now) {
 		return
 	}
-	t.probe(m)
+	mo.dispatcher.probe(m)
 }
 
 // machineLost tells whether a silent machine is to be given up.
-func (t *term) machineLost(m *machine, c *machineCounts, now time.Time) bool {
-	_, lostAfter := t.unresponsiveLimits(m, c)
-	silence := t.state.sinceLastMessage(m, now)
+func (mo *monitor) machineLost(m *machine, c *machineCounts, now time.Time) bool {
+	_, lostAfter := mo.unresponsiveLimits(m, c)
+	silence := mo.state.sinceLastMessage(m, now)
 	probed := silence > lostAfter && m.unansweredProbes > 1 && m.relayUnanswered
 	// A machine that an earlier leader used, that is in no list and says
 	// nothing has no address to probe; it is as lost as one that was probed.
-	late := silence > t.state.heartbeatInterval()*13/4+2*time.Second && (m.unansweredProbes > 0 || m.addr == "")
-	taken := !m.reclaimAt.IsZero() && now.After(m.reclaimAt.Add(time.Second)) && silence > t.state.heartbeatInterval()+time.Second
-	return (probed || late || taken) && !t.keptThoughUnresponsive(m, c, now)
+	late := silence > mo.state.heartbeatInterval()*13/4+2*time.Second && (m.unansweredProbes > 0 || m.addr == "")
+	taken := !m.reclaimAt.IsZero() && now.After(m.reclaimAt.Add(time.Second)) && silence > mo.state.heartbeatInterval()+time.Second
+	return (probed || late || taken) && !mo.keptThoughUnresponsive(m, c, now)
 }
 
 // checkTasks stops what runs on a machine that the cloud takes back, and ends
 // launches that may still be on their way to one that takes nothing new.
-func (t *term) checkTasks(m *machine, now time.Time) {
-	t.checkpointBeforeReclaim(m, now)
+func (mo *monitor) checkTasks(m *machine, now time.Time) {
+	mo.checkpointBeforeReclaim(m, now)
 	for _, a := range m.tasks {
 		if a.unstored {
 			continue
 		}
 		if !m.reclaimAt.IsZero() && a.job.spec.Service() && !a.stopping {
-			t.stop(a, 0, EvictedMachineReclaimed)
+			mo.dispatcher.stop(a, 0, EvictedMachineReclaimed)
 		}
 		if a.launchUnanswered && !a.observed && (a.stopping || m.drainReason != "") && now.Sub(a.decidedAt) > 6*time.Second {
-			t.tokenRaiseRequested = true
+			mo.fencing.raiseRequested = true
 		}
 	}
 }
@@ -306,7 +317,7 @@
 //
 // A leader that answers reports without the state service does so as well: halts
 // start nothing, and workers that have seen a successor's token drop them.
-func (t *term) checkpointBeforeReclaim(m *machine, now time.Time) {
+func (mo *monitor) checkpointBeforeReclaim(m *machine, now time.Time) {
 	if m.reclaimAt.IsZero() {
 		return
 	}
@@ -317,10 +328,10 @@
 		}
 		need := spec.CheckpointTime.Duration() + reclaimMargin
 		if spec.Gang() {
-			need += t.state.settings.Workers.GangPeerTimeout.Duration()
+			need += mo.state.settings.Workers.GangPeerTimeout.Duration()
 		}
 		if m.reclaimAt.Sub(now) < need {
-			t.stop(a, t.state.gracePeriodOf(a.job), "saves before its machine is taken")
+			mo.dispatcher.stop(a, mo.state.gracePeriodOf(a.job), "saves before its machine is taken")
 		}
 	}
 }
@@ -335,8 +346,8 @@
 // is to be kept: asking for its release costs nothing and brings the proof. (When
 // most machines had vanished at once it looked as if this node were cut off for as long
 // as no more were rented than that, and none of them was ever asked for.)
-func (t *term) unlisted(m *machine) bool {
-	return t.machineListRequestedAt.Sub(m.listedAt) > 2*t.state.settings.Cloud.ListLag.Duration()+10*time.Second
+func (mo *monitor) unlisted(m *machine) bool {
+	return mo.state.machineListRequestedAt.Sub(m.listedAt) > 2*mo.state.settings.Cloud.ListLag.Duration()+10*time.Second
 }
 
 // heartbeatInterval is how often a worker reports, give or take a quarter.
@@ -349,14 +360,14 @@
 // delegate in the zone can renew them any more, and other zones may have all
 // that their service runs in this one. (With two zones a service that is spread
 // has nowhere to go; to end its replicas early would gain nothing.)
-func (t *term) replicasMovable(m *machine, now time.Time) bool {
+func (mo *monitor) replicasMovable(m *machine, now time.Time) bool {
 	answered := m.lastMessageAt
-	if lost := t.zoneControllersLastContact(m.zone); !lost.IsZero() {
-		answered = latest(answered, lost.Add(t.leader.delegation.Time-t.state.heartbeatInterval()*5/4))
+	if lost := mo.zoneControllersLastContact(m.zone); !lost.IsZero() {
+		answered = latest(answered, lost.Add(mo.leader.delegation.Time-mo.state.heartbeatInterval()*5/4))
 	} else if answered.IsZero() {
-		answered = t.state.termStartedAt
+		answered = mo.state.termStartedAt
 	}
-	if now.Sub(answered) < t.state.settings.Workers.Lease.Duration()*95/100 {
+	if now.Sub(answered) < mo.state.settings.Workers.Lease.Duration()*95/100 {
 		return false
 	}
 	for _, a := range m.tasks {
@@ -367,8 +378,8 @@
 			return true
 		}
 		held, room := a.job.activeByZone(), 0
-		for _, z := range t.state.zones() {
-			if z != m.zone && !t.state.latelyPartitioned(z, now) {
+		for _, z := range mo.state.zones() {
+			if z != m.zone && !mo.state.latelyPartitioned(z, now) {
 				room += a.job.spec.ZoneCap() - held[z]
 			}
 		}
@@ -378,13 +389,3 @@
 	}
 	return false
 }
-
-// resignFor is how long this node then leaves the leadership to others.
-const resignFor = 15 * time.Second
-
-// resign gives the leadership up to a node that the workers reach.
-func (t *term) resign(why string) {
-	t.log().Info("resigns", "why", why)
-	t.lease.Resign(t.ctx, time.Now().Add(resignFor))
-	t.end(why)
-}
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -23,7 +23,7 @@
 			for _, m := range tm.state.machines {
 				if !skip(m) {
 					rep := reportOf(m)
-					tm.reconcile(m, &rep, true, time.Now())
+					tm.reconciler.reconcile(m, &rep, true, time.Now())
 					m.lastReplyAt = time.Now()
 				}
 			}
@@ -40,11 +40,11 @@
 					}
 					return silent(m) || n%20 != turn
 				})
-				tm.checkMachines(time.Now())
+				tm.monitor.checkMachines(time.Now())
 				for more := true; more; {
 					select {
-					case f := <-tm.inbox:
-						f()
+					case e := <-tm.events:
+						e.handle(tm)
 					default:
 						more = false
 					}
@@ -107,20 +107,20 @@
 	tm.state.termStartedAt = now.Add(-40 * time.Second)
 	since := func(at time.Time) time.Duration { return at.Sub(tm.state.termStartedAt).Round(time.Second) }
 	// Without a time for delegates, and with a majority.
-	if got := since(tm.earlierLeaderRepliesUntil()); got != peer.OutageLimit {
+	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
 	}
 	tm.leader.delegation.Time = 22 * time.Second
-	if got := since(tm.earlierLeaderRepliesUntil()); got != 22*time.Second {
+	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 22*time.Second {
 		t.Errorf("never acknowledged: %v", got)
 	}
 	tm.leader.delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
-	if got := since(tm.earlierLeaderRepliesUntil()); got != 7*time.Second {
+	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 7*time.Second {
 		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
 	tm.leader.delegation.Time = 22 * time.Second
-	tm.quorumAckedAt = tm.state.termStartedAt.Add(3 * time.Second)
-	if got := since(tm.earlierLeaderRepliesUntil()); got != 5*time.Second {
+	tm.state.quorumAckedAt = tm.state.termStartedAt.Add(3 * time.Second)
+	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
 	}
 	// Of the others' last acknowledged beats the oldest counts.
@@ -165,7 +165,7 @@
 							m.lastMessageAt = time.Now()
 						}
 					}
-					tm.checkMachines(time.Now())
+					tm.monitor.checkMachines(time.Now())
 				}
 			}
 			defer tm.end("the test is over")
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -13,6 +13,13 @@
 	"lilaclead/internal/wire"
 )
 
+// inventory follows the cloud's machine list and its machine types.
+type inventory struct {
+	*eventLoop
+	state      *State
+	dispatcher *dispatcher
+}
+
 // machine is what the term knows of one machine.
 type machine struct {
 	id          wire.MachineID
@@ -76,15 +83,14 @@
 
 // onMachineList takes in a machine list. A list lags and goes backwards: what it
 // lacks means nothing, and what it shows may be gone.
-func (t *term) onMachineList(list []wire.ListedMachine) {
-	now := time.Now()
-	t.machineListReceived = true
+func (in *inventory) onMachineList(list []wire.ListedMachine, now time.Time) {
+	in.state.machineListReceived = true
 	for _, h := range list {
-		if _, gone := t.state.removedMachines[h.Name]; gone {
+		if _, gone := in.state.removedMachines[h.Name]; gone {
 			continue
 		}
-		known := t.state.machines[h.Name] != nil
-		m := t.state.getOrAddMachine(h.Name)
+		known := in.state.machines[h.Name] != nil
+		m := in.state.getOrAddMachine(h.Name)
 		m.listedAt = now
 		if !known {
 			m.requestedAt = now.Add(-h.Age.Duration())
@@ -95,24 +101,21 @@
 			if age := now.Add(-h.Age.Duration()); age.Before(m.requestedAt) {
 				m.requestedAt = age
 			}
-			if h.State == wire.ListedRunning && m.token < t.state.firstToken && m.unansweredProbes == 0 && !m.scalingIn {
-				t.tokenAnnounced = false
+			if h.State == wire.ListedRunning && m.token < in.state.firstToken && m.unansweredProbes == 0 && !m.scalingIn {
+				in.dispatcher.tokenAnnounced = false
 			}
 		}
 		if h.State == wire.ListedFailed && !m.failedInCloud {
 			m.failedInCloud, m.booting = true, false
-			t.log().Info("machine failed", "machine", m.id, "tasks", len(m.tasks))
+			in.log().Info("machine failed", "machine", m.id, "tasks", len(m.tasks))
 		}
 	}
-	if !t.schedulingEnabled {
-		t.checkLeadership(now)
-	}
 }
 
 // logMachineUp notes that a machine reports for the first time.
-func (t *term) logMachineUp(m *machine, now time.Time) {
+func (rc *reconciler) logMachineUp(m *machine, now time.Time) {
 	if m.booting {
-		t.log().Info("machine up", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.requestedAt))
+		rc.log().Info("machine up", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.requestedAt))
 		m.lastUsedAt = now
 	}
 }
@@ -220,20 +223,17 @@
 }
 
 // pollMachineList reads the machine list again and again.
-func (t *term) pollMachineList(ctx context.Context) {
+func (in *inventory) pollMachineList(ctx context.Context) {
 	wait := 4 * time.Second
 	for {
 		asked := time.Now()
-		list, err := t.leader.Cloud.List(ctx)
+		list, err := in.leader.Cloud.List(ctx)
 		next := wait
 		if err == nil {
-			t.post(func() {
-				t.machineListRequestedAt = asked
-				t.onMachineList(list)
-			})
+			in.post(machineListReceived{list, asked})
 		} else {
 			next = time.Second + rand.N(time.Second)
-			t.log().Debug("machine list refused", "err", err)
+			in.log().Debug("machine list refused", "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -244,8 +244,8 @@
 }
 
 // storeMachineSpecs stores the types and prices, as long as this node leads.
-func (t *term) storeMachineSpecs(ctx context.Context, specs []wire.MachineSpec) bool {
-	permit, err := duty.PermitFor[duty.Cleanup](t.lease.Lease)
+func (in *inventory) storeMachineSpecs(ctx context.Context, specs []wire.MachineSpec) bool {
+	permit, err := duty.PermitFor[duty.Cleanup](in.lease.Lease)
 	if err != nil {
 		return false
 	}
@@ -255,15 +255,15 @@
 
 // pollMachineSpecs keeps the types and prices fresh and stores them for nodes
 // that start while the cloud is down.
-func (t *term) pollMachineSpecs(ctx context.Context) {
+func (in *inventory) pollMachineSpecs(ctx context.Context) {
 	stored := false
 	for {
-		fs, err := t.leader.Cloud.MachineSpecs(ctx)
+		fs, err := in.leader.Cloud.MachineSpecs(ctx)
 		next := 20 * time.Second
 		if err == nil {
-			t.leader.Catalog.Set(fs)
-			stored = stored || t.storeMachineSpecs(ctx, fs)
-			t.post(t.state.requestCycle)
+			in.leader.Catalog.Set(fs)
+			stored = stored || in.storeMachineSpecs(ctx, fs)
+			in.post(machineSpecsReceived{})
 		} else {
 			next = 2*time.Second + rand.N(time.Second)
 		}
--- a/internal/leader/partitions.go
+++ b/internal/leader/partitions.go
@@ -11,16 +11,16 @@
 // judgePartitions looks for zones that are silent as a whole. Their machines will be
 // back, and what runs on them goes on until their leases end: they are kept, and
 // returned only if the partition outlasts that by far.
-func (t *term) judgePartitions(c *machineCounts, now time.Time) {
+func (mo *monitor) judgePartitions(c *machineCounts, now time.Time) {
 	for zone, up := range c.zoneUp {
 		if zone == "" {
 			continue
 		}
-		silentSince := t.zoneControllersLastContact(zone)
+		silentSince := mo.zoneControllersLastContact(zone)
 		counts := detector.Counts{Up: up, Lost: c.zoneLost[zone], AllUp: c.up,
 			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.AckLifetime}
-		if t.state.zoneDetector.Judge(zone, counts, now) {
-			t.log().Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
+		if mo.state.zoneDetector.Judge(zone, counts, now) {
+			mo.log().Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
 		}
 	}
 }
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -13,34 +13,35 @@
 )
 
 // probe asks a worker for its report and shows it our token.
-func (t *term) probe(m *machine) {
+func (dp *dispatcher) probe(m *machine) {
 	if m.commandInFlight || m.addr == "" {
 		return
 	}
 	session := max(m.epoch, 1)
 	m.commandInFlight = true
-	addr, cmd, asked := m.addr, wire.Commands{Token: t.token, Epoch: session}, heartbeatPosition{m.epoch, m.sequence}
-	ask := func() (*wire.Heartbeat, int, error) { return t.leader.sendCommands(t.ctx, addr, cmd, probeTimeout) }
+	addr, cmd, asked := m.addr, wire.Commands{Token: dp.fencing.token, Epoch: session}, heartbeatPosition{m.epoch, m.sequence}
+	ask := func(ctx context.Context) (*wire.Heartbeat, int, error) {
+		return dp.leader.sendCommands(ctx, addr, cmd, probeTimeout)
+	}
 	// What doesn't answer this node is asked once more through another one: it
 	// may be only the way from here that is cut.
 	relay := wire.NodeID("")
 	if m.unansweredProbes > 0 {
-		if relay = t.leader.randomConnectedPeer(time.Now()); relay != "" {
-			ask = func() (*wire.Heartbeat, int, error) { return t.leader.probeThroughPeer(t.ctx, relay, addr, cmd) }
+		if relay = dp.leader.randomConnectedPeer(time.Now()); relay != "" {
+			ask = func(ctx context.Context) (*wire.Heartbeat, int, error) {
+				return dp.leader.probeThroughPeer(ctx, relay, addr, cmd)
+			}
 		}
 	}
-	go func() {
-		rep, status, err := ask()
+	dp.spawn(func(ctx context.Context) {
+		rep, status, err := ask(ctx)
 		if err == nil && status == http.StatusConflict && rep.Epoch != cmd.Epoch && rep.Token <= cmd.Token {
 			// Wrong session: now we know the right one.
 			cmd.Epoch = rep.Epoch
-			rep, status, err = ask()
+			rep, status, err = ask(ctx)
 		}
-		t.post(func() {
-			t.onCommandAnswer(m, asked, cmd, nil, rep, status, err)
-			m.relayUnanswered = err != nil && relay != ""
-		})
-	}()
+		dp.post(probeAnswer{commandAnswer{m, asked, cmd, nil, rep, status, err}, relay != ""})
+	})
 }
 
 // relayedProbe is one that another node passes on to a worker.
@@ -101,19 +102,19 @@
 // announceToken shows our token to the machines that have not seen it and whose
 // address is known, so that a new leader's report round takes a moment and
 // not a report's interval.
-func (t *term) announceToken() {
-	if t.tokenAnnounced || !t.recovered || !t.lease.Deciding() {
+func (dp *dispatcher) announceToken() {
+	if dp.tokenAnnounced || !dp.state.recovered || !dp.lease.Deciding() {
 		return
 	}
 	n := 0
-	for _, m := range t.state.machines {
-		if m.booting || m.token >= t.state.firstToken || m.commandInFlight || m.addr == "" || m.unansweredProbes > 0 {
+	for _, m := range dp.state.machines {
+		if m.booting || m.token >= dp.state.firstToken || m.commandInFlight || m.addr == "" || m.unansweredProbes > 0 {
 			continue
 		}
 		if n++; n > maxProbesPerTick {
 			return
 		}
-		t.probe(m)
+		dp.probe(m)
 	}
-	t.tokenAnnounced = n == 0 && t.machineListReceived
+	dp.tokenAnnounced = n == 0 && dp.state.machineListReceived
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -10,25 +10,25 @@
 
 // checkInbound compares a report with what the machine was told in the answer to
 // an earlier one.
-func (t *term) checkInbound(m *machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *reconciler) checkInbound(m *machine, rep *wire.Heartbeat, now time.Time) {
 	evidence := detector.Evidence{
 		KnownToken:    m.token,
-		RenewedLately: now.Sub(m.lastReplyAt) < t.state.settings.Workers.Lease.Duration()/2,
+		RenewedLately: now.Sub(m.lastReplyAt) < rc.state.settings.Workers.Lease.Duration()/2,
 		MissesLaunch:  func() bool { return m.missesLaunch(rep) },
 	}
-	t.inboundChanged(m, m.inbound.Reported(rep, evidence, now))
+	rc.inboundChanged(m, m.inbound.Reported(rep, evidence, now))
 }
 
 // inboundWorks notes that something of ours has reached the machine.
-func (t *term) inboundWorks(m *machine) { t.inboundChanged(m, m.inbound.Received()) }
+func (rc *reconciler) inboundWorks(m *machine) { rc.inboundChanged(m, m.inbound.Received()) }
 
-func (t *term) inboundChanged(m *machine, change detector.Change) {
+func (rc *reconciler) inboundChanged(m *machine, change detector.Change) {
 	switch change {
 	case detector.Lost:
-		t.log().Info("machine reports but receives nothing", "machine", m.id, "tasks", len(m.tasks))
+		rc.log().Info("machine reports but receives nothing", "machine", m.id, "tasks", len(m.tasks))
 	case detector.Restored:
-		t.log().Info("machine receives again", "machine", m.id)
-		t.state.requestCycle()
+		rc.log().Info("machine receives again", "machine", m.id)
+		rc.state.requestCycle()
 	}
 }
 
@@ -53,22 +53,22 @@
 // checkInboundPath returns a machine that reports but receives nothing: at once when
 // something on it waits for a proof that it can't give, else when its lease
 // must have run out. When many seem so it is rather this node that is slow.
-func (t *term) checkInboundPath(m *machine, now time.Time) {
-	if m.inbound.Works() || m.scalingIn || !t.lease.Deciding() || !t.recovered {
+func (mo *monitor) checkInboundPath(m *machine, now time.Time) {
+	if m.inbound.Works() || m.scalingIn || !mo.lease.Deciding() || !mo.state.recovered {
 		return
 	}
 	if now.Sub(m.lastVerifiedAt) > inboundProbeInterval {
 		m.lastVerifiedAt = now
-		t.probe(m)
+		mo.dispatcher.probe(m)
 	}
 	stuck := false
 	for _, a := range m.tasks {
 		stuck = stuck || !a.unstored && (!a.observed || a.stopping)
 	}
 	lostFor := m.inbound.LostFor(now)
-	stuckFor := t.state.heartbeatInterval()/2 + inboundProbeInterval
-	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > t.state.settings.Workers.Lease.Duration() {
-		t.scaleIn(m, drainInboundLost)
+	stuckFor := mo.state.heartbeatInterval()/2 + inboundProbeInterval
+	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > mo.state.settings.Workers.Lease.Duration() {
+		mo.scaler.scaleIn(m, drainInboundLost)
 	}
 }
 
@@ -92,12 +92,12 @@
 // checkOutboundPath returns a machine whose reports are lost when its lease must have
 // run out, so that nothing is lost by it, or much later when they are many: then it
 // is rather the way from them, which will be back.
-func (t *term) checkOutboundPath(m *machine, now time.Time, few bool) {
-	lease := t.state.settings.Workers.Lease.Duration()
-	if m.scalingIn || !t.recovered || t.state.heartbeatsMissingFor(m, now) <= lease*5/4 {
+func (mo *monitor) checkOutboundPath(m *machine, now time.Time, few bool) {
+	lease := mo.state.settings.Workers.Lease.Duration()
+	if m.scalingIn || !mo.state.recovered || mo.state.heartbeatsMissingFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || t.state.heartbeatsMissingFor(m, now) > max(lease*5/2, t.state.settings.Workers.CancelTimeout.Duration()*2) {
-		t.scaleIn(m, drainOutboundLost)
+	if few || mo.state.heartbeatsMissingFor(m, now) > max(lease*5/2, mo.state.settings.Workers.CancelTimeout.Duration()*2) {
+		mo.scaler.scaleIn(m, drainOutboundLost)
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -27,7 +27,7 @@
 
 func (t *term) tell(rep *wire.Heartbeat) heartbeatReply {
 	h := heartbeatCall{heartbeat: *rep, reply: make(chan heartbeatReply, 1)}
-	t.onHeartbeat(h)
+	t.reconciler.onHeartbeat(h)
 	return <-h.reply
 }
 
@@ -67,7 +67,7 @@
 		withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 			away(tm)
 			c.setup(tm, m)
-			for _, rep := range c.reports(tm.token) {
+			for _, rep := range c.reports(tm.fencing.token) {
 				tm.tell(rep)
 				time.Sleep(time.Second)
 			}
@@ -77,7 +77,7 @@
 			for n := wire.Sequence(20); n < 30; n++ {
 				time.Sleep(2 * time.Second)
 				m.lastMessageAt = time.Now() // it goes on reporting
-				tm.checkMachines(time.Now())
+				tm.monitor.checkMachines(time.Now())
 			}
 			if m.scalingIn != c.lost {
 				t.Errorf("%s: returned %v", name, m.scalingIn)
@@ -91,14 +91,14 @@
 func TestOlderReports(t *testing.T) {
 	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		away(tm)
-		tm.tell(said(1, 20, tm.token))
-		if r := tm.tell(said(1, 19, tm.token)); r.commands == nil || len(r.commands.Commands) > 0 {
+		tm.tell(said(1, 20, tm.fencing.token))
+		if r := tm.tell(said(1, 19, tm.fencing.token)); r.commands == nil || len(r.commands.Commands) > 0 {
 			t.Errorf("a report that crossed a newer one: %+v", r)
 		}
 		time.Sleep(10 * time.Second)
 		m.addr = "10.1.0.1:9000"
 		before := *m
-		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.token), said(1, 3, tm.token), said(0, 99, 0)} {
+		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.fencing.token), said(1, 3, tm.fencing.token), said(0, 99, 0)} {
 			if r := tm.tell(rep); r.rejected == "" {
 				t.Errorf("copy %d/%d answered %+v", rep.Epoch, rep.Sequence, r)
 			}
@@ -111,16 +111,16 @@
 			t.Error("the machine was not asked which it is")
 		}
 		tm.state.removedMachines["n-9"] = time.Now()
-		gone := said(9, 9, tm.token)
+		gone := said(9, 9, tm.fencing.token)
 		gone.Machine = "n-9"
 		if r := tm.tell(gone); r.rejected == "" || tm.state.machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
-		tm.recovered, tm.earlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
-		tm.tell(said(2, 5, tm.token))
-		tm.tell(said(1, 40, tm.token))
-		if got := tm.earlyHeartbeats["n-1"]; got.Epoch != 2 {
+		tm.state.recovered, tm.reconciler.earlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
+		tm.tell(said(2, 5, tm.fencing.token))
+		tm.tell(said(1, 40, tm.fencing.token))
+		if got := tm.reconciler.earlyHeartbeats["n-1"]; got.Epoch != 2 {
 			t.Errorf("kept report %d/%d", got.Epoch, got.Sequence)
 		}
 	})
@@ -136,7 +136,7 @@
 		zone := map[wire.Zone][]*machine{}
 		for i := range 26 {
 			x := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
-			x.token, x.firstHeartbeatAt, x.lastMessageAt, x.lastReplyAt, x.zone = tm.token, time.Now(), time.Now(), time.Now(), "b"
+			x.token, x.firstHeartbeatAt, x.lastMessageAt, x.lastReplyAt, x.zone = tm.fencing.token, time.Now(), time.Now(), time.Now(), "b"
 			if i < 10 {
 				x.zone = "a"
 			}
@@ -164,7 +164,7 @@
 						x.unansweredProbes, x.relayUnanswered = 2, true
 					}
 				}
-				tm.checkMachines(time.Now())
+				tm.monitor.checkMachines(time.Now())
 			}
 		}
 		watch(10 * time.Second)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -11,34 +11,43 @@
 	"lilaclead/upgrade"
 )
 
+// records reads the jobs' records for a new leader and follows their changes.
+type records struct {
+	*eventLoop
+	state      *State
+	fencing    *fencing
+	published  *published
+	writer     *writer
+	dispatcher *dispatcher
+	reconciler *reconciler
+	intents    *cloudIntents
+	// cancellationCursor is how much of the log of cancellations has been applied.
+	cancellationCursor uint64
+}
+
 // readRecords reads everything from the state service.
-func (t *term) readRecords(ctx context.Context) {
+func (rd *records) readRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		jobs, rev, err := t.leader.Store.List(ctx, store.Background, store.JobPrefix)
+		jobs, rev, err := rd.leader.Store.List(ctx, store.Background, store.JobPrefix)
 		var runs []wire.Entry
 		if err == nil {
-			runs, _, err = t.leader.Store.List(ctx, store.Background, store.ProgressPrefix)
+			runs, _, err = rd.leader.Store.List(ctx, store.Background, store.ProgressPrefix)
 		}
 		var version upgrade.Version
 		if err == nil {
-			version, err = t.readVersion(ctx)
+			version, err = rd.readVersion(ctx)
 		}
 		var earlier earlierIntents
-		if err == nil && t.intents != nil {
-			earlier, err = t.intents.load(ctx)
+		if err == nil && rd.intents != nil {
+			earlier, err = rd.intents.load(ctx)
 		}
 		if err == nil {
-			t.post(func() {
-				t.loadRecords(jobs, runs)
-				t.version = version
-				t.adoptIntents(earlier)
-				t.leader.Cancels.RecordRead(began)
-			})
-			t.watchJobRecords(ctx, rev)
+			rd.post(recordsRead{jobs, runs, version, earlier, began})
+			rd.watchJobRecords(ctx, rev)
 			return
 		}
-		t.log().Info("recovery: state service refuses", "err", err)
+		rd.log().Info("recovery: state service refuses", "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(300 * time.Millisecond):
@@ -51,12 +60,12 @@
 const followFor = time.Second
 
 // watchJobRecords watches the jobs.
-func (t *term) watchJobRecords(ctx context.Context, rev wire.Revision) {
+func (rd *records) watchJobRecords(ctx context.Context, rev wire.Revision) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		ch, err := t.leader.Store.Watch(ctx, store.JobPrefix, rev, followFor)
+		ch, err := rd.leader.Store.Watch(ctx, store.JobPrefix, rev, followFor)
 		if errors.Is(err, store.ErrTooOld) {
-			t.end("fell behind the changes")
+			rd.end("fell behind the changes")
 			return
 		}
 		if err != nil {
@@ -69,86 +78,99 @@
 		if ch.Revision > rev {
 			rev = ch.Revision
 		}
-		t.post(func() {
-			t.applyChanges(ch.Events)
-			t.leader.Cancels.RecordRead(began)
-		})
+		rd.post(jobRecordsChanged{ch.Events, began})
 	}
 }
 
 // applyChanges takes in what has changed among the jobs' records.
-func (t *term) applyChanges(changes []wire.Change) {
+func (rd *records) applyChanges(changes []wire.Change) {
 	for _, c := range changes {
 		if c.Put != "" {
-			t.applyJobRecord(c.Put, c.Value, c.Revision)
+			rd.applyJobRecord(c.Put, c.Value, c.Revision)
 			continue
 		}
 		// The last that comes of a job.
 		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
-		delete(t.state.quarantinedJobs, id)
-		if delete(t.state.archivedJobs, id); t.state.jobs[id] != nil {
-			t.state.jobs[id].recordDeleted = true
+		delete(rd.state.quarantinedJobs, id)
+		if delete(rd.state.archivedJobs, id); rd.state.jobs[id] != nil {
+			rd.state.jobs[id].recordDeleted = true
 		}
 	}
 }
 
 // loadRecords builds the term's picture from what was read.
-func (t *term) loadRecords(jobs, runs []wire.Entry) {
+func (rd *records) loadRecords(jobs, runs []wire.Entry) {
 	for _, e := range jobs {
-		t.applyJobRecord(e.Key, e.Value, e.Revision)
+		rd.applyJobRecord(e.Key, e.Value, e.Revision)
 	}
-	t.readProgress(runs)
-	for _, j := range t.state.jobs {
-		t.state.restoreGang(j)
+	rd.readProgress(runs)
+	for _, j := range rd.state.jobs {
+		rd.state.restoreGang(j)
 	}
-	t.recovered = true
-	t.log().Info("recovered", "jobs", len(t.state.jobs), "machines", len(t.state.machines), "took", time.Since(t.state.termStartedAt))
-	for _, j := range t.state.jobs {
+	rd.state.recovered = true
+	rd.log().Info("recovered", "jobs", len(rd.state.jobs), "machines", len(rd.state.machines), "took", time.Since(rd.state.termStartedAt))
+	for _, j := range rd.state.jobs {
 		if j.cancelled {
-			t.stopCancelledJob(j)
+			rd.dispatcher.stopCancelledJob(j)
 		}
-		t.state.markIfFinished(j)
+		rd.state.markIfFinished(j)
 	}
-	for _, rep := range t.earlyHeartbeats {
-		t.reconcile(t.state.getOrAddMachine(rep.Machine), &rep, true, time.Now())
+	for _, rep := range rd.reconciler.earlyHeartbeats {
+		rd.reconciler.reconcile(rd.state.getOrAddMachine(rep.Machine), &rep, true, time.Now())
 	}
-	t.earlyHeartbeats = nil
-	t.cancellationCursor = 0
-	t.applyCancellations()
-	t.delegationToken.Store(uint64(t.token)) // only now cancellations are known
-	t.announceToken()
+	rd.reconciler.earlyHeartbeats = nil
+	rd.cancellationCursor = 0
+	rd.applyCancellations()
+	rd.published.delegationToken.Store(uint64(rd.fencing.token)) // only now cancellations are known
+	rd.dispatcher.announceToken()
 }
 
 // applyJobRecord takes in a job record that is new or has changed.
-func (t *term) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
+func (rd *records) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
 	rec, err := store.DecodeJob(key, v)
 	if err != nil {
-		t.quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
+		rd.quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
 		return
 	}
-	j := t.state.jobs[rec.Spec.ID]
+	j := rd.state.jobs[rec.Spec.ID]
 	if j == nil {
-		if t.state.quarantinedJobs[rec.Spec.ID] {
-			t.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
+		if rd.state.quarantinedJobs[rec.Spec.ID] {
+			rd.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
 			return
 		}
-		if t.state.archivedJobs[rec.Spec.ID] {
+		if rd.state.archivedJobs[rec.Spec.ID] {
 			return // late news of a job that is over
 		}
 		j = newJob(rec, revision)
-		t.state.jobs[rec.Spec.ID] = j
-		t.state.requestCycle()
+		rd.state.jobs[rec.Spec.ID] = j
+		rd.state.requestCycle()
 	}
 	if revision < j.revision {
 		return
 	}
 	j.revision, j.recordOutdated = revision, j.cancelled && rec.Status != wire.Cancelled
-	rec.LogCancellation(t.leader.Cancels)
+	rec.LogCancellation(rd.leader.Cancels)
 	if rec.Status == wire.Cancelled && !j.cancelled {
 		j.cancelled = true
 		j.cancelledAt = time.Now().Add(-rec.SinceCancelled())
-		if t.recovered {
-			t.stopCancelledJob(j)
+		if rd.state.recovered {
+			rd.dispatcher.stopCancelledJob(j)
+		}
+	}
+}
+
+// onReread takes in a job's record that was read again.
+func (rd *records) onReread(e jobRecordReread) {
+	id := e.job.spec.ID
+	switch {
+	case rd.state.jobs[id] != e.job: // a watch was faster, and the job is archived
+	case e.err == nil:
+		rd.applyJobRecord(store.JobKey(id), e.entry.Value, e.entry.Revision)
+	case errors.Is(e.err, store.ErrMissing):
+		if e.job.recordOutdated { // else it is being archived
+			rd.end("a live job's record is gone: " + string(id))
 		}
+	case e.job.recordOutdated:
+		time.AfterFunc(rereadRetry, func() { rd.post(rereadDue{e.job}) })
 	}
 }
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"math/rand/v2"
 	"time"
 
@@ -17,78 +18,81 @@
 
 // scaleIn returns a machine; its tasks count until the cloud has said that
 // it is gone.
-func (t *term) scaleIn(m *machine, why drainReason) {
-	if m.scalingIn || !t.lease.Deciding() {
+func (sl *scaler) scaleIn(m *machine, why drainReason) {
+	if m.scalingIn || !sl.lease.Deciding() {
 		return
 	}
 	m.scalingIn = true
 	if m.drainReason == "" {
 		m.drainReason = why
 	}
-	t.log().Info("releases", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", why, "tasks", len(m.tasks), "age", time.Since(m.requestedAt))
-	t.leader.Metrics.Fleet("released", 1)
-	t.scaling.QueueScaleIn(m.id)
-	t.sendNextScaleIn()
+	sl.log().Info("releases", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", why, "tasks", len(m.tasks), "age", time.Since(m.requestedAt))
+	sl.leader.Metrics.Fleet("released", 1)
+	sl.tracker.QueueScaleIn(m.id)
+	sl.sendNextScaleIn()
 }
 
 // sendNextScaleIn sends the next request to release, if none is under way, and
 // repeats it until the cloud has answered.
-func (t *term) sendNextScaleIn() {
-	ids := t.scaling.NextScaleIn(t.maxScaleInBatch())
+func (sl *scaler) sendNextScaleIn() {
+	ids := sl.tracker.NextScaleIn(sl.maxScaleInBatch())
 	if len(ids) == 0 {
 		return
 	}
-	record := t.recordsIntents()
-	go func() {
-		if (!record || t.recordScaleIns(ids)) && t.sendScaleIn(ids) {
-			t.post(func() { t.onScaledIn(ids) })
+	record := sl.recordsIntents()
+	sl.spawn(func(ctx context.Context) {
+		if record && !sl.recordScaleIns(ctx, ids) {
+			return
 		}
-	}()
+		if sl.sendScaleIn(ctx, ids) {
+			sl.post(scaledIn{ids})
+		}
+	})
 }
 
 // sendScaleIn keeps asking the cloud until it has answered that the machines are
 // gone, and only while the lease is held; false: the term is over.
-func (t *term) sendScaleIn(ids []wire.MachineID) bool {
+func (sl *scaler) sendScaleIn(ctx context.Context, ids []wire.MachineID) bool {
 	wait := minScaleInRetry
-	for t.ctx.Err() == nil {
-		err := t.requestScaleIn(ids)
+	for ctx.Err() == nil {
+		err := sl.requestScaleIn(ctx, ids)
 		if err == nil {
 			return true
 		}
-		t.log().Debug("release not answered", "machines", len(ids), "err", err)
-		t.pause(wait + rand.N(wait/2))
+		sl.log().Debug("release not answered", "machines", len(ids), "err", err)
+		pause(ctx, wait+rand.N(wait/2))
 		wait = min(2*wait, maxScaleInRetry) // one request at a time, whatever waits
 	}
 	return false
 }
 
 // requestScaleIn asks the cloud once, if the lease is held.
-func (t *term) requestScaleIn(ids []wire.MachineID) error {
-	permit, err := duty.PermitFor[duty.ScaleIn](t.lease.Lease)
+func (sl *scaler) requestScaleIn(ctx context.Context, ids []wire.MachineID) error {
+	permit, err := duty.PermitFor[duty.ScaleIn](sl.lease.Lease)
 	if err != nil {
 		return err
 	}
-	return t.leader.Cloud.ScaleIn(t.ctx, permit, ids)
+	return sl.leader.Cloud.ScaleIn(ctx, permit, ids)
 }
 
 // onScaledIn takes in that machines are gone, and with them what ran there.
-func (t *term) onScaledIn(ids []wire.MachineID) {
+func (sl *scaler) onScaledIn(ids []wire.MachineID) {
 	for _, id := range ids {
-		t.removeMachine(t.state.machines[id])
+		sl.removeMachine(sl.state.machines[id])
 	}
-	if t.intents != nil {
-		t.intents.scaledInAt = time.Now()
+	if sl.intents != nil {
+		sl.intents.scaledInAt = time.Now()
 	}
-	t.scaling.EndScaleIn()
-	t.sendNextScaleIn()
+	sl.tracker.EndScaleIn()
+	sl.sendNextScaleIn()
 }
 
-func (t *term) removeMachine(m *machine) {
-	t.state.removedMachines[m.id] = time.Now()
+func (sl *scaler) removeMachine(m *machine) {
+	sl.state.removedMachines[m.id] = time.Now()
 	for _, a := range m.tasks {
-		t.leader.Metrics.TaskMoved(string(EvictedMachineRemoved))
-		t.state.endAttempt(a, taskPending)
+		sl.leader.Metrics.TaskMoved(string(EvictedMachineRemoved))
+		sl.state.endAttempt(a, taskPending)
 	}
-	delete(t.state.machines, m.id)
-	t.state.requestCycle()
+	delete(sl.state.machines, m.id)
+	sl.state.requestCycle()
 }
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"context"
 	"errors"
 	"math/rand/v2"
 	"time"
@@ -11,6 +12,24 @@
 	"lilaclead/internal/wire"
 )
 
+// scaler scales the cluster out and in: it asks the cloud for machines, and gives back
+// those that are not needed or not trusted.
+type scaler struct {
+	*eventLoop
+	state     *State
+	scheduler *scheduler
+	tracker   *scaling.Tracker
+	intents   *cloudIntents // nil: they are not recorded
+}
+
+func newScaler(loop *eventLoop, state *State, scheduler *scheduler, tracker *scaling.Tracker) *scaler {
+	sl := &scaler{eventLoop: loop, state: state, scheduler: scheduler, tracker: tracker}
+	if loop.leader.RecordIntents {
+		sl.intents = newCloudIntents(loop.lease.Lease, state.settings)
+	}
+	return sl
+}
+
 const (
 	// A booking without a final answer is sent again after a pause that grows from
 	// the one to the other.
@@ -19,57 +38,57 @@
 )
 
 // requestScaleOut books machines, once that is recorded if it is to be.
-func (t *term) requestScaleOut(r fleet.ScaleOut) {
-	b := t.scaling.StartScaleOut(r, time.Now())
-	t.log().Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
-	if t.recordsIntents() {
-		t.intents.unrecorded = append(t.intents.unrecorded, b)
+func (sl *scaler) requestScaleOut(r fleet.ScaleOut) {
+	b := sl.tracker.StartScaleOut(r, time.Now())
+	sl.log().Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
+	if sl.recordsIntents() {
+		sl.intents.unrecorded = append(sl.intents.unrecorded, b)
 		return
 	}
-	go t.sendScaleOut(b)
+	sl.spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
 }
 
 // sendScaleOut keeps asking for machines under the booking's name until the cloud has
 // answered, and only while the lease is held.
-func (t *term) sendScaleOut(b *scaling.PendingScaleOut) {
+func (sl *scaler) sendScaleOut(ctx context.Context, b *scaling.PendingScaleOut) {
 	var tries scaling.RetryState
 	wait := minScaleOutRetry
-	for t.ctx.Err() == nil {
-		machines, err := t.callScaleOut(b)
+	for ctx.Err() == nil {
+		machines, err := sl.callScaleOut(ctx, b)
 		if !errors.Is(err, duty.ErrNotHeld) && tries.Final(err) {
-			t.post(func() { t.onScaleOutAnswered(b, machines, err) })
+			sl.post(scaleOutAnswered{b, machines, err})
 			return
 		}
-		t.pause(wait + rand.N(wait/2))
+		pause(ctx, wait+rand.N(wait/2))
 		wait = min(2*wait, maxScaleOutRetry)
 	}
 }
 
 // callScaleOut asks the cloud once, if the lease is held.
-func (t *term) callScaleOut(b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
-	permit, err := duty.PermitFor[duty.ScaleOut](t.lease.Lease)
+func (sl *scaler) callScaleOut(ctx context.Context, b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
+	permit, err := duty.PermitFor[duty.ScaleOut](sl.lease.Lease)
 	if err != nil {
 		return nil, err
 	}
-	return t.leader.Cloud.ScaleOut(t.ctx, permit, b.ScaleOutRequest)
+	return sl.leader.Cloud.ScaleOut(ctx, permit, b.ScaleOutRequest)
 }
 
 // onScaleOutAnswered takes in the final answer to a booking.
-func (t *term) onScaleOutAnswered(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
-	outcome, rest := t.scaling.Answered(b, len(machines), err, time.Now())
+func (sl *scaler) onScaleOutAnswered(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
+	outcome, rest := sl.tracker.Answered(b, len(machines), err, time.Now())
 	switch outcome {
 	case scaling.Filled, scaling.PartlyFilled:
-		t.leader.Metrics.Fleet("rented", len(machines))
-		if t.maybeUnlisted(b) {
-			t.addProvisioned(b, machines)
+		sl.leader.Metrics.Fleet("rented", len(machines))
+		if sl.maybeUnlisted(b) {
+			sl.addProvisioned(b, machines)
 		}
 		if outcome == scaling.PartlyFilled {
-			t.log().Info("booking only partly filled", "booking", b.Name, "got", len(machines), "of", b.Count)
+			sl.log().Info("booking only partly filled", "booking", b.Name, "got", len(machines), "of", b.Count)
 		}
 	case scaling.NoCapacity:
-		t.log().Info("no capacity", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", rest, "err", err)
+		sl.log().Info("no capacity", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", rest, "err", err)
 	case scaling.Unavailable:
-		t.log().Info("cloud busy or down", "again_in", rest, "err", err)
+		sl.log().Info("cloud busy or down", "again_in", rest, "err", err)
 	}
 }
 
@@ -78,19 +97,19 @@
 
 // maybeUnlisted tells whether the machines of a booking may be in no list yet. Those
 // of one that an earlier leader sent longer ago are, unless they are gone.
-func (t *term) maybeUnlisted(b *scaling.PendingScaleOut) bool {
-	lag := t.state.settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
+func (sl *scaler) maybeUnlisted(b *scaling.PendingScaleOut) bool {
+	lag := sl.state.settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
 	return !b.Adopted || time.Since(b.RequestedAt) < lag
 }
 
 // addProvisioned adds the machines of a booking to the inventory. They may have
 // reported, or be gone again, before the booking's answer came.
-func (t *term) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
+func (sl *scaler) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
-		if _, gone := t.state.removedMachines[id]; gone {
+		if _, gone := sl.state.removedMachines[id]; gone {
 			continue
 		}
-		m := t.state.getOrAddMachine(id)
+		m := sl.state.getOrAddMachine(id)
 		if m.firstHeartbeatAt.IsZero() {
 			m.machineType, m.zone, m.spot, m.booting, m.requestedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
 		}
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -6,60 +6,77 @@
 	"lilaclead/internal/wire"
 )
 
+// reconciler squares what the agents' heartbeats say with what is recorded, and answers
+// them.
+type reconciler struct {
+	*eventLoop
+	state      *State
+	fencing    *fencing
+	dispatcher *dispatcher
+	scaler     *scaler
+	// earlyHeartbeats are the newest ones that came before the records were read.
+	earlyHeartbeats map[wire.MachineID]wire.Heartbeat
+}
+
+func newReconciler(loop *eventLoop, state *State, fencing *fencing, dispatcher *dispatcher, scaler *scaler) *reconciler {
+	return &reconciler{eventLoop: loop, state: state, fencing: fencing, dispatcher: dispatcher, scaler: scaler,
+		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}}
+}
+
 // onHeartbeat answers a report.
-func (t *term) onHeartbeat(c heartbeatCall) {
-	c.reply <- t.answerHeartbeat(&c.heartbeat, c.relayed, time.Now())
+func (rc *reconciler) onHeartbeat(c heartbeatCall) {
+	c.reply <- rc.answerHeartbeat(&c.heartbeat, c.relayed, time.Now())
 }
 
-func (t *term) answerHeartbeat(rep *wire.Heartbeat, relayed bool, now time.Time) heartbeatReply {
-	if !t.lease.Answering() {
+func (rc *reconciler) answerHeartbeat(rep *wire.Heartbeat, relayed bool, now time.Time) heartbeatReply {
+	if !rc.lease.Answering() {
 		return heartbeatReply{rejected: rejectedNotLeading}
 	}
-	if !t.leader.delegate.MayRenew(now) {
+	if !rc.leader.delegate.MayRenew(now) {
 		return heartbeatReply{rejected: rejectedCancellationsUnknown}
 	}
-	if _, gone := t.state.removedMachines[rep.Machine]; gone {
+	if _, gone := rc.state.removedMachines[rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		return heartbeatReply{rejected: rejectedMachineRemoved}
 	}
-	m := t.state.getOrAddMachine(rep.Machine)
-	if !t.recovered {
-		t.keepEarlyHeartbeat(rep)
+	m := rc.state.getOrAddMachine(rep.Machine)
+	if !rc.state.recovered {
+		rc.keepEarlyHeartbeat(rep)
 		m.lastMessageAt, m.lastReplyAt = now, now
-		return heartbeatReply{commands: t.cancelledStops(rep)}
+		return heartbeatReply{commands: rc.cancelledStops(rep)}
 	}
 	if !rep.Newer(m.epoch, m.sequence) {
-		return t.onStaleHeartbeat(m, rep, now)
+		return rc.onStaleHeartbeat(m, rep, now)
 	}
-	if t.recordHeartbeatPath(m, relayed, now) {
+	if rc.recordHeartbeatPath(m, relayed, now) {
 		return heartbeatReply{redirect: true}
 	}
-	t.checkInbound(m, rep, now)
-	t.reconcile(m, rep, true, now)
-	if t.renewalWithheld(m, rep, now) {
+	rc.checkInbound(m, rep, now)
+	rc.reconcile(m, rep, true, now)
+	if rc.renewalWithheld(m, rep, now) {
 		return heartbeatReply{rejected: rejectedCancelPending}
 	}
 	m.lastReplyAt = now
-	m.inbound.Answered(t.token, rep.Epoch, rep.Sequence)
-	answer := &wire.Commands{Token: t.token}
-	if t.lease.Deciding() {
-		answer.Commands = t.commandsFor(m, rep, now)
+	m.inbound.Answered(rc.fencing.token, rep.Epoch, rep.Sequence)
+	answer := &wire.Commands{Token: rc.fencing.token}
+	if rc.lease.Deciding() {
+		answer.Commands = rc.dispatcher.commandsFor(m, rep, now)
 	} else {
-		answer.Commands = t.stopCommands(m, t.leader.delegate.Halts(rep), now)
+		answer.Commands = rc.dispatcher.stopCommands(m, rc.leader.delegate.Halts(rep), now)
 	}
 	return heartbeatReply{commands: answer}
 }
 
 // cancelledStops answers a report with no more than the halts of what is known to be
 // cancelled.
-func (t *term) cancelledStops(rep *wire.Heartbeat) *wire.Commands {
-	return &wire.Commands{Token: t.token, Commands: t.leader.delegate.Halts(rep)}
+func (rc *reconciler) cancelledStops(rep *wire.Heartbeat) *wire.Commands {
+	return &wire.Commands{Token: rc.fencing.token, Commands: rc.leader.delegate.Halts(rep)}
 }
 
 // keepEarlyHeartbeat keeps the newest report of a machine until the records are read.
-func (t *term) keepEarlyHeartbeat(rep *wire.Heartbeat) {
-	if e, ok := t.earlyHeartbeats[rep.Machine]; !ok || rep.Newer(e.Epoch, e.Sequence) {
-		t.earlyHeartbeats[rep.Machine] = *rep
+func (rc *reconciler) keepEarlyHeartbeat(rep *wire.Heartbeat) {
+	if e, ok := rc.earlyHeartbeats[rep.Machine]; !ok || rep.Newer(e.Epoch, e.Sequence) {
+		rc.earlyHeartbeats[rep.Machine] = *rep
 	}
 }
 
@@ -67,7 +84,7 @@
 // come here by itself: one that is new, or new to this leader, is sent here first.
 // If it was here before, or was sent here and turns up elsewhere again, it can't
 // reach this node.
-func (t *term) recordHeartbeatPath(m *machine, relayed bool, now time.Time) (redirect bool) {
+func (rc *reconciler) recordHeartbeatPath(m *machine, relayed bool, now time.Time) (redirect bool) {
 	if !relayed {
 		m.directHeartbeatAt = now
 		m.relayedOnly = false
@@ -79,7 +96,7 @@
 		return true
 	}
 	if !m.relayedOnly {
-		t.log().Info("worker reaches the leader only through another node", "machine", m.id)
+		rc.log().Info("worker reaches the leader only through another node", "machine", m.id)
 	}
 	m.relayedOnly = true
 	return false
@@ -94,66 +111,66 @@
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (t *term) onStaleHeartbeat(m *machine, rep *wire.Heartbeat, now time.Time) heartbeatReply {
+func (rc *reconciler) onStaleHeartbeat(m *machine, rep *wire.Heartbeat, now time.Time) heartbeatReply {
 	crossed := now.Sub(m.lastMessageAt) < crossingWindow
-	if (!crossed || rep.Epoch != m.epoch || rep.Sequence+2 < m.sequence) && now.Sub(m.lastVerifiedAt) > time.Second && !m.scalingIn && t.lease.Deciding() {
+	if (!crossed || rep.Epoch != m.epoch || rep.Sequence+2 < m.sequence) && now.Sub(m.lastVerifiedAt) > time.Second && !m.scalingIn && rc.lease.Deciding() {
 		m.lastVerifiedAt = now
-		t.probe(m)
+		rc.dispatcher.probe(m)
 	}
 	if !crossed {
 		return heartbeatReply{rejected: rejectedStale}
 	}
 	m.lastReplyAt = now
-	return heartbeatReply{commands: t.cancelledStops(rep)}
+	return heartbeatReply{commands: rc.cancelledStops(rep)}
 }
 
 // onRestart takes in the answer of a machine that counts from the start again:
 // it was back before anybody missed it. What its answer lacks is gone. It is
 // returned, as from now on its reports can't be told from late copies of its
 // last run.
-func (t *term) onRestart(m *machine, rep *wire.Heartbeat, now time.Time) {
-	t.log().Info("machine restarted", "machine", m.id, "tasks", len(m.tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.epoch, "was_sequence", m.sequence)
+func (rc *reconciler) onRestart(m *machine, rep *wire.Heartbeat, now time.Time) {
+	rc.log().Info("machine restarted", "machine", m.id, "tasks", len(m.tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.epoch, "was_sequence", m.sequence)
 	m.epoch, m.sequence, m.images = 0, 0, imageCache{}
 	for _, a := range m.tasks {
 		a.replySequence = 0 // the answer that carried it went to the last run
 	}
-	t.drainMachine(m, drainRestarted)
-	t.reconcile(m, rep, false, now)
+	rc.drainMachine(m, drainRestarted)
+	rc.reconcile(m, rep, false, now)
 	m.restarted = true
-	t.scaleIn(m, drainRestarted)
+	rc.scaler.scaleIn(m, drainRestarted)
 }
 
 // reconcile takes in a report, or the answer to a command, which is the same. It tells
 // whether it was newer than what was known.
-func (t *term) reconcile(m *machine, rep *wire.Heartbeat, sent bool, now time.Time) bool {
+func (rc *reconciler) reconcile(m *machine, rep *wire.Heartbeat, sent bool, now time.Time) bool {
 	if !rep.Newer(m.epoch, m.sequence) || m.restarted {
 		return false
 	}
-	t.state.zoneDetector.Heard(rep.Zone, sent, now)
+	rc.state.zoneDetector.Heard(rep.Zone, sent, now)
 	if m.firstHeartbeatAt.IsZero() {
 		m.firstHeartbeatAt = now
-		t.logMachineUp(m, now)
-		t.state.requestCycle()
+		rc.logMachineUp(m, now)
+		rc.state.requestCycle()
 	}
-	t.updateMachine(m, rep, now)
+	rc.updateMachine(m, rep, now)
 	if sent {
 		m.heartbeatsMissingSince = time.Time{}
 	} else if m.heartbeatsMissingSince.IsZero() {
 		m.heartbeatsMissingSince = now
 	}
-	t.updateSpotNotice(m, rep, now)
+	rc.updateSpotNotice(m, rep, now)
 	listed := make(map[wire.Task]bool, len(rep.Tasks)) // made here, it needs no heap
-	t.reconcileTasks(m, rep, listed, now)
+	rc.reconcileTasks(m, rep, listed, now)
 	for task, a := range m.tasks {
-		if !listed[task] && !a.unstored && !t.state.launchMayTakeEffect(a, rep, sent) {
-			t.onMissingAttempt(a, rep)
+		if !listed[task] && !a.unstored && !rc.state.launchMayTakeEffect(a, rep, sent) {
+			rc.onMissingAttempt(a, rep)
 		}
 	}
 	return true
 }
 
 // updateMachine takes in what a report says of the machine itself.
-func (t *term) updateMachine(m *machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *reconciler) updateMachine(m *machine, rep *wire.Heartbeat, now time.Time) {
 	if rep.Epoch > m.epoch {
 		// A lease that ran out leaves the images where they are; a restart
 		// begins with the first session again.
@@ -162,27 +179,27 @@
 	m.addr, m.machineType, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
 	m.epoch, m.sequence = rep.Epoch, rep.Sequence
 	m.lastMessageAt, m.booting, m.unansweredProbes = now, false, 0
-	if m.token < t.state.firstToken && rep.Token >= t.state.firstToken {
+	if m.token < rc.state.firstToken && rep.Token >= rc.state.firstToken {
 		m.tokenSeenAt = now
 	}
 	m.token = max(m.token, rep.Token)
 }
 
 // updateSpotNotice takes in that the cloud will take the machine back.
-func (t *term) updateSpotNotice(m *machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *reconciler) updateSpotNotice(m *machine, rep *wire.Heartbeat, now time.Time) {
 	if rep.SpotNotice == nil {
 		return
 	}
 	if m.reclaimAt.IsZero() {
-		t.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
-		t.drainMachine(m, drainSpotNotice)
+		rc.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
+		rc.drainMachine(m, drainSpotNotice)
 	}
 	m.reclaimAt = now.Add(rep.SpotNotice.Duration())
 }
 
 // reconcileTasks takes in the states of the tasks in a report and notes which of ours
 // are in it; what else runs there is orphaned.
-func (t *term) reconcileTasks(m *machine, rep *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
+func (rc *reconciler) reconcileTasks(m *machine, rep *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
 	clear(m.orphanTasks)
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
@@ -192,7 +209,7 @@
 		}
 		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
 			listed[task] = true
-			t.reconcileAttempt(a, p, now)
+			rc.reconcileAttempt(a, p, now)
 		} else if p.Phase != wire.PhaseExited {
 			m.orphanTasks[task] = true
 		}
@@ -201,17 +218,17 @@
 
 // onMissingAttempt deals with an attempt that its machine's report lacks and that can't
 // start there any more by what was sent.
-func (t *term) onMissingAttempt(a *attempt, rep *wire.Heartbeat) {
+func (rc *reconciler) onMissingAttempt(a *attempt, rep *wire.Heartbeat) {
 	m := a.machine
 	switch {
-	case t.state.mayRelaunch(a):
+	case rc.state.mayRelaunch(a):
 		a.inherited, a.launchSent, a.launchUnanswered, a.replySequence = false, false, false, 0
 	case a.observed, a.inherited, rep.Epoch > a.launchEpoch && a.launchSent:
-		t.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Epoch)
-		t.leader.Metrics.TaskMoved(string(EvictedMissing))
-		t.state.endAttempt(a, taskPending)
+		rc.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Epoch)
+		rc.leader.Metrics.TaskMoved(string(EvictedMissing))
+		rc.state.endAttempt(a, taskPending)
 	case a.stopping, m.drainReason != "", a.job.cancelled:
-		t.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, taskPending)
 	default:
 		// Stored, not delivered: it is sent (again).
 		a.launchUnanswered, a.replySequence = false, 0
@@ -223,14 +240,14 @@
 const refusedStartBackoff = 2 * time.Second
 
 // reconcileAttempt takes in the state of an attempt of ours.
-func (t *term) reconcileAttempt(a *attempt, p *wire.TaskState, now time.Time) {
+func (rc *reconciler) reconcileAttempt(a *attempt, p *wire.TaskState, now time.Time) {
 	m, j := a.machine, a.job
 	if a.launchSent && !a.observed {
-		t.inboundWorks(m)
+		rc.inboundWorks(m)
 	}
 	a.observed = true
 	if hasImage(a, p) {
-		m.images.touch(j.spec.Image, j.spec.ImageGB, t.state.imageCacheGB(m.machineType), now)
+		m.images.touch(j.spec.Image, j.spec.ImageGB, rc.state.imageCacheGB(m.machineType), now)
 		if a.imageReadyAt.IsZero() {
 			a.imageReadyAt = now
 		}
@@ -239,13 +256,13 @@
 		a.runningSince = now
 		if !j.hasRun {
 			j.hasRun = true
-			t.leader.Metrics.StartDelay(j.spec.Class, now.Sub(j.acceptedAt).Seconds())
+			rc.leader.Metrics.StartDelay(j.spec.Class, now.Sub(j.acceptedAt).Seconds())
 		}
 	}
 	a.phase = p.Phase
-	t.reconcileGang(a, p)
+	rc.reconcileGang(a, p)
 	if p.Phase == wire.PhaseExited {
-		t.onTaskExit(a, p, now)
+		rc.onTaskExit(a, p, now)
 	}
 }
 
@@ -264,7 +281,7 @@
 }
 
 // reconcileGang notes what the state of a task says of its gang.
-func (t *term) reconcileGang(a *attempt, p *wire.TaskState) {
+func (rc *reconciler) reconcileGang(a *attempt, p *wire.TaskState) {
 	j, g := a.job, a.job.gang
 	if g == nil {
 		return
@@ -275,44 +292,44 @@
 	if p.Phase == wire.PhaseSaving && !g.stopRequested && !g.broken && !j.cancelled && a.inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
 		// that don't learn of it in time don't save.
-		t.stopGang(j, t.state.gracePeriodOf(j), EvictedByEarlierLeader)
+		rc.dispatcher.stopGang(j, rc.state.gracePeriodOf(j), EvictedByEarlierLeader)
 	}
 }
 
 // onTaskExit takes in that an attempt has ended.
-func (t *term) onTaskExit(a *attempt, p *wire.TaskState, now time.Time) {
+func (rc *reconciler) onTaskExit(a *attempt, p *wire.TaskState, now time.Time) {
 	m, j := a.machine, a.job
 	switch p.Cause {
 	case wire.CauseDone:
-		t.onTaskDone(a, now)
+		rc.onTaskDone(a, now)
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
-		t.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, taskPending)
 	case wire.CauseError:
-		t.onTaskFailure(a, now)
-		t.state.endAttempt(a, taskPending)
+		rc.onTaskFailure(a, now)
+		rc.state.endAttempt(a, taskPending)
 	default:
-		t.log().Info("start refused", "task", a.task(), "attempt", a.number, "machine", m.id, "cause", p.Cause)
+		rc.log().Info("start refused", "task", a.task(), "attempt", a.number, "machine", m.id, "cause", p.Cause)
 		m.refusedUntil = now.Add(refusedStartBackoff)
 		if p.Cause == wire.CauseNoSuch {
 			j.startNotBefore = now.Add(refusedStartBackoff)
 		}
-		t.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, taskPending)
 	}
 }
 
 // onTaskDone takes in that a task is complete.
-func (t *term) onTaskDone(a *attempt, now time.Time) {
+func (rc *reconciler) onTaskDone(a *attempt, now time.Time) {
 	m, j := a.machine, a.job
 	if !a.runningSince.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
-		t.recordRunTime(a, now)
+		rc.recordRunTime(a, now)
 	}
 	j.succeeded, j.failures = true, 0
 	clear(j.failedMachines)
 	clear(m.failedJobs)
 	m.failures = 0
 	if j.spec.Gang() {
-		t.state.completeGang(j)
+		rc.state.completeGang(j)
 		return
 	}
-	t.state.endAttempt(a, taskDone)
+	rc.state.endAttempt(a, taskDone)
 }
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -38,7 +38,7 @@
 	l.delegation.MaxCancelAge = delegation.BoundsOf(cfg.Settings.Workers).MaxCancelAge
 	l.delegate = newDelegate(l.Dependencies, l.delegation)
 	tm := newTerm(l, leaseFor(l, 50, time.Hour))
-	tm.recovered = true
+	tm.state.recovered = true
 	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 	tm.state.jobs[j.spec.ID] = j
 	m := tm.state.getOrAddMachine("n-1")
@@ -88,7 +88,7 @@
 	for _, c := range cases {
 		tm, m, a := rig(t)
 		c.setup(a)
-		tm.reconcile(m, c.rep, c.hello, time.Now())
+		tm.reconciler.reconcile(m, c.rep, c.hello, time.Now())
 		if gone := a.job.activeTasks == 0; gone != c.gone {
 			t.Errorf("%s: gone %v, want %v", c.name, gone, c.gone)
 		}
@@ -113,8 +113,10 @@
 			m.lastReplyAt, m.epochSince = tm.state.termStartedAt, tm.state.termStartedAt.Add(15*time.Second)
 		},
 			func(_ *term, m *machine) time.Time { return m.epochSince }},
-		{"never heard, a majority holds our token", func(tm *term, m *machine) { m.token, tm.quorumAckedAt = 0, tm.state.termStartedAt.Add(time.Second) },
-			func(tm *term, _ *machine) time.Time { return tm.quorumAckedAt.Add(peer.AckLifetime) }},
+		{"never heard, a majority holds our token", func(tm *term, m *machine) {
+			m.token, tm.state.quorumAckedAt = 0, tm.state.termStartedAt.Add(time.Second)
+		},
+			func(tm *term, _ *machine) time.Time { return tm.state.quorumAckedAt.Add(peer.AckLifetime) }},
 		{"never heard, no majority", func(tm *term, m *machine) { m.token = 0 },
 			func(tm *term, _ *machine) time.Time { return tm.state.termStartedAt.Add(peer.OutageLimit) }},
 	}
@@ -122,11 +124,11 @@
 		tm, m, a := rig(t)
 		c.setup(tm, m)
 		edge := c.from(tm, m).Add(life)
-		tm.expireLease(m, edge.Add(-time.Millisecond))
+		tm.monitor.expireLease(m, edge.Add(-time.Millisecond))
 		if a.job.activeTasks != 1 {
 			t.Errorf("%s: gone before the lease ends", c.name)
 		}
-		tm.expireLease(m, edge)
+		tm.monitor.expireLease(m, edge)
 		if a.job.activeTasks != 0 {
 			t.Errorf("%s: still held after the lease", c.name)
 		}
@@ -150,15 +152,15 @@
 	} {
 		tm, m, a := rig(t)
 		rep := said(1, 11, 50, exited)
-		tm.reconcile(m, rep, true, time.Now())
+		tm.reconciler.reconcile(m, rep, true, time.Now())
 		a.chunk.dirty = false
 		c.setup(tm, m, a)
 		got := false
-		for _, o := range tm.commandsFor(m, rep, time.Now()) {
+		for _, o := range tm.dispatcher.commandsFor(m, rep, time.Now()) {
 			got = got || o.Verb == wire.Forget && o.Attempt == 7
 		}
-		if got != c.forget || tm.tokenRaiseRequested != c.raise {
-			t.Errorf("%s: forget %v, raise %v", name, got, tm.tokenRaiseRequested)
+		if got != c.forget || tm.fencing.raiseRequested != c.raise {
+			t.Errorf("%s: forget %v, raise %v", name, got, tm.fencing.raiseRequested)
 		}
 	}
 }
@@ -170,12 +172,12 @@
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
 	rep := said(1, 11, 50, wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning}, wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
 	rep.Type = "c4"
-	tm.reconcile(m, rep, true, time.Now())
+	tm.reconciler.reconcile(m, rep, true, time.Now())
 	if f := tm.state.freeResources(m); f.CPUs != 0 {
 		t.Errorf("%g cpus free beside a task of unknown size", f.CPUs)
 	}
 	halts := 0
-	for _, o := range tm.commandsFor(m, rep, time.Now()) {
+	for _, o := range tm.dispatcher.commandsFor(m, rep, time.Now()) {
 		if o.Verb == wire.Stop && o.Task == "req-77/0" {
 			halts++
 		}
@@ -209,13 +211,13 @@
 	for _, id := range []wire.MachineID{"n-2", "n-3", "n-4"} {
 		tm.state.getOrAddMachine(id)
 	}
-	if tm.mayDrainSuspect() {
+	if tm.reconciler.mayDrainSuspect() {
 		t.Error("a second of four machines may be condemned")
 	}
 	for _, id := range []wire.MachineID{"n-5", "n-6", "n-7", "n-8"} {
 		tm.state.getOrAddMachine(id)
 	}
-	if !tm.mayDrainSuspect() {
+	if !tm.reconciler.mayDrainSuspect() {
 		t.Error("a second of eight machines may not be condemned")
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -45,7 +45,7 @@
 	clear(tm.state.unsaved.finishedJobs)
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
-	tm.ctx = ctx
+	tm.begin(ctx)
 	away(tm)
 	tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.leader.Log)
 	tm.leader.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
@@ -57,7 +57,7 @@
 	tm.state.settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
-	tm.machineListReceived, tm.schedulingEnabled = true, true
+	tm.state.machineListReceived, tm.state.schedulingEnabled = true, true
 	tm.state.termStartedAt = now.Add(-time.Minute)
 	job := func(id int, parts int, s wire.JobSpec) *job {
 		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
@@ -73,7 +73,7 @@
 	for i := range n {
 		m := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
 		m.machineType, m.zone, m.spot, m.addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
-		m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = 1, 10, tm.token, now, now, now, now
+		m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = 1, 10, tm.fencing.token, now, now, now, now
 		m.requestedAt = now.Add(-2 * time.Minute)
 		if i%2 == 0 {
 			for range 4 {
@@ -123,7 +123,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		go func() {
 			for h := range tm.heartbeatCalls {
-				tm.onHeartbeat(h)
+				tm.reconciler.onHeartbeat(h)
 			}
 		}()
 		defer close(tm.heartbeatCalls)
@@ -163,7 +163,7 @@
 			for _, m := range tm.state.machines {
 				m.lastMessageAt = now
 			}
-			tm.checkMachines(now)
+			tm.monitor.checkMachines(now)
 		}
 	})
 }
@@ -187,8 +187,8 @@
 func BenchmarkFleetPlan(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
-			tm.planFleet(time.Now())
-			tm.scaling = scaling.New(tm.state.firstToken)
+			tm.scaler.planFleet(time.Now())
+			tm.scaler.tracker = scaling.New(tm.state.firstToken)
 		}
 	})
 }
@@ -203,8 +203,8 @@
 		}
 		for b.Loop() {
 			next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
-			next.ctx = tm.ctx
-			next.loadRecords(jobs, runs)
+			next.begin(tm.ctx)
+			next.records.loadRecords(jobs, runs)
 			if len(next.state.jobs) != len(jobs) {
 				b.Fatal(len(next.state.jobs))
 			}
@@ -257,7 +257,7 @@
 	go func() {
 		defer close(done)
 		for call := range tm.heartbeatCalls {
-			tm.onHeartbeat(call)
+			tm.reconciler.onHeartbeat(call)
 		}
 	}()
 	reports := make([]wire.Heartbeat, 0, len(tm.state.machines))
@@ -296,24 +296,24 @@
 		runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(rec)})
 	}
 	next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
-	next.ctx = tm.ctx
+	next.begin(tm.ctx)
 	began := time.Now()
-	next.loadRecords(jobs, runs)
+	next.records.loadRecords(jobs, runs)
 	recovery := time.Since(began)
 	listed := make([]wire.ListedMachine, 0, largestFleet)
 	for _, m := range tm.state.machines {
 		listed = append(listed, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: wire.ListedRunning, Age: 120})
 	}
-	next.onMachineList(listed)
+	next.inventory.onMachineList(listed, time.Now())
 	for id, m := range next.state.machines {
-		m.epoch, m.sequence, m.token = 1, tm.state.machines[id].sequence, next.token
+		m.epoch, m.sequence, m.token = 1, tm.state.machines[id].sequence, next.fencing.token
 	}
 	began = time.Now()
 	if n := reportAll(next); n != largestFleet {
 		t.Errorf("%d reports were answered by the next leader", n)
 	}
 	reports := time.Since(began)
-	next.schedulingEnabled = true
+	next.state.schedulingEnabled = true
 	began = time.Now()
 	next.runCycle(time.Now())
 	round := time.Since(began)
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -6,6 +6,7 @@
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/wire"
+	"lilaclead/upgrade"
 )
 
 // State is what one term of leadership knows of jobs and machines. It is owned by the
@@ -32,6 +33,13 @@
 	delegatesRenewedUntil time.Time
 	storeAvailableSince   time.Time // when the state service was last back
 
+	recovered              bool            // the records have been read
+	schedulingEnabled      bool            // the first round of heartbeats is over
+	machineListReceived    bool            // a machine list has come in
+	machineListRequestedAt time.Time       // when the last one was asked for
+	quorumAckedAt          time.Time       // when a quorum first held our token
+	activeVersion          upgrade.Version // that the leader acts by
+
 	unsaved unsavedChanges
 	cycle   cycleTimer
 }
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -77,10 +77,10 @@
 		lead := func() {
 			l := &Leader{Dependencies: deps(config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: next}})}
 			tm = newTerm(l, leaseFor(l, 50, 0))
-			tm.recovered = true
+			tm.state.recovered = true
 			j = newJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: per}, 1)
 			tm.state.jobs[spec.ID] = j
-			tm.readProgress(s.list())
+			tm.records.readProgress(s.list())
 			if len(tm.writer.orphans) > 0 {
 				t.Fatalf("taken for left over: %v", tm.writer.orphans)
 			}
@@ -354,7 +354,7 @@
 		if len(m.tasks) > 0 || tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("released before its progress is written")
 		}
-		tm.flush(time.Now())
+		tm.committer.flush(time.Now())
 		if !tm.writer.inFlight || tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("released while its progress is being written")
 		}
--- a/internal/leader/undecodable.go
+++ b/internal/leader/undecodable.go
@@ -10,10 +10,10 @@
 // it is started, written, halted or forgotten until the job is cancelled or a version
 // that can decode the record leads: it may have been written by a later one. All
 // other jobs go on.
-func (t *term) quarantine(key string, id wire.JobID, err error) {
-	t.leader.Undecodable.Note(key, err)
-	t.state.quarantinedJobs[id] = true
-	if j := t.state.jobs[id]; j != nil && key == store.JobKey(id) {
+func (rd *records) quarantine(key string, id wire.JobID, err error) {
+	rd.leader.Undecodable.Note(key, err)
+	rd.state.quarantinedJobs[id] = true
+	if j := rd.state.jobs[id]; j != nil && key == store.JobKey(id) {
 		j.recordOutdated = true // a write that is guarded by what was known of it would fail
 	}
 }
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -23,20 +23,20 @@
 
 // recordsIntents tells whether intents are recorded now: the part is on and, where
 // versions are negotiated, every controller understands it.
-func (t *term) recordsIntents() bool {
-	return t.intents != nil && (t.leader.Versions == nil || t.version >= VersionIntents)
+func (sl *scaler) recordsIntents() bool {
+	return sl.intents != nil && (sl.leader.Versions == nil || sl.state.activeVersion >= VersionIntents)
 }
 
 // readVersion reads the active version for this term. It is read after the lease was
 // taken, and only leaders switch, by writes that their token guards: no earlier one can
 // switch any more.
-func (t *term) readVersion(ctx context.Context) (upgrade.Version, error) {
-	if t.leader.Versions == nil {
+func (rd *records) readVersion(ctx context.Context) (upgrade.Version, error) {
+	if rd.leader.Versions == nil {
 		return 0, nil
 	}
-	v, err := t.leader.Versions.ReadActive(ctx)
+	v, err := rd.leader.Versions.ReadActive(ctx)
 	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
-		t.post(func() { t.resign(err.Error()) })
+		rd.post(resignationDue{err.Error()})
 	}
 	return v, err
 }
@@ -47,13 +47,13 @@
 		return
 	}
 	var logged string
-	for t.pause(advanceEvery) {
+	for pause(ctx, advanceEvery) {
 		version, err := t.tryAdvance(ctx)
 		if err != nil && err.Error() != logged {
 			logged = err.Error()
 			t.log().Info("the active version could not be switched", "err", err)
 		}
-		t.post(func() { t.takeVersion(version) })
+		t.post(versionChecked{version})
 	}
 }
 
@@ -81,9 +81,9 @@
 
 // takeVersion acts by a version that is active, once the term knows all records.
 func (t *term) takeVersion(version upgrade.Version) {
-	if version > t.version && t.recovered {
-		t.log().Info("acts by version", "version", version, "before", t.version)
-		t.version = version
+	if version > t.state.activeVersion && t.state.recovered {
+		t.log().Info("acts by version", "version", version, "before", t.state.activeVersion)
+		t.state.activeVersion = version
 	}
 }
 
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -50,9 +50,8 @@
 		return nil
 	}
 	out := make(chan *View, 1)
-	ask := func() { out <- t.view(time.Now()) }
 	select {
-	case t.inbox <- ask:
+	case t.events <- viewRequested{out}:
 	case <-t.done:
 		return nil
 	case <-ctx.Done():
@@ -90,12 +89,12 @@
 	if most := t.leader.Workers; up > most {
 		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
 	}
-	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.jobs), "jobs_waiting", waiting,
+	t.log().Info("status", "token", t.fencing.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.jobs), "jobs_waiting", waiting,
 		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.scheduler.backlogS), "round", t.state.cycle.lastDuration, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.lease.Deciding(), PendingScaleOuts: len(t.scaling.PendingScaleOuts())}
+	v := &View{Deciding: t.lease.Deciding(), PendingScaleOuts: len(t.scaler.tracker.PendingScaleOuts())}
 	for _, m := range t.state.machines {
 		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.state.sinceLastMessage(m, now).Seconds(), t.state.freeResources(m).CPUs})
 	}
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -31,21 +31,21 @@
 		tm.leader.Store = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 		tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, nw.Host("10.0.0.1"), tm.leader.Log)
 		go tm.leader.Mesh.Run(ctx)
-		tm.ctx = ctx
+		tm.begin(ctx)
 		tm.state.settings.State.TxnOps = 12
 		tm.leader.candidate = election.NewCandidate(tm.leader.Config, tm.leader.Store, tm.leader.Log, tm.leader.Mesh.ObserveToken)
-		tm.token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
-		tm.lease, tm.state.firstToken = leaseFor(tm.leader, tm.token, time.Hour), tm.token
-		m.token = tm.token
+		tm.fencing.token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
+		tm.lease, tm.state.firstToken = leaseFor(tm.leader, tm.fencing.token, time.Hour), tm.fencing.token
+		m.token = tm.fencing.token
 		tm.state.endAttempt(a, taskPending)
 		a.chunk.dirty, a.job.finished = false, false
 		a.job.revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
 		f(tm, m, st, func() {
 			for range 200 {
-				tm.flush(time.Now())
+				tm.committer.flush(time.Now())
 				select {
-				case g := <-tm.inbox:
-					g()
+				case e := <-tm.events:
+					e.handle(tm)
 				case <-time.After(50 * time.Millisecond):
 				}
 			}
@@ -89,7 +89,7 @@
 		"lost before it came":   func(st *simulator.State) { st.DropRequests(1) },
 	} {
 		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-			j, token := tm.state.jobs["req-1"], tm.token
+			j, token := tm.state.jobs["req-1"], tm.fencing.token
 			lose(st)
 			tm.scheduler.startTask(j, m, time.Now())
 			settle()
@@ -97,7 +97,7 @@
 			if a == nil || a.unstored || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
 				t.Errorf("%s: attempt %+v, stored %v, term over: %v", name, a, st.Keys(store.ProgressPrefix), ended(tm))
 			}
-			if tm.token <= token {
+			if tm.fencing.token <= token {
 				t.Errorf("%s: the token was not raised", name)
 			}
 			// What is known still agrees with what is stored.
@@ -129,18 +129,18 @@
 func TestMachineNeverHeardOf(t *testing.T) {
 	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
 		tm.leader.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
-		tm.machineListReceived = true
+		tm.state.machineListReceived = true
 		m.token, m.addr, m.firstHeartbeatAt = 0, "", time.Time{}
 		if !tm.enoughMachinesHeard(time.Now()) {
 			t.Error("the first round waits for a machine that nothing is known of")
 		}
 		time.Sleep(5 * time.Second)
-		tm.checkMachines(time.Now())
+		tm.monitor.checkMachines(time.Now())
 		if m.scalingIn {
 			t.Error("released after 5 s")
 		}
 		time.Sleep(5 * time.Second)
-		tm.checkMachines(time.Now())
+		tm.monitor.checkMachines(time.Now())
 		if !m.scalingIn {
 			t.Error("not released after 10 s")
 		}
@@ -187,10 +187,10 @@
 		tm.state.markIfFinished(j)
 		conflicts := 0
 		for range 100 {
-			tm.flush(time.Now())
+			tm.committer.flush(time.Now())
 			select {
-			case g := <-tm.inbox:
-				g()
+			case e := <-tm.events:
+				e.handle(tm)
 			case <-time.After(50 * time.Millisecond):
 			}
 			if j.recordOutdated {
@@ -222,22 +222,22 @@
 				// It is read again after a guard that failed; the watch tells first,
 				// and the answer comes when the watch has shown its end as well.
 				st.DelayAnswers("", time.Second)
-				tm.reread(j)
+				tm.committer.reread(j)
 				time.Sleep(20 * time.Millisecond)
 				st.DelayAnswers("", 0)
-				tm.applyChanges([]wire.Change{put})
+				tm.records.applyChanges([]wire.Change{put})
 				for range 8 {
-					tm.flush(time.Now())
+					tm.committer.flush(time.Now())
 					select {
-					case g := <-tm.inbox:
-						g()
+					case e := <-tm.events:
+						e.handle(tm)
 					case <-time.After(50 * time.Millisecond):
 					}
 				}
 				if len(st.Keys(store.FinalKey("req-1"))) != 1 {
 					t.Error("not archived while the answer is under way")
 				}
-				tm.applyChanges([]wire.Change{drop})
+				tm.records.applyChanges([]wire.Change{drop})
 			} else {
 				tm.scheduler.startTask(j, m, time.Now())
 			}
@@ -245,16 +245,16 @@
 			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.state.jobs) != 0 {
 				t.Errorf("not archived: %v, %v", tm.state.jobs, st.Keys(""))
 			}
-			tm.reread(j) // as one that was under way
+			tm.committer.reread(j) // as one that was under way
 			settle()
 			if !watchFirst {
-				tm.applyChanges([]wire.Change{put})
+				tm.records.applyChanges([]wire.Change{put})
 				settle()
 			}
 			if len(tm.state.jobs) != 0 || ended(tm) {
 				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.state.jobs, ended(tm), tm.endReason)
 			}
-			tm.applyChanges([]wire.Change{drop})
+			tm.records.applyChanges([]wire.Change{drop})
 			if len(tm.state.archivedJobs) != 0 {
 				t.Errorf("remembered for ever: %v", tm.state.archivedJobs)
 			}
