--- a/internal/leader/attempt.go
+++ b/internal/leader/attempt.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"math"
 	"time"
 
 	"lilaclead/internal/placement"
@@ -78,14 +79,14 @@
 		a.job.unstoredAttempts--
 	}
 	c.taskStates[a.index] = state
-	if state == taskPending {
+	if state == TaskPending {
 		c.firstPending, a.job.firstPendingChunk = min(c.firstPending, a.index), min(a.job.firstPendingChunk, c.index)
 	}
 	s.unsaved.markDirty(c)
-	if state == taskPending && a.job.spec.Gang() {
+	if state == TaskPending && a.job.spec.Gang() {
 		s.brokenGangs[a.job] = struct{}{}
 	}
-	if state == taskDone {
+	if state == TaskDone {
 		a.job.doneTasks++
 	}
 	a.machine.lastUsedAt = time.Now()
@@ -94,38 +95,6 @@
 	s.requestCycle()
 }
 
-// stop wants the attempt stopped, and with a gang's task all of the gang.
-func (dp *dispatcher) stop(a *attempt, grace wire.Seconds, why EvictionReason) {
-	if a.job.gang != nil {
-		dp.stopGang(a.job, grace, why)
-		return
-	}
-	dp.stopAttempt(a, grace, why)
-}
-
-func (dp *dispatcher) stopAttempt(a *attempt, grace wire.Seconds, why EvictionReason) {
-	if a.unstored {
-		if !a.chunk.writeInFlight {
-			dp.state.endAttempt(a, taskPending)
-		} else {
-			a.stopping, a.gracePeriod, a.stopReason = true, grace, why
-		}
-		return
-	}
-	if a.stopping && a.gracePeriod <= grace {
-		return
-	}
-	if !a.stopping {
-		a.stopRequestedAt = time.Now()
-	}
-	a.stopping, a.gracePeriod, a.stopReason, a.stopSentAt = true, grace, why, time.Time{}
-	if why != EvictedCancelled {
-		dp.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
-		dp.leader.Metrics.TaskMoved(string(why))
-	}
-	dp.dispatch(a.machine)
-}
-
 // resources of the attempt.
 func (a *attempt) resources() placement.Resources { return placement.ResourcesOf(&a.job.spec) }
 
@@ -151,3 +120,25 @@
 	}
 	return j.chunks[task.Index/j.tasksPerChunk].attempts[task.Index%j.tasksPerChunk]
 }
+
+// expectedRemainingSeconds is in how many seconds a task is expected to end by itself. Until some of
+// its job's tasks are done there is only its owner's word, which is often short.
+func (a *attempt) expectedRemainingSeconds(now time.Time) float64 {
+	if a.runningSince.IsZero() || a.job.spec.Service() {
+		return math.Inf(1)
+	}
+	need := a.job.expectedSeconds()
+	if len(a.job.runTimes.samples) == 0 {
+		need *= 1.5
+	}
+	return max(need/10, need-now.Sub(a.runningSince).Seconds())
+}
+
+// plannedRemainingSeconds is in how many seconds the attempt is expected to end, one at least.
+func (a *attempt) plannedRemainingSeconds(now time.Time) float64 {
+	in := a.job.expectedSeconds()
+	if !a.runningSince.IsZero() {
+		in -= now.Sub(a.runningSince).Seconds()
+	}
+	return max(in, 1)
+}
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -7,18 +7,6 @@
 	"lilaclead/internal/wire"
 )
 
-// stopCancelledJob stops what is left of a cancelled job. For a job that is read
-// during recovery this comes only once its attempts have been read too: before, it
-// looks as if nothing of it were left.
-func (dp *dispatcher) stopCancelledJob(j *job) {
-	dp.log().Info("cancels", "job", j.spec.ID, "held", j.activeTasks)
-	dp.state.cancelledJobs[j] = struct{}{}
-	for _, a := range j.attempts() {
-		dp.stopAttempt(a, 0, EvictedCancelled)
-	}
-	dp.state.markIfFinished(j)
-}
-
 // UnconfirmedCancelSince is since when there are cancellations of which a launch may still be
 // on its way unseen: nobody can halt that by what a report shows. Zero: none.
 func (l *Leader) UnconfirmedCancelSince() time.Time {
--- a/internal/leader/capacity.go
+++ b/internal/leader/capacity.go
@@ -122,7 +122,7 @@
 		if spec == nil {
 			continue
 		}
-		total := placementRes(spec)
+		total := machineResources(spec)
 		for range b.Count {
 			out = append(out, fleet.Machine{Type: b.Type, Zone: b.Zone, Spot: b.Spot, Total: total, Free: total, Booting: true, Price: spec.Price(b.Spot)})
 		}
@@ -138,7 +138,7 @@
 		if !f.Fits(s) {
 			continue
 		}
-		n := placement.ResourcesOf(s).Units(placementRes(f))
+		n := placement.ResourcesOf(s).Units(machineResources(f))
 		best = min(best, f.OnDemandPrice/float64(n))
 		if s.SpotAllowed {
 			best = min(best, f.SpotPrice/float64(n))
@@ -158,7 +158,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				if sc.scaling.Available(scaling.Offer{Type: spec.Name, Zone: zone, Spot: spot}, now) {
-					out = append(out, fleet.Offer{Type: spec.Name, Zone: zone, Spot: spot, Total: placementRes(spec),
+					out = append(out, fleet.Offer{Type: spec.Name, Zone: zone, Spot: spot, Total: machineResources(spec),
 						Price: spec.Price(spot), FetchGBPerS: spec.FetchGBPerS, Room: maxOffer})
 				}
 			}
@@ -166,17 +166,3 @@
 	}
 	return out
 }
-
-// placementRes is all the room of a machine of the type.
-func placementRes(spec *wire.MachineSpec) placement.Resources {
-	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
-}
-
-// plannedRemainingSeconds is in how many seconds the attempt is expected to end, one at least.
-func (a *attempt) plannedRemainingSeconds(now time.Time) float64 {
-	in := a.job.expectedSeconds()
-	if !a.runningSince.IsZero() {
-		in -= now.Sub(a.runningSince).Seconds()
-	}
-	return max(in, 1)
-}
--- a/internal/leader/chunk.go
+++ b/internal/leader/chunk.go
@@ -8,6 +8,10 @@
 	"lilaclead/internal/wire"
 )
 
+// withdrawnStartBackoff is how long a job waits whose start had no room in its record.
+const withdrawnStartBackoff = time.Second
+
+// chunk is the progress of a fixed number of a job's tasks, which is stored as one record.
 type chunk struct {
 	job              *job
 	index            int
@@ -25,7 +29,7 @@
 }
 
 func (c *chunk) add(a *attempt) {
-	c.taskStates[a.index] = taskActive
+	c.taskStates[a.index] = TaskActive
 	c.attempts[a.index] = a
 	c.job.activeTasks++
 	a.machine.tasks[a.task()] = a
@@ -36,7 +40,7 @@
 func (c *chunk) record() store.ChunkRecord {
 	done := make([]bool, len(c.taskStates))
 	for i, s := range c.taskStates {
-		done[i] = s == taskDone
+		done[i] = s == TaskDone
 	}
 	rec := store.ChunkRecord{NextAttempt: c.nextAttempt, Done: store.PackRanges(done), Active: []store.ActiveAttempt{}}
 	if c.job.subchunksPerChunk > 0 {
@@ -55,9 +59,22 @@
 		a.detach()
 	}
 	for i, state := range c.taskStates {
-		if state == taskDone {
+		if state == TaskDone {
 			c.job.doneTasks--
 		}
-		c.taskStates[i] = taskPending
+		c.taskStates[i] = TaskPending
+	}
+}
+
+// withdrawUnstoredStart takes back a start that is not stored yet, as the chunk's record
+// has no room for it.
+func (s *State) withdrawUnstoredStart(c *chunk, now time.Time) bool {
+	for _, a := range c.attempts {
+		if a.unstored {
+			s.endAttempt(a, TaskPending)
+			c.job.startNotBefore = now.Add(withdrawnStartBackoff)
+			return true
+		}
 	}
+	return false
 }
--- a/internal/leader/demands.go
+++ b/internal/leader/demands.go
@@ -122,19 +122,6 @@
 	return append(out, d)
 }
 
-// zoneCapacityLeft is how many more tasks of a job that is bound to zones each may take.
-func (j *job) zoneCapacityLeft(zones []wire.Zone) map[wire.Zone]int {
-	left := map[wire.Zone]int{}
-	held := j.activeByZone()
-	for _, z := range zones {
-		left[z] = max(0, j.spec.ZoneCap()-held[z])
-		if j.spec.SameZone && j.activeTasks > 0 && held[z] == 0 {
-			left[z] = 0
-		}
-	}
-	return left
-}
-
 // spareDemand is for the room that is kept for the next replicas. In one zone alone
 // it would not serve a service that is spread.
 func (sc *scheduler) spareDemand(spareUnits float64, zones []wire.Zone) (fleet.Demand, bool) {
@@ -239,16 +226,3 @@
 	}
 	return boot
 }
-
-// startWithin is when every job should have begun.
-const startWithin = demand.StartWithinS * time.Second
-
-// startOverdue tells whether an array has waited so long without a start that its
-// first task goes before everything but services. Little work left, prices
-// and priorities order the rest; under a steady overload they would keep a
-// large or cheap job waiting for ever. So it is with one that has begun and of
-// which nothing has run for as long: when the cheap machines that it was on had
-// been taken and there were no more of them, the rest of it was never run.
-func (s *State) startOverdue(j *job, now time.Time) bool {
-	return !j.spec.Service() && j.activeTasks == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.doneTasks == 0 || now.Sub(latest(j.lastActiveAt, s.termStartedAt)) > startWithin/2)
-}
--- a/internal/leader/faults.go
+++ b/internal/leader/failures.go
@@ -1,33 +1,11 @@
 package leader
 
 import (
-	"slices"
 	"time"
 
 	"lilaclead/internal/wire"
 )
 
-// runTimeStats keeps the last run times of a job's tasks.
-type runTimeStats struct {
-	samples       []float64
-	medianSeconds float64
-}
-
-func (r *runTimeStats) add(v float64) {
-	r.samples = append(r.samples, v)
-	if len(r.samples) > 15 {
-		r.samples = r.samples[1:]
-	}
-	c := slices.Clone(r.samples)
-	slices.Sort(c)
-	r.medianSeconds = c[len(c)/2]
-}
-
-func (r *runTimeStats) median() float64 { return r.medianSeconds }
-
-// slowStats counts completions of a machine against its peers'.
-type slowRunCounts struct{ slow, normal int }
-
 const slowFactor = 1.6
 
 // recordRunTime compares a completed run with the job's others.
@@ -41,7 +19,7 @@
 			a.machine.slowRuns.normal++
 		}
 		if a.machine.slowRuns.slow >= 3 && a.machine.slowRuns.slow > 3*a.machine.slowRuns.normal && rc.mayDrainSuspect() {
-			rc.drainMachine(a.machine, drainSlow)
+			rc.drainMachine(a.machine, DrainSlow)
 		}
 	}
 	j.runTimes.add(took)
@@ -62,7 +40,7 @@
 	rc.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedMachines), "machine_jobs", len(m.failedJobs))
 	faultyMachine := len(m.failedJobs) >= 2 || j.succeeded && m.failures >= 2 || m.failures >= 2 && len(j.failedMachines) == 1 && j.failures >= 3
 	if faultyMachine && rc.mayDrainSuspect() {
-		rc.drainMachine(m, drainFaulty)
+		rc.drainMachine(m, DrainFaulty)
 	}
 	if len(j.failedMachines) >= 2 {
 		n := min(j.failures, 6)
@@ -90,7 +68,7 @@
 			continue
 		}
 		all++
-		if m.drainReason == drainFaulty || m.drainReason == drainSlow {
+		if m.drainReason == DrainFaulty || m.drainReason == DrainSlow {
 			n++
 		}
 	}
@@ -98,7 +76,7 @@
 }
 
 // drainMachine takes a machine out of service; it is returned when empty.
-func (rc *reconciler) drainMachine(m *machine, why drainReason) {
+func (rc *reconciler) drainMachine(m *machine, why DrainReason) {
 	if m.drainReason != "" || m.scalingIn {
 		return
 	}
@@ -109,8 +87,8 @@
 		switch {
 		case a.unstored:
 		case !a.launchSent && !a.inherited:
-			rc.state.endAttempt(a, taskPending) // never sent by anyone
-		case why == drainFaulty, why == drainSlow && a.job.spec.Service():
+			rc.state.endAttempt(a, TaskPending) // never sent by anyone
+		case why == DrainFaulty, why == DrainSlow && a.job.spec.Service():
 			rc.dispatcher.stop(a, rc.state.gracePeriodOf(a.job), EvictionReason(why))
 		}
 	}
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -25,7 +25,7 @@
 	sl.scheduler.applyCordons(plan)
 	for _, id := range plan.ScaleIns {
 		if m := sl.state.machines[id]; m != nil && len(m.tasks) == 0 {
-			sl.scaleIn(m, drainIdle)
+			sl.scaleIn(m, DrainIdle)
 		}
 	}
 }
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -45,56 +45,16 @@
 		time.Since(g.startedAt) < wait
 }
 
-// stopGang stops all tasks of a gang, all of them at once: those that are told
-// late don't save.
-func (dp *dispatcher) stopGang(j *job, grace wire.Seconds, why EvictionReason) {
-	g := j.gang
-	if !g.ran && !g.inherited {
-		grace = 0 // there is nothing to save
-	}
-	if g.stopRequested && g.gracePeriod <= grace {
-		return
-	}
-	g.stopRequested, g.gracePeriod, g.stoppingGracefully = true, grace, grace > 0
-	for _, a := range j.attempts() {
-		dp.stopAttempt(a, grace, why)
-	}
-}
-
-// stopBrokenGangs looks after the gangs that have lost a task: what is left of one can
-// do nothing, and is stopped. Those that were told to stop in order end by
-// themselves.
-func (dp *dispatcher) stopBrokenGangs() {
-	for j := range dp.state.brokenGangs {
-		delete(dp.state.brokenGangs, j)
-		g := j.gang
-		switch {
-		case g == nil:
-		case j.activeTasks == 0:
-			j.gang = nil
-			dp.state.requestCycle()
-		case !g.broken:
-			g.broken = true
-			dp.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stoppingGracefully, "age", time.Since(g.startedAt), "left", j.activeTasks)
-			if !g.stoppingGracefully {
-				for _, a := range j.attempts() {
-					dp.stopAttempt(a, 0, EvictedGangIncomplete)
-				}
-			}
-		}
-	}
-}
-
 // completeGang notes that a task of a gang has completed: they complete together.
 func (s *State) completeGang(j *job) {
 	for _, a := range j.attempts() {
-		s.endAttempt(a, taskDone)
+		s.endAttempt(a, TaskDone)
 	}
 	for n := range j.chunks {
 		c := j.chunk(n)
 		for i, state := range c.taskStates {
-			if state != taskDone {
-				c.taskStates[i] = taskDone
+			if state != TaskDone {
+				c.taskStates[i] = TaskDone
 				j.doneTasks++
 				s.unsaved.markDirty(c)
 			}
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -15,7 +15,7 @@
 func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *job) {
 	t.Helper()
 	tm, _, single := rig(t)
-	tm.state.endAttempt(single, taskPending)
+	tm.state.endAttempt(single, TaskPending)
 	delete(tm.state.jobs, single.job.spec.ID)
 	tm.state.settings.Workers.GangWait, tm.state.settings.Workers.GangPeerTimeout = 40, 8
 	j := gangJob(tm, "req-2", parts)
@@ -65,7 +65,7 @@
 			a.chunk.unstoredAttempts++
 			j.unstoredAttempts++
 		}, false},
-		"one is not held":       {func(tm *term, j *job) { tm.state.endAttempt(member(j, 2), taskPending) }, false},
+		"one is not held":       {func(tm *term, j *job) { tm.state.endAttempt(member(j, 2), TaskPending) }, false},
 		"one was lost":          {func(_ *term, j *job) { j.gang.broken = true }, false},
 		"it is told to stop":    {func(_ *term, j *job) { j.gang.stoppingGracefully = true }, false},
 		"one has no time left":  {func(tm *term, j *job) { tm.dispatcher.stopGang(j, 0, "makes room") }, false},
@@ -188,7 +188,7 @@
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
-	tm.state.endAttempt(member(j, 1), taskPending)
+	tm.state.endAttempt(member(j, 1), TaskPending)
 	tm.dispatcher.stopBrokenGangs()
 	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.broken {
 		t.Errorf("one is lost: %v", got)
@@ -196,8 +196,8 @@
 	if tm.scheduler.schedulable(j, time.Now()) {
 		t.Error("placed while two of its tasks are left")
 	}
-	tm.state.endAttempt(member(j, 0), taskPending)
-	tm.state.endAttempt(member(j, 2), taskPending)
+	tm.state.endAttempt(member(j, 0), TaskPending)
+	tm.state.endAttempt(member(j, 2), TaskPending)
 	tm.state.cycle.requested = false
 	tm.dispatcher.stopBrokenGangs()
 	if j.gang != nil || !tm.state.cycle.requested || !tm.scheduler.schedulable(j, time.Now()) {
@@ -207,7 +207,7 @@
 	tm, j = gangRig(t, 3, 4)
 	j.gang.ran = true
 	tm.dispatcher.stop(member(j, 0), 13, "makes room")
-	tm.state.endAttempt(member(j, 1), taskPending)
+	tm.state.endAttempt(member(j, 1), TaskPending)
 	tm.dispatcher.stopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
@@ -235,7 +235,7 @@
 			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Active, c.dirty)
 		}
 		for i, s := range c.taskStates {
-			if s != taskDone {
+			if s != TaskDone {
 				t.Errorf("%s: task %d of chunk %d is %d", name, i, n, s)
 			}
 		}
@@ -311,7 +311,7 @@
 	tm, j := gangRig(t, 3, 4)
 	for _, a := range j.attempts() {
 		a.detach()
-		a.chunk.taskStates[a.index] = taskPending
+		a.chunk.taskStates[a.index] = TaskPending
 	}
 	j.gang = nil
 	for n := range recs {
@@ -365,7 +365,7 @@
 		}
 		watch := func(left time.Duration) {
 			now := time.Now()
-			m.reclaimAt, m.drainReason = now.Add(left), drainSpotNotice
+			m.reclaimAt, m.drainReason = now.Add(left), DrainSpotNotice
 			tm.monitor.checkMachine(m, tm.monitor.countMachines(now), now)
 		}
 		if !deciding {
--- a/internal/leader/intents.go
+++ b/internal/leader/intents.go
@@ -76,8 +76,8 @@
 		// It takes nothing from now on, also where the lease is not held for a moment and
 		// the release comes with a later look at the machine.
 		m := sl.state.getOrAddMachine(id)
-		m.drainReason = drainAdoptedScaleIn
-		sl.scaleIn(m, drainAdoptedScaleIn)
+		m.drainReason = DrainAdoptedScaleIn
+		sl.scaleIn(m, DrainAdoptedScaleIn)
 	}
 	for _, intent := range earlier.scaleOuts {
 		b := sl.tracker.Adopt(intent.Request, intent.Since.Time())
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -20,7 +20,7 @@
 	held := tm.lease
 	tm.lease = leaseFor(tm.leader, tm.fencing.token, -time.Second)
 	tm.scaler.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.id}})
-	if m.scalingIn || m.drainReason != drainAdoptedScaleIn {
+	if m.scalingIn || m.drainReason != DrainAdoptedScaleIn {
 		t.Errorf("without a lease: releasing %v, drains as %q", m.scalingIn, m.drainReason)
 	}
 	tm.lease = held
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -3,14 +3,15 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/demand"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 const (
-	taskPending uint8 = iota
-	taskActive
-	taskDone
+	TaskPending uint8 = iota
+	TaskActive
+	TaskDone
 )
 
 type job struct {
@@ -107,7 +108,7 @@
 			if n == 0 {
 				return
 			}
-			if c.taskStates[i] == taskPending {
+			if c.taskStates[i] == TaskPending {
 				f(c, i)
 				n--
 			}
@@ -134,3 +135,27 @@
 	}
 	return w
 }
+
+// zoneCapacityLeft is how many more tasks of a job that is bound to zones each may take.
+func (j *job) zoneCapacityLeft(zones []wire.Zone) map[wire.Zone]int {
+	left := map[wire.Zone]int{}
+	held := j.activeByZone()
+	for _, z := range zones {
+		left[z] = max(0, j.spec.ZoneCap()-held[z])
+		if j.spec.SameZone && j.activeTasks > 0 && held[z] == 0 {
+			left[z] = 0
+		}
+	}
+	return left
+}
+
+// expectedSeconds run time of a task: what was seen, else what the owner says.
+func (j *job) expectedSeconds() float64 {
+	if n := len(j.runTimes.samples); n > 0 {
+		return j.runTimes.median()
+	}
+	return float64(j.spec.ExpectedRunTime)
+}
+
+// startWithin is when every job should have begun.
+const startWithin = demand.StartWithinS * time.Second
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -81,22 +81,6 @@
 	Machines func(map[string]int)
 }
 
-// MachineCatalog shares the machine types between the actors of a node.
-type MachineCatalog struct {
-	p atomic.Pointer[[]wire.MachineSpec]
-}
-
-// Get is the types last seen, nil if none ever were.
-func (b *MachineCatalog) Get() []wire.MachineSpec {
-	if f := b.p.Load(); f != nil {
-		return *f
-	}
-	return nil
-}
-
-// Set replaces them.
-func (b *MachineCatalog) Set(f []wire.MachineSpec) { b.p.Store(&f) }
-
 // Leader campaigns for the leadership and serves while it holds it.
 type Leader struct {
 	Dependencies
@@ -282,7 +266,7 @@
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
 		case a.commands == nil:
 			l.Metrics.Heartbeat("refused")
-			wire.RefuseRetryable(w, http.StatusServiceUnavailable, string(a.rejected), 1)
+			wire.RefuseRetryable(w, http.StatusServiceUnavailable, a.rejected.Error(), 1)
 		default:
 			l.Metrics.Heartbeat("ok")
 			wire.Answer(w, http.StatusOK, a.commands)
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -45,7 +45,7 @@
 		}
 		mo.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
 		mo.leader.Metrics.TaskMoved(string(EvictedLeaseExpired))
-		mo.state.endAttempt(a, taskPending)
+		mo.state.endAttempt(a, TaskPending)
 	}
 }
 
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -158,7 +158,7 @@
 // can end them for sure. If the cloud is away too, the lease is waited out.
 func (mo *monitor) checkReplicas(m *machine, c *machineCounts, now time.Time) {
 	if mo.state.partitioned(m.zone, now) && !c.isolated() && mo.replicasMovable(m, now) {
-		mo.scaler.scaleIn(m, drainLeaseExpiring)
+		mo.scaler.scaleIn(m, DrainLeaseExpiring)
 	}
 }
 
@@ -201,7 +201,7 @@
 	for _, j := range mo.state.jobs {
 		if j.cancelled && j.activeTasks > 0 && now.Sub(j.cancelledAt) > mo.state.settings.Workers.CancelTimeout.Duration()*6/10 {
 			for _, a := range j.attempts() {
-				mo.scaler.scaleIn(a.machine, drainUncancellable)
+				mo.scaler.scaleIn(a.machine, DrainUncancellable)
 			}
 		}
 	}
@@ -228,17 +228,17 @@
 		return
 	}
 	if m.failedInCloud {
-		mo.scaler.scaleIn(m, drainFailed)
+		mo.scaler.scaleIn(m, DrainFailed)
 		return
 	}
 	mo.probeUnresponsive(m, c, now)
 	if mo.machineLost(m, c, now) {
-		mo.scaler.scaleIn(m, drainUnresponsive)
+		mo.scaler.scaleIn(m, DrainUnresponsive)
 		return
 	}
 	mo.expireLease(m, now)
 	idle := len(m.tasks) == 0 && len(m.orphanTasks) == 0 && mo.writer.allStored(m.lastUsedAt, time.Now())
-	if m.drainReason == drainAdoptedScaleIn || m.drainReason != "" && idle {
+	if m.drainReason == DrainAdoptedScaleIn || m.drainReason != "" && idle {
 		mo.scaler.scaleIn(m, m.drainReason)
 		return
 	}
@@ -252,7 +252,7 @@
 		boot = spec.BootTime.Duration()
 	}
 	if now.Sub(m.requestedAt) > boot*11/4+5*time.Second && mo.lease.Deciding() {
-		mo.scaler.scaleIn(m, drainNeverUp)
+		mo.scaler.scaleIn(m, DrainNeverUp)
 	}
 }
 
@@ -336,11 +336,6 @@
 	}
 }
 
-// sinceLastMessage is how long a machine has said nothing to this term.
-func (s *State) sinceLastMessage(m *machine, now time.Time) time.Duration {
-	return now.Sub(latest(m.lastMessageAt, s.termStartedAt))
-}
-
 // unlisted tells whether the lists have lacked a machine for longer than they may
 // lag. That is no proof of its end, but there is no partition behind which it lives and
 // is to be kept: asking for its release costs nothing and brings the proof. (When
@@ -350,11 +345,6 @@
 	return mo.state.machineListRequestedAt.Sub(m.listedAt) > 2*mo.state.settings.Cloud.ListLag.Duration()+10*time.Second
 }
 
-// heartbeatInterval is how often a worker reports, give or take a quarter.
-func (s *State) heartbeatInterval() time.Duration {
-	return s.settings.Workers.HeartbeatInterval.Duration()
-}
-
 // replicasMovable tells whether a machine in a zone that is cut off holds replicas that
 // could be started elsewhere before long: their leases end about now, as no
 // delegate in the zone can renew them any more, and other zones may have all
--- a/internal/leader/machines.go
+++ b/internal/leader/machine.go
@@ -1,25 +1,14 @@
 package leader
 
 import (
-	"context"
-	"math/rand/v2"
 	"slices"
 	"time"
 
-	"lilaclead/duty"
 	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/placement"
-	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
-// inventory follows the cloud's machine list and its machine types.
-type inventory struct {
-	*eventLoop
-	state      *State
-	dispatcher *dispatcher
-}
-
 // machine is what the term knows of one machine.
 type machine struct {
 	id          wire.MachineID
@@ -60,7 +49,7 @@
 	lastVerifiedAt  time.Time // when it was last asked directly because of a stale report
 	restarted       bool      // it restarted, with smaller counters; to be returned
 	inbound         detector.Inbound
-	drainReason     drainReason // why it takes nothing new; empty: it does
+	drainReason     DrainReason // why it takes nothing new; empty: it does
 	scalingIn       bool
 	cordoned        bool // see fleet.Plan
 	reservations    []reservation
@@ -81,45 +70,6 @@
 	return m
 }
 
-// onMachineList takes in a machine list. A list lags and goes backwards: what it
-// lacks means nothing, and what it shows may be gone.
-func (in *inventory) onMachineList(list []wire.ListedMachine, now time.Time) {
-	in.state.machineListReceived = true
-	for _, h := range list {
-		if _, gone := in.state.removedMachines[h.Name]; gone {
-			continue
-		}
-		known := in.state.machines[h.Name] != nil
-		m := in.state.getOrAddMachine(h.Name)
-		m.listedAt = now
-		if !known {
-			m.requestedAt = now.Add(-h.Age.Duration())
-			m.booting = h.State == wire.ListedStarting
-		}
-		if m.firstHeartbeatAt.IsZero() {
-			m.addr, m.machineType, m.zone, m.spot = h.Addr, h.Type, h.Zone, h.Spot
-			if age := now.Add(-h.Age.Duration()); age.Before(m.requestedAt) {
-				m.requestedAt = age
-			}
-			if h.State == wire.ListedRunning && m.token < in.state.firstToken && m.unansweredProbes == 0 && !m.scalingIn {
-				in.dispatcher.tokenAnnounced = false
-			}
-		}
-		if h.State == wire.ListedFailed && !m.failedInCloud {
-			m.failedInCloud, m.booting = true, false
-			in.log().Info("machine failed", "machine", m.id, "tasks", len(m.tasks))
-		}
-	}
-}
-
-// logMachineUp notes that a machine reports for the first time.
-func (rc *reconciler) logMachineUp(m *machine, now time.Time) {
-	if m.booting {
-		rc.log().Info("machine up", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.requestedAt))
-		m.lastUsedAt = now
-	}
-}
-
 // unansweredCommand is the newest direct command that was never answered.
 type unansweredCommand struct {
 	token wire.FencingToken
@@ -203,7 +153,7 @@
 // name can hold nothing.
 func (s *State) totalResources(m *machine) placement.Resources {
 	if f := s.machineSpec(m.machineType); f != nil {
-		return placementRes(f)
+		return machineResources(f)
 	}
 	return placement.Resources{}
 }
@@ -222,55 +172,9 @@
 	return free
 }
 
-// pollMachineList reads the machine list again and again.
-func (in *inventory) pollMachineList(ctx context.Context) {
-	wait := 4 * time.Second
-	for {
-		asked := time.Now()
-		list, err := in.leader.Cloud.List(ctx)
-		next := wait
-		if err == nil {
-			in.post(machineListReceived{list, asked})
-		} else {
-			next = time.Second + rand.N(time.Second)
-			in.log().Debug("machine list refused", "err", err)
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(next):
-		}
-	}
-}
-
-// storeMachineSpecs stores the types and prices, as long as this node leads.
-func (in *inventory) storeMachineSpecs(ctx context.Context, specs []wire.MachineSpec) bool {
-	permit, err := duty.PermitFor[duty.Cleanup](in.lease.Lease)
-	if err != nil {
-		return false
-	}
-	_, err = permit.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Put: store.MachineSpecsKey, Value: wire.Encode(wire.MachineSpecs{Types: specs})}}})
-	return err == nil
-}
-
-// pollMachineSpecs keeps the types and prices fresh and stores them for nodes
-// that start while the cloud is down.
-func (in *inventory) pollMachineSpecs(ctx context.Context) {
-	stored := false
-	for {
-		fs, err := in.leader.Cloud.MachineSpecs(ctx)
-		next := 20 * time.Second
-		if err == nil {
-			in.leader.Catalog.Set(fs)
-			stored = stored || in.storeMachineSpecs(ctx, fs)
-			in.post(machineSpecsReceived{})
-		} else {
-			next = 2*time.Second + rand.N(time.Second)
-		}
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(next):
-		}
-	}
+// reservation is room that is being made on a machine, and until when it is kept.
+type reservation struct {
+	placement.Reservation
+	awaitedTasks []wire.Task // expected to end by themselves
+	until        time.Time
 }
--- a/internal/leader/progress.go
+++ b/internal/leader/progress.go
@@ -88,12 +88,12 @@
 	store.SetFlags(rec.Done, done)
 	for i, d := range done {
 		if d {
-			c.taskStates[i] = taskDone
+			c.taskStates[i] = TaskDone
 			j.doneTasks++
 		}
 	}
 	for _, h := range rec.Active {
-		if h.Task < 0 || h.Task >= len(c.taskStates) || c.taskStates[h.Task] != taskPending {
+		if h.Task < 0 || h.Task >= len(c.taskStates) || c.taskStates[h.Task] != TaskPending {
 			continue
 		}
 		c.add(&attempt{job: j, chunk: c, index: h.Task, number: h.Attempt, machine: rd.state.getOrAddMachine(h.Machine), inherited: true, decidedAt: rd.state.termStartedAt})
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -1,10 +1,10 @@
 package leader
 
 import (
-	"slices"
 	"time"
 
 	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
 )
 
@@ -32,21 +32,6 @@
 	}
 }
 
-// missesLaunch tells whether an earlier answer carried a launch that the machine
-// should know of by now.
-func (m *machine) missesLaunch(rep *wire.Heartbeat) bool {
-	for task, a := range m.tasks {
-		if a.observed || a.replySequence == 0 || a.replyEpoch != rep.Epoch || rep.Sequence <= a.replySequence {
-			continue
-		}
-		name := task.String()
-		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.number }) {
-			return true
-		}
-	}
-	return false
-}
-
 // inboundProbeInterval is how often a machine that seems to receive nothing is probed.
 const inboundProbeInterval = 2 * time.Second
 
@@ -68,25 +53,8 @@
 	lostFor := m.inbound.LostFor(now)
 	stuckFor := mo.state.heartbeatInterval()/2 + inboundProbeInterval
 	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > mo.state.settings.Workers.Lease.Duration() {
-		mo.scaler.scaleIn(m, drainInboundLost)
-	}
-}
-
-// heartbeatsMissingFor is how long a machine has answered direct commands while no report
-// of it came, neither here nor through another node, nor to a delegate.
-func (s *State) heartbeatsMissingFor(m *machine, now time.Time) time.Duration {
-	if m.heartbeatsMissingSince.IsZero() {
-		return 0
+		mo.scaler.scaleIn(m, DrainInboundLost)
 	}
-	return now.Sub(latest(m.heartbeatsMissingSince, latest(s.storeAvailableSince, s.delegatesRenewedUntil)))
-}
-
-// outboundLost tells whether a machine looks alive but can't reach any controller: its
-// lease runs out again and again, with all that is started there. It takes
-// nothing new, and its room is not counted on. (Tasks longer than a lease were
-// once started on such machines for ever and never completed.)
-func (s *State) outboundLost(m *machine, now time.Time) bool {
-	return s.heartbeatsMissingFor(m, now) > max(s.settings.Workers.Lease.Duration()/2, 2*s.heartbeatInterval())
 }
 
 // checkOutboundPath returns a machine whose reports are lost when its lease must have
@@ -98,6 +66,23 @@
 		return
 	}
 	if few || mo.state.heartbeatsMissingFor(m, now) > max(lease*5/2, mo.state.settings.Workers.CancelTimeout.Duration()*2) {
-		mo.scaler.scaleIn(m, drainOutboundLost)
+		mo.scaler.scaleIn(m, DrainOutboundLost)
+	}
+}
+
+// judgePartitions looks for zones that are silent as a whole. Their machines will be
+// back, and what runs on them goes on until their leases end: they are kept, and
+// returned only if the partition outlasts that by far.
+func (mo *monitor) judgePartitions(c *machineCounts, now time.Time) {
+	for zone, up := range c.zoneUp {
+		if zone == "" {
+			continue
+		}
+		silentSince := mo.zoneControllersLastContact(zone)
+		counts := detector.Counts{Up: up, Lost: c.zoneLost[zone], AllUp: c.up,
+			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.AckLifetime}
+		if mo.state.zoneDetector.Judge(zone, counts, now) {
+			mo.log().Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
+		}
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -99,7 +99,7 @@
 		m.addr = "10.1.0.1:9000"
 		before := *m
 		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.fencing.token), said(1, 3, tm.fencing.token), said(0, 99, 0)} {
-			if r := tm.tell(rep); r.rejected == "" {
+			if r := tm.tell(rep); r.rejected == nil {
 				t.Errorf("copy %d/%d answered %+v", rep.Epoch, rep.Sequence, r)
 			}
 		}
@@ -113,7 +113,7 @@
 		tm.state.removedMachines["n-9"] = time.Now()
 		gone := said(9, 9, tm.fencing.token)
 		gone.Machine = "n-9"
-		if r := tm.tell(gone); r.rejected == "" || tm.state.machines["n-9"] != nil {
+		if r := tm.tell(gone); r.rejected == nil || tm.state.machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -18,7 +18,7 @@
 
 // scaleIn returns a machine; its tasks count until the cloud has said that
 // it is gone.
-func (sl *scaler) scaleIn(m *machine, why drainReason) {
+func (sl *scaler) scaleIn(m *machine, why DrainReason) {
 	if m.scalingIn || !sl.lease.Deciding() {
 		return
 	}
@@ -91,7 +91,7 @@
 	sl.state.removedMachines[m.id] = time.Now()
 	for _, a := range m.tasks {
 		sl.leader.Metrics.TaskMoved(string(EvictedMachineRemoved))
-		sl.state.endAttempt(a, taskPending)
+		sl.state.endAttempt(a, TaskPending)
 	}
 	delete(sl.state.machines, m.id)
 	sl.state.requestCycle()
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"errors"
 	"time"
 
 	"lilaclead/internal/wire"
@@ -18,6 +19,15 @@
 	earlyHeartbeats map[wire.MachineID]wire.Heartbeat
 }
 
+// Why a heartbeat is not answered. The agent tries another controller.
+var (
+	errNotLeading           = errors.New("can't tell whether this node still leads")
+	errCancellationsUnknown = errors.New("can't tell what was cancelled")
+	errMachineRemoved       = errors.New("this machine was returned")
+	errStaleHeartbeat       = errors.New("an older report than the last")
+	errCancelPending        = errors.New("a cancelled task may still start there")
+)
+
 func newReconciler(loop *eventLoop, state *State, fencing *fencing, dispatcher *dispatcher, scaler *scaler) *reconciler {
 	return &reconciler{eventLoop: loop, state: state, fencing: fencing, dispatcher: dispatcher, scaler: scaler,
 		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}}
@@ -30,14 +40,14 @@
 
 func (rc *reconciler) answerHeartbeat(rep *wire.Heartbeat, relayed bool, now time.Time) heartbeatReply {
 	if !rc.lease.Answering() {
-		return heartbeatReply{rejected: rejectedNotLeading}
+		return heartbeatReply{rejected: errNotLeading}
 	}
 	if !rc.leader.delegate.MayRenew(now) {
-		return heartbeatReply{rejected: rejectedCancellationsUnknown}
+		return heartbeatReply{rejected: errCancellationsUnknown}
 	}
 	if _, gone := rc.state.removedMachines[rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
-		return heartbeatReply{rejected: rejectedMachineRemoved}
+		return heartbeatReply{rejected: errMachineRemoved}
 	}
 	m := rc.state.getOrAddMachine(rep.Machine)
 	if !rc.state.recovered {
@@ -54,7 +64,7 @@
 	rc.checkInbound(m, rep, now)
 	rc.reconcile(m, rep, true, now)
 	if rc.renewalWithheld(m, rep, now) {
-		return heartbeatReply{rejected: rejectedCancelPending}
+		return heartbeatReply{rejected: errCancelPending}
 	}
 	m.lastReplyAt = now
 	m.inbound.Answered(rc.fencing.token, rep.Epoch, rep.Sequence)
@@ -118,7 +128,7 @@
 		rc.dispatcher.probe(m)
 	}
 	if !crossed {
-		return heartbeatReply{rejected: rejectedStale}
+		return heartbeatReply{rejected: errStaleHeartbeat}
 	}
 	m.lastReplyAt = now
 	return heartbeatReply{commands: rc.cancelledStops(rep)}
@@ -134,10 +144,10 @@
 	for _, a := range m.tasks {
 		a.replySequence = 0 // the answer that carried it went to the last run
 	}
-	rc.drainMachine(m, drainRestarted)
+	rc.drainMachine(m, DrainRestarted)
 	rc.reconcile(m, rep, false, now)
 	m.restarted = true
-	rc.scaler.scaleIn(m, drainRestarted)
+	rc.scaler.scaleIn(m, DrainRestarted)
 }
 
 // reconcile takes in a report, or the answer to a command, which is the same. It tells
@@ -192,7 +202,7 @@
 	}
 	if m.reclaimAt.IsZero() {
 		rc.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
-		rc.drainMachine(m, drainSpotNotice)
+		rc.drainMachine(m, DrainSpotNotice)
 	}
 	m.reclaimAt = now.Add(rep.SpotNotice.Duration())
 }
@@ -226,9 +236,9 @@
 	case a.observed, a.inherited, rep.Epoch > a.launchEpoch && a.launchSent:
 		rc.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Epoch)
 		rc.leader.Metrics.TaskMoved(string(EvictedMissing))
-		rc.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, TaskPending)
 	case a.stopping, m.drainReason != "", a.job.cancelled:
-		rc.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, TaskPending)
 	default:
 		// Stored, not delivered: it is sent (again).
 		a.launchUnanswered, a.replySequence = false, 0
@@ -303,17 +313,17 @@
 	case wire.CauseDone:
 		rc.onTaskDone(a, now)
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
-		rc.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, TaskPending)
 	case wire.CauseError:
 		rc.onTaskFailure(a, now)
-		rc.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, TaskPending)
 	default:
 		rc.log().Info("start refused", "task", a.task(), "attempt", a.number, "machine", m.id, "cause", p.Cause)
 		m.refusedUntil = now.Add(refusedStartBackoff)
 		if p.Cause == wire.CauseNoSuch {
 			j.startNotBefore = now.Add(refusedStartBackoff)
 		}
-		rc.state.endAttempt(a, taskPending)
+		rc.state.endAttempt(a, TaskPending)
 	}
 }
 
@@ -331,5 +341,13 @@
 		rc.state.completeGang(j)
 		return
 	}
-	rc.state.endAttempt(a, taskDone)
+	rc.state.endAttempt(a, TaskDone)
+}
+
+// logMachineUp notes that a machine reports for the first time.
+func (rc *reconciler) logMachineUp(m *machine, now time.Time) {
+	if m.booting {
+		rc.log().Info("machine up", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.requestedAt))
+		m.lastUsedAt = now
+	}
 }
--- a/internal/leader/reservations.go
+++ b/internal/leader/reservations.go
@@ -8,13 +8,6 @@
 	"lilaclead/internal/wire"
 )
 
-// reservation is room that is being made on a machine, and until when it is kept.
-type reservation struct {
-	placement.Reservation
-	awaitedTasks []wire.Task // expected to end by themselves
-	until        time.Time
-}
-
 // pruneReservations drops what is no longer claimed, since it took too long or the job's
 // tasks found room elsewhere, and counts for how many units of each job room is
 // being made.
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -38,7 +38,7 @@
 func sized(tb testing.TB, n int) *term {
 	tb.Helper()
 	tm, first, a := rig(tb)
-	tm.state.endAttempt(a, taskDone)
+	tm.state.endAttempt(a, TaskDone)
 	delete(tm.state.machines, first.id)
 	delete(tm.state.jobs, "req-1")
 	clear(tm.state.unsaved.chunks)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -220,11 +220,6 @@
 	return view
 }
 
-// sinceLastStart is how long the job has started nothing, as far as this term knows.
-func (s *State) sinceLastStart(j *job, now time.Time) time.Duration {
-	return now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), s.termStartedAt))
-}
-
 // reserveLimitAfter is how long a gang waits before its part of its team's limit is
 // kept for it. Most start at once, or as soon as there is room.
 const reserveLimitAfter = 30 * time.Second
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -138,3 +138,28 @@
 	}
 	return b
 }
+
+// sinceLastMessage is how long a machine has said nothing to this term.
+func (s *State) sinceLastMessage(m *machine, now time.Time) time.Duration {
+	return now.Sub(latest(m.lastMessageAt, s.termStartedAt))
+}
+
+// heartbeatInterval is how often a worker reports, give or take a quarter.
+func (s *State) heartbeatInterval() time.Duration {
+	return s.settings.Workers.HeartbeatInterval.Duration()
+}
+
+// sinceLastStart is how long the job has started nothing, as far as this term knows.
+func (s *State) sinceLastStart(j *job, now time.Time) time.Duration {
+	return now.Sub(latest(latest(j.acceptedAt, j.lastStartAt), s.termStartedAt))
+}
+
+// startOverdue tells whether an array has waited so long without a start that its
+// first task goes before everything but services. Little work left, prices
+// and priorities order the rest; under a steady overload they would keep a
+// large or cheap job waiting for ever. So it is with one that has begun and of
+// which nothing has run for as long: when the cheap machines that it was on had
+// been taken and there were no more of them, the rest of it was never run.
+func (s *State) startOverdue(j *job, now time.Time) bool {
+	return !j.spec.Service() && j.activeTasks == 0 && now.Sub(j.acceptedAt) > startWithin/2 && (j.doneTasks == 0 || now.Sub(latest(j.lastActiveAt, s.termStartedAt)) > startWithin/2)
+}
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -94,12 +94,12 @@
 				c := j.chunk(i / j.tasksPerChunk)
 				a := c.attempts[i%j.tasksPerChunk]
 				switch p.state {
-				case taskDone:
+				case TaskDone:
 					done++
-				case taskActive:
+				case TaskActive:
 					held++
 				}
-				if got := c.taskStates[i%j.tasksPerChunk]; got != p.state || (a != nil) != (p.state == taskActive) || a != nil && (a.number != p.try || a.machine.id != p.on || a.machine.tasks[a.task()] != a || a.task().Index != i) {
+				if got := c.taskStates[i%j.tasksPerChunk]; got != p.state || (a != nil) != (p.state == TaskActive) || a != nil && (a.number != p.try || a.machine.id != p.on || a.machine.tasks[a.task()] != a || a.task().Index != i) {
 					t.Fatalf("%s: task %d is %d %+v, want %+v", what, i, got, a, p)
 				}
 			}
@@ -166,7 +166,7 @@
 					if used[i][a.number] {
 						t.Fatalf("task %d has number %d twice", i, a.number)
 					}
-					now[i] = plain{taskActive, a.number, m.id}
+					now[i] = plain{TaskActive, a.number, m.id}
 				}
 			case 4, 5: // ends
 				for _, a := range j.attempts() {
@@ -174,14 +174,14 @@
 						continue
 					}
 					i := a.task().Index
-					state := rapid.SampledFrom([]uint8{taskDone, taskPending}).Draw(t, "end")
+					state := rapid.SampledFrom([]uint8{TaskDone, TaskPending}).Draw(t, "end")
 					tm.state.endAttempt(a, state)
 					now[i] = plain{state: state}
 				}
 			case 6, 7:
 				write()
 				for i, p := range stored {
-					if p.state == taskActive {
+					if p.state == TaskActive {
 						if used[i] == nil {
 							used[i] = map[wire.Attempt]bool{}
 						}
@@ -200,9 +200,9 @@
 			}
 			done, held := 0, 0
 			for _, p := range stored {
-				if p.state == taskDone {
+				if p.state == TaskDone {
 					done++
-				} else if p.state == taskActive {
+				} else if p.state == TaskActive {
 					held++
 				}
 			}
@@ -288,7 +288,7 @@
 		hold(tm, routine, 0, 2, m)
 		hold(tm, end, 0, 1, m)
 		for _, a := range end.attempts() {
-			tm.state.endAttempt(a, taskDone)
+			tm.state.endAttempt(a, TaskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
 		tm.writer.orphans = append(tm.writer.orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{NextAttempt: 2})})
@@ -349,7 +349,7 @@
 		}
 		time.Sleep(time.Second)
 		for _, a := range j.attempts() {
-			tm.state.endAttempt(a, taskDone)
+			tm.state.endAttempt(a, TaskDone)
 		}
 		if len(m.tasks) > 0 || tm.writer.allStored(m.lastUsedAt, time.Now()) {
 			t.Error("released before its progress is written")
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -21,7 +21,7 @@
 type heartbeatReply struct {
 	commands *wire.Commands // the answer; nil: none
 	redirect bool           // the worker should come to this node itself
-	rejected rejection      // why the report is not answered
+	rejected error          // why the heartbeat is not answered
 }
 
 // term is one period of leadership. Its loop owns its parts; the goroutines that do I/O
@@ -197,7 +197,7 @@
 	heard, missing := 0, 0
 	for _, m := range t.state.machines {
 		switch {
-		case m.booting, m.drainReason == drainAdoptedScaleIn:
+		case m.booting, m.drainReason == DrainAdoptedScaleIn:
 		case m.token >= t.state.firstToken:
 			heard++
 		case m.unansweredProbes == 0 && (m.addr != "" || !t.state.machineListReceived):
--- a/internal/leader/valuation.go
+++ b/internal/leader/valuation.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 	"time"
 
@@ -104,24 +103,3 @@
 // gang that does not preempt would otherwise wait for ever beside arrays that take
 // each task's room as it becomes free.
 const maxGangPatienceS = 45.0
-
-// expectedRemainingSeconds is in how many seconds a task is expected to end by itself. Until some of
-// its job's tasks are done there is only its owner's word, which is often short.
-func (a *attempt) expectedRemainingSeconds(now time.Time) float64 {
-	if a.runningSince.IsZero() || a.job.spec.Service() {
-		return math.Inf(1)
-	}
-	need := a.job.expectedSeconds()
-	if len(a.job.runTimes.samples) == 0 {
-		need *= 1.5
-	}
-	return max(need/10, need-now.Sub(a.runningSince).Seconds())
-}
-
-// expectedSeconds run time of a task: what was seen, else what the owner says.
-func (j *job) expectedSeconds() float64 {
-	if n := len(j.runTimes.samples); n > 0 {
-		return j.runTimes.median()
-	}
-	return float64(j.spec.ExpectedRunTime)
-}
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -27,8 +27,6 @@
 	rereadRetry = 300 * time.Millisecond
 	// outcomeRetry is the pause before a transaction's outcome is read again.
 	outcomeRetry = 200 * time.Millisecond
-	// withdrawnStartBackoff is how long a job waits whose start had no room in its record.
-	withdrawnStartBackoff = time.Second
 )
 
 // flush has the writer's next transaction executed, or the token raised where
@@ -51,19 +49,6 @@
 	})
 }
 
-// withdrawUnstoredStart takes back a start that is not stored yet, as the chunk's record
-// has no room for it.
-func (s *State) withdrawUnstoredStart(c *chunk, now time.Time) bool {
-	for _, a := range c.attempts {
-		if a.unstored {
-			s.endAttempt(a, taskPending)
-			c.job.startNotBefore = now.Add(withdrawnStartBackoff)
-			return true
-		}
-	}
-	return false
-}
-
 // onTxnResult takes in the outcome of a transaction.
 func (co *committer) onTxnResult(b *batch, revision wire.Revision, err error) {
 	co.writer.answered()
@@ -114,7 +99,7 @@
 	for _, c := range b.chunks {
 		for _, a := range c.attempts {
 			if a.unstored {
-				co.state.endAttempt(a, taskPending)
+				co.state.endAttempt(a, TaskPending)
 				c.job.startNotBefore = now.Add(refusedPause)
 			}
 		}
@@ -147,7 +132,7 @@
 		a.job.unstoredAttempts--
 		if a.stopping || a.job.cancelled || a.machine.drainReason != "" || a.machine.scalingIn || co.state.machines[a.machine.id] != a.machine {
 			// Never sent by anyone: there is nothing to halt.
-			co.state.endAttempt(a, taskPending)
+			co.state.endAttempt(a, TaskPending)
 			continue
 		}
 		touched[a.machine] = true
@@ -168,7 +153,7 @@
 	co.writer.undone(b)
 	for _, a := range b.planned {
 		if a.stopping && a.chunk.attempts[a.index] == a {
-			co.state.endAttempt(a, taskPending)
+			co.state.endAttempt(a, TaskPending)
 		}
 	}
 }
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -37,7 +37,7 @@
 		tm.fencing.token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
 		tm.lease, tm.state.firstToken = leaseFor(tm.leader, tm.fencing.token, time.Hour), tm.fencing.token
 		m.token = tm.fencing.token
-		tm.state.endAttempt(a, taskPending)
+		tm.state.endAttempt(a, TaskPending)
 		a.chunk.dirty, a.job.finished = false, false
 		a.job.revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
 		f(tm, m, st, func() {
@@ -101,7 +101,7 @@
 				t.Errorf("%s: the token was not raised", name)
 			}
 			// What is known still agrees with what is stored.
-			tm.state.endAttempt(a, taskDone)
+			tm.state.endAttempt(a, TaskDone)
 			settle()
 			if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 				t.Errorf("%s: final records %v, term over: %v", name, past, ended(tm))
@@ -177,7 +177,7 @@
 		tm.state.jobs[j.spec.ID] = j
 		for n := range j.chunks {
 			c := j.chunk(n)
-			c.taskStates[0] = taskDone
+			c.taskStates[0] = TaskDone
 			c.revision = st.Put(store.ChunkKey("req-2", n), c.record())
 			j.doneTasks++
 		}
--- a/internal/leader/writer.go
+++ b/internal/leader/writer.go
@@ -257,3 +257,53 @@
 	}
 	return true
 }
+
+// valueLimit is the size in bytes that a value may have.
+func (w *writer) valueLimit() int {
+	if w.limitLowered {
+		return int(w.limits().Least().ValueKB * 1024)
+	}
+	return int(w.limits().ValueKB * 1024)
+}
+
+// splitLarge splits the chunks of jobs of which one is to be written that has
+// become too large. It is called while nothing is being written.
+func (w *writer) splitLarge() {
+	if !w.limitLowered {
+		return
+	}
+	most, small := w.valueLimit(), store.ChunkTasksFor(w.limits().Least().ValueKB)
+	for c := range w.state.unsaved.chunks {
+		if j := c.job; j.subchunksPerChunk == 0 && j.tasksPerChunk > small && !j.finished && !j.archiving {
+			if rec := c.record(); rec.JSONSize() > most {
+				w.splitChunks(j, small)
+			}
+		}
+	}
+}
+
+// splitChunks splits all chunks of a job, so that they fit under the limits to
+// come.
+func (w *writer) splitChunks(j *job, small int) {
+	n := (j.tasksPerChunk + small - 1) / small
+	for j.tasksPerChunk%n != 0 {
+		n++
+	}
+	old := j.chunks
+	j.split(j.tasksPerChunk / n)
+	for _, c := range old {
+		if c == nil {
+			continue
+		}
+		if _, dirty := w.state.unsaved.chunks[c]; dirty {
+			delete(w.state.unsaved.chunks, c)
+			for k := range n {
+				if i := c.index*n + k; i < len(j.chunks) && j.chunks[i] != nil {
+					w.state.unsaved.markDirty(j.chunks[i])
+					j.chunks[i].dirtySince = c.dirtySince
+				}
+			}
+		}
+	}
+	w.log.Info("splits progress", "job", j.spec.ID, "tasks", j.tasksPerChunk)
+}
