--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
@@ -29,14 +30,14 @@
 	var ids []wire.JobID
 	ids, rd.cancellationCursor = rd.leader.Cancels.Since(rd.cancellationCursor)
 	for _, id := range ids {
-		j := rd.state.jobs[id]
-		if j == nil || j.cancelled {
+		j := rd.state.Jobs[id]
+		if j == nil || j.Cancelled {
 			continue
 		}
-		j.cancelled, j.recordOutdated = true, true
-		j.cancelledAt, _ = rd.leader.Cancels.ConfirmedAt(id)
+		j.Cancelled, j.RecordOutdated = true, true
+		j.CancelledAt, _ = rd.leader.Cancels.ConfirmedAt(id)
 		rd.log().Info("hears of a cancellation", "job", id, "deciding", rd.lease.Deciding())
-		if rd.state.recovered {
+		if rd.state.Recovered {
 			rd.dispatcher.stopCancelledJob(j)
 		}
 	}
@@ -46,15 +47,15 @@
 // findUnconfirmedCancels finds the cancelled jobs of which a launch may be on its way.
 func (rd *records) findUnconfirmedCancels() {
 	var first time.Time
-	for j := range rd.state.cancelledJobs {
-		if j.activeTasks == 0 {
-			delete(rd.state.cancelledJobs, j)
+	for j := range rd.state.CancelledJobs {
+		if j.ActiveTasks == 0 {
+			delete(rd.state.CancelledJobs, j)
 			continue
 		}
-		if first.IsZero() || j.cancelledAt.Before(first) {
-			for _, a := range j.attempts() {
-				if !a.unstored && (!a.observed || a.launchUnanswered || a.launchInFlight) {
-					first = j.cancelledAt
+		if first.IsZero() || j.CancelledAt.Before(first) {
+			for _, a := range j.Attempts() {
+				if !a.Unstored && (!a.Observed || a.LaunchUnanswered || a.LaunchInFlight) {
+					first = j.CancelledAt
 					break
 				}
 			}
@@ -67,13 +68,13 @@
 // launch of a cancelled task may be on its way there that its report does not
 // show, and that only the end of the session, or a token above the launch's,
 // can keep from starting too late.
-func (rc *reconciler) renewalWithheld(m *machine, rep *wire.Heartbeat, now time.Time) bool {
-	for task, a := range m.tasks {
-		if !a.job.cancelled || a.unstored || now.Sub(a.job.cancelledAt) < rc.leader.delegation.MaxCancelAge || !a.launchInFlight && !(a.launchUnanswered && rc.fencing.token <= a.unansweredLaunchToken) {
+func (rc *reconciler) renewalWithheld(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) bool {
+	for task, a := range m.Tasks {
+		if !a.Job.Cancelled || a.Unstored || now.Sub(a.Job.CancelledAt) < rc.leader.delegation.MaxCancelAge || !a.LaunchInFlight && !(a.LaunchUnanswered && rc.fencing.token <= a.UnansweredLaunchToken) {
 			continue
 		}
 		name := task.String()
-		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.number }) {
+		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.Number }) {
 			return true
 		}
 	}
--- a/internal/leader/catalog.go
+++ b/internal/leader/cluster/catalog.go
@@ -1,4 +1,4 @@
-package leader
+package cluster
 
 import (
 	"sync/atomic"
@@ -23,7 +23,7 @@
 // Set replaces them.
 func (b *MachineCatalog) Set(f []wire.MachineSpec) { b.p.Store(&f) }
 
-// machineResources is all the room of a machine of the type.
-func machineResources(spec *wire.MachineSpec) placement.Resources {
+// MachineResources is all the room of a machine of the type.
+func MachineResources(spec *wire.MachineSpec) placement.Resources {
 	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
--- a/internal/leader/drain.go
+++ b/internal/leader/cluster/drain.go
@@ -1,4 +1,4 @@
-package leader
+package cluster
 
 // DrainReason says why a machine takes nothing new, or is returned; empty: it
 // serves.
--- a/internal/leader/eviction.go
+++ b/internal/leader/cluster/eviction.go
@@ -1,4 +1,4 @@
-package leader
+package cluster
 
 // EvictionReason says why a task left its machine, or is stopped there. It is a label of
 // lilaclead_moves_total.
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/wire"
 )
@@ -13,7 +14,7 @@
 // probes. What is not known to have arrived it sends again.
 type dispatcher struct {
 	*eventLoop
-	state   *State
+	state   *cluster.State
 	fencing *fencing
 	// tokenAnnounced: every machine of the first list has been shown the token.
 	tokenAnnounced bool
@@ -24,15 +25,15 @@
 
 // commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
-func (dp *dispatcher) commandsFor(m *machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
+func (dp *dispatcher) commandsFor(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
 	out := dp.stopCommands(m, []wire.Command{}, now)
-	for task, a := range m.tasks {
+	for task, a := range m.Tasks {
 		if len(out) >= maxCommands {
 			return out
 		}
-		if !a.stopping && !a.unstored && !a.observed && !a.launchInFlight && m.drainReason == "" && !a.job.cancelled && !a.inherited && m.inbound.Works() && a.mayLaunch() {
-			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
-			a.launchSent, a.launchEpoch, a.replyEpoch, a.replySequence = true, rep.Epoch, rep.Epoch, rep.Sequence
+		if !a.Stopping && !a.Unstored && !a.Observed && !a.LaunchInFlight && m.DrainReason == "" && !a.Job.Cancelled && !a.Inherited && m.Inbound.Works() && a.MayLaunch() {
+			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.Number})
+			a.LaunchSent, a.LaunchEpoch, a.ReplyEpoch, a.ReplySequence = true, rep.Epoch, rep.Epoch, rep.Sequence
 		}
 	}
 	for i := range rep.Tasks {
@@ -44,11 +45,11 @@
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
+		if a := m.Tasks[task]; a != nil && a.Number == p.Attempt {
 			continue
 		}
 		switch {
-		case dp.state.quarantined(task.Job): // it may be one of those that can't be read
+		case dp.state.Quarantined(task.Job): // it may be one of those that can't be read
 		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Stop, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
@@ -61,14 +62,14 @@
 
 // stopCommands adds the halts of a machine's tasks that are to stop. These may be
 // sent without the state service too: a halt starts nothing.
-func (dp *dispatcher) stopCommands(m *machine, out []wire.Command, now time.Time) []wire.Command {
-	for task, a := range m.tasks {
+func (dp *dispatcher) stopCommands(m *cluster.Machine, out []wire.Command, now time.Time) []wire.Command {
+	for task, a := range m.Tasks {
 		if len(out) >= maxCommands {
 			break
 		}
-		if a.stopping && !a.unstored {
+		if a.Stopping && !a.Unstored {
 			out = append(out, stopCommand(task, a))
-			a.stopSentAt = now
+			a.StopSentAt = now
 		}
 	}
 	return out
@@ -77,55 +78,55 @@
 // dispatcher.mayForget: the outcome is stored, and no launch that could start the
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
-func (dp *dispatcher) mayForget(m *machine, task wire.Task, rep *wire.Heartbeat) bool {
-	if m.launchMayArrive(rep) {
+func (dp *dispatcher) mayForget(m *cluster.Machine, task wire.Task, rep *wire.Heartbeat) bool {
+	if m.LaunchMayArrive(rep) {
 		dp.fencing.raiseRequested = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.commandInFlight || rep.Token < dp.state.firstToken {
+	if m.CommandInFlight || rep.Token < dp.state.FirstToken {
 		return false
 	}
-	j := dp.state.jobs[task.Job]
+	j := dp.state.Jobs[task.Job]
 	if j == nil {
 		return true
 	}
-	if j.finished || j.archiving {
+	if j.Finished || j.Archiving {
 		return false
 	}
-	n := task.Index / j.tasksPerChunk
-	if n >= len(j.chunks) {
+	n := task.Index / j.TasksPerChunk
+	if n >= len(j.Chunks) {
 		return true
 	}
-	c := j.chunks[n]
-	return c == nil || !c.dirty && !c.writeInFlight
+	c := j.Chunks[n]
+	return c == nil || !c.Dirty && !c.WriteInFlight
 }
 
-func stopCommand(task wire.Task, a *attempt) wire.Command {
-	w := a.gracePeriod
-	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: a.number, GracePeriod: &w}
+func stopCommand(task wire.Task, a *cluster.Attempt) wire.Command {
+	w := a.GracePeriod
+	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: a.Number, GracePeriod: &w}
 }
 
 // dispatch sends what is new for a machine straight to it.
-func (dp *dispatcher) dispatch(m *machine) {
+func (dp *dispatcher) dispatch(m *cluster.Machine) {
 	// Without the state service what is to stop is still halted.
 	withoutState := !dp.lease.Deciding()
-	if m.commandInFlight || m.addr == "" || m.firstHeartbeatAt.IsZero() || m.scalingIn || withoutState && !dp.lease.Answering() {
+	if m.CommandInFlight || m.Addr == "" || m.FirstHeartbeatAt.IsZero() || m.ScalingIn || withoutState && !dp.lease.Answering() {
 		return
 	}
 	now := time.Now()
-	cmd := wire.Commands{Token: dp.fencing.token, Epoch: m.epoch}
-	var launched []*attempt
-	for task, a := range m.tasks {
+	cmd := wire.Commands{Token: dp.fencing.token, Epoch: m.Epoch}
+	var launched []*cluster.Attempt
+	for task, a := range m.Tasks {
 		switch {
-		case a.unstored || len(cmd.Commands) >= maxCommands:
-		case a.stopping:
-			if now.Sub(a.stopSentAt) > 1500*time.Millisecond {
+		case a.Unstored || len(cmd.Commands) >= maxCommands:
+		case a.Stopping:
+			if now.Sub(a.StopSentAt) > 1500*time.Millisecond {
 				cmd.Commands = append(cmd.Commands, stopCommand(task, a))
-				a.stopSentAt = now
+				a.StopSentAt = now
 			}
-		case !withoutState && a.mayLaunch() && !a.launchSent && !a.inherited && !a.observed && m.drainReason == "" && !a.job.cancelled:
-			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.number})
-			a.launchSent, a.launchEpoch, a.launchInFlight = true, m.epoch, true
+		case !withoutState && a.MayLaunch() && !a.LaunchSent && !a.Inherited && !a.Observed && m.DrainReason == "" && !a.Job.Cancelled:
+			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.Number})
+			a.LaunchSent, a.LaunchEpoch, a.LaunchInFlight = true, m.Epoch, true
 			launched = append(launched, a)
 		}
 	}
@@ -135,9 +136,9 @@
 }
 
 // sendCommands sends a direct command and takes in its answer.
-func (dp *dispatcher) sendCommands(m *machine, cmd wire.Commands, launched []*attempt) {
-	m.commandInFlight = true
-	addr, asked := m.addr, heartbeatPosition{m.epoch, m.sequence}
+func (dp *dispatcher) sendCommands(m *cluster.Machine, cmd wire.Commands, launched []*cluster.Attempt) {
+	m.CommandInFlight = true
+	addr, asked := m.Addr, heartbeatPosition{m.Epoch, m.Sequence}
 	dp.spawn(func(ctx context.Context) {
 		heartbeat, status, err := dp.leader.sendCommands(ctx, addr, cmd, commandTimeout)
 		dp.post(commandAnswer{m, asked, cmd, launched, heartbeat, status, err})
@@ -152,17 +153,17 @@
 
 func (rc *reconciler) onCommandAnswer(e commandAnswer) {
 	m, asked, cmd, launched, rep, status, err := e.machine, e.askedAt, e.commands, e.launched, e.heartbeat, e.status, e.err
-	m.commandInFlight = false
+	m.CommandInFlight = false
 	now := time.Now()
 	for _, a := range launched {
-		a.launchInFlight = false
+		a.LaunchInFlight = false
 	}
 	switch {
-	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.id:
+	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.ID:
 		rc.leader.Metrics.Command("ok")
 		rc.inboundWorks(m)
-		m.lastMessageAt = now
-		if !rep.Newer(asked.epoch, asked.sequence) && !m.restarted {
+		m.LastMessageAt = now
+		if !rep.Newer(asked.epoch, asked.sequence) && !m.Restarted {
 			// Made after we asked, and yet not newer than what we had then.
 			rc.onRestart(m, rep, now)
 			break
@@ -170,28 +171,31 @@
 		rc.reconcile(m, rep, false, now)
 	case err != nil && wire.NotSent(err):
 		rc.leader.Metrics.Command("not sent")
-		m.unansweredProbes++
-		m.heartbeatsMissingSince = time.Time{} // silent, which is looked after otherwise
-		m.inbound.Unanswered()
+		m.UnansweredProbes++
+		m.HeartbeatsMissingSince = time.Time{} // silent, which is looked after otherwise
+		m.Inbound.Unanswered()
 		for _, a := range launched {
-			if !a.observed {
-				a.launchSent = false // certainly never left; the next report's answer carries it
+			if !a.Observed {
+				a.LaunchSent = false // certainly never left; the next report's answer carries it
 			}
 		}
 	default:
 		rc.leader.Metrics.Command("lost")
-		m.unansweredProbes++
-		m.heartbeatsMissingSince = time.Time{}
-		m.inbound.Unanswered()
-		rc.log().Debug("command not answered", "machine", m.id, "commands", len(cmd.Commands), "err", err, "status", status)
+		m.UnansweredProbes++
+		m.HeartbeatsMissingSince = time.Time{}
+		m.Inbound.Unanswered()
+		rc.log().Debug("command not answered", "machine", m.ID, "commands", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
-			a.launchUnanswered, a.unansweredLaunchToken = true, cmd.Token
+			a.LaunchUnanswered, a.UnansweredLaunchToken = true, cmd.Token
 		}
 		if len(launched) > 0 {
-			m.unansweredLaunch = unansweredCommand{max(m.unansweredLaunch.token, cmd.Token), max(m.unansweredLaunch.epoch, cmd.Epoch)}
+			m.UnansweredLaunch = cluster.UnansweredCommand{
+				Token: max(m.UnansweredLaunch.Token, cmd.Token),
+				Epoch: max(m.UnansweredLaunch.Epoch, cmd.Epoch),
+			}
 		}
 	}
-	if m.unansweredProbes == 0 {
+	if m.UnansweredProbes == 0 {
 		rc.dispatcher.dispatch(m)
 	}
 }
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -2,21 +2,23 @@
 
 import (
 	"time"
+
+	"lilaclead/internal/leader/cluster"
 )
 
 // runCycle places the tasks that wait and preempts others for them.
 func (t *term) runCycle(now time.Time) {
-	cycle := t.scheduler.beginCycle(now)
+	cycle := t.scheduler.BeginCycle(now)
 	if cycle == nil {
 		return
 	}
-	for _, victim := range cycle.preemptions {
+	for _, victim := range cycle.Preemptions {
 		// Stopping one task of a gang stops them all: look each up when it is its turn.
-		if a := t.state.activeAttempt(victim.Task); a != nil {
-			t.dispatcher.stop(a, t.state.gracePeriodOf(a.job), EvictedPreempted)
-			t.scheduler.extendReservations(a, now)
+		if a := t.state.ActiveAttempt(victim.Task); a != nil {
+			t.dispatcher.stop(a, t.state.GracePeriodOf(a.Job), cluster.EvictedPreempted)
+			t.scheduler.ExtendReservations(a, now)
 		}
 	}
-	t.scheduler.finishCycle(cycle)
-	t.leader.Metrics.SchedulingCycle(t.state.cycle.lastDuration, cycle.starts, len(cycle.preemptions))
+	t.scheduler.FinishCycle(cycle)
+	t.leader.Metrics.SchedulingCycle(t.state.Cycle.LastDuration, cycle.Starts, len(cycle.Preemptions))
 }
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/wire"
 )
@@ -33,10 +34,10 @@
 	if mo.leader.delegation.Time == 0 {
 		return at
 	}
-	tenure := delegation.Tenure{Began: mo.state.termStartedAt, FirstToken: mo.state.firstToken, StateBack: mo.state.storeAvailableSince}
+	tenure := delegation.Tenure{Began: mo.state.TermStartedAt, FirstToken: mo.state.FirstToken, StateBack: mo.state.StoreAvailableSince}
 	v := mo.leader.Mesh.View()
 	for _, o := range mo.leader.Config.Peers {
-		at = latest(at, mo.leader.delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
+		at = cluster.Latest(at, mo.leader.delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
 	}
 	return at
 }
@@ -49,7 +50,7 @@
 	v := mo.leader.Mesh.View()
 	for _, o := range mo.leader.Config.Peers {
 		if o.Zone == zone {
-			at = latest(at, v.Peers[o.HostName].LastContact)
+			at = cluster.Latest(at, v.Peers[o.HostName].LastContact)
 		}
 	}
 	return at
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
@@ -16,9 +18,9 @@
 
 func (e machineListReceived) handle(t *term) {
 	now := time.Now()
-	t.state.machineListRequestedAt = e.requestedAt
+	t.state.MachineListRequestedAt = e.requestedAt
 	t.inventory.onMachineList(e.machines, now)
-	if !t.state.schedulingEnabled {
+	if !t.state.SchedulingEnabled {
 		t.checkLeadership(now)
 	}
 }
@@ -26,7 +28,7 @@
 // machineSpecsReceived says that the catalog of machine types is fresh.
 type machineSpecsReceived struct{}
 
-func (machineSpecsReceived) handle(t *term) { t.state.requestCycle() }
+func (machineSpecsReceived) handle(t *term) { t.state.RequestCycle() }
 
 // recordsRead is all that the state service holds for a new leader.
 type recordsRead struct {
@@ -38,7 +40,7 @@
 
 func (e recordsRead) handle(t *term) {
 	t.records.loadRecords(e.jobs, e.progress)
-	t.state.activeVersion = e.version
+	t.state.ActiveVersion = e.version
 	t.scaler.adoptIntents(e.intents)
 	t.leader.Cancels.RecordRead(e.startedAt)
 }
@@ -56,7 +58,7 @@
 
 // jobRecordReread is the outcome of reading one job's record again.
 type jobRecordReread struct {
-	job   *job
+	job   *cluster.Job
 	entry wire.Entry
 	err   error
 }
@@ -64,7 +66,7 @@
 func (e jobRecordReread) handle(t *term) { t.records.onReread(e) }
 
 // rereadDue says that a job's record is to be read once more.
-type rereadDue struct{ job *job }
+type rereadDue struct{ job *cluster.Job }
 
 func (e rereadDue) handle(t *term) { t.committer.reread(e.job) }
 
@@ -80,10 +82,10 @@
 
 // commandAnswer is the outcome of a direct command to an agent, or of a probe.
 type commandAnswer struct {
-	machine   *machine
+	machine   *cluster.Machine
 	askedAt   heartbeatPosition // newest position known when it was sent
 	commands  wire.Commands
-	launched  []*attempt
+	launched  []*cluster.Attempt
 	heartbeat *wire.Heartbeat
 	status    int
 	err       error
@@ -99,7 +101,7 @@
 
 func (e probeAnswer) handle(t *term) {
 	t.reconciler.onCommandAnswer(e.commandAnswer)
-	e.machine.relayUnanswered = e.err != nil && e.relayed
+	e.machine.RelayUnanswered = e.err != nil && e.relayed
 }
 
 // scaleOutsRecorded is the outcome of recording scale-outs before they are sent.
@@ -126,7 +128,7 @@
 
 // txnAnswered is the outcome of a transaction.
 type txnAnswered struct {
-	batch    *batch
+	batch    *progress.Batch
 	revision wire.Revision
 	err      error
 }
@@ -137,7 +139,7 @@
 // transaction whose outcome is to be read then, nil if there is none.
 type tokenRaised struct {
 	token wire.FencingToken
-	batch *batch
+	batch *progress.Batch
 }
 
 func (e tokenRaised) handle(t *term) { t.committer.onTokenRaised(e.token, e.batch) }
@@ -145,7 +147,7 @@
 // txnOutcomeRead tells what became of a transaction without an answer: revision is the
 // current one of the key that guard names, 0 if there is no such key.
 type txnOutcomeRead struct {
-	batch    *batch
+	batch    *progress.Batch
 	guard    wire.Guard
 	revision wire.Revision
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -3,59 +3,60 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
 const slowFactor = 1.6
 
 // recordRunTime compares a completed run with the job's others.
-func (rc *reconciler) recordRunTime(a *attempt, now time.Time) {
-	took := now.Sub(a.runningSince).Seconds()
-	j := a.job
-	if len(j.runTimes.samples) >= 3 {
-		if took > slowFactor*j.runTimes.median()+2 {
-			a.machine.slowRuns.slow++
+func (rc *reconciler) recordRunTime(a *cluster.Attempt, now time.Time) {
+	took := now.Sub(a.RunningSince).Seconds()
+	j := a.Job
+	if len(j.RunTimes.Samples) >= 3 {
+		if took > slowFactor*j.RunTimes.Median()+2 {
+			a.Machine.SlowRuns.Slow++
 		} else {
-			a.machine.slowRuns.normal++
+			a.Machine.SlowRuns.Normal++
 		}
-		if a.machine.slowRuns.slow >= 3 && a.machine.slowRuns.slow > 3*a.machine.slowRuns.normal && rc.mayDrainSuspect() {
-			rc.drainMachine(a.machine, DrainSlow)
+		if a.Machine.SlowRuns.Slow >= 3 && a.Machine.SlowRuns.Slow > 3*a.Machine.SlowRuns.Normal && rc.mayDrainSuspect() {
+			rc.drainMachine(a.Machine, cluster.DrainSlow)
 		}
 	}
-	j.runTimes.add(took)
+	j.RunTimes.Add(took)
 }
 
 // onTaskFailure tells a faulty machine from a faulty job. A job that fails wherever
 // it runs is retried ever more rarely; a machine on which several jobs fail,
 // or one that others' machines run well, is drained and returned.
-func (rc *reconciler) onTaskFailure(a *attempt, now time.Time) {
-	j, m := a.job, a.machine
-	if j.failedMachines == nil {
-		j.failedMachines = map[wire.MachineID]bool{}
+func (rc *reconciler) onTaskFailure(a *cluster.Attempt, now time.Time) {
+	j, m := a.Job, a.Machine
+	if j.FailedMachines == nil {
+		j.FailedMachines = map[wire.MachineID]bool{}
 	}
-	j.failedMachines[m.id] = true
-	j.failures++
-	m.failedJobs[j.spec.ID] = true
-	m.failures++
-	rc.log().Info("task failed", "task", a.task(), "attempt", a.number, "machine", m.id, "job_machines", len(j.failedMachines), "machine_jobs", len(m.failedJobs))
-	faultyMachine := len(m.failedJobs) >= 2 || j.succeeded && m.failures >= 2 || m.failures >= 2 && len(j.failedMachines) == 1 && j.failures >= 3
+	j.FailedMachines[m.ID] = true
+	j.Failures++
+	m.FailedJobs[j.Spec.ID] = true
+	m.Failures++
+	rc.log().Info("task failed", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "job_machines", len(j.FailedMachines), "machine_jobs", len(m.FailedJobs))
+	faultyMachine := len(m.FailedJobs) >= 2 || j.Succeeded && m.Failures >= 2 || m.Failures >= 2 && len(j.FailedMachines) == 1 && j.Failures >= 3
 	if faultyMachine && rc.mayDrainSuspect() {
-		rc.drainMachine(m, DrainFaulty)
+		rc.drainMachine(m, cluster.DrainFaulty)
 	}
-	if len(j.failedMachines) >= 2 {
-		n := min(j.failures, 6)
-		j.startNotBefore = now.Add(time.Duration(1<<n) * time.Second)
-		if len(j.failedMachines) >= 3 {
+	if len(j.FailedMachines) >= 2 {
+		n := min(j.Failures, 6)
+		j.StartNotBefore = now.Add(time.Duration(1<<n) * time.Second)
+		if len(j.FailedMachines) >= 3 {
 			// The job is to blame: what it did to the machines is forgiven.
-			for _, other := range rc.state.machines {
-				if other.failedJobs[j.spec.ID] {
-					delete(other.failedJobs, j.spec.ID)
-					other.failures = 0
+			for _, other := range rc.state.Machines {
+				if other.FailedJobs[j.Spec.ID] {
+					delete(other.FailedJobs, j.Spec.ID)
+					other.Failures = 0
 				}
 			}
 		}
 	} else {
-		j.startNotBefore = now.Add(500 * time.Millisecond)
+		j.StartNotBefore = now.Add(500 * time.Millisecond)
 	}
 }
 
@@ -63,12 +64,12 @@
 // that shows on many machines is not the machines'.
 func (rc *reconciler) mayDrainSuspect() bool {
 	n, all := 0, 0
-	for _, m := range rc.state.machines {
-		if m.booting {
+	for _, m := range rc.state.Machines {
+		if m.Booting {
 			continue
 		}
 		all++
-		if m.drainReason == DrainFaulty || m.drainReason == DrainSlow {
+		if m.DrainReason == cluster.DrainFaulty || m.DrainReason == cluster.DrainSlow {
 			n++
 		}
 	}
@@ -76,21 +77,21 @@
 }
 
 // drainMachine takes a machine out of service; it is returned when empty.
-func (rc *reconciler) drainMachine(m *machine, why DrainReason) {
-	if m.drainReason != "" || m.scalingIn {
+func (rc *reconciler) drainMachine(m *cluster.Machine, why cluster.DrainReason) {
+	if m.DrainReason != "" || m.ScalingIn {
 		return
 	}
-	m.drainReason = why
-	rc.log().Info("drains", "machine", m.id, "why", why, "tasks", len(m.tasks))
+	m.DrainReason = why
+	rc.log().Info("drains", "machine", m.ID, "why", why, "tasks", len(m.Tasks))
 	rc.leader.Metrics.Fleet("drained", 1)
-	for _, a := range m.tasks {
+	for _, a := range m.Tasks {
 		switch {
-		case a.unstored:
-		case !a.launchSent && !a.inherited:
-			rc.state.endAttempt(a, TaskPending) // never sent by anyone
-		case why == DrainFaulty, why == DrainSlow && a.job.spec.Service():
-			rc.dispatcher.stop(a, rc.state.gracePeriodOf(a.job), EvictionReason(why))
+		case a.Unstored:
+		case !a.LaunchSent && !a.Inherited:
+			rc.state.EndAttempt(a, cluster.TaskPending) // never sent by anyone
+		case why == cluster.DrainFaulty, why == cluster.DrainSlow && a.Job.Spec.Service():
+			rc.dispatcher.stop(a, rc.state.GracePeriodOf(a.Job), cluster.EvictionReason(why))
 		}
 	}
-	rc.state.requestCycle()
+	rc.state.RequestCycle()
 }
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/scaling"
 )
 
@@ -11,10 +12,10 @@
 	specs := sl.leader.Catalog.Get()
 	sl.recordScaleOuts(now)
 	sl.clearScaleIns(now)
-	if !sl.state.recovered || !sl.state.schedulingEnabled || !sl.state.machineListReceived || !sl.lease.Deciding() || specs == nil || sl.tracker.Paused(now) {
+	if !sl.state.Recovered || !sl.state.SchedulingEnabled || !sl.state.MachineListReceived || !sl.lease.Deciding() || specs == nil || sl.tracker.Paused(now) {
 		return
 	}
-	plan := sl.scheduler.planCapacity(specs, sl.mayScaleOut(), now)
+	plan := sl.scheduler.PlanCapacity(specs, sl.mayScaleOut(), now)
 	for _, r := range plan.ScaleOuts {
 		for left := r.Count; left > 0; left -= scaling.MaxScaleOut {
 			r.Count = min(left, scaling.MaxScaleOut)
@@ -22,10 +23,10 @@
 		}
 	}
 	sl.recordScaleOuts(now)
-	sl.scheduler.applyCordons(plan)
+	sl.scheduler.ApplyCordons(plan)
 	for _, id := range plan.ScaleIns {
-		if m := sl.state.machines[id]; m != nil && len(m.tasks) == 0 {
-			sl.scaleIn(m, DrainIdle)
+		if m := sl.state.Machines[id]; m != nil && len(m.Tasks) == 0 {
+			sl.scaleIn(m, cluster.DrainIdle)
 		}
 	}
 }
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -6,40 +6,43 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // gangRig is a term without I/O with a gang that saves, each of its tasks held
 // and stored on a machine of its own. Chunks have two tasks.
-func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *job) {
+func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *cluster.Job) {
 	t.Helper()
 	tm, _, single := rig(t)
-	tm.state.endAttempt(single, TaskPending)
-	delete(tm.state.jobs, single.job.spec.ID)
-	tm.state.settings.Workers.GangWait, tm.state.settings.Workers.GangPeerTimeout = 40, 8
+	tm.state.EndAttempt(single, cluster.TaskPending)
+	delete(tm.state.Jobs, single.Job.Spec.ID)
+	tm.state.Settings.Workers.GangWait, tm.state.Settings.Workers.GangPeerTimeout = 40, 8
 	j := gangJob(tm, "req-2", parts)
-	j.spec.CheckpointInterval, j.spec.CheckpointTime = 20, 3
-	j.tasksPerChunk = 2
-	j.chunks = make([]*chunk, (parts+1)/2)
-	j.gang = &gang{number: try, startedAt: time.Now()}
+	j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 20, 3
+	j.TasksPerChunk = 2
+	j.Chunks = make([]*cluster.Chunk, (parts+1)/2)
+	j.Gang = &cluster.Gang{Number: try, StartedAt: time.Now()}
 	for i := range parts {
 		m := gangMachine(tm, i)
-		a := &attempt{job: j, chunk: j.chunk(i / j.tasksPerChunk), index: i % j.tasksPerChunk, number: try, machine: m, decidedAt: time.Now()}
-		a.chunk.add(a)
-		a.chunk.nextAttempt = try + 1
+		a := &cluster.Attempt{Job: j, Chunk: j.Chunk(i / j.TasksPerChunk), Index: i % j.TasksPerChunk, Number: try, Machine: m, DecidedAt: time.Now()}
+		a.Chunk.Add(a)
+		a.Chunk.NextAttempt = try + 1
 	}
 	return tm, j
 }
 
-func gangMachine(tm *term, i int) *machine {
-	m := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
-	m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.lastReplyAt = 1, 10, tm.state.firstToken, time.Now(), time.Now(), time.Now()
+func gangMachine(tm *term, i int) *cluster.Machine {
+	m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
+	m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.LastReplyAt = 1, 10, tm.state.FirstToken, time.Now(), time.Now(), time.Now()
 	return m
 }
 
 // member is the attempt of the gang's i-th task.
-func member(j *job, i int) *attempt { return j.chunk(i / j.tasksPerChunk).attempts[i%j.tasksPerChunk] }
+func member(j *cluster.Job, i int) *cluster.Attempt {
+	return j.Chunk(i / j.TasksPerChunk).Attempts[i%j.TasksPerChunk]
+}
 
 func launches(orders []wire.Command) (n int) {
 	for _, o := range orders {
@@ -54,30 +57,30 @@
 // of it is lost, and it is not told to stop.
 func TestGangMayLaunch(t *testing.T) {
 	cases := map[string]struct {
-		setup func(tm *term, j *job)
+		setup func(tm *term, j *cluster.Job)
 		may   bool
 	}{
-		"all stored":     {func(*term, *job) {}, true},
-		"no gang at all": {func(_ *term, j *job) { j.gang = nil }, true},
-		"one is not yet stored": {func(_ *term, j *job) {
+		"all stored":     {func(*term, *cluster.Job) {}, true},
+		"no gang at all": {func(_ *term, j *cluster.Job) { j.Gang = nil }, true},
+		"one is not yet stored": {func(_ *term, j *cluster.Job) {
 			a := member(j, 2)
-			a.unstored = true
-			a.chunk.unstoredAttempts++
-			j.unstoredAttempts++
+			a.Unstored = true
+			a.Chunk.UnstoredAttempts++
+			j.UnstoredAttempts++
 		}, false},
-		"one is not held":       {func(tm *term, j *job) { tm.state.endAttempt(member(j, 2), TaskPending) }, false},
-		"one was lost":          {func(_ *term, j *job) { j.gang.broken = true }, false},
-		"it is told to stop":    {func(_ *term, j *job) { j.gang.stoppingGracefully = true }, false},
-		"one has no time left":  {func(tm *term, j *job) { tm.dispatcher.stopGang(j, 0, "makes room") }, false},
-		"it was told to stop":   {func(tm *term, j *job) { j.gang.ran = true; tm.dispatcher.stopGang(j, 13, "makes room") }, false},
-		"its job was cancelled": {func(_ *term, j *job) { j.cancelled = true }, false},
+		"one is not held":       {func(tm *term, j *cluster.Job) { tm.state.EndAttempt(member(j, 2), cluster.TaskPending) }, false},
+		"one was lost":          {func(_ *term, j *cluster.Job) { j.Gang.Broken = true }, false},
+		"it is told to stop":    {func(_ *term, j *cluster.Job) { j.Gang.StoppingGracefully = true }, false},
+		"one has no time left":  {func(tm *term, j *cluster.Job) { tm.dispatcher.stopGang(j, 0, "makes room") }, false},
+		"it was told to stop":   {func(tm *term, j *cluster.Job) { j.Gang.Ran = true; tm.dispatcher.stopGang(j, 13, "makes room") }, false},
+		"its job was cancelled": {func(_ *term, j *cluster.Job) { j.Cancelled = true }, false},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
 		first := member(j, 0)
 		c.setup(tm, j)
-		rep := said(1, 11, tm.state.firstToken)
-		if sent := launches(tm.dispatcher.commandsFor(first.machine, rep, time.Now())) == 1; sent != c.may {
+		rep := said(1, 11, tm.state.FirstToken)
+		if sent := launches(tm.dispatcher.commandsFor(first.Machine, rep, time.Now())) == 1; sent != c.may {
 			t.Errorf("%s: the first task's launch is sent: %v", name, sent)
 		}
 	}
@@ -87,49 +90,53 @@
 // the others may still wait for it.
 func TestGangLaunchAgain(t *testing.T) {
 	cases := map[string]struct {
-		setup func(tm *term, j *job, a *attempt)
+		setup func(tm *term, j *cluster.Job, a *cluster.Attempt)
 		again bool
 	}{
-		"the others wait":           {func(*term, *job, *attempt) {}, true},
-		"an array's task":           {func(_ *term, j *job, _ *attempt) { j.gang = nil }, false},
-		"it was seen":               {func(_ *term, _ *job, a *attempt) { a.observed = true }, false},
-		"it is told to stop":        {func(_ *term, _ *job, a *attempt) { a.stopping = true }, false},
-		"the gang ran":              {func(_ *term, j *job, _ *attempt) { j.gang.ran = true }, false},
-		"another was lost":          {func(_ *term, j *job, _ *attempt) { j.gang.broken = true }, false},
-		"the job was cancelled":     {func(_ *term, j *job, _ *attempt) { j.cancelled = true }, false},
-		"its machine is drained":    {func(_ *term, _ *job, a *attempt) { a.machine.drainReason = "slow" }, false},
-		"its machine is returned":   {func(_ *term, _ *job, a *attempt) { a.machine.scalingIn = true }, false},
-		"just before the wait ends": {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-39 * time.Second) }, true},
-		"they have waited in vain":  {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-40 * time.Second) }, false},
+		"the others wait":         {func(*term, *cluster.Job, *cluster.Attempt) {}, true},
+		"an array's task":         {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Gang = nil }, false},
+		"it was seen":             {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Observed = true }, false},
+		"it is told to stop":      {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Stopping = true }, false},
+		"the gang ran":            {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Gang.Ran = true }, false},
+		"another was lost":        {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Gang.Broken = true }, false},
+		"the job was cancelled":   {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Cancelled = true }, false},
+		"its machine is drained":  {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Machine.DrainReason = "slow" }, false},
+		"its machine is returned": {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Machine.ScalingIn = true }, false},
+		"just before the wait ends": {func(_ *term, j *cluster.Job, _ *cluster.Attempt) {
+			j.Gang.StartedAt = time.Now().Add(-39 * time.Second)
+		}, true},
+		"they have waited in vain": {func(_ *term, j *cluster.Job, _ *cluster.Attempt) {
+			j.Gang.StartedAt = time.Now().Add(-40 * time.Second)
+		}, false},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
 		a := member(j, 0)
-		a.inherited, a.launchSent = true, true
+		a.Inherited, a.LaunchSent = true, true
 		c.setup(tm, j, a)
-		if again := tm.state.mayRelaunch(a); again != c.again {
+		if again := tm.state.MayRelaunch(a); again != c.again {
 			t.Errorf("%s: sent again %v", name, again)
 		}
 		if name != "the others wait" {
 			continue
 		}
-		tm.reconciler.reconcile(a.machine, said(1, 11, tm.state.firstToken), true, time.Now())
-		if n := launches(tm.dispatcher.commandsFor(a.machine, said(1, 11, tm.state.firstToken), time.Now())); j.activeTasks != 3 || n != 1 {
-			t.Errorf("%s: %d held, %d launches", name, j.activeTasks, n)
+		tm.reconciler.reconcile(a.Machine, said(1, 11, tm.state.FirstToken), true, time.Now())
+		if n := launches(tm.dispatcher.commandsFor(a.Machine, said(1, 11, tm.state.FirstToken), time.Now())); j.ActiveTasks != 3 || n != 1 {
+			t.Errorf("%s: %d held, %d launches", name, j.ActiveTasks, n)
 		}
 	}
 }
 
 // halts tells how long each task of the gang is given to save, -1: not told.
-func halts(j *job) (out []wire.Seconds) {
-	for i := range j.spec.Tasks {
+func halts(j *cluster.Job) (out []wire.Seconds) {
+	for i := range j.Spec.Tasks {
 		switch a := member(j, i); {
 		case a == nil:
 			out = append(out, -2)
-		case !a.stopping:
+		case !a.Stopping:
 			out = append(out, -1)
 		default:
-			out = append(out, a.gracePeriod)
+			out = append(out, a.GracePeriod)
 		}
 	}
 	return out
@@ -139,21 +146,21 @@
 // time replaces no shorter one.
 func TestGangHalt(t *testing.T) {
 	cases := map[string]struct {
-		setup func(g *gang)
+		setup func(g *cluster.Gang)
 		told  []wire.Seconds // one after the other
 		want  wire.Seconds
 	}{
-		"runs":                                {func(g *gang) { g.ran = true }, []wire.Seconds{13}, 13},
-		"longer after shorter":                {func(g *gang) { g.ran = true }, []wire.Seconds{9, 13}, 9},
-		"longer after none":                   {func(g *gang) { g.ran = true }, []wire.Seconds{0, 13}, 0},
-		"shorter after longer":                {func(g *gang) { g.ran = true }, []wire.Seconds{13, 9}, 9},
-		"none after some":                     {func(g *gang) { g.ran = true }, []wire.Seconds{13, 0}, 0},
-		"has not run":                         {func(*gang) {}, []wire.Seconds{13}, 0},
-		"inherited, not known whether it ran": {func(g *gang) { g.inherited = true }, []wire.Seconds{13}, 13},
+		"runs":                                {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{13}, 13},
+		"longer after shorter":                {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{9, 13}, 9},
+		"longer after none":                   {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{0, 13}, 0},
+		"shorter after longer":                {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{13, 9}, 9},
+		"none after some":                     {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{13, 0}, 0},
+		"has not run":                         {func(*cluster.Gang) {}, []wire.Seconds{13}, 0},
+		"inherited, not known whether it ran": {func(g *cluster.Gang) { g.Inherited = true }, []wire.Seconds{13}, 13},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
-		c.setup(j.gang)
+		c.setup(j.Gang)
 		for _, windDown := range c.told {
 			tm.dispatcher.stop(member(j, 1), windDown, "makes room")
 		}
@@ -162,8 +169,8 @@
 				t.Errorf("%s: task %d has %v to save, want %v", name, i, got, c.want)
 			}
 		}
-		if j.gang.stoppingGracefully != (c.want > 0) {
-			t.Errorf("%s: stops in order: %v", name, j.gang.stoppingGracefully)
+		if j.Gang.StoppingGracefully != (c.want > 0) {
+			t.Errorf("%s: stops in order: %v", name, j.Gang.StoppingGracefully)
 		}
 	}
 }
@@ -171,7 +178,7 @@
 // Cancelling gives no time, also to a gang that is saving.
 func TestGangCancelledWhileSaving(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
-	j.gang.ran = true
+	j.Gang.Ran = true
 	tm.dispatcher.stop(member(j, 1), 13, "makes room")
 	tm.dispatcher.stopCancelledJob(j)
 	if got := halts(j); got[0] != 0 || got[1] != 0 || got[2] != 0 {
@@ -183,31 +190,31 @@
 // order; when nothing is left it may be placed anew.
 func TestMendGangs(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
-	j.gang.ran = true
+	j.Gang.Ran = true
 	tm.dispatcher.stopBrokenGangs()
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
-	tm.state.endAttempt(member(j, 1), TaskPending)
+	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
 	tm.dispatcher.stopBrokenGangs()
-	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.broken {
+	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.Gang.Broken {
 		t.Errorf("one is lost: %v", got)
 	}
-	if tm.scheduler.schedulable(j, time.Now()) {
+	if tm.scheduler.Schedulable(j, time.Now()) {
 		t.Error("placed while two of its tasks are left")
 	}
-	tm.state.endAttempt(member(j, 0), TaskPending)
-	tm.state.endAttempt(member(j, 2), TaskPending)
-	tm.state.cycle.requested = false
+	tm.state.EndAttempt(member(j, 0), cluster.TaskPending)
+	tm.state.EndAttempt(member(j, 2), cluster.TaskPending)
+	tm.state.Cycle.Requested = false
 	tm.dispatcher.stopBrokenGangs()
-	if j.gang != nil || !tm.state.cycle.requested || !tm.scheduler.schedulable(j, time.Now()) {
-		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.state.cycle.requested, tm.scheduler.schedulable(j, time.Now()))
+	if j.Gang != nil || !tm.state.Cycle.Requested || !tm.scheduler.Schedulable(j, time.Now()) {
+		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.Gang, tm.state.Cycle.Requested, tm.scheduler.Schedulable(j, time.Now()))
 	}
 
 	tm, j = gangRig(t, 3, 4)
-	j.gang.ran = true
+	j.Gang.Ran = true
 	tm.dispatcher.stop(member(j, 0), 13, "makes room")
-	tm.state.endAttempt(member(j, 1), TaskPending)
+	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
 	tm.dispatcher.stopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
@@ -217,32 +224,32 @@
 // When one task of a gang is done all are, whatever the others show.
 func TestGangDone(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
-	m := member(j, 1).machine
-	tm.reconciler.reconcile(m, &wire.Heartbeat{Machine: m.id, Epoch: 1, Sequence: 11, Token: tm.state.firstToken,
+	m := member(j, 1).Machine
+	tm.reconciler.reconcile(m, &wire.Heartbeat{Machine: m.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
 	tm.dispatcher.stopBrokenGangs()
 	mustBeDone(t, "one reported done", tm, j)
 }
 
-func mustBeDone(t *testing.T, name string, tm *term, j *job) {
+func mustBeDone(t *testing.T, name string, tm *term, j *cluster.Job) {
 	t.Helper()
-	if j.doneTasks != j.spec.Tasks || j.activeTasks != 0 || j.gang != nil || !j.finished {
-		t.Errorf("%s: %d done, %d held, gang %+v, over %v", name, j.doneTasks, j.activeTasks, j.gang, j.finished)
+	if j.DoneTasks != j.Spec.Tasks || j.ActiveTasks != 0 || j.Gang != nil || !j.Finished {
+		t.Errorf("%s: %d done, %d held, gang %+v, over %v", name, j.DoneTasks, j.ActiveTasks, j.Gang, j.Finished)
 	}
-	for n := range j.chunks {
-		c := j.chunk(n)
-		if rec := c.record(); len(rec.Active) > 0 || !c.dirty {
-			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Active, c.dirty)
+	for n := range j.Chunks {
+		c := j.Chunk(n)
+		if rec := c.Record(); len(rec.Active) > 0 || !c.Dirty {
+			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Active, c.Dirty)
 		}
-		for i, s := range c.taskStates {
-			if s != TaskDone {
+		for i, s := range c.TaskStates {
+			if s != cluster.TaskDone {
 				t.Errorf("%s: task %d of chunk %d is %d", name, i, n, s)
 			}
 		}
 	}
-	for _, m := range tm.state.machines {
-		if len(m.tasks) > 0 {
-			t.Errorf("%s: %v are on %s", name, m.tasks, m.id)
+	for _, m := range tm.state.Machines {
+		if len(m.Tasks) > 0 {
+			t.Errorf("%s: %v are on %s", name, m.Tasks, m.ID)
 		}
 	}
 }
@@ -277,20 +284,20 @@
 	}
 	for name, c := range cases {
 		tm, j := readRig(t, c.recs)
-		if (j.gang != nil) != c.gang {
-			t.Errorf("%s: gang %+v", name, j.gang)
+		if (j.Gang != nil) != c.gang {
+			t.Errorf("%s: gang %+v", name, j.Gang)
 			continue
 		}
-		if c.gang && (j.gang.number != 4 || !j.gang.inherited || j.gang.ran) {
-			t.Errorf("%s: %+v", name, j.gang)
+		if c.gang && (j.Gang.Number != 4 || !j.Gang.Inherited || j.Gang.Ran) {
+			t.Errorf("%s: %+v", name, j.Gang)
 		}
 		tm.dispatcher.stopBrokenGangs()
-		if c.gang && j.gang.broken != c.mend {
-			t.Errorf("%s: lost %v", name, j.gang.broken)
+		if c.gang && j.Gang.Broken != c.mend {
+			t.Errorf("%s: lost %v", name, j.Gang.Broken)
 		}
-		for _, a := range j.attempts() {
-			if a.stopping != c.mend || a.mayLaunch() == c.mend {
-				t.Errorf("%s: %v is told to stop: %v, may be sent: %v", name, a.task(), a.stopping, a.mayLaunch())
+		for _, a := range j.Attempts() {
+			if a.Stopping != c.mend || a.MayLaunch() == c.mend {
+				t.Errorf("%s: %v is told to stop: %v, may be sent: %v", name, a.Task(), a.Stopping, a.MayLaunch())
 			}
 		}
 	}
@@ -306,18 +313,18 @@
 }
 
 // readRig is a term that has read a gang of three and these records.
-func readRig(t *testing.T, recs []store.ChunkRecord) (*term, *job) {
+func readRig(t *testing.T, recs []store.ChunkRecord) (*term, *cluster.Job) {
 	t.Helper()
 	tm, j := gangRig(t, 3, 4)
-	for _, a := range j.attempts() {
-		a.detach()
-		a.chunk.taskStates[a.index] = TaskPending
+	for _, a := range j.Attempts() {
+		a.Detach()
+		a.Chunk.TaskStates[a.Index] = cluster.TaskPending
 	}
-	j.gang = nil
+	j.Gang = nil
 	for n := range recs {
-		tm.records.readChunk(j.chunk(n), wire.Revision(40+n), &recs[n])
+		tm.records.progress.ReadChunk(j.Chunk(n), wire.Revision(40+n), &recs[n])
 	}
-	tm.state.restoreGang(j)
+	tm.state.RestoreGang(j)
 	return tm, j
 }
 
@@ -325,23 +332,23 @@
 // has had, and no later one may have it.
 func TestStartGangNumber(t *testing.T) {
 	tm, j := readRig(t, heldRecords(0, 0, 0, 0)[:2])
-	j.chunk(0).nextAttempt, j.chunk(1).nextAttempt = 3, 7
-	var ms []*machine
-	for i := range j.spec.Tasks {
+	j.Chunk(0).NextAttempt, j.Chunk(1).NextAttempt = 3, 7
+	var ms []*cluster.Machine
+	for i := range j.Spec.Tasks {
 		ms = append(ms, gangMachine(tm, i))
 	}
-	tm.scheduler.startGang(j, ms, time.Now())
-	if len(j.attempts()) != 3 || j.unstoredAttempts != 3 || j.gang.number != 7 || j.gang.inherited || j.fullyStored() {
-		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.attempts()), j.unstoredAttempts, j.gang, j.fullyStored())
+	tm.scheduler.StartGang(j, ms, time.Now())
+	if len(j.Attempts()) != 3 || j.UnstoredAttempts != 3 || j.Gang.Number != 7 || j.Gang.Inherited || j.FullyStored() {
+		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.Attempts()), j.UnstoredAttempts, j.Gang, j.FullyStored())
 	}
-	for _, a := range j.attempts() {
-		if a.number != 7 || !a.unstored || a.mayLaunch() {
-			t.Errorf("%v: number %d, to be stored %v, may be sent %v", a.task(), a.number, a.unstored, a.mayLaunch())
+	for _, a := range j.Attempts() {
+		if a.Number != 7 || !a.Unstored || a.MayLaunch() {
+			t.Errorf("%v: number %d, to be stored %v, may be sent %v", a.Task(), a.Number, a.Unstored, a.MayLaunch())
 		}
 	}
-	for n := range j.chunks {
-		if rec := j.chunk(n).record(); rec.NextAttempt != 8 || !j.chunk(n).dirty {
-			t.Errorf("chunk %d: next %d, to be written %v", n, rec.NextAttempt, j.chunk(n).dirty)
+	for n := range j.Chunks {
+		if rec := j.Chunk(n).Record(); rec.NextAttempt != 8 || !j.Chunk(n).Dirty {
+			t.Errorf("chunk %d: next %d, to be written %v", n, rec.NextAttempt, j.Chunk(n).Dirty)
 		}
 	}
 }
@@ -352,24 +359,24 @@
 func TestSaveBeforeNotice(t *testing.T) {
 	for _, deciding := range []bool{true, false} {
 		tm, j := gangRig(t, 3, 4)
-		j.gang.ran = true
-		m := member(j, 0).machine
-		single := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
-		tm.state.jobs["req-3"] = single
-		array := &attempt{job: single, chunk: single.chunk(0), number: 2, machine: m, observed: true}
-		array.chunk.add(array)
-		waiting := &attempt{job: single, chunk: single.chunk(0), index: 1, number: 3, machine: member(j, 1).machine}
-		waiting.chunk.add(waiting)
+		j.Gang.Ran = true
+		m := member(j, 0).Machine
+		single := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
+		tm.state.Jobs["req-3"] = single
+		array := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Number: 2, Machine: m, Observed: true}
+		array.Chunk.Add(array)
+		waiting := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Index: 1, Number: 3, Machine: member(j, 1).Machine}
+		waiting.Chunk.Add(waiting)
 		if !deciding {
 			tm.lease = leaseFor(tm.leader, tm.fencing.token, -time.Millisecond)
 		}
 		watch := func(left time.Duration) {
 			now := time.Now()
-			m.reclaimAt, m.drainReason = now.Add(left), DrainSpotNotice
+			m.ReclaimAt, m.DrainReason = now.Add(left), cluster.DrainSpotNotice
 			tm.monitor.checkMachine(m, tm.monitor.countMachines(now), now)
 		}
 		if !deciding {
-			if watch(time.Second); array.stopping || member(j, 0).stopping {
+			if watch(time.Second); array.Stopping || member(j, 0).Stopping {
 				t.Error("stopped by a leader that no majority agrees with")
 			}
 			tm.lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
@@ -377,15 +384,15 @@
 		if watch(14100 * time.Millisecond); halts(j)[0] != -1 {
 			t.Errorf("deciding %v: told %v at 14.1 s", deciding, halts(j))
 		}
-		if watch(13900 * time.Millisecond); halts(j)[0] != 13 || halts(j)[1] != 13 || halts(j)[2] != 13 || array.stopping {
-			t.Errorf("deciding %v: told %v at 13.9 s, the array %v", deciding, halts(j), array.stopping)
+		if watch(13900 * time.Millisecond); halts(j)[0] != 13 || halts(j)[1] != 13 || halts(j)[2] != 13 || array.Stopping {
+			t.Errorf("deciding %v: told %v at 13.9 s, the array %v", deciding, halts(j), array.Stopping)
 		}
-		if watch(5900 * time.Millisecond); !array.stopping || array.gracePeriod != 5 {
-			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.stopping, array.gracePeriod)
+		if watch(5900 * time.Millisecond); !array.Stopping || array.GracePeriod != 5 {
+			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.Stopping, array.GracePeriod)
 		}
-		other := member(j, 1).machine
+		other := member(j, 1).Machine
 		tm.leader.Cancels.RecordRead(time.Now())
-		r := tm.tell(&wire.Heartbeat{Machine: other.id, Epoch: 1, Sequence: 11, Token: tm.state.firstToken,
+		r := tm.tell(&wire.Heartbeat{Machine: other.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
 		if r.commands != nil {
@@ -398,10 +405,10 @@
 		if !deciding {
 			ended, end := context.WithCancel(t.Context())
 			end() // the command itself goes nowhere
-			tm.ctx, other.addr = ended, "10.1.0.1:9000"
-			member(j, 1).stopSentAt = time.Time{}
-			if tm.dispatcher.dispatch(other); waiting.launchSent || member(j, 1).stopSentAt.IsZero() {
-				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.launchSent, !member(j, 1).stopSentAt.IsZero())
+			tm.ctx, other.Addr = ended, "10.1.0.1:9000"
+			member(j, 1).StopSentAt = time.Time{}
+			if tm.dispatcher.dispatch(other); waiting.LaunchSent || member(j, 1).StopSentAt.IsZero() {
+				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.LaunchSent, !member(j, 1).StopSentAt.IsZero())
 			}
 		}
 		if n := launches(r.commands.Commands); told != 1 || (n == 1) != deciding {
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -5,14 +5,16 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/scheduling"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
-func gangJob(tm *term, id wire.JobID, parts int) *job {
-	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: parts, CPUs: 2, MemoryGB: 4, SameZone: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
-	tm.state.jobs[id] = j
+func gangJob(tm *term, id wire.JobID, parts int) *cluster.Job {
+	j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: parts, CPUs: 2, MemoryGB: 4, SameZone: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
+	tm.state.Jobs[id] = j
 	return j
 }
 
@@ -21,18 +23,18 @@
 func TestClaimsOfAGangLapseTogether(t *testing.T) {
 	tm, m, _ := rig(t)
 	gangJob(tm, "req-2", 2)
-	other := tm.state.getOrAddMachine("n-2")
+	other := tm.state.GetOrAddMachine("n-2")
 	now := time.Now()
-	for _, x := range []*machine{m, other} {
-		x.reservations = []reservation{{placement.Reservation{Job: "req-2", Rank: 1}, nil, now.Add(time.Minute)}}
-		tm.scheduler.reservedMachines[x] = struct{}{}
+	for _, x := range []*cluster.Machine{m, other} {
+		x.Reservations = []cluster.Reservation{{Reservation: placement.Reservation{Job: "req-2", Rank: 1}, Until: now.Add(time.Minute)}}
+		tm.scheduler.ReservedMachines[x] = struct{}{}
 	}
-	if n := tm.scheduler.pruneReservations(now); n["req-2"] != 2 {
+	if n := tm.scheduler.PruneReservations(now); n["req-2"] != 2 {
 		t.Fatalf("claims %v", n)
 	}
-	delete(tm.state.machines, other.id)
-	if n := tm.scheduler.pruneReservations(now); n["req-2"] != 0 || len(m.reservations) != 0 || len(tm.scheduler.reservedMachines) != 0 {
-		t.Errorf("claims %v, on the machine that is left %v", n, m.reservations)
+	delete(tm.state.Machines, other.ID)
+	if n := tm.scheduler.PruneReservations(now); n["req-2"] != 0 || len(m.Reservations) != 0 || len(tm.scheduler.ReservedMachines) != 0 {
+		t.Errorf("claims %v, on the machine that is left %v", n, m.Reservations)
 	}
 }
 
@@ -42,7 +44,7 @@
 	tm, _, _ := rig(t)
 	now := time.Now()
 	names := func(times float64, at time.Time) (out []wire.JobID) {
-		for _, s := range tm.scheduler.expectedGangs(times, at) {
+		for _, s := range tm.scheduler.ExpectedGangs(times, at) {
 			out = append(out, s.ID)
 		}
 		return
@@ -58,14 +60,14 @@
 	if got := names(0, now); len(got) != 0 {
 		t.Errorf("none: room for %v", got)
 	}
-	delete(tm.state.jobs, "req-3")
-	if got := names(1, now.Add(recentGangLife-time.Second)); len(got) != 1 || got[0] != "req-3" {
+	delete(tm.state.Jobs, "req-3")
+	if got := names(1, now.Add(scheduling.RecentGangLife-time.Second)); len(got) != 1 || got[0] != "req-3" {
 		t.Errorf("lately: room for %v", got)
 	}
-	if got := names(1, now.Add(recentGangLife+time.Second)); len(got) != 1 || got[0] != "req-2" {
+	if got := names(1, now.Add(scheduling.RecentGangLife+time.Second)); len(got) != 1 || got[0] != "req-2" {
 		t.Errorf("later: room for %v", got)
 	}
-	ds := tm.scheduler.gangReserves(1, now.Add(recentGangLife+time.Second))
+	ds := tm.scheduler.GangReserves(1, now.Add(scheduling.RecentGangLife+time.Second))
 	if len(ds) != 1 || !ds[0].AllOrNothing || ds[0].Units != 2 || ds[0].Rank >= 9 {
 		t.Errorf("demands %+v", ds)
 	}
@@ -77,22 +79,22 @@
 	tm, _, _ := rig(t)
 	now := time.Now()
 	gang := gangJob(tm, "req-2", 3)
-	gang.spec.Priority, gang.spec.ExpectedRunTime = wire.PriorityUrgent, 30
+	gang.Spec.Priority, gang.Spec.ExpectedRunTime = wire.PriorityUrgent, 30
 	after := func(waited time.Duration) float64 {
-		gang.acceptedAt = now.Add(-waited)
-		return tm.scheduler.patienceSeconds(gang, now)
+		gang.AcceptedAt = now.Add(-waited)
+		return tm.scheduler.PatienceSeconds(gang, now)
 	}
-	if got := after(0); got != maxPatienceS {
+	if got := after(0); got != scheduling.MaxPatienceS {
 		t.Errorf("without an aim: %g s", got)
 	}
-	tm.state.settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: gang.spec.Class, Within: 2}}
+	tm.state.Settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: gang.Spec.Class, Within: 2}}
 	if got := after(0); got != 1 {
 		t.Errorf("at once: %g s of 2 s", got)
 	}
 	if got := after(1500 * time.Millisecond); got != 0.25 {
 		t.Errorf("after 1.5 s: %g s of the last 0.5 s", got)
 	}
-	if got := after(2 * time.Second); got != maxPatienceS+1-2 {
+	if got := after(2 * time.Second); got != scheduling.MaxPatienceS+1-2 {
 		t.Errorf("late: %g s", got)
 	}
 }
--- a/internal/leader/intents.go
+++ b/internal/leader/intents.go
@@ -8,6 +8,7 @@
 
 	"lilaclead/duty"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/wire"
 )
@@ -70,14 +71,14 @@
 // changes nothing.
 func (sl *scaler) adoptIntents(earlier earlierIntents) {
 	for _, id := range earlier.scaleIns {
-		if _, gone := sl.state.removedMachines[id]; gone {
+		if _, gone := sl.state.RemovedMachines[id]; gone {
 			continue
 		}
 		// It takes nothing from now on, also where the lease is not held for a moment and
 		// the release comes with a later look at the machine.
-		m := sl.state.getOrAddMachine(id)
-		m.drainReason = DrainAdoptedScaleIn
-		sl.scaleIn(m, DrainAdoptedScaleIn)
+		m := sl.state.GetOrAddMachine(id)
+		m.DrainReason = cluster.DrainAdoptedScaleIn
+		sl.scaleIn(m, cluster.DrainAdoptedScaleIn)
 	}
 	for _, intent := range earlier.scaleOuts {
 		b := sl.tracker.Adopt(intent.Request, intent.Since.Time())
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
@@ -16,25 +17,25 @@
 	ctx := t.Context()
 	tm.begin(ctx)
 	away(tm)
-	a.launchSent, a.observed, a.phase = true, true, wire.PhaseRunning
+	a.LaunchSent, a.Observed, a.Phase = true, true, wire.PhaseRunning
 	held := tm.lease
 	tm.lease = leaseFor(tm.leader, tm.fencing.token, -time.Second)
-	tm.scaler.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.id}})
-	if m.scalingIn || m.drainReason != DrainAdoptedScaleIn {
-		t.Errorf("without a lease: releasing %v, drains as %q", m.scalingIn, m.drainReason)
+	tm.scaler.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.ID}})
+	if m.ScalingIn || m.DrainReason != cluster.DrainAdoptedScaleIn {
+		t.Errorf("without a lease: releasing %v, drains as %q", m.ScalingIn, m.DrainReason)
 	}
 	tm.lease = held
 	now := time.Now()
-	m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = now, now, now
+	m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = now, now, now
 	tm.monitor.checkMachines(now)
-	if !m.scalingIn || len(m.tasks) != 1 {
-		t.Errorf("with the lease: releasing %v, %d tasks", m.scalingIn, len(m.tasks))
+	if !m.ScalingIn || len(m.Tasks) != 1 {
+		t.Errorf("with the lease: releasing %v, %d tasks", m.ScalingIn, len(m.Tasks))
 	}
 }
 
 // The machine types are stored only while this node leads, as all that a leader writes.
 func TestMachineSpecsAreGuarded(t *testing.T) {
-	withState(t, func(tm *term, _ *machine, st *simulator.State, _ func()) {
+	withState(t, func(tm *term, _ *cluster.Machine, st *simulator.State, _ func()) {
 		specs := []wire.MachineSpec{{Name: "c4"}}
 		if !tm.inventory.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) == 0 {
 			t.Error("not stored while this node leads")
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"lilaclead/duty"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -13,7 +14,7 @@
 // inventory follows the cloud's machine list and its machine types.
 type inventory struct {
 	*eventLoop
-	state      *State
+	state      *cluster.State
 	dispatcher *dispatcher
 }
 
@@ -41,30 +42,30 @@
 // onMachineList takes in a machine list. A list lags and goes backwards: what it
 // lacks means nothing, and what it shows may be gone.
 func (in *inventory) onMachineList(list []wire.ListedMachine, now time.Time) {
-	in.state.machineListReceived = true
+	in.state.MachineListReceived = true
 	for _, h := range list {
-		if _, gone := in.state.removedMachines[h.Name]; gone {
+		if _, gone := in.state.RemovedMachines[h.Name]; gone {
 			continue
 		}
-		known := in.state.machines[h.Name] != nil
-		m := in.state.getOrAddMachine(h.Name)
-		m.listedAt = now
+		known := in.state.Machines[h.Name] != nil
+		m := in.state.GetOrAddMachine(h.Name)
+		m.ListedAt = now
 		if !known {
-			m.requestedAt = now.Add(-h.Age.Duration())
-			m.booting = h.State == wire.ListedStarting
+			m.RequestedAt = now.Add(-h.Age.Duration())
+			m.Booting = h.State == wire.ListedStarting
 		}
-		if m.firstHeartbeatAt.IsZero() {
-			m.addr, m.machineType, m.zone, m.spot = h.Addr, h.Type, h.Zone, h.Spot
-			if age := now.Add(-h.Age.Duration()); age.Before(m.requestedAt) {
-				m.requestedAt = age
+		if m.FirstHeartbeatAt.IsZero() {
+			m.Addr, m.MachineType, m.Zone, m.Spot = h.Addr, h.Type, h.Zone, h.Spot
+			if age := now.Add(-h.Age.Duration()); age.Before(m.RequestedAt) {
+				m.RequestedAt = age
 			}
-			if h.State == wire.ListedRunning && m.token < in.state.firstToken && m.unansweredProbes == 0 && !m.scalingIn {
+			if h.State == wire.ListedRunning && m.Token < in.state.FirstToken && m.UnansweredProbes == 0 && !m.ScalingIn {
 				in.dispatcher.tokenAnnounced = false
 			}
 		}
-		if h.State == wire.ListedFailed && !m.failedInCloud {
-			m.failedInCloud, m.booting = true, false
-			in.log().Info("machine failed", "machine", m.id, "tasks", len(m.tasks))
+		if h.State == wire.ListedFailed && !m.FailedInCloud {
+			m.FailedInCloud, m.Booting = true, false
+			in.log().Info("machine failed", "machine", m.ID, "tasks", len(m.Tasks))
 		}
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -29,6 +29,7 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/netio"
@@ -49,7 +50,7 @@
 	Mesh    *peer.Mesh
 	Cancels *cancels.Log
 	Tuning  *tuning.Current
-	Catalog *MachineCatalog
+	Catalog *cluster.MachineCatalog
 	Log     *slog.Logger
 	Metrics Metrics
 	// Undecodable is told of records and reports that can't be decoded.
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/peer"
 )
 
@@ -16,36 +17,36 @@
 
 // expireLease ends the tasks of a machine whose lease has surely run out: nobody
 // can have answered it within the lease, the clocks' drift and a margin.
-func (mo *monitor) expireLease(m *machine, now time.Time) {
-	if len(m.tasks) == 0 || !mo.state.recovered {
+func (mo *monitor) expireLease(m *cluster.Machine, now time.Time) {
+	if len(m.Tasks) == 0 || !mo.state.Recovered {
 		return
 	}
-	lease := mo.state.settings.Workers.Lease.Duration()
+	lease := mo.state.Settings.Workers.Lease.Duration()
 	surelyOver := lease + lease/clockDriftPart + leaseRounding
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := latest(latest(m.lastReplyAt, m.tokenSeenAt), latest(m.epochSince, mo.state.delegatesRenewedUntil))
-	if m.token < mo.state.firstToken {
-		last = latest(last, mo.earlierLeaderRepliesUntil())
+	last := cluster.Latest(cluster.Latest(m.LastReplyAt, m.TokenSeenAt), cluster.Latest(m.EpochSince, mo.state.DelegatesRenewedUntil))
+	if m.Token < mo.state.FirstToken {
+		last = cluster.Latest(last, mo.earlierLeaderRepliesUntil())
 	}
 	if now.Sub(last) < surelyOver {
 		return
 	}
-	for _, a := range m.tasks {
-		if a.unstored {
+	for _, a := range m.Tasks {
+		if a.Unstored {
 			continue
 		}
 		// A direct launch of ours may still come, even after the lease; and
 		// a machine in a new session could take it only with that session.
-		if a.launchInFlight {
+		if a.LaunchInFlight {
 			continue
 		}
-		mo.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
-		mo.leader.Metrics.TaskMoved(string(EvictedLeaseExpired))
-		mo.state.endAttempt(a, TaskPending)
+		mo.log().Info("lease of a silent machine has run out", "task", a.Task(), "attempt", a.Number, "machine", m.ID)
+		mo.leader.Metrics.TaskMoved(string(cluster.EvictedLeaseExpired))
+		mo.state.EndAttempt(a, cluster.TaskPending)
 	}
 }
 
@@ -57,12 +58,12 @@
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
 func (mo *monitor) earlierLeaderRepliesUntil() time.Time {
-	other := mo.state.termStartedAt.Add(peer.OutageLimit)
+	other := mo.state.TermStartedAt.Add(peer.OutageLimit)
 	if mo.leader.delegation.Time > 0 {
-		other = mo.state.termStartedAt.Add(max(mo.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
+		other = mo.state.TermStartedAt.Add(max(mo.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
 	}
-	if !mo.state.quorumAckedAt.IsZero() && mo.state.quorumAckedAt.Add(peer.AckLifetime).Before(other) {
-		other = mo.state.quorumAckedAt.Add(peer.AckLifetime)
+	if !mo.state.QuorumAckedAt.IsZero() && mo.state.QuorumAckedAt.Add(peer.AckLifetime).Before(other) {
+		other = mo.state.QuorumAckedAt.Add(peer.AckLifetime)
 	}
 	return other
 }
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -3,6 +3,8 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/wire"
 )
 
@@ -10,9 +12,9 @@
 // leases have expired, and acts on it.
 type monitor struct {
 	*eventLoop
-	state      *State
+	state      *cluster.State
 	fencing    *fencing
-	writer     *writer
+	writer     *progress.Writer
 	dispatcher *dispatcher
 	scaler     *scaler
 }
@@ -39,7 +41,7 @@
 // unresponsiveAfter is how long a machine may be silent before it is asked directly:
 // reports come every report_s, give or take a quarter.
 func (mo *monitor) unresponsiveAfter() time.Duration {
-	return mo.state.heartbeatInterval()*5/4 + heartbeatDelay
+	return mo.state.HeartbeatInterval()*5/4 + heartbeatDelay
 }
 
 // lostAfter is when a silent machine is taken for lost: two probes without an answer
@@ -63,20 +65,20 @@
 func (mo *monitor) countMachines(now time.Time) *machineCounts {
 	c := &machineCounts{zoneUp: map[wire.Zone]int{}, zoneLost: map[wire.Zone]int{}}
 	silentAfter, lostAfter := mo.unresponsiveAfter(), mo.lostAfter()
-	for _, m := range mo.state.machines {
-		if m.booting || m.scalingIn {
+	for _, m := range mo.state.Machines {
+		if m.Booting || m.ScalingIn {
 			continue
 		}
-		silence := mo.state.sinceLastMessage(m, now)
+		silence := mo.state.SinceLastMessage(m, now)
 		c.up++
-		c.zoneUp[m.zone]++
-		if m.relayedOnly {
+		c.zoneUp[m.Zone]++
+		if m.RelayedOnly {
 			c.relayed++
 		}
-		if !m.inbound.Works() {
+		if !m.Inbound.Works() {
 			c.inboundLost++
 		}
-		if mo.state.outboundLost(m, now) {
+		if mo.state.OutboundLost(m, now) {
 			c.outboundLost++
 		}
 		if silence > silentAfter {
@@ -84,9 +86,9 @@
 		}
 		if silence > lostAfter {
 			c.lost++
-			c.zoneLost[m.zone]++
+			c.zoneLost[m.Zone]++
 		}
-		if !mo.state.holdsReplicas(m) {
+		if !mo.state.HoldsReplicas(m) {
 			continue
 		}
 		c.replicaHosts++
@@ -113,22 +115,22 @@
 // checkMachines looks for machines that are silent, late, or empty and
 // unwanted.
 func (mo *monitor) checkMachines(now time.Time) {
-	for id, at := range mo.state.removedMachines {
+	for id, at := range mo.state.RemovedMachines {
 		if now.Sub(at) > forgetRemovedAfter {
-			delete(mo.state.removedMachines, id)
+			delete(mo.state.RemovedMachines, id)
 		}
 	}
 	c := mo.countMachines(now)
-	mo.leader.Metrics.Machines(mo.state.machineStateCounts())
+	mo.leader.Metrics.Machines(mo.state.MachineStateCounts())
 	if node, ok := mo.betterConnectedPeer(c, now); ok {
 		mo.resign("workers reach " + string(node) + ", not this node")
 		return
 	}
-	mo.state.delegatesRenewedUntil = mo.anyDelegateAnswersUntil(now)
+	mo.state.DelegatesRenewedUntil = mo.anyDelegateAnswersUntil(now)
 	if !c.isolated() {
 		mo.judgePartitions(c, now)
 	}
-	for _, m := range mo.state.machines {
+	for _, m := range mo.state.Machines {
 		mo.checkReplicas(m, c, now)
 		mo.checkMachine(m, c, now)
 		if fewEnoughForSingleFaults(c.inboundLost, c.up) {
@@ -141,8 +143,8 @@
 
 // betterConnectedPeer is a node that most workers reach, if they don't reach this one.
 func (mo *monitor) betterConnectedPeer(c *machineCounts, now time.Time) (wire.NodeID, bool) {
-	settled := mo.lostAfter() + mo.state.settings.Workers.Lease.Duration()/8
-	if !c.unreachable() || !mo.lease.Deciding() || now.Sub(mo.state.termStartedAt) <= settled {
+	settled := mo.lostAfter() + mo.state.Settings.Workers.Lease.Duration()/8
+	if !c.unreachable() || !mo.lease.Deciding() || now.Sub(mo.state.TermStartedAt) <= settled {
 		return "", false
 	}
 	for name, o := range mo.leader.Mesh.View().Peers {
@@ -156,9 +158,9 @@
 // checkReplicas returns a machine in a partitioned zone whose replicas can be
 // started elsewhere. They end with its lease, and nothing tells just when. The cloud
 // can end them for sure. If the cloud is away too, the lease is waited out.
-func (mo *monitor) checkReplicas(m *machine, c *machineCounts, now time.Time) {
-	if mo.state.partitioned(m.zone, now) && !c.isolated() && mo.replicasMovable(m, now) {
-		mo.scaler.scaleIn(m, DrainLeaseExpiring)
+func (mo *monitor) checkReplicas(m *cluster.Machine, c *machineCounts, now time.Time) {
+	if mo.state.Partitioned(m.Zone, now) && !c.isolated() && mo.replicasMovable(m, now) {
+		mo.scaler.scaleIn(m, cluster.DrainLeaseExpiring)
 	}
 }
 
@@ -166,9 +168,9 @@
 // is taken for lost. A machine with replicas is not left alone for as long as
 // reports may take: the replicas of one that has stopped are down until that is
 // known. When many such are quiet it is rather the way to them.
-func (mo *monitor) unresponsiveLimits(m *machine, c *machineCounts) (probeAfter, lostAfter time.Duration) {
+func (mo *monitor) unresponsiveLimits(m *cluster.Machine, c *machineCounts) (probeAfter, lostAfter time.Duration) {
 	probeAfter, lostAfter = mo.unresponsiveAfter(), mo.lostAfter()
-	if !mo.state.holdsReplicas(m) {
+	if !mo.state.HoldsReplicas(m) {
 		return probeAfter, lostAfter
 	}
 	probeAfter = min(probeAfter, replicaHostProbeAfter)
@@ -179,29 +181,29 @@
 }
 
 // keptThoughUnresponsive tells whether a machine is not returned for its silence.
-func (mo *monitor) keptThoughUnresponsive(m *machine, c *machineCounts, now time.Time) bool {
+func (mo *monitor) keptThoughUnresponsive(m *cluster.Machine, c *machineCounts, now time.Time) bool {
 	// Before the first list nothing is known of a machine that an earlier
 	// leader used and that has not reported, not even its zone.
-	if m.zone == "" && !mo.state.machineListReceived {
+	if m.Zone == "" && !mo.state.MachineListReceived {
 		return true
 	}
 	if mo.unlisted(m) {
 		return false
 	}
 	// Where the partition is over the machines need a while to report again.
-	outlasted := max(mo.state.settings.Workers.Lease.Duration()*5/2, mo.state.settings.Workers.CancelTimeout.Duration()*2)
-	return c.isolated() || mo.state.latelyPartitioned(m.zone, now) && mo.state.sinceLastMessage(m, now) < outlasted
+	outlasted := max(mo.state.Settings.Workers.Lease.Duration()*5/2, mo.state.Settings.Workers.CancelTimeout.Duration()*2)
+	return c.isolated() || mo.state.LatelyPartitioned(m.Zone, now) && mo.state.SinceLastMessage(m, now) < outlasted
 }
 
 // releaseUncancellable returns machines on which a cancelled task goes on.
 func (mo *monitor) releaseUncancellable(now time.Time) {
-	if !mo.lease.Deciding() || !mo.state.recovered {
+	if !mo.lease.Deciding() || !mo.state.Recovered {
 		return
 	}
-	for _, j := range mo.state.jobs {
-		if j.cancelled && j.activeTasks > 0 && now.Sub(j.cancelledAt) > mo.state.settings.Workers.CancelTimeout.Duration()*6/10 {
-			for _, a := range j.attempts() {
-				mo.scaler.scaleIn(a.machine, DrainUncancellable)
+	for _, j := range mo.state.Jobs {
+		if j.Cancelled && j.ActiveTasks > 0 && now.Sub(j.CancelledAt) > mo.state.Settings.Workers.CancelTimeout.Duration()*6/10 {
+			for _, a := range j.Attempts() {
+				mo.scaler.scaleIn(a.Machine, cluster.DrainUncancellable)
 			}
 		}
 	}
@@ -209,15 +211,15 @@
 
 // checkMachine looks after one machine: its boot, its silence, its lease, and what
 // it is still to be told.
-func (mo *monitor) checkMachine(m *machine, c *machineCounts, now time.Time) {
+func (mo *monitor) checkMachine(m *cluster.Machine, c *machineCounts, now time.Time) {
 	switch {
-	case m.scalingIn:
+	case m.ScalingIn:
 		mo.expireLease(m, now)
 		return
-	case m.booting:
+	case m.Booting:
 		mo.checkBoot(m, now)
 		return
-	case !mo.state.recovered:
+	case !mo.state.Recovered:
 		return
 	}
 	mo.repeatStops(m, now)
@@ -227,39 +229,39 @@
 		}
 		return
 	}
-	if m.failedInCloud {
-		mo.scaler.scaleIn(m, DrainFailed)
+	if m.FailedInCloud {
+		mo.scaler.scaleIn(m, cluster.DrainFailed)
 		return
 	}
 	mo.probeUnresponsive(m, c, now)
 	if mo.machineLost(m, c, now) {
-		mo.scaler.scaleIn(m, DrainUnresponsive)
+		mo.scaler.scaleIn(m, cluster.DrainUnresponsive)
 		return
 	}
 	mo.expireLease(m, now)
-	idle := len(m.tasks) == 0 && len(m.orphanTasks) == 0 && mo.writer.allStored(m.lastUsedAt, time.Now())
-	if m.drainReason == DrainAdoptedScaleIn || m.drainReason != "" && idle {
-		mo.scaler.scaleIn(m, m.drainReason)
+	idle := len(m.Tasks) == 0 && len(m.OrphanTasks) == 0 && mo.writer.AllStored(m.LastUsedAt, time.Now())
+	if m.DrainReason == cluster.DrainAdoptedScaleIn || m.DrainReason != "" && idle {
+		mo.scaler.scaleIn(m, m.DrainReason)
 		return
 	}
 	mo.checkTasks(m, now)
 }
 
 // checkBoot returns a machine that should have come up long ago.
-func (mo *monitor) checkBoot(m *machine, now time.Time) {
+func (mo *monitor) checkBoot(m *cluster.Machine, now time.Time) {
 	boot := defaultBootTime
-	if spec := mo.state.machineSpec(m.machineType); spec != nil {
+	if spec := mo.state.MachineSpec(m.MachineType); spec != nil {
 		boot = spec.BootTime.Duration()
 	}
-	if now.Sub(m.requestedAt) > boot*11/4+5*time.Second && mo.lease.Deciding() {
-		mo.scaler.scaleIn(m, DrainNeverUp)
+	if now.Sub(m.RequestedAt) > boot*11/4+5*time.Second && mo.lease.Deciding() {
+		mo.scaler.scaleIn(m, cluster.DrainNeverUp)
 	}
 }
 
 // repeatStops sends halts again that have had no effect.
-func (mo *monitor) repeatStops(m *machine, now time.Time) {
-	for _, a := range m.tasks {
-		if a.stopping && !a.unstored && (a.stopSentAt.IsZero() || now.Sub(a.stopSentAt) > stopRepeat) {
+func (mo *monitor) repeatStops(m *cluster.Machine, now time.Time) {
+	for _, a := range m.Tasks {
+		if a.Stopping && !a.Unstored && (a.StopSentAt.IsZero() || now.Sub(a.StopSentAt) > stopRepeat) {
 			mo.dispatcher.dispatch(m)
 			return
 		}
@@ -267,41 +269,41 @@
 }
 
 // probeUnresponsive probes a machine that is overdue.
-func (mo *monitor) probeUnresponsive(m *machine, c *machineCounts, now time.Time) {
+func (mo *monitor) probeUnresponsive(m *cluster.Machine, c *machineCounts, now time.Time) {
 	probeAfter, _ := mo.unresponsiveLimits(m, c)
-	if mo.state.sinceLastMessage(m, now) <= probeAfter || m.unansweredProbes >= maxProbes || m.commandInFlight {
+	if mo.state.SinceLastMessage(m, now) <= probeAfter || m.UnansweredProbes >= maxProbes || m.CommandInFlight {
 		return
 	}
-	if m.unansweredProbes > 0 && mo.state.behindPartition(m, now) {
+	if m.UnansweredProbes > 0 && mo.state.BehindPartition(m, now) {
 		return
 	}
 	mo.dispatcher.probe(m)
 }
 
 // machineLost tells whether a silent machine is to be given up.
-func (mo *monitor) machineLost(m *machine, c *machineCounts, now time.Time) bool {
+func (mo *monitor) machineLost(m *cluster.Machine, c *machineCounts, now time.Time) bool {
 	_, lostAfter := mo.unresponsiveLimits(m, c)
-	silence := mo.state.sinceLastMessage(m, now)
-	probed := silence > lostAfter && m.unansweredProbes > 1 && m.relayUnanswered
+	silence := mo.state.SinceLastMessage(m, now)
+	probed := silence > lostAfter && m.UnansweredProbes > 1 && m.RelayUnanswered
 	// A machine that an earlier leader used, that is in no list and says
 	// nothing has no address to probe; it is as lost as one that was probed.
-	late := silence > mo.state.heartbeatInterval()*13/4+2*time.Second && (m.unansweredProbes > 0 || m.addr == "")
-	taken := !m.reclaimAt.IsZero() && now.After(m.reclaimAt.Add(time.Second)) && silence > mo.state.heartbeatInterval()+time.Second
+	late := silence > mo.state.HeartbeatInterval()*13/4+2*time.Second && (m.UnansweredProbes > 0 || m.Addr == "")
+	taken := !m.ReclaimAt.IsZero() && now.After(m.ReclaimAt.Add(time.Second)) && silence > mo.state.HeartbeatInterval()+time.Second
 	return (probed || late || taken) && !mo.keptThoughUnresponsive(m, c, now)
 }
 
 // checkTasks stops what runs on a machine that the cloud takes back, and ends
 // launches that may still be on their way to one that takes nothing new.
-func (mo *monitor) checkTasks(m *machine, now time.Time) {
+func (mo *monitor) checkTasks(m *cluster.Machine, now time.Time) {
 	mo.checkpointBeforeReclaim(m, now)
-	for _, a := range m.tasks {
-		if a.unstored {
+	for _, a := range m.Tasks {
+		if a.Unstored {
 			continue
 		}
-		if !m.reclaimAt.IsZero() && a.job.spec.Service() && !a.stopping {
-			mo.dispatcher.stop(a, 0, EvictedMachineReclaimed)
+		if !m.ReclaimAt.IsZero() && a.Job.Spec.Service() && !a.Stopping {
+			mo.dispatcher.stop(a, 0, cluster.EvictedMachineReclaimed)
 		}
-		if a.launchUnanswered && !a.observed && (a.stopping || m.drainReason != "") && now.Sub(a.decidedAt) > 6*time.Second {
+		if a.LaunchUnanswered && !a.Observed && (a.Stopping || m.DrainReason != "") && now.Sub(a.DecidedAt) > 6*time.Second {
 			mo.fencing.raiseRequested = true
 		}
 	}
@@ -317,21 +319,21 @@
 //
 // A leader that answers reports without the state service does so as well: halts
 // start nothing, and workers that have seen a successor's token drop them.
-func (mo *monitor) checkpointBeforeReclaim(m *machine, now time.Time) {
-	if m.reclaimAt.IsZero() {
+func (mo *monitor) checkpointBeforeReclaim(m *cluster.Machine, now time.Time) {
+	if m.ReclaimAt.IsZero() {
 		return
 	}
-	for _, a := range m.tasks {
-		spec := &a.job.spec
-		if a.unstored || a.stopping || spec.CheckpointInterval == 0 {
+	for _, a := range m.Tasks {
+		spec := &a.Job.Spec
+		if a.Unstored || a.Stopping || spec.CheckpointInterval == 0 {
 			continue
 		}
 		need := spec.CheckpointTime.Duration() + reclaimMargin
 		if spec.Gang() {
-			need += mo.state.settings.Workers.GangPeerTimeout.Duration()
+			need += mo.state.Settings.Workers.GangPeerTimeout.Duration()
 		}
-		if m.reclaimAt.Sub(now) < need {
-			mo.dispatcher.stop(a, mo.state.gracePeriodOf(a.job), "saves before its machine is taken")
+		if m.ReclaimAt.Sub(now) < need {
+			mo.dispatcher.stop(a, mo.state.GracePeriodOf(a.Job), "saves before its machine is taken")
 		}
 	}
 }
@@ -341,8 +343,8 @@
 // is to be kept: asking for its release costs nothing and brings the proof. (When
 // most machines had vanished at once it looked as if this node were cut off for as long
 // as no more were rented than that, and none of them was ever asked for.)
-func (mo *monitor) unlisted(m *machine) bool {
-	return mo.state.machineListRequestedAt.Sub(m.listedAt) > 2*mo.state.settings.Cloud.ListLag.Duration()+10*time.Second
+func (mo *monitor) unlisted(m *cluster.Machine) bool {
+	return mo.state.MachineListRequestedAt.Sub(m.ListedAt) > 2*mo.state.Settings.Cloud.ListLag.Duration()+10*time.Second
 }
 
 // replicasMovable tells whether a machine in a zone that is cut off holds replicas that
@@ -350,30 +352,30 @@
 // delegate in the zone can renew them any more, and other zones may have all
 // that their service runs in this one. (With two zones a service that is spread
 // has nowhere to go; to end its replicas early would gain nothing.)
-func (mo *monitor) replicasMovable(m *machine, now time.Time) bool {
-	answered := m.lastMessageAt
-	if lost := mo.zoneControllersLastContact(m.zone); !lost.IsZero() {
-		answered = latest(answered, lost.Add(mo.leader.delegation.Time-mo.state.heartbeatInterval()*5/4))
+func (mo *monitor) replicasMovable(m *cluster.Machine, now time.Time) bool {
+	answered := m.LastMessageAt
+	if lost := mo.zoneControllersLastContact(m.Zone); !lost.IsZero() {
+		answered = cluster.Latest(answered, lost.Add(mo.leader.delegation.Time-mo.state.HeartbeatInterval()*5/4))
 	} else if answered.IsZero() {
-		answered = mo.state.termStartedAt
+		answered = mo.state.TermStartedAt
 	}
-	if now.Sub(answered) < mo.state.settings.Workers.Lease.Duration()*95/100 {
+	if now.Sub(answered) < mo.state.Settings.Workers.Lease.Duration()*95/100 {
 		return false
 	}
-	for _, a := range m.tasks {
-		if !a.job.spec.Service() || a.job.spec.Zone != "" {
+	for _, a := range m.Tasks {
+		if !a.Job.Spec.Service() || a.Job.Spec.Zone != "" {
 			continue
 		}
-		if !a.job.spec.Spread {
+		if !a.Job.Spec.Spread {
 			return true
 		}
-		held, room := a.job.activeByZone(), 0
-		for _, z := range mo.state.zones() {
-			if z != m.zone && !mo.state.latelyPartitioned(z, now) {
-				room += a.job.spec.ZoneCap() - held[z]
+		held, room := a.Job.ActiveByZone(), 0
+		for _, z := range mo.state.Zones() {
+			if z != m.Zone && !mo.state.LatelyPartitioned(z, now) {
+				room += a.Job.Spec.ZoneCap() - held[z]
 			}
 		}
-		if room >= held[m.zone] {
+		if room >= held[m.Zone] {
 			return true
 		}
 	}
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
 )
@@ -19,23 +20,23 @@
 func TestLargeZoneGoesSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tm := sized(t, 300)
-		report := func(skip func(*machine) bool) {
-			for _, m := range tm.state.machines {
+		report := func(skip func(*cluster.Machine) bool) {
+			for _, m := range tm.state.Machines {
 				if !skip(m) {
 					rep := reportOf(m)
 					tm.reconciler.reconcile(m, &rep, true, time.Now())
-					m.lastReplyAt = time.Now()
+					m.LastReplyAt = time.Now()
 				}
 			}
 		}
 		// Each machine reports every ten seconds, a hundredth of them at a time.
-		watch := func(d time.Duration, silent func(*machine) bool) {
+		watch := func(d time.Duration, silent func(*cluster.Machine) bool) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
 				time.Sleep(500 * time.Millisecond)
 				turn := time.Now().UnixMilli() / 500 % 20
-				report(func(m *machine) bool {
+				report(func(m *cluster.Machine) bool {
 					var n int64
-					for _, c := range m.id {
+					for _, c := range m.ID {
 						n = n*10 + int64(c-'0')
 					}
 					return silent(m) || n%20 != turn
@@ -52,10 +53,10 @@
 			}
 		}
 		defer tm.end("the test is over")
-		none := func(*machine) bool { return false }
+		none := func(*cluster.Machine) bool { return false }
 		returned := func(z wire.Zone) (n int) {
-			for _, m := range tm.state.machines {
-				if m.zone == z && m.scalingIn {
+			for _, m := range tm.state.Machines {
+				if m.Zone == z && m.ScalingIn {
 					n++
 				}
 			}
@@ -64,34 +65,34 @@
 		watch(20*time.Second, none)
 		time.Sleep(5 * time.Second) // nothing comes in at all
 		watch(20*time.Second, none)
-		for _, z := range tm.state.settings.Zones {
-			if tm.state.latelyPartitioned(z, time.Now()) {
+		for _, z := range tm.state.Settings.Zones {
+			if tm.state.LatelyPartitioned(z, time.Now()) {
 				t.Errorf("zone %s is called cut off when this node stood still", z)
 			}
 		}
 		cut := time.Now()
-		inA := func(m *machine) bool { return m.zone == "a" }
+		inA := func(m *cluster.Machine) bool { return m.Zone == "a" }
 		watch(3*time.Second, inA)
-		if !tm.state.latelyPartitioned("a", time.Now()) || tm.state.latelyPartitioned("b", time.Now()) {
+		if !tm.state.LatelyPartitioned("a", time.Now()) || tm.state.LatelyPartitioned("b", time.Now()) {
 			t.Error("after 3 s the zone is not told to be cut off, or another one is")
 		}
 		watch(25*time.Second, inA)
 		if n := returned("a"); n != 0 {
 			t.Errorf("%d machines of the cut zone are returned after %v", n, time.Since(cut))
 		}
-		for _, m := range tm.state.machines {
-			if m.zone == "a" && tm.scheduler.usable(m, time.Now()) {
-				t.Fatalf("%s takes launches behind the cut", m.id)
+		for _, m := range tm.state.Machines {
+			if m.Zone == "a" && tm.scheduler.Usable(m, time.Now()) {
+				t.Fatalf("%s takes launches behind the cut", m.ID)
 			}
 		}
-		for _, o := range tm.scheduler.offers(tm.leader.Catalog.Get(), time.Now()) {
+		for _, o := range tm.scheduler.Offers(tm.leader.Catalog.Get(), time.Now()) {
 			if o.Zone == "a" {
 				t.Error("machines would be rented behind the cut")
 			}
 		}
 		watch(40*time.Second, none)
-		if n := returned("a"); n != 0 || tm.state.latelyPartitioned("a", time.Now()) {
-			t.Errorf("%d machines are returned when the zone is back, cut off: %v", n, tm.state.latelyPartitioned("a", time.Now()))
+		if n := returned("a"); n != 0 || tm.state.LatelyPartitioned("a", time.Now()) {
+			t.Errorf("%d machines are returned when the zone is back, cut off: %v", n, tm.state.LatelyPartitioned("a", time.Now()))
 		}
 	})
 }
@@ -104,8 +105,8 @@
 	tm, _, _ := rig(t)
 	tm.leader.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
 	now := time.Now()
-	tm.state.termStartedAt = now.Add(-40 * time.Second)
-	since := func(at time.Time) time.Duration { return at.Sub(tm.state.termStartedAt).Round(time.Second) }
+	tm.state.TermStartedAt = now.Add(-40 * time.Second)
+	since := func(at time.Time) time.Duration { return at.Sub(tm.state.TermStartedAt).Round(time.Second) }
 	// Without a time for delegates, and with a majority.
 	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
@@ -119,17 +120,17 @@
 		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
 	tm.leader.delegation.Time = 22 * time.Second
-	tm.state.quorumAckedAt = tm.state.termStartedAt.Add(3 * time.Second)
+	tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(3 * time.Second)
 	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
 	}
 	// Of the others' last acknowledged beats the oldest counts.
 	view := func(b, c float64) *peer.View {
-		asked := func(s float64) time.Time { return tm.state.termStartedAt.Add(time.Duration(s * float64(time.Second))) }
+		asked := func(s float64) time.Time { return tm.state.TermStartedAt.Add(time.Duration(s * float64(time.Second))) }
 		return &peer.View{Peers: map[wire.NodeID]peer.Peer{"b": {AckSent: asked(b), LastContact: now}, "c": {AckSent: asked(c), LastContact: now}}}
 	}
 	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 39.5}, {39.5, 20, 20}, {39.5, 33, 33}, {0, 0, 0}} {
-		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.state.termStartedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
+		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.state.TermStartedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
 			t.Errorf("acknowledged beats of %v and %v s: the oldest is of %v s, want %v", c.b, c.c, got, c.want)
 		}
 	}
@@ -142,11 +143,11 @@
 	for _, many := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			tm := sized(t, 60)
-			var serving, other *machine
-			silent := map[*machine]bool{}
-			for _, m := range tm.state.machines {
+			var serving, other *cluster.Machine
+			silent := map[*cluster.Machine]bool{}
+			for _, m := range tm.state.Machines {
 				switch {
-				case !tm.state.holdsReplicas(m):
+				case !tm.state.HoldsReplicas(m):
 					other = m
 				case many && len(silent) < 10 || serving == nil:
 					serving = m
@@ -158,11 +159,11 @@
 			watch := func(until time.Duration) {
 				for time.Since(begin) < until {
 					time.Sleep(500 * time.Millisecond)
-					for _, m := range tm.state.machines {
+					for _, m := range tm.state.Machines {
 						if silent[m] {
-							m.unansweredProbes, m.relayUnanswered = 2, true
+							m.UnansweredProbes, m.RelayUnanswered = 2, true
 						} else {
-							m.lastMessageAt = time.Now()
+							m.LastMessageAt = time.Now()
 						}
 					}
 					tm.monitor.checkMachines(time.Now())
@@ -170,16 +171,16 @@
 			}
 			defer tm.end("the test is over")
 			watch(6 * time.Second)
-			if serving.scalingIn {
+			if serving.ScalingIn {
 				t.Error("returned after 6 s")
 			}
 			watch(9 * time.Second)
-			if serving.scalingIn == many || other.scalingIn {
-				t.Errorf("%d silent: after 9 s the one with replicas is returned: %v, the other: %v", len(silent), serving.scalingIn, other.scalingIn)
+			if serving.ScalingIn == many || other.ScalingIn {
+				t.Errorf("%d silent: after 9 s the one with replicas is returned: %v, the other: %v", len(silent), serving.ScalingIn, other.ScalingIn)
 			}
 			watch(17 * time.Second)
-			if !serving.scalingIn || !other.scalingIn {
-				t.Errorf("%d silent: after 17 s returned: %v, %v", len(silent), serving.scalingIn, other.scalingIn)
+			if !serving.ScalingIn || !other.ScalingIn {
+				t.Errorf("%d silent: after 17 s returned: %v, %v", len(silent), serving.ScalingIn, other.ScalingIn)
 			}
 		})
 	}
--- a/internal/leader/probes.go
+++ b/internal/leader/probes.go
@@ -9,24 +9,25 @@
 
 	"github.com/julienschmidt/httprouter"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
 // probe asks a worker for its report and shows it our token.
-func (dp *dispatcher) probe(m *machine) {
-	if m.commandInFlight || m.addr == "" {
+func (dp *dispatcher) probe(m *cluster.Machine) {
+	if m.CommandInFlight || m.Addr == "" {
 		return
 	}
-	session := max(m.epoch, 1)
-	m.commandInFlight = true
-	addr, cmd, asked := m.addr, wire.Commands{Token: dp.fencing.token, Epoch: session}, heartbeatPosition{m.epoch, m.sequence}
+	session := max(m.Epoch, 1)
+	m.CommandInFlight = true
+	addr, cmd, asked := m.Addr, wire.Commands{Token: dp.fencing.token, Epoch: session}, heartbeatPosition{m.Epoch, m.Sequence}
 	ask := func(ctx context.Context) (*wire.Heartbeat, int, error) {
 		return dp.leader.sendCommands(ctx, addr, cmd, probeTimeout)
 	}
 	// What doesn't answer this node is asked once more through another one: it
 	// may be only the way from here that is cut.
 	relay := wire.NodeID("")
-	if m.unansweredProbes > 0 {
+	if m.UnansweredProbes > 0 {
 		if relay = dp.leader.randomConnectedPeer(time.Now()); relay != "" {
 			ask = func(ctx context.Context) (*wire.Heartbeat, int, error) {
 				return dp.leader.probeThroughPeer(ctx, relay, addr, cmd)
@@ -103,12 +104,12 @@
 // address is known, so that a new leader's report round takes a moment and
 // not a report's interval.
 func (dp *dispatcher) announceToken() {
-	if dp.tokenAnnounced || !dp.state.recovered || !dp.lease.Deciding() {
+	if dp.tokenAnnounced || !dp.state.Recovered || !dp.lease.Deciding() {
 		return
 	}
 	n := 0
-	for _, m := range dp.state.machines {
-		if m.booting || m.token >= dp.state.firstToken || m.commandInFlight || m.addr == "" || m.unansweredProbes > 0 {
+	for _, m := range dp.state.Machines {
+		if m.Booting || m.Token >= dp.state.FirstToken || m.CommandInFlight || m.Addr == "" || m.UnansweredProbes > 0 {
 			continue
 		}
 		if n++; n > maxProbesPerTick {
@@ -116,5 +117,5 @@
 		}
 		dp.probe(m)
 	}
-	dp.tokenAnnounced = n == 0 && dp.state.machineListReceived
+	dp.tokenAnnounced = n == 0 && dp.state.MachineListReceived
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
@@ -10,25 +11,25 @@
 
 // checkInbound compares a report with what the machine was told in the answer to
 // an earlier one.
-func (rc *reconciler) checkInbound(m *machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *reconciler) checkInbound(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
 	evidence := detector.Evidence{
-		KnownToken:    m.token,
-		RenewedLately: now.Sub(m.lastReplyAt) < rc.state.settings.Workers.Lease.Duration()/2,
-		MissesLaunch:  func() bool { return m.missesLaunch(rep) },
+		KnownToken:    m.Token,
+		RenewedLately: now.Sub(m.LastReplyAt) < rc.state.Settings.Workers.Lease.Duration()/2,
+		MissesLaunch:  func() bool { return m.MissesLaunch(rep) },
 	}
-	rc.inboundChanged(m, m.inbound.Reported(rep, evidence, now))
+	rc.inboundChanged(m, m.Inbound.Reported(rep, evidence, now))
 }
 
 // inboundWorks notes that something of ours has reached the machine.
-func (rc *reconciler) inboundWorks(m *machine) { rc.inboundChanged(m, m.inbound.Received()) }
+func (rc *reconciler) inboundWorks(m *cluster.Machine) { rc.inboundChanged(m, m.Inbound.Received()) }
 
-func (rc *reconciler) inboundChanged(m *machine, change detector.Change) {
+func (rc *reconciler) inboundChanged(m *cluster.Machine, change detector.Change) {
 	switch change {
 	case detector.Lost:
-		rc.log().Info("machine reports but receives nothing", "machine", m.id, "tasks", len(m.tasks))
+		rc.log().Info("machine reports but receives nothing", "machine", m.ID, "tasks", len(m.Tasks))
 	case detector.Restored:
-		rc.log().Info("machine receives again", "machine", m.id)
-		rc.state.requestCycle()
+		rc.log().Info("machine receives again", "machine", m.ID)
+		rc.state.RequestCycle()
 	}
 }
 
@@ -38,35 +39,35 @@
 // checkInboundPath returns a machine that reports but receives nothing: at once when
 // something on it waits for a proof that it can't give, else when its lease
 // must have run out. When many seem so it is rather this node that is slow.
-func (mo *monitor) checkInboundPath(m *machine, now time.Time) {
-	if m.inbound.Works() || m.scalingIn || !mo.lease.Deciding() || !mo.state.recovered {
+func (mo *monitor) checkInboundPath(m *cluster.Machine, now time.Time) {
+	if m.Inbound.Works() || m.ScalingIn || !mo.lease.Deciding() || !mo.state.Recovered {
 		return
 	}
-	if now.Sub(m.lastVerifiedAt) > inboundProbeInterval {
-		m.lastVerifiedAt = now
+	if now.Sub(m.LastVerifiedAt) > inboundProbeInterval {
+		m.LastVerifiedAt = now
 		mo.dispatcher.probe(m)
 	}
 	stuck := false
-	for _, a := range m.tasks {
-		stuck = stuck || !a.unstored && (!a.observed || a.stopping)
+	for _, a := range m.Tasks {
+		stuck = stuck || !a.Unstored && (!a.Observed || a.Stopping)
 	}
-	lostFor := m.inbound.LostFor(now)
-	stuckFor := mo.state.heartbeatInterval()/2 + inboundProbeInterval
-	if stuck && lostFor > stuckFor && m.inbound.CommandsFail() || lostFor > mo.state.settings.Workers.Lease.Duration() {
-		mo.scaler.scaleIn(m, DrainInboundLost)
+	lostFor := m.Inbound.LostFor(now)
+	stuckFor := mo.state.HeartbeatInterval()/2 + inboundProbeInterval
+	if stuck && lostFor > stuckFor && m.Inbound.CommandsFail() || lostFor > mo.state.Settings.Workers.Lease.Duration() {
+		mo.scaler.scaleIn(m, cluster.DrainInboundLost)
 	}
 }
 
 // checkOutboundPath returns a machine whose reports are lost when its lease must have
 // run out, so that nothing is lost by it, or much later when they are many: then it
 // is rather the way from them, which will be back.
-func (mo *monitor) checkOutboundPath(m *machine, now time.Time, few bool) {
-	lease := mo.state.settings.Workers.Lease.Duration()
-	if m.scalingIn || !mo.state.recovered || mo.state.heartbeatsMissingFor(m, now) <= lease*5/4 {
+func (mo *monitor) checkOutboundPath(m *cluster.Machine, now time.Time, few bool) {
+	lease := mo.state.Settings.Workers.Lease.Duration()
+	if m.ScalingIn || !mo.state.Recovered || mo.state.HeartbeatsMissingFor(m, now) <= lease*5/4 {
 		return
 	}
-	if few || mo.state.heartbeatsMissingFor(m, now) > max(lease*5/2, mo.state.settings.Workers.CancelTimeout.Duration()*2) {
-		mo.scaler.scaleIn(m, DrainOutboundLost)
+	if few || mo.state.HeartbeatsMissingFor(m, now) > max(lease*5/2, mo.state.Settings.Workers.CancelTimeout.Duration()*2) {
+		mo.scaler.scaleIn(m, cluster.DrainOutboundLost)
 	}
 }
 
@@ -81,7 +82,7 @@
 		silentSince := mo.zoneControllersLastContact(zone)
 		counts := detector.Counts{Up: up, Lost: c.zoneLost[zone], AllUp: c.up,
 			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.AckLifetime}
-		if mo.state.zoneDetector.Judge(zone, counts, now) {
+		if mo.state.ZoneDetector.Judge(zone, counts, now) {
 			mo.log().Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
 		}
 	}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -11,6 +11,7 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
@@ -35,14 +36,14 @@
 // does not do; one that does something again is trusted again; and one that
 // stays so with work on it that can't be accounted for is returned.
 func TestLostInboundIsToldByWhatItDoesNotDo(t *testing.T) {
-	launch := func(tm *term, m *machine) {
-		j := tm.state.jobs["req-1"]
-		a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 8, machine: m, decidedAt: time.Now()}
-		a.chunk.add(a)
+	launch := func(tm *term, m *cluster.Machine) {
+		j := tm.state.Jobs["req-1"]
+		a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 8, Machine: m, DecidedAt: time.Now()}
+		a.Chunk.Add(a)
 	}
 	shown := wire.TaskState{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
 	cases := map[string]struct {
-		setup   func(tm *term, m *machine)
+		setup   func(tm *term, m *cluster.Machine)
 		reports func(token wire.FencingToken) []*wire.Heartbeat
 		lost    bool
 	}{
@@ -52,35 +53,35 @@
 		"shows it in the end": {launch, func(k wire.FencingToken) []*wire.Heartbeat {
 			return []*wire.Heartbeat{said(1, 11, k), said(1, 12, k), said(1, 13, k, shown)}
 		}, false},
-		"takes no token": {func(_ *term, m *machine) { m.token = 0 },
+		"takes no token": {func(_ *term, m *cluster.Machine) { m.Token = 0 },
 			func(k wire.FencingToken) []*wire.Heartbeat {
 				return []*wire.Heartbeat{said(1, 11, 0), said(1, 12, 0), said(1, 13, 0)}
 			}, true},
-		"its lease runs out though it is answered": {func(*term, *machine) {},
+		"its lease runs out though it is answered": {func(*term, *cluster.Machine) {},
 			func(k wire.FencingToken) []*wire.Heartbeat { return []*wire.Heartbeat{said(1, 11, k), said(2, 1, k)} }, true},
-		"has nothing to show": {func(*term, *machine) {},
+		"has nothing to show": {func(*term, *cluster.Machine) {},
 			func(k wire.FencingToken) []*wire.Heartbeat {
 				return []*wire.Heartbeat{said(1, 11, k), said(1, 12, k), said(1, 13, k)}
 			}, false},
 	}
 	for name, c := range cases {
-		withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+		withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 			away(tm)
 			c.setup(tm, m)
 			for _, rep := range c.reports(tm.fencing.token) {
 				tm.tell(rep)
 				time.Sleep(time.Second)
 			}
-			if lost := !m.inbound.Works(); lost != c.lost || lost && tm.scheduler.usable(m, time.Now()) {
-				t.Errorf("%s: lost %v, usable %v", name, lost, tm.scheduler.usable(m, time.Now()))
+			if lost := !m.Inbound.Works(); lost != c.lost || lost && tm.scheduler.Usable(m, time.Now()) {
+				t.Errorf("%s: lost %v, usable %v", name, lost, tm.scheduler.Usable(m, time.Now()))
 			}
 			for n := wire.Sequence(20); n < 30; n++ {
 				time.Sleep(2 * time.Second)
-				m.lastMessageAt = time.Now() // it goes on reporting
+				m.LastMessageAt = time.Now() // it goes on reporting
 				tm.monitor.checkMachines(time.Now())
 			}
-			if m.scalingIn != c.lost {
-				t.Errorf("%s: returned %v", name, m.scalingIn)
+			if m.ScalingIn != c.lost {
+				t.Errorf("%s: returned %v", name, m.ScalingIn)
 			}
 		})
 	}
@@ -89,35 +90,35 @@
 // A report that is older than the last one known is a late copy, unless it
 // crossed a newer message just now: it renews nothing and proves nothing.
 func TestOlderReports(t *testing.T) {
-	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+	withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 		away(tm)
 		tm.tell(said(1, 20, tm.fencing.token))
 		if r := tm.tell(said(1, 19, tm.fencing.token)); r.commands == nil || len(r.commands.Commands) > 0 {
 			t.Errorf("a report that crossed a newer one: %+v", r)
 		}
 		time.Sleep(10 * time.Second)
-		m.addr = "10.1.0.1:9000"
+		m.Addr = "10.1.0.1:9000"
 		before := *m
 		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.fencing.token), said(1, 3, tm.fencing.token), said(0, 99, 0)} {
 			if r := tm.tell(rep); r.rejected == nil {
 				t.Errorf("copy %d/%d answered %+v", rep.Epoch, rep.Sequence, r)
 			}
 		}
-		if m.lastMessageAt != before.lastMessageAt || m.lastReplyAt != before.lastReplyAt || m.sequence != before.sequence {
+		if m.LastMessageAt != before.LastMessageAt || m.LastReplyAt != before.LastReplyAt || m.Sequence != before.Sequence {
 			t.Error("late copies make a silent machine seem alive")
 		}
 		// Two copies at a time cost one question to the machine itself.
-		if !m.commandInFlight || m.lastVerifiedAt != time.Now() {
+		if !m.CommandInFlight || m.LastVerifiedAt != time.Now() {
 			t.Error("the machine was not asked which it is")
 		}
-		tm.state.removedMachines["n-9"] = time.Now()
+		tm.state.RemovedMachines["n-9"] = time.Now()
 		gone := said(9, 9, tm.fencing.token)
 		gone.Machine = "n-9"
-		if r := tm.tell(gone); r.rejected == nil || tm.state.machines["n-9"] != nil {
+		if r := tm.tell(gone); r.rejected == nil || tm.state.Machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
-		tm.state.recovered, tm.reconciler.earlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
+		tm.state.Recovered, tm.reconciler.earlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
 		tm.tell(said(2, 5, tm.fencing.token))
 		tm.tell(said(1, 40, tm.fencing.token))
 		if got := tm.reconciler.earlyHeartbeats["n-1"]; got.Epoch != 2 {
@@ -130,25 +131,25 @@
 // kept, but for those with replicas, which are returned shortly before their
 // leases would end. A machine that is silent alone is returned at once.
 func TestCutZoneIsKept(t *testing.T) {
-	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+	withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 		away(tm)
-		m.zone = "b"
-		zone := map[wire.Zone][]*machine{}
+		m.Zone = "b"
+		zone := map[wire.Zone][]*cluster.Machine{}
 		for i := range 26 {
-			x := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
-			x.token, x.firstHeartbeatAt, x.lastMessageAt, x.lastReplyAt, x.zone = tm.fencing.token, time.Now(), time.Now(), time.Now(), "b"
+			x := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
+			x.Token, x.FirstHeartbeatAt, x.LastMessageAt, x.LastReplyAt, x.Zone = tm.fencing.token, time.Now(), time.Now(), time.Now(), "b"
 			if i < 10 {
-				x.zone = "a"
+				x.Zone = "a"
 			}
-			zone[x.zone] = append(zone[x.zone], x)
+			zone[x.Zone] = append(zone[x.Zone], x)
 		}
 		serving := zone["a"][0]
-		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
-		tm.state.jobs["req-2"] = j
-		j.chunk(0).add(&attempt{job: j, chunk: j.chunk(0), index: 0, number: 1, machine: serving, observed: true})
+		j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
+		tm.state.Jobs["req-2"] = j
+		j.Chunk(0).Add(&cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 1, Machine: serving, Observed: true})
 		returned := func() (n int) {
 			for _, x := range zone["a"] {
-				if x.scalingIn {
+				if x.ScalingIn {
 					n++
 				}
 			}
@@ -157,26 +158,26 @@
 		watch := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
 				time.Sleep(500 * time.Millisecond)
-				for _, x := range tm.state.machines {
-					if x.zone == "b" && x != zone["b"][0] {
-						x.lastMessageAt = time.Now()
+				for _, x := range tm.state.Machines {
+					if x.Zone == "b" && x != zone["b"][0] {
+						x.LastMessageAt = time.Now()
 					} else {
-						x.unansweredProbes, x.relayUnanswered = 2, true
+						x.UnansweredProbes, x.RelayUnanswered = 2, true
 					}
 				}
 				tm.monitor.checkMachines(time.Now())
 			}
 		}
 		watch(10 * time.Second)
-		if !zone["b"][0].scalingIn || returned() != 0 {
-			t.Errorf("after 10 s the silent machine beside live ones is returned: %v; of the cut zone %d are", zone["b"][0].scalingIn, returned())
+		if !zone["b"][0].ScalingIn || returned() != 0 {
+			t.Errorf("after 10 s the silent machine beside live ones is returned: %v; of the cut zone %d are", zone["b"][0].ScalingIn, returned())
 		}
 		watch(5500 * time.Millisecond) // 15.5 s of a lease of 16 s
-		if !serving.scalingIn || returned() != 1 {
-			t.Errorf("near the lease's end the machine with a replica is returned: %v; %d in all", serving.scalingIn, returned())
+		if !serving.ScalingIn || returned() != 1 {
+			t.Errorf("near the lease's end the machine with a replica is returned: %v; %d in all", serving.ScalingIn, returned())
 		}
 		watch(2500 * time.Millisecond)
-		if n := j.activeTasks; n != 0 {
+		if n := j.ActiveTasks; n != 0 {
 			// (The cloud is away here. Such replicas once waited for its return.)
 			t.Errorf("after the lease %d replicas of the cut zone are still counted", n)
 		}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -6,6 +6,8 @@
 	"strings"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
@@ -14,10 +16,10 @@
 // records reads the jobs' records for a new leader and follows their changes.
 type records struct {
 	*eventLoop
-	state      *State
+	state      *cluster.State
 	fencing    *fencing
 	published  *published
-	writer     *writer
+	progress   *progress.Reader
 	dispatcher *dispatcher
 	reconciler *reconciler
 	intents    *cloudIntents
@@ -91,9 +93,9 @@
 		}
 		// The last that comes of a job.
 		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
-		delete(rd.state.quarantinedJobs, id)
-		if delete(rd.state.archivedJobs, id); rd.state.jobs[id] != nil {
-			rd.state.jobs[id].recordDeleted = true
+		delete(rd.state.QuarantinedJobs, id)
+		if delete(rd.state.ArchivedJobs, id); rd.state.Jobs[id] != nil {
+			rd.state.Jobs[id].RecordDeleted = true
 		}
 	}
 }
@@ -103,20 +105,20 @@
 	for _, e := range jobs {
 		rd.applyJobRecord(e.Key, e.Value, e.Revision)
 	}
-	rd.readProgress(runs)
-	for _, j := range rd.state.jobs {
-		rd.state.restoreGang(j)
+	rd.progress.ReadAll(runs)
+	for _, j := range rd.state.Jobs {
+		rd.state.RestoreGang(j)
 	}
-	rd.state.recovered = true
-	rd.log().Info("recovered", "jobs", len(rd.state.jobs), "machines", len(rd.state.machines), "took", time.Since(rd.state.termStartedAt))
-	for _, j := range rd.state.jobs {
-		if j.cancelled {
+	rd.state.Recovered = true
+	rd.log().Info("recovered", "jobs", len(rd.state.Jobs), "machines", len(rd.state.Machines), "took", time.Since(rd.state.TermStartedAt))
+	for _, j := range rd.state.Jobs {
+		if j.Cancelled {
 			rd.dispatcher.stopCancelledJob(j)
 		}
-		rd.state.markIfFinished(j)
+		rd.state.MarkIfFinished(j)
 	}
 	for _, rep := range rd.reconciler.earlyHeartbeats {
-		rd.reconciler.reconcile(rd.state.getOrAddMachine(rep.Machine), &rep, true, time.Now())
+		rd.reconciler.reconcile(rd.state.GetOrAddMachine(rep.Machine), &rep, true, time.Now())
 	}
 	rd.reconciler.earlyHeartbeats = nil
 	rd.cancellationCursor = 0
@@ -129,31 +131,32 @@
 func (rd *records) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
 	rec, err := store.DecodeJob(key, v)
 	if err != nil {
-		rd.quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
+		rd.leader.Undecodable.Note(key, err)
+		rd.state.Quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)))
 		return
 	}
-	j := rd.state.jobs[rec.Spec.ID]
+	j := rd.state.Jobs[rec.Spec.ID]
 	if j == nil {
-		if rd.state.quarantinedJobs[rec.Spec.ID] {
+		if rd.state.QuarantinedJobs[rec.Spec.ID] {
 			rd.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
 			return
 		}
-		if rd.state.archivedJobs[rec.Spec.ID] {
+		if rd.state.ArchivedJobs[rec.Spec.ID] {
 			return // late news of a job that is over
 		}
-		j = newJob(rec, revision)
-		rd.state.jobs[rec.Spec.ID] = j
-		rd.state.requestCycle()
+		j = cluster.NewJob(rec, revision)
+		rd.state.Jobs[rec.Spec.ID] = j
+		rd.state.RequestCycle()
 	}
-	if revision < j.revision {
+	if revision < j.Revision {
 		return
 	}
-	j.revision, j.recordOutdated = revision, j.cancelled && rec.Status != wire.Cancelled
+	j.Revision, j.RecordOutdated = revision, j.Cancelled && rec.Status != wire.Cancelled
 	rec.LogCancellation(rd.leader.Cancels)
-	if rec.Status == wire.Cancelled && !j.cancelled {
-		j.cancelled = true
-		j.cancelledAt = time.Now().Add(-rec.SinceCancelled())
-		if rd.state.recovered {
+	if rec.Status == wire.Cancelled && !j.Cancelled {
+		j.Cancelled = true
+		j.CancelledAt = time.Now().Add(-rec.SinceCancelled())
+		if rd.state.Recovered {
 			rd.dispatcher.stopCancelledJob(j)
 		}
 	}
@@ -161,29 +164,16 @@
 
 // onReread takes in a job's record that was read again.
 func (rd *records) onReread(e jobRecordReread) {
-	id := e.job.spec.ID
+	id := e.job.Spec.ID
 	switch {
-	case rd.state.jobs[id] != e.job: // a watch was faster, and the job is archived
+	case rd.state.Jobs[id] != e.job: // a watch was faster, and the job is archived
 	case e.err == nil:
 		rd.applyJobRecord(store.JobKey(id), e.entry.Value, e.entry.Revision)
 	case errors.Is(e.err, store.ErrMissing):
-		if e.job.recordOutdated { // else it is being archived
+		if e.job.RecordOutdated { // else it is being archived
 			rd.end("a live job's record is gone: " + string(id))
 		}
-	case e.job.recordOutdated:
+	case e.job.RecordOutdated:
 		time.AfterFunc(rereadRetry, func() { rd.post(rereadDue{e.job}) })
 	}
 }
-
-// quarantine notes that a record of a job can't be decoded: the job's own, or one of
-// its progress. What of the job may be on machines is not known then, so nothing of
-// it is started, written, halted or forgotten until the job is cancelled or a version
-// that can decode the record leads: it may have been written by a later one. All
-// other jobs go on.
-func (rd *records) quarantine(key string, id wire.JobID, err error) {
-	rd.leader.Undecodable.Note(key, err)
-	rd.state.quarantinedJobs[id] = true
-	if j := rd.state.jobs[id]; j != nil && key == store.JobKey(id) {
-		j.recordOutdated = true // a write that is guarded by what was known of it would fail
-	}
-}
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"lilaclead/duty"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
@@ -18,17 +19,17 @@
 
 // scaleIn returns a machine; its tasks count until the cloud has said that
 // it is gone.
-func (sl *scaler) scaleIn(m *machine, why DrainReason) {
-	if m.scalingIn || !sl.lease.Deciding() {
+func (sl *scaler) scaleIn(m *cluster.Machine, why cluster.DrainReason) {
+	if m.ScalingIn || !sl.lease.Deciding() {
 		return
 	}
-	m.scalingIn = true
-	if m.drainReason == "" {
-		m.drainReason = why
+	m.ScalingIn = true
+	if m.DrainReason == "" {
+		m.DrainReason = why
 	}
-	sl.log().Info("releases", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "why", why, "tasks", len(m.tasks), "age", time.Since(m.requestedAt))
+	sl.log().Info("releases", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.Tasks), "age", time.Since(m.RequestedAt))
 	sl.leader.Metrics.Fleet("released", 1)
-	sl.tracker.QueueScaleIn(m.id)
+	sl.tracker.QueueScaleIn(m.ID)
 	sl.sendNextScaleIn()
 }
 
@@ -78,7 +79,7 @@
 // onScaledIn takes in that machines are gone, and with them what ran there.
 func (sl *scaler) onScaledIn(ids []wire.MachineID) {
 	for _, id := range ids {
-		sl.removeMachine(sl.state.machines[id])
+		sl.removeMachine(sl.state.Machines[id])
 	}
 	if sl.intents != nil {
 		sl.intents.scaledInAt = time.Now()
@@ -87,12 +88,12 @@
 	sl.sendNextScaleIn()
 }
 
-func (sl *scaler) removeMachine(m *machine) {
-	sl.state.removedMachines[m.id] = time.Now()
-	for _, a := range m.tasks {
-		sl.leader.Metrics.TaskMoved(string(EvictedMachineRemoved))
-		sl.state.endAttempt(a, TaskPending)
+func (sl *scaler) removeMachine(m *cluster.Machine) {
+	sl.state.RemovedMachines[m.ID] = time.Now()
+	for _, a := range m.Tasks {
+		sl.leader.Metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
+		sl.state.EndAttempt(a, cluster.TaskPending)
 	}
-	delete(sl.state.machines, m.id)
-	sl.state.requestCycle()
+	delete(sl.state.Machines, m.ID)
+	sl.state.RequestCycle()
 }
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -8,7 +8,9 @@
 
 	"lilaclead/duty"
 	"lilaclead/internal/fleet"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling"
 	"lilaclead/internal/wire"
 )
 
@@ -16,16 +18,16 @@
 // those that are not needed or not trusted.
 type scaler struct {
 	*eventLoop
-	state     *State
-	scheduler *scheduler
+	state     *cluster.State
+	scheduler *scheduling.Scheduler
 	tracker   *scaling.Tracker
 	intents   *cloudIntents // nil: they are not recorded
 }
 
-func newScaler(loop *eventLoop, state *State, scheduler *scheduler, tracker *scaling.Tracker) *scaler {
+func newScaler(loop *eventLoop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker) *scaler {
 	sl := &scaler{eventLoop: loop, state: state, scheduler: scheduler, tracker: tracker}
 	if loop.leader.RecordIntents {
-		sl.intents = newCloudIntents(loop.lease.Lease, state.settings)
+		sl.intents = newCloudIntents(loop.lease.Lease, state.Settings)
 	}
 	return sl
 }
@@ -98,7 +100,7 @@
 // maybeUnlisted tells whether the machines of a booking may be in no list yet. Those
 // of one that an earlier leader sent longer ago are, unless they are gone.
 func (sl *scaler) maybeUnlisted(b *scaling.PendingScaleOut) bool {
-	lag := sl.state.settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
+	lag := sl.state.Settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
 	return !b.Adopted || time.Since(b.RequestedAt) < lag
 }
 
@@ -106,12 +108,12 @@
 // reported, or be gone again, before the booking's answer came.
 func (sl *scaler) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
-		if _, gone := sl.state.removedMachines[id]; gone {
+		if _, gone := sl.state.RemovedMachines[id]; gone {
 			continue
 		}
-		m := sl.state.getOrAddMachine(id)
-		if m.firstHeartbeatAt.IsZero() {
-			m.machineType, m.zone, m.spot, m.booting, m.requestedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
+		m := sl.state.GetOrAddMachine(id)
+		if m.FirstHeartbeatAt.IsZero() {
+			m.MachineType, m.Zone, m.Spot, m.Booting, m.RequestedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
 		}
 	}
 }
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -4,6 +4,7 @@
 	"errors"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
@@ -11,7 +12,7 @@
 // them.
 type reconciler struct {
 	*eventLoop
-	state      *State
+	state      *cluster.State
 	fencing    *fencing
 	dispatcher *dispatcher
 	scaler     *scaler
@@ -28,7 +29,7 @@
 	errCancelPending        = errors.New("a cancelled task may still start there")
 )
 
-func newReconciler(loop *eventLoop, state *State, fencing *fencing, dispatcher *dispatcher, scaler *scaler) *reconciler {
+func newReconciler(loop *eventLoop, state *cluster.State, fencing *fencing, dispatcher *dispatcher, scaler *scaler) *reconciler {
 	return &reconciler{eventLoop: loop, state: state, fencing: fencing, dispatcher: dispatcher, scaler: scaler,
 		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}}
 }
@@ -45,17 +46,17 @@
 	if !rc.leader.delegate.MayRenew(now) {
 		return heartbeatReply{rejected: errCancellationsUnknown}
 	}
-	if _, gone := rc.state.removedMachines[rep.Machine]; gone {
+	if _, gone := rc.state.RemovedMachines[rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
 		return heartbeatReply{rejected: errMachineRemoved}
 	}
-	m := rc.state.getOrAddMachine(rep.Machine)
-	if !rc.state.recovered {
+	m := rc.state.GetOrAddMachine(rep.Machine)
+	if !rc.state.Recovered {
 		rc.keepEarlyHeartbeat(rep)
-		m.lastMessageAt, m.lastReplyAt = now, now
+		m.LastMessageAt, m.LastReplyAt = now, now
 		return heartbeatReply{commands: rc.cancelledStops(rep)}
 	}
-	if !rep.Newer(m.epoch, m.sequence) {
+	if !rep.Newer(m.Epoch, m.Sequence) {
 		return rc.onStaleHeartbeat(m, rep, now)
 	}
 	if rc.recordHeartbeatPath(m, relayed, now) {
@@ -66,8 +67,8 @@
 	if rc.renewalWithheld(m, rep, now) {
 		return heartbeatReply{rejected: errCancelPending}
 	}
-	m.lastReplyAt = now
-	m.inbound.Answered(rc.fencing.token, rep.Epoch, rep.Sequence)
+	m.LastReplyAt = now
+	m.Inbound.Answered(rc.fencing.token, rep.Epoch, rep.Sequence)
 	answer := &wire.Commands{Token: rc.fencing.token}
 	if rc.lease.Deciding() {
 		answer.Commands = rc.dispatcher.commandsFor(m, rep, now)
@@ -94,21 +95,21 @@
 // come here by itself: one that is new, or new to this leader, is sent here first.
 // If it was here before, or was sent here and turns up elsewhere again, it can't
 // reach this node.
-func (rc *reconciler) recordHeartbeatPath(m *machine, relayed bool, now time.Time) (redirect bool) {
+func (rc *reconciler) recordHeartbeatPath(m *cluster.Machine, relayed bool, now time.Time) (redirect bool) {
 	if !relayed {
-		m.directHeartbeatAt = now
-		m.relayedOnly = false
+		m.DirectHeartbeatAt = now
+		m.RelayedOnly = false
 		return false
 	}
-	first := m.directHeartbeatAt.IsZero() && m.relayedHeartbeatAt.IsZero()
-	m.relayedHeartbeatAt = now
+	first := m.DirectHeartbeatAt.IsZero() && m.RelayedHeartbeatAt.IsZero()
+	m.RelayedHeartbeatAt = now
 	if first {
 		return true
 	}
-	if !m.relayedOnly {
-		rc.log().Info("worker reaches the leader only through another node", "machine", m.id)
+	if !m.RelayedOnly {
+		rc.log().Info("worker reaches the leader only through another node", "machine", m.ID)
 	}
-	m.relayedOnly = true
+	m.RelayedOnly = true
 	return false
 }
 
@@ -121,16 +122,16 @@
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (rc *reconciler) onStaleHeartbeat(m *machine, rep *wire.Heartbeat, now time.Time) heartbeatReply {
-	crossed := now.Sub(m.lastMessageAt) < crossingWindow
-	if (!crossed || rep.Epoch != m.epoch || rep.Sequence+2 < m.sequence) && now.Sub(m.lastVerifiedAt) > time.Second && !m.scalingIn && rc.lease.Deciding() {
-		m.lastVerifiedAt = now
+func (rc *reconciler) onStaleHeartbeat(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) heartbeatReply {
+	crossed := now.Sub(m.LastMessageAt) < crossingWindow
+	if (!crossed || rep.Epoch != m.Epoch || rep.Sequence+2 < m.Sequence) && now.Sub(m.LastVerifiedAt) > time.Second && !m.ScalingIn && rc.lease.Deciding() {
+		m.LastVerifiedAt = now
 		rc.dispatcher.probe(m)
 	}
 	if !crossed {
 		return heartbeatReply{rejected: errStaleHeartbeat}
 	}
-	m.lastReplyAt = now
+	m.LastReplyAt = now
 	return heartbeatReply{commands: rc.cancelledStops(rep)}
 }
 
@@ -138,41 +139,41 @@
 // it was back before anybody missed it. What its answer lacks is gone. It is
 // returned, as from now on its reports can't be told from late copies of its
 // last run.
-func (rc *reconciler) onRestart(m *machine, rep *wire.Heartbeat, now time.Time) {
-	rc.log().Info("machine restarted", "machine", m.id, "tasks", len(m.tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.epoch, "was_sequence", m.sequence)
-	m.epoch, m.sequence, m.images = 0, 0, imageCache{}
-	for _, a := range m.tasks {
-		a.replySequence = 0 // the answer that carried it went to the last run
+func (rc *reconciler) onRestart(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
+	rc.log().Info("machine restarted", "machine", m.ID, "tasks", len(m.Tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.Epoch, "was_sequence", m.Sequence)
+	m.Epoch, m.Sequence, m.Images = 0, 0, cluster.ImageCache{}
+	for _, a := range m.Tasks {
+		a.ReplySequence = 0 // the answer that carried it went to the last run
 	}
-	rc.drainMachine(m, DrainRestarted)
+	rc.drainMachine(m, cluster.DrainRestarted)
 	rc.reconcile(m, rep, false, now)
-	m.restarted = true
-	rc.scaler.scaleIn(m, DrainRestarted)
+	m.Restarted = true
+	rc.scaler.scaleIn(m, cluster.DrainRestarted)
 }
 
 // reconcile takes in a report, or the answer to a command, which is the same. It tells
 // whether it was newer than what was known.
-func (rc *reconciler) reconcile(m *machine, rep *wire.Heartbeat, sent bool, now time.Time) bool {
-	if !rep.Newer(m.epoch, m.sequence) || m.restarted {
+func (rc *reconciler) reconcile(m *cluster.Machine, rep *wire.Heartbeat, sent bool, now time.Time) bool {
+	if !rep.Newer(m.Epoch, m.Sequence) || m.Restarted {
 		return false
 	}
-	rc.state.zoneDetector.Heard(rep.Zone, sent, now)
-	if m.firstHeartbeatAt.IsZero() {
-		m.firstHeartbeatAt = now
+	rc.state.ZoneDetector.Heard(rep.Zone, sent, now)
+	if m.FirstHeartbeatAt.IsZero() {
+		m.FirstHeartbeatAt = now
 		rc.logMachineUp(m, now)
-		rc.state.requestCycle()
+		rc.state.RequestCycle()
 	}
 	rc.updateMachine(m, rep, now)
 	if sent {
-		m.heartbeatsMissingSince = time.Time{}
-	} else if m.heartbeatsMissingSince.IsZero() {
-		m.heartbeatsMissingSince = now
+		m.HeartbeatsMissingSince = time.Time{}
+	} else if m.HeartbeatsMissingSince.IsZero() {
+		m.HeartbeatsMissingSince = now
 	}
 	rc.updateSpotNotice(m, rep, now)
 	listed := make(map[wire.Task]bool, len(rep.Tasks)) // made here, it needs no heap
 	rc.reconcileTasks(m, rep, listed, now)
-	for task, a := range m.tasks {
-		if !listed[task] && !a.unstored && !rc.state.launchMayTakeEffect(a, rep, sent) {
+	for task, a := range m.Tasks {
+		if !listed[task] && !a.Unstored && !rc.state.LaunchMayTakeEffect(a, rep, sent) {
 			rc.onMissingAttempt(a, rep)
 		}
 	}
@@ -180,68 +181,68 @@
 }
 
 // updateMachine takes in what a report says of the machine itself.
-func (rc *reconciler) updateMachine(m *machine, rep *wire.Heartbeat, now time.Time) {
-	if rep.Epoch > m.epoch {
+func (rc *reconciler) updateMachine(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
+	if rep.Epoch > m.Epoch {
 		// A lease that ran out leaves the images where they are; a restart
 		// begins with the first session again.
-		m.epochSince = now
+		m.EpochSince = now
 	}
-	m.addr, m.machineType, m.zone, m.spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
-	m.epoch, m.sequence = rep.Epoch, rep.Sequence
-	m.lastMessageAt, m.booting, m.unansweredProbes = now, false, 0
-	if m.token < rc.state.firstToken && rep.Token >= rc.state.firstToken {
-		m.tokenSeenAt = now
+	m.Addr, m.MachineType, m.Zone, m.Spot = rep.Addr, rep.Type, rep.Zone, rep.Spot
+	m.Epoch, m.Sequence = rep.Epoch, rep.Sequence
+	m.LastMessageAt, m.Booting, m.UnansweredProbes = now, false, 0
+	if m.Token < rc.state.FirstToken && rep.Token >= rc.state.FirstToken {
+		m.TokenSeenAt = now
 	}
-	m.token = max(m.token, rep.Token)
+	m.Token = max(m.Token, rep.Token)
 }
 
 // updateSpotNotice takes in that the cloud will take the machine back.
-func (rc *reconciler) updateSpotNotice(m *machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *reconciler) updateSpotNotice(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
 	if rep.SpotNotice == nil {
 		return
 	}
-	if m.reclaimAt.IsZero() {
-		rc.log().Info("spot notice", "machine", m.id, "in", rep.SpotNotice.Duration(), "tasks", len(m.tasks))
-		rc.drainMachine(m, DrainSpotNotice)
+	if m.ReclaimAt.IsZero() {
+		rc.log().Info("spot notice", "machine", m.ID, "in", rep.SpotNotice.Duration(), "tasks", len(m.Tasks))
+		rc.drainMachine(m, cluster.DrainSpotNotice)
 	}
-	m.reclaimAt = now.Add(rep.SpotNotice.Duration())
+	m.ReclaimAt = now.Add(rep.SpotNotice.Duration())
 }
 
 // reconcileTasks takes in the states of the tasks in a report and notes which of ours
 // are in it; what else runs there is orphaned.
-func (rc *reconciler) reconcileTasks(m *machine, rep *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
-	clear(m.orphanTasks)
+func (rc *reconciler) reconcileTasks(m *cluster.Machine, rep *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
+	clear(m.OrphanTasks)
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
 		task, err := wire.ParseTask(p.Task)
 		if err != nil {
 			continue
 		}
-		if a := m.tasks[task]; a != nil && a.number == p.Attempt {
+		if a := m.Tasks[task]; a != nil && a.Number == p.Attempt {
 			listed[task] = true
 			rc.reconcileAttempt(a, p, now)
 		} else if p.Phase != wire.PhaseExited {
-			m.orphanTasks[task] = true
+			m.OrphanTasks[task] = true
 		}
 	}
 }
 
 // onMissingAttempt deals with an attempt that its machine's report lacks and that can't
 // start there any more by what was sent.
-func (rc *reconciler) onMissingAttempt(a *attempt, rep *wire.Heartbeat) {
-	m := a.machine
+func (rc *reconciler) onMissingAttempt(a *cluster.Attempt, rep *wire.Heartbeat) {
+	m := a.Machine
 	switch {
-	case rc.state.mayRelaunch(a):
-		a.inherited, a.launchSent, a.launchUnanswered, a.replySequence = false, false, false, 0
-	case a.observed, a.inherited, rep.Epoch > a.launchEpoch && a.launchSent:
-		rc.log().Info("task is gone from its machine", "task", a.task(), "attempt", a.number, "machine", m.id, "session", rep.Epoch)
-		rc.leader.Metrics.TaskMoved(string(EvictedMissing))
-		rc.state.endAttempt(a, TaskPending)
-	case a.stopping, m.drainReason != "", a.job.cancelled:
-		rc.state.endAttempt(a, TaskPending)
+	case rc.state.MayRelaunch(a):
+		a.Inherited, a.LaunchSent, a.LaunchUnanswered, a.ReplySequence = false, false, false, 0
+	case a.Observed, a.Inherited, rep.Epoch > a.LaunchEpoch && a.LaunchSent:
+		rc.log().Info("task is gone from its machine", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "session", rep.Epoch)
+		rc.leader.Metrics.TaskMoved(string(cluster.EvictedMissing))
+		rc.state.EndAttempt(a, cluster.TaskPending)
+	case a.Stopping, m.DrainReason != "", a.Job.Cancelled:
+		rc.state.EndAttempt(a, cluster.TaskPending)
 	default:
 		// Stored, not delivered: it is sent (again).
-		a.launchUnanswered, a.replySequence = false, 0
+		a.LaunchUnanswered, a.ReplySequence = false, 0
 	}
 }
 
@@ -250,26 +251,26 @@
 const refusedStartBackoff = 2 * time.Second
 
 // reconcileAttempt takes in the state of an attempt of ours.
-func (rc *reconciler) reconcileAttempt(a *attempt, p *wire.TaskState, now time.Time) {
-	m, j := a.machine, a.job
-	if a.launchSent && !a.observed {
+func (rc *reconciler) reconcileAttempt(a *cluster.Attempt, p *wire.TaskState, now time.Time) {
+	m, j := a.Machine, a.Job
+	if a.LaunchSent && !a.Observed {
 		rc.inboundWorks(m)
 	}
-	a.observed = true
+	a.Observed = true
 	if hasImage(a, p) {
-		m.images.touch(j.spec.Image, j.spec.ImageGB, rc.state.imageCacheGB(m.machineType), now)
-		if a.imageReadyAt.IsZero() {
-			a.imageReadyAt = now
+		m.Images.Touch(j.Spec.Image, j.Spec.ImageGB, rc.state.ImageCacheGB(m.MachineType), now)
+		if a.ImageReadyAt.IsZero() {
+			a.ImageReadyAt = now
 		}
 	}
-	if p.Phase == wire.PhaseRunning && a.runningSince.IsZero() {
-		a.runningSince = now
-		if !j.hasRun {
-			j.hasRun = true
-			rc.leader.Metrics.StartDelay(j.spec.Class, now.Sub(j.acceptedAt).Seconds())
+	if p.Phase == wire.PhaseRunning && a.RunningSince.IsZero() {
+		a.RunningSince = now
+		if !j.HasRun {
+			j.HasRun = true
+			rc.leader.Metrics.StartDelay(j.Spec.Class, now.Sub(j.AcceptedAt).Seconds())
 		}
 	}
-	a.phase = p.Phase
+	a.Phase = p.Phase
 	rc.reconcileGang(a, p)
 	if p.Phase == wire.PhaseExited {
 		rc.onTaskExit(a, p, now)
@@ -277,7 +278,7 @@
 }
 
 // hasImage tells whether an attempt's state shows that its image is on the machine.
-func hasImage(a *attempt, p *wire.TaskState) bool {
+func hasImage(a *cluster.Attempt, p *wire.TaskState) bool {
 	if p.Phase == wire.PhaseFetching {
 		return false
 	}
@@ -285,69 +286,69 @@
 	case wire.CauseFull, wire.CauseBusy, wire.CauseNoSuch:
 		return false
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
-		return p.Phase != wire.PhaseExited || a.phase != wire.PhaseFetching
+		return p.Phase != wire.PhaseExited || a.Phase != wire.PhaseFetching
 	}
 	return true
 }
 
 // reconcileGang notes what the state of a task says of its gang.
-func (rc *reconciler) reconcileGang(a *attempt, p *wire.TaskState) {
-	j, g := a.job, a.job.gang
+func (rc *reconciler) reconcileGang(a *cluster.Attempt, p *wire.TaskState) {
+	j, g := a.Job, a.Job.Gang
 	if g == nil {
 		return
 	}
 	if p.Phase == wire.PhaseRunning || p.Phase == wire.PhaseSaving || p.Cause == wire.CauseGangBroken {
-		g.ran = true
+		g.Ran = true
 	}
-	if p.Phase == wire.PhaseSaving && !g.stopRequested && !g.broken && !j.cancelled && a.inherited {
+	if p.Phase == wire.PhaseSaving && !g.StopRequested && !g.Broken && !j.Cancelled && a.Inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
 		// that don't learn of it in time don't save.
-		rc.dispatcher.stopGang(j, rc.state.gracePeriodOf(j), EvictedByEarlierLeader)
+		rc.dispatcher.stopGang(j, rc.state.GracePeriodOf(j), cluster.EvictedByEarlierLeader)
 	}
 }
 
 // onTaskExit takes in that an attempt has ended.
-func (rc *reconciler) onTaskExit(a *attempt, p *wire.TaskState, now time.Time) {
-	m, j := a.machine, a.job
+func (rc *reconciler) onTaskExit(a *cluster.Attempt, p *wire.TaskState, now time.Time) {
+	m, j := a.Machine, a.Job
 	switch p.Cause {
 	case wire.CauseDone:
 		rc.onTaskDone(a, now)
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
-		rc.state.endAttempt(a, TaskPending)
+		rc.state.EndAttempt(a, cluster.TaskPending)
 	case wire.CauseError:
 		rc.onTaskFailure(a, now)
-		rc.state.endAttempt(a, TaskPending)
+		rc.state.EndAttempt(a, cluster.TaskPending)
 	default:
-		rc.log().Info("start refused", "task", a.task(), "attempt", a.number, "machine", m.id, "cause", p.Cause)
-		m.refusedUntil = now.Add(refusedStartBackoff)
+		rc.log().Info("start refused", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "cause", p.Cause)
+		m.RefusedUntil = now.Add(refusedStartBackoff)
 		if p.Cause == wire.CauseNoSuch {
-			j.startNotBefore = now.Add(refusedStartBackoff)
+			j.StartNotBefore = now.Add(refusedStartBackoff)
 		}
-		rc.state.endAttempt(a, TaskPending)
+		rc.state.EndAttempt(a, cluster.TaskPending)
 	}
 }
 
 // onTaskDone takes in that a task is complete.
-func (rc *reconciler) onTaskDone(a *attempt, now time.Time) {
-	m, j := a.machine, a.job
-	if !a.runningSince.IsZero() && !j.spec.Gang() { // a gang goes at its slowest machine's speed
+func (rc *reconciler) onTaskDone(a *cluster.Attempt, now time.Time) {
+	m, j := a.Machine, a.Job
+	if !a.RunningSince.IsZero() && !j.Spec.Gang() { // a gang goes at its slowest machine's speed
 		rc.recordRunTime(a, now)
 	}
-	j.succeeded, j.failures = true, 0
-	clear(j.failedMachines)
-	clear(m.failedJobs)
-	m.failures = 0
-	if j.spec.Gang() {
-		rc.state.completeGang(j)
+	j.Succeeded, j.Failures = true, 0
+	clear(j.FailedMachines)
+	clear(m.FailedJobs)
+	m.Failures = 0
+	if j.Spec.Gang() {
+		rc.state.CompleteGang(j)
 		return
 	}
-	rc.state.endAttempt(a, TaskDone)
+	rc.state.EndAttempt(a, cluster.TaskDone)
 }
 
 // logMachineUp notes that a machine reports for the first time.
-func (rc *reconciler) logMachineUp(m *machine, now time.Time) {
-	if m.booting {
-		rc.log().Info("machine up", "machine", m.id, "type", m.machineType, "zone", m.zone, "spot", m.spot, "after", now.Sub(m.requestedAt))
-		m.lastUsedAt = now
+func (rc *reconciler) logMachineUp(m *cluster.Machine, now time.Time) {
+	if m.Booting {
+		rc.log().Info("machine up", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "after", now.Sub(m.RequestedAt))
+		m.LastUsedAt = now
 	}
 }
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -8,6 +8,7 @@
 
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
@@ -30,21 +31,21 @@
 }
 
 // rig is a term without I/O, with one job of one task held on one machine.
-func rig(tb testing.TB) (*term, *machine, *attempt) {
+func rig(tb testing.TB) (*term, *cluster.Machine, *cluster.Attempt) {
 	tb.Helper()
 	cfg := &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41}, State: config.State{ValueKB: 16}}}
-	l := &Leader{Dependencies: Dependencies{Config: cfg, Cancels: known(), Tuning: tuning.NewCurrent(), Catalog: &MachineCatalog{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	l := &Leader{Dependencies: Dependencies{Config: cfg, Cancels: known(), Tuning: tuning.NewCurrent(), Catalog: &cluster.MachineCatalog{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: Metrics{TaskMoved: func(string) {}, StartDelay: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
 	l.delegation.MaxCancelAge = delegation.BoundsOf(cfg.Settings.Workers).MaxCancelAge
 	l.delegate = newDelegate(l.Dependencies, l.delegation)
 	tm := newTerm(l, leaseFor(l, 50, time.Hour))
-	tm.state.recovered = true
-	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
-	tm.state.jobs[j.spec.ID] = j
-	m := tm.state.getOrAddMachine("n-1")
-	m.epoch, m.sequence, m.token, m.firstHeartbeatAt = 1, 10, 50, time.Now()
-	a := &attempt{job: j, chunk: j.chunk(0), index: 0, number: 7, machine: m}
-	a.chunk.add(a)
+	tm.state.Recovered = true
+	j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
+	tm.state.Jobs[j.Spec.ID] = j
+	m := tm.state.GetOrAddMachine("n-1")
+	m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt = 1, 10, 50, time.Now()
+	a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 7, Machine: m}
+	a.Chunk.Add(a)
 	return tm, m, a
 }
 
@@ -57,39 +58,39 @@
 func TestAbsentIsNotGone(t *testing.T) {
 	cases := []struct {
 		name  string
-		setup func(*attempt)
+		setup func(*cluster.Attempt)
 		rep   *wire.Heartbeat
 		hello bool
 		gone  bool
 	}{
-		{"inherited, the worker has not seen our token", func(a *attempt) { a.inherited = true }, said(1, 11, 49), true, false},
-		{"inherited, our token seen", func(a *attempt) { a.inherited = true }, said(1, 11, 50), true, true},
-		{"an old report", func(a *attempt) { a.inherited = true }, said(1, 9, 50), true, false},
-		{"stored, not yet written", func(a *attempt) { a.unstored = true }, said(1, 11, 50), true, false},
-		{"stored, never sent", func(a *attempt) {}, said(1, 11, 50), true, false},
-		{"command under way", func(a *attempt) { a.launchSent, a.launchEpoch, a.launchInFlight = true, 1, true }, said(1, 11, 50), true, false},
-		{"command lost, token not raised", func(a *attempt) {
-			a.observed, a.launchSent, a.launchEpoch, a.launchUnanswered, a.unansweredLaunchToken = true, true, 1, true, 50
+		{"inherited, the worker has not seen our token", func(a *cluster.Attempt) { a.Inherited = true }, said(1, 11, 49), true, false},
+		{"inherited, our token seen", func(a *cluster.Attempt) { a.Inherited = true }, said(1, 11, 50), true, true},
+		{"an old report", func(a *cluster.Attempt) { a.Inherited = true }, said(1, 9, 50), true, false},
+		{"stored, not yet written", func(a *cluster.Attempt) { a.Unstored = true }, said(1, 11, 50), true, false},
+		{"stored, never sent", func(a *cluster.Attempt) {}, said(1, 11, 50), true, false},
+		{"command under way", func(a *cluster.Attempt) { a.LaunchSent, a.LaunchEpoch, a.LaunchInFlight = true, 1, true }, said(1, 11, 50), true, false},
+		{"command lost, token not raised", func(a *cluster.Attempt) {
+			a.Observed, a.LaunchSent, a.LaunchEpoch, a.LaunchUnanswered, a.UnansweredLaunchToken = true, true, 1, true, 50
 		}, said(1, 11, 50), true, false},
-		{"command lost, token raised", func(a *attempt) {
-			a.observed, a.launchSent, a.launchEpoch, a.launchUnanswered, a.unansweredLaunchToken = true, true, 1, true, 50
+		{"command lost, token raised", func(a *cluster.Attempt) {
+			a.Observed, a.LaunchSent, a.LaunchEpoch, a.LaunchUnanswered, a.UnansweredLaunchToken = true, true, 1, true, 50
 		}, said(1, 11, 51), true, true},
-		{"command lost, session over", func(a *attempt) {
-			a.observed, a.launchSent, a.launchEpoch, a.launchUnanswered, a.unansweredLaunchToken = true, true, 1, true, 50
+		{"command lost, session over", func(a *cluster.Attempt) {
+			a.Observed, a.LaunchSent, a.LaunchEpoch, a.LaunchUnanswered, a.UnansweredLaunchToken = true, true, 1, true, 50
 		}, said(2, 1, 50), true, true},
-		{"in an answer that the worker may still execute", func(a *attempt) {
-			a.observed, a.launchSent, a.launchEpoch, a.replyEpoch, a.replySequence = true, true, 1, 1, 10
+		{"in an answer that the worker may still execute", func(a *cluster.Attempt) {
+			a.Observed, a.LaunchSent, a.LaunchEpoch, a.ReplyEpoch, a.ReplySequence = true, true, 1, 1, 10
 		}, said(1, 11, 50), false, false},
-		{"in an answer, and the next report is here", func(a *attempt) {
-			a.observed, a.launchSent, a.launchEpoch, a.replyEpoch, a.replySequence = true, true, 1, 1, 10
+		{"in an answer, and the next report is here", func(a *cluster.Attempt) {
+			a.Observed, a.LaunchSent, a.LaunchEpoch, a.ReplyEpoch, a.ReplySequence = true, true, 1, 1, 10
 		}, said(1, 11, 50), true, true},
-		{"the session is over", func(a *attempt) { a.launchSent, a.launchEpoch = true, 1 }, said(2, 1, 50), true, true},
+		{"the session is over", func(a *cluster.Attempt) { a.LaunchSent, a.LaunchEpoch = true, 1 }, said(2, 1, 50), true, true},
 	}
 	for _, c := range cases {
 		tm, m, a := rig(t)
 		c.setup(a)
 		tm.reconciler.reconcile(m, c.rep, c.hello, time.Now())
-		if gone := a.job.activeTasks == 0; gone != c.gone {
+		if gone := a.Job.ActiveTasks == 0; gone != c.gone {
 			t.Errorf("%s: gone %v, want %v", c.name, gone, c.gone)
 		}
 	}
@@ -102,34 +103,34 @@
 	life := 16*time.Second + 16*time.Second/500 + 1500*time.Millisecond
 	cases := []struct {
 		name  string
-		setup func(tm *term, m *machine)
-		from  func(tm *term, m *machine) time.Time
+		setup func(tm *term, m *cluster.Machine)
+		from  func(tm *term, m *cluster.Machine) time.Time
 	}{
-		{"answered by us", func(tm *term, m *machine) { m.lastReplyAt = tm.state.termStartedAt.Add(5 * time.Second) },
-			func(_ *term, m *machine) time.Time { return m.lastReplyAt }},
-		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *machine) { m.tokenSeenAt = tm.state.termStartedAt.Add(time.Second) },
-			func(_ *term, m *machine) time.Time { return m.tokenSeenAt }},
-		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *machine) {
-			m.lastReplyAt, m.epochSince = tm.state.termStartedAt, tm.state.termStartedAt.Add(15*time.Second)
+		{"answered by us", func(tm *term, m *cluster.Machine) { m.LastReplyAt = tm.state.TermStartedAt.Add(5 * time.Second) },
+			func(_ *term, m *cluster.Machine) time.Time { return m.LastReplyAt }},
+		{"only probed: an earlier leader may have answered until it saw our token", func(tm *term, m *cluster.Machine) { m.TokenSeenAt = tm.state.TermStartedAt.Add(time.Second) },
+			func(_ *term, m *cluster.Machine) time.Time { return m.TokenSeenAt }},
+		{"in a new session, which may have begun just before we heard of it", func(tm *term, m *cluster.Machine) {
+			m.LastReplyAt, m.EpochSince = tm.state.TermStartedAt, tm.state.TermStartedAt.Add(15*time.Second)
 		},
-			func(_ *term, m *machine) time.Time { return m.epochSince }},
-		{"never heard, a majority holds our token", func(tm *term, m *machine) {
-			m.token, tm.state.quorumAckedAt = 0, tm.state.termStartedAt.Add(time.Second)
+			func(_ *term, m *cluster.Machine) time.Time { return m.EpochSince }},
+		{"never heard, a majority holds our token", func(tm *term, m *cluster.Machine) {
+			m.Token, tm.state.QuorumAckedAt = 0, tm.state.TermStartedAt.Add(time.Second)
 		},
-			func(tm *term, _ *machine) time.Time { return tm.state.quorumAckedAt.Add(peer.AckLifetime) }},
-		{"never heard, no majority", func(tm *term, m *machine) { m.token = 0 },
-			func(tm *term, _ *machine) time.Time { return tm.state.termStartedAt.Add(peer.OutageLimit) }},
+			func(tm *term, _ *cluster.Machine) time.Time { return tm.state.QuorumAckedAt.Add(peer.AckLifetime) }},
+		{"never heard, no majority", func(tm *term, m *cluster.Machine) { m.Token = 0 },
+			func(tm *term, _ *cluster.Machine) time.Time { return tm.state.TermStartedAt.Add(peer.OutageLimit) }},
 	}
 	for _, c := range cases {
 		tm, m, a := rig(t)
 		c.setup(tm, m)
 		edge := c.from(tm, m).Add(life)
 		tm.monitor.expireLease(m, edge.Add(-time.Millisecond))
-		if a.job.activeTasks != 1 {
+		if a.Job.ActiveTasks != 1 {
 			t.Errorf("%s: gone before the lease ends", c.name)
 		}
 		tm.monitor.expireLease(m, edge)
-		if a.job.activeTasks != 0 {
+		if a.Job.ActiveTasks != 0 {
 			t.Errorf("%s: still held after the lease", c.name)
 		}
 	}
@@ -140,20 +141,24 @@
 func TestForget(t *testing.T) {
 	exited := wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseExited, Cause: wire.CauseStopped}
 	for name, c := range map[string]struct {
-		setup  func(tm *term, m *machine, a *attempt)
+		setup  func(tm *term, m *cluster.Machine, a *cluster.Attempt)
 		forget bool
 		raise  bool
 	}{
-		"stored":                 {func(*term, *machine, *attempt) {}, true, false},
-		"not yet stored":         {func(_ *term, _ *machine, a *attempt) { a.chunk.dirty = true }, false, false},
-		"being stored":           {func(_ *term, _ *machine, a *attempt) { a.chunk.writeInFlight = true }, false, false},
-		"a launch is on its way": {func(_ *term, m *machine, _ *attempt) { m.unansweredLaunch = unansweredCommand{50, 1} }, false, true},
-		"it died with its token": {func(_ *term, m *machine, _ *attempt) { m.unansweredLaunch = unansweredCommand{49, 1} }, true, false},
+		"stored":         {func(*term, *cluster.Machine, *cluster.Attempt) {}, true, false},
+		"not yet stored": {func(_ *term, _ *cluster.Machine, a *cluster.Attempt) { a.Chunk.Dirty = true }, false, false},
+		"being stored":   {func(_ *term, _ *cluster.Machine, a *cluster.Attempt) { a.Chunk.WriteInFlight = true }, false, false},
+		"a launch is on its way": {func(_ *term, m *cluster.Machine, _ *cluster.Attempt) {
+			m.UnansweredLaunch = cluster.UnansweredCommand{Token: 50, Epoch: 1}
+		}, false, true},
+		"it died with its token": {func(_ *term, m *cluster.Machine, _ *cluster.Attempt) {
+			m.UnansweredLaunch = cluster.UnansweredCommand{Token: 49, Epoch: 1}
+		}, true, false},
 	} {
 		tm, m, a := rig(t)
 		rep := said(1, 11, 50, exited)
 		tm.reconciler.reconcile(m, rep, true, time.Now())
-		a.chunk.dirty = false
+		a.Chunk.Dirty = false
 		c.setup(tm, m, a)
 		got := false
 		for _, o := range tm.dispatcher.commandsFor(m, rep, time.Now()) {
@@ -173,7 +178,7 @@
 	rep := said(1, 11, 50, wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning}, wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
 	rep.Type = "c4"
 	tm.reconciler.reconcile(m, rep, true, time.Now())
-	if f := tm.state.freeResources(m); f.CPUs != 0 {
+	if f := tm.state.FreeResources(m); f.CPUs != 0 {
 		t.Errorf("%g cpus free beside a task of unknown size", f.CPUs)
 	}
 	halts := 0
@@ -190,15 +195,15 @@
 // Images are inferred from tasks past their fetch, and the least recently
 // used are taken to be pushed out.
 func TestImagesInferred(t *testing.T) {
-	var c imageCache
+	var c cluster.ImageCache
 	t0 := time.Unix(0, 0)
 	for i, id := range []wire.ImageID{"a", "b", "a", "c"} {
-		c.touch(id, 4, 10, t0.Add(time.Duration(i)*time.Second))
+		c.Touch(id, 4, 10, t0.Add(time.Duration(i)*time.Second))
 	}
-	if _, a := c.images["a"]; !a {
+	if _, a := c.Images["a"]; !a {
 		t.Error("a was used after b and is gone")
 	}
-	if _, b := c.images["b"]; b {
+	if _, b := c.Images["b"]; b {
 		t.Error("b does not fit any more and is still there")
 	}
 }
@@ -207,15 +212,15 @@
 // quarter of them is not the machines' fault.
 func TestSuspicionIsBounded(t *testing.T) {
 	tm, m, _ := rig(t)
-	m.drainReason = "faulty"
+	m.DrainReason = "faulty"
 	for _, id := range []wire.MachineID{"n-2", "n-3", "n-4"} {
-		tm.state.getOrAddMachine(id)
+		tm.state.GetOrAddMachine(id)
 	}
 	if tm.reconciler.mayDrainSuspect() {
 		t.Error("a second of four machines may be condemned")
 	}
 	for _, id := range []wire.MachineID{"n-5", "n-6", "n-7", "n-8"} {
-		tm.state.getOrAddMachine(id)
+		tm.state.GetOrAddMachine(id)
 	}
 	if !tm.reconciler.mayDrainSuspect() {
 		t.Error("a second of eight machines may not be condemned")
--- a/internal/leader/expected_gangs.go
+++ b/internal/leader/scheduling/expected_gangs.go
@@ -1,4 +1,4 @@
-package leader
+package scheduling
 
 import (
 	"cmp"
@@ -22,22 +22,22 @@
 	takes placement.Resources
 }
 
-// recentGangLife is how long room is kept for the gangs of a class after its last one.
-const recentGangLife = 3 * time.Minute
+// RecentGangLife is how long room is kept for the gangs of a class after its last one.
+const RecentGangLife = 3 * time.Minute
 
-// expectedGangs are the gangs for which room is kept free of arrays: the largest of
+// ExpectedGangs are the gangs for which room is kept free of arrays: the largest of
 // each class seen lately, as often as operators say. Everyday gangs may stop
 // nothing, and should start sooner than anything ends on a full deployment.
-func (sc *scheduler) expectedGangs(times float64, now time.Time) []*wire.JobSpec {
-	for _, j := range sc.state.jobs {
-		if j.spec.Gang() && !j.cancelled && !j.finished {
-			sc.recentGangs[gangSize{string(j.spec.Class), j.spec.Tasks, placement.ResourcesOf(&j.spec)}] = recentGang{&j.spec, now}
+func (sc *Scheduler) ExpectedGangs(times float64, now time.Time) []*wire.JobSpec {
+	for _, j := range sc.state.Jobs {
+		if j.Spec.Gang() && !j.Cancelled && !j.Finished {
+			sc.recentGangs[gangSize{string(j.Spec.Class), j.Spec.Tasks, placement.ResourcesOf(&j.Spec)}] = recentGang{&j.Spec, now}
 		}
 	}
 	size := func(s *wire.JobSpec) float64 { return float64(s.Tasks) * (s.CPUs + s.MemoryGB/1000 + 10*s.GPUs) }
 	largest := map[string]*wire.JobSpec{}
 	for k, g := range sc.recentGangs {
-		if now.Sub(g.lastSeen) > recentGangLife {
+		if now.Sub(g.lastSeen) > RecentGangLife {
 			delete(sc.recentGangs, k)
 		} else if l := largest[k.class]; l == nil || size(g.spec) > size(l) || size(g.spec) == size(l) && g.spec.ID < l.ID {
 			largest[k.class] = g.spec
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/demand"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/peer"
@@ -22,15 +23,15 @@
 
 // filling is a job whose tasks are put on machines one after the other.
 type filling struct {
-	j    *job
+	j    *cluster.Job
 	left int
 }
 
-func (f *filling) put(m *machine, now time.Time) {
-	i := f.j.spec.Tasks - f.left
+func (f *filling) put(m *cluster.Machine, now time.Time) {
+	i := f.j.Spec.Tasks - f.left
 	f.left--
-	f.j.chunk(0).add(&attempt{job: f.j, chunk: f.j.chunk(0), index: i, number: wire.Attempt(i + 1), machine: m, decidedAt: now, launchSent: true, launchEpoch: 1, observed: true, phase: wire.PhaseRunning, runningSince: now, imageReadyAt: now})
-	m.images.touch(f.j.spec.Image, 1, 50, now)
+	f.j.Chunk(0).Add(&cluster.Attempt{Job: f.j, Chunk: f.j.Chunk(0), Index: i, Number: wire.Attempt(i + 1), Machine: m, DecidedAt: now, LaunchSent: true, LaunchEpoch: 1, Observed: true, Phase: wire.PhaseRunning, RunningSince: now, ImageReadyAt: now})
+	m.Images.Touch(f.j.Spec.Image, 1, 50, now)
 }
 
 // sized is a term of so many machines of four processors in three zones, half
@@ -38,11 +39,11 @@
 func sized(tb testing.TB, n int) *term {
 	tb.Helper()
 	tm, first, a := rig(tb)
-	tm.state.endAttempt(a, TaskDone)
-	delete(tm.state.machines, first.id)
-	delete(tm.state.jobs, "req-1")
-	clear(tm.state.unsaved.chunks)
-	clear(tm.state.unsaved.finishedJobs)
+	tm.state.EndAttempt(a, cluster.TaskDone)
+	delete(tm.state.Machines, first.ID)
+	delete(tm.state.Jobs, "req-1")
+	clear(tm.state.Unsaved.Chunks)
+	clear(tm.state.Unsaved.FinishedJobs)
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	tm.begin(ctx)
@@ -51,19 +52,19 @@
 	tm.leader.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
 	tm.leader.Metrics.Heartbeat = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
-	tm.state.settings.Zones = zones
-	tm.state.settings.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
-	tm.state.settings.State.TxnOps = 12
-	tm.state.settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
+	tm.state.Settings.Zones = zones
+	tm.state.Settings.Teams = []config.Team{{Name: "red", CPUs: float64(n), CPUsMax: 8 * float64(n)}}
+	tm.state.Settings.State.TxnOps = 12
+	tm.state.Settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: zones}})
 	now := time.Now()
-	tm.state.machineListReceived, tm.state.schedulingEnabled = true, true
-	tm.state.termStartedAt = now.Add(-time.Minute)
-	job := func(id int, parts int, s wire.JobSpec) *job {
+	tm.state.MachineListReceived, tm.state.SchedulingEnabled = true, true
+	tm.state.TermStartedAt = now.Add(-time.Minute)
+	job := func(id int, parts int, s wire.JobSpec) *cluster.Job {
 		s.ID, s.Team, s.Tasks = wire.JobID(fmt.Sprintf("req-%06d", id)), "red", parts
 		s.Image, s.ImageGB = wire.ImageID(fmt.Sprint("img-", id%24)), 1
-		j := newJob(store.JobRecord{Spec: s, AcceptedAt: wire.TimestampOf(now.Add(-20 * time.Second))}, wire.Revision(id))
-		tm.state.jobs[s.ID] = j
+		j := cluster.NewJob(store.JobRecord{Spec: s, AcceptedAt: wire.TimestampOf(now.Add(-20 * time.Second))}, wire.Revision(id))
+		tm.state.Jobs[s.ID] = j
 		return j
 	}
 	service := wire.JobSpec{Class: "live", Kind: wire.KindService, Priority: wire.PriorityProd, CPUs: 1, MemoryGB: 4.8, Spread: true}
@@ -71,10 +72,10 @@
 	id := 0
 	var serving, working *filling
 	for i := range n {
-		m := tm.state.getOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
-		m.machineType, m.zone, m.spot, m.addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
-		m.epoch, m.sequence, m.token, m.firstHeartbeatAt, m.lastMessageAt, m.directHeartbeatAt, m.lastReplyAt = 1, 10, tm.fencing.token, now, now, now, now
-		m.requestedAt = now.Add(-2 * time.Minute)
+		m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
+		m.MachineType, m.Zone, m.Spot, m.Addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
+		m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = 1, 10, tm.fencing.token, now, now, now, now
+		m.RequestedAt = now.Add(-2 * time.Minute)
 		if i%2 == 0 {
 			for range 4 {
 				if serving == nil || serving.left == 0 {
@@ -99,10 +100,10 @@
 }
 
 // reportOf what runs on a machine.
-func reportOf(m *machine) wire.Heartbeat {
-	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence + 1, Token: m.token}
-	for task, a := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.number, Phase: a.phase})
+func reportOf(m *cluster.Machine) wire.Heartbeat {
+	r := wire.Heartbeat{Machine: m.ID, Addr: m.Addr, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Epoch: m.Epoch, Sequence: m.Sequence + 1, Token: m.Token}
+	for task, a := range m.Tasks {
+		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.Number, Phase: a.Phase})
 	}
 	return r
 }
@@ -128,7 +129,7 @@
 		}()
 		defer close(tm.heartbeatCalls)
 		for b.Loop() {
-			for _, m := range tm.state.machines {
+			for _, m := range tm.state.Machines {
 				r := httptest.NewRequest("POST", "/hello", nil)
 				rep := reportOf(m)
 				raw := wire.Encode(rep)
@@ -160,8 +161,8 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			now := time.Now()
-			for _, m := range tm.state.machines {
-				m.lastMessageAt = now
+			for _, m := range tm.state.Machines {
+				m.LastMessageAt = now
 			}
 			tm.monitor.checkMachines(now)
 		}
@@ -172,11 +173,11 @@
 // waiting for the budget.
 func BenchmarkSettle(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
-		for _, j := range tm.state.jobs {
-			tm.state.unsaved.markDirty(j.chunk(0))
+		for _, j := range tm.state.Jobs {
+			tm.state.Unsaved.MarkDirty(j.Chunk(0))
 		}
-		tm.writer.routineAt = time.Now().Add(time.Hour)
-		tm.state.cycle.lastAt = time.Now().Add(time.Hour)
+		tm.writer.RoutineAt = time.Now().Add(time.Hour)
+		tm.state.Cycle.LastAt = time.Now().Add(time.Hour)
 		for b.Loop() {
 			tm.runDueWork(time.Now())
 		}
@@ -188,7 +189,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			tm.scaler.planFleet(time.Now())
-			tm.scaler.tracker = scaling.New(tm.state.firstToken)
+			tm.scaler.tracker = scaling.New(tm.state.FirstToken)
 		}
 	})
 }
@@ -197,16 +198,16 @@
 func BenchmarkRecovery(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		var jobs, runs []wire.Entry
-		for _, j := range tm.state.jobs {
-			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.acceptedAt)})})
-			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(j.chunk(0).record())})
+		for _, j := range tm.state.Jobs {
+			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.Spec.ID), Revision: j.Revision, Value: wire.Encode(store.JobRecord{Spec: j.Spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.AcceptedAt)})})
+			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.Spec.ID, 0), Revision: j.Revision, Value: wire.Encode(j.Chunk(0).Record())})
 		}
 		for b.Loop() {
 			next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
 			next.begin(tm.ctx)
 			next.records.loadRecords(jobs, runs)
-			if len(next.state.jobs) != len(jobs) {
-				b.Fatal(len(next.state.jobs))
+			if len(next.state.Jobs) != len(jobs) {
+				b.Fatal(len(next.state.Jobs))
 			}
 		}
 	})
@@ -216,15 +217,15 @@
 // were heard of: a service that is spread has room there.
 func TestZonesOutsideTheSettings(t *testing.T) {
 	tm := sized(t, 30)
-	tm.state.settings.Zones = []wire.Zone{"b"}
-	tm.state.zoneDetector.Heard("d", false, time.Now())
-	j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 9)
-	tm.state.jobs[j.spec.ID] = j
-	if got := fmt.Sprint(tm.state.zones()); got != "[b a c d]" {
+	tm.state.Settings.Zones = []wire.Zone{"b"}
+	tm.state.ZoneDetector.Heard("d", false, time.Now())
+	j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 9)
+	tm.state.Jobs[j.Spec.ID] = j
+	if got := fmt.Sprint(tm.state.Zones()); got != "[b a c d]" {
 		t.Errorf("zones %s", got)
 	}
-	for _, d := range tm.scheduler.demands(time.Now(), 0.6, 2) {
-		if d.Spec.ID == j.spec.ID && (d.ZoneLeft["a"] != 3 || d.ZoneLeft["d"] != 3) {
+	for _, d := range tm.scheduler.Demands(time.Now(), 0.6, 2) {
+		if d.Spec.ID == j.Spec.ID && (d.ZoneLeft["a"] != 3 || d.ZoneLeft["d"] != 3) {
 			t.Errorf("may take %v", d.ZoneLeft)
 		}
 	}
@@ -236,12 +237,12 @@
 // machines of 40 the backlog grew to 16 minutes.)
 func TestDearRoomForWhatWaitsTooLong(t *testing.T) {
 	tm := sized(t, 30)
-	tm.state.settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
+	tm.state.Settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
 	now := time.Now()
 	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, demand.LatePriceStretch}, {200, 90, demand.LatePriceStretch}, {290, 90, 1}} {
-		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
+		j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20},
 			AcceptedAt: wire.TimestampOf(now.Add(-time.Duration(c.age) * time.Second))}, 9)
-		if got := tm.scheduler.priceStretch(j, c.wait, now); got != c.want {
+		if got := tm.scheduler.PriceStretch(j, c.wait, now); got != c.want {
 			t.Errorf("waited %g s, %g s more expected: %g, want %g", c.age, c.wait, got, c.want)
 		}
 	}
@@ -260,8 +261,8 @@
 			tm.reconciler.onHeartbeat(call)
 		}
 	}()
-	reports := make([]wire.Heartbeat, 0, len(tm.state.machines))
-	for _, m := range tm.state.machines {
+	reports := make([]wire.Heartbeat, 0, len(tm.state.Machines))
+	for _, m := range tm.state.Machines {
 		reports = append(reports, reportOf(m))
 	}
 	for _, rep := range reports {
@@ -286,14 +287,14 @@
 	}
 	var jobs, runs []wire.Entry
 	held := 0
-	for _, j := range tm.state.jobs {
-		held += j.activeTasks
-		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.spec.ID), Revision: j.revision, Value: wire.Encode(store.JobRecord{Spec: j.spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.acceptedAt)})})
-		rec := j.chunk(0).record()
-		if limit := tm.writer.valueLimit(); rec.JSONSize() > limit {
+	for _, j := range tm.state.Jobs {
+		held += j.ActiveTasks
+		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.Spec.ID), Revision: j.Revision, Value: wire.Encode(store.JobRecord{Spec: j.Spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.AcceptedAt)})})
+		rec := j.Chunk(0).Record()
+		if limit := tm.writer.ValueLimit(); rec.JSONSize() > limit {
 			t.Errorf("a record of %d bytes, over %d", rec.JSONSize(), limit)
 		}
-		runs = append(runs, wire.Entry{Key: store.ChunkKey(j.spec.ID, 0), Revision: j.revision, Value: wire.Encode(rec)})
+		runs = append(runs, wire.Entry{Key: store.ChunkKey(j.Spec.ID, 0), Revision: j.Revision, Value: wire.Encode(rec)})
 	}
 	next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
 	next.begin(tm.ctx)
@@ -301,19 +302,19 @@
 	next.records.loadRecords(jobs, runs)
 	recovery := time.Since(began)
 	listed := make([]wire.ListedMachine, 0, largestFleet)
-	for _, m := range tm.state.machines {
-		listed = append(listed, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: wire.ListedRunning, Age: 120})
+	for _, m := range tm.state.Machines {
+		listed = append(listed, wire.ListedMachine{Name: m.ID, Addr: m.Addr, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, State: wire.ListedRunning, Age: 120})
 	}
 	next.inventory.onMachineList(listed, time.Now())
-	for id, m := range next.state.machines {
-		m.epoch, m.sequence, m.token = 1, tm.state.machines[id].sequence, next.fencing.token
+	for id, m := range next.state.Machines {
+		m.Epoch, m.Sequence, m.Token = 1, tm.state.Machines[id].Sequence, next.fencing.token
 	}
 	began = time.Now()
 	if n := reportAll(next); n != largestFleet {
 		t.Errorf("%d reports were answered by the next leader", n)
 	}
 	reports := time.Since(began)
-	next.state.schedulingEnabled = true
+	next.state.SchedulingEnabled = true
 	began = time.Now()
 	next.runCycle(time.Now())
 	round := time.Since(began)
@@ -321,7 +322,7 @@
 		t.Errorf("%d tasks are held, %d were", now, held)
 	}
 	view := next.view(time.Now())
-	if len(view.Machines) != largestFleet || len(view.Jobs) != len(tm.state.jobs) {
+	if len(view.Machines) != largestFleet || len(view.Jobs) != len(tm.state.Jobs) {
 		t.Errorf("%d machines and %d jobs in view", len(view.Machines), len(view.Jobs))
 	}
 	var read View
@@ -332,8 +333,8 @@
 }
 
 func heldTasks(tm *term) (n int) {
-	for _, j := range tm.state.jobs {
-		n += j.activeTasks
+	for _, j := range tm.state.Jobs {
+		n += j.ActiveTasks
 	}
 	return n
 }
--- a/internal/leader/stops.go
+++ b/internal/leader/stops.go
@@ -3,53 +3,54 @@
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
 // stop wants the attempt stopped, and with a gang's task all of the gang.
-func (dp *dispatcher) stop(a *attempt, grace wire.Seconds, why EvictionReason) {
-	if a.job.gang != nil {
-		dp.stopGang(a.job, grace, why)
+func (dp *dispatcher) stop(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
+	if a.Job.Gang != nil {
+		dp.stopGang(a.Job, grace, why)
 		return
 	}
 	dp.stopAttempt(a, grace, why)
 }
 
-func (dp *dispatcher) stopAttempt(a *attempt, grace wire.Seconds, why EvictionReason) {
-	if a.unstored {
-		if !a.chunk.writeInFlight {
-			dp.state.endAttempt(a, TaskPending)
+func (dp *dispatcher) stopAttempt(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
+	if a.Unstored {
+		if !a.Chunk.WriteInFlight {
+			dp.state.EndAttempt(a, cluster.TaskPending)
 		} else {
-			a.stopping, a.gracePeriod, a.stopReason = true, grace, why
+			a.Stopping, a.GracePeriod, a.StopReason = true, grace, why
 		}
 		return
 	}
-	if a.stopping && a.gracePeriod <= grace {
+	if a.Stopping && a.GracePeriod <= grace {
 		return
 	}
-	if !a.stopping {
-		a.stopRequestedAt = time.Now()
+	if !a.Stopping {
+		a.StopRequestedAt = time.Now()
 	}
-	a.stopping, a.gracePeriod, a.stopReason, a.stopSentAt = true, grace, why, time.Time{}
-	if why != EvictedCancelled {
-		dp.log().Info("stops", "task", a.task(), "attempt", a.number, "machine", a.machine.id, "why", why)
+	a.Stopping, a.GracePeriod, a.StopReason, a.StopSentAt = true, grace, why, time.Time{}
+	if why != cluster.EvictedCancelled {
+		dp.log().Info("stops", "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID, "why", why)
 		dp.leader.Metrics.TaskMoved(string(why))
 	}
-	dp.dispatch(a.machine)
+	dp.dispatch(a.Machine)
 }
 
 // stopGang stops all tasks of a gang, all of them at once: those that are told
 // late don't save.
-func (dp *dispatcher) stopGang(j *job, grace wire.Seconds, why EvictionReason) {
-	g := j.gang
-	if !g.ran && !g.inherited {
+func (dp *dispatcher) stopGang(j *cluster.Job, grace wire.Seconds, why cluster.EvictionReason) {
+	g := j.Gang
+	if !g.Ran && !g.Inherited {
 		grace = 0 // there is nothing to save
 	}
-	if g.stopRequested && g.gracePeriod <= grace {
+	if g.StopRequested && g.GracePeriod <= grace {
 		return
 	}
-	g.stopRequested, g.gracePeriod, g.stoppingGracefully = true, grace, grace > 0
-	for _, a := range j.attempts() {
+	g.StopRequested, g.GracePeriod, g.StoppingGracefully = true, grace, grace > 0
+	for _, a := range j.Attempts() {
 		dp.stopAttempt(a, grace, why)
 	}
 }
@@ -58,20 +59,20 @@
 // do nothing, and is stopped. Those that were told to stop in order end by
 // themselves.
 func (dp *dispatcher) stopBrokenGangs() {
-	for j := range dp.state.brokenGangs {
-		delete(dp.state.brokenGangs, j)
-		g := j.gang
+	for j := range dp.state.BrokenGangs {
+		delete(dp.state.BrokenGangs, j)
+		g := j.Gang
 		switch {
 		case g == nil:
-		case j.activeTasks == 0:
-			j.gang = nil
-			dp.state.requestCycle()
-		case !g.broken:
-			g.broken = true
-			dp.log().Info("gang lost a task", "job", j.spec.ID, "try", g.number, "ran", g.ran, "stopping", g.stoppingGracefully, "age", time.Since(g.startedAt), "left", j.activeTasks)
-			if !g.stoppingGracefully {
-				for _, a := range j.attempts() {
-					dp.stopAttempt(a, 0, EvictedGangIncomplete)
+		case j.ActiveTasks == 0:
+			j.Gang = nil
+			dp.state.RequestCycle()
+		case !g.Broken:
+			g.Broken = true
+			dp.log().Info("gang lost a task", "job", j.Spec.ID, "try", g.Number, "ran", g.Ran, "stopping", g.StoppingGracefully, "age", time.Since(g.StartedAt), "left", j.ActiveTasks)
+			if !g.StoppingGracefully {
+				for _, a := range j.Attempts() {
+					dp.stopAttempt(a, 0, cluster.EvictedGangIncomplete)
 				}
 			}
 		}
@@ -81,11 +82,11 @@
 // stopCancelledJob stops what is left of a cancelled job. For a job that is read
 // during recovery this comes only once its attempts have been read too: before, it
 // looks as if nothing of it were left.
-func (dp *dispatcher) stopCancelledJob(j *job) {
-	dp.log().Info("cancels", "job", j.spec.ID, "held", j.activeTasks)
-	dp.state.cancelledJobs[j] = struct{}{}
-	for _, a := range j.attempts() {
-		dp.stopAttempt(a, 0, EvictedCancelled)
+func (dp *dispatcher) stopCancelledJob(j *cluster.Job) {
+	dp.log().Info("cancels", "job", j.Spec.ID, "held", j.ActiveTasks)
+	dp.state.CancelledJobs[j] = struct{}{}
+	for _, a := range j.Attempts() {
+		dp.stopAttempt(a, 0, cluster.EvictedCancelled)
 	}
-	dp.state.markIfFinished(j)
+	dp.state.MarkIfFinished(j)
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -4,8 +4,11 @@
 	"context"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/election"
+	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
 )
@@ -33,9 +36,9 @@
 	heartbeatCalls        chan heartbeatCall
 	storeUnavailableSince time.Time // zero: the state service is available
 
-	state      *State
-	scheduler  *scheduler
-	writer     *writer
+	state      *cluster.State
+	scheduler  *scheduling.Scheduler
+	writer     *progress.Writer
 	dispatcher *dispatcher
 	scaler     *scaler
 	reconciler *reconciler
@@ -50,17 +53,17 @@
 		eventLoop:      newEventLoop(l, lease),
 		fencing:        fencing{token: lease.Token()},
 		heartbeatCalls: make(chan heartbeatCall, 32),
-		state:          newState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token()),
+		state:          cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token()),
 	}
 	tracker := scaling.New(lease.Token())
-	t.scheduler = newScheduler(t.state, l.Tuning, tracker, l.Log)
-	t.writer = newWriter(t.state, l.writeBudget, l.Log)
+	t.scheduler = scheduling.NewScheduler(t.state, l.Tuning, tracker, l.Log)
+	t.writer = progress.NewWriter(t.state, l.writeBudget, l.Log)
 	t.dispatcher = &dispatcher{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing}
 	t.scaler = newScaler(t.eventLoop, t.state, t.scheduler, tracker)
 	t.reconciler = newReconciler(t.eventLoop, t.state, &t.fencing, t.dispatcher, t.scaler)
 	t.monitor = &monitor{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing, writer: t.writer, dispatcher: t.dispatcher, scaler: t.scaler}
 	t.committer = &committer{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing, published: &t.published, writer: t.writer, dispatcher: t.dispatcher}
-	t.records = &records{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing, published: &t.published, writer: t.writer, dispatcher: t.dispatcher, reconciler: t.reconciler, intents: t.scaler.intents}
+	t.records = &records{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing, published: &t.published, progress: progress.NewReader(t.state, t.writer, l.Undecodable), dispatcher: t.dispatcher, reconciler: t.reconciler, intents: t.scaler.intents}
 	t.inventory = &inventory{eventLoop: t.eventLoop, state: t.state, dispatcher: t.dispatcher}
 	return t
 }
@@ -114,12 +117,12 @@
 
 // runDueWork does what has become due after an event: a round, a write.
 func (t *term) runDueWork(now time.Time) {
-	if !t.state.recovered || !t.lease.Deciding() {
+	if !t.state.Recovered || !t.lease.Deciding() {
 		return
 	}
 	t.dispatcher.stopBrokenGangs()
 	v := t.leader.Tuning.Get()
-	if t.state.schedulingEnabled && t.state.cycle.due(now, wire.Seconds(v.RoundS).Duration()) {
+	if t.state.SchedulingEnabled && t.state.Cycle.Due(now, wire.Seconds(v.RoundS).Duration()) {
 		t.runCycle(now)
 	}
 	t.committer.flush(now)
@@ -135,18 +138,18 @@
 		t.end("a higher token is known")
 		return
 	}
-	until := v.AckedUntil(t.fencing.token, t.state.settings.Size/2+1)
+	until := v.AckedUntil(t.fencing.token, t.state.Settings.Size/2+1)
 	acked := now.Before(until)
-	if acked && t.state.quorumAckedAt.IsZero() {
-		t.state.quorumAckedAt = now
+	if acked && t.state.QuorumAckedAt.IsZero() {
+		t.state.QuorumAckedAt = now
 	}
 	t.lease.Acknowledged(until, t.oldestAck(v, now), t.leader.delegation.Time)
 	t.records.applyCancellations()
 	if t.lease.Deciding() {
 		if !t.storeUnavailableSince.IsZero() {
 			t.log().Info("state service back", "token", t.fencing.token, "away", now.Sub(t.storeUnavailableSince))
-			t.storeUnavailableSince, t.state.storeAvailableSince = time.Time{}, now
-			t.state.requestCycle()
+			t.storeUnavailableSince, t.state.StoreAvailableSince = time.Time{}, now
+			t.state.RequestCycle()
 		}
 	} else {
 		if t.storeUnavailableSince.IsZero() {
@@ -154,12 +157,12 @@
 			t.log().Info("state service away; keeps answering reports while a majority agrees", "token", t.fencing.token, "agrees", acked)
 		}
 	}
-	if !t.state.schedulingEnabled && t.state.recovered {
-		bound := t.state.settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
-		if t.enoughMachinesHeard(now) || now.Sub(t.state.termStartedAt) > bound {
-			t.state.schedulingEnabled = true
-			t.log().Info("places", "machines", len(t.state.machines), "jobs", len(t.state.jobs), "after", now.Sub(t.state.termStartedAt))
-			t.state.requestCycle()
+	if !t.state.SchedulingEnabled && t.state.Recovered {
+		bound := t.state.Settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
+		if t.enoughMachinesHeard(now) || now.Sub(t.state.TermStartedAt) > bound {
+			t.state.SchedulingEnabled = true
+			t.log().Info("places", "machines", len(t.state.Machines), "jobs", len(t.state.Jobs), "after", now.Sub(t.state.TermStartedAt))
+			t.state.RequestCycle()
 		}
 	}
 }
@@ -191,16 +194,16 @@
 // cloud's interface may be down for minutes) it is the machines of which
 // something is stored that are waited for.
 func (t *term) enoughMachinesHeard(now time.Time) bool {
-	if !t.state.machineListReceived && now.Sub(t.state.termStartedAt) < time.Second {
+	if !t.state.MachineListReceived && now.Sub(t.state.TermStartedAt) < time.Second {
 		return false
 	}
 	heard, missing := 0, 0
-	for _, m := range t.state.machines {
+	for _, m := range t.state.Machines {
 		switch {
-		case m.booting, m.drainReason == DrainAdoptedScaleIn:
-		case m.token >= t.state.firstToken:
+		case m.Booting, m.DrainReason == cluster.DrainAdoptedScaleIn:
+		case m.Token >= t.state.FirstToken:
 			heard++
-		case m.unansweredProbes == 0 && (m.addr != "" || !t.state.machineListReceived):
+		case m.UnansweredProbes == 0 && (m.Addr != "" || !t.state.MachineListReceived):
 			missing++
 		}
 	}
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -24,7 +24,7 @@
 // recordsIntents tells whether intents are recorded now: the part is on and, where
 // versions are negotiated, every controller understands it.
 func (sl *scaler) recordsIntents() bool {
-	return sl.intents != nil && (sl.leader.Versions == nil || sl.state.activeVersion >= VersionIntents)
+	return sl.intents != nil && (sl.leader.Versions == nil || sl.state.ActiveVersion >= VersionIntents)
 }
 
 // readVersion reads the active version for this term. It is read after the lease was
@@ -81,9 +81,9 @@
 
 // takeVersion acts by a version that is active, once the term knows all records.
 func (t *term) takeVersion(version upgrade.Version) {
-	if version > t.state.activeVersion && t.state.recovered {
-		t.log().Info("acts by version", "version", version, "before", t.state.activeVersion)
-		t.state.activeVersion = version
+	if version > t.state.ActiveVersion && t.state.Recovered {
+		t.log().Info("acts by version", "version", version, "before", t.state.ActiveVersion)
+		t.state.ActiveVersion = version
 	}
 }
 
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -69,37 +69,37 @@
 // logStatus logs, every ten seconds, the deployment's machines, jobs and tasks.
 func (t *term) logStatus(now time.Time) {
 	up, booting, idle, tasks, held, done, waiting := 0, 0, 0, 0, 0, 0, 0
-	for _, m := range t.state.machines {
+	for _, m := range t.state.Machines {
 		switch {
-		case m.booting:
+		case m.Booting:
 			booting++
-		case len(m.tasks) == 0:
+		case len(m.Tasks) == 0:
 			idle++
 			fallthrough
 		default:
 			up++
 		}
 	}
-	for _, j := range t.state.jobs {
-		tasks, held, done = tasks+j.spec.Tasks, held+j.activeTasks, done+j.doneTasks
-		if !j.cancelled && j.pending() > 0 {
+	for _, j := range t.state.Jobs {
+		tasks, held, done = tasks+j.Spec.Tasks, held+j.ActiveTasks, done+j.DoneTasks
+		if !j.Cancelled && j.Pending() > 0 {
 			waiting++
 		}
 	}
 	if most := t.leader.Workers; up > most {
 		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
 	}
-	t.log().Info("status", "token", t.fencing.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.scheduler.backlogS), "round", t.state.cycle.lastDuration, "late", time.Since(now))
+	t.log().Info("status", "token", t.fencing.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.Jobs), "jobs_waiting", waiting,
+		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.scheduler.BacklogS), "round", t.state.Cycle.LastDuration, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
 	v := &View{Deciding: t.lease.Deciding(), PendingScaleOuts: len(t.scaler.tracker.PendingScaleOuts())}
-	for _, m := range t.state.machines {
-		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.state.sinceLastMessage(m, now).Seconds(), t.state.freeResources(m).CPUs})
+	for _, m := range t.state.Machines {
+		v.Machines = append(v.Machines, MachineView{m.ID, m.MachineType, m.Zone, m.Spot, m.Booting, string(m.DrainReason), len(m.Tasks), t.state.SinceLastMessage(m, now).Seconds(), t.state.FreeResources(m).CPUs})
 	}
-	for _, j := range t.state.jobs {
-		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.doneTasks, j.activeTasks, j.failures, now.Sub(j.acceptedAt).Seconds(), j.cancelled})
+	for _, j := range t.state.Jobs {
+		v.Jobs = append(v.Jobs, JobView{j.Spec.ID, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.DoneTasks, j.ActiveTasks, j.Failures, now.Sub(j.AcceptedAt).Seconds(), j.Cancelled})
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	slices.SortFunc(v.Jobs, func(a, b JobView) int { return strings.Compare(string(a.ID), string(b.ID)) })
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -6,7 +6,9 @@
 	"slices"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/election"
+	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -15,10 +17,10 @@
 // the fencing token.
 type committer struct {
 	*eventLoop
-	state      *State
+	state      *cluster.State
 	fencing    *fencing
 	published  *published
-	writer     *writer
+	writer     *progress.Writer
 	dispatcher *dispatcher
 }
 
@@ -32,26 +34,26 @@
 // flush has the writer's next transaction executed, or the token raised where
 // somebody waits for that.
 func (co *committer) flush(now time.Time) {
-	if co.fencing.raising || !co.writer.ready(now) {
+	if co.fencing.raising || !co.writer.Ready(now) {
 		return
 	}
 	if co.fencing.raiseRequested && now.After(co.fencing.raiseNotBefore) {
 		co.raiseToken(nil)
 		return
 	}
-	b := co.writer.next(co.fencing.token, now)
+	b := co.writer.Next(co.fencing.token, now)
 	if b == nil {
 		return
 	}
 	co.spawn(func(ctx context.Context) {
-		revision, err := co.leader.Store.Commit(ctx, b.class(), b.txn)
+		revision, err := co.leader.Store.Commit(ctx, b.Class(), b.Txn)
 		co.post(txnAnswered{b, revision, err})
 	})
 }
 
 // onTxnResult takes in the outcome of a transaction.
-func (co *committer) onTxnResult(b *batch, revision wire.Revision, err error) {
-	co.writer.answered()
+func (co *committer) onTxnResult(b *progress.Batch, revision wire.Revision, err error) {
+	co.writer.Answered()
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
@@ -63,82 +65,82 @@
 	case errors.Is(err, store.ErrUnknown):
 		// It may be applied yet, minutes from now. A new token ends that;
 		// then a read tells what was.
-		co.log().Info("outcome of a write unknown", "writes", len(b.txn.Writes))
-		co.writer.outcomeOpen()
+		co.log().Info("outcome of a write unknown", "writes", len(b.Txn.Writes))
+		co.writer.OutcomeOpen()
 		co.raiseToken(b)
 	case errors.Is(err, store.ErrInvalid):
 		co.revertTxn(b)
-		if now := time.Now(); co.writer.refused(b, now) {
+		if now := time.Now(); co.writer.Refused(b, now) {
 			co.withdrawRefused(b, now)
 		}
 	default:
 		co.revertTxn(b)
-		co.writer.retryLater(time.Now())
+		co.writer.RetryLater(time.Now())
 	}
 }
 
 // onTxnConflict takes in that a transaction's guards failed.
-func (co *committer) onTxnConflict(b *batch, conflict *store.ConflictError) {
-	b.orphans = slices.DeleteFunc(b.orphans, func(g wire.Guard) bool { return conflict.Has(g.Key) }) // gone already
+func (co *committer) onTxnConflict(b *progress.Batch, conflict *store.ConflictError) {
+	b.Orphans = slices.DeleteFunc(b.Orphans, func(g wire.Guard) bool { return conflict.Has(g.Key) }) // gone already
 	co.revertTxn(b)
-	for _, j := range co.state.jobs {
-		if conflict.Has(store.JobKey(j.spec.ID)) {
+	for _, j := range co.state.Jobs {
+		if conflict.Has(store.JobKey(j.Spec.ID)) {
 			co.reread(j)
 		}
 	}
-	for _, c := range b.chunks {
-		if conflict.Has(c.key()) {
-			co.end("a chunk was written by another process: " + c.key())
+	for _, c := range b.Chunks {
+		if conflict.Has(c.Key()) {
+			co.end("a chunk was written by another process: " + c.Key())
 		}
 	}
 }
 
 // withdrawRefused takes back the starts in chunks that are left alone for a while,
 // having been refused: their room is of use to others meanwhile.
-func (co *committer) withdrawRefused(b *batch, now time.Time) {
-	for _, c := range b.chunks {
-		for _, a := range c.attempts {
-			if a.unstored {
-				co.state.endAttempt(a, TaskPending)
-				c.job.startNotBefore = now.Add(refusedPause)
+func (co *committer) withdrawRefused(b *progress.Batch, now time.Time) {
+	for _, c := range b.Chunks {
+		for _, a := range c.Attempts {
+			if a.Unstored {
+				co.state.EndAttempt(a, cluster.TaskPending)
+				c.Job.StartNotBefore = now.Add(progress.RefusedPause)
 			}
 		}
 	}
 }
 
 // onTxnCommitted takes in that a transaction was executed.
-func (co *committer) onTxnCommitted(b *batch, revision wire.Revision) {
-	co.writer.committed(b, revision)
-	for _, j := range b.finished {
-		co.log().Info("job over", "job", j.spec.ID, "status", j.finalStatus(), "took", time.Since(j.acceptedAt))
-		delete(co.state.jobs, j.spec.ID)
-		delete(co.state.quarantinedJobs, j.spec.ID)
-		if !j.recordDeleted {
-			co.state.archivedJobs[j.spec.ID] = true
+func (co *committer) onTxnCommitted(b *progress.Batch, revision wire.Revision) {
+	co.writer.Committed(b, revision)
+	for _, j := range b.Finished {
+		co.log().Info("job over", "job", j.Spec.ID, "status", j.FinalStatus(), "took", time.Since(j.AcceptedAt))
+		delete(co.state.Jobs, j.Spec.ID)
+		delete(co.state.QuarantinedJobs, j.Spec.ID)
+		if !j.RecordDeleted {
+			co.state.ArchivedJobs[j.Spec.ID] = true
 		}
 	}
-	co.sendStoredLaunches(b.planned)
+	co.sendStoredLaunches(b.Planned)
 }
 
 // sendStoredLaunches sends the launches that are stored now.
-func (co *committer) sendStoredLaunches(planned []*attempt) {
-	touched := map[*machine]bool{}
+func (co *committer) sendStoredLaunches(planned []*cluster.Attempt) {
+	touched := map[*cluster.Machine]bool{}
 	for _, a := range planned {
-		if a.chunk.attempts[a.index] != a {
+		if a.Chunk.Attempts[a.Index] != a {
 			continue
 		}
-		a.unstored = false
-		a.chunk.unstoredAttempts--
-		a.job.unstoredAttempts--
-		if a.stopping || a.job.cancelled || a.machine.drainReason != "" || a.machine.scalingIn || co.state.machines[a.machine.id] != a.machine {
+		a.Unstored = false
+		a.Chunk.UnstoredAttempts--
+		a.Job.UnstoredAttempts--
+		if a.Stopping || a.Job.Cancelled || a.Machine.DrainReason != "" || a.Machine.ScalingIn || co.state.Machines[a.Machine.ID] != a.Machine {
 			// Never sent by anyone: there is nothing to halt.
-			co.state.endAttempt(a, TaskPending)
+			co.state.EndAttempt(a, cluster.TaskPending)
 			continue
 		}
-		touched[a.machine] = true
-		if a.job.gang != nil && a.job.fullyStored() {
-			for _, other := range a.job.attempts() {
-				touched[other.machine] = true
+		touched[a.Machine] = true
+		if a.Job.Gang != nil && a.Job.FullyStored() {
+			for _, other := range a.Job.Attempts() {
+				touched[other.Machine] = true
 			}
 		}
 	}
@@ -149,19 +151,19 @@
 
 // revertTxn marks all of a transaction that was not executed as still to be
 // written.
-func (co *committer) revertTxn(b *batch) {
-	co.writer.undone(b)
-	for _, a := range b.planned {
-		if a.stopping && a.chunk.attempts[a.index] == a {
-			co.state.endAttempt(a, TaskPending)
+func (co *committer) revertTxn(b *progress.Batch) {
+	co.writer.Undone(b)
+	for _, a := range b.Planned {
+		if a.Stopping && a.Chunk.Attempts[a.Index] == a {
+			co.state.EndAttempt(a, cluster.TaskPending)
 		}
 	}
 }
 
 // reread reads a job's record again after a guard on it failed.
-func (co *committer) reread(j *job) {
-	j.recordOutdated = true
-	id := j.spec.ID
+func (co *committer) reread(j *cluster.Job) {
+	j.RecordOutdated = true
+	id := j.Spec.ID
 	co.spawn(func(ctx context.Context) {
 		entry, err := co.leader.Store.Get(ctx, store.Critical, store.JobKey(id))
 		co.post(jobRecordReread{j, entry, err})
@@ -172,9 +174,9 @@
 // was sent under the old one can take effect afterwards: transactions fail
 // at their guard, and commands at every worker that has seen the new one. If
 // b is given, its outcome is then looked up.
-func (co *committer) raiseToken(b *batch) {
+func (co *committer) raiseToken(b *progress.Batch) {
 	co.fencing.raising = true
-	co.fencing.raiseRequested, co.fencing.raiseNotBefore = false, time.Now().Add(co.state.settings.Workers.Lease.Duration()/2)
+	co.fencing.raiseRequested, co.fencing.raiseNotBefore = false, time.Now().Add(co.state.Settings.Workers.Lease.Duration()/2)
 	old := co.fencing.token
 	co.spawn(func(ctx context.Context) {
 		token, err := co.lease.RaiseToken(ctx, old)
@@ -187,10 +189,10 @@
 	})
 }
 
-func (co *committer) onTokenRaised(token wire.FencingToken, b *batch) {
+func (co *committer) onTokenRaised(token wire.FencingToken, b *progress.Batch) {
 	co.log().Info("token raised", "from", co.fencing.token, "to", token)
 	co.fencing.token = token
-	if co.state.recovered {
+	if co.state.Recovered {
 		co.published.delegationToken.Store(uint64(token))
 	}
 	co.leader.Mesh.ObserveToken(co.ctx, token)
@@ -201,8 +203,8 @@
 }
 
 // readOutcome finds out what became of a transaction that can't be executed any more.
-func (co *committer) readOutcome(ctx context.Context, b *batch) {
-	guard := b.tellingGuard()
+func (co *committer) readOutcome(ctx context.Context, b *progress.Batch) {
+	guard := b.TellingGuard()
 	for {
 		entry, err := co.leader.Store.Get(ctx, store.Critical, guard.Key)
 		if err == nil || errors.Is(err, store.ErrMissing) {
@@ -218,7 +220,7 @@
 // onOutcomeRead takes in whether a transaction without an answer was executed: not if
 // the guarded key is as it was.
 func (co *committer) onOutcomeRead(e txnOutcomeRead) {
-	co.writer.outcomeRead()
+	co.writer.OutcomeRead()
 	if e.revision == e.guard.Revision {
 		co.revertTxn(e.batch)
 		return
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -8,6 +8,7 @@
 
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
@@ -17,7 +18,7 @@
 
 // withState runs a term that writes to a simulated state service. Its loop is
 // the test: settle runs what the helpers post until nothing happens.
-func withState(t *testing.T, f func(tm *term, m *machine, st *simulator.State, settle func())) {
+func withState(t *testing.T, f func(tm *term, m *cluster.Machine, st *simulator.State, settle func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -32,14 +33,14 @@
 		tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, nw.Host("10.0.0.1"), tm.leader.Log)
 		go tm.leader.Mesh.Run(ctx)
 		tm.begin(ctx)
-		tm.state.settings.State.TxnOps = 12
+		tm.state.Settings.State.TxnOps = 12
 		tm.leader.candidate = election.NewCandidate(tm.leader.Config, tm.leader.Store, tm.leader.Log, tm.leader.Mesh.ObserveToken)
 		tm.fencing.token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
-		tm.lease, tm.state.firstToken = leaseFor(tm.leader, tm.fencing.token, time.Hour), tm.fencing.token
-		m.token = tm.fencing.token
-		tm.state.endAttempt(a, TaskPending)
-		a.chunk.dirty, a.job.finished = false, false
-		a.job.revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.job.spec, Status: wire.Queued})
+		tm.lease, tm.state.FirstToken = leaseFor(tm.leader, tm.fencing.token, time.Hour), tm.fencing.token
+		m.Token = tm.fencing.token
+		tm.state.EndAttempt(a, cluster.TaskPending)
+		a.Chunk.Dirty, a.Job.Finished = false, false
+		a.Job.Revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.Job.Spec, Status: wire.Queued})
 		f(tm, m, st, func() {
 			for range 200 {
 				tm.committer.flush(time.Now())
@@ -67,13 +68,13 @@
 // A launch is stored only while its job's record is the one that the leader
 // knows: a job that was cancelled meanwhile starts nothing.
 func TestLaunchGuardsItsJob(t *testing.T) {
-	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		j := tm.state.jobs["req-1"]
-		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.spec, Status: wire.Cancelled})
-		tm.scheduler.startTask(j, m, time.Now())
+	withState(t, func(tm *term, m *cluster.Machine, st *simulator.State, settle func()) {
+		j := tm.state.Jobs["req-1"]
+		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.Spec, Status: wire.Cancelled})
+		tm.scheduler.StartTask(j, m, time.Now())
 		settle()
-		if n := st.Keys(store.ProgressPrefix); len(n) != 0 || j.activeTasks != 0 || !j.cancelled {
-			t.Errorf("stored %v, held %d, cancelled %v", n, j.activeTasks, j.cancelled)
+		if n := st.Keys(store.ProgressPrefix); len(n) != 0 || j.ActiveTasks != 0 || !j.Cancelled {
+			t.Errorf("stored %v, held %d, cancelled %v", n, j.ActiveTasks, j.Cancelled)
 		}
 		if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 			t.Errorf("final records %v, term over: %v", past, ended(tm))
@@ -88,20 +89,20 @@
 		"executed, answer lost": func(st *simulator.State) { st.LoseAnswers(1) },
 		"lost before it came":   func(st *simulator.State) { st.DropRequests(1) },
 	} {
-		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-			j, token := tm.state.jobs["req-1"], tm.fencing.token
+		withState(t, func(tm *term, m *cluster.Machine, st *simulator.State, settle func()) {
+			j, token := tm.state.Jobs["req-1"], tm.fencing.token
 			lose(st)
-			tm.scheduler.startTask(j, m, time.Now())
+			tm.scheduler.StartTask(j, m, time.Now())
 			settle()
-			a := j.chunks[0].attempts[0]
-			if a == nil || a.unstored || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
+			a := j.Chunks[0].Attempts[0]
+			if a == nil || a.Unstored || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
 				t.Errorf("%s: attempt %+v, stored %v, term over: %v", name, a, st.Keys(store.ProgressPrefix), ended(tm))
 			}
 			if tm.fencing.token <= token {
 				t.Errorf("%s: the token was not raised", name)
 			}
 			// What is known still agrees with what is stored.
-			tm.state.endAttempt(a, TaskDone)
+			tm.state.EndAttempt(a, cluster.TaskDone)
 			settle()
 			if past := st.Keys(store.FinalKey("req-1")); len(past) != 1 || ended(tm) {
 				t.Errorf("%s: final records %v, term over: %v", name, past, ended(tm))
@@ -112,9 +113,9 @@
 
 // A leader whose key is another's writes nothing and stops.
 func TestLateLeaderWritesNothing(t *testing.T) {
-	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+	withState(t, func(tm *term, m *cluster.Machine, st *simulator.State, settle func()) {
 		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
-		tm.scheduler.startTask(tm.state.jobs["req-1"], m, time.Now())
+		tm.scheduler.StartTask(tm.state.Jobs["req-1"], m, time.Now())
 		settle()
 		if !ended(tm) || len(st.Keys(store.ProgressPrefix)) != 0 {
 			t.Errorf("term over: %v, stored %v", ended(tm), st.Keys(store.ProgressPrefix))
@@ -127,21 +128,21 @@
 // same. (Its replicas once waited for its lease.) And the first round must
 // not wait for it either.
 func TestMachineNeverHeardOf(t *testing.T) {
-	withState(t, func(tm *term, m *machine, _ *simulator.State, _ func()) {
+	withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 		tm.leader.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
-		tm.state.machineListReceived = true
-		m.token, m.addr, m.firstHeartbeatAt = 0, "", time.Time{}
+		tm.state.MachineListReceived = true
+		m.Token, m.Addr, m.FirstHeartbeatAt = 0, "", time.Time{}
 		if !tm.enoughMachinesHeard(time.Now()) {
 			t.Error("the first round waits for a machine that nothing is known of")
 		}
 		time.Sleep(5 * time.Second)
 		tm.monitor.checkMachines(time.Now())
-		if m.scalingIn {
+		if m.ScalingIn {
 			t.Error("released after 5 s")
 		}
 		time.Sleep(5 * time.Second)
 		tm.monitor.checkMachines(time.Now())
-		if !m.scalingIn {
+		if !m.ScalingIn {
 			t.Error("not released after 10 s")
 		}
 	})
@@ -150,18 +151,18 @@
 // What has no room in a chunk's record, machines' names being longer than was
 // counted on, waits; the rest of the chunk is stored all the same.
 func TestRecordOverTheLimit(t *testing.T) {
-	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-		j := newJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
-		j.revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.spec, Status: wire.Queued})
-		tm.state.jobs[j.spec.ID] = j
-		tm.state.settings.State.ValueKB = 0.5
-		long := tm.state.getOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
+	withState(t, func(tm *term, m *cluster.Machine, st *simulator.State, settle func()) {
+		j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
+		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.Queued})
+		tm.state.Jobs[j.Spec.ID] = j
+		tm.state.Settings.State.ValueKB = 0.5
+		long := tm.state.GetOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
-			tm.scheduler.startTask(j, long, time.Now())
+			tm.scheduler.StartTask(j, long, time.Now())
 		}
 		settle()
-		if j.activeTasks == 0 || j.activeTasks > 8 || j.pending() != 40-j.activeTasks || j.chunk(0).revision == 0 {
-			t.Errorf("%d of 40 held, %d pending, stored at revision %d", j.activeTasks, j.pending(), j.chunk(0).revision)
+		if j.ActiveTasks == 0 || j.ActiveTasks > 8 || j.Pending() != 40-j.ActiveTasks || j.Chunk(0).Revision == 0 {
+			t.Errorf("%d of 40 held, %d pending, stored at revision %d", j.ActiveTasks, j.Pending(), j.Chunk(0).Revision)
 		}
 	})
 }
@@ -171,20 +172,20 @@
 // its user having cancelled just then; with the job still live its end then failed
 // for ever at the chunks that were gone, and all that was to be written beside it.)
 func TestChunksStayUntilTheEndIsStored(t *testing.T) {
-	withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
+	withState(t, func(tm *term, m *cluster.Machine, st *simulator.State, settle func()) {
 		rec := store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 20, CPUs: 1}, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: 1}
-		j := newJob(rec, st.Put(store.JobKey("req-2"), rec))
-		tm.state.jobs[j.spec.ID] = j
-		for n := range j.chunks {
-			c := j.chunk(n)
-			c.taskStates[0] = TaskDone
-			c.revision = st.Put(store.ChunkKey("req-2", n), c.record())
-			j.doneTasks++
+		j := cluster.NewJob(rec, st.Put(store.JobKey("req-2"), rec))
+		tm.state.Jobs[j.Spec.ID] = j
+		for n := range j.Chunks {
+			c := j.Chunk(n)
+			c.TaskStates[0] = cluster.TaskDone
+			c.Revision = st.Put(store.ChunkKey("req-2", n), c.Record())
+			j.DoneTasks++
 		}
 		rec.Status = wire.Cancelled
 		st.Put(store.JobKey("req-2"), rec) // not yet known to the leader
 		st.DelayAnswers("", 300*time.Millisecond)
-		tm.state.markIfFinished(j)
+		tm.state.MarkIfFinished(j)
 		conflicts := 0
 		for range 100 {
 			tm.committer.flush(time.Now())
@@ -193,7 +194,7 @@
 				e.handle(tm)
 			case <-time.After(50 * time.Millisecond):
 			}
-			if j.recordOutdated {
+			if j.RecordOutdated {
 				conflicts++
 			}
 			if live, chunks := len(st.Keys(store.JobKey("req-2"))), len(st.Keys(store.ProgressPrefix+"req-2/")); live == 1 && chunks != 20 {
@@ -213,9 +214,9 @@
 // to life and don't end the term.
 func TestLateNewsOfAnArchivedJob(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
-		withState(t, func(tm *term, m *machine, st *simulator.State, settle func()) {
-			j := tm.state.jobs["req-1"]
-			rec := store.JobRecord{Spec: j.spec, Status: wire.Cancelled}
+		withState(t, func(tm *term, m *cluster.Machine, st *simulator.State, settle func()) {
+			j := tm.state.Jobs["req-1"]
+			rec := store.JobRecord{Spec: j.Spec, Status: wire.Cancelled}
 			put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(rec), Revision: st.Put(store.JobKey("req-1"), rec)}
 			drop := wire.Change{Delete: store.JobKey("req-1"), Revision: put.Revision + 1}
 			if watchFirst {
@@ -239,11 +240,11 @@
 				}
 				tm.records.applyChanges([]wire.Change{drop})
 			} else {
-				tm.scheduler.startTask(j, m, time.Now())
+				tm.scheduler.StartTask(j, m, time.Now())
 			}
 			settle()
-			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.state.jobs) != 0 {
-				t.Errorf("not archived: %v, %v", tm.state.jobs, st.Keys(""))
+			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.state.Jobs) != 0 {
+				t.Errorf("not archived: %v, %v", tm.state.Jobs, st.Keys(""))
 			}
 			tm.committer.reread(j) // as one that was under way
 			settle()
@@ -251,12 +252,12 @@
 				tm.records.applyChanges([]wire.Change{put})
 				settle()
 			}
-			if len(tm.state.jobs) != 0 || ended(tm) {
-				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.state.jobs, ended(tm), tm.endReason)
+			if len(tm.state.Jobs) != 0 || ended(tm) {
+				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.state.Jobs, ended(tm), tm.endReason)
 			}
 			tm.records.applyChanges([]wire.Change{drop})
-			if len(tm.state.archivedJobs) != 0 {
-				t.Errorf("remembered for ever: %v", tm.state.archivedJobs)
+			if len(tm.state.ArchivedJobs) != 0 {
+				t.Errorf("remembered for ever: %v", tm.state.ArchivedJobs)
 			}
 		})
 	}
