--- a/internal/leader/writer_test.go
+++ b/internal/leader/writer_test.go
@@ -8,41 +8,43 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // testWriter is a writer whose rate limit leaves so many changes.
-func testWriter(maxOps, budget int) *writer {
+func testWriter(maxOps, budget int) *progress.Writer {
 	settings := &config.Settings{State: config.State{ValueKB: 16, TxnOps: maxOps}}
-	state := newState(settings, &MachineCatalog{}, time.Now(), 50)
-	return newWriter(state, func() float64 { return float64(budget) }, slog.New(slog.DiscardHandler))
+	state := cluster.NewState(settings, &cluster.MachineCatalog{}, time.Now(), 50)
+	return progress.NewWriter(state, func() float64 { return float64(budget) }, slog.New(slog.DiscardHandler))
 }
 
 // pendingChunk is the only chunk of a job, with a start that is not stored yet if
 // it launches.
-func pendingChunk(w *writer, id string, priority wire.Priority, launches bool) *chunk {
+func pendingChunk(w *progress.Writer, id string, priority wire.Priority, launches bool) *cluster.Chunk {
 	spec := wire.JobSpec{ID: wire.JobID(id), Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Priority: priority}
-	j := newJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
-	c := j.chunk(0)
+	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
+	c := j.Chunk(0)
 	if launches {
-		c.add(&attempt{job: j, chunk: c, machine: &machine{id: "n-1", tasks: map[wire.Task]*attempt{}}, unstored: true})
-		c.unstoredAttempts, j.unstoredAttempts = 1, 1
+		c.Add(&cluster.Attempt{Job: j, Chunk: c, Machine: &cluster.Machine{ID: "n-1", Tasks: map[wire.Task]*cluster.Attempt{}}, Unstored: true})
+		c.UnstoredAttempts, j.UnstoredAttempts = 1, 1
 	}
-	w.state.unsaved.markDirty(c)
+	w.State.Unsaved.MarkDirty(c)
 	return c
 }
 
 // writes lists the jobs of a batch's chunks.
-func writes(b *batch) string {
+func writes(b *progress.Batch) string {
 	if b == nil {
 		return "nothing"
 	}
 	ids := []wire.JobID{}
-	for _, c := range b.chunks {
-		ids = append(ids, c.job.spec.ID)
+	for _, c := range b.Chunks {
+		ids = append(ids, c.Job.Spec.ID)
 	}
-	return fmt.Sprint(ids, " ", b.urgent)
+	return fmt.Sprint(ids, " ", b.Urgent)
 }
 
 // Launches go before routine writes, by priority; routine writes take what the
@@ -53,60 +55,60 @@
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
 		w := testWriter(2, 1)
-		next := func(want string) *batch {
+		next := func(want string) *progress.Batch {
 			t.Helper()
-			if !w.ready(time.Now()) {
+			if !w.Ready(time.Now()) {
 				t.Fatal("not ready")
 			}
-			b := w.next(50, time.Now())
+			b := w.Next(50, time.Now())
 			if got := writes(b); got != want {
 				t.Errorf("writes %s, want %s", got, want)
 			}
 			return b
 		}
-		done := func(b *batch) {
-			for _, a := range b.planned {
-				a.unstored = false
-				a.chunk.unstoredAttempts, a.job.unstoredAttempts = 0, 0
+		done := func(b *progress.Batch) {
+			for _, a := range b.Planned {
+				a.Unstored = false
+				a.Chunk.UnstoredAttempts, a.Job.UnstoredAttempts = 0, 0
 			}
-			w.answered()
-			w.committed(b, 7)
+			w.Answered()
+			w.Committed(b, 7)
 		}
 		pendingChunk(w, "routine-1", wire.PriorityStandard, false)
 		time.Sleep(time.Millisecond)
 		pendingChunk(w, "routine-2", wire.PriorityStandard, false)
 		earlier := pendingChunk(w, "batch", wire.PriorityStandard, true)
-		earlier.job.acceptedAt = earlier.job.acceptedAt.Add(-time.Second)
+		earlier.Job.AcceptedAt = earlier.Job.AcceptedAt.Add(-time.Second)
 		pendingChunk(w, "prod", wire.PriorityProd, true)
 		b := next("[prod batch] true")
-		if g := b.txn.Guards[0]; g != (wire.Guard{Key: store.LeaderKey, Revision: 50}) {
+		if g := b.Txn.Guards[0]; g != (wire.Guard{Key: store.LeaderKey, Revision: 50}) {
 			t.Errorf("the first guard is %+v", g)
 		}
-		if w.ready(time.Now()) {
+		if w.Ready(time.Now()) {
 			t.Error("ready while a transaction is under way")
 		}
 		done(b)
-		time.Sleep(routineWriteEvery + time.Millisecond)
+		time.Sleep(progress.RoutineWriteEvery + time.Millisecond)
 		done(next("[routine-1] false"))
 		next("nothing") // too soon
-		w.writeBudget = func() float64 { return 0 }
-		time.Sleep(routineWriteEvery + time.Millisecond)
+		w.WriteBudget = func() float64 { return 0 }
+		time.Sleep(progress.RoutineWriteEvery + time.Millisecond)
 		next("nothing") // no budget
-		time.Sleep(routineWriteWithin)
+		time.Sleep(progress.RoutineWriteWithin)
 		done(next("[routine-2] true"))
-		w.addOrphan(wire.Guard{Key: "run/old/0", Revision: 3})
+		w.AddOrphan(wire.Guard{Key: "run/old/0", Revision: 3})
 		c := pendingChunk(w, "late", wire.PriorityStandard, true)
 		b = next("[late] true")
-		w.answered()
-		w.undone(b)
-		w.retryLater(time.Now())
-		if w.ready(time.Now()) || !c.dirty || c.writeInFlight {
-			t.Errorf("after a transaction that was not executed: ready %v, %+v", w.ready(time.Now()), c)
+		w.Answered()
+		w.Undone(b)
+		w.RetryLater(time.Now())
+		if w.Ready(time.Now()) || !c.Dirty || c.WriteInFlight {
+			t.Errorf("after a transaction that was not executed: ready %v, %+v", w.Ready(time.Now()), c)
 		}
-		time.Sleep(writeRetry)
+		time.Sleep(progress.WriteRetry)
 		done(next("[late] true"))
-		if b = next("[] false"); len(b.orphans) != 1 || len(w.orphans) != 0 {
-			t.Errorf("left over: %v in the transaction, %v waiting", b.orphans, w.orphans)
+		if b = next("[] false"); len(b.Orphans) != 1 || len(w.Orphans) != 0 {
+			t.Errorf("left over: %v in the transaction, %v waiting", b.Orphans, w.Orphans)
 		}
 	})
 }
@@ -125,34 +127,34 @@
 		refusedAt := time.Time{}
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			b := w.next(50, time.Now())
+			b := w.Next(50, time.Now())
 			if b == nil {
 				continue
 			}
-			w.answered()
+			w.Answered()
 			refused := false
-			for _, c := range b.chunks {
+			for _, c := range b.Chunks {
 				refused = refused || c == bad
 			}
 			if !refused {
-				w.committed(b, 7)
-				for _, c := range b.chunks {
-					stored[c.job.spec.ID] = true
+				w.Committed(b, 7)
+				for _, c := range b.Chunks {
+					stored[c.Job.Spec.ID] = true
 				}
 				continue
 			}
-			if !refusedAt.IsZero() && time.Since(refusedAt) < refusedPause {
+			if !refusedAt.IsZero() && time.Since(refusedAt) < progress.RefusedPause {
 				t.Fatalf("tried again after %v", time.Since(refusedAt))
 			}
-			w.undone(b)
-			if w.refused(b, time.Now()) {
-				alone, refusedAt = len(b.chunks) == 1, time.Now()
+			w.Undone(b)
+			if w.Refused(b, time.Now()) {
+				alone, refusedAt = len(b.Chunks) == 1, time.Now()
 			}
 		}
-		if !alone || len(stored) != 2 || w.limitLowered {
-			t.Errorf("refused by itself: %v, stored %v, limit lowered: %v", alone, stored, w.limitLowered)
+		if !alone || len(stored) != 2 || w.LimitLowered {
+			t.Errorf("refused by itself: %v, stored %v, limit lowered: %v", alone, stored, w.LimitLowered)
 		}
-		if w.allStored(time.Now(), time.Now()) != true {
+		if w.AllStored(time.Now(), time.Now()) != true {
 			t.Error("a record that is left alone keeps machines")
 		}
 	})
--- a/node.go
+++ b/node.go
@@ -25,6 +25,7 @@
 	"lilaclead/internal/features"
 	"lilaclead/internal/intake"
 	"lilaclead/internal/leader"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
@@ -69,7 +70,7 @@
 	mesh        *peer.Mesh
 	leader      *leader.Leader
 	intake      *intake.Intake
-	flavors     *leader.MachineCatalog
+	flavors     *cluster.MachineCatalog
 	tuning      *tuning.Current
 	admin       *admin.Admin
 	sockets     socketBudget
@@ -100,7 +101,7 @@
 	if opt.Log == nil {
 		opt.Log = os.Stderr
 	}
-	n := &Node{cfg: cfg, net: opt.Net, features: opt.Features, level: &slog.LevelVar{}, flavors: &leader.MachineCatalog{}, tuning: tuning.NewCurrent()}
+	n := &Node{cfg: cfg, net: opt.Net, features: opt.Features, level: &slog.LevelVar{}, flavors: &cluster.MachineCatalog{}, tuning: tuning.NewCurrent()}
 	n.base = Level(os.Getenv("LOG_LEVEL"))
 	n.level.Set(n.base)
 	n.log = slog.New(slog.NewTextHandler(opt.Log, &slog.HandlerOptions{Level: n.level})).With("node", cfg.HostName)
