--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -18,7 +18,7 @@
 }
 
 func (rd *records) unconfirmedCancel() time.Time {
-	if at := rd.published.unconfirmedCancelSince.Load(); at != nil {
+	if at := rd.Published.UnconfirmedCancelSince.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
@@ -28,15 +28,15 @@
 // record itself is read when the state service is there.
 func (rd *records) applyCancellations() {
 	var ids []wire.JobID
-	ids, rd.cancellationCursor = rd.leader.Cancels.Since(rd.cancellationCursor)
+	ids, rd.cancellationCursor = rd.cancels.Since(rd.cancellationCursor)
 	for _, id := range ids {
 		j := rd.state.Jobs[id]
 		if j == nil || j.Cancelled {
 			continue
 		}
 		j.Cancelled, j.RecordOutdated = true, true
-		j.CancelledAt, _ = rd.leader.Cancels.ConfirmedAt(id)
-		rd.log().Info("hears of a cancellation", "job", id, "deciding", rd.lease.Deciding())
+		j.CancelledAt, _ = rd.cancels.ConfirmedAt(id)
+		rd.Log.Info("hears of a cancellation", "job", id, "deciding", rd.Lease.Deciding())
 		if rd.state.Recovered {
 			rd.dispatcher.stopCancelledJob(j)
 		}
@@ -61,7 +61,7 @@
 			}
 		}
 	}
-	rd.published.unconfirmedCancelSince.Store(&first)
+	rd.Published.UnconfirmedCancelSince.Store(&first)
 }
 
 // renewalWithheld tells whether a machine's lease must not be renewed any more: a
@@ -70,7 +70,7 @@
 // can keep from starting too late.
 func (rc *reconciler) renewalWithheld(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) bool {
 	for task, a := range m.Tasks {
-		if !a.Job.Cancelled || a.Unstored || now.Sub(a.Job.CancelledAt) < rc.leader.delegation.MaxCancelAge || !a.LaunchInFlight && !(a.LaunchUnanswered && rc.fencing.token <= a.UnansweredLaunchToken) {
+		if !a.Job.Cancelled || a.Unstored || now.Sub(a.Job.CancelledAt) < rc.state.Delegation.MaxCancelAge || !a.LaunchInFlight && !(a.LaunchUnanswered && rc.Fencing.Token <= a.UnansweredLaunchToken) {
 			continue
 		}
 		name := task.String()
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
@@ -33,6 +34,9 @@
 	DelegatesRenewedUntil time.Time
 	StoreAvailableSince   time.Time // when the state service was last back
 
+	// Delegation bounds for how long leases may be renewed on a leader's behalf.
+	Delegation delegation.Bounds
+
 	Recovered              bool            // the records have been read
 	SchedulingEnabled      bool            // the first round of heartbeats is over
 	MachineListReceived    bool            // a machine list has come in
--- a/internal/leader/commands.go
+++ b/internal/leader/commands.go
@@ -6,16 +6,15 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
-	"lilaclead/internal/netio"
 	"lilaclead/internal/wire"
 )
 
 // dispatcher sends commands to the agents: launches of what is stored, stops, and
 // probes. What is not known to have arrived it sends again.
 type dispatcher struct {
-	*eventLoop
-	state   *cluster.State
-	fencing *fencing
+	*Loop
+	state  *cluster.State
+	agents *AgentClient
 	// tokenAnnounced: every machine of the first list has been shown the token.
 	tokenAnnounced bool
 }
@@ -80,7 +79,7 @@
 // launched late would run once more.
 func (dp *dispatcher) mayForget(m *cluster.Machine, task wire.Task, rep *wire.Heartbeat) bool {
 	if m.LaunchMayArrive(rep) {
-		dp.fencing.raiseRequested = true // a new token ends what may still be on its way
+		dp.Fencing.RaiseRequested = true // a new token ends what may still be on its way
 		return false
 	}
 	if m.CommandInFlight || rep.Token < dp.state.FirstToken {
@@ -109,12 +108,12 @@
 // dispatch sends what is new for a machine straight to it.
 func (dp *dispatcher) dispatch(m *cluster.Machine) {
 	// Without the state service what is to stop is still halted.
-	withoutState := !dp.lease.Deciding()
-	if m.CommandInFlight || m.Addr == "" || m.FirstHeartbeatAt.IsZero() || m.ScalingIn || withoutState && !dp.lease.Answering() {
+	withoutState := !dp.Lease.Deciding()
+	if m.CommandInFlight || m.Addr == "" || m.FirstHeartbeatAt.IsZero() || m.ScalingIn || withoutState && !dp.Lease.Answering() {
 		return
 	}
 	now := time.Now()
-	cmd := wire.Commands{Token: dp.fencing.token, Epoch: m.Epoch}
+	cmd := wire.Commands{Token: dp.Fencing.Token, Epoch: m.Epoch}
 	var launched []*cluster.Attempt
 	for task, a := range m.Tasks {
 		switch {
@@ -139,9 +138,9 @@
 func (dp *dispatcher) sendCommands(m *cluster.Machine, cmd wire.Commands, launched []*cluster.Attempt) {
 	m.CommandInFlight = true
 	addr, asked := m.Addr, heartbeatPosition{m.Epoch, m.Sequence}
-	dp.spawn(func(ctx context.Context) {
-		heartbeat, status, err := dp.leader.sendCommands(ctx, addr, cmd, commandTimeout)
-		dp.post(commandAnswer{m, asked, cmd, launched, heartbeat, status, err})
+	dp.Spawn(func(ctx context.Context) {
+		heartbeat, status, err := dp.agents.Send(ctx, addr, cmd, commandTimeout)
+		dp.Post(commandAnswer{m, asked, cmd, launched, heartbeat, status, err})
 	})
 }
 
@@ -160,7 +159,7 @@
 	}
 	switch {
 	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.ID:
-		rc.leader.Metrics.Command("ok")
+		rc.Metrics.Command("ok")
 		rc.inboundWorks(m)
 		m.LastMessageAt = now
 		if !rep.Newer(asked.epoch, asked.sequence) && !m.Restarted {
@@ -170,7 +169,7 @@
 		}
 		rc.reconcile(m, rep, false, now)
 	case err != nil && wire.NotSent(err):
-		rc.leader.Metrics.Command("not sent")
+		rc.Metrics.Command("not sent")
 		m.UnansweredProbes++
 		m.HeartbeatsMissingSince = time.Time{} // silent, which is looked after otherwise
 		m.Inbound.Unanswered()
@@ -180,11 +179,11 @@
 			}
 		}
 	default:
-		rc.leader.Metrics.Command("lost")
+		rc.Metrics.Command("lost")
 		m.UnansweredProbes++
 		m.HeartbeatsMissingSince = time.Time{}
 		m.Inbound.Unanswered()
-		rc.log().Debug("command not answered", "machine", m.ID, "commands", len(cmd.Commands), "err", err, "status", status)
+		rc.Log.Debug("command not answered", "machine", m.ID, "commands", len(cmd.Commands), "err", err, "status", status)
 		for _, a := range launched {
 			a.LaunchUnanswered, a.UnansweredLaunchToken = true, cmd.Token
 		}
@@ -207,31 +206,3 @@
 	// probeTimeout is shorter, as two in a row tell a machine's end.
 	probeTimeout = 1200 * time.Millisecond
 )
-
-// sendCommands sends a command to a worker.
-func (l *Leader) sendCommands(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Heartbeat, int, error) {
-	if cmd.Commands == nil {
-		cmd.Commands = []wire.Command{}
-	}
-	line := l.commandSlots
-	if len(cmd.Commands) == 0 {
-		line = l.probeSlots
-	}
-	select {
-	case line <- struct{}{}:
-		defer func() { <-line }()
-	case <-ctx.Done():
-		return nil, 0, ctx.Err()
-	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	status, raw, _, err := netio.Call(ctx, l.workerClient, "POST", "http://"+addr+"/commands", cmd, 1<<20)
-	if err != nil {
-		return nil, 0, err
-	}
-	var rep wire.Heartbeat
-	if err := wire.Decode(raw, &rep); err != nil {
-		return nil, 0, err
-	}
-	return &rep, status, nil
-}
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -20,5 +20,5 @@
 		}
 	}
 	t.scheduler.FinishCycle(cycle)
-	t.leader.Metrics.SchedulingCycle(t.state.Cycle.LastDuration, cycle.Starts, len(cycle.Preemptions))
+	t.Metrics.SchedulingCycle(t.state.Cycle.LastDuration, cycle.Starts, len(cycle.Preemptions))
 }
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -10,8 +10,8 @@
 
 // DelegationToken is the token with which this node surely leads, 0 if it does not.
 func (l *Leader) DelegationToken() wire.FencingToken {
-	if t := l.term.Load(); t != nil && t.lease.Deciding() {
-		return wire.FencingToken(t.published.delegationToken.Load())
+	if t := l.term.Load(); t != nil && t.Lease.Deciding() {
+		return wire.FencingToken(t.Published.DelegationToken.Load())
 	}
 	return 0
 }
@@ -19,7 +19,7 @@
 // leaseRenewed notes a renewal of the leadership that was asked for at sent: for a
 // while after it this node may be its own delegate, once it leads no more.
 func (t *term) leaseRenewed(sent time.Time) {
-	if token := wire.FencingToken(t.published.delegationToken.Load()); token > 0 {
+	if token := wire.FencingToken(t.Published.DelegationToken.Load()); token > 0 {
 		if at := t.records.unconfirmedCancel(); !at.IsZero() && at.Before(sent) {
 			sent = at
 		}
@@ -31,13 +31,13 @@
 // worker as a leader's delegate, or can have.
 func (mo *monitor) anyDelegateAnswersUntil(now time.Time) time.Time {
 	var at time.Time
-	if mo.leader.delegation.Time == 0 {
+	if mo.state.Delegation.Time == 0 {
 		return at
 	}
 	tenure := delegation.Tenure{Began: mo.state.TermStartedAt, FirstToken: mo.state.FirstToken, StateBack: mo.state.StoreAvailableSince}
-	v := mo.leader.Mesh.View()
-	for _, o := range mo.leader.Config.Peers {
-		at = cluster.Latest(at, mo.leader.delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
+	v := mo.mesh.View()
+	for _, o := range mo.peers {
+		at = cluster.Latest(at, mo.state.Delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
 	}
 	return at
 }
@@ -47,8 +47,8 @@
 // be sure rests on it.
 func (mo *monitor) zoneControllersLastContact(zone wire.Zone) time.Time {
 	var at time.Time
-	v := mo.leader.Mesh.View()
-	for _, o := range mo.leader.Config.Peers {
+	v := mo.mesh.View()
+	for _, o := range mo.peers {
 		if o.Zone == zone {
 			at = cluster.Latest(at, v.Peers[o.HostName].LastContact)
 		}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -38,7 +38,7 @@
 	j.Failures++
 	m.FailedJobs[j.Spec.ID] = true
 	m.Failures++
-	rc.log().Info("task failed", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "job_machines", len(j.FailedMachines), "machine_jobs", len(m.FailedJobs))
+	rc.Log.Info("task failed", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "job_machines", len(j.FailedMachines), "machine_jobs", len(m.FailedJobs))
 	faultyMachine := len(m.FailedJobs) >= 2 || j.Succeeded && m.Failures >= 2 || m.Failures >= 2 && len(j.FailedMachines) == 1 && j.Failures >= 3
 	if faultyMachine && rc.mayDrainSuspect() {
 		rc.drainMachine(m, cluster.DrainFaulty)
@@ -82,8 +82,8 @@
 		return
 	}
 	m.DrainReason = why
-	rc.log().Info("drains", "machine", m.ID, "why", why, "tasks", len(m.Tasks))
-	rc.leader.Metrics.Fleet("drained", 1)
+	rc.Log.Info("drains", "machine", m.ID, "why", why, "tasks", len(m.Tasks))
+	rc.Metrics.Fleet("drained", 1)
 	for _, a := range m.Tasks {
 		switch {
 		case a.Unstored:
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/fleet_plan.go
@@ -9,10 +9,10 @@
 
 // planFleet rents for what can't be placed and returns what is not needed.
 func (sl *scaler) planFleet(now time.Time) {
-	specs := sl.leader.Catalog.Get()
+	specs := sl.state.Catalog.Get()
 	sl.recordScaleOuts(now)
 	sl.clearScaleIns(now)
-	if !sl.state.Recovered || !sl.state.SchedulingEnabled || !sl.state.MachineListReceived || !sl.lease.Deciding() || specs == nil || sl.tracker.Paused(now) {
+	if !sl.state.Recovered || !sl.state.SchedulingEnabled || !sl.state.MachineListReceived || !sl.Lease.Deciding() || specs == nil || sl.tracker.Paused(now) {
 		return
 	}
 	plan := sl.scheduler.PlanCapacity(specs, sl.mayScaleOut(), now)
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -368,7 +368,7 @@
 		waiting := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Index: 1, Number: 3, Machine: member(j, 1).Machine}
 		waiting.Chunk.Add(waiting)
 		if !deciding {
-			tm.lease = leaseFor(tm.leader, tm.fencing.token, -time.Millisecond)
+			tm.Lease = leaseFor(tm.leader, tm.Fencing.Token, -time.Millisecond)
 		}
 		watch := func(left time.Duration) {
 			now := time.Now()
@@ -379,7 +379,7 @@
 			if watch(time.Second); array.Stopping || member(j, 0).Stopping {
 				t.Error("stopped by a leader that no majority agrees with")
 			}
-			tm.lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
+			tm.Lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
 		}
 		if watch(14100 * time.Millisecond); halts(j)[0] != -1 {
 			t.Errorf("deciding %v: told %v at 14.1 s", deciding, halts(j))
@@ -405,7 +405,8 @@
 		if !deciding {
 			ended, end := context.WithCancel(t.Context())
 			end() // the command itself goes nowhere
-			tm.ctx, other.Addr = ended, "10.1.0.1:9000"
+			tm.Begin(ended)
+			other.Addr = "10.1.0.1:9000"
 			member(j, 1).StopSentAt = time.Time{}
 			if tm.dispatcher.dispatch(other); waiting.LaunchSent || member(j, 1).StopSentAt.IsZero() {
 				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.LaunchSent, !member(j, 1).StopSentAt.IsZero())
--- a/internal/leader/intents.go
+++ b/internal/leader/intents.go
@@ -82,8 +82,8 @@
 	}
 	for _, intent := range earlier.scaleOuts {
 		b := sl.tracker.Adopt(intent.Request, intent.Since.Time())
-		sl.log().Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.RequestedAt))
-		sl.spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
+		sl.Log.Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.RequestedAt))
+		sl.Spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
 	}
 }
 
@@ -96,7 +96,7 @@
 // then has the new ones sent.
 func (sl *scaler) recordScaleOuts(now time.Time) {
 	c := sl.intents
-	if !sl.recordsIntents() || c.recording || !c.scaleOuts.Loaded() || !sl.lease.Deciding() {
+	if !sl.recordsIntents() || c.recording || !c.scaleOuts.Loaded() || !sl.Lease.Deciding() {
 		return
 	}
 	if len(c.unrecorded) == 0 && !sl.scaleOutsSettled(now) {
@@ -105,9 +105,9 @@
 	sl.withdrawUnfitting()
 	fresh, open := c.unrecorded, sl.scaleOutIntents()
 	c.unrecorded, c.recording = nil, true
-	sl.spawn(func(ctx context.Context) {
+	sl.Spawn(func(ctx context.Context) {
 		err := c.scaleOuts.Record(ctx, open)
-		sl.post(scaleOutsRecorded{fresh, err})
+		sl.Post(scaleOutsRecorded{fresh, err})
 	})
 }
 
@@ -146,13 +146,13 @@
 			sl.tracker.Withdraw(b)
 			continue
 		}
-		sl.spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
+		sl.Spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
 	}
 	switch {
 	case errors.Is(err, duty.ErrHeldByOther):
-		sl.end(err.Error())
+		sl.End(err.Error())
 	case err != nil:
-		sl.log().Info("bookings could not be recorded", "bookings", len(fresh), "err", err)
+		sl.Log.Info("bookings could not be recorded", "bookings", len(fresh), "err", err)
 	}
 	sl.recordScaleOuts(time.Now())
 }
@@ -166,11 +166,11 @@
 			return true
 		}
 		if errors.Is(err, duty.ErrHeldByOther) {
-			sl.end(err.Error())
+			sl.End(err.Error())
 			return false
 		}
-		sl.log().Debug("returns could not be recorded", "machines", len(ids), "err", err)
-		if !pause(ctx, maxScaleInRetry) {
+		sl.Log.Debug("returns could not be recorded", "machines", len(ids), "err", err)
+		if !Pause(ctx, maxScaleInRetry) {
 			return false
 		}
 	}
@@ -180,16 +180,16 @@
 // later leader asks for them again.
 func (sl *scaler) clearScaleIns(now time.Time) {
 	c := sl.intents
-	if !sl.recordsIntents() || !sl.lease.Deciding() || !sl.tracker.BeginScaleIn() {
+	if !sl.recordsIntents() || !sl.Lease.Deciding() || !sl.tracker.BeginScaleIn() {
 		return
 	}
 	if len(c.scaleIns.Open()) == 0 || now.Sub(c.scaledInAt) <= clearIntentsAfter {
 		sl.tracker.EndScaleIn()
 		return
 	}
-	sl.spawn(func(ctx context.Context) {
+	sl.Spawn(func(ctx context.Context) {
 		if sl.recordScaleIns(ctx, []wire.MachineID{}) {
-			sl.post(scaledIn{})
+			sl.Post(scaledIn{})
 		}
 	})
 }
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -15,16 +15,16 @@
 func TestAdoptedReturnWithoutLease(t *testing.T) {
 	tm, m, a := rig(t)
 	ctx := t.Context()
-	tm.begin(ctx)
+	tm.Begin(ctx)
 	away(tm)
 	a.LaunchSent, a.Observed, a.Phase = true, true, wire.PhaseRunning
-	held := tm.lease
-	tm.lease = leaseFor(tm.leader, tm.fencing.token, -time.Second)
+	held := tm.Lease
+	tm.Lease = leaseFor(tm.leader, tm.Fencing.Token, -time.Second)
 	tm.scaler.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.ID}})
 	if m.ScalingIn || m.DrainReason != cluster.DrainAdoptedScaleIn {
 		t.Errorf("without a lease: releasing %v, drains as %q", m.ScalingIn, m.DrainReason)
 	}
-	tm.lease = held
+	tm.Lease = held
 	now := time.Now()
 	m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = now, now, now
 	tm.monitor.checkMachines(now)
@@ -37,12 +37,12 @@
 func TestMachineSpecsAreGuarded(t *testing.T) {
 	withState(t, func(tm *term, _ *cluster.Machine, st *simulator.State, _ func()) {
 		specs := []wire.MachineSpec{{Name: "c4"}}
-		if !tm.inventory.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) == 0 {
+		if !tm.inventory.storeMachineSpecs(tm.Context(), specs) || st.Revision(store.MachineSpecsKey) == 0 {
 			t.Error("not stored while this node leads")
 		}
 		stored := st.Revision(store.MachineSpecsKey)
 		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
-		if tm.inventory.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.MachineSpecsKey) != stored {
+		if tm.inventory.storeMachineSpecs(tm.Context(), specs) || st.Revision(store.MachineSpecsKey) != stored {
 			t.Error("stored though another node leads")
 		}
 	})
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"lilaclead/duty"
+	"lilaclead/internal/cloud"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
@@ -13,8 +14,9 @@
 
 // inventory follows the cloud's machine list and its machine types.
 type inventory struct {
-	*eventLoop
+	*Loop
 	state      *cluster.State
+	cloud      *cloud.Client
 	dispatcher *dispatcher
 }
 
@@ -23,13 +25,13 @@
 	wait := 4 * time.Second
 	for {
 		asked := time.Now()
-		list, err := in.leader.Cloud.List(ctx)
+		list, err := in.cloud.List(ctx)
 		next := wait
 		if err == nil {
-			in.post(machineListReceived{list, asked})
+			in.Post(machineListReceived{list, asked})
 		} else {
 			next = time.Second + rand.N(time.Second)
-			in.log().Debug("machine list refused", "err", err)
+			in.Log.Debug("machine list refused", "err", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -65,14 +67,14 @@
 		}
 		if h.State == wire.ListedFailed && !m.FailedInCloud {
 			m.FailedInCloud, m.Booting = true, false
-			in.log().Info("machine failed", "machine", m.ID, "tasks", len(m.Tasks))
+			in.Log.Info("machine failed", "machine", m.ID, "tasks", len(m.Tasks))
 		}
 	}
 }
 
 // storeMachineSpecs stores the types and prices, as long as this node leads.
 func (in *inventory) storeMachineSpecs(ctx context.Context, specs []wire.MachineSpec) bool {
-	permit, err := duty.PermitFor[duty.Cleanup](in.lease.Lease)
+	permit, err := duty.PermitFor[duty.Cleanup](in.Lease.Lease)
 	if err != nil {
 		return false
 	}
@@ -85,12 +87,12 @@
 func (in *inventory) pollMachineSpecs(ctx context.Context) {
 	stored := false
 	for {
-		fs, err := in.leader.Cloud.MachineSpecs(ctx)
+		fs, err := in.cloud.MachineSpecs(ctx)
 		next := 20 * time.Second
 		if err == nil {
-			in.leader.Catalog.Set(fs)
+			in.state.Catalog.Set(fs)
 			stored = stored || in.storeMachineSpecs(ctx, fs)
-			in.post(machineSpecsReceived{})
+			in.Post(machineSpecsReceived{})
 		} else {
 			next = 2*time.Second + rand.N(time.Second)
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -90,28 +90,23 @@
 	// agentContacts names each worker that reports to this node, whoever leads.
 	agentContacts   chan wire.MachineID
 	agentsInContact atomic.Int64
-	workerClient    *http.Client
-	// commandSlots bounds the commands under way to workers and probeSlots the
-	// probes, each with a connection of its own: those to a zone that is cut
-	// off hang, and launches must not wait behind them.
-	commandSlots, probeSlots chan struct{}
-	// delegation bounds for how long leases may be renewed on a leader's behalf;
+	agents          *AgentClient
+	// delegationBounds bounds for how long leases may be renewed on a leader's behalf;
 	// delegate is this node in that part.
-	delegation delegation.Bounds
-	delegate   *delegation.Delegate
+	delegationBounds delegation.Bounds
+	delegate         *delegation.Delegate
 }
 
 // New makes the leader's part of a node.
 func New(d Dependencies) *Leader {
 	l := &Leader{
-		Dependencies:  d,
-		candidate:     newCandidate(d),
-		agentContacts: make(chan wire.MachineID, 64),
-		delegation:    delegation.BoundsOf(d.Config.Settings.Workers),
-		workerClient:  &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
-		commandSlots:  make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
+		Dependencies:     d,
+		candidate:        newCandidate(d),
+		agentContacts:    make(chan wire.MachineID, 64),
+		delegationBounds: delegation.BoundsOf(d.Config.Settings.Workers),
+		agents:           NewAgentClient(d.Net, d.Mesh, d.Sockets),
 	}
-	l.delegate = newDelegate(d, l.delegation)
+	l.delegate = newDelegate(d, l.delegationBounds)
 	return l
 }
 
@@ -133,7 +128,7 @@
 }
 
 // Leads tells whether this node holds the leadership now.
-func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.lease.Answering() }
+func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.Lease.Answering() }
 
 // WorkersInContact is how many workers turned to this node lately.
 func (l *Leader) WorkersInContact() int { return int(l.agentsInContact.Load()) }
@@ -160,7 +155,7 @@
 	reason := t.run(ctx)
 	l.term.Store(nil)
 	l.Log.Info("lost leadership", "token", lease.Token(), "reason", reason)
-	t.wait()
+	t.Wait()
 }
 
 // countAgents counts the workers that turn to this node.
@@ -204,7 +199,7 @@
 	default:
 	}
 	t := l.term.Load()
-	if t == nil || !t.lease.Answering() {
+	if t == nil || !t.Lease.Answering() {
 		l.Metrics.Heartbeat("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
@@ -256,7 +251,7 @@
 	defer cancel()
 	select {
 	case t.heartbeatCalls <- ask:
-	case <-t.done:
+	case <-t.Done:
 	case <-ctx.Done():
 	}
 	select {
@@ -272,7 +267,7 @@
 			l.Metrics.Heartbeat("ok")
 			wire.Answer(w, http.StatusOK, a.commands)
 		}
-	case <-t.done:
+	case <-t.Done:
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no longer leads", 1)
 	case <-ctx.Done():
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "busy", 1)
@@ -309,7 +304,7 @@
 		return
 	}
 	t := l.term.Load()
-	if t == nil || !t.lease.Answering() {
+	if t == nil || !t.Lease.Answering() {
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "does not lead", 1)
 		return
 	}
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -44,8 +44,8 @@
 		if a.LaunchInFlight {
 			continue
 		}
-		mo.log().Info("lease of a silent machine has run out", "task", a.Task(), "attempt", a.Number, "machine", m.ID)
-		mo.leader.Metrics.TaskMoved(string(cluster.EvictedLeaseExpired))
+		mo.Log.Info("lease of a silent machine has run out", "task", a.Task(), "attempt", a.Number, "machine", m.ID)
+		mo.Metrics.TaskMoved(string(cluster.EvictedLeaseExpired))
 		mo.state.EndAttempt(a, cluster.TaskPending)
 	}
 }
@@ -59,8 +59,8 @@
 // ran there was once counted for B.)
 func (mo *monitor) earlierLeaderRepliesUntil() time.Time {
 	other := mo.state.TermStartedAt.Add(peer.OutageLimit)
-	if mo.leader.delegation.Time > 0 {
-		other = mo.state.TermStartedAt.Add(max(mo.leader.delegation.Time, 3*peer.AckLifetime+time.Second))
+	if mo.state.Delegation.Time > 0 {
+		other = mo.state.TermStartedAt.Add(max(mo.state.Delegation.Time, 3*peer.AckLifetime+time.Second))
 	}
 	if !mo.state.QuorumAckedAt.IsZero() && mo.state.QuorumAckedAt.Add(peer.AckLifetime).Before(other) {
 		other = mo.state.QuorumAckedAt.Add(peer.AckLifetime)
--- a/internal/leader/liveness.go
+++ b/internal/leader/liveness.go
@@ -3,17 +3,20 @@
 import (
 	"time"
 
+	"lilaclead/internal/config"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
 )
 
 // monitor judges from what arrives and what does not which machines are alive, whose
 // leases have expired, and acts on it.
 type monitor struct {
-	*eventLoop
+	*Loop
 	state      *cluster.State
-	fencing    *fencing
+	mesh       *peer.Mesh
+	peers      []config.Peer
 	writer     *progress.Writer
 	dispatcher *dispatcher
 	scaler     *scaler
@@ -121,9 +124,9 @@
 		}
 	}
 	c := mo.countMachines(now)
-	mo.leader.Metrics.Machines(mo.state.MachineStateCounts())
+	mo.Metrics.Machines(mo.state.MachineStateCounts())
 	if node, ok := mo.betterConnectedPeer(c, now); ok {
-		mo.resign("workers reach " + string(node) + ", not this node")
+		mo.Resign("workers reach " + string(node) + ", not this node")
 		return
 	}
 	mo.state.DelegatesRenewedUntil = mo.anyDelegateAnswersUntil(now)
@@ -144,10 +147,10 @@
 // betterConnectedPeer is a node that most workers reach, if they don't reach this one.
 func (mo *monitor) betterConnectedPeer(c *machineCounts, now time.Time) (wire.NodeID, bool) {
 	settled := mo.lostAfter() + mo.state.Settings.Workers.Lease.Duration()/8
-	if !c.unreachable() || !mo.lease.Deciding() || now.Sub(mo.state.TermStartedAt) <= settled {
+	if !c.unreachable() || !mo.Lease.Deciding() || now.Sub(mo.state.TermStartedAt) <= settled {
 		return "", false
 	}
-	for name, o := range mo.leader.Mesh.View().Peers {
+	for name, o := range mo.mesh.View().Peers {
 		if o.Connected(now) && o.StateReachable && o.ReachableWorkers*2 > c.up {
 			return name, true
 		}
@@ -197,7 +200,7 @@
 
 // releaseUncancellable returns machines on which a cancelled task goes on.
 func (mo *monitor) releaseUncancellable(now time.Time) {
-	if !mo.lease.Deciding() || !mo.state.Recovered {
+	if !mo.Lease.Deciding() || !mo.state.Recovered {
 		return
 	}
 	for _, j := range mo.state.Jobs {
@@ -223,8 +226,8 @@
 		return
 	}
 	mo.repeatStops(m, now)
-	if !mo.lease.Deciding() {
-		if mo.lease.Answering() {
+	if !mo.Lease.Deciding() {
+		if mo.Lease.Answering() {
 			mo.checkpointBeforeReclaim(m, now)
 		}
 		return
@@ -253,7 +256,7 @@
 	if spec := mo.state.MachineSpec(m.MachineType); spec != nil {
 		boot = spec.BootTime.Duration()
 	}
-	if now.Sub(m.RequestedAt) > boot*11/4+5*time.Second && mo.lease.Deciding() {
+	if now.Sub(m.RequestedAt) > boot*11/4+5*time.Second && mo.Lease.Deciding() {
 		mo.scaler.scaleIn(m, cluster.DrainNeverUp)
 	}
 }
@@ -304,7 +307,7 @@
 			mo.dispatcher.stop(a, 0, cluster.EvictedMachineReclaimed)
 		}
 		if a.LaunchUnanswered && !a.Observed && (a.Stopping || m.DrainReason != "") && now.Sub(a.DecidedAt) > 6*time.Second {
-			mo.fencing.raiseRequested = true
+			mo.Fencing.RaiseRequested = true
 		}
 	}
 }
@@ -355,7 +358,7 @@
 func (mo *monitor) replicasMovable(m *cluster.Machine, now time.Time) bool {
 	answered := m.LastMessageAt
 	if lost := mo.zoneControllersLastContact(m.Zone); !lost.IsZero() {
-		answered = cluster.Latest(answered, lost.Add(mo.leader.delegation.Time-mo.state.HeartbeatInterval()*5/4))
+		answered = cluster.Latest(answered, lost.Add(mo.state.Delegation.Time-mo.state.HeartbeatInterval()*5/4))
 	} else if answered.IsZero() {
 		answered = mo.state.TermStartedAt
 	}
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -44,15 +44,15 @@
 				tm.monitor.checkMachines(time.Now())
 				for more := true; more; {
 					select {
-					case e := <-tm.events:
-						e.handle(tm)
+					case e := <-tm.Events:
+						tm.handle(e)
 					default:
 						more = false
 					}
 				}
 			}
 		}
-		defer tm.end("the test is over")
+		defer tm.End("the test is over")
 		none := func(*cluster.Machine) bool { return false }
 		returned := func(z wire.Zone) (n int) {
 			for _, m := range tm.state.Machines {
@@ -111,15 +111,15 @@
 	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
 	}
-	tm.leader.delegation.Time = 22 * time.Second
+	tm.state.Delegation.Time = 22 * time.Second
 	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 22*time.Second {
 		t.Errorf("never acknowledged: %v", got)
 	}
-	tm.leader.delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
+	tm.state.Delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
 	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 7*time.Second {
 		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
-	tm.leader.delegation.Time = 22 * time.Second
+	tm.state.Delegation.Time = 22 * time.Second
 	tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(3 * time.Second)
 	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
@@ -169,7 +169,7 @@
 					tm.monitor.checkMachines(time.Now())
 				}
 			}
-			defer tm.end("the test is over")
+			defer tm.End("the test is over")
 			watch(6 * time.Second)
 			if serving.ScalingIn {
 				t.Error("returned after 6 s")
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -26,9 +26,9 @@
 func (rc *reconciler) inboundChanged(m *cluster.Machine, change detector.Change) {
 	switch change {
 	case detector.Lost:
-		rc.log().Info("machine reports but receives nothing", "machine", m.ID, "tasks", len(m.Tasks))
+		rc.Log.Info("machine reports but receives nothing", "machine", m.ID, "tasks", len(m.Tasks))
 	case detector.Restored:
-		rc.log().Info("machine receives again", "machine", m.ID)
+		rc.Log.Info("machine receives again", "machine", m.ID)
 		rc.state.RequestCycle()
 	}
 }
@@ -40,7 +40,7 @@
 // something on it waits for a proof that it can't give, else when its lease
 // must have run out. When many seem so it is rather this node that is slow.
 func (mo *monitor) checkInboundPath(m *cluster.Machine, now time.Time) {
-	if m.Inbound.Works() || m.ScalingIn || !mo.lease.Deciding() || !mo.state.Recovered {
+	if m.Inbound.Works() || m.ScalingIn || !mo.Lease.Deciding() || !mo.state.Recovered {
 		return
 	}
 	if now.Sub(m.LastVerifiedAt) > inboundProbeInterval {
@@ -83,7 +83,7 @@
 		counts := detector.Counts{Up: up, Lost: c.zoneLost[zone], AllUp: c.up,
 			ControllersLost: !silentSince.IsZero() && now.Sub(silentSince) > peer.AckLifetime}
 		if mo.state.ZoneDetector.Judge(zone, counts, now) {
-			mo.log().Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
+			mo.Log.Info("zone partitioned", "zone", zone, "silent", counts.Lost, "of", up)
 		}
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -22,8 +22,8 @@
 // away gives a term a cloud and workers that can't be reached.
 func away(tm *term) {
 	nw := simulator.NewNetwork(0).Host("10.0.0.1")
-	tm.leader.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
-	tm.leader.workerClient = &http.Client{Transport: nw.Transport(2, 2)}
+	tm.scaler.cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
+	tm.dispatcher.agents.HTTP = &http.Client{Transport: nw.Transport(2, 2)}
 }
 
 func (t *term) tell(rep *wire.Heartbeat) heartbeatReply {
@@ -68,7 +68,7 @@
 		withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 			away(tm)
 			c.setup(tm, m)
-			for _, rep := range c.reports(tm.fencing.token) {
+			for _, rep := range c.reports(tm.Fencing.Token) {
 				tm.tell(rep)
 				time.Sleep(time.Second)
 			}
@@ -92,14 +92,14 @@
 func TestOlderReports(t *testing.T) {
 	withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 		away(tm)
-		tm.tell(said(1, 20, tm.fencing.token))
-		if r := tm.tell(said(1, 19, tm.fencing.token)); r.commands == nil || len(r.commands.Commands) > 0 {
+		tm.tell(said(1, 20, tm.Fencing.Token))
+		if r := tm.tell(said(1, 19, tm.Fencing.Token)); r.commands == nil || len(r.commands.Commands) > 0 {
 			t.Errorf("a report that crossed a newer one: %+v", r)
 		}
 		time.Sleep(10 * time.Second)
 		m.Addr = "10.1.0.1:9000"
 		before := *m
-		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.fencing.token), said(1, 3, tm.fencing.token), said(0, 99, 0)} {
+		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.Fencing.Token), said(1, 3, tm.Fencing.Token), said(0, 99, 0)} {
 			if r := tm.tell(rep); r.rejected == nil {
 				t.Errorf("copy %d/%d answered %+v", rep.Epoch, rep.Sequence, r)
 			}
@@ -112,15 +112,15 @@
 			t.Error("the machine was not asked which it is")
 		}
 		tm.state.RemovedMachines["n-9"] = time.Now()
-		gone := said(9, 9, tm.fencing.token)
+		gone := said(9, 9, tm.Fencing.Token)
 		gone.Machine = "n-9"
 		if r := tm.tell(gone); r.rejected == nil || tm.state.Machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
 		tm.state.Recovered, tm.reconciler.earlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
-		tm.tell(said(2, 5, tm.fencing.token))
-		tm.tell(said(1, 40, tm.fencing.token))
+		tm.tell(said(2, 5, tm.Fencing.Token))
+		tm.tell(said(1, 40, tm.Fencing.Token))
 		if got := tm.reconciler.earlyHeartbeats["n-1"]; got.Epoch != 2 {
 			t.Errorf("kept report %d/%d", got.Epoch, got.Sequence)
 		}
@@ -137,7 +137,7 @@
 		zone := map[wire.Zone][]*cluster.Machine{}
 		for i := range 26 {
 			x := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
-			x.Token, x.FirstHeartbeatAt, x.LastMessageAt, x.LastReplyAt, x.Zone = tm.fencing.token, time.Now(), time.Now(), time.Now(), "b"
+			x.Token, x.FirstHeartbeatAt, x.LastMessageAt, x.LastReplyAt, x.Zone = tm.Fencing.Token, time.Now(), time.Now(), time.Now(), "b"
 			if i < 10 {
 				x.Zone = "a"
 			}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -6,23 +6,27 @@
 	"strings"
 	"time"
 
+	"lilaclead/internal/cancels"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/store"
+	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
 )
 
 // records reads the jobs' records for a new leader and follows their changes.
 type records struct {
-	*eventLoop
-	state      *cluster.State
-	fencing    *fencing
-	published  *published
-	progress   *progress.Reader
-	dispatcher *dispatcher
-	reconciler *reconciler
-	intents    *cloudIntents
+	*Loop
+	state       *cluster.State
+	store       *store.Client
+	cancels     *cancels.Log
+	versions    *upgrade.Member
+	undecodable *undecodable.Log
+	progress    *progress.Reader
+	dispatcher  *dispatcher
+	reconciler  *reconciler
+	intents     *cloudIntents
 	// cancellationCursor is how much of the log of cancellations has been applied.
 	cancellationCursor uint64
 }
@@ -31,10 +35,10 @@
 func (rd *records) readRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		jobs, rev, err := rd.leader.Store.List(ctx, store.Background, store.JobPrefix)
+		jobs, rev, err := rd.store.List(ctx, store.Background, store.JobPrefix)
 		var runs []wire.Entry
 		if err == nil {
-			runs, _, err = rd.leader.Store.List(ctx, store.Background, store.ProgressPrefix)
+			runs, _, err = rd.store.List(ctx, store.Background, store.ProgressPrefix)
 		}
 		var version upgrade.Version
 		if err == nil {
@@ -45,11 +49,11 @@
 			earlier, err = rd.intents.load(ctx)
 		}
 		if err == nil {
-			rd.post(recordsRead{jobs, runs, version, earlier, began})
+			rd.Post(recordsRead{jobs, runs, version, earlier, began})
 			rd.watchJobRecords(ctx, rev)
 			return
 		}
-		rd.log().Info("recovery: state service refuses", "err", err)
+		rd.Log.Info("recovery: state service refuses", "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(300 * time.Millisecond):
@@ -65,9 +69,9 @@
 func (rd *records) watchJobRecords(ctx context.Context, rev wire.Revision) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		ch, err := rd.leader.Store.Watch(ctx, store.JobPrefix, rev, followFor)
+		ch, err := rd.store.Watch(ctx, store.JobPrefix, rev, followFor)
 		if errors.Is(err, store.ErrTooOld) {
-			rd.end("fell behind the changes")
+			rd.End("fell behind the changes")
 			return
 		}
 		if err != nil {
@@ -80,7 +84,7 @@
 		if ch.Revision > rev {
 			rev = ch.Revision
 		}
-		rd.post(jobRecordsChanged{ch.Events, began})
+		rd.Post(jobRecordsChanged{ch.Events, began})
 	}
 }
 
@@ -110,7 +114,7 @@
 		rd.state.RestoreGang(j)
 	}
 	rd.state.Recovered = true
-	rd.log().Info("recovered", "jobs", len(rd.state.Jobs), "machines", len(rd.state.Machines), "took", time.Since(rd.state.TermStartedAt))
+	rd.Log.Info("recovered", "jobs", len(rd.state.Jobs), "machines", len(rd.state.Machines), "took", time.Since(rd.state.TermStartedAt))
 	for _, j := range rd.state.Jobs {
 		if j.Cancelled {
 			rd.dispatcher.stopCancelledJob(j)
@@ -123,7 +127,7 @@
 	rd.reconciler.earlyHeartbeats = nil
 	rd.cancellationCursor = 0
 	rd.applyCancellations()
-	rd.published.delegationToken.Store(uint64(rd.fencing.token)) // only now cancellations are known
+	rd.Published.DelegationToken.Store(uint64(rd.Fencing.Token)) // only now cancellations are known
 	rd.dispatcher.announceToken()
 }
 
@@ -131,14 +135,14 @@
 func (rd *records) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
 	rec, err := store.DecodeJob(key, v)
 	if err != nil {
-		rd.leader.Undecodable.Note(key, err)
+		rd.undecodable.Note(key, err)
 		rd.state.Quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)))
 		return
 	}
 	j := rd.state.Jobs[rec.Spec.ID]
 	if j == nil {
 		if rd.state.QuarantinedJobs[rec.Spec.ID] {
-			rd.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
+			rd.End("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
 			return
 		}
 		if rd.state.ArchivedJobs[rec.Spec.ID] {
@@ -152,7 +156,7 @@
 		return
 	}
 	j.Revision, j.RecordOutdated = revision, j.Cancelled && rec.Status != wire.Cancelled
-	rec.LogCancellation(rd.leader.Cancels)
+	rec.LogCancellation(rd.cancels)
 	if rec.Status == wire.Cancelled && !j.Cancelled {
 		j.Cancelled = true
 		j.CancelledAt = time.Now().Add(-rec.SinceCancelled())
@@ -171,9 +175,9 @@
 		rd.applyJobRecord(store.JobKey(id), e.entry.Value, e.entry.Revision)
 	case errors.Is(e.err, store.ErrMissing):
 		if e.job.RecordOutdated { // else it is being archived
-			rd.end("a live job's record is gone: " + string(id))
+			rd.End("a live job's record is gone: " + string(id))
 		}
 	case e.job.RecordOutdated:
-		time.AfterFunc(rereadRetry, func() { rd.post(rereadDue{e.job}) })
+		time.AfterFunc(rereadRetry, func() { rd.Post(rereadDue{e.job}) })
 	}
 }
--- a/internal/leader/releases.go
+++ b/internal/leader/releases.go
@@ -20,15 +20,15 @@
 // scaleIn returns a machine; its tasks count until the cloud has said that
 // it is gone.
 func (sl *scaler) scaleIn(m *cluster.Machine, why cluster.DrainReason) {
-	if m.ScalingIn || !sl.lease.Deciding() {
+	if m.ScalingIn || !sl.Lease.Deciding() {
 		return
 	}
 	m.ScalingIn = true
 	if m.DrainReason == "" {
 		m.DrainReason = why
 	}
-	sl.log().Info("releases", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.Tasks), "age", time.Since(m.RequestedAt))
-	sl.leader.Metrics.Fleet("released", 1)
+	sl.Log.Info("releases", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.Tasks), "age", time.Since(m.RequestedAt))
+	sl.Metrics.Fleet("released", 1)
 	sl.tracker.QueueScaleIn(m.ID)
 	sl.sendNextScaleIn()
 }
@@ -41,12 +41,12 @@
 		return
 	}
 	record := sl.recordsIntents()
-	sl.spawn(func(ctx context.Context) {
+	sl.Spawn(func(ctx context.Context) {
 		if record && !sl.recordScaleIns(ctx, ids) {
 			return
 		}
 		if sl.sendScaleIn(ctx, ids) {
-			sl.post(scaledIn{ids})
+			sl.Post(scaledIn{ids})
 		}
 	})
 }
@@ -60,8 +60,8 @@
 		if err == nil {
 			return true
 		}
-		sl.log().Debug("release not answered", "machines", len(ids), "err", err)
-		pause(ctx, wait+rand.N(wait/2))
+		sl.Log.Debug("release not answered", "machines", len(ids), "err", err)
+		Pause(ctx, wait+rand.N(wait/2))
 		wait = min(2*wait, maxScaleInRetry) // one request at a time, whatever waits
 	}
 	return false
@@ -69,11 +69,11 @@
 
 // requestScaleIn asks the cloud once, if the lease is held.
 func (sl *scaler) requestScaleIn(ctx context.Context, ids []wire.MachineID) error {
-	permit, err := duty.PermitFor[duty.ScaleIn](sl.lease.Lease)
+	permit, err := duty.PermitFor[duty.ScaleIn](sl.Lease.Lease)
 	if err != nil {
 		return err
 	}
-	return sl.leader.Cloud.ScaleIn(ctx, permit, ids)
+	return sl.cloud.ScaleIn(ctx, permit, ids)
 }
 
 // onScaledIn takes in that machines are gone, and with them what ran there.
@@ -91,7 +91,7 @@
 func (sl *scaler) removeMachine(m *cluster.Machine) {
 	sl.state.RemovedMachines[m.ID] = time.Now()
 	for _, a := range m.Tasks {
-		sl.leader.Metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
+		sl.Metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
 		sl.state.EndAttempt(a, cluster.TaskPending)
 	}
 	delete(sl.state.Machines, m.ID)
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lilaclead/duty"
+	"lilaclead/internal/cloud"
 	"lilaclead/internal/fleet"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/scaling"
@@ -17,17 +18,20 @@
 // scaler scales the cluster out and in: it asks the cloud for machines, and gives back
 // those that are not needed or not trusted.
 type scaler struct {
-	*eventLoop
+	*Loop
 	state     *cluster.State
 	scheduler *scheduling.Scheduler
 	tracker   *scaling.Tracker
+	cloud     *cloud.Client
+	versioned bool          // intents are recorded only from a version on
 	intents   *cloudIntents // nil: they are not recorded
 }
 
-func newScaler(loop *eventLoop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker) *scaler {
-	sl := &scaler{eventLoop: loop, state: state, scheduler: scheduler, tracker: tracker}
-	if loop.leader.RecordIntents {
-		sl.intents = newCloudIntents(loop.lease.Lease, state.Settings)
+func newScaler(loop *Loop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker, d *Dependencies) *scaler {
+	sl := &scaler{Loop: loop, state: state, scheduler: scheduler, tracker: tracker,
+		cloud: d.Cloud, versioned: d.Versions != nil}
+	if d.RecordIntents {
+		sl.intents = newCloudIntents(loop.Lease.Lease, state.Settings)
 	}
 	return sl
 }
@@ -42,12 +46,12 @@
 // requestScaleOut books machines, once that is recorded if it is to be.
 func (sl *scaler) requestScaleOut(r fleet.ScaleOut) {
 	b := sl.tracker.StartScaleOut(r, time.Now())
-	sl.log().Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
+	sl.Log.Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	if sl.recordsIntents() {
 		sl.intents.unrecorded = append(sl.intents.unrecorded, b)
 		return
 	}
-	sl.spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
+	sl.Spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
 }
 
 // sendScaleOut keeps asking for machines under the booking's name until the cloud has
@@ -58,21 +62,21 @@
 	for ctx.Err() == nil {
 		machines, err := sl.callScaleOut(ctx, b)
 		if !errors.Is(err, duty.ErrNotHeld) && tries.Final(err) {
-			sl.post(scaleOutAnswered{b, machines, err})
+			sl.Post(scaleOutAnswered{b, machines, err})
 			return
 		}
-		pause(ctx, wait+rand.N(wait/2))
+		Pause(ctx, wait+rand.N(wait/2))
 		wait = min(2*wait, maxScaleOutRetry)
 	}
 }
 
 // callScaleOut asks the cloud once, if the lease is held.
 func (sl *scaler) callScaleOut(ctx context.Context, b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
-	permit, err := duty.PermitFor[duty.ScaleOut](sl.lease.Lease)
+	permit, err := duty.PermitFor[duty.ScaleOut](sl.Lease.Lease)
 	if err != nil {
 		return nil, err
 	}
-	return sl.leader.Cloud.ScaleOut(ctx, permit, b.ScaleOutRequest)
+	return sl.cloud.ScaleOut(ctx, permit, b.ScaleOutRequest)
 }
 
 // onScaleOutAnswered takes in the final answer to a booking.
@@ -80,17 +84,17 @@
 	outcome, rest := sl.tracker.Answered(b, len(machines), err, time.Now())
 	switch outcome {
 	case scaling.Filled, scaling.PartlyFilled:
-		sl.leader.Metrics.Fleet("rented", len(machines))
+		sl.Metrics.Fleet("rented", len(machines))
 		if sl.maybeUnlisted(b) {
 			sl.addProvisioned(b, machines)
 		}
 		if outcome == scaling.PartlyFilled {
-			sl.log().Info("booking only partly filled", "booking", b.Name, "got", len(machines), "of", b.Count)
+			sl.Log.Info("booking only partly filled", "booking", b.Name, "got", len(machines), "of", b.Count)
 		}
 	case scaling.NoCapacity:
-		sl.log().Info("no capacity", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", rest, "err", err)
+		sl.Log.Info("no capacity", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", rest, "err", err)
 	case scaling.Unavailable:
-		sl.log().Info("cloud busy or down", "again_in", rest, "err", err)
+		sl.Log.Info("cloud busy or down", "again_in", rest, "err", err)
 	}
 }
 
--- a/internal/leader/reports.go
+++ b/internal/leader/reports.go
@@ -5,15 +5,16 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/wire"
 )
 
 // reconciler squares what the agents' heartbeats say with what is recorded, and answers
 // them.
 type reconciler struct {
-	*eventLoop
+	*Loop
 	state      *cluster.State
-	fencing    *fencing
+	delegate   *delegation.Delegate
 	dispatcher *dispatcher
 	scaler     *scaler
 	// earlyHeartbeats are the newest ones that came before the records were read.
@@ -29,8 +30,8 @@
 	errCancelPending        = errors.New("a cancelled task may still start there")
 )
 
-func newReconciler(loop *eventLoop, state *cluster.State, fencing *fencing, dispatcher *dispatcher, scaler *scaler) *reconciler {
-	return &reconciler{eventLoop: loop, state: state, fencing: fencing, dispatcher: dispatcher, scaler: scaler,
+func newReconciler(loop *Loop, state *cluster.State, delegate *delegation.Delegate, dispatcher *dispatcher, scaler *scaler) *reconciler {
+	return &reconciler{Loop: loop, state: state, delegate: delegate, dispatcher: dispatcher, scaler: scaler,
 		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}}
 }
 
@@ -40,10 +41,10 @@
 }
 
 func (rc *reconciler) answerHeartbeat(rep *wire.Heartbeat, relayed bool, now time.Time) heartbeatReply {
-	if !rc.lease.Answering() {
+	if !rc.Lease.Answering() {
 		return heartbeatReply{rejected: errNotLeading}
 	}
-	if !rc.leader.delegate.MayRenew(now) {
+	if !rc.delegate.MayRenew(now) {
 		return heartbeatReply{rejected: errCancellationsUnknown}
 	}
 	if _, gone := rc.state.RemovedMachines[rep.Machine]; gone {
@@ -68,12 +69,12 @@
 		return heartbeatReply{rejected: errCancelPending}
 	}
 	m.LastReplyAt = now
-	m.Inbound.Answered(rc.fencing.token, rep.Epoch, rep.Sequence)
-	answer := &wire.Commands{Token: rc.fencing.token}
-	if rc.lease.Deciding() {
+	m.Inbound.Answered(rc.Fencing.Token, rep.Epoch, rep.Sequence)
+	answer := &wire.Commands{Token: rc.Fencing.Token}
+	if rc.Lease.Deciding() {
 		answer.Commands = rc.dispatcher.commandsFor(m, rep, now)
 	} else {
-		answer.Commands = rc.dispatcher.stopCommands(m, rc.leader.delegate.Halts(rep), now)
+		answer.Commands = rc.dispatcher.stopCommands(m, rc.delegate.Halts(rep), now)
 	}
 	return heartbeatReply{commands: answer}
 }
@@ -81,7 +82,7 @@
 // cancelledStops answers a report with no more than the halts of what is known to be
 // cancelled.
 func (rc *reconciler) cancelledStops(rep *wire.Heartbeat) *wire.Commands {
-	return &wire.Commands{Token: rc.fencing.token, Commands: rc.leader.delegate.Halts(rep)}
+	return &wire.Commands{Token: rc.Fencing.Token, Commands: rc.delegate.Halts(rep)}
 }
 
 // keepEarlyHeartbeat keeps the newest report of a machine until the records are read.
@@ -107,7 +108,7 @@
 		return true
 	}
 	if !m.RelayedOnly {
-		rc.log().Info("worker reaches the leader only through another node", "machine", m.ID)
+		rc.Log.Info("worker reaches the leader only through another node", "machine", m.ID)
 	}
 	m.RelayedOnly = true
 	return false
@@ -124,7 +125,7 @@
 // itself is asked which.
 func (rc *reconciler) onStaleHeartbeat(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) heartbeatReply {
 	crossed := now.Sub(m.LastMessageAt) < crossingWindow
-	if (!crossed || rep.Epoch != m.Epoch || rep.Sequence+2 < m.Sequence) && now.Sub(m.LastVerifiedAt) > time.Second && !m.ScalingIn && rc.lease.Deciding() {
+	if (!crossed || rep.Epoch != m.Epoch || rep.Sequence+2 < m.Sequence) && now.Sub(m.LastVerifiedAt) > time.Second && !m.ScalingIn && rc.Lease.Deciding() {
 		m.LastVerifiedAt = now
 		rc.dispatcher.probe(m)
 	}
@@ -140,7 +141,7 @@
 // returned, as from now on its reports can't be told from late copies of its
 // last run.
 func (rc *reconciler) onRestart(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
-	rc.log().Info("machine restarted", "machine", m.ID, "tasks", len(m.Tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.Epoch, "was_sequence", m.Sequence)
+	rc.Log.Info("machine restarted", "machine", m.ID, "tasks", len(m.Tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.Epoch, "was_sequence", m.Sequence)
 	m.Epoch, m.Sequence, m.Images = 0, 0, cluster.ImageCache{}
 	for _, a := range m.Tasks {
 		a.ReplySequence = 0 // the answer that carried it went to the last run
@@ -202,7 +203,7 @@
 		return
 	}
 	if m.ReclaimAt.IsZero() {
-		rc.log().Info("spot notice", "machine", m.ID, "in", rep.SpotNotice.Duration(), "tasks", len(m.Tasks))
+		rc.Log.Info("spot notice", "machine", m.ID, "in", rep.SpotNotice.Duration(), "tasks", len(m.Tasks))
 		rc.drainMachine(m, cluster.DrainSpotNotice)
 	}
 	m.ReclaimAt = now.Add(rep.SpotNotice.Duration())
@@ -235,8 +236,8 @@
 	case rc.state.MayRelaunch(a):
 		a.Inherited, a.LaunchSent, a.LaunchUnanswered, a.ReplySequence = false, false, false, 0
 	case a.Observed, a.Inherited, rep.Epoch > a.LaunchEpoch && a.LaunchSent:
-		rc.log().Info("task is gone from its machine", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "session", rep.Epoch)
-		rc.leader.Metrics.TaskMoved(string(cluster.EvictedMissing))
+		rc.Log.Info("task is gone from its machine", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "session", rep.Epoch)
+		rc.Metrics.TaskMoved(string(cluster.EvictedMissing))
 		rc.state.EndAttempt(a, cluster.TaskPending)
 	case a.Stopping, m.DrainReason != "", a.Job.Cancelled:
 		rc.state.EndAttempt(a, cluster.TaskPending)
@@ -267,7 +268,7 @@
 		a.RunningSince = now
 		if !j.HasRun {
 			j.HasRun = true
-			rc.leader.Metrics.StartDelay(j.Spec.Class, now.Sub(j.AcceptedAt).Seconds())
+			rc.Metrics.StartDelay(j.Spec.Class, now.Sub(j.AcceptedAt).Seconds())
 		}
 	}
 	a.Phase = p.Phase
@@ -319,7 +320,7 @@
 		rc.onTaskFailure(a, now)
 		rc.state.EndAttempt(a, cluster.TaskPending)
 	default:
-		rc.log().Info("start refused", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "cause", p.Cause)
+		rc.Log.Info("start refused", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "cause", p.Cause)
 		m.RefusedUntil = now.Add(refusedStartBackoff)
 		if p.Cause == wire.CauseNoSuch {
 			j.StartNotBefore = now.Add(refusedStartBackoff)
@@ -348,7 +349,7 @@
 // logMachineUp notes that a machine reports for the first time.
 func (rc *reconciler) logMachineUp(m *cluster.Machine, now time.Time) {
 	if m.Booting {
-		rc.log().Info("machine up", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "after", now.Sub(m.RequestedAt))
+		rc.Log.Info("machine up", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "after", now.Sub(m.RequestedAt))
 		m.LastUsedAt = now
 	}
 }
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -30,14 +30,25 @@
 	return election.NewLease(l.candidate, election.Terms{Token: token, TakenAt: now, HeldUntil: now.Add(d)})
 }
 
+// setMesh gives a term another view of its peers.
+func setMesh(tm *term, mesh *peer.Mesh) {
+	tm.leader.Mesh, tm.dispatcher.agents.Mesh, tm.monitor.mesh, tm.committer.mesh = mesh, mesh, mesh, mesh
+}
+
+// setStore gives a term another state service.
+func setStore(tm *term, client *store.Client) {
+	tm.leader.Store, tm.committer.store, tm.records.store = client, client, client
+}
+
 // rig is a term without I/O, with one job of one task held on one machine.
 func rig(tb testing.TB) (*term, *cluster.Machine, *cluster.Attempt) {
 	tb.Helper()
 	cfg := &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41}, State: config.State{ValueKB: 16}}}
 	l := &Leader{Dependencies: Dependencies{Config: cfg, Cancels: known(), Tuning: tuning.NewCurrent(), Catalog: &cluster.MachineCatalog{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Metrics: Metrics{TaskMoved: func(string) {}, StartDelay: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
-	l.delegation.MaxCancelAge = delegation.BoundsOf(cfg.Settings.Workers).MaxCancelAge
-	l.delegate = newDelegate(l.Dependencies, l.delegation)
+	l.delegationBounds.MaxCancelAge = delegation.BoundsOf(cfg.Settings.Workers).MaxCancelAge
+	l.delegate = newDelegate(l.Dependencies, l.delegationBounds)
+	l.agents = &AgentClient{}
 	tm := newTerm(l, leaseFor(l, 50, time.Hour))
 	tm.state.Recovered = true
 	j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
@@ -164,8 +175,8 @@
 		for _, o := range tm.dispatcher.commandsFor(m, rep, time.Now()) {
 			got = got || o.Verb == wire.Forget && o.Attempt == 7
 		}
-		if got != c.forget || tm.fencing.raiseRequested != c.raise {
-			t.Errorf("%s: forget %v, raise %v", name, got, tm.fencing.raiseRequested)
+		if got != c.forget || tm.Fencing.RaiseRequested != c.raise {
+			t.Errorf("%s: forget %v, raise %v", name, got, tm.Fencing.RaiseRequested)
 		}
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -46,9 +46,9 @@
 	clear(tm.state.Unsaved.FinishedJobs)
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
-	tm.begin(ctx)
+	tm.Begin(ctx)
 	away(tm)
-	tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.leader.Log)
+	setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.leader.Log))
 	tm.leader.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
 	tm.leader.Metrics.Heartbeat = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
@@ -74,7 +74,7 @@
 	for i := range n {
 		m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
 		m.MachineType, m.Zone, m.Spot, m.Addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
-		m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = 1, 10, tm.fencing.token, now, now, now, now
+		m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = 1, 10, tm.Fencing.Token, now, now, now, now
 		m.RequestedAt = now.Add(-2 * time.Minute)
 		if i%2 == 0 {
 			for range 4 {
@@ -204,7 +204,7 @@
 		}
 		for b.Loop() {
 			next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
-			next.begin(tm.ctx)
+			next.Begin(tm.Context())
 			next.records.loadRecords(jobs, runs)
 			if len(next.state.Jobs) != len(jobs) {
 				b.Fatal(len(next.state.Jobs))
@@ -297,7 +297,7 @@
 		runs = append(runs, wire.Entry{Key: store.ChunkKey(j.Spec.ID, 0), Revision: j.Revision, Value: wire.Encode(rec)})
 	}
 	next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
-	next.begin(tm.ctx)
+	next.Begin(tm.Context())
 	began := time.Now()
 	next.records.loadRecords(jobs, runs)
 	recovery := time.Since(began)
@@ -307,7 +307,7 @@
 	}
 	next.inventory.onMachineList(listed, time.Now())
 	for id, m := range next.state.Machines {
-		m.Epoch, m.Sequence, m.Token = 1, tm.state.Machines[id].Sequence, next.fencing.token
+		m.Epoch, m.Sequence, m.Token = 1, tm.state.Machines[id].Sequence, next.Fencing.Token
 	}
 	began = time.Now()
 	if n := reportAll(next); n != largestFleet {
--- a/internal/leader/stops.go
+++ b/internal/leader/stops.go
@@ -33,8 +33,8 @@
 	}
 	a.Stopping, a.GracePeriod, a.StopReason, a.StopSentAt = true, grace, why, time.Time{}
 	if why != cluster.EvictedCancelled {
-		dp.log().Info("stops", "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID, "why", why)
-		dp.leader.Metrics.TaskMoved(string(why))
+		dp.Log.Info("stops", "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID, "why", why)
+		dp.Metrics.TaskMoved(string(why))
 	}
 	dp.dispatch(a.Machine)
 }
@@ -69,7 +69,7 @@
 			dp.state.RequestCycle()
 		case !g.Broken:
 			g.Broken = true
-			dp.log().Info("gang lost a task", "job", j.Spec.ID, "try", g.Number, "ran", g.Ran, "stopping", g.StoppingGracefully, "age", time.Since(g.StartedAt), "left", j.ActiveTasks)
+			dp.Log.Info("gang lost a task", "job", j.Spec.ID, "try", g.Number, "ran", g.Ran, "stopping", g.StoppingGracefully, "age", time.Since(g.StartedAt), "left", j.ActiveTasks)
 			if !g.StoppingGracefully {
 				for _, a := range j.Attempts() {
 					dp.stopAttempt(a, 0, cluster.EvictedGangIncomplete)
@@ -83,7 +83,7 @@
 // during recovery this comes only once its attempts have been read too: before, it
 // looks as if nothing of it were left.
 func (dp *dispatcher) stopCancelledJob(j *cluster.Job) {
-	dp.log().Info("cancels", "job", j.Spec.ID, "held", j.ActiveTasks)
+	dp.Log.Info("cancels", "job", j.Spec.ID, "held", j.ActiveTasks)
 	dp.state.CancelledJobs[j] = struct{}{}
 	for _, a := range j.Attempts() {
 		dp.stopAttempt(a, 0, cluster.EvictedCancelled)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -30,9 +30,8 @@
 // term is one period of leadership. Its loop owns its parts; the goroutines that do I/O
 // hand their results back as events.
 type term struct {
-	*eventLoop
-	published
-	fencing
+	*Loop
+	leader                *Leader
 	heartbeatCalls        chan heartbeatCall
 	storeUnavailableSince time.Time // zero: the state service is available
 
@@ -48,24 +47,28 @@
 	inventory  *inventory
 }
 
+// heartbeatBacklog is how many heartbeats may wait for the loop.
+const heartbeatBacklog = 32
+
 func newTerm(l *Leader, lease *election.Lease) *term {
-	t := &term{
-		eventLoop:      newEventLoop(l, lease),
-		fencing:        fencing{token: lease.Token()},
-		heartbeatCalls: make(chan heartbeatCall, 32),
-		state:          cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token()),
-	}
+	loop := NewLoop(lease, l.Log, &l.Metrics)
+	state := cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token())
+	state.Delegation = l.delegationBounds
 	tracker := scaling.New(lease.Token())
-	t.scheduler = scheduling.NewScheduler(t.state, l.Tuning, tracker, l.Log)
-	t.writer = progress.NewWriter(t.state, l.writeBudget, l.Log)
-	t.dispatcher = &dispatcher{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing}
-	t.scaler = newScaler(t.eventLoop, t.state, t.scheduler, tracker)
-	t.reconciler = newReconciler(t.eventLoop, t.state, &t.fencing, t.dispatcher, t.scaler)
-	t.monitor = &monitor{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing, writer: t.writer, dispatcher: t.dispatcher, scaler: t.scaler}
-	t.committer = &committer{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing, published: &t.published, writer: t.writer, dispatcher: t.dispatcher}
-	t.records = &records{eventLoop: t.eventLoop, state: t.state, fencing: &t.fencing, published: &t.published, progress: progress.NewReader(t.state, t.writer, l.Undecodable), dispatcher: t.dispatcher, reconciler: t.reconciler, intents: t.scaler.intents}
-	t.inventory = &inventory{eventLoop: t.eventLoop, state: t.state, dispatcher: t.dispatcher}
-	return t
+	scheduler := scheduling.NewScheduler(state, l.Tuning, tracker, l.Log)
+	writer := progress.NewWriter(state, l.writeBudget, l.Log)
+	dispatcher := &dispatcher{Loop: loop, state: state, agents: l.agents}
+	scaler := newScaler(loop, state, scheduler, tracker, &l.Dependencies)
+	reconciler := newReconciler(loop, state, l.delegate, dispatcher, scaler)
+	return &term{
+		Loop: loop, leader: l, heartbeatCalls: make(chan heartbeatCall, heartbeatBacklog),
+		state: state, scheduler: scheduler, writer: writer, dispatcher: dispatcher, scaler: scaler, reconciler: reconciler,
+		monitor:   &monitor{Loop: loop, state: state, mesh: l.Mesh, peers: l.Config.Peers, writer: writer, dispatcher: dispatcher, scaler: scaler},
+		committer: &committer{Loop: loop, state: state, store: l.Store, mesh: l.Mesh, writer: writer, dispatcher: dispatcher},
+		records: &records{Loop: loop, state: state, store: l.Store, cancels: l.Cancels, versions: l.Versions, undecodable: l.Undecodable,
+			progress: progress.NewReader(state, writer, l.Undecodable), dispatcher: dispatcher, reconciler: reconciler, intents: scaler.intents},
+		inventory: &inventory{Loop: loop, state: state, cloud: l.Cloud, dispatcher: dispatcher},
+	}
 }
 
 // writeBudget returns how many changes the state service's rate limit leaves now.
@@ -78,26 +81,26 @@
 func (t *term) run(parent context.Context) string {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	t.begin(ctx)
-	t.spawn(t.keepLease)
-	t.spawn(t.records.readRecords)
-	t.spawn(t.inventory.pollMachineList)
-	t.spawn(t.inventory.pollMachineSpecs)
-	t.spawn(t.advanceVersion)
+	t.Begin(ctx)
+	t.Spawn(t.keepLease)
+	t.Spawn(t.records.readRecords)
+	t.Spawn(t.inventory.pollMachineList)
+	t.Spawn(t.inventory.pollMachineSpecs)
+	t.Spawn(t.advanceVersion)
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	slow := 0
 	for {
 		select {
-		case <-t.done:
-			return t.endReason
+		case <-t.Done:
+			return t.EndReason()
 		case <-parent.Done():
-			t.end("stopped")
-			return t.endReason
+			t.End("stopped")
+			return t.EndReason()
 		case h := <-t.heartbeatCalls:
 			t.reconciler.onHeartbeat(h)
-		case e := <-t.events:
-			e.handle(t)
+		case e := <-t.Events:
+			t.handle(e)
 		case now := <-tick.C:
 			t.checkLeadership(now)
 			t.dispatcher.announceToken()
@@ -117,7 +120,7 @@
 
 // runDueWork does what has become due after an event: a round, a write.
 func (t *term) runDueWork(now time.Time) {
-	if !t.state.Recovered || !t.lease.Deciding() {
+	if !t.state.Recovered || !t.Lease.Deciding() {
 		return
 	}
 	t.dispatcher.stopBrokenGangs()
@@ -132,36 +135,36 @@
 // state service.
 func (t *term) checkLeadership(now time.Time) {
 	v := t.leader.Mesh.View()
-	if v.Token > t.fencing.token && !t.fencing.raising {
+	if v.Token > t.Fencing.Token && !t.Fencing.Raising {
 		// Our own raised token comes back through the peers only after we
 		// know of it, or while raising is set.
-		t.end("a higher token is known")
+		t.End("a higher token is known")
 		return
 	}
-	until := v.AckedUntil(t.fencing.token, t.state.Settings.Size/2+1)
+	until := v.AckedUntil(t.Fencing.Token, t.state.Settings.Size/2+1)
 	acked := now.Before(until)
 	if acked && t.state.QuorumAckedAt.IsZero() {
 		t.state.QuorumAckedAt = now
 	}
-	t.lease.Acknowledged(until, t.oldestAck(v, now), t.leader.delegation.Time)
+	t.Lease.Acknowledged(until, t.oldestAck(v, now), t.state.Delegation.Time)
 	t.records.applyCancellations()
-	if t.lease.Deciding() {
+	if t.Lease.Deciding() {
 		if !t.storeUnavailableSince.IsZero() {
-			t.log().Info("state service back", "token", t.fencing.token, "away", now.Sub(t.storeUnavailableSince))
+			t.Log.Info("state service back", "token", t.Fencing.Token, "away", now.Sub(t.storeUnavailableSince))
 			t.storeUnavailableSince, t.state.StoreAvailableSince = time.Time{}, now
 			t.state.RequestCycle()
 		}
 	} else {
 		if t.storeUnavailableSince.IsZero() {
 			t.storeUnavailableSince = now
-			t.log().Info("state service away; keeps answering reports while a majority agrees", "token", t.fencing.token, "agrees", acked)
+			t.Log.Info("state service away; keeps answering reports while a majority agrees", "token", t.Fencing.Token, "agrees", acked)
 		}
 	}
 	if !t.state.SchedulingEnabled && t.state.Recovered {
 		bound := t.state.Settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
 		if t.enoughMachinesHeard(now) || now.Sub(t.state.TermStartedAt) > bound {
 			t.state.SchedulingEnabled = true
-			t.log().Info("places", "machines", len(t.state.Machines), "jobs", len(t.state.Jobs), "after", now.Sub(t.state.TermStartedAt))
+			t.Log.Info("places", "machines", len(t.state.Machines), "jobs", len(t.state.Jobs), "after", now.Sub(t.state.TermStartedAt))
 			t.state.RequestCycle()
 		}
 	}
@@ -181,8 +184,8 @@
 
 // keepLease renews the leadership and ends the term when it is lost.
 func (t *term) keepLease(ctx context.Context) {
-	if err := t.lease.Keep(ctx, t.leaseRenewed); err != nil {
-		t.end(err.Error())
+	if err := t.Lease.Keep(ctx, t.leaseRenewed); err != nil {
+		t.End(err.Error())
 	}
 }
 
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -24,19 +24,19 @@
 // recordsIntents tells whether intents are recorded now: the part is on and, where
 // versions are negotiated, every controller understands it.
 func (sl *scaler) recordsIntents() bool {
-	return sl.intents != nil && (sl.leader.Versions == nil || sl.state.ActiveVersion >= VersionIntents)
+	return sl.intents != nil && (!sl.versioned || sl.state.ActiveVersion >= VersionIntents)
 }
 
 // readVersion reads the active version for this term. It is read after the lease was
 // taken, and only leaders switch, by writes that their token guards: no earlier one can
 // switch any more.
 func (rd *records) readVersion(ctx context.Context) (upgrade.Version, error) {
-	if rd.leader.Versions == nil {
+	if rd.versions == nil {
 		return 0, nil
 	}
-	v, err := rd.leader.Versions.ReadActive(ctx)
+	v, err := rd.versions.ReadActive(ctx)
 	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
-		rd.post(resignationDue{err.Error()})
+		rd.Post(resignationDue{err.Error()})
 	}
 	return v, err
 }
@@ -47,13 +47,13 @@
 		return
 	}
 	var logged string
-	for pause(ctx, advanceEvery) {
+	for Pause(ctx, advanceEvery) {
 		version, err := t.tryAdvance(ctx)
 		if err != nil && err.Error() != logged {
 			logged = err.Error()
-			t.log().Info("the active version could not be switched", "err", err)
+			t.Log.Info("the active version could not be switched", "err", err)
 		}
-		t.post(versionChecked{version})
+		t.Post(versionChecked{version})
 	}
 }
 
@@ -64,7 +64,7 @@
 	if active := versions.Active(); active >= versions.Supports.Max {
 		return active, nil
 	}
-	permit, err := duty.PermitFor[duty.Cleanup](t.lease.Lease)
+	permit, err := duty.PermitFor[duty.Cleanup](t.Lease.Lease)
 	if err != nil {
 		return 0, nil // it is tried again when the lease is held
 	}
@@ -82,7 +82,7 @@
 // takeVersion acts by a version that is active, once the term knows all records.
 func (t *term) takeVersion(version upgrade.Version) {
 	if version > t.state.ActiveVersion && t.state.Recovered {
-		t.log().Info("acts by version", "version", version, "before", t.state.ActiveVersion)
+		t.Log.Info("acts by version", "version", version, "before", t.state.ActiveVersion)
 		t.state.ActiveVersion = version
 	}
 }
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -51,8 +51,8 @@
 	}
 	out := make(chan *View, 1)
 	select {
-	case t.events <- viewRequested{out}:
-	case <-t.done:
+	case t.Events <- viewRequested{out}:
+	case <-t.Done:
 		return nil
 	case <-ctx.Done():
 		return nil
@@ -60,7 +60,7 @@
 	select {
 	case v := <-out:
 		return v
-	case <-t.done:
+	case <-t.Done:
 	case <-ctx.Done():
 	}
 	return nil
@@ -87,14 +87,14 @@
 		}
 	}
 	if most := t.leader.Workers; up > most {
-		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
+		t.Log.Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
 	}
-	t.log().Info("status", "token", t.fencing.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.Jobs), "jobs_waiting", waiting,
+	t.Log.Info("status", "token", t.Fencing.Token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.Jobs), "jobs_waiting", waiting,
 		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.scheduler.BacklogS), "round", t.state.Cycle.LastDuration, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.lease.Deciding(), PendingScaleOuts: len(t.scaler.tracker.PendingScaleOuts())}
+	v := &View{Deciding: t.Lease.Deciding(), PendingScaleOuts: len(t.scaler.tracker.PendingScaleOuts())}
 	for _, m := range t.state.Machines {
 		v.Machines = append(v.Machines, MachineView{m.ID, m.MachineType, m.Zone, m.Spot, m.Booting, string(m.DrainReason), len(m.Tasks), t.state.SinceLastMessage(m, now).Seconds(), t.state.FreeResources(m).CPUs})
 	}
--- a/internal/leader/write.go
+++ b/internal/leader/write.go
@@ -9,6 +9,7 @@
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -16,10 +17,10 @@
 // committer has the writer's transactions executed, takes in their outcomes, and raises
 // the fencing token.
 type committer struct {
-	*eventLoop
+	*Loop
 	state      *cluster.State
-	fencing    *fencing
-	published  *published
+	store      *store.Client
+	mesh       *peer.Mesh
 	writer     *progress.Writer
 	dispatcher *dispatcher
 }
@@ -34,20 +35,20 @@
 // flush has the writer's next transaction executed, or the token raised where
 // somebody waits for that.
 func (co *committer) flush(now time.Time) {
-	if co.fencing.raising || !co.writer.Ready(now) {
+	if co.Fencing.Raising || !co.writer.Ready(now) {
 		return
 	}
-	if co.fencing.raiseRequested && now.After(co.fencing.raiseNotBefore) {
+	if co.Fencing.RaiseRequested && now.After(co.Fencing.RaiseNotBefore) {
 		co.raiseToken(nil)
 		return
 	}
-	b := co.writer.Next(co.fencing.token, now)
+	b := co.writer.Next(co.Fencing.Token, now)
 	if b == nil {
 		return
 	}
-	co.spawn(func(ctx context.Context) {
-		revision, err := co.leader.Store.Commit(ctx, b.Class(), b.Txn)
-		co.post(txnAnswered{b, revision, err})
+	co.Spawn(func(ctx context.Context) {
+		revision, err := co.store.Commit(ctx, b.Class(), b.Txn)
+		co.Post(txnAnswered{b, revision, err})
 	})
 }
 
@@ -59,13 +60,13 @@
 	case err == nil:
 		co.onTxnCommitted(b, revision)
 	case errors.As(err, &conflict) && conflict.Has(store.LeaderKey):
-		co.end(election.ErrTaken.Error())
+		co.End(election.ErrTaken.Error())
 	case errors.As(err, &conflict):
 		co.onTxnConflict(b, conflict)
 	case errors.Is(err, store.ErrUnknown):
 		// It may be applied yet, minutes from now. A new token ends that;
 		// then a read tells what was.
-		co.log().Info("outcome of a write unknown", "writes", len(b.Txn.Writes))
+		co.Log.Info("outcome of a write unknown", "writes", len(b.Txn.Writes))
 		co.writer.OutcomeOpen()
 		co.raiseToken(b)
 	case errors.Is(err, store.ErrInvalid):
@@ -90,7 +91,7 @@
 	}
 	for _, c := range b.Chunks {
 		if conflict.Has(c.Key()) {
-			co.end("a chunk was written by another process: " + c.Key())
+			co.End("a chunk was written by another process: " + c.Key())
 		}
 	}
 }
@@ -112,7 +113,7 @@
 func (co *committer) onTxnCommitted(b *progress.Batch, revision wire.Revision) {
 	co.writer.Committed(b, revision)
 	for _, j := range b.Finished {
-		co.log().Info("job over", "job", j.Spec.ID, "status", j.FinalStatus(), "took", time.Since(j.AcceptedAt))
+		co.Log.Info("job over", "job", j.Spec.ID, "status", j.FinalStatus(), "took", time.Since(j.AcceptedAt))
 		delete(co.state.Jobs, j.Spec.ID)
 		delete(co.state.QuarantinedJobs, j.Spec.ID)
 		if !j.RecordDeleted {
@@ -164,9 +165,9 @@
 func (co *committer) reread(j *cluster.Job) {
 	j.RecordOutdated = true
 	id := j.Spec.ID
-	co.spawn(func(ctx context.Context) {
-		entry, err := co.leader.Store.Get(ctx, store.Critical, store.JobKey(id))
-		co.post(jobRecordReread{j, entry, err})
+	co.Spawn(func(ctx context.Context) {
+		entry, err := co.store.Get(ctx, store.Critical, store.JobKey(id))
+		co.Post(jobRecordReread{j, entry, err})
 	})
 }
 
@@ -175,30 +176,30 @@
 // at their guard, and commands at every worker that has seen the new one. If
 // b is given, its outcome is then looked up.
 func (co *committer) raiseToken(b *progress.Batch) {
-	co.fencing.raising = true
-	co.fencing.raiseRequested, co.fencing.raiseNotBefore = false, time.Now().Add(co.state.Settings.Workers.Lease.Duration()/2)
-	old := co.fencing.token
-	co.spawn(func(ctx context.Context) {
-		token, err := co.lease.RaiseToken(ctx, old)
+	co.Fencing.Raising = true
+	co.Fencing.RaiseRequested, co.Fencing.RaiseNotBefore = false, time.Now().Add(co.state.Settings.Workers.Lease.Duration()/2)
+	old := co.Fencing.Token
+	co.Spawn(func(ctx context.Context) {
+		token, err := co.Lease.RaiseToken(ctx, old)
 		switch {
 		case err == nil:
-			co.post(tokenRaised{token, b})
+			co.Post(tokenRaised{token, b})
 		case ctx.Err() == nil:
-			co.end(err.Error())
+			co.End(err.Error())
 		}
 	})
 }
 
 func (co *committer) onTokenRaised(token wire.FencingToken, b *progress.Batch) {
-	co.log().Info("token raised", "from", co.fencing.token, "to", token)
-	co.fencing.token = token
+	co.Log.Info("token raised", "from", co.Fencing.Token, "to", token)
+	co.Fencing.Token = token
 	if co.state.Recovered {
-		co.published.delegationToken.Store(uint64(token))
+		co.Published.DelegationToken.Store(uint64(token))
 	}
-	co.leader.Mesh.ObserveToken(co.ctx, token)
-	co.fencing.raising = false
+	co.mesh.ObserveToken(co.Context(), token)
+	co.Fencing.Raising = false
 	if b != nil {
-		co.spawn(func(ctx context.Context) { co.readOutcome(ctx, b) })
+		co.Spawn(func(ctx context.Context) { co.readOutcome(ctx, b) })
 	}
 }
 
@@ -206,12 +207,12 @@
 func (co *committer) readOutcome(ctx context.Context, b *progress.Batch) {
 	guard := b.TellingGuard()
 	for {
-		entry, err := co.leader.Store.Get(ctx, store.Critical, guard.Key)
+		entry, err := co.store.Get(ctx, store.Critical, guard.Key)
 		if err == nil || errors.Is(err, store.ErrMissing) {
-			co.post(txnOutcomeRead{b, guard, entry.Revision})
+			co.Post(txnOutcomeRead{b, guard, entry.Revision})
 			return
 		}
-		if !pause(ctx, outcomeRetry) {
+		if !Pause(ctx, outcomeRetry) {
 			return
 		}
 	}
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -29,15 +29,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tm.leader.Store = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
-		tm.leader.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, nw.Host("10.0.0.1"), tm.leader.Log)
+		setStore(tm, store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1")))
+		setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, nw.Host("10.0.0.1"), tm.leader.Log))
 		go tm.leader.Mesh.Run(ctx)
-		tm.begin(ctx)
+		tm.Begin(ctx)
 		tm.state.Settings.State.TxnOps = 12
 		tm.leader.candidate = election.NewCandidate(tm.leader.Config, tm.leader.Store, tm.leader.Log, tm.leader.Mesh.ObserveToken)
-		tm.fencing.token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
-		tm.lease, tm.state.FirstToken = leaseFor(tm.leader, tm.fencing.token, time.Hour), tm.fencing.token
-		m.Token = tm.fencing.token
+		tm.Fencing.Token = wire.FencingToken(st.Put(store.LeaderKey, tm.leader.candidate.Record()))
+		tm.Lease, tm.state.FirstToken = leaseFor(tm.leader, tm.Fencing.Token, time.Hour), tm.Fencing.Token
+		m.Token = tm.Fencing.Token
 		tm.state.EndAttempt(a, cluster.TaskPending)
 		a.Chunk.Dirty, a.Job.Finished = false, false
 		a.Job.Revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.Job.Spec, Status: wire.Queued})
@@ -45,8 +45,8 @@
 			for range 200 {
 				tm.committer.flush(time.Now())
 				select {
-				case e := <-tm.events:
-					e.handle(tm)
+				case e := <-tm.Events:
+					tm.handle(e)
 				case <-time.After(50 * time.Millisecond):
 				}
 			}
@@ -58,7 +58,7 @@
 
 func ended(tm *term) bool {
 	select {
-	case <-tm.done:
+	case <-tm.Done:
 		return true
 	default:
 		return false
@@ -90,7 +90,7 @@
 		"lost before it came":   func(st *simulator.State) { st.DropRequests(1) },
 	} {
 		withState(t, func(tm *term, m *cluster.Machine, st *simulator.State, settle func()) {
-			j, token := tm.state.Jobs["req-1"], tm.fencing.token
+			j, token := tm.state.Jobs["req-1"], tm.Fencing.Token
 			lose(st)
 			tm.scheduler.StartTask(j, m, time.Now())
 			settle()
@@ -98,7 +98,7 @@
 			if a == nil || a.Unstored || len(st.Keys(store.ProgressPrefix)) != 1 || ended(tm) {
 				t.Errorf("%s: attempt %+v, stored %v, term over: %v", name, a, st.Keys(store.ProgressPrefix), ended(tm))
 			}
-			if tm.fencing.token <= token {
+			if tm.Fencing.Token <= token {
 				t.Errorf("%s: the token was not raised", name)
 			}
 			// What is known still agrees with what is stored.
@@ -129,7 +129,7 @@
 // not wait for it either.
 func TestMachineNeverHeardOf(t *testing.T) {
 	withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
-		tm.leader.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
+		tm.scaler.cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
 		tm.state.MachineListReceived = true
 		m.Token, m.Addr, m.FirstHeartbeatAt = 0, "", time.Time{}
 		if !tm.enoughMachinesHeard(time.Now()) {
@@ -190,8 +190,8 @@
 		for range 100 {
 			tm.committer.flush(time.Now())
 			select {
-			case e := <-tm.events:
-				e.handle(tm)
+			case e := <-tm.Events:
+				tm.handle(e)
 			case <-time.After(50 * time.Millisecond):
 			}
 			if j.RecordOutdated {
@@ -230,8 +230,8 @@
 				for range 8 {
 					tm.committer.flush(time.Now())
 					select {
-					case e := <-tm.events:
-						e.handle(tm)
+					case e := <-tm.Events:
+						tm.handle(e)
 					case <-time.After(50 * time.Millisecond):
 					}
 				}
@@ -253,7 +253,7 @@
 				settle()
 			}
 			if len(tm.state.Jobs) != 0 || ended(tm) {
-				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.state.Jobs, ended(tm), tm.endReason)
+				t.Errorf("watch first %v: jobs %v, term over: %v %s", watchFirst, tm.state.Jobs, ended(tm), tm.EndReason())
 			}
 			tm.records.applyChanges([]wire.Change{drop})
 			if len(tm.state.ArchivedJobs) != 0 {
