--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -13,7 +13,7 @@
 
 	"lilaclead/duty"
 	"lilaclead/internal/config"
-	"lilaclead/internal/leader"
+	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
@@ -35,7 +35,7 @@
 	gate   *gate
 
 	lease     *duty.Lease
-	rentals   *duty.Intents[duty.ScaleOut, leader.ScaleOutIntent]
+	rentals   *duty.Intents[duty.ScaleOut, autoscaler.ScaleOutIntent]
 	returns   *duty.Intents[duty.ScaleIn, wire.MachineID]
 	machines  []string
 	bookings  int
@@ -168,7 +168,7 @@
 
 // hold takes over and then acts until the lease is lost.
 func (h *holder) hold(ctx context.Context) {
-	h.rentals = duty.OpenIntents[duty.ScaleOut, leader.ScaleOutIntent](h.lease, 16<<10)
+	h.rentals = duty.OpenIntents[duty.ScaleOut, autoscaler.ScaleOutIntent](h.lease, 16<<10)
 	h.returns = duty.OpenIntents[duty.ScaleIn, wire.MachineID](h.lease, 16<<10)
 	h.machines, h.bookings = nil, 0
 	if h.takeOver(ctx) != nil {
@@ -203,7 +203,7 @@
 	if err := h.reclaim(ctx); err != nil {
 		return err
 	}
-	var rentals duty.IntentRecord[leader.ScaleOutIntent]
+	var rentals duty.IntentRecord[autoscaler.ScaleOutIntent]
 	var returns duty.IntentRecord[wire.MachineID]
 	if h.fenced {
 		var err error
@@ -257,7 +257,7 @@
 	if h.fenced {
 		// One booking is open at a time; an earlier holder's was this one, or is done.
 		request := wire.ScaleOutRequest{Name: booking, Type: "c4", Zone: "a", Count: 2}
-		if err := h.rentals.Record(ctx, []leader.ScaleOutIntent{{Request: request}}); err != nil {
+		if err := h.rentals.Record(ctx, []autoscaler.ScaleOutIntent{{Request: request}}); err != nil {
 			return err
 		}
 	}
--- a/duty/receivers_test.go
+++ b/duty/receivers_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lilaclead/duty"
-	"lilaclead/internal/leader"
+	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
@@ -73,7 +73,7 @@
 	if now := duty.FencingToken(r.state.Revision(leaseKey)); now > r.promoted {
 		r.promoted, r.promotedAt, r.actsBefore = now, time.Now(), len(r.acts)
 		r.openRentals, r.openReturns = map[string]bool{}, map[string]bool{}
-		var rentals duty.IntentRecord[leader.ScaleOutIntent]
+		var rentals duty.IntentRecord[autoscaler.ScaleOutIntent]
 		var returns duty.IntentRecord[wire.MachineID]
 		decode(r.state.Value(duty.IntentKey("renting")), &rentals)
 		decode(r.state.Value(duty.IntentKey("returning")), &returns)
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -10,7 +10,7 @@
 
 	"lilaclead/history"
 	"lilaclead/internal/intake"
-	"lilaclead/internal/leader"
+	"lilaclead/internal/leader/core"
 )
 
 // Metrics of one node, in Prometheus' form.
@@ -79,8 +79,8 @@
 }
 
 // Leader is the leader's view of the metrics.
-func (m *Metrics) Leader() leader.Metrics {
-	return leader.Metrics{
+func (m *Metrics) Leader() core.Metrics {
+	return core.Metrics{
 		SchedulingCycle: func(took time.Duration, starts, halts int) {
 			m.rounds.Observe(took.Seconds())
 			m.starts.Add(float64(starts))
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -25,6 +25,7 @@
 	"lilaclead/internal/admin"
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/leader"
+	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
@@ -47,8 +48,8 @@
 		{"chunk", store.ChunkRecord{NextAttempt: 17, Done: []int{0, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}},
 		{"held", store.ActiveAttempt{Task: 5, Attempt: 13, Machine: "n-000232"}},
 		{"past", store.FinalRecord{Status: wire.Done, Done: 1600}},
-		{"bookings", duty.IntentRecord[leader.ScaleOutIntent]{Token: 43, At: 1796000000124, Open: []leader.ScaleOutIntent{{Request: wire.ScaleOutRequest{Name: "b-43-1", Type: "g8", Zone: "a", Spot: true, Count: 9}, Since: 1796000000125}}}},
-		{"booking, recorded", leader.ScaleOutIntent{Request: wire.ScaleOutRequest{Name: "b-43-2", Type: "g8", Zone: "b", Spot: true, Count: 8}, Since: 1796000000126}},
+		{"bookings", duty.IntentRecord[autoscaler.ScaleOutIntent]{Token: 43, At: 1796000000124, Open: []autoscaler.ScaleOutIntent{{Request: wire.ScaleOutRequest{Name: "b-43-1", Type: "g8", Zone: "a", Spot: true, Count: 9}, Since: 1796000000125}}}},
+		{"booking, recorded", autoscaler.ScaleOutIntent{Request: wire.ScaleOutRequest{Name: "b-43-2", Type: "g8", Zone: "b", Spot: true, Count: 8}, Since: 1796000000126}},
 		{"returns", duty.IntentRecord[wire.MachineID]{Token: 44, At: 1796000000127, Open: []wire.MachineID{"n-000231", "n-000232"}}},
 		{"active version", upgrade.ActiveRecord{Version: 2, By: "worker-2", At: 1796000000128}},
 		{"support", upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "c0ffee", At: 1796000000129}},
--- a/internal/leader/agent_client.go
+++ b/internal/leader/agents/client.go
@@ -1,4 +1,4 @@
-package leader
+package agents
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"lilaclead/internal/wire"
 )
 
-// AgentClient sends commands to the agents on the machines. It is safe for concurrent
+// Client sends commands to the agents on the machines. It is safe for concurrent
 // use.
-type AgentClient struct {
+type Client struct {
 	HTTP *http.Client
 	Mesh *peer.Mesh
 	// commandSlots bounds the commands under way and probeSlots the probes, each with a
@@ -23,10 +23,10 @@
 	commandSlots, probeSlots chan struct{}
 }
 
-// NewAgentClient returns a client that uses so many connections at a time.
-func NewAgentClient(network netio.Net, mesh *peer.Mesh, connections int) *AgentClient {
-	return &AgentClient{
-		HTTP:         &http.Client{Transport: network.Bounded(max(16, connections), 2*probeTimeout).Transport(2, max(4, connections/2))},
+// NewClient returns a client that uses so many connections at a time.
+func NewClient(network netio.Net, mesh *peer.Mesh, connections int) *Client {
+	return &Client{
+		HTTP:         &http.Client{Transport: network.Bounded(max(16, connections), 2*ProbeTimeout).Transport(2, max(4, connections/2))},
 		Mesh:         mesh,
 		commandSlots: make(chan struct{}, max(4, connections/3)),
 		probeSlots:   make(chan struct{}, max(2, connections/6)),
@@ -34,7 +34,7 @@
 }
 
 // Send sends a command to a worker.
-func (c *AgentClient) Send(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Heartbeat, int, error) {
+func (c *Client) Send(ctx context.Context, addr string, cmd wire.Commands, timeout time.Duration) (*wire.Heartbeat, int, error) {
 	if cmd.Commands == nil {
 		cmd.Commands = []wire.Command{}
 	}
@@ -62,8 +62,8 @@
 }
 
 // ProbeThroughPeer asks a worker for its report through another node.
-func (c *AgentClient) ProbeThroughPeer(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Heartbeat, int, error) {
-	status, raw, err := c.Mesh.Relay(ctx, node, "/peer/ask", relayedProbe{addr, cmd})
+func (c *Client) ProbeThroughPeer(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Heartbeat, int, error) {
+	status, raw, err := c.Mesh.Relay(ctx, node, "/peer/ask", RelayedProbe{addr, cmd})
 	if err != nil {
 		return nil, 0, err
 	}
@@ -75,7 +75,7 @@
 }
 
 // RandomConnectedPeer is some other node that is linked to this one.
-func (c *AgentClient) RandomConnectedPeer(now time.Time) wire.NodeID {
+func (c *Client) RandomConnectedPeer(now time.Time) wire.NodeID {
 	var near []wire.NodeID
 	for id, o := range c.Mesh.View().Peers {
 		if o.Connected(now) {
--- a/internal/leader/commands.go
+++ b/internal/leader/agents/dispatcher.go
@@ -1,33 +1,33 @@
-package leader
+package agents
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/wire"
 )
 
-// dispatcher sends commands to the agents: launches of what is stored, stops, and
+// Dispatcher sends commands to the agents: launches of what is stored, stops, and
 // probes. What is not known to have arrived it sends again.
-type dispatcher struct {
-	*Loop
-	state  *cluster.State
-	agents *AgentClient
+type Dispatcher struct {
+	*core.Loop
+	State  *cluster.State
+	Agents *Client
 	// tokenAnnounced: every machine of the first list has been shown the token.
-	tokenAnnounced bool
+	TokenAnnounced bool
 }
 
-// maxCommands keeps an answer, or a command, within the size that workers take.
-const maxCommands = 400
+// MaxCommands keeps an answer, or a command, within the size that workers take.
+const MaxCommands = 400
 
 // commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
-func (dp *dispatcher) commandsFor(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
-	out := dp.stopCommands(m, []wire.Command{}, now)
+func (dp *Dispatcher) CommandsFor(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
+	out := dp.StopCommands(m, []wire.Command{}, now)
 	for task, a := range m.Tasks {
-		if len(out) >= maxCommands {
+		if len(out) >= MaxCommands {
 			return out
 		}
 		if !a.Stopping && !a.Unstored && !a.Observed && !a.LaunchInFlight && m.DrainReason == "" && !a.Job.Cancelled && !a.Inherited && m.Inbound.Works() && a.MayLaunch() {
@@ -37,7 +37,7 @@
 	}
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
-		if len(out) >= maxCommands {
+		if len(out) >= MaxCommands {
 			return out
 		}
 		task, err := wire.ParseTask(p.Task)
@@ -48,7 +48,7 @@
 			continue
 		}
 		switch {
-		case dp.state.Quarantined(task.Job): // it may be one of those that can't be read
+		case dp.State.Quarantined(task.Job): // it may be one of those that can't be read
 		case p.Phase != wire.PhaseExited:
 			zero := wire.Seconds(0)
 			out = append(out, wire.Command{Verb: wire.Stop, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
@@ -59,11 +59,11 @@
 	return out
 }
 
-// stopCommands adds the halts of a machine's tasks that are to stop. These may be
+// StopCommands adds the halts of a machine's tasks that are to stop. These may be
 // sent without the state service too: a halt starts nothing.
-func (dp *dispatcher) stopCommands(m *cluster.Machine, out []wire.Command, now time.Time) []wire.Command {
+func (dp *Dispatcher) StopCommands(m *cluster.Machine, out []wire.Command, now time.Time) []wire.Command {
 	for task, a := range m.Tasks {
-		if len(out) >= maxCommands {
+		if len(out) >= MaxCommands {
 			break
 		}
 		if a.Stopping && !a.Unstored {
@@ -77,15 +77,15 @@
 // dispatcher.mayForget: the outcome is stored, and no launch that could start the
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
-func (dp *dispatcher) mayForget(m *cluster.Machine, task wire.Task, rep *wire.Heartbeat) bool {
+func (dp *Dispatcher) mayForget(m *cluster.Machine, task wire.Task, rep *wire.Heartbeat) bool {
 	if m.LaunchMayArrive(rep) {
 		dp.Fencing.RaiseRequested = true // a new token ends what may still be on its way
 		return false
 	}
-	if m.CommandInFlight || rep.Token < dp.state.FirstToken {
+	if m.CommandInFlight || rep.Token < dp.State.FirstToken {
 		return false
 	}
-	j := dp.state.Jobs[task.Job]
+	j := dp.State.Jobs[task.Job]
 	if j == nil {
 		return true
 	}
@@ -105,8 +105,8 @@
 	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: a.Number, GracePeriod: &w}
 }
 
-// dispatch sends what is new for a machine straight to it.
-func (dp *dispatcher) dispatch(m *cluster.Machine) {
+// Dispatch sends what is new for a machine straight to it.
+func (dp *Dispatcher) Dispatch(m *cluster.Machine) {
 	// Without the state service what is to stop is still halted.
 	withoutState := !dp.Lease.Deciding()
 	if m.CommandInFlight || m.Addr == "" || m.FirstHeartbeatAt.IsZero() || m.ScalingIn || withoutState && !dp.Lease.Answering() {
@@ -117,7 +117,7 @@
 	var launched []*cluster.Attempt
 	for task, a := range m.Tasks {
 		switch {
-		case a.Unstored || len(cmd.Commands) >= maxCommands:
+		case a.Unstored || len(cmd.Commands) >= MaxCommands:
 		case a.Stopping:
 			if now.Sub(a.StopSentAt) > 1500*time.Millisecond {
 				cmd.Commands = append(cmd.Commands, stopCommand(task, a))
@@ -135,74 +135,19 @@
 }
 
 // sendCommands sends a direct command and takes in its answer.
-func (dp *dispatcher) sendCommands(m *cluster.Machine, cmd wire.Commands, launched []*cluster.Attempt) {
+func (dp *Dispatcher) sendCommands(m *cluster.Machine, cmd wire.Commands, launched []*cluster.Attempt) {
 	m.CommandInFlight = true
-	addr, asked := m.Addr, heartbeatPosition{m.Epoch, m.Sequence}
+	addr, asked := m.Addr, Position{m.Epoch, m.Sequence}
 	dp.Spawn(func(ctx context.Context) {
-		heartbeat, status, err := dp.agents.Send(ctx, addr, cmd, commandTimeout)
-		dp.Post(commandAnswer{m, asked, cmd, launched, heartbeat, status, err})
+		heartbeat, status, err := dp.Agents.Send(ctx, addr, cmd, commandTimeout)
+		dp.Post(CommandAnswer{m, asked, cmd, launched, heartbeat, status, err})
 	})
 }
 
-// heartbeatPosition of a report among all of a machine's.
-type heartbeatPosition struct {
-	epoch    wire.AgentEpoch
-	sequence wire.Sequence
-}
-
-func (rc *reconciler) onCommandAnswer(e commandAnswer) {
-	m, asked, cmd, launched, rep, status, err := e.machine, e.askedAt, e.commands, e.launched, e.heartbeat, e.status, e.err
-	m.CommandInFlight = false
-	now := time.Now()
-	for _, a := range launched {
-		a.LaunchInFlight = false
-	}
-	switch {
-	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.ID:
-		rc.Metrics.Command("ok")
-		rc.inboundWorks(m)
-		m.LastMessageAt = now
-		if !rep.Newer(asked.epoch, asked.sequence) && !m.Restarted {
-			// Made after we asked, and yet not newer than what we had then.
-			rc.onRestart(m, rep, now)
-			break
-		}
-		rc.reconcile(m, rep, false, now)
-	case err != nil && wire.NotSent(err):
-		rc.Metrics.Command("not sent")
-		m.UnansweredProbes++
-		m.HeartbeatsMissingSince = time.Time{} // silent, which is looked after otherwise
-		m.Inbound.Unanswered()
-		for _, a := range launched {
-			if !a.Observed {
-				a.LaunchSent = false // certainly never left; the next report's answer carries it
-			}
-		}
-	default:
-		rc.Metrics.Command("lost")
-		m.UnansweredProbes++
-		m.HeartbeatsMissingSince = time.Time{}
-		m.Inbound.Unanswered()
-		rc.Log.Debug("command not answered", "machine", m.ID, "commands", len(cmd.Commands), "err", err, "status", status)
-		for _, a := range launched {
-			a.LaunchUnanswered, a.UnansweredLaunchToken = true, cmd.Token
-		}
-		if len(launched) > 0 {
-			m.UnansweredLaunch = cluster.UnansweredCommand{
-				Token: max(m.UnansweredLaunch.Token, cmd.Token),
-				Epoch: max(m.UnansweredLaunch.Epoch, cmd.Epoch),
-			}
-		}
-	}
-	if m.UnansweredProbes == 0 {
-		rc.dispatcher.dispatch(m)
-	}
-}
-
 const (
 	// commandTimeout is how long a command's answer is waited for. What is
 	// not answered may still be executed: launches are careful with it.
 	commandTimeout = 2500 * time.Millisecond
-	// probeTimeout is shorter, as two in a row tell a machine's end.
-	probeTimeout = 1200 * time.Millisecond
+	// ProbeTimeout is shorter, as two in a row tell a machine's end.
+	ProbeTimeout = 1200 * time.Millisecond
 )
--- /dev/null
+++ b/internal/leader/agents/events.go
@@ -0,0 +1,29 @@
+package agents
+
+import (
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
+)
+
+// Position of a report among all of a machine's.
+type Position struct {
+	Epoch    wire.AgentEpoch
+	Sequence wire.Sequence
+}
+
+// CommandAnswer is the outcome of a direct command to an agent, or of a probe.
+type CommandAnswer struct {
+	Machine   *cluster.Machine
+	AskedAt   Position // newest position known when it was sent
+	Commands  wire.Commands
+	Launched  []*cluster.Attempt
+	Heartbeat *wire.Heartbeat
+	Status    int
+	Err       error
+}
+
+// ProbeAnswer is the outcome of a probe.
+type ProbeAnswer struct {
+	CommandAnswer
+	Relayed bool // through another controller
+}
--- a/internal/leader/probes.go
+++ b/internal/leader/agents/probes.go
@@ -1,4 +1,4 @@
-package leader
+package agents
 
 import (
 	"context"
@@ -11,24 +11,24 @@
 	"lilaclead/internal/wire"
 )
 
-// probe asks a worker for its report and shows it our token.
-func (dp *dispatcher) probe(m *cluster.Machine) {
+// Probe asks a worker for its report and shows it our token.
+func (dp *Dispatcher) Probe(m *cluster.Machine) {
 	if m.CommandInFlight || m.Addr == "" {
 		return
 	}
 	session := max(m.Epoch, 1)
 	m.CommandInFlight = true
-	addr, cmd, asked := m.Addr, wire.Commands{Token: dp.Fencing.Token, Epoch: session}, heartbeatPosition{m.Epoch, m.Sequence}
+	addr, cmd, asked := m.Addr, wire.Commands{Token: dp.Fencing.Token, Epoch: session}, Position{m.Epoch, m.Sequence}
 	ask := func(ctx context.Context) (*wire.Heartbeat, int, error) {
-		return dp.agents.Send(ctx, addr, cmd, probeTimeout)
+		return dp.Agents.Send(ctx, addr, cmd, ProbeTimeout)
 	}
 	// What doesn't answer this node is asked once more through another one: it
 	// may be only the way from here that is cut.
 	relay := wire.NodeID("")
 	if m.UnansweredProbes > 0 {
-		if relay = dp.agents.RandomConnectedPeer(time.Now()); relay != "" {
+		if relay = dp.Agents.RandomConnectedPeer(time.Now()); relay != "" {
 			ask = func(ctx context.Context) (*wire.Heartbeat, int, error) {
-				return dp.agents.ProbeThroughPeer(ctx, relay, addr, cmd)
+				return dp.Agents.ProbeThroughPeer(ctx, relay, addr, cmd)
 			}
 		}
 	}
@@ -39,26 +39,26 @@
 			cmd.Epoch = rep.Epoch
 			rep, status, err = ask(ctx)
 		}
-		dp.Post(probeAnswer{commandAnswer{m, asked, cmd, nil, rep, status, err}, relay != ""})
+		dp.Post(ProbeAnswer{CommandAnswer{m, asked, cmd, nil, rep, status, err}, relay != ""})
 	})
 }
 
-// relayedProbe is one that another node passes on to a worker.
-type relayedProbe struct {
+// RelayedProbe is one that another node passes on to a worker.
+type RelayedProbe struct {
 	Addr     string        `cbor:"addr"`
 	Commands wire.Commands `cbor:"orders"`
 }
 
 // ServeRelayedProbe handles a leader's question to a worker that the leader can't reach.
 // It passes on no launches: those the leader keeps account of itself.
-func (l *Leader) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+func (c *Client) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	var a relayedProbe
+	var a RelayedProbe
 	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Commands.Commands) > 0 {
 		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a question to a worker"})
 		return
 	}
-	rep, status, err := l.agents.Send(r.Context(), a.Addr, a.Commands, probeTimeout)
+	rep, status, err := c.Send(r.Context(), a.Addr, a.Commands, ProbeTimeout)
 	if err != nil {
 		wire.RefuseRetryable(w, http.StatusBadGateway, "worker not reached", 1)
 		return
@@ -66,27 +66,27 @@
 	wire.Answer(w, status, rep)
 }
 
-// maxProbesPerTick is how many machines are asked directly in a tenth of a second.
+// MaxProbesPerTick is how many machines are asked directly in a tenth of a second.
 // All at once, those of a large deployment would hold up the renewals and the
 // reports behind them.
-const maxProbesPerTick = 25
+const MaxProbesPerTick = 25
 
-// announceToken shows our token to the machines that have not seen it and whose
+// AnnounceToken shows our token to the machines that have not seen it and whose
 // address is known, so that a new leader's report round takes a moment and
 // not a report's interval.
-func (dp *dispatcher) announceToken() {
-	if dp.tokenAnnounced || !dp.state.Recovered || !dp.Lease.Deciding() {
+func (dp *Dispatcher) AnnounceToken() {
+	if dp.TokenAnnounced || !dp.State.Recovered || !dp.Lease.Deciding() {
 		return
 	}
 	n := 0
-	for _, m := range dp.state.Machines {
-		if m.Booting || m.Token >= dp.state.FirstToken || m.CommandInFlight || m.Addr == "" || m.UnansweredProbes > 0 {
+	for _, m := range dp.State.Machines {
+		if m.Booting || m.Token >= dp.State.FirstToken || m.CommandInFlight || m.Addr == "" || m.UnansweredProbes > 0 {
 			continue
 		}
-		if n++; n > maxProbesPerTick {
+		if n++; n > MaxProbesPerTick {
 			return
 		}
-		dp.probe(m)
+		dp.Probe(m)
 	}
-	dp.tokenAnnounced = n == 0 && dp.state.MachineListReceived
+	dp.TokenAnnounced = n == 0 && dp.State.MachineListReceived
 }
--- a/internal/leader/stops.go
+++ b/internal/leader/agents/stops.go
@@ -1,4 +1,4 @@
-package leader
+package agents
 
 import (
 	"time"
@@ -7,19 +7,19 @@
 	"lilaclead/internal/wire"
 )
 
-// stop wants the attempt stopped, and with a gang's task all of the gang.
-func (dp *dispatcher) stop(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
+// Stop wants the attempt stopped, and with a gang's task all of the gang.
+func (dp *Dispatcher) Stop(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
 	if a.Job.Gang != nil {
-		dp.stopGang(a.Job, grace, why)
+		dp.StopGang(a.Job, grace, why)
 		return
 	}
 	dp.stopAttempt(a, grace, why)
 }
 
-func (dp *dispatcher) stopAttempt(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
+func (dp *Dispatcher) stopAttempt(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
 	if a.Unstored {
 		if !a.Chunk.WriteInFlight {
-			dp.state.EndAttempt(a, cluster.TaskPending)
+			dp.State.EndAttempt(a, cluster.TaskPending)
 		} else {
 			a.Stopping, a.GracePeriod, a.StopReason = true, grace, why
 		}
@@ -36,12 +36,12 @@
 		dp.Log.Info("stops", "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID, "why", why)
 		dp.Metrics.TaskMoved(string(why))
 	}
-	dp.dispatch(a.Machine)
+	dp.Dispatch(a.Machine)
 }
 
-// stopGang stops all tasks of a gang, all of them at once: those that are told
+// StopGang stops all tasks of a gang, all of them at once: those that are told
 // late don't save.
-func (dp *dispatcher) stopGang(j *cluster.Job, grace wire.Seconds, why cluster.EvictionReason) {
+func (dp *Dispatcher) StopGang(j *cluster.Job, grace wire.Seconds, why cluster.EvictionReason) {
 	g := j.Gang
 	if !g.Ran && !g.Inherited {
 		grace = 0 // there is nothing to save
@@ -55,18 +55,18 @@
 	}
 }
 
-// stopBrokenGangs looks after the gangs that have lost a task: what is left of one can
+// StopBrokenGangs looks after the gangs that have lost a task: what is left of one can
 // do nothing, and is stopped. Those that were told to stop in order end by
 // themselves.
-func (dp *dispatcher) stopBrokenGangs() {
-	for j := range dp.state.BrokenGangs {
-		delete(dp.state.BrokenGangs, j)
+func (dp *Dispatcher) StopBrokenGangs() {
+	for j := range dp.State.BrokenGangs {
+		delete(dp.State.BrokenGangs, j)
 		g := j.Gang
 		switch {
 		case g == nil:
 		case j.ActiveTasks == 0:
 			j.Gang = nil
-			dp.state.RequestCycle()
+			dp.State.RequestCycle()
 		case !g.Broken:
 			g.Broken = true
 			dp.Log.Info("gang lost a task", "job", j.Spec.ID, "try", g.Number, "ran", g.Ran, "stopping", g.StoppingGracefully, "age", time.Since(g.StartedAt), "left", j.ActiveTasks)
@@ -79,14 +79,14 @@
 	}
 }
 
-// stopCancelledJob stops what is left of a cancelled job. For a job that is read
+// StopCancelledJob stops what is left of a cancelled job. For a job that is read
 // during recovery this comes only once its attempts have been read too: before, it
 // looks as if nothing of it were left.
-func (dp *dispatcher) stopCancelledJob(j *cluster.Job) {
+func (dp *Dispatcher) StopCancelledJob(j *cluster.Job) {
 	dp.Log.Info("cancels", "job", j.Spec.ID, "held", j.ActiveTasks)
-	dp.state.CancelledJobs[j] = struct{}{}
+	dp.State.CancelledJobs[j] = struct{}{}
 	for _, a := range j.Attempts() {
 		dp.stopAttempt(a, 0, cluster.EvictedCancelled)
 	}
-	dp.state.MarkIfFinished(j)
+	dp.State.MarkIfFinished(j)
 }
--- a/internal/leader/intents.go
+++ b/internal/leader/autoscaler/intents.go
@@ -1,4 +1,4 @@
-package leader
+package autoscaler
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 	"lilaclead/duty"
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/wire"
 )
@@ -23,10 +24,10 @@
 	Since   wire.Timestamp       `cbor:"since"`
 }
 
-// cloudIntents are what the term is about to ask of the cloud, recorded before it is
+// CloudIntents are what the term is about to ask of the cloud, recorded before it is
 // sent (package duty). The cloud knows no tokens: a request of an earlier leader is
 // carried out as well as one of ours, however late. Off, nothing is recorded.
-type cloudIntents struct {
+type CloudIntents struct {
 	scaleOuts *duty.Intents[duty.ScaleOut, ScaleOutIntent]
 	scaleIns  *duty.Intents[duty.ScaleIn, wire.MachineID]
 
@@ -38,39 +39,39 @@
 	scaledInAt time.Time // when the last machines were gone
 }
 
-func newCloudIntents(lease *duty.Lease, settings *config.Settings) *cloudIntents {
+func newCloudIntents(lease *duty.Lease, settings *config.Settings) *CloudIntents {
 	limit := int(settings.State.Least().ValueKB * 1024)
-	return &cloudIntents{
+	return &CloudIntents{
 		scaleOuts: duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](lease, limit),
 		scaleIns:  duty.OpenIntents[duty.ScaleIn, wire.MachineID](lease, limit),
 	}
 }
 
-// earlierIntents is what an earlier leader left open.
-type earlierIntents struct {
+// EarlierIntents is what an earlier leader left open.
+type EarlierIntents struct {
 	scaleOuts []ScaleOutIntent
-	scaleIns  []wire.MachineID
+	ScaleIns  []wire.MachineID
 }
 
-// load reads what an earlier leader left open. A record that can't be decoded is left
+// Load reads what an earlier leader left open. A record that can't be decoded is left
 // alone, and what rests on it is refused for the whole term.
-func (c *cloudIntents) load(ctx context.Context) (earlierIntents, error) {
+func (c *CloudIntents) Load(ctx context.Context) (EarlierIntents, error) {
 	bookings, err := c.scaleOuts.Load(ctx)
 	if err != nil && !errors.Is(err, duty.ErrUndecodable) {
-		return earlierIntents{}, err
+		return EarlierIntents{}, err
 	}
 	returning, err := c.scaleIns.Load(ctx)
 	if err != nil && !errors.Is(err, duty.ErrUndecodable) {
-		return earlierIntents{}, err
+		return EarlierIntents{}, err
 	}
-	return earlierIntents{bookings.Open, returning.Open}, nil
+	return EarlierIntents{bookings.Open, returning.Open}, nil
 }
 
-// adoptIntents goes on with what an earlier leader was about to ask of the cloud, under the
+// AdoptIntents goes on with what an earlier leader was about to ask of the cloud, under the
 // same names: what it had done already is found done, and what comes late of it
 // changes nothing.
-func (sl *scaler) adoptIntents(earlier earlierIntents) {
-	for _, id := range earlier.scaleIns {
+func (sl *Scaler) AdoptIntents(earlier EarlierIntents) {
+	for _, id := range earlier.ScaleIns {
 		if _, gone := sl.state.RemovedMachines[id]; gone {
 			continue
 		}
@@ -78,24 +79,24 @@
 		// the release comes with a later look at the machine.
 		m := sl.state.GetOrAddMachine(id)
 		m.DrainReason = cluster.DrainAdoptedScaleIn
-		sl.scaleIn(m, cluster.DrainAdoptedScaleIn)
+		sl.ScaleIn(m, cluster.DrainAdoptedScaleIn)
 	}
 	for _, intent := range earlier.scaleOuts {
-		b := sl.tracker.Adopt(intent.Request, intent.Since.Time())
+		b := sl.Tracker.Adopt(intent.Request, intent.Since.Time())
 		sl.Log.Info("goes on with an earlier leader's booking", "booking", b.Name, "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "since", time.Since(b.RequestedAt))
 		sl.Spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
 	}
 }
 
 // mayScaleOut tells whether bookings can be recorded, or need not be.
-func (sl *scaler) mayScaleOut() bool {
-	return !sl.recordsIntents() || sl.intents.scaleOuts.Loaded()
+func (sl *Scaler) mayScaleOut() bool {
+	return !sl.recordsIntents() || sl.Intents.scaleOuts.Loaded()
 }
 
 // recordScaleOuts records the open bookings if some were made, or if none is left, and
 // then has the new ones sent.
-func (sl *scaler) recordScaleOuts(now time.Time) {
-	c := sl.intents
+func (sl *Scaler) recordScaleOuts(now time.Time) {
+	c := sl.Intents
 	if !sl.recordsIntents() || c.recording || !c.scaleOuts.Loaded() || !sl.Lease.Deciding() {
 		return
 	}
@@ -107,43 +108,43 @@
 	c.unrecorded, c.recording = nil, true
 	sl.Spawn(func(ctx context.Context) {
 		err := c.scaleOuts.Record(ctx, open)
-		sl.Post(scaleOutsRecorded{fresh, err})
+		sl.Post(ScaleOutsRecorded{fresh, err})
 	})
 }
 
 // scaleOutsSettled tells whether the record holds bookings that are all answered, for
 // a while.
-func (sl *scaler) scaleOutsSettled(now time.Time) bool {
-	c := sl.intents
-	return len(c.scaleOuts.Open()) > 0 && len(sl.tracker.PendingScaleOuts()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
+func (sl *Scaler) scaleOutsSettled(now time.Time) bool {
+	c := sl.Intents
+	return len(c.scaleOuts.Open()) > 0 && len(sl.Tracker.PendingScaleOuts()) == 0 && now.Sub(c.recordedAt) > clearIntentsAfter
 }
 
 // withdrawUnfitting withdraws the newest bookings for which the record has no room.
-func (sl *scaler) withdrawUnfitting() {
-	c := sl.intents
+func (sl *Scaler) withdrawUnfitting() {
+	c := sl.Intents
 	for len(c.unrecorded) > 0 && !c.scaleOuts.Fits(sl.scaleOutIntents()) {
 		last := len(c.unrecorded) - 1
-		sl.tracker.Withdraw(c.unrecorded[last])
+		sl.Tracker.Withdraw(c.unrecorded[last])
 		c.unrecorded = c.unrecorded[:last]
 	}
 }
 
 // scaleOutIntents are the open bookings as they are stored.
-func (sl *scaler) scaleOutIntents() []ScaleOutIntent {
+func (sl *Scaler) scaleOutIntents() []ScaleOutIntent {
 	out := []ScaleOutIntent{}
-	for _, b := range sl.tracker.PendingScaleOuts() {
+	for _, b := range sl.Tracker.PendingScaleOuts() {
 		out = append(out, ScaleOutIntent{b.ScaleOutRequest, wire.TimestampOf(b.RequestedAt)})
 	}
 	return out
 }
 
-// onScaleOutsRecorded has the bookings sent that are recorded now, or withdraws them.
-func (sl *scaler) onScaleOutsRecorded(fresh []*scaling.PendingScaleOut, err error) {
-	c := sl.intents
+// OnScaleOutsRecorded has the bookings sent that are recorded now, or withdraws them.
+func (sl *Scaler) OnScaleOutsRecorded(fresh []*scaling.PendingScaleOut, err error) {
+	c := sl.Intents
 	c.recording, c.recordedAt = false, time.Now()
 	for _, b := range fresh {
 		if err != nil {
-			sl.tracker.Withdraw(b)
+			sl.Tracker.Withdraw(b)
 			continue
 		}
 		sl.Spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
@@ -159,9 +160,9 @@
 
 // recordScaleIns records that machines are to be returned, for good: nothing will run
 // on them again under whatever leader. False: the term is over.
-func (sl *scaler) recordScaleIns(ctx context.Context, ids []wire.MachineID) bool {
+func (sl *Scaler) recordScaleIns(ctx context.Context, ids []wire.MachineID) bool {
 	for {
-		err := sl.intents.scaleIns.Record(ctx, ids)
+		err := sl.Intents.scaleIns.Record(ctx, ids)
 		if err == nil {
 			return true
 		}
@@ -170,7 +171,7 @@
 			return false
 		}
 		sl.Log.Debug("returns could not be recorded", "machines", len(ids), "err", err)
-		if !Pause(ctx, maxScaleInRetry) {
+		if !core.Pause(ctx, maxScaleInRetry) {
 			return false
 		}
 	}
@@ -178,29 +179,29 @@
 
 // clearScaleIns empties the record of returns when all are done for a while, so that no
 // later leader asks for them again.
-func (sl *scaler) clearScaleIns(now time.Time) {
-	c := sl.intents
-	if !sl.recordsIntents() || !sl.Lease.Deciding() || !sl.tracker.BeginScaleIn() {
+func (sl *Scaler) clearScaleIns(now time.Time) {
+	c := sl.Intents
+	if !sl.recordsIntents() || !sl.Lease.Deciding() || !sl.Tracker.BeginScaleIn() {
 		return
 	}
 	if len(c.scaleIns.Open()) == 0 || now.Sub(c.scaledInAt) <= clearIntentsAfter {
-		sl.tracker.EndScaleIn()
+		sl.Tracker.EndScaleIn()
 		return
 	}
 	sl.Spawn(func(ctx context.Context) {
 		if sl.recordScaleIns(ctx, []wire.MachineID{}) {
-			sl.Post(scaledIn{})
+			sl.Post(ScaledIn{})
 		}
 	})
 }
 
 // maxScaleInBatch is how many machines one record of returns has room for.
-func (sl *scaler) maxScaleInBatch() int {
+func (sl *Scaler) maxScaleInBatch() int {
 	if !sl.recordsIntents() {
 		return scaling.MaxScaleIn
 	}
 	n := scaling.MaxScaleIn
-	for n > 1 && !sl.intents.scaleIns.Fits(namesOfLength(n)) {
+	for n > 1 && !sl.Intents.scaleIns.Fits(namesOfLength(n)) {
 		n /= 2
 	}
 	return n
--- a/internal/leader/fleet_plan.go
+++ b/internal/leader/autoscaler/plan.go
@@ -1,4 +1,4 @@
-package leader
+package autoscaler
 
 import (
 	"time"
@@ -7,12 +7,12 @@
 	"lilaclead/internal/leader/scaling"
 )
 
-// planFleet rents for what can't be placed and returns what is not needed.
-func (sl *scaler) planFleet(now time.Time) {
+// PlanFleet rents for what can't be placed and returns what is not needed.
+func (sl *Scaler) PlanFleet(now time.Time) {
 	specs := sl.state.Catalog.Get()
 	sl.recordScaleOuts(now)
 	sl.clearScaleIns(now)
-	if !sl.state.Recovered || !sl.state.SchedulingEnabled || !sl.state.MachineListReceived || !sl.Lease.Deciding() || specs == nil || sl.tracker.Paused(now) {
+	if !sl.state.Recovered || !sl.state.SchedulingEnabled || !sl.state.MachineListReceived || !sl.Lease.Deciding() || specs == nil || sl.Tracker.Paused(now) {
 		return
 	}
 	plan := sl.scheduler.PlanCapacity(specs, sl.mayScaleOut(), now)
@@ -26,7 +26,7 @@
 	sl.scheduler.ApplyCordons(plan)
 	for _, id := range plan.ScaleIns {
 		if m := sl.state.Machines[id]; m != nil && len(m.Tasks) == 0 {
-			sl.scaleIn(m, cluster.DrainIdle)
+			sl.ScaleIn(m, cluster.DrainIdle)
 		}
 	}
 }
--- a/internal/leader/releases.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -1,4 +1,4 @@
-package leader
+package autoscaler
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 
 	"lilaclead/duty"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/wire"
 )
 
@@ -17,9 +18,9 @@
 	maxScaleInRetry = 2 * time.Second
 )
 
-// scaleIn returns a machine; its tasks count until the cloud has said that
+// ScaleIn returns a machine; its tasks count until the cloud has said that
 // it is gone.
-func (sl *scaler) scaleIn(m *cluster.Machine, why cluster.DrainReason) {
+func (sl *Scaler) ScaleIn(m *cluster.Machine, why cluster.DrainReason) {
 	if m.ScalingIn || !sl.Lease.Deciding() {
 		return
 	}
@@ -29,14 +30,14 @@
 	}
 	sl.Log.Info("releases", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.Tasks), "age", time.Since(m.RequestedAt))
 	sl.Metrics.Fleet("released", 1)
-	sl.tracker.QueueScaleIn(m.ID)
+	sl.Tracker.QueueScaleIn(m.ID)
 	sl.sendNextScaleIn()
 }
 
 // sendNextScaleIn sends the next request to release, if none is under way, and
 // repeats it until the cloud has answered.
-func (sl *scaler) sendNextScaleIn() {
-	ids := sl.tracker.NextScaleIn(sl.maxScaleInBatch())
+func (sl *Scaler) sendNextScaleIn() {
+	ids := sl.Tracker.NextScaleIn(sl.maxScaleInBatch())
 	if len(ids) == 0 {
 		return
 	}
@@ -46,14 +47,14 @@
 			return
 		}
 		if sl.sendScaleIn(ctx, ids) {
-			sl.Post(scaledIn{ids})
+			sl.Post(ScaledIn{ids})
 		}
 	})
 }
 
 // sendScaleIn keeps asking the cloud until it has answered that the machines are
 // gone, and only while the lease is held; false: the term is over.
-func (sl *scaler) sendScaleIn(ctx context.Context, ids []wire.MachineID) bool {
+func (sl *Scaler) sendScaleIn(ctx context.Context, ids []wire.MachineID) bool {
 	wait := minScaleInRetry
 	for ctx.Err() == nil {
 		err := sl.requestScaleIn(ctx, ids)
@@ -61,34 +62,34 @@
 			return true
 		}
 		sl.Log.Debug("release not answered", "machines", len(ids), "err", err)
-		Pause(ctx, wait+rand.N(wait/2))
+		core.Pause(ctx, wait+rand.N(wait/2))
 		wait = min(2*wait, maxScaleInRetry) // one request at a time, whatever waits
 	}
 	return false
 }
 
 // requestScaleIn asks the cloud once, if the lease is held.
-func (sl *scaler) requestScaleIn(ctx context.Context, ids []wire.MachineID) error {
+func (sl *Scaler) requestScaleIn(ctx context.Context, ids []wire.MachineID) error {
 	permit, err := duty.PermitFor[duty.ScaleIn](sl.Lease.Lease)
 	if err != nil {
 		return err
 	}
-	return sl.cloud.ScaleIn(ctx, permit, ids)
+	return sl.Cloud.ScaleIn(ctx, permit, ids)
 }
 
-// onScaledIn takes in that machines are gone, and with them what ran there.
-func (sl *scaler) onScaledIn(ids []wire.MachineID) {
+// OnScaledIn takes in that machines are gone, and with them what ran there.
+func (sl *Scaler) OnScaledIn(ids []wire.MachineID) {
 	for _, id := range ids {
 		sl.removeMachine(sl.state.Machines[id])
 	}
-	if sl.intents != nil {
-		sl.intents.scaledInAt = time.Now()
+	if sl.Intents != nil {
+		sl.Intents.scaledInAt = time.Now()
 	}
-	sl.tracker.EndScaleIn()
+	sl.Tracker.EndScaleIn()
 	sl.sendNextScaleIn()
 }
 
-func (sl *scaler) removeMachine(m *cluster.Machine) {
+func (sl *Scaler) removeMachine(m *cluster.Machine) {
 	sl.state.RemovedMachines[m.ID] = time.Now()
 	for _, a := range m.Tasks {
 		sl.Metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
--- a/internal/leader/rentals.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -1,4 +1,4 @@
-package leader
+package autoscaler
 
 import (
 	"context"
@@ -10,28 +10,38 @@
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/fleet"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/leader/scheduling"
 	"lilaclead/internal/wire"
+	"lilaclead/upgrade"
 )
 
-// scaler scales the cluster out and in: it asks the cloud for machines, and gives back
+// Scaler scales the cluster out and in: it asks the cloud for machines, and gives back
 // those that are not needed or not trusted.
-type scaler struct {
-	*Loop
+type Scaler struct {
+	*core.Loop
 	state     *cluster.State
 	scheduler *scheduling.Scheduler
-	tracker   *scaling.Tracker
-	cloud     *cloud.Client
+	Tracker   *scaling.Tracker
+	Cloud     *cloud.Client
 	versioned bool          // intents are recorded only from a version on
-	intents   *cloudIntents // nil: they are not recorded
+	Intents   *CloudIntents // nil: they are not recorded
 }
 
-func newScaler(loop *Loop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker, d *Dependencies) *scaler {
-	sl := &scaler{Loop: loop, state: state, scheduler: scheduler, tracker: tracker,
-		cloud: d.Cloud, versioned: d.Versions != nil}
-	if d.RecordIntents {
-		sl.intents = newCloudIntents(loop.Lease.Lease, state.Settings)
+// Options of a scaler.
+type Options struct {
+	Cloud *cloud.Client
+	// RecordIntents has requests recorded before they are sent; Versioned: only from
+	// VersionIntents on.
+	RecordIntents, Versioned bool
+}
+
+// NewScaler returns the scaler of a term.
+func NewScaler(loop *core.Loop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker, options Options) *Scaler {
+	sl := &Scaler{Loop: loop, state: state, scheduler: scheduler, Tracker: tracker, Cloud: options.Cloud, versioned: options.Versioned}
+	if options.RecordIntents {
+		sl.Intents = newCloudIntents(loop.Lease.Lease, state.Settings)
 	}
 	return sl
 }
@@ -44,11 +54,11 @@
 )
 
 // requestScaleOut books machines, once that is recorded if it is to be.
-func (sl *scaler) requestScaleOut(r fleet.ScaleOut) {
-	b := sl.tracker.StartScaleOut(r, time.Now())
+func (sl *Scaler) requestScaleOut(r fleet.ScaleOut) {
+	b := sl.Tracker.StartScaleOut(r, time.Now())
 	sl.Log.Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
 	if sl.recordsIntents() {
-		sl.intents.unrecorded = append(sl.intents.unrecorded, b)
+		sl.Intents.unrecorded = append(sl.Intents.unrecorded, b)
 		return
 	}
 	sl.Spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
@@ -56,32 +66,32 @@
 
 // sendScaleOut keeps asking for machines under the booking's name until the cloud has
 // answered, and only while the lease is held.
-func (sl *scaler) sendScaleOut(ctx context.Context, b *scaling.PendingScaleOut) {
+func (sl *Scaler) sendScaleOut(ctx context.Context, b *scaling.PendingScaleOut) {
 	var tries scaling.RetryState
 	wait := minScaleOutRetry
 	for ctx.Err() == nil {
 		machines, err := sl.callScaleOut(ctx, b)
 		if !errors.Is(err, duty.ErrNotHeld) && tries.Final(err) {
-			sl.Post(scaleOutAnswered{b, machines, err})
+			sl.Post(ScaleOutAnswered{b, machines, err})
 			return
 		}
-		Pause(ctx, wait+rand.N(wait/2))
+		core.Pause(ctx, wait+rand.N(wait/2))
 		wait = min(2*wait, maxScaleOutRetry)
 	}
 }
 
 // callScaleOut asks the cloud once, if the lease is held.
-func (sl *scaler) callScaleOut(ctx context.Context, b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
+func (sl *Scaler) callScaleOut(ctx context.Context, b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
 	permit, err := duty.PermitFor[duty.ScaleOut](sl.Lease.Lease)
 	if err != nil {
 		return nil, err
 	}
-	return sl.cloud.ScaleOut(ctx, permit, b.ScaleOutRequest)
+	return sl.Cloud.ScaleOut(ctx, permit, b.ScaleOutRequest)
 }
 
-// onScaleOutAnswered takes in the final answer to a booking.
-func (sl *scaler) onScaleOutAnswered(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
-	outcome, rest := sl.tracker.Answered(b, len(machines), err, time.Now())
+// OnScaleOutAnswered takes in the final answer to a booking.
+func (sl *Scaler) OnScaleOutAnswered(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
+	outcome, rest := sl.Tracker.Answered(b, len(machines), err, time.Now())
 	switch outcome {
 	case scaling.Filled, scaling.PartlyFilled:
 		sl.Metrics.Fleet("rented", len(machines))
@@ -103,14 +113,14 @@
 
 // maybeUnlisted tells whether the machines of a booking may be in no list yet. Those
 // of one that an earlier leader sent longer ago are, unless they are gone.
-func (sl *scaler) maybeUnlisted(b *scaling.PendingScaleOut) bool {
+func (sl *Scaler) maybeUnlisted(b *scaling.PendingScaleOut) bool {
 	lag := sl.state.Settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
 	return !b.Adopted || time.Since(b.RequestedAt) < lag
 }
 
 // addProvisioned adds the machines of a booking to the inventory. They may have
 // reported, or be gone again, before the booking's answer came.
-func (sl *scaler) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
+func (sl *Scaler) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
 		if _, gone := sl.state.RemovedMachines[id]; gone {
 			continue
@@ -121,3 +131,12 @@
 		}
 	}
 }
+
+// recordsIntents tells whether intents are recorded now: the part is on and, where
+// versions are negotiated, every controller understands it.
+func (sl *Scaler) recordsIntents() bool {
+	return sl.Intents != nil && (!sl.versioned || sl.state.ActiveVersion >= VersionIntents)
+}
+
+// VersionIntents is the version from which on intents are recorded.
+const VersionIntents upgrade.Version = 2
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -1,10 +1,8 @@
 package leader
 
 import (
-	"slices"
 	"time"
 
-	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
@@ -38,7 +36,7 @@
 		j.CancelledAt, _ = rd.cancels.ConfirmedAt(id)
 		rd.Log.Info("hears of a cancellation", "job", id, "deciding", rd.Lease.Deciding())
 		if rd.state.Recovered {
-			rd.dispatcher.stopCancelledJob(j)
+			rd.dispatcher.StopCancelledJob(j)
 		}
 	}
 	rd.findUnconfirmedCancels()
@@ -63,20 +61,3 @@
 	}
 	rd.Published.UnconfirmedCancelSince.Store(&first)
 }
-
-// renewalWithheld tells whether a machine's lease must not be renewed any more: a
-// launch of a cancelled task may be on its way there that its report does not
-// show, and that only the end of the session, or a token above the launch's,
-// can keep from starting too late.
-func (rc *reconciler) renewalWithheld(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) bool {
-	for task, a := range m.Tasks {
-		if !a.Job.Cancelled || a.Unstored || now.Sub(a.Job.CancelledAt) < rc.state.Delegation.MaxCancelAge || !a.LaunchInFlight && !(a.LaunchUnanswered && rc.Fencing.Token <= a.UnansweredLaunchToken) {
-			continue
-		}
-		name := task.String()
-		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.Number }) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/leader/loop.go
+++ b/internal/leader/core/loop.go
@@ -1,4 +1,4 @@
-package leader
+package core
 
 import (
 	"context"
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -15,7 +15,7 @@
 	for _, victim := range cycle.Preemptions {
 		// Stopping one task of a gang stops them all: look each up when it is its turn.
 		if a := t.state.ActiveAttempt(victim.Task); a != nil {
-			t.dispatcher.stop(a, t.state.GracePeriodOf(a.Job), cluster.EvictedPreempted)
+			t.dispatcher.Stop(a, t.state.GracePeriodOf(a.Job), cluster.EvictedPreempted)
 			t.scheduler.ExtendReservations(a, now)
 		}
 	}
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -71,8 +71,8 @@
 		"one is not held":       {func(tm *term, j *cluster.Job) { tm.state.EndAttempt(member(j, 2), cluster.TaskPending) }, false},
 		"one was lost":          {func(_ *term, j *cluster.Job) { j.Gang.Broken = true }, false},
 		"it is told to stop":    {func(_ *term, j *cluster.Job) { j.Gang.StoppingGracefully = true }, false},
-		"one has no time left":  {func(tm *term, j *cluster.Job) { tm.dispatcher.stopGang(j, 0, "makes room") }, false},
-		"it was told to stop":   {func(tm *term, j *cluster.Job) { j.Gang.Ran = true; tm.dispatcher.stopGang(j, 13, "makes room") }, false},
+		"one has no time left":  {func(tm *term, j *cluster.Job) { tm.dispatcher.StopGang(j, 0, "makes room") }, false},
+		"it was told to stop":   {func(tm *term, j *cluster.Job) { j.Gang.Ran = true; tm.dispatcher.StopGang(j, 13, "makes room") }, false},
 		"its job was cancelled": {func(_ *term, j *cluster.Job) { j.Cancelled = true }, false},
 	}
 	for name, c := range cases {
@@ -80,7 +80,7 @@
 		first := member(j, 0)
 		c.setup(tm, j)
 		rep := said(1, 11, tm.state.FirstToken)
-		if sent := launches(tm.dispatcher.commandsFor(first.Machine, rep, time.Now())) == 1; sent != c.may {
+		if sent := launches(tm.dispatcher.CommandsFor(first.Machine, rep, time.Now())) == 1; sent != c.may {
 			t.Errorf("%s: the first task's launch is sent: %v", name, sent)
 		}
 	}
@@ -120,8 +120,8 @@
 		if name != "the others wait" {
 			continue
 		}
-		tm.reconciler.reconcile(a.Machine, said(1, 11, tm.state.FirstToken), true, time.Now())
-		if n := launches(tm.dispatcher.commandsFor(a.Machine, said(1, 11, tm.state.FirstToken), time.Now())); j.ActiveTasks != 3 || n != 1 {
+		tm.reconciler.Reconcile(a.Machine, said(1, 11, tm.state.FirstToken), true, time.Now())
+		if n := launches(tm.dispatcher.CommandsFor(a.Machine, said(1, 11, tm.state.FirstToken), time.Now())); j.ActiveTasks != 3 || n != 1 {
 			t.Errorf("%s: %d held, %d launches", name, j.ActiveTasks, n)
 		}
 	}
@@ -162,7 +162,7 @@
 		tm, j := gangRig(t, 3, 4)
 		c.setup(j.Gang)
 		for _, windDown := range c.told {
-			tm.dispatcher.stop(member(j, 1), windDown, "makes room")
+			tm.dispatcher.Stop(member(j, 1), windDown, "makes room")
 		}
 		for i, got := range halts(j) {
 			if got != c.want {
@@ -179,8 +179,8 @@
 func TestGangCancelledWhileSaving(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	j.Gang.Ran = true
-	tm.dispatcher.stop(member(j, 1), 13, "makes room")
-	tm.dispatcher.stopCancelledJob(j)
+	tm.dispatcher.Stop(member(j, 1), 13, "makes room")
+	tm.dispatcher.StopCancelledJob(j)
 	if got := halts(j); got[0] != 0 || got[1] != 0 || got[2] != 0 {
 		t.Errorf("time to save %v", got)
 	}
@@ -191,12 +191,12 @@
 func TestMendGangs(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	j.Gang.Ran = true
-	tm.dispatcher.stopBrokenGangs()
+	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
 	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
-	tm.dispatcher.stopBrokenGangs()
+	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.Gang.Broken {
 		t.Errorf("one is lost: %v", got)
 	}
@@ -206,16 +206,16 @@
 	tm.state.EndAttempt(member(j, 0), cluster.TaskPending)
 	tm.state.EndAttempt(member(j, 2), cluster.TaskPending)
 	tm.state.Cycle.Requested = false
-	tm.dispatcher.stopBrokenGangs()
+	tm.dispatcher.StopBrokenGangs()
 	if j.Gang != nil || !tm.state.Cycle.Requested || !tm.scheduler.Schedulable(j, time.Now()) {
 		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.Gang, tm.state.Cycle.Requested, tm.scheduler.Schedulable(j, time.Now()))
 	}
 
 	tm, j = gangRig(t, 3, 4)
 	j.Gang.Ran = true
-	tm.dispatcher.stop(member(j, 0), 13, "makes room")
+	tm.dispatcher.Stop(member(j, 0), 13, "makes room")
 	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
-	tm.dispatcher.stopBrokenGangs()
+	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
 	}
@@ -225,9 +225,9 @@
 func TestGangDone(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
 	m := member(j, 1).Machine
-	tm.reconciler.reconcile(m, &wire.Heartbeat{Machine: m.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
+	tm.reconciler.Reconcile(m, &wire.Heartbeat{Machine: m.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
-	tm.dispatcher.stopBrokenGangs()
+	tm.dispatcher.StopBrokenGangs()
 	mustBeDone(t, "one reported done", tm, j)
 }
 
@@ -291,7 +291,7 @@
 		if c.gang && (j.Gang.Number != 4 || !j.Gang.Inherited || j.Gang.Ran) {
 			t.Errorf("%s: %+v", name, j.Gang)
 		}
-		tm.dispatcher.stopBrokenGangs()
+		tm.dispatcher.StopBrokenGangs()
 		if c.gang && j.Gang.Broken != c.mend {
 			t.Errorf("%s: lost %v", name, j.Gang.Broken)
 		}
@@ -373,7 +373,7 @@
 		watch := func(left time.Duration) {
 			now := time.Now()
 			m.ReclaimAt, m.DrainReason = now.Add(left), cluster.DrainSpotNotice
-			tm.monitor.checkMachine(m, tm.monitor.countMachines(now), now)
+			tm.monitor.CheckMachine(m, tm.monitor.CountMachines(now), now)
 		}
 		if !deciding {
 			if watch(time.Second); array.Stopping || member(j, 0).Stopping {
@@ -395,8 +395,8 @@
 		r := tm.tell(&wire.Heartbeat{Machine: other.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
-		if r.commands != nil {
-			for _, o := range r.commands.Commands {
+		if r.Commands != nil {
+			for _, o := range r.Commands.Commands {
 				if o.Verb == wire.Stop && o.Task == "req-2/1" && *o.GracePeriod == 13 {
 					told++
 				}
@@ -408,11 +408,11 @@
 			tm.Begin(ended)
 			other.Addr = "10.1.0.1:9000"
 			member(j, 1).StopSentAt = time.Time{}
-			if tm.dispatcher.dispatch(other); waiting.LaunchSent || member(j, 1).StopSentAt.IsZero() {
+			if tm.dispatcher.Dispatch(other); waiting.LaunchSent || member(j, 1).StopSentAt.IsZero() {
 				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.LaunchSent, !member(j, 1).StopSentAt.IsZero())
 			}
 		}
-		if n := launches(r.commands.Commands); told != 1 || (n == 1) != deciding {
+		if n := launches(r.Commands.Commands); told != 1 || (n == 1) != deciding {
 			t.Errorf("deciding %v: the answer to another machine has %d halts and %d launches", deciding, told, n)
 		}
 	}
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
@@ -20,14 +21,14 @@
 	a.LaunchSent, a.Observed, a.Phase = true, true, wire.PhaseRunning
 	held := tm.Lease
 	tm.Lease = leaseFor(tm.leader, tm.Fencing.Token, -time.Second)
-	tm.scaler.adoptIntents(earlierIntents{scaleIns: []wire.MachineID{m.ID}})
+	tm.scaler.AdoptIntents(autoscaler.EarlierIntents{ScaleIns: []wire.MachineID{m.ID}})
 	if m.ScalingIn || m.DrainReason != cluster.DrainAdoptedScaleIn {
 		t.Errorf("without a lease: releasing %v, drains as %q", m.ScalingIn, m.DrainReason)
 	}
 	tm.Lease = held
 	now := time.Now()
 	m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = now, now, now
-	tm.monitor.checkMachines(now)
+	tm.monitor.CheckMachines(now)
 	if !m.ScalingIn || len(m.Tasks) != 1 {
 		t.Errorf("with the lease: releasing %v, %d tasks", m.ScalingIn, len(m.Tasks))
 	}
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -7,17 +7,19 @@
 
 	"lilaclead/duty"
 	"lilaclead/internal/cloud"
+	"lilaclead/internal/leader/agents"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // inventory follows the cloud's machine list and its machine types.
 type inventory struct {
-	*Loop
+	*core.Loop
 	state      *cluster.State
 	cloud      *cloud.Client
-	dispatcher *dispatcher
+	dispatcher *agents.Dispatcher
 }
 
 // pollMachineList reads the machine list again and again.
@@ -62,7 +64,7 @@
 				m.RequestedAt = age
 			}
 			if h.State == wire.ListedRunning && m.Token < in.state.FirstToken && m.UnansweredProbes == 0 && !m.ScalingIn {
-				in.dispatcher.tokenAnnounced = false
+				in.dispatcher.TokenAnnounced = false
 			}
 		}
 		if h.State == wire.ListedFailed && !m.FailedInCloud {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -29,9 +29,12 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/agents"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
+	"lilaclead/internal/leader/reconcile"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
@@ -52,7 +55,7 @@
 	Tuning  *tuning.Current
 	Catalog *cluster.MachineCatalog
 	Log     *slog.Logger
-	Metrics Metrics
+	Metrics core.Metrics
 	// Undecodable is told of records and reports that can't be decoded.
 	Undecodable *undecodable.Log
 	// Observe is told of what is decided under the leadership's lease; nil: nobody.
@@ -69,19 +72,6 @@
 	RequiredFDs func(workers int) int
 }
 
-// Metrics is told what happens; nil functions are not allowed.
-type Metrics struct {
-	SchedulingCycle func(took time.Duration, starts, halts int)
-	BecameLeader    func()
-	Heartbeat       func(status string)
-	StartDelay      func(lane string, seconds float64)
-	Command         func(outcome string)
-	TaskMoved       func(why string)
-	Fleet           func(what string, n int)
-	// Machines is told the number of machines in each state.
-	Machines func(map[string]int)
-}
-
 // Leader campaigns for the leadership and serves while it holds it.
 type Leader struct {
 	Dependencies
@@ -90,7 +80,7 @@
 	// agentContacts names each worker that reports to this node, whoever leads.
 	agentContacts   chan wire.MachineID
 	agentsInContact atomic.Int64
-	agents          *AgentClient
+	agents          *agents.Client
 	// delegationBounds bounds for how long leases may be renewed on a leader's behalf;
 	// delegate is this node in that part.
 	delegationBounds delegation.Bounds
@@ -104,7 +94,7 @@
 		candidate:        newCandidate(d),
 		agentContacts:    make(chan wire.MachineID, 64),
 		delegationBounds: delegation.BoundsOf(d.Config.Settings.Workers),
-		agents:           NewAgentClient(d.Net, d.Mesh, d.Sockets),
+		agents:           agents.NewClient(d.Net, d.Mesh, d.Sockets),
 	}
 	l.delegate = newDelegate(d, l.delegationBounds)
 	return l
@@ -123,7 +113,7 @@
 	s := &d.Config.Settings
 	return delegation.New(delegation.Config{
 		Bounds: bounds, Mesh: d.Mesh, Cancels: d.Cancels, Nodes: s.Size, Workers: d.Workers,
-		ReportEvery: s.Workers.HeartbeatInterval.Duration(), MaxCommands: maxCommands,
+		ReportEvery: s.Workers.HeartbeatInterval.Duration(), MaxCommands: agents.MaxCommands,
 	})
 }
 
@@ -246,7 +236,7 @@
 
 // answerFromTerm has the term's loop answer a report.
 func (l *Leader) answerFromTerm(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Heartbeat, relayed bool) {
-	ask := heartbeatCall{heartbeat: rep, relayed: relayed, reply: make(chan heartbeatReply, 1)}
+	ask := reconcile.Call{Heartbeat: rep, Relayed: relayed, Reply: make(chan reconcile.Reply, 1)}
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	select {
@@ -255,17 +245,17 @@
 	case <-ctx.Done():
 	}
 	select {
-	case a := <-ask.reply:
+	case a := <-ask.Reply:
 		switch {
-		case a.redirect:
+		case a.Redirect:
 			l.Metrics.Heartbeat("sent here")
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
-		case a.commands == nil:
+		case a.Commands == nil:
 			l.Metrics.Heartbeat("refused")
-			wire.RefuseRetryable(w, http.StatusServiceUnavailable, a.rejected.Error(), 1)
+			wire.RefuseRetryable(w, http.StatusServiceUnavailable, a.Rejected.Error(), 1)
 		default:
 			l.Metrics.Heartbeat("ok")
-			wire.Answer(w, http.StatusOK, a.commands)
+			wire.Answer(w, http.StatusOK, a.Commands)
 		}
 	case <-t.Done:
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no longer leads", 1)
@@ -310,3 +300,8 @@
 	}
 	l.answerFromTerm(r.Context(), w, t, rep, true)
 }
+
+// ServeRelayedProbe handles a leader's question to an agent that the leader can't reach.
+func (l *Leader) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	l.agents.ServeRelayedProbe(w, r, params)
+}
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -24,7 +24,7 @@
 			for _, m := range tm.state.Machines {
 				if !skip(m) {
 					rep := reportOf(m)
-					tm.reconciler.reconcile(m, &rep, true, time.Now())
+					tm.reconciler.Reconcile(m, &rep, true, time.Now())
 					m.LastReplyAt = time.Now()
 				}
 			}
@@ -41,7 +41,7 @@
 					}
 					return silent(m) || n%20 != turn
 				})
-				tm.monitor.checkMachines(time.Now())
+				tm.monitor.CheckMachines(time.Now())
 				for more := true; more; {
 					select {
 					case e := <-tm.Events:
@@ -108,20 +108,20 @@
 	tm.state.TermStartedAt = now.Add(-40 * time.Second)
 	since := func(at time.Time) time.Duration { return at.Sub(tm.state.TermStartedAt).Round(time.Second) }
 	// Without a time for delegates, and with a majority.
-	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != peer.OutageLimit {
+	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != peer.OutageLimit {
 		t.Errorf("without delegates: %v", got)
 	}
 	tm.state.Delegation.Time = 22 * time.Second
-	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 22*time.Second {
+	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != 22*time.Second {
 		t.Errorf("never acknowledged: %v", got)
 	}
 	tm.state.Delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
-	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 7*time.Second {
+	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != 7*time.Second {
 		t.Errorf("never acknowledged, little time for delegates: %v", got)
 	}
 	tm.state.Delegation.Time = 22 * time.Second
 	tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(3 * time.Second)
-	if got := since(tm.monitor.earlierLeaderRepliesUntil()); got != 5*time.Second {
+	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != 5*time.Second {
 		t.Errorf("acknowledged after 3 s: %v", got)
 	}
 	// Of the others' last acknowledged beats the oldest counts.
@@ -166,7 +166,7 @@
 							m.LastMessageAt = time.Now()
 						}
 					}
-					tm.monitor.checkMachines(time.Now())
+					tm.monitor.CheckMachines(time.Now())
 				}
 			}
 			defer tm.End("the test is over")
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -13,6 +13,7 @@
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/election"
+	"lilaclead/internal/leader/reconcile"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
@@ -22,14 +23,14 @@
 // away gives a term a cloud and workers that can't be reached.
 func away(tm *term) {
 	nw := simulator.NewNetwork(0).Host("10.0.0.1")
-	tm.scaler.cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
-	tm.dispatcher.agents.HTTP = &http.Client{Transport: nw.Transport(2, 2)}
+	tm.scaler.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, nw)
+	tm.dispatcher.Agents.HTTP = &http.Client{Transport: nw.Transport(2, 2)}
 }
 
-func (t *term) tell(rep *wire.Heartbeat) heartbeatReply {
-	h := heartbeatCall{heartbeat: *rep, reply: make(chan heartbeatReply, 1)}
-	t.reconciler.onHeartbeat(h)
-	return <-h.reply
+func (t *term) tell(rep *wire.Heartbeat) reconcile.Reply {
+	h := reconcile.Call{Heartbeat: *rep, Reply: make(chan reconcile.Reply, 1)}
+	t.reconciler.OnHeartbeat(h)
+	return <-h.Reply
 }
 
 // A machine whose reports come in and that receives nothing is told by what it
@@ -78,7 +79,7 @@
 			for n := wire.Sequence(20); n < 30; n++ {
 				time.Sleep(2 * time.Second)
 				m.LastMessageAt = time.Now() // it goes on reporting
-				tm.monitor.checkMachines(time.Now())
+				tm.monitor.CheckMachines(time.Now())
 			}
 			if m.ScalingIn != c.lost {
 				t.Errorf("%s: returned %v", name, m.ScalingIn)
@@ -93,14 +94,14 @@
 	withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 		away(tm)
 		tm.tell(said(1, 20, tm.Fencing.Token))
-		if r := tm.tell(said(1, 19, tm.Fencing.Token)); r.commands == nil || len(r.commands.Commands) > 0 {
+		if r := tm.tell(said(1, 19, tm.Fencing.Token)); r.Commands == nil || len(r.Commands.Commands) > 0 {
 			t.Errorf("a report that crossed a newer one: %+v", r)
 		}
 		time.Sleep(10 * time.Second)
 		m.Addr = "10.1.0.1:9000"
 		before := *m
 		for _, rep := range []*wire.Heartbeat{said(1, 20, tm.Fencing.Token), said(1, 3, tm.Fencing.Token), said(0, 99, 0)} {
-			if r := tm.tell(rep); r.rejected == nil {
+			if r := tm.tell(rep); r.Rejected == nil {
 				t.Errorf("copy %d/%d answered %+v", rep.Epoch, rep.Sequence, r)
 			}
 		}
@@ -114,14 +115,14 @@
 		tm.state.RemovedMachines["n-9"] = time.Now()
 		gone := said(9, 9, tm.Fencing.Token)
 		gone.Machine = "n-9"
-		if r := tm.tell(gone); r.rejected == nil || tm.state.Machines["n-9"] != nil {
+		if r := tm.tell(gone); r.Rejected == nil || tm.state.Machines["n-9"] != nil {
 			t.Errorf("a copy of a returned machine's report: %+v", r)
 		}
 		// While a term is still reading its books, the newest report counts.
-		tm.state.Recovered, tm.reconciler.earlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
+		tm.state.Recovered, tm.reconciler.EarlyHeartbeats = false, map[wire.MachineID]wire.Heartbeat{}
 		tm.tell(said(2, 5, tm.Fencing.Token))
 		tm.tell(said(1, 40, tm.Fencing.Token))
-		if got := tm.reconciler.earlyHeartbeats["n-1"]; got.Epoch != 2 {
+		if got := tm.reconciler.EarlyHeartbeats["n-1"]; got.Epoch != 2 {
 			t.Errorf("kept report %d/%d", got.Epoch, got.Sequence)
 		}
 	})
@@ -165,7 +166,7 @@
 						x.UnansweredProbes, x.RelayUnanswered = 2, true
 					}
 				}
-				tm.monitor.checkMachines(time.Now())
+				tm.monitor.CheckMachines(time.Now())
 			}
 		}
 		watch(10 * time.Second)
--- a/internal/leader/failures.go
+++ b/internal/leader/reconcile/failures.go
@@ -1,4 +1,4 @@
-package leader
+package reconcile
 
 import (
 	"time"
@@ -10,7 +10,7 @@
 const slowFactor = 1.6
 
 // recordRunTime compares a completed run with the job's others.
-func (rc *reconciler) recordRunTime(a *cluster.Attempt, now time.Time) {
+func (rc *Reconciler) recordRunTime(a *cluster.Attempt, now time.Time) {
 	took := now.Sub(a.RunningSince).Seconds()
 	j := a.Job
 	if len(j.RunTimes.Samples) >= 3 {
@@ -19,7 +19,7 @@
 		} else {
 			a.Machine.SlowRuns.Normal++
 		}
-		if a.Machine.SlowRuns.Slow >= 3 && a.Machine.SlowRuns.Slow > 3*a.Machine.SlowRuns.Normal && rc.mayDrainSuspect() {
+		if a.Machine.SlowRuns.Slow >= 3 && a.Machine.SlowRuns.Slow > 3*a.Machine.SlowRuns.Normal && rc.MayDrainSuspect() {
 			rc.drainMachine(a.Machine, cluster.DrainSlow)
 		}
 	}
@@ -29,7 +29,7 @@
 // onTaskFailure tells a faulty machine from a faulty job. A job that fails wherever
 // it runs is retried ever more rarely; a machine on which several jobs fail,
 // or one that others' machines run well, is drained and returned.
-func (rc *reconciler) onTaskFailure(a *cluster.Attempt, now time.Time) {
+func (rc *Reconciler) onTaskFailure(a *cluster.Attempt, now time.Time) {
 	j, m := a.Job, a.Machine
 	if j.FailedMachines == nil {
 		j.FailedMachines = map[wire.MachineID]bool{}
@@ -40,7 +40,7 @@
 	m.Failures++
 	rc.Log.Info("task failed", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "job_machines", len(j.FailedMachines), "machine_jobs", len(m.FailedJobs))
 	faultyMachine := len(m.FailedJobs) >= 2 || j.Succeeded && m.Failures >= 2 || m.Failures >= 2 && len(j.FailedMachines) == 1 && j.Failures >= 3
-	if faultyMachine && rc.mayDrainSuspect() {
+	if faultyMachine && rc.MayDrainSuspect() {
 		rc.drainMachine(m, cluster.DrainFaulty)
 	}
 	if len(j.FailedMachines) >= 2 {
@@ -60,9 +60,9 @@
 	}
 }
 
-// mayDrainSuspect bounds what suspicion may take out of service at a time: a fault
+// MayDrainSuspect bounds what suspicion may take out of service at a time: a fault
 // that shows on many machines is not the machines'.
-func (rc *reconciler) mayDrainSuspect() bool {
+func (rc *Reconciler) MayDrainSuspect() bool {
 	n, all := 0, 0
 	for _, m := range rc.state.Machines {
 		if m.Booting {
@@ -77,7 +77,7 @@
 }
 
 // drainMachine takes a machine out of service; it is returned when empty.
-func (rc *reconciler) drainMachine(m *cluster.Machine, why cluster.DrainReason) {
+func (rc *Reconciler) drainMachine(m *cluster.Machine, why cluster.DrainReason) {
 	if m.DrainReason != "" || m.ScalingIn {
 		return
 	}
@@ -90,7 +90,7 @@
 		case !a.LaunchSent && !a.Inherited:
 			rc.state.EndAttempt(a, cluster.TaskPending) // never sent by anyone
 		case why == cluster.DrainFaulty, why == cluster.DrainSlow && a.Job.Spec.Service():
-			rc.dispatcher.stop(a, rc.state.GracePeriodOf(a.Job), cluster.EvictionReason(why))
+			rc.dispatcher.Stop(a, rc.state.GracePeriodOf(a.Job), cluster.EvictionReason(why))
 		}
 	}
 	rc.state.RequestCycle()
--- a/internal/leader/reports.go
+++ b/internal/leader/reconcile/reconciler.go
@@ -1,24 +1,30 @@
-package leader
+package reconcile
 
 import (
 	"errors"
+	"net/http"
+	"slices"
 	"time"
 
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/delegation"
+	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/wire"
 )
 
-// reconciler squares what the agents' heartbeats say with what is recorded, and answers
+// Reconciler squares what the agents' heartbeats say with what is recorded, and answers
 // them.
-type reconciler struct {
-	*Loop
+type Reconciler struct {
+	*core.Loop
 	state      *cluster.State
 	delegate   *delegation.Delegate
-	dispatcher *dispatcher
-	scaler     *scaler
-	// earlyHeartbeats are the newest ones that came before the records were read.
-	earlyHeartbeats map[wire.MachineID]wire.Heartbeat
+	dispatcher *agents.Dispatcher
+	scaler     *autoscaler.Scaler
+	// EarlyHeartbeats are the newest ones that came before the records were read.
+	EarlyHeartbeats map[wire.MachineID]wire.Heartbeat
 }
 
 // Why a heartbeat is not answered. The agent tries another controller.
@@ -30,65 +36,65 @@
 	errCancelPending        = errors.New("a cancelled task may still start there")
 )
 
-func newReconciler(loop *Loop, state *cluster.State, delegate *delegation.Delegate, dispatcher *dispatcher, scaler *scaler) *reconciler {
-	return &reconciler{Loop: loop, state: state, delegate: delegate, dispatcher: dispatcher, scaler: scaler,
-		earlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}}
+func NewReconciler(loop *core.Loop, state *cluster.State, delegate *delegation.Delegate, dispatcher *agents.Dispatcher, scaler *autoscaler.Scaler) *Reconciler {
+	return &Reconciler{Loop: loop, state: state, delegate: delegate, dispatcher: dispatcher, scaler: scaler,
+		EarlyHeartbeats: map[wire.MachineID]wire.Heartbeat{}}
 }
 
-// onHeartbeat answers a report.
-func (rc *reconciler) onHeartbeat(c heartbeatCall) {
-	c.reply <- rc.answerHeartbeat(&c.heartbeat, c.relayed, time.Now())
+// OnHeartbeat answers a report.
+func (rc *Reconciler) OnHeartbeat(c Call) {
+	c.Reply <- rc.answerHeartbeat(&c.Heartbeat, c.Relayed, time.Now())
 }
 
-func (rc *reconciler) answerHeartbeat(rep *wire.Heartbeat, relayed bool, now time.Time) heartbeatReply {
+func (rc *Reconciler) answerHeartbeat(rep *wire.Heartbeat, relayed bool, now time.Time) Reply {
 	if !rc.Lease.Answering() {
-		return heartbeatReply{rejected: errNotLeading}
+		return Reply{Rejected: errNotLeading}
 	}
 	if !rc.delegate.MayRenew(now) {
-		return heartbeatReply{rejected: errCancellationsUnknown}
+		return Reply{Rejected: errCancellationsUnknown}
 	}
 	if _, gone := rc.state.RemovedMachines[rep.Machine]; gone {
 		// Released, and the cloud said so: only a late copy can come.
-		return heartbeatReply{rejected: errMachineRemoved}
+		return Reply{Rejected: errMachineRemoved}
 	}
 	m := rc.state.GetOrAddMachine(rep.Machine)
 	if !rc.state.Recovered {
 		rc.keepEarlyHeartbeat(rep)
 		m.LastMessageAt, m.LastReplyAt = now, now
-		return heartbeatReply{commands: rc.cancelledStops(rep)}
+		return Reply{Commands: rc.cancelledStops(rep)}
 	}
 	if !rep.Newer(m.Epoch, m.Sequence) {
 		return rc.onStaleHeartbeat(m, rep, now)
 	}
 	if rc.recordHeartbeatPath(m, relayed, now) {
-		return heartbeatReply{redirect: true}
+		return Reply{Redirect: true}
 	}
 	rc.checkInbound(m, rep, now)
-	rc.reconcile(m, rep, true, now)
+	rc.Reconcile(m, rep, true, now)
 	if rc.renewalWithheld(m, rep, now) {
-		return heartbeatReply{rejected: errCancelPending}
+		return Reply{Rejected: errCancelPending}
 	}
 	m.LastReplyAt = now
 	m.Inbound.Answered(rc.Fencing.Token, rep.Epoch, rep.Sequence)
 	answer := &wire.Commands{Token: rc.Fencing.Token}
 	if rc.Lease.Deciding() {
-		answer.Commands = rc.dispatcher.commandsFor(m, rep, now)
+		answer.Commands = rc.dispatcher.CommandsFor(m, rep, now)
 	} else {
-		answer.Commands = rc.dispatcher.stopCommands(m, rc.delegate.Halts(rep), now)
+		answer.Commands = rc.dispatcher.StopCommands(m, rc.delegate.Halts(rep), now)
 	}
-	return heartbeatReply{commands: answer}
+	return Reply{Commands: answer}
 }
 
 // cancelledStops answers a report with no more than the halts of what is known to be
 // cancelled.
-func (rc *reconciler) cancelledStops(rep *wire.Heartbeat) *wire.Commands {
+func (rc *Reconciler) cancelledStops(rep *wire.Heartbeat) *wire.Commands {
 	return &wire.Commands{Token: rc.Fencing.Token, Commands: rc.delegate.Halts(rep)}
 }
 
 // keepEarlyHeartbeat keeps the newest report of a machine until the records are read.
-func (rc *reconciler) keepEarlyHeartbeat(rep *wire.Heartbeat) {
-	if e, ok := rc.earlyHeartbeats[rep.Machine]; !ok || rep.Newer(e.Epoch, e.Sequence) {
-		rc.earlyHeartbeats[rep.Machine] = *rep
+func (rc *Reconciler) keepEarlyHeartbeat(rep *wire.Heartbeat) {
+	if e, ok := rc.EarlyHeartbeats[rep.Machine]; !ok || rep.Newer(e.Epoch, e.Sequence) {
+		rc.EarlyHeartbeats[rep.Machine] = *rep
 	}
 }
 
@@ -96,7 +102,7 @@
 // come here by itself: one that is new, or new to this leader, is sent here first.
 // If it was here before, or was sent here and turns up elsewhere again, it can't
 // reach this node.
-func (rc *reconciler) recordHeartbeatPath(m *cluster.Machine, relayed bool, now time.Time) (redirect bool) {
+func (rc *Reconciler) recordHeartbeatPath(m *cluster.Machine, relayed bool, now time.Time) (redirect bool) {
 	if !relayed {
 		m.DirectHeartbeatAt = now
 		m.RelayedOnly = false
@@ -123,38 +129,38 @@
 // late, which says nothing of now, not even that the machine lives; and it
 // may come from a machine that was back at once and counts anew. The machine
 // itself is asked which.
-func (rc *reconciler) onStaleHeartbeat(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) heartbeatReply {
+func (rc *Reconciler) onStaleHeartbeat(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) Reply {
 	crossed := now.Sub(m.LastMessageAt) < crossingWindow
 	if (!crossed || rep.Epoch != m.Epoch || rep.Sequence+2 < m.Sequence) && now.Sub(m.LastVerifiedAt) > time.Second && !m.ScalingIn && rc.Lease.Deciding() {
 		m.LastVerifiedAt = now
-		rc.dispatcher.probe(m)
+		rc.dispatcher.Probe(m)
 	}
 	if !crossed {
-		return heartbeatReply{rejected: errStaleHeartbeat}
+		return Reply{Rejected: errStaleHeartbeat}
 	}
 	m.LastReplyAt = now
-	return heartbeatReply{commands: rc.cancelledStops(rep)}
+	return Reply{Commands: rc.cancelledStops(rep)}
 }
 
 // onRestart takes in the answer of a machine that counts from the start again:
 // it was back before anybody missed it. What its answer lacks is gone. It is
 // returned, as from now on its reports can't be told from late copies of its
 // last run.
-func (rc *reconciler) onRestart(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *Reconciler) onRestart(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
 	rc.Log.Info("machine restarted", "machine", m.ID, "tasks", len(m.Tasks), "session", rep.Epoch, "sequence", rep.Sequence, "was_session", m.Epoch, "was_sequence", m.Sequence)
 	m.Epoch, m.Sequence, m.Images = 0, 0, cluster.ImageCache{}
 	for _, a := range m.Tasks {
 		a.ReplySequence = 0 // the answer that carried it went to the last run
 	}
 	rc.drainMachine(m, cluster.DrainRestarted)
-	rc.reconcile(m, rep, false, now)
+	rc.Reconcile(m, rep, false, now)
 	m.Restarted = true
-	rc.scaler.scaleIn(m, cluster.DrainRestarted)
+	rc.scaler.ScaleIn(m, cluster.DrainRestarted)
 }
 
-// reconcile takes in a report, or the answer to a command, which is the same. It tells
+// Reconcile takes in a report, or the answer to a command, which is the same. It tells
 // whether it was newer than what was known.
-func (rc *reconciler) reconcile(m *cluster.Machine, rep *wire.Heartbeat, sent bool, now time.Time) bool {
+func (rc *Reconciler) Reconcile(m *cluster.Machine, rep *wire.Heartbeat, sent bool, now time.Time) bool {
 	if !rep.Newer(m.Epoch, m.Sequence) || m.Restarted {
 		return false
 	}
@@ -182,7 +188,7 @@
 }
 
 // updateMachine takes in what a report says of the machine itself.
-func (rc *reconciler) updateMachine(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *Reconciler) updateMachine(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
 	if rep.Epoch > m.Epoch {
 		// A lease that ran out leaves the images where they are; a restart
 		// begins with the first session again.
@@ -198,7 +204,7 @@
 }
 
 // updateSpotNotice takes in that the cloud will take the machine back.
-func (rc *reconciler) updateSpotNotice(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
+func (rc *Reconciler) updateSpotNotice(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
 	if rep.SpotNotice == nil {
 		return
 	}
@@ -211,7 +217,7 @@
 
 // reconcileTasks takes in the states of the tasks in a report and notes which of ours
 // are in it; what else runs there is orphaned.
-func (rc *reconciler) reconcileTasks(m *cluster.Machine, rep *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
+func (rc *Reconciler) reconcileTasks(m *cluster.Machine, rep *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
 	clear(m.OrphanTasks)
 	for i := range rep.Tasks {
 		p := &rep.Tasks[i]
@@ -230,7 +236,7 @@
 
 // onMissingAttempt deals with an attempt that its machine's report lacks and that can't
 // start there any more by what was sent.
-func (rc *reconciler) onMissingAttempt(a *cluster.Attempt, rep *wire.Heartbeat) {
+func (rc *Reconciler) onMissingAttempt(a *cluster.Attempt, rep *wire.Heartbeat) {
 	m := a.Machine
 	switch {
 	case rc.state.MayRelaunch(a):
@@ -252,7 +258,7 @@
 const refusedStartBackoff = 2 * time.Second
 
 // reconcileAttempt takes in the state of an attempt of ours.
-func (rc *reconciler) reconcileAttempt(a *cluster.Attempt, p *wire.TaskState, now time.Time) {
+func (rc *Reconciler) reconcileAttempt(a *cluster.Attempt, p *wire.TaskState, now time.Time) {
 	m, j := a.Machine, a.Job
 	if a.LaunchSent && !a.Observed {
 		rc.inboundWorks(m)
@@ -293,7 +299,7 @@
 }
 
 // reconcileGang notes what the state of a task says of its gang.
-func (rc *reconciler) reconcileGang(a *cluster.Attempt, p *wire.TaskState) {
+func (rc *Reconciler) reconcileGang(a *cluster.Attempt, p *wire.TaskState) {
 	j, g := a.Job, a.Job.Gang
 	if g == nil {
 		return
@@ -304,12 +310,12 @@
 	if p.Phase == wire.PhaseSaving && !g.StopRequested && !g.Broken && !j.Cancelled && a.Inherited {
 		// An earlier leader began to stop it, and may not have told all. Those
 		// that don't learn of it in time don't save.
-		rc.dispatcher.stopGang(j, rc.state.GracePeriodOf(j), cluster.EvictedByEarlierLeader)
+		rc.dispatcher.StopGang(j, rc.state.GracePeriodOf(j), cluster.EvictedByEarlierLeader)
 	}
 }
 
 // onTaskExit takes in that an attempt has ended.
-func (rc *reconciler) onTaskExit(a *cluster.Attempt, p *wire.TaskState, now time.Time) {
+func (rc *Reconciler) onTaskExit(a *cluster.Attempt, p *wire.TaskState, now time.Time) {
 	m, j := a.Machine, a.Job
 	switch p.Cause {
 	case wire.CauseDone:
@@ -330,7 +336,7 @@
 }
 
 // onTaskDone takes in that a task is complete.
-func (rc *reconciler) onTaskDone(a *cluster.Attempt, now time.Time) {
+func (rc *Reconciler) onTaskDone(a *cluster.Attempt, now time.Time) {
 	m, j := a.Machine, a.Job
 	if !a.RunningSince.IsZero() && !j.Spec.Gang() { // a gang goes at its slowest machine's speed
 		rc.recordRunTime(a, now)
@@ -347,9 +353,113 @@
 }
 
 // logMachineUp notes that a machine reports for the first time.
-func (rc *reconciler) logMachineUp(m *cluster.Machine, now time.Time) {
+func (rc *Reconciler) logMachineUp(m *cluster.Machine, now time.Time) {
 	if m.Booting {
 		rc.Log.Info("machine up", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "after", now.Sub(m.RequestedAt))
 		m.LastUsedAt = now
 	}
 }
+
+func (rc *Reconciler) OnCommandAnswer(e agents.CommandAnswer) {
+	m, asked, cmd, launched, rep, status, err := e.Machine, e.AskedAt, e.Commands, e.Launched, e.Heartbeat, e.Status, e.Err
+	m.CommandInFlight = false
+	now := time.Now()
+	for _, a := range launched {
+		a.LaunchInFlight = false
+	}
+	switch {
+	case err == nil && (status == http.StatusOK || status == http.StatusConflict) && rep.Machine == m.ID:
+		rc.Metrics.Command("ok")
+		rc.inboundWorks(m)
+		m.LastMessageAt = now
+		if !rep.Newer(asked.Epoch, asked.Sequence) && !m.Restarted {
+			// Made after we asked, and yet not newer than what we had then.
+			rc.onRestart(m, rep, now)
+			break
+		}
+		rc.Reconcile(m, rep, false, now)
+	case err != nil && wire.NotSent(err):
+		rc.Metrics.Command("not sent")
+		m.UnansweredProbes++
+		m.HeartbeatsMissingSince = time.Time{} // silent, which is looked after otherwise
+		m.Inbound.Unanswered()
+		for _, a := range launched {
+			if !a.Observed {
+				a.LaunchSent = false // certainly never left; the next report's answer carries it
+			}
+		}
+	default:
+		rc.Metrics.Command("lost")
+		m.UnansweredProbes++
+		m.HeartbeatsMissingSince = time.Time{}
+		m.Inbound.Unanswered()
+		rc.Log.Debug("command not answered", "machine", m.ID, "commands", len(cmd.Commands), "err", err, "status", status)
+		for _, a := range launched {
+			a.LaunchUnanswered, a.UnansweredLaunchToken = true, cmd.Token
+		}
+		if len(launched) > 0 {
+			m.UnansweredLaunch = cluster.UnansweredCommand{
+				Token: max(m.UnansweredLaunch.Token, cmd.Token),
+				Epoch: max(m.UnansweredLaunch.Epoch, cmd.Epoch),
+			}
+		}
+	}
+	if m.UnansweredProbes == 0 {
+		rc.dispatcher.Dispatch(m)
+	}
+}
+
+// Call is a report with the channel for its answer.
+type Call struct {
+	Heartbeat wire.Heartbeat
+	Relayed   bool // by another node
+	Reply     chan Reply
+}
+
+// Reply to a report.
+type Reply struct {
+	Commands *wire.Commands // the answer; nil: none
+	Redirect bool           // the worker should come to this node itself
+	Rejected error          // why the heartbeat is not answered
+}
+
+// renewalWithheld tells whether a machine's lease must not be renewed any more: a
+// launch of a cancelled task may be on its way there that its report does not
+// show, and that only the end of the session, or a token above the launch's,
+// can keep from starting too late.
+func (rc *Reconciler) renewalWithheld(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) bool {
+	for task, a := range m.Tasks {
+		if !a.Job.Cancelled || a.Unstored || now.Sub(a.Job.CancelledAt) < rc.state.Delegation.MaxCancelAge || !a.LaunchInFlight && !(a.LaunchUnanswered && rc.Fencing.Token <= a.UnansweredLaunchToken) {
+			continue
+		}
+		name := task.String()
+		if !slices.ContainsFunc(rep.Tasks, func(p wire.TaskState) bool { return p.Task == name && p.Attempt == a.Number }) {
+			return true
+		}
+	}
+	return false
+}
+
+// checkInbound compares a report with what the machine was told in the answer to
+// an earlier one.
+func (rc *Reconciler) checkInbound(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) {
+	evidence := detector.Evidence{
+		KnownToken:    m.Token,
+		RenewedLately: now.Sub(m.LastReplyAt) < rc.state.Settings.Workers.Lease.Duration()/2,
+		MissesLaunch:  func() bool { return m.MissesLaunch(rep) },
+	}
+	rc.inboundChanged(m, m.Inbound.Reported(rep, evidence, now))
+}
+
+// inboundWorks notes that something of ours has reached the machine.
+func (rc *Reconciler) inboundWorks(m *cluster.Machine) { rc.inboundChanged(m, m.Inbound.Received()) }
+
+func (rc *Reconciler) inboundChanged(m *cluster.Machine, change detector.Change) {
+	switch change {
+	case detector.Lost:
+		rc.Log.Info("machine reports but receives nothing", "machine", m.ID, "tasks", len(m.Tasks))
+	case detector.Restored:
+		rc.Log.Info("machine receives again", "machine", m.ID)
+		rc.state.RequestCycle()
+	}
+}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -7,8 +7,12 @@
 	"time"
 
 	"lilaclead/internal/cancels"
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/leader/reconcile"
 	"lilaclead/internal/store"
 	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
@@ -17,16 +21,16 @@
 
 // records reads the jobs' records for a new leader and follows their changes.
 type records struct {
-	*Loop
+	*core.Loop
 	state       *cluster.State
 	store       *store.Client
 	cancels     *cancels.Log
 	versions    *upgrade.Member
 	undecodable *undecodable.Log
 	progress    *progress.Reader
-	dispatcher  *dispatcher
-	reconciler  *reconciler
-	intents     *cloudIntents
+	dispatcher  *agents.Dispatcher
+	reconciler  *reconcile.Reconciler
+	intents     *autoscaler.CloudIntents
 	// cancellationCursor is how much of the log of cancellations has been applied.
 	cancellationCursor uint64
 }
@@ -44,9 +48,9 @@
 		if err == nil {
 			version, err = rd.readVersion(ctx)
 		}
-		var earlier earlierIntents
+		var earlier autoscaler.EarlierIntents
 		if err == nil && rd.intents != nil {
-			earlier, err = rd.intents.load(ctx)
+			earlier, err = rd.intents.Load(ctx)
 		}
 		if err == nil {
 			rd.Post(recordsRead{jobs, runs, version, earlier, began})
@@ -117,18 +121,18 @@
 	rd.Log.Info("recovered", "jobs", len(rd.state.Jobs), "machines", len(rd.state.Machines), "took", time.Since(rd.state.TermStartedAt))
 	for _, j := range rd.state.Jobs {
 		if j.Cancelled {
-			rd.dispatcher.stopCancelledJob(j)
+			rd.dispatcher.StopCancelledJob(j)
 		}
 		rd.state.MarkIfFinished(j)
 	}
-	for _, rep := range rd.reconciler.earlyHeartbeats {
-		rd.reconciler.reconcile(rd.state.GetOrAddMachine(rep.Machine), &rep, true, time.Now())
+	for _, rep := range rd.reconciler.EarlyHeartbeats {
+		rd.reconciler.Reconcile(rd.state.GetOrAddMachine(rep.Machine), &rep, true, time.Now())
 	}
-	rd.reconciler.earlyHeartbeats = nil
+	rd.reconciler.EarlyHeartbeats = nil
 	rd.cancellationCursor = 0
 	rd.applyCancellations()
 	rd.Published.DelegationToken.Store(uint64(rd.Fencing.Token)) // only now cancellations are known
-	rd.dispatcher.announceToken()
+	rd.dispatcher.AnnounceToken()
 }
 
 // applyJobRecord takes in a job record that is new or has changed.
@@ -161,23 +165,40 @@
 		j.Cancelled = true
 		j.CancelledAt = time.Now().Add(-rec.SinceCancelled())
 		if rd.state.Recovered {
-			rd.dispatcher.stopCancelledJob(j)
+			rd.dispatcher.StopCancelledJob(j)
 		}
 	}
 }
 
+// rereadRetry is the pause before a job's record is read again.
+const rereadRetry = 300 * time.Millisecond
+
 // onReread takes in a job's record that was read again.
-func (rd *records) onReread(e jobRecordReread) {
-	id := e.job.Spec.ID
+func (rd *records) onReread(e progress.JobRecordReread) {
+	id := e.Job.Spec.ID
 	switch {
-	case rd.state.Jobs[id] != e.job: // a watch was faster, and the job is archived
-	case e.err == nil:
-		rd.applyJobRecord(store.JobKey(id), e.entry.Value, e.entry.Revision)
-	case errors.Is(e.err, store.ErrMissing):
-		if e.job.RecordOutdated { // else it is being archived
+	case rd.state.Jobs[id] != e.Job: // a watch was faster, and the job is archived
+	case e.Err == nil:
+		rd.applyJobRecord(store.JobKey(id), e.Entry.Value, e.Entry.Revision)
+	case errors.Is(e.Err, store.ErrMissing):
+		if e.Job.RecordOutdated { // else it is being archived
 			rd.End("a live job's record is gone: " + string(id))
 		}
-	case e.job.RecordOutdated:
-		time.AfterFunc(rereadRetry, func() { rd.Post(rereadDue{e.job}) })
+	case e.Job.RecordOutdated:
+		time.AfterFunc(rereadRetry, func() { rd.Post(progress.RereadDue{Job: e.Job}) })
+	}
+}
+
+// readVersion reads the active version for this term. It is read after the lease was
+// taken, and only leaders switch, by writes that their token guards: no earlier one can
+// switch any more.
+func (rd *records) readVersion(ctx context.Context) (upgrade.Version, error) {
+	if rd.versions == nil {
+		return 0, nil
+	}
+	v, err := rd.versions.ReadActive(ctx)
+	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
+		rd.Post(resignationDue{err.Error()})
 	}
+	return v, err
 }
--- a/internal/leader/relayed_probe_test.go
+++ b/internal/leader/relayed_probe_test.go
@@ -5,6 +5,7 @@
 	"reflect"
 	"testing"
 
+	"lilaclead/internal/leader/agents"
 	"lilaclead/internal/wire"
 )
 
@@ -20,8 +21,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := relayedProbe{Addr: "10.1.0.232:9000", Commands: wire.Commands{Token: 41, Epoch: 2, Commands: []wire.Command{}}}
-	var got relayedProbe
+	want := agents.RelayedProbe{Addr: "10.1.0.232:9000", Commands: wire.Commands{Token: 41, Epoch: 2, Commands: []wire.Command{}}}
+	var got agents.RelayedProbe
 	if err := wire.Decode(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("the probe is read as %+v, %v, not as %+v", got, err, want)
 	}
--- a/internal/leader/safety_test.go
+++ b/internal/leader/safety_test.go
@@ -8,7 +8,9 @@
 
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/agents"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/peer"
@@ -32,12 +34,12 @@
 
 // setMesh gives a term another view of its peers.
 func setMesh(tm *term, mesh *peer.Mesh) {
-	tm.leader.Mesh, tm.dispatcher.agents.Mesh, tm.monitor.mesh, tm.committer.mesh = mesh, mesh, mesh, mesh
+	tm.leader.Mesh, tm.dispatcher.Agents.Mesh, tm.monitor.Mesh, tm.committer.Mesh = mesh, mesh, mesh, mesh
 }
 
 // setStore gives a term another state service.
 func setStore(tm *term, client *store.Client) {
-	tm.leader.Store, tm.committer.store, tm.records.store = client, client, client
+	tm.leader.Store, tm.committer.Store, tm.records.store = client, client, client
 }
 
 // rig is a term without I/O, with one job of one task held on one machine.
@@ -45,10 +47,10 @@
 	tb.Helper()
 	cfg := &config.Config{Settings: config.Settings{Size: 3, Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41}, State: config.State{ValueKB: 16}}}
 	l := &Leader{Dependencies: Dependencies{Config: cfg, Cancels: known(), Tuning: tuning.NewCurrent(), Catalog: &cluster.MachineCatalog{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Metrics: Metrics{TaskMoved: func(string) {}, StartDelay: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
+		Metrics: core.Metrics{TaskMoved: func(string) {}, StartDelay: func(string, float64) {}, Fleet: func(string, int) {}, Machines: func(map[string]int) {}}}}
 	l.delegationBounds.MaxCancelAge = delegation.BoundsOf(cfg.Settings.Workers).MaxCancelAge
 	l.delegate = newDelegate(l.Dependencies, l.delegationBounds)
-	l.agents = &AgentClient{}
+	l.agents = &agents.Client{}
 	tm := newTerm(l, leaseFor(l, 50, time.Hour))
 	tm.state.Recovered = true
 	j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
@@ -100,7 +102,7 @@
 	for _, c := range cases {
 		tm, m, a := rig(t)
 		c.setup(a)
-		tm.reconciler.reconcile(m, c.rep, c.hello, time.Now())
+		tm.reconciler.Reconcile(m, c.rep, c.hello, time.Now())
 		if gone := a.Job.ActiveTasks == 0; gone != c.gone {
 			t.Errorf("%s: gone %v, want %v", c.name, gone, c.gone)
 		}
@@ -136,11 +138,11 @@
 		tm, m, a := rig(t)
 		c.setup(tm, m)
 		edge := c.from(tm, m).Add(life)
-		tm.monitor.expireLease(m, edge.Add(-time.Millisecond))
+		tm.monitor.ExpireLease(m, edge.Add(-time.Millisecond))
 		if a.Job.ActiveTasks != 1 {
 			t.Errorf("%s: gone before the lease ends", c.name)
 		}
-		tm.monitor.expireLease(m, edge)
+		tm.monitor.ExpireLease(m, edge)
 		if a.Job.ActiveTasks != 0 {
 			t.Errorf("%s: still held after the lease", c.name)
 		}
@@ -168,11 +170,11 @@
 	} {
 		tm, m, a := rig(t)
 		rep := said(1, 11, 50, exited)
-		tm.reconciler.reconcile(m, rep, true, time.Now())
+		tm.reconciler.Reconcile(m, rep, true, time.Now())
 		a.Chunk.Dirty = false
 		c.setup(tm, m, a)
 		got := false
-		for _, o := range tm.dispatcher.commandsFor(m, rep, time.Now()) {
+		for _, o := range tm.dispatcher.CommandsFor(m, rep, time.Now()) {
 			got = got || o.Verb == wire.Forget && o.Attempt == 7
 		}
 		if got != c.forget || tm.Fencing.RaiseRequested != c.raise {
@@ -188,12 +190,12 @@
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
 	rep := said(1, 11, 50, wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning}, wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
 	rep.Type = "c4"
-	tm.reconciler.reconcile(m, rep, true, time.Now())
+	tm.reconciler.Reconcile(m, rep, true, time.Now())
 	if f := tm.state.FreeResources(m); f.CPUs != 0 {
 		t.Errorf("%g cpus free beside a task of unknown size", f.CPUs)
 	}
 	halts := 0
-	for _, o := range tm.dispatcher.commandsFor(m, rep, time.Now()) {
+	for _, o := range tm.dispatcher.CommandsFor(m, rep, time.Now()) {
 		if o.Verb == wire.Stop && o.Task == "req-77/0" {
 			halts++
 		}
@@ -227,13 +229,13 @@
 	for _, id := range []wire.MachineID{"n-2", "n-3", "n-4"} {
 		tm.state.GetOrAddMachine(id)
 	}
-	if tm.reconciler.mayDrainSuspect() {
+	if tm.reconciler.MayDrainSuspect() {
 		t.Error("a second of four machines may be condemned")
 	}
 	for _, id := range []wire.MachineID{"n-5", "n-6", "n-7", "n-8"} {
 		tm.state.GetOrAddMachine(id)
 	}
-	if !tm.reconciler.mayDrainSuspect() {
+	if !tm.reconciler.MayDrainSuspect() {
 		t.Error("a second of eight machines may not be condemned")
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -124,7 +124,7 @@
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		go func() {
 			for h := range tm.heartbeatCalls {
-				tm.reconciler.onHeartbeat(h)
+				tm.reconciler.OnHeartbeat(h)
 			}
 		}()
 		defer close(tm.heartbeatCalls)
@@ -164,7 +164,7 @@
 			for _, m := range tm.state.Machines {
 				m.LastMessageAt = now
 			}
-			tm.monitor.checkMachines(now)
+			tm.monitor.CheckMachines(now)
 		}
 	})
 }
@@ -188,8 +188,8 @@
 func BenchmarkFleetPlan(b *testing.B) {
 	atSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
-			tm.scaler.planFleet(time.Now())
-			tm.scaler.tracker = scaling.New(tm.state.FirstToken)
+			tm.scaler.PlanFleet(time.Now())
+			tm.scaler.Tracker = scaling.New(tm.state.FirstToken)
 		}
 	})
 }
@@ -258,7 +258,7 @@
 	go func() {
 		defer close(done)
 		for call := range tm.heartbeatCalls {
-			tm.reconciler.onHeartbeat(call)
+			tm.reconciler.OnHeartbeat(call)
 		}
 	}()
 	reports := make([]wire.Heartbeat, 0, len(tm.state.Machines))
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -355,7 +355,7 @@
 		if len(m.Tasks) > 0 || tm.writer.AllStored(m.LastUsedAt, time.Now()) {
 			t.Error("released before its progress is written")
 		}
-		tm.committer.flush(time.Now())
+		tm.committer.Flush(time.Now())
 		if !tm.writer.InFlight || tm.writer.AllStored(m.LastUsedAt, time.Now()) {
 			t.Error("released while its progress is being written")
 		}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -4,45 +4,36 @@
 	"context"
 	"time"
 
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/election"
+	"lilaclead/internal/leader/liveness"
 	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/leader/reconcile"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/leader/scheduling"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
 )
 
-// heartbeatCall is a report with the channel for its answer.
-type heartbeatCall struct {
-	heartbeat wire.Heartbeat
-	relayed   bool // by another node
-	reply     chan heartbeatReply
-}
-
-// heartbeatReply to a report.
-type heartbeatReply struct {
-	commands *wire.Commands // the answer; nil: none
-	redirect bool           // the worker should come to this node itself
-	rejected error          // why the heartbeat is not answered
-}
-
 // term is one period of leadership. Its loop owns its parts; the goroutines that do I/O
 // hand their results back as events.
 type term struct {
-	*Loop
+	*core.Loop
 	leader                *Leader
-	heartbeatCalls        chan heartbeatCall
+	heartbeatCalls        chan reconcile.Call
 	storeUnavailableSince time.Time // zero: the state service is available
 
 	state      *cluster.State
 	scheduler  *scheduling.Scheduler
 	writer     *progress.Writer
-	dispatcher *dispatcher
-	scaler     *scaler
-	reconciler *reconciler
-	monitor    *monitor
-	committer  *committer
+	dispatcher *agents.Dispatcher
+	scaler     *autoscaler.Scaler
+	reconciler *reconcile.Reconciler
+	monitor    *liveness.Monitor
+	committer  *progress.Committer
 	records    *records
 	inventory  *inventory
 }
@@ -51,22 +42,23 @@
 const heartbeatBacklog = 32
 
 func newTerm(l *Leader, lease *election.Lease) *term {
-	loop := NewLoop(lease, l.Log, &l.Metrics)
+	loop := core.NewLoop(lease, l.Log, &l.Metrics)
 	state := cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token())
 	state.Delegation = l.delegationBounds
 	tracker := scaling.New(lease.Token())
 	scheduler := scheduling.NewScheduler(state, l.Tuning, tracker, l.Log)
 	writer := progress.NewWriter(state, l.writeBudget, l.Log)
-	dispatcher := &dispatcher{Loop: loop, state: state, agents: l.agents}
-	scaler := newScaler(loop, state, scheduler, tracker, &l.Dependencies)
-	reconciler := newReconciler(loop, state, l.delegate, dispatcher, scaler)
+	dispatcher := &agents.Dispatcher{Loop: loop, State: state, Agents: l.agents}
+	scaler := autoscaler.NewScaler(loop, state, scheduler, tracker,
+		autoscaler.Options{Cloud: l.Cloud, RecordIntents: l.RecordIntents, Versioned: l.Versions != nil})
+	reconciler := reconcile.NewReconciler(loop, state, l.delegate, dispatcher, scaler)
 	return &term{
-		Loop: loop, leader: l, heartbeatCalls: make(chan heartbeatCall, heartbeatBacklog),
+		Loop: loop, leader: l, heartbeatCalls: make(chan reconcile.Call, heartbeatBacklog),
 		state: state, scheduler: scheduler, writer: writer, dispatcher: dispatcher, scaler: scaler, reconciler: reconciler,
-		monitor:   &monitor{Loop: loop, state: state, mesh: l.Mesh, peers: l.Config.Peers, writer: writer, dispatcher: dispatcher, scaler: scaler},
-		committer: &committer{Loop: loop, state: state, store: l.Store, mesh: l.Mesh, writer: writer, dispatcher: dispatcher},
+		monitor:   &liveness.Monitor{Loop: loop, State: state, Mesh: l.Mesh, Peers: l.Config.Peers, Writer: writer, Dispatcher: dispatcher, Scaler: scaler},
+		committer: &progress.Committer{Loop: loop, State: state, Store: l.Store, Mesh: l.Mesh, Writer: writer, Dispatcher: dispatcher},
 		records: &records{Loop: loop, state: state, store: l.Store, cancels: l.Cancels, versions: l.Versions, undecodable: l.Undecodable,
-			progress: progress.NewReader(state, writer, l.Undecodable), dispatcher: dispatcher, reconciler: reconciler, intents: scaler.intents},
+			progress: progress.NewReader(state, writer, l.Undecodable), dispatcher: dispatcher, reconciler: reconciler, intents: scaler.Intents},
 		inventory: &inventory{Loop: loop, state: state, cloud: l.Cloud, dispatcher: dispatcher},
 	}
 }
@@ -98,17 +90,17 @@
 			t.End("stopped")
 			return t.EndReason()
 		case h := <-t.heartbeatCalls:
-			t.reconciler.onHeartbeat(h)
+			t.reconciler.OnHeartbeat(h)
 		case e := <-t.Events:
 			t.handle(e)
 		case now := <-tick.C:
 			t.checkLeadership(now)
-			t.dispatcher.announceToken()
+			t.dispatcher.AnnounceToken()
 			if slow++; slow%5 == 0 {
-				t.monitor.checkMachines(now)
+				t.monitor.CheckMachines(now)
 			}
 			if slow%10 == 0 {
-				t.scaler.planFleet(now)
+				t.scaler.PlanFleet(now)
 			}
 			if slow%100 == 0 {
 				t.logStatus(now)
@@ -123,12 +115,12 @@
 	if !t.state.Recovered || !t.Lease.Deciding() {
 		return
 	}
-	t.dispatcher.stopBrokenGangs()
+	t.dispatcher.StopBrokenGangs()
 	v := t.leader.Tuning.Get()
 	if t.state.SchedulingEnabled && t.state.Cycle.Due(now, wire.Seconds(v.RoundS).Duration()) {
 		t.runCycle(now)
 	}
-	t.committer.flush(now)
+	t.committer.Flush(now)
 }
 
 // checkLeadership yields to a higher token and bounds the service without the
@@ -210,5 +202,5 @@
 			missing++
 		}
 	}
-	return missing == 0 || missing <= heard && heard > 4*maxProbesPerTick
+	return missing == 0 || missing <= heard && heard > 4*agents.MaxProbesPerTick
 }
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -6,48 +6,26 @@
 	"time"
 
 	"lilaclead/duty"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
 )
 
-// VersionIntents is the version from which on intents are recorded.
-const VersionIntents upgrade.Version = 2
-
 // SupportedVersions are those that this program understands.
 var SupportedVersions = upgrade.Range{Min: upgrade.Base, Max: store.Version}
 
 // advanceEvery is how often a leader looks whether the next version may be switched to.
 const advanceEvery = 2 * time.Second
 
-// recordsIntents tells whether intents are recorded now: the part is on and, where
-// versions are negotiated, every controller understands it.
-func (sl *scaler) recordsIntents() bool {
-	return sl.intents != nil && (!sl.versioned || sl.state.ActiveVersion >= VersionIntents)
-}
-
-// readVersion reads the active version for this term. It is read after the lease was
-// taken, and only leaders switch, by writes that their token guards: no earlier one can
-// switch any more.
-func (rd *records) readVersion(ctx context.Context) (upgrade.Version, error) {
-	if rd.versions == nil {
-		return 0, nil
-	}
-	v, err := rd.versions.ReadActive(ctx)
-	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
-		rd.Post(resignationDue{err.Error()})
-	}
-	return v, err
-}
-
 // advanceVersion switches to the next version once all controllers understand it.
 func (t *term) advanceVersion(ctx context.Context) {
 	if t.leader.Versions == nil {
 		return
 	}
 	var logged string
-	for Pause(ctx, advanceEvery) {
+	for core.Pause(ctx, advanceEvery) {
 		version, err := t.tryAdvance(ctx)
 		if err != nil && err.Error() != logged {
 			logged = err.Error()
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -94,7 +94,7 @@
 }
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.Lease.Deciding(), PendingScaleOuts: len(t.scaler.tracker.PendingScaleOuts())}
+	v := &View{Deciding: t.Lease.Deciding(), PendingScaleOuts: len(t.scaler.Tracker.PendingScaleOuts())}
 	for _, m := range t.state.Machines {
 		v.Machines = append(v.Machines, MachineView{m.ID, m.MachineType, m.Zone, m.Spot, m.Booting, string(m.DrainReason), len(m.Tasks), t.state.SinceLastMessage(m, now).Seconds(), t.state.FreeResources(m).CPUs})
 	}
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -43,7 +43,7 @@
 		a.Job.Revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.Job.Spec, Status: wire.Queued})
 		f(tm, m, st, func() {
 			for range 200 {
-				tm.committer.flush(time.Now())
+				tm.committer.Flush(time.Now())
 				select {
 				case e := <-tm.Events:
 					tm.handle(e)
@@ -129,19 +129,19 @@
 // not wait for it either.
 func TestMachineNeverHeardOf(t *testing.T) {
 	withState(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
-		tm.scaler.cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
+		tm.scaler.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host("10.0.0.1"))
 		tm.state.MachineListReceived = true
 		m.Token, m.Addr, m.FirstHeartbeatAt = 0, "", time.Time{}
 		if !tm.enoughMachinesHeard(time.Now()) {
 			t.Error("the first round waits for a machine that nothing is known of")
 		}
 		time.Sleep(5 * time.Second)
-		tm.monitor.checkMachines(time.Now())
+		tm.monitor.CheckMachines(time.Now())
 		if m.ScalingIn {
 			t.Error("released after 5 s")
 		}
 		time.Sleep(5 * time.Second)
-		tm.monitor.checkMachines(time.Now())
+		tm.monitor.CheckMachines(time.Now())
 		if !m.ScalingIn {
 			t.Error("not released after 10 s")
 		}
@@ -188,7 +188,7 @@
 		tm.state.MarkIfFinished(j)
 		conflicts := 0
 		for range 100 {
-			tm.committer.flush(time.Now())
+			tm.committer.Flush(time.Now())
 			select {
 			case e := <-tm.Events:
 				tm.handle(e)
@@ -223,12 +223,12 @@
 				// It is read again after a guard that failed; the watch tells first,
 				// and the answer comes when the watch has shown its end as well.
 				st.DelayAnswers("", time.Second)
-				tm.committer.reread(j)
+				tm.committer.Reread(j)
 				time.Sleep(20 * time.Millisecond)
 				st.DelayAnswers("", 0)
 				tm.records.applyChanges([]wire.Change{put})
 				for range 8 {
-					tm.committer.flush(time.Now())
+					tm.committer.Flush(time.Now())
 					select {
 					case e := <-tm.Events:
 						tm.handle(e)
@@ -246,7 +246,7 @@
 			if len(st.Keys(store.FinalKey("req-1"))) != 1 || len(tm.state.Jobs) != 0 {
 				t.Errorf("not archived: %v, %v", tm.state.Jobs, st.Keys(""))
 			}
-			tm.committer.reread(j) // as one that was under way
+			tm.committer.Reread(j) // as one that was under way
 			settle()
 			if !watchFirst {
 				tm.records.applyChanges([]wire.Change{put})
