--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,12 +1,12 @@
-// Package cloud is the client of the cloud's interface: machine types, rentals,
-// releases and the machine list, within the rate budget. A rental without an
-// answer may be carried out late, so callers repeat it under its name.
+// Package cloud is the client of the cloud's API: machine types, scaling out and in, and the machine list, within the rate
+// budget. A scale-out request that got no answer may be executed late, so callers repeat it under its name.
+//
+// Failed calls return an *Error, which says what failed and whether it may have been executed. The client never repeats a
+// request by itself and ignores Retry-After: its callers know what they still want, and pause for all their requests alike.
 package cloud
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -20,156 +20,118 @@
 	"lilaclead/internal/wire"
 )
 
-// What a call can come to, other than its result.
-var (
-	// ErrNoCapacity: no machine of this type and price in this zone now.
-	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrBusy: too many requests, or the interface is down; not executed.
-	ErrBusy = errors.New("cloud: busy or down")
-	// ErrInvalid: the cloud calls the request malformed.
-	ErrInvalid = errors.New("cloud: request refused as invalid")
-	// ErrUnknown: no usable answer; may have been executed, or may still be.
-	ErrUnknown = errors.New("cloud: outcome unknown")
-)
-
-// Client talks to the cloud. It is safe for concurrent use.
+// Client is a client of the cloud's API. It is safe for concurrent use.
 type Client struct {
 	base   string
 	http   *http.Client
 	budget *rate.Limiter
-	// Observe is told of every call, for the metrics.
-	Observe func(op string, outcome string, took time.Duration)
+	// Observe is called with every call's operation, outcome and duration, for the metrics. It is set before the first call.
+	Observe func(operation string, outcome string, duration time.Duration)
 }
 
+// Only a leader makes more than a call a minute, so one node may use most of the deployment's budget, and of the bursts.
 const (
-	// callTimeout is the longest that a call may take, its wait for the budget
-	// included.
-	callTimeout = 4 * time.Second
-	// nodeShare is the part of the deployment's budget that one node uses, and
-	// minRate (a second) what it uses at least.
+	// nodeShare is the part of the deployment's request rate that one node uses.
 	nodeShare = 0.85
-	minRate   = 0.5
-	// burstSeconds is below the two seconds' worth that the cloud allows.
+	// minRate, in requests a second, keeps a node working under the lowest limit.
+	minRate = 0.5
+	// burstSeconds of requests at the node's rate may be sent at once, which is below the two seconds' worth that the cloud
+	// allows the deployment.
 	burstSeconds = 1.5
-	// connections to the cloud; the socket budget counts with them.
-	connections = 4
-	// pageSize is the number of machines asked for at a time.
-	pageSize = 500
-	// maxAnswer bounds an answer, in bytes.
-	maxAnswer = 4 << 20
-	// noCapacity is the cloud's reason for a refusal that is not an outage.
-	noCapacity = "no capacity"
 )
 
-// New makes a client. Only a leader makes more than a call a minute, so a
-// node may use most of the budget, and of the bursts of two seconds' worth.
-func New(addr string, s config.Cloud, nw netio.Net) *Client {
-	limit := max(minRate, s.RPS*nodeShare)
+const (
+	// maxConnections bounds the connections to the cloud; the socket budget counts with them.
+	maxConnections = 4
+	// listPageSize is the number of machines requested at a time.
+	listPageSize = 500
+)
+
+// New returns a client of the cloud at the address.
+func New(addr string, limits config.Cloud, network netio.Net) *Client {
 	return &Client{
 		base:    "http://" + addr,
-		http:    &http.Client{Transport: nw.Transport(connections, connections)},
-		budget:  rate.NewLimiter(rate.Limit(limit), max(1, int(burstSeconds*limit))),
+		http:    &http.Client{Transport: network.Transport(maxConnections, maxConnections)},
+		budget:  newBudget(limits.RPS),
 		Observe: func(string, string, time.Duration) {},
 	}
 }
 
-// unguarded is for calls that change nothing.
-func unguarded() error { return nil }
-
-// do makes one call. Right before it is sent, after any wait for the budget, it asks
-// whether it still may be.
-func (c *Client) do(ctx context.Context, may func() error, op, method, path string, body, out any) (err error) {
-	begin := time.Now()
-	defer func() {
-		outcome := "ok"
-		if err != nil {
-			outcome = err.Error()
-		}
-		c.Observe(op, outcome, time.Since(begin))
-	}()
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	if err := c.budget.Wait(ctx); err != nil {
-		return ErrBusy
-	}
-	if err := may(); err != nil {
-		return err
-	}
-	status, raw, _, err := netio.Call(ctx, c.http, method, c.base+path, body, maxAnswer)
-	if err != nil {
-		if wire.NotSent(err) {
-			return ErrBusy
-		}
-		return ErrUnknown
-	}
-	switch status {
-	case http.StatusOK:
-		if out != nil {
-			if err := wire.Decode(raw, out); err != nil {
-				return fmt.Errorf("%w: bad answer: %w", ErrUnknown, err)
-			}
-		}
-		return nil
-	case http.StatusTooManyRequests:
-		return ErrBusy
-	case http.StatusServiceUnavailable:
-		var reason wire.ErrorBody
-		if wire.Decode(raw, &reason) == nil && reason.Error == noCapacity {
-			return ErrNoCapacity
-		}
-		return ErrBusy
-	case http.StatusBadRequest:
-		return ErrInvalid
-	default:
-		return fmt.Errorf("%w: status %d", ErrUnknown, status)
-	}
+// newBudget returns a node's rate budget under a deployment's limit, in requests a second.
+func newBudget(deploymentRate float64) *rate.Limiter {
+	nodeRate := max(minRate, deploymentRate*nodeShare)
+	burst := max(1, int(burstSeconds*nodeRate))
+	return rate.NewLimiter(rate.Limit(nodeRate), burst)
 }
 
-// MachineSpecs reads the machine types and their current prices.
+// MachineSpecs returns the machine types and their current prices.
 func (c *Client) MachineSpecs(ctx context.Context) ([]wire.MachineSpec, error) {
-	var offered wire.MachineSpecs
-	err := c.do(ctx, unguarded, "flavors", "GET", "/flavors", nil, &offered)
-	if err == nil && len(offered.Types) == 0 {
-		err = fmt.Errorf("%w: no machine types", ErrUnknown)
+	var specs wire.MachineSpecs
+	call := call{operation: OperationMachineSpecs, method: http.MethodGet, path: "/flavors", response: &specs, permitted: alwaysPermitted}
+	err := c.do(ctx, call)
+	if err == nil && len(specs.Types) == 0 {
+		err = call.failed(ErrUnknown, http.StatusOK, errNoMachineTypes)
 	}
-	return offered.Types, err
+	return specs.Types, err
 }
 
-// ScaleOut asks for machines; a request is repeated under its name until it is
-// answered. An error that is duty.ErrNotHeld says that it was not sent.
+// ScaleOut requests machines and returns their names. The request is idempotent: callers repeat it under its name until it
+// is answered. An error that is duty.ErrNotHeld means that it was not sent.
 func (c *Client) ScaleOut(ctx context.Context, permit duty.Permit[duty.ScaleOut], request wire.ScaleOutRequest) ([]wire.MachineID, error) {
-	var rented wire.MachineNames
+	var started wire.MachineNames
 	err := permit.Do(ctx, func(ctx context.Context) error {
-		return c.do(ctx, permit.Check, "rent", "POST", "/machines", request, &rented)
+		return c.do(ctx, call{
+			operation: OperationScaleOut,
+			method:    http.MethodPost,
+			path:      "/machines",
+			request:   request,
+			response:  &started,
+			permitted: permit.Check,
+		})
 	})
-	return rented.Machines, err
+	return started.Machines, err
 }
 
-// ScaleIn returns machines; after nil they are gone with all that was on
-// them.
+// ScaleIn returns machines to the cloud. After nil they no longer exist, nor does anything that ran on them.
 func (c *Client) ScaleIn(ctx context.Context, permit duty.Permit[duty.ScaleIn], machines []wire.MachineID) error {
 	return permit.Do(ctx, func(ctx context.Context) error {
-		return c.do(ctx, permit.Check, "release", "POST", "/machines/release", wire.MachineNames{Machines: machines}, nil)
+		return c.do(ctx, call{
+			operation: OperationScaleIn,
+			method:    http.MethodPost,
+			path:      "/machines/release",
+			request:   wire.MachineNames{Machines: machines},
+			permitted: permit.Check,
+		})
 	})
 }
 
-// List reads the whole machine list.
+// List returns the machine list, which it reads page by page.
 func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
-	after := ""
 	for {
-		query := url.Values{"page": {strconv.Itoa(pageSize)}}
-		if after != "" {
-			query.Set("after", after)
-		}
-		var page wire.MachinePage
-		if err := c.do(ctx, unguarded, "list", "GET", "/machines?"+query.Encode(), nil, &page); err != nil {
+		page, err := c.listPage(ctx, all)
+		if err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
 		if !page.Truncated || len(page.Machines) == 0 {
 			return all, nil
 		}
-		after = string(page.Machines[len(page.Machines)-1].Name)
 	}
 }
+
+// listPage returns the page of the machine list that follows the machines that were read before.
+func (c *Client) listPage(ctx context.Context, read []wire.ListedMachine) (page wire.MachinePage, err error) {
+	query := url.Values{"page": {strconv.Itoa(listPageSize)}}
+	if len(read) > 0 {
+		query.Set("after", string(read[len(read)-1].Name))
+	}
+	err = c.do(ctx, call{
+		operation: OperationList,
+		method:    http.MethodGet,
+		path:      "/machines?" + query.Encode(),
+		response:  &page,
+		permitted: alwaysPermitted,
+	})
+	return page, err
+}
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -160,29 +160,30 @@
 		name     string
 		respond  http.HandlerFunc
 		want     error // a sentinel, or nil
+		status   int   // of the error; 0: no whole answer came
 		label    string
 		duration time.Duration // at least, and less than a second more
 	}{
 		{name: "success", respond: respondWith(http.StatusOK, wire.MachineNames{}), label: "ok"},
 		{name: "rate limited", respond: respondWith(http.StatusTooManyRequests, wire.ErrorBody{Error: "rate"}),
-			want: cloud.ErrBusy, label: "cloud: busy or down"},
+			want: cloud.ErrBusy, status: http.StatusTooManyRequests, label: "cloud: busy or down"},
 		{name: "rate limited with Retry-After, which is the caller's matter",
 			respond: func(w http.ResponseWriter, _ *http.Request) {
 				wire.RefuseRetryable(w, http.StatusTooManyRequests, "rate", 7)
 			},
-			want: cloud.ErrBusy, label: "cloud: busy or down"},
+			want: cloud.ErrBusy, status: http.StatusTooManyRequests, label: "cloud: busy or down"},
 		{name: "no capacity", respond: respondWith(http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"}),
-			want: cloud.ErrNoCapacity, label: "cloud: no capacity"},
+			want: cloud.ErrNoCapacity, status: http.StatusServiceUnavailable, label: "cloud: no capacity"},
 		{name: "unavailable for another reason", respond: respondWith(http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"}),
-			want: cloud.ErrBusy, label: "cloud: busy or down"},
+			want: cloud.ErrBusy, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
 		{name: "unavailable without a body", respond: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-			want: cloud.ErrBusy, label: "cloud: busy or down"},
+			want: cloud.ErrBusy, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
 		{name: "malformed request", respond: respondWith(http.StatusBadRequest, wire.ErrorBody{Error: "malformed"}),
-			want: cloud.ErrInvalid, label: "cloud: request refused as invalid"},
+			want: cloud.ErrInvalid, status: http.StatusBadRequest, label: "cloud: request refused as invalid"},
 		{name: "status that the API does not have", respond: respondWith(http.StatusInternalServerError, wire.ErrorBody{}),
-			want: cloud.ErrUnknown, label: "cloud: outcome unknown: status 500"},
+			want: cloud.ErrUnknown, status: http.StatusInternalServerError, label: "cloud: outcome unknown: status 500"},
 		{name: "body of the wrong type", respond: respondWith(http.StatusOK, "hosts"),
-			want: cloud.ErrUnknown, label: "cloud: outcome unknown: bad answer: cbor: cannot unmarshal UTF-8 text string into Go value of type wire.MachineNames"},
+			want: cloud.ErrUnknown, status: http.StatusOK, label: "cloud: outcome unknown: bad answer: cbor: cannot unmarshal UTF-8 text string into Go value of type wire.MachineNames"},
 		{name: "body over the limit", respond: respondWith(http.StatusOK, bytes.Repeat([]byte{0}, 5<<20)),
 			want: cloud.ErrUnknown, label: "cloud: outcome unknown"},
 		{name: "connection closed without an answer", respond: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -198,6 +199,7 @@
 				_, err := f.client.ScaleOut(t.Context(), permit, wire.ScaleOutRequest{Name: "b-1", Count: 1})
 				elapsed := time.Since(begin)
 				checkClass(t, err, tt.want)
+				checkFields(t, err, cloud.OperationScaleOut, tt.status)
 				checkDuration(t, elapsed, tt.duration)
 				if got := f.routes(); !slices.Equal(got, []string{"POST /machines"}) {
 					t.Errorf("requests %q, want one POST /machines", got)
@@ -223,6 +225,24 @@
 	}
 }
 
+// checkFields fails the test unless an error is of the operation with the status, and names both.
+func checkFields(t *testing.T, err error, operation cloud.Operation, status int) {
+	t.Helper()
+	if err == nil {
+		return
+	}
+	var failed *cloud.Error
+	if !errors.As(err, &failed) {
+		t.Fatalf("%T %q, want a *cloud.Error", err, err)
+	}
+	if failed.Operation != operation || failed.Status != status {
+		t.Errorf("operation %q, status %d, want %q, %d", failed.Operation, failed.Status, operation, status)
+	}
+	if prefix := string(operation) + ": " + failed.Class.Error(); !strings.HasPrefix(err.Error(), prefix) {
+		t.Errorf("error text %q, want it to begin with %q", err, prefix)
+	}
+}
+
 // checkDuration fails the test unless a call took at least so long, and less than a second more.
 func checkDuration(t *testing.T, got, least time.Duration) {
 	t.Helper()
@@ -249,6 +269,7 @@
 				_, err := f.client.List(t.Context())
 				elapsed := time.Since(begin)
 				checkClass(t, err, cloud.ErrBusy)
+				checkFields(t, err, cloud.OperationList, 0)
 				checkDuration(t, elapsed, tt.duration)
 				if got, want := f.calls(), []observedCall{{"list", "cloud: busy or down", elapsed}}; !slices.Equal(got, want) {
 					t.Errorf("observed %v, want %v", got, want)
@@ -387,6 +408,9 @@
 		err := f.client.ScaleIn(t.Context(), permit, []wire.MachineID{"n-1"})
 		checkClass(t, err, cloud.ErrUnknown)
 		checkDuration(t, time.Since(begin), 2*time.Second)
+		if errors.Is(err, duty.ErrNotHeld) {
+			t.Errorf("error %v is %q, which says that the request was not sent", err, duty.ErrNotHeld)
+		}
 	})
 }
 
@@ -511,6 +535,30 @@
 	}
 }
 
+// Only a request without a usable answer may have been executed, and only an invalid one can't succeed later.
+func TestErrorSaysWhatACallerMayDo(t *testing.T) {
+	tests := []struct {
+		class                    error
+		maybeExecuted, retryable bool
+	}{
+		{class: cloud.ErrNoCapacity, retryable: true},
+		{class: cloud.ErrBusy, retryable: true},
+		{class: cloud.ErrInvalid},
+		{class: cloud.ErrUnknown, maybeExecuted: true, retryable: true},
+	}
+	for _, tt := range tests {
+		t.Run(tt.class.Error(), func(t *testing.T) {
+			err := &cloud.Error{Operation: cloud.OperationScaleIn, Class: tt.class}
+			if got := err.MaybeExecuted(); got != tt.maybeExecuted {
+				t.Errorf("MaybeExecuted() = %v, want %v", got, tt.maybeExecuted)
+			}
+			if got := err.Retryable(); got != tt.retryable {
+				t.Errorf("Retryable() = %v, want %v", got, tt.retryable)
+			}
+		})
+	}
+}
+
 // Errors of the client name the cloud, for logs that hold those of other services too.
 func TestSentinelsNameTheCloud(t *testing.T) {
 	for _, sentinel := range sentinels {
