--- /dev/null
+++ b/internal/peer/event.go
@@ -0,0 +1,51 @@
+package peer
+
+import (
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// event is a message that a stream has received. The goroutine that owns the view handles it.
+type event interface {
+	handle(m *Mesh, current *View)
+}
+
+// heartbeatReceived is another node's heartbeat.
+type heartbeatReceived struct {
+	heartbeat Heartbeat
+	// reply takes the answer; it has room for it, so that a stream that has ended holds up nobody.
+	reply chan<- Heartbeat
+}
+
+// answerReceived is another node's answer to a heartbeat of this node.
+type answerReceived struct {
+	from   wire.NodeID
+	answer Heartbeat
+	// requestedAt is when the heartbeat was sent.
+	requestedAt time.Time
+}
+
+// handle takes in the heartbeat and answers it. What the answer says is in the published view before it is sent.
+func (e heartbeatReceived) handle(m *Mesh, current *View) {
+	from := e.heartbeat.From
+	p := current.peerInContact(from)
+	m.learnVersion(&e.heartbeat)
+	current.observeHeartbeat(&p, &e.heartbeat)
+	answer := m.answer(current.Token, e.heartbeat.Seq)
+	if answer.Delegation > 0 {
+		p.DelegatedAt = time.Now()
+	}
+	current.Peers[from] = p
+	m.publish(current)
+	e.reply <- answer
+}
+
+// handle takes in the answer.
+func (e answerReceived) handle(m *Mesh, current *View) {
+	p := current.peerInContact(e.from)
+	m.learnVersion(&e.answer)
+	current.observeAnswer(&p, &e.answer, e.requestedAt)
+	current.Peers[e.from] = p
+	m.publish(current)
+}
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -7,72 +7,75 @@
 	"lilaclead/internal/wire"
 )
 
-const (
-	// AckLifetime is how old an acknowledgement may be to count, and how long a
-	// fresh process gives none: what it acknowledged before its restart is
-	// forgotten, and may have been a higher token.
-	AckLifetime = 2 * time.Second
-	// OutageLimit is how long a leader may serve without the state service.
-	OutageLimit = 60 * time.Second
-
-	// heartbeatPeriod leaves room for several heartbeats within AckLifetime.
-	heartbeatPeriod = 400 * time.Millisecond
-	// silenceLimit is how long a stream may be silent before it is opened anew.
-	silenceLimit = 3 * time.Second
-	// maxUnanswered is how many heartbeats of a stream may be without an answer
-	// before the stream is given up; silenceLimit is mostly reached before.
-	maxUnanswered = 32
-)
-
-// Heartbeat is what goes over a stream in both directions: one side sends
-// heartbeats, the other answers each with one of its own.
+// Heartbeat is the message of a stream, in both directions: one node sends heartbeats, the other answers each with a Heartbeat
+// of its own. Ages, rather than times of day, are sent, since the nodes' clocks are not compared.
 type Heartbeat struct {
+	// From is the sender.
 	From wire.NodeID `cbor:"from"`
-	Seq  uint64      `cbor:"seq"`
-	// Token is the highest that the sender knows; in an answer it is the
-	// acknowledgement, 0 for none.
+	// Seq numbers the heartbeats of a stream from 1; an answer has the number of its heartbeat.
+	Seq uint64 `cbor:"seq"`
+	// Token is the highest fencing token that the sender knows. In an answer it is the acknowledgement; 0 acknowledges none.
 	Token wire.FencingToken `cbor:"token"`
-	// Leads: the sender leads with that token.
+	// Leads means that the sender is the leader with that token.
 	Leads bool `cbor:"leads"`
-	// StateReachable: the sender reaches the state service.
+	// StateReachable means that the sender reaches the state service.
 	StateReachable bool `cbor:"serves"`
-	// ReachableWorkers is how many workers reported to the sender lately.
+	// ReachableWorkers is the number of workers in contact with the sender.
 	ReachableWorkers int `cbor:"hears"`
-	// Delegation, in an answer, is the token with which the sender surely leads:
-	// the receiver may renew workers' leases on its behalf for a while, counted
-	// from when it sent the heartbeat.
+	// Delegation, in an answer, is the token with which the sender surely leads: the receiver may renew workers' leases on its
+	// behalf for a while, counted from when the receiver sent the heartbeat.
 	Delegation wire.FencingToken `cbor:"grants,omitempty"`
-	// SinceRenewal, in an answer, is how long ago the sender last renewed a lease
-	// as a delegate; 0: never since it started.
+	// SinceRenewal, in an answer, is how long ago the sender last renewed a worker's lease as a delegate; 0 if it has not since
+	// it started.
 	SinceRenewal time.Duration `cbor:"stood,omitempty"`
-	// Uptime, in an answer, is how long ago the sender started.
+	// Uptime, in an answer, is how long ago the sender started. What its predecessor on the same node renewed as a delegate it
+	// does not know.
 	Uptime time.Duration `cbor:"age,omitempty"`
-	// UnconfirmedFor, in an answer with a Delegation, is the age of the oldest
-	// cancellation of which a launch may still be on its way: the time for which
-	// a delegate may renew leases is counted from then.
+	// UnconfirmedFor, in an answer with a Delegation, is the age of the oldest confirmed cancellation whose job may still be
+	// started by a launch that is on its way; 0 if there is none. No worker's heartbeat shows such a task yet, so a delegate
+	// can't stop it: the time for which it may renew leases is counted from that cancellation.
 	UnconfirmedFor time.Duration `cbor:"unproven,omitempty"`
-	// Incarnation tells the sender's process from others of its node, and
-	// ActiveVersion is the version of the behaviour that it knows to be active; empty and
-	// 0 where versions are not negotiated.
-	Incarnation   string `cbor:"process,omitempty"`
+	// Incarnation identifies the sender's process among those of its node; empty where versions are not negotiated.
+	Incarnation string `cbor:"process,omitempty"`
+	// ActiveVersion is the version of the behaviour that the sender knows to be active; 0 where versions are not negotiated.
 	ActiveVersion uint64 `cbor:"version,omitempty"`
 	// Update, in an answer, is what the sender knows of cancellations.
 	cancels.Update
 }
 
-// Status is what this node tells the others of itself.
+// Status is this node's part of the heartbeats and answers that it sends. The fields are as in Heartbeat, where not described.
 type Status struct {
 	Leads            bool
 	Delegation       wire.FencingToken
 	StateReachable   bool
 	ReachableWorkers int
-	// UnconfirmedSince is when the oldest cancellation was confirmed of which a
-	// launch may still be on its way; zero: there is none.
+	// UnconfirmedSince is when the oldest cancellation was confirmed whose job may still be started by a launch that is on its
+	// way; zero if there is none.
 	UnconfirmedSince time.Time
-	// Incarnation and ActiveVersion: see Heartbeat.
-	Incarnation   string
-	ActiveVersion uint64
-	// RefusesAcks: this node must not acknowledge any token, as it may not understand what
-	// is active.
+	Incarnation      string
+	ActiveVersion    uint64
+	// RefusesAcks means that this node must not acknowledge any token, as it may not understand the active version.
 	RefusesAcks bool
 }
+
+// heartbeat returns the heartbeat that a stream sends.
+func (s *Status) heartbeat(from wire.NodeID, sequence uint64, token wire.FencingToken) Heartbeat {
+	return Heartbeat{
+		From:             from,
+		Seq:              sequence,
+		Token:            token,
+		Leads:            s.Leads,
+		StateReachable:   s.StateReachable,
+		ReachableWorkers: s.ReachableWorkers,
+		Incarnation:      s.Incarnation,
+		ActiveVersion:    s.ActiveVersion,
+	}
+}
+
+// unconfirmedFor returns the age of the oldest cancellation of UnconfirmedSince; 0 if there is none.
+func (s *Status) unconfirmedFor() time.Duration {
+	if s.UnconfirmedSince.IsZero() {
+		return 0
+	}
+	return max(0, time.Since(s.UnconfirmedSince))
+}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,18 +1,20 @@
-// Package peer connects the nodes. Every node keeps a stream to every other, an
-// HTTP/2 request of either side without end, on which it sends heartbeats and
-// gets an answer to each. They carry the highest token that a node knows, its
-// acknowledgement, a leader's permission to renew workers' leases on its behalf
-// (a delegation) and the cancellations that users were told of.
+// Package peer connects the controllers. Every node keeps a stream to every other, an HTTP/2 request whose body and answer do
+// not end, on which it sends heartbeats and receives an answer to each. They carry the highest fencing token that a node
+// knows, its acknowledgement, a leader's permission to renew workers' leases on its behalf (a delegation), and the
+// cancellations that users were told of.
 //
-// Mesh is the actor that owns these streams; View is what it knows of the other
-// nodes. Election and leases, which rest on it, are in package leader.
+// Mesh owns these streams, and View is what a node knows of the others. Election and leases, which rest on it, are in package
+// leader.
+//
+// Run owns the goroutines of the streams that this node opens, one for each peer and one more for each stream's heartbeats, and
+// returns when they have ended. The receiving ends are requests of the node's HTTP server, which owns their goroutines.
 package peer
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -23,180 +25,136 @@
 	"lilaclead/internal/wire"
 )
 
-// ErrUnknownPeer is returned for a node that the settings file doesn't name.
-var ErrUnknownPeer = errors.New("no such node")
-
 const (
-	// pingTimeout is how long an HTTP/2 connection may be silent before it is
-	// probed, and then how long the probe may take.
-	pingTimeout = 2 * time.Second
-	// eventBuffer and tokenBuffer spare streams and callers a wait for the actor.
+	// eventBuffer spares streams a wait for the goroutine that owns the view.
 	eventBuffer = 16
+	// tokenBuffer spares callers of ObserveToken that wait.
 	tokenBuffer = 4
 )
 
-// Mesh is the actor that owns the links to the other nodes.
+// Mesh is the actor that owns the streams to the other nodes and the view of them. It is safe for concurrent use.
 type Mesh struct {
 	name    wire.NodeID
 	peers   []config.Peer
 	status  func() Status
 	cancels *cancels.Log
 	log     *slog.Logger
-	events  chan event
-	tokens  chan wire.FencingToken
-	view    atomic.Pointer[View]
 	client  *http.Client
-	// LearnVersion is told of versions of the behaviour that others know to be active;
-	// nil: nobody is. It is set before Run.
+	// LearnVersion, if not nil, is called with versions of the behaviour that others know to be active. It is set before Run.
 	LearnVersion func(version uint64)
-	// undecodable is told of messages that can't be decoded.
+	// undecodable logs messages that can't be decoded.
 	undecodable *undecodable.Log
 
-	startedAt    time.Time
-	renewedAfter atomic.Int64 // from startedAt to the last renewal as a delegate, in nanoseconds; 0: none
-}
+	// events and tokens are what changes the view, which the goroutine of Run alone does.
+	events chan event
+	tokens chan wire.FencingToken
+	view   atomic.Pointer[View]
 
-// event is a message of another node.
-type event struct {
-	from      wire.NodeID
-	heartbeat Heartbeat
-	sent      time.Time      // of an answer: when the heartbeat was sent that it answers
-	reply     chan Heartbeat // of a heartbeat: takes its answer
+	startedAt time.Time
+	// renewedAfter is the time from startedAt to the last renewal as a delegate, in nanoseconds; 0 if there was none.
+	renewedAfter atomic.Int64
 }
 
-// isAnswer tells answers from heartbeats.
-func (e *event) isAnswer() bool { return e.reply == nil }
-
-// New makes a mesh; status is asked before each heartbeat.
-func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelled *cancels.Log, nw netio.Net, log *slog.Logger) *Mesh {
-	var protocols http.Protocols
-	protocols.SetUnencryptedHTTP2(true)
-	transport := &http.Transport{
-		Protocols:   &protocols,
-		DialContext: nw.Dial,
-		HTTP2:       &http.HTTP2Config{SendPingTimeout: pingTimeout, PingTimeout: pingTimeout},
-	}
+// New returns a mesh of a node with its peers. It asks for the status before each message that it sends.
+func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelled *cancels.Log, network netio.Net, log *slog.Logger) *Mesh {
 	m := &Mesh{
 		name:        name,
 		peers:       peers,
 		status:      status,
 		cancels:     cancelled,
 		log:         log,
-		events:      make(chan event, eventBuffer),
+		client:      &http.Client{Transport: newTransport(network)},
 		undecodable: undecodable.New(log),
+		events:      make(chan event, eventBuffer),
 		tokens:      make(chan wire.FencingToken, tokenBuffer),
-		client:      &http.Client{Transport: transport},
 		startedAt:   time.Now(),
 	}
 	m.view.Store(&View{})
 	return m
 }
 
-// View is the newest view.
-func (m *Mesh) View() *View { return m.view.Load() }
-
-// ObserveToken tells the mesh of a token that this node has learnt of.
-func (m *Mesh) ObserveToken(ctx context.Context, t wire.FencingToken) {
-	select {
-	case m.tokens <- t:
-	case <-ctx.Done():
+// newTransport returns a transport for unencrypted HTTP/2 over the network.
+func newTransport(network netio.Net) *http.Transport {
+	var protocols http.Protocols
+	protocols.SetUnencryptedHTTP2(true)
+	return &http.Transport{
+		Protocols:   &protocols,
+		DialContext: network.Dial,
+		HTTP2:       &http.HTTP2Config{SendPingTimeout: pingTimeout, PingTimeout: pingTimeout},
 	}
 }
 
-// RecordRenewal notes that this node is about to renew a lease as a delegate.
-// It is called before the node checks whether it may: an answer to a heartbeat
-// that lacks the renewal was then made before the check, which sees that
-// heartbeat.
-func (m *Mesh) RecordRenewal() {
-	m.renewedAfter.Store(max(1, int64(time.Since(m.startedAt))))
-}
+// View returns the newest view.
+func (m *Mesh) View() *View { return m.view.Load() }
 
-// SinceRenewal is how long ago this node last renewed a lease as a delegate; 0:
-// never.
-func (m *Mesh) SinceRenewal() time.Duration {
-	after := m.renewedAfter.Load()
-	if after == 0 {
-		return 0
+// ObserveToken takes in a fencing token that this node has learnt of elsewhere.
+func (m *Mesh) ObserveToken(ctx context.Context, token wire.FencingToken) {
+	select {
+	case m.tokens <- token:
+	case <-ctx.Done():
 	}
-	return max(1, time.Since(m.startedAt)-time.Duration(after))
 }
 
-// Run owns the view until the context ends.
+// Run keeps streams to all peers and owns the view, until the context ends and the streams have ended with it.
 func (m *Mesh) Run(ctx context.Context) {
+	var links sync.WaitGroup
+	defer links.Wait()
 	for _, p := range m.peers {
-		go m.link(ctx, p)
+		links.Go(func() { m.keepStream(ctx, p) })
 	}
+	m.ownView(ctx)
+}
+
+// ownView applies events and tokens to the view until the context ends.
+func (m *Mesh) ownView(ctx context.Context) {
 	current := View{Peers: map[wire.NodeID]Peer{}}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-m.tokens:
-			current.observeToken(t)
-			m.view.Store(current.clone())
+		case token := <-m.tokens:
+			current.observeToken(token)
+			m.publish(&current)
 		case e := <-m.events:
-			m.handle(&current, &e)
+			e.handle(m, &current)
 		}
 	}
 }
 
-// handle takes in a message and answers it. What an answer says is in the
-// published view before it is sent.
-func (m *Mesh) handle(current *View, e *event) {
-	p := current.Peers[e.from]
-	p.LastContact = time.Now()
-	if e.heartbeat.ActiveVersion > 0 && m.LearnVersion != nil {
-		m.LearnVersion(e.heartbeat.ActiveVersion)
-	}
-	if e.isAnswer() {
-		current.observeAnswer(&p, &e.heartbeat, e.sent)
-		current.Peers[e.from] = p
-		m.view.Store(current.clone())
-		return
+// publish makes a copy of the view the newest one.
+func (m *Mesh) publish(current *View) { m.view.Store(current.clone()) }
+
+// learnVersion passes on the version that a message says is active.
+func (m *Mesh) learnVersion(message *Heartbeat) {
+	if message.ActiveVersion > 0 && m.LearnVersion != nil {
+		m.LearnVersion(message.ActiveVersion)
 	}
-	current.observeHeartbeat(&p, &e.heartbeat)
-	answer := m.answer(current, &p, e.heartbeat.Seq)
-	current.Peers[e.from] = p
-	m.view.Store(current.clone())
-	e.reply <- answer
 }
 
-// answer is what the peer gets for a heartbeat.
-func (m *Mesh) answer(current *View, p *Peer, seq uint64) Heartbeat {
-	s := m.status()
-	answer := Heartbeat{From: m.name, Seq: seq, Incarnation: s.Incarnation, ActiveVersion: s.ActiveVersion}
-	if time.Since(m.startedAt) >= AckLifetime && !s.RefusesAcks {
-		answer.Token = current.Token
+// answer returns the answer to a heartbeat, from a node that knows the token.
+func (m *Mesh) answer(token wire.FencingToken, sequence uint64) Heartbeat {
+	status := m.status()
+	answer := Heartbeat{
+		From:          m.name,
+		Seq:           sequence,
+		Incarnation:   status.Incarnation,
+		ActiveVersion: status.ActiveVersion,
+		SinceRenewal:  m.SinceRenewal(),
+		Uptime:        max(1, time.Since(m.startedAt)),
 	}
-	if s.Delegation > 0 && s.Delegation == current.Token {
-		answer.Delegation = s.Delegation
-		p.DelegatedAt = time.Now()
-		if !s.UnconfirmedSince.IsZero() {
-			answer.UnconfirmedFor = max(0, time.Since(s.UnconfirmedSince))
-		}
+	if m.mayAcknowledge(&status) {
+		answer.Token = token
 	}
-	answer.SinceRenewal = m.SinceRenewal()
-	answer.Uptime = max(1, time.Since(m.startedAt))
-	return answer
-}
-
-// Relay asks another node over HTTP/2 and returns its answer.
-func (m *Mesh) Relay(ctx context.Context, to wire.NodeID, path string, body any) (int, []byte, error) {
-	p, ok := m.peer(to)
-	if !ok {
-		return 0, nil, ErrUnknownPeer
+	if status.Delegation > 0 && status.Delegation == token {
+		answer.Delegation = status.Delegation
+		answer.UnconfirmedFor = status.unconfirmedFor()
 	}
-	ctx, cancel := context.WithTimeout(ctx, AckLifetime)
-	defer cancel()
-	status, raw, _, err := netio.Call(ctx, m.client, "POST", "http://"+p.Addr+path, body, wire.MaxBody)
-	return status, raw, err
+	return answer
 }
 
-func (m *Mesh) peer(id wire.NodeID) (config.Peer, bool) {
-	for _, p := range m.peers {
-		if p.HostName == id {
-			return p, true
-		}
-	}
-	return config.Peer{}, false
+// mayAcknowledge reports whether this node may acknowledge tokens: not when it refuses to, nor as a fresh process (see
+// AckLifetime).
+func (m *Mesh) mayAcknowledge(status *Status) bool {
+	fresh := time.Since(m.startedAt) < AckLifetime
+	return !fresh && !status.RefusesAcks
 }
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -8,122 +8,138 @@
 	"lilaclead/internal/wire"
 )
 
-// Peer is what is known of another node. Times are of the monotonic clock.
+// View is what one node knows of all. It is never changed once published. Times are of this node's monotonic clock.
+type View struct {
+	// Token is the highest fencing token that this node knows.
+	Token wire.FencingToken
+	// Leader is the node that leads with Token, if its last heartbeat said so; empty if none is known.
+	Leader wire.NodeID
+	// Peers holds the other nodes that have been in contact.
+	Peers map[wire.NodeID]Peer
+	// LeaderSeen is when a node last said that it leads with the highest token, in a heartbeat or by a delegation.
+	LeaderSeen time.Time
+	// Delegation is the newest that this node has.
+	Delegation Delegation
+}
+
+// Peer is what is known of another node.
 type Peer struct {
+	// Heartbeat is its last one.
 	Heartbeat
-	// LastContact is when the last message came in.
+	// LastContact is when its last message came in.
 	LastContact time.Time
-	// AckSent is when the heartbeat was sent that was answered last, and AckToken
-	// the token acknowledged by it.
-	AckSent  time.Time
+	// AckSent is when this node sent the heartbeat that the other has answered last. An acknowledgement counts from then, and
+	// not from when it came in, since the other may have made it at any time in between.
+	AckSent time.Time
+	// AckToken is the token that the last answer acknowledged; 0 if none.
 	AckToken wire.FencingToken
-	// DelegatedAt is when this node last let the other renew leases for it.
+	// DelegatedAt is when this node, as the leader, last granted the other a delegation.
 	DelegatedAt time.Time
-	// LastRenewal is when the other last renewed a lease as a delegate, at the
-	// latest, as of its last answer.
+	// LastRenewal is when the other last renewed a lease as a delegate, at the latest: when its last answer came in, less the
+	// age of the renewal that it stated.
 	LastRenewal time.Time
-	// StartedBefore is when the other started, at the latest. Until then its former
-	// process may have renewed leases, of which it knows nothing.
+	// StartedBefore is when the other's process started, at the latest: when its last answer came in, less the uptime that it
+	// stated. Until then an earlier process may have renewed leases as a delegate, of which this one knows nothing.
 	StartedBefore time.Time
 }
 
-// Connected tells whether the node was in contact lately.
+// Connected reports whether the node was in contact within AckLifetime.
 func (p Peer) Connected(now time.Time) bool { return now.Sub(p.LastContact) < AckLifetime }
 
-// acknowledge takes in an answer to the heartbeat that was sent then. Answers
-// of an earlier stream may come after those of a newer one.
-func (p *Peer) acknowledge(answer *Heartbeat, sent time.Time) {
-	if !sent.After(p.AckSent) {
-		return
-	}
-	p.AckSent, p.AckToken = sent, answer.Token
-	if answer.SinceRenewal > 0 {
-		p.LastRenewal = p.LastContact.Add(-answer.SinceRenewal)
-	}
-	if answer.Uptime > 0 {
-		p.StartedBefore = p.LastContact.Add(-answer.Uptime)
-	}
-}
-
-// Delegation is a leader's permission for this node to renew workers' leases on
-// its behalf.
+// Delegation is a leader's permission for this node to renew workers' leases on its behalf.
 type Delegation struct {
+	// Token is the token with which the leader led.
 	Token wire.FencingToken
-	// RequestedAt is when this node asked for it, or earlier: a launch of what
-	// was cancelled before can't arrive any more.
+	// RequestedAt is when this node sent the heartbeat that was answered with the delegation, or earlier by the age of the
+	// oldest cancellation whose job may still be started: no launch of a job that was cancelled before can arrive any more.
 	RequestedAt time.Time
 }
 
-// View is what one node knows of all. It is never changed once published.
-type View struct {
-	// Token is the highest that this node knows of.
-	Token wire.FencingToken
-	// Leader is who leads with it, if a heartbeat said so lately.
-	Leader wire.NodeID
-	Peers  map[wire.NodeID]Peer
-	// LeaderSeen is when a node last said that it leads with that token.
-	LeaderSeen time.Time
-	// Delegation is the newest that this node has.
-	Delegation Delegation
-}
-
-// AckedUntil is until when an acknowledgement of the token by so many nodes,
-// this one included, is young enough to count; zero if it never was.
-func (v *View) AckedUntil(t wire.FencingToken, nodes int) time.Time {
-	if v.Token > t {
+// AckedUntil returns until when acknowledgements of the token by a quorum of so many nodes, this one included, count; zero if
+// there are none, or if a higher token is known.
+func (v *View) AckedUntil(token wire.FencingToken, quorum int) time.Time {
+	if v.Token > token {
 		return time.Time{}
 	}
-	var until []time.Time
-	for _, p := range v.Peers {
-		if p.AckToken == t {
-			until = append(until, p.AckSent.Add(AckLifetime))
-		}
+	others := quorum - 1
+	if others <= 0 {
+		return time.Now().Add(AckLifetime)
 	}
-	if len(until) < nodes-1 {
+	expiries := v.ackExpiries(token)
+	if len(expiries) < others {
 		return time.Time{}
 	}
-	if nodes <= 1 {
-		return time.Now().Add(AckLifetime)
+	slices.SortFunc(expiries, func(a, b time.Time) int { return b.Compare(a) })
+	return expiries[others-1]
+}
+
+// ackExpiries returns until when each acknowledgement of the token counts.
+func (v *View) ackExpiries(token wire.FencingToken) []time.Time {
+	var expiries []time.Time
+	for _, p := range v.Peers {
+		if p.AckToken == token {
+			expiries = append(expiries, p.AckSent.Add(AckLifetime))
+		}
+	}
+	return expiries
+}
+
+// peerInContact returns what is known of a node that a message has just come from.
+func (v *View) peerInContact(id wire.NodeID) Peer {
+	p := v.Peers[id]
+	p.LastContact = time.Now()
+	return p
+}
+
+// observeToken takes in a token. Nobody is known to lead with a new one.
+func (v *View) observeToken(token wire.FencingToken) {
+	if token > v.Token {
+		v.Token, v.Leader = token, ""
 	}
-	slices.SortFunc(until, func(a, b time.Time) int { return b.Compare(a) })
-	return until[nodes-2]
 }
 
-// observeToken takes in a token; nobody is known to lead with a new one.
-func (v *View) observeToken(t wire.FencingToken) {
-	if t > v.Token {
-		v.Token, v.Leader = t, ""
+// observeHeartbeat takes in another node's heartbeat.
+func (v *View) observeHeartbeat(p *Peer, heartbeat *Heartbeat) {
+	p.Heartbeat = *heartbeat
+	v.observeToken(heartbeat.Token)
+	switch {
+	case heartbeat.Leads && heartbeat.Token == v.Token:
+		v.Leader, v.LeaderSeen = heartbeat.From, p.LastContact
+	case v.Leader == heartbeat.From:
+		v.Leader = ""
 	}
 }
 
-// observeAnswer takes in another node's answer to the heartbeat sent then.
-func (v *View) observeAnswer(p *Peer, answer *Heartbeat, sent time.Time) {
-	p.acknowledge(answer, sent)
-	// Also empty: the node may have been replaced by one of a version from before.
+// observeAnswer takes in another node's answer to the heartbeat that was sent at requestedAt.
+func (v *View) observeAnswer(p *Peer, answer *Heartbeat, requestedAt time.Time) {
+	p.observeAck(answer, requestedAt)
+	// Also if they are empty: the node may have been replaced by one of a version that does not negotiate.
 	p.Incarnation, p.ActiveVersion = answer.Incarnation, answer.ActiveVersion
 	v.observeToken(answer.Token)
 	if answer.Delegation > 0 && answer.Delegation == v.Token {
-		requested := sent.Add(-max(0, answer.UnconfirmedFor))
-		v.Delegation = Delegation{answer.Delegation, requested}
+		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.UnconfirmedFor))}
 		v.LeaderSeen = p.LastContact
 	}
 }
 
-// observeHeartbeat takes in another node's heartbeat.
-func (v *View) observeHeartbeat(p *Peer, h *Heartbeat) {
-	p.Heartbeat = *h
-	v.observeToken(h.Token)
-	switch {
-	case h.Leads && h.Token == v.Token:
-		v.Leader, v.LeaderSeen = h.From, p.LastContact
-	case v.Leader == h.From:
-		v.Leader = ""
+// observeAck takes in what an answer says of the other node, unless a newer heartbeat was answered before: answers of an
+// earlier stream may come after those of a newer one.
+func (p *Peer) observeAck(answer *Heartbeat, requestedAt time.Time) {
+	if !requestedAt.After(p.AckSent) {
+		return
+	}
+	p.AckSent, p.AckToken = requestedAt, answer.Token
+	if answer.SinceRenewal > 0 {
+		p.LastRenewal = p.LastContact.Add(-answer.SinceRenewal)
+	}
+	if answer.Uptime > 0 {
+		p.StartedBefore = p.LastContact.Add(-answer.Uptime)
 	}
 }
 
-// clone is a copy that can be published.
+// clone returns a copy that can be published.
 func (v *View) clone() *View {
-	c := *v
-	c.Peers = maps.Clone(v.Peers)
-	return &c
+	published := *v
+	published.Peers = maps.Clone(v.Peers)
+	return &published
 }
