--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -1,10 +1,15 @@
 package peer
 
 import (
+	"bytes"
 	"context"
+	"errors"
 	"io"
 	"log/slog"
 	"net/http"
+	"runtime"
+	"strings"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -15,94 +20,470 @@
 	"lilaclead/internal/wire"
 )
 
-// A majority's acknowledgement counts from when the heartbeat was sent, for
-// AckLifetime.
-func TestAckedUntil(t *testing.T) {
-	t0 := time.Unix(100, 0)
-	v := &View{Token: 9, Peers: map[wire.NodeID]Peer{
-		"a": {AckToken: 9, AckSent: t0}, "b": {AckToken: 9, AckSent: t0.Add(time.Second)}, "c": {AckToken: 8, AckSent: t0.Add(9 * time.Second)}}}
-	for n, want := range map[int]time.Time{2: t0.Add(time.Second + AckLifetime), 3: t0.Add(AckLifetime), 4: {}} {
-		if got := v.AckedUntil(9, n); !got.Equal(want) {
-			t.Errorf("%d nodes: until %v, want %v", n, got, want)
+const (
+	ipA, ipB = "10.0.0.1", "10.0.0.2"
+	port     = ":1"
+	// leaderToken is the token with which node a leads.
+	leaderToken = 7
+	// connected is long enough for two fresh nodes to acknowledge tokens.
+	connected = AckLifetime + 1500*time.Millisecond
+)
+
+// pair is two nodes on a network in memory; a leads with leaderToken, of which both were told by a.
+type pair struct {
+	network *simulator.Network
+	ctx     context.Context
+	a, b    *Mesh
+	// logs holds what both nodes log.
+	logs lockedBuffer
+	// cancelsA and cancelsB are the nodes' logs of cancellations.
+	cancelsA, cancelsB *cancels.Log
+
+	mu      sync.Mutex
+	statusB Status
+}
+
+// setStatusB changes what node b says of itself.
+func (p *pair) setStatusB(s Status) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.statusB = s
+}
+
+func (p *pair) statusOfB() Status {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.statusB
+}
+
+// lockedBuffer is a buffer for concurrent use.
+type lockedBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
+}
+
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.Write(p)
+}
+
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buffer.String()
+}
+
+// withPair runs a test in virtual time with two nodes that start when it does.
+func withPair(t *testing.T, test func(t *testing.T, p *pair)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		p := &pair{network: simulator.NewNetwork(time.Millisecond), statusB: Status{StateReachable: true}}
+		ctx, cancel := context.WithCancel(t.Context())
+		p.ctx = ctx
+		var running sync.WaitGroup
+		var stops []func()
+		start := func(name, other wire.NodeID, ip, otherIP string, status func() Status) (*Mesh, *cancels.Log) {
+			cancelled := cancels.New([]wire.NodeID{other}, time.Minute)
+			log := slog.New(slog.NewTextHandler(&p.logs, &slog.HandlerOptions{Level: slog.LevelDebug}))
+			m := New(name, []config.Peer{{HostName: other, Addr: otherIP + port}}, status, cancelled, p.network.Host(ip), log)
+			stops = append(stops, serveHTTP2(t, p.network, ip, m))
+			running.Go(func() { m.Run(ctx) })
+			return m, cancelled
 		}
+		statusA := Status{Leads: true, Delegation: leaderToken, StateReachable: true}
+		p.a, p.cancelsA = start("a", "b", ipA, ipB, func() Status { return statusA })
+		p.b, p.cancelsB = start("b", "a", ipB, ipA, p.statusOfB)
+		p.a.ObserveToken(ctx, leaderToken)
+		test(t, p)
+		cancel()
+		p.network.Close()
+		running.Wait()
+		for _, stop := range stops {
+			stop()
+		}
+		p.network.Close()
+	})
+}
+
+// serveHTTP2 serves a handler on a host, until the function that it returns is called.
+func serveHTTP2(t *testing.T, network *simulator.Network, ip string, handler http.Handler) (stop func()) {
+	t.Helper()
+	listener, err := network.Host(ip).Listen("tcp4", ip+port)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if got := v.AckedUntil(8, 1); !got.IsZero() {
-		t.Errorf("an older token counts until %v", got)
+	var protocols http.Protocols
+	protocols.SetUnencryptedHTTP2(true)
+	server := &http.Server{Handler: handler, Protocols: &protocols}
+	var wg sync.WaitGroup
+	wg.Go(func() { server.Serve(listener) }) //nolint:errcheck // ends with Close
+	return func() {
+		server.Close()
+		wg.Wait()
 	}
 }
 
-// Tokens spread, the higher one wins, a fresh process acknowledges nothing
-// for AckLifetime, and a cut ends the acknowledgements.
+// acked reports whether a's token is acknowledged by both nodes now.
+func (p *pair) acked(token wire.FencingToken) bool {
+	return p.a.View().AckedUntil(token, 2).After(time.Now())
+}
+
+// Heartbeats spread tokens, and their answers acknowledge them.
 func TestHeartbeats(t *testing.T) {
+	tests := []struct {
+		name string
+		test func(t *testing.T, p *pair)
+	}{
+		{"fresh process acknowledges nothing for AckLifetime", func(t *testing.T, p *pair) {
+			time.Sleep(AckLifetime - 500*time.Millisecond)
+			if p.acked(leaderToken) {
+				t.Error("a fresh process acknowledges")
+			}
+			time.Sleep(2 * time.Second)
+			if !p.acked(leaderToken) {
+				t.Error("no acknowledgement after AckLifetime")
+			}
+		}},
+		{"node that refuses acknowledges nothing", func(t *testing.T, p *pair) {
+			p.setStatusB(Status{RefusesAcks: true})
+			time.Sleep(connected)
+			if p.acked(leaderToken) {
+				t.Error("acknowledged by a node that refuses to")
+			}
+			if token := p.b.View().Token; token != leaderToken {
+				t.Errorf("b knows token %d, want %d", token, leaderToken)
+			}
+		}},
+		{"token and leader become known", func(t *testing.T, p *pair) {
+			time.Sleep(connected)
+			if v := p.b.View(); v.Token != leaderToken || v.Leader != "a" {
+				t.Errorf("b knows token %d, leader %q, want %d, a", v.Token, v.Leader, leaderToken)
+			}
+		}},
+		{"higher token ends acknowledgements of the lower one", func(t *testing.T, p *pair) {
+			time.Sleep(connected)
+			p.b.ObserveToken(p.ctx, 9)
+			time.Sleep(time.Second)
+			if got := p.a.View().AckedUntil(leaderToken, 1); got.After(time.Now()) {
+				t.Errorf("the lower token still counts until %v", got)
+			}
+			if token := p.a.View().Token; token != 9 {
+				t.Errorf("a knows token %d, want 9", token)
+			}
+		}},
+		{"partition ends acknowledgements until it heals", func(t *testing.T, p *pair) {
+			time.Sleep(connected)
+			if !p.acked(leaderToken) {
+				t.Error("no acknowledgement before the partition")
+			}
+			p.network.Cut(ipA, ipB, true)
+			time.Sleep(AckLifetime + time.Second)
+			if p.acked(leaderToken) {
+				t.Error("acknowledged through a partition")
+			}
+			p.network.Cut(ipA, ipB, false)
+			time.Sleep(5 * time.Second)
+			if !p.acked(leaderToken) {
+				t.Error("no acknowledgement after the partition")
+			}
+		}},
+		{"status becomes known", func(t *testing.T, p *pair) {
+			p.setStatusB(Status{StateReachable: true, ReachableWorkers: 12, Incarnation: "c0ffee", ActiveVersion: 2})
+			time.Sleep(time.Second)
+			got := p.a.View().Peers["b"]
+			if !got.StateReachable || got.ReachableWorkers != 12 || got.Incarnation != "c0ffee" || got.ActiveVersion != 2 {
+				t.Errorf("a knows %+v of b", got.Heartbeat)
+			}
+		}},
+		{"start becomes known as an upper bound", func(t *testing.T, p *pair) {
+			started := time.Now()
+			time.Sleep(connected)
+			if got := p.a.View().Peers["b"].StartedBefore; got.Before(started) || got.After(started.Add(100*time.Millisecond)) {
+				t.Errorf("a knows that b started before %v, want %v and little more", got, started)
+			}
+		}},
+		{"cancellations become known", func(t *testing.T, p *pair) {
+			p.cancelsB.Add("req-1", 0)
+			time.Sleep(time.Second)
+			if _, ok := p.cancelsA.ConfirmedAt("req-1"); !ok {
+				t.Error("a does not know of a cancellation that b confirmed")
+			}
+		}},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) { withPair(t, tt.test) })
+	}
+}
+
+// A leader's delegation reaches the other node, and what it did as a delegate the leader.
+func TestDelegation(t *testing.T) {
+	tests := []struct {
+		name string
+		test func(t *testing.T, p *pair)
+	}{
+		{"counted from the request, and noted by the leader after it", func(t *testing.T, p *pair) {
+			time.Sleep(connected)
+			got := p.b.View().Delegation
+			if got.Token != leaderToken || time.Since(got.RequestedAt) > time.Second {
+				t.Errorf("delegation %+v, want one of token %d within a second before %v", got, leaderToken, time.Now())
+			}
+			if granted := p.a.View().Peers["b"].DelegatedAt; granted.Before(got.RequestedAt) {
+				t.Errorf("granted at %v, want no earlier than the request at %v", granted, got.RequestedAt)
+			}
+		}},
+		{"not granted under a token that is not the highest", func(t *testing.T, p *pair) {
+			time.Sleep(connected)
+			p.b.ObserveToken(p.ctx, 9)
+			time.Sleep(time.Second)
+			if got := p.b.View().Delegation; got.Token != leaderToken || time.Since(got.RequestedAt) < 900*time.Millisecond {
+				t.Errorf("delegation under a lower token is granted again: %+v at %v", got, time.Now())
+			}
+		}},
+		{"renewal as a delegate becomes known", func(t *testing.T, p *pair) {
+			time.Sleep(connected)
+			if got := p.a.View().Peers["b"].LastRenewal; !got.IsZero() {
+				t.Errorf("renewed at %v, want never", got)
+			}
+			p.b.RecordRenewal()
+			renewed := time.Now()
+			time.Sleep(time.Second)
+			if got := p.a.View().Peers["b"].LastRenewal; got.Before(renewed) || got.After(renewed.Add(100*time.Millisecond)) {
+				t.Errorf("a knows of a renewal at %v, want %v and little more", got, renewed)
+			}
+		}},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) { withPair(t, tt.test) })
+	}
+}
+
+// The age of the last renewal is 0 before the first, and positive afterwards.
+func TestSinceRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		nw := simulator.NewNetwork(time.Millisecond)
-		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		var protocols http.Protocols
-		protocols.SetUnencryptedHTTP2(true)
-		var servers []*http.Server
-		node := func(name, other wire.NodeID, ip, otherIP string, leads bool) *Mesh {
-			m := New(name, []config.Peer{{HostName: other, Addr: otherIP + ":1"}}, func() Status {
-				return Status{Leads: leads, Delegation: map[bool]wire.FencingToken{true: 7}[leads], StateReachable: true}
-			}, cancels.New(nil, time.Minute), nw.Host(ip), log)
-			l, err := nw.Host(ip).Listen("tcp4", ip+":1")
-			if err != nil {
-				t.Fatal(err)
-			}
-			s := &http.Server{Handler: m, Protocols: &protocols}
-			servers = append(servers, s)
-			go s.Serve(l) //nolint:errcheck // ends with Close
-			go m.Run(ctx)
-			return m
-		}
-		a, b := node("a", "b", "10.0.0.1", "10.0.0.2", true), node("b", "a", "10.0.0.2", "10.0.0.1", false)
-		a.ObserveToken(ctx, 7)
-		time.Sleep(1500 * time.Millisecond)
-		if got := a.View().AckedUntil(7, 2); got.After(time.Now()) {
-			t.Error("a fresh process acknowledges")
-		}
-		time.Sleep(2 * time.Second)
-		if got := a.View().AckedUntil(7, 2); !got.After(time.Now()) {
-			t.Error("no acknowledgement")
-		}
-		if v := b.View(); v.Token != 7 || v.Leader != "a" {
-			t.Errorf("b knows token %d, leader %q", v.Token, v.Leader)
-		}
-		// The leader's delegation reaches the other, counted from its request, and
-		// only under the token that both know; who renewed as a delegate says so.
-		if g := b.View().Delegation; g.Token != 7 || time.Since(g.RequestedAt) > time.Second || a.View().Peers["b"].DelegatedAt.Before(g.RequestedAt) || !a.View().Peers["b"].LastRenewal.IsZero() {
-			t.Errorf("delegation %+v, given %v", g, a.View().Peers["b"].DelegatedAt)
+		m := New("a", nil, func() Status { return Status{} }, cancels.New(nil, time.Minute), simulator.NewNetwork(0).Host(ipA), discardLog())
+		if got := m.SinceRenewal(); got != 0 {
+			t.Errorf("before the first renewal: %v, want 0", got)
 		}
-		b.RecordRenewal()
-		at := time.Now()
-		time.Sleep(time.Second)
-		if renewed := a.View().Peers["b"].LastRenewal; renewed.Before(at) || renewed.After(at.Add(100*time.Millisecond)) {
-			t.Errorf("b renewed as a delegate at %v, a knows of %v", at, renewed)
+		m.RecordRenewal()
+		if got := m.SinceRenewal(); got <= 0 || got > time.Millisecond {
+			t.Errorf("right after a renewal: %v, want above 0", got)
 		}
-		b.ObserveToken(ctx, 9)
-		time.Sleep(time.Second)
-		if g := b.View().Delegation; g.Token != 7 || time.Since(g.RequestedAt) < 900*time.Millisecond {
-			t.Errorf("delegation under an older token is renewed: %+v", g)
+		time.Sleep(time.Minute)
+		if got := m.SinceRenewal(); got < time.Minute-time.Millisecond || got > time.Minute {
+			t.Errorf("a minute after a renewal: %v", got)
 		}
-		if got := a.View().AckedUntil(7, 1); got.After(time.Now()) || a.View().Token != 9 {
-			t.Errorf("the lower token still counts until %v", got)
+	})
+}
+
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
+// A version is learnt from heartbeats and answers alike, and one that is not negotiated from neither.
+func TestLearnVersion(t *testing.T) {
+	tests := []struct {
+		name    string
+		message Heartbeat
+		want    []uint64
+	}{
+		{"active version", Heartbeat{From: "b", ActiveVersion: 2}, []uint64{2, 2}},
+		{"version not negotiated", Heartbeat{From: "b"}, nil},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			m := New("a", nil, func() Status { return Status{} }, cancels.New(nil, time.Minute), simulator.NewNetwork(0).Host(ipA), discardLog())
+			var learnt []uint64
+			m.LearnVersion = func(version uint64) { learnt = append(learnt, version) }
+			view := &View{Peers: map[wire.NodeID]Peer{}}
+			heartbeatReceived{tt.message, make(chan Heartbeat, 1)}.handle(m, view)
+			answerReceived{"b", tt.message, time.Now()}.handle(m, view)
+			if len(learnt) != len(tt.want) || len(learnt) > 0 && learnt[0] != tt.want[0] {
+				t.Errorf("learnt %v, want %v", learnt, tt.want)
+			}
+		})
+	}
+}
+
+// Run returns only when the goroutines of its streams have ended.
+func TestRunWaitsForItsStreams(t *testing.T) {
+	tests := []struct {
+		name    string
+		handler http.HandlerFunc // of the peer; nil: nothing listens
+	}{
+		{"peer is not there", nil},
+		{"peer refuses the stream", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }},
+		{"peer accepts no stream", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
+		{"peer answers nothing", func(w http.ResponseWriter, r *http.Request) {
+			w.WriteHeader(http.StatusOK)
+			http.NewResponseController(w).Flush() //nolint:errcheck // then the stream ends
+			<-r.Context().Done()
+		}},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				network := simulator.NewNetwork(time.Millisecond)
+				if tt.handler != nil {
+					defer serveHTTP2(t, network, ipB, tt.handler)()
+				}
+				m := New("a", []config.Peer{{HostName: "b", Addr: ipB + port}}, func() Status { return Status{} },
+					cancels.New(nil, time.Minute), network.Host(ipA), discardLog())
+				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+				defer cancel()
+				begin := time.Now()
+				m.Run(ctx)
+				if got := time.Since(begin); got != time.Second {
+					t.Errorf("ended after %v, want with the context after %v", got, time.Second)
+				}
+				if running := streamGoroutines(); running > 0 {
+					t.Errorf("%d goroutines of streams run after Run", running)
+				}
+				network.Close()
+			})
+		})
+	}
+}
+
+// A stream that ends before the context ends its heartbeats too.
+func TestStreamWaitsForItsSender(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		network := simulator.NewNetwork(time.Millisecond)
+		defer serveHTTP2(t, network, ipB, http.NotFoundHandler())()
+		p := config.Peer{HostName: "b", Addr: ipB + port}
+		m := New("a", []config.Peer{p}, func() Status { return Status{} }, cancels.New(nil, time.Minute), network.Host(ipA), discardLog())
+		if err := m.runStream(t.Context(), p); !errors.Is(err, errStreamRefused) {
+			t.Errorf("error %v, want %v", err, errStreamRefused)
 		}
-		nw.Cut("10.0.0.1", "10.0.0.2", true)
-		time.Sleep(AckLifetime + time.Second)
-		if got := a.View().AckedUntil(9, 2); got.After(time.Now()) {
-			t.Error("acknowledged through a cut")
+		if running := streamGoroutines(); running > 0 {
+			t.Errorf("%d goroutines of the stream run after it", running)
 		}
-		nw.Cut("10.0.0.1", "10.0.0.2", false)
-		time.Sleep(5 * time.Second)
-		if got := a.View().AckedUntil(9, 2); !got.After(time.Now()) {
-			t.Error("no acknowledgement after the cut")
+		network.Close()
+	})
+}
+
+// streamGoroutines returns the number of goroutines that run a stream of this package.
+func streamGoroutines() int {
+	stacks := make([]byte, 1<<20)
+	stacks = stacks[:runtime.Stack(stacks, true)]
+	return strings.Count(string(stacks), "(*outgoingStream).sendHeartbeats(") + strings.Count(string(stacks), "(*Mesh).runStream(")
+}
+
+// A stream on which nothing is answered is closed and opened anew.
+func TestIdleStreamIsReopened(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		network := simulator.NewNetwork(time.Millisecond)
+		var mu sync.Mutex
+		var opened []time.Time
+		defer serveHTTP2(t, network, ipB, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			mu.Lock()
+			opened = append(opened, time.Now())
+			mu.Unlock()
+			w.WriteHeader(http.StatusOK)
+			http.NewResponseController(w).Flush() //nolint:errcheck // then the stream ends
+			<-r.Context().Done()
+		}))()
+		m := New("a", []config.Peer{{HostName: "b", Addr: ipB + port}}, func() Status { return Status{} },
+			cancels.New(nil, time.Minute), network.Host(ipA), discardLog())
+		ctx, cancel := context.WithTimeout(t.Context(), 3*streamIdleTimeout)
+		defer cancel()
+		m.Run(ctx)
+		mu.Lock()
+		defer mu.Unlock()
+		if len(opened) != 3 {
+			t.Fatalf("%d streams in %v, want 3", len(opened), 3*streamIdleTimeout)
 		}
-		cancel()
-		nw.Close()
-		for _, s := range servers {
-			s.Close()
+		for i, at := range opened[1:] {
+			want := streamIdleTimeout + heartbeatPeriod
+			if got := at.Sub(opened[i]); got < want || got > want+100*time.Millisecond {
+				t.Errorf("stream %d opened %v after the one before, want %v", i+2, got, want)
+			}
 		}
-		time.Sleep(5 * time.Second)
-		nw.Close()
+		network.Close()
 	})
 }
+
+// A message that can't be decoded, or is of a stranger, ends its stream; only the former is an error that a person sees.
+func TestRefusedHeartbeats(t *testing.T) {
+	tests := []struct {
+		name    string
+		body    []byte
+		wantLog string
+	}{
+		{name: "wrong type", body: wire.Encode("heartbeat"), wantLog: "level=ERROR msg=undecodable what=\"a heartbeat from " + ipA},
+		{name: "malformed", body: []byte{0xff}, wantLog: "level=ERROR msg=undecodable what=\"a heartbeat from " + ipA},
+		{name: "cut short", body: wire.Encode(Heartbeat{From: "a"})[:3]},
+		{name: "unknown sender", body: wire.Encode(Heartbeat{From: "stranger"})},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			withPair(t, func(t *testing.T, p *pair) {
+				client := &http.Client{Transport: newTransport(p.network.Host(ipA))}
+				defer client.CloseIdleConnections()
+				resp, err := client.Post("http://"+ipB+port+streamPath, wire.ContentType, bytes.NewReader(tt.body))
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer resp.Body.Close()
+				answer, err := io.ReadAll(resp.Body)
+				if err != nil || len(answer) > 0 {
+					t.Errorf("answered %x, %v, want the end of the stream", answer, err)
+				}
+				logs := p.logs.String()
+				if tt.wantLog == "" && strings.Contains(logs, "level=ERROR") {
+					t.Errorf("logged %q, want no error", logs)
+				}
+				if !strings.Contains(logs, tt.wantLog) {
+					t.Errorf("logged %q, want %q", logs, tt.wantLog)
+				}
+				time.Sleep(connected)
+				if !p.acked(leaderToken) {
+					t.Error("no acknowledgement on the other streams")
+				}
+			})
+		})
+	}
+}
+
+// A request is relayed to a node that the settings name, within relayTimeout.
+func TestRelay(t *testing.T) {
+	answer := func(w http.ResponseWriter, r *http.Request) {
+		body, err := wire.ReadBody(r.Body, wire.MaxBody)
+		if err != nil {
+			t.Errorf("body unreadable: %v", err)
+		}
+		w.WriteHeader(http.StatusConflict)
+		w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), body...)) //nolint:errcheck // the client reads it or not
+	}
+	tests := []struct {
+		name       string
+		to         wire.NodeID
+		handler    http.HandlerFunc
+		wantStatus int
+		wantAnswer string
+		wantErr    error
+		duration   time.Duration
+	}{
+		{name: "answer is passed on", to: "b", handler: answer, wantStatus: http.StatusConflict, wantAnswer: "POST /peer/ask question"},
+		{name: "node that the settings do not name", to: "stranger", handler: answer, wantErr: ErrUnknownPeer},
+		{name: "no answer in time", to: "b", handler: func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+			wantErr: context.DeadlineExceeded, duration: relayTimeout},
+	}
+	for _, tt := range tests {
+		t.Run(tt.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				network := simulator.NewNetwork(0)
+				defer serveHTTP2(t, network, ipB, tt.handler)()
+				m := New("a", []config.Peer{{HostName: "b", Addr: ipB + port}}, func() Status { return Status{} },
+					cancels.New(nil, time.Minute), network.Host(ipA), discardLog())
+				begin := time.Now()
+				status, got, err := m.Relay(t.Context(), tt.to, "/peer/ask", []byte("question"))
+				if status != tt.wantStatus || string(got) != tt.wantAnswer || !errors.Is(err, tt.wantErr) {
+					t.Errorf("Relay to %s: %d, %q, %v, want %d, %q, %v", tt.to, status, got, err, tt.wantStatus, tt.wantAnswer, tt.wantErr)
+				}
+				if elapsed := time.Since(begin); elapsed < tt.duration || elapsed > tt.duration+500*time.Millisecond {
+					t.Errorf("took %v, want %v", elapsed, tt.duration)
+				}
+				network.Close()
+			})
+		})
+	}
+}
