--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -26,7 +26,7 @@
 	requestedAt time.Time
 }
 
-// handle takes in the heartbeat and answers it. What the answer says is in the published view before it is sent.
+// handle applies the heartbeat to the view and answers it. What the answer says is in the published view before it is sent.
 func (e heartbeatReceived) handle(m *Mesh, current *View) {
 	from := e.heartbeat.From
 	p := current.peerInContact(from)
@@ -41,7 +41,7 @@
 	e.reply <- answer
 }
 
-// handle takes in the answer.
+// handle applies the answer to the view.
 func (e answerReceived) handle(m *Mesh, current *View) {
 	p := current.peerInContact(e.from)
 	m.learnVersion(&e.answer)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// unconfirmedFor returns the age of the oldest cancellation of UnconfirmedSince; 0 if there is none.
-func (s *Status) unconfirmedFor() time.Duration {
+// unconfirmedCancelAge returns the age of the oldest cancellation of UnconfirmedSince; 0 if there is none.
+func (s *Status) unconfirmedCancelAge() time.Duration {
 	if s.UnconfirmedSince.IsZero() {
 		return 0
 	}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -32,7 +32,7 @@
 	tokenBuffer = 4
 )
 
-// Mesh is the actor that owns the streams to the other nodes and the view of them. It is safe for concurrent use.
+// Mesh is the actor that owns the streams to the other nodes and the view of them. It is safe for concurrent use; Run is called once.
 type Mesh struct {
 	name    wire.NodeID
 	peers   []config.Peer
@@ -87,7 +87,7 @@
 // View returns the newest view.
 func (m *Mesh) View() *View { return m.view.Load() }
 
-// ObserveToken takes in a fencing token that this node has learnt of elsewhere.
+// ObserveToken records a fencing token that this node has learnt of elsewhere.
 func (m *Mesh) ObserveToken(ctx context.Context, token wire.FencingToken) {
 	select {
 	case m.tokens <- token:
@@ -124,7 +124,7 @@
 // publish makes a copy of the view the newest one.
 func (m *Mesh) publish(current *View) { m.view.Store(current.clone()) }
 
-// learnVersion passes on the version that a message says is active.
+// learnVersion reports the version that a message says is active to LearnVersion.
 func (m *Mesh) learnVersion(message *Heartbeat) {
 	if message.ActiveVersion > 0 && m.LearnVersion != nil {
 		m.LearnVersion(message.ActiveVersion)
@@ -147,7 +147,7 @@
 	}
 	if status.Delegation > 0 && status.Delegation == token {
 		answer.Delegation = status.Delegation
-		answer.UnconfirmedFor = status.unconfirmedFor()
+		answer.UnconfirmedFor = status.unconfirmedCancelAge()
 	}
 	return answer
 }
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -391,9 +391,9 @@
 		if len(opened) != 3 {
 			t.Fatalf("%d streams in %v, want 3", len(opened), 3*streamIdleTimeout)
 		}
-		for i, at := range opened[1:] {
+		for i, next := range opened[1:] {
 			want := streamIdleTimeout + heartbeatPeriod
-			if got := at.Sub(opened[i]); got < want || got > want+100*time.Millisecond {
+			if got := next.Sub(opened[i]); got < want || got > want+100*time.Millisecond {
 				t.Errorf("stream %d opened %v after the one before, want %v", i+2, got, want)
 			}
 		}
@@ -401,7 +401,7 @@
 	})
 }
 
-// A message that can't be decoded, or is of a stranger, ends its stream; only the former is an error that a person sees.
+// A message that can't be decoded, or is from an unknown node, ends its stream; only the former is logged as an error.
 func TestRefusedHeartbeats(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -411,7 +411,7 @@
 		{name: "wrong type", body: wire.Encode("heartbeat"), wantLog: "level=ERROR msg=undecodable what=\"a heartbeat from " + ipA},
 		{name: "malformed", body: []byte{0xff}, wantLog: "level=ERROR msg=undecodable what=\"a heartbeat from " + ipA},
 		{name: "cut short", body: wire.Encode(Heartbeat{From: "a"})[:3]},
-		{name: "unknown sender", body: wire.Encode(Heartbeat{From: "stranger"})},
+		{name: "unknown sender", body: wire.Encode(Heartbeat{From: "unknown"})},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -463,7 +463,7 @@
 		duration   time.Duration
 	}{
 		{name: "answer is passed on", to: "b", handler: answer, wantStatus: http.StatusConflict, wantAnswer: "POST /peer/ask question"},
-		{name: "node that the settings do not name", to: "stranger", handler: answer, wantErr: ErrUnknownPeer},
+		{name: "node that the settings do not name", to: "unknown", handler: answer, wantErr: ErrUnknownPeer},
 		{name: "no answer in time", to: "b", handler: func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 			wantErr: context.DeadlineExceeded, duration: relayTimeout},
 	}
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -49,7 +49,7 @@
 	watchdog *time.Timer
 }
 
-// runStream opens a stream to a peer, sends heartbeats and takes in their answers, until either fails. It returns when the
+// runStream opens a stream to a peer, sends heartbeats and receives their answers, until either fails. It returns when the
 // goroutine that sends has ended.
 func (m *Mesh) runStream(ctx context.Context, p config.Peer) error {
 	var sender sync.WaitGroup
@@ -103,7 +103,7 @@
 	}
 }
 
-// receiveAnswers takes in answers until one can't be read or taken in.
+// receiveAnswers reads answers until one can't be read or delivered.
 func (s *outgoingStream) receiveAnswers(ctx context.Context, body io.Reader) error {
 	decoder := cbor.NewDecoder(body)
 	for {
@@ -113,14 +113,14 @@
 			return err
 		}
 		s.watchdog.Reset(streamIdleTimeout)
-		if err := s.takeIn(ctx, answer); err != nil {
+		if err := s.deliver(ctx, answer); err != nil {
 			return err
 		}
 	}
 }
 
-// takeIn passes on the answer to the oldest heartbeat without one.
-func (s *outgoingStream) takeIn(ctx context.Context, answer Heartbeat) error {
+// deliver passes to the view the answer to the oldest heartbeat without one.
+func (s *outgoingStream) deliver(ctx context.Context, answer Heartbeat) error {
 	var requestedAt time.Time
 	select {
 	case requestedAt = <-s.sentAt:
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -91,14 +91,14 @@
 	return p
 }
 
-// observeToken takes in a token. Nobody is known to lead with a new one.
+// observeToken records a token. Nobody is known to lead with a new one.
 func (v *View) observeToken(token wire.FencingToken) {
 	if token > v.Token {
 		v.Token, v.Leader = token, ""
 	}
 }
 
-// observeHeartbeat takes in another node's heartbeat.
+// observeHeartbeat records another node's heartbeat.
 func (v *View) observeHeartbeat(p *Peer, heartbeat *Heartbeat) {
 	p.Heartbeat = *heartbeat
 	v.observeToken(heartbeat.Token)
@@ -110,7 +110,7 @@
 	}
 }
 
-// observeAnswer takes in another node's answer to the heartbeat that was sent at requestedAt.
+// observeAnswer records another node's answer to the heartbeat that was sent at requestedAt.
 func (v *View) observeAnswer(p *Peer, answer *Heartbeat, requestedAt time.Time) {
 	p.observeAck(answer, requestedAt)
 	// Also if they are empty: the node may have been replaced by one of a version that does not negotiate.
@@ -122,7 +122,7 @@
 	}
 }
 
-// observeAck takes in what an answer says of the other node, unless a newer heartbeat was answered before: answers of an
+// observeAck records what an answer says of the other node, unless a newer heartbeat was answered before: answers of an
 // earlier stream may come after those of a newer one.
 func (p *Peer) observeAck(answer *Heartbeat, requestedAt time.Time) {
 	if !requestedAt.After(p.AckSent) {
