--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -13,107 +13,118 @@
 )
 
 // maxCancelTries bounds how often a cancellation is tried whose record changes
-// meanwhile; a live job's record changes once, when it ends.
+// meanwhile. The record of a live job changes once, when the job ends.
 const maxCancelTries = 4
 
 var (
-	// errChanged: the record changed meanwhile; it is read again.
-	errChanged = errors.New("job changed")
-	// errRecordTooLarge: the state service refused the record as invalid.
+	// errJobChanged is returned if a job's record changed after it was read. The
+	// cancellation is tried again with what is stored now.
+	errJobChanged = errors.New("job changed")
+	// errRecordTooLarge is returned if the store refused a record as invalid. The
+	// cancellation is tried again with a smaller record.
 	errRecordTooLarge = errors.New("job record too large")
 )
 
-// cancel answers once the job is surely cancelled, or over.
-func (in *Intake) cancel(ctx context.Context, r *http.Request, p httprouter.Params) answer {
+// cancel responds once it is certain that the job is cancelled, or that it had ended.
+func (in *Intake) cancel(ctx context.Context, r *http.Request, params httprouter.Params) response {
 	if _, err := wire.ReadBody(r.Body, wire.MaxBody); errors.Is(err, wire.ErrTooLarge) {
-		return rejection(http.StatusRequestEntityTooLarge, err.Error())
+		return rejected(http.StatusRequestEntityTooLarge, err.Error())
 	}
-	id := wire.JobID(p.ByName("id"))
+	id := wire.JobID(params.ByName("id"))
 	if !id.Valid() {
 		return noSuchJob
 	}
-	shrink := false
+	mustShrink := false
 	for range maxCancelTries {
-		a, err := in.tryCancel(ctx, id, shrink)
+		resp, err := in.tryCancel(ctx, id, mustShrink)
 		switch {
 		case err == nil:
-			return a
-		case errors.Is(err, errRecordTooLarge) && !shrink:
-			shrink = true
-		case !errors.Is(err, errChanged):
-			return unavailable
+			return resp
+		case errors.Is(err, errRecordTooLarge) && !mustShrink:
+			mustShrink = true
+		case !errors.Is(err, errJobChanged):
+			return storeUnavailable
 		}
 	}
-	return unavailable
+	return storeUnavailable
 }
 
-// tryCancel reads the job's record and replaces it by a cancelled one, with
-// fewer fields if it is to shrink.
-func (in *Intake) tryCancel(ctx context.Context, id wire.JobID, shrink bool) (answer, error) {
-	if s, ok := in.finals.get(id); ok {
-		return summary(id, s.Status), nil
+// tryCancel reads the record of a job and replaces it by a cancelled one, which has
+// fewer fields if it must shrink.
+func (in *Intake) tryCancel(ctx context.Context, id wire.JobID, mustShrink bool) (response, error) {
+	if final, ok := in.finals.get(id); ok {
+		return summary(id, final.Status), nil
 	}
-	e, err := in.store.Get(ctx, store.User, store.JobKey(id))
+	key := store.JobKey(id)
+	entry, err := in.store.Get(ctx, store.User, key)
 	if errors.Is(err, store.ErrMissing) {
-		return in.cancelMissing(ctx, id)
+		return in.cancelWithoutRecord(ctx, id)
 	}
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	rec, err := store.DecodeJob(store.JobKey(id), e.Value)
+	rec, err := store.DecodeJob(key, entry.Value)
 	if err != nil {
-		in.Undecodable.Note(store.JobKey(id), err)
-		return answer{}, err
+		in.Undecodable.Note(key, err)
+		return response{}, err
 	}
 	if rec.Status == wire.Cancelled {
 		in.confirm(wire.JobState{ID: id, Status: wire.Cancelled})
-		return answer{}, errChanged
+		return response{}, errJobChanged // the next try answers with the final state
 	}
 	rec.Status, rec.CancelledAt = wire.Cancelled, wire.TimestampOf(time.Now())
-	in.shrinkToFit(&rec, shrink)
-	err = in.commit(ctx, wire.Txn{
-		Guards: []wire.Guard{{Key: store.JobKey(id), Revision: e.Revision}},
-		Writes: []wire.Write{{Put: store.JobKey(id), Value: wire.Encode(rec)}},
+	in.shrinkToFit(&rec, mustShrink)
+	return in.storeCancellation(ctx, &rec, entry.Revision)
+}
+
+// storeCancellation replaces a job's record, which was read at the given revision, by
+// a cancelled one.
+func (in *Intake) storeCancellation(ctx context.Context, rec *store.JobRecord, readAt wire.Revision) (response, error) {
+	id := rec.Spec.ID
+	key := store.JobKey(id)
+	err := in.commit(ctx, wire.Txn{
+		Guards: []wire.Guard{{Key: key, Revision: readAt}},
+		Writes: []wire.Write{{Put: key, Value: wire.Encode(rec)}},
 	})
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		in.log.Info("cancelled by its user", "job", id)
+		in.log.Info("job cancelled", "job", id)
 		in.confirm(wire.JobState{ID: id, Status: wire.Cancelled})
 		return summary(id, wire.Cancelled), nil
 	case errors.As(err, &conflict):
-		return answer{}, errChanged // done or cancelled meanwhile
+		return response{}, errJobChanged // done or cancelled meanwhile
 	case errors.Is(err, store.ErrInvalid):
-		return answer{}, errRecordTooLarge
+		return response{}, errRecordTooLarge
 	default:
-		return answer{}, err
+		return response{}, err
 	}
 }
 
-// cancelMissing answers for a job without a live record.
-func (in *Intake) cancelMissing(ctx context.Context, id wire.JobID) (answer, error) {
-	s, err := in.state(ctx, id)
+// cancelWithoutRecord responds for a job that has no live record.
+func (in *Intake) cancelWithoutRecord(ctx context.Context, id wire.JobID) (response, error) {
+	state, err := in.state(ctx, id)
 	switch {
 	case errors.Is(err, store.ErrMissing):
 		return noSuchJob, nil
 	case err != nil:
-		return answer{}, err
-	case s.Status.Final():
-		return summary(id, s.Status), nil
+		return response{}, err
+	case state.Status.Final():
+		return summary(id, state.Status), nil
 	default:
-		return answer{}, errChanged // submitted between the two reads
+		return response{}, errJobChanged // submitted between the two reads
 	}
 }
 
-// shrinkToFit drops what a cancelled job can do without from a record that only
-// just fitted without its end, or under former limits: nothing of the job is
-// placed any more, so it needs no list of machine types.
-func (in *Intake) shrinkToFit(rec *store.JobRecord, shrink bool) {
-	if !shrink && in.storable(rec) {
+// shrinkToFit drops what a cancelled job can do without from a record that only just
+// fitted before it was cancelled, or that was stored under higher limits. No task of
+// the job is placed any more, so it needs no list of machine types.
+func (in *Intake) shrinkToFit(rec *store.JobRecord, mustShrink bool) {
+	if !mustShrink && in.recordFits(rec) {
 		return
 	}
 	rec.Spec.MachineTypes = nil
-	if !in.storable(rec) {
+	if !in.recordFits(rec) {
 		rec.Spec.Class, rec.Spec.Image = "", "" // names of 120 bytes, each of which may be escaped
 	}
 }
--- /dev/null
+++ b/internal/intake/final_states.go
@@ -0,0 +1,43 @@
+package intake
+
+import (
+	"sync"
+
+	"lilaclead/internal/wire"
+)
+
+// maxFinalStates bounds one of the two generations of final states, of some 100
+// bytes each.
+const maxFinalStates = 8192
+
+// finalStates remembers the final states of jobs, which never change. Its size is
+// bounded by two generations: when the young one is full, it becomes the old one,
+// and the former old one is dropped. It is safe for concurrent use.
+type finalStates struct {
+	mu         sync.Mutex
+	young, old map[wire.JobID]wire.JobState
+}
+
+// get returns the final state of a job, if it is remembered.
+func (f *finalStates) get(id wire.JobID) (wire.JobState, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	state, ok := f.young[id]
+	if !ok {
+		state, ok = f.old[id]
+	}
+	return state, ok
+}
+
+// put remembers a state if it is final.
+func (f *finalStates) put(state wire.JobState) {
+	if !state.Status.Final() {
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.young == nil || len(f.young) >= maxFinalStates {
+		f.young, f.old = map[wire.JobID]wire.JobState{}, f.young
+	}
+	f.young[state.ID] = state
+}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -12,132 +12,105 @@
 	"lilaclead/internal/wire"
 )
 
-// impossible says why a job can never run.
-type impossible string
-
-// What makes a job impossible.
-const (
-	unknownTeam   impossible = "unknown team"
-	overTeamLimit impossible = "needs more than the team's limit"
-	tooLarge      impossible = "too large to be stored"
-	fitsNoMachine impossible = "a task fits no allowed machine type"
-)
-
-// errUndecided is returned while the cloud's offer is not known.
-var errUndecided = errors.New("machine types not known yet")
-
-// submit accepts a job, once its record is stored.
-func (in *Intake) submit(ctx context.Context, r *http.Request, _ httprouter.Params) answer {
+// submit accepts a job once its record is stored.
+func (in *Intake) submit(ctx context.Context, r *http.Request, _ httprouter.Params) response {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if errors.Is(err, wire.ErrTooLarge) {
-		return rejection(http.StatusRequestEntityTooLarge, err.Error())
+		return rejected(http.StatusRequestEntityTooLarge, err.Error())
 	}
 	if err != nil {
-		return rejection(http.StatusBadRequest, "body not readable")
+		return rejected(http.StatusBadRequest, "body not readable")
 	}
 	spec, err := wire.DecodeJobSpec(raw)
 	if err != nil {
-		var field wire.FieldError
-		errors.As(err, &field)
-		in.log.Info("refuses a malformed submission", "err", err)
-		return answer{status: http.StatusBadRequest, body: wire.ErrorBody{Error: field.Reason, Field: field.Field}}
+		return in.rejectMalformed(err)
 	}
-	if s, ok := in.finals.get(spec.ID); ok {
-		return summary(s.ID, s.Status)
+	if final, ok := in.finals.get(spec.ID); ok {
+		return summary(final.ID, final.Status)
 	}
-	why, err := in.judge(&spec)
-	if why == "" && err == nil {
-		return in.accept(ctx, &spec)
+	if err := in.checkFeasible(&spec); err != nil {
+		return in.declineUnlessKnown(ctx, spec.ID, err)
 	}
-	// A job that was accepted stays so, whatever is offered now.
-	if a, known := in.knownJob(ctx, spec.ID); known {
-		return a
+	return in.accept(ctx, &spec)
+}
+
+// rejectMalformed responds to a submission that is not a valid job spec.
+func (in *Intake) rejectMalformed(err error) response {
+	in.log.Info("job rejected", "reason", "malformed submission", "err", err)
+	var invalid wire.FieldError
+	errors.As(err, &invalid)
+	body := wire.ErrorBody{Error: invalid.Reason, Field: invalid.Field}
+	return response{status: http.StatusBadRequest, body: body}
+}
+
+// declineUnlessKnown responds to a submission that is infeasible, or whose
+// feasibility can't be decided now. A job that was accepted before stays accepted,
+// whatever is offered now.
+func (in *Intake) declineUnlessKnown(ctx context.Context, id wire.JobID, err error) response {
+	if resp, known := in.knownJob(ctx, id); known {
+		return resp
 	}
-	if err != nil {
-		return refusal(http.StatusServiceUnavailable, err.Error())
+	var infeasible infeasibleError
+	if !errors.As(err, &infeasible) {
+		return refused(http.StatusServiceUnavailable, err.Error())
 	}
-	in.log.Info("refuses a job that can never run", "job", spec.ID, "why", why)
-	return rejection(http.StatusUnprocessableEntity, string(why))
+	in.log.Info("job rejected", "job", id, "reason", infeasible)
+	return rejected(http.StatusUnprocessableEntity, infeasible.Error())
 }
 
-// accept stores a new job's record.
-func (in *Intake) accept(ctx context.Context, spec *wire.JobSpec) answer {
-	rec := store.JobRecord{
-		Spec:       *spec,
-		Status:     wire.Queued,
-		AcceptedAt: wire.TimestampOf(time.Now()),
-		Chunk:      store.ChunkTasksFor(in.settings.State.Least().ValueKB),
-	}
-	err := in.commit(ctx, wire.Txn{
-		Guards: []wire.Guard{{Key: store.JobKey(spec.ID), Revision: 0}, {Key: store.FinalKey(spec.ID), Revision: 0}},
-		Writes: []wire.Write{{Put: store.JobKey(spec.ID), Value: wire.Encode(rec)}},
-	})
+// accept stores the record of a new job. If the job is already known, it responds
+// with its status.
+func (in *Intake) accept(ctx context.Context, spec *wire.JobSpec) response {
+	err := in.createRecord(ctx, spec)
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		in.log.Info("accepts", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
-		return answer{status: http.StatusCreated, body: wire.JobSummary{ID: spec.ID, Status: wire.Queued}}
+		in.log.Info("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
+		return response{status: http.StatusCreated, body: wire.JobSummary{ID: spec.ID, Status: wire.Queued}}
 	case errors.As(err, &conflict):
-		if a, known := in.knownJob(ctx, spec.ID); known {
-			return a
+		if resp, known := in.knownJob(ctx, spec.ID); known {
+			return resp
 		}
-		return unavailable
+		return storeUnavailable
 	case errors.Is(err, store.ErrInvalid):
-		// Its record is over the limit of a value, and will be. But it may have
-		// been accepted while more was allowed, and then it stays so.
-		if a, known := in.knownJob(ctx, spec.ID); known {
-			return a
-		}
-		in.log.Info("refuses a job that can't be stored", "job", spec.ID)
-		return rejection(http.StatusUnprocessableEntity, string(tooLarge))
+		// The record exceeds the store's limit of a value, and a retry would not
+		// change that. But the job may have been accepted while more was allowed, and
+		// then it stays accepted.
+		return in.declineUnlessKnown(ctx, spec.ID, errRecordOverLimit)
 	default:
-		return unavailable
+		return storeUnavailable
+	}
+}
+
+// createRecord stores the record of a new job, unless a live or a final one exists.
+func (in *Intake) createRecord(ctx context.Context, spec *wire.JobSpec) error {
+	const absent wire.Revision = 0
+	rec := store.JobRecord{
+		Spec:       *spec,
+		Status:     wire.Queued,
+		AcceptedAt: wire.TimestampOf(time.Now()),
+		Chunk:      store.ChunkTasksFor(in.settings.State.Least().ValueKB),
 	}
+	return in.commit(ctx, wire.Txn{
+		Guards: []wire.Guard{
+			{Key: store.JobKey(spec.ID), Revision: absent},
+			{Key: store.FinalKey(spec.ID), Revision: absent},
+		},
+		Writes: []wire.Write{{Put: store.JobKey(spec.ID), Value: wire.Encode(rec)}},
+	})
 }
 
-// knownJob answers for a job that was accepted before, or that may have been as
-// the state service can't be read; known is false for one that never was.
-func (in *Intake) knownJob(ctx context.Context, id wire.JobID) (a answer, known bool) {
-	s, err := in.state(ctx, id)
+// knownJob responds with the status of a job that was accepted before. It reports
+// false for a job that never was; where the store can't be read, the job may have
+// been, and the response is a refusal.
+func (in *Intake) knownJob(ctx context.Context, id wire.JobID) (resp response, known bool) {
+	state, err := in.state(ctx, id)
 	switch {
 	case err == nil:
-		return summary(s.ID, s.Status), true
+		return summary(state.ID, state.Status), true
 	case errors.Is(err, store.ErrMissing):
-		return answer{}, false
+		return response{}, false
 	default:
-		return unavailable, true
+		return storeUnavailable, true
 	}
 }
-
-// judge says why a job can never run, "" if it can; errUndecided while that
-// can't be told.
-func (in *Intake) judge(s *wire.JobSpec) (impossible, error) {
-	team, ok := in.settings.Team(s.Team)
-	if !ok {
-		return unknownTeam, nil
-	}
-	tasks := float64(s.MinTogether())
-	if team.CPUsMax > 0 && tasks*s.CPUs > team.CPUsMax+wire.Eps || team.GPUsMax > 0 && tasks*s.GPUs > team.GPUsMax+wire.Eps {
-		return overTeamLimit, nil
-	}
-	now := wire.TimestampOf(time.Now())
-	if !in.storable(&store.JobRecord{Spec: *s, Status: wire.Cancelled, AcceptedAt: now, CancelledAt: now, Chunk: store.ChunkSize}) {
-		return tooLarge, nil
-	}
-	types := in.flavors()
-	if types == nil {
-		return "", errUndecided
-	}
-	for i := range types {
-		if types[i].Fits(s) {
-			return "", nil
-		}
-	}
-	return fitsNoMachine, nil
-}
-
-// storable tells whether the state service takes a job's record, now and under
-// the limits to come. A job is judged as it is when cancelled, which takes most.
-func (in *Intake) storable(rec *store.JobRecord) bool {
-	return wire.JSONSize(rec) <= int(in.settings.State.Least().ValueKB*1024)
-}
