--- /dev/null
+++ b/internal/intake/store_test.go
@@ -0,0 +1,292 @@
+package intake_test
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/julienschmidt/httprouter"
+
+	"lilaclead/internal/cancels"
+	"lilaclead/internal/config"
+	"lilaclead/internal/intake"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/store"
+	"lilaclead/internal/undecodable"
+	"lilaclead/internal/wire"
+)
+
+// node is the intake of one node.
+type node struct {
+	handler http.Handler
+	cancels *cancels.Log
+}
+
+// cluster is two nodes on the simulator's key-value store.
+type cluster struct {
+	store *simulator.State
+	nodes [2]node
+	types []wire.MachineSpec // what the cloud offers
+}
+
+// runCluster runs a test on a cluster in virtual time.
+func runCluster(t *testing.T, test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		network := simulator.NewNetwork(time.Millisecond)
+		c := &cluster{
+			store: simulator.NewState(12, 16),
+			types: []wire.MachineSpec{{Name: "small", CPUs: 8, MemoryGB: 16, DiskGB: 100, Zones: []wire.Zone{"a"}}},
+		}
+		stop, err := network.ServeState(c.store)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for i, host := range []string{"10.0.0.1", "10.0.0.2"} {
+			c.nodes[i] = c.startNode(ctx, network, host)
+		}
+		test(t, c)
+		cancel()
+		stop()
+	})
+}
+
+// startNode starts the intake of a node, which runs until the context ends.
+func (c *cluster) startNode(ctx context.Context, network *simulator.Network, host string) node {
+	limits := config.State{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
+	settings := &config.Settings{Size: 2, Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.Limits{FDLimit: 900}}
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	cancelled := cancels.New(nil, time.Minute)
+	client := store.New(simulator.StateAddr, limits, settings.Size, network.Host(host))
+	in := intake.New(settings, client, cancelled, func() []wire.MachineSpec { return c.types }, log)
+	in.Undecodable = undecodable.New(log)
+	router := httprouter.New()
+	in.Routes(router)
+	go in.Run(ctx)
+	return node{handler: router, cancels: cancelled}
+}
+
+// send sends a request to the node, decodes the body of the response into out,
+// unless that is nil, and returns the status.
+func (n node) send(t *testing.T, method, path string, body []byte, out any) int {
+	t.Helper()
+	w := httptest.NewRecorder()
+	n.handler.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader(body)))
+	if out == nil {
+		return w.Code
+	}
+	if err := wire.Decode(w.Body.Bytes(), out); err != nil {
+		t.Errorf("%s %s: response of status %d: %v", method, path, w.Code, err)
+	}
+	return w.Code
+}
+
+// submit submits a job and checks the response.
+func (n node) submit(t *testing.T, id wire.JobID, wantCode int, want wire.Status) {
+	t.Helper()
+	var got wire.JobSummary
+	if code := n.send(t, "POST", "/v1/jobs", submission(id), &got); code != wantCode || got.Status != want {
+		t.Errorf("submission of %s: got %d %q, want %d %q", id, code, got.Status, wantCode, want)
+	}
+}
+
+// cancel cancels a job and checks the response.
+func (n node) cancel(t *testing.T, id wire.JobID, wantCode int, want wire.Status) {
+	t.Helper()
+	var got wire.JobSummary
+	if code := n.send(t, "POST", "/v1/jobs/"+string(id)+"/cancel", nil, &got); code != wantCode || got.Status != want {
+		t.Errorf("cancellation of %s: got %d %q, want %d %q", id, code, got.Status, wantCode, want)
+	}
+}
+
+// poll polls a job and checks the response.
+func (n node) poll(t *testing.T, id wire.JobID, wantCode int, want wire.JobState) {
+	t.Helper()
+	var got wire.JobState
+	if code := n.send(t, "GET", "/v1/jobs/"+string(id), nil, &got); code != wantCode || got != want {
+		t.Errorf("poll of %s: got %d %+v, want %d %+v", id, code, got, wantCode, want)
+	}
+}
+
+// submission returns the body of a submission.
+func submission(id wire.JobID) []byte {
+	return wire.Encode(map[string]any{"nameId": id, "lane": "batch", "owner": "red", "shape": "sweep", "urgency": "standard",
+		"parts": 2, "cpus": 4.0, "cards": 0.0, "ramGb": 1.0, "bundle": "image", "imageGb": 0.5, "samePlace": false, "apart": false,
+		"standby": false, "expectedS": 1.0, "snapshotEveryS": 0.0, "snapshotS": 0.0})
+}
+
+func TestRepeatedSubmissionIsAnsweredWithTheJobsStatus(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		created := c.store.Revision(store.JobKey("req-1"))
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+		c.types = nil
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+		c.types = []wire.MachineSpec{}
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+		if got := c.store.Revision(store.JobKey("req-1")); got != created {
+			t.Errorf("revision of the record after the repetitions: got %d, want %d", got, created)
+		}
+		c.store.Delete(store.JobKey("req-1"))
+		c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.Done, Done: 2})
+		c.nodes[0].submit(t, "req-1", http.StatusOK, wire.Done)
+	})
+}
+
+func TestSubmissionWhoseOutcomeIsUnknownIsFoundByItsRepetition(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.store.LoseAnswers(1)
+		c.nodes[0].submit(t, "req-1", http.StatusServiceUnavailable, "")
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+	})
+}
+
+func TestInfeasibleSubmission(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		for _, tt := range []struct {
+			name       string
+			types      []wire.MachineSpec
+			wantCode   int
+			wantReason string
+		}{
+			{"no machine type fits", []wire.MachineSpec{}, http.StatusUnprocessableEntity, "a task fits no allowed machine type"},
+			{"machine types are not known yet", nil, http.StatusServiceUnavailable, "machine types not known yet"},
+		} {
+			c.types = tt.types
+			var got wire.ErrorBody
+			if code := c.nodes[0].send(t, "POST", "/v1/jobs", submission("req-1"), &got); code != tt.wantCode || got.Error != tt.wantReason {
+				t.Errorf("%s: got %d %q, want %d %q", tt.name, code, got.Error, tt.wantCode, tt.wantReason)
+			}
+		}
+		if got := c.store.Keys(store.JobPrefix); len(got) != 0 {
+			t.Errorf("stored jobs: got %v, want none", got)
+		}
+	})
+}
+
+func TestMalformedSubmissionNamesTheField(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		body := wire.Encode(map[string]any{"nameId": "req-1"})
+		want := wire.ErrorBody{Error: "missing", Field: "lane"}
+		var got wire.ErrorBody
+		if code := c.nodes[0].send(t, "POST", "/v1/jobs", body, &got); code != http.StatusBadRequest || got != want {
+			t.Errorf("submission of an ID alone: got %d %+v, want 400 %+v", code, got, want)
+		}
+	})
+}
+
+func TestBodyOverLimitIsRejected(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		body := make([]byte, wire.MaxBody+1)
+		for _, path := range []string{"/v1/jobs", "/v1/jobs/req-1/cancel"} {
+			if got := c.nodes[0].send(t, "POST", path, body, nil); got != http.StatusRequestEntityTooLarge {
+				t.Errorf("%s with %d bytes: got %d, want 413", path, len(body), got)
+			}
+		}
+	})
+}
+
+func TestPollSeesWhatAnotherNodeConfirmed(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[1].poll(t, "req-1", http.StatusNotFound, wire.JobState{})
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.nodes[1].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.Queued})
+		c.nodes[0].cancel(t, "req-1", http.StatusOK, wire.Cancelled)
+		c.nodes[1].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.Cancelled})
+	})
+}
+
+func TestPollCountsTasks(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.store.Put(store.ChunkKey("req-1", 0), store.ChunkRecord{Done: []int{0, 1}, Active: []store.ActiveAttempt{{Task: 1, Attempt: 2, Machine: "machine-1"}}})
+		want := wire.JobState{ID: "req-1", Status: wire.Running, Done: 1, Running: 1}
+		c.nodes[0].poll(t, "req-1", http.StatusOK, want)
+		c.store.Put(store.ChunkKey("req-1", 0), store.ChunkRecord{Done: []int{0, 2}})
+		c.nodes[0].poll(t, "req-1", http.StatusOK, want) // within the lifetime of the count
+		time.Sleep(3 * time.Second)
+		c.nodes[0].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.Queued, Done: 2})
+	})
+}
+
+func TestPollDuringOutageIsRefusedUnlessTheStateIsFinal(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.nodes[0].submit(t, "req-2", http.StatusCreated, wire.Queued)
+		c.nodes[0].cancel(t, "req-2", http.StatusOK, wire.Cancelled)
+		c.store.Outage(true)
+		c.nodes[0].poll(t, "req-1", http.StatusServiceUnavailable, wire.JobState{})
+		c.nodes[0].poll(t, "req-2", http.StatusOK, wire.JobState{ID: "req-2", Status: wire.Cancelled})
+		c.nodes[0].poll(t, "req-3", http.StatusServiceUnavailable, wire.JobState{})
+		c.store.Outage(false)
+	})
+}
+
+func TestInvalidJobIDIsUnknown(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[0].poll(t, "job-1", http.StatusNotFound, wire.JobState{})
+		c.nodes[0].cancel(t, "job-1", http.StatusNotFound, "")
+	})
+}
+
+func TestRepeatedCancellationIsAnsweredWithTheFinalStatus(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[0].cancel(t, "req-1", http.StatusNotFound, "")
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		for i, n := range []node{c.nodes[0], c.nodes[1], c.nodes[0]} {
+			n.cancel(t, "req-1", http.StatusOK, wire.Cancelled)
+			if _, logged := n.cancels.ConfirmedAt("req-1"); !logged {
+				t.Errorf("cancellation %d is not in the log of the node that confirmed it", i+1)
+			}
+		}
+		c.store.Put(store.FinalKey("req-2"), store.FinalRecord{Status: wire.Done, Done: 2})
+		c.nodes[0].cancel(t, "req-2", http.StatusOK, wire.Done)
+	})
+}
+
+func TestCancellationWhoseOutcomeIsUnknownIsFoundByItsRepetition(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.store.LoseAnswers(1)
+		c.nodes[0].cancel(t, "req-1", http.StatusServiceUnavailable, "")
+		c.nodes[1].cancel(t, "req-1", http.StatusOK, wire.Cancelled)
+	})
+}
+
+func TestCancellationThatLosesTheRaceAnswersWhatWon(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		won := false
+		c.store.DelayTransactions(func(*wire.Txn) time.Duration {
+			if !won {
+				won = true
+				c.store.Delete(store.JobKey("req-1"))
+				c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.Done, Done: 2})
+			}
+			return 0
+		})
+		c.nodes[0].cancel(t, "req-1", http.StatusOK, wire.Done)
+		if !won {
+			t.Error("no transaction was delayed")
+		}
+	})
+}
+
+func TestUndecodableRecordIsRefusedAndNotDenied(t *testing.T) {
+	runCluster(t, func(t *testing.T, c *cluster) {
+		c.store.Put(store.JobKey("req-1"), "no record")
+		c.store.Put(store.FinalKey("req-2"), "no record")
+		for _, id := range []wire.JobID{"req-1", "req-2"} {
+			c.nodes[0].poll(t, id, http.StatusServiceUnavailable, wire.JobState{})
+			c.nodes[0].cancel(t, id, http.StatusServiceUnavailable, "")
+			c.nodes[0].submit(t, id, http.StatusServiceUnavailable, "")
+		}
+	})
+}
