--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promauto"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"lilaclead/history"
@@ -13,100 +14,146 @@
 	"lilaclead/internal/leader"
 )
 
-// Metrics of one node, in Prometheus' form.
+// Metrics are the Prometheus metrics of one node. It is safe for concurrent use.
 type Metrics struct {
-	registry    *prometheus.Registry
-	calls       *prometheus.HistogramVec
-	requests    *prometheus.HistogramVec
-	rounds      prometheus.Histogram
-	starts      prometheus.Counter
-	preemptions prometheus.Counter
-	terms       prometheus.Counter
-	reports     *prometheus.CounterVec
-	waits       *prometheus.HistogramVec
-	commands    *prometheus.CounterVec
-	moved       *prometheus.CounterVec
-	fleet       *prometheus.CounterVec
-	machines    *prometheus.GaugeVec
+	registry         *prometheus.Registry
+	calls            *prometheus.HistogramVec
+	requests         *prometheus.HistogramVec
+	schedulingCycles prometheus.Histogram
+	placements       prometheus.Counter
+	preemptions      prometheus.Counter
+	terms            prometheus.Counter
+	heartbeats       *prometheus.CounterVec
+	startDelays      *prometheus.HistogramVec
+	commands         *prometheus.CounterVec
+	interruptions    *prometheus.CounterVec
+	fleetChanges     *prometheus.CounterVec
+	machines         *prometheus.GaugeVec
 }
 
-// NewMetrics makes the metrics of a node.
+// Upper bounds of the buckets of histograms, in seconds.
+var (
+	latencyBuckets    = []float64{.001, .005, .02, .05, .1, .25, .5, 1, 2, 5}
+	startDelayBuckets = []float64{.5, 1, 2, 5, 10, 20, 40, 80, 160}
+)
+
+// NewMetrics returns the metrics of a node.
 func NewMetrics() *Metrics {
-	m := &Metrics{registry: prometheus.NewRegistry()}
-	buckets := []float64{.001, .005, .02, .05, .1, .25, .5, 1, 2, 5}
-	m.calls = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_call_seconds", Help: "Calls to the state service and the cloud.", Buckets: buckets}, []string{"service", "op", "outcome"})
-	m.requests = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_request_seconds", Help: "Users' requests.", Buckets: buckets}, []string{"op", "status"})
-	m.rounds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "lilaclead_round_seconds", Help: "Placement rounds.", Buckets: buckets})
-	m.starts = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_starts_total", Help: "Tasks placed."})
-	m.preemptions = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_preemptions_total", Help: "Tasks stopped to make room."})
-	m.terms = prometheus.NewCounter(prometheus.CounterOpts{Name: "lilaclead_terms_total", Help: "Times that this node became leader."})
-	m.reports = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_reports_total", Help: "Workers' reports."}, []string{"outcome"})
-	m.waits = prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "lilaclead_wait_seconds", Help: "From acceptance to a job's first running task.", Buckets: []float64{.5, 1, 2, 5, 10, 20, 40, 80, 160}}, []string{"class"})
-	m.commands = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_commands_total", Help: "Direct commands to workers."}, []string{"outcome"})
-	m.moved = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_moves_total", Help: "Tasks that ended before they were done."}, []string{"why"})
-	m.fleet = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "lilaclead_fleet_total", Help: "Machines rented, drained and released."}, []string{"what"})
-	m.machines = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "lilaclead_machines", Help: "Machines by state, as the leader knows them."}, []string{"state"})
-	m.registry.MustRegister(m.calls, m.requests, m.rounds, m.starts, m.preemptions, m.terms, m.reports, m.waits, m.commands, m.moved, m.fleet, m.machines)
-	return m
+	registry := prometheus.NewRegistry()
+	factory := metricFactory{promauto.With(registry)}
+	return &Metrics{
+		registry:         registry,
+		calls:            factory.histograms("lilaclead_call_seconds", "Calls to the state service and the cloud.", latencyBuckets, "service", "op", "outcome"),
+		requests:         factory.histograms("lilaclead_request_seconds", "Users' requests.", latencyBuckets, "op", "status"),
+		schedulingCycles: factory.histogram("lilaclead_round_seconds", "Placement rounds.", latencyBuckets),
+		placements:       factory.counter("lilaclead_starts_total", "Tasks placed."),
+		preemptions:      factory.counter("lilaclead_preemptions_total", "Tasks stopped to make room."),
+		terms:            factory.counter("lilaclead_terms_total", "Times that this node became leader."),
+		heartbeats:       factory.counters("lilaclead_reports_total", "Workers' reports.", "outcome"),
+		startDelays:      factory.histograms("lilaclead_wait_seconds", "From acceptance to a job's first running task.", startDelayBuckets, "class"),
+		commands:         factory.counters("lilaclead_commands_total", "Direct commands to workers.", "outcome"),
+		interruptions:    factory.counters("lilaclead_moves_total", "Tasks that ended before they were done.", "why"),
+		fleetChanges:     factory.counters("lilaclead_fleet_total", "Machines rented, drained and released.", "what"),
+		machines:         factory.gauges("lilaclead_machines", "Machines by state, as the leader knows them.", "state"),
+	}
+}
+
+// metricFactory creates metrics that are registered.
+type metricFactory struct{ promauto.Factory }
+
+func (f metricFactory) histogram(name, help string, buckets []float64) prometheus.Histogram {
+	return f.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets})
+}
+
+func (f metricFactory) histograms(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
+	return f.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets}, labels)
+}
+
+func (f metricFactory) counter(name, help string) prometheus.Counter {
+	return f.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
+}
+
+func (f metricFactory) counters(name, help string, labels ...string) *prometheus.CounterVec {
+	return f.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
+}
+
+func (f metricFactory) gauges(name, help string, labels ...string) *prometheus.GaugeVec {
+	return f.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, labels)
 }
 
-// History registers what became of the events of the history.
+// History registers metrics of what became of the events of the history, as counted
+// by the given function.
 func (m *Metrics) History(counts func() history.Counts) {
-	for name, of := range map[string]func(history.Counts) uint64{
-		"written": func(c history.Counts) uint64 { return c.Written },
-		"dropped": func(c history.Counts) uint64 { return c.Dropped },
-		"failed":  func(c history.Counts) uint64 { return c.Failed },
-	} {
-		m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "lilaclead_history_events_total", Help: "Events of the history.",
-			ConstLabels: prometheus.Labels{"outcome": name}}, func() float64 { return float64(of(counts())) }))
+	register := func(outcome string, count func() uint64) {
+		opts := prometheus.CounterOpts{
+			Name:        "lilaclead_history_events_total",
+			Help:        "Events of the history.",
+			ConstLabels: prometheus.Labels{"outcome": outcome},
+		}
+		m.registry.MustRegister(prometheus.NewCounterFunc(opts, func() float64 { return float64(count()) }))
 	}
+	register("written", func() uint64 { return counts().Written })
+	register("dropped", func() uint64 { return counts().Dropped })
+	register("failed", func() uint64 { return counts().Failed })
 }
 
-// maxOutcome bounds a label's length, since outcomes may hold texts of errors.
-const maxOutcome = 40
+// Budget registers a metric of what is left of a request budget, as returned by the
+// given function.
+func (m *Metrics) Budget(name string, left func() float64) {
+	opts := prometheus.GaugeOpts{
+		Name:        "lilaclead_budget_left",
+		Help:        "Requests left in a budget now; below 0: ahead of it.",
+		ConstLabels: prometheus.Labels{"budget": name},
+	}
+	m.registry.MustRegister(prometheus.NewGaugeFunc(opts, left))
+}
 
-// Call observes calls to one outside service.
+// maxOutcomeBytes bounds the label of an outcome, which may hold the text of an error.
+const maxOutcomeBytes = 40
+
+// Call returns a function that observes the calls to an external service.
 func (m *Metrics) Call(service string) func(op, outcome string, took time.Duration) {
 	return func(op, outcome string, took time.Duration) {
-		outcome = outcome[:min(len(outcome), maxOutcome)]
+		outcome = outcome[:min(len(outcome), maxOutcomeBytes)]
 		m.calls.WithLabelValues(service, op, outcome).Observe(took.Seconds())
 	}
 }
 
-// Request observes users' requests.
+// Request observes a user's request.
 func (m *Metrics) Request(op intake.Operation, status int, took time.Duration) {
 	m.requests.WithLabelValues(string(op), strconv.Itoa(status)).Observe(took.Seconds())
 }
 
-// Leader is the leader's view of the metrics.
+// Leader returns the functions by which a leader updates the metrics.
 func (m *Metrics) Leader() leader.Metrics {
 	return leader.Metrics{
-		SchedulingCycle: func(took time.Duration, starts, halts int) {
-			m.rounds.Observe(took.Seconds())
-			m.starts.Add(float64(starts))
-			m.preemptions.Add(float64(halts))
-		},
-		BecameLeader: m.terms.Inc,
-		Heartbeat:    func(s string) { m.reports.WithLabelValues(s).Inc() },
-		StartDelay:   func(class string, s float64) { m.waits.WithLabelValues(class).Observe(s) },
-		Command:      func(s string) { m.commands.WithLabelValues(s).Inc() },
-		TaskMoved:    func(s string) { m.moved.WithLabelValues(s).Inc() },
-		Machines: func(n map[string]int) {
-			m.machines.Reset()
-			for state, k := range n {
-				m.machines.WithLabelValues(state).Set(float64(k))
-			}
-		},
-		Fleet: func(what string, n int) { m.fleet.WithLabelValues(what).Add(float64(n)) },
+		SchedulingCycle: m.observeSchedulingCycle,
+		BecameLeader:    m.terms.Inc,
+		Heartbeat:       func(outcome string) { m.heartbeats.WithLabelValues(outcome).Inc() },
+		StartDelay:      func(class string, seconds float64) { m.startDelays.WithLabelValues(class).Observe(seconds) },
+		Command:         func(outcome string) { m.commands.WithLabelValues(outcome).Inc() },
+		TaskMoved:       func(reason string) { m.interruptions.WithLabelValues(reason).Inc() },
+		Fleet:           func(change string, machines int) { m.fleetChanges.WithLabelValues(change).Add(float64(machines)) },
+		Machines:        m.setMachines,
 	}
 }
 
-// Budget shows what is left of a rate budget.
-func (m *Metrics) Budget(name string, left func() float64) {
-	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "lilaclead_budget_left", Help: "Requests left in a budget now; below 0: ahead of it.",
-		ConstLabels: prometheus.Labels{"budget": name}}, left))
+// observeSchedulingCycle observes a scheduling cycle and what it decided.
+func (m *Metrics) observeSchedulingCycle(took time.Duration, placed, preempted int) {
+	m.schedulingCycles.Observe(took.Seconds())
+	m.placements.Add(float64(placed))
+	m.preemptions.Add(float64(preempted))
+}
+
+// setMachines replaces the numbers of machines by state.
+func (m *Metrics) setMachines(byState map[string]int) {
+	m.machines.Reset()
+	for state, machines := range byState {
+		m.machines.WithLabelValues(state).Set(float64(machines))
+	}
 }
 
+// handler returns the HTTP handler that exposes the metrics.
 func (m *Metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{DisableCompression: true})
 }
--- /dev/null
+++ b/internal/admin/settings.go
@@ -0,0 +1,201 @@
+package admin
+
+import (
+	"context"
+	"errors"
+	"io"
+	"maps"
+	"net/http"
+	"time"
+
+	"github.com/julienschmidt/httprouter"
+
+	"lilaclead/internal/store"
+	"lilaclead/internal/tuning"
+	"lilaclead/internal/wire"
+)
+
+// Setting is one setting in a Listing.
+type Setting struct {
+	Name    string `cbor:"name"`
+	Value   any    `cbor:"value"`
+	Default any    `cbor:"default"`
+	Allowed string `cbor:"allowed"`
+	About   string `cbor:"about"`
+}
+
+// Listing lists all settings, with the version that a Change must name.
+type Listing struct {
+	Version  wire.Revision `cbor:"version"`
+	Settings []Setting     `cbor:"settings"`
+}
+
+// Change is a change of settings. Version must be that of the listing on which the
+// change is based; 0 means that no settings were stored.
+type Change struct {
+	Version *wire.Revision `cbor:"version"`
+	Set     map[string]any `cbor:"set"`
+}
+
+// storedSettings is what operators have set, by the names of the settings.
+type storedSettings struct {
+	values map[string]any
+	// version is the revision of the record; 0: there is none.
+	version wire.Revision
+}
+
+// readSettings reads what operators have set. Of a record that can't be decoded, it
+// returns what was decoded up to the error.
+func (a *Admin) readSettings(ctx context.Context) (storedSettings, error) {
+	entry, err := a.store.Get(ctx, store.User, store.SettingsKey)
+	if errors.Is(err, store.ErrMissing) {
+		return storedSettings{values: map[string]any{}}, nil
+	}
+	if err != nil {
+		return storedSettings{}, err
+	}
+	values := map[string]any{}
+	if err := wire.Decode(entry.Value, &values); err != nil {
+		a.Undecodable.Note(store.SettingsKey, err)
+	}
+	return storedSettings{values: values, version: entry.Revision}, nil
+}
+
+// effectiveValues returns the values that hold under the stored settings: the defaults
+// in place of those that are not stored or not valid.
+func (a *Admin) effectiveValues(stored storedSettings) tuning.Values {
+	values, err := tuning.Apply(tuning.Default(), stored.values, false)
+	if err != nil {
+		a.log.Error("invalid settings ignored", "version", stored.version, "err", err)
+	}
+	return values
+}
+
+// listSettings responds with a Listing.
+func (a *Admin) listSettings(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	stored, err := a.readSettings(r.Context())
+	if err != nil {
+		respondError(w, err)
+		return
+	}
+	values, defaults := a.effectiveValues(stored), tuning.Default()
+	listing := Listing{Version: stored.version}
+	for _, field := range tuning.Fields {
+		listing.Settings = append(listing.Settings, Setting{
+			Name:    field.Name,
+			Value:   field.Get(&values),
+			Default: field.Get(&defaults),
+			Allowed: field.Range(),
+			About:   field.About,
+		})
+	}
+	wire.Answer(w, http.StatusOK, listing)
+}
+
+// putSettings carries out a Change and responds with the new version.
+func (a *Admin) putSettings(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	version, err := a.changeSettings(r.Context(), r.Body)
+	if err != nil {
+		respondError(w, err)
+		return
+	}
+	wire.Answer(w, http.StatusOK, struct {
+		Version wire.Revision `cbor:"version"`
+	}{version})
+}
+
+// errVersionConflict is returned for a change that is based on an older version.
+var errVersionConflict = &requestError{http.StatusConflict, wire.ErrorBody{Error: "the settings have changed since that version"}}
+
+// changeSettings reads a change from the body of a request, stores it and returns the
+// new version. It is carried out as a whole or not at all.
+func (a *Admin) changeSettings(ctx context.Context, body io.Reader) (wire.Revision, error) {
+	change, err := readChange(body)
+	if err != nil {
+		return 0, err
+	}
+	stored, err := a.readSettings(ctx)
+	if err != nil {
+		return 0, err
+	}
+	if err := checkValues(change.Set); err != nil {
+		return 0, err
+	}
+	if stored.version != *change.Version {
+		return 0, errVersionConflict
+	}
+	maps.Copy(stored.values, change.Set)
+	version, err := a.storeSettings(ctx, stored)
+	if err != nil {
+		return 0, err
+	}
+	a.log.Info("settings changed", "version", version, "set", change.Set)
+	return version, nil
+}
+
+// readChange reads a change from the body of a request.
+func readChange(body io.Reader) (Change, error) {
+	raw, err := wire.ReadBody(body, wire.MaxBody)
+	if err != nil {
+		return Change{}, &requestError{http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()}}
+	}
+	var change Change
+	if !wire.IsMap(raw) || wire.Decode(raw, &change) != nil {
+		return Change{}, &requestError{http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"}}
+	}
+	if change.Version == nil || len(change.Set) == 0 {
+		return Change{}, &requestError{http.StatusBadRequest, wire.ErrorBody{Error: "missing", Field: "version and set"}}
+	}
+	return change, nil
+}
+
+// checkValues checks the names and the values of a change. Of several errors, it
+// returns the first by name.
+func checkValues(set map[string]any) error {
+	_, err := tuning.Apply(tuning.Default(), set, true)
+	if err == nil {
+		return nil
+	}
+	var invalid wire.FieldError
+	errors.As(err, &invalid)
+	return &requestError{http.StatusBadRequest, wire.ErrorBody{Error: invalid.Reason, Field: invalid.Field}}
+}
+
+// storeSettings replaces the stored settings, unless they are no longer of the version
+// that was read, and returns the new version.
+func (a *Admin) storeSettings(ctx context.Context, settings storedSettings) (wire.Revision, error) {
+	version, err := a.store.Commit(ctx, store.Background, wire.Txn{
+		Guards: []wire.Guard{{Key: store.SettingsKey, Revision: settings.version}},
+		Writes: []wire.Write{{Put: store.SettingsKey, Value: wire.Encode(settings.values)}},
+	})
+	var conflict *store.ConflictError
+	if errors.As(err, &conflict) {
+		return 0, errVersionConflict
+	}
+	return version, err
+}
+
+// followInterval is the pause between two reads of the settings, and so about the
+// longest time until a change is applied on every node.
+const followInterval = 5 * time.Second
+
+// Follow applies the settings that operators have stored, now and after every change,
+// until the context ends. It calls changed with the values that it has applied.
+func (a *Admin) Follow(ctx context.Context, changed func(tuning.Values)) {
+	var applied wire.Revision
+	for {
+		stored, err := a.readSettings(ctx)
+		if err == nil && stored.version != applied {
+			applied = stored.version
+			values := a.effectiveValues(stored)
+			a.tuning.Set(values)
+			changed(values)
+			a.log.Info("settings applied", "version", stored.version)
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(followInterval):
+		}
+	}
+}
--- /dev/null
+++ b/internal/admin/view.go
@@ -0,0 +1,54 @@
+package admin
+
+import (
+	"net/http"
+
+	"github.com/julienschmidt/httprouter"
+
+	"lilaclead/internal/leader"
+	"lilaclead/internal/wire"
+)
+
+// View is the status of a node.
+type View struct {
+	Node wire.NodeID `cbor:"node"`
+	// Token is the highest fencing token that the node knows of, and Leader the node
+	// that leads with it, empty if that is not known.
+	Token  wire.FencingToken `cbor:"token"`
+	Leader wire.NodeID       `cbor:"leader"`
+	Leads  bool              `cbor:"leads"`
+	// Serves reports whether the node can reach the key-value store.
+	Serves bool `cbor:"serves"`
+	// Term is the cluster as the leader knows it; nil unless the node leads.
+	Term *leader.View `cbor:"term,omitempty"`
+}
+
+// viewNode responds with the View of this node.
+func (a *Admin) viewNode(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	known := a.mesh.View()
+	view := View{
+		Node:   a.cfg.HostName,
+		Token:  known.Token,
+		Leader: known.Leader,
+		Leads:  a.leader.Leads(),
+		Serves: a.store.Reachable(),
+	}
+	if view.Leads {
+		view.Leader = a.cfg.HostName
+		view.Term = a.leader.View(r.Context())
+	}
+	wire.Answer(w, http.StatusOK, view)
+}
+
+// viewVersions responds with the progress of an upgrade.
+func (a *Admin) viewVersions(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	status, err := a.leader.UpgradeStatus(r.Context())
+	switch {
+	case err != nil:
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, err.Error(), retryAfterSeconds)
+	case status == nil:
+		wire.Answer(w, http.StatusNotFound, wire.ErrorBody{Error: "versions are not negotiated (upgrades.negotiate is off)"})
+	default:
+		wire.Answer(w, http.StatusOK, status)
+	}
+}
