--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -14,43 +14,43 @@
 // newer node.
 var invalidSet = map[string]any{"fleet.keep_boots": 2.0, "fleet.dear_limit": -1.0, "gangs.of_tomorrow": "yes", "log.level": "loud", "round.period_s": 2.0}
 
-func TestApplyStoredSettingsKeepsBaseValuesOfInvalidOnes(t *testing.T) {
+func TestInvalidStoredSettingsKeepTheirBaseValues(t *testing.T) {
 	got, err := Apply(Default(), invalidSet, false)
 	want := Default()
 	want.IdleBoots, want.RoundS = 2, 2
 	if got != want {
-		t.Errorf("Apply(%v): got %+v, want %+v", invalidSet, got, want)
+		t.Errorf("%v: got %+v, want %+v", invalidSet, got, want)
 	}
 	for _, field := range []string{"fleet.dear_limit", "log.level"} {
 		if err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("Apply(%v): got error %v, want one that names %s", invalidSet, err, field)
+			t.Errorf("%v: got error %v, want one that names %s", invalidSet, err, field)
 		}
 	}
 	if err != nil && strings.Contains(err.Error(), "gangs.of_tomorrow") {
-		t.Errorf("Apply(%v): got error %v, want none for an unknown setting", invalidSet, err)
+		t.Errorf("%v: got error %v, want none for an unknown setting", invalidSet, err)
 	}
 }
 
-func TestApplyStrictlyChangesAllOrNothing(t *testing.T) {
+func TestStrictChangeIsAllOrNothing(t *testing.T) {
 	got, err := Apply(Default(), invalidSet, true)
 	if got != Default() {
-		t.Errorf("Apply(%v): got %+v, want the base values", invalidSet, got)
+		t.Errorf("%v: got %+v, want the base values", invalidSet, got)
 	}
 	for _, field := range []string{"fleet.dear_limit", "gangs.of_tomorrow", "log.level"} {
 		if err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("Apply(%v): got error %v, want one that names %s", invalidSet, err, field)
+			t.Errorf("%v: got error %v, want one that names %s", invalidSet, err, field)
 		}
 	}
 	var first wire.FieldError
 	if !errors.As(err, &first) || first.Field != "fleet.dear_limit" {
-		t.Errorf("Apply(%v): got first error %v, want that of fleet.dear_limit, the first by name", invalidSet, first)
+		t.Errorf("%v: got first error %v, want that of fleet.dear_limit, the first by name", invalidSet, first)
 	}
 }
 
-func TestApplyWithoutSettingsReturnsBase(t *testing.T) {
+func TestNoSettingsLeaveTheBaseValues(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		if got, err := Apply(Default(), nil, strict); got != Default() || err != nil {
-			t.Errorf("Apply(nil, strict %t): got %+v, %v, want the base values", strict, got, err)
+			t.Errorf("no settings, strict %t: got %+v, %v, want the base values", strict, got, err)
 		}
 	}
 }
