--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -1,56 +1,106 @@
 package features
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"lilaclead/internal/wire"
 )
 
-// A file turns on what it names; none turns on nothing.
-func TestLoad(t *testing.T) {
+func TestLoadWithoutFileTurnsNothingOn(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "features.toml")
-	if f, err := Load(path); err != nil || f != (Features{}) {
-		t.Errorf("no file: %+v, %v", f, err)
+	if got, err := Load(path); err != nil || got != (Features{}) {
+		t.Errorf("Load of no file: got %+v, %v, want all off", got, err)
 	}
-	if err := os.WriteFile(path, []byte("[duties]\nrecord_intents = true\n[history]\ndir = \"/h\"\nlimit_mb = 8\n"), 0o644); err != nil {
+}
+
+func TestLoadTurnsOnWhatTheFileNames(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "features.toml")
+	content := "[duties]\nrecord_intents = true\n[history]\ndir = \"/h\"\nlimit_mb = 8\n"
+	if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if f, err := Load(path); err != nil || !f.RecordIntents || f.HistoryDir != "/h" || f.HistoryLimitMB != 8 || !strings.Contains(f.String(), "duties.record_intents=true") {
-		t.Errorf("%v, %v", f, err)
+	got, err := Load(path)
+	if want := (Features{RecordIntents: true, HistoryDir: "/h", HistoryLimitMB: 8}); err != nil || got != want {
+		t.Errorf("Load of %q: got %+v, %v, want %+v", content, got, err, want)
 	}
-	if _, err := Load(filepath.Dir(path)); err == nil {
-		t.Error("a folder was read as a file")
+}
+
+func TestLoadOfADirectoryFails(t *testing.T) {
+	if got, err := Load(t.TempDir()); err == nil || got != (Features{}) {
+		t.Errorf("Load of a directory: got %+v, %v, want an error", got, err)
 	}
 }
 
-// Everything that is wrong is reported at once, each with its field.
-func TestWrongFields(t *testing.T) {
-	for _, c := range []struct {
-		text string
-		want []string
+func TestParseOfValidFiles(t *testing.T) {
+	for _, tt := range []struct {
+		name, content string
+		want          Features
 	}{
-		{"duties.record_intents = 1\nduty = true\n[dutees]\n[x.y]\nz = 2", []string{"duties.record_intents: must be true or false", "duty: unknown name", "dutees: unknown name", "x.y.z: unknown name"}},
-		{"[history]\ndir = 3\nlimit_mb = -1\nlimit = 2", []string{"history.dir: must be a text", "history.limit_mb: must be a number above 0", "history.limit: unknown name"}},
-		{"history.limit_mb = nan", []string{"history.limit_mb"}},
-		{"duties = true", []string{"duties: unknown name"}},
-		{"[duties]\n\nrecord_intents = tru", []string{"line 3"}},
+		{"empty file", "", Features{}},
+		{"empty table", "[duties]", Features{}},
+		{"part named as off", "duties.record_intents = false", Features{}},
+		{"dotted names", "upgrades.negotiate = true", Features{NegotiateVersions: true}},
+		{"limit with a fraction", "history.limit_mb = 0.5", Features{HistoryLimitMB: 0.5}},
 	} {
-		f, err := Parse([]byte(c.text))
-		if err == nil || f != (Features{}) {
-			t.Errorf("%q: %+v, %v", c.text, f, err)
-			continue
-		}
-		for _, want := range c.want {
-			if !strings.Contains(err.Error(), want) {
-				t.Errorf("%q: %v lacks %q", c.text, err, want)
+		t.Run(tt.name, func(t *testing.T) {
+			if got, err := Parse([]byte(tt.content)); err != nil || got != tt.want {
+				t.Errorf("Parse(%q): got %+v, %v, want %+v", tt.content, got, err, tt.want)
 			}
-		}
+		})
+	}
+}
+
+func TestParseReportsEveryWrongField(t *testing.T) {
+	for _, tt := range []struct {
+		name, content string
+		want          []string
+	}{
+		{"wrong type, unknown name, unknown tables", "duties.record_intents = 1\nduty = true\n[dutees]\n[x.y]\nz = 2",
+			[]string{"duties.record_intents: must be true or false", "duty: unknown name", "dutees: unknown name", "x.y.z: unknown name"}},
+		{"wrong types beside an unknown name", "[history]\ndir = 3\nlimit_mb = -1\nlimit = 2",
+			[]string{"history.dir: must be a text", "history.limit_mb: must be a number above 0", "history.limit: unknown name"}},
+		{"limit that is no number", "history.limit_mb = nan", []string{"history.limit_mb: must be a number above 0"}},
+		{"infinite limit", "history.limit_mb = inf", []string{"history.limit_mb: must be a number above 0"}},
+		{"limit of zero", "history.limit_mb = 0", []string{"history.limit_mb: must be a number above 0"}},
+		{"limit as a text", "history.limit_mb = \"8\"", []string{"history.limit_mb: must be a number above 0"}},
+		{"value in place of a table", "duties = true", []string{"duties: unknown name"}},
+		{"syntax error", "[duties]\n\nrecord_intents = tru", []string{"line 3"}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			got, err := Parse([]byte(tt.content))
+			if err == nil || got != (Features{}) {
+				t.Fatalf("Parse(%q): got %+v, %v, want an error and all off", tt.content, got, err)
+			}
+			for _, want := range tt.want {
+				if !strings.Contains(err.Error(), want) {
+					t.Errorf("Parse(%q): got error %v, want one that has %q", tt.content, err, want)
+				}
+			}
+		})
+	}
+}
+
+func TestParseErrorNamesTheFirstFieldByName(t *testing.T) {
+	_, err := Parse([]byte("x = 1\nduties.record_intents = 1"))
+	var got wire.FieldError
+	if want := (wire.FieldError{Field: "duties.record_intents", Reason: "must be true or false"}); !errors.As(err, &got) || got != want {
+		t.Errorf("got %v, want %v", got, want)
+	}
+}
+
+func TestStringListsEveryField(t *testing.T) {
+	features := Features{RecordIntents: true, HistoryDir: "/h", HistoryLimitMB: 8}
+	want := "duties.record_intents=true upgrades.negotiate=false history.dir=/h history.limit_mb=8"
+	if got := features.String(); got != want {
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// The file of the repository is one that the program takes.
-func TestDeployedFile(t *testing.T) {
+func TestFileInTheRepositoryIsValid(t *testing.T) {
 	if _, err := Load(PathBeside("../../target/lilaclead")); err != nil {
 		t.Error(err)
 	}
