--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,11 +1,16 @@
 package config
 
 import (
+	"errors"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
+
+	"lilaclead/internal/wire"
 )
 
-const good = `
+const validFile = `
 host_name = "a"
 zone = "z1"
 front = "127.0.0.1:8080"
@@ -37,105 +42,213 @@
 fd_limit = 900
 `
 
-func TestGoodFileAndUnknownFields(t *testing.T) {
-	c, err := Parse([]byte(good))
+// parseChanged parses the valid file with pieces of its text replaced. Each of them
+// must occur in it.
+func parseChanged(t *testing.T, replacements ...string) (*Config, error) {
+	t.Helper()
+	for i := 0; i < len(replacements); i += 2 {
+		if !strings.Contains(validFile, replacements[i]) {
+			t.Fatalf("the valid file lacks %q", replacements[i])
+		}
+	}
+	return Parse([]byte(strings.NewReplacer(replacements...).Replace(validFile)))
+}
+
+// parseWith parses the valid file with lines added to the section on workers, and a
+// section added.
+func parseWith(t *testing.T, workerLines, section string) (*Config, error) {
+	t.Helper()
+	return parseChanged(t, "[settings.cloud]", section+"\n[settings.cloud]", "cancel_s = 70.0", "cancel_s = 70.0\n"+workerLines)
+}
+
+func TestParseIgnoresUnknownFields(t *testing.T) {
+	cfg, err := Parse([]byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Settings.Workers.Lease != 45 || c.Settings.Teams[0].Name != "t" {
-		t.Fatalf("read %+v", c.Settings)
+	if got := cfg.Settings; got.Workers.Lease != 45 || got.Teams[0].Name != "t" {
+		t.Errorf("settings: got %+v, want a lease of 45 and the team t", got)
 	}
 }
 
-func TestEveryErrorIsNamed(t *testing.T) {
-	bad := strings.NewReplacer(`zone = "z1"`, "", "lease_s = 45.0", "lease_s = -1.0", "size = 1", "size = 3",
-		`front = "127.0.0.1:8080"`, `front = "nowhere"`).Replace(good)
-	_, err := Parse([]byte(bad))
+func TestLoad(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "settings.toml")
+	if err := os.WriteFile(path, []byte(validFile), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if cfg, err := Load(path); err != nil || cfg.HostName != "a" {
+		t.Errorf("Load of a valid file: got %+v, %v", cfg, err)
+	}
+	if cfg, err := Load(filepath.Join(dir, "none.toml")); !errors.Is(err, os.ErrNotExist) || cfg != nil {
+		t.Errorf("Load of no file: got %+v, %v, want %v", cfg, err, os.ErrNotExist)
+	}
+}
+
+func TestParseErrorNamesThePosition(t *testing.T) {
+	_, err := Parse([]byte("host_name = \"a\"\n\nzone = z1\n"))
+	if err == nil || !strings.Contains(err.Error(), "settings file, line 3") {
+		t.Errorf("got %v, want an error in line 3", err)
+	}
+}
+
+func TestValidateNamesEveryError(t *testing.T) {
+	_, err := parseChanged(t, `zone = "z1"`, "", "lease_s = 45.0", "lease_s = -1.0", "size = 1", "size = 3",
+		`front = "127.0.0.1:8080"`, `front = "nowhere"`)
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatal("got no error, want four")
 	}
 	for _, want := range []string{"zone: missing", "settings.workers.lease_s", "settings.size", "front: must be host:port"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("error %q lacks %q", err, want)
+			t.Errorf("got %q, want an error that has %q", err, want)
 		}
 	}
+	var first wire.FieldError
+	if want := (wire.FieldError{Field: "zone", Reason: "missing"}); !errors.As(err, &first) || first != want {
+		t.Errorf("first error: got %v, want %v", first, want)
+	}
 }
 
-// A tight deployment starts, and so does one with zones that have no controller
-// or that no setting names; what can't work at all is named.
-func TestTightIsNotWrong(t *testing.T) {
-	change := func(pairs ...string) error {
-		_, err := Parse([]byte(strings.NewReplacer(pairs...).Replace(good)))
-		return err
-	}
-	for _, pairs := range [][]string{
-		{`zone = "z1"`, `zone = "elsewhere"`},
-		{`zones = ["z1"]`, `zones = ["z1", "z2", "z3"]`},
-		{"lease_s = 45.0", "lease_s = 4.0"},
-		{"cancel_s = 70.0", "cancel_s = 20.0"},
-		{"value_kb = 16.0", "value_kb = 1.0"},
-		{"txn_ops = 12", "txn_ops = 2"},
-		{"rps = 10.0", "rps = 1.5"},
-		{"memory_mb = 98.0", "memory_mb = 24.0"},
-		{"fd_limit = 900", "fd_limit = 64"},
+// A tight deployment starts, and so does one with zones that have no node or that no
+// setting names.
+func TestValidateAllowsTightSettings(t *testing.T) {
+	for _, tt := range []struct{ name, old, replacement string }{
+		{"zone that the settings lack", `zone = "z1"`, `zone = "elsewhere"`},
+		{"zones without a node", `zones = ["z1"]`, `zones = ["z1", "z2", "z3"]`},
+		{"short lease", "lease_s = 45.0", "lease_s = 4.0"},
+		{"short time for cancellations", "cancel_s = 70.0", "cancel_s = 20.0"},
+		{"small values", "value_kb = 16.0", "value_kb = 1.0"},
+		{"smallest value", "value_kb = 16.0", "value_kb = 0.5"},
+		{"small transactions", "txn_ops = 12", "txn_ops = 2"},
+		{"low rate of the store", "rps = 10.0", "rps = 1.5"},
+		{"little memory", "memory_mb = 98.0", "memory_mb = 24.0"},
+		{"few sockets", "fd_limit = 900", "fd_limit = 64"},
+		{"no lag of the cloud's list", "list_lag_s = 4.0", "list_lag_s = 0.0"},
 	} {
-		if err := change(pairs...); err != nil {
-			t.Errorf("%v: %v", pairs, err)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			if _, err := parseChanged(t, tt.old, tt.replacement); err != nil {
+				t.Errorf("%s: got %v, want no error", tt.replacement, err)
+			}
+		})
 	}
-	for want, pairs := range map[string][]string{
-		"settings.workers.lease_s":  {"lease_s = 45.0", "lease_s = 2.0"},
-		"settings.workers.report_s": {"report_s = 3.0", "report_s = inf"},
-		"settings.state.value_kb":   {"value_kb = 16.0", "value_kb = 0.1"},
-		"settings.state.txn_ops":    {"txn_ops = 12", "txn_ops = 1"},
-		"settings.zones[1]":         {`zones = ["z1"]`, `zones = ["z1", ""]`},
-		"settings.teams[1].name":    {`name = "t"`, "name = \"t\"\n[[settings.teams]]\nname = \"t\""},
+}
+
+func TestValidateNamesWhatCanNotWork(t *testing.T) {
+	for _, tt := range []struct{ name, old, replacement, want string }{
+		{"lease shorter than the heartbeat interval", "lease_s = 45.0", "lease_s = 2.0", "settings.workers.lease_s: must be longer than report_s: leases would end between two reports"},
+		{"infinite heartbeat interval", "report_s = 3.0", "report_s = inf", "settings.workers.report_s: must be above 0"},
+		{"no time for cancellations", "cancel_s = 70.0", "cancel_s = 0.0", "settings.workers.cancel_s: must be above 0"},
+		{"value too small for a job", "value_kb = 16.0", "value_kb = 0.1", "settings.state.value_kb: must be 0.5 or more, to hold one job"},
+		{"value of no size", "value_kb = 16.0", "value_kb = nan", "settings.state.value_kb: must be above 0"},
+		{"transaction of one change", "txn_ops = 12", "txn_ops = 1", "settings.state.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
+		{"store without requests", "rps = 10.0", "rps = 0.0", "settings.state.rps: must be above 0"},
+		{"store without changes", "write_rps = 5.0", "write_rps = -1.0", "settings.state.write_rps: must be above 0"},
+		{"zone without a name", `zones = ["z1"]`, `zones = ["z1", ""]`, "settings.zones[1]: missing"},
+		{"no zones", `zones = ["z1"]`, `zones = []`, "settings.zones: missing"},
+		{"no teams", "[[settings.teams]]\nname = \"t\"", "", "settings.teams: missing"},
+		{"team named twice", `name = "t"`, "name = \"t\"\n[[settings.teams]]\nname = \"t\"", "settings.teams[1].name: named twice"},
+		{"team without a name", `name = "t"`, `name = ""`, "settings.teams[0].name: missing"},
+		{"negative quota", `name = "t"`, "name = \"t\"\ncpus = -1.0", "settings.teams[0].cpus: must be 0 or more"},
+		{"negative quota limit", `name = "t"`, "name = \"t\"\ncpus_max = -1.0", "settings.teams[0].cpus_max: must be 0 or more"},
+		{"negative GPU quota", `name = "t"`, "name = \"t\"\ngpus = -1.0", "settings.teams[0].gpus: must be 0 or more"},
+		{"GPU quota limit that is no number", `name = "t"`, "name = \"t\"\ngpus_max = nan", "settings.teams[0].gpus_max: must be 0 or more"},
+		{"no nodes", "size = 1", "size = 0", "settings.size: must be 1 or more"},
+		{"more nodes than are named", "size = 1", "size = 3", "settings.size: is 3, but others and this node make 1"},
+		{"no host name", `host_name = "a"`, "", "host_name: missing"},
+		{"peer address without a port", `peer_bind = "127.0.0.1:8081"`, `peer_bind = "127.0.0.1:"`, "peer_bind: must be host:port"},
+		{"peer with this node's name", "[endpoints]", "[[others]]\nhost_name = \"a\"\naddr = \"127.0.0.1:9\"\n[endpoints]", "others[0].host_name: named twice"},
+		{"peer without an address", "[endpoints]", "[[others]]\nhost_name = \"b\"\n[endpoints]", "others[0].addr: must be host:port"},
+		{"no cloud", `cloud = "127.0.0.1:1"`, "", "endpoints.cloud: must be host:port"},
+		{"no store", `state = "127.0.0.1:2"`, "", "endpoints.state: must be host:port"},
+		{"cloud without requests", "rps = 6.0", "rps = 0.0", "settings.cloud.rps: must be above 0"},
+		{"negative lag of the cloud's list", "list_lag_s = 4.0", "list_lag_s = -1.0", "settings.cloud.list_lag_s: must be 0 or more"},
+		{"no processor", "cores = 0.2", "cores = 0.0", "settings.limits.cores: must be above 0"},
+		{"no memory", "memory_mb = 98.0", "memory_mb = 0.0", "settings.limits.memory_mb: must be above 0"},
+		{"too few sockets", "fd_limit = 900", "fd_limit = 63", "settings.limits.fd_limit: must be 64 or more"},
 	} {
-		if err := change(pairs...); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: error %v lacks %q", pairs, err, want)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			if _, err := parseChanged(t, tt.old, tt.replacement); err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("%q: got %v, want an error that has %q", tt.replacement, err, tt.want)
+			}
+		})
 	}
 }
 
-// The fields for gangs and for the state service's limits to come: a file without
-// them is as good as before, and what is wrong in them is named.
-func TestGangsAndLimitsToCome(t *testing.T) {
-	change := func(workers, next string) (*Config, error) {
-		return Parse([]byte(strings.NewReplacer("[settings.cloud]", next+"\n[settings.cloud]", "cancel_s = 70.0", "cancel_s = 70.0\n"+workers).Replace(good)))
+func TestFileWithoutGangTimesAndNextLimitsIsValid(t *testing.T) {
+	cfg, err := Parse([]byte(validFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if limits := cfg.Settings.State; limits.Next != nil || limits.Least() != limits {
+		t.Errorf("limits: got %+v and %+v as the least, want both the same", limits, limits.Least())
 	}
-	c, err := change("", "")
-	if err != nil || c.Settings.State.Next != nil || c.Settings.State.Least() != c.Settings.State || c.Settings.Workers.GangWait != 0 {
-		t.Errorf("without them: %v, %+v", err, c.Settings.State)
+	if w := cfg.Settings.Workers; w.GangWait != 0 || w.GangPeerTimeout != 0 {
+		t.Errorf("gang times: got %v and %v, want 0", w.GangWait, w.GangPeerTimeout)
 	}
-	c, err = change("gang_wait_s = 40.0\ngang_peer_s = 3.0", "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0")
+}
+
+func TestGangTimesAreRead(t *testing.T) {
+	cfg, err := parseWith(t, "gang_wait_s = 40.0\ngang_peer_s = 3.0", "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w := c.Settings.Workers; w.GangWait != 40 || w.GangPeerTimeout != 3 {
-		t.Errorf("read %+v", w)
-	}
-	if got := c.Settings.State.Least(); got != (State{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}) {
-		t.Errorf("the least of both is %+v", got)
-	}
-	// Limits that rise are kept to as soon as they hold, so not yet.
-	c, err = change("", "[settings.state.next]\nvalue_kb = 64.0\ntxn_ops = 40")
-	if got := c.Settings.State.Least(); err != nil || got != (State{RPS: 10, WriteRPS: 5, ValueKB: 16, TxnOps: 12}) {
-		t.Errorf("the least of both is %+v, %v", got, err)
-	}
-	for want, pair := range map[string][2]string{
-		"settings.workers.gang_wait_s":   {"gang_wait_s = -1.0", ""},
-		"settings.workers.gang_peer_s":   {"gang_peer_s = nan", ""},
-		"settings.state.next.rps":        {"", "[settings.state.next]\nrps = -1.0"},
-		"settings.state.next.write_rps":  {"", "[settings.state.next]\nwrite_rps = nan"},
-		"settings.state.next.value_kb":   {"", "[settings.state.next]\nvalue_kb = 0.1"},
-		"settings.state.next.txn_ops":    {"", "[settings.state.next]\ntxn_ops = 1"},
-		"settings.state.next.txn_ops: ":  {"", "[settings.state.next]\ntxn_ops = -4"},
-		"settings.state.next.value_kb: ": {"", "[settings.state.next]\nvalue_kb = nan"},
-		"settings.workers.gang_wait_s: ": {"gang_wait_s = inf", ""},
-		"settings.workers.gang_peer_s: ": {"gang_peer_s = inf", ""},
+	if w := cfg.Settings.Workers; w.GangWait != 40 || w.GangPeerTimeout != 3 {
+		t.Errorf("gang times: got %v and %v, want 40 and 3", w.GangWait, w.GangPeerTimeout)
+	}
+}
+
+func TestLeastLimits(t *testing.T) {
+	for _, tt := range []struct {
+		name, next string
+		want       State
+	}{
+		{"limits that fall are kept to before they hold", "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0", State{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}},
+		{"limits that rise are used only once they hold", "value_kb = 64.0\ntxn_ops = 40", State{RPS: 10, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
+		{"limits that are not named stay", "rps = 4.0", State{RPS: 4, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
 	} {
-		if _, err := change(pair[0], pair[1]); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v: error %v lacks %q", pair, err, want)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			cfg, err := parseWith(t, "gang_wait_s = 40.0\ngang_peer_s = 3.0", "[settings.state.next]\n"+tt.next)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := cfg.Settings.State.Least(); got != tt.want {
+				t.Errorf("next limits %q: got %+v, want %+v", tt.next, got, tt.want)
+			}
+		})
+	}
+}
+
+func TestValidateNamesWrongGangTimesAndNextLimits(t *testing.T) {
+	for _, tt := range []struct{ name, workerLines, next, want string }{
+		{"negative wait of gangs", "gang_wait_s = -1.0", "", "settings.workers.gang_wait_s: must be 0 or more"},
+		{"infinite wait of gangs", "gang_wait_s = inf", "", "settings.workers.gang_wait_s: must be 0 or more"},
+		{"peer timeout that is no number", "gang_peer_s = nan", "", "settings.workers.gang_peer_s: must be 0 or more"},
+		{"infinite peer timeout", "gang_peer_s = inf", "", "settings.workers.gang_peer_s: must be 0 or more"},
+		{"negative rate", "", "rps = -1.0", "settings.state.next.rps: must be 0 or more"},
+		{"rate of changes that is no number", "", "write_rps = nan", "settings.state.next.write_rps: must be 0 or more"},
+		{"value too small for a job", "", "value_kb = 0.1", "settings.state.next.value_kb: must be 0.5 or more, to hold one job"},
+		{"value that is no number", "", "value_kb = nan", "settings.state.next.value_kb: must be 0.5 or more, to hold one job"},
+		{"transaction of one change", "", "txn_ops = 1", "settings.state.next.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
+		{"negative transaction", "", "txn_ops = -4", "settings.state.next.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			section := ""
+			if tt.next != "" {
+				section = "[settings.state.next]\n" + tt.next
+			}
+			if _, err := parseWith(t, tt.workerLines, section); err == nil || !strings.Contains(err.Error(), tt.want) {
+				t.Errorf("%s%s: got %v, want an error that has %q", tt.workerLines, tt.next, err, tt.want)
+			}
+		})
+	}
+}
+
+func TestTeam(t *testing.T) {
+	settings := Settings{Teams: []Team{{Name: "red", CPUs: 1}, {Name: "blue", CPUs: 2}}}
+	if team, known := settings.Team("blue"); !known || team.CPUs != 2 {
+		t.Errorf("blue: got %+v, %t, want the team with 2 CPUs", team, known)
+	}
+	if team, known := settings.Team("green"); known || team != (Team{}) {
+		t.Errorf("green: got %+v, %t, want none", team, known)
 	}
 }
--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,76 @@
+package config
+
+import "lilaclead/internal/wire"
+
+// Settings is what holds for the whole deployment.
+type Settings struct {
+	// Size is the number of nodes.
+	Size  int         `toml:"size"`
+	Zones []wire.Zone `toml:"zones"`
+	// ClockOffMs bounds, in milliseconds, how far the nodes' clocks may be off.
+	ClockOffMs float64     `toml:"clock_off_ms"`
+	Teams      []Team      `toml:"teams"`
+	Objectives []Objective `toml:"objectives"`
+	Workers    Workers     `toml:"workers"`
+	State      State       `toml:"state"`
+	Cloud      Cloud       `toml:"cloud"`
+	Limits     Limits      `toml:"limits"`
+}
+
+// Team returns a team by its name.
+func (s *Settings) Team(id wire.TeamID) (Team, bool) {
+	for _, team := range s.Teams {
+		if team.Name == id {
+			return team, true
+		}
+	}
+	return Team{}, false
+}
+
+// Team has a guaranteed quota (CPUs, GPUs) and a limit (CPUsMax, GPUsMax); 0 means
+// none.
+type Team struct {
+	Name    wire.TeamID `toml:"name"`
+	CPUs    float64     `toml:"cpus"`
+	CPUsMax float64     `toml:"cpus_max"`
+	GPUs    float64     `toml:"gpus"`
+	GPUsMax float64     `toml:"gpus_max"`
+}
+
+// Objective is a service-level objective.
+type Objective struct {
+	Kind   string       `toml:"kind"`
+	Class  string       `toml:"class"`
+	Within wire.Seconds `toml:"within_s"`
+	Share  float64      `toml:"share"`
+	// Times is the multiple of a job's own deadline that a deadline objective means.
+	Times float64 `toml:"times"`
+}
+
+// Workers says how worker agents behave.
+type Workers struct {
+	HeartbeatInterval wire.Seconds `toml:"report_s"`
+	Lease             wire.Seconds `toml:"lease_s"`
+	// CancelTimeout bounds the time from the confirmation of a cancellation until no
+	// task of the job runs.
+	CancelTimeout wire.Seconds `toml:"cancel_s"`
+	// GangWait is how long a task of a gang waits for the others. GangPeerTimeout is how
+	// soon the others notice that one has ended; all of them must be told to stop within
+	// it. Older files lack both.
+	GangWait        wire.Seconds `toml:"gang_wait_s"`
+	GangPeerTimeout wire.Seconds `toml:"gang_peer_s"`
+}
+
+// Cloud holds the limits of the cloud.
+type Cloud struct {
+	RPS float64 `toml:"rps"`
+	// ListLag is how old the cloud's list of machines may be.
+	ListLag wire.Seconds `toml:"list_lag_s"`
+}
+
+// Limits are the limits of this process.
+type Limits struct {
+	Cores    float64 `toml:"cores"`
+	MemoryMB float64 `toml:"memory_mb"`
+	FDLimit  int     `toml:"fd_limit"`
+}
