--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -73,7 +73,7 @@
 		return response{}, errJobChanged // the next try answers with the final state
 	}
 	rec.Status, rec.CancelledAt = wire.Cancelled, wire.TimestampOf(time.Now())
-	in.shrinkToFit(&rec, mustShrink)
+	in.feasibility.shrinkToFit(&rec, mustShrink)
 	return in.storeCancellation(ctx, &rec, entry.Revision)
 }
 
@@ -82,7 +82,7 @@
 func (in *Intake) storeCancellation(ctx context.Context, rec *store.JobRecord, readAt wire.Revision) (response, error) {
 	id := rec.Spec.ID
 	key := store.JobKey(id)
-	err := in.commit(ctx, wire.Txn{
+	err := commit(ctx, in.store, wire.Txn{
 		Guards: []wire.Guard{{Key: key, Revision: readAt}},
 		Writes: []wire.Write{{Put: key, Value: wire.Encode(rec)}},
 	})
@@ -115,16 +115,3 @@
 		return response{}, errJobChanged // submitted between the two reads
 	}
 }
-
-// shrinkToFit drops what a cancelled job can do without from a record that only just
-// fitted before it was cancelled, or that was stored under higher limits. No task of
-// the job is placed any more, so it needs no list of machine types.
-func (in *Intake) shrinkToFit(rec *store.JobRecord, mustShrink bool) {
-	if !mustShrink && in.recordFits(rec) {
-		return
-	}
-	rec.Spec.MachineTypes = nil
-	if !in.recordFits(rec) {
-		rec.Spec.Class, rec.Spec.Image = "", "" // names of 120 bytes, each of which may be escaped
-	}
-}
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"lilaclead/internal/config"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
@@ -28,16 +29,23 @@
 // retry may succeed.
 var errMachineTypesUnknown = errors.New("machine types not known yet")
 
-// checkFeasible returns nil if a job can run, an infeasibleError if it never can, and
+// feasibility decides which jobs can run.
+type feasibility struct {
+	settings *config.Settings
+	// machineTypes returns what the cloud offers, nil while that is not known.
+	machineTypes func() []wire.MachineSpec
+}
+
+// check returns nil if a job can run, an infeasibleError if it never can, and
 // errMachineTypesUnknown while that can't be decided.
-func (in *Intake) checkFeasible(spec *wire.JobSpec) error {
-	if err := in.checkTeam(spec); err != nil {
+func (f *feasibility) check(spec *wire.JobSpec) error {
+	if err := f.checkTeam(spec); err != nil {
 		return err
 	}
-	if !in.recordFits(worstCaseRecord(spec)) {
+	if !f.recordFits(worstCaseRecord(spec)) {
 		return errRecordOverLimit
 	}
-	types := in.machineTypes()
+	types := f.machineTypes()
 	if types == nil {
 		return errMachineTypesUnknown
 	}
@@ -50,8 +58,8 @@
 
 // checkTeam checks that the job's team exists and that its limits allow the tasks
 // which must run at the same time. A limit of 0 means none.
-func (in *Intake) checkTeam(spec *wire.JobSpec) error {
-	team, ok := in.settings.Team(spec.Team)
+func (f *feasibility) checkTeam(spec *wire.JobSpec) error {
+	team, ok := f.settings.Team(spec.Team)
 	if !ok {
 		return errUnknownTeam
 	}
@@ -79,6 +87,19 @@
 
 // recordFits reports whether the store takes a job's record, both under its present
 // limits and under those that are announced.
-func (in *Intake) recordFits(rec *store.JobRecord) bool {
-	return wire.JSONSize(rec) <= int(in.settings.State.Least().ValueKB*1024)
+func (f *feasibility) recordFits(rec *store.JobRecord) bool {
+	return wire.JSONSize(rec) <= int(f.settings.State.Least().ValueKB*1024)
+}
+
+// shrinkToFit drops what a cancelled job can do without from a record that only just
+// fitted before it was cancelled, or that was stored under higher limits. No task of
+// the job is placed any more, so it needs no list of machine types.
+func (f *feasibility) shrinkToFit(rec *store.JobRecord, mustShrink bool) {
+	if !mustShrink && f.recordFits(rec) {
+		return
+	}
+	rec.Spec.MachineTypes = nil
+	if !f.recordFits(rec) {
+		rec.Spec.Class, rec.Spec.Image = "", "" // names of 120 bytes, each of which may be escaped
+	}
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -38,17 +38,17 @@
 
 // Intake serves users. It is safe for concurrent use.
 type Intake struct {
-	settings     *config.Settings
-	store        *store.Client
-	jobs         *store.JobCache
-	cancels      *cancels.Log
-	machineTypes func() []wire.MachineSpec
-	log          *slog.Logger
+	settings    *config.Settings
+	store       *store.Client
+	jobs        *store.JobCache
+	cancels     *cancels.Log
+	feasibility feasibility
+	finals      finalStates
+	counts      *taskCounts
+	log         *slog.Logger
 	// inFlight holds a slot for each request in flight; while it is full, further
 	// requests are refused.
 	inFlight chan struct{}
-	finals   finalStates
-	counts   taskCounts
 	// Observe is called after every response, for the metrics.
 	Observe func(op Operation, status int, took time.Duration)
 	// Undecodable logs the stored records that can't be decoded.
@@ -61,15 +61,15 @@
 	limits := settings.State.Least()
 	inFlight := max(minInFlight, min(maxInFlight, settings.Limits.FDLimit/socketsPerRequest))
 	return &Intake{
-		settings:     settings,
-		store:        st,
-		jobs:         store.NewJobCache(st, cancelled, limits.RPS, settings.Size),
-		cancels:      cancelled,
-		machineTypes: machineTypes,
-		log:          log,
-		inFlight:     make(chan struct{}, inFlight),
-		counts:       newTaskCounts(limits.RPS, settings.Size),
-		Observe:      func(Operation, int, time.Duration) {},
+		settings:    settings,
+		store:       st,
+		jobs:        store.NewJobCache(st, cancelled, limits.RPS, settings.Size),
+		cancels:     cancelled,
+		feasibility: feasibility{settings: settings, machineTypes: machineTypes},
+		counts:      newTaskCounts(st, limits.RPS, settings.Size),
+		log:         log,
+		inFlight:    make(chan struct{}, inFlight),
+		Observe:     func(Operation, int, time.Duration) {},
 	}
 }
 
--- a/internal/intake/job_state.go
+++ b/internal/intake/job_state.go
@@ -3,20 +3,11 @@
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
-	"time"
 
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
-// firstCommitRetry and lastCommitRetry are the first and the last pause before a
-// transaction is retried that was refused for the rate alone. The pauses double.
-const (
-	firstCommitRetry = 50 * time.Millisecond
-	lastCommitRetry  = 200 * time.Millisecond
-)
-
 // state returns the state of a job, as new as the store is now: from the live
 // record if there is one, else from the final one (the package comment has the
 // reasons). The error is store.ErrMissing if the job was never accepted.
@@ -62,21 +53,3 @@
 	}
 	in.finals.put(state)
 }
-
-// commit executes a user's transaction. A refusal for the rate alone passes within
-// a fraction of a second, so it is retried a few times, well within the time in
-// which users expect a response; every other error is returned at once.
-func (in *Intake) commit(ctx context.Context, txn wire.Txn) error {
-	for pause := firstCommitRetry; ; pause *= 2 {
-		_, err := in.store.Commit(ctx, store.User, txn)
-		if !errors.Is(err, store.ErrBusy) || pause > lastCommitRetry {
-			return err
-		}
-		jitter := rand.N(pause / 2)
-		select {
-		case <-ctx.Done():
-			return err
-		case <-time.After(pause + jitter):
-		}
-	}
-}
--- a/internal/intake/poll.go
+++ b/internal/intake/poll.go
@@ -31,7 +31,7 @@
 
 // withTaskCounts returns the state of a live job with the numbers of its tasks.
 func (in *Intake) withTaskCounts(ctx context.Context, state wire.JobState) wire.JobState {
-	count := in.countTasks(ctx, state.ID)
+	count := in.counts.count(ctx, state.ID)
 	// While the tasks were counted, this node may have confirmed to a user that the
 	// job has ended; then no poll may be answered with less.
 	if final, ok := in.finals.get(state.ID); ok {
--- a/internal/intake/store_test.go
+++ b/internal/intake/store_test.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -35,8 +36,17 @@
 	types []wire.MachineSpec // what the cloud offers
 }
 
+// amplyLimited are limits of the store that no test reaches.
+var amplyLimited = config.State{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
+
 // runCluster runs a test on a cluster in virtual time.
 func runCluster(t *testing.T, test func(t *testing.T, c *cluster)) {
+	t.Helper()
+	runClusterWithin(t, amplyLimited, test)
+}
+
+// runClusterWithin runs a test on a cluster whose nodes keep to limits of the store.
+func runClusterWithin(t *testing.T, limits config.State, test func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -50,7 +60,7 @@
 			t.Fatal(err)
 		}
 		for i, host := range []string{"10.0.0.1", "10.0.0.2"} {
-			c.nodes[i] = c.startNode(ctx, network, host)
+			c.nodes[i] = c.startNode(ctx, network, host, limits)
 		}
 		test(t, c)
 		cancel()
@@ -59,8 +69,7 @@
 }
 
 // startNode starts the intake of a node, which runs until the context ends.
-func (c *cluster) startNode(ctx context.Context, network *simulator.Network, host string) node {
-	limits := config.State{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
+func (c *cluster) startNode(ctx context.Context, network *simulator.Network, host string, limits config.State) node {
 	settings := &config.Settings{Size: 2, Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.Limits{FDLimit: 900}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cancelled := cancels.New(nil, time.Minute)
@@ -148,6 +157,21 @@
 	})
 }
 
+func TestSubmissionOverTheWriteRateIsRetried(t *testing.T) {
+	const writeRPS = 10
+	limits := amplyLimited
+	limits.WriteRPS = writeRPS
+	runClusterWithin(t, limits, func(t *testing.T, c *cluster) {
+		start := time.Now()
+		for n := range 2 * writeRPS {
+			c.nodes[0].submit(t, wire.JobID("req-"+strconv.Itoa(n)), http.StatusCreated, wire.Queued)
+		}
+		if took := time.Since(start); took < time.Second {
+			t.Errorf("%d submissions at %d writes a second took %v: the rate was not kept to", 2*writeRPS, writeRPS, took)
+		}
+	})
+}
+
 func TestInfeasibleSubmission(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		for _, tt := range []struct {
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -28,7 +28,7 @@
 	if final, ok := in.finals.get(spec.ID); ok {
 		return summary(final.ID, final.Status)
 	}
-	if err := in.checkFeasible(&spec); err != nil {
+	if err := in.feasibility.check(&spec); err != nil {
 		return in.declineUnlessKnown(ctx, spec.ID, err)
 	}
 	return in.accept(ctx, &spec)
@@ -91,7 +91,7 @@
 		AcceptedAt: wire.TimestampOf(time.Now()),
 		Chunk:      store.ChunkTasksFor(in.settings.State.Least().ValueKB),
 	}
-	return in.commit(ctx, wire.Txn{
+	return commit(ctx, in.store, wire.Txn{
 		Guards: []wire.Guard{
 			{Key: store.JobKey(spec.ID), Revision: absent},
 			{Key: store.FinalKey(spec.ID), Revision: absent},
--- a/internal/intake/task_counts.go
+++ b/internal/intake/task_counts.go
@@ -32,16 +32,19 @@
 // taskCounts remembers the task counts of jobs. Counts are for display, so they
 // are read at a small rate and may be somewhat old. It is safe for concurrent use.
 type taskCounts struct {
+	store *store.Client
+	reads *rate.Limiter
+
 	mu    sync.Mutex
 	byJob map[wire.JobID]taskCount
-	reads *rate.Limiter
 }
 
 // newTaskCounts returns an empty taskCounts of one node. The store's limit, in
 // requests a second, is shared by the given number of nodes.
-func newTaskCounts(storeRPS float64, nodes int) taskCounts {
+func newTaskCounts(client *store.Client, storeRPS float64, nodes int) *taskCounts {
 	limit := max(minTaskCountRate, storeRPS*taskCountShare/float64(max(1, nodes)))
-	return taskCounts{
+	return &taskCounts{
+		store: client,
 		byJob: map[wire.JobID]taskCount{},
 		reads: rate.NewLimiter(rate.Limit(limit), max(1, int(limit))),
 	}
@@ -65,19 +68,19 @@
 	c.byJob[id] = count
 }
 
-// countTasks returns the task count of a job: the last one, zero if there is none,
+// count returns the task count of a job: the last one, zero if there is none,
 // where it need not or can't be read again now.
-func (in *Intake) countTasks(ctx context.Context, id wire.JobID) taskCount {
-	last, fresh := in.counts.get(id)
-	if fresh || !in.counts.reads.Allow() {
+func (c *taskCounts) count(ctx context.Context, id wire.JobID) taskCount {
+	last, fresh := c.get(id)
+	if fresh || !c.reads.Allow() {
 		return last
 	}
-	entries, _, err := in.store.List(ctx, store.User, store.ProgressPrefix+string(id)+"/")
+	entries, _, err := c.store.List(ctx, store.User, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
 		return last
 	}
 	count := taskCount{readAt: time.Now()}
 	count.done, count.running = store.CountTasks(entries)
-	in.counts.put(id, count)
+	c.put(id, count)
 	return count
 }
