--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -14,7 +14,7 @@
 	"lilaclead/internal/leader"
 )
 
-// Metrics are the Prometheus metrics of one node. It is safe for concurrent use.
+// Metrics holds the Prometheus metrics of one node. It is safe for concurrent use.
 type Metrics struct {
 	registry         *prometheus.Registry
 	calls            *prometheus.HistogramVec
