--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -27,8 +27,7 @@
 	return Team{}, false
 }
 
-// Team has a guaranteed quota (CPUs, GPUs) and a limit (CPUsMax, GPUsMax); 0 means
-// none.
+// Team has a guaranteed quota of CPUs and GPUs, and a limit of each; 0 means none.
 type Team struct {
 	Name    wire.TeamID `toml:"name"`
 	CPUs    float64     `toml:"cpus"`
