--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -8,19 +8,18 @@
 	"testing/synctest"
 	"time"
 
-	"lilaclead/internal/config"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
-// serve lets the state service listen.
-func serve(t *testing.T, nw *simulator.Network, st *simulator.State) *http.Server {
+// serve answers requests to the key-value store until the server is closed.
+func serve(t *testing.T, nw *simulator.Network, store http.Handler) *http.Server {
 	l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.StateAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: st}
+	srv := &http.Server{Handler: store}
 	go srv.Serve(l) //nolint:errcheck // ends with Close
 	return srv
 }
@@ -31,7 +30,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		nw, st := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
-		c := store.New(simulator.StateAddr, config.State{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
+		c := newClient(nw)
 		if _, err := c.Get(ctx, store.Background, "k"); !errors.Is(err, store.ErrRefused) {
 			t.Errorf("no listener: %v", err)
 		}
@@ -106,7 +105,7 @@
 func TestChangesTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw, st := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
-		c := store.New(simulator.StateAddr, config.State{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
+		c := newClient(nw)
 		stop, err := nw.ServeState(st)
 		if err != nil {
 			t.Fatal(err)
