--- /dev/null
+++ b/internal/store/errors.go
@@ -0,0 +1,74 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// The causes for which a request fails. They are compared with errors.Is; the error that
+// a Client returns is an OpError around one of them, or a ConflictError. Their texts are
+// label values of the metric lilaclead_call_seconds and must not change.
+var (
+	// ErrMissing means that the key or the lease does not exist.
+	ErrMissing = errors.New("state: no such key or grant")
+	// ErrRefused means that the request was certainly not executed: the service answered
+	// 429 or 503, refused the connection, or this node's own budget had no room.
+	ErrRefused = errors.New("state: refused")
+	// ErrBusy is the ErrRefused of a request that was over the rate limit and may
+	// succeed in a moment.
+	ErrBusy = fmt.Errorf("%w: over the rate", ErrRefused)
+	// ErrUnknown means that there was no usable answer: a change may have been executed,
+	// or may still be.
+	ErrUnknown = errors.New("state: outcome unknown")
+	// ErrTooOld means that a watch asked for changes that are no longer kept.
+	ErrTooOld = errors.New("state: revision too old")
+	// ErrTooLarge means that the answer is larger than this client accepts.
+	ErrTooLarge = errors.New("state: answer too large")
+	// ErrInvalid means that the service considers the request malformed.
+	ErrInvalid = errors.New("state: request refused as invalid")
+)
+
+// OpError reports which operation on which key failed, and why.
+type OpError struct {
+	// Op is the operation by the name that the metrics use, such as "get" or "txn".
+	Op string
+	// Key is what the operation was about: a key, a prefix, the keys that a transaction
+	// changes, or a lease.
+	Key string
+	// Err is the cause and wraps one of the sentinel errors of this package.
+	Err error
+}
+
+// Error returns the operation, what it was about, and the cause.
+func (e *OpError) Error() string {
+	if e.Key == "" {
+		return e.Op + ": " + e.Err.Error()
+	}
+	return e.Op + " " + e.Key + ": " + e.Err.Error()
+}
+
+// Unwrap returns the cause.
+func (e *OpError) Unwrap() error { return e.Err }
+
+// MaybeExecuted reports whether the service may have executed the request, or may still
+// do so. What it was to change must be read before it is repeated.
+func (e *OpError) MaybeExecuted() bool {
+	return errors.Is(e.Err, ErrUnknown) || errors.Is(e.Err, ErrTooLarge)
+}
+
+// Retryable reports whether the same request may succeed later. All other requests fail
+// again for as long as the stored data is what it is.
+func (e *OpError) Retryable() bool {
+	return errors.Is(e.Err, ErrRefused) || errors.Is(e.Err, ErrUnknown)
+}
+
+// ConflictError lists the guards of a compare-and-swap that failed.
+type ConflictError struct{ Failed []string }
+
+// Error returns the keys whose guards failed.
+func (e *ConflictError) Error() string { return "state: guards failed: " + strings.Join(e.Failed, ",") }
+
+// Has reports whether the guard on the key failed.
+func (e *ConflictError) Has(key string) bool { return slices.Contains(e.Failed, key) }
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -51,6 +51,9 @@
 	},
 }
 
+// requestKeys are what the requests are about, as errors name it.
+var requestKeys = map[string]string{"get": "job/req-1", "list": "job/", "txn": "job/req-1", "grant": "", "renew": "lease 7", "end": "lease 7", "watch": "job/"}
+
 // TestRequestOutcomes checks what each kind of answer makes of each kind of request: the
 // error that the caller gets, and the outcome that is a label value of the metric
 // lilaclead_call_seconds. The label values are part of what operators read, and a key in
@@ -62,17 +65,19 @@
 		outcome string           // as observed
 		err     error            // of most requests; nil: none
 		other   map[string]error // of requests for which it differs
+
+		maybeExecuted, retryable bool // by an error that is err
 	}{
-		{name: "no such key or lease", answer: cannedAnswer{status: 404}, outcome: "404", err: store.ErrUnknown,
+		{name: "no such key or lease", answer: cannedAnswer{status: 404}, outcome: "404", err: store.ErrUnknown, maybeExecuted: true, retryable: true,
 			other: map[string]error{"get": store.ErrMissing, "renew": store.ErrMissing, "end": nil}},
-		{name: "conflict", answer: cannedAnswer{status: 409, body: wire.Encode(wire.TxnResult{Failed: []string{"lead"}})}, outcome: "409", err: store.ErrUnknown,
+		{name: "conflict", answer: cannedAnswer{status: 409, body: wire.Encode(wire.TxnResult{Failed: []string{"lead"}})}, outcome: "409", err: store.ErrUnknown, maybeExecuted: true, retryable: true,
 			other: map[string]error{"get": store.ErrMissing, "renew": nil, "end": nil, "txn": errConflict}},
-		{name: "over the rate", answer: cannedAnswer{status: 429}, outcome: "state: refused: over the rate", err: store.ErrBusy},
-		{name: "service unavailable", answer: cannedAnswer{status: 503}, outcome: "state: refused", err: store.ErrRefused},
+		{name: "over the rate", answer: cannedAnswer{status: 429}, outcome: "state: refused: over the rate", err: store.ErrBusy, retryable: true},
+		{name: "service unavailable", answer: cannedAnswer{status: 503}, outcome: "state: refused", err: store.ErrRefused, retryable: true},
 		{name: "history compacted", answer: cannedAnswer{status: 410}, outcome: "state: revision too old", err: store.ErrTooOld},
 		{name: "malformed request", answer: cannedAnswer{status: 400}, outcome: "state: request refused as invalid", err: store.ErrInvalid},
-		{name: "unexpected status", answer: cannedAnswer{status: 500}, outcome: "state: outcome unknown: status 500", err: store.ErrUnknown},
-		{name: "answer over 8 MiB", answer: cannedAnswer{status: 200, body: make([]byte, 8<<20+1)}, outcome: "state: answer too large", err: store.ErrTooLarge,
+		{name: "unexpected status", answer: cannedAnswer{status: 500}, outcome: "state: outcome unknown: status 500", err: store.ErrUnknown, maybeExecuted: true, retryable: true},
+		{name: "answer over 8 MiB", answer: cannedAnswer{status: 200, body: make([]byte, 8<<20+1)}, outcome: "state: answer too large", err: store.ErrTooLarge, maybeExecuted: true,
 			other: map[string]error{"watch": store.ErrTooOld}},
 	}
 	for _, tc := range cases {
@@ -92,6 +97,20 @@
 					if !isError(err, want) {
 						t.Errorf("%s: got error %v, want %v", op, err, want)
 					}
+					if want == nil || want == errConflict {
+						continue
+					}
+					var opErr *store.OpError
+					if !errors.As(err, &opErr) || opErr.Op != op || opErr.Key != requestKeys[op] {
+						t.Errorf("%s: got error %#v, want an OpError of %s on %q", op, err, op, requestKeys[op])
+						continue
+					}
+					if want == tc.err && (opErr.MaybeExecuted() != tc.maybeExecuted || opErr.Retryable() != tc.retryable) {
+						t.Errorf("%s: %v: got maybe executed %v, retryable %v, want %v, %v", op, err, opErr.MaybeExecuted(), opErr.Retryable(), tc.maybeExecuted, tc.retryable)
+					}
+					if differs && (opErr.MaybeExecuted() || opErr.Retryable()) {
+						t.Errorf("%s: %v: got maybe executed %v, retryable %v, want neither", op, err, opErr.MaybeExecuted(), opErr.Retryable())
+					}
 				}
 			})
 		})
@@ -126,3 +145,36 @@
 func newClient(nw *simulator.Network) *store.Client {
 	return store.New(simulator.StateAddr, config.State{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 }
+
+// TestRefusedRequestNamesOperationAndKey checks the error of requests that never reached
+// the service, and its text.
+func TestRefusedRequestNamesOperationAndKey(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		nw := simulator.NewNetwork(time.Millisecond)
+		defer nw.Close()
+		c := newClient(nw)
+		check := func(situation string, err error, want string, cause error) {
+			t.Helper()
+			var opErr *store.OpError
+			if !errors.As(err, &opErr) || !errors.Is(err, cause) || opErr.MaybeExecuted() || !opErr.Retryable() || err.Error() != want {
+				t.Errorf("%s: got %#v (%v), want a retryable error that says %q", situation, err, err, want)
+			}
+		}
+		_, err := c.Get(t.Context(), store.Critical, "lead")
+		check("no listener", err, "get lead: state: refused", store.ErrRefused)
+
+		_, err = c.Commit(t.Context(), store.Critical, wire.Txn{Writes: []wire.Write{{Delete: "job/req-1"}, {Put: "past/req-1", Value: wire.Encode(1)}}})
+		check("transaction of two keys", err, "txn job/req-1 and 1 more: state: refused", store.ErrRefused)
+
+		ended, cancel := context.WithCancel(t.Context())
+		cancel()
+		_, _, err = c.List(ended, store.Background, "run/")
+		check("ended while waiting for the budget", err, "list run/: state: refused", store.ErrRefused)
+
+		time.Sleep(3 * time.Second)
+		_, err = c.Watch(t.Context(), "job/", 1, 0)
+		check("watch without listener", err, "watch job/: state: refused", store.ErrRefused)
+		_, err = c.Get(t.Context(), store.User, "past/req-1")
+		check("user in an outage", err, "get past/req-1: state: refused", store.ErrRefused)
+	})
+}
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -93,7 +93,7 @@
 	defer cancel()
 	began := time.Now()
 	if c.revision > 0 {
-		ch, err := c.client.changes(ctx, User, c.client.http, JobPrefix, c.revision, 0, refreshTimeout)
+		ch, err := c.client.changesForUser(ctx, JobPrefix, c.revision, refreshTimeout)
 		if err == nil {
 			c.mu.Lock()
 			defer c.mu.Unlock()
--- /dev/null
+++ b/internal/store/leases.go
@@ -0,0 +1,71 @@
+package store
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// Grant opens a lease of the service, and returns its id.
+func (c *Client) Grant(ctx context.Context, ttl time.Duration) (wire.GrantID, error) {
+	var result wire.GrantResult
+	req := request{
+		op:      opGrant,
+		class:   Critical,
+		method:  http.MethodPost,
+		path:    "/grants",
+		body:    wire.GrantRequest{TTLMillis: ttl.Milliseconds()},
+		result:  &result,
+		timeout: requestTimeout,
+	}
+	status, err := c.call(ctx, req)
+	if err != nil {
+		return 0, err
+	}
+	if status != http.StatusOK {
+		return 0, req.unexpected(status)
+	}
+	return result.Grant, nil
+}
+
+// Renew extends a lease to its full duration. The error is ErrMissing where the lease
+// has expired.
+func (c *Client) Renew(ctx context.Context, id wire.GrantID, timeout time.Duration) error {
+	req := request{
+		op:      opRenew,
+		key:     leaseName(id),
+		class:   Critical,
+		method:  http.MethodPost,
+		path:    fmt.Sprintf("/grants/%d/renew", id),
+		body:    map[string]any{},
+		timeout: timeout,
+	}
+	status, err := c.call(ctx, req)
+	if err != nil {
+		return err
+	}
+	if status == http.StatusNotFound {
+		return req.failed(ErrMissing)
+	}
+	return nil
+}
+
+// EndGrant revokes a lease. It is not charged to the budget.
+func (c *Client) EndGrant(ctx context.Context, id wire.GrantID) error {
+	req := request{
+		op:      opRevoke,
+		key:     leaseName(id),
+		method:  http.MethodDelete,
+		path:    fmt.Sprintf("/grants/%d", id),
+		timeout: requestTimeout,
+	}
+	_, err := c.callAdmitted(ctx, &req)
+	return err
+}
+
+// leaseName names a lease in errors.
+func leaseName(id wire.GrantID) string { return "lease " + strconv.FormatUint(uint64(id), 10) }
