--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -14,12 +14,12 @@
 )
 
 // serve answers requests to the key-value store until the server is closed.
-func serve(t *testing.T, nw *simulator.Network, store http.Handler) *http.Server {
+func serve(t *testing.T, nw *simulator.Network, service http.Handler) *http.Server {
 	l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.StateAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: store}
+	srv := &http.Server{Handler: service}
 	go srv.Serve(l) //nolint:errcheck // ends with Close
 	return srv
 }
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -10,16 +10,19 @@
 	"lilaclead/internal/wire"
 )
 
-// Layout of the state service. A live job is one record, job/<id>, with its
+// The layout of the key-value store. A live job is one record, job/<id>, with its
 // spec and its one status; its progress lies beside it in chunks,
-// run/<id>/<n>. When the job is over and nothing of it can run any more, one
+// run/<id>/<n>. When the job has ended and nothing of it can run any more, one
 // transaction replaces these by past/<id>. A reader that finds no job/<id>
 // reads past/<id> next, in this order, so that it can't miss both.
 const (
-	JobPrefix      = "job/"
+	// JobPrefix is the prefix of the keys of live jobs.
+	JobPrefix = "job/"
+	// ProgressPrefix is the prefix of the keys of the chunks and subchunks of jobs.
 	ProgressPrefix = "run/"
-	finalPrefix    = "past/"
-	// LeaderKey is held by the leader on its grant.
+	// finalPrefix is the prefix of the keys of jobs that have ended.
+	finalPrefix = "past/"
+	// LeaderKey is written by the leader and bound to its lease.
 	LeaderKey = "lead"
 	// MachineSpecsKey keeps the machine types last seen, so that a node that
 	// starts while the cloud is down can still judge submissions.
@@ -28,95 +31,105 @@
 	SettingsKey = "fact/settings"
 )
 
-// JobKey of a live job.
+// JobKey returns the key of a live job.
 func JobKey(id wire.JobID) string { return JobPrefix + string(id) }
 
-// FinalKey of a job that is over.
+// FinalKey returns the key of a job that has ended.
 func FinalKey(id wire.JobID) string { return finalPrefix + string(id) }
 
-// ChunkKey of a chunk of a job's progress.
+// ChunkKey returns the key of a chunk of a job's progress.
 func ChunkKey(id wire.JobID, n int) string {
 	return ProgressPrefix + string(id) + "/" + strconv.Itoa(n)
 }
 
-// ParseChunkKey reverses ChunkKey.
-func ParseChunkKey(key string) (wire.JobID, int, bool) {
-	id, n, ok := strings.Cut(strings.TrimPrefix(key, ProgressPrefix), "/")
-	i, err := strconv.Atoi(n)
-	return wire.JobID(id), i, ok && err == nil && i >= 0 && wire.JobID(id).Valid()
+// ParseChunkKey returns the job and the chunk that ChunkKey made the key of; ok reports
+// whether it is such a key.
+func ParseChunkKey(key string) (id wire.JobID, chunk int, ok bool) {
+	job, number, hasNumber := strings.Cut(strings.TrimPrefix(key, ProgressPrefix), "/")
+	id = wire.JobID(job)
+	chunk, err := strconv.Atoi(number)
+	isNumber := err == nil && chunk >= 0
+	return id, chunk, hasNumber && isNumber && id.Valid()
 }
 
-// SubchunkKey of a part of a chunk that has become too large to be written again.
-// The chunk stays as it is, and for the tasks of a subchunk that exists the subchunk
-// holds in its place. So each is replaced by itself, in one transaction.
-func SubchunkKey(id wire.JobID, n, subchunk int) string {
-	return ChunkKey(id, n) + "/" + strconv.Itoa(subchunk)
+// SubchunkKey returns the key of a subchunk: a section of a chunk that has become too
+// large to be written again. The chunk stays as it is, and for the tasks of a subchunk
+// that exists the subchunk holds in its place. So each is replaced by itself, in one
+// transaction.
+func SubchunkKey(id wire.JobID, chunk, subchunk int) string {
+	return ChunkKey(id, chunk) + "/" + strconv.Itoa(subchunk)
 }
 
-// ParseSubchunkKey reverses SubchunkKey.
-func ParseSubchunkKey(key string) (id wire.JobID, n, subchunk int, ok bool) {
-	at := strings.LastIndexByte(key, '/')
-	if at < 0 {
+// ParseSubchunkKey returns the job, the chunk and the subchunk that SubchunkKey made the
+// key of; ok reports whether it is such a key.
+func ParseSubchunkKey(key string) (id wire.JobID, chunk, subchunk int, ok bool) {
+	lastSlash := strings.LastIndexByte(key, '/')
+	if lastSlash < 0 {
 		return "", 0, 0, false
 	}
-	id, n, ok = ParseChunkKey(key[:at])
-	subchunk, err := strconv.Atoi(key[at+1:])
-	return id, n, subchunk, ok && err == nil && subchunk >= 0
+	id, chunk, isChunk := ParseChunkKey(key[:lastSlash])
+	subchunk, err := strconv.Atoi(key[lastSlash+1:])
+	isNumber := err == nil && subchunk >= 0
+	return id, chunk, subchunk, isChunk && isNumber
 }
 
 // JobRecord is the value of job/<id>.
 type JobRecord struct {
 	Spec   wire.JobSpec `cbor:"spec"`
 	Status wire.Status  `cbor:"status"`
-	// AcceptedAt is when the job was accepted, Ended when it was cancelled.
-	AcceptedAt  wire.Timestamp `cbor:"at"`
+	// AcceptedAt is when the job was accepted.
+	AcceptedAt wire.Timestamp `cbor:"at"`
+	// CancelledAt is when the job was cancelled; 0: it was not.
 	CancelledAt wire.Timestamp `cbor:"ended,omitempty"`
-	// Chunk is how many tasks a chunk of its progress has, fixed when the job
+	// Chunk is how many tasks a chunk of the job's progress has, fixed when the job
 	// is accepted; 0: ChunkSize.
 	Chunk int `cbor:"chunk,omitempty"`
-	// MinVersion is the version of the behaviour (package upgrade) from which on programs
-	// understand the record in full; 0: all do.
+	// MinVersion is the lowest version of the behaviour (package upgrade) that
+	// understands the record in full; 0: all do.
 	MinVersion uint64 `cbor:"needs,omitempty"`
 }
 
 // Version is the highest version of the behaviour that this program understands.
 const Version = 2
 
-// ErrNewer is returned for a record that only a later version understands. It is
-// neither rewritten, which would lose what is not understood, nor answered 404.
+// ErrNewer is returned for a record that only a later version understands. Such a record
+// is neither rewritten, which would lose what is not understood, nor answered 404.
 var ErrNewer = errors.New("state: the record is of a later version")
 
-// ErrNotAJob is returned for a record that decodes, but is no job's.
+// ErrNotAJob is returned for a record that can be decoded, but is not that of the job
+// under whose key it lies.
 var ErrNotAJob = errors.New("state: not the record of that job")
 
-// DecodeJob reads the record of a live job that lies under the key. A record that
-// names another job, or no number of tasks that a job may have, is none: taken for
-// one, it would be written to another key, or take all memory.
-func DecodeJob(key string, v wire.Raw) (JobRecord, error) {
-	var rec JobRecord
-	if err := wire.Decode(v, &rec); err != nil {
+// DecodeJob decodes the record of a live job that lies under the key. A record that
+// names another job, or a number of tasks that no job may have, is refused: accepted, it
+// would be written to another key, or take all memory.
+func DecodeJob(key string, value wire.Raw) (JobRecord, error) {
+	var record JobRecord
+	if err := wire.Decode(value, &record); err != nil {
 		return JobRecord{}, err
 	}
-	if JobKey(rec.Spec.ID) != key || rec.Spec.Tasks < 1 || rec.Spec.Tasks > wire.MaxTasks {
+	validTasks := record.Spec.Tasks >= 1 && record.Spec.Tasks <= wire.MaxTasks
+	if JobKey(record.Spec.ID) != key || !validTasks {
 		return JobRecord{}, ErrNotAJob
 	}
-	if rec.MinVersion > Version {
+	if record.MinVersion > Version {
 		return JobRecord{}, ErrNewer
 	}
-	return rec, nil
+	return record, nil
 }
 
 // LogCancellation adds the job to the log of cancellations, if it is cancelled.
-func (r *JobRecord) LogCancellation(l *cancels.Log) {
+func (r *JobRecord) LogCancellation(log *cancels.Log) {
 	if r.Status == wire.Cancelled {
-		l.Add(r.Spec.ID, r.SinceCancelled())
+		log.Add(r.Spec.ID, r.SinceCancelled())
 	}
 }
 
-// SinceCancelled is how long ago the job was cancelled, by clocks that may be off.
+// SinceCancelled returns how long ago the job was cancelled; the clock of the node that
+// cancelled it may differ from this node's.
 func (r *JobRecord) SinceCancelled() time.Duration { return max(0, time.Since(r.CancelledAt.Time())) }
 
-// ChunkTasks is how many tasks a chunk of the job's progress has.
+// ChunkTasks returns how many tasks a chunk of the job's progress has.
 func (r *JobRecord) ChunkTasks() int {
 	if r.Chunk < 1 || r.Chunk > ChunkSize {
 		return ChunkSize
@@ -133,6 +146,6 @@
 // LeaderRecord is the value of the leader's key.
 type LeaderRecord struct {
 	Node wire.NodeID `cbor:"node"`
-	// Nonce tells one process of a node from the next.
+	// Nonce distinguishes one process of a node from the next.
 	Nonce string `cbor:"nonce"`
 }
