--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -3,7 +3,9 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"flag"
+	"reflect"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -15,73 +17,134 @@
 func init() { flag.Set("rapid.seed", "20261201") } //nolint:errcheck // rapid defines the flag
 
 // The packed ranges against a plain list of flags.
-func TestRangesAgainstFlags(t *testing.T) {
+func TestPackRangesKeepsFlags(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flags := rapid.SliceOfN(rapid.Bool(), 0, ChunkSize).Draw(t, "flags")
-		r := PackRanges(flags)
-		back := make([]bool, len(flags))
-		SetFlags(r, back)
-		n := 0
+		ranges := PackRanges(flags)
+		unpacked := make([]bool, len(flags))
+		SetFlags(ranges, unpacked)
+		count := 0
 		for i := range flags {
-			if flags[i] != back[i] {
-				t.Fatalf("flag %d is lost: %v", i, r)
+			if flags[i] != unpacked[i] {
+				t.Fatalf("flag %d: got %v, want %v, by ranges %v", i, unpacked[i], flags[i], ranges)
 			}
 			if flags[i] {
-				n++
+				count++
 			}
 		}
-		if CountRanges(r) != n {
-			t.Fatalf("count %d, want %d", CountRanges(r), n)
+		if CountRanges(ranges) != count {
+			t.Fatalf("got a count of %d, want %d", CountRanges(ranges), count)
 		}
 	})
 }
 
 // Garbage in stored ranges must not reach outside the chunk.
-func TestUnpackBounds(t *testing.T) {
+func TestSetFlagsIgnoresWhatIsOutside(t *testing.T) {
 	flags := make([]bool, 4)
 	SetFlags([]int{-3, 2, 3, 900, 7}, flags)
 	if want := [4]bool{true, true, false, true}; [4]bool(flags) != want {
-		t.Fatalf("flags %v", flags)
+		t.Fatalf("got flags %v, want %v", flags, want)
 	}
 }
 
 // A chunk survives its encoding, and the largest that the value limit allows fits
 // it by the size that the service counts, with its tasks in every mix of states.
-func TestChunkRecord(t *testing.T) {
-	for _, kb := range []float64{1, 4, 16, 32} {
+func TestLargestChunkFitsValueLimit(t *testing.T) {
+	for _, valueKB := range []float64{1, 4, 16, 32} {
 		rapid.Check(t, func(t *rapid.T) {
-			size := ChunkTasksFor(kb)
-			rec := ChunkRecord{NextAttempt: 1e8, Done: []int{}, Active: []ActiveAttempt{}}
+			size := ChunkTasksFor(valueKB)
+			record := ChunkRecord{NextAttempt: 1e8, Done: []int{}, Active: []ActiveAttempt{}}
 			done := make([]bool, size)
 			share := rapid.IntRange(0, 4).Draw(t, "share")
 			for i := range size {
-				switch what := rapid.IntRange(0, 5).Draw(t, "state"); {
-				case what > share:
-					rec.Active = append(rec.Active, ActiveAttempt{Task: i, Attempt: 1e8 - 1 - wire.Attempt(i), Machine: "n-000000001231"})
-				case what > 0:
+				switch state := rapid.IntRange(0, 5).Draw(t, "state"); {
+				case state > share:
+					record.Active = append(record.Active, ActiveAttempt{Task: i, Attempt: 1e8 - 1 - wire.Attempt(i), Machine: "n-000000001231"})
+				case state > 0:
 					done[i] = true
 				}
 			}
-			rec.Done = PackRanges(done)
-			var back ChunkRecord
-			if err := wire.Decode(wire.Encode(rec), &back); err != nil || len(back.Active) != len(rec.Active) || len(rec.Active) > 0 && back.Active[0] != rec.Active[0] || back.NextAttempt != rec.NextAttempt {
-				t.Fatalf("came back as %v, %v", back, err)
+			record.Done = PackRanges(done)
+			var decoded ChunkRecord
+			if err := wire.Decode(wire.Encode(record), &decoded); err != nil || !reflect.DeepEqual(decoded, record) {
+				t.Fatalf("got %v, %v, want %v", decoded, err, record)
 			}
 			list := [][]any{}
-			for _, h := range rec.Active {
-				list = append(list, []any{h.Task, h.Attempt, h.Machine})
+			for _, attempt := range record.Active {
+				list = append(list, []any{attempt.Task, attempt.Attempt, attempt.Machine})
 			}
-			j, _ := json.Marshal(map[string]any{"n": rec.NextAttempt, "d": rec.Done, "r": list})
+			j, _ := json.Marshal(map[string]any{"n": record.NextAttempt, "d": record.Done, "r": list})
 			spaced := len(j) + bytes.Count(j, []byte(",")) + bytes.Count(j, []byte(":"))
-			if spaced > int(kb*1024) || rec.JSONSize() < spaced {
-				t.Fatalf("%d bytes, estimated %d, of %g KiB", spaced, rec.JSONSize(), kb)
+			if spaced > int(valueKB*1024) || record.JSONSize() < spaced {
+				t.Fatalf("got %d bytes, estimated as %d, want less than the estimate and than %g KiB", spaced, record.JSONSize(), valueKB)
 			}
 		})
 	}
 	if n := ChunkTasksFor(32); n != ChunkSize {
-		t.Errorf("%d tasks in a chunk where there is room for all", n)
+		t.Errorf("got %d tasks in a chunk at 32 KiB, want %d", n, ChunkSize)
 	}
-	if id, n, ok := ParseChunkKey(ChunkKey("req-7", 3)); id != "req-7" || n != 3 || !ok {
-		t.Fatalf("key read as %s %d %v", id, n, ok)
+}
+
+func TestParseChunkKeyReversesChunkKey(t *testing.T) {
+	if id, chunk, ok := ParseChunkKey(ChunkKey("req-7", 3)); id != "req-7" || chunk != 3 || !ok {
+		t.Fatalf("got %s %d %v, want req-7 3 true", id, chunk, ok)
+	}
+	if id, chunk, subchunk, ok := ParseSubchunkKey(SubchunkKey("req-7", 3, 5)); id != "req-7" || chunk != 3 || subchunk != 5 || !ok {
+		t.Fatalf("got %s %d %d %v, want req-7 3 5 true", id, chunk, subchunk, ok)
+	}
+}
+
+func TestParseRefusesOtherKeys(t *testing.T) {
+	cases := []struct {
+		name, key           string
+		isChunk, isSubchunk bool
+	}{
+		{name: "chunk", key: "run/req-7/3", isChunk: true},
+		{name: "subchunk", key: "run/req-7/3/5", isSubchunk: true},
+		{name: "no chunk", key: "run/req-7"},
+		{name: "empty chunk", key: "run/req-7/"},
+		{name: "negative chunk", key: "run/req-7/-1"},
+		{name: "negative subchunk", key: "run/req-7/3/-1"},
+		{name: "invalid job id", key: "run/job-7/3"},
+		{name: "deeper than a subchunk", key: "run/req-7/3/5/1"},
+		{name: "empty", key: ""},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			if _, _, got := ParseChunkKey(tc.key); got != tc.isChunk {
+				t.Errorf("ParseChunkKey(%q): got ok %v, want %v", tc.key, got, tc.isChunk)
+			}
+			if _, _, _, got := ParseSubchunkKey(tc.key); got != tc.isSubchunk {
+				t.Errorf("ParseSubchunkKey(%q): got ok %v, want %v", tc.key, got, tc.isSubchunk)
+			}
+		})
+	}
+}
+
+func TestDecodeJobRefusesWhatIsNoJobOfItsKey(t *testing.T) {
+	record := func(id wire.JobID, tasks int, minVersion uint64) wire.Raw {
+		return wire.Encode(JobRecord{Spec: wire.JobSpec{ID: id, Tasks: tasks}, Status: wire.Queued, MinVersion: minVersion})
+	}
+	cases := []struct {
+		name  string
+		value wire.Raw
+		want  error
+	}{
+		{"job", record("req-1", 1, 0), nil},
+		{"most tasks", record("req-1", wire.MaxTasks, Version), nil},
+		{"record of another job", record("req-2", 1, 0), ErrNotAJob},
+		{"no tasks", record("req-1", 0, 0), ErrNotAJob},
+		{"too many tasks", record("req-1", wire.MaxTasks+1, 0), ErrNotAJob},
+		{"record of a later version", record("req-1", 1, Version+1), ErrNewer},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			if _, err := DecodeJob("job/req-1", tc.value); !errors.Is(err, tc.want) {
+				t.Errorf("got error %v, want %v", err, tc.want)
+			}
+		})
+	}
+	if _, err := DecodeJob("job/req-1", wire.Raw{0xff}); err == nil {
+		t.Error("got no error for bytes that are no CBOR")
 	}
 }
