--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -1,7 +1,6 @@
 package store_test
 
 import (
-	"context"
 	"errors"
 	"net/http"
 	"testing"
@@ -24,101 +23,141 @@
 	return srv
 }
 
-// What a caller learns of a call: refused for sure, unknown, or in conflict;
-// and a user isn't kept waiting for a service that answers nothing.
-func TestOutcomes(t *testing.T) {
+// withStore runs f in virtual time with a client of the simulated key-value store, which
+// listens once listen is called.
+func withStore(t *testing.T, f func(t *testing.T, env *storeEnv)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx := context.Background()
-		nw, st := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
-		c := newClient(nw)
+		nw := simulator.NewNetwork(time.Millisecond)
+		env := &storeEnv{network: nw, state: simulator.NewState(12, 16), client: newClient(nw)}
+		f(t, env)
+		nw.Close()
+		if env.server != nil {
+			env.server.Close()
+		}
+		time.Sleep(3 * time.Second)
+		nw.Close()
+	})
+}
+
+// storeEnv is a client with the key-value store and the network beneath it.
+type storeEnv struct {
+	network *simulator.Network
+	state   *simulator.State
+	client  *store.Client
+	server  *http.Server
+}
+
+func (e *storeEnv) listen(t *testing.T) { e.server = serve(t, e.network, e.state) }
+
+func (e *storeEnv) cut(cut bool) { e.network.Cut("10.0.0.1", "10.2.0.1", cut) }
+
+// A caller learns whether its request was refused for sure, has an unknown outcome, or
+// conflicts with what is stored.
+func TestRequestFailsWithItsCause(t *testing.T) {
+	withStore(t, func(t *testing.T, env *storeEnv) {
+		ctx, c, state := t.Context(), env.client, env.state
 		if _, err := c.Get(ctx, store.Background, "k"); !errors.Is(err, store.ErrRefused) {
-			t.Errorf("no listener: %v", err)
+			t.Errorf("no listener: got %v, want %v", err, store.ErrRefused)
 		}
-		srv := serve(t, nw, st)
+		env.listen(t)
 		put := wire.Txn{Guards: []wire.Guard{{Key: "k"}}, Writes: []wire.Write{{Put: "k", Value: wire.Encode(1)}}}
 		if _, err := c.Commit(ctx, store.Background, put); err != nil {
-			t.Errorf("first put: %v", err)
+			t.Errorf("first put: got %v, want no error", err)
 		}
 		var conflict *store.ConflictError
 		if _, err := c.Commit(ctx, store.Background, put); !errors.As(err, &conflict) || !conflict.Has("k") {
-			t.Errorf("second put: %v", err)
+			t.Errorf("second put: got %v, want a conflict on k", err)
 		}
 		if _, err := c.Get(ctx, store.Background, "none"); !errors.Is(err, store.ErrMissing) {
-			t.Errorf("no such key: %v", err)
+			t.Errorf("no such key: got %v, want %v", err, store.ErrMissing)
 		}
-		st.Outage(true)
+		state.Outage(true)
 		if _, err := c.Commit(ctx, store.Background, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
-			t.Errorf("outage: %v, reachable %v", err, c.Reachable())
+			t.Errorf("outage: got %v, reachable %v, want %v, false", err, c.Reachable(), store.ErrRefused)
 		}
-		st.Outage(false)
-		st.LoseAnswers(1)
+		state.Outage(false)
+		state.LoseAnswers(1)
 		if _, err := c.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Delete: "k"}}}); !errors.Is(err, store.ErrUnknown) {
-			t.Errorf("answer lost: %v", err)
+			t.Errorf("answer lost: got %v, want %v", err, store.ErrUnknown)
 		}
-		if n := st.Keys("k"); len(n) != 0 {
-			t.Errorf("the lost change left %v", n)
+		if keys := state.Keys("k"); len(keys) != 0 {
+			t.Errorf("deleted with the answer lost: got keys %v, want none", keys)
 		}
-		nw.Cut("10.0.0.1", "10.2.0.1", true)
+	})
+}
+
+// A user isn't kept waiting for a service that answers nothing.
+func TestUserIsRefusedAtOnceInOutage(t *testing.T) {
+	withStore(t, func(t *testing.T, env *storeEnv) {
+		ctx, c := t.Context(), env.client
+		env.listen(t)
+		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrMissing) {
+			t.Errorf("before the cut: got %v, want %v", err, store.ErrMissing)
+		}
+		env.cut(true)
 		for range 2 {
 			c.Get(ctx, store.Critical, "k") //nolint:errcheck // it can't work
 		}
 		begin := time.Now()
 		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
-			t.Errorf("a user waits %v for a silent service: %v", time.Since(begin), err)
+			t.Errorf("service cut off: got %v after %v, want %v at once", err, time.Since(begin), store.ErrRefused)
 		}
-		nw.Cut("10.0.0.1", "10.2.0.1", false)
-		c.Get(ctx, store.Critical, "k") //nolint:errcheck // makes it known that the service is back
+		env.cut(false)
+		c.Get(ctx, store.Critical, "k") //nolint:errcheck // shows the client that the service is back
 		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrMissing) {
-			t.Errorf("after the cut: %v", err)
+			t.Errorf("after the cut: got %v, want %v", err, store.ErrMissing)
 		}
-		// The budget refuses users and lets vital calls pass; and what the
-		// node's duties write does not shut out its users. (A leader that
-		// launched much once refused every submission that came to it.)
+	})
+}
+
+// The budget refuses users and lets critical requests pass; and what the node itself
+// writes does not shut out its users. (A leader that launched much once refused every
+// submission that came to it.)
+func TestBudgetRefusesUsersOnly(t *testing.T) {
+	withStore(t, func(t *testing.T, env *storeEnv) {
+		env.listen(t)
 		write := func(class store.RequestClass) error {
-			_, err := c.Commit(ctx, class, wire.Txn{Writes: []wire.Write{{Put: "x", Value: wire.Encode(1)}}})
+			_, err := env.client.Commit(t.Context(), class, wire.Txn{Writes: []wire.Write{{Put: "x", Value: wire.Encode(1)}}})
 			return err
 		}
 		for range 30 {
 			if err := write(store.Critical); err != nil {
-				t.Fatalf("vital: %v", err)
+				t.Fatalf("critical: got %v, want no error", err)
 			}
 		}
 		if err := write(store.User); err != nil {
-			t.Errorf("a user after many launches: %v", err)
+			t.Errorf("user after many launches: got %v, want no error", err)
 		}
 		var last error
 		for range 30 {
 			last = write(store.User)
 		}
 		if !errors.Is(last, store.ErrBusy) {
-			t.Errorf("over the budget: %v", last)
+			t.Errorf("user over the budget: got %v, want %v", last, store.ErrBusy)
 		}
-		nw.Close()
-		srv.Close()
-		time.Sleep(3 * time.Second)
-		nw.Close()
 	})
 }
 
 // Changes that are too many for one answer are not asked for again and again: who
 // follows them reads the keys anew, page by page.
-func TestChangesTooLarge(t *testing.T) {
+func TestWatchOverTheLimitAsksForAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nw, st := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
+		nw, state := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
 		c := newClient(nw)
-		stop, err := nw.ServeState(st)
+		stop, err := nw.ServeState(state)
 		if err != nil {
 			t.Fatal(err)
 		}
-		st.Put("job/a", 1)
+		state.Put("job/a", 1)
 		for range 600 {
-			st.Put("job/b", make([]byte, 15<<10))
+			state.Put("job/b", make([]byte, 15<<10))
 		}
 		if _, err := c.Watch(t.Context(), "job/", 0, time.Second); !errors.Is(err, store.ErrTooOld) {
-			t.Errorf("9 MB of changes: %v", err)
+			t.Errorf("9 MB of changes: got %v, want %v", err, store.ErrTooOld)
 		}
 		if all, _, err := c.List(t.Context(), store.Background, "job/"); err != nil || len(all) != 2 {
-			t.Errorf("read anew: %d keys, %v", len(all), err)
+			t.Errorf("read anew: got %d keys, %v, want 2", len(all), err)
 		}
 		stop()
 	})
