--- a/internal/wire/size.go
+++ b/internal/wire/size.go
@@ -5,61 +5,86 @@
 	"strconv"
 )
 
-// JSONSize estimates a value's size in the form in which the state service
-// counts it, from above: whatever is escaped, and with a space after each comma
-// and colon.
+// JSONSize estimates a value's size in the form in which the key-value store
+// counts it, from above: as JSON with every character escaped that may be, and with a
+// space after each comma and colon.
 func JSONSize(v any) int {
-	var x any
-	if err := Decode(Encode(v), &x); err != nil {
+	var generic any
+	if err := Decode(Encode(v), &generic); err != nil {
 		panic(err)
 	}
-	return jsonSize(x)
+	return jsonSize(generic)
 }
 
+// jsonSize estimates the size of a value of the types that Decode gives.
 func jsonSize(v any) int {
-	switch x := v.(type) {
+	switch v := v.(type) {
 	case nil:
-		return 4
+		return len("null")
 	case bool:
-		return 5
+		return len("false")
 	case string:
-		n := 2
-		for _, r := range x {
-			switch {
-			case r > 0xFFFF:
-				n += 12
-			case r < ' ', r > '~', r == '<', r == '>', r == '&':
-				n += 6
-			case r == '"', r == '\\':
-				n += 2
-			default:
-				n++
-			}
-		}
-		return n
+		return jsonStringSize(v)
 	case uint64:
-		return len(strconv.FormatUint(x, 10))
+		return len(strconv.FormatUint(v, 10))
 	case int64:
-		return len(strconv.FormatInt(x, 10))
+		return len(strconv.FormatInt(v, 10))
 	case float64:
-		form := byte('f')
-		if a := math.Abs(x); a != 0 && a < 1e-6 || a >= 1e21 {
-			form = 'e'
-		}
-		return len(strconv.FormatFloat(x, form, -1, 64)) + 2
+		return jsonFloatSize(v)
 	case []any:
-		n := 2
-		for _, e := range x {
-			n += jsonSize(e) + 2
-		}
-		return n
+		return jsonArraySize(v)
 	case map[any]any:
-		n := 2
-		for k, e := range x {
-			n += jsonSize(k) + jsonSize(e) + 4
-		}
-		return n
+		return jsonObjectSize(v)
 	default:
-		return len(Encode(x)) * 6
+		return len(Encode(v)) * len(`\u0000`) // bytes and tags, each byte escaped
+	}
+}
+
+func jsonArraySize(elements []any) int {
+	size := len("[]")
+	for _, element := range elements {
+		size += jsonSize(element) + len(", ")
+	}
+	return size
+}
+
+func jsonObjectSize(object map[any]any) int {
+	size := len("{}")
+	for key, value := range object {
+		size += jsonSize(key) + len(": ") + jsonSize(value) + len(", ")
+	}
+	return size
+}
+
+// jsonFloatSize allows for a fraction of ".0", which some writers give whole numbers.
+func jsonFloatSize(f float64) int {
+	const smallestDecimal, smallestExponential = 1e-6, 1e21 // encoding/json switches there
+	form := byte('f')
+	if abs := math.Abs(f); abs != 0 && abs < smallestDecimal || abs >= smallestExponential {
+		form = 'e'
+	}
+	return len(strconv.FormatFloat(f, form, -1, 64)) + len(".0")
+}
+
+func jsonStringSize(s string) int {
+	size := len(`""`)
+	for _, r := range s {
+		size += jsonRuneSize(r)
+	}
+	return size
+}
+
+// jsonRuneSize returns the size of a character, escaped wherever a usual writer does so.
+func jsonRuneSize(r rune) int {
+	const maxBasicPlane = 0xFFFF // beyond it a character takes two escapes
+	switch {
+	case r > maxBasicPlane:
+		return len(`\u0000\u0000`)
+	case r < ' ', r > '~', r == '<', r == '>', r == '&':
+		return len(`\u0000`)
+	case r == '"', r == '\\':
+		return len(`\"`)
+	default:
+		return 1
 	}
 }
--- /dev/null
+++ b/internal/wire/submission.go
@@ -0,0 +1,183 @@
+package wire
+
+const (
+	// maxText bounds texts, in bytes.
+	maxText = 120
+	// maxAmount bounds amounts of any unit.
+	maxAmount = 1e9
+	// maxMachineTypes bounds the machine types that a job names.
+	maxMachineTypes = 64
+	// shortestDeadline takes the place of a deadline of zero, which is a deadline and
+	// not its absence.
+	shortestDeadline Seconds = 0.001
+)
+
+// submission mirrors JobSpec with pointers, so that a missing field shows.
+type submission struct {
+	ID                 *string   `cbor:"nameId"`
+	Class              *string   `cbor:"lane"`
+	Team               *string   `cbor:"owner"`
+	Kind               *string   `cbor:"shape"`
+	Priority           *string   `cbor:"urgency"`
+	Tasks              *int64    `cbor:"parts"`
+	CPUs               *float64  `cbor:"cpus"`
+	GPUs               *float64  `cbor:"cards"`
+	MemoryGB           *float64  `cbor:"ramGb"`
+	Image              *string   `cbor:"bundle"`
+	ImageGB            *float64  `cbor:"imageGb"`
+	MachineTypes       *[]string `cbor:"kits"`
+	Zone               *string   `cbor:"site"`
+	SameZone           *bool     `cbor:"samePlace"`
+	Spread             *bool     `cbor:"apart"`
+	SpotAllowed        *bool     `cbor:"standby"`
+	ExpectedRunTime    *float64  `cbor:"expectedS"`
+	CheckpointInterval *float64  `cbor:"snapshotEveryS"`
+	CheckpointTime     *float64  `cbor:"snapshotS"`
+	Deadline           *float64  `cbor:"dueS"`
+}
+
+// DecodeJobSpec decodes and checks a submission. The error is a FieldError for the first
+// field that is wrong.
+func DecodeJobSpec(b []byte) (JobSpec, error) {
+	if !IsMap(b) {
+		return JobSpec{}, FieldError{"body", "not a CBOR map"}
+	}
+	var in submission
+	if err := Decode(b, &in); err != nil {
+		return JobSpec{}, FieldError{"body", "not decodable: " + err.Error()}
+	}
+	var check fieldChecker
+	spec := in.requiredFields(&check)
+	check.values(&spec)
+	spec.Tasks = check.tasks("parts", in.Tasks)
+	if in.MachineTypes != nil {
+		spec.MachineTypes = check.machineTypes("kits", *in.MachineTypes)
+	}
+	if in.Zone != nil {
+		spec.Zone = Zone(check.text("site", in.Zone))
+	}
+	if in.Deadline != nil {
+		spec.Deadline = check.deadline("dueS", in.Deadline)
+	}
+	return spec, check.firstError
+}
+
+// requiredFields returns the fields that every submission has, but for the number of
+// tasks, whose check follows those of the values of these.
+func (in *submission) requiredFields(check *fieldChecker) JobSpec {
+	return JobSpec{
+		ID:                 JobID(check.text("nameId", in.ID)),
+		Class:              check.text("lane", in.Class),
+		Team:               TeamID(check.text("owner", in.Team)),
+		Kind:               JobKind(check.text("shape", in.Kind)),
+		Priority:           Priority(check.text("urgency", in.Priority)),
+		CPUs:               check.positiveAmount("cpus", in.CPUs),
+		GPUs:               check.amount("cards", in.GPUs),
+		MemoryGB:           check.amount("ramGb", in.MemoryGB),
+		Image:              ImageID(check.text("bundle", in.Image)),
+		ImageGB:            check.amount("imageGb", in.ImageGB),
+		SameZone:           check.flag("samePlace", in.SameZone),
+		Spread:             check.flag("apart", in.Spread),
+		SpotAllowed:        check.flag("standby", in.SpotAllowed),
+		ExpectedRunTime:    Seconds(check.amount("expectedS", in.ExpectedRunTime)),
+		CheckpointInterval: Seconds(check.amount("snapshotEveryS", in.CheckpointInterval)),
+		CheckpointTime:     Seconds(check.amount("snapshotS", in.CheckpointTime)),
+	}
+}
+
+// fieldChecker checks the fields of a submission, each by its name on the wire, and keeps
+// the first error.
+type fieldChecker struct{ firstError error }
+
+func (c *fieldChecker) fail(field, reason string) {
+	if c.firstError == nil {
+		c.firstError = FieldError{field, reason}
+	}
+}
+
+func (c *fieldChecker) text(field string, value *string) string {
+	if value == nil {
+		c.fail(field, "missing")
+		return ""
+	}
+	if *value == "" || len(*value) > maxText {
+		c.fail(field, "must have 1 to 120 bytes")
+	}
+	return *value
+}
+
+func (c *fieldChecker) amount(field string, value *float64) float64 {
+	if value == nil {
+		c.fail(field, "missing")
+		return 0
+	}
+	inRange := *value >= 0 && *value <= maxAmount // false for NaN
+	if !inRange {
+		c.fail(field, "out of range")
+	}
+	return *value
+}
+
+func (c *fieldChecker) positiveAmount(field string, value *float64) float64 {
+	amount := c.amount(field, value)
+	if amount == 0 {
+		c.fail(field, "must be above 0")
+	}
+	return amount
+}
+
+func (c *fieldChecker) flag(field string, value *bool) bool {
+	if value == nil {
+		c.fail(field, "missing")
+		return false
+	}
+	return *value
+}
+
+// values checks the fields that have one of several values or a form.
+func (c *fieldChecker) values(spec *JobSpec) {
+	if !spec.ID.Valid() {
+		c.fail("nameId", "not of the form req-000412")
+	}
+	switch spec.Kind {
+	case KindArray, KindService, KindGang:
+	default:
+		c.fail("shape", "unknown")
+	}
+	switch spec.Priority {
+	case PriorityProd, PriorityUrgent, PriorityStandard, PriorityBestEffort:
+	default:
+		c.fail("urgency", "unknown")
+	}
+}
+
+func (c *fieldChecker) tasks(field string, value *int64) int {
+	if value == nil {
+		c.fail(field, "missing")
+		return 0
+	}
+	if *value < 1 || *value > MaxTasks {
+		c.fail(field, "must be 1 to 100000")
+		return 0
+	}
+	return int(*value)
+}
+
+func (c *fieldChecker) machineTypes(field string, names []string) []MachineType {
+	if len(names) == 0 || len(names) > maxMachineTypes {
+		c.fail(field, "must be null or name 1 to 64 types")
+	}
+	var types []MachineType
+	for i := range names {
+		types = append(types, MachineType(c.text(field, &names[i])))
+	}
+	return types
+}
+
+func (c *fieldChecker) deadline(field string, value *float64) Seconds {
+	deadline := Seconds(c.amount(field, value))
+	if deadline == 0 {
+		return shortestDeadline
+	}
+	return deadline
+}
