--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -16,35 +16,45 @@
 	Zones         []Zone      `cbor:"sites"`
 }
 
-// Price per hour of one kind.
-func (f *MachineSpec) Price(spot bool) float64 {
+// Price returns the price per hour of a spot or an on-demand machine.
+func (m *MachineSpec) Price(spot bool) float64 {
 	if spot {
-		return f.SpotPrice
+		return m.SpotPrice
 	}
-	return f.OnDemandPrice
+	return m.OnDemandPrice
 }
 
-// Fits tells whether one task of the job fits an empty machine of this type
-// that the job allows.
-func (f *MachineSpec) Fits(s *JobSpec) bool {
-	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, f.Name) {
-		return false
-	}
-	if s.Zone != "" && !slices.Contains(f.Zones, s.Zone) {
+// Fits reports whether the job allows machines of this type, and one of its tasks fits an
+// empty one.
+func (m *MachineSpec) Fits(spec *JobSpec) bool {
+	return m.allowedBy(spec) && m.hasRoomFor(spec)
+}
+
+func (m *MachineSpec) allowedBy(spec *JobSpec) bool {
+	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, m.Name) {
 		return false
 	}
-	return s.CPUs <= f.CPUs+Eps && s.GPUs <= f.GPUs+Eps && s.MemoryGB <= f.MemoryGB+Eps && s.ImageGB <= f.DiskGB+Eps
+	return spec.Zone == "" || slices.Contains(m.Zones, spec.Zone)
+}
+
+func (m *MachineSpec) hasRoomFor(spec *JobSpec) bool {
+	fitsCompute := spec.CPUs <= m.CPUs+Eps && spec.GPUs <= m.GPUs+Eps
+	fitsMemory := spec.MemoryGB <= m.MemoryGB+Eps
+	fitsDisk := spec.ImageGB <= m.DiskGB+Eps
+	return fitsCompute && fitsMemory && fitsDisk
 }
 
-// Eps absorbs the rounding of sums of decimal amounts.
+// Eps is the tolerance of comparisons of amounts. It absorbs the rounding of sums of
+// decimal amounts.
 const Eps = 1e-6
 
-// MachineSpecs is the answer to GET /flavors.
+// MachineSpecs answers the cloud's request for its machine types, GET /flavors.
 type MachineSpecs struct {
 	Types []MachineSpec `cbor:"kits"`
 }
 
-// ScaleOutRequest asks for machines; a request repeated under its name rents nothing twice.
+// ScaleOutRequest asks the cloud for machines. It is idempotent: repeated under the same
+// name it starts no machine twice.
 type ScaleOutRequest struct {
 	Name  string      `cbor:"booking"`
 	Type  MachineType `cbor:"kit"`
@@ -53,7 +63,8 @@
 	Count int         `cbor:"count"`
 }
 
-// MachineNames lists machines, in the answer to a rental request and in a release.
+// MachineNames lists machines, in the answer to a ScaleOutRequest and in a request to scale
+// in.
 type MachineNames struct {
 	Machines []MachineID `cbor:"hosts"`
 }
--- /dev/null
+++ b/internal/wire/http.go
@@ -0,0 +1,62 @@
+package wire
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+)
+
+// MaxBody is the largest body of a request, and of an answer to users and
+// workers, in bytes.
+const MaxBody = 64 << 10
+
+// ContentType is sent with every body.
+const ContentType = "application/cbor"
+
+// ErrTooLarge is returned by ReadBody for a body over the limit.
+var ErrTooLarge = errors.New("body too large")
+
+// ReadBody reads a whole body of at most limit bytes.
+func ReadBody(r io.Reader, limit int64) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(r, limit+1))
+	if err != nil {
+		return nil, err
+	}
+	if int64(len(body)) > limit {
+		return nil, ErrTooLarge
+	}
+	return body, nil
+}
+
+// ErrorBody is the body of every answer that refuses a request.
+type ErrorBody struct {
+	Error string `cbor:"error"`
+	Field string `cbor:"field,omitempty"`
+}
+
+// Answer writes a response with a status and a CBOR body.
+func Answer(w http.ResponseWriter, status int, v any) {
+	body := Encode(v)
+	header := w.Header()
+	header.Set("Content-Type", ContentType)
+	header.Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	w.Write(body) //nolint:errcheck // the client has closed the connection; nothing to do
+}
+
+// RefuseRetryable writes a response that says that the request can't be served now, and
+// after how many seconds to repeat it.
+func RefuseRetryable(w http.ResponseWriter, status int, reason string, retryAfterS int) {
+	w.Header().Set("Retry-After", strconv.Itoa(retryAfterS))
+	Answer(w, status, ErrorBody{Error: reason})
+}
+
+// NotSent reports whether a request failed before anything of it was sent: the
+// connection could not be opened. Such a request is certainly not executed,
+// since an attempt to connect that was given up does not complete later.
+func NotSent(err error) bool {
+	var op *net.OpError
+	return errors.As(err, &op) && op.Op == "dial"
+}
--- a/internal/wire/user.go
+++ b/internal/wire/job.go
@@ -3,9 +3,9 @@
 // JobKind says how the tasks of a job run.
 type JobKind string
 
-// The kinds that users submit.
+// The kinds of jobs that users submit.
 const (
-	KindArray   JobKind = "sweep"    // an array of independent tasks
+	KindArray   JobKind = "sweep"    // a job array of independent tasks
 	KindService JobKind = "daemon"   // a service: replicas until cancelled
 	KindGang    JobKind = "ensemble" // a gang: all tasks run at the same time, or none
 )
@@ -21,9 +21,9 @@
 	PriorityBestEffort Priority = "best_effort"
 )
 
-// Rank orders priorities; the higher rank may preempt the lower.
-func (u Priority) Rank() int {
-	switch u {
+// Rank orders priorities: a job may preempt those of a lower rank.
+func (p Priority) Rank() int {
+	switch p {
 	case PriorityProd:
 		return 3
 	case PriorityUrgent:
@@ -35,10 +35,10 @@
 	}
 }
 
-// Status of a job as users see it.
+// Status is the status of a job as users see it.
 type Status string
 
-// The statuses. Stored are only queued, done and cancelled.
+// The statuses of jobs. Only Queued, Done and Cancelled are stored.
 const (
 	Queued    Status = "queued"
 	Running   Status = "running"
@@ -46,10 +46,10 @@
 	Cancelled Status = "cancelled"
 )
 
-// Final tells whether the status never changes again.
+// Final reports whether the status never changes again.
 func (s Status) Final() bool { return s == Done || s == Cancelled }
 
-// JobSpec is what a user submitted, checked.
+// JobSpec is a submission that was checked.
 type JobSpec struct {
 	ID                 JobID         `cbor:"nameId"`
 	Class              string        `cbor:"lane"`
@@ -73,13 +73,14 @@
 	Deadline           Seconds       `cbor:"dueS,omitempty"` // 0: no deadline
 }
 
-// Service tells whether the job's tasks run until it is cancelled.
+// Service reports whether the job's tasks run until it is cancelled.
 func (s *JobSpec) Service() bool { return s.Kind == KindService }
 
-// Gang tells whether all of the job's tasks run at the same time or none does.
+// Gang reports whether the job is scheduled as a gang: all of its tasks run at the same
+// time, or none does.
 func (s *JobSpec) Gang() bool { return s.Kind == KindGang }
 
-// MinTogether is how many of the job's tasks must be able to run at the same time:
+// MinTogether returns how many of the job's tasks must be able to run at the same time:
 // all of a service or a gang.
 func (s *JobSpec) MinTogether() int {
 	if s.Service() || s.Gang() {
@@ -88,7 +89,8 @@
 	return 1
 }
 
-// ZoneCap is how many of the job's tasks may be in one zone.
+// ZoneCap returns how many of the job's tasks may be in one zone: half of them, rounded
+// up, where they are spread.
 func (s *JobSpec) ZoneCap() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
@@ -96,7 +98,7 @@
 	return s.Tasks
 }
 
-// JobState is the answer to users.
+// JobState answers a user who polls a job.
 type JobState struct {
 	ID      JobID  `cbor:"nameId"`
 	Status  Status `cbor:"status"`
@@ -104,7 +106,7 @@
 	Running int    `cbor:"running"`
 }
 
-// JobSummary is the answer to a submission or a cancellation.
+// JobSummary answers a submission or a cancellation.
 type JobSummary struct {
 	ID     JobID  `cbor:"nameId"`
 	Status Status `cbor:"status"`
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -2,10 +2,10 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Raw is a value of the state service, not yet decoded.
+// Raw is a value of the key-value store, not yet decoded.
 type Raw = cbor.RawMessage
 
-// Entry is a key of the state service with its value.
+// Entry is a key of the key-value store with its value.
 type Entry struct {
 	Key      string   `cbor:"k"`
 	Value    Raw      `cbor:"v"`
@@ -20,13 +20,14 @@
 	Revision  Revision `cbor:"ledger"`
 }
 
-// Guard is a condition of a transaction; stamp 0: the key must not exist.
+// Guard is a condition of a transaction: the key is at the revision; at 0 it must not
+// exist.
 type Guard struct {
 	Key      string   `cbor:"k"`
 	Revision Revision `cbor:"stamp"`
 }
 
-// Write is one change of a transaction.
+// Write is one change of a transaction: a value is put under a key, or a key deleted.
 type Write struct {
 	Put    string  `cbor:"put,omitempty"`
 	Value  Raw     `cbor:"v,omitempty"`
@@ -34,29 +35,30 @@
 	Delete string  `cbor:"drop,omitempty"`
 }
 
-// Txn is a transaction.
+// Txn is a transaction, a compare-and-swap of several keys: where all guards hold, all
+// writes are executed, and else none.
 type Txn struct {
 	Guards []Guard `cbor:"guards"`
 	Writes []Write `cbor:"writes"`
 }
 
-// TxnResult answers a transaction.
+// TxnResult answers a transaction with its revision, or with the keys whose guards failed.
 type TxnResult struct {
 	Revision Revision `cbor:"ledger"`
 	Failed   []string `cbor:"failed,omitempty"`
 }
 
-// GrantRequest asks for a lease of the state service.
+// GrantRequest asks for a lease of the key-value store.
 type GrantRequest struct {
 	TTLMillis int64 `cbor:"lifeMs"`
 }
 
-// GrantResult answers it.
+// GrantResult answers a GrantRequest.
 type GrantResult struct {
 	Grant GrantID `cbor:"permit"`
 }
 
-// Change is one event of a watch.
+// Change is one event of a watch: a key was put or deleted.
 type Change struct {
 	Put      string   `cbor:"put,omitempty"`
 	Delete   string   `cbor:"drop,omitempty"`
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -1,5 +1,7 @@
 package wire
 
+import "fmt"
+
 const (
 	// maxText bounds texts, in bytes.
 	maxText = 120
@@ -85,6 +87,15 @@
 	}
 }
 
+// FieldError says which field of a submission or of the settings is wrong, and why.
+type FieldError struct {
+	Field  string
+	Reason string
+}
+
+// Error returns the field and the reason.
+func (e FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Reason) }
+
 // fieldChecker checks the fields of a submission, each by its name on the wire, and keeps
 // the first error.
 type fieldChecker struct{ firstError error }
--- /dev/null
+++ b/internal/wire/task.go
@@ -0,0 +1,42 @@
+package wire
+
+import (
+	"errors"
+	"strconv"
+	"strings"
+)
+
+// MaxTasks is the largest number of tasks that a job may have.
+const MaxTasks = 100_000
+
+// Task identifies one task of a job.
+type Task struct {
+	Job   JobID
+	Index int
+}
+
+// String returns the protocol's form, "req-000412/3".
+func (t Task) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
+
+// MarshalText lets a task be a key of a CBOR map or a log attribute.
+func (t Task) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
+
+var errMalformedTask = errors.New("malformed task id")
+
+// ParseTask parses the protocol's form. Each task has exactly one.
+func ParseTask(s string) (Task, error) {
+	slash := strings.LastIndexByte(s, '/')
+	if slash < 0 {
+		return Task{}, errMalformedTask
+	}
+	digits := s[slash+1:]
+	index, err := strconv.Atoi(digits)
+	if err != nil || index < 0 || index >= MaxTasks || strconv.Itoa(index) != digits {
+		return Task{}, errMalformedTask
+	}
+	id := JobID(s[:slash])
+	if !id.Valid() {
+		return Task{}, errMalformedTask
+	}
+	return Task{Job: id, Index: index}, nil
+}
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -3,19 +3,19 @@
 // TaskPhase is the state of a task on its machine.
 type TaskPhase string
 
-// The phases that workers report.
+// The phases in the heartbeats of workers.
 const (
-	PhaseFetching TaskPhase = "pulling"
+	PhaseFetching TaskPhase = "pulling" // of its image
 	PhaseRunning  TaskPhase = "running"
 	PhaseWaiting  TaskPhase = "waiting" // for the other tasks of its gang
-	PhaseSaving   TaskPhase = "saving"
+	PhaseSaving   TaskPhase = "saving"  // of a checkpoint
 	PhaseExited   TaskPhase = "exited"
 )
 
 // ExitCause says why a task ended.
 type ExitCause string
 
-// The causes that workers report.
+// The causes in the heartbeats of workers.
 const (
 	CauseDone    ExitCause = "done"
 	CauseStopped ExitCause = "stopped"
@@ -23,13 +23,14 @@
 	CauseFull    ExitCause = "full"
 	CauseBusy    ExitCause = "busy"
 	CauseNoSuch  ExitCause = "no_such"
-	// Of a gang's task: another one is gone, or the gang was not complete in
-	// time. No fault of the machine that it happens on.
+	// CauseGangBroken and CauseGangIncomplete are of a gang's task: another one has
+	// ended, or the gang was not complete in time. Neither counts as a failure of the
+	// machine on which it happens.
 	CauseGangBroken     ExitCause = "mates_gone"
 	CauseGangIncomplete ExitCause = "alone"
 )
 
-// TaskState is one task in a report.
+// TaskState is the state of one task in a heartbeat.
 type TaskState struct {
 	Task    string    `cbor:"part"`
 	Attempt Attempt   `cbor:"try"`
@@ -38,7 +39,7 @@
 	Saved   bool      `cbor:"saved,omitempty"`
 }
 
-// Heartbeat is what a worker says of itself.
+// Heartbeat is the heartbeat of a worker, with its status and that of its tasks.
 type Heartbeat struct {
 	Machine    MachineID    `cbor:"host"`
 	Addr       string       `cbor:"addr"`
@@ -52,23 +53,23 @@
 	Tasks      []TaskState  `cbor:"parts"`
 }
 
-// Newer tells whether the report was made after the given session and sequence
-// number.
-func (r *Heartbeat) Newer(session AgentEpoch, sequence Sequence) bool {
-	return r.Epoch > session || r.Epoch == session && r.Sequence > sequence
+// Newer reports whether the heartbeat was made after the one with the given epoch and
+// sequence number.
+func (h *Heartbeat) Newer(epoch AgentEpoch, sequence Sequence) bool {
+	return h.Epoch > epoch || h.Epoch == epoch && h.Sequence > sequence
 }
 
-// Verb of a command.
+// Verb says what a command tells a worker to do.
 type Verb string
 
-// The verbs that workers know.
+// The verbs of commands.
 const (
 	Launch Verb = "launch"
 	Stop   Verb = "halt"
 	Forget Verb = "forget"
 )
 
-// Command is one command to a worker.
+// Command is one command to a worker, about one attempt of a task.
 type Command struct {
 	Verb        Verb     `cbor:"verb"`
 	Task        string   `cbor:"part"`
@@ -76,14 +77,14 @@
 	GracePeriod *Seconds `cbor:"windDownS,omitempty"`
 }
 
-// Commands answers a report (no session) or goes straight to a worker.
+// Commands answers a heartbeat, without an epoch, or is sent to a worker directly.
 type Commands struct {
 	Token    FencingToken `cbor:"baton"`
 	Epoch    AgentEpoch   `cbor:"shift,omitempty"`
 	Commands []Command    `cbor:"orders"`
 }
 
-// Redirect sends a worker to the node that leads.
+// Redirect refers a worker to the node that is the leader.
 type Redirect struct {
 	ReportsTo NodeID `cbor:"reportsTo,omitempty"`
 }
