--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -1,64 +1,141 @@
 package wire
 
-import (
-	"testing"
-)
+import "testing"
 
-func FuzzDecodeSpec(f *testing.F) {
+// A submission that is accepted has valid fields, whatever its bytes are.
+func FuzzDecodeJobSpec(f *testing.F) {
 	f.Add(Encode(map[string]any{"nameId": "req-1", "parts": 3}))
 	f.Add([]byte{0xa1, 0x61, 0x61})
 	f.Add([]byte{0xbf, 0xff})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		s, err := DecodeJobSpec(b)
-		if err == nil && (!s.ID.Valid() || s.Tasks < 1 || s.Tasks > MaxTasks || !(s.CPUs > 0)) {
-			t.Fatalf("accepted %+v", s)
+		spec, err := DecodeJobSpec(b)
+		if err != nil {
+			return
+		}
+		validTasks := spec.Tasks >= 1 && spec.Tasks <= MaxTasks
+		if !spec.ID.Valid() || !validTasks || !(spec.CPUs > 0) {
+			t.Fatalf("accepted %x as %+v", b, spec)
 		}
 	})
 }
 
-func FuzzDecodeReport(f *testing.F) {
+// A task id that is parsed has one form, whatever the bytes of the heartbeat are.
+func FuzzDecodeHeartbeat(f *testing.F) {
 	f.Add(Encode(Heartbeat{Machine: "n-1", Tasks: []TaskState{{Task: "req-1/0", Attempt: 1, Phase: PhaseExited, Cause: CauseDone}}}))
 	f.Add([]byte{0xa1, 0x65, 'p', 'a', 'r', 't', 's', 0x9a, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var r Heartbeat
-		if Decode(b, &r) != nil {
+		var heartbeat Heartbeat
+		if Decode(b, &heartbeat) != nil {
 			return
 		}
-		for _, p := range r.Tasks {
-			if task, err := ParseTask(p.Task); err == nil && task.String() != p.Task {
-				t.Fatalf("%q reads as %v", p.Task, task)
+		for _, state := range heartbeat.Tasks {
+			if task, err := ParseTask(state.Task); err == nil && task.String() != state.Task {
+				t.Fatalf("got %v for %q, want the same form", task, state.Task)
 			}
 		}
 	})
 }
 
-func TestTaskIDs(t *testing.T) {
-	for s, ok := range map[string]bool{"req-000412/3": true, "req-1/99999": true, "req-1/100000": false, "req-1/-1": false, "req-1/03": false,
-		"req-1": false, "/3": false, "job-1/3": false, "req-/1": false, "req-1/+1": false} {
-		if _, err := ParseTask(s); (err == nil) != ok {
-			t.Errorf("%q: %v", s, err)
-		}
+func TestParseTaskAcceptsOneForm(t *testing.T) {
+	cases := []struct {
+		name, id string
+		want     Task // the zero Task: refused
+	}{
+		{"leading zeros in the job", "req-000412/3", Task{"req-000412", 3}},
+		{"highest index", "req-1/99999", Task{"req-1", 99999}},
+		{"index over the limit", "req-1/100000", Task{}},
+		{"negative index", "req-1/-1", Task{}},
+		{"leading zero in the index", "req-1/03", Task{}},
+		{"sign in the index", "req-1/+1", Task{}},
+		{"no index", "req-1", Task{}},
+		{"no job", "/3", Task{}},
+		{"another prefix", "job-1/3", Task{}},
+		{"no digits in the job", "req-/1", Task{}},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			got, err := ParseTask(tc.id)
+			if refused := tc.want == (Task{}); got != tc.want || (err != nil) != refused {
+				t.Errorf("%q: got %v, error %v, want %v, refused %v", tc.id, got, err, tc.want, refused)
+			}
+		})
 	}
 }
 
-// Nulls equal omission, unknown fields are ignored, and whole numbers pass
-// as amounts.
-func TestNullsAndUnknownFields(t *testing.T) {
-	m := map[string]any{"nameId": "req-1", "lane": "l", "owner": "o", "shape": "sweep", "urgency": "prod", "parts": 2, "cpus": 4, "cards": 0, "ramGb": 1.5,
-		"bundle": "b", "imageGb": 0.5, "kits": nil, "site": nil, "samePlace": false, "apart": true, "standby": false, "expectedS": 1, "snapshotEveryS": 0,
-		"snapshotS": 0, "novel": []int{1}}
-	s, err := DecodeJobSpec(Encode(m))
-	if err != nil || s.CPUs != 4 || s.MachineTypes != nil || s.Deadline != 0 || s.ZoneCap() != 1 {
-		t.Fatalf("%+v, %v", s, err)
+// Nulls equal omission, unknown fields are ignored, and whole numbers are accepted as
+// amounts.
+func TestDecodeJobSpecIgnoresNullsAndUnknownFields(t *testing.T) {
+	submission := validSubmission()
+	submission["novel"] = []int{1}
+	spec, err := DecodeJobSpec(Encode(submission))
+	if err != nil || spec.CPUs != 4 || spec.MachineTypes != nil || spec.Deadline != 0 || spec.ZoneCap() != 1 {
+		t.Fatalf("got %+v, %v", spec, err)
 	}
-	for _, k := range []string{"nameId", "lane", "owner", "shape", "urgency", "parts", "cpus", "cards", "ramGb", "bundle", "imageGb", "samePlace", "apart", "standby", "expectedS", "snapshotEveryS", "snapshotS"} {
-		v := m[k]
-		m[k] = nil
-		if _, err := DecodeJobSpec(Encode(m)); err == nil {
-			t.Errorf("accepted without %s", k)
+	for _, field := range []string{"nameId", "lane", "owner", "shape", "urgency", "parts", "cpus", "cards", "ramGb", "bundle", "imageGb", "samePlace", "apart", "standby", "expectedS", "snapshotEveryS", "snapshotS"} {
+		for name, change := range map[string]func(map[string]any){
+			"null":    func(m map[string]any) { m[field] = nil },
+			"omitted": func(m map[string]any) { delete(m, field) },
+		} {
+			submission := validSubmission()
+			change(submission)
+			if _, err := DecodeJobSpec(Encode(submission)); err != (FieldError{field, "missing"}) {
+				t.Errorf("%s %s: got %v, want it to be missing", field, name, err)
+			}
 		}
-		m[k] = v
+	}
+}
+
+func TestHeartbeatNewerComparesEpochFirst(t *testing.T) {
+	cases := []struct {
+		name     string
+		epoch    AgentEpoch
+		sequence Sequence
+		want     bool
+	}{
+		{"later epoch, lower sequence", 3, 1, true},
+		{"same epoch, higher sequence", 2, 6, true},
+		{"same epoch and sequence", 2, 5, false},
+		{"same epoch, lower sequence", 2, 4, false},
+		{"former epoch, higher sequence", 1, 9, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			heartbeat := Heartbeat{Epoch: tc.epoch, Sequence: tc.sequence}
+			if got := heartbeat.Newer(2, 5); got != tc.want {
+				t.Errorf("%d/%d newer than 2/5: got %v, want %v", tc.epoch, tc.sequence, got, tc.want)
+			}
+		})
+	}
+}
+
+func TestMachineSpecFitsAllowedTypeWithRoom(t *testing.T) {
+	spec := JobSpec{CPUs: 4, GPUs: 1, MemoryGB: 8, ImageGB: 10}
+	machine := MachineSpec{Name: "g4", CPUs: 4, GPUs: 1, MemoryGB: 8, DiskGB: 10, Zones: []Zone{"a", "b"}}
+	cases := []struct {
+		name   string
+		change func(*JobSpec)
+		want   bool
+	}{
+		{"exactly full", func(*JobSpec) {}, true},
+		{"over by rounding", func(s *JobSpec) { s.CPUs += Eps / 2 }, true},
+		{"too many CPUs", func(s *JobSpec) { s.CPUs++ }, false},
+		{"too many GPUs", func(s *JobSpec) { s.GPUs++ }, false},
+		{"too much memory", func(s *JobSpec) { s.MemoryGB++ }, false},
+		{"image too large", func(s *JobSpec) { s.ImageGB++ }, false},
+		{"type allowed", func(s *JobSpec) { s.MachineTypes = []MachineType{"c1", "g4"} }, true},
+		{"type not allowed", func(s *JobSpec) { s.MachineTypes = []MachineType{"c1"} }, false},
+		{"zone offered", func(s *JobSpec) { s.Zone = "b" }, true},
+		{"zone not offered", func(s *JobSpec) { s.Zone = "c" }, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			changed := spec
+			tc.change(&changed)
+			if got := machine.Fits(&changed); got != tc.want {
+				t.Errorf("%+v on %+v: got %v, want %v", changed, machine, got, tc.want)
+			}
+		})
 	}
 }
