--- a/internal/cancels/cancels_test.go
+++ b/internal/cancels/cancels_test.go
@@ -14,116 +14,164 @@
 
 func init() { flag.Set("rapid.seed", "20261202") } //nolint:errcheck // rapid defines the flag
 
-// Nodes that confirm cancellations, read the state service or are refused by
+const modelCancelTime = 20 * time.Second
+
+// Nodes that confirm cancellations, read the key-value store or are refused by
 // it, tell each other over streams whose answers come late or never, end, and
 // are back with nothing. The plain model is the list of all that was ever
 // confirmed: all before a node's watermark it knows.
 func TestWatermarkIsComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		synctest.Test(t, func(*testing.T) { checkWatermarks(rt) })
+		synctest.Test(t, func(*testing.T) {
+			m := newModel()
+			for step := range rapid.IntRange(10, 120).Draw(rt, "steps") {
+				m.act(rt, step)
+				m.checkWatermarks(rt)
+				time.Sleep(time.Millisecond)
+			}
+		})
 	})
 }
 
-const modelCancel = 20 * time.Second
+const modelNodes = 3
+
+// model is a deployment of three nodes with all that they ever confirmed.
+type model struct {
+	names     [modelNodes]wire.NodeID
+	logs      [modelNodes]*Log
+	cursors   [modelNodes][modelNodes]uint64   // by sender, then receiver
+	pending   [modelNodes][modelNodes][]answer // in flight on the stream that is open
+	confirmed []confirmation                   // by any node, in order
+}
+
+// answer is an update in an answer that was not received yet.
+type answer struct {
+	sent   time.Time
+	update Update
+}
 
 type confirmation struct {
 	job wire.JobID
 	at  time.Time
 }
 
-func checkWatermarks(t *rapid.T) {
-	names := []wire.NodeID{"a", "b", "c"}
-	fresh := func(i int) *Log {
-		var others []wire.NodeID
-		for k, n := range names {
-			if k != i {
-				others = append(others, n)
-			}
+func newModel() *model {
+	m := &model{names: [modelNodes]wire.NodeID{"a", "b", "c"}}
+	for node := range m.logs {
+		m.restart(node)
+	}
+	return m
+}
+
+// restart gives a node an empty log.
+func (m *model) restart(node int) {
+	var peers []wire.NodeID
+	for other, name := range m.names {
+		if other != node {
+			peers = append(peers, name)
 		}
-		return New(others, modelCancel)
 	}
-	type answer struct {
-		sent   time.Time
-		update Update
+	m.logs[node] = New(peers, modelCancelTime)
+}
+
+// act lets one node do one thing.
+func (m *model) act(t *rapid.T, step int) {
+	node := rapid.IntRange(0, modelNodes-1).Draw(t, "node")
+	peer := (node + rapid.IntRange(1, modelNodes-1).Draw(t, "peer")) % modelNodes
+	switch rapid.IntRange(0, 9).Draw(t, "action") {
+	case 0, 1:
+		m.confirm(node, step)
+	case 2:
+		m.read(t, node)
+	case 3, 4, 5:
+		m.ask(t, node, peer)
+	case 6, 7:
+		m.receive(node, peer)
+	case 8:
+		if rapid.IntRange(0, 3).Draw(t, "restarts") == 0 {
+			m.restart(node)
+		}
+		m.breakStreams(node) // or its links only
+	case 9:
+		time.Sleep(time.Duration(rapid.IntRange(0, 8000).Draw(t, "wait")) * time.Millisecond)
 	}
-	var logs [3]*Log
-	var cursors [3][3]uint64     // by sender, then receiver
-	var pending [3][3][]answer   // on their way on the stream that is open
-	var confirmed []confirmation // by anyone, in order
-	for i := range logs {
-		logs[i] = fresh(i)
+}
+
+func (m *model) confirm(node, step int) {
+	job := wire.JobID(fmt.Sprintf("req-%d", step))
+	m.logs[node].Add(job, 0)
+	m.confirmed = append(m.confirmed, confirmation{job, time.Now()})
+}
+
+// read lets a node read the key-value store. That takes a while, and shows what was
+// stored when it began.
+func (m *model) read(t *rapid.T, node int) {
+	began := time.Now()
+	stored := m.confirmed
+	time.Sleep(time.Duration(rapid.IntRange(0, 900).Draw(t, "read")) * time.Millisecond)
+	for _, c := range stored {
+		m.logs[node].Add(c.job, time.Since(c.at))
 	}
-	breakStreams := func(i int) {
-		for k := range logs {
-			cursors[i][k], cursors[k][i] = 0, 0
-			pending[i][k], pending[k][i] = nil, nil
-		}
+	m.logs[node].RecordRead(began)
+}
+
+// ask lets the peer ask the node, whose answer is made after a moment.
+func (m *model) ask(t *rapid.T, node, peer int) {
+	sent := time.Now()
+	time.Sleep(time.Duration(rapid.IntRange(0, 200).Draw(t, "ask")) * time.Millisecond)
+	var update Update
+	update, m.cursors[node][peer] = m.logs[node].UpdateSince(m.cursors[node][peer])
+	m.pending[node][peer] = append(m.pending[node][peer], answer{sent, update})
+}
+
+// receive lets the peer receive all answers of the node.
+func (m *model) receive(node, peer int) {
+	for _, a := range m.pending[node][peer] {
+		m.logs[peer].Apply(m.names[node], a.sent, &a.update)
 	}
-	for step := range rapid.IntRange(10, 120).Draw(t, "steps") {
-		i := rapid.IntRange(0, 2).Draw(t, "node")
-		k := (i + rapid.IntRange(1, 2).Draw(t, "other")) % 3
-		switch rapid.IntRange(0, 9).Draw(t, "what") {
-		case 0, 1:
-			id := wire.JobID(fmt.Sprintf("req-%d", step))
-			logs[i].Add(id, 0)
-			confirmed = append(confirmed, confirmation{id, time.Now()})
-		case 2:
-			// A read takes a while, and tells what was stored when it began.
-			began := time.Now()
-			stored := confirmed
-			time.Sleep(time.Duration(rapid.IntRange(0, 900).Draw(t, "read")) * time.Millisecond)
-			for _, c := range stored {
-				logs[i].Add(c.job, time.Since(c.at))
-			}
-			logs[i].RecordRead(began)
-		case 3, 4, 5:
-			// k asks i, whose answer is made after a moment.
-			sent := time.Now()
-			time.Sleep(time.Duration(rapid.IntRange(0, 200).Draw(t, "ask")) * time.Millisecond)
-			var u Update
-			u, cursors[i][k] = logs[i].UpdateSince(cursors[i][k])
-			pending[i][k] = append(pending[i][k], answer{sent, u})
-		case 6, 7:
-			for _, a := range pending[i][k] {
-				logs[k].Apply(names[i], a.sent, &a.update)
-			}
-			pending[i][k] = nil
-		case 8:
-			if rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
-				logs[i] = fresh(i)
-			}
-			breakStreams(i) // or its links only
-		case 9:
-			time.Sleep(time.Duration(rapid.IntRange(0, 8000).Draw(t, "wait")) * time.Millisecond)
-		}
-		for n, l := range logs {
-			until := l.Watermark()
-			if until.After(time.Now()) {
-				t.Fatalf("%s knows the future", names[n])
+	m.pending[node][peer] = nil
+}
+
+func (m *model) breakStreams(node int) {
+	for other := range m.logs {
+		m.cursors[node][other], m.cursors[other][node] = 0, 0
+		m.pending[node][other], m.pending[other][node] = nil, nil
+	}
+}
+
+// checkWatermarks checks that each node knows all that was confirmed before its watermark,
+// and dates none of it too late.
+func (m *model) checkWatermarks(t *rapid.T) {
+	for node, l := range m.logs {
+		watermark := l.Watermark()
+		if watermark.After(time.Now()) {
+			t.Fatalf("%s: got a watermark in %v, want none in the future", m.names[node], time.Until(watermark))
+		}
+		for _, c := range m.confirmed {
+			confirmedAt, known := l.ConfirmedAt(c.job)
+			if known && confirmedAt.After(c.at) {
+				t.Fatalf("%s: got %s confirmed %v after it was, want not later", m.names[node], c.job, confirmedAt.Sub(c.at))
 			}
-			for _, c := range confirmed {
-				_, ok := l.ConfirmedAt(c.job)
-				if c.at.Before(until) && !ok && time.Since(c.at) < l.retention {
-					t.Fatalf("%s says it knows all until %v ago, but not %s of %v ago", names[n], time.Since(until), c.job, time.Since(c.at))
-				}
+			mustBeKnown := c.at.Before(watermark) && time.Since(c.at) < l.retention
+			if mustBeKnown && !known {
+				t.Fatalf("%s: got a watermark of %v ago, but %s of %v ago is not known", m.names[node], time.Since(watermark), c.job, time.Since(c.at))
 			}
 		}
-		time.Sleep(time.Millisecond)
 	}
 }
 
-// In an outage the updates of all other nodes raise the watermark; with one that
-// is silent, or back with nothing, it stays at its last update.
-func TestUpdatesOfAllPeers(t *testing.T) {
+// In an outage the updates of all peers raise the watermark; with one that sends none, or
+// has restarted and knows nothing, it stays at the last update of that one.
+func TestWatermarkFollowsUpdatesOfAllPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, c := New([]wire.NodeID{"b", "c"}, modelCancel), New([]wire.NodeID{"a", "c"}, modelCancel), New([]wire.NodeID{"a", "b"}, modelCancel)
+		a, b, c := New([]wire.NodeID{"b", "c"}, modelCancelTime), New([]wire.NodeID{"a", "c"}, modelCancelTime), New([]wire.NodeID{"a", "b"}, modelCancelTime)
 		time.Sleep(time.Second)
 		a.RecordRead(time.Now())
 		var fromB, fromC uint64
 		update := func(from wire.NodeID, l *Log, cursor *uint64) {
-			var u Update
-			u, *cursor = l.UpdateSince(*cursor)
-			a.Apply(from, time.Now(), &u)
+			var received Update
+			received, *cursor = l.UpdateSince(*cursor)
+			a.Apply(from, time.Now(), &received)
 		}
 		for range 30 {
 			time.Sleep(time.Second)
@@ -132,24 +180,24 @@
 			update("c", c, &fromC)
 		}
 		if ago := time.Since(a.Watermark()); ago > time.Second {
-			t.Errorf("with the updates of all others the watermark is %v ago", ago)
+			t.Errorf("updates of all peers: got a watermark of %v ago, want at most 1s", ago)
 		}
 		last := time.Now()
-		c, fromC = New([]wire.NodeID{"a", "b"}, modelCancel), 0
+		c, fromC = New([]wire.NodeID{"a", "b"}, modelCancelTime), 0
 		for range 10 {
 			time.Sleep(time.Second)
 			update("b", b, &fromB)
 			update("c", c, &fromC)
 		}
 		if at := a.Watermark(); !at.Equal(last) {
-			t.Errorf("a node that is back with nothing raises the watermark to %v after its former process's last update", at.Sub(last))
+			t.Errorf("peer restarted: got a watermark %v after the last update of its former process, want that update's time", at.Sub(last))
 		}
 		a.RecordRead(time.Now())
 		time.Sleep(time.Second)
 		update("b", b, &fromB)
 		update("c", c, &fromC)
 		if ago := time.Since(a.Watermark()); ago > time.Second {
-			t.Errorf("after a read the watermark is %v ago", ago)
+			t.Errorf("after a read: got a watermark of %v ago, want at most 1s", ago)
 		}
 	})
 }
@@ -157,29 +205,29 @@
 // What is kept is bounded; a node that had to drop some states a shorter span.
 func TestLogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := New([]wire.NodeID{"b"}, modelCancel)
+		l := New([]wire.NodeID{"b"}, modelCancelTime)
 		l.RecordRead(time.Now())
 		for n := range maxRecords + 100 {
 			l.Add(wire.JobID(fmt.Sprint("req-", n)), 0)
 			time.Sleep(time.Millisecond / 10)
 		}
 		if len(l.records) > maxRecords || len(l.confirmedAt) != len(l.records) {
-			t.Errorf("%d and %d are kept", len(l.records), len(l.confirmedAt))
+			t.Errorf("got %d records and %d times, want at most %d of both", len(l.records), len(l.confirmedAt), maxRecords)
 		}
-		u, cursor := l.UpdateSince(0)
-		if u.OwnSpan != 0 || len(u.Cancelled) != maxUpdateEntries {
-			t.Errorf("the first update of many has %d entries and a span of %v", len(u.Cancelled), u.OwnSpan)
+		update, cursor := l.UpdateSince(0)
+		if update.OwnSpan != 0 || len(update.Cancelled) != maxUpdateEntries {
+			t.Errorf("first update of many: got %d entries and a span of %v, want %d and 0", len(update.Cancelled), update.OwnSpan, maxUpdateEntries)
 		}
-		for u.OwnSpan == 0 {
-			u, cursor = l.UpdateSince(cursor)
+		for update.OwnSpan == 0 {
+			update, cursor = l.UpdateSince(cursor)
 		}
-		if u.OwnSpan >= time.Since(l.records[0].addedAt)+time.Millisecond {
-			t.Errorf("states a span of %v, but the log begins %v ago", u.OwnSpan, time.Since(l.records[0].addedAt))
+		if update.OwnSpan >= time.Since(l.records[0].addedAt)+time.Millisecond {
+			t.Errorf("got a span of %v, want less than the log's of %v", update.OwnSpan, time.Since(l.records[0].addedAt))
 		}
-		time.Sleep(3 * modelCancel)
+		time.Sleep(3 * modelCancelTime)
 		l.Add("req-x", 0)
 		if len(l.records) != 1 {
-			t.Errorf("%d are kept for ever", len(l.records))
+			t.Errorf("after the retention: got %d records, want 1", len(l.records))
 		}
 	})
 }
