--- a/internal/undecodable/undecodable.go
+++ b/internal/undecodable/undecodable.go
@@ -1,5 +1,5 @@
-// Package undecodable logs records and messages that can't be decoded, each of them
-// once: they are read again and again, and would fill the log.
+// Package undecodable logs records and messages that can't be decoded, each source once:
+// they are read again and again, and would fill the log.
 package undecodable
 
 import (
@@ -9,22 +9,23 @@
 	"sync"
 )
 
-// remembered bounds what is kept of what was logged. Beyond it nothing more is
-// logged: then it is not single records that are wrong.
-const remembered = 1024
+// maxSources bounds the sources that are remembered. Beyond it nothing more is logged:
+// then it is not single records that are wrong.
+const maxSources = 1024
 
-// Log is safe for concurrent use. A nil Log logs nothing.
+// Log logs each source of undecodable bytes once. It is safe for concurrent use. A nil Log
+// logs nothing.
 type Log struct {
 	log *slog.Logger
 
-	mu   sync.Mutex
-	seen map[string]struct{}
+	mu     sync.Mutex
+	logged map[string]struct{} // by source
 }
 
-// New makes a Log that has logged nothing yet.
-func New(log *slog.Logger) *Log { return &Log{log: log, seen: map[string]struct{}{}} }
+// New returns a Log that has logged nothing yet.
+func New(log *slog.Logger) *Log { return &Log{log: log, logged: map[string]struct{}{}} }
 
-// Sender is the host that a request is from.
+// Sender returns the host that a request is from.
 func Sender(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -33,19 +34,25 @@
 	return host
 }
 
-// Note logs what can't be decoded, unless it was logged before: a key of the state
-// service, or whom a message is from.
-func (l *Log) Note(what string, err error) {
+// Note logs why a record or message can't be decoded, unless one of the same source was
+// logged before. The source is a key of the key-value store, or what a message is and whom
+// it is from.
+func (l *Log) Note(source string, err error) {
 	if l == nil {
 		return
 	}
-	l.mu.Lock()
-	_, known := l.seen[what]
-	if known = known || len(l.seen) >= remembered; !known {
-		l.seen[what] = struct{}{}
+	if l.isFirst(source) {
+		l.log.Error("undecodable input rejected", "source", source, "err", err)
 	}
-	l.mu.Unlock()
-	if !known {
-		l.log.Error("undecodable", "what", what, "err", err)
+}
+
+// isFirst reports whether the source is to be logged, and remembers that it was.
+func (l *Log) isFirst(source string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if _, logged := l.logged[source]; logged || len(l.logged) >= maxSources {
+		return false
 	}
+	l.logged[source] = struct{}{}
+	return true
 }
