--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -75,6 +75,17 @@
 
 func (c *Client) recordSuccess() { c.lastSuccess.Store(int64(time.Since(c.started))) }
 
+// recordAnswer records what the status of an answer shows of the service. A status that is
+// neither a result nor a refusal shows nothing.
+func (c *Client) recordAnswer(status int) {
+	switch status {
+	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
+		c.recordSuccess()
+	case http.StatusServiceUnavailable:
+		c.recordRefusal()
+	}
+}
+
 func (c *Client) recordRefusal() { c.lastRefusal.Store(int64(time.Since(c.started))) }
 
 // inOutage reports whether the service has answered nothing for a while.
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -58,8 +58,8 @@
 	return errors.Is(e.Err, ErrUnknown) || errors.Is(e.Err, ErrTooLarge)
 }
 
-// Retryable reports whether the same request may succeed later. All other requests fail
-// again for as long as the stored data is what it is.
+// Retryable reports whether the same request may succeed later. For any other cause it
+// fails again until the stored data or the service's limits change.
 func (e *OpError) Retryable() bool {
 	return errors.Is(e.Err, ErrRefused) || errors.Is(e.Err, ErrUnknown)
 }
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -48,10 +48,10 @@
 
 // NewJobCache returns an empty cache for one of so many nodes, under the service's limit
 // of requests per second.
-func NewJobCache(c *Client, cancelled *cancels.Log, rps float64, nodes int) *JobCache {
+func NewJobCache(client *Client, cancelled *cancels.Log, rps float64, nodes int) *JobCache {
 	refreshesPerSecond := max(1, rps/refreshShare) // of all nodes
 	return &JobCache{
-		client:      c,
+		client:      client,
 		cancels:     cancelled,
 		requests:    make(chan chan error, requestBuffer),
 		minInterval: time.Duration(float64(time.Second) * float64(max(1, nodes)) / refreshesPerSecond),
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -141,7 +141,7 @@
 	})
 }
 
-// The simulated service keeps the changes of a revision whole: where one of them is no
+// The simulated service keeps or drops the changes of a revision together: where one of them is no
 // longer kept, the cache must be told to list. (It once was given the rest, and
 // took a job that had ended for a live one.)
 func TestCacheAfterCompaction(t *testing.T) {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -38,8 +38,8 @@
 func FinalKey(id wire.JobID) string { return finalPrefix + string(id) }
 
 // ChunkKey returns the key of a chunk of a job's progress.
-func ChunkKey(id wire.JobID, n int) string {
-	return ProgressPrefix + string(id) + "/" + strconv.Itoa(n)
+func ChunkKey(id wire.JobID, chunk int) string {
+	return ProgressPrefix + string(id) + "/" + strconv.Itoa(chunk)
 }
 
 // ParseChunkKey returns the job and the chunk that ChunkKey made the key of; ok reports
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -112,40 +112,40 @@
 		client = c.watches
 	}
 	status, raw, _, err := netio.Call(ctx, client, req.method, c.baseURL+req.path, req.body, maxAnswer)
+	if errors.Is(err, wire.ErrTooLarge) {
+		return 0, ErrTooLarge
+	}
 	if err != nil {
-		return 0, c.transportFailure(err)
+		c.recordRefusal()
+		return 0, transportFailure(err)
 	}
-	if cause := c.statusFailure(status); cause != nil {
+	c.recordAnswer(status)
+	if cause := statusFailure(status); cause != nil {
 		return status, cause
 	}
-	if err := decodeResult(raw, req.result); err != nil {
-		return 0, err
+	if cause := decodeResult(raw, req.result); cause != nil {
+		return 0, cause
 	}
 	return status, nil
 }
 
-// transportFailure returns the cause of a failure for a request that got no whole answer.
-func (c *Client) transportFailure(err error) error {
-	if errors.Is(err, wire.ErrTooLarge) {
-		return ErrTooLarge
-	}
-	c.recordRefusal()
+// transportFailure returns the cause of a failure for a request that got no answer.
+func transportFailure(err error) error {
 	if wire.NotSent(err) {
 		return ErrRefused
 	}
 	return ErrUnknown
 }
 
-// statusFailure returns the cause of a failure for an answer that is not a result.
-func (c *Client) statusFailure(status int) error {
+// statusFailure returns the cause of a failure for an answer that is not a result, and nil
+// for one that is.
+func statusFailure(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
-		c.recordSuccess()
 		return nil
 	case http.StatusTooManyRequests:
 		return ErrBusy
 	case http.StatusServiceUnavailable:
-		c.recordRefusal()
 		return ErrRefused
 	case http.StatusGone:
 		return ErrTooOld
@@ -156,6 +156,7 @@
 	}
 }
 
+// decodeResult decodes an answer, unless it is empty or nothing of it is wanted.
 func decodeResult(raw []byte, result any) error {
 	if result == nil || len(raw) == 0 {
 		return nil
