--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -97,6 +97,9 @@
 					if !isError(err, want) {
 						t.Errorf("%s: got error %v, want %v", op, err, want)
 					}
+					if reachable := tc.answer.status != http.StatusServiceUnavailable; c.Reachable() != reachable {
+						t.Errorf("%s: got reachable %v, want %v", op, c.Reachable(), reachable)
+					}
 					if want == nil || want == errConflict {
 						continue
 					}
