--- a/internal/leader/agents/client.go
+++ b/internal/leader/agents/client.go
@@ -63,7 +63,7 @@
 
 // ProbeThroughPeer asks a worker for its report through another node.
 func (c *Client) ProbeThroughPeer(ctx context.Context, node wire.NodeID, addr string, cmd wire.Commands) (*wire.Heartbeat, int, error) {
-	status, raw, err := c.Mesh.Relay(ctx, node, "/peer/ask", RelayedProbe{addr, cmd})
+	status, raw, err := c.Mesh.Relay(ctx, node, "/peer/ask", relayedProbe{addr, cmd})
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/leader/agents/probes.go
+++ b/internal/leader/agents/probes.go
@@ -43,8 +43,8 @@
 	})
 }
 
-// RelayedProbe is one that another node passes on to a worker.
-type RelayedProbe struct {
+// relayedProbe is one that another node passes on to a worker.
+type relayedProbe struct {
 	Addr     string        `cbor:"addr"`
 	Commands wire.Commands `cbor:"orders"`
 }
@@ -53,7 +53,7 @@
 // It passes on no launches: those the leader keeps account of itself.
 func (c *Client) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	var a RelayedProbe
+	var a relayedProbe
 	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Commands.Commands) > 0 {
 		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a question to a worker"})
 		return
