--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -4,7 +4,9 @@
 	"context"
 	"errors"
 	"net/http"
+	"slices"
 	"strings"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -22,10 +24,40 @@
 	ctx     context.Context
 	network *simulator.Network
 	state   *simulator.State
+
+	mu      sync.Mutex // guards what the processes' own goroutines append to
 	events  []duty.Event
 	damaged []string
 }
 
+// recordEvent is the observer of every process.
+func (w *world) recordEvent(e duty.Event) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.events = append(w.events, e)
+}
+
+// recordDamaged notes the key of a record that a process could not decode.
+func (w *world) recordDamaged(key string, _ error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.damaged = append(w.damaged, key)
+}
+
+// observedEvents returns the events so far.
+func (w *world) observedEvents() []duty.Event {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Clone(w.events)
+}
+
+// damagedKeys returns the keys of the undecodable records so far.
+func (w *world) damagedKeys() []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Clone(w.damaged)
+}
+
 // timing of the leases: three seconds, and no margin beyond the clocks' drift.
 var timing = duty.Timing{TTL: 3 * time.Second, RenewEvery: 700 * time.Millisecond, RenewTimeout: time.Second, Poll: 100 * time.Millisecond, Drift: 0.02}
 
@@ -49,7 +81,7 @@
 	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	client := store.New(simulator.StateAddr, limits, 3, w.network.Host(simulator.NodeIP(host)))
 	return duty.NewCandidate(duty.Options{Key: store.LeaderKey, Node: duty.NodeID(rune('a' + host)), Store: client, Timing: timing, Clock: clock,
-		Observe: func(e duty.Event) { w.events = append(w.events, e) }, Undecodable: func(key string, _ error) { w.damaged = append(w.damaged, key) }})
+		Observe: w.recordEvent, Undecodable: w.recordDamaged})
 }
 
 // keep renews a lease in the background.
@@ -210,8 +242,8 @@
 		}
 		w.state.Put(duty.IntentKey("returning"), "not a record")
 		damaged := duty.OpenIntents[duty.ScaleIn, string](second, 200)
-		if _, err := damaged.Load(w.ctx); !errors.Is(err, duty.ErrUndecodable) || len(w.damaged) != 1 {
-			t.Errorf("undecodable: %v, noted %v", err, w.damaged)
+		if _, err := damaged.Load(w.ctx); !errors.Is(err, duty.ErrUndecodable) || len(w.damagedKeys()) != 1 {
+			t.Errorf("undecodable: %v, noted %v", err, w.damagedKeys())
 		}
 		if err := damaged.Record(w.ctx, nil); err == nil {
 			t.Error("an undecodable record was overwritten")
@@ -253,8 +285,8 @@
 		revision := w.state.Put(store.LeaderKey, "no holder")
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 		defer cancel()
-		if lease := w.candidate(0, nil, timing).Campaign(ctx); lease != nil || w.state.Revision(store.LeaderKey) != revision || len(w.damaged) == 0 {
-			t.Errorf("lease %+v, revision %d, noted %v", lease, w.state.Revision(store.LeaderKey), w.damaged)
+		if lease := w.candidate(0, nil, timing).Campaign(ctx); lease != nil || w.state.Revision(store.LeaderKey) != revision || len(w.damagedKeys()) == 0 {
+			t.Errorf("lease %+v, revision %d, noted %v", lease, w.state.Revision(store.LeaderKey), w.damagedKeys())
 		}
 	})
 }
@@ -278,7 +310,7 @@
 			t.Error("permitted after resigning")
 		}
 		var got []string
-		for _, e := range w.events {
+		for _, e := range w.observedEvents() {
 			got = append(got, string(e.Kind)+" "+string(e.Duty))
 			if e.Token == 0 || e.At.IsZero() {
 				t.Errorf("%+v lacks token or time", e)
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -4,9 +4,11 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"strings"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -24,10 +26,12 @@
 
 // deployment of processes around a simulated state service, in virtual time.
 type deployment struct {
-	t         *testing.T
-	ctx       context.Context
-	network   *simulator.Network
-	state     *simulator.State
+	t       *testing.T
+	ctx     context.Context
+	network *simulator.Network
+	state   *simulator.State
+
+	mu        sync.Mutex // guards what follows: processes' own goroutines use it too
 	processes map[duty.NodeID]*process
 	// lag is how old what the others know of a controller's process may be.
 	lag      time.Duration
@@ -72,17 +76,58 @@
 	d.stop(node)
 	ctx, cancel := context.WithCancel(d.ctx)
 	m, err := upgrade.NewMember(upgrade.Options{Node: node, Supports: understands, Store: d.client(slices.Index(controllers, node)), Follow: time.Second,
-		Observe: func(e upgrade.Event) { d.events = append(d.events, fmt.Sprint(node, " ", e.Kind, " ", e.Version)) }})
+		Observe: func(e upgrade.Event) { d.recordEvent(node, e) }})
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	p := &process{m, cancel}
-	d.processes[node] = p
+	d.setProcess(node, p)
 	go m.Run(ctx)
 	return p
 }
 
+// process returns a controller's process, nil if none runs.
+func (d *deployment) process(node duty.NodeID) *process {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.processes[node]
+}
+
+func (d *deployment) setProcess(node duty.NodeID, p *process) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.processes[node] = p
+}
+
+// running returns the controllers' processes.
+func (d *deployment) running() map[duty.NodeID]*process {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return maps.Clone(d.processes)
+}
+
+func (d *deployment) setLag(lag time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lag = lag
+}
+
+func (d *deployment) recordEvent(node duty.NodeID, e upgrade.Event) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, fmt.Sprint(node, " ", e.Kind, " ", e.Version))
+}
+
+// observedEvents returns the events so far.
+func (d *deployment) observedEvents() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.events)
+}
+
 func (d *deployment) stop(node duty.NodeID) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if p := d.processes[node]; p != nil {
 		p.end()
 		d.replaced[node] = replaced{p.Incarnation(), time.Now()}
@@ -101,6 +146,8 @@
 // known is what a holder of the lease knows beside the records.
 func (d *deployment) known(ceiling upgrade.Version) upgrade.Deployment {
 	return upgrade.Deployment{Controllers: controllers, Ceiling: ceiling, Present: func(node duty.NodeID) string {
+		d.mu.Lock()
+		defer d.mu.Unlock()
 		if r := d.replaced[node]; !r.at.IsZero() && time.Since(r.at) < d.lag {
 			return r.incarnation
 		}
@@ -117,7 +164,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return d.processes[by].Advance(d.ctx, permit, d.known(ceiling))
+	return d.process(by).Advance(d.ctx, permit, d.known(ceiling))
 }
 
 // active is the version that is recorded.
@@ -184,7 +231,7 @@
 			}
 			return 0
 		})
-		d.lag = time.Second
+		d.setLag(time.Second)
 		old = d.start("b", oldOnly)
 		time.Sleep(100 * time.Millisecond)
 		if v, err := d.advance(l, "a", 0); err != nil || v != 2 {
@@ -200,15 +247,15 @@
 		if err := old.MayServe(); !errors.Is(err, upgrade.ErrTooOld) {
 			t.Errorf("overtaken by the switch: %v", err)
 		}
-		if v, err := d.processes["a"].ReadActive(d.ctx); v != 2 || err != nil {
+		if v, err := d.process("a").ReadActive(d.ctx); v != 2 || err != nil {
 			t.Errorf("read: %d, %v", v, err)
 		}
-		if g, v := d.processes["a"].Guard(); v != 2 || g.Key != upgrade.ActiveKey || g.Revision != d.state.Revision(upgrade.ActiveKey) {
+		if g, v := d.process("a").Guard(); v != 2 || g.Key != upgrade.ActiveKey || g.Revision != d.state.Revision(upgrade.ActiveKey) {
 			t.Errorf("guard %+v of version %d", g, v)
 		}
 		for _, event := range []string{"c versions published 1", "a version switched 2", "b version refused 2"} {
-			if !slices.Contains(d.events, event) {
-				t.Errorf("%q was not told: %q", event, d.events)
+			if !slices.Contains(d.observedEvents(), event) {
+				t.Errorf("%q was not told: %q", event, d.observedEvents())
 			}
 		}
 		tooNew := d.start("c", upgrade.Range{Min: 3, Max: 4})
@@ -226,7 +273,7 @@
 	switches := 0
 	for seed := range uint64(seeds) {
 		inDeployment(t, func(d *deployment) {
-			d.lag = time.Second
+			d.setLag(time.Second)
 			rng := rand.New(rand.NewPCG(seed, 9))
 			l := d.lease()
 			ranges := []upgrade.Range{oldOnly, both, both, {Min: 1, Max: 3}, later, later}
@@ -246,11 +293,11 @@
 				case 1:
 					d.stop(node)
 				case 2, 3, 4, 5:
-					if d.processes[node] != nil {
+					if d.process(node) != nil {
 						go d.advance(l, node, 0) //nolint:errcheck // what is recorded is looked at
 					}
 				case 6:
-					if d.processes[node] == nil {
+					if d.process(node) == nil {
 						d.start(node, draw(step))
 					}
 				}
@@ -262,7 +309,7 @@
 					switches++
 				}
 				last = active
-				for node, p := range d.processes {
+				for node, p := range d.running() {
 					if p.MayServe() == nil && !p.Supports.Contains(active) {
 						t.Fatalf("seed %d, step %d: %s serves with %v while %d is active", seed, step, node, p.Supports, active)
 					}
@@ -348,7 +395,7 @@
 			t.Errorf("shown %q, want %q", got, want)
 		}
 		d.state.Delete(upgrade.SupportKey("c"))
-		d.processes["b"] = &process{p.Member, func() {}} // one that has not published
+		d.setProcess("b", &process{p.Member, func() {}}) // one that has not published
 		if got, want := look(), fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.OtherProcess, upgrade.NothingPublished); got != want {
 			t.Errorf("shown %q, want %q", got, want)
 		}
