--- a/duty/duty_test.go
+++ b/duty/duty_test.go
@@ -328,7 +328,7 @@
 		t.Error(err)
 	}
 	err := duty.Timing{TTL: time.Second, RenewEvery: 2 * time.Second, Drift: 1.5}.Validate()
-	for _, field := range []string{"renew_timeout", "poll", "drift", "life"} {
+	for _, field := range []string{"RenewTimeout", "Poll", "Drift", "TTL"} {
 		if err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%v does not name %s", err, field)
 		}
--- /dev/null
+++ b/duty/errors.go
@@ -0,0 +1,73 @@
+package duty
+
+import (
+	"errors"
+	"fmt"
+
+	"lilaclead/internal/store"
+)
+
+// Errors of a Store.
+var (
+	// ErrNotFound reports that the key or grant does not exist.
+	ErrNotFound = store.ErrMissing
+	// ErrOutcomeUnknown reports that a change may have been executed or may still be; read
+	// what it wrote before retrying.
+	ErrOutcomeUnknown = store.ErrUnknown
+	// ErrInvalidRequest reports that the store calls the request malformed; don't retry it.
+	ErrInvalidRequest = store.ErrInvalid
+)
+
+// Reasons why an act, or an operation on a lease, is refused.
+var (
+	// ErrGrantExpired reports that the store has ended the lease's grant.
+	ErrGrantExpired = errors.New("the grant of the lease has expired")
+	// ErrNoHolder reports that nobody holds the lease.
+	ErrNoHolder = errors.New("nobody holds the lease")
+	// ErrHeldByOther reports that another process holds the lease.
+	ErrHeldByOther = errors.New("another process holds the lease")
+	// ErrNotHeld reports that the lease may have expired, or that it was resigned.
+	ErrNotHeld = errors.New("the lease is not certainly held")
+	// ErrNoPermit reports that no lease yielded the permit.
+	ErrNoPermit = errors.New("no permit")
+	// ErrUndecodable reports that a record can't be decoded; what rests on it is refused.
+	ErrUndecodable = errors.New("undecodable record")
+	// ErrTooLarge reports that the intents do not fit in one record.
+	ErrTooLarge = errors.New("too many open intents for one record")
+)
+
+// LeaseError reports why a lease gives no right to act, or could not be kept. It is final
+// for this lease; the process may campaign for a new one.
+type LeaseError struct {
+	// Key of the lease in the store; empty if the lease has no candidate.
+	Key string
+	// Token under which the lease was held.
+	Token FencingToken
+	// Err is ErrNotHeld, ErrHeldByOther, ErrNoHolder or ErrGrantExpired.
+	Err error
+}
+
+// Error names the lease and the reason.
+func (e *LeaseError) Error() string {
+	return fmt.Sprintf("lease %q, token %d: %v", e.Key, e.Token, e.Err)
+}
+
+// Unwrap returns the reason.
+func (e *LeaseError) Unwrap() error { return e.Err }
+
+// UndecodableError reports a stored record that can't be decoded. It meets
+// ErrUndecodable. Retrying is of no use until a person has removed the record.
+type UndecodableError struct {
+	// Key of the record in the store.
+	Key string
+	// Err is what the decoder reported.
+	Err error
+}
+
+// Error names the record and the decoder's error.
+func (e *UndecodableError) Error() string {
+	return fmt.Sprintf("%v %q: %v", ErrUndecodable, e.Key, e.Err)
+}
+
+// Unwrap returns ErrUndecodable and the decoder's error.
+func (e *UndecodableError) Unwrap() []error { return []error{ErrUndecodable, e.Err} }
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -10,88 +10,89 @@
 	"lilaclead/internal/wire"
 )
 
-// intentRetry is the pause before a write of intents without an outcome is repeated.
+// intentRetry is the pause before a write of intents whose outcome is unknown is retried.
 const intentRetry = 200 * time.Millisecond
 
-// IntentKey is where the intents of a duty are recorded.
+// IntentKey returns the key under which the intents of a duty are recorded.
 func IntentKey(d Name) string { return "intent/" + string(d) }
 
-// IntentRecord is what is stored of a duty's open intents: requests that may be on
-// their way to a receiver. It is written under the lease's token.
+// IntentRecord is the stored form of a duty's open intents: requests that may be on their
+// way to a receiver. Token is that of the lease under which it was written.
 type IntentRecord[T any] struct {
 	Token FencingToken   `cbor:"token"`
 	At    wire.Timestamp `cbor:"at"`
 	Open  []T            `cbor:"open"`
 }
 
-// Intents records a duty's open intents before they are carried out, in one record
-// that is replaced as a whole. It is used by one goroutine at a time.
+// Intents record the open intents of a duty before they are carried out, in one record
+// that is replaced as a unit. Only one goroutine at a time may use them.
 //
-// A receiver that knows no tokens takes a request of an earlier holder as well as
-// one of ours. So nothing is sent that is not recorded here, by a write that fails
-// once another holds the lease; a successor reads the record and carries out, under
-// the same names, what is open. Whichever request arrives first has the effect that
-// the successor counts with; the others find it done.
+// A receiver that checks no fencing tokens accepts a request of an earlier holder as
+// readily as one of the current holder. So nothing is sent that is not recorded here, by a
+// write that fails once another process holds the lease; a successor reads the record and
+// carries out, under the same names, what is open. Whichever request arrives first has the
+// effect that the successor counts on; to the others it is already done.
 type Intents[D Duty, T any] struct {
-	lease *Lease
-	limit int // of the record's size in bytes
+	lease     *Lease
+	sizeLimit int // of the record, in bytes
 	// revision of the record as last read or written, 0: none.
 	revision Revision
 	loaded   bool
-	latest   []T
+	recorded []T // as last read or written
 }
 
-// OpenIntents are a duty's intents for the holder of a lease; limit is the largest
-// size of a value in the state service, in bytes.
+// OpenIntents returns the intents of a duty for the holder of a lease. The limit is the
+// largest size of a value in the store, in bytes.
 func OpenIntents[D Duty, T any](l *Lease, limit int) *Intents[D, T] {
-	return &Intents[D, T]{lease: l, limit: limit}
+	return &Intents[D, T]{lease: l, sizeLimit: limit}
 }
 
 func (i *Intents[D, T]) key() string { return IntentKey(nameOf[D]()) }
 
-// Load reads what an earlier holder left open, and when that was recorded. Nothing
-// can be recorded before.
+// Load reads what an earlier holder left open, and when that was recorded. Nothing can be
+// recorded before it has succeeded. A record that can't be decoded yields an error that is
+// ErrUndecodable; any other error may be retried.
 func (i *Intents[D, T]) Load(ctx context.Context) (IntentRecord[T], error) {
-	var rec IntentRecord[T]
-	e, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
+	var record IntentRecord[T]
+	entry, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
 	switch {
-	case errors.Is(err, ErrMissing):
+	case errors.Is(err, ErrNotFound):
 	case err != nil:
-		return rec, err
+		return record, err
 	default:
-		if err := wire.Decode(e.Value, &rec); err != nil {
-			i.lease.candidate.Undecodable(i.key(), err)
-			return rec, fmt.Errorf("%w: %s", ErrUndecodable, i.key())
+		if err := wire.Decode(entry.Value, &record); err != nil {
+			i.lease.candidate.reportUndecodable(i.key(), err)
+			return record, &UndecodableError{Key: i.key(), Err: err}
 		}
 	}
-	i.revision, i.loaded, i.latest = e.Revision, true, rec.Open
-	return rec, nil
+	i.revision, i.loaded, i.recorded = entry.Revision, true, record.Open
+	return record, nil
 }
 
-// Loaded tells whether the record was read.
+// Loaded reports whether Load has succeeded.
 func (i *Intents[D, T]) Loaded() bool { return i.loaded }
 
-// Open is what the record holds, as far as known.
-func (i *Intents[D, T]) Open() []T { return i.latest }
+// Open returns the open intents as last read or written.
+func (i *Intents[D, T]) Open() []T { return i.recorded }
 
-// Fits tells whether the intents have room in one record.
+// Fits reports whether the intents fit in one record.
 func (i *Intents[D, T]) Fits(open []T) bool {
-	return wire.JSONSize(i.record(open)) <= i.limit
+	return wire.JSONSize(i.newRecord(open)) <= i.sizeLimit
 }
 
-func (i *Intents[D, T]) record(open []T) IntentRecord[T] {
+func (i *Intents[D, T]) newRecord(open []T) IntentRecord[T] {
 	return IntentRecord[T]{Token: i.lease.Token(), At: wire.TimestampOf(i.lease.clock().Now()), Open: open}
 }
 
-// Record replaces the record by these open intents. Only after nil may they be
-// carried out. It is repeated while its outcome is not known, as long as the lease
-// is surely held.
+// Record replaces the record by these open intents. They may be carried out only once it
+// has returned nil. It retries while the outcome is unknown, as long as the lease is
+// certainly held.
 func (i *Intents[D, T]) Record(ctx context.Context, open []T) error {
 	if !i.loaded {
-		return fmt.Errorf("%w: %s was not read", ErrNoPermit, i.key())
+		return fmt.Errorf("%w: the record %q has not been loaded", ErrNoPermit, i.key())
 	}
 	if !i.Fits(open) {
-		return ErrTooLarge
+		return fmt.Errorf("%w: %d intents under %q exceed %d bytes", ErrTooLarge, len(open), i.key(), i.sizeLimit)
 	}
 	for {
 		done, err := i.tryRecord(ctx, open)
@@ -106,55 +107,56 @@
 	}
 }
 
-// tryRecord tries once; false without an error: it is to be tried again.
+// tryRecord makes one attempt. False without an error means that it is to be retried.
 func (i *Intents[D, T]) tryRecord(ctx context.Context, open []T) (bool, error) {
 	permit, err := PermitFor[D](i.lease)
 	if err != nil {
 		return false, err
 	}
-	// The record's own revision is a guard too: a try without an answer that is
+	// The record's own revision is a guard too: an attempt without an answer that is
 	// executed late must not undo a later one.
 	revision, err := permit.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: i.key(), Revision: i.revision}},
-		Writes: []Write{{Put: i.key(), Value: wire.Encode(i.record(open))}},
+		Writes: []Write{{Put: i.key(), Value: wire.Encode(i.newRecord(open))}},
 	})
 	var conflict *ConflictError
 	switch {
 	case err == nil:
-		i.revision, i.latest = revision, open
-		i.lease.event(Recorded, permit.Name(), fmt.Sprint(len(open), " open"))
+		i.revision, i.recorded = revision, open
+		i.lease.emit(Recorded, permit.Name(), fmt.Sprint(len(open), " open"))
 		return true, nil
 	case errors.As(err, &conflict):
-		return false, i.conflicted(ctx, conflict)
-	case errors.Is(err, ErrUnknown):
+		return false, i.resolveConflict(ctx, conflict)
+	case errors.Is(err, ErrOutcomeUnknown):
 		return false, nil
 	}
 	return false, err
 }
 
-// conflicted takes in that a guard failed: nil if the write is to be tried again.
-func (i *Intents[D, T]) conflicted(ctx context.Context, conflict *ConflictError) error {
-	// The lease's key may have a new revision by a raised token of ours.
-	if conflict.Has(i.lease.candidate.Key) && !i.ours(ctx) {
-		return ErrHeldByOther
+// resolveConflict finds out why a guard failed. It returns nil if the write is to be
+// retried.
+func (i *Intents[D, T]) resolveConflict(ctx context.Context, conflict *ConflictError) error {
+	// The lease's key may have a new revision because this holder raised its token.
+	if conflict.Has(i.lease.candidate.Key) && !i.mayHoldLease(ctx) {
+		return i.lease.failure(ErrHeldByOther)
 	}
 	if conflict.Has(i.key()) {
-		// An earlier try of ours was executed: nobody else can write the record
-		// while we hold the lease.
-		e, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
-		if err == nil || errors.Is(err, ErrMissing) {
-			i.revision = e.Revision
+		// An earlier attempt of this holder was executed: nobody else can write the record
+		// while it holds the lease.
+		entry, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
+		if err == nil || errors.Is(err, ErrNotFound) {
+			i.revision = entry.Revision
 		}
 	}
 	return nil
 }
 
-// ours tells whether the lease's key may still be this holder's.
-func (i *Intents[D, T]) ours(ctx context.Context) bool {
-	c := i.lease.candidate
-	e, err := c.Store.Get(ctx, store.Critical, c.Key)
-	if errors.Is(err, ErrMissing) {
+// mayHoldLease reads the lease's key and reports whether it may still be this holder's.
+func (i *Intents[D, T]) mayHoldLease(ctx context.Context) bool {
+	candidate := i.lease.candidate
+	entry, err := candidate.Store.Get(ctx, store.Critical, candidate.Key)
+	if errors.Is(err, ErrNotFound) {
 		return false
 	}
-	return err != nil || c.wrote(e, i.lease.terms.Grant)
+	return err != nil || candidate.isOwnRecord(entry, i.lease.tenure.Grant)
 }
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -11,37 +11,36 @@
 	"lilaclead/internal/wire"
 )
 
-// raiseRetry is the pause before a try to raise the token is repeated.
+// raiseRetry is the pause before an attempt to raise the token is repeated.
 const raiseRetry = 200 * time.Millisecond
 
-// Tenure are the terms on which a lease was taken.
+// resigned replaces Lease.validFor once the lease was given up: no renewal changes it.
+const resigned = math.MinInt64 / 2
+
+// Tenure describes how a lease was acquired.
 type Tenure struct {
 	Grant     GrantID
 	Token     FencingToken // the revision of the lease's key
-	TakenAt   time.Time
-	HeldUntil time.Time
+	TakenAt   time.Time    // when the lease was acquired
+	HeldUntil time.Time    // until when it is certainly held unless it is renewed
 }
 
-// Lease is a lease as its holder knows it. It may be asked from any goroutine
-// whether it is still held.
+// Lease is a lease as its holder knows it. Any goroutine may ask whether it is still held.
 type Lease struct {
-	candidate *Candidate
-	terms     Tenure
+	candidate *Candidate // nil for a lease that only tells the time
+	tenure    Tenure
 	token     atomic.Uint64
-	// heldUntil is a time since the lease was taken, which no step of the wall clock
-	// changes.
-	heldUntil atomic.Int64
+	// validFor is a time.Duration since the lease was acquired, which no step of the wall
+	// clock changes; or resigned.
+	validFor atomic.Int64
 }
 
-// resigned stands in heldUntil once the lease was given up: no renewal changes it.
-const resigned = math.MinInt64 / 2
-
-// NewLease is a lease that was taken on these terms, for whoever takes or restores
-// leases by other means than Campaign.
-func NewLease(c *Candidate, terms Tenure) *Lease {
-	l := &Lease{candidate: c, terms: terms}
-	l.token.Store(uint64(terms.Token))
-	l.heldUntil.Store(int64(terms.HeldUntil.Sub(terms.TakenAt)))
+// NewLease returns a lease that was acquired by other means than Campaign, or that is
+// restored.
+func NewLease(c *Candidate, tenure Tenure) *Lease {
+	l := &Lease{candidate: c, tenure: tenure}
+	l.token.Store(uint64(tenure.Token))
+	l.validFor.Store(int64(tenure.HeldUntil.Sub(tenure.TakenAt)))
 	return l
 }
 
@@ -52,65 +51,86 @@
 	return l.candidate.Clock
 }
 
-func (l *Lease) event(kind EventKind, duty Name, why string) {
+// emit reports an event of this lease, or of an act under it, with the current token.
+func (l *Lease) emit(kind EventKind, duty Name, reason string) {
+	if l.candidate != nil {
+		l.candidate.emit(Event{At: l.clock().Now(), Kind: kind, Duty: duty, Token: l.Token(), Reason: reason})
+	}
+}
+
+// failure wraps a reason with what identifies the lease.
+func (l *Lease) failure(reason error) error {
+	err := &LeaseError{Token: l.Token(), Err: reason}
 	if l.candidate != nil {
-		l.candidate.Observe(Event{At: l.clock().Now(), Kind: kind, Duty: duty, Token: l.Token(), Reason: why})
+		err.Key = l.candidate.Key
 	}
+	return err
 }
 
-// FirstToken is the token with which the lease was taken.
-func (l *Lease) FirstToken() FencingToken { return l.terms.Token }
+// FirstToken returns the token with which the lease was acquired.
+func (l *Lease) FirstToken() FencingToken { return l.tenure.Token }
 
-// Token is the token now; it only grows.
+// Token returns the current token; it only grows.
 func (l *Lease) Token() FencingToken { return FencingToken(l.token.Load()) }
 
-// TakenAt is when the lease was taken.
-func (l *Lease) TakenAt() time.Time { return l.terms.TakenAt }
+// TakenAt returns when the lease was acquired.
+func (l *Lease) TakenAt() time.Time { return l.tenure.TakenAt }
 
-// HeldFor is until when the lease is surely held, as a time since it was taken.
-func (l *Lease) HeldFor() time.Duration { return time.Duration(l.heldUntil.Load()) }
+// HeldFor returns until when the lease is certainly held, as a duration since it was
+// acquired.
+func (l *Lease) HeldFor() time.Duration { return time.Duration(l.validFor.Load()) }
 
-// Held tells whether this process surely holds the lease: no other can have it yet.
-func (l *Lease) Held() bool { return l.since() < l.HeldFor() }
+// Held reports whether this process certainly holds the lease: no other can have acquired
+// it yet.
+func (l *Lease) Held() bool { return l.age() < l.HeldFor() }
 
-// since is how long ago the lease was taken.
-func (l *Lease) since() time.Duration { return l.clock().Now().Sub(l.terms.TakenAt) }
+// age returns how long ago the lease was acquired.
+func (l *Lease) age() time.Duration { return l.clock().Now().Sub(l.tenure.TakenAt) }
 
-// extend counts a renewal that was sent then.
-func (l *Lease) extend(sent time.Time) {
-	next := int64(sent.Add(l.candidate.Timing.SafeTTL()).Sub(l.terms.TakenAt))
+// extend prolongs the lease by a renewal that was sent at the given time. It never
+// shortens it, and a resigned lease stays resigned.
+func (l *Lease) extend(sentAt time.Time) {
+	extended := int64(sentAt.Add(l.candidate.Timing.SafeTTL()).Sub(l.tenure.TakenAt))
 	for {
-		now := l.heldUntil.Load()
-		if now == resigned || now >= next || l.heldUntil.CompareAndSwap(now, next) {
+		current := l.validFor.Load()
+		if current == resigned || current >= extended {
+			return
+		}
+		if l.validFor.CompareAndSwap(current, extended) {
 			return
 		}
 	}
 }
 
-// Context is a context that ends before the lease can have, with ErrNotHeld as its
-// cause, or with its parent.
+// Context returns a context that ends with its parent, or before the lease can expire,
+// then with ErrNotHeld as its cause. The caller must call the cancel function.
 func (l *Lease) Context(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	go func() {
-		for {
-			left := l.HeldFor() - l.since()
-			if left <= 0 {
-				cancel(ErrNotHeld)
-				return
-			}
-			select {
-			case <-ctx.Done():
-				return
-			case <-l.clock().After(left):
-			}
-		}
-	}()
+	go l.cancelAtExpiry(ctx, cancel)
 	return ctx, func() { cancel(context.Canceled) }
 }
 
-// Keep renews the lease until the context ends, nil, or the lease is lost. It tells
-// renewed when each renewal that succeeded was sent, once the lease counts it.
-func (l *Lease) Keep(ctx context.Context, renewed func(sent time.Time)) error {
+// cancelAtExpiry cancels the context once the lease may have expired. It returns when the
+// context has ended.
+func (l *Lease) cancelAtExpiry(ctx context.Context, cancel context.CancelCauseFunc) {
+	for {
+		remaining := l.HeldFor() - l.age()
+		if remaining <= 0 {
+			cancel(ErrNotHeld)
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-l.clock().After(remaining):
+		}
+	}
+}
+
+// Keep renews the lease until the context ends, which returns nil, or until the store has
+// ended the grant, which returns an error that is ErrGrantExpired. After each successful
+// renewal that is counted, renewed receives the time at which its request was sent.
+func (l *Lease) Keep(ctx context.Context, renewed func(sentAt time.Time)) error {
 	timing := l.candidate.Timing
 	wait := timing.RenewEvery
 	for {
@@ -119,35 +139,36 @@
 			return nil
 		case <-l.clock().After(wait):
 		}
-		sent := l.clock().Now()
-		err := l.candidate.Store.Renew(ctx, l.terms.Grant, timing.RenewTimeout)
+		sentAt := l.clock().Now()
+		err := l.candidate.Store.Renew(ctx, l.tenure.Grant, timing.RenewTimeout)
 		switch {
 		case err == nil:
-			l.extend(sent)
-			renewed(sent)
+			l.extend(sentAt)
+			renewed(sentAt)
 			wait = timing.RenewEvery
-		case errors.Is(err, ErrMissing):
-			l.event(Lost, "", ErrGrantExpired.Error())
-			return ErrGrantExpired
+		case errors.Is(err, ErrNotFound):
+			l.emit(Lost, "", ErrGrantExpired.Error())
+			return l.failure(ErrGrantExpired)
 		default:
 			wait = timing.RenewEvery / 3
 		}
 	}
 }
 
-// RaiseToken takes a higher token than the old one by a guarded write, however
-// long it takes. Nothing that was sent under the old one can take effect
-// afterwards: transactions fail at their guard, and commands at every receiver that
-// has seen the new one.
+// RaiseToken replaces the token old by a higher one, and retries until it succeeds, the
+// context ends or the lease is lost. Nothing that was sent under the old token can take
+// effect afterwards: transactions fail at their guard, and commands at every receiver that
+// has seen the new token.
 func (l *Lease) RaiseToken(ctx context.Context, old FencingToken) (FencingToken, error) {
 	for {
 		token, err := l.tryRaise(ctx, old)
-		if err == nil && token > old {
-			l.token.Store(uint64(token))
-			l.event(Raised, "", "")
+		if err != nil {
+			return 0, err
 		}
-		if err != nil || token > old {
-			return token, err
+		if token > old {
+			l.token.Store(uint64(token))
+			l.emit(Raised, "", "")
+			return token, nil
 		}
 		select {
 		case <-ctx.Done():
@@ -157,36 +178,38 @@
 	}
 }
 
-// tryRaise tries once; without an error and without a token the outcome is open.
+// tryRaise makes one attempt. A token that is not above the old one, without an error,
+// means that the outcome is open.
 func (l *Lease) tryRaise(ctx context.Context, old FencingToken) (FencingToken, error) {
 	c := l.candidate
 	revision, err := c.Store.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: Revision(old)}},
-		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.Record()), Grant: l.terms.Grant}},
+		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.Record()), Grant: l.tenure.Grant}},
 	})
 	if err == nil {
 		return FencingToken(revision), nil
 	}
-	// Executed, perhaps by an earlier try: then the key is ours with a new revision.
-	e, err := c.Store.Get(ctx, store.Critical, c.Key)
-	var rec store.LeaderRecord
+	// It may have been executed, perhaps by an earlier attempt: then the key is still this
+	// holder's, with a new revision.
+	entry, err := c.Store.Get(ctx, store.Critical, c.Key)
+	var record store.LeaderRecord
 	switch {
-	case errors.Is(err, ErrMissing):
-		return 0, ErrNoHolder
-	case err != nil || wire.Decode(e.Value, &rec) != nil:
+	case errors.Is(err, ErrNotFound):
+		return 0, l.failure(ErrNoHolder)
+	case err != nil || wire.Decode(entry.Value, &record) != nil:
 		return 0, nil
-	case !c.wrote(e, l.terms.Grant):
-		return 0, ErrHeldByOther
+	case !c.isOwnRecord(entry, l.tenure.Grant):
+		return 0, l.failure(ErrHeldByOther)
 	}
-	return FencingToken(e.Revision), nil
+	return FencingToken(entry.Revision), nil
 }
 
-// Resign gives the lease up and leaves it to others until then. No act is permitted
-// from now on, before the state service is told: a successor may act at once. If the
-// state service is not reached the grant runs out by itself.
+// Resign gives the lease up and leaves it to others until the given time. No act is
+// permitted from now on, before the store is told: a successor may act at once. If the
+// store can't be reached the grant expires by itself.
 func (l *Lease) Resign(ctx context.Context, until time.Time) {
-	l.heldUntil.Store(resigned)
-	l.event(Resigned, "", "")
+	l.validFor.Store(resigned)
+	l.emit(Resigned, "", "")
 	l.candidate.BackOffUntil(until)
-	go l.candidate.Store.EndGrant(context.WithoutCancel(ctx), l.terms.Grant) //nolint:errcheck // else it runs out by itself
+	go l.candidate.Store.EndGrant(context.WithoutCancel(ctx), l.tenure.Grant) //nolint:errcheck // else it expires by itself
 }
--- a/duty/permit.go
+++ b/duty/permit.go
@@ -5,33 +5,34 @@
 	"errors"
 )
 
-// Permit is the right to one act of a duty. Only a lease that is surely held gives
-// one; whoever carries out the act asks for one as a parameter and checks it right
-// before the act.
+// Permit is the right to one act of a duty. Only a lease that is certainly held yields
+// one. A function that carries out an act takes a permit as a parameter and checks it
+// right before the act. The zero value permits nothing.
 type Permit[D Duty] struct{ lease *Lease }
 
-// PermitFor gives a permit for a duty, or ErrNotHeld.
+// PermitFor returns a permit for a duty, or an error that is ErrNotHeld.
 func PermitFor[D Duty](l *Lease) (Permit[D], error) {
 	p := Permit[D]{l}
 	return p, p.Check()
 }
 
-// Name of the duty.
+// Name returns the name of the duty.
 func (Permit[D]) Name() Name { return nameOf[D]() }
 
-// Check tells whether the act may be carried out now: nil, ErrNotHeld or ErrNoPermit.
+// Check returns nil if the act may be carried out now, else an error that is ErrNotHeld
+// or ErrNoPermit.
 func (p Permit[D]) Check() error {
 	if p.lease == nil {
 		return ErrNoPermit
 	}
 	if !p.lease.Held() {
-		p.lease.event(Refused, p.Name(), ErrNotHeld.Error())
-		return ErrNotHeld
+		p.lease.emit(Refused, p.Name(), ErrNotHeld.Error())
+		return p.lease.failure(ErrNotHeld)
 	}
 	return nil
 }
 
-// Token under which the act is carried out; 0: none.
+// Token returns the fencing token under which the act is carried out; 0 if there is none.
 func (p Permit[D]) Token() FencingToken {
 	if p.lease == nil {
 		return 0
@@ -39,33 +40,33 @@
 	return p.lease.Token()
 }
 
-// Do carries out an act with a context that ends before the lease can have.
+// Do carries out an act with a context that ends before the lease can expire.
 func (p Permit[D]) Do(ctx context.Context, act func(context.Context) error) error {
 	if err := p.Check(); err != nil {
 		return err
 	}
 	ctx, cancel := p.lease.Context(ctx)
 	defer cancel()
-	err := act(ctx)
-	if err == nil {
-		p.lease.event(Accepted, p.Name(), "")
+	if err := act(ctx); err != nil {
+		return err
 	}
-	return err
+	p.lease.emit(Accepted, p.Name(), "")
+	return nil
 }
 
-// Commit executes a transaction that fails unless this lease is held when it is
-// executed, however late that is: the lease's key is one of its guards.
+// Commit executes a transaction that fails unless this lease is held when it is executed,
+// however late that is: the lease's key is one of its guards.
 func (p Permit[D]) Commit(ctx context.Context, class RequestClass, txn Txn) (Revision, error) {
 	if err := p.Check(); err != nil {
 		return 0, err
 	}
-	key := p.lease.candidate.Key
-	guard := Guard{Key: key, Revision: Revision(p.lease.Token())}
+	candidate := p.lease.candidate
+	guard := Guard{Key: candidate.Key, Revision: Revision(p.lease.Token())}
 	txn.Guards = append([]Guard{guard}, txn.Guards...)
-	revision, err := p.lease.candidate.Store.Commit(ctx, class, txn)
+	revision, err := candidate.Store.Commit(ctx, class, txn)
 	var conflict *ConflictError
-	if errors.As(err, &conflict) && conflict.Has(key) {
-		p.lease.event(Refused, p.Name(), "by the state service")
+	if errors.As(err, &conflict) && conflict.Has(candidate.Key) {
+		p.lease.emit(Refused, p.Name(), "by the state service")
 	}
 	return revision, err
 }
--- /dev/null
+++ b/duty/store.go
@@ -0,0 +1,50 @@
+package duty
+
+import (
+	"context"
+	"time"
+
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// The types of the key-value store, as its protocol defines them.
+type (
+	// FencingToken orders the holders of a lease: only the one with the highest token may
+	// act. It is the revision of the lease's key.
+	FencingToken = wire.FencingToken
+	// Revision numbers the change that wrote a key last; 0 stands for a key that does not
+	// exist.
+	Revision = wire.Revision
+	// GrantID identifies a grant: the store deletes the keys bound to it when it expires.
+	GrantID = wire.GrantID
+	// NodeID names a node.
+	NodeID = wire.NodeID
+	// Entry is a key with its value, revision and grant.
+	Entry = wire.Entry
+	// Guard is a condition of a transaction: the revision that a key must have.
+	Guard = wire.Guard
+	// Write is a change that a transaction makes to one key.
+	Write = wire.Write
+	// Txn is a compare-and-swap transaction: all writes if all guards hold, else none.
+	Txn = wire.Txn
+	// RequestClass determines whether a request waits for the rate budget.
+	RequestClass = store.RequestClass
+	// ConflictError lists the keys whose guards failed; nothing was written.
+	ConflictError = store.ConflictError
+)
+
+// Store is the part of the key-value store that the package uses. An implementation
+// returns ErrOutcomeUnknown for a change that may have been executed or may still be.
+type Store interface {
+	// Grant creates a grant that expires ttl after its last renewal.
+	Grant(ctx context.Context, ttl time.Duration) (GrantID, error)
+	// Renew renews a grant, or returns ErrNotFound if it has expired.
+	Renew(ctx context.Context, grant GrantID, timeout time.Duration) error
+	// EndGrant revokes a grant and deletes the keys bound to it.
+	EndGrant(ctx context.Context, grant GrantID) error
+	// Get reads a key, or returns ErrNotFound.
+	Get(ctx context.Context, class RequestClass, key string) (Entry, error)
+	// Commit executes a transaction and returns its revision, or a *ConflictError.
+	Commit(ctx context.Context, class RequestClass, txn Txn) (Revision, error)
+}
--- a/upgrade/upgrade.go
+++ b/upgrade/upgrade.go
@@ -164,7 +164,7 @@
 // readActive reads the active version alone.
 func readActive(ctx context.Context, s Store) (ActiveRecord, duty.Revision, error) {
 	e, err := s.Get(ctx, store.Critical, ActiveKey)
-	if errors.Is(err, duty.ErrMissing) {
+	if errors.Is(err, duty.ErrNotFound) {
 		return ActiveRecord{Version: Base}, 0, nil
 	}
 	if err != nil {
