--- /dev/null
+++ b/upgrade/errors.go
@@ -0,0 +1,59 @@
+package upgrade
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Reasons why a controller must not serve.
+var (
+	// ErrUnknown reports that the active version was neither read nor heard of yet.
+	ErrUnknown = errors.New("the active version is not known yet")
+	// ErrNotPublished reports that this process has not published what it supports yet.
+	ErrNotPublished = errors.New("the versions of this process are not published yet")
+	// ErrTooOld reports that a later version is active than this program supports.
+	ErrTooOld = errors.New("this program is too old for the active version")
+	// ErrTooNew reports that an earlier version is active than this program supports.
+	ErrTooNew = errors.New("this program is too new for the active version")
+	// ErrReplaced reports that another process has published under this controller's name
+	// since.
+	ErrReplaced = errors.New("another process serves under this controller's name")
+	// ErrUndecodable reports that a record of versions can't be decoded.
+	ErrUndecodable = errors.New("undecodable record of versions")
+)
+
+// ErrNotReady reports that a controller, or the operators, hold up the next version.
+var ErrNotReady = errors.New("not every controller supports the next version")
+
+// UnsupportedVersionError reports that a program does not support the active version. It
+// meets ErrTooOld or ErrTooNew. Retrying is of no use to the same program.
+type UnsupportedVersionError struct {
+	Active    Version
+	Supported Range
+}
+
+// Error names the active version and the supported ones.
+func (e *UnsupportedVersionError) Error() string {
+	return fmt.Sprintf("%v: version %d is active, supported are %v", e.Unwrap(), e.Active, e.Supported)
+}
+
+// Unwrap returns ErrTooOld or ErrTooNew.
+func (e *UnsupportedVersionError) Unwrap() error {
+	if e.Active > e.Supported.Max {
+		return ErrTooOld
+	}
+	return ErrTooNew
+}
+
+// UndecodableError reports a record of versions that can't be decoded. It meets
+// ErrUndecodable. Retrying is of no use until a person has removed the record.
+type UndecodableError struct {
+	// Key of the record in the store.
+	Key string
+}
+
+// Error names the record.
+func (e *UndecodableError) Error() string { return fmt.Sprintf("%v: %s", ErrUndecodable, e.Key) }
+
+// Unwrap returns ErrUndecodable.
+func (e *UndecodableError) Unwrap() error { return ErrUndecodable }
--- /dev/null
+++ b/upgrade/event.go
@@ -0,0 +1,26 @@
+package upgrade
+
+import (
+	"time"
+
+	"lilaclead/duty"
+)
+
+// EventKind classifies an event. The values are part of the recorded history.
+type EventKind string
+
+// The kinds of events.
+const (
+	Published EventKind = "versions published" // a process published what it supports
+	Switched  EventKind = "version switched"   // the active version moved up
+	Refused   EventKind = "version refused"    // a process must not serve
+)
+
+// Event describes a decision of a member.
+type Event struct {
+	At      time.Time
+	Kind    EventKind
+	Version Version
+	Token   duty.FencingToken // of the lease under which the version was switched
+	Reason  string
+}
--- a/upgrade/upgrade_test.go
+++ b/upgrade/upgrade_test.go
@@ -75,7 +75,7 @@
 func (d *deployment) start(node duty.NodeID, understands upgrade.Range) *process {
 	d.stop(node)
 	ctx, cancel := context.WithCancel(d.ctx)
-	m, err := upgrade.NewMember(upgrade.Options{Node: node, Supports: understands, Store: d.client(slices.Index(controllers, node)), Follow: time.Second,
+	m, err := upgrade.NewMember(upgrade.Options{Node: node, Supports: understands, Store: d.client(slices.Index(controllers, node)), PollInterval: time.Second,
 		Observe: func(e upgrade.Event) { d.recordEvent(node, e) }})
 	if err != nil {
 		d.t.Fatal(err)
@@ -250,7 +250,7 @@
 		if v, err := d.process("a").ReadActive(d.ctx); v != 2 || err != nil {
 			t.Errorf("read: %d, %v", v, err)
 		}
-		if g, v := d.process("a").Guard(); v != 2 || g.Key != upgrade.ActiveKey || g.Revision != d.state.Revision(upgrade.ActiveKey) {
+		if g, v := d.process("a").ActiveVersionGuard(); v != 2 || g.Key != upgrade.ActiveKey || g.Revision != d.state.Revision(upgrade.ActiveKey) {
 			t.Errorf("guard %+v of version %d", g, v)
 		}
 		for _, event := range []string{"c versions published 1", "a version switched 2", "b version refused 2"} {
@@ -391,12 +391,12 @@
 			}
 			return strings.Join(out, "; ")
 		}
-		if got, want := look(), fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.NotInContact, upgrade.Damaged); got != want {
+		if got, want := look(), fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.NotInContact, upgrade.UndecodableRecord); got != want {
 			t.Errorf("shown %q, want %q", got, want)
 		}
 		d.state.Delete(upgrade.SupportKey("c"))
 		d.setProcess("b", &process{p.Member, func() {}}) // one that has not published
-		if got, want := look(), fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.OtherProcess, upgrade.NothingPublished); got != want {
+		if got, want := look(), fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.OtherIncarnation, upgrade.NothingPublished); got != want {
 			t.Errorf("shown %q, want %q", got, want)
 		}
 	})
