--- /dev/null
+++ b/duty/permit_test.go
@@ -0,0 +1,67 @@
+package duty_test
+
+import (
+	"context"
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lilaclead/duty"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// putFact is a transaction that depends on nothing.
+var putFact = duty.Txn{Writes: []duty.Write{{Put: "fact/x", Value: wire.Encode(1)}}}
+
+func TestZeroPermitRefusesEverything(t *testing.T) {
+	var permit duty.Permit[duty.ScaleIn]
+	act := func(context.Context) error {
+		t.Error("an act was carried out without a permit")
+		return nil
+	}
+	if err := permit.Do(t.Context(), act); !errors.Is(err, duty.ErrNoPermit) {
+		t.Errorf("Do: got %v, want %v", err, duty.ErrNoPermit)
+	}
+	if _, err := permit.Commit(t.Context(), store.Critical, putFact); !errors.Is(err, duty.ErrNoPermit) {
+		t.Errorf("Commit: got %v, want %v", err, duty.ErrNoPermit)
+	}
+	if got := permit.Token(); got != 0 {
+		t.Errorf("token: got %d, want 0", got)
+	}
+}
+
+// A permit is of use as long as its lease is held, and no longer, also for an act that is
+// under way.
+func TestPermitEndsWithItsLease(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		sim := newSimulation(t)
+		first := acquire(t, sim.candidate(0))
+		permit, err := duty.PermitFor[duty.Cleanup](first)
+		if err != nil || permit.Token() != first.Token() || permit.Name() != "cleanup" {
+			t.Fatalf("held: got permit %+v, error %v, want one for cleanup under token %d", permit, err, first.Token())
+		}
+		if _, err := permit.Commit(t.Context(), store.Critical, putFact); err != nil {
+			t.Errorf("held: got %v, want nil", err)
+		}
+		act, cancel := first.Context(t.Context())
+		defer cancel()
+
+		first.Resign(t.Context(), time.Now().Add(time.Minute))
+		second := acquire(t, sim.candidate(1))
+		if got := second.TakenAt().Sub(first.TakenAt()); got > time.Second || second.Token() <= first.Token() {
+			t.Errorf("after resigning: got token %d after %d, acquired %v later, want a higher one within 1 s", second.Token(), first.Token(), got)
+		}
+		if _, err := permit.Commit(t.Context(), store.Critical, putFact); !errors.Is(err, duty.ErrNotHeld) {
+			t.Errorf("commit after resigning: got %v, want %v", err, duty.ErrNotHeld)
+		}
+		if _, err := duty.PermitFor[duty.ScaleOut](first); !errors.Is(err, duty.ErrNotHeld) {
+			t.Errorf("new permit after resigning: got %v, want %v", err, duty.ErrNotHeld)
+		}
+		time.Sleep(4 * time.Second)
+		if got := context.Cause(act); !errors.Is(got, duty.ErrNotHeld) {
+			t.Errorf("an act under way ended by %v, want %v", got, duty.ErrNotHeld)
+		}
+	})
+}
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -59,8 +59,8 @@
 
 // Ready reports whether there is a next version and every controller supports it.
 func (s *Status) Ready() bool {
-	holdsUp := func(c ControllerStatus) bool { return c.Missing != "" }
-	return s.Next > s.Active && !slices.ContainsFunc(s.Controllers, holdsUp)
+	isBlocked := func(c ControllerStatus) bool { return c.Missing != "" }
+	return s.Next > s.Active && !slices.ContainsFunc(s.Controllers, isBlocked)
 }
 
 // Look reads how far the upgrade is. It fails if the store can't be read, which may be
@@ -92,14 +92,14 @@
 			Max:         published.Max,
 			Incarnation: published.Incarnation,
 			PublishedAt: published.At,
-			Missing:     m.holdUp(r, d, node, s.Next),
+			Missing:     m.blockerOf(r, d, node, s.Next),
 		})
 	}
 	return s
 }
 
-// holdUp returns why a controller holds up a version; empty if it does not.
-func (m *Member) holdUp(r *records, d Deployment, node duty.NodeID, next Version) Missing {
+// blockerOf returns why a controller holds up a version; empty if it does not.
+func (m *Member) blockerOf(r *records, d Deployment, node duty.NodeID, next Version) Missing {
 	support, published := r.supports[node]
 	connected := m.incarnation
 	if node != m.Node {
