--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -19,229 +19,154 @@
 	"lilaclead/internal/wire"
 )
 
-// testTiming is that of a lease that a test can wait for.
-var testTiming = duty.Timing{TTL: 300 * time.Millisecond, RenewEvery: 40 * time.Millisecond, RenewTimeout: 100 * time.Millisecond,
-	Poll: 15 * time.Millisecond, PollJitter: 10 * time.Millisecond, Margin: 30 * time.Millisecond, Drift: 0.002}
+// shortLease is the timing of a lease whose end a test can wait for in real time.
+var shortLease = duty.Timing{
+	TTL:          300 * time.Millisecond,
+	RenewEvery:   40 * time.Millisecond,
+	RenewTimeout: 100 * time.Millisecond,
+	Poll:         15 * time.Millisecond,
+	PollJitter:   10 * time.Millisecond,
+	Margin:       30 * time.Millisecond,
+	Drift:        0.002,
+}
+
+// recordLimit is the largest value of the store, in bytes.
+const recordLimit = 16 << 10
 
-// holder is a program that carries out all duties while it holds the lease, one act
-// after the other, as fast as it can.
+// holder is a program that carries out all duties while it holds the lease, one act after
+// the other, as fast as it can.
 type holder struct {
-	addr string
-	// fenced: it asks for permits and records its intents. Without, it acts whenever
-	// it believes that it holds the lease, as it found when it took it.
-	fenced bool
-	http   *http.Client
-	store  gatedStore
-	gate   *gate
+	receiversAddr string
+	// fenced: it asks for permits and records its intents. If not, it acts as long as it
+	// believes that it holds the lease, by what it found when it acquired it.
+	fenced    bool
+	http      *http.Client
+	store     gatedStore
+	gate      *gate
+	candidate *duty.Candidate
 
+	// The fields below belong to the current lease.
 	lease     *duty.Lease
-	rentals   *duty.Intents[duty.ScaleOut, leader.ScaleOutIntent]
-	returns   *duty.Intents[duty.ScaleIn, wire.MachineID]
+	scaleOuts *duty.Intents[duty.ScaleOut, leader.ScaleOutIntent]
+	scaleIns  *duty.Intents[duty.ScaleIn, wire.MachineID]
 	machines  []string
-	bookings  int
-	candidate *duty.Candidate
-}
-
-// gate is on a holder's way to the network. Closed, it keeps requests back whatever
-// becomes of their senders, and lets them go when it is opened: as a paused process
-// does, or a socket.
-type gate struct {
-	mu     sync.Mutex
-	cond   *sync.Cond
-	closed bool
-	// closesAt: it closes once a request comes with this path.
-	closesAt string
-	// stateOnly: only requests to the state service are kept back.
-	stateOnly bool
-	// answers: the requests go, their answers are kept back.
-	answers bool
-}
-
-func newGate() *gate {
-	g := &gate{}
-	g.cond = sync.NewCond(&g.mu)
-	return g
-}
-
-// close keeps back what comes from now on, or from the next request with the path on.
-func (g *gate) close(at string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.closed, g.closesAt = at == "", at
+	requests  int // to scale out, so far
 }
 
-// open lets everything go.
-func (g *gate) open() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.closed, g.closesAt = false, ""
-	g.cond.Broadcast()
-}
-
-// toState stands for the path of all requests to the state service.
-const toState = "state"
-
-// wait keeps a request or its answer back while the gate is closed for it.
-func (g *gate) wait(path string, answer bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if path == g.closesAt && path != "" {
-		g.closed, g.closesAt = true, ""
-	}
-	for g.closed && (path == toState || !g.stateOnly) && (answer || !g.answers) {
-		g.cond.Wait()
-	}
-}
-
-// RoundTrip sends a request to the cloud or the worker.
-func (g *gate) RoundTrip(q *http.Request) (*http.Response, error) {
-	g.wait(q.URL.Path, false)
-	// What is in a socket goes, though its sender has given up meanwhile.
-	resp, err := http.DefaultTransport.RoundTrip(q.WithContext(context.WithoutCancel(q.Context())))
-	g.wait(q.URL.Path, true)
-	return resp, err
-}
-
-// gatedStore is the state service behind a gate.
-type gatedStore struct {
-	*store.Client
-	gate *gate
-}
-
-func (s gatedStore) pass(ctx context.Context) (context.Context, func()) {
-	s.gate.wait(toState, false)
-	return context.WithoutCancel(ctx), func() { s.gate.wait(toState, true) }
-}
-
-func (s gatedStore) Grant(ctx context.Context, life time.Duration) (duty.GrantID, error) {
-	ctx, answered := s.pass(ctx)
-	defer answered()
-	return s.Client.Grant(ctx, life)
-}
-
-func (s gatedStore) Renew(ctx context.Context, grant duty.GrantID, timeout time.Duration) error {
-	ctx, answered := s.pass(ctx)
-	defer answered()
-	return s.Client.Renew(ctx, grant, timeout)
-}
-
-func (s gatedStore) Get(ctx context.Context, class duty.RequestClass, key string) (duty.Entry, error) {
-	ctx, answered := s.pass(ctx)
-	defer answered()
-	return s.Client.Get(ctx, class, key)
-}
-
-func (s gatedStore) Commit(ctx context.Context, class duty.RequestClass, txn duty.Txn) (duty.Revision, error) {
-	ctx, answered := s.pass(ctx)
-	defer answered()
-	return s.Client.Commit(ctx, class, txn)
-}
-
-func newHolder(node, addr string, fenced bool) *holder {
-	h := &holder{addr: addr, fenced: fenced, gate: newGate()}
+func newHolder(node, addr string, fenced bool, mode freezeMode) *holder {
+	h := &holder{receiversAddr: addr, fenced: fenced, gate: newGate(mode)}
 	h.http = &http.Client{Transport: h.gate}
-	limits := config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 12}
+	limits := config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: recordLimit >> 10, TxnOps: 12}
 	h.store = gatedStore{store.New(addr, limits, 1, netio.Real()), h.gate}
-	h.candidate = duty.NewCandidate(duty.Options{Key: leaseKey, Node: duty.NodeID(node), Store: h.store, Timing: testTiming})
+	h.candidate = duty.NewCandidate(duty.Options{Key: leaseKey, Node: duty.NodeID(node), Store: h.store, Timing: shortLease})
 	return h
 }
 
-// run holds the lease again and again until the context ends.
+// run acquires the lease and acts under it, again and again, until the context ends.
 func (h *holder) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		h.lease = h.candidate.Campaign(ctx)
-		if h.lease == nil {
+		lease := h.candidate.Campaign(ctx)
+		if lease == nil {
 			return
 		}
-		term, cancel := context.WithCancel(ctx)
-		go func() {
-			h.lease.Keep(term, func(time.Time) {}) //nolint:errcheck // what follows ends the term
-			cancel()
-		}()
-		h.hold(term)
-		cancel()
+		h.serveTerm(ctx, lease)
 	}
 }
 
-// errTermOver ends a term.
-var errTermOver = errors.New("the term is over")
+// serveTerm acts under a lease and renews it until it is lost.
+func (h *holder) serveTerm(ctx context.Context, lease *duty.Lease) {
+	ctx, cancel := context.WithCancel(ctx)
+	var renewal sync.WaitGroup
+	renewal.Go(func() {
+		defer cancel()
+		lease.Keep(ctx, func(time.Time) {}) //nolint:errcheck // either way the term ends
+	})
+	h.act(ctx, lease)
+	cancel()
+	renewal.Wait()
+}
 
-// hold takes over and then acts until the lease is lost.
-func (h *holder) hold(ctx context.Context) {
-	h.rentals = duty.OpenIntents[duty.ScaleOut, leader.ScaleOutIntent](h.lease, 16<<10)
-	h.returns = duty.OpenIntents[duty.ScaleIn, wire.MachineID](h.lease, 16<<10)
-	h.machines, h.bookings = nil, 0
-	if h.takeOver(ctx) != nil {
+// errTermEnded ends an act whose term has ended.
+var errTermEnded = errors.New("the term has ended")
+
+// act takes over from an earlier holder and then acts until the lease is lost.
+func (h *holder) act(ctx context.Context, lease *duty.Lease) {
+	h.lease = lease
+	h.scaleOuts = duty.OpenIntents[duty.ScaleOut, leader.ScaleOutIntent](lease, recordLimit)
+	h.scaleIns = duty.OpenIntents[duty.ScaleIn, wire.MachineID](lease, recordLimit)
+	h.machines, h.requests = nil, 0
+	if h.recover(ctx) != nil {
 		return
 	}
+	acts := []func(context.Context) error{h.scaleOutAnew, h.preempt, h.cleanUp, h.scaleInOldest}
 	for n := 0; ctx.Err() == nil; n++ {
-		var err error
-		switch n % 4 {
-		case 0:
-			h.bookings++
-			err = h.rent(ctx, fmt.Sprintf("b-%d-%d", h.lease.Token(), h.bookings))
-		case 1:
-			err = h.reclaim(ctx)
-		case 2:
-			err = h.cleanUp(ctx)
-		case 3:
-			if len(h.machines) > 2 {
-				id := h.machines[0]
-				h.machines = h.machines[1:]
-				err = h.giveBack(ctx, wire.MachineID(id))
-			}
-		}
-		if errors.Is(err, duty.ErrNotHeld) || errors.Is(err, duty.ErrHeldByOther) || errors.Is(err, errTermOver) {
+		if err := acts[n%len(acts)](ctx); endsTerm(err) {
 			return
 		}
 	}
 }
 
-// takeOver shows its token, goes on with what an earlier holder left open, and uses
-// all other machines.
-func (h *holder) takeOver(ctx context.Context) error {
-	if err := h.reclaim(ctx); err != nil {
+// endsTerm reports whether an error means that the lease gives no right to act any more.
+func endsTerm(err error) bool {
+	return errors.Is(err, duty.ErrNotHeld) || errors.Is(err, duty.ErrHeldByOther) || errors.Is(err, errTermEnded)
+}
+
+// recover shows the new token to the worker, completes what an earlier holder left open,
+// and uses all other machines.
+func (h *holder) recover(ctx context.Context) error {
+	if err := h.preempt(ctx); err != nil {
 		return err
 	}
-	var rentals duty.IntentRecord[leader.ScaleOutIntent]
-	var returns duty.IntentRecord[wire.MachineID]
 	if h.fenced {
-		var err error
-		if rentals, err = h.rentals.Load(ctx); err != nil {
-			return err
-		}
-		if returns, err = h.returns.Load(ctx); err != nil {
+		if err := h.completeOpenIntents(ctx); err != nil {
 			return err
 		}
 	}
-	for _, i := range rentals.Open {
-		if err := h.rent(ctx, i.Request.Name); err != nil {
+	listed, err := h.request(ctx, listPath, "")
+	if err != nil {
+		return err
+	}
+	h.machines = listed
+	return h.launchOn(ctx, listed)
+}
+
+// completeOpenIntents repeats the requests that an earlier holder has recorded.
+func (h *holder) completeOpenIntents(ctx context.Context) error {
+	scaleOuts, err := h.scaleOuts.Load(ctx)
+	if err != nil {
+		return err
+	}
+	scaleIns, err := h.scaleIns.Load(ctx)
+	if err != nil {
+		return err
+	}
+	for _, intent := range scaleOuts.Open {
+		if err := h.scaleOut(ctx, intent.Request.Name); err != nil {
 			return err
 		}
 	}
-	for _, id := range returns.Open {
-		if err := h.giveBack(ctx, id); err != nil {
+	for _, machine := range scaleIns.Open {
+		if err := h.scaleIn(ctx, machine); err != nil {
 			return err
 		}
 	}
-	listed, err := h.ask(ctx, "/cloud/list", "")
-	if err != nil {
-		return err
-	}
-	h.machines = listed
-	// Recorded, then launched.
+	return nil
+}
+
+// launchOn records that machines are used, and then uses them.
+func (h *holder) launchOn(ctx context.Context, machines []string) error {
 	if err := h.cleanUp(ctx); err != nil {
 		return err
 	}
-	for _, id := range listed {
-		if _, err := h.ask(ctx, "/cloud/use", id); err != nil {
+	for _, machine := range machines {
+		if _, err := h.request(ctx, launchPath, machine); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// permitted carries out an act under a permit, or, unfenced, just carries it out.
+// permitted carries out an act under a permit or, if the holder is unfenced, without.
 func permitted[D duty.Duty](ctx context.Context, h *holder, act func(context.Context) error) error {
 	if !h.fenced {
 		return act(ctx)
@@ -253,54 +178,74 @@
 	return permit.Do(ctx, act)
 }
 
-func (h *holder) rent(ctx context.Context, booking string) error {
-	if h.fenced {
-		// One booking is open at a time; an earlier holder's was this one, or is done.
-		request := wire.ScaleOutRequest{Name: booking, Type: "c4", Zone: "a", Count: 2}
-		if err := h.rentals.Record(ctx, []leader.ScaleOutIntent{{Request: request}}); err != nil {
-			return err
-		}
-	}
+// permittedUntilDone repeats an act until it succeeds or the term ends.
+func permittedUntilDone[D duty.Duty](ctx context.Context, h *holder, act func(context.Context) error) error {
 	for ctx.Err() == nil {
-		err := permitted[duty.ScaleOut](ctx, h, func(ctx context.Context) error {
-			made, err := h.ask(ctx, "/cloud/rent", booking)
-			h.machines = append(h.machines, made...)
-			return err
-		})
+		err := permitted[D](ctx, h, act)
 		if err == nil || errors.Is(err, duty.ErrNotHeld) {
 			return err
 		}
 	}
-	return errTermOver
+	return errTermEnded
+}
+
+// scaleOutAnew requests machines under a new name.
+func (h *holder) scaleOutAnew(ctx context.Context) error {
+	h.requests++
+	return h.scaleOut(ctx, fmt.Sprintf("b-%d-%d", h.lease.Token(), h.requests))
 }
 
-func (h *holder) giveBack(ctx context.Context, id wire.MachineID) error {
+// scaleOut requests machines under a name.
+func (h *holder) scaleOut(ctx context.Context, name string) error {
 	if h.fenced {
-		if err := h.returns.Record(ctx, []wire.MachineID{id}); err != nil {
+		// One request is open at a time; an earlier holder's was this one, or is done.
+		request := wire.ScaleOutRequest{Name: name, Type: "c4", Zone: "a", Count: 2}
+		if err := h.scaleOuts.Record(ctx, []leader.ScaleOutIntent{{Request: request}}); err != nil {
 			return err
 		}
 	}
-	for ctx.Err() == nil {
-		err := permitted[duty.ScaleIn](ctx, h, func(ctx context.Context) error {
-			_, err := h.ask(ctx, "/cloud/return", string(id))
-			return err
-		})
-		if err == nil || errors.Is(err, duty.ErrNotHeld) {
+	return permittedUntilDone[duty.ScaleOut](ctx, h, func(ctx context.Context) error {
+		machines, err := h.request(ctx, scaleOutPath, name)
+		h.machines = append(h.machines, machines...)
+		return err
+	})
+}
+
+// scaleInOldest returns the machine that was added first, if there are more than two.
+func (h *holder) scaleInOldest(ctx context.Context) error {
+	if len(h.machines) <= 2 {
+		return nil
+	}
+	oldest := h.machines[0]
+	h.machines = h.machines[1:]
+	return h.scaleIn(ctx, wire.MachineID(oldest))
+}
+
+// scaleIn returns a machine.
+func (h *holder) scaleIn(ctx context.Context, machine wire.MachineID) error {
+	if h.fenced {
+		if err := h.scaleIns.Record(ctx, []wire.MachineID{machine}); err != nil {
 			return err
 		}
 	}
-	return errTermOver
+	return permittedUntilDone[duty.ScaleIn](ctx, h, func(ctx context.Context) error {
+		_, err := h.request(ctx, scaleInPath, string(machine))
+		return err
+	})
 }
 
-func (h *holder) reclaim(ctx context.Context) error {
+// preempt stops a task on the worker, which then knows the holder's token.
+func (h *holder) preempt(ctx context.Context) error {
 	return permitted[duty.Preemption](ctx, h, func(ctx context.Context) error {
-		_, err := h.ask(ctx, "/worker/halt", "task")
+		_, err := h.request(ctx, preemptPath, "task")
 		return err
 	})
 }
 
+// cleanUp writes a record that is named by the token.
 func (h *holder) cleanUp(ctx context.Context) error {
-	txn := duty.Txn{Writes: []duty.Write{{Put: factPrefix + strconv.FormatUint(uint64(h.lease.FirstToken()), 10), Value: wire.Encode(time.Now().UnixNano())}}}
+	key := factPrefix + strconv.FormatUint(uint64(h.lease.FirstToken()), 10)
+	txn := duty.Txn{Writes: []duty.Write{{Put: key, Value: wire.Encode(time.Now().UnixNano())}}}
 	if !h.fenced {
 		_, err := h.store.Commit(ctx, store.Critical, txn)
 		return err
@@ -313,21 +258,21 @@
 	return err
 }
 
-// ask sends one request to the cloud or the worker.
-func (h *holder) ask(ctx context.Context, path, name string) (answer []string, err error) {
-	raw, err := json.Marshal(request{name})
+// request sends one request to the cloud or the worker.
+func (h *holder) request(ctx context.Context, path, name string) (answer []string, err error) {
+	body, err := json.Marshal(actRequest{name})
 	if err != nil {
 		return nil, err
 	}
-	q, err := http.NewRequestWithContext(ctx, "POST", "http://"+h.addr+path, bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.receiversAddr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	q.Header.Set(tokenHeader, strconv.FormatUint(uint64(h.lease.Token()), 10))
-	resp, err := h.http.Do(q)
+	request.Header.Set(tokenHeader, strconv.FormatUint(uint64(h.lease.Token()), 10))
+	response, err := h.http.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
-	return answer, json.NewDecoder(resp.Body).Decode(&answer)
+	defer response.Body.Close()
+	return answer, json.NewDecoder(response.Body).Decode(&answer)
 }
--- a/duty/receivers_test.go
+++ b/duty/receivers_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"io"
 	"net/http"
 	"strconv"
 	"sync"
@@ -15,232 +14,305 @@
 	"lilaclead/internal/wire"
 )
 
-// tokenHeader tells the fakes under which token a request was sent. They note it and
-// decide nothing by it, unless the protocol has a token there.
-const tokenHeader = "X-Token"
+const (
+	leaseKey = store.LeaderKey
+	// launching is no duty of the package: it stands for what a holder does with a machine
+	// that it believes to be its own.
+	launching duty.Name = "launching"
+	// factPrefix starts the keys that clean-up writes, which are named by the token under
+	// which it does.
+	factPrefix = "fact/"
+	// tokenHeader tells the fakes under which token a request was sent. They decide
+	// nothing by it unless the protocol has a token there.
+	tokenHeader = "X-Token"
+)
+
+// Paths of the fake cloud and the fake worker.
+const (
+	scaleOutPath = "/cloud/scale-out"
+	scaleInPath  = "/cloud/scale-in"
+	launchPath   = "/cloud/launch"
+	listPath     = "/cloud/list"
+	preemptPath  = "/worker/preempt"
+)
+
+// actRequest is the body of a request to the cloud or the worker.
+type actRequest struct {
+	Name string `json:"name"`
+}
 
 // act is something that a receiver was asked to do.
 type act struct {
-	duty   duty.Name
-	token  duty.FencingToken
-	what   string // booking, machine, worker or key
-	effect bool   // it changed something
-	at     time.Time
+	duty     duty.Name
+	token    duty.FencingToken
+	target   string // request to scale out, machine, task or key
+	accepted bool   // it changed something
+	at       time.Time
 }
 
-// receivers are the fakes that a holder acts upon: the state service, a cloud that
-// checks no tokens, and a worker that does. One lock orders all that they do.
+// receivers are the fakes that a holder acts upon: the store, a cloud that checks no
+// tokens, and a worker that does. One lock orders all that they do.
 type receivers struct {
-	state *simulator.State
-	// checks tells whether the worker checks tokens.
-	checks bool
-
-	mu       sync.Mutex
-	acts     []act
-	bookings map[string][]string
-	machines map[string]bool
-	used     map[string]duty.FencingToken // by whom a machine was last used
-	nextID   int
-	highest  duty.FencingToken // that the worker has seen
-	// promoted is when the lease was last taken, and by which token.
-	promoted    duty.FencingToken
-	promotedAt  time.Time
-	actsBefore  int                      // acts until then
-	facts       map[string]duty.Revision // of the records that clean-up writes
-	openRentals map[string]bool          // recorded when it was taken
-	openReturns map[string]bool
-}
-
-func newReceivers(checks bool) *receivers {
-	return &receivers{state: simulator.NewState(12, 16), checks: checks, bookings: map[string][]string{}, machines: map[string]bool{}, used: map[string]duty.FencingToken{}, facts: map[string]duty.Revision{}}
-}
-
-func (r *receivers) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	switch q.URL.Path {
-	case "/cloud/rent", "/cloud/return", "/cloud/use", "/cloud/list", "/worker/halt":
-		r.serveAct(w, q)
+	store *simulator.State
+	// workerChecksTokens is false in the control, where nothing is fenced.
+	workerChecksTokens bool
+
+	mu         sync.Mutex
+	acts       []act
+	scaledOut  map[string][]string // machines by the name of the request
+	machines   map[string]bool
+	launchedBy map[string]duty.FencingToken // who used a machine last
+	lastID     int
+	// workerToken is the highest that the worker has seen.
+	workerToken duty.FencingToken
+	// facts are the revisions of the records that clean-up writes.
+	facts map[string]duty.Revision
+	tenureStart
+}
+
+// tenureStart is what there was when the lease was acquired last.
+type tenureStart struct {
+	holderToken   duty.FencingToken
+	actsBefore    int
+	openScaleOuts map[string]bool
+	openScaleIns  map[string]bool
+}
+
+func newReceivers(workerChecksTokens bool) *receivers {
+	return &receivers{
+		store:              simulator.NewState(12, recordLimit>>10),
+		workerChecksTokens: workerChecksTokens,
+		scaledOut:          map[string][]string{},
+		machines:           map[string]bool{},
+		launchedBy:         map[string]duty.FencingToken{},
+		facts:              map[string]duty.Revision{},
+	}
+}
+
+func (r *receivers) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	switch request.URL.Path {
+	case scaleOutPath, scaleInPath, launchPath, listPath, preemptPath:
+		r.serveAct(w, request)
 	default:
-		r.serveState(w, q)
+		r.serveStore(w, request)
 	}
 }
 
-// serveState passes on to the state service and notes when the lease is taken.
-func (r *receivers) serveState(w http.ResponseWriter, q *http.Request) {
+// serveStore passes a request on to the store and notices when the lease is acquired.
+func (r *receivers) serveStore(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.ServeHTTP(w, q)
-	r.noteFacts()
-	if now := duty.FencingToken(r.state.Revision(leaseKey)); now > r.promoted {
-		r.promoted, r.promotedAt, r.actsBefore = now, time.Now(), len(r.acts)
-		r.openRentals, r.openReturns = map[string]bool{}, map[string]bool{}
-		var rentals duty.IntentRecord[leader.ScaleOutIntent]
-		var returns duty.IntentRecord[wire.MachineID]
-		decode(r.state.Value(duty.IntentKey("renting")), &rentals)
-		decode(r.state.Value(duty.IntentKey("returning")), &returns)
-		for _, i := range rentals.Open {
-			r.openRentals[i.Request.Name] = true
-		}
-		for _, id := range returns.Open {
-			r.openReturns[string(id)] = true
-		}
+	r.store.ServeHTTP(w, request)
+	r.recordCleanups()
+	if token := duty.FencingToken(r.store.Revision(leaseKey)); token > r.holderToken {
+		r.tenureStart = r.newTenureStart(token)
 	}
 }
 
-// noteFacts notes which records clean-up has written; call with the lock held.
-func (r *receivers) noteFacts() {
-	for _, key := range r.state.Keys(factPrefix) {
-		revision := r.state.Revision(key)
+// newTenureStart returns what there is now that the lease was acquired under a token.
+func (r *receivers) newTenureStart(token duty.FencingToken) tenureStart {
+	start := tenureStart{holderToken: token, actsBefore: len(r.acts), openScaleOuts: map[string]bool{}, openScaleIns: map[string]bool{}}
+	var scaleOuts duty.IntentRecord[leader.ScaleOutIntent]
+	decodeIntents(r.store.Value(duty.IntentKey("renting")), &scaleOuts)
+	for _, intent := range scaleOuts.Open {
+		start.openScaleOuts[intent.Request.Name] = true
+	}
+	var scaleIns duty.IntentRecord[wire.MachineID]
+	decodeIntents(r.store.Value(duty.IntentKey("returning")), &scaleIns)
+	for _, machine := range scaleIns.Open {
+		start.openScaleIns[string(machine)] = true
+	}
+	return start
+}
+
+// recordCleanups adds an act for each record that clean-up has written. The caller holds
+// the lock.
+func (r *receivers) recordCleanups() {
+	for _, key := range r.store.Keys(factPrefix) {
+		revision := r.store.Revision(key)
 		if revision == r.facts[key] {
 			continue
 		}
 		r.facts[key] = revision
 		token, _ := strconv.ParseUint(key[len(factPrefix):], 10, 64)
-		r.acts = append(r.acts, act{duty: duty.Cleanup{}.Name(), token: duty.FencingToken(token), what: key, effect: true, at: time.Now()})
+		r.acts = append(r.acts, act{duty: duty.Cleanup{}.Name(), token: duty.FencingToken(token), target: key, accepted: true, at: time.Now()})
 	}
 }
 
-func decode(raw []byte, v any) {
-	if len(raw) > 0 && wire.Decode(raw, v) != nil {
+func decodeIntents(raw []byte, record any) {
+	if len(raw) > 0 && wire.Decode(raw, record) != nil {
 		panic("a record of intents can't be decoded")
 	}
 }
 
-// request to the cloud or the worker.
-type request struct {
-	Name string `json:"name"`
-}
-
-func (r *receivers) serveAct(w http.ResponseWriter, q *http.Request) {
-	raw, err := io.ReadAll(q.Body)
-	var in request
-	if err != nil || json.Unmarshal(raw, &in) != nil {
+func (r *receivers) serveAct(w http.ResponseWriter, request *http.Request) {
+	var body actRequest
+	if json.NewDecoder(request.Body).Decode(&body) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	token, _ := strconv.ParseUint(q.Header.Get(tokenHeader), 10, 64)
-	a := act{token: duty.FencingToken(token), what: in.Name, at: time.Now()}
+	token, _ := strconv.ParseUint(request.Header.Get(tokenHeader), 10, 64)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	status, answer := http.StatusOK, []string{}
-	switch q.URL.Path {
-	case "/cloud/rent":
+	status, answer := r.execute(request.URL.Path, duty.FencingToken(token), body.Name)
+	w.WriteHeader(status)
+	json.NewEncoder(w).Encode(answer) //nolint:errcheck // the client may have gone
+}
+
+// execute carries out what a path stands for, and records it as an act if it is one. The
+// caller holds the lock.
+func (r *receivers) execute(path string, token duty.FencingToken, target string) (status int, answer []string) {
+	if path == listPath {
+		return http.StatusOK, r.listMachines()
+	}
+	a := act{token: token, target: target, at: time.Now()}
+	status, answer = http.StatusOK, []string{}
+	switch path {
+	case scaleOutPath:
 		a.duty = duty.ScaleOut{}.Name()
-		answer, a.effect = r.rent(in.Name)
-	case "/cloud/return":
+		answer, a.accepted = r.scaleOut(target)
+	case scaleInPath:
 		a.duty = duty.ScaleIn{}.Name()
-		a.effect = r.machines[in.Name]
-		delete(r.machines, in.Name)
-	case "/cloud/use":
-		// A launch: that machine's worker checks tokens too.
-		a.duty, a.effect = launching, r.machines[in.Name] && (!r.checks || a.token >= r.used[in.Name])
-		if a.effect {
-			r.used[in.Name] = a.token
-		}
-	case "/cloud/list":
-		for id := range r.machines {
-			answer = append(answer, id)
-		}
-	case "/worker/halt":
+		a.accepted = r.machines[target]
+		delete(r.machines, target)
+	case launchPath:
+		a.duty = launching
+		a.accepted = r.launch(target, token)
+	case preemptPath:
 		a.duty = duty.Preemption{}.Name()
-		a.effect = !r.checks || a.token >= r.highest
-		r.highest = max(r.highest, a.token)
-		if !a.effect {
+		a.accepted = r.preempt(token)
+		if !a.accepted {
 			status = http.StatusConflict
 		}
 	}
-	if a.duty != "" {
-		r.acts = append(r.acts, a)
+	r.acts = append(r.acts, a)
+	return status, answer
+}
+
+func (r *receivers) listMachines() []string {
+	machines := []string{}
+	for id := range r.machines {
+		machines = append(machines, id)
 	}
-	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(answer) //nolint:errcheck // the client has gone
+	return machines
 }
 
-// rent gives two machines; a repeated booking the same ones.
-func (r *receivers) rent(booking string) (machines []string, made bool) {
-	if known, ok := r.bookings[booking]; ok {
+// scaleOut adds two machines; a repeated request gets the same ones and adds none.
+func (r *receivers) scaleOut(name string) (machines []string, added bool) {
+	if known, ok := r.scaledOut[name]; ok {
 		return known, false
 	}
 	for range 2 {
-		r.nextID++
-		id := "n-" + strconv.Itoa(r.nextID)
+		r.lastID++
+		id := "n-" + strconv.Itoa(r.lastID)
 		machines = append(machines, id)
 		r.machines[id] = true
 	}
-	r.bookings[booking] = machines
+	r.scaledOut[name] = machines
 	return machines, true
 }
 
-// staleActs lists what was accepted of earlier holders after the last one had taken
-// the lease, and counts what of theirs arrived; what was carried out for it, intents
-// that it found; and what a worker accepted before the last one had acted on it, as
-// the worker can't know of it yet.
-func (r *receivers) staleActs() (stale []act, arrived, completed, inWindow int) {
+// launch reports whether a machine takes a task: its worker checks tokens too.
+func (r *receivers) launch(machine string, token duty.FencingToken) bool {
+	accepted := r.machines[machine] && (!r.workerChecksTokens || token >= r.launchedBy[machine])
+	if accepted {
+		r.launchedBy[machine] = token
+	}
+	return accepted
+}
+
+// preempt reports whether the worker stops a task.
+func (r *receivers) preempt(token duty.FencingToken) bool {
+	accepted := !r.workerChecksTokens || token >= r.workerToken
+	r.workerToken = max(r.workerToken, token)
+	return accepted
+}
+
+// lateActs are those of earlier holders that arrived after the last one had acquired the
+// lease.
+type lateActs struct {
+	arrived int
+	// completed are accepted ones that carried out an intent which the successor found
+	// open.
+	completed int
+	// beforeSuccessor are those that a worker accepted before the successor had acted on
+	// it, as the worker can't know of it yet.
+	beforeSuccessor int
+	// stale are all other accepted ones.
+	stale []act
+}
+
+// lateActs classifies the late acts so far.
+func (r *receivers) lateActs() lateActs {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	shown := false // the last holder has acted on the worker
+	var late lateActs
+	workerKnowsSuccessor := false
 	for _, a := range r.acts[r.actsBefore:] {
-		if a.duty == (duty.Preemption{}).Name() && a.token == r.promoted {
-			shown = true
-		}
-		if a.token == r.promoted {
+		if a.token == r.holderToken {
+			workerKnowsSuccessor = workerKnowsSuccessor || a.duty == (duty.Preemption{}).Name()
 			continue
 		}
-		arrived++
-		if !a.effect {
-			continue
+		late.arrived++
+		switch {
+		case !a.accepted:
+		case r.completesIntent(a):
+			late.completed++
+		case r.precedesSuccessor(a, workerKnowsSuccessor):
+			late.beforeSuccessor++
+		default:
+			late.stale = append(late.stale, a)
 		}
-		switch a.duty {
-		case duty.ScaleOut{}.Name():
-			if r.openRentals[a.what] {
-				completed++
-				continue
-			}
-		case duty.ScaleIn{}.Name():
-			if r.openReturns[a.what] && r.used[a.what] != r.promoted {
-				completed++
-				continue
-			}
-		case duty.Preemption{}.Name():
-			if !shown {
-				inWindow++
-				continue
-			}
-		case launching:
-			if r.used[a.what] != r.promoted {
-				inWindow++
-				continue
-			}
-		}
-		stale = append(stale, a)
 	}
-	return stale, arrived, completed, inWindow
+	return late
+}
+
+// completesIntent reports whether a late act is one that the successor found open. A
+// machine that the successor uses is none of these.
+func (r *receivers) completesIntent(a act) bool {
+	switch a.duty {
+	case duty.ScaleOut{}.Name():
+		return r.openScaleOuts[a.target]
+	case duty.ScaleIn{}.Name():
+		return r.openScaleIns[a.target] && r.launchedBy[a.target] != r.holderToken
+	}
+	return false
 }
 
-// firstActAfter is the first act of the last holder.
-func (r *receivers) firstActAfter(t time.Time) (time.Time, bool) {
+// precedesSuccessor reports whether a late act came to a worker that the successor had not
+// reached yet.
+func (r *receivers) precedesSuccessor(a act, workerKnowsSuccessor bool) bool {
+	switch a.duty {
+	case duty.Preemption{}.Name():
+		return !workerKnowsSuccessor
+	case launching:
+		return r.launchedBy[a.target] != r.holderToken
+	}
+	return false
+}
+
+// firstActAfter returns when the last holder acted first after a time.
+func (r *receivers) firstActAfter(t time.Time) (at time.Time, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range r.acts {
-		if a.token == r.promoted && a.at.After(t) {
+		if a.token == r.holderToken && a.at.After(t) {
 			return a.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// holder is the token of who holds the lease.
-func (r *receivers) holder() duty.FencingToken {
+// currentToken returns the token of the last holder.
+func (r *receivers) currentToken() duty.FencingToken {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.promoted
+	return r.holderToken
 }
 
-const (
-	leaseKey = store.LeaderKey
-	// launching is no duty of the package: it stands for what a holder does with a
-	// machine that it believes to be its own.
-	launching duty.Name = "launching"
-	// factPrefix is of the records that clean-up writes, named by the token under which
-	// it does.
-	factPrefix = "fact/"
-)
+// countActs returns how many acts the receivers were asked for.
+func (r *receivers) countActs() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.acts)
+}
