--- /dev/null
+++ b/upgrade/deployment_test.go
@@ -0,0 +1,233 @@
+package upgrade_test
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"lilaclead/duty"
+	"lilaclead/internal/config"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+	"lilaclead/upgrade"
+)
+
+// controllers are those of every deployment.
+var controllers = []duty.NodeID{"a", "b", "c"}
+
+// What the programs of the tests support.
+var (
+	oldProgram   = upgrade.Range{Min: 1, Max: 1}
+	newProgram   = upgrade.Range{Min: 1, Max: 2}
+	laterProgram = upgrade.Range{Min: 2, Max: 3}
+)
+
+// anyVersion is the setting of operators that hold nothing back.
+const anyVersion upgrade.Version = 0
+
+// deployment is processes of controllers around a simulated store, in virtual time.
+type deployment struct {
+	network *simulator.Network
+	store   *simulator.State
+
+	mu        sync.Mutex // processes use what follows from goroutines of their own
+	processes map[duty.NodeID]*process
+	lastEnded map[duty.NodeID]endedProcess
+	// contactLag is for how long a process that has ended still counts as connected.
+	contactLag time.Duration
+	events     []string
+}
+
+// process of a controller.
+type process struct {
+	*upgrade.Member
+	cancel context.CancelFunc
+}
+
+// endedProcess is a controller's last process, and when it ended.
+type endedProcess struct {
+	incarnation string
+	at          time.Time
+}
+
+// newDeployment serves a simulated store until the test ends. It must be called in the
+// bubble of synctest.Test.
+func newDeployment(t *testing.T) *deployment {
+	t.Helper()
+	d := &deployment{
+		network:   simulator.NewNetwork(time.Millisecond),
+		store:     simulator.NewState(12, 16),
+		processes: map[duty.NodeID]*process{},
+		lastEnded: map[duty.NodeID]endedProcess{},
+	}
+	stop, err := d.network.ServeState(d.store)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(stop)
+	return d
+}
+
+// client returns a client of the store on the host of that number.
+func (d *deployment) client(host int) *store.Client {
+	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+	return store.New(simulator.StateAddr, limits, 3, d.network.Host(simulator.NodeIP(host)))
+}
+
+// start replaces a controller's process.
+func (d *deployment) start(t *testing.T, node duty.NodeID, supports upgrade.Range) *process {
+	t.Helper()
+	d.stop(node)
+	member, err := upgrade.NewMember(upgrade.Options{
+		Node:         node,
+		Supports:     supports,
+		Store:        d.client(slices.Index(controllers, node)),
+		PollInterval: time.Second,
+		Observe:      func(e upgrade.Event) { d.recordEvent(node, e) },
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	p := &process{member, cancel}
+	d.setProcess(node, p)
+	go member.Run(ctx)
+	return p
+}
+
+// startAll replaces the process of every controller and waits until they have published.
+func (d *deployment) startAll(t *testing.T, supports upgrade.Range) {
+	t.Helper()
+	for _, node := range controllers {
+		d.start(t, node, supports)
+	}
+	awaitPolls()
+}
+
+// awaitPolls waits until every process has read the records at least twice.
+func awaitPolls() { time.Sleep(3 * time.Second) }
+
+// stop ends a controller's process, if one runs.
+func (d *deployment) stop(node duty.NodeID) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if p := d.processes[node]; p != nil {
+		p.cancel()
+		d.lastEnded[node] = endedProcess{p.Incarnation(), time.Now()}
+		delete(d.processes, node)
+	}
+}
+
+// process returns a controller's process; nil if none runs.
+func (d *deployment) process(node duty.NodeID) *process {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.processes[node]
+}
+
+func (d *deployment) setProcess(node duty.NodeID, p *process) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.processes[node] = p
+}
+
+// running returns the controllers' processes.
+func (d *deployment) running() map[duty.NodeID]*process {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return maps.Clone(d.processes)
+}
+
+func (d *deployment) setContactLag(lag time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.contactLag = lag
+}
+
+// connectedIncarnation returns the process of a controller that was in contact within the
+// contact lag; empty if none was.
+func (d *deployment) connectedIncarnation(node duty.NodeID) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if ended := d.lastEnded[node]; !ended.at.IsZero() && time.Since(ended.at) < d.contactLag {
+		return ended.incarnation
+	}
+	if p := d.processes[node]; p != nil {
+		return p.Incarnation()
+	}
+	return ""
+}
+
+func (d *deployment) recordEvent(node duty.NodeID, e upgrade.Event) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.events = append(d.events, fmt.Sprint(node, " ", e.Kind, " ", e.Version))
+}
+
+// checkEvent fails the test unless a controller has emitted an event.
+func (d *deployment) checkEvent(t *testing.T, want string) {
+	t.Helper()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !slices.Contains(d.events, want) {
+		t.Errorf("events: got %q, want %q among them", d.events, want)
+	}
+}
+
+// acquireLease returns a lease that a process of its own holds until the test ends.
+func (d *deployment) acquireLease(t *testing.T) *duty.Lease {
+	t.Helper()
+	timing := duty.Timing{
+		TTL:          3 * time.Second,
+		RenewEvery:   700 * time.Millisecond,
+		RenewTimeout: time.Second,
+		Poll:         100 * time.Millisecond,
+		Margin:       150 * time.Millisecond,
+	}
+	options := duty.Options{Key: store.LeaderKey, Node: "lead", Store: d.client(5), Timing: timing}
+	lease := duty.NewCandidate(options).Campaign(t.Context())
+	if lease == nil {
+		t.Fatal("got no lease, want one")
+	}
+	go lease.Keep(t.Context(), func(time.Time) {}) //nolint:errcheck // the tests ask the lease itself
+	return lease
+}
+
+// knowledge returns what the holder of the lease knows beside the records, if operators
+// allow no version above the given one.
+func (d *deployment) knowledge(allowed upgrade.Version) upgrade.Deployment {
+	return upgrade.Deployment{Controllers: controllers, Ceiling: allowed, Present: d.connectedIncarnation}
+}
+
+// advance has a process try to switch to the next version.
+func (d *deployment) advance(ctx context.Context, lease *duty.Lease, by *process, allowed upgrade.Version) (upgrade.Version, error) {
+	permit, err := duty.PermitFor[duty.Cleanup](lease)
+	if err != nil {
+		return 0, err
+	}
+	return by.Advance(ctx, permit, d.knowledge(allowed))
+}
+
+// active returns the recorded version.
+func (d *deployment) active() upgrade.Version {
+	var record upgrade.ActiveRecord
+	if raw := d.store.Value(upgrade.ActiveKey); len(raw) > 0 && wire.Decode(raw, &record) == nil {
+		return record.Version
+	}
+	return upgrade.Base
+}
+
+// delayWritesOf delays every transaction that writes a key by a second.
+func (d *deployment) delayWritesOf(key string) {
+	d.store.DelayTransactions(func(txn *wire.Txn) time.Duration {
+		if txn.Writes[0].Put == key {
+			return time.Second
+		}
+		return 0
+	})
+}
--- /dev/null
+++ b/upgrade/member_test.go
@@ -0,0 +1,118 @@
+package upgrade_test
+
+import (
+	"errors"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lilaclead/upgrade"
+)
+
+// What another controller reports as active counts at once, before the records are read.
+func TestReportedVersionCountsDuringAnOutage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newDeployment(t)
+		d.store.Outage(true)
+		p := d.start(t, "a", oldProgram)
+		time.Sleep(2 * time.Second)
+		if err := p.Understands(); !errors.Is(err, upgrade.ErrUnknown) {
+			t.Errorf("nothing known: got %v, want %v", err, upgrade.ErrUnknown)
+		}
+		p.Learn(1)
+		if err := p.Understands(); err != nil {
+			t.Errorf("version 1 reported: got %v, want nil", err)
+		}
+		if err := p.MayServe(); !errors.Is(err, upgrade.ErrNotPublished) {
+			t.Errorf("version 1 reported: serving: got %v, want %v", err, upgrade.ErrNotPublished)
+		}
+		p.Learn(2)
+		p.Learn(1)
+		if err := p.Understands(); !errors.Is(err, upgrade.ErrTooOld) {
+			t.Errorf("versions 2, then 1 reported: got %v, want %v", err, upgrade.ErrTooOld)
+		}
+		if got := p.Active(); got != 2 {
+			t.Errorf("versions 2, then 1 reported: active: got %d, want 2", got)
+		}
+	})
+}
+
+func TestProcessServesWhileItsRemovedRecordIsPublishedAgain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newDeployment(t)
+		p := d.start(t, "a", newProgram)
+		awaitPolls()
+		d.store.Delete(upgrade.SupportKey("a"))
+		for range 300 {
+			time.Sleep(10 * time.Millisecond)
+			if err := p.MayServe(); err != nil {
+				t.Fatalf("after its record was removed: got %v, want nil", err)
+			}
+		}
+		if d.store.Revision(upgrade.SupportKey("a")) == 0 {
+			t.Error("support record: got none, want one that was published again")
+		}
+	})
+}
+
+// A process whose record another one has written serves no more, also once that record is
+// removed.
+func TestReplacedProcessServesNoMore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newDeployment(t)
+		p := d.start(t, "a", newProgram)
+		awaitPolls()
+		if err := p.MayServe(); err != nil {
+			t.Fatalf("before it was replaced: got %v, want nil", err)
+		}
+		d.store.Put(upgrade.SupportKey("a"), upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "another"})
+		awaitPolls()
+		if err := p.MayServe(); !errors.Is(err, upgrade.ErrReplaced) {
+			t.Errorf("replaced: got %v, want %v", err, upgrade.ErrReplaced)
+		}
+		d.store.Delete(upgrade.SupportKey("a"))
+		awaitPolls()
+		if err := p.MayServe(); !errors.Is(err, upgrade.ErrReplaced) {
+			t.Errorf("replaced, then the record removed: got %v, want %v", err, upgrade.ErrReplaced)
+		}
+	})
+}
+
+// An undecodable record never lets a process start; one that has published goes on, since
+// nobody can switch while the record is damaged.
+func TestUndecodableActiveRecord(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		published bool // before the record was damaged
+		want      error
+	}{
+		{"a process that has published goes on", true, nil},
+		{"a process that starts is refused", false, upgrade.ErrUndecodable},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				d := newDeployment(t)
+				if c.published {
+					d.start(t, "a", newProgram)
+					awaitPolls()
+				}
+				damaged := d.store.Put(upgrade.ActiveKey, "no record")
+				if !c.published {
+					d.start(t, "a", newProgram)
+				}
+				awaitPolls()
+				err := d.process("a").MayServe()
+				if !errors.Is(err, c.want) {
+					t.Errorf("got %v, want %v", err, c.want)
+				}
+				var undecodable *upgrade.UndecodableError
+				if errors.As(err, &undecodable) && undecodable.Key != upgrade.ActiveKey {
+					t.Errorf("undecodable key: got %q, want %q", undecodable.Key, upgrade.ActiveKey)
+				}
+				if got := d.store.Revision(upgrade.ActiveKey); got != damaged {
+					t.Errorf("revision of the damaged record: got %d, want %d", got, damaged)
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/upgrade/status_test.go
@@ -0,0 +1,65 @@
+package upgrade_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+
+	"lilaclead/upgrade"
+)
+
+// describe returns one line about the controllers of a status.
+func describe(s upgrade.Status) string {
+	var out []string
+	for _, c := range s.Controllers {
+		out = append(out, fmt.Sprintf("%s %d-%d %s", c.Node, c.Min, c.Max, c.Missing))
+	}
+	return strings.Join(out, "; ")
+}
+
+// Operators see each controller, and why it holds up the next version.
+func TestStatusNamesWhatHoldsUpTheNextVersion(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newDeployment(t)
+		p := d.start(t, "a", newProgram)
+		d.start(t, "b", newProgram)
+		awaitPolls()
+		check := func(situation, want string) {
+			t.Helper()
+			s, err := p.Look(t.Context(), d.knowledge(anyVersion))
+			if err != nil || s.Active != 1 || s.Next != 2 {
+				t.Errorf("%s: got %+v, error %v, want version 1 active, 2 next", situation, s, err)
+			}
+			if got := describe(s); got != want {
+				t.Errorf("%s: got %q, want %q", situation, got, want)
+			}
+		}
+		d.stop("b")
+		d.store.Put(upgrade.SupportKey("c"), "no record")
+		check("b stopped, c damaged", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.NotInContact, upgrade.UndecodableRecord))
+		d.store.Delete(upgrade.SupportKey("c"))
+		d.setProcess("b", &process{p.Member, func() {}}) // a process that has not published
+		check("another process of b, nothing of c", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.OtherIncarnation, upgrade.NothingPublished))
+	})
+}
+
+func TestStatusIsReadyOnceAllSupportANextVersion(t *testing.T) {
+	ready := upgrade.ControllerStatus{Node: "a"}
+	blocked := upgrade.ControllerStatus{Node: "b", Missing: upgrade.NotInContact}
+	for _, c := range []struct {
+		name   string
+		status upgrade.Status
+		want   bool
+	}{
+		{"all ready", upgrade.Status{Active: 1, Next: 2, Controllers: []upgrade.ControllerStatus{ready, ready}}, true},
+		{"one holds it up", upgrade.Status{Active: 1, Next: 2, Controllers: []upgrade.ControllerStatus{ready, blocked}}, false},
+		{"no next version", upgrade.Status{Active: 2, Next: 2, Controllers: []upgrade.ControllerStatus{ready}}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.status.Ready(); got != c.want {
+				t.Errorf("%+v: got %v, want %v", c.status, got, c.want)
+			}
+		})
+	}
+}
