--- /dev/null
+++ b/duty/example_test.go
@@ -0,0 +1,139 @@
+package duty_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"time"
+
+	"lilaclead/duty"
+	"lilaclead/internal/config"
+	"lilaclead/internal/netio"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// backup is a duty of the examples.
+type backup struct{}
+
+// Name is part of the key under which the duty's intents are recorded.
+func (backup) Name() duty.Name { return "backup" }
+
+// openStore serves a simulated store on the loopback interface and returns a client of it.
+func openStore() (client *store.Client, closeStore func()) {
+	server := httptest.NewServer(simulator.NewState(12, 16))
+	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+	addr := strings.TrimPrefix(server.URL, "http://")
+	return store.New(addr, limits, 1, netio.Real()), server.Close
+}
+
+// newExampleCandidate returns a candidate for the lease of the examples.
+func newExampleCandidate(s duty.Store) *duty.Candidate {
+	return duty.NewCandidate(duty.Options{
+		Key:   "lease/backup",
+		Node:  "node-1",
+		Store: s,
+		Timing: duty.Timing{
+			TTL:          3 * time.Second,
+			RenewEvery:   700 * time.Millisecond,
+			RenewTimeout: time.Second,
+			Poll:         10 * time.Millisecond,
+			Margin:       100 * time.Millisecond,
+			Drift:        0.001,
+		},
+	})
+}
+
+// A process acquires a lease, keeps it, and carries out acts of its duty under permits.
+func Example() {
+	client, closeStore := openStore()
+	defer closeStore()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+
+	lease := newExampleCandidate(client).Campaign(ctx)
+	if lease == nil {
+		return // the context has ended
+	}
+
+	// Once the lease can't be renewed any more the process campaigns again.
+	var renewal sync.WaitGroup
+	renewal.Go(func() {
+		if err := lease.Keep(ctx, func(time.Time) {}); errors.Is(err, duty.ErrGrantExpired) {
+			cancel()
+		}
+	})
+
+	permit, err := duty.PermitFor[backup](lease)
+	if err != nil {
+		return // the lease is not held any more
+	}
+	err = permit.Do(ctx, func(ctx context.Context) error {
+		// The context ends before the lease can expire. The receiver of a request refuses
+		// it if it has seen a higher token.
+		fmt.Println("backup started under a token:", permit.Token() > 0)
+		return ctx.Err()
+	})
+	fmt.Println("backup:", err)
+
+	// A write to the store fails once another process holds the lease.
+	_, err = permit.Commit(ctx, store.Critical, duty.Txn{Writes: []duty.Write{{Put: "backup/last", Value: wire.Encode("done")}}})
+	var conflict *duty.ConflictError
+	switch {
+	case err == nil:
+		fmt.Println("result written")
+	case errors.As(err, &conflict):
+		fmt.Println("nothing written: read again, then decide anew")
+	case errors.Is(err, duty.ErrOutcomeUnknown):
+		fmt.Println("read the key before retrying")
+	}
+
+	lease.Resign(ctx, time.Now())
+	fmt.Println("after resigning:", errors.Is(permit.Check(), duty.ErrNotHeld))
+	cancel()
+	renewal.Wait()
+
+	// Output:
+	// backup started under a token: true
+	// backup: <nil>
+	// result written
+	// after resigning: true
+}
+
+// A request to a receiver that checks no fencing tokens is recorded before it is sent, so
+// that a successor repeats it under the same name.
+func ExampleIntents() {
+	client, closeStore := openStore()
+	defer closeStore()
+	ctx := context.Background()
+	lease := newExampleCandidate(client).Campaign(ctx)
+
+	const maxRecordBytes = 16 << 10
+	intents := duty.OpenIntents[backup, string](lease, maxRecordBytes)
+	earlier, err := intents.Load(ctx)
+	if err != nil {
+		return // retry, unless it is duty.ErrUndecodable
+	}
+	for _, name := range earlier.Open {
+		fmt.Println("repeat", name)
+	}
+
+	if err := intents.Record(ctx, []string{"snapshot-17"}); err != nil {
+		return // nothing may be sent
+	}
+	fmt.Println("send", intents.Open())
+
+	// Once the receiver has answered, nothing is open any more.
+	if err := intents.Record(ctx, nil); err != nil {
+		return
+	}
+	fmt.Println("open:", len(intents.Open()))
+
+	// Output:
+	// send [snapshot-17]
+	// open: 0
+}
--- a/duty/store.go
+++ b/duty/store.go
@@ -24,7 +24,8 @@
 	Entry = wire.Entry
 	// Guard is a condition of a transaction: the revision that a key must have.
 	Guard = wire.Guard
-	// Write is a change that a transaction makes to one key.
+	// Write is a change that a transaction makes to one key. Its value must be one
+	// well-formed CBOR item; the client of the store panics at any other.
 	Write = wire.Write
 	// Txn is a compare-and-swap transaction: all writes if all guards hold, else none.
 	Txn = wire.Txn
