--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -128,7 +128,7 @@
 	}
 	var record store.LeaderRecord
 	if err := wire.Decode(entry.Value, &record); err != nil {
-		c.reportUndecodable(c.Key, err)
+		c.notifyUndecodable(c.Key, err)
 		return false
 	}
 	c.Observed(record.Node, c.Clock.Now())
@@ -208,8 +208,8 @@
 	}
 }
 
-// reportUndecodable passes the key of an undecodable record on, if anybody asked for it.
-func (c *Candidate) reportUndecodable(key string, err error) {
+// notifyUndecodable passes the key of an undecodable record on, if anybody asked for it.
+func (c *Candidate) notifyUndecodable(key string, err error) {
 	if c.Undecodable != nil {
 		c.Undecodable(key, err)
 	}
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -61,7 +61,7 @@
 		return record, err
 	default:
 		if err := wire.Decode(entry.Value, &record); err != nil {
-			i.lease.candidate.reportUndecodable(i.key(), err)
+			i.lease.candidate.notifyUndecodable(i.key(), err)
 			return record, &UndecodableError{Key: i.key(), Err: err}
 		}
 	}
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestRaiseTokenReportsWhoHoldsTheLease(t *testing.T) {
+func TestRaiseTokenFailsOnceTheLeaseIsNotHeld(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		prepare func(sim *simulation)
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// reportUndecodable passes the key of an undecodable record on, if anybody asked for it.
-func (m *Member) reportUndecodable(key string, err error) {
+// notifyUndecodable passes the key of an undecodable record on, if anybody asked for it.
+func (m *Member) notifyUndecodable(key string, err error) {
 	if m.Undecodable != nil {
 		m.Undecodable(key, err)
 	}
--- a/upgrade/member_test.go
+++ b/upgrade/member_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestProcessServesWhileItsRemovedRecordIsPublishedAgain(t *testing.T) {
+func TestProcessKeepsServingWhileItsRemovedRecordIsPublishedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
 		p := d.start(t, "a", newProgram)
@@ -57,7 +57,7 @@
 
 // A process whose record another one has written serves no more, also once that record is
 // removed.
-func TestReplacedProcessServesNoMore(t *testing.T) {
+func TestReplacedProcessStopsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
 		p := d.start(t, "a", newProgram)
--- a/upgrade/publish.go
+++ b/upgrade/publish.go
@@ -37,7 +37,7 @@
 		return false
 	}
 	for _, key := range r.undecodable {
-		m.reportUndecodable(key, ErrUndecodable)
+		m.notifyUndecodable(key, ErrUndecodable)
 	}
 	last := m.state.Load()
 	if r.isUndecodable(ActiveKey) && last.published {
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -57,7 +57,7 @@
 	if errors.Is(err, ErrUndecodable) && m.MayServe() == nil {
 		// Damaged since this process knew it. To act by an earlier version than the active
 		// one harms nothing: whoever supports the later one reads it.
-		m.reportUndecodable(ActiveKey, err)
+		m.notifyUndecodable(ActiveKey, err)
 		return m.Active(), nil
 	}
 	if err != nil {
--- a/upgrade/switch_test.go
+++ b/upgrade/switch_test.go
@@ -77,7 +77,7 @@
 
 // The switch comes between the reading of the records by an old process and its
 // publishing: the old process never serves.
-func TestOldProcessThatTheSwitchOvertakesNeverServes(t *testing.T) {
+func TestOldProcessOvertakenByTheSwitchNeverStartsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
 		lease := d.acquireLease(t)
@@ -134,7 +134,7 @@
 
 // Whatever programs replace each other, whatever becomes of writes and whoever tries to
 // switch: at no moment does a process serve that does not support the active version.
-func TestNoProcessServesBeyondItsRange(t *testing.T) {
+func TestNoServingProcessLacksTheActiveVersion(t *testing.T) {
 	const seeds = 12
 	switches := 0
 	for seed := range uint64(seeds) {
@@ -187,14 +187,14 @@
 			switches++
 		}
 		last = active
-		d.checkWhoServes(t, seed, step, active)
+		d.checkServingProcesses(t, seed, step, active)
 	}
 	return switches
 }
 
-// checkWhoServes fails the test if a process serves that does not support the active
+// checkServingProcesses fails the test if a process serves that does not support the active
 // version.
-func (d *deployment) checkWhoServes(t *testing.T, seed uint64, step int, active upgrade.Version) {
+func (d *deployment) checkServingProcesses(t *testing.T, seed uint64, step int, active upgrade.Version) {
 	t.Helper()
 	for node, p := range d.running() {
 		if p.MayServe() == nil && !p.Supports.Contains(active) {
