--- a/duty/frozen_holder_test.go
+++ b/duty/frozen_holder_test.go
@@ -250,8 +250,10 @@
 		for _, a := range o.late.stale {
 			t.Errorf("%v: accepted %s of %s under token %d, want none of a replaced holder", freezeMode(mode), a.duty, a.target, a.token)
 		}
-		t.Logf("%v: %d runs, %d acts, %d changes of the store; of the frozen holder %d acts arrived late, %d of them completed what the successor found open, %d came to a worker before the successor did, %d stale ones accepted",
-			freezeMode(mode), o.runs, o.acts, o.changes, o.late.arrived, o.late.completed, o.late.beforeSuccessor, len(o.late.stale))
+		t.Logf("%v: %d runs, %d acts, %d changes of the store; acts of the frozen holder: "+
+			"%d arrived late, %d of them completed what the successor found open, %d came to a worker before the successor did, "+
+			"%d stale ones accepted", freezeMode(mode), o.runs, o.acts, o.changes,
+			o.late.arrived, o.late.completed, o.late.beforeSuccessor, len(o.late.stale))
 		if freezeMode(mode) == frozenBeforeRequest && o.late.arrived == 0 {
 			t.Errorf("%v: got no late act, want requests that were kept back to arrive", freezeMode(mode))
 		}
--- a/duty/intents_test.go
+++ b/duty/intents_test.go
@@ -31,6 +31,16 @@
 	return record
 }
 
+// newLoadedIntents returns a lease that is renewed, and its intents, ready to be recorded.
+func newLoadedIntents(t *testing.T, sim *simulation) (*duty.Lease, *duty.Intents[duty.ScaleIn, string]) {
+	t.Helper()
+	lease := acquire(t, sim.candidate(0))
+	renewInBackground(t, lease)
+	intents := scaleInIntents(lease)
+	load(t, intents)
+	return lease, intents
+}
+
 func TestIntentsAreRefusedUntilLoadedAndWhenTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
@@ -55,10 +65,7 @@
 func TestIntentsAreRecordedWhateverBecomesOfTheAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		lease := acquire(t, sim.candidate(0))
-		renewInBackground(t, lease)
-		intents := scaleInIntents(lease)
-		load(t, intents)
+		lease, intents := newLoadedIntents(t, sim)
 		for name, disturb := range map[string]func(){
 			"answered":              func() {},
 			"executed, answer lost": func() { sim.store.LoseAnswers(1) },
@@ -131,11 +138,13 @@
 func TestLateWriteOfIntentsDoesNotUndoANewerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		lease := acquire(t, sim.candidate(0))
-		renewInBackground(t, lease)
-		intents := scaleInIntents(lease)
-		load(t, intents)
-		sim.store.InjectTxnFaults(1, simulator.TxnFault{Prefix: "intent/", Most: 1, Hang: true, Late: [2]time.Duration{4 * time.Second, 5 * time.Second}})
+		_, intents := newLoadedIntents(t, sim)
+		sim.store.InjectTxnFaults(1, simulator.TxnFault{
+			Prefix: "intent/",
+			Most:   1,
+			Hang:   true,
+			Late:   [2]time.Duration{4 * time.Second, 5 * time.Second},
+		})
 		for _, name := range []string{"first", "second"} {
 			if err := intents.Record(t.Context(), []string{name}); err != nil {
 				t.Fatal(err)
