--- a/duty/doc.go
+++ b/duty/doc.go
@@ -27,6 +27,7 @@
 //   - [ErrNotHeld], [ErrHeldByOther], [ErrNoHolder] and [ErrGrantExpired], wrapped in a
 //     [LeaseError], mean that this lease gives no right to act. Retrying under the same
 //     lease is of no use: campaign again.
+//   - [ErrRefused] means that a request was certainly not executed. Retry it after a pause.
 //   - [ErrOutcomeUnknown] means that a change may have been executed, or still may be.
 //     Read what it wrote before deciding whether to retry. Acquiring, raising the token
 //     and recording intents do this by themselves.
--- a/duty/errors.go
+++ b/duty/errors.go
@@ -11,6 +11,9 @@
 var (
 	// ErrNotFound reports that the key or grant does not exist.
 	ErrNotFound = store.ErrMissing
+	// ErrRefused reports that the request was certainly not executed, as the store was away
+	// or over its rate; retry it after a pause.
+	ErrRefused = store.ErrRefused
 	// ErrOutcomeUnknown reports that a change may have been executed or may still be; read
 	// what it wrote before retrying.
 	ErrOutcomeUnknown = store.ErrUnknown
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -58,7 +58,7 @@
 	switch {
 	case errors.Is(err, ErrNotFound):
 	case err != nil:
-		return record, err
+		return record, fmt.Errorf("load the intents %q: %w", i.key(), err)
 	default:
 		if err := wire.Decode(entry.Value, &record); err != nil {
 			i.lease.candidate.notifyUndecodable(i.key(), err)
@@ -86,7 +86,7 @@
 
 // Record replaces the record by these open intents. They may be carried out only once it
 // has returned nil. It retries while the outcome is unknown, as long as the lease is
-// certainly held.
+// certainly held. After ErrRefused it may be called again.
 func (i *Intents[D, T]) Record(ctx context.Context, open []T) error {
 	if !i.loaded {
 		return fmt.Errorf("%w: the record %q has not been loaded", ErrNoPermit, i.key())
--- a/duty/store.go
+++ b/duty/store.go
@@ -36,7 +36,8 @@
 )
 
 // Store is the part of the key-value store that the package uses. An implementation
-// returns ErrOutcomeUnknown for a change that may have been executed or may still be.
+// returns ErrRefused for a request that was certainly not executed, and ErrOutcomeUnknown
+// for a change that may have been or may still be.
 type Store interface {
 	// Grant creates a grant that expires ttl after its last renewal.
 	Grant(ctx context.Context, ttl time.Duration) (GrantID, error)
--- a/upgrade/doc.go
+++ b/upgrade/doc.go
@@ -30,6 +30,8 @@
 //     never overwritten.
 //   - [ErrNotReady] says that a controller, or the operators, hold the next version up.
 //     Try again later; the status names who does.
+//   - duty.ErrRefused says that the store was away, and nothing was written. Try again after
+//     a pause.
 //   - duty.ErrOutcomeUnknown of [Member.Advance] leaves open whether the switch was made,
 //     and a *duty.ConflictError says that it was not, since something has changed that it
 //     rests on. In both cases call it again: it reads all records anew.
--- a/upgrade/member_test.go
+++ b/upgrade/member_test.go
@@ -2,10 +2,12 @@
 
 import (
 	"errors"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
 
+	"lilaclead/duty"
 	"lilaclead/upgrade"
 )
 
@@ -37,6 +39,32 @@
 	})
 }
 
+// The error says what could not be read, and that asking again may help.
+func TestReadingDuringAnOutageSaysWhatFailed(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		d := newDeployment(t)
+		p := d.start(t, "a", newProgram)
+		awaitPolls()
+		d.store.Outage(true)
+		_, statusErr := p.Look(t.Context(), d.knowledge(anyVersion))
+		_, activeErr := p.ReadActive(t.Context())
+		for _, c := range []struct {
+			name, key string
+			got       error
+		}{
+			{"status", upgrade.Prefix, statusErr},
+			{"active version", upgrade.ActiveKey, activeErr},
+		} {
+			if !errors.Is(c.got, duty.ErrRefused) || !strings.Contains(c.got.Error(), c.key) {
+				t.Errorf("%s: got %v, want %v that names %s", c.name, c.got, duty.ErrRefused, c.key)
+			}
+		}
+		if err := p.MayServe(); err != nil {
+			t.Errorf("serving: got %v, want nil", err)
+		}
+	})
+}
+
 func TestProcessKeepsServingWhileItsRemovedRecordIsPublishedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
--- a/upgrade/records.go
+++ b/upgrade/records.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"slices"
 	"strings"
 
@@ -66,7 +67,7 @@
 func readRecords(ctx context.Context, s Store, class duty.RequestClass) (records, error) {
 	entries, _, err := s.List(ctx, class, Prefix)
 	if err != nil {
-		return records{}, err
+		return records{}, fmt.Errorf("read the records under %q: %w", Prefix, err)
 	}
 	r := records{active: ActiveRecord{Version: Base}, supports: map[duty.NodeID]publishedSupport{}}
 	for _, e := range entries {
@@ -131,7 +132,7 @@
 		return ActiveRecord{Version: Base}, 0, nil
 	}
 	if err != nil {
-		return ActiveRecord{}, 0, err
+		return ActiveRecord{}, 0, fmt.Errorf("read the active version %q: %w", ActiveKey, err)
 	}
 	var r records
 	if !r.decodeActive(e) {
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -18,7 +18,7 @@
 	Present func(duty.NodeID) string
 	// Ceiling is the highest version that the operators allow; 0: any.
 	Ceiling Version
-	// Guards make the switch fail if what Ceiling rests on has changed since.
+	// Guards make the switch fail if what that limit rests on has changed since.
 	Guards []duty.Guard
 }
 
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -26,7 +26,7 @@
 	}
 	revision, err := permit.Commit(ctx, store.Critical, m.switchTransaction(&r, d, status.Next))
 	if err != nil {
-		return status.Active, err
+		return status.Active, fmt.Errorf("switch from version %d to %d: %w", status.Active, status.Next, err)
 	}
 	m.state.Store(&memberState{active: status.Next, activeRevision: revision, published: true})
 	m.Learn(status.Next)
