--- /dev/null
+++ b/imports_test.go
@@ -0,0 +1,150 @@
+package lilaclead_test
+
+import (
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"path"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// module is the prefix of the import paths of this project's own packages.
+const module = "lilaclead"
+
+// imports lists, for each package, which packages of this project its sources may import
+// (tests may import more). docs/architecture.md describes the packages.
+var imports = map[string]string{
+	".":              "duty history internal/admin internal/cancels internal/cloud internal/config internal/features internal/intake internal/leader internal/leader/cluster internal/netio internal/peer internal/store internal/tuning internal/undecodable internal/wire upgrade",
+	"cmd/lilaclead":  ". history internal/admin internal/netio internal/wire upgrade",
+	"cmd/simulator":  "internal/simulator internal/wire",
+	"duty":           "internal/store internal/wire",
+	"history":        "",
+	"upgrade":        "duty internal/store internal/wire",
+	"internal/admin": "history internal/config internal/intake internal/leader internal/leader/core internal/peer internal/store internal/tuning internal/undecodable internal/wire",
+
+	// The edge and the clients of what is outside.
+	"internal/wire":        "",
+	"internal/netio":       "internal/wire",
+	"internal/undecodable": "",
+	"internal/config":      "internal/wire",
+	"internal/features":    "internal/wire",
+	"internal/tuning":      "internal/wire",
+	"internal/cancels":     "internal/wire",
+	"internal/store":       "internal/cancels internal/config internal/netio internal/wire",
+	"internal/cloud":       "duty internal/config internal/netio internal/wire",
+	"internal/peer":        "internal/cancels internal/config internal/netio internal/undecodable internal/wire",
+	"internal/intake":      "internal/cancels internal/config internal/store internal/undecodable internal/wire",
+
+	// Pure: no I/O, no clock.
+	"internal/utility":   "",
+	"internal/placement": "internal/utility internal/wire",
+	"internal/fleet":     "internal/placement internal/wire",
+
+	// The leader, from what knows least to what knows most.
+	"internal/leader/demand":     "internal/config internal/wire",
+	"internal/leader/detector":   "internal/wire",
+	"internal/leader/scaling":    "internal/cloud internal/fleet internal/wire",
+	"internal/leader/delegation": "internal/cancels internal/config internal/peer internal/wire",
+	"internal/leader/election":   "duty internal/config internal/peer internal/store internal/wire",
+	"internal/leader/core":       "internal/leader/election internal/wire",
+	"internal/leader/cluster":    "internal/config internal/leader/delegation internal/leader/demand internal/leader/detector internal/placement internal/store internal/wire upgrade",
+	"internal/leader/scheduling": "internal/fleet internal/leader/cluster internal/leader/demand internal/leader/scaling internal/placement internal/tuning internal/wire",
+	"internal/leader/agents":     "internal/leader/cluster internal/leader/core internal/netio internal/peer internal/wire",
+	"internal/leader/progress":   "internal/config internal/leader/agents internal/leader/cluster internal/leader/core internal/leader/election internal/peer internal/store internal/undecodable internal/wire",
+	"internal/leader/autoscaler": "duty internal/cloud internal/config internal/fleet internal/leader/cluster internal/leader/core internal/leader/scaling internal/leader/scheduling internal/wire upgrade",
+	"internal/leader/reconcile":  "internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/detector internal/wire",
+	"internal/leader/liveness":   "internal/config internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/detector internal/leader/progress internal/peer internal/wire",
+	"internal/leader":            "duty internal/cancels internal/cloud internal/config internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/election internal/leader/liveness internal/leader/progress internal/leader/reconcile internal/leader/scaling internal/leader/scheduling internal/netio internal/peer internal/store internal/tuning internal/undecodable internal/wire upgrade",
+
+	// Stand-ins for what is outside; only tests and cmd/simulator use them.
+	"internal/simulator": "internal/config internal/netio internal/wire",
+	"internal/scenarios": "",
+	"internal/compat":    "",
+}
+
+// TestImportsFollowTheArchitecture finds imports that the table above does not allow, and
+// entries of the table that nothing needs any more.
+func TestImportsFollowTheArchitecture(t *testing.T) {
+	found := importsBySource(t)
+	for pkg, imported := range found {
+		allowed, listed := imports[pkg]
+		if !listed {
+			t.Errorf("package %s is not in the table", pkg)
+			continue
+		}
+		for _, other := range imported {
+			if !slices.Contains(strings.Fields(allowed), other) {
+				t.Errorf("%s imports %s, which the table does not allow", pkg, other)
+			}
+		}
+	}
+	for pkg, allowed := range imports {
+		if _, exists := found[pkg]; !exists {
+			t.Errorf("the table lists %s, which has no sources", pkg)
+		}
+		for _, other := range strings.Fields(allowed) {
+			if !slices.Contains(found[pkg], other) {
+				t.Errorf("the table allows %s to import %s, which it does not", pkg, other)
+			}
+		}
+	}
+}
+
+// importsBySource returns which packages of this project each package's sources import;
+// packages of tests alone have an entry without any.
+func importsBySource(t *testing.T) map[string][]string {
+	t.Helper()
+	found := map[string][]string{}
+	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() {
+			if name := entry.Name(); name == "target" || name == "journal" || strings.HasPrefix(name, ".") && name != "." {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !strings.HasSuffix(file, ".go") {
+			return nil
+		}
+		pkg := path.Dir(filepath.ToSlash(file))
+		if strings.HasSuffix(file, "_test.go") {
+			found[pkg] = slices.Clip(found[pkg])
+			return nil
+		}
+		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
+		if err != nil {
+			return err
+		}
+		for _, spec := range parsed.Imports {
+			name, err := strconv.Unquote(spec.Path.Value)
+			if err != nil {
+				return err
+			}
+			rest, own := strings.CutPrefix(name, module)
+			if !own || rest != "" && rest[0] != '/' {
+				continue
+			}
+			other := strings.TrimPrefix(rest, "/")
+			if other == "" {
+				other = "."
+			}
+			if !slices.Contains(found[pkg], other) {
+				found[pkg] = append(found[pkg], other)
+			}
+		}
+		if found[pkg] == nil {
+			found[pkg] = []string{}
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return found
+}
