--- a/history/files.go
+++ b/history/files.go
@@ -148,10 +148,16 @@
 	return fmt.Sprintf("%08x", crc32.ChecksumIEEE(raw)), err
 }
 
+// unbuffered makes the library write a group of rows when it is flushed, so that its
+// end is known. (0 would be the library's default.)
+const unbuffered = -1
+
 // packSegment makes a columnar file of rows.
 func packSegment(rows []row) ([]byte, error) {
 	var packed bytes.Buffer
-	w := parquet.NewGenericWriter[row](&packed, parquet.Compression(&parquet.Zstd))
+	w := parquet.NewGenericWriter[row](&packed, parquet.Compression(&parquet.Zstd), parquet.WriteBufferSize(unbuffered))
+	w.SetKeyValueMetadata(checksumMarker, "crc32")
+	var checksums segmentChecksums
 	group := 0
 	for part := range slices.Chunk(rows, groupRows) {
 		sum, err := sumOf(part)
@@ -165,12 +171,13 @@
 		if err := w.Flush(); err != nil {
 			return nil, err
 		}
+		checksums.appendGroup(packed.Bytes())
 		group++
 	}
 	if err := w.Close(); err != nil {
 		return nil, err
 	}
-	return packed.Bytes(), nil
+	return checksums.insertInto(packed.Bytes())
 }
 
 // writeSegment writes rows as a columnar file.
@@ -188,7 +195,9 @@
 }
 
 // readSegment reads a columnar file, without the groups of rows that are damaged. The
-// library may panic on damaged files.
+// library may panic on damaged bytes, and may even end the process, so it gets none
+// that their checksums don't confirm; files that were written without these are read
+// as they are.
 func readSegment(path string) (out []row, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -199,12 +208,24 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := parquet.OpenFile(bytes.NewReader(raw), int64(len(raw)))
+	checksums, err := findChecksums(raw)
+	if err != nil && !errors.Is(err, errNoChecksums) {
+		return nil, err
+	}
+	f, err := parquet.OpenFile(bytes.NewReader(raw), int64(len(raw)), parquet.SkipPageIndex(checksums != nil))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errDamaged, err)
 	}
-	for i, group := range f.RowGroups() {
-		rows, readErr := readGroup(group)
+	groups := f.RowGroups()
+	if checksums != nil && len(checksums.groups) != len(groups) {
+		return nil, errDamaged
+	}
+	for i, group := range groups {
+		var rows []row
+		readErr := errDamaged
+		if checksums == nil || checksums.groupIntact(raw, i) {
+			rows, readErr = readGroup(group)
+		}
 		want, _ := f.Lookup(groupSum(i))
 		sum, sumErr := sumOf(rows)
 		if readErr != nil || sumErr != nil || sum != want {
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -1,7 +1,9 @@
 package history
 
 import (
+	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -10,6 +12,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"github.com/parquet-go/parquet-go"
 )
 
 var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
@@ -82,6 +86,35 @@
 	}
 }
 
+// writeFrames writes a controller's first file, of frames with so many events each.
+func writeFrames(t *testing.T, dir, controller string, sealed bool, frames ...int) {
+	t.Helper()
+	log, err := createLog(dir, file{controller: controller, number: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	first := 0
+	for _, events := range frames {
+		var rows []row
+		for i := first; i < first+events; i++ {
+			e := event(i)
+			e.Controller = controller
+			rows = append(rows, rowOf(e))
+		}
+		if err := log.append(rows); err != nil {
+			t.Fatal(err)
+		}
+		first += events
+	}
+	log.close()
+	if !sealed {
+		return
+	}
+	if err := sealLog(dir, log.file); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A damaged or truncated file: what can be read of it is, and it is named. A recorder
 // that finds it goes on beside it.
 func TestDamagedFiles(t *testing.T) {
@@ -93,11 +126,7 @@
 	for name, how := range damage {
 		for _, sealed := range []bool{false, true} {
 			dir := t.TempDir()
-			segmentEvents := 1000
-			if sealed {
-				segmentEvents = 300
-			}
-			record(t, Options{Dir: dir, Controller: "a", SegmentEvents: segmentEvents}, 0, 300)
+			writeFrames(t, dir, "a", sealed, 60, 40, 50, 50, 50, 50)
 			record(t, Options{Dir: dir, Controller: "b"}, 300, 400)
 			path, _ := filepath.Glob(filepath.Join(dir, filePrefix+"a-*"))
 			raw, err := os.ReadFile(path[0])
@@ -149,6 +178,102 @@
 	}
 }
 
+// segmentRows returns the rows of so many events.
+func segmentRows(events int) []row {
+	rows := make([]row, events)
+	for i := range rows {
+		rows[i] = rowOf(event(i))
+		rows[i].Controller = "a"
+	}
+	return rows
+}
+
+// A segment that was written before segments had checksums of their bytes is read whole.
+func TestSegmentWithoutChecksumsIsRead(t *testing.T) {
+	const path = "testdata/history-a-000000000001.parquet"
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := findChecksums(raw); !errors.Is(err, errNoChecksums) {
+		t.Errorf("findChecksums(%s) = %v, want %v", path, err, errNoChecksums)
+	}
+	want := segmentRows(2100)
+	got, err := readSegment(path)
+	if err != nil || !slices.Equal(got, want) {
+		t.Errorf("readSegment(%s) = %d rows, %v, want %d as written", path, len(got), err, len(want))
+	}
+}
+
+// A reader that doesn't know the checksums finds the rows and their own checksums, as
+// the earlier versions of this package do.
+func TestSegmentIsPlainParquet(t *testing.T) {
+	want := segmentRows(2*groupRows + 52)
+	raw, err := packSegment(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, err := parquet.OpenFile(bytes.NewReader(raw), int64(len(raw)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []row
+	for i, group := range f.RowGroups() {
+		rows, err := readGroup(group)
+		if err != nil {
+			t.Fatalf("row group %d: %v", i, err)
+		}
+		wantSum, _ := f.Lookup(groupSum(i))
+		if sum, err := sumOf(rows); err != nil || sum != wantSum {
+			t.Errorf("checksum of row group %d = %s, %v, want %s", i, sum, err, wantSum)
+		}
+		got = append(got, rows...)
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("got %d rows, want %d as written", len(got), len(want))
+	}
+}
+
+// Whatever part of a segment is overwritten, the row groups outside it are read, unless
+// it reaches into the checksums or the footer, without which nothing is.
+func TestDamagedGroupsAreSkipped(t *testing.T) {
+	want := segmentRows(3 * groupRows)
+	raw, err := packSegment(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checksums, err := findChecksums(raw)
+	if err != nil || len(checksums.groups) != 3 {
+		t.Fatalf("findChecksums = %+v, %v, want 3 row groups", checksums, err)
+	}
+	block := bytes.Index(raw, []byte(checksumMarker))
+	path := filepath.Join(t.TempDir(), "segment")
+	const window = 64
+	for at := 0; at+window <= len(raw); at += window / 2 {
+		damaged := slices.Clone(raw)
+		for i := range window {
+			damaged[at+i] ^= 0xA5
+		}
+		if err := os.WriteFile(path, damaged, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		var wantRead []row
+		for i := range checksums.groups {
+			touched := at < int(checksums.groups[i].end) && at+window > int(checksums.groupStart(i))
+			if !touched && at >= len("PAR1") && at+window <= block {
+				wantRead = append(wantRead, want[i*groupRows:(i+1)*groupRows]...)
+			}
+		}
+		got, err := readSegment(path)
+		if !slices.Equal(got, wantRead) {
+			t.Errorf("bytes %d to %d of %d damaged: got %d rows, want %d", at, at+window, len(raw), len(got), len(wantRead))
+		}
+		if (err == nil) != (len(wantRead) == len(want)) || err != nil && !errors.Is(err, errDamaged) {
+			t.Errorf("bytes %d to %d of %d damaged: got error %v with %d of %d rows", at, at+window, len(raw), err, len(got), len(want))
+		}
+	}
+}
+
 // The files keep within their limit; the newest events are kept.
 func TestLimit(t *testing.T) {
 	dir := t.TempDir()
