--- a/cmd/lilaclead/history.go
+++ b/cmd/lilaclead/history.go
@@ -48,7 +48,7 @@
 		if e.Version > 0 {
 			fmt.Printf(" version %d", e.Version)
 		}
-		fmt.Println("", e.Why)
+		fmt.Println("", e.Reason)
 	}
 	for _, d := range damaged {
 		fmt.Fprintln(os.Stderr, "lilaclead:", d)
--- a/history/checksums.go
+++ b/history/checksums.go
@@ -62,8 +62,12 @@
 	return c.groups[group-1].end
 }
 
-// groupIntact reports whether the bytes of a row group are those that were written.
+// groupIntact reports whether the bytes of a row group are those that were written, as
+// far as that is known: without checksums (nil) every group counts as intact.
 func (c *segmentChecksums) groupIntact(segment []byte, group int) bool {
+	if c == nil {
+		return true
+	}
 	start, end := c.groupStart(group), c.groups[group].end
 	if start > end || end > uint64(len(segment)) {
 		return false
@@ -75,11 +79,11 @@
 func (c *segmentChecksums) insertInto(parquetFile []byte) ([]byte, error) {
 	suffix := len(parquetFile) - footerSuffixSize
 	if suffix < 0 {
-		return nil, errDamaged
+		return nil, ErrDamaged
 	}
 	footer := suffix - int(binary.LittleEndian.Uint32(parquetFile[suffix:]))
 	if footer < 0 {
-		return nil, errDamaged
+		return nil, ErrDamaged
 	}
 	c.footer = crc32.ChecksumIEEE(parquetFile[footer:])
 	return bytes.Join([][]byte{parquetFile[:footer], c.encode(), parquetFile[footer:]}, nil), nil
@@ -98,7 +102,7 @@
 }
 
 // findChecksums finds the block of checksums in a segment, and has checked the footer
-// against it. The error is errNoChecksums or errDamaged.
+// against it. The error is errNoChecksums or ErrDamaged.
 func findChecksums(segment []byte) (*segmentChecksums, error) {
 	rest, err := segment, errNoChecksums
 	for {
@@ -106,7 +110,7 @@
 		if at < 0 {
 			return nil, err
 		}
-		rest, err = rest[at:], errDamaged
+		rest, err = rest[at:], ErrDamaged
 		if checksums, size, ok := decodeChecksums(rest); ok && crc32.ChecksumIEEE(rest[size:]) == checksums.footer {
 			return checksums, nil
 		}
--- /dev/null
+++ b/history/options.go
@@ -0,0 +1,76 @@
+package history
+
+import (
+	"errors"
+	"strings"
+	"time"
+)
+
+// Options configure a Recorder. Dir and Controller are required; the zero value of the
+// others stands for their default.
+type Options struct {
+	// Dir is the folder of the files. It is created when it is missing.
+	Dir string
+	// Controller names the writer in events and in file names.
+	Controller string
+	// LimitBytes bounds the total size of this controller's files; 64 MiB by default.
+	LimitBytes int64
+	// Buffer is how many events may wait to be written; those beyond it are dropped and
+	// counted. 1,024 by default.
+	Buffer int
+	// FlushEvery is how long an event waits at most before it is written; one second by
+	// default.
+	FlushEvery time.Duration
+	// SegmentEvents is the number of events at which a log is sealed; 8,192 by default.
+	SegmentEvents int
+}
+
+// Defaults of Options.
+const (
+	defaultLimitBytes    = 64 << 20
+	defaultBuffer        = 1024
+	defaultFlushEvery    = time.Second
+	defaultSegmentEvents = 8192
+)
+
+func (o Options) withDefaults() Options {
+	if o.LimitBytes == 0 {
+		o.LimitBytes = defaultLimitBytes
+	}
+	if o.Buffer == 0 {
+		o.Buffer = defaultBuffer
+	}
+	if o.FlushEvery == 0 {
+		o.FlushEvery = defaultFlushEvery
+	}
+	if o.SegmentEvents == 0 {
+		o.SegmentEvents = defaultSegmentEvents
+	}
+	return o
+}
+
+// OptionError reports an invalid option of a Recorder.
+type OptionError struct {
+	// Option is the option's name, in lower case.
+	Option string
+	// Problem says what is wrong with its value.
+	Problem string
+}
+
+// Error returns the option's name and the problem.
+func (e *OptionError) Error() string { return e.Option + ": " + e.Problem }
+
+// Validate returns an OptionError for each option that is invalid, joined, or nil.
+func (o Options) Validate() error {
+	var errs []error
+	if o.Dir == "" {
+		errs = append(errs, &OptionError{Option: "dir", Problem: "missing"})
+	}
+	if o.Controller == "" || strings.ContainsAny(o.Controller, `/\`) {
+		errs = append(errs, &OptionError{Option: "controller", Problem: "must be a name without slashes"})
+	}
+	if o.LimitBytes < 0 {
+		errs = append(errs, &OptionError{Option: "limit", Problem: "must be above 0"})
+	}
+	return errors.Join(errs...)
+}
--- a/history/recorder.go
+++ b/history/recorder.go
@@ -1,49 +1,49 @@
 package history
 
 import (
-	"cmp"
 	"context"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync/atomic"
 	"time"
 )
 
-// Counts of what became of the events.
+// Counts are the numbers of events by what became of them, and of removed files.
 type Counts struct {
+	// Written is the number of events written to a file.
 	Written uint64
-	// Dropped: the buffer was full.
+	// Dropped is the number of events lost because the buffer was full.
 	Dropped uint64
-	// Failed: they could not be written.
+	// Failed is the number of events lost because they couldn't be written.
 	Failed uint64
-	// Removed files, the oldest ones, to keep within the limit.
+	// Removed is the number of old files removed to keep within the size limit.
 	Removed uint64
 }
 
-// Recorder takes events and writes them. Only Record may be called from anywhere; it
-// never waits. Its files are touched by Run alone.
+// Recorder writes events to files. Record and Counts may be called from any goroutine
+// and never block; the files are touched by Run alone.
 type Recorder struct {
 	options Options
 	events  chan Event
 
 	written, dropped, failed, removed atomic.Uint64
 
-	// ---- of Run ----
-	log *logFile // the open log; nil: none could be opened
+	// log is the open log, nil if there is none. It belongs to Run.
+	log *logWriter
 }
 
-// NewRecorder makes a recorder that writes once it runs.
-func NewRecorder(o Options) (*Recorder, error) {
-	o = o.withDefaults()
-	if err := o.Validate(); err != nil {
+// NewRecorder returns a Recorder, which writes nothing before Run. The error joins an
+// OptionError for each invalid option.
+func NewRecorder(options Options) (*Recorder, error) {
+	options = options.withDefaults()
+	if err := options.Validate(); err != nil {
 		return nil, err
 	}
-	return &Recorder{options: o, events: make(chan Event, o.Buffer)}, nil
+	return &Recorder{options: options, events: make(chan Event, options.Buffer)}, nil
 }
 
-// Record takes an event, or drops and counts it when too many wait already. A nil
-// Recorder records nothing.
+// Record hands an event to Run. It drops and counts the event if the buffer is full. A
+// nil Recorder records nothing.
 func (r *Recorder) Record(e Event) {
 	if r == nil {
 		return
@@ -56,151 +56,152 @@
 	}
 }
 
-// Counts of what became of the events so far.
+// Counts returns what became of the events so far.
 func (r *Recorder) Counts() Counts {
-	return Counts{r.written.Load(), r.dropped.Load(), r.failed.Load(), r.removed.Load()}
+	return Counts{
+		Written: r.written.Load(),
+		Dropped: r.dropped.Load(),
+		Failed:  r.failed.Load(),
+		Removed: r.removed.Load(),
+	}
 }
 
-// Run writes events until the context ends, and then those that wait. A disk that
-// fails, or is full, costs events, which are counted, and is tried again.
+// Run writes events until the context ends, then those still in the buffer. A disk that
+// fails or is full costs events, which are counted; the next ones are tried again.
 func (r *Recorder) Run(ctx context.Context) {
-	r.sealLeftOver()
-	tick := time.NewTicker(r.options.FlushEvery)
-	defer tick.Stop()
-	var waiting []row
+	r.sealLeftoverLogs()
+	ticker := time.NewTicker(r.options.FlushEvery)
+	defer ticker.Stop()
+	var pending []eventRecord
 	for {
 		select {
 		case <-ctx.Done():
-			r.flush(r.drain(waiting))
+			r.flush(r.appendBuffered(pending))
 			r.closeLog()
 			return
 		case e := <-r.events:
-			waiting = append(waiting, rowOf(e))
-			if len(waiting) < r.options.Buffer {
+			pending = append(pending, newEventRecord(e))
+			if len(pending) < r.options.Buffer {
 				continue
 			}
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		r.flush(waiting)
-		waiting = nil
+		r.flush(pending)
+		pending = nil
 	}
 }
 
-// drain adds what waits in the buffer.
-func (r *Recorder) drain(waiting []row) []row {
+// appendBuffered appends the events in the buffer.
+func (r *Recorder) appendBuffered(pending []eventRecord) []eventRecord {
 	for {
 		select {
 		case e := <-r.events:
-			waiting = append(waiting, rowOf(e))
+			pending = append(pending, newEventRecord(e))
 		default:
-			return waiting
+			return pending
 		}
 	}
 }
 
-// flush appends rows to the open log, and seals it when it is full.
-func (r *Recorder) flush(rows []row) {
-	if len(rows) == 0 {
+// flush writes records to the open log, and seals it when it is full.
+func (r *Recorder) flush(records []eventRecord) {
+	if len(records) == 0 {
 		return
 	}
-	if err := r.write(rows); err != nil {
-		r.failed.Add(uint64(len(rows)))
-		r.closeLog() // the next rows go to a new one
+	if err := r.writeToLog(records); err != nil {
+		r.failed.Add(uint64(len(records)))
+		r.closeLog() // the next records go to a new one
 		return
 	}
-	r.written.Add(uint64(len(rows)))
+	r.written.Add(uint64(len(records)))
 	if r.log.events >= r.options.SegmentEvents {
-		r.seal()
+		r.sealOpenLog()
 	}
-	r.keepWithinLimit()
+	r.removeBeyondLimit()
 }
 
-func (r *Recorder) write(rows []row) error {
+// writeToLog writes records to the open log, and opens one if there is none.
+func (r *Recorder) writeToLog(records []eventRecord) error {
 	if r.log == nil {
-		log, err := createLog(r.options.Dir, file{controller: r.options.Controller, number: r.nextNumber()})
+		log, err := createLog(r.options.Dir, r.nextLogName())
 		if err != nil {
 			return err
 		}
 		r.log = log
 	}
-	return r.log.append(rows)
+	return r.log.append(records)
+}
+
+// nextLogName returns a name with a number above that of every file.
+func (r *Recorder) nextLogName() fileName {
+	name := fileName{controller: r.options.Controller, number: 1, kind: logKind}
+	if files := r.files(); len(files) > 0 {
+		name.number = files[len(files)-1].number + 1
+	}
+	return name
 }
 
-// closeLog closes the open log as it is.
+// closeLog closes the open log, if there is one, and leaves it a log.
 func (r *Recorder) closeLog() {
-	if r.log != nil {
-		r.log.close()
-		r.log = nil
+	if r.log == nil {
+		return
 	}
+	r.log.close()
+	r.log = nil
 }
 
-// seal makes the open log a segment.
-func (r *Recorder) seal() {
-	sealed := r.log.file
+// sealOpenLog makes the open log a segment.
+func (r *Recorder) sealOpenLog() {
+	name := r.log.name
 	r.closeLog()
-	sealLog(r.options.Dir, sealed) //nolint:errcheck // it stays a log, which is read as well
+	sealLog(r.options.Dir, name) //nolint:errcheck // it stays a log, which is read as well
 }
 
-// sealLeftOver seals the logs of earlier processes.
-func (r *Recorder) sealLeftOver() {
-	for _, f := range r.files() {
-		if !f.sealed {
-			sealLog(r.options.Dir, f) //nolint:errcheck // it stays a log
+// sealLeftoverLogs seals the logs of earlier processes, and removes the segments that
+// they didn't finish writing.
+func (r *Recorder) sealLeftoverLogs() {
+	for _, name := range r.files() {
+		if name.kind == logKind {
+			sealLog(r.options.Dir, name) //nolint:errcheck // it stays a log
 		}
 	}
-	parts, _ := filepath.Glob(filepath.Join(r.options.Dir, filePrefix+r.options.Controller+"-*"+partEnding))
-	for _, part := range parts {
-		os.Remove(part) //nolint:errcheck // its log is still there
+	partials, _ := filepath.Glob(filepath.Join(r.options.Dir, filePrefix+r.options.Controller+"-*"+partialSuffix))
+	for _, partial := range partials {
+		os.Remove(partial) //nolint:errcheck // its log is still there
 	}
-	r.keepWithinLimit()
+	r.removeBeyondLimit()
 }
 
-// files of this controller, the oldest first.
-func (r *Recorder) files() []file {
-	entries, err := os.ReadDir(r.options.Dir)
-	if err != nil {
-		return nil
-	}
-	var out []file
-	for _, entry := range entries {
-		if f, ok := parseFile(entry.Name()); ok && f.controller == r.options.Controller {
-			out = append(out, f)
-		}
-	}
-	slices.SortFunc(out, func(a, b file) int { return cmp.Compare(a.number, b.number) })
-	return out
-}
-
-// nextNumber is above that of every file.
-func (r *Recorder) nextNumber() uint64 {
-	files := r.files()
-	if len(files) == 0 {
-		return 1
-	}
-	return files[len(files)-1].number + 1
-}
+// files returns this controller's files, the oldest first.
+func (r *Recorder) files() []fileName { return listFiles(r.options.Dir, r.options.Controller) }
 
-// keepWithinLimit removes the oldest files.
-func (r *Recorder) keepWithinLimit() {
+// removeBeyondLimit removes the oldest files until the rest is within the size limit.
+func (r *Recorder) removeBeyondLimit() {
 	files := r.files()
-	var total int64
-	sizes := make([]int64, len(files))
-	for i, f := range files {
-		if info, err := os.Stat(filepath.Join(r.options.Dir, f.name())); err == nil {
-			sizes[i] = info.Size()
-			total += sizes[i]
-		}
-	}
-	for i, f := range files {
+	sizes, total := r.sizes(files)
+	for i, name := range files {
 		if total <= r.options.LimitBytes {
 			return
 		}
-		if r.log != nil && f == r.log.file {
-			r.closeLog() // the next events begin a new one
+		if r.log != nil && name == r.log.name {
+			r.closeLog() // the next records begin a new one
 		}
-		if os.Remove(filepath.Join(r.options.Dir, f.name())) == nil {
+		if os.Remove(name.in(r.options.Dir)) == nil {
 			total -= sizes[i]
 			r.removed.Add(1)
 		}
 	}
 }
+
+// sizes returns the size of each file and their sum, in bytes. A file that can't be
+// examined counts as empty.
+func (r *Recorder) sizes(files []fileName) (sizes []int64, total int64) {
+	sizes = make([]int64, len(files))
+	for i, name := range files {
+		if info, err := os.Stat(name.in(r.options.Dir)); err == nil {
+			sizes[i] = info.Size()
+			total += sizes[i]
+		}
+	}
+	return sizes, total
+}
--- /dev/null
+++ b/history/segment.go
@@ -0,0 +1,167 @@
+package history
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"os"
+	"slices"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/parquet-go/parquet-go"
+)
+
+// groupRecords is how many records of a segment are kept or lost together when it is
+// damaged.
+const groupRecords = 1024
+
+// unbuffered makes the library write a row group when it is flushed, so that its end
+// offset is known. (0 would be the library's default.)
+const unbuffered = -1
+
+// recordsChecksumKey names the checksum of a row group's records in a segment's
+// metadata. (The format guards its pages alone: a damaged header of one once gave other
+// records, unnoticed.)
+func recordsChecksumKey(group int) string { return fmt.Sprint("rows-crc32-", group) }
+
+// recordsChecksum returns the checksum of records, independent of how they are stored.
+func recordsChecksum(records []eventRecord) (string, error) {
+	encoded, err := cbor.Marshal(records)
+	return fmt.Sprintf("%08x", crc32.ChecksumIEEE(encoded)), err
+}
+
+// encodeSegment returns records as a Parquet file with checksums of its bytes.
+func encodeSegment(records []eventRecord) ([]byte, error) {
+	var file bytes.Buffer
+	writer := parquet.NewGenericWriter[eventRecord](&file, parquet.Compression(&parquet.Zstd), parquet.WriteBufferSize(unbuffered))
+	writer.SetKeyValueMetadata(checksumMarker, "crc32")
+	var checksums segmentChecksums
+	group := 0
+	for records := range slices.Chunk(records, groupRecords) {
+		if err := writeGroup(writer, group, records); err != nil {
+			return nil, err
+		}
+		checksums.appendGroup(file.Bytes())
+		group++
+	}
+	if err := writer.Close(); err != nil {
+		return nil, err
+	}
+	return checksums.insertInto(file.Bytes())
+}
+
+// writeGroup writes records as one row group.
+func writeGroup(writer *parquet.GenericWriter[eventRecord], group int, records []eventRecord) error {
+	checksum, err := recordsChecksum(records)
+	if err != nil {
+		return err
+	}
+	writer.SetKeyValueMetadata(recordsChecksumKey(group), checksum)
+	if _, err := writer.Write(records); err != nil {
+		return err
+	}
+	return writer.Flush()
+}
+
+// writeSegment writes records to a segment, and returns when they are on the disk.
+func writeSegment(path string, records []eventRecord) error {
+	content, err := encodeSegment(records)
+	if err != nil {
+		return err
+	}
+	file, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	_, err = file.Write(content)
+	return errors.Join(err, file.Sync(), file.Close())
+}
+
+// readSegment returns the records of a segment's intact row groups. The error names one
+// of the damaged groups, or what is wrong with the whole file.
+//
+// The Parquet library may panic on damaged bytes, and may even end the process. So it
+// is given only bytes that their checksums confirm. Segments that were written before
+// there were checksums of bytes are read as they are.
+func readSegment(path string) (records []eventRecord, err error) {
+	defer recoverDamage(&err)
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	checksums, err := findChecksums(content)
+	if err != nil && !errors.Is(err, errNoChecksums) {
+		return nil, err
+	}
+	file, err := openSegment(content, checksums)
+	if err != nil {
+		return nil, err
+	}
+	for i, group := range file.RowGroups() {
+		groupRecords, ok := readGroup(file, i, checksums.groupIntact(content, i))
+		if !ok {
+			err = damagedGroupError(i, group.NumRows())
+			continue
+		}
+		records = append(records, groupRecords...)
+	}
+	return records, err
+}
+
+// openSegment opens a segment's content. The page index has no checksum, so it is read
+// only if nothing has.
+func openSegment(content []byte, checksums *segmentChecksums) (*parquet.File, error) {
+	file, err := parquet.OpenFile(bytes.NewReader(content), int64(len(content)), parquet.SkipPageIndex(checksums != nil))
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+	}
+	if checksums != nil && len(checksums.groups) != len(file.RowGroups()) {
+		return nil, ErrDamaged
+	}
+	return file, nil
+}
+
+// damagedGroupError says which records of a segment are lost with a row group.
+func damagedGroupError(group int, records int64) error {
+	first := group * groupRecords
+	return fmt.Errorf("%w: rows %d to %d", ErrDamaged, first, first+int(records)-1)
+}
+
+// readGroup returns the records of a row group whose bytes are intact, and reports
+// whether they are those that were written.
+func readGroup(file *parquet.File, group int, bytesIntact bool) ([]eventRecord, bool) {
+	if !bytesIntact {
+		return nil, false
+	}
+	records, err := decodeGroup(file.RowGroups()[group])
+	if err != nil {
+		return nil, false
+	}
+	want, _ := file.Lookup(recordsChecksumKey(group))
+	checksum, err := recordsChecksum(records)
+	return records, err == nil && checksum == want
+}
+
+// decodeGroup decodes the records of a row group.
+func decodeGroup(group parquet.RowGroup) (records []eventRecord, err error) {
+	defer recoverDamage(&err)
+	if group.NumRows() < 0 || group.NumRows() > groupRecords {
+		return nil, ErrDamaged
+	}
+	records = make([]eventRecord, group.NumRows())
+	count, err := parquet.NewGenericRowGroupReader[eventRecord](group).Read(records)
+	if errors.Is(err, io.EOF) {
+		err = nil
+	}
+	return records[:count], err
+}
+
+// recoverDamage makes a panic of the Parquet library an error. It must be deferred
+// itself.
+func recoverDamage(err *error) {
+	if cause := recover(); cause != nil {
+		*err = fmt.Errorf("%w: %v", ErrDamaged, cause)
+	}
+}
--- /dev/null
+++ b/history/segment_test.go
@@ -0,0 +1,113 @@
+package history
+
+import (
+	"bytes"
+	"errors"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"github.com/parquet-go/parquet-go"
+)
+
+// encodeTestSegment returns so many records and their segment.
+func encodeTestSegment(t *testing.T, events int) (records []eventRecord, content []byte) {
+	t.Helper()
+	records = testRecords("a", 0, events)
+	content, err := encodeSegment(records)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return records, content
+}
+
+// Wherever a byte of a segment is wrong, either the right records are read or none and
+// the damage is reported.
+func TestEveryDamagedByteIsNoticedOrHarmless(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "segment")
+	want, content := encodeTestSegment(t, 40)
+	for i := range content {
+		damaged := slices.Clone(content)
+		damaged[i] ^= 0xFF
+		writeFile(t, path, damaged)
+		got, err := readSegment(path)
+		if !slices.Equal(got, want) && (err == nil || len(got) > 0) {
+			t.Errorf("byte %d of %d damaged: got %d records, error %v, want all %d, or none and an error", i, len(content), len(got), err, len(want))
+		}
+	}
+}
+
+// A segment that was written before segments had checksums of their bytes is read in
+// full.
+func TestSegmentWithoutChecksumsIsRead(t *testing.T) {
+	const path = "testdata/history-a-000000000001.parquet"
+	if _, err := findChecksums(readFile(t, path)); !errors.Is(err, errNoChecksums) {
+		t.Errorf("findChecksums(%s) = %v, want %v", path, err, errNoChecksums)
+	}
+	want := testRecords("a", 0, 2100)
+	got, err := readSegment(path)
+	if err != nil || !slices.Equal(got, want) {
+		t.Errorf("readSegment(%s) = %d records, %v, want %d as written", path, len(got), err, len(want))
+	}
+}
+
+// A reader that doesn't know the checksums of bytes finds the records and their own
+// checksums, as the earlier versions of this package do.
+func TestSegmentIsPlainParquet(t *testing.T) {
+	want, content := encodeTestSegment(t, 2*groupRecords+52)
+	file, err := parquet.OpenFile(bytes.NewReader(content), int64(len(content)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []eventRecord
+	for i, group := range file.RowGroups() {
+		records, err := decodeGroup(group)
+		if err != nil {
+			t.Fatalf("row group %d: %v", i, err)
+		}
+		wantChecksum, _ := file.Lookup(recordsChecksumKey(i))
+		if checksum, err := recordsChecksum(records); err != nil || checksum != wantChecksum {
+			t.Errorf("checksum of row group %d = %s, %v, want %s", i, checksum, err, wantChecksum)
+		}
+		got = append(got, records...)
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("got %d records, want %d as written", len(got), len(want))
+	}
+}
+
+// Whatever part of a segment is overwritten, the row groups outside it are read, unless
+// it reaches into the checksums or the footer, without which nothing is.
+func TestDamagedGroupsAreSkipped(t *testing.T) {
+	want, content := encodeTestSegment(t, 3*groupRecords)
+	checksums, err := findChecksums(content)
+	if err != nil || len(checksums.groups) != 3 {
+		t.Fatalf("findChecksums = %+v, %v, want 3 row groups", checksums, err)
+	}
+	block := bytes.Index(content, []byte(checksumMarker))
+	path := filepath.Join(t.TempDir(), "segment")
+	const window = 64
+	for start := 0; start+window <= len(content); start += window / 2 {
+		end := start + window
+		damaged := slices.Clone(content)
+		for i := start; i < end; i++ {
+			damaged[i] ^= 0xA5
+		}
+		writeFile(t, path, damaged)
+		var wantRead []eventRecord
+		framingIntact := start >= len("PAR1") && end <= block
+		for i := range checksums.groups {
+			groupHit := start < int(checksums.groups[i].end) && end > int(checksums.groupStart(i))
+			if framingIntact && !groupHit {
+				wantRead = append(wantRead, want[i*groupRecords:(i+1)*groupRecords]...)
+			}
+		}
+		got, err := readSegment(path)
+		if !slices.Equal(got, wantRead) {
+			t.Errorf("bytes %d to %d of %d damaged: got %d records, want %d", start, end, len(content), len(got), len(wantRead))
+		}
+		if allRead := len(wantRead) == len(want); (err == nil) != allRead || err != nil && !errors.Is(err, ErrDamaged) {
+			t.Errorf("bytes %d to %d of %d damaged: got error %v with %d of %d records", start, end, len(content), err, len(got), len(want))
+		}
+	}
+}
--- a/node.go
+++ b/node.go
@@ -174,12 +174,12 @@
 
 // recordVersion records an event of package upgrade.
 func (n *Node) recordVersion(e upgrade.Event) {
-	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Token: uint64(e.Token), Version: uint64(e.Version), Why: e.Reason})
+	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Token: uint64(e.Token), Version: uint64(e.Version), Reason: e.Reason})
 }
 
 // recordDuty records an event of package duty.
 func (n *Node) recordDuty(e duty.Event) {
-	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Duty: string(e.Duty), Token: uint64(e.Token), Why: e.Reason})
+	n.history.Record(history.Event{At: e.At, Kind: string(e.Kind), Duty: string(e.Duty), Token: uint64(e.Token), Reason: e.Reason})
 }
 
 // status is what the other nodes are told of this one.
