--- /dev/null
+++ b/history.go
@@ -0,0 +1,80 @@
+package lilaclead
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"lilaclead/duty"
+	"lilaclead/history"
+	"lilaclead/internal/admin"
+	"lilaclead/internal/wire"
+	"lilaclead/upgrade"
+)
+
+// historyTimeout bounds the wait for a disk at the end of a node.
+const historyTimeout = 2 * time.Second
+
+// decisionHistory records the decisions of this node, if that feature is on.
+type decisionHistory struct {
+	recorder *history.Recorder // nil: nothing is recorded
+}
+
+// newDecisionHistory returns the history that the features ask for, and registers its
+// counts.
+func newDecisionHistory(features Features, controller wire.NodeID, metrics *admin.Metrics) (decisionHistory, error) {
+	if features.HistoryDir == "" {
+		return decisionHistory{}, nil
+	}
+	recorder, err := history.NewRecorder(history.Options{
+		Dir:        features.HistoryDir,
+		Controller: string(controller),
+		LimitBytes: int64(features.HistoryLimitMB * bytesPerMegabyte),
+	})
+	if err != nil {
+		return decisionHistory{}, fmt.Errorf("history: %w", err)
+	}
+	metrics.History(recorder.Counts)
+	return decisionHistory{recorder}, nil
+}
+
+// recordVersionEvent records an event of package upgrade.
+func (h decisionHistory) recordVersionEvent(e upgrade.Event) {
+	h.recorder.Record(history.Event{
+		At:      e.At,
+		Kind:    string(e.Kind),
+		Token:   uint64(e.Token),
+		Version: uint64(e.Version),
+		Reason:  e.Reason,
+	})
+}
+
+// recordDutyEvent records an event of package duty.
+func (h decisionHistory) recordDutyEvent(e duty.Event) {
+	h.recorder.Record(history.Event{
+		At:     e.At,
+		Kind:   string(e.Kind),
+		Duty:   string(e.Duty),
+		Token:  uint64(e.Token),
+		Reason: e.Reason,
+	})
+}
+
+// start writes what is recorded until the context ends. The function that it returns
+// waits until all is written, or until historyTimeout.
+func (h decisionHistory) start(ctx context.Context) (wait func()) {
+	if h.recorder == nil {
+		return func() {}
+	}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		h.recorder.Run(ctx)
+	}()
+	return func() {
+		select {
+		case <-done:
+		case <-time.After(historyTimeout):
+		}
+	}
+}
--- a/listener.go
+++ b/listener.go
@@ -184,7 +184,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, ok := r.Context().Value(connKey{}).(*boundedConn); ok {
 			kind := userClient
-			if strings.HasPrefix(r.URL.Path, reportPath) {
+			if strings.HasPrefix(r.URL.Path, heartbeatPath) {
 				kind = workerClient
 			}
 			c.kind.Store(int32(kind))
--- /dev/null
+++ b/readiness_test.go
@@ -0,0 +1,50 @@
+package lilaclead
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"lilaclead/internal/peer"
+	"lilaclead/internal/wire"
+	"lilaclead/upgrade"
+)
+
+func TestNodeWithoutStateServiceIsReadyUnlessAnotherIsBetter(t *testing.T) {
+	now := time.Now()
+	connected := peer.Peer{LastContact: now}
+	reachesState := peer.Heartbeat{StateReachable: true}
+	connectedWithState := peer.Peer{LastContact: now, Heartbeat: reachesState}
+	lostWithState := peer.Peer{LastContact: now.Add(-peer.AckLifetime), Heartbeat: reachesState}
+	for name, c := range map[string]struct {
+		peers map[wire.NodeID]peer.Peer
+		want  string
+	}{
+		"no peer was ever in contact":       {nil, reasonIsolated},
+		"all peers are lost":                {map[wire.NodeID]peer.Peer{"a": lostWithState}, reasonIsolated},
+		"a peer reaches the state service":  {map[wire.NodeID]peer.Peer{"a": connected, "b": connectedWithState}, reasonNoStateService},
+		"no peer reaches the state service": {map[wire.NodeID]peer.Peer{"a": connected, "b": lostWithState}, ""},
+	} {
+		if got := reasonWithoutState(c.peers, now); got != c.want {
+			t.Errorf("%s: reasonWithoutState(%+v) = %q, want %q", name, c.peers, got, c.want)
+		}
+	}
+}
+
+func TestOnlyUnknownVersionsAreExcusedByAnOutage(t *testing.T) {
+	for name, c := range map[string]struct {
+		refusal        error
+		stateReachable bool
+		want           bool
+	}{
+		"active version unknown in an outage": {fmt.Errorf("refused: %w", upgrade.ErrUnknown), false, true},
+		"not published in an outage":          {upgrade.ErrNotPublished, false, true},
+		"active version unknown":              {upgrade.ErrUnknown, true, false},
+		"another refusal in an outage":        {errors.New("version 7 is active"), false, false},
+	} {
+		if got := excusedByOutage(c.refusal, c.stateReachable); got != c.want {
+			t.Errorf("%s: excusedByOutage(%v, %v) = %v, want %v", name, c.refusal, c.stateReachable, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/servers.go
@@ -0,0 +1,47 @@
+package lilaclead
+
+import (
+	"net/http"
+	"time"
+)
+
+// Limits of time and size of the servers for users, workers and peers.
+const (
+	headerTimeout   = 4 * time.Second
+	requestTimeout  = 8 * time.Second
+	responseTimeout = 10 * time.Second
+	// idleTimeout outlives the longest pause between two heartbeats of a worker.
+	idleTimeout     = 75 * time.Second
+	peerIdleTimeout = 60 * time.Second
+	maxHeaderBytes  = 16 << 10
+)
+
+// userServer serves users and workers on the bounded listener.
+func (n *Node) userServer(listener *boundedListener) *http.Server {
+	return &http.Server{
+		Handler:           listener.classify(n.userRoutes()),
+		ConnState:         listener.connState,
+		ConnContext:       listener.connContext,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       requestTimeout,
+		WriteTimeout:      responseTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          serverErrorLog(n.log),
+	}
+}
+
+// peerServer serves the other nodes, whose streams have no end, and operators.
+func (n *Node) peerServer() *http.Server {
+	var protocols http.Protocols
+	protocols.SetHTTP1(true)
+	protocols.SetUnencryptedHTTP2(true)
+	return &http.Server{
+		Handler:           n.peerRoutes(),
+		Protocols:         &protocols,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       peerIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          serverErrorLog(n.log),
+	}
+}
