--- a/listener.go
+++ b/listener.go
@@ -12,70 +12,75 @@
 	"time"
 )
 
-// clientKind is who a connection serves, by its last request.
+// clientKind is the kind of client that a connection belongs to, by its last request.
+// Idle connections are evicted in the order of these constants.
 type clientKind int32
 
 const (
-	userClient clientKind = iota // a user, a health check, or nobody yet
+	userClient clientKind = iota // a user, a health check, or one without a request yet
 	workerClient
-	clientKinds // how many there are
+	clientKindCount
 )
 
-// limitLogPeriod keeps the log short while connections are at their limit.
-const limitLogPeriod = 10 * time.Second
+// evictionLogPeriod keeps the log short while connections are at their limit.
+const evictionLogPeriod = 10 * time.Second
 
-// boundedListener bounds the open connections of a listener, since the
-// platform's limit would make accepting fail, and with it health checks and
-// workers. At the limit the connection that has been idle longest is closed,
-// users' before workers'; when none is idle, accepting waits.
+// boundedListener bounds the open connections of a listener, since the platform's limit
+// would make accepting fail, and with it health checks and workers. At the limit the
+// connection that has been idle longest is evicted, users' before workers'; when none is
+// idle, accepting waits.
 type boundedListener struct {
 	net.Listener
 	limit int
 	log   *slog.Logger
-	freed chan struct{}
+	// retryAccept wakes an Accept that waits at the limit.
+	retryAccept chan struct{}
 
 	mu       sync.Mutex
 	open     int
-	idle     [clientKinds]*list.List // of *boundedConn, the longest idle first
-	evicted  int                     // connections closed since that was last logged
+	idle     [clientKindCount]*list.List // of *boundedConn, the longest idle first
+	evicted  int                         // connections evicted since that was last logged
 	loggedAt time.Time
 }
 
-func newBoundedListener(l net.Listener, limit int, log *slog.Logger) *boundedListener {
+func newBoundedListener(listener net.Listener, limit int, log *slog.Logger) *boundedListener {
 	return &boundedListener{
-		Listener: l,
-		limit:    limit,
-		log:      log,
-		freed:    make(chan struct{}, 1),
-		idle:     [clientKinds]*list.List{list.New(), list.New()},
+		Listener:    listener,
+		limit:       limit,
+		log:         log,
+		retryAccept: make(chan struct{}, 1),
+		idle:        [clientKindCount]*list.List{list.New(), list.New()},
 	}
 }
 
-// boundedConn is one accepted connection.
+// boundedConn is an accepted connection.
 type boundedConn struct {
 	net.Conn
 	listener *boundedListener
-	kind     atomic.Int32
-	element  *list.Element // of the idle list, while idle
-	idleIn   clientKind    // the list that it is in
-	closed   bool
+	kind     atomic.Int32 // a clientKind
+
+	// The fields below are guarded by the listener's mutex.
+
+	idleElement *list.Element // in the idle list of idleKind; nil while the connection is busy
+	idleKind    clientKind
+	closed      bool
 }
 
-// Accept waits until the connections are below their limit.
+// Accept waits until the connections are below their limit, and then for the next one.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	for !l.reserve() {
-		<-l.freed
+		<-l.retryAccept
 	}
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		l.release()
 		return nil, err
 	}
-	return &boundedConn{Conn: c, listener: l}, nil
+	return &boundedConn{Conn: conn, listener: l}, nil
 }
 
-// reserve counts one more connection, for which an idle one may have to be
-// closed; false: none is idle.
+// reserve counts one more connection, for which an idle one may have to be evicted. It
+// reports false if the connections are at their limit and none is idle.
 func (l *boundedListener) reserve() bool {
 	for {
 		l.mu.Lock()
@@ -96,27 +101,31 @@
 	}
 }
 
-// longestIdle is the next connection to close; call with the lock held.
+// longestIdle returns the next connection to evict, nil if none is idle. The mutex must
+// be held.
 func (l *boundedListener) longestIdle() *boundedConn {
 	for _, idle := range l.idle {
-		if e := idle.Front(); e != nil {
-			return e.Value.(*boundedConn)
+		if front := idle.Front(); front != nil {
+			return front.Value.(*boundedConn)
 		}
 	}
 	return nil
 }
 
-// logEviction counts a connection that is closed, and logs how many were once in
-// a while; call with the lock held.
+// logEviction counts an evicted connection, and logs their number once in a while. The
+// mutex must be held.
 func (l *boundedListener) logEviction() {
 	l.evicted++
-	if now := time.Now(); now.Sub(l.loggedAt) > limitLogPeriod {
-		l.log.Info("connections are at their limit; idle ones are closed", "limit", l.limit, "closed", l.evicted)
-		l.loggedAt, l.evicted = now, 0
+	now := time.Now()
+	if now.Sub(l.loggedAt) <= evictionLogPeriod {
+		return
 	}
+	l.log.Info("idle connections closed", "reason", "connections are at their limit", "limit", l.limit, "closed", l.evicted)
+	l.loggedAt = now
+	l.evicted = 0
 }
 
-// release counts one connection less.
+// release counts one connection fewer.
 func (l *boundedListener) release() {
 	l.mu.Lock()
 	l.open--
@@ -124,15 +133,15 @@
 	l.wake()
 }
 
-// wake lets a waiting Accept try again.
+// wake makes a waiting Accept try again.
 func (l *boundedListener) wake() {
 	select {
-	case l.freed <- struct{}{}:
+	case l.retryAccept <- struct{}{}:
 	default:
 	}
 }
 
-// Close closes the connection and counts it out, once.
+// Close closes the connection. Only the first call counts it out.
 func (c *boundedConn) Close() error {
 	c.listener.mu.Lock()
 	first := !c.closed
@@ -146,15 +155,22 @@
 	return err
 }
 
-// markBusy takes the connection out of the idle ones; call with the lock held.
+// markBusy takes the connection out of the idle ones. The listener's mutex must be held.
 func (c *boundedConn) markBusy() {
-	if c.element != nil {
-		c.listener.idle[c.idleIn].Remove(c.element)
-		c.element = nil
+	if c.idleElement != nil {
+		c.listener.idle[c.idleKind].Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// connState follows the states that the server reports of a connection.
+// markIdle makes the connection the last to be evicted of its kind. The listener's mutex
+// must be held.
+func (c *boundedConn) markIdle() {
+	c.idleKind = clientKind(c.kind.Load())
+	c.idleElement = c.listener.idle[c.idleKind].PushBack(c)
+}
+
+// connState is the server's ConnState hook.
 func (l *boundedListener) connState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*boundedConn)
 	if !ok {
@@ -163,8 +179,7 @@
 	l.mu.Lock()
 	c.markBusy()
 	if state == http.StateIdle && !c.closed {
-		c.idleIn = clientKind(c.kind.Load())
-		c.element = l.idle[c.idleIn].PushBack(c)
+		c.markIdle()
 	}
 	l.mu.Unlock()
 	if state == http.StateIdle {
@@ -172,23 +187,29 @@
 	}
 }
 
-type connKey struct{}
+// connContextKey is the key of a request's connection in its context.
+type connContextKey struct{}
 
-// connContext lets a request's handler know its connection.
-func (l *boundedListener) connContext(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+// connContext is the server's ConnContext hook, by which handlers learn a request's
+// connection.
+func (l *boundedListener) connContext(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// classify notes by each request what kind of client its connection serves.
-func (l *boundedListener) classify(h http.Handler) http.Handler {
+// classify returns a handler that sets the kind of a request's connection first.
+func (l *boundedListener) classify(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if c, ok := r.Context().Value(connKey{}).(*boundedConn); ok {
-			kind := userClient
-			if strings.HasPrefix(r.URL.Path, heartbeatPath) {
-				kind = workerClient
-			}
-			c.kind.Store(int32(kind))
+		if conn, ok := r.Context().Value(connContextKey{}).(*boundedConn); ok {
+			conn.kind.Store(int32(kindOfClient(r)))
 		}
-		h.ServeHTTP(w, r)
+		handler.ServeHTTP(w, r)
 	})
 }
+
+// kindOfClient returns the kind of client that sends a request.
+func kindOfClient(r *http.Request) clientKind {
+	if strings.HasPrefix(r.URL.Path, heartbeatPath) {
+		return workerClient
+	}
+	return userClient
+}
