--- a/cmd/lilaclead/history.go
+++ b/cmd/lilaclead/history.go
@@ -3,13 +3,12 @@
 import (
 	"errors"
 	"fmt"
-	"os"
 	"time"
 
 	"lilaclead/history"
 )
 
-// historyCmd reads the files of package history.
+// historyCmd prints what package history recorded.
 type historyCmd struct {
 	Dir        string `help:"Folder of the files; by default history.dir of the features file." placeholder:"DIR"`
 	From       string `help:"Events at or after this time (RFC 3339, as 2026-12-02T10:00:00Z)." placeholder:"TIME"`
@@ -19,59 +18,83 @@
 	Controller string `help:"Events of this controller." placeholder:"NAME"`
 }
 
-// errDamaged ends the command when some files could not be read in full.
-var errDamaged = errors.New("some of the history is damaged")
+var (
+	// errNoHistoryDir says that nothing names the folder to read.
+	errNoHistoryDir = errors.New("--dir: missing, and the features file names no history.dir")
+	// errDamagedHistory says that some files couldn't be read in full.
+	errDamagedHistory = errors.New("some of the history is damaged")
+)
 
-// Run prints the events, one a line.
-func (h historyCmd) Run(c *cli) error {
-	filter, err := h.filter()
+// Run prints the events, one a line. It prints those that can be read also when some
+// files are damaged, and fails then.
+func (cmd historyCmd) Run(c *cli, out *output) error {
+	filter, err := cmd.filter()
 	if err != nil {
 		return err
 	}
-	dir := h.Dir
-	if dir == "" {
-		parts, err := c.features()
-		if err != nil {
-			return err
-		}
-		dir = parts.HistoryDir
-	}
-	if dir == "" {
-		return errors.New("--dir: missing, and the features file names no history.dir")
+	dir, err := cmd.folder(c)
+	if err != nil {
+		return err
 	}
 	events, damaged, err := history.Read(dir, filter)
 	if err != nil {
 		return err
 	}
 	for _, e := range events {
-		fmt.Printf("%s %-12s %-16s %-10s token %-8d", e.At.UTC().Format("2006-01-02T15:04:05.000Z"), e.Controller, e.Kind, e.Duty, e.Token)
-		if e.Version > 0 {
-			fmt.Printf(" version %d", e.Version)
-		}
-		fmt.Println("", e.Reason)
+		printEvent(out, e)
 	}
-	for _, d := range damaged {
-		fmt.Fprintln(os.Stderr, "lilaclead:", d)
+	for _, file := range damaged {
+		out.printError(file)
 	}
 	if len(damaged) > 0 {
-		return errDamaged
+		return errDamagedHistory
 	}
 	return nil
 }
 
-// filter reads the flags and names every one that is wrong.
-func (h historyCmd) filter() (history.Filter, error) {
-	var errs []error
-	moment := func(flag, text string) time.Time {
-		if text == "" {
-			return time.Time{}
-		}
-		t, err := time.Parse(time.RFC3339, text)
-		if err != nil {
-			errs = append(errs, fmt.Errorf("--%s: %q is no time as 2026-12-02T10:00:00Z", flag, text))
-		}
-		return t
+// folder returns the folder that the command line names, or else the features file.
+func (cmd historyCmd) folder(c *cli) (string, error) {
+	if cmd.Dir != "" {
+		return cmd.Dir, nil
+	}
+	features, err := c.loadFeatures()
+	if err != nil {
+		return "", err
+	}
+	if features.HistoryDir == "" {
+		return "", errNoHistoryDir
+	}
+	return features.HistoryDir, nil
+}
+
+// eventTimeFormat is RFC 3339 with milliseconds.
+const eventTimeFormat = "2006-01-02T15:04:05.000Z"
+
+func printEvent(out *output, e history.Event) {
+	fmt.Fprintf(out.results, "%s %-12s %-16s %-10s token %-8d", e.At.UTC().Format(eventTimeFormat), e.Controller, e.Kind, e.Duty, e.Token)
+	if e.Version > 0 {
+		fmt.Fprintf(out.results, " version %d", e.Version)
+	}
+	fmt.Fprintln(out.results, "", e.Reason)
+}
+
+// filter returns the filter that the flags describe. Its error names every flag that is
+// wrong.
+func (cmd historyCmd) filter() (history.Filter, error) {
+	from, fromErr := parseTime("from", cmd.From)
+	to, toErr := parseTime("to", cmd.To)
+	filter := history.Filter{From: from, To: to, Kind: cmd.Kind, Duty: cmd.Duty, Controller: cmd.Controller}
+	return filter, errors.Join(fromErr, toErr)
+}
+
+// parseTime returns the time that a flag gives, the zero time if it isn't set.
+func parseTime(flag, text string) (time.Time, error) {
+	if text == "" {
+		return time.Time{}, nil
+	}
+	parsed, err := time.Parse(time.RFC3339, text)
+	if err != nil {
+		return time.Time{}, fmt.Errorf("--%s: %q is no time as 2026-12-02T10:00:00Z", flag, text)
 	}
-	f := history.Filter{From: moment("from", h.From), To: moment("to", h.To), Kind: h.Kind, Duty: h.Duty, Controller: h.Controller}
-	return f, errors.Join(errs...)
+	return parsed, nil
 }
--- /dev/null
+++ b/cmd/lilaclead/serve.go
@@ -0,0 +1,78 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"lilaclead"
+)
+
+type (
+	// serveCmd serves as a controller.
+	serveCmd struct{}
+	// checkCmd checks the settings and features files.
+	checkCmd struct{}
+)
+
+// Run serves until the process is interrupted or terminated.
+func (serveCmd) Run(c *cli) error {
+	cfg, features, err := c.loadFiles()
+	if err != nil {
+		return err
+	}
+	lilaclead.LimitProcess(cfg)
+	node, err := lilaclead.New(cfg, lilaclead.Options{Features: features})
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	return node.Run(ctx)
+}
+
+// Run prints the features that are on, or returns every error in both files.
+func (checkCmd) Run(c *cli, out *output) error {
+	_, features, err := c.loadFiles()
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintf(out.results, "ok\nfeatures: %v\n", features)
+	return err
+}
+
+// errNoConfig says that the command needs the settings file.
+var errNoConfig = errors.New("--config FILE is missing")
+
+// loadConfig reads the settings file.
+func (c *cli) loadConfig() (*lilaclead.Config, error) {
+	if c.Config == "" {
+		return nil, errNoConfig
+	}
+	return lilaclead.LoadConfig(c.Config)
+}
+
+// loadFeatures reads the features file. A file that the command line names must exist.
+func (c *cli) loadFeatures() (lilaclead.Features, error) {
+	path := c.Features
+	if path == "" {
+		program, err := os.Executable()
+		if err != nil {
+			return lilaclead.Features{}, fmt.Errorf("where this program lies, and so its features file: %w", err)
+		}
+		path = lilaclead.FeaturesPathBeside(program)
+	} else if _, err := os.Stat(path); err != nil {
+		return lilaclead.Features{}, fmt.Errorf("features file: %w", err)
+	}
+	return lilaclead.LoadFeatures(path)
+}
+
+// loadFiles reads both files and returns what is wrong in either.
+func (c *cli) loadFiles() (*lilaclead.Config, lilaclead.Features, error) {
+	cfg, configErr := c.loadConfig()
+	features, featuresErr := c.loadFeatures()
+	return cfg, features, errors.Join(configErr, featuresErr)
+}
