--- a/history/segment_test.go
+++ b/history/segment_test.go
@@ -111,3 +111,33 @@
 		}
 	}
 }
+
+// A segment that was cut anywhere is reported, and nothing is read of it: its footer is
+// at its end.
+func TestTruncatedSegmentIsReported(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "segment")
+	_, content := encodeTestSegment(t, 40)
+	for size := range content {
+		writeFile(t, path, content[:size])
+		if got, err := readSegment(path); len(got) > 0 || !errors.Is(err, ErrDamaged) {
+			t.Errorf("cut to %d of %d bytes: got %d records, error %v, want none and %v", size, len(content), len(got), err, ErrDamaged)
+		}
+	}
+}
+
+// A segment whose checksums are damaged must not be decoded like one without them.
+func TestDamagedChecksumsArentTakenForMissingOnes(t *testing.T) {
+	_, content := encodeTestSegment(t, 40)
+	block := bytes.Index(content, []byte(checksumMarker))
+	for name, at := range map[string]int{
+		"marker":           block,
+		"number of groups": block + len(checksumMarker),
+		"group":            block + len(checksumMarker) + groupCountSize,
+	} {
+		damaged := slices.Clone(content)
+		damaged[at] ^= 0xFF
+		if _, err := findChecksums(damaged); !errors.Is(err, ErrDamaged) {
+			t.Errorf("%s damaged: findChecksums = %v, want %v", name, err, ErrDamaged)
+		}
+	}
+}
