--- a/history/recorder_test.go
+++ b/history/recorder_test.go
@@ -55,10 +55,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.log = &logWriter{name: fileName{controller: "a", number: 1, kind: logKind}, file: openFullPipe(t, dir)}
+	pipe := openUnreadPipe(t, dir)
+	r.log = &logWriter{name: fileName{controller: "a", number: 1, kind: logKind}, file: pipe}
 	ctx, cancel := context.WithCancel(t.Context())
-	defer cancel()
-	go r.Run(ctx)
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		r.Run(ctx)
+	}()
+	defer func() {
+		cancel()
+		pipe.Close() // ends a write that hangs
+		<-done
+	}()
 	began := time.Now()
 	for i := range 5000 {
 		e := testEvent(i)
@@ -70,9 +79,9 @@
 	}
 }
 
-// openFullPipe returns a pipe that nobody reads: writing to it hangs once it is full, as
-// on a disk that hangs.
-func openFullPipe(t *testing.T, dir string) *os.File {
+// openUnreadPipe returns a pipe that nobody reads: writing to it hangs once it is full,
+// as on a disk that hangs.
+func openUnreadPipe(t *testing.T, dir string) *os.File {
 	t.Helper()
 	path := filepath.Join(dir, "pipe")
 	if err := syscall.Mkfifo(path, 0o644); err != nil {
@@ -82,7 +91,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { file.Close() })
 	return file
 }
 
