--- a/history/checksums.go
+++ b/history/checksums.go
@@ -28,7 +28,8 @@
 const (
 	checksumSize      = 4
 	groupCountSize    = 4
-	groupChecksumSize = 8 + checksumSize
+	groupEndSize      = 8
+	groupChecksumSize = groupEndSize + checksumSize
 	// footerSuffixSize is what ends a Parquet file: the footer's length and a magic number.
 	footerSuffixSize = 8
 )
@@ -132,7 +133,7 @@
 	checksums = &segmentChecksums{groups: make([]groupChecksum, groups)}
 	for i := range checksums.groups {
 		checksums.groups[i].end = binary.LittleEndian.Uint64(data[at:])
-		checksums.groups[i].crc = binary.LittleEndian.Uint32(data[at+8:])
+		checksums.groups[i].crc = binary.LittleEndian.Uint32(data[at+groupEndSize:])
 		at += groupChecksumSize
 	}
 	if len(data) < at+2*checksumSize {
--- a/history/segment.go
+++ b/history/segment.go
@@ -13,9 +13,9 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// groupRecords is how many records of a segment are kept or lost together when it is
+// recordsPerGroup is how many records of a segment are kept or lost together when it is
 // damaged.
-const groupRecords = 1024
+const recordsPerGroup = 1024
 
 // unbuffered makes the library write a row group when it is flushed, so that its end
 // offset is known. (0 would be the library's default.)
@@ -39,8 +39,8 @@
 	writer.SetKeyValueMetadata(checksumMarker, "crc32")
 	var checksums segmentChecksums
 	group := 0
-	for records := range slices.Chunk(records, groupRecords) {
-		if err := writeGroup(writer, group, records); err != nil {
+	for chunk := range slices.Chunk(records, recordsPerGroup) {
+		if err := writeGroup(writer, group, chunk); err != nil {
 			return nil, err
 		}
 		checksums.appendGroup(file.Bytes())
@@ -81,16 +81,21 @@
 
 // readSegment returns the records of a segment's intact row groups. The error names one
 // of the damaged groups, or what is wrong with the whole file.
+func readSegment(path string) ([]eventRecord, error) {
+	content, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return decodeSegment(content)
+}
+
+// decodeSegment is readSegment for a segment's content.
 //
 // The Parquet library may panic on damaged bytes, and may even end the process. So it
 // is given only bytes that their checksums confirm. Segments that were written before
 // there were checksums of bytes are read as they are.
-func readSegment(path string) (records []eventRecord, err error) {
+func decodeSegment(content []byte) (records []eventRecord, err error) {
 	defer recoverDamage(&err)
-	content, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
 	checksums, err := findChecksums(content)
 	if err != nil && !errors.Is(err, errNoChecksums) {
 		return nil, err
@@ -100,12 +105,12 @@
 		return nil, err
 	}
 	for i, group := range file.RowGroups() {
-		groupRecords, ok := readGroup(file, i, checksums.groupIntact(content, i))
+		intact, ok := readGroup(file, i, checksums.groupIntact(content, i))
 		if !ok {
 			err = damagedGroupError(i, group.NumRows())
 			continue
 		}
-		records = append(records, groupRecords...)
+		records = append(records, intact...)
 	}
 	return records, err
 }
@@ -125,7 +130,7 @@
 
 // damagedGroupError says which records of a segment are lost with a row group.
 func damagedGroupError(group int, records int64) error {
-	first := group * groupRecords
+	first := group * recordsPerGroup
 	return fmt.Errorf("%w: rows %d to %d", ErrDamaged, first, first+int(records)-1)
 }
 
@@ -147,7 +152,7 @@
 // decodeGroup decodes the records of a row group.
 func decodeGroup(group parquet.RowGroup) (records []eventRecord, err error) {
 	defer recoverDamage(&err)
-	if group.NumRows() < 0 || group.NumRows() > groupRecords {
+	if group.NumRows() < 0 || group.NumRows() > recordsPerGroup {
 		return nil, ErrDamaged
 	}
 	records = make([]eventRecord, group.NumRows())
--- a/history/segment_test.go
+++ b/history/segment_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"path/filepath"
 	"slices"
 	"testing"
 
@@ -24,13 +23,11 @@
 // Wherever a byte of a segment is wrong, either the right records are read or none and
 // the damage is reported.
 func TestEveryDamagedByteIsNoticedOrHarmless(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "segment")
 	want, content := encodeTestSegment(t, 40)
 	for i := range content {
 		damaged := slices.Clone(content)
 		damaged[i] ^= 0xFF
-		writeFile(t, path, damaged)
-		got, err := readSegment(path)
+		got, err := decodeSegment(damaged)
 		if !slices.Equal(got, want) && (err == nil || len(got) > 0) {
 			t.Errorf("byte %d of %d damaged: got %d records, error %v, want all %d, or none and an error", i, len(content), len(got), err, len(want))
 		}
@@ -54,7 +51,7 @@
 // A reader that doesn't know the checksums of bytes finds the records and their own
 // checksums, as the earlier versions of this package do.
 func TestSegmentIsPlainParquet(t *testing.T) {
-	want, content := encodeTestSegment(t, 2*groupRecords+52)
+	want, content := encodeTestSegment(t, 2*recordsPerGroup+52)
 	file, err := parquet.OpenFile(bytes.NewReader(content), int64(len(content)))
 	if err != nil {
 		t.Fatal(err)
@@ -79,13 +76,12 @@
 // Whatever part of a segment is overwritten, the row groups outside it are read, unless
 // it reaches into the checksums or the footer, without which nothing is.
 func TestDamagedGroupsAreSkipped(t *testing.T) {
-	want, content := encodeTestSegment(t, 3*groupRecords)
+	want, content := encodeTestSegment(t, 3*recordsPerGroup)
 	checksums, err := findChecksums(content)
 	if err != nil || len(checksums.groups) != 3 {
 		t.Fatalf("findChecksums = %+v, %v, want 3 row groups", checksums, err)
 	}
 	block := bytes.Index(content, []byte(checksumMarker))
-	path := filepath.Join(t.TempDir(), "segment")
 	const window = 64
 	for start := 0; start+window <= len(content); start += window / 2 {
 		end := start + window
@@ -93,16 +89,15 @@
 		for i := start; i < end; i++ {
 			damaged[i] ^= 0xA5
 		}
-		writeFile(t, path, damaged)
 		var wantRead []eventRecord
 		framingIntact := start >= len("PAR1") && end <= block
 		for i := range checksums.groups {
 			groupHit := start < int(checksums.groups[i].end) && end > int(checksums.groupStart(i))
 			if framingIntact && !groupHit {
-				wantRead = append(wantRead, want[i*groupRecords:(i+1)*groupRecords]...)
+				wantRead = append(wantRead, want[i*recordsPerGroup:(i+1)*recordsPerGroup]...)
 			}
 		}
-		got, err := readSegment(path)
+		got, err := decodeSegment(damaged)
 		if !slices.Equal(got, wantRead) {
 			t.Errorf("bytes %d to %d of %d damaged: got %d records, want %d", start, end, len(content), len(got), len(wantRead))
 		}
@@ -115,11 +110,9 @@
 // A segment that was cut anywhere is reported, and nothing is read of it: its footer is
 // at its end.
 func TestTruncatedSegmentIsReported(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "segment")
 	_, content := encodeTestSegment(t, 40)
 	for size := range content {
-		writeFile(t, path, content[:size])
-		if got, err := readSegment(path); len(got) > 0 || !errors.Is(err, ErrDamaged) {
+		if got, err := decodeSegment(content[:size]); len(got) > 0 || !errors.Is(err, ErrDamaged) {
 			t.Errorf("cut to %d of %d bytes: got %d records, error %v, want none and %v", size, len(content), len(got), err, ErrDamaged)
 		}
 	}
