--- a/history/history.go
+++ b/history/history.go
@@ -21,9 +21,11 @@
 //
 // [Read] fails only if the folder itself can't be listed, which may be tried again. Each
 // file that can't be read in full is reported as a [DamageError] beside the events. Its
-// lost events stay lost when the cause is [ErrDamaged], with one exception: the newest
-// log of a running Recorder may end in a frame that is still being written, and a file
-// may be sealed or removed while it is being read. Reading again settles both.
+// lost events stay lost when the cause is [ErrDamaged], except that the newest log of a
+// running Recorder may end in a frame that is still being written. A file that a
+// Recorder seals or removes while the folder is read may be reported as missing, and the
+// events of a log that is just being sealed may be missing without an error. Reading
+// again settles these cases.
 package history
 
 import "time"
--- a/history/read.go
+++ b/history/read.go
@@ -37,7 +37,8 @@
 func matchesText(want, got string) bool { return want == "" || want == got }
 
 // ErrDamaged is the cause of a DamageError for a file that is truncated or whose
-// content doesn't match its checksums. Reading the file again doesn't help.
+// content doesn't match its checksums. Reading the file again helps only if a Recorder
+// was still writing it.
 var ErrDamaged = errors.New("damaged or truncated")
 
 // DamageError reports a file that could be read only in part, or not at all.
