--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -171,7 +171,7 @@
 	revision, err := c.createLeaseKey(ctx, grant)
 	if err != nil {
 		// A late execution of the write is harmless without its grant.
-		c.Store.EndGrant(ctx, grant) //nolint:errcheck // it expires by itself
+		_ = c.Store.EndGrant(ctx, grant) // else it expires by itself
 		return nil
 	}
 	lease := NewLease(c, Tenure{
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -211,5 +211,5 @@
 	l.validFor.Store(resigned)
 	l.emit(Resigned, "", "")
 	l.candidate.BackOffUntil(until)
-	go l.candidate.Store.EndGrant(context.WithoutCancel(ctx), l.tenure.Grant) //nolint:errcheck // else it expires by itself
+	go func() { _ = l.candidate.Store.EndGrant(context.WithoutCancel(ctx), l.tenure.Grant) }() // else it expires by itself
 }
--- a/history/log.go
+++ b/history/log.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (w *logWriter) close() { w.file.Close() } //nolint:errcheck // what was written is checked when it is read
+func (w *logWriter) close() { _ = w.file.Close() } // what was written is checked when it is read
 
 // encodeFrame returns a frame with its header.
 func encodeFrame(records []eventRecord) ([]byte, error) {
@@ -142,7 +142,7 @@
 	segment := log.segment().in(dir)
 	partial := segment + partialSuffix
 	if err := writeSegment(partial, records); err != nil {
-		os.Remove(partial) //nolint:errcheck // the log is still there
+		_ = os.Remove(partial) // the log is still there
 		return err
 	}
 	if err := os.Rename(partial, segment); err != nil {
--- a/history/recorder.go
+++ b/history/recorder.go
@@ -154,7 +154,7 @@
 func (r *Recorder) sealOpenLog() {
 	name := r.log.name
 	r.closeLog()
-	sealLog(r.options.Dir, name) //nolint:errcheck // it stays a log, which is read as well
+	_ = sealLog(r.options.Dir, name) // else it stays a log, which is read as well
 }
 
 // sealLeftoverLogs seals the logs of earlier processes, and removes the segments that
@@ -162,12 +162,12 @@
 func (r *Recorder) sealLeftoverLogs() {
 	for _, name := range r.files() {
 		if name.kind == logKind {
-			sealLog(r.options.Dir, name) //nolint:errcheck // it stays a log
+			_ = sealLog(r.options.Dir, name) // else it stays a log
 		}
 	}
 	partials, _ := filepath.Glob(filepath.Join(r.options.Dir, filePrefix+r.options.Controller+"-*"+partialSuffix))
 	for _, partial := range partials {
-		os.Remove(partial) //nolint:errcheck // its log is still there
+		_ = os.Remove(partial) // its log is still there
 	}
 	r.removeBeyondLimit()
 }
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -63,16 +63,16 @@
 }
 
 // MaybeExecuted reports whether the cloud may have executed the request, or may still do so.
-func (e *Error) MaybeExecuted() bool { return e.Class == ErrUnknown }
+func (e *Error) MaybeExecuted() bool { return errors.Is(e.Class, ErrUnknown) }
 
 // Retryable reports whether the same request can succeed later, which one that was refused as invalid can't.
-func (e *Error) Retryable() bool { return e.Class != ErrInvalid }
+func (e *Error) Retryable() bool { return !errors.Is(e.Class, ErrInvalid) }
 
 // outcome returns the error's value of the metrics' outcome label. Dashboards know these texts, so they are independent of
 // Error; why a request could not be sent or was not answered is left out, since it differs from call to call.
 func (e *Error) outcome() string {
 	switch {
-	case e.Class != ErrUnknown || e.Status == 0:
+	case !errors.Is(e.Class, ErrUnknown) || e.Status == 0:
 		return e.Class.Error()
 	case e.Status == http.StatusOK:
 		return fmt.Sprintf("%v: bad answer: %v", e.Class, e.Cause)
--- a/internal/peer/incoming.go
+++ b/internal/peer/incoming.go
@@ -57,7 +57,7 @@
 
 // receive returns the next heartbeat, from a known peer.
 func (s *incomingStream) receive() (Heartbeat, error) {
-	s.control.SetReadDeadline(time.Now().Add(streamIdleTimeout)) //nolint:errcheck // then the stream ends later, by itself
+	_ = s.control.SetReadDeadline(time.Now().Add(streamIdleTimeout)) // else the stream ends later, by itself
 	var heartbeat Heartbeat
 	if err := s.heartbeats.Decode(&heartbeat); err != nil {
 		s.mesh.logUndecodable("a heartbeat from "+s.sender, err)
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -408,8 +408,8 @@
 		body    []byte
 		wantLog string
 	}{
-		{name: "wrong type", body: wire.Encode("heartbeat"), wantLog: "level=ERROR msg=undecodable what=\"a heartbeat from " + ipA},
-		{name: "malformed", body: []byte{0xff}, wantLog: "level=ERROR msg=undecodable what=\"a heartbeat from " + ipA},
+		{name: "wrong type", body: wire.Encode("heartbeat"), wantLog: "level=ERROR msg=\"undecodable input rejected\" source=\"a heartbeat from " + ipA},
+		{name: "malformed", body: []byte{0xff}, wantLog: "level=ERROR msg=\"undecodable input rejected\" source=\"a heartbeat from " + ipA},
 		{name: "cut short", body: wire.Encode(Heartbeat{From: "a"})[:3]},
 		{name: "unknown sender", body: wire.Encode(Heartbeat{From: "unknown"})},
 	}
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -43,7 +43,7 @@
 	header.Set("Content-Type", ContentType)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	w.Write(body) //nolint:errcheck // the client has closed the connection; nothing to do
+	_, _ = w.Write(body) // an error: the client has closed the connection, and there is nothing to do
 }
 
 // RefuseRetryable writes a response that says that the request can't be served now, and
--- a/listener.go
+++ b/listener.go
@@ -97,7 +97,7 @@
 		if victim == nil {
 			return false
 		}
-		victim.Close()
+		_ = victim.Close()
 	}
 }
 
