--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -10,29 +10,26 @@
 
 // Why a lease is lost.
 var (
-	ErrGrantGone = duty.ErrGrantExpired
-	ErrVacant    = duty.ErrNoHolder
-	ErrTaken     = duty.ErrHeldByOther
+	// ErrGrantExpired reports that the key-value store has ended the lease's grant.
+	ErrGrantExpired = duty.ErrGrantExpired
+	// ErrNoHolder reports that nobody holds the leadership.
+	ErrNoHolder = duty.ErrNoHolder
+	// ErrTaken reports that another process holds the leadership.
+	ErrTaken = duty.ErrHeldByOther
 )
 
 // Terms are the terms on which a lease was taken.
 type Terms = duty.Tenure
 
-// Lease is the leadership as its holder knows it. It may be asked from any
-// goroutine whether it still holds.
+// Lease is the leadership as its holder knows it. It is safe for concurrent use.
 type Lease struct {
 	*duty.Lease
-	// answersUntil is a time since the lease was taken, which no step of the wall
-	// clock changes.
+	// answersUntil counts from when the lease was taken, so that no step of the wall
+	// clock changes it.
 	answersUntil atomic.Int64
 }
 
-// DecidesUntil is until when a holder may decide that sent the request for its
-// grant, or for the grant's renewal, at the given time. The grant can't end sooner
-// than its life after that.
-func DecidesUntil(sent time.Time) time.Time { return sent.Add(grantTTL - margin) }
-
-// NewLease is a lease that was taken on these terms.
+// NewLease returns a lease that was taken on these terms.
 func NewLease(c *Candidate, terms Terms) *Lease {
 	if c == nil {
 		return &Lease{Lease: duty.NewLease(nil, terms)}
@@ -40,40 +37,43 @@
 	return &Lease{Lease: duty.NewLease(c.Candidate, terms)}
 }
 
-// Deciding tells whether this node surely holds the leadership.
+// Deciding reports whether this node surely holds the leadership.
 func (l *Lease) Deciding() bool { return l.Held() }
 
-// Answering tells whether reports may be answered: as long as the lease
-// surely runs, or, with the state service away, as long as a majority of the
-// nodes acknowledged our token lately and B has not passed.
+// Answering reports whether workers' heartbeats may be answered: while the lease surely
+// has not expired or, with the key-value store unavailable, while a majority of the
+// nodes acknowledged this node's token recently and peer.OutageLimit has not passed.
 func (l *Lease) Answering() bool {
 	return l.Deciding() || int64(time.Since(l.TakenAt())) < l.answersUntil.Load()
 }
 
-// Acknowledged bounds for how long reports may be answered without the state
-// service: until the majority's acknowledgements of the token are too old, and
-// no longer than outageLimit allows. The oldest acknowledgement of any other
-// node is counted by when it was asked for.
+// Acknowledged sets how long heartbeats may be answered without the key-value store:
+// until the majority's acknowledgements of the token are too old, and no longer than
+// outageLimit allows. The age of the oldest acknowledgement of any other node counts
+// from when it was asked for.
 func (l *Lease) Acknowledged(majorityUntil, oldest time.Time, delegationTime time.Duration) {
 	until := min(majorityUntil.Sub(l.TakenAt()), l.outageLimit(oldest, delegationTime))
 	l.answersUntil.Store(int64(until))
 }
 
-// outageLimit bounds, since the lease was taken, for how long reports may be
-// answered without the state service, by B from the end of the grant, so that a
-// successor knows when this node answered last, at the latest. While not all nodes
-// acknowledge it may be no outage but a cut, behind which another leads and users
-// cancel jobs: then it is no longer than a node may be a delegate. A
-// successor counts on that, since one that it never had acknowledged its token
-// has had no acknowledgement from it either. (Counted by when they were asked,
-// not heard: what was held up on its way says nothing of now.)
-func (l *Lease) outageLimit(oldest time.Time, delegationTime time.Duration) time.Duration {
+// outageLimit returns, as a time since the lease was taken, until when heartbeats may
+// be answered without the key-value store. It counts peer.OutageLimit from the end of
+// the grant, so that a successor knows when this node answered last, at the latest.
+//
+// While not all nodes acknowledge the token this may be no outage of the store but a
+// network partition, on whose other side another node leads and users cancel jobs. Then
+// the limit is no longer than a node may be a delegate. A successor relies on that: a
+// node that never acknowledged the successor's token has not acknowledged this node's
+// since either. (Acknowledgements count from when they were asked for, not from when
+// they arrived: one that was delayed on its way says nothing about the present.)
+func (l *Lease) outageLimit(oldestAck time.Time, delegationTime time.Duration) time.Duration {
 	decidesUntil := l.HeldFor()
-	limit := decidesUntil + peer.OutageLimit - margin
+	limit := decidesUntil + peer.OutageLimit - safetyMargin
 	if delegationTime == 0 {
 		return limit
 	}
-	renewalSent := decidesUntil - (grantTTL - margin)
-	alone := renewalSent + delegationTime
-	return min(limit, max(alone, oldest.Add(2*peer.AckLifetime).Sub(l.TakenAt())))
+	lastRenewalSent := decidesUntil - safeTTL
+	withoutAcks := lastRenewalSent + delegationTime
+	withAcks := oldestAck.Add(2 * peer.AckLifetime).Sub(l.TakenAt())
+	return min(limit, max(withoutAcks, withAcks))
 }
