--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -1,13 +1,17 @@
-// Package delegation is delegated lease renewal: a node that has lost the leader
-// renews the leases of workers that turn to it on the leader's behalf, as its
-// delegate. It answers with the leader's token and starts nothing, so that what
-// runs in a zone that is cut off goes on. If the state service still says who
-// leads, only the way to the leader is cut, from here and perhaps not from the
-// worker: then it answers those that were sent to the leader and came back. It may
-// do so for a while after it last asked the leader, by a beat that the leader
-// answered while it surely held the leadership. The while is short enough for what
-// a user cancels behind its back: with the lease that its last answer gives, the
-// task is gone within the time for cancellations.
+// Package delegation implements delegated lease renewal: a node that has lost contact
+// with the leader renews, as the leader's delegate, the leases of workers that turn to
+// it. It answers with the leader's fencing token and starts nothing, so that what runs
+// in a partitioned zone keeps running.
+//
+// If the key-value store still names the leader, only the path to the leader is cut,
+// from here and perhaps not from the worker. Then the delegate answers only workers
+// that were redirected to the leader and came back.
+//
+// A node may be a delegate for a limited time after it last asked the leader, by a
+// heartbeat that the leader answered while it surely held the leadership. Bounds makes
+// that time short enough for cancellations that the delegate can't learn of: a task
+// ends within the cancellation timeout even if its lease was renewed at the last
+// moment.
 package delegation
 
 import (
@@ -16,49 +20,28 @@
 	"time"
 
 	"lilaclead/internal/cancels"
-	"lilaclead/internal/config"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
 )
 
 const (
-	// cancelMargin covers what a leader takes to hear of a cancellation and to halt
-	// its tasks, and the clocks' drift.
-	cancelMargin = 3 * time.Second
-	// returnWithin: a worker gives each node 4 s, and there is a second between two.
-	returnWithin = 5 * time.Second
-	// minRemembered is how many redirected workers are remembered at least.
-	minRemembered = 1000
+	// leaderLostAfter is how long a delegate must not have heard from the leader.
+	leaderLostAfter = 2 * peer.AckLifetime
+	// returnTimePerNode is how long a worker takes to try one node: it gives each 4 s,
+	// and pauses for a second between two.
+	returnTimePerNode = 5 * time.Second
+	// minRedirectsKept is how many workers' redirects are kept at least.
+	minRedirectsKept = 1000
 )
 
-// Bounds limit how long leases may be renewed behind the back of those who cancel.
-type Bounds struct {
-	// Time is how long a node may renew leases for a leader that it has lost; 0:
-	// never.
-	Time time.Duration
-	// MaxCancelAge is D of the rule in package cancels. Where a lease leaves next to
-	// nothing, it is the time in which halts themselves get there.
-	MaxCancelAge time.Duration
-}
-
-// BoundsOf follow from the leases and the time for cancellations.
-func BoundsOf(w config.Workers) Bounds {
-	lease := w.Lease.Duration()
-	// What a lease leaves of the time for cancellations, less drift and margin.
-	left := w.CancelTimeout.Duration() - lease - lease/500 - cancelMargin
-	b := Bounds{MaxCancelAge: max(left, 2*peer.AckLifetime)}
-	if left > 2*peer.AckLifetime {
-		b.Time = left
-	}
-	return b
-}
-
-// Mesh is what a delegate needs of the links between the nodes.
+// Mesh is what a delegate needs of the connections between the nodes.
 type Mesh interface {
 	View() *peer.View
-	// RecordRenewal notes that this node is about to renew leases as a delegate, for others to know.
+	// RecordRenewal records, for others to learn, that this node is about to renew
+	// leases as a delegate.
 	RecordRenewal()
-	// Stood is how long ago it last was; 0: never.
+	// SinceRenewal returns how long ago this node last renewed a lease as a delegate;
+	// 0: never.
 	SinceRenewal() time.Duration
 }
 
@@ -67,106 +50,129 @@
 	Bounds  Bounds
 	Mesh    Mesh
 	Cancels *cancels.Log
-	// Nodes and Workers are how many there are; ReportEvery is the pace of reports.
+	// Nodes and Workers are how many there are.
 	Nodes, Workers int
-	ReportEvery    time.Duration
-	// MaxCommands of one answer.
+	// ReportEvery is the interval of workers' heartbeats.
+	ReportEvery time.Duration
+	// MaxCommands bounds the commands of one answer.
 	MaxCommands int
 }
 
-// Delegate renews leases for a leader that was lost. It is safe for concurrent use.
+// Delegate renews leases for a leader that this node has lost contact with. It is safe
+// for concurrent use.
 type Delegate struct {
 	Config
-	// own is what this node granted itself while it led.
-	own atomic.Pointer[peer.Delegation]
-	// redirected is when workers were last here without being answered.
-	mu         sync.Mutex
-	redirected map[wire.MachineID]time.Time
+	// ownDelegation is what this node granted itself while it led.
+	ownDelegation atomic.Pointer[peer.Delegation]
+
+	mu sync.Mutex
+	// redirectedAt is when workers last turned to this node without being answered.
+	redirectedAt map[wire.MachineID]time.Time
 }
 
-// New makes the delegate of a node.
+// New returns the delegate of a node.
 func New(c Config) *Delegate {
-	return &Delegate{Config: c, redirected: map[wire.MachineID]time.Time{}}
+	return &Delegate{Config: c, redirectedAt: map[wire.MachineID]time.Time{}}
 }
 
-// GrantSelf lets this node be its own delegate for a while after sent, when it
-// surely led with the token, once it leads no more.
+// GrantSelf lets this node be its own delegate once it leads no more, for a while after
+// sent, at which it surely led with the token.
 func (d *Delegate) GrantSelf(token wire.FencingToken, sent time.Time) {
-	d.own.Store(&peer.Delegation{Token: token, RequestedAt: sent})
+	d.ownDelegation.Store(&peer.Delegation{Token: token, RequestedAt: sent})
 }
 
-// MayRenew tells whether a worker's lease may be renewed now, by whoever
-// answers it and whyever it may: every cancellation that any node confirmed
-// before D ago is known here. (A leader that the state service refused alone
-// and that went on serving in the outage after it renewed leases for B without
-// knowing of what other nodes had confirmed in between.)
+// MayRenew reports whether a worker's lease may be renewed now, whoever answers it and
+// on whatever grounds: every cancellation that any node confirmed before
+// Bounds.MaxCancelAge ago is known here. (A leader that the key-value store refused
+// alone, and that went on serving in the outage that followed, renewed leases for
+// peer.OutageLimit without knowing what other nodes had confirmed in between.)
 func (d *Delegate) MayRenew(now time.Time) bool {
-	known := d.Cancels.Watermark()
-	return !known.IsZero() && now.Sub(known) < d.Bounds.MaxCancelAge
+	knownUntil := d.Cancels.Watermark()
+	return !knownUntil.IsZero() && now.Sub(knownUntil) < d.Bounds.MaxCancelAge
 }
 
-// Halts is what a node that may start nothing tells a worker with the renewal of
-// its lease: to halt what is known to be cancelled.
-func (d *Delegate) Halts(rep *wire.Heartbeat) []wire.Command {
-	out := []wire.Command{}
-	for i := range rep.Tasks {
-		state := &rep.Tasks[i]
-		task, err := wire.ParseTask(state.Task)
-		if err != nil || state.Phase == wire.PhaseExited || len(out) >= d.MaxCommands {
-			continue
+// Halts returns the commands that a node which may start nothing sends a worker with
+// the renewal of its lease: to stop the tasks that are known to be cancelled.
+func (d *Delegate) Halts(heartbeat *wire.Heartbeat) []wire.Command {
+	stops := []wire.Command{}
+	for i := range heartbeat.Tasks {
+		if len(stops) >= d.MaxCommands {
+			break
 		}
-		if _, cancelled := d.Cancels.ConfirmedAt(task.Job); cancelled {
-			atOnce := wire.Seconds(0)
-			out = append(out, wire.Command{Verb: wire.Stop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
+		if state := &heartbeat.Tasks[i]; d.mustStop(state) {
+			stops = append(stops, stopAtOnce(state))
 		}
 	}
-	return out
+	return stops
+}
+
+// mustStop reports whether a task runs although its job is known to be cancelled.
+func (d *Delegate) mustStop(state *wire.TaskState) bool {
+	task, err := wire.ParseTask(state.Task)
+	if err != nil || state.Phase == wire.PhaseExited {
+		return false
+	}
+	_, cancelled := d.Cancels.ConfirmedAt(task.Job)
+	return cancelled
+}
+
+func stopAtOnce(state *wire.TaskState) wire.Command {
+	noGracePeriod := wire.Seconds(0)
+	return wire.Command{Verb: wire.Stop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &noGracePeriod}
+}
+
+// renewalToken returns the token with which this node may renew the lease of a worker
+// that has seen a token, and whether it may: the delegation must be the newest that the
+// node knows of, from a leader that it has not heard from since.
+func (d *Delegate) renewalToken(seen wire.FencingToken) (wire.FencingToken, bool) {
+	view, now := d.Mesh.View(), time.Now()
+	delegation := d.newestDelegation(view)
+	token := delegation.Token
+	newest := token > 0 && token == view.Token && seen <= token
+	recent := now.Sub(delegation.RequestedAt) < d.Bounds.Time
+	leaderLost := now.Sub(view.LeaderSeen) >= leaderLostAfter
+	return token, newest && recent && leaderLost && d.MayRenew(now)
 }
 
-// token tells whether this node may renew the lease of a worker that has seen
-// a token, and with which one: the newest that it knows of, from a leader that it
-// has not heard since.
-func (d *Delegate) token(seen wire.FencingToken) (wire.FencingToken, bool) {
-	v, now := d.Mesh.View(), time.Now()
-	g := v.Delegation
-	if own := d.own.Load(); own != nil && own.Token >= g.Token {
-		g = *own
+func (d *Delegate) newestDelegation(view *peer.View) peer.Delegation {
+	if own := d.ownDelegation.Load(); own != nil && own.Token >= view.Delegation.Token {
+		return *own
 	}
-	newest := g.Token > 0 && g.Token == v.Token && seen <= g.Token
-	recent := now.Sub(g.RequestedAt) < d.Bounds.Time
-	leaderLost := now.Sub(v.LeaderSeen) >= 2*peer.AckLifetime
-	return g.Token, newest && recent && leaderLost && d.MayRenew(now)
+	return view.Delegation
 }
 
-// Answer to a report for a lost leader, nil if there may be none.
-func (d *Delegate) Answer(rep *wire.Heartbeat) *wire.Commands {
-	if _, ok := d.token(rep.Token); !ok {
+// Answer returns the answer to a heartbeat for a lost leader, nil if this node may not
+// give one.
+func (d *Delegate) Answer(heartbeat *wire.Heartbeat) *wire.Commands {
+	if _, ok := d.renewalToken(heartbeat.Token); !ok {
 		return nil
 	}
 	d.Mesh.RecordRenewal()
-	token, ok := d.token(rep.Token) // again, now that others can know
+	// Checked again now that others can learn of the renewal: see Mesh.RecordRenewal.
+	token, ok := d.renewalToken(heartbeat.Token)
 	if !ok {
 		return nil
 	}
-	return &wire.Commands{Token: token, Commands: d.Halts(rep)}
+	return &wire.Commands{Token: token, Commands: d.Halts(heartbeat)}
 }
 
-// Returned tells whether a worker was sent to the leader from here a while ago
-// and is here again, and notes that it was here now.
+// Returned reports whether a worker was redirected to the leader from here recently and
+// is here again, and records that it was here now.
 func (d *Delegate) Returned(id wire.MachineID, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at, ok := d.redirected[id]
-	if len(d.redirected) > 2*max(d.Workers, minRemembered) {
-		clear(d.redirected)
+	redirectedAt, ok := d.redirectedAt[id]
+	if len(d.redirectedAt) > 2*max(d.Workers, minRedirectsKept) {
+		clear(d.redirectedAt)
 	}
-	d.redirected[id] = now
-	return ok && now.Sub(at) < time.Duration(d.Nodes)*returnWithin
+	d.redirectedAt[id] = now
+	timeForAllNodes := time.Duration(d.Nodes) * returnTimePerNode
+	return ok && now.Sub(redirectedAt) < timeForAllNodes
 }
 
-// Lately tells whether workers stayed with this node as a delegate: they are not
-// cut off from the leader that is back.
+// Lately reports whether this node renewed workers' leases as a delegate recently: those
+// workers are not cut off from the leader that is back.
 func (d *Delegate) Lately() bool {
-	ago := d.Mesh.SinceRenewal()
-	return ago > 0 && ago < 2*d.ReportEvery+2*peer.AckLifetime
+	sinceRenewal := d.Mesh.SinceRenewal()
+	return sinceRenewal > 0 && sinceRenewal < 2*d.ReportEvery+2*peer.AckLifetime
 }
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -11,150 +11,215 @@
 	"lilaclead/internal/wire"
 )
 
-// How long a node may be a delegate: what it lets live on is gone within the time
-// for cancellations, and where there is no such time it never is.
-func TestDelegationTime(t *testing.T) {
-	for _, w := range []config.Workers{{Lease: 45, CancelTimeout: 70}, {Lease: 17.5, CancelTimeout: 42.5}, {Lease: 16, CancelTimeout: 41}} {
-		d := BoundsOf(w).Time
-		if d < 10*time.Second || d+w.Lease.Duration()*1001/1000+2*time.Second > w.CancelTimeout.Duration() {
-			t.Errorf("%+v: delegates for %v", w, d)
+// What a delegate keeps running ends within the cancellation timeout. Where a lease
+// takes up all of that timeout there are no delegates.
+func TestDelegationTimeFitsCancelTimeout(t *testing.T) {
+	for _, workers := range []config.Workers{{Lease: 45, CancelTimeout: 70}, {Lease: 17.5, CancelTimeout: 42.5}, {Lease: 16, CancelTimeout: 41}} {
+		got := BoundsOf(workers).Time
+		longestLease := workers.Lease.Duration() * 1001 / 1000
+		if got < 10*time.Second || got+longestLease+2*time.Second > workers.CancelTimeout.Duration() {
+			t.Errorf("%+v: delegates for %v, want 10s or more that fit in the timeout with the lease", workers, got)
 		}
 	}
-	if d := BoundsOf(config.Workers{Lease: 45, CancelTimeout: 48}).Time; d != 0 {
-		t.Errorf("delegates for %v where a lease is all that the time for cancellations leaves", d)
+	if got := BoundsOf(config.Workers{Lease: 45, CancelTimeout: 48}).Time; got != 0 {
+		t.Errorf("delegates for %v where a lease is all that the cancellation timeout leaves, want 0", got)
 	}
 }
 
-// When another node can have answered a worker last, as a leader must count it
-// before it takes a lease for run out.
+// When another node can have answered a worker last, as a leader must assume before it
+// treats a lease as expired.
 func TestDelegateAnswersUntil(t *testing.T) {
 	now := time.Now()
 	bounds := Bounds{Time: 20 * time.Second}
-	tenure := Tenure{Began: now.Add(-time.Minute), FirstToken: 50}
-	ago := func(s float64) time.Time { return now.Add(-time.Duration(s * float64(time.Second))) }
-	cases := []struct {
-		name string
-		o    peer.Peer
-		back time.Time
-		want time.Time
+	ago := func(seconds float64) time.Time { return now.Add(-time.Duration(seconds * float64(time.Second))) }
+	never := time.Time{}
+	for _, c := range []struct {
+		name      string
+		node      peer.Peer
+		storeBack time.Time
+		want      time.Time
 	}{
-		{"in touch, never a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5)}, time.Time{}, time.Time{}},
-		{"in touch, a delegate a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(12)}, time.Time{}, ago(12)},
-		{"in touch, began a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(20), StartedBefore: ago(9)}, time.Time{}, ago(9)},
-		{"in touch, and perhaps still at it", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(15), LastRenewal: ago(1)}, time.Time{}, ago(-5)},
-		{"lost after our grant", peer.Peer{AckSent: ago(10), AckToken: 50, DelegatedAt: ago(9)}, time.Time{}, ago(-11)},
-		{"never heard in this term: an earlier leader's grant", peer.Peer{AckSent: ago(90), AckToken: 40}, time.Time{}, ago(40)},
-		{"fresh, acknowledges nothing yet", peer.Peer{AckSent: ago(1)}, time.Time{}, ago(40)},
-		{"in touch, but we did not lead until now", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(7)}, ago(2), ago(-13)},
-	}
-	for _, c := range cases {
-		tenure.StateBack = c.back
-		if got := bounds.AnswersUntil(tenure, c.o, now); !got.Equal(c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got.Sub(now), c.want.Sub(now))
-		}
+		{"in contact, never a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5)}, never, never},
+		{"in contact, a delegate a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(12)}, never, ago(12)},
+		{"in contact, started a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(20), StartedBefore: ago(9)}, never, ago(9)},
+		{"in contact, perhaps still a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(15), LastRenewal: ago(1)}, never, ago(-5)},
+		{"lost after this leader's delegation", peer.Peer{AckSent: ago(10), AckToken: 50, DelegatedAt: ago(9)}, never, ago(-11)},
+		{"never heard in this term: an earlier leader's delegation", peer.Peer{AckSent: ago(90), AckToken: 40}, never, ago(40)},
+		{"restarted, acknowledges nothing yet", peer.Peer{AckSent: ago(1)}, never, ago(40)},
+		{"in contact, but the store is just back", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(7)}, ago(2), ago(-13)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			tenure := Tenure{Began: now.Add(-time.Minute), FirstToken: 50, StateBack: c.storeBack}
+			if got := bounds.AnswersUntil(tenure, c.node, now); !got.Equal(c.want) {
+				t.Errorf("%+v: %v, want %v", c.node, got.Sub(now), c.want.Sub(now))
+			}
+		})
 	}
 }
 
 // fakeMesh shows a view that the test sets.
 type fakeMesh struct {
-	view  peer.View
-	stood time.Time
-	// onRenewal is called when the node notes that it is a delegate.
+	view        peer.View
+	lastRenewal time.Time
+	// onRenewal, if set, is called when the node records that it is a delegate.
 	onRenewal func()
 }
 
 func (m *fakeMesh) View() *peer.View { return &m.view }
 
 func (m *fakeMesh) RecordRenewal() {
-	m.stood = time.Now()
+	m.lastRenewal = time.Now()
 	if m.onRenewal != nil {
 		m.onRenewal()
 	}
 }
 
 func (m *fakeMesh) SinceRenewal() time.Duration {
-	if m.stood.IsZero() {
+	if m.lastRenewal.IsZero() {
 		return 0
 	}
-	return max(1, time.Since(m.stood))
+	return max(1, time.Since(m.lastRenewal))
+}
+
+// situation is what decides whether a node may be a delegate.
+type situation struct {
+	// How long ago the delegation was granted, the leader was heard, and all
+	// cancellations were known.
+	granted, leaderSeen, cancelsKnown time.Duration
+	delegated                         wire.FencingToken // 0: no delegation
+	newest, seenByWorker              wire.FencingToken
+	ownDelegation                     bool // this node led with token 50
 }
 
-// A delegate answers only with the newest token that it knows, from a leader that
-// it has not heard for a while and that granted it lately, and only while it knows
-// of all cancellations but the last; others can know of it before the answer.
-func TestWhoMayBeADelegate(t *testing.T) {
-	type setting struct {
-		granted, led, known time.Duration // ago
-		token, newest, seen wire.FencingToken
-		own                 bool
+// newDelegate returns a delegate in a situation, at which the job req-7 is cancelled.
+func newDelegate(s situation) (*Delegate, *fakeMesh) {
+	now := time.Now()
+	log := cancels.New([]wire.NodeID{"b"}, time.Minute)
+	log.RecordRead(now.Add(-s.cancelsKnown))
+	log.Add("req-7", 0)
+	mesh := &fakeMesh{view: peer.View{
+		Token:      s.newest,
+		LeaderSeen: now.Add(-s.leaderSeen),
+		Delegation: peer.Delegation{Token: s.delegated, RequestedAt: now.Add(-s.granted)},
+	}}
+	d := New(Config{
+		Bounds:      Bounds{Time: 20 * time.Second, MaxCancelAge: 20 * time.Second},
+		Mesh:        mesh,
+		Cancels:     log,
+		Nodes:       3,
+		MaxCommands: 10,
+	})
+	if s.ownDelegation {
+		d.GrantSelf(50, now.Add(-s.granted))
 	}
-	good := setting{granted: 10 * time.Second, led: 8 * time.Second, known: 2 * time.Second, token: 50, newest: 50, seen: 50}
+	return d, mesh
+}
+
+// A delegate answers only with the newest token that it knows, from a leader that it
+// has not heard for a while and that delegated to it recently, and only while it knows
+// all cancellations but the latest. Others can learn of it before the answer.
+func TestDelegateAnswersOnlyWithRecentNewestDelegation(t *testing.T) {
+	good := situation{granted: 10 * time.Second, leaderSeen: 8 * time.Second, cancelsKnown: 2 * time.Second, delegated: 50, newest: 50, seenByWorker: 50}
 	for name, c := range map[string]struct {
-		change func(*setting)
+		change func(*situation)
 		want   bool
 	}{
-		"the leader is lost":                     {func(*setting) {}, true},
-		"the worker has seen an older token":     {func(s *setting) { s.seen = 49 }, true},
-		"the worker has seen a newer token":      {func(s *setting) { s.seen = 51 }, false},
-		"a newer token is known":                 {func(s *setting) { s.newest = 51 }, false},
-		"never granted":                          {func(s *setting) { s.token = 0 }, false},
-		"granted just within the time":           {func(s *setting) { s.granted = 19900 * time.Millisecond }, true},
-		"granted too long ago":                   {func(s *setting) { s.granted = 20 * time.Second }, false},
-		"the leader is heard":                    {func(s *setting) { s.led = time.Second }, false},
-		"cancellations are not known":            {func(s *setting) { s.known = 21 * time.Second }, false},
-		"its own delegate":                       {func(s *setting) { s.own, s.token = true, 0 }, true},
-		"its own delegate, granted too long ago": {func(s *setting) { s.own, s.token, s.granted = true, 0, 20*time.Second }, false},
-		"its own grant is older than the newest": {func(s *setting) { s.own, s.token, s.newest = true, 0, 51 }, false},
+		"the leader is lost":                     {func(*situation) {}, true},
+		"the worker has seen an older token":     {func(s *situation) { s.seenByWorker = 49 }, true},
+		"the worker has seen a newer token":      {func(s *situation) { s.seenByWorker = 51 }, false},
+		"a newer token is known":                 {func(s *situation) { s.newest = 51 }, false},
+		"never granted":                          {func(s *situation) { s.delegated = 0 }, false},
+		"granted just within the time":           {func(s *situation) { s.granted = 19900 * time.Millisecond }, true},
+		"granted too long ago":                   {func(s *situation) { s.granted = 20 * time.Second }, false},
+		"the leader is heard":                    {func(s *situation) { s.leaderSeen = time.Second }, false},
+		"cancellations are not known":            {func(s *situation) { s.cancelsKnown = 21 * time.Second }, false},
+		"its own delegate":                       {func(s *situation) { s.ownDelegation, s.delegated = true, 0 }, true},
+		"its own delegate, granted too long ago": {func(s *situation) { s.ownDelegation, s.delegated, s.granted = true, 0, 20*time.Second }, false},
+		"its own grant is older than the newest": {func(s *situation) { s.ownDelegation, s.delegated, s.newest = true, 0, 51 }, false},
 	} {
-		synctest.Test(t, func(t *testing.T) {
-			time.Sleep(time.Minute)
-			s := good
-			c.change(&s)
-			now := time.Now()
-			ledger := cancels.New([]wire.NodeID{"b"}, time.Minute)
-			ledger.RecordRead(now.Add(-s.known))
-			ledger.Add("req-7", 0)
-			mesh := &fakeMesh{view: peer.View{Token: s.newest, LeaderSeen: now.Add(-s.led), Delegation: peer.Delegation{Token: s.token, RequestedAt: now.Add(-s.granted)}}}
-			d := New(Config{Bounds: Bounds{Time: 20 * time.Second, MaxCancelAge: 20 * time.Second}, Mesh: mesh, Cancels: ledger, Nodes: 3, MaxCommands: 10})
-			if s.own {
-				d.GrantSelf(50, now.Add(-s.granted))
-			}
-			rep := &wire.Heartbeat{Machine: "n-1", Token: s.seen, Tasks: []wire.TaskState{
-				{Task: "req-7/0", Attempt: 1, Phase: wire.PhaseRunning}, {Task: "req-8/0", Attempt: 1, Phase: wire.PhaseRunning}, {Task: "req-7/1", Attempt: 2, Phase: wire.PhaseExited}}}
-			answer := d.Answer(rep)
-			if (answer != nil) != c.want || !mesh.stood.IsZero() != c.want {
-				t.Errorf("%s: answers %v, noted %v", name, answer != nil, !mesh.stood.IsZero())
-			}
-			if answer == nil {
-				return
-			}
-			if answer.Token != 50 || len(answer.Commands) != 1 || answer.Commands[0].Verb != wire.Stop || answer.Commands[0].Task != "req-7/0" {
-				t.Errorf("%s: answers %+v", name, answer)
-			}
-			// News that comes between the note and the answer still counts.
-			mesh.onRenewal = func() { mesh.view.Token = 51 }
-			if d.Answer(rep) != nil {
-				t.Errorf("%s: answers though a newer token came meanwhile", name)
-			}
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				time.Sleep(time.Minute) // the situation began after the start of the clock
+				s := good
+				c.change(&s)
+				testDelegateAnswer(t, s, c.want)
+			})
 		})
 	}
 }
 
-// A worker counts as returned within the time that it gives all nodes, and not
-// on its first visit.
-func TestReturned(t *testing.T) {
+func testDelegateAnswer(t *testing.T, s situation, want bool) {
+	d, mesh := newDelegate(s)
+	heartbeat := &wire.Heartbeat{Machine: "n-1", Token: s.seenByWorker, Tasks: []wire.TaskState{
+		{Task: "req-7/0", Attempt: 1, Phase: wire.PhaseRunning},
+		{Task: "req-8/0", Attempt: 1, Phase: wire.PhaseRunning},
+		{Task: "req-7/1", Attempt: 2, Phase: wire.PhaseExited},
+	}}
+	answer := d.Answer(heartbeat)
+	if (answer != nil) != want || !mesh.lastRenewal.IsZero() != want {
+		t.Errorf("%+v: answers %v, recorded %v, want both %v", s, answer != nil, !mesh.lastRenewal.IsZero(), want)
+	}
+	if answer == nil {
+		return
+	}
+	if answer.Token != 50 || len(answer.Commands) != 1 || answer.Commands[0].Verb != wire.Stop || answer.Commands[0].Task != "req-7/0" {
+		t.Errorf("%+v: answers %+v, want token 50 and the stop of req-7/0", s, answer)
+	}
+	// A token that arrives between the record and the answer still counts.
+	mesh.onRenewal = func() { mesh.view.Token = 51 }
+	if d.Answer(heartbeat) != nil {
+		t.Errorf("%+v: answers although a newer token arrived meanwhile", s)
+	}
+}
+
+// A worker counts as returned within the time that it gives all nodes, and not on its
+// first visit.
+func TestWorkerReturnsWithinTimeForAllNodes(t *testing.T) {
 	d := New(Config{Nodes: 3})
 	now := time.Now()
 	for _, c := range []struct {
+		name  string
 		after time.Duration
 		want  bool
-	}{{0, false}, {14 * time.Second, true}, {15 * time.Second, false}, {time.Second, true}} {
+	}{
+		{"first visit", 0, false},
+		{"within the time for three nodes", 14 * time.Second, true},
+		{"too late", 15 * time.Second, false},
+		{"again at once", time.Second, true},
+	} {
 		now = now.Add(c.after)
 		if got := d.Returned("n-1", now); got != c.want {
-			t.Errorf("after %v: %v", c.after, got)
+			t.Errorf("%s, after %v: returned %v, want %v", c.name, c.after, got, c.want)
 		}
 	}
 	if d.Returned("n-2", now) {
 		t.Error("another worker counts as returned on its first visit")
 	}
 }
+
+func TestDelegateWasActiveLately(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		since time.Duration // the last renewal; 0: never
+		want  bool
+	}{
+		{"never", 0, false},
+		{"just now", time.Second, true},
+		{"two heartbeats ago", 8*time.Second - 1, true},
+		{"longer ago", 8 * time.Second, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				mesh := &fakeMesh{}
+				if c.since > 0 {
+					mesh.RecordRenewal()
+					time.Sleep(c.since)
+				}
+				d := New(Config{Mesh: mesh, ReportEvery: 2 * time.Second})
+				if got := d.Lately(); got != c.want {
+					t.Errorf("last renewal %v ago: %v, want %v", c.since, got, c.want)
+				}
+			})
+		})
+	}
+}
