--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -7,35 +7,42 @@
 )
 
 // maxIgnoredAnswers is how many answers in a row a machine may seem not to have
-// had: one may be lost, or be answered by an older report.
+// received: one may be lost, or be crossed by an older heartbeat.
 const maxIgnoredAnswers = 2
 
-// Inbound judges the way from this node to a machine whose reports come in. Answers
-// and commands may be lost while reports arrive: such a machine looks alive, but
-// starts nothing, and its lease runs out.
+// Inbound judges the path from this node to a machine whose heartbeats arrive. Answers
+// and commands may be lost while heartbeats still come in: such a machine looks alive,
+// but starts nothing, and its lease expires.
 type Inbound struct {
-	// The last answer to a report: the token in it, and the report's place in the
-	// machine's sessions.
+	lastAnswer answerMark
+	// ignoredAnswers and unansweredCommands are in a row.
+	ignoredAnswers     int
+	unansweredCommands int
+	// lostSince is when the path began to count as lost; zero: it works.
+	lostSince time.Time
+}
+
+// answerMark is the last answer to a heartbeat: the token in it, and the heartbeat's
+// place among those of the machine.
+type answerMark struct {
 	token    wire.FencingToken
-	session  wire.AgentEpoch
+	epoch    wire.AgentEpoch
 	sequence wire.Sequence
-
-	ignoredAnswers     int       // in a row
-	unansweredCommands int       // in a row
-	lostSince          time.Time // since when nothing is taken to arrive; zero: it does
 }
 
-// Evidence is what a report shows of earlier answers.
+// Evidence is what a heartbeat shows of earlier answers.
 type Evidence struct {
-	KnownToken wire.FencingToken // that the machine had shown before
-	// RenewedLately: its lease can't have run out if it had the last answer.
+	// KnownToken is the token that the machine had shown before.
+	KnownToken wire.FencingToken
+	// RenewedLately: the machine's lease can't have expired if it received the last
+	// answer.
 	RenewedLately bool
-	// MissesLaunch tells whether the report lacks a task that an earlier answer
-	// told it to start. It is asked only if that matters.
+	// MissesLaunch reports whether the heartbeat lacks a task that an earlier answer
+	// told the machine to start. It is called only if that matters.
 	MissesLaunch func() bool
 }
 
-// Change of what is believed of a path.
+// Change of the verdict on a path.
 type Change int
 
 // Changes of a path.
@@ -45,36 +52,47 @@
 	Restored
 )
 
-// Answered notes that a report is answered.
-func (p *Inbound) Answered(token wire.FencingToken, session wire.AgentEpoch, sequence wire.Sequence) {
-	p.token, p.session, p.sequence = token, session, sequence
+// Answered records the answer to a heartbeat.
+func (p *Inbound) Answered(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
+	p.lastAnswer = answerMark{token, epoch, sequence}
 }
 
-// Reported compares a report with what the machine was told in the answer to an
+// Reported compares a heartbeat with what the machine was told in the answer to an
 // earlier one.
-func (p *Inbound) Reported(r *wire.Heartbeat, e Evidence, now time.Time) Change {
-	switch {
-	case r.Token > e.KnownToken && e.KnownToken > 0:
-		return p.Received()
-	case p.sequence == 0:
-		return Unchanged
-	case r.Epoch > p.session && e.RenewedLately:
-		p.ignoredAnswers += maxIgnoredAnswers // its lease ran out although its reports were answered
-	case r.Epoch != p.session || r.Sequence <= p.sequence:
+func (p *Inbound) Reported(heartbeat *wire.Heartbeat, evidence Evidence, now time.Time) Change {
+	if heartbeat.Token > evidence.KnownToken && evidence.KnownToken > 0 {
+		return p.Received() // a new token has reached it
+	}
+	ignored := p.ignoredBy(heartbeat, evidence)
+	if ignored == 0 {
 		return Unchanged
-	case r.Token < p.token || e.MissesLaunch():
-		p.ignoredAnswers++
-	default:
+	}
+	p.ignoredAnswers += ignored
+	enough := p.ignoredAnswers >= maxIgnoredAnswers || p.unansweredCommands > 0
+	if !p.Works() || !enough {
 		return Unchanged
 	}
-	if p.Works() && (p.ignoredAnswers >= maxIgnoredAnswers || p.unansweredCommands > 0) {
-		p.lostSince = now
-		return Lost
+	p.lostSince = now
+	return Lost
+}
+
+// ignoredBy returns how many answers a heartbeat shows not to have been received.
+func (p *Inbound) ignoredBy(heartbeat *wire.Heartbeat, evidence Evidence) int {
+	last := &p.lastAnswer
+	switch {
+	case last.sequence == 0:
+		return 0 // none was given yet
+	case heartbeat.Epoch > last.epoch && evidence.RenewedLately:
+		return maxIgnoredAnswers // its lease expired although its heartbeats were answered
+	case heartbeat.Epoch != last.epoch || heartbeat.Sequence <= last.sequence:
+		return 0 // it was made before the answer
+	case heartbeat.Token < last.token || evidence.MissesLaunch():
+		return 1
 	}
-	return Unchanged
+	return 0
 }
 
-// Received notes that something of ours has reached the machine.
+// Received records that a message from this node has reached the machine.
 func (p *Inbound) Received() Change {
 	change := Unchanged
 	if !p.Works() {
@@ -84,13 +102,13 @@
 	return change
 }
 
-// Unanswered notes that a direct command was not answered.
+// Unanswered records that a direct command was not answered.
 func (p *Inbound) Unanswered() { p.unansweredCommands++ }
 
-// Works tells whether what is sent to the machine is taken to arrive.
+// Works reports whether messages to the machine are taken to arrive.
 func (p *Inbound) Works() bool { return p.lostSince.IsZero() }
 
-// LostFor is for how long nothing has been taken to arrive, 0 if it does.
+// LostFor returns how long nothing has been taken to arrive, 0 if the path works.
 func (p *Inbound) LostFor(now time.Time) time.Duration {
 	if p.Works() {
 		return 0
@@ -98,5 +116,5 @@
 	return now.Sub(p.lostSince)
 }
 
-// CommandsFail tells whether the last direct command was not answered either.
+// CommandsFail reports whether the last direct command was not answered either.
 func (p *Inbound) CommandsFail() bool { return p.unansweredCommands > 0 }
