--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -415,7 +415,7 @@
 		if n := len(Place(s).Starts); n != 2 {
 			t.Errorf("%g free: %d of 2 tasks start in the room made for them", free, n)
 		}
-		if n := s.Machines[0].spareUnits; n != spare {
+		if n := s.Machines[0].serviceHeadroomUnits; n != spare {
 			t.Errorf("%g free: room for %d replicas is kept, want %d", free, n, spare)
 		}
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -49,11 +49,11 @@
 					continue
 				}
 				j, m := &s.Jobs[ji], &s.Machines[mi]
-				class := without
+				class := withoutImage
 				if m.Images[j.Spec.Image] == Present {
 					class = withImage
 				}
-				u := TaskTree(s.Factors).Value(utility.Grant{class: 1})
+				u := taskTree(s.Factors).Value(utility.Grant{class: 1})
 				if g := u * j.Weight * (1 + j.WaitedS/max(1, s.Factors.WaitRaiseS)); g > best+1e-12 {
 					best, bj, bm, bw = g, ji, mi, nil
 				}
@@ -87,7 +87,7 @@
 	if sp := s.Jobs[ji].Spec; s.Teams[sp.Team].Limit.CPUs > 0 && s.Teams[sp.Team].Used.CPUs+float64(n)*sp.CPUs > s.Teams[sp.Team].Limit.CPUs+wire.Eps {
 		return 0, nil
 	}
-	for _, class := range []utility.Class{withImage, without} {
+	for _, class := range []utility.Class{withImage, withoutImage} {
 		for _, z := range []wire.Zone{"a", "b", ""} {
 			if (z == "") == s.Jobs[ji].Spec.SameZone {
 				continue
@@ -107,7 +107,7 @@
 			if len(got) < n {
 				continue
 			}
-			if u := GangTree(s.Factors, n).Value(utility.Grant{class: n}) / float64(n); u > unit {
+			if u := gangTree(s.Factors, n).Value(utility.Grant{class: n}) / float64(n); u > unit {
 				unit, where = u, got
 			}
 		}
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -7,43 +7,35 @@
 	"lilaclead/internal/wire"
 )
 
-// preempt picks tasks to stop so that what still waits with a higher
-// priority finds room: the machine where the least work is lost.
+// preempt reserves room for what still waits with a higher priority, on the machines
+// where least work is lost, and returns the tasks to stop for it.
 func preempt(s *Snapshot) ([]Victim, []MachineReservation) {
-	waiting := waitingForRoom(s)
+	waiting := jobsToReserveFor(s)
 	if len(waiting) == 0 {
 		return nil, nil
 	}
 	if s.FullMachines != nil {
 		s.Machines = append(s.Machines, s.FullMachines()...)
 	}
-	p := preemption{s: s, claimed: claimedByTeam(s), offers: make([]clearing, len(s.Machines))}
-	for _, ji := range waiting {
-		j := &s.Jobs[ji]
+	p := preemption{s: s, reservedByTeam: reservedByTeam(s), options: make([]roomOption, len(s.Machines))}
+	for _, i := range waiting {
+		j := &s.Jobs[i]
 		if j.Spec.Gang() {
-			p.clearGang(j)
+			p.reserveForGang(j)
 		} else {
-			p.clearTasks(j)
+			p.reserveForTasks(j)
 		}
 	}
-	return p.halts, p.clearances
+	return p.victims, p.reservations
 }
 
-// waitingForRoom lists the jobs for which room may be made, the highest priority
+// jobsToReserveFor returns the jobs for which room may be reserved, the highest priority
 // first.
-func waitingForRoom(s *Snapshot) []int {
+func jobsToReserveFor(s *Snapshot) []int {
 	var waiting []int
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if s.Teams[j.Spec.Team] == nil || j.Pending <= j.Reservations {
-			continue
-		}
-		wants := MayPreempt(j.Spec)
-		if j.Spec.Gang() {
-			// Room is made for all of it or for none.
-			wants = j.Reservations == 0 && j.Pending == j.Spec.Tasks && (wants || j.PatienceS > 0)
-		}
-		if wants {
+		if s.Teams[j.Spec.Team] != nil && mayReserve(j) {
 			waiting = append(waiting, i)
 		}
 	}
@@ -53,147 +45,125 @@
 	return waiting
 }
 
-// preemption is the making of room in one round.
+// mayReserve reports whether room may be reserved for the job.
+func mayReserve(j *Job) bool {
+	if j.Pending <= j.Reservations {
+		return false
+	}
+	if !j.Spec.Gang() {
+		return MayPreempt(j.Spec)
+	}
+	// Room is reserved for all of a gang or for none of it.
+	untouched := j.Reservations == 0 && j.Pending == j.Spec.Tasks
+	return untouched && (MayPreempt(j.Spec) || j.PatienceS > 0)
+}
+
+// preemption is the state of reserving room in one cycle.
 type preemption struct {
-	s          *Snapshot
-	claimed    map[wire.TeamID]*[4]Resources
-	offers     []clearing // a buffer, by machine
-	halts      []Victim
-	clearances []MachineReservation
+	s              *Snapshot
+	reservedByTeam map[wire.TeamID]*resourcesByRank
+	options        []roomOption // a buffer, by machine
+	victims        []Victim
+	reservations   []MachineReservation
 }
 
-// allows tells whether the team's limit allows so much more for the job beside
-// what is claimed already.
-func (p *preemption) allows(j *Job, take Resources) bool {
-	return p.s.Teams[j.Spec.Team].allows(j, take.Plus(p.claimed[j.Spec.Team][j.Spec.Priority.Rank()]))
+// allows reports whether the team's limit leaves so much more for the job beside what is
+// reserved already.
+func (p *preemption) allows(j *Job, more Resources) bool {
+	reserved := p.reservedByTeam[j.Spec.Team][j.Spec.Priority.Rank()]
+	return p.s.Teams[j.Spec.Team].allows(j, more.Plus(reserved))
 }
 
-// clearGang makes room for all of a gang, or for nothing of it.
-func (p *preemption) clearGang(j *Job) {
-	if !p.allows(j, ResourcesOf(j.Spec).Times(float64(j.Pending))) {
+// reserveForGang reserves room for all of a gang, or for nothing of it.
+func (p *preemption) reserveForGang(j *Job) {
+	unit := ResourcesOf(j.Spec)
+	if !p.allows(j, unit.Times(float64(j.Pending))) {
 		return
 	}
-	for _, mi := range clearingsForGang(p.s, j) {
-		p.clearUnit(j, mi, clearForUnit(&p.s.Machines[mi], j, ResourcesOf(j.Spec)))
+	for _, i := range cheapestRoomForGang(p.s, j) {
+		p.reserveUnit(j, i, roomFor(j, &p.s.Machines[i], unit))
 	}
 }
 
-// maxClearedUnits bounds for how many units of a job one round makes room.
-const maxClearedUnits = 8
+// maxReservedUnits bounds for how many units of a job one cycle reserves room.
+const maxReservedUnits = 8
 
-// clearTasks makes room for units of a job where that costs least.
-func (p *preemption) clearTasks(j *Job) {
-	take := ResourcesOf(j.Spec)
-	for mi := range p.s.Machines {
-		p.offers[mi] = clearForUnit(&p.s.Machines[mi], j, take)
+// reserveForTasks reserves room for units of an array or a service where that costs
+// least.
+func (p *preemption) reserveForTasks(j *Job) {
+	unit := ResourcesOf(j.Spec)
+	for i := range p.s.Machines {
+		p.options[i] = roomFor(j, &p.s.Machines[i], unit)
 	}
-	for range min(j.Pending-j.Reservations, maxClearedUnits) {
-		if !p.allows(j, take) {
+	for range min(j.Pending-j.Reservations, maxReservedUnits) {
+		if !p.allows(j, unit) {
 			return
 		}
-		best := -1
-		for mi, offer := range p.offers {
-			if offer.ok && (best < 0 || offer.lost < p.offers[best].lost) && zoneOpen(j, p.s.Machines[mi].Zone) {
-				best = mi
-			}
-		}
-		if best < 0 {
+		machine, ok := p.cheapestRoom(j)
+		if !ok {
 			return
 		}
-		p.clearUnit(j, best, p.offers[best])
-		p.offers[best] = clearForUnit(&p.s.Machines[best], j, take)
+		p.reserveUnit(j, machine, p.options[machine])
+		p.options[machine] = roomFor(j, &p.s.Machines[machine], unit)
 	}
 }
 
-// clearUnit makes room for one unit on a machine.
-func (p *preemption) clearUnit(j *Job, mi int, c clearing) {
-	m := &p.s.Machines[mi]
-	claim := Reservation{j.Spec.ID, j.Spec.Priority.Rank(), ResourcesOf(j.Spec)}
-	clearance := MachineReservation{Machine: m.ID, Reservation: claim}
-	for _, v := range m.clear(c, claim) {
+// cheapestRoom returns the machine where room for a unit of the job costs least.
+func (p *preemption) cheapestRoom(j *Job) (machine int, ok bool) {
+	var best *roomOption
+	for i := range p.options {
+		option := &p.options[i]
+		if option.cheaperThan(best) && zoneOpen(j, p.s.Machines[i].Zone) {
+			best, machine = option, i
+		}
+	}
+	return machine, best != nil
+}
+
+// reserveUnit reserves room for one unit on a machine.
+func (p *preemption) reserveUnit(j *Job, machine int, option roomOption) {
+	m := &p.s.Machines[machine]
+	reservation := reservationFor(j)
+	reserved := MachineReservation{Machine: m.ID, Reservation: reservation}
+	for _, v := range m.reserve(reservation, option.victims) {
 		if endsInTime(j, &v) {
-			clearance.AwaitedTasks = append(clearance.AwaitedTasks, v.Task)
+			reserved.AwaitedTasks = append(reserved.AwaitedTasks, v.Task)
 		} else {
-			p.halts = append(p.halts, v)
+			p.victims = append(p.victims, v)
 		}
 	}
-	p.clearances = append(p.clearances, clearance)
+	p.reservations = append(p.reservations, reserved)
 	team := p.s.Teams[j.Spec.Team]
-	team.Used = team.Used.Plus(claim.Takes)
+	team.Used = team.Used.Plus(reservation.Takes)
 	j.TasksByZone[m.Zone]++
 }
 
-// claimedByTeam is what each team will use once the room that is being made for its
-// jobs of a rank or above it is used. The team's limit must hold for that too:
-// ten urgent tasks of a team that had room for one once had others' work stopped
-// for all ten, one after the other, before the first of them had started.
-func claimedByTeam(s *Snapshot) map[wire.TeamID]*[4]Resources {
-	out := make(map[wire.TeamID]*[4]Resources, len(s.Teams))
+func reservationFor(j *Job) Reservation {
+	return Reservation{j.Spec.ID, j.Spec.Priority.Rank(), ResourcesOf(j.Spec)}
+}
+
+// resourcesByRank is an amount for each rank of a priority.
+type resourcesByRank [4]Resources
+
+// reservedByTeam returns what each team will use once the room is used that is reserved
+// for its jobs of a rank or above it. The team's limit must hold for that too: ten
+// urgent tasks of a team that had room for one once had others' work stopped for all
+// ten, one after the other, before the first of them had started.
+func reservedByTeam(s *Snapshot) map[wire.TeamID]*resourcesByRank {
+	reserved := make(map[wire.TeamID]*resourcesByRank, len(s.Teams))
 	for id := range s.Teams {
-		out[id] = &[4]Resources{}
+		reserved[id] = &resourcesByRank{}
 	}
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		n := min(j.Reservations, j.Pending)
-		if n <= 0 || out[j.Spec.Team] == nil {
+		ofTeam, units := reserved[j.Spec.Team], min(j.Reservations, j.Pending)
+		if units <= 0 || ofTeam == nil {
 			continue
 		}
-		for r := 0; r <= j.Spec.Priority.Rank(); r++ {
-			c := &out[j.Spec.Team][r]
-			*c = c.Plus(ResourcesOf(j.Spec).Times(float64(n)))
-		}
-	}
-	return out
-}
-
-// clearingsForGang finds where room for all units of a gang costs least, a machine
-// for each unit; nil if it can't be made for all of them.
-func clearingsForGang(s *Snapshot, j *Job) []int {
-	var best []int
-	bestLost := 0.0
-	for _, group := range zoneGroups(s, j) {
-		picks, lost := clearingsIn(s, j, group)
-		if len(picks) == j.Pending && (best == nil || lost < bestLost) {
-			best, bestLost = picks, lost
-		}
-	}
-	return best
-}
-
-// clearingsIn picks machines of a group one by one, each where the next unit costs
-// least, and sums up what is lost.
-func clearingsIn(s *Snapshot, j *Job, group []int) (picks []int, lost float64) {
-	take := ResourcesOf(j.Spec)
-	machines := make(map[int]*Machine, len(group)) // as they would be with what is picked so far
-	offers := make(map[int]clearing, len(group))
-	for _, mi := range group {
-		if offer := clearForUnit(&s.Machines[mi], j, take); offer.ok {
-			offers[mi] = offer
-		}
-	}
-	inZone := map[wire.Zone]int{}
-	for len(picks) < j.Pending {
-		best := -1
-		for _, mi := range group {
-			offer, zone := offers[mi], s.Machines[mi].Zone
-			if offer.ok && (best < 0 || offer.lost < offers[best].lost) && zoneOpen(j, zone) && j.TasksByZone[zone]+inZone[zone] < j.Spec.ZoneCap() {
-				best = mi
-			}
-		}
-		if best < 0 {
-			return picks, lost
-		}
-		m := machines[best]
-		if m == nil {
-			c := s.Machines[best]
-			m = &c
-			machines[best] = m
+		more := ResourcesOf(j.Spec).Times(float64(units))
+		for rank := range j.Spec.Priority.Rank() + 1 {
+			ofTeam[rank] = ofTeam[rank].Plus(more)
 		}
-		picks = append(picks, best)
-		lost += offers[best].lost
-		inZone[m.Zone]++
-		m.clear(offers[best], Reservation{j.Spec.ID, j.Spec.Priority.Rank(), take})
-		offers[best] = clearForUnit(m, j, take)
 	}
-	return picks, lost
+	return reserved
 }
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -6,14 +6,14 @@
 	"lilaclead/internal/wire"
 )
 
-// MayPreempt tells whether tasks may be stopped to make room for the job.
-// Arrays of everyday priority wait for room: a stopped array's work is mostly
-// repeated, and what makes room for one delays another.
+// MayPreempt reports whether tasks may be preempted for the job. Arrays of standard
+// priority wait for room: the work of a preempted array is mostly repeated, and what
+// makes room for one delays another.
 func MayPreempt(s *wire.JobSpec) bool {
 	return s.Service() || s.Priority.Rank() >= wire.PriorityUrgent.Rank()
 }
 
-// Allowed tells whether the job may run on the machine at all.
+// Allowed reports whether the job may run on the machine at all.
 func Allowed(s *wire.JobSpec, m *Machine) bool {
 	if m.Spot && !s.SpotAllowed {
 		return false
@@ -24,47 +24,69 @@
 	return s.MachineTypes == nil || slices.Contains(s.MachineTypes, m.Type)
 }
 
-// zoneOpen tells whether one more task may start in the zone, given where
-// the job's other tasks may be.
-func zoneOpen(j *Job, z wire.Zone) bool {
+// zoneOpen reports whether one more task of the job may start in the zone, given where
+// its other tasks may be.
+func zoneOpen(j *Job, zone wire.Zone) bool {
 	if j.Spec.SameZone {
 		for other, n := range j.TasksByZone {
-			if n > 0 && other != z {
+			if n > 0 && other != zone {
 				return false
 			}
 		}
 	}
-	return j.TasksByZone[z] < j.Spec.ZoneCap()
+	return j.TasksByZone[zone] < j.Spec.ZoneCap()
 }
 
-// allows tells whether the team's limit allows so much more for the
-// job.
-func (t *Team) allows(j *Job, take Resources) bool {
-	u := t.Used.Plus(take)
-	if t.ReservedFor != "" && t.ReservedFor != j.Spec.ID && !j.Spec.Service() && j.Spec.Priority.Rank() <= t.ReservedRank {
-		u = u.Plus(t.Reserved)
+// canLaunch reports whether one more unit of the job may be launched on the machine now.
+// Headroom is not looked at.
+func canLaunch(j *Job, m *Machine, unit Resources) bool {
+	return unit.Fits(m.Free) && Allowed(j.Spec, m) && zoneOpen(j, m.Zone) && !m.reservedForOthers(j, unit)
+}
+
+// allows reports whether the team's limit leaves so much more for the job.
+func (t *Team) allows(j *Job, more Resources) bool {
+	used := t.Used.Plus(more)
+	if t.keepsReserveFrom(j) {
+		used = used.Plus(t.Reserved)
 	}
-	return (t.Limit.CPUs == 0 || u.CPUs <= t.Limit.CPUs+wire.Eps) &&
-		(t.Limit.GPUs == 0 || u.GPUs <= t.Limit.GPUs+wire.Eps)
+	return withinLimit(used.CPUs, t.Limit.CPUs) && withinLimit(used.GPUs, t.Limit.GPUs)
 }
 
-// endsInTime tells whether the task is worth waiting for: it is expected to end by
-// itself within the job's patience. That needs no leave, whatever its priority.
+// keepsReserveFrom reports whether the job must leave alone what the team reserves for
+// a gang.
+func (t *Team) keepsReserveFrom(j *Job) bool {
+	reservedForOther := t.ReservedFor != "" && t.ReservedFor != j.Spec.ID
+	return reservedForOther && !j.Spec.Service() && j.Spec.Priority.Rank() <= t.ReservedRank
+}
+
+func withinLimit(used, limit float64) bool { return limit == 0 || used <= limit+wire.Eps }
+
+// endsInTime reports whether the task is worth waiting for: it is expected to end by
+// itself within the job's patience. That takes no permission, whatever its priority.
 func endsInTime(j *Job, v *Victim) bool { return j.PatienceS > 0 && v.RemainingS <= j.PatienceS }
 
-// mayStop is the page's rule: a lower priority, or for a team's guarantee
-// what another team runs beyond its own.
-func mayStop(j *Job, v *Victim) bool {
-	return v.Rank < j.Spec.Priority.Rank() || j.Guaranteed && v.BeyondGuarantee && v.Team != j.Spec.Team && j.Spec.Service()
+// mayPreempt reports whether the task may be preempted for the job: its priority is
+// lower, or it runs beyond its team's guaranteed quota and the job is a service of
+// another team within its own.
+func mayPreempt(j *Job, v *Victim) bool {
+	if !MayPreempt(j.Spec) {
+		return false
+	}
+	return v.Rank < j.Spec.Priority.Rank() || mayReclaimQuota(j, v)
+}
+
+func mayReclaimQuota(j *Job, v *Victim) bool {
+	return j.Spec.Service() && j.Guaranteed && v.BeyondGuarantee && v.Team != j.Spec.Team
 }
 
-// hurries tells whether the job is a gang that others are stopped for and that can
-// still start in time.
-func hurries(j *Job) bool { return j.Spec.Gang() && MayPreempt(j.Spec) && j.StartsInS > 0 }
+// mustStartSoon reports whether the job is a gang that may preempt and can still start
+// in time.
+func mustStartSoon(j *Job) bool { return j.Spec.Gang() && MayPreempt(j.Spec) && j.StartsInS > 0 }
 
-// outlasts tells whether the task would still be saving when a gang that hurries
-// should have started. (Urgent gangs with an aim of 2 s stopped tasks of the lowest priority,
-// which take 3 s to save, beside others that would have ended at once.)
-func outlasts(j *Job, v *Victim) bool {
-	return hurries(j) && v.CheckpointS > j.StartsInS
+// savesTooLong reports whether the task would still be saving a checkpoint when a gang
+// that must start soon should have started. (Urgent gangs with an objective of 2 s
+// preempted tasks of the lowest priority, which take 3 s to save, beside others that
+// would have ended at once.)
+func savesTooLong(j *Job, v *Victim) bool {
+	return mustStartSoon(j) && v.CheckpointS > j.StartsInS
 }
