--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -4,49 +4,87 @@
 	"cmp"
 	"slices"
 
+	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
-// cordon picks machines whose load fits on the others, the most wasteful
-// first.
+// maxCordonLoad is the load below which a machine is cordoned if its tasks fit on others.
+const maxCordonLoad = 0.6
+
+// cordonCandidate is a machine with little load.
+type cordonCandidate struct {
+	machine int
+	waste   float64 // price of the part that is not used
+}
+
+// cordon returns the machines whose load fits on the others, the most wasteful first.
 func cordon(s *Snapshot, bins []bin) []wire.MachineID {
-	type candidate struct {
-		i     int
-		waste float64
+	var ids []wire.MachineID
+	cordoned := map[int]bool{}
+	unitsMoved := 0
+	for _, c := range cordonCandidates(s, bins) {
+		m := &s.Machines[c.machine]
+		units := m.unitsOf(m.Total.Minus(bins[c.machine].free))
+		cordoned[c.machine] = true
+		if unitsOnOthers(s, bins, cordoned, m.Unit)-unitsMoved <= units {
+			delete(cordoned, c.machine)
+			continue
+		}
+		unitsMoved += units
+		ids = append(ids, m.ID)
 	}
-	var cands []candidate
-	for i, m := range s.Machines {
-		if m.Booting || m.Services > 0 || m.Unit.CPUs <= 0 || m.Idle {
+	return ids
+}
+
+// cordonCandidates returns the machines that run little and no services, the most
+// wasteful first.
+func cordonCandidates(s *Snapshot, bins []bin) []cordonCandidate {
+	var candidates []cordonCandidate
+	for i := range s.Machines {
+		m := &s.Machines[i]
+		if !m.runsOnlyArrays() {
 			continue
 		}
-		share := 1 - max(0, bins[i].free.CPUs)/max(1, m.Total.CPUs)
-		if share < 0.6 {
-			cands = append(cands, candidate{i, m.Price * (1 - share)})
+		load := 1 - max(0, bins[i].free.CPUs)/max(1, m.Total.CPUs)
+		if load < maxCordonLoad {
+			candidates = append(candidates, cordonCandidate{i, m.Price * (1 - load)})
 		}
 	}
-	slices.SortStableFunc(cands, func(a, b candidate) int { return cmp.Compare(b.waste, a.waste) })
-	out := map[int]bool{}
-	var ids []wire.MachineID
-	taken := 0
-	for _, c := range cands {
-		m := &s.Machines[c.i]
-		load := m.Total.Minus(bins[c.i].free)
-		need := int(max(load.CPUs/m.Unit.CPUs, load.MemoryGB/max(0.001, m.Unit.MemoryGB)) + 0.999)
-		room := 0
-		for i := range s.Machines {
-			if i == c.i || out[i] || s.Machines[i].Booting || s.Machines[i].Idle && !bins[i].used {
-				continue
-			}
-			if s.Machines[i].Services > 0 && !s.Machines[i].Spot && bins[i].services && s.Machines[i].Unit.CPUs == 0 {
-				continue // a services' machine is no place for arrays
-			}
-			room += m.Unit.Units(bins[i].free)
-		}
-		if room-taken > need {
-			taken += need
-			out[c.i] = true
-			ids = append(ids, m.ID)
+	slices.SortStableFunc(candidates, func(a, b cordonCandidate) int { return cmp.Compare(b.waste, a.waste) })
+	return candidates
+}
+
+// runsOnlyArrays reports whether the machine is up and runs tasks of arrays alone.
+func (m *Machine) runsOnlyArrays() bool {
+	up := !m.Booting && !m.Idle
+	return up && m.Services == 0 && m.Unit.CPUs > 0
+}
+
+// roundUp makes a division by the size of a unit count a started unit as one.
+const roundUp = 0.999
+
+// unitsOf returns how many of the machine's largest units a load is taken to be.
+func (m *Machine) unitsOf(load placement.Resources) int {
+	byCPU := load.CPUs / m.Unit.CPUs
+	byMemory := load.MemoryGB / max(0.001, m.Unit.MemoryGB)
+	return int(max(byCPU, byMemory) + roundUp)
+}
+
+// unitsOnOthers returns how many units fit on the machines that are not cordoned.
+func unitsOnOthers(s *Snapshot, bins []bin, cordoned map[int]bool, unit placement.Resources) int {
+	units := 0
+	for i := range s.Machines {
+		if !cordoned[i] && takesArrays(&s.Machines[i], &bins[i]) {
+			units += unit.Units(bins[i].free)
 		}
 	}
-	return ids
+	return units
+}
+
+// takesArrays reports whether tasks of arrays from cordoned machines may go to the
+// machine: it is up, used in this plan, and not one that runs services alone.
+func takesArrays(m *Machine, b *bin) bool {
+	unused := m.Booting || m.Idle && !b.used
+	servicesAlone := m.Services > 0 && m.Unit.CPUs == 0
+	return !unused && !(servicesAlone && b.services && !m.Spot)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet decides which machines to rent and which to return: from a
-// snapshot of demand, machines and offers to bookings and releases. It is
-// pure; it knows no clock and does no I/O.
+// Package fleet plans scale-out and scale-in: it takes a snapshot of demand, machines and
+// offers, packs the demand into bins and returns which machines to add and which to
+// return. It is pure: it reads no clock and does no I/O.
 package fleet
 
 import (
@@ -8,45 +8,46 @@
 	"lilaclead/internal/wire"
 )
 
-// Offer is a type, zone and kind that may be rented now.
+// Offer is a machine type that can be had in a zone now, as a spot or an ordinary machine.
 type Offer struct {
 	Type  wire.MachineType
 	Zone  wire.Zone
 	Spot  bool
 	Total placement.Resources
 	Price float64 // per hour, now
-	// FetchGBPerS in GB a second.
+	// FetchGBPerS is the rate at which such a machine fetches images, GB a second.
 	FetchGBPerS float64
-	// Room is how many more may be asked for at once.
+	// Room is how many more may be requested at once.
 	Room int
 }
 
-// Machine that we have, or that is on its way.
+// Machine is a machine that the cluster has, or that is being added.
 type Machine struct {
 	ID   wire.MachineID
 	Type wire.MachineType
 	Zone wire.Zone
 	Spot bool
-	// Free room; of a machine that still boots, all of it.
+	// Free is all of it while the machine boots.
 	Free, Total placement.Resources
 	Booting     bool
-	// Idle: up, with nothing on it for IdleS.
+	// Idle reports that the machine is up, with nothing on it for IdleS seconds.
 	Idle  bool
 	IdleS float64
-	// KeepS is how long it is kept with nothing to do.
+	// KeepS is how many seconds an idle machine is kept.
 	KeepS float64
-	// PaidS is how much longer it is paid for whatever we do.
+	// PaidS is for how many more seconds it is paid whether it is returned or not.
 	PaidS float64
 	Price float64
-	// Services on it.
+	// Services is the number of tasks of services on it.
 	Services int
-	// Freeing is room that tasks of arrays there are expected to free.
+	// Freeing is the room that tasks of arrays there are expected to free, the earliest
+	// first.
 	Freeing []Freeing
 	// Unit is the largest task of an array there.
 	Unit placement.Resources
 }
 
-// Freeing is room that is expected to be free in a while.
+// Freeing is room that is expected to be free in so many seconds.
 type Freeing struct {
 	InS  float64
 	Room placement.Resources
@@ -60,30 +61,31 @@
 	Rank float64
 	// ZoneLeft is how many units each zone may still take; nil: any number.
 	ZoneLeft map[wire.Zone]int
-	// SlackS is how long the units may wait for room and still be in time.
+	// SlackS is how many seconds the units may wait for room and still be in time.
 	SlackS float64
-	// AllOrNothing: all of the units or none, in one zone if the job wants that.
+	// AllOrNothing asks for all of the units or none, in one zone if the job requires
+	// that.
 	AllOrNothing bool
-	// PriceStretch stretches the limit on the price; 0 leaves it as it is.
+	// PriceStretch is a factor on the price limit; 0 leaves the limit as it is.
 	PriceStretch float64
 }
 
-// Snapshot is all that a plan looks at.
+// Snapshot is the input of a plan.
 type Snapshot struct {
 	Machines []Machine
 	Offers   []Offer
 	Demands  []Demand
-	// PriceLimit is how many times the cheapest price that the types have for
-	// a unit may be paid for a unit of an array.
+	// PriceLimit is how many times the cheapest price of a unit may be paid for a unit
+	// of an array or a gang.
 	PriceLimit float64
-	// Cheapest is the lowest nominal price of a unit's worth of any type,
+	// Cheapest returns the lowest nominal price of a unit's share of any machine type,
 	// spot or not as the job allows; nil: no limit.
 	Cheapest func(*wire.JobSpec) float64
-	// MaxScaleOuts bounds the machines rented by one plan.
+	// MaxScaleOuts bounds the machines that one plan adds.
 	MaxScaleOuts int
 }
 
-// ScaleOut asks for machines of one offer.
+// ScaleOut is a request for machines of one offer.
 type ScaleOut struct {
 	Type  wire.MachineType
 	Zone  wire.Zone
@@ -92,11 +94,11 @@
 	For   wire.JobID
 }
 
-// Plan is what to do.
+// Plan is what to change in the fleet.
 type Plan struct {
 	ScaleOuts []ScaleOut
 	ScaleIns  []wire.MachineID
-	// Cordons are machines that should take tasks only when no other can:
-	// what runs there would fit on the others, so that they can be returned.
+	// Cordons are machines that should take tasks only when no other can: what runs there
+	// would fit on the others, so that they can be returned.
 	Cordons []wire.MachineID
 }
