--- a/internal/utility/utility_test.go
+++ b/internal/utility/utility_test.go
@@ -1,34 +1,57 @@
 package utility
 
-import "testing"
+import (
+	"maps"
+	"testing"
+)
 
-// The leaves and operators as the paper's section 3 describes them.
-func TestAlgebra(t *testing.T) {
-	g := Grant{0: 2, 1: 1}
-	a, b := SetOf(0), SetOf(0, 1)
-	cases := []struct {
+// The leaves and operators as section 3 of the paper describes them.
+func TestExpressionsHaveValuesOfPaper(t *testing.T) {
+	grant := Grant{0: 2, 1: 1}
+	firstClass, bothClasses := SetOf(0), SetOf(0, 1)
+	for _, c := range []struct {
 		name string
-		e    Expr
+		expr Expr
 		want float64
 	}{
-		{"nCk below k", Choose{a, 3, 5}, 0},
-		{"nCk at k", Choose{b, 3, 5}, 5},
-		{"linear below k", Linear{a, 4, 8}, 4},
-		{"linear above k", Linear{b, 2, 8}, 8},
-		{"min", Min{Choose{b, 3, 5}, Linear{a, 4, 8}}, 4},
-		{"max", Max{Choose{a, 3, 5}, Linear{a, 4, 8}}, 4},
-		{"sum", Sum{Choose{b, 3, 5}, Linear{a, 4, 8}}, 9},
-		{"scale", Scale{0.5, Linear{b, 2, 8}}, 4},
-		{"barrier below", Barrier{5, Linear{a, 4, 8}}, 0},
-		{"barrier at", Barrier{4, Linear{a, 4, 8}}, 4},
-		{"figure 3: k on one rack, else anywhere", Max{Choose{a, 3, 2}, Choose{b, 3, 1}}, 1},
+		{"n Choose k below k", Choose{firstClass, 3, 5}, 0},
+		{"n Choose k at k", Choose{bothClasses, 3, 5}, 5},
+		{"linear below k", Linear{firstClass, 4, 8}, 4},
+		{"linear above k", Linear{bothClasses, 2, 8}, 8},
+		{"linear without units", Linear{firstClass, 0, 8}, 8},
+		{"min", Min{Choose{bothClasses, 3, 5}, Linear{firstClass, 4, 8}}, 4},
+		{"min of nothing", Min{}, 0},
+		{"max", Max{Choose{firstClass, 3, 5}, Linear{firstClass, 4, 8}}, 4},
+		{"max of nothing", Max{}, 0},
+		{"sum", Sum{Choose{bothClasses, 3, 5}, Linear{firstClass, 4, 8}}, 9},
+		{"scale", Scale{0.5, Linear{bothClasses, 2, 8}}, 4},
+		{"barrier below", Barrier{5, Linear{firstClass, 4, 8}}, 0},
+		{"barrier at", Barrier{4, Linear{firstClass, 4, 8}}, 4},
+		{"figure 3: k on one rack, else anywhere", Max{Choose{firstClass, 3, 2}, Choose{bothClasses, 3, 1}}, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := c.expr.Value(grant); got != c.want {
+				t.Errorf("%+v of %v: %g, want %g", c.expr, grant, got, c.want)
+			}
+		})
 	}
-	for _, c := range cases {
-		if got := c.e.Value(g); got != c.want {
-			t.Errorf("%s: %g, want %g", c.name, got, c.want)
-		}
-	}
-	if got := Gain(Choose{a, 3, 5}, g, 0); got != 5 || g[0] != 2 {
-		t.Errorf("gain %g, grant after it %v", got, g)
+}
+
+func TestGainLeavesGrantAsItWas(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		class Class
+		want  float64
+	}{
+		{"class that completes the choice", 0, 5},
+		{"class outside of the set", 2, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			grant := Grant{0: 2, 1: 1}
+			got := Gain(Choose{SetOf(0), 3, 5}, grant, c.class)
+			if unchanged := (Grant{0: 2, 1: 1}); got != c.want || !maps.Equal(grant, unchanged) {
+				t.Errorf("class %d: gain %g, grant after it %v, want %g and %v", c.class, got, grant, c.want, unchanged)
+			}
+		})
 	}
 }
