--- /dev/null
+++ b/internal/placement/pass_test.go
@@ -0,0 +1,121 @@
+package placement
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"lilaclead/internal/wire"
+)
+
+// Every launch of the real pass is legal when it is made, each step gains as much as the
+// best that the slow model finds in the same position, and the pass stops only when
+// nothing legal is left.
+func TestPassGainsAsMuchAsSlowModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := snapshots(t)
+		model := clone(s)
+		pending := make([]int, len(s.Jobs))
+		for i := range s.Jobs {
+			pending[i] = s.Jobs[i].Pending
+		}
+		starts := Place(clone(s)).Starts
+		for n := 0; n < len(starts); {
+			n += checkStep(t, s, model, pending, starts, n)
+		}
+		for i := range model.Jobs {
+			model.Jobs[i].Pending = pending[i]
+		}
+		if gains, _ := slow(model); len(gains) > 0 {
+			t.Fatalf("the pass stopped, but %d more starts are legal", len(gains))
+		}
+	})
+}
+
+// checkStep compares the step that begins with the n-th start with the model, makes it
+// there, and returns its number of starts.
+func checkStep(t *rapid.T, s, model *Snapshot, pending []int, starts []Start, n int) int {
+	job := starts[n].Job
+	j, units := &model.Jobs[job], 1
+	if j.Spec.Gang() {
+		units = j.Spec.Tasks
+	}
+	position := clone(model)
+	for i := range position.Jobs {
+		position.Jobs[i].Pending = pending[i]
+	}
+	gains, _ := slow(position)
+	if j.Spec.Gang() {
+		limit := s.Teams[j.Spec.Team].Limit.CPUs
+		if used := model.Teams[j.Spec.Team].Used.CPUs + float64(units)*j.Spec.CPUs; limit > 0 && used > limit {
+			t.Fatalf("start %d: a gang of a team that may use %g makes it %g", n, limit, used)
+		}
+	}
+	unitUtility := s.Factors.Preferred
+	for k := range units {
+		if n+k >= len(starts) || starts[n+k].Job != job {
+			t.Fatalf("start %d: only %d of %d tasks of a gang", n, k, units)
+		}
+		start := starts[n+k]
+		if !legal(model, start.Job, start.Machine) {
+			t.Fatalf("start %d is not legal: %+v", n+k, start)
+		}
+		if model.Machines[start.Machine].Images[j.Spec.Image] != Present {
+			unitUtility = s.Factors.Fallback
+		}
+		modelLaunch(model, start.Job, start.Machine)
+	}
+	got := unitUtility * j.Weight * (1 + j.WaitedS/s.Factors.WaitRaiseS)
+	if len(gains) == 0 || got < gains[0]-1e-9 {
+		t.Fatalf("start %d gains %g, the best is %v", n, got, gains)
+	}
+	if pending[job] -= units; pending[job] < 0 {
+		t.Fatalf("job %d was started too often", job)
+	}
+	return units
+}
+
+// The fallback is taken without waiting, and the preferred machine first.
+func TestPreferredMachineIsTakenBeforeFallback(t *testing.T) {
+	machine := func(id wire.MachineID) Machine {
+		return Machine{ID: id, Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1}
+	}
+	withImage := machine("with-image")
+	withImage.Images = map[wire.ImageID]Image{"i": Present}
+	s := &Snapshot{
+		Teams:    map[wire.TeamID]*Team{"t": {}},
+		Factors:  testFactors,
+		Machines: []Machine{machine("without-image"), withImage},
+		Jobs: []Job{{
+			Spec:        &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"},
+			Pending:     2,
+			TasksByZone: map[wire.Zone]int{},
+			Weight:      1,
+		}},
+	}
+	if starts := Place(s).Starts; len(starts) != 2 || starts[0].Machine != 1 || starts[1].Machine != 0 {
+		t.Fatalf("starts %+v, want one on machine 1, then one on 0", starts)
+	}
+}
+
+// A machine on which the job failed is its last choice, even with the image. (A replica
+// was once started four times on the machine that failed it.)
+func TestMachineThatFailedJobIsLastChoice(t *testing.T) {
+	failed := Machine{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Services: 1, Images: map[wire.ImageID]Image{"i": Present}}
+	other := Machine{ID: "other", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1}
+	s := &Snapshot{
+		Teams:    map[wire.TeamID]*Team{"t": {}},
+		Factors:  testFactors,
+		Machines: []Machine{failed, other},
+		Jobs: []Job{{
+			Spec:        &wire.JobSpec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"},
+			Pending:     1,
+			TasksByZone: map[wire.Zone]int{},
+			Weight:      1,
+			Avoid:       map[wire.MachineID]bool{"failed": true},
+		}},
+	}
+	if starts := Place(s).Starts; len(starts) != 1 || starts[0].Machine != 1 {
+		t.Fatalf("starts %+v, want one on the other machine", starts)
+	}
+}
--- /dev/null
+++ b/internal/placement/preempt_gang_test.go
@@ -0,0 +1,311 @@
+package placement
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"lilaclead/internal/wire"
+)
+
+// Room is reserved for all of a gang or for none of it, in one zone if it requires that,
+// and nothing is preempted or awaited but for what is then reserved and fits.
+func TestRoomIsReservedForAllOfGangOrNone(t *testing.T) {
+	gangs, victims := 0, 0
+	rapid.Check(t, func(t *rapid.T) {
+		before := crowdedSnapshots(t)
+		after := clone(before) // Place works on it
+		res := Place(after)
+		checkReservationsFit(t, before, after, res)
+		for i := range before.Jobs {
+			if before.Jobs[i].Spec.Gang() && checkGang(t, after, res, i) {
+				gangs++
+			}
+		}
+		victims += len(res.Preemptions)
+	})
+	if gangs < 20 || victims < 20 {
+		t.Errorf("room was reserved for %d gangs, %d tasks were preempted: too few to tell", gangs, victims)
+	}
+}
+
+// checkReservationsFit checks that everything that is reserved fits once everything has
+// ended that is preempted or awaited, and that nothing is preempted where nothing is
+// reserved.
+func checkReservationsFit(t *rapid.T, before, after *Snapshot, res Result) {
+	preempted, awaited := map[wire.Task]bool{}, map[wire.Task]bool{}
+	for _, v := range res.Preemptions {
+		preempted[v.Task] = true
+	}
+	for _, r := range res.Reservations {
+		for _, task := range r.AwaitedTasks {
+			awaited[task] = true
+		}
+	}
+	for i := range before.Machines {
+		m := &after.Machines[i]
+		room := m.Free
+		for _, v := range before.Machines[i].Victims {
+			if preempted[v.Task] || awaited[v.Task] {
+				room = room.Plus(v.Uses)
+			}
+			if preempted[v.Task] && len(m.Reservations) == 0 {
+				t.Fatalf("%v is preempted on %s, for nothing", v.Task, m.ID)
+			}
+		}
+		for _, r := range m.Reservations {
+			room = room.Minus(r.Takes)
+		}
+		if room.CPUs < -wire.Eps || room.MemoryGB < -wire.Eps {
+			t.Fatalf("more is reserved on %s than will be free: %v", m.ID, room)
+		}
+	}
+}
+
+// checkGang checks the starts and reservations of a gang, and reports whether it has
+// reservations.
+func checkGang(t *rapid.T, after *Snapshot, res Result, job int) bool {
+	spec := after.Jobs[job].Spec
+	starts := 0
+	for _, start := range res.Starts {
+		if start.Job == job {
+			starts++
+		}
+	}
+	if starts != 0 && starts != spec.Tasks {
+		t.Fatalf("%d of %d tasks start", starts, spec.Tasks)
+	}
+	reservations, inZone := reservationsOf(after, res, spec.ID)
+	if reservations != 0 && (reservations != spec.Tasks || starts > 0) {
+		t.Fatalf("room is reserved for %d of %d tasks, %d start", reservations, spec.Tasks, starts)
+	}
+	for zone, n := range inZone {
+		if spec.SameZone && n != spec.Tasks || n > spec.ZoneCap() {
+			t.Fatalf("room for %d of %d tasks in zone %s", n, spec.Tasks, zone)
+		}
+	}
+	if team := after.Teams[spec.Team]; team.Limit.CPUs > 0 && team.Used.CPUs > team.Limit.CPUs+wire.Eps {
+		t.Fatalf("%s uses %v of %v", spec.Team, team.Used, team.Limit)
+	}
+	return reservations > 0
+}
+
+// reservationsOf counts a job's new reservations, in all and by zone.
+func reservationsOf(s *Snapshot, res Result, job wire.JobID) (int, map[wire.Zone]int) {
+	zoneOf := map[wire.MachineID]wire.Zone{}
+	for i := range s.Machines {
+		zoneOf[s.Machines[i].ID] = s.Machines[i].Zone
+	}
+	total, inZone := 0, map[wire.Zone]int{}
+	for _, r := range res.Reservations {
+		if r.Job == job {
+			total++
+			inZone[zoneOf[r.Machine]]++
+		}
+	}
+	return total, inZone
+}
+
+// For a gang that waits alone room is reserved whenever it can be made for all of it.
+func TestRoomIsReservedWhereverAllOfGangCouldFit(t *testing.T) {
+	reserved, impossible := 0, 0
+	rapid.Check(t, func(t *rapid.T) {
+		s := crowdedSnapshots(t)
+		i := 0
+		for ; i < len(s.Jobs) && !s.Jobs[i].Spec.Gang(); i++ {
+		}
+		if i == len(s.Jobs) {
+			return
+		}
+		s.Jobs = s.Jobs[i : i+1]
+		want := couldFit(s, &s.Jobs[0])
+		res := Place(clone(s))
+		if got := len(res.Starts)+len(res.Reservations) > 0; got != want {
+			t.Fatalf("starts %v, reserves %v, but it could fit: %v", res.Starts, res.Reservations, want)
+		}
+		if len(res.Reservations) > 0 {
+			reserved++
+		} else if !want {
+			impossible++
+		}
+	})
+	if reserved < 5 || impossible < 5 {
+		t.Errorf("room could be reserved %d times, %d times not: too few to tell", reserved, impossible)
+	}
+}
+
+// A gang whose reservations are complete waits for its room, and nothing takes a part of
+// it: of two gangs the earlier has all of its reservations, the later none.
+func TestGangsDontWaitForEachOther(t *testing.T) {
+	gang := func(id wire.JobID, priority wire.Priority, tasks int) Job {
+		return Job{Spec: gangSpec(id, priority, tasks, 4), PatienceS: 9}
+	}
+	array := Job{Weight: 50, Spec: &wire.JobSpec{ID: "req-3", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 4, MemoryGB: 4, SpotAllowed: true}}
+	withReservations := gang("req-1", wire.PriorityStandard, 2)
+	withReservations.Reservations = 2
+
+	// Two standard gangs of two, two machines.
+	machines := []Machine{machineIn("a", "m", 0, fullSizeVictim(0, 9, 3)), machineIn("a", "n", 0, fullSizeVictim(1, 9, 5))}
+	res := Place(snapshotOf(machines, gang("req-1", wire.PriorityStandard, 2), gang("req-2", wire.PriorityStandard, 2)))
+	if len(res.Reservations) != 2 || res.Reservations[0].Job != "req-1" || res.Reservations[1].Job != "req-1" || len(res.Preemptions) != 0 {
+		t.Fatalf("reserves %+v, preempts %v, want two reservations for req-1", res.Reservations, res.Preemptions)
+	}
+
+	// The first machine is free, the second not yet: neither the later gang nor an array
+	// gets the first.
+	halfFree := func() []Machine {
+		free, full := machineIn("a", "m", 4), machineIn("a", "n", 0)
+		free.Reservations = fullSizeReservation("req-1", wire.PriorityStandard)
+		full.Reservations = fullSizeReservation("req-1", wire.PriorityStandard)
+		full.Stopping = Resources{4, 0, 4}
+		return []Machine{free, full}
+	}
+	later := gang("req-2", wire.PriorityStandard, 1)
+	later.Weight = 9
+	res = Place(snapshotOf(halfFree(), withReservations, array, later))
+	if len(res.Starts)+len(res.Reservations)+len(res.Preemptions) != 0 {
+		t.Fatalf("beside a gang's reservations %+v, want nothing", res)
+	}
+
+	urgent := Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 1, 4)}
+	res = Place(snapshotOf(halfFree(), withReservations, urgent))
+	if len(res.Starts) != 1 || res.Starts[0].Job != 1 {
+		t.Fatalf("an urgent gang beside a lower one's reservations: %+v, want its start", res)
+	}
+
+	// Both free: the gang starts, whatever gains more.
+	bothFree := halfFree()
+	bothFree[1].Free, bothFree[1].Stopping = Resources{4, 0, 16}, Resources{}
+	res = Place(snapshotOf(bothFree, withReservations, array))
+	if len(res.Starts) != 2 || res.Starts[0].Job != 0 {
+		t.Fatalf("with all its room free: %+v, want its two starts", res)
+	}
+}
+
+// Of two machines with one task each the cheaper is preempted: a gang's task costs what
+// all of its gang loses, which the leader counts.
+func TestTaskOfGangIsPreemptedLast(t *testing.T) {
+	ofGang, other := fullSizeVictim(0, 4*(10+5), 99), fullSizeVictim(1, 40, 99)
+	s := snapshotOf([]Machine{machineIn("a", "m", 0, ofGang), machineIn("a", "n", 0, other)}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)})
+	if got := Place(s).Preemptions; len(got) != 1 || got[0].Task.Index != 1 {
+		t.Errorf("victims %+v, want task 1", got)
+	}
+}
+
+// Room for a gang that must be in one zone is made in the one of two zones that hold it
+// where least work is lost, whichever of them comes first.
+func TestRoomForGangIsMadeInCheaperZone(t *testing.T) {
+	for _, first := range []wire.Zone{"expensive", "cheap"} {
+		t.Run(string(first)+" zone first", func(t *testing.T) {
+			expensive := []Machine{
+				machineIn("expensive", "e1", 0, fullSizeVictim(0, 30, 500)),
+				machineIn("expensive", "e2", 0, fullSizeVictim(1, 30, 500)),
+			}
+			// One of the cheaper zone's tasks alone has more to lose than any of the other's.
+			cheap := []Machine{
+				machineIn("cheap", "c1", 0, fullSizeVictim(2, 35, 500)),
+				machineIn("cheap", "c2", 0, fullSizeVictim(3, 5, 500)),
+			}
+			machines := append(expensive, cheap...)
+			if first == "cheap" {
+				machines = append(cheap, expensive...)
+			}
+			res := Place(snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4)}))
+			if len(res.Preemptions) != 2 || len(res.Reservations) != 2 {
+				t.Fatalf("victims %v for %v, want two", res.Preemptions, res.Reservations)
+			}
+			for _, v := range res.Preemptions {
+				if v.Task.Index < 2 {
+					t.Errorf("victims %v, which cost 60, want those that cost 40", res.Preemptions)
+				}
+			}
+		})
+	}
+}
+
+// For a gang with reservations no room is reserved once more: neither for one that has all
+// of them, nor for one of which a part is left, which expires first.
+func TestGangWithReservationsGetsNoMore(t *testing.T) {
+	for _, c := range []struct {
+		name               string
+		reservations, want int
+	}{
+		{"none yet", 0, 2},
+		{"a part is left", 1, 0},
+		{"all of them", 2, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var machines []Machine
+			for i, id := range []wire.MachineID{"m", "n", "o", "p"} {
+				machines = append(machines, machineIn("a", id, 0, fullSizeVictim(i, 5, 500)))
+			}
+			for i := range c.reservations {
+				machines[i].Victims, machines[i].Stopping = nil, Resources{4, 0, 4}
+				machines[i].Reservations = fullSizeReservation("req-1", wire.PriorityUrgent)
+			}
+			res := Place(snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Reservations: c.reservations}))
+			if len(res.Reservations) != c.want || len(res.Preemptions) != c.want {
+				t.Errorf("victims %v for %v, want %d of each", res.Preemptions, res.Reservations, c.want)
+			}
+		})
+	}
+}
+
+// What a gang's reservations will take counts toward its team's limit as soon as they are
+// made: for the team's next gang no room is reserved beyond the limit.
+func TestReservationsOfGangCountTowardLimit(t *testing.T) {
+	for limit, want := range map[float64]int{12: 0, 16: 2} {
+		victims := []Victim{fullSizeVictim(2, 5, 500), fullSizeVictim(3, 5, 500)}
+		for i := range victims {
+			victims[i].Team = "other"
+		}
+		machines := []Machine{machineIn("a", "m", 0), machineIn("a", "n", 0), machineIn("a", "o", 0, victims[0]), machineIn("a", "p", 0, victims[1])}
+		for i := range 2 {
+			machines[i].Stopping = Resources{4, 0, 4}
+			machines[i].Reservations = fullSizeReservation("req-1", wire.PriorityUrgent)
+		}
+		s := snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Reservations: 2}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 2, 4)})
+		s.Teams["t"].Limit = Resources{CPUs: limit}
+		if res := Place(s); len(res.Reservations) != want || len(res.Preemptions) != want {
+			t.Errorf("limit %g: victims %v for %v, want %d of each", limit, res.Preemptions, res.Reservations, want)
+		}
+	}
+}
+
+// For an urgent gang that can still start in time, tasks that would save for longer are
+// preempted only where no others can be. For one without an objective, or late already,
+// the lowest priority goes first.
+func TestGangInTimePreemptsWhatEndsAtOnce(t *testing.T) {
+	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 3, RemainingS: 99, CheckpointS: 3, Team: "t"}
+	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: 30, RemainingS: 99, Team: "t"}
+	full := func(victims ...Victim) Machine {
+		m := machineIn("a", "m", 0, victims...)
+		m.Total = Resources{4 * float64(len(victims)), 0, 32}
+		return m
+	}
+	other := machineIn("a", "n", 0, atOnce)
+	for name, c := range map[string]struct {
+		machines  []Machine
+		priority  wire.Priority
+		startsInS float64
+		want      wire.JobID // of the victim
+	}{
+		"no objective, one machine":  {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 0, "req-8"},
+		"no objective, two machines": {[]Machine{full(saving), other}, wire.PriorityUrgent, 0, "req-8"},
+		"in time, one machine":       {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 2, "req-9"},
+		"in time, two machines":      {[]Machine{full(saving), other}, wire.PriorityUrgent, 2, "req-9"},
+		"there is time to save":      {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 4, "req-8"},
+		"nothing else can be":        {[]Machine{full(saving)}, wire.PriorityUrgent, 2, "req-8"},
+		"a standard gang, of these":  {[]Machine{full(saving, atOnce), other}, wire.PriorityStandard, 2, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got := Place(snapshotOf(c.machines, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartsInS: c.startsInS})).Preemptions
+			if c.want == "" && len(got) == 0 {
+				return
+			}
+			if len(got) != 1 || got[0].Task.Job != c.want {
+				t.Errorf("victims %+v, want one of %q", got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/placement/preempt_test.go
@@ -0,0 +1,163 @@
+package placement
+
+import (
+	"testing"
+
+	"lilaclead/internal/wire"
+)
+
+// Preemption takes victims of lower priorities only, where the least work is lost, and
+// none for a standard array. (Two classes of arrays once preempted each other's tasks in
+// turn for minutes.)
+func TestVictimsHaveLowerPriorityAndLoseLeast(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		priority    wire.Priority
+		kind        wire.JobKind
+		victims     wire.Priority
+		wantVictims []int // by index
+	}{
+		{"a production service preempts standard tasks", wire.PriorityProd, wire.KindService, wire.PriorityStandard, []int{1}},
+		{"the same priority is not preempted", wire.PriorityStandard, wire.KindService, wire.PriorityStandard, nil},
+		{"a standard array preempts nothing", wire.PriorityStandard, wire.KindArray, wire.PriorityBestEffort, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			victim := func(index int, lostS float64) []Victim {
+				return []Victim{{Task: wire.Task{Job: "req-1", Index: index}, Rank: c.victims.Rank(), Uses: Resources{4, 0, 4}, LostS: lostS, Team: "t"}}
+			}
+			s := &Snapshot{
+				Preempt: true,
+				Teams:   map[wire.TeamID]*Team{"t": {}},
+				Factors: testFactors,
+				Machines: []Machine{
+					{ID: "m", Total: Resources{4, 0, 16}, Victims: victim(0, 30)},
+					{ID: "n", Total: Resources{4, 0, 16}, Victims: victim(1, 3)},
+				},
+				Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: c.kind, Priority: c.priority, Tasks: 1, CPUs: 2, MemoryGB: 4}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
+			}
+			got := Place(s).Preemptions
+			if len(got) != len(c.wantVictims) {
+				t.Fatalf("victims %v, want %v", got, c.wantVictims)
+			}
+			for i, index := range c.wantVictims {
+				if got[i].Task.Index != index {
+					t.Errorf("victims %v, want %v", got, c.wantVictims)
+				}
+			}
+		})
+	}
+}
+
+// A service within its team's guaranteed quota may preempt a task of its own priority
+// that another team runs beyond its quota.
+func TestServiceReclaimsGuaranteedQuota(t *testing.T) {
+	for name, c := range map[string]struct {
+		kind            wire.JobKind
+		guaranteed      bool
+		beyondGuarantee bool
+		team            wire.TeamID // of the victim
+		want            int         // victims
+	}{
+		"beyond another team's quota": {wire.KindService, true, true, "other", 1},
+		"within another team's quota": {wire.KindService, true, false, "other", 0},
+		"a task of its own team":      {wire.KindService, true, true, "t", 0},
+		"not within its own quota":    {wire.KindService, false, true, "other", 0},
+		"for an array of that quota":  {wire.KindArray, true, true, "other", 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			victim := fullSizeVictim(0, 5, 500)
+			victim.Rank, victim.Team, victim.BeyondGuarantee = wire.PriorityUrgent.Rank(), c.team, c.beyondGuarantee
+			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: c.kind, Priority: wire.PriorityUrgent, Tasks: 1, CPUs: 4, MemoryGB: 4}
+			s := snapshotOf([]Machine{machineIn("a", "m", 0, victim)}, Job{Spec: spec, Guaranteed: c.guaranteed})
+			if got := Place(s).Preemptions; len(got) != c.want {
+				t.Errorf("victims %v, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// Room that is being made for an urgent task stays reserved for it until all of it is
+// free: two tasks of half a machine end one after the other, and a smaller job with more
+// to gain does not take the half that is free first. Nothing more is preempted for it
+// meanwhile, a second unit gets room of its own, and a job of a higher priority passes
+// over the reservation.
+func TestRoomIsKeptForWhatItIsMadeFor(t *testing.T) {
+	spec := func(id wire.JobID, priority wire.Priority, cpus float64) *wire.JobSpec {
+		return &wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
+	}
+	halfMachine, wholeMachine := Resources{2, 0, 7}, Resources{4, 0, 16}
+	little := Resources{0, 0, 2}
+	snapshot := func(m Machine, jobs ...Job) *Snapshot {
+		m.ID, m.Total, m.FetchGBPerS = "n", wholeMachine, 1
+		for i := range jobs {
+			jobs[i].TasksByZone = map[wire.Zone]int{}
+		}
+		return &Snapshot{Teams: map[wire.TeamID]*Team{"t": {}}, Factors: testFactors, Preempt: true, Machines: []Machine{m}, Jobs: jobs}
+	}
+	withMachine := func(s *Snapshot, m Machine) *Snapshot {
+		m.Total, m.FetchGBPerS = wholeMachine, 1
+		s.Machines = append(s.Machines, m)
+		return s
+	}
+	withLimit := func(s *Snapshot, cpus float64) *Snapshot {
+		s.Teams["t"].Limit.CPUs = cpus
+		return s
+	}
+	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: halfMachine} }
+	endingIn := func(seconds float64, v Victim) Victim {
+		v.RemainingS = seconds
+		return v
+	}
+	urgentSpec := spec("req-1", wire.PriorityUrgent, 4)
+	reservations := []Reservation{{urgentSpec.ID, urgentSpec.Priority.Rank(), ResourcesOf(urgentSpec)}}
+	full := func(victims ...Victim) Machine { return Machine{Victims: victims, Free: little} }
+	halfFree := Machine{Reservations: reservations, Free: Resources{2, 0, 9}, Stopping: halfMachine}
+	twoVictims := []Victim{victim(0), victim(1)}
+	endingSoon := full(endingIn(3, victim(0)), endingIn(4, victim(1)))
+	notPreemptible := Victim{Task: wire.Task{Job: "req-8"}, Rank: 2, Uses: wholeMachine, RemainingS: 2}
+
+	urgent := Job{Spec: urgentSpec, Pending: 1, Weight: 8}
+	reserved := urgent
+	reserved.Reservations = 1
+	twoUnits := reserved
+	twoUnits.Pending = 2
+	patient := urgent
+	patient.PatienceS = 5
+	specWithImage := *urgentSpec
+	specWithImage.Image, specWithImage.ImageGB = "i", 1
+	patientWithImage := patient
+	patientWithImage.Spec = &specWithImage
+	small := Job{Spec: spec("req-2", wire.PriorityStandard, 2), Pending: 2, Weight: 99}
+	prod := Job{Spec: spec("req-3", wire.PriorityProd, 2), Pending: 1, Weight: 256}
+	other := Job{Spec: spec("req-4", wire.PriorityUrgent, 4), Pending: 1, Weight: 8}
+	lighterOther := other
+	lighterOther.Weight = 7
+	warm := Machine{ID: "warm", Images: map[wire.ImageID]Image{"i": Present}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: little}
+
+	for _, c := range []struct {
+		name                                      string
+		snapshot                                  *Snapshot
+		wantStarts, wantVictims, wantReservations int
+	}{
+		{"what ends soon is awaited", snapshot(endingSoon, patient), 0, 0, 1},
+		{"one is awaited, the other preempted", snapshot(full(endingIn(3, victim(0)), endingIn(40, victim(1))), patient), 0, 1, 1},
+		{"what may not be preempted can be awaited", snapshot(Machine{Victims: []Victim{notPreemptible}}, patient), 0, 0, 1},
+		{"a fetch is no reason to preempt two tasks", withMachine(snapshot(endingSoon, patientWithImage), warm), 0, 0, 1},
+		{"a full machine is reserved", snapshot(full(twoVictims...), urgent), 0, 2, 1},
+		{"the half that is free is kept", snapshot(halfFree, reserved, small), 0, 0, 0},
+		{"the reserved room is used", snapshot(Machine{Reservations: reservations, Free: wholeMachine}, reserved, small), 1, 0, 0},
+		{"without a reservation the small ones go", snapshot(Machine{Free: wholeMachine}, urgent, small), 2, 0, 0},
+		{"a reserved machine is no room for a second unit", snapshot(halfFree, twoUnits), 0, 0, 0},
+		{"a higher priority passes over it", snapshot(halfFree, prod), 1, 0, 0},
+		{"no room is reserved beyond the team's limit", withLimit(snapshot(full(twoVictims...), reserved, other), 4), 0, 0, 0},
+		{"within it some is reserved for a second job", withLimit(snapshot(full(twoVictims...), reserved, other), 8), 0, 2, 1},
+		{"a reservation that is used counts once", withLimit(snapshot(Machine{Reservations: reservations, Free: wholeMachine, Victims: twoVictims}, reserved, lighterOther), 8), 1, 2, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			res := Place(c.snapshot)
+			if len(res.Starts) != c.wantStarts || len(res.Preemptions) != c.wantVictims || len(res.Reservations) != c.wantReservations {
+				t.Errorf("%+v, want %d starts, %d victims, %d reservations", res, c.wantStarts, c.wantVictims, c.wantReservations)
+			}
+		})
+	}
+}
