--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -1,8 +1,7 @@
 package fleet
 
 import (
-	"flag"
-	"fmt"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -11,158 +10,203 @@
 	"lilaclead/internal/wire"
 )
 
-// The same cases every time.
-func init() { flag.Set("rapid.seed", "20261201") } //nolint:errcheck // rapid defines the flag
-
-var types = map[wire.MachineType]placement.Resources{"c4": {CPUs: 4, MemoryGB: 16}, "c16": {CPUs: 16, MemoryGB: 64}}
-
-func snapshots(t *rapid.T) *Snapshot {
-	s := &Snapshot{MaxScaleOuts: 8, PriceLimit: 3, Cheapest: func(*wire.JobSpec) float64 { return 0.02 }}
-	kit := func() wire.MachineType { return rapid.SampledFrom([]wire.MachineType{"c4", "c16"}).Draw(t, "kit") }
-	zone := func() wire.Zone { return rapid.SampledFrom([]wire.Zone{"a", "b"}).Draw(t, "zone") }
-	for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
-		k := kit()
-		m := Machine{ID: wire.MachineID(fmt.Sprint("n-", i)), Type: k, Zone: zone(), Spot: rapid.Bool().Draw(t, "spot"), Total: types[k], Free: types[k], Price: 0.3, KeepS: 10}
-		switch rapid.IntRange(0, 2).Draw(t, "what") {
-		case 0:
-			m.Booting = true
-		case 1:
-			m.Idle, m.IdleS, m.PaidS = true, float64(rapid.IntRange(0, 30).Draw(t, "idle")), float64(rapid.IntRange(-20, 20).Draw(t, "paid"))
-		default:
-			used := placement.Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "used")), MemoryGB: 4}
-			m.Free, m.Unit = m.Free.Minus(used), used
-			m.Freeing = []Freeing{{InS: float64(rapid.IntRange(1, 40).Draw(t, "in")), Room: used}}
-		}
-		s.Machines = append(s.Machines, m)
-	}
-	for range rapid.IntRange(0, 5).Draw(t, "offers") {
-		k := kit()
-		s.Offers = append(s.Offers, Offer{Type: k, Zone: zone(), Spot: rapid.Bool().Draw(t, "spot"), Total: types[k],
-			Price: float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100, FetchGBPerS: 1, Room: rapid.IntRange(0, 4).Draw(t, "room")})
-	}
-	for i := range rapid.IntRange(0, 4).Draw(t, "demands") {
-		shape := rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindService}).Draw(t, "shape")
-		s.Demands = append(s.Demands, Demand{Units: rapid.IntRange(1, 20).Draw(t, "units"), Rank: float64(i % 2), SlackS: float64(rapid.IntRange(-10, 60).Draw(t, "slack")),
-			Spec: &wire.JobSpec{ID: wire.JobID(fmt.Sprint("req-", i)), Kind: shape, CPUs: float64(rapid.IntRange(1, 5).Draw(t, "cpus")), MemoryGB: 4,
-				SpotAllowed: rapid.Bool().Draw(t, "standby"), ImageGB: 1}})
-	}
-	return s
-}
-
 // What must hold of every plan, whatever the demand.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := snapshots(t)
 		plan := MakePlan(s)
-		room := map[string]int{}
-		for _, o := range s.Offers {
-			room[fmt.Sprint(o.Type, o.Zone, o.Spot)] += o.Room
-		}
-		spotless := true
-		total := 0
-		for _, d := range s.Demands {
-			spotless = spotless && !d.Spec.SpotAllowed
-		}
-		for _, r := range plan.ScaleOuts {
-			total += r.Count
-			if r.Count > room[fmt.Sprint(r.Type, r.Zone, r.Spot)] {
-				t.Fatalf("rents more than is offered: %+v", r)
-			}
-			if r.Spot && spotless {
-				t.Fatalf("rents spot for jobs that don't allow it: %+v", r)
-			}
-		}
-		if total > s.MaxScaleOuts || len(s.Demands) == 0 && total > 0 {
-			t.Fatalf("rents %d machines", total)
-		}
-		by := map[wire.MachineID]Machine{}
+		checkScaleOuts(t, s, plan)
+		machines := map[wire.MachineID]Machine{}
 		for _, m := range s.Machines {
-			by[m.ID] = m
+			machines[m.ID] = m
 		}
 		for _, id := range plan.ScaleIns {
-			if m := by[id]; !m.Idle || m.Booting || m.IdleS < m.KeepS || m.PaidS > 0 {
-				t.Fatalf("releases %+v", m)
+			if m := machines[id]; !m.Idle || m.Booting || m.IdleS < m.KeepS || m.PaidS > 0 {
+				t.Fatalf("scales in %+v", m)
 			}
 		}
 		for _, id := range plan.Cordons {
-			if m := by[id]; m.Services > 0 || m.Booting || m.Idle {
+			if m := machines[id]; m.Services > 0 || m.Booting || m.Idle {
 				t.Fatalf("cordons %+v", m)
 			}
 		}
 	})
 }
 
-// Demand that the room there is takes rents nothing, and an idle machine
-// that no demand needs is returned once it is paid up.
-func TestRoomFirst(t *testing.T) {
-	spec := &wire.JobSpec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
-	m := Machine{ID: "n", Type: "c4", Zone: "a", Total: types["c4"], Free: types["c4"], Idle: true, IdleS: 20, KeepS: 10}
-	o := Offer{Type: "c4", Zone: "a", Total: types["c4"], Price: 0.3, FetchGBPerS: 1, Room: 9}
-	plan := MakePlan(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 2}}, MaxScaleOuts: 9})
-	if len(plan.ScaleOuts) != 0 || len(plan.ScaleIns) != 0 {
-		t.Fatalf("plan %+v", plan)
+// checkScaleOuts checks that a plan adds no more than is offered and may be added, and
+// nothing that no job may run on.
+func checkScaleOuts(t *rapid.T, s *Snapshot, plan Plan) {
+	type offerKey struct {
+		machineType wire.MachineType
+		zone        wire.Zone
+		spot        bool
+	}
+	offered := map[offerKey]int{}
+	for _, o := range s.Offers {
+		offered[offerKey{o.Type, o.Zone, o.Spot}] += o.Room
+	}
+	spotAllowed := false
+	for _, d := range s.Demands {
+		spotAllowed = spotAllowed || d.Spec.SpotAllowed
+	}
+	total := 0
+	for _, r := range plan.ScaleOuts {
+		total += r.Count
+		if r.Count > offered[offerKey{r.Type, r.Zone, r.Spot}] {
+			t.Fatalf("adds more than is offered: %+v", r)
+		}
+		if r.Spot && !spotAllowed {
+			t.Fatalf("adds spot machines for jobs that don't allow them: %+v", r)
+		}
 	}
-	plan = MakePlan(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: spec, Units: 5}}, MaxScaleOuts: 9})
-	if len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].Count != 2 {
-		t.Fatalf("plan %+v", plan)
+	if total > s.MaxScaleOuts || len(s.Demands) == 0 && total > 0 {
+		t.Fatalf("adds %d machines for %d demands, may add %d", total, len(s.Demands), s.MaxScaleOuts)
 	}
-	plan = MakePlan(&Snapshot{Machines: []Machine{m}})
-	if len(plan.ScaleIns) != 1 {
-		t.Fatalf("plan %+v", plan)
+}
+
+// Demand that fits into the room there is adds nothing, and an idle machine that no
+// demand needs is returned once it is paid for no longer.
+func TestPresentRoomIsUsedBeforeScaleOut(t *testing.T) {
+	spec := &wire.JobSpec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
+	idle := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, IdleS: 20, KeepS: 10}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.3, FetchGBPerS: 1, Room: 9}
+	for _, c := range []struct {
+		name                   string
+		units                  int
+		wantAdded, wantScaleIn int
+	}{
+		{"fits", 2, 0, 0},
+		{"three units do not fit", 5, 2, 0},
+		{"no demand", 0, 0, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := &Snapshot{Machines: []Machine{idle}, MaxScaleOuts: 9}
+			if c.units > 0 {
+				s.Offers, s.Demands = []Offer{offer}, []Demand{{Spec: spec, Units: c.units}}
+			}
+			plan := MakePlan(s)
+			if got := machinesAdded(plan); got != c.wantAdded || len(plan.ScaleOuts) > 1 || len(plan.ScaleIns) != c.wantScaleIn {
+				t.Errorf("plan %+v, want %d machines by one request, %d scaled in", plan, c.wantAdded, c.wantScaleIn)
+			}
+		})
+	}
+}
+
+func machinesAdded(plan Plan) int {
+	total := 0
+	for _, r := range plan.ScaleOuts {
+		total += r.Count
 	}
+	return total
 }
 
-// An array doesn't rent at a price at which it is better late; a service
-// does. (Bursts once rented the largest type for a few tasks.)
+// An array adds no machine at a price at which it is better late; a service does.
+// (Bursts once added the largest type for a few tasks.)
 func TestDearLimit(t *testing.T) {
-	o := Offer{Type: "c16", Zone: "a", Total: types["c16"], Price: 4, FetchGBPerS: 1, Room: 1}
-	for shape, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
-		plan := MakePlan(&Snapshot{Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.JobSpec{Kind: shape, CPUs: 2, MemoryGB: 4}, Units: 1}},
-			MaxScaleOuts: 9, PriceLimit: 3, Cheapest: func(*wire.JobSpec) float64 { return 0.05 }})
+	offer := Offer{Type: "c16", Zone: "a", Total: machineTypes["c16"], Price: 4, FetchGBPerS: 1, Room: 1}
+	for kind, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
+		plan := MakePlan(&Snapshot{
+			Offers:       []Offer{offer},
+			Demands:      []Demand{{Spec: &wire.JobSpec{Kind: kind, CPUs: 2, MemoryGB: 4}, Units: 1}},
+			MaxScaleOuts: 9,
+			PriceLimit:   3,
+			Cheapest:     func(*wire.JobSpec) float64 { return 0.05 },
+		})
 		if len(plan.ScaleOuts) != want {
-			t.Errorf("%s rents %v", shape, plan.ScaleOuts)
+			t.Errorf("%s: scale-outs %v, want %d", kind, plan.ScaleOuts, want)
 		}
 	}
 }
 
-// Room that frees in time spares a rental; room that frees too late doesn't.
-func TestRoomThatFrees(t *testing.T) {
-	m := Machine{ID: "n", Type: "c4", Zone: "a", Total: types["c4"], Freeing: []Freeing{{InS: 10, Room: types["c4"]}}, Unit: types["c4"]}
-	o := Offer{Type: "c4", Zone: "a", Total: types["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
-	for slack, want := range map[float64]int{15: 0, 5: 1} {
-		plan := MakePlan(&Snapshot{Machines: []Machine{m}, Offers: []Offer{o}, Demands: []Demand{{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackS: slack}}, MaxScaleOuts: 9})
+// Room that becomes free in time spares a scale-out; room that becomes free too late
+// doesn't.
+func TestRoomThatFreesInTimeSparesScaleOut(t *testing.T) {
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Freeing: []Freeing{{InS: 10, Room: machineTypes["c4"]}}, Unit: machineTypes["c4"]}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	for slackS, want := range map[float64]int{15: 0, 5: 1} {
+		plan := MakePlan(&Snapshot{
+			Machines:     []Machine{machine},
+			Offers:       []Offer{offer},
+			Demands:      []Demand{{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackS: slackS}},
+			MaxScaleOuts: 9,
+		})
 		if len(plan.ScaleOuts) != want {
-			t.Errorf("slack %g: rents %v", slack, plan.ScaleOuts)
+			t.Errorf("free in 10 s, slack %g s: scale-outs %v, want %d", slackS, plan.ScaleOuts, want)
 		}
 	}
 }
 
-// Small jobs that wait together share a machine that is too dear for one of them.
+// Small jobs that wait together share a machine that is too expensive for one of them.
 func TestSmallDemandsShareAPrice(t *testing.T) {
-	small := func(n int, cpus float64) []Demand {
-		var out []Demand
+	smallJobs := func(n int) []Demand {
+		var demands []Demand
 		for range n {
-			out = append(out, Demand{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: cpus, MemoryGB: 1, SpotAllowed: true}, Units: 1})
-		}
-		return out
-	}
-	s := Snapshot{MaxScaleOuts: 8, PriceLimit: 2.5, Cheapest: func(*wire.JobSpec) float64 { return 0.025 },
-		Offers: []Offer{{Type: "c4", Zone: "a", Spot: true, Total: types["c4"], Price: 0.1, Room: 9}}}
-	rents := func(d []Demand) (n int) {
-		s.Demands = d
-		for _, r := range MakePlan(&s).ScaleOuts {
-			n += r.Count
+			demands = append(demands, Demand{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 1, MemoryGB: 1, SpotAllowed: true}, Units: 1})
 		}
-		return
+		return demands
 	}
-	apart := small(2, 1)
-	apart[1].Spec.MachineTypes = []wire.MachineType{"c16"}
+	ofOtherTypes := smallJobs(2)
+	ofOtherTypes[1].Spec.MachineTypes = []wire.MachineType{"c16"}
 	for name, c := range map[string]struct {
-		d    []Demand
-		want int
-	}{"one": {small(1, 1), 0}, "two": {small(2, 1), 1}, "five": {small(5, 1), 1}, "nine": {small(9, 1), 2}, "of other types": {apart, 0}} {
-		if n := rents(c.d); n != c.want {
-			t.Errorf("%s: %d machines, want %d", name, n, c.want)
+		demands []Demand
+		want    int
+	}{
+		"one":            {smallJobs(1), 0},
+		"two":            {smallJobs(2), 1},
+		"five":           {smallJobs(5), 1},
+		"nine":           {smallJobs(9), 2},
+		"of other types": {ofOtherTypes, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			plan := MakePlan(&Snapshot{
+				MaxScaleOuts: 8,
+				PriceLimit:   2.5,
+				Cheapest:     func(*wire.JobSpec) float64 { return 0.025 },
+				Offers:       []Offer{{Type: "c4", Zone: "a", Spot: true, Total: machineTypes["c4"], Price: 0.1, Room: 9}},
+				Demands:      c.demands,
+			})
+			if got := machinesAdded(plan); got != c.want {
+				t.Errorf("%d demands: %d machines, want %d", len(c.demands), got, c.want)
+			}
+		})
+	}
+}
+
+// A machine with little load is cordoned if its tasks fit on others, the most wasteful
+// first. One with services is not, and machines that boot are no room.
+func TestLittleUsedMachineIsCordonedIfOthersTakeItsTasks(t *testing.T) {
+	unit := placement.Resources{CPUs: 1, MemoryGB: 4}
+	machine := func(id wire.MachineID, freeCPUs, price float64) Machine {
+		return Machine{
+			ID:    id,
+			Type:  "c4",
+			Zone:  "a",
+			Total: machineTypes["c4"],
+			Free:  placement.Resources{CPUs: freeCPUs, MemoryGB: freeCPUs * 4},
+			Unit:  unit,
+			Price: price,
 		}
 	}
+	withService := machine("s", 3, 9)
+	withService.Services = 1
+	booting := machine("b", 4, 0.1)
+	booting.Booting = true
+	for _, c := range []struct {
+		name     string
+		machines []Machine
+		want     []wire.MachineID
+	}{
+		{"others have room to spare", []Machine{machine("m", 3, 0.2), machine("n", 2, 0.1)}, []wire.MachineID{"m"}},
+		{"the most wasteful goes first", []Machine{machine("m", 3, 0.1), machine("n", 3, 0.2)}, []wire.MachineID{"n"}},
+		{"others would be full", []Machine{machine("m", 3, 0.2), machine("n", 1, 0.1)}, nil},
+		{"much load", []Machine{machine("m", 1, 0.2), machine("n", 1, 0.1)}, nil},
+		{"the others still boot", []Machine{machine("m", 3, 0.2), booting}, nil},
+		{"a machine with services stays", []Machine{withService, machine("n", 1, 0.1)}, nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := MakePlan(&Snapshot{Machines: c.machines}).Cordons; !slices.Equal(got, c.want) {
+				t.Errorf("cordons %v, want %v", got, c.want)
+			}
+		})
+	}
 }
