--- a/internal/leader/demand/price.go
+++ b/internal/leader/demand/price.go
@@ -7,7 +7,7 @@
 const (
 	// LatePriceStretch is how far beyond the price limit machines may cost for a job
 	// that would be late otherwise, if the objective of its class is above patientShare
-	// or the job has waited for half of StartWithinS.
+	// or the job has waited for patienceSeconds.
 	LatePriceStretch = 1.35
 	// patientShare is the share of a class's jobs up to which an objective lets it
 	// wait for cheap machines first.
@@ -17,7 +17,7 @@
 	// waits.
 	StartWithinS = 4 * 60
 	// patienceSeconds is how long a patient job waits for cheap machines alone: the
-	// other half of StartWithinS is left for what gets it started.
+	// other half of the time is left for what gets it started.
 	patienceSeconds = StartWithinS / 2
 )
 
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -7,8 +7,8 @@
 	"lilaclead/internal/wire"
 )
 
-// keepServiceHeadroom marks SpareUnits times SpareUnit of room on the ordinary machines
-// where a service would go first.
+// keepServiceHeadroom marks the headroom for services on the ordinary machines where a
+// service would go first.
 func keepServiceHeadroom(s *Snapshot) {
 	if s.SpareUnits <= 0 {
 		return
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -85,17 +85,17 @@
 	spec := func(id wire.JobID, priority wire.Priority, cpus float64) *wire.JobSpec {
 		return &wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
 	}
-	halfMachine, wholeMachine := Resources{2, 0, 7}, Resources{4, 0, 16}
+	halfSize, machineSize := Resources{2, 0, 7}, Resources{4, 0, 16}
 	little := Resources{0, 0, 2}
 	snapshot := func(m Machine, jobs ...Job) *Snapshot {
-		m.ID, m.Total, m.FetchGBPerS = "n", wholeMachine, 1
+		m.ID, m.Total, m.FetchGBPerS = "n", machineSize, 1
 		for i := range jobs {
 			jobs[i].TasksByZone = map[wire.Zone]int{}
 		}
 		return &Snapshot{Teams: map[wire.TeamID]*Team{"t": {}}, Factors: testFactors, Preempt: true, Machines: []Machine{m}, Jobs: jobs}
 	}
 	withMachine := func(s *Snapshot, m Machine) *Snapshot {
-		m.Total, m.FetchGBPerS = wholeMachine, 1
+		m.Total, m.FetchGBPerS = machineSize, 1
 		s.Machines = append(s.Machines, m)
 		return s
 	}
@@ -103,7 +103,7 @@
 		s.Teams["t"].Limit.CPUs = cpus
 		return s
 	}
-	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: halfMachine} }
+	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: halfSize} }
 	endingIn := func(seconds float64, v Victim) Victim {
 		v.RemainingS = seconds
 		return v
@@ -111,10 +111,10 @@
 	urgentSpec := spec("req-1", wire.PriorityUrgent, 4)
 	reservations := []Reservation{{urgentSpec.ID, urgentSpec.Priority.Rank(), ResourcesOf(urgentSpec)}}
 	full := func(victims ...Victim) Machine { return Machine{Victims: victims, Free: little} }
-	halfFree := Machine{Reservations: reservations, Free: Resources{2, 0, 9}, Stopping: halfMachine}
+	halfFree := Machine{Reservations: reservations, Free: Resources{2, 0, 9}, Stopping: halfSize}
 	twoVictims := []Victim{victim(0), victim(1)}
 	endingSoon := full(endingIn(3, victim(0)), endingIn(4, victim(1)))
-	notPreemptible := Victim{Task: wire.Task{Job: "req-8"}, Rank: 2, Uses: wholeMachine, RemainingS: 2}
+	notPreemptible := Victim{Task: wire.Task{Job: "req-8"}, Rank: 2, Uses: machineSize, RemainingS: 2}
 
 	urgent := Job{Spec: urgentSpec, Pending: 1, Weight: 8}
 	reserved := urgent
@@ -145,13 +145,13 @@
 		{"a fetch is no reason to preempt two tasks", withMachine(snapshot(endingSoon, patientWithImage), warm), 0, 0, 1},
 		{"a full machine is reserved", snapshot(full(twoVictims...), urgent), 0, 2, 1},
 		{"the half that is free is kept", snapshot(halfFree, reserved, small), 0, 0, 0},
-		{"the reserved room is used", snapshot(Machine{Reservations: reservations, Free: wholeMachine}, reserved, small), 1, 0, 0},
-		{"without a reservation the small ones go", snapshot(Machine{Free: wholeMachine}, urgent, small), 2, 0, 0},
+		{"the reserved room is used", snapshot(Machine{Reservations: reservations, Free: machineSize}, reserved, small), 1, 0, 0},
+		{"without a reservation the small ones go", snapshot(Machine{Free: machineSize}, urgent, small), 2, 0, 0},
 		{"a reserved machine is no room for a second unit", snapshot(halfFree, twoUnits), 0, 0, 0},
 		{"a higher priority passes over it", snapshot(halfFree, prod), 1, 0, 0},
 		{"no room is reserved beyond the team's limit", withLimit(snapshot(full(twoVictims...), reserved, other), 4), 0, 0, 0},
 		{"within it some is reserved for a second job", withLimit(snapshot(full(twoVictims...), reserved, other), 8), 0, 2, 1},
-		{"a reservation that is used counts once", withLimit(snapshot(Machine{Reservations: reservations, Free: wholeMachine, Victims: twoVictims}, reserved, lighterOther), 8), 1, 2, 1},
+		{"a reservation that is used counts once", withLimit(snapshot(Machine{Reservations: reservations, Free: machineSize, Victims: twoVictims}, reserved, lighterOther), 8), 1, 2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			res := Place(c.snapshot)
@@ -161,3 +161,32 @@
 		})
 	}
 }
+
+// The machines that have no room are looked at only for a job that may preempt and did
+// not start.
+func TestFullMachinesAreLookedAtOnlyToPreempt(t *testing.T) {
+	for name, c := range map[string]struct {
+		priority    wire.Priority
+		freeCPUs    float64
+		wantCalls   int
+		wantVictims int
+	}{
+		"an urgent job finds no room":    {wire.PriorityUrgent, 0, 1, 1},
+		"an urgent job starts":           {wire.PriorityUrgent, 4, 0, 0},
+		"a standard array finds no room": {wire.PriorityStandard, 0, 0, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: wire.KindArray, Priority: c.priority, Tasks: 1, CPUs: 4, MemoryGB: 4}
+			s := snapshotOf([]Machine{machineIn("a", "m", c.freeCPUs)}, Job{Spec: spec})
+			calls := 0
+			s.FullMachines = func() []Machine {
+				calls++
+				return []Machine{machineIn("a", "full", 0, fullSizeVictim(0, 5, 500))}
+			}
+			res := Place(s)
+			if calls != c.wantCalls || len(res.Preemptions) != c.wantVictims {
+				t.Errorf("looked at %d times, victims %v, want %d and %d victims", calls, res.Preemptions, c.wantCalls, c.wantVictims)
+			}
+		})
+	}
+}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -53,8 +53,8 @@
 	Jobs     []Job
 	Teams    map[wire.TeamID]*Team
 	Factors  Factors
-	// SpareUnits is the headroom that is kept for the next replicas, in units of
-	// SpareUnit; only services may use it.
+	// SpareUnits is how many units of headroom are kept for the next replicas; only
+	// services may use them.
 	SpareUnits int
 	SpareUnit  Resources
 	// ExpectedGangs are those for which headroom is kept from arrays.
