--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -11,31 +11,65 @@
 // maxCordonLoad is the load below which a machine is cordoned if its tasks fit on others.
 const maxCordonLoad = 0.6
 
-// cordonCandidate is a machine with little load.
-type cordonCandidate struct {
-	machine int
-	waste   float64 // price of the part that is not used
+// cordonPlan is the machines that are cordoned so far.
+type cordonPlan struct {
+	s          *Snapshot
+	bins       []bin
+	cordoned   map[int]bool
+	unitsMoved int // that the other machines take from them
 }
 
 // cordon returns the machines whose load fits on the others, the most wasteful first.
 func cordon(s *Snapshot, bins []bin) []wire.MachineID {
+	plan := cordonPlan{s: s, bins: bins, cordoned: map[int]bool{}}
 	var ids []wire.MachineID
-	cordoned := map[int]bool{}
-	unitsMoved := 0
 	for _, c := range cordonCandidates(s, bins) {
-		m := &s.Machines[c.machine]
-		units := m.unitsOf(m.Total.Minus(bins[c.machine].free))
-		cordoned[c.machine] = true
-		if unitsOnOthers(s, bins, cordoned, m.Unit)-unitsMoved <= units {
-			delete(cordoned, c.machine)
-			continue
+		if plan.add(c.machine) {
+			ids = append(ids, s.Machines[c.machine].ID)
 		}
-		unitsMoved += units
-		ids = append(ids, m.ID)
 	}
 	return ids
 }
 
+// add cordons a machine if its load fits on the others, and reports whether it does.
+func (p *cordonPlan) add(machine int) bool {
+	m := &p.s.Machines[machine]
+	units := m.unitsOf(m.Total.Minus(p.bins[machine].free))
+	if p.unitsOnOthers(machine)-p.unitsMoved <= units {
+		return false
+	}
+	p.unitsMoved += units
+	p.cordoned[machine] = true
+	return true
+}
+
+// unitsOnOthers returns how many units of a machine fit on the others that are not
+// cordoned.
+func (p *cordonPlan) unitsOnOthers(machine int) int {
+	unit, units := p.s.Machines[machine].Unit, 0
+	for i := range p.s.Machines {
+		available := i != machine && !p.cordoned[i]
+		if available && takesArrays(&p.s.Machines[i], &p.bins[i]) {
+			units += unit.Units(p.bins[i].free)
+		}
+	}
+	return units
+}
+
+// takesArrays reports whether tasks of arrays from cordoned machines may go to the
+// machine: it is up, not idle unless this plan uses it, and does not run services alone.
+func takesArrays(m *Machine, b *bin) bool {
+	unused := m.Booting || m.Idle && !b.used
+	servicesAlone := m.Services > 0 && m.Unit.CPUs == 0
+	return !unused && !(servicesAlone && b.services && !m.Spot)
+}
+
+// cordonCandidate is a machine with little load.
+type cordonCandidate struct {
+	machine int
+	waste   float64 // price of the part that is not used
+}
+
 // cordonCandidates returns the machines that run little and no services, the most
 // wasteful first.
 func cordonCandidates(s *Snapshot, bins []bin) []cordonCandidate {
@@ -69,22 +103,3 @@
 	byMemory := load.MemoryGB / max(0.001, m.Unit.MemoryGB)
 	return int(max(byCPU, byMemory) + roundUp)
 }
-
-// unitsOnOthers returns how many units fit on the machines that are not cordoned.
-func unitsOnOthers(s *Snapshot, bins []bin, cordoned map[int]bool, unit placement.Resources) int {
-	units := 0
-	for i := range s.Machines {
-		if !cordoned[i] && takesArrays(&s.Machines[i], &bins[i]) {
-			units += unit.Units(bins[i].free)
-		}
-	}
-	return units
-}
-
-// takesArrays reports whether tasks of arrays from cordoned machines may go to the
-// machine: it is up, used in this plan, and not one that runs services alone.
-func takesArrays(m *Machine, b *bin) bool {
-	unused := m.Booting || m.Idle && !b.used
-	servicesAlone := m.Services > 0 && m.Unit.CPUs == 0
-	return !unused && !(servicesAlone && b.services && !m.Spot)
-}
