--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -189,6 +189,10 @@
 	}
 	withService := machine("s", 3, 9)
 	withService.Services = 1
+	large := machine("l", 6, 0.1)
+	large.Total = machineTypes["c16"]
+	busy := machine("o", 2, 0.1)
+	busy.Total = machineTypes["c16"]
 	booting := machine("b", 4, 0.1)
 	booting.Booting = true
 	for _, c := range []struct {
@@ -201,7 +205,9 @@
 		{"others would be full", []Machine{machine("m", 3, 0.2), machine("n", 1, 0.1)}, nil},
 		{"much load", []Machine{machine("m", 1, 0.2), machine("n", 1, 0.1)}, nil},
 		{"the others still boot", []Machine{machine("m", 3, 0.2), booting}, nil},
-		{"a machine with services stays", []Machine{withService, machine("n", 1, 0.1)}, nil},
+		{"a machine with services stays", []Machine{withService, large}, nil},
+		{"others take the tasks of one", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), busy}, []wire.MachineID{"m"}},
+		{"others take the tasks of two", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), large}, []wire.MachineID{"m", "n"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := MakePlan(&Snapshot{Machines: c.machines}).Cordons; !slices.Equal(got, c.want) {
@@ -210,3 +216,66 @@
 		})
 	}
 }
+
+// A service's units fill a zone no further than the demand allows.
+func TestUnitsOfServiceKeepToZoneLimits(t *testing.T) {
+	idle := func(id wire.MachineID, zone wire.Zone) Machine {
+		return Machine{ID: id, Type: "c4", Zone: zone, Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepS: 10}
+	}
+	offer := Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	plan := MakePlan(&Snapshot{
+		Machines: []Machine{idle("m", "a"), idle("n", "a")},
+		Offers:   []Offer{offer},
+		Demands: []Demand{{
+			Spec:     &wire.JobSpec{ID: "req-1", Kind: wire.KindService, Tasks: 4, CPUs: 4, MemoryGB: 4, Spread: true},
+			Units:    2,
+			ZoneLeft: map[wire.Zone]int{"a": 1, "b": 2},
+		}},
+		MaxScaleOuts: 9,
+	})
+	if len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].Zone != "b" || plan.ScaleOuts[0].Count != 1 {
+		t.Errorf("scale-outs %+v, want one machine in zone b", plan.ScaleOuts)
+	}
+}
+
+// Tasks that end one after the other on a machine make room together, each room for one
+// unit only.
+func TestNeighbouringTasksFreeRoomTogether(t *testing.T) {
+	half := placement.Resources{CPUs: 2, MemoryGB: 8}
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Freeing: []Freeing{{InS: 5, Room: half}, {InS: 10, Room: half}, {InS: 20, Room: half}}, Unit: half}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	for _, c := range []struct {
+		name   string
+		units  int
+		slackS float64
+		want   int // machines added
+	}{
+		{"both halves in time", 1, 15, 0},
+		{"one half in time", 1, 7, 1},
+		{"three halves hold one unit", 2, 30, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			plan := MakePlan(&Snapshot{
+				Machines:     []Machine{machine},
+				Offers:       []Offer{offer},
+				Demands:      []Demand{{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindArray, CPUs: 4, MemoryGB: 16}, Units: c.units, SlackS: c.slackS}},
+				MaxScaleOuts: 9,
+			})
+			if got := machinesAdded(plan); got != c.want {
+				t.Errorf("%d units, slack %g s: %d machines added, want %d", c.units, c.slackS, got, c.want)
+			}
+		})
+	}
+}
+
+// Room that a gang takes is none for the demands after it.
+func TestRoomOfGangIsNotGivenTwice(t *testing.T) {
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepS: 10}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	gang := Demand{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindGang, Tasks: 2, CPUs: 2, MemoryGB: 4}, Units: 2, Rank: 1, AllOrNothing: true}
+	array := Demand{Spec: &wire.JobSpec{ID: "req-2", Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1}
+	plan := MakePlan(&Snapshot{Machines: []Machine{machine}, Offers: []Offer{offer}, Demands: []Demand{array, gang}, MaxScaleOuts: 9})
+	if len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].For != "req-2" || plan.ScaleOuts[0].Count != 1 {
+		t.Errorf("scale-outs %+v, want one machine for the array", plan.ScaleOuts)
+	}
+}
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -22,6 +22,10 @@
 		m.FetchingGB = gb // of other images, which share its rate
 		return m
 	}
+	onSpot := func(m Machine) Machine {
+		m.Spot = true
+		return m
+	}
 	slow := func() Machine { return machine("m", 4, 0.3, Absent) }
 	quickN := func() Machine { return machine("n", 2, 1, Absent) }
 	quickO := func() Machine { return machine("o", 2, 1, Absent) }
@@ -34,6 +38,7 @@
 		{"the quick ones are in another zone", []Machine{slow(), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
 		{"4.4 s against 4.7 s", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 3))}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
 		{"5.4 s against 4.7 s", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 4))}, map[wire.MachineID]int{"m": 2}},
+		{"a spot machine is a little slower", []Machine{onSpot(machine("m", 4, 0.8, Absent)), machine("n", 4, 1, Absent)}, map[wire.MachineID]int{"m": 0, "n": 2}},
 		{"one has the image", []Machine{machine("m", 4, 0.3, Present), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 2}},
 		{"one fetches the image already", []Machine{machine("m", 2, 0.3, Fetching), machine("n", 2, 0.8, Absent), quickO()}, map[wire.MachineID]int{"n": 0}},
 	} {
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -168,6 +168,7 @@
 		"headroom after a while":         {true, nil, 2, 8, 4},
 		"the limit, against an array":    {true, spec("a", wire.KindArray, wire.PriorityStandard, 2), 0, 6, 0},
 		"the limit, against a service":   {true, spec("s", wire.KindService, wire.PriorityProd, 2), 0, 6, 2},
+		"against a service of its rank":  {true, spec("s", wire.KindService, wire.PriorityStandard, 2), 0, 6, 2},
 		"the limit, against higher rank": {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -190,3 +190,41 @@
 		})
 	}
 }
+
+// Of the tasks on a machine those are taken first that end by themselves, the earliest
+// first, then those of the lowest rank, and of one rank those that lose least.
+func TestOrderOfVictimsOnMachine(t *testing.T) {
+	victim := func(index, rank int, lostS, remainingS float64) Victim {
+		return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: rank, Uses: Resources{2, 0, 2}, LostS: lostS, RemainingS: remainingS, Team: "t"}
+	}
+	for _, c := range []struct {
+		name         string
+		victims      [2]Victim
+		wantIndex    int
+		wantAwaiting bool
+	}{
+		{"the earliest that ends in time is awaited", [2]Victim{victim(0, 1, 5, 8), victim(1, 1, 5, 3)}, 1, true},
+		{"one that ends in time goes before a lower rank", [2]Victim{victim(0, 0, 0, 500), victim(1, 1, 5, 8)}, 1, true},
+		{"the lowest rank is preempted", [2]Victim{victim(0, 1, 5, 500), victim(1, 0, 50, 500)}, 1, false},
+		{"of one rank the one that loses least", [2]Victim{victim(0, 1, 50, 500), victim(1, 1, 5, 500)}, 1, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityUrgent, Tasks: 1, CPUs: 2, MemoryGB: 2}
+			res := Place(snapshotOf([]Machine{machineIn("a", "m", 0, c.victims[:]...)}, Job{Spec: spec, PatienceS: 10}))
+			var awaited, preempted []wire.Task
+			for _, r := range res.Reservations {
+				awaited = append(awaited, r.AwaitedTasks...)
+			}
+			for _, v := range res.Preemptions {
+				preempted = append(preempted, v.Task)
+			}
+			taken, other := preempted, awaited
+			if c.wantAwaiting {
+				taken, other = awaited, preempted
+			}
+			if len(taken) != 1 || taken[0].Index != c.wantIndex || len(other) != 0 {
+				t.Errorf("awaits %v, preempts %v, want task %d alone, awaited %v", awaited, preempted, c.wantIndex, c.wantAwaiting)
+			}
+		})
+	}
+}
