--- a/architecture_test.go
+++ b/architecture_test.go
@@ -4,9 +4,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
-	"io/fs"
 	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
@@ -49,31 +47,18 @@
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := map[string]bool{}
-	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() {
-			if name := entry.Name(); name == "target" || name == "journal" || strings.HasPrefix(name, ".") && name != "." {
-				return filepath.SkipDir
-			}
-			return nil
-		}
-		if !strings.HasSuffix(file, ".go") || strings.HasSuffix(file, "_test.go") {
-			return nil
+	eachGoFile(t, func(file string) {
+		if strings.HasSuffix(file, "_test.go") {
+			return
 		}
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
 		if err != nil {
-			return err
+			t.Fatal(err)
 		}
 		for _, name := range namesOf(parsed) {
 			declared[parsed.Name.Name+"."+name] = true
 		}
-		return nil
 	})
-	if err != nil {
-		t.Fatal(err)
-	}
 	return declared
 }
 
--- a/imports_test.go
+++ b/imports_test.go
@@ -99,52 +99,57 @@
 func importsBySource(t *testing.T) map[string][]string {
 	t.Helper()
 	found := map[string][]string{}
-	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() {
-			if name := entry.Name(); name == "target" || name == "journal" || strings.HasPrefix(name, ".") && name != "." {
-				return filepath.SkipDir
-			}
-			return nil
-		}
-		if !strings.HasSuffix(file, ".go") {
-			return nil
-		}
+	eachGoFile(t, func(file string) {
 		pkg := path.Dir(filepath.ToSlash(file))
+		if found[pkg] == nil {
+			found[pkg] = []string{}
+		}
 		if strings.HasSuffix(file, "_test.go") {
-			found[pkg] = slices.Clip(found[pkg])
-			return nil
+			return
 		}
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
 		if err != nil {
-			return err
+			t.Fatal(err)
 		}
 		for _, spec := range parsed.Imports {
-			name, err := strconv.Unquote(spec.Path.Value)
-			if err != nil {
-				return err
-			}
-			rest, own := strings.CutPrefix(name, module)
-			if !own || rest != "" && rest[0] != '/' {
-				continue
-			}
-			other := strings.TrimPrefix(rest, "/")
-			if other == "" {
-				other = "."
-			}
-			if !slices.Contains(found[pkg], other) {
+			other, own := ownPackage(t, spec.Path.Value)
+			if own && !slices.Contains(found[pkg], other) {
 				found[pkg] = append(found[pkg], other)
 			}
 		}
-		if found[pkg] == nil {
-			found[pkg] = []string{}
+	})
+	return found
+}
+
+// ownPackage returns the folder of an imported package of this project, and false for all
+// others.
+func ownPackage(t *testing.T, quoted string) (string, bool) {
+	t.Helper()
+	name, err := strconv.Unquote(quoted)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if name == module {
+		return ".", true
+	}
+	return strings.CutPrefix(name, module+"/")
+}
+
+// eachGoFile calls visit for each Go file of the project, tests included.
+func eachGoFile(t *testing.T, visit func(file string)) {
+	t.Helper()
+	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case entry.IsDir() && file != "." && (strings.HasPrefix(entry.Name(), ".") || entry.Name() == "target" || entry.Name() == "journal"):
+			return filepath.SkipDir
+		case strings.HasSuffix(file, ".go"):
+			visit(file)
 		}
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found
 }
