--- /dev/null
+++ b/internal/leader/cluster/cycle_timer_test.go
@@ -0,0 +1,65 @@
+package cluster
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRequestedCycleWaitsForFurtherEventsAndAPause(t *testing.T) {
+	const gather, leastPause = 10 * time.Millisecond, 100 * time.Millisecond
+	tests := map[string]struct {
+		sinceLast    time.Duration // since the last cycle began
+		lastDuration time.Duration
+		wantIn       time.Duration // from the request
+	}{
+		"long after the last":          {time.Minute, 0, gather},
+		"soon after a short cycle":     {40 * time.Millisecond, 0, leastPause - 40*time.Millisecond},
+		"just before the pause's end":  {95 * time.Millisecond, 0, gather},
+		"soon after a long cycle":      {600 * time.Millisecond, 500 * time.Millisecond, 1400 * time.Millisecond},
+		"a while after a long cycle":   {3 * time.Second, 500 * time.Millisecond, gather},
+		"after a cycle of 25 ms":       {40 * time.Millisecond, 25 * time.Millisecond, 60 * time.Millisecond},
+		"after a cycle of 26 ms, late": {99 * time.Millisecond, 26 * time.Millisecond, gather},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := newTestState(t)
+			before := time.Now()
+			s.Cycle.Begin(before.Add(-tt.sinceLast))
+			s.Cycle.LastDuration = tt.lastDuration
+			s.RequestCycle()
+			after := time.Now()
+			if earliest := before.Add(tt.wantIn); s.Cycle.Due(earliest, time.Hour) {
+				t.Errorf("due %v after the request, want later", tt.wantIn)
+			}
+			if latest := after.Add(tt.wantIn + time.Microsecond); !s.Cycle.Due(latest, time.Hour) {
+				t.Errorf("not due %v after the request", tt.wantIn)
+			}
+		})
+	}
+}
+
+func TestCycleIsDueByIntervalOrRequest(t *testing.T) {
+	s := newTestState(t)
+	now := time.Now()
+	s.Cycle.Begin(now)
+	if s.Cycle.Due(now.Add(59*time.Second), time.Minute) {
+		t.Error("due without a request before the interval is over")
+	}
+	if !s.Cycle.Due(now.Add(time.Minute), time.Minute) {
+		t.Error("not due without a request once the interval is over")
+	}
+	s.RequestCycle()
+	first := s.Cycle
+	s.Cycle.LastDuration = time.Hour
+	s.RequestCycle()
+	if s.Cycle.notBefore != first.notBefore {
+		t.Errorf("a second request puts the cycle off from %v to %v", first.notBefore, s.Cycle.notBefore)
+	}
+	if !s.Cycle.Due(now.Add(30*time.Second), time.Minute) {
+		t.Error("requested cycle is not due")
+	}
+	s.Cycle.Begin(now.Add(30 * time.Second))
+	if s.Cycle.Requested || s.Cycle.Due(now.Add(31*time.Second), time.Minute) {
+		t.Error("still requested after it began")
+	}
+}
--- /dev/null
+++ b/internal/leader/cluster/launch_test.go
@@ -0,0 +1,147 @@
+package cluster
+
+import (
+	"testing"
+
+	"lilaclead/internal/wire"
+)
+
+func TestLaunchMayTakeEffectWhileAPathToTheAgentIsOpen(t *testing.T) {
+	const oldToken = testToken - 1
+	tests := map[string]struct {
+		prepare   func(a *Attempt)
+		heartbeat wire.Heartbeat
+		viaHello  bool
+		want      bool
+	}{
+		"nothing was sent": {
+			prepare:   func(a *Attempt) {},
+			heartbeat: wire.Heartbeat{Epoch: 1, Sequence: 5, Token: testToken},
+		},
+		"nothing was sent and the agent has an old token": {
+			prepare:   func(a *Attempt) {},
+			heartbeat: wire.Heartbeat{Epoch: 1, Sequence: 5, Token: oldToken},
+		},
+		"not stored, whatever else is set": {
+			prepare: func(a *Attempt) {
+				a.Unstored, a.Inherited, a.LaunchInFlight, a.LaunchEpoch = true, true, true, 1
+			},
+			heartbeat: wire.Heartbeat{Epoch: 1, Sequence: 5, Token: oldToken},
+		},
+		"inherited and the agent has an earlier leader's token": {
+			prepare:   func(a *Attempt) { a.Inherited = true },
+			heartbeat: wire.Heartbeat{Epoch: 1, Sequence: 5, Token: oldToken},
+			want:      true,
+		},
+		"inherited and the agent has this term's token": {
+			prepare:   func(a *Attempt) { a.Inherited = true },
+			heartbeat: wire.Heartbeat{Epoch: 1, Sequence: 5, Token: testToken},
+		},
+		"in flight to the agent's epoch": {
+			prepare:   func(a *Attempt) { a.LaunchInFlight, a.LaunchEpoch = true, 2 },
+			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
+			want:      true,
+		},
+		"in flight to an earlier epoch": {
+			prepare:   func(a *Attempt) { a.LaunchInFlight, a.LaunchEpoch = true, 2 },
+			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 5, Token: testToken},
+		},
+		"unanswered with the agent's token and epoch": {
+			prepare:   func(a *Attempt) { a.LaunchUnanswered, a.UnansweredLaunchToken, a.LaunchEpoch = true, testToken, 2 },
+			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
+			want:      true,
+		},
+		"unanswered and the agent has a higher token": {
+			prepare:   func(a *Attempt) { a.LaunchUnanswered, a.UnansweredLaunchToken, a.LaunchEpoch = true, testToken, 2 },
+			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken + 1},
+		},
+		"unanswered and the agent has a later epoch": {
+			prepare:   func(a *Attempt) { a.LaunchUnanswered, a.UnansweredLaunchToken, a.LaunchEpoch = true, testToken, 2 },
+			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 5, Token: testToken},
+		},
+		"in a reply, and a later state came as the answer to a command": {
+			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
+			want:      true,
+		},
+		"in a reply, and the same heartbeat came again": {
+			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
+			viaHello:  true,
+			want:      true,
+		},
+		"in a reply, and the agent has sent its next heartbeat": {
+			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
+			viaHello:  true,
+		},
+		"in a reply to another epoch": {
+			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 1, Token: testToken},
+		},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := newTestState(t)
+			a := addTestAttempt(addTestJob(s, wire.KindArray, 1, 1), 0, s.GetOrAddMachine("n-1"), 7)
+			tt.prepare(a)
+			if got := s.LaunchMayTakeEffect(a, &tt.heartbeat, tt.viaHello); got != tt.want {
+				t.Errorf("LaunchMayTakeEffect(%+v, viaHello %v) = %v, want %v", tt.heartbeat, tt.viaHello, got, tt.want)
+			}
+		})
+	}
+}
+
+func TestUnansweredCommandMayArriveUntilFenced(t *testing.T) {
+	tests := map[string]struct {
+		unanswered UnansweredCommand
+		heartbeat  wire.Heartbeat
+		want       bool
+	}{
+		"none unanswered":             {UnansweredCommand{}, wire.Heartbeat{}, false},
+		"agent at its token":          {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 50, Epoch: 2}, true},
+		"agent before its epoch":      {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 49, Epoch: 1}, true},
+		"agent with a higher token":   {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 51, Epoch: 2}, false},
+		"agent in a later epoch":      {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 50, Epoch: 3}, false},
+		"agent past token and epoch":  {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 51, Epoch: 3}, false},
+		"agent restarted, same token": {UnansweredCommand{Token: 50, Epoch: 0}, wire.Heartbeat{Token: 50, Epoch: 1}, false},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			m := &Machine{ID: "n-1"}
+			m.UnansweredLaunch = tt.unanswered
+			if got := m.LaunchMayArrive(&tt.heartbeat); got != tt.want {
+				t.Errorf("LaunchMayArrive(%+v) after %+v = %v, want %v", tt.heartbeat, tt.unanswered, got, tt.want)
+			}
+		})
+	}
+}
+
+func TestMissesLaunchOnceALaterHeartbeatLacksIt(t *testing.T) {
+	tests := map[string]struct {
+		prepare   func(a *Attempt)
+		heartbeat wire.Heartbeat
+		want      bool
+	}{
+		"launch was in no reply":       {func(a *Attempt) { a.ReplySequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"already observed":             {func(a *Attempt) { a.Observed = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"heartbeat that was replied":   {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 5}, false},
+		"heartbeat of another epoch":   {func(a *Attempt) {}, wire.Heartbeat{Epoch: 3, Sequence: 6}, false},
+		"later heartbeat lacks it":     {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6}, true},
+		"later heartbeat lists it":     {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskState{{Task: "req-1/0", Attempt: 7}}}, false},
+		"another attempt is in there":  {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskState{{Task: "req-1/0", Attempt: 6}}}, true},
+		"another task has that number": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskState{{Task: "req-1/1", Attempt: 7}}}, true},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := newTestState(t)
+			m := s.GetOrAddMachine("n-1")
+			a := addTestAttempt(addTestJob(s, wire.KindArray, 1, 1), 0, m, 7)
+			a.ReplyEpoch, a.ReplySequence = 2, 5
+			tt.prepare(a)
+			if got := m.MissesLaunch(&tt.heartbeat); got != tt.want {
+				t.Errorf("MissesLaunch(%+v) = %v, want %v", tt.heartbeat, got, tt.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/leader/cluster/reachability_test.go
@@ -0,0 +1,68 @@
+package cluster
+
+import (
+	"testing"
+	"time"
+)
+
+func TestOutboundLostOnceHeartbeatsAreMissingForLong(t *testing.T) {
+	now := time.Now()
+	ago := func(d time.Duration) time.Time { return now.Add(-d) }
+	tests := map[string]struct {
+		missingSince          time.Time
+		storeAvailableSince   time.Time
+		delegatesRenewedUntil time.Time
+		wantFor               time.Duration
+		wantLost              bool
+	}{
+		"heartbeats come":                {wantFor: 0},
+		"missing for a moment":           {missingSince: ago(3 * time.Second), wantFor: 3 * time.Second},
+		"missing for half a lease":       {missingSince: ago(8 * time.Second), wantFor: 8 * time.Second},
+		"missing for more than half":     {missingSince: ago(9 * time.Second), wantFor: 9 * time.Second, wantLost: true},
+		"the store was away until then":  {missingSince: ago(time.Minute), storeAvailableSince: ago(5 * time.Second), wantFor: 5 * time.Second},
+		"a delegate renewed until then":  {missingSince: ago(time.Minute), delegatesRenewedUntil: ago(6 * time.Second), wantFor: 6 * time.Second},
+		"both ended long ago":            {missingSince: ago(10 * time.Second), storeAvailableSince: ago(time.Hour), delegatesRenewedUntil: ago(time.Hour), wantFor: 10 * time.Second, wantLost: true},
+		"the later of the three is used": {missingSince: ago(time.Minute), storeAvailableSince: ago(4 * time.Second), delegatesRenewedUntil: ago(20 * time.Second), wantFor: 4 * time.Second},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := newTestState(t)
+			m := s.GetOrAddMachine("n-1")
+			m.HeartbeatsMissingSince = tt.missingSince
+			s.StoreAvailableSince, s.DelegatesRenewedUntil = tt.storeAvailableSince, tt.delegatesRenewedUntil
+			if got := s.HeartbeatsMissingFor(m, now); got != tt.wantFor {
+				t.Errorf("HeartbeatsMissingFor = %v, want %v", got, tt.wantFor)
+			}
+			if got := s.OutboundLost(m, now); got != tt.wantLost {
+				t.Errorf("OutboundLost = %v, want %v", got, tt.wantLost)
+			}
+		})
+	}
+}
+
+func TestOutboundLostNeedsTwoHeartbeatIntervals(t *testing.T) {
+	now := time.Now()
+	s := newTestState(t)
+	s.Settings.Workers.HeartbeatInterval = 10 // longer than a quarter of the lease
+	m := s.GetOrAddMachine("n-1")
+	m.HeartbeatsMissingSince = now.Add(-20 * time.Second)
+	if s.OutboundLost(m, now) {
+		t.Error("lost after two intervals, want later")
+	}
+	if !s.OutboundLost(m, now.Add(time.Millisecond)) {
+		t.Error("not lost after more than two intervals")
+	}
+}
+
+func TestSinceLastMessageCountsFromTheTermAtMost(t *testing.T) {
+	s := newTestState(t)
+	now := s.TermStartedAt.Add(time.Minute)
+	m := s.GetOrAddMachine("n-1")
+	if got := s.SinceLastMessage(m, now); got != time.Minute {
+		t.Errorf("without a message: %v, want %v", got, time.Minute)
+	}
+	m.LastMessageAt = now.Add(-2 * time.Second)
+	if got := s.SinceLastMessage(m, now); got != 2*time.Second {
+		t.Errorf("after a message: %v, want %v", got, 2*time.Second)
+	}
+}
--- /dev/null
+++ b/internal/leader/cluster/resources_test.go
@@ -0,0 +1,63 @@
+package cluster
+
+import (
+	"testing"
+
+	"lilaclead/internal/placement"
+	"lilaclead/internal/wire"
+)
+
+func TestFreeResourcesCountAttemptsAndOrphans(t *testing.T) {
+	ours := wire.Task{Job: "req-1", Index: 0}
+	other := wire.Task{Job: "req-1", Index: 1}
+	tests := map[string]struct {
+		machineType wire.MachineType
+		attempts    int
+		orphans     []wire.Task
+		want        placement.Resources
+	}{
+		"empty":                         {"k4", 0, nil, placement.Resources{CPUs: 4, MemoryGB: 16}},
+		"with attempts":                 {"k4", 2, nil, placement.Resources{CPUs: 2, MemoryGB: 12}},
+		"of a type that is not listed":  {"k9", 0, nil, placement.Resources{}},
+		"orphan of a known job":         {"k4", 0, []wire.Task{other}, placement.Resources{CPUs: 3, MemoryGB: 14}},
+		"orphan and attempts":           {"k4", 1, []wire.Task{other}, placement.Resources{CPUs: 2, MemoryGB: 12}},
+		"older attempt of a task of it": {"k4", 1, []wire.Task{ours}, placement.Resources{CPUs: 3, MemoryGB: 14}},
+		"orphan of unknown size":        {"k4", 0, []wire.Task{{Job: "req-9", Index: 0}}, placement.Resources{}},
+		"both kinds of orphans":         {"k4", 1, []wire.Task{other, {Job: "req-9", Index: 0}}, placement.Resources{}},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			s := newTestState(t)
+			s.Catalog.Set([]wire.MachineSpec{{Name: "k2", CPUs: 2, MemoryGB: 8}, {Name: "k4", CPUs: 4, MemoryGB: 16}})
+			j := addTestJob(s, wire.KindArray, 4, 4)
+			m := s.GetOrAddMachine("n-1")
+			m.MachineType = tt.machineType
+			for i := range tt.attempts {
+				addTestAttempt(j, i, m, 2)
+			}
+			for _, task := range tt.orphans {
+				m.OrphanTasks[task] = true
+			}
+			if got := s.FreeResources(m); got != tt.want {
+				t.Errorf("FreeResources = %+v, want %+v", got, tt.want)
+			}
+		})
+	}
+}
+
+func TestMachineSpecByType(t *testing.T) {
+	s := newTestState(t)
+	if got := s.MachineSpec("k4"); got != nil {
+		t.Errorf("before any list: %+v, want nil", got)
+	}
+	s.Catalog.Set([]wire.MachineSpec{{Name: "k2", DiskGB: 20}, {Name: "k4", DiskGB: 50}})
+	if got := s.MachineSpec("k4"); got == nil || got.Name != "k4" {
+		t.Errorf("MachineSpec(k4) = %+v, want it", got)
+	}
+	if got := s.ImageCacheGB("k4"); got != 50 {
+		t.Errorf("ImageCacheGB(k4) = %v, want 50", got)
+	}
+	if got := s.ImageCacheGB("k9"); got != 0 {
+		t.Errorf("ImageCacheGB of a type that is not listed = %v, want 0", got)
+	}
+}
