--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -1,144 +1,125 @@
 package cluster
 
 import (
-	"math"
 	"time"
 
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
-// Attempt is one start of a task that may be on its machine, or may still
-// get there.
+// Attempt is one start of a task that may be on its machine, or may still get there.
 type Attempt struct {
 	Job       *Job
 	Chunk     *Chunk
-	Index     int
+	Index     int // of the task in its chunk
 	Number    wire.Attempt
 	Machine   *Machine
-	DecidedAt time.Time // when it was decided on
+	DecidedAt time.Time // when the scheduler decided on it, or the term inherited it
 
-	Unstored     bool // not yet stored; must not be sent
-	Inherited    bool // stored by an earlier leader, who may have sent it
-	Observed     bool // was in a report in this term
-	Phase        wire.TaskPhase
-	RunningSince time.Time // first seen running
-	ImageReadyAt time.Time // when it was first seen past its fetch
+	// Unstored: the attempt is not yet in its chunk's stored record, and its launch must
+	// not be sent. The scheduler sets it; the committer clears it, and EndAttempt.
+	Unstored bool
+	// Inherited: an earlier leader stored the attempt and may have sent its launch. The
+	// reader of progress records sets it; it is cleared when the launch is to be sent
+	// again.
+	Inherited bool
 
-	// What of ours may still deliver its launch.
-	LaunchSent            bool
-	LaunchEpoch           wire.AgentEpoch
-	LaunchInFlight        bool
-	LaunchUnanswered      bool // a direct launch was never answered
-	UnansweredLaunchToken wire.FencingToken
-	ReplyEpoch            wire.AgentEpoch
-	ReplySequence         wire.Sequence
+	// What the heartbeats of this term have shown of it. Reconciliation writes it.
+	Observed     bool           // it was in a heartbeat
+	Phase        wire.TaskPhase // in the last one
+	RunningSince time.Time      // when it was first seen running
+	ImageReadyAt time.Time      // when it was first seen past the fetch of its image
 
+	// LaunchSent: a launch of this term was sent, the last one to LaunchEpoch of the agent.
+	LaunchSent  bool
+	LaunchEpoch wire.AgentEpoch
+	// LaunchInFlight: a direct command with the launch waits for its answer.
+	LaunchInFlight bool
+	// LaunchUnanswered: a direct command with the launch was never answered; the last such
+	// carried UnansweredLaunchToken.
+	LaunchUnanswered      bool
+	UnansweredLaunchToken wire.FencingToken
+	// ReplyEpoch and ReplySequence identify the last heartbeat whose reply carried the
+	// launch; a sequence of 0: none did, or that reply can have no effect any more.
+	ReplyEpoch      wire.AgentEpoch
+	ReplySequence   wire.Sequence
 	Stopping        bool
-	StopRequestedAt time.Time // since when
+	StopRequestedAt time.Time // when it was first wanted
+	StopSentAt      time.Time // when the command was last sent; zero: it is still to be
 	GracePeriod     wire.Seconds
-	StopSentAt      time.Time
 	StopReason      EvictionReason
 }
 
+// Task returns the task that the attempt is one of.
 func (a *Attempt) Task() wire.Task {
 	return wire.Task{Job: a.Job.Spec.ID, Index: a.Chunk.Index*a.Job.TasksPerChunk + a.Index}
 }
 
-// LaunchMayTakeEffect tells whether a launch of the attempt may still take effect on
-// the worker after it made this report.
-func (s *State) LaunchMayTakeEffect(a *Attempt, rep *wire.Heartbeat, viaHello bool) bool {
-	switch {
-	case a.Unstored:
-		return false
-	case a.Inherited && rep.Token < s.FirstToken:
-		// An earlier leader's launch dies only by a higher token.
-		return true
-	case a.LaunchInFlight && rep.Epoch <= a.LaunchEpoch:
-		return true
-	case a.LaunchUnanswered && rep.Token <= a.UnansweredLaunchToken && rep.Epoch <= a.LaunchEpoch:
-		// Held up on its way, it may come minutes late.
-		return true
-	case a.ReplySequence > 0 && a.ReplyEpoch == rep.Epoch && !(viaHello && rep.Sequence > a.ReplySequence):
-		// The worker has not yet done with the answer that carried it.
-		return true
+// Resources returns what the attempt takes of its machine.
+func (a *Attempt) Resources() placement.Resources { return placement.ResourcesOf(&a.Job.Spec) }
+
+// ActiveAttempt returns the attempt of a task; nil if it has none.
+func (s *State) ActiveAttempt(task wire.Task) *Attempt {
+	j := s.Jobs[task.Job]
+	if j == nil {
+		return nil
 	}
-	return false
+	c := j.Chunks[task.Index/j.TasksPerChunk]
+	if c == nil {
+		return nil
+	}
+	return c.Attempts[task.Index%j.TasksPerChunk]
 }
 
-// EndAttempt ends an attempt: nothing of it is on its machine, nor can get there.
-func (s *State) EndAttempt(a *Attempt, state uint8) {
-	c := a.Chunk
+// EndAttempt ends an attempt and leaves its task pending or done. The caller has proof
+// that nothing of the attempt is on its machine, nor can get there any more. An attempt
+// that has ended already is ignored.
+func (s *State) EndAttempt(a *Attempt, state TaskState) {
+	c, j := a.Chunk, a.Job
 	if c.Attempts[a.Index] != a {
 		return
 	}
 	a.Detach()
-	if a.Unstored {
-		a.Unstored = false
-		c.UnstoredAttempts--
-		a.Job.UnstoredAttempts--
-	}
+	a.clearUnstored()
 	c.TaskStates[a.Index] = state
-	if state == TaskPending {
-		c.FirstPending, a.Job.FirstPendingChunk = min(c.FirstPending, a.Index), min(a.Job.FirstPendingChunk, c.Index)
-	}
 	s.Unsaved.MarkDirty(c)
-	if state == TaskPending && a.Job.Spec.Gang() {
-		s.BrokenGangs[a.Job] = struct{}{}
-	}
-	if state == TaskDone {
-		a.Job.DoneTasks++
+	switch state {
+	case TaskPending:
+		s.requeueTask(a)
+	case TaskDone:
+		j.DoneTasks++
 	}
 	a.Machine.LastUsedAt = time.Now()
-	a.Job.lastActiveAt = a.Machine.LastUsedAt
-	s.MarkIfFinished(a.Job)
+	j.lastActiveAt = a.Machine.LastUsedAt
+	s.MarkIfFinished(j)
 	s.RequestCycle()
 }
 
-// Resources of the attempt.
-func (a *Attempt) Resources() placement.Resources { return placement.ResourcesOf(&a.Job.Spec) }
-
-// Detach takes an attempt off its chunk and machine.
-func (a *Attempt) Detach() {
-	delete(a.Chunk.Attempts, a.Index)
-	a.Job.ActiveTasks--
-	if a.Machine.Tasks[a.Task()] != a {
+// clearUnstored no longer counts the attempt as one that is not stored yet.
+func (a *Attempt) clearUnstored() {
+	if !a.Unstored {
 		return
 	}
-	delete(a.Machine.Tasks, a.Task())
-	a.Machine.usedResources = a.Machine.usedResources.Minus(a.Resources())
-	if len(a.Machine.Tasks) == 0 {
-		a.Machine.usedResources = placement.Resources{} // sums of decimals drift
-	}
-}
-
-// attempt that holds a task; nil if none does.
-func (s *State) ActiveAttempt(task wire.Task) *Attempt {
-	j := s.Jobs[task.Job]
-	if j == nil || j.Chunks[task.Index/j.TasksPerChunk] == nil {
-		return nil
-	}
-	return j.Chunks[task.Index/j.TasksPerChunk].Attempts[task.Index%j.TasksPerChunk]
+	a.Unstored = false
+	a.Chunk.UnstoredAttempts--
+	a.Job.UnstoredAttempts--
 }
 
-// ExpectedRemainingSeconds is in how many seconds a task is expected to end by itself. Until some of
-// its job's tasks are done there is only its owner's word, which is often short.
-func (a *Attempt) ExpectedRemainingSeconds(now time.Time) float64 {
-	if a.RunningSince.IsZero() || a.Job.Spec.Service() {
-		return math.Inf(1)
+// requeueTask lets the next search for pending tasks find that of an ended attempt. A gang
+// has lost it.
+func (s *State) requeueTask(a *Attempt) {
+	c, j := a.Chunk, a.Job
+	c.FirstPending = min(c.FirstPending, a.Index)
+	j.FirstPendingChunk = min(j.FirstPendingChunk, c.Index)
+	if j.Spec.Gang() {
+		s.BrokenGangs[j] = struct{}{}
 	}
-	need := a.Job.ExpectedSeconds()
-	if len(a.Job.RunTimes.Samples) == 0 {
-		need *= 1.5
-	}
-	return max(need/10, need-now.Sub(a.RunningSince).Seconds())
 }
 
-// PlannedRemainingSeconds is in how many seconds the attempt is expected to end, one at least.
-func (a *Attempt) PlannedRemainingSeconds(now time.Time) float64 {
-	in := a.Job.ExpectedSeconds()
-	if !a.RunningSince.IsZero() {
-		in -= now.Sub(a.RunningSince).Seconds()
-	}
-	return max(in, 1)
+// Detach takes an attempt off its chunk and its machine. The task's state is the caller's
+// to set.
+func (a *Attempt) Detach() {
+	delete(a.Chunk.Attempts, a.Index)
+	a.Job.ActiveTasks--
+	a.Machine.removeAttempt(a)
 }
--- a/internal/leader/cluster/attempt_test.go
+++ b/internal/leader/cluster/attempt_test.go
@@ -14,7 +14,7 @@
 		kind         wire.JobKind
 		tasks        int
 		prepare      func(a *Attempt)
-		state        uint8
+		state        TaskState
 		wantDone     int
 		wantFinished bool
 		wantBroken   bool
--- a/internal/leader/cluster/catalog.go
+++ b/internal/leader/cluster/catalog.go
@@ -3,27 +3,23 @@
 import (
 	"sync/atomic"
 
-	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
 
-// MachineCatalog shares the machine types between the actors of a node.
+// MachineCatalog shares the machine types that the cloud offers between the goroutines of
+// a node. Unlike the rest of the package it is safe for concurrent use.
 type MachineCatalog struct {
-	p atomic.Pointer[[]wire.MachineSpec]
+	specs atomic.Pointer[[]wire.MachineSpec]
 }
 
-// Get is the types last seen, nil if none ever were.
-func (b *MachineCatalog) Get() []wire.MachineSpec {
-	if f := b.p.Load(); f != nil {
-		return *f
+// Get returns the types that were last set; nil if none ever were. They must not be
+// changed.
+func (c *MachineCatalog) Get() []wire.MachineSpec {
+	if specs := c.specs.Load(); specs != nil {
+		return *specs
 	}
 	return nil
 }
 
-// Set replaces them.
-func (b *MachineCatalog) Set(f []wire.MachineSpec) { b.p.Store(&f) }
-
-// MachineResources is all the room of a machine of the type.
-func MachineResources(spec *wire.MachineSpec) placement.Resources {
-	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
-}
+// Set replaces the types. The caller must not change them afterwards.
+func (c *MachineCatalog) Set(specs []wire.MachineSpec) { c.specs.Store(&specs) }
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -11,38 +11,57 @@
 // withdrawnStartBackoff is how long a job waits whose start had no room in its record.
 const withdrawnStartBackoff = time.Second
 
+// TaskState is the state of a task. See the package comment for the transitions.
+type TaskState = uint8
+
+// The states of a task.
+const (
+	// TaskPending is the state of a task to be run that has no attempt.
+	TaskPending TaskState = iota
+	// TaskActive is the state of a task with an attempt that may be on a machine.
+	TaskActive
+	// TaskDone is the state of a task that has completed.
+	TaskDone
+)
+
 // Chunk is the progress of a fixed number of a job's tasks, which is stored as one record.
 type Chunk struct {
-	Job              *Job
-	Index            int
-	Revision         wire.Revision
-	NextAttempt      wire.Attempt
-	TaskStates       []uint8
-	FirstPending     int       // no earlier task is pending
-	UnstoredAttempts int       // attempts held that are not yet stored
-	DirtySince       time.Time // when it came to differ from what is stored
-	Attempts         map[int]*Attempt
-	Dirty            bool // differs from what is stored or being stored
-	WriteInFlight    bool // being written
-	// writeNotBefore: it is not written before, as it was refused by itself.
+	Job          *Job
+	Index        int              // in Job.Chunks
+	NextAttempt  wire.Attempt     // number of the next attempt of one of the tasks
+	TaskStates   []TaskState      // by task of the chunk
+	Attempts     map[int]*Attempt // by task of the chunk, those that may be on machines
+	FirstPending int              // no earlier task is pending
+	// UnstoredAttempts is how many of the attempts are not stored yet.
+	UnstoredAttempts int
+	Revision         wire.Revision // of the record; 0: there is none
+	Dirty            bool          // differs from what is stored or being stored
+	DirtySince       time.Time     // when it came to differ from what is stored
+	WriteInFlight    bool          // being written
+	// WriteNotBefore: the chunk is not written before, as the store refused to write it in
+	// a transaction of its own.
 	WriteNotBefore time.Time
 }
 
+// Add makes an attempt the one of its task, on its machine.
 func (c *Chunk) Add(a *Attempt) {
 	c.TaskStates[a.Index] = TaskActive
 	c.Attempts[a.Index] = a
 	c.Job.ActiveTasks++
-	a.Machine.Tasks[a.Task()] = a
-	a.Machine.usedResources = a.Machine.usedResources.Plus(a.Resources())
+	a.Machine.addAttempt(a)
 }
 
-// Record is the chunk as it is stored.
+// Record returns the chunk in the form in which it is stored.
 func (c *Chunk) Record() store.ChunkRecord {
 	done := make([]bool, len(c.TaskStates))
-	for i, s := range c.TaskStates {
-		done[i] = s == TaskDone
+	for i, state := range c.TaskStates {
+		done[i] = state == TaskDone
+	}
+	rec := store.ChunkRecord{
+		NextAttempt: c.NextAttempt,
+		Done:        store.PackRanges(done),
+		Active:      []store.ActiveAttempt{},
 	}
-	rec := store.ChunkRecord{NextAttempt: c.NextAttempt, Done: store.PackRanges(done), Active: []store.ActiveAttempt{}}
 	if c.Job.SubchunksPerChunk > 0 {
 		rec.SubchunkTasks = c.Job.TasksPerChunk
 	}
@@ -66,8 +85,8 @@
 	}
 }
 
-// WithdrawUnstoredStart takes back a start that is not stored yet, as the chunk's record
-// has no room for it.
+// WithdrawUnstoredStart ends one attempt that is not stored yet, as the chunk's record has
+// no room for it. It reports whether there was one.
 func (s *State) WithdrawUnstoredStart(c *Chunk, now time.Time) bool {
 	for _, a := range c.Attempts {
 		if a.Unstored {
--- a/internal/leader/cluster/subchunks_test.go
+++ b/internal/leader/cluster/chunk_layout_test.go
@@ -28,7 +28,7 @@
 	if j.Chunks[2] != nil || j.Chunks[3] != nil {
 		t.Error("a chunk that was never touched has sub-chunks")
 	}
-	wantStates := map[int][]uint8{0: {TaskDone, TaskActive}, 1: {TaskPending, TaskActive}, 4: {TaskPending, TaskActive}}
+	wantStates := map[int][]TaskState{0: {TaskDone, TaskActive}, 1: {TaskPending, TaskActive}, 4: {TaskPending, TaskActive}}
 	for n, want := range wantStates {
 		if got := j.Chunks[n].TaskStates; !slices.Equal(got, want) {
 			t.Errorf("states of sub-chunk %d = %v, want %v", n, got, want)
--- a/internal/leader/cluster/chunk_test.go
+++ b/internal/leader/cluster/chunk_test.go
@@ -48,7 +48,7 @@
 
 	j.Chunk(0).Reset()
 
-	if got := j.Chunk(0).TaskStates; !slices.Equal(got, []uint8{TaskPending, TaskPending}) {
+	if got := j.Chunk(0).TaskStates; !slices.Equal(got, []TaskState{TaskPending, TaskPending}) {
 		t.Errorf("states = %v, want all pending", got)
 	}
 	if j.DoneTasks != 0 || j.ActiveTasks != 1 || len(m.Tasks) != 1 || m.Tasks[kept.Task()] != kept {
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -6,38 +6,40 @@
 	"lilaclead/internal/wire"
 )
 
-// Gang is the one attempt of a gang's tasks that may be on machines. All of them
-// carry one number, by which they find each other, and start together when the
-// last has its image.
+// Gang is the one attempt of a gang's tasks that may be on machines. All of them carry
+// one number, by which they find each other, and start together when the last has its
+// image.
 type Gang struct {
 	Number    wire.Attempt
-	StartedAt time.Time // when it was decided on, or inherited
-	Ran       bool      // a task of it ran: it was complete
-	// Inherited from an earlier leader: it may have run before any report of this
-	// term shows it.
+	StartedAt time.Time // when the scheduler decided on it, or the term inherited it
+	// Ran: a task of it ran, so that it was complete. Reconciliation sets it.
+	Ran bool
+	// Inherited from an earlier leader: it may have run before any heartbeat of this term
+	// shows it. RestoreGang sets it.
 	Inherited bool
-	// broken: a task of it is gone, or was never there. The rest is stopped, and
-	// the gang is queued again when nothing of it is left.
+	// Broken: a task of it is lost, or was never there. The rest is stopped, and the gang
+	// is queued again when nothing of it is left. The dispatcher of commands sets it.
 	Broken bool
-	// told: all were told to stop, with so much time to save; stopping: with any.
+	// StopRequested: all tasks were told to stop, with GracePeriod to save a checkpoint;
+	// StoppingGracefully: with any. The dispatcher of commands sets them.
 	StopRequested, StoppingGracefully bool
 	GracePeriod                       wire.Seconds
 }
 
-// FullyStored tells whether every task of the gang has an attempt that is stored.
+// FullyStored reports whether every task of the gang has an attempt that is stored.
 func (j *Job) FullyStored() bool { return j.ActiveTasks == j.Spec.Tasks && j.UnstoredAttempts == 0 }
 
-// MayLaunch tells whether the attempt's launch may be sent. A gang's may once all
-// of the gang is stored, and no more once a task of it is lost.
+// MayLaunch reports whether the attempt's launch may be sent. A gang's may once all of the
+// gang is stored, and no more once a task of it is lost.
 func (a *Attempt) MayLaunch() bool {
 	g := a.Job.Gang
 	return g == nil || a.Job.FullyStored() && !g.Broken && !g.StoppingGracefully
 }
 
-// MayRelaunch tells whether a gang's task that its machine surely does not have,
-// nor can get any more, is to be sent there again: the others wait for it, and
-// its record stands. A leader may have ended between the first launch and the
-// last. Once the gang has run it is lost with that task.
+// MayRelaunch reports whether a gang's task that its machine surely does not have, nor can
+// get any more, is to be sent there again: the others wait for it, and its record stands.
+// A leader may have ended between the first launch and the last. Once the gang has run it
+// is lost with that task.
 func (s *State) MayRelaunch(a *Attempt) bool {
 	g := a.Job.Gang
 	wait := s.Settings.Workers.GangWait.Duration()
@@ -45,27 +47,32 @@
 		time.Since(g.StartedAt) < wait
 }
 
-// CompleteGang notes that a task of a gang has completed: they complete together.
+// CompleteGang ends a gang of which a task has completed: they complete together.
 func (s *State) CompleteGang(j *Job) {
 	for _, a := range j.Attempts() {
 		s.EndAttempt(a, TaskDone)
 	}
 	for n := range j.Chunks {
-		c := j.Chunk(n)
-		for i, state := range c.TaskStates {
-			if state != TaskDone {
-				c.TaskStates[i] = TaskDone
-				j.DoneTasks++
-				s.Unsaved.MarkDirty(c)
-			}
-		}
+		s.completeTasks(j.Chunk(n))
 	}
 	j.Gang = nil
 	s.MarkIfFinished(j)
 }
 
-// RestoreGang finds out how the attempt of a gang stands that an earlier leader
-// recorded: whole, in part, or completed in part of the record.
+// completeTasks marks those tasks of a chunk as done that are not yet. They have no attempt.
+func (s *State) completeTasks(c *Chunk) {
+	for i, state := range c.TaskStates {
+		if state == TaskDone {
+			continue
+		}
+		c.TaskStates[i] = TaskDone
+		c.Job.DoneTasks++
+		s.Unsaved.MarkDirty(c)
+	}
+}
+
+// RestoreGang finds out how the attempt of a gang stands that an earlier leader recorded:
+// complete, with a task missing, or with its end written in some of the records only.
 func (s *State) RestoreGang(j *Job) {
 	if !j.Spec.Gang() {
 		return
@@ -77,13 +84,27 @@
 	if j.ActiveTasks == 0 {
 		return
 	}
-	j.Gang = &Gang{StartedAt: s.TermStartedAt, Inherited: true}
-	for _, a := range j.Attempts() {
-		j.Gang.Number = max(j.Gang.Number, a.Number)
+	attempts := j.Attempts()
+	j.Gang = &Gang{Number: highestNumber(attempts), StartedAt: s.TermStartedAt, Inherited: true}
+	intact := j.FullyStored() && sameNumber(attempts, j.Gang.Number)
+	if !intact && !s.Quarantined(j.Spec.ID) {
+		s.BrokenGangs[j] = struct{}{}
 	}
-	for _, a := range j.Attempts() {
-		if (a.Number != j.Gang.Number || !j.FullyStored()) && !s.Quarantined(j.Spec.ID) {
-			s.BrokenGangs[j] = struct{}{}
+}
+
+func highestNumber(attempts []*Attempt) wire.Attempt {
+	var highest wire.Attempt
+	for _, a := range attempts {
+		highest = max(highest, a.Number)
+	}
+	return highest
+}
+
+func sameNumber(attempts []*Attempt, number wire.Attempt) bool {
+	for _, a := range attempts {
+		if a.Number != number {
+			return false
 		}
 	}
+	return true
 }
--- /dev/null
+++ b/internal/leader/cluster/image_cache.go
@@ -0,0 +1,64 @@
+package cluster
+
+import (
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// ImageCache is what heartbeats imply of a machine's images: an image is there once a task
+// of it got past its fetch, until later ones evict it. Reconciliation writes it.
+type ImageCache struct {
+	Images map[wire.ImageID]cachedImage
+}
+
+type cachedImage struct {
+	sizeGB float64
+	usedAt time.Time
+}
+
+// Has reports whether an image is taken to be there.
+func (c *ImageCache) Has(id wire.ImageID) bool {
+	_, ok := c.Images[id]
+	return ok
+}
+
+// Touch records that an image was used, in a cache of the given capacity, and evicts the
+// least recently used images that no longer fit. A capacity of 0 is unknown: nothing is
+// evicted.
+func (c *ImageCache) Touch(id wire.ImageID, sizeGB, capacityGB float64, now time.Time) {
+	if c.Images == nil {
+		c.Images = map[wire.ImageID]cachedImage{}
+	}
+	c.Images[id] = cachedImage{sizeGB: sizeGB, usedAt: now}
+	if capacityGB <= 0 {
+		return
+	}
+	for c.usedGB() > capacityGB {
+		victim := c.leastRecentlyUsed(id)
+		if victim == id {
+			return // an image in use stays, even if it is too large
+		}
+		delete(c.Images, victim)
+	}
+}
+
+// usedGB returns the size of all images.
+func (c *ImageCache) usedGB() float64 {
+	used := 0.0
+	for _, image := range c.Images {
+		used += image.sizeGB
+	}
+	return used
+}
+
+// leastRecentlyUsed returns the image used longest ago; newest, unless one was used before it.
+func (c *ImageCache) leastRecentlyUsed(newest wire.ImageID) wire.ImageID {
+	oldest := newest
+	for id, image := range c.Images {
+		if image.usedAt.Before(c.Images[oldest].usedAt) {
+			oldest = id
+		}
+	}
+	return oldest
+}
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -8,58 +8,70 @@
 	"lilaclead/internal/wire"
 )
 
-const (
-	TaskPending uint8 = iota
-	TaskActive
-	TaskDone
-)
+// startWithin is the time within which every job should have begun.
+const startWithin = demand.StartWithinS * time.Second
 
+// Job is a job that is accepted and not archived yet.
 type Job struct {
 	Spec           wire.JobSpec
-	Revision       wire.Revision
 	AcceptedAt     time.Time
+	Gang           *Gang // its attempt that may be on machines; nil: none
+	Revision       wire.Revision
+	RecordOutdated bool // the record has changed in a way not yet read
+	RecordDeleted  bool // the watch has shown that the record is gone
 	Cancelled      bool
 	CancelledAt    time.Time
-	RecordOutdated bool // its record has changed in a way not yet read
 	Finished       bool // to be archived
-	Archiving      bool
-	WriteNotBefore time.Time // its end is not written before: it was refused by itself
-	RecordDeleted  bool      // the watch has shown that its record is gone
-	Chunks         []*Chunk
-	TasksPerChunk  int // tasks of a chunk
-	// SubchunksPerChunk is how many chunks each one that was stored was split into, 0: none
-	// was, and baseRevisions the revisions of those that were.
+	Archiving      bool // the transaction that archives it is under way
+	// WriteNotBefore: the job's end is not written before, as the store refused to write
+	// it in a transaction of its own.
+	WriteNotBefore time.Time
+	// Chunks are made when they are first used, by Job.Chunk; nil until then.
+	Chunks        []*Chunk
+	TasksPerChunk int
+	// SubchunksPerChunk is into how many sub-chunks each chunk was split; 0: none was.
 	SubchunksPerChunk int
-	baseRevisions     []wire.Revision
-	Gang              *Gang // its attempt that may be on machines; nil: none
-	UnstoredAttempts  int   // attempts held that are not yet stored
-	DoneTasks         int
-	ActiveTasks       int
-	// Faults: machines on which a task of it failed in a row.
-	FailedMachines    map[wire.MachineID]bool
-	Succeeded         bool
-	Failures          int
-	StartNotBefore    time.Time
-	HasRun            bool
-	lastActiveAt      time.Time // when a task of it was last on a machine
-	LastStartAt       time.Time // when a task of it was started last, in this term
-	RunTimes          runTimeStats
-	FirstPendingChunk int // no task of an earlier chunk is pending
+	// baseRevisions are the revisions of the chunks' records at the split, by chunk.
+	baseRevisions    []wire.Revision
+	DoneTasks        int
+	ActiveTasks      int
+	UnstoredAttempts int // active ones whose attempt is not stored yet
+	// FirstPendingChunk: no task of an earlier chunk is pending.
+	FirstPendingChunk int
+	HasRun            bool         // a task of it was seen running; set by reconciliation
+	LastStartAt       time.Time    // when the scheduler last decided on a task of it
+	RunTimes          runTimeStats // of completed tasks; written by reconciliation
+	lastActiveAt      time.Time    // when a task of it was last on a machine; set by EndAttempt
+	// FailedMachines are those on which a task of the job failed since the last success.
+	FailedMachines map[wire.MachineID]bool
+	Failures       int  // since the last success
+	Succeeded      bool // a task of it has completed in this term
+	// StartNotBefore: no task of it is started before.
+	StartNotBefore time.Time
 }
 
+// NewJob returns a job by its record.
 func NewJob(rec store.JobRecord, revision wire.Revision) *Job {
-	j := &Job{Spec: rec.Spec, Revision: revision, AcceptedAt: rec.AcceptedAt.Time(), TasksPerChunk: rec.ChunkTasks()}
-	// Steady from here on; a clock that is off makes no job wait negatively.
-	if age := time.Since(j.AcceptedAt); age > 0 {
-		j.AcceptedAt = time.Now().Add(-age)
-	} else {
-		j.AcceptedAt = time.Now()
+	chunkTasks := rec.ChunkTasks()
+	return &Job{
+		Spec:          rec.Spec,
+		AcceptedAt:    monotonicTime(rec.AcceptedAt.Time()),
+		Revision:      revision,
+		TasksPerChunk: chunkTasks,
+		Chunks:        make([]*Chunk, chunkCount(rec.Spec.Tasks, chunkTasks)),
 	}
-	j.Chunks = make([]*Chunk, (rec.Spec.Tasks+j.TasksPerChunk-1)/j.TasksPerChunk)
-	return j
 }
 
-// FinalStatus is the status with which a job that is over is archived.
+// monotonicTime returns a stored time as one that later changes of the wall clock do not
+// affect. A time in the future, by a clock that is off, counts as now: no job has waited
+// for a negative time.
+func monotonicTime(stored time.Time) time.Time {
+	now := time.Now()
+	age := max(now.Sub(stored), 0)
+	return now.Add(-age)
+}
+
+// FinalStatus returns the status with which a finished job is archived.
 func (j *Job) FinalStatus() wire.Status {
 	if j.Cancelled {
 		return wire.Cancelled
@@ -67,95 +79,68 @@
 	return wire.Done
 }
 
+// Pending returns how many tasks are neither done nor have an attempt.
 func (j *Job) Pending() int { return j.Spec.Tasks - j.DoneTasks - j.ActiveTasks }
 
-func (j *Job) Chunk(n int) *Chunk {
-	if j.Chunks[n] == nil {
-		j.Chunks[n] = &Chunk{Job: j, Index: n, NextAttempt: 1,
-			TaskStates: make([]uint8, min(j.TasksPerChunk, j.Spec.Tasks-n*j.TasksPerChunk)), Attempts: map[int]*Attempt{}}
-	}
-	return j.Chunks[n]
-}
-
-// Attempts lists what may be on machines.
+// Attempts returns the attempts that may be on machines.
 func (j *Job) Attempts() []*Attempt {
 	var out []*Attempt
 	for _, c := range j.Chunks {
-		if c != nil {
-			for _, a := range c.Attempts {
-				out = append(out, a)
-			}
+		if c == nil {
+			continue
+		}
+		for _, a := range c.Attempts {
+			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// ActiveByZone counts what may be on machines by zone; what is on a machine of an
-// unknown zone counts under none.
+// ActiveByZone counts the attempts that may be on machines by zone; one on a machine of
+// an unknown zone counts under the empty zone.
 func (j *Job) ActiveByZone() map[wire.Zone]int {
-	n := map[wire.Zone]int{}
+	counts := map[wire.Zone]int{}
 	for _, a := range j.Attempts() {
-		n[a.Machine.Zone]++
+		counts[a.Machine.Zone]++
 	}
-	return n
+	return counts
 }
 
-// ForEachPending calls f for up to n pending tasks.
-func (j *Job) ForEachPending(n int, f func(c *Chunk, index int)) {
-	for ci := j.FirstPendingChunk; ci < len(j.Chunks); ci++ {
-		c := j.Chunk(ci)
-		for i := c.FirstPending; i < len(c.TaskStates); i++ {
-			if n == 0 {
-				return
-			}
-			if c.TaskStates[i] == TaskPending {
-				f(c, i)
-				n--
-			}
-			c.FirstPending = i + 1
-		}
-		j.FirstPendingChunk = ci + 1
-	}
-}
-
-// gracePeriodOf is how long a task of the job is given to save.
-func gracePeriodOf(j *Job) wire.Seconds {
-	if j.Spec.CheckpointInterval > 0 {
-		return j.Spec.CheckpointTime + 2
-	}
-	return 0
-}
-
-// grace of a gang: each has its time to save, and what is saved waits for the
-// others.
-func (s *State) GracePeriodOf(j *Job) wire.Seconds {
-	w := gracePeriodOf(j)
-	if w > 0 && j.Spec.Gang() {
-		w += s.Settings.Workers.GangPeerTimeout
-	}
-	return w
-}
-
-// ZoneCapacityLeft is how many more tasks of a job that is bound to zones each may take.
+// ZoneCapacityLeft returns how many more tasks of a job that is bound to zones each zone
+// may take.
 func (j *Job) ZoneCapacityLeft(zones []wire.Zone) map[wire.Zone]int {
 	left := map[wire.Zone]int{}
-	held := j.ActiveByZone()
-	for _, z := range zones {
-		left[z] = max(0, j.Spec.ZoneCap()-held[z])
-		if j.Spec.SameZone && j.ActiveTasks > 0 && held[z] == 0 {
-			left[z] = 0
+	active := j.ActiveByZone()
+	for _, zone := range zones {
+		boundElsewhere := j.Spec.SameZone && j.ActiveTasks > 0 && active[zone] == 0
+		if boundElsewhere {
+			left[zone] = 0
+			continue
 		}
+		left[zone] = max(0, j.Spec.ZoneCap()-active[zone])
 	}
 	return left
 }
 
-// ExpectedSeconds run time of a task: what was seen, else what the owner says.
-func (j *Job) ExpectedSeconds() float64 {
-	if n := len(j.RunTimes.Samples); n > 0 {
-		return j.RunTimes.Median()
-	}
-	return float64(j.Spec.ExpectedRunTime)
+// SinceLastStart returns for how long no task of the job has been started, as far as this
+// term knows.
+func (s *State) SinceLastStart(j *Job, now time.Time) time.Duration {
+	return now.Sub(Latest(Latest(j.AcceptedAt, j.LastStartAt), s.TermStartedAt))
 }
 
-// startWithin is when every job should have begun.
-const startWithin = demand.StartWithinS * time.Second
+// StartOverdue reports whether a job other than a service has waited so long without a
+// start that its first task goes before everything but services. Little work left, prices
+// and priorities order the rest; under a steady overload they would keep a large or cheap
+// job waiting for ever. The same holds for a job that has begun and of which nothing has
+// run for as long: when the spot machines that it was on had been reclaimed and there were
+// no more of them, the rest of it was never run.
+func (s *State) StartOverdue(j *Job, now time.Time) bool {
+	if j.Spec.Service() || j.ActiveTasks > 0 {
+		return false
+	}
+	if now.Sub(j.AcceptedAt) <= startWithin/2 {
+		return false
+	}
+	begun := j.DoneTasks > 0
+	return !begun || now.Sub(Latest(j.lastActiveAt, s.TermStartedAt)) > startWithin/2
+}
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -18,110 +18,105 @@
 	Spot        bool
 	Epoch       wire.AgentEpoch
 	Sequence    wire.Sequence
-	Token       wire.FencingToken
-
-	DirectHeartbeatAt      time.Time // last report that came here by itself
-	RelayedHeartbeatAt     time.Time // last report through another node
-	RelayedOnly            bool      // the last report came through another node
-	Booting                bool      // never reported, as far as we know
-	RequestedAt            time.Time
-	ListedAt               time.Time // when a list last had it; else when it became known
-	LastMessageAt          time.Time // last message from it
-	TokenSeenAt            time.Time // when it first showed a token of this term
-	LastReplyAt            time.Time // last answer to a report of it
-	HeartbeatsMissingSince time.Time // since when it only answers direct commands; zero: it reports
-	EpochSince             time.Time // when its session became known
-	LastUsedAt             time.Time // last time that a task was on it
-	FirstHeartbeatAt       time.Time // first report in this term
-	FailedInCloud          bool      // the list says that it has stopped by itself
-
+	Token       wire.FencingToken // the highest that it has shown
+	TokenSeenAt time.Time         // when it first showed a token of this term
+	EpochSince  time.Time         // when its epoch became known
+	// Restarted: the machine restarted, and its agent counts from the start again, so that
+	// its heartbeats can't be told from late copies. It is scaled in.
+	Restarted          bool
+	FirstHeartbeatAt   time.Time // first heartbeat in this term
+	DirectHeartbeatAt  time.Time // last heartbeat that the agent sent to this node
+	RelayedHeartbeatAt time.Time // last heartbeat through another node
+	RelayedOnly        bool      // the last heartbeat came through another node
+	LastMessageAt      time.Time // last message from it: a heartbeat, or the answer to a command
+	LastReplyAt        time.Time // last reply to a heartbeat of it
+	// HeartbeatsMissingSince is since when it only answers direct commands; zero: it sends
+	// heartbeats.
+	HeartbeatsMissingSince time.Time
+	// LastVerifiedAt is when it was last probed directly because of what its heartbeats
+	// show, for instance one that is not newer than what is known.
+	LastVerifiedAt time.Time
+	Booting        bool      // it has never sent a heartbeat, as far as is known
+	RequestedAt    time.Time // when it was asked of the cloud
+	ListedAt       time.Time // when a list last had it; else when it became known
+	FailedInCloud  bool      // the list has it as stopped by itself
+	ReclaimAt      time.Time // when the cloud reclaims it; zero: no spot notice
+	// DrainReason says why the machine takes nothing new; empty: it does. Reconciliation
+	// and the autoscaler set it, for good: the first reason stands, unless an earlier
+	// leader's scale-in is adopted.
+	DrainReason DrainReason
+	// ScalingIn: the machine is being returned to the cloud. The autoscaler sets it, for
+	// good.
+	ScalingIn bool
+	// Cordoned: the capacity plan keeps the machine free, see fleet.Plan. The scheduler
+	// sets it anew with every plan.
+	Cordoned         bool
+	CommandInFlight  bool // a direct command is under way
+	UnansweredProbes int  // direct commands without an answer since LastMessageAt
+	RelayUnanswered  bool // the last of these went through another node, in vain too
+	// UnansweredLaunch covers the launches that were never answered.
+	UnansweredLaunch UnansweredCommand
+	Inbound          detector.Inbound
+	FailedJobs       map[wire.JobID]bool // jobs that failed on it since the last success
+	Failures         int                 // of tasks since the last success
+	SlowRuns         slowRunCounts
+	// RefusedUntil: it refused a start, and gets no further one until then.
+	RefusedUntil time.Time
+
+	// Tasks are the attempts that may be on the machine, kept by Chunk.Add and
+	// Attempt.Detach; usedResources is what they take.
 	Tasks         map[wire.Task]*Attempt
-	usedResources placement.Resources // by tasks
-	OrphanTasks   map[wire.Task]bool  // on it, but not ours to want there
-	ReclaimAt     time.Time           // the cloud takes it then; zero: no notice
-	Images        ImageCache
-
-	UnansweredLaunch UnansweredCommand // the last launches that were never answered
-	CommandInFlight  bool              // a direct command is under way
-	UnansweredProbes int               // direct tries without an answer since lastMessageAt
-	// relayUnanswered: the last of these went through another node, in vain too.
-	RelayUnanswered bool
-	LastVerifiedAt  time.Time // when it was last asked directly because of a stale report
-	Restarted       bool      // it restarted, with smaller counters; to be returned
-	Inbound         detector.Inbound
-	DrainReason     DrainReason // why it takes nothing new; empty: it does
-	ScalingIn       bool
-	Cordoned        bool // see fleet.Plan
-	Reservations    []Reservation
-	RefusedUntil    time.Time
-	FailedJobs      map[wire.JobID]bool // jobs that failed here in a row
-	Failures        int
-	SlowRuns        slowRunCounts
+	usedResources placement.Resources
+	// OrphanTasks are tasks in its last heartbeat that this term has no such attempt of.
+	OrphanTasks map[wire.Task]bool
+	Images      ImageCache
+	// Reservations are the scheduler's.
+	Reservations []Reservation
+	LastUsedAt   time.Time // when a task was last on it
 }
 
-// GetOrAddMachine is the entry of a machine in the inventory, made if there is none.
+// GetOrAddMachine returns the entry of a machine, which is made if there is none.
 func (s *State) GetOrAddMachine(id wire.MachineID) *Machine {
 	m := s.Machines[id]
 	if m == nil {
-		now := time.Now()
-		m = &Machine{ID: id, Tasks: map[wire.Task]*Attempt{}, OrphanTasks: map[wire.Task]bool{}, LastUsedAt: now, RequestedAt: now, ListedAt: now, FailedJobs: map[wire.JobID]bool{}}
+		m = newMachine(id, time.Now())
 		s.Machines[id] = m
 	}
 	return m
 }
 
-// UnansweredCommand is the newest direct command that was never answered.
-type UnansweredCommand struct {
-	Token wire.FencingToken
-	Epoch wire.AgentEpoch
+func newMachine(id wire.MachineID, now time.Time) *Machine {
+	return &Machine{
+		ID:          id,
+		Tasks:       map[wire.Task]*Attempt{},
+		OrphanTasks: map[wire.Task]bool{},
+		LastUsedAt:  now,
+		RequestedAt: now,
+		ListedAt:    now,
+		FailedJobs:  map[wire.JobID]bool{},
+	}
 }
 
-// LaunchMayArrive tells whether an unanswered launch may still reach the worker.
-func (m *Machine) LaunchMayArrive(rep *wire.Heartbeat) bool {
-	l := m.UnansweredLaunch
-	return l.Token > 0 && rep.Token <= l.Token && rep.Epoch <= l.Epoch
+// addAttempt makes an attempt the one of its task on the machine.
+func (m *Machine) addAttempt(a *Attempt) {
+	m.Tasks[a.Task()] = a
+	m.usedResources = m.usedResources.Plus(a.Resources())
 }
 
-// Zones are those of the settings, of what can be rented, and of the machines
-// that have reported: some may be in no settings.
-func (s *State) Zones() []wire.Zone {
-	out := slices.Clone(s.Settings.Zones)
-	add := func(z wire.Zone) {
-		if z != "" && !slices.Contains(out, z) {
-			out = append(out, z)
-		}
+// removeAttempt removes an attempt, unless another one of its task has taken its place.
+func (m *Machine) removeAttempt(a *Attempt) {
+	task := a.Task()
+	if m.Tasks[task] != a {
+		return
 	}
-	for _, f := range s.Catalog.Get() {
-		for _, z := range f.Zones {
-			add(z)
-		}
+	delete(m.Tasks, task)
+	m.usedResources = m.usedResources.Minus(a.Resources())
+	if len(m.Tasks) == 0 {
+		m.usedResources = placement.Resources{} // sums of decimals drift
 	}
-	for _, z := range s.ZoneDetector.Known() {
-		add(z)
-	}
-	slices.Sort(out[len(s.Settings.Zones):])
-	return out
-}
-
-// states counts the machines in each state, for the metrics.
-func (s *State) MachineStateCounts() map[string]int {
-	n := map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}
-	for _, m := range s.Machines {
-		switch {
-		case m.ScalingIn:
-			n["releasing"]++
-		case m.DrainReason != "":
-			n["draining"]++
-		case m.Booting:
-			n["booting"]++
-		default:
-			n["up"]++
-		}
-	}
-	return n
 }
 
-// HoldsReplicas tells whether a machine holds replicas of services.
+// HoldsReplicas reports whether a machine holds replicas of services.
 func (s *State) HoldsReplicas(m *Machine) bool {
 	for _, a := range m.Tasks {
 		if a.Job.Spec.Service() {
@@ -131,50 +126,24 @@
 	return false
 }
 
-// ImageCacheGB is the size of a type's image cache.
-func (s *State) ImageCacheGB(k wire.MachineType) float64 {
-	if f := s.MachineSpec(k); f != nil {
-		return f.DiskGB
-	}
-	return 0
-}
-
-func (s *State) MachineSpec(k wire.MachineType) *wire.MachineSpec {
-	fs := s.Catalog.Get()
-	for i := range fs {
-		if fs[i].Name == k {
-			return &fs[i]
+// Zones returns the zones of the settings, in their order, then those of the machine types
+// that can be scaled out and of the machines that have sent something: some of these may
+// be in no settings.
+func (s *State) Zones() []wire.Zone {
+	zones := slices.Clone(s.Settings.Zones)
+	add := func(zone wire.Zone) {
+		if zone != "" && !slices.Contains(zones, zone) {
+			zones = append(zones, zone)
 		}
 	}
-	return nil
-}
-
-// TotalResources and free room of a machine. What the cloud's list of types does not
-// name can hold nothing.
-func (s *State) TotalResources(m *Machine) placement.Resources {
-	if f := s.MachineSpec(m.MachineType); f != nil {
-		return MachineResources(f)
-	}
-	return placement.Resources{}
-}
-
-func (s *State) FreeResources(m *Machine) placement.Resources {
-	free := s.TotalResources(m).Minus(m.usedResources)
-	for task := range m.OrphanTasks {
-		j := s.Jobs[task.Job]
-		if j == nil {
-			return placement.Resources{} // of unknown size
-		}
-		if m.Tasks[task] == nil {
-			free = free.Minus(placement.ResourcesOf(&j.Spec))
+	for _, spec := range s.Catalog.Get() {
+		for _, zone := range spec.Zones {
+			add(zone)
 		}
 	}
-	return free
-}
-
-// Reservation is room that is being made on a machine, and until when it is kept.
-type Reservation struct {
-	placement.Reservation
-	AwaitedTasks []wire.Task // expected to end by themselves
-	Until        time.Time
+	for _, zone := range s.ZoneDetector.Known() {
+		add(zone)
+	}
+	slices.Sort(zones[len(s.Settings.Zones):])
+	return zones
 }
--- a/internal/leader/cluster/quarantine.go
+++ b/internal/leader/cluster/quarantine.go
@@ -5,8 +5,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Quarantined tells whether a job is set aside. A cancelled one is not: whatever is on
-// machines of it is to be halted.
+// Quarantined reports whether a job is quarantined. A cancelled one is not: whatever of it
+// is on machines is to be stopped.
 func (s *State) Quarantined(id wire.JobID) bool {
 	if !s.QuarantinedJobs[id] {
 		return false
@@ -15,10 +15,10 @@
 	return j == nil || !j.Cancelled
 }
 
-// Quarantine marks a job of which a record can't be decoded: the job's own, or one of
-// its progress. What of the job may be on machines is not known then, so nothing of it
-// is started, written, stopped or forgotten until the job is cancelled or a version that
-// can decode the record leads: it may have been written by a later one. All other jobs
+// Quarantine marks a job of which the record under the key can't be decoded: the job's own,
+// or one of its progress. What of the job may be on machines is not known then, so nothing
+// of it is started, written, stopped or forgotten until the job is cancelled, or a version
+// that can decode the record leads: it may have been written by a later one. All other jobs
 // go on.
 func (s *State) Quarantine(key string, id wire.JobID) {
 	s.QuarantinedJobs[id] = true
--- a/internal/leader/cluster/reachability_test.go
+++ b/internal/leader/cluster/reachability_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"lilaclead/internal/leader/detector"
 )
 
 func TestOutboundLostOnceHeartbeatsAreMissingForLong(t *testing.T) {
@@ -66,3 +68,27 @@
 		t.Errorf("after a message: %v, want %v", got, 2*time.Second)
 	}
 }
+
+func TestMachinesOfAPartitionedZoneAreBehindItUntilSeen(t *testing.T) {
+	s := newTestState(t)
+	begin := s.TermStartedAt
+	behind, seen := s.GetOrAddMachine("n-1"), s.GetOrAddMachine("n-2")
+	behind.Zone, behind.LastMessageAt = "a", begin.Add(-time.Second)
+	seen.Zone, seen.LastMessageAt = "a", begin.Add(time.Millisecond)
+	mostAreLost := detector.Counts{Up: 10, Lost: 9, AllUp: 100}
+	s.ZoneDetector.Judge("a", mostAreLost, begin)
+
+	if !s.Partitioned("a", begin) || !s.LatelyPartitioned("a", begin) || !s.BehindPartition(behind, begin) {
+		t.Error("zone is not partitioned, or the machine not behind the partition, when most of it is lost")
+	}
+	if s.BehindPartition(seen, begin) {
+		t.Error("machine is behind the partition although it was seen since")
+	}
+	if s.Partitioned("b", begin) || s.LatelyPartitioned("b", begin) {
+		t.Error("another zone is partitioned")
+	}
+	later := begin.Add(time.Hour)
+	if s.Partitioned("a", later) || s.LatelyPartitioned("a", later) || s.BehindPartition(behind, later) {
+		t.Error("zone is still partitioned an hour later")
+	}
+}
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -1,24 +1,80 @@
 package cluster
 
-import "slices"
+import (
+	"math"
+	"slices"
+	"time"
+)
 
-// runTimeStats keeps the last run times of a job's tasks.
+const (
+	// runTimeSamples is how many of the last run times of a job's tasks are kept.
+	runTimeSamples = 15
+	// ownerEstimateFactor stretches the owner's estimate of a run time, which is often
+	// too short, until some of the job's tasks are done.
+	ownerEstimateFactor = 1.5
+	// minRemainingDivisor: a task that runs longer than expected is expected to need a
+	// tenth of its run time still.
+	minRemainingDivisor = 10
+	// minPlannedSeconds is the least remaining time that is planned with.
+	minPlannedSeconds = 1
+)
+
+// runTimeStats keeps the last run times of a job's tasks, in seconds.
 type runTimeStats struct {
-	Samples       []float64
+	Samples       []float64 // in the order of completion
 	medianSeconds float64
 }
 
-func (r *runTimeStats) Add(v float64) {
-	r.Samples = append(r.Samples, v)
-	if len(r.Samples) > 15 {
+// Add records the run time of a task that has completed.
+func (r *runTimeStats) Add(seconds float64) {
+	r.Samples = append(r.Samples, seconds)
+	if len(r.Samples) > runTimeSamples {
 		r.Samples = r.Samples[1:]
 	}
-	c := slices.Clone(r.Samples)
-	slices.Sort(c)
-	r.medianSeconds = c[len(c)/2]
+	sorted := slices.Clone(r.Samples)
+	slices.Sort(sorted)
+	r.medianSeconds = sorted[len(sorted)/2]
 }
 
+// Median returns the median of the run times; 0 if there are none.
 func (r *runTimeStats) Median() float64 { return r.medianSeconds }
 
-// slowStats counts completions of a machine against its peers'.
+// measured reports whether there are run times.
+func (r *runTimeStats) measured() bool { return len(r.Samples) > 0 }
+
+// slowRunCounts counts a machine's completions by how they compare with the run times of
+// their job's other tasks.
 type slowRunCounts struct{ Slow, Normal int }
+
+// ExpectedSeconds returns the expected run time of a task: what was measured, else what
+// the owner says.
+func (j *Job) ExpectedSeconds() float64 {
+	if j.RunTimes.measured() {
+		return j.RunTimes.Median()
+	}
+	return float64(j.Spec.ExpectedRunTime)
+}
+
+// ExpectedRemainingSeconds returns in how many seconds a task is expected to end by itself;
+// infinity for a replica of a service, and for a task that does not run yet. Until some of
+// its job's tasks are done there is only the owner's estimate, which is often too short.
+func (a *Attempt) ExpectedRemainingSeconds(now time.Time) float64 {
+	if a.RunningSince.IsZero() || a.Job.Spec.Service() {
+		return math.Inf(1)
+	}
+	expected := a.Job.ExpectedSeconds()
+	if !a.Job.RunTimes.measured() {
+		expected *= ownerEstimateFactor
+	}
+	return max(expected/minRemainingDivisor, expected-now.Sub(a.RunningSince).Seconds())
+}
+
+// PlannedRemainingSeconds returns in how many seconds the attempt is expected to end by its
+// run time alone, one at least.
+func (a *Attempt) PlannedRemainingSeconds(now time.Time) float64 {
+	remaining := a.Job.ExpectedSeconds()
+	if !a.RunningSince.IsZero() {
+		remaining -= now.Sub(a.RunningSince).Seconds()
+	}
+	return max(remaining, minPlannedSeconds)
+}
--- /dev/null
+++ b/internal/leader/cluster/stop.go
@@ -0,0 +1,38 @@
+package cluster
+
+import "lilaclead/internal/wire"
+
+// EvictionReason says why a task left its machine, or is stopped there. It is a label of
+// lilaclead_moves_total. A machine that is faulty or slow stops tasks with its DrainReason.
+type EvictionReason string
+
+// The reasons of evictions.
+const (
+	// EvictedMissing: its machine no longer reports it.
+	EvictedMissing          EvictionReason = "gone"
+	EvictedMachineRemoved   EvictionReason = "machine gone"
+	EvictedLeaseExpired     EvictionReason = "lease ran out"
+	EvictedCancelled        EvictionReason = "cancelled"
+	EvictedPreempted        EvictionReason = "makes room"
+	EvictedBeforeReclaim    EvictionReason = "saves before its machine is taken"
+	EvictedMachineReclaimed EvictionReason = "its machine is taken"
+	EvictedGangIncomplete   EvictionReason = "its gang is not complete"
+	EvictedByEarlierLeader  EvictionReason = "an earlier leader stops its gang"
+)
+
+// checkpointMargin is what a grace period leaves beyond the time to save a checkpoint.
+const checkpointMargin wire.Seconds = 2
+
+// GracePeriodOf returns how long a task of the job is given to save a checkpoint; 0 if it
+// saves none. That of a gang is longer: each task has its time to save, and what is saved
+// waits for the others.
+func (s *State) GracePeriodOf(j *Job) wire.Seconds {
+	if j.Spec.CheckpointInterval <= 0 {
+		return 0
+	}
+	grace := j.Spec.CheckpointTime + checkpointMargin
+	if j.Spec.Gang() {
+		grace += s.Settings.Workers.GangPeerTimeout
+	}
+	return grace
+}
