--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -33,21 +33,8 @@
 	// LaunchSent: a launch of this term was sent, the last one to LaunchEpoch of the agent.
 	LaunchSent  bool
 	LaunchEpoch wire.AgentEpoch
-	// LaunchInFlight: a direct command with the launch waits for its answer.
-	LaunchInFlight bool
-	// LaunchUnanswered: a direct command with the launch was never answered; the last such
-	// carried UnansweredLaunchToken.
-	LaunchUnanswered      bool
-	UnansweredLaunchToken wire.FencingToken
-	// ReplyEpoch and ReplySequence identify the last heartbeat whose reply carried the
-	// launch; a sequence of 0: none did, or that reply can have no effect any more.
-	ReplyEpoch      wire.AgentEpoch
-	ReplySequence   wire.Sequence
-	Stopping        bool
-	StopRequestedAt time.Time // when it was first wanted
-	StopSentAt      time.Time // when the command was last sent; zero: it is still to be
-	GracePeriod     wire.Seconds
-	StopReason      EvictionReason
+	LaunchDelivery
+	StopRequest
 }
 
 // Task returns the task that the attempt is one of.
@@ -59,8 +46,8 @@
 func (a *Attempt) Resources() placement.Resources { return placement.ResourcesOf(&a.Job.Spec) }
 
 // ActiveAttempt returns the attempt of a task; nil if it has none.
-func (s *State) ActiveAttempt(task wire.Task) *Attempt {
-	j := s.Jobs[task.Job]
+func (t *JobTable) ActiveAttempt(task wire.Task) *Attempt {
+	j := t.Jobs[task.Job]
 	if j == nil {
 		return nil
 	}
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -34,10 +34,16 @@
 	FirstPending int              // no earlier task is pending
 	// UnstoredAttempts is how many of the attempts are not stored yet.
 	UnstoredAttempts int
-	Revision         wire.Revision // of the record; 0: there is none
-	Dirty            bool          // differs from what is stored or being stored
-	DirtySince       time.Time     // when it came to differ from what is stored
-	WriteInFlight    bool          // being written
+	ChunkRecordState
+}
+
+// ChunkRecordState is the state of a chunk with regard to its record in the key-value store.
+// The reader and the writer of progress records write it, and MarkDirty.
+type ChunkRecordState struct {
+	Revision      wire.Revision // of the record; 0: there is none
+	Dirty         bool          // differs from what is stored or being stored
+	DirtySince    time.Time     // when it came to differ from what is stored
+	WriteInFlight bool          // being written
 	// WriteNotBefore: the chunk is not written before, as the store refused to write it in
 	// a transaction of its own.
 	WriteNotBefore time.Time
--- a/internal/leader/cluster/chunk_layout.go
+++ b/internal/leader/cluster/chunk_layout.go
@@ -5,7 +5,7 @@
 	"lilaclead/internal/wire"
 )
 
-// A job's tasks are divided into chunks. The chunks' size is fixed when the job is
+// ChunkLayout divides a job's tasks into chunks. The chunks' size is fixed when the job is
 // accepted, by the limit on values in the store at that time. If that limit drops later, a
 // chunk may be too large to be written again. Then the job's chunks become several smaller
 // ones in memory (Job.Split), which are stored as sub-chunks beside the chunk that they
@@ -15,6 +15,15 @@
 //
 // An earlier version takes sub-chunks for leftovers of a job and deletes them: they are
 // written only once the store has refused a chunk, after all nodes have this version.
+type ChunkLayout struct {
+	// Chunks are made when they are first used, by Job.Chunk; nil until then.
+	Chunks        []*Chunk
+	TasksPerChunk int
+	// SubchunksPerChunk is into how many sub-chunks each chunk was split; 0: none was.
+	SubchunksPerChunk int
+	// baseRevisions are the revisions of the chunks' records at the split, by chunk.
+	baseRevisions []wire.Revision
+}
 
 // chunkCount returns how many chunks of a size the tasks need.
 func chunkCount(tasks, tasksPerChunk int) int {
@@ -69,9 +78,12 @@
 // records stay in the store.
 func (j *Job) Split(size int) {
 	old, subchunks := j.Chunks, j.TasksPerChunk/size
-	j.SubchunksPerChunk, j.TasksPerChunk = subchunks, size
-	j.baseRevisions = make([]wire.Revision, len(old))
-	j.Chunks = make([]*Chunk, chunkCount(j.Spec.Tasks, size))
+	j.ChunkLayout = ChunkLayout{
+		Chunks:            make([]*Chunk, chunkCount(j.Spec.Tasks, size)),
+		TasksPerChunk:     size,
+		SubchunksPerChunk: subchunks,
+		baseRevisions:     make([]wire.Revision, len(old)),
+	}
 	j.FirstPendingChunk = 0
 	for _, c := range old {
 		if c == nil {
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -13,9 +13,20 @@
 
 // Job is a job that is accepted and not archived yet.
 type Job struct {
-	Spec           wire.JobSpec
-	AcceptedAt     time.Time
-	Gang           *Gang // its attempt that may be on machines; nil: none
+	Spec       wire.JobSpec
+	AcceptedAt time.Time
+	Gang       *Gang // its attempt that may be on machines; nil: none
+	JobRecordState
+	ChunkLayout
+	TaskCounts
+	StartHistory
+	JobFailures
+}
+
+// JobRecordState is the state of a job with regard to its record in the key-value store.
+// Recovery, the watch on job records and cancellations write it, and the writer and the
+// committer of progress records what concerns the job's end.
+type JobRecordState struct {
 	Revision       wire.Revision
 	RecordOutdated bool // the record has changed in a way not yet read
 	RecordDeleted  bool // the watch has shown that the record is gone
@@ -26,22 +37,31 @@
 	// WriteNotBefore: the job's end is not written before, as the store refused to write
 	// it in a transaction of its own.
 	WriteNotBefore time.Time
-	// Chunks are made when they are first used, by Job.Chunk; nil until then.
-	Chunks        []*Chunk
-	TasksPerChunk int
-	// SubchunksPerChunk is into how many sub-chunks each chunk was split; 0: none was.
-	SubchunksPerChunk int
-	// baseRevisions are the revisions of the chunks' records at the split, by chunk.
-	baseRevisions    []wire.Revision
+}
+
+// TaskCounts counts the tasks of a job by state. Chunk.Add and Attempt.Detach, EndAttempt
+// and CompleteGang keep them; the scheduler counts what it starts as not stored, the
+// committer as stored, and the reader of progress records what is done.
+type TaskCounts struct {
 	DoneTasks        int
 	ActiveTasks      int
 	UnstoredAttempts int // active ones whose attempt is not stored yet
 	// FirstPendingChunk: no task of an earlier chunk is pending.
 	FirstPendingChunk int
-	HasRun            bool         // a task of it was seen running; set by reconciliation
-	LastStartAt       time.Time    // when the scheduler last decided on a task of it
-	RunTimes          runTimeStats // of completed tasks; written by reconciliation
-	lastActiveAt      time.Time    // when a task of it was last on a machine; set by EndAttempt
+}
+
+// StartHistory is what is known in this term of the starts and runs of a job's tasks.
+type StartHistory struct {
+	HasRun       bool         // a task of it was seen running; set by reconciliation
+	LastStartAt  time.Time    // when the scheduler last decided on a task of it
+	RunTimes     runTimeStats // of completed tasks; written by reconciliation
+	lastActiveAt time.Time    // when a task of it was last on a machine; set by EndAttempt
+}
+
+// JobFailures is what tells a job that fails wherever it runs from a faulty machine.
+// Reconciliation writes it as tasks exit; StartNotBefore is also set when a start is
+// refused by a machine, or by the store for its size.
+type JobFailures struct {
 	// FailedMachines are those on which a task of the job failed since the last success.
 	FailedMachines map[wire.MachineID]bool
 	Failures       int  // since the last success
@@ -54,11 +74,13 @@
 func NewJob(rec store.JobRecord, revision wire.Revision) *Job {
 	chunkTasks := rec.ChunkTasks()
 	return &Job{
-		Spec:          rec.Spec,
-		AcceptedAt:    monotonicTime(rec.AcceptedAt.Time()),
-		Revision:      revision,
-		TasksPerChunk: chunkTasks,
-		Chunks:        make([]*Chunk, chunkCount(rec.Spec.Tasks, chunkTasks)),
+		Spec:           rec.Spec,
+		AcceptedAt:     monotonicTime(rec.AcceptedAt.Time()),
+		JobRecordState: JobRecordState{Revision: revision},
+		ChunkLayout: ChunkLayout{
+			TasksPerChunk: chunkTasks,
+			Chunks:        make([]*Chunk, chunkCount(rec.Spec.Tasks, chunkTasks)),
+		},
 	}
 }
 
--- a/internal/leader/cluster/launch.go
+++ b/internal/leader/cluster/launch.go
@@ -6,6 +6,22 @@
 	"lilaclead/internal/wire"
 )
 
+// LaunchDelivery is what may still deliver a launch of an attempt that this term has sent:
+// a direct command that is under way or was never answered, or the reply to a heartbeat.
+// The dispatcher of commands and reconciliation write it.
+type LaunchDelivery struct {
+	// LaunchInFlight: a direct command with the launch waits for its answer.
+	LaunchInFlight bool
+	// LaunchUnanswered: a direct command with the launch was never answered; the last such
+	// carried UnansweredLaunchToken.
+	LaunchUnanswered      bool
+	UnansweredLaunchToken wire.FencingToken
+	// ReplyEpoch and ReplySequence identify the last heartbeat whose reply carried the
+	// launch; a sequence of 0: none did, or that reply can have no effect any more.
+	ReplyEpoch    wire.AgentEpoch
+	ReplySequence wire.Sequence
+}
+
 // LaunchMayTakeEffect reports whether a launch of the attempt may still take effect on the
 // agent after it made this heartbeat. sentByAgent tells a heartbeat that the agent sent
 // by itself from one that answers a direct command.
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -11,11 +11,39 @@
 
 // Machine is what the term knows of one machine.
 type Machine struct {
-	ID          wire.MachineID
+	ID wire.MachineID
+	MachineAttributes
+	AgentProgress
+	ContactTimes
+	Provisioning
+	DrainState
+	CommandDelivery
+	MachineFailures
+
+	// Tasks are the attempts that may be on the machine, kept by Chunk.Add and
+	// Attempt.Detach; usedResources is what they take.
+	Tasks         map[wire.Task]*Attempt
+	usedResources placement.Resources
+	// OrphanTasks are tasks in its last heartbeat that this term has no such attempt of.
+	OrphanTasks map[wire.Task]bool
+	Images      ImageCache
+	// Reservations are the scheduler's.
+	Reservations []Reservation
+	LastUsedAt   time.Time // when a task was last on it
+}
+
+// MachineAttributes is what a machine is and where it can be reached, by its last
+// heartbeat. Until the first one it is what was asked of the cloud, or the machine list.
+type MachineAttributes struct {
 	Addr        string
 	MachineType wire.MachineType
 	Zone        wire.Zone
 	Spot        bool
+}
+
+// AgentProgress is how far a machine's agent has come by its last heartbeat. Reconciliation
+// writes it.
+type AgentProgress struct {
 	Epoch       wire.AgentEpoch
 	Sequence    wire.Sequence
 	Token       wire.FencingToken // the highest that it has shown
@@ -23,7 +51,12 @@
 	EpochSince  time.Time         // when its epoch became known
 	// Restarted: the machine restarted, and its agent counts from the start again, so that
 	// its heartbeats can't be told from late copies. It is scaled in.
-	Restarted          bool
+	Restarted bool
+}
+
+// ContactTimes is when and by which way a machine was last in contact. Reconciliation
+// writes it, and the liveness monitor the time of verification.
+type ContactTimes struct {
 	FirstHeartbeatAt   time.Time // first heartbeat in this term
 	DirectHeartbeatAt  time.Time // last heartbeat that the agent sent to this node
 	RelayedHeartbeatAt time.Time // last heartbeat through another node
@@ -36,64 +69,57 @@
 	// LastVerifiedAt is when it was last probed directly because of what its heartbeats
 	// show, for instance one that is not newer than what is known.
 	LastVerifiedAt time.Time
-	Booting        bool      // it has never sent a heartbeat, as far as is known
-	RequestedAt    time.Time // when it was asked of the cloud
-	ListedAt       time.Time // when a list last had it; else when it became known
-	FailedInCloud  bool      // the list has it as stopped by itself
-	ReclaimAt      time.Time // when the cloud reclaims it; zero: no spot notice
-	// DrainReason says why the machine takes nothing new; empty: it does. Reconciliation
-	// and the autoscaler set it, for good: the first reason stands, unless an earlier
-	// leader's scale-in is adopted.
-	DrainReason DrainReason
-	// ScalingIn: the machine is being returned to the cloud. The autoscaler sets it, for
-	// good.
-	ScalingIn bool
-	// Cordoned: the capacity plan keeps the machine free, see fleet.Plan. The scheduler
-	// sets it anew with every plan.
-	Cordoned         bool
+}
+
+// Provisioning is the machine in the cloud's view. The autoscaler and the inventory of
+// machine lists write it; reconciliation ends Booting and takes in spot notices.
+type Provisioning struct {
+	Booting       bool      // it has never sent a heartbeat, as far as is known
+	RequestedAt   time.Time // when it was asked of the cloud
+	ListedAt      time.Time // when a list last had it; else when it became known
+	FailedInCloud bool      // the list has it as stopped by itself
+	ReclaimAt     time.Time // when the cloud reclaims it; zero: no spot notice
+}
+
+// CommandDelivery is whether direct commands reach the machine. The dispatcher of commands,
+// the term's loop and reconciliation write it.
+type CommandDelivery struct {
 	CommandInFlight  bool // a direct command is under way
 	UnansweredProbes int  // direct commands without an answer since LastMessageAt
 	RelayUnanswered  bool // the last of these went through another node, in vain too
 	// UnansweredLaunch covers the launches that were never answered.
 	UnansweredLaunch UnansweredCommand
 	Inbound          detector.Inbound
-	FailedJobs       map[wire.JobID]bool // jobs that failed on it since the last success
-	Failures         int                 // of tasks since the last success
-	SlowRuns         slowRunCounts
+}
+
+// MachineFailures is what tells a faulty or slow machine from a job that fails by itself.
+// Reconciliation writes it as tasks exit.
+type MachineFailures struct {
+	FailedJobs map[wire.JobID]bool // jobs that failed on it since the last success
+	Failures   int                 // of tasks since the last success
+	SlowRuns   slowRunCounts
 	// RefusedUntil: it refused a start, and gets no further one until then.
 	RefusedUntil time.Time
-
-	// Tasks are the attempts that may be on the machine, kept by Chunk.Add and
-	// Attempt.Detach; usedResources is what they take.
-	Tasks         map[wire.Task]*Attempt
-	usedResources placement.Resources
-	// OrphanTasks are tasks in its last heartbeat that this term has no such attempt of.
-	OrphanTasks map[wire.Task]bool
-	Images      ImageCache
-	// Reservations are the scheduler's.
-	Reservations []Reservation
-	LastUsedAt   time.Time // when a task was last on it
 }
 
 // GetOrAddMachine returns the entry of a machine, which is made if there is none.
-func (s *State) GetOrAddMachine(id wire.MachineID) *Machine {
-	m := s.Machines[id]
+func (t *MachineTable) GetOrAddMachine(id wire.MachineID) *Machine {
+	m := t.Machines[id]
 	if m == nil {
 		m = newMachine(id, time.Now())
-		s.Machines[id] = m
+		t.Machines[id] = m
 	}
 	return m
 }
 
 func newMachine(id wire.MachineID, now time.Time) *Machine {
 	return &Machine{
-		ID:          id,
-		Tasks:       map[wire.Task]*Attempt{},
-		OrphanTasks: map[wire.Task]bool{},
-		LastUsedAt:  now,
-		RequestedAt: now,
-		ListedAt:    now,
-		FailedJobs:  map[wire.JobID]bool{},
+		ID:              id,
+		Tasks:           map[wire.Task]*Attempt{},
+		OrphanTasks:     map[wire.Task]bool{},
+		LastUsedAt:      now,
+		Provisioning:    Provisioning{RequestedAt: now, ListedAt: now},
+		MachineFailures: MachineFailures{FailedJobs: map[wire.JobID]bool{}},
 	}
 }
 
@@ -117,7 +143,7 @@
 }
 
 // HoldsReplicas reports whether a machine holds replicas of services.
-func (s *State) HoldsReplicas(m *Machine) bool {
+func (t *MachineTable) HoldsReplicas(m *Machine) bool {
 	for _, a := range m.Tasks {
 		if a.Job.Spec.Service() {
 			return true
--- a/internal/leader/cluster/machine_lifecycle.go
+++ b/internal/leader/cluster/machine_lifecycle.go
@@ -1,5 +1,20 @@
 package cluster
 
+// DrainState is whether a machine takes new tasks, and why not. A drained machine is
+// scaled in once it is empty.
+type DrainState struct {
+	// DrainReason says why the machine takes nothing new; empty: it does. Reconciliation
+	// and the autoscaler set it, for good: the first reason stands, unless an earlier
+	// leader's scale-in is adopted.
+	DrainReason DrainReason
+	// ScalingIn: the machine is being returned to the cloud. The autoscaler sets it, for
+	// good.
+	ScalingIn bool
+	// Cordoned: the capacity plan keeps the machine free, see fleet.Plan. The scheduler
+	// sets it anew with every plan.
+	Cordoned bool
+}
+
 // DrainReason says why a machine takes nothing new, or is scaled in; empty: it takes tasks.
 type DrainReason string
 
@@ -23,9 +38,9 @@
 )
 
 // MachineStateCounts counts the machines in each state, for the metrics.
-func (s *State) MachineStateCounts() map[string]int {
+func (t *MachineTable) MachineStateCounts() map[string]int {
 	counts := map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}
-	for _, m := range s.Machines {
+	for _, m := range t.Machines {
 		switch {
 		case m.ScalingIn:
 			counts["releasing"]++
--- a/internal/leader/cluster/quarantine.go
+++ b/internal/leader/cluster/quarantine.go
@@ -7,11 +7,11 @@
 
 // Quarantined reports whether a job is quarantined. A cancelled one is not: whatever of it
 // is on machines is to be stopped.
-func (s *State) Quarantined(id wire.JobID) bool {
-	if !s.QuarantinedJobs[id] {
+func (t *JobTable) Quarantined(id wire.JobID) bool {
+	if !t.QuarantinedJobs[id] {
 		return false
 	}
-	j := s.Jobs[id]
+	j := t.Jobs[id]
 	return j == nil || !j.Cancelled
 }
 
@@ -20,9 +20,9 @@
 // of it is started, written, stopped or forgotten until the job is cancelled, or a version
 // that can decode the record leads: it may have been written by a later one. All other jobs
 // go on.
-func (s *State) Quarantine(key string, id wire.JobID) {
-	s.QuarantinedJobs[id] = true
-	if j := s.Jobs[id]; j != nil && key == store.JobKey(id) {
+func (t *JobTable) Quarantine(key string, id wire.JobID) {
+	t.QuarantinedJobs[id] = true
+	if j := t.Jobs[id]; j != nil && key == store.JobKey(id) {
 		j.RecordOutdated = true // a write that is guarded by what was known of it would fail
 	}
 }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -21,6 +21,21 @@
 	TermStartedAt time.Time
 	FirstToken    wire.FencingToken
 
+	JobTable
+	MachineTable
+	TermReadiness
+	LeaseRenewal
+
+	// ActiveVersion is the version of the behaviour that the leader acts by.
+	ActiveVersion upgrade.Version
+
+	Unsaved unsavedChanges
+	Cycle   cycleTimer
+}
+
+// JobTable indexes the jobs of a term. Recovery and the watch on job records add jobs;
+// the committer of progress records removes them once they are archived.
+type JobTable struct {
 	Jobs map[wire.JobID]*Job
 	// ArchivedJobs are jobs that were archived in this term, of which late events of the
 	// watch may still come.
@@ -32,11 +47,22 @@
 	// BrokenGangs are gangs that lost a task, which is not handled yet. EndAttempt and
 	// RestoreGang add to it, the dispatcher of commands empties it.
 	BrokenGangs map[*Job]struct{}
-	Machines    map[wire.MachineID]*Machine
+}
+
+// MachineTable indexes the machines of a term. Machines are added when a scale-out is
+// requested, or when a record, a heartbeat or the cloud's machine list first names them,
+// and removed when the cloud has confirmed their scale-in.
+type MachineTable struct {
+	Machines map[wire.MachineID]*Machine
 	// RemovedMachines are the machines whose scale-in the cloud has confirmed, and when.
 	// The machine list lags, and may show them for a while.
 	RemovedMachines map[wire.MachineID]time.Time
 	ZoneDetector    *detector.Zones
+}
+
+// TermReadiness is how far the beginning of a term has come. The term's loop, the recovery
+// of records and the inventory of machine lists write it; apart from the time of the list each item is set once.
+type TermReadiness struct {
 	// QuorumAckedAt is when a quorum first acknowledged this term's fencing token.
 	QuorumAckedAt time.Time
 	// Recovered is set when the records have been read.
@@ -47,6 +73,11 @@
 	// MachineListRequestedAt is when the last one that did was asked for.
 	MachineListReceived    bool
 	MachineListRequestedAt time.Time
+}
+
+// LeaseRenewal is what bounds the renewal of machines' leases by others than this leader,
+// or without the store. The term's loop and the liveness monitor write it.
+type LeaseRenewal struct {
 	// Delegation bounds for how long leases may be renewed on a leader's behalf.
 	Delegation delegation.Bounds
 	// DelegatesRenewedUntil is the latest time at which another node can have renewed
@@ -55,30 +86,28 @@
 	// StoreAvailableSince is when the key-value store was last reachable again after an
 	// outage; zero: there was none in this term.
 	StoreAvailableSince time.Time
-
-	// ActiveVersion is the version of the behaviour that the leader acts by.
-	ActiveVersion upgrade.Version
-
-	Unsaved unsavedChanges
-	Cycle   cycleTimer
 }
 
 // NewState returns the empty state of a term.
 func NewState(settings *config.Settings, catalog *MachineCatalog, startedAt time.Time, token wire.FencingToken) *State {
 	return &State{
-		Settings:        settings,
-		Catalog:         catalog,
-		TermStartedAt:   startedAt,
-		FirstToken:      token,
-		Jobs:            map[wire.JobID]*Job{},
-		ArchivedJobs:    map[wire.JobID]bool{},
-		QuarantinedJobs: map[wire.JobID]bool{},
-		CancelledJobs:   map[*Job]struct{}{},
-		BrokenGangs:     map[*Job]struct{}{},
-		Machines:        map[wire.MachineID]*Machine{},
-		RemovedMachines: map[wire.MachineID]time.Time{},
-		ZoneDetector:    detector.NewZones(startedAt, settings.Workers.HeartbeatInterval.Duration()),
-		Unsaved:         newUnsavedChanges(),
+		Settings:      settings,
+		Catalog:       catalog,
+		TermStartedAt: startedAt,
+		FirstToken:    token,
+		JobTable: JobTable{
+			Jobs:            map[wire.JobID]*Job{},
+			ArchivedJobs:    map[wire.JobID]bool{},
+			QuarantinedJobs: map[wire.JobID]bool{},
+			CancelledJobs:   map[*Job]struct{}{},
+			BrokenGangs:     map[*Job]struct{}{},
+		},
+		MachineTable: MachineTable{
+			Machines:        map[wire.MachineID]*Machine{},
+			RemovedMachines: map[wire.MachineID]time.Time{},
+			ZoneDetector:    detector.NewZones(startedAt, settings.Workers.HeartbeatInterval.Duration()),
+		},
+		Unsaved: newUnsavedChanges(),
 	}
 }
 
--- a/internal/leader/cluster/stop.go
+++ b/internal/leader/cluster/stop.go
@@ -1,6 +1,20 @@
 package cluster
 
-import "lilaclead/internal/wire"
+import (
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// StopRequest is the wish to stop an attempt. The dispatcher of commands writes it. It
+// stands until the attempt has ended, and is renewed only with a shorter grace period.
+type StopRequest struct {
+	Stopping        bool
+	StopRequestedAt time.Time // when it was first wanted
+	StopSentAt      time.Time // when the command was last sent; zero: it is still to be
+	GracePeriod     wire.Seconds
+	StopReason      EvictionReason
+}
 
 // EvictionReason says why a task left its machine, or is stopped there. It is a label of
 // lilaclead_moves_total. A machine that is faulty or slow stops tasks with its DrainReason.
