--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -26,6 +26,16 @@
 	GracePeriod                       wire.Seconds
 }
 
+// ending reports whether the gang does not start any more: it has lost a task, or its
+// tasks are saving a checkpoint before they stop.
+func (g *Gang) ending() bool { return g.Broken || g.StoppingGracefully }
+
+// waitsForMembers reports whether those of the gang's tasks that are on machines wait for
+// the others: the gang has not run, and the time that a task waits is not over.
+func (g *Gang) waitsForMembers(gangWait time.Duration) bool {
+	return !g.Ran && time.Since(g.StartedAt) < gangWait
+}
+
 // FullyStored reports whether every task of the gang has an attempt that is stored.
 func (j *Job) FullyStored() bool { return j.ActiveTasks == j.Spec.Tasks && j.UnstoredAttempts == 0 }
 
@@ -33,7 +43,7 @@
 // gang is stored, and no more once a task of it is lost.
 func (a *Attempt) MayLaunch() bool {
 	g := a.Job.Gang
-	return g == nil || a.Job.FullyStored() && !g.Broken && !g.StoppingGracefully
+	return g == nil || a.Job.FullyStored() && !g.ending()
 }
 
 // MayRelaunch reports whether a gang's task that its machine surely does not have, nor can
@@ -42,9 +52,13 @@
 // is lost with that task.
 func (s *State) MayRelaunch(a *Attempt) bool {
 	g := a.Job.Gang
-	wait := s.Settings.Workers.GangWait.Duration()
-	return g != nil && !a.Observed && !a.Stopping && !g.Ran && a.MayLaunch() && !a.Job.Cancelled && a.Machine.DrainReason == "" && !a.Machine.ScalingIn &&
-		time.Since(g.StartedAt) < wait
+	if g == nil || !a.MayLaunch() {
+		return false
+	}
+	if a.Observed || a.Stopping || a.Job.Cancelled {
+		return false
+	}
+	return a.Machine.staying() && g.waitsForMembers(s.Settings.Workers.GangWait.Duration())
 }
 
 // CompleteGang ends a gang of which a task has completed: they complete together.
--- a/internal/leader/cluster/launch.go
+++ b/internal/leader/cluster/launch.go
@@ -22,33 +22,69 @@
 	ReplySequence wire.Sequence
 }
 
+// launchPath names the way by which a launch of an attempt may still take effect.
+type launchPath int
+
+const (
+	// noLaunchPath: no launch can take effect any more, or none was sent.
+	noLaunchPath launchPath = iota
+	// earlierLeaderPath: an earlier leader may have sent one, which dies only by a higher
+	// fencing token.
+	earlierLeaderPath
+	// inFlightPath: a direct command is under way.
+	inFlightPath
+	// unansweredPath: a direct command was never answered. Held up on its way, it may come
+	// minutes late.
+	unansweredPath
+	// replyPath: the agent has not yet processed the reply that carried it.
+	replyPath
+)
+
 // LaunchMayTakeEffect reports whether a launch of the attempt may still take effect on the
 // agent after it made this heartbeat. sentByAgent tells a heartbeat that the agent sent
 // by itself from one that answers a direct command.
 func (s *State) LaunchMayTakeEffect(a *Attempt, heartbeat *wire.Heartbeat, sentByAgent bool) bool {
+	return s.openLaunchPath(a, heartbeat, sentByAgent) != noLaunchPath
+}
+
+// openLaunchPath returns the first way by which a launch of the attempt may still take
+// effect on the agent after it made this heartbeat.
+func (s *State) openLaunchPath(a *Attempt, heartbeat *wire.Heartbeat, sentByAgent bool) launchPath {
+	// An agent drops commands to an earlier epoch, and those with a lower token than its
+	// own.
+	epochReached := heartbeat.Epoch <= a.LaunchEpoch
 	switch {
 	case a.Unstored:
-		return false
+		return noLaunchPath // record, then launch
 	case a.Inherited && heartbeat.Token < s.FirstToken:
-		// An earlier leader's launch dies only by a higher token.
-		return true
-	case a.LaunchInFlight && heartbeat.Epoch <= a.LaunchEpoch:
-		return true
-	case a.LaunchUnanswered && heartbeat.Token <= a.UnansweredLaunchToken && heartbeat.Epoch <= a.LaunchEpoch:
-		// Held up on its way, it may come minutes late.
-		return true
-	case a.ReplySequence > 0 && a.ReplyEpoch == heartbeat.Epoch && !(sentByAgent && heartbeat.Sequence > a.ReplySequence):
-		// The agent has not yet processed the reply that carried it.
-		return true
+		return earlierLeaderPath
+	case a.LaunchInFlight && epochReached:
+		return inFlightPath
+	case a.LaunchUnanswered && epochReached && heartbeat.Token <= a.UnansweredLaunchToken:
+		return unansweredPath
+	case a.launchedByReplyTo(heartbeat.Epoch) && !a.replyProcessed(heartbeat, sentByAgent):
+		return replyPath
 	}
-	return false
+	return noLaunchPath
+}
+
+// launchedByReplyTo reports whether the reply to a heartbeat of the epoch carried the launch.
+func (d *LaunchDelivery) launchedByReplyTo(epoch wire.AgentEpoch) bool {
+	return d.ReplySequence > 0 && d.ReplyEpoch == epoch
+}
+
+// replyProcessed reports whether the agent was done with the reply that carried the launch
+// when it made this heartbeat. An agent sends its next heartbeat only then; an answer to a
+// direct command shows nothing of it, however late it is.
+func (d *LaunchDelivery) replyProcessed(heartbeat *wire.Heartbeat, sentByAgent bool) bool {
+	return sentByAgent && heartbeat.Sequence > d.ReplySequence
 }
 
 // MissesLaunch reports whether an earlier reply carried a launch that the machine should
 // know of by now, and the heartbeat lacks it.
 func (m *Machine) MissesLaunch(heartbeat *wire.Heartbeat) bool {
 	for task, a := range m.Tasks {
-		expected := !a.Observed && a.ReplySequence > 0 && a.ReplyEpoch == heartbeat.Epoch && heartbeat.Sequence > a.ReplySequence
+		expected := !a.Observed && a.launchedByReplyTo(heartbeat.Epoch) && heartbeat.Sequence > a.ReplySequence
 		if expected && !listsAttempt(heartbeat, task, a.Number) {
 			return true
 		}
--- a/internal/leader/cluster/launch_test.go
+++ b/internal/leader/cluster/launch_test.go
@@ -9,10 +9,10 @@
 func TestLaunchMayTakeEffectWhileAPathToTheAgentIsOpen(t *testing.T) {
 	const oldToken = testToken - 1
 	tests := map[string]struct {
-		prepare   func(a *Attempt)
-		heartbeat wire.Heartbeat
-		viaHello  bool
-		want      bool
+		prepare     func(a *Attempt)
+		heartbeat   wire.Heartbeat
+		sentByAgent bool
+		want        launchPath
 	}{
 		"nothing was sent": {
 			prepare:   func(a *Attempt) {},
@@ -31,7 +31,7 @@
 		"inherited and the agent has an earlier leader's token": {
 			prepare:   func(a *Attempt) { a.Inherited = true },
 			heartbeat: wire.Heartbeat{Epoch: 1, Sequence: 5, Token: oldToken},
-			want:      true,
+			want:      earlierLeaderPath,
 		},
 		"inherited and the agent has this term's token": {
 			prepare:   func(a *Attempt) { a.Inherited = true },
@@ -40,7 +40,7 @@
 		"in flight to the agent's epoch": {
 			prepare:   func(a *Attempt) { a.LaunchInFlight, a.LaunchEpoch = true, 2 },
 			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
-			want:      true,
+			want:      inFlightPath,
 		},
 		"in flight to an earlier epoch": {
 			prepare:   func(a *Attempt) { a.LaunchInFlight, a.LaunchEpoch = true, 2 },
@@ -49,7 +49,7 @@
 		"unanswered with the agent's token and epoch": {
 			prepare:   func(a *Attempt) { a.LaunchUnanswered, a.UnansweredLaunchToken, a.LaunchEpoch = true, testToken, 2 },
 			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
-			want:      true,
+			want:      unansweredPath,
 		},
 		"unanswered and the agent has a higher token": {
 			prepare:   func(a *Attempt) { a.LaunchUnanswered, a.UnansweredLaunchToken, a.LaunchEpoch = true, testToken, 2 },
@@ -62,18 +62,18 @@
 		"in a reply, and a later state came as the answer to a command": {
 			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
 			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
-			want:      true,
+			want:      replyPath,
 		},
 		"in a reply, and the same heartbeat came again": {
-			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
-			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
-			viaHello:  true,
-			want:      true,
+			prepare:     func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			heartbeat:   wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
+			sentByAgent: true,
+			want:        replyPath,
 		},
 		"in a reply, and the agent has sent its next heartbeat": {
-			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
-			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
-			viaHello:  true,
+			prepare:     func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			heartbeat:   wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
+			sentByAgent: true,
 		},
 		"in a reply to another epoch": {
 			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
@@ -85,8 +85,12 @@
 			s := newTestState(t)
 			a := addTestAttempt(addTestJob(s, wire.KindArray, 1, 1), 0, s.GetOrAddMachine("n-1"), 7)
 			tt.prepare(a)
-			if got := s.LaunchMayTakeEffect(a, &tt.heartbeat, tt.viaHello); got != tt.want {
-				t.Errorf("LaunchMayTakeEffect(%+v, viaHello %v) = %v, want %v", tt.heartbeat, tt.viaHello, got, tt.want)
+			if got := s.openLaunchPath(a, &tt.heartbeat, tt.sentByAgent); got != tt.want {
+				t.Errorf("open path after %+v, sent by the agent %v = %v, want %v", tt.heartbeat, tt.sentByAgent, got, tt.want)
+			}
+			want := tt.want != noLaunchPath
+			if got := s.LaunchMayTakeEffect(a, &tt.heartbeat, tt.sentByAgent); got != want {
+				t.Errorf("LaunchMayTakeEffect(%+v, sent by the agent %v) = %v, want %v", tt.heartbeat, tt.sentByAgent, got, want)
 			}
 		})
 	}
--- a/internal/leader/cluster/machine_lifecycle.go
+++ b/internal/leader/cluster/machine_lifecycle.go
@@ -15,6 +15,9 @@
 	Cordoned bool
 }
 
+// staying reports whether the machine is neither drained nor scaled in.
+func (d *DrainState) staying() bool { return d.DrainReason == "" && !d.ScalingIn }
+
 // DrainReason says why a machine takes nothing new, or is scaled in; empty: it takes tasks.
 type DrainReason string
 
@@ -37,20 +40,44 @@
 	DrainUncancellable  DrainReason = "a cancelled task could not be stopped"
 )
 
-// MachineStateCounts counts the machines in each state, for the metrics.
+// MachineLifecycle names where a machine is between scale-out and scale-in. It is a label
+// of the metric that counts machines.
+type MachineLifecycle string
+
+// The lifecycle of a machine, from the last to the first: where several hold, the first
+// one here counts.
+const (
+	// MachineReleasing: it is being scaled in.
+	MachineReleasing MachineLifecycle = "releasing"
+	// MachineDraining: it takes nothing new.
+	MachineDraining MachineLifecycle = "draining"
+	// MachineBooting: it has not sent a heartbeat yet.
+	MachineBooting MachineLifecycle = "booting"
+	// MachineUp: none of the others.
+	MachineUp MachineLifecycle = "up"
+)
+
+// Lifecycle returns where the machine is between scale-out and scale-in.
+func (m *Machine) Lifecycle() MachineLifecycle {
+	switch {
+	case m.ScalingIn:
+		return MachineReleasing
+	case m.DrainReason != "":
+		return MachineDraining
+	case m.Booting:
+		return MachineBooting
+	}
+	return MachineUp
+}
+
+// MachineStateCounts counts the machines by lifecycle, for the metrics. None is missing.
 func (t *MachineTable) MachineStateCounts() map[string]int {
-	counts := map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}
+	counts := map[string]int{}
+	for _, lifecycle := range []MachineLifecycle{MachineUp, MachineBooting, MachineDraining, MachineReleasing} {
+		counts[string(lifecycle)] = 0
+	}
 	for _, m := range t.Machines {
-		switch {
-		case m.ScalingIn:
-			counts["releasing"]++
-		case m.DrainReason != "":
-			counts["draining"]++
-		case m.Booting:
-			counts["booting"]++
-		default:
-			counts["up"]++
-		}
+		counts[string(m.Lifecycle())]++
 	}
 	return counts
 }
--- a/internal/leader/cluster/machine_test.go
+++ b/internal/leader/cluster/machine_test.go
@@ -23,6 +23,36 @@
 	}
 }
 
+func TestLifecycleOfAMachine(t *testing.T) {
+	tests := map[string]struct {
+		booting     bool
+		drain       DrainState
+		want        MachineLifecycle
+		wantStaying bool
+	}{
+		"up":                    {false, DrainState{}, MachineUp, true},
+		"cordoned":              {false, DrainState{Cordoned: true}, MachineUp, true},
+		"booting":               {true, DrainState{}, MachineBooting, true},
+		"booting, drained":      {true, DrainState{DrainReason: DrainNeverUp}, MachineDraining, false},
+		"drained":               {false, DrainState{DrainReason: DrainSlow}, MachineDraining, false},
+		"drained and scaled in": {false, DrainState{DrainReason: DrainIdle, ScalingIn: true}, MachineReleasing, false},
+		"booting and scaled in": {true, DrainState{ScalingIn: true}, MachineReleasing, false},
+		"scaled in":             {false, DrainState{ScalingIn: true}, MachineReleasing, false},
+	}
+	for name, tt := range tests {
+		t.Run(name, func(t *testing.T) {
+			m := newTestState(t).GetOrAddMachine("n-1")
+			m.Booting, m.DrainState = tt.booting, tt.drain
+			if got := m.Lifecycle(); got != tt.want {
+				t.Errorf("Lifecycle with booting %v, %+v = %q, want %q", tt.booting, tt.drain, got, tt.want)
+			}
+			if got := m.staying(); got != tt.wantStaying {
+				t.Errorf("staying with %+v = %v, want %v", tt.drain, got, tt.wantStaying)
+			}
+		})
+	}
+}
+
 func TestMachineStateCountsEachMachineOnce(t *testing.T) {
 	s := newTestState(t)
 	prepare := map[wire.MachineID]func(m *Machine){
