--- a/internal/leader/cluster/chunk_test.go
+++ b/internal/leader/cluster/chunk_test.go
@@ -119,6 +119,11 @@
 	if got := visit(1); got != nil {
 		t.Errorf("with none pending = %v, want none", got)
 	}
+	for n, want := range []int{3, 3, 1} {
+		if got := j.Chunk(n).FirstPending; got != want || j.FirstPendingChunk != 3 {
+			t.Errorf("first pending task of chunk %d = %d, first pending chunk %d, want %d and 3", n, got, j.FirstPendingChunk, want)
+		}
+	}
 	s.EndAttempt(j.Chunk(1).Attempts[1], TaskPending)
 	if got, want := visit(10), []int{4}; !slices.Equal(got, want) {
 		t.Errorf("after one was given back = %v, want %v", got, want)
--- a/internal/leader/cluster/gang_test.go
+++ b/internal/leader/cluster/gang_test.go
@@ -66,20 +66,20 @@
 
 func TestCompleteGangCompletesTasksWithAndWithoutAttempt(t *testing.T) {
 	s := newTestState(t)
-	j := addTestJob(s, wire.KindGang, 5, 2)
+	j := addTestJob(s, wire.KindGang, 9, 2)
 	m := s.GetOrAddMachine("n-1")
 	for _, task := range []int{0, 1, 3} {
 		addTestAttempt(j, task, m, 4)
 	}
 	j.Gang = &Gang{Number: 4}
-	j.Chunk(2).TaskStates[0], j.DoneTasks = TaskDone, 1
+	j.Chunk(4).TaskStates[0], j.DoneTasks = TaskDone, 1 // chunks 2 and 3 were never touched
 
 	s.CompleteGang(j)
 
-	if j.DoneTasks != 5 || j.ActiveTasks != 0 || len(m.Tasks) != 0 || j.Gang != nil {
-		t.Errorf("done %d, active %d, on the machine %v, gang %+v, want 5, 0, none, nil", j.DoneTasks, j.ActiveTasks, m.Tasks, j.Gang)
+	if j.DoneTasks != 9 || j.ActiveTasks != 0 || len(m.Tasks) != 0 || j.Gang != nil {
+		t.Errorf("done %d, active %d, on the machine %v, gang %+v, want 9, 0, none, nil", j.DoneTasks, j.ActiveTasks, m.Tasks, j.Gang)
 	}
-	for task := range 5 {
+	for task := range 9 {
 		if got := j.Chunk(task / 2).TaskStates[task%2]; got != TaskDone {
 			t.Errorf("state of task %d = %d, want %d", task, got, TaskDone)
 		}
@@ -87,7 +87,7 @@
 	if _, marked := s.Unsaved.FinishedJobs[j]; !j.Finished || !marked {
 		t.Errorf("finished = %v, to be archived = %v, want both", j.Finished, marked)
 	}
-	for n, want := range []bool{true, true, false} {
+	for n, want := range []bool{true, true, true, true, false} {
 		if got := j.Chunk(n).Dirty; got != want {
 			t.Errorf("chunk %d to be written = %v, want %v", n, got, want)
 		}
