--- a/internal/leader/agents/dispatcher.go
+++ b/internal/leader/agents/dispatcher.go
@@ -22,7 +22,7 @@
 // MaxCommands keeps an answer, or a command, within the size that workers take.
 const MaxCommands = 400
 
-// commands for the answer to a report: whatever has not been shown to have
+// CommandsFor returns the commands for the answer to a report: whatever has not been shown to have
 // arrived is repeated.
 func (dp *Dispatcher) CommandsFor(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
 	out := dp.StopCommands(m, []wire.Command{}, now)
@@ -74,7 +74,7 @@
 	return out
 }
 
-// dispatcher.mayForget: the outcome is stored, and no launch that could start the
+// mayForget: the outcome is stored, and no launch that could start the
 // attempt again is under way to the worker. A forgotten attempt that is
 // launched late would run once more.
 func (dp *Dispatcher) mayForget(m *cluster.Machine, task wire.Task, rep *wire.Heartbeat) bool {
--- /dev/null
+++ b/internal/leader/autoscaler/package_doc.go
@@ -0,0 +1,2 @@
+// Package autoscaler scales the cluster out and in by asking the cloud.
+package autoscaler
--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// attempt that holds a task; nil if none does.
+// ActiveAttempt returns the attempt that holds a task; nil if none does.
 func (s *State) ActiveAttempt(task wire.Task) *Attempt {
 	j := s.Jobs[task.Job]
 	if j == nil || j.Chunks[task.Index/j.TasksPerChunk] == nil {
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -126,7 +126,7 @@
 	return 0
 }
 
-// grace of a gang: each has its time to save, and what is saved waits for the
+// GracePeriodOf returns the grace of a gang: each has its time to save, and what is saved waits for the
 // others.
 func (s *State) GracePeriodOf(j *Job) wire.Seconds {
 	w := gracePeriodOf(j)
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -103,7 +103,7 @@
 	return out
 }
 
-// states counts the machines in each state, for the metrics.
+// MachineStateCounts counts the machines in each state, for the metrics.
 func (s *State) MachineStateCounts() map[string]int {
 	n := map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}
 	for _, m := range s.Machines {
--- /dev/null
+++ b/internal/leader/core/package_doc.go
@@ -0,0 +1,2 @@
+// Package core holds what the parts of a term share.
+package core
--- a/internal/leader/progress/reader.go
+++ b/internal/leader/progress/reader.go
@@ -26,7 +26,7 @@
 	r.state.Quarantine(key, id)
 }
 
-// progress.ReadAll takes in what is stored of the jobs' progress: chunks first, and then
+// ReadAll takes in what is stored of the jobs' progress: chunks first, and then
 // the sub-chunks that hold in place of a part of one.
 func (r *Reader) ReadAll(progress []wire.Entry) {
 	var subChunks []wire.Entry
@@ -43,12 +43,12 @@
 	}
 }
 
-// progress.discardLeftover notes what is left from a job that was archived in several steps.
+// discardLeftover notes what is left from a job that was archived in several steps.
 func (r *Reader) discardLeftover(e wire.Entry) {
 	r.writer.AddOrphan(wire.Guard{Key: e.Key, Revision: e.Revision})
 }
 
-// progress.readChunkEntry takes in the chunk of a job with an index.
+// readChunkEntry takes in the chunk of a job with an index.
 func (r *Reader) readChunkEntry(e wire.Entry, id wire.JobID, index int) {
 	j := r.state.Jobs[id]
 	if j == nil && r.state.Quarantined(id) {
@@ -67,7 +67,7 @@
 	r.ReadChunk(j.Chunk(index), e.Revision, &rec)
 }
 
-// progress.readSubchunkEntry takes in a sub-chunk, which holds in place of its part of a
+// readSubchunkEntry takes in a sub-chunk, which holds in place of its part of a
 // chunk that was read before.
 func (r *Reader) readSubchunkEntry(e wire.Entry) {
 	id, index, part, ok := store.ParseSubchunkKey(e.Key)
@@ -101,7 +101,7 @@
 	r.ReadChunk(c, e.Revision, &rec)
 }
 
-// progress.readChunk takes in a record of a chunk.
+// ReadChunk takes in a record of a chunk.
 func (r *Reader) ReadChunk(c *cluster.Chunk, revision wire.Revision, rec *store.ChunkRecord) {
 	j := c.Job
 	c.Revision, c.NextAttempt = revision, rec.NextAttempt
--- /dev/null
+++ b/internal/leader/reconcile/package_doc.go
@@ -0,0 +1,2 @@
+// Package reconcile compares the heartbeats of agents with what is recorded.
+package reconcile
--- /dev/null
+++ b/internal/leader/scheduling/package_doc.go
@@ -0,0 +1,2 @@
+// Package scheduling decides what starts where, and how many machines are wanted.
+package scheduling
