--- /dev/null
+++ b/internal/intake/job_state.go
@@ -0,0 +1,55 @@
+package intake
+
+import (
+	"context"
+	"errors"
+
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// state returns the state of a job, as new as the store is now: from the live
+// record if there is one, else from the final one (the package comment has the
+// reasons). The error is store.ErrMissing if the job was never accepted.
+func (in *Intake) state(ctx context.Context, id wire.JobID) (wire.JobState, error) {
+	if final, ok := in.finals.get(id); ok {
+		return final, nil
+	}
+	job, err := in.jobs.Get(ctx, id)
+	if errors.Is(err, store.ErrMissing) {
+		return in.readFinalState(ctx, id)
+	}
+	if err != nil {
+		return wire.JobState{}, err
+	}
+	live := wire.JobState{ID: id, Status: job.Status}
+	in.confirm(live)
+	return live, nil
+}
+
+// readFinalState reads the final record of a job and remembers its state.
+func (in *Intake) readFinalState(ctx context.Context, id wire.JobID) (wire.JobState, error) {
+	key := store.FinalKey(id)
+	entry, err := in.store.Get(ctx, store.User, key)
+	if err != nil {
+		return wire.JobState{}, err
+	}
+	var rec store.FinalRecord
+	if err := wire.Decode(entry.Value, &rec); err != nil {
+		in.Undecodable.Note(key, err)
+		return wire.JobState{}, err
+	}
+	final := wire.JobState{ID: id, Status: rec.Status, Done: rec.Done}
+	in.finals.put(final)
+	return final, nil
+}
+
+// confirm remembers a state that is about to be confirmed to a user. A
+// cancellation is added to the log first, so that the updates which this node
+// sends to its peers cover it.
+func (in *Intake) confirm(state wire.JobState) {
+	if state.Status == wire.Cancelled {
+		in.cancels.Add(state.ID, 0)
+	}
+	in.finals.put(state)
+}
--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -6,40 +6,43 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // gangRig is a term without I/O with a gang that saves, each of its tasks held
 // and stored on a machine of its own. Chunks have two tasks.
-func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *job) {
+func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *cluster.Job) {
 	t.Helper()
 	tm, _, single := rig(t)
-	tm.drop(single, taskPending)
-	delete(tm.jobs, single.job.spec.ID)
-	tm.settings.Workers.GangWaitS, tm.settings.Workers.GangPeerS = 40, 8
+	tm.state.EndAttempt(single, cluster.TaskPending)
+	delete(tm.state.Jobs, single.Job.Spec.ID)
+	tm.state.Settings.Workers.GangWait, tm.state.Settings.Workers.GangPeerTimeout = 40, 8
 	j := gangJob(tm, "req-2", parts)
-	j.spec.CheckpointInterval, j.spec.CheckpointTime = 20, 3
-	j.chunkTasks = 2
-	j.chunks = make([]*chunk, (parts+1)/2)
-	j.gang = &gang{number: try, startedAt: time.Now()}
+	j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 20, 3
+	j.TasksPerChunk = 2
+	j.Chunks = make([]*cluster.Chunk, (parts+1)/2)
+	j.Gang = &cluster.Gang{Number: try, StartedAt: time.Now()}
 	for i := range parts {
 		m := gangMachine(tm, i)
-		a := &attempt{job: j, chunk: j.chunk(i / j.chunkTasks), index: i % j.chunkTasks, number: try, machine: m, decidedAt: time.Now()}
-		a.chunk.hold(a)
-		a.chunk.nextAttempt = try + 1
+		a := &cluster.Attempt{Job: j, Chunk: j.Chunk(i / j.TasksPerChunk), Index: i % j.TasksPerChunk, Number: try, Machine: m, DecidedAt: time.Now()}
+		a.Chunk.Add(a)
+		a.Chunk.NextAttempt = try + 1
 	}
 	return tm, j
 }
 
-func gangMachine(tm *term, i int) *machine {
-	m := tm.machine(wire.MachineID(fmt.Sprint("n-", i+1)))
-	m.session, m.sequence, m.token, m.upAt, m.seenAt, m.answeredAt = 1, 10, tm.firstToken, time.Now(), time.Now(), time.Now()
+func gangMachine(tm *term, i int) *cluster.Machine {
+	m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
+	m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.LastReplyAt = 1, 10, tm.state.FirstToken, time.Now(), time.Now(), time.Now()
 	return m
 }
 
 // member is the attempt of the gang's i-th task.
-func member(j *job, i int) *attempt { return j.chunk(i / j.chunkTasks).attempts[i%j.chunkTasks] }
+func member(j *cluster.Job, i int) *cluster.Attempt {
+	return j.Chunk(i / j.TasksPerChunk).Attempts[i%j.TasksPerChunk]
+}
 
 func launches(orders []wire.Command) (n int) {
 	for _, o := range orders {
@@ -54,30 +57,30 @@
 // of it is lost, and it is not told to stop.
 func TestGangMayLaunch(t *testing.T) {
 	cases := map[string]struct {
-		setup func(tm *term, j *job)
+		setup func(tm *term, j *cluster.Job)
 		may   bool
 	}{
-		"all stored":     {func(*term, *job) {}, true},
-		"no gang at all": {func(_ *term, j *job) { j.gang = nil }, true},
-		"one is not yet stored": {func(_ *term, j *job) {
+		"all stored":     {func(*term, *cluster.Job) {}, true},
+		"no gang at all": {func(_ *term, j *cluster.Job) { j.Gang = nil }, true},
+		"one is not yet stored": {func(_ *term, j *cluster.Job) {
 			a := member(j, 2)
-			a.planned = true
-			a.chunk.unstored++
-			j.unstored++
+			a.Unstored = true
+			a.Chunk.UnstoredAttempts++
+			j.UnstoredAttempts++
 		}, false},
-		"one is not held":       {func(tm *term, j *job) { tm.drop(member(j, 2), taskPending) }, false},
-		"one was lost":          {func(_ *term, j *job) { j.gang.lost = true }, false},
-		"it is told to stop":    {func(_ *term, j *job) { j.gang.stopping = true }, false},
-		"one has no time left":  {func(tm *term, j *job) { tm.haltGang(j, 0, "makes room") }, false},
-		"it was told to stop":   {func(tm *term, j *job) { j.gang.ran = true; tm.haltGang(j, 13, "makes room") }, false},
-		"its job was cancelled": {func(_ *term, j *job) { j.cancelled = true }, false},
+		"one is not held":       {func(tm *term, j *cluster.Job) { tm.state.EndAttempt(member(j, 2), cluster.TaskPending) }, false},
+		"one was lost":          {func(_ *term, j *cluster.Job) { j.Gang.Broken = true }, false},
+		"it is told to stop":    {func(_ *term, j *cluster.Job) { j.Gang.StoppingGracefully = true }, false},
+		"one has no time left":  {func(tm *term, j *cluster.Job) { tm.dispatcher.StopGang(j, 0, "makes room") }, false},
+		"it was told to stop":   {func(tm *term, j *cluster.Job) { j.Gang.Ran = true; tm.dispatcher.StopGang(j, 13, "makes room") }, false},
+		"its job was cancelled": {func(_ *term, j *cluster.Job) { j.Cancelled = true }, false},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
 		first := member(j, 0)
 		c.setup(tm, j)
-		rep := said(1, 11, tm.firstToken)
-		if sent := launches(tm.commandsFor(first.machine, rep, time.Now())) == 1; sent != c.may {
+		rep := said(1, 11, tm.state.FirstToken)
+		if sent := launches(tm.dispatcher.CommandsFor(first.Machine, rep, time.Now())) == 1; sent != c.may {
 			t.Errorf("%s: the first task's launch is sent: %v", name, sent)
 		}
 	}
@@ -87,49 +90,53 @@
 // the others may still wait for it.
 func TestGangLaunchAgain(t *testing.T) {
 	cases := map[string]struct {
-		setup func(tm *term, j *job, a *attempt)
+		setup func(tm *term, j *cluster.Job, a *cluster.Attempt)
 		again bool
 	}{
-		"the others wait":           {func(*term, *job, *attempt) {}, true},
-		"an array's task":           {func(_ *term, j *job, _ *attempt) { j.gang = nil }, false},
-		"it was seen":               {func(_ *term, _ *job, a *attempt) { a.reported = true }, false},
-		"it is told to stop":        {func(_ *term, _ *job, a *attempt) { a.halting = true }, false},
-		"the gang ran":              {func(_ *term, j *job, _ *attempt) { j.gang.ran = true }, false},
-		"another was lost":          {func(_ *term, j *job, _ *attempt) { j.gang.lost = true }, false},
-		"the job was cancelled":     {func(_ *term, j *job, _ *attempt) { j.cancelled = true }, false},
-		"its machine is drained":    {func(_ *term, _ *job, a *attempt) { a.machine.drainReason = "slow" }, false},
-		"its machine is returned":   {func(_ *term, _ *job, a *attempt) { a.machine.releasing = true }, false},
-		"just before the wait ends": {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-39 * time.Second) }, true},
-		"they have waited in vain":  {func(_ *term, j *job, _ *attempt) { j.gang.startedAt = time.Now().Add(-40 * time.Second) }, false},
+		"the others wait":         {func(*term, *cluster.Job, *cluster.Attempt) {}, true},
+		"an array's task":         {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Gang = nil }, false},
+		"it was seen":             {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Observed = true }, false},
+		"it is told to stop":      {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Stopping = true }, false},
+		"the gang ran":            {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Gang.Ran = true }, false},
+		"another was lost":        {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Gang.Broken = true }, false},
+		"the job was cancelled":   {func(_ *term, j *cluster.Job, _ *cluster.Attempt) { j.Cancelled = true }, false},
+		"its machine is drained":  {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Machine.DrainReason = "slow" }, false},
+		"its machine is returned": {func(_ *term, _ *cluster.Job, a *cluster.Attempt) { a.Machine.ScalingIn = true }, false},
+		"just before the wait ends": {func(_ *term, j *cluster.Job, _ *cluster.Attempt) {
+			j.Gang.StartedAt = time.Now().Add(-39 * time.Second)
+		}, true},
+		"they have waited in vain": {func(_ *term, j *cluster.Job, _ *cluster.Attempt) {
+			j.Gang.StartedAt = time.Now().Add(-40 * time.Second)
+		}, false},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
 		a := member(j, 0)
-		a.inherited, a.sent = true, true
+		a.Inherited, a.LaunchSent = true, true
 		c.setup(tm, j, a)
-		if again := tm.launchAgain(a); again != c.again {
+		if again := tm.state.MayRelaunch(a); again != c.again {
 			t.Errorf("%s: sent again %v", name, again)
 		}
 		if name != "the others wait" {
 			continue
 		}
-		tm.apply(a.machine, said(1, 11, tm.firstToken), true, time.Now())
-		if n := launches(tm.commandsFor(a.machine, said(1, 11, tm.firstToken), time.Now())); j.held != 3 || n != 1 {
-			t.Errorf("%s: %d held, %d launches", name, j.held, n)
+		tm.reconciler.Reconcile(a.Machine, said(1, 11, tm.state.FirstToken), true, time.Now())
+		if n := launches(tm.dispatcher.CommandsFor(a.Machine, said(1, 11, tm.state.FirstToken), time.Now())); j.ActiveTasks != 3 || n != 1 {
+			t.Errorf("%s: %d held, %d launches", name, j.ActiveTasks, n)
 		}
 	}
 }
 
 // halts tells how long each task of the gang is given to save, -1: not told.
-func halts(j *job) (out []wire.Seconds) {
-	for i := range j.spec.Tasks {
+func halts(j *cluster.Job) (out []wire.Seconds) {
+	for i := range j.Spec.Tasks {
 		switch a := member(j, i); {
 		case a == nil:
 			out = append(out, -2)
-		case !a.halting:
+		case !a.Stopping:
 			out = append(out, -1)
 		default:
-			out = append(out, a.gracePeriod)
+			out = append(out, a.GracePeriod)
 		}
 	}
 	return out
@@ -139,31 +146,31 @@
 // time replaces no shorter one.
 func TestGangHalt(t *testing.T) {
 	cases := map[string]struct {
-		setup func(g *gang)
+		setup func(g *cluster.Gang)
 		told  []wire.Seconds // one after the other
 		want  wire.Seconds
 	}{
-		"runs":                                {func(g *gang) { g.ran = true }, []wire.Seconds{13}, 13},
-		"longer after shorter":                {func(g *gang) { g.ran = true }, []wire.Seconds{9, 13}, 9},
-		"longer after none":                   {func(g *gang) { g.ran = true }, []wire.Seconds{0, 13}, 0},
-		"shorter after longer":                {func(g *gang) { g.ran = true }, []wire.Seconds{13, 9}, 9},
-		"none after some":                     {func(g *gang) { g.ran = true }, []wire.Seconds{13, 0}, 0},
-		"has not run":                         {func(*gang) {}, []wire.Seconds{13}, 0},
-		"inherited, not known whether it ran": {func(g *gang) { g.inherited = true }, []wire.Seconds{13}, 13},
+		"runs":                                {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{13}, 13},
+		"longer after shorter":                {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{9, 13}, 9},
+		"longer after none":                   {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{0, 13}, 0},
+		"shorter after longer":                {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{13, 9}, 9},
+		"none after some":                     {func(g *cluster.Gang) { g.Ran = true }, []wire.Seconds{13, 0}, 0},
+		"has not run":                         {func(*cluster.Gang) {}, []wire.Seconds{13}, 0},
+		"inherited, not known whether it ran": {func(g *cluster.Gang) { g.Inherited = true }, []wire.Seconds{13}, 13},
 	}
 	for name, c := range cases {
 		tm, j := gangRig(t, 3, 4)
-		c.setup(j.gang)
+		c.setup(j.Gang)
 		for _, windDown := range c.told {
-			tm.halt(member(j, 1), windDown, "makes room")
+			tm.dispatcher.Stop(member(j, 1), windDown, "makes room")
 		}
 		for i, got := range halts(j) {
 			if got != c.want {
 				t.Errorf("%s: task %d has %v to save, want %v", name, i, got, c.want)
 			}
 		}
-		if j.gang.stopping != (c.want > 0) {
-			t.Errorf("%s: stops in order: %v", name, j.gang.stopping)
+		if j.Gang.StoppingGracefully != (c.want > 0) {
+			t.Errorf("%s: stops in order: %v", name, j.Gang.StoppingGracefully)
 		}
 	}
 }
@@ -171,9 +178,9 @@
 // Cancelling gives no time, also to a gang that is saving.
 func TestGangCancelledWhileSaving(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
-	j.gang.ran = true
-	tm.halt(member(j, 1), 13, "makes room")
-	tm.haltCancelled(j)
+	j.Gang.Ran = true
+	tm.dispatcher.Stop(member(j, 1), 13, "makes room")
+	tm.dispatcher.StopCancelledJob(j)
 	if got := halts(j); got[0] != 0 || got[1] != 0 || got[2] != 0 {
 		t.Errorf("time to save %v", got)
 	}
@@ -183,32 +190,32 @@
 // order; when nothing is left it may be placed anew.
 func TestMendGangs(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
-	j.gang.ran = true
-	tm.stopIncompleteGangs()
+	j.Gang.Ran = true
+	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
-	tm.drop(member(j, 1), taskPending)
-	tm.stopIncompleteGangs()
-	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.gang.lost {
+	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
+	tm.dispatcher.StopBrokenGangs()
+	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.Gang.Broken {
 		t.Errorf("one is lost: %v", got)
 	}
-	if tm.canPlace(j, time.Now()) {
+	if tm.scheduler.Schedulable(j, time.Now()) {
 		t.Error("placed while two of its tasks are left")
 	}
-	tm.drop(member(j, 0), taskPending)
-	tm.drop(member(j, 2), taskPending)
-	tm.roundWanted = false
-	tm.stopIncompleteGangs()
-	if j.gang != nil || !tm.roundWanted || !tm.canPlace(j, time.Now()) {
-		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.gang, tm.roundWanted, tm.canPlace(j, time.Now()))
+	tm.state.EndAttempt(member(j, 0), cluster.TaskPending)
+	tm.state.EndAttempt(member(j, 2), cluster.TaskPending)
+	tm.state.Cycle.Requested = false
+	tm.dispatcher.StopBrokenGangs()
+	if j.Gang != nil || !tm.state.Cycle.Requested || !tm.scheduler.Schedulable(j, time.Now()) {
+		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.Gang, tm.state.Cycle.Requested, tm.scheduler.Schedulable(j, time.Now()))
 	}
 
 	tm, j = gangRig(t, 3, 4)
-	j.gang.ran = true
-	tm.halt(member(j, 0), 13, "makes room")
-	tm.drop(member(j, 1), taskPending)
-	tm.stopIncompleteGangs()
+	j.Gang.Ran = true
+	tm.dispatcher.Stop(member(j, 0), 13, "makes room")
+	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
+	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
 	}
@@ -217,32 +224,32 @@
 // When one task of a gang is done all are, whatever the others show.
 func TestGangDone(t *testing.T) {
 	tm, j := gangRig(t, 3, 4)
-	m := member(j, 1).machine
-	tm.apply(m, &wire.Report{Machine: m.id, Session: 1, Sequence: 11, Token: tm.firstToken,
+	m := member(j, 1).Machine
+	tm.reconciler.Reconcile(m, &wire.Heartbeat{Machine: m.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
-	tm.stopIncompleteGangs()
+	tm.dispatcher.StopBrokenGangs()
 	mustBeDone(t, "one reported done", tm, j)
 }
 
-func mustBeDone(t *testing.T, name string, tm *term, j *job) {
+func mustBeDone(t *testing.T, name string, tm *term, j *cluster.Job) {
 	t.Helper()
-	if j.done != j.spec.Tasks || j.held != 0 || j.gang != nil || !j.finished {
-		t.Errorf("%s: %d done, %d held, gang %+v, over %v", name, j.done, j.held, j.gang, j.finished)
+	if j.DoneTasks != j.Spec.Tasks || j.ActiveTasks != 0 || j.Gang != nil || !j.Finished {
+		t.Errorf("%s: %d done, %d held, gang %+v, over %v", name, j.DoneTasks, j.ActiveTasks, j.Gang, j.Finished)
 	}
-	for n := range j.chunks {
-		c := j.chunk(n)
-		if rec := c.record(); len(rec.Held) > 0 || !c.changed {
-			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Held, c.changed)
+	for n := range j.Chunks {
+		c := j.Chunk(n)
+		if rec := c.Record(); len(rec.Active) > 0 || !c.Dirty {
+			t.Errorf("%s: chunk %d holds %v, to be written %v", name, n, rec.Active, c.Dirty)
 		}
-		for i, s := range c.taskStates {
-			if s != taskDone {
+		for i, s := range c.TaskStates {
+			if s != cluster.TaskDone {
 				t.Errorf("%s: task %d of chunk %d is %d", name, i, n, s)
 			}
 		}
 	}
-	for _, m := range tm.machines {
-		if len(m.tasks) > 0 {
-			t.Errorf("%s: %v are on %s", name, m.tasks, m.id)
+	for _, m := range tm.state.Machines {
+		if len(m.Tasks) > 0 {
+			t.Errorf("%s: %v are on %s", name, m.Tasks, m.ID)
 		}
 	}
 }
@@ -252,11 +259,11 @@
 func heldRecords(tries ...wire.Attempt) (recs []store.ChunkRecord) {
 	for i, try := range tries {
 		if i%2 == 0 {
-			recs = append(recs, store.ChunkRecord{Next: 1, Held: []store.HeldAttempt{}})
+			recs = append(recs, store.ChunkRecord{NextAttempt: 1, Active: []store.ActiveAttempt{}})
 		}
 		if rec := &recs[i/2]; try > 0 {
-			rec.Next = max(rec.Next, try+1)
-			rec.Held = append(rec.Held, store.HeldAttempt{Task: i % 2, Attempt: try, Machine: wire.MachineID(fmt.Sprint("n-", i+1))})
+			rec.NextAttempt = max(rec.NextAttempt, try+1)
+			rec.Active = append(rec.Active, store.ActiveAttempt{Task: i % 2, Attempt: try, Machine: wire.MachineID(fmt.Sprint("n-", i+1))})
 		}
 	}
 	return recs
@@ -277,20 +284,20 @@
 	}
 	for name, c := range cases {
 		tm, j := readRig(t, c.recs)
-		if (j.gang != nil) != c.gang {
-			t.Errorf("%s: gang %+v", name, j.gang)
+		if (j.Gang != nil) != c.gang {
+			t.Errorf("%s: gang %+v", name, j.Gang)
 			continue
 		}
-		if c.gang && (j.gang.number != 4 || !j.gang.inherited || j.gang.ran) {
-			t.Errorf("%s: %+v", name, j.gang)
+		if c.gang && (j.Gang.Number != 4 || !j.Gang.Inherited || j.Gang.Ran) {
+			t.Errorf("%s: %+v", name, j.Gang)
 		}
-		tm.stopIncompleteGangs()
-		if c.gang && j.gang.lost != c.mend {
-			t.Errorf("%s: lost %v", name, j.gang.lost)
+		tm.dispatcher.StopBrokenGangs()
+		if c.gang && j.Gang.Broken != c.mend {
+			t.Errorf("%s: lost %v", name, j.Gang.Broken)
 		}
-		for _, a := range j.attempts() {
-			if a.halting != c.mend || a.mayLaunch() == c.mend {
-				t.Errorf("%s: %v is told to stop: %v, may be sent: %v", name, a.task(), a.halting, a.mayLaunch())
+		for _, a := range j.Attempts() {
+			if a.Stopping != c.mend || a.MayLaunch() == c.mend {
+				t.Errorf("%s: %v is told to stop: %v, may be sent: %v", name, a.Task(), a.Stopping, a.MayLaunch())
 			}
 		}
 	}
@@ -306,18 +313,18 @@
 }
 
 // readRig is a term that has read a gang of three and these records.
-func readRig(t *testing.T, recs []store.ChunkRecord) (*term, *job) {
+func readRig(t *testing.T, recs []store.ChunkRecord) (*term, *cluster.Job) {
 	t.Helper()
 	tm, j := gangRig(t, 3, 4)
-	for _, a := range j.attempts() {
-		a.release()
-		a.chunk.taskStates[a.index] = taskPending
+	for _, a := range j.Attempts() {
+		a.Detach()
+		a.Chunk.TaskStates[a.Index] = cluster.TaskPending
 	}
-	j.gang = nil
+	j.Gang = nil
 	for n := range recs {
-		tm.readChunk(j.chunk(n), wire.Revision(40+n), &recs[n])
+		tm.records.progress.ReadChunk(j.Chunk(n), wire.Revision(40+n), &recs[n])
 	}
-	tm.readGang(j)
+	tm.state.RestoreGang(j)
 	return tm, j
 }
 
@@ -325,23 +332,23 @@
 // has had, and no later one may have it.
 func TestStartGangNumber(t *testing.T) {
 	tm, j := readRig(t, heldRecords(0, 0, 0, 0)[:2])
-	j.chunk(0).nextAttempt, j.chunk(1).nextAttempt = 3, 7
-	var ms []*machine
-	for i := range j.spec.Tasks {
+	j.Chunk(0).NextAttempt, j.Chunk(1).NextAttempt = 3, 7
+	var ms []*cluster.Machine
+	for i := range j.Spec.Tasks {
 		ms = append(ms, gangMachine(tm, i))
 	}
-	tm.startGang(j, ms, time.Now())
-	if len(j.attempts()) != 3 || j.unstored != 3 || j.gang.number != 7 || j.gang.inherited || j.complete() {
-		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.attempts()), j.unstored, j.gang, j.complete())
+	tm.scheduler.StartGang(j, ms, time.Now())
+	if len(j.Attempts()) != 3 || j.UnstoredAttempts != 3 || j.Gang.Number != 7 || j.Gang.Inherited || j.FullyStored() {
+		t.Errorf("%d attempts, %d to be stored, gang %+v, complete %v", len(j.Attempts()), j.UnstoredAttempts, j.Gang, j.FullyStored())
 	}
-	for _, a := range j.attempts() {
-		if a.number != 7 || !a.planned || a.mayLaunch() {
-			t.Errorf("%v: number %d, to be stored %v, may be sent %v", a.task(), a.number, a.planned, a.mayLaunch())
+	for _, a := range j.Attempts() {
+		if a.Number != 7 || !a.Unstored || a.MayLaunch() {
+			t.Errorf("%v: number %d, to be stored %v, may be sent %v", a.Task(), a.Number, a.Unstored, a.MayLaunch())
 		}
 	}
-	for n := range j.chunks {
-		if rec := j.chunk(n).record(); rec.Next != 8 || !j.chunk(n).changed {
-			t.Errorf("chunk %d: next %d, to be written %v", n, rec.Next, j.chunk(n).changed)
+	for n := range j.Chunks {
+		if rec := j.Chunk(n).Record(); rec.NextAttempt != 8 || !j.Chunk(n).Dirty {
+			t.Errorf("chunk %d: next %d, to be written %v", n, rec.NextAttempt, j.Chunk(n).Dirty)
 		}
 	}
 }
@@ -352,45 +359,45 @@
 func TestSaveBeforeNotice(t *testing.T) {
 	for _, deciding := range []bool{true, false} {
 		tm, j := gangRig(t, 3, 4)
-		j.gang.ran = true
-		m := member(j, 0).machine
-		single := newJob(store.JobRecord{Spec: wire.Spec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, At: wire.TimestampOf(time.Now())}, 2)
-		tm.jobs["req-3"] = single
-		array := &attempt{job: single, chunk: single.chunk(0), number: 2, machine: m, reported: true}
-		array.chunk.hold(array)
-		waiting := &attempt{job: single, chunk: single.chunk(0), index: 1, number: 3, machine: member(j, 1).machine}
-		waiting.chunk.hold(waiting)
+		j.Gang.Ran = true
+		m := member(j, 0).Machine
+		single := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
+		tm.state.Jobs["req-3"] = single
+		array := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Number: 2, Machine: m, Observed: true}
+		array.Chunk.Add(array)
+		waiting := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Index: 1, Number: 3, Machine: member(j, 1).Machine}
+		waiting.Chunk.Add(waiting)
 		if !deciding {
-			tm.lease = leaseFor(tm.l, tm.token, -time.Millisecond)
+			tm.Lease = leaseFor(tm.leader, tm.Fencing.Token, -time.Millisecond)
 		}
 		watch := func(left time.Duration) {
 			now := time.Now()
-			m.takenBackAt, m.drainReason = now.Add(left), drainSpotNotice
-			tm.watchMachine(m, tm.takeCensus(now), now)
+			m.ReclaimAt, m.DrainReason = now.Add(left), cluster.DrainSpotNotice
+			tm.monitor.CheckMachine(m, tm.monitor.CountMachines(now), now)
 		}
 		if !deciding {
-			if watch(time.Second); array.halting || member(j, 0).halting {
+			if watch(time.Second); array.Stopping || member(j, 0).Stopping {
 				t.Error("stopped by a leader that no majority agrees with")
 			}
-			tm.lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
+			tm.Lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
 		}
 		if watch(14100 * time.Millisecond); halts(j)[0] != -1 {
 			t.Errorf("deciding %v: told %v at 14.1 s", deciding, halts(j))
 		}
-		if watch(13900 * time.Millisecond); halts(j)[0] != 13 || halts(j)[1] != 13 || halts(j)[2] != 13 || array.halting {
-			t.Errorf("deciding %v: told %v at 13.9 s, the array %v", deciding, halts(j), array.halting)
+		if watch(13900 * time.Millisecond); halts(j)[0] != 13 || halts(j)[1] != 13 || halts(j)[2] != 13 || array.Stopping {
+			t.Errorf("deciding %v: told %v at 13.9 s, the array %v", deciding, halts(j), array.Stopping)
 		}
-		if watch(5900 * time.Millisecond); !array.halting || array.gracePeriod != 5 {
-			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.halting, array.gracePeriod)
+		if watch(5900 * time.Millisecond); !array.Stopping || array.GracePeriod != 5 {
+			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.Stopping, array.GracePeriod)
 		}
-		other := member(j, 1).machine
-		tm.l.Cancels.RecordRead(time.Now())
-		r := tm.tell(&wire.Report{Machine: other.id, Session: 1, Sequence: 11, Token: tm.firstToken,
+		other := member(j, 1).Machine
+		tm.leader.Cancels.RecordRead(time.Now())
+		r := tm.tell(&wire.Heartbeat{Machine: other.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
-		if r.commands != nil {
-			for _, o := range r.commands.Commands {
-				if o.Verb == wire.Halt && o.Task == "req-2/1" && *o.GracePeriod == 13 {
+		if r.Commands != nil {
+			for _, o := range r.Commands.Commands {
+				if o.Verb == wire.Stop && o.Task == "req-2/1" && *o.GracePeriod == 13 {
 					told++
 				}
 			}
@@ -398,13 +405,14 @@
 		if !deciding {
 			ended, end := context.WithCancel(t.Context())
 			end() // the command itself goes nowhere
-			tm.ctx, other.addr = ended, "10.1.0.1:9000"
-			member(j, 1).haltSent = time.Time{}
-			if tm.dispatch(other); waiting.sent || member(j, 1).haltSent.IsZero() {
-				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.sent, !member(j, 1).haltSent.IsZero())
+			tm.Begin(ended)
+			other.Addr = "10.1.0.1:9000"
+			member(j, 1).StopSentAt = time.Time{}
+			if tm.dispatcher.Dispatch(other); waiting.LaunchSent || member(j, 1).StopSentAt.IsZero() {
+				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.LaunchSent, !member(j, 1).StopSentAt.IsZero())
 			}
 		}
-		if n := launches(r.commands.Commands); told != 1 || (n == 1) != deciding {
+		if n := launches(r.Commands.Commands); told != 1 || (n == 1) != deciding {
 			t.Errorf("deciding %v: the answer to another machine has %d halts and %d launches", deciding, told, n)
 		}
 	}
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -4,6 +4,8 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/leader/autoscaler"
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
@@ -14,34 +16,34 @@
 func TestAdoptedReturnWithoutLease(t *testing.T) {
 	tm, m, a := rig(t)
 	ctx := t.Context()
-	tm.ctx = ctx
+	tm.Begin(ctx)
 	away(tm)
-	a.sent, a.reported, a.phase = true, true, wire.PhaseRunning
-	held := tm.lease
-	tm.lease = leaseFor(tm.l, tm.token, -time.Second)
-	tm.adopt(earlierIntents{returning: []wire.MachineID{m.id}})
-	if m.releasing || m.drainReason != drainReturning {
-		t.Errorf("without a lease: releasing %v, drains as %q", m.releasing, m.drainReason)
+	a.LaunchSent, a.Observed, a.Phase = true, true, wire.PhaseRunning
+	held := tm.Lease
+	tm.Lease = leaseFor(tm.leader, tm.Fencing.Token, -time.Second)
+	tm.scaler.AdoptIntents(autoscaler.EarlierIntents{ScaleIns: []wire.MachineID{m.ID}})
+	if m.ScalingIn || m.DrainReason != cluster.DrainAdoptedScaleIn {
+		t.Errorf("without a lease: releasing %v, drains as %q", m.ScalingIn, m.DrainReason)
 	}
-	tm.lease = held
+	tm.Lease = held
 	now := time.Now()
-	m.seenAt, m.directReportAt, m.answeredAt = now, now, now
-	tm.watchMachines(now)
-	if !m.releasing || len(m.tasks) != 1 {
-		t.Errorf("with the lease: releasing %v, %d tasks", m.releasing, len(m.tasks))
+	m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = now, now, now
+	tm.monitor.CheckMachines(now)
+	if !m.ScalingIn || len(m.Tasks) != 1 {
+		t.Errorf("with the lease: releasing %v, %d tasks", m.ScalingIn, len(m.Tasks))
 	}
 }
 
 // The machine types are stored only while this node leads, as all that a leader writes.
 func TestMachineSpecsAreGuarded(t *testing.T) {
-	withState(t, func(tm *term, _ *machine, st *simulator.State, _ func()) {
+	withState(t, func(tm *term, _ *cluster.Machine, st *simulator.State, _ func()) {
 		specs := []wire.MachineSpec{{Name: "c4"}}
-		if !tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.FlavorsKey) == 0 {
+		if !tm.inventory.storeMachineSpecs(tm.Context(), specs) || st.Revision(store.MachineSpecsKey) == 0 {
 			t.Error("not stored while this node leads")
 		}
-		stored := st.Revision(store.FlavorsKey)
-		st.Put(store.LeadKey, store.LeadRecord{Node: "b", Nonce: "other"})
-		if tm.storeMachineSpecs(tm.ctx, specs) || st.Revision(store.FlavorsKey) != stored {
+		stored := st.Revision(store.MachineSpecsKey)
+		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
+		if tm.inventory.storeMachineSpecs(tm.Context(), specs) || st.Revision(store.MachineSpecsKey) != stored {
 			t.Error("stored though another node leads")
 		}
 	})
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -19,6 +19,7 @@
 	"context"
 	"log/slog"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -28,8 +29,12 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/cloud"
 	"lilaclead/internal/config"
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
+	"lilaclead/internal/leader/reconcile"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
@@ -39,18 +44,18 @@
 	"lilaclead/upgrade"
 )
 
-// Deps is what the leader works with.
-type Deps struct {
+// Dependencies is what the leader works with.
+type Dependencies struct {
 	Config  *config.Config
 	Net     netio.Net
 	Store   *store.Client
 	Cloud   *cloud.Client
 	Mesh    *peer.Mesh
 	Cancels *cancels.Log
-	Tuning  *tuning.Box
-	Flavors *FlavorBox
+	Tuning  *tuning.Current
+	Catalog *cluster.MachineCatalog
 	Log     *slog.Logger
-	Metrics Metrics
+	Metrics core.Metrics
 	// Undecodable is told of records and reports that can't be decoded.
 	Undecodable *undecodable.Log
 	// Observe is told of what is decided under the leadership's lease; nil: nobody.
@@ -62,74 +67,40 @@
 	Versions *upgrade.Member
 	// Sockets is how many connections may go to workers at a time, Workers how
 	// many of them one node can hold, and Needed the limit that more need.
-	Sockets int
-	Workers int
-	Needed  func(workers int) int
+	Sockets     int
+	Workers     int
+	RequiredFDs func(workers int) int
 }
 
-// Metrics is told what happens; nil functions are not allowed.
-type Metrics struct {
-	Round   func(took time.Duration, starts, halts int)
-	Led     func()
-	Report  func(status string)
-	Waited  func(lane string, seconds float64)
-	Command func(outcome string)
-	Moved   func(why string)
-	Fleet   func(what string, n int)
-	// Machines is told the number of machines in each state.
-	Machines func(map[string]int)
-}
-
-// FlavorBox shares the machine types between the actors of a node.
-type FlavorBox struct {
-	p atomic.Pointer[[]wire.MachineSpec]
-}
-
-// Get is the types last seen, nil if none ever were.
-func (b *FlavorBox) Get() []wire.MachineSpec {
-	if f := b.p.Load(); f != nil {
-		return *f
-	}
-	return nil
-}
-
-// Set replaces them.
-func (b *FlavorBox) Set(f []wire.MachineSpec) { b.p.Store(&f) }
-
 // Leader campaigns for the leadership and serves while it holds it.
 type Leader struct {
-	Deps
+	Dependencies
 	candidate *election.Candidate
 	term      atomic.Pointer[term]
-	// workerContacts names each worker that reports to this node, whoever leads.
-	workerContacts   chan wire.MachineID
-	workersInContact atomic.Int64
-	workerClient     *http.Client
-	// commandSlots bounds the commands under way to workers and probeSlots the
-	// probes, each with a connection of its own: those to a zone that is cut
-	// off hang, and launches must not wait behind them.
-	commandSlots, probeSlots chan struct{}
-	// delegation bounds for how long leases may be renewed on a leader's behalf;
+	// agentContacts names each worker that reports to this node, whoever leads.
+	agentContacts   chan wire.MachineID
+	agentsInContact atomic.Int64
+	agents          *agents.Client
+	// delegationBounds bounds for how long leases may be renewed on a leader's behalf;
 	// delegate is this node in that part.
-	delegation delegation.Bounds
-	delegate   *delegation.Delegate
+	delegationBounds delegation.Bounds
+	delegate         *delegation.Delegate
 }
 
 // New makes the leader's part of a node.
-func New(d Deps) *Leader {
+func New(d Dependencies) *Leader {
 	l := &Leader{
-		Deps:           d,
-		candidate:      newCandidate(d),
-		workerContacts: make(chan wire.MachineID, 64),
-		delegation:     delegation.BoundsOf(d.Config.Settings.Workers),
-		workerClient:   &http.Client{Transport: d.Net.Bounded(max(16, d.Sockets), 2*probeTimeout).Transport(2, max(4, d.Sockets/2))},
-		commandSlots:   make(chan struct{}, max(4, d.Sockets/3)), probeSlots: make(chan struct{}, max(2, d.Sockets/6)),
+		Dependencies:     d,
+		candidate:        newCandidate(d),
+		agentContacts:    make(chan wire.MachineID, 64),
+		delegationBounds: delegation.BoundsOf(d.Config.Settings.Workers),
+		agents:           agents.NewClient(d.Net, d.Mesh, d.Sockets),
 	}
-	l.delegate = newDelegate(d, l.delegation)
+	l.delegate = newDelegate(d, l.delegationBounds)
 	return l
 }
 
-func newCandidate(d Deps) *election.Candidate {
+func newCandidate(d Dependencies) *election.Candidate {
 	o := election.Options(d.Config, d.Store, d.Log, d.Mesh.ObserveToken)
 	o.Observe, o.Undecodable = d.Observe, d.Undecodable.Note
 	if d.Versions != nil {
@@ -138,41 +109,47 @@
 	return election.New(o)
 }
 
-func newDelegate(d Deps, bounds delegation.Bounds) *delegation.Delegate {
+func newDelegate(d Dependencies, bounds delegation.Bounds) *delegation.Delegate {
 	s := &d.Config.Settings
 	return delegation.New(delegation.Config{
 		Bounds: bounds, Mesh: d.Mesh, Cancels: d.Cancels, Nodes: s.Size, Workers: d.Workers,
-		ReportEvery: s.Workers.ReportS.Duration(), MaxCommands: maxCommands,
+		ReportEvery: s.Workers.HeartbeatInterval.Duration(), MaxCommands: agents.MaxCommands,
 	})
 }
 
 // Leads tells whether this node holds the leadership now.
-func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.lease.Answering() }
+func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.Lease.Answering() }
 
 // WorkersInContact is how many workers turned to this node lately.
-func (l *Leader) WorkersInContact() int { return int(l.workersInContact.Load()) }
+func (l *Leader) WorkersInContact() int { return int(l.agentsInContact.Load()) }
 
 // Run campaigns and serves until the context ends.
 func (l *Leader) Run(ctx context.Context) {
-	go l.countWorkers(ctx)
+	var counting sync.WaitGroup
+	counting.Go(func() { l.countAgents(ctx) })
+	defer counting.Wait()
 	for ctx.Err() == nil {
-		lease := l.candidate.Campaign(ctx)
-		if lease == nil {
-			continue
+		if lease := l.candidate.Campaign(ctx); lease != nil {
+			l.lead(ctx, lease)
 		}
-		l.Mesh.ObserveToken(ctx, lease.Token())
-		t := newTerm(l, lease)
-		l.term.Store(t)
-		l.Metrics.Led()
-		l.Log.Info("leads", "token", lease.Token())
-		why := t.run(ctx)
-		l.term.Store(nil)
-		l.Log.Info("leads no more", "token", lease.Token(), "why", why)
 	}
 }
 
-// countWorkers counts the workers that turn to this node.
-func (l *Leader) countWorkers(ctx context.Context) {
+// lead serves one term of leadership until it is over.
+func (l *Leader) lead(ctx context.Context, lease *election.Lease) {
+	l.Mesh.ObserveToken(ctx, lease.Token())
+	t := newTerm(l, lease)
+	l.term.Store(t)
+	l.Metrics.BecameLeader()
+	l.Log.Info("became leader", "token", lease.Token())
+	reason := t.run(ctx)
+	l.term.Store(nil)
+	l.Log.Info("lost leadership", "token", lease.Token(), "reason", reason)
+	t.Wait()
+}
+
+// countAgents counts the workers that turn to this node.
+func (l *Leader) countAgents(ctx context.Context) {
 	seen := map[wire.MachineID]time.Time{}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -180,7 +157,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case id := <-l.workerContacts:
+		case id := <-l.agentContacts:
 			seen[id] = time.Now()
 		case now := <-tick.C:
 			for id, at := range seen {
@@ -188,35 +165,35 @@
 					delete(seen, id)
 				}
 			}
-			l.workersInContact.Store(int64(len(seen)))
+			l.agentsInContact.Store(int64(len(seen)))
 		}
 	}
 }
 
-// Report handles a worker's report.
-func (l *Leader) Report(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// ServeHeartbeat handles a worker's report.
+func (l *Leader) ServeHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
 		w.Header().Set("Connection", "close")
-		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.Reason{Error: err.Error()})
+		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
 		return
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err := wire.Decode(raw, &rep); err != nil || rep.Machine == "" {
 		l.Undecodable.Note("a report from "+undecodable.Sender(r), err)
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 		return
 	}
 	select {
-	case l.workerContacts <- rep.Machine:
+	case l.agentContacts <- rep.Machine:
 	default:
 	}
 	t := l.term.Load()
-	if t == nil || !t.lease.Answering() {
-		l.Metrics.Report("elsewhere")
+	if t == nil || !t.Lease.Answering() {
+		l.Metrics.Heartbeat("elsewhere")
 		if lead := l.currentLeader(time.Now()); lead != "" {
 			now := time.Now()
-			if !l.delegate.Lately() && l.Mesh.View().Peers[lead].Connected(now) && l.relay(r.Context(), w, lead, &rep) {
+			if !l.delegate.Lately() && l.Mesh.View().Peers[lead].Connected(now) && l.relayHeartbeat(r.Context(), w, lead, &rep) {
 				return
 			}
 			if l.delegate.Returned(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
@@ -228,19 +205,19 @@
 		if l.answerAsDelegate(w, &rep) {
 			return
 		}
-		wire.Refuse(w, http.StatusServiceUnavailable, "no leader known", 1)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no leader known", 1)
 		return
 	}
-	l.serve(r.Context(), w, t, rep, false)
+	l.answerFromTerm(r.Context(), w, t, rep, false)
 }
 
 // answerAsDelegate renews a worker's lease for a lost leader, if it may.
-func (l *Leader) answerAsDelegate(w http.ResponseWriter, rep *wire.Report) bool {
+func (l *Leader) answerAsDelegate(w http.ResponseWriter, rep *wire.Heartbeat) bool {
 	o := l.delegate.Answer(rep)
 	if o == nil {
 		return false
 	}
-	l.Metrics.Report("by a delegate")
+	l.Metrics.Heartbeat("by a delegate")
 	wire.Answer(w, http.StatusOK, o)
 	return true
 }
@@ -257,40 +234,40 @@
 	return l.candidate.Holder(now, peer.AckLifetime)
 }
 
-// serve has the term's loop answer a report.
-func (l *Leader) serve(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Report, relayed bool) {
-	ask := reportCall{report: rep, relayed: relayed, reply: make(chan reportAnswer, 1)}
+// answerFromTerm has the term's loop answer a report.
+func (l *Leader) answerFromTerm(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Heartbeat, relayed bool) {
+	ask := reconcile.Call{Heartbeat: rep, Relayed: relayed, Reply: make(chan reconcile.Reply, 1)}
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	select {
-	case t.reportCalls <- ask:
-	case <-t.over:
+	case t.heartbeatCalls <- ask:
+	case <-t.Done:
 	case <-ctx.Done():
 	}
 	select {
-	case a := <-ask.reply:
+	case a := <-ask.Reply:
 		switch {
-		case a.redirect:
-			l.Metrics.Report("sent here")
+		case a.Redirect:
+			l.Metrics.Heartbeat("sent here")
 			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
-		case a.commands == nil:
-			l.Metrics.Report("refused")
-			wire.Refuse(w, http.StatusServiceUnavailable, string(a.refused), 1)
+		case a.Commands == nil:
+			l.Metrics.Heartbeat("refused")
+			wire.RefuseRetryable(w, http.StatusServiceUnavailable, a.Rejected.Error(), 1)
 		default:
-			l.Metrics.Report("ok")
-			wire.Answer(w, http.StatusOK, a.commands)
+			l.Metrics.Heartbeat("ok")
+			wire.Answer(w, http.StatusOK, a.Commands)
 		}
-	case <-t.over:
-		wire.Refuse(w, http.StatusServiceUnavailable, "no longer leads", 1)
+	case <-t.Done:
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no longer leads", 1)
 	case <-ctx.Done():
-		wire.Refuse(w, http.StatusServiceUnavailable, "busy", 1)
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "busy", 1)
 	}
 }
 
-// relay passes a report on to the leader, which answers it if the worker
+// relayHeartbeat passes a report on to the leader, which answers it if the worker
 // seems unable to reach the leader itself. A worker that is cut off from the
 // leader only would otherwise go to and fro until its lease ends.
-func (l *Leader) relay(ctx context.Context, w http.ResponseWriter, to wire.NodeID, rep *wire.Report) bool {
+func (l *Leader) relayHeartbeat(ctx context.Context, w http.ResponseWriter, to wire.NodeID, rep *wire.Heartbeat) bool {
 	status, raw, err := l.Mesh.Relay(ctx, to, "/peer/hello", rep)
 	if err != nil || status != http.StatusOK {
 		return false
@@ -299,27 +276,32 @@
 	if wire.Decode(raw, &o) != nil {
 		return false
 	}
-	l.Metrics.Report("relayed")
+	l.Metrics.Heartbeat("relayed")
 	wire.Answer(w, http.StatusOK, o)
 	return true
 }
 
-// RelayReport handles a report that another node passes on.
-func (l *Leader) RelayReport(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// ServeRelayedHeartbeat handles a report that another node passes on.
+func (l *Leader) ServeRelayedHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err == nil {
 		err = wire.Decode(raw, &rep)
 	}
 	if err != nil || rep.Machine == "" {
 		l.Undecodable.Note("a relayed report from "+undecodable.Sender(r), err)
-		wire.Answer(w, http.StatusBadRequest, wire.Reason{Error: "not a report"})
+		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 		return
 	}
 	t := l.term.Load()
-	if t == nil || !t.lease.Answering() {
-		wire.Refuse(w, http.StatusServiceUnavailable, "does not lead", 1)
+	if t == nil || !t.Lease.Answering() {
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "does not lead", 1)
 		return
 	}
-	l.serve(r.Context(), w, t, rep, true)
+	l.answerFromTerm(r.Context(), w, t, rep, true)
+}
+
+// ServeRelayedProbe handles a leader's question to an agent that the leader can't reach.
+func (l *Leader) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	l.agents.ServeRelayedProbe(w, r, params)
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -1,8 +1,9 @@
-package leader
+package liveness
 
 import (
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/peer"
 )
 
@@ -14,55 +15,55 @@
 	leaseRounding = 1500 * time.Millisecond
 )
 
-// expire ends the tasks of a machine whose lease has surely run out: nobody
+// ExpireLease ends the tasks of a machine whose lease has surely run out: nobody
 // can have answered it within the lease, the clocks' drift and a margin.
-func (t *term) expire(m *machine, now time.Time) {
-	if len(m.tasks) == 0 || !t.recovered {
+func (mo *Monitor) ExpireLease(m *cluster.Machine, now time.Time) {
+	if len(m.Tasks) == 0 || !mo.State.Recovered {
 		return
 	}
-	lease := t.settings.Workers.LeaseS.Duration()
+	lease := mo.State.Settings.Workers.Lease.Duration()
 	surelyOver := lease + lease/clockDriftPart + leaseRounding
 	// Up to when it first showed our token an earlier leader may have answered
 	// it; from then on only we can have.
 	// A new session has its full time even if no report of it was answered: a
 	// launch sent into it may run that long. (Tasks started right after a
 	// lease had run out were once given up at once, and started again.)
-	last := latest(latest(m.answeredAt, m.tokenShownAt), latest(m.sessionSince, t.delegatesAnsweredUntil))
-	if m.token < t.firstToken {
-		last = latest(last, t.othersUntil())
+	last := cluster.Latest(cluster.Latest(m.LastReplyAt, m.TokenSeenAt), cluster.Latest(m.EpochSince, mo.State.DelegatesRenewedUntil))
+	if m.Token < mo.State.FirstToken {
+		last = cluster.Latest(last, mo.EarlierLeaderRepliesUntil())
 	}
 	if now.Sub(last) < surelyOver {
 		return
 	}
-	for _, a := range m.tasks {
-		if a.planned {
+	for _, a := range m.Tasks {
+		if a.Unstored {
 			continue
 		}
 		// A direct launch of ours may still come, even after the lease; and
 		// a machine in a new session could take it only with that session.
-		if a.launchInFlight {
+		if a.LaunchInFlight {
 			continue
 		}
-		t.log().Info("lease of a silent machine has run out", "task", a.task(), "attempt", a.number, "machine", m.id)
-		t.l.Metrics.Moved(string(moveLeaseEnded))
-		t.drop(a, taskPending)
+		mo.Log.Info("lease of a silent machine has run out", "task", a.Task(), "attempt", a.Number, "machine", m.ID)
+		mo.Metrics.TaskMoved(string(cluster.EvictedLeaseExpired))
+		mo.State.EndAttempt(a, cluster.TaskPending)
 	}
 }
 
-// othersUntil is until when an earlier leader can have answered a worker that
+// EarlierLeaderRepliesUntil is until when an earlier leader can have answered a worker that
 // has not seen our token: X after a majority took our token, or B at most. One
 // that never acknowledged a token of ours has had no acknowledgement from us
 // since this term began either, but for a fresh process's empty ones, which say no
 // token for X and count as asked for another 2X; then it stops as if alone. (Where
 // one zone holds most controllers no majority is left when it is cut off, and what
 // ran there was once counted for B.)
-func (t *term) othersUntil() time.Time {
-	other := t.startedAt.Add(peer.OutageLimit)
-	if t.l.delegation.Time > 0 {
-		other = t.startedAt.Add(max(t.l.delegation.Time, 3*peer.AckLifetime+time.Second))
+func (mo *Monitor) EarlierLeaderRepliesUntil() time.Time {
+	other := mo.State.TermStartedAt.Add(peer.OutageLimit)
+	if mo.State.Delegation.Time > 0 {
+		other = mo.State.TermStartedAt.Add(max(mo.State.Delegation.Time, 3*peer.AckLifetime+time.Second))
 	}
-	if !t.majorityAckedAt.IsZero() && t.majorityAckedAt.Add(peer.AckLifetime).Before(other) {
-		other = t.majorityAckedAt.Add(peer.AckLifetime)
+	if !mo.State.QuorumAckedAt.IsZero() && mo.State.QuorumAckedAt.Add(peer.AckLifetime).Before(other) {
+		other = mo.State.QuorumAckedAt.Add(peer.AckLifetime)
 	}
 	return other
 }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -6,39 +6,58 @@
 	"strings"
 	"time"
 
+	"lilaclead/internal/cancels"
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/autoscaler"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
+	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/leader/reconcile"
 	"lilaclead/internal/store"
+	"lilaclead/internal/undecodable"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
 )
 
-// recover reads everything from the state service.
-func (t *term) recover(ctx context.Context) {
+// records reads the jobs' records for a new leader and follows their changes.
+type records struct {
+	*core.Loop
+	state       *cluster.State
+	store       *store.Client
+	cancels     *cancels.Log
+	versions    *upgrade.Member
+	undecodable *undecodable.Log
+	progress    *progress.Reader
+	dispatcher  *agents.Dispatcher
+	reconciler  *reconcile.Reconciler
+	intents     *autoscaler.CloudIntents
+	// cancellationCursor is how much of the log of cancellations has been applied.
+	cancellationCursor uint64
+}
+
+// readRecords reads everything from the state service.
+func (rd *records) readRecords(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		jobs, rev, err := t.l.Store.List(ctx, store.Background, store.JobPrefix)
+		jobs, rev, err := rd.store.List(ctx, store.Background, store.JobPrefix)
 		var runs []wire.Entry
 		if err == nil {
-			runs, _, err = t.l.Store.List(ctx, store.Background, store.RunPrefix)
+			runs, _, err = rd.store.List(ctx, store.Background, store.ProgressPrefix)
 		}
 		var version upgrade.Version
 		if err == nil {
-			version, err = t.readVersion(ctx)
+			version, err = rd.readVersion(ctx)
 		}
-		var earlier earlierIntents
-		if err == nil && t.intents != nil {
-			earlier, err = t.intents.load(ctx)
+		var earlier autoscaler.EarlierIntents
+		if err == nil && rd.intents != nil {
+			earlier, err = rd.intents.Load(ctx)
 		}
 		if err == nil {
-			t.post(func() {
-				t.loadRecords(jobs, runs)
-				t.version = version
-				t.adopt(earlier)
-				t.l.Cancels.RecordRead(began)
-			})
-			t.follow(ctx, rev)
+			rd.Post(recordsRead{jobs, runs, version, earlier, began})
+			rd.watchJobRecords(ctx, rev)
 			return
 		}
-		t.log().Info("recovery: state service refuses", "err", err)
+		rd.Log.Info("recovery: state service refuses", "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(300 * time.Millisecond):
@@ -50,13 +69,13 @@
 // new as its beginning, and leases are renewed by that.
 const followFor = time.Second
 
-// follow watches the jobs.
-func (t *term) follow(ctx context.Context, rev wire.Revision) {
+// watchJobRecords watches the jobs.
+func (rd *records) watchJobRecords(ctx context.Context, rev wire.Revision) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		ch, err := t.l.Store.Watch(ctx, store.JobPrefix, rev, followFor)
+		ch, err := rd.store.Watch(ctx, store.JobPrefix, rev, followFor)
 		if errors.Is(err, store.ErrTooOld) {
-			t.end("fell behind the changes")
+			rd.End("fell behind the changes")
 			return
 		}
 		if err != nil {
@@ -69,94 +88,117 @@
 		if ch.Revision > rev {
 			rev = ch.Revision
 		}
-		t.post(func() {
-			t.applyChanges(ch.Events)
-			t.l.Cancels.RecordRead(began)
-		})
+		rd.Post(jobRecordsChanged{ch.Events, began})
 	}
 }
 
 // applyChanges takes in what has changed among the jobs' records.
-func (t *term) applyChanges(changes []wire.Change) {
+func (rd *records) applyChanges(changes []wire.Change) {
 	for _, c := range changes {
 		if c.Put != "" {
-			t.applyJobRecord(c.Put, c.Value, c.Revision)
+			rd.applyJobRecord(c.Put, c.Value, c.Revision)
 			continue
 		}
 		// The last that comes of a job.
 		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
-		delete(t.undecodable, id)
-		if delete(t.archived, id); t.jobs[id] != nil {
-			t.jobs[id].recordGone = true
+		delete(rd.state.QuarantinedJobs, id)
+		if delete(rd.state.ArchivedJobs, id); rd.state.Jobs[id] != nil {
+			rd.state.Jobs[id].RecordDeleted = true
 		}
 	}
 }
 
 // loadRecords builds the term's picture from what was read.
-func (t *term) loadRecords(jobs, runs []wire.Entry) {
+func (rd *records) loadRecords(jobs, runs []wire.Entry) {
 	for _, e := range jobs {
-		t.applyJobRecord(e.Key, e.Value, e.Revision)
+		rd.applyJobRecord(e.Key, e.Value, e.Revision)
 	}
-	t.readProgress(runs)
-	for _, j := range t.jobs {
-		t.readGang(j)
+	rd.progress.ReadAll(runs)
+	for _, j := range rd.state.Jobs {
+		rd.state.RestoreGang(j)
 	}
-	t.recovered = true
-	t.log().Info("recovered", "jobs", len(t.jobs), "machines", len(t.machines), "took", time.Since(t.startedAt))
-	for _, j := range t.jobs {
-		if j.cancelled {
-			t.haltCancelled(j)
+	rd.state.Recovered = true
+	rd.Log.Info("recovered", "jobs", len(rd.state.Jobs), "machines", len(rd.state.Machines), "took", time.Since(rd.state.TermStartedAt))
+	for _, j := range rd.state.Jobs {
+		if j.Cancelled {
+			rd.dispatcher.StopCancelledJob(j)
 		}
-		t.checkFinished(j)
+		rd.state.MarkIfFinished(j)
 	}
-	for _, rep := range t.earlyReports {
-		t.apply(t.machine(rep.Machine), &rep, true, time.Now())
+	for _, rep := range rd.reconciler.EarlyHeartbeats {
+		rd.reconciler.Reconcile(rd.state.GetOrAddMachine(rep.Machine), &rep, true, time.Now())
 	}
-	t.earlyReports = nil
-	t.cancelCursor = 0
-	t.applyCancellations()
-	t.delegationToken.Store(uint64(t.token)) // only now cancellations are known
-	t.showToken()
+	rd.reconciler.EarlyHeartbeats = nil
+	rd.cancellationCursor = 0
+	rd.applyCancellations()
+	rd.Published.DelegationToken.Store(uint64(rd.Fencing.Token)) // only now cancellations are known
+	rd.dispatcher.AnnounceToken()
 }
 
 // applyJobRecord takes in a job record that is new or has changed.
-func (t *term) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
+func (rd *records) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
 	rec, err := store.DecodeJob(key, v)
 	if err != nil {
-		t.setAside(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)), err)
+		rd.undecodable.Note(key, err)
+		rd.state.Quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)))
 		return
 	}
-	j := t.jobs[rec.Spec.ID]
+	j := rd.state.Jobs[rec.Spec.ID]
 	if j == nil {
-		if t.undecodable[rec.Spec.ID] {
-			t.end("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
+		if rd.state.QuarantinedJobs[rec.Spec.ID] {
+			rd.End("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
 			return
 		}
-		if t.archived[rec.Spec.ID] {
+		if rd.state.ArchivedJobs[rec.Spec.ID] {
 			return // late news of a job that is over
 		}
-		j = newJob(rec, revision)
-		t.jobs[rec.Spec.ID] = j
-		t.requestRound()
+		j = cluster.NewJob(rec, revision)
+		rd.state.Jobs[rec.Spec.ID] = j
+		rd.state.RequestCycle()
 	}
-	if revision < j.revision {
+	if revision < j.Revision {
 		return
 	}
-	j.revision, j.stale = revision, j.cancelled && rec.Status != wire.Cancelled
-	rec.LogCancellation(t.l.Cancels)
-	if rec.Status == wire.Cancelled && !j.cancelled {
-		j.cancelled = true
-		j.cancelledAt = time.Now().Add(-rec.Cancelled())
-		if t.recovered {
-			t.haltCancelled(j)
+	j.Revision, j.RecordOutdated = revision, j.Cancelled && rec.Status != wire.Cancelled
+	rec.LogCancellation(rd.cancels)
+	if rec.Status == wire.Cancelled && !j.Cancelled {
+		j.Cancelled = true
+		j.CancelledAt = time.Now().Add(-rec.SinceCancelled())
+		if rd.state.Recovered {
+			rd.dispatcher.StopCancelledJob(j)
+		}
+	}
+}
+
+// rereadRetry is the pause before a job's record is read again.
+const rereadRetry = 300 * time.Millisecond
+
+// onReread takes in a job's record that was read again.
+func (rd *records) onReread(e progress.JobRecordReread) {
+	id := e.Job.Spec.ID
+	switch {
+	case rd.state.Jobs[id] != e.Job: // a watch was faster, and the job is archived
+	case e.Err == nil:
+		rd.applyJobRecord(store.JobKey(id), e.Entry.Value, e.Entry.Revision)
+	case errors.Is(e.Err, store.ErrMissing):
+		if e.Job.RecordOutdated { // else it is being archived
+			rd.End("a live job's record is gone: " + string(id))
 		}
+	case e.Job.RecordOutdated:
+		time.AfterFunc(rereadRetry, func() { rd.Post(progress.RereadDue{Job: e.Job}) })
 	}
 }
 
-// checkFinished notes that a job can be archived.
-func (t *term) checkFinished(j *job) {
-	if j.cancelled && j.held == 0 || j.done == j.spec.Tasks {
-		j.finished = true
-		t.writer.markFinished(j)
+// readVersion reads the active version for this term. It is read after the lease was
+// taken, and only leaders switch, by writes that their token guards: no earlier one can
+// switch any more.
+func (rd *records) readVersion(ctx context.Context) (upgrade.Version, error) {
+	if rd.versions == nil {
+		return 0, nil
+	}
+	v, err := rd.versions.ReadActive(ctx)
+	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
+		rd.Post(resignationDue{err.Error()})
 	}
+	return v, err
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -2,238 +2,162 @@
 
 import (
 	"context"
-	"log/slog"
-	"sync"
-	"sync/atomic"
 	"time"
 
-	"lilaclead/internal/config"
-	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/autoscaler"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/election"
-	"lilaclead/internal/leader/rentals"
+	"lilaclead/internal/leader/liveness"
+	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/leader/reconcile"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/wire"
-	"lilaclead/upgrade"
 )
 
-// reportCall is a report with the channel for its answer.
-type reportCall struct {
-	report  wire.Report
-	relayed bool // by another node
-	reply   chan reportAnswer
-}
-
-// reportAnswer to a report.
-type reportAnswer struct {
-	commands *wire.Commands // the answer; nil: none
-	redirect bool           // the worker should come to this node itself
-	refused  refusal        // why the report is not answered
-}
-
-// term is one period of leadership. Its loop owns everything below the line; the
-// goroutines that do I/O hand their results back through the inbox.
+// term is one period of leadership. Its loop owns its parts; the goroutines that do I/O
+// hand their results back as events.
 type term struct {
-	l               *Leader
-	lease           *election.Lease
-	startedAt       time.Time
-	delegationToken atomic.Uint64 // the token under which others may renew leases; 0: none yet
-	// unprovenCancelSince: see Leader.UnprovenCancelSince.
-	unprovenCancelSince atomic.Pointer[time.Time]
-	reportCalls         chan reportCall
-	inbox               chan func()
-	over                chan struct{}
-	endOnce             sync.Once
-	endReason           string
-
-	// ---- owned by the loop ----
-	ctx                    context.Context
-	settings               *config.Settings
-	token                  wire.Token // also the revision of the leader's key
-	firstToken             wire.Token // the token at the start of the term
-	raising                bool
-	recovered              bool
-	placing                bool      // the first report round is over
-	listReceived           bool      // a machine list has come in
-	listAskedAt            time.Time // when the last one was asked for
-	earlyReports           map[wire.MachineID]wire.Report
-	jobs                   map[wire.JobID]*job
-	archived               map[wire.JobID]bool // archived, and news of them may still come
-	undecodable            map[wire.JobID]bool // of which a record can't be decoded: see setAside
-	machines               map[wire.MachineID]*machine
-	gone                   map[wire.MachineID]time.Time // released, answered 200
-	tokenShown             bool                         // every machine of the first list has been asked
-	zoneDetector           *detector.Zones              // which zones are partitioned from this node
-	delegatesAnsweredUntil time.Time                    // when another node can last have answered as a delegate
-	stateAwaySince         time.Time                    // since when the state service is away; zero: it is not
-	stateBackAt            time.Time                    // when it was last back
-	majorityAckedAt        time.Time                    // when a majority first held our token
-
-	writer          *writer           // of the jobs' progress
-	incompleteGangs map[*job]struct{} // gangs of which a task was lost, not yet looked after
-	recentGangs     map[gangSize]recentGang
-	cancelledJobs   map[*job]struct{} // cancelled, with attempts that may be on machines
-	cancelCursor    uint64            // what of the ledger of cancellations has been taken in
-	raiseAt         time.Time
-	raiseWanted     bool
-	claimed         map[*machine]struct{} // on which room is being made
-	roundWanted     bool
-	lastRound       time.Time
-	roundAfter      time.Time
-	roundTook       time.Duration // the last one
-
-	rentals  *rentals.Tracker
-	intents  *cloudIntents   // nil: they are not recorded
-	version  upgrade.Version // that is active, as far as this leader acts by it
-	backlogS float64         // seconds in which the room there is would do what waits
+	*core.Loop
+	leader                *Leader
+	heartbeatCalls        chan reconcile.Call
+	storeUnavailableSince time.Time // zero: the state service is available
+
+	state      *cluster.State
+	scheduler  *scheduling.Scheduler
+	writer     *progress.Writer
+	dispatcher *agents.Dispatcher
+	scaler     *autoscaler.Scaler
+	reconciler *reconcile.Reconciler
+	monitor    *liveness.Monitor
+	committer  *progress.Committer
+	records    *records
+	inventory  *inventory
 }
 
+// heartbeatBacklog is how many heartbeats may wait for the loop.
+const heartbeatBacklog = 32
+
 func newTerm(l *Leader, lease *election.Lease) *term {
-	t := &term{
-		l: l, lease: lease, startedAt: lease.TakenAt(), token: lease.Token(), firstToken: lease.Token(),
-		settings:    &l.Config.Settings,
-		reportCalls: make(chan reportCall, 32), inbox: make(chan func(), 32), over: make(chan struct{}),
-		earlyReports: map[wire.MachineID]wire.Report{}, jobs: map[wire.JobID]*job{}, archived: map[wire.JobID]bool{}, undecodable: map[wire.JobID]bool{},
-		machines: map[wire.MachineID]*machine{}, gone: map[wire.MachineID]time.Time{},
-		zoneDetector: detector.NewZones(lease.TakenAt(), l.Config.Settings.Workers.ReportS.Duration()),
-		claimed:      map[*machine]struct{}{}, cancelledJobs: map[*job]struct{}{}, incompleteGangs: map[*job]struct{}{}, recentGangs: map[gangSize]recentGang{},
-	}
-	t.rentals = rentals.New(lease.Token())
-	if l.RecordIntents {
-		t.intents = newCloudIntents(t)
+	loop := core.NewLoop(lease, l.Log, &l.Metrics)
+	state := cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token())
+	state.Delegation = l.delegationBounds
+	tracker := scaling.New(lease.Token())
+	scheduler := scheduling.NewScheduler(state, l.Tuning, tracker, l.Log)
+	writer := progress.NewWriter(state, l.writeBudget, l.Log)
+	dispatcher := &agents.Dispatcher{Loop: loop, State: state, Agents: l.agents}
+	scaler := autoscaler.NewScaler(loop, state, scheduler, tracker,
+		autoscaler.Options{Cloud: l.Cloud, RecordIntents: l.RecordIntents, Versioned: l.Versions != nil})
+	reconciler := reconcile.NewReconciler(loop, state, l.delegate, dispatcher, scaler)
+	return &term{
+		Loop: loop, leader: l, heartbeatCalls: make(chan reconcile.Call, heartbeatBacklog),
+		state: state, scheduler: scheduler, writer: writer, dispatcher: dispatcher, scaler: scaler, reconciler: reconciler,
+		monitor:   &liveness.Monitor{Loop: loop, State: state, Mesh: l.Mesh, Peers: l.Config.Peers, Writer: writer, Dispatcher: dispatcher, Scaler: scaler},
+		committer: &progress.Committer{Loop: loop, State: state, Store: l.Store, Mesh: l.Mesh, Writer: writer, Dispatcher: dispatcher},
+		records: &records{Loop: loop, state: state, store: l.Store, cancels: l.Cancels, versions: l.Versions, undecodable: l.Undecodable,
+			progress: progress.NewReader(state, writer, l.Undecodable), dispatcher: dispatcher, reconciler: reconciler, intents: scaler.Intents},
+		inventory: &inventory{Loop: loop, state: state, cloud: l.Cloud, dispatcher: dispatcher},
 	}
-	t.writer = newWriter(&t.settings.State, t.log())
-	t.writer.withdraw, t.writer.isAside = t.withdrawStart, t.isAside
-	t.writer.budget = func() float64 {
-		_, writes := l.Store.Left()
-		return writes
-	}
-	return t
 }
 
-// end ends the term; safe from any goroutine.
-func (t *term) end(why string) {
-	t.endOnce.Do(func() {
-		t.endReason = why
-		close(t.over)
-	})
+// writeBudget returns how many changes the state service's rate limit leaves now.
+func (l *Leader) writeBudget() float64 {
+	_, writes := l.Store.Budget()
+	return writes
 }
 
-// post hands a result to the loop.
-func (t *term) post(f func()) {
-	select {
-	case t.inbox <- f:
-	case <-t.over:
-	}
-}
-
-func (t *term) log() *slog.Logger { return t.l.Log }
-
 // run serves the term until it is over and says why.
 func (t *term) run(parent context.Context) string {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	t.ctx = ctx
-	go t.keepLease(ctx)
-	go t.recover(ctx)
-	go t.pollMachineList(ctx)
-	go t.pollMachineSpecs(ctx)
-	go t.advanceVersion(ctx)
+	t.Begin(ctx)
+	t.Spawn(t.keepLease)
+	t.Spawn(t.records.readRecords)
+	t.Spawn(t.inventory.pollMachineList)
+	t.Spawn(t.inventory.pollMachineSpecs)
+	t.Spawn(t.advanceVersion)
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
 	slow := 0
 	for {
 		select {
-		case <-t.over:
-			return t.endReason
+		case <-t.Done:
+			return t.EndReason()
 		case <-parent.Done():
-			t.end("stopped")
-			return t.endReason
-		case h := <-t.reportCalls:
-			t.onReport(h)
-		case f := <-t.inbox:
-			f()
+			t.End("stopped")
+			return t.EndReason()
+		case h := <-t.heartbeatCalls:
+			t.reconciler.OnHeartbeat(h)
+		case e := <-t.Events:
+			t.handle(e)
 		case now := <-tick.C:
-			t.watchLeadership(now)
-			t.showToken()
+			t.checkLeadership(now)
+			t.dispatcher.AnnounceToken()
 			if slow++; slow%5 == 0 {
-				t.watchMachines(now)
+				t.monitor.CheckMachines(now)
 			}
 			if slow%10 == 0 {
-				t.planFleet(now)
+				t.scaler.PlanFleet(now)
 			}
 			if slow%100 == 0 {
 				t.logStatus(now)
 			}
 		}
-		t.settle(time.Now())
+		t.runDueWork(time.Now())
 	}
 }
 
-// settle does what has become due after an event: a round, a write.
-func (t *term) settle(now time.Time) {
-	if !t.recovered || !t.lease.Deciding() {
+// runDueWork does what has become due after an event: a round, a write.
+func (t *term) runDueWork(now time.Time) {
+	if !t.state.Recovered || !t.Lease.Deciding() {
 		return
 	}
-	t.stopIncompleteGangs()
-	v := t.l.Tuning.Get()
-	if t.placing && (t.roundWanted && now.After(t.roundAfter) || now.Sub(t.lastRound) >= wire.Seconds(v.RoundS).Duration()) {
-		t.round(now)
-	}
-	t.flush(now)
-}
-
-// requestRound asks for a round soon; a few events are gathered first.
-func (t *term) requestRound() {
-	if !t.roundWanted {
-		t.roundWanted = true
-		// At most a fifth of the time goes to rounds, however large they are.
-		pause := max(100*time.Millisecond, 4*t.roundTook)
-		t.roundAfter = latest(time.Now().Add(10*time.Millisecond), t.lastRound.Add(pause))
-	}
-}
-
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
+	t.dispatcher.StopBrokenGangs()
+	v := t.leader.Tuning.Get()
+	if t.state.SchedulingEnabled && t.state.Cycle.Due(now, wire.Seconds(v.RoundS).Duration()) {
+		t.runCycle(now)
 	}
-	return b
+	t.committer.Flush(now)
 }
 
-// watchLeadership yields to a higher token and bounds the service without the
+// checkLeadership yields to a higher token and bounds the service without the
 // state service.
-func (t *term) watchLeadership(now time.Time) {
-	v := t.l.Mesh.View()
-	if v.Token > t.token && !t.raising {
+func (t *term) checkLeadership(now time.Time) {
+	v := t.leader.Mesh.View()
+	if v.Token > t.Fencing.Token && !t.Fencing.Raising {
 		// Our own raised token comes back through the peers only after we
 		// know of it, or while raising is set.
-		t.end("a higher token is known")
+		t.End("a higher token is known")
 		return
 	}
-	until := v.AckedUntil(t.token, t.settings.Size/2+1)
+	until := v.AckedUntil(t.Fencing.Token, t.state.Settings.Size/2+1)
 	acked := now.Before(until)
-	if acked && t.majorityAckedAt.IsZero() {
-		t.majorityAckedAt = now
-	}
-	t.lease.Acknowledged(until, t.oldestAck(v, now), t.l.delegation.Time)
-	t.applyCancellations()
-	if t.lease.Deciding() {
-		if !t.stateAwaySince.IsZero() {
-			t.log().Info("state service back", "token", t.token, "away", now.Sub(t.stateAwaySince))
-			t.stateAwaySince, t.stateBackAt = time.Time{}, now
-			t.requestRound()
+	if acked && t.state.QuorumAckedAt.IsZero() {
+		t.state.QuorumAckedAt = now
+	}
+	t.Lease.Acknowledged(until, t.oldestAck(v, now), t.state.Delegation.Time)
+	t.records.applyCancellations()
+	if t.Lease.Deciding() {
+		if !t.storeUnavailableSince.IsZero() {
+			t.Log.Info("state service back", "token", t.Fencing.Token, "away", now.Sub(t.storeUnavailableSince))
+			t.storeUnavailableSince, t.state.StoreAvailableSince = time.Time{}, now
+			t.state.RequestCycle()
 		}
 	} else {
-		if t.stateAwaySince.IsZero() {
-			t.stateAwaySince = now
-			t.log().Info("state service away; keeps answering reports while a majority agrees", "token", t.token, "agrees", acked)
+		if t.storeUnavailableSince.IsZero() {
+			t.storeUnavailableSince = now
+			t.Log.Info("state service away; keeps answering reports while a majority agrees", "token", t.Fencing.Token, "agrees", acked)
 		}
 	}
-	if !t.placing && t.recovered {
-		bound := t.settings.Workers.ReportS.Duration()*5/4 + 1500*time.Millisecond
-		if t.enoughMachinesReported(now) || now.Sub(t.startedAt) > bound {
-			t.placing = true
-			t.log().Info("places", "machines", len(t.machines), "jobs", len(t.jobs), "after", now.Sub(t.startedAt))
-			t.requestRound()
+	if !t.state.SchedulingEnabled && t.state.Recovered {
+		bound := t.state.Settings.Workers.HeartbeatInterval.Duration()*5/4 + 1500*time.Millisecond
+		if t.enoughMachinesHeard(now) || now.Sub(t.state.TermStartedAt) > bound {
+			t.state.SchedulingEnabled = true
+			t.Log.Info("places", "machines", len(t.state.Machines), "jobs", len(t.state.Jobs), "after", now.Sub(t.state.TermStartedAt))
+			t.state.RequestCycle()
 		}
 	}
 }
@@ -242,7 +166,7 @@
 // for.
 func (t *term) oldestAck(v *peer.View, now time.Time) time.Time {
 	oldest := now
-	for _, o := range t.l.Config.Peers {
+	for _, o := range t.leader.Config.Peers {
 		if at := v.Peers[o.HostName].AckSent; at.Before(oldest) {
 			oldest = at
 		}
@@ -252,31 +176,31 @@
 
 // keepLease renews the leadership and ends the term when it is lost.
 func (t *term) keepLease(ctx context.Context) {
-	if err := t.lease.Keep(ctx, t.leaseRenewed); err != nil {
-		t.end(err.Error())
+	if err := t.Lease.Keep(ctx, t.leaseRenewed); err != nil {
+		t.End(err.Error())
 	}
 }
 
-// enoughMachinesReported tells whether the machines that should be up have reported with
+// enoughMachinesHeard tells whether the machines that should be up have reported with
 // our token: all of a small deployment, and half of a large one, where
 // showing the token to the last takes seconds. One that is in no list or did
 // not answer a probe is not waited for. What was not heard takes nothing new,
 // and its tasks count until it is known to be gone. Without a list (the
 // cloud's interface may be down for minutes) it is the machines of which
 // something is stored that are waited for.
-func (t *term) enoughMachinesReported(now time.Time) bool {
-	if !t.listReceived && now.Sub(t.startedAt) < time.Second {
+func (t *term) enoughMachinesHeard(now time.Time) bool {
+	if !t.state.MachineListReceived && now.Sub(t.state.TermStartedAt) < time.Second {
 		return false
 	}
 	heard, missing := 0, 0
-	for _, m := range t.machines {
+	for _, m := range t.state.Machines {
 		switch {
-		case m.booting, m.drainReason == drainReturning:
-		case m.token >= t.firstToken:
+		case m.Booting, m.DrainReason == cluster.DrainAdoptedScaleIn:
+		case m.Token >= t.state.FirstToken:
 			heard++
-		case m.unansweredProbes == 0 && (m.addr != "" || !t.listReceived):
+		case m.UnansweredProbes == 0 && (m.Addr != "" || !t.state.MachineListReceived):
 			missing++
 		}
 	}
-	return missing == 0 || missing <= heard && heard > 4*maxProbesPerTick
+	return missing == 0 || missing <= heard && heard > 4*agents.MaxProbesPerTick
 }
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -6,69 +6,47 @@
 	"time"
 
 	"lilaclead/duty"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
 	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
 )
 
-// VersionIntents is the version from which on intents are recorded.
-const VersionIntents upgrade.Version = 2
-
 // SupportedVersions are those that this program understands.
 var SupportedVersions = upgrade.Range{Min: upgrade.Base, Max: store.Version}
 
 // advanceEvery is how often a leader looks whether the next version may be switched to.
 const advanceEvery = 2 * time.Second
 
-// recordsIntents tells whether intents are recorded now: the part is on and, where
-// versions are negotiated, every controller understands it.
-func (t *term) recordsIntents() bool {
-	return t.intents != nil && (t.l.Versions == nil || t.version >= VersionIntents)
-}
-
-// readVersion reads the active version for this term. It is read after the lease was
-// taken, and only leaders switch, by writes that their token guards: no earlier one can
-// switch any more.
-func (t *term) readVersion(ctx context.Context) (upgrade.Version, error) {
-	if t.l.Versions == nil {
-		return 0, nil
-	}
-	v, err := t.l.Versions.ReadActive(ctx)
-	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
-		t.post(func() { t.resign(err.Error()) })
-	}
-	return v, err
-}
-
 // advanceVersion switches to the next version once all controllers understand it.
 func (t *term) advanceVersion(ctx context.Context) {
-	if t.l.Versions == nil {
+	if t.leader.Versions == nil {
 		return
 	}
 	var logged string
-	for t.pause(advanceEvery) {
+	for core.Pause(ctx, advanceEvery) {
 		version, err := t.tryAdvance(ctx)
 		if err != nil && err.Error() != logged {
 			logged = err.Error()
-			t.log().Info("the active version could not be switched", "err", err)
+			t.Log.Info("the active version could not be switched", "err", err)
 		}
-		t.post(func() { t.takeVersion(version) })
+		t.Post(versionChecked{version})
 	}
 }
 
 // tryAdvance switches once if that is due, and returns the active version as far as it
 // is known then.
 func (t *term) tryAdvance(ctx context.Context) (upgrade.Version, error) {
-	versions := t.l.Versions
+	versions := t.leader.Versions
 	if active := versions.Active(); active >= versions.Supports.Max {
 		return active, nil
 	}
-	permit, err := duty.For[duty.Cleanup](t.lease.Lease)
+	permit, err := duty.PermitFor[duty.Cleanup](t.Lease.Lease)
 	if err != nil {
 		return 0, nil // it is tried again when the lease is held
 	}
-	deployment, err := t.l.deployment(ctx)
+	deployment, err := t.leader.deployment(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -81,9 +59,9 @@
 
 // takeVersion acts by a version that is active, once the term knows all records.
 func (t *term) takeVersion(version upgrade.Version) {
-	if version > t.version && t.recovered {
-		t.log().Info("acts by version", "version", version, "before", t.version)
-		t.version = version
+	if version > t.state.ActiveVersion && t.state.Recovered {
+		t.Log.Info("acts by version", "version", version, "before", t.state.ActiveVersion)
+		t.state.ActiveVersion = version
 	}
 }
 
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -11,36 +11,36 @@
 
 // View is what a leader shows operators.
 type View struct {
-	Machines []MachineView `cbor:"machines"`
-	Jobs     []JobView     `cbor:"jobs"`
-	Deciding bool          `cbor:"deciding"`
-	Bookings int           `cbor:"bookings"`
+	Machines         []MachineView `cbor:"machines"`
+	Jobs             []JobView     `cbor:"jobs"`
+	Deciding         bool          `cbor:"deciding"`
+	PendingScaleOuts int           `cbor:"bookings"`
 }
 
 // MachineView is one machine.
 type MachineView struct {
-	Name     wire.MachineID   `cbor:"name"`
-	Kit      wire.MachineType `cbor:"kit"`
-	Zone     wire.Zone        `cbor:"zone"`
-	Spot     bool             `cbor:"spot"`
-	Booting  bool             `cbor:"booting"`
-	Drain    string           `cbor:"drain,omitempty"`
-	Tasks    int              `cbor:"tasks"`
-	SilentS  float64          `cbor:"silent_s"`
-	FreeCPUs float64          `cbor:"free_cpus"`
+	Name          wire.MachineID   `cbor:"name"`
+	Type          wire.MachineType `cbor:"kit"`
+	Zone          wire.Zone        `cbor:"zone"`
+	Spot          bool             `cbor:"spot"`
+	Booting       bool             `cbor:"booting"`
+	Drain         string           `cbor:"drain,omitempty"`
+	Tasks         int              `cbor:"tasks"`
+	SilentSeconds float64          `cbor:"silent_s"`
+	FreeCPUs      float64          `cbor:"free_cpus"`
 }
 
 // JobView is one unfinished job.
 type JobView struct {
-	ID        wire.JobID  `cbor:"id"`
-	Lane      string      `cbor:"lane"`
-	Team      wire.TeamID `cbor:"team"`
-	Parts     int         `cbor:"parts"`
-	Done      int         `cbor:"done"`
-	Held      int         `cbor:"held"`
-	Fails     int         `cbor:"fails"`
-	AgeS      float64     `cbor:"age_s"`
-	Cancelled bool        `cbor:"cancelled"`
+	ID         wire.JobID  `cbor:"id"`
+	Class      string      `cbor:"lane"`
+	Team       wire.TeamID `cbor:"team"`
+	Tasks      int         `cbor:"parts"`
+	Done       int         `cbor:"done"`
+	Active     int         `cbor:"held"`
+	Failures   int         `cbor:"fails"`
+	AgeSeconds float64     `cbor:"age_s"`
+	Cancelled  bool        `cbor:"cancelled"`
 }
 
 // View asks the term's loop for a view; nil if this node does not lead.
@@ -50,10 +50,9 @@
 		return nil
 	}
 	out := make(chan *View, 1)
-	ask := func() { out <- t.view(time.Now()) }
 	select {
-	case t.inbox <- ask:
-	case <-t.over:
+	case t.Events <- viewRequested{out}:
+	case <-t.Done:
 		return nil
 	case <-ctx.Done():
 		return nil
@@ -61,7 +60,7 @@
 	select {
 	case v := <-out:
 		return v
-	case <-t.over:
+	case <-t.Done:
 	case <-ctx.Done():
 	}
 	return nil
@@ -70,37 +69,37 @@
 // logStatus logs, every ten seconds, the deployment's machines, jobs and tasks.
 func (t *term) logStatus(now time.Time) {
 	up, booting, idle, tasks, held, done, waiting := 0, 0, 0, 0, 0, 0, 0
-	for _, m := range t.machines {
+	for _, m := range t.state.Machines {
 		switch {
-		case m.booting:
+		case m.Booting:
 			booting++
-		case len(m.tasks) == 0:
+		case len(m.Tasks) == 0:
 			idle++
 			fallthrough
 		default:
 			up++
 		}
 	}
-	for _, j := range t.jobs {
-		tasks, held, done = tasks+j.spec.Tasks, held+j.held, done+j.done
-		if !j.cancelled && j.pending() > 0 {
+	for _, j := range t.state.Jobs {
+		tasks, held, done = tasks+j.Spec.Tasks, held+j.ActiveTasks, done+j.DoneTasks
+		if !j.Cancelled && j.Pending() > 0 {
 			waiting++
 		}
 	}
-	if most := t.l.Workers; up > most {
-		t.log().Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.l.Needed(up))
+	if most := t.leader.Workers; up > most {
+		t.Log.Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
 	}
-	t.log().Info("status", "token", t.token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.backlogS), "round", t.roundTook, "late", time.Since(now))
+	t.Log.Info("status", "token", t.Fencing.Token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.Jobs), "jobs_waiting", waiting,
+		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.scheduler.BacklogS), "round", t.state.Cycle.LastDuration, "late", time.Since(now))
 }
 
 func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.lease.Deciding(), Bookings: len(t.rentals.Bookings())}
-	for _, m := range t.machines {
-		v.Machines = append(v.Machines, MachineView{m.id, m.machineType, m.zone, m.spot, m.booting, string(m.drainReason), len(m.tasks), t.silence(m, now).Seconds(), t.free(m).CPUs})
+	v := &View{Deciding: t.Lease.Deciding(), PendingScaleOuts: len(t.scaler.Tracker.PendingScaleOuts())}
+	for _, m := range t.state.Machines {
+		v.Machines = append(v.Machines, MachineView{m.ID, m.MachineType, m.Zone, m.Spot, m.Booting, string(m.DrainReason), len(m.Tasks), t.state.SinceLastMessage(m, now).Seconds(), t.state.FreeResources(m).CPUs})
 	}
-	for _, j := range t.jobs {
-		v.Jobs = append(v.Jobs, JobView{j.spec.ID, j.spec.Class, j.spec.Team, j.spec.Tasks, j.done, j.held, j.failures, now.Sub(j.acceptedAt).Seconds(), j.cancelled})
+	for _, j := range t.state.Jobs {
+		v.Jobs = append(v.Jobs, JobView{j.Spec.ID, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.DoneTasks, j.ActiveTasks, j.Failures, now.Sub(j.AcceptedAt).Seconds(), j.Cancelled})
 	}
 	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	slices.SortFunc(v.Jobs, func(a, b JobView) int { return strings.Compare(string(a.ID), string(b.ID)) })
