--- a/internal/leader/agents/events.go
+++ b/internal/leader/agents/events.go
@@ -13,13 +13,13 @@
 
 // CommandAnswer is the outcome of a direct command to an agent, or of a probe.
 type CommandAnswer struct {
-	Machine   *cluster.Machine
-	AskedAt   Position // newest position known when it was sent
-	Commands  wire.Commands
-	Launched  []*cluster.Attempt
-	Heartbeat *wire.Heartbeat
-	Status    int
-	Err       error
+	Machine     *cluster.Machine
+	KnownBefore Position // newest heartbeat known when the command was sent
+	Commands    wire.Commands
+	Launched    []*cluster.Attempt
+	Heartbeat   *wire.Heartbeat
+	Status      int
+	Err         error
 }
 
 // ProbeAnswer is the outcome of a probe.
--- /dev/null
+++ b/internal/leader/reconcile/drain.go
@@ -0,0 +1,51 @@
+package reconcile
+
+import "lilaclead/internal/leader/cluster"
+
+// maxSuspectShare bounds the suspected machines that may be drained at a time to a quarter
+// of all.
+const maxSuspectShare = 4
+
+// MayDrainSuspect reports whether one more machine may be drained on the suspicion that it
+// is faulty or slow. A fault that shows on many machines is not theirs.
+func (rc *Reconciler) MayDrainSuspect() bool {
+	suspects, total := 0, 0
+	for _, machine := range rc.state.Machines {
+		if machine.Booting {
+			continue
+		}
+		total++
+		if machine.DrainReason == cluster.DrainFaulty || machine.DrainReason == cluster.DrainSlow {
+			suspects++
+		}
+	}
+	return suspects < max(1, total/maxSuspectShare)
+}
+
+// drainMachine takes a machine out of service. It is scaled in when it is empty.
+func (rc *Reconciler) drainMachine(machine *cluster.Machine, reason cluster.DrainReason) {
+	if machine.DrainReason != "" || machine.ScalingIn {
+		return
+	}
+	machine.DrainReason = reason
+	rc.Log.Info("machine drained", "machine", machine.ID, "reason", reason, "tasks", len(machine.Tasks))
+	rc.Metrics.Fleet("drained", 1)
+	for _, attempt := range machine.Tasks {
+		neverSent := !attempt.LaunchSent && !attempt.Inherited
+		switch {
+		case attempt.Unstored:
+		case neverSent:
+			rc.state.EndAttempt(attempt, cluster.TaskPending)
+		case stopsTask(reason, attempt.Job):
+			rc.dispatcher.Stop(attempt, rc.state.GracePeriodOf(attempt.Job), cluster.EvictionReason(reason))
+		}
+	}
+	rc.state.RequestCycle()
+}
+
+// stopsTask reports whether a drain for a reason stops the tasks of a job rather than let
+// them end by themselves: all on a faulty machine, and on a slow one the replicas of
+// services, which would never end.
+func stopsTask(reason cluster.DrainReason, job *cluster.Job) bool {
+	return reason == cluster.DrainFaulty || reason == cluster.DrainSlow && job.Spec.Service()
+}
--- a/internal/leader/reconcile/failures.go
+++ b/internal/leader/reconcile/failures.go
@@ -7,91 +7,79 @@
 	"lilaclead/internal/wire"
 )
 
-const slowFactor = 1.6
+const (
+	// maxBackoffDoublings bounds the backoff of a job that fails on several machines:
+	// 2^6 seconds, about a minute.
+	maxBackoffDoublings = 6
+	// singleMachineBackoff is the backoff of a job that failed on one machine only: the
+	// machine may be at fault, and the job is tried on another one soon.
+	singleMachineBackoff = 500 * time.Millisecond
 
-// recordRunTime compares a completed run with the job's others.
-func (rc *Reconciler) recordRunTime(a *cluster.Attempt, now time.Time) {
-	took := now.Sub(a.RunningSince).Seconds()
-	j := a.Job
-	if len(j.RunTimes.Samples) >= 3 {
-		if took > slowFactor*j.RunTimes.Median()+2 {
-			a.Machine.SlowRuns.Slow++
-		} else {
-			a.Machine.SlowRuns.Normal++
-		}
-		if a.Machine.SlowRuns.Slow >= 3 && a.Machine.SlowRuns.Slow > 3*a.Machine.SlowRuns.Normal && rc.MayDrainSuspect() {
-			rc.drainMachine(a.Machine, cluster.DrainSlow)
-		}
-	}
-	j.RunTimes.Add(took)
-}
+	// faultyMachineJobs is how many jobs must have failed on a machine in a row for the
+	// machine to be at fault.
+	faultyMachineJobs = 2
+	// faultyMachineFailures is how many failures make a machine faulty if the job
+	// runs on others.
+	faultyMachineFailures = 2
+	// singleMachineFailures is how many failures in a row of a job, all on one machine,
+	// make that machine faulty although the job has never completed a task.
+	singleMachineFailures = 3
+	// suspectJobMachines is on how many machines a job must have failed for it to be
+	// retried ever more rarely.
+	suspectJobMachines = 2
+	// faultyJobMachines is on how many machines a job must have failed in a row for the
+	// job to be at fault.
+	faultyJobMachines = 3
+)
 
-// onTaskFailure tells a faulty machine from a faulty job. A job that fails wherever
-// it runs is retried ever more rarely; a machine on which several jobs fail,
-// or one that others' machines run well, is drained and returned.
-func (rc *Reconciler) onTaskFailure(a *cluster.Attempt, now time.Time) {
-	j, m := a.Job, a.Machine
-	if j.FailedMachines == nil {
-		j.FailedMachines = map[wire.MachineID]bool{}
+// onTaskFailure distinguishes a faulty machine from a faulty job. A job that fails wherever
+// it runs is retried ever more rarely; a machine on which several jobs fail, or a job that
+// other machines run well, is drained and scaled in.
+func (rc *Reconciler) onTaskFailure(attempt *cluster.Attempt, now time.Time) {
+	job, machine := attempt.Job, attempt.Machine
+	if job.FailedMachines == nil {
+		job.FailedMachines = map[wire.MachineID]bool{}
 	}
-	j.FailedMachines[m.ID] = true
-	j.Failures++
-	m.FailedJobs[j.Spec.ID] = true
-	m.Failures++
-	rc.Log.Info("task failed", "task", a.Task(), "attempt", a.Number, "machine", m.ID, "job_machines", len(j.FailedMachines), "machine_jobs", len(m.FailedJobs))
-	faultyMachine := len(m.FailedJobs) >= 2 || j.Succeeded && m.Failures >= 2 || m.Failures >= 2 && len(j.FailedMachines) == 1 && j.Failures >= 3
-	if faultyMachine && rc.MayDrainSuspect() {
-		rc.drainMachine(m, cluster.DrainFaulty)
+	job.FailedMachines[machine.ID] = true
+	job.Failures++
+	machine.FailedJobs[job.Spec.ID] = true
+	machine.Failures++
+	rc.Log.Info("task failed", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID,
+		"job_machines", len(job.FailedMachines), "machine_jobs", len(machine.FailedJobs))
+	if machineAtFault(machine, job) && rc.MayDrainSuspect() {
+		rc.drainMachine(machine, cluster.DrainFaulty)
 	}
-	if len(j.FailedMachines) >= 2 {
-		n := min(j.Failures, 6)
-		j.StartNotBefore = now.Add(time.Duration(1<<n) * time.Second)
-		if len(j.FailedMachines) >= 3 {
-			// The job is to blame: what it did to the machines is forgiven.
-			for _, other := range rc.state.Machines {
-				if other.FailedJobs[j.Spec.ID] {
-					delete(other.FailedJobs, j.Spec.ID)
-					other.Failures = 0
-				}
-			}
-		}
-	} else {
-		j.StartNotBefore = now.Add(500 * time.Millisecond)
+	rc.backOff(job, now)
+	if len(job.FailedMachines) >= faultyJobMachines {
+		rc.clearFailuresOf(job)
 	}
 }
 
-// MayDrainSuspect bounds what suspicion may take out of service at a time: a fault
-// that shows on many machines is not the machines'.
-func (rc *Reconciler) MayDrainSuspect() bool {
-	n, all := 0, 0
-	for _, m := range rc.state.Machines {
-		if m.Booting {
-			continue
-		}
-		all++
-		if m.DrainReason == cluster.DrainFaulty || m.DrainReason == cluster.DrainSlow {
-			n++
-		}
-	}
-	return n < max(1, all/4)
+// machineAtFault reports whether a machine on which a task of the job has just failed is
+// taken to be the cause.
+func machineAtFault(machine *cluster.Machine, job *cluster.Job) bool {
+	severalJobsFail := len(machine.FailedJobs) >= faultyMachineJobs
+	failsRepeatedly := machine.Failures >= faultyMachineFailures
+	failsHereOnly := len(job.FailedMachines) == 1 && job.Failures >= singleMachineFailures
+	return severalJobsFail || failsRepeatedly && (job.Succeeded || failsHereOnly)
 }
 
-// drainMachine takes a machine out of service; it is returned when empty.
-func (rc *Reconciler) drainMachine(m *cluster.Machine, why cluster.DrainReason) {
-	if m.DrainReason != "" || m.ScalingIn {
+// backOff sets when a job of which a task has just failed may start tasks again.
+func (rc *Reconciler) backOff(job *cluster.Job, now time.Time) {
+	if len(job.FailedMachines) < suspectJobMachines {
+		job.StartNotBefore = now.Add(singleMachineBackoff)
 		return
 	}
-	m.DrainReason = why
-	rc.Log.Info("drains", "machine", m.ID, "why", why, "tasks", len(m.Tasks))
-	rc.Metrics.Fleet("drained", 1)
-	for _, a := range m.Tasks {
-		switch {
-		case a.Unstored:
-		case !a.LaunchSent && !a.Inherited:
-			rc.state.EndAttempt(a, cluster.TaskPending) // never sent by anyone
-		case why == cluster.DrainFaulty, why == cluster.DrainSlow && a.Job.Spec.Service():
-			rc.dispatcher.Stop(a, rc.state.GracePeriodOf(a.Job), cluster.EvictionReason(why))
+	doublings := min(job.Failures, maxBackoffDoublings)
+	job.StartNotBefore = now.Add(time.Duration(1<<doublings) * time.Second)
+}
+
+// clearFailuresOf clears the failures of all machines on which a faulty job has failed.
+func (rc *Reconciler) clearFailuresOf(job *cluster.Job) {
+	for _, machine := range rc.state.Machines {
+		if machine.FailedJobs[job.Spec.ID] {
+			delete(machine.FailedJobs, job.Spec.ID)
+			machine.Failures = 0
 		}
 	}
-	rc.state.RequestCycle()
 }
--- /dev/null
+++ b/internal/leader/reconcile/heartbeat.go
@@ -0,0 +1,104 @@
+package reconcile
+
+import (
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
+)
+
+// Reconcile updates the state by a heartbeat, or by the answer to a direct command, which
+// has the same form; sentByAgent distinguishes the two. It reports whether the heartbeat
+// was newer than what was known.
+func (rc *Reconciler) Reconcile(machine *cluster.Machine, heartbeat *wire.Heartbeat, sentByAgent bool, now time.Time) bool {
+	if !heartbeat.Newer(machine.Epoch, machine.Sequence) || machine.Restarted {
+		return false
+	}
+	rc.state.ZoneDetector.Heard(heartbeat.Zone, sentByAgent, now)
+	if machine.FirstHeartbeatAt.IsZero() {
+		machine.FirstHeartbeatAt = now
+		rc.onMachineJoined(machine, now)
+		rc.state.RequestCycle()
+	}
+	rc.updateMachine(machine, heartbeat, now)
+	recordHeartbeatGap(machine, sentByAgent, now)
+	rc.updateSpotNotice(machine, heartbeat, now)
+	listed := make(map[wire.Task]bool, len(heartbeat.Tasks)) // made here, it stays off the heap
+	rc.reconcileTasks(machine, heartbeat, listed, now)
+	for task, attempt := range machine.Tasks {
+		if listed[task] || attempt.Unstored {
+			continue
+		}
+		if !rc.state.LaunchMayTakeEffect(attempt, heartbeat, sentByAgent) {
+			rc.onMissingAttempt(attempt, heartbeat)
+		}
+	}
+	return true
+}
+
+// recordHeartbeatGap records since when a machine only answers direct commands.
+func recordHeartbeatGap(machine *cluster.Machine, sentByAgent bool, now time.Time) {
+	if sentByAgent {
+		machine.HeartbeatsMissingSince = time.Time{}
+	} else if machine.HeartbeatsMissingSince.IsZero() {
+		machine.HeartbeatsMissingSince = now
+	}
+}
+
+// onMachineJoined handles the first heartbeat of a machine in this term.
+func (rc *Reconciler) onMachineJoined(machine *cluster.Machine, now time.Time) {
+	if !machine.Booting {
+		return
+	}
+	rc.Log.Info("machine joined", "machine", machine.ID, "type", machine.MachineType, "zone", machine.Zone,
+		"spot", machine.Spot, "duration", now.Sub(machine.RequestedAt))
+	machine.LastUsedAt = now
+}
+
+// updateMachine records what a heartbeat says of the machine itself.
+func (rc *Reconciler) updateMachine(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
+	if heartbeat.Epoch > machine.Epoch {
+		// The images survive the expiry of a lease; a restart, which loses them, begins
+		// with the first epoch again.
+		machine.EpochSince = now
+	}
+	machine.Addr, machine.MachineType = heartbeat.Addr, heartbeat.Type
+	machine.Zone, machine.Spot = heartbeat.Zone, heartbeat.Spot
+	machine.Epoch, machine.Sequence = heartbeat.Epoch, heartbeat.Sequence
+	machine.LastMessageAt, machine.Booting, machine.UnansweredProbes = now, false, 0
+	if machine.Token < rc.state.FirstToken && heartbeat.Token >= rc.state.FirstToken {
+		machine.TokenSeenAt = now
+	}
+	machine.Token = max(machine.Token, heartbeat.Token)
+}
+
+// updateSpotNotice records when the cloud will reclaim the machine, if the heartbeat says
+// so.
+func (rc *Reconciler) updateSpotNotice(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
+	if heartbeat.SpotNotice == nil {
+		return
+	}
+	remaining := heartbeat.SpotNotice.Duration()
+	if machine.ReclaimAt.IsZero() {
+		rc.Log.Info("spot notice received", "machine", machine.ID, "remaining", remaining, "tasks", len(machine.Tasks))
+		rc.drainMachine(machine, cluster.DrainSpotNotice)
+	}
+	machine.ReclaimAt = now.Add(remaining)
+}
+
+// onRestart handles the answer of a machine that counts from the start again: it was back
+// before anybody missed it. What its answer lacks is lost. The machine is scaled in, since
+// from now on its heartbeats can't be told from late copies of those before the restart.
+func (rc *Reconciler) onRestart(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
+	rc.Log.Info("machine restarted", "machine", machine.ID, "tasks", len(machine.Tasks),
+		"epoch", heartbeat.Epoch, "sequence", heartbeat.Sequence,
+		"previous_epoch", machine.Epoch, "previous_sequence", machine.Sequence)
+	machine.Epoch, machine.Sequence, machine.Images = 0, 0, cluster.ImageCache{}
+	for _, attempt := range machine.Tasks {
+		attempt.ReplySequence = 0 // the reply that carried the launch went to the machine before its restart
+	}
+	rc.drainMachine(machine, cluster.DrainRestarted)
+	rc.Reconcile(machine, heartbeat, false, now)
+	machine.Restarted = true
+	rc.scaler.ScaleIn(machine, cluster.DrainRestarted)
+}
--- /dev/null
+++ b/internal/leader/reconcile/run_times.go
@@ -0,0 +1,45 @@
+package reconcile
+
+import (
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+)
+
+const (
+	// minRunTimeSamples is how many run times of a job must be known for another one to
+	// be compared with them.
+	minRunTimeSamples = 3
+	// A run is slow when it takes longer than slowFactor times the median of its job and
+	// slowMarginSeconds.
+	slowFactor        = 1.6
+	slowMarginSeconds = 2
+	// A machine is slow when it had minSlowRuns slow runs, and more than slowRunsPerNormal
+	// for each normal one.
+	minSlowRuns       = 3
+	slowRunsPerNormal = 3
+)
+
+// recordRunTime compares a completed run with the others of its job, and drains a machine
+// on which most runs are slow.
+func (rc *Reconciler) recordRunTime(attempt *cluster.Attempt, now time.Time) {
+	runSeconds := now.Sub(attempt.RunningSince).Seconds()
+	job, machine := attempt.Job, attempt.Machine
+	if len(job.RunTimes.Samples) >= minRunTimeSamples {
+		if runSeconds > slowFactor*job.RunTimes.Median()+slowMarginSeconds {
+			machine.SlowRuns.Slow++
+		} else {
+			machine.SlowRuns.Normal++
+		}
+		if isSlow(machine) && rc.MayDrainSuspect() {
+			rc.drainMachine(machine, cluster.DrainSlow)
+		}
+	}
+	job.RunTimes.Add(runSeconds)
+}
+
+// isSlow reports whether most runs on a machine are slow.
+func isSlow(machine *cluster.Machine) bool {
+	runs := machine.SlowRuns
+	return runs.Slow >= minSlowRuns && runs.Slow > slowRunsPerNormal*runs.Normal
+}
