--- a/internal/leader/liveness/delegates.go
+++ b/internal/leader/liveness/delegates.go
@@ -8,31 +8,35 @@
 	"lilaclead/internal/wire"
 )
 
-// anyDelegateAnswersUntil is the latest time at which any other node can answer a
-// worker as a leader's delegate, or can have.
+// anyDelegateAnswersUntil returns the latest time at which any other controller can answer
+// a heartbeat, or can have answered one, as a delegate of a leader.
 func (mo *Monitor) anyDelegateAnswersUntil(now time.Time) time.Time {
-	var at time.Time
+	var latest time.Time
 	if mo.State.Delegation.Time == 0 {
-		return at
+		return latest
 	}
-	tenure := delegation.Tenure{Began: mo.State.TermStartedAt, FirstToken: mo.State.FirstToken, StateBack: mo.State.StoreAvailableSince}
-	v := mo.Mesh.View()
-	for _, o := range mo.Peers {
-		at = cluster.Latest(at, mo.State.Delegation.AnswersUntil(tenure, v.Peers[o.HostName], now))
+	tenure := delegation.Tenure{
+		Began:      mo.State.TermStartedAt,
+		FirstToken: mo.State.FirstToken,
+		StateBack:  mo.State.StoreAvailableSince,
 	}
-	return at
+	view := mo.Mesh.View()
+	for _, node := range mo.Peers {
+		latest = cluster.Latest(latest, mo.State.Delegation.AnswersUntil(tenure, view.Peers[node.HostName], now))
+	}
+	return latest
 }
 
-// zoneControllersLastContact is since when no node in a zone is heard, zero if none ever was: a
-// guess at when those there were cut off, whoever led then. Nothing that has to
-// be sure rests on it.
+// zoneControllersLastContact returns when a controller in a zone was last in contact, zero
+// if none ever was: a guess at when those there were cut off, whoever led then. Nothing
+// that has to be certain rests on it.
 func (mo *Monitor) zoneControllersLastContact(zone wire.Zone) time.Time {
-	var at time.Time
-	v := mo.Mesh.View()
-	for _, o := range mo.Peers {
-		if o.Zone == zone {
-			at = cluster.Latest(at, v.Peers[o.HostName].LastContact)
+	var latest time.Time
+	view := mo.Mesh.View()
+	for _, node := range mo.Peers {
+		if node.Zone == zone {
+			latest = cluster.Latest(latest, view.Peers[node.HostName].LastContact)
 		}
 	}
-	return at
+	return latest
 }
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -8,62 +8,79 @@
 )
 
 const (
-	// clockDriftPart of a lease covers two clocks that are each off by 0.05 %,
-	// twice over: a five-hundredth.
-	clockDriftPart = 500
-	// leaseRounding is the step to a full second, and a margin.
+	// clockDriftFraction of a lease covers two clocks that are each off by 0.05 %, twice
+	// over: a five-hundredth.
+	clockDriftFraction = 500
+	// leaseRounding covers the rounding to a full second, and a margin.
 	leaseRounding = 1500 * time.Millisecond
+	// emptyAckLifetimes is for how many lifetimes of an acknowledgement those of a fresh
+	// process, which acknowledge no token, may keep an earlier leader answering: one in
+	// which it says no token, and two more in which it counts as asked.
+	emptyAckLifetimes = 3
+	// earlierLeaderMargin is added to these.
+	earlierLeaderMargin = time.Second
 )
 
-// ExpireLease ends the tasks of a machine whose lease has surely run out: nobody
-// can have answered it within the lease, the clocks' drift and a margin.
-func (mo *Monitor) ExpireLease(m *cluster.Machine, now time.Time) {
-	if len(m.Tasks) == 0 || !mo.State.Recovered {
+// ExpireLease ends the tasks of a machine whose lease has surely expired: nobody can have
+// answered it within the lease, the drift of the clocks and a margin.
+func (mo *Monitor) ExpireLease(machine *cluster.Machine, now time.Time) {
+	if len(machine.Tasks) == 0 || !mo.State.Recovered {
 		return
 	}
 	lease := mo.State.Settings.Workers.Lease.Duration()
-	surelyOver := lease + lease/clockDriftPart + leaseRounding
-	// Up to when it first showed our token an earlier leader may have answered
-	// it; from then on only we can have.
-	// A new session has its full time even if no report of it was answered: a
-	// launch sent into it may run that long. (Tasks started right after a
-	// lease had run out were once given up at once, and started again.)
-	last := cluster.Latest(cluster.Latest(m.LastReplyAt, m.TokenSeenAt), cluster.Latest(m.EpochSince, mo.State.DelegatesRenewedUntil))
-	if m.Token < mo.State.FirstToken {
-		last = cluster.Latest(last, mo.EarlierLeaderRepliesUntil())
-	}
-	if now.Sub(last) < surelyOver {
+	expiredAfter := lease + lease/clockDriftFraction + leaseRounding
+	if now.Sub(mo.lastPossibleRenewal(machine)) < expiredAfter {
 		return
 	}
-	for _, a := range m.Tasks {
-		if a.Unstored {
+	for _, attempt := range machine.Tasks {
+		// A direct launch in flight may still arrive, even after the lease expired; and a
+		// machine in a new epoch could accept it only with that epoch.
+		if attempt.Unstored || attempt.LaunchInFlight {
 			continue
 		}
-		// A direct launch of ours may still come, even after the lease; and
-		// a machine in a new session could take it only with that session.
-		if a.LaunchInFlight {
-			continue
-		}
-		mo.Log.Info("lease of a silent machine has run out", "task", a.Task(), "attempt", a.Number, "machine", m.ID)
+		mo.Log.Info("lease expired", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID)
 		mo.Metrics.TaskMoved(string(cluster.EvictedLeaseExpired))
-		mo.State.EndAttempt(a, cluster.TaskPending)
+		mo.State.EndAttempt(attempt, cluster.TaskPending)
 	}
 }
 
-// EarlierLeaderRepliesUntil is until when an earlier leader can have answered a worker that
-// has not seen our token: X after a majority took our token, or B at most. One
-// that never acknowledged a token of ours has had no acknowledgement from us
-// since this term began either, but for a fresh process's empty ones, which say no
-// token for X and count as asked for another 2X; then it stops as if alone. (Where
-// one zone holds most controllers no majority is left when it is cut off, and what
-// ran there was once counted for B.)
+// lastPossibleRenewal returns the latest time at which the lease of a machine can have been
+// renewed by anybody, or can have begun.
+func (mo *Monitor) lastPossibleRenewal(machine *cluster.Machine) time.Time {
+	// Until it first showed a token of this term, an earlier leader may have answered the
+	// machine; from then on only this one can have.
+	last := cluster.Latest(machine.LastReplyAt, machine.TokenSeenAt)
+	// A new epoch has its full time even if no heartbeat of it was answered: a launch that
+	// was sent into it may run that long. (Tasks that were started right after a lease had
+	// expired were once given up at once, and started again.)
+	last = cluster.Latest(last, machine.EpochSince)
+	last = cluster.Latest(last, mo.State.DelegatesRenewedUntil)
+	if machine.Token < mo.State.FirstToken {
+		last = cluster.Latest(last, mo.EarlierLeaderRepliesUntil())
+	}
+	return last
+}
+
+// EarlierLeaderRepliesUntil returns until when an earlier leader can have answered a
+// machine that has not seen a token of this term: for the lifetime of an acknowledgement
+// after a quorum acknowledged this term's token, and for peer.OutageLimit at most. Where
+// controllers may be delegates the bound is shorter: an earlier leader that never
+// acknowledged a token of this term has had no acknowledgement from this node either since
+// the term began, except the empty ones of a fresh process, and then stops as one that is
+// alone. (Where one zone holds most controllers no quorum is left when it is cut off, and
+// what ran there once counted for all of peer.OutageLimit.)
 func (mo *Monitor) EarlierLeaderRepliesUntil() time.Time {
-	other := mo.State.TermStartedAt.Add(peer.OutageLimit)
+	until := mo.State.TermStartedAt.Add(peer.OutageLimit)
 	if mo.State.Delegation.Time > 0 {
-		other = mo.State.TermStartedAt.Add(max(mo.State.Delegation.Time, 3*peer.AckLifetime+time.Second))
+		emptyAcksLast := emptyAckLifetimes*peer.AckLifetime + earlierLeaderMargin
+		until = mo.State.TermStartedAt.Add(max(mo.State.Delegation.Time, emptyAcksLast))
+	}
+	if mo.State.QuorumAckedAt.IsZero() {
+		return until
 	}
-	if !mo.State.QuorumAckedAt.IsZero() && mo.State.QuorumAckedAt.Add(peer.AckLifetime).Before(other) {
-		other = mo.State.QuorumAckedAt.Add(peer.AckLifetime)
+	acksExpired := mo.State.QuorumAckedAt.Add(peer.AckLifetime)
+	if acksExpired.Before(until) {
+		return acksExpired
 	}
-	return other
+	return until
 }
