--- a/internal/leader/agents/dispatcher.go
+++ b/internal/leader/agents/dispatcher.go
@@ -9,145 +9,99 @@
 	"lilaclead/internal/wire"
 )
 
-// Dispatcher sends commands to the agents: launches of what is stored, stops, and
-// probes. What is not known to have arrived it sends again.
+// Dispatcher sends launches of stored attempts, stops and probes to the agents. It sends
+// again what is not known to have arrived. It is used by the goroutine of the term's loop
+// alone.
 type Dispatcher struct {
 	*core.Loop
 	State  *cluster.State
 	Agents *Client
-	// tokenAnnounced: every machine of the first list has been shown the token.
+	// TokenAnnounced is set once every machine of the first list has been shown the token.
 	TokenAnnounced bool
 }
 
-// MaxCommands keeps an answer, or a command, within the size that workers take.
-const MaxCommands = 400
+const (
+	// MaxCommands keeps an answer, or a direct command, within the size that agents accept.
+	MaxCommands = 400
+	// commandTimeout is how long the answer to a command is waited for. A command that is
+	// not answered may still be executed, which launches account for.
+	commandTimeout = 2500 * time.Millisecond
+	// directStopInterval is the least time between two direct stops of an attempt.
+	directStopInterval = 1500 * time.Millisecond
+)
 
-// commands for the answer to a report: whatever has not been shown to have
-// arrived is repeated.
-func (dp *Dispatcher) CommandsFor(m *cluster.Machine, rep *wire.Heartbeat, now time.Time) []wire.Command {
-	out := dp.StopCommands(m, []wire.Command{}, now)
-	for task, a := range m.Tasks {
-		if len(out) >= MaxCommands {
-			return out
-		}
-		if !a.Stopping && !a.Unstored && !a.Observed && !a.LaunchInFlight && m.DrainReason == "" && !a.Job.Cancelled && !a.Inherited && m.Inbound.Works() && a.MayLaunch() {
-			out = append(out, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.Number})
-			a.LaunchSent, a.LaunchEpoch, a.ReplyEpoch, a.ReplySequence = true, rep.Epoch, rep.Epoch, rep.Sequence
-		}
+// Dispatch sends the commands that a machine has not been sent yet directly to it. Without
+// the key-value store it sends stops alone.
+func (dp *Dispatcher) Dispatch(machine *cluster.Machine) {
+	mayLaunch := dp.Lease.Deciding()
+	if !canReceive(machine) || !mayLaunch && !dp.Lease.Answering() {
+		return
 	}
-	for i := range rep.Tasks {
-		p := &rep.Tasks[i]
-		if len(out) >= MaxCommands {
-			return out
-		}
-		task, err := wire.ParseTask(p.Task)
-		if err != nil {
-			continue
-		}
-		if a := m.Tasks[task]; a != nil && a.Number == p.Attempt {
-			continue
+	now := time.Now()
+	commands := wire.Commands{Token: dp.Fencing.Token, Epoch: machine.Epoch}
+	var launched []*cluster.Attempt
+	for task, attempt := range machine.Tasks {
+		if len(commands.Commands) >= MaxCommands {
+			break
 		}
 		switch {
-		case dp.State.Quarantined(task.Job): // it may be one of those that can't be read
-		case p.Phase != wire.PhaseExited:
-			zero := wire.Seconds(0)
-			out = append(out, wire.Command{Verb: wire.Stop, Task: p.Task, Attempt: p.Attempt, GracePeriod: &zero})
-		case dp.mayForget(m, task, rep):
-			out = append(out, wire.Command{Verb: wire.Forget, Task: p.Task, Attempt: p.Attempt})
+		case directStopDue(attempt, now):
+			commands.Commands = append(commands.Commands, stopCommand(task, attempt))
+			attempt.StopSentAt = now
+		case mayLaunch && awaitsLaunch(attempt) && !attempt.LaunchSent:
+			commands.Commands = append(commands.Commands, launchCommand(task, attempt))
+			attempt.LaunchSent, attempt.LaunchEpoch, attempt.LaunchInFlight = true, machine.Epoch, true
+			launched = append(launched, attempt)
 		}
 	}
-	return out
-}
-
-// StopCommands adds the halts of a machine's tasks that are to stop. These may be
-// sent without the state service too: a halt starts nothing.
-func (dp *Dispatcher) StopCommands(m *cluster.Machine, out []wire.Command, now time.Time) []wire.Command {
-	for task, a := range m.Tasks {
-		if len(out) >= MaxCommands {
-			break
-		}
-		if a.Stopping && !a.Unstored {
-			out = append(out, stopCommand(task, a))
-			a.StopSentAt = now
-		}
+	if len(commands.Commands) > 0 {
+		dp.sendCommands(machine, commands, launched)
 	}
-	return out
 }
 
-// dispatcher.mayForget: the outcome is stored, and no launch that could start the
-// attempt again is under way to the worker. A forgotten attempt that is
-// launched late would run once more.
-func (dp *Dispatcher) mayForget(m *cluster.Machine, task wire.Task, rep *wire.Heartbeat) bool {
-	if m.LaunchMayArrive(rep) {
-		dp.Fencing.RaiseRequested = true // a new token ends what may still be on its way
-		return false
-	}
-	if m.CommandInFlight || rep.Token < dp.State.FirstToken {
-		return false
-	}
-	j := dp.State.Jobs[task.Job]
-	if j == nil {
-		return true
-	}
-	if j.Finished || j.Archiving {
-		return false
-	}
-	n := task.Index / j.TasksPerChunk
-	if n >= len(j.Chunks) {
-		return true
-	}
-	c := j.Chunks[n]
-	return c == nil || !c.Dirty && !c.WriteInFlight
+// canReceive reports whether a direct command can be sent to a machine now: it has sent a
+// heartbeat in this term, is not being scaled in, and no other command is in flight.
+func canReceive(machine *cluster.Machine) bool {
+	known := machine.Addr != "" && !machine.FirstHeartbeatAt.IsZero()
+	return known && !machine.CommandInFlight && !machine.ScalingIn
 }
 
-func stopCommand(task wire.Task, a *cluster.Attempt) wire.Command {
-	w := a.GracePeriod
-	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: a.Number, GracePeriod: &w}
+// directStopDue reports whether a stop of an attempt is to be sent directly.
+func directStopDue(attempt *cluster.Attempt, now time.Time) bool {
+	return attempt.Stopping && !attempt.Unstored && now.Sub(attempt.StopSentAt) > directStopInterval
 }
 
-// Dispatch sends what is new for a machine straight to it.
-func (dp *Dispatcher) Dispatch(m *cluster.Machine) {
-	// Without the state service what is to stop is still halted.
-	withoutState := !dp.Lease.Deciding()
-	if m.CommandInFlight || m.Addr == "" || m.FirstHeartbeatAt.IsZero() || m.ScalingIn || withoutState && !dp.Lease.Answering() {
-		return
-	}
-	now := time.Now()
-	cmd := wire.Commands{Token: dp.Fencing.Token, Epoch: m.Epoch}
-	var launched []*cluster.Attempt
-	for task, a := range m.Tasks {
-		switch {
-		case a.Unstored || len(cmd.Commands) >= MaxCommands:
-		case a.Stopping:
-			if now.Sub(a.StopSentAt) > 1500*time.Millisecond {
-				cmd.Commands = append(cmd.Commands, stopCommand(task, a))
-				a.StopSentAt = now
-			}
-		case !withoutState && a.MayLaunch() && !a.LaunchSent && !a.Inherited && !a.Observed && m.DrainReason == "" && !a.Job.Cancelled:
-			cmd.Commands = append(cmd.Commands, wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: a.Number})
-			a.LaunchSent, a.LaunchEpoch, a.LaunchInFlight = true, m.Epoch, true
-			launched = append(launched, a)
-		}
-	}
-	if len(cmd.Commands) > 0 {
-		dp.sendCommands(m, cmd, launched)
-	}
+// awaitsLaunch reports whether a launch of an attempt may be sent, and no heartbeat has
+// shown the attempt yet.
+func awaitsLaunch(attempt *cluster.Attempt) bool {
+	notStarted := !attempt.Observed && !attempt.Inherited
+	stillWanted := !attempt.Stopping && !attempt.Job.Cancelled && attempt.Machine.DrainReason == ""
+	return !attempt.Unstored && notStarted && stillWanted && attempt.MayLaunch()
 }
 
-// sendCommands sends a direct command and takes in its answer.
-func (dp *Dispatcher) sendCommands(m *cluster.Machine, cmd wire.Commands, launched []*cluster.Attempt) {
-	m.CommandInFlight = true
-	addr, asked := m.Addr, Position{m.Epoch, m.Sequence}
+// sendCommands sends a direct command. Its outcome is posted to the term's loop.
+func (dp *Dispatcher) sendCommands(machine *cluster.Machine, commands wire.Commands, launched []*cluster.Attempt) {
+	machine.CommandInFlight = true
+	addr, known := machine.Addr, positionOf(machine)
 	dp.Spawn(func(ctx context.Context) {
-		heartbeat, status, err := dp.Agents.Send(ctx, addr, cmd, commandTimeout)
-		dp.Post(CommandAnswer{m, asked, cmd, launched, heartbeat, status, err})
+		heartbeat, status, err := dp.Agents.Send(ctx, addr, commands, commandTimeout)
+		dp.Post(CommandAnswer{
+			Machine:     machine,
+			KnownBefore: known,
+			Commands:    commands,
+			Launched:    launched,
+			Heartbeat:   heartbeat,
+			Status:      status,
+			Err:         err,
+		})
 	})
 }
 
-const (
-	// commandTimeout is how long a command's answer is waited for. What is
-	// not answered may still be executed: launches are careful with it.
-	commandTimeout = 2500 * time.Millisecond
-	// ProbeTimeout is shorter, as two in a row tell a machine's end.
-	ProbeTimeout = 1200 * time.Millisecond
-)
+func launchCommand(task wire.Task, attempt *cluster.Attempt) wire.Command {
+	return wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: attempt.Number}
+}
+
+func stopCommand(task wire.Task, attempt *cluster.Attempt) wire.Command {
+	gracePeriod := attempt.GracePeriod
+	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: attempt.Number, GracePeriod: &gracePeriod}
+}
--- a/internal/leader/agents/events.go
+++ b/internal/leader/agents/events.go
@@ -5,19 +5,24 @@
 	"lilaclead/internal/wire"
 )
 
-// Position of a report among all of a machine's.
+// Position is the place of a heartbeat among all heartbeats of a machine.
 type Position struct {
 	Epoch    wire.AgentEpoch
 	Sequence wire.Sequence
 }
 
+// positionOf returns the position of the newest heartbeat of a machine.
+func positionOf(machine *cluster.Machine) Position {
+	return Position{Epoch: machine.Epoch, Sequence: machine.Sequence}
+}
+
 // CommandAnswer is the outcome of a direct command to an agent, or of a probe.
 type CommandAnswer struct {
 	Machine     *cluster.Machine
 	KnownBefore Position // newest heartbeat known when the command was sent
 	Commands    wire.Commands
-	Launched    []*cluster.Attempt
-	Heartbeat   *wire.Heartbeat
+	Launched    []*cluster.Attempt // whose launches the command holds
+	Heartbeat   *wire.Heartbeat    // nil if Err is set
 	Status      int
 	Err         error
 }
@@ -25,5 +30,5 @@
 // ProbeAnswer is the outcome of a probe.
 type ProbeAnswer struct {
 	CommandAnswer
-	Relayed bool // through another controller
+	Relayed bool // the probe was sent through another controller
 }
--- a/internal/leader/agents/probes.go
+++ b/internal/leader/agents/probes.go
@@ -5,88 +5,98 @@
 	"net/http"
 	"time"
 
-	"github.com/julienschmidt/httprouter"
-
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
-// Probe asks a worker for its report and shows it our token.
-func (dp *Dispatcher) Probe(m *cluster.Machine) {
-	if m.CommandInFlight || m.Addr == "" {
+// ProbeTimeout is how long the answer to a probe is waited for: less than for a command,
+// as two failed probes in a row tell the end of a machine.
+const ProbeTimeout = 1200 * time.Millisecond
+
+// firstEpoch is the epoch with which an agent begins.
+const firstEpoch = 1
+
+// Probe asks an agent for its heartbeat and shows it this leader's token. Its outcome is
+// posted to the term's loop.
+func (dp *Dispatcher) Probe(machine *cluster.Machine) {
+	if machine.CommandInFlight || machine.Addr == "" {
 		return
 	}
-	session := max(m.Epoch, 1)
-	m.CommandInFlight = true
-	addr, cmd, asked := m.Addr, wire.Commands{Token: dp.Fencing.Token, Epoch: session}, Position{m.Epoch, m.Sequence}
-	ask := func(ctx context.Context) (*wire.Heartbeat, int, error) {
-		return dp.Agents.Send(ctx, addr, cmd, ProbeTimeout)
-	}
-	// What doesn't answer this node is asked once more through another one: it
-	// may be only the way from here that is cut.
-	relay := wire.NodeID("")
-	if m.UnansweredProbes > 0 {
-		if relay = dp.Agents.RandomConnectedPeer(time.Now()); relay != "" {
-			ask = func(ctx context.Context) (*wire.Heartbeat, int, error) {
-				return dp.Agents.ProbeThroughPeer(ctx, relay, addr, cmd)
-			}
-		}
-	}
+	machine.CommandInFlight = true
+	addr, known := machine.Addr, positionOf(machine)
+	probe := wire.Commands{Token: dp.Fencing.Token, Epoch: max(machine.Epoch, firstEpoch)}
+	relay := dp.relayFor(machine)
 	dp.Spawn(func(ctx context.Context) {
-		rep, status, err := ask(ctx)
-		if err == nil && status == http.StatusConflict && rep.Epoch != cmd.Epoch && rep.Token <= cmd.Token {
-			// Wrong session: now we know the right one.
-			cmd.Epoch = rep.Epoch
-			rep, status, err = ask(ctx)
+		heartbeat, status, err := dp.Agents.probeThrough(ctx, relay, addr, probe)
+		if err == nil && wrongEpoch(status, heartbeat, &probe) {
+			probe.Epoch = heartbeat.Epoch // the right one, by the answer
+			heartbeat, status, err = dp.Agents.probeThrough(ctx, relay, addr, probe)
 		}
-		dp.Post(ProbeAnswer{CommandAnswer{m, asked, cmd, nil, rep, status, err}, relay != ""})
+		dp.Post(ProbeAnswer{
+			CommandAnswer: CommandAnswer{
+				Machine:     machine,
+				KnownBefore: known,
+				Commands:    probe,
+				Heartbeat:   heartbeat,
+				Status:      status,
+				Err:         err,
+			},
+			Relayed: relay != "",
+		})
 	})
 }
 
-// relayedProbe is one that another node passes on to a worker.
-type relayedProbe struct {
-	Addr     string        `cbor:"addr"`
-	Commands wire.Commands `cbor:"orders"`
+// relayFor returns the controller through which a machine is probed; empty: directly. A
+// machine that did not answer this node is probed once more through another one, if one is
+// connected: only the path from here may be cut.
+func (dp *Dispatcher) relayFor(machine *cluster.Machine) wire.NodeID {
+	if machine.UnansweredProbes == 0 {
+		return ""
+	}
+	return dp.Agents.RandomConnectedPeer(time.Now())
 }
 
-// ServeRelayedProbe handles a leader's question to a worker that the leader can't reach.
-// It passes on no launches: those the leader keeps account of itself.
-func (c *Client) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	var a relayedProbe
-	if err != nil || wire.Decode(raw, &a) != nil || a.Addr == "" || len(a.Commands.Commands) > 0 {
-		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a question to a worker"})
-		return
-	}
-	rep, status, err := c.Send(r.Context(), a.Addr, a.Commands, ProbeTimeout)
-	if err != nil {
-		wire.RefuseRetryable(w, http.StatusBadGateway, "worker not reached", 1)
-		return
+// probeThrough probes the agent at an address through another controller, or directly if
+// relay is empty.
+func (c *Client) probeThrough(ctx context.Context, relay wire.NodeID, addr string, probe wire.Commands) (*wire.Heartbeat, int, error) {
+	if relay == "" {
+		return c.Send(ctx, addr, probe, ProbeTimeout)
 	}
-	wire.Answer(w, status, rep)
+	return c.ProbeThroughPeer(ctx, relay, addr, probe)
 }
 
-// MaxProbesPerTick is how many machines are asked directly in a tenth of a second.
-// All at once, those of a large deployment would hold up the renewals and the
-// reports behind them.
+// wrongEpoch reports whether an agent has refused a probe for its epoch alone.
+func wrongEpoch(status int, heartbeat *wire.Heartbeat, probe *wire.Commands) bool {
+	return status == http.StatusConflict && heartbeat.Epoch != probe.Epoch && heartbeat.Token <= probe.Token
+}
+
+// MaxProbesPerTick is how many machines are probed in a tenth of a second to announce the
+// token. All at once, those of a large cluster would hold up the renewals and the
+// heartbeats behind them.
 const MaxProbesPerTick = 25
 
-// AnnounceToken shows our token to the machines that have not seen it and whose
-// address is known, so that a new leader's report round takes a moment and
-// not a report's interval.
+// AnnounceToken shows this leader's token to the machines that have not seen it and whose
+// addresses are known, so that the first round of heartbeats of a new leader takes a moment
+// and not a heartbeat interval.
 func (dp *Dispatcher) AnnounceToken() {
 	if dp.TokenAnnounced || !dp.State.Recovered || !dp.Lease.Deciding() {
 		return
 	}
-	n := 0
-	for _, m := range dp.State.Machines {
-		if m.Booting || m.Token >= dp.State.FirstToken || m.CommandInFlight || m.Addr == "" || m.UnansweredProbes > 0 {
+	uninformed := 0
+	for _, machine := range dp.State.Machines {
+		if !dp.needsToken(machine) {
 			continue
 		}
-		if n++; n > MaxProbesPerTick {
+		if uninformed++; uninformed > MaxProbesPerTick {
 			return
 		}
-		dp.Probe(m)
+		dp.Probe(machine)
 	}
-	dp.TokenAnnounced = n == 0 && dp.State.MachineListReceived
+	dp.TokenAnnounced = uninformed == 0 && dp.State.MachineListReceived
+}
+
+// needsToken reports whether a machine has not seen a token of this term and can be probed.
+func (dp *Dispatcher) needsToken(machine *cluster.Machine) bool {
+	uninformed := !machine.Booting && machine.Token < dp.State.FirstToken
+	return uninformed && !machine.CommandInFlight && machine.Addr != "" && machine.UnansweredProbes == 0
 }
--- a/internal/leader/agents/stops.go
+++ b/internal/leader/agents/stops.go
@@ -7,86 +7,103 @@
 	"lilaclead/internal/wire"
 )
 
-// Stop wants the attempt stopped, and with a gang's task all of the gang.
-func (dp *Dispatcher) Stop(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
-	if a.Job.Gang != nil {
-		dp.StopGang(a.Job, grace, why)
+// Stop requests that an attempt is stopped, and with a task of a gang all of the gang.
+func (dp *Dispatcher) Stop(attempt *cluster.Attempt, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
+	if attempt.Job.Gang != nil {
+		dp.StopGang(attempt.Job, gracePeriod, reason)
 		return
 	}
-	dp.stopAttempt(a, grace, why)
+	dp.stopAttempt(attempt, gracePeriod, reason)
 }
 
-func (dp *Dispatcher) stopAttempt(a *cluster.Attempt, grace wire.Seconds, why cluster.EvictionReason) {
-	if a.Unstored {
-		if !a.Chunk.WriteInFlight {
-			dp.State.EndAttempt(a, cluster.TaskPending)
-		} else {
-			a.Stopping, a.GracePeriod, a.StopReason = true, grace, why
-		}
+func (dp *Dispatcher) stopAttempt(attempt *cluster.Attempt, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
+	if attempt.Unstored {
+		dp.stopUnstored(attempt, gracePeriod, reason)
 		return
 	}
-	if a.Stopping && a.GracePeriod <= grace {
+	if attempt.Stopping && attempt.GracePeriod <= gracePeriod {
 		return
 	}
-	if !a.Stopping {
-		a.StopRequestedAt = time.Now()
+	if !attempt.Stopping {
+		attempt.StopRequestedAt = time.Now()
+	}
+	markStopping(attempt, gracePeriod, reason)
+	attempt.StopSentAt = time.Time{}
+	if reason != cluster.EvictedCancelled {
+		dp.Log.Info("task stop requested", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "reason", reason)
+		dp.Metrics.TaskMoved(string(reason))
 	}
-	a.Stopping, a.GracePeriod, a.StopReason, a.StopSentAt = true, grace, why, time.Time{}
-	if why != cluster.EvictedCancelled {
-		dp.Log.Info("stops", "task", a.Task(), "attempt", a.Number, "machine", a.Machine.ID, "why", why)
-		dp.Metrics.TaskMoved(string(why))
+	dp.Dispatch(attempt.Machine)
+}
+
+// stopUnstored ends an attempt that is not stored, and so was never sent; if it is being
+// written it is stopped once that has an outcome.
+func (dp *Dispatcher) stopUnstored(attempt *cluster.Attempt, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
+	if attempt.Chunk.WriteInFlight {
+		markStopping(attempt, gracePeriod, reason)
+		return
 	}
-	dp.Dispatch(a.Machine)
+	dp.State.EndAttempt(attempt, cluster.TaskPending)
+}
+
+func markStopping(attempt *cluster.Attempt, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
+	attempt.Stopping, attempt.GracePeriod, attempt.StopReason = true, gracePeriod, reason
 }
 
-// StopGang stops all tasks of a gang, all of them at once: those that are told
-// late don't save.
-func (dp *Dispatcher) StopGang(j *cluster.Job, grace wire.Seconds, why cluster.EvictionReason) {
-	g := j.Gang
-	if !g.Ran && !g.Inherited {
-		grace = 0 // there is nothing to save
+// StopGang stops all tasks of a gang at once: those that are stopped late don't write a
+// checkpoint.
+func (dp *Dispatcher) StopGang(job *cluster.Job, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
+	gang := job.Gang
+	if !gang.Ran && !gang.Inherited {
+		gracePeriod = 0 // there is nothing to save
 	}
-	if g.StopRequested && g.GracePeriod <= grace {
+	if gang.StopRequested && gang.GracePeriod <= gracePeriod {
 		return
 	}
-	g.StopRequested, g.GracePeriod, g.StoppingGracefully = true, grace, grace > 0
-	for _, a := range j.Attempts() {
-		dp.stopAttempt(a, grace, why)
+	gang.StopRequested, gang.GracePeriod, gang.StoppingGracefully = true, gracePeriod, gracePeriod > 0
+	for _, attempt := range job.Attempts() {
+		dp.stopAttempt(attempt, gracePeriod, reason)
 	}
 }
 
-// StopBrokenGangs looks after the gangs that have lost a task: what is left of one can
-// do nothing, and is stopped. Those that were told to stop in order end by
-// themselves.
+// StopBrokenGangs handles the gangs that have lost a task: the rest of such a gang can do
+// nothing, and is stopped. A gang that is being stopped gracefully ends by itself.
 func (dp *Dispatcher) StopBrokenGangs() {
-	for j := range dp.State.BrokenGangs {
-		delete(dp.State.BrokenGangs, j)
-		g := j.Gang
+	for job := range dp.State.BrokenGangs {
+		delete(dp.State.BrokenGangs, job)
 		switch {
-		case g == nil:
-		case j.ActiveTasks == 0:
-			j.Gang = nil
+		case job.Gang == nil:
+		case job.ActiveTasks == 0:
+			job.Gang = nil
 			dp.State.RequestCycle()
-		case !g.Broken:
-			g.Broken = true
-			dp.Log.Info("gang lost a task", "job", j.Spec.ID, "try", g.Number, "ran", g.Ran, "stopping", g.StoppingGracefully, "age", time.Since(g.StartedAt), "left", j.ActiveTasks)
-			if !g.StoppingGracefully {
-				for _, a := range j.Attempts() {
-					dp.stopAttempt(a, 0, cluster.EvictedGangIncomplete)
-				}
-			}
+		case !job.Gang.Broken:
+			dp.breakGang(job)
 		}
 	}
 }
 
-// StopCancelledJob stops what is left of a cancelled job. For a job that is read
-// during recovery this comes only once its attempts have been read too: before, it
-// looks as if nothing of it were left.
-func (dp *Dispatcher) StopCancelledJob(j *cluster.Job) {
-	dp.Log.Info("cancels", "job", j.Spec.ID, "held", j.ActiveTasks)
-	dp.State.CancelledJobs[j] = struct{}{}
-	for _, a := range j.Attempts() {
-		dp.stopAttempt(a, 0, cluster.EvictedCancelled)
+// breakGang marks a gang as broken and stops what is left of it.
+func (dp *Dispatcher) breakGang(job *cluster.Job) {
+	gang := job.Gang
+	gang.Broken = true
+	dp.Log.Info("gang broken", "job", job.Spec.ID, "attempt", gang.Number, "ran", gang.Ran, "stopping", gang.StoppingGracefully,
+		"age", time.Since(gang.StartedAt), "remaining_tasks", job.ActiveTasks)
+	if gang.StoppingGracefully {
+		return
+	}
+	for _, attempt := range job.Attempts() {
+		dp.stopAttempt(attempt, 0, cluster.EvictedGangIncomplete)
+	}
+}
+
+// StopCancelledJob stops what is left of a cancelled job. For a job that is read during
+// recovery it must be called only once its attempts have been read too: before, nothing of
+// the job seems to be left.
+func (dp *Dispatcher) StopCancelledJob(job *cluster.Job) {
+	dp.Log.Info("job stop requested", "job", job.Spec.ID, "reason", cluster.EvictedCancelled, "tasks", job.ActiveTasks)
+	dp.State.CancelledJobs[job] = struct{}{}
+	for _, attempt := range job.Attempts() {
+		dp.stopAttempt(attempt, 0, cluster.EvictedCancelled)
 	}
-	dp.State.MarkIfFinished(j)
+	dp.State.MarkIfFinished(job)
 }
