--- /dev/null
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -0,0 +1,113 @@
+package reconcile
+
+import (
+	"errors"
+	"net"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
+)
+
+func TestCommandOutcomes(t *testing.T) {
+	notSent := &net.OpError{Op: "dial", Err: errors.New("refused")}
+	broken := &net.OpError{Op: "read", Err: errors.New("reset")}
+	answer := heartbeat(1, 12, testToken, shown(wire.PhaseFetching, ""))
+	other := &wire.Heartbeat{Machine: "n-2", Epoch: 1, Sequence: 12, Token: testToken}
+	cases := []struct {
+		name           string
+		status         int
+		heartbeat      *wire.Heartbeat
+		err            error
+		want           commandOutcome
+		wantSent       bool // the launch counts as sent
+		wantUnanswered bool // the launch may take effect at any time
+	}{
+		{"answered", http.StatusOK, answer, nil, commandAnswered, true, false},
+		{"answered by a conflict", http.StatusConflict, answer, nil, commandAnswered, true, false},
+		{"answered by another status", http.StatusServiceUnavailable, answer, nil, commandLost, true, true},
+		{"answered by another machine", http.StatusOK, other, nil, commandLost, true, true},
+		{"not connected", 0, nil, notSent, commandNotSent, false, false},
+		{"connection broken", 0, nil, broken, commandLost, true, true},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.attempt.LaunchSent, f.attempt.LaunchEpoch, f.attempt.LaunchInFlight = true, 1, true
+			f.machine.CommandInFlight, f.machine.HeartbeatsMissingSince = true, time.Now()
+			f.OnCommandAnswer(agents.CommandAnswer{
+				Machine:     f.machine,
+				KnownBefore: agents.Position{Epoch: 1, Sequence: 10},
+				Commands:    wire.Commands{Token: testToken, Epoch: 1},
+				Launched:    []*cluster.Attempt{f.attempt},
+				Heartbeat:   tc.heartbeat,
+				Status:      tc.status,
+				Err:         tc.err,
+			})
+			if !slices.Equal(f.outcomes, []string{string(tc.want)}) {
+				t.Errorf("status %d, err %v: outcomes %v, want %q", tc.status, tc.err, f.outcomes, tc.want)
+			}
+			if f.machine.CommandInFlight || f.attempt.LaunchInFlight {
+				t.Errorf("command in flight %v, launch in flight %v; want neither", f.machine.CommandInFlight, f.attempt.LaunchInFlight)
+			}
+			if f.attempt.LaunchSent != tc.wantSent || f.attempt.LaunchUnanswered != tc.wantUnanswered {
+				t.Errorf("launch sent %v, unanswered %v; want %v, %v", f.attempt.LaunchSent, f.attempt.LaunchUnanswered, tc.wantSent, tc.wantUnanswered)
+			}
+			wantLaunch := cluster.UnansweredCommand{}
+			if tc.wantUnanswered {
+				wantLaunch = cluster.UnansweredCommand{Token: testToken, Epoch: 1}
+			}
+			if f.machine.UnansweredLaunch != wantLaunch {
+				t.Errorf("unanswered launch %+v, want %+v", f.machine.UnansweredLaunch, wantLaunch)
+			}
+			answered := tc.want == commandAnswered
+			if got := f.machine.UnansweredProbes == 0; got != answered || f.attempt.Observed != answered {
+				t.Errorf("%d unanswered probes, attempt observed %v; want answered %v", f.machine.UnansweredProbes, f.attempt.Observed, answered)
+			}
+			if got := !f.machine.HeartbeatsMissingSince.IsZero(); got != answered {
+				t.Errorf("only answers direct commands: %v, want %v", got, answered)
+			}
+		})
+	}
+}
+
+func TestRestartedMachineIsScaledInAndItsTasksAreLost(t *testing.T) {
+	f := newFixture(t)
+	f.attempt.LaunchSent, f.attempt.Observed = true, true
+	f.OnCommandAnswer(agents.CommandAnswer{
+		Machine:     f.machine,
+		KnownBefore: agents.Position{Epoch: 1, Sequence: 10},
+		Commands:    wire.Commands{Token: testToken, Epoch: 1},
+		Heartbeat:   heartbeat(1, 2, testToken),
+		Status:      http.StatusOK,
+	})
+	if !f.machine.Restarted || !f.machine.ScalingIn || f.machine.DrainReason != cluster.DrainRestarted {
+		t.Errorf("restarted %v, scaling in %v, drained for %q", f.machine.Restarted, f.machine.ScalingIn, f.machine.DrainReason)
+	}
+	if f.job.ActiveTasks != 0 || !slices.Equal(f.evicted, []string{string(cluster.EvictedMissing)}) {
+		t.Errorf("%d active tasks, evictions %v; want 0, one missing", f.job.ActiveTasks, f.evicted)
+	}
+	if f.Reconcile(f.machine, heartbeat(1, 11, testToken), true, time.Now()) {
+		t.Error("a heartbeat of a restarted machine is taken for newer")
+	}
+}
+
+func TestAnswerBehindALaterHeartbeatIsNoRestart(t *testing.T) {
+	f := newFixture(t)
+	f.attempt.Observed = true
+	f.machine.Sequence = 15 // heartbeats came in while the command was in flight
+	f.OnCommandAnswer(agents.CommandAnswer{
+		Machine:     f.machine,
+		KnownBefore: agents.Position{Epoch: 1, Sequence: 10},
+		Commands:    wire.Commands{Token: testToken, Epoch: 1},
+		Heartbeat:   heartbeat(1, 12, testToken),
+		Status:      http.StatusOK,
+	})
+	if f.machine.Restarted || f.machine.Sequence != 15 || f.job.ActiveTasks != 1 {
+		t.Errorf("restarted %v, sequence %d, %d active tasks; want false, 15, 1", f.machine.Restarted, f.machine.Sequence, f.job.ActiveTasks)
+	}
+}
--- /dev/null
+++ b/internal/leader/reconcile/exits_test.go
@@ -0,0 +1,113 @@
+package reconcile
+
+import (
+	"testing"
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
+)
+
+func TestTaskExitCauses(t *testing.T) {
+	cases := []struct {
+		cause          wire.ExitCause
+		wantState      uint8
+		machineBackoff time.Duration
+		jobBackoff     time.Duration
+		failures       int
+	}{
+		{cause: wire.CauseDone, wantState: cluster.TaskDone},
+		{cause: wire.CauseStopped, wantState: cluster.TaskPending},
+		{cause: wire.CauseGangBroken, wantState: cluster.TaskPending},
+		{cause: wire.CauseGangIncomplete, wantState: cluster.TaskPending},
+		{cause: wire.CauseError, wantState: cluster.TaskPending, jobBackoff: singleMachineBackoff, failures: 1},
+		{cause: wire.CauseFull, wantState: cluster.TaskPending, machineBackoff: refusedLaunchBackoff},
+		{cause: wire.CauseBusy, wantState: cluster.TaskPending, machineBackoff: refusedLaunchBackoff},
+		{cause: wire.CauseNoSuch, wantState: cluster.TaskPending, machineBackoff: refusedLaunchBackoff, jobBackoff: refusedLaunchBackoff},
+		{cause: "unknown", wantState: cluster.TaskPending, machineBackoff: refusedLaunchBackoff},
+	}
+	for _, tc := range cases {
+		t.Run(string(tc.cause), func(t *testing.T) {
+			f := newFixture(t)
+			now := time.Now()
+			f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseExited, tc.cause)), true, now)
+			if got := f.attempt.Chunk.TaskStates[0]; got != tc.wantState || f.job.ActiveTasks != 0 {
+				t.Errorf("cause %q: task state %d with %d active tasks, want %d with 0", tc.cause, got, f.job.ActiveTasks, tc.wantState)
+			}
+			if got, want := f.machine.RefusedUntil, after(now, tc.machineBackoff); !got.Equal(want) {
+				t.Errorf("cause %q: machine gets launches from %v, want %v", tc.cause, got, want)
+			}
+			if got, want := f.job.StartNotBefore, after(now, tc.jobBackoff); !got.Equal(want) {
+				t.Errorf("cause %q: job starts from %v, want %v", tc.cause, got, want)
+			}
+			if f.job.Failures != tc.failures || f.machine.Failures != tc.failures {
+				t.Errorf("cause %q: %d failures of the job and %d of the machine, want %d", tc.cause, f.job.Failures, f.machine.Failures, tc.failures)
+			}
+		})
+	}
+}
+
+// after returns when a backoff that begins now ends, zero if there is none.
+func after(now time.Time, backoff time.Duration) time.Time {
+	if backoff == 0 {
+		return time.Time{}
+	}
+	return now.Add(backoff)
+}
+
+func TestTaskDoneClearsFailures(t *testing.T) {
+	f := newFixture(t)
+	f.job.Failures, f.job.FailedMachines = 3, map[wire.MachineID]bool{"n-1": true, "n-2": true}
+	f.machine.Failures, f.machine.FailedJobs["req-1"] = 3, true
+	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseExited, wire.CauseDone)), true, time.Now())
+	if f.job.Failures != 0 || len(f.job.FailedMachines) != 0 || !f.job.Succeeded {
+		t.Errorf("job has %d failures on %v, succeeded %v; want 0 on none, true", f.job.Failures, f.job.FailedMachines, f.job.Succeeded)
+	}
+	if f.machine.Failures != 0 || len(f.machine.FailedJobs) != 0 {
+		t.Errorf("machine has %d failures of %v, want 0 of none", f.machine.Failures, f.machine.FailedJobs)
+	}
+}
+
+func TestGangTaskDoneCompletesGang(t *testing.T) {
+	f := newFixture(t)
+	gang := f.addJob("req-2", wire.KindGang, 2)
+	gang.Gang = &cluster.Gang{Number: testAttempt}
+	f.addAttempt(gang, 0, f.machine)
+	f.addAttempt(gang, 1, f.addMachine("n-2"))
+	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, ""),
+		wire.TaskState{Task: "req-2/0", Attempt: testAttempt, Phase: wire.PhaseExited, Cause: wire.CauseDone}), true, time.Now())
+	if gang.DoneTasks != 2 || gang.ActiveTasks != 0 || gang.Gang != nil {
+		t.Errorf("gang has %d done and %d active tasks, attempt %+v; want 2 and 0, none", gang.DoneTasks, gang.ActiveTasks, gang.Gang)
+	}
+}
+
+func TestHasImage(t *testing.T) {
+	cases := []struct {
+		name     string
+		previous wire.TaskPhase
+		state    wire.TaskState
+		want     bool
+	}{
+		{"fetching", "", shown(wire.PhaseFetching, ""), false},
+		{"waiting for its gang", wire.PhaseFetching, shown(wire.PhaseWaiting, ""), true},
+		{"running", wire.PhaseFetching, shown(wire.PhaseRunning, ""), true},
+		{"done", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseDone), true},
+		{"failed", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseError), true},
+		{"refused: full", "", shown(wire.PhaseExited, wire.CauseFull), false},
+		{"refused: busy", "", shown(wire.PhaseExited, wire.CauseBusy), false},
+		{"refused: no such image", wire.PhaseFetching, shown(wire.PhaseExited, wire.CauseNoSuch), false},
+		{"stopped while fetching", wire.PhaseFetching, shown(wire.PhaseExited, wire.CauseStopped), false},
+		{"stopped while running", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseStopped), true},
+		{"gang incomplete while fetching", wire.PhaseFetching, shown(wire.PhaseExited, wire.CauseGangIncomplete), false},
+		{"gang broken while running", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseGangBroken), true},
+		{"saving since it is stopped", wire.PhaseRunning, shown(wire.PhaseSaving, wire.CauseStopped), true},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			attempt := &cluster.Attempt{Phase: tc.previous}
+			if got := hasImage(attempt, &tc.state); got != tc.want {
+				t.Errorf("previous phase %q, state %+v: got %v, want %v", tc.previous, tc.state, got, tc.want)
+			}
+		})
+	}
+}
