--- /dev/null
+++ b/internal/leader/liveness/counts_test.go
@@ -0,0 +1,79 @@
+package liveness
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/wire"
+)
+
+func TestMachinesAreCountedByHowTheyAreReached(t *testing.T) {
+	f := newFixture(t)
+	f.addMachine(0)
+	f.addMachine(3100 * time.Millisecond)                           // just not overdue
+	f.addMachine(4 * time.Second)                                   // unresponsive
+	f.addMachine(6 * time.Second)                                   // lost
+	f.addMachine(time.Minute).Booting = true                        // not counted
+	f.addMachine(time.Minute).ScalingIn = true                      // not counted
+	f.addMachine(0).RelayedOnly = true                              // relayed
+	f.addMachine(0).HeartbeatsMissingSince = f.now.Add(-time.Hour)  // outbound path lost
+	host, lostHost := f.addMachine(0), f.addMachine(10*time.Second) // with replicas
+	lostHost.Zone = "b"
+	service := f.addJob(wire.KindService, 2)
+	f.addAttempt(service, 0, host)
+	f.addAttempt(service, 1, lostHost)
+	deaf := f.addMachine(0)
+	deaf.Inbound.Answered(testToken, 1, 10)
+	deaf.Inbound.Unanswered()
+	deaf.Inbound.Reported(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
+
+	want := &machineCounts{
+		up: 9, unresponsive: 3, lost: 2, relayed: 1, inboundLost: 1, outboundLost: 1,
+		replicaHosts: 2, replicaHostsUnresponsive: 1,
+		zoneUp: map[wire.Zone]int{"a": 8, "b": 1}, zoneLost: map[wire.Zone]int{"a": 1, "b": 1},
+	}
+	if got := f.CountMachines(f.now); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
+	}
+}
+
+func TestIsolationNeedsManyAndMostMachines(t *testing.T) {
+	cases := []struct {
+		name            string
+		counts          machineCounts
+		wantIsolated    bool
+		wantUnreachable bool
+	}{
+		{"all reached", machineCounts{up: 10}, false, false},
+		{"two of two unresponsive", machineCounts{up: 2, unresponsive: 2, lost: 2}, false, false},
+		{"half unresponsive", machineCounts{up: 10, unresponsive: 5, lost: 5}, false, false},
+		{"most unresponsive, half lost", machineCounts{up: 10, unresponsive: 6, lost: 5}, true, false},
+		{"most lost", machineCounts{up: 10, unresponsive: 6, lost: 6}, true, true},
+		{"half relayed", machineCounts{up: 10, relayed: 5}, false, false},
+		{"most relayed", machineCounts{up: 10, relayed: 6}, false, true},
+		{"two of two relayed", machineCounts{up: 2, relayed: 2}, false, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := tc.counts.isolated(); got != tc.wantIsolated {
+				t.Errorf("%+v: isolated %v, want %v", tc.counts, got, tc.wantIsolated)
+			}
+			if got := tc.counts.unreachable(); got != tc.wantUnreachable {
+				t.Errorf("%+v: unreachable %v, want %v", tc.counts, got, tc.wantUnreachable)
+			}
+		})
+	}
+}
+
+func TestSingleFaultsArePlausibleUpToAQuarter(t *testing.T) {
+	for _, tc := range []struct {
+		faulty, total int
+		want          bool
+	}{{0, 0, true}, {3, 3, true}, {4, 15, false}, {4, 16, true}, {25, 100, true}, {26, 100, false}} {
+		if got := plausibleSingleFaults(tc.faulty, tc.total); got != tc.want {
+			t.Errorf("%d of %d: got %v, want %v", tc.faulty, tc.total, got, tc.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/leader/liveness/fixture_test.go
@@ -0,0 +1,112 @@
+package liveness
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"lilaclead/internal/cancels"
+	"lilaclead/internal/config"
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/autoscaler"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
+	"lilaclead/internal/leader/election"
+	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/peer"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+const testToken wire.FencingToken = 50
+
+// fixture is a monitor whose commands and requests go nowhere, in a term that began a
+// minute ago.
+type fixture struct {
+	*Monitor
+	now     time.Time
+	evicted []string // label values of evictions
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	f := &fixture{now: time.Now()}
+	began := f.now.Add(-time.Minute)
+	metrics := &core.Metrics{
+		TaskMoved: func(reason string) { f.evicted = append(f.evicted, reason) },
+		Fleet:     func(string, int) {},
+		Machines:  func(map[string]int) {},
+	}
+	lease := election.NewLease(nil, election.Terms{Token: testToken, TakenAt: began, HeldUntil: began.Add(time.Hour)})
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	loop := core.NewLoop(lease, log, metrics)
+	ended, end := context.WithCancel(t.Context())
+	end()
+	loop.Begin(ended)
+	t.Cleanup(func() {
+		loop.End("the test is over")
+		loop.Wait()
+	})
+	settings := &config.Settings{
+		Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41, GangPeerTimeout: 8},
+		Cloud:   config.Cloud{ListLag: 10},
+	}
+	catalog := &cluster.MachineCatalog{}
+	catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, BootTime: 10}})
+	state := cluster.NewState(settings, catalog, began, testToken)
+	state.Recovered, state.MachineListReceived, state.MachineListRequestedAt = true, true, f.now
+	network := simulator.NewNetwork(0).Host("10.0.0.1")
+	mesh := peer.New("a", nil, func() peer.Status { return peer.Status{} }, cancels.New(nil, time.Minute), network, log)
+	f.Monitor = &Monitor{
+		Loop:       loop,
+		State:      state,
+		Mesh:       mesh,
+		Writer:     progress.NewWriter(state, func() float64 { return 0 }, log),
+		Dispatcher: &agents.Dispatcher{Loop: loop, State: state, Agents: &agents.Client{Mesh: mesh}},
+		Scaler:     autoscaler.NewScaler(loop, state, nil, scaling.New(testToken), autoscaler.Options{}),
+	}
+	return f
+}
+
+// loseStore lets the lease end, with heartbeats still answered or not.
+func (f *fixture) loseStore(answering bool) {
+	f.Lease = election.NewLease(nil, election.Terms{Token: testToken, TakenAt: f.now, HeldUntil: f.now.Add(-time.Millisecond)})
+	if answering {
+		f.Lease.Acknowledged(f.now.Add(time.Hour), f.now, 0)
+	}
+}
+
+// addMachine adds a machine in zone a that sent its last message so long ago.
+func (f *fixture) addMachine(sinceMessage time.Duration) *cluster.Machine {
+	machine := f.State.GetOrAddMachine(wire.MachineID(fmt.Sprintf("n-%d", len(f.State.Machines)+1)))
+	machine.Addr, machine.MachineType, machine.Zone = "10.0.0.9:9000", "c4", "a"
+	machine.Epoch, machine.Sequence, machine.Token = 1, 10, testToken
+	machine.FirstHeartbeatAt, machine.ListedAt = f.State.TermStartedAt, f.now
+	machine.LastMessageAt = f.now.Add(-sinceMessage)
+	machine.LastReplyAt = machine.LastMessageAt
+	return machine
+}
+
+// addJob adds a job of a kind.
+func (f *fixture) addJob(kind wire.JobKind, tasks int) *cluster.Job {
+	id := wire.JobID(fmt.Sprintf("req-%d", len(f.State.Jobs)+1))
+	job := cluster.NewJob(store.JobRecord{
+		Spec:       wire.JobSpec{ID: id, Team: "red", Kind: kind, Tasks: tasks, CPUs: 1},
+		AcceptedAt: wire.TimestampOf(f.now),
+	}, 1)
+	f.State.Jobs[id] = job
+	return job
+}
+
+// addAttempt adds a running attempt of a job's task.
+func (f *fixture) addAttempt(job *cluster.Job, index int, machine *cluster.Machine) *cluster.Attempt {
+	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: index, Number: 7, Machine: machine,
+		DecidedAt: f.now.Add(-time.Minute), LaunchSent: true, Observed: true}
+	attempt.Chunk.Add(attempt)
+	return attempt
+}
--- /dev/null
+++ b/internal/leader/liveness/partitions_test.go
@@ -0,0 +1,175 @@
+package liveness
+
+import (
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lilaclead/internal/cancels"
+	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/peer"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/wire"
+)
+
+// withPeer runs a test with a controller b in zone a that is connected to this one; cut
+// ends the connection. It runs in a bubble of its own.
+func withPeer(t *testing.T, status peer.Status, test func(t *testing.T, f *fixture, cut func())) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFixture(t)
+		network := simulator.NewNetwork(time.Millisecond)
+		f.Peers = []config.Peer{{HostName: "b", Zone: "a", Addr: simulator.NodeIP(1) + ":8081"}}
+		var stops []func()
+		mesh := func(name wire.NodeID, node int, peers []config.Peer, status peer.Status) *peer.Mesh {
+			host := network.Host(simulator.NodeIP(node))
+			m := peer.New(name, peers, func() peer.Status { return status }, cancels.New(nil, time.Minute), host, f.Log)
+			listener, err := host.Listen("tcp4", simulator.NodeIP(node)+":8081")
+			if err != nil {
+				t.Fatal(err)
+			}
+			var protocols http.Protocols
+			protocols.SetUnencryptedHTTP2(true)
+			server := &http.Server{Handler: m, Protocols: &protocols}
+			go server.Serve(listener) //nolint:errcheck // ends with Close
+			go m.Run(t.Context())
+			stops = append(stops, func() { server.Close() })
+			return m
+		}
+		f.Mesh = mesh("a", 0, f.Peers, peer.Status{Leads: true})
+		mesh("b", 1, []config.Peer{{HostName: "a", Zone: "b", Addr: simulator.NodeIP(0) + ":8081"}}, status)
+		time.Sleep(3 * time.Second)
+		f.now = time.Now()
+		test(t, f, func() { network.Cut(simulator.NodeIP(0), simulator.NodeIP(1), true) })
+		t.Cleanup(func() { // with the context ended
+			network.Close()
+			for _, stop := range stops {
+				stop()
+			}
+			time.Sleep(5 * time.Second)
+			network.Close()
+		})
+	})
+}
+
+func TestLeaderResignsForABetterConnectedPeer(t *testing.T) {
+	isolated := machineCounts{up: 10, unresponsive: 6, lost: 6}
+	cases := []struct {
+		name   string
+		status peer.Status
+		counts machineCounts
+		age    time.Duration // of the term
+		want   bool
+	}{
+		{"it reaches most machines", peer.Status{StateReachable: true, ReachableWorkers: 6}, isolated, time.Minute, true},
+		{"it reaches half", peer.Status{StateReachable: true, ReachableWorkers: 5}, isolated, time.Minute, false},
+		{"it can't reach the store", peer.Status{ReachableWorkers: 10}, isolated, time.Minute, false},
+		{"this node reaches most too", peer.Status{StateReachable: true, ReachableWorkers: 10}, machineCounts{up: 10}, time.Minute, false},
+		{"the term has just begun", peer.Status{StateReachable: true, ReachableWorkers: 10}, isolated, 7500 * time.Millisecond, false},
+		{"the machines had time to reach this node", peer.Status{StateReachable: true, ReachableWorkers: 10}, isolated, 7600 * time.Millisecond, true},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			withPeer(t, tc.status, func(t *testing.T, f *fixture, _ func()) {
+				f.State.TermStartedAt = f.now.Add(-tc.age)
+				node, got := f.betterConnectedPeer(&tc.counts, f.now)
+				if got != tc.want || got && node != "b" {
+					t.Errorf("peer %+v, counts %+v, term of %v: resigns %v for %q, want %v", tc.status, tc.counts, tc.age, got, node, tc.want)
+				}
+			})
+		})
+	}
+}
+
+func TestZoneIsPartitionedSoonerWithoutItsControllers(t *testing.T) {
+	for name, tc := range map[string]struct {
+		cut  bool
+		want bool
+	}{
+		"its controller is connected": {false, false},
+		"its controller is lost":      {true, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			withPeer(t, peer.Status{}, func(t *testing.T, f *fixture, cut func()) {
+				if tc.cut {
+					cut()
+				}
+				time.Sleep(3 * time.Second)
+				f.now = time.Now()
+				counts := &machineCounts{up: 100, zoneUp: map[wire.Zone]int{"a": 3, "": 2}, zoneLost: map[wire.Zone]int{"a": 3, "": 2}}
+				f.judgePartitions(counts, f.now)
+				if got := f.State.Partitioned("a", f.now); got != tc.want {
+					t.Errorf("three of three machines lost: partitioned %v, want %v", got, tc.want)
+				}
+				if f.State.Partitioned("", f.now) {
+					t.Error("the unknown zone is partitioned")
+				}
+			})
+		})
+	}
+}
+
+func TestPeerWithoutThisTermsTokenCountsAsEarlierLeadersDelegate(t *testing.T) {
+	withPeer(t, peer.Status{}, func(t *testing.T, f *fixture, _ func()) {
+		if got := f.anyDelegateAnswersUntil(f.now); !got.IsZero() {
+			t.Errorf("without delegation: until %v, want never", got)
+		}
+		f.State.Delegation.Time, f.State.TermStartedAt = 22*time.Second, f.now
+		// The peer never acknowledged this term's token: an earlier leader may have made
+		// it its delegate.
+		if got, want := f.anyDelegateAnswersUntil(f.now), f.State.TermStartedAt.Add(22*time.Second); !got.Equal(want) {
+			t.Errorf("token never acknowledged: until %v, want %v", got, want)
+		}
+	})
+}
+
+func TestReplicasBehindAPartitionMoveWhenTheirLeaseEnds(t *testing.T) {
+	cases := []struct {
+		name         string
+		sinceMessage time.Duration
+		kind         wire.JobKind
+		setup        func(f *fixture, job *cluster.Job)
+		want         bool
+	}{
+		{"lease ending", 15200 * time.Millisecond, wire.KindService, func(*fixture, *cluster.Job) {}, true},
+		{"lease not ending yet", 15100 * time.Millisecond, wire.KindService, func(*fixture, *cluster.Job) {}, false},
+		{"no replicas", time.Minute, wire.KindArray, func(*fixture, *cluster.Job) {}, false},
+		{"bound to its zone", time.Minute, wire.KindService, func(_ *fixture, job *cluster.Job) { job.Spec.Zone = "a" }, false},
+		{"spread, one other zone has room", time.Minute, wire.KindService, func(_ *fixture, job *cluster.Job) { job.Spec.Spread = true }, true},
+		{"spread, no other zone", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
+			job.Spec.Spread, f.State.Settings.Zones = true, []wire.Zone{"a"}
+		}, false},
+		{"spread, the other zone is partitioned too", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
+			job.Spec.Spread = true
+			f.State.ZoneDetector.Judge("b", detector.Counts{Up: 10, Lost: 10, AllUp: 20}, f.now)
+		}, false},
+		{"spread, the other zone is full", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
+			job.Spec.Spread = true
+			other := f.addMachine(0)
+			other.Zone = "b"
+			f.addAttempt(job, 1, other)
+		}, false},
+		{"this node is isolated", time.Minute, wire.KindService, func(f *fixture, _ *cluster.Job) {
+			for range 9 {
+				f.addMachine(time.Minute)
+			}
+		}, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.State.Settings.Zones = []wire.Zone{"a", "b"}
+			f.State.ZoneDetector.Judge("a", detector.Counts{Up: 10, Lost: 10, AllUp: 20}, f.now)
+			machine := f.addMachine(tc.sinceMessage)
+			job := f.addJob(tc.kind, 2)
+			f.addAttempt(job, 0, machine)
+			tc.setup(f, job)
+			f.checkReplicas(machine, f.CountMachines(f.now), f.now)
+			if got := machine.DrainReason == cluster.DrainLeaseExpiring; got != tc.want {
+				t.Errorf("no message for %v: scaled in %v, want %v", tc.sinceMessage, got, tc.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/leader/liveness/paths_test.go
@@ -0,0 +1,108 @@
+package liveness
+
+import (
+	"testing"
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/wire"
+)
+
+// loseInbound makes the inbound path of a machine lost so long ago.
+func (f *fixture) loseInbound(machine *cluster.Machine, ago time.Duration, commandsFail bool) {
+	missesLaunch := detector.Evidence{MissesLaunch: func() bool { return true }}
+	machine.Inbound.Answered(0, 1, 8)
+	if commandsFail {
+		machine.Inbound.Unanswered()
+	}
+	for _, sequence := range []wire.Sequence{9, 10} {
+		machine.Inbound.Reported(&wire.Heartbeat{Epoch: 1, Sequence: sequence}, missesLaunch, f.now.Add(-ago))
+	}
+}
+
+func TestMachineThatReceivesNothingIsScaledIn(t *testing.T) {
+	cases := []struct {
+		name         string
+		lostFor      time.Duration
+		commandsFail bool
+		setup        func(f *fixture, attempt *cluster.Attempt)
+		want         bool
+	}{
+		{"a launch waits for a proof", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = false }, true},
+		{"a stop waits for a proof", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Stopping = true }, true},
+		{"a launch waits, not for long", 3 * time.Second, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = false }, false},
+		{"a launch waits, no command failed", 3100 * time.Millisecond, false, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = false }, false},
+		{"an attempt that is not stored waits", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed, attempt.Unstored = false, true }, false},
+		{"nothing waits", 16 * time.Second, true, func(*fixture, *cluster.Attempt) {}, false},
+		{"nothing waits, the lease has expired", 16100 * time.Millisecond, false, func(*fixture, *cluster.Attempt) {}, true},
+		{"the lease has expired, not leading", time.Minute, true, func(f *fixture, _ *cluster.Attempt) { f.loseStore(true) }, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			machine := f.addMachine(0)
+			attempt := f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine)
+			f.loseInbound(machine, tc.lostFor, tc.commandsFail)
+			if machine.Inbound.Works() {
+				t.Fatal("the inbound path is not lost")
+			}
+			tc.setup(f, attempt)
+			f.checkInboundPath(machine, f.now)
+			if got := machine.DrainReason == cluster.DrainInboundLost; got != tc.want {
+				t.Errorf("lost for %v, commands fail %v: scaled in %v, want %v", tc.lostFor, tc.commandsFail, got, tc.want)
+			}
+		})
+	}
+}
+
+func TestMachineWhoseHeartbeatsAreLostIsScaledIn(t *testing.T) {
+	for name, tc := range map[string]struct {
+		missingFor  time.Duration
+		singleFault bool
+		want        bool
+	}{
+		"the lease may run":                        {20 * time.Second, true, false},
+		"the lease has expired":                    {20100 * time.Millisecond, true, true},
+		"the lease has expired, of many":           {20100 * time.Millisecond, false, false},
+		"as long as a partition may last, of many": {82 * time.Second, false, false},
+		"longer than that, of many":                {82100 * time.Millisecond, false, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t)
+			machine := f.addMachine(0)
+			machine.HeartbeatsMissingSince = f.now.Add(-tc.missingFor)
+			f.checkOutboundPath(machine, f.now, tc.singleFault)
+			if got := machine.DrainReason == cluster.DrainOutboundLost; got != tc.want {
+				t.Errorf("missing for %v, single fault %v: scaled in %v, want %v", tc.missingFor, tc.singleFault, got, tc.want)
+			}
+		})
+	}
+}
+
+func TestStopWithoutEffectIsRepeated(t *testing.T) {
+	cases := []struct {
+		name  string
+		setup func(f *fixture, attempt *cluster.Attempt)
+		want  bool
+	}{
+		{"never sent", func(*fixture, *cluster.Attempt) {}, true},
+		{"sent long ago", func(f *fixture, attempt *cluster.Attempt) { attempt.StopSentAt = f.now.Add(-2100 * time.Millisecond) }, true},
+		{"sent lately", func(f *fixture, attempt *cluster.Attempt) { attempt.StopSentAt = f.now.Add(-2 * time.Second) }, false},
+		{"not stopping", func(_ *fixture, attempt *cluster.Attempt) { attempt.Stopping = false }, false},
+		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			machine := f.addMachine(0)
+			attempt := f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine)
+			attempt.Stopping = true
+			tc.setup(f, attempt)
+			f.repeatStops(machine, f.now)
+			if machine.CommandInFlight != tc.want {
+				t.Errorf("attempt %+v: sent again %v, want %v", *attempt, machine.CommandInFlight, tc.want)
+			}
+		})
+	}
+}
