--- /dev/null
+++ b/internal/leader/agents/client_test.go
@@ -0,0 +1,148 @@
+package agents
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// roundTripper answers requests by a function.
+type roundTripper func(*http.Request) (*http.Response, error)
+
+func (answer roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return answer(r) }
+
+// newTestClient returns a client with one slot of each kind, whose requests are answered by
+// a function.
+func newTestClient(answer roundTripper) *Client {
+	return &Client{
+		HTTP:         &http.Client{Transport: answer},
+		commandSlots: make(chan struct{}, 1),
+		probeSlots:   make(chan struct{}, 1),
+	}
+}
+
+// answerWith returns a response with a status and a body.
+func answerWith(status int, body []byte) (*http.Response, error) {
+	return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body))}, nil
+}
+
+func agentAnswer(*http.Request) (*http.Response, error) {
+	return answerWith(http.StatusOK, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3}))
+}
+
+var (
+	launches = wire.Commands{Token: testToken, Epoch: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "req-1/0", Attempt: testAttempt}}}
+	probe    = wire.Commands{Token: testToken, Epoch: 1}
+)
+
+func TestCommandsAndProbesWaitForSlotsOfTheirOwn(t *testing.T) {
+	cases := []struct {
+		name     string
+		taken    func(c *Client) chan struct{}
+		commands wire.Commands
+		wantErr  error
+	}{
+		{"command, probe slots taken", func(c *Client) chan struct{} { return c.probeSlots }, launches, nil},
+		{"probe, command slots taken", func(c *Client) chan struct{} { return c.commandSlots }, probe, nil},
+		{"command, command slots taken", func(c *Client) chan struct{} { return c.commandSlots }, launches, context.DeadlineExceeded},
+		{"probe, probe slots taken", func(c *Client) chan struct{} { return c.probeSlots }, probe, context.DeadlineExceeded},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newTestClient(agentAnswer)
+			taken := tc.taken(c)
+			taken <- struct{}{}
+			ctx := t.Context()
+			if tc.wantErr != nil {
+				var cancel context.CancelFunc
+				ctx, cancel = context.WithTimeout(ctx, 10*time.Millisecond)
+				defer cancel()
+			}
+			_, _, err := c.Send(ctx, "10.0.0.9:9000", tc.commands, time.Minute)
+			if !errors.Is(err, tc.wantErr) {
+				t.Errorf("err %v, want %v", err, tc.wantErr)
+			}
+			if got := len(c.probeSlots) + len(c.commandSlots); got != 1 {
+				t.Errorf("%d slots are taken after the call, want 1", got)
+			}
+		})
+	}
+}
+
+func TestSendReturnsHeartbeatAndStatus(t *testing.T) {
+	broken := errors.New("connection broken")
+	cases := []struct {
+		name       string
+		answer     roundTripper
+		wantStatus int
+		wantErr    bool
+	}{
+		{"answered", agentAnswer, http.StatusOK, false},
+		{"refused with a heartbeat", func(*http.Request) (*http.Response, error) {
+			return answerWith(http.StatusConflict, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3}))
+		}, http.StatusConflict, false},
+		{"undecodable", func(*http.Request) (*http.Response, error) { return answerWith(http.StatusOK, []byte("no heartbeat")) }, 0, true},
+		{"connection broken", func(*http.Request) (*http.Response, error) { return nil, broken }, 0, true},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			var url, method string
+			var sent wire.Commands
+			c := newTestClient(func(r *http.Request) (*http.Response, error) {
+				url, method = r.URL.String(), r.Method
+				raw, err := io.ReadAll(r.Body)
+				if err != nil || wire.Decode(raw, &sent) != nil {
+					t.Errorf("request body %x is not commands: %v", raw, err)
+				}
+				return tc.answer(r)
+			})
+			got, status, err := c.Send(t.Context(), "10.0.0.9:9000", probe, time.Minute)
+			if status != tc.wantStatus || (err != nil) != tc.wantErr {
+				t.Fatalf("status %d, err %v; want %d, error %v", status, err, tc.wantStatus, tc.wantErr)
+			}
+			if err == nil && (got.Machine != "n-1" || got.Epoch != 2 || got.Sequence != 3) {
+				t.Errorf("heartbeat %+v, want that of n-1", got)
+			}
+			if url != "http://10.0.0.9:9000/commands" || method != http.MethodPost || sent.Commands == nil {
+				t.Errorf("%s %s with %+v, want a POST of an empty list to /commands", method, url, sent)
+			}
+		})
+	}
+}
+
+func TestRelayedProbeIsPassedOnWithoutCommands(t *testing.T) {
+	unreachable := func(*http.Request) (*http.Response, error) { return nil, errors.New("no route") }
+	cases := []struct {
+		name       string
+		body       []byte
+		agent      roundTripper
+		wantStatus int
+	}{
+		{"probe", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: probe}), agentAnswer, http.StatusOK},
+		{"agent not reached", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: probe}), unreachable, http.StatusBadGateway},
+		{"launch", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: launches}), agentAnswer, http.StatusBadRequest},
+		{"no address", wire.Encode(relayedProbe{Commands: probe}), agentAnswer, http.StatusBadRequest},
+		{"undecodable", []byte("no probe"), agentAnswer, http.StatusBadRequest},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newTestClient(tc.agent)
+			w := httptest.NewRecorder()
+			c.ServeRelayedProbe(w, httptest.NewRequest(http.MethodPost, "/peer/ask", bytes.NewReader(tc.body)), nil)
+			if w.Code != tc.wantStatus {
+				t.Errorf("status %d, want %d", w.Code, tc.wantStatus)
+			}
+			var got wire.Heartbeat
+			if tc.wantStatus == http.StatusOK && (wire.Decode(w.Body.Bytes(), &got) != nil || got.Machine != "n-1") {
+				t.Errorf("answer %x, want the heartbeat of n-1", w.Body.Bytes())
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/leader/agents/dispatcher_test.go
@@ -0,0 +1,202 @@
+package agents
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/wire"
+)
+
+// loseInbound makes the inbound path of a machine lost.
+func loseInbound(machine *cluster.Machine) {
+	machine.Inbound.Answered(0, 1, 8)
+	machine.Inbound.Unanswered()
+	machine.Inbound.Reported(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.Evidence{MissesLaunch: func() bool { return true }}, time.Now())
+}
+
+func TestCommandsByStateOfAttempt(t *testing.T) {
+	launch, stop := []wire.Verb{wire.Launch}, []wire.Verb{wire.Stop}
+	cases := []struct {
+		name       string
+		setup      func(f *fixture)
+		wantAnswer []wire.Verb // in the answer to a heartbeat
+		wantDirect []wire.Verb // sent directly
+	}{
+		{"stored", func(*fixture) {}, launch, launch},
+		{"not stored", func(f *fixture) { f.attempt.Unstored = true }, nil, nil},
+		{"not stored, stopping", func(f *fixture) { f.attempt.Unstored, f.attempt.Stopping = true, true }, nil, nil},
+		{"launch sent", func(f *fixture) { f.attempt.LaunchSent = true }, launch, nil},
+		{"direct launch in flight", func(f *fixture) { f.attempt.LaunchSent, f.attempt.LaunchInFlight = true, true }, nil, nil},
+		{"observed", func(f *fixture) { f.attempt.Observed = true }, nil, nil},
+		{"inherited", func(f *fixture) { f.attempt.Inherited = true }, nil, nil},
+		{"job cancelled", func(f *fixture) { f.job.Cancelled = true }, nil, nil},
+		{"machine draining", func(f *fixture) { f.machine.DrainReason = cluster.DrainIdle }, nil, nil},
+		{"machine receives nothing", func(f *fixture) { loseInbound(f.machine) }, nil, launch},
+		{"stopping", func(f *fixture) { f.attempt.Stopping = true }, stop, stop},
+		{"stopping, observed, on a draining machine", func(f *fixture) {
+			f.attempt.Stopping, f.attempt.Observed, f.machine.DrainReason = true, true, cluster.DrainFaulty
+		}, stop, stop},
+		{"stop sent lately", func(f *fixture) { f.attempt.Stopping, f.attempt.StopSentAt = true, time.Now().Add(-time.Second) }, stop, nil},
+		{"stop sent long ago", func(f *fixture) {
+			f.attempt.Stopping, f.attempt.StopSentAt = true, time.Now().Add(-directStopInterval-time.Millisecond)
+		}, stop, stop},
+		{"gang not wholly stored", func(f *fixture) { f.job.Gang = &cluster.Gang{} }, nil, nil},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name+", answer", func(t *testing.T) {
+			f := newFixture(t)
+			tc.setup(f)
+			got := f.CommandsFor(f.machine, heartbeat(11), time.Now())
+			if !slices.Equal(verbs(got), tc.wantAnswer) {
+				t.Errorf("attempt %+v: answered by %v, want %v", *f.attempt, verbs(got), tc.wantAnswer)
+			}
+			if slices.Contains(tc.wantAnswer, wire.Launch) && (!f.attempt.LaunchSent || f.attempt.ReplySequence != 11 || f.attempt.LaunchInFlight) {
+				t.Errorf("after the launch the attempt is %+v, want it sent in the answer to heartbeat 11", *f.attempt)
+			}
+		})
+		t.Run(tc.name+", directly", func(t *testing.T) {
+			f := newFixture(t)
+			tc.setup(f)
+			f.Dispatch(f.machine)
+			if got := f.sentDirectly(t); !slices.Equal(got, tc.wantDirect) {
+				t.Errorf("attempt %+v: sent %v, want %v", *f.attempt, got, tc.wantDirect)
+			}
+		})
+	}
+}
+
+// sentDirectly returns the verbs of the direct command that is in flight.
+func (f *fixture) sentDirectly(t *testing.T) []wire.Verb {
+	t.Helper()
+	if !f.machine.CommandInFlight {
+		return nil
+	}
+	answer, ok := (<-f.Events).(CommandAnswer)
+	if !ok || answer.Machine != f.machine || answer.Commands.Token != testToken || answer.Err == nil {
+		t.Fatalf("outcome %+v, want the error of a command with token %d", answer, testToken)
+	}
+	launchCount := 0
+	for _, verb := range verbs(answer.Commands.Commands) {
+		if verb == wire.Launch {
+			launchCount++
+		}
+	}
+	if len(answer.Launched) != launchCount {
+		t.Errorf("%d attempts are listed as launched by %d launches", len(answer.Launched), launchCount)
+	}
+	return verbs(answer.Commands.Commands)
+}
+
+func TestDirectCommandNeedsAMachineThatCanReceiveIt(t *testing.T) {
+	cases := []struct {
+		name  string
+		setup func(f *fixture)
+		want  bool
+	}{
+		{"ready", func(*fixture) {}, true},
+		{"command in flight", func(f *fixture) { f.machine.CommandInFlight = true }, false},
+		{"no address", func(f *fixture) { f.machine.Addr = "" }, false},
+		{"no heartbeat in this term", func(f *fixture) { f.machine.FirstHeartbeatAt = time.Time{} }, false},
+		{"scaling in", func(f *fixture) { f.machine.ScalingIn = true }, false},
+		{"not leading", func(f *fixture) { f.loseStore(false) }, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			tc.setup(f)
+			f.Dispatch(f.machine)
+			if f.attempt.LaunchSent != tc.want {
+				t.Errorf("launch sent %v, want %v", f.attempt.LaunchSent, tc.want)
+			}
+		})
+	}
+}
+
+func TestWithoutTheStoreOnlyStopsAreSentDirectly(t *testing.T) {
+	f := newFixture(t)
+	stopping := f.addAttempt(f.job, 1, f.machine)
+	stopping.Stopping, stopping.Observed = true, true
+	f.loseStore(true)
+	f.Dispatch(f.machine)
+	if got, want := f.sentDirectly(t), []wire.Verb{wire.Stop}; !slices.Equal(got, want) {
+		t.Errorf("sent %v, want %v", got, want)
+	}
+	if f.attempt.LaunchSent {
+		t.Error("a launch is marked as sent")
+	}
+}
+
+func TestCommandsAreBounded(t *testing.T) {
+	f := newFixture(t)
+	for _, id := range []wire.JobID{"req-2", "req-3", "req-4"} {
+		job := f.addJob(id, wire.KindArray, MaxCommands/2)
+		for index := range MaxCommands / 2 {
+			f.addAttempt(job, index, f.machine)
+		}
+	}
+	if len(f.machine.Tasks) <= MaxCommands {
+		t.Fatalf("%d attempts are not more than one answer may hold", len(f.machine.Tasks))
+	}
+	f.Dispatch(f.machine)
+	if got := len(f.sentDirectly(t)); got != MaxCommands {
+		t.Errorf("%d direct commands, want %d", got, MaxCommands)
+	}
+	if got := len(f.CommandsFor(f.machine, heartbeat(11), time.Now())); got > MaxCommands {
+		t.Errorf("%d commands in an answer, want at most %d", got, MaxCommands)
+	}
+}
+
+func TestWhatHasNoRecordIsStoppedOrForgotten(t *testing.T) {
+	running := wire.TaskState{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseRunning}
+	exited := wire.TaskState{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseExited, Cause: wire.CauseDone}
+	cases := []struct {
+		name      string
+		setup     func(f *fixture)
+		heartbeat *wire.Heartbeat
+		want      []wire.Verb
+		wantRaise bool // a higher token is requested
+	}{
+		{"running", func(*fixture) {}, heartbeat(11, running), []wire.Verb{wire.Stop}, false},
+		{"running, of a quarantined job", func(f *fixture) { f.State.QuarantinedJobs["req-1"] = true }, heartbeat(11, running), nil, false},
+		{"another attempt of a recorded task", func(f *fixture) { f.addAttempt(f.job, 1, f.machine).Observed = true }, heartbeat(11, running), []wire.Verb{wire.Stop}, false},
+		{"the recorded attempt", func(f *fixture) {
+			attempt := f.addAttempt(f.job, 1, f.machine)
+			attempt.Observed, attempt.Number = true, 3
+		}, heartbeat(11, exited), nil, false},
+		{"outcome stored", func(*fixture) {}, heartbeat(11, exited), []wire.Verb{wire.Forget}, false},
+		{"outcome of an archived job", func(f *fixture) { delete(f.State.Jobs, "req-1") }, heartbeat(11, exited), []wire.Verb{wire.Forget}, false},
+		{"outcome beyond the chunks", func(*fixture) {}, heartbeat(11, wire.TaskState{Task: "req-1/99999", Attempt: 3, Phase: wire.PhaseExited}), []wire.Verb{wire.Forget}, false},
+		{"outcome not stored", func(f *fixture) { f.job.Chunk(0).Dirty = true }, heartbeat(11, exited), nil, false},
+		{"outcome being stored", func(f *fixture) { f.job.Chunk(0).WriteInFlight = true }, heartbeat(11, exited), nil, false},
+		{"job to be archived", func(f *fixture) { f.job.Finished = true }, heartbeat(11, exited), nil, false},
+		{"job being archived", func(f *fixture) { f.job.Archiving = true }, heartbeat(11, exited), nil, false},
+		{"command in flight", func(f *fixture) { f.machine.CommandInFlight = true }, heartbeat(11, exited), nil, false},
+		{"an older token is shown", func(f *fixture) { f.State.FirstToken = testToken + 1 }, heartbeat(11, exited), nil, false},
+		{"an unanswered launch may arrive", func(f *fixture) {
+			f.machine.UnansweredLaunch = cluster.UnansweredCommand{Token: testToken, Epoch: 1}
+		}, heartbeat(11, exited), nil, true},
+		{"an unanswered launch has an older token", func(f *fixture) {
+			f.machine.UnansweredLaunch = cluster.UnansweredCommand{Token: testToken - 1, Epoch: 1}
+		}, heartbeat(11, exited), []wire.Verb{wire.Forget}, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.attempt.Observed = true
+			tc.setup(f)
+			got := f.CommandsFor(f.machine, tc.heartbeat, time.Now())
+			if !slices.Equal(verbs(got), tc.want) || f.Fencing.RaiseRequested != tc.wantRaise {
+				t.Errorf("heartbeat %+v: commands %v, higher token requested %v; want %v, %v",
+					tc.heartbeat.Tasks, verbs(got), f.Fencing.RaiseRequested, tc.want, tc.wantRaise)
+			}
+			for _, command := range got {
+				if command.Verb == wire.Stop && (command.GracePeriod == nil || *command.GracePeriod != 0) {
+					t.Errorf("%+v has a grace period, want a stop at once", command)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/leader/agents/probes_test.go
@@ -0,0 +1,132 @@
+package agents
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"testing"
+	"time"
+
+	"lilaclead/internal/cancels"
+	"lilaclead/internal/peer"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/wire"
+)
+
+func TestProbeIsRepeatedOnceWithTheRightEpoch(t *testing.T) {
+	cases := []struct {
+		name       string
+		epoch      wire.AgentEpoch // of the agent
+		token      wire.FencingToken
+		wantProbes int
+		wantStatus int
+	}{
+		{"known epoch", 1, testToken, 1, http.StatusOK},
+		{"newer epoch", 3, testToken, 2, http.StatusOK},
+		{"newer epoch and a higher token", 3, testToken + 1, 1, http.StatusConflict},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.Begin(t.Context())
+			probes := 0
+			f.Agents = newTestClient(func(r *http.Request) (*http.Response, error) {
+				probes++
+				raw, err := io.ReadAll(r.Body)
+				var sent wire.Commands
+				if err != nil || wire.Decode(raw, &sent) != nil || len(sent.Commands) != 0 {
+					t.Errorf("probe %x is not one: %v", raw, err)
+				}
+				status := http.StatusOK
+				if sent.Epoch != tc.epoch {
+					status = http.StatusConflict
+				}
+				return answerWith(status, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: tc.epoch, Sequence: 11, Token: tc.token}))
+			})
+			f.Probe(f.machine)
+			answer, ok := (<-f.Events).(ProbeAnswer)
+			if !ok || answer.Err != nil || answer.Status != tc.wantStatus || answer.Heartbeat.Epoch != tc.epoch || answer.Relayed {
+				t.Fatalf("outcome %+v, want status %d of epoch %d, directly", answer, tc.wantStatus, tc.epoch)
+			}
+			if want := (Position{Epoch: 1, Sequence: 10}); answer.KnownBefore != want || probes != tc.wantProbes {
+				t.Errorf("%d probes, known before %+v; want %d, %+v", probes, answer.KnownBefore, tc.wantProbes, want)
+			}
+		})
+	}
+}
+
+func TestProbeGoesDirectlyWhereNoPeerIsConnected(t *testing.T) {
+	f := newFixture(t)
+	f.Begin(t.Context())
+	f.Agents = newTestClient(agentAnswer)
+	f.Agents.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, cancels.New(nil, time.Minute),
+		simulator.NewNetwork(0).Host("10.0.0.1"), f.Log)
+	f.machine.UnansweredProbes = 1
+	f.Probe(f.machine)
+	answer, ok := (<-f.Events).(ProbeAnswer)
+	if !ok || answer.Err != nil || answer.Relayed {
+		t.Errorf("outcome %+v, want a direct answer", answer)
+	}
+}
+
+func TestTokenIsAnnouncedToMachinesThatLackIt(t *testing.T) {
+	f := newFixture(t)
+	f.Begin(t.Context())
+	f.Agents = newTestClient(agentAnswer)
+	go func() { // takes the outcomes
+		for {
+			select {
+			case <-f.Events:
+			case <-f.Done:
+				return
+			}
+		}
+	}()
+	for i := range MaxProbesPerTick + 5 {
+		f.addMachine(wire.MachineID(fmt.Sprintf("old-%d", i))).Token = testToken - 1
+	}
+	ineligible := f.addMachine("booting")
+	ineligible.Token, ineligible.Booting = testToken-1, true
+	ineligible = f.addMachine("no-address")
+	ineligible.Token, ineligible.Addr = testToken-1, ""
+	ineligible = f.addMachine("unresponsive")
+	ineligible.Token, ineligible.UnansweredProbes = testToken-1, 1
+
+	probed := func() int {
+		count := 0
+		for _, machine := range f.State.Machines {
+			if machine.CommandInFlight {
+				count++
+			}
+		}
+		return count
+	}
+	f.State.MachineListReceived = true
+	for tick, want := range []int{MaxProbesPerTick, MaxProbesPerTick + 5, MaxProbesPerTick + 5} {
+		if f.AnnounceToken(); probed() != want {
+			t.Errorf("tick %d: %d machines probed, want %d", tick, probed(), want)
+		}
+	}
+	if !f.TokenAnnounced {
+		t.Error("not announced once all machines that can be probed were")
+	}
+}
+
+func TestTokenIsNotAnnouncedWithoutLeading(t *testing.T) {
+	for name, setup := range map[string]func(f *fixture){
+		"announced before": func(f *fixture) { f.TokenAnnounced = true },
+		"not recovered":    func(f *fixture) { f.State.Recovered = false },
+		"store not reached": func(f *fixture) {
+			f.loseStore(true)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t)
+			f.machine.Token = testToken - 1
+			setup(f)
+			if f.AnnounceToken(); f.machine.CommandInFlight {
+				t.Error("probed")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/leader/agents/stops_test.go
@@ -0,0 +1,140 @@
+package agents
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
+)
+
+// addGang adds a running gang with a task on each of three machines.
+func (f *fixture) addGang() *cluster.Job {
+	job := f.addJob("req-2", wire.KindGang, 3)
+	job.Gang = &cluster.Gang{Number: testAttempt, StartedAt: time.Now(), Ran: true}
+	for index, id := range []wire.MachineID{"n-1", "n-2", "n-3"} {
+		f.addAttempt(job, index, f.addMachine(id)).Observed = true
+	}
+	return job
+}
+
+func TestStopOfOneTaskStopsItsGangAtOnce(t *testing.T) {
+	cases := []struct {
+		name            string
+		setup           func(gang *cluster.Gang)
+		gracePeriod     wire.Seconds
+		wantGracePeriod wire.Seconds
+	}{
+		{"the gang has run", func(*cluster.Gang) {}, 13, 13},
+		{"an earlier leader's gang may have run", func(gang *cluster.Gang) { gang.Ran, gang.Inherited = false, true }, 13, 13},
+		{"the gang has not run", func(gang *cluster.Gang) { gang.Ran = false }, 13, 0},
+		{"without a grace period", func(*cluster.Gang) {}, 0, 0},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			f := newFixture(t)
+			job := f.addGang()
+			tc.setup(job.Gang)
+			f.Stop(job.Attempts()[0], tc.gracePeriod, cluster.EvictedPreempted)
+			for _, attempt := range job.Attempts() {
+				if !attempt.Stopping || attempt.GracePeriod != tc.wantGracePeriod || attempt.StopSentAt.IsZero() {
+					t.Errorf("%v: stopping %v with %v s, sent %v; want true with %v s, true",
+						attempt.Task(), attempt.Stopping, attempt.GracePeriod, !attempt.StopSentAt.IsZero(), tc.wantGracePeriod)
+				}
+			}
+			if len(f.evicted) != 3 || job.Gang.StoppingGracefully != (tc.wantGracePeriod > 0) {
+				t.Errorf("evictions %v, stopping gracefully %v; want 3, %v", f.evicted, job.Gang.StoppingGracefully, tc.wantGracePeriod > 0)
+			}
+		})
+	}
+}
+
+func TestLaterStopOnlyShortensTheGracePeriod(t *testing.T) {
+	f := newFixture(t)
+	f.attempt.Observed = true
+	for _, step := range []struct{ requested, want wire.Seconds }{{10, 10}, {20, 10}, {10, 10}, {4, 4}} {
+		f.Stop(f.attempt, step.requested, cluster.EvictedPreempted)
+		if f.attempt.GracePeriod != step.want {
+			t.Errorf("stop with %v s: grace period %v s, want %v s", step.requested, f.attempt.GracePeriod, step.want)
+		}
+	}
+	if len(f.evicted) != 2 {
+		t.Errorf("evictions %v, want one for each stop that changed something", f.evicted)
+	}
+}
+
+func TestStopOfAnUnstoredAttempt(t *testing.T) {
+	for name, tc := range map[string]struct {
+		writeInFlight bool
+		wantActive    int
+		wantStopping  bool
+	}{
+		"not being written": {false, 0, false},
+		"being written":     {true, 1, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t)
+			f.attempt.Unstored, f.attempt.Chunk.WriteInFlight = true, tc.writeInFlight
+			f.Stop(f.attempt, 10, cluster.EvictedPreempted)
+			if f.job.ActiveTasks != tc.wantActive || f.attempt.Stopping != tc.wantStopping {
+				t.Errorf("%d active tasks, stopping %v; want %d, %v", f.job.ActiveTasks, f.attempt.Stopping, tc.wantActive, tc.wantStopping)
+			}
+			if f.machine.CommandInFlight || len(f.evicted) != 0 {
+				t.Errorf("command in flight %v, evictions %v; want neither", f.machine.CommandInFlight, f.evicted)
+			}
+		})
+	}
+}
+
+func TestBrokenGangIsStoppedUnlessItStopsGracefully(t *testing.T) {
+	for name, tc := range map[string]struct {
+		graceful bool
+		want     bool
+	}{
+		"running":             {false, true},
+		"stopping gracefully": {true, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t)
+			job := f.addGang()
+			job.Gang.StoppingGracefully = tc.graceful
+			f.State.EndAttempt(job.Attempts()[0], cluster.TaskPending)
+			f.StopBrokenGangs()
+			for _, attempt := range job.Attempts() {
+				if attempt.Stopping != tc.want || tc.want && attempt.StopReason != cluster.EvictedGangIncomplete {
+					t.Errorf("%v: stopping %v for %q, want %v", attempt.Task(), attempt.Stopping, attempt.StopReason, tc.want)
+				}
+			}
+			if !job.Gang.Broken || len(f.State.BrokenGangs) != 0 {
+				t.Errorf("broken %v, %d gangs left to handle; want true, 0", job.Gang.Broken, len(f.State.BrokenGangs))
+			}
+			for _, attempt := range job.Attempts() {
+				f.State.EndAttempt(attempt, cluster.TaskPending)
+			}
+			f.StopBrokenGangs()
+			if job.Gang != nil {
+				t.Error("a gang of which nothing is left is not queued again")
+			}
+		})
+	}
+}
+
+func TestCancelledJobIsStoppedWithoutGracePeriod(t *testing.T) {
+	f := newFixture(t)
+	f.attempt.Observed = true
+	f.job.Cancelled = true
+	f.StopCancelledJob(f.job)
+	if !f.attempt.Stopping || f.attempt.GracePeriod != 0 || f.attempt.StopReason != cluster.EvictedCancelled {
+		t.Errorf("stopping %v with %v s for %q", f.attempt.Stopping, f.attempt.GracePeriod, f.attempt.StopReason)
+	}
+	if _, ok := f.State.CancelledJobs[f.job]; !ok || f.job.Finished {
+		t.Errorf("listed as cancelled %v, finished %v; want true, false", ok, f.job.Finished)
+	}
+	if len(f.evicted) != 0 {
+		t.Errorf("a cancellation is counted as evictions %v", f.evicted)
+	}
+	if got, want := f.sentDirectly(t), []wire.Verb{wire.Stop}; !slices.Equal(got, want) {
+		t.Errorf("sent %v, want %v", got, want)
+	}
+}
