--- a/internal/leader/liveness/counts.go
+++ b/internal/leader/liveness/counts.go
@@ -43,6 +43,7 @@
 }
 
 func (mo *Monitor) countMachine(counts *machineCounts, machine *cluster.Machine, now time.Time) {
+	limits := mo.limits()
 	sinceMessage := mo.State.SinceLastMessage(machine, now)
 	counts.up++
 	counts.zoneUp[machine.Zone]++
@@ -55,10 +56,10 @@
 	if mo.State.OutboundLost(machine, now) {
 		counts.outboundLost++
 	}
-	if sinceMessage > mo.unresponsiveAfter() {
+	if sinceMessage > limits.unresponsiveAfter() {
 		counts.unresponsive++
 	}
-	if sinceMessage > mo.lostAfter() {
+	if sinceMessage > limits.lostAfter() {
 		counts.lost++
 		counts.zoneLost[machine.Zone]++
 	}
@@ -66,7 +67,7 @@
 		return
 	}
 	counts.replicaHosts++
-	if sinceMessage > replicaHostProbeAfter+2*agents.ProbeTimeout {
+	if sinceMessage > maxReplicaHostWait+2*agents.ProbeTimeout {
 		counts.replicaHostsUnresponsive++
 	}
 }
--- a/internal/leader/liveness/limits.go
+++ b/internal/leader/liveness/limits.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"lilaclead/internal/config"
 	"lilaclead/internal/leader/agents"
-	"lilaclead/internal/leader/cluster"
 )
 
 const (
@@ -13,9 +13,9 @@
 	maxHeartbeatGapQuarters = 5
 	// heartbeatDelay is for how long a heartbeat may be on its way.
 	heartbeatDelay = 600 * time.Millisecond
-	// replicaHostProbeAfter is after how long without a message a machine with replicas
-	// is probed, where heartbeats come more rarely than that.
-	replicaHostProbeAfter = 4 * time.Second
+	// maxReplicaHostWait is after how long without a message a machine with replicas is
+	// probed, where heartbeats come more rarely than that.
+	maxReplicaHostWait = 4 * time.Second
 
 	// overdueQuarters and overdueMargin are the time without a message, three intervals
 	// and the quarter by which a heartbeat may be late, and two seconds for what is on its
@@ -34,49 +34,60 @@
 	outlastedCancelTimeouts = 2
 )
 
+// limits are the times after which a machine is judged, as they follow from the settings.
+type limits struct {
+	heartbeatInterval time.Duration
+	lease             time.Duration
+	cancelTimeout     time.Duration
+}
+
+func limitsOf(workers *config.Workers) limits {
+	return limits{
+		heartbeatInterval: workers.HeartbeatInterval.Duration(),
+		lease:             workers.Lease.Duration(),
+		cancelTimeout:     workers.CancelTimeout.Duration(),
+	}
+}
+
+// limits returns the limits of the present settings.
+func (mo *Monitor) limits() limits { return limitsOf(&mo.State.Settings.Workers) }
+
 // maxHeartbeatGap returns the longest time between two heartbeats of a machine.
-func (mo *Monitor) maxHeartbeatGap() time.Duration {
-	return mo.State.HeartbeatInterval() * maxHeartbeatGapQuarters / 4
+func (l limits) maxHeartbeatGap() time.Duration {
+	return l.heartbeatInterval * maxHeartbeatGapQuarters / 4
 }
 
 // unresponsiveAfter returns after how long without a message a machine is probed.
-func (mo *Monitor) unresponsiveAfter() time.Duration { return mo.maxHeartbeatGap() + heartbeatDelay }
+func (l limits) unresponsiveAfter() time.Duration { return l.maxHeartbeatGap() + heartbeatDelay }
 
 // lostAfter returns after how long without a message a machine is lost: when two probes
 // had the time to fail.
-func (mo *Monitor) lostAfter() time.Duration { return mo.unresponsiveAfter() + 2*agents.ProbeTimeout }
+func (l limits) lostAfter() time.Duration { return l.unresponsiveAfter() + 2*agents.ProbeTimeout }
+
+// overdueAfter returns after how long without a message a machine is lost even if not all
+// probes of it were tried.
+func (l limits) overdueAfter() time.Duration {
+	return l.heartbeatInterval*overdueQuarters/4 + overdueMargin
+}
 
-// overdueAfter returns after how long without a message a machine is lost whatever was
+// replicaHostProbeAfter returns after how long without a message a machine with replicas is
 // probed.
-func (mo *Monitor) overdueAfter() time.Duration {
-	return mo.State.HeartbeatInterval()*overdueQuarters/4 + overdueMargin
+func (l limits) replicaHostProbeAfter() time.Duration {
+	return min(l.unresponsiveAfter(), maxReplicaHostWait)
+}
+
+// replicaHostLostAfter returns after how long without a message a machine with replicas is
+// lost, if it may be faulty by itself: when three probes had the time to fail.
+func (l limits) replicaHostLostAfter() time.Duration {
+	return min(l.lostAfter(), l.replicaHostProbeAfter()+3*agents.ProbeTimeout)
 }
 
 // leaseExpiredAfter returns after how long without a heartbeat the lease of a machine must
 // have expired.
-func (mo *Monitor) leaseExpiredAfter() time.Duration {
-	return mo.State.Settings.Workers.Lease.Duration() * expiredLeaseQuarters / 4
-}
+func (l limits) leaseExpiredAfter() time.Duration { return l.lease * expiredLeaseQuarters / 4 }
 
 // partitionOutlastedAfter returns after how long without a message machines are no longer
 // kept because they may be behind a partition that ends.
-func (mo *Monitor) partitionOutlastedAfter() time.Duration {
-	workers := &mo.State.Settings.Workers
-	return max(workers.Lease.Duration()*outlastedLeaseHalves/2, workers.CancelTimeout.Duration()*outlastedCancelTimeouts)
-}
-
-// unresponsiveLimits returns after how long without a message a machine is probed, and
-// after how long it is lost. A machine with replicas is not left alone for as long as
-// heartbeats may take: the replicas of one that has stopped are down until that is known.
-// When many such machines are unresponsive it is rather the path to them.
-func (mo *Monitor) unresponsiveLimits(machine *cluster.Machine, counts *machineCounts) (probeAfter, lostAfter time.Duration) {
-	probeAfter, lostAfter = mo.unresponsiveAfter(), mo.lostAfter()
-	if !mo.State.HoldsReplicas(machine) {
-		return probeAfter, lostAfter
-	}
-	probeAfter = min(probeAfter, replicaHostProbeAfter)
-	if plausibleSingleFaults(counts.replicaHostsUnresponsive, counts.replicaHosts) {
-		lostAfter = min(lostAfter, probeAfter+3*agents.ProbeTimeout)
-	}
-	return probeAfter, lostAfter
+func (l limits) partitionOutlastedAfter() time.Duration {
+	return max(l.lease*outlastedLeaseHalves/2, l.cancelTimeout*outlastedCancelTimeouts)
 }
--- a/internal/leader/liveness/limits_test.go
+++ b/internal/leader/liveness/limits_test.go
@@ -15,19 +15,19 @@
 		got  time.Duration
 		want time.Duration
 	}{
-		{"longest gap between heartbeats", f.maxHeartbeatGap(), 2500 * time.Millisecond},
-		{"probed after", f.unresponsiveAfter(), 3100 * time.Millisecond},
-		{"lost after", f.lostAfter(), 5500 * time.Millisecond},
-		{"lost whatever was probed after", f.overdueAfter(), 8500 * time.Millisecond},
-		{"lease expired after", f.leaseExpiredAfter(), 20 * time.Second},
-		{"partition outlasted after", f.partitionOutlastedAfter(), 82 * time.Second},
+		{"longest gap between heartbeats", f.limits().maxHeartbeatGap(), 2500 * time.Millisecond},
+		{"probed after", f.limits().unresponsiveAfter(), 3100 * time.Millisecond},
+		{"lost after", f.limits().lostAfter(), 5500 * time.Millisecond},
+		{"lost whatever was probed after", f.limits().overdueAfter(), 8500 * time.Millisecond},
+		{"lease expired after", f.limits().leaseExpiredAfter(), 20 * time.Second},
+		{"partition outlasted after", f.limits().partitionOutlastedAfter(), 82 * time.Second},
 	} {
 		if tc.got != tc.want {
 			t.Errorf("%s: got %v, want %v", tc.name, tc.got, tc.want)
 		}
 	}
 	f.State.Settings.Workers.Lease = 60
-	if got, want := f.partitionOutlastedAfter(), 150*time.Second; got != want {
+	if got, want := f.limits().partitionOutlastedAfter(), 150*time.Second; got != want {
 		t.Errorf("with a lease of 60 s a partition is outlasted after %v, want %v", got, want)
 	}
 }
@@ -56,7 +56,8 @@
 				f.addAttempt(f.addJob(wire.KindService, 1), 0, machine)
 			}
 			counts := &machineCounts{replicaHosts: 12, replicaHostsUnresponsive: tc.unresponsive}
-			probeAfter, lostAfter := f.unresponsiveLimits(machine, counts)
+			verdict := f.verdictOn(machine, counts, f.now)
+			probeAfter, lostAfter := verdict.probeAfter(), verdict.lostAfter()
 			if probeAfter != tc.wantProbeAfter || lostAfter != tc.wantLostAfter {
 				t.Errorf("interval %v s, replicas %v, %d unresponsive: probed after %v, lost after %v; want %v, %v",
 					tc.interval, tc.replicas, tc.unresponsive, probeAfter, lostAfter, tc.wantProbeAfter, tc.wantLostAfter)
--- a/internal/leader/liveness/monitor.go
+++ b/internal/leader/liveness/monitor.go
@@ -85,8 +85,11 @@
 		mo.Scaler.ScaleIn(machine, cluster.DrainFailed)
 		return
 	}
-	mo.probeUnresponsive(machine, counts, now)
-	if mo.machineLost(machine, counts, now) {
+	verdict := mo.verdictOn(machine, counts, now)
+	if verdict.unresponsive() {
+		mo.probeUnresponsive(machine, now)
+	}
+	if verdict.lost() {
 		mo.Scaler.ScaleIn(machine, cluster.DrainUnresponsive)
 		return
 	}
@@ -98,16 +101,6 @@
 	mo.checkTasks(machine, now)
 }
 
-// drainCompleted reports whether a draining machine can be scaled in: it is empty and the
-// outcomes of its tasks are stored, or an earlier leader had begun to scale it in.
-func (mo *Monitor) drainCompleted(machine *cluster.Machine) bool {
-	if machine.DrainReason == cluster.DrainAdoptedScaleIn {
-		return true
-	}
-	empty := len(machine.Tasks) == 0 && len(machine.OrphanTasks) == 0
-	return machine.DrainReason != "" && empty && mo.Writer.AllStored(machine.LastUsedAt, time.Now())
-}
-
 // checkTasks stops what runs on a machine that the cloud reclaims, and ends launches that
 // may still be on their way to a machine that takes nothing new.
 func (mo *Monitor) checkTasks(machine *cluster.Machine, now time.Time) {
--- a/internal/leader/liveness/partitions.go
+++ b/internal/leader/liveness/partitions.go
@@ -36,7 +36,7 @@
 // betterConnectedPeer returns a controller that most machines reach, if they don't reach
 // this one.
 func (mo *Monitor) betterConnectedPeer(counts *machineCounts, now time.Time) (wire.NodeID, bool) {
-	settlingTime := mo.lostAfter() + mo.State.Settings.Workers.Lease.Duration()/settlingLeaseFraction
+	settlingTime := mo.limits().lostAfter() + mo.State.Settings.Workers.Lease.Duration()/settlingLeaseFraction
 	settled := now.Sub(mo.State.TermStartedAt) > settlingTime
 	if !counts.unreachable() || !mo.Lease.Deciding() || !settled {
 		return "", false
--- a/internal/leader/liveness/paths.go
+++ b/internal/leader/liveness/paths.go
@@ -50,10 +50,10 @@
 		return
 	}
 	missingFor := mo.State.HeartbeatsMissingFor(machine, now)
-	if missingFor <= mo.leaseExpiredAfter() {
+	if missingFor <= mo.limits().leaseExpiredAfter() {
 		return
 	}
-	if singleFault || missingFor > mo.partitionOutlastedAfter() {
+	if singleFault || missingFor > mo.limits().partitionOutlastedAfter() {
 		mo.Scaler.ScaleIn(machine, cluster.DrainOutboundLost)
 	}
 }
--- a/internal/leader/liveness/verdicts_test.go
+++ b/internal/leader/liveness/verdict_test.go
@@ -47,7 +47,7 @@
 			f := newFixture(t)
 			machine := f.addMachine(tc.sinceMessage)
 			tc.setup(f, machine)
-			if got := f.machineLost(machine, &tc.counts, f.now); got != tc.want {
+			if got := f.verdictOn(machine, &tc.counts, f.now).lost(); got != tc.want {
 				t.Errorf("no message for %v, %d unanswered probes: lost %v, want %v", tc.sinceMessage, machine.UnansweredProbes, got, tc.want)
 			}
 		})
@@ -72,7 +72,7 @@
 			f := newFixture(t)
 			machine := f.addMachine(tc.sinceMessage)
 			tc.setup(machine)
-			f.probeUnresponsive(machine, &machineCounts{}, f.now)
+			f.CheckMachine(machine, &machineCounts{up: 1}, f.now)
 			if machine.CommandInFlight != tc.want {
 				t.Errorf("no message for %v, %d unanswered probes: probed %v, want %v", tc.sinceMessage, machine.UnansweredProbes, machine.CommandInFlight, tc.want)
 			}
