--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -140,28 +140,29 @@
 // only the end of the agent's epoch, or a token above the launch's, keeps it from starting
 // too late.
 func (rc *Reconciler) renewalWithheld(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) bool {
+	oldestRenewable := now.Add(-rc.state.Delegation.MaxCancelAge)
 	for task, attempt := range machine.Tasks {
-		if rc.cancelOverdue(attempt, now) && rc.directLaunchMayArrive(attempt) && !lists(heartbeat, task, attempt.Number) {
+		if cancelledBefore(oldestRenewable, attempt) && directLaunchMayArrive(attempt, rc.Fencing.Token) && !lists(heartbeat, task, attempt.Number) {
 			return true
 		}
 	}
 	return false
 }
 
-// cancelOverdue reports whether the attempt's job was cancelled so long ago that no
-// controller may renew the lease of what runs of it.
-func (rc *Reconciler) cancelOverdue(attempt *cluster.Attempt, now time.Time) bool {
-	return attempt.Job.Cancelled && !attempt.Unstored && now.Sub(attempt.Job.CancelledAt) >= rc.state.Delegation.MaxCancelAge
+// cancelledBefore reports whether the job of a stored attempt was cancelled at a time or
+// before: so long ago that no controller may renew the lease of what runs of it.
+func cancelledBefore(at time.Time, attempt *cluster.Attempt) bool {
+	return attempt.Job.Cancelled && !attempt.Unstored && !attempt.Job.CancelledAt.After(at)
 }
 
 // directLaunchMayArrive reports whether a direct launch of the attempt may still take
-// effect: it is in flight, or was never answered and carries a token that the agent still
-// accepts.
-func (rc *Reconciler) directLaunchMayArrive(attempt *cluster.Attempt) bool {
+// effect while this controller has a token: it is in flight, or was never answered and has
+// no older token, which the agent would refuse.
+func directLaunchMayArrive(attempt *cluster.Attempt, token wire.FencingToken) bool {
 	if attempt.LaunchInFlight {
 		return true
 	}
-	return attempt.LaunchUnanswered && rc.Fencing.Token <= attempt.UnansweredLaunchToken
+	return attempt.LaunchUnanswered && token <= attempt.UnansweredLaunchToken
 }
 
 // lists reports whether a heartbeat contains an attempt of a task.
--- a/internal/leader/reconcile/drain.go
+++ b/internal/leader/reconcile/drain.go
@@ -1,16 +1,34 @@
 package reconcile
 
-import "lilaclead/internal/leader/cluster"
+import (
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
+)
+
+// drainer takes machines out of service.
+type drainer struct {
+	*core.Loop
+	state      *cluster.State
+	dispatcher *agents.Dispatcher
+}
 
 // maxSuspectShare bounds the suspected machines that may be drained at a time to a quarter
 // of all.
 const maxSuspectShare = 4
 
+// drainSuspect drains a machine on the suspicion that it is faulty or slow, if it may.
+func (d *drainer) drainSuspect(machine *cluster.Machine, reason cluster.DrainReason) {
+	if d.MayDrainSuspect() {
+		d.drain(machine, reason)
+	}
+}
+
 // MayDrainSuspect reports whether one more machine may be drained on the suspicion that it
 // is faulty or slow. A fault that shows on many machines is not theirs.
-func (rc *Reconciler) MayDrainSuspect() bool {
+func (d *drainer) MayDrainSuspect() bool {
 	suspects, total := 0, 0
-	for _, machine := range rc.state.Machines {
+	for _, machine := range d.state.Machines {
 		if machine.Booting {
 			continue
 		}
@@ -22,25 +40,25 @@
 	return suspects < max(1, total/maxSuspectShare)
 }
 
-// drainMachine takes a machine out of service. It is scaled in when it is empty.
-func (rc *Reconciler) drainMachine(machine *cluster.Machine, reason cluster.DrainReason) {
+// drain takes a machine out of service. It is scaled in when it is empty.
+func (d *drainer) drain(machine *cluster.Machine, reason cluster.DrainReason) {
 	if machine.DrainReason != "" || machine.ScalingIn {
 		return
 	}
 	machine.DrainReason = reason
-	rc.Log.Info("machine drained", "machine", machine.ID, "reason", reason, "tasks", len(machine.Tasks))
-	rc.Metrics.Fleet("drained", 1)
+	d.Log.Info("drain started", "machine", machine.ID, "reason", reason, "tasks", len(machine.Tasks))
+	d.Metrics.Fleet("drained", 1)
 	for _, attempt := range machine.Tasks {
 		neverSent := !attempt.LaunchSent && !attempt.Inherited
 		switch {
 		case attempt.Unstored:
 		case neverSent:
-			rc.state.EndAttempt(attempt, cluster.TaskPending)
+			d.state.EndAttempt(attempt, cluster.TaskPending)
 		case stopsTask(reason, attempt.Job):
-			rc.dispatcher.Stop(attempt, rc.state.GracePeriodOf(attempt.Job), cluster.EvictionReason(reason))
+			d.dispatcher.Stop(attempt, d.state.GracePeriodOf(attempt.Job), cluster.EvictionReason(reason))
 		}
 	}
-	rc.state.RequestCycle()
+	d.state.RequestCycle()
 }
 
 // stopsTask reports whether a drain for a reason stops the tasks of a job rather than let
--- a/internal/leader/reconcile/failures.go
+++ b/internal/leader/reconcile/failures.go
@@ -32,10 +32,15 @@
 	faultyJobMachines = 3
 )
 
+// faultDetector distinguishes faulty and slow machines from faulty and slow jobs.
+type faultDetector struct {
+	*drainer
+}
+
 // onTaskFailure distinguishes a faulty machine from a faulty job. A job that fails wherever
 // it runs is retried ever more rarely; a machine on which several jobs fail, or a job that
 // other machines run well, is drained and scaled in.
-func (rc *Reconciler) onTaskFailure(attempt *cluster.Attempt, now time.Time) {
+func (fd *faultDetector) onTaskFailure(attempt *cluster.Attempt, now time.Time) {
 	job, machine := attempt.Job, attempt.Machine
 	if job.FailedMachines == nil {
 		job.FailedMachines = map[wire.MachineID]bool{}
@@ -44,14 +49,14 @@
 	job.Failures++
 	machine.FailedJobs[job.Spec.ID] = true
 	machine.Failures++
-	rc.Log.Info("task failed", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID,
+	fd.Log.Info("task failed", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID,
 		"job_machines", len(job.FailedMachines), "machine_jobs", len(machine.FailedJobs))
-	if machineAtFault(machine, job) && rc.MayDrainSuspect() {
-		rc.drainMachine(machine, cluster.DrainFaulty)
+	if machineAtFault(machine, job) {
+		fd.drainSuspect(machine, cluster.DrainFaulty)
 	}
-	rc.backOff(job, now)
+	backOff(job, now)
 	if len(job.FailedMachines) >= faultyJobMachines {
-		rc.clearFailuresOf(job)
+		fd.clearFailuresOf(job)
 	}
 }
 
@@ -65,7 +70,7 @@
 }
 
 // backOff sets when a job of which a task has just failed may start tasks again.
-func (rc *Reconciler) backOff(job *cluster.Job, now time.Time) {
+func backOff(job *cluster.Job, now time.Time) {
 	if len(job.FailedMachines) < suspectJobMachines {
 		job.StartNotBefore = now.Add(singleMachineBackoff)
 		return
@@ -75,8 +80,8 @@
 }
 
 // clearFailuresOf clears the failures of all machines on which a faulty job has failed.
-func (rc *Reconciler) clearFailuresOf(job *cluster.Job) {
-	for _, machine := range rc.state.Machines {
+func (fd *faultDetector) clearFailuresOf(job *cluster.Job) {
+	for _, machine := range fd.state.Machines {
 		if machine.FailedJobs[job.Spec.ID] {
 			delete(machine.FailedJobs, job.Spec.ID)
 			machine.Failures = 0
--- a/internal/leader/reconcile/failures_test.go
+++ b/internal/leader/reconcile/failures_test.go
@@ -12,7 +12,7 @@
 // failOn has a task of the job fail on a machine.
 func (f *fixture) failOn(job *cluster.Job, machine *cluster.Machine, now time.Time) {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: 0, Number: testAttempt, Machine: machine}
-	f.onTaskFailure(attempt, now)
+	f.faults.onTaskFailure(attempt, now)
 }
 
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
@@ -105,7 +105,7 @@
 			f := newFixture(t)
 			f.job.Spec.Kind = tc.kind
 			tc.setup(f.attempt)
-			f.drainMachine(f.machine, tc.reason)
+			f.drain(f.machine, tc.reason)
 			if f.machine.DrainReason != tc.reason || f.drained != 1 {
 				t.Errorf("drain reason %q, counted %d times; want %q, once", f.machine.DrainReason, f.drained, tc.reason)
 			}
@@ -115,7 +115,7 @@
 			if ended := f.job.ActiveTasks == 0; ended != tc.wantEnded {
 				t.Errorf("ended %v, want %v", ended, tc.wantEnded)
 			}
-			f.drainMachine(f.machine, cluster.DrainIdle)
+			f.drain(f.machine, cluster.DrainIdle)
 			if f.machine.DrainReason != tc.reason || f.drained != 1 {
 				t.Errorf("a second drain changes the reason to %q, counted %d times", f.machine.DrainReason, f.drained)
 			}
@@ -143,7 +143,7 @@
 			now := time.Now()
 			for _, run := range tc.runs {
 				f.attempt.RunningSince = now.Add(-run)
-				f.recordRunTime(f.attempt, now)
+				f.faults.recordRunTime(f.attempt, now)
 			}
 			if drained := f.machine.DrainReason == cluster.DrainSlow; drained != tc.wantDrained {
 				t.Errorf("runs %v: drained %v (%+v), want %v", tc.runs, drained, f.machine.SlowRuns, tc.wantDrained)
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -81,7 +81,7 @@
 	remaining := heartbeat.SpotNotice.Duration()
 	if machine.ReclaimAt.IsZero() {
 		rc.Log.Info("spot notice received", "machine", machine.ID, "remaining", remaining, "tasks", len(machine.Tasks))
-		rc.drainMachine(machine, cluster.DrainSpotNotice)
+		rc.drain(machine, cluster.DrainSpotNotice)
 	}
 	machine.ReclaimAt = now.Add(remaining)
 }
@@ -97,7 +97,7 @@
 	for _, attempt := range machine.Tasks {
 		attempt.ReplySequence = 0 // the reply that carried the launch went to the machine before its restart
 	}
-	rc.drainMachine(machine, cluster.DrainRestarted)
+	rc.drain(machine, cluster.DrainRestarted)
 	rc.Reconcile(machine, heartbeat, false, now)
 	machine.Restarted = true
 	rc.scaler.ScaleIn(machine, cluster.DrainRestarted)
--- a/internal/leader/reconcile/reconciler.go
+++ b/internal/leader/reconcile/reconciler.go
@@ -15,6 +15,8 @@
 // is used by the goroutine of the term's loop alone.
 type Reconciler struct {
 	*core.Loop
+	*drainer
+	faults     *faultDetector
 	state      *cluster.State
 	delegate   *delegation.Delegate
 	dispatcher *agents.Dispatcher
@@ -26,8 +28,11 @@
 
 // NewReconciler returns the reconciler of a term.
 func NewReconciler(loop *core.Loop, state *cluster.State, delegate *delegation.Delegate, dispatcher *agents.Dispatcher, scaler *autoscaler.Scaler) *Reconciler {
+	drainer := &drainer{Loop: loop, state: state, dispatcher: dispatcher}
 	return &Reconciler{
 		Loop:            loop,
+		drainer:         drainer,
+		faults:          &faultDetector{drainer},
 		state:           state,
 		delegate:        delegate,
 		dispatcher:      dispatcher,
--- a/internal/leader/reconcile/run_times.go
+++ b/internal/leader/reconcile/run_times.go
@@ -22,7 +22,7 @@
 
 // recordRunTime compares a completed run with the others of its job, and drains a machine
 // on which most runs are slow.
-func (rc *Reconciler) recordRunTime(attempt *cluster.Attempt, now time.Time) {
+func (fd *faultDetector) recordRunTime(attempt *cluster.Attempt, now time.Time) {
 	runSeconds := now.Sub(attempt.RunningSince).Seconds()
 	job, machine := attempt.Job, attempt.Machine
 	if len(job.RunTimes.Samples) >= minRunTimeSamples {
@@ -31,8 +31,8 @@
 		} else {
 			machine.SlowRuns.Normal++
 		}
-		if isSlow(machine) && rc.MayDrainSuspect() {
-			rc.drainMachine(machine, cluster.DrainSlow)
+		if isSlow(machine) {
+			fd.drainSuspect(machine, cluster.DrainSlow)
 		}
 	}
 	job.RunTimes.Add(runSeconds)
