--- a/internal/leader/agents/probes_test.go
+++ b/internal/leader/agents/probes_test.go
@@ -112,6 +112,16 @@
 	}
 }
 
+func TestTokenIsNotAnnouncedToAllBeforeTheFirstMachineList(t *testing.T) {
+	f := newFixture(t)
+	for _, listed := range []bool{false, true} {
+		f.State.MachineListReceived = listed
+		if f.AnnounceToken(); f.TokenAnnounced != listed {
+			t.Errorf("list received %v: announced %v", listed, f.TokenAnnounced)
+		}
+	}
+}
+
 func TestTokenIsNotAnnouncedWithoutLeading(t *testing.T) {
 	for name, setup := range map[string]func(f *fixture){
 		"announced before": func(f *fixture) { f.TokenAnnounced = true },
--- a/internal/leader/agents/stops_test.go
+++ b/internal/leader/agents/stops_test.go
@@ -50,6 +50,17 @@
 	}
 }
 
+func TestLaterStopOfAGangOnlyShortensTheGracePeriod(t *testing.T) {
+	f := newFixture(t)
+	gang := f.addGang()
+	for _, step := range []struct{ requested, want wire.Seconds }{{10, 10}, {20, 10}, {4, 4}, {10, 4}} {
+		f.StopGang(gang, step.requested, cluster.EvictedPreempted)
+		if gang.Gang.GracePeriod != step.want {
+			t.Errorf("stop with %v s: grace period %v s, want %v s", step.requested, gang.Gang.GracePeriod, step.want)
+		}
+	}
+}
+
 func TestLaterStopOnlyShortensTheGracePeriod(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.Observed = true
--- a/internal/leader/liveness/counts_test.go
+++ b/internal/leader/liveness/counts_test.go
@@ -12,14 +12,14 @@
 func TestMachinesAreCountedByHowTheyAreReached(t *testing.T) {
 	f := newFixture(t)
 	f.addMachine(0)
-	f.addMachine(3100 * time.Millisecond)                           // just not overdue
-	f.addMachine(4 * time.Second)                                   // unresponsive
-	f.addMachine(6 * time.Second)                                   // lost
-	f.addMachine(time.Minute).Booting = true                        // not counted
-	f.addMachine(time.Minute).ScalingIn = true                      // not counted
-	f.addMachine(0).RelayedOnly = true                              // relayed
-	f.addMachine(0).HeartbeatsMissingSince = f.now.Add(-time.Hour)  // outbound path lost
-	host, lostHost := f.addMachine(0), f.addMachine(10*time.Second) // with replicas
+	f.addMachine(3100 * time.Millisecond)                                       // just not overdue
+	f.addMachine(4 * time.Second)                                               // unresponsive
+	f.addMachine(6 * time.Second)                                               // lost
+	f.addMachine(time.Minute).Booting = true                                    // not counted
+	f.addMachine(time.Minute).ScalingIn = true                                  // not counted
+	f.addMachine(0).RelayedOnly = true                                          // relayed
+	f.addMachine(0).HeartbeatsMissingSince = f.now.Add(-time.Hour)              // outbound path lost
+	host, lostHost := f.addMachine(6*time.Second), f.addMachine(10*time.Second) // with replicas
 	lostHost.Zone = "b"
 	service := f.addJob(wire.KindService, 2)
 	f.addAttempt(service, 0, host)
@@ -30,9 +30,9 @@
 	deaf.Inbound.Reported(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
 
 	want := &machineCounts{
-		up: 9, unresponsive: 3, lost: 2, relayed: 1, inboundLost: 1, outboundLost: 1,
+		up: 9, unresponsive: 4, lost: 3, relayed: 1, inboundLost: 1, outboundLost: 1,
 		replicaHosts: 2, replicaHostsUnresponsive: 1,
-		zoneUp: map[wire.Zone]int{"a": 8, "b": 1}, zoneLost: map[wire.Zone]int{"a": 1, "b": 1},
+		zoneUp: map[wire.Zone]int{"a": 8, "b": 1}, zoneLost: map[wire.Zone]int{"a": 2, "b": 1},
 	}
 	if got := f.CountMachines(f.now); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -14,6 +14,7 @@
 	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/core"
+	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/leader/election"
 	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/leader/scaling"
@@ -81,6 +82,11 @@
 	}
 }
 
+// partition makes a zone seem partitioned from now on.
+func (f *fixture) partition(zone wire.Zone) {
+	f.State.ZoneDetector.Judge(zone, detector.Counts{Up: 10, Lost: 10, AllUp: 20}, f.now)
+}
+
 // addMachine adds a machine in zone a that sent its last message so long ago.
 func (f *fixture) addMachine(sinceMessage time.Duration) *cluster.Machine {
 	machine := f.State.GetOrAddMachine(wire.MachineID(fmt.Sprintf("n-%d", len(f.State.Machines)+1)))
--- a/internal/leader/liveness/partitions_test.go
+++ b/internal/leader/liveness/partitions_test.go
@@ -9,7 +9,6 @@
 	"lilaclead/internal/cancels"
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/cluster"
-	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/simulator"
 	"lilaclead/internal/wire"
@@ -143,7 +142,7 @@
 		}, false},
 		{"spread, the other zone is partitioned too", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
 			job.Spec.Spread = true
-			f.State.ZoneDetector.Judge("b", detector.Counts{Up: 10, Lost: 10, AllUp: 20}, f.now)
+			f.partition("b")
 		}, false},
 		{"spread, the other zone is full", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
 			job.Spec.Spread = true
@@ -161,7 +160,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.State.Settings.Zones = []wire.Zone{"a", "b"}
-			f.State.ZoneDetector.Judge("a", detector.Counts{Up: 10, Lost: 10, AllUp: 20}, f.now)
+			f.partition("a")
 			machine := f.addMachine(tc.sinceMessage)
 			job := f.addJob(tc.kind, 2)
 			f.addAttempt(job, 0, machine)
--- a/internal/leader/liveness/verdict_test.go
+++ b/internal/leader/liveness/verdict_test.go
@@ -37,6 +37,15 @@
 			probed(f, machine)
 			machine.ListedAt = f.now.Add(-31 * time.Second)
 		}, isolated, true},
+		{"its zone was partitioned lately", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
+			probed(f, machine)
+			f.partition("a")
+		}, machineCounts{}, false},
+		{"its zone was partitioned lately, which it has outlasted", 82 * time.Second, func(f *fixture, machine *cluster.Machine) {
+			probed(f, machine)
+			f.State.TermStartedAt = f.now.Add(-time.Hour)
+			f.partition("a")
+		}, machineCounts{}, true},
 		{"no list yet, zone unknown", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
 			probed(f, machine)
 			machine.Zone, f.State.MachineListReceived = "", false
@@ -58,20 +67,25 @@
 	cases := []struct {
 		name         string
 		sinceMessage time.Duration
-		setup        func(machine *cluster.Machine)
+		setup        func(f *fixture, machine *cluster.Machine)
 		want         bool
 	}{
-		{"overdue", 3200 * time.Millisecond, func(*cluster.Machine) {}, true},
-		{"not overdue", 3 * time.Second, func(*cluster.Machine) {}, false},
-		{"overdue, three probes failed", 4 * time.Second, func(machine *cluster.Machine) { machine.UnansweredProbes = 3 }, true},
-		{"overdue, four probes failed", 4 * time.Second, func(machine *cluster.Machine) { machine.UnansweredProbes = 4 }, false},
-		{"overdue, no address", 4 * time.Second, func(machine *cluster.Machine) { machine.Addr = "" }, false},
+		{"overdue", 3200 * time.Millisecond, func(*fixture, *cluster.Machine) {}, true},
+		{"not overdue", 3 * time.Second, func(*fixture, *cluster.Machine) {}, false},
+		{"overdue, three probes failed", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredProbes = 3 }, true},
+		{"overdue, four probes failed", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredProbes = 4 }, false},
+		{"overdue, no address", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.Addr = "" }, false},
+		{"behind a partition", 4 * time.Second, func(f *fixture, _ *cluster.Machine) { f.partition("a") }, true},
+		{"behind a partition, a probe failed", 4 * time.Second, func(f *fixture, machine *cluster.Machine) {
+			machine.UnansweredProbes = 1
+			f.partition("a")
+		}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			machine := f.addMachine(tc.sinceMessage)
-			tc.setup(machine)
+			tc.setup(f, machine)
 			f.CheckMachine(machine, &machineCounts{up: 1}, f.now)
 			if machine.CommandInFlight != tc.want {
 				t.Errorf("no message for %v, %d unanswered probes: probed %v, want %v", tc.sinceMessage, machine.UnansweredProbes, machine.CommandInFlight, tc.want)
--- a/internal/leader/reconcile/answer_test.go
+++ b/internal/leader/reconcile/answer_test.go
@@ -112,6 +112,14 @@
 	}
 }
 
+func TestRelayedHeartbeatAfterADirectOneIsNotRedirected(t *testing.T) {
+	f := newFixture(t)
+	f.recordHeartbeatPath(f.machine, false, time.Now())
+	if f.recordHeartbeatPath(f.machine, true, time.Now()) || !f.machine.RelayedOnly {
+		t.Errorf("redirected, or relayed only %v; want neither redirected nor reachable directly", f.machine.RelayedOnly)
+	}
+}
+
 func TestStaleHeartbeatIsProbedUnlessItCrossedAnAnswer(t *testing.T) {
 	cases := []struct {
 		name      string
--- a/internal/leader/reconcile/command_answers_test.go
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -111,3 +111,17 @@
 		t.Errorf("restarted %v, sequence %d, %d active tasks; want false, 15, 1", f.machine.Restarted, f.machine.Sequence, f.job.ActiveTasks)
 	}
 }
+
+func TestLaunchThatWasNotSentStaysSentIfItIsShown(t *testing.T) {
+	f := newFixture(t)
+	f.attempt.LaunchSent, f.attempt.Observed = true, true // by the answer to a heartbeat
+	f.OnCommandAnswer(agents.CommandAnswer{
+		Machine:  f.machine,
+		Commands: wire.Commands{Token: testToken, Epoch: 1},
+		Launched: []*cluster.Attempt{f.attempt},
+		Err:      &net.OpError{Op: "dial", Err: errors.New("refused")},
+	})
+	if !f.attempt.LaunchSent {
+		t.Error("an attempt that runs counts as never sent")
+	}
+}
--- a/internal/leader/reconcile/missing_attempts_test.go
+++ b/internal/leader/reconcile/missing_attempts_test.go
@@ -105,13 +105,13 @@
 			gang.Gang = &cluster.Gang{Number: testAttempt, StartedAt: time.Now(), Inherited: true, Ran: tc.ran}
 			attempt := f.addAttempt(gang, 0, f.machine)
 			f.addAttempt(gang, 1, f.addMachine("n-2"))
-			attempt.Inherited = true
+			attempt.Inherited, attempt.LaunchSent, attempt.LaunchEpoch = true, true, 1
 			f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, "")), true, time.Now())
 			if got := gang.ActiveTasks == 1; got != tc.wantLost {
 				t.Errorf("gang that ran %v: lost %v, want %v", tc.ran, got, tc.wantLost)
 			}
-			if attempt.Inherited != tc.wantLost {
-				t.Errorf("gang that ran %v: attempt inherited %v, want %v", tc.ran, attempt.Inherited, tc.wantLost)
+			if attempt.Inherited != tc.wantLost || attempt.LaunchSent != tc.wantLost {
+				t.Errorf("gang that ran %v: attempt inherited %v, launch sent %v; want both %v", tc.ran, attempt.Inherited, attempt.LaunchSent, tc.wantLost)
 			}
 		})
 	}
