--- a/internal/leader/liveness/counts.go
+++ b/internal/leader/liveness/counts.go
@@ -12,9 +12,9 @@
 // faults.
 const manyMachines = 3
 
-// maxSingleFaultShare bounds the machines that may be faulty each by itself to a quarter of
+// singleFaultDivisor bounds the machines that may be faulty each by itself to a quarter of
 // all, where that is more than manyMachines.
-const maxSingleFaultShare = 4
+const singleFaultDivisor = 4
 
 // machineCounts counts the machines that should send heartbeats, by how they can be
 // reached.
@@ -89,5 +89,5 @@
 // plausibleSingleFaults reports whether so many machines of all may be faulty each by
 // itself.
 func plausibleSingleFaults(faulty, total int) bool {
-	return faulty <= max(manyMachines, total/maxSingleFaultShare)
+	return faulty <= max(manyMachines, total/singleFaultDivisor)
 }
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// clockDriftFraction of a lease covers two clocks that are each off by 0.05 %, twice
+	// clockDriftDivisor of a lease covers two clocks that are each off by 0.05 %, twice
 	// over: a five-hundredth.
-	clockDriftFraction = 500
+	clockDriftDivisor = 500
 	// leaseRounding covers the rounding to a full second, and a margin.
 	leaseRounding = 1500 * time.Millisecond
 	// emptyAckLifetimes is for how many lifetimes of an acknowledgement those of a fresh
@@ -28,7 +28,7 @@
 		return
 	}
 	lease := mo.State.Settings.Workers.Lease.Duration()
-	expiredAfter := lease + lease/clockDriftFraction + leaseRounding
+	expiredAfter := lease + lease/clockDriftDivisor + leaseRounding
 	if now.Sub(mo.lastPossibleRenewal(machine)) < expiredAfter {
 		return
 	}
--- a/internal/leader/liveness/partitions.go
+++ b/internal/leader/liveness/partitions.go
@@ -29,14 +29,14 @@
 	}
 }
 
-// settlingLeaseFraction is which fraction of a lease the machines have, beyond the time
-// after which an unresponsive one is lost, to reach a new leader.
-const settlingLeaseFraction = 8
+// settlingLeaseDivisor: the machines have an eighth of a lease, beyond the time after which
+// an unresponsive one is lost, to reach a new leader.
+const settlingLeaseDivisor = 8
 
 // betterConnectedPeer returns a controller that most machines reach, if they don't reach
 // this one.
 func (mo *Monitor) betterConnectedPeer(counts *machineCounts, now time.Time) (wire.NodeID, bool) {
-	settlingTime := mo.limits().lostAfter() + mo.State.Settings.Workers.Lease.Duration()/settlingLeaseFraction
+	settlingTime := mo.limits().lostAfter() + mo.State.Settings.Workers.Lease.Duration()/settlingLeaseDivisor
 	settled := now.Sub(mo.State.TermStartedAt) > settlingTime
 	if !counts.unreachable() || !mo.Lease.Deciding() || !settled {
 		return "", false
--- a/internal/leader/reconcile/drain.go
+++ b/internal/leader/reconcile/drain.go
@@ -13,9 +13,9 @@
 	dispatcher *agents.Dispatcher
 }
 
-// maxSuspectShare bounds the suspected machines that may be drained at a time to a quarter
+// suspectDivisor bounds the suspected machines that may be drained at a time to a quarter
 // of all.
-const maxSuspectShare = 4
+const suspectDivisor = 4
 
 // drainSuspect drains a machine on the suspicion that it is faulty or slow, if it may.
 func (d *drainer) drainSuspect(machine *cluster.Machine, reason cluster.DrainReason) {
@@ -37,7 +37,7 @@
 			suspects++
 		}
 	}
-	return suspects < max(1, total/maxSuspectShare)
+	return suspects < max(1, total/suspectDivisor)
 }
 
 // drain takes a machine out of service. It is scaled in when it is empty.
