--- a/internal/leader/agents/package_doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package agents sends commands and probes to the agents on the machines.
-package agents
--- a/internal/leader/liveness/package_doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package liveness detects machines that fail and leases that have expired.
-package liveness
--- /dev/null
+++ b/internal/leader/reconcile/drain.go
@@ -0,0 +1,69 @@
+package reconcile
+
+import (
+	"lilaclead/internal/leader/agents"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
+)
+
+// drainer takes machines out of service.
+type drainer struct {
+	*core.Loop
+	state      *cluster.State
+	dispatcher *agents.Dispatcher
+}
+
+// suspectDivisor bounds the suspected machines that may be drained at a time to a quarter
+// of all.
+const suspectDivisor = 4
+
+// drainSuspect drains a machine on the suspicion that it is faulty or slow, if it may.
+func (d *drainer) drainSuspect(machine *cluster.Machine, reason cluster.DrainReason) {
+	if d.MayDrainSuspect() {
+		d.drain(machine, reason)
+	}
+}
+
+// MayDrainSuspect reports whether one more machine may be drained on the suspicion that it
+// is faulty or slow. A fault that shows on many machines is not theirs.
+func (d *drainer) MayDrainSuspect() bool {
+	suspects, total := 0, 0
+	for _, machine := range d.state.Machines {
+		if machine.Booting {
+			continue
+		}
+		total++
+		if machine.DrainReason == cluster.DrainFaulty || machine.DrainReason == cluster.DrainSlow {
+			suspects++
+		}
+	}
+	return suspects < max(1, total/suspectDivisor)
+}
+
+// drain takes a machine out of service. It is scaled in when it is empty.
+func (d *drainer) drain(machine *cluster.Machine, reason cluster.DrainReason) {
+	if machine.DrainReason != "" || machine.ScalingIn {
+		return
+	}
+	machine.DrainReason = reason
+	d.Log.Info("drain started", "machine", machine.ID, "reason", reason, "tasks", len(machine.Tasks))
+	d.Metrics.Fleet("drained", 1)
+	for _, attempt := range machine.Tasks {
+		neverSent := !attempt.LaunchSent && !attempt.Inherited
+		switch {
+		case attempt.Unstored:
+		case neverSent:
+			d.state.EndAttempt(attempt, cluster.TaskPending)
+		case stopsTask(reason, attempt.Job):
+			d.dispatcher.Stop(attempt, d.state.GracePeriodOf(attempt.Job), cluster.EvictionReason(reason))
+		}
+	}
+	d.state.RequestCycle()
+}
+
+// stopsTask reports whether a drain for a reason stops the tasks of a job rather than let
+// them end by themselves: all on a faulty machine, and on a slow one the replicas of
+// services, which would never end.
+func stopsTask(reason cluster.DrainReason, job *cluster.Job) bool {
+	return reason == cluster.DrainFaulty || reason == cluster.DrainSlow && job.Spec.Service()
+}
