--- /dev/null
+++ b/internal/leader/core/fencing.go
@@ -0,0 +1,31 @@
+package core
+
+import (
+	"sync/atomic"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// Fencing is the fencing token of a term, and whether a higher one is being taken.
+type Fencing struct {
+	// Token is the token under which the term acts. It is also the revision of the
+	// leader's key.
+	Token wire.FencingToken
+	// Raising means that the request for a higher token has not been answered.
+	Raising bool
+	// RaiseRequested means that a higher token should be taken at the next chance.
+	RaiseRequested bool
+	// RaiseNotBefore is the earliest time for a raise that was requested.
+	RaiseNotBefore time.Time
+}
+
+// Published is the part of a term that other goroutines read.
+type Published struct {
+	// DelegationToken is the token under which other controllers may renew leases as
+	// delegates of this leader, 0 if there is none yet.
+	DelegationToken atomic.Uint64
+	// UnconfirmedCancelSince is the time of the oldest cancellation of a job of which a
+	// launch may still be in flight. Nil or the zero time means that there is none.
+	UnconfirmedCancelSince atomic.Pointer[time.Time]
+}
--- a/internal/leader/core/loop.go
+++ b/internal/leader/core/loop.go
@@ -1,19 +1,24 @@
+// Package core holds what the parts of a leader's term share: the event loop, the lease
+// and the fencing token under which the term acts, and the metrics that it updates.
+//
+// One goroutine, the loop of the term, owns all of the term's state. Whatever waits for
+// the network runs in goroutines that Loop.Spawn starts and Loop.Wait waits for; they
+// touch none of that state and hand their results back as events with Loop.Post.
 package core
 
 import (
 	"context"
 	"log/slog"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"lilaclead/internal/leader/election"
-	"lilaclead/internal/wire"
 )
 
-// Loop is what the parts of a term share: the lease and the fencing token, how they
-// start I/O, how its results come back to the term's loop, and how the term ends. Its
-// fields are used by the loop's goroutine, but for those of Published.
+// Loop is the event loop of one term, with the lease and the fencing token that the
+// parts of the term act under. Its fields belong to the goroutine that runs the loop,
+// except for those of Published. The methods are safe for concurrent use, except for
+// Begin, Context, Spawn and Resign, which are for the loop's goroutine.
 type Loop struct {
 	Lease     *election.Lease
 	Fencing   Fencing
@@ -29,19 +34,19 @@
 	endOnce   sync.Once
 	endReason string
 
-	// ctx is that of the background work, from Begin on; it ends with the term.
+	// ctx is the context of the background work. Begin sets it; it ends with the term.
 	ctx        context.Context
 	background sync.WaitGroup
 }
 
-// Event is the result of I/O, or a request from another goroutine. Each kind is a type
-// of its own in the package that posts it; the term hands it to the part that it is for.
+// Event is the result of I/O or a request from another goroutine. Each kind is a type of
+// its own in the package that posts it; the term passes it to the part that handles it.
 type Event any
 
-// eventBacklog is how many events may wait for the loop before those who post wait.
+// eventBacklog is how many events are buffered before Post blocks.
 const eventBacklog = 32
 
-// NewLoop returns the loop of a term under a lease.
+// NewLoop returns the loop of a term that holds the lease.
 func NewLoop(lease *election.Lease, log *slog.Logger, metrics *Metrics) *Loop {
 	return &Loop{
 		Lease:   lease,
@@ -69,7 +74,8 @@
 // Wait waits until all background work has ended. The term's context must have ended.
 func (l *Loop) Wait() { l.background.Wait() }
 
-// Post hands an event to the term's loop, unless the term is over.
+// Post hands an event to the loop. It blocks while the backlog is full and drops the
+// event once the term is over.
 func (l *Loop) Post(e Event) {
 	select {
 	case l.Events <- e:
@@ -77,7 +83,7 @@
 	}
 }
 
-// End ends the term; only the first reason counts. It is safe for concurrent use.
+// End ends the term. Only the reason of the first call counts.
 func (l *Loop) End(reason string) {
 	l.endOnce.Do(func() {
 		l.endReason = reason
@@ -85,21 +91,21 @@
 	})
 }
 
-// EndReason returns why the term is over, once Done is closed.
+// EndReason returns why the term is over. It must not be called before Done is closed.
 func (l *Loop) EndReason() string { return l.endReason }
 
-// resignFor is how long this controller leaves the leadership to others after it
-// resigned.
-const resignFor = 15 * time.Second
+// resignationPause is how long this controller does not campaign after it resigned, so
+// that another one can become leader.
+const resignationPause = 15 * time.Second
 
 // Resign gives up the leadership and ends the term.
 func (l *Loop) Resign(reason string) {
 	l.Log.Info("leadership resigned", "reason", reason)
-	l.Lease.Resign(l.ctx, time.Now().Add(resignFor))
+	l.Lease.Resign(l.ctx, time.Now().Add(resignationPause))
 	l.End(reason)
 }
 
-// Pause waits for a duration; false if the context ended before.
+// Pause waits for the duration. It reports false if the context ended first.
 func Pause(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -108,21 +114,3 @@
 		return true
 	}
 }
-
-// Fencing is the state of the term's fencing token.
-type Fencing struct {
-	Token          wire.FencingToken // also the revision of the leader's key
-	Raising        bool              // a higher token is being taken
-	RaiseRequested bool
-	RaiseNotBefore time.Time
-}
-
-// Published is what other goroutines read of a term.
-type Published struct {
-	// DelegationToken is the token under which other controllers may renew leases as
-	// delegates; 0: none yet.
-	DelegationToken atomic.Uint64
-	// UnconfirmedCancelSince is since when there are cancellations of which a launch may
-	// still be on its way unseen; nil or zero: none.
-	UnconfirmedCancelSince atomic.Pointer[time.Time]
-}
--- a/internal/leader/core/metrics.go
+++ b/internal/leader/core/metrics.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Metrics is told what happens; nil functions are not allowed.
+// Metrics are the functions by which a leader reports what happens. None may be nil.
 type Metrics struct {
-	SchedulingCycle func(took time.Duration, starts, halts int)
+	SchedulingCycle func(duration time.Duration, starts, preemptions int)
 	BecameLeader    func()
-	Heartbeat       func(status string)
-	StartDelay      func(lane string, seconds float64)
+	Heartbeat       func(outcome string)
+	StartDelay      func(class string, seconds float64)
 	Command         func(outcome string)
-	TaskMoved       func(why string)
-	Fleet           func(what string, n int)
-	// Machines is told the number of machines in each state.
-	Machines func(map[string]int)
+	TaskMoved       func(reason string)
+	Fleet           func(change string, machines int)
+	// Machines sets the number of machines in each state.
+	Machines func(byState map[string]int)
 }
