--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -6,21 +6,29 @@
 	"lilaclead/internal/wire"
 )
 
-// DelegationToken is the token with which this node surely leads, 0 if it does not.
+// DelegationToken returns the token under which this node certainly leads and under which
+// others may renew leases as its delegates, 0 if there is none.
 func (l *Leader) DelegationToken() wire.FencingToken {
 	if t := l.term.Load(); t != nil && t.Lease.Deciding() {
-		return wire.FencingToken(t.Published.DelegationToken.Load())
+		return t.delegationToken()
 	}
 	return 0
 }
 
-// leaseRenewed notes a renewal of the leadership that was asked for at sent: for a
-// while after it this node may be its own delegate, once it leads no more.
-func (t *term) leaseRenewed(sent time.Time) {
-	if token := wire.FencingToken(t.Published.DelegationToken.Load()); token > 0 {
-		if at := t.records.unconfirmedCancel(); !at.IsZero() && at.Before(sent) {
-			sent = at
-		}
-		t.leader.delegate.GrantSelf(token, sent)
+func (t *term) delegationToken() wire.FencingToken {
+	return wire.FencingToken(t.Published.DelegationToken.Load())
+}
+
+// onLeaseRenewed lets this node be its own delegate for a while after it has lost the
+// leadership. The while counts from when the renewal was requested or, if that is earlier,
+// from the oldest cancellation of a job of which a launch may still be in flight.
+func (t *term) onLeaseRenewed(requestedAt time.Time) {
+	token := t.delegationToken()
+	if token == 0 {
+		return
+	}
+	if at := t.records.unconfirmedCancel(); !at.IsZero() && at.Before(requestedAt) {
+		requestedAt = at
 	}
+	t.leader.delegate.GrantSelf(token, requestedAt)
 }
--- /dev/null
+++ b/internal/leader/heartbeats.go
@@ -0,0 +1,239 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/julienschmidt/httprouter"
+
+	"lilaclead/internal/leader/reconcile"
+	"lilaclead/internal/peer"
+	"lilaclead/internal/undecodable"
+	"lilaclead/internal/wire"
+)
+
+// heartbeatTimeout bounds how long a heartbeat waits for the term's loop.
+const heartbeatTimeout = 3 * time.Second
+
+// leaderContactLifetime is how long this node believes that a peer leads after it last
+// heard from it.
+const leaderContactLifetime = 2 * peer.AckLifetime
+
+// errNoMachine means that a heartbeat does not name the machine that it is from.
+var errNoMachine = errors.New("heartbeat without a machine")
+
+// heartbeatOutcome is the way in which a heartbeat is answered.
+type heartbeatOutcome int
+
+const (
+	answeredHere   heartbeatOutcome = iota // by the term of this node
+	relayed                                // by the leader, through this node
+	delegated                              // by this node as the delegate of a lost leader
+	redirected                             // the agent is sent to the leader
+	redirectedHere                         // the agent should contact this leader directly
+	rejected                               // by the term, which must not renew the lease
+	unavailable                            // nobody could answer
+)
+
+// heartbeatOutcomeLabels are the outcomes' label values of the heartbeat metric. The other
+// outcomes are not counted by themselves.
+var heartbeatOutcomeLabels = map[heartbeatOutcome]string{
+	answeredHere:   "ok",
+	relayed:        "relayed",
+	delegated:      "by a delegate",
+	redirectedHere: "sent here",
+	rejected:       "refused",
+}
+
+// outcomeNotLeading is the label value for heartbeats that reach a node that does not
+// lead. It is counted beside the outcome.
+const outcomeNotLeading = "elsewhere"
+
+// heartbeatAnswer is the answer to a heartbeat.
+type heartbeatAnswer struct {
+	outcome  heartbeatOutcome
+	commands *wire.Commands // if answered here, relayed or delegated
+	leader   wire.NodeID    // if redirected
+	reason   string         // if rejected or unavailable
+}
+
+// ServeHeartbeat handles a heartbeat that an agent sends to this node.
+func (l *Leader) ServeHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	if err != nil {
+		w.Header().Set("Connection", "close")
+		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
+		return
+	}
+	heartbeat, err := decodeHeartbeat(raw)
+	if err != nil {
+		l.refuseUndecodable(w, "a report from "+undecodable.Sender(r), err)
+		return
+	}
+	l.contacts.record(heartbeat.Machine)
+	if t := l.answeringTerm(); t != nil {
+		l.answerFromTerm(r.Context(), w, t, heartbeat, false)
+		return
+	}
+	l.Metrics.Heartbeat(outcomeNotLeading)
+	l.writeAnswer(w, l.answerAsFollower(r.Context(), heartbeat))
+}
+
+// ServeRelayedHeartbeat handles a heartbeat that another node relays to the leader.
+func (l *Leader) ServeRelayedHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	heartbeat, err := readHeartbeat(r)
+	if err != nil {
+		l.refuseUndecodable(w, "a relayed report from "+undecodable.Sender(r), err)
+		return
+	}
+	t := l.answeringTerm()
+	if t == nil {
+		l.writeAnswer(w, heartbeatAnswer{outcome: unavailable, reason: "does not lead"})
+		return
+	}
+	l.answerFromTerm(r.Context(), w, t, heartbeat, true)
+}
+
+// ServeRelayedProbe handles a probe that the leader sends to an agent through this node.
+func (l *Leader) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
+	l.agents.ServeRelayedProbe(w, r, params)
+}
+
+// readHeartbeat reads the heartbeat in the body of a request.
+func readHeartbeat(r *http.Request) (*wire.Heartbeat, error) {
+	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	if err != nil {
+		return nil, err
+	}
+	return decodeHeartbeat(raw)
+}
+
+// decodeHeartbeat decodes a heartbeat. One that names no machine is an error.
+func decodeHeartbeat(raw []byte) (*wire.Heartbeat, error) {
+	var heartbeat wire.Heartbeat
+	if err := wire.Decode(raw, &heartbeat); err != nil {
+		return nil, err
+	}
+	if heartbeat.Machine == "" {
+		return nil, errNoMachine
+	}
+	return &heartbeat, nil
+}
+
+// refuseUndecodable answers a request that holds no heartbeat, and logs its source.
+func (l *Leader) refuseUndecodable(w http.ResponseWriter, source string, err error) {
+	l.Undecodable.Note(source, err)
+	wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
+}
+
+// answerFromTerm answers a heartbeat by the term's loop.
+func (l *Leader) answerFromTerm(ctx context.Context, w http.ResponseWriter, t *term, heartbeat *wire.Heartbeat, relayed bool) {
+	l.writeAnswer(w, t.answerHeartbeat(ctx, heartbeat, relayed))
+}
+
+// answerHeartbeat passes a heartbeat to the loop and waits for its answer.
+func (t *term) answerHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayed bool) heartbeatAnswer {
+	call := reconcile.Call{Heartbeat: *heartbeat, Relayed: relayed, Reply: make(chan reconcile.Reply, 1)}
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	defer cancel()
+	select {
+	case t.heartbeatCalls <- call:
+	case <-t.Done:
+	case <-ctx.Done():
+	}
+	select {
+	case reply := <-call.Reply:
+		return answerOfReply(reply)
+	case <-t.Done:
+		return heartbeatAnswer{outcome: unavailable, reason: "no longer leads"}
+	case <-ctx.Done():
+		return heartbeatAnswer{outcome: unavailable, reason: "busy"}
+	}
+}
+
+func answerOfReply(reply reconcile.Reply) heartbeatAnswer {
+	switch {
+	case reply.Redirect:
+		return heartbeatAnswer{outcome: redirectedHere}
+	case reply.Commands == nil:
+		return heartbeatAnswer{outcome: rejected, reason: reply.Rejected.Error()}
+	default:
+		return heartbeatAnswer{outcome: answeredHere, commands: reply.Commands}
+	}
+}
+
+// answerAsFollower answers a heartbeat while another node leads, or none.
+func (l *Leader) answerAsFollower(ctx context.Context, heartbeat *wire.Heartbeat) heartbeatAnswer {
+	now := time.Now()
+	leader := l.currentLeader(now)
+	if leader == "" {
+		return l.answerWithoutLeader(heartbeat)
+	}
+	if !l.delegate.Lately() && l.Mesh.View().Peers[leader].Connected(now) {
+		if commands := l.relayHeartbeat(ctx, leader, heartbeat); commands != nil {
+			return heartbeatAnswer{outcome: relayed, commands: commands}
+		}
+	}
+	if l.delegate.Returned(heartbeat.Machine, now) {
+		if commands := l.delegate.Answer(heartbeat); commands != nil {
+			return heartbeatAnswer{outcome: delegated, commands: commands}
+		}
+	}
+	return heartbeatAnswer{outcome: redirected, leader: leader}
+}
+
+// answerWithoutLeader answers a heartbeat while no leader is known: it renews the lease
+// for the leader that was lost, if this node may.
+func (l *Leader) answerWithoutLeader(heartbeat *wire.Heartbeat) heartbeatAnswer {
+	if commands := l.delegate.Answer(heartbeat); commands != nil {
+		return heartbeatAnswer{outcome: delegated, commands: commands}
+	}
+	return heartbeatAnswer{outcome: unavailable, reason: "no leader known"}
+}
+
+// currentLeader returns the node that leads according to a recent peer heartbeat or, while
+// the links between the nodes are down, to the key-value store. It returns "" if neither
+// is recent: what this node knew before it was cut off from both does not help, since
+// agents would be sent back and forth between it and a node that no longer leads.
+func (l *Leader) currentLeader(now time.Time) wire.NodeID {
+	view := l.Mesh.View()
+	if view.Leader != "" && now.Sub(view.Peers[view.Leader].LastContact) < leaderContactLifetime {
+		return view.Leader
+	}
+	return l.candidate.Holder(now, peer.AckLifetime)
+}
+
+// relayHeartbeat passes a heartbeat on to the leader, which answers it if the agent seems
+// unable to reach the leader itself. An agent that is cut off from the leader alone would
+// otherwise be redirected back and forth until its lease ends. It returns nil if the
+// leader gave no answer.
+func (l *Leader) relayHeartbeat(ctx context.Context, leader wire.NodeID, heartbeat *wire.Heartbeat) *wire.Commands {
+	status, raw, err := l.Mesh.Relay(ctx, leader, "/peer/hello", heartbeat)
+	if err != nil || status != http.StatusOK {
+		return nil
+	}
+	var commands wire.Commands
+	if wire.Decode(raw, &commands) != nil {
+		return nil
+	}
+	return &commands
+}
+
+// writeAnswer counts an answer and writes it as the response.
+func (l *Leader) writeAnswer(w http.ResponseWriter, answer heartbeatAnswer) {
+	if label, counted := heartbeatOutcomeLabels[answer.outcome]; counted {
+		l.Metrics.Heartbeat(label)
+	}
+	switch answer.outcome {
+	case answeredHere, relayed, delegated:
+		wire.Answer(w, http.StatusOK, answer.commands)
+	case redirected:
+		wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: answer.leader})
+	case redirectedHere:
+		wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
+	case rejected, unavailable:
+		wire.RefuseRetryable(w, http.StatusServiceUnavailable, answer.reason, 1)
+	}
+}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,29 +1,37 @@
-// Package leader is the part of the service that one node at a time runs. While a
-// node leads, one term's loop owns the state of jobs and machines; it alone starts
-// I/O, whose results come back to it through a channel. Around the loop (term.go):
+// Package leader runs the cluster while this controller is the leader. A Leader campaigns
+// for the leadership; for each term that it wins, one goroutine, the term's loop, owns
+// the model of jobs and machines. All I/O runs in other goroutines, whose results come
+// back to the loop as events.
 //
-//   - package election says who leads and until when, package delegation who may
-//     renew leases for a leader that was lost;
-//   - recovery.go, progress.go and cancellations.go read and follow the jobs'
-//     records; job.go, chunk.go and attempt.go model them, with the proofs that an
-//     attempt has ended;
-//   - writer.go decides what is stored next, write.go executes it;
-//   - reports.go and commands.go talk to workers; machines.go, liveness.go,
-//     reachability.go, partitions.go and leases.go judge what they are and whether
-//     their leases have run out;
-//   - round.go and gang.go place tasks; demand.go and package rentals rent and
-//     return machines.
+// Data moves through a term in one direction:
+//
+//	heartbeat -> reconciliation -> model -> scheduling cycle -> writer -> commands
+//
+// Each step is a package:
+//
+//   - reconcile compares heartbeats and command answers with the model, and decides which
+//     attempts run, have ended or are lost;
+//   - cluster is the model: jobs, chunks, attempts, gangs and machines;
+//   - scheduling assigns pending tasks to machines and selects what is preempted for
+//     them, by the rules in demand;
+//   - progress writes what the model changed to the key-value store, in transactions that
+//     the fencing token guards;
+//   - agents sends commands to the agents once what they depend on is stored.
+//
+// Other packages act beside that path. Package election holds the leadership and says
+// until when it may be used; delegation lets followers renew agents' leases for a leader
+// that was lost. Package liveness detects failed machines and expired leases, with the
+// rules in detector; autoscaler scales out and in, with the account in scaling. Package
+// core is what all of them share: the event loop, the lease and the fencing token.
+//
+// What is left to this package is the campaign, the loop and its events, recovery of the
+// records at the start of a term, the machine inventory, version switches, the operators'
+// view and the HTTP handlers.
 package leader
 
 import (
-	"context"
 	"log/slog"
-	"net/http"
-	"sync"
 	"sync/atomic"
-	"time"
-
-	"github.com/julienschmidt/httprouter"
 
 	"lilaclead/duty"
 	"lilaclead/internal/cancels"
@@ -34,41 +42,41 @@
 	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/delegation"
 	"lilaclead/internal/leader/election"
-	"lilaclead/internal/leader/reconcile"
 	"lilaclead/internal/netio"
 	"lilaclead/internal/peer"
 	"lilaclead/internal/store"
 	"lilaclead/internal/tuning"
 	"lilaclead/internal/undecodable"
-	"lilaclead/internal/wire"
 	"lilaclead/upgrade"
 )
 
-// Dependencies is what the leader works with.
+// Dependencies are the parts of the node that its leader uses, and its options.
 type Dependencies struct {
 	Config  *config.Config
+	Tuning  *tuning.Current
+	Log     *slog.Logger
+	Metrics core.Metrics
+
 	Net     netio.Net
 	Store   *store.Client
 	Cloud   *cloud.Client
 	Mesh    *peer.Mesh
 	Cancels *cancels.Log
-	Tuning  *tuning.Current
 	Catalog *cluster.MachineCatalog
-	Log     *slog.Logger
-	Metrics core.Metrics
-	// Undecodable is told of records and reports that can't be decoded.
+	// Undecodable logs records and heartbeats that can't be decoded.
 	Undecodable *undecodable.Log
-	// Observe is told of what is decided under the leadership's lease; nil: nobody.
+	// Observe is called with what is decided under the leader's lease. It may be nil.
 	Observe duty.Observer
-	// RecordIntents has what is asked of the cloud recorded before it is sent.
-	RecordIntents bool
-	// Versions is this process among those that negotiate the active version; nil: the
-	// part is off.
+	// Versions negotiates the active version for this process. Nil turns negotiation off.
 	Versions *upgrade.Member
-	// Sockets is how many connections may go to workers at a time, Workers how
-	// many of them one node can hold, and Needed the limit that more need.
-	Sockets     int
-	Workers     int
+
+	// RecordIntents records each request to the cloud before it is sent.
+	RecordIntents bool
+	// Sockets limits the concurrent connections to agents.
+	Sockets int
+	// Workers is the number of agents that one controller has sockets for.
+	Workers int
+	// RequiredFDs returns the limit on file descriptors that so many agents need.
 	RequiredFDs func(workers int) int
 }
 
@@ -76,33 +84,33 @@
 type Leader struct {
 	Dependencies
 	candidate *election.Candidate
-	term      atomic.Pointer[term]
-	// agentContacts names each worker that reports to this node, whoever leads.
-	agentContacts   chan wire.MachineID
-	agentsInContact atomic.Int64
-	agents          *agents.Client
-	// delegationBounds bounds for how long leases may be renewed on a leader's behalf;
-	// delegate is this node in that part.
+	// term is the current term, nil while another node leads.
+	term     atomic.Pointer[term]
+	contacts *agentContacts
+	agents   *agents.Client
+	// delegationBounds limit for how long leases are renewed for a leader that was lost.
 	delegationBounds delegation.Bounds
-	delegate         *delegation.Delegate
+	// delegate is this node as the delegate of a leader that was lost.
+	delegate *delegation.Delegate
 }
 
-// New makes the leader's part of a node.
+// New returns the leader of a node. It does nothing before Run.
 func New(d Dependencies) *Leader {
-	l := &Leader{
+	bounds := delegation.BoundsOf(d.Config.Settings.Workers)
+	return &Leader{
 		Dependencies:     d,
 		candidate:        newCandidate(d),
-		agentContacts:    make(chan wire.MachineID, 64),
-		delegationBounds: delegation.BoundsOf(d.Config.Settings.Workers),
+		contacts:         newAgentContacts(),
 		agents:           agents.NewClient(d.Net, d.Mesh, d.Sockets),
+		delegationBounds: bounds,
+		delegate:         newDelegate(d, bounds),
 	}
-	l.delegate = newDelegate(d, l.delegationBounds)
-	return l
 }
 
 func newCandidate(d Dependencies) *election.Candidate {
 	o := election.Options(d.Config, d.Store, d.Log, d.Mesh.ObserveToken)
-	o.Observe, o.Undecodable = d.Observe, d.Undecodable.Note
+	o.Observe = d.Observe
+	o.Undecodable = d.Undecodable.Note
 	if d.Versions != nil {
 		o.Eligible = func() bool { return d.Versions.MayServe() == nil }
 	}
@@ -110,198 +118,14 @@
 }
 
 func newDelegate(d Dependencies, bounds delegation.Bounds) *delegation.Delegate {
-	s := &d.Config.Settings
+	settings := &d.Config.Settings
 	return delegation.New(delegation.Config{
-		Bounds: bounds, Mesh: d.Mesh, Cancels: d.Cancels, Nodes: s.Size, Workers: d.Workers,
-		ReportEvery: s.Workers.HeartbeatInterval.Duration(), MaxCommands: agents.MaxCommands,
+		Bounds:      bounds,
+		Mesh:        d.Mesh,
+		Cancels:     d.Cancels,
+		Nodes:       settings.Size,
+		Workers:     d.Workers,
+		ReportEvery: settings.Workers.HeartbeatInterval.Duration(),
+		MaxCommands: agents.MaxCommands,
 	})
 }
-
-// Leads tells whether this node holds the leadership now.
-func (l *Leader) Leads() bool { t := l.term.Load(); return t != nil && t.Lease.Answering() }
-
-// WorkersInContact is how many workers turned to this node lately.
-func (l *Leader) WorkersInContact() int { return int(l.agentsInContact.Load()) }
-
-// Run campaigns and serves until the context ends.
-func (l *Leader) Run(ctx context.Context) {
-	var counting sync.WaitGroup
-	counting.Go(func() { l.countAgents(ctx) })
-	defer counting.Wait()
-	for ctx.Err() == nil {
-		if lease := l.candidate.Campaign(ctx); lease != nil {
-			l.lead(ctx, lease)
-		}
-	}
-}
-
-// lead serves one term of leadership until it is over.
-func (l *Leader) lead(ctx context.Context, lease *election.Lease) {
-	l.Mesh.ObserveToken(ctx, lease.Token())
-	t := newTerm(l, lease)
-	l.term.Store(t)
-	l.Metrics.BecameLeader()
-	l.Log.Info("became leader", "token", lease.Token())
-	reason := t.run(ctx)
-	l.term.Store(nil)
-	l.Log.Info("lost leadership", "token", lease.Token(), "reason", reason)
-	t.Wait()
-}
-
-// countAgents counts the workers that turn to this node.
-func (l *Leader) countAgents(ctx context.Context) {
-	seen := map[wire.MachineID]time.Time{}
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case id := <-l.agentContacts:
-			seen[id] = time.Now()
-		case now := <-tick.C:
-			for id, at := range seen {
-				if now.Sub(at) > 6*time.Second {
-					delete(seen, id)
-				}
-			}
-			l.agentsInContact.Store(int64(len(seen)))
-		}
-	}
-}
-
-// ServeHeartbeat handles a worker's report.
-func (l *Leader) ServeHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	if err != nil {
-		w.Header().Set("Connection", "close")
-		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
-		return
-	}
-	var rep wire.Heartbeat
-	if err := wire.Decode(raw, &rep); err != nil || rep.Machine == "" {
-		l.Undecodable.Note("a report from "+undecodable.Sender(r), err)
-		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
-		return
-	}
-	select {
-	case l.agentContacts <- rep.Machine:
-	default:
-	}
-	t := l.term.Load()
-	if t == nil || !t.Lease.Answering() {
-		l.Metrics.Heartbeat("elsewhere")
-		if lead := l.currentLeader(time.Now()); lead != "" {
-			now := time.Now()
-			if !l.delegate.Lately() && l.Mesh.View().Peers[lead].Connected(now) && l.relayHeartbeat(r.Context(), w, lead, &rep) {
-				return
-			}
-			if l.delegate.Returned(rep.Machine, now) && l.answerAsDelegate(w, &rep) {
-				return
-			}
-			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: lead})
-			return
-		}
-		if l.answerAsDelegate(w, &rep) {
-			return
-		}
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no leader known", 1)
-		return
-	}
-	l.answerFromTerm(r.Context(), w, t, rep, false)
-}
-
-// answerAsDelegate renews a worker's lease for a lost leader, if it may.
-func (l *Leader) answerAsDelegate(w http.ResponseWriter, rep *wire.Heartbeat) bool {
-	o := l.delegate.Answer(rep)
-	if o == nil {
-		return false
-	}
-	l.Metrics.Heartbeat("by a delegate")
-	wire.Answer(w, http.StatusOK, o)
-	return true
-}
-
-// currentLeader is the node that leads as far as this node knows of late: by a beat,
-// or, when the links between the nodes are down, by the state service. What
-// it knew before it was cut off from both is no help: workers would be sent
-// to and fro between it and a node that leads no more.
-func (l *Leader) currentLeader(now time.Time) wire.NodeID {
-	v := l.Mesh.View()
-	if v.Leader != "" && now.Sub(v.Peers[v.Leader].LastContact) < 2*peer.AckLifetime {
-		return v.Leader
-	}
-	return l.candidate.Holder(now, peer.AckLifetime)
-}
-
-// answerFromTerm has the term's loop answer a report.
-func (l *Leader) answerFromTerm(ctx context.Context, w http.ResponseWriter, t *term, rep wire.Heartbeat, relayed bool) {
-	ask := reconcile.Call{Heartbeat: rep, Relayed: relayed, Reply: make(chan reconcile.Reply, 1)}
-	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
-	defer cancel()
-	select {
-	case t.heartbeatCalls <- ask:
-	case <-t.Done:
-	case <-ctx.Done():
-	}
-	select {
-	case a := <-ask.Reply:
-		switch {
-		case a.Redirect:
-			l.Metrics.Heartbeat("sent here")
-			wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
-		case a.Commands == nil:
-			l.Metrics.Heartbeat("refused")
-			wire.RefuseRetryable(w, http.StatusServiceUnavailable, a.Rejected.Error(), 1)
-		default:
-			l.Metrics.Heartbeat("ok")
-			wire.Answer(w, http.StatusOK, a.Commands)
-		}
-	case <-t.Done:
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "no longer leads", 1)
-	case <-ctx.Done():
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "busy", 1)
-	}
-}
-
-// relayHeartbeat passes a report on to the leader, which answers it if the worker
-// seems unable to reach the leader itself. A worker that is cut off from the
-// leader only would otherwise go to and fro until its lease ends.
-func (l *Leader) relayHeartbeat(ctx context.Context, w http.ResponseWriter, to wire.NodeID, rep *wire.Heartbeat) bool {
-	status, raw, err := l.Mesh.Relay(ctx, to, "/peer/hello", rep)
-	if err != nil || status != http.StatusOK {
-		return false
-	}
-	var o wire.Commands
-	if wire.Decode(raw, &o) != nil {
-		return false
-	}
-	l.Metrics.Heartbeat("relayed")
-	wire.Answer(w, http.StatusOK, o)
-	return true
-}
-
-// ServeRelayedHeartbeat handles a report that another node passes on.
-func (l *Leader) ServeRelayedHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	var rep wire.Heartbeat
-	if err == nil {
-		err = wire.Decode(raw, &rep)
-	}
-	if err != nil || rep.Machine == "" {
-		l.Undecodable.Note("a relayed report from "+undecodable.Sender(r), err)
-		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
-		return
-	}
-	t := l.term.Load()
-	if t == nil || !t.Lease.Answering() {
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "does not lead", 1)
-		return
-	}
-	l.answerFromTerm(r.Context(), w, t, rep, true)
-}
-
-// ServeRelayedProbe handles a leader's question to an agent that the leader can't reach.
-func (l *Leader) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
-	l.agents.ServeRelayedProbe(w, r, params)
-}
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -138,7 +138,7 @@
 					b.Fatal("report")
 				}
 				w := httptest.NewRecorder()
-				tm.leader.answerFromTerm(r.Context(), w, tm, got, false)
+				tm.leader.answerFromTerm(r.Context(), w, tm, &got, false)
 				if w.Code != 200 {
 					b.Fatal(w.Code, w.Body)
 				}
@@ -267,7 +267,7 @@
 	}
 	for _, rep := range reports {
 		w := httptest.NewRecorder()
-		tm.leader.answerFromTerm(context.Background(), w, tm, rep, false)
+		tm.leader.answerFromTerm(context.Background(), w, tm, &rep, false)
 		if w.Code == 200 {
 			answered++
 		}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -176,7 +176,7 @@
 
 // keepLease renews the leadership and ends the term when it is lost.
 func (t *term) keepLease(ctx context.Context) {
-	if err := t.Lease.Keep(ctx, t.leaseRenewed); err != nil {
+	if err := t.Lease.Keep(ctx, t.onLeaseRenewed); err != nil {
 		t.End(err.Error())
 	}
 }
