--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -4,19 +4,39 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
 )
 
-// runCycle places the tasks that wait and preempts others for them.
+// runDueWork does what has become due after an event: it stops the rest of broken gangs,
+// runs a scheduling cycle and writes what has changed.
+func (t *term) runDueWork(now time.Time) {
+	if !t.state.Recovered || !t.Lease.Deciding() {
+		return
+	}
+	t.dispatcher.StopBrokenGangs()
+	if t.state.SchedulingEnabled && t.state.Cycle.Due(now, t.maxCycleInterval()) {
+		t.runCycle(now)
+	}
+	t.committer.Flush(now)
+}
+
+// maxCycleInterval returns the time after which a cycle runs without a request.
+func (t *term) maxCycleInterval() time.Duration {
+	return wire.Seconds(t.leader.Tuning.Get().RoundS).Duration()
+}
+
+// runCycle runs a scheduling cycle: it assigns pending tasks to machines and preempts
+// others for them.
 func (t *term) runCycle(now time.Time) {
 	cycle := t.scheduler.BeginCycle(now)
 	if cycle == nil {
 		return
 	}
 	for _, victim := range cycle.Preemptions {
-		// Stopping one task of a gang stops them all: look each up when it is its turn.
-		if a := t.state.ActiveAttempt(victim.Task); a != nil {
-			t.dispatcher.Stop(a, t.state.GracePeriodOf(a.Job), cluster.EvictedPreempted)
-			t.scheduler.ExtendReservations(a, now)
+		// Stopping one task of a gang stops all of it, so the attempt is looked up only now.
+		if attempt := t.state.ActiveAttempt(victim.Task); attempt != nil {
+			t.dispatcher.Stop(attempt, t.state.GracePeriodOf(attempt.Job), cluster.EvictedPreempted)
+			t.scheduler.ExtendReservations(attempt, now)
 		}
 	}
 	t.scheduler.FinishCycle(cycle)
