--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -3,11 +3,12 @@
 import (
 	"time"
 
-	"lilaclead/internal/wire"
+	"lilaclead/internal/leader/cluster"
 )
 
-// UnconfirmedCancelSince is since when there are cancellations of which a launch may still be
-// on its way unseen: nobody can halt that by what a report shows. Zero: none.
+// UnconfirmedCancelSince returns the time of the oldest cancellation of a job of which a
+// launch may still be in flight: nobody can stop that by what a heartbeat shows. It
+// returns the zero time if there is none.
 func (l *Leader) UnconfirmedCancelSince() time.Time {
 	if t := l.term.Load(); t != nil {
 		return t.records.unconfirmedCancel()
@@ -22,42 +23,59 @@
 	return time.Time{}
 }
 
-// applyCancellations takes in cancellations that were heard of by whatever way. The
-// record itself is read when the state service is there.
+// applyCancellations cancels the jobs that the log of cancellations names, however this
+// node learned of them. Their records are read when the key-value store is available.
 func (rd *records) applyCancellations() {
-	var ids []wire.JobID
-	ids, rd.cancellationCursor = rd.cancels.Since(rd.cancellationCursor)
+	ids, cursor := rd.cancels.Since(rd.cancellationCursor)
+	rd.cancellationCursor = cursor
 	for _, id := range ids {
 		j := rd.state.Jobs[id]
 		if j == nil || j.Cancelled {
 			continue
 		}
-		j.Cancelled, j.RecordOutdated = true, true
-		j.CancelledAt, _ = rd.cancels.ConfirmedAt(id)
-		rd.Log.Info("hears of a cancellation", "job", id, "deciding", rd.Lease.Deciding())
-		if rd.state.Recovered {
-			rd.dispatcher.StopCancelledJob(j)
-		}
+		confirmedAt, _ := rd.cancels.ConfirmedAt(id)
+		rd.Log.Info("cancellation received", "job", id, "deciding", rd.Lease.Deciding())
+		j.RecordOutdated = true
+		rd.cancelJob(j, confirmedAt)
+	}
+	rd.publishUnconfirmedCancel()
+}
+
+// cancelJob marks a job as cancelled and, once all records are known, stops it.
+func (rd *records) cancelJob(j *cluster.Job, at time.Time) {
+	j.Cancelled = true
+	j.CancelledAt = at
+	if rd.state.Recovered {
+		rd.dispatcher.StopCancelledJob(j)
 	}
-	rd.findUnconfirmedCancels()
 }
 
-// findUnconfirmedCancels finds the cancelled jobs of which a launch may be on its way.
-func (rd *records) findUnconfirmedCancels() {
-	var first time.Time
+// publishUnconfirmedCancel publishes the time of the oldest cancellation of a job of which
+// a launch may be in flight, and forgets the cancelled jobs that have ended.
+func (rd *records) publishUnconfirmedCancel() {
+	var oldest time.Time
 	for j := range rd.state.CancelledJobs {
 		if j.ActiveTasks == 0 {
 			delete(rd.state.CancelledJobs, j)
 			continue
 		}
-		if first.IsZero() || j.CancelledAt.Before(first) {
-			for _, a := range j.Attempts() {
-				if !a.Unstored && (!a.Observed || a.LaunchUnanswered || a.LaunchInFlight) {
-					first = j.CancelledAt
-					break
-				}
-			}
+		older := oldest.IsZero() || j.CancelledAt.Before(oldest)
+		if older && anyLaunchMayBeInFlight(j) {
+			oldest = j.CancelledAt
+		}
+	}
+	rd.Published.UnconfirmedCancelSince.Store(&oldest)
+}
+
+// anyLaunchMayBeInFlight reports whether an agent may still receive a launch of the job.
+// What is not stored was never sent; what an agent has shown, and whose launch was
+// answered, has arrived.
+func anyLaunchMayBeInFlight(j *cluster.Job) bool {
+	for _, a := range j.Attempts() {
+		arrived := a.Observed && !a.LaunchUnanswered && !a.LaunchInFlight
+		if !a.Unstored && !arrived {
+			return true
 		}
 	}
-	rd.Published.UnconfirmedCancelSince.Store(&first)
+	return false
 }
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -8,45 +8,19 @@
 	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/progress"
-	"lilaclead/internal/wire"
-	"lilaclead/upgrade"
 )
 
-// machineListReceived is an answer of the cloud with its machine list.
-type machineListReceived struct {
-	machines    []wire.ListedMachine
-	requestedAt time.Time
-}
-
-// machineSpecsReceived says that the catalog of machine types is fresh.
-type machineSpecsReceived struct{}
-
-// versionChecked is the version of the behaviour that is active; 0: not known.
-type versionChecked struct{ version upgrade.Version }
-
-// viewRequested asks for the operators' view.
-type viewRequested struct{ reply chan<- *View }
-
-// handle hands an event to the part of the term that it is for.
+// handle passes an event to the part of the term that handles it.
 func (t *term) handle(event core.Event) {
 	switch e := event.(type) {
 	case machineListReceived:
-		now := time.Now()
-		t.state.MachineListRequestedAt = e.requestedAt
-		t.inventory.onMachineList(e.machines, now)
-		if !t.state.SchedulingEnabled {
-			t.checkLeadership(now)
-		}
+		t.onMachineList(e)
 	case machineSpecsReceived:
 		t.state.RequestCycle()
 	case recordsRead:
-		t.records.loadRecords(e.jobs, e.progress)
-		t.state.ActiveVersion = e.version
-		t.scaler.AdoptIntents(e.intents)
-		t.leader.Cancels.RecordRead(e.startedAt)
+		t.onRecordsRead(e)
 	case jobRecordsChanged:
-		t.records.applyChanges(e.changes)
-		t.leader.Cancels.RecordRead(e.startedAt)
+		t.onJobRecordsChanged(e)
 	case progress.JobRecordReread:
 		t.records.onReread(e)
 	case progress.RereadDue:
@@ -54,12 +28,11 @@
 	case resignationDue:
 		t.Resign(e.reason)
 	case versionChecked:
-		t.takeVersion(e.version)
+		t.adoptVersion(e.version)
 	case agents.CommandAnswer:
 		t.reconciler.OnCommandAnswer(e)
 	case agents.ProbeAnswer:
-		t.reconciler.OnCommandAnswer(e.CommandAnswer)
-		e.Machine.RelayUnanswered = e.Err != nil && e.Relayed
+		t.onProbeAnswer(e)
 	case autoscaler.ScaleOutsRecorded:
 		t.scaler.OnScaleOutsRecorded(e.Fresh, e.Err)
 	case autoscaler.ScaleOutAnswered:
@@ -78,3 +51,32 @@
 		t.Log.Error("unknown event", "type", fmt.Sprintf("%T", event))
 	}
 }
+
+// onMachineList updates the machines, and checks at once whether scheduling can begin: a
+// new term may have waited for the list.
+func (t *term) onMachineList(e machineListReceived) {
+	now := time.Now()
+	t.state.MachineListRequestedAt = e.requestedAt
+	t.inventory.onMachineList(e.machines, now)
+	if !t.state.SchedulingEnabled {
+		t.checkLeadership(now)
+	}
+}
+
+// onRecordsRead builds the model from the records and adopts what earlier leaders began.
+func (t *term) onRecordsRead(e recordsRead) {
+	t.records.loadRecords(e.jobs, e.progress)
+	t.state.ActiveVersion = e.version
+	t.scaler.AdoptIntents(e.intents)
+	t.leader.Cancels.RecordRead(e.startedAt)
+}
+
+func (t *term) onJobRecordsChanged(e jobRecordsChanged) {
+	t.records.applyChanges(e.changes)
+	t.leader.Cancels.RecordRead(e.startedAt)
+}
+
+func (t *term) onProbeAnswer(e agents.ProbeAnswer) {
+	t.reconciler.OnCommandAnswer(e.CommandAnswer)
+	e.Machine.RelayUnanswered = e.Err != nil && e.Relayed
+}
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -22,86 +22,120 @@
 	dispatcher *agents.Dispatcher
 }
 
-// pollMachineList reads the machine list again and again.
+// machineListReceived is an event: the cloud has answered with its machine list.
+type machineListReceived struct {
+	machines    []wire.ListedMachine
+	requestedAt time.Time
+}
+
+// machineSpecsReceived is an event: the catalog of machine types was refreshed.
+type machineSpecsReceived struct{}
+
+const (
+	// machineListInterval is the pause between two machine lists.
+	machineListInterval = 4 * time.Second
+	// machineListRetry is the least pause after a request for the list that failed.
+	machineListRetry = time.Second
+	// machineSpecsInterval is the pause between two requests for the machine types.
+	machineSpecsInterval = 20 * time.Second
+	// machineSpecsRetry is the least pause after a request for the types that failed.
+	machineSpecsRetry = 2 * time.Second
+	// cloudRetryJitter is added at random to the pause after a request that failed.
+	cloudRetryJitter = time.Second
+)
+
+// pollMachineList posts the machine list again and again until the context ends.
 func (in *inventory) pollMachineList(ctx context.Context) {
-	wait := 4 * time.Second
 	for {
-		asked := time.Now()
+		requestedAt := time.Now()
 		list, err := in.cloud.List(ctx)
-		next := wait
+		pause := machineListInterval
 		if err == nil {
-			in.Post(machineListReceived{list, asked})
+			in.Post(machineListReceived{list, requestedAt})
 		} else {
-			next = time.Second + rand.N(time.Second)
-			in.Log.Debug("machine list refused", "err", err)
+			pause = machineListRetry + rand.N(cloudRetryJitter)
+			in.Log.Debug("machine list request failed", "err", err)
 		}
-		select {
-		case <-ctx.Done():
+		if !core.Pause(ctx, pause) {
 			return
-		case <-time.After(next):
 		}
 	}
 }
 
-// onMachineList takes in a machine list. A list lags and goes backwards: what it
-// lacks means nothing, and what it shows may be gone.
+// onMachineList updates the machines with a list. A list may be older than the one before:
+// a machine that it lacks may exist, and one that it has may be gone.
 func (in *inventory) onMachineList(list []wire.ListedMachine, now time.Time) {
 	in.state.MachineListReceived = true
-	for _, h := range list {
-		if _, gone := in.state.RemovedMachines[h.Name]; gone {
-			continue
-		}
-		known := in.state.Machines[h.Name] != nil
-		m := in.state.GetOrAddMachine(h.Name)
-		m.ListedAt = now
-		if !known {
-			m.RequestedAt = now.Add(-h.Age.Duration())
-			m.Booting = h.State == wire.ListedStarting
-		}
-		if m.FirstHeartbeatAt.IsZero() {
-			m.Addr, m.MachineType, m.Zone, m.Spot = h.Addr, h.Type, h.Zone, h.Spot
-			if age := now.Add(-h.Age.Duration()); age.Before(m.RequestedAt) {
-				m.RequestedAt = age
-			}
-			if h.State == wire.ListedRunning && m.Token < in.state.FirstToken && m.UnansweredProbes == 0 && !m.ScalingIn {
-				in.dispatcher.TokenAnnounced = false
-			}
-		}
-		if h.State == wire.ListedFailed && !m.FailedInCloud {
-			m.FailedInCloud, m.Booting = true, false
-			in.Log.Info("machine failed", "machine", m.ID, "tasks", len(m.Tasks))
+	for i := range list {
+		if _, removed := in.state.RemovedMachines[list[i].Name]; !removed {
+			in.updateMachine(&list[i], now)
 		}
 	}
 }
 
-// storeMachineSpecs stores the types and prices, as long as this node leads.
-func (in *inventory) storeMachineSpecs(ctx context.Context, specs []wire.MachineSpec) bool {
-	permit, err := duty.PermitFor[duty.Cleanup](in.Lease.Lease)
-	if err != nil {
-		return false
+// updateMachine updates a machine with what a list says of it, and adds it if it is new.
+func (in *inventory) updateMachine(listed *wire.ListedMachine, now time.Time) {
+	requestedAt := now.Add(-listed.Age.Duration())
+	known := in.state.Machines[listed.Name] != nil
+	m := in.state.GetOrAddMachine(listed.Name)
+	m.ListedAt = now
+	if !known {
+		m.RequestedAt = requestedAt
+		m.Booting = listed.State == wire.ListedStarting
+	}
+	if m.FirstHeartbeatAt.IsZero() {
+		in.describeUnheardMachine(m, listed, requestedAt)
+	}
+	if listed.State == wire.ListedFailed && !m.FailedInCloud {
+		m.FailedInCloud, m.Booting = true, false
+		in.Log.Info("machine failed", "machine", m.ID, "tasks", len(m.Tasks))
 	}
-	_, err = permit.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Put: store.MachineSpecsKey, Value: wire.Encode(wire.MachineSpecs{Types: specs})}}})
-	return err == nil
 }
 
-// pollMachineSpecs keeps the types and prices fresh and stores them for nodes
-// that start while the cloud is down.
+// describeUnheardMachine takes from the list what the machine's own heartbeats will say,
+// and has the token announced to it if it should be up.
+func (in *inventory) describeUnheardMachine(m *cluster.Machine, listed *wire.ListedMachine, requestedAt time.Time) {
+	m.Addr = listed.Addr
+	m.MachineType = listed.Type
+	m.Zone = listed.Zone
+	m.Spot = listed.Spot
+	if requestedAt.Before(m.RequestedAt) {
+		m.RequestedAt = requestedAt
+	}
+	awaitsToken := m.Token < in.state.FirstToken && m.UnansweredProbes == 0 && !m.ScalingIn
+	if listed.State == wire.ListedRunning && awaitsToken {
+		in.dispatcher.TokenAnnounced = false
+	}
+}
+
+// pollMachineSpecs refreshes the machine types and prices until the context ends, and
+// stores them once for nodes that start while the cloud is down.
 func (in *inventory) pollMachineSpecs(ctx context.Context) {
 	stored := false
 	for {
-		fs, err := in.cloud.MachineSpecs(ctx)
-		next := 20 * time.Second
+		specs, err := in.cloud.MachineSpecs(ctx)
+		pause := machineSpecsInterval
 		if err == nil {
-			in.state.Catalog.Set(fs)
-			stored = stored || in.storeMachineSpecs(ctx, fs)
+			in.state.Catalog.Set(specs)
+			stored = stored || in.storeMachineSpecs(ctx, specs)
 			in.Post(machineSpecsReceived{})
 		} else {
-			next = 2*time.Second + rand.N(time.Second)
+			pause = machineSpecsRetry + rand.N(cloudRetryJitter)
 		}
-		select {
-		case <-ctx.Done():
+		if !core.Pause(ctx, pause) {
 			return
-		case <-time.After(next):
 		}
 	}
 }
+
+// storeMachineSpecs stores the machine types and prices if this node still leads. It
+// reports whether they are stored.
+func (in *inventory) storeMachineSpecs(ctx context.Context, specs []wire.MachineSpec) bool {
+	permit, err := duty.PermitFor[duty.Cleanup](in.Lease.Lease)
+	if err != nil {
+		return false
+	}
+	write := wire.Write{Put: store.MachineSpecsKey, Value: wire.Encode(wire.MachineSpecs{Types: specs})}
+	_, err = permit.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{write}})
+	return err == nil
+}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"errors"
-	"strings"
+	"slices"
 	"time"
 
 	"lilaclead/internal/cancels"
@@ -19,7 +19,8 @@
 	"lilaclead/upgrade"
 )
 
-// records reads the jobs' records for a new leader and follows their changes.
+// records reads the records of jobs and their progress at the start of a term, and keeps
+// the model up to date with the jobs' records and cancellations after that.
 type records struct {
 	*core.Loop
 	state       *cluster.State
@@ -30,175 +31,116 @@
 	progress    *progress.Reader
 	dispatcher  *agents.Dispatcher
 	reconciler  *reconcile.Reconciler
-	intents     *autoscaler.CloudIntents
-	// cancellationCursor is how much of the log of cancellations has been applied.
+	intents     *autoscaler.CloudIntents // nil if intents are not recorded
+	// cancellationCursor is the position up to which the log of cancellations was applied.
 	cancellationCursor uint64
 }
 
-// readRecords reads everything from the state service.
+// recordsRead is an event: all that the key-value store holds for a new leader was read.
+type recordsRead struct {
+	jobs, progress []wire.Entry
+	jobsRevision   wire.Revision // of the store when the jobs were read
+	version        upgrade.Version
+	intents        autoscaler.EarlierIntents
+	startedAt      time.Time // when the read began
+}
+
+// resignationDue is an event: the leadership must be given up.
+type resignationDue struct{ reason string }
+
+// recoveryRetry is the pause before records are read again after an error.
+const recoveryRetry = 300 * time.Millisecond
+
+// readRecords reads all records for a new term, and then watches those of the jobs until
+// the context ends.
 func (rd *records) readRecords(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := time.Now()
-		jobs, rev, err := rd.store.List(ctx, store.Background, store.JobPrefix)
-		var runs []wire.Entry
+		read, err := rd.readAll(ctx)
 		if err == nil {
-			runs, _, err = rd.store.List(ctx, store.Background, store.ProgressPrefix)
-		}
-		var version upgrade.Version
-		if err == nil {
-			version, err = rd.readVersion(ctx)
-		}
-		var earlier autoscaler.EarlierIntents
-		if err == nil && rd.intents != nil {
-			earlier, err = rd.intents.Load(ctx)
-		}
-		if err == nil {
-			rd.Post(recordsRead{jobs, runs, version, earlier, began})
-			rd.watchJobRecords(ctx, rev)
+			rd.Post(read)
+			rd.watchJobRecords(ctx, read.jobsRevision)
 			return
 		}
-		rd.Log.Info("recovery: state service refuses", "err", err)
-		select {
-		case <-ctx.Done():
-		case <-time.After(300 * time.Millisecond):
-		}
+		rd.Log.Info("recovery read failed", "err", err)
+		core.Pause(ctx, recoveryRetry)
 	}
 }
 
-// followFor is how long one watch is open. What it shows is only known to be as
-// new as its beginning, and leases are renewed by that.
-const followFor = time.Second
-
-// watchJobRecords watches the jobs.
-func (rd *records) watchJobRecords(ctx context.Context, rev wire.Revision) {
-	for ctx.Err() == nil {
-		began := time.Now()
-		ch, err := rd.store.Watch(ctx, store.JobPrefix, rev, followFor)
-		if errors.Is(err, store.ErrTooOld) {
-			rd.End("fell behind the changes")
-			return
-		}
-		if err != nil {
-			select {
-			case <-ctx.Done():
-			case <-time.After(250 * time.Millisecond):
-			}
-			continue
-		}
-		if ch.Revision > rev {
-			rev = ch.Revision
-		}
-		rd.Post(jobRecordsChanged{ch.Events, began})
+// readAll reads all records once.
+func (rd *records) readAll(ctx context.Context) (recordsRead, error) {
+	read := recordsRead{startedAt: time.Now()}
+	var err error
+	read.jobs, read.jobsRevision, err = rd.store.List(ctx, store.Background, store.JobPrefix)
+	if err != nil {
+		return read, err
+	}
+	read.progress, _, err = rd.store.List(ctx, store.Background, store.ProgressPrefix)
+	if err != nil {
+		return read, err
 	}
+	read.version, err = rd.readVersion(ctx)
+	if err != nil {
+		return read, err
+	}
+	if rd.intents != nil {
+		read.intents, err = rd.intents.Load(ctx)
+	}
+	return read, err
 }
 
-// applyChanges takes in what has changed among the jobs' records.
-func (rd *records) applyChanges(changes []wire.Change) {
-	for _, c := range changes {
-		if c.Put != "" {
-			rd.applyJobRecord(c.Put, c.Value, c.Revision)
-			continue
-		}
-		// The last that comes of a job.
-		id := wire.JobID(strings.TrimPrefix(c.Delete, store.JobPrefix))
-		delete(rd.state.QuarantinedJobs, id)
-		if delete(rd.state.ArchivedJobs, id); rd.state.Jobs[id] != nil {
-			rd.state.Jobs[id].RecordDeleted = true
-		}
+// versionMismatches are the errors after which this process must not lead.
+var versionMismatches = []error{upgrade.ErrTooOld, upgrade.ErrTooNew, upgrade.ErrUndecodable, upgrade.ErrReplaced}
+
+// readVersion reads the active version for this term, and has the term resign if this
+// process can't act by it. The version is read after the lease was taken, and only leaders
+// switch it, by writes that their token guards: no earlier leader can switch it any more.
+func (rd *records) readVersion(ctx context.Context) (upgrade.Version, error) {
+	if rd.versions == nil {
+		return 0, nil
+	}
+	version, err := rd.versions.ReadActive(ctx)
+	if slices.ContainsFunc(versionMismatches, func(mismatch error) bool { return errors.Is(err, mismatch) }) {
+		rd.Post(resignationDue{err.Error()})
 	}
+	return version, err
 }
 
-// loadRecords builds the term's picture from what was read.
-func (rd *records) loadRecords(jobs, runs []wire.Entry) {
-	for _, e := range jobs {
-		rd.applyJobRecord(e.Key, e.Value, e.Revision)
+// loadRecords builds the term's model from the records, and starts the work that waited
+// for it.
+func (rd *records) loadRecords(jobs, progress []wire.Entry) {
+	for _, entry := range jobs {
+		rd.applyJobRecord(entry.Key, entry.Value, entry.Revision)
 	}
-	rd.progress.ReadAll(runs)
+	rd.progress.ReadAll(progress)
 	for _, j := range rd.state.Jobs {
 		rd.state.RestoreGang(j)
 	}
 	rd.state.Recovered = true
-	rd.Log.Info("recovered", "jobs", len(rd.state.Jobs), "machines", len(rd.state.Machines), "took", time.Since(rd.state.TermStartedAt))
-	for _, j := range rd.state.Jobs {
-		if j.Cancelled {
-			rd.dispatcher.StopCancelledJob(j)
-		}
-		rd.state.MarkIfFinished(j)
-	}
-	for _, rep := range rd.reconciler.EarlyHeartbeats {
-		rd.reconciler.Reconcile(rd.state.GetOrAddMachine(rep.Machine), &rep, true, time.Now())
-	}
-	rd.reconciler.EarlyHeartbeats = nil
+	rd.Log.Info("records recovered", "jobs", len(rd.state.Jobs), "machines", len(rd.state.Machines), "duration", time.Since(rd.state.TermStartedAt))
+	rd.endFinishedJobs()
+	rd.reconcileEarlyHeartbeats()
 	rd.cancellationCursor = 0
 	rd.applyCancellations()
-	rd.Published.DelegationToken.Store(uint64(rd.Fencing.Token)) // only now cancellations are known
+	// Delegates must know the cancellations, which are complete only now.
+	rd.Published.DelegationToken.Store(uint64(rd.Fencing.Token))
 	rd.dispatcher.AnnounceToken()
 }
 
-// applyJobRecord takes in a job record that is new or has changed.
-func (rd *records) applyJobRecord(key string, v wire.Raw, revision wire.Revision) {
-	rec, err := store.DecodeJob(key, v)
-	if err != nil {
-		rd.undecodable.Note(key, err)
-		rd.state.Quarantine(key, wire.JobID(strings.TrimPrefix(key, store.JobPrefix)))
-		return
-	}
-	j := rd.state.Jobs[rec.Spec.ID]
-	if j == nil {
-		if rd.state.QuarantinedJobs[rec.Spec.ID] {
-			rd.End("a job's record can be decoded again: " + string(rec.Spec.ID)) // its progress was not read
-			return
-		}
-		if rd.state.ArchivedJobs[rec.Spec.ID] {
-			return // late news of a job that is over
-		}
-		j = cluster.NewJob(rec, revision)
-		rd.state.Jobs[rec.Spec.ID] = j
-		rd.state.RequestCycle()
-	}
-	if revision < j.Revision {
-		return
-	}
-	j.Revision, j.RecordOutdated = revision, j.Cancelled && rec.Status != wire.Cancelled
-	rec.LogCancellation(rd.cancels)
-	if rec.Status == wire.Cancelled && !j.Cancelled {
-		j.Cancelled = true
-		j.CancelledAt = time.Now().Add(-rec.SinceCancelled())
-		if rd.state.Recovered {
+// endFinishedJobs stops the cancelled jobs, and marks those that are over.
+func (rd *records) endFinishedJobs() {
+	for _, j := range rd.state.Jobs {
+		if j.Cancelled {
 			rd.dispatcher.StopCancelledJob(j)
 		}
+		rd.state.MarkIfFinished(j)
 	}
 }
 
-// rereadRetry is the pause before a job's record is read again.
-const rereadRetry = 300 * time.Millisecond
-
-// onReread takes in a job's record that was read again.
-func (rd *records) onReread(e progress.JobRecordReread) {
-	id := e.Job.Spec.ID
-	switch {
-	case rd.state.Jobs[id] != e.Job: // a watch was faster, and the job is archived
-	case e.Err == nil:
-		rd.applyJobRecord(store.JobKey(id), e.Entry.Value, e.Entry.Revision)
-	case errors.Is(e.Err, store.ErrMissing):
-		if e.Job.RecordOutdated { // else it is being archived
-			rd.End("a live job's record is gone: " + string(id))
-		}
-	case e.Job.RecordOutdated:
-		time.AfterFunc(rereadRetry, func() { rd.Post(progress.RereadDue{Job: e.Job}) })
-	}
-}
-
-// readVersion reads the active version for this term. It is read after the lease was
-// taken, and only leaders switch, by writes that their token guards: no earlier one can
-// switch any more.
-func (rd *records) readVersion(ctx context.Context) (upgrade.Version, error) {
-	if rd.versions == nil {
-		return 0, nil
+// reconcileEarlyHeartbeats reconciles the heartbeats that came before the records.
+func (rd *records) reconcileEarlyHeartbeats() {
+	for _, heartbeat := range rd.reconciler.EarlyHeartbeats {
+		machine := rd.state.GetOrAddMachine(heartbeat.Machine)
+		rd.reconciler.Reconcile(machine, &heartbeat, true, time.Now())
 	}
-	v, err := rd.versions.ReadActive(ctx)
-	if errors.Is(err, upgrade.ErrTooOld) || errors.Is(err, upgrade.ErrTooNew) || errors.Is(err, upgrade.ErrUndecodable) || errors.Is(err, upgrade.ErrReplaced) {
-		rd.Post(resignationDue{err.Error()})
-	}
-	return v, err
+	rd.reconciler.EarlyHeartbeats = nil
 }
--- /dev/null
+++ b/internal/leader/status.go
@@ -0,0 +1,54 @@
+package leader
+
+import "time"
+
+// clusterCounts are the machines, jobs and tasks of a cluster by state.
+type clusterCounts struct {
+	up, booting, idle   int // machines; idle ones are up and have no task
+	pendingJobs         int // with tasks to be started
+	tasks, active, done int
+}
+
+func (t *term) countCluster() clusterCounts {
+	var counts clusterCounts
+	for _, m := range t.state.Machines {
+		if m.Booting {
+			counts.booting++
+			continue
+		}
+		counts.up++
+		if len(m.Tasks) == 0 {
+			counts.idle++
+		}
+	}
+	for _, j := range t.state.Jobs {
+		counts.tasks += j.Spec.Tasks
+		counts.active += j.ActiveTasks
+		counts.done += j.DoneTasks
+		if !j.Cancelled && j.Pending() > 0 {
+			counts.pendingJobs++
+		}
+	}
+	return counts
+}
+
+// logStatus logs the numbers of machines, jobs and tasks, and how late the loop is: now is
+// when the tick was due.
+func (t *term) logStatus(now time.Time) {
+	counts := t.countCluster()
+	if limit := t.leader.Workers; counts.up > limit {
+		t.Log.Warn("machine limit exceeded", "machines", counts.up, "limit", limit, "fd_limit_needed", t.leader.RequiredFDs(counts.up))
+	}
+	t.Log.Info("status",
+		"token", t.Fencing.Token,
+		"up", counts.up,
+		"booting", counts.booting,
+		"idle", counts.idle,
+		"jobs", len(t.state.Jobs),
+		"jobs_pending", counts.pendingJobs,
+		"tasks_active", counts.active,
+		"tasks_pending", counts.tasks-counts.active-counts.done,
+		"backlog_s", int(t.scheduler.BacklogS),
+		"cycle_duration", t.state.Cycle.LastDuration,
+		"tick_delay", time.Since(now))
+}
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -13,30 +13,35 @@
 	"lilaclead/upgrade"
 )
 
-// SupportedVersions are those that this program understands.
+// SupportedVersions is the range of versions that this program supports.
 var SupportedVersions = upgrade.Range{Min: upgrade.Base, Max: store.Version}
 
-// advanceEvery is how often a leader looks whether the next version may be switched to.
-const advanceEvery = 2 * time.Second
+// versionChecked is an event: this version of the behaviour is active. It is 0 if the
+// active version is not known.
+type versionChecked struct{ version upgrade.Version }
 
-// advanceVersion switches to the next version once all controllers understand it.
+// advanceInterval is the pause between two attempts to switch to the next version.
+const advanceInterval = 2 * time.Second
+
+// advanceVersion switches to the next version once all controllers support it, and posts
+// the active version, until the context ends.
 func (t *term) advanceVersion(ctx context.Context) {
 	if t.leader.Versions == nil {
 		return
 	}
-	var logged string
-	for core.Pause(ctx, advanceEvery) {
+	var lastLogged string
+	for core.Pause(ctx, advanceInterval) {
 		version, err := t.tryAdvance(ctx)
-		if err != nil && err.Error() != logged {
-			logged = err.Error()
-			t.Log.Info("the active version could not be switched", "err", err)
+		if err != nil && err.Error() != lastLogged {
+			lastLogged = err.Error()
+			t.Log.Info("version switch failed", "err", err)
 		}
 		t.Post(versionChecked{version})
 	}
 }
 
-// tryAdvance switches once if that is due, and returns the active version as far as it
-// is known then.
+// tryAdvance switches to the next version if all controllers are ready for it. It returns
+// the version that is active then, 0 if that is not known.
 func (t *term) tryAdvance(ctx context.Context) (upgrade.Version, error) {
 	versions := t.leader.Versions
 	if active := versions.Active(); active >= versions.Supports.Max {
@@ -44,7 +49,7 @@
 	}
 	permit, err := duty.PermitFor[duty.Cleanup](t.Lease.Lease)
 	if err != nil {
-		return 0, nil // it is tried again when the lease is held
+		return 0, nil // the next attempt may hold the lease
 	}
 	deployment, err := t.leader.deployment(ctx)
 	if err != nil {
@@ -52,53 +57,59 @@
 	}
 	version, err := versions.Advance(ctx, permit, deployment)
 	if errors.Is(err, upgrade.ErrNotReady) {
-		err = nil // operators see who holds it up
+		err = nil // UpgradeStatus shows which controller is not ready
 	}
 	return version, err
 }
 
-// takeVersion acts by a version that is active, once the term knows all records.
-func (t *term) takeVersion(version upgrade.Version) {
+// adoptVersion has the term act by the active version, once all records are known.
+func (t *term) adoptVersion(version upgrade.Version) {
 	if version > t.state.ActiveVersion && t.state.Recovered {
-		t.Log.Info("acts by version", "version", version, "before", t.state.ActiveVersion)
+		t.Log.Info("version adopted", "version", version, "previous", t.state.ActiveVersion)
 		t.state.ActiveVersion = version
 	}
 }
 
-// deployment is what is known of the other controllers and of the operators' word.
+// deployment returns the controllers, and the highest version that the operators allow.
 func (l *Leader) deployment(ctx context.Context) (upgrade.Deployment, error) {
-	d := upgrade.Deployment{Controllers: []duty.NodeID{l.Config.HostName}, Present: l.presentIncarnation}
-	for _, p := range l.Config.Peers {
-		d.Controllers = append(d.Controllers, p.HostName)
-	}
-	e, err := l.Store.Get(ctx, store.Background, store.SettingsKey)
+	d := upgrade.Deployment{Controllers: l.controllers(), Present: l.connectedIncarnation}
+	settings, err := l.Store.Get(ctx, store.Background, store.SettingsKey)
 	if err != nil && !errors.Is(err, store.ErrMissing) {
 		return d, err
 	}
-	d.Guards = []duty.Guard{{Key: store.SettingsKey, Revision: e.Revision}}
-	set := map[string]any{}
+	d.Guards = []duty.Guard{{Key: store.SettingsKey, Revision: settings.Revision}}
+	overrides := map[string]any{}
 	if err == nil {
-		if err := wire.Decode(e.Value, &set); err != nil {
+		if err := wire.Decode(settings.Value, &overrides); err != nil {
 			return d, err
 		}
 	}
-	values, err := tuning.Apply(tuning.Default(), set, false)
+	values, err := tuning.Apply(tuning.Default(), overrides, false)
 	d.Ceiling = upgrade.Version(values.MaxVersion)
 	return d, err
 }
 
-// presentIncarnation is the process of another controller that was in contact a moment
-// ago; empty: none, or of a version from before.
-func (l *Leader) presentIncarnation(node duty.NodeID) string {
-	p := l.Mesh.View().Peers[node]
-	if !p.Connected(time.Now()) {
+// controllers returns the names of all controllers, this one first.
+func (l *Leader) controllers() []duty.NodeID {
+	names := []duty.NodeID{l.Config.HostName}
+	for _, node := range l.Config.Peers {
+		names = append(names, node.HostName)
+	}
+	return names
+}
+
+// connectedIncarnation returns the incarnation of another controller's process that is
+// connected now. It returns "" if there is none, or if it has an old version that does not
+// send its incarnation.
+func (l *Leader) connectedIncarnation(node duty.NodeID) string {
+	controller := l.Mesh.View().Peers[node]
+	if !controller.Connected(time.Now()) {
 		return ""
 	}
-	return p.Incarnation
+	return controller.Incarnation
 }
 
-// UpgradeStatus tells operators how far an upgrade is; nil: versions are not
-// negotiated.
+// UpgradeStatus returns how far an upgrade has come, nil if versions are not negotiated.
 func (l *Leader) UpgradeStatus(ctx context.Context) (*upgrade.Status, error) {
 	if l.Versions == nil {
 		return nil, nil
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -1,15 +1,16 @@
 package leader
 
 import (
+	"cmp"
 	"context"
 	"slices"
-	"strings"
 	"time"
 
+	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/wire"
 )
 
-// View is what a leader shows operators.
+// View is a leader's view of the cluster, for operators.
 type View struct {
 	Machines         []MachineView `cbor:"machines"`
 	Jobs             []JobView     `cbor:"jobs"`
@@ -43,22 +44,25 @@
 	Cancelled  bool        `cbor:"cancelled"`
 }
 
-// View asks the term's loop for a view; nil if this node does not lead.
+// viewRequested is an event: an operator asks for the view.
+type viewRequested struct{ reply chan<- *View }
+
+// View returns the current term's view of the cluster, nil if this node does not lead.
 func (l *Leader) View(ctx context.Context) *View {
 	t := l.term.Load()
 	if t == nil {
 		return nil
 	}
-	out := make(chan *View, 1)
+	reply := make(chan *View, 1)
 	select {
-	case t.Events <- viewRequested{out}:
+	case t.Events <- viewRequested{reply}:
 	case <-t.Done:
 		return nil
 	case <-ctx.Done():
 		return nil
 	}
 	select {
-	case v := <-out:
+	case v := <-reply:
 		return v
 	case <-t.Done:
 	case <-ctx.Done():
@@ -66,42 +70,44 @@
 	return nil
 }
 
-// logStatus logs, every ten seconds, the deployment's machines, jobs and tasks.
-func (t *term) logStatus(now time.Time) {
-	up, booting, idle, tasks, held, done, waiting := 0, 0, 0, 0, 0, 0, 0
+// view returns the view of the model, with machines and jobs in the order of their names.
+func (t *term) view(now time.Time) *View {
+	v := &View{Deciding: t.Lease.Deciding(), PendingScaleOuts: len(t.scaler.Tracker.PendingScaleOuts())}
 	for _, m := range t.state.Machines {
-		switch {
-		case m.Booting:
-			booting++
-		case len(m.Tasks) == 0:
-			idle++
-			fallthrough
-		default:
-			up++
-		}
+		v.Machines = append(v.Machines, t.machineView(m, now))
 	}
 	for _, j := range t.state.Jobs {
-		tasks, held, done = tasks+j.Spec.Tasks, held+j.ActiveTasks, done+j.DoneTasks
-		if !j.Cancelled && j.Pending() > 0 {
-			waiting++
-		}
+		v.Jobs = append(v.Jobs, jobView(j, now))
 	}
-	if most := t.leader.Workers; up > most {
-		t.Log.Warn("more machines than the sockets of one controller hold", "machines", up, "hold", most, "fd_limit_needed", t.leader.RequiredFDs(up))
-	}
-	t.Log.Info("status", "token", t.Fencing.Token, "up", up, "booting", booting, "idle", idle, "jobs", len(t.state.Jobs), "jobs_waiting", waiting,
-		"tasks_held", held, "tasks_waiting", tasks-held-done, "backlog_s", int(t.scheduler.BacklogS), "round", t.state.Cycle.LastDuration, "late", time.Since(now))
+	slices.SortFunc(v.Machines, func(a, b MachineView) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.Jobs, func(a, b JobView) int { return cmp.Compare(a.ID, b.ID) })
+	return v
 }
 
-func (t *term) view(now time.Time) *View {
-	v := &View{Deciding: t.Lease.Deciding(), PendingScaleOuts: len(t.scaler.Tracker.PendingScaleOuts())}
-	for _, m := range t.state.Machines {
-		v.Machines = append(v.Machines, MachineView{m.ID, m.MachineType, m.Zone, m.Spot, m.Booting, string(m.DrainReason), len(m.Tasks), t.state.SinceLastMessage(m, now).Seconds(), t.state.FreeResources(m).CPUs})
+func (t *term) machineView(m *cluster.Machine, now time.Time) MachineView {
+	return MachineView{
+		Name:          m.ID,
+		Type:          m.MachineType,
+		Zone:          m.Zone,
+		Spot:          m.Spot,
+		Booting:       m.Booting,
+		Drain:         string(m.DrainReason),
+		Tasks:         len(m.Tasks),
+		SilentSeconds: t.state.SinceLastMessage(m, now).Seconds(),
+		FreeCPUs:      t.state.FreeResources(m).CPUs,
 	}
-	for _, j := range t.state.Jobs {
-		v.Jobs = append(v.Jobs, JobView{j.Spec.ID, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.DoneTasks, j.ActiveTasks, j.Failures, now.Sub(j.AcceptedAt).Seconds(), j.Cancelled})
+}
+
+func jobView(j *cluster.Job, now time.Time) JobView {
+	return JobView{
+		ID:         j.Spec.ID,
+		Class:      j.Spec.Class,
+		Team:       j.Spec.Team,
+		Tasks:      j.Spec.Tasks,
+		Done:       j.DoneTasks,
+		Active:     j.ActiveTasks,
+		Failures:   j.Failures,
+		AgeSeconds: now.Sub(j.AcceptedAt).Seconds(),
+		Cancelled:  j.Cancelled,
 	}
-	slices.SortFunc(v.Machines, func(a, b MachineView) int { return strings.Compare(string(a.Name), string(b.Name)) })
-	slices.SortFunc(v.Jobs, func(a, b JobView) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	return v
 }
