--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -40,9 +40,9 @@
 	case autoscaler.ScaledIn:
 		t.scaler.OnScaledIn(e.Machines)
 	case progress.TxnAnswered:
-		t.committer.OnTxnResult(e.Batch, e.Revision, e.Err)
+		t.committer.OnTxnAnswered(e)
 	case progress.TokenRaised:
-		t.committer.OnTokenRaised(e.Token, e.Batch)
+		t.committer.OnTokenRaised(e)
 	case progress.TxnOutcomeRead:
 		t.committer.OnOutcomeRead(e)
 	case viewRequested:
--- a/internal/leader/progress/batch.go
+++ b/internal/leader/progress/batch.go
@@ -9,126 +9,154 @@
 )
 
 const (
-	// maxTxnBytes keeps a transaction below the service's 64 KiB, with room
-	// for guards.
+	// maxTxnBytes keeps a transaction below the store's limit of 64 KiB, with room for
+	// its guards.
 	maxTxnBytes = 48 << 10
-	// guardsPerOp: the service takes so many guards for each operation.
+	// guardsPerOp is how many guards the store accepts for each operation that it allows.
 	guardsPerOp = 4
+	// guardsPerWrite is how many guards one write needs at most.
+	guardsPerWrite = 2
 	// finalRecordBytes is the size of a job's final record, at most.
 	finalRecordBytes = 200
+	// archiveWrites is how many writes replace a job's record by its final record.
+	archiveWrites = 2
 )
 
-// Batch is one transaction under way, with what it stands for.
-type Batch struct {
-	Txn       wire.Txn
-	Urgent    bool // starts or ends something
-	Chunks    []*cluster.Chunk
-	Planned   []*cluster.Attempt
-	Finished  []*cluster.Job // archived by it
-	Orphans   []wire.Guard   // what it drops of jobs that are archived
-	dropAfter []wire.Guard   // what is to be dropped once it is executed
-	largest   int            // size of the largest value in it
-
-	maxOps int
-	bytes  int
-	single bool // holds one record only
+// batch is one transaction, with what it changes in the model when it is committed.
+type batch struct {
+	txn wire.Txn
+	// urgent means that it starts or ends something.
+	urgent   bool
+	chunks   []*cluster.Chunk
+	launches []*cluster.Attempt // may be sent once it is committed
+	archived []*cluster.Job     // replaced by their final records
+	orphans  []wire.Guard       // deleted records of jobs that were archived before
+	// leftovers are the records of its archived jobs that it has no room to delete. They
+	// become orphans when it is committed.
+	leftovers []wire.Guard
+
+	maxOps       int
+	singleRecord bool // it may hold one record only
+	bytes        int  // of its values
+	largestValue int  // in bytes
 }
 
-// newBatch is an empty transaction that is executed only while the token is the
-// leader's.
-func newBatch(token wire.FencingToken, maxOps int, single bool) *Batch {
+// newBatch returns an empty transaction that is committed only while the leader's key has
+// the token.
+func newBatch(token wire.FencingToken, maxOps int, singleRecord bool) *batch {
 	leads := wire.Guard{Key: store.LeaderKey, Revision: wire.Revision(token)}
-	return &Batch{Txn: wire.Txn{Guards: []wire.Guard{leads}}, maxOps: maxOps, single: single}
+	return &batch{
+		txn:          wire.Txn{Guards: []wire.Guard{leads}},
+		maxOps:       maxOps,
+		singleRecord: singleRecord,
+	}
 }
 
-// Class of the calls' budget that it is charged to.
-func (b *Batch) Class() store.RequestClass {
-	if b.Urgent {
+// requestClass returns the class of the request budget that the transaction is charged to.
+func (b *batch) requestClass() store.RequestClass {
+	if b.urgent {
 		return store.Critical
 	}
 	return store.Background
 }
 
-// full tells whether it has no room for so many writes, each with a guard or two,
-// and values of so many bytes.
-func (b *Batch) full(writes, bytes int) bool {
-	return b.single && b.records() > 0 ||
-		len(b.Txn.Writes)+writes > b.maxOps ||
-		len(b.Txn.Guards)+2*writes > guardsPerOp*b.maxOps ||
-		b.bytes+bytes > maxTxnBytes
+// isEmpty reports whether the transaction writes nothing.
+func (b *batch) isEmpty() bool { return len(b.txn.Writes) == 0 }
+
+// hasRoom reports whether so many writes with values of so many bytes in all can be added.
+func (b *batch) hasRoom(writes, bytes int) bool {
+	if b.singleRecord && b.records() > 0 {
+		return false
+	}
+	ops := len(b.txn.Writes) + writes
+	guards := len(b.txn.Guards) + guardsPerWrite*writes
+	return ops <= b.maxOps && guards <= guardsPerOp*b.maxOps && b.bytes+bytes <= maxTxnBytes
 }
 
-// records is how many records it holds that can be written one by one.
-func (b *Batch) records() int { return len(b.Chunks) + len(b.Finished) + len(b.Orphans) }
+// records returns how many of its records could be written in transactions of their own.
+func (b *batch) records() int { return len(b.chunks) + len(b.archived) + len(b.orphans) }
 
-// keys that it writes, for the log.
-func (b *Batch) keys() (out []string) {
-	for _, w := range b.Txn.Writes {
-		out = append(out, w.Put+w.Delete)
+// keys returns the keys that the transaction writes, for the log.
+func (b *batch) keys() []string {
+	var keys []string
+	for _, w := range b.txn.Writes {
+		keys = append(keys, w.Put+w.Delete)
 	}
-	return
+	return keys
+}
+
+// changes reports whether the transaction writes the key.
+func (b *batch) changes(key string) bool {
+	return slices.ContainsFunc(b.txn.Writes, func(w wire.Write) bool { return w.Put == key || w.Delete == key })
 }
 
-func (b *Batch) guard(key string, revision wire.Revision) {
-	b.Txn.Guards = append(b.Txn.Guards, wire.Guard{Key: key, Revision: revision})
+// hasGuard reports whether the transaction has a guard on the key.
+func (b *batch) hasGuard(key string) bool {
+	return slices.ContainsFunc(b.txn.Guards, func(g wire.Guard) bool { return g.Key == key })
 }
 
-func (b *Batch) guards(key string) bool {
-	return slices.ContainsFunc(b.Txn.Guards, func(g wire.Guard) bool { return g.Key == key })
+// addGuard adds the condition that the key still has the revision.
+func (b *batch) addGuard(key string, revision wire.Revision) {
+	b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Revision: revision})
 }
 
-func (b *Batch) putChunk(c *cluster.Chunk, rec *store.ChunkRecord) {
-	size := rec.JSONSize()
+// putChunk writes a chunk's record.
+func (b *batch) putChunk(c *cluster.Chunk, record *store.ChunkRecord) {
+	size := record.JSONSize()
 	b.bytes += size
-	b.largest = max(b.largest, size)
-	b.guard(c.Key(), c.Revision)
-	b.Txn.Writes = append(b.Txn.Writes, wire.Write{Put: c.Key(), Value: wire.Encode(rec)})
-	b.Chunks = append(b.Chunks, c)
+	b.largestValue = max(b.largestValue, size)
+	b.addGuard(c.Key(), c.Revision)
+	b.txn.Writes = append(b.txn.Writes, wire.Write{Put: c.Key(), Value: wire.Encode(record)})
+	b.chunks = append(b.chunks, c)
 }
 
-func (b *Batch) drop(g wire.Guard) {
-	b.Txn.Guards = append(b.Txn.Guards, g)
-	b.Txn.Writes = append(b.Txn.Writes, wire.Write{Delete: g.Key})
+// deleteRecord deletes the record that a guard names.
+func (b *batch) deleteRecord(g wire.Guard) {
+	b.txn.Guards = append(b.txn.Guards, g)
+	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: g.Key})
 }
 
-// archive replaces a job that is over by its final record. Chunks beyond
-// what one transaction takes are dropped later, as orphans, but not before it is
-// executed: a job that is cancelled meanwhile is archived by another one, whose
-// guards on chunks that are gone would fail for ever.
-func (b *Batch) archive(j *cluster.Job) {
-	for _, c := range j.Chunks {
-		if c != nil && c.WriteInFlight {
-			return
-		}
-	}
-	if b.full(2, finalRecordBytes) {
+// archive replaces a job that is over by its final record, unless the transaction has no
+// room for it or a chunk of the job is being written. Chunks that have no room are deleted
+// later, as orphans, but not before the transaction is committed: a job that is cancelled
+// meanwhile is archived by another transaction, whose guards on chunks that are gone would
+// fail forever.
+func (b *batch) archive(j *cluster.Job) {
+	if anyWriteInFlight(j) || !b.hasRoom(archiveWrites, finalRecordBytes) {
 		return
 	}
 	id := j.Spec.ID
 	final := store.FinalRecord{Status: j.FinalStatus(), Done: j.DoneTasks}
-	b.guard(store.JobKey(id), j.Revision)
-	b.guard(store.FinalKey(id), 0)
-	b.Txn.Writes = append(b.Txn.Writes, wire.Write{Delete: store.JobKey(id)},
+	b.addGuard(store.JobKey(id), j.Revision)
+	b.addGuard(store.FinalKey(id), 0)
+	b.txn.Writes = append(b.txn.Writes,
+		wire.Write{Delete: store.JobKey(id)},
 		wire.Write{Put: store.FinalKey(id), Value: wire.Encode(final)})
 	for _, g := range j.StoredGuards() {
-		if b.full(1, 0) {
-			b.dropAfter = append(b.dropAfter, g)
-			continue
+		if b.hasRoom(1, 0) {
+			b.deleteRecord(g)
+		} else {
+			b.leftovers = append(b.leftovers, g)
 		}
-		b.drop(g)
 	}
 	j.Archiving = true
-	b.Finished = append(b.Finished, j)
+	b.archived = append(b.archived, j)
+}
+
+// anyWriteInFlight reports whether a chunk of the job is being written.
+func anyWriteInFlight(j *cluster.Job) bool {
+	return slices.ContainsFunc(j.Chunks, func(c *cluster.Chunk) bool { return c != nil && c.WriteInFlight })
 }
 
-// TellingGuard is a guard on one of the keys that it writes. All its writes share
-// one fate, so that key tells whether it was executed.
-func (b *Batch) TellingGuard() wire.Guard {
-	telling := b.Txn.Guards[len(b.Txn.Guards)-1]
-	for _, g := range b.Txn.Guards[1:] {
-		if slices.ContainsFunc(b.Txn.Writes, func(w wire.Write) bool { return w.Put == g.Key || w.Delete == g.Key }) {
-			telling = g
+// outcomeGuard returns a guard on one of the keys that the transaction writes. All its
+// writes are committed or none is, so that the key's revision shows which.
+func (b *batch) outcomeGuard() wire.Guard {
+	guards := b.txn.Guards
+	outcome := guards[len(guards)-1]
+	for _, g := range guards[1:] { // the first one is on the leader's key
+		if b.changes(g.Key) {
+			outcome = g
 		}
 	}
-	return telling
+	return outcome
 }
--- a/internal/leader/progress/events.go
+++ b/internal/leader/progress/events.go
@@ -5,34 +5,36 @@
 	"lilaclead/internal/wire"
 )
 
-// TxnAnswered is the outcome of a transaction.
+// TxnAnswered is an event: the key-value store has answered a transaction, or has not.
 type TxnAnswered struct {
-	Batch    *Batch
-	Revision wire.Revision
-	Err      error
+	batch    *batch
+	revision wire.Revision // if it was committed
+	err      error
 }
 
-// TokenRaised is a higher fencing token that the term has taken; batch is the
-// transaction whose outcome is to be read then, nil if there is none.
+// TokenRaised is an event: the term has taken a higher fencing token.
 type TokenRaised struct {
-	Token wire.FencingToken
-	Batch *Batch
+	token wire.FencingToken
+	// unresolved is the transaction whose outcome is to be read now, nil if there is none.
+	unresolved *batch
 }
 
-// TxnOutcomeRead tells what became of a transaction without an answer: revision is the
-// current one of the key that guard names, 0 if there is no such key.
+// TxnOutcomeRead is an event: the key that shows whether an unanswered transaction was
+// committed has been read.
 type TxnOutcomeRead struct {
-	batch    *Batch
-	guard    wire.Guard
+	batch *batch
+	// guard is the transaction's guard on the key.
+	guard wire.Guard
+	// revision is the key's current revision, 0 if there is no such key.
 	revision wire.Revision
 }
 
-// JobRecordReread is the outcome of reading one job's record again.
+// JobRecordReread is an event: a job's record was read again, or could not be.
 type JobRecordReread struct {
 	Job   *cluster.Job
 	Entry wire.Entry
 	Err   error
 }
 
-// RereadDue says that a job's record is to be read once more.
+// RereadDue is an event: a job's record must be read once more.
 type RereadDue struct{ Job *cluster.Job }
--- /dev/null
+++ b/internal/leader/progress/launches.go
@@ -0,0 +1,48 @@
+package progress
+
+import "lilaclead/internal/leader/cluster"
+
+// sendStoredLaunches sends the launches that have just been stored. A gang's launches are
+// sent when the last of them is stored.
+func (co *Committer) sendStoredLaunches(launches []*cluster.Attempt) {
+	targets := map[*cluster.Machine]bool{}
+	for _, a := range launches {
+		if !isCurrent(a) {
+			continue
+		}
+		markStored(a)
+		if co.obsolete(a) {
+			// No leader has sent it, so there is nothing to stop.
+			co.State.EndAttempt(a, cluster.TaskPending)
+			continue
+		}
+		targets[a.Machine] = true
+		if a.Job.Gang != nil && a.Job.FullyStored() {
+			for _, member := range a.Job.Attempts() {
+				targets[member.Machine] = true
+			}
+		}
+	}
+	for m := range targets {
+		co.Dispatcher.Dispatch(m)
+	}
+}
+
+// markStored records that an attempt is stored and may be sent.
+func markStored(a *cluster.Attempt) {
+	a.Unstored = false
+	a.Chunk.UnstoredAttempts--
+	a.Job.UnstoredAttempts--
+}
+
+// obsolete reports whether an attempt must not be launched any more.
+func (co *Committer) obsolete(a *cluster.Attempt) bool {
+	stopped := a.Stopping || a.Job.Cancelled
+	return stopped || !co.acceptsLaunches(a.Machine)
+}
+
+// acceptsLaunches reports whether a machine exists and is not to be emptied.
+func (co *Committer) acceptsLaunches(m *cluster.Machine) bool {
+	leaving := m.DrainReason != "" || m.ScalingIn
+	return !leaving && co.State.Machines[m.ID] == m
+}
--- /dev/null
+++ b/internal/leader/progress/selection.go
@@ -0,0 +1,143 @@
+package progress
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// nextBatch returns a transaction with what has changed, nil if there is nothing to write.
+// Final states and launches go first, then routine writes at their own pace, then the
+// deletion of orphans.
+func (w *Writer) nextBatch(token wire.FencingToken, now time.Time) *batch {
+	b := newBatch(token, w.limits().Least().TxnOps, w.singleRecordTxns > 0)
+	w.addFinishedJobs(b, now)
+	w.SplitOversizedChunks()
+	launches, routine := w.dueChunks(now)
+	w.addLaunches(b, launches, now)
+	w.addRoutineWrites(b, routine, now)
+	w.addOrphanDeletions(b)
+	if b.isEmpty() {
+		return nil
+	}
+	for _, c := range b.chunks {
+		c.Dirty, c.WriteInFlight = false, true
+		delete(w.state.Unsaved.Chunks, c)
+	}
+	w.txn, w.txnSentAt = txnInFlight, now
+	return b
+}
+
+// addFinishedJobs archives the jobs that are over.
+func (w *Writer) addFinishedJobs(b *batch, now time.Time) {
+	for j := range w.state.Unsaved.FinishedJobs {
+		if !j.Archiving && !j.RecordOutdated && !now.Before(j.WriteNotBefore) {
+			b.archive(j)
+			b.urgent = true
+		}
+	}
+}
+
+// dueChunks returns the chunks that may be written now: those with launches by priority
+// and age of their jobs, and the others by how long they have waited.
+func (w *Writer) dueChunks(now time.Time) (launches, routine []*cluster.Chunk) {
+	for c := range w.state.Unsaved.Chunks {
+		switch {
+		case !w.mayWriteChunk(c, now):
+		case c.UnstoredAttempts > 0:
+			launches = append(launches, c)
+		default:
+			routine = append(routine, c)
+		}
+	}
+	slices.SortFunc(launches, compareLaunches)
+	slices.SortFunc(routine, func(a, b *cluster.Chunk) int { return a.DirtySince.Compare(b.DirtySince) })
+	return launches, routine
+}
+
+// mayWriteChunk reports whether a chunk may be written now.
+func (w *Writer) mayWriteChunk(c *cluster.Chunk, now time.Time) bool {
+	j := c.Job
+	ending := j.Archiving || j.Finished
+	return !ending && !j.RecordOutdated && !w.state.Quarantined(j.Spec.ID) && !now.Before(c.WriteNotBefore)
+}
+
+// compareLaunches orders chunks with launches: higher priority first, then the jobs that
+// were accepted first, then the first chunks.
+func compareLaunches(a, b *cluster.Chunk) int {
+	return cmp.Or(
+		b.Job.Spec.Priority.Rank()-a.Job.Spec.Priority.Rank(),
+		a.Job.AcceptedAt.Compare(b.Job.AcceptedAt),
+		a.Index-b.Index)
+}
+
+// addLaunches adds chunks with attempts that are not stored yet.
+func (w *Writer) addLaunches(b *batch, chunks []*cluster.Chunk, now time.Time) {
+	for _, c := range chunks {
+		record := w.recordWithinLimit(c, now)
+		if !b.hasRoom(1, record.JSONSize()) {
+			continue
+		}
+		b.putChunk(c, &record)
+		if key := store.JobKey(c.Job.Spec.ID); !b.hasGuard(key) {
+			// A job that was cancelled meanwhile starts nothing.
+			b.addGuard(key, c.Job.Revision)
+		}
+		for _, a := range c.Attempts {
+			if a.Unstored {
+				b.launches = append(b.launches, a)
+			}
+		}
+		b.urgent = true
+	}
+}
+
+// recordWithinLimit returns a chunk's record. It withdraws starts that are not stored
+// while the record is over the limit: names of machines and numbers of attempts may be
+// longer than estimated, and a record over the limit would be rejected again and again,
+// and with it everything in the same transaction.
+func (w *Writer) recordWithinLimit(c *cluster.Chunk, now time.Time) store.ChunkRecord {
+	limit := w.ValueLimit()
+	record := c.Record()
+	for record.JSONSize() > limit && w.state.WithdrawUnstoredStart(c, now) {
+		record = c.Record()
+	}
+	return record
+}
+
+// addRoutineWrites adds the chunks that the budget has room for, and those that have
+// waited too long.
+func (w *Writer) addRoutineWrites(b *batch, chunks []*cluster.Chunk, now time.Time) {
+	if len(chunks) == 0 || !now.After(w.NextRoutineWrite) {
+		return
+	}
+	budget := max(0, int(w.remainingWrites())-len(b.txn.Writes))
+	n := min(len(chunks), budget)
+	for n < len(chunks) && now.Sub(chunks[n].DirtySince) > maxRoutineWriteDelay {
+		n++
+		b.urgent = true
+	}
+	for _, c := range chunks[:n] {
+		if record := c.Record(); b.hasRoom(1, record.JSONSize()) {
+			b.putChunk(c, &record)
+		}
+	}
+	w.NextRoutineWrite = now.Add(routineWriteInterval)
+}
+
+// addOrphanDeletions fills a transaction that holds nothing else.
+func (w *Writer) addOrphanDeletions(b *batch) {
+	if b.urgent || len(b.chunks) > 0 {
+		return
+	}
+	for len(w.Orphans) > 0 && b.hasRoom(1, 0) {
+		orphan := w.Orphans[0]
+		w.Orphans = w.Orphans[1:]
+		b.deleteRecord(orphan)
+		b.orphans = append(b.orphans, orphan)
+	}
+}
--- /dev/null
+++ b/internal/leader/progress/subchunks.go
@@ -0,0 +1,84 @@
+package progress
+
+import (
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/store"
+)
+
+// valueBytes converts a limit in KiB to bytes.
+func valueBytes(kib float64) int { return int(kib * 1024) }
+
+// ValueLimit returns the size in bytes that a value may have.
+func (w *Writer) ValueLimit() int {
+	if w.ValueLimitLowered {
+		return valueBytes(w.limits().Least().ValueKB)
+	}
+	return valueBytes(w.limits().ValueKB)
+}
+
+// SplitOversizedChunks splits the chunks of jobs of which a changed one has become too
+// large to be written. It must not be called while a transaction is in flight.
+func (w *Writer) SplitOversizedChunks() {
+	if !w.ValueLimitLowered {
+		return
+	}
+	limit := w.ValueLimit()
+	maxTasks := store.ChunkTasksFor(w.limits().Least().ValueKB)
+	for c := range w.state.Unsaved.Chunks {
+		if !canSplit(c.Job, maxTasks) {
+			continue
+		}
+		if record := c.Record(); record.JSONSize() > limit {
+			w.splitChunks(c.Job, maxTasks)
+		}
+	}
+}
+
+// canSplit reports whether a job's chunks have more than so many tasks, are not split yet
+// and will be written again.
+func canSplit(j *cluster.Job, maxTasks int) bool {
+	ending := j.Finished || j.Archiving
+	return j.SubchunksPerChunk == 0 && j.TasksPerChunk > maxTasks && !ending
+}
+
+// splitChunks splits all chunks of a job into sub-chunks of equal size, of at most so many
+// tasks. The sub-chunks of a chunk that was to be written are to be written.
+func (w *Writer) splitChunks(j *cluster.Job, maxTasks int) {
+	perChunk := subchunksPerChunk(j.TasksPerChunk, maxTasks)
+	chunks := j.Chunks
+	j.Split(j.TasksPerChunk / perChunk)
+	for _, c := range chunks {
+		if c == nil {
+			continue
+		}
+		if _, dirty := w.state.Unsaved.Chunks[c]; !dirty {
+			continue
+		}
+		delete(w.state.Unsaved.Chunks, c)
+		w.markSubchunksDirty(c, perChunk)
+	}
+	w.log.Info("job progress split", "job", j.Spec.ID, "tasks_per_chunk", j.TasksPerChunk)
+}
+
+// subchunksPerChunk returns the least number of sub-chunks of equal size, of at most so
+// many tasks.
+func subchunksPerChunk(tasksPerChunk, maxTasks int) int {
+	n := (tasksPerChunk + maxTasks - 1) / maxTasks
+	for tasksPerChunk%n != 0 {
+		n++
+	}
+	return n
+}
+
+// markSubchunksDirty marks the sub-chunks of a former chunk as to be written. They have
+// waited for as long as the chunk.
+func (w *Writer) markSubchunksDirty(c *cluster.Chunk, perChunk int) {
+	subchunks := c.Job.Chunks
+	first := c.Index * perChunk
+	for i := first; i < min(first+perChunk, len(subchunks)); i++ {
+		if subchunks[i] != nil {
+			w.state.Unsaved.MarkDirty(subchunks[i])
+			subchunks[i].DirtySince = c.DirtySince
+		}
+	}
+}
--- a/internal/leader/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -1,4 +1,4 @@
-package leader
+package progress
 
 import (
 	"fmt"
@@ -9,21 +9,20 @@
 
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/cluster"
-	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/store"
 	"lilaclead/internal/wire"
 )
 
 // testWriter is a writer whose rate limit leaves so many changes.
-func testWriter(maxOps, budget int) *progress.Writer {
+func testWriter(maxOps, budget int) *Writer {
 	settings := &config.Settings{State: config.State{ValueKB: 16, TxnOps: maxOps}}
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, time.Now(), 50)
-	return progress.NewWriter(state, func() float64 { return float64(budget) }, slog.New(slog.DiscardHandler))
+	return NewWriter(state, func() float64 { return float64(budget) }, slog.New(slog.DiscardHandler))
 }
 
 // pendingChunk is the only chunk of a job, with a start that is not stored yet if
 // it launches.
-func pendingChunk(w *progress.Writer, id string, priority wire.Priority, launches bool) *cluster.Chunk {
+func pendingChunk(w *Writer, id string, priority wire.Priority, launches bool) *cluster.Chunk {
 	spec := wire.JobSpec{ID: wire.JobID(id), Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Priority: priority}
 	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 	c := j.Chunk(0)
@@ -31,20 +30,20 @@
 		c.Add(&cluster.Attempt{Job: j, Chunk: c, Machine: &cluster.Machine{ID: "n-1", Tasks: map[wire.Task]*cluster.Attempt{}}, Unstored: true})
 		c.UnstoredAttempts, j.UnstoredAttempts = 1, 1
 	}
-	w.State.Unsaved.MarkDirty(c)
+	w.state.Unsaved.MarkDirty(c)
 	return c
 }
 
 // writes lists the jobs of a batch's chunks.
-func writes(b *progress.Batch) string {
+func writes(b *batch) string {
 	if b == nil {
 		return "nothing"
 	}
 	ids := []wire.JobID{}
-	for _, c := range b.Chunks {
+	for _, c := range b.chunks {
 		ids = append(ids, c.Job.Spec.ID)
 	}
-	return fmt.Sprint(ids, " ", b.Urgent)
+	return fmt.Sprint(ids, " ", b.urgent)
 }
 
 // Launches go before routine writes, by priority; routine writes take what the
@@ -55,24 +54,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
 		w := testWriter(2, 1)
-		next := func(want string) *progress.Batch {
+		next := func(want string) *batch {
 			t.Helper()
-			if !w.Ready(time.Now()) {
+			if !w.ready(time.Now()) {
 				t.Fatal("not ready")
 			}
-			b := w.Next(50, time.Now())
+			b := w.nextBatch(50, time.Now())
 			if got := writes(b); got != want {
 				t.Errorf("writes %s, want %s", got, want)
 			}
 			return b
 		}
-		done := func(b *progress.Batch) {
-			for _, a := range b.Planned {
+		done := func(b *batch) {
+			for _, a := range b.launches {
 				a.Unstored = false
 				a.Chunk.UnstoredAttempts, a.Job.UnstoredAttempts = 0, 0
 			}
-			w.Answered()
-			w.Committed(b, 7)
+			w.onAnswer()
+			w.onCommitted(b, 7)
 		}
 		pendingChunk(w, "routine-1", wire.PriorityStandard, false)
 		time.Sleep(time.Millisecond)
@@ -81,34 +80,34 @@
 		earlier.Job.AcceptedAt = earlier.Job.AcceptedAt.Add(-time.Second)
 		pendingChunk(w, "prod", wire.PriorityProd, true)
 		b := next("[prod batch] true")
-		if g := b.Txn.Guards[0]; g != (wire.Guard{Key: store.LeaderKey, Revision: 50}) {
+		if g := b.txn.Guards[0]; g != (wire.Guard{Key: store.LeaderKey, Revision: 50}) {
 			t.Errorf("the first guard is %+v", g)
 		}
-		if w.Ready(time.Now()) {
+		if w.ready(time.Now()) {
 			t.Error("ready while a transaction is under way")
 		}
 		done(b)
-		time.Sleep(progress.RoutineWriteEvery + time.Millisecond)
+		time.Sleep(routineWriteInterval + time.Millisecond)
 		done(next("[routine-1] false"))
 		next("nothing") // too soon
-		w.WriteBudget = func() float64 { return 0 }
-		time.Sleep(progress.RoutineWriteEvery + time.Millisecond)
+		w.remainingWrites = func() float64 { return 0 }
+		time.Sleep(routineWriteInterval + time.Millisecond)
 		next("nothing") // no budget
-		time.Sleep(progress.RoutineWriteWithin)
+		time.Sleep(maxRoutineWriteDelay)
 		done(next("[routine-2] true"))
 		w.AddOrphan(wire.Guard{Key: "run/old/0", Revision: 3})
 		c := pendingChunk(w, "late", wire.PriorityStandard, true)
 		b = next("[late] true")
-		w.Answered()
-		w.Undone(b)
-		w.RetryLater(time.Now())
-		if w.Ready(time.Now()) || !c.Dirty || c.WriteInFlight {
-			t.Errorf("after a transaction that was not executed: ready %v, %+v", w.Ready(time.Now()), c)
+		w.onAnswer()
+		w.revert(b)
+		w.retryLater(time.Now())
+		if w.ready(time.Now()) || !c.Dirty || c.WriteInFlight {
+			t.Errorf("after a transaction that was not executed: ready %v, %+v", w.ready(time.Now()), c)
 		}
-		time.Sleep(progress.WriteRetry)
+		time.Sleep(writeRetryPause)
 		done(next("[late] true"))
-		if b = next("[] false"); len(b.Orphans) != 1 || len(w.Orphans) != 0 {
-			t.Errorf("left over: %v in the transaction, %v waiting", b.Orphans, w.Orphans)
+		if b = next("[] false"); len(b.orphans) != 1 || len(w.Orphans) != 0 {
+			t.Errorf("left over: %v in the transaction, %v waiting", b.orphans, w.Orphans)
 		}
 	})
 }
@@ -127,32 +126,32 @@
 		refusedAt := time.Time{}
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			b := w.Next(50, time.Now())
+			b := w.nextBatch(50, time.Now())
 			if b == nil {
 				continue
 			}
-			w.Answered()
+			w.onAnswer()
 			refused := false
-			for _, c := range b.Chunks {
+			for _, c := range b.chunks {
 				refused = refused || c == bad
 			}
 			if !refused {
-				w.Committed(b, 7)
-				for _, c := range b.Chunks {
+				w.onCommitted(b, 7)
+				for _, c := range b.chunks {
 					stored[c.Job.Spec.ID] = true
 				}
 				continue
 			}
-			if !refusedAt.IsZero() && time.Since(refusedAt) < progress.RefusedPause {
+			if !refusedAt.IsZero() && time.Since(refusedAt) < rejectedRecordPause {
 				t.Fatalf("tried again after %v", time.Since(refusedAt))
 			}
-			w.Undone(b)
-			if w.Refused(b, time.Now()) {
-				alone, refusedAt = len(b.Chunks) == 1, time.Now()
+			w.revert(b)
+			if w.onRejected(b, time.Now()) {
+				alone, refusedAt = len(b.chunks) == 1, time.Now()
 			}
 		}
-		if !alone || len(stored) != 2 || w.LimitLowered {
-			t.Errorf("refused by itself: %v, stored %v, limit lowered: %v", alone, stored, w.LimitLowered)
+		if !alone || len(stored) != 2 || w.ValueLimitLowered {
+			t.Errorf("refused by itself: %v, stored %v, limit lowered: %v", alone, stored, w.ValueLimitLowered)
 		}
 		if w.AllStored(time.Now(), time.Now()) != true {
 			t.Error("a record that is left alone keeps machines")
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -176,7 +176,7 @@
 		for _, j := range tm.state.Jobs {
 			tm.state.Unsaved.MarkDirty(j.Chunk(0))
 		}
-		tm.writer.RoutineAt = time.Now().Add(time.Hour)
+		tm.writer.NextRoutineWrite = time.Now().Add(time.Hour)
 		tm.state.Cycle.LastAt = time.Now().Add(time.Hour)
 		for b.Loop() {
 			tm.runDueWork(time.Now())
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -119,8 +119,8 @@
 			if j.Finished {
 				return
 			}
-			tm.writer.LimitLowered = tm.writer.LimitLowered || lowered // refused by itself
-			tm.writer.SplitLarge()
+			tm.writer.ValueLimitLowered = tm.writer.ValueLimitLowered || lowered // refused by itself
+			tm.writer.SplitOversizedChunks()
 			for c := range tm.state.Unsaved.Chunks {
 				if rapid.IntRange(0, 2).Draw(t, "writes") == 0 {
 					continue
@@ -292,7 +292,7 @@
 			tm.state.EndAttempt(a, cluster.TaskDone)
 		}
 		orphan := store.ChunkKey("req-8", 0)
-		tm.writer.Orphans = append(tm.writer.Orphans, wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{NextAttempt: 2})})
+		tm.writer.AddOrphan(wire.Guard{Key: orphan, Revision: st.Put(orphan, store.ChunkRecord{NextAttempt: 2})})
 		settle()
 		if launch.UnstoredAttempts > 0 || len(st.Keys(store.ProgressPrefix+"req-5/")) == 0 {
 			t.Error("a launch is held up")
@@ -356,7 +356,7 @@
 			t.Error("released before its progress is written")
 		}
 		tm.committer.Flush(time.Now())
-		if !tm.writer.InFlight || tm.writer.AllStored(m.LastUsedAt, time.Now()) {
+		if !tm.writer.InFlight() || tm.writer.AllStored(m.LastUsedAt, time.Now()) {
 			t.Error("released while its progress is being written")
 		}
 		settle()
