--- a/internal/leader/gang_guards_test.go
+++ b/internal/leader/gang_guards_test.go
@@ -13,19 +13,19 @@
 
 // gangRig is a term without I/O with a gang that saves, each of its tasks held
 // and stored on a machine of its own. Chunks have two tasks.
-func gangRig(t *testing.T, parts int, try wire.Attempt) (*term, *cluster.Job) {
+func newGangTerm(t *testing.T, parts int, try wire.Attempt) (*term, *cluster.Job) {
 	t.Helper()
-	tm, _, single := rig(t)
+	tm, _, single := newTestTerm(t)
 	tm.state.EndAttempt(single, cluster.TaskPending)
 	delete(tm.state.Jobs, single.Job.Spec.ID)
 	tm.state.Settings.Workers.GangWait, tm.state.Settings.Workers.GangPeerTimeout = 40, 8
-	j := gangJob(tm, "req-2", parts)
+	j := addGangJob(tm, "req-2", parts)
 	j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 20, 3
 	j.TasksPerChunk = 2
 	j.Chunks = make([]*cluster.Chunk, (parts+1)/2)
 	j.Gang = &cluster.Gang{Number: try, StartedAt: time.Now()}
 	for i := range parts {
-		m := gangMachine(tm, i)
+		m := addHeardMachine(tm, i)
 		a := &cluster.Attempt{Job: j, Chunk: j.Chunk(i / j.TasksPerChunk), Index: i % j.TasksPerChunk, Number: try, Machine: m, DecidedAt: time.Now()}
 		a.Chunk.Add(a)
 		a.Chunk.NextAttempt = try + 1
@@ -33,18 +33,18 @@
 	return tm, j
 }
 
-func gangMachine(tm *term, i int) *cluster.Machine {
+func addHeardMachine(tm *term, i int) *cluster.Machine {
 	m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
 	m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.LastReplyAt = 1, 10, tm.state.FirstToken, time.Now(), time.Now(), time.Now()
 	return m
 }
 
 // member is the attempt of the gang's i-th task.
-func member(j *cluster.Job, i int) *cluster.Attempt {
+func gangAttempt(j *cluster.Job, i int) *cluster.Attempt {
 	return j.Chunk(i / j.TasksPerChunk).Attempts[i%j.TasksPerChunk]
 }
 
-func launches(orders []wire.Command) (n int) {
+func countLaunches(orders []wire.Command) (n int) {
 	for _, o := range orders {
 		if o.Verb == wire.Launch {
 			n++
@@ -63,12 +63,12 @@
 		"all stored":     {func(*term, *cluster.Job) {}, true},
 		"no gang at all": {func(_ *term, j *cluster.Job) { j.Gang = nil }, true},
 		"one is not yet stored": {func(_ *term, j *cluster.Job) {
-			a := member(j, 2)
+			a := gangAttempt(j, 2)
 			a.Unstored = true
 			a.Chunk.UnstoredAttempts++
 			j.UnstoredAttempts++
 		}, false},
-		"one is not held":       {func(tm *term, j *cluster.Job) { tm.state.EndAttempt(member(j, 2), cluster.TaskPending) }, false},
+		"one is not held":       {func(tm *term, j *cluster.Job) { tm.state.EndAttempt(gangAttempt(j, 2), cluster.TaskPending) }, false},
 		"one was lost":          {func(_ *term, j *cluster.Job) { j.Gang.Broken = true }, false},
 		"it is told to stop":    {func(_ *term, j *cluster.Job) { j.Gang.StoppingGracefully = true }, false},
 		"one has no time left":  {func(tm *term, j *cluster.Job) { tm.dispatcher.StopGang(j, 0, "makes room") }, false},
@@ -76,11 +76,11 @@
 		"its job was cancelled": {func(_ *term, j *cluster.Job) { j.Cancelled = true }, false},
 	}
 	for name, c := range cases {
-		tm, j := gangRig(t, 3, 4)
-		first := member(j, 0)
+		tm, j := newGangTerm(t, 3, 4)
+		first := gangAttempt(j, 0)
 		c.setup(tm, j)
-		rep := said(1, 11, tm.state.FirstToken)
-		if sent := launches(tm.dispatcher.CommandsFor(first.Machine, rep, time.Now())) == 1; sent != c.may {
+		rep := heartbeatFrom(1, 11, tm.state.FirstToken)
+		if sent := countLaunches(tm.dispatcher.CommandsFor(first.Machine, rep, time.Now())) == 1; sent != c.may {
 			t.Errorf("%s: the first task's launch is sent: %v", name, sent)
 		}
 	}
@@ -110,8 +110,8 @@
 		}, false},
 	}
 	for name, c := range cases {
-		tm, j := gangRig(t, 3, 4)
-		a := member(j, 0)
+		tm, j := newGangTerm(t, 3, 4)
+		a := gangAttempt(j, 0)
 		a.Inherited, a.LaunchSent = true, true
 		c.setup(tm, j, a)
 		if again := tm.state.MayRelaunch(a); again != c.again {
@@ -120,8 +120,8 @@
 		if name != "the others wait" {
 			continue
 		}
-		tm.reconciler.Reconcile(a.Machine, said(1, 11, tm.state.FirstToken), true, time.Now())
-		if n := launches(tm.dispatcher.CommandsFor(a.Machine, said(1, 11, tm.state.FirstToken), time.Now())); j.ActiveTasks != 3 || n != 1 {
+		tm.reconciler.Reconcile(a.Machine, heartbeatFrom(1, 11, tm.state.FirstToken), true, time.Now())
+		if n := countLaunches(tm.dispatcher.CommandsFor(a.Machine, heartbeatFrom(1, 11, tm.state.FirstToken), time.Now())); j.ActiveTasks != 3 || n != 1 {
 			t.Errorf("%s: %d held, %d launches", name, j.ActiveTasks, n)
 		}
 	}
@@ -130,7 +130,7 @@
 // halts tells how long each task of the gang is given to save, -1: not told.
 func halts(j *cluster.Job) (out []wire.Seconds) {
 	for i := range j.Spec.Tasks {
-		switch a := member(j, i); {
+		switch a := gangAttempt(j, i); {
 		case a == nil:
 			out = append(out, -2)
 		case !a.Stopping:
@@ -159,10 +159,10 @@
 		"inherited, not known whether it ran": {func(g *cluster.Gang) { g.Inherited = true }, []wire.Seconds{13}, 13},
 	}
 	for name, c := range cases {
-		tm, j := gangRig(t, 3, 4)
+		tm, j := newGangTerm(t, 3, 4)
 		c.setup(j.Gang)
 		for _, windDown := range c.told {
-			tm.dispatcher.Stop(member(j, 1), windDown, "makes room")
+			tm.dispatcher.Stop(gangAttempt(j, 1), windDown, "makes room")
 		}
 		for i, got := range halts(j) {
 			if got != c.want {
@@ -177,9 +177,9 @@
 
 // Cancelling gives no time, also to a gang that is saving.
 func TestGangCancelledWhileSaving(t *testing.T) {
-	tm, j := gangRig(t, 3, 4)
+	tm, j := newGangTerm(t, 3, 4)
 	j.Gang.Ran = true
-	tm.dispatcher.Stop(member(j, 1), 13, "makes room")
+	tm.dispatcher.Stop(gangAttempt(j, 1), 13, "makes room")
 	tm.dispatcher.StopCancelledJob(j)
 	if got := halts(j); got[0] != 0 || got[1] != 0 || got[2] != 0 {
 		t.Errorf("time to save %v", got)
@@ -189,13 +189,13 @@
 // What is left of a gang that lost a task is stopped, unless it is stopping in
 // order; when nothing is left it may be placed anew.
 func TestMendGangs(t *testing.T) {
-	tm, j := gangRig(t, 3, 4)
+	tm, j := newGangTerm(t, 3, 4)
 	j.Gang.Ran = true
 	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != -1 || got[1] != -1 || got[2] != -1 {
 		t.Errorf("nothing is lost, and yet %v", got)
 	}
-	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
+	tm.state.EndAttempt(gangAttempt(j, 1), cluster.TaskPending)
 	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != 0 || got[1] != -2 || got[2] != 0 || !j.Gang.Broken {
 		t.Errorf("one is lost: %v", got)
@@ -203,18 +203,18 @@
 	if tm.scheduler.Schedulable(j, time.Now()) {
 		t.Error("placed while two of its tasks are left")
 	}
-	tm.state.EndAttempt(member(j, 0), cluster.TaskPending)
-	tm.state.EndAttempt(member(j, 2), cluster.TaskPending)
+	tm.state.EndAttempt(gangAttempt(j, 0), cluster.TaskPending)
+	tm.state.EndAttempt(gangAttempt(j, 2), cluster.TaskPending)
 	tm.state.Cycle.Requested = false
 	tm.dispatcher.StopBrokenGangs()
 	if j.Gang != nil || !tm.state.Cycle.Requested || !tm.scheduler.Schedulable(j, time.Now()) {
 		t.Errorf("nothing is left: gang %+v, round wanted %v, may be placed %v", j.Gang, tm.state.Cycle.Requested, tm.scheduler.Schedulable(j, time.Now()))
 	}
 
-	tm, j = gangRig(t, 3, 4)
+	tm, j = newGangTerm(t, 3, 4)
 	j.Gang.Ran = true
-	tm.dispatcher.Stop(member(j, 0), 13, "makes room")
-	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
+	tm.dispatcher.Stop(gangAttempt(j, 0), 13, "makes room")
+	tm.state.EndAttempt(gangAttempt(j, 1), cluster.TaskPending)
 	tm.dispatcher.StopBrokenGangs()
 	if got := halts(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("the first has saved and exited, the others have %v", got)
@@ -223,15 +223,15 @@
 
 // When one task of a gang is done all are, whatever the others show.
 func TestGangDone(t *testing.T) {
-	tm, j := gangRig(t, 3, 4)
-	m := member(j, 1).Machine
+	tm, j := newGangTerm(t, 3, 4)
+	m := gangAttempt(j, 1).Machine
 	tm.reconciler.Reconcile(m, &wire.Heartbeat{Machine: m.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 		Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseExited, Cause: wire.CauseDone}}}, true, time.Now())
 	tm.dispatcher.StopBrokenGangs()
-	mustBeDone(t, "one reported done", tm, j)
+	checkGangDone(t, "one reported done", tm, j)
 }
 
-func mustBeDone(t *testing.T, name string, tm *term, j *cluster.Job) {
+func checkGangDone(t *testing.T, name string, tm *term, j *cluster.Job) {
 	t.Helper()
 	if j.DoneTasks != j.Spec.Tasks || j.ActiveTasks != 0 || j.Gang != nil || !j.Finished {
 		t.Errorf("%s: %d done, %d held, gang %+v, over %v", name, j.DoneTasks, j.ActiveTasks, j.Gang, j.Finished)
@@ -256,7 +256,7 @@
 
 // held is the record of a gang's tasks on machines n-1 and on, by their attempts'
 // numbers; 0: none.
-func heldRecords(tries ...wire.Attempt) (recs []store.ChunkRecord) {
+func activeRecords(tries ...wire.Attempt) (recs []store.ChunkRecord) {
 	for i, try := range tries {
 		if i%2 == 0 {
 			recs = append(recs, store.ChunkRecord{NextAttempt: 1, Active: []store.ActiveAttempt{}})
@@ -276,14 +276,14 @@
 		gang bool
 		mend bool // it is stopped, and begins anew
 	}{
-		"whole":                  {heldRecords(4, 4, 4), true, false},
-		"in part":                {heldRecords(4, 4, 0), true, true},
-		"one has another number": {heldRecords(4, 3, 4), true, true},
-		"the last has another":   {heldRecords(4, 4, 3), true, true},
-		"nothing":                {heldRecords(0, 0, 0), false, false},
+		"whole":                  {activeRecords(4, 4, 4), true, false},
+		"in part":                {activeRecords(4, 4, 0), true, true},
+		"one has another number": {activeRecords(4, 3, 4), true, true},
+		"the last has another":   {activeRecords(4, 4, 3), true, true},
+		"nothing":                {activeRecords(0, 0, 0), false, false},
 	}
 	for name, c := range cases {
-		tm, j := readRig(t, c.recs)
+		tm, j := newTermFromRecords(t, c.recs)
 		if (j.Gang != nil) != c.gang {
 			t.Errorf("%s: gang %+v", name, j.Gang)
 			continue
@@ -302,20 +302,20 @@
 		}
 	}
 	for name, recs := range map[string][]store.ChunkRecord{
-		"one is recorded as done, the others as held": heldRecords(4, 0, 4),
-		"one as done, one as held":                    heldRecords(4, 0, 0),
-		"one as done, nothing as held":                heldRecords(0, 0, 0),
+		"one is recorded as done, the others as held": activeRecords(4, 0, 4),
+		"one as done, one as held":                    activeRecords(4, 0, 0),
+		"one as done, nothing as held":                activeRecords(0, 0, 0),
 	} {
 		recs[0].Done = store.PackRanges([]bool{false, true})
-		tm, j := readRig(t, recs)
-		mustBeDone(t, name, tm, j)
+		tm, j := newTermFromRecords(t, recs)
+		checkGangDone(t, name, tm, j)
 	}
 }
 
 // readRig is a term that has read a gang of three and these records.
-func readRig(t *testing.T, recs []store.ChunkRecord) (*term, *cluster.Job) {
+func newTermFromRecords(t *testing.T, recs []store.ChunkRecord) (*term, *cluster.Job) {
 	t.Helper()
-	tm, j := gangRig(t, 3, 4)
+	tm, j := newGangTerm(t, 3, 4)
 	for _, a := range j.Attempts() {
 		a.Detach()
 		a.Chunk.TaskStates[a.Index] = cluster.TaskPending
@@ -331,11 +331,11 @@
 // A gang starts with one number for all, above every number that any of its tasks
 // has had, and no later one may have it.
 func TestStartGangNumber(t *testing.T) {
-	tm, j := readRig(t, heldRecords(0, 0, 0, 0)[:2])
+	tm, j := newTermFromRecords(t, activeRecords(0, 0, 0, 0)[:2])
 	j.Chunk(0).NextAttempt, j.Chunk(1).NextAttempt = 3, 7
 	var ms []*cluster.Machine
 	for i := range j.Spec.Tasks {
-		ms = append(ms, gangMachine(tm, i))
+		ms = append(ms, addHeardMachine(tm, i))
 	}
 	tm.scheduler.StartGang(j, ms, time.Now())
 	if len(j.Attempts()) != 3 || j.UnstoredAttempts != 3 || j.Gang.Number != 7 || j.Gang.Inherited || j.FullyStored() {
@@ -358,17 +358,17 @@
 // state service is away and a majority agrees, else not; nothing is launched then.
 func TestSaveBeforeNotice(t *testing.T) {
 	for _, deciding := range []bool{true, false} {
-		tm, j := gangRig(t, 3, 4)
+		tm, j := newGangTerm(t, 3, 4)
 		j.Gang.Ran = true
-		m := member(j, 0).Machine
+		m := gangAttempt(j, 0).Machine
 		single := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
 		tm.state.Jobs["req-3"] = single
 		array := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Number: 2, Machine: m, Observed: true}
 		array.Chunk.Add(array)
-		waiting := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Index: 1, Number: 3, Machine: member(j, 1).Machine}
+		waiting := &cluster.Attempt{Job: single, Chunk: single.Chunk(0), Index: 1, Number: 3, Machine: gangAttempt(j, 1).Machine}
 		waiting.Chunk.Add(waiting)
 		if !deciding {
-			tm.Lease = leaseFor(tm.leader, tm.Fencing.Token, -time.Millisecond)
+			tm.Lease = newLease(tm.leader, tm.Fencing.Token, -time.Millisecond)
 		}
 		watch := func(left time.Duration) {
 			now := time.Now()
@@ -376,7 +376,7 @@
 			tm.monitor.CheckMachine(m, tm.monitor.CountMachines(now), now)
 		}
 		if !deciding {
-			if watch(time.Second); array.Stopping || member(j, 0).Stopping {
+			if watch(time.Second); array.Stopping || gangAttempt(j, 0).Stopping {
 				t.Error("stopped by a leader that no majority agrees with")
 			}
 			tm.Lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
@@ -390,9 +390,9 @@
 		if watch(5900 * time.Millisecond); !array.Stopping || array.GracePeriod != 5 {
 			t.Errorf("deciding %v: the array is told %v, %v to save", deciding, array.Stopping, array.GracePeriod)
 		}
-		other := member(j, 1).Machine
+		other := gangAttempt(j, 1).Machine
 		tm.leader.Cancels.RecordRead(time.Now())
-		r := tm.tell(&wire.Heartbeat{Machine: other.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
+		r := sendHeartbeat(tm, &wire.Heartbeat{Machine: other.ID, Epoch: 1, Sequence: 11, Token: tm.state.FirstToken,
 			Tasks: []wire.TaskState{{Task: "req-2/1", Attempt: 4, Phase: wire.PhaseRunning}}})
 		told := 0
 		if r.Commands != nil {
@@ -403,16 +403,16 @@
 			}
 		}
 		if !deciding {
-			ended, end := context.WithCancel(t.Context())
+			termOver, end := context.WithCancel(t.Context())
 			end() // the command itself goes nowhere
-			tm.Begin(ended)
+			tm.Begin(termOver)
 			other.Addr = "10.1.0.1:9000"
-			member(j, 1).StopSentAt = time.Time{}
-			if tm.dispatcher.Dispatch(other); waiting.LaunchSent || member(j, 1).StopSentAt.IsZero() {
-				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.LaunchSent, !member(j, 1).StopSentAt.IsZero())
+			gangAttempt(j, 1).StopSentAt = time.Time{}
+			if tm.dispatcher.Dispatch(other); waiting.LaunchSent || gangAttempt(j, 1).StopSentAt.IsZero() {
+				t.Errorf("a direct command without the state service: launches %v, halts %v", waiting.LaunchSent, !gangAttempt(j, 1).StopSentAt.IsZero())
 			}
 		}
-		if n := launches(r.Commands.Commands); told != 1 || (n == 1) != deciding {
+		if n := countLaunches(r.Commands.Commands); told != 1 || (n == 1) != deciding {
 			t.Errorf("deciding %v: the answer to another machine has %d halts and %d launches", deciding, told, n)
 		}
 	}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -1,6 +1,8 @@
 package leader
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -12,89 +14,98 @@
 	"lilaclead/internal/wire"
 )
 
-func gangJob(tm *term, id wire.JobID, parts int) *cluster.Job {
-	j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: parts, CPUs: 2, MemoryGB: 4, SameZone: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
+// addGangJob adds a gang of so many tasks to a term's model.
+func addGangJob(tm *term, id wire.JobID, tasks int) *cluster.Job {
+	spec := wire.JobSpec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: tasks, CPUs: 2, MemoryGB: 4, SameZone: true}
+	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
 	tm.state.Jobs[id] = j
 	return j
 }
 
-// A gang whose claims lapse in part, with a machine, keeps none of them: with the
-// rest no room was made for it until they had lapsed too.
-func TestClaimsOfAGangLapseTogether(t *testing.T) {
-	tm, m, _ := rig(t)
-	gangJob(tm, "req-2", 2)
+// A gang of which some reservations end with a machine keeps none of them: with the others
+// no room was made for it until they had ended too.
+func TestReservationsOfAGangEndTogether(t *testing.T) {
+	tm, m, _ := newTestTerm(t)
+	addGangJob(tm, "req-2", 2)
 	other := tm.state.GetOrAddMachine("n-2")
 	now := time.Now()
-	for _, x := range []*cluster.Machine{m, other} {
-		x.Reservations = []cluster.Reservation{{Reservation: placement.Reservation{Job: "req-2", Rank: 1}, Until: now.Add(time.Minute)}}
-		tm.scheduler.ReservedMachines[x] = struct{}{}
+	for _, reserved := range []*cluster.Machine{m, other} {
+		reserved.Reservations = []cluster.Reservation{{Reservation: placement.Reservation{Job: "req-2", Rank: 1}, Until: now.Add(time.Minute)}}
+		tm.scheduler.ReservedMachines[reserved] = struct{}{}
 	}
-	if n := tm.scheduler.PruneReservations(now); n["req-2"] != 2 {
-		t.Fatalf("claims %v", n)
+	if got := tm.scheduler.PruneReservations(now); got["req-2"] != 2 {
+		t.Fatalf("reservations on both machines: got %v, want 2 of req-2", got)
 	}
 	delete(tm.state.Machines, other.ID)
-	if n := tm.scheduler.PruneReservations(now); n["req-2"] != 0 || len(m.Reservations) != 0 || len(tm.scheduler.ReservedMachines) != 0 {
-		t.Errorf("claims %v, on the machine that is left %v", n, m.Reservations)
+	if got := tm.scheduler.PruneReservations(now); got["req-2"] != 0 || len(m.Reservations) != 0 || len(tm.scheduler.ReservedMachines) != 0 {
+		t.Errorf("reservations after a machine was removed: got %v, and %v on the machine that is left, want none", got, m.Reservations)
 	}
 }
 
-// Room is kept for the largest gang of each class that is unfinished or was so in
-// the last three minutes.
-func TestNextGangs(t *testing.T) {
-	tm, _, _ := rig(t)
+// Room is kept for the largest gang of each class that is unfinished or was so in the last
+// three minutes.
+func TestRoomIsKeptForTheLargestRecentGang(t *testing.T) {
+	tm, _, _ := newTestTerm(t)
 	now := time.Now()
-	names := func(times float64, at time.Time) (out []wire.JobID) {
-		for _, s := range tm.scheduler.ExpectedGangs(times, at) {
-			out = append(out, s.ID)
-		}
-		return
-	}
-	gangJob(tm, "req-2", 2)
-	gangJob(tm, "req-3", 4)
-	if got := names(1, now); len(got) != 1 || got[0] != "req-3" {
-		t.Errorf("room for %v", got)
-	}
-	if got := names(2, now); len(got) != 2 {
-		t.Errorf("twice: room for %v", got)
+	addGangJob(tm, "req-2", 2)
+	addGangJob(tm, "req-3", 4)
+	justBefore, justAfter := now.Add(scheduling.RecentGangLife-time.Second), now.Add(scheduling.RecentGangLife+time.Second)
+	cases := []struct {
+		name  string
+		setup func()
+		times float64
+		at    time.Time
+		want  []wire.JobID
+	}{
+		{"two unfinished", func() {}, 1, now, []wire.JobID{"req-3"}},
+		{"two unfinished, room for none", func() {}, 0, now, nil},
+		{"the largest was unfinished lately", func() { delete(tm.state.Jobs, "req-3") }, 1, justBefore, []wire.JobID{"req-3"}},
+		{"the largest was finished long ago", func() {}, 1, justAfter, []wire.JobID{"req-2"}},
 	}
-	if got := names(0, now); len(got) != 0 {
-		t.Errorf("none: room for %v", got)
+	if got := tm.scheduler.ExpectedGangs(2, now); len(got) != 2 {
+		t.Errorf("two unfinished, room for two: got %d gangs, want 2", len(got))
 	}
-	delete(tm.state.Jobs, "req-3")
-	if got := names(1, now.Add(scheduling.RecentGangLife-time.Second)); len(got) != 1 || got[0] != "req-3" {
-		t.Errorf("lately: room for %v", got)
-	}
-	if got := names(1, now.Add(scheduling.RecentGangLife+time.Second)); len(got) != 1 || got[0] != "req-2" {
-		t.Errorf("later: room for %v", got)
+	for _, c := range cases {
+		c.setup()
+		var got []wire.JobID
+		for _, spec := range tm.scheduler.ExpectedGangs(c.times, c.at) {
+			got = append(got, spec.ID)
+		}
+		if !slices.Equal(got, c.want) {
+			t.Errorf("%s: got room for %v, want %v", c.name, got, c.want)
+		}
 	}
-	ds := tm.scheduler.GangReserves(1, now.Add(scheduling.RecentGangLife+time.Second))
-	if len(ds) != 1 || !ds[0].AllOrNothing || ds[0].Units != 2 || ds[0].Rank >= 9 {
-		t.Errorf("demands %+v", ds)
+	reserves := tm.scheduler.GangReserves(1, justAfter)
+	if len(reserves) != 1 || !reserves[0].AllOrNothing || reserves[0].Units != 2 || reserves[0].Rank >= 9 {
+		t.Errorf("reserves: got %+v, want one of 2 units, all or nothing, with a rank below 9", reserves)
 	}
 }
 
-// While an urgent gang can still start within its class's aim it does not wait for
-// tasks that will end by themselves later than that; once it is late it may again.
-func TestPatienceEndsWithTheStartObjective(t *testing.T) {
-	tm, _, _ := rig(t)
-	now := time.Now()
-	gang := gangJob(tm, "req-2", 3)
-	gang.Spec.Priority, gang.Spec.ExpectedRunTime = wire.PriorityUrgent, 30
-	after := func(waited time.Duration) float64 {
-		gang.AcceptedAt = now.Add(-waited)
-		return tm.scheduler.PatienceSeconds(gang, now)
-	}
-	if got := after(0); got != scheduling.MaxPatienceS {
-		t.Errorf("without an aim: %g s", got)
-	}
-	tm.state.Settings.Objectives = []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: gang.Spec.Class, Within: 2}}
-	if got := after(0); got != 1 {
-		t.Errorf("at once: %g s of 2 s", got)
-	}
-	if got := after(1500 * time.Millisecond); got != 0.25 {
-		t.Errorf("after 1.5 s: %g s of the last 0.5 s", got)
+// While an urgent gang can still start within its class's objective it does not wait for
+// tasks that will end by themselves later than that. Once it is late it may wait again.
+func TestGangWaitsNoLongerThanItsStartObjective(t *testing.T) {
+	objectives := []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: "sweep", Within: 2}}
+	cases := []struct {
+		objectives []config.Objective
+		waited     time.Duration
+		want       float64 // seconds
+	}{
+		{nil, 0, scheduling.MaxPatienceS},
+		{objectives, 0, 1},
+		{objectives, 1500 * time.Millisecond, 0.25},
+		{objectives, 2 * time.Second, scheduling.MaxPatienceS + 1 - 2},
 	}
-	if got := after(2 * time.Second); got != scheduling.MaxPatienceS+1-2 {
-		t.Errorf("late: %g s", got)
+	for _, c := range cases {
+		t.Run(fmt.Sprintf("%d objectives, waited %v", len(c.objectives), c.waited), func(t *testing.T) {
+			tm, _, _ := newTestTerm(t)
+			now := time.Now()
+			gang := addGangJob(tm, "req-2", 3)
+			gang.Spec.Priority, gang.Spec.ExpectedRunTime = wire.PriorityUrgent, 30
+			gang.AcceptedAt = now.Add(-c.waited)
+			tm.state.Settings.Objectives = c.objectives
+			if got := tm.scheduler.PatienceSeconds(gang, now); got != c.want {
+				t.Errorf("patience: got %g s, want %g s", got, c.want)
+			}
+		})
 	}
 }
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -26,7 +26,7 @@
 // newHeartbeatNode returns a node that knows no leader and has no other nodes in contact.
 func newHeartbeatNode(t *testing.T) *heartbeatNode {
 	t.Helper()
-	tm, _, _ := rig(t)
+	tm, _, _ := newTestTerm(t)
 	node := &heartbeatNode{Leader: tm.leader, term: tm}
 	node.contacts = newAgentContacts()
 	node.candidate = election.NewCandidate(node.Config, nil, node.Log, nil)
@@ -83,7 +83,7 @@
 			name: "the term has ended",
 			setup: func(n *heartbeatNode) {
 				n.Leader.term.Store(n.term)
-				n.term.Lease = leaseFor(n.Leader, 50, -time.Second)
+				n.term.Lease = newLease(n.Leader, 50, -time.Second)
 			},
 			body: heartbeat, wantStatus: http.StatusServiceUnavailable, wantCounts: []string{"elsewhere"},
 		},
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"fmt"
 	"math"
 	"testing"
 	"testing/synctest"
@@ -12,176 +13,214 @@
 	"lilaclead/internal/wire"
 )
 
-// A large zone goes silent at once. It is told within seconds, before the first
-// of its machines is taken for lost: none is returned, nothing is placed or
-// rented there, and its room is not counted on. (The leader once returned 467
-// of 600 such machines one by one, before most of them were overdue.) Silence
-// of this node itself is no such sign, nor are machines that die here and there.
-func TestLargeZoneGoesSilent(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		tm := sized(t, 300)
-		report := func(skip func(*cluster.Machine) bool) {
-			for _, m := range tm.state.Machines {
-				if !skip(m) {
-					rep := reportOf(m)
-					tm.reconciler.Reconcile(m, &rep, true, time.Now())
-					m.LastReplyAt = time.Now()
-				}
-			}
+// noneSilent selects no machine as silent.
+func noneSilent(*cluster.Machine) bool { return false }
+
+// handlePostedEvents handles the events that have been posted.
+func handlePostedEvents(tm *term) {
+	for {
+		select {
+		case e := <-tm.Events:
+			tm.handle(e)
+		default:
+			return
 		}
-		// Each machine reports every ten seconds, a hundredth of them at a time.
-		watch := func(d time.Duration, silent func(*cluster.Machine) bool) {
-			for end := time.Now().Add(d); time.Now().Before(end); {
-				time.Sleep(500 * time.Millisecond)
-				turn := time.Now().UnixMilli() / 500 % 20
-				report(func(m *cluster.Machine) bool {
-					var n int64
-					for _, c := range m.ID {
-						n = n*10 + int64(c-'0')
-					}
-					return silent(m) || n%20 != turn
-				})
-				tm.monitor.CheckMachines(time.Now())
-				for more := true; more; {
-					select {
-					case e := <-tm.Events:
-						tm.handle(e)
-					default:
-						more = false
-					}
-				}
+	}
+}
+
+// sendsInSlot reports whether a machine sends its heartbeat in one of the twenty slots of
+// half a second in which each machine sends one.
+func sendsInSlot(m *cluster.Machine, slot int64) bool {
+	var n int64
+	for _, c := range m.ID {
+		n = n*10 + int64(c-'0')
+	}
+	return n%20 == slot
+}
+
+// receiveHeartbeats lets time pass while each machine that is not silent sends a heartbeat
+// every ten seconds.
+func receiveHeartbeats(tm *term, d time.Duration, silent func(*cluster.Machine) bool) {
+	for end := time.Now().Add(d); time.Now().Before(end); {
+		time.Sleep(500 * time.Millisecond)
+		slot := time.Now().UnixMilli() / 500 % 20
+		for _, m := range tm.state.Machines {
+			if silent(m) || !sendsInSlot(m, slot) {
+				continue
 			}
+			heartbeat := heartbeatOf(m)
+			tm.reconciler.Reconcile(m, &heartbeat, true, time.Now())
+			m.LastReplyAt = time.Now()
 		}
-		defer tm.End("the test is over")
-		none := func(*cluster.Machine) bool { return false }
-		returned := func(z wire.Zone) (n int) {
-			for _, m := range tm.state.Machines {
-				if m.Zone == z && m.ScalingIn {
-					n++
-				}
-			}
-			return
+		tm.monitor.CheckMachines(time.Now())
+		handlePostedEvents(tm)
+	}
+}
+
+// scalingIn counts the machines of a zone that are being scaled in.
+func scalingIn(tm *term, zone wire.Zone) int {
+	n := 0
+	for _, m := range tm.state.Machines {
+		if m.Zone == zone && m.ScalingIn {
+			n++
 		}
-		watch(20*time.Second, none)
-		time.Sleep(5 * time.Second) // nothing comes in at all
-		watch(20*time.Second, none)
-		for _, z := range tm.state.Settings.Zones {
-			if tm.state.LatelyPartitioned(z, time.Now()) {
-				t.Errorf("zone %s is called cut off when this node stood still", z)
+	}
+	return n
+}
+
+// A large zone goes silent at once. It counts as partitioned within seconds, before the
+// first of its machines is taken for lost: none is scaled in, nothing is placed or scaled
+// out there, and its room is not counted on. (The leader once scaled in 467 of 600 such
+// machines one by one, before most of them were overdue.) Silence of this node itself is no
+// such sign, nor are machines that fail here and there.
+func TestSilentLargeZoneCountsAsPartitioned(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		tm := newSizedTerm(t, 300)
+		defer tm.End("the test is over")
+		partitioned := func(zone wire.Zone) bool { return tm.state.LatelyPartitioned(zone, time.Now()) }
+		receiveHeartbeats(tm, 20*time.Second, noneSilent)
+		time.Sleep(5 * time.Second) // this node receives nothing at all
+		receiveHeartbeats(tm, 20*time.Second, noneSilent)
+		for _, zone := range tm.state.Settings.Zones {
+			if partitioned(zone) {
+				t.Errorf("zone %s after this node stood still: got partitioned, want connected", zone)
 			}
 		}
-		cut := time.Now()
-		inA := func(m *cluster.Machine) bool { return m.Zone == "a" }
-		watch(3*time.Second, inA)
-		if !tm.state.LatelyPartitioned("a", time.Now()) || tm.state.LatelyPartitioned("b", time.Now()) {
-			t.Error("after 3 s the zone is not told to be cut off, or another one is")
+		partitionedAt := time.Now()
+		inZoneA := func(m *cluster.Machine) bool { return m.Zone == "a" }
+		receiveHeartbeats(tm, 3*time.Second, inZoneA)
+		if a, b := partitioned("a"), partitioned("b"); !a || b {
+			t.Errorf("zones a and b partitioned after 3 s of silence of a: got %v and %v, want true and false", a, b)
 		}
-		watch(25*time.Second, inA)
-		if n := returned("a"); n != 0 {
-			t.Errorf("%d machines of the cut zone are returned after %v", n, time.Since(cut))
+		receiveHeartbeats(tm, 25*time.Second, inZoneA)
+		if n := scalingIn(tm, "a"); n != 0 {
+			t.Errorf("machines of the partitioned zone scaled in after %v: got %d, want 0", time.Since(partitionedAt), n)
 		}
 		for _, m := range tm.state.Machines {
 			if m.Zone == "a" && tm.scheduler.Usable(m, time.Now()) {
-				t.Fatalf("%s takes launches behind the cut", m.ID)
+				t.Fatalf("machine %s in the partitioned zone: got usable, want unusable", m.ID)
 			}
 		}
-		for _, o := range tm.scheduler.Offers(tm.leader.Catalog.Get(), time.Now()) {
-			if o.Zone == "a" {
-				t.Error("machines would be rented behind the cut")
+		for _, offer := range tm.scheduler.Offers(tm.leader.Catalog.Get(), time.Now()) {
+			if offer.Zone == "a" {
+				t.Errorf("offer in the partitioned zone: got %+v, want none", offer)
 			}
 		}
-		watch(40*time.Second, none)
-		if n := returned("a"); n != 0 || tm.state.LatelyPartitioned("a", time.Now()) {
-			t.Errorf("%d machines are returned when the zone is back, cut off: %v", n, tm.state.LatelyPartitioned("a", time.Now()))
+		receiveHeartbeats(tm, 40*time.Second, noneSilent)
+		if n := scalingIn(tm, "a"); n != 0 || partitioned("a") {
+			t.Errorf("when the zone is back: got %d machines scaled in, partitioned %v, want 0 and false", n, partitioned("a"))
 		}
 	})
 }
 
-// A successor that a majority never acknowledges, since most controllers are in
-// the zone that is cut off, counts what an earlier leader may answer for as long
-// as a node may be a delegate, and not for B; and a leader that not all acknowledge
-// keeps to that, whatever comes late from those it has lost.
-func TestLeadersWithoutEachOther(t *testing.T) {
-	tm, _, _ := rig(t)
+// A successor that a quorum never acknowledges, since most controllers are in the zone that
+// is partitioned, allows for an earlier leader's answers for as long as a node may be a
+// delegate, and not for the outage limit.
+func TestEarlierLeaderMayReplyUntilDelegatesStop(t *testing.T) {
+	cases := []struct {
+		name       string
+		delegation time.Duration
+		ackedAfter time.Duration // since the start of the term; 0: never
+		want       time.Duration // since the start of the term
+	}{
+		{name: "no delegates", want: peer.OutageLimit},
+		{name: "never acknowledged", delegation: 22 * time.Second, want: 22 * time.Second},
+		// An empty acknowledgement of a process that has just started may count for longer
+		// than its delegation.
+		{name: "never acknowledged, short delegation", delegation: 5 * time.Second, want: 7 * time.Second},
+		{name: "acknowledged after 3 s", delegation: 22 * time.Second, ackedAfter: 3 * time.Second, want: 5 * time.Second},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			tm, _, _ := newTestTerm(t)
+			tm.leader.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
+			tm.state.TermStartedAt = time.Now().Add(-40 * time.Second)
+			tm.state.Delegation.Time = c.delegation
+			if c.ackedAfter > 0 {
+				tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(c.ackedAfter)
+			}
+			until := tm.monitor.EarlierLeaderRepliesUntil()
+			if got := until.Sub(tm.state.TermStartedAt).Round(time.Second); got != c.want {
+				t.Errorf("an earlier leader may reply for %v of the term, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// A leader that not all nodes acknowledge counts by the oldest acknowledgement, whatever
+// comes late from the nodes that it has lost.
+func TestOldestAckOfAllPeersCounts(t *testing.T) {
+	tm, _, _ := newTestTerm(t)
 	tm.leader.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
 	now := time.Now()
 	tm.state.TermStartedAt = now.Add(-40 * time.Second)
-	since := func(at time.Time) time.Duration { return at.Sub(tm.state.TermStartedAt).Round(time.Second) }
-	// Without a time for delegates, and with a majority.
-	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != peer.OutageLimit {
-		t.Errorf("without delegates: %v", got)
-	}
-	tm.state.Delegation.Time = 22 * time.Second
-	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != 22*time.Second {
-		t.Errorf("never acknowledged: %v", got)
-	}
-	tm.state.Delegation.Time = 5 * time.Second // less than an empty acknowledgement of a fresh process may count
-	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != 7*time.Second {
-		t.Errorf("never acknowledged, little time for delegates: %v", got)
-	}
-	tm.state.Delegation.Time = 22 * time.Second
-	tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(3 * time.Second)
-	if got := since(tm.monitor.EarlierLeaderRepliesUntil()); got != 5*time.Second {
-		t.Errorf("acknowledged after 3 s: %v", got)
-	}
-	// Of the others' last acknowledged beats the oldest counts.
-	view := func(b, c float64) *peer.View {
-		asked := func(s float64) time.Time { return tm.state.TermStartedAt.Add(time.Duration(s * float64(time.Second))) }
-		return &peer.View{Peers: map[wire.NodeID]peer.Peer{"b": {AckSent: asked(b), LastContact: now}, "c": {AckSent: asked(c), LastContact: now}}}
+	ackAt := func(seconds float64) peer.Peer {
+		requestedAt := tm.state.TermStartedAt.Add(time.Duration(seconds * float64(time.Second)))
+		return peer.Peer{AckSent: requestedAt, LastContact: now}
 	}
 	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 39.5}, {39.5, 20, 20}, {39.5, 33, 33}, {0, 0, 0}} {
-		if got := tm.oldestAck(view(c.b, c.c), now).Sub(tm.state.TermStartedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
-			t.Errorf("acknowledged beats of %v and %v s: the oldest is of %v s, want %v", c.b, c.c, got, c.want)
-		}
+		t.Run(fmt.Sprintf("acknowledged at %g s and %g s", c.b, c.c), func(t *testing.T) {
+			view := &peer.View{Peers: map[wire.NodeID]peer.Peer{"b": ackAt(c.b), "c": ackAt(c.c)}}
+			if got := tm.oldestAck(view, now).Sub(tm.state.TermStartedAt).Seconds(); math.Abs(got-c.want) > 0.001 {
+				t.Errorf("oldest acknowledgement: got %g s, want %g s", got, c.want)
+			}
+		})
 	}
 }
 
-// With reports every ten seconds a machine with replicas that has stopped is
-// known lost after some eight seconds, not after sixteen like others; but when
-// many such are quiet at once it is rather the way to them.
-func TestServingMachineIsMissedSoon(t *testing.T) {
-	for _, many := range []bool{false, true} {
-		synctest.Test(t, func(t *testing.T) {
-			tm := sized(t, 60)
-			var serving, other *cluster.Machine
-			silent := map[*cluster.Machine]bool{}
-			for _, m := range tm.state.Machines {
-				switch {
-				case !tm.state.HoldsReplicas(m):
-					other = m
-				case many && len(silent) < 10 || serving == nil:
-					serving = m
-					silent[m] = true
+// With heartbeats every ten seconds a machine with replicas that has stopped is scaled in
+// after some eight seconds, not after sixteen like others. When many such machines are
+// silent at once the cause is rather the way to them.
+func TestMachineWithReplicasIsReplacedSooner(t *testing.T) {
+	for _, manySilent := range []bool{false, true} {
+		t.Run(fmt.Sprintf("many silent %v", manySilent), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				tm := newSizedTerm(t, 60)
+				defer tm.End("the test is over")
+				var replicas, other *cluster.Machine
+				silent := map[*cluster.Machine]bool{}
+				for _, m := range tm.state.Machines {
+					switch {
+					case !tm.state.HoldsReplicas(m):
+						other = m
+					case manySilent && len(silent) < 10 || replicas == nil:
+						replicas = m
+						silent[m] = true
+					}
 				}
-			}
-			silent[other] = true
-			begin := time.Now()
-			watch := func(until time.Duration) {
-				for time.Since(begin) < until {
-					time.Sleep(500 * time.Millisecond)
-					for _, m := range tm.state.Machines {
-						if silent[m] {
-							m.UnansweredProbes, m.RelayUnanswered = 2, true
-						} else {
-							m.LastMessageAt = time.Now()
-						}
+				silent[other] = true
+				start := time.Now()
+				checkUntil := func(age time.Duration) {
+					for time.Since(start) < age {
+						time.Sleep(500 * time.Millisecond)
+						receiveUnlessSilent(tm, silent)
+						tm.monitor.CheckMachines(time.Now())
 					}
-					tm.monitor.CheckMachines(time.Now())
 				}
-			}
-			defer tm.End("the test is over")
-			watch(6 * time.Second)
-			if serving.ScalingIn {
-				t.Error("returned after 6 s")
-			}
-			watch(9 * time.Second)
-			if serving.ScalingIn == many || other.ScalingIn {
-				t.Errorf("%d silent: after 9 s the one with replicas is returned: %v, the other: %v", len(silent), serving.ScalingIn, other.ScalingIn)
-			}
-			watch(17 * time.Second)
-			if !serving.ScalingIn || !other.ScalingIn {
-				t.Errorf("%d silent: after 17 s returned: %v, %v", len(silent), serving.ScalingIn, other.ScalingIn)
-			}
+				checkUntil(6 * time.Second)
+				if replicas.ScalingIn {
+					t.Error("machine with replicas after 6 s: got scaled in, want kept")
+				}
+				checkUntil(9 * time.Second)
+				if got, want := replicas.ScalingIn, !manySilent; got != want || other.ScalingIn {
+					t.Errorf("%d silent, after 9 s, machine with replicas and the other scaled in: got %v and %v, want %v and false", len(silent), got, other.ScalingIn, want)
+				}
+				checkUntil(17 * time.Second)
+				if !replicas.ScalingIn || !other.ScalingIn {
+					t.Errorf("%d silent, after 17 s, machine with replicas and the other scaled in: got %v and %v, want both", len(silent), replicas.ScalingIn, other.ScalingIn)
+				}
+			})
 		})
 	}
 }
+
+// receiveUnlessSilent records a message of each machine, or that it answers no probe.
+func receiveUnlessSilent(tm *term, silent map[*cluster.Machine]bool) {
+	for _, m := range tm.state.Machines {
+		if silent[m] {
+			m.UnansweredProbes, m.RelayUnanswered = 2, true
+		} else {
+			m.LastMessageAt = time.Now()
+		}
+	}
+}
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -22,12 +22,12 @@
 var sizes = []int{500, 3000}
 
 // filling is a job whose tasks are put on machines one after the other.
-type filling struct {
+type jobFiller struct {
 	j    *cluster.Job
 	left int
 }
 
-func (f *filling) put(m *cluster.Machine, now time.Time) {
+func (f *jobFiller) put(m *cluster.Machine, now time.Time) {
 	i := f.j.Spec.Tasks - f.left
 	f.left--
 	f.j.Chunk(0).Add(&cluster.Attempt{Job: f.j, Chunk: f.j.Chunk(0), Index: i, Number: wire.Attempt(i + 1), Machine: m, DecidedAt: now, LaunchSent: true, LaunchEpoch: 1, Observed: true, Phase: wire.PhaseRunning, RunningSince: now, ImageReadyAt: now})
@@ -36,9 +36,9 @@
 
 // sized is a term of so many machines of four processors in three zones, half
 // of them full of replicas and half running arrays, with some jobs waiting.
-func sized(tb testing.TB, n int) *term {
+func newSizedTerm(tb testing.TB, n int) *term {
 	tb.Helper()
-	tm, first, a := rig(tb)
+	tm, first, a := newTestTerm(tb)
 	tm.state.EndAttempt(a, cluster.TaskDone)
 	delete(tm.state.Machines, first.ID)
 	delete(tm.state.Jobs, "req-1")
@@ -47,8 +47,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	tm.Begin(ctx)
-	away(tm)
-	setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, known(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.leader.Log))
+	disconnect(tm)
+	setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, newCurrentCancels(), simulator.NewNetwork(0).Host("10.0.0.1"), tm.leader.Log))
 	tm.leader.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
 	tm.leader.Metrics.Heartbeat = func(string) {}
 	zones := []wire.Zone{"a", "b", "c"}
@@ -70,7 +70,7 @@
 	service := wire.JobSpec{Class: "live", Kind: wire.KindService, Priority: wire.PriorityProd, CPUs: 1, MemoryGB: 4.8, Spread: true}
 	array := wire.JobSpec{Class: "recon", Kind: wire.KindArray, Priority: wire.PriorityStandard, CPUs: 3, MemoryGB: 25, SpotAllowed: true, ExpectedRunTime: 25, Deadline: 80}
 	id := 0
-	var serving, working *filling
+	var serving, working *jobFiller
 	for i := range n {
 		m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
 		m.MachineType, m.Zone, m.Spot, m.Addr = "k4", zones[i%3], i%2 == 1, fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
@@ -80,7 +80,7 @@
 			for range 4 {
 				if serving == nil || serving.left == 0 {
 					id++
-					serving = &filling{job(id, 8, service), 8}
+					serving = &jobFiller{job(id, 8, service), 8}
 				}
 				serving.put(m, now)
 			}
@@ -88,7 +88,7 @@
 		}
 		if working == nil || working.left == 0 {
 			id++
-			working = &filling{job(id, 30, array), 30}
+			working = &jobFiller{job(id, 30, array), 30}
 		}
 		working.put(m, now)
 	}
@@ -100,7 +100,7 @@
 }
 
 // reportOf what runs on a machine.
-func reportOf(m *cluster.Machine) wire.Heartbeat {
+func heartbeatOf(m *cluster.Machine) wire.Heartbeat {
 	r := wire.Heartbeat{Machine: m.ID, Addr: m.Addr, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Epoch: m.Epoch, Sequence: m.Sequence + 1, Token: m.Token}
 	for task, a := range m.Tasks {
 		r.Tasks = append(r.Tasks, wire.TaskState{Task: task.String(), Attempt: a.Number, Phase: a.Phase})
@@ -108,10 +108,10 @@
 	return r
 }
 
-func atSizes(b *testing.B, f func(b *testing.B, tm *term, n int)) {
+func benchmarkAtSizes(b *testing.B, f func(b *testing.B, tm *term, n int)) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tm := sized(b, n)
+			tm := newSizedTerm(b, n)
 			b.ReportAllocs()
 			b.ResetTimer()
 			f(b, tm, n)
@@ -121,7 +121,7 @@
 
 // A full round of reports, through the handler and the loop's part of it.
 func BenchmarkReportRound(b *testing.B) {
-	atSizes(b, func(b *testing.B, tm *term, _ int) {
+	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		go func() {
 			for h := range tm.heartbeatCalls {
 				tm.reconciler.OnHeartbeat(h)
@@ -131,7 +131,7 @@
 		for b.Loop() {
 			for _, m := range tm.state.Machines {
 				r := httptest.NewRequest("POST", "/hello", nil)
-				rep := reportOf(m)
+				rep := heartbeatOf(m)
 				raw := wire.Encode(rep)
 				var got wire.Heartbeat
 				if wire.Decode(raw, &got) != nil {
@@ -149,7 +149,7 @@
 
 // A round of placement with jobs waiting and every machine taken but a few.
 func BenchmarkRound(b *testing.B) {
-	atSizes(b, func(b *testing.B, tm *term, _ int) {
+	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			tm.runCycle(time.Now())
 		}
@@ -158,7 +158,7 @@
 
 // The tick over all machines.
 func BenchmarkTick(b *testing.B) {
-	atSizes(b, func(b *testing.B, tm *term, _ int) {
+	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			now := time.Now()
 			for _, m := range tm.state.Machines {
@@ -172,7 +172,7 @@
 // What follows each event: a look at what is to be written, with many books
 // waiting for the budget.
 func BenchmarkSettle(b *testing.B) {
-	atSizes(b, func(b *testing.B, tm *term, _ int) {
+	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		for _, j := range tm.state.Jobs {
 			tm.state.Unsaved.MarkDirty(j.Chunk(0))
 		}
@@ -186,7 +186,7 @@
 
 // A plan of the fleet: no offers, so that it rents nothing.
 func BenchmarkFleetPlan(b *testing.B) {
-	atSizes(b, func(b *testing.B, tm *term, _ int) {
+	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			tm.scaler.PlanFleet(time.Now())
 			tm.scaler.Tracker = scaling.New(tm.state.FirstToken)
@@ -196,14 +196,14 @@
 
 // Recovery: jobs and progress read back from records.
 func BenchmarkRecovery(b *testing.B) {
-	atSizes(b, func(b *testing.B, tm *term, _ int) {
+	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		var jobs, runs []wire.Entry
 		for _, j := range tm.state.Jobs {
 			jobs = append(jobs, wire.Entry{Key: store.JobKey(j.Spec.ID), Revision: j.Revision, Value: wire.Encode(store.JobRecord{Spec: j.Spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.AcceptedAt)})})
 			runs = append(runs, wire.Entry{Key: store.ChunkKey(j.Spec.ID, 0), Revision: j.Revision, Value: wire.Encode(j.Chunk(0).Record())})
 		}
 		for b.Loop() {
-			next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
+			next := newTerm(tm.leader, newLease(tm.leader, 51, time.Hour))
 			next.Begin(tm.Context())
 			next.records.loadRecords(jobs, runs)
 			if len(next.state.Jobs) != len(jobs) {
@@ -216,7 +216,7 @@
 // Zones that no setting names count like the others once they can be rented in or
 // were heard of: a service that is spread has room there.
 func TestZonesOutsideTheSettings(t *testing.T) {
-	tm := sized(t, 30)
+	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Zones = []wire.Zone{"b"}
 	tm.state.ZoneDetector.Heard("d", false, time.Now())
 	j := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}, AcceptedAt: wire.TimestampOf(time.Now())}, 9)
@@ -236,7 +236,7 @@
 // the same at first, gets none, nor what is late whatever is rented. (With 24 cheap
 // machines of 40 the backlog grew to 16 minutes.)
 func TestDearRoomForWhatWaitsTooLong(t *testing.T) {
-	tm := sized(t, 30)
+	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
 	now := time.Now()
 	for _, c := range []struct{ age, wait, want float64 }{{10, 60, 1}, {10, 900, 1}, {130, 90, 1}, {130, 200, demand.LatePriceStretch}, {200, 90, demand.LatePriceStretch}, {290, 90, 1}} {
@@ -253,7 +253,7 @@
 
 // reportAll takes a report from every machine, through the handler, and tells how many
 // of them were answered.
-func reportAll(tm *term) (answered int) {
+func sendAllHeartbeats(tm *term) (answered int) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -263,7 +263,7 @@
 	}()
 	reports := make([]wire.Heartbeat, 0, len(tm.state.Machines))
 	for _, m := range tm.state.Machines {
-		reports = append(reports, reportOf(m))
+		reports = append(reports, heartbeatOf(m))
 	}
 	for _, rep := range reports {
 		w := httptest.NewRecorder()
@@ -281,8 +281,8 @@
 // one, which reads the records and goes on with all that runs. No record, report or view
 // on the way is over a limit.
 func TestFourThousandMachines(t *testing.T) {
-	tm := sized(t, largestFleet)
-	if n := reportAll(tm); n != largestFleet {
+	tm := newSizedTerm(t, largestFleet)
+	if n := sendAllHeartbeats(tm); n != largestFleet {
 		t.Fatalf("%d reports were answered", n)
 	}
 	var jobs, runs []wire.Entry
@@ -296,7 +296,7 @@
 		}
 		runs = append(runs, wire.Entry{Key: store.ChunkKey(j.Spec.ID, 0), Revision: j.Revision, Value: wire.Encode(rec)})
 	}
-	next := newTerm(tm.leader, leaseFor(tm.leader, 51, time.Hour))
+	next := newTerm(tm.leader, newLease(tm.leader, 51, time.Hour))
 	next.Begin(tm.Context())
 	began := time.Now()
 	next.records.loadRecords(jobs, runs)
@@ -310,7 +310,7 @@
 		m.Epoch, m.Sequence, m.Token = 1, tm.state.Machines[id].Sequence, next.Fencing.Token
 	}
 	began = time.Now()
-	if n := reportAll(next); n != largestFleet {
+	if n := sendAllHeartbeats(next); n != largestFleet {
 		t.Errorf("%d reports were answered by the next leader", n)
 	}
 	reports := time.Since(began)
@@ -318,7 +318,7 @@
 	began = time.Now()
 	next.runCycle(time.Now())
 	round := time.Since(began)
-	if now := heldTasks(next); now != held || held < largestFleet {
+	if now := countActiveTasks(next); now != held || held < largestFleet {
 		t.Errorf("%d tasks are held, %d were", now, held)
 	}
 	view := next.view(time.Now())
@@ -332,7 +332,7 @@
 	t.Logf("%d machines, %d tasks: recovery %v, a report from each %v, a round %v", largestFleet, held, recovery, reports, round)
 }
 
-func heldTasks(tm *term) (n int) {
+func countActiveTasks(tm *term) (n int) {
 	for _, j := range tm.state.Jobs {
 		n += j.ActiveTasks
 	}
