--- /dev/null
+++ b/internal/leader/demands_test.go
@@ -0,0 +1,63 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/demand"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// Zones that no setting names count like the others once machines can be had there or were
+// heard from: a service that is spread has room there.
+func TestServiceSpreadsToZonesOutsideTheSettings(t *testing.T) {
+	tm := newSizedTerm(t, 30)
+	tm.state.Settings.Zones = []wire.Zone{"b"}
+	tm.state.ZoneDetector.Heard("d", false, time.Now())
+	spec := wire.JobSpec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}
+	tm.state.Jobs[spec.ID] = newJob(spec, 9)
+	if got, want := fmt.Sprint(tm.state.Zones()), "[b a c d]"; got != want {
+		t.Errorf("zones: got %s, want %s", got, want)
+	}
+	for _, d := range tm.scheduler.Demands(time.Now(), 0.6, 2) {
+		if d.Spec.ID == spec.ID && (d.ZoneLeft["a"] != 3 || d.ZoneLeft["d"] != 3) {
+			t.Errorf("room left in zones a and d: got %v, want 3 in each", d.ZoneLeft)
+		}
+	}
+}
+
+// A class whose objective lets it wait for cheap room gets expensive room all the same when
+// it has waited for two minutes, would be late and need not be. A rush, which looks the same
+// at first, gets none, nor does a job that is late whatever is scaled out. (With 24 spot
+// machines of 40 the backlog grew to 16 minutes.)
+func TestPriceStretchesForJobsThatWaitedTooLong(t *testing.T) {
+	tm := newSizedTerm(t, 30)
+	tm.state.Settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
+	now := time.Now()
+	cases := []struct {
+		name                      string
+		ageSeconds, expectedDelay float64
+		want                      float64
+	}{
+		{"new, short delay", 10, 60, 1},
+		{"new, long delay", 10, 900, 1},
+		{"waited, in time without", 130, 90, 1},
+		{"waited, late without", 130, 200, demand.LatePriceStretch},
+		{"waited longer, late without", 200, 90, demand.LatePriceStretch},
+		{"late in any case", 290, 90, 1},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			spec := wire.JobSpec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20}
+			acceptedAt := now.Add(-time.Duration(c.ageSeconds) * time.Second)
+			j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(acceptedAt)}, 9)
+			if got := tm.scheduler.PriceStretch(j, c.expectedDelay, now); got != c.want {
+				t.Errorf("stretch at an age of %g s with %g s more expected: got %g, want %g", c.ageSeconds, c.expectedDelay, got, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/leader/gang_helpers_test.go
@@ -0,0 +1,147 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+// gangAttempt is the number of the attempts of the gang of newGangTerm.
+const gangAttempt wire.Attempt = 4
+
+// newGangTerm returns a term without I/O with a gang of three tasks that checkpoints. Each
+// task has an attempt that is stored, on a machine of its own. Chunks have two tasks.
+func newGangTerm(t *testing.T) (*term, *cluster.Job) {
+	t.Helper()
+	const tasks = 3
+	tm, _, single := newTestTerm(t)
+	tm.state.EndAttempt(single, cluster.TaskPending)
+	delete(tm.state.Jobs, single.Job.Spec.ID)
+	tm.state.Settings.Workers.GangWait, tm.state.Settings.Workers.GangPeerTimeout = 40, 8
+	j := addGangJob(tm, "req-2", tasks)
+	j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 20, 3
+	j.TasksPerChunk = 2
+	j.Chunks = make([]*cluster.Chunk, (tasks+1)/2)
+	j.Gang = &cluster.Gang{Number: gangAttempt, StartedAt: time.Now()}
+	for i := range tasks {
+		c := j.Chunk(i / j.TasksPerChunk)
+		c.Add(&cluster.Attempt{Job: j, Chunk: c, Index: i % j.TasksPerChunk, Number: gangAttempt, Machine: addHeardMachine(tm, i), DecidedAt: time.Now()})
+		c.NextAttempt = gangAttempt + 1
+	}
+	return tm, j
+}
+
+// addHeardMachine adds a machine that has just sent heartbeat 10 of epoch 1.
+func addHeardMachine(tm *term, i int) *cluster.Machine {
+	now := time.Now()
+	m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
+	m.Epoch, m.Sequence, m.Token = 1, 10, tm.state.FirstToken
+	m.FirstHeartbeatAt, m.LastMessageAt, m.LastReplyAt = now, now, now
+	return m
+}
+
+// member returns the active attempt of a gang's i-th task, nil if there is none.
+func member(j *cluster.Job, i int) *cluster.Attempt {
+	return j.Chunk(i / j.TasksPerChunk).Attempts[i%j.TasksPerChunk]
+}
+
+// countLaunches counts the launches among commands.
+func countLaunches(commands []wire.Command) int {
+	n := 0
+	for _, command := range commands {
+		if command.Verb == wire.Launch {
+			n++
+		}
+	}
+	return n
+}
+
+const (
+	notStopped wire.Seconds = -1 // the attempt has not been told to stop
+	notActive  wire.Seconds = -2 // the task has no attempt
+)
+
+// gracePeriods returns how long each task of a gang has to stop.
+func gracePeriods(j *cluster.Job) []wire.Seconds {
+	var periods []wire.Seconds
+	for i := range j.Spec.Tasks {
+		switch a := member(j, i); {
+		case a == nil:
+			periods = append(periods, notActive)
+		case !a.Stopping:
+			periods = append(periods, notStopped)
+		default:
+			periods = append(periods, a.GracePeriod)
+		}
+	}
+	return periods
+}
+
+// allWith returns the grace periods of a gang whose tasks all have the same.
+func allWith(j *cluster.Job, period wire.Seconds) []wire.Seconds {
+	periods := make([]wire.Seconds, j.Spec.Tasks)
+	for i := range periods {
+		periods[i] = period
+	}
+	return periods
+}
+
+// activeRecords returns the chunks' records of a gang on machines n-1 and on, by the
+// numbers of its tasks' active attempts. 0 means none.
+func activeRecords(numbers ...wire.Attempt) []store.ChunkRecord {
+	var records []store.ChunkRecord
+	for i, number := range numbers {
+		if i%2 == 0 {
+			records = append(records, store.ChunkRecord{NextAttempt: 1, Active: []store.ActiveAttempt{}})
+		}
+		if record := &records[i/2]; number > 0 {
+			record.NextAttempt = max(record.NextAttempt, number+1)
+			record.Active = append(record.Active, store.ActiveAttempt{Task: i % 2, Attempt: number, Machine: wire.MachineID(fmt.Sprint("n-", i+1))})
+		}
+	}
+	return records
+}
+
+// newTermFromRecords returns a term that has read a gang of three with these records.
+func newTermFromRecords(t *testing.T, records []store.ChunkRecord) (*term, *cluster.Job) {
+	t.Helper()
+	tm, j := newGangTerm(t)
+	for _, a := range j.Attempts() {
+		a.Detach()
+		a.Chunk.TaskStates[a.Index] = cluster.TaskPending
+	}
+	j.Gang = nil
+	for n := range records {
+		tm.records.progress.ReadChunk(j.Chunk(n), wire.Revision(40+n), &records[n])
+	}
+	tm.state.RestoreGang(j)
+	return tm, j
+}
+
+// checkGangDone checks that all of a gang is done and nothing of it is left.
+func checkGangDone(t *testing.T, tm *term, j *cluster.Job) {
+	t.Helper()
+	if j.DoneTasks != j.Spec.Tasks || j.ActiveTasks != 0 || j.Gang != nil || !j.Finished {
+		t.Errorf("got %d tasks done, %d active, gang %+v, finished %v, want %d, 0, none, true", j.DoneTasks, j.ActiveTasks, j.Gang, j.Finished, j.Spec.Tasks)
+	}
+	for n := range j.Chunks {
+		c := j.Chunk(n)
+		if record := c.Record(); len(record.Active) > 0 || !c.Dirty {
+			t.Errorf("chunk %d: got active attempts %v, dirty %v, want none, true", n, record.Active, c.Dirty)
+		}
+		for i, state := range c.TaskStates {
+			if state != cluster.TaskDone {
+				t.Errorf("task %d of chunk %d: got state %d, want %d", i, n, state, cluster.TaskDone)
+			}
+		}
+	}
+	for _, m := range tm.state.Machines {
+		if len(m.Tasks) > 0 {
+			t.Errorf("machine %s: got tasks %v, want none", m.ID, m.Tasks)
+		}
+	}
+}
--- /dev/null
+++ b/internal/leader/gang_recovery_test.go
@@ -0,0 +1,62 @@
+package leader
+
+import (
+	"testing"
+
+	"lilaclead/internal/store"
+)
+
+func TestGangIsRestoredFromItsRecords(t *testing.T) {
+	cases := []struct {
+		name     string
+		records  []store.ChunkRecord
+		wantGang bool
+		// wantBroken means that the rest of the gang is stopped, for it to start again.
+		wantBroken bool
+	}{
+		{"complete", activeRecords(4, 4, 4), true, false},
+		{"incomplete", activeRecords(4, 4, 0), true, true},
+		{"one has another number", activeRecords(4, 3, 4), true, true},
+		{"the last has another number", activeRecords(4, 4, 3), true, true},
+		{"no attempts", activeRecords(0, 0, 0), false, false},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			tm, j := newTermFromRecords(t, c.records)
+			if (j.Gang != nil) != c.wantGang {
+				t.Fatalf("gang: got %+v, want one: %v", j.Gang, c.wantGang)
+			}
+			if c.wantGang && (j.Gang.Number != gangAttempt || !j.Gang.Inherited || j.Gang.Ran) {
+				t.Errorf("gang: got %+v, want number %d, inherited, not known to have run", j.Gang, gangAttempt)
+			}
+			tm.dispatcher.StopBrokenGangs()
+			if c.wantGang && j.Gang.Broken != c.wantBroken {
+				t.Errorf("broken: got %v, want %v", j.Gang.Broken, c.wantBroken)
+			}
+			for _, a := range j.Attempts() {
+				if a.Stopping != c.wantBroken || a.MayLaunch() == c.wantBroken {
+					t.Errorf("%v: got stopping %v, may launch %v, want %v, %v", a.Task(), a.Stopping, a.MayLaunch(), c.wantBroken, !c.wantBroken)
+				}
+			}
+		})
+	}
+}
+
+// When one task of a gang is recorded as done all are, whatever else is recorded.
+func TestGangRecordedAsDoneInPartIsDone(t *testing.T) {
+	cases := []struct {
+		name    string
+		records []store.ChunkRecord
+	}{
+		{"the others active", activeRecords(4, 0, 4)},
+		{"another active", activeRecords(4, 0, 0)},
+		{"no others", activeRecords(0, 0, 0)},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			c.records[0].Done = store.PackRanges([]bool{false, true})
+			tm, j := newTermFromRecords(t, c.records)
+			checkGangDone(t, tm, j)
+		})
+	}
+}
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -37,21 +37,6 @@
 	return node
 }
 
-// runLoop answers the term's heartbeats until the test ends.
-func (n *heartbeatNode) runLoop(t *testing.T) {
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		for call := range n.term.heartbeatCalls {
-			n.term.reconciler.OnHeartbeat(call)
-		}
-	}()
-	t.Cleanup(func() {
-		close(n.term.heartbeatCalls)
-		<-done
-	})
-}
-
 func TestHeartbeatIsAnsweredByWhoLeads(t *testing.T) {
 	heartbeat := wire.Encode(&wire.Heartbeat{Machine: "n-1", Epoch: 1, Sequence: 11, Token: 50})
 	cases := []struct {
@@ -104,7 +89,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				node := newHeartbeatNode(t)
-				node.runLoop(t)
+				defer runHeartbeatLoop(node.term)()
 				if c.setup != nil {
 					c.setup(node)
 				}
--- /dev/null
+++ b/internal/leader/sized_term_test.go
@@ -0,0 +1,177 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"lilaclead/internal/config"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/peer"
+	"lilaclead/internal/simulator"
+	"lilaclead/internal/store"
+	"lilaclead/internal/wire"
+)
+
+var (
+	testZones   = []wire.Zone{"a", "b", "c"}
+	serviceSpec = wire.JobSpec{Class: "live", Kind: wire.KindService, Priority: wire.PriorityProd, CPUs: 1, MemoryGB: 4.8, Spread: true}
+	arraySpec   = wire.JobSpec{Class: "recon", Kind: wire.KindArray, Priority: wire.PriorityStandard, CPUs: 3, MemoryGB: 25, SpotAllowed: true, ExpectedRunTime: 25, Deadline: 80}
+)
+
+// newSizedTerm returns a term of so many machines of four processors in three zones. Half
+// of them are full of replicas, half run arrays, and some jobs are pending.
+func newSizedTerm(tb testing.TB, machines int) *term {
+	tb.Helper()
+	tm := newEmptySizedTerm(tb, machines)
+	b := &sizedTermBuilder{tm: tm, now: time.Now()}
+	tm.state.TermStartedAt = b.now.Add(-time.Minute)
+	for i := range machines {
+		m := b.addMachine(i)
+		if i%2 == 0 {
+			for range 4 {
+				b.replicas = b.startTask(b.replicas, m, 8, serviceSpec)
+			}
+		} else {
+			b.arrayTasks = b.startTask(b.arrayTasks, m, 30, arraySpec)
+		}
+	}
+	for range machines / 100 {
+		b.addJob(30, arraySpec)
+	}
+	return tm
+}
+
+// newEmptySizedTerm returns a term with the settings for so many machines, and with none.
+func newEmptySizedTerm(tb testing.TB, machines int) *term {
+	tb.Helper()
+	tm, m, a := newTestTerm(tb)
+	tm.state.EndAttempt(a, cluster.TaskDone)
+	delete(tm.state.Machines, m.ID)
+	delete(tm.state.Jobs, "req-1")
+	clear(tm.state.Unsaved.Chunks)
+	clear(tm.state.Unsaved.FinishedJobs)
+	ctx, cancel := context.WithCancel(context.Background())
+	tb.Cleanup(cancel)
+	tm.Begin(ctx)
+	disconnect(tm)
+	setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, newCurrentCancels(), simulator.NewNetwork(0).Host(localAddr), tm.leader.Log))
+	tm.leader.Metrics.SchedulingCycle = func(time.Duration, int, int) {}
+	tm.leader.Metrics.Heartbeat = func(string) {}
+	settings := tm.state.Settings
+	settings.Zones = testZones
+	settings.Teams = []config.Team{{Name: "red", CPUs: float64(machines), CPUsMax: 8 * float64(machines)}}
+	settings.State.TxnOps = 12
+	settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
+	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: testZones}})
+	tm.state.MachineListReceived, tm.state.SchedulingEnabled = true, true
+	return tm
+}
+
+// sizedTermBuilder fills a term with machines and jobs.
+type sizedTermBuilder struct {
+	tm                   *term
+	now                  time.Time
+	jobs                 int
+	replicas, arrayTasks *jobFiller
+}
+
+// jobFiller is a job whose tasks are put on machines one after the other.
+type jobFiller struct {
+	j         *cluster.Job
+	remaining int
+}
+
+// addMachine adds the i-th machine, which has just sent a heartbeat.
+func (b *sizedTermBuilder) addMachine(i int) *cluster.Machine {
+	m := b.tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprintf("n-%06d", i)))
+	m.MachineType = "k4"
+	m.Zone = testZones[i%3]
+	m.Spot = i%2 == 1
+	m.Addr = fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
+	m.Epoch, m.Sequence, m.Token = 1, 10, b.tm.Fencing.Token
+	m.FirstHeartbeatAt, m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = b.now, b.now, b.now, b.now
+	m.RequestedAt = b.now.Add(-2 * time.Minute)
+	return m
+}
+
+// addJob adds a job that was accepted 20 s ago.
+func (b *sizedTermBuilder) addJob(tasks int, spec wire.JobSpec) *cluster.Job {
+	b.jobs++
+	spec.ID, spec.Team, spec.Tasks = wire.JobID(fmt.Sprintf("req-%06d", b.jobs)), "red", tasks
+	spec.Image, spec.ImageGB = wire.ImageID(fmt.Sprint("img-", b.jobs%24)), 1
+	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(b.now.Add(-20 * time.Second))}, wire.Revision(b.jobs))
+	b.tm.state.Jobs[spec.ID] = j
+	return j
+}
+
+// startTask puts the next task of a job on a machine, or the first one of a new job if the
+// job has none left. It returns the job.
+func (b *sizedTermBuilder) startTask(f *jobFiller, m *cluster.Machine, tasks int, spec wire.JobSpec) *jobFiller {
+	if f == nil || f.remaining == 0 {
+		f = &jobFiller{b.addJob(tasks, spec), tasks}
+	}
+	i := f.j.Spec.Tasks - f.remaining
+	f.remaining--
+	f.j.Chunk(0).Add(&cluster.Attempt{
+		Job:          f.j,
+		Chunk:        f.j.Chunk(0),
+		Index:        i,
+		Number:       wire.Attempt(i + 1),
+		Machine:      m,
+		DecidedAt:    b.now,
+		LaunchSent:   true,
+		LaunchEpoch:  1,
+		Observed:     true,
+		Phase:        wire.PhaseRunning,
+		RunningSince: b.now,
+		ImageReadyAt: b.now,
+	})
+	m.Images.Touch(f.j.Spec.Image, 1, 50, b.now)
+	return f
+}
+
+// heartbeatOf returns a machine's next heartbeat, with all that runs on it.
+func heartbeatOf(m *cluster.Machine) wire.Heartbeat {
+	heartbeat := wire.Heartbeat{Machine: m.ID, Addr: m.Addr, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Epoch: m.Epoch, Sequence: m.Sequence + 1, Token: m.Token}
+	for task, a := range m.Tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskState{Task: task.String(), Attempt: a.Number, Phase: a.Phase})
+	}
+	return heartbeat
+}
+
+// runHeartbeatLoop answers the term's heartbeats in the background. The returned function
+// ends that.
+func runHeartbeatLoop(tm *term) (stop func()) {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		for call := range tm.heartbeatCalls {
+			tm.reconciler.OnHeartbeat(call)
+		}
+	}()
+	return func() {
+		close(tm.heartbeatCalls)
+		<-done
+	}
+}
+
+// recordsOf returns the records of a term's jobs, each of which has one chunk.
+func recordsOf(tm *term) (jobs, chunks []wire.Entry) {
+	for _, j := range tm.state.Jobs {
+		record := store.JobRecord{Spec: j.Spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.AcceptedAt)}
+		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.Spec.ID), Revision: j.Revision, Value: wire.Encode(record)})
+		chunks = append(chunks, wire.Entry{Key: store.ChunkKey(j.Spec.ID, 0), Revision: j.Revision, Value: wire.Encode(j.Chunk(0).Record())})
+	}
+	return jobs, chunks
+}
+
+// countActiveTasks counts the active tasks of all jobs.
+func countActiveTasks(tm *term) int {
+	n := 0
+	for _, j := range tm.state.Jobs {
+		n += j.ActiveTasks
+	}
+	return n
+}
