--- a/internal/leader/progress/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -13,29 +14,43 @@
 	"lilaclead/internal/wire"
 )
 
-// testWriter is a writer whose rate limit leaves so many changes.
-func testWriter(maxOps, budget int) *Writer {
+// testToken is the fencing token of the tested writers.
+const testToken wire.FencingToken = 50
+
+// newTestWriter returns a writer whose rate limit allows so many changes.
+func newTestWriter(maxOps, remainingWrites int) *Writer {
 	settings := &config.Settings{State: config.State{ValueKB: 16, TxnOps: maxOps}}
-	state := cluster.NewState(settings, &cluster.MachineCatalog{}, time.Now(), 50)
-	return NewWriter(state, func() float64 { return float64(budget) }, slog.New(slog.DiscardHandler))
+	state := cluster.NewState(settings, &cluster.MachineCatalog{}, time.Now(), testToken)
+	return NewWriter(state, func() float64 { return float64(remainingWrites) }, slog.New(slog.DiscardHandler))
+}
+
+// newTestJob returns an array that was accepted just now.
+func newTestJob(id wire.JobID, priority wire.Priority, tasks int) *cluster.Job {
+	spec := wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: tasks, CPUs: 1, Priority: priority}
+	return cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 }
 
-// pendingChunk is the only chunk of a job, with a start that is not stored yet if
-// it launches.
-func pendingChunk(w *Writer, id string, priority wire.Priority, launches bool) *cluster.Chunk {
-	spec := wire.JobSpec{ID: wire.JobID(id), Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1, Priority: priority}
-	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
+// addRoutineChunk adds a changed chunk, the only one of a new job, that starts nothing.
+func addRoutineChunk(w *Writer, id wire.JobID) *cluster.Chunk {
+	c := newTestJob(id, wire.PriorityStandard, 1).Chunk(0)
+	w.state.Unsaved.MarkDirty(c)
+	return c
+}
+
+// addLaunchChunk adds a changed chunk, the only one of a new job, with an attempt that is
+// not stored yet.
+func addLaunchChunk(w *Writer, id wire.JobID, priority wire.Priority) *cluster.Chunk {
+	j := newTestJob(id, priority, 1)
 	c := j.Chunk(0)
-	if launches {
-		c.Add(&cluster.Attempt{Job: j, Chunk: c, Machine: &cluster.Machine{ID: "n-1", Tasks: map[wire.Task]*cluster.Attempt{}}, Unstored: true})
-		c.UnstoredAttempts, j.UnstoredAttempts = 1, 1
-	}
+	m := &cluster.Machine{ID: "n-1", Tasks: map[wire.Task]*cluster.Attempt{}}
+	c.Add(&cluster.Attempt{Job: j, Chunk: c, Machine: m, Unstored: true})
+	c.UnstoredAttempts, j.UnstoredAttempts = 1, 1
 	w.state.Unsaved.MarkDirty(c)
 	return c
 }
 
-// writes lists the jobs of a batch's chunks.
-func writes(b *batch) string {
+// describe returns the jobs of a batch's chunks, and whether it is urgent.
+func describe(b *batch) string {
 	if b == nil {
 		return "nothing"
 	}
@@ -46,115 +61,187 @@
 	return fmt.Sprint(ids, " ", b.urgent)
 }
 
-// Launches go before routine writes, by priority; routine writes take what the
-// budget has left, at their own pace, and go at its expense when they have waited
-// long; what a transaction has no room for waits for the next, and nothing goes out
-// while one is under way.
-func TestOrderOfWrites(t *testing.T) {
+// mustSelect returns the next batch, and checks what is in it.
+func mustSelect(t *testing.T, w *Writer, want string) *batch {
+	t.Helper()
+	if !w.ready(time.Now()) {
+		t.Fatal("ready: got false, want true")
+	}
+	b := w.nextBatch(testToken, time.Now())
+	if got := describe(b); got != want {
+		t.Errorf("next batch: got %s, want %s", got, want)
+	}
+	return b
+}
+
+// commit records that a batch was committed.
+func commit(w *Writer, b *batch) {
+	for _, a := range b.launches {
+		markStored(a)
+	}
+	w.onAnswer()
+	w.onCommitted(b, 7)
+}
+
+// Launches go before routine writes, by priority. Routine writes take what the budget has
+// left, at their own pace, and exceed it when they have waited long. What a transaction has
+// no room for waits for the next, and nothing is sent while one is in flight.
+func TestLaunchesAreWrittenBeforeRoutineChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
-		w := testWriter(2, 1)
-		next := func(want string) *batch {
-			t.Helper()
-			if !w.ready(time.Now()) {
-				t.Fatal("not ready")
-			}
-			b := w.nextBatch(50, time.Now())
-			if got := writes(b); got != want {
-				t.Errorf("writes %s, want %s", got, want)
-			}
-			return b
-		}
-		done := func(b *batch) {
-			for _, a := range b.launches {
-				a.Unstored = false
-				a.Chunk.UnstoredAttempts, a.Job.UnstoredAttempts = 0, 0
-			}
-			w.onAnswer()
-			w.onCommitted(b, 7)
-		}
-		pendingChunk(w, "routine-1", wire.PriorityStandard, false)
+		w := newTestWriter(2, 1)
+		addRoutineChunk(w, "routine-1")
 		time.Sleep(time.Millisecond)
-		pendingChunk(w, "routine-2", wire.PriorityStandard, false)
-		earlier := pendingChunk(w, "batch", wire.PriorityStandard, true)
+		addRoutineChunk(w, "routine-2")
+		earlier := addLaunchChunk(w, "batch", wire.PriorityStandard)
 		earlier.Job.AcceptedAt = earlier.Job.AcceptedAt.Add(-time.Second)
-		pendingChunk(w, "prod", wire.PriorityProd, true)
-		b := next("[prod batch] true")
-		if g := b.txn.Guards[0]; g != (wire.Guard{Key: store.LeaderKey, Revision: 50}) {
-			t.Errorf("the first guard is %+v", g)
+		addLaunchChunk(w, "prod", wire.PriorityProd)
+		b := mustSelect(t, w, "[prod batch] true")
+		if got, want := b.txn.Guards[0], (wire.Guard{Key: store.LeaderKey, Revision: wire.Revision(testToken)}); got != want {
+			t.Errorf("first guard: got %+v, want %+v", got, want)
 		}
 		if w.ready(time.Now()) {
-			t.Error("ready while a transaction is under way")
+			t.Error("ready with a transaction in flight: got true, want false")
 		}
-		done(b)
+		commit(w, b)
 		time.Sleep(routineWriteInterval + time.Millisecond)
-		done(next("[routine-1] false"))
-		next("nothing") // too soon
+		commit(w, mustSelect(t, w, "[routine-1] false"))
+		mustSelect(t, w, "nothing") // too soon
 		w.remainingWrites = func() float64 { return 0 }
 		time.Sleep(routineWriteInterval + time.Millisecond)
-		next("nothing") // no budget
+		mustSelect(t, w, "nothing") // no budget
 		time.Sleep(maxRoutineWriteDelay)
-		done(next("[routine-2] true"))
+		commit(w, mustSelect(t, w, "[routine-2] true"))
+	})
+}
+
+func TestRevertedTransactionIsRetriedBeforeOrphansAreDeleted(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		time.Sleep(time.Minute)
+		w := newTestWriter(2, 0)
 		w.AddOrphan(wire.Guard{Key: "run/old/0", Revision: 3})
-		c := pendingChunk(w, "late", wire.PriorityStandard, true)
-		b = next("[late] true")
+		c := addLaunchChunk(w, "late", wire.PriorityStandard)
+		b := mustSelect(t, w, "[late] true")
 		w.onAnswer()
 		w.revert(b)
 		w.retryLater(time.Now())
-		if w.ready(time.Now()) || !c.Dirty || c.WriteInFlight {
-			t.Errorf("after a transaction that was not executed: ready %v, %+v", w.ready(time.Now()), c)
+		if ready := w.ready(time.Now()); ready || !c.Dirty || c.WriteInFlight {
+			t.Errorf("after a transaction that was not executed: got ready %v, dirty %v, in flight %v, want false, true, false", ready, c.Dirty, c.WriteInFlight)
 		}
 		time.Sleep(writeRetryPause)
-		done(next("[late] true"))
-		if b = next("[] false"); len(b.orphans) != 1 || len(w.Orphans) != 0 {
-			t.Errorf("left over: %v in the transaction, %v waiting", b.orphans, w.Orphans)
+		commit(w, mustSelect(t, w, "[late] true"))
+		if b = mustSelect(t, w, "[] false"); len(b.orphans) != 1 || len(w.Orphans) != 0 {
+			t.Errorf("orphans: got %v in the transaction, %v waiting, want one, none", b.orphans, w.Orphans)
 		}
 	})
 }
 
-// Of records that are refused together each is tried by itself; the one that is
-// refused then is left alone for a while, and the others are stored.
-func TestRefusedOneByOne(t *testing.T) {
+// Of records that are rejected together each is written by itself. The one that is rejected
+// then is not written for a while, and the others are stored.
+func TestRejectedRecordIsFoundAndHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
-		w := testWriter(12, 100)
-		bad := pendingChunk(w, "bad", wire.PriorityStandard, true)
-		for _, id := range []string{"good-1", "good-2"} {
-			pendingChunk(w, id, wire.PriorityStandard, true)
+		w := newTestWriter(12, 100)
+		rejected := addLaunchChunk(w, "bad", wire.PriorityStandard)
+		for _, id := range []wire.JobID{"good-1", "good-2"} {
+			addLaunchChunk(w, id, wire.PriorityStandard)
 		}
-		stored, alone := map[wire.JobID]bool{}, false
-		refusedAt := time.Time{}
+		stored := map[wire.JobID]bool{}
+		rejectedAlone := false
+		var rejectedAt time.Time
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			b := w.nextBatch(50, time.Now())
+			b := w.nextBatch(testToken, time.Now())
 			if b == nil {
 				continue
 			}
 			w.onAnswer()
-			refused := false
-			for _, c := range b.chunks {
-				refused = refused || c == bad
-			}
-			if !refused {
+			if !slices.Contains(b.chunks, rejected) {
 				w.onCommitted(b, 7)
 				for _, c := range b.chunks {
 					stored[c.Job.Spec.ID] = true
 				}
 				continue
 			}
-			if !refusedAt.IsZero() && time.Since(refusedAt) < rejectedRecordPause {
-				t.Fatalf("tried again after %v", time.Since(refusedAt))
+			if age := time.Since(rejectedAt); !rejectedAt.IsZero() && age < rejectedRecordPause {
+				t.Fatalf("rejected record: got another write after %v, want none before %v", age, rejectedRecordPause)
 			}
 			w.revert(b)
 			if w.onRejected(b, time.Now()) {
-				alone, refusedAt = len(b.chunks) == 1, time.Now()
+				rejectedAlone, rejectedAt = len(b.chunks) == 1, time.Now()
 			}
 		}
-		if !alone || len(stored) != 2 || w.ValueLimitLowered {
-			t.Errorf("refused by itself: %v, stored %v, limit lowered: %v", alone, stored, w.ValueLimitLowered)
+		if !rejectedAlone || len(stored) != 2 || w.ValueLimitLowered {
+			t.Errorf("got rejected alone %v, stored %v, limit lowered %v, want true, two jobs, false", rejectedAlone, stored, w.ValueLimitLowered)
 		}
-		if w.AllStored(time.Now(), time.Now()) != true {
-			t.Error("a record that is left alone keeps machines")
+		if !w.AllStored(time.Now(), time.Now()) {
+			t.Error("all stored but the rejected record: got false, want true")
 		}
 	})
 }
+
+func TestChunkBetweenTheLimitsShowsThatTheLimitDropped(t *testing.T) {
+	cases := []struct {
+		name         string
+		chunks       int
+		largestValue int
+		lowered      bool
+		wantHeldBack bool
+		wantLowered  bool
+		wantSingles  int
+	}{
+		{name: "between the limits", chunks: 1, largestValue: 3 << 10, wantLowered: true},
+		{name: "within the next limit", chunks: 1, largestValue: 2 << 10, wantHeldBack: true},
+		{name: "over the former limit", chunks: 1, largestValue: 16<<10 + 1, wantHeldBack: true},
+		{name: "already lowered", chunks: 1, largestValue: 3 << 10, lowered: true, wantHeldBack: true, wantLowered: true},
+		{name: "beside another record", chunks: 2, largestValue: 3 << 10, wantSingles: 2},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			w := newTestWriter(12, 100)
+			w.state.Settings.State.Next = &config.NextState{ValueKB: 2, TxnOps: 4}
+			w.ValueLimitLowered = c.lowered
+			b := newBatch(testToken, 12, false)
+			b.largestValue = c.largestValue
+			for i := range c.chunks {
+				b.chunks = append(b.chunks, addRoutineChunk(w, wire.JobID(fmt.Sprint("req-", i))))
+			}
+			heldBack := w.onRejected(b, time.Now())
+			if heldBack != c.wantHeldBack || w.ValueLimitLowered != c.wantLowered {
+				t.Errorf("got held back %v, limit lowered %v, want %v, %v", heldBack, w.ValueLimitLowered, c.wantHeldBack, c.wantLowered)
+			}
+			if got := w.singleRecordTxns; got != c.wantSingles {
+				t.Errorf("transactions with a single record: got %d, want %d", got, c.wantSingles)
+			}
+		})
+	}
+}
+
+func TestNothingIsReadyUntilAnUnknownOutcomeIsRead(t *testing.T) {
+	w := newTestWriter(12, 100)
+	addLaunchChunk(w, "req-1", wire.PriorityStandard)
+	w.nextBatch(testToken, time.Now())
+	steps := []struct {
+		name string
+		step func()
+		want bool
+	}{
+		{"in flight", func() {}, false},
+		{"answered, outcome unknown", func() { w.onAnswer(); w.awaitOutcome() }, false},
+		{"outcome read", w.onOutcomeRead, true},
+	}
+	for _, s := range steps {
+		s.step()
+		if got := w.ready(time.Now()); got != s.want {
+			t.Errorf("%s: got ready %v, want %v", s.name, got, s.want)
+		}
+	}
+}
+
+func TestSubchunksPerChunkDividesTheChunk(t *testing.T) {
+	for _, c := range []struct{ tasksPerChunk, maxTasks, want int }{{256, 256, 1}, {256, 100, 4}, {256, 56, 8}, {7, 3, 7}, {200, 60, 4}} {
+		if got := subchunksPerChunk(c.tasksPerChunk, c.maxTasks); got != c.want {
+			t.Errorf("sub-chunks of %d tasks with at most %d: got %d, want %d", c.tasksPerChunk, c.maxTasks, got, c.want)
+		}
+	}
+}
