--- a/internal/leader/core/fencing.go
+++ b/internal/leader/core/fencing.go
@@ -29,3 +29,12 @@
 	// launch may still be in flight. Nil or the zero time means that there is none.
 	UnconfirmedCancelSince atomic.Pointer[time.Time]
 }
+
+// OldestUnconfirmedCancel returns what UnconfirmedCancelSince holds, the zero time if there
+// is no such cancellation.
+func (p *Published) OldestUnconfirmedCancel() time.Time {
+	if at := p.UnconfirmedCancelSince.Load(); at != nil {
+		return *at
+	}
+	return time.Time{}
+}
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -19,6 +19,16 @@
 	return wire.FencingToken(t.Published.DelegationToken.Load())
 }
 
+// UnconfirmedCancelSince returns the time of the oldest cancellation of a job of which a
+// launch may still be in flight: nobody can stop that by what a heartbeat shows. It
+// returns the zero time if there is none.
+func (l *Leader) UnconfirmedCancelSince() time.Time {
+	if t := l.term.Load(); t != nil {
+		return t.Published.OldestUnconfirmedCancel()
+	}
+	return time.Time{}
+}
+
 // onLeaseRenewed lets this node be its own delegate for a while after it has lost the
 // leadership. The while counts from when the renewal was requested or, if that is earlier,
 // from the oldest cancellation of a job of which a launch may still be in flight.
@@ -27,7 +37,7 @@
 	if token == 0 {
 		return
 	}
-	if at := t.records.unconfirmedCancel(); !at.IsZero() && at.Before(requestedAt) {
+	if at := t.Published.OldestUnconfirmedCancel(); !at.IsZero() && at.Before(requestedAt) {
 		requestedAt = at
 	}
 	t.leader.delegate.GrantSelf(token, requestedAt)
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -8,6 +8,7 @@
 	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/progress"
+	"lilaclead/internal/leader/recovery"
 )
 
 // handle passes an event to the part of the term that handles it.
@@ -17,16 +18,16 @@
 		t.onMachineList(e)
 	case machineSpecsReceived:
 		t.state.RequestCycle()
-	case recordsRead:
+	case recovery.RecordsRead:
 		t.onRecordsRead(e)
-	case jobRecordsChanged:
+	case recovery.JobRecordsChanged:
 		t.onJobRecordsChanged(e)
 	case progress.JobRecordReread:
-		t.records.onReread(e)
+		t.records.OnReread(e)
 	case progress.RereadDue:
 		t.committer.Reread(e.Job)
-	case resignationDue:
-		t.Resign(e.reason)
+	case recovery.ResignationDue:
+		t.Resign(e.Reason)
 	case versionChecked:
 		t.adoptVersion(e.version)
 	case agents.CommandAnswer:
@@ -64,16 +65,16 @@
 }
 
 // onRecordsRead builds the model from the records and adopts what earlier leaders began.
-func (t *term) onRecordsRead(e recordsRead) {
-	t.records.loadRecords(e.jobs, e.progress)
-	t.state.ActiveVersion = e.version
-	t.scaler.AdoptIntents(e.intents)
-	t.leader.Cancels.RecordRead(e.startedAt)
+func (t *term) onRecordsRead(e recovery.RecordsRead) {
+	t.records.LoadRecords(e.Jobs, e.Progress)
+	t.state.ActiveVersion = e.Version
+	t.scaler.AdoptIntents(e.Intents)
+	t.leader.Cancels.RecordRead(e.StartedAt)
 }
 
-func (t *term) onJobRecordsChanged(e jobRecordsChanged) {
-	t.records.applyChanges(e.changes)
-	t.leader.Cancels.RecordRead(e.startedAt)
+func (t *term) onJobRecordsChanged(e recovery.JobRecordsChanged) {
+	t.records.ApplyChanges(e.Changes)
+	t.leader.Cancels.RecordRead(e.StartedAt)
 }
 
 func (t *term) onProbeAnswer(e agents.ProbeAnswer) {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -116,7 +116,7 @@
 	}
 	j.Gang = nil
 	for n := range records {
-		tm.records.progress.ReadChunk(j.Chunk(n), wire.Revision(40+n), &records[n])
+		tm.records.Progress.ReadChunk(j.Chunk(n), wire.Revision(40+n), &records[n])
 	}
 	tm.state.RestoreGang(j)
 	return tm, j
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -53,7 +53,7 @@
 func setStore(tm *term, client *store.Client) {
 	tm.leader.Store = client
 	tm.committer.Store = client
-	tm.records.store = client
+	tm.records.Store = client
 }
 
 // disconnect gives a term a cloud and agents that can't be reached.
--- a/internal/leader/large_fleet_test.go
+++ b/internal/leader/large_fleet_test.go
@@ -61,7 +61,7 @@
 	next := newTerm(tm.leader, newLease(tm.leader, 51, time.Hour))
 	next.Begin(tm.Context())
 	start := time.Now()
-	next.records.loadRecords(jobs, chunks)
+	next.records.LoadRecords(jobs, chunks)
 	recovery := time.Since(start)
 	next.inventory.onMachineList(machineListOf(tm), time.Now())
 	for id, m := range next.state.Machines {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -19,14 +19,14 @@
 //   - agents sends commands to the agents once what they depend on is stored.
 //
 // Other packages act beside that path. Package election holds the leadership and says
-// until when it may be used; delegation lets followers renew agents' leases for a leader
-// that was lost. Package liveness detects failed machines and expired leases, with the
+// until when it may be used; recovery reads the records at the start of a term and follows
+// those of the jobs; delegation lets followers renew agents' leases for a leader that was
+// lost. Package liveness detects failed machines and expired leases, with the
 // rules in detector; autoscaler scales out and in, with the account in scaling. Package
 // core is what all of them share: the event loop, the lease and the fencing token.
 //
-// What is left to this package is the campaign, the loop and its events, recovery of the
-// records at the start of a term, the machine inventory, version switches, the operators'
-// view and the HTTP handlers.
+// What is left to this package is the campaign, the loop and its events, the machine
+// inventory, version switches, the operators' view and the HTTP handlers.
 package leader
 
 import (
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -24,7 +24,7 @@
 		return
 	}
 	quorumAcked := t.recordAcks(view, now)
-	t.records.applyCancellations()
+	t.records.ApplyCancellations()
 	t.recordStoreAvailability(quorumAcked, now)
 	t.enableScheduling(now)
 }
--- a/internal/leader/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -1,4 +1,4 @@
-package leader
+package recovery
 
 import (
 	"context"
@@ -13,12 +13,6 @@
 	"lilaclead/internal/wire"
 )
 
-// jobRecordsChanged is an event: a watch of the jobs' records was answered.
-type jobRecordsChanged struct {
-	changes   []wire.Change
-	startedAt time.Time // when the watch began
-}
-
 const (
 	// watchDuration is how long one watch is open. Its answer proves only what was known
 	// when it began, and leases are renewed by that.
@@ -31,12 +25,12 @@
 
 // watchJobRecords posts the changes of the jobs' records from a revision on, until the
 // context ends.
-func (rd *records) watchJobRecords(ctx context.Context, revision wire.Revision) {
+func (r *Records) watchJobRecords(ctx context.Context, revision wire.Revision) {
 	for ctx.Err() == nil {
 		startedAt := time.Now()
-		answer, err := rd.store.Watch(ctx, store.JobPrefix, revision, watchDuration)
+		answer, err := r.Store.Watch(ctx, store.JobPrefix, revision, watchDuration)
 		if errors.Is(err, store.ErrTooOld) {
-			rd.End("fell behind the changes")
+			r.End("fell behind the changes")
 			return
 		}
 		if err != nil {
@@ -44,27 +38,27 @@
 			continue
 		}
 		revision = max(revision, answer.Revision)
-		rd.Post(jobRecordsChanged{answer.Events, startedAt})
+		r.Post(JobRecordsChanged{Changes: answer.Events, StartedAt: startedAt})
 	}
 }
 
-// applyChanges updates the model with changes of the jobs' records.
-func (rd *records) applyChanges(changes []wire.Change) {
+// ApplyChanges updates the model with changes of the jobs' records.
+func (r *Records) ApplyChanges(changes []wire.Change) {
 	for _, change := range changes {
 		if change.Put != "" {
-			rd.applyJobRecord(change.Put, change.Value, change.Revision)
+			r.applyJobRecord(change.Put, change.Value, change.Revision)
 			continue
 		}
-		rd.applyDeletion(jobIDOfKey(change.Delete))
+		r.applyDeletion(jobIDOfKey(change.Delete))
 	}
 }
 
 // applyDeletion forgets what is kept of a job for late events: the deletion of its record
 // is the last one.
-func (rd *records) applyDeletion(id wire.JobID) {
-	delete(rd.state.QuarantinedJobs, id)
-	delete(rd.state.ArchivedJobs, id)
-	if j := rd.state.Jobs[id]; j != nil {
+func (r *Records) applyDeletion(id wire.JobID) {
+	delete(r.State.QuarantinedJobs, id)
+	delete(r.State.ArchivedJobs, id)
+	if j := r.State.Jobs[id]; j != nil {
 		j.RecordDeleted = true
 	}
 }
@@ -75,61 +69,61 @@
 }
 
 // applyJobRecord updates the model with a job record that is new or has changed.
-func (rd *records) applyJobRecord(key string, value wire.Raw, revision wire.Revision) {
+func (r *Records) applyJobRecord(key string, value wire.Raw, revision wire.Revision) {
 	record, err := store.DecodeJob(key, value)
 	if err != nil {
-		rd.undecodable.Note(key, err)
-		rd.state.Quarantine(key, jobIDOfKey(key))
+		r.Undecodable.Note(key, err)
+		r.State.Quarantine(key, jobIDOfKey(key))
 		return
 	}
-	j := rd.findOrAddJob(record, revision)
+	j := r.findOrAddJob(record, revision)
 	if j == nil || revision < j.Revision {
 		return
 	}
 	cancelled := record.Status == wire.Cancelled
 	j.Revision = revision
 	j.RecordOutdated = j.Cancelled && !cancelled
-	record.LogCancellation(rd.cancels)
+	record.LogCancellation(r.Cancels)
 	if cancelled && !j.Cancelled {
-		rd.cancelJob(j, time.Now().Add(-record.SinceCancelled()))
+		r.cancelJob(j, time.Now().Add(-record.SinceCancelled()))
 	}
 }
 
 // findOrAddJob returns the job of a record, which it adds to the model if it is new. It
 // returns nil for a job that is archived, and if the term must end.
-func (rd *records) findOrAddJob(record store.JobRecord, revision wire.Revision) *cluster.Job {
+func (r *Records) findOrAddJob(record store.JobRecord, revision wire.Revision) *cluster.Job {
 	id := record.Spec.ID
-	if j := rd.state.Jobs[id]; j != nil {
+	if j := r.State.Jobs[id]; j != nil {
 		return j
 	}
-	if rd.state.QuarantinedJobs[id] {
+	if r.State.QuarantinedJobs[id] {
 		// Its progress was not read when the term began.
-		rd.End("a job's record can be decoded again: " + string(id))
+		r.End("a job's record can be decoded again: " + string(id))
 		return nil
 	}
-	if rd.state.ArchivedJobs[id] {
+	if r.State.ArchivedJobs[id] {
 		return nil // a late event
 	}
 	j := cluster.NewJob(record, revision)
-	rd.state.Jobs[id] = j
-	rd.state.RequestCycle()
+	r.State.Jobs[id] = j
+	r.State.RequestCycle()
 	return j
 }
 
-// onReread updates the model with a job's record that was read again after a transaction
+// OnReread updates the model with a job's record that was read again after a transaction
 // failed at the guard on it.
-func (rd *records) onReread(e progress.JobRecordReread) {
+func (r *Records) OnReread(e progress.JobRecordReread) {
 	id := e.Job.Spec.ID
 	switch {
-	case rd.state.Jobs[id] != e.Job:
+	case r.State.Jobs[id] != e.Job:
 		// The watch was faster, and the job is archived.
 	case e.Err == nil:
-		rd.applyJobRecord(store.JobKey(id), e.Entry.Value, e.Entry.Revision)
+		r.applyJobRecord(store.JobKey(id), e.Entry.Value, e.Entry.Revision)
 	case errors.Is(e.Err, store.ErrMissing):
 		if e.Job.RecordOutdated { // otherwise it is being archived
-			rd.End("a live job's record is gone: " + string(id))
+			r.End("a live job's record is gone: " + string(id))
 		}
 	case e.Job.RecordOutdated:
-		time.AfterFunc(rereadRetry, func() { rd.Post(progress.RereadDue{Job: e.Job}) })
+		time.AfterFunc(rereadRetry, func() { r.Post(progress.RereadDue{Job: e.Job}) })
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -106,7 +106,7 @@
 		for b.Loop() {
 			next := newTerm(tm.leader, newLease(tm.leader, 51, time.Hour))
 			next.Begin(tm.Context())
-			next.records.loadRecords(jobs, chunks)
+			next.records.LoadRecords(jobs, chunks)
 			if got := len(next.state.Jobs); got != len(jobs) {
 				b.Fatalf("recovered jobs: got %d, want %d", got, len(jobs))
 			}
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -94,7 +94,7 @@
 	m.tm.state.Recovered = true
 	m.j = cluster.NewJob(store.JobRecord{Spec: m.spec, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: m.tasksPerChunk}, 1)
 	m.tm.state.Jobs[m.spec.ID] = m.j
-	m.tm.records.progress.ReadAll(m.store.list())
+	m.tm.records.Progress.ReadAll(m.store.list())
 	if orphans := m.tm.writer.Orphans; len(orphans) > 0 {
 		m.t.Fatalf("orphans: got %v, want none", orphans)
 	}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -12,6 +12,7 @@
 	"lilaclead/internal/leader/liveness"
 	"lilaclead/internal/leader/progress"
 	"lilaclead/internal/leader/reconcile"
+	"lilaclead/internal/leader/recovery"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/leader/scheduling"
 )
@@ -35,7 +36,7 @@
 	reconciler *reconcile.Reconciler
 	monitor    *liveness.Monitor
 	committer  *progress.Committer
-	records    *records
+	records    *recovery.Records
 	inventory  *inventory
 }
 
@@ -92,17 +93,17 @@
 			Writer:     writer,
 			Dispatcher: dispatcher,
 		},
-		records: &records{
+		records: &recovery.Records{
 			Loop:        loop,
-			state:       state,
-			store:       l.Store,
-			cancels:     l.Cancels,
-			versions:    l.Versions,
-			undecodable: l.Undecodable,
-			progress:    progress.NewReader(state, writer, l.Undecodable),
-			dispatcher:  dispatcher,
-			reconciler:  reconciler,
-			intents:     scaler.Intents,
+			State:       state,
+			Store:       l.Store,
+			Cancels:     l.Cancels,
+			Undecodable: l.Undecodable,
+			Progress:    progress.NewReader(state, writer, l.Undecodable),
+			Dispatcher:  dispatcher,
+			Reconciler:  reconciler,
+			Versions:    l.Versions,
+			Intents:     scaler.Intents,
 		},
 		inventory: &inventory{Loop: loop, state: state, cloud: l.Cloud, dispatcher: dispatcher},
 	}
@@ -143,7 +144,7 @@
 func (t *term) startBackgroundWork(ctx context.Context) {
 	t.Begin(ctx)
 	t.Spawn(t.keepLease)
-	t.Spawn(t.records.readRecords)
+	t.Spawn(t.records.Run)
 	t.Spawn(t.inventory.pollMachineList)
 	t.Spawn(t.inventory.pollMachineSpecs)
 	t.Spawn(t.advanceVersion)
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -175,12 +175,12 @@
 					tm.committer.Reread(j)
 					time.Sleep(20 * time.Millisecond)
 					st.DelayAnswers("", 0)
-					tm.records.applyChanges([]wire.Change{put})
+					tm.records.ApplyChanges([]wire.Change{put})
 					handleEvents(tm, 8)
 					if final := st.Keys(store.FinalKey("req-1")); len(final) != 1 {
 						t.Errorf("final records while the answer is in flight: got %v, want one", final)
 					}
-					tm.records.applyChanges([]wire.Change{deletion})
+					tm.records.ApplyChanges([]wire.Change{deletion})
 				} else {
 					tm.scheduler.StartTask(j, m, time.Now())
 				}
@@ -191,13 +191,13 @@
 				tm.committer.Reread(j) // as one that was in flight
 				runEvents()
 				if !watchFirst {
-					tm.records.applyChanges([]wire.Change{put})
+					tm.records.ApplyChanges([]wire.Change{put})
 					runEvents()
 				}
 				if len(tm.state.Jobs) != 0 || isOver(tm) {
 					t.Errorf("after late events: got jobs %v, term over %v (%s), want none, false", tm.state.Jobs, isOver(tm), tm.EndReason())
 				}
-				tm.records.applyChanges([]wire.Change{deletion})
+				tm.records.ApplyChanges([]wire.Change{deletion})
 				if len(tm.state.ArchivedJobs) != 0 {
 					t.Errorf("archived jobs remembered after the deletion: got %v, want none", tm.state.ArchivedJobs)
 				}
