--- a/internal/leader/lease_expiry_test.go
+++ b/internal/leader/lease_expiry_test.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/peer"
 )
 
-// The tasks of a machine that went silent count as active until its lease has expired by
+// The tasks of a machine that became unresponsive count as active until its lease has expired by
 // the slowest clock, from the latest time at which anybody can have answered it.
 func TestTasksEndExactlyWhenTheLeaseExpires(t *testing.T) {
 	const clockDriftDivisor = 500
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -13,8 +13,8 @@
 	"lilaclead/internal/wire"
 )
 
-// noneSilent selects no machine as silent.
-func noneSilent(*cluster.Machine) bool { return false }
+// noneUnresponsive selects no machine as unresponsive.
+func noneUnresponsive(*cluster.Machine) bool { return false }
 
 // handlePostedEvents handles the events that have been posted.
 func handlePostedEvents(tm *term) {
@@ -38,14 +38,14 @@
 	return n%20 == slot
 }
 
-// receiveHeartbeats lets time pass while each machine that is not silent sends a heartbeat
+// receiveHeartbeats lets time pass while each machine that is not unresponsive sends a heartbeat
 // every ten seconds.
-func receiveHeartbeats(tm *term, d time.Duration, silent func(*cluster.Machine) bool) {
+func receiveHeartbeats(tm *term, d time.Duration, unresponsive func(*cluster.Machine) bool) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(500 * time.Millisecond)
 		slot := time.Now().UnixMilli() / 500 % 20
 		for _, m := range tm.state.Machines {
-			if silent(m) || !sendsInSlot(m, slot) {
+			if unresponsive(m) || !sendsInSlot(m, slot) {
 				continue
 			}
 			heartbeat := heartbeatOf(m)
@@ -68,19 +68,19 @@
 	return n
 }
 
-// A large zone goes silent at once. It counts as partitioned within seconds, before the
+// A large zone becomes unresponsive at once. It counts as partitioned within seconds, before the
 // first of its machines is taken for lost: none is scaled in, nothing is placed or scaled
 // out there, and its room is not counted on. (The leader once scaled in 467 of 600 such
-// machines one by one, before most of them were overdue.) Silence of this node itself is no
+// machines one by one, before most of them were overdue.) A pause of this node itself is no
 // such sign, nor are machines that fail here and there.
-func TestSilentLargeZoneCountsAsPartitioned(t *testing.T) {
+func TestUnresponsiveLargeZoneCountsAsPartitioned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tm := newSizedTerm(t, 300)
 		defer tm.End("the test is over")
 		partitioned := func(zone wire.Zone) bool { return tm.state.LatelyPartitioned(zone, time.Now()) }
-		receiveHeartbeats(tm, 20*time.Second, noneSilent)
+		receiveHeartbeats(tm, 20*time.Second, noneUnresponsive)
 		time.Sleep(5 * time.Second) // this node receives nothing at all
-		receiveHeartbeats(tm, 20*time.Second, noneSilent)
+		receiveHeartbeats(tm, 20*time.Second, noneUnresponsive)
 		for _, zone := range tm.state.Settings.Zones {
 			if partitioned(zone) {
 				t.Errorf("zone %s after this node stood still: got partitioned, want connected", zone)
@@ -90,7 +90,7 @@
 		inZoneA := func(m *cluster.Machine) bool { return m.Zone == "a" }
 		receiveHeartbeats(tm, 3*time.Second, inZoneA)
 		if a, b := partitioned("a"), partitioned("b"); !a || b {
-			t.Errorf("zones a and b partitioned after 3 s of silence of a: got %v and %v, want true and false", a, b)
+			t.Errorf("zones a and b partitioned after 3 s without a heartbeat from a: got %v and %v, want true and false", a, b)
 		}
 		receiveHeartbeats(tm, 25*time.Second, inZoneA)
 		if n := scalingIn(tm, "a"); n != 0 {
@@ -106,7 +106,7 @@
 				t.Errorf("offer in the partitioned zone: got %+v, want none", offer)
 			}
 		}
-		receiveHeartbeats(tm, 40*time.Second, noneSilent)
+		receiveHeartbeats(tm, 40*time.Second, noneUnresponsive)
 		if n := scalingIn(tm, "a"); n != 0 || partitioned("a") {
 			t.Errorf("when the zone is back: got %d machines scaled in, partitioned %v, want 0 and false", n, partitioned("a"))
 		}
@@ -170,30 +170,30 @@
 
 // With heartbeats every ten seconds a machine with replicas that has stopped is scaled in
 // after some eight seconds, not after sixteen like others. When many such machines are
-// silent at once the cause is rather the way to them.
+// unresponsive at once the cause is rather the way to them.
 func TestMachineWithReplicasIsReplacedSooner(t *testing.T) {
-	for _, manySilent := range []bool{false, true} {
-		t.Run(fmt.Sprintf("many silent %v", manySilent), func(t *testing.T) {
+	for _, manyUnresponsive := range []bool{false, true} {
+		t.Run(fmt.Sprintf("many unresponsive %v", manyUnresponsive), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				tm := newSizedTerm(t, 60)
 				defer tm.End("the test is over")
 				var replicas, other *cluster.Machine
-				silent := map[*cluster.Machine]bool{}
+				unresponsive := map[*cluster.Machine]bool{}
 				for _, m := range tm.state.Machines {
 					switch {
 					case !tm.state.HoldsReplicas(m):
 						other = m
-					case manySilent && len(silent) < 10 || replicas == nil:
+					case manyUnresponsive && len(unresponsive) < 10 || replicas == nil:
 						replicas = m
-						silent[m] = true
+						unresponsive[m] = true
 					}
 				}
-				silent[other] = true
+				unresponsive[other] = true
 				start := time.Now()
 				checkUntil := func(age time.Duration) {
 					for time.Since(start) < age {
 						time.Sleep(500 * time.Millisecond)
-						receiveUnlessSilent(tm, silent)
+						receiveExceptFrom(tm, unresponsive)
 						tm.monitor.CheckMachines(time.Now())
 					}
 				}
@@ -202,22 +202,22 @@
 					t.Error("machine with replicas after 6 s: got scaled in, want kept")
 				}
 				checkUntil(9 * time.Second)
-				if got, want := replicas.ScalingIn, !manySilent; got != want || other.ScalingIn {
-					t.Errorf("%d silent, after 9 s, machine with replicas and the other scaled in: got %v and %v, want %v and false", len(silent), got, other.ScalingIn, want)
+				if got, want := replicas.ScalingIn, !manyUnresponsive; got != want || other.ScalingIn {
+					t.Errorf("%d unresponsive, after 9 s, machine with replicas and the other scaled in: got %v and %v, want %v and false", len(unresponsive), got, other.ScalingIn, want)
 				}
 				checkUntil(17 * time.Second)
 				if !replicas.ScalingIn || !other.ScalingIn {
-					t.Errorf("%d silent, after 17 s, machine with replicas and the other scaled in: got %v and %v, want both", len(silent), replicas.ScalingIn, other.ScalingIn)
+					t.Errorf("%d unresponsive, after 17 s, machine with replicas and the other scaled in: got %v and %v, want both", len(unresponsive), replicas.ScalingIn, other.ScalingIn)
 				}
 			})
 		})
 	}
 }
 
-// receiveUnlessSilent records a message of each machine, or that it answers no probe.
-func receiveUnlessSilent(tm *term, silent map[*cluster.Machine]bool) {
+// receiveExceptFrom records a message of each machine, or that it answers no probe.
+func receiveExceptFrom(tm *term, unresponsive map[*cluster.Machine]bool) {
 	for _, m := range tm.state.Machines {
-		if silent[m] {
+		if unresponsive[m] {
 			m.UnansweredProbes, m.RelayUnanswered = 2, true
 		} else {
 			m.LastMessageAt = time.Now()
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -145,31 +145,31 @@
 	return zoneA, zoneB
 }
 
-// A zone most of whose machines are silent is partitioned: its machines are kept, except
+// A zone most of whose machines are unresponsive is partitioned: its machines are kept, except
 // for those with replicas, which are scaled in shortly before their leases would expire. A
-// machine that is silent alone is scaled in at once.
+// machine that is unresponsive alone is scaled in at once.
 func TestMachinesOfPartitionedZoneAreKept(t *testing.T) {
 	withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
 		disconnect(tm)
 		m.Zone = "b"
 		zoneA, zoneB := addZones(tm)
-		withReplica, silentAlone := zoneA[0], zoneB[0]
+		withReplica, unresponsiveAlone := zoneA[0], zoneB[0]
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
 		j.Chunk(0).Add(&cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 1, Machine: withReplica, Observed: true})
-		silent := map[*cluster.Machine]bool{silentAlone: true}
+		unresponsive := map[*cluster.Machine]bool{unresponsiveAlone: true}
 		for _, m := range zoneA {
-			silent[m] = true
+			unresponsive[m] = true
 		}
 		check := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); {
 				time.Sleep(500 * time.Millisecond)
-				receiveUnlessSilent(tm, silent)
+				receiveExceptFrom(tm, unresponsive)
 				tm.monitor.CheckMachines(time.Now())
 			}
 		}
 		check(10 * time.Second)
-		if n := scalingIn(tm, "a"); !silentAlone.ScalingIn || n != 0 {
-			t.Errorf("after 10 s: got the machine silent alone scaled in %v, %d of the partitioned zone, want true and 0", silentAlone.ScalingIn, n)
+		if n := scalingIn(tm, "a"); !unresponsiveAlone.ScalingIn || n != 0 {
+			t.Errorf("after 10 s: got the machine unresponsive alone scaled in %v, %d of the partitioned zone, want true and 0", unresponsiveAlone.ScalingIn, n)
 		}
 		check(5500 * time.Millisecond) // 15.5 s of a lease of 16 s
 		if n := scalingIn(tm, "a"); !withReplica.ScalingIn || n != 1 {
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -103,7 +103,8 @@
 			t.Errorf("orphan: got %v, want none", left)
 		}
 		if rejectedLaunch.ActiveTasks > 0 || rejectedProgress.ActiveTasks != 1 || isOver(tm) {
-			t.Errorf("got %d and %d tasks of rejected launch and progress active, term over %v, want 0, 1, false", rejectedLaunch.ActiveTasks, rejectedProgress.ActiveTasks, isOver(tm))
+			t.Errorf("got %d and %d tasks of rejected launch and progress active, term over %v, want 0, 1, false",
+				rejectedLaunch.ActiveTasks, rejectedProgress.ActiveTasks, isOver(tm))
 		}
 		if n := st.OversizeRefusals(); n > 30 {
 			t.Errorf("rejected transactions: got %d, want at most 30", n)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -52,60 +52,67 @@
 	ticksPerStatusLogEntry = 100
 )
 
+// newTerm returns the term of a lease, with all its parts. It does nothing before run.
 func newTerm(l *Leader, lease *election.Lease) *term {
-	loop := core.NewLoop(lease, l.Log, &l.Metrics)
-	state := cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token())
-	state.Delegation = l.delegationBounds
+	t := &term{
+		Loop:           core.NewLoop(lease, l.Log, &l.Metrics),
+		leader:         l,
+		heartbeatCalls: make(chan reconcile.Call, heartbeatBacklog),
+		state:          cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token()),
+	}
+	t.state.Delegation = l.delegationBounds
 	tracker := scaling.New(lease.Token())
-	scheduler := scheduling.NewScheduler(state, l.Tuning, tracker, l.Log)
-	writer := progress.NewWriter(state, l.remainingWrites, l.Log)
-	dispatcher := &agents.Dispatcher{Loop: loop, State: state, Agents: l.agents}
-	scaler := autoscaler.NewScaler(loop, state, scheduler, tracker, autoscaler.Options{
+	t.scheduler = scheduling.NewScheduler(t.state, l.Tuning, tracker, l.Log)
+	t.writer = progress.NewWriter(t.state, l.remainingWrites, l.Log)
+	t.dispatcher = &agents.Dispatcher{Loop: t.Loop, State: t.state, Agents: l.agents}
+	t.scaler = autoscaler.NewScaler(t.Loop, t.state, t.scheduler, tracker, autoscaler.Options{
 		Cloud:         l.Cloud,
 		RecordIntents: l.RecordIntents,
 		Versioned:     l.Versions != nil,
 	})
-	reconciler := reconcile.NewReconciler(loop, state, l.delegate, dispatcher, scaler)
-	return &term{
-		Loop:           loop,
-		leader:         l,
-		heartbeatCalls: make(chan reconcile.Call, heartbeatBacklog),
-		state:          state,
-		scheduler:      scheduler,
-		writer:         writer,
-		dispatcher:     dispatcher,
-		scaler:         scaler,
-		reconciler:     reconciler,
-		monitor: &liveness.Monitor{
-			Loop:       loop,
-			State:      state,
-			Mesh:       l.Mesh,
-			Peers:      l.Config.Peers,
-			Writer:     writer,
-			Dispatcher: dispatcher,
-			Scaler:     scaler,
-		},
-		committer: &progress.Committer{
-			Loop:       loop,
-			State:      state,
-			Store:      l.Store,
-			Mesh:       l.Mesh,
-			Writer:     writer,
-			Dispatcher: dispatcher,
-		},
-		records: &recovery.Records{
-			Loop:        loop,
-			State:       state,
-			Store:       l.Store,
-			Cancels:     l.Cancels,
-			Undecodable: l.Undecodable,
-			Progress:    progress.NewReader(state, writer, l.Undecodable),
-			Dispatcher:  dispatcher,
-			Reconciler:  reconciler,
-			Versions:    l.Versions,
-			Intents:     scaler.Intents,
-		},
-		inventory: &inventory{Loop: loop, state: state, cloud: l.Cloud, dispatcher: dispatcher},
+	t.reconciler = reconcile.NewReconciler(t.Loop, t.state, l.delegate, t.dispatcher, t.scaler)
+	t.monitor = t.newMonitor()
+	t.committer = t.newCommitter()
+	t.records = t.newRecords()
+	t.inventory = &inventory{Loop: t.Loop, state: t.state, cloud: l.Cloud, dispatcher: t.dispatcher}
+	return t
+}
+
+func (t *term) newMonitor() *liveness.Monitor {
+	return &liveness.Monitor{
+		Loop:       t.Loop,
+		State:      t.state,
+		Mesh:       t.leader.Mesh,
+		Peers:      t.leader.Config.Peers,
+		Writer:     t.writer,
+		Dispatcher: t.dispatcher,
+		Scaler:     t.scaler,
+	}
+}
+
+func (t *term) newCommitter() *progress.Committer {
+	return &progress.Committer{
+		Loop:       t.Loop,
+		State:      t.state,
+		Store:      t.leader.Store,
+		Mesh:       t.leader.Mesh,
+		Writer:     t.writer,
+		Dispatcher: t.dispatcher,
+	}
+}
+
+func (t *term) newRecords() *recovery.Records {
+	return &recovery.Records{
+		Loop:        t.Loop,
+		State:       t.state,
+		Store:       t.leader.Store,
+		Cancels:     t.leader.Cancels,
+		Undecodable: t.leader.Undecodable,
+		Progress:    progress.NewReader(t.state, t.writer, t.leader.Undecodable),
+		Dispatcher:  t.dispatcher,
+		Reconciler:  t.reconciler,
+		Versions:    t.leader.Versions,
+		Intents:     t.scaler.Intents,
 	}
 }
 
@@ -140,7 +147,7 @@
 	}
 }
 
-// startBackgroundWork starts the goroutines that run for the whole term.
+// startBackgroundWork starts the goroutines that run until the term ends.
 func (t *term) startBackgroundWork(ctx context.Context) {
 	t.Begin(ctx)
 	t.Spawn(t.keepLease)
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -126,7 +126,8 @@
 func TestChunksStayUntilTheJobIsArchived(t *testing.T) {
 	const chunks = 20
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.State, runEvents func()) {
-		record := store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: chunks, CPUs: 1}, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: 1}
+		spec := wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: chunks, CPUs: 1}
+		record := store.JobRecord{Spec: spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: 1}
 		j := cluster.NewJob(record, st.Put(store.JobKey("req-2"), record))
 		tm.state.Jobs[j.Spec.ID] = j
 		for n := range j.Chunks {
