--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -74,7 +74,7 @@
 	}
 	l.contacts.record(heartbeat.Machine)
 	if t := l.answeringTerm(); t != nil {
-		l.answerFromTerm(r.Context(), w, t, heartbeat, false)
+		l.writeAnswer(w, t.answerHeartbeat(r.Context(), heartbeat, false))
 		return
 	}
 	l.Metrics.Heartbeat(outcomeNotLeading)
@@ -93,7 +93,7 @@
 		l.writeAnswer(w, heartbeatAnswer{outcome: unavailable, reason: "does not lead"})
 		return
 	}
-	l.answerFromTerm(r.Context(), w, t, heartbeat, true)
+	l.writeAnswer(w, t.answerHeartbeat(r.Context(), heartbeat, true))
 }
 
 // ServeRelayedProbe handles a probe that the leader sends to an agent through this node.
@@ -128,12 +128,8 @@
 	wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 }
 
-// answerFromTerm answers a heartbeat by the term's loop.
-func (l *Leader) answerFromTerm(ctx context.Context, w http.ResponseWriter, t *term, heartbeat *wire.Heartbeat, relayed bool) {
-	l.writeAnswer(w, t.answerHeartbeat(ctx, heartbeat, relayed))
-}
-
-// answerHeartbeat passes a heartbeat to the loop and waits for its answer.
+// answerHeartbeat passes a heartbeat to the loop and waits for its answer. relayed means
+// that it came through another node.
 func (t *term) answerHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayed bool) heartbeatAnswer {
 	call := reconcile.Call{Heartbeat: *heartbeat, Relayed: relayed, Reply: make(chan reconcile.Reply, 1)}
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
--- a/internal/leader/large_fleet_test.go
+++ b/internal/leader/large_fleet_test.go
@@ -24,7 +24,7 @@
 	answered := 0
 	for i := range heartbeats {
 		w := httptest.NewRecorder()
-		tm.leader.answerFromTerm(context.Background(), w, tm, &heartbeats[i], false)
+		tm.leader.writeAnswer(w, tm.answerHeartbeat(context.Background(), &heartbeats[i], false))
 		if w.Code == 200 {
 			answered++
 		}
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -46,7 +46,7 @@
 		b.Fatalf("heartbeat of %s: got %v, want no error", m.ID, err)
 	}
 	w := httptest.NewRecorder()
-	tm.leader.answerFromTerm(r.Context(), w, tm, &heartbeat, false)
+	tm.leader.writeAnswer(w, tm.answerHeartbeat(r.Context(), &heartbeat, false))
 	if w.Code != 200 {
 		b.Fatalf("heartbeat of %s: got status %d, %s, want 200", m.ID, w.Code, w.Body)
 	}
