--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -28,28 +28,28 @@
 type heartbeatOutcome int
 
 const (
-	answeredHere   heartbeatOutcome = iota // by the term of this node
-	relayed                                // by the leader, through this node
-	delegated                              // by this node as the delegate of a lost leader
-	redirected                             // the agent is sent to the leader
-	redirectedHere                         // the agent should contact this leader directly
-	rejected                               // by the term, which must not renew the lease
-	unavailable                            // nobody could answer
+	outcomeAnswered       heartbeatOutcome = iota // by the term of this node
+	outcomeRelayed                                // by the leader, through this node
+	outcomeDelegated                              // by this node as the delegate of a lost leader
+	outcomeRedirected                             // the agent is sent to the leader
+	outcomeRedirectedHere                         // the agent should contact this leader directly
+	outcomeRejected                               // by the term, which must not renew the lease
+	outcomeUnavailable                            // nobody could answer
 )
 
 // heartbeatOutcomeLabels are the outcomes' label values of the heartbeat metric. The other
 // outcomes are not counted by themselves.
 var heartbeatOutcomeLabels = map[heartbeatOutcome]string{
-	answeredHere:   "ok",
-	relayed:        "relayed",
-	delegated:      "by a delegate",
-	redirectedHere: "sent here",
-	rejected:       "refused",
+	outcomeAnswered:       "ok",
+	outcomeRelayed:        "relayed",
+	outcomeDelegated:      "by a delegate",
+	outcomeRedirectedHere: "sent here",
+	outcomeRejected:       "refused",
 }
 
-// outcomeNotLeading is the label value for heartbeats that reach a node that does not
+// labelNotLeading is the label value for heartbeats that reach a node that does not
 // lead. It is counted beside the outcome.
-const outcomeNotLeading = "elsewhere"
+const labelNotLeading = "elsewhere"
 
 // heartbeatAnswer is the answer to a heartbeat.
 type heartbeatAnswer struct {
@@ -77,7 +77,7 @@
 		l.writeAnswer(w, t.answerHeartbeat(r.Context(), heartbeat, false))
 		return
 	}
-	l.Metrics.Heartbeat(outcomeNotLeading)
+	l.Metrics.Heartbeat(labelNotLeading)
 	l.writeAnswer(w, l.answerAsFollower(r.Context(), heartbeat))
 }
 
@@ -90,7 +90,7 @@
 	}
 	t := l.answeringTerm()
 	if t == nil {
-		l.writeAnswer(w, heartbeatAnswer{outcome: unavailable, reason: "does not lead"})
+		l.writeAnswer(w, heartbeatAnswer{outcome: outcomeUnavailable, reason: "does not lead"})
 		return
 	}
 	l.writeAnswer(w, t.answerHeartbeat(r.Context(), heartbeat, true))
@@ -143,20 +143,20 @@
 	case reply := <-call.Reply:
 		return answerOfReply(reply)
 	case <-t.Done:
-		return heartbeatAnswer{outcome: unavailable, reason: "no longer leads"}
+		return heartbeatAnswer{outcome: outcomeUnavailable, reason: "no longer leads"}
 	case <-ctx.Done():
-		return heartbeatAnswer{outcome: unavailable, reason: "busy"}
+		return heartbeatAnswer{outcome: outcomeUnavailable, reason: "busy"}
 	}
 }
 
 func answerOfReply(reply reconcile.Reply) heartbeatAnswer {
 	switch {
 	case reply.Redirect:
-		return heartbeatAnswer{outcome: redirectedHere}
+		return heartbeatAnswer{outcome: outcomeRedirectedHere}
 	case reply.Commands == nil:
-		return heartbeatAnswer{outcome: rejected, reason: reply.Rejected.Error()}
+		return heartbeatAnswer{outcome: outcomeRejected, reason: reply.Rejected.Error()}
 	default:
-		return heartbeatAnswer{outcome: answeredHere, commands: reply.Commands}
+		return heartbeatAnswer{outcome: outcomeAnswered, commands: reply.Commands}
 	}
 }
 
@@ -169,24 +169,24 @@
 	}
 	if !l.delegate.Lately() && l.Mesh.View().Peers[leader].Connected(now) {
 		if commands := l.relayHeartbeat(ctx, leader, heartbeat); commands != nil {
-			return heartbeatAnswer{outcome: relayed, commands: commands}
+			return heartbeatAnswer{outcome: outcomeRelayed, commands: commands}
 		}
 	}
 	if l.delegate.Returned(heartbeat.Machine, now) {
 		if commands := l.delegate.Answer(heartbeat); commands != nil {
-			return heartbeatAnswer{outcome: delegated, commands: commands}
+			return heartbeatAnswer{outcome: outcomeDelegated, commands: commands}
 		}
 	}
-	return heartbeatAnswer{outcome: redirected, leader: leader}
+	return heartbeatAnswer{outcome: outcomeRedirected, leader: leader}
 }
 
 // answerWithoutLeader answers a heartbeat while no leader is known: it renews the lease
 // for the leader that was lost, if this node may.
 func (l *Leader) answerWithoutLeader(heartbeat *wire.Heartbeat) heartbeatAnswer {
 	if commands := l.delegate.Answer(heartbeat); commands != nil {
-		return heartbeatAnswer{outcome: delegated, commands: commands}
+		return heartbeatAnswer{outcome: outcomeDelegated, commands: commands}
 	}
-	return heartbeatAnswer{outcome: unavailable, reason: "no leader known"}
+	return heartbeatAnswer{outcome: outcomeUnavailable, reason: "no leader known"}
 }
 
 // currentLeader returns the node that leads according to a recent peer heartbeat or, while
@@ -223,13 +223,13 @@
 		l.Metrics.Heartbeat(label)
 	}
 	switch answer.outcome {
-	case answeredHere, relayed, delegated:
+	case outcomeAnswered, outcomeRelayed, outcomeDelegated:
 		wire.Answer(w, http.StatusOK, answer.commands)
-	case redirected:
+	case outcomeRedirected:
 		wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: answer.leader})
-	case redirectedHere:
+	case outcomeRedirectedHere:
 		wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
-	case rejected, unavailable:
+	case outcomeRejected, outcomeUnavailable:
 		wire.RefuseRetryable(w, http.StatusServiceUnavailable, answer.reason, 1)
 	}
 }
