--- a/internal/leader/core/package_doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package core holds what the parts of a term share.
-package core
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -8,58 +8,32 @@
 	"lilaclead/internal/leader/autoscaler"
 	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/progress"
-	"lilaclead/internal/wire"
-	"lilaclead/upgrade"
+	"lilaclead/internal/leader/recovery"
 )
 
-// machineListReceived is an answer of the cloud with its machine list.
-type machineListReceived struct {
-	machines    []wire.ListedMachine
-	requestedAt time.Time
-}
-
-// machineSpecsReceived says that the catalog of machine types is fresh.
-type machineSpecsReceived struct{}
-
-// versionChecked is the version of the behaviour that is active; 0: not known.
-type versionChecked struct{ version upgrade.Version }
-
-// viewRequested asks for the operators' view.
-type viewRequested struct{ reply chan<- *View }
-
-// handle hands an event to the part of the term that it is for.
+// handle passes an event to the part of the term that handles it.
 func (t *term) handle(event core.Event) {
 	switch e := event.(type) {
 	case machineListReceived:
-		now := time.Now()
-		t.state.MachineListRequestedAt = e.requestedAt
-		t.inventory.onMachineList(e.machines, now)
-		if !t.state.SchedulingEnabled {
-			t.checkLeadership(now)
-		}
+		t.onMachineList(e)
 	case machineSpecsReceived:
 		t.state.RequestCycle()
-	case recordsRead:
-		t.records.loadRecords(e.jobs, e.progress)
-		t.state.ActiveVersion = e.version
-		t.scaler.AdoptIntents(e.intents)
-		t.leader.Cancels.RecordRead(e.startedAt)
-	case jobRecordsChanged:
-		t.records.applyChanges(e.changes)
-		t.leader.Cancels.RecordRead(e.startedAt)
+	case recovery.RecordsRead:
+		t.onRecordsRead(e)
+	case recovery.JobRecordsChanged:
+		t.onJobRecordsChanged(e)
 	case progress.JobRecordReread:
-		t.records.onReread(e)
+		t.records.OnReread(e)
 	case progress.RereadDue:
 		t.committer.Reread(e.Job)
-	case resignationDue:
-		t.Resign(e.reason)
+	case recovery.ResignationDue:
+		t.Resign(e.Reason)
 	case versionChecked:
-		t.takeVersion(e.version)
+		t.adoptVersion(e.version)
 	case agents.CommandAnswer:
 		t.reconciler.OnCommandAnswer(e)
 	case agents.ProbeAnswer:
-		t.reconciler.OnCommandAnswer(e.CommandAnswer)
-		e.Machine.RelayUnanswered = e.Err != nil && e.Relayed
+		t.onProbeAnswer(e)
 	case autoscaler.ScaleOutsRecorded:
 		t.scaler.OnScaleOutsRecorded(e.Fresh, e.Err)
 	case autoscaler.ScaleOutAnswered:
@@ -67,9 +41,9 @@
 	case autoscaler.ScaledIn:
 		t.scaler.OnScaledIn(e.Machines)
 	case progress.TxnAnswered:
-		t.committer.OnTxnResult(e.Batch, e.Revision, e.Err)
+		t.committer.OnTxnAnswered(e)
 	case progress.TokenRaised:
-		t.committer.OnTokenRaised(e.Token, e.Batch)
+		t.committer.OnTokenRaised(e)
 	case progress.TxnOutcomeRead:
 		t.committer.OnOutcomeRead(e)
 	case viewRequested:
@@ -78,3 +52,32 @@
 		t.Log.Error("unknown event", "type", fmt.Sprintf("%T", event))
 	}
 }
+
+// onMachineList updates the machines, and checks at once whether scheduling can begin: a
+// new term may have waited for the list.
+func (t *term) onMachineList(e machineListReceived) {
+	now := time.Now()
+	t.state.MachineListRequestedAt = e.requestedAt
+	t.inventory.onMachineList(e.machines, now)
+	if !t.state.SchedulingEnabled {
+		t.checkLeadership(now)
+	}
+}
+
+// onRecordsRead builds the model from the records and adopts what earlier leaders began.
+func (t *term) onRecordsRead(e recovery.RecordsRead) {
+	t.records.LoadRecords(e.Jobs, e.Progress)
+	t.state.ActiveVersion = e.Version
+	t.scaler.AdoptIntents(e.Intents)
+	t.leader.Cancels.RecordRead(e.StartedAt)
+}
+
+func (t *term) onJobRecordsChanged(e recovery.JobRecordsChanged) {
+	t.records.ApplyChanges(e.Changes)
+	t.leader.Cancels.RecordRead(e.StartedAt)
+}
+
+func (t *term) onProbeAnswer(e agents.ProbeAnswer) {
+	t.reconciler.OnCommandAnswer(e.CommandAnswer)
+	e.Machine.RelayUnanswered = e.Err != nil && e.Relayed
+}
