--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -91,7 +91,7 @@
 
 // OnScaleOutAnswered takes in the final answer to a booking.
 func (sl *Scaler) OnScaleOutAnswered(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
-	outcome, rest := sl.Tracker.Answered(b, len(machines), err, time.Now())
+	outcome, rest := sl.Tracker.FinishScaleOut(b, scaling.Answer{Machines: len(machines), Err: err}, time.Now())
 	switch outcome {
 	case scaling.Filled, scaling.PartlyFilled:
 		sl.Metrics.Fleet("rented", len(machines))
--- /dev/null
+++ b/internal/leader/scaling/scale_in_test.go
@@ -0,0 +1,68 @@
+package scaling
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"lilaclead/internal/wire"
+)
+
+func TestScaleInsAreSentOneBatchAtATime(t *testing.T) {
+	tracker := New(testToken)
+	var want, got []wire.MachineID
+	for i := range 250 {
+		machine := wire.MachineID(fmt.Sprint("n-", i))
+		want = append(want, machine)
+		tracker.QueueScaleIn(machine)
+		if i == 0 {
+			got = append(got, tracker.NextScaleIn(MaxScaleIn)...)
+		}
+	}
+	if len(got) != 1 {
+		t.Fatalf("the first batch is %v, want one machine", got)
+	}
+	for range 4 {
+		if batch := tracker.NextScaleIn(MaxScaleIn); batch != nil {
+			t.Fatalf("a second batch while one is in flight: %v", batch)
+		}
+		tracker.EndScaleIn()
+		batch := tracker.NextScaleIn(MaxScaleIn)
+		if len(batch) > MaxScaleIn {
+			t.Fatalf("%d machines in one batch, want at most %d", len(batch), MaxScaleIn)
+		}
+		got = append(got, batch...)
+		tracker.QueueScaleIn("late") // joins a later batch
+		want = append(want, "late")
+	}
+	if n := len(got); n < 250 || !slices.Equal(got, want[:n]) {
+		t.Errorf("scaled in %d machines, not each once and in order: %v", n, got)
+	}
+}
+
+func TestScaleInBatchIsWithinTheLimit(t *testing.T) {
+	for _, limit := range []int{1, 25, MaxScaleIn, MaxScaleIn + 1} {
+		tracker := New(testToken)
+		for i := range 2 * MaxScaleIn {
+			tracker.QueueScaleIn(wire.MachineID(fmt.Sprint("n-", i)))
+		}
+		if got, want := len(tracker.NextScaleIn(limit)), min(limit, MaxScaleIn); got != want {
+			t.Errorf("limit %d: %d machines in a batch, want %d", limit, got, want)
+		}
+	}
+}
+
+func TestNoScaleInWhileTheRecordIsCleared(t *testing.T) {
+	tracker := New(testToken)
+	tracker.QueueScaleIn("n-1")
+	if !tracker.BeginScaleIn() || tracker.BeginScaleIn() {
+		t.Error("not exactly one request can be in flight")
+	}
+	if batch := tracker.NextScaleIn(MaxScaleIn); batch != nil {
+		t.Errorf("batch %v while a request is in flight, want none", batch)
+	}
+	tracker.EndScaleIn()
+	if batch := tracker.NextScaleIn(MaxScaleIn); len(batch) != 1 {
+		t.Errorf("batch %v after the request, want n-1", batch)
+	}
+}
