--- a/internal/leader/autoscaler/events.go
+++ b/internal/leader/autoscaler/events.go
@@ -5,18 +5,27 @@
 	"lilaclead/internal/wire"
 )
 
-// ScaleOutsRecorded is the outcome of recording scale-outs before they are sent.
+// ScaleOutsRecorded is the outcome of recording scale-out requests before they are sent.
 type ScaleOutsRecorded struct {
+	// Fresh are the requests that were not recorded before.
 	Fresh []*scaling.PendingScaleOut
-	Err   error
+	// Err is why the record could not be written; nil if it was.
+	Err error
 }
 
-// ScaleOutAnswered is the cloud's final answer to a scale-out.
+// ScaleOutAnswered is the cloud's final answer to a scale-out request.
 type ScaleOutAnswered struct {
-	Request  *scaling.PendingScaleOut
+	// Request is the request that was answered.
+	Request *scaling.PendingScaleOut
+	// Machines are the machines that the cloud has started.
 	Machines []wire.MachineID
-	Err      error
+	// Err is why the request failed; nil if it did not.
+	Err error
 }
 
-// ScaledIn says that the cloud has confirmed that machines are gone.
-type ScaledIn struct{ Machines []wire.MachineID }
+// ScaledIn is the cloud's confirmation that machines no longer exist.
+type ScaledIn struct {
+	// Machines are the machines that were returned; none if only the record of scale-ins
+	// was cleared.
+	Machines []wire.MachineID
+}
--- a/internal/leader/autoscaler/plan.go
+++ b/internal/leader/autoscaler/plan.go
@@ -3,30 +3,49 @@
 import (
 	"time"
 
+	"lilaclead/internal/fleet"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/wire"
 )
 
-// PlanFleet rents for what can't be placed and returns what is not needed.
-func (sl *Scaler) PlanFleet(now time.Time) {
-	specs := sl.state.Catalog.Get()
-	sl.recordScaleOuts(now)
-	sl.clearScaleIns(now)
-	if !sl.state.Recovered || !sl.state.SchedulingEnabled || !sl.state.MachineListReceived || !sl.Lease.Deciding() || specs == nil || sl.Tracker.Paused(now) {
+// PlanFleet scales out for tasks that can't be placed, and scales in what is not needed.
+func (s *Scaler) PlanFleet(now time.Time) {
+	specs := s.state.Catalog.Get()
+	s.recordScaleOuts(now)
+	s.clearScaleIns(now)
+	if !s.mayPlan(specs, now) {
 		return
 	}
-	plan := sl.scheduler.PlanCapacity(specs, sl.mayScaleOut(), now)
-	for _, r := range plan.ScaleOuts {
-		for left := r.Count; left > 0; left -= scaling.MaxScaleOut {
-			r.Count = min(left, scaling.MaxScaleOut)
-			sl.requestScaleOut(r)
-		}
+	plan := s.scheduler.PlanCapacity(specs, s.mayScaleOut(), now)
+	for _, scaleOut := range plan.ScaleOuts {
+		s.requestInBatches(scaleOut)
 	}
-	sl.recordScaleOuts(now)
-	sl.scheduler.ApplyCordons(plan)
+	s.recordScaleOuts(now)
+	s.scheduler.ApplyCordons(plan)
 	for _, id := range plan.ScaleIns {
-		if m := sl.state.Machines[id]; m != nil && len(m.Tasks) == 0 {
-			sl.ScaleIn(m, cluster.DrainIdle)
-		}
+		s.scaleInIdle(id)
+	}
+}
+
+// mayPlan reports whether the cluster is known well enough to plan its capacity, and
+// whether the cloud may be asked now.
+func (s *Scaler) mayPlan(specs []wire.MachineSpec, now time.Time) bool {
+	clusterKnown := s.state.Recovered && s.state.SchedulingEnabled && s.state.MachineListReceived
+	return clusterKnown && s.Lease.Deciding() && specs != nil && !s.Tracker.Paused(now)
+}
+
+// requestInBatches requests the machines of one offer, in requests that the cloud accepts.
+func (s *Scaler) requestInBatches(scaleOut fleet.ScaleOut) {
+	for left := scaleOut.Count; left > 0; left -= scaling.MaxScaleOut {
+		scaleOut.Count = min(left, scaling.MaxScaleOut)
+		s.requestScaleOut(scaleOut)
+	}
+}
+
+// scaleInIdle returns a machine on which no task was started since the plan was made.
+func (s *Scaler) scaleInIdle(id wire.MachineID) {
+	if machine := s.state.Machines[id]; machine != nil && len(machine.Tasks) == 0 {
+		s.ScaleIn(machine, cluster.DrainIdle)
 	}
 }
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -11,90 +11,93 @@
 	"lilaclead/internal/wire"
 )
 
-// A request to release that is not answered is sent again after a pause that grows
-// from the one to the other.
+// A scale-in request that is not confirmed is sent again after a pause that grows from
+// minScaleInRetry to maxScaleInRetry.
 const (
 	minScaleInRetry = 500 * time.Millisecond
 	maxScaleInRetry = 2 * time.Second
 )
 
-// ScaleIn returns a machine; its tasks count until the cloud has said that
-// it is gone.
-func (sl *Scaler) ScaleIn(m *cluster.Machine, why cluster.DrainReason) {
-	if m.ScalingIn || !sl.Lease.Deciding() {
+// ScaleIn returns a machine to the cloud. Its tasks count as active until the cloud has
+// confirmed that the machine no longer exists.
+func (s *Scaler) ScaleIn(machine *cluster.Machine, reason cluster.DrainReason) {
+	if machine.ScalingIn || !s.Lease.Deciding() {
 		return
 	}
-	m.ScalingIn = true
-	if m.DrainReason == "" {
-		m.DrainReason = why
+	machine.ScalingIn = true
+	if machine.DrainReason == "" {
+		machine.DrainReason = reason
 	}
-	sl.Log.Info("releases", "machine", m.ID, "type", m.MachineType, "zone", m.Zone, "spot", m.Spot, "why", why, "tasks", len(m.Tasks), "age", time.Since(m.RequestedAt))
-	sl.Metrics.Fleet("released", 1)
-	sl.Tracker.QueueScaleIn(m.ID)
-	sl.sendNextScaleIn()
+	s.Log.Info("scale-in requested", "machine", machine.ID, "type", machine.MachineType, "zone", machine.Zone, "spot", machine.Spot, "reason", reason, "tasks", len(machine.Tasks), "age", time.Since(machine.RequestedAt))
+	s.Metrics.Fleet("released", 1)
+	s.Tracker.QueueScaleIn(machine.ID)
+	s.sendNextScaleIn()
 }
 
-// sendNextScaleIn sends the next request to release, if none is under way, and
-// repeats it until the cloud has answered.
-func (sl *Scaler) sendNextScaleIn() {
-	ids := sl.Tracker.NextScaleIn(sl.maxScaleInBatch())
-	if len(ids) == 0 {
+// sendNextScaleIn sends the next batch of scale-ins, unless one is in flight, and repeats
+// it until the cloud has confirmed it.
+func (s *Scaler) sendNextScaleIn() {
+	machines := s.Tracker.NextScaleIn(s.maxScaleInBatch())
+	if len(machines) == 0 {
 		return
 	}
-	record := sl.recordsIntents()
-	sl.Spawn(func(ctx context.Context) {
-		if record && !sl.recordScaleIns(ctx, ids) {
+	record := s.recordsIntents()
+	s.Spawn(func(ctx context.Context) {
+		if record && !s.recordScaleIns(ctx, machines) {
 			return
 		}
-		if sl.sendScaleIn(ctx, ids) {
-			sl.Post(ScaledIn{ids})
+		if s.sendScaleIn(ctx, machines) {
+			s.Post(ScaledIn{machines})
 		}
 	})
 }
 
-// sendScaleIn keeps asking the cloud until it has answered that the machines are
-// gone, and only while the lease is held; false: the term is over.
-func (sl *Scaler) sendScaleIn(ctx context.Context, ids []wire.MachineID) bool {
+// sendScaleIn repeats a scale-in request until the cloud has confirmed it, and sends it
+// only while the lease is held. It returns false if the term has ended before. It runs in
+// the background.
+func (s *Scaler) sendScaleIn(ctx context.Context, machines []wire.MachineID) bool {
 	wait := minScaleInRetry
 	for ctx.Err() == nil {
-		err := sl.requestScaleIn(ctx, ids)
+		err := s.callScaleIn(ctx, machines)
 		if err == nil {
 			return true
 		}
-		sl.Log.Debug("release not answered", "machines", len(ids), "err", err)
+		s.Log.Debug("scale-in not confirmed", "machines", len(machines), "err", err)
 		core.Pause(ctx, wait+rand.N(wait/2))
-		wait = min(2*wait, maxScaleInRetry) // one request at a time, whatever waits
+		// Only one request is in flight at a time, however many machines are queued.
+		wait = min(2*wait, maxScaleInRetry)
 	}
 	return false
 }
 
-// requestScaleIn asks the cloud once, if the lease is held.
-func (sl *Scaler) requestScaleIn(ctx context.Context, ids []wire.MachineID) error {
-	permit, err := duty.PermitFor[duty.ScaleIn](sl.Lease.Lease)
+// callScaleIn sends a scale-in request once, if the lease is held.
+func (s *Scaler) callScaleIn(ctx context.Context, machines []wire.MachineID) error {
+	permit, err := duty.PermitFor[duty.ScaleIn](s.Lease.Lease)
 	if err != nil {
 		return err
 	}
-	return sl.Cloud.ScaleIn(ctx, permit, ids)
+	return s.Cloud.ScaleIn(ctx, permit, machines)
 }
 
-// OnScaledIn takes in that machines are gone, and with them what ran there.
-func (sl *Scaler) OnScaledIn(ids []wire.MachineID) {
-	for _, id := range ids {
-		sl.removeMachine(sl.state.Machines[id])
+// OnScaledIn handles the confirmation that machines no longer exist, nor what ran there.
+func (s *Scaler) OnScaledIn(machines []wire.MachineID) {
+	for _, id := range machines {
+		s.removeMachine(s.state.Machines[id])
 	}
-	if sl.Intents != nil {
-		sl.Intents.scaledInAt = time.Now()
+	if s.Intents != nil {
+		s.Intents.scaledInAt = time.Now()
 	}
-	sl.Tracker.EndScaleIn()
-	sl.sendNextScaleIn()
+	s.Tracker.EndScaleIn()
+	s.sendNextScaleIn()
 }
 
-func (sl *Scaler) removeMachine(m *cluster.Machine) {
-	sl.state.RemovedMachines[m.ID] = time.Now()
-	for _, a := range m.Tasks {
-		sl.Metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
-		sl.state.EndAttempt(a, cluster.TaskPending)
+// removeMachine removes a machine from the inventory and makes its tasks pending.
+func (s *Scaler) removeMachine(machine *cluster.Machine) {
+	s.state.RemovedMachines[machine.ID] = time.Now()
+	for _, attempt := range machine.Tasks {
+		s.Metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
+		s.state.EndAttempt(attempt, cluster.TaskPending)
 	}
-	delete(sl.state.Machines, m.ID)
-	sl.state.RequestCycle()
+	delete(s.state.Machines, machine.ID)
+	s.state.RequestCycle()
 }
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -7,72 +7,40 @@
 	"time"
 
 	"lilaclead/duty"
-	"lilaclead/internal/cloud"
 	"lilaclead/internal/fleet"
-	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/scaling"
-	"lilaclead/internal/leader/scheduling"
 	"lilaclead/internal/wire"
-	"lilaclead/upgrade"
 )
 
-// Scaler scales the cluster out and in: it asks the cloud for machines, and gives back
-// those that are not needed or not trusted.
-type Scaler struct {
-	*core.Loop
-	state     *cluster.State
-	scheduler *scheduling.Scheduler
-	Tracker   *scaling.Tracker
-	Cloud     *cloud.Client
-	versioned bool          // intents are recorded only from a version on
-	Intents   *CloudIntents // nil: they are not recorded
-}
-
-// Options of a scaler.
-type Options struct {
-	Cloud *cloud.Client
-	// RecordIntents has requests recorded before they are sent; Versioned: only from
-	// VersionIntents on.
-	RecordIntents, Versioned bool
-}
-
-// NewScaler returns the scaler of a term.
-func NewScaler(loop *core.Loop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker, options Options) *Scaler {
-	sl := &Scaler{Loop: loop, state: state, scheduler: scheduler, Tracker: tracker, Cloud: options.Cloud, versioned: options.Versioned}
-	if options.RecordIntents {
-		sl.Intents = newCloudIntents(loop.Lease.Lease, state.Settings)
-	}
-	return sl
-}
-
+// A scale-out request without a final answer is sent again after a pause that grows from
+// minScaleOutRetry to maxScaleOutRetry.
 const (
-	// A booking without a final answer is sent again after a pause that grows from
-	// the one to the other.
 	minScaleOutRetry = 400 * time.Millisecond
 	maxScaleOutRetry = 5 * time.Second
 )
 
-// requestScaleOut books machines, once that is recorded if it is to be.
-func (sl *Scaler) requestScaleOut(r fleet.ScaleOut) {
-	b := sl.Tracker.StartScaleOut(r, time.Now())
-	sl.Log.Info("rents", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "count", b.Count, "for", r.For, "booking", b.Name)
-	if sl.recordsIntents() {
-		sl.Intents.unrecorded = append(sl.Intents.unrecorded, b)
+// requestScaleOut requests machines. Where intents are recorded the request is sent once
+// its record is written.
+func (s *Scaler) requestScaleOut(scaleOut fleet.ScaleOut) {
+	request := s.Tracker.StartScaleOut(scaleOut, time.Now())
+	s.Log.Info("scale-out requested", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "job", scaleOut.For, "request", request.Name)
+	if s.recordsIntents() {
+		s.Intents.unrecorded = append(s.Intents.unrecorded, request)
 		return
 	}
-	sl.Spawn(func(ctx context.Context) { sl.sendScaleOut(ctx, b) })
+	s.Spawn(func(ctx context.Context) { s.sendScaleOut(ctx, request) })
 }
 
-// sendScaleOut keeps asking for machines under the booking's name until the cloud has
-// answered, and only while the lease is held.
-func (sl *Scaler) sendScaleOut(ctx context.Context, b *scaling.PendingScaleOut) {
-	var tries scaling.RetryState
+// sendScaleOut repeats a request under its name until the cloud has given a final answer,
+// and sends it only while the lease is held. It runs in the background.
+func (s *Scaler) sendScaleOut(ctx context.Context, request *scaling.PendingScaleOut) {
+	var retry scaling.RetryState
 	wait := minScaleOutRetry
 	for ctx.Err() == nil {
-		machines, err := sl.callScaleOut(ctx, b)
-		if !errors.Is(err, duty.ErrNotHeld) && tries.Final(err) {
-			sl.Post(ScaleOutAnswered{b, machines, err})
+		machines, err := s.callScaleOut(ctx, request)
+		if !errors.Is(err, duty.ErrNotHeld) && retry.Final(err) {
+			s.Post(ScaleOutAnswered{request, machines, err})
 			return
 		}
 		core.Pause(ctx, wait+rand.N(wait/2))
@@ -80,63 +48,66 @@
 	}
 }
 
-// callScaleOut asks the cloud once, if the lease is held.
-func (sl *Scaler) callScaleOut(ctx context.Context, b *scaling.PendingScaleOut) ([]wire.MachineID, error) {
-	permit, err := duty.PermitFor[duty.ScaleOut](sl.Lease.Lease)
+// callScaleOut sends a request once, if the lease is held.
+func (s *Scaler) callScaleOut(ctx context.Context, request *scaling.PendingScaleOut) ([]wire.MachineID, error) {
+	permit, err := duty.PermitFor[duty.ScaleOut](s.Lease.Lease)
 	if err != nil {
 		return nil, err
 	}
-	return sl.Cloud.ScaleOut(ctx, permit, b.ScaleOutRequest)
+	return s.Cloud.ScaleOut(ctx, permit, request.ScaleOutRequest)
 }
 
-// OnScaleOutAnswered takes in the final answer to a booking.
-func (sl *Scaler) OnScaleOutAnswered(b *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
-	outcome, rest := sl.Tracker.FinishScaleOut(b, scaling.Answer{Machines: len(machines), Err: err}, time.Now())
+// OnScaleOutAnswered handles the final answer to a scale-out request.
+func (s *Scaler) OnScaleOutAnswered(request *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
+	outcome, backoff := s.Tracker.FinishScaleOut(request, scaling.Answer{Machines: len(machines), Err: err}, time.Now())
 	switch outcome {
-	case scaling.Filled, scaling.PartlyFilled:
-		sl.Metrics.Fleet("rented", len(machines))
-		if sl.maybeUnlisted(b) {
-			sl.addProvisioned(b, machines)
-		}
-		if outcome == scaling.PartlyFilled {
-			sl.Log.Info("booking only partly filled", "booking", b.Name, "got", len(machines), "of", b.Count)
-		}
+	case scaling.Filled:
+		s.onMachinesStarted(request, machines)
+	case scaling.PartlyFilled:
+		s.onMachinesStarted(request, machines)
+		s.Log.Info("scale-out partly filled", "request", request.Name, "started", len(machines), "count", request.Count)
 	case scaling.NoCapacity:
-		sl.Log.Info("no capacity", "type", b.Type, "zone", b.Zone, "spot", b.Spot, "again_in", rest, "err", err)
+		s.Log.Info("scale-out rejected", "reason", "no capacity", "type", request.Type, "zone", request.Zone, "spot", request.Spot, "retry_in", backoff, "err", err)
 	case scaling.Unavailable:
-		sl.Log.Info("cloud busy or down", "again_in", rest, "err", err)
+		s.Log.Info("scale-outs paused", "reason", "cloud unavailable", "retry_in", backoff, "err", err)
 	}
 }
 
-// listLagTimes: a list is at most so many times older than the settings say.
-const listLagTimes = 2
+// onMachinesStarted takes in the machines that a request has started.
+func (s *Scaler) onMachinesStarted(request *scaling.PendingScaleOut, machines []wire.MachineID) {
+	s.Metrics.Fleet("rented", len(machines))
+	if s.maybeUnlisted(request) {
+		s.addProvisioned(request, machines)
+	}
+}
+
+const (
+	// maxListLagFactor is how many times older than its configured lag a machine list can be.
+	maxListLagFactor = 2
+	// listLagMargin covers the time that the request itself took.
+	listLagMargin = time.Second
+)
 
-// maybeUnlisted tells whether the machines of a booking may be in no list yet. Those
-// of one that an earlier leader sent longer ago are, unless they are gone.
-func (sl *Scaler) maybeUnlisted(b *scaling.PendingScaleOut) bool {
-	lag := sl.state.Settings.Cloud.ListLag.Duration()*listLagTimes + time.Second
-	return !b.Adopted || time.Since(b.RequestedAt) < lag
+// maybeUnlisted reports whether the machines of a request may be missing from the latest
+// machine list. Those of a request that an earlier leader sent longer ago are listed,
+// unless they no longer exist.
+func (s *Scaler) maybeUnlisted(request *scaling.PendingScaleOut) bool {
+	maxLag := s.state.Settings.Cloud.ListLag.Duration()*maxListLagFactor + listLagMargin
+	return !request.Adopted || time.Since(request.RequestedAt) < maxLag
 }
 
-// addProvisioned adds the machines of a booking to the inventory. They may have
-// reported, or be gone again, before the booking's answer came.
-func (sl *Scaler) addProvisioned(b *scaling.PendingScaleOut, machines []wire.MachineID) {
+// addProvisioned adds the machines of a request to the inventory. They may have sent a
+// heartbeat, or have been removed again, before the request's answer arrived.
+func (s *Scaler) addProvisioned(request *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
-		if _, gone := sl.state.RemovedMachines[id]; gone {
+		if _, removed := s.state.RemovedMachines[id]; removed {
 			continue
 		}
-		m := sl.state.GetOrAddMachine(id)
-		if m.FirstHeartbeatAt.IsZero() {
-			m.MachineType, m.Zone, m.Spot, m.Booting, m.RequestedAt = b.Type, b.Zone, b.Spot, true, b.RequestedAt
+		machine := s.state.GetOrAddMachine(id)
+		if !machine.FirstHeartbeatAt.IsZero() {
+			continue
 		}
+		machine.MachineType, machine.Zone, machine.Spot = request.Type, request.Zone, request.Spot
+		machine.Booting, machine.RequestedAt = true, request.RequestedAt
 	}
 }
-
-// recordsIntents tells whether intents are recorded now: the part is on and, where
-// versions are negotiated, every controller understands it.
-func (sl *Scaler) recordsIntents() bool {
-	return sl.Intents != nil && (!sl.versioned || sl.state.ActiveVersion >= VersionIntents)
-}
-
-// VersionIntents is the version from which on intents are recorded.
-const VersionIntents upgrade.Version = 2
--- /dev/null
+++ b/internal/leader/autoscaler/scaler.go
@@ -0,0 +1,62 @@
+package autoscaler
+
+import (
+	"lilaclead/internal/cloud"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling"
+	"lilaclead/upgrade"
+)
+
+// VersionIntents is the first version that records intents.
+const VersionIntents upgrade.Version = 2
+
+// Scaler scales the cluster out and in: it requests machines from the cloud, and returns
+// those that are not needed or not trusted.
+type Scaler struct {
+	*core.Loop
+	state     *cluster.State
+	scheduler *scheduling.Scheduler
+
+	// Tracker is the account of the requests to the cloud.
+	Tracker *scaling.Tracker
+	// Cloud is the client of the cloud's API.
+	Cloud *cloud.Client
+	// Intents are the recorded intents; nil if none are recorded.
+	Intents *CloudIntents
+	// versioned means that intents are recorded only from VersionIntents on.
+	versioned bool
+}
+
+// Options are the options of a scaler.
+type Options struct {
+	// Cloud is the client of the cloud's API.
+	Cloud *cloud.Client
+	// RecordIntents enables that requests are recorded before they are sent.
+	RecordIntents bool
+	// Versioned restricts RecordIntents to the versions from VersionIntents on.
+	Versioned bool
+}
+
+// NewScaler returns the scaler of a term.
+func NewScaler(loop *core.Loop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker, options Options) *Scaler {
+	scaler := &Scaler{
+		Loop:      loop,
+		state:     state,
+		scheduler: scheduler,
+		Tracker:   tracker,
+		Cloud:     options.Cloud,
+		versioned: options.Versioned,
+	}
+	if options.RecordIntents {
+		scaler.Intents = newCloudIntents(loop.Lease.Lease, state.Settings)
+	}
+	return scaler
+}
+
+// recordsIntents reports whether intents are recorded now: recording is enabled and, where
+// versions are negotiated, every controller supports it.
+func (s *Scaler) recordsIntents() bool {
+	return s.Intents != nil && (!s.versioned || s.state.ActiveVersion >= VersionIntents)
+}
