--- /dev/null
+++ b/internal/leader/scheduling/doc.go
@@ -0,0 +1,11 @@
+// Package scheduling decides which tasks start where, which are preempted for others, and
+// how many machines the cluster needs.
+//
+// A scheduling cycle describes the cluster to package placement in a snapshot, starts what
+// that has placed, reserves the resources that are being freed for waiting jobs, and names
+// the tasks to preempt. A capacity plan describes the demands of the waiting jobs, the
+// machines and the cloud's offers to package fleet, which decides what to scale out and in.
+//
+// The package changes the in-memory state of the cluster that it is given, and starts no
+// I/O. It is used by the goroutine of the term's loop alone.
+package scheduling
--- /dev/null
+++ b/internal/leader/scheduling/eligibility.go
@@ -0,0 +1,55 @@
+package scheduling
+
+import (
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+)
+
+// Eligibility decides which jobs and machines take part in a scheduling cycle.
+type Eligibility struct {
+	state *cluster.State
+}
+
+// Schedulable reports whether tasks of a job can be placed now. A gang can be placed only
+// when nothing of its last attempt is left.
+func (e *Eligibility) Schedulable(job *cluster.Job, now time.Time) bool {
+	blockedByLastAttempt := job.Spec.Gang() && job.ActiveTasks > 0
+	return e.startable(job) && startDue(job, now) && !blockedByLastAttempt
+}
+
+// startable reports whether a job is unfinished and its record is known.
+func (e *Eligibility) startable(job *cluster.Job) bool {
+	ended := job.Cancelled || job.Finished || job.Archiving
+	return !ended && !job.RecordOutdated && !e.state.Quarantined(job.Spec.ID)
+}
+
+// startDue reports whether a job has pending tasks that may start now.
+func startDue(job *cluster.Job, now time.Time) bool {
+	return job.Pending() > 0 && !now.Before(job.StartNotBefore)
+}
+
+// Usable reports whether tasks may start on a machine now.
+func (e *Eligibility) Usable(machine *cluster.Machine, now time.Time) bool {
+	return inService(machine) && e.reachable(machine, now) && e.accepting(machine, now)
+}
+
+// inService reports whether a machine has sent a heartbeat and is not to be removed.
+func inService(machine *cluster.Machine) bool {
+	started := !machine.Booting && !machine.FirstHeartbeatAt.IsZero()
+	return started && machine.DrainReason == "" && !machine.ScalingIn
+}
+
+// reachable reports whether messages pass between a machine and this term's leader, as far
+// as is known.
+func (e *Eligibility) reachable(machine *cluster.Machine, now time.Time) bool {
+	followsTerm := machine.Token >= e.state.FirstToken
+	inboundWorks := machine.UnansweredProbes == 0 && machine.Inbound.Works()
+	return followsTerm && inboundWorks && !e.state.BehindPartition(machine, now) && !e.state.OutboundLost(machine, now)
+}
+
+// accepting reports whether a machine sent a message lately and has refused no task lately.
+func (e *Eligibility) accepting(machine *cluster.Machine, now time.Time) bool {
+	maxSilence := 2*e.state.HeartbeatInterval() + time.Second
+	return !now.Before(machine.RefusedUntil) && now.Sub(machine.LastMessageAt) < maxSilence
+}
--- /dev/null
+++ b/internal/leader/scheduling/offers.go
@@ -0,0 +1,63 @@
+package scheduling
+
+import (
+	"math"
+	"time"
+
+	"lilaclead/internal/fleet"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/placement"
+	"lilaclead/internal/wire"
+)
+
+// Offers returns what may be requested from the cloud now.
+func (p *CapacityPlanner) Offers(specs []wire.MachineSpec, now time.Time) []fleet.Offer {
+	var offers []fleet.Offer
+	for i := range specs {
+		spec := &specs[i]
+		for _, zone := range spec.Zones {
+			if p.state.Partitioned(zone, now) {
+				continue // no heartbeat of a machine there would arrive
+			}
+			for _, spot := range []bool{false, true} {
+				offer := scaling.Offer{Type: spec.Name, Zone: zone, Spot: spot}
+				if p.tracker.Available(offer, now) {
+					offers = append(offers, planOffer(spec, offer))
+				}
+			}
+		}
+	}
+	return offers
+}
+
+// planOffer describes an offer of a machine type to a plan.
+func planOffer(spec *wire.MachineSpec, offer scaling.Offer) fleet.Offer {
+	return fleet.Offer{
+		Type:        offer.Type,
+		Zone:        offer.Zone,
+		Spot:        offer.Spot,
+		Total:       cluster.MachineResources(spec),
+		Price:       spec.Price(offer.Spot),
+		FetchGBPerS: spec.FetchGBPerS,
+		Room:        maxOffer,
+	}
+}
+
+// cheapestUnit returns the lowest price of the resources for one task of a job; infinity if
+// no machine type fits it.
+func cheapestUnit(specs []wire.MachineSpec, job *wire.JobSpec) float64 {
+	cheapest := math.Inf(1)
+	for i := range specs {
+		spec := &specs[i]
+		if !spec.Fits(job) {
+			continue
+		}
+		units := float64(placement.ResourcesOf(job).Units(cluster.MachineResources(spec)))
+		cheapest = min(cheapest, spec.OnDemandPrice/units)
+		if job.SpotAllowed {
+			cheapest = min(cheapest, spec.SpotPrice/units)
+		}
+	}
+	return cheapest
+}
--- /dev/null
+++ b/internal/leader/scheduling/patience.go
@@ -0,0 +1,43 @@
+package scheduling
+
+import (
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/placement"
+)
+
+const (
+	// MaxPatienceS is for how many seconds a task of an urgent array may wait for others
+	// to end by themselves before they are preempted.
+	MaxPatienceS = 5.0
+	// patienceEndS is how many seconds after its acceptance such a job preempts at once.
+	patienceEndS = MaxPatienceS + 1
+	// maxGangPatienceS is for how many seconds resources may be reserved for a gang until
+	// all of them are free. A gang that does not preempt would otherwise starve beside job
+	// arrays, which take each task's resources as they become free.
+	maxGangPatienceS = 45.0
+	// patienceSlackDivisor: the patience is at most this part of the slack.
+	patienceSlackDivisor = 8
+)
+
+// PatienceSeconds returns for how many seconds a job waits for tasks to end by themselves
+// before they are preempted. An urgent job waits for a small part of its slack, and little
+// once it has waited; a service does not wait.
+func (v *Valuation) PatienceSeconds(job *cluster.Job, now time.Time) float64 {
+	if job.Spec.Service() {
+		return 0
+	}
+	waited := now.Sub(job.AcceptedAt).Seconds()
+	if job.Spec.Gang() && !placement.MayPreempt(&job.Spec) {
+		return min(maxGangPatienceS, MaxPatienceS+waited/2)
+	}
+	patience := min(MaxPatienceS, v.slackSeconds(job, now)/patienceSlackDivisor, patienceEndS-waited)
+	// Patience must not make a gang miss an objective that it can still meet. Urgent gangs
+	// with an objective of 2 s waited for tasks that were expected to end within 3 s and
+	// often ended later, and meanwhile nothing else was preempted for them.
+	if left := v.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.Gang() && left > 0 {
+		patience = min(patience, left/2)
+	}
+	return max(0, patience)
+}
--- /dev/null
+++ b/internal/leader/scheduling/plan_machines.go
@@ -0,0 +1,93 @@
+package scheduling
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"lilaclead/internal/fleet"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
+)
+
+const (
+	// maxBoots is how many boot times a plan waits for a machine's first heartbeat.
+	maxBoots = 2
+	// maxMissedHeartbeats is how many heartbeat intervals without a message a plan
+	// tolerates.
+	maxMissedHeartbeats = 3
+	// billedUpfrontS is the number of seconds from its start that every machine is billed
+	// for.
+	billedUpfrontS = 60
+)
+
+// dependable reports whether a plan may count on a machine's resources.
+func (p *CapacityPlanner) dependable(machine *cluster.Machine, spec *wire.MachineSpec, now time.Time) bool {
+	if machine.Booting && now.Sub(machine.RequestedAt) > spec.BootTime.Duration()*maxBoots {
+		return false
+	}
+	if !machine.Booting && p.state.SinceLastMessage(machine, now) > maxMissedHeartbeats*p.state.HeartbeatInterval() {
+		return false
+	}
+	return !p.state.BehindPartition(machine, now) && !p.state.OutboundLost(machine, now)
+}
+
+// planMachine describes a machine to a plan. An idle one is kept for idleBoots times the
+// boot time of its type.
+func (p *CapacityPlanner) planMachine(machine *cluster.Machine, spec *wire.MachineSpec, idleBoots float64, now time.Time) fleet.Machine {
+	described := fleet.Machine{
+		ID:      machine.ID,
+		Type:    machine.MachineType,
+		Zone:    machine.Zone,
+		Spot:    machine.Spot,
+		Total:   p.state.TotalResources(machine),
+		Free:    p.state.FreeResources(machine),
+		Booting: machine.Booting,
+		PaidS:   billedUpfrontS - now.Sub(machine.RequestedAt).Seconds(),
+		Price:   spec.Price(machine.Spot),
+		KeepS:   idleBoots * float64(spec.BootTime),
+	}
+	for _, attempt := range machine.Tasks {
+		addTaskToPlan(&described, attempt, now)
+	}
+	slices.SortFunc(described.Freeing, func(a, b fleet.Freeing) int { return cmp.Compare(a.InS, b.InS) })
+	if idle(machine) {
+		idleSince := cluster.Latest(machine.LastUsedAt, machine.FirstHeartbeatAt)
+		described.Idle, described.IdleS = true, now.Sub(idleSince).Seconds()
+	}
+	return described
+}
+
+// addTaskToPlan adds a task to the description of its machine.
+func addTaskToPlan(described *fleet.Machine, attempt *cluster.Attempt, now time.Time) {
+	if attempt.Job.Spec.Service() {
+		described.Services++
+		return
+	}
+	takes := attempt.Resources()
+	described.Freeing = append(described.Freeing, fleet.Freeing{InS: attempt.PlannedRemainingSeconds(now), Room: takes})
+	if takes.CPUs > described.Unit.CPUs {
+		described.Unit = takes
+	}
+}
+
+// idle reports whether a machine has booted and nothing is on it.
+func idle(machine *cluster.Machine) bool {
+	return !machine.Booting && len(machine.Tasks) == 0 && len(machine.OrphanTasks) == 0
+}
+
+// appendPending adds the machines of the scale-out requests that are not yet answered.
+func (p *CapacityPlanner) appendPending(machines []fleet.Machine) []fleet.Machine {
+	for _, request := range p.tracker.PendingScaleOuts() {
+		spec := p.state.MachineSpec(request.Type)
+		if spec == nil {
+			continue
+		}
+		total := cluster.MachineResources(spec)
+		expected := fleet.Machine{Type: request.Type, Zone: request.Zone, Spot: request.Spot, Total: total, Free: total, Booting: true, Price: spec.Price(request.Spot)}
+		for range request.Count {
+			machines = append(machines, expected)
+		}
+	}
+	return machines
+}
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -9,85 +9,138 @@
 	"lilaclead/internal/wire"
 )
 
-// PruneReservations drops what is no longer claimed, since it took too long or the job's
-// tasks found room elsewhere, and counts for how many units of each job room is
-// being made.
-func (sc *Scheduler) PruneReservations(now time.Time) map[wire.JobID]int {
-	n := map[wire.JobID]int{}
-	for m := range sc.ReservedMachines {
-		m.Reservations = slices.DeleteFunc(m.Reservations, func(c cluster.Reservation) bool {
-			j := sc.state.Jobs[c.Job]
-			if now.After(c.Until) || sc.state.Machines[m.ID] != m || m.ScalingIn || m.DrainReason != "" || j == nil || j.Cancelled || n[c.Job] >= j.Pending() {
-				return true
-			}
-			n[c.Job]++
-			return false
-		})
-		if len(m.Reservations) == 0 {
-			delete(sc.ReservedMachines, m)
+// Reservations are the resources that are being freed on machines for waiting jobs.
+type Reservations struct {
+	// ReservedMachines are the machines with reservations.
+	ReservedMachines map[*cluster.Machine]struct{}
+
+	state     *cluster.State
+	valuation *Valuation
+}
+
+func newReservations(state *cluster.State, valuation *Valuation) *Reservations {
+	return &Reservations{ReservedMachines: map[*cluster.Machine]struct{}{}, state: state, valuation: valuation}
+}
+
+// reserve adds the reservations of a cycle. Those of a gang are kept for as long as it may
+// wait for the resources of its other tasks.
+func (r *Reservations) reserve(reservations []placement.MachineReservation, now time.Time) {
+	for _, reservation := range reservations {
+		machine := r.state.Machines[reservation.Machine]
+		until := now.Add(r.stopDuration(0))
+		if job := r.gang(reservation.Job); job != nil {
+			patience := wire.Seconds(r.valuation.PatienceSeconds(job, now))
+			until = until.Add(patience.Duration())
 		}
+		machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: reservation.Reservation, AwaitedTasks: reservation.AwaitedTasks, Until: until})
+		r.ReservedMachines[machine] = struct{}{}
 	}
-	// What is left of a gang's claims is of no use; room is made for all of it anew.
-	short := func(id wire.JobID) bool {
-		j := sc.state.Jobs[id]
-		return j != nil && j.Spec.Gang() && n[id] > 0 && n[id] < j.Spec.Tasks
-	}
-	for m := range sc.ReservedMachines {
-		if m.Reservations = slices.DeleteFunc(m.Reservations, func(c cluster.Reservation) bool { return short(c.Job) }); len(m.Reservations) == 0 {
-			delete(sc.ReservedMachines, m)
+}
+
+// PruneReservations drops the reservations that are no longer needed, because they have
+// expired or the job's tasks found resources elsewhere. It returns for how many tasks of
+// each job resources are reserved.
+func (r *Reservations) PruneReservations(now time.Time) map[wire.JobID]int {
+	reserved := map[wire.JobID]int{}
+	r.dropWhere(func(machine *cluster.Machine, reservation cluster.Reservation) bool {
+		if r.obsolete(machine, reservation, reserved, now) {
+			return true
 		}
+		reserved[reservation.Job]++
+		return false
+	})
+	r.dropIncompleteGangs(reserved)
+	return reserved
+}
+
+// obsolete reports whether a reservation has expired, or neither its machine nor its job
+// can use it any more. The job's reservations that are kept so far are counted in reserved.
+func (r *Reservations) obsolete(machine *cluster.Machine, reservation cluster.Reservation, reserved map[wire.JobID]int, now time.Time) bool {
+	removed := r.state.Machines[machine.ID] != machine || machine.ScalingIn || machine.DrainReason != ""
+	if now.After(reservation.Until) || removed {
+		return true
 	}
-	for id := range n {
-		if short(id) {
-			delete(n, id)
+	job := r.state.Jobs[reservation.Job]
+	return job == nil || job.Cancelled || reserved[reservation.Job] >= job.Pending()
+}
+
+// dropIncompleteGangs drops what is left of a gang's reservations if some of them were
+// dropped: the rest is of no use, and resources are reserved for all of the gang anew.
+func (r *Reservations) dropIncompleteGangs(reserved map[wire.JobID]int) {
+	incomplete := func(id wire.JobID) bool {
+		job := r.gang(id)
+		return job != nil && reserved[id] > 0 && reserved[id] < job.Spec.Tasks
+	}
+	r.dropWhere(func(_ *cluster.Machine, reservation cluster.Reservation) bool {
+		return incomplete(reservation.Job)
+	})
+	for id := range reserved {
+		if incomplete(id) {
+			delete(reserved, id)
 		}
 	}
-	return n
 }
 
-// extendGangReservations keeps all the room that is being made for a gang until the last of it can
-// be free: it needs all of it at once, and what is free first would go to others.
-func (sc *Scheduler) extendGangReservations() {
-	last := map[wire.JobID]time.Time{}
-	each := func(f func(c *cluster.Reservation)) {
-		for m := range sc.ReservedMachines {
-			for i := range m.Reservations {
-				if j := sc.state.Jobs[m.Reservations[i].Job]; j != nil && j.Spec.Gang() {
-					f(&m.Reservations[i])
-				}
-			}
+// dropWhere drops the reservations for which a condition holds.
+func (r *Reservations) dropWhere(drop func(*cluster.Machine, cluster.Reservation) bool) {
+	for machine := range r.ReservedMachines {
+		machine.Reservations = slices.DeleteFunc(machine.Reservations, func(reservation cluster.Reservation) bool {
+			return drop(machine, reservation)
+		})
+		if len(machine.Reservations) == 0 {
+			delete(r.ReservedMachines, machine)
 		}
 	}
-	each(func(c *cluster.Reservation) { last[c.Job] = cluster.Latest(last[c.Job], c.Until) })
-	each(func(c *cluster.Reservation) { c.Until = last[c.Job] })
 }
 
-// stopDuration is how long a task that is told to stop takes to be gone, even if only
-// the answer to its machine's next report tells it.
-func (sc *Scheduler) stopDuration(grace wire.Seconds) time.Duration {
-	return grace.Duration() + sc.state.HeartbeatInterval()*5/4 + 2*time.Second
+// extendGangReservations keeps all reservations of a gang until the last of them can be
+// free: the gang needs all of them at once, and what is free first would go to others.
+func (r *Reservations) extendGangReservations() {
+	latest := map[wire.JobID]time.Time{}
+	r.eachOfGangs(func(reservation *cluster.Reservation) {
+		latest[reservation.Job] = cluster.Latest(latest[reservation.Job], reservation.Until)
+	})
+	r.eachOfGangs(func(reservation *cluster.Reservation) {
+		reservation.Until = latest[reservation.Job]
+	})
 }
 
-// reserve keeps room that is being made on machines for jobs. A gang's room is kept
-// for as long as the room of its other tasks takes.
-func (sc *Scheduler) reserve(reservations []placement.MachineReservation, now time.Time) {
-	for _, r := range reservations {
-		m := sc.state.Machines[r.Machine]
-		until := now.Add(sc.stopDuration(0))
-		if j := sc.state.Jobs[r.Job]; j != nil && j.Spec.Gang() {
-			until = until.Add(wire.Seconds(sc.PatienceSeconds(j, now)).Duration())
+// eachOfGangs visits the reservations of gangs.
+func (r *Reservations) eachOfGangs(visit func(*cluster.Reservation)) {
+	for machine := range r.ReservedMachines {
+		for i := range machine.Reservations {
+			if reservation := &machine.Reservations[i]; r.gang(reservation.Job) != nil {
+				visit(reservation)
+			}
 		}
-		m.Reservations = append(m.Reservations, cluster.Reservation{Reservation: r.Reservation, AwaitedTasks: r.AwaitedTasks, Until: until})
-		sc.ReservedMachines[m] = struct{}{}
 	}
 }
 
-// ExtendReservations keeps the room on a machine for as long as a task that is
-// preempted there may take to save.
-func (sc *Scheduler) ExtendReservations(preempted *cluster.Attempt, now time.Time) {
-	until := now.Add(sc.stopDuration(preempted.GracePeriod))
+// ExtendReservations keeps the reservations on a machine for as long as a task that is
+// preempted there may take to save its checkpoint.
+func (r *Reservations) ExtendReservations(preempted *cluster.Attempt, now time.Time) {
+	until := now.Add(r.stopDuration(preempted.GracePeriod))
 	for i := range preempted.Machine.Reservations {
-		r := &preempted.Machine.Reservations[i]
-		r.Until = cluster.Latest(r.Until, until)
+		reservation := &preempted.Machine.Reservations[i]
+		reservation.Until = cluster.Latest(reservation.Until, until)
+	}
+}
+
+// stopMargin is the time for which a stopped task's resources are waited for beyond its
+// grace period and the next heartbeat.
+const stopMargin = 2 * time.Second
+
+// stopDuration returns how long a task that is stopped takes to end, also if only the reply
+// to its machine's next heartbeat carries the command. Heartbeats come up to a quarter of
+// the interval late.
+func (r *Reservations) stopDuration(gracePeriod wire.Seconds) time.Duration {
+	return gracePeriod.Duration() + r.state.HeartbeatInterval()*5/4 + stopMargin
+}
+
+// gang returns the job if it is a gang; nil if it is none or unknown.
+func (r *Reservations) gang(id wire.JobID) *cluster.Job {
+	if job := r.state.Jobs[id]; job != nil && job.Spec.Gang() {
+		return job
 	}
+	return nil
 }
--- /dev/null
+++ b/internal/leader/scheduling/snapshot_jobs.go
@@ -0,0 +1,67 @@
+package scheduling
+
+import (
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/placement"
+	"lilaclead/internal/wire"
+)
+
+// maxLinger is how long a job may start nothing because the free resources are kept for the
+// next replicas. Without this bound it waited for ever while the cloud had no capacity.
+const maxLinger = time.Minute
+
+// maxSuspectTasks is how many tasks of a job whose last attempt failed should be active at a
+// time. One more is tried also when more are active already.
+const maxSuspectTasks = 2
+
+// addJobs adds the waiting jobs in the order in which they were accepted.
+func (b *snapshotBuilder) addJobs(waiting []*cluster.Job) {
+	sortByAcceptance(waiting)
+	guaranteed, zones := b.scheduler.guaranteed(), b.state.Zones()
+	for _, job := range waiting {
+		view := b.jobView(job, guaranteed[job.Spec.ID])
+		if job.Spec.Spread || job.Spec.SameZone {
+			view.TasksByZone = job.ActiveByZone()
+			unknown := view.TasksByZone[""]
+			if unknown > 0 && job.Spec.SameZone {
+				continue // the zone that its tasks are in is not known yet
+			}
+			// Each of these may be in any zone, so it counts in all.
+			for _, zone := range zones {
+				view.TasksByZone[zone] += unknown
+			}
+		}
+		b.snapshot.Jobs = append(b.snapshot.Jobs, view)
+		b.jobs = append(b.jobs, job)
+	}
+}
+
+// jobView describes a waiting job.
+func (b *snapshotBuilder) jobView(job *cluster.Job, guaranteed bool) placement.Job {
+	waitedS := b.now.Sub(job.AcceptedAt).Seconds()
+	view := placement.Job{
+		Spec:         &job.Spec,
+		Pending:      job.Pending(),
+		TasksByZone:  map[wire.Zone]int{},
+		WaitedS:      waitedS,
+		Avoid:        job.FailedMachines,
+		Guaranteed:   guaranteed,
+		Reservations: b.reservedUnits[job.Spec.ID],
+		PatienceS:    b.scheduler.PatienceSeconds(job, b.now),
+		StartsInS:    max(0, b.scheduler.startObjectiveSeconds(job.Spec.Class)-waitedS),
+		Weight:       b.scheduler.utilityWeight(job, guaranteed, b.now),
+		WaitedLong:   b.state.SinceLastStart(job, b.now) > maxLinger,
+	}
+	if b.state.StartOverdue(job, b.now) {
+		view.Weight = starvingWeight
+		if !job.Spec.Gang() {
+			view.Pending = 1
+		}
+	}
+	if job.Failures > 0 && !job.Spec.Gang() {
+		view.Pending = min(view.Pending, max(1, maxSuspectTasks-job.ActiveTasks))
+	}
+	return view
+}
--- /dev/null
+++ b/internal/leader/scheduling/snapshot_machines.go
@@ -0,0 +1,174 @@
+package scheduling
+
+import (
+	"cmp"
+	"slices"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/placement"
+	"lilaclead/internal/wire"
+)
+
+// addMachines adds the usable machines. Those without resources for the smallest task that
+// waits are described only when they are asked for: in a full deployment these are nearly
+// all machines.
+func (b *snapshotBuilder) addMachines(waiting []*cluster.Job) {
+	for _, job := range waiting {
+		b.victimsNeeded = b.victimsNeeded || placement.MayPreempt(&job.Spec) || job.Spec.Gang()
+	}
+	smallest := b.smallestTask(waiting)
+	var full []*cluster.Machine
+	for _, machine := range b.state.Machines {
+		switch {
+		case !b.scheduler.Usable(machine, b.now):
+		case smallest.Fits(b.state.FreeResources(machine)):
+			b.machines = append(b.machines, machine)
+		default:
+			full = append(full, machine)
+		}
+	}
+	b.reservedUnits = b.scheduler.PruneReservations(b.now)
+	b.snapshot.Machines = b.machineViews(b.machines)
+	b.snapshot.FullMachines = func() []placement.Machine { return b.machineViews(full) }
+}
+
+// smallestTask returns the least of each resource that a task of a waiting job or of an
+// expected gang takes.
+func (b *snapshotBuilder) smallestTask(waiting []*cluster.Job) placement.Resources {
+	smallest := placement.ResourcesOf(&waiting[0].Spec)
+	for _, job := range waiting {
+		smallest = smallest.Min(placement.ResourcesOf(&job.Spec))
+	}
+	for _, spec := range b.snapshot.ExpectedGangs {
+		smallest = smallest.Min(placement.ResourcesOf(spec))
+	}
+	return smallest
+}
+
+// machineViews sorts machines by name and describes them.
+func (b *snapshotBuilder) machineViews(machines []*cluster.Machine) []placement.Machine {
+	sortByID(machines)
+	views := make([]placement.Machine, len(machines))
+	for i, machine := range machines {
+		views[i] = b.machineView(machine)
+	}
+	return views
+}
+
+// machineView describes a machine.
+func (b *snapshotBuilder) machineView(machine *cluster.Machine) placement.Machine {
+	view := placement.Machine{
+		ID:       machine.ID,
+		Type:     machine.MachineType,
+		Zone:     machine.Zone,
+		Spot:     machine.Spot,
+		Total:    b.state.TotalResources(machine),
+		Free:     b.state.FreeResources(machine),
+		Cordoned: machine.Cordoned,
+		Images:   make(map[wire.ImageID]placement.Image, len(machine.Images.Images)+len(machine.Tasks)),
+	}
+	if spec := b.state.MachineSpec(machine.MachineType); spec != nil {
+		view.FetchGBPerS = spec.FetchGBPerS
+	}
+	var awaited []wire.Task
+	for _, reservation := range machine.Reservations {
+		view.Reservations = append(view.Reservations, reservation.Reservation)
+		awaited = append(awaited, reservation.AwaitedTasks...)
+	}
+	for _, attempt := range machine.Tasks {
+		b.addTask(&view, attempt, slices.Contains(awaited, attempt.Task()))
+	}
+	sortVictims(view.Victims)
+	for id := range machine.Images.Images {
+		view.Images[id] = placement.Present
+	}
+	return view
+}
+
+// addTask adds to a machine's view what a task on it means for others. Awaited tasks are
+// expected to end by themselves.
+func (b *snapshotBuilder) addTask(view *placement.Machine, attempt *cluster.Attempt, awaited bool) {
+	if attempt.Job.Spec.Service() {
+		view.Services++
+	}
+	ending := b.ending(attempt, awaited)
+	if ending {
+		view.Stopping = view.Stopping.Plus(attempt.Resources())
+	}
+	addFetch(view, attempt)
+	if b.victimsNeeded && !ending && preemptible(attempt) {
+		view.Victims = append(view.Victims, b.victim(attempt))
+	}
+}
+
+// ending reports whether a task's resources are expected to be free soon. Those of a task
+// that was stopped and does not end can't be counted on.
+func (b *snapshotBuilder) ending(attempt *cluster.Attempt, awaited bool) bool {
+	if !attempt.Stopping {
+		return awaited
+	}
+	return !attempt.Unstored && b.now.Sub(attempt.StopRequestedAt) < b.scheduler.stopDuration(attempt.GracePeriod)
+}
+
+// addFetch adds the image that a task waits for.
+func addFetch(view *placement.Machine, attempt *cluster.Attempt) {
+	spec := &attempt.Job.Spec
+	if !attempt.ImageReadyAt.IsZero() || view.Images[spec.Image] != placement.Absent {
+		return
+	}
+	view.Images[spec.Image] = placement.Fetching
+	if !attempt.Machine.Images.Has(spec.Image) {
+		view.FetchingGB += spec.ImageGB
+	}
+}
+
+// preemptible reports whether a task can be preempted or awaited.
+func preemptible(attempt *cluster.Attempt) bool {
+	spec := &attempt.Job.Spec
+	productionService := spec.Service() && spec.Priority == wire.PriorityProd
+	return !attempt.Unstored && !attempt.Stopping && !productionService
+}
+
+// gangStopCostS is how many seconds it costs each task of a gang, beside its work, that one
+// of them is preempted.
+const gangStopCostS = 5
+
+// victim describes a task that can be preempted or awaited.
+func (b *snapshotBuilder) victim(attempt *cluster.Attempt) placement.Victim {
+	spec := &attempt.Job.Spec
+	lostS, checkpointS := b.preemptionCost(attempt)
+	return placement.Victim{
+		Task:            attempt.Task(),
+		Rank:            spec.Priority.Rank(),
+		Uses:            attempt.Resources(),
+		LostS:           lostS,
+		RemainingS:      attempt.ExpectedRemainingSeconds(b.now),
+		CheckpointS:     checkpointS,
+		BeyondGuarantee: b.beyondGuarantee(spec.Team),
+		Team:            spec.Team,
+	}
+}
+
+// preemptionCost returns how many seconds of work are lost if a task is preempted, and how
+// many seconds it takes to save its checkpoint.
+func (b *snapshotBuilder) preemptionCost(attempt *cluster.Attempt) (lostS, checkpointS float64) {
+	spec := &attempt.Job.Spec
+	if !attempt.RunningSince.IsZero() {
+		checkpointS = float64(spec.CheckpointTime)
+		lostS = b.now.Sub(attempt.RunningSince).Seconds()
+		if spec.CheckpointInterval > 0 {
+			lostS = min(lostS, checkpointS)
+		}
+	}
+	if spec.Gang() { // all tasks of the gang are stopped
+		lostS = (lostS + gangStopCostS) * float64(spec.Tasks)
+	}
+	return lostS, checkpointS
+}
+
+// sortVictims sorts victims by their tasks.
+func sortVictims(victims []placement.Victim) {
+	slices.SortFunc(victims, func(a, b placement.Victim) int {
+		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), a.Task.Index-b.Task.Index)
+	})
+}
--- /dev/null
+++ b/internal/leader/scheduling/spare.go
@@ -0,0 +1,31 @@
+package scheduling
+
+import (
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/placement"
+)
+
+// spareReplicas are the resources that are kept free for the next replicas of services.
+type spareReplicas struct {
+	count int
+	takes placement.Resources // by one replica
+}
+
+// spareReplicasOf returns the spare resources: the largest replica that services have now,
+// as many times as operators have set, and at least for half of the largest service.
+func spareReplicasOf(state *cluster.State, minUnits float64) spareReplicas {
+	var takes placement.Resources
+	largestService := 0
+	for _, job := range state.Jobs {
+		if !job.Spec.Service() || job.Spec.SpotAllowed {
+			continue
+		}
+		largestService = max(largestService, job.Spec.Tasks)
+		replica := placement.ResourcesOf(&job.Spec)
+		takes = placement.Resources{CPUs: max(takes.CPUs, replica.CPUs), GPUs: 0, MemoryGB: max(takes.MemoryGB, replica.MemoryGB)}
+	}
+	if takes.CPUs == 0 {
+		return spareReplicas{0, takes}
+	}
+	return spareReplicas{max(int(minUnits), (largestService+1)/2), takes}
+}
--- /dev/null
+++ b/internal/leader/scheduling/starter.go
@@ -0,0 +1,69 @@
+package scheduling
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/wire"
+)
+
+// Starter starts tasks on machines: it decides on their attempts, which are sent once they
+// are stored.
+type Starter struct {
+	state *cluster.State
+	log   *slog.Logger
+}
+
+// nextAttempt stands for the next attempt number of a task's chunk.
+const nextAttempt wire.Attempt = 0
+
+// StartTask starts one pending task of a job on a machine.
+func (s *Starter) StartTask(job *cluster.Job, machine *cluster.Machine, now time.Time) {
+	s.startAttempt(job, machine, nextAttempt, now)
+}
+
+// StartGang starts all tasks of a gang at once, with an attempt number that none of them
+// has had. Nothing is sent before all of them are stored.
+func (s *Starter) StartGang(job *cluster.Job, machines []*cluster.Machine, now time.Time) {
+	gang := &cluster.Gang{Number: 1, StartedAt: now}
+	chunks := (job.Spec.Tasks + job.TasksPerChunk - 1) / job.TasksPerChunk
+	for i := range chunks {
+		gang.Number = max(gang.Number, job.Chunk(i).NextAttempt)
+	}
+	job.Gang = gang
+	for _, machine := range machines {
+		s.startAttempt(job, machine, gang.Number, now)
+	}
+	for i := range chunks {
+		job.Chunks[i].NextAttempt = gang.Number + 1
+	}
+}
+
+// startAttempt starts the first pending task of a job with an attempt number, which can be
+// nextAttempt.
+func (s *Starter) startAttempt(job *cluster.Job, machine *cluster.Machine, number wire.Attempt, now time.Time) {
+	job.ForEachPending(1, func(chunk *cluster.Chunk, index int) {
+		attempt := &cluster.Attempt{Job: job, Chunk: chunk, Index: index, Number: number, Machine: machine, DecidedAt: now, Unstored: true}
+		if number == nextAttempt {
+			attempt.Number = chunk.NextAttempt
+			chunk.NextAttempt++
+		}
+		chunk.UnstoredAttempts++
+		job.UnstoredAttempts++
+		chunk.Add(attempt)
+		job.LastStartAt = now
+		useReservation(machine, job.Spec.ID)
+		s.state.Unsaved.MarkDirty(chunk)
+		s.log.Debug("task scheduled", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID, "age", now.Sub(job.AcceptedAt))
+	})
+}
+
+// useReservation removes one reservation of a job on a machine, if there is any.
+func useReservation(machine *cluster.Machine, id wire.JobID) {
+	i := slices.IndexFunc(machine.Reservations, func(r cluster.Reservation) bool { return r.Job == id })
+	if i >= 0 {
+		machine.Reservations = slices.Delete(machine.Reservations, i, i+1)
+	}
+}
