--- /dev/null
+++ b/internal/leader/scheduling/capacity_test.go
@@ -0,0 +1,222 @@
+package scheduling
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"lilaclead/internal/cloud"
+	"lilaclead/internal/fleet"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/wire"
+)
+
+// requested returns how many machines a plan requests.
+func requested(plan CapacityPlan) int {
+	count := 0
+	for _, scaleOut := range plan.ScaleOuts {
+		count += scaleOut.Count
+	}
+	return count
+}
+
+// dueArray returns the description of an array that needs one machine of the type c4 for
+// each task at once.
+func dueArray(id wire.JobID, tasks int) wire.JobSpec {
+	return wire.JobSpec{ID: id, Kind: wire.KindArray, Tasks: tasks, CPUs: 4, MemoryGB: 4, ExpectedRunTime: 60, Deadline: 61, MachineTypes: []wire.MachineType{"c4"}}
+}
+
+func TestPlanRequestsWhatIsMissing(t *testing.T) {
+	s := newTestScheduler(t)
+	specs := s.state.Catalog.Get()
+	s.addMachine("n-1", "c4", "a")
+	s.addJob(dueArray("req-1", 3))
+	plan := s.PlanCapacity(specs, true, testNow)
+	if got := requested(plan); got != 2 {
+		t.Errorf("%d machines requested in %+v, want 2 beside the one there is", got, plan.ScaleOuts)
+	}
+	if plan := s.PlanCapacity(specs, false, testNow); requested(plan) != 0 {
+		t.Errorf("requested %+v though no request may be made", plan.ScaleOuts)
+	}
+}
+
+func TestPlanCountsPendingScaleOuts(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		pending, want int
+	}{
+		{"some are pending", 2, 1},
+		{"all are pending", 3, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestScheduler(t)
+			s.addJob(dueArray("req-1", 3))
+			s.tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Count: c.pending}, testNow)
+			s.tracker.StartScaleOut(fleet.ScaleOut{Type: "unknown", Zone: "a", Count: 9}, testNow)
+			if got := requested(s.PlanCapacity(s.state.Catalog.Get(), true, testNow)); got != c.want {
+				t.Errorf("%d pending of 3: %d machines requested, want %d", c.pending, got, c.want)
+			}
+		})
+	}
+}
+
+func TestPlanRequestsNothingUntilEarlierRequestsAreListed(t *testing.T) {
+	for _, c := range []struct {
+		age  time.Duration
+		want int
+	}{
+		{5 * time.Second, 0}, // the list's lag of 4 s and a second
+		{5*time.Second + 1, 1},
+	} {
+		s := newTestScheduler(t)
+		s.state.TermStartedAt = testNow.Add(-c.age)
+		s.addJob(dueArray("req-1", 1))
+		if got := requested(s.PlanCapacity(s.state.Catalog.Get(), true, testNow)); got != c.want {
+			t.Errorf("%v after the term began: %d machines requested, want %d", c.age, got, c.want)
+		}
+	}
+}
+
+func TestPlanScalesInIdleMachines(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(s *testScheduler, machine *cluster.Machine)
+		want   bool
+	}{
+		{"idle for long", func(*testScheduler, *cluster.Machine) {}, true},
+		{"idle for less than it is kept", func(_ *testScheduler, m *cluster.Machine) { m.LastUsedAt = testNow.Add(-time.Second) }, false},
+		{"with an orphan task", func(_ *testScheduler, m *cluster.Machine) { m.OrphanTasks[wire.Task{Job: "req-1"}] = true }, false},
+		{"scaling in already", func(_ *testScheduler, m *cluster.Machine) { m.ScalingIn = true }, false},
+		{"draining", func(_ *testScheduler, m *cluster.Machine) { m.DrainReason = cluster.DrainSlow }, false},
+		{"of an unknown type", func(_ *testScheduler, m *cluster.Machine) { m.MachineType = "" }, false},
+		{"with a task", func(s *testScheduler, m *cluster.Machine) {
+			s.run(s.addJob(array("req-1", 1)), m, testNow.Add(-time.Minute))
+		}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestScheduler(t)
+			machine := s.addMachine("n-1", "c4", "a")
+			c.change(s, machine)
+			plan := s.PlanCapacity(s.state.Catalog.Get(), true, testNow)
+			if got := slices.Contains(plan.ScaleIns, machine.ID); got != c.want {
+				t.Errorf("%s: scaled in %v, want %v", c.name, got, c.want)
+			}
+		})
+	}
+}
+
+func TestDependableMachines(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(s *testScheduler, machine *cluster.Machine)
+		want   bool
+	}{
+		{"in service", func(*testScheduler, *cluster.Machine) {}, true},
+		{"booting", func(_ *testScheduler, m *cluster.Machine) {
+			m.Booting, m.RequestedAt = true, testNow.Add(-20*time.Second)
+		}, true},
+		{"booting for more than two boot times", func(_ *testScheduler, m *cluster.Machine) {
+			m.Booting, m.RequestedAt = true, testNow.Add(-20*time.Second-1)
+		}, false},
+		{"three heartbeats missing", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = testNow.Add(-6 * time.Second) }, true},
+		{"more than three missing", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = testNow.Add(-6*time.Second - 1) }, false},
+		{"behind a partition", func(s *testScheduler, m *cluster.Machine) {
+			s.state.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, testNow)
+		}, false},
+		{"its heartbeats don't arrive", func(_ *testScheduler, m *cluster.Machine) {
+			m.HeartbeatsMissingSince = testNow.Add(-time.Minute)
+		}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestScheduler(t)
+			machine := s.addMachine("n-1", "c4", "a")
+			c.change(s, machine)
+			spec := s.state.MachineSpec(machine.MachineType)
+			if got := s.dependable(machine, spec, testNow); got != c.want {
+				t.Errorf("%s: dependable %v, want %v", c.name, got, c.want)
+			}
+		})
+	}
+}
+
+func TestMachineDescribedToAPlan(t *testing.T) {
+	s := newTestScheduler(t)
+	machine := s.addMachine("n-1", "c16", "a")
+	machine.Spot, machine.RequestedAt = true, testNow.Add(-50*time.Second)
+	large := array("req-1", 1)
+	large.CPUs = 3
+	s.run(s.addJob(large), machine, testNow.Add(-10*time.Second))
+	s.run(s.addJob(array("req-2", 1)), machine, testNow.Add(-40*time.Second))
+	s.run(s.addJob(service("req-3", 1)), machine, testNow.Add(-40*time.Second))
+	got := s.planMachine(machine, s.state.MachineSpec("c16"), 0.5, testNow)
+	if got.Total.CPUs != 16 || got.Free.CPUs != 10 || got.Price != 0.8 || got.PaidS != 10 || got.KeepS != 10 || got.Idle {
+		t.Errorf("machine %+v, want 10 of 16 CPUs free, price 0.8, paid for and kept for 10 s, not idle", got)
+	}
+	if got.Services != 1 || got.Unit.CPUs != 3 {
+		t.Errorf("%d services, largest task of %v CPUs; want 1, 3", got.Services, got.Unit.CPUs)
+	}
+	if len(got.Freeing) != 2 || got.Freeing[0].InS != 20 || got.Freeing[1].InS != 50 {
+		t.Errorf("freeing %+v, want in 20 s and in 50 s", got.Freeing)
+	}
+}
+
+func TestOffers(t *testing.T) {
+	s := newTestScheduler(t)
+	specs := s.state.Catalog.Get()
+	if offers := s.Offers(specs, testNow); len(offers) != 6 {
+		t.Fatalf("%d offers, want 6: c4 in two zones and c16 in one, on demand and spot", len(offers))
+	}
+	refused := s.tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Spot: true, Count: 1}, testNow)
+	if got := len(s.Offers(specs, testNow)); got != 5 {
+		t.Errorf("a request is pending: %d offers, want 5", got)
+	}
+	s.tracker.FinishScaleOut(refused, scaling.Answer{Err: cloud.ErrNoCapacity}, testNow)
+	if got := len(s.Offers(specs, testNow)); got != 5 {
+		t.Errorf("an offer was refused: %d offers, want 5", got)
+	}
+	s.state.ZoneDetector.Judge("a", detector.Counts{Up: 4, Lost: 4, AllUp: 8}, testNow)
+	offers := s.Offers(specs, testNow)
+	if len(offers) != 2 {
+		t.Fatalf("zone a is partitioned: offers %+v, want 2", offers)
+	}
+	for i, spot := range []bool{false, true} {
+		if o := offers[i]; o.Type != "c4" || o.Zone != "b" || o.Spot != spot || o.Room != maxOffer || o.Total.CPUs != 4 {
+			t.Errorf("offer %+v, want c4 in zone b, spot %v", o, spot)
+		}
+	}
+}
+
+func TestCheapestUnit(t *testing.T) {
+	s := newTestScheduler(t)
+	specs := s.state.Catalog.Get()
+	for _, c := range []struct {
+		name string
+		spec wire.JobSpec
+		want float64
+	}{
+		{"on demand", wire.JobSpec{CPUs: 1}, 1.2 / 16},
+		{"spot allowed", wire.JobSpec{CPUs: 1, SpotAllowed: true}, 0.1 / 4},
+		{"only a large type fits", wire.JobSpec{CPUs: 8, SpotAllowed: true}, 0.8 / 2},
+		{"no type fits", wire.JobSpec{CPUs: 99}, math.Inf(1)},
+	} {
+		if got := cheapestUnit(specs, &c.spec); got != c.want {
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		}
+	}
+}
+
+func TestCordonsFollowThePlan(t *testing.T) {
+	s := newTestScheduler(t)
+	considered, named, other := s.addMachine("n-1", "c4", "a"), s.addMachine("n-2", "c4", "a"), s.addMachine("n-3", "c4", "a")
+	considered.Cordoned, other.Cordoned = true, true
+	s.ApplyCordons(CapacityPlan{
+		Plan:       fleet.Plan{Cordons: []wire.MachineID{named.ID}},
+		candidates: []*cluster.Machine{considered, named},
+	})
+	if considered.Cordoned || !named.Cordoned || !other.Cordoned {
+		t.Errorf("cordoned: considered %v, named %v, other %v; want false, true, true", considered.Cordoned, named.Cordoned, other.Cordoned)
+	}
+}
--- /dev/null
+++ b/internal/leader/scheduling/gang_history_test.go
@@ -0,0 +1,71 @@
+package scheduling
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"lilaclead/internal/wire"
+)
+
+// expectedIDs returns the jobs whose gangs are expected again.
+func (s *testScheduler) expectedIDs(times float64, at time.Time) []wire.JobID {
+	ids := []wire.JobID{}
+	for _, spec := range s.ExpectedGangs(times, at) {
+		ids = append(ids, spec.ID)
+	}
+	return ids
+}
+
+func TestLargestGangOfEachClassIsExpected(t *testing.T) {
+	s := newTestScheduler(t)
+	s.addJob(gang("req-1", 2))
+	s.addJob(gang("req-2", 4))
+	s.addJob(array("req-3", 9))
+	other := gang("req-4", 1)
+	other.Class, other.Priority = "train", wire.PriorityUrgent
+	s.addJob(other)
+	cancelled := gang("req-5", 8)
+	s.addJob(cancelled).Cancelled = true
+	for _, c := range []struct {
+		times float64
+		want  []wire.JobID
+	}{
+		{0, []wire.JobID{}},
+		{1, []wire.JobID{"req-4", "req-2"}},
+		{2, []wire.JobID{"req-4", "req-4", "req-2", "req-2"}},
+	} {
+		if got := s.expectedIDs(c.times, testNow); !slices.Equal(got, c.want) {
+			t.Errorf("%v times: expected gangs %v, want %v", c.times, got, c.want)
+		}
+	}
+}
+
+func TestGangIsExpectedForAWhileAfterItsEnd(t *testing.T) {
+	s := newTestScheduler(t)
+	s.addJob(gang("req-1", 2))
+	s.expectedIDs(1, testNow)
+	delete(s.state.Jobs, "req-1")
+	if got := s.expectedIDs(1, testNow.Add(RecentGangLife)); !slices.Equal(got, []wire.JobID{"req-1"}) {
+		t.Errorf("%v after its end: expected gangs %v, want req-1", RecentGangLife, got)
+	}
+	if got := s.expectedIDs(1, testNow.Add(RecentGangLife+1)); len(got) != 0 {
+		t.Errorf("later than that: expected gangs %v, want none", got)
+	}
+}
+
+func TestGangSizeCountsGPUsAndMemory(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		larger, other wire.JobSpec
+	}{
+		{"more tasks", wire.JobSpec{ID: "b", Tasks: 3, CPUs: 1}, wire.JobSpec{ID: "a", Tasks: 2, CPUs: 1}},
+		{"a GPU beside nine CPUs", wire.JobSpec{ID: "b", Tasks: 1, GPUs: 1}, wire.JobSpec{ID: "a", Tasks: 1, CPUs: 9}},
+		{"memory decides among equals", wire.JobSpec{ID: "b", Tasks: 1, CPUs: 1, MemoryGB: 2}, wire.JobSpec{ID: "a", Tasks: 1, CPUs: 1, MemoryGB: 1}},
+		{"the name decides at last", wire.JobSpec{ID: "a", Tasks: 1, CPUs: 1}, wire.JobSpec{ID: "b", Tasks: 1, CPUs: 1}},
+	} {
+		if !largerGang(&c.larger, &c.other) || largerGang(&c.other, &c.larger) {
+			t.Errorf("%s: %+v is not larger than %+v", c.name, c.larger, c.other)
+		}
+	}
+}
