--- a/internal/leader/autoscaler/intents.go
+++ b/internal/leader/autoscaler/intents.go
@@ -8,6 +8,7 @@
 	"lilaclead/duty"
 	"lilaclead/internal/config"
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
 	"lilaclead/internal/leader/scaling"
 	"lilaclead/internal/wire"
 )
@@ -28,6 +29,7 @@
 // before they are sent (package duty). The cloud knows no fencing tokens: it executes a
 // request of an earlier leader as well as one of this term, however late.
 type CloudIntents struct {
+	loop      *core.Loop
 	scaleOuts *duty.Intents[duty.ScaleOut, ScaleOutIntent]
 	scaleIns  *duty.Intents[duty.ScaleIn, wire.MachineID]
 
@@ -43,10 +45,12 @@
 	scaledInAt time.Time
 }
 
-// newCloudIntents returns the intents of the holder of a lease.
-func newCloudIntents(lease *duty.Lease, settings *config.Settings) *CloudIntents {
+// newCloudIntents returns the intents of a term that holds its lease.
+func newCloudIntents(loop *core.Loop, settings *config.Settings) *CloudIntents {
+	lease := loop.Lease.Lease
 	maxRecordBytes := int(settings.State.Least().ValueKB * 1024)
 	return &CloudIntents{
+		loop:      loop,
 		scaleOuts: duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](lease, maxRecordBytes),
 		scaleIns:  duty.OpenIntents[duty.ScaleIn, wire.MachineID](lease, maxRecordBytes),
 	}
@@ -100,6 +104,7 @@
 // adoptScaleOut repeats a scale-out request of an earlier leader.
 func (s *Scaler) adoptScaleOut(intent ScaleOutIntent) {
 	request := s.Tracker.Adopt(intent.Request, intent.Since.Time())
-	s.Log.Info("scale-out adopted", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "age", time.Since(request.RequestedAt))
+	s.Log.Info("scale-out adopted", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot,
+		"count", request.Count, "age", time.Since(request.RequestedAt))
 	s.Spawn(func(ctx context.Context) { s.sendScaleOut(ctx, request) })
 }
--- /dev/null
+++ b/internal/leader/autoscaler/inventory.go
@@ -0,0 +1,58 @@
+package autoscaler
+
+import (
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/core"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/wire"
+)
+
+// inventory keeps the machines of the cluster's state in step with the cloud's answers.
+type inventory struct {
+	state   *cluster.State
+	metrics *core.Metrics
+}
+
+const (
+	// maxListLagFactor is how many times older than its configured lag a machine list can be.
+	maxListLagFactor = 2
+	// listLagMargin covers the time that the request itself took.
+	listLagMargin = time.Second
+)
+
+// maybeUnlisted reports whether the machines of a request may be missing from the latest
+// machine list. Those of a request that an earlier leader sent longer ago are listed,
+// unless they no longer exist.
+func (i *inventory) maybeUnlisted(request *scaling.PendingScaleOut) bool {
+	maxLag := i.state.Settings.Cloud.ListLag.Duration()*maxListLagFactor + listLagMargin
+	return !request.Adopted || time.Since(request.RequestedAt) < maxLag
+}
+
+// add adds the machines that a request has started. They may have sent a heartbeat, or have
+// been removed again, before the request's answer arrived.
+func (i *inventory) add(request *scaling.PendingScaleOut, machines []wire.MachineID) {
+	for _, id := range machines {
+		if _, removed := i.state.RemovedMachines[id]; removed {
+			continue
+		}
+		machine := i.state.GetOrAddMachine(id)
+		if !machine.FirstHeartbeatAt.IsZero() {
+			continue
+		}
+		machine.MachineType, machine.Zone, machine.Spot = request.Type, request.Zone, request.Spot
+		machine.Booting, machine.RequestedAt = true, request.RequestedAt
+	}
+}
+
+// remove removes a machine that no longer exists, and makes its tasks pending.
+func (i *inventory) remove(machine *cluster.Machine) {
+	i.state.RemovedMachines[machine.ID] = time.Now()
+	for _, attempt := range machine.Tasks {
+		i.metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
+		i.state.EndAttempt(attempt, cluster.TaskPending)
+	}
+	delete(i.state.Machines, machine.ID)
+	i.state.RequestCycle()
+}
--- /dev/null
+++ b/internal/leader/autoscaler/requests.go
@@ -0,0 +1,84 @@
+package autoscaler
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"time"
+
+	"lilaclead/duty"
+	"lilaclead/internal/cloud"
+	"lilaclead/internal/leader/core"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/wire"
+)
+
+const (
+	// A scale-out request without a final answer is sent again after a pause that grows
+	// from minScaleOutRetry to maxScaleOutRetry.
+	minScaleOutRetry = 400 * time.Millisecond
+	maxScaleOutRetry = 5 * time.Second
+	// A scale-in request that is not confirmed is sent again after a pause that grows from
+	// minScaleInRetry to maxScaleInRetry.
+	minScaleInRetry = 500 * time.Millisecond
+	maxScaleInRetry = 2 * time.Second
+)
+
+// cloudRequests sends requests to the cloud and repeats them, only while the lease is held.
+// Its methods run in the background.
+type cloudRequests struct {
+	loop *core.Loop
+	// Cloud is the client of the cloud's API.
+	Cloud *cloud.Client
+}
+
+// sendScaleOut repeats a request under its name until the cloud has given a final answer,
+// which it posts to the loop.
+func (r *cloudRequests) sendScaleOut(ctx context.Context, request *scaling.PendingScaleOut) {
+	var retry scaling.RetryState
+	wait := minScaleOutRetry
+	for ctx.Err() == nil {
+		machines, err := r.callScaleOut(ctx, request)
+		if !errors.Is(err, duty.ErrNotHeld) && retry.Final(err) {
+			r.loop.Post(ScaleOutAnswered{request, machines, err})
+			return
+		}
+		core.Pause(ctx, wait+rand.N(wait/2))
+		wait = min(2*wait, maxScaleOutRetry)
+	}
+}
+
+// callScaleOut sends a scale-out request once, if the lease is held.
+func (r *cloudRequests) callScaleOut(ctx context.Context, request *scaling.PendingScaleOut) ([]wire.MachineID, error) {
+	permit, err := duty.PermitFor[duty.ScaleOut](r.loop.Lease.Lease)
+	if err != nil {
+		return nil, err
+	}
+	return r.Cloud.ScaleOut(ctx, permit, request.ScaleOutRequest)
+}
+
+// sendScaleIn repeats a scale-in request until the cloud has confirmed it. It returns false
+// if the term has ended before.
+func (r *cloudRequests) sendScaleIn(ctx context.Context, machines []wire.MachineID) bool {
+	wait := minScaleInRetry
+	for ctx.Err() == nil {
+		err := r.callScaleIn(ctx, machines)
+		if err == nil {
+			return true
+		}
+		r.loop.Log.Debug("scale-in not confirmed", "machines", len(machines), "err", err)
+		core.Pause(ctx, wait+rand.N(wait/2))
+		// Only one request is in flight at a time, however many machines are queued.
+		wait = min(2*wait, maxScaleInRetry)
+	}
+	return false
+}
+
+// callScaleIn sends a scale-in request once, if the lease is held.
+func (r *cloudRequests) callScaleIn(ctx context.Context, machines []wire.MachineID) error {
+	permit, err := duty.PermitFor[duty.ScaleIn](r.loop.Lease.Lease)
+	if err != nil {
+		return err
+	}
+	return r.Cloud.ScaleIn(ctx, permit, machines)
+}
--- a/internal/leader/autoscaler/scale_out_intents.go
+++ b/internal/leader/autoscaler/scale_out_intents.go
@@ -18,15 +18,15 @@
 // recordScaleOuts records the pending scale-out requests if there are new ones, or if none
 // is left. The new ones are sent when the record is written.
 func (s *Scaler) recordScaleOuts(now time.Time) {
-	if !s.mayRecordScaleOuts() {
+	if !s.recordsIntents() || !s.Intents.scaleOutsWritable() || !s.Lease.Deciding() {
 		return
 	}
 	intents := s.Intents
-	if len(intents.unrecorded) == 0 && !s.scaleOutsClearable(now) {
+	if len(intents.unrecorded) == 0 && !intents.scaleOutsClearable(s.Tracker, now) {
 		return
 	}
-	s.withdrawOversized()
-	fresh, pending := intents.unrecorded, s.scaleOutIntents()
+	intents.withdrawOversized(s.Tracker)
+	fresh, pending := intents.unrecorded, scaleOutIntents(s.Tracker)
 	intents.unrecorded, intents.recording = nil, true
 	s.Spawn(func(ctx context.Context) {
 		err := intents.scaleOuts.Record(ctx, pending)
@@ -34,39 +34,6 @@
 	})
 }
 
-// mayRecordScaleOuts reports whether the record of scale-out requests may be written now.
-func (s *Scaler) mayRecordScaleOuts() bool {
-	writable := s.recordsIntents() && !s.Intents.recording && s.Intents.scaleOuts.Loaded()
-	return writable && s.Lease.Deciding()
-}
-
-// scaleOutsClearable reports whether the record holds only requests that have been
-// answered, and has not been written for a while.
-func (s *Scaler) scaleOutsClearable(now time.Time) bool {
-	recorded := len(s.Intents.scaleOuts.Open()) > 0
-	answered := len(s.Tracker.PendingScaleOuts()) == 0
-	return recorded && answered && now.Sub(s.Intents.recordedAt) > clearIntentsAfter
-}
-
-// withdrawOversized withdraws the newest requests that exceed the size of the record.
-func (s *Scaler) withdrawOversized() {
-	intents := s.Intents
-	for len(intents.unrecorded) > 0 && !intents.scaleOuts.Fits(s.scaleOutIntents()) {
-		last := len(intents.unrecorded) - 1
-		s.Tracker.Withdraw(intents.unrecorded[last])
-		intents.unrecorded = intents.unrecorded[:last]
-	}
-}
-
-// scaleOutIntents returns the stored form of the pending requests.
-func (s *Scaler) scaleOutIntents() []ScaleOutIntent {
-	intents := []ScaleOutIntent{} // not nil: an empty list is stored as one
-	for _, request := range s.Tracker.PendingScaleOuts() {
-		intents = append(intents, ScaleOutIntent{request.ScaleOutRequest, wire.TimestampOf(request.RequestedAt)})
-	}
-	return intents
-}
-
 // OnScaleOutsRecorded sends the requests that are recorded now, or withdraws them if they
 // could not be recorded.
 func (s *Scaler) OnScaleOutsRecorded(fresh []*scaling.PendingScaleOut, err error) {
@@ -86,3 +53,33 @@
 	}
 	s.recordScaleOuts(time.Now())
 }
+
+// scaleOutsWritable reports whether the record of scale-out requests was read, and no write
+// of it is in flight.
+func (c *CloudIntents) scaleOutsWritable() bool { return !c.recording && c.scaleOuts.Loaded() }
+
+// scaleOutsClearable reports whether the record holds only requests that have been
+// answered, and has not been written for a while.
+func (c *CloudIntents) scaleOutsClearable(tracker *scaling.Tracker, now time.Time) bool {
+	recorded := len(c.scaleOuts.Open()) > 0
+	answered := len(tracker.PendingScaleOuts()) == 0
+	return recorded && answered && now.Sub(c.recordedAt) > clearIntentsAfter
+}
+
+// withdrawOversized withdraws the newest requests that exceed the size of the record.
+func (c *CloudIntents) withdrawOversized(tracker *scaling.Tracker) {
+	for len(c.unrecorded) > 0 && !c.scaleOuts.Fits(scaleOutIntents(tracker)) {
+		last := len(c.unrecorded) - 1
+		tracker.Withdraw(c.unrecorded[last])
+		c.unrecorded = c.unrecorded[:last]
+	}
+}
+
+// scaleOutIntents returns the stored form of the pending requests.
+func scaleOutIntents(tracker *scaling.Tracker) []ScaleOutIntent {
+	intents := []ScaleOutIntent{} // not nil: an empty list is stored as one
+	for _, request := range tracker.PendingScaleOuts() {
+		intents = append(intents, ScaleOutIntent{request.ScaleOutRequest, wire.TimestampOf(request.RequestedAt)})
+	}
+	return intents
+}
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -16,13 +16,13 @@
 // those that are not needed or not trusted.
 type Scaler struct {
 	*core.Loop
+	*cloudRequests
 	state     *cluster.State
 	scheduler *scheduling.Scheduler
+	inventory inventory
 
 	// Tracker is the account of the requests to the cloud.
 	Tracker *scaling.Tracker
-	// Cloud is the client of the cloud's API.
-	Cloud *cloud.Client
 	// Intents are the recorded intents; nil if none are recorded.
 	Intents *CloudIntents
 	// versioned means that intents are recorded only from VersionIntents on.
@@ -42,15 +42,16 @@
 // NewScaler returns the scaler of a term.
 func NewScaler(loop *core.Loop, state *cluster.State, scheduler *scheduling.Scheduler, tracker *scaling.Tracker, options Options) *Scaler {
 	scaler := &Scaler{
-		Loop:      loop,
-		state:     state,
-		scheduler: scheduler,
-		Tracker:   tracker,
-		Cloud:     options.Cloud,
-		versioned: options.Versioned,
+		Loop:          loop,
+		cloudRequests: &cloudRequests{loop: loop, Cloud: options.Cloud},
+		state:         state,
+		scheduler:     scheduler,
+		inventory:     inventory{state: state, metrics: loop.Metrics},
+		Tracker:       tracker,
+		versioned:     options.Versioned,
 	}
 	if options.RecordIntents {
-		scaler.Intents = newCloudIntents(loop.Lease.Lease, state.Settings)
+		scaler.Intents = newCloudIntents(loop, state.Settings)
 	}
 	return scaler
 }
