--- a/internal/leader/scheduling/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -1,4 +1,4 @@
-package scheduling
+package capacity
 
 import (
 	"time"
@@ -6,6 +6,7 @@
 	"lilaclead/internal/fleet"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/demand"
+	"lilaclead/internal/leader/scheduling/valuation"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
@@ -15,7 +16,7 @@
 
 // demandEstimate collects the demands of one estimate.
 type demandEstimate struct {
-	*DemandEstimator
+	*Estimator
 	now          time.Time
 	stretchShare float64 // the share of its remaining time over which a job array may be stretched
 	waits        map[wire.JobID]float64
@@ -36,7 +37,7 @@
 		Units:        units,
 		AllOrNothing: job.Spec.Gang(),
 		Rank:         float64(job.Spec.Priority.Rank()),
-		SlackS:       e.valuation.slackSeconds(job, e.now) * e.stretchShare,
+		SlackS:       e.valuer.SlackSeconds(job, e.now) * e.stretchShare,
 	}
 	switch {
 	case job.Spec.Service():
@@ -79,7 +80,7 @@
 	}
 	units := job.Pending()
 	if !job.Spec.Service() && !gang {
-		units = demand.ParallelTasks(units, demandWork(job, e.now), e.state.Settings.Objectives, e.stretchShare)
+		units = demand.ParallelTasks(units, valuation.WorkOf(job, e.now), e.state.Settings.Objectives, e.stretchShare)
 	}
 	allowed := placement.ResourcesOf(&job.Spec).Units(limitLeft(team.CPUsMax, team.GPUsMax, e.used[job.Spec.Team]))
 	if gang && allowed < units {
@@ -104,14 +105,14 @@
 // addSpareReplicas adds the demand for the resources that are kept for the next replicas.
 // In a single zone they would be of no use to a service that is spread over zones.
 func (e *demandEstimate) addSpareReplicas(minUnits float64) {
-	spare := spareReplicasOf(e.state, minUnits)
-	if spare.count <= 0 {
+	spare := SpareReplicasOf(e.state, minUnits)
+	if spare.Count <= 0 {
 		return
 	}
 	zoneLeft := map[wire.Zone]int{}
 	for _, zone := range e.zones {
-		zoneLeft[zone] = (spare.count + 1) / 2
+		zoneLeft[zone] = (spare.Count + 1) / 2
 	}
-	spec := &wire.JobSpec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: spare.count, CPUs: spare.takes.CPUs, MemoryGB: spare.takes.MemoryGB}
-	e.demands = append(e.demands, fleet.Demand{Spec: spec, Units: spare.count, Rank: spareRank, ZoneLeft: zoneLeft})
+	spec := &wire.JobSpec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: spare.Count, CPUs: spare.Takes.CPUs, MemoryGB: spare.Takes.MemoryGB}
+	e.demands = append(e.demands, fleet.Demand{Spec: spec, Units: spare.Count, Rank: spareRank, ZoneLeft: zoneLeft})
 }
--- a/internal/leader/scheduling/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -1,4 +1,4 @@
-package scheduling
+package capacity
 
 import (
 	"math"
@@ -8,6 +8,7 @@
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/demand"
 	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling/valuation"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/tuning"
 	"lilaclead/internal/wire"
@@ -33,29 +34,33 @@
 // requested for a job, which probably fails wherever it runs.
 const maxFailuresForScaleOut = 3
 
-// DemandEstimator estimates for how many tasks of each job resources are needed.
-type DemandEstimator struct {
+// Estimator estimates for how many tasks of each job resources are needed.
+type Estimator struct {
 	// BacklogS is in how many seconds the present resources would do all waiting work.
 	BacklogS float64
 
-	state     *cluster.State
-	tuning    *tuning.Current
-	tracker   *scaling.Tracker
-	valuation *Valuation
-	gangs     *GangHistory
+	state   *cluster.State
+	tuning  *tuning.Current
+	tracker *scaling.Tracker
+	valuer  *valuation.Valuer
+}
+
+// NewEstimator returns the demand estimator of a cluster.
+func NewEstimator(state *cluster.State, values *tuning.Current, tracker *scaling.Tracker, valuer *valuation.Valuer) *Estimator {
+	return &Estimator{state: state, tuning: values, tracker: tracker, valuer: valuer}
 }
 
 // Demands returns the demands of the waiting jobs, and that for the resources that are kept
 // for the next replicas.
-func (d *DemandEstimator) Demands(now time.Time, stretchShare, spareUnits float64) []fleet.Demand {
-	jobs := d.waitingJobs()
+func (e *Estimator) Demands(now time.Time, stretchShare, spareUnits float64) []fleet.Demand {
+	jobs := e.waitingJobs()
 	estimate := &demandEstimate{
-		DemandEstimator: d,
-		now:             now,
-		stretchShare:    stretchShare,
-		waits:           d.predictWaits(jobs, now),
-		zones:           d.state.Zones(),
-		used:            d.usedByTeam(),
+		Estimator:    e,
+		now:          now,
+		stretchShare: stretchShare,
+		waits:        e.predictWaits(jobs, now),
+		zones:        e.state.Zones(),
+		used:         e.usedByTeam(),
 	}
 	for _, job := range jobs {
 		estimate.addJob(job)
@@ -66,41 +71,41 @@
 
 // waitingJobs returns the jobs with tasks to be placed, in the order in which they were
 // accepted.
-func (d *DemandEstimator) waitingJobs() []*cluster.Job {
-	jobs := make([]*cluster.Job, 0, len(d.state.Jobs))
-	for _, job := range d.state.Jobs {
-		if d.deservesScaleOut(job) {
+func (e *Estimator) waitingJobs() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(e.state.Jobs))
+	for _, job := range e.state.Jobs {
+		if e.deservesScaleOut(job) {
 			jobs = append(jobs, job)
 		}
 	}
-	sortByAcceptance(jobs)
+	valuation.SortByAcceptance(jobs)
 	return jobs
 }
 
 // deservesScaleOut reports whether machines may be requested for a job.
-func (d *DemandEstimator) deservesScaleOut(job *cluster.Job) bool {
+func (e *Estimator) deservesScaleOut(job *cluster.Job) bool {
 	waiting := !job.Cancelled && !job.Finished && job.Pending() > 0
-	return waiting && job.Failures < maxFailuresForScaleOut && !d.state.Quarantined(job.Spec.ID)
+	return waiting && job.Failures < maxFailuresForScaleOut && !e.state.Quarantined(job.Spec.ID)
 }
 
 // usedByTeam returns the resources that each team's active tasks take.
-func (d *DemandEstimator) usedByTeam() map[wire.TeamID]placement.Resources {
+func (e *Estimator) usedByTeam() map[wire.TeamID]placement.Resources {
 	used := map[wire.TeamID]placement.Resources{}
-	for _, job := range d.state.Jobs {
+	for _, job := range e.state.Jobs {
 		used[job.Spec.Team] = used[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(job.ActiveTasks)))
 	}
 	return used
 }
 
-// GangReserves returns the demands for the resources that are kept for the next gangs. They
+// ReservesFor returns the demands for the resources that are kept for expected gangs. They
 // go before those of job arrays, and behind those of services and spare replicas.
-func (d *DemandEstimator) GangReserves(times float64, now time.Time) []fleet.Demand {
+func (e *Estimator) ReservesFor(gangs []*wire.JobSpec) []fleet.Demand {
 	var reserves []fleet.Demand
-	for _, spec := range d.gangs.ExpectedGangs(times, now) {
+	for _, spec := range gangs {
 		reserve := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, AllOrNothing: true}
 		if spec.Spread {
 			reserve.ZoneLeft = map[wire.Zone]int{}
-			for _, zone := range d.state.Zones() {
+			for _, zone := range e.state.Zones() {
 				reserve.ZoneLeft[zone] = spec.ZoneCap()
 			}
 		}
@@ -111,18 +116,18 @@
 
 // PriceStretch returns how far beyond the price limit machines may cost for a job that
 // would wait for waitS seconds for resources within the limit.
-func (d *DemandEstimator) PriceStretch(job *cluster.Job, waitS float64, now time.Time) float64 {
+func (e *Estimator) PriceStretch(job *cluster.Job, waitS float64, now time.Time) float64 {
 	if job.Spec.Service() {
 		return 1
 	}
-	return demand.PriceStretch(demandWork(job, now), d.state.Settings.Objectives, waitS, d.bootSeconds(&job.Spec))
+	return demand.PriceStretch(valuation.WorkOf(job, now), e.state.Settings.Objectives, waitS, e.bootSeconds(&job.Spec))
 }
 
 // bootSeconds returns after how many seconds a machine that is requested now can run a task
 // of the job at the earliest; infinity if no type fits it.
-func (d *DemandEstimator) bootSeconds(spec *wire.JobSpec) float64 {
+func (e *Estimator) bootSeconds(spec *wire.JobSpec) float64 {
 	earliest := math.Inf(1)
-	for _, machineType := range d.state.Catalog.Get() {
+	for _, machineType := range e.state.Catalog.Get() {
 		if machineType.Fits(spec) && machineType.FetchGBPerS > 0 {
 			earliest = min(earliest, float64(machineType.BootTime)+spec.ImageGB/machineType.FetchGBPerS)
 		}
--- a/internal/leader/scheduling/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -1,4 +1,4 @@
-package scheduling
+package capacity
 
 import (
 	"maps"
@@ -9,7 +9,7 @@
 	"lilaclead/internal/fleet"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/demand"
-	"lilaclead/internal/tuning"
+	"lilaclead/internal/leader/scheduling/schedulingtest"
 	"lilaclead/internal/wire"
 )
 
@@ -19,9 +19,9 @@
 )
 
 // demandsOf returns the demands for a job.
-func (s *testScheduler) demandsOf(id wire.JobID) []fleet.Demand {
+func (s *testPlanner) demandsOf(id wire.JobID) []fleet.Demand {
 	var demands []fleet.Demand
-	for _, d := range s.Demands(testNow, testStretch, noSpare) {
+	for _, d := range s.Demands(schedulingtest.Now, testStretch, noSpare) {
 		if d.Spec.ID == id {
 			demands = append(demands, d)
 		}
@@ -29,12 +29,6 @@
 	return demands
 }
 
-// withoutReserves returns values by which nothing is kept for replicas and gangs to come.
-func withoutReserves(values tuning.Values) tuning.Values {
-	values.SpareUnits, values.SpareGangs = 0, 0
-	return values
-}
-
 func TestDemandOfEachKindOfJob(t *testing.T) {
 	deadline := func(spec wire.JobSpec, d wire.Seconds) wire.JobSpec {
 		spec.Deadline = d
@@ -48,16 +42,16 @@
 		rank  float64
 		whole bool
 	}{
-		{"service", service("req-1", 5), 0, 5, 3 + serviceRank, false},
-		{"gang", gang("req-1", 4), 0, 4, 1, true},
-		{"gang that is overdue", gang("req-1", 4), 3 * time.Minute, 4, 1 + startOverdueRank, true},
-		{"array that is due at once", deadline(array("req-1", 10), 61), 0, 10, 1, false},
-		{"array that can run in turns", deadline(array("req-1", 10), 600), 0, 2, 1, false},
+		{"service", schedulingtest.Service("req-1", 5), 0, 5, 3 + serviceRank, false},
+		{"gang", schedulingtest.Gang("req-1", 4), 0, 4, 1, true},
+		{"gang that is overdue", schedulingtest.Gang("req-1", 4), 3 * time.Minute, 4, 1 + startOverdueRank, true},
+		{"array that is due at once", deadline(schedulingtest.Array("req-1", 10), 61), 0, 10, 1, false},
+		{"array that can run in turns", deadline(schedulingtest.Array("req-1", 10), 600), 0, 2, 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestScheduler(t)
-			s.addJobAcceptedAt(c.spec, testNow.Add(-c.age))
+			s := newTestPlanner(t)
+			s.AddJobAcceptedAt(c.spec, schedulingtest.Now.Add(-c.age))
 			demands := s.demandsOf("req-1")
 			if len(demands) != 1 {
 				t.Fatalf("demands %+v, want one", demands)
@@ -70,18 +64,18 @@
 }
 
 func TestOverdueGangMayCostAnyPrice(t *testing.T) {
-	s := newTestScheduler(t)
-	s.addJobAcceptedAt(gang("req-1", 4), testNow.Add(-3*time.Minute))
+	s := newTestPlanner(t)
+	s.AddJobAcceptedAt(schedulingtest.Gang("req-1", 4), schedulingtest.Now.Add(-3*time.Minute))
 	if d := s.demandsOf("req-1")[0]; !math.IsInf(d.PriceStretch, 1) {
 		t.Errorf("price stretch %v, want infinity", d.PriceStretch)
 	}
 }
 
 func TestOnlyTheFirstTaskOfAnOverdueArrayMayCostAnyPrice(t *testing.T) {
-	s := newTestScheduler(t)
-	spec := array("req-1", 10)
+	s := newTestPlanner(t)
+	spec := schedulingtest.Array("req-1", 10)
 	spec.Deadline = 1 // late whatever is started
-	s.addJobAcceptedAt(spec, testNow.Add(-3*time.Minute))
+	s.AddJobAcceptedAt(spec, schedulingtest.Now.Add(-3*time.Minute))
 	demands := s.demandsOf("req-1")
 	if len(demands) != 2 {
 		t.Fatalf("demands %+v, want one for the first task and one for the rest", demands)
@@ -99,21 +93,21 @@
 	cases := []struct {
 		name   string
 		spec   wire.JobSpec
-		change func(s *testScheduler, job *cluster.Job)
+		change func(s *testPlanner, job *cluster.Job)
 	}{
-		{"cancelled", array("req-1", 2), func(_ *testScheduler, j *cluster.Job) { j.Cancelled = true }},
-		{"finished", array("req-1", 2), func(_ *testScheduler, j *cluster.Job) { j.Finished = true }},
-		{"nothing pending", array("req-1", 2), func(_ *testScheduler, j *cluster.Job) { j.ActiveTasks = 2 }},
-		{"fails wherever it runs", array("req-1", 2), func(_ *testScheduler, j *cluster.Job) { j.Failures = maxFailuresForScaleOut }},
-		{"quarantined", array("req-1", 2), func(s *testScheduler, _ *cluster.Job) { s.state.QuarantinedJobs["req-1"] = true }},
-		{"of an unknown team", array("req-1", 2), func(_ *testScheduler, j *cluster.Job) { j.Spec.Team = "unknown" }},
-		{"a gang whose last attempt has not ended", gang("req-1", 2), func(_ *testScheduler, j *cluster.Job) { j.ActiveTasks = 1 }},
-		{"a gang beyond its team's limit", gang("req-1", 21), func(*testScheduler, *cluster.Job) {}},
+		{"cancelled", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Cancelled = true }},
+		{"finished", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Finished = true }},
+		{"nothing pending", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.ActiveTasks = 2 }},
+		{"fails wherever it runs", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Failures = maxFailuresForScaleOut }},
+		{"quarantined", schedulingtest.Array("req-1", 2), func(s *testPlanner, _ *cluster.Job) { s.State.QuarantinedJobs["req-1"] = true }},
+		{"of an unknown team", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Spec.Team = "unknown" }},
+		{"a gang whose last attempt has not ended", schedulingtest.Gang("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.ActiveTasks = 1 }},
+		{"a gang beyond its team's limit", schedulingtest.Gang("req-1", 21), func(*testPlanner, *cluster.Job) {}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestScheduler(t)
-			c.change(s, s.addJob(c.spec))
+			s := newTestPlanner(t)
+			c.change(s, s.AddJob(c.spec))
 			if demands := s.demandsOf("req-1"); len(demands) != 0 {
 				t.Errorf("%s: demands %+v, want none", c.name, demands)
 			}
@@ -122,14 +116,14 @@
 }
 
 func TestDemandsStayWithinTheTeamsLimit(t *testing.T) {
-	s := newTestScheduler(t) // red may use 40 CPUs
-	first := array("req-1", 30)
+	s := newTestPlanner(t) // red may use 40 CPUs
+	first := schedulingtest.Array("req-1", 30)
 	first.Deadline = 61
-	s.addJobAcceptedAt(first, testNow.Add(-time.Second))
-	second := array("req-2", 30)
+	s.AddJobAcceptedAt(first, schedulingtest.Now.Add(-time.Second))
+	second := schedulingtest.Array("req-2", 30)
 	second.Deadline = 61
-	s.addJob(second)
-	for range mapOrders {
+	s.AddJob(second)
+	for range schedulingtest.MapOrders {
 		if d := s.demandsOf("req-1"); len(d) != 1 || d[0].Units != 30 {
 			t.Fatalf("first job: demands %+v, want 30 units", d)
 		}
@@ -137,19 +131,19 @@
 			t.Fatalf("second job: demands %+v, want 10 units", d)
 		}
 	}
-	blue := array("req-3", 99)
+	blue := schedulingtest.Array("req-3", 99)
 	blue.Team, blue.Deadline = "blue", 61
-	s.addJob(blue)
+	s.AddJob(blue)
 	if d := s.demandsOf("req-3"); len(d) != 1 || d[0].Units != 99 {
 		t.Errorf("team without a limit: demands %+v, want 99 units", d)
 	}
 }
 
 func TestDemandForSpareReplicasIsSpreadOverZones(t *testing.T) {
-	s := newTestScheduler(t)
-	replicas := s.addJob(service("req-1", 5))
+	s := newTestPlanner(t)
+	replicas := s.AddJob(schedulingtest.Service("req-1", 5))
 	replicas.ActiveTasks = 5
-	demands := s.Demands(testNow, testStretch, 2)
+	demands := s.Demands(schedulingtest.Now, testStretch, 2)
 	if len(demands) != 1 {
 		t.Fatalf("demands %+v, want one for the spare replicas", demands)
 	}
@@ -160,11 +154,10 @@
 }
 
 func TestDemandForExpectedGangs(t *testing.T) {
-	s := newTestScheduler(t)
-	spec := gang("req-1", 5)
+	s := newTestPlanner(t)
+	spec := schedulingtest.Gang("req-1", 5)
 	spec.Spread = true
-	s.addJob(spec)
-	reserves := s.GangReserves(2, testNow)
+	reserves := s.ReservesFor([]*wire.JobSpec{&spec, &spec})
 	if len(reserves) != 2 {
 		t.Fatalf("demands %+v, want the gang twice", reserves)
 	}
@@ -176,28 +169,28 @@
 }
 
 func TestPriceStretchOfAJobThatWouldBeLate(t *testing.T) {
-	s := newTestScheduler(t)
-	spec := array("req-1", 1)
+	s := newTestPlanner(t)
+	spec := schedulingtest.Array("req-1", 1)
 	spec.Deadline, spec.ImageGB = 400, 3
 	age := 130 * time.Second // no longer waits for cheap machines first
-	job := s.addJobAcceptedAt(spec, testNow.Add(-age))
+	job := s.AddJobAcceptedAt(spec, schedulingtest.Now.Add(-age))
 	for _, c := range []struct {
 		waitS, want float64
 	}{
 		{200, 1},                       // still in time
 		{220, demand.LatePriceStretch}, // late, and a new machine would be in time
 	} {
-		if got := s.PriceStretch(job, c.waitS, testNow); got != c.want {
+		if got := s.PriceStretch(job, c.waitS, schedulingtest.Now); got != c.want {
 			t.Errorf("age %v, wait %v s: price stretch %v, want %v", age, c.waitS, got, c.want)
 		}
 	}
-	if got := s.PriceStretch(s.addJob(service("req-2", 1)), 1e6, testNow); got != 1 {
+	if got := s.PriceStretch(s.AddJob(schedulingtest.Service("req-2", 1)), 1e6, schedulingtest.Now); got != 1 {
 		t.Errorf("service: price stretch %v, want 1", got)
 	}
 }
 
 func TestBootSecondsIncludeTheFetchOfTheImage(t *testing.T) {
-	s := newTestScheduler(t)
+	s := newTestPlanner(t)
 	for _, c := range []struct {
 		name string
 		spec wire.JobSpec
@@ -216,17 +209,17 @@
 }
 
 func TestBacklogIsTheWaitingWorkOverTheBatchCPUs(t *testing.T) {
-	s := newTestScheduler(t)
-	s.addMachine("n-1", "c4", "a")
-	s.addMachine("n-2", "c4", "a").ScalingIn = true
-	s.addMachine("n-3", "c4", "a").DrainReason = cluster.DrainSlow
-	s.tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Count: 2}, testNow)
-	s.addJob(service("req-1", 1))
-	s.addJob(array("req-2", 5)) // 300 CPU seconds
+	s := newTestPlanner(t)
+	s.AddMachine("n-1", "c4", "a")
+	s.AddMachine("n-2", "c4", "a").ScalingIn = true
+	s.AddMachine("n-3", "c4", "a").DrainReason = cluster.DrainSlow
+	s.Tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Count: 2}, schedulingtest.Now)
+	s.AddJob(schedulingtest.Service("req-1", 1))
+	s.AddJob(schedulingtest.Array("req-2", 5)) // 300 CPU seconds
 	if got := s.batchCPUs(); got != 10 {
 		t.Errorf("%v CPUs, want 10: 4 of a machine and 8 pending without 2 of a service", got)
 	}
-	s.Demands(testNow, testStretch, noSpare)
+	s.Demands(schedulingtest.Now, testStretch, noSpare)
 	if s.BacklogS != 30 {
 		t.Errorf("backlog of %v s, want 30 s", s.BacklogS)
 	}
--- a/internal/leader/scheduling/offers.go
+++ b/internal/leader/scheduling/capacity/offers.go
@@ -1,4 +1,4 @@
-package scheduling
+package capacity
 
 import (
 	"math"
@@ -12,7 +12,7 @@
 )
 
 // Offers returns what may be requested from the cloud now.
-func (p *CapacityPlanner) Offers(specs []wire.MachineSpec, now time.Time) []fleet.Offer {
+func (p *Planner) Offers(specs []wire.MachineSpec, now time.Time) []fleet.Offer {
 	var offers []fleet.Offer
 	for i := range specs {
 		spec := &specs[i]
--- a/internal/leader/scheduling/plan_machines.go
+++ b/internal/leader/scheduling/capacity/plan_machines.go
@@ -1,4 +1,4 @@
-package scheduling
+package capacity
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 )
 
 // dependable reports whether a plan may count on a machine's resources.
-func (p *CapacityPlanner) dependable(machine *cluster.Machine, spec *wire.MachineSpec, now time.Time) bool {
+func (p *Planner) dependable(machine *cluster.Machine, spec *wire.MachineSpec, now time.Time) bool {
 	if machine.Booting && now.Sub(machine.RequestedAt) > spec.BootTime.Duration()*maxBoots {
 		return false
 	}
@@ -34,7 +34,7 @@
 
 // planMachine describes a machine to a plan. An idle one is kept for idleBoots times the
 // boot time of its type.
-func (p *CapacityPlanner) planMachine(machine *cluster.Machine, spec *wire.MachineSpec, idleBoots float64, now time.Time) fleet.Machine {
+func (p *Planner) planMachine(machine *cluster.Machine, spec *wire.MachineSpec, idleBoots float64, now time.Time) fleet.Machine {
 	described := fleet.Machine{
 		ID:      machine.ID,
 		Type:    machine.MachineType,
@@ -77,7 +77,7 @@
 }
 
 // appendPending adds the machines of the scale-out requests that are not yet answered.
-func (p *CapacityPlanner) appendPending(machines []fleet.Machine) []fleet.Machine {
+func (p *Planner) appendPending(machines []fleet.Machine) []fleet.Machine {
 	for _, request := range p.tracker.PendingScaleOuts() {
 		spec := p.state.MachineSpec(request.Type)
 		if spec == nil {
--- a/internal/leader/scheduling/capacity_test.go
+++ b/internal/leader/scheduling/capacity/planner_test.go
@@ -1,4 +1,4 @@
-package scheduling
+package capacity
 
 import (
 	"math"
@@ -11,11 +11,12 @@
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/detector"
 	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling/schedulingtest"
 	"lilaclead/internal/wire"
 )
 
 // requested returns how many machines a plan requests.
-func requested(plan CapacityPlan) int {
+func requested(plan Plan) int {
 	count := 0
 	for _, scaleOut := range plan.ScaleOuts {
 		count += scaleOut.Count
@@ -30,15 +31,14 @@
 }
 
 func TestPlanRequestsWhatIsMissing(t *testing.T) {
-	s := newTestScheduler(t)
-	specs := s.state.Catalog.Get()
-	s.addMachine("n-1", "c4", "a")
-	s.addJob(dueArray("req-1", 3))
-	plan := s.PlanCapacity(specs, true, testNow)
+	s := newTestPlanner(t)
+	s.AddMachine("n-1", "c4", "a")
+	s.AddJob(dueArray("req-1", 3))
+	plan := s.plan(true)
 	if got := requested(plan); got != 2 {
 		t.Errorf("%d machines requested in %+v, want 2 beside the one there is", got, plan.ScaleOuts)
 	}
-	if plan := s.PlanCapacity(specs, false, testNow); requested(plan) != 0 {
+	if plan := s.plan(false); requested(plan) != 0 {
 		t.Errorf("requested %+v though no request may be made", plan.ScaleOuts)
 	}
 }
@@ -52,11 +52,11 @@
 		{"all are pending", 3, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestScheduler(t)
-			s.addJob(dueArray("req-1", 3))
-			s.tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Count: c.pending}, testNow)
-			s.tracker.StartScaleOut(fleet.ScaleOut{Type: "unknown", Zone: "a", Count: 9}, testNow)
-			if got := requested(s.PlanCapacity(s.state.Catalog.Get(), true, testNow)); got != c.want {
+			s := newTestPlanner(t)
+			s.AddJob(dueArray("req-1", 3))
+			s.Tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Count: c.pending}, schedulingtest.Now)
+			s.Tracker.StartScaleOut(fleet.ScaleOut{Type: "unknown", Zone: "a", Count: 9}, schedulingtest.Now)
+			if got := requested(s.plan(true)); got != c.want {
 				t.Errorf("%d pending of 3: %d machines requested, want %d", c.pending, got, c.want)
 			}
 		})
@@ -71,10 +71,10 @@
 		{5 * time.Second, 0}, // the list's lag of 4 s and a second
 		{5*time.Second + 1, 1},
 	} {
-		s := newTestScheduler(t)
-		s.state.TermStartedAt = testNow.Add(-c.age)
-		s.addJob(dueArray("req-1", 1))
-		if got := requested(s.PlanCapacity(s.state.Catalog.Get(), true, testNow)); got != c.want {
+		s := newTestPlanner(t)
+		s.State.TermStartedAt = schedulingtest.Now.Add(-c.age)
+		s.AddJob(dueArray("req-1", 1))
+		if got := requested(s.plan(true)); got != c.want {
 			t.Errorf("%v after the term began: %d machines requested, want %d", c.age, got, c.want)
 		}
 	}
@@ -83,24 +83,24 @@
 func TestPlanScalesInIdleMachines(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(s *testScheduler, machine *cluster.Machine)
+		change func(s *testPlanner, machine *cluster.Machine)
 		want   bool
 	}{
-		{"idle for long", func(*testScheduler, *cluster.Machine) {}, true},
-		{"idle for less than it is kept", func(_ *testScheduler, m *cluster.Machine) { m.LastUsedAt = testNow.Add(-time.Second) }, false},
-		{"with an orphan task", func(_ *testScheduler, m *cluster.Machine) { m.OrphanTasks[wire.Task{Job: "req-1"}] = true }, false},
-		{"scaling in already", func(_ *testScheduler, m *cluster.Machine) { m.ScalingIn = true }, false},
-		{"draining", func(_ *testScheduler, m *cluster.Machine) { m.DrainReason = cluster.DrainSlow }, false},
-		{"of an unknown type", func(_ *testScheduler, m *cluster.Machine) { m.MachineType = "" }, false},
-		{"with a task", func(s *testScheduler, m *cluster.Machine) {
-			s.run(s.addJob(array("req-1", 1)), m, testNow.Add(-time.Minute))
+		{"idle for long", func(*testPlanner, *cluster.Machine) {}, true},
+		{"idle for less than it is kept", func(_ *testPlanner, m *cluster.Machine) { m.LastUsedAt = schedulingtest.Now.Add(-time.Second) }, false},
+		{"with an orphan task", func(_ *testPlanner, m *cluster.Machine) { m.OrphanTasks[wire.Task{Job: "req-1"}] = true }, false},
+		{"scaling in already", func(_ *testPlanner, m *cluster.Machine) { m.ScalingIn = true }, false},
+		{"draining", func(_ *testPlanner, m *cluster.Machine) { m.DrainReason = cluster.DrainSlow }, false},
+		{"of an unknown type", func(_ *testPlanner, m *cluster.Machine) { m.MachineType = "" }, false},
+		{"with a task", func(s *testPlanner, m *cluster.Machine) {
+			s.Run(s.AddJob(schedulingtest.Array("req-1", 1)), m, schedulingtest.Now.Add(-time.Minute))
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestScheduler(t)
-			machine := s.addMachine("n-1", "c4", "a")
+			s := newTestPlanner(t)
+			machine := s.AddMachine("n-1", "c4", "a")
 			c.change(s, machine)
-			plan := s.PlanCapacity(s.state.Catalog.Get(), true, testNow)
+			plan := s.plan(true)
 			if got := slices.Contains(plan.ScaleIns, machine.ID); got != c.want {
 				t.Errorf("%s: scaled in %v, want %v", c.name, got, c.want)
 			}
@@ -111,31 +111,31 @@
 func TestDependableMachines(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(s *testScheduler, machine *cluster.Machine)
+		change func(s *testPlanner, machine *cluster.Machine)
 		want   bool
 	}{
-		{"in service", func(*testScheduler, *cluster.Machine) {}, true},
-		{"booting", func(_ *testScheduler, m *cluster.Machine) {
-			m.Booting, m.RequestedAt = true, testNow.Add(-20*time.Second)
+		{"in service", func(*testPlanner, *cluster.Machine) {}, true},
+		{"booting", func(_ *testPlanner, m *cluster.Machine) {
+			m.Booting, m.RequestedAt = true, schedulingtest.Now.Add(-20*time.Second)
 		}, true},
-		{"booting for more than two boot times", func(_ *testScheduler, m *cluster.Machine) {
-			m.Booting, m.RequestedAt = true, testNow.Add(-20*time.Second-1)
+		{"booting for more than two boot times", func(_ *testPlanner, m *cluster.Machine) {
+			m.Booting, m.RequestedAt = true, schedulingtest.Now.Add(-20*time.Second-1)
 		}, false},
-		{"three heartbeats missing", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = testNow.Add(-6 * time.Second) }, true},
-		{"more than three missing", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = testNow.Add(-6*time.Second - 1) }, false},
-		{"behind a partition", func(s *testScheduler, m *cluster.Machine) {
-			s.state.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, testNow)
+		{"three heartbeats missing", func(_ *testPlanner, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-6 * time.Second) }, true},
+		{"more than three missing", func(_ *testPlanner, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-6*time.Second - 1) }, false},
+		{"behind a partition", func(s *testPlanner, m *cluster.Machine) {
+			s.State.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
 		}, false},
-		{"its heartbeats don't arrive", func(_ *testScheduler, m *cluster.Machine) {
-			m.HeartbeatsMissingSince = testNow.Add(-time.Minute)
+		{"its heartbeats don't arrive", func(_ *testPlanner, m *cluster.Machine) {
+			m.HeartbeatsMissingSince = schedulingtest.Now.Add(-time.Minute)
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestScheduler(t)
-			machine := s.addMachine("n-1", "c4", "a")
+			s := newTestPlanner(t)
+			machine := s.AddMachine("n-1", "c4", "a")
 			c.change(s, machine)
-			spec := s.state.MachineSpec(machine.MachineType)
-			if got := s.dependable(machine, spec, testNow); got != c.want {
+			spec := s.State.MachineSpec(machine.MachineType)
+			if got := s.dependable(machine, spec, schedulingtest.Now); got != c.want {
 				t.Errorf("%s: dependable %v, want %v", c.name, got, c.want)
 			}
 		})
@@ -143,15 +143,15 @@
 }
 
 func TestMachineDescribedToAPlan(t *testing.T) {
-	s := newTestScheduler(t)
-	machine := s.addMachine("n-1", "c16", "a")
-	machine.Spot, machine.RequestedAt = true, testNow.Add(-50*time.Second)
-	large := array("req-1", 1)
+	s := newTestPlanner(t)
+	machine := s.AddMachine("n-1", "c16", "a")
+	machine.Spot, machine.RequestedAt = true, schedulingtest.Now.Add(-50*time.Second)
+	large := schedulingtest.Array("req-1", 1)
 	large.CPUs = 3
-	s.run(s.addJob(large), machine, testNow.Add(-10*time.Second))
-	s.run(s.addJob(array("req-2", 1)), machine, testNow.Add(-40*time.Second))
-	s.run(s.addJob(service("req-3", 1)), machine, testNow.Add(-40*time.Second))
-	got := s.planMachine(machine, s.state.MachineSpec("c16"), 0.5, testNow)
+	s.Run(s.AddJob(large), machine, schedulingtest.Now.Add(-10*time.Second))
+	s.Run(s.AddJob(schedulingtest.Array("req-2", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
+	s.Run(s.AddJob(schedulingtest.Service("req-3", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
+	got := s.planMachine(machine, s.State.MachineSpec("c16"), 0.5, schedulingtest.Now)
 	if got.Total.CPUs != 16 || got.Free.CPUs != 10 || got.Price != 0.8 || got.PaidS != 10 || got.KeepS != 10 || got.Idle {
 		t.Errorf("machine %+v, want 10 of 16 CPUs free, price 0.8, paid for and kept for 10 s, not idle", got)
 	}
@@ -164,21 +164,21 @@
 }
 
 func TestOffers(t *testing.T) {
-	s := newTestScheduler(t)
-	specs := s.state.Catalog.Get()
-	if offers := s.Offers(specs, testNow); len(offers) != 6 {
+	s := newTestPlanner(t)
+	specs := s.State.Catalog.Get()
+	if offers := s.Offers(specs, schedulingtest.Now); len(offers) != 6 {
 		t.Fatalf("%d offers, want 6: c4 in two zones and c16 in one, on demand and spot", len(offers))
 	}
-	refused := s.tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Spot: true, Count: 1}, testNow)
-	if got := len(s.Offers(specs, testNow)); got != 5 {
+	refused := s.Tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Spot: true, Count: 1}, schedulingtest.Now)
+	if got := len(s.Offers(specs, schedulingtest.Now)); got != 5 {
 		t.Errorf("a request is pending: %d offers, want 5", got)
 	}
-	s.tracker.FinishScaleOut(refused, scaling.Answer{Err: cloud.ErrNoCapacity}, testNow)
-	if got := len(s.Offers(specs, testNow)); got != 5 {
+	s.Tracker.FinishScaleOut(refused, scaling.Answer{Err: cloud.ErrNoCapacity}, schedulingtest.Now)
+	if got := len(s.Offers(specs, schedulingtest.Now)); got != 5 {
 		t.Errorf("an offer was refused: %d offers, want 5", got)
 	}
-	s.state.ZoneDetector.Judge("a", detector.Counts{Up: 4, Lost: 4, AllUp: 8}, testNow)
-	offers := s.Offers(specs, testNow)
+	s.State.ZoneDetector.Judge("a", detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
+	offers := s.Offers(specs, schedulingtest.Now)
 	if len(offers) != 2 {
 		t.Fatalf("zone a is partitioned: offers %+v, want 2", offers)
 	}
@@ -190,8 +190,8 @@
 }
 
 func TestCheapestUnit(t *testing.T) {
-	s := newTestScheduler(t)
-	specs := s.state.Catalog.Get()
+	s := newTestPlanner(t)
+	specs := s.State.Catalog.Get()
 	for _, c := range []struct {
 		name string
 		spec wire.JobSpec
@@ -209,10 +209,10 @@
 }
 
 func TestCordonsFollowThePlan(t *testing.T) {
-	s := newTestScheduler(t)
-	considered, named, other := s.addMachine("n-1", "c4", "a"), s.addMachine("n-2", "c4", "a"), s.addMachine("n-3", "c4", "a")
+	s := newTestPlanner(t)
+	considered, named, other := s.AddMachine("n-1", "c4", "a"), s.AddMachine("n-2", "c4", "a"), s.AddMachine("n-3", "c4", "a")
 	considered.Cordoned, other.Cordoned = true, true
-	s.ApplyCordons(CapacityPlan{
+	s.ApplyCordons(Plan{
 		Plan:       fleet.Plan{Cordons: []wire.MachineID{named.ID}},
 		candidates: []*cluster.Machine{considered, named},
 	})
--- a/internal/leader/scheduling/spare.go
+++ b/internal/leader/scheduling/capacity/spare.go
@@ -1,19 +1,21 @@
-package scheduling
+package capacity
 
 import (
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/placement"
 )
 
-// spareReplicas are the resources that are kept free for the next replicas of services.
-type spareReplicas struct {
-	count int
-	takes placement.Resources // by one replica
+// SpareReplicas are the resources that are kept free for the next replicas of services.
+type SpareReplicas struct {
+	// Count is the number of replicas.
+	Count int
+	// Takes are the resources of one replica.
+	Takes placement.Resources
 }
 
-// spareReplicasOf returns the spare resources: the largest replica that services have now,
+// SpareReplicasOf returns the spare resources: the largest replica that services have now,
 // as many times as operators have set, and at least for half of the largest service.
-func spareReplicasOf(state *cluster.State, minUnits float64) spareReplicas {
+func SpareReplicasOf(state *cluster.State, minUnits float64) SpareReplicas {
 	var takes placement.Resources
 	largestService := 0
 	for _, job := range state.Jobs {
@@ -25,7 +27,7 @@
 		takes = placement.Resources{CPUs: max(takes.CPUs, replica.CPUs), GPUs: 0, MemoryGB: max(takes.MemoryGB, replica.MemoryGB)}
 	}
 	if takes.CPUs == 0 {
-		return spareReplicas{0, takes}
+		return SpareReplicas{0, takes}
 	}
-	return spareReplicas{max(int(minUnits), (largestService+1)/2), takes}
+	return SpareReplicas{max(int(minUnits), (largestService+1)/2), takes}
 }
--- a/internal/leader/scheduling/cycle_test.go
+++ b/internal/leader/scheduling/cycle_test.go
@@ -5,32 +5,34 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/scheduling/schedulingtest"
+	"lilaclead/internal/tuning"
 	"lilaclead/internal/wire"
 )
 
 func TestCycleWithoutWaitingJobsDoesNothing(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addMachine("n-1", "c4", "a")
-	s.addJob(array("req-1", 1)).Cancelled = true
-	if cycle := s.BeginCycle(testNow); cycle != nil {
+	s.AddMachine("n-1", "c4", "a")
+	s.AddJob(schedulingtest.Array("req-1", 1)).Cancelled = true
+	if cycle := s.BeginCycle(schedulingtest.Now); cycle != nil {
 		t.Errorf("cycle %+v, want none", cycle)
 	}
-	if !s.state.Cycle.LastAt.Equal(testNow) {
-		t.Errorf("the last cycle was at %v, want %v", s.state.Cycle.LastAt, testNow)
+	if !s.State.Cycle.LastAt.Equal(schedulingtest.Now) {
+		t.Errorf("the last cycle was at %v, want %v", s.State.Cycle.LastAt, schedulingtest.Now)
 	}
 }
 
 func TestCycleStartsPendingTasks(t *testing.T) {
 	s := newTestScheduler(t)
-	machine := s.addMachine("n-1", "c4", "a")
-	job := s.addJob(array("req-1", 3))
-	cycle := s.BeginCycle(testNow)
+	machine := s.AddMachine("n-1", "c4", "a")
+	job := s.AddJob(schedulingtest.Array("req-1", 3))
+	cycle := s.BeginCycle(schedulingtest.Now)
 	if cycle == nil || cycle.Starts != 3 || len(cycle.Preemptions) != 0 {
 		t.Fatalf("cycle %+v, want 3 starts", cycle)
 	}
 	s.FinishCycle(cycle)
-	if job.ActiveTasks != 3 || job.UnstoredAttempts != 3 || !job.LastStartAt.Equal(testNow) {
-		t.Errorf("%d active, %d unstored tasks, last start at %v; want 3, 3, %v", job.ActiveTasks, job.UnstoredAttempts, job.LastStartAt, testNow)
+	if job.ActiveTasks != 3 || job.UnstoredAttempts != 3 || !job.LastStartAt.Equal(schedulingtest.Now) {
+		t.Errorf("%d active, %d unstored tasks, last start at %v; want 3, 3, %v", job.ActiveTasks, job.UnstoredAttempts, job.LastStartAt, schedulingtest.Now)
 	}
 	numbers := map[wire.Attempt]bool{}
 	for _, attempt := range machine.Tasks {
@@ -39,21 +41,21 @@
 	if len(numbers) != 3 || !numbers[1] || !numbers[3] || job.Chunk(0).NextAttempt != 4 {
 		t.Errorf("attempts %v, next %d; want 1 to 3, next 4", numbers, job.Chunk(0).NextAttempt)
 	}
-	if _, dirty := s.state.Unsaved.Chunks[job.Chunk(0)]; !dirty {
+	if _, dirty := s.State.Unsaved.Chunks[job.Chunk(0)]; !dirty {
 		t.Error("the chunk is not marked as dirty")
 	}
 }
 
 func TestCycleStartsAGangAsAWhole(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addMachine("n-1", "c4", "a")
-	tooLarge := s.addJob(gang("req-1", 3))
-	if cycle := s.BeginCycle(testNow); cycle.Starts != 0 || tooLarge.ActiveTasks != 0 || tooLarge.Gang != nil {
+	s.AddMachine("n-1", "c4", "a")
+	tooLarge := s.AddJob(schedulingtest.Gang("req-1", 3))
+	if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != 0 || tooLarge.ActiveTasks != 0 || tooLarge.Gang != nil {
 		t.Fatalf("%d starts of a gang that needs more machines, want none", cycle.Starts)
 	}
-	s.addMachine("n-2", "c4", "a")
+	s.AddMachine("n-2", "c4", "a")
 	tooLarge.Chunk(0).NextAttempt = 5
-	if cycle := s.BeginCycle(testNow); cycle.Starts != 3 {
+	if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != 3 {
 		t.Fatalf("%d starts of a gang that fits, want 3", cycle.Starts)
 	}
 	for _, attempt := range tooLarge.Attempts() {
@@ -68,34 +70,34 @@
 
 func TestCyclePreemptsForAnUrgentJobAndReservesTheResources(t *testing.T) {
 	s := newTestScheduler(t)
-	machine := s.addMachine("n-1", "c4", "a")
-	running := s.addJob(array("req-1", 4))
+	machine := s.AddMachine("n-1", "c4", "a")
+	running := s.AddJob(schedulingtest.Array("req-1", 4))
 	for range 4 {
-		s.run(running, machine, testNow.Add(-10*time.Second))
+		s.Run(running, machine, schedulingtest.Now.Add(-10*time.Second))
 	}
-	spec := array("req-2", 1)
+	spec := schedulingtest.Array("req-2", 1)
 	spec.Priority = wire.PriorityUrgent
-	urgent := s.addJobAcceptedAt(spec, testNow.Add(-10*time.Second)) // its patience is over
-	cycle := s.BeginCycle(testNow)
+	urgent := s.AddJobAcceptedAt(spec, schedulingtest.Now.Add(-10*time.Second)) // its patience is over
+	cycle := s.BeginCycle(schedulingtest.Now)
 	if cycle == nil || cycle.Starts != 0 || len(cycle.Preemptions) != 1 || cycle.Preemptions[0].Task.Job != "req-1" {
 		t.Fatalf("cycle %+v, want the preemption of one task of req-1", cycle)
 	}
 	if len(machine.Reservations) != 1 || machine.Reservations[0].Job != urgent.Spec.ID {
 		t.Fatalf("reservations %+v, want one for req-2", machine.Reservations)
 	}
-	if want := testNow.Add(s.stopDuration(0)); !machine.Reservations[0].Until.Equal(want) {
+	if want := schedulingtest.Now.Add(s.stopDuration(0)); !machine.Reservations[0].Until.Equal(want) {
 		t.Errorf("reserved until %v, want %v", machine.Reservations[0].Until, want)
 	}
 
-	preempted := s.state.ActiveAttempt(cycle.Preemptions[0].Task)
+	preempted := s.State.ActiveAttempt(cycle.Preemptions[0].Task)
 	preempted.GracePeriod = 7
-	s.ExtendReservations(preempted, testNow)
-	if want := testNow.Add(s.stopDuration(7)); !machine.Reservations[0].Until.Equal(want) {
+	s.ExtendReservations(preempted, schedulingtest.Now)
+	if want := schedulingtest.Now.Add(s.stopDuration(7)); !machine.Reservations[0].Until.Equal(want) {
 		t.Errorf("with the grace period: reserved until %v, want %v", machine.Reservations[0].Until, want)
 	}
 
-	s.state.EndAttempt(preempted, cluster.TaskPending)
-	if cycle := s.BeginCycle(testNow.Add(time.Second)); cycle.Starts != 1 || urgent.ActiveTasks != 1 || len(machine.Reservations) != 0 {
+	s.State.EndAttempt(preempted, cluster.TaskPending)
+	if cycle := s.BeginCycle(schedulingtest.Now.Add(time.Second)); cycle.Starts != 1 || urgent.ActiveTasks != 1 || len(machine.Reservations) != 0 {
 		t.Errorf("%d starts, %d active tasks of req-2, reservations %+v; want 1, 1, none", cycle.Starts, urgent.ActiveTasks, machine.Reservations)
 	}
 }
@@ -113,13 +115,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler(t)
-			machine := s.addMachine("n-1", "c16", "a")
-			job := s.addJob(array("req-1", 4+c.active))
+			machine := s.AddMachine("n-1", "c16", "a")
+			job := s.AddJob(schedulingtest.Array("req-1", 4+c.active))
 			for range c.active {
-				s.run(job, machine, testNow)
+				s.Run(job, machine, schedulingtest.Now)
 			}
 			job.Failures = c.failures
-			if cycle := s.BeginCycle(testNow); cycle.Starts != c.want {
+			if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != c.want {
 				t.Errorf("%d starts, want %d", cycle.Starts, c.want)
 			}
 		})
@@ -139,8 +141,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler(t)
-			job := s.addJobAcceptedAt(gang("req-1", 3), testNow.Add(-c.waited))
-			team := s.snapshot([]*cluster.Job{job}, testNow).placement.Teams["red"]
+			job := s.AddJobAcceptedAt(schedulingtest.Gang("req-1", 3), schedulingtest.Now.Add(-c.waited))
+			team := s.snapshot([]*cluster.Job{job}, schedulingtest.Now).placement.Teams["red"]
 			if team.ReservedFor != c.want || team.ReservedRank != c.rank {
 				t.Errorf("reserved for %q with rank %d, want %q with rank %d", team.ReservedFor, team.ReservedRank, c.want, c.rank)
 			}
@@ -153,12 +155,12 @@
 
 func TestTeamUsageCountsOrphanTasks(t *testing.T) {
 	s := newTestScheduler(t)
-	machine := s.addMachine("n-1", "c4", "a")
-	job := s.addJob(array("req-1", 4))
-	s.run(job, machine, testNow)
+	machine := s.AddMachine("n-1", "c4", "a")
+	job := s.AddJob(schedulingtest.Array("req-1", 4))
+	s.Run(job, machine, schedulingtest.Now)
 	machine.OrphanTasks[wire.Task{Job: "req-1", Index: 3}] = true
 	machine.OrphanTasks[wire.Task{Job: "unknown", Index: 0}] = true
-	teams := teamUsage(s.state)
+	teams := teamUsage(s.State)
 	if got := teams["red"].Used.CPUs; got != 2 {
 		t.Errorf("team red uses %v CPUs, want 2", got)
 	}
@@ -169,14 +171,14 @@
 
 func TestFullMachinesAreDescribedOnDemand(t *testing.T) {
 	s := newTestScheduler(t)
-	s.values.Set(withoutReserves(s.values.Get()))
-	full, free := s.addMachine("n-1", "c4", "a"), s.addMachine("n-2", "c4", "a")
-	running := s.addJob(array("req-1", 4))
+	s.Tuning.Set(withoutReserves(s.Tuning.Get()))
+	full, free := s.AddMachine("n-1", "c4", "a"), s.AddMachine("n-2", "c4", "a")
+	running := s.AddJob(schedulingtest.Array("req-1", 4))
 	for range 4 {
-		s.run(running, full, testNow.Add(-time.Minute))
+		s.Run(running, full, schedulingtest.Now.Add(-time.Minute))
 	}
-	waiting := s.addJob(gang("req-2", 1))
-	snapshot := s.snapshot([]*cluster.Job{waiting}, testNow)
+	waiting := s.AddJob(schedulingtest.Gang("req-2", 1))
+	snapshot := s.snapshot([]*cluster.Job{waiting}, schedulingtest.Now)
 	if len(snapshot.machines) != 1 || snapshot.machines[0] != free || len(snapshot.placement.Machines) != 1 {
 		t.Errorf("machines %v, want only n-2", snapshot.machines)
 	}
@@ -188,10 +190,10 @@
 
 func TestStoppedTaskThatDoesNotEndFreesNothing(t *testing.T) {
 	s := newTestScheduler(t)
-	machine := s.addMachine("n-1", "c4", "a")
-	attempt := s.run(s.addJob(array("req-1", 1)), machine, testNow.Add(-time.Minute))
+	machine := s.AddMachine("n-1", "c4", "a")
+	attempt := s.Run(s.AddJob(schedulingtest.Array("req-1", 1)), machine, schedulingtest.Now.Add(-time.Minute))
 	attempt.Stopping, attempt.GracePeriod = true, 3
-	waiting := s.addJob(gang("req-2", 1))
+	waiting := s.AddJob(schedulingtest.Gang("req-2", 1))
 	for _, c := range []struct {
 		since time.Duration
 		want  float64
@@ -199,10 +201,42 @@
 		{s.stopDuration(3) - 1, 1},
 		{s.stopDuration(3), 0},
 	} {
-		attempt.StopRequestedAt = testNow.Add(-c.since)
-		view := s.snapshot([]*cluster.Job{waiting}, testNow).placement.Machines[0]
+		attempt.StopRequestedAt = schedulingtest.Now.Add(-c.since)
+		view := s.snapshot([]*cluster.Job{waiting}, schedulingtest.Now).placement.Machines[0]
 		if view.Stopping.CPUs != c.want || len(view.Victims) != 0 {
 			t.Errorf("stopped for %v: %v CPUs stopping, %d victims; want %v, 0", c.since, view.Stopping.CPUs, len(view.Victims), c.want)
 		}
 	}
 }
+
+// withoutReserves returns values by which nothing is kept for replicas and gangs to come.
+func withoutReserves(values tuning.Values) tuning.Values {
+	values.SpareUnits, values.SpareGangs = 0, 0
+	return values
+}
+
+func TestCapacityPlanKeepsAnIdleMachineForAnExpectedGang(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		spareGangs float64
+		want       int // machines scaled in
+	}{
+		{"resources are kept for one gang", 1, 0},
+		{"none are kept", 0, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestScheduler(t)
+			values := withoutReserves(s.Tuning.Get())
+			values.SpareGangs = c.spareGangs
+			s.Tuning.Set(values)
+			s.AddMachine("n-1", "c4", "a")
+			s.AddJob(schedulingtest.Gang("req-1", 2))
+			s.ExpectedGangs(c.spareGangs, schedulingtest.Now)
+			delete(s.State.Jobs, "req-1")
+			plan := s.PlanCapacity(s.State.Catalog.Get(), true, schedulingtest.Now)
+			if len(plan.ScaleIns) != c.want || len(plan.ScaleOuts) != 0 {
+				t.Errorf("%s: scaled in %v, out %v; want %d in, none out", c.name, plan.ScaleIns, plan.ScaleOuts, c.want)
+			}
+		})
+	}
+}
--- a/internal/leader/scheduling/doc.go
+++ b/internal/leader/scheduling/doc.go
@@ -3,8 +3,8 @@
 //
 // A scheduling cycle describes the cluster to package placement in a snapshot, starts what
 // that has placed, reserves the resources that are being freed for waiting jobs, and names
-// the tasks to preempt. A capacity plan describes the demands of the waiting jobs, the
-// machines and the cloud's offers to package fleet, which decides what to scale out and in.
+// the tasks to preempt. Package valuation weighs the jobs, and package capacity plans the
+// number of machines.
 //
 // The package changes the in-memory state of the cluster that it is given, and starts no
 // I/O. It is used by the goroutine of the term's loop alone.
--- a/internal/leader/scheduling/eligibility_test.go
+++ b/internal/leader/scheduling/eligibility_test.go
@@ -6,6 +6,7 @@
 
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/detector"
+	"lilaclead/internal/leader/scheduling/schedulingtest"
 	"lilaclead/internal/wire"
 )
 
@@ -16,25 +17,25 @@
 		change func(s *testScheduler, job *cluster.Job)
 		want   bool
 	}{
-		{"a waiting array", array("req-1", 2), func(*testScheduler, *cluster.Job) {}, true},
-		{"cancelled", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Cancelled = true }, false},
-		{"finished", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Finished = true }, false},
-		{"being archived", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Archiving = true }, false},
-		{"its record has changed", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.RecordOutdated = true }, false},
-		{"quarantined", array("req-1", 2), func(s *testScheduler, _ *cluster.Job) { s.state.QuarantinedJobs["req-1"] = true }, false},
-		{"all tasks done", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.DoneTasks = 2 }, false},
-		{"backed off from", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = testNow.Add(1) }, false},
-		{"backoff just over", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = testNow }, true},
-		{"an array with an active task", array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.ActiveTasks = 1 }, true},
-		{"a gang with an active task", gang("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.ActiveTasks = 1 }, false},
-		{"a gang without one", gang("req-1", 2), func(*testScheduler, *cluster.Job) {}, true},
+		{"a waiting array", schedulingtest.Array("req-1", 2), func(*testScheduler, *cluster.Job) {}, true},
+		{"cancelled", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Cancelled = true }, false},
+		{"finished", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Finished = true }, false},
+		{"being archived", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Archiving = true }, false},
+		{"its record has changed", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.RecordOutdated = true }, false},
+		{"quarantined", schedulingtest.Array("req-1", 2), func(s *testScheduler, _ *cluster.Job) { s.State.QuarantinedJobs["req-1"] = true }, false},
+		{"all tasks done", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.DoneTasks = 2 }, false},
+		{"backed off from", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = schedulingtest.Now.Add(1) }, false},
+		{"backoff just over", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = schedulingtest.Now }, true},
+		{"an array with an active task", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.ActiveTasks = 1 }, true},
+		{"a gang with an active task", schedulingtest.Gang("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.ActiveTasks = 1 }, false},
+		{"a gang without one", schedulingtest.Gang("req-1", 2), func(*testScheduler, *cluster.Job) {}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler(t)
-			job := s.addJob(c.spec)
+			job := s.AddJob(c.spec)
 			c.change(s, job)
-			if got := s.Schedulable(job, testNow); got != c.want {
+			if got := s.Schedulable(job, schedulingtest.Now); got != c.want {
 				t.Errorf("%s: schedulable %v, want %v", c.name, got, c.want)
 			}
 		})
@@ -53,27 +54,27 @@
 		{"without a heartbeat", func(_ *testScheduler, m *cluster.Machine) { m.FirstHeartbeatAt = time.Time{} }, false},
 		{"draining", func(_ *testScheduler, m *cluster.Machine) { m.DrainReason = cluster.DrainSlow }, false},
 		{"scaling in", func(_ *testScheduler, m *cluster.Machine) { m.ScalingIn = true }, false},
-		{"with an earlier token", func(_ *testScheduler, m *cluster.Machine) { m.Token = testToken - 1 }, false},
-		{"with a later token", func(_ *testScheduler, m *cluster.Machine) { m.Token = testToken + 1 }, true},
+		{"with an earlier token", func(_ *testScheduler, m *cluster.Machine) { m.Token = schedulingtest.Token - 1 }, false},
+		{"with a later token", func(_ *testScheduler, m *cluster.Machine) { m.Token = schedulingtest.Token + 1 }, true},
 		{"with an unanswered probe", func(_ *testScheduler, m *cluster.Machine) { m.UnansweredProbes = 1 }, false},
 		{"behind a partition", func(s *testScheduler, m *cluster.Machine) {
-			s.state.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, testNow)
+			s.State.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
 		}, false},
 		{"its heartbeats don't arrive", func(_ *testScheduler, m *cluster.Machine) {
-			m.HeartbeatsMissingSince = testNow.Add(-time.Minute)
+			m.HeartbeatsMissingSince = schedulingtest.Now.Add(-time.Minute)
 		}, false},
-		{"has refused a task", func(_ *testScheduler, m *cluster.Machine) { m.RefusedUntil = testNow.Add(1) }, false},
-		{"has refused one long ago", func(_ *testScheduler, m *cluster.Machine) { m.RefusedUntil = testNow }, true},
-		{"nearly overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = testNow.Add(1 - maxSilence) }, true},
-		{"overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = testNow.Add(-maxSilence) }, false},
+		{"has refused a task", func(_ *testScheduler, m *cluster.Machine) { m.RefusedUntil = schedulingtest.Now.Add(1) }, false},
+		{"has refused one long ago", func(_ *testScheduler, m *cluster.Machine) { m.RefusedUntil = schedulingtest.Now }, true},
+		{"nearly overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(1 - maxSilence) }, true},
+		{"overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-maxSilence) }, false},
 		{"cordoned", func(_ *testScheduler, m *cluster.Machine) { m.Cordoned = true }, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler(t)
-			machine := s.addMachine("n-1", "c4", "a")
+			machine := s.AddMachine("n-1", "c4", "a")
 			c.change(s, machine)
-			if got := s.Usable(machine, testNow); got != c.want {
+			if got := s.Usable(machine, schedulingtest.Now); got != c.want {
 				t.Errorf("%s: usable %v, want %v", c.name, got, c.want)
 			}
 		})
--- a/internal/leader/scheduling/gang_history_test.go
+++ b/internal/leader/scheduling/gang_history_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"lilaclead/internal/leader/scheduling/schedulingtest"
 	"lilaclead/internal/wire"
 )
 
@@ -19,14 +20,14 @@
 
 func TestLargestGangOfEachClassIsExpected(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addJob(gang("req-1", 2))
-	s.addJob(gang("req-2", 4))
-	s.addJob(array("req-3", 9))
-	other := gang("req-4", 1)
+	s.AddJob(schedulingtest.Gang("req-1", 2))
+	s.AddJob(schedulingtest.Gang("req-2", 4))
+	s.AddJob(schedulingtest.Array("req-3", 9))
+	other := schedulingtest.Gang("req-4", 1)
 	other.Class, other.Priority = "train", wire.PriorityUrgent
-	s.addJob(other)
-	cancelled := gang("req-5", 8)
-	s.addJob(cancelled).Cancelled = true
+	s.AddJob(other)
+	cancelled := schedulingtest.Gang("req-5", 8)
+	s.AddJob(cancelled).Cancelled = true
 	for _, c := range []struct {
 		times float64
 		want  []wire.JobID
@@ -35,7 +36,7 @@
 		{1, []wire.JobID{"req-4", "req-2"}},
 		{2, []wire.JobID{"req-4", "req-4", "req-2", "req-2"}},
 	} {
-		if got := s.expectedIDs(c.times, testNow); !slices.Equal(got, c.want) {
+		if got := s.expectedIDs(c.times, schedulingtest.Now); !slices.Equal(got, c.want) {
 			t.Errorf("%v times: expected gangs %v, want %v", c.times, got, c.want)
 		}
 	}
@@ -43,13 +44,13 @@
 
 func TestGangIsExpectedForAWhileAfterItsEnd(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addJob(gang("req-1", 2))
-	s.expectedIDs(1, testNow)
-	delete(s.state.Jobs, "req-1")
-	if got := s.expectedIDs(1, testNow.Add(RecentGangLife)); !slices.Equal(got, []wire.JobID{"req-1"}) {
+	s.AddJob(schedulingtest.Gang("req-1", 2))
+	s.expectedIDs(1, schedulingtest.Now)
+	delete(s.State.Jobs, "req-1")
+	if got := s.expectedIDs(1, schedulingtest.Now.Add(RecentGangLife)); !slices.Equal(got, []wire.JobID{"req-1"}) {
 		t.Errorf("%v after its end: expected gangs %v, want req-1", RecentGangLife, got)
 	}
-	if got := s.expectedIDs(1, testNow.Add(RecentGangLife+1)); len(got) != 0 {
+	if got := s.expectedIDs(1, schedulingtest.Now.Add(RecentGangLife+1)); len(got) != 0 {
 		t.Errorf("later than that: expected gangs %v, want none", got)
 	}
 }
--- a/internal/leader/scheduling/patience.go
+++ b/internal/leader/scheduling/patience.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/scheduling/valuation"
 	"lilaclead/internal/placement"
 )
 
@@ -21,10 +22,16 @@
 	patienceSlackDivisor = 8
 )
 
+// Patience decides for how long jobs wait before others are preempted for them.
+type Patience struct {
+	state  *cluster.State
+	valuer *valuation.Valuer
+}
+
 // PatienceSeconds returns for how many seconds a job waits for tasks to end by themselves
 // before they are preempted. An urgent job waits for a small part of its slack, and little
 // once it has waited; a service does not wait.
-func (v *Valuation) PatienceSeconds(job *cluster.Job, now time.Time) float64 {
+func (p *Patience) PatienceSeconds(job *cluster.Job, now time.Time) float64 {
 	if job.Spec.Service() {
 		return 0
 	}
@@ -32,12 +39,23 @@
 	if job.Spec.Gang() && !placement.MayPreempt(&job.Spec) {
 		return min(maxGangPatienceS, MaxPatienceS+waited/2)
 	}
-	patience := min(MaxPatienceS, v.slackSeconds(job, now)/patienceSlackDivisor, patienceEndS-waited)
+	patience := min(MaxPatienceS, p.valuer.SlackSeconds(job, now)/patienceSlackDivisor, patienceEndS-waited)
 	// Patience must not make a gang miss an objective that it can still meet. Urgent gangs
 	// with an objective of 2 s waited for tasks that were expected to end within 3 s and
 	// often ended later, and meanwhile nothing else was preempted for them.
-	if left := v.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.Gang() && left > 0 {
+	if left := p.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.Gang() && left > 0 {
 		patience = min(patience, left/2)
 	}
 	return max(0, patience)
 }
+
+// startObjectiveSeconds returns within how many seconds the service-level objectives want
+// jobs of a class started; 0 if there is no such objective.
+func (p *Patience) startObjectiveSeconds(class string) float64 {
+	for _, objective := range p.state.Settings.Objectives {
+		if objective.Kind == "wait" && objective.Class == class {
+			return float64(objective.Within)
+		}
+	}
+	return 0
+}
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -14,12 +14,12 @@
 	// ReservedMachines are the machines with reservations.
 	ReservedMachines map[*cluster.Machine]struct{}
 
-	state     *cluster.State
-	valuation *Valuation
+	state    *cluster.State
+	patience *Patience
 }
 
-func newReservations(state *cluster.State, valuation *Valuation) *Reservations {
-	return &Reservations{ReservedMachines: map[*cluster.Machine]struct{}{}, state: state, valuation: valuation}
+func newReservations(state *cluster.State, patience *Patience) *Reservations {
+	return &Reservations{ReservedMachines: map[*cluster.Machine]struct{}{}, state: state, patience: patience}
 }
 
 // reserve adds the reservations of a cycle. Those of a gang are kept for as long as it may
@@ -29,8 +29,8 @@
 		machine := r.state.Machines[reservation.Machine]
 		until := now.Add(r.stopDuration(0))
 		if job := r.gang(reservation.Job); job != nil {
-			patience := wire.Seconds(r.valuation.PatienceSeconds(job, now))
-			until = until.Add(patience.Duration())
+			wait := wire.Seconds(r.patience.PatienceSeconds(job, now))
+			until = until.Add(wait.Duration())
 		}
 		machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: reservation.Reservation, AwaitedTasks: reservation.AwaitedTasks, Until: until})
 		r.ReservedMachines[machine] = struct{}{}
--- a/internal/leader/scheduling/reservations_test.go
+++ b/internal/leader/scheduling/reservations_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/scheduling/schedulingtest"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
@@ -22,26 +23,30 @@
 		want   int
 	}{
 		{"needed", func(*testScheduler, *cluster.Job, *cluster.Machine) {}, 1},
-		{"until now", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) { m.Reservations[0].Until = testNow }, 1},
-		{"expired", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) { m.Reservations[0].Until = testNow.Add(-1) }, 0},
-		{"machine removed", func(s *testScheduler, _ *cluster.Job, m *cluster.Machine) { delete(s.state.Machines, m.ID) }, 0},
+		{"until now", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) {
+			m.Reservations[0].Until = schedulingtest.Now
+		}, 1},
+		{"expired", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) {
+			m.Reservations[0].Until = schedulingtest.Now.Add(-1)
+		}, 0},
+		{"machine removed", func(s *testScheduler, _ *cluster.Job, m *cluster.Machine) { delete(s.State.Machines, m.ID) }, 0},
 		{"machine replaced", func(s *testScheduler, _ *cluster.Job, m *cluster.Machine) {
-			delete(s.state.Machines, m.ID)
-			s.state.GetOrAddMachine(m.ID)
+			delete(s.State.Machines, m.ID)
+			s.State.GetOrAddMachine(m.ID)
 		}, 0},
 		{"machine scaling in", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) { m.ScalingIn = true }, 0},
 		{"machine draining", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) { m.DrainReason = cluster.DrainSlow }, 0},
-		{"job unknown", func(s *testScheduler, j *cluster.Job, _ *cluster.Machine) { delete(s.state.Jobs, j.Spec.ID) }, 0},
+		{"job unknown", func(s *testScheduler, j *cluster.Job, _ *cluster.Machine) { delete(s.State.Jobs, j.Spec.ID) }, 0},
 		{"job cancelled", func(_ *testScheduler, j *cluster.Job, _ *cluster.Machine) { j.Cancelled = true }, 0},
 		{"no pending task", func(_ *testScheduler, j *cluster.Job, _ *cluster.Machine) { j.DoneTasks = j.Spec.Tasks }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler(t)
-			machine, job := s.addMachine("n-1", "c4", "a"), s.addJob(array("req-1", 2))
-			s.reserveFor("req-1", machine, testNow.Add(time.Minute))
+			machine, job := s.AddMachine("n-1", "c4", "a"), s.AddJob(schedulingtest.Array("req-1", 2))
+			s.reserveFor("req-1", machine, schedulingtest.Now.Add(time.Minute))
 			c.change(s, job, machine)
-			reserved := s.PruneReservations(testNow)
+			reserved := s.PruneReservations(schedulingtest.Now)
 			if reserved["req-1"] != c.want || len(machine.Reservations) != c.want || len(s.ReservedMachines) != c.want {
 				t.Errorf("%s: %d tasks, %d reservations, %d machines; want %d of each",
 					c.name, reserved["req-1"], len(machine.Reservations), len(s.ReservedMachines), c.want)
@@ -52,29 +57,29 @@
 
 func TestSurplusReservationsAreDropped(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addJob(array("req-1", 2))
+	s.AddJob(schedulingtest.Array("req-1", 2))
 	for _, id := range []wire.MachineID{"n-1", "n-2", "n-3"} {
-		s.reserveFor("req-1", s.addMachine(id, "c4", "a"), testNow.Add(time.Minute))
+		s.reserveFor("req-1", s.AddMachine(id, "c4", "a"), schedulingtest.Now.Add(time.Minute))
 	}
-	if reserved := s.PruneReservations(testNow); reserved["req-1"] != 2 || len(s.ReservedMachines) != 2 {
+	if reserved := s.PruneReservations(schedulingtest.Now); reserved["req-1"] != 2 || len(s.ReservedMachines) != 2 {
 		t.Errorf("%d tasks on %d machines, want 2 on 2", reserved["req-1"], len(s.ReservedMachines))
 	}
 }
 
 func TestReservationsOfAnIncompleteGangAreDropped(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addJob(gang("req-1", 2))
-	s.addJob(array("req-2", 2))
-	first, second := s.addMachine("n-1", "c4", "a"), s.addMachine("n-2", "c4", "a")
+	s.AddJob(schedulingtest.Gang("req-1", 2))
+	s.AddJob(schedulingtest.Array("req-2", 2))
+	first, second := s.AddMachine("n-1", "c4", "a"), s.AddMachine("n-2", "c4", "a")
 	for _, machine := range []*cluster.Machine{first, second} {
-		s.reserveFor("req-1", machine, testNow.Add(time.Minute))
+		s.reserveFor("req-1", machine, schedulingtest.Now.Add(time.Minute))
 	}
-	s.reserveFor("req-2", first, testNow.Add(time.Minute))
-	if reserved := s.PruneReservations(testNow); reserved["req-1"] != 2 || reserved["req-2"] != 1 {
+	s.reserveFor("req-2", first, schedulingtest.Now.Add(time.Minute))
+	if reserved := s.PruneReservations(schedulingtest.Now); reserved["req-1"] != 2 || reserved["req-2"] != 1 {
 		t.Fatalf("complete: reserved %v, want 2 and 1", reserved)
 	}
 	second.DrainReason = cluster.DrainSlow
-	reserved := s.PruneReservations(testNow)
+	reserved := s.PruneReservations(schedulingtest.Now)
 	if _, kept := reserved["req-1"]; kept || reserved["req-2"] != 1 {
 		t.Errorf("incomplete: reserved %v, want only one of req-2", reserved)
 	}
@@ -85,10 +90,10 @@
 
 func TestReservationsOfAGangAreExtendedToTheLatest(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addJob(gang("req-1", 2))
-	s.addJob(array("req-2", 2))
-	first, second := s.addMachine("n-1", "c4", "a"), s.addMachine("n-2", "c4", "a")
-	early, late := testNow.Add(time.Second), testNow.Add(time.Minute)
+	s.AddJob(schedulingtest.Gang("req-1", 2))
+	s.AddJob(schedulingtest.Array("req-2", 2))
+	first, second := s.AddMachine("n-1", "c4", "a"), s.AddMachine("n-2", "c4", "a")
+	early, late := schedulingtest.Now.Add(time.Second), schedulingtest.Now.Add(time.Minute)
 	s.reserveFor("req-1", first, early)
 	s.reserveFor("req-2", first, early)
 	s.reserveFor("req-1", second, late)
@@ -103,19 +108,19 @@
 
 func TestReservationOfAGangOutlastsItsPatience(t *testing.T) {
 	s := newTestScheduler(t)
-	s.addMachine("n-1", "c4", "a")
-	s.addJob(array("req-1", 1))
-	waitingGang := s.addJob(gang("req-2", 1))
-	patience := time.Duration(s.PatienceSeconds(waitingGang, testNow) * float64(time.Second))
+	s.AddMachine("n-1", "c4", "a")
+	s.AddJob(schedulingtest.Array("req-1", 1))
+	waitingGang := s.AddJob(schedulingtest.Gang("req-2", 1))
+	patience := time.Duration(s.PatienceSeconds(waitingGang, schedulingtest.Now) * float64(time.Second))
 	if patience <= 0 {
 		t.Fatalf("the gang has a patience of %v, want some", patience)
 	}
 	s.reserve([]placement.MachineReservation{
 		{Machine: "n-1", Reservation: placement.Reservation{Job: "req-1"}},
 		{Machine: "n-1", Reservation: placement.Reservation{Job: "req-2"}},
-	}, testNow)
-	reservations := s.state.Machines["n-1"].Reservations
-	arrayUntil, gangUntil := testNow.Add(s.stopDuration(0)), testNow.Add(s.stopDuration(0)+patience)
+	}, schedulingtest.Now)
+	reservations := s.State.Machines["n-1"].Reservations
+	arrayUntil, gangUntil := schedulingtest.Now.Add(s.stopDuration(0)), schedulingtest.Now.Add(s.stopDuration(0)+patience)
 	if !reservations[0].Until.Equal(arrayUntil) || !reservations[1].Until.Equal(gangUntil) {
 		t.Errorf("reserved until %v and %v, want %v and %v", reservations[0].Until, reservations[1].Until, arrayUntil, gangUntil)
 	}
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -4,10 +4,14 @@
 	"log/slog"
 	"time"
 
+	"lilaclead/internal/fleet"
 	"lilaclead/internal/leader/cluster"
 	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling/capacity"
+	"lilaclead/internal/leader/scheduling/valuation"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/tuning"
+	"lilaclead/internal/wire"
 )
 
 // Scheduler runs scheduling cycles. It is composed of the duties that the parts of a term
@@ -16,33 +20,54 @@
 	*Eligibility
 	*Starter
 	*Reservations
-	*Valuation
+	*Patience
 	*GangHistory
-	*DemandEstimator
-	*CapacityPlanner
+	*capacity.Estimator
+	*capacity.Planner
 
 	state  *cluster.State
 	tuning *tuning.Current
+	valuer *valuation.Valuer
 }
 
 // NewScheduler returns the scheduler of a term.
 func NewScheduler(state *cluster.State, values *tuning.Current, tracker *scaling.Tracker, log *slog.Logger) *Scheduler {
-	valuation := &Valuation{state: state}
-	gangs := newGangHistory(state)
-	demands := &DemandEstimator{state: state, tuning: values, tracker: tracker, valuation: valuation, gangs: gangs}
+	valuer := valuation.NewValuer(state)
+	patience := &Patience{state: state, valuer: valuer}
+	estimator := capacity.NewEstimator(state, values, tracker, valuer)
 	return &Scheduler{
-		Eligibility:     &Eligibility{state: state},
-		Starter:         &Starter{state: state, log: log},
-		Reservations:    newReservations(state, valuation),
-		Valuation:       valuation,
-		GangHistory:     gangs,
-		DemandEstimator: demands,
-		CapacityPlanner: &CapacityPlanner{state: state, tuning: values, tracker: tracker, demands: demands},
-		state:           state,
-		tuning:          values,
+		Eligibility:  &Eligibility{state: state},
+		Starter:      &Starter{state: state, log: log},
+		Reservations: newReservations(state, patience),
+		Patience:     patience,
+		GangHistory:  newGangHistory(state),
+		Estimator:    estimator,
+		Planner:      capacity.NewPlanner(state, tracker, estimator),
+		state:        state,
+		tuning:       values,
+		valuer:       valuer,
 	}
 }
 
+// PlanCapacity plans which machines to scale out and in, and which to cordon so that they
+// become empty.
+func (s *Scheduler) PlanCapacity(specs []wire.MachineSpec, mayScaleOut bool, now time.Time) capacity.Plan {
+	values := s.tuning.Get()
+	return s.Plan(capacity.Input{
+		Specs:         specs,
+		MayScaleOut:   mayScaleOut,
+		ExpectedGangs: s.ExpectedGangs(values.SpareGangs, now),
+		Values:        values,
+		Now:           now,
+	})
+}
+
+// GangReserves returns the demands for the resources that are kept for the next gangs, as
+// many times as given.
+func (s *Scheduler) GangReserves(times float64, now time.Time) []fleet.Demand {
+	return s.ReservesFor(s.ExpectedGangs(times, now))
+}
+
 // Cycle is one run of the scheduler over all waiting jobs.
 type Cycle struct {
 	// Starts is the number of tasks that were started.
--- a/internal/leader/scheduling/snapshot.go
+++ b/internal/leader/scheduling/snapshot.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/scheduling/capacity"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
@@ -41,8 +42,8 @@
 		Preempt:       true,
 		ExpectedGangs: s.ExpectedGangs(values.SpareGangs, now),
 	}
-	spare := spareReplicasOf(s.state, values.SpareUnits)
-	builder.snapshot.SpareUnits, builder.snapshot.SpareUnit = spare.count, spare.takes
+	spare := capacity.SpareReplicasOf(s.state, values.SpareUnits)
+	builder.snapshot.SpareUnits, builder.snapshot.SpareUnit = spare.Count, spare.Takes
 	builder.addMachines(waiting)
 	builder.addJobs(waiting)
 	builder.reserveTeamLimits()
--- a/internal/leader/scheduling/snapshot_jobs.go
+++ b/internal/leader/scheduling/snapshot_jobs.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/scheduling/valuation"
 	"lilaclead/internal/placement"
 	"lilaclead/internal/wire"
 )
@@ -18,8 +19,8 @@
 
 // addJobs adds the waiting jobs in the order in which they were accepted.
 func (b *snapshotBuilder) addJobs(waiting []*cluster.Job) {
-	sortByAcceptance(waiting)
-	guaranteed, zones := b.scheduler.guaranteed(), b.state.Zones()
+	valuation.SortByAcceptance(waiting)
+	guaranteed, zones := b.scheduler.valuer.Guaranteed(), b.state.Zones()
 	for _, job := range waiting {
 		view := b.jobView(job, guaranteed[job.Spec.ID])
 		if job.Spec.Spread || job.Spec.SameZone {
@@ -51,11 +52,11 @@
 		Reservations: b.reservedUnits[job.Spec.ID],
 		PatienceS:    b.scheduler.PatienceSeconds(job, b.now),
 		StartsInS:    max(0, b.scheduler.startObjectiveSeconds(job.Spec.Class)-waitedS),
-		Weight:       b.scheduler.utilityWeight(job, guaranteed, b.now),
+		Weight:       b.scheduler.valuer.UtilityWeight(job, guaranteed, b.now),
 		WaitedLong:   b.state.SinceLastStart(job, b.now) > maxLinger,
 	}
 	if b.state.StartOverdue(job, b.now) {
-		view.Weight = starvingWeight
+		view.Weight = valuation.StarvingWeight
 		if !job.Spec.Gang() {
 			view.Pending = 1
 		}
--- a/internal/leader/scheduling/snapshot_machines.go
+++ b/internal/leader/scheduling/snapshot_machines.go
@@ -47,7 +47,7 @@
 
 // machineViews sorts machines by name and describes them.
 func (b *snapshotBuilder) machineViews(machines []*cluster.Machine) []placement.Machine {
-	sortByID(machines)
+	slices.SortFunc(machines, func(a, b *cluster.Machine) int { return cmp.Compare(a.ID, b.ID) })
 	views := make([]placement.Machine, len(machines))
 	for i, machine := range machines {
 		views[i] = b.machineView(machine)
--- a/internal/leader/scheduling/valuation.go
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -1,4 +1,4 @@
-package scheduling
+package valuation
 
 import (
 	"time"
@@ -9,15 +9,17 @@
 	"lilaclead/internal/wire"
 )
 
-// Valuation weighs the waiting jobs against each other: by priority, quota, deadline and
-// service-level objectives.
-type Valuation struct {
+// Valuer weighs the jobs of a cluster.
+type Valuer struct {
 	state *cluster.State
 }
 
-// guaranteed returns the jobs that fit into their team's guaranteed quota together with the
+// NewValuer returns the valuer of a cluster's jobs.
+func NewValuer(state *cluster.State) *Valuer { return &Valuer{state: state} }
+
+// Guaranteed returns the jobs that fit into their team's guaranteed quota together with the
 // team's unfinished jobs that were accepted earlier.
-func (v *Valuation) guaranteed() map[wire.JobID]bool {
+func (v *Valuer) Guaranteed() map[wire.JobID]bool {
 	used := map[wire.TeamID]placement.Resources{}
 	guaranteed := map[wire.JobID]bool{}
 	for _, job := range v.unfinishedJobs() {
@@ -35,14 +37,14 @@
 
 // unfinishedJobs returns the jobs that are neither cancelled nor finished, in the order in
 // which they were accepted.
-func (v *Valuation) unfinishedJobs() []*cluster.Job {
+func (v *Valuer) unfinishedJobs() []*cluster.Job {
 	jobs := make([]*cluster.Job, 0, len(v.state.Jobs))
 	for _, job := range v.state.Jobs {
 		if !job.Cancelled && !job.Finished {
 			jobs = append(jobs, job)
 		}
 	}
-	sortByAcceptance(jobs)
+	SortByAcceptance(jobs)
 	return jobs
 }
 
@@ -50,8 +52,9 @@
 var priorityWeights = [4]float64{1, 2, 8, 256}
 
 const (
-	// starvingWeight is above that of every job array and below that of services.
-	starvingWeight = 100
+	// StarvingWeight is the weight of a job that has waited too long: above that of every
+	// other job array and below that of services.
+	StarvingWeight = 100
 	// guaranteedFactor raises the weight of a job within its team's guaranteed quota.
 	guaranteedFactor = 3
 	// A job's weight is multiplied by workScale / (work + workOffset), where work are its
@@ -64,8 +67,8 @@
 	dueFactor = 2
 )
 
-// utilityWeight returns the weight of one task of a job.
-func (v *Valuation) utilityWeight(job *cluster.Job, guaranteed bool, now time.Time) float64 {
+// UtilityWeight returns the weight of one task of a job.
+func (v *Valuer) UtilityWeight(job *cluster.Job, guaranteed bool, now time.Time) float64 {
 	weight := priorityWeights[job.Spec.Priority.Rank()]
 	if guaranteed {
 		weight *= guaranteedFactor
@@ -78,7 +81,7 @@
 	runTime := job.ExpectedSeconds()
 	work := float64(job.Spec.Tasks-job.DoneTasks) * job.Spec.CPUs * max(1, runTime)
 	weight *= workScale / (work + workOffset)
-	switch slack := v.slackSeconds(job, now); {
+	switch slack := v.SlackSeconds(job, now); {
 	case slack < -runTime/2:
 		weight *= lateFactor
 	case slack < runTime:
@@ -87,13 +90,13 @@
 	return weight
 }
 
-// slackSeconds returns for how many seconds the job's pending tasks may still wait.
-func (v *Valuation) slackSeconds(job *cluster.Job, now time.Time) float64 {
-	return demand.SlackS(demandWork(job, now), v.state.Settings.Objectives)
+// SlackSeconds returns for how many seconds the job's pending tasks may still wait.
+func (v *Valuer) SlackSeconds(job *cluster.Job, now time.Time) float64 {
+	return demand.SlackS(WorkOf(job, now), v.state.Settings.Objectives)
 }
 
-// demandWork returns what the rules of package demand need to know of a job.
-func demandWork(job *cluster.Job, now time.Time) demand.Work {
+// WorkOf returns what the rules of package demand need to know of a job.
+func WorkOf(job *cluster.Job, now time.Time) demand.Work {
 	return demand.Work{
 		Class:     job.Spec.Class,
 		DeadlineS: float64(job.Spec.Deadline),
@@ -101,14 +104,3 @@
 		ExpectedS: job.ExpectedSeconds(),
 	}
 }
-
-// startObjectiveSeconds returns within how many seconds the service-level objectives want
-// jobs of a class started; 0 if there is no such objective.
-func (v *Valuation) startObjectiveSeconds(class string) float64 {
-	for _, objective := range v.state.Settings.Objectives {
-		if objective.Kind == "wait" && objective.Class == class {
-			return float64(objective.Within)
-		}
-	}
-	return 0
-}
