--- a/internal/leader/scheduling/capacity/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -32,13 +32,7 @@
 		return
 	}
 	e.used[job.Spec.Team] = e.used[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(units)))
-	d := fleet.Demand{
-		Spec:         &job.Spec,
-		Units:        units,
-		AllOrNothing: job.Spec.Gang(),
-		Rank:         float64(job.Spec.Priority.Rank()),
-		SlackS:       e.valuer.SlackSeconds(job, e.now) * e.stretchShare,
-	}
+	d := e.jobDemand(job, units)
 	switch {
 	case job.Spec.Service():
 		d.Rank += serviceRank
@@ -58,6 +52,17 @@
 	e.demands = append(e.demands, d)
 }
 
+// jobDemand returns the demand for a number of a job's tasks, ranked by its priority alone.
+func (e *demandEstimate) jobDemand(job *cluster.Job, units int) fleet.Demand {
+	return fleet.Demand{
+		Spec:         &job.Spec,
+		Units:        units,
+		AllOrNothing: job.Spec.Gang(),
+		Rank:         float64(job.Spec.Priority.Rank()),
+		SlackS:       e.valuer.SlackSeconds(job, e.now) * e.stretchShare,
+	}
+}
+
 // firstTaskDemand returns the part of a demand that is for the first task of an overdue job.
 func firstTaskDemand(d fleet.Demand) fleet.Demand {
 	d.Units = 1
--- a/internal/leader/scheduling/patience.go
+++ b/internal/leader/scheduling/patience.go
@@ -49,11 +49,14 @@
 	return max(0, patience)
 }
 
+// startObjective is the kind of the service-level objectives for the time until a job starts.
+const startObjective = "wait"
+
 // startObjectiveSeconds returns within how many seconds the service-level objectives want
 // jobs of a class started; 0 if there is no such objective.
 func (p *Patience) startObjectiveSeconds(class string) float64 {
 	for _, objective := range p.state.Settings.Objectives {
-		if objective.Kind == "wait" && objective.Class == class {
+		if objective.Kind == startObjective && objective.Class == class {
 			return float64(objective.Within)
 		}
 	}
