--- /dev/null
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -0,0 +1,136 @@
+package capacity
+
+import (
+	"math"
+	"time"
+
+	"lilaclead/internal/fleet"
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/demand"
+	"lilaclead/internal/leader/scaling"
+	"lilaclead/internal/leader/scheduling/valuation"
+	"lilaclead/internal/placement"
+	"lilaclead/internal/tuning"
+	"lilaclead/internal/wire"
+)
+
+// Ranks order the demands of a plan: the highest is packed first. Among demands of one kind
+// a job's priority decides.
+const (
+	// serviceRank is added for services, which go before everything else.
+	serviceRank = 10
+	// spareRank is that of the resources kept for the next replicas.
+	spareRank = 9
+	// gangReserveRank is that of the resources kept for the next gangs.
+	gangReserveRank = 8.5
+	// startOverdueRank is added for a job that has waited too long for its first start.
+	startOverdueRank = 5
+)
+
+// anyPrice is the price stretch of a demand that is met whatever it costs.
+var anyPrice = math.Inf(1)
+
+// maxFailuresForScaleOut is the number of failed attempts from which on no machines are
+// requested for a job, which probably fails wherever it runs.
+const maxFailuresForScaleOut = 3
+
+// Estimator estimates for how many tasks of each job resources are needed.
+type Estimator struct {
+	// BacklogS is in how many seconds the present resources would do all waiting work.
+	BacklogS float64
+
+	state   *cluster.State
+	tuning  *tuning.Current
+	tracker *scaling.Tracker
+	valuer  *valuation.Valuer
+}
+
+// NewEstimator returns the demand estimator of a cluster.
+func NewEstimator(state *cluster.State, values *tuning.Current, tracker *scaling.Tracker, valuer *valuation.Valuer) *Estimator {
+	return &Estimator{state: state, tuning: values, tracker: tracker, valuer: valuer}
+}
+
+// Demands returns the demands of the waiting jobs, and that for the resources that are kept
+// for the next replicas.
+func (e *Estimator) Demands(now time.Time, stretchShare, spareUnits float64) []fleet.Demand {
+	jobs := e.waitingJobs()
+	estimate := &demandEstimate{
+		Estimator:    e,
+		now:          now,
+		stretchShare: stretchShare,
+		waits:        e.predictWaits(jobs, now),
+		zones:        e.state.Zones(),
+		used:         e.usedByTeam(),
+	}
+	for _, job := range jobs {
+		estimate.addJob(job)
+	}
+	estimate.addSpareReplicas(spareUnits)
+	return estimate.demands
+}
+
+// waitingJobs returns the jobs with tasks to be placed, in the order in which they were
+// accepted.
+func (e *Estimator) waitingJobs() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(e.state.Jobs))
+	for _, job := range e.state.Jobs {
+		if e.deservesScaleOut(job) {
+			jobs = append(jobs, job)
+		}
+	}
+	valuation.SortByAcceptance(jobs)
+	return jobs
+}
+
+// deservesScaleOut reports whether machines may be requested for a job.
+func (e *Estimator) deservesScaleOut(job *cluster.Job) bool {
+	waiting := !job.Cancelled && !job.Finished && job.Pending() > 0
+	return waiting && job.Failures < maxFailuresForScaleOut && !e.state.Quarantined(job.Spec.ID)
+}
+
+// usedByTeam returns the resources that each team's active tasks take.
+func (e *Estimator) usedByTeam() map[wire.TeamID]placement.Resources {
+	used := map[wire.TeamID]placement.Resources{}
+	for _, job := range e.state.Jobs {
+		used[job.Spec.Team] = used[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(job.ActiveTasks)))
+	}
+	return used
+}
+
+// ReservesFor returns the demands for the resources that are kept for expected gangs. They
+// go before those of job arrays, and behind those of services and spare replicas.
+func (e *Estimator) ReservesFor(gangs []*wire.JobSpec) []fleet.Demand {
+	var reserves []fleet.Demand
+	for _, spec := range gangs {
+		reserve := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, AllOrNothing: true}
+		if spec.Spread {
+			reserve.ZoneLeft = map[wire.Zone]int{}
+			for _, zone := range e.state.Zones() {
+				reserve.ZoneLeft[zone] = spec.ZoneCap()
+			}
+		}
+		reserves = append(reserves, reserve)
+	}
+	return reserves
+}
+
+// PriceStretch returns how far beyond the price limit machines may cost for a job that
+// would wait for waitS seconds for resources within the limit.
+func (e *Estimator) PriceStretch(job *cluster.Job, waitS float64, now time.Time) float64 {
+	if job.Spec.Service() {
+		return 1
+	}
+	return demand.PriceStretch(valuation.WorkOf(job, now), e.state.Settings.Objectives, waitS, e.bootSeconds(&job.Spec))
+}
+
+// bootSeconds returns after how many seconds a machine that is requested now can run a task
+// of the job at the earliest; infinity if no type fits it.
+func (e *Estimator) bootSeconds(spec *wire.JobSpec) float64 {
+	earliest := math.Inf(1)
+	for _, machineType := range e.state.Catalog.Get() {
+		if machineType.Fits(spec) && machineType.FetchGBPerS > 0 {
+			earliest = min(earliest, float64(machineType.BootTime)+spec.ImageGB/machineType.FetchGBPerS)
+		}
+	}
+	return earliest
+}
--- /dev/null
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -0,0 +1,106 @@
+package valuation
+
+import (
+	"time"
+
+	"lilaclead/internal/leader/cluster"
+	"lilaclead/internal/leader/demand"
+	"lilaclead/internal/placement"
+	"lilaclead/internal/wire"
+)
+
+// Valuer weighs the jobs of a cluster.
+type Valuer struct {
+	state *cluster.State
+}
+
+// NewValuer returns the valuer of a cluster's jobs.
+func NewValuer(state *cluster.State) *Valuer { return &Valuer{state: state} }
+
+// Guaranteed returns the jobs that fit into their team's guaranteed quota together with the
+// team's unfinished jobs that were accepted earlier.
+func (v *Valuer) Guaranteed() map[wire.JobID]bool {
+	used := map[wire.TeamID]placement.Resources{}
+	guaranteed := map[wire.JobID]bool{}
+	for _, job := range v.unfinishedJobs() {
+		team, ok := v.state.Settings.Team(job.Spec.Team)
+		if !ok {
+			continue
+		}
+		unfinishedTasks := job.Spec.Tasks - job.DoneTasks
+		sum := used[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(unfinishedTasks)))
+		used[job.Spec.Team] = sum
+		guaranteed[job.Spec.ID] = sum.CPUs <= team.CPUs+wire.Eps && sum.GPUs <= team.GPUs+wire.Eps
+	}
+	return guaranteed
+}
+
+// unfinishedJobs returns the jobs that are neither cancelled nor finished, in the order in
+// which they were accepted.
+func (v *Valuer) unfinishedJobs() []*cluster.Job {
+	jobs := make([]*cluster.Job, 0, len(v.state.Jobs))
+	for _, job := range v.state.Jobs {
+		if !job.Cancelled && !job.Finished {
+			jobs = append(jobs, job)
+		}
+	}
+	SortByAcceptance(jobs)
+	return jobs
+}
+
+// priorityWeights are the weights of one task by the rank of its job's priority.
+var priorityWeights = [4]float64{1, 2, 8, 256}
+
+const (
+	// StarvingWeight is the weight of a job that has waited too long: above that of every
+	// other job array and below that of services.
+	StarvingWeight = 100
+	// guaranteedFactor raises the weight of a job within its team's guaranteed quota.
+	guaranteedFactor = 3
+	// A job's weight is multiplied by workScale / (work + workOffset), where work are its
+	// unfinished CPU seconds.
+	workScale  = 1000
+	workOffset = 50
+	// lateFactor lowers the weight of a job that is late whatever is started.
+	lateFactor = 0.1
+	// dueFactor raises the weight of a job that is late unless it starts soon.
+	dueFactor = 2
+)
+
+// UtilityWeight returns the weight of one task of a job.
+func (v *Valuer) UtilityWeight(job *cluster.Job, guaranteed bool, now time.Time) float64 {
+	weight := priorityWeights[job.Spec.Priority.Rank()]
+	if guaranteed {
+		weight *= guaranteedFactor
+	}
+	if job.Spec.Service() {
+		return weight
+	}
+	// A job is of use only when all of it is done: a task of a job with little work left
+	// is of more use than one of a job with much.
+	runTime := job.ExpectedSeconds()
+	work := float64(job.Spec.Tasks-job.DoneTasks) * job.Spec.CPUs * max(1, runTime)
+	weight *= workScale / (work + workOffset)
+	switch slack := v.SlackSeconds(job, now); {
+	case slack < -runTime/2:
+		weight *= lateFactor
+	case slack < runTime:
+		weight *= dueFactor
+	}
+	return weight
+}
+
+// SlackSeconds returns for how many seconds the job's pending tasks may still wait.
+func (v *Valuer) SlackSeconds(job *cluster.Job, now time.Time) float64 {
+	return demand.SlackS(WorkOf(job, now), v.state.Settings.Objectives)
+}
+
+// WorkOf returns what the rules of package demand need to know of a job.
+func WorkOf(job *cluster.Job, now time.Time) demand.Work {
+	return demand.Work{
+		Class:     job.Spec.Class,
+		DeadlineS: float64(job.Spec.Deadline),
+		AgeS:      now.Sub(job.AcceptedAt).Seconds(),
+		ExpectedS: job.ExpectedSeconds(),
+	}
+}
