--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -29,7 +29,7 @@
 	l.Log.Info("became leader", "token", lease.Token())
 	reason := t.run(ctx)
 	l.term.Store(nil)
-	l.Log.Info("leadership lost", "token", lease.Token(), "reason", reason)
+	l.Log.Info("lost leadership", "token", lease.Token(), "reason", reason)
 	t.Wait()
 }
 
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -12,7 +12,7 @@
 const withdrawnStartBackoff = time.Second
 
 // TaskState is the state of a task. See the package comment for the transitions.
-type TaskState = uint8
+type TaskState uint8
 
 // The states of a task.
 const (
--- a/internal/leader/reconcile/exits_test.go
+++ b/internal/leader/reconcile/exits_test.go
@@ -11,7 +11,7 @@
 func TestTaskExitCauses(t *testing.T) {
 	cases := []struct {
 		cause          wire.ExitCause
-		wantState      uint8
+		wantState      cluster.TaskState
 		machineBackoff time.Duration
 		jobBackoff     time.Duration
 		failures       int
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -20,7 +20,7 @@
 
 // expectedTask is a task in a model without chunks.
 type expectedTask struct {
-	state   uint8
+	state   cluster.TaskState
 	attempt wire.Attempt
 	machine wire.MachineID
 }
@@ -138,7 +138,7 @@
 			continue
 		}
 		task := a.Task().Index
-		state := rapid.SampledFrom([]uint8{cluster.TaskDone, cluster.TaskPending}).Draw(m.t, "end")
+		state := rapid.SampledFrom([]cluster.TaskState{cluster.TaskDone, cluster.TaskPending}).Draw(m.t, "end")
 		m.tm.state.EndAttempt(a, state)
 		m.current[task] = expectedTask{state: state}
 	}
