--- a/imports_test.go
+++ b/imports_test.go
@@ -45,20 +45,24 @@
 	"internal/fleet":     "internal/placement internal/wire",
 
 	// The leader, from what knows least to what knows most.
-	"internal/leader/demand":     "internal/config internal/wire",
-	"internal/leader/detector":   "internal/wire",
-	"internal/leader/scaling":    "internal/cloud internal/fleet internal/wire",
-	"internal/leader/delegation": "internal/cancels internal/config internal/peer internal/wire",
-	"internal/leader/election":   "duty internal/config internal/peer internal/store internal/wire",
-	"internal/leader/core":       "internal/leader/election internal/wire",
-	"internal/leader/cluster":    "internal/config internal/leader/delegation internal/leader/demand internal/leader/detector internal/placement internal/store internal/wire upgrade",
-	"internal/leader/scheduling": "internal/fleet internal/leader/cluster internal/leader/demand internal/leader/scaling internal/placement internal/tuning internal/wire",
-	"internal/leader/agents":     "internal/leader/cluster internal/leader/core internal/netio internal/peer internal/wire",
-	"internal/leader/progress":   "internal/config internal/leader/agents internal/leader/cluster internal/leader/core internal/leader/election internal/peer internal/store internal/undecodable internal/wire",
-	"internal/leader/autoscaler": "duty internal/cloud internal/config internal/fleet internal/leader/cluster internal/leader/core internal/leader/scaling internal/leader/scheduling internal/wire upgrade",
-	"internal/leader/reconcile":  "internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/detector internal/wire",
-	"internal/leader/liveness":   "internal/config internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/detector internal/leader/progress internal/peer internal/wire",
-	"internal/leader":            "duty internal/cancels internal/cloud internal/config internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/election internal/leader/liveness internal/leader/progress internal/leader/reconcile internal/leader/scaling internal/leader/scheduling internal/netio internal/peer internal/store internal/tuning internal/undecodable internal/wire upgrade",
+	"internal/leader/demand":                    "internal/config internal/wire",
+	"internal/leader/detector":                  "internal/wire",
+	"internal/leader/scaling":                   "internal/cloud internal/fleet internal/wire",
+	"internal/leader/delegation":                "internal/cancels internal/config internal/peer internal/wire",
+	"internal/leader/election":                  "duty internal/config internal/peer internal/store internal/wire",
+	"internal/leader/core":                      "internal/leader/election internal/wire",
+	"internal/leader/cluster":                   "internal/config internal/leader/delegation internal/leader/demand internal/leader/detector internal/placement internal/store internal/wire upgrade",
+	"internal/leader/scheduling/valuation":      "internal/leader/cluster internal/leader/demand internal/placement internal/wire",
+	"internal/leader/scheduling/capacity":       "internal/fleet internal/leader/cluster internal/leader/demand internal/leader/scaling internal/leader/scheduling/valuation internal/placement internal/tuning internal/wire",
+	"internal/leader/scheduling":                "internal/fleet internal/leader/cluster internal/leader/scaling internal/leader/scheduling/capacity internal/leader/scheduling/valuation internal/placement internal/tuning internal/wire",
+	"internal/leader/scheduling/schedulingtest": "internal/config internal/leader/cluster internal/leader/scaling internal/store internal/tuning internal/wire", // fixtures of tests
+	"internal/leader/agents":                    "internal/leader/cluster internal/leader/core internal/netio internal/peer internal/wire",
+	"internal/leader/progress":                  "internal/config internal/leader/agents internal/leader/cluster internal/leader/core internal/leader/election internal/peer internal/store internal/undecodable internal/wire",
+	"internal/leader/autoscaler":                "duty internal/cloud internal/config internal/fleet internal/leader/cluster internal/leader/core internal/leader/scaling internal/leader/scheduling internal/wire upgrade",
+	"internal/leader/reconcile":                 "internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/detector internal/wire",
+	"internal/leader/liveness":                  "internal/config internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/detector internal/leader/progress internal/peer internal/wire",
+	"internal/leader/recovery":                  "internal/cancels internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/progress internal/leader/reconcile internal/store internal/undecodable internal/wire upgrade",
+	"internal/leader":                           "duty internal/cancels internal/cloud internal/config internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/election internal/leader/liveness internal/leader/progress internal/leader/reconcile internal/leader/recovery internal/leader/scaling internal/leader/scheduling internal/netio internal/peer internal/store internal/tuning internal/undecodable internal/wire upgrade",
 
 	// Stand-ins for what is outside; only tests and cmd/simulator use them.
 	"internal/simulator": "internal/config internal/netio internal/wire",
@@ -99,52 +103,57 @@
 func importsBySource(t *testing.T) map[string][]string {
 	t.Helper()
 	found := map[string][]string{}
-	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
-		if err != nil {
-			return err
-		}
-		if entry.IsDir() {
-			if name := entry.Name(); name == "target" || name == "journal" || strings.HasPrefix(name, ".") && name != "." {
-				return filepath.SkipDir
-			}
-			return nil
-		}
-		if !strings.HasSuffix(file, ".go") {
-			return nil
-		}
+	eachGoFile(t, func(file string) {
 		pkg := path.Dir(filepath.ToSlash(file))
+		if found[pkg] == nil {
+			found[pkg] = []string{}
+		}
 		if strings.HasSuffix(file, "_test.go") {
-			found[pkg] = slices.Clip(found[pkg])
-			return nil
+			return
 		}
 		parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
 		if err != nil {
-			return err
+			t.Fatal(err)
 		}
 		for _, spec := range parsed.Imports {
-			name, err := strconv.Unquote(spec.Path.Value)
-			if err != nil {
-				return err
-			}
-			rest, own := strings.CutPrefix(name, module)
-			if !own || rest != "" && rest[0] != '/' {
-				continue
-			}
-			other := strings.TrimPrefix(rest, "/")
-			if other == "" {
-				other = "."
-			}
-			if !slices.Contains(found[pkg], other) {
+			other, own := ownPackage(t, spec.Path.Value)
+			if own && !slices.Contains(found[pkg], other) {
 				found[pkg] = append(found[pkg], other)
 			}
 		}
-		if found[pkg] == nil {
-			found[pkg] = []string{}
+	})
+	return found
+}
+
+// ownPackage returns the folder of an imported package of this project, and false for all
+// others.
+func ownPackage(t *testing.T, quoted string) (string, bool) {
+	t.Helper()
+	name, err := strconv.Unquote(quoted)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if name == module {
+		return ".", true
+	}
+	return strings.CutPrefix(name, module+"/")
+}
+
+// eachGoFile calls visit for each Go file of the project, tests included.
+func eachGoFile(t *testing.T, visit func(file string)) {
+	t.Helper()
+	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case entry.IsDir() && file != "." && (strings.HasPrefix(entry.Name(), ".") || entry.Name() == "target" || entry.Name() == "journal"):
+			return filepath.SkipDir
+		case strings.HasSuffix(file, ".go"):
+			visit(file)
 		}
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return found
 }
