--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -67,7 +67,7 @@
 		return
 	}
 	a.Detach()
-	a.clearUnstored()
+	a.MarkStored()
 	c.TaskStates[a.Index] = state
 	s.Unsaved.MarkDirty(c)
 	switch state {
@@ -82,8 +82,8 @@
 	s.RequestCycle()
 }
 
-// clearUnstored no longer counts the attempt as one that is not stored yet.
-func (a *Attempt) clearUnstored() {
+// MarkStored no longer counts the attempt as one that is not stored yet.
+func (a *Attempt) MarkStored() {
 	if !a.Unstored {
 		return
 	}
--- a/internal/leader/progress/launches.go
+++ b/internal/leader/progress/launches.go
@@ -10,7 +10,7 @@
 		if !isCurrent(a) {
 			continue
 		}
-		markStored(a)
+		a.MarkStored()
 		if co.obsolete(a) {
 			// No leader has sent it, so there is nothing to stop.
 			co.State.EndAttempt(a, cluster.TaskPending)
@@ -28,13 +28,6 @@
 	}
 }
 
-// markStored records that an attempt is stored and may be sent.
-func markStored(a *cluster.Attempt) {
-	a.Unstored = false
-	a.Chunk.UnstoredAttempts--
-	a.Job.UnstoredAttempts--
-}
-
 // obsolete reports whether an attempt must not be launched any more.
 func (co *Committer) obsolete(a *cluster.Attempt) bool {
 	stopped := a.Stopping || a.Job.Cancelled
--- a/internal/leader/progress/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -77,7 +77,7 @@
 // commit records that a batch was committed.
 func commit(w *Writer, b *batch) {
 	for _, a := range b.launches {
-		markStored(a)
+		a.MarkStored()
 	}
 	w.onAnswer()
 	w.onCommitted(b, 7)
--- a/internal/leader/reconcile/exits.go
+++ b/internal/leader/reconcile/exits.go
@@ -19,7 +19,7 @@
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	case wire.CauseError:
-		rc.faults.onTaskFailure(attempt, now)
+		rc.failures.onTaskFailure(attempt, now)
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	default:
 		rc.onLaunchRefused(attempt, state.Cause, now)
@@ -32,7 +32,7 @@
 func (rc *Reconciler) onTaskDone(attempt *cluster.Attempt, now time.Time) {
 	machine, job := attempt.Machine, attempt.Job
 	if !attempt.RunningSince.IsZero() && !job.Spec.Gang() { // a gang runs at the speed of its slowest machine
-		rc.faults.recordRunTime(attempt, now)
+		rc.failures.recordRunTime(attempt, now)
 	}
 	job.Succeeded, job.Failures = true, 0
 	clear(job.FailedMachines)
--- a/internal/leader/reconcile/reconciler.go
+++ b/internal/leader/reconcile/reconciler.go
@@ -16,7 +16,7 @@
 type Reconciler struct {
 	*core.Loop
 	*drainer
-	faults     *faultDetector
+	failures   *faultDetector
 	state      *cluster.State
 	delegate   *delegation.Delegate
 	dispatcher *agents.Dispatcher
@@ -32,7 +32,7 @@
 	return &Reconciler{
 		Loop:            loop,
 		drainer:         drainer,
-		faults:          &faultDetector{drainer},
+		failures:        &faultDetector{drainer},
 		state:           state,
 		delegate:        delegate,
 		dispatcher:      dispatcher,
