--- a/internal/leader/reconcile/failures_test.go
+++ b/internal/leader/reconcile/failures_test.go
@@ -12,7 +12,7 @@
 // failOn has a task of the job fail on a machine.
 func (f *fixture) failOn(job *cluster.Job, machine *cluster.Machine, now time.Time) {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: 0, Number: testAttempt, Machine: machine}
-	f.faults.onTaskFailure(attempt, now)
+	f.failures.onTaskFailure(attempt, now)
 }
 
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
@@ -143,7 +143,7 @@
 			now := time.Now()
 			for _, run := range tc.runs {
 				f.attempt.RunningSince = now.Add(-run)
-				f.faults.recordRunTime(f.attempt, now)
+				f.failures.recordRunTime(f.attempt, now)
 			}
 			if drained := f.machine.DrainReason == cluster.DrainSlow; drained != tc.wantDrained {
 				t.Errorf("runs %v: drained %v (%+v), want %v", tc.runs, drained, f.machine.SlowRuns, tc.wantDrained)
