--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -3,6 +3,8 @@
 import (
 	"net/http"
 	"slices"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -123,27 +125,51 @@
 	return
 }
 
-// pollInBackground has users ask one controller about jobs, once a second, until the
-// stop: what it answers is checked against what any controller has told before.
-func pollInBackground(sim *simulator.Simulation, i int, jobs ...simulator.JobScript) (answered *int, stop func()) {
-	n, done := 0, make(chan struct{})
+// backgroundPolls are the polls of users who ask one controller about jobs again and
+// again beside the test.
+type backgroundPolls struct {
+	sim           *simulator.Simulation
+	node          int
+	stop          chan struct{}
+	users         sync.WaitGroup
+	answeredCount atomic.Int64 // polls that the controller answered
+}
+
+// startBackgroundPolls has users ask one controller about jobs, once a second, until
+// stopPolling: what it answers is checked against what any controller has answered
+// before.
+func startBackgroundPolls(sim *simulator.Simulation, node int, jobs ...simulator.JobScript) *backgroundPolls {
+	p := &backgroundPolls{sim: sim, node: node, stop: make(chan struct{})}
 	for _, j := range jobs {
-		go func() {
-			for {
-				select {
-				case <-done:
-					return
-				case <-time.After(time.Second):
-				}
-				status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
-				var s wire.JobState
-				if status == 404 || status == 200 && wire.Decode(raw, &s) == nil {
-					sim.WithChecker(func(c *simulator.Checker) { n++; c.PollAnsweredNow(j.Spec.ID, status, s.Status, time.Now()) })
-				}
-			}
-		}()
+		p.users.Go(func() { p.pollUntilStopped(j.Spec.ID) })
 	}
-	return &n, func() { close(done) }
+	return p
+}
+
+// pollUntilStopped asks about one job once a second until stopPolling.
+func (p *backgroundPolls) pollUntilStopped(id wire.JobID) {
+	for {
+		select {
+		case <-p.stop:
+			return
+		case <-time.After(time.Second):
+		}
+		status, raw, _ := p.sim.Ask(p.node, "GET", "/v1/jobs/"+string(id), nil)
+		var state wire.JobState
+		if status == http.StatusNotFound || status == http.StatusOK && wire.Decode(raw, &state) == nil {
+			p.sim.WithChecker(func(c *simulator.Checker) { c.PollAnsweredNow(id, status, state.Status, time.Now()) })
+			p.answeredCount.Add(1)
+		}
+	}
+}
+
+// answered returns how many polls the controller has answered so far.
+func (p *backgroundPolls) answered() int64 { return p.answeredCount.Load() }
+
+// stopPolling ends the polls and waits for the answers to those on their way.
+func (p *backgroundPolls) stopPolling() {
+	close(p.stop)
+	p.users.Wait()
 }
 
 // statusSeen is an answer about a job that is newer than all before.
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -166,8 +166,8 @@
 					at(45 * time.Second)
 					l := sim.Leader()
 					fresh := array(5, 3, 20)
-					answered, stop := pollInBackground(sim, l, s, a, gone, late, fresh)
-					defer stop()
+					polls := startBackgroundPolls(sim, l, s, a, gone, late, fresh)
+					defer polls.stopPolling()
 					behind := map[string]bool{}
 					for _, id := range append(sim.MachinesRunning(gone.Spec.ID), sim.MachinesRunning(late.Spec.ID)...) {
 						behind[sim.MachineIP(id)] = true
@@ -186,7 +186,7 @@
 					begin := time.Now()
 					split(true)
 					next := awaitOtherLeader(t, sim, l, 10*time.Second)
-					was := *answered
+					answeredBefore := polls.answered()
 					sim.Submit(fresh, 0) // by any node; those that can't will refuse
 					if got := cancelAtController(t, sim, next, gone); got.Sub(begin) > 8*time.Second {
 						t.Errorf("cancelled only %v after the cut", got.Sub(begin))
@@ -223,7 +223,7 @@
 					split(false)
 					sim.CloudOutage(false)
 					time.Sleep(5 * time.Second)
-					if *answered == was {
+					if polls.answered() == answeredBefore {
 						t.Error("the old leader has answered no user after the cut")
 					}
 					mustRecover(t, sim, 3, s, a, fresh)
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -267,11 +267,11 @@
 			jobs = append(jobs, array(i+1, 1, 3+float64(i)))
 			sim.Submit(jobs[i], 0)
 		}
-		answered, stop := pollInBackground(sim, 0, jobs...)
+		polls := startBackgroundPolls(sim, 0, jobs...)
 		at(60 * time.Second)
-		stop()
-		if *answered == 0 {
-			t.Error("nothing was answered")
+		polls.stopPolling()
+		if polls.answered() == 0 {
+			t.Error("no poll was answered")
 		}
 		sim.State.DelayReads(nil)
 		mustFinish(t, sim, jobs...)
