--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -135,8 +135,9 @@
 	x.cancel()
 	x.phase = wire.PhaseSaving
 	m.changed()
+	checkpointTime := m.sim.scripts[t.Job].Spec.CheckpointTime.Duration()
 	m.sim.spawn(func() {
-		sleep(m.ctx, m.sim.scripts[t.Job].Spec.CheckpointTime.Duration())
+		sleep(m.ctx, checkpointTime)
 		m.awaitUnstalled(m.ctx)
 		m.sim.mu.Lock()
 		defer m.sim.mu.Unlock()
