--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -113,6 +113,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		sim := simulator.New(ctx, set, seed, start, nil)
+		defer sim.Close() // also after t.Fatal: what is left running hides the failure
+		defer cancel()
 		sim.PlaceControllers(zones...)
 		begin := time.Now()
 		for i := range set.Size {
@@ -131,8 +133,6 @@
 				t.Errorf("%6.1f s %s: %s", b.At.Sub(begin).Seconds(), b.Rule, b.What)
 			}
 		})
-		cancel()
-		sim.Close()
 	})
 }
 
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -152,6 +152,8 @@
 		select {
 		case <-p.stop:
 			return
+		case <-p.sim.Done(): // the test failed before stopPolling
+			return
 		case <-time.After(time.Second):
 		}
 		status, raw, _ := p.sim.Ask(p.node, "GET", "/v1/jobs/"+string(id), nil)
@@ -199,6 +201,8 @@
 			select {
 			case <-r.stop:
 				return
+			case <-sim.Done(): // the test failed before stopReading
+				return
 			case <-time.After(time.Duration(1+8*(rank/2)) * 250 * time.Millisecond): // rarely once it is over
 			}
 			n := i % sim.Settings.Size
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/http"
 	"slices"
+	"sync"
 	"testing"
 	"time"
 
@@ -155,11 +156,8 @@
 				sim.State.InjectTxnFaults(uint64(i), faults...)
 				sim.RegisterJob(a)
 				r := startReader(t, sim, a.Spec.ID)
-				asked := make(chan bool)
-				go func() {
-					requestUntilAnswered(t, sim, a, false, i)
-					close(asked)
-				}()
+				var user sync.WaitGroup
+				user.Go(func() { requestUntilAnswered(t, sim, a, false, i) })
 				var killed, next time.Time
 				if c.ends {
 					for begin := time.Now(); len(sim.State.TxnOutcomes()) == 0 && time.Since(begin) < 30*time.Second; {
@@ -175,7 +173,7 @@
 					}
 					sim.StartController(l)
 				}
-				<-asked
+				user.Wait()
 				time.Sleep(10 * time.Second)
 				sim.Submit(b, 0)
 				time.Sleep(20 * time.Second)
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -1,6 +1,7 @@
 package scenarios_test
 
 import (
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -85,11 +86,13 @@
 		at(20 * time.Second)
 		const jobs = 12
 		all := make([]simulator.JobScript, jobs)
+		var users sync.WaitGroup
 		for k := range all {
 			all[k] = array(k, 1, 300)
 			sim.RegisterJob(all[k])
-			go requestUntilAnswered(t, sim, all[k], false, k)
+			users.Go(func() { requestUntilAnswered(t, sim, all[k], false, k) })
 		}
+		users.Wait()
 		at(40 * time.Second)
 		sim.State.DelayAnswers("", 500*time.Millisecond)
 		between := 0
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -180,6 +180,9 @@
 	return s
 }
 
+// Done returns a channel that is closed when the simulation's context ends.
+func (sim *Simulation) Done() <-chan struct{} { return sim.ctx.Done() }
+
 // Close ends everything.
 func (sim *Simulation) Close() {
 	for i := range sim.controllers {
