--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -119,23 +119,29 @@
 		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 			l := sim.NewBurstReaders()
 			early, late := array(1, 2, 4), array(2, 2, 4)
-			var once sync.Once
-			onItsWay := make(chan struct{})
+			finalRecordSent, cancellationSent := newSignal(), newSignal()
 			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
-				switch {
-				case isFinalRecordOf(x, early.Spec.ID):
-					wait := time.Duration(0)
-					once.Do(func() { close(onItsWay); wait = 120 * time.Millisecond })
-					return wait
-				case isCancellationOf(x, late.Spec.ID):
+				if isCancellationOf(x, late.Spec.ID) {
+					cancellationSent.give()
 					return 1200 * time.Millisecond
 				}
+				if isFinalRecordOf(x, late.Spec.ID) {
+					// The end of the last task has the user cancel and the leader write:
+					// which comes first depends on the schedule.
+					cancellationSent.await(2 * time.Second)
+				}
+				if isFinalRecordOf(x, early.Spec.ID) && finalRecordSent.give() {
+					return 120 * time.Millisecond
+				}
 				return 0
 			})
 			at(2 * time.Second)
 			l.Submit(early, simulator.NeverCancel, 0)
 			l.Submit(late, simulator.CancelAtEnd, time.Duration(seed)*20*time.Millisecond)
-			<-onItsWay
+			if !finalRecordSent.await(time.Minute) {
+				t.Error("no final record was sent")
+				return
+			}
 			// The cancellation is confirmed, and asked about everywhere, while the
 			// final record waits.
 			begin := time.Now()
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -1,6 +1,7 @@
 package scenarios_test
 
 import (
+	"sync"
 	"testing"
 	"time"
 
@@ -40,6 +41,30 @@
 	return false
 }
 
+// signal is an event that happens once and that others wait for.
+type signal struct {
+	once  sync.Once
+	given chan struct{}
+}
+
+func newSignal() *signal { return &signal{given: make(chan struct{})} }
+
+// give reports the event and whether this call was the first to do so.
+func (s *signal) give() (first bool) {
+	s.once.Do(func() { close(s.given); first = true })
+	return first
+}
+
+// await waits for the event and reports whether it came in time.
+func (s *signal) await(most time.Duration) bool {
+	select {
+	case <-s.given:
+		return true
+	case <-time.After(most):
+		return false
+	}
+}
+
 // awaitGangRunning waits until all tasks of a gang run.
 func awaitGangRunning(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, most time.Duration) bool {
 	t.Helper()
