--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -59,7 +59,7 @@
 			sim.Submit(burst[n], 0)
 		}
 		for _, id := range sim.MachinesRunning(s.Spec.ID) {
-			sim.ResendLastReport(id, 3*time.Second, 8*time.Second, 12*time.Second, 25*time.Second)
+			sim.ResendLastHeartbeat(id, 3*time.Second, 8*time.Second, 12*time.Second, 25*time.Second)
 		}
 		sim.State.Outage(true)
 		at(46 * time.Second)
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -55,7 +55,7 @@
 	on := map[attempt]wire.MachineID{}
 	for n := range 400 { // also those that are gone
 		id := wire.MachineID(fmt.Sprintf("n-%06d", n))
-		for _, rep := range sim.KeptReports(id) {
+		for _, rep := range sim.RecordedHeartbeats(id) {
 			for _, p := range rep.Tasks {
 				a := attempt{p.Task, p.Attempt}
 				if other, ok := on[a]; ok && other != id {
@@ -124,7 +124,7 @@
 			t.Run(fmt.Sprint(name, " ", down), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, smallChunks(), 850, func(sim *simulator.Simulation, at func(time.Duration)) {
-					sim.KeepReports()
+					sim.RecordHeartbeats()
 					j := largeGang(1, 300, 40)
 					at(2 * time.Second)
 					slowRecords(sim, 400*time.Millisecond)
@@ -168,7 +168,7 @@
 func TestGangOfManyChunksIsRecordedInPartTwice(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, smallChunks(), 851, func(sim *simulator.Simulation, at func(time.Duration)) {
-		sim.KeepReports()
+		sim.RecordHeartbeats()
 		j := largeGang(1, 500, 30)
 		at(2 * time.Second)
 		slowRecords(sim, 500*time.Millisecond)
@@ -228,7 +228,7 @@
 		t.Run(trouble, func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, at func(time.Duration)) {
-				sim.KeepReports()
+				sim.RecordHeartbeats()
 				// Of the first a chunk of 256 tasks is stored, over the limit to come.
 				running, young := largeGang(1, 200, 120), largeGang(2, 150, 100)
 				waiting := gang(3, 4, 20)
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -29,7 +29,7 @@
 					awaitGangRunning(t, sim, in, 40*time.Second)
 					time.Sleep(10 * time.Second)
 					for _, id := range sim.MachinesHolding(in.Spec.ID) {
-						sim.ResendLastReport(id, 3*time.Second, 20*time.Second, 60*time.Second, 100*time.Second)
+						sim.ResendLastHeartbeat(id, 3*time.Second, 20*time.Second, 60*time.Second, 100*time.Second)
 					}
 					sim.IsolateZone(z, true)
 					time.Sleep(d)
@@ -59,7 +59,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		for _, id := range on {
-			sim.ResendLastReport(id, late...)
+			sim.ResendLastHeartbeat(id, late...)
 		}
 		sim.ReclaimMachine(on[0])
 		time.Sleep(15 * time.Second)
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -87,7 +87,7 @@
 						}
 					case 10:
 						for _, id := range sim.RunningMachines() {
-							sim.ResendLastReport(id, seconds(30))
+							sim.ResendLastHeartbeat(id, seconds(30))
 						}
 					}
 				}
--- a/internal/scenarios/gang_start_test.go
+++ b/internal/scenarios/gang_start_test.go
@@ -198,10 +198,10 @@
 		at(130 * time.Second)
 		mustFinish(t, sim, good)
 		t.Logf("%+v", sim.GangState(good.Spec.ID))
-		before := sim.RentedSoFar()
+		before := sim.ProvisionedSoFar()
 		sim.Submit(bad, 90*time.Second)
 		at(230 * time.Second)
-		if n := sim.RentedSoFar() - before; n > 8 {
+		if n := sim.ProvisionedSoFar() - before; n > 8 {
 			t.Errorf("a faulty gang cost %d machines", n)
 		}
 		after := gang(3, 4, 10)
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -47,9 +47,9 @@
 	}{
 		{"commands for 2 s", simulator.CommandDelay{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
 		{"commands for 9 s", simulator.CommandDelay{Command: 9 * time.Second}, false, []string{"leader", "both"}},
-		{"answers for 9 s", simulator.CommandDelay{Answer: 9 * time.Second, ReportAnswer: 3500 * time.Millisecond}, false, []string{"cancel"}},
-		{"both, and the answers to reports", simulator.CommandDelay{Command: 4 * time.Second, Answer: 4 * time.Second, ReportAnswer: 3900 * time.Millisecond}, false, []string{"both"}},
-		{"answers to reports for 3 s", simulator.CommandDelay{ReportAnswer: 3 * time.Second}, false, []string{"leader"}},
+		{"answers for 9 s", simulator.CommandDelay{Answer: 9 * time.Second, HeartbeatResponse: 3500 * time.Millisecond}, false, []string{"cancel"}},
+		{"both, and the answers to reports", simulator.CommandDelay{Command: 4 * time.Second, Answer: 4 * time.Second, HeartbeatResponse: 3900 * time.Millisecond}, false, []string{"both"}},
+		{"answers to reports for 3 s", simulator.CommandDelay{HeartbeatResponse: 3 * time.Second}, false, []string{"leader"}},
 		{"the machines hang", simulator.CommandDelay{}, true, []string{"cancel", "both"}},
 	}
 	for _, c := range cases {
@@ -106,7 +106,7 @@
 					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
 						wire.Launch: c.hang || c.lag.Command > 0, wire.Stop: c.hang || c.lag.Command == 2*time.Second,
-						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.ReportAnswer > 0 && c.lag.Answer == 0,
+						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.HeartbeatResponse > 0 && c.lag.Answer == 0,
 					} {
 						if want && sim.LateCommands(verb) == 0 {
 							t.Errorf("no %s came late", verb)
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -27,7 +27,7 @@
 		}
 		copies := func() {
 			for _, id := range append(sim.MachinesRunning(s.Spec.ID), sim.MachinesRunning(a.Spec.ID)...) {
-				sim.ResendLastReport(id, late...)
+				sim.ResendLastHeartbeat(id, late...)
 			}
 		}
 		at(40 * time.Second)
@@ -63,7 +63,7 @@
 		t.Run(fmt.Sprint("before the next ones ", before), func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 600, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				sim.KeepReports()
+				sim.RecordHeartbeats()
 				a, gone, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
 				at(2 * time.Second)
 				sim.Submit(a, 0)
@@ -75,8 +75,8 @@
 				}
 				held := map[wire.MachineID]int{}
 				for _, id := range ms {
-					held[id] = len(sim.KeptReports(id))
-					sim.HoldReports(id, true)
+					held[id] = len(sim.RecordedHeartbeats(id))
+					sim.DropHeartbeats(id, true)
 				}
 				time.Sleep(sim.Settings.Workers.HeartbeatInterval.Duration() * 3 / 2)
 				l, old := sim.LeaderAndToken()
@@ -84,7 +84,7 @@
 				_, token := awaitNewToken(t, sim, old)
 				var reps []wire.Heartbeat
 				for _, id := range ms {
-					if k := sim.KeptReports(id); len(k) > held[id] {
+					if k := sim.RecordedHeartbeats(id); len(k) > held[id] {
 						reps = append(reps, k[held[id]])
 					}
 				}
@@ -94,19 +94,19 @@
 				mustBeGone(t, sim, gone, "while reports are held up")
 				if !before {
 					for _, id := range ms {
-						sim.HoldReports(id, false)
+						sim.DropHeartbeats(id, false)
 					}
 					time.Sleep(6 * time.Second)
 				}
 				late200, listed := 0, 0
-				for _, h := range sim.DeliverReports(reps...) {
-					if !h.Newer || h.Report.Token >= token {
-						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Report.Machine, h.Report.Sequence, h.Report.Token, token)
+				for _, h := range sim.DeliverHeartbeats(reps...) {
+					if !h.Newer || h.Heartbeat.Token >= token {
+						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Heartbeat.Machine, h.Heartbeat.Sequence, h.Heartbeat.Token, token)
 					}
 					if h.Status == 200 {
 						late200++
 					}
-					for _, p := range h.Report.Tasks {
+					for _, p := range h.Heartbeat.Tasks {
 						if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
 							listed++
 						}
@@ -116,7 +116,7 @@
 					t.Errorf("%d reports were held, listing %d tasks that were cancelled meanwhile", len(reps), listed)
 				}
 				for _, id := range ms {
-					sim.HoldReports(id, false)
+					sim.DropHeartbeats(id, false)
 				}
 				time.Sleep(3 * time.Second)
 				sim.StartController(l)
@@ -137,14 +137,14 @@
 	t.Parallel()
 	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		lease := sim.Settings.Workers.Lease.Duration()
-		sim.KeepReports()
+		sim.RecordHeartbeats()
 		a, gone, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
 		at(2 * time.Second)
 		sim.Submit(a, 0)
 		sim.Submit(gone, 0)
 		sim.Submit(s, 0)
 		at(45 * time.Second)
-		sim.DuplicateReports(0.3, 2*time.Second, lease*5/2)
+		sim.DuplicateHeartbeats(0.3, 2*time.Second, lease*5/2)
 		// Their leases run out although they answer all commands.
 		ms := sim.MachinesRunning(gone.Spec.ID)
 		sim.BlockOutbound(true, ms...)
@@ -152,13 +152,13 @@
 		sim.BlockOutbound(false, ms...)
 		time.Sleep(6 * time.Second)
 		for _, id := range ms {
-			if shift, _, _ := sim.MachineSession(id); shift == 1 {
+			if shift, _, _ := sim.MachineEpoch(id); shift == 1 {
 				t.Errorf("%s is still in its first session", id)
 			}
 		}
 		tries := map[wire.Attempt]bool{}
 		for _, id := range ms {
-			for _, r := range sim.KeptReports(id) {
+			for _, r := range sim.RecordedHeartbeats(id) {
 				for _, p := range r.Tasks {
 					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
 						tries[p.Attempt] = true
@@ -171,7 +171,7 @@
 		}
 		old := func() (reps []wire.Heartbeat) {
 			for _, id := range ms {
-				k := sim.KeptReports(id)
+				k := sim.RecordedHeartbeats(id)
 				if len(k) > 0 {
 					// When its tasks ran, and its first.
 					i := slices.IndexFunc(k, func(r wire.Heartbeat) bool { return r.Epoch == 1 && len(r.Tasks) > 0 })
@@ -185,8 +185,8 @@
 		}
 		earlier := 0
 		hand := func() {
-			for _, h := range sim.DeliverReports(old()...) {
-				if shift, _, _ := sim.MachineSession(h.Report.Machine); h.Newer && shift > h.Report.Epoch && len(h.Report.Tasks) > 0 {
+			for _, h := range sim.DeliverHeartbeats(old()...) {
+				if shift, _, _ := sim.MachineEpoch(h.Heartbeat.Machine); h.Newer && shift > h.Heartbeat.Epoch && len(h.Heartbeat.Tasks) > 0 {
 					earlier++
 				}
 			}
@@ -210,7 +210,7 @@
 		if all, older := sim.DuplicateCounts(); older < all/2 || older < 10 {
 			t.Errorf("%d of %d copies came after a newer report", older, all)
 		}
-		sim.DuplicateReports(0, 0, 0)
+		sim.DuplicateHeartbeats(0, 0, 0)
 		time.Sleep(lease * 5 / 2)
 		faultsAreOver(sim)
 		time.Sleep(120 * time.Second)
@@ -234,7 +234,7 @@
 			t.Run(fmt.Sprintf("recovered %v, first reports %v", recovered, first), func(t *testing.T) {
 				t.Parallel()
 				play(t, 620, func(sim *simulator.Simulation, at func(time.Duration)) {
-					sim.KeepReports()
+					sim.RecordHeartbeats()
 					a, gone, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
 					at(2 * time.Second)
 					sim.Submit(a, 0)
@@ -244,7 +244,7 @@
 					ms := sim.BusyMachines("")
 					var reps []wire.Heartbeat
 					for _, id := range ms {
-						k := sim.KeptReports(id)
+						k := sim.RecordedHeartbeats(id)
 						if first {
 							reps = append(reps, k[0]) // lacks all that runs there now
 						} else {
@@ -280,7 +280,7 @@
 					}
 					is := hasRecovered(sim, n)
 					taken := 0
-					for _, h := range sim.DeliverReports(reps...) {
+					for _, h := range sim.DeliverHeartbeats(reps...) {
 						if h.Node == n && h.Status == 200 && h.Token >= token {
 							taken++
 						}
@@ -294,7 +294,7 @@
 					slow(0)
 					sim.Submit(b, 0)
 					time.Sleep(2 * time.Second)
-					sim.DeliverReports(reps...)
+					sim.DeliverHeartbeats(reps...)
 					time.Sleep(5 * time.Second)
 					sim.StartController(l)
 					mustBeGone(t, sim, gone, "some seconds after the new leader began")
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -18,12 +18,12 @@
 	runScenario(t, 8, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 20, 20), service(2, 3)
 		at(time.Second)
-		sim.LoseRentalAnswers(2)
+		sim.LoseScaleOutAnswers(2)
 		at(2 * time.Second)
 		sim.Submit(a, 0)
 		sim.Submit(s, 0)
 		at(40 * time.Second)
-		sim.LoseReleaseAnswers(2)
+		sim.LoseScaleInAnswers(2)
 		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
 			t.Error("nothing to take")
 		}
@@ -59,9 +59,9 @@
 		at(70 * time.Second)
 		mustFinish(t, sim, good)
 		sim.Submit(bad, 90*time.Second)
-		before := sim.RentedSoFar()
+		before := sim.ProvisionedSoFar()
 		at(150 * time.Second)
-		if n := sim.RentedSoFar() - before; n > 6 {
+		if n := sim.ProvisionedSoFar() - before; n > 6 {
 			t.Errorf("a faulty job cost %d machines", n)
 		}
 		after := array(3, 4, 10)
@@ -84,7 +84,7 @@
 		at(45 * time.Second)
 		on := sim.MachinesRunning(s.Spec.ID)
 		for _, id := range on {
-			sim.ResendLastReport(id, 3*time.Second, 9*time.Second, 20*time.Second)
+			sim.ResendLastHeartbeat(id, 3*time.Second, 9*time.Second, 20*time.Second)
 			sim.RestartMachine(id)
 		}
 		at(50 * time.Second)
@@ -164,7 +164,7 @@
 				mustUseCPUs(t, sim, "red", 24)
 				hit := sim.MachinesRunning(gone.Spec.ID)
 				hit = hit[:1]
-				sim.LoseReleaseAnswers(1000)
+				sim.LoseScaleInAnswers(1000)
 				for _, id := range hit {
 					sim.PartitionMachine(id, true)
 				}
@@ -191,7 +191,7 @@
 					}
 				})
 				replaceLeader(t, sim)
-				sim.LoseReleaseAnswers(0)
+				sim.LoseScaleInAnswers(0)
 				faultsAreOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, next)
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -85,7 +85,7 @@
 					func() func() { sim.State.LoseAnswers(1 + rng.IntN(4)); return func() {} },
 					func() func() { // late copies
 						id, _ := some()
-						sim.ResendLastReport(id, seconds(10), seconds(20), seconds(40))
+						sim.ResendLastHeartbeat(id, seconds(10), seconds(20), seconds(40))
 						return func() {}
 					},
 					func() func() { // a burst, half of it cancelled
@@ -219,8 +219,8 @@
 						case 7:
 							sim.State.LoseAnswers(1 + rng.IntN(4))
 						case 8:
-							sim.LoseReleaseAnswers(3)
-							sim.LoseRentalAnswers(2)
+							sim.LoseScaleInAnswers(3)
+							sim.LoseScaleOutAnswers(2)
 						}
 						if n > 0 && len(over) > 0 {
 							met++
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -32,23 +32,23 @@
 	t.Parallel()
 	withAndWithoutIntents(t, 71, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
-		sim.HoldCloudRequests(40, 0, 45*time.Second)
+		sim.DelayCloudRequests(40, 0, 45*time.Second)
 		a := array(1, 8, 30)
 		sim.Submit(a, 0)
-		held := func() bool { return sim.LateCloudRequests().Held > 0 }
+		held := func() bool { return sim.LateCloudRequests().Delayed > 0 }
 		waitUntil(t, 20*time.Second, "a rental on its way", held)
 		killed := sim.Leader()
 		sim.KillController(killed)
-		sim.HoldCloudRequests(0, 0, 45*time.Second)
+		sim.DelayCloudRequests(0, 0, 45*time.Second)
 		awaitSuccessor(t, sim, killed)
 		startControllers(t, sim, killed)
 		at(100 * time.Second)
 		late := sim.LateCloudRequests()
-		if late.CarriedOut != late.Held {
-			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Held)
+		if late.CarriedOut != late.Delayed {
+			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
 		}
-		if recorded != (late.Rented == 0) {
-			t.Errorf("%d machines were rented late", late.Rented)
+		if recorded != (late.Provisioned == 0) {
+			t.Errorf("%d machines were rented late", late.Provisioned)
 		}
 		at(140 * time.Second)
 		mustFinish(t, sim, a)
@@ -64,23 +64,23 @@
 		first := array(1, 12, 12)
 		sim.Submit(first, 0)
 		at(20 * time.Second)
-		sim.HoldCloudRequests(0, 40, 45*time.Second)
-		held := func() bool { return sim.LateCloudRequests().Held > 0 }
+		sim.DelayCloudRequests(0, 40, 45*time.Second)
+		held := func() bool { return sim.LateCloudRequests().Delayed > 0 }
 		waitUntil(t, 150*time.Second, "a release on its way", held)
 		killed := sim.Leader()
 		sim.KillController(killed)
-		sim.HoldCloudRequests(0, 0, 45*time.Second)
+		sim.DelayCloudRequests(0, 0, 45*time.Second)
 		next := array(2, 30, 60)
 		sim.Submit(next, 0)
 		awaitSuccessor(t, sim, killed)
 		startControllers(t, sim, killed)
 		time.Sleep(60 * time.Second)
 		late := sim.LateCloudRequests()
-		if late.CarriedOut != late.Held {
-			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Held)
+		if late.CarriedOut != late.Delayed {
+			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
 		}
 		if recorded != (late.EndedTasks == 0) {
-			t.Errorf("a late release took %d machines with %d tasks", late.Released, late.EndedTasks)
+			t.Errorf("a late release took %d machines with %d tasks", late.ScaledIn, late.EndedTasks)
 		}
 		time.Sleep(200 * time.Second)
 		mustFinish(t, sim, first, next)
@@ -124,11 +124,11 @@
 		mustFinish(t, sim, a)
 		damaged := sim.State.Put("intent/renting", "no record of intents")
 		replaceLeader(t, sim)
-		rented := sim.RentedSoFar()
+		rented := sim.ProvisionedSoFar()
 		b := array(2, 30, 30)
 		sim.Submit(b, 0)
 		time.Sleep(30 * time.Second)
-		if n := sim.RentedSoFar(); n != rented {
+		if n := sim.ProvisionedSoFar(); n != rented {
 			t.Errorf("%d machines were rented without a record", n-rented)
 		}
 		if now := sim.State.Revision("intent/renting"); now != damaged {
@@ -154,7 +154,7 @@
 			sim.Submit(array(i, 10+2*i, 15), 0)
 		}
 		at(460 * time.Second)
-		machines, intents, all := sim.RentedSoFar(), sim.State.Changes("intent/"), sim.State.Changes("")
+		machines, intents, all := sim.ProvisionedSoFar(), sim.State.Changes("intent/"), sim.State.Changes("")
 		t.Logf("%d machines rented, %d still there; %d changes of the state service, %d of them intents", machines, sim.Machines(), all, intents)
 		if recorded && (intents == 0 || intents > 2*machines) || !recorded && intents > 0 {
 			t.Errorf("%d changes for %d machines", intents, machines)
@@ -167,7 +167,7 @@
 func mustRentInTurn(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	highest := uint64(0)
-	for _, name := range sim.RentalNames() {
+	for _, name := range sim.ScaleOutNames() {
 		var token, number uint64
 		if _, err := fmt.Sscanf(name, "b-%d-%d", &token, &number); err != nil {
 			t.Fatalf("a booking is named %q", name)
@@ -219,8 +219,8 @@
 	steps := map[string]struct {
 		begin, end func(sim *simulator.Simulation)
 	}{
-		"rented":          {func(sim *simulator.Simulation) { sim.LoseRentalAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseRentalAnswers(0) }},
-		"returned":        {func(sim *simulator.Simulation) { sim.LoseReleaseAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseReleaseAnswers(0) }},
+		"rented":          {func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(0) }},
+		"returned":        {func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(0) }},
 		"only recorded":   {func(sim *simulator.Simulation) { sim.CloudOutage(true) }, func(sim *simulator.Simulation) { sim.CloudOutage(false) }},
 		"recorded, twice": {func(sim *simulator.Simulation) { sim.State.LoseAnswers(2) }, func(*simulator.Simulation) {}},
 	}
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -86,7 +86,7 @@
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + time.Second)
 				n := 0
 				for _, id := range unconnected {
-					if shift, _, _ := sim.MachineSession(id); shift > 1 {
+					if shift, _, _ := sim.MachineEpoch(id); shift > 1 {
 						n++
 					}
 				}
@@ -158,7 +158,7 @@
 					time.Sleep(2 * time.Second)
 					unheard := 0
 					for _, id := range ms {
-						if _, _, baton := sim.MachineSession(id); baton < token {
+						if _, _, baton := sim.MachineEpoch(id); baton < token {
 							unheard++
 						}
 					}
--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -84,7 +84,7 @@
 	case CancelOperation:
 		method, path = "POST", path+"/cancel"
 	}
-	q := l.noteQuestion(id, op)
+	q := l.recordQuestion(id, op)
 	status, raw, h := sim.ask(i, method, path, body)
 	if sim.ctx.Err() != nil {
 		return 0, wire.JobState{}
@@ -93,7 +93,7 @@
 	if (status == 200 || status == 201) && wire.Decode(raw, &s) != nil {
 		status = 0
 	}
-	news := l.noteAnswer(id, op, q.before, status, s.Status, h.Get("Retry-After") != "")
+	news := l.checkAnswer(id, op, q.before, status, s.Status, h.Get("Retry-After") != "")
 	l.countAnswer(op, q, status)
 	if news {
 		l.AskAllRepeatedly(t)
@@ -111,8 +111,8 @@
 // justAfter is how long after an event a question counts as one that met it.
 const justAfter = 50 * time.Millisecond
 
-// noteQuestion notes that a question about a job leaves now.
-func (l *BurstReaders) noteQuestion(id wire.JobID, op Operation) (q question) {
+// recordQuestion notes that a question about a job leaves now.
+func (l *BurstReaders) recordQuestion(id wire.JobID, op Operation) (q question) {
 	l.sim.mu.Lock()
 	defer l.sim.mu.Unlock()
 	before, at := l.sim.knownStatus(id)
@@ -126,8 +126,8 @@
 	return q
 }
 
-// noteAnswer has the checker look at an answer, and tells whether it brought news.
-func (l *BurstReaders) noteAnswer(id wire.JobID, op Operation, before knownStatus, status int, said wire.Status, retryAfter bool) bool {
+// checkAnswer has the checker look at an answer, and tells whether it brought news.
+func (l *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, said wire.Status, retryAfter bool) bool {
 	sim, now := l.sim, time.Now()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -60,10 +60,10 @@
 // Checker watches what the fakes see and notes every broken rule. It is
 // fed by calls only and takes the time from its caller.
 type Checker struct {
-	CancelS      time.Duration
-	Limits       map[wire.TeamID]TeamLimit
-	MachineSpecs []wire.MachineSpec // nil: not known, and what fits is not judged
-	Violations   []Violation
+	CancelTimeout time.Duration
+	Limits        map[wire.TeamID]TeamLimit
+	MachineSpecs  []wire.MachineSpec // nil: not known, and what fits is not judged
+	Violations    []Violation
 
 	jobs   map[wire.JobID]*jobHistory
 	on     map[wire.Task]Place
@@ -96,7 +96,7 @@
 	cancelRequested   bool
 	cancelRequestedAt time.Time // when its user first asked to cancel
 	cancelToldAt      time.Time // when a user was told
-	overstayNoted     bool      // noted that it outlives its cancellation
+	overstayRecorded  bool      // noted that it outlives its cancellation
 	done              map[int]bool
 	completed         time.Time // of the last task
 	notDoneToldAt     time.Time // when a user was told last that it goes on nevertheless
@@ -114,11 +114,11 @@
 
 // NewChecker makes a checker.
 func NewChecker(cancelS time.Duration, limits map[wire.TeamID]TeamLimit) *Checker {
-	return &Checker{CancelS: cancelS, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, on: map[wire.Task]Place{}, everStarted: map[wire.Task]bool{}, posted: map[wire.JobID]bool{}}
+	return &Checker{CancelTimeout: cancelS, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, on: map[wire.Task]Place{}, everStarted: map[wire.Task]bool{}, posted: map[wire.JobID]bool{}}
 }
 
-// noteTime notes how late it is.
-func (c *Checker) noteTime(now time.Time) {
+// observeTime notes how late it is.
+func (c *Checker) observeTime(now time.Time) {
 	if now.After(c.latest) {
 		c.latest = now
 	}
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -15,7 +15,7 @@
 
 // Accepted notes a 201 or 200 to a submission.
 func (c *Checker) Accepted(id wire.JobID, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil {
 		if !c.posted[id] {
@@ -26,12 +26,12 @@
 	if why := c.cannotRun(&j.spec); why != "" && !j.accepted {
 		c.violated(now, AcceptedWrongly, "%s accepted, but %s", id, why)
 	}
-	c.noteAccepted(j, now)
+	c.recordAccepted(j, now)
 	j.unansweredSince = time.Time{}
 }
 
-// noteAccepted notes that a user knows that the job is accepted.
-func (c *Checker) noteAccepted(j *jobHistory, now time.Time) {
+// recordAccepted notes that a user knows that the job is accepted.
+func (c *Checker) recordAccepted(j *jobHistory, now time.Time) {
 	if !j.accepted {
 		j.accepted, j.acceptedAt = true, now
 		if j.submittedAt.IsZero() {
@@ -42,7 +42,7 @@
 
 // Refused notes the answer to a submission that is not retried.
 func (c *Checker) Refused(id wire.JobID, status int, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil || status != 400 && status != 422 {
 		return
@@ -83,7 +83,7 @@
 
 // CancelAnswered notes the answer to a request to cancel.
 func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, asked, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	switch {
 	case status == 404 && j != nil && j.accepted && !asked.Before(j.acceptedAt):
@@ -106,7 +106,7 @@
 // PollAnswered notes the answer to a poll that was sent at a certain time; status
 // 0: none.
 func (c *Checker) PollAnswered(id wire.JobID, status int, st wire.Status, asked, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if status == 200 || status == 404 {
 		c.polls.answered++
@@ -156,12 +156,12 @@
 // was sent at a certain time: what was on its way when a newer answer arrived
 // may be older. Final states exclude each other whenever they were asked for.
 func (c *Checker) StatusTold(id wire.JobID, st wire.Status, asked, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil {
 		return
 	}
-	c.noteAccepted(j, now)
+	c.recordAccepted(j, now)
 	if j.finalStatus != "" && st != j.finalStatus && (st.Final() || !asked.Before(j.finalToldAt)) {
 		c.violated(now, WentBack, "%s was %s and is called %s", id, j.finalStatus, st)
 	}
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -87,16 +87,16 @@
 	if due, ok := number(m["dueS"]); m["dueS"] != nil && (!ok || due < 0) {
 		return "dueS is no amount"
 	}
-	kits, list := m["kits"].([]any)
+	machineTypes, list := m["kits"].([]any)
 	if m["kits"] != nil && !list {
 		return "kits is no list"
 	}
-	for _, k := range kits {
-		if _, text := k.(string); !text {
+	for _, name := range machineTypes {
+		if _, text := name.(string); !text {
 			return "kits has what is no text"
 		}
 	}
-	if parts, _ := number(m["parts"]); parts < 1 || parts > 100_000 || parts != math.Trunc(parts) {
+	if tasks, _ := number(m["parts"]); tasks < 1 || tasks > 100_000 || tasks != math.Trunc(tasks) {
 		return "parts is not from 1 to 100,000"
 	}
 	if !formOfID.MatchString(m["nameId"].(string)) {
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -9,7 +9,7 @@
 
 // TaskStarted notes that a task is on a machine now.
 func (c *Checker) TaskStarted(t wire.Task, p Place, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	c.starts++
 	if c.everStarted[t] {
 		c.restarts++
@@ -24,7 +24,7 @@
 	if !j.cancelToldAt.IsZero() {
 		c.lateStarts++
 	}
-	c.noteOnMachine(t, j, p, now, "starts")
+	c.recordOnMachine(t, j, p, now, "starts")
 	if j.startedAt.IsZero() && !j.spec.Gang() {
 		j.startedAt = now // a gang begins when all of it runs
 	}
@@ -59,19 +59,19 @@
 // TaskResumed notes that a task goes on after its machine hung: like a start, but
 // for what depends on where it was started.
 func (c *Checker) TaskResumed(t wire.Task, p Place, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	if j := c.jobs[t.Job]; j != nil {
-		c.noteOnMachine(t, j, p, now, "goes on")
+		c.recordOnMachine(t, j, p, now, "goes on")
 	}
 }
 
-// noteOnMachine notes that a task starts or goes on on a machine.
-func (c *Checker) noteOnMachine(t wire.Task, j *jobHistory, p Place, now time.Time, what string) {
+// recordOnMachine notes that a task starts or goes on on a machine.
+func (c *Checker) recordOnMachine(t wire.Task, j *jobHistory, p Place, now time.Time, what string) {
 	if at, on := c.on[t]; on && at.Machine != p.Machine {
 		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, at.Machine, what, p.Machine)
 	}
 	c.on[t] = p
-	if !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelS {
+	if !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelTimeout {
 		c.violated(now, RanCancelled, "%s %s on %s", t, what, p.Machine)
 	}
 }
@@ -83,7 +83,7 @@
 	}
 	if j := c.jobs[t.Job]; j != nil && done {
 		j.done[t.Index] = true
-		j.noteAllDone()
+		j.recordCompletion()
 	}
 }
 
@@ -98,8 +98,8 @@
 	}
 }
 
-// noteAllDone notes that the last task has completed.
-func (j *jobHistory) noteAllDone() {
+// recordCompletion notes that the last task has completed.
+func (j *jobHistory) recordCompletion() {
 	if len(j.done) == j.spec.Tasks && j.end.endedAt.IsZero() {
 		j.end.endedAt = time.Now()
 		if j.end.ended != nil {
@@ -110,12 +110,12 @@
 
 // Tick looks for tasks of cancelled jobs that are still on a machine.
 func (c *Checker) Tick(now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	for t, p := range c.on {
 		// Once for each job is enough.
-		if j := c.jobs[t.Job]; !j.overstayNoted && !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelS {
+		if j := c.jobs[t.Job]; !j.overstayRecorded && !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelTimeout {
 			c.violated(now, RanCancelled, "%s still on %s", t, p.Machine)
-			j.overstayNoted = true
+			j.overstayRecorded = true
 		}
 	}
 	for _, j := range c.jobs {
@@ -127,7 +127,7 @@
 
 // GangBegan notes that a gang runs: all its tasks are on machines.
 func (c *Checker) GangBegan(id wire.JobID, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil {
 		return
@@ -146,6 +146,6 @@
 		for i := range j.spec.Tasks {
 			j.done[i] = true
 		}
-		j.noteAllDone()
+		j.recordCompletion()
 	}
 }
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -23,10 +23,10 @@
 
 // waitHistory is what the checker knows of a job that waits.
 type waitHistory struct {
-	since  map[wire.MachineID]time.Time // since when it could have used a machine
-	failed map[wire.MachineID]bool      // where a task of it failed
-	held   int                          // of its tasks, at the last look
-	noted  bool
+	since             map[wire.MachineID]time.Time // since when it could have used a machine
+	failed            map[wire.MachineID]bool      // where a task of it failed
+	onMachines        int                          // of its tasks, at the last look
+	violationRecorded bool
 }
 
 // end ends the spell in which the job is left waiting.
@@ -34,8 +34,8 @@
 
 // capacityUse is what an observation shows of jobs and teams.
 type capacityUse struct {
-	held map[wire.JobID]map[int]wire.Zone // the zones of the tasks on machines
-	used map[wire.TeamID]TeamLimit
+	zones map[wire.JobID]map[int]wire.Zone // the zones of the tasks on machines
+	used  map[wire.TeamID]TeamLimit
 }
 
 // useOf sums up what is on the machines.
@@ -47,10 +47,10 @@
 			if j == nil {
 				continue
 			}
-			if use.held[t.Job] == nil {
-				use.held[t.Job] = map[int]wire.Zone{}
+			if use.zones[t.Job] == nil {
+				use.zones[t.Job] = map[int]wire.Zone{}
 			}
-			use.held[t.Job][t.Index] = rooms[i].Zone
+			use.zones[t.Job][t.Index] = rooms[i].Zone
 			u := use.used[j.spec.Team]
 			use.used[j.spec.Team] = TeamLimit{u.CPUs + j.spec.CPUs, u.GPUs + j.spec.GPUs}
 		}
@@ -61,11 +61,11 @@
 // ObserveRoom looks for jobs that are left waiting beside machines they could use.
 // While there are faults no spell counts.
 func (c *Checker) ObserveRoom(rooms []MachineRoom, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	calm := c.faultsOverFor(now, 0)
 	use := c.useOf(rooms)
 	for id, j := range c.jobs {
-		mine := use.held[id]
+		mine := use.zones[id]
 		taken, zones := len(j.done), map[wire.Zone]int{}
 		for i, z := range mine {
 			zones[z]++
@@ -73,8 +73,8 @@
 				taken++
 			}
 		}
-		moved := len(mine) > j.waits.held
-		j.waits.held = len(mine)
+		startedMore := len(mine) > j.waits.onMachines
+		j.waits.onMachines = len(mine)
 		// What completed may have been lost on its way, with its machine: then its
 		// user is told that it goes on, and it waits to be started again.
 		lost := len(mine) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
@@ -83,11 +83,11 @@
 			j.waits.end() // what is left of its last attempt goes first
 			continue
 		}
-		if !calm || !j.accepted || j.cancelRequested || j.finalStatus != "" || all || moved || c.atLimit(&j.spec, use.used[j.spec.Team]) {
+		if !calm || !j.accepted || j.cancelRequested || j.finalStatus != "" || all || startedMore || c.atLimit(&j.spec, use.used[j.spec.Team]) {
 			j.waits.end()
 			continue
 		}
-		c.noteUsableMachines(j, rooms, zones, taken, now)
+		c.checkUsableMachines(j, rooms, zones, taken, now)
 	}
 }
 
@@ -101,9 +101,9 @@
 	return limit.CPUs > 0 && used.CPUs+more*s.CPUs > limit.CPUs+wire.Eps || limit.GPUs > 0 && used.GPUs+more*s.GPUs > limit.GPUs+wire.Eps
 }
 
-// noteUsableMachines notes which machines a waiting job could use, and a violation
+// checkUsableMachines notes which machines a waiting job could use, and a violation
 // when it could use one for too long.
-func (c *Checker) noteUsableMachines(j *jobHistory, rooms []MachineRoom, zones map[wire.Zone]int, taken int, now time.Time) {
+func (c *Checker) checkUsableMachines(j *jobHistory, rooms []MachineRoom, zones map[wire.Zone]int, taken int, now time.Time) {
 	could := map[wire.MachineID]time.Time{}
 	for i := range rooms {
 		r := &rooms[i]
@@ -115,8 +115,8 @@
 			since = now
 		}
 		could[r.Machine] = since
-		if now.Sub(since) >= longestWait && !j.waits.noted {
-			j.waits.noted = true
+		if now.Sub(since) >= longestWait && !j.waits.violationRecorded {
+			j.waits.violationRecorded = true
 			c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", j.spec.ID, taken, j.spec.Tasks, r.Machine)
 		}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -35,7 +35,7 @@
 		if m.up {
 			st = wire.ListedRunning
 		}
-		out = append(out, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: st, Age: wire.Seconds(time.Since(m.rented).Seconds())})
+		out = append(out, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: st, Age: wire.Seconds(time.Since(m.provisionedAt).Seconds())})
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
 	return out
@@ -54,19 +54,19 @@
 		wire.Answer(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
 		return
 	}
-	if sim.holdBack(r, raw) {
+	if sim.delayRequest(r, raw) {
 		panic(http.ErrAbortHandler)
 	}
 	switch r.URL.Path {
 	case "/flavors":
 		wire.Answer(rw, http.StatusOK, wire.MachineSpecs{Types: sim.machineTypes})
 	case "/machines/release":
-		if !sim.release(raw) {
+		if !sim.scaleIn(raw) {
 			wire.Answer(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 			return
 		}
-		if sim.loseReleaseAnswers > 0 {
-			sim.loseReleaseAnswers--
+		if sim.loseScaleInAnswers > 0 {
+			sim.loseScaleInAnswers--
 			panic(http.ErrAbortHandler)
 		}
 		wire.Answer(rw, http.StatusOK, struct{}{})
@@ -75,18 +75,18 @@
 			sim.list(rw, r)
 			return
 		}
-		sim.rent(rw, raw)
+		sim.scaleOut(rw, raw)
 	}
 }
 
-// release takes machines away; false: the request is malformed.
-func (sim *Simulation) release(raw []byte) bool {
-	var h wire.MachineNames
-	if wire.Decode(raw, &h) != nil || len(h.Machines) > 100 {
+// scaleIn takes machines away; false: the request is malformed.
+func (sim *Simulation) scaleIn(raw []byte) bool {
+	var names wire.MachineNames
+	if wire.Decode(raw, &names) != nil || len(names.Machines) > 100 {
 		return false
 	}
-	for _, id := range h.Machines {
-		sim.remove(id)
+	for _, id := range names.Machines {
+		sim.removeMachine(id)
 	}
 	return true
 }
@@ -135,21 +135,21 @@
 	return page
 }
 
-// RentalNames are those of the bookings that were filled, in that order.
-func (sim *Simulation) RentalNames() []string {
+// ScaleOutNames are those of the bookings that were filled, in that order.
+func (sim *Simulation) ScaleOutNames() []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return slices.Clone(sim.rentalNames)
+	return slices.Clone(sim.scaleOutNames)
 }
 
-// rent answers a rental; a repeated one gets the same machines.
-func (sim *Simulation) rent(rw http.ResponseWriter, raw []byte) {
+// scaleOut answers a rental; a repeated one gets the same machines.
+func (sim *Simulation) scaleOut(rw http.ResponseWriter, raw []byte) {
 	var b wire.ScaleOutRequest
 	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
 		wire.Answer(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 		return
 	}
-	ids, known := sim.rentals[b.Name]
+	ids, known := sim.scaleOuts[b.Name]
 	if !known {
 		of := capacityKey(b.Type, b.Zone, b.Spot)
 		n := min(b.Count, sim.capacity[of])
@@ -159,32 +159,32 @@
 		}
 		sim.capacity[of] -= n
 		for range n {
-			ids = append(ids, sim.boot(b.Type, b.Zone, b.Spot, time.Duration(float64(10*time.Second)*sim.bootFactor*(0.6+0.9*sim.rng.Float64()))))
+			ids = append(ids, sim.provisionMachine(b.Type, b.Zone, b.Spot, time.Duration(float64(10*time.Second)*sim.bootFactor*(0.6+0.9*sim.rng.Float64()))))
 		}
-		sim.rentals[b.Name] = ids
-		sim.rentalNames = append(sim.rentalNames, b.Name)
+		sim.scaleOuts[b.Name] = ids
+		sim.scaleOutNames = append(sim.scaleOutNames, b.Name)
 	}
-	if sim.loseRentalAnswers > 0 {
-		sim.loseRentalAnswers--
+	if sim.loseScaleOutAnswers > 0 {
+		sim.loseScaleOutAnswers--
 		panic(http.ErrAbortHandler)
 	}
 	wire.Answer(rw, http.StatusOK, wire.MachineNames{Machines: ids})
 }
 
-// boot makes a machine; call with the lock held.
-func (sim *Simulation) boot(kit wire.MachineType, zone wire.Zone, spot bool, after time.Duration) wire.MachineID {
-	id := wire.MachineID(fmt.Sprintf("n-%06d", sim.rentedCount))
-	ip := fmt.Sprintf("10.1.%d.%d", sim.rentedCount/250, sim.rentedCount%250+1)
-	sim.rentedCount++
-	var f wire.MachineSpec
+// provisionMachine makes a machine; call with the lock held.
+func (sim *Simulation) provisionMachine(machineType wire.MachineType, zone wire.Zone, spot bool, after time.Duration) wire.MachineID {
+	id := wire.MachineID(fmt.Sprintf("n-%06d", sim.provisionedCount))
+	ip := fmt.Sprintf("10.1.%d.%d", sim.provisionedCount/250, sim.provisionedCount%250+1)
+	sim.provisionedCount++
+	var spec wire.MachineSpec
 	for _, x := range sim.machineTypes {
-		if x.Name == kit {
-			f = x
+		if x.Name == machineType {
+			spec = x
 		}
 	}
 	ctx, cancel := context.WithCancel(sim.ctx)
-	m := &worker{sim: sim, id: id, ip: ip, addr: ip + ":9000", machineType: kit, zone: zone, spot: spot, spec: f, rented: time.Now(), ctx: ctx, cancel: cancel,
-		session: 1, tasks: map[wire.Task]*taskRun{}, cached: map[wire.ImageID]bool{}, clockRate: 1 + (sim.rng.Float64()-0.5)*0.001, wake: make(chan struct{}, 1)}
+	m := &worker{sim: sim, id: id, ip: ip, addr: ip + ":9000", machineType: machineType, zone: zone, spot: spot, spec: spec, provisionedAt: time.Now(), ctx: ctx, cancel: cancel,
+		epoch: 1, tasks: map[wire.Task]*taskRun{}, cached: map[wire.ImageID]bool{}, clockRate: 1 + (sim.rng.Float64()-0.5)*0.001, wake: make(chan struct{}, 1)}
 	sim.machines[id] = m
 	sim.Net.SlowHost(ip, sim.linkDelay)
 	m.unlisted = sim.unlisted
@@ -203,9 +203,9 @@
 	return id
 }
 
-// remove takes a machine away with all that is on it; call with the lock
+// removeMachine takes a machine away with all that is on it; call with the lock
 // held.
-func (sim *Simulation) remove(id wire.MachineID) {
+func (sim *Simulation) removeMachine(id wire.MachineID) {
 	m := sim.machines[id]
 	if m == nil {
 		return
@@ -215,9 +215,9 @@
 	m.cancel()
 	for t, x := range m.tasks {
 		sim.checker.TaskLeft(t, id, false)
-		sim.gangTaskGone(t, x)
+		sim.onGangTaskLeft(t, x)
 	}
 	m.tasks = map[wire.Task]*taskRun{}
-	m.gone = true
+	m.removed = true
 	sim.Net.SetPowerOff(m.ip, true)
 }
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -14,17 +14,17 @@
 	sim.mu.Unlock()
 }
 
-// LoseReleaseAnswers makes the next releases take effect without an answer.
-func (sim *Simulation) LoseReleaseAnswers(n int) {
+// LoseScaleInAnswers makes the next releases take effect without an answer.
+func (sim *Simulation) LoseScaleInAnswers(n int) {
 	sim.mu.Lock()
-	sim.loseReleaseAnswers = n
+	sim.loseScaleInAnswers = n
 	sim.mu.Unlock()
 }
 
-// LoseRentalAnswers makes the next bookings take effect without an answer.
-func (sim *Simulation) LoseRentalAnswers(n int) {
+// LoseScaleOutAnswers makes the next bookings take effect without an answer.
+func (sim *Simulation) LoseScaleOutAnswers(n int) {
 	sim.mu.Lock()
-	sim.loseRentalAnswers = n
+	sim.loseScaleOutAnswers = n
 	sim.mu.Unlock()
 }
 
@@ -90,7 +90,7 @@
 	sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
 	ids = ids[:min(n, len(ids))]
 	for _, id := range ids {
-		sim.remove(id)
+		sim.removeMachine(id)
 		sim.lastFault = time.Now()
 	}
 	return len(ids)
@@ -100,7 +100,7 @@
 func (sim *Simulation) ReclaimMachine(id wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.remove(id)
+	sim.removeMachine(id)
 	sim.lastFault = time.Now()
 }
 
@@ -109,7 +109,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, id := range ids {
-		sim.remove(id)
+		sim.removeMachine(id)
 	}
 }
 
@@ -118,12 +118,12 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if m := sim.machines[id]; m != nil {
-		m.notice = time.Now().Add(left)
-		m.changed()
+		m.reclaimAt = time.Now().Add(left)
+		m.requestHeartbeat()
 		sim.spawn(func() {
 			sleep(sim.ctx, left)
 			sim.mu.Lock()
-			sim.remove(id)
+			sim.removeMachine(id)
 			sim.lastFault = time.Now()
 			sim.mu.Unlock()
 		})
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -11,16 +11,16 @@
 
 // pipe is one direction of a connection.
 type pipe struct {
-	mu     sync.Mutex
-	wake   chan struct{} // closed and replaced on every change
-	buf    []byte
-	late   []packet // on their way
-	closed bool
-	reset  bool
-	from   string
-	to     string
-	n      *Network
-	read   time.Time // read deadline
+	mu           sync.Mutex
+	wake         chan struct{} // closed and replaced on every change
+	buf          []byte
+	inFlight     []packet // on their way
+	closed       bool
+	reset        bool
+	from         string
+	to           string
+	network      *Network
+	readDeadline time.Time // read deadline
 }
 
 // packet is what one write sends, or the end of a connection.
@@ -30,46 +30,46 @@
 	due  time.Time
 }
 
-// change wakes the reader; call with the lock held.
-func (p *pipe) change() {
+// notifyReader wakes the reader; call with the lock held.
+func (p *pipe) notifyReader() {
 	close(p.wake)
 	p.wake = make(chan struct{})
 }
 
-// arrive moves what is on its way into the buffer, unless the link is held.
-func (p *pipe) arrive() {
-	p.n.mu.Lock()
-	blocked := p.n.held[[2]string{p.from, p.to}] || p.n.down[p.to] || p.n.down[p.from] || p.n.deaf[p.to] || p.n.island[p.from] != p.n.island[p.to]
-	p.n.mu.Unlock()
+// deliver moves what is on its way into the buffer, unless the link is held.
+func (p *pipe) deliver() {
+	p.network.mu.Lock()
+	blocked := p.network.blockedLinks[[2]string{p.from, p.to}] || p.network.down[p.to] || p.network.down[p.from] || p.network.inboundBlocked[p.to] || p.network.isolated[p.from] != p.network.isolated[p.to]
+	p.network.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, n := time.Now(), 0
-	for n < len(p.late) && !p.late[n].due.After(now) {
+	for n < len(p.inFlight) && !p.inFlight[n].due.After(now) {
 		n++
 	}
 	if blocked || n == 0 {
 		return
 	}
-	for _, k := range p.late[:n] {
+	for _, k := range p.inFlight[:n] {
 		p.buf = append(p.buf, k.data...)
 		p.closed = p.closed || k.fin
 	}
-	p.late = p.late[n:]
-	p.change()
+	p.inFlight = p.inFlight[n:]
+	p.notifyReader()
 }
 
 // send puts a packet on its way.
 func (p *pipe) send(k packet) error {
-	takes := p.n.takes(p.from, p.to)
+	takes := p.network.delay(p.from, p.to)
 	p.mu.Lock()
 	if p.reset {
 		p.mu.Unlock()
 		return &net.OpError{Op: "write", Net: "tcp", Err: errors.New("connection reset")}
 	}
 	k.due = time.Now().Add(takes)
-	p.late = append(p.late, k)
+	p.inFlight = append(p.inFlight, k)
 	p.mu.Unlock()
-	time.AfterFunc(takes, p.arrive)
+	time.AfterFunc(takes, p.deliver)
 	return nil
 }
 
@@ -77,17 +77,17 @@
 type conn struct {
 	in, out       *pipe
 	local, remote addr
-	n             *Network
+	network       *Network
 	once          sync.Once
 	done          chan struct{}
 }
 
 // pair makes both ends of a connection.
 func (n *Network) pair(from, to string) (*conn, *conn) {
-	ab := &pipe{wake: make(chan struct{}), n: n, from: from, to: hostOf(to)}
-	ba := &pipe{wake: make(chan struct{}), n: n, from: hostOf(to), to: from}
-	a := &conn{in: ba, out: ab, local: addr(from + ":0"), remote: addr(to), n: n, done: make(chan struct{})}
-	b := &conn{in: ab, out: ba, local: addr(to), remote: addr(from + ":0"), n: n, done: make(chan struct{})}
+	ab := &pipe{wake: make(chan struct{}), network: n, from: from, to: hostOf(to)}
+	ba := &pipe{wake: make(chan struct{}), network: n, from: hostOf(to), to: from}
+	a := &conn{in: ba, out: ab, local: addr(from + ":0"), remote: addr(to), network: n, done: make(chan struct{})}
+	b := &conn{in: ab, out: ba, local: addr(to), remote: addr(from + ":0"), network: n, done: make(chan struct{})}
 	n.mu.Lock()
 	n.conns[a], n.conns[b] = true, true
 	n.mu.Unlock()
@@ -104,7 +104,7 @@
 			p.mu.Unlock()
 			return k, nil
 		}
-		wake, closed, reset, until := p.wake, p.closed, p.reset, p.read
+		wake, closed, reset, until := p.wake, p.closed, p.reset, p.readDeadline
 		p.mu.Unlock()
 		if reset {
 			return 0, &net.OpError{Op: "read", Net: "tcp", Err: errors.New("connection reset")}
@@ -145,9 +145,9 @@
 	c.once.Do(func() {
 		close(c.done)
 		c.out.send(packet{fin: true}) //nolint:errcheck // a reset link needs no end
-		c.n.mu.Lock()
-		delete(c.n.conns, c)
-		c.n.mu.Unlock()
+		c.network.mu.Lock()
+		delete(c.network.conns, c)
+		c.network.mu.Unlock()
 	})
 	return nil
 }
@@ -160,20 +160,20 @@
 
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.in.mu.Lock()
-	c.in.read = t
-	c.in.change()
+	c.in.readDeadline = t
+	c.in.notifyReader()
 	c.in.mu.Unlock()
 	return nil
 }
 
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// shut ends a connection after marking both of its directions.
-func (c *conn) shut(mark func(*pipe)) {
+// abort ends a connection after marking both of its directions.
+func (c *conn) abort(mark func(*pipe)) {
 	for _, p := range []*pipe{c.in, c.out} {
 		p.mu.Lock()
 		mark(p)
-		p.change()
+		p.notifyReader()
 		p.mu.Unlock()
 	}
 	c.Close()
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -83,7 +83,7 @@
 	var rec struct {
 		Node wire.NodeID `cbor:"node"`
 	}
-	if wire.Decode(e.v, &rec) != nil {
+	if wire.Decode(e.value, &rec) != nil {
 		return -1
 	}
 	for i, n := range sim.controllers {
@@ -99,7 +99,7 @@
 	sim.State.mu.Lock()
 	defer sim.State.mu.Unlock()
 	if e := sim.State.keys["lead"]; e != nil {
-		return e.stamp
+		return e.revision
 	}
 	return 0
 }
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -11,10 +11,10 @@
 // gangTable is what the workers do with tasks that start together or never, by the
 // page. The simulation's lock guards it.
 type gangTable struct {
-	jobs   map[wire.JobID]*gangJob
-	refuse map[wire.MachineID]int // launches that are refused as full
-	speed  map[wire.MachineID]float64
-	ticks  bool
+	jobs           map[wire.JobID]*gangJob
+	launchRefusals map[wire.MachineID]int // launches that are refused as full
+	speed          map[wire.MachineID]float64
+	ticking        bool
 }
 
 // gangJob is a gang and its attempts.
@@ -66,8 +66,8 @@
 		g = &gangJob{attempts: map[wire.Attempt]*gangRun{}}
 		sim.gangs.jobs[id] = g
 	}
-	if !sim.gangs.ticks {
-		sim.gangs.ticks = true
+	if !sim.gangs.ticking {
+		sim.gangs.ticking = true
 		sim.spawn(func() {
 			for sim.ctx.Err() == nil {
 				sleep(sim.ctx, gangTick)
@@ -80,13 +80,13 @@
 	return g
 }
 
-// join brings a gang's task that has its image to its gang; call with the lock
+// joinGang brings a gang's task that has its image to its gang; call with the lock
 // held.
-func (m *worker) join(t wire.Task, x *taskRun) {
+func (m *worker) joinGang(t wire.Task, x *taskRun) {
 	now := time.Now()
 	g := m.sim.gangOf(t.Job)
 	if g.done {
-		m.exit(t, x, wire.CauseDone)
+		m.exitTask(t, x, wire.CauseDone)
 		return
 	}
 	r := g.attempts[x.attempt]
@@ -96,7 +96,7 @@
 	}
 	x.phase = wire.PhaseWaiting
 	r.members[t.Index] = &gangMember{worker: m, run: x, task: t, waitingSince: now}
-	m.changed()
+	m.requestHeartbeat()
 	if r.running || len(r.members) < m.sim.scripts[t.Job].Spec.Tasks {
 		return
 	}
@@ -109,13 +109,13 @@
 		if b.worker.faulty || m.sim.scripts[t.Job].AlwaysFails {
 			b.failAt = now.Add(timeToFail)
 		}
-		b.worker.changed()
+		b.worker.requestHeartbeat()
 	}
 }
 
-// gangTaskGone notes that a task of a gang ended or is gone with its machine; call
+// onGangTaskLeft notes that a task of a gang ended or is gone with its machine; call
 // with the lock held.
-func (sim *Simulation) gangTaskGone(t wire.Task, x *taskRun) {
+func (sim *Simulation) onGangTaskLeft(t wire.Task, x *taskRun) {
 	g := sim.gangs.jobs[t.Job]
 	if g == nil || g.attempts[x.attempt] == nil {
 		return
@@ -163,8 +163,8 @@
 	}
 }
 
-// haltGang carries out a halt of a gang's task; call with the lock held.
-func (m *worker) haltGang(t wire.Task, x *taskRun, windDown *wire.Seconds) {
+// stopGangTask carries out a halt of a gang's task; call with the lock held.
+func (m *worker) stopGangTask(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) {
 	now := time.Now()
 	s := &m.sim.scripts[t.Job].Spec
 	g := m.sim.gangOf(t.Job)
@@ -174,8 +174,8 @@
 		b = r.members[t.Index]
 	}
 	left := wire.Seconds(0)
-	if windDown != nil {
-		left = *windDown
+	if gracePeriod != nil {
+		left = *gracePeriod
 	}
 	switch {
 	case b == nil || b.run != x || x.phase == wire.PhaseWaiting || x.phase == wire.PhaseFetching:
@@ -187,11 +187,11 @@
 			r.stoppingSince = now
 		}
 		b.toldToStop, b.savedAt, x.phase = true, now.Add(s.CheckpointTime.Duration()), wire.PhaseSaving
-		m.changed()
+		m.requestHeartbeat()
 		return
 	}
 	x.cancel()
-	m.exit(t, x, wire.CauseStopped)
+	m.exitTask(t, x, wire.CauseStopped)
 }
 
 // stepGangs lets time pass for all gangs; call with the lock held.
@@ -218,7 +218,7 @@
 			order = append(order, b)
 		}
 	}
-	sim.noteHungMembers(g, r, order, now)
+	sim.breakOnHungMember(g, r, order, now)
 	allTold := r.running && len(order) == script.Spec.Tasks
 	for _, b := range order {
 		allTold = allTold && b.toldToStop
@@ -249,8 +249,8 @@
 	return sim.machineFaults.hung[m.id] != nil || m.stalled
 }
 
-// noteHungMembers breaks a running gang of which a member hangs for long.
-func (sim *Simulation) noteHungMembers(g *gangJob, r *gangRun, order []*gangMember, now time.Time) {
+// breakOnHungMember breaks a running gang of which a member hangs for long.
+func (sim *Simulation) breakOnHungMember(g *gangJob, r *gangRun, order []*gangMember, now time.Time) {
 	peer := sim.Settings.Workers.GangPeerTimeout.Duration()
 	for _, b := range order {
 		if !sim.hangs(b.worker) {
@@ -266,9 +266,9 @@
 // stepMember ends a gang's task if it is time for that.
 func (sim *Simulation) stepMember(g *gangJob, r *gangRun, b *gangMember, now time.Time) {
 	end := func(c wire.ExitCause, saved bool) {
-		b.run.saved = saved
+		b.run.checkpointed = saved
 		b.run.cancel()
-		b.worker.exit(b.task, b.run, c)
+		b.worker.exitTask(b.task, b.run, c)
 	}
 	switch {
 	case g.done && b.run.phase != wire.PhaseWaiting:
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -116,14 +116,14 @@
 		var ms []*worker
 		sim.mu.Lock()
 		for range n {
-			ms = append(ms, sim.machines[sim.boot("c4", "a", false, 0)])
+			ms = append(ms, sim.machines[sim.provisionMachine("c4", "a", false, 0)])
 		}
 		sim.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 		do(sim, ms, func(i int, o ...wire.Command) {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			ms[i].answered = time.Now().Add(time.Hour) // nobody answers here
+			ms[i].leaseRenewedAt = time.Now().Add(time.Hour) // nobody answers here
 			ms[i].execute(o)
 		})
 		cancel()
@@ -263,7 +263,7 @@
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
 					x := ms[i].tasks[wire.Task{Job: "req-000001", Index: i}]
-					if x == nil || x.phase != p || x.cause != c || x.saved != saved {
+					if x == nil || x.phase != p || x.cause != c || x.checkpointed != saved {
 						t.Errorf("task %d is %+v, want %s %s %v", i, x, p, c, saved)
 					}
 				})
--- a/internal/simulator/late_requests.go
+++ b/internal/simulator/late_requests.go
@@ -11,78 +11,78 @@
 // LateRequests is what became of the rentals and releases that the cloud carried out
 // late.
 type LateRequests struct {
-	Held       int // requests that were held back
-	CarriedOut int // of these
-	Rented     int // machines that a late rental made
-	Released   int // machines that a late release took
-	EndedTasks int // tasks that ran on these
+	Delayed     int // requests that were held back
+	CarriedOut  int // of these
+	Provisioned int // machines that a late rental made
+	ScaledIn    int // machines that a late release took
+	EndedTasks  int // tasks that ran on these
 }
 
 // lateRequests is the part of the cloud that holds requests back. The simulation's
 // lock guards it.
 type lateRequests struct {
-	rentals, releases int // how many more are held back
-	by                time.Duration
-	seen              LateRequests
+	scaleOuts, scaleIns int // how many more are held back
+	delay               time.Duration
+	outcome             LateRequests
 }
 
-// HoldCloudRequests makes the next rentals and releases unanswered and carries them
+// DelayCloudRequests makes the next rentals and releases unanswered and carries them
 // out so much later, whoever leads then.
-func (sim *Simulation) HoldCloudRequests(rentals, releases int, by time.Duration) {
+func (sim *Simulation) DelayCloudRequests(rentals, releases int, by time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.late.rentals, sim.late.releases, sim.late.by = rentals, releases, by
+	sim.lateRequests.scaleOuts, sim.lateRequests.scaleIns, sim.lateRequests.delay = rentals, releases, by
 }
 
 // LateCloudRequests tells what became of them.
 func (sim *Simulation) LateCloudRequests() LateRequests {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return sim.late.seen
+	return sim.lateRequests.outcome
 }
 
-// holdBack keeps a request for later, if it is one to be kept; call with the lock
+// delayRequest keeps a request for later, if it is one to be kept; call with the lock
 // held.
-func (sim *Simulation) holdBack(r *http.Request, raw []byte) bool {
+func (sim *Simulation) delayRequest(r *http.Request, raw []byte) bool {
 	var carryOut func()
 	switch {
-	case r.URL.Path == "/machines" && r.Method == "POST" && sim.late.rentals > 0:
-		sim.late.rentals--
-		carryOut = func() { sim.rentLate(raw) }
-	case r.URL.Path == "/machines/release" && sim.late.releases > 0:
-		sim.late.releases--
-		carryOut = func() { sim.releaseLate(raw) }
+	case r.URL.Path == "/machines" && r.Method == "POST" && sim.lateRequests.scaleOuts > 0:
+		sim.lateRequests.scaleOuts--
+		carryOut = func() { sim.scaleOutLate(raw) }
+	case r.URL.Path == "/machines/release" && sim.lateRequests.scaleIns > 0:
+		sim.lateRequests.scaleIns--
+		carryOut = func() { sim.scaleInLate(raw) }
 	default:
 		return false
 	}
-	sim.late.seen.Held++
-	by := sim.late.by
+	sim.lateRequests.outcome.Delayed++
+	by := sim.lateRequests.delay
 	sim.spawn(func() {
 		sleep(sim.ctx, by)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		sim.late.seen.CarriedOut++
+		sim.lateRequests.outcome.CarriedOut++
 		carryOut()
 	})
 	return true
 }
 
-func (sim *Simulation) rentLate(raw []byte) {
-	before := sim.rentedCount
-	sim.rent(httptest.NewRecorder(), raw)
-	sim.late.seen.Rented += sim.rentedCount - before
+func (sim *Simulation) scaleOutLate(raw []byte) {
+	before := sim.provisionedCount
+	sim.scaleOut(httptest.NewRecorder(), raw)
+	sim.lateRequests.outcome.Provisioned += sim.provisionedCount - before
 }
 
-func (sim *Simulation) releaseLate(raw []byte) {
+func (sim *Simulation) scaleInLate(raw []byte) {
 	var h wire.MachineNames
 	if wire.Decode(raw, &h) != nil {
 		return
 	}
 	for _, id := range h.Machines {
 		if m := sim.machines[id]; m != nil {
-			sim.late.seen.Released++
-			sim.late.seen.EndedTasks += len(m.tasks)
+			sim.lateRequests.outcome.ScaledIn++
+			sim.lateRequests.outcome.EndedTasks += len(m.tasks)
 		}
 	}
-	sim.release(raw)
+	sim.scaleIn(raw)
 }
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -11,17 +11,17 @@
 // that are copied or held up on their way, and machines that hang. The simulation's
 // lock guards it.
 type machineFaults struct {
-	kept   map[wire.MachineID][]wire.Heartbeat // nil: none are kept
-	held   map[wire.MachineID]bool             // their next reports arrive nowhere
-	share  float64                             // of the reports that are copied
-	after  [2]time.Duration                    // when the copies come
-	copies int                                 // that came
-	older  int                                 // of these, after a newer report of their machine
-	hung   map[wire.MachineID]chan struct{}    // closed when the machine goes on
-	hangs  map[wire.MachineID]time.Duration    // how long each hung until now
-	since  map[wire.MachineID]time.Time        // when it last began to hang
-	lag    CommandDelay
-	late   map[wire.Verb]int // commands that came late, and direct ones answered late
+	recordedHeartbeats map[wire.MachineID][]wire.Heartbeat // nil: none are kept
+	droppedHeartbeats  map[wire.MachineID]bool             // their next reports arrive nowhere
+	duplicateShare     float64                             // of the reports that are copied
+	duplicateDelay     [2]time.Duration                    // when the copies come
+	duplicates         int                                 // that came
+	staleDuplicates    int                                 // of these, after a newer report of their machine
+	hung               map[wire.MachineID]chan struct{}    // closed when the machine goes on
+	hungFor            map[wire.MachineID]time.Duration    // how long each hung until now
+	hungSince          map[wire.MachineID]time.Time        // when it last began to hang
+	commandDelay       CommandDelay
+	lateCommands       map[wire.Verb]int // commands that came late, and direct ones answered late
 }
 
 // MakeFaulty makes a machine fail every task from now on.
@@ -42,9 +42,9 @@
 		sim.lastFault = time.Now()
 		m.endAllTasks()
 		m.restarts++
-		m.session, m.sequence, m.token = 1, 0, 0
-		m.answered, m.cached = time.Now(), map[wire.ImageID]bool{}
-		m.changed()
+		m.epoch, m.sequence, m.token = 1, 0, 0
+		m.leaseRenewedAt, m.cached = time.Now(), map[wire.ImageID]bool{}
+		m.requestHeartbeat()
 	}
 }
 
@@ -56,16 +56,16 @@
 	defer sim.mu.Unlock()
 	o := &sim.machineFaults
 	if o.hung == nil {
-		o.hung, o.hangs, o.since = map[wire.MachineID]chan struct{}{}, map[wire.MachineID]time.Duration{}, map[wire.MachineID]time.Time{}
+		o.hung, o.hungFor, o.hungSince = map[wire.MachineID]chan struct{}{}, map[wire.MachineID]time.Duration{}, map[wire.MachineID]time.Time{}
 	}
 	for _, id := range ids {
 		c := o.hung[id]
 		switch {
 		case on && c == nil:
-			o.hung[id], o.since[id] = make(chan struct{}), time.Now()
+			o.hung[id], o.hungSince[id] = make(chan struct{}), time.Now()
 		case !on && c != nil:
 			delete(o.hung, id)
-			o.hangs[id] += time.Since(o.since[id])
+			o.hungFor[id] += time.Since(o.hungSince[id])
 			if m := sim.machines[id]; m != nil {
 				m.checkLease()
 			}
@@ -96,7 +96,7 @@
 	hung := func() time.Duration {
 		m.sim.mu.Lock()
 		defer m.sim.mu.Unlock()
-		return m.sim.machineFaults.hangs[m.id]
+		return m.sim.machineFaults.hungFor[m.id]
 	}
 	for d > 0 && ctx.Err() == nil {
 		m.awaitAwake(ctx)
@@ -191,16 +191,16 @@
 func (sim *Simulation) RefuseLaunches(id wire.MachineID, n int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if sim.gangs.refuse == nil {
-		sim.gangs.refuse = map[wire.MachineID]int{}
+	if sim.gangs.launchRefusals == nil {
+		sim.gangs.launchRefusals = map[wire.MachineID]int{}
 	}
-	sim.gangs.refuse[id] = n
+	sim.gangs.launchRefusals[id] = n
 }
 
 // refusesLaunch tells whether it refuses this launch as full.
 func (m *worker) refusesLaunch() bool {
-	if m.sim.gangs.refuse[m.id] > 0 {
-		m.sim.gangs.refuse[m.id]--
+	if m.sim.gangs.launchRefusals[m.id] > 0 {
+		m.sim.gangs.launchRefusals[m.id]--
 		return true
 	}
 	return false
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -15,11 +15,11 @@
 	return len(sim.machines)
 }
 
-// RentedSoFar counts all the machines that were ever rented.
-func (sim *Simulation) RentedSoFar() int {
+// ProvisionedSoFar counts all the machines that were ever rented.
+func (sim *Simulation) ProvisionedSoFar() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return sim.rentedCount
+	return sim.provisionedCount
 }
 
 // FirstMachine picks a live machine that passes the test.
@@ -132,13 +132,13 @@
 	return ""
 }
 
-// MachineSession is a machine's session, the number of its last message and the highest
+// MachineEpoch is a machine's session, the number of its last message and the highest
 // token it has seen; zero if it is gone.
-func (sim *Simulation) MachineSession(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
+func (sim *Simulation) MachineEpoch(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if m := sim.machines[id]; m != nil {
-		return m.session, m.sequence, m.token
+		return m.epoch, m.sequence, m.token
 	}
 	return 0, 0, 0
 }
@@ -149,8 +149,8 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, m := range sim.machines {
-		if old := time.Since(m.rented); m.up && (boot == 0 || old < age) {
-			age, boot = old, m.upAt.Sub(m.rented)
+		if old := time.Since(m.provisionedAt); m.up && (boot == 0 || old < age) {
+			age, boot = old, m.upAt.Sub(m.provisionedAt)
 		}
 	}
 	return
@@ -173,7 +173,7 @@
 		for _, m := range sim.machines {
 			cpus, ram := m.freeRoom()
 			elsewhere := len(zones) > 1 || len(zones) == 1 && zones[m.zone] == 0
-			if m.up && m.notice.IsZero() && cpus+wire.Eps >= s.CPUs && ram+wire.Eps >= s.MemoryGB && (s.SpotAllowed || !m.spot) && (s.Zone == "" || s.Zone == m.zone) &&
+			if m.up && m.reclaimAt.IsZero() && cpus+wire.Eps >= s.CPUs && ram+wire.Eps >= s.MemoryGB && (s.SpotAllowed || !m.spot) && (s.Zone == "" || s.Zone == m.zone) &&
 				(s.MachineTypes == nil || slices.Contains(s.MachineTypes, m.machineType)) && !(s.SameZone && elsewhere) && !(s.Spread && zones[m.zone] >= (s.Tasks+1)/2) {
 				out[id] = n
 			}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -12,23 +12,23 @@
 
 // Network is an in-memory network whose links can be held up or cut.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	conns     map[*conn]bool
-	down      map[string]bool             // hosts without power: silent
-	held      map[[2]string]bool          // from, to: packets wait
-	deaf      map[string]bool             // hosts that nothing reaches, though they are heard
-	island    map[string]bool             // hosts that reach only each other
-	filtered  map[[2]string]bool          // from, to: connections are refused
-	slow      map[string]time.Duration    // hosts to and from which all takes so much longer
-	mute      map[string]bool             // hosts that can open no connection
-	lag       map[[2]string]time.Duration // from, to: so much longer
-	latency   time.Duration
+	mu              sync.Mutex
+	listeners       map[string]*listener
+	conns           map[*conn]bool
+	down            map[string]bool             // hosts without power: silent
+	blockedLinks    map[[2]string]bool          // from, to: packets wait
+	inboundBlocked  map[string]bool             // hosts that nothing reaches, though they are heard
+	isolated        map[string]bool             // hosts that reach only each other
+	filtered        map[[2]string]bool          // from, to: connections are refused
+	hostDelay       map[string]time.Duration    // hosts to and from which all takes so much longer
+	outboundBlocked map[string]bool             // hosts that can open no connection
+	linkDelay       map[[2]string]time.Duration // from, to: so much longer
+	latency         time.Duration
 }
 
 // NewNetwork makes a network.
 func NewNetwork(latency time.Duration) *Network {
-	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, down: map[string]bool{}, held: map[[2]string]bool{}, deaf: map[string]bool{}, island: map[string]bool{}, filtered: map[[2]string]bool{}, slow: map[string]time.Duration{}, latency: latency}
+	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, down: map[string]bool{}, blockedLinks: map[[2]string]bool{}, inboundBlocked: map[string]bool{}, isolated: map[string]bool{}, filtered: map[[2]string]bool{}, hostDelay: map[string]time.Duration{}, latency: latency}
 }
 
 // Host is the network as one host sees it.
@@ -48,11 +48,11 @@
 
 // listener takes the connections to one address.
 type listener struct {
-	n      *Network
-	addr   string
-	queue  chan *conn
-	closed chan struct{}
-	once   sync.Once
+	network *Network
+	addr    string
+	queue   chan *conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 // listen opens an address.
@@ -62,7 +62,7 @@
 	if n.listeners[at] != nil {
 		return nil, errors.New("address in use: " + at)
 	}
-	l := &listener{n: n, addr: at, queue: make(chan *conn, 64), closed: make(chan struct{})}
+	l := &listener{network: n, addr: at, queue: make(chan *conn, 64), closed: make(chan struct{})}
 	n.listeners[at] = l
 	return l, nil
 }
@@ -79,11 +79,11 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.n.mu.Lock()
-		if l.n.listeners[l.addr] == l {
-			delete(l.n.listeners, l.addr)
+		l.network.mu.Lock()
+		if l.network.listeners[l.addr] == l {
+			delete(l.network.listeners, l.addr)
 		}
-		l.n.mu.Unlock()
+		l.network.mu.Unlock()
 	})
 	return nil
 }
@@ -106,8 +106,8 @@
 	defer cancel()
 	for {
 		n.mu.Lock()
-		silent := n.down[from] || n.mute[from] || n.down[hostOf(to)] || n.deaf[hostOf(to)] || n.held[[2]string{from, hostOf(to)}] || n.held[[2]string{hostOf(to), from}] ||
-			n.island[from] != n.island[hostOf(to)]
+		silent := n.down[from] || n.outboundBlocked[from] || n.down[hostOf(to)] || n.inboundBlocked[hostOf(to)] || n.blockedLinks[[2]string{from, hostOf(to)}] || n.blockedLinks[[2]string{hostOf(to), from}] ||
+			n.isolated[from] != n.isolated[hostOf(to)]
 		l, filtered := n.listeners[to], n.filtered[[2]string{from, hostOf(to)}]
 		n.mu.Unlock()
 		if !silent {
@@ -132,11 +132,11 @@
 	}
 }
 
-// takes is how long a packet is on its way.
-func (n *Network) takes(from, to string) time.Duration {
+// delay is how long a packet is on its way.
+func (n *Network) delay(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.latency + n.slow[from] + n.slow[to] + n.lag[[2]string{from, to}]
+	return n.latency + n.hostDelay[from] + n.hostDelay[to] + n.linkDelay[[2]string{from, to}]
 }
 
 // matching lists the open connections that pass the test.
@@ -152,12 +152,12 @@
 	return out
 }
 
-// every passes all connections.
-func every(*conn) bool { return true }
+// anyConn passes all connections.
+func anyConn(*conn) bool { return true }
 
 // Close ends every connection.
 func (n *Network) Close() {
-	for _, c := range n.matching(every) {
-		c.shut(func(p *pipe) { p.closed = true })
+	for _, c := range n.matching(anyConn) {
+		c.abort(func(p *pipe) { p.closed = true })
 	}
 }
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -36,7 +36,7 @@
 			x, y := hostOf(string(c.local)), hostOf(string(c.remote))
 			return x == a && y == b || x == b && y == a
 		}) {
-			c.shut(func(p *pipe) { p.reset = true })
+			c.abort(func(p *pipe) { p.reset = true })
 		}
 	}
 	if mode != CutRefused {
@@ -48,7 +48,7 @@
 func (n *Network) IsCut(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.filtered[[2]string{a, b}] || n.held[[2]string{a, b}] && n.held[[2]string{b, a}]
+	return n.filtered[[2]string{a, b}] || n.blockedLinks[[2]string{a, b}] && n.blockedLinks[[2]string{b, a}]
 }
 
 // Cut holds up both directions.
@@ -61,28 +61,28 @@
 // with everything that waited.
 func (n *Network) Hold(from, to string, hold bool) {
 	n.mu.Lock()
-	n.held[[2]string{from, to}] = hold
+	n.blockedLinks[[2]string{from, to}] = hold
 	n.mu.Unlock()
 	if !hold {
-		n.flow()
+		n.deliverPending()
 	}
 }
 
-// flow lets what waited on open connections through.
-func (n *Network) flow() {
-	for _, c := range n.matching(every) {
-		c.in.arrive()
-		c.out.arrive()
+// deliverPending lets what waited on open connections through.
+func (n *Network) deliverPending() {
+	for _, c := range n.matching(anyConn) {
+		c.in.deliver()
+		c.out.deliver()
 	}
 }
 
 // BlockInbound makes a host one that nothing reaches, while what it sends arrives.
 func (n *Network) BlockInbound(ip string, on bool) {
 	n.mu.Lock()
-	n.deaf[ip] = on
+	n.inboundBlocked[ip] = on
 	n.mu.Unlock()
 	if !on {
-		n.flow()
+		n.deliverPending()
 	}
 }
 
@@ -90,14 +90,14 @@
 // opened, or lets it again.
 func (n *Network) BlockOutbound(ip string, on bool) {
 	n.mu.Lock()
-	if n.mute == nil {
-		n.mute = map[string]bool{}
+	if n.outboundBlocked == nil {
+		n.outboundBlocked = map[string]bool{}
 	}
-	n.mute[ip] = on
+	n.outboundBlocked[ip] = on
 	n.mu.Unlock()
 	if on {
 		for _, c := range n.matching(func(c *conn) bool { return string(c.local) == ip+":0" }) {
-			c.shut(func(p *pipe) { p.reset = true })
+			c.abort(func(p *pipe) { p.reset = true })
 		}
 	}
 }
@@ -105,17 +105,17 @@
 // Isolate makes a host one of those that reach only each other, or no more.
 func (n *Network) Isolate(ip string, on bool) {
 	n.mu.Lock()
-	n.island[ip] = on
+	n.isolated[ip] = on
 	n.mu.Unlock()
 	if !on {
-		n.flow()
+		n.deliverPending()
 	}
 }
 
 // SlowHost makes everything to and from a host take so much longer; 0: no more.
 func (n *Network) SlowHost(ip string, by time.Duration) {
 	n.mu.Lock()
-	n.slow[ip] = by
+	n.hostDelay[ip] = by
 	n.mu.Unlock()
 }
 
@@ -123,10 +123,10 @@
 func (n *Network) SlowLink(from, to string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.lag == nil {
-		n.lag = map[[2]string]time.Duration{}
+	if n.linkDelay == nil {
+		n.linkDelay = map[[2]string]time.Duration{}
 	}
-	n.lag[[2]string{from, to}] = d
+	n.linkDelay[[2]string{from, to}] = d
 }
 
 // SetPowerOff takes a host's power, or gives it back.
@@ -152,7 +152,7 @@
 		l.Close()
 	}
 	for _, c := range n.matching(func(c *conn) bool { return hostOf(string(c.local)) == ip || hostOf(string(c.remote)) == ip }) {
-		c.shut(func(p *pipe) { p.reset = true })
+		c.abort(func(p *pipe) { p.reset = true })
 	}
 }
 
@@ -160,7 +160,7 @@
 func (n *Network) faulty() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return has(n.held) || has(n.deaf) || has(n.island) || has(n.mute) || has(n.filtered)
+	return has(n.blockedLinks) || has(n.inboundBlocked) || has(n.isolated) || has(n.outboundBlocked) || has(n.filtered)
 }
 
 // has tells whether any entry is true.
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -43,40 +43,40 @@
 	State    *State
 	Settings config.Settings
 
-	mu            sync.Mutex
-	checker       *Checker
-	ctx           context.Context
-	start         StartFunc
-	rng           *rand.Rand
-	machineTypes  []wire.MachineSpec
-	capacity      map[string]int // type/zone/kind -> how many more
-	machines      map[wire.MachineID]*worker
-	rentals       map[string][]wire.MachineID
-	rentalNames   []string // of those that were filled, in that order
-	listHistory   []listSnapshot
-	rentedCount   int
-	scripts       map[wire.JobID]*JobScript
-	controllers   []*controller
-	servers       []*http.Server
-	wg            sync.WaitGroup
-	machineFaults machineFaults
-	gangs         gangTable
+	mu               sync.Mutex
+	checker          *Checker
+	ctx              context.Context
+	start            StartFunc
+	rng              *rand.Rand
+	machineTypes     []wire.MachineSpec
+	capacity         map[string]int // type/zone/kind -> how many more
+	machines         map[wire.MachineID]*worker
+	scaleOuts        map[string][]wire.MachineID
+	scaleOutNames    []string // of those that were filled, in that order
+	listHistory      []listSnapshot
+	provisionedCount int
+	scripts          map[wire.JobID]*JobScript
+	controllers      []*controller
+	servers          []*http.Server
+	wg               sync.WaitGroup
+	machineFaults    machineFaults
+	gangs            gangTable
 
-	isolatedZone       wire.Zone
-	partitionedZones   [2]wire.Zone // zones that can't reach each other; empty: none
-	cloudOutage        bool
-	loseReleaseAnswers int
-	loseRentalAnswers  int
-	late               lateRequests
-	linkDelay          time.Duration
-	unlisted           bool
-	slowSaves          bool
-	noSpot             bool
-	soldOut            map[wire.Zone]bool
-	listLag            time.Duration
-	bootFactor         float64
-	faultCount         int       // faults that last and that nothing else shows
-	lastFault          time.Time // when there last was a fault
+	isolatedZone        wire.Zone
+	partitionedZones    [2]wire.Zone // zones that can't reach each other; empty: none
+	cloudOutage         bool
+	loseScaleInAnswers  int
+	loseScaleOutAnswers int
+	lateRequests        lateRequests
+	linkDelay           time.Duration
+	unlisted            bool
+	slowSaves           bool
+	noSpot              bool
+	soldOut             map[wire.Zone]bool
+	listLag             time.Duration
+	bootFactor          float64
+	faultCount          int       // faults that last and that nothing else shows
+	lastFault           time.Time // when there last was a fault
 }
 
 // controller is a node under test, which may be down.
@@ -100,7 +100,7 @@
 			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
 			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: set.Zones},
 		},
-		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, rentals: map[string][]wire.MachineID{},
+		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, scaleOuts: map[string][]wire.MachineID{},
 		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLag.Duration(), bootFactor: 1,
 	}
 	if sim.hostNet = host; host == nil {
@@ -217,7 +217,7 @@
 	rooms := make([]MachineRoom, 0, len(sim.machines))
 	for _, id := range slices.Sorted(maps.Keys(sim.machines)) {
 		m := sim.machines[id]
-		r := MachineRoom{Place: Place{m.id, m.machineType, m.zone, m.spot}, Usable: m.up && !m.faulty && m.notice.IsZero(),
+		r := MachineRoom{Place: Place{m.id, m.machineType, m.zone, m.spot}, Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
 			CPUs: m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB}
 		for t, x := range m.tasks {
 			if truth := sim.scripts[t.Job]; truth != nil && x.phase != wire.PhaseExited {
@@ -234,11 +234,11 @@
 
 // hasFault tells whether the simulation sees a fault; call with the lock held.
 func (sim *Simulation) hasFault(now time.Time) bool {
-	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseReleaseAnswers > 0 || sim.loseRentalAnswers > 0 {
+	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
 		return true
 	}
 	for _, m := range sim.machines {
-		if m.notice.After(now) {
+		if m.reclaimAt.After(now) {
 			return true
 		}
 	}
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -18,7 +18,7 @@
 	s.outage = on
 	if !on {
 		for _, g := range s.grants {
-			g.ends = time.Now().Add(g.life)
+			g.expiresAt = time.Now().Add(g.ttl)
 		}
 	}
 	s.notify()
@@ -106,20 +106,20 @@
 // txnFaults is the part of the service that injects such faults. The service's
 // lock guards it.
 type txnFaults struct {
-	rng    *rand.Rand
-	faults []TxnFault
-	fates  []*TxnOutcome
-	slow   map[string]time.Duration // by client; "" stands for all
-	unsaid map[string][]string      // by client: keys changed by what is not answered yet
-	count  map[string]int           // by client: transactions carried out
+	rng            *rand.Rand
+	faults         []TxnFault
+	outcomes       []*TxnOutcome
+	answerDelay    map[string]time.Duration // by client; "" stands for all
+	unansweredKeys map[string][]string      // by client: keys changed by what is not answered yet
+	executedCount  map[string]int           // by client: transactions carried out
 }
 
-// ran counts a transaction of a client.
-func (l *txnFaults) ran(from string) {
-	if l.count == nil {
-		l.count = map[string]int{}
+// countExecuted counts a transaction of a client.
+func (l *txnFaults) countExecuted(from string) {
+	if l.executedCount == nil {
+		l.executedCount = map[string]int{}
 	}
-	l.count[from]++
+	l.executedCount[from]++
 }
 
 // InjectTxnFaults puts these faults in place of the former ones; without any it ends
@@ -134,8 +134,8 @@
 func (s *State) TxnOutcomes() []TxnOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make([]TxnOutcome, len(s.txnFaults.fates))
-	for i, f := range s.txnFaults.fates {
+	out := make([]TxnOutcome, len(s.txnFaults.outcomes))
+	for i, f := range s.txnFaults.outcomes {
 		out[i] = *f
 	}
 	return out
@@ -160,11 +160,11 @@
 	} else if x.Most > 1 {
 		l.faults[i].Most--
 	}
-	l.fates = append(l.fates, f)
-	before := l.count[from]
+	l.outcomes = append(l.outcomes, f)
+	before := l.executedCount[from]
 	carryOut := func() {
 		s.expire()
-		f.Newer = l.count[from] - before
+		f.Newer = l.executedCount[from] - before
 		var answer any
 		f.Status, answer = s.execute(from, t)
 		f.Done = time.Now()
@@ -203,17 +203,17 @@
 func (s *State) DelayAnswers(host string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.txnFaults.slow == nil {
-		s.txnFaults.slow = map[string]time.Duration{}
+	if s.txnFaults.answerDelay == nil {
+		s.txnFaults.answerDelay = map[string]time.Duration{}
 	}
-	s.txnFaults.slow[host] = by
+	s.txnFaults.answerDelay[host] = by
 }
 
 // delayed is the writer through which an answer goes to a slow service's client.
 func (s *State) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	by := max(s.txnFaults.slow[""], s.txnFaults.slow[hostOf(r.RemoteAddr)])
+	by := max(s.txnFaults.answerDelay[""], s.txnFaults.answerDelay[hostOf(r.RemoteAddr)])
 	if by == 0 {
 		return w
 	}
@@ -238,25 +238,25 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// noteUnanswered notes what a transaction has changed until it is answered.
-func (s *State) noteUnanswered(from string, t *wire.Txn) (said func()) {
+// trackUnanswered notes what a transaction has changed until it is answered.
+func (s *State) trackUnanswered(from string, t *wire.Txn) (said func()) {
 	keys := keysOf(t)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.txnFaults.unsaid == nil {
-		s.txnFaults.unsaid = map[string][]string{}
+	if s.txnFaults.unansweredKeys == nil {
+		s.txnFaults.unansweredKeys = map[string][]string{}
 	}
-	s.txnFaults.unsaid[from] = append(s.txnFaults.unsaid[from], keys...)
+	s.txnFaults.unansweredKeys[from] = append(s.txnFaults.unansweredKeys[from], keys...)
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		left := s.txnFaults.unsaid[from]
+		left := s.txnFaults.unansweredKeys[from]
 		for _, k := range keys {
 			if i := slices.Index(left, k); i >= 0 {
 				left = slices.Delete(left, i, i+1)
 			}
 		}
-		s.txnFaults.unsaid[from] = left
+		s.txnFaults.unansweredKeys[from] = left
 	}
 }
 
@@ -266,7 +266,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, k := range s.txnFaults.unsaid[host] {
+	for _, k := range s.txnFaults.unansweredKeys[host] {
 		if strings.HasPrefix(k, prefix) {
 			n++
 		}
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -15,25 +15,25 @@
 // stateLimits are what the state service can be given beside its faults: rates, as
 // PROTOCOL says, a short history, and delays of single transactions.
 type stateLimits struct {
-	mu            sync.Mutex
-	calls, writes *rate.Limiter // nil: no limit
-	over          int           // requests refused for the rate
-	most          float64       // most requests of any second
-	second        time.Time
-	inSecond      int
-	keep, page    int // changes kept and entries of a page, 0: the usual ones
-	delay         func(*wire.Txn) time.Duration
-	slow          func(key string) time.Duration
-	late          func() time.Duration
-	lost          []wire.Txn // transactions whose guards failed
+	mu                           sync.Mutex
+	requestLimiter, writeLimiter *rate.Limiter // nil: no limit
+	refusals                     int           // requests refused for the rate
+	peakRate                     float64       // most requests of any second
+	windowStart                  time.Time
+	requestsInWindow             int
+	historyLimit, pageLimit      int // changes kept and entries of a page, 0: the usual ones
+	txnDelay                     func(*wire.Txn) time.Duration
+	readDelay                    func(key string) time.Duration
+	listDelay                    func() time.Duration
+	failedTxns                   []wire.Txn // transactions whose guards failed
 }
 
 // SetRateLimits makes the service refuse what is above its rates.
 func (s *State) SetRateLimits(rps, writeRPS float64) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
-	s.limits.calls = rate.NewLimiter(rate.Limit(rps), int(rps))
-	s.limits.writes = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
+	s.limits.requestLimiter = rate.NewLimiter(rate.Limit(rps), int(rps))
+	s.limits.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
 }
 
 // LowerLimits gives the service smaller limits from now on, without notice: a larger
@@ -98,28 +98,28 @@
 func (s *State) RateRefusals() (refused, most int) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
-	return s.limits.over, int(s.limits.most)
+	return s.limits.refusals, int(s.limits.peakRate)
 }
 
 // LimitHistory makes the service keep only so many changes and list pages of so many
 // entries at most, as if many more had been written.
 func (s *State) LimitHistory(keep, page int) {
 	s.limits.mu.Lock()
-	s.limits.keep, s.limits.page = keep, page
+	s.limits.historyLimit, s.limits.pageLimit = keep, page
 	s.limits.mu.Unlock()
 }
 
 // DelayTransactions makes a transaction wait before it is looked at, for as long as f says.
 func (s *State) DelayTransactions(f func(*wire.Txn) time.Duration) {
 	s.limits.mu.Lock()
-	s.limits.delay = f
+	s.limits.txnDelay = f
 	s.limits.mu.Unlock()
 }
 
 // DelayReads makes reads of a key wait before they are looked at, for as long as f says.
 func (s *State) DelayReads(f func(key string) time.Duration) {
 	s.limits.mu.Lock()
-	s.limits.slow = f
+	s.limits.readDelay = f
 	s.limits.mu.Unlock()
 }
 
@@ -127,7 +127,7 @@
 // long as f says: what they tell is that old when they arrive.
 func (s *State) DelayLists(f func() time.Duration) {
 	s.limits.mu.Lock()
-	s.limits.late = f
+	s.limits.listDelay = f
 	s.limits.mu.Unlock()
 }
 
@@ -136,84 +136,84 @@
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
 	n := 0
-	for i := range s.limits.lost {
-		if which(&s.limits.lost[i]) {
+	for i := range s.limits.failedTxns {
+		if which(&s.limits.failedTxns[i]) {
 			n++
 		}
 	}
 	return n
 }
 
-// admits counts a request, or the changes of one, against the rates.
-func (l *stateLimits) admits(calls, writes int) bool {
+// allow counts a request, or the changes of one, against the rates.
+func (l *stateLimits) allow(calls, writes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if now.Sub(l.second) >= time.Second {
-		l.second, l.inSecond = now, 0
+	if now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.requestsInWindow = now, 0
 	}
-	l.inSecond += calls
-	l.most = max(l.most, float64(l.inSecond))
-	if l.calls == nil || l.calls.AllowN(now, calls) && l.writes.AllowN(now, writes) {
+	l.requestsInWindow += calls
+	l.peakRate = max(l.peakRate, float64(l.requestsInWindow))
+	if l.requestLimiter == nil || l.requestLimiter.AllowN(now, calls) && l.writeLimiter.AllowN(now, writes) {
 		return true
 	}
-	l.over++
+	l.refusals++
 	return false
 }
 
-// await is the delay of a transaction.
-func (l *stateLimits) await(t *wire.Txn) {
+// delayTxn is the delay of a transaction.
+func (l *stateLimits) delayTxn(t *wire.Txn) {
 	l.mu.Lock()
-	f := l.delay
+	f := l.txnDelay
 	l.mu.Unlock()
 	if f != nil {
 		time.Sleep(f(t))
 	}
 }
 
-// read is the delay of a read.
-func (l *stateLimits) read(key string) {
+// delayRead is the delay of a read.
+func (l *stateLimits) delayRead(key string) {
 	l.mu.Lock()
-	f := l.slow
+	f := l.readDelay
 	l.mu.Unlock()
 	if f != nil {
 		time.Sleep(f(key))
 	}
 }
 
-// hold is the delay of an answer.
-func (l *stateLimits) hold() {
+// delayList is the delay of an answer.
+func (l *stateLimits) delayList() {
 	l.mu.Lock()
-	f := l.late
+	f := l.listDelay
 	l.mu.Unlock()
 	if f != nil {
 		time.Sleep(f())
 	}
 }
 
-// fails notes a transaction that failed at a guard.
-func (l *stateLimits) fails(t *wire.Txn) {
+// recordFailed notes a transaction that failed at a guard.
+func (l *stateLimits) recordFailed(t *wire.Txn) {
 	l.mu.Lock()
-	l.lost = append(l.lost, *t)
+	l.failedTxns = append(l.failedTxns, *t)
 	l.mu.Unlock()
 }
 
-// kept is how many changes are kept.
-func (l *stateLimits) kept() int {
+// historySize is how many changes are kept.
+func (l *stateLimits) historySize() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.keep > 0 {
-		return l.keep
+	if l.historyLimit > 0 {
+		return l.historyLimit
 	}
 	return 10_000
 }
 
-// paged is how many entries a page may have.
-func (l *stateLimits) paged(most int) int {
+// pageSize is how many entries a page may have.
+func (l *stateLimits) pageSize(most int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.page > 0 {
-		return min(l.page, most)
+	if l.pageLimit > 0 {
+		return min(l.pageLimit, most)
 	}
 	return most
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -38,21 +38,21 @@
 
 // stateEntry is what is stored under a key.
 type stateEntry struct {
-	v      wire.Raw
-	stamp  wire.Revision
-	permit wire.GrantID
+	value    wire.Raw
+	revision wire.Revision
+	grant    wire.GrantID
 }
 
 // stateGrant is a grant: keys written under it are gone when it ends.
 type stateGrant struct {
-	life time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // stateChange is a change that watches may still ask for.
 type stateChange struct {
-	rev wire.Revision
-	c   wire.Change
+	revision wire.Revision
+	change   wire.Change
 }
 
 // NewState makes an empty service.
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.keys[key] = &stateEntry{v: wire.Encode(v), stamp: s.revision}
+	s.keys[key] = &stateEntry{value: wire.Encode(v), revision: s.revision}
 	s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: key, Value: wire.Encode(v), Revision: s.revision}})
 	s.notify()
 	return s.revision
@@ -90,7 +90,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
-		return e.stamp
+		return e.revision
 	}
 	return 0
 }
@@ -100,7 +100,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.changes {
-		if strings.HasPrefix(c.c.Put+c.c.Delete, prefix) {
+		if strings.HasPrefix(c.change.Put+c.change.Delete, prefix) {
 			n++
 		}
 	}
@@ -119,7 +119,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
-		return e.v
+		return e.value
 	}
 	return nil
 }
@@ -145,7 +145,7 @@
 	n := 0
 	for k, e := range s.keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
-			n = max(n, jsonSize(e.v))
+			n = max(n, jsonSize(e.value))
 		}
 	}
 	return n
@@ -164,7 +164,7 @@
 	}
 	now := time.Now()
 	for id, g := range s.grants {
-		if !now.Before(g.ends) {
+		if !now.Before(g.expiresAt) {
 			s.endGrant(id)
 		}
 	}
@@ -175,7 +175,7 @@
 	delete(s.grants, id)
 	var dead []string
 	for k, e := range s.keys {
-		if e.permit == id {
+		if e.grant == id {
 			dead = append(dead, k)
 		}
 	}
@@ -191,9 +191,9 @@
 	s.notify()
 }
 
-// ledger is the answer about a key that there is not: the revision of all keys.
-type ledger struct {
-	Ledger wire.Revision `cbor:"ledger"`
+// missingKey is the answer about a key that there is not: the revision of all keys.
+type missingKey struct {
+	Revision wire.Revision `cbor:"ledger"`
 }
 
 // ServeHTTP answers the requests of the state service's page.
@@ -207,7 +207,7 @@
 	s.expire()
 	refuse := s.outage || s.refused[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
-	if !refuse && !s.limits.admits(1, 0) {
+	if !refuse && !s.limits.allow(1, 0) {
 		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
 		return
 	}
@@ -242,16 +242,16 @@
 
 // read answers with one key.
 func (s *State) read(w http.ResponseWriter, key string) {
-	s.limits.read(key)
+	s.limits.delayRead(key)
 	s.mu.Lock()
 	e, rev := s.keys[key], s.revision
 	var out wire.Entry
 	if e != nil {
-		out = wire.Entry{Key: key, Value: e.v, Revision: e.stamp, Grant: e.permit}
+		out = wire.Entry{Key: key, Value: e.value, Revision: e.revision, Grant: e.grant}
 	}
 	s.mu.Unlock()
 	if e == nil {
-		wire.Answer(w, http.StatusNotFound, ledger{rev})
+		wire.Answer(w, http.StatusNotFound, missingKey{rev})
 		return
 	}
 	wire.Answer(w, http.StatusOK, out)
@@ -264,11 +264,11 @@
 		malformedRequest(w)
 		return
 	}
-	if !s.limits.admits(0, len(t.Writes)) {
+	if !s.limits.allow(0, len(t.Writes)) {
 		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many changes"})
 		return
 	}
-	s.limits.await(&t)
+	s.limits.delayTxn(&t)
 	if !s.injectFault(r, &t) {
 		s.txn(w, hostOf(r.RemoteAddr), &t)
 	}
@@ -299,7 +299,7 @@
 	switch {
 	case g == nil:
 	case renew:
-		g.ends = time.Now().Add(g.life)
+		g.expiresAt = time.Now().Add(g.ttl)
 	case r.Method == "DELETE":
 		s.endGrant(wire.GrantID(n))
 	}
@@ -318,7 +318,7 @@
 	if most <= 0 || most > 1000 {
 		most = 1000
 	}
-	most = s.limits.paged(most)
+	most = s.limits.pageSize(most)
 	s.mu.Lock()
 	var ks []string
 	for k := range s.keys {
@@ -334,10 +334,10 @@
 			break
 		}
 		e := s.keys[k]
-		page.Entries = append(page.Entries, wire.Entry{Key: k, Value: e.v, Revision: e.stamp, Grant: e.permit})
+		page.Entries = append(page.Entries, wire.Entry{Key: k, Value: e.value, Revision: e.revision, Grant: e.grant})
 	}
 	s.mu.Unlock()
-	s.limits.hold()
+	s.limits.delayList()
 	wire.Answer(w, http.StatusOK, page)
 }
 
@@ -359,7 +359,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusOK {
-		defer s.noteUnanswered(from, t)()
+		defer s.trackUnanswered(from, t)()
 	}
 	wire.Answer(w, status, answer)
 }
@@ -375,12 +375,12 @@
 	var failed []string
 	for _, g := range t.Guards {
 		e := s.keys[g.Key]
-		if e == nil && g.Revision != 0 || e != nil && e.stamp != g.Revision {
+		if e == nil && g.Revision != 0 || e != nil && e.revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
-		s.limits.fails(t)
+		s.limits.recordFailed(t)
 		return http.StatusConflict, wire.TxnResult{Revision: s.revision, Failed: failed}
 	}
 	if len(t.Writes) > 0 {
@@ -394,11 +394,11 @@
 			s.keys[x.Put] = &stateEntry{append(wire.Raw(nil), x.Value...), s.revision, x.Grant}
 			s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: x.Put, Value: append(wire.Raw(nil), x.Value...), Revision: s.revision}})
 		}
-		if keep := s.limits.kept(); len(s.changes) > keep {
-			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].rev
+		if keep := s.limits.historySize(); len(s.changes) > keep {
+			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].revision
 			s.changes = append([]stateChange(nil), s.changes[len(s.changes)-keep:]...)
 		}
-		s.txnFaults.ran(from)
+		s.txnFaults.countExecuted(from)
 		s.notify()
 	}
 	return http.StatusOK, wire.TxnResult{Revision: s.revision}
@@ -426,8 +426,8 @@
 		}
 		if !silent {
 			for _, c := range s.changes {
-				if c.rev > wire.Revision(after) && strings.HasPrefix(c.c.Put+c.c.Delete, q.Get("under")) {
-					res.Events = append(res.Events, c.c)
+				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.Put+c.change.Delete, q.Get("under")) {
+					res.Events = append(res.Events, c.change)
 				}
 			}
 		}
@@ -435,7 +435,7 @@
 		s.mu.Unlock()
 		slices.Reverse(res.Events) // as in the page's example, which promises no order
 		if len(res.Events) > 0 || timeUp && !silent {
-			s.limits.hold()
+			s.limits.delayList()
 			if block > 0 {
 				time.Sleep(lag)
 			}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -11,64 +11,64 @@
 
 // worker is one machine's agent. The simulation's lock guards it.
 type worker struct {
-	sim         *Simulation
-	id          wire.MachineID
-	ip          string
-	addr        string
-	machineType wire.MachineType
-	zone        wire.Zone
-	spot        bool
-	spec        wire.MachineSpec
-	rented      time.Time
-	ctx         context.Context
-	cancel      context.CancelFunc
+	sim           *Simulation
+	id            wire.MachineID
+	ip            string
+	addr          string
+	machineType   wire.MachineType
+	zone          wire.Zone
+	spot          bool
+	spec          wire.MachineSpec
+	provisionedAt time.Time
+	ctx           context.Context
+	cancel        context.CancelFunc
 
-	up         bool
-	upAt       time.Time
-	gone       bool
-	faulty     bool
-	stalled    bool
-	unlisted   bool
-	notice     time.Time
-	session    wire.AgentEpoch
-	sequence   wire.Sequence
-	token      wire.FencingToken
-	answered   time.Time // sending time of the last answered report
-	clockRate  float64
-	tasks      map[wire.Task]*taskRun
-	cached     map[wire.ImageID]bool
-	wake       chan struct{}
-	restarts   int            // counts the machine's own restarts
-	lastReport wire.Heartbeat // the last report
+	up             bool
+	upAt           time.Time
+	removed        bool
+	faulty         bool
+	stalled        bool
+	unlisted       bool
+	reclaimAt      time.Time
+	epoch          wire.AgentEpoch
+	sequence       wire.Sequence
+	token          wire.FencingToken
+	leaseRenewedAt time.Time // sending time of the last answered report
+	clockRate      float64
+	tasks          map[wire.Task]*taskRun
+	cached         map[wire.ImageID]bool
+	wake           chan struct{}
+	restarts       int            // counts the machine's own restarts
+	lastHeartbeat  wire.Heartbeat // the last report
 }
 
 // taskRun is an attempt of a task on a machine.
 type taskRun struct {
-	attempt wire.Attempt
-	phase   wire.TaskPhase
-	cause   wire.ExitCause
-	saved   bool
-	cancel  context.CancelFunc
+	attempt      wire.Attempt
+	phase        wire.TaskPhase
+	cause        wire.ExitCause
+	checkpointed bool
+	cancel       context.CancelFunc
 }
 
-// changed makes the worker report soon; call with the lock held.
-func (m *worker) changed() {
+// requestHeartbeat makes the worker report soon; call with the lock held.
+func (m *worker) requestHeartbeat() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// report of now; call with the lock held.
-func (m *worker) report() wire.Heartbeat {
+// nextHeartbeat of now; call with the lock held.
+func (m *worker) nextHeartbeat() wire.Heartbeat {
 	m.sequence++
-	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.session, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
-	if !m.notice.IsZero() {
-		left := wire.Seconds(max(0, time.Until(m.notice).Seconds()))
+	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
+	if !m.reclaimAt.IsZero() {
+		left := wire.Seconds(max(0, time.Until(m.reclaimAt).Seconds()))
 		r.SpotNotice = &left
 	}
 	for t, x := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskState{Task: t.String(), Attempt: x.attempt, Phase: x.phase, Cause: x.cause, Saved: x.saved})
+		r.Tasks = append(r.Tasks, wire.TaskState{Task: t.String(), Attempt: x.attempt, Phase: x.phase, Cause: x.cause, Saved: x.checkpointed})
 	}
 	return r
 }
@@ -77,11 +77,11 @@
 func (m *worker) run() {
 	sim := m.sim
 	sim.mu.Lock()
-	if m.gone {
+	if m.removed {
 		sim.mu.Unlock()
 		return
 	}
-	m.up, m.upAt, m.answered = true, time.Now(), time.Now()
+	m.up, m.upAt, m.leaseRenewedAt = true, time.Now(), time.Now()
 	sim.mu.Unlock()
 	s := sim.serve(m.addr, http.HandlerFunc(m.handle))
 	sim.spawn(func() {
@@ -89,31 +89,31 @@
 		s.Close()
 	})
 	sim.spawn(m.watchLease)
-	m.reportUntilGone()
+	m.sendHeartbeats()
 }
 
 // Pauses of a worker between two reports.
 const (
-	// reportTimeout is how long a worker waits for the answer to a report.
-	reportTimeout = 4 * time.Second
+	// heartbeatTimeout is how long a worker waits for the answer to a report.
+	heartbeatTimeout = 4 * time.Second
 	// redirectPause comes before a report to the controller that an answer named.
 	redirectPause = 250 * time.Millisecond
 	// failurePause comes before a report to the next controller.
 	failurePause = time.Second
-	// leastReportPause is the least time between two reports to the same one.
-	leastReportPause = 500 * time.Millisecond
+	// minHeartbeatInterval is the least time between two reports to the same one.
+	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// reportUntilGone sends reports to one controller after the other, or the one that
+// sendHeartbeats sends reports to one controller after the other, or the one that
 // an answer names, until the machine is gone.
-func (m *worker) reportUntilGone() {
+func (m *worker) sendHeartbeats() {
 	hc := &http.Client{Transport: m.sim.hostNet(m.ip).Transport(1, 1)}
 	defer hc.CloseIdleConnections()
 	at := 0
 	for m.ctx.Err() == nil {
-		status, body := m.reportTo(hc, at)
+		status, body := m.sendHeartbeatTo(hc, at)
 		if status == http.StatusOK {
-			m.awaitNextReport()
+			m.awaitNextHeartbeat()
 			continue
 		}
 		hc.CloseIdleConnections()
@@ -128,44 +128,44 @@
 	}
 }
 
-// reportTo sends a report of now to the i-th controller and takes its answer.
-func (m *worker) reportTo(hc *http.Client, i int) (status int, body []byte) {
+// sendHeartbeatTo sends a report of now to the i-th controller and takes its answer.
+func (m *worker) sendHeartbeatTo(hc *http.Client, i int) (status int, body []byte) {
 	m.awaitAwake(m.ctx)
 	m.sim.mu.Lock()
-	rep, life := m.report(), m.restarts
-	m.lastReport = rep
-	held := m.sim.noteReport(m, rep)
+	heartbeat, restarts := m.nextHeartbeat(), m.restarts
+	m.lastHeartbeat = heartbeat
+	dropped := m.sim.onHeartbeatSent(m, heartbeat)
 	m.sim.mu.Unlock()
 	sent := time.Now()
-	if held {
-		sleep(m.ctx, reportTimeout)
+	if dropped {
+		sleep(m.ctx, heartbeatTimeout)
 	} else {
-		status, body = m.sendReport(hc, "http://"+NodeIP(i)+":8080/hello", rep)
+		status, body = m.postHeartbeat(hc, "http://"+NodeIP(i)+":8080/hello", heartbeat)
 	}
-	sleep(m.ctx, m.lag().ReportAnswer)
-	if m.awaitAwake(m.ctx); time.Since(sent) > reportTimeout {
+	sleep(m.ctx, m.commandDelay().HeartbeatResponse)
+	if m.awaitAwake(m.ctx); time.Since(sent) > heartbeatTimeout {
 		return 0, nil // it hung meanwhile
 	}
 	var o wire.Commands
 	if status == http.StatusOK && wire.Decode(body, &o) == nil {
-		m.takeAnswer(&o, life, rep.Epoch, sent)
+		m.onHeartbeatResponse(&o, restarts, heartbeat.Epoch, sent)
 	}
 	return status, body
 }
 
-// awaitNextReport waits until the next report is due, or something has changed.
-func (m *worker) awaitNextReport() {
-	sleep(m.ctx, leastReportPause)
+// awaitNextHeartbeat waits until the next report is due, or something has changed.
+func (m *worker) awaitNextHeartbeat() {
+	sleep(m.ctx, minHeartbeatInterval)
 	select {
 	case <-m.ctx.Done():
 	case <-m.wake:
-	case <-time.After(m.sim.Settings.Workers.HeartbeatInterval.Duration() - leastReportPause):
+	case <-time.After(m.sim.Settings.Workers.HeartbeatInterval.Duration() - minHeartbeatInterval):
 	}
 }
 
-// sendReport posts a report; status 0: no answer.
-func (m *worker) sendReport(hc *http.Client, url string, v any) (int, []byte) {
-	ctx, cancel := context.WithTimeout(m.ctx, reportTimeout)
+// postHeartbeat posts a report; status 0: no answer.
+func (m *worker) postHeartbeat(hc *http.Client, url string, v any) (int, []byte) {
+	ctx, cancel := context.WithTimeout(m.ctx, heartbeatTimeout)
 	defer cancel()
 	status, raw, _, err := netio.Call(ctx, hc, "POST", url, v, wire.MaxBody)
 	if err != nil {
@@ -174,24 +174,24 @@
 	return status, raw
 }
 
-// takeAnswer takes the answer of a report that was sent in the given session.
-func (m *worker) takeAnswer(o *wire.Commands, life int, shift wire.AgentEpoch, sent time.Time) {
+// onHeartbeatResponse takes the answer of a report that was sent in the given session.
+func (m *worker) onHeartbeatResponse(o *wire.Commands, restarts int, epoch wire.AgentEpoch, sent time.Time) {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
-	if m.gone || o.Token < m.token || o.Token == 0 || shift != m.session || life != m.restarts {
+	if m.removed || o.Token < m.token || o.Token == 0 || epoch != m.epoch || restarts != m.restarts {
 		return
 	}
-	m.noteToken(o.Token)
-	m.answered = sent
+	m.observeToken(o.Token)
+	m.leaseRenewedAt = sent
 	m.execute(o.Commands)
 	m.sim.countLate(sent, o.Commands, wire.Forget)
 }
 
-// noteToken remembers the highest token that the worker has seen.
-func (m *worker) noteToken(b wire.FencingToken) {
-	if b > m.token {
-		m.token = b
-		m.changed()
+// observeToken remembers the highest token that the worker has seen.
+func (m *worker) observeToken(token wire.FencingToken) {
+	if token > m.token {
+		m.token = token
+		m.requestHeartbeat()
 	}
 }
 
@@ -208,11 +208,11 @@
 
 // checkLease ends the session if the lease has run out; call with the lock held.
 func (m *worker) checkLease() {
-	if time.Since(m.answered).Seconds()*m.clockRate > float64(m.sim.Settings.Workers.Lease) && !m.gone {
+	if time.Since(m.leaseRenewedAt).Seconds()*m.clockRate > float64(m.sim.Settings.Workers.Lease) && !m.removed {
 		m.endAllTasks()
-		m.session++
-		m.answered = time.Now()
-		m.changed()
+		m.epoch++
+		m.leaseRenewedAt = time.Now()
+		m.requestHeartbeat()
 	}
 }
 
@@ -221,7 +221,7 @@
 	for t, x := range m.tasks {
 		x.cancel()
 		m.sim.checker.TaskLeft(t, m.id, false)
-		m.sim.gangTaskGone(t, x)
+		m.sim.onGangTaskLeft(t, x)
 	}
 	m.tasks = map[wire.Task]*taskRun{}
 }
@@ -232,11 +232,11 @@
 	if err != nil {
 		return
 	}
-	came, lag := time.Now(), m.lag()
+	came, lag := time.Now(), m.commandDelay()
 	sleep(m.ctx, lag.Command)
 	m.awaitAwake(m.ctx)
 	m.sim.mu.Lock()
-	if m.gone {
+	if m.removed {
 		m.sim.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
@@ -248,17 +248,17 @@
 		switch {
 		case err != nil || o.Token == 0 || o.Epoch == 0:
 			status = http.StatusBadRequest
-		case o.Token < m.token || o.Epoch != m.session:
+		case o.Token < m.token || o.Epoch != m.epoch:
 			status = http.StatusConflict
 		default:
-			m.noteToken(o.Token)
+			m.observeToken(o.Token)
 			m.execute(o.Commands)
 			if len(o.Commands) > 0 {
 				m.sim.countLate(time.Now().Add(-lag.Answer), []wire.Command{{Verb: Answered}}, Answered)
 			}
 		}
 	}
-	rep := m.report()
+	rep := m.nextHeartbeat()
 	m.sim.mu.Unlock()
 	sleep(m.ctx, lag.Answer)
 	wire.Answer(rw, status, rep)
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -26,15 +26,15 @@
 				continue
 			}
 			if m.sim.scripts[t.Job].Spec.Gang() {
-				m.haltGang(t, x, o.GracePeriod)
+				m.stopGangTask(t, x, o.GracePeriod)
 				continue
 			}
-			x.saved = x.phase == wire.PhaseRunning && o.GracePeriod != nil && *o.GracePeriod >= m.sim.scripts[t.Job].Spec.CheckpointTime && m.sim.scripts[t.Job].Spec.CheckpointInterval > 0
+			x.checkpointed = x.phase == wire.PhaseRunning && o.GracePeriod != nil && *o.GracePeriod >= m.sim.scripts[t.Job].Spec.CheckpointTime && m.sim.scripts[t.Job].Spec.CheckpointInterval > 0
 			if m.startSaving(t, x, o.GracePeriod) {
 				continue
 			}
 			x.cancel()
-			m.exit(t, x, wire.CauseStopped)
+			m.exitTask(t, x, wire.CauseStopped)
 		case wire.Forget:
 			if x != nil && x.attempt == o.Attempt && x.phase == wire.PhaseExited {
 				delete(m.tasks, t)
@@ -49,7 +49,7 @@
 	script := m.sim.scripts[t.Job]
 	refuse := func(c wire.ExitCause) {
 		m.tasks[t] = &taskRun{attempt: attempt, phase: wire.PhaseExited, cause: c, cancel: func() {}}
-		m.changed()
+		m.requestHeartbeat()
 	}
 	switch {
 	case script == nil || t.Index >= script.Spec.Tasks:
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(m.ctx)
 	x := &taskRun{attempt: attempt, phase: wire.PhaseFetching, cancel: cancel}
 	m.tasks[t] = x
-	m.changed()
+	m.requestHeartbeat()
 	fetch := time.Duration(0)
 	if !m.cached[script.Spec.Image] {
 		fetch = time.Duration(script.Spec.ImageGB / m.spec.FetchGBPerS / m.sim.speedOf(m.id) * float64(time.Second))
@@ -77,12 +77,12 @@
 	m.sim.spawn(func() {
 		m.workFor(ctx, fetch)
 		m.awaitUnstalled(ctx)
-		m.begin(ctx, t, x, script)
+		m.runTask(ctx, t, x, script)
 	})
 }
 
-// begin runs a task that has its image to its end, or has it join its gang.
-func (m *worker) begin(ctx context.Context, t wire.Task, x *taskRun, script *JobScript) {
+// runTask runs a task that has its image to its end, or has it join its gang.
+func (m *worker) runTask(ctx context.Context, t wire.Task, x *taskRun, script *JobScript) {
 	m.sim.mu.Lock()
 	if ctx.Err() != nil || m.tasks[t] != x {
 		m.sim.mu.Unlock()
@@ -92,11 +92,11 @@
 	x.phase = wire.PhaseRunning
 	m.sim.checker.TaskStarted(t, Place{m.id, m.machineType, m.zone, m.spot}, time.Now())
 	if script.Spec.Gang() {
-		m.join(t, x)
+		m.joinGang(t, x)
 		m.sim.mu.Unlock()
 		return
 	}
-	m.changed()
+	m.requestHeartbeat()
 	fails := m.faulty || script.AlwaysFails
 	m.sim.mu.Unlock()
 	cause := wire.CauseDone
@@ -113,7 +113,7 @@
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
 	if ctx.Err() == nil && m.tasks[t] == x {
-		m.exit(t, x, cause)
+		m.exitTask(t, x, cause)
 	}
 }
 
@@ -123,18 +123,18 @@
 // startSaving lets a task that was told to stop save first, and tells whether it does.
 // What saves already goes on with it unless it is told to end at once. Call with
 // the lock held.
-func (m *worker) startSaving(t wire.Task, x *taskRun, windDown *wire.Seconds) bool {
+func (m *worker) startSaving(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) bool {
 	switch {
 	case !m.sim.slowSaves:
 		return false
 	case x.phase == wire.PhaseSaving:
-		return windDown != nil && *windDown > 0
-	case !x.saved:
+		return gracePeriod != nil && *gracePeriod > 0
+	case !x.checkpointed:
 		return false
 	}
 	x.cancel()
 	x.phase = wire.PhaseSaving
-	m.changed()
+	m.requestHeartbeat()
 	checkpointTime := m.sim.scripts[t.Job].Spec.CheckpointTime.Duration()
 	m.sim.spawn(func() {
 		sleep(m.ctx, checkpointTime)
@@ -142,14 +142,14 @@
 		m.sim.mu.Lock()
 		defer m.sim.mu.Unlock()
 		if m.tasks[t] == x && x.phase == wire.PhaseSaving {
-			m.exit(t, x, wire.CauseStopped)
+			m.exitTask(t, x, wire.CauseStopped)
 		}
 	})
 	return true
 }
 
-// exit ends a task; call with the lock held.
-func (m *worker) exit(t wire.Task, x *taskRun, c wire.ExitCause) {
+// exitTask ends a task; call with the lock held.
+func (m *worker) exitTask(t wire.Task, x *taskRun, c wire.ExitCause) {
 	if x.phase != wire.PhaseFetching {
 		m.sim.checker.TaskLeft(t, m.id, c == wire.CauseDone)
 	}
@@ -157,6 +157,6 @@
 		m.sim.checker.TaskFailed(t, m.id)
 	}
 	x.phase, x.cause = wire.PhaseExited, c
-	m.sim.gangTaskGone(t, x)
-	m.changed()
+	m.sim.onGangTaskLeft(t, x)
+	m.requestHeartbeat()
 }
