--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,5 +1,5 @@
 // Command simulator is a small deployment on the loopback network to try
-// lilaclead against: a state service, a cloud with its workers, and users
+// lilaclead against: a key-value store, a cloud with its workers, and users
 // who submit jobs, with a checker for the protocol's rules. It writes a
 // settings file for each of three controllers, which are started by hand.
 package main
--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// All controllers end within a burst while the state service is just back; the
+// All controllers end within a burst while the key-value store is just back; the
 // first is up again within a moment, and all end once more in the middle of its
-// election, while copies of old reports come in and submissions are repeated.
+// election, while copies of old heartbeats come in and submissions are repeated.
 // The replicas must outlive it, and nothing may run twice or be forgotten.
 func TestAllControllersRestartDuringElection(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -9,7 +9,7 @@
 )
 
 // Jobs are cancelled in the seconds in which the work of one controller changes
-// hands, whether it is ended, resigns or is refused by the state service: before
+// hands, whether it is ended, resigns or is refused by the key-value store: before
 // the election, in it, and just after it, always confirmed by another node. Some
 // of them run, some are just being started.
 func TestCancelDuringLeaderChange(t *testing.T) {
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -65,7 +65,7 @@
 }
 
 // A job is cancelled around the moment of its last task's end, by no more than
-// milliseconds: whoever wins, one end is told, and it is the state service's.
+// milliseconds: whoever wins, one end is told, and it is the key-value store's.
 func TestCancelAtLastTaskEnd(t *testing.T) {
 	t.Parallel()
 	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStateService()} {
@@ -111,7 +111,7 @@
 	}
 }
 
-// The two writes cross at the state service itself: a cancellation comes while
+// The two writes cross at the key-value store itself: a cancellation comes while
 // the final record is on its way, and the final record while a cancellation is.
 func TestCancelCrossesFinalRecord(t *testing.T) {
 	t.Parallel()
@@ -259,7 +259,7 @@
 	}
 }
 
-// A job whose record just fits into a value of the state service can be cancelled
+// A job whose record just fits into a value of the key-value store can be cancelled
 // as every other, though a cancelled record says more. (Its cancellation was
 // refused for ever.)
 func TestCancelOfLargestRecord(t *testing.T) {
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -15,7 +15,7 @@
 )
 
 // Gangs whose progress takes several chunks, and gangs in every phase as the limits of
-// the state service drop.
+// the key-value store drop.
 
 // largeGang is a gang of many small tasks.
 func largeGang(n, tasks int, run float64) simulator.JobScript {
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// A spot notice on one member's machine, while another hears of its halt only
+// A spot notice on one member's machine, while another hears of its stop only
 // shortly before gang_peer_s has passed: the stop begins early enough that all
 // are told and have saved before the machine goes.
 func TestGangNoticeWithALateHalt(t *testing.T) {
@@ -59,7 +59,7 @@
 	})
 }
 
-// A spot notice comes while the state service is away: the leader, whom a
+// A spot notice comes while the key-value store is away: the leader, whom a
 // majority acknowledges, stops the gang in order all the same. It starts again
 // from there once the service is back, also under another leader.
 func TestGangSavesInAnOutage(t *testing.T) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// The leader alone loses the state service, and another takes over while the
+// The leader alone loses the key-value store, and another takes over while the
 // first stops a gang under a notice, and may no more be able to tell all of it.
 // No rule breaks, and the gang loses no more than what it did since its last
 // checkpoint.
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -9,7 +9,7 @@
 )
 
 // A zone is cut off with a gang inside, shorter and longer than its lease, while
-// copies of its old reports come in.
+// copies of its old heartbeats come in.
 func TestGangInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	for _, d := range []time.Duration{5 * time.Second, 30 * time.Second, 70 * time.Second} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Copies of reports that show an older attempt come while the next one waits and
+// Copies of heartbeats that show an older attempt come while the next one waits and
 // runs, also to a new leader.
 func TestGangDuplicatedReportsArriveLate(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-// A spot notice comes in an outage of the state service.
+// A spot notice comes in an outage of the key-value store.
 func TestGangSpotNoticeDuringOutage(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 813, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -96,7 +96,7 @@
 	return out
 }
 
-// mustLeaveNoKeys checks that the state service has no records of live jobs and of
+// mustLeaveNoKeys checks that the key-value store has no records of live jobs and of
 // their progress, but for those of the jobs named.
 func mustLeaveNoKeys(t *testing.T, sim *simulator.Simulation, live ...simulator.JobScript) {
 	t.Helper()
@@ -204,7 +204,7 @@
 	}
 }
 
-// allComplete tells whether all jobs but services have completed.
+// allComplete reports whether all jobs but services have completed.
 func allComplete(sim *simulator.Simulation, jobs []simulator.JobScript) bool {
 	all := true
 	sim.WithChecker(func(c *simulator.Checker) {
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -171,7 +171,7 @@
 	return s
 }
 
-// settingsWithFastStateService are the default settings with a state service so
+// settingsWithFastStateService are the default settings with a key-value store so
 // fast that requests hardly queue, and answers cross within milliseconds.
 func settingsWithFastStateService() config.Settings {
 	s := simulator.DefaultSettings()
--- a/internal/scenarios/helpers_jobs_test.go
+++ b/internal/scenarios/helpers_jobs_test.go
@@ -31,19 +31,19 @@
 		CheckpointInterval: 20, CheckpointTime: 2}}
 }
 
-// crumbs is an array of many small tasks.
+// arrayOfSmallTasks is an array of many small tasks.
 func arrayOfSmallTasks(n, parts int, run float64) simulator.JobScript {
 	j := array(n, parts, run)
 	j.Spec.CPUs, j.Spec.MemoryGB = 0.1, 0.3
 	return j
 }
 
-// within draws times of up to so many seconds.
+// randomDelay returns a function that draws a time of up to so many seconds.
 func randomDelay(rng *rand.Rand) func(seconds int) time.Duration {
 	return func(most int) time.Duration { return time.Duration(rng.IntN(1000*most)) * time.Millisecond }
 }
 
-// mayCancel draws when a job is cancelled; 0: it is not.
+// randomCancelDelay draws when a job is cancelled; 0 means never.
 func randomCancelDelay(rng *rand.Rand) time.Duration {
 	if rng.IntN(3) != 0 {
 		return 0
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -18,13 +18,13 @@
 	return slices.DeleteFunc(sim.State.TxnOutcomes(), func(f simulator.TxnOutcome) bool { return !f.ChangesPrefix(prefix) || !which(&f) })
 }
 
-// wasExecuted tells whether the transaction changed what is stored.
+// wasExecuted reports whether the transaction changed what is stored.
 func wasExecuted(f *simulator.TxnOutcome) bool { return f.Status == http.StatusOK }
 
 // wasExecutedValue is wasExecuted for values.
 func wasExecutedValue(f simulator.TxnOutcome) bool { return wasExecuted(&f) }
 
-// failedAfterNewer tells whether the transaction came after newer ones of the same
+// failedAfterNewer reports whether the transaction came after newer ones of the same
 // client and failed.
 func failedAfterNewer(f *simulator.TxnOutcome) bool {
 	return f.Late && f.Newer > 0 && f.Status != 0 && f.Status != http.StatusOK
@@ -58,12 +58,12 @@
 	time.Sleep(d)
 }
 
-// isFinalRecordOf tells whether a transaction replaces a job by its final record.
+// isFinalRecordOf reports whether a transaction replaces a job by its final record.
 func isFinalRecordOf(x *wire.Txn, id wire.JobID) bool {
 	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return w.Delete == store.JobKey(id) })
 }
 
-// isCancellationOf tells whether a transaction is a user's cancellation of a job.
+// isCancellationOf reports whether a transaction is a user's cancellation of a job.
 func isCancellationOf(x *wire.Txn, id wire.JobID) bool {
 	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool {
 		var rec store.JobRecord
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// requestCancel asks a controller once to cancel a job, as its user, and tells the
+// requestCancel asks a controller once to cancel a job, as its user, and returns the
 // status that the user was told, if any.
 func requestCancel(sim *simulator.Simulation, node int, id wire.JobID) (wire.Status, bool) {
 	sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(id) })
@@ -33,7 +33,7 @@
 }
 
 // cancelWithin has a user ask all controllers in turn to cancel a job until one
-// confirms it, and tells whether that was within the time.
+// confirms it, and reports whether that was within the time.
 func cancelWithin(t *testing.T, sim *simulator.Simulation, id wire.JobID, within time.Duration) bool {
 	t.Helper()
 	var status wire.Status
@@ -47,7 +47,7 @@
 }
 
 // cancelAtController has a user ask one controller to cancel a job until it is
-// confirmed, and tells when it was.
+// confirmed, and returns when it was.
 func cancelAtController(t *testing.T, sim *simulator.Simulation, i int, j simulator.JobScript) time.Time {
 	t.Helper()
 	id := j.Spec.ID
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -11,7 +11,7 @@
 )
 
 // poll waits until a condition holds, looking at once and then after every step of
-// virtual time, and tells whether that was within the time.
+// virtual time, and reports whether that was within the time.
 func poll(most, step time.Duration, holds func() bool) bool {
 	for begin := time.Now(); !holds(); {
 		time.Sleep(step)
@@ -148,13 +148,13 @@
 	return v, status == 200 && wire.Decode(raw, &v) == nil
 }
 
-// hasRecovered tells whether a leader has read what is stored.
+// hasRecovered reports whether a leader has read what is stored.
 func hasRecovered(sim *simulator.Simulation, i int) bool {
 	v, ok := adminView(sim, i)
 	return ok && v.Term != nil && len(v.Term.Jobs) > 0
 }
 
-// saysItLeads tells whether a controller itself says that it leads.
+// saysItLeads reports whether a controller itself says that it leads.
 func saysItLeads(t *testing.T, sim *simulator.Simulation, i int) bool {
 	t.Helper()
 	v, ok := adminView(sim, i)
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -35,7 +35,7 @@
 }
 
 // Commands or their answers are held up for seconds, or wait for a machine that
-// hangs, and the machine then goes on: launches, halts, and answers to reports
+// hangs, and the machine then goes on: launches, stops, and answers to reports
 // that forget. Meanwhile a job is cancelled, the leader ends, or both.
 func TestCommandsDelayed(t *testing.T) {
 	t.Parallel()
@@ -93,7 +93,7 @@
 						if c.hang {
 							sim.HangMachines(true, sim.BusyMachines("")...)
 						}
-						mustCancel(t, sim, gone) // so that halts are held up too
+						mustCancel(t, sim, gone) // so that stops are held up too
 						mustCancel(t, sim, late)
 						time.Sleep(6 * time.Second)
 						if c.hang {
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Copies of reports come late, from seconds to more than a lease: of live
+// Copies of heartbeats come late, from seconds to more than a lease: of live
 // machines, of machines that are gone, and as the first that a new leader
 // hears of a machine. They must free nothing, bring nothing back, and not
 // make a dead machine seem alive.
@@ -33,7 +33,7 @@
 		at(40 * time.Second)
 		copies()
 		at(50 * time.Second)
-		// A machine with replicas dies while copies of its reports come in.
+		// A machine with replicas dies while copies of its heartbeats come in.
 		on := sim.MachinesRunning(s.Spec.ID)
 		if sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 }) != 1 || len(on) == 0 {
 			t.Fatal("nothing to take")
@@ -129,8 +129,8 @@
 	}
 }
 
-// Old reports come after newer ones: of the session before, when the tasks had
-// other attempts, and of the same one. A share of all reports comes again until
+// Old heartbeats come after newer ones: of the epoch before, when the tasks had
+// other attempts, and of the same one. A share of all heartbeats comes again until
 // well after a lease meanwhile, a leader ends, and a job is cancelled that the
 // old ones list.
 func TestReportsOfEarlierSessionsAndAttempts(t *testing.T) {
@@ -221,7 +221,7 @@
 
 // Old reports reach every node just as a new leader begins, as the first that
 // it hears of a machine: before it has read what is stored, and after. It
-// inherits tasks on those machines, some of which the old reports lack, and a
+// inherits tasks on those machines, some of which the old heartbeats lack, and a
 // job is cancelled while nobody leads.
 func TestOldReportsDuringLeaderRecovery(t *testing.T) {
 	t.Parallel()
@@ -258,7 +258,7 @@
 					if n, _ := sim.LeaderAndToken(); n >= 0 && n != l {
 						t.Error("somebody leads before the job is cancelled")
 					}
-					// A slow state service makes the recovery take a while.
+					// A slow key-value store makes the recovery take a while.
 					slow := func(d time.Duration) {
 						for i := range sim.Settings.Size {
 							sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), d)
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -70,7 +70,7 @@
 }
 
 // The leader changes ten times in two minutes, every other time inside an outage
-// of the state service, with submissions and cancellations all the while.
+// of the key-value store, with submissions and cancellations all the while.
 func TestTenLeaderChangesInTwoMinutes(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 64, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -253,7 +253,7 @@
 }
 
 // The largest job that users may submit: its progress stays within the
-// limits of the state service, across a change of leader.
+// limits of the key-value store, across a change of leader.
 func TestLargestJobAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 17, func(sim *simulator.Simulation, at func(time.Duration)) {
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -100,7 +100,7 @@
 	})
 }
 
-// A leader loses the state service and the other controllers, not its
+// A leader loses the key-value store and the other controllers, not its
 // workers: it must stop answering them, and they must find the next leader
 // before their leases end.
 func TestLeaderPartitionedFromAllButWorkers(t *testing.T) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// A leader is cut from the state service and the other controllers while workers
+// A leader is cut from the key-value store and the other controllers while workers
 // and users still reach it, and jobs are cancelled through the next one. In the
 // worst case workers reach the old one only and the cloud is away, so that
 // nothing but its silence ends their tasks. Users at the old one get no older
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -9,11 +9,11 @@
 	"lilaclead/internal/wire"
 )
 
-// Jobs are cancelled at the moment at which the state service refuses the
+// Jobs are cancelled at the moment at which the key-value store refuses the
 // leader alone, and then it is out for everybody, for longer than a cancelled
 // task may last. Workers go on reporting to the leader, which can't read what
 // was cancelled. It may renew their leases only while the other controllers tell
-// it of all that they confirmed, and must halt what they tell of; what none can
+// it of all that they confirmed, and must stop what they tell of; what none can
 // tell of any more ends with the leases.
 func TestCancelWhileStateServiceRefusesLeader(t *testing.T) {
 	t.Parallel()
@@ -45,7 +45,7 @@
 			time.Sleep(300 * time.Millisecond)
 			sim.StartController(l)
 		}, 57 * time.Second, false},
-		// The leader's packets to the state service are held, and come late.
+		// The leader's packets to the key-value store are held, and come late.
 		{"its packets are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
 		{"the answers are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold("10.2.0.1", simulator.NodeIP(l), on) }, nil, 57 * time.Second, true},
 		{"both", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Cut(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
@@ -112,7 +112,7 @@
 	}
 }
 
-// The same, and the machines of the cancelled tasks receive nothing, or the halts to
+// The same, and the machines of the cancelled tasks receive nothing, or the stops to
 // them are held up on their way: what can't be halted must end with its lease,
 // or with its machine.
 func TestCancelOnUnreachableMachinesWhileLeaderIsRefused(t *testing.T) {
@@ -171,7 +171,7 @@
 	}
 }
 
-// The state service answers slowly while users cancel and ask, then refuses the
+// The key-value store answers slowly while users cancel and ask, then refuses the
 // leader alone while they go on to cancel, and then everybody, for longer than a
 // cancelled task may last: after the leader alone was refused for a moment, or
 // just when the next one has come and has read nothing yet.
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -11,7 +11,7 @@
 	"lilaclead/internal/wire"
 )
 
-// The answers of releases and bookings are lost, machines vanish silently,
+// The answers of scale-in requests and scale-out requests are lost, machines vanish silently,
 // and the cloud's interface goes away.
 func TestCloudFaults(t *testing.T) {
 	t.Parallel()
@@ -145,7 +145,7 @@
 	}
 }
 
-// A release takes effect and is never answered, since the leader that asked for it
+// A scale-in request takes effect and is never answered, since the leader that asked for it
 // ends: tasks of a team at its limit were on that machine, some of them cancelled
 // meanwhile, and lists go on showing it for a while.
 func TestReleaseUnansweredAcrossLeaderChange(t *testing.T) {
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -129,7 +129,7 @@
 }
 
 // One-task jobs come four a second for minutes, a quarter is cancelled, and the
-// state service holds to its rates. What has gathered while the first machines
+// key-value store holds to its rates. What has gathered while the first machines
 // boot must be worked off, then all must begin at once and nothing be refused any
 // more; and nothing may be left of them but their final records.
 func TestManySmallJobs(t *testing.T) {
@@ -197,7 +197,7 @@
 }
 
 // Jobs of one small task each, many of which fit on the smallest machine, are
-// rented for together: for one of them alone every machine would be too dear. (A
+// provisioned for together: for one of them alone every machine would be too dear. (A
 // hundred of them waited two minutes, until the first was taken for starving.)
 func TestSmallJobsShareRentalCost(t *testing.T) {
 	t.Parallel()
@@ -230,7 +230,7 @@
 }
 
 // The largest array that the protocol allows is stored, run, polled and
-// cancelled within the limits of the state service.
+// cancelled within the limits of the key-value store.
 func TestHundredThousandTasks(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 36, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -277,7 +277,7 @@
 	})
 }
 
-// The smallest state service that can work: two changes a transaction, values of
+// The smallest key-value store that can work: two changes a transaction, values of
 // 1 KiB, a few requests a second, and leases that leave no time for delegates. It
 // starts and serves.
 func TestMinimalDeployment(t *testing.T) {
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -59,12 +59,12 @@
 						startControllers(t, sim, l)
 						return func() {}
 					},
-					func() func() { // the state service refuses one node
+					func() func() { // the key-value store refuses one node
 						i := (sim.Leader() + 3 + rng.IntN(2)) % 3
 						sim.State.RefuseClient(simulator.NodeIP(i), true)
 						return func() { sim.State.RefuseClient(simulator.NodeIP(i), false) }
 					},
-					func() func() { // the leader is cut from state service and peers
+					func() func() { // the leader is cut from key-value store and peers
 						l, mode := (sim.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
 						sim.IsolateController(l, mode, true)
 						return func() { sim.IsolateController(l, mode, false) }
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -75,7 +75,7 @@
 }
 
 // Random partitions of a zone, from seconds to well over a lease and the time for
-// cancellations, with the cloud or the state service away, leaders that end and
+// cancellations, with the cloud or the key-value store away, leaders that end and
 // jobs that are cancelled meanwhile. SCENARIO_SEEDS asks for more of them.
 func TestRandomZonePartitions(t *testing.T) {
 	t.Parallel()
@@ -127,7 +127,7 @@
 
 // Random faults on this layout: any zone cut off, or any two from each other, for seconds
 // to well over a lease and the time for cancellations, with controllers that
-// end, one or all, and the cloud or the state service away meanwhile.
+// end, one or all, and the cloud or the key-value store away meanwhile.
 func TestRandomFaultsOnUnevenLayout(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(6) {
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// A leader's rental is carried out long after another leads. The successor goes on with
+// A leader's scale-out request is carried out long after another leads. The successor goes on with
 // it under its name, so that the late one rents nothing more.
 func TestLateRentalOfAnEarlierLeader(t *testing.T) {
 	t.Parallel()
@@ -55,7 +55,7 @@
 	})
 }
 
-// A leader's release is carried out long after another leads. The successor returns the
+// A leader's scale-in request is carried out long after another leads. The successor returns the
 // machine itself, so that nothing runs on it when the late one comes.
 func TestLateReleaseOfAnEarlierLeader(t *testing.T) {
 	t.Parallel()
@@ -87,7 +87,7 @@
 	})
 }
 
-// Writes of intents are carried out without an answer, late or at once: what is rented
+// Writes of intents are carried out without an answer, late or at once: what is provisioned
 // and returned is still right, and nothing is left in the records.
 func TestUnansweredIntents(t *testing.T) {
 	t.Parallel()
@@ -144,8 +144,8 @@
 	})
 }
 
-// What recording intents costs the state service on a day of rushes: at most one
-// change for each time that a machine is rented or returned.
+// What recording intents costs the key-value store on a day of rushes: at most one
+// change for each time that a machine is provisioned or returned.
 func TestCostOfIntents(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 75, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
@@ -162,7 +162,7 @@
 	})
 }
 
-// mustRentInTurn checks that no leader rented once its successor had: a booking's name
+// mustRentInTurn checks that no leader provisioned once its successor had: a scale-out request's name
 // tells under which token it was decided on.
 func mustRentInTurn(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
@@ -179,7 +179,7 @@
 	}
 }
 
-// The leader is cut off from state service and peers, in each way, but not from workers
+// The leader is cut off from key-value store and peers, in each way, but not from workers
 // and the cloud; another leads on the other side, and both have work to rent for. Only
 // one of them rents, and no machine is leaked.
 func TestBothSidesOfASplitRent(t *testing.T) {
@@ -211,7 +211,7 @@
 	}
 }
 
-// The leader ends with each step half done: rented and not answered, returned and not
+// The leader ends with each step half done: provisioned and not answered, returned and not
 // answered, recorded and never sent (the cloud is away). Its successor leaks nothing and
 // rents nothing twice.
 func TestHalfDoneSteps(t *testing.T) {
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -77,7 +77,7 @@
 }
 
 // A job is cancelled at a node that is just looking up what to say of it, with the
-// state service slow: once that node has told that it is cancelled, no answer that
+// key-value store slow: once that node has told that it is cancelled, no answer that
 // it sends later says otherwise.
 func TestPollDuringCancellation(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// The leader ends in an outage of the state service that outlasts a lease. The
+// The leader ends in an outage of the key-value store that outlasts a lease. The
 // others renew leases as its delegates; before, every replica was lost.
 func TestLeaderRestartsDuringLongOutage(t *testing.T) {
 	t.Parallel()
@@ -86,7 +86,7 @@
 	})
 }
 
-// A user's connection is at a node that the state service refuses while it
+// A user's connection is at a node that the key-value store refuses while it
 // serves others: the node says so at once and leaves the load balancer's set.
 func TestPollAtControllerRefusedByStateService(t *testing.T) {
 	t.Parallel()
@@ -114,7 +114,7 @@
 	})
 }
 
-// A leader that only the state service refuses gives way, and its late
+// A leader that only the key-value store refuses gives way, and its late
 // commands, held up for minutes, start nothing twice.
 func TestStateServiceRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
@@ -148,7 +148,7 @@
 	})
 }
 
-// The state service goes out in the middle of an election, for longer than the
+// The key-value store goes out in the middle of an election, for longer than the
 // time for cancellations: the new leader is elected, and has not read what
 // was cancelled while nobody led. It must not keep alive what it knows nothing of.
 func TestOutageDuringElectionAfterCancel(t *testing.T) {
@@ -199,7 +199,7 @@
 	}
 }
 
-// A job is cancelled, and before its tasks are halted the state service goes
+// A job is cancelled, and before its tasks are halted the key-value store goes
 // away for longer than the time for cancellations, while a majority of the nodes
 // goes on answering reports: the machines hang just then, or the next leader has
 // not yet read what is stored. The tasks must be gone in time all the same.
@@ -224,7 +224,7 @@
 				default:
 					// It reads of no change any more, and goes on answering reports
 					// until its grant ends. What the others tell it of it can't
-					// halt: the machines hang as well.
+					// stop: the machines hang as well.
 					sim.State.RefuseClient(simulator.NodeIP(l), true)
 					sim.HangMachines(true, ms...)
 					time.Sleep(2 * time.Second)
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -170,7 +170,7 @@
 }
 
 // There is more work than room, and nothing more to rent, when the links to all
-// machines become slow, so that halts and launches take seconds, or are never
+// machines become slow, so that stops and launches take seconds, or are never
 // answered in time though they are executed. Urgent arrays and replicas come and
 // must get room soon, by stopping what is of less priority; what is stopped for
 // them must not be stopped over and over; and at the end all is done.
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Records that nobody can read appear in the state service while nobody leads: of a
+// Records that nobody can read appear in the key-value store while nobody leads: of a
 // job's progress, a job, the machine types, the operators' settings. Each is logged
 // once in the life of a node that meets it, stays as it is, and harms nothing beside
 // it: what runs goes on, also what the unreadable record is about, nothing is
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// A machine's reports arrive, but answers and commands don't reach it. It
+// A machine's heartbeats arrive, but answers and commands don't reach it. It
 // looks alive, so only what it does not do tells. Its replicas must be back
 // elsewhere soon after its lease has ended them, what is cancelled there must
 // be gone in time, and a job that comes meanwhile must not wait for it.
@@ -82,7 +82,7 @@
 				at(45 * time.Second)
 				unconnected := some(sim)
 				sim.BlockOutbound(true, unconnected...)
-				// Each has outlived a lease without a report, and yet answers.
+				// Each has outlived a lease without a heartbeat, and yet answers.
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + time.Second)
 				n := 0
 				for _, id := range unconnected {
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -180,7 +180,7 @@
 			restartLeader(t, sim, time.Second)
 			eventually(t, 60*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
 			step("new", 2, all)
-			// Machines are rented for what is submitted, or returned once it is done.
+			// Machines are provisioned for what is submitted, or returned once it is done.
 			eventually(t, 4*time.Minute, "a record of intents", func() bool { return len(sim.State.Keys("intent/")) > 0 })
 			p.replace(t, sim, 1, oldProgram)
 			step("one rejoins old", 2, []int{0, 2})
@@ -315,7 +315,7 @@
 	})
 }
 
-// A mixed pair is parted, the old one with the state service, from the others; no switch
+// A mixed pair is parted, the old one with the key-value store, from the others; no switch
 // is made, and no job is lost.
 func TestMixedVersionsParted(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -69,7 +69,7 @@
 }
 
 // Two zones can't reach each other for longer than a lease; both still reach the
-// state service. The workers of one reach no node that reaches the leader, and
+// key-value store. The workers of one reach no node that reaches the leader, and
 // the node there is its delegate: what runs goes on. It must not matter in
 // which zone the leader is, and leadership must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// CancelTime says when a user of BurstReaders cancels.
+// CancelTime is the moment at which a user of BurstReaders cancels a job.
 type CancelTime int
 
 // The times: not at all, at once after the acceptance, at the end of the last
@@ -22,7 +22,7 @@
 	CancelAfterEnd
 )
 
-// Operation is what a user asks about a job.
+// Operation is a kind of request that a user makes about a job.
 type Operation string
 
 // The operations.
@@ -44,7 +44,7 @@
 	BurstInterval, BurstLength, PollInterval time.Duration
 }
 
-// NewBurstReaders makes burst readers.
+// NewBurstReaders returns burst readers with the default intervals.
 func (sim *Simulation) NewBurstReaders() *BurstReaders {
 	return &BurstReaders{sim: sim, counts: map[string]int{}, BurstInterval: 7 * time.Millisecond, BurstLength: 150 * time.Millisecond, PollInterval: 400 * time.Millisecond}
 }
@@ -58,14 +58,14 @@
 	return l.counts[what]
 }
 
-// Counts are all counts.
+// Counts returns all counts as text, for failure messages.
 func (l *BurstReaders) Counts() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return fmt.Sprint(l.counts)
 }
 
-// knownStatus of a job now; call with the simulation's lock held.
+// knownStatus returns what users know of a job now and since when; the caller holds the simulation's lock.
 func (sim *Simulation) knownStatus(id wire.JobID) (knownStatus, time.Time) {
 	j := sim.checker.jobs[id]
 	if j == nil {
@@ -74,7 +74,7 @@
 	return knownStatus{j.accepted, j.finalStatus}, j.end.at
 }
 
-// Ask makes one request about a job to a node and checks the answer.
+// Ask sends one request about a job to a node and checks the answer.
 func (l *BurstReaders) Ask(i int, op Operation, t JobScript) (int, wire.JobState) {
 	sim, id := l.sim, t.Spec.ID
 	method, path, body := "GET", jobsPath+"/"+string(id), any(nil)
@@ -111,7 +111,7 @@
 // justAfter is how long after an event a question counts as one that met it.
 const justAfter = 50 * time.Millisecond
 
-// recordQuestion notes that a question about a job leaves now.
+// recordQuestion records what is known of a job as a question about it is sent.
 func (l *BurstReaders) recordQuestion(id wire.JobID, op Operation) (q question) {
 	l.sim.mu.Lock()
 	defer l.sim.mu.Unlock()
@@ -126,7 +126,7 @@
 	return q
 }
 
-// checkAnswer has the checker look at an answer, and tells whether it brought news.
+// checkAnswer has the checker look at an answer, and reports whether it brought news.
 func (l *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, said wire.Status, retryAfter bool) bool {
 	sim, now := l.sim, time.Now()
 	sim.mu.Lock()
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Rule of PROTOCOL's list.
+// Rule identifies an invariant that the checker enforces.
 type Rule string
 
 // The rules.
@@ -39,14 +39,14 @@
 // MissingRetryAfter is broken by a refusal for now that does not say when to come back.
 const MissingRetryAfter Rule = "no_retry_after"
 
-// Violation of a rule.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule Rule
 	What string
 	At   time.Time
 }
 
-// Place of a machine, as far as rules care.
+// Place is the identity of a machine and the properties that placement rules depend on.
 type Place struct {
 	Machine wire.MachineID
 	Type    wire.MachineType
@@ -54,7 +54,7 @@
 	Spot    bool
 }
 
-// TeamLimit of a team; 0: none.
+// TeamLimit is the quota of a team; 0 means no limit.
 type TeamLimit struct{ CPUs, GPUs float64 }
 
 // Checker watches what the fakes see and notes every broken rule. It is
@@ -109,27 +109,27 @@
 	waits             waitHistory
 }
 
-// pollCount of polls.
+// pollCount counts polls by whether they were answered.
 type pollCount struct{ answered, failed int }
 
-// NewChecker makes a checker.
+// NewChecker returns a checker for jobs whose tasks must be gone within the cancel timeout.
 func NewChecker(cancelS time.Duration, limits map[wire.TeamID]TeamLimit) *Checker {
 	return &Checker{CancelTimeout: cancelS, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, on: map[wire.Task]Place{}, everStarted: map[wire.Task]bool{}, posted: map[wire.JobID]bool{}}
 }
 
-// observeTime notes how late it is.
+// observeTime advances the latest time that the checker knows.
 func (c *Checker) observeTime(now time.Time) {
 	if now.After(c.latest) {
 		c.latest = now
 	}
 }
 
-// violated notes a violation.
+// violated records a violation.
 func (c *Checker) violated(at time.Time, r Rule, format string, args ...any) {
 	c.Violations = append(c.Violations, Violation{r, fmt.Sprintf(format, args...), at})
 }
 
-// FaultsOver notes that all faults are over from now on.
+// FaultsOver records that no fault lasts from now on.
 func (c *Checker) FaultsOver(now time.Time) { c.faultsOverSince = now }
 
 // ObserveFaults notes whether the simulation sees a fault now; over since a time.
@@ -140,7 +140,7 @@
 	c.noFaultSince = since
 }
 
-// faultsOverFor tells whether all faults have been over for so long.
+// faultsOverFor reports whether all faults have been over for so long.
 func (c *Checker) faultsOverFor(now time.Time, long time.Duration) bool {
 	return !c.faultsOverSince.IsZero() && now.Sub(c.faultsOverSince) > long || !c.noFaultSince.IsZero() && now.Sub(c.noFaultSince) > long
 }
@@ -186,7 +186,7 @@
 	}
 }
 
-// Finish makes the checks of the end.
+// Finish makes the checks that need the whole run.
 func (c *Checker) Finish(now time.Time) {
 	c.checkAllServed(now)
 	if c.starts == 0 {
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -6,14 +6,14 @@
 	"lilaclead/internal/wire"
 )
 
-// Submitted notes a user's attempt to submit.
+// Submitted records a user's attempt to submit a job.
 func (c *Checker) Submitted(s wire.JobSpec) {
 	if c.jobs[s.ID] == nil {
 		c.jobs[s.ID] = &jobHistory{spec: s, done: map[int]bool{}, submittedAt: c.latest}
 	}
 }
 
-// Accepted notes a 201 or 200 to a submission.
+// Accepted records that a submission was answered 200 or 201.
 func (c *Checker) Accepted(id wire.JobID, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -30,7 +30,7 @@
 	j.unansweredSince = time.Time{}
 }
 
-// recordAccepted notes that a user knows that the job is accepted.
+// recordAccepted records that a user knows that the job is accepted.
 func (c *Checker) recordAccepted(j *jobHistory, now time.Time) {
 	if !j.accepted {
 		j.accepted, j.acceptedAt = true, now
@@ -40,7 +40,7 @@
 	}
 }
 
-// Refused notes the answer to a submission that is not retried.
+// Refused records a refusal of a submission and checks it if it is final (400 or 422).
 func (c *Checker) Refused(id wire.JobID, status int, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -54,14 +54,14 @@
 	}
 }
 
-// CancelRequested notes that a user asks to cancel.
+// CancelRequested records that a user asks to cancel a job.
 func (c *Checker) CancelRequested(id wire.JobID) {
 	if j := c.jobs[id]; j != nil && !j.cancelRequested {
 		j.cancelRequested, j.cancelRequestedAt = true, c.latest
 	}
 }
 
-// SubmissionAnswered notes the answer to a submission that was sent at a certain time.
+// SubmissionAnswered checks the answer to a submission that was sent at the time asked.
 func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, asked, now time.Time) {
 	var sent, got wire.JobSummary
 	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// CancelAnswered notes the answer to a request to cancel.
+// CancelAnswered checks the answer to a cancellation that was sent at the time asked.
 func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, asked, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -98,7 +98,7 @@
 	}
 }
 
-// PollAnsweredNow notes the answer of now to a poll of now; status 0: none.
+// PollAnsweredNow checks the answer to a poll that was sent now; status 0 means no answer.
 func (c *Checker) PollAnsweredNow(id wire.JobID, status int, st wire.Status, now time.Time) {
 	c.PollAnswered(id, status, st, now, now)
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// StatusToldNow notes a state that a user was told now, by whatever answer.
+// StatusToldNow checks a status that some answer showed to a user now.
 func (c *Checker) StatusToldNow(id wire.JobID, st wire.Status, now time.Time) {
 	c.StatusTold(id, st, now, now)
 }
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Complete tells whether every task of the job has completed.
+// Complete reports whether every task of the job has completed.
 func (c *Checker) Complete(id wire.JobID) bool {
 	j := c.jobs[id]
 	return j != nil && len(j.done) == j.spec.Tasks
@@ -56,7 +56,7 @@
 	return n
 }
 
-// CPUsUsed is how many processors a team's tasks use that are on machines.
+// CPUsUsed returns how many processors a team's tasks use that are on machines.
 func (c *Checker) CPUsUsed(team wire.TeamID) float64 {
 	n := 0.0
 	for t := range c.on {
@@ -79,20 +79,19 @@
 	return n
 }
 
-// TimeToStart is how long a job waited for its first task; false: it still waits.
+// TimeToStart returns how long a job waited for its first task; false: it still waits.
 func (c *Checker) TimeToStart(id wire.JobID) (time.Duration, bool) {
 	j := c.jobs[id]
 	return j.startedAt.Sub(j.acceptedAt), !j.startedAt.IsZero()
 }
 
-// CompletedAt tells when a job's last task completed, Began when its first began and
-// Told how it ended by its user's knowledge.
+// CompletedAt returns when a job's last task completed.
 func (c *Checker) CompletedAt(id wire.JobID) time.Time { return c.jobs[id].end.endedAt }
 
-// FinalStatus is the end of a job as far as users were told.
+// FinalStatus returns the final status that users were told of a job, empty if none.
 func (c *Checker) FinalStatus(id wire.JobID) wire.Status { return c.jobs[id].finalStatus }
 
-// CancelConfirmedAt is when a user was first told that the job is cancelled.
+// CancelConfirmedAt returns when a user was first told that the job is cancelled.
 func (c *Checker) CancelConfirmedAt(id wire.JobID) (time.Time, bool) {
 	j := c.jobs[id]
 	if j == nil || j.finalStatus != wire.Cancelled {
@@ -113,7 +112,7 @@
 	return out
 }
 
-// ToldSoFar is what users were told of a job so far: 0 nothing, 1 that it is accepted,
+// ToldSoFar returns what users were told of a job so far: 0 nothing, 1 that it is accepted,
 // 2 that it is over.
 func (c *Checker) ToldSoFar(id wire.JobID) int {
 	switch j := c.jobs[id]; {
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/wire"
 )
 
-// cannotRun says why a job can never run; empty: it can.
+// cannotRun returns why a job can never run, empty if it can.
 func (c *Checker) cannotRun(s *wire.JobSpec) string {
 	if c.MachineSpecs == nil {
 		return ""
@@ -34,7 +34,7 @@
 	return "a task fits no allowed machine type"
 }
 
-// SubmissionSent notes the answer to a submission as it was sent.
+// SubmissionSent checks the answer to a submission, whose body may be malformed.
 func (c *Checker) SubmissionSent(raw []byte, status int, now time.Time) {
 	var m map[string]any
 	unread := wire.Decode(raw, &m) != nil
@@ -58,7 +58,7 @@
 	}
 }
 
-// formOfID is the form of jobs' names.
+// formOfID matches the names of jobs.
 var formOfID = regexp.MustCompile(`^req-[0-9]{6,}$`)
 
 // malformed says what is wrong with a submission by PROTOCOL's table; empty:
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-// TaskStarted notes that a task is on a machine now.
+// TaskStarted records that a task started on a machine and checks the placement rules.
 func (c *Checker) TaskStarted(t wire.Task, p Place, now time.Time) {
 	c.observeTime(now)
 	c.starts++
@@ -65,7 +65,7 @@
 	}
 }
 
-// recordOnMachine notes that a task starts or goes on on a machine.
+// recordOnMachine records that a task starts or resumes on a machine.
 func (c *Checker) recordOnMachine(t wire.Task, j *jobHistory, p Place, now time.Time, what string) {
 	if at, on := c.on[t]; on && at.Machine != p.Machine {
 		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, at.Machine, what, p.Machine)
@@ -76,7 +76,7 @@
 	}
 }
 
-// TaskLeft notes that a task is no longer on a machine.
+// TaskLeft records that a task is no longer on a machine.
 func (c *Checker) TaskLeft(t wire.Task, m wire.MachineID, done bool) {
 	if at, on := c.on[t]; on && at.Machine == m {
 		delete(c.on, t)
@@ -87,7 +87,7 @@
 	}
 }
 
-// TaskFailed notes that a task failed: it may be tried again later, and elsewhere.
+// TaskFailed records that a task failed: it may be retried later, and elsewhere.
 func (c *Checker) TaskFailed(t wire.Task, m wire.MachineID) {
 	if j := c.jobs[t.Job]; j != nil {
 		j.waits.end()
@@ -98,7 +98,7 @@
 	}
 }
 
-// recordCompletion notes that the last task has completed.
+// recordCompletion records the completion of the job once its last task has completed.
 func (j *jobHistory) recordCompletion() {
 	if len(j.done) == j.spec.Tasks && j.end.endedAt.IsZero() {
 		j.end.endedAt = time.Now()
@@ -125,7 +125,7 @@
 	}
 }
 
-// GangBegan notes that a gang runs: all its tasks are on machines.
+// GangBegan records that a gang runs and checks that all its tasks are on machines.
 func (c *Checker) GangBegan(id wire.JobID, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -140,7 +140,7 @@
 	}
 }
 
-// GangDone notes that a gang has completed: its tasks complete together.
+// GangDone records that a gang has completed: its tasks complete together.
 func (c *Checker) GangDone(id wire.JobID) {
 	if j := c.jobs[id]; j != nil {
 		for i := range j.spec.Tasks {
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// atLimit tells whether the next task of a job, or all of a gang, would bring its
+// atLimit reports whether the next task of a job, or all of a gang, would bring its
 // team over its limit.
 func (c *Checker) atLimit(s *wire.JobSpec, used TeamLimit) bool {
 	limit, more := c.Limits[s.Team], 1.0
@@ -123,7 +123,7 @@
 	j.waits.since = could
 }
 
-// gangFits tells whether all tasks of a gang would fit on the open machines.
+// gangFits reports whether all tasks of a gang would fit on the open machines.
 func gangFits(rooms []MachineRoom, s *wire.JobSpec, not map[wire.MachineID]bool) bool {
 	zones := map[wire.Zone]int{}
 	for i := range rooms {
@@ -146,7 +146,7 @@
 	return !s.SameZone && all >= s.Tasks
 }
 
-// takes tells whether the machine can take one more task of a job whose tasks
+// takes reports whether the machine can take one more task of a job whose tasks
 // are in certain zones.
 func (r *MachineRoom) takes(s *wire.JobSpec, zones map[wire.Zone]int) bool {
 	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%s/%s/%v", k, z, spot)
 }
 
-// listedMachines lists the machines now; call with the lock held.
+// listedMachines lists the machines now; the caller holds the lock.
 func (sim *Simulation) listedMachines() []wire.ListedMachine {
 	out := []wire.ListedMachine{}
 	for _, m := range sim.machines {
@@ -115,7 +115,7 @@
 // maxPage is how many machines a page has at most.
 const maxPage = 500
 
-// pageOf is the part of a list that the query asks for.
+// pageOf returns the part of a list that the query asks for.
 func pageOf(hosts []wire.ListedMachine, query url.Values) wire.MachinePage {
 	page := wire.MachinePage{Machines: []wire.ListedMachine{}}
 	most := maxPage
@@ -135,14 +135,14 @@
 	return page
 }
 
-// ScaleOutNames are those of the bookings that were filled, in that order.
+// ScaleOutNames returns the names of the scale-out requests that were filled, in that order.
 func (sim *Simulation) ScaleOutNames() []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return slices.Clone(sim.scaleOutNames)
 }
 
-// scaleOut answers a rental; a repeated one gets the same machines.
+// scaleOut answers a scale-out request; a repeated one gets the same machines.
 func (sim *Simulation) scaleOut(rw http.ResponseWriter, raw []byte) {
 	var b wire.ScaleOutRequest
 	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
@@ -171,7 +171,7 @@
 	wire.Answer(rw, http.StatusOK, wire.MachineNames{Machines: ids})
 }
 
-// provisionMachine makes a machine; call with the lock held.
+// provisionMachine creates a machine that boots after a time; the caller holds the lock.
 func (sim *Simulation) provisionMachine(machineType wire.MachineType, zone wire.Zone, spot bool, after time.Duration) wire.MachineID {
 	id := wire.MachineID(fmt.Sprintf("n-%06d", sim.provisionedCount))
 	ip := fmt.Sprintf("10.1.%d.%d", sim.provisionedCount/250, sim.provisionedCount%250+1)
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -14,28 +14,28 @@
 	sim.mu.Unlock()
 }
 
-// LoseScaleInAnswers makes the next releases take effect without an answer.
+// LoseScaleInAnswers makes the next scale-in requests take effect without an answer.
 func (sim *Simulation) LoseScaleInAnswers(n int) {
 	sim.mu.Lock()
 	sim.loseScaleInAnswers = n
 	sim.mu.Unlock()
 }
 
-// LoseScaleOutAnswers makes the next bookings take effect without an answer.
+// LoseScaleOutAnswers makes the next scale-out requests take effect without an answer.
 func (sim *Simulation) LoseScaleOutAnswers(n int) {
 	sim.mu.Lock()
 	sim.loseScaleOutAnswers = n
 	sim.mu.Unlock()
 }
 
-// SetSoldOut makes the cloud have nothing more to rent in a zone, or have it again.
+// SetSoldOut makes scale-out fail for want of capacity in a zone, or succeed again.
 func (sim *Simulation) SetSoldOut(z wire.Zone, on bool) {
 	sim.mu.Lock()
 	sim.soldOut[z] = on
 	sim.mu.Unlock()
 }
 
-// SetSpotSoldOut makes the cloud have no more spot machines to rent, or have them again.
+// SetSpotSoldOut makes scale-out of spot machines fail for want of capacity, or succeed again.
 func (sim *Simulation) SetSpotSoldOut(on bool) {
 	sim.mu.Lock()
 	sim.noSpot = on
@@ -51,7 +51,7 @@
 	}
 }
 
-// SetUnlisted makes the machines that are rented from now on ones that no list ever
+// SetUnlisted makes the machines that are provisioned from now on ones that no list ever
 // shows, or no more of them. (Lists lag, and one that does not live as long as
 // they do may be in none.)
 func (sim *Simulation) SetUnlisted(on bool) {
@@ -60,14 +60,14 @@
 	sim.mu.Unlock()
 }
 
-// SetBootFactor makes machines come up in so many times the usual time.
+// SetBootFactor multiplies the time that machines take to boot.
 func (sim *Simulation) SetBootFactor(factor float64) {
 	sim.mu.Lock()
 	sim.bootFactor = factor
 	sim.mu.Unlock()
 }
 
-// SetQuickBoots lets machines be up within two seconds of their rental, or no more.
+// SetQuickBoots makes machines boot within two seconds, or in the usual time again.
 func (sim *Simulation) SetQuickBoots(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -30,7 +30,7 @@
 	due  time.Time
 }
 
-// notifyReader wakes the reader; call with the lock held.
+// notifyReader wakes the reader; the caller holds the lock.
 func (p *pipe) notifyReader() {
 	close(p.wake)
 	p.wake = make(chan struct{})
@@ -82,7 +82,7 @@
 	done          chan struct{}
 }
 
-// pair makes both ends of a connection.
+// pair returns both ends of a new connection.
 func (n *Network) pair(from, to string) (*conn, *conn) {
 	ab := &pipe{wake: make(chan struct{}), network: n, from: from, to: hostOf(to)}
 	ba := &pipe{wake: make(chan struct{}), network: n, from: hostOf(to), to: from}
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// Config of the i-th node.
+// Config returns the configuration of the i-th controller.
 func (sim *Simulation) Config(i int) config.Config { return sim.controllers[i].cfg }
 
 // ChangeSettings changes the settings that a node starts with the next time.
@@ -64,14 +64,14 @@
 	sim.Net.Reset(NodeIP(i))
 }
 
-// setPower notes that a node begins or ends, which is a fault to others.
+// setPower records that a controller starts or ends, which is a fault to others.
 func (sim *Simulation) setPower(n *controller, up bool) {
 	sim.mu.Lock()
 	n.up, sim.lastFault = up, time.Now()
 	sim.mu.Unlock()
 }
 
-// Leader is the index of the node that leads by the state service's
+// Leader returns the index of the controller that leads by the key-value store's
 // record, or -1.
 func (sim *Simulation) Leader() int {
 	sim.State.mu.Lock()
@@ -94,7 +94,7 @@
 	return -1
 }
 
-// LeaderKeyRevision is the revision of the leader's key, 0 while nobody holds it.
+// LeaderKeyRevision returns the revision of the leader's key, 0 while nobody holds it.
 func (sim *Simulation) LeaderKeyRevision() wire.Revision {
 	sim.State.mu.Lock()
 	defer sim.State.mu.Unlock()
@@ -104,7 +104,7 @@
 	return 0
 }
 
-// LeaderAndToken is who leads by the state service's record, -1 if nobody, and
+// LeaderAndToken returns the leader by the key-value store's record, -1 if nobody leads, and
 // the revision of its key.
 func (sim *Simulation) LeaderAndToken() (int, wire.FencingToken) {
 	i, at := sim.Leader(), sim.LeaderKeyRevision()
@@ -114,7 +114,7 @@
 	return i, wire.FencingToken(at)
 }
 
-// IsolateController cuts the i-th node from the state service and from the other nodes,
+// IsolateController cuts the i-th controller from the key-value store and from the other ones,
 // not from workers, users and the cloud, or ends the cut.
 func (sim *Simulation) IsolateController(i int, mode CutMode, on bool) {
 	for k := range sim.controllers {
@@ -125,7 +125,7 @@
 	sim.Net.CutWithMode(NodeIP(i), hostOf(StateAddr), mode, on)
 }
 
-// parseID is the index of a controller by its name.
+// parseID returns the index of a controller by its name.
 func parseID(s string) int {
 	n, _ := strconv.Atoi(strings.TrimPrefix(s, "worker-"))
 	return n
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -35,7 +35,7 @@
 	countedUntil  time.Time // until when progress was counted
 	progress      float64
 	speed         float64
-	stoppingSince time.Time // of the first halt
+	stoppingSince time.Time // of the first stop
 	brokenSince   time.Time // of the first loss, or when the save failed
 	saved         bool
 }
@@ -56,7 +56,7 @@
 // gangTick is how often the state of gangs is looked at.
 const gangTick = 50 * time.Millisecond
 
-// gangOf is what is known of a gang; call with the lock held.
+// gangOf returns the state of a gang, new if there is none; the caller holds the lock.
 func (sim *Simulation) gangOf(id wire.JobID) *gangJob {
 	if sim.gangs.jobs == nil {
 		sim.gangs.jobs = map[wire.JobID]*gangJob{}
@@ -147,7 +147,7 @@
 	r.countedUntil = now
 }
 
-// rollBack makes a gang that ran lose what it has done since its last checkpoint.
+// rollBack returns a running gang to its last checkpoint.
 func (sim *Simulation) rollBack(g *gangJob, r *gangRun, now time.Time) {
 	if !r.brokenSince.IsZero() {
 		return
@@ -163,7 +163,7 @@
 	}
 }
 
-// stopGangTask carries out a halt of a gang's task; call with the lock held.
+// stopGangTask carries out a stop of a gang's task; the caller holds the lock.
 func (m *worker) stopGangTask(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) {
 	now := time.Now()
 	s := &m.sim.scripts[t.Job].Spec
@@ -194,7 +194,7 @@
 	m.exitTask(t, x, wire.CauseStopped)
 }
 
-// stepGangs lets time pass for all gangs; call with the lock held.
+// stepGangs lets time pass for all gangs; the caller holds the lock.
 func (sim *Simulation) stepGangs(now time.Time) {
 	var ids []wire.JobID
 	for id := range sim.gangs.jobs {
@@ -209,7 +209,7 @@
 	}
 }
 
-// stepGang lets time pass for one attempt of a gang; call with the lock held.
+// stepGang lets time pass for one attempt of a gang; the caller holds the lock.
 func (sim *Simulation) stepGang(script *JobScript, g *gangJob, r *gangRun, now time.Time) {
 	sim.advance(g, r, now)
 	var order []*gangMember
@@ -244,7 +244,7 @@
 	}
 }
 
-// hangs tells whether a machine hangs; call with the lock held.
+// hangs reports whether a machine hangs; the caller holds the lock.
 func (sim *Simulation) hangs(m *worker) bool {
 	return sim.machineFaults.hung[m.id] != nil || m.stalled
 }
@@ -291,7 +291,7 @@
 	}
 }
 
-// GangState is what the workers make of a gang.
+// GangState is the progress of a gang on its machines.
 type GangState struct {
 	Fetching, Waiting, Running, Saving   int
 	Starts, Saves, Rollbacks, Incomplete int
@@ -300,7 +300,7 @@
 	Done                                 bool
 }
 
-// GangState tells how a gang stands.
+// GangState returns the progress of a gang.
 func (sim *Simulation) GangState(id wire.JobID) GangState {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/late_requests.go
+++ b/internal/simulator/late_requests.go
@@ -8,13 +8,13 @@
 	"lilaclead/internal/wire"
 )
 
-// LateRequests is what became of the rentals and releases that the cloud carried out
+// LateRequests is what became of the scale-out and scale-in requests that the cloud carried out
 // late.
 type LateRequests struct {
 	Delayed     int // requests that were held back
 	CarriedOut  int // of these
-	Provisioned int // machines that a late rental made
-	ScaledIn    int // machines that a late release took
+	Provisioned int // machines that a late scale-out request made
+	ScaledIn    int // machines that a late scale-in request took
 	EndedTasks  int // tasks that ran on these
 }
 
@@ -26,7 +26,7 @@
 	outcome             LateRequests
 }
 
-// DelayCloudRequests makes the next rentals and releases unanswered and carries them
+// DelayCloudRequests makes the next scale-out and scale-in requests unanswered and carries them
 // out so much later, whoever leads then.
 func (sim *Simulation) DelayCloudRequests(rentals, releases int, by time.Duration) {
 	sim.mu.Lock()
@@ -34,7 +34,7 @@
 	sim.lateRequests.scaleOuts, sim.lateRequests.scaleIns, sim.lateRequests.delay = rentals, releases, by
 }
 
-// LateCloudRequests tells what became of them.
+// LateCloudRequests returns what became of the delayed requests.
 func (sim *Simulation) LateCloudRequests() LateRequests {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -12,11 +12,11 @@
 // lock guards it.
 type machineFaults struct {
 	recordedHeartbeats map[wire.MachineID][]wire.Heartbeat // nil: none are kept
-	droppedHeartbeats  map[wire.MachineID]bool             // their next reports arrive nowhere
-	duplicateShare     float64                             // of the reports that are copied
+	droppedHeartbeats  map[wire.MachineID]bool             // their next heartbeats arrive nowhere
+	duplicateShare     float64                             // of the heartbeats that are copied
 	duplicateDelay     [2]time.Duration                    // when the copies come
 	duplicates         int                                 // that came
-	staleDuplicates    int                                 // of these, after a newer report of their machine
+	staleDuplicates    int                                 // of these, after a newer heartbeat of their machine
 	hung               map[wire.MachineID]chan struct{}    // closed when the machine goes on
 	hungFor            map[wire.MachineID]time.Duration    // how long each hung until now
 	hungSince          map[wire.MachineID]time.Time        // when it last began to hang
@@ -24,7 +24,7 @@
 	lateCommands       map[wire.Verb]int // commands that came late, and direct ones answered late
 }
 
-// MakeFaulty makes a machine fail every task from now on.
+// MakeFaulty makes a machine fail all its tasks from now on.
 func (sim *Simulation) MakeFaulty(id wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -179,7 +179,7 @@
 	sim.gangs.speed[id] = speed
 }
 
-// speedOf is a machine's speed; call with the lock held.
+// speedOf returns a machine's speed; the caller holds the lock.
 func (sim *Simulation) speedOf(id wire.MachineID) float64 {
 	if s, ok := sim.gangs.speed[id]; ok {
 		return s
@@ -197,7 +197,7 @@
 	sim.gangs.launchRefusals[id] = n
 }
 
-// refusesLaunch tells whether it refuses this launch as full.
+// refusesLaunch reports whether it refuses this launch as full.
 func (m *worker) refusesLaunch() bool {
 	if m.sim.gangs.launchRefusals[m.id] > 0 {
 		m.sim.gangs.launchRefusals[m.id]--
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -15,7 +15,7 @@
 	return len(sim.machines)
 }
 
-// ProvisionedSoFar counts all the machines that were ever rented.
+// ProvisionedSoFar counts all the machines that were ever provisioned.
 func (sim *Simulation) ProvisionedSoFar() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -112,7 +112,7 @@
 	return out
 }
 
-// MachineIP of a machine.
+// MachineIP returns the address of a machine, empty if it is gone.
 func (sim *Simulation) MachineIP(id wire.MachineID) string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -122,7 +122,7 @@
 	return ""
 }
 
-// MachineZone of a machine; empty if it is gone.
+// MachineZone returns the zone of a machine, empty if it is gone.
 func (sim *Simulation) MachineZone(id wire.MachineID) wire.Zone {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -132,7 +132,7 @@
 	return ""
 }
 
-// MachineEpoch is a machine's session, the number of its last message and the highest
+// MachineEpoch returns a machine's agent epoch, the number of its last message and the highest
 // token it has seen; zero if it is gone.
 func (sim *Simulation) MachineEpoch(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
 	sim.mu.Lock()
@@ -143,7 +143,7 @@
 	return 0, 0, 0
 }
 
-// NewestMachine tells of the newest machine that is up how long ago it was rented and how
+// NewestMachine tells of the newest machine that is up how long ago it was provisioned and how
 // long after that it was up; zero if there is none.
 func (sim *Simulation) NewestMachine() (age, boot time.Duration) {
 	sim.mu.Lock()
@@ -182,7 +182,7 @@
 	return out
 }
 
-// freeRoom is what is free on a machine; call with the lock held.
+// freeRoom returns the free capacity of a machine; the caller holds the lock.
 func (m *worker) freeRoom() (cpus, ram float64) {
 	cpus, ram = m.spec.CPUs, m.spec.MemoryGB
 	for t, x := range m.tasks {
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -13,7 +13,7 @@
 type CommandDelay struct {
 	Command           time.Duration // a direct command
 	Answer            time.Duration // the answer to one
-	HeartbeatResponse time.Duration // the answer to a report
+	HeartbeatResponse time.Duration // the answer to a heartbeat
 }
 
 // DelayCommands holds up commands and answers of all machines from now on; a
@@ -24,7 +24,7 @@
 	sim.machineFaults.commandDelay = l
 }
 
-// commandDelay of commands now.
+// commandDelay returns the present delay of commands.
 func (m *worker) commandDelay() CommandDelay {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
@@ -35,7 +35,7 @@
 // came late.
 const Answered wire.Verb = "answered"
 
-// LateCommands is how many direct launches or halts came after they had been held up
+// LateCommands returns how many direct launches or stops came after they had been held up
 // or had waited for a machine that hung, how many direct commands were executed
 // and answered late, and how many orders to forget were executed late.
 func (sim *Simulation) LateCommands(v wire.Verb) int {
@@ -44,7 +44,7 @@
 	return sim.machineFaults.lateCommands[v]
 }
 
-// countLate counts what came late; call with the lock held.
+// countLate counts what came late; the caller holds the lock.
 func (sim *Simulation) countLate(since time.Time, orders []wire.Command, which ...wire.Verb) {
 	if time.Since(since) < time.Second {
 		return
@@ -59,21 +59,21 @@
 	}
 }
 
-// RecordHeartbeats keeps every report that is made from now on.
+// RecordHeartbeats records every heartbeat from now on.
 func (sim *Simulation) RecordHeartbeats() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.machineFaults.recordedHeartbeats = map[wire.MachineID][]wire.Heartbeat{}
 }
 
-// RecordedHeartbeats are the reports of a machine that were kept, in order.
+// RecordedHeartbeats returns the recorded heartbeats of a machine, in order.
 func (sim *Simulation) RecordedHeartbeats(id wire.MachineID) []wire.Heartbeat {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return slices.Clone(sim.machineFaults.recordedHeartbeats[id])
 }
 
-// DropHeartbeats holds up the reports of a machine on their way, as if each had
+// DropHeartbeats drops the heartbeats of a machine on their way, as if each had
 // been sent and not arrived. They can be handed over later.
 func (sim *Simulation) DropHeartbeats(id wire.MachineID, on bool) {
 	sim.mu.Lock()
@@ -84,7 +84,7 @@
 	sim.machineFaults.droppedHeartbeats[id] = on
 }
 
-// DuplicateHeartbeats makes copies of a share of all reports come to all nodes again,
+// DuplicateHeartbeats makes copies of a share of all heartbeats come to all nodes again,
 // between the two times after they were sent.
 func (sim *Simulation) DuplicateHeartbeats(share float64, from, to time.Duration) {
 	sim.mu.Lock()
@@ -92,15 +92,15 @@
 	sim.machineFaults.duplicateShare, sim.machineFaults.duplicateDelay = share, [2]time.Duration{from, to}
 }
 
-// DuplicateCounts is how many copies came, and how many of them after a newer report.
+// DuplicateCounts returns how many copies were delivered, and how many of them after a newer heartbeat.
 func (sim *Simulation) DuplicateCounts() (all, older int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.machineFaults.duplicates, sim.machineFaults.staleDuplicates
 }
 
-// onHeartbeatSent notes a report that is about to be sent and tells whether it is
-// held up; call with the lock held.
+// onHeartbeatSent notes a heartbeat that is about to be sent and reports whether it is
+// held up; the caller holds the lock.
 func (sim *Simulation) onHeartbeatSent(m *worker, rep wire.Heartbeat) bool {
 	o := &sim.machineFaults
 	if o.recordedHeartbeats != nil {
@@ -116,7 +116,7 @@
 	return o.droppedHeartbeats[m.id]
 }
 
-// DeliveredHeartbeat is how a node answered a report that was handed to it.
+// DeliveredHeartbeat is a heartbeat that was delivered to a node, with the answer.
 type DeliveredHeartbeat struct {
 	Node      int
 	Heartbeat wire.Heartbeat
@@ -125,7 +125,7 @@
 	Newer     bool              // the machine had made a newer message before it came
 }
 
-// DeliverHeartbeats hands reports to all nodes at once, as the network does with packets
+// DeliverHeartbeats hands heartbeats to all nodes at once, as the network does with packets
 // that it had held, and waits for the answers, which reach no worker.
 func (sim *Simulation) DeliverHeartbeats(reps ...wire.Heartbeat) []DeliveredHeartbeat {
 	out := make([]DeliveredHeartbeat, 0, len(reps)*len(sim.controllers))
@@ -158,7 +158,7 @@
 	return out
 }
 
-// ResendLastHeartbeat takes the last report of a machine and sends copies of it to all nodes
+// ResendLastHeartbeat takes the last heartbeat of a machine and sends copies of it to all nodes
 // after the given times, whatever has become of the machine.
 func (sim *Simulation) ResendLastHeartbeat(id wire.MachineID, after ...time.Duration) {
 	sim.mu.Lock()
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -26,12 +26,12 @@
 	latency         time.Duration
 }
 
-// NewNetwork makes a network.
+// NewNetwork returns a network on which a packet takes the latency.
 func NewNetwork(latency time.Duration) *Network {
 	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, down: map[string]bool{}, blockedLinks: map[[2]string]bool{}, inboundBlocked: map[string]bool{}, isolated: map[string]bool{}, filtered: map[[2]string]bool{}, hostDelay: map[string]time.Duration{}, latency: latency}
 }
 
-// Host is the network as one host sees it.
+// Host returns the network as one host sees it.
 func (n *Network) Host(ip string) netio.Net {
 	return netio.Net{
 		Dial:   func(ctx context.Context, _, addr string) (net.Conn, error) { return n.dial(ctx, ip, addr) },
@@ -90,7 +90,7 @@
 
 func (l *listener) Addr() net.Addr { return addr(l.addr) }
 
-// hostOf is the host of an address.
+// hostOf returns the host of an address.
 func hostOf(a string) string {
 	h, _, err := net.SplitHostPort(a)
 	if err != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-// delay is how long a packet is on its way.
+// delay returns how long a packet is on its way between two hosts.
 func (n *Network) delay(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// IsCut tells whether connections between two hosts are cut now.
+// IsCut reports whether connections between two hosts are cut now.
 func (n *Network) IsCut(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// deliverPending lets what waited on open connections through.
+// deliverPending delivers what waited on open connections.
 func (n *Network) deliverPending() {
 	for _, c := range n.matching(anyConn) {
 		c.in.deliver()
@@ -76,7 +76,7 @@
 	}
 }
 
-// BlockInbound makes a host one that nothing reaches, while what it sends arrives.
+// BlockInbound blocks all packets to a host, while those that it sends arrive.
 func (n *Network) BlockInbound(ip string, on bool) {
 	n.mu.Lock()
 	n.inboundBlocked[ip] = on
@@ -156,14 +156,14 @@
 	}
 }
 
-// faulty tells whether any fault of the network lasts.
+// faulty reports whether any fault of the network lasts.
 func (n *Network) faulty() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return has(n.blockedLinks) || has(n.inboundBlocked) || has(n.isolated) || has(n.outboundBlocked) || has(n.filtered)
 }
 
-// has tells whether any entry is true.
+// has reports whether any entry is true.
 func has[K comparable](m map[K]bool) bool {
 	for _, on := range m {
 		if on {
--- a/internal/simulator/serve.go
+++ b/internal/simulator/serve.go
@@ -10,7 +10,7 @@
 // drainTime is how long clients may still wait for what was on its way.
 const drainTime = 5 * time.Second
 
-// ServeState lets a state service answer at StateAddr until stop is called, which ends
+// ServeState lets a key-value store answer at StateAddr until stop is called, which ends
 // the network and waits for what was on its way, in virtual time.
 func (n *Network) ServeState(s *State) (stop func(), err error) {
 	l, err := n.Host(hostOf(StateAddr)).Listen("tcp4", StateAddr)
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -17,10 +17,10 @@
 	CloudAddr = "10.2.0.2:8443"
 )
 
-// NodeIP of the i-th node.
+// NodeIP returns the address of the i-th controller.
 func NodeIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
-// DefaultSettings of a small deployment.
+// DefaultSettings returns the settings of a small deployment.
 func DefaultSettings() config.Settings {
 	return config.Settings{
 		Size: 3, Zones: []wire.Zone{"a", "b"}, ClockOffMs: 250,
@@ -57,5 +57,5 @@
 	}
 }
 
-// LoopbackAddr is where an address of the simulation is on the loopback network.
+// LoopbackAddr returns the loopback address that stands for an address of the simulation.
 func LoopbackAddr(addr string) string { return "127." + strings.TrimPrefix(addr, "10.") }
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -17,10 +17,10 @@
 	"lilaclead/internal/wire"
 )
 
-// StartFunc makes a node that runs until its context ends.
+// StartFunc creates a controller; the function that it returns runs it until the context ends.
 type StartFunc func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error)
 
-// JobScript is what the fakes know of a job beside its submission.
+// JobScript is a job's specification and how its tasks behave on the fake machines.
 type JobScript struct {
 	Spec        wire.JobSpec
 	RunTime     float64   // true run time of a task
@@ -28,7 +28,7 @@
 	RunTimes    []float64 // the first tasks' own run times; the others take RunTime
 }
 
-// runTimeOf is the true run time of one of the job's tasks.
+// runTimeOf returns the true run time of one of the job's tasks, in seconds.
 func (t *JobScript) runTimeOf(index int) float64 {
 	if index < len(t.RunTimes) {
 		return t.RunTimes[index]
@@ -129,7 +129,7 @@
 	return sim
 }
 
-// controllerConfig is the configuration of the i-th controller.
+// controllerConfig returns the configuration of the i-th controller.
 func controllerConfig(set config.Settings, i int) config.Config {
 	name := func(k int) wire.NodeID { return wire.NodeID(fmt.Sprintf("worker-%d", k)) }
 	zone := func(k int) wire.Zone { return set.Zones[k%len(set.Zones)] }
@@ -207,7 +207,7 @@
 	f(sim.checker)
 }
 
-// observe feeds the checker with what there is now; call with the lock held.
+// observe feeds the checker with what there is now; the caller holds the lock.
 func (sim *Simulation) observe(now time.Time) {
 	if sim.hasFault(now) {
 		sim.lastFault = now
@@ -232,7 +232,7 @@
 	sim.checker.ObserveRoom(rooms, now)
 }
 
-// hasFault tells whether the simulation sees a fault; call with the lock held.
+// hasFault reports whether the simulation sees a fault; the caller holds the lock.
 func (sim *Simulation) hasFault(now time.Time) bool {
 	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
 		return true
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -24,7 +24,7 @@
 	s.notify()
 }
 
-// InOutage tells whether an outage is on.
+// InOutage reports whether an outage lasts.
 func (s *State) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,14 +60,14 @@
 	s.mu.Unlock()
 }
 
-// faulty tells whether any fault of the service lasts.
+// faulty reports whether any fault of the service lasts.
 func (s *State) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outage || s.loseAnswers > 0 || s.dropRequests > 0 || has(s.refused)
 }
 
-// TxnFault is what the state service does to some transactions: it gives no
+// TxnFault is what the key-value store does to some transactions: it gives no
 // answer, and carries them out at once or, with Late, some time later, when
 // newer ones have been carried out.
 type TxnFault struct {
@@ -82,7 +82,7 @@
 	Hang bool
 }
 
-// TxnOutcome of a transaction that a fault hit.
+// TxnOutcome is the outcome of a transaction that a fault hit.
 type TxnOutcome struct {
 	Client string
 	Keys   []string // that it changes
@@ -98,7 +98,7 @@
 	Newer int
 }
 
-// ChangesPrefix tells whether the transaction changes a key with the prefix.
+// ChangesPrefix reports whether the transaction changes a key with the prefix.
 func (f *TxnOutcome) ChangesPrefix(prefix string) bool {
 	return slices.ContainsFunc(f.Keys, func(k string) bool { return strings.HasPrefix(k, prefix) })
 }
@@ -130,7 +130,7 @@
 	s.txnFaults.rng, s.txnFaults.faults = rand.New(rand.NewPCG(seed, 11)), faults
 }
 
-// TxnOutcomes of the transactions that were hit so far, in the order of their coming.
+// TxnOutcomes returns the outcomes of the transactions that were hit so far, in order of arrival.
 func (s *State) TxnOutcomes() []TxnOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +141,7 @@
 	return out
 }
 
-// injectFault tells whether a fault hits the transaction, and plays it.
+// injectFault reports whether a fault hits the transaction, and plays it.
 func (s *State) injectFault(r *http.Request, t *wire.Txn) bool {
 	from := hostOf(r.RemoteAddr)
 	f := &TxnOutcome{Client: from, Keys: keysOf(t), Sent: time.Now()}
@@ -209,7 +209,7 @@
 	s.txnFaults.answerDelay[host] = by
 }
 
-// delayed is the writer through which an answer goes to a slow service's client.
+// delayed returns the writer that delays the answer to a client, if its answers are to be slow.
 func (s *State) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +238,7 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// trackUnanswered notes what a transaction has changed until it is answered.
+// trackUnanswered records the keys that a transaction changed until the returned function is called.
 func (s *State) trackUnanswered(from string, t *wire.Txn) (said func()) {
 	keys := keysOf(t)
 	s.mu.Lock()
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// stateLimits are what the state service can be given beside its faults: rates, as
+// stateLimits are what the key-value store can be given beside its faults: rates, as
 // PROTOCOL says, a short history, and delays of single transactions.
 type stateLimits struct {
 	mu                           sync.Mutex
@@ -46,7 +46,7 @@
 	s.SetRateLimits(rps, writeRPS)
 }
 
-// allows tells whether a transaction is within the limits of size. What it
+// allows reports whether a transaction is within the limits of size. What it
 // refuses is counted.
 func (s *State) allows(t *wire.Txn, bytes int) bool {
 	s.mu.Lock()
@@ -61,7 +61,7 @@
 	return ok
 }
 
-// jsonSize is the size of a value as the service counts it.
+// jsonSize returns the size of a value as the service counts it.
 func jsonSize(v wire.Raw) int {
 	if len(v) == 0 {
 		return 0
@@ -161,7 +161,7 @@
 	return false
 }
 
-// delayTxn is the delay of a transaction.
+// delayTxn waits for the delay of a transaction.
 func (l *stateLimits) delayTxn(t *wire.Txn) {
 	l.mu.Lock()
 	f := l.txnDelay
@@ -171,7 +171,7 @@
 	}
 }
 
-// delayRead is the delay of a read.
+// delayRead waits for the delay of a read.
 func (l *stateLimits) delayRead(key string) {
 	l.mu.Lock()
 	f := l.readDelay
@@ -181,7 +181,7 @@
 	}
 }
 
-// delayList is the delay of an answer.
+// delayList waits for the delay of an answer that lists keys or changes.
 func (l *stateLimits) delayList() {
 	l.mu.Lock()
 	f := l.listDelay
@@ -191,14 +191,14 @@
 	}
 }
 
-// recordFailed notes a transaction that failed at a guard.
+// recordFailed records a transaction that failed at a guard.
 func (l *stateLimits) recordFailed(t *wire.Txn) {
 	l.mu.Lock()
 	l.failedTxns = append(l.failedTxns, *t)
 	l.mu.Unlock()
 }
 
-// historySize is how many changes are kept.
+// historySize returns how many changes are kept.
 func (l *stateLimits) historySize() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +208,7 @@
 	return 10_000
 }
 
-// pageSize is how many entries a page may have.
+// pageSize returns how many entries a page may have.
 func (l *stateLimits) pageSize(most int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// State is the state service: revisions, guards, grants and watches.
+// State is the key-value store: revisions, guards, grants and watches.
 type State struct {
 	mu        sync.Mutex
 	revision  wire.Revision
@@ -55,7 +55,7 @@
 	change   wire.Change
 }
 
-// NewState makes an empty service.
+// NewState returns an empty key-value store with limits of transactions and values.
 func NewState(maxOps, valueKB int) *State {
 	return &State{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
 		refused: map[string]bool{}, maxOps: maxOps, valueKB: valueKB}
@@ -85,7 +85,7 @@
 	s.notify()
 }
 
-// Revision of a key, 0 if there is none, for tests.
+// Revision returns the revision of a key, 0 if there is none, for tests.
 func (s *State) Revision(key string) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	return 0
 }
 
-// Changes counts those that are still kept, of keys with a prefix.
+// Changes returns how many changes of keys with a prefix are still kept.
 func (s *State) Changes(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,14 +107,14 @@
 	return n
 }
 
-// LastRevision counts every change.
+// LastRevision returns the revision of the newest change.
 func (s *State) LastRevision() wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Value of a key, nil if there is none, for tests.
+// Value returns the value of a key, nil if there is none, for tests.
 func (s *State) Value(key string) wire.Raw {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +138,7 @@
 	return out
 }
 
-// LargestValue is the size of the largest value under a prefix.
+// LargestValue returns the size of the largest value under a prefix.
 func (s *State) LargestValue(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,7 +151,7 @@
 	return n
 }
 
-// notify wakes all open watches; call with the lock held.
+// notify wakes all open watches; the caller holds the lock.
 func (s *State) notify() {
 	close(s.wake)
 	s.wake = make(chan struct{})
@@ -170,7 +170,7 @@
 	}
 }
 
-// endGrant ends a grant and removes its keys; call with the lock held.
+// endGrant ends a grant and removes its keys; the caller holds the lock.
 func (s *State) endGrant(id wire.GrantID) {
 	delete(s.grants, id)
 	var dead []string
@@ -191,12 +191,12 @@
 	s.notify()
 }
 
-// missingKey is the answer about a key that there is not: the revision of all keys.
+// missingKey is the answer about a key that does not exist: the revision of the store.
 type missingKey struct {
 	Revision wire.Revision `cbor:"ledger"`
 }
 
-// ServeHTTP answers the requests of the state service's page.
+// ServeHTTP answers the requests of the key-value store's page.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
@@ -364,7 +364,7 @@
 	wire.Answer(w, status, answer)
 }
 
-// execute carries a transaction out; call with the lock held.
+// execute carries a transaction out; the caller holds the lock.
 func (s *State) execute(from string, t *wire.Txn) (status int, answer any) {
 	// An expired lease is told first, whatever the conditions.
 	for _, x := range t.Writes {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -19,7 +19,7 @@
 	operatorIP = "10.3.0.9"
 )
 
-// Submission is the map that a user sends.
+// Submission returns the map that a user sends to submit a job.
 func Submission(s wire.JobSpec) map[string]any {
 	m := map[string]any{
 		"nameId": string(s.ID), "lane": s.Class, "owner": string(s.Team), "shape": string(s.Kind), "urgency": string(s.Priority),
@@ -39,7 +39,7 @@
 	return m
 }
 
-// Ask makes one request to a node. Users wait 2 s for the answer to a poll, 5 s
+// Ask sends one request to a controller. Users wait 2 s for the answer to a poll, 5 s
 // for any other.
 func Ask(ctx context.Context, nw netio.Net, method, url string, body any) (int, []byte, http.Header) {
 	tr := nw.Transport(1, 1)
@@ -100,7 +100,7 @@
 // jobsPath is where users submit jobs.
 const jobsPath = "/v1/jobs"
 
-// bodyOf a request as it is sent.
+// bodyOf returns the body of a request as it is sent.
 func bodyOf(v any) []byte {
 	if raw, plain := v.([]byte); plain {
 		return raw
@@ -181,7 +181,7 @@
 	lastPollAfter      = 20 * time.Second // after the time to cancel, even if the job is over
 )
 
-// submitUntilAccepted submits a job at one node after the other, and tells whether it
+// submitUntilAccepted submits a job at one node after the other, and reports whether it
 // was accepted.
 func (sim *Simulation) submitUntilAccepted(t *JobScript, begin time.Time, next func() int) bool {
 	for {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -39,7 +39,7 @@
 	cached         map[wire.ImageID]bool
 	wake           chan struct{}
 	restarts       int            // counts the machine's own restarts
-	lastHeartbeat  wire.Heartbeat // the last report
+	lastHeartbeat  wire.Heartbeat // the last heartbeat
 }
 
 // taskRun is an attempt of a task on a machine.
@@ -51,7 +51,7 @@
 	cancel       context.CancelFunc
 }
 
-// requestHeartbeat makes the worker report soon; call with the lock held.
+// requestHeartbeat makes the worker send a heartbeat soon; the caller holds the lock.
 func (m *worker) requestHeartbeat() {
 	select {
 	case m.wake <- struct{}{}:
@@ -59,7 +59,7 @@
 	}
 }
 
-// nextHeartbeat of now; call with the lock held.
+// nextHeartbeat returns a heartbeat with the worker's present state; the caller holds the lock.
 func (m *worker) nextHeartbeat() wire.Heartbeat {
 	m.sequence++
 	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
@@ -92,19 +92,19 @@
 	m.sendHeartbeats()
 }
 
-// Pauses of a worker between two reports.
+// Pauses of a worker between two heartbeats.
 const (
-	// heartbeatTimeout is how long a worker waits for the answer to a report.
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// redirectPause comes before a report to the controller that an answer named.
+	// redirectPause comes before a heartbeat to the controller that an answer named.
 	redirectPause = 250 * time.Millisecond
-	// failurePause comes before a report to the next controller.
+	// failurePause comes before a heartbeat to the next controller.
 	failurePause = time.Second
-	// minHeartbeatInterval is the least time between two reports to the same one.
+	// minHeartbeatInterval is the least time between two heartbeats to the same one.
 	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// sendHeartbeats sends reports to one controller after the other, or the one that
+// sendHeartbeats sends heartbeats to one controller after the other, or the one that
 // an answer names, until the machine is gone.
 func (m *worker) sendHeartbeats() {
 	hc := &http.Client{Transport: m.sim.hostNet(m.ip).Transport(1, 1)}
@@ -128,7 +128,7 @@
 	}
 }
 
-// sendHeartbeatTo sends a report of now to the i-th controller and takes its answer.
+// sendHeartbeatTo sends a heartbeat of now to the i-th controller and takes its answer.
 func (m *worker) sendHeartbeatTo(hc *http.Client, i int) (status int, body []byte) {
 	m.awaitAwake(m.ctx)
 	m.sim.mu.Lock()
@@ -153,7 +153,7 @@
 	return status, body
 }
 
-// awaitNextHeartbeat waits until the next report is due, or something has changed.
+// awaitNextHeartbeat waits until the next heartbeat is due, or something has changed.
 func (m *worker) awaitNextHeartbeat() {
 	sleep(m.ctx, minHeartbeatInterval)
 	select {
@@ -163,7 +163,7 @@
 	}
 }
 
-// postHeartbeat posts a report; status 0: no answer.
+// postHeartbeat posts a heartbeat; status 0: no answer.
 func (m *worker) postHeartbeat(hc *http.Client, url string, v any) (int, []byte) {
 	ctx, cancel := context.WithTimeout(m.ctx, heartbeatTimeout)
 	defer cancel()
@@ -174,7 +174,7 @@
 	return status, raw
 }
 
-// onHeartbeatResponse takes the answer of a report that was sent in the given session.
+// onHeartbeatResponse takes the answer of a heartbeat that was sent in the given epoch.
 func (m *worker) onHeartbeatResponse(o *wire.Commands, restarts int, epoch wire.AgentEpoch, sent time.Time) {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// watchLease ends the session when no report was answered for its time, by the
+// watchLease ends the epoch when no heartbeat was answered for the lease's time, by the
 // worker's own clock.
 func (m *worker) watchLease() {
 	for m.ctx.Err() == nil {
@@ -206,7 +206,7 @@
 	}
 }
 
-// checkLease ends the session if the lease has run out; call with the lock held.
+// checkLease ends the epoch if the lease has run out; the caller holds the lock.
 func (m *worker) checkLease() {
 	if time.Since(m.leaseRenewedAt).Seconds()*m.clockRate > float64(m.sim.Settings.Workers.Lease) && !m.removed {
 		m.endAllTasks()
@@ -216,7 +216,7 @@
 	}
 }
 
-// endAllTasks ends all tasks; call with the lock held.
+// endAllTasks ends all tasks; the caller holds the lock.
 func (m *worker) endAllTasks() {
 	for t, x := range m.tasks {
 		x.cancel()
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-// execute carries commands out in order; call with the lock held.
+// execute carries commands out in order; the caller holds the lock.
 func (m *worker) execute(orders []wire.Command) {
 	for _, o := range orders {
 		t, err := wire.ParseTask(o.Task)
@@ -120,7 +120,7 @@
 // timeToFail is how long a task runs that fails.
 const timeToFail = 500 * time.Millisecond
 
-// startSaving lets a task that was told to stop save first, and tells whether it does.
+// startSaving lets a task that was told to stop save first, and reports whether it does.
 // What saves already goes on with it unless it is told to end at once. Call with
 // the lock held.
 func (m *worker) startSaving(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) bool {
@@ -148,7 +148,7 @@
 	return true
 }
 
-// exitTask ends a task; call with the lock held.
+// exitTask ends a task; the caller holds the lock.
 func (m *worker) exitTask(t wire.Task, x *taskRun, c wire.ExitCause) {
 	if x.phase != wire.PhaseFetching {
 		m.sim.checker.TaskLeft(t, m.id, c == wire.CauseDone)
--- a/internal/simulator/zone_faults.go
+++ b/internal/simulator/zone_faults.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// partitionMachine is what Part means for a machine.
+// partitionMachine applies PartitionZones to a machine.
 func (sim *Simulation) partitionMachine(m *worker, a, b wire.Zone, on bool) {
 	for i, n := range sim.controllers {
 		if z := n.cfg.Zone; z == a && m.zone == b || z == b && m.zone == a {
