--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -84,7 +84,7 @@
 		}
 		at(70 * time.Second)
 		mustRun(t, sim, s, "after all that")
-		faultsAreOver(sim)
+		markFaultsOver(sim)
 		at(240 * time.Second)
 		mustFinish(t, sim, burst...)
 	})
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -68,7 +68,7 @@
 // milliseconds: whoever wins, one end is told, and it is the key-value store's.
 func TestCancelAtLastTaskEnd(t *testing.T) {
 	t.Parallel()
-	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStateService()} {
+	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStore()} {
 		t.Run(fmt.Sprint(set.State.RPS), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, set, 410, func(sim *simulator.Simulation, at func(time.Duration)) {
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -32,8 +32,8 @@
 	return s
 }
 
-// slowRecords delays what is written of jobs' progress.
-func slowRecords(sim *simulator.Simulation, by time.Duration) {
+// delayProgressWrites delays what is written of jobs' progress.
+func delayProgressWrites(sim *simulator.Simulation, by time.Duration) {
 	sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
 		for _, write := range txn.Writes {
 			if strings.HasPrefix(write.Put, store.ProgressPrefix) {
@@ -44,9 +44,9 @@
 	})
 }
 
-// numbersOnce checks that no attempt of a task was ever on two machines, by all that
+// mustUseAttemptsOnce checks that no attempt of a task was ever on two machines, by all that
 // the workers have reported.
-func numbersOnce(t *testing.T, sim *simulator.Simulation) {
+func mustUseAttemptsOnce(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	type attempt struct {
 		task   string
@@ -93,9 +93,9 @@
 	return out
 }
 
-// recordedOnce checks that no attempt that was recorded is recorded again for another
+// mustNotReassignAttempts checks that no attempt that was recorded is recorded again for another
 // machine.
-func recordedOnce(t *testing.T, before, after map[[2]int]wire.MachineID) {
+func mustNotReassignAttempts(t *testing.T, before, after map[[2]int]wire.MachineID) {
 	t.Helper()
 	if len(before) == 0 || len(after) == 0 {
 		t.Errorf("%d attempts are recorded before, %d after", len(before), len(after))
@@ -127,7 +127,7 @@
 					sim.RecordHeartbeats()
 					j := largeGang(1, 300, 40)
 					at(2 * time.Second)
-					slowRecords(sim, 400*time.Millisecond)
+					delayProgressWrites(sim, 400*time.Millisecond)
 					if name != "half recorded" {
 						sim.DelayCommands(simulator.CommandDelay{Command: 300 * time.Millisecond})
 					}
@@ -146,17 +146,17 @@
 					if err := sim.StartController(l); err != nil {
 						t.Fatal(err)
 					}
-					slowRecords(sim, 0)
+					delayProgressWrites(sim, 0)
 					begin := time.Now()
 					eventually(t, 60*time.Second, "runs", func() bool { return sim.GangState(j.Spec.ID).Starts > 0 })
 					t.Logf("%s: runs %v after, %+v", name, time.Since(begin), sim.GangState(j.Spec.ID))
-					recordedOnce(t, before, storedAttempts(t, sim, j.Spec.ID))
+					mustNotReassignAttempts(t, before, storedAttempts(t, sim, j.Spec.ID))
 					time.Sleep(120 * time.Second)
 					mustBeArchived(t, sim, j)
 					if g := sim.GangState(j.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
 						t.Errorf("%+v: want one start, no fall, nobody alone", g)
 					}
-					numbersOnce(t, sim)
+					mustUseAttemptsOnce(t, sim)
 				})
 			})
 		}
@@ -171,7 +171,7 @@
 		sim.RecordHeartbeats()
 		j := largeGang(1, 500, 30)
 		at(2 * time.Second)
-		slowRecords(sim, 500*time.Millisecond)
+		delayProgressWrites(sim, 500*time.Millisecond)
 		sim.Submit(j, 0)
 		all := map[[2]int]wire.MachineID{}
 		for range 2 {
@@ -181,7 +181,7 @@
 			}
 			stored := storedAttempts(t, sim, j.Spec.ID)
 			if len(all) > 0 {
-				recordedOnce(t, all, stored)
+				mustNotReassignAttempts(t, all, stored)
 			}
 			maps.Copy(all, stored)
 			replaceLeader(t, sim)
@@ -190,15 +190,15 @@
 			}
 			time.Sleep(1200 * time.Millisecond)
 		}
-		slowRecords(sim, 0)
+		delayProgressWrites(sim, 0)
 		awaitGangRunning(t, sim, j, 60*time.Second)
-		recordedOnce(t, all, storedAttempts(t, sim, j.Spec.ID))
+		mustNotReassignAttempts(t, all, storedAttempts(t, sim, j.Spec.ID))
 		time.Sleep(150 * time.Second)
 		mustBeArchived(t, sim, j)
 		if g := sim.GangState(j.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
 			t.Errorf("%+v: want one start, no fall, nobody alone", g)
 		}
-		numbersOnce(t, sim)
+		mustUseAttemptsOnce(t, sim)
 	})
 }
 
@@ -222,7 +222,7 @@
 
 // The limits drop while gangs run, wait for room, and are being recorded, accepted
 // before and after the upgrade, alone and with a change of leader or an outage.
-func TestGangsAcrossTheDrop(t *testing.T) {
+func TestGangsAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
 	for i, trouble := range []string{"quiet", "change of leader", "outage"} {
 		t.Run(trouble, func(t *testing.T) {
@@ -243,7 +243,7 @@
 				mustExceedLoweredLimits(t, sim, running)
 				sim.SetSoldOut("a", true)
 				sim.Submit(waiting, 0)
-				slowRecords(sim, 400*time.Millisecond)
+				delayProgressWrites(sim, 400*time.Millisecond)
 				sim.Submit(recording, 0)
 				eventually(t, 60*time.Second, "is being recorded", func() bool { n := storedChunks(sim, recording); return n > 0 && n < 6 })
 				switch trouble {
@@ -263,7 +263,7 @@
 				if g := sim.GangState(waiting.Spec.ID); g.Fetching+g.Waiting+g.Running > 0 {
 					t.Errorf("the gang that is to wait does not: %+v", g)
 				}
-				slowRecords(sim, 0)
+				delayProgressWrites(sim, 0)
 				sim.SetSoldOut("a", false)
 				time.Sleep(time.Second)
 				// A task of the first is lost: its large chunk is written again, in parts, as it
@@ -284,7 +284,7 @@
 				if sim.State.OversizeRefusals() == 0 {
 					t.Error("nothing was refused by the lower limits")
 				}
-				numbersOnce(t, sim)
+				mustUseAttemptsOnce(t, sim)
 			})
 		})
 	}
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -34,7 +34,7 @@
 // A spot notice on one member's machine, while another hears of its stop only
 // shortly before gang_peer_s has passed: the stop begins early enough that all
 // are told and have saved before the machine goes.
-func TestGangNoticeWithALateHalt(t *testing.T) {
+func TestGangSpotNoticeWithDelayedStop(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		j := runningSpotGang(t, sim, at, 33*time.Second)
@@ -95,7 +95,7 @@
 // first stops a gang under a notice, and may no more be able to tell all of it.
 // No rule breaks, and the gang loses no more than what it did since its last
 // checkpoint.
-func TestGangNoticeBetweenTwoLeaders(t *testing.T) {
+func TestGangSpotNoticeBetweenTwoLeaders(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -91,7 +91,7 @@
 						}
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(220 * time.Second)
 				mustFinish(t, sim, all...)
 				starts, saves, falls, alone := 0, 0, 0, 0
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -171,9 +171,9 @@
 	return s
 }
 
-// settingsWithFastStateService are the default settings with a key-value store so
+// settingsWithFastStore are the default settings with a key-value store so
 // fast that requests hardly queue, and answers cross within milliseconds.
-func settingsWithFastStateService() config.Settings {
+func settingsWithFastStore() config.Settings {
 	s := simulator.DefaultSettings()
 	s.State.RPS, s.State.WriteRPS = 4000, 2000
 	return s
@@ -214,7 +214,7 @@
 	startControllers(t, sim, l)
 }
 
-// faultsAreOver tells the checker that no fault lasts from now on.
-func faultsAreOver(sim *simulator.Simulation) {
+// markFaultsOver tells the checker that no fault lasts from now on.
+func markFaultsOver(sim *simulator.Simulation) {
 	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(time.Now()) })
 }
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -54,7 +54,7 @@
 // endFaultsAndWait ends all faults of transactions, and gives the jobs some time.
 func endFaultsAndWait(sim *simulator.Simulation, d time.Duration) {
 	sim.State.InjectTxnFaults(0)
-	faultsAreOver(sim)
+	markFaultsOver(sim)
 	time.Sleep(d)
 }
 
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -185,7 +185,7 @@
 // other: whatever a user was told before a question, its answer must not be older.
 // (What users are told while the answer is on its way can't be in it.)
 type statusReader struct {
-	w     *simulator.Simulation
+	sim   *simulator.Simulation
 	stop  chan struct{}
 	ended chan struct{}
 	news  []statusSeen
@@ -193,7 +193,7 @@
 
 // startReader starts a reader of a job's status.
 func startReader(t *testing.T, sim *simulator.Simulation, id wire.JobID) *statusReader {
-	r := &statusReader{w: sim, stop: make(chan struct{}), ended: make(chan struct{})}
+	r := &statusReader{sim: sim, stop: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(r.ended)
 		rank := 0
@@ -244,7 +244,7 @@
 
 // firstSeen is when an answer of the rank came first; zero: never.
 func (r *statusReader) firstSeen(rank int) (at time.Time) {
-	r.w.WithChecker(func(*simulator.Checker) {
+	r.sim.WithChecker(func(*simulator.Checker) {
 		if i := slices.IndexFunc(r.news, func(n statusSeen) bool { return n.rank >= rank }); i >= 0 {
 			at = r.news[i].at
 		}
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -113,7 +113,7 @@
 						}
 					}
 					time.Sleep(20 * time.Second)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
 					mustFinish(t, sim, warm, a, quick)
 					mustRun(t, sim, s, "at the end")
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -14,7 +14,7 @@
 // machines, of machines that are gone, and as the first that a new leader
 // hears of a machine. They must free nothing, bring nothing back, and not
 // make a dead machine seem alive.
-func TestDuplicatedReportsArriveLate(t *testing.T) {
+func TestDuplicatedHeartbeatsArriveLate(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 31, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 12, 30)
@@ -120,7 +120,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				sim.StartController(l)
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				at(200 * time.Second)
 				mustFinish(t, sim, a, late)
 				mustBeGone(t, sim, gone, "at the end")
@@ -212,7 +212,7 @@
 		}
 		sim.DuplicateHeartbeats(0, 0, 0)
 		time.Sleep(lease * 5 / 2)
-		faultsAreOver(sim)
+		markFaultsOver(sim)
 		time.Sleep(120 * time.Second)
 		mustFinish(t, sim, a)
 		mustRun(t, sim, s, "when all is over")
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -102,7 +102,7 @@
 				sim.State.Outage(false)
 				sim.Net.Isolate(simulator.NodeIP(confirmer), false)
 				sim.StartController(confirmer)
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(80 * time.Second)
 				if n := tasksOnMachines(sim, keep.Spec.ID); n != 3 {
 					t.Errorf("%d of 3 replicas after the outage", n)
@@ -160,7 +160,7 @@
 					time.Sleep(20 * time.Second)
 					setFault(false)
 					sim.CloudOutage(false)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
 					if tasksOnMachines(sim, keep.Spec.ID) != 3 || tasksOnMachines(sim, gone.Spec.ID) != 0 {
 						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(sim, keep.Spec.ID), tasksOnMachines(sim, gone.Spec.ID))
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -135,7 +135,7 @@
 				}
 				mustHaveTaskInUnknownZone(t, sim)
 				sim.StartController(l) //nolint:errcheck // it was killed above
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, same)
 				mustRun(t, sim, sameS, "when all is over")
@@ -192,7 +192,7 @@
 				})
 				replaceLeader(t, sim)
 				sim.LoseScaleInAnswers(0)
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, next)
 				mustRun(t, sim, s, "when all is over")
@@ -229,7 +229,7 @@
 				awaitSuccessor(t, sim, l)
 				sim.SetSoldOut("a", true)
 				sim.SetSoldOut("b", true)
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(60 * time.Second)
 				_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
 				var v admin.View
@@ -270,7 +270,7 @@
 					t.Error("no spot machine to take")
 				}
 				replaceLeader(t, sim)
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				if done == j.Spec.Tasks {
 					t.Error("the array was done already")
 				}
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -157,7 +157,7 @@
 						before, _ = sim.State.RateRefusals()
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(40 * time.Second)
 				done, cancelled := sim.CountEnded(all)
 				if done+cancelled != len(all) || cancelled < 75 {
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -239,7 +239,7 @@
 						time.Sleep(seconds(3))
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				if met < 3 {
 					t.Errorf("only %d faults fell into another one", met)
 				}
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -66,7 +66,7 @@
 						sim.State.LoseAnswers(1)
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(150 * time.Second)
 				mustFinish(t, sim, all...)
 			})
@@ -183,7 +183,7 @@
 					time.Sleep(seconds(10))
 					sim.CloudOutage(false)
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(240 * time.Second)
 				mustFinish(t, sim, all...)
 			})
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -28,7 +28,7 @@
 
 // A leader's scale-out request is carried out long after another leads. The successor goes on with
 // it under its name, so that the late one rents nothing more.
-func TestLateRentalOfAnEarlierLeader(t *testing.T) {
+func TestScaleOutOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 71, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
@@ -57,7 +57,7 @@
 
 // A leader's scale-in request is carried out long after another leads. The successor returns the
 // machine itself, so that nothing runs on it when the late one comes.
-func TestLateReleaseOfAnEarlierLeader(t *testing.T) {
+func TestScaleInOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 72, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
@@ -89,7 +89,7 @@
 
 // Writes of intents are carried out without an answer, late or at once: what is provisioned
 // and returned is still right, and nothing is left in the records.
-func TestUnansweredIntents(t *testing.T) {
+func TestIntentWritesUnanswered(t *testing.T) {
 	t.Parallel()
 	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 73, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
@@ -162,9 +162,9 @@
 	})
 }
 
-// mustRentInTurn checks that no leader provisioned once its successor had: a scale-out request's name
+// mustScaleOutInTokenOrder checks that no leader provisioned once its successor had: a scale-out request's name
 // tells under which token it was decided on.
-func mustRentInTurn(t *testing.T, sim *simulator.Simulation) {
+func mustScaleOutInTokenOrder(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	highest := uint64(0)
 	for _, name := range sim.ScaleOutNames() {
@@ -182,7 +182,7 @@
 // The leader is cut off from key-value store and peers, in each way, but not from workers
 // and the cloud; another leads on the other side, and both have work to rent for. Only
 // one of them rents, and no machine is leaked.
-func TestBothSidesOfASplitRent(t *testing.T) {
+func TestOnlyOneSideOfPartitionScalesOut(t *testing.T) {
 	t.Parallel()
 	for i, mode := range simulator.CutModes {
 		t.Run(string(mode), func(t *testing.T) {
@@ -200,7 +200,7 @@
 				time.Sleep(40 * time.Second)
 				sim.IsolateController(old, mode, false)
 				time.Sleep(120 * time.Second)
-				mustRentInTurn(t, sim)
+				mustScaleOutInTokenOrder(t, sim)
 				mustFinish(t, sim, first, second)
 				time.Sleep(60 * time.Second)
 				if n := sim.Machines(); n > 0 {
@@ -214,7 +214,7 @@
 // The leader ends with each step half done: provisioned and not answered, returned and not
 // answered, recorded and never sent (the cloud is away). Its successor leaks nothing and
 // rents nothing twice.
-func TestHalfDoneSteps(t *testing.T) {
+func TestLeaderEndsWithScalingHalfDone(t *testing.T) {
 	t.Parallel()
 	steps := map[string]struct {
 		begin, end func(sim *simulator.Simulation)
@@ -240,7 +240,7 @@
 				step.end(sim)
 				at(150 * time.Second)
 				mustFinish(t, sim, early, a)
-				mustRentInTurn(t, sim)
+				mustScaleOutInTokenOrder(t, sim)
 				at(230 * time.Second)
 				if n := sim.Machines(); n > 0 {
 					t.Errorf("%d machines are left", n)
@@ -252,7 +252,7 @@
 
 // A job is cleaned up while it is read slowly: between the two keys under which it may
 // lie. The reader finds it in one of them.
-func TestCleanupBesideASlowReader(t *testing.T) {
+func TestJobArchivedDuringSlowRead(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 130, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -26,10 +26,10 @@
 	}{
 		{"usual", simulator.DefaultSettings(), 0, 0, 0},
 		{"small", simulator.GasSettings(), 0, 0, 0},
-		{"fast", settingsWithFastStateService(), 0, 0, 0},
-		{"late", settingsWithFastStateService(), 0, 0, 120 * time.Millisecond},
-		{"lists", settingsWithFastStateService(), 6, 2, 0},
-		{"late lists", settingsWithFastStateService(), 6, 2, 40 * time.Millisecond},
+		{"fast", settingsWithFastStore(), 0, 0, 0},
+		{"late", settingsWithFastStore(), 0, 0, 120 * time.Millisecond},
+		{"lists", settingsWithFastStore(), 6, 2, 0},
+		{"late lists", settingsWithFastStore(), 6, 2, 40 * time.Millisecond},
 	}
 	for k, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -10,7 +10,7 @@
 
 // A state outage longer than a worker's lease loses no task while a majority
 // of nodes is linked.
-func TestServiceSurvivesStateServiceOutage(t *testing.T) {
+func TestServiceSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 3, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 4, 60)
@@ -88,7 +88,7 @@
 
 // A user's connection is at a node that the key-value store refuses while it
 // serves others: the node says so at once and leaves the load balancer's set.
-func TestPollAtControllerRefusedByStateService(t *testing.T) {
+func TestPollAtControllerRefusedByStore(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 34, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a := array(1, 2, 100)
@@ -108,7 +108,7 @@
 		}
 		at(40 * time.Second)
 		sim.State.RefuseClient(simulator.NodeIP(i), false)
-		faultsAreOver(sim)
+		markFaultsOver(sim)
 		at(200 * time.Second)
 		mustFinish(t, sim, a)
 	})
@@ -116,7 +116,7 @@
 
 // A leader that only the key-value store refuses gives way, and its late
 // commands, held up for minutes, start nothing twice.
-func TestStateServiceRefusesLeaderWithDelayedCommands(t *testing.T) {
+func TestStoreRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 4, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b := array(1, 8, 30), array(2, 8, 30)
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -112,7 +112,7 @@
 						time.Sleep(time.Until(begin.Add(c.lasts)))
 					}
 					fault(false)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					time.Sleep(75 * time.Second)
 					mustFinish(t, sim, next)
 					mustRun(t, sim, nextS, "when all is over")
@@ -228,7 +228,7 @@
 					sim.SlowMachineLinks(0)
 					sim.SetSoldOut("a", false)
 					sim.SetSoldOut("b", false)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					at(300 * time.Second)
 					mustFinish(t, sim, append(urgent, low, usual)...)
 					mustRun(t, sim, s, "when all is over")
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -10,7 +10,7 @@
 )
 
 // Transactions whose answers are lost are looked up, not guessed.
-func TestStateServiceAnswersLost(t *testing.T) {
+func TestStoreAnswersLost(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 7, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b := array(1, 10, 10), array(2, 10, 10)
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -174,7 +174,7 @@
 					}
 					off(false)
 					sim.StartController(l)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					time.Sleep(130 * time.Second)
 					mustFinish(t, sim, a)
 					mustRun(t, sim, s, "at the end")
@@ -256,7 +256,7 @@
 						off(false)
 						time.Sleep(20 * time.Second)
 						sim.CloudOutage(false)
-						faultsAreOver(sim)
+						markFaultsOver(sim)
 						time.Sleep(80 * time.Second)
 						mustFinish(t, sim, a)
 						mustRun(t, sim, s, "at the end")
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -117,7 +117,7 @@
 					}
 					sim.SetSoldOut("a", false)
 					c.hit(sim, false, ids)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					at(300 * time.Second)
 					mustFinish(t, sim, same)
 					for _, j := range []simulator.JobScript{sameS, boundS, spread} {
