--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"sort"
 	"time"
 
 	"lilaclead/internal/wire"
@@ -81,13 +80,7 @@
 func (sim *Simulation) ReclaimMachines(n int, which func(spot bool, tasks int) bool) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var ids []wire.MachineID
-	for id, m := range sim.machines {
-		if m.up && which(m.spot, len(m.tasks)) {
-			ids = append(ids, id)
-		}
-	}
-	sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
+	ids := sim.machinesWhere(func(m *worker) bool { return m.up && which(m.spot, len(m.tasks)) })
 	ids = ids[:min(n, len(ids))]
 	for _, id := range ids {
 		sim.removeMachine(id)
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"sort"
 	"time"
 
 	"lilaclead/internal/wire"
@@ -22,73 +21,62 @@
 	return sim.provisionedCount
 }
 
-// FirstMachine picks a live machine that passes the test.
-func (sim *Simulation) FirstMachine(which func(tasks int) bool) (wire.MachineID, string, bool) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	var ids []string
+// machinesWhere returns the machines that pass the test, sorted; the caller holds the
+// lock.
+func (sim *Simulation) machinesWhere(passes func(*worker) bool) []wire.MachineID {
+	var out []wire.MachineID
 	for id, m := range sim.machines {
-		if m.up && which(len(m.tasks)) {
-			ids = append(ids, string(id))
+		if passes(m) {
+			out = append(out, id)
 		}
 	}
+	slices.Sort(out)
+	return out
+}
+
+// FirstMachine returns the name and address of the first machine that is up and whose
+// number of tasks passes the test.
+func (sim *Simulation) FirstMachine(which func(tasks int) bool) (wire.MachineID, string, bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	ids := sim.machinesWhere(func(m *worker) bool { return m.up && which(len(m.tasks)) })
 	if len(ids) == 0 {
 		return "", "", false
 	}
-	sort.Strings(ids)
-	m := sim.machines[wire.MachineID(ids[0])]
-	return m.id, m.ip, true
+	return ids[0], sim.machines[ids[0]].ip, true
 }
 
-// RunningMachines lists the machines that are up.
+// RunningMachines returns the machines that are up.
 func (sim *Simulation) RunningMachines() []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for id, m := range sim.machines {
-		if m.up {
-			out = append(out, id)
-		}
-	}
-	slices.Sort(out)
-	return out
+	return sim.machinesWhere(func(m *worker) bool { return m.up })
 }
 
-// RunningMachinesIn lists the machines that are up in a zone.
+// RunningMachinesIn returns the machines that are up in a zone.
 func (sim *Simulation) RunningMachinesIn(z wire.Zone) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for id, m := range sim.machines {
-		if m.zone == z && m.up {
-			out = append(out, id)
-		}
-	}
-	slices.Sort(out)
-	return out
+	return sim.machinesWhere(func(m *worker) bool { return m.zone == z && m.up })
 }
 
-// BusyMachines lists the machines of a zone (empty: of all) that run tasks.
+// BusyMachines returns the machines of a zone (empty: of all) that run tasks.
 func (sim *Simulation) BusyMachines(z wire.Zone) []wire.MachineID {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for _, p := range sim.checker.on {
-		if (z == "" || p.Zone == z) && !slices.Contains(out, p.Machine) {
-			out = append(out, p.Machine)
-		}
-	}
-	slices.Sort(out)
-	return out
+	return sim.machinesOfTasks(func(_ wire.Task, p Place) bool { return z == "" || p.Zone == z })
 }
 
-// MachinesRunning lists the machines that run tasks of a job.
+// MachinesRunning returns the machines that run tasks of a job.
 func (sim *Simulation) MachinesRunning(id wire.JobID) []wire.MachineID {
+	return sim.machinesOfTasks(func(t wire.Task, _ Place) bool { return t.Job == id })
+}
+
+// machinesOfTasks returns the machines of the running tasks that pass the test, sorted.
+func (sim *Simulation) machinesOfTasks(passes func(wire.Task, Place) bool) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out []wire.MachineID
 	for t, p := range sim.checker.on {
-		if t.Job == id && !slices.Contains(out, p.Machine) {
+		if passes(t, p) && !slices.Contains(out, p.Machine) {
 			out = append(out, p.Machine)
 		}
 	}
@@ -96,20 +84,18 @@
 	return out
 }
 
-// MachinesHolding lists the machines that have tasks of a job, whatever they do.
+// MachinesHolding returns the machines that have tasks of a job, whatever they do.
 func (sim *Simulation) MachinesHolding(id wire.JobID) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for _, m := range sim.machines {
+	return sim.machinesWhere(func(m *worker) bool {
 		for t, x := range m.tasks {
-			if t.Job == id && x.phase != wire.PhaseExited && !slices.Contains(out, m.id) {
-				out = append(out, m.id)
+			if t.Job == id && x.phase != wire.PhaseExited {
+				return true
 			}
 		}
-	}
-	slices.Sort(out)
-	return out
+		return false
+	})
 }
 
 // MachineIP returns the address of a machine, empty if it is gone.
