--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -157,10 +157,8 @@
 		}
 		zones := sim.checker.TasksByZone(id)
 		for _, m := range sim.machines {
-			cpus, ram := m.freeRoom()
-			elsewhere := len(zones) > 1 || len(zones) == 1 && zones[m.zone] == 0
-			if m.up && m.reclaimAt.IsZero() && cpus+wire.Eps >= s.CPUs && ram+wire.Eps >= s.MemoryGB && (s.SpotAllowed || !m.spot) && (s.Zone == "" || s.Zone == m.zone) &&
-				(s.MachineTypes == nil || slices.Contains(s.MachineTypes, m.machineType)) && !(s.SameZone && elsewhere) && !(s.Spread && zones[m.zone] >= (s.Tasks+1)/2) {
+			r := m.room()
+			if m.up && m.reclaimAt.IsZero() && r.takes(s, zones) {
 				out[id] = n
 			}
 		}
@@ -168,14 +166,23 @@
 	return out
 }
 
-// freeRoom returns the free capacity of a machine; the caller holds the lock.
-func (m *worker) freeRoom() (cpus, ram float64) {
-	cpus, ram = m.spec.CPUs, m.spec.MemoryGB
+// room returns the machine with its free capacity and its tasks; the caller holds the
+// lock.
+func (m *worker) room() MachineRoom {
+	r := MachineRoom{
+		Place:  Place{m.id, m.machineType, m.zone, m.spot},
+		Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
+		CPUs:   m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB,
+	}
 	for t, x := range m.tasks {
-		if x.phase != wire.PhaseExited {
-			cpus -= m.sim.scripts[t.Job].Spec.CPUs
-			ram -= m.sim.scripts[t.Job].Spec.MemoryGB
+		script := m.sim.scripts[t.Job]
+		if script == nil || x.phase == wire.PhaseExited {
+			continue
 		}
+		r.CPUs -= script.Spec.CPUs
+		r.GPUs -= script.Spec.GPUs
+		r.MemoryGB -= script.Spec.MemoryGB
+		r.Tasks = append(r.Tasks, t)
 	}
-	return cpus, ram
+	return r
 }
--- a/internal/simulator/serve.go
+++ b/internal/simulator/serve.go
@@ -4,6 +4,7 @@
 	"io"
 	"log"
 	"net/http"
+	"sync"
 	"time"
 )
 
@@ -18,10 +19,12 @@
 		return nil, err
 	}
 	server := &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0)}
-	go server.Serve(l) //nolint:errcheck // ends with Close
+	var serving sync.WaitGroup
+	serving.Go(func() { server.Serve(l) }) //nolint:errcheck // ends with Close
 	return func() {
 		n.Close()
 		server.Close()
+		serving.Wait()
 		time.Sleep(drainTime)
 		n.Close()
 	}, nil
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -216,18 +216,7 @@
 	sim.checker.Tick(now)
 	rooms := make([]MachineRoom, 0, len(sim.machines))
 	for _, id := range slices.Sorted(maps.Keys(sim.machines)) {
-		m := sim.machines[id]
-		r := MachineRoom{Place: Place{m.id, m.machineType, m.zone, m.spot}, Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
-			CPUs: m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB}
-		for t, x := range m.tasks {
-			if truth := sim.scripts[t.Job]; truth != nil && x.phase != wire.PhaseExited {
-				r.CPUs -= truth.Spec.CPUs
-				r.GPUs -= truth.Spec.GPUs
-				r.MemoryGB -= truth.Spec.MemoryGB
-				r.Tasks = append(r.Tasks, t)
-			}
-		}
-		rooms = append(rooms, r)
+		rooms = append(rooms, sim.machines[id].room())
 	}
 	sim.checker.ObserveRoom(rooms, now)
 }
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -61,8 +61,8 @@
 		refuse(wire.CauseFull)
 		return
 	}
-	cpus, memory := m.freeRoom()
-	if script.Spec.CPUs > cpus+wire.Eps || script.Spec.MemoryGB > memory+wire.Eps {
+	free := m.room()
+	if script.Spec.CPUs > free.CPUs+wire.Eps || script.Spec.MemoryGB > free.MemoryGB+wire.Eps {
 		refuse(wire.CauseFull)
 		return
 	}
