--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -16,8 +16,7 @@
 		runOnBothLayouts(t, 20+seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 			a, s := array(1, 10, 30), service(2, 3)
 			at(2 * time.Second)
-			sim.Submit(a, 0)
-			sim.Submit(s, 0)
+			submitAll(sim, a, s)
 			at(35 * time.Second)
 			sim.State.Outage(true)
 			at(50 * time.Second)
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -40,8 +40,7 @@
 			c.run(t, 66, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 10, 50)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				for round := range 3 {
 					at(time.Duration(40+50*round) * time.Second)
 					var ran, begins [3]simulator.JobScript
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -322,8 +322,7 @@
 		s, a := service(1, 4), array(2, 10, 60)
 		a.Spec.CPUs = 1.5 // with room beside them
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(45 * time.Second)
 		l, old := sim.Leader(), sim.LeaderKeyRevision()
 		sim.State.DelayWatches(300 * time.Millisecond)
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -49,10 +49,10 @@
 		}
 		sim.GiveSpotNotice(on[0], 16*time.Second)
 		holdFromNodes(true)
-		eventually(t, 16*time.Second, "first halt", func() bool { return sim.GangState(j.Spec.ID).Saving > 0 })
+		eventually(t, 16*time.Second, "first stop", func() bool { return sim.GangState(j.Spec.ID).Saving > 0 })
 		time.Sleep(6 * time.Second)
 		holdFromNodes(false)
-		eventually(t, 90*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+		awaitGangRestart(t, sim, j, 90*time.Second)
 		mustHaveSaved(t, sim, j, 33)
 		time.Sleep(70 * time.Second)
 		mustFinish(t, sim, j)
@@ -79,7 +79,7 @@
 					sim.KillController(leader)
 				}
 				sim.State.Outage(false)
-				eventually(t, 60*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+				awaitGangRestart(t, sim, j, 60*time.Second)
 				if how == "another leader" {
 					sim.StartController(leader)
 				}
@@ -111,7 +111,7 @@
 				time.Sleep(30 * time.Second)
 				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(on[len(on)-1]), false)
 				sim.State.RefuseClient(simulator.NodeIP(leader), false)
-				eventually(t, 90*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+				awaitGangRestart(t, sim, j, 90*time.Second)
 				if g := sim.GangState(j.Spec.ID); g.Saved < 20 {
 					t.Errorf("%+v, want at least the checkpoint at 20 s", g)
 				}
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -23,9 +23,7 @@
 					in, other := gang(1, 4, 50), gang(2, 4, 50)
 					across := gang(3, 6, 50)
 					in.Spec.Zone, across.Spec.SameZone, across.Spec.Spread = z, false, true
-					sim.Submit(in, 0)
-					sim.Submit(other, 0)
-					sim.Submit(across, 0)
+					submitAll(sim, in, other, across)
 					awaitGangRunning(t, sim, in, 40*time.Second)
 					time.Sleep(10 * time.Second)
 					for _, id := range sim.MachinesHolding(in.Spec.ID) {
--- a/internal/scenarios/gang_start_test.go
+++ b/internal/scenarios/gang_start_test.go
@@ -99,7 +99,7 @@
 					sim.HangMachines(false, on[0])
 					sim.CountFault(false)
 				}
-				eventually(t, 100*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+				awaitGangRestart(t, sim, j, 100*time.Second)
 				if g := sim.GangState(j.Spec.ID); g.Rollbacks != 1 || g.Saved != 20 {
 					t.Errorf("%+v, want one fall to 20 s", g)
 				}
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -15,7 +15,7 @@
 // checkpoint.
 func TestGangPreempted(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"quiet", "a halt is late", "leader ends at the first halt", "and the service is cancelled"} {
+	for _, how := range []string{"quiet", "a stop is late", "leader ends at the first stop", "and the service is cancelled"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 804, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -34,7 +34,7 @@
 				l := sim.Leader()
 				if on := sim.MachinesHolding(j.Spec.ID); len(on) < 2 {
 					t.Fatalf("all on %v", on)
-				} else if how == "leader ends at the first halt" || how == "and the service is cancelled" {
+				} else if how == "leader ends at the first stop" || how == "and the service is cancelled" {
 					sim.Net.Hold(simulator.NodeIP(l), sim.MachineIP(on[1]), true)
 					defer sim.Net.Hold(simulator.NodeIP(l), sim.MachineIP(on[1]), false)
 				} else if how != "quiet" {
@@ -48,7 +48,7 @@
 				if how != "quiet" && g.Running == 0 {
 					t.Errorf("%+v: nobody hears of it late", g)
 				}
-				if how == "leader ends at the first halt" || how == "and the service is cancelled" {
+				if how == "leader ends at the first stop" || how == "and the service is cancelled" {
 					sim.KillController(l)
 					if how == "and the service is cancelled" { // then only what is saving tells the next leader
 						eventually(t, 5*time.Second, "cancelled", func() bool {
@@ -60,7 +60,7 @@
 					sim.StartController(l)
 				}
 				time.Sleep(30 * time.Second)
-				if g = sim.GangState(j.Spec.ID); g.Saves+g.Rollbacks != 1 || g.Saved < 20 || how != "leader ends at the first halt" && (g.Rollbacks != 0 || g.Saved < 24) {
+				if g = sim.GangState(j.Spec.ID); g.Saves+g.Rollbacks != 1 || g.Saved < 20 || how != "leader ends at the first stop" && (g.Rollbacks != 0 || g.Saved < 24) {
 					t.Errorf("%+v, want one orderly stop", g)
 				}
 				t.Logf("%+v", g)
@@ -86,10 +86,8 @@
 				awaitGangRunning(t, sim, j, 60*time.Second)
 				time.Sleep(33 * time.Second)
 				sim.GiveSpotNotice(sim.MachinesHolding(j.Spec.ID)[0], left)
-				eventually(t, 60*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
-				if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.Saved < 33 {
-					t.Errorf("%+v, want one orderly stop", g)
-				}
+				awaitGangRestart(t, sim, j, 60*time.Second)
+				mustHaveSaved(t, sim, j, 33)
 				time.Sleep(60 * time.Second)
 				mustFinish(t, sim, j)
 			})
@@ -115,10 +113,8 @@
 		}
 		time.Sleep(4 * time.Second)
 		sim.StartController(l)
-		eventually(t, 60*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
-		if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.Saved < 33 {
-			t.Errorf("%+v, want one orderly stop", g)
-		}
+		awaitGangRestart(t, sim, j, 60*time.Second)
+		mustHaveSaved(t, sim, j, 33)
 		time.Sleep(60 * time.Second)
 		mustFinish(t, sim, j)
 	})
@@ -140,7 +136,7 @@
 		time.Sleep(25 * time.Second)
 		t.Logf("in the outage %+v", sim.GangState(j.Spec.ID))
 		sim.State.Outage(false)
-		eventually(t, 60*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+		awaitGangRestart(t, sim, j, 60*time.Second)
 		time.Sleep(90 * time.Second)
 		mustFinish(t, sim, j)
 	})
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -19,7 +19,7 @@
 	sim.WithChecker(func(c *simulator.Checker) {
 		for _, j := range jobs {
 			if !c.Complete(j.Spec.ID) {
-				t.Errorf("%s is not complete", j.Spec.ID)
+				t.Errorf("%s: %d of %d tasks completed, want all", j.Spec.ID, c.Completed(j.Spec.ID), j.Spec.Tasks)
 			}
 		}
 	})
@@ -30,7 +30,7 @@
 	t.Helper()
 	sim.WithChecker(func(c *simulator.Checker) {
 		if n := c.OnMachines(s.Spec.ID); n != s.Spec.Tasks {
-			t.Errorf("%d of %d replicas %s", n, s.Spec.Tasks, when)
+			t.Errorf("%s: %d of %d replicas on machines %s, want all", s.Spec.ID, n, s.Spec.Tasks, when)
 		}
 	})
 }
@@ -45,7 +45,7 @@
 func mustBeGone(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, when string) {
 	t.Helper()
 	if n := tasksOnMachines(sim, j.Spec.ID); n != 0 {
-		t.Errorf("%d tasks of the cancelled %s %s", n, j.Spec.ID, when)
+		t.Errorf("%d tasks of the cancelled %s on machines %s, want 0", n, j.Spec.ID, when)
 	}
 }
 
@@ -101,7 +101,7 @@
 func mustLeaveNoKeys(t *testing.T, sim *simulator.Simulation, live ...simulator.JobScript) {
 	t.Helper()
 	if keys := leftoverKeys(sim, live...); len(keys) > 0 {
-		t.Errorf("left over: %v", keys)
+		t.Errorf("the key-value store still holds %v, want no records but those of %d live jobs", keys, len(live))
 	}
 }
 
@@ -110,7 +110,7 @@
 	t.Helper()
 	sim.WithChecker(func(c *simulator.Checker) {
 		if c.Restarts() != 0 {
-			t.Errorf("%d tasks were started again", c.Restarts())
+			t.Errorf("%d tasks were started again, want 0", c.Restarts())
 		}
 	})
 }
@@ -222,7 +222,7 @@
 		status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
 		var s wire.JobState
 		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done {
-			t.Errorf("node %d answers %d %+v about %s, which is done", i, status, s, id)
+			t.Errorf("node %d answers %d %+v about %s, want 200 and %s", i, status, s, id, wire.Done)
 		}
 	}
 }
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -12,6 +12,13 @@
 	"lilaclead/internal/wire"
 )
 
+// submitAll has users submit jobs, which they do not cancel, in this order.
+func submitAll(sim *simulator.Simulation, jobs ...simulator.JobScript) {
+	for _, j := range jobs {
+		sim.Submit(j, 0)
+	}
+}
+
 // requestCancel asks a controller once to cancel a job, as its user, and returns the
 // status that the user was told, if any.
 func requestCancel(sim *simulator.Simulation, node int, id wire.JobID) (wire.Status, bool) {
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -71,6 +71,12 @@
 	return eventually(t, most, string(j.Spec.ID)+" runs whole", func() bool { return sim.GangState(j.Spec.ID).Running == j.Spec.Tasks })
 }
 
+// awaitGangRestart waits until a gang has started for the second time.
+func awaitGangRestart(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, most time.Duration) bool {
+	t.Helper()
+	return eventually(t, most, string(j.Spec.ID)+" starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+}
+
 // awaitOtherLeader waits until another controller than this one leads.
 func awaitOtherLeader(t *testing.T, sim *simulator.Simulation, than int, most time.Duration) int {
 	t.Helper()
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -60,18 +60,14 @@
 					s, gone, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
 					a, late, quick := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
 					at(2 * time.Second)
-					sim.Submit(s, 0)
-					sim.Submit(gone, 0)
-					sim.Submit(warm, 0)
+					submitAll(sim, s, gone, warm)
 					at(44 * time.Second)
 					ms := sim.BusyMachines("")
 					sim.DelayCommands(c.lag)
 					if c.hang {
 						sim.HangMachines(true, ms...)
 					}
-					sim.Submit(a, 0)
-					sim.Submit(late, 0)
-					sim.Submit(quick, 0)
+					submitAll(sim, a, late, quick)
 					time.Sleep(time.Second)
 					if then == "cancel" || then == "both" {
 						mustCancel(t, sim, gone)
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -19,8 +19,7 @@
 	runWithSettings(t, settingsOfSize(5), 31, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 12, 30)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		var late []time.Duration
 		for d := 2; d < 60; d += 3 {
 			late = append(late, time.Duration(d)*time.Second)
@@ -66,8 +65,7 @@
 				sim.RecordHeartbeats()
 				a, gone, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
 				at(2 * time.Second)
-				sim.Submit(a, 0)
-				sim.Submit(gone, 0)
+				submitAll(sim, a, gone)
 				at(45 * time.Second)
 				ms := sim.BusyMachines("")
 				if len(ms) == 0 || tasksOnMachines(sim, gone.Spec.ID) != 4 {
@@ -140,9 +138,7 @@
 		sim.RecordHeartbeats()
 		a, gone, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(gone, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, gone, s)
 		at(45 * time.Second)
 		sim.DuplicateHeartbeats(0.3, 2*time.Second, lease*5/2)
 		// Their leases run out although they answer all commands.
@@ -237,9 +233,7 @@
 					sim.RecordHeartbeats()
 					a, gone, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
 					at(2 * time.Second)
-					sim.Submit(a, 0)
-					sim.Submit(gone, 0)
-					sim.Submit(s, 0)
+					submitAll(sim, a, gone, s)
 					at(45 * time.Second)
 					ms := sim.BusyMachines("")
 					var reps []wire.Heartbeat
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -138,8 +138,7 @@
 			runOnAlternatingLayouts(t, uint64(620+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				warm, a, b, s := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(warm, 0)
+				submitAll(sim, s, warm)
 				at(27 * time.Second)
 				l := sim.Leader()
 				if l < 0 {
@@ -219,8 +218,7 @@
 			runOnAlternatingLayouts(t, uint64(640+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 3), array(2, 6, 15)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				at(30 * time.Second)
 				for k := range 2 {
 					l := sim.Leader()
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -17,8 +17,7 @@
 	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 12, 40), service(2, 3)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(45 * time.Second)
 		for range 3 {
 			l := sim.Leader()
@@ -51,8 +50,7 @@
 	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 10, 30), service(2, 3)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(30 * time.Second)
 		for k := range 12 {
 			i := (sim.Leader() + 3) % 3
@@ -84,8 +82,7 @@
 		for n := range 10 {
 			j, gone := array(10+n, 1+n%3, float64(10+5*n)), array(30+n, 2, 100)
 			all = append(all, j)
-			sim.Submit(j, 0)
-			sim.Submit(gone, 0)
+			submitAll(sim, j, gone)
 			time.Sleep(700 * time.Millisecond)
 			l := sim.Leader()
 			if n%2 == 0 {
@@ -156,8 +153,7 @@
 				two, three := array(1, 2, 0), array(2, 3, 0)
 				two.RunTimes, three.RunTimes = []float64{14, 75}, []float64{16, 48, 80}
 				at(2 * time.Second)
-				sim.Submit(two, 0)
-				sim.Submit(three, 0)
+				submitAll(sim, two, three)
 				ended := func() (n int) {
 					sim.WithChecker(func(c *simulator.Checker) { n = c.Completed(two.Spec.ID) + c.Completed(three.Spec.ID) })
 					return n
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -8,6 +8,13 @@
 	"lilaclead/internal/simulator"
 )
 
+// cutFromMachines cuts a controller from the first 100 machines, or ends the cut.
+func cutFromMachines(sim *simulator.Simulation, node int, on bool) {
+	for i := 1; i <= 100; i++ {
+		sim.Net.Cut(simulator.NodeIP(node), fmt.Sprintf("10.1.0.%d", i), on)
+	}
+}
+
 // A leader cut off from all workers resigns in favour of a node that they
 // reach.
 func TestLeaderPartitionedFromWorkers(t *testing.T) {
@@ -15,20 +22,15 @@
 	runOnBothLayouts(t, 10, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 30, 25)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		l := sim.Leader()
-		for i := 1; i <= 100; i++ {
-			sim.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), true)
-		}
+		cutFromMachines(sim, l, true)
 		at(75 * time.Second)
 		if n := sim.Leader(); n == l {
 			t.Error("the leader that reaches no worker still leads")
 		}
-		for i := 1; i <= 100; i++ {
-			sim.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), false)
-		}
+		cutFromMachines(sim, l, false)
 		at(220 * time.Second)
 		mustFinish(t, sim, a)
 		mustRun(t, sim, s, "run")
@@ -43,8 +45,7 @@
 	runOnBothLayouts(t, 13, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 12, 20)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		l := sim.Leader()
 		_, ip, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
@@ -70,8 +71,7 @@
 	runScenario(t, 18, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		l := sim.Leader()
 		for i := range 3 {
@@ -111,8 +111,7 @@
 			runWithSettings(t, settingsOfSize(size), 33, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 40)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				at(40 * time.Second)
 				l := sim.Leader()
 				cut := func(on bool) {
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -123,8 +123,7 @@
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(5), 230, func(sim *simulator.Simulation, at func(time.Duration)) {
 					keep, gone := service(1, 3), service(2, 4)
-					sim.Submit(keep, 0)
-					sim.Submit(gone, 0)
+					submitAll(sim, keep, gone)
 					at(45 * time.Second)
 					l := sim.Leader()
 					on := sim.MachinesRunning(gone.Spec.ID)
@@ -184,8 +183,7 @@
 				s, a := service(900, 3), array(901, 4, 60)
 				first, second, third := service(1, 2), service(2, 2), service(3, 2)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				for _, j := range []simulator.JobScript{first, second, third} {
 					j.Spec.Team = "red"
 					sim.RegisterJob(j)
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -170,9 +170,7 @@
 					a, b := arrayOfSmallTasks(1, 600, 60), arrayOfSmallTasks(2, 250, 75)
 					after, s, gone := arrayOfSmallTasks(3, 100, 10), service(4, 3), service(5, 2)
 					at(2 * time.Second)
-					sim.Submit(a, 0)
-					sim.Submit(b, 0)
-					sim.Submit(s, 0)
+					submitAll(sim, a, b, s)
 					c := arrayOfSmallTasks(6, 250, 80)
 					sim.Submit(c, 0)
 					at(30 * time.Second)
@@ -238,10 +236,7 @@
 		a, b, c, plain, never := large(1), large(2), large(3), arrayOfSmallTasks(4, 300, 200), large(5)
 		b.RunTime, c.Spec.Tasks = 60, 2
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(b, 0)
-		sim.Submit(c, 0)
-		sim.Submit(plain, 0)
+		submitAll(sim, a, b, c, plain)
 		at(20 * time.Second)
 		announceLoweredLimits(t, sim)
 		for _, when := range []string{"before", "after"} {
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -20,8 +20,7 @@
 		at(time.Second)
 		sim.LoseScaleOutAnswers(2)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(40 * time.Second)
 		sim.LoseScaleInAnswers(2)
 		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
@@ -79,8 +78,7 @@
 	runOnBothLayouts(t, 32, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 60)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(45 * time.Second)
 		on := sim.MachinesRunning(s.Spec.ID)
 		for _, id := range on {
@@ -116,8 +114,7 @@
 				same.Spec.Deadline = 40
 				sim.SetUnlisted(true)
 				at(10 * time.Second)
-				sim.Submit(same, 0)
-				sim.Submit(sameS, 0)
+				submitAll(sim, same, sameS)
 				for n := 0; len(sim.MachinesRunning(same.Spec.ID)) == 0 || len(sim.MachinesRunning(sameS.Spec.ID)) == 0; n++ {
 					if n > 60 {
 						t.Fatalf("tasks on %v and %v", sim.MachinesRunning(same.Spec.ID), sim.MachinesRunning(sameS.Spec.ID))
@@ -156,8 +153,7 @@
 			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				gone, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
 				at(2 * time.Second)
-				sim.Submit(gone, 0)
-				sim.Submit(s, 0)
+				submitAll(sim, gone, s)
 				at(30 * time.Second)
 				sim.Submit(next, 0)
 				at(45 * time.Second)
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -19,8 +19,7 @@
 		a, b, s := array(1, 10, 15), array(2, 6, 20), service(3, 3)
 		gone := service(4, 2)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		sim.Submit(gone, 60*time.Second)
 		at(30 * time.Second)
 		sim.Submit(b, 0)
@@ -118,8 +117,7 @@
 			sim.Submit(array(100+n, 8, 20), 0)
 		}
 		at(5 * time.Second)
-		sim.Submit(big, 0)
-		sim.Submit(low, 0)
+		submitAll(sim, big, low)
 		for n := range 60 {
 			at(time.Duration(6+5*n) * time.Second)
 			sim.Submit(array(200+n, 10, 30), 0)
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -140,8 +140,7 @@
 				s, sameS := service(1, 4), service(2, 3)
 				sameS.Spec.SameZone, sameS.Spec.Spread = true, false
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(sameS, 0)
+				submitAll(sim, s, sameS)
 				var all []simulator.JobScript
 				jobs := func(n int) {
 					for range n {
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -15,8 +15,7 @@
 	runScenario(t, 3, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 4, 60)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(48 * time.Second)
@@ -42,8 +41,7 @@
 	runScenario(t, 19, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(45 * time.Second)
@@ -66,8 +64,7 @@
 	runWithSettings(t, settingsOfSize(5), 39, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 50)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(44 * time.Second)
@@ -211,8 +208,7 @@
 			runOnBothLayouts(t, 670, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, gone, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(gone, 0)
+				submitAll(sim, s, gone)
 				at(45 * time.Second)
 				ms := sim.BusyMachines("")
 				l, old := sim.LeaderAndToken()
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -76,9 +76,7 @@
 			both(t, 640, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, a, gone := service(1, 3), array(2, 12, 60), array(3, 4, 300)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
-				sim.Submit(gone, 0)
+				submitAll(sim, s, a, gone)
 				at(45 * time.Second)
 				unconnected := some(sim)
 				sim.BlockOutbound(true, unconnected...)
@@ -128,8 +126,7 @@
 				play(t, 650, func(sim *simulator.Simulation, at func(time.Duration)) {
 					s, a := service(1, 3), array(2, 12, 70)
 					at(2 * time.Second)
-					sim.Submit(s, 0)
-					sim.Submit(a, 0)
+					submitAll(sim, s, a)
 					at(45 * time.Second)
 					ms := sim.MachinesRunning(a.Spec.ID)
 					ms = ms[:(len(ms)+1)/2]
@@ -206,9 +203,7 @@
 						s, gone, a := service(1, 3), array(2, 10, 300), array(3, 6, 20)
 						kept := service(4, 2)
 						at(2 * time.Second)
-						sim.Submit(s, 0)
-						sim.Submit(gone, 0)
-						sim.Submit(kept, 0)
+						submitAll(sim, s, gone, kept)
 						at(45 * time.Second)
 						ms := sim.BusyMachines("")
 						off := func(on bool) {
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -323,8 +323,7 @@
 		p.replace(t, sim, 1, oldProgram)
 		at(5 * time.Second)
 		a, s := array(1, 8, 40), service(2, 2)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(20 * time.Second)
 		sim.PartitionZones("a", "b", true) // controllers 0 and 2 in one, 1 in the other
 		time.Sleep(25 * time.Second)
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -21,8 +21,7 @@
 			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 30)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				at(45 * time.Second)
 				z := leaderZoneOrOther(sim, leads)
 				sim.IsolateZone(z, true)
@@ -208,9 +207,7 @@
 				room.Spec.Zone = "a"
 				at(2 * time.Second)
 				moveLeadershipTo(t, sim, "a")
-				sim.Submit(a, 0)
-				sim.Submit(s, 0)
-				sim.Submit(room, 0)
+				submitAll(sim, a, s, room)
 				time.Sleep(60 * time.Second)
 				l := sim.Leader()
 				sim.IsolateZone("b", true)
