--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -39,7 +39,7 @@
 // deliver moves what is on its way into the buffer, unless the link is held.
 func (p *pipe) deliver() {
 	p.network.mu.Lock()
-	blocked := p.network.blockedLinks[[2]string{p.from, p.to}] || p.network.down[p.to] || p.network.down[p.from] || p.network.inboundBlocked[p.to] || p.network.isolated[p.from] != p.network.isolated[p.to]
+	blocked := p.network.blocks(p.from, p.to)
 	p.network.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,6 +58,14 @@
 	p.notifyReader()
 }
 
+// blocks reports whether packets from one host to another wait; the caller holds the
+// network's lock.
+func (n *Network) blocks(from, to string) bool {
+	withoutPower := n.down[from] || n.down[to]
+	acrossIsolation := n.isolated[from] != n.isolated[to]
+	return withoutPower || acrossIsolation || n.inboundBlocked[to] || n.blockedLinks[[2]string{from, to}]
+}
+
 // send puts a packet on its way.
 func (p *pipe) send(k packet) error {
 	takes := p.network.delay(p.from, p.to)
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -40,6 +40,26 @@
 	saved         bool
 }
 
+// broken reports whether the attempt has lost a member and goes back to its checkpoint.
+func (r *gangRun) broken() bool { return !r.brokenSince.IsZero() }
+
+// stopping reports whether a member was told to stop.
+func (r *gangRun) stopping() bool { return !r.stoppingSince.IsZero() }
+
+// progresses reports whether the attempt runs and is neither stopping nor broken.
+func (r *gangRun) progresses() bool { return r.running && !r.broken() && !r.stopping() }
+
+// inOrder returns the members by their tasks' indexes.
+func (r *gangRun) inOrder(tasks int) []*gangMember {
+	var order []*gangMember
+	for i := range tasks {
+		if b := r.members[i]; b != nil {
+			order = append(order, b)
+		}
+	}
+	return order
+}
+
 // gangMember is a gang's task that has its image.
 type gangMember struct {
 	worker       *worker
@@ -100,13 +120,19 @@
 	if r.running || len(r.members) < m.sim.scripts[t.Job].Spec.Tasks {
 		return
 	}
+	m.sim.startGang(t.Job, g, r, now)
+}
+
+// startGang starts an attempt whose members are complete, from the gang's last
+// checkpoint; the caller holds the lock.
+func (sim *Simulation) startGang(id wire.JobID, g *gangJob, r *gangRun, now time.Time) {
 	r.running, r.countedUntil, r.speed, r.progress = true, now, math.Inf(1), g.saved
 	g.starts++
-	m.sim.checker.GangBegan(t.Job, now)
+	sim.checker.GangBegan(id, now)
 	for _, b := range r.members {
 		b.run.phase = wire.PhaseRunning
-		r.speed = min(r.speed, b.worker.sim.speedOf(b.worker.id))
-		if b.worker.faulty || m.sim.scripts[t.Job].AlwaysFails {
+		r.speed = min(r.speed, sim.speedOf(b.worker.id))
+		if b.worker.faulty || sim.scripts[id].AlwaysFails {
 			b.failAt = now.Add(timeToFail)
 		}
 		b.worker.requestHeartbeat()
@@ -135,7 +161,7 @@
 
 // advance counts progress up to now.
 func (sim *Simulation) advance(g *gangJob, r *gangRun, now time.Time) {
-	if !r.running || !r.brokenSince.IsZero() || !r.stoppingSince.IsZero() {
+	if !r.progresses() {
 		return
 	}
 	for _, b := range r.members {
@@ -149,7 +175,7 @@
 
 // rollBack returns a running gang to its last checkpoint.
 func (sim *Simulation) rollBack(g *gangJob, r *gangRun, now time.Time) {
-	if !r.brokenSince.IsZero() {
+	if r.broken() {
 		return
 	}
 	r.brokenSince = now
@@ -177,13 +203,15 @@
 	if gracePeriod != nil {
 		left = *gracePeriod
 	}
+	hasRun := b != nil && b.run == x && x.phase != wire.PhaseWaiting && x.phase != wire.PhaseFetching
+	canSave := s.CheckpointInterval > 0 && left >= s.CheckpointTime
 	switch {
-	case b == nil || b.run != x || x.phase == wire.PhaseWaiting || x.phase == wire.PhaseFetching:
+	case !hasRun:
 	case x.phase == wire.PhaseSaving && left > 0:
 		return
-	case x.phase == wire.PhaseRunning && s.CheckpointInterval > 0 && left >= s.CheckpointTime && r.brokenSince.IsZero():
+	case x.phase == wire.PhaseRunning && canSave && !r.broken():
 		m.sim.advance(g, r, now)
-		if r.stoppingSince.IsZero() {
+		if !r.stopping() {
 			r.stoppingSince = now
 		}
 		b.toldToStop, b.savedAt, x.phase = true, now.Add(s.CheckpointTime.Duration()), wire.PhaseSaving
@@ -212,28 +240,20 @@
 // stepGang lets time pass for one attempt of a gang; the caller holds the lock.
 func (sim *Simulation) stepGang(script *JobScript, g *gangJob, r *gangRun, now time.Time) {
 	sim.advance(g, r, now)
-	var order []*gangMember
-	for i := range script.Spec.Tasks {
-		if b := r.members[i]; b != nil {
-			order = append(order, b)
-		}
-	}
+	order := r.inOrder(script.Spec.Tasks)
 	sim.breakOnHungMember(g, r, order, now)
-	allTold := r.running && len(order) == script.Spec.Tasks
-	for _, b := range order {
-		allTold = allTold && b.toldToStop
-	}
-	if allTold && r.brokenSince.IsZero() && !r.saved && slices.ContainsFunc(order, func(b *gangMember) bool { return !sim.hangs(b.worker) && !now.Before(b.savedAt) }) {
+	allTold := r.running && len(order) == script.Spec.Tasks && !slices.ContainsFunc(order, func(b *gangMember) bool { return !b.toldToStop })
+	if allTold && !r.broken() && !r.saved && sim.anySaved(order, now) {
 		r.saved, g.saved = true, max(g.saved, r.progress)
 		g.saves++
 	}
-	if !r.stoppingSince.IsZero() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration() && !allTold {
+	if !allTold && sim.stopTimedOut(r, now) {
 		sim.rollBack(g, r, now)
 		for _, b := range order {
 			b.leavesAt = now
 		}
 	}
-	if r.running && r.brokenSince.IsZero() && r.stoppingSince.IsZero() && r.progress >= script.RunTime {
+	if r.progresses() && r.progress >= script.RunTime {
 		g.done = true
 		sim.checker.GangDone(script.Spec.ID)
 	}
@@ -244,6 +264,17 @@
 	}
 }
 
+// anySaved reports whether a member that does not hang has had its time to save.
+func (sim *Simulation) anySaved(order []*gangMember, now time.Time) bool {
+	return slices.ContainsFunc(order, func(b *gangMember) bool { return !sim.hangs(b.worker) && !now.Before(b.savedAt) })
+}
+
+// stopTimedOut reports whether some members were told to stop and the others were not
+// in the time in which peers wait for each other.
+func (sim *Simulation) stopTimedOut(r *gangRun, now time.Time) bool {
+	return r.stopping() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration()
+}
+
 // hangs reports whether a machine hangs; the caller holds the lock.
 func (sim *Simulation) hangs(m *worker) bool {
 	return sim.machineFaults.hung[m.id] != nil || m.stalled
@@ -282,7 +313,7 @@
 		if b.toldToStop && !now.Before(b.savedAt) {
 			end(wire.CauseStopped, true)
 		}
-	case !r.brokenSince.IsZero():
+	case r.broken():
 		if !now.Before(b.leavesAt) {
 			end(wire.CauseGangBroken, false)
 		}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -104,13 +104,14 @@
 	fail := func(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Addr: addr(to), Err: err} }
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
+	host := hostOf(to)
 	for {
 		n.mu.Lock()
-		silent := n.down[from] || n.outboundBlocked[from] || n.down[hostOf(to)] || n.inboundBlocked[hostOf(to)] || n.blockedLinks[[2]string{from, hostOf(to)}] || n.blockedLinks[[2]string{hostOf(to), from}] ||
-			n.isolated[from] != n.isolated[hostOf(to)]
-		l, filtered := n.listeners[to], n.filtered[[2]string{from, hostOf(to)}]
+		answersBlocked := n.blockedLinks[[2]string{host, from}]
+		unreachable := n.outboundBlocked[from] || answersBlocked || n.blocks(from, host)
+		l, filtered := n.listeners[to], n.filtered[[2]string{from, host}]
 		n.mu.Unlock()
-		if !silent {
+		if !unreachable {
 			if l == nil || filtered {
 				return nil, fail(errors.New("connection refused"))
 			}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -117,9 +117,8 @@
 			continue
 		}
 		hc.CloseIdleConnections()
-		var e wire.Redirect
-		if status == http.StatusMisdirectedRequest && wire.Decode(body, &e) == nil && e.ReportsTo != "" && parseID(string(e.ReportsTo)) != at {
-			at = parseID(string(e.ReportsTo))
+		if next, ok := redirectedTo(status, body); ok && next != at {
+			at = next
 			sleep(m.ctx, redirectPause)
 			continue
 		}
@@ -128,6 +127,15 @@
 	}
 }
 
+// redirectedTo returns the controller that an answer names in its place, if it does.
+func redirectedTo(status int, body []byte) (node int, ok bool) {
+	var redirect wire.Redirect
+	if status != http.StatusMisdirectedRequest || wire.Decode(body, &redirect) != nil || redirect.ReportsTo == "" {
+		return 0, false
+	}
+	return parseID(string(redirect.ReportsTo)), true
+}
+
 // sendHeartbeatTo sends a heartbeat of now to the i-th controller and takes its answer.
 func (m *worker) sendHeartbeatTo(hc *http.Client, i int) (status int, body []byte) {
 	m.awaitAwake(m.ctx)
@@ -242,24 +250,30 @@
 	}
 	status := http.StatusOK
 	if r.URL.Path == "/commands" {
-		var o wire.Commands
-		err := wire.Decode(raw, &o)
-		m.sim.countLate(came, o.Commands, wire.Launch, wire.Stop)
-		switch {
-		case err != nil || o.Token == 0 || o.Epoch == 0:
-			status = http.StatusBadRequest
-		case o.Token < m.token || o.Epoch != m.epoch:
-			status = http.StatusConflict
-		default:
-			m.observeToken(o.Token)
-			m.execute(o.Commands)
-			if len(o.Commands) > 0 {
-				m.sim.countLate(time.Now().Add(-lag.Answer), []wire.Command{{Verb: Answered}}, Answered)
-			}
-		}
+		status = m.onCommands(raw, came, lag)
 	}
-	rep := m.nextHeartbeat()
+	heartbeat := m.nextHeartbeat()
 	m.sim.mu.Unlock()
 	sleep(m.ctx, lag.Answer)
-	wire.Answer(rw, status, rep)
+	wire.Answer(rw, status, heartbeat)
+}
+
+// onCommands executes a controller's commands if their token and epoch are in force, and
+// returns the status of the answer; the caller holds the lock.
+func (m *worker) onCommands(raw []byte, came time.Time, lag CommandDelay) (status int) {
+	var o wire.Commands
+	err := wire.Decode(raw, &o)
+	m.sim.countLate(came, o.Commands, wire.Launch, wire.Stop)
+	switch {
+	case err != nil || o.Token == 0 || o.Epoch == 0:
+		return http.StatusBadRequest
+	case o.Token < m.token || o.Epoch != m.epoch:
+		return http.StatusConflict
+	}
+	m.observeToken(o.Token)
+	m.execute(o.Commands)
+	if len(o.Commands) > 0 {
+		m.sim.countLate(time.Now().Add(-lag.Answer), []wire.Command{{Verb: Answered}}, Answered)
+	}
+	return http.StatusOK
 }
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -15,34 +15,41 @@
 			continue
 		}
 		x := m.tasks[t]
+		listed := x != nil && x.attempt == o.Attempt
 		switch o.Verb {
 		case wire.Launch:
-			if x != nil && x.attempt == o.Attempt {
-				continue
+			if !listed {
+				m.launch(t, o.Attempt, x)
 			}
-			m.launch(t, o.Attempt, x)
 		case wire.Stop:
-			if x == nil || x.attempt != o.Attempt || x.phase == wire.PhaseExited {
-				continue
+			if listed && x.phase != wire.PhaseExited {
+				m.stopTask(t, x, o.GracePeriod)
 			}
-			if m.sim.scripts[t.Job].Spec.Gang() {
-				m.stopGangTask(t, x, o.GracePeriod)
-				continue
-			}
-			x.checkpointed = x.phase == wire.PhaseRunning && o.GracePeriod != nil && *o.GracePeriod >= m.sim.scripts[t.Job].Spec.CheckpointTime && m.sim.scripts[t.Job].Spec.CheckpointInterval > 0
-			if m.startSaving(t, x, o.GracePeriod) {
-				continue
-			}
-			x.cancel()
-			m.exitTask(t, x, wire.CauseStopped)
 		case wire.Forget:
-			if x != nil && x.attempt == o.Attempt && x.phase == wire.PhaseExited {
+			if listed && x.phase == wire.PhaseExited {
 				delete(m.tasks, t)
 			}
 		}
 	}
 }
 
+// stopTask stops an attempt of a task, with a checkpoint if it has the time; the caller
+// holds the lock.
+func (m *worker) stopTask(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) {
+	spec := &m.sim.scripts[t.Job].Spec
+	if spec.Gang() {
+		m.stopGangTask(t, x, gracePeriod)
+		return
+	}
+	enoughTime := gracePeriod != nil && *gracePeriod >= spec.CheckpointTime
+	x.checkpointed = x.phase == wire.PhaseRunning && enoughTime && spec.CheckpointInterval > 0
+	if m.startSaving(t, x, gracePeriod) {
+		return
+	}
+	x.cancel()
+	m.exitTask(t, x, wire.CauseStopped)
+}
+
 // launch starts an attempt of a task, or lists it as refused; call with the lock
 // held.
 func (m *worker) launch(t wire.Task, attempt wire.Attempt, old *taskRun) {
