--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -185,76 +185,96 @@
 type statusSeen struct {
 	at   time.Time
 	node int
-	rank int // 0: not known, 1: accepted, 2: over
+	told simulator.Told
 }
 
 // statusReader asks the controllers in turn about one job, one question after the
 // other: whatever a user was told before a question, its answer must not be older.
 // (What users are told while the answer is on its way can't be in it.)
 type statusReader struct {
+	t     *testing.T
 	sim   *simulator.Simulation
+	id    wire.JobID
 	stop  chan struct{}
 	ended chan struct{}
 	news  []statusSeen
 }
 
+// Pauses of a status reader between two questions.
+const (
+	readPause      = 250 * time.Millisecond
+	finalReadPause = 9 * readPause // rarely once the job is over
+)
+
 // startReader starts a reader of a job's status.
 func startReader(t *testing.T, sim *simulator.Simulation, id wire.JobID) *statusReader {
-	r := &statusReader{sim: sim, stop: make(chan struct{}), ended: make(chan struct{})}
+	r := &statusReader{t: t, sim: sim, id: id, stop: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
 		defer close(r.ended)
-		rank := 0
-		for i := 0; ; i++ {
-			select {
-			case <-r.stop:
-				return
-			case <-sim.Done(): // the test failed before stopReading
-				return
-			case <-time.After(time.Duration(1+8*(rank/2)) * 250 * time.Millisecond): // rarely once it is over
-			}
-			n := i % sim.Settings.Size
-			sim.WithChecker(func(c *simulator.Checker) { rank = max(rank, c.ToldSoFar(id)) })
-			status, raw, _ := sim.Ask(n, "GET", "/v1/jobs/"+string(id), nil)
-			var s wire.JobState
-			now := 0
-			switch {
-			case status == http.StatusNotFound:
-			case status == http.StatusOK && wire.Decode(raw, &s) == nil:
-				if now = 1; s.Status.Final() {
-					now = 2
-				}
-			default:
-				continue // no answer says nothing
-			}
-			sim.WithChecker(func(c *simulator.Checker) {
-				if now < rank {
-					t.Errorf("%s: node %d says %d %s after %v", id, n, status, s.Status, r.news)
-				}
-				if now > rank || len(r.news) == 0 || now > r.news[len(r.news)-1].rank {
-					rank = max(rank, now)
-					r.news = append(r.news, statusSeen{time.Now(), n, now})
-				}
-				if now >= c.ToldSoFar(id) {
-					c.PollAnsweredNow(id, status, s.Status, time.Now())
-				}
-			})
-		}
+		r.readUntilStopped()
 	}()
 	return r
 }
 
-// stopReading ends the reader.
+// readUntilStopped asks one controller after the other until stopReading.
+func (r *statusReader) readUntilStopped() {
+	known := simulator.ToldNothing
+	for i := 0; ; i++ {
+		pause := readPause
+		if known == simulator.ToldFinal {
+			pause = finalReadPause
+		}
+		select {
+		case <-r.stop:
+			return
+		case <-r.sim.Done(): // the test failed before stopReading
+			return
+		case <-time.After(pause):
+		}
+		known = r.readFrom(i%r.sim.Settings.Size, known)
+	}
+}
+
+// readFrom asks one controller, checks its answer against what users were told before the
+// question, known included, and returns how much they know now.
+func (r *statusReader) readFrom(node int, known simulator.Told) simulator.Told {
+	r.sim.WithChecker(func(c *simulator.Checker) { known = max(known, c.ToldSoFar(r.id)) })
+	status, raw, _ := r.sim.Ask(node, "GET", "/v1/jobs/"+string(r.id), nil)
+	var state wire.JobState
+	if status == http.StatusOK && wire.Decode(raw, &state) != nil {
+		return known
+	}
+	told, answered := simulator.ToldOf(status, state.Status)
+	if !answered {
+		return known // no answer says nothing
+	}
+	r.sim.WithChecker(func(c *simulator.Checker) {
+		if told < known {
+			r.t.Errorf("%s: node %d answers %d %s, want nothing older than %v", r.id, node, status, state.Status, r.news)
+		}
+		if told > known || len(r.news) == 0 || told > r.news[len(r.news)-1].told {
+			known = max(known, told)
+			r.news = append(r.news, statusSeen{time.Now(), node, told})
+		}
+		if told >= c.ToldSoFar(r.id) {
+			c.PollAnsweredNow(r.id, status, state.Status, time.Now())
+		}
+	})
+	return known
+}
+
+// stopReading ends the reader and waits for its last answer.
 func (r *statusReader) stopReading() {
 	close(r.stop)
 	<-r.ended
 }
 
-// firstSeen is when an answer of the rank came first; zero: never.
-func (r *statusReader) firstSeen(rank int) (at time.Time) {
+// firstSeen returns when users were first told as much by an answer; zero: never.
+func (r *statusReader) firstSeen(told simulator.Told) (at time.Time) {
 	r.sim.WithChecker(func(*simulator.Checker) {
-		if i := slices.IndexFunc(r.news, func(n statusSeen) bool { return n.rank >= rank }); i >= 0 {
+		if i := slices.IndexFunc(r.news, func(n statusSeen) bool { return n.told >= told }); i >= 0 {
 			at = r.news[i].at
 		}
 	})
-	return
+	return at
 }
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -74,7 +74,7 @@
 				at(55 * time.Second)
 				endFaultsAndWait(sim, 75*time.Second) // a cancelled one must be gone by then
 				r.stopReading()
-				over := r.firstSeen(2)
+				over := r.firstSeen(simulator.ToldFinal)
 				hit := faultedTransactions(sim, store.JobPrefix+string(a.Spec.ID), func(f *simulator.TxnOutcome) bool { return f.Late })
 				if len(hit) != 1 || hit[0].Done.IsZero() {
 					t.Fatalf("fates %+v", hit)
@@ -87,8 +87,8 @@
 					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), over, other)
 				case 2:
 					mustFinish(t, sim, a)
-					if hit[0].Status != http.StatusOK || !r.firstSeen(1).After(hit[0].Done) || hit[0].Done.Sub(hit[0].Sent) < 10*time.Second {
-						t.Errorf("%+v, first known at %v", hit[0], r.firstSeen(1))
+					if hit[0].Status != http.StatusOK || !r.firstSeen(simulator.ToldAccepted).After(hit[0].Done) || hit[0].Done.Sub(hit[0].Sent) < 10*time.Second {
+						t.Errorf("%+v, first known at %v", hit[0], r.firstSeen(simulator.ToldAccepted))
 					}
 				case 3:
 					mustFinish(t, sim, a)
@@ -180,7 +180,7 @@
 				r.stopReading()
 				mustFinish(t, sim, a, b)
 				mustRun(t, sim, s, "afterwards")
-				if r.firstSeen(2).IsZero() {
+				if r.firstSeen(simulator.ToldFinal).IsZero() {
 					t.Errorf("nobody was told that the job is done")
 				}
 				hit := faultedTransactions(sim, c.prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -215,7 +215,7 @@
 					}
 				}
 				cancel(first)
-				for begin := time.Now(); r.firstSeen(2).IsZero() && time.Since(begin) < 10*time.Second; {
+				for begin := time.Now(); r.firstSeen(simulator.ToldFinal).IsZero() && time.Since(begin) < 10*time.Second; {
 					time.Sleep(50 * time.Millisecond)
 				}
 				var refused, outage time.Time
@@ -244,8 +244,8 @@
 				sim.State.Outage(false)
 				sim.State.RefuseClient(simulator.NodeIP(l), false)
 				sim.State.DelayAnswers("", 0)
-				if len(cancelled) != 2 || r.firstSeen(2).IsZero() || r.firstSeen(2).After(outage) || cancelled[1].After(outage) || (kind != "cancelled while slow") != cancelled[1].After(refused) {
-					t.Errorf("cancelled at %v, read to be at %v, the leader refused at %v and everybody at %v", cancelled, r.firstSeen(2), refused, outage)
+				if len(cancelled) != 2 || r.firstSeen(simulator.ToldFinal).IsZero() || r.firstSeen(simulator.ToldFinal).After(outage) || cancelled[1].After(outage) || (kind != "cancelled while slow") != cancelled[1].After(refused) {
+					t.Errorf("cancelled at %v, read to be at %v, the leader refused at %v and everybody at %v", cancelled, r.firstSeen(simulator.ToldFinal), refused, outage)
 				}
 				endFaultsAndWait(sim, 15*time.Second)
 				b := array(5, 4, 10)
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -104,17 +104,17 @@
 				switch kind {
 				case "acceptance":
 					during("accepted", accepted)
-					during("first read", ra.firstSeen(1))
+					during("first read", ra.firstSeen(simulator.ToldAccepted))
 				case "cancellation":
 					during("cancelled", cancelled)
-					during("first read", rg.firstSeen(2))
+					during("first read", rg.firstSeen(simulator.ToldFinal))
 				case "launch", "end":
-					during("first read to be over", ra.firstSeen(2))
+					during("first read to be over", ra.firstSeen(simulator.ToldFinal))
 				case "leader key":
 					if l := sim.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(l) }) {
 						t.Errorf("node %d leads by a key whose writing was answered", l)
 					}
-					during("the next leader's first job was over", rb.firstSeen(2))
+					during("the next leader's first job was over", rb.firstSeen(simulator.ToldFinal))
 				case "all":
 					for _, p := range []string{store.ProgressPrefix, store.JobPrefix} {
 						if len(faultedTransactions(sim, p, wasExecuted)) == 0 {
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -112,18 +113,44 @@
 	return out
 }
 
-// ToldSoFar returns what users were told of a job so far: 0 nothing, 1 that it is accepted,
-// 2 that it is over.
-func (c *Checker) ToldSoFar(id wire.JobID) int {
+// Told is how much users were told of a job; more is newer.
+type Told int
+
+// The steps: nothing, that the job is accepted, and that it is done or cancelled.
+const (
+	ToldNothing Told = iota
+	ToldAccepted
+	ToldFinal
+)
+
+func (t Told) String() string {
+	return [...]string{"nothing", "accepted", "final"}[t]
+}
+
+// ToldOf returns how much an answer to a poll tells, false if the poll was not answered.
+func ToldOf(httpStatus int, status wire.Status) (Told, bool) {
+	switch {
+	case httpStatus == http.StatusNotFound:
+		return ToldNothing, true
+	case httpStatus != http.StatusOK:
+		return ToldNothing, false
+	case status.Final():
+		return ToldFinal, true
+	}
+	return ToldAccepted, true
+}
+
+// ToldSoFar returns how much users were told of a job so far.
+func (c *Checker) ToldSoFar(id wire.JobID) Told {
 	switch j := c.jobs[id]; {
 	case j == nil:
-		return 0
+		return ToldNothing
 	case j.finalStatus != "":
-		return 2
+		return ToldFinal
 	case j.accepted:
-		return 1
+		return ToldAccepted
 	}
-	return 0
+	return ToldNothing
 }
 
 // LateStarts counts the starts after a user was told that the job is cancelled,
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"net/http"
 	"testing"
 	"time"
 
@@ -365,3 +366,26 @@
 		t.Error("what is no map")
 	}
 }
+
+func TestToldOfAnAnswer(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		httpStatus   int
+		status       wire.Status
+		want         Told
+		wantAnswered bool
+	}{
+		{"job not known", http.StatusNotFound, "", ToldNothing, true},
+		{"no answer", 0, "", ToldNothing, false},
+		{"refused for now", http.StatusServiceUnavailable, "", ToldNothing, false},
+		{"done", http.StatusOK, wire.Done, ToldFinal, true},
+		{"cancelled", http.StatusOK, wire.Cancelled, ToldFinal, true},
+		{"not over", http.StatusOK, wire.Running, ToldAccepted, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got, answered := ToldOf(c.httpStatus, c.status); got != c.want || answered != c.wantAnswered {
+				t.Errorf("ToldOf(%d, %q) = %v, %v, want %v, %v", c.httpStatus, c.status, got, answered, c.want, c.wantAnswered)
+			}
+		})
+	}
+}
