--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -99,9 +99,9 @@
 			t.Parallel()
 			run(t, 61, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 8, 40), array(3, 3, 30)
-				gone, late := service(4, 3), array(5, 4, 100)
+				cancelledJob, late := service(4, 3), array(5, 4, 100)
 				at(2 * time.Second)
-				for _, j := range []simulator.JobScript{s, a, gone, late} {
+				for _, j := range []simulator.JobScript{s, a, cancelledJob, late} {
 					sim.Submit(j, 0)
 				}
 				at(45 * time.Second)
@@ -109,7 +109,7 @@
 				sim.Submit(b, 0)
 				time.Sleep(100 * time.Millisecond)
 				l := sim.Leader()
-				confirmed := cancelAtController(t, sim, (l+1)%3, gone)
+				confirmed := cancelAtController(t, sim, (l+1)%3, cancelledJob)
 				killAll(sim)
 				if time.Since(confirmed) > 20*time.Millisecond {
 					t.Errorf("cancelled %v before the end of all", time.Since(confirmed))
@@ -117,7 +117,7 @@
 				away := time.Now()
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + 5*time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
-					for _, j := range []simulator.JobScript{s, a, gone, late} {
+					for _, j := range []simulator.JobScript{s, a, cancelledJob, late} {
 						if c.OnMachines(j.Spec.ID) != 0 {
 							t.Errorf("%s is on a machine %v after the end of all", j.Spec.ID, time.Since(away))
 						}
@@ -135,7 +135,7 @@
 				startControllers(t, sim, 0, 1, 2)
 				mustRecover(t, sim, 3, s, a, b)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(gone.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
+					if n := c.OnMachines(cancelledJob.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of cancelled jobs", n)
 					}
 				})
@@ -155,9 +155,9 @@
 			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 63, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a, b := service(1, 4), array(2, 6, 50), array(3, 4, 20)
-				gone, fresh := array(4, 4, 200), array(5, 4, 200)
+				cancelledJob, fresh := array(4, 4, 200), array(5, 4, 200)
 				at(2 * time.Second)
-				for _, j := range []simulator.JobScript{s, a, gone, fresh} {
+				for _, j := range []simulator.JobScript{s, a, cancelledJob, fresh} {
 					sim.Submit(j, 0)
 				}
 				at(40 * time.Second)
@@ -175,7 +175,7 @@
 				sim.State.RefuseClient(simulator.NodeIP(two), false)
 				sim.Submit(b, 0)
 				time.Sleep(150 * time.Millisecond)
-				cancelAtController(t, sim, two, gone)
+				cancelAtController(t, sim, two, cancelledJob)
 				sim.KillController(one)
 				sim.KillController(two)
 				old := sim.LeaderKeyRevision()
@@ -203,8 +203,8 @@
 				startControllers(t, sim, 0, 1, 2)
 				mustRecover(t, sim, 3, s, a, b)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(s.Spec.ID) != 4 || c.OnMachines(gone.Spec.ID)+c.OnMachines(fresh.Spec.ID) != 0 {
-						t.Errorf("%d of 4 replicas, %d and %d tasks of cancelled jobs", c.OnMachines(s.Spec.ID), c.OnMachines(gone.Spec.ID), c.OnMachines(fresh.Spec.ID))
+					if c.OnMachines(s.Spec.ID) != 4 || c.OnMachines(cancelledJob.Spec.ID)+c.OnMachines(fresh.Spec.ID) != 0 {
+						t.Errorf("%d of 4 replicas, %d and %d tasks of cancelled jobs", c.OnMachines(s.Spec.ID), c.OnMachines(cancelledJob.Spec.ID), c.OnMachines(fresh.Spec.ID))
 					}
 				})
 			})
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -28,8 +28,8 @@
 			}
 			return m
 		}
-		over := gang(3, 21, 10)
-		gangOver := simulator.Submission(over.Spec) // 42 CPUs of 40
+		overLimit := gang(3, 21, 10)
+		gangOver := simulator.Submission(overLimit.Spec) // 42 CPUs of 40
 		cases := []struct {
 			name, method, path string
 			body               any
@@ -141,18 +141,18 @@
 		at(18 * time.Second)
 		invalid(true)
 		// An array may have more tasks than its team's limit.
-		wide, s, gone := array(1, 60, 3), service(2, 2), service(3, 2)
-		for _, j := range []simulator.JobScript{wide, s, gone} {
+		wide, s, cancelledJob := array(1, 60, 3), service(2, 2), service(3, 2)
+		for _, j := range []simulator.JobScript{wide, s, cancelledJob} {
 			sim.Submit(j, 0)
 		}
 		time.Sleep(2 * time.Second)
-		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(gone.Spec.ID) })
-		ask("cancel", "POST", "/v1/jobs/"+string(gone.Spec.ID)+"/cancel", nil, 200, wire.Cancelled)
+		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(cancelledJob.Spec.ID) })
+		ask("cancel", "POST", "/v1/jobs/"+string(cancelledJob.Spec.ID)+"/cancel", nil, 200, wire.Cancelled)
 		at(80 * time.Second)
 		mustFinish(t, sim, wide)
 		known := func() {
 			t.Helper()
-			for j, want := range map[*simulator.JobScript]wire.Status{&wide: wire.Done, &s: wire.Queued, &gone: wire.Cancelled} {
+			for j, want := range map[*simulator.JobScript]wire.Status{&wide: wire.Done, &s: wire.Queued, &cancelledJob: wire.Cancelled} {
 				ask("repeat of "+string(want), "POST", "/v1/jobs", simulator.Submission(j.Spec), 200, want)
 				if want != wire.Queued {
 					ask("cancel of "+string(want), "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil, 200, want)
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -187,20 +187,20 @@
 			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
-				var over []simulator.JobScript
+				var ending []simulator.JobScript
 				for _, j := range all {
 					if isFinalRecordOf(x, j.Spec.ID) {
-						over = append(over, j)
+						ending = append(ending, j)
 					}
 				}
 				switch {
-				case len(over) == 0 || hit != nil:
+				case len(ending) == 0 || hit != nil:
 				case first:
 					// The others end while the first final record is on its way.
 					first = false
 					return 1200 * time.Millisecond
 				default:
-					for _, j := range over {
+					for _, j := range ending {
 						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.Delete, store.ProgressPrefix+string(j.Spec.ID)) }) {
 							hit = &j
 							close(crosses)
@@ -266,19 +266,19 @@
 	t.Parallel()
 	runWithSettings(t, simulator.GasSettings(), 460, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
-		large := func(n, bundle int) simulator.JobScript {
+		large := func(n, imageBytes int) simulator.JobScript {
 			j := service(n, 1)
 			j.Spec.MachineTypes = []wire.MachineType{"c4", "c16"}
 			for k := range 43 {
 				j.Spec.MachineTypes = append(j.Spec.MachineTypes, wire.MachineType(fmt.Sprintf("%080d", k)))
 			}
-			j.Spec.Image = wire.ImageID(strings.Repeat("i", bundle))
+			j.Spec.Image = wire.ImageID(strings.Repeat("i", imageBytes))
 			return j
 		}
 		// The longest name of an image with which it is accepted.
 		n, fits := 100, 1
-		for over := 120; over-fits > 1; n++ {
-			mid := (fits + over) / 2
+		for tooLarge := 120; tooLarge-fits > 1; n++ {
+			mid := (fits + tooLarge) / 2
 			j := large(n, mid)
 			switch status, _, _ := sim.Ask(n%3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status {
 			case 201:
@@ -288,7 +288,7 @@
 					t.Errorf("with %d bytes the cancellation is answered %d", mid, status)
 				}
 			case 422:
-				over = mid
+				tooLarge = mid
 			default:
 				t.Errorf("a job of that size is answered %d", status)
 				return
@@ -327,14 +327,14 @@
 		l, old := sim.Leader(), sim.LeaderKeyRevision()
 		sim.State.DelayWatches(300 * time.Millisecond)
 		for n := range 8 {
-			gone := array(10+n, 2, 100)
-			gone.Spec.CPUs, gone.Spec.MemoryGB = 0.1, 0.1
-			sim.Submit(gone, 0)
+			cancelledJob := array(10+n, 2, 100)
+			cancelledJob.Spec.CPUs, cancelledJob.Spec.MemoryGB = 0.1, 0.1
+			sim.Submit(cancelledJob, 0)
 			time.Sleep(time.Duration(100+40*n) * time.Millisecond)
-			cancelAtController(t, sim, (l+1)%3, gone)
+			cancelAtController(t, sim, (l+1)%3, cancelledJob)
 			time.Sleep(1500 * time.Millisecond)
-			if keys := sim.State.Keys("job/" + string(gone.Spec.ID)); len(keys) != 0 {
-				t.Errorf("%s is not closed", gone.Spec.ID)
+			if keys := sim.State.Keys("job/" + string(cancelledJob.Spec.ID)); len(keys) != 0 {
+				t.Errorf("%s is not closed", cancelledJob.Spec.ID)
 			}
 		}
 		if sim.LeaderKeyRevision() != old {
--- a/internal/scenarios/gang_capacity_test.go
+++ b/internal/scenarios/gang_capacity_test.go
@@ -29,8 +29,8 @@
 			}
 			sim.Submit(a, 0)
 			if n%9 == 0 {
-				for k, parts := range []int{4, 6} {
-					j := gang(10+len(gangs), parts, 25)
+				for k, tasks := range []int{4, 6} {
+					j := gang(10+len(gangs), tasks, 25)
 					j.Spec.SpotAllowed = true
 					if k == 1 {
 						j.Spec.Priority, j.Spec.SameZone = wire.PriorityStandard, false
--- a/internal/scenarios/helpers_jobs_test.go
+++ b/internal/scenarios/helpers_jobs_test.go
@@ -10,30 +10,30 @@
 )
 
 // array is a job of independent tasks, which may use spot machines.
-func array(n, parts int, run float64) simulator.JobScript {
+func array(n, tasks int, run float64) simulator.JobScript {
 	return simulator.JobScript{RunTime: run, Spec: wire.JobSpec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard,
-		Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: wire.Seconds(run)}}
+		Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: wire.Seconds(run)}}
 }
 
 // service is a job of replicas that run until it is cancelled.
-func service(n, parts int) simulator.JobScript {
+func service(n, tasks int) simulator.JobScript {
 	return simulator.JobScript{Spec: wire.JobSpec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "portal", Team: "blue", Kind: wire.KindService, Priority: wire.PriorityProd,
-		Tasks: parts, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}}
+		Tasks: tasks, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}}
 }
 
 // gang is a job whose tasks start together or never, and save.
-func gang(n, parts int, run float64) simulator.JobScript {
+func gang(n, tasks int, run float64) simulator.JobScript {
 	return simulator.JobScript{RunTime: run, Spec: wire.JobSpec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent,
-		Tasks: parts, CPUs: 2, MemoryGB: 6, Image: "img-g", ImageGB: 1, SameZone: true, ExpectedRunTime: wire.Seconds(run),
+		Tasks: tasks, CPUs: 2, MemoryGB: 6, Image: "img-g", ImageGB: 1, SameZone: true, ExpectedRunTime: wire.Seconds(run),
 		CheckpointInterval: 20, CheckpointTime: 2}}
 }
 
 // arrayOfSmallTasks is an array of many small tasks.
-func arrayOfSmallTasks(n, parts int, run float64) simulator.JobScript {
-	j := array(n, parts, run)
+func arrayOfSmallTasks(n, tasks int, run float64) simulator.JobScript {
+	j := array(n, tasks, run)
 	j.Spec.CPUs, j.Spec.MemoryGB = 0.1, 0.3
 	return j
 }
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -17,17 +17,17 @@
 		sim.Submit(warm, 0)
 		at(40 * time.Second)
 		l := sim.Leader()
-		var held []string
+		var blockedMachines []string
 		for range 40 {
-			_, ip, _ := sim.FirstMachine(func(int) bool { return len(held) >= 0 })
-			held = append(held, ip)
+			_, ip, _ := sim.FirstMachine(func(int) bool { return len(blockedMachines) >= 0 })
+			blockedMachines = append(blockedMachines, ip)
 		}
-		for _, ip := range held {
+		for _, ip := range blockedMachines {
 			sim.Net.Hold(simulator.NodeIP(l), ip, true)
 		}
 		sim.Submit(late, 12*time.Second)
 		at(150 * time.Second)
-		for _, ip := range held {
+		for _, ip := range blockedMachines {
 			sim.Net.Hold(simulator.NodeIP(l), ip, false)
 		}
 		at(200 * time.Second)
@@ -57,10 +57,10 @@
 			t.Run(c.name+", "+then, func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 630, func(sim *simulator.Simulation, at func(time.Duration)) {
-					s, gone, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
+					s, cancelledJob, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
 					a, late, quick := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
 					at(2 * time.Second)
-					submitAll(sim, s, gone, warm)
+					submitAll(sim, s, cancelledJob, warm)
 					at(44 * time.Second)
 					ms := sim.BusyMachines("")
 					sim.DelayCommands(c.lag)
@@ -70,7 +70,7 @@
 					submitAll(sim, a, late, quick)
 					time.Sleep(time.Second)
 					if then == "cancel" || then == "both" {
-						mustCancel(t, sim, gone)
+						mustCancel(t, sim, cancelledJob)
 						mustCancel(t, sim, late)
 					}
 					if then == "leader" || then == "both" {
@@ -89,7 +89,7 @@
 						if c.hang {
 							sim.HangMachines(true, sim.BusyMachines("")...)
 						}
-						mustCancel(t, sim, gone) // so that stops are held up too
+						mustCancel(t, sim, cancelledJob) // so that stops are held up too
 						mustCancel(t, sim, late)
 						time.Sleep(6 * time.Second)
 						if c.hang {
@@ -97,7 +97,7 @@
 						}
 						time.Sleep(8 * time.Second)
 					}
-					mustBeGone(t, sim, gone, "20 s later")
+					mustBeGone(t, sim, cancelledJob, "20 s later")
 					mustBeGone(t, sim, late, "20 s later")
 					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -63,17 +63,17 @@
 			t.Parallel()
 			runOnBothLayouts(t, 600, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				sim.RecordHeartbeats()
-				a, gone, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
+				a, cancelledJob, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
 				at(2 * time.Second)
-				submitAll(sim, a, gone)
+				submitAll(sim, a, cancelledJob)
 				at(45 * time.Second)
 				ms := sim.BusyMachines("")
-				if len(ms) == 0 || tasksOnMachines(sim, gone.Spec.ID) != 4 {
-					t.Fatalf("%d machines at work, %d tasks to cancel", len(ms), tasksOnMachines(sim, gone.Spec.ID))
+				if len(ms) == 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 {
+					t.Fatalf("%d machines at work, %d tasks to cancel", len(ms), tasksOnMachines(sim, cancelledJob.Spec.ID))
 				}
-				held := map[wire.MachineID]int{}
+				recordedBefore := map[wire.MachineID]int{}
 				for _, id := range ms {
-					held[id] = len(sim.RecordedHeartbeats(id))
+					recordedBefore[id] = len(sim.RecordedHeartbeats(id))
 					sim.DropHeartbeats(id, true)
 				}
 				time.Sleep(sim.Settings.Workers.HeartbeatInterval.Duration() * 3 / 2)
@@ -82,14 +82,14 @@
 				_, token := awaitNewToken(t, sim, old)
 				var reps []wire.Heartbeat
 				for _, id := range ms {
-					if k := sim.RecordedHeartbeats(id); len(k) > held[id] {
-						reps = append(reps, k[held[id]])
+					if k := sim.RecordedHeartbeats(id); len(k) > recordedBefore[id] {
+						reps = append(reps, k[recordedBefore[id]])
 					}
 				}
-				mustCancel(t, sim, gone)
+				mustCancel(t, sim, cancelledJob)
 				sim.Submit(late, 0)
 				time.Sleep(4 * time.Second)
-				mustBeGone(t, sim, gone, "while reports are held up")
+				mustBeGone(t, sim, cancelledJob, "while reports are held up")
 				if !before {
 					for _, id := range ms {
 						sim.DropHeartbeats(id, false)
@@ -105,7 +105,7 @@
 						late200++
 					}
 					for _, p := range h.Heartbeat.Tasks {
-						if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
+						if task, err := wire.ParseTask(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
 							listed++
 						}
 					}
@@ -121,7 +121,7 @@
 				markFaultsOver(sim)
 				at(200 * time.Second)
 				mustFinish(t, sim, a, late)
-				mustBeGone(t, sim, gone, "at the end")
+				mustBeGone(t, sim, cancelledJob, "at the end")
 			})
 		})
 	}
@@ -136,19 +136,19 @@
 	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		lease := sim.Settings.Workers.Lease.Duration()
 		sim.RecordHeartbeats()
-		a, gone, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
+		a, cancelledJob, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
 		at(2 * time.Second)
-		submitAll(sim, a, gone, s)
+		submitAll(sim, a, cancelledJob, s)
 		at(45 * time.Second)
 		sim.DuplicateHeartbeats(0.3, 2*time.Second, lease*5/2)
 		// Their leases run out although they answer all commands.
-		ms := sim.MachinesRunning(gone.Spec.ID)
+		ms := sim.MachinesRunning(cancelledJob.Spec.ID)
 		sim.BlockOutbound(true, ms...)
 		time.Sleep(lease + time.Second)
 		sim.BlockOutbound(false, ms...)
 		time.Sleep(6 * time.Second)
 		for _, id := range ms {
-			if shift, _, _ := sim.MachineEpoch(id); shift == 1 {
+			if epoch, _, _ := sim.MachineEpoch(id); epoch == 1 {
 				t.Errorf("%s is still in its first session", id)
 			}
 		}
@@ -156,7 +156,7 @@
 		for _, id := range ms {
 			for _, r := range sim.RecordedHeartbeats(id) {
 				for _, p := range r.Tasks {
-					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
+					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
 						tries[p.Attempt] = true
 					}
 				}
@@ -182,13 +182,13 @@
 		earlier := 0
 		hand := func() {
 			for _, h := range sim.DeliverHeartbeats(old()...) {
-				if shift, _, _ := sim.MachineEpoch(h.Heartbeat.Machine); h.Newer && shift > h.Heartbeat.Epoch && len(h.Heartbeat.Tasks) > 0 {
+				if epoch, _, _ := sim.MachineEpoch(h.Heartbeat.Machine); h.Newer && epoch > h.Heartbeat.Epoch && len(h.Heartbeat.Tasks) > 0 {
 					earlier++
 				}
 			}
 		}
 		hand()
-		mustCancel(t, sim, gone)
+		mustCancel(t, sim, cancelledJob)
 		hand()
 		l, token := sim.LeaderAndToken()
 		sim.KillController(l)
@@ -198,7 +198,7 @@
 		sim.StartController(l)
 		hand()
 		time.Sleep(5 * time.Second)
-		mustBeGone(t, sim, gone, "after old reports listed them")
+		mustBeGone(t, sim, cancelledJob, "after old reports listed them")
 		hand()
 		if earlier == 0 {
 			t.Error("no report of an earlier session came after newer ones")
@@ -231,9 +231,9 @@
 				t.Parallel()
 				play(t, 620, func(sim *simulator.Simulation, at func(time.Duration)) {
 					sim.RecordHeartbeats()
-					a, gone, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
+					a, cancelledJob, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
 					at(2 * time.Second)
-					submitAll(sim, a, gone, s)
+					submitAll(sim, a, cancelledJob, s)
 					at(45 * time.Second)
 					ms := sim.BusyMachines("")
 					var reps []wire.Heartbeat
@@ -248,7 +248,7 @@
 					l, old := sim.LeaderAndToken()
 					sim.KillController(l)
 					time.Sleep(300 * time.Millisecond)
-					mustCancel(t, sim, gone)
+					mustCancel(t, sim, cancelledJob)
 					if n, _ := sim.LeaderAndToken(); n >= 0 && n != l {
 						t.Error("somebody leads before the job is cancelled")
 					}
@@ -291,7 +291,7 @@
 					sim.DeliverHeartbeats(reps...)
 					time.Sleep(5 * time.Second)
 					sim.StartController(l)
-					mustBeGone(t, sim, gone, "some seconds after the new leader began")
+					mustBeGone(t, sim, cancelledJob, "some seconds after the new leader began")
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.Restarts() != 0 {
 							t.Errorf("%d tasks were started again", c.Restarts())
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -74,7 +74,7 @@
 				at(55 * time.Second)
 				endFaultsAndWait(sim, 75*time.Second) // a cancelled one must be gone by then
 				r.stopReading()
-				over := r.firstSeen(simulator.ToldFinal)
+				finalSeen := r.firstSeen(simulator.ToldFinal)
 				hit := faultedTransactions(sim, store.JobPrefix+string(a.Spec.ID), func(f *simulator.TxnOutcome) bool { return f.Late })
 				if len(hit) != 1 || hit[0].Done.IsZero() {
 					t.Fatalf("fates %+v", hit)
@@ -82,9 +82,9 @@
 				switch i {
 				case 0:
 					mustFinish(t, sim, a)
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), over)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), finalSeen)
 				case 1, 4:
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), over, other)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), finalSeen, other)
 				case 2:
 					mustFinish(t, sim, a)
 					if hit[0].Status != http.StatusOK || !r.firstSeen(simulator.ToldAccepted).After(hit[0].Done) || hit[0].Done.Sub(hit[0].Sent) < 10*time.Second {
@@ -92,13 +92,13 @@
 					}
 				case 3:
 					mustFinish(t, sim, a)
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), over)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), finalSeen)
 					if when, _, said := requestUntilAnswered(t, sim, a, true, k); when.IsZero() || said != wire.Done {
 						t.Errorf("a job that was done is called %s", said)
 					}
 				case 5:
-					if hit[0].Status != http.StatusOK || !over.After(hit[0].Done) {
-						t.Errorf("%+v, first known to be over at %v", hit[0], over)
+					if hit[0].Status != http.StatusOK || !finalSeen.After(hit[0].Done) {
+						t.Errorf("%+v, first known to be over at %v", hit[0], finalSeen)
 					}
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -80,14 +80,14 @@
 		begin := time.Now()
 		inOutage := 0
 		for n := range 10 {
-			j, gone := array(10+n, 1+n%3, float64(10+5*n)), array(30+n, 2, 100)
+			j, cancelledJob := array(10+n, 1+n%3, float64(10+5*n)), array(30+n, 2, 100)
 			all = append(all, j)
-			submitAll(sim, j, gone)
+			submitAll(sim, j, cancelledJob)
 			time.Sleep(700 * time.Millisecond)
 			l := sim.Leader()
 			if n%2 == 0 {
 				sim.KillController(l)
-				cancelAtController(t, sim, (l+1)%3, gone)
+				cancelAtController(t, sim, (l+1)%3, cancelledJob)
 				awaitOtherLeader(t, sim, l, 8*time.Second)
 				startControllers(t, sim, l)
 				time.Sleep(2 * time.Second)
@@ -101,7 +101,7 @@
 			sim.KillController(l)
 			time.Sleep(2 * time.Second)
 			sim.State.Outage(false)
-			cancelAtController(t, sim, (l+1)%3, gone)
+			cancelAtController(t, sim, (l+1)%3, cancelledJob)
 			awaitOtherLeader(t, sim, l, 8*time.Second)
 			startControllers(t, sim, l)
 			time.Sleep(time.Second)
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -157,18 +157,18 @@
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(3), 65, func(sim *simulator.Simulation, at func(time.Duration)) {
 					s, a := service(1, 4), array(2, 4, 60)
-					gone, late := service(3, 4), array(4, 4, 300)
+					cancelledJob, late := service(3, 4), array(4, 4, 300)
 					at(2 * time.Second)
-					for _, j := range []simulator.JobScript{s, a, gone, late} {
+					for _, j := range []simulator.JobScript{s, a, cancelledJob, late} {
 						sim.Submit(j, 0)
 					}
 					at(45 * time.Second)
 					l := sim.Leader()
 					fresh := array(5, 3, 20)
-					polls := startBackgroundPolls(sim, l, s, a, gone, late, fresh)
+					polls := startBackgroundPolls(sim, l, s, a, cancelledJob, late, fresh)
 					defer polls.stopPolling()
 					behind := map[string]bool{}
-					for _, id := range append(sim.MachinesRunning(gone.Spec.ID), sim.MachinesRunning(late.Spec.ID)...) {
+					for _, id := range append(sim.MachinesRunning(cancelledJob.Spec.ID), sim.MachinesRunning(late.Spec.ID)...) {
 						behind[sim.MachineIP(id)] = true
 					}
 					split := func(on bool) {
@@ -187,11 +187,11 @@
 					next := awaitOtherLeader(t, sim, l, 10*time.Second)
 					answeredBefore := polls.answered()
 					sim.Submit(fresh, 0) // by any node; those that can't will refuse
-					if got := cancelAtController(t, sim, next, gone); got.Sub(begin) > 8*time.Second {
+					if got := cancelAtController(t, sim, next, cancelledJob); got.Sub(begin) > 8*time.Second {
 						t.Errorf("cancelled only %v after the cut", got.Sub(begin))
 					}
 					sim.WithChecker(func(c *simulator.Checker) {
-						if !only && c.OnMachines(late.Spec.ID) == 0 || only && c.OnMachines(gone.Spec.ID) == 0 {
+						if !only && c.OnMachines(late.Spec.ID) == 0 || only && c.OnMachines(cancelledJob.Spec.ID) == 0 {
 							t.Error("nothing of the cancelled jobs runs any more when they are cancelled")
 						}
 					})
@@ -214,7 +214,7 @@
 					time.Sleep(45 * time.Second)
 					if only {
 						sim.WithChecker(func(c *simulator.Checker) {
-							if n := c.OnMachines(gone.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
+							if n := c.OnMachines(cancelledJob.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
 								t.Errorf("%d tasks of cancelled jobs behind the old leader", n)
 							}
 						})
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -54,8 +54,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), uint64(200+k), func(sim *simulator.Simulation, at func(time.Duration)) {
-				keep, gone, long := service(1, 3), service(2, 4), array(3, 6, 300)
-				for _, s := range []simulator.JobScript{keep, gone, long} {
+				keep, cancelledJob, long := service(1, 3), service(2, 4), array(3, 6, 300)
+				for _, s := range []simulator.JobScript{keep, cancelledJob, long} {
 					sim.Submit(s, 0)
 				}
 				// Other users, who can't be answered in the outage either. (Without
@@ -66,7 +66,7 @@
 				}
 				at(45 * time.Second)
 				l := sim.Leader()
-				if l < 0 || tasksOnMachines(sim, gone.Spec.ID) != 4 || tasksOnMachines(sim, long.Spec.ID) == 0 {
+				if l < 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 || tasksOnMachines(sim, long.Spec.ID) == 0 {
 					t.Fatal("nothing runs yet")
 				}
 				refuse := c.refuse
@@ -75,7 +75,7 @@
 				}
 				refuse(sim, l, true)
 				confirmer := (l + 1) % 5
-				for _, id := range []wire.JobID{gone.Spec.ID, long.Spec.ID} {
+				for _, id := range []wire.JobID{cancelledJob.Spec.ID, long.Spec.ID} {
 					if !cancelOnceAt(sim, confirmer, id) {
 						t.Fatalf("%s was not cancelled while the leader was refused", id)
 					}
@@ -95,7 +95,7 @@
 				if n := tasksOnMachines(sim, keep.Spec.ID); c.lives && n != 3 {
 					t.Errorf("%d of 3 replicas that nobody cancelled live through the outage", n)
 				}
-				if n := tasksOnMachines(sim, gone.Spec.ID) + tasksOnMachines(sim, long.Spec.ID); c.lives && n != 0 {
+				if n := tasksOnMachines(sim, cancelledJob.Spec.ID) + tasksOnMachines(sim, long.Spec.ID); c.lives && n != 0 {
 					t.Errorf("%d cancelled tasks are left, of which the leader could hear from the others", n)
 				}
 				time.Sleep(time.Second)
@@ -122,11 +122,11 @@
 			t.Run(fmt.Sprint(how, ", cloud there: ", cloud), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(5), 230, func(sim *simulator.Simulation, at func(time.Duration)) {
-					keep, gone := service(1, 3), service(2, 4)
-					submitAll(sim, keep, gone)
+					keep, cancelledJob := service(1, 3), service(2, 4)
+					submitAll(sim, keep, cancelledJob)
 					at(45 * time.Second)
 					l := sim.Leader()
-					on := sim.MachinesRunning(gone.Spec.ID)
+					on := sim.MachinesRunning(cancelledJob.Spec.ID)
 					if l < 0 || len(on) == 0 {
 						t.Fatal("nothing runs yet")
 					}
@@ -148,7 +148,7 @@
 					setFault(true)
 					sim.CloudOutage(!cloud)
 					sim.State.RefuseClient(simulator.NodeIP(l), true)
-					if !cancelOnceAt(sim, (l+1)%5, gone.Spec.ID) {
+					if !cancelOnceAt(sim, (l+1)%5, cancelledJob.Spec.ID) {
 						t.Fatal("not cancelled")
 					}
 					sim.State.Outage(true)
@@ -161,8 +161,8 @@
 					sim.CloudOutage(false)
 					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
-					if tasksOnMachines(sim, keep.Spec.ID) != 3 || tasksOnMachines(sim, gone.Spec.ID) != 0 {
-						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(sim, keep.Spec.ID), tasksOnMachines(sim, gone.Spec.ID))
+					if tasksOnMachines(sim, keep.Spec.ID) != 3 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 0 {
+						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(sim, keep.Spec.ID), tasksOnMachines(sim, cancelledJob.Spec.ID))
 					}
 				})
 			})
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -168,14 +168,14 @@
 				t.Parallel()
 				runWithSettings(t, settingsBeforeLowering(), uint64(700+i)+100*seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					a, b := arrayOfSmallTasks(1, 600, 60), arrayOfSmallTasks(2, 250, 75)
-					after, s, gone := arrayOfSmallTasks(3, 100, 10), service(4, 3), service(5, 2)
+					after, s, cancelledJob := arrayOfSmallTasks(3, 100, 10), service(4, 3), service(5, 2)
 					at(2 * time.Second)
 					submitAll(sim, a, b, s)
 					c := arrayOfSmallTasks(6, 250, 80)
 					sim.Submit(c, 0)
 					at(30 * time.Second)
 					announceLoweredLimits(t, sim)
-					sim.Submit(gone, 20*time.Second)
+					sim.Submit(cancelledJob, 20*time.Second)
 					mustExceedLoweredLimits(t, sim, a, b, c)
 					if n := storedPieces(sim); n > 0 || sim.State.OversizeRefusals() > 0 {
 						t.Errorf("%d pieces, %d refused before the limits drop", n, sim.State.OversizeRefusals())
@@ -198,15 +198,15 @@
 					if sim.State.OversizeRefusals() == 0 {
 						t.Error("nothing was refused by the lower limits")
 					}
-					over, _ := sim.State.RateRefusals()
-					t.Logf("%d transactions refused for their size, %d requests for the rate, %d pieces", sim.State.OversizeRefusals(), over, most)
+					refusals, _ := sim.State.RateRefusals()
+					t.Logf("%d transactions refused for their size, %d requests for the rate, %d pieces", sim.State.OversizeRefusals(), refusals, most)
 					mustBeArchived(t, sim, a, b, after)
 					if name != "cancellations" {
 						mustBeArchived(t, sim, c)
 					}
 					mustRun(t, sim, s, "after the drop")
 					sim.WithChecker(func(c *simulator.Checker) {
-						if c.OnMachines(gone.Spec.ID) != 0 || c.OnMachines("req-000006") != 0 {
+						if c.OnMachines(cancelledJob.Spec.ID) != 0 || c.OnMachines("req-000006") != 0 {
 							t.Error("what was cancelled still runs")
 						}
 						if c.Restarts() > 0 && name != "answers lost" && name != "all controllers end" {
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -151,26 +151,26 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				gone, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
+				cancelledJob, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
 				at(2 * time.Second)
-				submitAll(sim, gone, s)
+				submitAll(sim, cancelledJob, s)
 				at(30 * time.Second)
 				sim.Submit(next, 0)
 				at(45 * time.Second)
 				mustUseCPUs(t, sim, "red", 24)
-				hit := sim.MachinesRunning(gone.Spec.ID)
+				hit := sim.MachinesRunning(cancelledJob.Spec.ID)
 				hit = hit[:1]
 				sim.LoseScaleInAnswers(1000)
 				for _, id := range hit {
 					sim.PartitionMachine(id, true)
 				}
-				if !cancelWithin(t, sim, gone.Spec.ID, 2*time.Second) {
+				if !cancelWithin(t, sim, cancelledJob.Spec.ID, 2*time.Second) {
 					t.Fatal("not cancelled")
 				}
 				time.Sleep(3 * time.Second)
 				lost := 0
 				sim.WithChecker(func(c *simulator.Checker) {
-					if lost = c.OnMachines(gone.Spec.ID); lost == 0 {
+					if lost = c.OnMachines(cancelledJob.Spec.ID); lost == 0 {
 						t.Error("nothing of the cancelled job runs where it can't be stopped")
 					}
 				})
@@ -182,7 +182,7 @@
 				}
 				// They are gone, and the leader can't know: they count.
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(next.Spec.ID); c.OnMachines(gone.Spec.ID) > 0 || n > 12-lost {
+					if n := c.OnMachines(next.Spec.ID); c.OnMachines(cancelledJob.Spec.ID) > 0 || n > 12-lost {
 						t.Errorf("%d tasks of the next job run before the release of %d is answered", n, lost)
 					}
 				})
@@ -248,12 +248,12 @@
 // of the array must run on ordinary machines in the end, whatever they cost.
 func TestSpotCapacityLostDuringArray(t *testing.T) {
 	t.Parallel()
-	for _, site := range []wire.Zone{"", "a"} {
-		t.Run("bound to "+string(site), func(t *testing.T) {
+	for _, zone := range []wire.Zone{"", "a"} {
+		t.Run("bound to "+string(zone), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 520, func(sim *simulator.Simulation, at func(time.Duration)) {
 				j := array(1, 12, 20)
-				j.Spec.Zone = site
+				j.Spec.Zone = zone
 				at(2 * time.Second)
 				sim.Submit(j, 0)
 				done := 0
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -17,17 +17,17 @@
 	t.Parallel()
 	runScenario(t, 1, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b, s := array(1, 10, 15), array(2, 6, 20), service(3, 3)
-		gone := service(4, 2)
+		cancelledJob := service(4, 2)
 		at(2 * time.Second)
 		submitAll(sim, a, s)
-		sim.Submit(gone, 60*time.Second)
+		sim.Submit(cancelledJob, 60*time.Second)
 		at(30 * time.Second)
 		sim.Submit(b, 0)
 		at(150 * time.Second)
 		mustFinish(t, sim, a, b)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(gone.Spec.ID) != 0 {
-				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.OnMachines(s.Spec.ID), c.OnMachines(gone.Spec.ID))
+			if c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(cancelledJob.Spec.ID) != 0 {
+				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.OnMachines(s.Spec.ID), c.OnMachines(cancelledJob.Spec.ID))
 			}
 		})
 		if keys := sim.State.Keys("run/req-000001/"); len(keys) != 0 {
@@ -177,11 +177,11 @@
 				if d := longest(all[450:]); d > time.Second {
 					t.Errorf("with machines up and nothing gathered a job waited for %v", d)
 				}
-				switch over, most := sim.State.RateRefusals(); {
-				case over != before:
-					t.Errorf("the state service refuses %d requests with nothing gathered", over-before)
-				case over > 300:
-					t.Errorf("the state service refused %d requests", over)
+				switch refusals, most := sim.State.RateRefusals(); {
+				case refusals != before:
+					t.Errorf("the state service refuses %d requests with nothing gathered", refusals-before)
+				case refusals > 300:
+					t.Errorf("the state service refused %d requests", refusals)
 				case most > int(set.State.RPS)*5/4:
 					t.Errorf("%d requests in a second to a state service for %v", most, set.State.RPS)
 				}
@@ -285,10 +285,10 @@
 	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
 	set.Limits = config.Limits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
 	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
-		a, b, gone := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
+		a, b, cancelledJob := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
 		at(3 * time.Second)
 		sim.Submit(a, 0)
-		sim.Submit(gone, 45*time.Second)
+		sim.Submit(cancelledJob, 45*time.Second)
 		at(30 * time.Second)
 		sim.Submit(b, 0)
 		at(60 * time.Second)
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -174,7 +174,7 @@
 				for range 3 {
 					jobs(2)
 					time.Sleep(seconds(6))
-					var over []func()
+					var endFaults []func()
 					leaders := sim.Leader()
 					for n := range 2 + rng.IntN(2) {
 						ids, z := some(), zone()
@@ -185,30 +185,30 @@
 						switch kind {
 						case 0:
 							sim.IsolateZone(z, true)
-							over = append(over, func() { sim.IsolateZone(z, false) })
+							endFaults = append(endFaults, func() { sim.IsolateZone(z, false) })
 						case 1:
 							for _, id := range ids {
 								sim.StallMachine(id, true)
 							}
-							over = append(over, func() {
+							endFaults = append(endFaults, func() {
 								for _, id := range ids {
 									sim.StallMachine(id, false)
 								}
 							})
 						case 2:
 							sim.CloudOutage(true)
-							over = append(over, func() { sim.CloudOutage(false) })
+							endFaults = append(endFaults, func() { sim.CloudOutage(false) })
 						case 3:
 							sim.State.Outage(true)
-							over = append(over, func() { sim.State.Outage(false) })
+							endFaults = append(endFaults, func() { sim.State.Outage(false) })
 						case 4:
 							sim.SlowMachineLinks(seconds(2) * 6 / 10)
-							over = append(over, func() { sim.SlowMachineLinks(0) })
+							endFaults = append(endFaults, func() { sim.SlowMachineLinks(0) })
 						case 5:
 							for _, id := range ids {
 								sim.Net.BlockInbound(sim.MachineIP(id), true)
 							}
-							over = append(over, func() {
+							endFaults = append(endFaults, func() {
 								for _, id := range ids {
 									sim.Net.BlockInbound(sim.MachineIP(id), false)
 								}
@@ -221,7 +221,7 @@
 							sim.LoseScaleInAnswers(3)
 							sim.LoseScaleOutAnswers(2)
 						}
-						if n > 0 && len(over) > 0 {
+						if n > 0 && len(endFaults) > 0 {
 							met++
 						}
 						time.Sleep(seconds(2))
@@ -233,7 +233,7 @@
 						sim.StartController(leaders) //nolint:errcheck // it was killed above
 					}
 					time.Sleep(seconds(40))
-					for _, f := range over {
+					for _, f := range endFaults {
 						f()
 						time.Sleep(seconds(3))
 					}
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -35,8 +35,8 @@
 		sim.DelayCloudRequests(40, 0, 45*time.Second)
 		a := array(1, 8, 30)
 		sim.Submit(a, 0)
-		held := func() bool { return sim.LateCloudRequests().Delayed > 0 }
-		waitUntil(t, 20*time.Second, "a rental on its way", held)
+		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
+		waitUntil(t, 20*time.Second, "a rental on its way", requestDelayed)
 		killed := sim.Leader()
 		sim.KillController(killed)
 		sim.DelayCloudRequests(0, 0, 45*time.Second)
@@ -65,8 +65,8 @@
 		sim.Submit(first, 0)
 		at(20 * time.Second)
 		sim.DelayCloudRequests(0, 40, 45*time.Second)
-		held := func() bool { return sim.LateCloudRequests().Delayed > 0 }
-		waitUntil(t, 150*time.Second, "a release on its way", held)
+		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
+		waitUntil(t, 150*time.Second, "a release on its way", requestDelayed)
 		killed := sim.Leader()
 		sim.KillController(killed)
 		sim.DelayCloudRequests(0, 0, 45*time.Second)
@@ -124,12 +124,12 @@
 		mustFinish(t, sim, a)
 		damaged := sim.State.Put("intent/renting", "no record of intents")
 		replaceLeader(t, sim)
-		rented := sim.ProvisionedSoFar()
+		provisioned := sim.ProvisionedSoFar()
 		b := array(2, 30, 30)
 		sim.Submit(b, 0)
 		time.Sleep(30 * time.Second)
-		if n := sim.ProvisionedSoFar(); n != rented {
-			t.Errorf("%d machines were rented without a record", n-rented)
+		if n := sim.ProvisionedSoFar(); n != provisioned {
+			t.Errorf("%d machines were rented without a record", n-provisioned)
 		}
 		if now := sim.State.Revision("intent/renting"); now != damaged {
 			t.Error("the record was overwritten")
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -158,15 +158,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			c.run(t, 69, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 60)
+				s, cancelledJob, a := service(1, 4), service(2, 4), array(3, 6, 60)
 				at(2 * time.Second)
-				for _, j := range []simulator.JobScript{s, gone, a} {
+				for _, j := range []simulator.JobScript{s, cancelledJob, a} {
 					sim.Submit(j, 0)
 				}
 				at(45 * time.Second)
 				l, old := sim.Leader(), sim.LeaderKeyRevision()
 				sim.KillController(l)
-				confirmed := cancelAtController(t, sim, (l+1)%3, gone)
+				confirmed := cancelAtController(t, sim, (l+1)%3, cancelledJob)
 				if c.back {
 					startControllers(t, sim, l)
 				}
@@ -179,13 +179,13 @@
 					startControllers(t, sim, l)
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(gone.Spec.ID) != 4 {
+					if c.OnMachines(cancelledJob.Spec.ID) != 4 {
 						t.Error("the cancelled job was stopped before the outage")
 					}
 				})
 				time.Sleep(time.Until(confirmed.Add(sim.Settings.Workers.CancelTimeout.Duration() + 10*time.Second)))
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(gone.Spec.ID); n != 0 {
+					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job", n)
 					}
 				})
@@ -206,9 +206,9 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 670, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, gone, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
+				s, cancelledJob, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
 				at(2 * time.Second)
-				submitAll(sim, s, gone)
+				submitAll(sim, s, cancelledJob)
 				at(45 * time.Second)
 				ms := sim.BusyMachines("")
 				l, old := sim.LeaderAndToken()
@@ -225,7 +225,7 @@
 					sim.HangMachines(true, ms...)
 					time.Sleep(2 * time.Second)
 				}
-				mustCancel(t, sim, gone)
+				mustCancel(t, sim, cancelledJob)
 				if how == "not recovered" {
 					for i := range sim.Settings.Size {
 						sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 300*time.Millisecond)
@@ -243,13 +243,13 @@
 					sim.State.Outage(true)
 				}
 				time.Sleep(4 * time.Second)
-				if tasksOnMachines(sim, gone.Spec.ID) == 0 {
+				if tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 {
 					t.Error("no cancelled task runs when the state service is away")
 				}
 				sim.HangMachines(false, ms...)
 				sim.BlockInbound(false, ms...)
 				time.Sleep(sim.Settings.Workers.CancelTimeout.Duration() + 5*time.Second)
-				mustBeGone(t, sim, gone, "although their time is up")
+				mustBeGone(t, sim, cancelledJob, "although their time is up")
 				for i := range sim.Settings.Size {
 					sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 0)
 				}
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -41,17 +41,17 @@
 			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", c.fault, c.before, c.half, c.cloud, c.lasts, seed), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-					gone, goneS := array(1, 12, 400), service(2, 16)
+					cancelledJob, cancelledService := array(1, 12, 400), service(2, 16)
 					next, nextS := array(3, 12, 15), service(4, 16)
 					at(2 * time.Second)
-					submitAll(sim, gone, goneS)
+					submitAll(sim, cancelledJob, cancelledService)
 					at(20 * time.Second)
 					submitAll(sim, next, nextS)
 					at(45 * time.Second)
 					mustUseCPUs(t, sim, "red", 24)
 					mustUseCPUs(t, sim, "blue", 16)
 					var hit []wire.MachineID
-					for i, id := range append(sim.MachinesRunning(gone.Spec.ID), sim.MachinesRunning(goneS.Spec.ID)...) {
+					for i, id := range append(sim.MachinesRunning(cancelledJob.Spec.ID), sim.MachinesRunning(cancelledService.Spec.ID)...) {
 						if !c.half || i%2 == 0 {
 							hit = append(hit, id)
 						}
@@ -71,7 +71,7 @@
 						sim.KillController(l)
 						time.Sleep(300 * time.Millisecond)
 					}
-					for _, j := range []simulator.JobScript{gone, goneS} {
+					for _, j := range []simulator.JobScript{cancelledJob, cancelledService} {
 						if !cancelWithin(t, sim, j.Spec.ID, 3*time.Second) {
 							t.Fatalf("%s was not cancelled while the fault was on", j.Spec.ID)
 						}
@@ -84,7 +84,7 @@
 					if !c.before {
 						time.Sleep(time.Second)
 						sim.WithChecker(func(c *simulator.Checker) {
-							if c.OnMachines(gone.Spec.ID) == 0 || c.OnMachines(goneS.Spec.ID) == 0 {
+							if c.OnMachines(cancelledJob.Spec.ID) == 0 || c.OnMachines(cancelledService.Spec.ID) == 0 {
 								t.Error("nothing runs behind the fault when the leader ends")
 							}
 						})
@@ -98,7 +98,7 @@
 					if c.lasts > 60*time.Second {
 						time.Sleep(time.Until(begin.Add(c.lasts)))
 						sim.WithChecker(func(c *simulator.Checker) {
-							if c.OnMachines(gone.Spec.ID) != 0 || c.OnMachines(goneS.Spec.ID) != 0 {
+							if c.OnMachines(cancelledJob.Spec.ID) != 0 || c.OnMachines(cancelledService.Spec.ID) != 0 {
 								t.Error("cancelled tasks outlive their time")
 							}
 						})
@@ -180,8 +180,8 @@
 				t.Parallel()
 				runScenario(t, 440+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					sim.EnableSlowSaves()
-					job := func(n, parts int, run float64, u wire.Priority, team wire.TeamID) simulator.JobScript {
-						j := array(n, parts, run)
+					job := func(n, tasks int, run float64, u wire.Priority, team wire.TeamID) simulator.JobScript {
+						j := array(n, tasks, run)
 						j.Spec.Priority, j.Spec.Team = u, team
 						j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 10, 3
 						return j
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -37,7 +37,7 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				a, b, gone, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
+				a, b, cancelledJob, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each for sure, then half of all
 					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.ProgressPrefix, Most: 1}, {Share: 0.5}}
@@ -47,12 +47,12 @@
 				off := func() { sim.State.InjectTxnFaults(0); end = time.Now() }
 				at(2 * time.Second)
 				sim.Submit(s, 0)
-				sim.RegisterJob(gone)
-				requestUntilAnswered(t, sim, gone, false, 0)
+				sim.RegisterJob(cancelledJob)
+				requestUntilAnswered(t, sim, cancelledJob, false, 0)
 				at(25 * time.Second)
 				sim.RegisterJob(a)
 				sim.RegisterJob(b)
-				ra, rb, rg := startReader(t, sim, a.Spec.ID), startReader(t, sim, b.Spec.ID), startReader(t, sim, gone.Spec.ID)
+				ra, rb, rg := startReader(t, sim, a.Spec.ID), startReader(t, sim, b.Spec.ID), startReader(t, sim, cancelledJob.Spec.ID)
 				if kind != "cancellation" {
 					on()
 				}
@@ -64,7 +64,7 @@
 				if kind == "cancellation" {
 					on()
 				}
-				cancelled, _, _ := requestUntilAnswered(t, sim, gone, true, i)
+				cancelled, _, _ := requestUntilAnswered(t, sim, cancelledJob, true, i)
 				if kind == "cancellation" {
 					off()
 				}
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -20,10 +20,10 @@
 		t.Run(fmt.Sprint("inherited ", inherited), func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 10)
+				s, cancelledJob, a := service(1, 4), service(2, 4), array(3, 6, 10)
 				at(2 * time.Second)
 				sim.Submit(s, 0)
-				sim.Submit(gone, 55*time.Second)
+				sim.Submit(cancelledJob, 55*time.Second)
 				at(45 * time.Second)
 				on := sim.MachinesRunning(s.Spec.ID)
 				if len(on) == 0 {
@@ -74,9 +74,9 @@
 				}
 			}
 			both(t, 640, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, a, gone := service(1, 3), array(2, 12, 60), array(3, 4, 300)
+				s, a, cancelledJob := service(1, 3), array(2, 12, 60), array(3, 4, 300)
 				at(2 * time.Second)
-				submitAll(sim, s, a, gone)
+				submitAll(sim, s, a, cancelledJob)
 				at(45 * time.Second)
 				unconnected := some(sim)
 				sim.BlockOutbound(true, unconnected...)
@@ -84,16 +84,16 @@
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + time.Second)
 				n := 0
 				for _, id := range unconnected {
-					if shift, _, _ := sim.MachineEpoch(id); shift > 1 {
+					if epoch, _, _ := sim.MachineEpoch(id); epoch > 1 {
 						n++
 					}
 				}
 				if n+lostMachines(sim, unconnected) != len(unconnected) || n == 0 {
 					t.Errorf("%d of %d machines that can't connect are there in a new session", n, len(unconnected))
 				}
-				mustCancel(t, sim, gone)
+				mustCancel(t, sim, cancelledJob)
 				time.Sleep(5 * time.Second)
-				mustBeGone(t, sim, gone, "5 s later, on machines that can't connect")
+				mustBeGone(t, sim, cancelledJob, "5 s later, on machines that can't connect")
 				// Where they are many they are kept for a while, and the cloud may
 				// have no more of their cheap type.
 				time.Sleep(170 * time.Second)
@@ -155,7 +155,7 @@
 					time.Sleep(2 * time.Second)
 					unheard := 0
 					for _, id := range ms {
-						if _, _, baton := sim.MachineEpoch(id); baton < token {
+						if _, _, seenToken := sim.MachineEpoch(id); seenToken < token {
 							unheard++
 						}
 					}
@@ -200,10 +200,10 @@
 					t.Parallel()
 					rng := rand.New(rand.NewPCG(660, 1))
 					play(t, 660, func(sim *simulator.Simulation, at func(time.Duration)) {
-						s, gone, a := service(1, 3), array(2, 10, 300), array(3, 6, 20)
+						s, cancelledJob, a := service(1, 3), array(2, 10, 300), array(3, 6, 20)
 						kept := service(4, 2)
 						at(2 * time.Second)
-						submitAll(sim, s, gone, kept)
+						submitAll(sim, s, cancelledJob, kept)
 						at(45 * time.Second)
 						ms := sim.BusyMachines("")
 						off := func(on bool) {
@@ -219,14 +219,14 @@
 						sim.CloudOutage(cloud)
 						off(true)
 						time.Sleep(randomDelay(rng)(3))
-						if n := tasksOnMachines(sim, gone.Spec.ID); n != 10 {
+						if n := tasksOnMachines(sim, cancelledJob.Spec.ID); n != 10 {
 							t.Errorf("%d of 10 tasks run when they are cancelled", n)
 						}
-						mustCancel(t, sim, gone)
+						mustCancel(t, sim, cancelledJob)
 						mustCancel(t, sim, kept)
 						if how == "no outbound" {
 							time.Sleep(4 * time.Second)
-							mustBeGone(t, sim, gone, "on machines that can't connect")
+							mustBeGone(t, sim, cancelledJob, "on machines that can't connect")
 						}
 						if leader {
 							l, old := sim.LeaderAndToken()
@@ -237,17 +237,17 @@
 						}
 						sim.Submit(a, 0)
 						time.Sleep(randomDelay(rng)(8))
-						if how == "hang" && tasksOnMachines(sim, gone.Spec.ID) == 0 && cloud {
+						if how == "hang" && tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 && cloud {
 							t.Error("the hanging machines lost their tasks before they went on")
 						}
 						if how != "no outbound" {
 							off(false) // within the lease
 							time.Sleep(6 * time.Second)
-							mustBeGone(t, sim, gone, "when the machines go on")
+							mustBeGone(t, sim, cancelledJob, "when the machines go on")
 							off(true)
 						}
 						time.Sleep(sim.Settings.Workers.Lease.Duration() + 4*time.Second)
-						mustBeGone(t, sim, gone, "after a lease")
+						mustBeGone(t, sim, cancelledJob, "after a lease")
 						off(false)
 						time.Sleep(20 * time.Second)
 						sim.CloudOutage(false)
@@ -255,7 +255,7 @@
 						time.Sleep(80 * time.Second)
 						mustFinish(t, sim, a)
 						mustRun(t, sim, s, "at the end")
-						mustBeGone(t, sim, gone, "at the end")
+						mustBeGone(t, sim, cancelledJob, "at the end")
 						mustBeGone(t, sim, kept, "at the end")
 					})
 				})
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -370,7 +370,7 @@
 	for _, key := range []string{upgrade.ActiveKey, upgrade.SupportKey("worker-0")} {
 		runPrograms(t, 99, newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
 			at(30 * time.Second)
-			whole := sim.State.Value(key)
+			intact := sim.State.Value(key)
 			revision := sim.State.Put(key, "no version")
 			time.Sleep(10 * time.Second)
 			a := array(1, 4, 10)
@@ -383,7 +383,7 @@
 			if sim.State.Revision(key) != revision {
 				t.Errorf("%s was overwritten", key)
 			}
-			sim.State.Put(key, whole)
+			sim.State.Put(key, intact)
 			eventually(t, 20*time.Second, "controller 0 to serve", func() bool {
 				status, _, _ := sim.Ask(0, "GET", "/ready", nil)
 				return status == http.StatusOK
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -112,17 +112,17 @@
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, gone := service(1, 4), service(2, 6)
+				s, cancelledJob := service(1, 4), service(2, 6)
 				at(2 * time.Second)
 				sim.Submit(s, 0)
-				sim.Submit(gone, 44*time.Second)
+				sim.Submit(cancelledJob, 44*time.Second)
 				at(45 * time.Second)
 				z := leaderZoneOrOther(sim, leads)
 				sim.CloudOutage(true)
 				sim.IsolateZone(z, true)
 				at(115 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(gone.Spec.ID); n != 0 {
+					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run behind the cut", n)
 					}
 				})
@@ -149,8 +149,8 @@
 				in := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = z; return j }
 				stays, same := in(array(1, 4, 120)), array(2, 3, 60)
 				same.Spec.SameZone = true
-				whole := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return in(j) }
-				before, early, late, unborn := whole(service(3, 2)), whole(service(4, 2)), whole(service(5, 2)), whole(service(6, 2))
+				sameZone := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return in(j) }
+				before, early, late, unborn := sameZone(service(3, 2)), sameZone(service(4, 2)), sameZone(service(5, 2)), sameZone(service(6, 2))
 				free := array(7, 6, 30)
 				at(2 * time.Second)
 				if moveLeadershipTo(t, sim, "a"); inside {
@@ -229,14 +229,14 @@
 				startControllers(t, sim, 1)
 				time.Sleep(100 * time.Millisecond)
 				// Machines take some seconds longer to be heard than controllers.
-				var silent []string
+				var cutOff []string
 				for _, id := range append(sim.MachinesRunning(a.Spec.ID), sim.MachinesRunning(s.Spec.ID)...) {
 					if sim.MachineZone(id) == "b" {
-						silent = append(silent, sim.MachineIP(id))
+						cutOff = append(cutOff, sim.MachineIP(id))
 					}
 				}
 				hold := func(on bool) {
-					for _, ip := range silent {
+					for _, ip := range cutOff {
 						for i := range 3 {
 							sim.Net.Cut(simulator.NodeIP(i), ip, on)
 						}
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -332,7 +332,7 @@
 // blame, and one that is not must not be blamed.
 func TestMalformedSubmissions(t *testing.T) {
 	good := wire.JobSpec{ID: "req-000001", Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-a"}
-	noted := func(body any) bool {
+	isViolation := func(body any) bool {
 		c := NewChecker(time.Second, nil)
 		c.SubmissionSent(bodyOf(body), 201, time.Unix(1000, 0))
 		for _, b := range c.Violations {
@@ -342,27 +342,27 @@
 		}
 		return len(c.Violations) > 0
 	}
-	if noted(Submission(good)) {
+	if isViolation(Submission(good)) {
 		t.Error("a good submission is blamed")
 	}
 	for k := range Submission(good) {
 		m := Submission(good)
 		delete(m, k)
-		if nullable := k == "kits" || k == "site" || k == "dueS"; noted(m) == nullable {
+		if nullable := k == "kits" || k == "site" || k == "dueS"; isViolation(m) == nullable {
 			t.Errorf("without %s", k)
 		}
 		m[k] = []byte{1}
-		if !noted(m) {
+		if !isViolation(m) {
 			t.Errorf("a wrong %s", k)
 		}
 	}
 	for k, v := range map[string]any{"nameId": "job-1", "shape": "choir", "urgency": "now", "parts": 100_001, "cpus": -1.0, "dueS": -1.0, "ramGb": "many"} {
 		m := Submission(good)
-		if m[k] = v; !noted(m) {
+		if m[k] = v; !isViolation(m) {
 			t.Errorf("%s %v", k, v)
 		}
 	}
-	if !noted([]string{"a"}) || !noted([]byte{0xff, 1}) {
+	if !isViolation([]string{"a"}) || !isViolation([]byte{0xff, 1}) {
 		t.Error("what is no map")
 	}
 }
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -20,7 +20,7 @@
 	t0 := time.Unix(1000, 0)
 	here, there := Place{Machine: "n-1", Type: "c4", Zone: "a"}, Place{Machine: "n-2", Type: "c4", Zone: "b"}
 	task := func(i int) wire.Task { return wire.Task{Job: "req-000001", Index: i} }
-	whole := func(c *Checker) {
+	complete := func(c *Checker) {
 		for i := range 2 {
 			c.TaskStarted(task(i), here, t0)
 		}
@@ -35,10 +35,10 @@
 		"waits while an older attempt is on": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(0), there, t0) }},
 		"waits over the limit": {Quota, func(c *Checker) {
 			c.Limits["red"] = TeamLimit{CPUs: 3}
-			whole(c)
+			complete(c)
 		}},
 		"called done before its end": {NotDone, func(c *Checker) {
-			whole(c)
+			complete(c)
 			c.GangBegan("req-000001", t0)
 			c.StatusToldNow("req-000001", wire.Done, t0)
 		}},
@@ -54,7 +54,7 @@
 		}},
 		"never runs whole": {Unserved, func(c *Checker) {
 			c.Accepted("req-000001", t0)
-			whole(c)
+			complete(c)
 			c.Finish(t0.Add(5 * time.Minute))
 		}},
 		"left waiting beside room": {LeftWaiting, func(c *Checker) {
@@ -136,9 +136,9 @@
 	return wire.Command{Verb: wire.Launch, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try}
 }
 
-// haltCommand stops one.
-func haltCommand(i int, try wire.Attempt, windDown wire.Seconds) wire.Command {
-	return wire.Command{Verb: wire.Stop, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &windDown}
+// stopCommand stops one.
+func stopCommand(i int, try wire.Attempt, gracePeriod wire.Seconds) wire.Command {
+	return wire.Command{Verb: wire.Stop, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &gracePeriod}
 }
 
 // The workers do with gangs what the page says.
@@ -178,7 +178,7 @@
 			time.Sleep(5 * s)
 			is(0, wire.PhaseWaiting, "", false)
 			is(2, wire.PhaseWaiting, "", false)
-			order(2, haltCommand(2, 2, 10), launchCommand(2, 1))
+			order(2, stopCommand(2, 2, 10), launchCommand(2, 1))
 			time.Sleep(2 * s)
 			is(0, wire.PhaseRunning, "", false)
 		},
@@ -207,11 +207,11 @@
 		"an orderly stop": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
-			order(0, haltCommand(0, 1, 2))
+			order(0, stopCommand(0, 1, 2))
 			time.Sleep(6 * s)
 			is(0, wire.PhaseSaving, "", false)
-			order(1, haltCommand(1, 1, 2))
-			order(2, haltCommand(2, 1, 2))
+			order(1, stopCommand(1, 1, 2))
+			order(2, stopCommand(2, 1, 2))
 			time.Sleep(3 * s)
 			for i := range 3 {
 				is(i, wire.PhaseExited, wire.CauseStopped, true)
@@ -225,8 +225,8 @@
 		"told too late": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
-			order(0, haltCommand(0, 1, 2))
-			order(1, haltCommand(1, 1, 2))
+			order(0, stopCommand(0, 1, 2))
+			order(1, stopCommand(1, 1, 2))
 			time.Sleep(9 * s)
 			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
 			if g := sim.GangState("req-000001"); g.Saved != 0 || g.Rollbacks != 1 {
@@ -236,8 +236,8 @@
 		"too little grace": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 3, 1)
 			time.Sleep(11 * s)
-			order(0, haltCommand(0, 1, 2))
-			order(1, haltCommand(1, 1, 1))
+			order(0, stopCommand(0, 1, 2))
+			order(1, stopCommand(1, 1, 1))
 			is(1, wire.PhaseExited, wire.CauseStopped, false)
 			time.Sleep(9 * s)
 			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
@@ -248,7 +248,7 @@
 		"stopped while it waits": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			all(order, 2, 1)
 			time.Sleep(3 * s)
-			order(0, haltCommand(0, 1, 30))
+			order(0, stopCommand(0, 1, 30))
 			is(0, wire.PhaseExited, wire.CauseStopped, false)
 			is(1, wire.PhaseWaiting, "", false)
 		},
--- a/internal/simulator/late_requests.go
+++ b/internal/simulator/late_requests.go
@@ -28,10 +28,10 @@
 
 // DelayCloudRequests makes the next scale-out and scale-in requests unanswered and carries them
 // out so much later, whoever leads then.
-func (sim *Simulation) DelayCloudRequests(rentals, releases int, by time.Duration) {
+func (sim *Simulation) DelayCloudRequests(scaleOuts, scaleIns int, delay time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.lateRequests.scaleOuts, sim.lateRequests.scaleIns, sim.lateRequests.delay = rentals, releases, by
+	sim.lateRequests.scaleOuts, sim.lateRequests.scaleIns, sim.lateRequests.delay = scaleOuts, scaleIns, delay
 }
 
 // LateCloudRequests returns what became of the delayed requests.
