--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -124,26 +124,50 @@
 			c.violated(now, Forgotten, "%s answered 404", id)
 		}
 	case status == 200:
-		c.lastAnswered = now
-		j.unansweredSince = time.Time{}
-		c.StatusTold(id, st, asked, now)
-		if !st.Final() && !j.cancelRequested && !j.completed.IsZero() && asked.Sub(j.completed) > 3*time.Second {
-			c.lateDone++
-			j.notDoneToldAt = now
-		}
+		c.pollSucceeded(id, j, st, asked, now)
 	case j != nil && j.accepted:
-		if j.unansweredSince.IsZero() {
-			j.unansweredSince, j.pollsUntilThen = asked, pollCount{c.polls.answered, c.polls.failed - 1}
-		}
-		j.pollsUntilThen.failed++ // its own
-		spell := now.Sub(j.unansweredSince)
-		most := c.polls.answered-j.pollsUntilThen.answered > c.polls.failed-j.pollsUntilThen.failed
-		others := spell > 90*time.Second && (most || now.Sub(c.lastAnswered) < 10*time.Second)
-		calm := c.faultsOverFor(now, 75*time.Second) && spell > 75*time.Second
-		if others || calm {
-			c.violated(now, Forgotten, "every poll for %s fails", id)
-			j.unansweredSince = time.Time{}
-		}
+		c.pollFailed(id, j, asked, now)
+	}
+}
+
+// doneToldWithin is how soon after its last task's end a poll must be answered with it.
+const doneToldWithin = 3 * time.Second
+
+// pollSucceeded checks the status in the answer to a poll.
+func (c *Checker) pollSucceeded(id wire.JobID, j *jobHistory, st wire.Status, asked, now time.Time) {
+	c.lastAnswered = now
+	j.unansweredSince = time.Time{}
+	c.StatusTold(id, st, asked, now)
+	completedBefore := !j.completed.IsZero() && asked.Sub(j.completed) > doneToldWithin
+	if completedBefore && !st.Final() && !j.cancelRequested {
+		c.lateDone++
+		j.notDoneToldAt = now
+	}
+}
+
+// How long all polls for a job may fail.
+const (
+	// unansweredMost is the limit while polls for other jobs are answered: most of them,
+	// or one in the last answeredRecently.
+	unansweredMost   = 90 * time.Second
+	answeredRecently = 10 * time.Second
+	// unansweredWithoutFault is the limit once all faults have been over for as long.
+	unansweredWithoutFault = 75 * time.Second
+)
+
+// pollFailed checks for how long all polls for an accepted job have failed.
+func (c *Checker) pollFailed(id wire.JobID, j *jobHistory, asked, now time.Time) {
+	if j.unansweredSince.IsZero() {
+		j.unansweredSince, j.pollsUntilThen = asked, pollCount{c.polls.answered, c.polls.failed - 1}
+	}
+	j.pollsUntilThen.failed++ // its own
+	unanswered := now.Sub(j.unansweredSince)
+	mostAnswered := c.polls.answered-j.pollsUntilThen.answered > c.polls.failed-j.pollsUntilThen.failed
+	othersAnswered := mostAnswered || now.Sub(c.lastAnswered) < answeredRecently
+	withoutFault := c.faultsOverFor(now, unansweredWithoutFault) && unanswered > unansweredWithoutFault
+	if unanswered > unansweredMost && othersAnswered || withoutFault {
+		c.violated(now, Forgotten, "every poll for %s fails", id)
+		j.unansweredSince = time.Time{}
 	}
 }
 
