--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -81,7 +81,7 @@
 				sim.State.Outage(false)
 				awaitGangRestart(t, sim, j, 60*time.Second)
 				if how == "another leader" {
-					sim.StartController(leader)
+					startControllers(t, sim, leader)
 				}
 				mustHaveSaved(t, sim, j, 35)
 				time.Sleep(60 * time.Second)
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -48,7 +48,7 @@
 						}
 						sim.KillController(i)
 						time.Sleep(seconds(5))
-						sim.StartController(i)
+						startControllers(t, sim, i)
 					case 2:
 						sim.State.Outage(true)
 						time.Sleep(seconds(20))
--- a/internal/scenarios/gang_start_test.go
+++ b/internal/scenarios/gang_start_test.go
@@ -164,7 +164,7 @@
 					sim.KillController(l)
 					sim.DelayCommands(simulator.CommandDelay{})
 					time.Sleep(down)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					begin := time.Now()
 					eventually(t, 60*time.Second, "runs", func() bool { return sim.GangState(j.Spec.ID).Starts > 0 })
 					t.Logf("%s: runs %v after, %+v", name, time.Since(begin), sim.GangState(j.Spec.ID))
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -57,7 +57,7 @@
 						})
 					}
 					time.Sleep(time.Second)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 				}
 				time.Sleep(30 * time.Second)
 				if g = sim.GangState(j.Spec.ID); g.Saves+g.Rollbacks != 1 || g.Saved < 20 || how != "leader ends at the first stop" && (g.Rollbacks != 0 || g.Saved < 24) {
@@ -112,7 +112,7 @@
 			sim.GiveSpotNotice(id, 25*time.Second)
 		}
 		time.Sleep(4 * time.Second)
-		sim.StartController(l)
+		startControllers(t, sim, l)
 		awaitGangRestart(t, sim, j, 60*time.Second)
 		mustHaveSaved(t, sim, j, 33)
 		time.Sleep(60 * time.Second)
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -78,7 +78,7 @@
 						sim.KillController(l)
 						awaitNewToken(t, sim, old)
 						time.Sleep(time.Second)
-						sim.StartController(l)
+						startControllers(t, sim, l)
 					}
 					if c.hang {
 						time.Sleep(5 * time.Second)
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -44,7 +44,7 @@
 		sim.KillController(l)
 		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 		time.Sleep(300 * time.Millisecond)
-		sim.StartController(l)
+		startControllers(t, sim, l)
 		at(115 * time.Second)
 		mustRun(t, sim, s, "35 s after the leader's and a machine's end")
 		at(200 * time.Second)
@@ -117,7 +117,7 @@
 					sim.DropHeartbeats(id, false)
 				}
 				time.Sleep(3 * time.Second)
-				sim.StartController(l)
+				startControllers(t, sim, l)
 				markFaultsOver(sim)
 				at(200 * time.Second)
 				mustFinish(t, sim, a, late)
@@ -195,7 +195,7 @@
 		awaitNewToken(t, sim, token)
 		hand()
 		time.Sleep(3 * time.Second)
-		sim.StartController(l)
+		startControllers(t, sim, l)
 		hand()
 		time.Sleep(5 * time.Second)
 		mustBeGone(t, sim, cancelledJob, "after old reports listed them")
@@ -290,7 +290,7 @@
 					time.Sleep(2 * time.Second)
 					sim.DeliverHeartbeats(reps...)
 					time.Sleep(5 * time.Second)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					mustBeGone(t, sim, cancelledJob, "some seconds after the new leader began")
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.Restarts() != 0 {
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -170,7 +170,7 @@
 							next = time.Now()
 						}
 					}
-					sim.StartController(l)
+					startControllers(t, sim, l)
 				}
 				user.Wait()
 				time.Sleep(10 * time.Second)
@@ -228,7 +228,7 @@
 					sim.State.InjectTxnFaults(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeaderKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
 					sim.KillController(l)
 					time.Sleep(20 * time.Second)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					time.Sleep(10 * time.Second)
 				}
 				sim.Submit(array(3, 4, 5), 0)
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -29,7 +29,7 @@
 			if sim.Leader() < 0 {
 				t.Error("a dead leader was not replaced within 6 s")
 			}
-			sim.StartController(l)
+			startControllers(t, sim, l)
 			time.Sleep(6 * time.Second)
 		}
 		sim.WithChecker(func(c *simulator.Checker) {
@@ -59,7 +59,7 @@
 			}
 			sim.KillController(i)
 			time.Sleep(time.Duration(50+k*60) * time.Millisecond)
-			sim.StartController(i)
+			startControllers(t, sim, i)
 			time.Sleep(time.Duration(k%4) * time.Second)
 		}
 		at(160 * time.Second)
@@ -234,7 +234,7 @@
 					time.Sleep(7 * time.Second)
 					sim.State.InjectTxnFaults(0)
 					sim.State.DelayAnswers(host, 0)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					time.Sleep(8 * time.Second)
 				}
 				if met == 0 {
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -37,13 +37,13 @@
 		{"who confirmed it is back at once", nil, func(sim *simulator.Simulation, _, c int) {
 			sim.KillController(c)
 			time.Sleep(200 * time.Millisecond)
-			sim.StartController(c)
+			startControllers(t, sim, c)
 		}, 57 * time.Second, false},
 		{"who confirmed it is cut off", nil, func(sim *simulator.Simulation, _, c int) { sim.Net.Isolate(simulator.NodeIP(c), true) }, 57 * time.Second, false},
 		{"the leader ends", nil, func(sim *simulator.Simulation, l, _ int) {
 			sim.KillController(l)
 			time.Sleep(300 * time.Millisecond)
-			sim.StartController(l)
+			startControllers(t, sim, l)
 		}, 57 * time.Second, false},
 		// The leader's packets to the key-value store are held, and come late.
 		{"its packets are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
@@ -101,7 +101,7 @@
 				time.Sleep(time.Second)
 				sim.State.Outage(false)
 				sim.Net.Isolate(simulator.NodeIP(confirmer), false)
-				sim.StartController(confirmer)
+				startControllers(t, sim, confirmer)
 				markFaultsOver(sim)
 				time.Sleep(80 * time.Second)
 				if n := tasksOnMachines(sim, keep.Spec.ID); n != 3 {
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -131,7 +131,7 @@
 					t.Fatalf("leader is %d, was %d", n, l)
 				}
 				mustHaveTaskInUnknownZone(t, sim)
-				sim.StartController(l) //nolint:errcheck // it was killed above
+				startControllers(t, sim, l)
 				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, same)
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -230,7 +230,7 @@
 					if leaders >= 0 && rng.IntN(3) > 0 {
 						sim.KillController(leaders)
 						time.Sleep(seconds(8))
-						sim.StartController(leaders) //nolint:errcheck // it was killed above
+						startControllers(t, sim, leaders)
 					}
 					time.Sleep(seconds(40))
 					for _, f := range endFaults {
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -39,7 +39,7 @@
 						i := rng.IntN(3)
 						sim.KillController(i)
 						time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
-						sim.StartController(i)
+						startControllers(t, sim, i)
 					case 2:
 						sim.State.Outage(true)
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
@@ -108,7 +108,7 @@
 					if l := sim.Leader(); leader && l >= 0 {
 						sim.KillController(l)
 						time.Sleep(seconds(6))
-						sim.StartController(l)
+						startControllers(t, sim, l)
 					}
 					time.Sleep(seconds(20))
 					sim.State.Outage(false)
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -76,7 +76,7 @@
 					}
 					sim.KillController(l)
 					time.Sleep(8 * time.Second)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 				}
 				requestUntilAnswered(t, sim, b, false, 0)
 				at(85 * time.Second)
@@ -162,7 +162,7 @@
 				l := max(0, sim.Leader())
 				sim.KillController(l)
 				time.Sleep(3 * time.Second)
-				sim.StartController(l)
+				startControllers(t, sim, l)
 			case 5:
 				sim.ReclaimMachines(1, func(bool, int) bool { return true })
 			}
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -163,14 +163,14 @@
 						t.Errorf("%d of %d machines have not heard the new leader", unheard, len(ms))
 					}
 					if how != "no inbound from the next" {
-						sim.StartController(l)
+						startControllers(t, sim, l)
 					}
 					time.Sleep(3 * time.Second)
 					if long {
 						time.Sleep(sim.Settings.Workers.Lease.Duration() + 10*time.Second)
 					}
 					off(false)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					markFaultsOver(sim)
 					time.Sleep(130 * time.Second)
 					mustFinish(t, sim, a)
@@ -233,7 +233,7 @@
 							sim.KillController(l)
 							awaitNewToken(t, sim, old)
 							time.Sleep(time.Second)
-							sim.StartController(l)
+							startControllers(t, sim, l)
 						}
 						sim.Submit(a, 0)
 						time.Sleep(randomDelay(rng)(8))
