--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -9,7 +9,7 @@
 )
 
 // Jobs are cancelled in the seconds in which the work of one controller changes
-// hands, whether it is ended, resigns or is refused by the state service: before
+// hands, whether it is ended, resigns or is refused by the key-value store: before
 // the election, in it, and just after it, always confirmed by another node. Some
 // of them run, some are just being started.
 func TestCancelDuringLeaderChange(t *testing.T) {
@@ -40,8 +40,7 @@
 			c.run(t, 66, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 10, 50)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				for round := range 3 {
 					at(time.Duration(40+50*round) * time.Second)
 					var ran, begins [3]simulator.JobScript
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -65,10 +65,10 @@
 }
 
 // A job is cancelled around the moment of its last task's end, by no more than
-// milliseconds: whoever wins, one end is told, and it is the state service's.
+// milliseconds: whoever wins, one end is told, and it is the key-value store's.
 func TestCancelAtLastTaskEnd(t *testing.T) {
 	t.Parallel()
-	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStateService()} {
+	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStore()} {
 		t.Run(fmt.Sprint(set.State.RPS), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, set, 410, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// The two writes cross at the state service itself: a cancellation comes while
+// The two writes cross at the key-value store itself: a cancellation comes while
 // the final record is on its way, and the final record while a cancellation is.
 func TestCancelCrossesFinalRecord(t *testing.T) {
 	t.Parallel()
@@ -119,23 +119,29 @@
 		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 			l := sim.NewBurstReaders()
 			early, late := array(1, 2, 4), array(2, 2, 4)
-			var once sync.Once
-			onItsWay := make(chan struct{})
+			finalRecordSent, cancellationSent := newSignal(), newSignal()
 			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
-				switch {
-				case isFinalRecordOf(x, early.Spec.ID):
-					wait := time.Duration(0)
-					once.Do(func() { close(onItsWay); wait = 120 * time.Millisecond })
-					return wait
-				case isCancellationOf(x, late.Spec.ID):
+				if isCancellationOf(x, late.Spec.ID) {
+					cancellationSent.give()
 					return 1200 * time.Millisecond
 				}
+				if isFinalRecordOf(x, late.Spec.ID) {
+					// The end of the last task has the user cancel and the leader write:
+					// which comes first depends on the schedule.
+					cancellationSent.await(2 * time.Second)
+				}
+				if isFinalRecordOf(x, early.Spec.ID) && finalRecordSent.give() {
+					return 120 * time.Millisecond
+				}
 				return 0
 			})
 			at(2 * time.Second)
 			l.Submit(early, simulator.NeverCancel, 0)
 			l.Submit(late, simulator.CancelAtEnd, time.Duration(seed)*20*time.Millisecond)
-			<-onItsWay
+			if !finalRecordSent.await(time.Minute) {
+				t.Error("no final record was sent")
+				return
+			}
 			// The cancellation is confirmed, and asked about everywhere, while the
 			// final record waits.
 			begin := time.Now()
@@ -181,20 +187,20 @@
 			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
-				var over []simulator.JobScript
+				var ending []simulator.JobScript
 				for _, j := range all {
 					if isFinalRecordOf(x, j.Spec.ID) {
-						over = append(over, j)
+						ending = append(ending, j)
 					}
 				}
 				switch {
-				case len(over) == 0 || hit != nil:
+				case len(ending) == 0 || hit != nil:
 				case first:
 					// The others end while the first final record is on its way.
 					first = false
 					return 1200 * time.Millisecond
 				default:
-					for _, j := range over {
+					for _, j := range ending {
 						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.Delete, store.ProgressPrefix+string(j.Spec.ID)) }) {
 							hit = &j
 							close(crosses)
@@ -253,26 +259,26 @@
 	}
 }
 
-// A job whose record just fits into a value of the state service can be cancelled
+// A job whose record just fits into a value of the key-value store can be cancelled
 // as every other, though a cancelled record says more. (Its cancellation was
 // refused for ever.)
 func TestCancelOfLargestRecord(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, simulator.GasSettings(), 460, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
-		large := func(n, bundle int) simulator.JobScript {
+		large := func(n, imageBytes int) simulator.JobScript {
 			j := service(n, 1)
 			j.Spec.MachineTypes = []wire.MachineType{"c4", "c16"}
 			for k := range 43 {
 				j.Spec.MachineTypes = append(j.Spec.MachineTypes, wire.MachineType(fmt.Sprintf("%080d", k)))
 			}
-			j.Spec.Image = wire.ImageID(strings.Repeat("i", bundle))
+			j.Spec.Image = wire.ImageID(strings.Repeat("i", imageBytes))
 			return j
 		}
 		// The longest name of an image with which it is accepted.
 		n, fits := 100, 1
-		for over := 120; over-fits > 1; n++ {
-			mid := (fits + over) / 2
+		for tooLarge := 120; tooLarge-fits > 1; n++ {
+			mid := (fits + tooLarge) / 2
 			j := large(n, mid)
 			switch status, _, _ := sim.Ask(n%3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status {
 			case 201:
@@ -282,7 +288,7 @@
 					t.Errorf("with %d bytes the cancellation is answered %d", mid, status)
 				}
 			case 422:
-				over = mid
+				tooLarge = mid
 			default:
 				t.Errorf("a job of that size is answered %d", status)
 				return
@@ -316,20 +322,19 @@
 		s, a := service(1, 4), array(2, 10, 60)
 		a.Spec.CPUs = 1.5 // with room beside them
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(45 * time.Second)
 		l, old := sim.Leader(), sim.LeaderKeyRevision()
 		sim.State.DelayWatches(300 * time.Millisecond)
 		for n := range 8 {
-			gone := array(10+n, 2, 100)
-			gone.Spec.CPUs, gone.Spec.MemoryGB = 0.1, 0.1
-			sim.Submit(gone, 0)
+			cancelledJob := array(10+n, 2, 100)
+			cancelledJob.Spec.CPUs, cancelledJob.Spec.MemoryGB = 0.1, 0.1
+			sim.Submit(cancelledJob, 0)
 			time.Sleep(time.Duration(100+40*n) * time.Millisecond)
-			cancelAtController(t, sim, (l+1)%3, gone)
+			cancelAtController(t, sim, (l+1)%3, cancelledJob)
 			time.Sleep(1500 * time.Millisecond)
-			if keys := sim.State.Keys("job/" + string(gone.Spec.ID)); len(keys) != 0 {
-				t.Errorf("%s is not closed", gone.Spec.ID)
+			if keys := sim.State.Keys("job/" + string(cancelledJob.Spec.ID)); len(keys) != 0 {
+				t.Errorf("%s is not closed", cancelledJob.Spec.ID)
 			}
 		}
 		if sim.LeaderKeyRevision() != old {
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -31,10 +31,10 @@
 	}
 }
 
-// A spot notice on one member's machine, while another hears of its halt only
+// A spot notice on one member's machine, while another hears of its stop only
 // shortly before gang_peer_s has passed: the stop begins early enough that all
 // are told and have saved before the machine goes.
-func TestGangNoticeWithALateHalt(t *testing.T) {
+func TestGangSpotNoticeWithDelayedStop(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		j := runningSpotGang(t, sim, at, 33*time.Second)
@@ -49,17 +49,17 @@
 		}
 		sim.GiveSpotNotice(on[0], 16*time.Second)
 		holdFromNodes(true)
-		eventually(t, 16*time.Second, "first halt", func() bool { return sim.GangState(j.Spec.ID).Saving > 0 })
+		eventually(t, 16*time.Second, "first stop", func() bool { return sim.GangState(j.Spec.ID).Saving > 0 })
 		time.Sleep(6 * time.Second)
 		holdFromNodes(false)
-		eventually(t, 90*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+		awaitGangRestart(t, sim, j, 90*time.Second)
 		mustHaveSaved(t, sim, j, 33)
 		time.Sleep(70 * time.Second)
 		mustFinish(t, sim, j)
 	})
 }
 
-// A spot notice comes while the state service is away: the leader, whom a
+// A spot notice comes while the key-value store is away: the leader, whom a
 // majority acknowledges, stops the gang in order all the same. It starts again
 // from there once the service is back, also under another leader.
 func TestGangSavesInAnOutage(t *testing.T) {
@@ -79,9 +79,9 @@
 					sim.KillController(leader)
 				}
 				sim.State.Outage(false)
-				eventually(t, 60*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+				awaitGangRestart(t, sim, j, 60*time.Second)
 				if how == "another leader" {
-					sim.StartController(leader)
+					startControllers(t, sim, leader)
 				}
 				mustHaveSaved(t, sim, j, 35)
 				time.Sleep(60 * time.Second)
@@ -91,11 +91,11 @@
 	}
 }
 
-// The leader alone loses the state service, and another takes over while the
+// The leader alone loses the key-value store, and another takes over while the
 // first stops a gang under a notice, and may no more be able to tell all of it.
 // No rule breaks, and the gang loses no more than what it did since its last
 // checkpoint.
-func TestGangNoticeBetweenTwoLeaders(t *testing.T) {
+func TestGangSpotNoticeBetweenTwoLeaders(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
@@ -111,7 +111,7 @@
 				time.Sleep(30 * time.Second)
 				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(on[len(on)-1]), false)
 				sim.State.RefuseClient(simulator.NodeIP(leader), false)
-				eventually(t, 90*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+				awaitGangRestart(t, sim, j, 90*time.Second)
 				if g := sim.GangState(j.Spec.ID); g.Saved < 20 {
 					t.Errorf("%+v, want at least the checkpoint at 20 s", g)
 				}
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -9,7 +9,7 @@
 )
 
 // A zone is cut off with a gang inside, shorter and longer than its lease, while
-// copies of its old reports come in.
+// copies of its old heartbeats come in.
 func TestGangInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	for _, d := range []time.Duration{5 * time.Second, 30 * time.Second, 70 * time.Second} {
@@ -23,13 +23,11 @@
 					in, other := gang(1, 4, 50), gang(2, 4, 50)
 					across := gang(3, 6, 50)
 					in.Spec.Zone, across.Spec.SameZone, across.Spec.Spread = z, false, true
-					sim.Submit(in, 0)
-					sim.Submit(other, 0)
-					sim.Submit(across, 0)
+					submitAll(sim, in, other, across)
 					awaitGangRunning(t, sim, in, 40*time.Second)
 					time.Sleep(10 * time.Second)
 					for _, id := range sim.MachinesHolding(in.Spec.ID) {
-						sim.ResendLastReport(id, 3*time.Second, 20*time.Second, 60*time.Second, 100*time.Second)
+						sim.ResendLastHeartbeat(id, 3*time.Second, 20*time.Second, 60*time.Second, 100*time.Second)
 					}
 					sim.IsolateZone(z, true)
 					time.Sleep(d)
@@ -43,7 +41,7 @@
 	}
 }
 
-// Copies of reports that show an older attempt come while the next one waits and
+// Copies of heartbeats that show an older attempt come while the next one waits and
 // runs, also to a new leader.
 func TestGangDuplicatedReportsArriveLate(t *testing.T) {
 	t.Parallel()
@@ -59,7 +57,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		for _, id := range on {
-			sim.ResendLastReport(id, late...)
+			sim.ResendLastHeartbeat(id, late...)
 		}
 		sim.ReclaimMachine(on[0])
 		time.Sleep(15 * time.Second)
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -48,7 +48,7 @@
 						}
 						sim.KillController(i)
 						time.Sleep(seconds(5))
-						sim.StartController(i)
+						startControllers(t, sim, i)
 					case 2:
 						sim.State.Outage(true)
 						time.Sleep(seconds(20))
@@ -87,11 +87,11 @@
 						}
 					case 10:
 						for _, id := range sim.RunningMachines() {
-							sim.ResendLastReport(id, seconds(30))
+							sim.ResendLastHeartbeat(id, seconds(30))
 						}
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(220 * time.Second)
 				mustFinish(t, sim, all...)
 				starts, saves, falls, alone := 0, 0, 0, 0
--- a/internal/scenarios/gang_start_test.go
+++ b/internal/scenarios/gang_start_test.go
@@ -99,7 +99,7 @@
 					sim.HangMachines(false, on[0])
 					sim.CountFault(false)
 				}
-				eventually(t, 100*time.Second, "starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+				awaitGangRestart(t, sim, j, 100*time.Second)
 				if g := sim.GangState(j.Spec.ID); g.Rollbacks != 1 || g.Saved != 20 {
 					t.Errorf("%+v, want one fall to 20 s", g)
 				}
@@ -164,7 +164,7 @@
 					sim.KillController(l)
 					sim.DelayCommands(simulator.CommandDelay{})
 					time.Sleep(down)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					begin := time.Now()
 					eventually(t, 60*time.Second, "runs", func() bool { return sim.GangState(j.Spec.ID).Starts > 0 })
 					t.Logf("%s: runs %v after, %+v", name, time.Since(begin), sim.GangState(j.Spec.ID))
@@ -198,10 +198,10 @@
 		at(130 * time.Second)
 		mustFinish(t, sim, good)
 		t.Logf("%+v", sim.GangState(good.Spec.ID))
-		before := sim.RentedSoFar()
+		before := sim.ProvisionedSoFar()
 		sim.Submit(bad, 90*time.Second)
 		at(230 * time.Second)
-		if n := sim.RentedSoFar() - before; n > 8 {
+		if n := sim.ProvisionedSoFar() - before; n > 8 {
 			t.Errorf("a faulty gang cost %d machines", n)
 		}
 		after := gang(3, 4, 10)
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -113,6 +113,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		sim := simulator.New(ctx, set, seed, start, nil)
+		defer sim.Close() // also after t.Fatal: what is left running hides the failure
+		defer cancel()
 		sim.PlaceControllers(zones...)
 		begin := time.Now()
 		for i := range set.Size {
@@ -131,8 +133,6 @@
 				t.Errorf("%6.1f s %s: %s", b.At.Sub(begin).Seconds(), b.Rule, b.What)
 			}
 		})
-		cancel()
-		sim.Close()
 	})
 }
 
@@ -171,9 +171,9 @@
 	return s
 }
 
-// settingsWithFastStateService are the default settings with a state service so
+// settingsWithFastStore are the default settings with a key-value store so
 // fast that requests hardly queue, and answers cross within milliseconds.
-func settingsWithFastStateService() config.Settings {
+func settingsWithFastStore() config.Settings {
 	s := simulator.DefaultSettings()
 	s.State.RPS, s.State.WriteRPS = 4000, 2000
 	return s
@@ -214,7 +214,7 @@
 	startControllers(t, sim, l)
 }
 
-// faultsAreOver tells the checker that no fault lasts from now on.
-func faultsAreOver(sim *simulator.Simulation) {
+// markFaultsOver tells the checker that no fault lasts from now on.
+func markFaultsOver(sim *simulator.Simulation) {
 	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(time.Now()) })
 }
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -1,6 +1,7 @@
 package scenarios_test
 
 import (
+	"sync"
 	"testing"
 	"time"
 
@@ -10,7 +11,7 @@
 )
 
 // poll waits until a condition holds, looking at once and then after every step of
-// virtual time, and tells whether that was within the time.
+// virtual time, and reports whether that was within the time.
 func poll(most, step time.Duration, holds func() bool) bool {
 	for begin := time.Now(); !holds(); {
 		time.Sleep(step)
@@ -40,12 +41,42 @@
 	return false
 }
 
+// signal is an event that happens once and that others wait for.
+type signal struct {
+	once  sync.Once
+	given chan struct{}
+}
+
+func newSignal() *signal { return &signal{given: make(chan struct{})} }
+
+// give reports the event and whether this call was the first to do so.
+func (s *signal) give() (first bool) {
+	s.once.Do(func() { close(s.given); first = true })
+	return first
+}
+
+// await waits for the event and reports whether it came in time.
+func (s *signal) await(most time.Duration) bool {
+	select {
+	case <-s.given:
+		return true
+	case <-time.After(most):
+		return false
+	}
+}
+
 // awaitGangRunning waits until all tasks of a gang run.
 func awaitGangRunning(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, most time.Duration) bool {
 	t.Helper()
 	return eventually(t, most, string(j.Spec.ID)+" runs whole", func() bool { return sim.GangState(j.Spec.ID).Running == j.Spec.Tasks })
 }
 
+// awaitGangRestart waits until a gang has started for the second time.
+func awaitGangRestart(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, most time.Duration) bool {
+	t.Helper()
+	return eventually(t, most, string(j.Spec.ID)+" starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+}
+
 // awaitOtherLeader waits until another controller than this one leads.
 func awaitOtherLeader(t *testing.T, sim *simulator.Simulation, than int, most time.Duration) int {
 	t.Helper()
@@ -123,13 +154,13 @@
 	return v, status == 200 && wire.Decode(raw, &v) == nil
 }
 
-// hasRecovered tells whether a leader has read what is stored.
+// hasRecovered reports whether a leader has read what is stored.
 func hasRecovered(sim *simulator.Simulation, i int) bool {
 	v, ok := adminView(sim, i)
 	return ok && v.Term != nil && len(v.Term.Jobs) > 0
 }
 
-// saysItLeads tells whether a controller itself says that it leads.
+// saysItLeads reports whether a controller itself says that it leads.
 func saysItLeads(t *testing.T, sim *simulator.Simulation, i int) bool {
 	t.Helper()
 	v, ok := adminView(sim, i)
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -17,17 +17,17 @@
 		sim.Submit(warm, 0)
 		at(40 * time.Second)
 		l := sim.Leader()
-		var held []string
+		var blockedMachines []string
 		for range 40 {
-			_, ip, _ := sim.FirstMachine(func(int) bool { return len(held) >= 0 })
-			held = append(held, ip)
+			_, ip, _ := sim.FirstMachine(func(int) bool { return len(blockedMachines) >= 0 })
+			blockedMachines = append(blockedMachines, ip)
 		}
-		for _, ip := range held {
+		for _, ip := range blockedMachines {
 			sim.Net.Hold(simulator.NodeIP(l), ip, true)
 		}
 		sim.Submit(late, 12*time.Second)
 		at(150 * time.Second)
-		for _, ip := range held {
+		for _, ip := range blockedMachines {
 			sim.Net.Hold(simulator.NodeIP(l), ip, false)
 		}
 		at(200 * time.Second)
@@ -35,7 +35,7 @@
 }
 
 // Commands or their answers are held up for seconds, or wait for a machine that
-// hangs, and the machine then goes on: launches, halts, and answers to reports
+// hangs, and the machine then goes on: launches, stops, and answers to reports
 // that forget. Meanwhile a job is cancelled, the leader ends, or both.
 func TestCommandsDelayed(t *testing.T) {
 	t.Parallel()
@@ -47,9 +47,9 @@
 	}{
 		{"commands for 2 s", simulator.CommandDelay{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
 		{"commands for 9 s", simulator.CommandDelay{Command: 9 * time.Second}, false, []string{"leader", "both"}},
-		{"answers for 9 s", simulator.CommandDelay{Answer: 9 * time.Second, ReportAnswer: 3500 * time.Millisecond}, false, []string{"cancel"}},
-		{"both, and the answers to reports", simulator.CommandDelay{Command: 4 * time.Second, Answer: 4 * time.Second, ReportAnswer: 3900 * time.Millisecond}, false, []string{"both"}},
-		{"answers to reports for 3 s", simulator.CommandDelay{ReportAnswer: 3 * time.Second}, false, []string{"leader"}},
+		{"answers for 9 s", simulator.CommandDelay{Answer: 9 * time.Second, HeartbeatResponse: 3500 * time.Millisecond}, false, []string{"cancel"}},
+		{"both, and the answers to reports", simulator.CommandDelay{Command: 4 * time.Second, Answer: 4 * time.Second, HeartbeatResponse: 3900 * time.Millisecond}, false, []string{"both"}},
+		{"answers to reports for 3 s", simulator.CommandDelay{HeartbeatResponse: 3 * time.Second}, false, []string{"leader"}},
 		{"the machines hang", simulator.CommandDelay{}, true, []string{"cancel", "both"}},
 	}
 	for _, c := range cases {
@@ -57,24 +57,20 @@
 			t.Run(c.name+", "+then, func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 630, func(sim *simulator.Simulation, at func(time.Duration)) {
-					s, gone, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
+					s, cancelledJob, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
 					a, late, quick := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
 					at(2 * time.Second)
-					sim.Submit(s, 0)
-					sim.Submit(gone, 0)
-					sim.Submit(warm, 0)
+					submitAll(sim, s, cancelledJob, warm)
 					at(44 * time.Second)
 					ms := sim.BusyMachines("")
 					sim.DelayCommands(c.lag)
 					if c.hang {
 						sim.HangMachines(true, ms...)
 					}
-					sim.Submit(a, 0)
-					sim.Submit(late, 0)
-					sim.Submit(quick, 0)
+					submitAll(sim, a, late, quick)
 					time.Sleep(time.Second)
 					if then == "cancel" || then == "both" {
-						mustCancel(t, sim, gone)
+						mustCancel(t, sim, cancelledJob)
 						mustCancel(t, sim, late)
 					}
 					if then == "leader" || then == "both" {
@@ -82,7 +78,7 @@
 						sim.KillController(l)
 						awaitNewToken(t, sim, old)
 						time.Sleep(time.Second)
-						sim.StartController(l)
+						startControllers(t, sim, l)
 					}
 					if c.hang {
 						time.Sleep(5 * time.Second)
@@ -93,7 +89,7 @@
 						if c.hang {
 							sim.HangMachines(true, sim.BusyMachines("")...)
 						}
-						mustCancel(t, sim, gone) // so that halts are held up too
+						mustCancel(t, sim, cancelledJob) // so that stops are held up too
 						mustCancel(t, sim, late)
 						time.Sleep(6 * time.Second)
 						if c.hang {
@@ -101,19 +97,19 @@
 						}
 						time.Sleep(8 * time.Second)
 					}
-					mustBeGone(t, sim, gone, "20 s later")
+					mustBeGone(t, sim, cancelledJob, "20 s later")
 					mustBeGone(t, sim, late, "20 s later")
 					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
 						wire.Launch: c.hang || c.lag.Command > 0, wire.Stop: c.hang || c.lag.Command == 2*time.Second,
-						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.ReportAnswer > 0 && c.lag.Answer == 0,
+						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.HeartbeatResponse > 0 && c.lag.Answer == 0,
 					} {
 						if want && sim.LateCommands(verb) == 0 {
 							t.Errorf("no %s came late", verb)
 						}
 					}
 					time.Sleep(20 * time.Second)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
 					mustFinish(t, sim, warm, a, quick)
 					mustRun(t, sim, s, "at the end")
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -10,30 +10,29 @@
 	"lilaclead/internal/wire"
 )
 
-// Copies of reports come late, from seconds to more than a lease: of live
+// Copies of heartbeats come late, from seconds to more than a lease: of live
 // machines, of machines that are gone, and as the first that a new leader
 // hears of a machine. They must free nothing, bring nothing back, and not
 // make a dead machine seem alive.
-func TestDuplicatedReportsArriveLate(t *testing.T) {
+func TestDuplicatedHeartbeatsArriveLate(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 31, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 12, 30)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		var late []time.Duration
 		for d := 2; d < 60; d += 3 {
 			late = append(late, time.Duration(d)*time.Second)
 		}
 		copies := func() {
 			for _, id := range append(sim.MachinesRunning(s.Spec.ID), sim.MachinesRunning(a.Spec.ID)...) {
-				sim.ResendLastReport(id, late...)
+				sim.ResendLastHeartbeat(id, late...)
 			}
 		}
 		at(40 * time.Second)
 		copies()
 		at(50 * time.Second)
-		// A machine with replicas dies while copies of its reports come in.
+		// A machine with replicas dies while copies of its heartbeats come in.
 		on := sim.MachinesRunning(s.Spec.ID)
 		if sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 }) != 1 || len(on) == 0 {
 			t.Fatal("nothing to take")
@@ -45,7 +44,7 @@
 		sim.KillController(l)
 		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 		time.Sleep(300 * time.Millisecond)
-		sim.StartController(l)
+		startControllers(t, sim, l)
 		at(115 * time.Second)
 		mustRun(t, sim, s, "35 s after the leader's and a machine's end")
 		at(200 * time.Second)
@@ -63,20 +62,19 @@
 		t.Run(fmt.Sprint("before the next ones ", before), func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 600, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				sim.KeepReports()
-				a, gone, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
+				sim.RecordHeartbeats()
+				a, cancelledJob, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
 				at(2 * time.Second)
-				sim.Submit(a, 0)
-				sim.Submit(gone, 0)
+				submitAll(sim, a, cancelledJob)
 				at(45 * time.Second)
 				ms := sim.BusyMachines("")
-				if len(ms) == 0 || tasksOnMachines(sim, gone.Spec.ID) != 4 {
-					t.Fatalf("%d machines at work, %d tasks to cancel", len(ms), tasksOnMachines(sim, gone.Spec.ID))
+				if len(ms) == 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 {
+					t.Fatalf("%d machines at work, %d tasks to cancel", len(ms), tasksOnMachines(sim, cancelledJob.Spec.ID))
 				}
-				held := map[wire.MachineID]int{}
+				recordedBefore := map[wire.MachineID]int{}
 				for _, id := range ms {
-					held[id] = len(sim.KeptReports(id))
-					sim.HoldReports(id, true)
+					recordedBefore[id] = len(sim.RecordedHeartbeats(id))
+					sim.DropHeartbeats(id, true)
 				}
 				time.Sleep(sim.Settings.Workers.HeartbeatInterval.Duration() * 3 / 2)
 				l, old := sim.LeaderAndToken()
@@ -84,30 +82,30 @@
 				_, token := awaitNewToken(t, sim, old)
 				var reps []wire.Heartbeat
 				for _, id := range ms {
-					if k := sim.KeptReports(id); len(k) > held[id] {
-						reps = append(reps, k[held[id]])
+					if k := sim.RecordedHeartbeats(id); len(k) > recordedBefore[id] {
+						reps = append(reps, k[recordedBefore[id]])
 					}
 				}
-				mustCancel(t, sim, gone)
+				mustCancel(t, sim, cancelledJob)
 				sim.Submit(late, 0)
 				time.Sleep(4 * time.Second)
-				mustBeGone(t, sim, gone, "while reports are held up")
+				mustBeGone(t, sim, cancelledJob, "while reports are held up")
 				if !before {
 					for _, id := range ms {
-						sim.HoldReports(id, false)
+						sim.DropHeartbeats(id, false)
 					}
 					time.Sleep(6 * time.Second)
 				}
 				late200, listed := 0, 0
-				for _, h := range sim.DeliverReports(reps...) {
-					if !h.Newer || h.Report.Token >= token {
-						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Report.Machine, h.Report.Sequence, h.Report.Token, token)
+				for _, h := range sim.DeliverHeartbeats(reps...) {
+					if !h.Newer || h.Heartbeat.Token >= token {
+						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Heartbeat.Machine, h.Heartbeat.Sequence, h.Heartbeat.Token, token)
 					}
 					if h.Status == 200 {
 						late200++
 					}
-					for _, p := range h.Report.Tasks {
-						if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
+					for _, p := range h.Heartbeat.Tasks {
+						if task, err := wire.ParseTask(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
 							listed++
 						}
 					}
@@ -116,51 +114,49 @@
 					t.Errorf("%d reports were held, listing %d tasks that were cancelled meanwhile", len(reps), listed)
 				}
 				for _, id := range ms {
-					sim.HoldReports(id, false)
+					sim.DropHeartbeats(id, false)
 				}
 				time.Sleep(3 * time.Second)
-				sim.StartController(l)
-				faultsAreOver(sim)
+				startControllers(t, sim, l)
+				markFaultsOver(sim)
 				at(200 * time.Second)
 				mustFinish(t, sim, a, late)
-				mustBeGone(t, sim, gone, "at the end")
+				mustBeGone(t, sim, cancelledJob, "at the end")
 			})
 		})
 	}
 }
 
-// Old reports come after newer ones: of the session before, when the tasks had
-// other attempts, and of the same one. A share of all reports comes again until
+// Old heartbeats come after newer ones: of the epoch before, when the tasks had
+// other attempts, and of the same one. A share of all heartbeats comes again until
 // well after a lease meanwhile, a leader ends, and a job is cancelled that the
 // old ones list.
 func TestReportsOfEarlierSessionsAndAttempts(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		lease := sim.Settings.Workers.Lease.Duration()
-		sim.KeepReports()
-		a, gone, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
+		sim.RecordHeartbeats()
+		a, cancelledJob, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(gone, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, cancelledJob, s)
 		at(45 * time.Second)
-		sim.DuplicateReports(0.3, 2*time.Second, lease*5/2)
+		sim.DuplicateHeartbeats(0.3, 2*time.Second, lease*5/2)
 		// Their leases run out although they answer all commands.
-		ms := sim.MachinesRunning(gone.Spec.ID)
+		ms := sim.MachinesRunning(cancelledJob.Spec.ID)
 		sim.BlockOutbound(true, ms...)
 		time.Sleep(lease + time.Second)
 		sim.BlockOutbound(false, ms...)
 		time.Sleep(6 * time.Second)
 		for _, id := range ms {
-			if shift, _, _ := sim.MachineSession(id); shift == 1 {
+			if epoch, _, _ := sim.MachineEpoch(id); epoch == 1 {
 				t.Errorf("%s is still in its first session", id)
 			}
 		}
 		tries := map[wire.Attempt]bool{}
 		for _, id := range ms {
-			for _, r := range sim.KeptReports(id) {
+			for _, r := range sim.RecordedHeartbeats(id) {
 				for _, p := range r.Tasks {
-					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == gone.Spec.ID {
+					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
 						tries[p.Attempt] = true
 					}
 				}
@@ -171,7 +167,7 @@
 		}
 		old := func() (reps []wire.Heartbeat) {
 			for _, id := range ms {
-				k := sim.KeptReports(id)
+				k := sim.RecordedHeartbeats(id)
 				if len(k) > 0 {
 					// When its tasks ran, and its first.
 					i := slices.IndexFunc(k, func(r wire.Heartbeat) bool { return r.Epoch == 1 && len(r.Tasks) > 0 })
@@ -185,24 +181,24 @@
 		}
 		earlier := 0
 		hand := func() {
-			for _, h := range sim.DeliverReports(old()...) {
-				if shift, _, _ := sim.MachineSession(h.Report.Machine); h.Newer && shift > h.Report.Epoch && len(h.Report.Tasks) > 0 {
+			for _, h := range sim.DeliverHeartbeats(old()...) {
+				if epoch, _, _ := sim.MachineEpoch(h.Heartbeat.Machine); h.Newer && epoch > h.Heartbeat.Epoch && len(h.Heartbeat.Tasks) > 0 {
 					earlier++
 				}
 			}
 		}
 		hand()
-		mustCancel(t, sim, gone)
+		mustCancel(t, sim, cancelledJob)
 		hand()
 		l, token := sim.LeaderAndToken()
 		sim.KillController(l)
 		awaitNewToken(t, sim, token)
 		hand()
 		time.Sleep(3 * time.Second)
-		sim.StartController(l)
+		startControllers(t, sim, l)
 		hand()
 		time.Sleep(5 * time.Second)
-		mustBeGone(t, sim, gone, "after old reports listed them")
+		mustBeGone(t, sim, cancelledJob, "after old reports listed them")
 		hand()
 		if earlier == 0 {
 			t.Error("no report of an earlier session came after newer ones")
@@ -210,9 +206,9 @@
 		if all, older := sim.DuplicateCounts(); older < all/2 || older < 10 {
 			t.Errorf("%d of %d copies came after a newer report", older, all)
 		}
-		sim.DuplicateReports(0, 0, 0)
+		sim.DuplicateHeartbeats(0, 0, 0)
 		time.Sleep(lease * 5 / 2)
-		faultsAreOver(sim)
+		markFaultsOver(sim)
 		time.Sleep(120 * time.Second)
 		mustFinish(t, sim, a)
 		mustRun(t, sim, s, "when all is over")
@@ -221,7 +217,7 @@
 
 // Old reports reach every node just as a new leader begins, as the first that
 // it hears of a machine: before it has read what is stored, and after. It
-// inherits tasks on those machines, some of which the old reports lack, and a
+// inherits tasks on those machines, some of which the old heartbeats lack, and a
 // job is cancelled while nobody leads.
 func TestOldReportsDuringLeaderRecovery(t *testing.T) {
 	t.Parallel()
@@ -234,17 +230,15 @@
 			t.Run(fmt.Sprintf("recovered %v, first reports %v", recovered, first), func(t *testing.T) {
 				t.Parallel()
 				play(t, 620, func(sim *simulator.Simulation, at func(time.Duration)) {
-					sim.KeepReports()
-					a, gone, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
+					sim.RecordHeartbeats()
+					a, cancelledJob, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
 					at(2 * time.Second)
-					sim.Submit(a, 0)
-					sim.Submit(gone, 0)
-					sim.Submit(s, 0)
+					submitAll(sim, a, cancelledJob, s)
 					at(45 * time.Second)
 					ms := sim.BusyMachines("")
 					var reps []wire.Heartbeat
 					for _, id := range ms {
-						k := sim.KeptReports(id)
+						k := sim.RecordedHeartbeats(id)
 						if first {
 							reps = append(reps, k[0]) // lacks all that runs there now
 						} else {
@@ -254,11 +248,11 @@
 					l, old := sim.LeaderAndToken()
 					sim.KillController(l)
 					time.Sleep(300 * time.Millisecond)
-					mustCancel(t, sim, gone)
+					mustCancel(t, sim, cancelledJob)
 					if n, _ := sim.LeaderAndToken(); n >= 0 && n != l {
 						t.Error("somebody leads before the job is cancelled")
 					}
-					// A slow state service makes the recovery take a while.
+					// A slow key-value store makes the recovery take a while.
 					slow := func(d time.Duration) {
 						for i := range sim.Settings.Size {
 							sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), d)
@@ -280,7 +274,7 @@
 					}
 					is := hasRecovered(sim, n)
 					taken := 0
-					for _, h := range sim.DeliverReports(reps...) {
+					for _, h := range sim.DeliverHeartbeats(reps...) {
 						if h.Node == n && h.Status == 200 && h.Token >= token {
 							taken++
 						}
@@ -294,10 +288,10 @@
 					slow(0)
 					sim.Submit(b, 0)
 					time.Sleep(2 * time.Second)
-					sim.DeliverReports(reps...)
+					sim.DeliverHeartbeats(reps...)
 					time.Sleep(5 * time.Second)
-					sim.StartController(l)
-					mustBeGone(t, sim, gone, "some seconds after the new leader began")
+					startControllers(t, sim, l)
+					mustBeGone(t, sim, cancelledJob, "some seconds after the new leader began")
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.Restarts() != 0 {
 							t.Errorf("%d tasks were started again", c.Restarts())
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net/http"
 	"slices"
+	"sync"
 	"testing"
 	"time"
 
@@ -73,7 +74,7 @@
 				at(55 * time.Second)
 				endFaultsAndWait(sim, 75*time.Second) // a cancelled one must be gone by then
 				r.stopReading()
-				over := r.firstSeen(2)
+				finalSeen := r.firstSeen(simulator.ToldFinal)
 				hit := faultedTransactions(sim, store.JobPrefix+string(a.Spec.ID), func(f *simulator.TxnOutcome) bool { return f.Late })
 				if len(hit) != 1 || hit[0].Done.IsZero() {
 					t.Fatalf("fates %+v", hit)
@@ -81,23 +82,23 @@
 				switch i {
 				case 0:
 					mustFinish(t, sim, a)
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), over)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), finalSeen)
 				case 1, 4:
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), over, other)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), finalSeen, other)
 				case 2:
 					mustFinish(t, sim, a)
-					if hit[0].Status != http.StatusOK || !r.firstSeen(1).After(hit[0].Done) || hit[0].Done.Sub(hit[0].Sent) < 10*time.Second {
-						t.Errorf("%+v, first known at %v", hit[0], r.firstSeen(1))
+					if hit[0].Status != http.StatusOK || !r.firstSeen(simulator.ToldAccepted).After(hit[0].Done) || hit[0].Done.Sub(hit[0].Sent) < 10*time.Second {
+						t.Errorf("%+v, first known at %v", hit[0], r.firstSeen(simulator.ToldAccepted))
 					}
 				case 3:
 					mustFinish(t, sim, a)
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), over)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), finalSeen)
 					if when, _, said := requestUntilAnswered(t, sim, a, true, k); when.IsZero() || said != wire.Done {
 						t.Errorf("a job that was done is called %s", said)
 					}
 				case 5:
-					if hit[0].Status != http.StatusOK || !over.After(hit[0].Done) {
-						t.Errorf("%+v, first known to be over at %v", hit[0], over)
+					if hit[0].Status != http.StatusOK || !finalSeen.After(hit[0].Done) {
+						t.Errorf("%+v, first known to be over at %v", hit[0], finalSeen)
 					}
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
@@ -137,8 +138,7 @@
 			runOnAlternatingLayouts(t, uint64(620+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				warm, a, b, s := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(warm, 0)
+				submitAll(sim, s, warm)
 				at(27 * time.Second)
 				l := sim.Leader()
 				if l < 0 {
@@ -155,11 +155,8 @@
 				sim.State.InjectTxnFaults(uint64(i), faults...)
 				sim.RegisterJob(a)
 				r := startReader(t, sim, a.Spec.ID)
-				asked := make(chan bool)
-				go func() {
-					requestUntilAnswered(t, sim, a, false, i)
-					close(asked)
-				}()
+				var user sync.WaitGroup
+				user.Go(func() { requestUntilAnswered(t, sim, a, false, i) })
 				var killed, next time.Time
 				if c.ends {
 					for begin := time.Now(); len(sim.State.TxnOutcomes()) == 0 && time.Since(begin) < 30*time.Second; {
@@ -173,9 +170,9 @@
 							next = time.Now()
 						}
 					}
-					sim.StartController(l)
+					startControllers(t, sim, l)
 				}
-				<-asked
+				user.Wait()
 				time.Sleep(10 * time.Second)
 				sim.Submit(b, 0)
 				time.Sleep(20 * time.Second)
@@ -183,7 +180,7 @@
 				r.stopReading()
 				mustFinish(t, sim, a, b)
 				mustRun(t, sim, s, "afterwards")
-				if r.firstSeen(2).IsZero() {
+				if r.firstSeen(simulator.ToldFinal).IsZero() {
 					t.Errorf("nobody was told that the job is done")
 				}
 				hit := faultedTransactions(sim, c.prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
@@ -221,8 +218,7 @@
 			runOnAlternatingLayouts(t, uint64(640+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 3), array(2, 6, 15)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				at(30 * time.Second)
 				for k := range 2 {
 					l := sim.Leader()
@@ -232,7 +228,7 @@
 					sim.State.InjectTxnFaults(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeaderKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
 					sim.KillController(l)
 					time.Sleep(20 * time.Second)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					time.Sleep(10 * time.Second)
 				}
 				sim.Submit(array(3, 4, 5), 0)
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -17,8 +17,7 @@
 	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 12, 40), service(2, 3)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(45 * time.Second)
 		for range 3 {
 			l := sim.Leader()
@@ -30,7 +29,7 @@
 			if sim.Leader() < 0 {
 				t.Error("a dead leader was not replaced within 6 s")
 			}
-			sim.StartController(l)
+			startControllers(t, sim, l)
 			time.Sleep(6 * time.Second)
 		}
 		sim.WithChecker(func(c *simulator.Checker) {
@@ -51,8 +50,7 @@
 	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 10, 30), service(2, 3)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(30 * time.Second)
 		for k := range 12 {
 			i := (sim.Leader() + 3) % 3
@@ -61,7 +59,7 @@
 			}
 			sim.KillController(i)
 			time.Sleep(time.Duration(50+k*60) * time.Millisecond)
-			sim.StartController(i)
+			startControllers(t, sim, i)
 			time.Sleep(time.Duration(k%4) * time.Second)
 		}
 		at(160 * time.Second)
@@ -70,7 +68,7 @@
 }
 
 // The leader changes ten times in two minutes, every other time inside an outage
-// of the state service, with submissions and cancellations all the while.
+// of the key-value store, with submissions and cancellations all the while.
 func TestTenLeaderChangesInTwoMinutes(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 64, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -82,15 +80,14 @@
 		begin := time.Now()
 		inOutage := 0
 		for n := range 10 {
-			j, gone := array(10+n, 1+n%3, float64(10+5*n)), array(30+n, 2, 100)
+			j, cancelledJob := array(10+n, 1+n%3, float64(10+5*n)), array(30+n, 2, 100)
 			all = append(all, j)
-			sim.Submit(j, 0)
-			sim.Submit(gone, 0)
+			submitAll(sim, j, cancelledJob)
 			time.Sleep(700 * time.Millisecond)
 			l := sim.Leader()
 			if n%2 == 0 {
 				sim.KillController(l)
-				cancelAtController(t, sim, (l+1)%3, gone)
+				cancelAtController(t, sim, (l+1)%3, cancelledJob)
 				awaitOtherLeader(t, sim, l, 8*time.Second)
 				startControllers(t, sim, l)
 				time.Sleep(2 * time.Second)
@@ -104,7 +101,7 @@
 			sim.KillController(l)
 			time.Sleep(2 * time.Second)
 			sim.State.Outage(false)
-			cancelAtController(t, sim, (l+1)%3, gone)
+			cancelAtController(t, sim, (l+1)%3, cancelledJob)
 			awaitOtherLeader(t, sim, l, 8*time.Second)
 			startControllers(t, sim, l)
 			time.Sleep(time.Second)
@@ -156,8 +153,7 @@
 				two, three := array(1, 2, 0), array(2, 3, 0)
 				two.RunTimes, three.RunTimes = []float64{14, 75}, []float64{16, 48, 80}
 				at(2 * time.Second)
-				sim.Submit(two, 0)
-				sim.Submit(three, 0)
+				submitAll(sim, two, three)
 				ended := func() (n int) {
 					sim.WithChecker(func(c *simulator.Checker) { n = c.Completed(two.Spec.ID) + c.Completed(three.Spec.ID) })
 					return n
@@ -238,7 +234,7 @@
 					time.Sleep(7 * time.Second)
 					sim.State.InjectTxnFaults(0)
 					sim.State.DelayAnswers(host, 0)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 					time.Sleep(8 * time.Second)
 				}
 				if met == 0 {
@@ -253,7 +249,7 @@
 }
 
 // The largest job that users may submit: its progress stays within the
-// limits of the state service, across a change of leader.
+// limits of the key-value store, across a change of leader.
 func TestLargestJobAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 17, func(sim *simulator.Simulation, at func(time.Duration)) {
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -8,6 +8,13 @@
 	"lilaclead/internal/simulator"
 )
 
+// cutFromMachines cuts a controller from the first 100 machines, or ends the cut.
+func cutFromMachines(sim *simulator.Simulation, node int, on bool) {
+	for i := 1; i <= 100; i++ {
+		sim.Net.Cut(simulator.NodeIP(node), fmt.Sprintf("10.1.0.%d", i), on)
+	}
+}
+
 // A leader cut off from all workers resigns in favour of a node that they
 // reach.
 func TestLeaderPartitionedFromWorkers(t *testing.T) {
@@ -15,20 +22,15 @@
 	runOnBothLayouts(t, 10, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 30, 25)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		l := sim.Leader()
-		for i := 1; i <= 100; i++ {
-			sim.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), true)
-		}
+		cutFromMachines(sim, l, true)
 		at(75 * time.Second)
 		if n := sim.Leader(); n == l {
 			t.Error("the leader that reaches no worker still leads")
 		}
-		for i := 1; i <= 100; i++ {
-			sim.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), false)
-		}
+		cutFromMachines(sim, l, false)
 		at(220 * time.Second)
 		mustFinish(t, sim, a)
 		mustRun(t, sim, s, "run")
@@ -43,8 +45,7 @@
 	runOnBothLayouts(t, 13, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 12, 20)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		l := sim.Leader()
 		_, ip, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
@@ -70,8 +71,7 @@
 	runScenario(t, 18, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		l := sim.Leader()
 		for i := range 3 {
@@ -100,7 +100,7 @@
 	})
 }
 
-// A leader loses the state service and the other controllers, not its
+// A leader loses the key-value store and the other controllers, not its
 // workers: it must stop answering them, and they must find the next leader
 // before their leases end.
 func TestLeaderPartitionedFromAllButWorkers(t *testing.T) {
@@ -111,8 +111,7 @@
 			runWithSettings(t, settingsOfSize(size), 33, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 40)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				at(40 * time.Second)
 				l := sim.Leader()
 				cut := func(on bool) {
@@ -142,7 +141,7 @@
 	}
 }
 
-// A leader is cut from the state service and the other controllers while workers
+// A leader is cut from the key-value store and the other controllers while workers
 // and users still reach it, and jobs are cancelled through the next one. In the
 // worst case workers reach the old one only and the cloud is away, so that
 // nothing but its silence ends their tasks. Users at the old one get no older
@@ -158,18 +157,18 @@
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(3), 65, func(sim *simulator.Simulation, at func(time.Duration)) {
 					s, a := service(1, 4), array(2, 4, 60)
-					gone, late := service(3, 4), array(4, 4, 300)
+					cancelledJob, late := service(3, 4), array(4, 4, 300)
 					at(2 * time.Second)
-					for _, j := range []simulator.JobScript{s, a, gone, late} {
+					for _, j := range []simulator.JobScript{s, a, cancelledJob, late} {
 						sim.Submit(j, 0)
 					}
 					at(45 * time.Second)
 					l := sim.Leader()
 					fresh := array(5, 3, 20)
-					answered, stop := pollInBackground(sim, l, s, a, gone, late, fresh)
-					defer stop()
+					polls := startBackgroundPolls(sim, l, s, a, cancelledJob, late, fresh)
+					defer polls.stopPolling()
 					behind := map[string]bool{}
-					for _, id := range append(sim.MachinesRunning(gone.Spec.ID), sim.MachinesRunning(late.Spec.ID)...) {
+					for _, id := range append(sim.MachinesRunning(cancelledJob.Spec.ID), sim.MachinesRunning(late.Spec.ID)...) {
 						behind[sim.MachineIP(id)] = true
 					}
 					split := func(on bool) {
@@ -186,13 +185,13 @@
 					begin := time.Now()
 					split(true)
 					next := awaitOtherLeader(t, sim, l, 10*time.Second)
-					was := *answered
+					answeredBefore := polls.answered()
 					sim.Submit(fresh, 0) // by any node; those that can't will refuse
-					if got := cancelAtController(t, sim, next, gone); got.Sub(begin) > 8*time.Second {
+					if got := cancelAtController(t, sim, next, cancelledJob); got.Sub(begin) > 8*time.Second {
 						t.Errorf("cancelled only %v after the cut", got.Sub(begin))
 					}
 					sim.WithChecker(func(c *simulator.Checker) {
-						if !only && c.OnMachines(late.Spec.ID) == 0 || only && c.OnMachines(gone.Spec.ID) == 0 {
+						if !only && c.OnMachines(late.Spec.ID) == 0 || only && c.OnMachines(cancelledJob.Spec.ID) == 0 {
 							t.Error("nothing of the cancelled jobs runs any more when they are cancelled")
 						}
 					})
@@ -215,7 +214,7 @@
 					time.Sleep(45 * time.Second)
 					if only {
 						sim.WithChecker(func(c *simulator.Checker) {
-							if n := c.OnMachines(gone.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
+							if n := c.OnMachines(cancelledJob.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
 								t.Errorf("%d tasks of cancelled jobs behind the old leader", n)
 							}
 						})
@@ -223,7 +222,7 @@
 					split(false)
 					sim.CloudOutage(false)
 					time.Sleep(5 * time.Second)
-					if *answered == was {
+					if polls.answered() == answeredBefore {
 						t.Error("the old leader has answered no user after the cut")
 					}
 					mustRecover(t, sim, 3, s, a, fresh)
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -9,11 +9,11 @@
 	"lilaclead/internal/wire"
 )
 
-// Jobs are cancelled at the moment at which the state service refuses the
+// Jobs are cancelled at the moment at which the key-value store refuses the
 // leader alone, and then it is out for everybody, for longer than a cancelled
 // task may last. Workers go on reporting to the leader, which can't read what
 // was cancelled. It may renew their leases only while the other controllers tell
-// it of all that they confirmed, and must halt what they tell of; what none can
+// it of all that they confirmed, and must stop what they tell of; what none can
 // tell of any more ends with the leases.
 func TestCancelWhileStateServiceRefusesLeader(t *testing.T) {
 	t.Parallel()
@@ -37,15 +37,15 @@
 		{"who confirmed it is back at once", nil, func(sim *simulator.Simulation, _, c int) {
 			sim.KillController(c)
 			time.Sleep(200 * time.Millisecond)
-			sim.StartController(c)
+			startControllers(t, sim, c)
 		}, 57 * time.Second, false},
 		{"who confirmed it is cut off", nil, func(sim *simulator.Simulation, _, c int) { sim.Net.Isolate(simulator.NodeIP(c), true) }, 57 * time.Second, false},
 		{"the leader ends", nil, func(sim *simulator.Simulation, l, _ int) {
 			sim.KillController(l)
 			time.Sleep(300 * time.Millisecond)
-			sim.StartController(l)
+			startControllers(t, sim, l)
 		}, 57 * time.Second, false},
-		// The leader's packets to the state service are held, and come late.
+		// The leader's packets to the key-value store are held, and come late.
 		{"its packets are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
 		{"the answers are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold("10.2.0.1", simulator.NodeIP(l), on) }, nil, 57 * time.Second, true},
 		{"both", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Cut(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
@@ -54,8 +54,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), uint64(200+k), func(sim *simulator.Simulation, at func(time.Duration)) {
-				keep, gone, long := service(1, 3), service(2, 4), array(3, 6, 300)
-				for _, s := range []simulator.JobScript{keep, gone, long} {
+				keep, cancelledJob, long := service(1, 3), service(2, 4), array(3, 6, 300)
+				for _, s := range []simulator.JobScript{keep, cancelledJob, long} {
 					sim.Submit(s, 0)
 				}
 				// Other users, who can't be answered in the outage either. (Without
@@ -66,7 +66,7 @@
 				}
 				at(45 * time.Second)
 				l := sim.Leader()
-				if l < 0 || tasksOnMachines(sim, gone.Spec.ID) != 4 || tasksOnMachines(sim, long.Spec.ID) == 0 {
+				if l < 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 || tasksOnMachines(sim, long.Spec.ID) == 0 {
 					t.Fatal("nothing runs yet")
 				}
 				refuse := c.refuse
@@ -75,7 +75,7 @@
 				}
 				refuse(sim, l, true)
 				confirmer := (l + 1) % 5
-				for _, id := range []wire.JobID{gone.Spec.ID, long.Spec.ID} {
+				for _, id := range []wire.JobID{cancelledJob.Spec.ID, long.Spec.ID} {
 					if !cancelOnceAt(sim, confirmer, id) {
 						t.Fatalf("%s was not cancelled while the leader was refused", id)
 					}
@@ -95,14 +95,14 @@
 				if n := tasksOnMachines(sim, keep.Spec.ID); c.lives && n != 3 {
 					t.Errorf("%d of 3 replicas that nobody cancelled live through the outage", n)
 				}
-				if n := tasksOnMachines(sim, gone.Spec.ID) + tasksOnMachines(sim, long.Spec.ID); c.lives && n != 0 {
+				if n := tasksOnMachines(sim, cancelledJob.Spec.ID) + tasksOnMachines(sim, long.Spec.ID); c.lives && n != 0 {
 					t.Errorf("%d cancelled tasks are left, of which the leader could hear from the others", n)
 				}
 				time.Sleep(time.Second)
 				sim.State.Outage(false)
 				sim.Net.Isolate(simulator.NodeIP(confirmer), false)
-				sim.StartController(confirmer)
-				faultsAreOver(sim)
+				startControllers(t, sim, confirmer)
+				markFaultsOver(sim)
 				time.Sleep(80 * time.Second)
 				if n := tasksOnMachines(sim, keep.Spec.ID); n != 3 {
 					t.Errorf("%d of 3 replicas after the outage", n)
@@ -112,7 +112,7 @@
 	}
 }
 
-// The same, and the machines of the cancelled tasks receive nothing, or the halts to
+// The same, and the machines of the cancelled tasks receive nothing, or the stops to
 // them are held up on their way: what can't be halted must end with its lease,
 // or with its machine.
 func TestCancelOnUnreachableMachinesWhileLeaderIsRefused(t *testing.T) {
@@ -122,12 +122,11 @@
 			t.Run(fmt.Sprint(how, ", cloud there: ", cloud), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(5), 230, func(sim *simulator.Simulation, at func(time.Duration)) {
-					keep, gone := service(1, 3), service(2, 4)
-					sim.Submit(keep, 0)
-					sim.Submit(gone, 0)
+					keep, cancelledJob := service(1, 3), service(2, 4)
+					submitAll(sim, keep, cancelledJob)
 					at(45 * time.Second)
 					l := sim.Leader()
-					on := sim.MachinesRunning(gone.Spec.ID)
+					on := sim.MachinesRunning(cancelledJob.Spec.ID)
 					if l < 0 || len(on) == 0 {
 						t.Fatal("nothing runs yet")
 					}
@@ -149,7 +148,7 @@
 					setFault(true)
 					sim.CloudOutage(!cloud)
 					sim.State.RefuseClient(simulator.NodeIP(l), true)
-					if !cancelOnceAt(sim, (l+1)%5, gone.Spec.ID) {
+					if !cancelOnceAt(sim, (l+1)%5, cancelledJob.Spec.ID) {
 						t.Fatal("not cancelled")
 					}
 					sim.State.Outage(true)
@@ -160,10 +159,10 @@
 					time.Sleep(20 * time.Second)
 					setFault(false)
 					sim.CloudOutage(false)
-					faultsAreOver(sim)
+					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
-					if tasksOnMachines(sim, keep.Spec.ID) != 3 || tasksOnMachines(sim, gone.Spec.ID) != 0 {
-						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(sim, keep.Spec.ID), tasksOnMachines(sim, gone.Spec.ID))
+					if tasksOnMachines(sim, keep.Spec.ID) != 3 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 0 {
+						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(sim, keep.Spec.ID), tasksOnMachines(sim, cancelledJob.Spec.ID))
 					}
 				})
 			})
@@ -171,7 +170,7 @@
 	}
 }
 
-// The state service answers slowly while users cancel and ask, then refuses the
+// The key-value store answers slowly while users cancel and ask, then refuses the
 // leader alone while they go on to cancel, and then everybody, for longer than a
 // cancelled task may last: after the leader alone was refused for a moment, or
 // just when the next one has come and has read nothing yet.
@@ -184,8 +183,7 @@
 				s, a := service(900, 3), array(901, 4, 60)
 				first, second, third := service(1, 2), service(2, 2), service(3, 2)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				for _, j := range []simulator.JobScript{first, second, third} {
 					j.Spec.Team = "red"
 					sim.RegisterJob(j)
@@ -217,7 +215,7 @@
 					}
 				}
 				cancel(first)
-				for begin := time.Now(); r.firstSeen(2).IsZero() && time.Since(begin) < 10*time.Second; {
+				for begin := time.Now(); r.firstSeen(simulator.ToldFinal).IsZero() && time.Since(begin) < 10*time.Second; {
 					time.Sleep(50 * time.Millisecond)
 				}
 				var refused, outage time.Time
@@ -246,8 +244,8 @@
 				sim.State.Outage(false)
 				sim.State.RefuseClient(simulator.NodeIP(l), false)
 				sim.State.DelayAnswers("", 0)
-				if len(cancelled) != 2 || r.firstSeen(2).IsZero() || r.firstSeen(2).After(outage) || cancelled[1].After(outage) || (kind != "cancelled while slow") != cancelled[1].After(refused) {
-					t.Errorf("cancelled at %v, read to be at %v, the leader refused at %v and everybody at %v", cancelled, r.firstSeen(2), refused, outage)
+				if len(cancelled) != 2 || r.firstSeen(simulator.ToldFinal).IsZero() || r.firstSeen(simulator.ToldFinal).After(outage) || cancelled[1].After(outage) || (kind != "cancelled while slow") != cancelled[1].After(refused) {
+					t.Errorf("cancelled at %v, read to be at %v, the leader refused at %v and everybody at %v", cancelled, r.firstSeen(simulator.ToldFinal), refused, outage)
 				}
 				endFaultsAndWait(sim, 15*time.Second)
 				b := array(5, 4, 10)
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -11,19 +11,18 @@
 	"lilaclead/internal/wire"
 )
 
-// The answers of releases and bookings are lost, machines vanish silently,
+// The answers of scale-in requests and scale-out requests are lost, machines vanish silently,
 // and the cloud's interface goes away.
 func TestCloudFaults(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 8, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, s := array(1, 20, 20), service(2, 3)
 		at(time.Second)
-		sim.LoseRentalAnswers(2)
+		sim.LoseScaleOutAnswers(2)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(40 * time.Second)
-		sim.LoseReleaseAnswers(2)
+		sim.LoseScaleInAnswers(2)
 		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
 			t.Error("nothing to take")
 		}
@@ -59,9 +58,9 @@
 		at(70 * time.Second)
 		mustFinish(t, sim, good)
 		sim.Submit(bad, 90*time.Second)
-		before := sim.RentedSoFar()
+		before := sim.ProvisionedSoFar()
 		at(150 * time.Second)
-		if n := sim.RentedSoFar() - before; n > 6 {
+		if n := sim.ProvisionedSoFar() - before; n > 6 {
 			t.Errorf("a faulty job cost %d machines", n)
 		}
 		after := array(3, 4, 10)
@@ -79,12 +78,11 @@
 	runOnBothLayouts(t, 32, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 60)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(45 * time.Second)
 		on := sim.MachinesRunning(s.Spec.ID)
 		for _, id := range on {
-			sim.ResendLastReport(id, 3*time.Second, 9*time.Second, 20*time.Second)
+			sim.ResendLastHeartbeat(id, 3*time.Second, 9*time.Second, 20*time.Second)
 			sim.RestartMachine(id)
 		}
 		at(50 * time.Second)
@@ -116,8 +114,7 @@
 				same.Spec.Deadline = 40
 				sim.SetUnlisted(true)
 				at(10 * time.Second)
-				sim.Submit(same, 0)
-				sim.Submit(sameS, 0)
+				submitAll(sim, same, sameS)
 				for n := 0; len(sim.MachinesRunning(same.Spec.ID)) == 0 || len(sim.MachinesRunning(sameS.Spec.ID)) == 0; n++ {
 					if n > 60 {
 						t.Fatalf("tasks on %v and %v", sim.MachinesRunning(same.Spec.ID), sim.MachinesRunning(sameS.Spec.ID))
@@ -134,8 +131,8 @@
 					t.Fatalf("leader is %d, was %d", n, l)
 				}
 				mustHaveTaskInUnknownZone(t, sim)
-				sim.StartController(l) //nolint:errcheck // it was killed above
-				faultsAreOver(sim)
+				startControllers(t, sim, l)
+				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, same)
 				mustRun(t, sim, sameS, "when all is over")
@@ -145,7 +142,7 @@
 	}
 }
 
-// A release takes effect and is never answered, since the leader that asked for it
+// A scale-in request takes effect and is never answered, since the leader that asked for it
 // ends: tasks of a team at its limit were on that machine, some of them cancelled
 // meanwhile, and lists go on showing it for a while.
 func TestReleaseUnansweredAcrossLeaderChange(t *testing.T) {
@@ -154,27 +151,26 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				gone, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
+				cancelledJob, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
 				at(2 * time.Second)
-				sim.Submit(gone, 0)
-				sim.Submit(s, 0)
+				submitAll(sim, cancelledJob, s)
 				at(30 * time.Second)
 				sim.Submit(next, 0)
 				at(45 * time.Second)
 				mustUseCPUs(t, sim, "red", 24)
-				hit := sim.MachinesRunning(gone.Spec.ID)
+				hit := sim.MachinesRunning(cancelledJob.Spec.ID)
 				hit = hit[:1]
-				sim.LoseReleaseAnswers(1000)
+				sim.LoseScaleInAnswers(1000)
 				for _, id := range hit {
 					sim.PartitionMachine(id, true)
 				}
-				if !cancelWithin(t, sim, gone.Spec.ID, 2*time.Second) {
+				if !cancelWithin(t, sim, cancelledJob.Spec.ID, 2*time.Second) {
 					t.Fatal("not cancelled")
 				}
 				time.Sleep(3 * time.Second)
 				lost := 0
 				sim.WithChecker(func(c *simulator.Checker) {
-					if lost = c.OnMachines(gone.Spec.ID); lost == 0 {
+					if lost = c.OnMachines(cancelledJob.Spec.ID); lost == 0 {
 						t.Error("nothing of the cancelled job runs where it can't be stopped")
 					}
 				})
@@ -186,13 +182,13 @@
 				}
 				// They are gone, and the leader can't know: they count.
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(next.Spec.ID); c.OnMachines(gone.Spec.ID) > 0 || n > 12-lost {
+					if n := c.OnMachines(next.Spec.ID); c.OnMachines(cancelledJob.Spec.ID) > 0 || n > 12-lost {
 						t.Errorf("%d tasks of the next job run before the release of %d is answered", n, lost)
 					}
 				})
 				replaceLeader(t, sim)
-				sim.LoseReleaseAnswers(0)
-				faultsAreOver(sim)
+				sim.LoseScaleInAnswers(0)
+				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, next)
 				mustRun(t, sim, s, "when all is over")
@@ -229,7 +225,7 @@
 				awaitSuccessor(t, sim, l)
 				sim.SetSoldOut("a", true)
 				sim.SetSoldOut("b", true)
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(60 * time.Second)
 				_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
 				var v admin.View
@@ -252,12 +248,12 @@
 // of the array must run on ordinary machines in the end, whatever they cost.
 func TestSpotCapacityLostDuringArray(t *testing.T) {
 	t.Parallel()
-	for _, site := range []wire.Zone{"", "a"} {
-		t.Run("bound to "+string(site), func(t *testing.T) {
+	for _, zone := range []wire.Zone{"", "a"} {
+		t.Run("bound to "+string(zone), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 520, func(sim *simulator.Simulation, at func(time.Duration)) {
 				j := array(1, 12, 20)
-				j.Spec.Zone = site
+				j.Spec.Zone = zone
 				at(2 * time.Second)
 				sim.Submit(j, 0)
 				done := 0
@@ -270,7 +266,7 @@
 					t.Error("no spot machine to take")
 				}
 				replaceLeader(t, sim)
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				if done == j.Spec.Tasks {
 					t.Error("the array was done already")
 				}
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -17,18 +17,17 @@
 	t.Parallel()
 	runScenario(t, 1, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b, s := array(1, 10, 15), array(2, 6, 20), service(3, 3)
-		gone := service(4, 2)
+		cancelledJob := service(4, 2)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
-		sim.Submit(gone, 60*time.Second)
+		submitAll(sim, a, s)
+		sim.Submit(cancelledJob, 60*time.Second)
 		at(30 * time.Second)
 		sim.Submit(b, 0)
 		at(150 * time.Second)
 		mustFinish(t, sim, a, b)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(gone.Spec.ID) != 0 {
-				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.OnMachines(s.Spec.ID), c.OnMachines(gone.Spec.ID))
+			if c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(cancelledJob.Spec.ID) != 0 {
+				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.OnMachines(s.Spec.ID), c.OnMachines(cancelledJob.Spec.ID))
 			}
 		})
 		if keys := sim.State.Keys("run/req-000001/"); len(keys) != 0 {
@@ -118,8 +117,7 @@
 			sim.Submit(array(100+n, 8, 20), 0)
 		}
 		at(5 * time.Second)
-		sim.Submit(big, 0)
-		sim.Submit(low, 0)
+		submitAll(sim, big, low)
 		for n := range 60 {
 			at(time.Duration(6+5*n) * time.Second)
 			sim.Submit(array(200+n, 10, 30), 0)
@@ -129,7 +127,7 @@
 }
 
 // One-task jobs come four a second for minutes, a quarter is cancelled, and the
-// state service holds to its rates. What has gathered while the first machines
+// key-value store holds to its rates. What has gathered while the first machines
 // boot must be worked off, then all must begin at once and nothing be refused any
 // more; and nothing may be left of them but their final records.
 func TestManySmallJobs(t *testing.T) {
@@ -157,7 +155,7 @@
 						before, _ = sim.State.RateRefusals()
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(40 * time.Second)
 				done, cancelled := sim.CountEnded(all)
 				if done+cancelled != len(all) || cancelled < 75 {
@@ -179,11 +177,11 @@
 				if d := longest(all[450:]); d > time.Second {
 					t.Errorf("with machines up and nothing gathered a job waited for %v", d)
 				}
-				switch over, most := sim.State.RateRefusals(); {
-				case over != before:
-					t.Errorf("the state service refuses %d requests with nothing gathered", over-before)
-				case over > 300:
-					t.Errorf("the state service refused %d requests", over)
+				switch refusals, most := sim.State.RateRefusals(); {
+				case refusals != before:
+					t.Errorf("the state service refuses %d requests with nothing gathered", refusals-before)
+				case refusals > 300:
+					t.Errorf("the state service refused %d requests", refusals)
 				case most > int(set.State.RPS)*5/4:
 					t.Errorf("%d requests in a second to a state service for %v", most, set.State.RPS)
 				}
@@ -197,7 +195,7 @@
 }
 
 // Jobs of one small task each, many of which fit on the smallest machine, are
-// rented for together: for one of them alone every machine would be too dear. (A
+// provisioned for together: for one of them alone every machine would be too dear. (A
 // hundred of them waited two minutes, until the first was taken for starving.)
 func TestSmallJobsShareRentalCost(t *testing.T) {
 	t.Parallel()
@@ -230,7 +228,7 @@
 }
 
 // The largest array that the protocol allows is stored, run, polled and
-// cancelled within the limits of the state service.
+// cancelled within the limits of the key-value store.
 func TestHundredThousandTasks(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 36, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -277,7 +275,7 @@
 	})
 }
 
-// The smallest state service that can work: two changes a transaction, values of
+// The smallest key-value store that can work: two changes a transaction, values of
 // 1 KiB, a few requests a second, and leases that leave no time for delegates. It
 // starts and serves.
 func TestMinimalDeployment(t *testing.T) {
@@ -287,10 +285,10 @@
 	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
 	set.Limits = config.Limits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
 	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
-		a, b, gone := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
+		a, b, cancelledJob := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
 		at(3 * time.Second)
 		sim.Submit(a, 0)
-		sim.Submit(gone, 45*time.Second)
+		sim.Submit(cancelledJob, 45*time.Second)
 		at(30 * time.Second)
 		sim.Submit(b, 0)
 		at(60 * time.Second)
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -59,12 +59,12 @@
 						startControllers(t, sim, l)
 						return func() {}
 					},
-					func() func() { // the state service refuses one node
+					func() func() { // the key-value store refuses one node
 						i := (sim.Leader() + 3 + rng.IntN(2)) % 3
 						sim.State.RefuseClient(simulator.NodeIP(i), true)
 						return func() { sim.State.RefuseClient(simulator.NodeIP(i), false) }
 					},
-					func() func() { // the leader is cut from state service and peers
+					func() func() { // the leader is cut from key-value store and peers
 						l, mode := (sim.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
 						sim.IsolateController(l, mode, true)
 						return func() { sim.IsolateController(l, mode, false) }
@@ -85,7 +85,7 @@
 					func() func() { sim.State.LoseAnswers(1 + rng.IntN(4)); return func() {} },
 					func() func() { // late copies
 						id, _ := some()
-						sim.ResendLastReport(id, seconds(10), seconds(20), seconds(40))
+						sim.ResendLastHeartbeat(id, seconds(10), seconds(20), seconds(40))
 						return func() {}
 					},
 					func() func() { // a burst, half of it cancelled
@@ -140,8 +140,7 @@
 				s, sameS := service(1, 4), service(2, 3)
 				sameS.Spec.SameZone, sameS.Spec.Spread = true, false
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(sameS, 0)
+				submitAll(sim, s, sameS)
 				var all []simulator.JobScript
 				jobs := func(n int) {
 					for range n {
@@ -175,7 +174,7 @@
 				for range 3 {
 					jobs(2)
 					time.Sleep(seconds(6))
-					var over []func()
+					var endFaults []func()
 					leaders := sim.Leader()
 					for n := range 2 + rng.IntN(2) {
 						ids, z := some(), zone()
@@ -186,30 +185,30 @@
 						switch kind {
 						case 0:
 							sim.IsolateZone(z, true)
-							over = append(over, func() { sim.IsolateZone(z, false) })
+							endFaults = append(endFaults, func() { sim.IsolateZone(z, false) })
 						case 1:
 							for _, id := range ids {
 								sim.StallMachine(id, true)
 							}
-							over = append(over, func() {
+							endFaults = append(endFaults, func() {
 								for _, id := range ids {
 									sim.StallMachine(id, false)
 								}
 							})
 						case 2:
 							sim.CloudOutage(true)
-							over = append(over, func() { sim.CloudOutage(false) })
+							endFaults = append(endFaults, func() { sim.CloudOutage(false) })
 						case 3:
 							sim.State.Outage(true)
-							over = append(over, func() { sim.State.Outage(false) })
+							endFaults = append(endFaults, func() { sim.State.Outage(false) })
 						case 4:
 							sim.SlowMachineLinks(seconds(2) * 6 / 10)
-							over = append(over, func() { sim.SlowMachineLinks(0) })
+							endFaults = append(endFaults, func() { sim.SlowMachineLinks(0) })
 						case 5:
 							for _, id := range ids {
 								sim.Net.BlockInbound(sim.MachineIP(id), true)
 							}
-							over = append(over, func() {
+							endFaults = append(endFaults, func() {
 								for _, id := range ids {
 									sim.Net.BlockInbound(sim.MachineIP(id), false)
 								}
@@ -219,10 +218,10 @@
 						case 7:
 							sim.State.LoseAnswers(1 + rng.IntN(4))
 						case 8:
-							sim.LoseReleaseAnswers(3)
-							sim.LoseRentalAnswers(2)
+							sim.LoseScaleInAnswers(3)
+							sim.LoseScaleOutAnswers(2)
 						}
-						if n > 0 && len(over) > 0 {
+						if n > 0 && len(endFaults) > 0 {
 							met++
 						}
 						time.Sleep(seconds(2))
@@ -231,15 +230,15 @@
 					if leaders >= 0 && rng.IntN(3) > 0 {
 						sim.KillController(leaders)
 						time.Sleep(seconds(8))
-						sim.StartController(leaders) //nolint:errcheck // it was killed above
+						startControllers(t, sim, leaders)
 					}
 					time.Sleep(seconds(40))
-					for _, f := range over {
+					for _, f := range endFaults {
 						f()
 						time.Sleep(seconds(3))
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				if met < 3 {
 					t.Errorf("only %d faults fell into another one", met)
 				}
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -39,7 +39,7 @@
 						i := rng.IntN(3)
 						sim.KillController(i)
 						time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
-						sim.StartController(i)
+						startControllers(t, sim, i)
 					case 2:
 						sim.State.Outage(true)
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
@@ -66,7 +66,7 @@
 						sim.State.LoseAnswers(1)
 					}
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(150 * time.Second)
 				mustFinish(t, sim, all...)
 			})
@@ -75,7 +75,7 @@
 }
 
 // Random partitions of a zone, from seconds to well over a lease and the time for
-// cancellations, with the cloud or the state service away, leaders that end and
+// cancellations, with the cloud or the key-value store away, leaders that end and
 // jobs that are cancelled meanwhile. SCENARIO_SEEDS asks for more of them.
 func TestRandomZonePartitions(t *testing.T) {
 	t.Parallel()
@@ -108,7 +108,7 @@
 					if l := sim.Leader(); leader && l >= 0 {
 						sim.KillController(l)
 						time.Sleep(seconds(6))
-						sim.StartController(l)
+						startControllers(t, sim, l)
 					}
 					time.Sleep(seconds(20))
 					sim.State.Outage(false)
@@ -127,7 +127,7 @@
 
 // Random faults on this layout: any zone cut off, or any two from each other, for seconds
 // to well over a lease and the time for cancellations, with controllers that
-// end, one or all, and the cloud or the state service away meanwhile.
+// end, one or all, and the cloud or the key-value store away meanwhile.
 func TestRandomFaultsOnUnevenLayout(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(6) {
@@ -183,7 +183,7 @@
 					time.Sleep(seconds(10))
 					sim.CloudOutage(false)
 				}
-				faultsAreOver(sim)
+				markFaultsOver(sim)
 				time.Sleep(240 * time.Second)
 				mustFinish(t, sim, all...)
 			})
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -26,70 +26,70 @@
 	}
 }
 
-// A leader's rental is carried out long after another leads. The successor goes on with
+// A leader's scale-out request is carried out long after another leads. The successor goes on with
 // it under its name, so that the late one rents nothing more.
-func TestLateRentalOfAnEarlierLeader(t *testing.T) {
+func TestScaleOutOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 71, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
-		sim.HoldCloudRequests(40, 0, 45*time.Second)
+		sim.DelayCloudRequests(40, 0, 45*time.Second)
 		a := array(1, 8, 30)
 		sim.Submit(a, 0)
-		held := func() bool { return sim.LateCloudRequests().Held > 0 }
-		waitUntil(t, 20*time.Second, "a rental on its way", held)
+		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
+		waitUntil(t, 20*time.Second, "a rental on its way", requestDelayed)
 		killed := sim.Leader()
 		sim.KillController(killed)
-		sim.HoldCloudRequests(0, 0, 45*time.Second)
+		sim.DelayCloudRequests(0, 0, 45*time.Second)
 		awaitSuccessor(t, sim, killed)
 		startControllers(t, sim, killed)
 		at(100 * time.Second)
 		late := sim.LateCloudRequests()
-		if late.CarriedOut != late.Held {
-			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Held)
+		if late.CarriedOut != late.Delayed {
+			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
 		}
-		if recorded != (late.Rented == 0) {
-			t.Errorf("%d machines were rented late", late.Rented)
+		if recorded != (late.Provisioned == 0) {
+			t.Errorf("%d machines were rented late", late.Provisioned)
 		}
 		at(140 * time.Second)
 		mustFinish(t, sim, a)
 	})
 }
 
-// A leader's release is carried out long after another leads. The successor returns the
+// A leader's scale-in request is carried out long after another leads. The successor returns the
 // machine itself, so that nothing runs on it when the late one comes.
-func TestLateReleaseOfAnEarlierLeader(t *testing.T) {
+func TestScaleInOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 72, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
 		first := array(1, 12, 12)
 		sim.Submit(first, 0)
 		at(20 * time.Second)
-		sim.HoldCloudRequests(0, 40, 45*time.Second)
-		held := func() bool { return sim.LateCloudRequests().Held > 0 }
-		waitUntil(t, 150*time.Second, "a release on its way", held)
+		sim.DelayCloudRequests(0, 40, 45*time.Second)
+		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
+		waitUntil(t, 150*time.Second, "a release on its way", requestDelayed)
 		killed := sim.Leader()
 		sim.KillController(killed)
-		sim.HoldCloudRequests(0, 0, 45*time.Second)
+		sim.DelayCloudRequests(0, 0, 45*time.Second)
 		next := array(2, 30, 60)
 		sim.Submit(next, 0)
 		awaitSuccessor(t, sim, killed)
 		startControllers(t, sim, killed)
 		time.Sleep(60 * time.Second)
 		late := sim.LateCloudRequests()
-		if late.CarriedOut != late.Held {
-			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Held)
+		if late.CarriedOut != late.Delayed {
+			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
 		}
 		if recorded != (late.EndedTasks == 0) {
-			t.Errorf("a late release took %d machines with %d tasks", late.Released, late.EndedTasks)
+			t.Errorf("a late release took %d machines with %d tasks", late.ScaledIn, late.EndedTasks)
 		}
 		time.Sleep(200 * time.Second)
 		mustFinish(t, sim, first, next)
 	})
 }
 
-// Writes of intents are carried out without an answer, late or at once: what is rented
+// Writes of intents are carried out without an answer, late or at once: what is provisioned
 // and returned is still right, and nothing is left in the records.
-func TestUnansweredIntents(t *testing.T) {
+func TestIntentWritesUnanswered(t *testing.T) {
 	t.Parallel()
 	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 73, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
@@ -124,12 +124,12 @@
 		mustFinish(t, sim, a)
 		damaged := sim.State.Put("intent/renting", "no record of intents")
 		replaceLeader(t, sim)
-		rented := sim.RentedSoFar()
+		provisioned := sim.ProvisionedSoFar()
 		b := array(2, 30, 30)
 		sim.Submit(b, 0)
 		time.Sleep(30 * time.Second)
-		if n := sim.RentedSoFar(); n != rented {
-			t.Errorf("%d machines were rented without a record", n-rented)
+		if n := sim.ProvisionedSoFar(); n != provisioned {
+			t.Errorf("%d machines were rented without a record", n-provisioned)
 		}
 		if now := sim.State.Revision("intent/renting"); now != damaged {
 			t.Error("the record was overwritten")
@@ -144,8 +144,8 @@
 	})
 }
 
-// What recording intents costs the state service on a day of rushes: at most one
-// change for each time that a machine is rented or returned.
+// What recording intents costs the key-value store on a day of rushes: at most one
+// change for each time that a machine is provisioned or returned.
 func TestCostOfIntents(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 75, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
@@ -154,7 +154,7 @@
 			sim.Submit(array(i, 10+2*i, 15), 0)
 		}
 		at(460 * time.Second)
-		machines, intents, all := sim.RentedSoFar(), sim.State.Changes("intent/"), sim.State.Changes("")
+		machines, intents, all := sim.ProvisionedSoFar(), sim.State.Changes("intent/"), sim.State.Changes("")
 		t.Logf("%d machines rented, %d still there; %d changes of the state service, %d of them intents", machines, sim.Machines(), all, intents)
 		if recorded && (intents == 0 || intents > 2*machines) || !recorded && intents > 0 {
 			t.Errorf("%d changes for %d machines", intents, machines)
@@ -162,12 +162,12 @@
 	})
 }
 
-// mustRentInTurn checks that no leader rented once its successor had: a booking's name
+// mustScaleOutInTokenOrder checks that no leader provisioned once its successor had: a scale-out request's name
 // tells under which token it was decided on.
-func mustRentInTurn(t *testing.T, sim *simulator.Simulation) {
+func mustScaleOutInTokenOrder(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	highest := uint64(0)
-	for _, name := range sim.RentalNames() {
+	for _, name := range sim.ScaleOutNames() {
 		var token, number uint64
 		if _, err := fmt.Sscanf(name, "b-%d-%d", &token, &number); err != nil {
 			t.Fatalf("a booking is named %q", name)
@@ -179,10 +179,10 @@
 	}
 }
 
-// The leader is cut off from state service and peers, in each way, but not from workers
+// The leader is cut off from key-value store and peers, in each way, but not from workers
 // and the cloud; another leads on the other side, and both have work to rent for. Only
 // one of them rents, and no machine is leaked.
-func TestBothSidesOfASplitRent(t *testing.T) {
+func TestOnlyOneSideOfPartitionScalesOut(t *testing.T) {
 	t.Parallel()
 	for i, mode := range simulator.CutModes {
 		t.Run(string(mode), func(t *testing.T) {
@@ -200,7 +200,7 @@
 				time.Sleep(40 * time.Second)
 				sim.IsolateController(old, mode, false)
 				time.Sleep(120 * time.Second)
-				mustRentInTurn(t, sim)
+				mustScaleOutInTokenOrder(t, sim)
 				mustFinish(t, sim, first, second)
 				time.Sleep(60 * time.Second)
 				if n := sim.Machines(); n > 0 {
@@ -211,16 +211,16 @@
 	}
 }
 
-// The leader ends with each step half done: rented and not answered, returned and not
+// The leader ends with each step half done: provisioned and not answered, returned and not
 // answered, recorded and never sent (the cloud is away). Its successor leaks nothing and
 // rents nothing twice.
-func TestHalfDoneSteps(t *testing.T) {
+func TestLeaderEndsWithScalingHalfDone(t *testing.T) {
 	t.Parallel()
 	steps := map[string]struct {
 		begin, end func(sim *simulator.Simulation)
 	}{
-		"rented":          {func(sim *simulator.Simulation) { sim.LoseRentalAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseRentalAnswers(0) }},
-		"returned":        {func(sim *simulator.Simulation) { sim.LoseReleaseAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseReleaseAnswers(0) }},
+		"rented":          {func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(0) }},
+		"returned":        {func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(0) }},
 		"only recorded":   {func(sim *simulator.Simulation) { sim.CloudOutage(true) }, func(sim *simulator.Simulation) { sim.CloudOutage(false) }},
 		"recorded, twice": {func(sim *simulator.Simulation) { sim.State.LoseAnswers(2) }, func(*simulator.Simulation) {}},
 	}
@@ -240,7 +240,7 @@
 				step.end(sim)
 				at(150 * time.Second)
 				mustFinish(t, sim, early, a)
-				mustRentInTurn(t, sim)
+				mustScaleOutInTokenOrder(t, sim)
 				at(230 * time.Second)
 				if n := sim.Machines(); n > 0 {
 					t.Errorf("%d machines are left", n)
@@ -252,7 +252,7 @@
 
 // A job is cleaned up while it is read slowly: between the two keys under which it may
 // lie. The reader finds it in one of them.
-func TestCleanupBesideASlowReader(t *testing.T) {
+func TestJobArchivedDuringSlowRead(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 130, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
@@ -267,11 +267,11 @@
 			jobs = append(jobs, array(i+1, 1, 3+float64(i)))
 			sim.Submit(jobs[i], 0)
 		}
-		answered, stop := pollInBackground(sim, 0, jobs...)
+		polls := startBackgroundPolls(sim, 0, jobs...)
 		at(60 * time.Second)
-		stop()
-		if *answered == 0 {
-			t.Error("nothing was answered")
+		polls.stopPolling()
+		if polls.answered() == 0 {
+			t.Error("no poll was answered")
 		}
 		sim.State.DelayReads(nil)
 		mustFinish(t, sim, jobs...)
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -1,6 +1,7 @@
 package scenarios_test
 
 import (
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -25,10 +26,10 @@
 	}{
 		{"usual", simulator.DefaultSettings(), 0, 0, 0},
 		{"small", simulator.GasSettings(), 0, 0, 0},
-		{"fast", settingsWithFastStateService(), 0, 0, 0},
-		{"late", settingsWithFastStateService(), 0, 0, 120 * time.Millisecond},
-		{"lists", settingsWithFastStateService(), 6, 2, 0},
-		{"late lists", settingsWithFastStateService(), 6, 2, 40 * time.Millisecond},
+		{"fast", settingsWithFastStore(), 0, 0, 0},
+		{"late", settingsWithFastStore(), 0, 0, 120 * time.Millisecond},
+		{"lists", settingsWithFastStore(), 6, 2, 0},
+		{"late lists", settingsWithFastStore(), 6, 2, 40 * time.Millisecond},
 	}
 	for k, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,7 +77,7 @@
 }
 
 // A job is cancelled at a node that is just looking up what to say of it, with the
-// state service slow: once that node has told that it is cancelled, no answer that
+// key-value store slow: once that node has told that it is cancelled, no answer that
 // it sends later says otherwise.
 func TestPollDuringCancellation(t *testing.T) {
 	t.Parallel()
@@ -85,11 +86,13 @@
 		at(20 * time.Second)
 		const jobs = 12
 		all := make([]simulator.JobScript, jobs)
+		var users sync.WaitGroup
 		for k := range all {
 			all[k] = array(k, 1, 300)
 			sim.RegisterJob(all[k])
-			go requestUntilAnswered(t, sim, all[k], false, k)
+			users.Go(func() { requestUntilAnswered(t, sim, all[k], false, k) })
 		}
+		users.Wait()
 		at(40 * time.Second)
 		sim.State.DelayAnswers("", 500*time.Millisecond)
 		between := 0
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -10,13 +10,12 @@
 
 // A state outage longer than a worker's lease loses no task while a majority
 // of nodes is linked.
-func TestServiceSurvivesStateServiceOutage(t *testing.T) {
+func TestServiceSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 3, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 4, 60)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(48 * time.Second)
@@ -42,15 +41,14 @@
 	runScenario(t, 19, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(45 * time.Second)
 		l := sim.Leader()
 		sim.KillController(l)
 		at(51 * time.Second)
-		sim.StartController(l)
+		startControllers(t, sim, l)
 		at(58 * time.Second)
 		sim.State.Outage(false)
 		at(180 * time.Second)
@@ -59,22 +57,21 @@
 	})
 }
 
-// The leader ends in an outage of the state service that outlasts a lease. The
+// The leader ends in an outage of the key-value store that outlasts a lease. The
 // others renew leases as its delegates; before, every replica was lost.
 func TestLeaderRestartsDuringLongOutage(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 39, func(sim *simulator.Simulation, at func(time.Duration)) {
 		s, a := service(1, 4), array(2, 8, 50)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
-		sim.Submit(a, 0)
+		submitAll(sim, s, a)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(44 * time.Second)
 		l := sim.Leader()
 		sim.KillController(l)
 		at(50 * time.Second)
-		sim.StartController(l)
+		startControllers(t, sim, l)
 		at(70 * time.Second)
 		mustRun(t, sim, s, "30 s into the outage")
 		sim.State.Outage(false)
@@ -86,9 +83,9 @@
 	})
 }
 
-// A user's connection is at a node that the state service refuses while it
+// A user's connection is at a node that the key-value store refuses while it
 // serves others: the node says so at once and leaves the load balancer's set.
-func TestPollAtControllerRefusedByStateService(t *testing.T) {
+func TestPollAtControllerRefusedByStore(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 34, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		a := array(1, 2, 100)
@@ -108,15 +105,15 @@
 		}
 		at(40 * time.Second)
 		sim.State.RefuseClient(simulator.NodeIP(i), false)
-		faultsAreOver(sim)
+		markFaultsOver(sim)
 		at(200 * time.Second)
 		mustFinish(t, sim, a)
 	})
 }
 
-// A leader that only the state service refuses gives way, and its late
+// A leader that only the key-value store refuses gives way, and its late
 // commands, held up for minutes, start nothing twice.
-func TestStateServiceRefusesLeaderWithDelayedCommands(t *testing.T) {
+func TestStoreRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 4, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b := array(1, 8, 30), array(2, 8, 30)
@@ -148,7 +145,7 @@
 	})
 }
 
-// The state service goes out in the middle of an election, for longer than the
+// The key-value store goes out in the middle of an election, for longer than the
 // time for cancellations: the new leader is elected, and has not read what
 // was cancelled while nobody led. It must not keep alive what it knows nothing of.
 func TestOutageDuringElectionAfterCancel(t *testing.T) {
@@ -161,15 +158,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			c.run(t, 69, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, gone, a := service(1, 4), service(2, 4), array(3, 6, 60)
+				s, cancelledJob, a := service(1, 4), service(2, 4), array(3, 6, 60)
 				at(2 * time.Second)
-				for _, j := range []simulator.JobScript{s, gone, a} {
+				for _, j := range []simulator.JobScript{s, cancelledJob, a} {
 					sim.Submit(j, 0)
 				}
 				at(45 * time.Second)
 				l, old := sim.Leader(), sim.LeaderKeyRevision()
 				sim.KillController(l)
-				confirmed := cancelAtController(t, sim, (l+1)%3, gone)
+				confirmed := cancelAtController(t, sim, (l+1)%3, cancelledJob)
 				if c.back {
 					startControllers(t, sim, l)
 				}
@@ -182,13 +179,13 @@
 					startControllers(t, sim, l)
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(gone.Spec.ID) != 4 {
+					if c.OnMachines(cancelledJob.Spec.ID) != 4 {
 						t.Error("the cancelled job was stopped before the outage")
 					}
 				})
 				time.Sleep(time.Until(confirmed.Add(sim.Settings.Workers.CancelTimeout.Duration() + 10*time.Second)))
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(gone.Spec.ID); n != 0 {
+					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job", n)
 					}
 				})
@@ -199,7 +196,7 @@
 	}
 }
 
-// A job is cancelled, and before its tasks are halted the state service goes
+// A job is cancelled, and before its tasks are halted the key-value store goes
 // away for longer than the time for cancellations, while a majority of the nodes
 // goes on answering reports: the machines hang just then, or the next leader has
 // not yet read what is stored. The tasks must be gone in time all the same.
@@ -209,10 +206,9 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 670, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, gone, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
+				s, cancelledJob, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(gone, 0)
+				submitAll(sim, s, cancelledJob)
 				at(45 * time.Second)
 				ms := sim.BusyMachines("")
 				l, old := sim.LeaderAndToken()
@@ -224,12 +220,12 @@
 				default:
 					// It reads of no change any more, and goes on answering reports
 					// until its grant ends. What the others tell it of it can't
-					// halt: the machines hang as well.
+					// stop: the machines hang as well.
 					sim.State.RefuseClient(simulator.NodeIP(l), true)
 					sim.HangMachines(true, ms...)
 					time.Sleep(2 * time.Second)
 				}
-				mustCancel(t, sim, gone)
+				mustCancel(t, sim, cancelledJob)
 				if how == "not recovered" {
 					for i := range sim.Settings.Size {
 						sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 300*time.Millisecond)
@@ -247,13 +243,13 @@
 					sim.State.Outage(true)
 				}
 				time.Sleep(4 * time.Second)
-				if tasksOnMachines(sim, gone.Spec.ID) == 0 {
+				if tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 {
 					t.Error("no cancelled task runs when the state service is away")
 				}
 				sim.HangMachines(false, ms...)
 				sim.BlockInbound(false, ms...)
 				time.Sleep(sim.Settings.Workers.CancelTimeout.Duration() + 5*time.Second)
-				mustBeGone(t, sim, gone, "although their time is up")
+				mustBeGone(t, sim, cancelledJob, "although their time is up")
 				for i := range sim.Settings.Size {
 					sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 0)
 				}
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -10,7 +10,7 @@
 )
 
 // Transactions whose answers are lost are looked up, not guessed.
-func TestStateServiceAnswersLost(t *testing.T) {
+func TestStoreAnswersLost(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 7, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b := array(1, 10, 10), array(2, 10, 10)
@@ -37,7 +37,7 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				a, b, gone, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
+				a, b, cancelledJob, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each for sure, then half of all
 					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.ProgressPrefix, Most: 1}, {Share: 0.5}}
@@ -47,12 +47,12 @@
 				off := func() { sim.State.InjectTxnFaults(0); end = time.Now() }
 				at(2 * time.Second)
 				sim.Submit(s, 0)
-				sim.RegisterJob(gone)
-				requestUntilAnswered(t, sim, gone, false, 0)
+				sim.RegisterJob(cancelledJob)
+				requestUntilAnswered(t, sim, cancelledJob, false, 0)
 				at(25 * time.Second)
 				sim.RegisterJob(a)
 				sim.RegisterJob(b)
-				ra, rb, rg := startReader(t, sim, a.Spec.ID), startReader(t, sim, b.Spec.ID), startReader(t, sim, gone.Spec.ID)
+				ra, rb, rg := startReader(t, sim, a.Spec.ID), startReader(t, sim, b.Spec.ID), startReader(t, sim, cancelledJob.Spec.ID)
 				if kind != "cancellation" {
 					on()
 				}
@@ -64,7 +64,7 @@
 				if kind == "cancellation" {
 					on()
 				}
-				cancelled, _, _ := requestUntilAnswered(t, sim, gone, true, i)
+				cancelled, _, _ := requestUntilAnswered(t, sim, cancelledJob, true, i)
 				if kind == "cancellation" {
 					off()
 				}
@@ -76,7 +76,7 @@
 					}
 					sim.KillController(l)
 					time.Sleep(8 * time.Second)
-					sim.StartController(l)
+					startControllers(t, sim, l)
 				}
 				requestUntilAnswered(t, sim, b, false, 0)
 				at(85 * time.Second)
@@ -104,17 +104,17 @@
 				switch kind {
 				case "acceptance":
 					during("accepted", accepted)
-					during("first read", ra.firstSeen(1))
+					during("first read", ra.firstSeen(simulator.ToldAccepted))
 				case "cancellation":
 					during("cancelled", cancelled)
-					during("first read", rg.firstSeen(2))
+					during("first read", rg.firstSeen(simulator.ToldFinal))
 				case "launch", "end":
-					during("first read to be over", ra.firstSeen(2))
+					during("first read to be over", ra.firstSeen(simulator.ToldFinal))
 				case "leader key":
 					if l := sim.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(l) }) {
 						t.Errorf("node %d leads by a key whose writing was answered", l)
 					}
-					during("the next leader's first job was over", rb.firstSeen(2))
+					during("the next leader's first job was over", rb.firstSeen(simulator.ToldFinal))
 				case "all":
 					for _, p := range []string{store.ProgressPrefix, store.JobPrefix} {
 						if len(faultedTransactions(sim, p, wasExecuted)) == 0 {
@@ -162,7 +162,7 @@
 				l := max(0, sim.Leader())
 				sim.KillController(l)
 				time.Sleep(3 * time.Second)
-				sim.StartController(l)
+				startControllers(t, sim, l)
 			case 5:
 				sim.ReclaimMachines(1, func(bool, int) bool { return true })
 			}
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -180,7 +180,7 @@
 			restartLeader(t, sim, time.Second)
 			eventually(t, 60*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
 			step("new", 2, all)
-			// Machines are rented for what is submitted, or returned once it is done.
+			// Machines are provisioned for what is submitted, or returned once it is done.
 			eventually(t, 4*time.Minute, "a record of intents", func() bool { return len(sim.State.Keys("intent/")) > 0 })
 			p.replace(t, sim, 1, oldProgram)
 			step("one rejoins old", 2, []int{0, 2})
@@ -315,7 +315,7 @@
 	})
 }
 
-// A mixed pair is parted, the old one with the state service, from the others; no switch
+// A mixed pair is parted, the old one with the key-value store, from the others; no switch
 // is made, and no job is lost.
 func TestMixedVersionsParted(t *testing.T) {
 	t.Parallel()
@@ -323,8 +323,7 @@
 		p.replace(t, sim, 1, oldProgram)
 		at(5 * time.Second)
 		a, s := array(1, 8, 40), service(2, 2)
-		sim.Submit(a, 0)
-		sim.Submit(s, 0)
+		submitAll(sim, a, s)
 		at(20 * time.Second)
 		sim.PartitionZones("a", "b", true) // controllers 0 and 2 in one, 1 in the other
 		time.Sleep(25 * time.Second)
@@ -371,7 +370,7 @@
 	for _, key := range []string{upgrade.ActiveKey, upgrade.SupportKey("worker-0")} {
 		runPrograms(t, 99, newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
 			at(30 * time.Second)
-			whole := sim.State.Value(key)
+			intact := sim.State.Value(key)
 			revision := sim.State.Put(key, "no version")
 			time.Sleep(10 * time.Second)
 			a := array(1, 4, 10)
@@ -384,7 +383,7 @@
 			if sim.State.Revision(key) != revision {
 				t.Errorf("%s was overwritten", key)
 			}
-			sim.State.Put(key, whole)
+			sim.State.Put(key, intact)
 			eventually(t, 20*time.Second, "controller 0 to serve", func() bool {
 				status, _, _ := sim.Ask(0, "GET", "/ready", nil)
 				return status == http.StatusOK
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -21,8 +21,7 @@
 			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, at func(time.Duration)) {
 				s, a := service(1, 4), array(2, 12, 30)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(a, 0)
+				submitAll(sim, s, a)
 				at(45 * time.Second)
 				z := leaderZoneOrOther(sim, leads)
 				sim.IsolateZone(z, true)
@@ -69,7 +68,7 @@
 }
 
 // Two zones can't reach each other for longer than a lease; both still reach the
-// state service. The workers of one reach no node that reaches the leader, and
+// key-value store. The workers of one reach no node that reaches the leader, and
 // the node there is its delegate: what runs goes on. It must not matter in
 // which zone the leader is, and leadership must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
@@ -113,17 +112,17 @@
 		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, gone := service(1, 4), service(2, 6)
+				s, cancelledJob := service(1, 4), service(2, 6)
 				at(2 * time.Second)
 				sim.Submit(s, 0)
-				sim.Submit(gone, 44*time.Second)
+				sim.Submit(cancelledJob, 44*time.Second)
 				at(45 * time.Second)
 				z := leaderZoneOrOther(sim, leads)
 				sim.CloudOutage(true)
 				sim.IsolateZone(z, true)
 				at(115 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(gone.Spec.ID); n != 0 {
+					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run behind the cut", n)
 					}
 				})
@@ -150,8 +149,8 @@
 				in := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = z; return j }
 				stays, same := in(array(1, 4, 120)), array(2, 3, 60)
 				same.Spec.SameZone = true
-				whole := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return in(j) }
-				before, early, late, unborn := whole(service(3, 2)), whole(service(4, 2)), whole(service(5, 2)), whole(service(6, 2))
+				sameZone := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return in(j) }
+				before, early, late, unborn := sameZone(service(3, 2)), sameZone(service(4, 2)), sameZone(service(5, 2)), sameZone(service(6, 2))
 				free := array(7, 6, 30)
 				at(2 * time.Second)
 				if moveLeadershipTo(t, sim, "a"); inside {
@@ -208,9 +207,7 @@
 				room.Spec.Zone = "a"
 				at(2 * time.Second)
 				moveLeadershipTo(t, sim, "a")
-				sim.Submit(a, 0)
-				sim.Submit(s, 0)
-				sim.Submit(room, 0)
+				submitAll(sim, a, s, room)
 				time.Sleep(60 * time.Second)
 				l := sim.Leader()
 				sim.IsolateZone("b", true)
@@ -232,14 +229,14 @@
 				startControllers(t, sim, 1)
 				time.Sleep(100 * time.Millisecond)
 				// Machines take some seconds longer to be heard than controllers.
-				var silent []string
+				var cutOff []string
 				for _, id := range append(sim.MachinesRunning(a.Spec.ID), sim.MachinesRunning(s.Spec.ID)...) {
 					if sim.MachineZone(id) == "b" {
-						silent = append(silent, sim.MachineIP(id))
+						cutOff = append(cutOff, sim.MachineIP(id))
 					}
 				}
 				hold := func(on bool) {
-					for _, ip := range silent {
+					for _, ip := range cutOff {
 						for i := range 3 {
 							sim.Net.Cut(simulator.NodeIP(i), ip, on)
 						}
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -6,16 +6,16 @@
 	"lilaclead/internal/wire"
 )
 
-// Submitted notes a user's attempt to submit.
+// Submitted records a user's attempt to submit a job.
 func (c *Checker) Submitted(s wire.JobSpec) {
 	if c.jobs[s.ID] == nil {
 		c.jobs[s.ID] = &jobHistory{spec: s, done: map[int]bool{}, submittedAt: c.latest}
 	}
 }
 
-// Accepted notes a 201 or 200 to a submission.
+// Accepted records that a submission was answered 200 or 201.
 func (c *Checker) Accepted(id wire.JobID, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil {
 		if !c.posted[id] {
@@ -26,12 +26,12 @@
 	if why := c.cannotRun(&j.spec); why != "" && !j.accepted {
 		c.violated(now, AcceptedWrongly, "%s accepted, but %s", id, why)
 	}
-	c.noteAccepted(j, now)
+	c.recordAccepted(j, now)
 	j.unansweredSince = time.Time{}
 }
 
-// noteAccepted notes that a user knows that the job is accepted.
-func (c *Checker) noteAccepted(j *jobHistory, now time.Time) {
+// recordAccepted records that a user knows that the job is accepted.
+func (c *Checker) recordAccepted(j *jobHistory, now time.Time) {
 	if !j.accepted {
 		j.accepted, j.acceptedAt = true, now
 		if j.submittedAt.IsZero() {
@@ -40,9 +40,9 @@
 	}
 }
 
-// Refused notes the answer to a submission that is not retried.
+// Refused records a refusal of a submission and checks it if it is final (400 or 422).
 func (c *Checker) Refused(id wire.JobID, status int, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil || status != 400 && status != 422 {
 		return
@@ -54,14 +54,14 @@
 	}
 }
 
-// CancelRequested notes that a user asks to cancel.
+// CancelRequested records that a user asks to cancel a job.
 func (c *Checker) CancelRequested(id wire.JobID) {
 	if j := c.jobs[id]; j != nil && !j.cancelRequested {
 		j.cancelRequested, j.cancelRequestedAt = true, c.latest
 	}
 }
 
-// SubmissionAnswered notes the answer to a submission that was sent at a certain time.
+// SubmissionAnswered checks the answer to a submission that was sent at the time asked.
 func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, asked, now time.Time) {
 	var sent, got wire.JobSummary
 	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
@@ -81,9 +81,9 @@
 	}
 }
 
-// CancelAnswered notes the answer to a request to cancel.
+// CancelAnswered checks the answer to a cancellation that was sent at the time asked.
 func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, asked, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	switch {
 	case status == 404 && j != nil && j.accepted && !asked.Before(j.acceptedAt):
@@ -98,7 +98,7 @@
 	}
 }
 
-// PollAnsweredNow notes the answer of now to a poll of now; status 0: none.
+// PollAnsweredNow checks the answer to a poll that was sent now; status 0 means no answer.
 func (c *Checker) PollAnsweredNow(id wire.JobID, status int, st wire.Status, now time.Time) {
 	c.PollAnswered(id, status, st, now, now)
 }
@@ -106,7 +106,7 @@
 // PollAnswered notes the answer to a poll that was sent at a certain time; status
 // 0: none.
 func (c *Checker) PollAnswered(id wire.JobID, status int, st wire.Status, asked, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if status == 200 || status == 404 {
 		c.polls.answered++
@@ -124,30 +124,54 @@
 			c.violated(now, Forgotten, "%s answered 404", id)
 		}
 	case status == 200:
-		c.lastAnswered = now
-		j.unansweredSince = time.Time{}
-		c.StatusTold(id, st, asked, now)
-		if !st.Final() && !j.cancelRequested && !j.completed.IsZero() && asked.Sub(j.completed) > 3*time.Second {
-			c.lateDone++
-			j.notDoneToldAt = now
-		}
+		c.pollSucceeded(id, j, st, asked, now)
 	case j != nil && j.accepted:
-		if j.unansweredSince.IsZero() {
-			j.unansweredSince, j.pollsUntilThen = asked, pollCount{c.polls.answered, c.polls.failed - 1}
-		}
-		j.pollsUntilThen.failed++ // its own
-		spell := now.Sub(j.unansweredSince)
-		most := c.polls.answered-j.pollsUntilThen.answered > c.polls.failed-j.pollsUntilThen.failed
-		others := spell > 90*time.Second && (most || now.Sub(c.lastAnswered) < 10*time.Second)
-		calm := c.faultsOverFor(now, 75*time.Second) && spell > 75*time.Second
-		if others || calm {
-			c.violated(now, Forgotten, "every poll for %s fails", id)
-			j.unansweredSince = time.Time{}
-		}
+		c.pollFailed(id, j, asked, now)
+	}
+}
+
+// doneToldWithin is how soon after its last task's end a poll must be answered with it.
+const doneToldWithin = 3 * time.Second
+
+// pollSucceeded checks the status in the answer to a poll.
+func (c *Checker) pollSucceeded(id wire.JobID, j *jobHistory, st wire.Status, asked, now time.Time) {
+	c.lastAnswered = now
+	j.unansweredSince = time.Time{}
+	c.StatusTold(id, st, asked, now)
+	completedBefore := !j.completed.IsZero() && asked.Sub(j.completed) > doneToldWithin
+	if completedBefore && !st.Final() && !j.cancelRequested {
+		c.lateDone++
+		j.notDoneToldAt = now
+	}
+}
+
+// How long all polls for a job may fail.
+const (
+	// unansweredMost is the limit while polls for other jobs are answered: most of them,
+	// or one in the last answeredRecently.
+	unansweredMost   = 90 * time.Second
+	answeredRecently = 10 * time.Second
+	// unansweredWithoutFault is the limit once all faults have been over for as long.
+	unansweredWithoutFault = 75 * time.Second
+)
+
+// pollFailed checks for how long all polls for an accepted job have failed.
+func (c *Checker) pollFailed(id wire.JobID, j *jobHistory, asked, now time.Time) {
+	if j.unansweredSince.IsZero() {
+		j.unansweredSince, j.pollsUntilThen = asked, pollCount{c.polls.answered, c.polls.failed - 1}
+	}
+	j.pollsUntilThen.failed++ // its own
+	unanswered := now.Sub(j.unansweredSince)
+	mostAnswered := c.polls.answered-j.pollsUntilThen.answered > c.polls.failed-j.pollsUntilThen.failed
+	othersAnswered := mostAnswered || now.Sub(c.lastAnswered) < answeredRecently
+	withoutFault := c.faultsOverFor(now, unansweredWithoutFault) && unanswered > unansweredWithoutFault
+	if unanswered > unansweredMost && othersAnswered || withoutFault {
+		c.violated(now, Forgotten, "every poll for %s fails", id)
+		j.unansweredSince = time.Time{}
 	}
 }
 
-// StatusToldNow notes a state that a user was told now, by whatever answer.
+// StatusToldNow checks a status that some answer showed to a user now.
 func (c *Checker) StatusToldNow(id wire.JobID, st wire.Status, now time.Time) {
 	c.StatusTold(id, st, now, now)
 }
@@ -156,12 +180,12 @@
 // was sent at a certain time: what was on its way when a newer answer arrived
 // may be older. Final states exclude each other whenever they were asked for.
 func (c *Checker) StatusTold(id wire.JobID, st wire.Status, asked, now time.Time) {
-	c.noteTime(now)
+	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil {
 		return
 	}
-	c.noteAccepted(j, now)
+	c.recordAccepted(j, now)
 	if j.finalStatus != "" && st != j.finalStatus && (st.Final() || !asked.Before(j.finalToldAt)) {
 		c.violated(now, WentBack, "%s was %s and is called %s", id, j.finalStatus, st)
 	}
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"sort"
 	"time"
 
 	"lilaclead/internal/wire"
@@ -14,28 +13,28 @@
 	sim.mu.Unlock()
 }
 
-// LoseReleaseAnswers makes the next releases take effect without an answer.
-func (sim *Simulation) LoseReleaseAnswers(n int) {
+// LoseScaleInAnswers makes the next scale-in requests take effect without an answer.
+func (sim *Simulation) LoseScaleInAnswers(n int) {
 	sim.mu.Lock()
-	sim.loseReleaseAnswers = n
+	sim.loseScaleInAnswers = n
 	sim.mu.Unlock()
 }
 
-// LoseRentalAnswers makes the next bookings take effect without an answer.
-func (sim *Simulation) LoseRentalAnswers(n int) {
+// LoseScaleOutAnswers makes the next scale-out requests take effect without an answer.
+func (sim *Simulation) LoseScaleOutAnswers(n int) {
 	sim.mu.Lock()
-	sim.loseRentalAnswers = n
+	sim.loseScaleOutAnswers = n
 	sim.mu.Unlock()
 }
 
-// SetSoldOut makes the cloud have nothing more to rent in a zone, or have it again.
+// SetSoldOut makes scale-out fail for want of capacity in a zone, or succeed again.
 func (sim *Simulation) SetSoldOut(z wire.Zone, on bool) {
 	sim.mu.Lock()
 	sim.soldOut[z] = on
 	sim.mu.Unlock()
 }
 
-// SetSpotSoldOut makes the cloud have no more spot machines to rent, or have them again.
+// SetSpotSoldOut makes scale-out of spot machines fail for want of capacity, or succeed again.
 func (sim *Simulation) SetSpotSoldOut(on bool) {
 	sim.mu.Lock()
 	sim.noSpot = on
@@ -51,7 +50,7 @@
 	}
 }
 
-// SetUnlisted makes the machines that are rented from now on ones that no list ever
+// SetUnlisted makes the machines that are provisioned from now on ones that no list ever
 // shows, or no more of them. (Lists lag, and one that does not live as long as
 // they do may be in none.)
 func (sim *Simulation) SetUnlisted(on bool) {
@@ -60,14 +59,14 @@
 	sim.mu.Unlock()
 }
 
-// SetBootFactor makes machines come up in so many times the usual time.
+// SetBootFactor multiplies the time that machines take to boot.
 func (sim *Simulation) SetBootFactor(factor float64) {
 	sim.mu.Lock()
 	sim.bootFactor = factor
 	sim.mu.Unlock()
 }
 
-// SetQuickBoots lets machines be up within two seconds of their rental, or no more.
+// SetQuickBoots makes machines boot within two seconds, or in the usual time again.
 func (sim *Simulation) SetQuickBoots(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -81,16 +80,10 @@
 func (sim *Simulation) ReclaimMachines(n int, which func(spot bool, tasks int) bool) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var ids []wire.MachineID
-	for id, m := range sim.machines {
-		if m.up && which(m.spot, len(m.tasks)) {
-			ids = append(ids, id)
-		}
-	}
-	sort.Slice(ids, func(i, k int) bool { return ids[i] < ids[k] })
+	ids := sim.machinesWhere(func(m *worker) bool { return m.up && which(m.spot, len(m.tasks)) })
 	ids = ids[:min(n, len(ids))]
 	for _, id := range ids {
-		sim.remove(id)
+		sim.removeMachine(id)
 		sim.lastFault = time.Now()
 	}
 	return len(ids)
@@ -100,7 +93,7 @@
 func (sim *Simulation) ReclaimMachine(id wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.remove(id)
+	sim.removeMachine(id)
 	sim.lastFault = time.Now()
 }
 
@@ -109,7 +102,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, id := range ids {
-		sim.remove(id)
+		sim.removeMachine(id)
 	}
 }
 
@@ -118,12 +111,12 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if m := sim.machines[id]; m != nil {
-		m.notice = time.Now().Add(left)
-		m.changed()
+		m.reclaimAt = time.Now().Add(left)
+		m.requestHeartbeat()
 		sim.spawn(func() {
 			sleep(sim.ctx, left)
 			sim.mu.Lock()
-			sim.remove(id)
+			sim.removeMachine(id)
 			sim.lastFault = time.Now()
 			sim.mu.Unlock()
 		})
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -11,10 +11,10 @@
 // gangTable is what the workers do with tasks that start together or never, by the
 // page. The simulation's lock guards it.
 type gangTable struct {
-	jobs   map[wire.JobID]*gangJob
-	refuse map[wire.MachineID]int // launches that are refused as full
-	speed  map[wire.MachineID]float64
-	ticks  bool
+	jobs           map[wire.JobID]*gangJob
+	launchRefusals map[wire.MachineID]int // launches that are refused as full
+	speed          map[wire.MachineID]float64
+	ticking        bool
 }
 
 // gangJob is a gang and its attempts.
@@ -35,11 +35,31 @@
 	countedUntil  time.Time // until when progress was counted
 	progress      float64
 	speed         float64
-	stoppingSince time.Time // of the first halt
+	stoppingSince time.Time // of the first stop
 	brokenSince   time.Time // of the first loss, or when the save failed
 	saved         bool
 }
 
+// broken reports whether the attempt has lost a member and goes back to its checkpoint.
+func (r *gangRun) broken() bool { return !r.brokenSince.IsZero() }
+
+// stopping reports whether a member was told to stop.
+func (r *gangRun) stopping() bool { return !r.stoppingSince.IsZero() }
+
+// progresses reports whether the attempt runs and is neither stopping nor broken.
+func (r *gangRun) progresses() bool { return r.running && !r.broken() && !r.stopping() }
+
+// inOrder returns the members by their tasks' indexes.
+func (r *gangRun) inOrder(tasks int) []*gangMember {
+	var order []*gangMember
+	for i := range tasks {
+		if b := r.members[i]; b != nil {
+			order = append(order, b)
+		}
+	}
+	return order
+}
+
 // gangMember is a gang's task that has its image.
 type gangMember struct {
 	worker       *worker
@@ -56,7 +76,7 @@
 // gangTick is how often the state of gangs is looked at.
 const gangTick = 50 * time.Millisecond
 
-// gangOf is what is known of a gang; call with the lock held.
+// gangOf returns the state of a gang, new if there is none; the caller holds the lock.
 func (sim *Simulation) gangOf(id wire.JobID) *gangJob {
 	if sim.gangs.jobs == nil {
 		sim.gangs.jobs = map[wire.JobID]*gangJob{}
@@ -66,8 +86,8 @@
 		g = &gangJob{attempts: map[wire.Attempt]*gangRun{}}
 		sim.gangs.jobs[id] = g
 	}
-	if !sim.gangs.ticks {
-		sim.gangs.ticks = true
+	if !sim.gangs.ticking {
+		sim.gangs.ticking = true
 		sim.spawn(func() {
 			for sim.ctx.Err() == nil {
 				sleep(sim.ctx, gangTick)
@@ -80,13 +100,13 @@
 	return g
 }
 
-// join brings a gang's task that has its image to its gang; call with the lock
+// joinGang brings a gang's task that has its image to its gang; call with the lock
 // held.
-func (m *worker) join(t wire.Task, x *taskRun) {
+func (m *worker) joinGang(t wire.Task, x *taskRun) {
 	now := time.Now()
 	g := m.sim.gangOf(t.Job)
 	if g.done {
-		m.exit(t, x, wire.CauseDone)
+		m.exitTask(t, x, wire.CauseDone)
 		return
 	}
 	r := g.attempts[x.attempt]
@@ -96,26 +116,32 @@
 	}
 	x.phase = wire.PhaseWaiting
 	r.members[t.Index] = &gangMember{worker: m, run: x, task: t, waitingSince: now}
-	m.changed()
+	m.requestHeartbeat()
 	if r.running || len(r.members) < m.sim.scripts[t.Job].Spec.Tasks {
 		return
 	}
+	m.sim.startGang(t.Job, g, r, now)
+}
+
+// startGang starts an attempt whose members are complete, from the gang's last
+// checkpoint; the caller holds the lock.
+func (sim *Simulation) startGang(id wire.JobID, g *gangJob, r *gangRun, now time.Time) {
 	r.running, r.countedUntil, r.speed, r.progress = true, now, math.Inf(1), g.saved
 	g.starts++
-	m.sim.checker.GangBegan(t.Job, now)
+	sim.checker.GangBegan(id, now)
 	for _, b := range r.members {
 		b.run.phase = wire.PhaseRunning
-		r.speed = min(r.speed, b.worker.sim.speedOf(b.worker.id))
-		if b.worker.faulty || m.sim.scripts[t.Job].AlwaysFails {
+		r.speed = min(r.speed, sim.speedOf(b.worker.id))
+		if b.worker.faulty || sim.scripts[id].AlwaysFails {
 			b.failAt = now.Add(timeToFail)
 		}
-		b.worker.changed()
+		b.worker.requestHeartbeat()
 	}
 }
 
-// gangTaskGone notes that a task of a gang ended or is gone with its machine; call
+// onGangTaskLeft notes that a task of a gang ended or is gone with its machine; call
 // with the lock held.
-func (sim *Simulation) gangTaskGone(t wire.Task, x *taskRun) {
+func (sim *Simulation) onGangTaskLeft(t wire.Task, x *taskRun) {
 	g := sim.gangs.jobs[t.Job]
 	if g == nil || g.attempts[x.attempt] == nil {
 		return
@@ -135,7 +161,7 @@
 
 // advance counts progress up to now.
 func (sim *Simulation) advance(g *gangJob, r *gangRun, now time.Time) {
-	if !r.running || !r.brokenSince.IsZero() || !r.stoppingSince.IsZero() {
+	if !r.progresses() {
 		return
 	}
 	for _, b := range r.members {
@@ -147,9 +173,9 @@
 	r.countedUntil = now
 }
 
-// rollBack makes a gang that ran lose what it has done since its last checkpoint.
+// rollBack returns a running gang to its last checkpoint.
 func (sim *Simulation) rollBack(g *gangJob, r *gangRun, now time.Time) {
-	if !r.brokenSince.IsZero() {
+	if r.broken() {
 		return
 	}
 	r.brokenSince = now
@@ -163,8 +189,8 @@
 	}
 }
 
-// haltGang carries out a halt of a gang's task; call with the lock held.
-func (m *worker) haltGang(t wire.Task, x *taskRun, windDown *wire.Seconds) {
+// stopGangTask carries out a stop of a gang's task; the caller holds the lock.
+func (m *worker) stopGangTask(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) {
 	now := time.Now()
 	s := &m.sim.scripts[t.Job].Spec
 	g := m.sim.gangOf(t.Job)
@@ -174,27 +200,29 @@
 		b = r.members[t.Index]
 	}
 	left := wire.Seconds(0)
-	if windDown != nil {
-		left = *windDown
+	if gracePeriod != nil {
+		left = *gracePeriod
 	}
+	hasRun := b != nil && b.run == x && x.phase != wire.PhaseWaiting && x.phase != wire.PhaseFetching
+	canSave := s.CheckpointInterval > 0 && left >= s.CheckpointTime
 	switch {
-	case b == nil || b.run != x || x.phase == wire.PhaseWaiting || x.phase == wire.PhaseFetching:
+	case !hasRun:
 	case x.phase == wire.PhaseSaving && left > 0:
 		return
-	case x.phase == wire.PhaseRunning && s.CheckpointInterval > 0 && left >= s.CheckpointTime && r.brokenSince.IsZero():
+	case x.phase == wire.PhaseRunning && canSave && !r.broken():
 		m.sim.advance(g, r, now)
-		if r.stoppingSince.IsZero() {
+		if !r.stopping() {
 			r.stoppingSince = now
 		}
 		b.toldToStop, b.savedAt, x.phase = true, now.Add(s.CheckpointTime.Duration()), wire.PhaseSaving
-		m.changed()
+		m.requestHeartbeat()
 		return
 	}
 	x.cancel()
-	m.exit(t, x, wire.CauseStopped)
+	m.exitTask(t, x, wire.CauseStopped)
 }
 
-// stepGangs lets time pass for all gangs; call with the lock held.
+// stepGangs lets time pass for all gangs; the caller holds the lock.
 func (sim *Simulation) stepGangs(now time.Time) {
 	var ids []wire.JobID
 	for id := range sim.gangs.jobs {
@@ -209,31 +237,23 @@
 	}
 }
 
-// stepGang lets time pass for one attempt of a gang; call with the lock held.
+// stepGang lets time pass for one attempt of a gang; the caller holds the lock.
 func (sim *Simulation) stepGang(script *JobScript, g *gangJob, r *gangRun, now time.Time) {
 	sim.advance(g, r, now)
-	var order []*gangMember
-	for i := range script.Spec.Tasks {
-		if b := r.members[i]; b != nil {
-			order = append(order, b)
-		}
-	}
-	sim.noteHungMembers(g, r, order, now)
-	allTold := r.running && len(order) == script.Spec.Tasks
-	for _, b := range order {
-		allTold = allTold && b.toldToStop
-	}
-	if allTold && r.brokenSince.IsZero() && !r.saved && slices.ContainsFunc(order, func(b *gangMember) bool { return !sim.hangs(b.worker) && !now.Before(b.savedAt) }) {
+	order := r.inOrder(script.Spec.Tasks)
+	sim.breakOnHungMember(g, r, order, now)
+	allTold := r.running && len(order) == script.Spec.Tasks && !slices.ContainsFunc(order, func(b *gangMember) bool { return !b.toldToStop })
+	if allTold && !r.broken() && !r.saved && sim.anySaved(order, now) {
 		r.saved, g.saved = true, max(g.saved, r.progress)
 		g.saves++
 	}
-	if !r.stoppingSince.IsZero() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration() && !allTold {
+	if !allTold && sim.stopTimedOut(r, now) {
 		sim.rollBack(g, r, now)
 		for _, b := range order {
 			b.leavesAt = now
 		}
 	}
-	if r.running && r.brokenSince.IsZero() && r.stoppingSince.IsZero() && r.progress >= script.RunTime {
+	if r.progresses() && r.progress >= script.RunTime {
 		g.done = true
 		sim.checker.GangDone(script.Spec.ID)
 	}
@@ -244,13 +264,24 @@
 	}
 }
 
-// hangs tells whether a machine hangs; call with the lock held.
+// anySaved reports whether a member that does not hang has had its time to save.
+func (sim *Simulation) anySaved(order []*gangMember, now time.Time) bool {
+	return slices.ContainsFunc(order, func(b *gangMember) bool { return !sim.hangs(b.worker) && !now.Before(b.savedAt) })
+}
+
+// stopTimedOut reports whether some members were told to stop and the others were not
+// in the time in which peers wait for each other.
+func (sim *Simulation) stopTimedOut(r *gangRun, now time.Time) bool {
+	return r.stopping() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration()
+}
+
+// hangs reports whether a machine hangs; the caller holds the lock.
 func (sim *Simulation) hangs(m *worker) bool {
 	return sim.machineFaults.hung[m.id] != nil || m.stalled
 }
 
-// noteHungMembers breaks a running gang of which a member hangs for long.
-func (sim *Simulation) noteHungMembers(g *gangJob, r *gangRun, order []*gangMember, now time.Time) {
+// breakOnHungMember breaks a running gang of which a member hangs for long.
+func (sim *Simulation) breakOnHungMember(g *gangJob, r *gangRun, order []*gangMember, now time.Time) {
 	peer := sim.Settings.Workers.GangPeerTimeout.Duration()
 	for _, b := range order {
 		if !sim.hangs(b.worker) {
@@ -266,9 +297,9 @@
 // stepMember ends a gang's task if it is time for that.
 func (sim *Simulation) stepMember(g *gangJob, r *gangRun, b *gangMember, now time.Time) {
 	end := func(c wire.ExitCause, saved bool) {
-		b.run.saved = saved
+		b.run.checkpointed = saved
 		b.run.cancel()
-		b.worker.exit(b.task, b.run, c)
+		b.worker.exitTask(b.task, b.run, c)
 	}
 	switch {
 	case g.done && b.run.phase != wire.PhaseWaiting:
@@ -282,7 +313,7 @@
 		if b.toldToStop && !now.Before(b.savedAt) {
 			end(wire.CauseStopped, true)
 		}
-	case !r.brokenSince.IsZero():
+	case r.broken():
 		if !now.Before(b.leavesAt) {
 			end(wire.CauseGangBroken, false)
 		}
@@ -291,7 +322,7 @@
 	}
 }
 
-// GangState is what the workers make of a gang.
+// GangState is the progress of a gang on its machines.
 type GangState struct {
 	Fetching, Waiting, Running, Saving   int
 	Starts, Saves, Rollbacks, Incomplete int
@@ -300,7 +331,7 @@
 	Done                                 bool
 }
 
-// GangState tells how a gang stands.
+// GangState returns the progress of a gang.
 func (sim *Simulation) GangState(id wire.JobID) GangState {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"sort"
 	"time"
 
 	"lilaclead/internal/wire"
@@ -15,80 +14,69 @@
 	return len(sim.machines)
 }
 
-// RentedSoFar counts all the machines that were ever rented.
-func (sim *Simulation) RentedSoFar() int {
+// ProvisionedSoFar counts all the machines that were ever provisioned.
+func (sim *Simulation) ProvisionedSoFar() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return sim.rentedCount
+	return sim.provisionedCount
 }
 
-// FirstMachine picks a live machine that passes the test.
-func (sim *Simulation) FirstMachine(which func(tasks int) bool) (wire.MachineID, string, bool) {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	var ids []string
+// machinesWhere returns the machines that pass the test, sorted; the caller holds the
+// lock.
+func (sim *Simulation) machinesWhere(passes func(*worker) bool) []wire.MachineID {
+	var out []wire.MachineID
 	for id, m := range sim.machines {
-		if m.up && which(len(m.tasks)) {
-			ids = append(ids, string(id))
+		if passes(m) {
+			out = append(out, id)
 		}
 	}
+	slices.Sort(out)
+	return out
+}
+
+// FirstMachine returns the name and address of the first machine that is up and whose
+// number of tasks passes the test.
+func (sim *Simulation) FirstMachine(which func(tasks int) bool) (wire.MachineID, string, bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	ids := sim.machinesWhere(func(m *worker) bool { return m.up && which(len(m.tasks)) })
 	if len(ids) == 0 {
 		return "", "", false
 	}
-	sort.Strings(ids)
-	m := sim.machines[wire.MachineID(ids[0])]
-	return m.id, m.ip, true
+	return ids[0], sim.machines[ids[0]].ip, true
 }
 
-// RunningMachines lists the machines that are up.
+// RunningMachines returns the machines that are up.
 func (sim *Simulation) RunningMachines() []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for id, m := range sim.machines {
-		if m.up {
-			out = append(out, id)
-		}
-	}
-	slices.Sort(out)
-	return out
+	return sim.machinesWhere(func(m *worker) bool { return m.up })
 }
 
-// RunningMachinesIn lists the machines that are up in a zone.
+// RunningMachinesIn returns the machines that are up in a zone.
 func (sim *Simulation) RunningMachinesIn(z wire.Zone) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for id, m := range sim.machines {
-		if m.zone == z && m.up {
-			out = append(out, id)
-		}
-	}
-	slices.Sort(out)
-	return out
+	return sim.machinesWhere(func(m *worker) bool { return m.zone == z && m.up })
 }
 
-// BusyMachines lists the machines of a zone (empty: of all) that run tasks.
+// BusyMachines returns the machines of a zone (empty: of all) that run tasks.
 func (sim *Simulation) BusyMachines(z wire.Zone) []wire.MachineID {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for _, p := range sim.checker.on {
-		if (z == "" || p.Zone == z) && !slices.Contains(out, p.Machine) {
-			out = append(out, p.Machine)
-		}
-	}
-	slices.Sort(out)
-	return out
+	return sim.machinesOfTasks(func(_ wire.Task, p Place) bool { return z == "" || p.Zone == z })
 }
 
-// MachinesRunning lists the machines that run tasks of a job.
+// MachinesRunning returns the machines that run tasks of a job.
 func (sim *Simulation) MachinesRunning(id wire.JobID) []wire.MachineID {
+	return sim.machinesOfTasks(func(t wire.Task, _ Place) bool { return t.Job == id })
+}
+
+// machinesOfTasks returns the machines of the running tasks that pass the test, sorted.
+func (sim *Simulation) machinesOfTasks(passes func(wire.Task, Place) bool) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out []wire.MachineID
 	for t, p := range sim.checker.on {
-		if t.Job == id && !slices.Contains(out, p.Machine) {
+		if passes(t, p) && !slices.Contains(out, p.Machine) {
 			out = append(out, p.Machine)
 		}
 	}
@@ -96,23 +84,21 @@
 	return out
 }
 
-// MachinesHolding lists the machines that have tasks of a job, whatever they do.
+// MachinesHolding returns the machines that have tasks of a job, whatever they do.
 func (sim *Simulation) MachinesHolding(id wire.JobID) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	var out []wire.MachineID
-	for _, m := range sim.machines {
+	return sim.machinesWhere(func(m *worker) bool {
 		for t, x := range m.tasks {
-			if t.Job == id && x.phase != wire.PhaseExited && !slices.Contains(out, m.id) {
-				out = append(out, m.id)
+			if t.Job == id && x.phase != wire.PhaseExited {
+				return true
 			}
 		}
-	}
-	slices.Sort(out)
-	return out
+		return false
+	})
 }
 
-// MachineIP of a machine.
+// MachineIP returns the address of a machine, empty if it is gone.
 func (sim *Simulation) MachineIP(id wire.MachineID) string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -122,7 +108,7 @@
 	return ""
 }
 
-// MachineZone of a machine; empty if it is gone.
+// MachineZone returns the zone of a machine, empty if it is gone.
 func (sim *Simulation) MachineZone(id wire.MachineID) wire.Zone {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -132,25 +118,25 @@
 	return ""
 }
 
-// MachineSession is a machine's session, the number of its last message and the highest
+// MachineEpoch returns a machine's agent epoch, the number of its last message and the highest
 // token it has seen; zero if it is gone.
-func (sim *Simulation) MachineSession(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
+func (sim *Simulation) MachineEpoch(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if m := sim.machines[id]; m != nil {
-		return m.session, m.sequence, m.token
+		return m.epoch, m.sequence, m.token
 	}
 	return 0, 0, 0
 }
 
-// NewestMachine tells of the newest machine that is up how long ago it was rented and how
+// NewestMachine tells of the newest machine that is up how long ago it was provisioned and how
 // long after that it was up; zero if there is none.
 func (sim *Simulation) NewestMachine() (age, boot time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, m := range sim.machines {
-		if old := time.Since(m.rented); m.up && (boot == 0 || old < age) {
-			age, boot = old, m.upAt.Sub(m.rented)
+		if old := time.Since(m.provisionedAt); m.up && (boot == 0 || old < age) {
+			age, boot = old, m.upAt.Sub(m.provisionedAt)
 		}
 	}
 	return
@@ -171,10 +157,8 @@
 		}
 		zones := sim.checker.TasksByZone(id)
 		for _, m := range sim.machines {
-			cpus, ram := m.freeRoom()
-			elsewhere := len(zones) > 1 || len(zones) == 1 && zones[m.zone] == 0
-			if m.up && m.notice.IsZero() && cpus+wire.Eps >= s.CPUs && ram+wire.Eps >= s.MemoryGB && (s.SpotAllowed || !m.spot) && (s.Zone == "" || s.Zone == m.zone) &&
-				(s.MachineTypes == nil || slices.Contains(s.MachineTypes, m.machineType)) && !(s.SameZone && elsewhere) && !(s.Spread && zones[m.zone] >= (s.Tasks+1)/2) {
+			r := m.room()
+			if m.up && m.reclaimAt.IsZero() && r.takes(s, zones) {
 				out[id] = n
 			}
 		}
@@ -182,14 +166,23 @@
 	return out
 }
 
-// freeRoom is what is free on a machine; call with the lock held.
-func (m *worker) freeRoom() (cpus, ram float64) {
-	cpus, ram = m.spec.CPUs, m.spec.MemoryGB
+// room returns the machine with its free capacity and its tasks; the caller holds the
+// lock.
+func (m *worker) room() MachineRoom {
+	r := MachineRoom{
+		Place:  Place{m.id, m.machineType, m.zone, m.spot},
+		Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
+		CPUs:   m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB,
+	}
 	for t, x := range m.tasks {
-		if x.phase != wire.PhaseExited {
-			cpus -= m.sim.scripts[t.Job].Spec.CPUs
-			ram -= m.sim.scripts[t.Job].Spec.MemoryGB
+		script := m.sim.scripts[t.Job]
+		if script == nil || x.phase == wire.PhaseExited {
+			continue
 		}
+		r.CPUs -= script.Spec.CPUs
+		r.GPUs -= script.Spec.GPUs
+		r.MemoryGB -= script.Spec.MemoryGB
+		r.Tasks = append(r.Tasks, t)
 	}
-	return cpus, ram
+	return r
 }
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -17,10 +17,10 @@
 	"lilaclead/internal/wire"
 )
 
-// StartFunc makes a node that runs until its context ends.
+// StartFunc creates a controller; the function that it returns runs it until the context ends.
 type StartFunc func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error)
 
-// JobScript is what the fakes know of a job beside its submission.
+// JobScript is a job's specification and how its tasks behave on the fake machines.
 type JobScript struct {
 	Spec        wire.JobSpec
 	RunTime     float64   // true run time of a task
@@ -28,7 +28,7 @@
 	RunTimes    []float64 // the first tasks' own run times; the others take RunTime
 }
 
-// runTimeOf is the true run time of one of the job's tasks.
+// runTimeOf returns the true run time of one of the job's tasks, in seconds.
 func (t *JobScript) runTimeOf(index int) float64 {
 	if index < len(t.RunTimes) {
 		return t.RunTimes[index]
@@ -43,40 +43,40 @@
 	State    *State
 	Settings config.Settings
 
-	mu            sync.Mutex
-	checker       *Checker
-	ctx           context.Context
-	start         StartFunc
-	rng           *rand.Rand
-	machineTypes  []wire.MachineSpec
-	capacity      map[string]int // type/zone/kind -> how many more
-	machines      map[wire.MachineID]*worker
-	rentals       map[string][]wire.MachineID
-	rentalNames   []string // of those that were filled, in that order
-	listHistory   []listSnapshot
-	rentedCount   int
-	scripts       map[wire.JobID]*JobScript
-	controllers   []*controller
-	servers       []*http.Server
-	wg            sync.WaitGroup
-	machineFaults machineFaults
-	gangs         gangTable
+	mu               sync.Mutex
+	checker          *Checker
+	ctx              context.Context
+	start            StartFunc
+	rng              *rand.Rand
+	machineTypes     []wire.MachineSpec
+	capacity         map[string]int // type/zone/kind -> how many more
+	machines         map[wire.MachineID]*worker
+	scaleOuts        map[string][]wire.MachineID
+	scaleOutNames    []string // of those that were filled, in that order
+	listHistory      []listSnapshot
+	provisionedCount int
+	scripts          map[wire.JobID]*JobScript
+	controllers      []*controller
+	servers          []*http.Server
+	wg               sync.WaitGroup
+	machineFaults    machineFaults
+	gangs            gangTable
 
-	isolatedZone       wire.Zone
-	partitionedZones   [2]wire.Zone // zones that can't reach each other; empty: none
-	cloudOutage        bool
-	loseReleaseAnswers int
-	loseRentalAnswers  int
-	late               lateRequests
-	linkDelay          time.Duration
-	unlisted           bool
-	slowSaves          bool
-	noSpot             bool
-	soldOut            map[wire.Zone]bool
-	listLag            time.Duration
-	bootFactor         float64
-	faultCount         int       // faults that last and that nothing else shows
-	lastFault          time.Time // when there last was a fault
+	isolatedZone        wire.Zone
+	partitionedZones    [2]wire.Zone // zones that can't reach each other; empty: none
+	cloudOutage         bool
+	loseScaleInAnswers  int
+	loseScaleOutAnswers int
+	lateRequests        lateRequests
+	linkDelay           time.Duration
+	unlisted            bool
+	slowSaves           bool
+	noSpot              bool
+	soldOut             map[wire.Zone]bool
+	listLag             time.Duration
+	bootFactor          float64
+	faultCount          int       // faults that last and that nothing else shows
+	lastFault           time.Time // when there last was a fault
 }
 
 // controller is a node under test, which may be down.
@@ -100,7 +100,7 @@
 			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
 			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: set.Zones},
 		},
-		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, rentals: map[string][]wire.MachineID{},
+		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, scaleOuts: map[string][]wire.MachineID{},
 		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLag.Duration(), bootFactor: 1,
 	}
 	if sim.hostNet = host; host == nil {
@@ -129,7 +129,7 @@
 	return sim
 }
 
-// controllerConfig is the configuration of the i-th controller.
+// controllerConfig returns the configuration of the i-th controller.
 func controllerConfig(set config.Settings, i int) config.Config {
 	name := func(k int) wire.NodeID { return wire.NodeID(fmt.Sprintf("worker-%d", k)) }
 	zone := func(k int) wire.Zone { return set.Zones[k%len(set.Zones)] }
@@ -143,8 +143,14 @@
 	return c
 }
 
-// sleep waits for a time or the end of the context.
+// sleep waits for a duration or until the context is done. It makes no timer that has
+// already expired: in a synctest bubble under the race detector the receiving goroutine
+// runs such a timer itself, in a detector context that all goroutines of the bubble
+// share, and two at once crash the detector (seen with go1.26).
 func sleep(ctx context.Context, d time.Duration) {
+	if d <= 0 {
+		return
+	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -174,6 +180,9 @@
 	return s
 }
 
+// Done returns a channel that is closed when the simulation's context ends.
+func (sim *Simulation) Done() <-chan struct{} { return sim.ctx.Done() }
+
 // Close ends everything.
 func (sim *Simulation) Close() {
 	for i := range sim.controllers {
@@ -198,7 +207,7 @@
 	f(sim.checker)
 }
 
-// observe feeds the checker with what there is now; call with the lock held.
+// observe feeds the checker with what there is now; the caller holds the lock.
 func (sim *Simulation) observe(now time.Time) {
 	if sim.hasFault(now) {
 		sim.lastFault = now
@@ -207,29 +216,18 @@
 	sim.checker.Tick(now)
 	rooms := make([]MachineRoom, 0, len(sim.machines))
 	for _, id := range slices.Sorted(maps.Keys(sim.machines)) {
-		m := sim.machines[id]
-		r := MachineRoom{Place: Place{m.id, m.machineType, m.zone, m.spot}, Usable: m.up && !m.faulty && m.notice.IsZero(),
-			CPUs: m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB}
-		for t, x := range m.tasks {
-			if truth := sim.scripts[t.Job]; truth != nil && x.phase != wire.PhaseExited {
-				r.CPUs -= truth.Spec.CPUs
-				r.GPUs -= truth.Spec.GPUs
-				r.MemoryGB -= truth.Spec.MemoryGB
-				r.Tasks = append(r.Tasks, t)
-			}
-		}
-		rooms = append(rooms, r)
+		rooms = append(rooms, sim.machines[id].room())
 	}
 	sim.checker.ObserveRoom(rooms, now)
 }
 
-// hasFault tells whether the simulation sees a fault; call with the lock held.
+// hasFault reports whether the simulation sees a fault; the caller holds the lock.
 func (sim *Simulation) hasFault(now time.Time) bool {
-	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseReleaseAnswers > 0 || sim.loseRentalAnswers > 0 {
+	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
 		return true
 	}
 	for _, m := range sim.machines {
-		if m.notice.After(now) {
+		if m.reclaimAt.After(now) {
 			return true
 		}
 	}
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// State is the state service: revisions, guards, grants and watches.
+// State is the key-value store: revisions, guards, grants and watches.
 type State struct {
 	mu        sync.Mutex
 	revision  wire.Revision
@@ -38,24 +38,24 @@
 
 // stateEntry is what is stored under a key.
 type stateEntry struct {
-	v      wire.Raw
-	stamp  wire.Revision
-	permit wire.GrantID
+	value    wire.Raw
+	revision wire.Revision
+	grant    wire.GrantID
 }
 
 // stateGrant is a grant: keys written under it are gone when it ends.
 type stateGrant struct {
-	life time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // stateChange is a change that watches may still ask for.
 type stateChange struct {
-	rev wire.Revision
-	c   wire.Change
+	revision wire.Revision
+	change   wire.Change
 }
 
-// NewState makes an empty service.
+// NewState returns an empty key-value store with limits of transactions and values.
 func NewState(maxOps, valueKB int) *State {
 	return &State{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
 		refused: map[string]bool{}, maxOps: maxOps, valueKB: valueKB}
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.keys[key] = &stateEntry{v: wire.Encode(v), stamp: s.revision}
+	s.keys[key] = &stateEntry{value: wire.Encode(v), revision: s.revision}
 	s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: key, Value: wire.Encode(v), Revision: s.revision}})
 	s.notify()
 	return s.revision
@@ -85,41 +85,41 @@
 	s.notify()
 }
 
-// Revision of a key, 0 if there is none, for tests.
+// Revision returns the revision of a key, 0 if there is none, for tests.
 func (s *State) Revision(key string) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
-		return e.stamp
+		return e.revision
 	}
 	return 0
 }
 
-// Changes counts those that are still kept, of keys with a prefix.
+// Changes returns how many changes of keys with a prefix are still kept.
 func (s *State) Changes(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.changes {
-		if strings.HasPrefix(c.c.Put+c.c.Delete, prefix) {
+		if strings.HasPrefix(c.change.Put+c.change.Delete, prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-// LastRevision counts every change.
+// LastRevision returns the revision of the newest change.
 func (s *State) LastRevision() wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Value of a key, nil if there is none, for tests.
+// Value returns the value of a key, nil if there is none, for tests.
 func (s *State) Value(key string) wire.Raw {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
-		return e.v
+		return e.value
 	}
 	return nil
 }
@@ -138,20 +138,20 @@
 	return out
 }
 
-// LargestValue is the size of the largest value under a prefix.
+// LargestValue returns the size of the largest value under a prefix.
 func (s *State) LargestValue(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
 	for k, e := range s.keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
-			n = max(n, jsonSize(e.v))
+			n = max(n, jsonSize(e.value))
 		}
 	}
 	return n
 }
 
-// notify wakes all open watches; call with the lock held.
+// notify wakes all open watches; the caller holds the lock.
 func (s *State) notify() {
 	close(s.wake)
 	s.wake = make(chan struct{})
@@ -164,18 +164,18 @@
 	}
 	now := time.Now()
 	for id, g := range s.grants {
-		if !now.Before(g.ends) {
+		if !now.Before(g.expiresAt) {
 			s.endGrant(id)
 		}
 	}
 }
 
-// endGrant ends a grant and removes its keys; call with the lock held.
+// endGrant ends a grant and removes its keys; the caller holds the lock.
 func (s *State) endGrant(id wire.GrantID) {
 	delete(s.grants, id)
 	var dead []string
 	for k, e := range s.keys {
-		if e.permit == id {
+		if e.grant == id {
 			dead = append(dead, k)
 		}
 	}
@@ -191,12 +191,12 @@
 	s.notify()
 }
 
-// ledger is the answer about a key that there is not: the revision of all keys.
-type ledger struct {
-	Ledger wire.Revision `cbor:"ledger"`
+// missingKey is the answer about a key that does not exist: the revision of the store.
+type missingKey struct {
+	Revision wire.Revision `cbor:"ledger"`
 }
 
-// ServeHTTP answers the requests of the state service's page.
+// ServeHTTP answers the requests of the key-value store's page.
 func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
@@ -207,7 +207,7 @@
 	s.expire()
 	refuse := s.outage || s.refused[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
-	if !refuse && !s.limits.admits(1, 0) {
+	if !refuse && !s.limits.allow(1, 0) {
 		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
 		return
 	}
@@ -242,16 +242,16 @@
 
 // read answers with one key.
 func (s *State) read(w http.ResponseWriter, key string) {
-	s.limits.read(key)
+	s.limits.delayRead(key)
 	s.mu.Lock()
 	e, rev := s.keys[key], s.revision
 	var out wire.Entry
 	if e != nil {
-		out = wire.Entry{Key: key, Value: e.v, Revision: e.stamp, Grant: e.permit}
+		out = wire.Entry{Key: key, Value: e.value, Revision: e.revision, Grant: e.grant}
 	}
 	s.mu.Unlock()
 	if e == nil {
-		wire.Answer(w, http.StatusNotFound, ledger{rev})
+		wire.Answer(w, http.StatusNotFound, missingKey{rev})
 		return
 	}
 	wire.Answer(w, http.StatusOK, out)
@@ -264,11 +264,11 @@
 		malformedRequest(w)
 		return
 	}
-	if !s.limits.admits(0, len(t.Writes)) {
+	if !s.limits.allow(0, len(t.Writes)) {
 		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many changes"})
 		return
 	}
-	s.limits.await(&t)
+	s.limits.delayTxn(&t)
 	if !s.injectFault(r, &t) {
 		s.txn(w, hostOf(r.RemoteAddr), &t)
 	}
@@ -299,7 +299,7 @@
 	switch {
 	case g == nil:
 	case renew:
-		g.ends = time.Now().Add(g.life)
+		g.expiresAt = time.Now().Add(g.ttl)
 	case r.Method == "DELETE":
 		s.endGrant(wire.GrantID(n))
 	}
@@ -318,7 +318,7 @@
 	if most <= 0 || most > 1000 {
 		most = 1000
 	}
-	most = s.limits.paged(most)
+	most = s.limits.pageSize(most)
 	s.mu.Lock()
 	var ks []string
 	for k := range s.keys {
@@ -334,10 +334,10 @@
 			break
 		}
 		e := s.keys[k]
-		page.Entries = append(page.Entries, wire.Entry{Key: k, Value: e.v, Revision: e.stamp, Grant: e.permit})
+		page.Entries = append(page.Entries, wire.Entry{Key: k, Value: e.value, Revision: e.revision, Grant: e.grant})
 	}
 	s.mu.Unlock()
-	s.limits.hold()
+	s.limits.delayList()
 	wire.Answer(w, http.StatusOK, page)
 }
 
@@ -359,12 +359,12 @@
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusOK {
-		defer s.noteUnanswered(from, t)()
+		defer s.trackUnanswered(from, t)()
 	}
 	wire.Answer(w, status, answer)
 }
 
-// execute carries a transaction out; call with the lock held.
+// execute carries a transaction out; the caller holds the lock.
 func (s *State) execute(from string, t *wire.Txn) (status int, answer any) {
 	// An expired lease is told first, whatever the conditions.
 	for _, x := range t.Writes {
@@ -375,12 +375,12 @@
 	var failed []string
 	for _, g := range t.Guards {
 		e := s.keys[g.Key]
-		if e == nil && g.Revision != 0 || e != nil && e.stamp != g.Revision {
+		if e == nil && g.Revision != 0 || e != nil && e.revision != g.Revision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if failed != nil {
-		s.limits.fails(t)
+		s.limits.recordFailed(t)
 		return http.StatusConflict, wire.TxnResult{Revision: s.revision, Failed: failed}
 	}
 	if len(t.Writes) > 0 {
@@ -394,11 +394,11 @@
 			s.keys[x.Put] = &stateEntry{append(wire.Raw(nil), x.Value...), s.revision, x.Grant}
 			s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: x.Put, Value: append(wire.Raw(nil), x.Value...), Revision: s.revision}})
 		}
-		if keep := s.limits.kept(); len(s.changes) > keep {
-			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].rev
+		if keep := s.limits.historySize(); len(s.changes) > keep {
+			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].revision
 			s.changes = append([]stateChange(nil), s.changes[len(s.changes)-keep:]...)
 		}
-		s.txnFaults.ran(from)
+		s.txnFaults.countExecuted(from)
 		s.notify()
 	}
 	return http.StatusOK, wire.TxnResult{Revision: s.revision}
@@ -409,8 +409,11 @@
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	block, _ := strconv.Atoi(q.Get("blockMs"))
-	until := time.After(time.Duration(min(block, 60_000)) * time.Millisecond)
-	timeUp := false
+	timeUp := block <= 0
+	var until <-chan time.Time // nil without blocking: see sleep on expired timers
+	if !timeUp {
+		until = time.After(time.Duration(min(block, 60_000)) * time.Millisecond)
+	}
 	for {
 		s.mu.Lock()
 		s.expire()
@@ -423,8 +426,8 @@
 		}
 		if !silent {
 			for _, c := range s.changes {
-				if c.rev > wire.Revision(after) && strings.HasPrefix(c.c.Put+c.c.Delete, q.Get("under")) {
-					res.Events = append(res.Events, c.c)
+				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.Put+c.change.Delete, q.Get("under")) {
+					res.Events = append(res.Events, c.change)
 				}
 			}
 		}
@@ -432,7 +435,7 @@
 		s.mu.Unlock()
 		slices.Reverse(res.Events) // as in the page's example, which promises no order
 		if len(res.Events) > 0 || timeUp && !silent {
-			s.limits.hold()
+			s.limits.delayList()
 			if block > 0 {
 				time.Sleep(lag)
 			}
