--- a/internal/leader/autoscaler/plan_test.go
+++ b/internal/leader/autoscaler/plan_test.go
@@ -48,7 +48,7 @@
 					t.Errorf("%s: machines requested: %v, want %v", c.name, got, c.want)
 				}
 				term.run(3 * time.Second)
-				if got := len(term.sim.RentalNames()) > 0; got != c.want {
+				if got := len(term.sim.ScaleOutNames()) > 0; got != c.want {
 					t.Errorf("%s: machines started: %v, want %v", c.name, got, c.want)
 				}
 			})
--- a/internal/leader/autoscaler/scale_out_test.go
+++ b/internal/leader/autoscaler/scale_out_test.go
@@ -18,19 +18,19 @@
 		term.load()
 		term.requestScaleOut(smallScaleOut)
 		time.Sleep(time.Second)
-		if stored, sent := term.storedScaleOuts(), term.sim.RentalNames(); len(stored) != 0 || len(sent) != 0 {
+		if stored, sent := term.storedScaleOuts(), term.sim.ScaleOutNames(); len(stored) != 0 || len(sent) != 0 {
 			t.Fatalf("requested only: recorded %v, sent %v, want neither", stored, sent)
 		}
 
 		term.recordScaleOuts(time.Now())
 		time.Sleep(time.Second) // the outcome is not handled yet
 		name := term.Tracker.PendingScaleOuts()[0].Name
-		if stored, sent := term.storedScaleOuts(), term.sim.RentalNames(); !slices.Equal(stored, []string{name}) || len(sent) != 0 {
+		if stored, sent := term.storedScaleOuts(), term.sim.ScaleOutNames(); !slices.Equal(stored, []string{name}) || len(sent) != 0 {
 			t.Fatalf("record written: recorded %v, sent %v, want only %s recorded", stored, sent, name)
 		}
 
 		term.run(3 * time.Second)
-		if sent := term.sim.RentalNames(); !slices.Equal(sent, []string{name}) {
+		if sent := term.sim.ScaleOutNames(); !slices.Equal(sent, []string{name}) {
 			t.Errorf("outcome handled: sent %v, want %s", sent, name)
 		}
 		if pending := term.Tracker.PendingScaleOuts(); len(pending) != 0 {
@@ -76,7 +76,7 @@
 		term.otherLeads()
 		term.recordScaleOuts(time.Now())
 		term.run(5 * time.Second)
-		if sent := term.sim.RentalNames(); len(sent) != 0 {
+		if sent := term.sim.ScaleOutNames(); len(sent) != 0 {
 			t.Errorf("sent %v though the record was refused", sent)
 		}
 		if pending := term.Tracker.PendingScaleOuts(); len(pending) != 0 {
@@ -131,7 +131,7 @@
 				if !c.want {
 					term.requestScaleOut(smallScaleOut)
 					term.run(3 * time.Second)
-					if sent := term.sim.RentalNames(); len(sent) != 1 {
+					if sent := term.sim.ScaleOutNames(); len(sent) != 1 {
 						t.Errorf("%+v: sent %v, want one request without a record", c.options, sent)
 					}
 				}
@@ -163,7 +163,7 @@
 					t.Fatalf("pending %+v, want the adopted request %s", pending, request.Name)
 				}
 				term.run(3 * time.Second)
-				if sent := term.sim.RentalNames(); !slices.Equal(sent, []string{request.Name}) {
+				if sent := term.sim.ScaleOutNames(); !slices.Equal(sent, []string{request.Name}) {
 					t.Errorf("executed %v, want %s once", sent, request.Name)
 				}
 				if got := len(term.state.Machines); got != request.Count {
