--- a/builder.go
+++ b/builder.go
@@ -62,12 +62,12 @@
 func (b *builder) connectServices() {
 	n := b.node
 	n.store = newStore(n.cfg, n.net)
-	n.store.Observe = b.metrics.Call("state")
-	b.metrics.Budget("state requests", func() float64 { calls, _ := n.store.Budget(); return calls })
-	b.metrics.Budget("state changes", func() float64 { _, writes := n.store.Budget(); return writes })
+	n.store.Observe = b.metrics.ObserveCalls("state")
+	b.metrics.RegisterBudget("state requests", func() float64 { calls, _ := n.store.RemainingBudget(); return calls })
+	b.metrics.RegisterBudget("state changes", func() float64 { _, writes := n.store.RemainingBudget(); return writes })
 
 	b.cloud = cloud.New(n.cfg.Endpoints.Cloud, n.cfg.Settings.Cloud, n.net)
-	b.cloud.Observe = b.metrics.Call("cloud")
+	b.cloud.Observe = b.metrics.ObserveCalls("cloud")
 
 	n.machineTypes = machineTypeLoader{catalog: b.catalog, store: n.store, cloud: b.cloud, undecodable: b.undecodable}
 }
@@ -90,7 +90,7 @@
 		Store:       n.store,
 		Log:         n.log,
 		Observe:     n.history.recordVersionEvent,
-		Undecodable: b.undecodable.Note,
+		Undecodable: b.undecodable.LogOnce,
 	})
 	if err != nil {
 		return err
@@ -106,23 +106,23 @@
 	n := b.node
 	settings := &n.cfg.Settings
 	n.leader = leader.New(leader.Dependencies{
-		Config:        n.cfg,
-		Net:           n.net,
-		Store:         n.store,
-		Cloud:         b.cloud,
-		Mesh:          n.mesh,
-		Cancels:       b.cancels,
-		Tuning:        b.tuning,
-		Catalog:       b.catalog,
-		Log:           n.log,
-		Metrics:       b.metrics.Leader(),
-		Undecodable:   b.undecodable,
-		RecordIntents: n.features.RecordIntents,
-		Observe:       n.history.recordDutyEvent,
-		Versions:      n.versions.member,
-		Sockets:       n.sockets.direct,
-		Workers:       n.sockets.workers(),
-		RequiredFDs:   func(workers int) int { return socketsNeeded(workers, settings.Limits, settings.Size) },
+		Config:              n.cfg,
+		Net:                 n.net,
+		Store:               n.store,
+		Cloud:               b.cloud,
+		Mesh:                n.mesh,
+		Cancels:             b.cancels,
+		Tuning:              b.tuning,
+		Catalog:             b.catalog,
+		Log:                 n.log,
+		Metrics:             b.metrics.LeaderMetrics(),
+		Undecodable:         b.undecodable,
+		RecordIntents:       n.features.RecordIntents,
+		Observe:             n.history.recordDutyEvent,
+		Versions:            n.versions.member,
+		MaxAgentConnections: n.sockets.direct,
+		MaxAgents:           n.sockets.workers(),
+		RequiredFDs:         func(workers int) int { return socketsNeeded(workers, settings.Limits, settings.Size) },
 	})
 }
 
@@ -130,7 +130,7 @@
 func (b *builder) addIntake() {
 	n := b.node
 	n.intake = intake.New(&n.cfg.Settings, n.store, b.cancels, b.catalog.Get, n.log)
-	n.intake.Observe = b.metrics.Request
+	n.intake.Observe = b.metrics.ObserveRequest
 	n.intake.Undecodable = b.undecodable
 }
 
--- a/cmd/lilaclead/main_test.go
+++ b/cmd/lilaclead/main_test.go
@@ -131,7 +131,7 @@
 			answer = put
 			checkChange(t, r)
 		}
-		wire.Answer(w, status, answer)
+		wire.WriteResponse(w, status, answer)
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
@@ -161,9 +161,9 @@
 func TestOperatorsClientPrintsAnswers(t *testing.T) {
 	listing := admin.Listing{Version: listedVersion, Settings: []admin.Setting{{Name: "log.level", Value: "info", Default: "info", Allowed: "info, debug", About: "the log's level"}}}
 	settings := serveAdmin(t, http.StatusOK, listing, map[string]any{"version": 5})
-	upgrading := serveAdmin(t, http.StatusOK, upgrade.Status{Active: 1, Next: 2, Ceiling: 1, Held: true, Controllers: []upgrade.ControllerStatus{
+	upgrading := serveAdmin(t, http.StatusOK, upgrade.Status{Active: 1, Next: 2, MaxVersion: 1, LimitedByOperators: true, Controllers: []upgrade.ControllerStatus{
 		{Node: "worker-0", Min: 1, Max: 2},
-		{Node: "worker-1", Min: 1, Max: 1, Missing: "too old"},
+		{Node: "worker-1", Min: 1, Max: 1, Blocker: "too old"},
 	}}, nil)
 	for name, c := range map[string]struct {
 		args []string
--- a/cmd/lilaclead/versions.go
+++ b/cmd/lilaclead/versions.go
@@ -19,12 +19,12 @@
 		return err
 	}
 	fmt.Fprintf(out.results, "active %d, next %d", status.Active, status.Next)
-	if status.Held {
-		fmt.Fprintf(out.results, ", held back at %d by upgrade.max_version", status.Ceiling)
+	if status.LimitedByOperators {
+		fmt.Fprintf(out.results, ", held back at %d by upgrade.max_version", status.MaxVersion)
 	}
 	fmt.Fprintln(out.results)
 	for _, controller := range status.Controllers {
-		missing := string(controller.Missing)
+		missing := string(controller.Blocker)
 		if missing == "" {
 			missing = "ready"
 		}
--- a/config.go
+++ b/config.go
@@ -33,5 +33,5 @@
 // newStore returns a client of the state service on a network.
 func newStore(cfg *Config, network netio.Net) *store.Client {
 	settings := &cfg.Settings
-	return store.New(cfg.Endpoints.State, settings.State.Least(), settings.Size, network)
+	return store.New(cfg.Endpoints.State, settings.State.Strictest(), settings.Size, network)
 }
--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -66,8 +66,8 @@
 	return h.node
 }
 
-// Observed records that the store named the node as the holder at the given time.
-func (c *Candidate) Observed(node NodeID, at time.Time) {
+// RecordHolder records that the store named the node as the holder at the given time.
+func (c *Candidate) RecordHolder(node NodeID, at time.Time) {
 	c.holder.Store(&observedHolder{node, at})
 }
 
@@ -131,7 +131,7 @@
 		c.notifyUndecodable(c.Key, err)
 		return false
 	}
-	c.Observed(record.Node, c.Clock.Now())
+	c.RecordHolder(record.Node, c.Clock.Now())
 	if record.Node != c.Node || record.Nonce == c.nonce {
 		return false
 	}
@@ -150,8 +150,8 @@
 	return err == nil
 }
 
-// Record returns the value of the lease's key as this process writes it.
-func (c *Candidate) Record() store.LeaderRecord {
+// LeaseRecord returns the value of the lease's key as this process writes it.
+func (c *Candidate) LeaseRecord() store.LeaderRecord {
 	return store.LeaderRecord{Node: c.Node, Nonce: c.nonce}
 }
 
@@ -175,10 +175,10 @@
 		return nil
 	}
 	lease := NewLease(c, Tenure{
-		Grant:     grant,
-		Token:     FencingToken(revision),
-		TakenAt:   c.Clock.Now(),
-		HeldUntil: requestedAt.Add(c.Timing.SafeTTL()),
+		Grant:      grant,
+		Token:      FencingToken(revision),
+		AcquiredAt: c.Clock.Now(),
+		ValidUntil: requestedAt.Add(c.Timing.SafeTTL()),
 	})
 	lease.emit(Acquired, "", "")
 	return lease
@@ -189,7 +189,7 @@
 func (c *Candidate) createLeaseKey(ctx context.Context, grant GrantID) (Revision, error) {
 	revision, err := c.Store.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: 0}},
-		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.Record()), Grant: grant}},
+		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: grant}},
 	})
 	if !errors.Is(err, ErrOutcomeUnknown) {
 		return revision, err
--- a/duty/candidate_test.go
+++ b/duty/candidate_test.go
@@ -16,7 +16,7 @@
 		sim := newSimulation(t)
 		first := acquire(t, sim.candidate(0))
 		second := acquire(t, sim.candidate(0))
-		if got := second.TakenAt().Sub(first.TakenAt()); got > leaseTiming.TTL/2 {
+		if got := second.AcquiredAt().Sub(first.AcquiredAt()); got > leaseTiming.TTL/2 {
 			t.Errorf("acquired after %v, want less than %v", got, leaseTiming.TTL/2)
 		}
 		if second.Token() <= first.Token() {
@@ -48,7 +48,7 @@
 		const backOff = time.Minute
 		resignedAt := time.Now()
 		acquire(t, candidate).Resign(t.Context(), resignedAt.Add(backOff))
-		if got := acquire(t, candidate).TakenAt().Sub(resignedAt); got < backOff {
+		if got := acquire(t, candidate).AcquiredAt().Sub(resignedAt); got < backOff {
 			t.Errorf("acquired again after %v, want %v at least", got, backOff)
 		}
 	})
@@ -71,7 +71,7 @@
 		{"this node", "self", 0, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			candidate.Observed(c.holder, observedAt)
+			candidate.RecordHolder(c.holder, observedAt)
 			if got := candidate.Holder(observedAt.Add(c.age), time.Second); got != c.want {
 				t.Errorf("%s read %v ago: got %q, want %q", c.holder, c.age, got, c.want)
 			}
--- a/duty/example_test.go
+++ b/duty/example_test.go
@@ -25,8 +25,8 @@
 
 // openStore serves a simulated store on the loopback interface and returns a client of it.
 func openStore() (client *store.Client, closeStore func()) {
-	server := httptest.NewServer(simulator.NewState(12, 16))
-	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+	server := httptest.NewServer(simulator.NewKVStore(12, 16))
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	addr := strings.TrimPrefix(server.URL, "http://")
 	return store.New(addr, limits, 1, netio.Real()), server.Close
 }
@@ -63,7 +63,7 @@
 	// Once the lease can't be renewed any more the process campaigns again.
 	var renewal sync.WaitGroup
 	renewal.Go(func() {
-		if err := lease.Keep(ctx, func(time.Time) {}); errors.Is(err, duty.ErrGrantExpired) {
+		if err := lease.KeepAlive(ctx, func(time.Time) {}); errors.Is(err, duty.ErrGrantExpired) {
 			cancel()
 		}
 	})
@@ -113,7 +113,7 @@
 	lease := newExampleCandidate(client).Campaign(ctx)
 
 	const maxRecordBytes = 16 << 10
-	intents := duty.OpenIntents[backup, string](lease, maxRecordBytes)
+	intents := duty.NewIntents[backup, string](lease, maxRecordBytes)
 	earlier, err := intents.Load(ctx)
 	if err != nil {
 		return // retry, unless it is duty.ErrUndecodable
@@ -125,13 +125,13 @@
 	if err := intents.Record(ctx, []string{"snapshot-17"}); err != nil {
 		return // nothing may be sent
 	}
-	fmt.Println("send", intents.Open())
+	fmt.Println("send", intents.Pending())
 
 	// Once the receiver has answered, nothing is open any more.
 	if err := intents.Record(ctx, nil); err != nil {
 		return
 	}
-	fmt.Println("open:", len(intents.Open()))
+	fmt.Println("open:", len(intents.Pending()))
 
 	// Output:
 	// send [snapshot-17]
--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -56,7 +56,7 @@
 func newHolder(node, addr string, fenced bool, mode freezeMode) *holder {
 	h := &holder{receiversAddr: addr, fenced: fenced, gate: newGate(mode)}
 	h.http = &http.Client{Transport: h.gate}
-	limits := config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: recordLimit >> 10, TxnOps: 12}
+	limits := config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: recordLimit >> 10, TxnOps: 12}
 	h.store = gatedStore{store.New(addr, limits, 1, netio.Real()), h.gate}
 	h.candidate = duty.NewCandidate(duty.Options{Key: leaseKey, Node: duty.NodeID(node), Store: h.store, Timing: shortLease})
 	return h
@@ -79,7 +79,7 @@
 	var renewal sync.WaitGroup
 	renewal.Go(func() {
 		defer cancel()
-		lease.Keep(ctx, func(time.Time) {}) //nolint:errcheck // either way the term ends
+		lease.KeepAlive(ctx, func(time.Time) {}) //nolint:errcheck // either way the term ends
 	})
 	h.act(ctx, lease)
 	cancel()
@@ -92,8 +92,8 @@
 // act takes over from an earlier holder and then acts until the lease is lost.
 func (h *holder) act(ctx context.Context, lease *duty.Lease) {
 	h.lease = lease
-	h.scaleOuts = duty.OpenIntents[duty.ScaleOut, autoscaler.ScaleOutIntent](lease, recordLimit)
-	h.scaleIns = duty.OpenIntents[duty.ScaleIn, wire.MachineID](lease, recordLimit)
+	h.scaleOuts = duty.NewIntents[duty.ScaleOut, autoscaler.ScaleOutIntent](lease, recordLimit)
+	h.scaleIns = duty.NewIntents[duty.ScaleIn, wire.MachineID](lease, recordLimit)
 	h.machines, h.requests = nil, 0
 	if h.recover(ctx) != nil {
 		return
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -41,9 +41,9 @@
 	recorded []T // as last read or written
 }
 
-// OpenIntents returns the intents of a duty for the holder of a lease. The limit is the
+// NewIntents returns the intents of a duty for the holder of a lease. The limit is the
 // largest size of a value in the store, in bytes.
-func OpenIntents[D Duty, T any](l *Lease, limit int) *Intents[D, T] {
+func NewIntents[D Duty, T any](l *Lease, limit int) *Intents[D, T] {
 	return &Intents[D, T]{lease: l, sizeLimit: limit}
 }
 
@@ -72,8 +72,8 @@
 // Loaded reports whether Load has succeeded.
 func (i *Intents[D, T]) Loaded() bool { return i.loaded }
 
-// Open returns the open intents as last read or written.
-func (i *Intents[D, T]) Open() []T { return i.recorded }
+// Pending returns the open intents as last read or written.
+func (i *Intents[D, T]) Pending() []T { return i.recorded }
 
 // Fits reports whether the intents fit in one record.
 func (i *Intents[D, T]) Fits(open []T) bool {
--- a/duty/intents_test.go
+++ b/duty/intents_test.go
@@ -18,7 +18,7 @@
 
 // scaleInIntents returns the intents of a lease for a duty whose requests are names.
 func scaleInIntents(l *duty.Lease) *duty.Intents[duty.ScaleIn, string] {
-	return duty.OpenIntents[duty.ScaleIn, string](l, intentSizeLimit)
+	return duty.NewIntents[duty.ScaleIn, string](l, intentSizeLimit)
 }
 
 // load reads what is recorded.
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -19,10 +19,10 @@
 
 // Tenure describes how a lease was acquired.
 type Tenure struct {
-	Grant     GrantID
-	Token     FencingToken // the revision of the lease's key
-	TakenAt   time.Time    // when the lease was acquired
-	HeldUntil time.Time    // until when it is certainly held unless it is renewed
+	Grant      GrantID
+	Token      FencingToken // the revision of the lease's key
+	AcquiredAt time.Time    // when the lease was acquired
+	ValidUntil time.Time    // until when it is certainly held unless it is renewed
 }
 
 // Lease is a lease as its holder knows it. Any goroutine may ask whether it is still held.
@@ -40,7 +40,7 @@
 func NewLease(c *Candidate, tenure Tenure) *Lease {
 	l := &Lease{candidate: c, tenure: tenure}
 	l.token.Store(uint64(tenure.Token))
-	l.validFor.Store(int64(tenure.HeldUntil.Sub(tenure.TakenAt)))
+	l.validFor.Store(int64(tenure.ValidUntil.Sub(tenure.AcquiredAt)))
 	return l
 }
 
@@ -73,24 +73,24 @@
 // Token returns the current token; it only grows.
 func (l *Lease) Token() FencingToken { return FencingToken(l.token.Load()) }
 
-// TakenAt returns when the lease was acquired.
-func (l *Lease) TakenAt() time.Time { return l.tenure.TakenAt }
+// AcquiredAt returns when the lease was acquired.
+func (l *Lease) AcquiredAt() time.Time { return l.tenure.AcquiredAt }
 
-// HeldFor returns until when the lease is certainly held, as a duration since it was
+// ValidFor returns until when the lease is certainly held, as a duration since it was
 // acquired.
-func (l *Lease) HeldFor() time.Duration { return time.Duration(l.validFor.Load()) }
+func (l *Lease) ValidFor() time.Duration { return time.Duration(l.validFor.Load()) }
 
 // Held reports whether this process certainly holds the lease: no other can have acquired
 // it yet.
-func (l *Lease) Held() bool { return l.age() < l.HeldFor() }
+func (l *Lease) Held() bool { return l.age() < l.ValidFor() }
 
 // age returns how long ago the lease was acquired.
-func (l *Lease) age() time.Duration { return l.clock().Now().Sub(l.tenure.TakenAt) }
+func (l *Lease) age() time.Duration { return l.clock().Now().Sub(l.tenure.AcquiredAt) }
 
 // extend prolongs the lease by a renewal that was sent at the given time. It never
 // shortens it, and a resigned lease stays resigned.
 func (l *Lease) extend(sentAt time.Time) {
-	extended := int64(sentAt.Add(l.candidate.Timing.SafeTTL()).Sub(l.tenure.TakenAt))
+	extended := int64(sentAt.Add(l.candidate.Timing.SafeTTL()).Sub(l.tenure.AcquiredAt))
 	for {
 		current := l.validFor.Load()
 		if current == resigned || current >= extended {
@@ -114,7 +114,7 @@
 // context has ended.
 func (l *Lease) cancelAtExpiry(ctx context.Context, cancel context.CancelCauseFunc) {
 	for {
-		remaining := l.HeldFor() - l.age()
+		remaining := l.ValidFor() - l.age()
 		if remaining <= 0 {
 			cancel(ErrNotHeld)
 			return
@@ -127,10 +127,10 @@
 	}
 }
 
-// Keep renews the lease until the context ends, which returns nil, or until the store has
+// KeepAlive renews the lease until the context ends, which returns nil, or until the store has
 // ended the grant, which returns an error that is ErrGrantExpired. After each successful
 // renewal that is counted, renewed receives the time at which its request was sent.
-func (l *Lease) Keep(ctx context.Context, renewed func(sentAt time.Time)) error {
+func (l *Lease) KeepAlive(ctx context.Context, renewed func(sentAt time.Time)) error {
 	timing := l.candidate.Timing
 	wait := timing.RenewEvery
 	for {
@@ -184,7 +184,7 @@
 	c := l.candidate
 	revision, err := c.Store.Commit(ctx, store.Critical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: Revision(old)}},
-		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.Record()), Grant: l.tenure.Grant}},
+		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: l.tenure.Grant}},
 	})
 	if err == nil {
 		return FencingToken(revision), nil
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -144,7 +144,7 @@
 		sim := newSimulation(t)
 		lease := acquire(t, sim.candidate(0))
 		time.Sleep(2 * leaseTiming.TTL)
-		err := lease.Keep(t.Context(), func(time.Time) { t.Error("renewed a grant that has expired") })
+		err := lease.KeepAlive(t.Context(), func(time.Time) { t.Error("renewed a grant that has expired") })
 		var failure *duty.LeaseError
 		if !errors.As(err, &failure) || !errors.Is(err, duty.ErrGrantExpired) {
 			t.Fatalf("got %v, want a LeaseError that is %v", err, duty.ErrGrantExpired)
--- a/duty/permit_test.go
+++ b/duty/permit_test.go
@@ -50,7 +50,7 @@
 
 		first.Resign(t.Context(), time.Now().Add(time.Minute))
 		second := acquire(t, sim.candidate(1))
-		if got := second.TakenAt().Sub(first.TakenAt()); got > time.Second || second.Token() <= first.Token() {
+		if got := second.AcquiredAt().Sub(first.AcquiredAt()); got > time.Second || second.Token() <= first.Token() {
 			t.Errorf("after resigning: got token %d after %d, acquired %v later, want a higher one within 1 s", second.Token(), first.Token(), got)
 		}
 		if _, err := permit.Commit(t.Context(), store.Critical, putFact); !errors.Is(err, duty.ErrNotHeld) {
--- a/duty/receivers_test.go
+++ b/duty/receivers_test.go
@@ -53,7 +53,7 @@
 // receivers are the fakes that a holder acts upon: the store, a cloud that checks no
 // tokens, and a worker that does. One lock orders all that they do.
 type receivers struct {
-	store *simulator.State
+	store *simulator.KVStore
 	// workerChecksTokens is false in the control, where nothing is fenced.
 	workerChecksTokens bool
 
@@ -80,7 +80,7 @@
 
 func newReceivers(workerChecksTokens bool) *receivers {
 	return &receivers{
-		store:              simulator.NewState(12, recordLimit>>10),
+		store:              simulator.NewKVStore(12, recordLimit>>10),
 		workerChecksTokens: workerChecksTokens,
 		scaledOut:          map[string][]string{},
 		machines:           map[string]bool{},
--- a/duty/simulation_test.go
+++ b/duty/simulation_test.go
@@ -16,7 +16,7 @@
 // use it have reported.
 type simulation struct {
 	network *simulator.Network
-	store   *simulator.State
+	store   *simulator.KVStore
 
 	mu              sync.Mutex // processes report from goroutines of their own
 	events          []duty.Event
@@ -27,8 +27,8 @@
 // bubble of synctest.Test.
 func newSimulation(t *testing.T) *simulation {
 	t.Helper()
-	s := &simulation{network: simulator.NewNetwork(time.Millisecond), store: simulator.NewState(12, 16)}
-	stop, err := s.network.ServeState(s.store)
+	s := &simulation{network: simulator.NewNetwork(time.Millisecond), store: simulator.NewKVStore(12, 16)}
+	stop, err := s.network.ServeKVStore(s.store)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,11 +47,11 @@
 
 // options returns those of a candidate on the host of that number.
 func (s *simulation) options(host int) duty.Options {
-	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	return duty.Options{
 		Key:         store.LeaderKey,
 		Node:        nodeOn(host),
-		Store:       store.New(simulator.StateAddr, limits, 3, s.network.Host(simulator.NodeIP(host))),
+		Store:       store.New(simulator.KVStoreAddr, limits, 3, s.network.Host(simulator.NodeIP(host))),
 		Timing:      leaseTiming,
 		Observe:     s.recordEvent,
 		Undecodable: s.recordUndecodable,
@@ -103,7 +103,7 @@
 // renewInBackground renews a lease until the test ends or the lease is lost.
 func renewInBackground(t *testing.T, l *duty.Lease) {
 	t.Helper()
-	go l.Keep(t.Context(), func(time.Time) {}) //nolint:errcheck // the test asks the lease itself
+	go l.KeepAlive(t.Context(), func(time.Time) {}) //nolint:errcheck // the test asks the lease itself
 }
 
 // skewedClock runs at another rate than the store's.
--- a/example_test.go
+++ b/example_test.go
@@ -23,7 +23,7 @@
 		Zone:      settings.Zones[0],
 		UserAddr:  "10.0.0.1:8080",
 		PeerAddr:  "10.0.0.1:8081",
-		Endpoints: config.Endpoints{Cloud: simulator.CloudAddr, State: simulator.StateAddr},
+		Endpoints: config.Endpoints{Cloud: simulator.CloudAddr, State: simulator.KVStoreAddr},
 		Settings:  settings,
 	}
 }
--- a/history.go
+++ b/history.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return decisionHistory{}, fmt.Errorf("history: %w", err)
 	}
-	metrics.History(recorder.Counts)
+	metrics.RegisterHistory(recorder.Counts)
 	return decisionHistory{recorder}, nil
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -65,11 +65,11 @@
 func respondError(w http.ResponseWriter, err error) {
 	var rejected *requestError
 	if !errors.As(err, &rejected) {
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, "state service not available", retryAfterSeconds)
+		wire.WriteRetryableError(w, http.StatusServiceUnavailable, "state service not available", retryAfterSeconds)
 		return
 	}
 	if rejected.status == http.StatusRequestEntityTooLarge {
 		w.Header().Set("Connection", "close") // the body was not read to its end
 	}
-	wire.Answer(w, rejected.status, rejected.body)
+	wire.WriteResponse(w, rejected.status, rejected.body)
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -37,7 +37,7 @@
 	current *tuning.Current
 	client  *store.Client
 	mesh    *peer.Mesh
-	store   *simulator.State
+	store   *simulator.KVStore
 	handler http.Handler
 	log     *bytes.Buffer
 }
@@ -47,8 +47,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
-		n := &node{store: simulator.NewState(12, 16), log: &bytes.Buffer{}}
-		stop, err := network.ServeState(n.store)
+		n := &node{store: simulator.NewKVStore(12, 16), log: &bytes.Buffer{}}
+		stop, err := network.ServeKVStore(n.store)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,17 +64,17 @@
 	cfg := &config.Config{HostName: "node-1", Settings: config.Settings{
 		Size:    1,
 		Workers: config.Workers{HeartbeatInterval: 3, Lease: 45, CancelTimeout: 70},
-		State:   config.State{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16},
+		State:   config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16},
 	}}
 	log := slog.New(slog.NewTextHandler(n.log, nil))
 	undecodableLog := undecodable.New(log)
 	cancelled := cancels.New(nil, time.Minute)
-	n.client = store.New(simulator.StateAddr, cfg.Settings.State, cfg.Settings.Size, net)
+	n.client = store.New(simulator.KVStoreAddr, cfg.Settings.State, cfg.Settings.Size, net)
 	n.mesh = peer.New(cfg.HostName, nil, func() peer.Status { return peer.Status{} }, cancelled, net, log)
 	n.metrics, n.current = admin.NewMetrics(), tuning.NewCurrent()
 	dependencies := leader.Dependencies{
 		Config: cfg, Net: net, Store: n.client, Mesh: n.mesh, Cancels: cancelled, Tuning: n.current,
-		Catalog: &cluster.MachineCatalog{}, Log: log, Metrics: n.metrics.Leader(), Undecodable: undecodableLog,
+		Catalog: &cluster.MachineCatalog{}, Log: log, Metrics: n.metrics.LeaderMetrics(), Undecodable: undecodableLog,
 	}
 	if negotiatesVersions {
 		member, err := upgrade.NewMember(upgrade.Options{Node: cfg.HostName, Supports: leader.SupportedVersions, Store: n.client})
@@ -269,7 +269,7 @@
 	runNode(t, false, func(t *testing.T, n *node) {
 		version := n.store.Put(store.SettingsKey, map[string]any{"round.period_s": 99.0, "gangs.spare": 3.0, "gangs.of_tomorrow": "yes"})
 		listing := n.list(t)
-		for name, want := range map[string]any{"round.period_s": tuning.Default().RoundS, "gangs.spare": 3.0} {
+		for name, want := range map[string]any{"round.period_s": tuning.Default().CycleIntervalSeconds, "gangs.spare": 3.0} {
 			if got := valueOf(t, listing, name); got != want {
 				t.Errorf("%s: got %v, want %v", name, got, want)
 			}
@@ -289,7 +289,7 @@
 	runNode(t, false, func(t *testing.T, n *node) {
 		version := n.store.Put(store.SettingsKey, "not a map")
 		listing := n.list(t)
-		if listing.Version != version || valueOf(t, listing, "round.period_s") != tuning.Default().RoundS {
+		if listing.Version != version || valueOf(t, listing, "round.period_s") != tuning.Default().CycleIntervalSeconds {
 			t.Errorf("listing: got %+v, want the defaults with version %d", listing, version)
 		}
 		if got := n.log.String(); !strings.Contains(got, "undecodable") || !strings.Contains(got, store.SettingsKey) {
@@ -309,12 +309,12 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			n.admin.Follow(ctx, func(values tuning.Values) { applied = append(applied, values) })
+			n.admin.FollowSettings(ctx, func(values tuning.Values) { applied = append(applied, values) })
 		}()
 		time.Sleep(time.Minute)
 		n.store.Put(store.SettingsKey, map[string]any{"round.period_s": 2.5, "gangs.spare": -1.0})
 		time.Sleep(6 * time.Second)
-		if got := n.current.Get(); got.RoundS != 2.5 || got.SpareGangs != tuning.Default().SpareGangs {
+		if got := n.current.Get(); got.CycleIntervalSeconds != 2.5 || got.SpareGangs != tuning.Default().SpareGangs {
 			t.Errorf("current values: got %+v, want round.period_s 2.5 and the default of gangs.spare", got)
 		}
 		n.store.Outage(true)
@@ -339,7 +339,7 @@
 		synctest.Wait()
 		var got admin.View
 		decode(t, n.send("GET", "/admin/view", nil), http.StatusOK, &got)
-		if want := (admin.View{Node: "node-1", Token: 7, Serves: true}); got != want {
+		if want := (admin.View{Node: "node-1", Token: 7, StoreReachable: true}); got != want {
 			t.Errorf("view: got %+v, want %+v", got, want)
 		}
 		n.store.Outage(true)
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -81,9 +81,9 @@
 	return f.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, labels)
 }
 
-// History registers metrics of what became of the events of the history, as counted
+// RegisterHistory registers metrics of what became of the events of the history, as counted
 // by the given function.
-func (m *Metrics) History(counts func() history.Counts) {
+func (m *Metrics) RegisterHistory(counts func() history.Counts) {
 	register := func(outcome string, count func() uint64) {
 		opts := prometheus.CounterOpts{
 			Name:        "lilaclead_history_events_total",
@@ -97,9 +97,9 @@
 	register("failed", func() uint64 { return counts().Failed })
 }
 
-// Budget registers a metric of what is left of a request budget, as returned by the
+// RegisterBudget registers a metric of what is left of a request budget, as returned by the
 // given function.
-func (m *Metrics) Budget(name string, left func() float64) {
+func (m *Metrics) RegisterBudget(name string, left func() float64) {
 	opts := prometheus.GaugeOpts{
 		Name:        "lilaclead_budget_left",
 		Help:        "Requests left in a budget now; below 0: ahead of it.",
@@ -111,29 +111,29 @@
 // maxOutcomeBytes bounds the label of an outcome, which may hold the text of an error.
 const maxOutcomeBytes = 40
 
-// Call returns a function that observes the calls to an external service.
-func (m *Metrics) Call(service string) func(op, outcome string, took time.Duration) {
+// ObserveCalls returns a function that observes the calls to an external service.
+func (m *Metrics) ObserveCalls(service string) func(op, outcome string, took time.Duration) {
 	return func(op, outcome string, took time.Duration) {
 		outcome = outcome[:min(len(outcome), maxOutcomeBytes)]
 		m.calls.WithLabelValues(service, op, outcome).Observe(took.Seconds())
 	}
 }
 
-// Request observes a user's request.
-func (m *Metrics) Request(op intake.Operation, status int, took time.Duration) {
+// ObserveRequest observes a user's request.
+func (m *Metrics) ObserveRequest(op intake.Operation, status int, took time.Duration) {
 	m.requests.WithLabelValues(string(op), strconv.Itoa(status)).Observe(took.Seconds())
 }
 
-// Leader returns the functions by which a leader updates the metrics.
-func (m *Metrics) Leader() core.Metrics {
+// LeaderMetrics returns the functions by which a leader updates the metrics.
+func (m *Metrics) LeaderMetrics() core.Metrics {
 	return core.Metrics{
 		SchedulingCycle: m.observeSchedulingCycle,
 		BecameLeader:    m.terms.Inc,
 		Heartbeat:       func(outcome string) { m.heartbeats.WithLabelValues(outcome).Inc() },
 		StartDelay:      func(class string, seconds float64) { m.startDelays.WithLabelValues(class).Observe(seconds) },
 		Command:         func(outcome string) { m.commands.WithLabelValues(outcome).Inc() },
-		TaskMoved:       func(reason string) { m.interruptions.WithLabelValues(reason).Inc() },
-		Fleet:           func(change string, machines int) { m.fleetChanges.WithLabelValues(change).Add(float64(machines)) },
+		TaskInterrupted: func(reason string) { m.interruptions.WithLabelValues(reason).Inc() },
+		FleetChange:     func(change string, machines int) { m.fleetChanges.WithLabelValues(change).Add(float64(machines)) },
 		Machines:        m.setMachines,
 	}
 }
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -56,7 +56,7 @@
 	}
 	values := map[string]any{}
 	if err := wire.Decode(entry.Value, &values); err != nil {
-		a.Undecodable.Note(store.SettingsKey, err)
+		a.Undecodable.LogOnce(store.SettingsKey, err)
 	}
 	return storedSettings{values: values, version: entry.Revision}, nil
 }
@@ -64,7 +64,7 @@
 // effectiveValues returns the values that hold under the stored settings: the defaults
 // in place of those that are not stored or not valid.
 func (a *Admin) effectiveValues(stored storedSettings) tuning.Values {
-	values, err := tuning.Apply(tuning.Default(), stored.values, false)
+	values, err := tuning.Override(tuning.Default(), stored.values, false)
 	if err != nil {
 		a.log.Error("invalid settings ignored", "version", stored.version, "err", err)
 	}
@@ -89,7 +89,7 @@
 			About:   field.About,
 		})
 	}
-	wire.Answer(w, http.StatusOK, listing)
+	wire.WriteResponse(w, http.StatusOK, listing)
 }
 
 // putSettings carries out a Change and responds with the new version.
@@ -99,7 +99,7 @@
 		respondError(w, err)
 		return
 	}
-	wire.Answer(w, http.StatusOK, struct {
+	wire.WriteResponse(w, http.StatusOK, struct {
 		Version wire.Revision `cbor:"version"`
 	}{version})
 }
@@ -152,7 +152,7 @@
 // checkValues checks the names and the values of a change. Of several errors, it
 // returns the first by name.
 func checkValues(set map[string]any) error {
-	_, err := tuning.Apply(tuning.Default(), set, true)
+	_, err := tuning.Override(tuning.Default(), set, true)
 	if err == nil {
 		return nil
 	}
@@ -179,9 +179,9 @@
 // longest time until a change is applied on every node.
 const followInterval = 5 * time.Second
 
-// Follow applies the settings that operators have stored, now and after every change,
+// FollowSettings applies the settings that operators have stored, now and after every change,
 // until the context ends. It calls changed with the values that it has applied.
-func (a *Admin) Follow(ctx context.Context, changed func(tuning.Values)) {
+func (a *Admin) FollowSettings(ctx context.Context, changed func(tuning.Values)) {
 	var applied wire.Revision
 	for {
 		stored, err := a.readSettings(ctx)
--- a/internal/admin/view.go
+++ b/internal/admin/view.go
@@ -17,8 +17,8 @@
 	Token  wire.FencingToken `cbor:"token"`
 	Leader wire.NodeID       `cbor:"leader"`
 	Leads  bool              `cbor:"leads"`
-	// Serves reports whether the node can reach the key-value store.
-	Serves bool `cbor:"serves"`
+	// StoreReachable reports whether the node can reach the key-value store.
+	StoreReachable bool `cbor:"serves"`
 	// Term is the cluster as the leader knows it; nil unless the node leads.
 	Term *leader.View `cbor:"term,omitempty"`
 }
@@ -27,17 +27,17 @@
 func (a *Admin) viewNode(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	known := a.mesh.View()
 	view := View{
-		Node:   a.cfg.HostName,
-		Token:  known.Token,
-		Leader: known.Leader,
-		Leads:  a.leader.Leads(),
-		Serves: a.store.Reachable(),
+		Node:           a.cfg.HostName,
+		Token:          known.Token,
+		Leader:         known.Leader,
+		Leads:          a.leader.Leads(),
+		StoreReachable: a.store.Reachable(),
 	}
 	if view.Leads {
 		view.Leader = a.cfg.HostName
 		view.Term = a.leader.View(r.Context())
 	}
-	wire.Answer(w, http.StatusOK, view)
+	wire.WriteResponse(w, http.StatusOK, view)
 }
 
 // viewVersions responds with the progress of an upgrade.
@@ -45,10 +45,10 @@
 	status, err := a.leader.UpgradeStatus(r.Context())
 	switch {
 	case err != nil:
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, err.Error(), retryAfterSeconds)
+		wire.WriteRetryableError(w, http.StatusServiceUnavailable, err.Error(), retryAfterSeconds)
 	case status == nil:
-		wire.Answer(w, http.StatusNotFound, wire.ErrorBody{Error: "versions are not negotiated (upgrades.negotiate is off)"})
+		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorBody{Error: "versions are not negotiated (upgrades.negotiate is off)"})
 	default:
-		wire.Answer(w, http.StatusOK, status)
+		wire.WriteResponse(w, http.StatusOK, status)
 	}
 }
--- a/internal/cancels/cancels_test.go
+++ b/internal/cancels/cancels_test.go
@@ -127,7 +127,7 @@
 // receive lets the peer receive all answers of the node.
 func (m *model) receive(node, peer int) {
 	for _, a := range m.pending[node][peer] {
-		m.logs[peer].Apply(m.names[node], a.sent, &a.update)
+		m.logs[peer].MergeUpdate(m.names[node], a.sent, &a.update)
 	}
 	m.pending[node][peer] = nil
 }
@@ -171,7 +171,7 @@
 		update := func(from wire.NodeID, l *Log, cursor *uint64) {
 			var received Update
 			received, *cursor = l.UpdateSince(*cursor)
-			a.Apply(from, time.Now(), &received)
+			a.MergeUpdate(from, time.Now(), &received)
 		}
 		for range 30 {
 			time.Sleep(time.Second)
--- a/internal/cancels/update.go
+++ b/internal/cancels/update.go
@@ -87,8 +87,8 @@
 	return max(minSpan, age)
 }
 
-// Apply adds another node's update, which came in an answer to what was sent then.
-func (l *Log) Apply(from wire.NodeID, sent time.Time, update *Update) {
+// MergeUpdate adds another node's update, which came in an answer to what was sent then.
+func (l *Log) MergeUpdate(from wire.NodeID, sent time.Time, update *Update) {
 	if update.isEmpty() {
 		return
 	}
--- a/internal/cloud/call.go
+++ b/internal/cloud/call.go
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.budget.Wait(ctx); err != nil {
-		return call.failed(ErrBusy, 0, err)
+		return call.failed(ErrUnavailable, 0, err)
 	}
 	if err := call.permitted(); err != nil {
 		return err
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -48,7 +48,7 @@
 )
 
 // New returns a client of the cloud at the address.
-func New(addr string, limits config.Cloud, network netio.Net) *Client {
+func New(addr string, limits config.CloudLimits, network netio.Net) *Client {
 	return &Client{
 		base:    "http://" + addr,
 		http:    &http.Client{Transport: network.Transport(maxConnections, maxConnections)},
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeCloud{network: simulator.NewNetwork(time.Millisecond)}
-		f.client = cloud.New(cloudAddr, config.Cloud{RPS: rps}, f.network.Host(controllerIP))
+		f.client = cloud.New(cloudAddr, config.CloudLimits{RPS: rps}, f.network.Host(controllerIP))
 		f.client.Observe = f.observe
 		if handler != nil {
 			defer f.serve(t, handler)()
@@ -123,7 +123,7 @@
 
 // respondWith answers every request with the status and the encoded body.
 func respondWith(status int, body any) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { wire.Answer(w, status, body) }
+	return func(w http.ResponseWriter, _ *http.Request) { wire.WriteResponse(w, status, body) }
 }
 
 // stall answers nothing until its client has given up.
@@ -138,7 +138,7 @@
 func heldLease(duration time.Duration) *duty.Lease {
 	now := time.Now()
 	candidate := duty.NewCandidate(duty.Options{Key: "lead", Node: "worker-1", Store: grantStore{}})
-	return duty.NewLease(candidate, duty.Tenure{Token: 7, TakenAt: now, HeldUntil: now.Add(duration)})
+	return duty.NewLease(candidate, duty.Tenure{Token: 7, AcquiredAt: now, ValidUntil: now.Add(duration)})
 }
 
 func permitFor[D duty.Duty](t *testing.T, lease *duty.Lease) duty.Permit[D] {
@@ -151,7 +151,7 @@
 }
 
 // sentinels are the classes of failed calls; an error is of one of them.
-var sentinels = []error{cloud.ErrNoCapacity, cloud.ErrBusy, cloud.ErrInvalid, cloud.ErrUnknown}
+var sentinels = []error{cloud.ErrNoCapacity, cloud.ErrUnavailable, cloud.ErrInvalid, cloud.ErrUnknown}
 
 // Every answer of the cloud, and the lack of one, is of one error class, is observed under the label that dashboards know,
 // and is not asked for again by the client itself.
@@ -166,18 +166,18 @@
 	}{
 		{name: "success", respond: respondWith(http.StatusOK, wire.MachineNames{}), label: "ok"},
 		{name: "rate limited", respond: respondWith(http.StatusTooManyRequests, wire.ErrorBody{Error: "rate"}),
-			want: cloud.ErrBusy, status: http.StatusTooManyRequests, label: "cloud: busy or down"},
+			want: cloud.ErrUnavailable, status: http.StatusTooManyRequests, label: "cloud: busy or down"},
 		{name: "rate limited with Retry-After, which is the caller's matter",
 			respond: func(w http.ResponseWriter, _ *http.Request) {
-				wire.RefuseRetryable(w, http.StatusTooManyRequests, "rate", 7)
+				wire.WriteRetryableError(w, http.StatusTooManyRequests, "rate", 7)
 			},
-			want: cloud.ErrBusy, status: http.StatusTooManyRequests, label: "cloud: busy or down"},
+			want: cloud.ErrUnavailable, status: http.StatusTooManyRequests, label: "cloud: busy or down"},
 		{name: "no capacity", respond: respondWith(http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"}),
 			want: cloud.ErrNoCapacity, status: http.StatusServiceUnavailable, label: "cloud: no capacity"},
 		{name: "unavailable for another reason", respond: respondWith(http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"}),
-			want: cloud.ErrBusy, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
+			want: cloud.ErrUnavailable, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
 		{name: "unavailable without a body", respond: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-			want: cloud.ErrBusy, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
+			want: cloud.ErrUnavailable, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
 		{name: "malformed request", respond: respondWith(http.StatusBadRequest, wire.ErrorBody{Error: "malformed"}),
 			want: cloud.ErrInvalid, status: http.StatusBadRequest, label: "cloud: request refused as invalid"},
 		{name: "status that the API does not have", respond: respondWith(http.StatusInternalServerError, wire.ErrorBody{}),
@@ -268,7 +268,7 @@
 				begin := time.Now()
 				_, err := f.client.List(t.Context())
 				elapsed := time.Since(begin)
-				checkClass(t, err, cloud.ErrBusy)
+				checkClass(t, err, cloud.ErrUnavailable)
 				checkFields(t, err, cloud.OperationList, 0)
 				checkDuration(t, elapsed, tt.duration)
 				if got, want := f.calls(), []observedCall{{"list", "cloud: busy or down", elapsed}}; !slices.Equal(got, want) {
@@ -325,7 +325,7 @@
 		refused := 0
 		for range calls {
 			wg.Go(func() {
-				if _, err := f.client.List(t.Context()); errors.Is(err, cloud.ErrBusy) {
+				if _, err := f.client.List(t.Context()); errors.Is(err, cloud.ErrUnavailable) {
 					mu.Lock()
 					defer mu.Unlock()
 					refused++
@@ -353,7 +353,7 @@
 	}{
 		{name: "lease resigned during the wait", hold: time.Hour, want: duty.ErrNotHeld,
 			lose: func(ctx context.Context, lease *duty.Lease) { lease.Resign(ctx, time.Now()) }},
-		{name: "lease expired during the wait", hold: time.Second, want: cloud.ErrBusy,
+		{name: "lease expired during the wait", hold: time.Second, want: cloud.ErrUnavailable,
 			lose: func(context.Context, *duty.Lease) {}},
 	}
 	for _, tt := range tests {
@@ -420,11 +420,11 @@
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
 		case "GET /flavors":
-			wire.Answer(w, http.StatusOK, wire.MachineSpecs{Types: machineTypes})
+			wire.WriteResponse(w, http.StatusOK, wire.MachineSpecs{Types: machineTypes})
 		case "POST /machines":
-			wire.Answer(w, http.StatusOK, wire.MachineNames{Machines: []wire.MachineID{"n-1", "n-2"}})
+			wire.WriteResponse(w, http.StatusOK, wire.MachineNames{Machines: []wire.MachineID{"n-1", "n-2"}})
 		case "POST /machines/release":
-			wire.Answer(w, http.StatusOK, struct{}{})
+			wire.WriteResponse(w, http.StatusOK, struct{}{})
 		default:
 			w.WriteHeader(http.StatusNotFound)
 		}
@@ -504,17 +504,17 @@
 		{name: "truncated page without machines ends the list", pages: map[string]wire.MachinePage{firstPage: full, nextPage: {Truncated: true}},
 			routes: []string{firstPage, nextPage}, want: 500},
 		{name: "failed page fails the list", pages: map[string]wire.MachinePage{firstPage: full},
-			routes: []string{firstPage, nextPage}, err: cloud.ErrBusy},
+			routes: []string{firstPage, nextPage}, err: cloud.ErrUnavailable},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				page, ok := tt.pages[r.Method+" "+r.URL.String()]
 				if !ok {
-					wire.Answer(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
+					wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
 					return
 				}
-				wire.Answer(w, http.StatusOK, page)
+				wire.WriteResponse(w, http.StatusOK, page)
 			}
 			withCloud(t, unlimited, handler, func(t *testing.T, f *fakeCloud) {
 				got, err := f.client.List(t.Context())
@@ -542,7 +542,7 @@
 		maybeExecuted, retryable bool
 	}{
 		{class: cloud.ErrNoCapacity, retryable: true},
-		{class: cloud.ErrBusy, retryable: true},
+		{class: cloud.ErrUnavailable, retryable: true},
 		{class: cloud.ErrInvalid},
 		{class: cloud.ErrUnknown, maybeExecuted: true, retryable: true},
 	}
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -12,8 +12,8 @@
 var (
 	// ErrNoCapacity means that the cloud has no machine of this type and price in this zone now.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrBusy means that there were too many requests, or that the API is down; the request was not executed.
-	ErrBusy = errors.New("cloud: busy or down")
+	// ErrUnavailable means that there were too many requests, or that the API is down; the request was not executed.
+	ErrUnavailable = errors.New("cloud: busy or down")
 	// ErrInvalid means that the cloud calls the request malformed.
 	ErrInvalid = errors.New("cloud: request refused as invalid")
 	// ErrUnknown means that there was no usable answer: the request may have been executed, or may still be.
@@ -33,7 +33,7 @@
 type Error struct {
 	// Operation is the call that failed.
 	Operation Operation
-	// Class is ErrNoCapacity, ErrBusy, ErrInvalid or ErrUnknown.
+	// Class is ErrNoCapacity, ErrUnavailable, ErrInvalid or ErrUnknown.
 	Class error
 	// Status is the HTTP status of the answer; 0 if none came, or not the whole of it.
 	Status int
@@ -97,12 +97,12 @@
 func classOfStatus(status int, body []byte) (class, cause error) {
 	switch status {
 	case http.StatusTooManyRequests:
-		return ErrBusy, nil
+		return ErrUnavailable, nil
 	case http.StatusServiceUnavailable:
 		if lacksCapacity(body) {
 			return ErrNoCapacity, nil
 		}
-		return ErrBusy, nil
+		return ErrUnavailable, nil
 	case http.StatusBadRequest:
 		return ErrInvalid, nil
 	default:
@@ -120,7 +120,7 @@
 // certainly not executed.
 func classOfTransport(err error) error {
 	if wire.NotSent(err) {
-		return ErrBusy
+		return ErrUnavailable
 	}
 	return ErrUnknown
 }
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -25,7 +25,7 @@
 // that a changed, dropped or exchanged key shows.
 func samples() []sample {
 	return []sample{
-		{"job", store.JobRecord{Spec: fullJobSpec(), Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, Chunk: 37}},
+		{"job", store.JobRecord{Spec: fullJobSpec(), Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 37}},
 		{"chunk", store.ChunkRecord{NextAttempt: 17, Done: []int{0, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}},
 		{"held", store.ActiveAttempt{Task: 5, Attempt: 13, Machine: "n-000232"}},
 		{"past", store.FinalRecord{Status: wire.Done, Done: 1600}},
@@ -35,13 +35,13 @@
 		{"active version", upgrade.ActiveRecord{Version: 2, By: "worker-2", At: 1796000000128}},
 		{"support", upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "c0ffee", At: 1796000000129}},
 		{"job, later", store.JobRecord{Spec: fullJobSpec(), Status: wire.Queued, AcceptedAt: 1796000000130, MinVersion: 2}},
-		{"upgrade status", upgrade.Status{Active: 1, Next: 2, Ceiling: 3, Held: true, Controllers: []upgrade.ControllerStatus{fullControllerStatus()}}},
+		{"upgrade status", upgrade.Status{Active: 1, Next: 2, MaxVersion: 3, LimitedByOperators: true, Controllers: []upgrade.ControllerStatus{fullControllerStatus()}}},
 		{"upgrade status, controller", fullControllerStatus()},
 		{"lead", store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"}},
 
 		{"beat", fullPeerHeartbeat()},
-		{"beat, leads", peer.Heartbeat{From: "worker-3", Seq: 10, Token: 43, Leads: true, ReachableWorkers: 122}},
-		{"beat, version", peer.Heartbeat{From: "worker-4", Seq: 11, Token: 44, Incarnation: "c0ffee", ActiveVersion: 2}},
+		{"beat, leads", peer.Heartbeat{From: "worker-3", Sequence: 10, Token: 43, Leads: true, ReachableWorkers: 122}},
+		{"beat, version", peer.Heartbeat{From: "worker-4", Sequence: 11, Token: 44, Incarnation: "c0ffee", ActiveVersion: 2}},
 		{"word", fullCancelUpdate()},
 		{"cancellation", cancels.Entry{Job: "req-000414", Age: 3 * time.Second}},
 
@@ -73,7 +73,7 @@
 		{"report", fullWorkerHeartbeat()},
 		{"order", fullCommand()},
 		{"orders", wire.Commands{Token: 23, Epoch: 24, Commands: []wire.Command{fullCommand()}}},
-		{"elsewhere", wire.Redirect{ReportsTo: "worker-4"}},
+		{"elsewhere", wire.Redirect{Leader: "worker-4"}},
 
 		{"setting", admin.Setting{Name: "log.level", Value: "debug", Default: "info", Allowed: "words", About: "about"}},
 		{"settings listing", admin.Listing{Version: 25, Settings: []admin.Setting{{Name: "gangs.spare", Value: 2.5, Default: 1.5, Allowed: "0 to 100", About: "room"}}}},
@@ -100,12 +100,12 @@
 }
 
 func fullPeerHeartbeat() peer.Heartbeat {
-	return peer.Heartbeat{From: "worker-2", Seq: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120, Delegation: 42, SinceRenewal: 3 * time.Second, Uptime: time.Minute,
-		UnconfirmedFor: time.Second, Update: fullCancelUpdate()}
+	return peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120, Delegation: 42, SinceRenewal: 3 * time.Second, Uptime: time.Minute,
+		UnconfirmedCancelAge: time.Second, Update: fullCancelUpdate()}
 }
 
 func fullControllerStatus() upgrade.ControllerStatus {
-	return upgrade.ControllerStatus{Node: "worker-2", Min: 1, Max: 2, Incarnation: "c0ffee", PublishedAt: 1796000000131, Missing: upgrade.NotInContact}
+	return upgrade.ControllerStatus{Node: "worker-2", Min: 1, Max: 2, Incarnation: "c0ffee", PublishedAt: 1796000000131, Blocker: upgrade.NotConnected}
 }
 
 func fullMachineSpec() wire.MachineSpec {
@@ -117,7 +117,7 @@
 }
 
 func fullTaskState() wire.TaskState {
-	return wire.TaskState{Task: "req-000419/0", Attempt: 27, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken, Saved: true}
+	return wire.TaskState{Task: "req-000419/0", Attempt: 27, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken, CheckpointSaved: true}
 }
 
 func fullWorkerHeartbeat() wire.Heartbeat {
@@ -131,7 +131,7 @@
 
 func fullNodeView() admin.View {
 	view := fullLeaderView()
-	return admin.View{Node: "worker-1", Token: 45, Leader: "worker-5", Leads: true, Serves: true, Term: &view}
+	return admin.View{Node: "worker-1", Token: 45, Leader: "worker-5", Leads: true, StoreReachable: true, Term: &view}
 }
 
 func fullLeaderView() leader.View {
@@ -139,7 +139,7 @@
 }
 
 func fullMachineView() leader.MachineView {
-	return leader.MachineView{Name: "n-5", Type: "g8", Zone: "a", Spot: true, Booting: true, Drain: "notice", Tasks: 30, SilentSeconds: 1.25, FreeCPUs: 3.75}
+	return leader.MachineView{Name: "n-5", Type: "g8", Zone: "a", Spot: true, Booting: true, Drain: "notice", Tasks: 30, SecondsSinceMessage: 1.25, FreeCPUs: 3.75}
 }
 
 func fullJobView() leader.JobView {
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -13,7 +13,7 @@
 func TestSettingsKeepTheirNames(t *testing.T) {
 	stored := map[string]any{"utility.preferred": 1.5, "utility.fallback": 0.25, "utility.wait_raise_s": 61.0, "round.period_s": 2.0, "services.spare_units": 3.0,
 		"gangs.spare": 4.0, "fleet.keep_boots": 0.75, "fleet.stretch_share": 0.7, "fleet.dear_limit": 2.25, "upgrade.max_version": 12.0, "log.level": "debug"}
-	want := tuning.Values{Preferred: 1.5, Fallback: 0.25, WaitRaiseS: 61, RoundS: 2, SpareUnits: 3, SpareGangs: 4, IdleBoots: 0.75, LogLevel: "debug", PriceLimit: 2.25, StretchShare: 0.7, MaxVersion: 12}
+	want := tuning.Values{PreferredFactor: 1.5, FallbackFactor: 0.25, WaitDoublingSeconds: 61, CycleIntervalSeconds: 2, SpareReplicas: 3, SpareGangs: 4, IdleBootTimes: 0.75, LogLevel: "debug", PriceLimit: 2.25, StretchShare: 0.7, MaxVersion: 12}
 	raw, err := hex.DecodeString(storedSettings)
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 	if err := wire.Decode(raw, &read); err != nil || !reflect.DeepEqual(read, stored) {
 		t.Errorf("decoded settings: got %v, %v, want %v", read, err, stored)
 	}
-	if got, err := tuning.Apply(tuning.Default(), read, true); err != nil || got != want {
+	if got, err := tuning.Override(tuning.Default(), read, true); err != nil || got != want {
 		t.Errorf("applied settings: got %+v, %v, want %+v", got, err, want)
 	}
 	if len(tuning.Fields) != len(stored) || reflect.TypeFor[tuning.Values]().NumField() != len(stored) {
--- a/internal/compat/versions_test.go
+++ b/internal/compat/versions_test.go
@@ -40,7 +40,7 @@
 	spec.Spread = true
 	chunk := store.ChunkRecord{NextAttempt: 17, Done: []int{1, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}
 	for _, c := range []struct{ now, earlier any }{
-		{store.JobRecord{Spec: spec, Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, Chunk: 37}, earlierJobRecord{}},
+		{store.JobRecord{Spec: spec, Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 37}, earlierJobRecord{}},
 		{chunk, productionChunk{}},
 		{chunk, gangsChunk{}},
 		{store.FinalRecord{Status: wire.Done, Done: 1600}, earlierFinalRecord{}},
@@ -49,7 +49,7 @@
 		{fullPeerHeartbeat(), earlierPeerHeartbeat{}},
 		{fullWorkerHeartbeat(), earlierWorkerHeartbeat{}},
 		{wire.Commands{Token: 23, Epoch: 24, Commands: []wire.Command{fullCommand()}}, earlierCommands{}},
-		{wire.Redirect{ReportsTo: "worker-4"}, earlierRedirect{}},
+		{wire.Redirect{Leader: "worker-4"}, earlierRedirect{}},
 	} {
 		raw, typ := wire.Encode(c.now), reflect.TypeOf(c.earlier)
 		read, err := decodeAs(typ, raw)
@@ -95,7 +95,7 @@
 			read(name+" of "+commit, raw, valuesWrittenBy(commit)[name])
 		}
 	}
-	v, err := tuning.Apply(tuning.Default(), map[string]any{"gangs.spare": 4.0, "gangs.of_tomorrow": "yes"}, false)
+	v, err := tuning.Override(tuning.Default(), map[string]any{"gangs.spare": 4.0, "gangs.of_tomorrow": "yes"}, false)
 	if err != nil || v.SpareGangs != 4 {
 		t.Errorf("settings with an unknown name: got %+v, %v, want 4 spare gangs", v, err)
 	}
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -71,11 +71,11 @@
 // messagesOfBothVersions are the messages that both versions wrote.
 func messagesOfBothVersions() map[string]any {
 	return map[string]any{
-		"message beat": peer.Heartbeat{From: "worker-1", Seq: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120},
-		"message ack": peer.Heartbeat{From: "worker-2", Seq: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedFor: time.Second,
+		"message beat": peer.Heartbeat{From: "worker-1", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120},
+		"message ack": peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedCancelAge: time.Second,
 			Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}},
 		"message report": sentHeartbeat(wire.TaskState{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning},
-			wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone, Saved: true}),
+			wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone, CheckpointSaved: true}),
 		"message orders": wire.Commands{Token: 41, Epoch: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "req-000412/3", Attempt: 2},
 			{Verb: wire.Stop, Task: "req-000398/0", Attempt: 1, GracePeriod: pointer(wire.Seconds(6))}}},
 	}
@@ -88,8 +88,8 @@
 	case productionVersion:
 		maps.Copy(values, map[string]any{
 			"fact/flavors":   storedMachineSpecs(),
-			"job/req-000001": store.JobRecord{Spec: smallArray("req-000001", 60), Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256},
-			"job/req-000002": store.JobRecord{Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256, Spec: wire.JobSpec{ID: "req-000002", Class: "portal", Team: "blue",
+			"job/req-000001": store.JobRecord{Spec: smallArray("req-000001", 60), Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256},
+			"job/req-000002": store.JobRecord{Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256, Spec: wire.JobSpec{ID: "req-000002", Class: "portal", Team: "blue",
 				Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}},
 			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "OA5NX7QCZ6OJIQ3476RZVCWUEP"},
 			"past/req-000003": store.FinalRecord{Status: wire.Done, Done: 4},
@@ -104,9 +104,9 @@
 				wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken},
 				wire.TaskState{Task: "req-000399/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangIncomplete}),
 			"fact/flavors":    storedMachineSpecs(),
-			"job/req-000005":  store.JobRecord{Spec: smallGang("req-000005", 3, 2, 6, true), Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256},
-			"job/req-000007":  store.JobRecord{Spec: smallArray("req-000007", 500), Status: wire.Queued, AcceptedAt: 946684802001, Chunk: 256},
-			"job/req-000008":  store.JobRecord{Spec: smallGang("req-000008", 60, 0.25, 0.5, false), Status: wire.Queued, AcceptedAt: 946684877001, Chunk: 56},
+			"job/req-000005":  store.JobRecord{Spec: smallGang("req-000005", 3, 2, 6, true), Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256},
+			"job/req-000007":  store.JobRecord{Spec: smallArray("req-000007", 500), Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256},
+			"job/req-000008":  store.JobRecord{Spec: smallGang("req-000008", 60, 0.25, 0.5, false), Status: wire.Queued, AcceptedAt: 946684877001, TasksPerChunk: 56},
 			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
 			"past/req-000004": store.FinalRecord{Status: wire.Cancelled},
 			"past/req-000006": store.FinalRecord{Status: wire.Done, Done: 60},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -179,8 +179,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if limits := cfg.Settings.State; limits.Next != nil || limits.Least() != limits {
-		t.Errorf("limits: got %+v and %+v as the least, want both the same", limits, limits.Least())
+	if limits := cfg.Settings.State; limits.Next != nil || limits.Strictest() != limits {
+		t.Errorf("limits: got %+v and %+v as the least, want both the same", limits, limits.Strictest())
 	}
 	if w := cfg.Settings.Workers; w.GangWait != 0 || w.GangPeerTimeout != 0 {
 		t.Errorf("gang times: got %v and %v, want 0", w.GangWait, w.GangPeerTimeout)
@@ -200,18 +200,18 @@
 func TestLeastLimits(t *testing.T) {
 	for _, tt := range []struct {
 		name, next string
-		want       State
+		want       StoreLimits
 	}{
-		{"limits that fall are kept to before they hold", "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0", State{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}},
-		{"limits that rise are used only once they hold", "value_kb = 64.0\ntxn_ops = 40", State{RPS: 10, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
-		{"limits that are not named stay", "rps = 4.0", State{RPS: 4, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
+		{"limits that fall are kept to before they hold", "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0", StoreLimits{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}},
+		{"limits that rise are used only once they hold", "value_kb = 64.0\ntxn_ops = 40", StoreLimits{RPS: 10, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
+		{"limits that are not named stay", "rps = 4.0", StoreLimits{RPS: 4, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg, err := parseWith(t, "gang_wait_s = 40.0\ngang_peer_s = 3.0", "[settings.state.next]\n"+tt.next)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := cfg.Settings.State.Least(); got != tt.want {
+			if got := cfg.Settings.State.Strictest(); got != tt.want {
 				t.Errorf("next limits %q: got %+v, want %+v", tt.next, got, tt.want)
 			}
 		})
@@ -244,8 +244,8 @@
 }
 
 func TestTeam(t *testing.T) {
-	settings := Settings{Teams: []Team{{Name: "red", CPUs: 1}, {Name: "blue", CPUs: 2}}}
-	if team, known := settings.Team("blue"); !known || team.CPUs != 2 {
+	settings := Settings{Teams: []Team{{Name: "red", GuaranteedCPUs: 1}, {Name: "blue", GuaranteedCPUs: 2}}}
+	if team, known := settings.Team("blue"); !known || team.GuaranteedCPUs != 2 {
 		t.Errorf("blue: got %+v, %t, want the team with 2 CPUs", team, known)
 	}
 	if team, known := settings.Team("green"); known || team != (Team{}) {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,14 +7,14 @@
 	// Size is the number of nodes.
 	Size  int         `toml:"size"`
 	Zones []wire.Zone `toml:"zones"`
-	// ClockOffMs bounds, in milliseconds, how far the nodes' clocks may be off.
-	ClockOffMs float64     `toml:"clock_off_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Limits     Limits      `toml:"limits"`
+	// MaxClockSkewMillis bounds, in milliseconds, how far the nodes' clocks may be off.
+	MaxClockSkewMillis float64       `toml:"clock_off_ms"`
+	Teams              []Team        `toml:"teams"`
+	Objectives         []Objective   `toml:"objectives"`
+	Workers            Workers       `toml:"workers"`
+	State              StoreLimits   `toml:"state"`
+	Cloud              CloudLimits   `toml:"cloud"`
+	Limits             ProcessLimits `toml:"limits"`
 }
 
 // Team returns a team by its name.
@@ -29,11 +29,11 @@
 
 // Team has a guaranteed quota of CPUs and GPUs, and a limit of each; 0 means none.
 type Team struct {
-	Name    wire.TeamID `toml:"name"`
-	CPUs    float64     `toml:"cpus"`
-	CPUsMax float64     `toml:"cpus_max"`
-	GPUs    float64     `toml:"gpus"`
-	GPUsMax float64     `toml:"gpus_max"`
+	Name           wire.TeamID `toml:"name"`
+	GuaranteedCPUs float64     `toml:"cpus"`
+	MaxCPUs        float64     `toml:"cpus_max"`
+	GuaranteedGPUs float64     `toml:"gpus"`
+	MaxGPUs        float64     `toml:"gpus_max"`
 }
 
 // Objective is a service-level objective.
@@ -42,8 +42,8 @@
 	Class  string       `toml:"class"`
 	Within wire.Seconds `toml:"within_s"`
 	Share  float64      `toml:"share"`
-	// Times is the multiple of a job's own deadline that a deadline objective means.
-	Times float64 `toml:"times"`
+	// DeadlineMultiple is the multiple of a job's own deadline that a deadline objective means.
+	DeadlineMultiple float64 `toml:"times"`
 }
 
 // Workers says how worker agents behave.
@@ -60,15 +60,15 @@
 	GangPeerTimeout wire.Seconds `toml:"gang_peer_s"`
 }
 
-// Cloud holds the limits of the cloud.
-type Cloud struct {
+// CloudLimits holds the limits of the cloud.
+type CloudLimits struct {
 	RPS float64 `toml:"rps"`
 	// ListLag is how old the cloud's list of machines may be.
 	ListLag wire.Seconds `toml:"list_lag_s"`
 }
 
-// Limits are the limits of this process.
-type Limits struct {
+// ProcessLimits are the limits of this process.
+type ProcessLimits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FDLimit  int     `toml:"fd_limit"`
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -1,7 +1,7 @@
 package config
 
-// State holds the limits of the key-value store.
-type State struct {
+// StoreLimits holds the limits of the key-value store.
+type StoreLimits struct {
 	// RPS and WriteRPS are the requests and the changes that it takes a second.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -11,26 +11,26 @@
 	TxnOps  int     `toml:"txn_ops"`
 	// Next are the limits that the store will have from some time on, without further
 	// notice; nil: no change is announced.
-	Next *NextState `toml:"next"`
+	Next *NextStoreLimits `toml:"next"`
 }
 
-// NextState holds announced limits of the key-value store; a limit of 0 stays as it is.
-type NextState struct {
+// NextStoreLimits holds announced limits of the key-value store; a limit of 0 stays as it is.
+type NextStoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Least returns, for each limit, the lower of the present and the announced one. A
+// Strictest returns, for each limit, the lower of the present and the announced one. A
 // request within these limits is taken whether the announced ones are in force already
 // or not.
-func (s State) Least() State {
+func (s StoreLimits) Strictest() StoreLimits {
 	next := s.Next
 	if next == nil {
 		return s
 	}
-	return State{
+	return StoreLimits{
 		RPS:      lower(s.RPS, next.RPS),
 		WriteRPS: lower(s.WriteRPS, next.WriteRPS),
 		ValueKB:  lower(s.ValueKB, next.ValueKB),
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -130,10 +130,10 @@
 		v.requireText(prefix+"name", string(team.Name))
 		v.require(!seen[team.Name], prefix+"name", namedTwice)
 		seen[team.Name] = true
-		v.requireNotNegative(prefix+"cpus", team.CPUs)
-		v.requireNotNegative(prefix+"cpus_max", team.CPUsMax)
-		v.requireNotNegative(prefix+"gpus", team.GPUs)
-		v.requireNotNegative(prefix+"gpus_max", team.GPUsMax)
+		v.requireNotNegative(prefix+"cpus", team.GuaranteedCPUs)
+		v.requireNotNegative(prefix+"cpus_max", team.MaxCPUs)
+		v.requireNotNegative(prefix+"gpus", team.GuaranteedGPUs)
+		v.requireNotNegative(prefix+"gpus_max", team.MaxGPUs)
 	}
 }
 
@@ -152,7 +152,7 @@
 
 // checkNextStoreLimits checks the announced limits of the key-value store, if there
 // are any. A limit of 0 stays as it is.
-func (v *validator) checkNextStoreLimits(next *NextState) {
+func (v *validator) checkNextStoreLimits(next *NextStoreLimits) {
 	if next == nil {
 		return
 	}
@@ -163,7 +163,7 @@
 }
 
 // checkStoreLimits checks the present limits of the key-value store.
-func (v *validator) checkStoreLimits(s *State) {
+func (v *validator) checkStoreLimits(s *StoreLimits) {
 	v.requirePositive("settings.state.rps", s.RPS)
 	v.requirePositive("settings.state.write_rps", s.WriteRPS)
 	v.requirePositive("settings.state.value_kb", s.ValueKB)
@@ -174,13 +174,13 @@
 }
 
 // checkCloud checks the limits of the cloud.
-func (v *validator) checkCloud(c *Cloud) {
+func (v *validator) checkCloud(c *CloudLimits) {
 	v.requirePositive("settings.cloud.rps", c.RPS)
 	v.requireNotNegative("settings.cloud.list_lag_s", float64(c.ListLag))
 }
 
 // checkProcessLimits checks the limits of this process.
-func (v *validator) checkProcessLimits(l *Limits) {
+func (v *validator) checkProcessLimits(l *ProcessLimits) {
 	v.requirePositive("settings.limits.cores", l.Cores)
 	v.requirePositive("settings.limits.memory_mb", l.MemoryMB)
 	v.require(l.FDLimit >= minFDLimit, "settings.limits.fd_limit", tooFewSockets)
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -62,7 +62,7 @@
 		return 0
 	}
 	b.take(unit, units)
-	b.services = b.services || d.Spec.Service()
+	b.services = b.services || d.Spec.IsService()
 	if d.ZoneLeft != nil {
 		d.ZoneLeft[b.zone] -= units
 	}
--- a/internal/fleet/generators_test.go
+++ b/internal/fleet/generators_test.go
@@ -120,7 +120,7 @@
 	}
 	spec.Spread = !spec.SameZone && rapid.Bool().Draw(t, "spread")
 	if spec.Spread {
-		d.ZoneLeft = map[wire.Zone]int{"a": spec.ZoneCap(), "b": spec.ZoneCap()}
+		d.ZoneLeft = map[wire.Zone]int{"a": spec.MaxTasksPerZone(), "b": spec.MaxTasksPerZone()}
 	}
 	return d
 }
--- a/internal/fleet/packer.go
+++ b/internal/fleet/packer.go
@@ -63,7 +63,7 @@
 		unit:        placement.ResourcesOf(d.Spec),
 		zone:        d.Spec.Zone,
 		spot:        d.Spec.SpotAllowed,
-		sharesPrice: !d.Spec.Service() && d.ZoneLeft == nil,
+		sharesPrice: !d.Spec.IsService() && d.ZoneLeft == nil,
 	}
 	for _, t := range d.Spec.MachineTypes {
 		kind.types += string(t) + " "
@@ -76,7 +76,7 @@
 func (p *packer) pack(d *Demand, kind unitKind) {
 	left := d.Units
 	left -= p.fillFree(d, left)
-	if !d.Spec.Service() {
+	if !d.Spec.IsService() {
 		left -= p.fillFreed(d, left)
 	}
 	for left > 0 && len(p.added) < p.s.MaxScaleOuts {
@@ -84,7 +84,7 @@
 		if !ok {
 			return
 		}
-		if !d.Spec.Service() && p.tooExpensive(d, cost) {
+		if !d.Spec.IsService() && p.tooExpensive(d, cost) {
 			return // it is better late than at that price
 		}
 		left -= p.addMachine(offer, d).fill(d, left)
@@ -135,7 +135,7 @@
 // compareBins puts services together, what is in use before what is idle, spot machines
 // before ordinary ones, and the fuller before the emptier.
 func compareBins(d *Demand, a, b *bin) int {
-	if d.Spec.Service() && a.services != b.services {
+	if d.Spec.IsService() && a.services != b.services {
 		return trueFirst(a.services)
 	}
 	if a.used != b.used {
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -65,7 +65,7 @@
 	}
 	rec, err := store.DecodeJob(key, entry.Value)
 	if err != nil {
-		in.Undecodable.Note(key, err)
+		in.Undecodable.LogOnce(key, err)
 		return response{}, err
 	}
 	if rec.Status == wire.Cancelled {
@@ -109,7 +109,7 @@
 		return noSuchJob, nil
 	case err != nil:
 		return response{}, err
-	case state.Status.Final():
+	case state.Status.IsFinal():
 		return summary(id, state.Status), nil
 	default:
 		return response{}, errJobChanged // submitted between the two reads
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -64,9 +64,9 @@
 		return errUnknownTeam
 	}
 	exceeds := func(perTask, limit float64) bool {
-		return limit > 0 && float64(spec.MinTogether())*perTask > limit+wire.Eps
+		return limit > 0 && float64(spec.MinConcurrentTasks())*perTask > limit+wire.AmountTolerance
 	}
-	if exceeds(spec.CPUs, team.CPUsMax) || exceeds(spec.GPUs, team.GPUsMax) {
+	if exceeds(spec.CPUs, team.MaxCPUs) || exceeds(spec.GPUs, team.MaxGPUs) {
 		return errOverTeamLimit
 	}
 	return nil
@@ -77,18 +77,18 @@
 func worstCaseRecord(spec *wire.JobSpec) *store.JobRecord {
 	now := wire.TimestampOf(time.Now())
 	return &store.JobRecord{
-		Spec:        *spec,
-		Status:      wire.Cancelled,
-		AcceptedAt:  now,
-		CancelledAt: now,
-		Chunk:       store.ChunkSize,
+		Spec:          *spec,
+		Status:        wire.Cancelled,
+		AcceptedAt:    now,
+		CancelledAt:   now,
+		TasksPerChunk: store.MaxChunkTasks,
 	}
 }
 
 // recordFits reports whether the store takes a job's record, both under its present
 // limits and under those that are announced.
 func (f *feasibility) recordFits(rec *store.JobRecord) bool {
-	return wire.JSONSize(rec) <= int(f.settings.State.Least().ValueKB*1024)
+	return wire.JSONSize(rec) <= int(f.settings.State.Strictest().ValueKB*1024)
 }
 
 // shrinkToFit drops what a cancelled job can do without from a record that only just
--- a/internal/intake/final_states.go
+++ b/internal/intake/final_states.go
@@ -31,7 +31,7 @@
 
 // put remembers a state if it is final.
 func (f *finalStates) put(state wire.JobState) {
-	if !state.Status.Final() {
+	if !state.Status.IsFinal() {
 		return
 	}
 	f.mu.Lock()
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -58,7 +58,7 @@
 // New returns an Intake. The function machineTypes returns the machine types that
 // the cloud offers, nil while they are not known.
 func New(settings *config.Settings, st *store.Client, cancelled *cancels.Log, machineTypes func() []wire.MachineSpec, log *slog.Logger) *Intake {
-	limits := settings.State.Least()
+	limits := settings.State.Strictest()
 	inFlight := max(minInFlight, min(maxInFlight, settings.Limits.FDLimit/socketsPerRequest))
 	return &Intake{
 		settings:    settings,
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -26,8 +26,8 @@
 // the handler of its routes.
 func newIntakeWithoutStore(t *testing.T) (*Intake, http.Handler) {
 	t.Helper()
-	limits := config.State{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16}
-	settings := &config.Settings{Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.Limits{FDLimit: 900}}
+	limits := config.StoreLimits{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16}
+	settings := &config.Settings{Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.ProcessLimits{FDLimit: 900}}
 	unreachable := netio.Net{Dial: func(context.Context, string, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 	}}
--- a/internal/intake/response.go
+++ b/internal/intake/response.go
@@ -45,11 +45,11 @@
 		w.Header().Set("Connection", "close")
 	}
 	if resp.refusal == "" {
-		wire.Answer(w, resp.status, resp.body)
+		wire.WriteResponse(w, resp.status, resp.body)
 		return
 	}
 	in.log.Debug("request refused", "op", op, "status", resp.status, "reason", resp.refusal)
-	wire.RefuseRetryable(w, resp.status, resp.refusal, retryAfterSeconds)
+	wire.WriteRetryableError(w, resp.status, resp.refusal, retryAfterSeconds)
 }
 
 // endsConnection reports whether the connection must not be used again: a body
--- a/internal/intake/store_test.go
+++ b/internal/intake/store_test.go
@@ -31,13 +31,13 @@
 
 // cluster is two nodes on the simulator's key-value store.
 type cluster struct {
-	store *simulator.State
+	store *simulator.KVStore
 	nodes [2]node
 	types []wire.MachineSpec // what the cloud offers
 }
 
 // amplyLimited are limits of the store that no test reaches.
-var amplyLimited = config.State{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
+var amplyLimited = config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
 
 // runCluster runs a test on a cluster in virtual time.
 func runCluster(t *testing.T, test func(t *testing.T, c *cluster)) {
@@ -46,16 +46,16 @@
 }
 
 // runClusterWithin runs a test on a cluster whose nodes keep to limits of the store.
-func runClusterWithin(t *testing.T, limits config.State, test func(t *testing.T, c *cluster)) {
+func runClusterWithin(t *testing.T, limits config.StoreLimits, test func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		network := simulator.NewNetwork(time.Millisecond)
 		c := &cluster{
-			store: simulator.NewState(12, 16),
+			store: simulator.NewKVStore(12, 16),
 			types: []wire.MachineSpec{{Name: "small", CPUs: 8, MemoryGB: 16, DiskGB: 100, Zones: []wire.Zone{"a"}}},
 		}
-		stop, err := network.ServeState(c.store)
+		stop, err := network.ServeKVStore(c.store)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,11 +69,11 @@
 }
 
 // startNode starts the intake of a node, which runs until the context ends.
-func (c *cluster) startNode(ctx context.Context, network *simulator.Network, host string, limits config.State) node {
-	settings := &config.Settings{Size: 2, Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.Limits{FDLimit: 900}}
+func (c *cluster) startNode(ctx context.Context, network *simulator.Network, host string, limits config.StoreLimits) node {
+	settings := &config.Settings{Size: 2, Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.ProcessLimits{FDLimit: 900}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cancelled := cancels.New(nil, time.Minute)
-	client := store.New(simulator.StateAddr, limits, settings.Size, network.Host(host))
+	client := store.New(simulator.KVStoreAddr, limits, settings.Size, network.Host(host))
 	in := intake.New(settings, client, cancelled, func() []wire.MachineSpec { return c.types }, log)
 	in.Undecodable = undecodable.New(log)
 	router := httprouter.New()
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -86,10 +86,10 @@
 func (in *Intake) createRecord(ctx context.Context, spec *wire.JobSpec) error {
 	const absent wire.Revision = 0
 	rec := store.JobRecord{
-		Spec:       *spec,
-		Status:     wire.Queued,
-		AcceptedAt: wire.TimestampOf(time.Now()),
-		Chunk:      store.ChunkTasksFor(in.settings.State.Least().ValueKB),
+		Spec:          *spec,
+		Status:        wire.Queued,
+		AcceptedAt:    wire.TimestampOf(time.Now()),
+		TasksPerChunk: store.ChunkTasksFor(in.settings.State.Strictest().ValueKB),
 	}
 	return commit(ctx, in.store, wire.Txn{
 		Guards: []wire.Guard{
--- a/internal/leader/agents/dispatcher.go
+++ b/internal/leader/agents/dispatcher.go
@@ -15,7 +15,7 @@
 type Dispatcher struct {
 	*core.Loop
 	State  *cluster.State
-	Agents *Client
+	Client *Client
 	// TokenAnnounced is set once every machine of the first list has been shown the token.
 	TokenAnnounced bool
 }
@@ -34,7 +34,7 @@
 // the key-value store it sends stops alone.
 func (dp *Dispatcher) Dispatch(machine *cluster.Machine) {
 	mayLaunch := dp.Lease.Deciding()
-	if !canReceive(machine) || !mayLaunch && !dp.Lease.Answering() {
+	if !canReceive(machine) || !mayLaunch && !dp.Lease.MayAnswerHeartbeats() {
 		return
 	}
 	now := time.Now()
@@ -84,7 +84,7 @@
 	machine.CommandInFlight = true
 	addr, known := machine.Addr, positionOf(machine)
 	dp.Spawn(func(ctx context.Context) {
-		heartbeat, status, err := dp.Agents.Send(ctx, addr, commands, commandTimeout)
+		heartbeat, status, err := dp.Client.Send(ctx, addr, commands, commandTimeout)
 		dp.Post(CommandAnswer{
 			Machine:     machine,
 			KnownBefore: known,
--- a/internal/leader/agents/dispatcher_test.go
+++ b/internal/leader/agents/dispatcher_test.go
@@ -12,9 +12,9 @@
 
 // loseInbound makes the inbound path of a machine lost.
 func loseInbound(machine *cluster.Machine) {
-	machine.Inbound.Answered(0, 1, 8)
-	machine.Inbound.Unanswered()
-	machine.Inbound.Reported(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.Evidence{MissesLaunch: func() bool { return true }}, time.Now())
+	machine.Inbound.RecordAnswer(0, 1, 8)
+	machine.Inbound.RecordUnansweredCommand()
+	machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.Evidence{MissesLaunch: func() bool { return true }}, time.Now())
 }
 
 func TestCommandsByStateOfAttempt(t *testing.T) {
--- a/internal/leader/agents/fixture_test.go
+++ b/internal/leader/agents/fixture_test.go
@@ -34,8 +34,8 @@
 	t.Helper()
 	now := time.Now()
 	f := &fixture{}
-	metrics := &core.Metrics{TaskMoved: func(reason string) { f.evicted = append(f.evicted, reason) }}
-	lease := election.NewLease(nil, election.Terms{Token: testToken, TakenAt: now, HeldUntil: now.Add(time.Hour)})
+	metrics := &core.Metrics{TaskInterrupted: func(reason string) { f.evicted = append(f.evicted, reason) }}
+	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
 	loop := core.NewLoop(lease, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics)
 	ended, end := context.WithCancel(t.Context())
 	end()
@@ -47,7 +47,7 @@
 	settings := &config.Settings{Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41}}
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, now, testToken)
 	state.Recovered = true
-	f.Dispatcher = &Dispatcher{Loop: loop, State: state, Agents: &Client{}}
+	f.Dispatcher = &Dispatcher{Loop: loop, State: state, Client: &Client{}}
 	f.machine = f.addMachine("n-1")
 	f.job = f.addJob("req-1", wire.KindArray, 2)
 	f.attempt = f.addAttempt(f.job, 0, f.machine)
@@ -57,9 +57,9 @@
 // loseStore lets the lease end, with heartbeats still answered or not.
 func (f *fixture) loseStore(answering bool) {
 	now := time.Now()
-	f.Lease = election.NewLease(nil, election.Terms{Token: testToken, TakenAt: now, HeldUntil: now.Add(-time.Millisecond)})
+	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
 	if answering {
-		f.Lease.Acknowledged(now.Add(time.Hour), now, 0)
+		f.Lease.RecordAcks(now.Add(time.Hour), now, 0)
 	}
 }
 
@@ -81,7 +81,7 @@
 
 func (f *fixture) addAttempt(job *cluster.Job, index int, machine *cluster.Machine) *cluster.Attempt {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: index, Number: testAttempt, Machine: machine}
-	attempt.Chunk.Add(attempt)
+	attempt.Chunk.AddAttempt(attempt)
 	return attempt
 }
 
--- a/internal/leader/agents/probes.go
+++ b/internal/leader/agents/probes.go
@@ -27,10 +27,10 @@
 	probe := wire.Commands{Token: dp.Fencing.Token, Epoch: max(machine.Epoch, firstEpoch)}
 	relay := dp.relayFor(machine)
 	dp.Spawn(func(ctx context.Context) {
-		heartbeat, status, err := dp.Agents.probeThrough(ctx, relay, addr, probe)
+		heartbeat, status, err := dp.Client.probeThrough(ctx, relay, addr, probe)
 		if err == nil && wrongEpoch(status, heartbeat, &probe) {
 			probe.Epoch = heartbeat.Epoch // the right one, by the answer
-			heartbeat, status, err = dp.Agents.probeThrough(ctx, relay, addr, probe)
+			heartbeat, status, err = dp.Client.probeThrough(ctx, relay, addr, probe)
 		}
 		dp.Post(ProbeAnswer{
 			CommandAnswer: CommandAnswer{
@@ -50,10 +50,10 @@
 // machine that did not answer this node is probed once more through another one, if one is
 // connected: only the path from here may be cut.
 func (dp *Dispatcher) relayFor(machine *cluster.Machine) wire.NodeID {
-	if machine.UnansweredProbes == 0 {
+	if machine.UnansweredCommands == 0 {
 		return ""
 	}
-	return dp.Agents.RandomConnectedPeer(time.Now())
+	return dp.Client.RandomConnectedPeer(time.Now())
 }
 
 // probeThrough probes the agent at an address through another controller, or directly if
@@ -98,5 +98,5 @@
 // needsToken reports whether a machine has not seen a token of this term and can be probed.
 func (dp *Dispatcher) needsToken(machine *cluster.Machine) bool {
 	uninformed := !machine.Booting && machine.Token < dp.State.FirstToken
-	return uninformed && !machine.CommandInFlight && machine.Addr != "" && machine.UnansweredProbes == 0
+	return uninformed && !machine.CommandInFlight && machine.Addr != "" && machine.UnansweredCommands == 0
 }
--- a/internal/leader/agents/probes_test.go
+++ b/internal/leader/agents/probes_test.go
@@ -30,7 +30,7 @@
 			f := newFixture(t)
 			f.Begin(t.Context())
 			probes := 0
-			f.Agents = newTestClient(func(r *http.Request) (*http.Response, error) {
+			f.Client = newTestClient(func(r *http.Request) (*http.Response, error) {
 				probes++
 				raw, err := io.ReadAll(r.Body)
 				var sent wire.Commands
@@ -58,10 +58,10 @@
 func TestProbeGoesDirectlyWhereNoPeerIsConnected(t *testing.T) {
 	f := newFixture(t)
 	f.Begin(t.Context())
-	f.Agents = newTestClient(agentAnswer)
-	f.Agents.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, cancels.New(nil, time.Minute),
+	f.Client = newTestClient(agentAnswer)
+	f.Client.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, cancels.New(nil, time.Minute),
 		simulator.NewNetwork(0).Host("10.0.0.1"), f.Log)
-	f.machine.UnansweredProbes = 1
+	f.machine.UnansweredCommands = 1
 	f.Probe(f.machine)
 	answer, ok := (<-f.Events).(ProbeAnswer)
 	if !ok || answer.Err != nil || answer.Relayed {
@@ -72,7 +72,7 @@
 func TestTokenIsAnnouncedToMachinesThatLackIt(t *testing.T) {
 	f := newFixture(t)
 	f.Begin(t.Context())
-	f.Agents = newTestClient(agentAnswer)
+	f.Client = newTestClient(agentAnswer)
 	go func() { // takes the outcomes
 		for {
 			select {
@@ -90,7 +90,7 @@
 	ineligible = f.addMachine("no-address")
 	ineligible.Token, ineligible.Addr = testToken-1, ""
 	ineligible = f.addMachine("unresponsive")
-	ineligible.Token, ineligible.UnansweredProbes = testToken-1, 1
+	ineligible.Token, ineligible.UnansweredCommands = testToken-1, 1
 
 	probed := func() int {
 		count := 0
--- a/internal/leader/agents/relayed_probe.go
+++ b/internal/leader/agents/relayed_probe.go
@@ -23,15 +23,15 @@
 func (c *Client) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	probe, ok := readRelayedProbe(r)
 	if !ok {
-		wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a question to a worker"})
+		wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a question to a worker"})
 		return
 	}
 	heartbeat, status, err := c.Send(r.Context(), probe.Addr, probe.Commands, ProbeTimeout)
 	if err != nil {
-		wire.RefuseRetryable(w, http.StatusBadGateway, "worker not reached", relayRetrySeconds)
+		wire.WriteRetryableError(w, http.StatusBadGateway, "worker not reached", relayRetrySeconds)
 		return
 	}
-	wire.Answer(w, status, heartbeat)
+	wire.WriteResponse(w, status, heartbeat)
 }
 
 // readRelayedProbe reads a probe from a request; ok is false if it is none.
--- a/internal/leader/agents/stops.go
+++ b/internal/leader/agents/stops.go
@@ -31,7 +31,7 @@
 	attempt.StopSentAt = time.Time{}
 	if reason != cluster.EvictedCancelled {
 		dp.Log.Info("task stop requested", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "reason", reason)
-		dp.Metrics.TaskMoved(string(reason))
+		dp.Metrics.TaskInterrupted(string(reason))
 	}
 	dp.Dispatch(attempt.Machine)
 }
--- a/internal/leader/autoscaler/events.go
+++ b/internal/leader/autoscaler/events.go
@@ -7,8 +7,8 @@
 
 // ScaleOutsRecorded is the outcome of recording scale-out requests before they are sent.
 type ScaleOutsRecorded struct {
-	// Fresh are the requests that were not recorded before.
-	Fresh []*scaling.PendingScaleOut
+	// Requests are the requests that were not recorded before.
+	Requests []*scaling.PendingScaleOut
 	// Err is why the record could not be written; nil if it was.
 	Err error
 }
--- a/internal/leader/autoscaler/intents.go
+++ b/internal/leader/autoscaler/intents.go
@@ -48,11 +48,11 @@
 // newCloudIntents returns the intents of a term that holds its lease.
 func newCloudIntents(loop *core.Loop, settings *config.Settings) *CloudIntents {
 	lease := loop.Lease.Lease
-	maxRecordBytes := int(settings.State.Least().ValueKB * 1024)
+	maxRecordBytes := int(settings.State.Strictest().ValueKB * 1024)
 	return &CloudIntents{
 		loop:      loop,
-		scaleOuts: duty.OpenIntents[duty.ScaleOut, ScaleOutIntent](lease, maxRecordBytes),
-		scaleIns:  duty.OpenIntents[duty.ScaleIn, wire.MachineID](lease, maxRecordBytes),
+		scaleOuts: duty.NewIntents[duty.ScaleOut, ScaleOutIntent](lease, maxRecordBytes),
+		scaleIns:  duty.NewIntents[duty.ScaleIn, wire.MachineID](lease, maxRecordBytes),
 	}
 }
 
--- a/internal/leader/autoscaler/inventory.go
+++ b/internal/leader/autoscaler/inventory.go
@@ -50,7 +50,7 @@
 func (i *inventory) remove(machine *cluster.Machine) {
 	i.state.RemovedMachines[machine.ID] = time.Now()
 	for _, attempt := range machine.Tasks {
-		i.metrics.TaskMoved(string(cluster.EvictedMachineRemoved))
+		i.metrics.TaskInterrupted(string(cluster.EvictedMachineRemoved))
 		i.state.EndAttempt(attempt, cluster.TaskPending)
 	}
 	delete(i.state.Machines, machine.ID)
--- a/internal/leader/autoscaler/plan_test.go
+++ b/internal/leader/autoscaler/plan_test.go
@@ -26,7 +26,7 @@
 		{"no machine types", func(term *testTerm) { term.catalog.Set(nil) }, false},
 		{"the cloud is unavailable", func(term *testTerm) {
 			request := term.Tracker.StartScaleOut(fleet.ScaleOut{Type: "c16", Zone: "b", Count: 1}, time.Now())
-			term.Tracker.FinishScaleOut(request, scaling.Answer{Err: cloud.ErrBusy}, time.Now())
+			term.Tracker.FinishScaleOut(request, scaling.Answer{Err: cloud.ErrUnavailable}, time.Now())
 		}, false},
 	}
 	for _, c := range cases {
--- a/internal/leader/autoscaler/rig_test.go
+++ b/internal/leader/autoscaler/rig_test.go
@@ -67,17 +67,17 @@
 func newTestTerm(t *testing.T, sim *simulator.Simulation, settings config.Settings, options termOptions) *testTerm {
 	network := sim.Net.Host(simulator.NodeIP(0))
 	log := slog.New(slog.DiscardHandler)
-	client := store.New(simulator.StateAddr, settings.State, 1, network)
+	client := store.New(simulator.KVStoreAddr, settings.State, 1, network)
 	candidate := election.NewCandidate(&config.Config{HostName: "a", Settings: settings}, client, log, func(context.Context, wire.FencingToken) {})
-	token := wire.FencingToken(sim.State.Put(store.LeaderKey, candidate.Record()))
+	token := wire.FencingToken(sim.State.Put(store.LeaderKey, candidate.LeaseRecord()))
 	now := time.Now()
-	lease := election.NewLease(candidate, election.Terms{Token: token, TakenAt: now, HeldUntil: now.Add(time.Hour)})
-	metrics := &core.Metrics{Fleet: func(string, int) {}, TaskMoved: func(string) {}}
+	lease := election.NewLease(candidate, election.Tenure{Token: token, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
+	metrics := &core.Metrics{FleetChange: func(string, int) {}, TaskInterrupted: func(string) {}}
 	loop := core.NewLoop(lease, log, metrics)
 	catalog := &cluster.MachineCatalog{}
 	state := cluster.NewState(&settings, catalog, now, token)
 	state.ActiveVersion = options.activeVersion
-	tracker := scaling.New(token)
+	tracker := scaling.NewTracker(token)
 	scheduler := scheduling.NewScheduler(state, tuning.NewCurrent(), tracker, log)
 	scaler := NewScaler(loop, state, scheduler, tracker, Options{
 		Cloud:         cloud.New(simulator.CloudAddr, settings.Cloud, network),
@@ -113,7 +113,7 @@
 func (term *testTerm) handle(event core.Event) {
 	switch e := event.(type) {
 	case ScaleOutsRecorded:
-		term.OnScaleOutsRecorded(e.Fresh, e.Err)
+		term.OnScaleOutsRecorded(e.Requests, e.Err)
 	case ScaleOutAnswered:
 		term.OnScaleOutAnswered(e.Request, e.Machines, e.Err)
 	case ScaledIn:
--- a/internal/leader/autoscaler/scale_in_test.go
+++ b/internal/leader/autoscaler/scale_in_test.go
@@ -115,7 +115,7 @@
 		term.state.Jobs[job.Spec.ID] = job
 		machine := term.state.GetOrAddMachine("n-1")
 		attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Number: 1, Machine: machine}
-		attempt.Chunk.Add(attempt)
+		attempt.Chunk.AddAttempt(attempt)
 		term.ScaleIn(machine, cluster.DrainSlow)
 		if job.ActiveTasks != 1 || machine.DrainReason != cluster.DrainSlow {
 			t.Errorf("before the confirmation: %d active tasks, drains as %q; want 1, %q", job.ActiveTasks, machine.DrainReason, cluster.DrainSlow)
@@ -131,7 +131,7 @@
 	withTerm(t, termOptions{}, func(term *testTerm) {
 		term.load()
 		now := time.Now()
-		term.Lease = election.NewLease(&election.Candidate{}, election.Terms{Token: term.Fencing.Token, TakenAt: now, HeldUntil: now.Add(-time.Second)})
+		term.Lease = election.NewLease(&election.Candidate{}, election.Tenure{Token: term.Fencing.Token, AcquiredAt: now, ValidUntil: now.Add(-time.Second)})
 		machine := term.state.GetOrAddMachine("n-1")
 		term.ScaleIn(machine, cluster.DrainIdle)
 		if machine.ScalingIn || machine.DrainReason != "" {
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -41,7 +41,7 @@
 
 // onMachinesStarted takes in the machines that a request has started.
 func (s *Scaler) onMachinesStarted(request *scaling.PendingScaleOut, machines []wire.MachineID) {
-	s.Metrics.Fleet("rented", len(machines))
+	s.Metrics.FleetChange("rented", len(machines))
 	if s.inventory.maybeUnlisted(request) {
 		s.inventory.add(request, machines)
 	}
--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -39,7 +39,7 @@
 // answeringTerm returns the current term if it may answer heartbeats, nil otherwise.
 func (l *Leader) answeringTerm() *term {
 	t := l.term.Load()
-	if t == nil || !t.Lease.Answering() {
+	if t == nil || !t.Lease.MayAnswerHeartbeats() {
 		return nil
 	}
 	return t
--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -9,12 +9,12 @@
 
 // Attempt is one start of a task that may be on its machine, or may still get there.
 type Attempt struct {
-	Job       *Job
-	Chunk     *Chunk
-	Index     int // of the task in its chunk
-	Number    wire.Attempt
-	Machine   *Machine
-	DecidedAt time.Time // when the scheduler decided on it, or the term inherited it
+	Job         *Job
+	Chunk       *Chunk
+	Index       int // of the task in its chunk
+	Number      wire.Attempt
+	Machine     *Machine
+	ScheduledAt time.Time // when the scheduler decided on it, or the term inherited it
 
 	// Unstored: the attempt is not yet in its chunk's stored record, and its launch must
 	// not be sent. The scheduler sets it; the committer clears it, and EndAttempt.
@@ -98,7 +98,7 @@
 	c, j := a.Chunk, a.Job
 	c.FirstPending = min(c.FirstPending, a.Index)
 	j.FirstPendingChunk = min(j.FirstPendingChunk, c.Index)
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		s.BrokenGangs[j] = struct{}{}
 	}
 }
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -49,8 +49,8 @@
 	WriteNotBefore time.Time
 }
 
-// Add makes an attempt the one of its task, on its machine.
-func (c *Chunk) Add(a *Attempt) {
+// AddAttempt makes an attempt the one of its task, on its machine.
+func (c *Chunk) AddAttempt(a *Attempt) {
 	c.TaskStates[a.Index] = TaskActive
 	c.Attempts[a.Index] = a
 	c.Job.ActiveTasks++
@@ -91,9 +91,9 @@
 	}
 }
 
-// WithdrawUnstoredStart ends one attempt that is not stored yet, as the chunk's record has
+// WithdrawUnstoredAttempt ends one attempt that is not stored yet, as the chunk's record has
 // no room for it. It reports whether there was one.
-func (s *State) WithdrawUnstoredStart(c *Chunk, now time.Time) bool {
+func (s *State) WithdrawUnstoredAttempt(c *Chunk, now time.Time) bool {
 	for _, a := range c.Attempts {
 		if a.Unstored {
 			s.EndAttempt(a, TaskPending)
--- a/internal/leader/cluster/chunk_test.go
+++ b/internal/leader/cluster/chunk_test.go
@@ -79,7 +79,7 @@
 					markUnstored(a)
 				}
 			}
-			if got := s.WithdrawUnstoredStart(j.Chunk(0), now); got != tt.want {
+			if got := s.WithdrawUnstoredAttempt(j.Chunk(0), now); got != tt.want {
 				t.Errorf("withdrawn = %v, want %v", got, tt.want)
 			}
 			wantUnstored := max(tt.unstored-1, 0)
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -88,7 +88,7 @@
 // RestoreGang finds out how the attempt of a gang stands that an earlier leader recorded:
 // complete, with a task missing, or with its end written in some of the records only.
 func (s *State) RestoreGang(j *Job) {
-	if !j.Spec.Gang() {
+	if !j.Spec.IsGang() {
 		return
 	}
 	if j.DoneTasks > 0 && j.DoneTasks < j.Spec.Tasks {
--- a/internal/leader/cluster/image_cache.go
+++ b/internal/leader/cluster/image_cache.go
@@ -23,10 +23,10 @@
 	return ok
 }
 
-// Touch records that an image was used, in a cache of the given capacity, and evicts the
+// RecordUse records that an image was used, in a cache of the given capacity, and evicts the
 // least recently used images that no longer fit. A capacity of 0 is unknown: nothing is
 // evicted.
-func (c *ImageCache) Touch(id wire.ImageID, sizeGB, capacityGB float64, now time.Time) {
+func (c *ImageCache) RecordUse(id wire.ImageID, sizeGB, capacityGB float64, now time.Time) {
 	if c.Images == nil {
 		c.Images = map[wire.ImageID]cachedImage{}
 	}
--- a/internal/leader/cluster/image_cache_test.go
+++ b/internal/leader/cluster/image_cache_test.go
@@ -31,7 +31,7 @@
 			var cache ImageCache
 			now := time.Now()
 			for i, u := range tt.uses {
-				cache.Touch(u.image, u.sizeGB, tt.roomGB, now.Add(time.Duration(i)*time.Second))
+				cache.RecordUse(u.image, u.sizeGB, tt.roomGB, now.Add(time.Duration(i)*time.Second))
 			}
 			var got []wire.ImageID
 			for _, id := range []wire.ImageID{"a", "b", "c"} {
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -9,7 +9,7 @@
 )
 
 // startWithin is the time within which every job should have begun.
-const startWithin = demand.StartWithinS * time.Second
+const startWithin = demand.StartWithinSeconds * time.Second
 
 // Job is a job that is accepted and not archived yet.
 type Job struct {
@@ -139,7 +139,7 @@
 			left[zone] = 0
 			continue
 		}
-		left[zone] = max(0, j.Spec.ZoneCap()-active[zone])
+		left[zone] = max(0, j.Spec.MaxTasksPerZone()-active[zone])
 	}
 	return left
 }
@@ -157,7 +157,7 @@
 // run for as long: when the spot machines that it was on had been reclaimed and there were
 // no more of them, the rest of it was never run.
 func (s *State) StartOverdue(j *Job, now time.Time) bool {
-	if j.Spec.Service() || j.ActiveTasks > 0 {
+	if j.Spec.IsService() || j.ActiveTasks > 0 {
 		return false
 	}
 	if now.Sub(j.AcceptedAt) <= startWithin/2 {
--- a/internal/leader/cluster/job_test.go
+++ b/internal/leader/cluster/job_test.go
@@ -19,7 +19,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			rec := store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Tasks: 5}, Chunk: 2, AcceptedAt: wire.TimestampOf(time.Now().Add(tt.acceptedIn))}
+			rec := store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Tasks: 5}, TasksPerChunk: 2, AcceptedAt: wire.TimestampOf(time.Now().Add(tt.acceptedIn))}
 			j := NewJob(rec, 3)
 			if age := time.Since(j.AcceptedAt); age < tt.wantAge || age > tt.wantAge+time.Second {
 				t.Errorf("age = %v, want about %v", age, tt.wantAge)
@@ -56,7 +56,7 @@
 				addTestAttempt(j, i, m, 1)
 			}
 			if got := j.ZoneCapacityLeft([]wire.Zone{"a", "b"}); !maps.Equal(got, tt.want) {
-				t.Errorf("ZoneCapacityLeft with %d tasks in a = %v, want %v (cap %d)", tt.onA, got, tt.want, j.Spec.ZoneCap())
+				t.Errorf("ZoneCapacityLeft with %d tasks in a = %v, want %v (cap %d)", tt.onA, got, tt.want, j.Spec.MaxTasksPerZone())
 			}
 		})
 	}
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -84,9 +84,9 @@
 // CommandDelivery is whether direct commands reach the machine. The dispatcher of commands,
 // the term's loop and reconciliation write it.
 type CommandDelivery struct {
-	CommandInFlight  bool // a direct command is under way
-	UnansweredProbes int  // direct commands without an answer since LastMessageAt
-	RelayUnanswered  bool // the last of these went through another node, in vain too
+	CommandInFlight    bool // a direct command is under way
+	UnansweredCommands int  // direct commands without an answer since LastMessageAt
+	RelayUnanswered    bool // the last of these went through another node, in vain too
 	// UnansweredLaunch covers the launches that were never answered.
 	UnansweredLaunch UnansweredCommand
 	Inbound          detector.Inbound
@@ -145,7 +145,7 @@
 // HoldsReplicas reports whether a machine holds replicas of services.
 func (t *MachineTable) HoldsReplicas(m *Machine) bool {
 	for _, a := range m.Tasks {
-		if a.Job.Spec.Service() {
+		if a.Job.Spec.IsService() {
 			return true
 		}
 	}
--- a/internal/leader/cluster/machine_lifecycle.go
+++ b/internal/leader/cluster/machine_lifecycle.go
@@ -70,8 +70,8 @@
 	return MachineUp
 }
 
-// MachineStateCounts counts the machines by lifecycle, for the metrics. None is missing.
-func (t *MachineTable) MachineStateCounts() map[string]int {
+// LifecycleCounts counts the machines by lifecycle, for the metrics. None is missing.
+func (t *MachineTable) LifecycleCounts() map[string]int {
 	counts := map[string]int{}
 	for _, lifecycle := range []MachineLifecycle{MachineUp, MachineBooting, MachineDraining, MachineReleasing} {
 		counts[string(lifecycle)] = 0
--- a/internal/leader/cluster/machine_test.go
+++ b/internal/leader/cluster/machine_test.go
@@ -64,13 +64,13 @@
 		"booting and scaled in": func(m *Machine) { m.Booting, m.ScalingIn = true, true },
 		"scaled in":             func(m *Machine) { m.ScalingIn = true },
 	}
-	if got, want := s.MachineStateCounts(), map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}; !maps.Equal(got, want) {
+	if got, want := s.LifecycleCounts(), map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}; !maps.Equal(got, want) {
 		t.Errorf("without machines: %v, want %v", got, want)
 	}
 	for id, p := range prepare {
 		p(s.GetOrAddMachine(id))
 	}
-	if got, want := s.MachineStateCounts(), map[string]int{"up": 1, "booting": 1, "draining": 2, "releasing": 3}; !maps.Equal(got, want) {
+	if got, want := s.LifecycleCounts(), map[string]int{"up": 1, "booting": 1, "draining": 2, "releasing": 3}; !maps.Equal(got, want) {
 		t.Errorf("counts = %v, want %v", got, want)
 	}
 }
@@ -105,8 +105,8 @@
 	s := newTestState(t)
 	s.Settings.Zones = []wire.Zone{"b", "a"}
 	s.Catalog.Set([]wire.MachineSpec{{Name: "k4", Zones: []wire.Zone{"d", "a"}}, {Name: "k8", Zones: []wire.Zone{"c", "d"}}})
-	s.ZoneDetector.Heard("e", true, time.Now())
-	s.ZoneDetector.Heard("", true, time.Now())
+	s.ZoneDetector.RecordMessage("e", true, time.Now())
+	s.ZoneDetector.RecordMessage("", true, time.Now())
 	if got, want := s.Zones(), []wire.Zone{"b", "a", "c", "d", "e"}; !slices.Equal(got, want) {
 		t.Errorf("zones = %v, want %v", got, want)
 	}
--- a/internal/leader/cluster/reachability.go
+++ b/internal/leader/cluster/reachability.go
@@ -34,15 +34,15 @@
 	return t.ZoneDetector.Partitioned(zone, now)
 }
 
-// LatelyPartitioned reports whether a zone seems partitioned from this node, or did so
+// RecentlyPartitioned reports whether a zone seems partitioned from this node, or did so
 // lately: its machines need a while until their heartbeats come again.
-func (t *MachineTable) LatelyPartitioned(zone wire.Zone, now time.Time) bool {
-	return t.ZoneDetector.LatelyPartitioned(zone, now)
+func (t *MachineTable) RecentlyPartitioned(zone wire.Zone, now time.Time) bool {
+	return t.ZoneDetector.RecentlyPartitioned(zone, now)
 }
 
-// BehindPartition reports whether a machine has sent nothing since its zone began to seem
+// UnseenSincePartition reports whether a machine has sent nothing since its zone began to seem
 // partitioned. It takes nothing new, and its room is not counted on: what was placed there
 // once waited for the end of the partition, and nothing was scaled out in its place.
-func (t *MachineTable) BehindPartition(m *Machine, now time.Time) bool {
-	return t.ZoneDetector.Behind(m.Zone, m.LastMessageAt, now)
+func (t *MachineTable) UnseenSincePartition(m *Machine, now time.Time) bool {
+	return t.ZoneDetector.UnseenSincePartition(m.Zone, m.LastMessageAt, now)
 }
--- a/internal/leader/cluster/reachability_test.go
+++ b/internal/leader/cluster/reachability_test.go
@@ -78,17 +78,17 @@
 	mostAreLost := detector.Counts{Up: 10, Lost: 9, AllUp: 100}
 	s.ZoneDetector.Judge("a", mostAreLost, begin)
 
-	if !s.Partitioned("a", begin) || !s.LatelyPartitioned("a", begin) || !s.BehindPartition(behind, begin) {
+	if !s.Partitioned("a", begin) || !s.RecentlyPartitioned("a", begin) || !s.UnseenSincePartition(behind, begin) {
 		t.Error("zone is not partitioned, or the machine not behind the partition, when most of it is lost")
 	}
-	if s.BehindPartition(seen, begin) {
+	if s.UnseenSincePartition(seen, begin) {
 		t.Error("machine is behind the partition although it was seen since")
 	}
-	if s.Partitioned("b", begin) || s.LatelyPartitioned("b", begin) {
+	if s.Partitioned("b", begin) || s.RecentlyPartitioned("b", begin) {
 		t.Error("another zone is partitioned")
 	}
 	later := begin.Add(time.Hour)
-	if s.Partitioned("a", later) || s.LatelyPartitioned("a", later) || s.BehindPartition(behind, later) {
+	if s.Partitioned("a", later) || s.RecentlyPartitioned("a", later) || s.UnseenSincePartition(behind, later) {
 		t.Error("zone is still partitioned an hour later")
 	}
 }
--- a/internal/leader/cluster/rig_test.go
+++ b/internal/leader/cluster/rig_test.go
@@ -26,9 +26,9 @@
 // addTestJob adds a job of one-CPU tasks, with chunks of chunkTasks tasks each.
 func addTestJob(s *State, kind wire.JobKind, tasks, chunkTasks int) *Job {
 	rec := store.JobRecord{
-		Spec:       wire.JobSpec{ID: "req-1", Team: "red", Kind: kind, Tasks: tasks, CPUs: 1, MemoryGB: 2},
-		AcceptedAt: wire.TimestampOf(time.Now()),
-		Chunk:      chunkTasks,
+		Spec:          wire.JobSpec{ID: "req-1", Team: "red", Kind: kind, Tasks: tasks, CPUs: 1, MemoryGB: 2},
+		AcceptedAt:    wire.TimestampOf(time.Now()),
+		TasksPerChunk: chunkTasks,
 	}
 	j := NewJob(rec, 1)
 	s.Jobs[j.Spec.ID] = j
@@ -38,8 +38,8 @@
 // addTestAttempt adds a stored attempt of one of the job's tasks on a machine.
 func addTestAttempt(j *Job, task int, m *Machine, number wire.Attempt) *Attempt {
 	c := j.Chunk(task / j.TasksPerChunk)
-	a := &Attempt{Job: j, Chunk: c, Index: task % j.TasksPerChunk, Number: number, Machine: m, DecidedAt: time.Now()}
-	c.Add(a)
+	a := &Attempt{Job: j, Chunk: c, Index: task % j.TasksPerChunk, Number: number, Machine: m, ScheduledAt: time.Now()}
+	c.AddAttempt(a)
 	return a
 }
 
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -59,7 +59,7 @@
 // infinity for a replica of a service, and for a task that does not run yet. Until some of
 // its job's tasks are done there is only the owner's estimate, which is often too short.
 func (a *Attempt) ExpectedRemainingSeconds(now time.Time) float64 {
-	if a.RunningSince.IsZero() || a.Job.Spec.Service() {
+	if a.RunningSince.IsZero() || a.Job.Spec.IsService() {
 		return math.Inf(1)
 	}
 	expected := a.Job.ExpectedSeconds()
--- a/internal/leader/cluster/stop.go
+++ b/internal/leader/cluster/stop.go
@@ -45,7 +45,7 @@
 		return 0
 	}
 	grace := j.Spec.CheckpointTime + checkpointMargin
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		grace += s.Settings.Workers.GangPeerTimeout
 	}
 	return grace
--- a/internal/leader/contacts.go
+++ b/internal/leader/contacts.go
@@ -62,5 +62,5 @@
 	}
 }
 
-// WorkersInContact returns how many agents have sent a heartbeat to this node lately.
-func (l *Leader) WorkersInContact() int { return int(l.contacts.inContact.Load()) }
+// ReachableWorkers returns how many agents have sent a heartbeat to this node lately.
+func (l *Leader) ReachableWorkers() int { return int(l.contacts.inContact.Load()) }
--- a/internal/leader/core/metrics.go
+++ b/internal/leader/core/metrics.go
@@ -9,8 +9,8 @@
 	Heartbeat       func(outcome string)
 	StartDelay      func(class string, seconds float64)
 	Command         func(outcome string)
-	TaskMoved       func(reason string)
-	Fleet           func(change string, machines int)
+	TaskInterrupted func(reason string)
+	FleetChange     func(change string, machines int)
 	// Machines sets the number of machines in each state.
 	Machines func(byState map[string]int)
 }
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -22,7 +22,7 @@
 
 // maxCycleInterval returns the time after which a cycle runs without a request.
 func (t *term) maxCycleInterval() time.Duration {
-	return wire.Seconds(t.leader.Tuning.Get().RoundS).Duration()
+	return wire.Seconds(t.leader.Tuning.Get().CycleIntervalSeconds).Duration()
 }
 
 // runCycle runs a scheduling cycle: it assigns pending tasks to machines and preempts
--- a/internal/leader/delegation/bounds.go
+++ b/internal/leader/delegation/bounds.go
@@ -21,9 +21,9 @@
 
 // Bounds limit how long leases may be renewed without contact to those who cancel jobs.
 type Bounds struct {
-	// Time is how long a node may renew leases for a leader that it has lost; 0:
+	// MaxDelegationTime is how long a node may renew leases for a leader that it has lost; 0:
 	// never.
-	Time time.Duration
+	MaxDelegationTime time.Duration
 	// MaxCancelAge is D of the rule in package cancels. Where a lease leaves next to
 	// nothing of the cancellation timeout, it is minCancelAge.
 	MaxCancelAge time.Duration
@@ -38,7 +38,7 @@
 	// A delegate must not have heard from the leader for leaderLostAfter: a shorter
 	// time would permit nothing.
 	if left > leaderLostAfter {
-		bounds.Time = left
+		bounds.MaxDelegationTime = left
 	}
 	return bounds
 }
@@ -46,11 +46,11 @@
 // Tenure is what of a leader's term bounds the delegates of the leaders before it, and
 // its own.
 type Tenure struct {
-	Began time.Time
+	StartedAt time.Time
 	// FirstToken is the fencing token with which the term began.
 	FirstToken wire.FencingToken
-	// StateBack is when the key-value store was last available again after an outage.
-	StateBack time.Time
+	// StoreAvailableSince is when the key-value store was last available again after an outage.
+	StoreAvailableSince time.Time
 }
 
 const (
@@ -72,12 +72,12 @@
 // present one started. If it never acknowledged a token of this term, an earlier
 // leader's delegation may be in force: the last of those was given before this term.
 func (b Bounds) AnswersUntil(tenure Tenure, node peer.Peer, now time.Time) time.Time {
-	until := latest(node.LastRenewal, node.StartedBefore)
+	until := latest(node.LastDelegatedRenewal, node.LatestStart)
 	if node.AckToken < tenure.FirstToken {
-		until = latest(until, tenure.Began.Add(b.Time))
+		until = latest(until, tenure.StartedAt.Add(b.MaxDelegationTime))
 	}
-	if !node.DelegatedAt.IsZero() && mayStillBeDelegate(tenure, node, now) {
-		until = latest(until, node.DelegatedAt.Add(b.Time))
+	if !node.DelegationGrantedAt.IsZero() && mayStillBeDelegate(tenure, node, now) {
+		until = latest(until, node.DelegationGrantedAt.Add(b.MaxDelegationTime))
 	}
 	return until
 }
@@ -85,9 +85,9 @@
 // mayStillBeDelegate reports whether a node that this leader delegated to may be
 // renewing leases now.
 func mayStillBeDelegate(tenure Tenure, node peer.Peer, now time.Time) bool {
-	outOfContact := now.Sub(node.AckSent) > maxAckAge
-	renewedRecently := now.Sub(node.LastRenewal) < recentDelegation
-	storeJustBack := now.Sub(tenure.StateBack) < recentDelegation
+	outOfContact := now.Sub(node.AckRequestedAt) > maxAckAge
+	renewedRecently := now.Sub(node.LastDelegatedRenewal) < recentDelegation
+	storeJustBack := now.Sub(tenure.StoreAvailableSince) < recentDelegation
 	return outOfContact || renewedRecently || storeJustBack
 }
 
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -52,8 +52,8 @@
 	Cancels *cancels.Log
 	// Nodes and Workers are how many there are.
 	Nodes, Workers int
-	// ReportEvery is the interval of workers' heartbeats.
-	ReportEvery time.Duration
+	// HeartbeatInterval is the interval of workers' heartbeats.
+	HeartbeatInterval time.Duration
 	// MaxCommands bounds the commands of one answer.
 	MaxCommands int
 }
@@ -91,9 +91,9 @@
 	return !knownUntil.IsZero() && now.Sub(knownUntil) < d.Bounds.MaxCancelAge
 }
 
-// Halts returns the commands that a node which may start nothing sends a worker with
+// StopCommands returns the commands that a node which may start nothing sends a worker with
 // the renewal of its lease: to stop the tasks that are known to be cancelled.
-func (d *Delegate) Halts(heartbeat *wire.Heartbeat) []wire.Command {
+func (d *Delegate) StopCommands(heartbeat *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
 	for i := range heartbeat.Tasks {
 		if len(stops) >= d.MaxCommands {
@@ -129,8 +129,8 @@
 	delegation := d.newestDelegation(view)
 	token := delegation.Token
 	newest := token > 0 && token == view.Token && seen <= token
-	recent := now.Sub(delegation.RequestedAt) < d.Bounds.Time
-	leaderLost := now.Sub(view.LeaderSeen) >= leaderLostAfter
+	recent := now.Sub(delegation.RequestedAt) < d.Bounds.MaxDelegationTime
+	leaderLost := now.Sub(view.LeaderSeenAt) >= leaderLostAfter
 	return token, newest && recent && leaderLost && d.MayRenew(now)
 }
 
@@ -153,7 +153,7 @@
 	if !ok {
 		return nil
 	}
-	return &wire.Commands{Token: token, Commands: d.Halts(heartbeat)}
+	return &wire.Commands{Token: token, Commands: d.StopCommands(heartbeat)}
 }
 
 // Returned reports whether a worker was redirected to the leader from here recently and
@@ -170,9 +170,9 @@
 	return ok && now.Sub(redirectedAt) < timeForAllNodes
 }
 
-// Lately reports whether this node renewed workers' leases as a delegate recently: those
+// RenewedRecently reports whether this node renewed workers' leases as a delegate recently: those
 // workers are not cut off from the leader that is back.
-func (d *Delegate) Lately() bool {
+func (d *Delegate) RenewedRecently() bool {
 	sinceRenewal := d.Mesh.SinceRenewal()
-	return sinceRenewal > 0 && sinceRenewal < 2*d.ReportEvery+2*peer.AckLifetime
+	return sinceRenewal > 0 && sinceRenewal < 2*d.HeartbeatInterval+2*peer.AckLifetime
 }
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -15,13 +15,13 @@
 // takes up all of that timeout there are no delegates.
 func TestDelegationTimeFitsCancelTimeout(t *testing.T) {
 	for _, workers := range []config.Workers{{Lease: 45, CancelTimeout: 70}, {Lease: 17.5, CancelTimeout: 42.5}, {Lease: 16, CancelTimeout: 41}} {
-		got := BoundsOf(workers).Time
+		got := BoundsOf(workers).MaxDelegationTime
 		longestLease := workers.Lease.Duration() * 1001 / 1000
 		if got < 10*time.Second || got+longestLease+2*time.Second > workers.CancelTimeout.Duration() {
 			t.Errorf("%+v: delegates for %v, want 10s or more that fit in the timeout with the lease", workers, got)
 		}
 	}
-	if got := BoundsOf(config.Workers{Lease: 45, CancelTimeout: 48}).Time; got != 0 {
+	if got := BoundsOf(config.Workers{Lease: 45, CancelTimeout: 48}).MaxDelegationTime; got != 0 {
 		t.Errorf("delegates for %v where a lease is all that the cancellation timeout leaves, want 0", got)
 	}
 }
@@ -30,7 +30,7 @@
 // treats a lease as expired.
 func TestDelegateAnswersUntil(t *testing.T) {
 	now := time.Now()
-	bounds := Bounds{Time: 20 * time.Second}
+	bounds := Bounds{MaxDelegationTime: 20 * time.Second}
 	ago := func(seconds float64) time.Time { return now.Add(-time.Duration(seconds * float64(time.Second))) }
 	never := time.Time{}
 	for _, c := range []struct {
@@ -39,17 +39,17 @@
 		storeBack time.Time
 		want      time.Time
 	}{
-		{"in contact, never a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5)}, never, never},
-		{"in contact, a delegate a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(12)}, never, ago(12)},
-		{"in contact, started a while ago", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(0.5), LastRenewal: ago(20), StartedBefore: ago(9)}, never, ago(9)},
-		{"in contact, perhaps still a delegate", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(15), LastRenewal: ago(1)}, never, ago(-5)},
-		{"lost after this leader's delegation", peer.Peer{AckSent: ago(10), AckToken: 50, DelegatedAt: ago(9)}, never, ago(-11)},
-		{"never heard in this term: an earlier leader's delegation", peer.Peer{AckSent: ago(90), AckToken: 40}, never, ago(40)},
-		{"restarted, acknowledges nothing yet", peer.Peer{AckSent: ago(1)}, never, ago(40)},
-		{"in contact, but the store is just back", peer.Peer{AckSent: ago(1), AckToken: 50, DelegatedAt: ago(7)}, ago(2), ago(-13)},
+		{"in contact, never a delegate", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(0.5)}, never, never},
+		{"in contact, a delegate a while ago", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(0.5), LastDelegatedRenewal: ago(12)}, never, ago(12)},
+		{"in contact, started a while ago", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(0.5), LastDelegatedRenewal: ago(20), LatestStart: ago(9)}, never, ago(9)},
+		{"in contact, perhaps still a delegate", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(15), LastDelegatedRenewal: ago(1)}, never, ago(-5)},
+		{"lost after this leader's delegation", peer.Peer{AckRequestedAt: ago(10), AckToken: 50, DelegationGrantedAt: ago(9)}, never, ago(-11)},
+		{"never heard in this term: an earlier leader's delegation", peer.Peer{AckRequestedAt: ago(90), AckToken: 40}, never, ago(40)},
+		{"restarted, acknowledges nothing yet", peer.Peer{AckRequestedAt: ago(1)}, never, ago(40)},
+		{"in contact, but the store is just back", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(7)}, ago(2), ago(-13)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			tenure := Tenure{Began: now.Add(-time.Minute), FirstToken: 50, StateBack: c.storeBack}
+			tenure := Tenure{StartedAt: now.Add(-time.Minute), FirstToken: 50, StoreAvailableSince: c.storeBack}
 			if got := bounds.AnswersUntil(tenure, c.node, now); !got.Equal(c.want) {
 				t.Errorf("%+v: %v, want %v", c.node, got.Sub(now), c.want.Sub(now))
 			}
@@ -98,12 +98,12 @@
 	log.RecordRead(now.Add(-s.cancelsKnown))
 	log.Add("req-7", 0)
 	mesh := &fakeMesh{view: peer.View{
-		Token:      s.newest,
-		LeaderSeen: now.Add(-s.leaderSeen),
-		Delegation: peer.Delegation{Token: s.delegated, RequestedAt: now.Add(-s.granted)},
+		Token:        s.newest,
+		LeaderSeenAt: now.Add(-s.leaderSeen),
+		Delegation:   peer.Delegation{Token: s.delegated, RequestedAt: now.Add(-s.granted)},
 	}}
 	d := New(Config{
-		Bounds:      Bounds{Time: 20 * time.Second, MaxCancelAge: 20 * time.Second},
+		Bounds:      Bounds{MaxDelegationTime: 20 * time.Second, MaxCancelAge: 20 * time.Second},
 		Mesh:        mesh,
 		Cancels:     log,
 		Nodes:       3,
@@ -215,8 +215,8 @@
 					mesh.RecordRenewal()
 					time.Sleep(c.since)
 				}
-				d := New(Config{Mesh: mesh, ReportEvery: 2 * time.Second})
-				if got := d.Lately(); got != c.want {
+				d := New(Config{Mesh: mesh, HeartbeatInterval: 2 * time.Second})
+				if got := d.RenewedRecently(); got != c.want {
 					t.Errorf("last renewal %v ago: %v, want %v", c.since, got, c.want)
 				}
 			})
--- a/internal/leader/demand/demand.go
+++ b/internal/leader/demand/demand.go
@@ -11,20 +11,20 @@
 	"lilaclead/internal/wire"
 )
 
-// Queued is a job that waits for capacity.
-type Queued struct {
+// QueuedJob is a job that waits for capacity.
+type QueuedJob struct {
 	ID     wire.JobID
 	Weight float64 // the heavier goes first
 	WorkS  float64 // processor seconds that it still needs
 }
 
-// WaitsS predicts how many seconds each job of the queue will wait for the capacity
+// PredictWaits predicts how many seconds each job of the queue will wait for the capacity
 // there is: the work that goes before it, and half of its own, over the processors that
 // work on the queue now or soon. Machines that are added shorten the wait, so that a
 // steady overload adds as many expensive machines as it needs and a short burst none.
 // It returns the waits by job, and in how many seconds all of the queue would be done.
-func WaitsS(queue []Queued, processors float64) (map[wire.JobID]float64, float64) {
-	slices.SortFunc(queue, func(a, b Queued) int {
+func PredictWaits(queue []QueuedJob, processors float64) (map[wire.JobID]float64, float64) {
+	slices.SortFunc(queue, func(a, b QueuedJob) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.ID, b.ID))
 	})
 	processors = max(1, processors)
--- a/internal/leader/demand/demand_test.go
+++ b/internal/leader/demand/demand_test.go
@@ -16,7 +16,7 @@
 		return config.Objective{Kind: "finished", Class: "batch", Within: seconds, Share: 0.8}
 	}
 	times := func(factor float64) config.Objective {
-		return config.Objective{Kind: "deadline", Class: "batch", Times: factor, Share: 0.95}
+		return config.Objective{Kind: "deadline", Class: "batch", DeadlineMultiple: factor, Share: 0.95}
 	}
 	otherClass := config.Objective{Kind: "finished", Class: "other", Within: 1}
 	otherKind := config.Objective{Kind: "started", Class: "batch", Within: 1}
@@ -40,7 +40,7 @@
 			if got := dueSeconds(c.work, c.objectives); got != c.want {
 				t.Errorf("%+v: due after %v s, want %v", c.work, got, c.want)
 			}
-			if got, want := SlackS(c.work, c.objectives), c.want-c.work.AgeS-c.work.ExpectedS; got != want {
+			if got, want := SlackSeconds(c.work, c.objectives), c.want-c.work.AgeS-c.work.ExpectedS; got != want {
 				t.Errorf("%+v: slack %v s, want %v", c.work, got, want)
 			}
 		})
@@ -76,8 +76,8 @@
 // A job's machines may cost more only if cheap ones come too late and expensive ones in
 // time; a job whose class may often be late must have waited long for that.
 func TestLateJobMayPayMore(t *testing.T) {
-	strict := []config.Objective{{Kind: "deadline", Class: "batch", Times: 1, Share: 0.95}}
-	lax := []config.Objective{{Kind: "deadline", Class: "batch", Times: 1, Share: 0.9}}
+	strict := []config.Objective{{Kind: "deadline", Class: "batch", DeadlineMultiple: 1, Share: 0.95}}
+	lax := []config.Objective{{Kind: "deadline", Class: "batch", DeadlineMultiple: 1, Share: 0.9}}
 	for name, c := range map[string]struct {
 		objectives      []config.Objective
 		age, wait, boot float64
@@ -88,8 +88,8 @@
 		"nothing is in time":                {strict, 900, 950, 30, 1},
 		"no machine fits":                   {strict, 0, 950, math.Inf(1), 1},
 		"it may be late":                    {lax, 0, 950, 30, 1},
-		"it has waited long":                {lax, StartWithinS / 2, 950, 30, LatePriceStretch},
-		"it has waited long and is in time": {lax, StartWithinS / 2, 100, 30, 1},
+		"it has waited long":                {lax, StartWithinSeconds / 2, 950, 30, LatePriceStretch},
+		"it has waited long and is in time": {lax, StartWithinSeconds / 2, 100, 30, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			work := Work{Class: "batch", DeadlineS: 1000, ExpectedS: 100, AgeS: c.age}
@@ -104,16 +104,16 @@
 func TestWaitsFollowWeightThenID(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		queue      []Queued
+		queue      []QueuedJob
 		processors float64
 		want       map[wire.JobID]float64
 		wantAll    float64
 	}{
-		{"three jobs", []Queued{{"c", 1, 40}, {"b", 2, 100}, {"a", 1, 20}}, 10, map[wire.JobID]float64{"b": 5, "a": 11, "c": 14}, 16},
-		{"no processors", []Queued{{"a", 1, 20}}, -5, map[wire.JobID]float64{"a": 10}, 20},
+		{"three jobs", []QueuedJob{{"c", 1, 40}, {"b", 2, 100}, {"a", 1, 20}}, 10, map[wire.JobID]float64{"b": 5, "a": 11, "c": 14}, 16},
+		{"no processors", []QueuedJob{{"a", 1, 20}}, -5, map[wire.JobID]float64{"a": 10}, 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			waits, all := WaitsS(c.queue, c.processors)
+			waits, all := PredictWaits(c.queue, c.processors)
 			if !maps.Equal(waits, c.want) {
 				t.Errorf("waits %v, want %v", waits, c.want)
 			}
--- a/internal/leader/demand/due.go
+++ b/internal/leader/demand/due.go
@@ -63,13 +63,13 @@
 	case kindFinished:
 		seconds = float64(objective.Within)
 	case kindDeadline:
-		seconds = w.DeadlineS * objective.Times
+		seconds = w.DeadlineS * objective.DeadlineMultiple
 	}
 	return seconds, seconds > 0
 }
 
-// SlackS returns how many seconds the job's waiting tasks may still wait.
-func SlackS(w Work, objectives []config.Objective) float64 {
+// SlackSeconds returns how many seconds the job's waiting tasks may still wait.
+func SlackSeconds(w Work, objectives []config.Objective) float64 {
 	return dueSeconds(w, objectives) - w.AgeS - w.ExpectedS
 }
 
--- a/internal/leader/demand/price.go
+++ b/internal/leader/demand/price.go
@@ -13,12 +13,12 @@
 	// wait for cheap machines first.
 	patientShare = 0.9
 
-	// StartWithinS is in how many seconds every job should have started, whatever else
+	// StartWithinSeconds is in how many seconds every job should have started, whatever else
 	// waits.
-	StartWithinS = 4 * 60
+	StartWithinSeconds = 4 * 60
 	// patienceSeconds is how long a patient job waits for cheap machines alone: the
 	// other half of the time is left for what gets it started.
-	patienceSeconds = StartWithinS / 2
+	patienceSeconds = StartWithinSeconds / 2
 )
 
 // PriceStretch returns how far beyond the price limit machines for the job may cost. It
--- a/internal/leader/demands_test.go
+++ b/internal/leader/demands_test.go
@@ -17,7 +17,7 @@
 func TestServiceSpreadsToZonesOutsideTheSettings(t *testing.T) {
 	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Zones = []wire.Zone{"b"}
-	tm.state.ZoneDetector.Heard("d", false, time.Now())
+	tm.state.ZoneDetector.RecordMessage("d", false, time.Now())
 	spec := wire.JobSpec{ID: "req-9", Team: "red", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 5, CPUs: 1, Spread: true}
 	tm.state.Jobs[spec.ID] = newJob(spec, 9)
 	if got, want := fmt.Sprint(tm.state.Zones()), "[b a c d]"; got != want {
--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -34,9 +34,9 @@
 type Evidence struct {
 	// KnownToken is the token that the machine had shown before.
 	KnownToken wire.FencingToken
-	// RenewedLately: the machine's lease can't have expired if it received the last
+	// RecentlyRenewed: the machine's lease can't have expired if it received the last
 	// answer.
-	RenewedLately bool
+	RecentlyRenewed bool
 	// MissesLaunch reports whether the heartbeat lacks a task that an earlier answer
 	// told the machine to start. It is called only if that matters.
 	MissesLaunch func() bool
@@ -52,16 +52,16 @@
 	Restored
 )
 
-// Answered records the answer to a heartbeat.
-func (p *Inbound) Answered(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
+// RecordAnswer records the answer to a heartbeat.
+func (p *Inbound) RecordAnswer(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
 	p.lastAnswer = answerMark{token, epoch, sequence}
 }
 
-// Reported compares a heartbeat with what the machine was told in the answer to an
+// ObserveHeartbeat compares a heartbeat with what the machine was told in the answer to an
 // earlier one.
-func (p *Inbound) Reported(heartbeat *wire.Heartbeat, evidence Evidence, now time.Time) Change {
+func (p *Inbound) ObserveHeartbeat(heartbeat *wire.Heartbeat, evidence Evidence, now time.Time) Change {
 	if heartbeat.Token > evidence.KnownToken && evidence.KnownToken > 0 {
-		return p.Received() // a new token has reached it
+		return p.RecordDelivery() // a new token has reached it
 	}
 	ignored := p.ignoredBy(heartbeat, evidence)
 	if ignored == 0 {
@@ -82,7 +82,7 @@
 	switch {
 	case last.sequence == 0:
 		return 0 // none was given yet
-	case heartbeat.Epoch > last.epoch && evidence.RenewedLately:
+	case heartbeat.Epoch > last.epoch && evidence.RecentlyRenewed:
 		return maxIgnoredAnswers // its lease expired although its heartbeats were answered
 	case heartbeat.Epoch != last.epoch || heartbeat.Sequence <= last.sequence:
 		return 0 // it was made before the answer
@@ -92,8 +92,8 @@
 	return 0
 }
 
-// Received records that a message from this node has reached the machine.
-func (p *Inbound) Received() Change {
+// RecordDelivery records that a message from this node has reached the machine.
+func (p *Inbound) RecordDelivery() Change {
 	change := Unchanged
 	if !p.Works() {
 		change = Restored
@@ -102,8 +102,8 @@
 	return change
 }
 
-// Unanswered records that a direct command was not answered.
-func (p *Inbound) Unanswered() { p.unansweredCommands++ }
+// RecordUnansweredCommand records that a direct command was not answered.
+func (p *Inbound) RecordUnansweredCommand() { p.unansweredCommands++ }
 
 // Works reports whether messages to the machine are taken to arrive.
 func (p *Inbound) Works() bool { return p.lostSince.IsZero() }
--- a/internal/leader/detector/inbound_test.go
+++ b/internal/leader/detector/inbound_test.go
@@ -67,15 +67,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var path Inbound
-			if got := path.Reported(heartbeat(1, 9, 0), missesLaunch, start); got != Unchanged {
+			if got := path.ObserveHeartbeat(heartbeat(1, 9, 0), missesLaunch, start); got != Unchanged {
 				t.Errorf("before any answer: change %d, want %d", got, Unchanged)
 			}
-			path.Answered(token, 1, 10)
+			path.RecordAnswer(token, 1, 10)
 			for i, s := range steps {
 				if s.commandUnanswered {
-					path.Unanswered()
+					path.RecordUnansweredCommand()
 				}
-				if got := path.Reported(s.heartbeat, s.evidence, start.Add(time.Duration(i)*time.Second)); got != s.want {
+				if got := path.ObserveHeartbeat(s.heartbeat, s.evidence, start.Add(time.Duration(i)*time.Second)); got != s.want {
 					t.Errorf("heartbeat %d, %+v: change %d, want %d", i, s.heartbeat, got, s.want)
 				}
 			}
@@ -94,13 +94,13 @@
 	}
 	missesLaunch := Evidence{token, true, func() bool { return true }}
 	var path Inbound
-	path.Answered(token, 1, 10)
-	path.Unanswered()
-	path.Reported(&wire.Heartbeat{Epoch: 1, Sequence: 11, Token: token}, missesLaunch, start)
+	path.RecordAnswer(token, 1, 10)
+	path.RecordUnansweredCommand()
+	path.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11, Token: token}, missesLaunch, start)
 	if got, want := verdictOn(&path), (verdict{false, true, time.Second}); got != want {
 		t.Errorf("lost: %+v, want %+v", got, want)
 	}
-	if first, second := path.Received(), path.Received(); first != Restored || second != Unchanged {
+	if first, second := path.RecordDelivery(), path.RecordDelivery(); first != Restored || second != Unchanged {
 		t.Errorf("received twice: changes %d, %d, want %d, %d", first, second, Restored, Unchanged)
 	}
 	if got, want := verdictOn(&path), (verdict{true, false, 0}); got != want {
--- a/internal/leader/detector/zones.go
+++ b/internal/leader/detector/zones.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// Heard records that a message came from a machine of a zone: a heartbeat, or the
+// RecordMessage records that a message came from a machine of a zone: a heartbeat, or the
 // answer to a command.
-func (z *Zones) Heard(zone wire.Zone, heartbeat bool, now time.Time) {
+func (z *Zones) RecordMessage(zone wire.Zone, heartbeat bool, now time.Time) {
 	if heartbeat {
 		z.heartbeats++
 	}
@@ -94,7 +94,7 @@
 	if !z.unresponsive(zone, counts, now) {
 		return false
 	}
-	begins := !z.LatelyPartitioned(zone, now)
+	begins := !z.RecentlyPartitioned(zone, now)
 	z.partitionedAt[zone] = now
 	return begins
 }
@@ -133,15 +133,15 @@
 	return ok && now.Sub(at) < partitionedFor
 }
 
-// LatelyPartitioned reports whether a zone seems partitioned, or did so recently: its
+// RecentlyPartitioned reports whether a zone seems partitioned, or did so recently: its
 // machines need a while to be heard again.
-func (z *Zones) LatelyPartitioned(zone wire.Zone, now time.Time) bool {
+func (z *Zones) RecentlyPartitioned(zone wire.Zone, now time.Time) bool {
 	at, ok := z.partitionedAt[zone]
 	return ok && now.Sub(at) < z.recoveryTime
 }
 
-// Behind reports whether a machine that was last seen at the given time has not been
+// UnseenSincePartition reports whether a machine that was last seen at the given time has not been
 // seen since its zone seemed partitioned.
-func (z *Zones) Behind(zone wire.Zone, seenAt, now time.Time) bool {
-	return z.LatelyPartitioned(zone, now) && seenAt.Before(z.partitionedAt[zone])
+func (z *Zones) UnseenSincePartition(zone wire.Zone, seenAt, now time.Time) bool {
+	return z.RecentlyPartitioned(zone, now) && seenAt.Before(z.partitionedAt[zone])
 }
--- a/internal/leader/detector/zones_test.go
+++ b/internal/leader/detector/zones_test.go
@@ -34,9 +34,9 @@
 		t.Run(name, func(t *testing.T) {
 			zones := NewZones(start, 2*time.Second)
 			lastHeard := start.Add(time.Minute)
-			zones.Heard("a", true, lastHeard)
+			zones.RecordMessage("a", true, lastHeard)
 			for range c.heartbeats {
-				zones.Heard("b", true, lastHeard)
+				zones.RecordMessage("b", true, lastHeard)
 			}
 			now := lastHeard.Add(c.after)
 			if got := zones.Judge("a", c.counts, now); got != c.want || zones.Partitioned("a", now) != c.want {
@@ -53,9 +53,9 @@
 // from the others.
 func TestAnswersToCommandsAreNoHeartbeats(t *testing.T) {
 	zones := NewZones(start, 2*time.Second)
-	zones.Heard("a", true, start)
+	zones.RecordMessage("a", true, start)
 	for range 100 {
-		zones.Heard("b", false, start)
+		zones.RecordMessage("b", false, start)
 	}
 	if zones.Judge("a", Counts{Up: 10, AllUp: 20}, start.Add(time.Minute)) {
 		t.Error("partitioned by answers to commands")
@@ -86,8 +86,8 @@
 		{"when its machines are due", 6 * time.Second, false, false},
 	} {
 		now := lastJudged.Add(c.after)
-		partitioned, recently := zones.Partitioned("a", now), zones.LatelyPartitioned("a", now)
-		behind, seenAgain := zones.Behind("a", start, now), !zones.Behind("a", lastJudged, now)
+		partitioned, recently := zones.Partitioned("a", now), zones.RecentlyPartitioned("a", now)
+		behind, seenAgain := zones.UnseenSincePartition("a", start, now), !zones.UnseenSincePartition("a", lastJudged, now)
 		if partitioned != c.wantNow || recently != c.wantRecentlySo || behind != c.wantRecentlySo || !seenAgain {
 			t.Errorf("%s, after %v: partitioned %v, recently %v, machine behind %v, one seen again %v, want %v, %v, %v, true",
 				c.name, c.after, partitioned, recently, behind, seenAgain, c.wantNow, c.wantRecentlySo, c.wantRecentlySo)
--- a/internal/leader/election/candidate.go
+++ b/internal/leader/election/candidate.go
@@ -80,7 +80,7 @@
 // key-value store allows few calls a second.
 func pollInterval(settings *config.Settings) time.Duration {
 	pollingNodes := float64(settings.Size - 1)
-	callsPerSecond := max(1, settings.State.Least().RPS)
+	callsPerSecond := max(1, settings.State.Strictest().RPS)
 	affordable := time.Duration(float64(time.Second) * callsPerPoll * pollingNodes / callsPerSecond)
 	return max(minPollInterval, min(maxPollInterval, affordable))
 }
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -16,20 +16,20 @@
 
 // withStore runs a test with a simulated key-value store and a function that starts a
 // process of a node.
-func withStore(t *testing.T, test func(ctx context.Context, state *simulator.State, newProcess func(node int) *Candidate)) {
+func withStore(t *testing.T, test func(ctx context.Context, state *simulator.KVStore, newProcess func(node int) *Candidate)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		network := simulator.NewNetwork(time.Millisecond)
-		state := simulator.NewState(12, 16)
-		stop, err := network.ServeState(state)
+		state := simulator.NewKVStore(12, 16)
+		stop, err := network.ServeKVStore(state)
 		if err != nil {
 			t.Fatal(err)
 		}
 		test(ctx, state, func(node int) *Candidate {
-			limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+			limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 			cfg := &config.Config{HostName: wire.NodeID(rune('a' + node)), Settings: config.Settings{Size: 3, State: limits}}
-			client := store.New(simulator.StateAddr, limits, 3, network.Host(simulator.NodeIP(node)))
+			client := store.New(simulator.KVStoreAddr, limits, 3, network.Host(simulator.NodeIP(node)))
 			return NewCandidate(cfg, client, slog.New(slog.DiscardHandler), func(context.Context, wire.FencingToken) {})
 		})
 		cancel()
@@ -40,14 +40,14 @@
 // renewInBackground renews a lease and sends what ended it.
 func renewInBackground(ctx context.Context, lease *Lease) <-chan error {
 	lost := make(chan error, 1)
-	go func() { lost <- lease.Keep(ctx, func(time.Time) {}) }()
+	go func() { lost <- lease.KeepAlive(ctx, func(time.Time) {}) }()
 	return lost
 }
 
 // pollSettings are the settings of a cluster of so many controllers whose key-value
 // store allows so many calls a second.
 func pollSettings(size int, rps float64) config.Settings {
-	return config.Settings{Size: size, State: config.State{RPS: rps}}
+	return config.Settings{Size: size, State: config.StoreLimits{RPS: rps}}
 }
 
 // A leader that can't renew stops deciding before its grant can end, also when the
@@ -63,14 +63,14 @@
 		{"answers just before the timeout", 900 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			withStore(t, func(ctx context.Context, state *simulator.State, newProcess func(int) *Candidate) {
+			withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
 				testSuccession(t, ctx, state, newProcess, c.delay)
 			})
 		})
 	}
 }
 
-func testSuccession(t *testing.T, ctx context.Context, state *simulator.State, newProcess func(int) *Candidate, delay time.Duration) {
+func testSuccession(t *testing.T, ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate, delay time.Duration) {
 	first := newProcess(0).Campaign(ctx)
 	lost := renewInBackground(ctx, first)
 	elected, other := make(chan *Lease, 1), newProcess(1)
@@ -105,7 +105,7 @@
 // A new process takes over the lease of its node's former one without waiting for the
 // grant to end. What the former process would still write fails.
 func TestNewProcessReplacesFormerOneOfItsNode(t *testing.T) {
-	withStore(t, func(ctx context.Context, _ *simulator.State, newProcess func(int) *Candidate) {
+	withStore(t, func(ctx context.Context, _ *simulator.KVStore, newProcess func(int) *Candidate) {
 		first := newProcess(0).Campaign(ctx)
 		renewInBackground(ctx, first)
 		startedAt := time.Now()
@@ -113,8 +113,8 @@
 		if took := time.Since(startedAt); took > 2*time.Second || second.Token() <= first.Token() {
 			t.Errorf("leads after %v with token %d after %d, want within 2s with a higher one", took, second.Token(), first.Token())
 		}
-		if _, err := first.RaiseToken(ctx, first.Token()); !errors.Is(err, ErrTaken) {
-			t.Errorf("the former process raises its token: %v, want %v", err, ErrTaken)
+		if _, err := first.RaiseToken(ctx, first.Token()); !errors.Is(err, ErrHeldByOther) {
+			t.Errorf("the former process raises its token: %v, want %v", err, ErrHeldByOther)
 		}
 	})
 }
@@ -122,7 +122,7 @@
 // A token is raised exactly once, whatever happens to the answers. A lease that is
 // no longer held can't be raised.
 func TestRaiseTokenIsIdempotent(t *testing.T) {
-	withStore(t, func(ctx context.Context, state *simulator.State, newProcess func(int) *Candidate) {
+	withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
 		lease := newProcess(0).Campaign(ctx)
 		old := lease.Token()
 		for name, injectFault := range map[string]func(){
@@ -146,8 +146,8 @@
 			t.Errorf("without a key: %v, want %v", err, ErrNoHolder)
 		}
 		state.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
-		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrTaken) {
-			t.Errorf("with another's key: %v, want %v", err, ErrTaken)
+		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrHeldByOther) {
+			t.Errorf("with another's key: %v, want %v", err, ErrHeldByOther)
 		}
 	})
 }
@@ -155,7 +155,7 @@
 // A node that resigns leaves the leadership to the others at once, and does not
 // take it back before the time that it named.
 func TestResignedNodeBacksOff(t *testing.T) {
-	withStore(t, func(ctx context.Context, state *simulator.State, newProcess func(int) *Candidate) {
+	withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
 		candidate := newProcess(0)
 		lease := candidate.Campaign(ctx)
 		lost := renewInBackground(ctx, lease)
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -14,12 +14,12 @@
 	ErrGrantExpired = duty.ErrGrantExpired
 	// ErrNoHolder reports that nobody holds the leadership.
 	ErrNoHolder = duty.ErrNoHolder
-	// ErrTaken reports that another process holds the leadership.
-	ErrTaken = duty.ErrHeldByOther
+	// ErrHeldByOther reports that another process holds the leadership.
+	ErrHeldByOther = duty.ErrHeldByOther
 )
 
-// Terms are the terms on which a lease was taken.
-type Terms = duty.Tenure
+// Tenure are the terms on which a lease was taken.
+type Tenure = duty.Tenure
 
 // Lease is the leadership as its holder knows it. It is safe for concurrent use.
 type Lease struct {
@@ -30,7 +30,7 @@
 }
 
 // NewLease returns a lease that was taken on these terms.
-func NewLease(c *Candidate, terms Terms) *Lease {
+func NewLease(c *Candidate, terms Tenure) *Lease {
 	if c == nil {
 		return &Lease{Lease: duty.NewLease(nil, terms)}
 	}
@@ -40,19 +40,19 @@
 // Deciding reports whether this node surely holds the leadership.
 func (l *Lease) Deciding() bool { return l.Held() }
 
-// Answering reports whether workers' heartbeats may be answered: while the lease surely
+// MayAnswerHeartbeats reports whether workers' heartbeats may be answered: while the lease surely
 // has not expired or, with the key-value store unavailable, while a majority of the
 // nodes acknowledged this node's token recently and peer.OutageLimit has not passed.
-func (l *Lease) Answering() bool {
-	return l.Deciding() || int64(time.Since(l.TakenAt())) < l.answersUntil.Load()
+func (l *Lease) MayAnswerHeartbeats() bool {
+	return l.Deciding() || int64(time.Since(l.AcquiredAt())) < l.answersUntil.Load()
 }
 
-// Acknowledged sets how long heartbeats may be answered without the key-value store:
+// RecordAcks sets how long heartbeats may be answered without the key-value store:
 // until the majority's acknowledgements of the token are too old, and no longer than
 // outageLimit allows. The age of the oldest acknowledgement of any other node counts
 // from when it was asked for.
-func (l *Lease) Acknowledged(majorityUntil, oldest time.Time, delegationTime time.Duration) {
-	until := min(majorityUntil.Sub(l.TakenAt()), l.outageLimit(oldest, delegationTime))
+func (l *Lease) RecordAcks(majorityUntil, oldest time.Time, delegationTime time.Duration) {
+	until := min(majorityUntil.Sub(l.AcquiredAt()), l.outageLimit(oldest, delegationTime))
 	l.answersUntil.Store(int64(until))
 }
 
@@ -67,13 +67,13 @@
 // since either. (Acknowledgements count from when they were asked for, not from when
 // they arrived: one that was delayed on its way says nothing about the present.)
 func (l *Lease) outageLimit(oldestAck time.Time, delegationTime time.Duration) time.Duration {
-	decidesUntil := l.HeldFor()
+	decidesUntil := l.ValidFor()
 	limit := decidesUntil + peer.OutageLimit - safetyMargin
 	if delegationTime == 0 {
 		return limit
 	}
 	lastRenewalSent := decidesUntil - safeTTL
 	withoutAcks := lastRenewalSent + delegationTime
-	withAcks := oldestAck.Add(2 * peer.AckLifetime).Sub(l.TakenAt())
+	withAcks := oldestAck.Add(2 * peer.AckLifetime).Sub(l.AcquiredAt())
 	return min(limit, max(withoutAcks, withAcks))
 }
--- a/internal/leader/election/lease_test.go
+++ b/internal/leader/election/lease_test.go
@@ -19,7 +19,7 @@
 	}
 	const delegationTime = 22 * time.Second
 	// The last successful renewal was sent 10 s into the term.
-	lease := NewLease(nil, Terms{TakenAt: takenAt, HeldUntil: at(10).Add(safeTTL)})
+	lease := NewLease(nil, Tenure{AcquiredAt: takenAt, ValidUntil: at(10).Add(safeTTL)})
 	for _, c := range []struct {
 		name         string
 		ackB, ackC   float64 // when the others' last acknowledgements were asked for
@@ -47,14 +47,14 @@
 func TestLeaseAnswersOnlyWhileMajorityAcknowledges(t *testing.T) {
 	now := time.Now()
 	takenAt := now.Add(-40 * time.Second)
-	lease := NewLease(nil, Terms{TakenAt: takenAt, HeldUntil: takenAt.Add(10*time.Second + safeTTL)})
-	lease.Acknowledged(now.Add(-time.Second), now, 0)
-	if lease.Answering() {
+	lease := NewLease(nil, Tenure{AcquiredAt: takenAt, ValidUntil: takenAt.Add(10*time.Second + safeTTL)})
+	lease.RecordAcks(now.Add(-time.Second), now, 0)
+	if lease.MayAnswerHeartbeats() {
 		t.Error("acknowledgements of the majority too old: answers, want not")
 	}
-	lease.Acknowledged(now.Add(time.Second), now, 0)
-	if !lease.Answering() || lease.Deciding() {
-		t.Errorf("acknowledged by a majority: answers %v, decides %v, want true, false", lease.Answering(), lease.Deciding())
+	lease.RecordAcks(now.Add(time.Second), now, 0)
+	if !lease.MayAnswerHeartbeats() || lease.Deciding() {
+		t.Errorf("acknowledged by a majority: answers %v, decides %v, want true, false", lease.MayAnswerHeartbeats(), lease.Deciding())
 	}
 }
 
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -35,7 +35,7 @@
 	case agents.ProbeAnswer:
 		t.onProbeAnswer(e)
 	case autoscaler.ScaleOutsRecorded:
-		t.scaler.OnScaleOutsRecorded(e.Fresh, e.Err)
+		t.scaler.OnScaleOutsRecorded(e.Requests, e.Err)
 	case autoscaler.ScaleOutAnswered:
 		t.scaler.OnScaleOutAnswered(e.Request, e.Machines, e.Err)
 	case autoscaler.ScaledIn:
--- a/internal/leader/first_heartbeats.go
+++ b/internal/leader/first_heartbeats.go
@@ -47,5 +47,5 @@
 // awaitsHeartbeat reports whether a machine that was not heard seems to be up.
 func (t *term) awaitsHeartbeat(m *cluster.Machine) bool {
 	listed := m.Addr != "" || !t.state.MachineListReceived
-	return listed && m.UnansweredProbes == 0
+	return listed && m.UnansweredCommands == 0
 }
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -29,7 +29,7 @@
 	j.Gang = &cluster.Gang{Number: gangAttempt, StartedAt: time.Now()}
 	for i := range tasks {
 		c := j.Chunk(i / j.TasksPerChunk)
-		c.Add(&cluster.Attempt{Job: j, Chunk: c, Index: i % j.TasksPerChunk, Number: gangAttempt, Machine: addHeardMachine(tm, i), DecidedAt: time.Now()})
+		c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Index: i % j.TasksPerChunk, Number: gangAttempt, Machine: addHeardMachine(tm, i), ScheduledAt: time.Now()})
 		c.NextAttempt = gangAttempt + 1
 	}
 	return tm, j
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -125,9 +125,9 @@
 	tm.state.Jobs[spec.ID] = arrayJob
 	n := &noticeTerm{term: tm, gang: j, reclaimed: member(j, 0).Machine}
 	n.array = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Number: 2, Machine: n.reclaimed, Observed: true}
-	n.array.Chunk.Add(n.array)
+	n.array.Chunk.AddAttempt(n.array)
 	n.pendingLaunch = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Index: 1, Number: 3, Machine: member(j, 1).Machine}
-	n.pendingLaunch.Chunk.Add(n.pendingLaunch)
+	n.pendingLaunch.Chunk.AddAttempt(n.pendingLaunch)
 	return n
 }
 
@@ -190,7 +190,7 @@
 				if n.checkMachine(time.Second); n.array.Stopping || member(n.gang, 0).Stopping {
 					t.Errorf("without a quorum: got array and gang stopping %v, %v, want false", n.array.Stopping, member(n.gang, 0).Stopping)
 				}
-				n.Lease.Acknowledged(time.Now().Add(time.Hour), time.Now(), 0)
+				n.Lease.RecordAcks(time.Now().Add(time.Hour), time.Now(), 0)
 			}
 			n.checkStopTimes(t)
 			reply := n.sendSecondHeartbeat()
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -64,7 +64,7 @@
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
 		w.Header().Set("Connection", "close")
-		wire.Answer(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
+		wire.WriteResponse(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
 		return
 	}
 	heartbeat, err := decodeHeartbeat(raw)
@@ -124,8 +124,8 @@
 
 // refuseUndecodable answers a request that holds no heartbeat, and logs its source.
 func (l *Leader) refuseUndecodable(w http.ResponseWriter, source string, err error) {
-	l.Undecodable.Note(source, err)
-	wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
+	l.Undecodable.LogOnce(source, err)
+	wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 }
 
 // answerHeartbeat passes a heartbeat to the loop and waits for its answer. relayed means
@@ -167,7 +167,7 @@
 	if leader == "" {
 		return l.answerWithoutLeader(heartbeat)
 	}
-	if !l.delegate.Lately() && l.Mesh.View().Peers[leader].Connected(now) {
+	if !l.delegate.RenewedRecently() && l.Mesh.View().Peers[leader].Connected(now) {
 		if commands := l.relayHeartbeat(ctx, leader, heartbeat); commands != nil {
 			return heartbeatAnswer{outcome: outcomeRelayed, commands: commands}
 		}
@@ -224,12 +224,12 @@
 	}
 	switch answer.outcome {
 	case outcomeAnswered, outcomeRelayed, outcomeDelegated:
-		wire.Answer(w, http.StatusOK, answer.commands)
+		wire.WriteResponse(w, http.StatusOK, answer.commands)
 	case outcomeRedirected:
-		wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: answer.leader})
+		wire.WriteResponse(w, http.StatusMisdirectedRequest, wire.Redirect{Leader: answer.leader})
 	case outcomeRedirectedHere:
-		wire.Answer(w, http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: l.Config.HostName})
+		wire.WriteResponse(w, http.StatusMisdirectedRequest, wire.Redirect{Leader: l.Config.HostName})
 	case outcomeRejected, outcomeUnavailable:
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, answer.reason, 1)
+		wire.WriteRetryableError(w, http.StatusServiceUnavailable, answer.reason, 1)
 	}
 }
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -51,7 +51,7 @@
 		{name: "no leader known", body: heartbeat, wantStatus: http.StatusServiceUnavailable, wantCounts: []string{"elsewhere"}},
 		{
 			name:  "another node leads",
-			setup: func(n *heartbeatNode) { n.candidate.Observed("c", time.Now()) },
+			setup: func(n *heartbeatNode) { n.candidate.RecordHolder("c", time.Now()) },
 			body:  heartbeat, wantStatus: http.StatusMisdirectedRequest, wantCounts: []string{"elsewhere"}, wantLeader: "c",
 		},
 		{
@@ -107,8 +107,8 @@
 				}
 				var redirect wire.Redirect
 				body, _ := io.ReadAll(w.Body)
-				if err := wire.Decode(body, &redirect); err != nil || redirect.ReportsTo != c.wantLeader {
-					t.Errorf("redirect: got %q (err %v), want %q", redirect.ReportsTo, err, c.wantLeader)
+				if err := wire.Decode(body, &redirect); err != nil || redirect.Leader != c.wantLeader {
+					t.Errorf("redirect: got %q (err %v), want %q", redirect.Leader, err, c.wantLeader)
 				}
 			})
 		})
@@ -132,7 +132,7 @@
 			want int
 		}{{2 * time.Second, 2}, {contactLifetime + 2*contactRecount, 0}} {
 			time.Sleep(c.wait)
-			if got := node.WorkersInContact(); got != c.want {
+			if got := node.ReachableWorkers(); got != c.want {
 				t.Errorf("agents in contact after another %v: got %d, want %d", c.wait, got, c.want)
 			}
 		}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -38,13 +38,13 @@
 // newLease returns a lease that was just acquired and that decides for the duration.
 func newLease(l *Leader, token wire.FencingToken, d time.Duration) *election.Lease {
 	now := time.Now()
-	return election.NewLease(l.candidate, election.Terms{Token: token, TakenAt: now, HeldUntil: now.Add(d)})
+	return election.NewLease(l.candidate, election.Tenure{Token: token, AcquiredAt: now, ValidUntil: now.Add(d)})
 }
 
 // setMesh replaces a term's view of its peers.
 func setMesh(tm *term, mesh *peer.Mesh) {
 	tm.leader.Mesh = mesh
-	tm.dispatcher.Agents.Mesh = mesh
+	tm.dispatcher.Client.Mesh = mesh
 	tm.monitor.Mesh = mesh
 	tm.committer.Mesh = mesh
 }
@@ -59,22 +59,22 @@
 // disconnect gives a term a cloud and agents that can't be reached.
 func disconnect(tm *term) {
 	host := simulator.NewNetwork(0).Host(localAddr)
-	tm.scaler.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, host)
-	tm.dispatcher.Agents.HTTP = &http.Client{Transport: host.Transport(2, 2)}
+	tm.scaler.Cloud = cloud.New("10.2.0.2:8443", config.CloudLimits{RPS: 6}, host)
+	tm.dispatcher.Client.HTTP = &http.Client{Transport: host.Transport(2, 2)}
 }
 
 // noMetrics returns metrics that record nothing.
 func noMetrics() core.Metrics {
 	return core.Metrics{
-		TaskMoved:  func(string) {},
-		StartDelay: func(string, float64) {},
-		Fleet:      func(string, int) {},
-		Machines:   func(map[string]int) {},
+		TaskInterrupted: func(string) {},
+		StartDelay:      func(string, float64) {},
+		FleetChange:     func(string, int) {},
+		Machines:        func(map[string]int) {},
 	}
 }
 
 // testDependencies returns the dependencies of a leader without I/O.
-func testDependencies(limits config.State) Dependencies {
+func testDependencies(limits config.StoreLimits) Dependencies {
 	settings := config.Settings{
 		Size:    3,
 		Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41},
@@ -94,7 +94,7 @@
 // on machine n-1. The machine has sent heartbeat 10 of epoch 1.
 func newTestTerm(tb testing.TB) (*term, *cluster.Machine, *cluster.Attempt) {
 	tb.Helper()
-	l := &Leader{Dependencies: testDependencies(config.State{ValueKB: 16})}
+	l := &Leader{Dependencies: testDependencies(config.StoreLimits{ValueKB: 16})}
 	l.delegationBounds.MaxCancelAge = delegation.BoundsOf(l.Config.Settings.Workers).MaxCancelAge
 	l.delegate = newDelegate(l.Dependencies, l.delegationBounds)
 	l.agents = &agents.Client{}
@@ -104,7 +104,7 @@
 	m := tm.state.GetOrAddMachine("n-1")
 	m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt = 1, 10, 50, time.Now()
 	a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 7, Machine: m}
-	a.Chunk.Add(a)
+	a.Chunk.AddAttempt(a)
 	return tm, m, a
 }
 
@@ -136,19 +136,19 @@
 // to a simulated key-value store. Its attempt has ended, and its job is stored as queued.
 // The test takes the place of the loop: runEvents writes what is due and handles events for
 // ten seconds.
-func withSimulatedStore(t *testing.T, test func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func())) {
+func withSimulatedStore(t *testing.T, test func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		tm, m, a := newTestTerm(t)
 		network := simulator.NewNetwork(time.Millisecond)
 		host := network.Host(localAddr)
-		st := simulator.NewState(12, 16)
-		stop, err := network.ServeState(st)
+		st := simulator.NewKVStore(12, 16)
+		stop, err := network.ServeKVStore(st)
 		if err != nil {
 			t.Fatal(err)
 		}
-		setStore(tm, store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, host))
+		setStore(tm, store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, host))
 		setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, host, tm.leader.Log))
 		go tm.leader.Mesh.Run(ctx)
 		tm.Begin(ctx)
@@ -166,10 +166,10 @@
 
 // becomeStoredLeader stores the term's node as the leader, under a token that the term
 // acts under from then on.
-func becomeStoredLeader(tm *term, st *simulator.State) {
+func becomeStoredLeader(tm *term, st *simulator.KVStore) {
 	l := tm.leader
 	l.candidate = election.NewCandidate(l.Config, l.Store, l.Log, l.Mesh.ObserveToken)
-	token := wire.FencingToken(st.Put(store.LeaderKey, l.candidate.Record()))
+	token := wire.FencingToken(st.Put(store.LeaderKey, l.candidate.LeaseRecord()))
 	tm.Fencing.Token, tm.state.FirstToken = token, token
 	tm.Lease = newLease(l, token, time.Hour)
 }
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -36,7 +36,7 @@
 // The machine types are stored only while this node leads, like everything that a leader
 // writes.
 func TestMachineSpecsAreStoredByTheLeaderOnly(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.State, _ func()) {
+	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, _ func()) {
 		specs := []wire.MachineSpec{{Name: "c4"}}
 		if ok, revision := tm.inventory.storeMachineSpecs(tm.Context(), specs), st.Revision(store.MachineSpecsKey); !ok || revision == 0 {
 			t.Errorf("while this node leads: got stored %v, revision %d, want true and a revision", ok, revision)
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -102,7 +102,7 @@
 	if requestedAt.Before(m.RequestedAt) {
 		m.RequestedAt = requestedAt
 	}
-	awaitsToken := m.Token < in.state.FirstToken && m.UnansweredProbes == 0 && !m.ScalingIn
+	awaitsToken := m.Token < in.state.FirstToken && m.UnansweredCommands == 0 && !m.ScalingIn
 	if listed.State == wire.ListedRunning && awaitsToken {
 		in.dispatcher.TokenAnnounced = false
 	}
--- a/internal/leader/inventory_test.go
+++ b/internal/leader/inventory_test.go
@@ -16,7 +16,7 @@
 		m := tm.state.GetOrAddMachine("n-2")
 		m.FirstHeartbeatAt, m.MachineType, m.Zone = time.Now(), "c8", "b"
 	}
-	probedInVain := func(tm *term) { tm.state.GetOrAddMachine("n-2").UnansweredProbes = 1 }
+	probedInVain := func(tm *term) { tm.state.GetOrAddMachine("n-2").UnansweredCommands = 1 }
 	removed := func(tm *term) { tm.state.RemovedMachines["n-2"] = time.Now() }
 	cases := []struct {
 		name       string
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -72,10 +72,10 @@
 
 	// RecordIntents records each request to the cloud before it is sent.
 	RecordIntents bool
-	// Sockets limits the concurrent connections to agents.
-	Sockets int
-	// Workers is the number of agents that one controller has sockets for.
-	Workers int
+	// MaxAgentConnections limits the concurrent connections to agents.
+	MaxAgentConnections int
+	// MaxAgents is the number of agents that one controller has sockets for.
+	MaxAgents int
 	// RequiredFDs returns the limit on file descriptors that so many agents need.
 	RequiredFDs func(workers int) int
 }
@@ -101,7 +101,7 @@
 		Dependencies:     d,
 		candidate:        newCandidate(d),
 		contacts:         newAgentContacts(),
-		agents:           agents.NewClient(d.Net, d.Mesh, d.Sockets),
+		agents:           agents.NewClient(d.Net, d.Mesh, d.MaxAgentConnections),
 		delegationBounds: bounds,
 		delegate:         newDelegate(d, bounds),
 	}
@@ -110,9 +110,9 @@
 func newCandidate(d Dependencies) *election.Candidate {
 	o := election.Options(d.Config, d.Store, d.Log, d.Mesh.ObserveToken)
 	o.Observe = d.Observe
-	o.Undecodable = d.Undecodable.Note
+	o.Undecodable = d.Undecodable.LogOnce
 	if d.Versions != nil {
-		o.Eligible = func() bool { return d.Versions.MayServe() == nil }
+		o.Eligible = func() bool { return d.Versions.CheckServe() == nil }
 	}
 	return election.New(o)
 }
@@ -120,12 +120,12 @@
 func newDelegate(d Dependencies, bounds delegation.Bounds) *delegation.Delegate {
 	settings := &d.Config.Settings
 	return delegation.New(delegation.Config{
-		Bounds:      bounds,
-		Mesh:        d.Mesh,
-		Cancels:     d.Cancels,
-		Nodes:       settings.Size,
-		Workers:     d.Workers,
-		ReportEvery: settings.Workers.HeartbeatInterval.Duration(),
-		MaxCommands: agents.MaxCommands,
+		Bounds:            bounds,
+		Mesh:              d.Mesh,
+		Cancels:           d.Cancels,
+		Nodes:             settings.Size,
+		Workers:           d.MaxAgents,
+		HeartbeatInterval: settings.Workers.HeartbeatInterval.Duration(),
+		MaxCommands:       agents.MaxCommands,
 	})
 }
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -9,7 +9,7 @@
 
 // keepLease renews the leader's lease and ends the term when it is lost.
 func (t *term) keepLease(ctx context.Context) {
-	if err := t.Lease.Keep(ctx, t.onLeaseRenewed); err != nil {
+	if err := t.Lease.KeepAlive(ctx, t.onLeaseRenewed); err != nil {
 		t.End(err.Error())
 	}
 }
@@ -45,7 +45,7 @@
 	if acked && t.state.QuorumAckedAt.IsZero() {
 		t.state.QuorumAckedAt = now
 	}
-	t.Lease.Acknowledged(until, t.oldestAck(view, now), t.state.Delegation.Time)
+	t.Lease.RecordAcks(until, t.oldestAck(view, now), t.state.Delegation.MaxDelegationTime)
 	return acked
 }
 
@@ -54,7 +54,7 @@
 func (t *term) oldestAck(view *peer.View, now time.Time) time.Time {
 	oldest := now
 	for _, node := range t.leader.Config.Peers {
-		if at := view.Peers[node.HostName].AckSent; at.Before(oldest) {
+		if at := view.Peers[node.HostName].AckRequestedAt; at.Before(oldest) {
 			oldest = at
 		}
 	}
--- a/internal/leader/leadership_test.go
+++ b/internal/leader/leadership_test.go
@@ -72,7 +72,7 @@
 	heard := func(m *cluster.Machine) { m.Token = 50 }
 	missing := func(m *cluster.Machine) { m.Token, m.Addr = 0, "10.1.0.1:9000" }
 	booting := func(m *cluster.Machine) { missing(m); m.Booting = true }
-	probedInVain := func(m *cluster.Machine) { missing(m); m.UnansweredProbes = 1 }
+	probedInVain := func(m *cluster.Machine) { missing(m); m.UnansweredCommands = 1 }
 	unlisted := func(m *cluster.Machine) { m.Token, m.Addr = 0, "" }
 	cases := []struct {
 		name         string
--- a/internal/leader/liveness/counts_test.go
+++ b/internal/leader/liveness/counts_test.go
@@ -25,9 +25,9 @@
 	f.addAttempt(service, 0, host)
 	f.addAttempt(service, 1, lostHost)
 	deaf := f.addMachine(0)
-	deaf.Inbound.Answered(testToken, 1, 10)
-	deaf.Inbound.Unanswered()
-	deaf.Inbound.Reported(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
+	deaf.Inbound.RecordAnswer(testToken, 1, 10)
+	deaf.Inbound.RecordUnansweredCommand()
+	deaf.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
 
 	want := &machineCounts{
 		up: 9, unresponsive: 4, lost: 3, relayed: 1, inboundLost: 1, outboundLost: 1,
--- a/internal/leader/liveness/delegates.go
+++ b/internal/leader/liveness/delegates.go
@@ -12,13 +12,13 @@
 // a heartbeat, or can have answered one, as a delegate of a leader.
 func (mo *Monitor) anyDelegateAnswersUntil(now time.Time) time.Time {
 	var latest time.Time
-	if mo.State.Delegation.Time == 0 {
+	if mo.State.Delegation.MaxDelegationTime == 0 {
 		return latest
 	}
 	tenure := delegation.Tenure{
-		Began:      mo.State.TermStartedAt,
-		FirstToken: mo.State.FirstToken,
-		StateBack:  mo.State.StoreAvailableSince,
+		StartedAt:           mo.State.TermStartedAt,
+		FirstToken:          mo.State.FirstToken,
+		StoreAvailableSince: mo.State.StoreAvailableSince,
 	}
 	view := mo.Mesh.View()
 	for _, node := range mo.Peers {
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -39,11 +39,11 @@
 	f := &fixture{now: time.Now()}
 	began := f.now.Add(-time.Minute)
 	metrics := &core.Metrics{
-		TaskMoved: func(reason string) { f.evicted = append(f.evicted, reason) },
-		Fleet:     func(string, int) {},
-		Machines:  func(map[string]int) {},
+		TaskInterrupted: func(reason string) { f.evicted = append(f.evicted, reason) },
+		FleetChange:     func(string, int) {},
+		Machines:        func(map[string]int) {},
 	}
-	lease := election.NewLease(nil, election.Terms{Token: testToken, TakenAt: began, HeldUntil: began.Add(time.Hour)})
+	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: began, ValidUntil: began.Add(time.Hour)})
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	loop := core.NewLoop(lease, log, metrics)
 	ended, end := context.WithCancel(t.Context())
@@ -55,7 +55,7 @@
 	})
 	settings := &config.Settings{
 		Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41, GangPeerTimeout: 8},
-		Cloud:   config.Cloud{ListLag: 10},
+		Cloud:   config.CloudLimits{ListLag: 10},
 	}
 	catalog := &cluster.MachineCatalog{}
 	catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, BootTime: 10}})
@@ -68,17 +68,17 @@
 		State:      state,
 		Mesh:       mesh,
 		Writer:     progress.NewWriter(state, func() float64 { return 0 }, log),
-		Dispatcher: &agents.Dispatcher{Loop: loop, State: state, Agents: &agents.Client{Mesh: mesh}},
-		Scaler:     autoscaler.NewScaler(loop, state, nil, scaling.New(testToken), autoscaler.Options{}),
+		Dispatcher: &agents.Dispatcher{Loop: loop, State: state, Client: &agents.Client{Mesh: mesh}},
+		Scaler:     autoscaler.NewScaler(loop, state, nil, scaling.NewTracker(testToken), autoscaler.Options{}),
 	}
 	return f
 }
 
 // loseStore lets the lease end, with heartbeats still answered or not.
 func (f *fixture) loseStore(answering bool) {
-	f.Lease = election.NewLease(nil, election.Terms{Token: testToken, TakenAt: f.now, HeldUntil: f.now.Add(-time.Millisecond)})
+	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: f.now, ValidUntil: f.now.Add(-time.Millisecond)})
 	if answering {
-		f.Lease.Acknowledged(f.now.Add(time.Hour), f.now, 0)
+		f.Lease.RecordAcks(f.now.Add(time.Hour), f.now, 0)
 	}
 }
 
@@ -112,7 +112,7 @@
 // addAttempt adds a running attempt of a job's task.
 func (f *fixture) addAttempt(job *cluster.Job, index int, machine *cluster.Machine) *cluster.Attempt {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: index, Number: 7, Machine: machine,
-		DecidedAt: f.now.Add(-time.Minute), LaunchSent: true, Observed: true}
-	attempt.Chunk.Add(attempt)
+		ScheduledAt: f.now.Add(-time.Minute), LaunchSent: true, Observed: true}
+	attempt.Chunk.AddAttempt(attempt)
 	return attempt
 }
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		mo.Log.Info("lease expired", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID)
-		mo.Metrics.TaskMoved(string(cluster.EvictedLeaseExpired))
+		mo.Metrics.TaskInterrupted(string(cluster.EvictedLeaseExpired))
 		mo.State.EndAttempt(attempt, cluster.TaskPending)
 	}
 }
@@ -71,9 +71,9 @@
 // what ran there once counted for all of peer.OutageLimit.)
 func (mo *Monitor) EarlierLeaderRepliesUntil() time.Time {
 	until := mo.State.TermStartedAt.Add(peer.OutageLimit)
-	if mo.State.Delegation.Time > 0 {
+	if mo.State.Delegation.MaxDelegationTime > 0 {
 		emptyAcksLast := emptyAckLifetimes*peer.AckLifetime + earlierLeaderMargin
-		until = mo.State.TermStartedAt.Add(max(mo.State.Delegation.Time, emptyAcksLast))
+		until = mo.State.TermStartedAt.Add(max(mo.State.Delegation.MaxDelegationTime, emptyAcksLast))
 	}
 	if mo.State.QuorumAckedAt.IsZero() {
 		return until
--- a/internal/leader/liveness/lease_expiry_test.go
+++ b/internal/leader/liveness/lease_expiry_test.go
@@ -37,7 +37,7 @@
 		}, 11*time.Second + peer.AckLifetime},
 		{"an earlier leader, no quorum, delegates", func(f *fixture, machine *cluster.Machine) {
 			machine.Token = testToken - 1
-			f.State.Delegation.Time = 22 * time.Second
+			f.State.Delegation.MaxDelegationTime = 22 * time.Second
 		}, 22 * time.Second},
 		{"an earlier leader, no quorum, no delegates", func(_ *fixture, machine *cluster.Machine) {
 			machine.Token = testToken - 1
@@ -111,7 +111,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.State.Delegation.Time = tc.delegation
+			f.State.Delegation.MaxDelegationTime = tc.delegation
 			if tc.acked > 0 {
 				f.State.QuorumAckedAt = f.State.TermStartedAt.Add(tc.acked)
 			}
--- a/internal/leader/liveness/machine_checks.go
+++ b/internal/leader/liveness/machine_checks.go
@@ -33,10 +33,10 @@
 // probeUnresponsive probes a machine whose heartbeat is overdue, but only once while it is
 // behind a partition.
 func (mo *Monitor) probeUnresponsive(machine *cluster.Machine, now time.Time) {
-	if machine.UnansweredProbes >= maxProbes || machine.CommandInFlight {
+	if machine.UnansweredCommands >= maxProbes || machine.CommandInFlight {
 		return
 	}
-	if machine.UnansweredProbes > 0 && mo.State.BehindPartition(machine, now) {
+	if machine.UnansweredCommands > 0 && mo.State.UnseenSincePartition(machine, now) {
 		return
 	}
 	mo.Dispatcher.Probe(machine)
--- a/internal/leader/liveness/monitor.go
+++ b/internal/leader/liveness/monitor.go
@@ -33,7 +33,7 @@
 func (mo *Monitor) CheckMachines(now time.Time) {
 	mo.forgetRemovedMachines(now)
 	counts := mo.CountMachines(now)
-	mo.Metrics.Machines(mo.State.MachineStateCounts())
+	mo.Metrics.Machines(mo.State.LifecycleCounts())
 	if node, ok := mo.betterConnectedPeer(counts, now); ok {
 		mo.Resign("workers reach " + string(node) + ", not this node")
 		return
@@ -76,7 +76,7 @@
 	}
 	mo.repeatStops(machine, now)
 	if !mo.Lease.Deciding() {
-		if mo.Lease.Answering() {
+		if mo.Lease.MayAnswerHeartbeats() {
 			mo.checkpointBeforeReclaim(machine, now)
 		}
 		return
--- a/internal/leader/liveness/partitions_test.go
+++ b/internal/leader/liveness/partitions_test.go
@@ -115,7 +115,7 @@
 		if got := f.anyDelegateAnswersUntil(f.now); !got.IsZero() {
 			t.Errorf("without delegation: until %v, want never", got)
 		}
-		f.State.Delegation.Time, f.State.TermStartedAt = 22*time.Second, f.now
+		f.State.Delegation.MaxDelegationTime, f.State.TermStartedAt = 22*time.Second, f.now
 		// The peer never acknowledged this term's token: an earlier leader may have made
 		// it its delegate.
 		if got, want := f.anyDelegateAnswersUntil(f.now), f.State.TermStartedAt.Add(22*time.Second); !got.Equal(want) {
--- a/internal/leader/liveness/paths_test.go
+++ b/internal/leader/liveness/paths_test.go
@@ -12,12 +12,12 @@
 // loseInbound makes the inbound path of a machine lost so long ago.
 func (f *fixture) loseInbound(machine *cluster.Machine, ago time.Duration, commandsFail bool) {
 	missesLaunch := detector.Evidence{MissesLaunch: func() bool { return true }}
-	machine.Inbound.Answered(0, 1, 8)
+	machine.Inbound.RecordAnswer(0, 1, 8)
 	if commandsFail {
-		machine.Inbound.Unanswered()
+		machine.Inbound.RecordUnansweredCommand()
 	}
 	for _, sequence := range []wire.Sequence{9, 10} {
-		machine.Inbound.Reported(&wire.Heartbeat{Epoch: 1, Sequence: sequence}, missesLaunch, f.now.Add(-ago))
+		machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: sequence}, missesLaunch, f.now.Add(-ago))
 	}
 }
 
--- a/internal/leader/liveness/replicas.go
+++ b/internal/leader/liveness/replicas.go
@@ -29,7 +29,7 @@
 func (mo *Monitor) leaseEnding(machine *cluster.Machine, now time.Time) bool {
 	renewed := machine.LastMessageAt
 	if cutOff := mo.zoneControllersLastContact(machine.Zone); !cutOff.IsZero() {
-		renewed = cluster.Latest(renewed, cutOff.Add(mo.State.Delegation.Time-mo.limits().maxHeartbeatGap()))
+		renewed = cluster.Latest(renewed, cutOff.Add(mo.State.Delegation.MaxDelegationTime-mo.limits().maxHeartbeatGap()))
 	} else if renewed.IsZero() {
 		renewed = mo.State.TermStartedAt
 	}
@@ -44,7 +44,7 @@
 func (mo *Monitor) replicasMovable(machine *cluster.Machine, now time.Time) bool {
 	for _, attempt := range machine.Tasks {
 		job := attempt.Job
-		if !job.Spec.Service() || job.Spec.Zone != "" {
+		if !job.Spec.IsService() || job.Spec.Zone != "" {
 			continue
 		}
 		if !job.Spec.Spread || mo.fitsOtherZones(job, machine.Zone, now) {
@@ -59,8 +59,8 @@
 func (mo *Monitor) fitsOtherZones(job *cluster.Job, from wire.Zone, now time.Time) bool {
 	active, capacity := job.ActiveByZone(), 0
 	for _, zone := range mo.State.Zones() {
-		if zone != from && !mo.State.LatelyPartitioned(zone, now) {
-			capacity += job.Spec.ZoneCap() - active[zone]
+		if zone != from && !mo.State.RecentlyPartitioned(zone, now) {
+			capacity += job.Spec.MaxTasksPerZone() - active[zone]
 		}
 	}
 	return capacity >= active[from]
--- a/internal/leader/liveness/spot_reclaim.go
+++ b/internal/leader/liveness/spot_reclaim.go
@@ -37,7 +37,7 @@
 // to be stopped to write its checkpoint.
 func (mo *Monitor) checkpointLeadTime(job *cluster.Job) time.Duration {
 	leadTime := job.Spec.CheckpointTime.Duration() + reclaimMargin
-	if job.Spec.Gang() {
+	if job.Spec.IsGang() {
 		leadTime += mo.State.Settings.Workers.GangPeerTimeout.Duration()
 	}
 	return leadTime
@@ -47,7 +47,7 @@
 // once, so that it is started elsewhere.
 func (mo *Monitor) stopReplicaBeforeReclaim(attempt *cluster.Attempt) {
 	reclaiming := !attempt.Machine.ReclaimAt.IsZero()
-	if reclaiming && attempt.Job.Spec.Service() && !attempt.Stopping {
+	if reclaiming && attempt.Job.Spec.IsService() && !attempt.Stopping {
 		mo.Dispatcher.Stop(attempt, 0, cluster.EvictedMachineReclaimed)
 	}
 }
--- a/internal/leader/liveness/tasks.go
+++ b/internal/leader/liveness/tasks.go
@@ -33,7 +33,7 @@
 func launchMustEnd(attempt *cluster.Attempt, now time.Time) bool {
 	mayArrive := attempt.LaunchUnanswered && !attempt.Observed
 	startUnwanted := attempt.Stopping || attempt.Machine.DrainReason != ""
-	return mayArrive && startUnwanted && now.Sub(attempt.DecidedAt) > unansweredLaunchWait
+	return mayArrive && startUnwanted && now.Sub(attempt.ScheduledAt) > unansweredLaunchWait
 }
 
 // scaleInUncancellable scales in machines on which a cancelled task goes on.
--- a/internal/leader/liveness/verdict.go
+++ b/internal/leader/liveness/verdict.go
@@ -75,7 +75,7 @@
 // probesFailed reports whether the machine has answered neither this node nor another one
 // for long enough.
 func (v *verdict) probesFailed() bool {
-	probed := v.machine.UnansweredProbes >= minFailedProbes && v.machine.RelayUnanswered
+	probed := v.machine.UnansweredCommands >= minFailedProbes && v.machine.RelayUnanswered
 	return probed && v.sinceMessage > v.lostAfter()
 }
 
@@ -83,7 +83,7 @@
 // A machine that an earlier leader used, that is in no list and sends nothing has no
 // address to probe; it is as lost as one that was probed.
 func (v *verdict) longOverdue() bool {
-	probed := v.machine.UnansweredProbes > 0 || v.machine.Addr == ""
+	probed := v.machine.UnansweredCommands > 0 || v.machine.Addr == ""
 	return probed && v.sinceMessage > v.limits.overdueAfter()
 }
 
@@ -109,7 +109,7 @@
 		return true
 	}
 	// When a partition is over the machines need a while to send heartbeats again.
-	return v.state.LatelyPartitioned(v.machine.Zone, v.now) && v.sinceMessage < v.limits.partitionOutlastedAfter()
+	return v.state.RecentlyPartitioned(v.machine.Zone, v.now) && v.sinceMessage < v.limits.partitionOutlastedAfter()
 }
 
 // unlisted reports whether the cloud's lists have lacked the machine for longer than they
--- a/internal/leader/liveness/verdict_test.go
+++ b/internal/leader/liveness/verdict_test.go
@@ -10,9 +10,9 @@
 
 func TestMachineLost(t *testing.T) {
 	probed := func(_ *fixture, machine *cluster.Machine) {
-		machine.UnansweredProbes, machine.RelayUnanswered = 2, true
+		machine.UnansweredCommands, machine.RelayUnanswered = 2, true
 	}
-	once := func(_ *fixture, machine *cluster.Machine) { machine.UnansweredProbes = 1 }
+	once := func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 1 }
 	isolated := machineCounts{up: 10, unresponsive: 6}
 	cases := []struct {
 		name         string
@@ -23,7 +23,7 @@
 	}{
 		{"two probes failed", 5600 * time.Millisecond, probed, machineCounts{}, true},
 		{"two probes failed early", 5500 * time.Millisecond, probed, machineCounts{}, false},
-		{"not probed through another node", 6 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredProbes = 2 }, machineCounts{}, false},
+		{"not probed through another node", 6 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 2 }, machineCounts{}, false},
 		{"one probe failed", 6 * time.Second, once, machineCounts{}, false},
 		{"one probe failed, long overdue", 8600 * time.Millisecond, once, machineCounts{}, true},
 		{"one probe failed, just not long overdue", 8500 * time.Millisecond, once, machineCounts{}, false},
@@ -57,7 +57,7 @@
 			machine := f.addMachine(tc.sinceMessage)
 			tc.setup(f, machine)
 			if got := f.verdictOn(machine, &tc.counts, f.now).lost(); got != tc.want {
-				t.Errorf("no message for %v, %d unanswered probes: lost %v, want %v", tc.sinceMessage, machine.UnansweredProbes, got, tc.want)
+				t.Errorf("no message for %v, %d unanswered probes: lost %v, want %v", tc.sinceMessage, machine.UnansweredCommands, got, tc.want)
 			}
 		})
 	}
@@ -72,12 +72,12 @@
 	}{
 		{"overdue", 3200 * time.Millisecond, func(*fixture, *cluster.Machine) {}, true},
 		{"not overdue", 3 * time.Second, func(*fixture, *cluster.Machine) {}, false},
-		{"overdue, three probes failed", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredProbes = 3 }, true},
-		{"overdue, four probes failed", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredProbes = 4 }, false},
+		{"overdue, three probes failed", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 3 }, true},
+		{"overdue, four probes failed", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 4 }, false},
 		{"overdue, no address", 4 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.Addr = "" }, false},
 		{"behind a partition", 4 * time.Second, func(f *fixture, _ *cluster.Machine) { f.partition("a") }, true},
 		{"behind a partition, a probe failed", 4 * time.Second, func(f *fixture, machine *cluster.Machine) {
-			machine.UnansweredProbes = 1
+			machine.UnansweredCommands = 1
 			f.partition("a")
 		}, false},
 	}
@@ -88,7 +88,7 @@
 			tc.setup(f, machine)
 			f.CheckMachine(machine, &machineCounts{up: 1}, f.now)
 			if machine.CommandInFlight != tc.want {
-				t.Errorf("no message for %v, %d unanswered probes: probed %v, want %v", tc.sinceMessage, machine.UnansweredProbes, machine.CommandInFlight, tc.want)
+				t.Errorf("no message for %v, %d unanswered probes: probed %v, want %v", tc.sinceMessage, machine.UnansweredCommands, machine.CommandInFlight, tc.want)
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 			attempt.Machine.DrainReason, attempt.Stopping = "", true
 		}, true},
 		{"still wanted", func(_ *fixture, attempt *cluster.Attempt) { attempt.Machine.DrainReason = "" }, false},
-		{"decided lately", func(f *fixture, attempt *cluster.Attempt) { attempt.DecidedAt = f.now.Add(-unansweredLaunchWait) }, false},
+		{"decided lately", func(f *fixture, attempt *cluster.Attempt) { attempt.ScheduledAt = f.now.Add(-unansweredLaunchWait) }, false},
 		{"observed", func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = true }, false},
 		{"answered", func(_ *fixture, attempt *cluster.Attempt) { attempt.LaunchUnanswered = false }, false},
 		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, false},
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tm := newSizedTerm(t, 300)
 		defer tm.End("the test is over")
-		partitioned := func(zone wire.Zone) bool { return tm.state.LatelyPartitioned(zone, time.Now()) }
+		partitioned := func(zone wire.Zone) bool { return tm.state.RecentlyPartitioned(zone, time.Now()) }
 		receiveHeartbeats(tm, 20*time.Second, noneUnresponsive)
 		time.Sleep(5 * time.Second) // this node receives nothing at all
 		receiveHeartbeats(tm, 20*time.Second, noneUnresponsive)
@@ -135,7 +135,7 @@
 			tm, _, _ := newTestTerm(t)
 			tm.leader.Config.Peers = []config.Peer{{HostName: "b"}, {HostName: "c"}}
 			tm.state.TermStartedAt = time.Now().Add(-40 * time.Second)
-			tm.state.Delegation.Time = c.delegation
+			tm.state.Delegation.MaxDelegationTime = c.delegation
 			if c.ackedAfter > 0 {
 				tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(c.ackedAfter)
 			}
@@ -156,7 +156,7 @@
 	tm.state.TermStartedAt = now.Add(-40 * time.Second)
 	ackAt := func(seconds float64) peer.Peer {
 		requestedAt := tm.state.TermStartedAt.Add(time.Duration(seconds * float64(time.Second)))
-		return peer.Peer{AckSent: requestedAt, LastContact: now}
+		return peer.Peer{AckRequestedAt: requestedAt, LastContact: now}
 	}
 	for _, c := range []struct{ b, c, want float64 }{{39.5, 39.5, 39.5}, {39.5, 20, 20}, {39.5, 33, 33}, {0, 0, 0}} {
 		t.Run(fmt.Sprintf("acknowledged at %g s and %g s", c.b, c.c), func(t *testing.T) {
@@ -218,7 +218,7 @@
 func receiveExceptFrom(tm *term, unresponsive map[*cluster.Machine]bool) {
 	for _, m := range tm.state.Machines {
 		if unresponsive[m] {
-			m.UnansweredProbes, m.RelayUnanswered = 2, true
+			m.UnansweredCommands, m.RelayUnanswered = 2, true
 		} else {
 			m.LastMessageAt = time.Now()
 		}
--- a/internal/leader/progress/batch_test.go
+++ b/internal/leader/progress/batch_test.go
@@ -13,7 +13,7 @@
 // stored.
 func newStoredJob(id wire.JobID, chunks int) *cluster.Job {
 	spec := wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: chunks, CPUs: 1}
-	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: 1}, 9)
+	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: 1}, 9)
 	for n := range j.Chunks {
 		c := j.Chunk(n)
 		c.TaskStates[0] = cluster.TaskDone
--- a/internal/leader/progress/committer.go
+++ b/internal/leader/progress/committer.go
@@ -90,7 +90,7 @@
 // process has written what only the leader writes.
 func (co *Committer) onConflict(b *batch, conflict *store.ConflictError) {
 	if conflict.Has(store.LeaderKey) {
-		co.End(election.ErrTaken.Error())
+		co.End(election.ErrHeldByOther.Error())
 		return
 	}
 	deleted := func(orphan wire.Guard) bool { return conflict.Has(orphan.Key) }
--- a/internal/leader/progress/reader.go
+++ b/internal/leader/progress/reader.go
@@ -100,7 +100,7 @@
 
 // quarantine quarantines a job with a record that can't be decoded.
 func (r *Reader) quarantine(key string, id wire.JobID, err error) {
-	r.undecodable.Note(key, err)
+	r.undecodable.LogOnce(key, err)
 	r.state.Quarantine(key, id)
 }
 
@@ -111,7 +111,7 @@
 	for _, active := range record.Active {
 		inChunk := active.Task >= 0 && active.Task < len(c.TaskStates)
 		if inChunk && c.TaskStates[active.Task] == cluster.TaskPending {
-			c.Add(r.inheritedAttempt(c, active))
+			c.AddAttempt(r.inheritedAttempt(c, active))
 		}
 	}
 }
@@ -131,12 +131,12 @@
 // inheritedAttempt returns an attempt that an earlier leader has stored and may have sent.
 func (r *Reader) inheritedAttempt(c *cluster.Chunk, active store.ActiveAttempt) *cluster.Attempt {
 	return &cluster.Attempt{
-		Job:       c.Job,
-		Chunk:     c,
-		Index:     active.Task,
-		Number:    active.Attempt,
-		Machine:   r.state.GetOrAddMachine(active.Machine),
-		Inherited: true,
-		DecidedAt: r.state.TermStartedAt,
+		Job:         c.Job,
+		Chunk:       c,
+		Index:       active.Task,
+		Number:      active.Attempt,
+		Machine:     r.state.GetOrAddMachine(active.Machine),
+		Inherited:   true,
+		ScheduledAt: r.state.TermStartedAt,
 	}
 }
--- a/internal/leader/progress/rejected.go
+++ b/internal/leader/progress/rejected.go
@@ -36,7 +36,7 @@
 // one.
 func (w *Writer) showsLoweredLimit(b *batch) bool {
 	former := valueBytes(w.limits().ValueKB)
-	next := valueBytes(w.limits().Least().ValueKB)
+	next := valueBytes(w.limits().Strictest().ValueKB)
 	betweenLimits := next < b.largestValue && b.largestValue <= former
 	return len(b.chunks) == 1 && !w.ValueLimitLowered && betweenLimits
 }
--- a/internal/leader/progress/selection.go
+++ b/internal/leader/progress/selection.go
@@ -14,7 +14,7 @@
 // Final states and launches go first, then routine writes at their own pace, then the
 // deletion of orphans.
 func (w *Writer) nextBatch(token wire.FencingToken, now time.Time) *batch {
-	b := newBatch(token, w.limits().Least().TxnOps, w.singleRecordTxns > 0)
+	b := newBatch(token, w.limits().Strictest().TxnOps, w.singleRecordTxns > 0)
 	w.addFinishedJobs(b, now)
 	w.SplitOversizedChunks()
 	launches, routine := w.dueChunks(now)
@@ -103,7 +103,7 @@
 func (w *Writer) recordWithinLimit(c *cluster.Chunk, now time.Time) store.ChunkRecord {
 	limit := w.ValueLimit()
 	record := c.Record()
-	for record.JSONSize() > limit && w.state.WithdrawUnstoredStart(c, now) {
+	for record.JSONSize() > limit && w.state.WithdrawUnstoredAttempt(c, now) {
 		record = c.Record()
 	}
 	return record
--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -11,7 +11,7 @@
 // ValueLimit returns the size in bytes that a value may have.
 func (w *Writer) ValueLimit() int {
 	if w.ValueLimitLowered {
-		return valueBytes(w.limits().Least().ValueKB)
+		return valueBytes(w.limits().Strictest().ValueKB)
 	}
 	return valueBytes(w.limits().ValueKB)
 }
@@ -23,7 +23,7 @@
 		return
 	}
 	limit := w.ValueLimit()
-	maxTasks := store.ChunkTasksFor(w.limits().Least().ValueKB)
+	maxTasks := store.ChunkTasksFor(w.limits().Strictest().ValueKB)
 	for c := range w.state.Unsaved.Chunks {
 		if !canSplit(c.Job, maxTasks) {
 			continue
--- a/internal/leader/progress/writer.go
+++ b/internal/leader/progress/writer.go
@@ -69,7 +69,7 @@
 }
 
 // limits returns the limits of the key-value store.
-func (w *Writer) limits() *config.State { return &w.state.Settings.State }
+func (w *Writer) limits() *config.StoreLimits { return &w.state.Settings.State }
 
 // AddOrphan adds a record that is left over and can be deleted.
 func (w *Writer) AddOrphan(g wire.Guard) { w.Orphans = append(w.Orphans, g) }
--- a/internal/leader/progress/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -19,7 +19,7 @@
 
 // newTestWriter returns a writer whose rate limit allows so many changes.
 func newTestWriter(maxOps, remainingWrites int) *Writer {
-	settings := &config.Settings{State: config.State{ValueKB: 16, TxnOps: maxOps}}
+	settings := &config.Settings{State: config.StoreLimits{ValueKB: 16, TxnOps: maxOps}}
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, time.Now(), testToken)
 	return NewWriter(state, func() float64 { return float64(remainingWrites) }, slog.New(slog.DiscardHandler))
 }
@@ -43,7 +43,7 @@
 	j := newTestJob(id, priority, 1)
 	c := j.Chunk(0)
 	m := &cluster.Machine{ID: "n-1", Tasks: map[wire.Task]*cluster.Attempt{}}
-	c.Add(&cluster.Attempt{Job: j, Chunk: c, Machine: m, Unstored: true})
+	c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Machine: m, Unstored: true})
 	c.UnstoredAttempts, j.UnstoredAttempts = 1, 1
 	w.state.Unsaved.MarkDirty(c)
 	return c
@@ -199,7 +199,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := newTestWriter(12, 100)
-			w.state.Settings.State.Next = &config.NextState{ValueKB: 2, TxnOps: 4}
+			w.state.Settings.State.Next = &config.NextStoreLimits{ValueKB: 2, TxnOps: 4}
 			w.ValueLimitLowered = c.lowered
 			b := newBatch(testToken, 12, false)
 			b.largestValue = c.largestValue
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -23,8 +23,8 @@
 func TestMachineThatReceivesNothingIsDetected(t *testing.T) {
 	launch := func(tm *term, m *cluster.Machine) {
 		j := tm.state.Jobs["req-1"]
-		a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 8, Machine: m, DecidedAt: time.Now()}
-		a.Chunk.Add(a)
+		a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 8, Machine: m, ScheduledAt: time.Now()}
+		a.Chunk.AddAttempt(a)
 	}
 	nothing := func(*term, *cluster.Machine) {}
 	launched := wire.TaskState{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
@@ -52,7 +52,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
+			withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.KVStore, _ func()) {
 				disconnect(tm)
 				c.setup(tm, m)
 				for _, heartbeat := range c.heartbeats(tm.Fencing.Token) {
@@ -79,7 +79,7 @@
 // A heartbeat that is older than the last one is a late copy, unless it crossed a newer
 // message just now: it renews nothing and proves nothing.
 func TestOlderHeartbeatRenewsNothing(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
+	withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.KVStore, _ func()) {
 		disconnect(tm)
 		token := tm.Fencing.Token
 		sendHeartbeat(tm, heartbeatFrom(1, 20, token))
@@ -106,7 +106,7 @@
 }
 
 func TestHeartbeatOfRemovedMachineIsRejected(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, _ *simulator.State, _ func()) {
+	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, _ *simulator.KVStore, _ func()) {
 		tm.state.RemovedMachines["n-9"] = time.Now()
 		removed := heartbeatFrom(9, 9, tm.Fencing.Token)
 		removed.Machine = "n-9"
@@ -117,7 +117,7 @@
 }
 
 func TestNewestHeartbeatIsKeptDuringRecovery(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, _ *simulator.State, _ func()) {
+	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, _ *simulator.KVStore, _ func()) {
 		tm.state.Recovered = false
 		tm.reconciler.EarlyHeartbeats = map[wire.MachineID]wire.Heartbeat{}
 		sendHeartbeat(tm, heartbeatFrom(2, 5, tm.Fencing.Token))
@@ -149,13 +149,13 @@
 // for those with replicas, which are scaled in shortly before their leases would expire. A
 // machine that is unresponsive alone is scaled in at once.
 func TestMachinesOfPartitionedZoneAreKept(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
+	withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.KVStore, _ func()) {
 		disconnect(tm)
 		m.Zone = "b"
 		zoneA, zoneB := addZones(tm)
 		withReplica, unresponsiveAlone := zoneA[0], zoneB[0]
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
-		j.Chunk(0).Add(&cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 1, Machine: withReplica, Observed: true})
+		j.Chunk(0).AddAttempt(&cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 1, Machine: withReplica, Observed: true})
 		unresponsive := map[*cluster.Machine]bool{unresponsiveAlone: true}
 		for _, m := range zoneA {
 			unresponsive[m] = true
@@ -230,7 +230,7 @@
 		network.Cut(simulator.NodeIP(0), simulator.NodeIP(1), true)
 		time.Sleep(6 * time.Second)
 		mustFollow("6 s after the links were cut", "")
-		l.candidate.Observed("c", time.Now())
+		l.candidate.RecordHolder("c", time.Now())
 		mustFollow("by the key-value store", "c")
 		time.Sleep(3 * time.Second)
 		mustFollow("3 s after the key-value store was read", "")
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -35,14 +35,14 @@
 		return Reply{Rejected: errCancelPending}
 	}
 	machine.LastReplyAt = now
-	machine.Inbound.Answered(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
+	machine.Inbound.RecordAnswer(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
 	return Reply{Commands: rc.commandsFor(machine, heartbeat, now)}
 }
 
 // checkAnswerable returns why a heartbeat must not be answered, whatever it says; nil if
 // it may be.
 func (rc *Reconciler) checkAnswerable(heartbeat *wire.Heartbeat, now time.Time) error {
-	if !rc.Lease.Answering() {
+	if !rc.Lease.MayAnswerHeartbeats() {
 		return errNotLeading
 	}
 	if !rc.delegate.MayRenew(now) {
@@ -62,7 +62,7 @@
 	if rc.Lease.Deciding() {
 		answer.Commands = rc.dispatcher.CommandsFor(machine, heartbeat, now)
 	} else {
-		answer.Commands = rc.dispatcher.StopCommands(machine, rc.delegate.Halts(heartbeat), now)
+		answer.Commands = rc.dispatcher.StopCommands(machine, rc.delegate.StopCommands(heartbeat), now)
 	}
 	return answer
 }
@@ -70,7 +70,7 @@
 // cancelledStops returns an answer with no commands but the stops of tasks whose jobs are
 // known to be cancelled.
 func (rc *Reconciler) cancelledStops(heartbeat *wire.Heartbeat) *wire.Commands {
-	return &wire.Commands{Token: rc.Fencing.Token, Commands: rc.delegate.Halts(heartbeat)}
+	return &wire.Commands{Token: rc.Fencing.Token, Commands: rc.delegate.StopCommands(heartbeat)}
 }
 
 // keepEarlyHeartbeat keeps the newest heartbeat of a machine until the records are read.
--- a/internal/leader/reconcile/answer_test.go
+++ b/internal/leader/reconcile/answer_test.go
@@ -15,9 +15,9 @@
 // loseStore lets the lease end, with heartbeats still answered or not.
 func (f *fixture) loseStore(answering bool) {
 	now := time.Now()
-	f.Lease = election.NewLease(nil, election.Terms{Token: testToken, TakenAt: now, HeldUntil: now.Add(-time.Millisecond)})
+	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
 	if answering {
-		f.Lease.Acknowledged(now.Add(time.Hour), now, 0)
+		f.Lease.RecordAcks(now.Add(time.Hour), now, 0)
 	}
 }
 
--- a/internal/leader/reconcile/command_answers.go
+++ b/internal/leader/reconcile/command_answers.go
@@ -59,7 +59,7 @@
 		recordUnanswered(machine)
 		rc.onCommandLost(&answer)
 	}
-	if machine.UnansweredProbes == 0 {
+	if machine.UnansweredCommands == 0 {
 		rc.dispatcher.Dispatch(machine)
 	}
 }
@@ -79,11 +79,11 @@
 
 // recordUnanswered records that a command was not answered.
 func recordUnanswered(machine *cluster.Machine) {
-	machine.UnansweredProbes++
+	machine.UnansweredCommands++
 	// A machine that does not answer commands either is unresponsive, which the liveness
 	// monitor handles.
 	machine.HeartbeatsMissingSince = time.Time{}
-	machine.Inbound.Unanswered()
+	machine.Inbound.RecordUnansweredCommand()
 }
 
 // onCommandNotSent lets the launches of a command that never left be sent in the answer to
--- a/internal/leader/reconcile/command_answers_test.go
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -65,8 +65,8 @@
 				t.Errorf("unanswered launch %+v, want %+v", f.machine.UnansweredLaunch, wantLaunch)
 			}
 			answered := tc.want == commandAnswered
-			if got := f.machine.UnansweredProbes == 0; got != answered || f.attempt.Observed != answered {
-				t.Errorf("%d unanswered probes, attempt observed %v; want answered %v", f.machine.UnansweredProbes, f.attempt.Observed, answered)
+			if got := f.machine.UnansweredCommands == 0; got != answered || f.attempt.Observed != answered {
+				t.Errorf("%d unanswered probes, attempt observed %v; want answered %v", f.machine.UnansweredCommands, f.attempt.Observed, answered)
 			}
 			if got := !f.machine.HeartbeatsMissingSince.IsZero(); got != answered {
 				t.Errorf("only answers direct commands: %v, want %v", got, answered)
--- a/internal/leader/reconcile/drain.go
+++ b/internal/leader/reconcile/drain.go
@@ -47,7 +47,7 @@
 	}
 	machine.DrainReason = reason
 	d.Log.Info("drain started", "machine", machine.ID, "reason", reason, "tasks", len(machine.Tasks))
-	d.Metrics.Fleet("drained", 1)
+	d.Metrics.FleetChange("drained", 1)
 	for _, attempt := range machine.Tasks {
 		neverSent := !attempt.LaunchSent && !attempt.Inherited
 		switch {
@@ -65,5 +65,5 @@
 // them end by themselves: all on a faulty machine, and on a slow one the replicas of
 // services, which would never end.
 func stopsTask(reason cluster.DrainReason, job *cluster.Job) bool {
-	return reason == cluster.DrainFaulty || reason == cluster.DrainSlow && job.Spec.Service()
+	return reason == cluster.DrainFaulty || reason == cluster.DrainSlow && job.Spec.IsService()
 }
--- a/internal/leader/reconcile/exits.go
+++ b/internal/leader/reconcile/exits.go
@@ -31,14 +31,14 @@
 // its machine, which both have shown to work.
 func (rc *Reconciler) onTaskDone(attempt *cluster.Attempt, now time.Time) {
 	machine, job := attempt.Machine, attempt.Job
-	if !attempt.RunningSince.IsZero() && !job.Spec.Gang() { // a gang runs at the speed of its slowest machine
+	if !attempt.RunningSince.IsZero() && !job.Spec.IsGang() { // a gang runs at the speed of its slowest machine
 		rc.failures.recordRunTime(attempt, now)
 	}
 	job.Succeeded, job.Failures = true, 0
 	clear(job.FailedMachines)
 	clear(machine.FailedJobs)
 	machine.Failures = 0
-	if job.Spec.Gang() {
+	if job.Spec.IsGang() {
 		rc.state.CompleteGang(job)
 		return
 	}
--- a/internal/leader/reconcile/exits_test.go
+++ b/internal/leader/reconcile/exits_test.go
@@ -100,7 +100,7 @@
 		{"stopped while running", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseStopped), true},
 		{"gang incomplete while fetching", wire.PhaseFetching, shown(wire.PhaseExited, wire.CauseGangIncomplete), false},
 		{"gang broken while running", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseGangBroken), true},
-		{"saving since it is stopped", wire.PhaseRunning, shown(wire.PhaseSaving, wire.CauseStopped), true},
+		{"saving since it is stopped", wire.PhaseRunning, shown(wire.PhaseCheckpointing, wire.CauseStopped), true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/reconcile/fixture_test.go
+++ b/internal/leader/reconcile/fixture_test.go
@@ -47,12 +47,12 @@
 	f := &fixture{cancels: cancels.New(nil, time.Minute)}
 	f.cancels.RecordRead(now)
 	metrics := &core.Metrics{
-		TaskMoved:  func(reason string) { f.evicted = append(f.evicted, reason) },
-		Command:    func(outcome string) { f.outcomes = append(f.outcomes, outcome) },
-		Fleet:      func(_ string, machines int) { f.drained += machines },
-		StartDelay: func(string, float64) {},
+		TaskInterrupted: func(reason string) { f.evicted = append(f.evicted, reason) },
+		Command:         func(outcome string) { f.outcomes = append(f.outcomes, outcome) },
+		FleetChange:     func(_ string, machines int) { f.drained += machines },
+		StartDelay:      func(string, float64) {},
 	}
-	lease := election.NewLease(nil, election.Terms{Token: testToken, TakenAt: now, HeldUntil: now.Add(time.Hour)})
+	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	loop := core.NewLoop(lease, log, metrics)
 	ended, end := context.WithCancel(t.Context())
@@ -66,8 +66,8 @@
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, now, testToken)
 	state.Recovered = true
 	state.Delegation.MaxCancelAge = maxCancelAge
-	dispatcher := &agents.Dispatcher{Loop: loop, State: state, Agents: &agents.Client{}}
-	scaler := autoscaler.NewScaler(loop, state, nil, scaling.New(testToken), autoscaler.Options{})
+	dispatcher := &agents.Dispatcher{Loop: loop, State: state, Client: &agents.Client{}}
+	scaler := autoscaler.NewScaler(loop, state, nil, scaling.NewTracker(testToken), autoscaler.Options{})
 	delegate := delegation.New(delegation.Config{Bounds: state.Delegation, Cancels: f.cancels, MaxCommands: agents.MaxCommands})
 	f.Reconciler = NewReconciler(loop, state, delegate, dispatcher, scaler)
 	f.machine = f.addMachine("n-1")
@@ -94,7 +94,7 @@
 
 func (f *fixture) addAttempt(job *cluster.Job, index int, machine *cluster.Machine) *cluster.Attempt {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: index, Number: testAttempt, Machine: machine}
-	attempt.Chunk.Add(attempt)
+	attempt.Chunk.AddAttempt(attempt)
 	return attempt
 }
 
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -14,7 +14,7 @@
 	if !heartbeat.Newer(machine.Epoch, machine.Sequence) || machine.Restarted {
 		return false
 	}
-	rc.state.ZoneDetector.Heard(heartbeat.Zone, sentByAgent, now)
+	rc.state.ZoneDetector.RecordMessage(heartbeat.Zone, sentByAgent, now)
 	if machine.FirstHeartbeatAt.IsZero() {
 		machine.FirstHeartbeatAt = now
 		rc.onMachineJoined(machine, now)
@@ -65,7 +65,7 @@
 	machine.Addr, machine.MachineType = heartbeat.Addr, heartbeat.Type
 	machine.Zone, machine.Spot = heartbeat.Zone, heartbeat.Spot
 	machine.Epoch, machine.Sequence = heartbeat.Epoch, heartbeat.Sequence
-	machine.LastMessageAt, machine.Booting, machine.UnansweredProbes = now, false, 0
+	machine.LastMessageAt, machine.Booting, machine.UnansweredCommands = now, false, 0
 	if machine.Token < rc.state.FirstToken && heartbeat.Token >= rc.state.FirstToken {
 		machine.TokenSeenAt = now
 	}
--- a/internal/leader/reconcile/heartbeat_test.go
+++ b/internal/leader/reconcile/heartbeat_test.go
@@ -9,7 +9,7 @@
 
 func TestHeartbeatUpdatesTheMachine(t *testing.T) {
 	f := newFixture(t)
-	f.machine.Token, f.machine.Booting, f.machine.UnansweredProbes = testToken-1, true, 2
+	f.machine.Token, f.machine.Booting, f.machine.UnansweredCommands = testToken-1, true, 2
 	f.machine.FirstHeartbeatAt, f.machine.LastMessageAt = time.Time{}, time.Time{}
 	now := time.Now()
 	sent := heartbeat(2, 1, testToken, shown(wire.PhaseRunning, ""))
@@ -23,8 +23,8 @@
 	if m.Epoch != 2 || m.Sequence != 1 || m.Token != testToken {
 		t.Errorf("epoch %d, sequence %d, token %d; want 2, 1, %d", m.Epoch, m.Sequence, m.Token, testToken)
 	}
-	if m.Booting || m.UnansweredProbes != 0 {
-		t.Errorf("booting %v with %d unanswered probes, want neither", m.Booting, m.UnansweredProbes)
+	if m.Booting || m.UnansweredCommands != 0 {
+		t.Errorf("booting %v with %d unanswered probes, want neither", m.Booting, m.UnansweredCommands)
 	}
 	for name, got := range map[string]time.Time{
 		"last message": m.LastMessageAt, "first heartbeat": m.FirstHeartbeatAt, "begin of the epoch": m.EpochSince,
@@ -67,7 +67,7 @@
 			f := newFixture(t)
 			now := time.Now()
 			f.machine.LastReplyAt = now.Add(-tc.sinceReply)
-			f.machine.Inbound.Answered(testToken, 1, 10)
+			f.machine.Inbound.RecordAnswer(testToken, 1, 10)
 			f.checkInbound(f.machine, heartbeat(2, 1, testToken), now)
 			if got := f.machine.Inbound.Works(); got != tc.wantWorks {
 				t.Errorf("new epoch %v after a renewal: inbound path works %v, want %v", tc.sinceReply, got, tc.wantWorks)
--- a/internal/leader/reconcile/inbound.go
+++ b/internal/leader/reconcile/inbound.go
@@ -12,16 +12,16 @@
 // earlier one.
 func (rc *Reconciler) checkInbound(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	evidence := detector.Evidence{
-		KnownToken:    machine.Token,
-		RenewedLately: now.Sub(machine.LastReplyAt) < rc.state.Settings.Workers.Lease.Duration()/2,
-		MissesLaunch:  func() bool { return machine.MissesLaunch(heartbeat) },
+		KnownToken:      machine.Token,
+		RecentlyRenewed: now.Sub(machine.LastReplyAt) < rc.state.Settings.Workers.Lease.Duration()/2,
+		MissesLaunch:    func() bool { return machine.MissesLaunch(heartbeat) },
 	}
-	rc.onInboundChange(machine, machine.Inbound.Reported(heartbeat, evidence, now))
+	rc.onInboundChange(machine, machine.Inbound.ObserveHeartbeat(heartbeat, evidence, now))
 }
 
 // onReceived records that something sent by this node has reached the machine.
 func (rc *Reconciler) onReceived(machine *cluster.Machine) {
-	rc.onInboundChange(machine, machine.Inbound.Received())
+	rc.onInboundChange(machine, machine.Inbound.RecordDelivery())
 }
 
 func (rc *Reconciler) onInboundChange(machine *cluster.Machine, change detector.Change) {
