--- a/internal/leader/reconcile/tasks.go
+++ b/internal/leader/reconcile/tasks.go
@@ -49,7 +49,7 @@
 // recordImage records that the attempt's image is on its machine.
 func (rc *Reconciler) recordImage(attempt *cluster.Attempt, now time.Time) {
 	machine, spec := attempt.Machine, &attempt.Job.Spec
-	machine.Images.Touch(spec.Image, spec.ImageGB, rc.state.ImageCacheGB(machine.MachineType), now)
+	machine.Images.RecordUse(spec.Image, spec.ImageGB, rc.state.ImageCacheGB(machine.MachineType), now)
 	if attempt.ImageReadyAt.IsZero() {
 		attempt.ImageReadyAt = now
 	}
@@ -85,11 +85,11 @@
 	if gang == nil {
 		return
 	}
-	if state.Phase == wire.PhaseRunning || state.Phase == wire.PhaseSaving || state.Cause == wire.CauseGangBroken {
+	if state.Phase == wire.PhaseRunning || state.Phase == wire.PhaseCheckpointing || state.Cause == wire.CauseGangBroken {
 		gang.Ran = true
 	}
 	stopKnown := gang.StopRequested || gang.Broken || job.Cancelled
-	if state.Phase == wire.PhaseSaving && attempt.Inherited && !stopKnown {
+	if state.Phase == wire.PhaseCheckpointing && attempt.Inherited && !stopKnown {
 		// An earlier leader began to stop the gang, and may not have reached all of its
 		// tasks. Those that don't learn of it in time don't write a checkpoint.
 		rc.dispatcher.StopGang(job, rc.state.GracePeriodOf(job), cluster.EvictedByEarlierLeader)
@@ -109,7 +109,7 @@
 	switch {
 	case attempt.Observed, attempt.Inherited, epochEnded:
 		rc.Log.Info("task lost", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
-		rc.Metrics.TaskMoved(string(cluster.EvictedMissing))
+		rc.Metrics.TaskInterrupted(string(cluster.EvictedMissing))
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	case startUnwanted:
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
--- a/internal/leader/reconciliation_test.go
+++ b/internal/leader/reconciliation_test.go
@@ -117,7 +117,7 @@
 	var cache cluster.ImageCache
 	start := time.Unix(0, 0)
 	for i, id := range []wire.ImageID{"a", "b", "a", "c"} {
-		cache.Touch(id, 4, 10, start.Add(time.Duration(i)*time.Second))
+		cache.RecordUse(id, 4, 10, start.Add(time.Duration(i)*time.Second))
 	}
 	if _, cached := cache.Images["a"]; !cached {
 		t.Error("image a, used after b: got evicted, want cached")
--- a/internal/leader/recovery/cancellations_test.go
+++ b/internal/leader/recovery/cancellations_test.go
@@ -17,7 +17,7 @@
 
 // newTestRecords returns the records of a term with an empty model.
 func newTestRecords(ctx context.Context) *Records {
-	lease := election.NewLease(nil, election.Terms{Token: 50})
+	lease := election.NewLease(nil, election.Tenure{Token: 50})
 	loop := core.NewLoop(lease, slog.New(slog.DiscardHandler), &core.Metrics{})
 	loop.Begin(ctx)
 	state := cluster.NewState(&config.Settings{}, &cluster.MachineCatalog{}, time.Now(), 50)
@@ -31,7 +31,7 @@
 	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(at)}, 1)
 	j.Cancelled, j.CancelledAt = true, at
 	a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Number: 1, Machine: r.State.GetOrAddMachine("n-1"), Observed: true}
-	a.Chunk.Add(a)
+	a.Chunk.AddAttempt(a)
 	setup(a)
 	r.State.CancelledJobs[j] = struct{}{}
 	return j
--- a/internal/leader/recovery/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -72,7 +72,7 @@
 func (r *Records) applyJobRecord(key string, value wire.Raw, revision wire.Revision) {
 	record, err := store.DecodeJob(key, value)
 	if err != nil {
-		r.Undecodable.Note(key, err)
+		r.Undecodable.LogOnce(key, err)
 		r.State.Quarantine(key, jobIDOfKey(key))
 		return
 	}
--- a/internal/leader/scaling/answer.go
+++ b/internal/leader/scaling/answer.go
@@ -82,7 +82,7 @@
 // Final reports whether an answer ends the request. After a lost answer only a repeated
 // request shows what was started; that the cloud is busy then shows nothing.
 func (r *RetryState) Final(err error) bool {
-	if err != nil && !errors.Is(err, cloud.ErrBusy) && !refused(err) {
+	if err != nil && !errors.Is(err, cloud.ErrUnavailable) && !refused(err) {
 		r.outcomeUnknown = true
 	}
 	return err == nil || refused(err) || !r.outcomeUnknown
--- a/internal/leader/scaling/scale_in_test.go
+++ b/internal/leader/scaling/scale_in_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestScaleInsAreSentOneBatchAtATime(t *testing.T) {
-	tracker := New(testToken)
+	tracker := NewTracker(testToken)
 	var want, got []wire.MachineID
 	for i := range 250 {
 		machine := wire.MachineID(fmt.Sprint("n-", i))
@@ -42,7 +42,7 @@
 
 func TestScaleInBatchIsWithinTheLimit(t *testing.T) {
 	for _, limit := range []int{1, 25, MaxScaleIn, MaxScaleIn + 1} {
-		tracker := New(testToken)
+		tracker := NewTracker(testToken)
 		for i := range 2 * MaxScaleIn {
 			tracker.QueueScaleIn(wire.MachineID(fmt.Sprint("n-", i)))
 		}
@@ -53,7 +53,7 @@
 }
 
 func TestNoScaleInWhileTheRecordIsCleared(t *testing.T) {
-	tracker := New(testToken)
+	tracker := NewTracker(testToken)
 	tracker.QueueScaleIn("n-1")
 	if !tracker.BeginScaleIn() || tracker.BeginScaleIn() {
 		t.Error("not exactly one request can be in flight")
--- a/internal/leader/scaling/tracker.go
+++ b/internal/leader/scaling/tracker.go
@@ -47,8 +47,8 @@
 	scaleIns scaleInQueue
 }
 
-// New returns the account of the leader with the fencing token.
-func New(token wire.FencingToken) *Tracker {
+// NewTracker returns the account of the leader with the fencing token.
+func NewTracker(token wire.FencingToken) *Tracker {
 	return &Tracker{
 		token:    token,
 		pending:  map[string]*PendingScaleOut{},
--- a/internal/leader/scaling/tracker_test.go
+++ b/internal/leader/scaling/tracker_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestBackoffDoublesWithEachRefusalOfAnOffer(t *testing.T) {
-	tracker, now := New(testToken), testStart
+	tracker, now := NewTracker(testToken), testStart
 	var backoffs []time.Duration
 	answers := []error{cloud.ErrNoCapacity, fmt.Errorf("of that: %w", cloud.ErrInvalid), cloud.ErrNoCapacity, cloud.ErrNoCapacity, cloud.ErrNoCapacity}
 	for _, err := range answers {
@@ -80,18 +80,18 @@
 }
 
 func TestPauseGrowsOncePerPlanWhileTheCloudIsUnavailable(t *testing.T) {
-	tracker, now := New(testToken), testStart
+	tracker, now := NewTracker(testToken), testStart
 	for _, want := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 5 * time.Second, 5 * time.Second} {
 		first := request(tracker, 1, now)
 		second := tracker.StartScaleOut(fleet.ScaleOut{Type: "std", Zone: "b", Count: 1}, now)
 		if first.Name == second.Name {
 			t.Fatalf("two requests named %s", first.Name)
 		}
-		outcome, pause := tracker.FinishScaleOut(first, Answer{Err: cloud.ErrBusy}, now)
+		outcome, pause := tracker.FinishScaleOut(first, Answer{Err: cloud.ErrUnavailable}, now)
 		if outcome != Unavailable || pause != want || !tracker.Paused(now.Add(pause-1)) || tracker.Paused(now.Add(2*pause)) {
 			t.Errorf("first answer: outcome %d with pause %v, want %d with %v", outcome, pause, Unavailable, want)
 		}
-		if outcome, _ := tracker.FinishScaleOut(second, Answer{Err: cloud.ErrBusy}, now); outcome != AlreadyKnown {
+		if outcome, _ := tracker.FinishScaleOut(second, Answer{Err: cloud.ErrUnavailable}, now); outcome != AlreadyKnown {
 			t.Errorf("second answer: outcome %d, want %d", outcome, AlreadyKnown)
 		}
 		if !tracker.Available(first.Offer(), now) {
@@ -101,7 +101,7 @@
 	}
 
 	tracker.FinishScaleOut(request(tracker, 1, now), Answer{Machines: 1}, now)
-	if _, pause := tracker.FinishScaleOut(request(tracker, 1, now), Answer{Err: cloud.ErrBusy}, now); pause != minPause {
+	if _, pause := tracker.FinishScaleOut(request(tracker, 1, now), Answer{Err: cloud.ErrUnavailable}, now); pause != minPause {
 		t.Errorf("unavailable after an answer: pause %v, want %v", pause, minPause)
 	}
 }
@@ -109,7 +109,7 @@
 // Once an answer was lost the request may have been executed: that the cloud is busy when
 // it is repeated does not end it.
 func TestWhichAnswerEndsARequest(t *testing.T) {
-	busy, lost, none := cloud.ErrBusy, cloud.ErrUnknown, cloud.ErrNoCapacity
+	busy, lost, none := cloud.ErrUnavailable, cloud.ErrUnknown, cloud.ErrNoCapacity
 	cases := []struct {
 		name    string
 		answers []error
@@ -135,7 +135,7 @@
 }
 
 func TestAdoptedRequestKeepsItsNameAndBlocksItsOffer(t *testing.T) {
-	tracker := New(testToken)
+	tracker := NewTracker(testToken)
 	stored := wire.ScaleOutRequest{Name: "b-5-3", Type: "std", Zone: "a", Count: 2}
 	requestedAt := testStart.Add(-time.Minute)
 	adopted := tracker.Adopt(stored, requestedAt)
@@ -154,7 +154,7 @@
 }
 
 func TestWithdrawnRequestFreesItsOffer(t *testing.T) {
-	tracker := New(testToken)
+	tracker := NewTracker(testToken)
 	tracker.Withdraw(request(tracker, 2, testStart))
 	if !tracker.Available(onDemandOffer, testStart) || len(tracker.PendingScaleOuts()) != 0 {
 		t.Errorf("after the withdrawal: available %v, %d requests pending; want true, 0",
--- a/internal/leader/scheduling/capacity/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -34,10 +34,10 @@
 	e.used[job.Spec.Team] = e.used[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(units)))
 	d := e.jobDemand(job, units)
 	switch {
-	case job.Spec.Service():
+	case job.Spec.IsService():
 		d.Rank += serviceRank
 	case !e.state.StartOverdue(job, e.now):
-	case job.Spec.Gang():
+	case job.Spec.IsGang():
 		d.Rank += startOverdueRank
 		d.PriceStretch = anyPrice
 	default:
@@ -57,7 +57,7 @@
 	return fleet.Demand{
 		Spec:         &job.Spec,
 		Units:        units,
-		AllOrNothing: job.Spec.Gang(),
+		AllOrNothing: job.Spec.IsGang(),
 		Rank:         float64(job.Spec.Priority.Rank()),
 		SlackS:       e.valuer.SlackSeconds(job, e.now) * e.stretchShare,
 	}
@@ -79,15 +79,15 @@
 	if !ok {
 		return 0
 	}
-	gang := job.Spec.Gang()
+	gang := job.Spec.IsGang()
 	if gang && job.ActiveTasks > 0 {
 		return 0 // the rest of its last attempt ends first
 	}
 	units := job.Pending()
-	if !job.Spec.Service() && !gang {
+	if !job.Spec.IsService() && !gang {
 		units = demand.ParallelTasks(units, valuation.WorkOf(job, e.now), e.state.Settings.Objectives, e.stretchShare)
 	}
-	allowed := placement.ResourcesOf(&job.Spec).Units(limitLeft(team.CPUsMax, team.GPUsMax, e.used[job.Spec.Team]))
+	allowed := placement.ResourcesOf(&job.Spec).Units(limitLeft(team.MaxCPUs, team.MaxGPUs, e.used[job.Spec.Team]))
 	if gang && allowed < units {
 		return 0
 	}
--- a/internal/leader/scheduling/capacity/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -36,8 +36,8 @@
 
 // Estimator estimates for how many tasks of each job resources are needed.
 type Estimator struct {
-	// BacklogS is in how many seconds the present resources would do all waiting work.
-	BacklogS float64
+	// BacklogSeconds is in how many seconds the present resources would do all waiting work.
+	BacklogSeconds float64
 
 	state   *cluster.State
 	tuning  *tuning.Current
@@ -106,7 +106,7 @@
 		if spec.Spread {
 			reserve.ZoneLeft = map[wire.Zone]int{}
 			for _, zone := range e.state.Zones() {
-				reserve.ZoneLeft[zone] = spec.ZoneCap()
+				reserve.ZoneLeft[zone] = spec.MaxTasksPerZone()
 			}
 		}
 		reserves = append(reserves, reserve)
@@ -117,7 +117,7 @@
 // PriceStretch returns how far beyond the price limit machines may cost for a job that
 // would wait for waitS seconds for resources within the limit.
 func (e *Estimator) PriceStretch(job *cluster.Job, waitS float64, now time.Time) float64 {
-	if job.Spec.Service() {
+	if job.Spec.IsService() {
 		return 1
 	}
 	return demand.PriceStretch(valuation.WorkOf(job, now), e.state.Settings.Objectives, waitS, e.bootSeconds(&job.Spec))
--- a/internal/leader/scheduling/capacity/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -162,8 +162,8 @@
 		t.Fatalf("demands %+v, want the gang twice", reserves)
 	}
 	for _, d := range reserves {
-		if d.Units != 5 || d.Rank != gangReserveRank || !d.AllOrNothing || d.ZoneLeft["a"] != spec.ZoneCap() || d.ZoneLeft["b"] != spec.ZoneCap() {
-			t.Errorf("demand %+v, want five units, all or nothing, rank %v, at most %d in a zone", d, gangReserveRank, spec.ZoneCap())
+		if d.Units != 5 || d.Rank != gangReserveRank || !d.AllOrNothing || d.ZoneLeft["a"] != spec.MaxTasksPerZone() || d.ZoneLeft["b"] != spec.MaxTasksPerZone() {
+			t.Errorf("demand %+v, want five units, all or nothing, rank %v, at most %d in a zone", d, gangReserveRank, spec.MaxTasksPerZone())
 		}
 	}
 }
@@ -220,7 +220,7 @@
 		t.Errorf("%v CPUs, want 10: 4 of a machine and 8 pending without 2 of a service", got)
 	}
 	s.Demands(schedulingtest.Now, testStretch, noSpare)
-	if s.BacklogS != 30 {
-		t.Errorf("backlog of %v s, want 30 s", s.BacklogS)
+	if s.BacklogSeconds != 30 {
+		t.Errorf("backlog of %v s, want 30 s", s.BacklogSeconds)
 	}
 }
--- a/internal/leader/scheduling/capacity/plan_machines.go
+++ b/internal/leader/scheduling/capacity/plan_machines.go
@@ -29,7 +29,7 @@
 	if !machine.Booting && p.state.SinceLastMessage(machine, now) > maxMissedHeartbeats*p.state.HeartbeatInterval() {
 		return false
 	}
-	return !p.state.BehindPartition(machine, now) && !p.state.OutboundLost(machine, now)
+	return !p.state.UnseenSincePartition(machine, now) && !p.state.OutboundLost(machine, now)
 }
 
 // planMachine describes a machine to a plan. An idle one is kept for idleBoots times the
@@ -60,7 +60,7 @@
 
 // addTaskToPlan adds a task to the description of its machine.
 func addTaskToPlan(described *fleet.Machine, attempt *cluster.Attempt, now time.Time) {
-	if attempt.Job.Spec.Service() {
+	if attempt.Job.Spec.IsService() {
 		described.Services++
 		return
 	}
--- a/internal/leader/scheduling/capacity/planner.go
+++ b/internal/leader/scheduling/capacity/planner.go
@@ -94,14 +94,14 @@
 	for _, machine := range candidates {
 		spec := p.state.MachineSpec(machine.MachineType)
 		if spec != nil && p.dependable(machine, spec, input.Now) {
-			snapshot.Machines = append(snapshot.Machines, p.planMachine(machine, spec, values.IdleBoots, input.Now))
+			snapshot.Machines = append(snapshot.Machines, p.planMachine(machine, spec, values.IdleBootTimes, input.Now))
 		}
 	}
 	snapshot.Machines = p.appendPending(snapshot.Machines)
 	if input.MayScaleOut && p.earlierRequestsListed(input.Now) {
 		snapshot.Offers = p.Offers(input.Specs, input.Now)
 	}
-	snapshot.Demands = p.estimator.Demands(input.Now, values.StretchShare, values.SpareUnits)
+	snapshot.Demands = p.estimator.Demands(input.Now, values.StretchShare, values.SpareReplicas)
 	snapshot.Demands = append(snapshot.Demands, p.estimator.ReservesFor(input.ExpectedGangs)...)
 	return snapshot
 }
--- a/internal/leader/scheduling/capacity/spare.go
+++ b/internal/leader/scheduling/capacity/spare.go
@@ -19,7 +19,7 @@
 	var takes placement.Resources
 	largestService := 0
 	for _, job := range state.Jobs {
-		if !job.Spec.Service() || job.Spec.SpotAllowed {
+		if !job.Spec.IsService() || job.Spec.SpotAllowed {
 			continue
 		}
 		largestService = max(largestService, job.Spec.Tasks)
--- a/internal/leader/scheduling/capacity/waits.go
+++ b/internal/leader/scheduling/capacity/waits.go
@@ -12,21 +12,21 @@
 // for the present resources, and sets the backlog.
 func (e *Estimator) predictWaits(jobs []*cluster.Job, now time.Time) map[wire.JobID]float64 {
 	guaranteed := e.valuer.Guaranteed()
-	doublingS := max(1, e.tuning.Get().WaitRaiseS) // a wait as long as this doubles a weight
-	queue := make([]demand.Queued, 0, len(jobs))
+	doublingS := max(1, e.tuning.Get().WaitDoublingSeconds) // a wait as long as this doubles a weight
+	queue := make([]demand.QueuedJob, 0, len(jobs))
 	for _, job := range jobs {
-		if job.Spec.Service() {
+		if job.Spec.IsService() {
 			continue
 		}
 		weight := e.valuer.UtilityWeight(job, guaranteed[job.Spec.ID], now)
-		queue = append(queue, demand.Queued{
+		queue = append(queue, demand.QueuedJob{
 			ID:     job.Spec.ID,
 			Weight: weight * (1 + now.Sub(job.AcceptedAt).Seconds()/doublingS),
 			WorkS:  float64(job.Pending()) * job.Spec.CPUs * max(1, job.ExpectedSeconds()),
 		})
 	}
-	waits, backlogS := demand.WaitsS(queue, e.batchCPUs())
-	e.BacklogS = backlogS
+	waits, backlogS := demand.PredictWaits(queue, e.batchCPUs())
+	e.BacklogSeconds = backlogS
 	return waits
 }
 
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, job := range e.state.Jobs {
-		if job.Spec.Service() {
+		if job.Spec.IsService() {
 			cpus -= float64(job.Spec.Tasks) * job.Spec.CPUs
 		}
 	}
--- a/internal/leader/scheduling/cycle_test.go
+++ b/internal/leader/scheduling/cycle_test.go
@@ -211,7 +211,7 @@
 
 // withoutReserves returns values by which nothing is kept for replicas and gangs to come.
 func withoutReserves(values tuning.Values) tuning.Values {
-	values.SpareUnits, values.SpareGangs = 0, 0
+	values.SpareReplicas, values.SpareGangs = 0, 0
 	return values
 }
 
--- a/internal/leader/scheduling/eligibility.go
+++ b/internal/leader/scheduling/eligibility.go
@@ -14,7 +14,7 @@
 // Schedulable reports whether tasks of a job can be placed now. A gang can be placed only
 // when nothing of its last attempt is left.
 func (e *Eligibility) Schedulable(job *cluster.Job, now time.Time) bool {
-	blockedByLastAttempt := job.Spec.Gang() && job.ActiveTasks > 0
+	blockedByLastAttempt := job.Spec.IsGang() && job.ActiveTasks > 0
 	return e.startable(job) && startDue(job, now) && !blockedByLastAttempt
 }
 
@@ -44,8 +44,8 @@
 // as is known.
 func (e *Eligibility) reachable(machine *cluster.Machine, now time.Time) bool {
 	followsTerm := machine.Token >= e.state.FirstToken
-	inboundWorks := machine.UnansweredProbes == 0 && machine.Inbound.Works()
-	return followsTerm && inboundWorks && !e.state.BehindPartition(machine, now) && !e.state.OutboundLost(machine, now)
+	inboundWorks := machine.UnansweredCommands == 0 && machine.Inbound.Works()
+	return followsTerm && inboundWorks && !e.state.UnseenSincePartition(machine, now) && !e.state.OutboundLost(machine, now)
 }
 
 // accepting reports whether a machine sent a message lately and has refused no task lately.
--- a/internal/leader/scheduling/eligibility_test.go
+++ b/internal/leader/scheduling/eligibility_test.go
@@ -56,7 +56,7 @@
 		{"scaling in", func(_ *testScheduler, m *cluster.Machine) { m.ScalingIn = true }, false},
 		{"with an earlier token", func(_ *testScheduler, m *cluster.Machine) { m.Token = schedulingtest.Token - 1 }, false},
 		{"with a later token", func(_ *testScheduler, m *cluster.Machine) { m.Token = schedulingtest.Token + 1 }, true},
-		{"with an unanswered probe", func(_ *testScheduler, m *cluster.Machine) { m.UnansweredProbes = 1 }, false},
+		{"with an unanswered probe", func(_ *testScheduler, m *cluster.Machine) { m.UnansweredCommands = 1 }, false},
 		{"behind a partition", func(s *testScheduler, m *cluster.Machine) {
 			s.State.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
 		}, false},
--- a/internal/leader/scheduling/gang_history.go
+++ b/internal/leader/scheduling/gang_history.go
@@ -58,7 +58,7 @@
 // observe adds the unfinished gangs.
 func (h *GangHistory) observe(now time.Time) {
 	for _, job := range h.state.Jobs {
-		if job.Spec.Gang() && !job.Cancelled && !job.Finished {
+		if job.Spec.IsGang() && !job.Cancelled && !job.Finished {
 			shape := gangShape{job.Spec.Class, job.Spec.Tasks, placement.ResourcesOf(&job.Spec)}
 			h.recent[shape] = recentGang{&job.Spec, now}
 		}
--- a/internal/leader/scheduling/patience.go
+++ b/internal/leader/scheduling/patience.go
@@ -32,18 +32,18 @@
 // before they are preempted. An urgent job waits for a small part of its slack, and little
 // once it has waited; a service does not wait.
 func (p *Patience) PatienceSeconds(job *cluster.Job, now time.Time) float64 {
-	if job.Spec.Service() {
+	if job.Spec.IsService() {
 		return 0
 	}
 	waited := now.Sub(job.AcceptedAt).Seconds()
-	if job.Spec.Gang() && !placement.MayPreempt(&job.Spec) {
+	if job.Spec.IsGang() && !placement.MayPreempt(&job.Spec) {
 		return min(maxGangPatienceS, MaxPatienceS+waited/2)
 	}
 	patience := min(MaxPatienceS, p.valuer.SlackSeconds(job, now)/patienceSlackDivisor, patienceEndS-waited)
 	// Patience must not make a gang miss an objective that it can still meet. Urgent gangs
 	// with an objective of 2 s waited for tasks that were expected to end within 3 s and
 	// often ended later, and meanwhile nothing else was preempted for them.
-	if left := p.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.Gang() && left > 0 {
+	if left := p.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.IsGang() && left > 0 {
 		patience = min(patience, left/2)
 	}
 	return max(0, patience)
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -139,7 +139,7 @@
 
 // gang returns the job if it is a gang; nil if it is none or unknown.
 func (r *Reservations) gang(id wire.JobID) *cluster.Job {
-	if job := r.state.Jobs[id]; job != nil && job.Spec.Gang() {
+	if job := r.state.Jobs[id]; job != nil && job.Spec.IsGang() {
 		return job
 	}
 	return nil
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -123,7 +123,7 @@
 	gangs := map[*cluster.Job][]*cluster.Machine{}
 	for _, start := range starts {
 		job, machine := snapshot.jobs[start.Job], snapshot.machines[start.Machine]
-		if job.Spec.Gang() {
+		if job.Spec.IsGang() {
 			gangs[job] = append(gangs[job], machine)
 		} else {
 			s.StartTask(job, machine, now)
--- a/internal/leader/scheduling/schedulingtest/cluster.go
+++ b/internal/leader/scheduling/schedulingtest/cluster.go
@@ -43,11 +43,11 @@
 		Size:  3,
 		Zones: []wire.Zone{"a", "b"},
 		Teams: []config.Team{
-			{Name: "red", CPUs: 16, CPUsMax: 40, GPUsMax: 4},
-			{Name: "blue", CPUs: 8},
+			{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 40, MaxGPUs: 4},
+			{Name: "blue", GuaranteedCPUs: 8},
 		},
 		Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41, GangWait: 45, GangPeerTimeout: 8},
-		Cloud:   config.Cloud{ListLag: 4},
+		Cloud:   config.CloudLimits{ListLag: 4},
 	}
 	catalog := &cluster.MachineCatalog{}
 	catalog.Set([]wire.MachineSpec{
@@ -56,7 +56,7 @@
 	})
 	return &Cluster{
 		State:   cluster.NewState(settings, catalog, Now.Add(-10*time.Minute), Token),
-		Tracker: scaling.New(Token),
+		Tracker: scaling.NewTracker(Token),
 		Tuning:  tuning.NewCurrent(),
 		t:       t,
 	}
@@ -98,10 +98,10 @@
 	job.ForEachPending(1, func(chunk *cluster.Chunk, index int) {
 		attempt = &cluster.Attempt{
 			Job: job, Chunk: chunk, Index: index, Number: chunk.NextAttempt, Machine: machine,
-			DecidedAt: since, RunningSince: since, ImageReadyAt: since,
+			ScheduledAt: since, RunningSince: since, ImageReadyAt: since,
 		}
 		chunk.NextAttempt++
-		chunk.Add(attempt)
+		chunk.AddAttempt(attempt)
 	})
 	if attempt == nil {
 		c.t.Fatalf("no task of %s is pending", job.Spec.ID)
--- a/internal/leader/scheduling/snapshot.go
+++ b/internal/leader/scheduling/snapshot.go
@@ -38,12 +38,12 @@
 	builder := &snapshotBuilder{scheduler: s, state: s.state, now: now}
 	builder.snapshot = &placement.Snapshot{
 		Teams:         teamUsage(s.state),
-		Factors:       placement.Factors{Preferred: values.Preferred, Fallback: values.Fallback, WaitRaiseS: values.WaitRaiseS},
+		Factors:       placement.Factors{Preferred: values.PreferredFactor, Fallback: values.FallbackFactor, WaitRaiseS: values.WaitDoublingSeconds},
 		Preempt:       true,
 		ExpectedGangs: s.ExpectedGangs(values.SpareGangs, now),
 	}
-	spare := capacity.SpareReplicasOf(s.state, values.SpareUnits)
-	builder.snapshot.SpareUnits, builder.snapshot.SpareUnit = spare.Count, spare.Takes
+	spare := capacity.SpareReplicasOf(s.state, values.SpareReplicas)
+	builder.snapshot.HeadroomUnits, builder.snapshot.HeadroomUnit = spare.Count, spare.Takes
 	builder.addMachines(waiting)
 	builder.addJobs(waiting)
 	builder.reserveTeamLimits()
--- a/internal/leader/scheduling/snapshot_jobs.go
+++ b/internal/leader/scheduling/snapshot_jobs.go
@@ -57,11 +57,11 @@
 	}
 	if b.state.StartOverdue(job, b.now) {
 		view.Weight = valuation.StarvingWeight
-		if !job.Spec.Gang() {
+		if !job.Spec.IsGang() {
 			view.Pending = 1
 		}
 	}
-	if job.Failures > 0 && !job.Spec.Gang() {
+	if job.Failures > 0 && !job.Spec.IsGang() {
 		view.Pending = min(view.Pending, max(1, maxSuspectTasks-job.ActiveTasks))
 	}
 	return view
--- a/internal/leader/scheduling/snapshot_machines.go
+++ b/internal/leader/scheduling/snapshot_machines.go
@@ -14,7 +14,7 @@
 // all machines.
 func (b *snapshotBuilder) addMachines(waiting []*cluster.Job) {
 	for _, job := range waiting {
-		b.victimsNeeded = b.victimsNeeded || placement.MayPreempt(&job.Spec) || job.Spec.Gang()
+		b.victimsNeeded = b.victimsNeeded || placement.MayPreempt(&job.Spec) || job.Spec.IsGang()
 	}
 	smallest := b.smallestTask(waiting)
 	var full []*cluster.Machine
@@ -65,7 +65,7 @@
 		Total:    b.state.TotalResources(machine),
 		Free:     b.state.FreeResources(machine),
 		Cordoned: machine.Cordoned,
-		Images:   make(map[wire.ImageID]placement.Image, len(machine.Images.Images)+len(machine.Tasks)),
+		Images:   make(map[wire.ImageID]placement.ImageState, len(machine.Images.Images)+len(machine.Tasks)),
 	}
 	if spec := b.state.MachineSpec(machine.MachineType); spec != nil {
 		view.FetchGBPerS = spec.FetchGBPerS
@@ -88,7 +88,7 @@
 // addTask adds to a machine's view what a task on it means for others. Awaited tasks are
 // expected to end by themselves.
 func (b *snapshotBuilder) addTask(view *placement.Machine, attempt *cluster.Attempt, awaited bool) {
-	if attempt.Job.Spec.Service() {
+	if attempt.Job.Spec.IsService() {
 		view.Services++
 	}
 	ending := b.ending(attempt, awaited)
@@ -125,7 +125,7 @@
 // preemptible reports whether a task can be preempted or awaited.
 func preemptible(attempt *cluster.Attempt) bool {
 	spec := &attempt.Job.Spec
-	productionService := spec.Service() && spec.Priority == wire.PriorityProd
+	productionService := spec.IsService() && spec.Priority == wire.PriorityProd
 	return !attempt.Unstored && !attempt.Stopping && !productionService
 }
 
@@ -140,7 +140,7 @@
 	return placement.Victim{
 		Task:            attempt.Task(),
 		Rank:            spec.Priority.Rank(),
-		Uses:            attempt.Resources(),
+		Resources:       attempt.Resources(),
 		LostS:           lostS,
 		RemainingS:      attempt.ExpectedRemainingSeconds(b.now),
 		CheckpointS:     checkpointS,
@@ -160,7 +160,7 @@
 			lostS = min(lostS, checkpointS)
 		}
 	}
-	if spec.Gang() { // all tasks of the gang are stopped
+	if spec.IsGang() { // all tasks of the gang are stopped
 		lostS = (lostS + gangStopCostS) * float64(spec.Tasks)
 	}
 	return lostS, checkpointS
--- a/internal/leader/scheduling/snapshot_teams.go
+++ b/internal/leader/scheduling/snapshot_teams.go
@@ -12,7 +12,7 @@
 func teamUsage(state *cluster.State) map[wire.TeamID]*placement.Team {
 	teams := map[wire.TeamID]*placement.Team{}
 	for _, team := range state.Settings.Teams {
-		teams[team.Name] = &placement.Team{Limit: placement.Resources{CPUs: team.CPUsMax, GPUs: team.GPUsMax}}
+		teams[team.Name] = &placement.Team{Limit: placement.Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}}
 	}
 	use := func(job *cluster.Job, tasks int) {
 		if team := teams[job.Spec.Team]; team != nil {
@@ -36,7 +36,7 @@
 func (b *snapshotBuilder) beyondGuarantee(name wire.TeamID) bool {
 	team, _ := b.state.Settings.Team(name)
 	usage := b.snapshot.Teams[name]
-	return usage != nil && (usage.Used.CPUs > team.CPUs+wire.Eps || usage.Used.GPUs > team.GPUs+wire.Eps)
+	return usage != nil && (usage.Used.CPUs > team.GuaranteedCPUs+wire.AmountTolerance || usage.Used.GPUs > team.GuaranteedGPUs+wire.AmountTolerance)
 }
 
 // reserveLimitAfter is how long a gang waits before a part of its team's limit is reserved
@@ -65,5 +65,5 @@
 
 // needsLimitReserved reports whether a job is a gang that has waited long.
 func (b *snapshotBuilder) needsLimitReserved(job *cluster.Job) bool {
-	return job.Spec.Gang() && b.state.SinceLastStart(job, b.now) >= reserveLimitAfter
+	return job.Spec.IsGang() && b.state.SinceLastStart(job, b.now) >= reserveLimitAfter
 }
--- a/internal/leader/scheduling/starter.go
+++ b/internal/leader/scheduling/starter.go
@@ -45,14 +45,14 @@
 // nextAttempt.
 func (s *Starter) startAttempt(job *cluster.Job, machine *cluster.Machine, number wire.Attempt, now time.Time) {
 	job.ForEachPending(1, func(chunk *cluster.Chunk, index int) {
-		attempt := &cluster.Attempt{Job: job, Chunk: chunk, Index: index, Number: number, Machine: machine, DecidedAt: now, Unstored: true}
+		attempt := &cluster.Attempt{Job: job, Chunk: chunk, Index: index, Number: number, Machine: machine, ScheduledAt: now, Unstored: true}
 		if number == nextAttempt {
 			attempt.Number = chunk.NextAttempt
 			chunk.NextAttempt++
 		}
 		chunk.UnstoredAttempts++
 		job.UnstoredAttempts++
-		chunk.Add(attempt)
+		chunk.AddAttempt(attempt)
 		job.LastStartAt = now
 		useReservation(machine, job.Spec.ID)
 		s.state.Unsaved.MarkDirty(chunk)
--- a/internal/leader/scheduling/valuation/valuation.go
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -30,7 +30,7 @@
 		unfinishedTasks := job.Spec.Tasks - job.DoneTasks
 		sum := used[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(unfinishedTasks)))
 		used[job.Spec.Team] = sum
-		guaranteed[job.Spec.ID] = sum.CPUs <= team.CPUs+wire.Eps && sum.GPUs <= team.GPUs+wire.Eps
+		guaranteed[job.Spec.ID] = sum.CPUs <= team.GuaranteedCPUs+wire.AmountTolerance && sum.GPUs <= team.GuaranteedGPUs+wire.AmountTolerance
 	}
 	return guaranteed
 }
@@ -73,7 +73,7 @@
 	if guaranteed {
 		weight *= guaranteedFactor
 	}
-	if job.Spec.Service() {
+	if job.Spec.IsService() {
 		return weight
 	}
 	// A job is of use only when all of it is done: a task of a job with little work left
@@ -92,7 +92,7 @@
 
 // SlackSeconds returns for how many seconds the job's pending tasks may still wait.
 func (v *Valuer) SlackSeconds(job *cluster.Job, now time.Time) float64 {
-	return demand.SlackS(WorkOf(job, now), v.state.Settings.Objectives)
+	return demand.SlackSeconds(WorkOf(job, now), v.state.Settings.Objectives)
 }
 
 // WorkOf returns what the rules of package demand need to know of a job.
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -94,7 +94,7 @@
 	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
 			tm.scaler.PlanFleet(time.Now())
-			tm.scaler.Tracker = scaling.New(tm.state.FirstToken)
+			tm.scaler.Tracker = scaling.NewTracker(tm.state.FirstToken)
 		}
 	})
 }
--- a/internal/leader/sized_term_test.go
+++ b/internal/leader/sized_term_test.go
@@ -61,7 +61,7 @@
 	tm.leader.Metrics.Heartbeat = func(string) {}
 	settings := tm.state.Settings
 	settings.Zones = testZones
-	settings.Teams = []config.Team{{Name: "red", CPUs: float64(machines), CPUsMax: 8 * float64(machines)}}
+	settings.Teams = []config.Team{{Name: "red", GuaranteedCPUs: float64(machines), MaxCPUs: 8 * float64(machines)}}
 	settings.State.TxnOps = 12
 	settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: testZones}})
@@ -114,13 +114,13 @@
 	}
 	i := f.j.Spec.Tasks - f.remaining
 	f.remaining--
-	f.j.Chunk(0).Add(&cluster.Attempt{
+	f.j.Chunk(0).AddAttempt(&cluster.Attempt{
 		Job:          f.j,
 		Chunk:        f.j.Chunk(0),
 		Index:        i,
 		Number:       wire.Attempt(i + 1),
 		Machine:      m,
-		DecidedAt:    b.now,
+		ScheduledAt:  b.now,
 		LaunchSent:   true,
 		LaunchEpoch:  1,
 		Observed:     true,
@@ -128,7 +128,7 @@
 		RunningSince: b.now,
 		ImageReadyAt: b.now,
 	})
-	m.Images.Touch(f.j.Spec.Image, 1, 50, b.now)
+	m.Images.RecordUse(f.j.Spec.Image, 1, 50, b.now)
 	return f
 }
 
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -36,7 +36,7 @@
 // when the tick was due.
 func (t *term) logStatus(now time.Time) {
 	counts := t.countCluster()
-	if limit := t.leader.Workers; counts.up > limit {
+	if limit := t.leader.MaxAgents; counts.up > limit {
 		t.Log.Warn("machine limit exceeded", "machines", counts.up, "limit", limit, "fd_limit_needed", t.leader.RequiredFDs(counts.up))
 	}
 	t.Log.Info("status",
@@ -48,7 +48,7 @@
 		"jobs_pending", counts.pendingJobs,
 		"tasks_active", counts.active,
 		"tasks_pending", counts.tasks-counts.active-counts.done,
-		"backlog_s", int(t.scheduler.BacklogS),
+		"backlog_s", int(t.scheduler.BacklogSeconds),
 		"cycle_duration", t.state.Cycle.LastDuration,
 		"tick_delay", time.Since(now))
 }
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -88,11 +88,11 @@
 
 // changeLeader begins a term that knows what is stored.
 func (m *subchunkModel) changeLeader() {
-	limits := config.State{ValueKB: 32, TxnOps: 12, Next: &config.NextState{ValueKB: m.nextValueKB}}
+	limits := config.StoreLimits{ValueKB: 32, TxnOps: 12, Next: &config.NextStoreLimits{ValueKB: m.nextValueKB}}
 	l := &Leader{Dependencies: testDependencies(limits)}
 	m.tm = newTerm(l, newLease(l, 50, 0))
 	m.tm.state.Recovered = true
-	m.j = cluster.NewJob(store.JobRecord{Spec: m.spec, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: m.tasksPerChunk}, 1)
+	m.j = cluster.NewJob(store.JobRecord{Spec: m.spec, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: m.tasksPerChunk}, 1)
 	m.tm.state.Jobs[m.spec.ID] = m.j
 	m.tm.records.Progress.ReadAll(m.store.list())
 	if orphans := m.tm.writer.Orphans; len(orphans) > 0 {
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -13,23 +13,23 @@
 )
 
 // decreasingLimits are limits of 16 KiB and 12 operations that will drop to 2 KiB and 4.
-func decreasingLimits() config.State {
-	return config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextState{ValueKB: 2, TxnOps: 4}}
+func decreasingLimits() config.StoreLimits {
+	return config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextStoreLimits{ValueKB: 2, TxnOps: 4}}
 }
 
 // addStoredArray adds an array that is stored and was accepted with so many tasks a chunk.
-func addStoredArray(tm *term, st *simulator.State, id wire.JobID, tasks, tasksPerChunk int) *cluster.Job {
+func addStoredArray(tm *term, st *simulator.KVStore, id wire.JobID, tasks, tasksPerChunk int) *cluster.Job {
 	spec := wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: tasks, CPUs: 1}
-	record := store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: tasksPerChunk}
+	record := store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: tasksPerChunk}
 	j := cluster.NewJob(record, st.Put(store.JobKey(id), record))
 	tm.state.Jobs[id] = j
 	return j
 }
 
 // withLoweredLimits runs a test with a key-value store whose limits have dropped.
-func withLoweredLimits(t *testing.T, test func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func())) {
+func withLoweredLimits(t *testing.T, test func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func())) {
 	t.Helper()
-	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		tm.state.Settings.State = decreasingLimits()
 		st.LowerLimits(2, 4, 1000, 1000)
 		test(tm, m, st, runEvents)
@@ -40,7 +40,7 @@
 func addActiveAttempts(tm *term, j *cluster.Job, chunk, tasks int, m *cluster.Machine) {
 	c := j.Chunk(chunk)
 	for i := range tasks {
-		c.Add(&cluster.Attempt{Job: j, Chunk: c, Index: i, Number: c.NextAttempt, Machine: m, Observed: true})
+		c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Index: i, Number: c.NextAttempt, Machine: m, Observed: true})
 		c.NextAttempt++
 	}
 	tm.state.Unsaved.MarkDirty(c)
@@ -52,7 +52,7 @@
 // forever, in the order in which they were marked; in virtual time these are equal, and the
 // former code passed this test.)
 func TestOversizedChunkIsSplitBesideASmallOne(t *testing.T) {
-	withLoweredLimits(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+	withLoweredLimits(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := addStoredArray(tm, st, "req-2", 512, 256)
 		addActiveAttempts(tm, j, 1, 250, m)
 		tm.scheduler.StartTask(j, m, time.Now())
@@ -71,7 +71,7 @@
 // A record that is rejected forever, for whatever reason, holds up nothing else: launches,
 // routine writes, final states and deletions of orphans go on.
 func TestRejectedRecordHoldsUpNothing(t *testing.T) {
-	withLoweredLimits(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+	withLoweredLimits(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		oversizedName := tm.state.GetOrAddMachine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
 		oversizedName.FirstHeartbeatAt = time.Now()
 		rejectedProgress := addStoredArray(tm, st, "req-3", 4, 1)
@@ -115,7 +115,7 @@
 // Before a chunk over the next limit was rejected by itself no sub-chunk is written: an
 // earlier version would delete it.
 func TestNoSubchunkIsWrittenBeforeTheLimitDrops(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.State, runEvents func()) {
+	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		tm.state.Settings.State = decreasingLimits()
 		record := store.JobRecord{Spec: wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 256, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}
 		j := cluster.NewJob(record, st.Put(store.JobKey("req-2"), record))
@@ -137,7 +137,7 @@
 // A machine that is drained is kept until the end of what ran on it is stored. (The next
 // leader took 37 tasks that were done for lost with their machine.)
 func TestDrainedMachineIsKeptUntilItsProgressIsStored(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		allStored := func() bool { return tm.writer.AllStored(m.LastUsedAt, time.Now()) }
 		runEvents()
 		j := tm.state.Jobs["req-1"]
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -58,13 +58,13 @@
 		Loop:           core.NewLoop(lease, l.Log, &l.Metrics),
 		leader:         l,
 		heartbeatCalls: make(chan reconcile.Call, heartbeatBacklog),
-		state:          cluster.NewState(&l.Config.Settings, l.Catalog, lease.TakenAt(), lease.Token()),
+		state:          cluster.NewState(&l.Config.Settings, l.Catalog, lease.AcquiredAt(), lease.Token()),
 	}
 	t.state.Delegation = l.delegationBounds
-	tracker := scaling.New(lease.Token())
+	tracker := scaling.NewTracker(lease.Token())
 	t.scheduler = scheduling.NewScheduler(t.state, l.Tuning, tracker, l.Log)
 	t.writer = progress.NewWriter(t.state, l.remainingWrites, l.Log)
-	t.dispatcher = &agents.Dispatcher{Loop: t.Loop, State: t.state, Agents: l.agents}
+	t.dispatcher = &agents.Dispatcher{Loop: t.Loop, State: t.state, Client: l.agents}
 	t.scaler = autoscaler.NewScaler(t.Loop, t.state, t.scheduler, tracker, autoscaler.Options{
 		Cloud:         l.Cloud,
 		RecordIntents: l.RecordIntents,
@@ -118,7 +118,7 @@
 
 // remainingWrites returns how many changes the key-value store's rate limit allows now.
 func (l *Leader) remainingWrites() float64 {
-	_, writes := l.Store.Budget()
+	_, writes := l.Store.RemainingBudget()
 	return writes
 }
 
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -72,7 +72,7 @@
 
 // deployment returns the controllers, and the highest version that the operators allow.
 func (l *Leader) deployment(ctx context.Context) (upgrade.Deployment, error) {
-	d := upgrade.Deployment{Controllers: l.controllers(), Present: l.connectedIncarnation}
+	d := upgrade.Deployment{Controllers: l.controllers(), ConnectedIncarnation: l.connectedIncarnation}
 	settings, err := l.Store.Get(ctx, store.Background, store.SettingsKey)
 	if err != nil && !errors.Is(err, store.ErrMissing) {
 		return d, err
@@ -84,8 +84,8 @@
 			return d, err
 		}
 	}
-	values, err := tuning.Apply(tuning.Default(), overrides, false)
-	d.Ceiling = upgrade.Version(values.MaxVersion)
+	values, err := tuning.Override(tuning.Default(), overrides, false)
+	d.MaxVersion = upgrade.Version(values.MaxVersion)
 	return d, err
 }
 
@@ -118,6 +118,6 @@
 	if err != nil {
 		return nil, err
 	}
-	status, err := l.Versions.Look(ctx, deployment)
+	status, err := l.Versions.ReadStatus(ctx, deployment)
 	return &status, err
 }
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -20,15 +20,15 @@
 
 // MachineView is one machine.
 type MachineView struct {
-	Name          wire.MachineID   `cbor:"name"`
-	Type          wire.MachineType `cbor:"kit"`
-	Zone          wire.Zone        `cbor:"zone"`
-	Spot          bool             `cbor:"spot"`
-	Booting       bool             `cbor:"booting"`
-	Drain         string           `cbor:"drain,omitempty"`
-	Tasks         int              `cbor:"tasks"`
-	SilentSeconds float64          `cbor:"silent_s"`
-	FreeCPUs      float64          `cbor:"free_cpus"`
+	Name                wire.MachineID   `cbor:"name"`
+	Type                wire.MachineType `cbor:"kit"`
+	Zone                wire.Zone        `cbor:"zone"`
+	Spot                bool             `cbor:"spot"`
+	Booting             bool             `cbor:"booting"`
+	Drain               string           `cbor:"drain,omitempty"`
+	Tasks               int              `cbor:"tasks"`
+	SecondsSinceMessage float64          `cbor:"silent_s"`
+	FreeCPUs            float64          `cbor:"free_cpus"`
 }
 
 // JobView is one unfinished job.
@@ -86,15 +86,15 @@
 
 func (t *term) machineView(m *cluster.Machine, now time.Time) MachineView {
 	return MachineView{
-		Name:          m.ID,
-		Type:          m.MachineType,
-		Zone:          m.Zone,
-		Spot:          m.Spot,
-		Booting:       m.Booting,
-		Drain:         string(m.DrainReason),
-		Tasks:         len(m.Tasks),
-		SilentSeconds: t.state.SinceLastMessage(m, now).Seconds(),
-		FreeCPUs:      t.state.FreeResources(m).CPUs,
+		Name:                m.ID,
+		Type:                m.MachineType,
+		Zone:                m.Zone,
+		Spot:                m.Spot,
+		Booting:             m.Booting,
+		Drain:               string(m.DrainReason),
+		Tasks:               len(m.Tasks),
+		SecondsSinceMessage: t.state.SinceLastMessage(m, now).Seconds(),
+		FreeCPUs:            t.state.FreeResources(m).CPUs,
 	}
 }
 
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -16,7 +16,7 @@
 // A launch is stored only while its job's record is the one that the leader knows: a job
 // that was cancelled meanwhile starts nothing.
 func TestLaunchOfCancelledJobIsNotStored(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := tm.state.Jobs["req-1"]
 		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.Spec, Status: wire.Cancelled})
 		tm.scheduler.StartTask(j, m, time.Now())
@@ -35,14 +35,14 @@
 func TestUnknownOutcomeIsReadUnderAHigherToken(t *testing.T) {
 	cases := []struct {
 		name string
-		fail func(*simulator.State)
+		fail func(*simulator.KVStore)
 	}{
-		{"executed, answer lost", func(st *simulator.State) { st.LoseAnswers(1) }},
-		{"request lost", func(st *simulator.State) { st.DropRequests(1) }},
+		{"executed, answer lost", func(st *simulator.KVStore) { st.LoseAnswers(1) }},
+		{"request lost", func(st *simulator.KVStore) { st.DropRequests(1) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+			withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 				j, token := tm.state.Jobs["req-1"], tm.Fencing.Token
 				c.fail(st)
 				tm.scheduler.StartTask(j, m, time.Now())
@@ -66,7 +66,7 @@
 }
 
 func TestSupersededLeaderWritesNothingAndStops(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
 		tm.scheduler.StartTask(tm.state.Jobs["req-1"], m, time.Now())
 		runEvents()
@@ -80,8 +80,8 @@
 // heartbeat. With no address to probe it must count as lost all the same (its replicas once
 // waited for its lease), and scheduling must not wait for it either.
 func TestMachineWithoutAddressIsScaledIn(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.State, _ func()) {
-		tm.scaler.Cloud = cloud.New("10.2.0.2:8443", config.Cloud{RPS: 6}, simulator.NewNetwork(0).Host(localAddr))
+	withSimulatedStore(t, func(tm *term, m *cluster.Machine, _ *simulator.KVStore, _ func()) {
+		tm.scaler.Cloud = cloud.New("10.2.0.2:8443", config.CloudLimits{RPS: 6}, simulator.NewNetwork(0).Host(localAddr))
 		tm.state.MachineListReceived = true
 		m.Token, m.Addr, m.FirstHeartbeatAt = 0, "", time.Time{}
 		if !tm.enoughMachinesHeard(time.Now()) {
@@ -103,7 +103,7 @@
 // Starts that have no room in a chunk's record, machines' names being longer than
 // estimated, wait; the rest of the chunk is stored all the same.
 func TestStartsBeyondTheRecordLimitWait(t *testing.T) {
-	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.State, runEvents func()) {
+	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1})
 		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.Queued})
 		tm.state.Settings.State.ValueKB = 0.5
@@ -125,9 +125,9 @@
 // that were gone, and with it all that was to be written in the same transactions.)
 func TestChunksStayUntilTheJobIsArchived(t *testing.T) {
 	const chunks = 20
-	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.State, runEvents func()) {
+	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		spec := wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: chunks, CPUs: 1}
-		record := store.JobRecord{Spec: spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), Chunk: 1}
+		record := store.JobRecord{Spec: spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: 1}
 		j := cluster.NewJob(record, st.Put(store.JobKey("req-2"), record))
 		tm.state.Jobs[j.Spec.ID] = j
 		for n := range j.Chunks {
@@ -164,7 +164,7 @@
 func TestLateEventsOfArchivedJobAreIgnored(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
 		t.Run(fmt.Sprintf("watch before the read's answer %v", watchFirst), func(t *testing.T) {
-			withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.State, runEvents func()) {
+			withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 				j := tm.state.Jobs["req-1"]
 				record := store.JobRecord{Spec: j.Spec, Status: wire.Cancelled}
 				put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(record), Revision: st.Put(store.JobKey("req-1"), record)}
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -32,9 +32,9 @@
 	p := current.peerInContact(from)
 	m.learnVersion(&e.heartbeat)
 	current.observeHeartbeat(&p, &e.heartbeat)
-	answer := m.answer(current.Token, e.heartbeat.Seq)
+	answer := m.answer(current.Token, e.heartbeat.Sequence)
 	if answer.Delegation > 0 {
-		p.DelegatedAt = time.Now()
+		p.DelegationGrantedAt = time.Now()
 	}
 	current.Peers[from] = p
 	m.publish(current)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -12,8 +12,8 @@
 type Heartbeat struct {
 	// From is the sender.
 	From wire.NodeID `cbor:"from"`
-	// Seq numbers the heartbeats of a stream from 1; an answer has the number of its heartbeat.
-	Seq uint64 `cbor:"seq"`
+	// Sequence numbers the heartbeats of a stream from 1; an answer has the number of its heartbeat.
+	Sequence uint64 `cbor:"seq"`
 	// Token is the highest fencing token that the sender knows. In an answer it is the acknowledgement; 0 acknowledges none.
 	Token wire.FencingToken `cbor:"token"`
 	// Leads means that the sender is the leader with that token.
@@ -31,10 +31,10 @@
 	// Uptime, in an answer, is how long ago the sender started. What its predecessor on the same node renewed as a delegate it
 	// does not know.
 	Uptime time.Duration `cbor:"age,omitempty"`
-	// UnconfirmedFor, in an answer with a Delegation, is the age of the oldest confirmed cancellation whose job may still be
+	// UnconfirmedCancelAge, in an answer with a Delegation, is the age of the oldest confirmed cancellation whose job may still be
 	// started by a launch that is on its way; 0 if there is none. No worker's heartbeat shows such a task yet, so a delegate
 	// can't stop it: the time for which it may renew leases is counted from that cancellation.
-	UnconfirmedFor time.Duration `cbor:"unproven,omitempty"`
+	UnconfirmedCancelAge time.Duration `cbor:"unproven,omitempty"`
 	// Incarnation identifies the sender's process among those of its node; empty where versions are not negotiated.
 	Incarnation string `cbor:"process,omitempty"`
 	// ActiveVersion is the version of the behaviour that the sender knows to be active; 0 where versions are not negotiated.
@@ -49,11 +49,11 @@
 	Delegation       wire.FencingToken
 	StateReachable   bool
 	ReachableWorkers int
-	// UnconfirmedSince is when the oldest cancellation was confirmed whose job may still be started by a launch that is on its
+	// UnconfirmedCancelSince is when the oldest cancellation was confirmed whose job may still be started by a launch that is on its
 	// way; zero if there is none.
-	UnconfirmedSince time.Time
-	Incarnation      string
-	ActiveVersion    uint64
+	UnconfirmedCancelSince time.Time
+	Incarnation            string
+	ActiveVersion          uint64
 	// RefusesAcks means that this node must not acknowledge any token, as it may not understand the active version.
 	RefusesAcks bool
 }
@@ -62,7 +62,7 @@
 func (s *Status) heartbeat(from wire.NodeID, sequence uint64, token wire.FencingToken) Heartbeat {
 	return Heartbeat{
 		From:             from,
-		Seq:              sequence,
+		Sequence:         sequence,
 		Token:            token,
 		Leads:            s.Leads,
 		StateReachable:   s.StateReachable,
@@ -72,10 +72,10 @@
 	}
 }
 
-// unconfirmedCancelAge returns the age of the oldest cancellation of UnconfirmedSince; 0 if there is none.
+// unconfirmedCancelAge returns the age of the oldest cancellation of UnconfirmedCancelSince; 0 if there is none.
 func (s *Status) unconfirmedCancelAge() time.Duration {
-	if s.UnconfirmedSince.IsZero() {
+	if s.UnconfirmedCancelSince.IsZero() {
 		return 0
 	}
-	return max(0, time.Since(s.UnconfirmedSince))
+	return max(0, time.Since(s.UnconfirmedCancelSince))
 }
--- a/internal/peer/incoming.go
+++ b/internal/peer/incoming.go
@@ -99,6 +99,6 @@
 	var wrongType *cbor.UnmarshalTypeError
 	var malformed *cbor.SyntaxError
 	if errors.As(err, &wrongType) || errors.As(err, &malformed) {
-		m.undecodable.Note(message, err)
+		m.undecodable.LogOnce(message, err)
 	}
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -136,7 +136,7 @@
 	status := m.status()
 	answer := Heartbeat{
 		From:          m.name,
-		Seq:           sequence,
+		Sequence:      sequence,
 		Incarnation:   status.Incarnation,
 		ActiveVersion: status.ActiveVersion,
 		SinceRenewal:  m.SinceRenewal(),
@@ -147,7 +147,7 @@
 	}
 	if status.Delegation > 0 && status.Delegation == token {
 		answer.Delegation = status.Delegation
-		answer.UnconfirmedFor = status.unconfirmedCancelAge()
+		answer.UnconfirmedCancelAge = status.unconfirmedCancelAge()
 	}
 	return answer
 }
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -199,7 +199,7 @@
 		{"start becomes known as an upper bound", func(t *testing.T, p *pair) {
 			started := time.Now()
 			time.Sleep(connected)
-			if got := p.a.View().Peers["b"].StartedBefore; got.Before(started) || got.After(started.Add(100*time.Millisecond)) {
+			if got := p.a.View().Peers["b"].LatestStart; got.Before(started) || got.After(started.Add(100*time.Millisecond)) {
 				t.Errorf("a knows that b started before %v, want %v and little more", got, started)
 			}
 		}},
@@ -228,7 +228,7 @@
 			if got.Token != leaderToken || time.Since(got.RequestedAt) > time.Second {
 				t.Errorf("delegation %+v, want one of token %d within a second before %v", got, leaderToken, time.Now())
 			}
-			if granted := p.a.View().Peers["b"].DelegatedAt; granted.Before(got.RequestedAt) {
+			if granted := p.a.View().Peers["b"].DelegationGrantedAt; granted.Before(got.RequestedAt) {
 				t.Errorf("granted at %v, want no earlier than the request at %v", granted, got.RequestedAt)
 			}
 		}},
@@ -242,13 +242,13 @@
 		}},
 		{"renewal as a delegate becomes known", func(t *testing.T, p *pair) {
 			time.Sleep(connected)
-			if got := p.a.View().Peers["b"].LastRenewal; !got.IsZero() {
+			if got := p.a.View().Peers["b"].LastDelegatedRenewal; !got.IsZero() {
 				t.Errorf("renewed at %v, want never", got)
 			}
 			p.b.RecordRenewal()
 			renewed := time.Now()
 			time.Sleep(time.Second)
-			if got := p.a.View().Peers["b"].LastRenewal; got.Before(renewed) || got.After(renewed.Add(100*time.Millisecond)) {
+			if got := p.a.View().Peers["b"].LastDelegatedRenewal; got.Before(renewed) || got.After(renewed.Add(100*time.Millisecond)) {
 				t.Errorf("a knows of a renewal at %v, want %v and little more", got, renewed)
 			}
 		}},
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -127,7 +127,7 @@
 	default:
 		return errUnexpectedAnswer
 	}
-	s.mesh.cancels.Apply(s.peer.HostName, requestedAt, &answer.Update)
+	s.mesh.cancels.MergeUpdate(s.peer.HostName, requestedAt, &answer.Update)
 	select {
 	case s.mesh.events <- answerReceived{from: s.peer.HostName, answer: answer, requestedAt: requestedAt}:
 		return nil
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -16,8 +16,8 @@
 	Leader wire.NodeID
 	// Peers holds the other nodes that have been in contact.
 	Peers map[wire.NodeID]Peer
-	// LeaderSeen is when a node last said that it leads with the highest token, in a heartbeat or by a delegation.
-	LeaderSeen time.Time
+	// LeaderSeenAt is when a node last said that it leads with the highest token, in a heartbeat or by a delegation.
+	LeaderSeenAt time.Time
 	// Delegation is the newest that this node has.
 	Delegation Delegation
 }
@@ -28,19 +28,19 @@
 	Heartbeat
 	// LastContact is when its last message came in.
 	LastContact time.Time
-	// AckSent is when this node sent the heartbeat that the other has answered last. An acknowledgement counts from then, and
+	// AckRequestedAt is when this node sent the heartbeat that the other has answered last. An acknowledgement counts from then, and
 	// not from when it came in, since the other may have made it at any time in between.
-	AckSent time.Time
+	AckRequestedAt time.Time
 	// AckToken is the token that the last answer acknowledged; 0 if none.
 	AckToken wire.FencingToken
-	// DelegatedAt is when this node, as the leader, last granted the other a delegation.
-	DelegatedAt time.Time
-	// LastRenewal is when the other last renewed a lease as a delegate, at the latest: when its last answer came in, less the
+	// DelegationGrantedAt is when this node, as the leader, last granted the other a delegation.
+	DelegationGrantedAt time.Time
+	// LastDelegatedRenewal is when the other last renewed a lease as a delegate, at the latest: when its last answer came in, less the
 	// age of the renewal that it stated.
-	LastRenewal time.Time
-	// StartedBefore is when the other's process started, at the latest: when its last answer came in, less the uptime that it
+	LastDelegatedRenewal time.Time
+	// LatestStart is when the other's process started, at the latest: when its last answer came in, less the uptime that it
 	// stated. Until then an earlier process may have renewed leases as a delegate, of which this one knows nothing.
-	StartedBefore time.Time
+	LatestStart time.Time
 }
 
 // Connected reports whether the node was in contact within AckLifetime.
@@ -78,7 +78,7 @@
 	var expiries []time.Time
 	for _, p := range v.Peers {
 		if p.AckToken == token {
-			expiries = append(expiries, p.AckSent.Add(AckLifetime))
+			expiries = append(expiries, p.AckRequestedAt.Add(AckLifetime))
 		}
 	}
 	return expiries
@@ -104,7 +104,7 @@
 	v.observeToken(heartbeat.Token)
 	switch {
 	case heartbeat.Leads && heartbeat.Token == v.Token:
-		v.Leader, v.LeaderSeen = heartbeat.From, p.LastContact
+		v.Leader, v.LeaderSeenAt = heartbeat.From, p.LastContact
 	case v.Leader == heartbeat.From:
 		v.Leader = ""
 	}
@@ -117,23 +117,23 @@
 	p.Incarnation, p.ActiveVersion = answer.Incarnation, answer.ActiveVersion
 	v.observeToken(answer.Token)
 	if answer.Delegation > 0 && answer.Delegation == v.Token {
-		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.UnconfirmedFor))}
-		v.LeaderSeen = p.LastContact
+		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.UnconfirmedCancelAge))}
+		v.LeaderSeenAt = p.LastContact
 	}
 }
 
 // observeAck records what an answer says of the other node, unless a newer heartbeat was answered before: answers of an
 // earlier stream may come after those of a newer one.
 func (p *Peer) observeAck(answer *Heartbeat, requestedAt time.Time) {
-	if !requestedAt.After(p.AckSent) {
+	if !requestedAt.After(p.AckRequestedAt) {
 		return
 	}
-	p.AckSent, p.AckToken = requestedAt, answer.Token
+	p.AckRequestedAt, p.AckToken = requestedAt, answer.Token
 	if answer.SinceRenewal > 0 {
-		p.LastRenewal = p.LastContact.Add(-answer.SinceRenewal)
+		p.LastDelegatedRenewal = p.LastContact.Add(-answer.SinceRenewal)
 	}
 	if answer.Uptime > 0 {
-		p.StartedBefore = p.LastContact.Add(-answer.Uptime)
+		p.LatestStart = p.LastContact.Add(-answer.Uptime)
 	}
 }
 
--- a/internal/peer/view_test.go
+++ b/internal/peer/view_test.go
@@ -15,9 +15,9 @@
 // A quorum's acknowledgement counts from when the heartbeat was sent, for AckLifetime.
 func TestAckedUntil(t *testing.T) {
 	view := &View{Token: 9, Peers: map[wire.NodeID]Peer{
-		"a": {AckToken: 9, AckSent: at(0)},
-		"b": {AckToken: 9, AckSent: at(1)},
-		"c": {AckToken: 8, AckSent: at(9)},
+		"a": {AckToken: 9, AckRequestedAt: at(0)},
+		"b": {AckToken: 9, AckRequestedAt: at(1)},
+		"c": {AckToken: 8, AckRequestedAt: at(9)},
 	}}
 	tests := []struct {
 		name   string
@@ -77,7 +77,7 @@
 		heartbeat  Heartbeat
 		wantToken  wire.FencingToken
 		wantLeader wire.NodeID
-		wantSeen   time.Time // LeaderSeen
+		wantSeen   time.Time // LeaderSeenAt
 	}{
 		{"leader with the known token", Heartbeat{From: "b", Token: 7, Leads: true}, 7, "b", at(5)},
 		{"leader with a higher token", Heartbeat{From: "b", Token: 8, Leads: true}, 8, "b", at(5)},
@@ -88,11 +88,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			view := &View{Token: 7, Leader: "a", LeaderSeen: at(1)}
+			view := &View{Token: 7, Leader: "a", LeaderSeenAt: at(1)}
 			p := Peer{LastContact: at(5)}
 			view.observeHeartbeat(&p, &tt.heartbeat)
-			if view.Token != tt.wantToken || view.Leader != tt.wantLeader || !view.LeaderSeen.Equal(tt.wantSeen) {
-				t.Errorf("token %d, leader %q seen at %v, want %d, %q, %v", view.Token, view.Leader, view.LeaderSeen, tt.wantToken, tt.wantLeader, tt.wantSeen)
+			if view.Token != tt.wantToken || view.Leader != tt.wantLeader || !view.LeaderSeenAt.Equal(tt.wantSeen) {
+				t.Errorf("token %d, leader %q seen at %v, want %d, %q, %v", view.Token, view.Leader, view.LeaderSeenAt, tt.wantToken, tt.wantLeader, tt.wantSeen)
 			}
 			if p.From != tt.heartbeat.From || p.Token != tt.heartbeat.Token {
 				t.Errorf("heartbeat %+v of the peer, want %+v", p.Heartbeat, tt.heartbeat)
@@ -103,7 +103,7 @@
 
 // An answer counts by when its heartbeat was sent; what it says of the other node's past counts from when it came in.
 func TestObserveAnswer(t *testing.T) {
-	known := Peer{AckSent: at(3), AckToken: 7, LastRenewal: at(1), StartedBefore: at(0), LastContact: at(10)}
+	known := Peer{AckRequestedAt: at(3), AckToken: 7, LastDelegatedRenewal: at(1), LatestStart: at(0), LastContact: at(10)}
 	tests := []struct {
 		name        string
 		answer      Heartbeat
@@ -113,39 +113,39 @@
 		delegation  Delegation
 	}{
 		{name: "acknowledgement of the known token", answer: Heartbeat{Token: 7}, requestedAt: at(9),
-			want: Peer{AckSent: at(9), AckToken: 7, LastRenewal: at(1), StartedBefore: at(0)}, wantToken: 7},
+			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestStart: at(0)}, wantToken: 7},
 		{name: "no acknowledgement", answer: Heartbeat{}, requestedAt: at(9),
-			want: Peer{AckSent: at(9), LastRenewal: at(1), StartedBefore: at(0)}, wantToken: 7},
+			want: Peer{AckRequestedAt: at(9), LastDelegatedRenewal: at(1), LatestStart: at(0)}, wantToken: 7},
 		{name: "acknowledgement of a higher token", answer: Heartbeat{Token: 8}, requestedAt: at(9),
-			want: Peer{AckSent: at(9), AckToken: 8, LastRenewal: at(1), StartedBefore: at(0)}, wantToken: 8},
+			want: Peer{AckRequestedAt: at(9), AckToken: 8, LastDelegatedRenewal: at(1), LatestStart: at(0)}, wantToken: 8},
 		{name: "renewal and uptime are ages", answer: Heartbeat{Token: 7, SinceRenewal: 2 * time.Second, Uptime: 6 * time.Second}, requestedAt: at(9),
-			want: Peer{AckSent: at(9), AckToken: 7, LastRenewal: at(8), StartedBefore: at(4)}, wantToken: 7},
+			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(8), LatestStart: at(4)}, wantToken: 7},
 		{name: "late answer of an earlier stream", answer: Heartbeat{Token: 6, SinceRenewal: 2 * time.Second, Uptime: 6 * time.Second}, requestedAt: at(2),
 			want: known, wantToken: 7},
 		{name: "delegation", answer: Heartbeat{Token: 7, Delegation: 7}, requestedAt: at(9),
-			want: Peer{AckSent: at(9), AckToken: 7, LastRenewal: at(1), StartedBefore: at(0)}, wantToken: 7, delegation: Delegation{7, at(9)}},
+			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestStart: at(0)}, wantToken: 7, delegation: Delegation{7, at(9)}},
 		{name: "delegation counts from the oldest unconfirmed cancellation", requestedAt: at(9),
-			answer: Heartbeat{Token: 7, Delegation: 7, UnconfirmedFor: 4 * time.Second},
-			want:   Peer{AckSent: at(9), AckToken: 7, LastRenewal: at(1), StartedBefore: at(0)}, wantToken: 7, delegation: Delegation{7, at(5)}},
+			answer: Heartbeat{Token: 7, Delegation: 7, UnconfirmedCancelAge: 4 * time.Second},
+			want:   Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestStart: at(0)}, wantToken: 7, delegation: Delegation{7, at(5)}},
 		{name: "delegation under a lower token", answer: Heartbeat{Token: 7, Delegation: 6}, requestedAt: at(9),
-			want: Peer{AckSent: at(9), AckToken: 7, LastRenewal: at(1), StartedBefore: at(0)}, wantToken: 7},
+			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestStart: at(0)}, wantToken: 7},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			view := &View{Token: 7}
 			p := known
 			view.observeAnswer(&p, &tt.answer, tt.requestedAt)
-			if !p.AckSent.Equal(tt.want.AckSent) || p.AckToken != tt.want.AckToken {
-				t.Errorf("acknowledgement of %d, asked for at %v, want %d at %v", p.AckToken, p.AckSent, tt.want.AckToken, tt.want.AckSent)
+			if !p.AckRequestedAt.Equal(tt.want.AckRequestedAt) || p.AckToken != tt.want.AckToken {
+				t.Errorf("acknowledgement of %d, asked for at %v, want %d at %v", p.AckToken, p.AckRequestedAt, tt.want.AckToken, tt.want.AckRequestedAt)
 			}
-			if !p.LastRenewal.Equal(tt.want.LastRenewal) || !p.StartedBefore.Equal(tt.want.StartedBefore) {
-				t.Errorf("last renewal at %v, start before %v, want %v and %v", p.LastRenewal, p.StartedBefore, tt.want.LastRenewal, tt.want.StartedBefore)
+			if !p.LastDelegatedRenewal.Equal(tt.want.LastDelegatedRenewal) || !p.LatestStart.Equal(tt.want.LatestStart) {
+				t.Errorf("last renewal at %v, start before %v, want %v and %v", p.LastDelegatedRenewal, p.LatestStart, tt.want.LastDelegatedRenewal, tt.want.LatestStart)
 			}
 			if view.Token != tt.wantToken || view.Delegation != tt.delegation {
 				t.Errorf("token %d, delegation %+v, want %d, %+v", view.Token, view.Delegation, tt.wantToken, tt.delegation)
 			}
-			if delegated := view.LeaderSeen.Equal(p.LastContact); delegated != (tt.delegation != Delegation{}) {
-				t.Errorf("leader seen at %v after a delegation %+v", view.LeaderSeen, tt.delegation)
+			if delegated := view.LeaderSeenAt.Equal(p.LastContact); delegated != (tt.delegation != Delegation{}) {
+				t.Errorf("leader seen at %v after a delegation %+v", view.LeaderSeenAt, tt.delegation)
 			}
 		})
 	}
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -19,7 +19,7 @@
 
 // fullSizeVictim is a task of standard priority that fills a machine.
 func fullSizeVictim(index int, lostS, remainingS float64) Victim {
-	return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: lostS, RemainingS: remainingS, Team: "t"}
+	return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: 1, Resources: Resources{4, 0, 4}, LostS: lostS, RemainingS: remainingS, Team: "t"}
 }
 
 // fullSizeReservation reserves a machine for a gang's task.
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -177,5 +177,5 @@
 	if !j.WaitedLong && m.usesHeadroom(j, unit) {
 		return false
 	}
-	return j.TasksByZone[m.Zone]+f.inZone[m.Zone] < j.Spec.ZoneCap()
+	return j.TasksByZone[m.Zone]+f.inZone[m.Zone] < j.Spec.MaxTasksPerZone()
 }
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -9,9 +9,9 @@
 // A gang that must fetch goes where its last image is there soonest: neither where the
 // fewest machines fetch, nor where it leaves the least room.
 func TestGangGoesWhereLastImageIsThereSoonest(t *testing.T) {
-	machine := func(id wire.MachineID, freeCPUs, fetchRate float64, image Image) Machine {
+	machine := func(id wire.MachineID, freeCPUs, fetchRate float64, image ImageState) Machine {
 		m := machineIn("a", id, freeCPUs)
-		m.FetchGBPerS, m.Images = fetchRate, map[wire.ImageID]Image{"i": image}
+		m.FetchGBPerS, m.Images = fetchRate, map[wire.ImageID]ImageState{"i": image}
 		return m
 	}
 	inZoneB := func(m Machine) Machine {
--- a/internal/placement/generators_test.go
+++ b/internal/placement/generators_test.go
@@ -42,7 +42,7 @@
 		Total:       Resources{CPUs: cpus, MemoryGB: cpus * 4},
 		Free:        Resources{CPUs: cpus - used, MemoryGB: cpus*4 - used},
 		FetchGBPerS: 1,
-		Images:      map[wire.ImageID]Image{wire.ImageID(fmt.Sprint("img-", i%2)): Image(rapid.IntRange(0, 2).Draw(t, "image"))},
+		Images:      map[wire.ImageID]ImageState{wire.ImageID(fmt.Sprint("img-", i%2)): ImageState(rapid.IntRange(0, 2).Draw(t, "image"))},
 	}
 }
 
@@ -69,7 +69,7 @@
 		spec.MachineTypes = []wire.MachineType{"c16"}
 	}
 	running := map[wire.Zone]int{}
-	if !spec.SameZone && tasks > 1 && !spec.Gang() {
+	if !spec.SameZone && tasks > 1 && !spec.IsGang() {
 		running["b"] = rapid.IntRange(0, 1).Draw(t, "running")
 	}
 	return Job{
@@ -83,13 +83,13 @@
 
 func drawReservation(t *rapid.T, s *Snapshot, m *Machine) {
 	r := Reservation{
-		Job:   wire.JobID(fmt.Sprint("req-", rapid.IntRange(0, 5).Draw(t, "reserved for"))),
-		Rank:  rapid.IntRange(1, 2).Draw(t, "rank"),
-		Takes: Resources{CPUs: float64(rapid.IntRange(1, 5).Draw(t, "reserved cpus")), MemoryGB: 2},
+		Job:       wire.JobID(fmt.Sprint("req-", rapid.IntRange(0, 5).Draw(t, "reserved for"))),
+		Rank:      rapid.IntRange(1, 2).Draw(t, "rank"),
+		Resources: Resources{CPUs: float64(rapid.IntRange(1, 5).Draw(t, "reserved cpus")), MemoryGB: 2},
 	}
 	for i := range s.Jobs {
 		if spec := s.Jobs[i].Spec; spec.ID == r.Job {
-			r.Rank, r.Takes = spec.Priority.Rank(), ResourcesOf(spec)
+			r.Rank, r.Resources = spec.Priority.Rank(), ResourcesOf(spec)
 		}
 	}
 	m.Reservations = []Reservation{r}
@@ -126,14 +126,14 @@
 			Task:       wire.Task{Job: job, Index: k},
 			Rank:       rapid.IntRange(0, 2).Draw(t, "victim's rank"),
 			Team:       "blue",
-			Uses:       Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "victim's cpus")), MemoryGB: 2},
+			Resources:  Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "victim's cpus")), MemoryGB: 2},
 			LostS:      float64(rapid.IntRange(0, 60).Draw(t, "lost")),
 			RemainingS: float64(rapid.IntRange(1, 60).Draw(t, "remaining")),
 		}
-		if !v.Uses.Fits(m.Free) {
+		if !v.Resources.Fits(m.Free) {
 			return
 		}
-		m.Free = m.Free.Minus(v.Uses)
+		m.Free = m.Free.Minus(v.Resources)
 		m.Victims = append(m.Victims, v)
 	}
 }
@@ -142,7 +142,7 @@
 // or awaited had ended: in one zone if it requires that.
 func couldFit(s *Snapshot, j *Job) bool {
 	team := s.Teams[j.Spec.Team]
-	if team.Limit.CPUs > 0 && team.Used.CPUs+j.Spec.CPUs*float64(j.Spec.Tasks) > team.Limit.CPUs+wire.Eps {
+	if team.Limit.CPUs > 0 && team.Used.CPUs+j.Spec.CPUs*float64(j.Spec.Tasks) > team.Limit.CPUs+wire.AmountTolerance {
 		return false
 	}
 	unitsIn := map[wire.Zone]int{}
@@ -154,7 +154,7 @@
 	}
 	total := 0
 	for _, units := range unitsIn {
-		units = min(units, j.Spec.ZoneCap())
+		units = min(units, j.Spec.MaxTasksPerZone())
 		if total += units; j.Spec.SameZone && units >= j.Spec.Tasks {
 			return true
 		}
@@ -167,13 +167,13 @@
 func possibleRoom(j *Job, m *Machine) Resources {
 	room := m.Free.Plus(m.Stopping)
 	for _, r := range m.Reservations {
-		room = room.Minus(r.Takes)
+		room = room.Minus(r.Resources)
 	}
 	urgent := j.Spec.Priority.Rank() >= wire.PriorityUrgent.Rank()
 	for _, v := range m.Victims {
 		awaited := v.RemainingS <= j.PatienceS && j.PatienceS > 0
 		if awaited || urgent && v.Rank < j.Spec.Priority.Rank() {
-			room = room.Plus(v.Uses)
+			room = room.Plus(v.Resources)
 		}
 	}
 	return room
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -10,17 +10,17 @@
 // keepServiceHeadroom marks the headroom for services on the ordinary machines where a
 // service would go first.
 func keepServiceHeadroom(s *Snapshot) {
-	if s.SpareUnits <= 0 {
+	if s.HeadroomUnits <= 0 {
 		return
 	}
-	left := s.SpareUnits
+	left := s.HeadroomUnits
 	// Half of it in one zone at most, as services that are spread need.
-	zoneCap := (s.SpareUnits + 1) / 2
+	zoneCap := (s.HeadroomUnits + 1) / 2
 	inZone := map[wire.Zone]int{}
 	for _, i := range headroomOrder(s) {
 		m := &s.Machines[i]
-		units := min(left, m.headroomUnits(s.SpareUnit), zoneCap-inZone[m.Zone])
-		m.serviceHeadroomUnits, m.serviceHeadroom = units, s.SpareUnit.Times(float64(units))
+		units := min(left, m.headroomUnits(s.HeadroomUnit), zoneCap-inZone[m.Zone])
+		m.serviceHeadroomUnits, m.serviceHeadroom = units, s.HeadroomUnit.Times(float64(units))
 		left -= units
 		inZone[m.Zone] += units
 	}
@@ -95,7 +95,7 @@
 	inZone := map[wire.Zone]int{}
 	for _, i := range order {
 		m := &s.Machines[i]
-		units := min(spec.Tasks-room.total, available[i], spec.ZoneCap()-inZone[m.Zone])
+		units := min(spec.Tasks-room.total, available[i], spec.MaxTasksPerZone()-inZone[m.Zone])
 		room.units[i] = units
 		room.total += units
 		inZone[m.Zone] += units
@@ -144,9 +144,9 @@
 // headroomKeptFrom returns the headroom that a job may not use.
 func (m *Machine) headroomKeptFrom(spec *wire.JobSpec) Resources {
 	switch {
-	case spec.Service():
+	case spec.IsService():
 		return Resources{}
-	case spec.Gang():
+	case spec.IsGang():
 		return m.serviceHeadroom
 	}
 	return m.serviceHeadroom.Plus(m.gangHeadroom)
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -19,10 +19,10 @@
 	} {
 		t.Run(string(c.kind), func(t *testing.T) {
 			s := &Snapshot{
-				Teams:      map[wire.TeamID]*Team{"t": {}},
-				Factors:    testFactors,
-				SpareUnits: 2,
-				SpareUnit:  Resources{1, 0, 4},
+				Teams:         map[wire.TeamID]*Team{"t": {}},
+				Factors:       testFactors,
+				HeadroomUnits: 2,
+				HeadroomUnit:  Resources{1, 0, 4},
 				Machines: []Machine{
 					{ID: "m", Zone: "a", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}},
 					{ID: "n", Zone: "b", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}},
@@ -45,11 +45,11 @@
 			{ID: "n", Zone: "b", Free: Resources{1, 0, 4}, Total: Resources{4, 0, 16}},
 		}
 		return &Snapshot{
-			Teams:      map[wire.TeamID]*Team{"t": {}},
-			Factors:    testFactors,
-			SpareUnits: 2,
-			SpareUnit:  Resources{1, 0, 4},
-			Machines:   append(machines, extra...),
+			Teams:         map[wire.TeamID]*Team{"t": {}},
+			Factors:       testFactors,
+			HeadroomUnits: 2,
+			HeadroomUnit:  Resources{1, 0, 4},
+			Machines:      append(machines, extra...),
 			Jobs: []Job{{
 				Spec:        &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true},
 				Pending:     9,
@@ -71,11 +71,11 @@
 // Headroom for the next replicas can't be reserved for a gang: it reserved that room,
 // could not use it, and waited beside it for ever. A gang that has waited long uses it.
 func TestGangBesideKeptRoom(t *testing.T) {
-	victim := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 9, RemainingS: 99, Team: "t"}
+	victim := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Resources: Resources{4, 0, 4}, LostS: 9, RemainingS: 99, Team: "t"}
 	snapshot := func(gang Job, extra ...Machine) *Snapshot {
 		machines := []Machine{machineIn("a", "m", 4), machineIn("a", "n", 0, victim)}
 		s := snapshotOf(append(machines, extra...), gang)
-		s.SpareUnits, s.SpareUnit = 1, Resources{4, 0, 4}
+		s.HeadroomUnits, s.HeadroomUnit = 1, Resources{4, 0, 4}
 		return s
 	}
 	urgent := Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)}
@@ -109,7 +109,7 @@
 	}
 	withImage := func() Machine {
 		m := machineIn("b", "n", 4)
-		m.Images = map[wire.ImageID]Image{"i": Present}
+		m.Images = map[wire.ImageID]ImageState{"i": Present}
 		return m
 	}
 	cluster := func() []Machine {
@@ -141,7 +141,7 @@
 		reservation := Reservation{"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}
 		m.Reservations = []Reservation{reservation, reservation}
 		s := snapshotOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), Reservations: 2})
-		s.SpareUnits, s.SpareUnit = 4, Resources{1, 0, 1} // half of it in one zone at most
+		s.HeadroomUnits, s.HeadroomUnit = 4, Resources{1, 0, 1} // half of it in one zone at most
 		if got := len(Place(s).Starts); got != 2 {
 			t.Errorf("%g free: %d of 2 tasks start in the room reserved for them", freeCPUs, got)
 		}
@@ -174,12 +174,12 @@
 		t.Run(name, func(t *testing.T) {
 			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), Pending: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, WaitedLong: c.waitedLong}
 			s := &Snapshot{
-				Machines:   []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: c.freeCPUs, MemoryGB: 16}}},
-				Teams:      map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
-				Factors:    Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 30},
-				SpareUnits: c.spareUnits,
-				SpareUnit:  Resources{CPUs: 1, MemoryGB: 1},
-				Jobs:       []Job{gang},
+				Machines:      []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: c.freeCPUs, MemoryGB: 16}}},
+				Teams:         map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
+				Factors:       Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 30},
+				HeadroomUnits: c.spareUnits,
+				HeadroomUnit:  Resources{CPUs: 1, MemoryGB: 1},
+				Jobs:          []Job{gang},
 			}
 			if c.other != nil {
 				s.Jobs = append(s.Jobs, Job{Spec: c.other, Pending: c.other.Tasks, TasksByZone: map[wire.Zone]int{}, Weight: 1})
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -6,21 +6,21 @@
 	"lilaclead/internal/wire"
 )
 
-// Image is the state of an image on a machine, as far as it is known.
-type Image int
+// ImageState is the state of an image on a machine, as far as it is known.
+type ImageState int
 
 // States of an image.
 const (
-	Absent   Image = iota
-	Fetching       // some task there waits for it
-	Present        // a task has run with it, and it was not evicted since
+	Absent   ImageState = iota
+	Fetching            // some task there waits for it
+	Present             // a task has run with it, and it was not evicted since
 )
 
 // Victim is a task that could be preempted.
 type Victim struct {
 	Task            wire.Task
 	Rank            int
-	Uses            Resources
+	Resources       Resources
 	LostS           float64 // run time that would be repeated, seconds
 	BeyondGuarantee bool    // its team runs beyond its own guarantee
 	Team            wire.TeamID
@@ -30,9 +30,9 @@
 
 // Reservation is room that is being made for one unit of a job.
 type Reservation struct {
-	Job   wire.JobID
-	Rank  int
-	Takes Resources
+	Job       wire.JobID
+	Rank      int
+	Resources Resources
 }
 
 // Machine is a machine that can take tasks.
@@ -46,7 +46,7 @@
 	FetchGBPerS float64
 	FetchingGB  float64 // of the images that are being fetched
 	Services    int     // tasks of services there
-	Images      map[wire.ImageID]Image
+	Images      map[wire.ImageID]ImageState
 	Victims     []Victim
 	Cordoned    bool // takes tasks of arrays only when no other machine can
 	// Reservations are the rooms that are being made here, and Stopping is what the
@@ -74,7 +74,7 @@
 	room := m.Free.Plus(m.Stopping)
 	for i := range m.Reservations {
 		if counts(&m.Reservations[i]) {
-			room = room.Minus(m.Reservations[i].Takes)
+			room = room.Minus(m.Reservations[i].Resources)
 		}
 	}
 	return room
@@ -109,7 +109,7 @@
 			continue
 		}
 		removed = append(removed, v)
-		m.Stopping = m.Stopping.Plus(v.Uses)
+		m.Stopping = m.Stopping.Plus(v.Resources)
 	}
 	m.Victims, m.Reservations = left, append(slices.Clone(m.Reservations), r)
 	return removed
--- a/internal/placement/model_test.go
+++ b/internal/placement/model_test.go
@@ -29,7 +29,7 @@
 		best, bestJob, bestMachine := 0.0, -1, -1
 		var gangMachines []int // where all of a gang goes
 		for job := range s.Jobs {
-			if j := &s.Jobs[job]; j.Spec.Gang() {
+			if j := &s.Jobs[job]; j.Spec.IsGang() {
 				if left[job] != j.Spec.Tasks || left[job] == 0 {
 					continue
 				}
@@ -80,7 +80,7 @@
 // of a unit, and where they go; nil if not all of it fits.
 func slowGang(s *Snapshot, job int) (unit float64, where []int) {
 	n := s.Jobs[job].Spec.Tasks
-	if spec := s.Jobs[job].Spec; s.Teams[spec.Team].Limit.CPUs > 0 && s.Teams[spec.Team].Used.CPUs+float64(n)*spec.CPUs > s.Teams[spec.Team].Limit.CPUs+wire.Eps {
+	if spec := s.Jobs[job].Spec; s.Teams[spec.Team].Limit.CPUs > 0 && s.Teams[spec.Team].Used.CPUs+float64(n)*spec.CPUs > s.Teams[spec.Team].Limit.CPUs+wire.AmountTolerance {
 		return 0, nil
 	}
 	for _, class := range []utility.Class{withImage, withoutImage} {
@@ -116,20 +116,20 @@
 	j, m := &s.Jobs[job], &s.Machines[machine]
 	spec := j.Spec
 	team := s.Teams[spec.Team]
-	if team.Limit.CPUs > 0 && team.Used.CPUs+spec.CPUs > team.Limit.CPUs+wire.Eps {
+	if team.Limit.CPUs > 0 && team.Used.CPUs+spec.CPUs > team.Limit.CPUs+wire.AmountTolerance {
 		return false
 	}
 	// Nothing takes the room that is reserved for others of its rank or above.
 	left, reserved := m.Free.Plus(m.Stopping), false
 	for _, r := range m.Reservations {
 		if r.Job != spec.ID && r.Rank >= spec.Priority.Rank() {
-			left, reserved = left.Minus(r.Takes), true
+			left, reserved = left.Minus(r.Resources), true
 		}
 	}
-	if reserved && (spec.CPUs > left.CPUs+wire.Eps || spec.MemoryGB > left.MemoryGB+wire.Eps) {
+	if reserved && (spec.CPUs > left.CPUs+wire.AmountTolerance || spec.MemoryGB > left.MemoryGB+wire.AmountTolerance) {
 		return false
 	}
-	if spec.CPUs > m.Free.CPUs+wire.Eps || spec.GPUs > m.Free.GPUs+wire.Eps || spec.MemoryGB > m.Free.MemoryGB+wire.Eps {
+	if spec.CPUs > m.Free.CPUs+wire.AmountTolerance || spec.GPUs > m.Free.GPUs+wire.AmountTolerance || spec.MemoryGB > m.Free.MemoryGB+wire.AmountTolerance {
 		return false
 	}
 	if m.Spot && !spec.SpotAllowed || spec.Zone != "" && spec.Zone != m.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, m.Type) {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -55,7 +55,7 @@
 		}
 		raise := utilityRaise(j, s.Factors)
 		switch {
-		case !j.Spec.Gang():
+		case !j.Spec.IsGang():
 			p.enqueue(i, j.Pending, ofTask.raisedBy(raise))
 		case j.Pending == j.Spec.Tasks:
 			p.enqueue(i, 1, gangGains(s.Factors, j.Spec.Tasks, raise))
@@ -114,7 +114,7 @@
 	}
 	j := &p.s.Jobs[q.job]
 	needed := ResourcesOf(j.Spec)
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		needed = needed.Times(float64(j.Pending))
 	}
 	return !p.s.Teams[j.Spec.Team].allows(j, needed)
@@ -127,7 +127,7 @@
 		p.launch(q.job, machine, step)
 	}
 	j := &p.s.Jobs[q.job]
-	if !j.Spec.Gang() {
+	if !j.Spec.IsGang() {
 		j.WaitedLong = false // only its next unit might use headroom
 		return
 	}
@@ -151,12 +151,12 @@
 // launch takes a unit's room on the machine and counts the fetch of its image.
 func (m *Machine) launch(spec *wire.JobSpec, unit Resources) {
 	m.Free = m.Free.Minus(unit)
-	if spec.Service() {
+	if spec.IsService() {
 		m.Services++
 	}
 	if m.Images[spec.Image] == Absent {
 		if m.Images == nil {
-			m.Images = map[wire.ImageID]Image{}
+			m.Images = map[wire.ImageID]ImageState{}
 		}
 		m.Images[spec.Image] = Fetching
 		m.FetchingGB += spec.ImageGB
@@ -166,7 +166,7 @@
 
 // choose makes the best next choice for a job.
 func (p *pass) choose(q *queuedJob) choice {
-	if p.s.Jobs[q.job].Spec.Gang() {
+	if p.s.Jobs[q.job].Spec.IsGang() {
 		return p.chooseForGang(q)
 	}
 	return p.chooseForTask(q)
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -37,7 +37,7 @@
 func checkStep(t *rapid.T, s, model *Snapshot, pending []int, starts []Start, n int) int {
 	job := starts[n].Job
 	j, units := &model.Jobs[job], 1
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		units = j.Spec.Tasks
 	}
 	position := clone(model)
@@ -45,7 +45,7 @@
 		position.Jobs[i].Pending = pending[i]
 	}
 	gains, _ := slow(position)
-	if j.Spec.Gang() {
+	if j.Spec.IsGang() {
 		limit := s.Teams[j.Spec.Team].Limit.CPUs
 		if used := model.Teams[j.Spec.Team].Used.CPUs + float64(units)*j.Spec.CPUs; limit > 0 && used > limit {
 			t.Fatalf("start %d: a gang of a team that may use %g makes it %g", n, limit, used)
@@ -81,7 +81,7 @@
 		return Machine{ID: id, Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1}
 	}
 	withImage := machine("with-image")
-	withImage.Images = map[wire.ImageID]Image{"i": Present}
+	withImage.Images = map[wire.ImageID]ImageState{"i": Present}
 	s := &Snapshot{
 		Teams:    map[wire.TeamID]*Team{"t": {}},
 		Factors:  testFactors,
@@ -101,7 +101,7 @@
 // A machine on which the job failed is its last choice, even with the image. (A replica
 // was once started four times on the machine that failed it.)
 func TestMachineThatFailedJobIsLastChoice(t *testing.T) {
-	failed := Machine{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Services: 1, Images: map[wire.ImageID]Image{"i": Present}}
+	failed := Machine{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Services: 1, Images: map[wire.ImageID]ImageState{"i": Present}}
 	other := Machine{ID: "other", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1}
 	s := &Snapshot{
 		Teams:    map[wire.TeamID]*Team{"t": {}},
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -20,7 +20,7 @@
 	p := preemption{s: s, reservedByTeam: reservedByTeam(s), options: make([]roomOption, len(s.Machines))}
 	for _, i := range waiting {
 		j := &s.Jobs[i]
-		if j.Spec.Gang() {
+		if j.Spec.IsGang() {
 			p.reserveForGang(j)
 		} else {
 			p.reserveForTasks(j)
@@ -50,7 +50,7 @@
 	if j.Pending <= j.Reservations {
 		return false
 	}
-	if !j.Spec.Gang() {
+	if !j.Spec.IsGang() {
 		return MayPreempt(j.Spec)
 	}
 	// Room is reserved for all of a gang or for none of it.
@@ -134,7 +134,7 @@
 	}
 	p.reservations = append(p.reservations, reserved)
 	team := p.s.Teams[j.Spec.Team]
-	team.Used = team.Used.Plus(reservation.Takes)
+	team.Used = team.Used.Plus(reservation.Resources)
 	j.TasksByZone[m.Zone]++
 }
 
--- a/internal/placement/preempt_gang.go
+++ b/internal/placement/preempt_gang.go
@@ -78,7 +78,7 @@
 // zoneOpen reports whether one more unit may start in the zone.
 func (r *gangRoom) zoneOpen(zone wire.Zone) bool {
 	units := r.j.TasksByZone[zone] + r.inZone[zone]
-	return zoneOpen(r.j, zone) && units < r.j.Spec.ZoneCap()
+	return zoneOpen(r.j, zone) && units < r.j.Spec.MaxTasksPerZone()
 }
 
 // addUnit makes room for the next unit on a copy of the machine.
--- a/internal/placement/preempt_gang_test.go
+++ b/internal/placement/preempt_gang_test.go
@@ -18,7 +18,7 @@
 		res := Place(after)
 		checkReservationsFit(t, before, after, res)
 		for i := range before.Jobs {
-			if before.Jobs[i].Spec.Gang() && checkGang(t, after, res, i) {
+			if before.Jobs[i].Spec.IsGang() && checkGang(t, after, res, i) {
 				gangs++
 			}
 		}
@@ -47,16 +47,16 @@
 		room := m.Free
 		for _, v := range before.Machines[i].Victims {
 			if preempted[v.Task] || awaited[v.Task] {
-				room = room.Plus(v.Uses)
+				room = room.Plus(v.Resources)
 			}
 			if preempted[v.Task] && len(m.Reservations) == 0 {
 				t.Fatalf("%v is preempted on %s, for nothing", v.Task, m.ID)
 			}
 		}
 		for _, r := range m.Reservations {
-			room = room.Minus(r.Takes)
+			room = room.Minus(r.Resources)
 		}
-		if room.CPUs < -wire.Eps || room.MemoryGB < -wire.Eps {
+		if room.CPUs < -wire.AmountTolerance || room.MemoryGB < -wire.AmountTolerance {
 			t.Fatalf("more is reserved on %s than will be free: %v", m.ID, room)
 		}
 	}
@@ -80,11 +80,11 @@
 		t.Fatalf("room is reserved for %d of %d tasks, %d start", reservations, spec.Tasks, starts)
 	}
 	for zone, n := range inZone {
-		if spec.SameZone && n != spec.Tasks || n > spec.ZoneCap() {
+		if spec.SameZone && n != spec.Tasks || n > spec.MaxTasksPerZone() {
 			t.Fatalf("room for %d of %d tasks in zone %s", n, spec.Tasks, zone)
 		}
 	}
-	if team := after.Teams[spec.Team]; team.Limit.CPUs > 0 && team.Used.CPUs > team.Limit.CPUs+wire.Eps {
+	if team := after.Teams[spec.Team]; team.Limit.CPUs > 0 && team.Used.CPUs > team.Limit.CPUs+wire.AmountTolerance {
 		t.Fatalf("%s uses %v of %v", spec.Team, team.Used, team.Limit)
 	}
 	return reservations > 0
@@ -112,7 +112,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := crowdedSnapshots(t)
 		i := 0
-		for ; i < len(s.Jobs) && !s.Jobs[i].Spec.Gang(); i++ {
+		for ; i < len(s.Jobs) && !s.Jobs[i].Spec.IsGang(); i++ {
 		}
 		if i == len(s.Jobs) {
 			return
@@ -276,8 +276,8 @@
 // preempted only where no others can be. For one without an objective, or late already,
 // the lowest priority goes first.
 func TestGangInTimePreemptsWhatEndsAtOnce(t *testing.T) {
-	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Uses: Resources{4, 0, 4}, LostS: 3, RemainingS: 99, CheckpointS: 3, Team: "t"}
-	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Uses: Resources{4, 0, 4}, LostS: 30, RemainingS: 99, Team: "t"}
+	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Resources: Resources{4, 0, 4}, LostS: 3, RemainingS: 99, CheckpointS: 3, Team: "t"}
+	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Resources: Resources{4, 0, 4}, LostS: 30, RemainingS: 99, Team: "t"}
 	full := func(victims ...Victim) Machine {
 		m := machineIn("a", "m", 0, victims...)
 		m.Total = Resources{4 * float64(len(victims)), 0, 32}
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			victim := func(index int, lostS float64) []Victim {
-				return []Victim{{Task: wire.Task{Job: "req-1", Index: index}, Rank: c.victims.Rank(), Uses: Resources{4, 0, 4}, LostS: lostS, Team: "t"}}
+				return []Victim{{Task: wire.Task{Job: "req-1", Index: index}, Rank: c.victims.Rank(), Resources: Resources{4, 0, 4}, LostS: lostS, Team: "t"}}
 			}
 			s := &Snapshot{
 				Preempt: true,
@@ -103,7 +103,9 @@
 		s.Teams["t"].Limit.CPUs = cpus
 		return s
 	}
-	victim := func(i int) Victim { return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Uses: halfSize} }
+	victim := func(i int) Victim {
+		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Resources: halfSize}
+	}
 	endingIn := func(seconds float64, v Victim) Victim {
 		v.RemainingS = seconds
 		return v
@@ -114,7 +116,7 @@
 	halfFree := Machine{Reservations: reservations, Free: Resources{2, 0, 9}, Stopping: halfSize}
 	twoVictims := []Victim{victim(0), victim(1)}
 	endingSoon := full(endingIn(3, victim(0)), endingIn(4, victim(1)))
-	notPreemptible := Victim{Task: wire.Task{Job: "req-8"}, Rank: 2, Uses: machineSize, RemainingS: 2}
+	notPreemptible := Victim{Task: wire.Task{Job: "req-8"}, Rank: 2, Resources: machineSize, RemainingS: 2}
 
 	urgent := Job{Spec: urgentSpec, Pending: 1, Weight: 8}
 	reserved := urgent
@@ -132,7 +134,7 @@
 	other := Job{Spec: spec("req-4", wire.PriorityUrgent, 4), Pending: 1, Weight: 8}
 	lighterOther := other
 	lighterOther.Weight = 7
-	warm := Machine{ID: "warm", Images: map[wire.ImageID]Image{"i": Present}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: little}
+	warm := Machine{ID: "warm", Images: map[wire.ImageID]ImageState{"i": Present}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: little}
 
 	for _, c := range []struct {
 		name                                      string
@@ -195,7 +197,7 @@
 // first, then those of the lowest rank, and of one rank those that lose least.
 func TestOrderOfVictimsOnMachine(t *testing.T) {
 	victim := func(index, rank int, lostS, remainingS float64) Victim {
-		return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: rank, Uses: Resources{2, 0, 2}, LostS: lostS, RemainingS: remainingS, Team: "t"}
+		return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: rank, Resources: Resources{2, 0, 2}, LostS: lostS, RemainingS: remainingS, Team: "t"}
 	}
 	for _, c := range []struct {
 		name         string
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -12,7 +12,7 @@
 
 // Fits reports whether the amount is available.
 func (r Resources) Fits(free Resources) bool {
-	return r.CPUs <= free.CPUs+wire.Eps && r.GPUs <= free.GPUs+wire.Eps && r.MemoryGB <= free.MemoryGB+wire.Eps
+	return r.CPUs <= free.CPUs+wire.AmountTolerance && r.GPUs <= free.GPUs+wire.AmountTolerance && r.MemoryGB <= free.MemoryGB+wire.AmountTolerance
 }
 
 // Plus returns the sum.
@@ -43,7 +43,7 @@
 	units := maxUnits
 	for _, d := range [...]struct{ amount, free float64 }{{r.CPUs, free.CPUs}, {r.GPUs, free.GPUs}, {r.MemoryGB, free.MemoryGB}} {
 		if d.amount > 0 {
-			units = min(units, int((d.free+wire.Eps)/d.amount))
+			units = min(units, int((d.free+wire.AmountTolerance)/d.amount))
 		}
 	}
 	return max(0, units)
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -28,7 +28,7 @@
 	}
 	option := roomOption{cost: fetchCost(j, m)}
 	room := m.unreservedRoom()
-	if j.Spec.Gang() && !j.WaitedLong {
+	if j.Spec.IsGang() && !j.WaitedLong {
 		// It may not use the headroom, and would reserve it for ever.
 		room = room.Minus(m.serviceHeadroom)
 	}
@@ -38,7 +38,7 @@
 	}
 	for _, i := range victimOrder(j, m) {
 		victim := &m.Victims[i]
-		room = room.Plus(victim.Uses)
+		room = room.Plus(victim.Resources)
 		option.cost += victimCost(j, victim)
 		option.victims = append(option.victims, i)
 		if unit.Fits(room) {
@@ -122,7 +122,7 @@
 	if m.Images[j.Spec.Image] == Present {
 		return 0
 	}
-	if j.Spec.Service() || mustStartSoon(j) {
+	if j.Spec.IsService() || mustStartSoon(j) {
 		return waitingWeight * m.fetchSeconds(j)
 	}
 	return m.fetchSeconds(j)
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -10,7 +10,7 @@
 // priority wait for room: the work of a preempted array is mostly repeated, and what
 // makes room for one delays another.
 func MayPreempt(s *wire.JobSpec) bool {
-	return s.Service() || s.Priority.Rank() >= wire.PriorityUrgent.Rank()
+	return s.IsService() || s.Priority.Rank() >= wire.PriorityUrgent.Rank()
 }
 
 // Allowed reports whether the job may run on the machine at all.
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	return j.TasksByZone[zone] < j.Spec.ZoneCap()
+	return j.TasksByZone[zone] < j.Spec.MaxTasksPerZone()
 }
 
 // canLaunch reports whether one more unit of the job may be launched on the machine now.
@@ -56,10 +56,10 @@
 // a gang.
 func (t *Team) keepsReserveFrom(j *Job) bool {
 	reservedForOther := t.ReservedFor != "" && t.ReservedFor != j.Spec.ID
-	return reservedForOther && !j.Spec.Service() && j.Spec.Priority.Rank() <= t.ReservedRank
+	return reservedForOther && !j.Spec.IsService() && j.Spec.Priority.Rank() <= t.ReservedRank
 }
 
-func withinLimit(used, limit float64) bool { return limit == 0 || used <= limit+wire.Eps }
+func withinLimit(used, limit float64) bool { return limit == 0 || used <= limit+wire.AmountTolerance }
 
 // endsInTime reports whether the task is worth waiting for: it is expected to end by
 // itself within the job's patience. That takes no permission, whatever its priority.
@@ -76,12 +76,12 @@
 }
 
 func mayReclaimQuota(j *Job, v *Victim) bool {
-	return j.Spec.Service() && j.Guaranteed && v.BeyondGuarantee && v.Team != j.Spec.Team
+	return j.Spec.IsService() && j.Guaranteed && v.BeyondGuarantee && v.Team != j.Spec.Team
 }
 
 // mustStartSoon reports whether the job is a gang that may preempt and can still start
 // in time.
-func mustStartSoon(j *Job) bool { return j.Spec.Gang() && MayPreempt(j.Spec) && j.StartsInS > 0 }
+func mustStartSoon(j *Job) bool { return j.Spec.IsGang() && MayPreempt(j.Spec) && j.StartsInS > 0 }
 
 // savesTooLong reports whether the task would still be saving a checkpoint when a gang
 // that must start soon should have started. (Urgent gangs with an objective of 2 s
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -30,7 +30,7 @@
 	if m.Spot {
 		score += spotBonus
 	}
-	if j.Spec.Service() && m.Services > 0 {
+	if j.Spec.IsService() && m.Services > 0 {
 		score += servicesBonus
 	}
 	left := m.Free.Minus(unit)
@@ -49,6 +49,6 @@
 // isLastResort reports whether the machine is the job's last choice, whatever images it
 // has.
 func isLastResort(j *Job, m *Machine, usesHeadroom bool) bool {
-	cordoned := m.Cordoned && !j.Spec.Service()
+	cordoned := m.Cordoned && !j.Spec.IsService()
 	return cordoned || j.Avoid[m.ID] || usesHeadroom
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -53,10 +53,10 @@
 	Jobs     []Job
 	Teams    map[wire.TeamID]*Team
 	Factors  Factors
-	// SpareUnits is how many units of headroom are kept for the next replicas; only
+	// HeadroomUnits is how many units of headroom are kept for the next replicas; only
 	// services may use them.
-	SpareUnits int
-	SpareUnit  Resources
+	HeadroomUnits int
+	HeadroomUnit  Resources
 	// ExpectedGangs are those for which headroom is kept from arrays.
 	ExpectedGangs []*wire.JobSpec
 	// Preempt allows to preempt tasks for jobs of higher priority.
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -73,7 +73,7 @@
 // storedAttempts lists the attempts that are recorded of a job, and their machines.
 func storedAttempts(t *testing.T, sim *simulator.Simulation, id wire.JobID) map[[2]int]wire.MachineID {
 	t.Helper()
-	reader := store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
+	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
 	entries, _, err := reader.List(context.Background(), store.Background, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -43,7 +43,7 @@
 
 // Copies of heartbeats that show an older attempt come while the next one waits and
 // runs, also to a new leader.
-func TestGangDuplicatedReportsArriveLate(t *testing.T) {
+func TestGangDuplicatedHeartbeatsArriveLate(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 809, func(sim *simulator.Simulation, at func(time.Duration)) {
 		j := gang(1, 4, 60)
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -173,7 +173,7 @@
 	poll(100*time.Second, time.Second, func() bool { return allComplete(sim, all) })
 	time.Sleep(4 * time.Second)
 	for _, j := range all {
-		if j.Spec.Service() {
+		if j.Spec.IsService() {
 			mustRun(t, sim, j, "at the end")
 			continue
 		}
@@ -209,7 +209,7 @@
 	all := true
 	sim.WithChecker(func(c *simulator.Checker) {
 		for _, j := range jobs {
-			all = all && (j.Spec.Service() || c.Complete(j.Spec.ID))
+			all = all && (j.Spec.IsService() || c.Complete(j.Spec.ID))
 		}
 	})
 	return all
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -167,7 +167,7 @@
 // tests can reach.
 func settingsWithTeamLimits() config.Settings {
 	s := simulator.DefaultSettings()
-	s.Teams = []config.Team{{Name: "red", CPUs: 16, CPUsMax: 24}, {Name: "blue", CPUs: 16, CPUsMax: 16}}
+	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 24}, {Name: "blue", GuaranteedCPUs: 16, MaxCPUs: 16}}
 	return s
 }
 
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -114,7 +114,7 @@
 				}
 				return
 			}
-			if c.Accepted(id, now); cancel || b.Status.Final() {
+			if c.Accepted(id, now); cancel || b.Status.IsFinal() {
 				c.StatusToldNow(id, b.Status, now)
 			}
 			if when.IsZero() {
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -56,7 +56,7 @@
 // the machines itself, has halted a cancelled job's tasks there, and has started
 // others. Then they arrive there, before the machines' own next ones or after.
 // What they lack is not gone, and what they list is not there any more.
-func TestReportDelayedUntilNewLeaderActed(t *testing.T) {
+func TestHeartbeatDelayedUntilNewLeaderActed(t *testing.T) {
 	t.Parallel()
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprint("before the next ones ", before), func(t *testing.T) {
@@ -131,7 +131,7 @@
 // other attempts, and of the same one. A share of all heartbeats comes again until
 // well after a lease meanwhile, a leader ends, and a job is cancelled that the
 // old ones list.
-func TestReportsOfEarlierSessionsAndAttempts(t *testing.T) {
+func TestHeartbeatsOfEarlierEpochsAndAttempts(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		lease := sim.Settings.Workers.Lease.Duration()
@@ -219,7 +219,7 @@
 // it hears of a machine: before it has read what is stored, and after. It
 // inherits tasks on those machines, some of which the old heartbeats lack, and a
 // job is cancelled while nobody leads.
-func TestOldReportsDuringLeaderRecovery(t *testing.T) {
+func TestOldHeartbeatsDuringLeaderRecovery(t *testing.T) {
 	t.Parallel()
 	for _, recovered := range []bool{false, true} {
 		for _, first := range []bool{false, true} {
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -15,7 +15,7 @@
 // was cancelled. It may renew their leases only while the other controllers tell
 // it of all that they confirmed, and must stop what they tell of; what none can
 // tell of any more ends with the leases.
-func TestCancelWhileStateServiceRefusesLeader(t *testing.T) {
+func TestCancelWhileStoreRefusesLeader(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name   string
@@ -174,7 +174,7 @@
 // leader alone while they go on to cancel, and then everybody, for longer than a
 // cancelled task may last: after the leader alone was refused for a moment, or
 // just when the next one has come and has read nothing yet.
-func TestSlowStateServiceThenLeaderRefusedThenOutage(t *testing.T) {
+func TestSlowStoreThenLeaderRefusedThenOutage(t *testing.T) {
 	t.Parallel()
 	for i, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
 		t.Run(kind, func(t *testing.T) {
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -14,13 +14,13 @@
 )
 
 // loweredLimits are the limits to come.
-var loweredLimits = config.NextState{RPS: 200, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
+var loweredLimits = config.NextStoreLimits{RPS: 200, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
 
 // lowering is a deployment with room for many small tasks.
 func settingsBeforeLowering() config.Settings {
 	s := simulator.DefaultSettings()
-	s.Teams = []config.Team{{Name: "red", CPUs: 400, CPUsMax: 400}, {Name: "blue", CPUs: 16}}
-	s.State = config.State{RPS: 200, WriteRPS: 60, ValueKB: 32, TxnOps: 12}
+	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 400, MaxCPUs: 400}, {Name: "blue", GuaranteedCPUs: 16}}
+	s.State = config.StoreLimits{RPS: 200, WriteRPS: 60, ValueKB: 32, TxnOps: 12}
 	return s
 }
 
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -145,7 +145,7 @@
 // A scale-in request takes effect and is never answered, since the leader that asked for it
 // ends: tasks of a team at its limit were on that machine, some of them cancelled
 // meanwhile, and lists go on showing it for a while.
-func TestReleaseUnansweredAcrossLeaderChange(t *testing.T) {
+func TestScaleInUnansweredAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -234,7 +234,7 @@
 				}
 				for _, m := range v.Term.Machines {
 					if sim.MachineIP(m.Name) == "" {
-						t.Errorf("%s is gone and still kept, silent for %.0f s", m.Name, m.SilentSeconds)
+						t.Errorf("%s is gone and still kept, silent for %.0f s", m.Name, m.SecondsSinceMessage)
 					}
 				}
 				mustRun(t, sim, s, "when all is over")
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -197,7 +197,7 @@
 // Jobs of one small task each, many of which fit on the smallest machine, are
 // provisioned for together: for one of them alone every machine would be too dear. (A
 // hundred of them waited two minutes, until the first was taken for starving.)
-func TestSmallJobsShareRentalCost(t *testing.T) {
+func TestSmallJobsShareScaleOutCost(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, simulator.DefaultSettings(), 470, func(sim *simulator.Simulation, at func(time.Duration)) {
 		l := sim.NewBurstReaders()
@@ -281,9 +281,9 @@
 func TestMinimalDeployment(t *testing.T) {
 	t.Parallel()
 	set := simulator.GasSettings()
-	set.State = config.State{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
+	set.State = config.StoreLimits{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
 	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
-	set.Limits = config.Limits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
+	set.Limits = config.ProcessLimits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
 	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
 		a, b, cancelledJob := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
 		at(3 * time.Second)
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -201,7 +201,7 @@
 
 // The leader is killed just before, within and after the switch, whose answer is lost or
 // which is carried out late: the version is switched once, and all go on by it.
-func TestLeaderEndsDuringTheSwitch(t *testing.T) {
+func TestLeaderEndsDuringVersionSwitch(t *testing.T) {
 	t.Parallel()
 	for i, fault := range []simulator.TxnFault{
 		{Prefix: upgrade.ActiveKey, Most: 1},
@@ -243,7 +243,7 @@
 		time.Sleep(5 * time.Second)
 		sim.State.Put(store.SettingsKey, map[string]any{})
 		time.Sleep(20 * time.Second)
-		missing := func(i int) upgrade.Missing { return upgradeStatus(t, sim, 0).Controllers[i].Missing }
+		missing := func(i int) upgrade.Blocker { return upgradeStatus(t, sim, 0).Controllers[i].Blocker }
 		names := upgradeStatus(t, sim, 0).Controllers
 		last := 0
 		for i, c := range names {
@@ -251,11 +251,11 @@
 				last = i
 			}
 		}
-		if v, m := activeVersion(sim), missing(last); v != 1 || m != upgrade.NotInContact {
+		if v, m := activeVersion(sim), missing(last); v != 1 || m != upgrade.NotConnected {
 			t.Errorf("beside a version from before: %d is active, missing %q", v, m)
 		}
 		p.replace(t, sim, 2, oldProgram)
-		eventually(t, 30*time.Second, "an old controller to be seen", func() bool { return missing(last) == upgrade.NotUnderstood })
+		eventually(t, 30*time.Second, "an old controller to be seen", func() bool { return missing(last) == upgrade.NotSupported })
 		sim.KillController(2)
 		p.set(sim, 2, newProgram)
 		time.Sleep(20 * time.Second)
@@ -279,7 +279,7 @@
 		revision := hold(1, listing.Version)
 		startControllers(t, sim, 2)
 		time.Sleep(30 * time.Second)
-		if s := upgradeStatus(t, sim, 1); s.Active != 1 || !s.Held || s.Ceiling != 1 {
+		if s := upgradeStatus(t, sim, 1); s.Active != 1 || !s.LimitedByOperators || s.MaxVersion != 1 {
 			t.Errorf("held back: %+v", s)
 		}
 		hold(0, revision)
@@ -317,7 +317,7 @@
 
 // A mixed pair is parted, the old one with the key-value store, from the others; no switch
 // is made, and no job is lost.
-func TestMixedVersionsParted(t *testing.T) {
+func TestMixedVersionsPartitioned(t *testing.T) {
 	t.Parallel()
 	runPrograms(t, 97, newProgram, func(sim *simulator.Simulation, p *programs, at func(time.Duration)) {
 		p.replace(t, sim, 1, oldProgram)
--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -243,7 +243,7 @@
 	for sim.ctx.Err() == nil {
 		sleep(sim.ctx, l.PollInterval)
 		turn++
-		if _, s := l.Ask(turn%len(sim.controllers), PollOperation, t); s.Status.Final() {
+		if _, s := l.Ask(turn%len(sim.controllers), PollOperation, t); s.Status.IsFinal() {
 			break
 		}
 	}
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -139,7 +139,7 @@
 	j.unansweredSince = time.Time{}
 	c.StatusTold(id, st, asked, now)
 	completedBefore := !j.completed.IsZero() && asked.Sub(j.completed) > doneToldWithin
-	if completedBefore && !st.Final() && !j.cancelRequested {
+	if completedBefore && !st.IsFinal() && !j.cancelRequested {
 		c.lateDone++
 		j.notDoneToldAt = now
 	}
@@ -186,12 +186,12 @@
 		return
 	}
 	c.recordAccepted(j, now)
-	if j.finalStatus != "" && st != j.finalStatus && (st.Final() || !asked.Before(j.finalToldAt)) {
+	if j.finalStatus != "" && st != j.finalStatus && (st.IsFinal() || !asked.Before(j.finalToldAt)) {
 		c.violated(now, WentBack, "%s was %s and is called %s", id, j.finalStatus, st)
 	}
 	switch st {
 	case wire.Done:
-		if len(j.done) < j.spec.Tasks || j.spec.Service() {
+		if len(j.done) < j.spec.Tasks || j.spec.IsService() {
 			c.violated(now, NotDone, "%s called done with %d of %d tasks", id, len(j.done), j.spec.Tasks)
 		}
 	case wire.Cancelled:
@@ -202,7 +202,7 @@
 			j.cancelToldAt = now
 		}
 	}
-	if st.Final() && j.finalStatus != st {
+	if st.IsFinal() && j.finalStatus != st {
 		j.finalStatus, j.finalToldAt = st, now
 	}
 }
@@ -247,7 +247,7 @@
 		c.violated(now, WentBack, "%s was %s and is accepted again", id, m)
 	case status == 200 && m.final != "" && st != m.final:
 		c.violated(now, WentBack, "%s was %s and %s is answered %s", id, m, op, st)
-	case status == 200 && st.Final():
+	case status == 200 && st.IsFinal():
 		c.StatusToldNow(id, st, now)
 	}
 	if status == 200 || status == 201 {
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -134,7 +134,7 @@
 		return ToldNothing, true
 	case httpStatus != http.StatusOK:
 		return ToldNothing, false
-	case status.Final():
+	case status.IsFinal():
 		return ToldFinal, true
 	}
 	return ToldAccepted, true
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -18,8 +18,8 @@
 	if !known {
 		return "its team is unknown"
 	}
-	n := float64(s.MinTogether())
-	if limit.CPUs > 0 && n*s.CPUs > limit.CPUs+wire.Eps || limit.GPUs > 0 && n*s.GPUs > limit.GPUs+wire.Eps {
+	n := float64(s.MinConcurrentTasks())
+	if limit.CPUs > 0 && n*s.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && n*s.GPUs > limit.GPUs+wire.AmountTolerance {
 		return "it needs more than its team's limit"
 	}
 	for i := range c.MachineSpecs {
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -25,7 +25,7 @@
 		c.lateStarts++
 	}
 	c.recordOnMachine(t, j, p, now, "starts")
-	if j.startedAt.IsZero() && !j.spec.Gang() {
+	if j.startedAt.IsZero() && !j.spec.IsGang() {
 		j.startedAt = now // a gang begins when all of it runs
 	}
 	s := &j.spec
@@ -51,7 +51,7 @@
 	if s.Spread && inZone > (s.Tasks+1)/2 || s.SameZone && elsewhere > 0 {
 		c.violated(now, WrongPlace, "%s in %s with %d there and %d elsewhere", t, p.Zone, inZone-1, elsewhere)
 	}
-	if l := c.Limits[s.Team]; l.CPUs > 0 && used.CPUs > l.CPUs+wire.Eps || l.GPUs > 0 && used.GPUs > l.GPUs+wire.Eps {
+	if l := c.Limits[s.Team]; l.CPUs > 0 && used.CPUs > l.CPUs+wire.AmountTolerance || l.GPUs > 0 && used.GPUs > l.GPUs+wire.AmountTolerance {
 		c.violated(now, Quota, "team %s uses %.1f cpus", s.Team, used.CPUs)
 	}
 }
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -79,7 +79,7 @@
 		// user is told that it goes on, and it waits to be started again.
 		lost := len(mine) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
 		all := taken >= j.spec.Tasks && !lost
-		if j.spec.Gang() && (len(mine) > 0 || !gangFits(rooms, &j.spec, j.waits.failed)) {
+		if j.spec.IsGang() && (len(mine) > 0 || !gangFits(rooms, &j.spec, j.waits.failed)) {
 			j.waits.end() // what is left of its last attempt goes first
 			continue
 		}
@@ -95,10 +95,10 @@
 // team over its limit.
 func (c *Checker) atLimit(s *wire.JobSpec, used TeamLimit) bool {
 	limit, more := c.Limits[s.Team], 1.0
-	if s.Gang() {
+	if s.IsGang() {
 		more = float64(s.Tasks)
 	}
-	return limit.CPUs > 0 && used.CPUs+more*s.CPUs > limit.CPUs+wire.Eps || limit.GPUs > 0 && used.GPUs+more*s.GPUs > limit.GPUs+wire.Eps
+	return limit.CPUs > 0 && used.CPUs+more*s.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && used.GPUs+more*s.GPUs > limit.GPUs+wire.AmountTolerance
 }
 
 // checkUsableMachines notes which machines a waiting job could use, and a violation
@@ -139,7 +139,7 @@
 			return true
 		}
 		if s.Spread {
-			n = min(n, s.ZoneCap())
+			n = min(n, s.MaxTasksPerZone())
 		}
 		all += n
 	}
@@ -155,5 +155,5 @@
 	if s.SameZone && len(zones) > 0 && (len(zones) > 1 || zones[r.Zone] == 0) || s.Spread && zones[r.Zone] >= (s.Tasks+1)/2 {
 		return false
 	}
-	return s.CPUs <= r.CPUs+wire.Eps && s.GPUs <= r.GPUs+wire.Eps && s.MemoryGB <= r.MemoryGB+wire.Eps && s.ImageGB <= r.DiskGB+wire.Eps
+	return s.CPUs <= r.CPUs+wire.AmountTolerance && s.GPUs <= r.GPUs+wire.AmountTolerance && s.MemoryGB <= r.MemoryGB+wire.AmountTolerance && s.ImageGB <= r.DiskGB+wire.AmountTolerance
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -51,7 +51,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if sim.cloudOutage {
-		wire.Answer(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
+		wire.WriteResponse(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
 		return
 	}
 	if sim.delayRequest(r, raw) {
@@ -59,17 +59,17 @@
 	}
 	switch r.URL.Path {
 	case "/flavors":
-		wire.Answer(rw, http.StatusOK, wire.MachineSpecs{Types: sim.machineTypes})
+		wire.WriteResponse(rw, http.StatusOK, wire.MachineSpecs{Types: sim.machineTypes})
 	case "/machines/release":
 		if !sim.scaleIn(raw) {
-			wire.Answer(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
+			wire.WriteResponse(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 			return
 		}
 		if sim.loseScaleInAnswers > 0 {
 			sim.loseScaleInAnswers--
 			panic(http.ErrAbortHandler)
 		}
-		wire.Answer(rw, http.StatusOK, struct{}{})
+		wire.WriteResponse(rw, http.StatusOK, struct{}{})
 	case "/machines":
 		if r.Method == "GET" {
 			sim.list(rw, r)
@@ -109,7 +109,7 @@
 	if len(sim.listHistory) > 200 {
 		sim.listHistory = append([]listSnapshot(nil), sim.listHistory[100:]...)
 	}
-	wire.Answer(rw, http.StatusOK, page)
+	wire.WriteResponse(rw, http.StatusOK, page)
 }
 
 // maxPage is how many machines a page has at most.
@@ -146,7 +146,7 @@
 func (sim *Simulation) scaleOut(rw http.ResponseWriter, raw []byte) {
 	var b wire.ScaleOutRequest
 	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
-		wire.Answer(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
+		wire.WriteResponse(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 		return
 	}
 	ids, known := sim.scaleOuts[b.Name]
@@ -154,7 +154,7 @@
 		of := capacityKey(b.Type, b.Zone, b.Spot)
 		n := min(b.Count, sim.capacity[of])
 		if n <= 0 || sim.soldOut[b.Zone] || sim.noSpot && b.Spot {
-			wire.Answer(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
+			wire.WriteResponse(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
 			return
 		}
 		sim.capacity[of] -= n
@@ -168,7 +168,7 @@
 		sim.loseScaleOutAnswers--
 		panic(http.ErrAbortHandler)
 	}
-	wire.Answer(rw, http.StatusOK, wire.MachineNames{Machines: ids})
+	wire.WriteResponse(rw, http.StatusOK, wire.MachineNames{Machines: ids})
 }
 
 // provisionMachine creates a machine that boots after a time; the caller holds the lock.
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -152,7 +152,7 @@
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.done)
-		c.out.send(packet{fin: true}) //nolint:errcheck // a reset link needs no end
+		_ = c.out.send(packet{fin: true}) // an error: a reset link needs no end
 		c.network.mu.Lock()
 		delete(c.network.conns, c)
 		c.network.mu.Unlock()
@@ -184,5 +184,5 @@
 		p.notifyReader()
 		p.mu.Unlock()
 	}
-	c.Close()
+	_ = c.Close()
 }
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -47,7 +47,7 @@
 	ctx, cancel := context.WithCancel(sim.ctx)
 	n.cancel = cancel
 	sim.setPower(n, true)
-	sim.spawn(func() { run(ctx) }) //nolint:errcheck // it is killed
+	sim.spawn(func() { _ = run(ctx) }) // it is killed
 	return nil
 }
 
@@ -122,7 +122,7 @@
 			sim.Net.CutWithMode(NodeIP(i), NodeIP(k), mode, on)
 		}
 	}
-	sim.Net.CutWithMode(NodeIP(i), hostOf(StateAddr), mode, on)
+	sim.Net.CutWithMode(NodeIP(i), hostOf(KVStoreAddr), mode, on)
 }
 
 // parseID returns the index of a controller by its name.
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -152,7 +152,7 @@
 		return // it had no image, or the gang had begun without it
 	}
 	now := time.Now()
-	sim.advance(g, r, now)
+	sim.advance(r, now)
 	delete(r.members, t.Index)
 	if r.running && !r.saved && !g.done {
 		sim.rollBack(g, r, now)
@@ -160,7 +160,7 @@
 }
 
 // advance counts progress up to now.
-func (sim *Simulation) advance(g *gangJob, r *gangRun, now time.Time) {
+func (sim *Simulation) advance(r *gangRun, now time.Time) {
 	if !r.progresses() {
 		return
 	}
@@ -183,7 +183,7 @@
 	peer := sim.Settings.Workers.GangPeerTimeout.Duration()
 	for i, b := range r.members {
 		if every := float64(sim.scripts[b.task.Job].Spec.CheckpointInterval); every > 0 {
-			g.saved = max(g.saved, math.Floor((r.progress+wire.Eps)/every)*every)
+			g.saved = max(g.saved, math.Floor((r.progress+wire.AmountTolerance)/every)*every)
 		}
 		b.leavesAt = now.Add(peer * time.Duration(1+(i*5+2)%9) / 10)
 	}
@@ -207,14 +207,14 @@
 	canSave := s.CheckpointInterval > 0 && left >= s.CheckpointTime
 	switch {
 	case !hasRun:
-	case x.phase == wire.PhaseSaving && left > 0:
+	case x.phase == wire.PhaseCheckpointing && left > 0:
 		return
 	case x.phase == wire.PhaseRunning && canSave && !r.broken():
-		m.sim.advance(g, r, now)
+		m.sim.advance(r, now)
 		if !r.stopping() {
 			r.stoppingSince = now
 		}
-		b.toldToStop, b.savedAt, x.phase = true, now.Add(s.CheckpointTime.Duration()), wire.PhaseSaving
+		b.toldToStop, b.savedAt, x.phase = true, now.Add(s.CheckpointTime.Duration()), wire.PhaseCheckpointing
 		m.requestHeartbeat()
 		return
 	}
@@ -239,7 +239,7 @@
 
 // stepGang lets time pass for one attempt of a gang; the caller holds the lock.
 func (sim *Simulation) stepGang(script *JobScript, g *gangJob, r *gangRun, now time.Time) {
-	sim.advance(g, r, now)
+	sim.advance(r, now)
 	order := r.inOrder(script.Spec.Tasks)
 	sim.breakOnHungMember(g, r, order, now)
 	allTold := r.running && len(order) == script.Spec.Tasks && !slices.ContainsFunc(order, func(b *gangMember) bool { return !b.toldToStop })
@@ -349,7 +349,7 @@
 				out.Waiting++
 			case wire.PhaseRunning:
 				out.Running++
-			case wire.PhaseSaving:
+			case wire.PhaseCheckpointing:
 				out.Saving++
 			case wire.PhaseExited:
 				continue
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -209,7 +209,7 @@
 			time.Sleep(11 * s)
 			order(0, stopCommand(0, 1, 2))
 			time.Sleep(6 * s)
-			is(0, wire.PhaseSaving, "", false)
+			is(0, wire.PhaseCheckpointing, "", false)
 			order(1, stopCommand(1, 1, 2))
 			order(2, stopCommand(2, 1, 2))
 			time.Sleep(3 * s)
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -152,7 +152,7 @@
 	for id, j := range sim.checker.jobs {
 		n := sim.checker.Waiting(id)
 		s, l := &j.spec, sim.checker.Limits[j.spec.Team]
-		if !j.accepted || j.cancelRequested || j.finalStatus != "" || n == 0 || l.CPUs > 0 && sim.checker.CPUsUsed(s.Team)+s.CPUs > l.CPUs+wire.Eps {
+		if !j.accepted || j.cancelRequested || j.finalStatus != "" || n == 0 || l.CPUs > 0 && sim.checker.CPUsUsed(s.Team)+s.CPUs > l.CPUs+wire.AmountTolerance {
 			continue
 		}
 		zones := sim.checker.TasksByZone(id)
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -149,7 +149,7 @@
 	}
 	n.mu.Unlock()
 	for _, l := range ls {
-		l.Close()
+		_ = l.Close()
 	}
 	for _, c := range n.matching(func(c *conn) bool { return hostOf(string(c.local)) == ip || hostOf(string(c.remote)) == ip }) {
 		c.abort(func(p *pipe) { p.reset = true })
--- a/internal/simulator/serve.go
+++ b/internal/simulator/serve.go
@@ -11,16 +11,16 @@
 // drainTime is how long clients may still wait for what was on its way.
 const drainTime = 5 * time.Second
 
-// ServeState lets a key-value store answer at StateAddr until stop is called, which ends
+// ServeKVStore lets a key-value store answer at KVStoreAddr until stop is called, which ends
 // the network and waits for what was on its way, in virtual time.
-func (n *Network) ServeState(s *State) (stop func(), err error) {
-	l, err := n.Host(hostOf(StateAddr)).Listen("tcp4", StateAddr)
+func (n *Network) ServeKVStore(s *KVStore) (stop func(), err error) {
+	l, err := n.Host(hostOf(KVStoreAddr)).Listen("tcp4", KVStoreAddr)
 	if err != nil {
 		return nil, err
 	}
 	server := &http.Server{Handler: s, ErrorLog: log.New(io.Discard, "", 0)}
 	var serving sync.WaitGroup
-	serving.Go(func() { server.Serve(l) }) //nolint:errcheck // ends with Close
+	serving.Go(func() { _ = server.Serve(l) }) // ends with Close
 	return func() {
 		n.Close()
 		server.Close()
--- a/internal/simulator/serve_test.go
+++ b/internal/simulator/serve_test.go
@@ -12,12 +12,12 @@
 func TestServeStateAnswersUntilStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := NewNetwork(time.Millisecond)
-		stop, err := network.ServeState(NewState(12, 16))
+		stop, err := network.ServeKVStore(NewKVStore(12, 16))
 		if err != nil {
 			t.Fatalf("ServeState() = %v, want no error", err)
 		}
 		ask := func() int {
-			status, _, _ := Ask(t.Context(), network.Host(userIP), "GET", "http://"+StateAddr+"/kv", nil)
+			status, _, _ := Ask(t.Context(), network.Host(userIP), "GET", "http://"+KVStoreAddr+"/kv", nil)
 			return status
 		}
 		if got := ask(); got != http.StatusOK {
@@ -33,13 +33,13 @@
 func TestChangesWithoutBlockingAreAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := NewNetwork(time.Millisecond)
-		stop, err := network.ServeState(NewState(12, 16))
+		stop, err := network.ServeKVStore(NewKVStore(12, 16))
 		if err != nil {
 			t.Fatalf("ServeState() = %v, want no error", err)
 		}
 		defer stop()
 		begin := time.Now()
-		status, _, _ := Ask(t.Context(), network.Host(userIP), "GET", "http://"+StateAddr+"/changes?after=0&blockMs=0", nil)
+		status, _, _ := Ask(t.Context(), network.Host(userIP), "GET", "http://"+KVStoreAddr+"/changes?after=0&blockMs=0", nil)
 		if took := time.Since(begin); status != http.StatusOK || took > 50*time.Millisecond {
 			t.Errorf("GET /changes with blockMs=0 answered %d after %v, want %d within 50ms", status, took, http.StatusOK)
 		}
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -11,10 +11,10 @@
 	"lilaclead/internal/wire"
 )
 
-// StateAddr and CloudAddr are the endpoints of the fakes on the in-memory network.
+// KVStoreAddr and CloudAddr are the endpoints of the fakes on the in-memory network.
 const (
-	StateAddr = "10.2.0.1:2379"
-	CloudAddr = "10.2.0.2:8443"
+	KVStoreAddr = "10.2.0.1:2379"
+	CloudAddr   = "10.2.0.2:8443"
 )
 
 // NodeIP returns the address of the i-th controller.
@@ -23,12 +23,12 @@
 // DefaultSettings returns the settings of a small deployment.
 func DefaultSettings() config.Settings {
 	return config.Settings{
-		Size: 3, Zones: []wire.Zone{"a", "b"}, ClockOffMs: 250,
-		Teams:   []config.Team{{Name: "red", CPUs: 16, CPUsMax: 40}, {Name: "blue", CPUs: 16}},
+		Size: 3, Zones: []wire.Zone{"a", "b"}, MaxClockSkewMillis: 250,
+		Teams:   []config.Team{{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 40}, {Name: "blue", GuaranteedCPUs: 16}},
 		Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41, GangWait: 45, GangPeerTimeout: 8},
-		State:   config.State{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 12},
-		Cloud:   config.Cloud{RPS: 6, ListLag: 4},
-		Limits:  config.Limits{Cores: 0.2, MemoryMB: 98, FDLimit: 900},
+		State:   config.StoreLimits{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 12},
+		Cloud:   config.CloudLimits{RPS: 6, ListLag: 4},
+		Limits:  config.ProcessLimits{Cores: 0.2, MemoryMB: 98, FDLimit: 900},
 	}
 }
 
@@ -39,8 +39,8 @@
 	s := DefaultSettings()
 	s.Zones = []wire.Zone{"a", "b", "c"}
 	s.Workers = config.Workers{HeartbeatInterval: 4, Lease: 22, CancelTimeout: 47, GangWait: 45, GangPeerTimeout: 8}
-	s.State = config.State{RPS: 80, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
-	s.Cloud = config.Cloud{RPS: 10, ListLag: 6}
+	s.State = config.StoreLimits{RPS: 80, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
+	s.Cloud = config.CloudLimits{RPS: 10, ListLag: 6}
 	return s
 }
 
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -40,7 +40,7 @@
 type Simulation struct {
 	Net      *Network // the network in memory, with its faults
 	hostNet  func(ip string) netio.Net
-	State    *State
+	State    *KVStore
 	Settings config.Settings
 
 	mu               sync.Mutex
@@ -91,10 +91,10 @@
 func New(ctx context.Context, set config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
 	limits := map[wire.TeamID]TeamLimit{}
 	for _, t := range set.Teams {
-		limits[t.Name] = TeamLimit{t.CPUsMax, t.GPUsMax}
+		limits[t.Name] = TeamLimit{t.MaxCPUs, t.MaxGPUs}
 	}
 	sim := &Simulation{
-		Net: NewNetwork(time.Millisecond), State: NewState(set.State.TxnOps, int(set.State.ValueKB)), Settings: set,
+		Net: NewNetwork(time.Millisecond), State: NewKVStore(set.State.TxnOps, int(set.State.ValueKB)), Settings: set,
 		checker: NewChecker(set.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
 		machineTypes: []wire.MachineSpec{
 			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
@@ -113,7 +113,7 @@
 		}
 	}
 	sim.checker.MachineSpecs, sim.lastFault = sim.machineTypes, time.Now()
-	sim.serve(StateAddr, sim.State)
+	sim.serve(KVStoreAddr, sim.State)
 	sim.serve(CloudAddr, http.HandlerFunc(sim.cloud))
 	for i := range set.Size {
 		sim.controllers = append(sim.controllers, &controller{cfg: controllerConfig(set, i)})
@@ -134,7 +134,7 @@
 	name := func(k int) wire.NodeID { return wire.NodeID(fmt.Sprintf("worker-%d", k)) }
 	zone := func(k int) wire.Zone { return set.Zones[k%len(set.Zones)] }
 	c := config.Config{HostName: name(i), Zone: zone(i), UserAddr: NodeIP(i) + ":8080", PeerAddr: NodeIP(i) + ":8081",
-		Endpoints: config.Endpoints{Cloud: CloudAddr, State: StateAddr}, Settings: set}
+		Endpoints: config.Endpoints{Cloud: CloudAddr, State: KVStoreAddr}, Settings: set}
 	for k := range set.Size {
 		if k != i {
 			c.Peers = append(c.Peers, config.Peer{HostName: name(k), Zone: zone(k), Addr: NodeIP(k) + ":8081"})
@@ -176,7 +176,7 @@
 	sim.mu.Lock()
 	sim.servers = append(sim.servers, s)
 	sim.mu.Unlock()
-	sim.spawn(func() { s.Serve(l) }) //nolint:errcheck // ends with Close
+	sim.spawn(func() { _ = s.Serve(l) }) // ends with Close
 	return s
 }
 
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -11,7 +11,7 @@
 )
 
 // Outage begins or ends an outage. After it every grant has its full time.
-func (s *State) Outage(on bool) {
+func (s *KVStore) Outage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -25,28 +25,28 @@
 }
 
 // InOutage reports whether an outage lasts.
-func (s *State) InOutage() bool {
+func (s *KVStore) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outage
 }
 
 // RefuseClient makes the service refuse one host only.
-func (s *State) RefuseClient(host string, on bool) {
+func (s *KVStore) RefuseClient(host string, on bool) {
 	s.mu.Lock()
 	s.refused[host] = on
 	s.mu.Unlock()
 }
 
 // LoseAnswers makes the next transactions take effect without an answer.
-func (s *State) LoseAnswers(n int) {
+func (s *KVStore) LoseAnswers(n int) {
 	s.mu.Lock()
 	s.loseAnswers = n
 	s.mu.Unlock()
 }
 
 // DropRequests makes the next transactions vanish without effect or answer.
-func (s *State) DropRequests(n int) {
+func (s *KVStore) DropRequests(n int) {
 	s.mu.Lock()
 	s.dropRequests = n
 	s.mu.Unlock()
@@ -54,14 +54,14 @@
 
 // DelayWatches makes the answers to open watches come late, as the service's
 // answers do at times.
-func (s *State) DelayWatches(d time.Duration) {
+func (s *KVStore) DelayWatches(d time.Duration) {
 	s.mu.Lock()
 	s.watchDelay = d
 	s.mu.Unlock()
 }
 
 // faulty reports whether any fault of the service lasts.
-func (s *State) faulty() bool {
+func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.outage || s.loseAnswers > 0 || s.dropRequests > 0 || has(s.refused)
@@ -124,14 +124,14 @@
 
 // InjectTxnFaults puts these faults in place of the former ones; without any it ends
 // them. What is on its way is carried out all the same.
-func (s *State) InjectTxnFaults(seed uint64, faults ...TxnFault) {
+func (s *KVStore) InjectTxnFaults(seed uint64, faults ...TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.txnFaults.rng, s.txnFaults.faults = rand.New(rand.NewPCG(seed, 11)), faults
 }
 
 // TxnOutcomes returns the outcomes of the transactions that were hit so far, in order of arrival.
-func (s *State) TxnOutcomes() []TxnOutcome {
+func (s *KVStore) TxnOutcomes() []TxnOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]TxnOutcome, len(s.txnFaults.outcomes))
@@ -142,7 +142,7 @@
 }
 
 // injectFault reports whether a fault hits the transaction, and plays it.
-func (s *State) injectFault(r *http.Request, t *wire.Txn) bool {
+func (s *KVStore) injectFault(r *http.Request, t *wire.Txn) bool {
 	from := hostOf(r.RemoteAddr)
 	f := &TxnOutcome{Client: from, Keys: keysOf(t), Sent: time.Now()}
 	s.mu.Lock()
@@ -200,7 +200,7 @@
 
 // DelayAnswers delays every answer to a host, "" for all, after what was asked for has
 // been done.
-func (s *State) DelayAnswers(host string, by time.Duration) {
+func (s *KVStore) DelayAnswers(host string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.txnFaults.answerDelay == nil {
@@ -210,7 +210,7 @@
 }
 
 // delayed returns the writer that delays the answer to a client, if its answers are to be slow.
-func (s *State) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
+func (s *KVStore) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	by := max(s.txnFaults.answerDelay[""], s.txnFaults.answerDelay[hostOf(r.RemoteAddr)])
@@ -239,7 +239,7 @@
 }
 
 // trackUnanswered records the keys that a transaction changed until the returned function is called.
-func (s *State) trackUnanswered(from string, t *wire.Txn) (said func()) {
+func (s *KVStore) trackUnanswered(from string, t *wire.Txn) (said func()) {
 	keys := keysOf(t)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,7 +262,7 @@
 
 // UnansweredWrites counts the keys with a prefix that a host has changed without having
 // its answer yet, the service being slow.
-func (s *State) UnansweredWrites(host, prefix string) int {
+func (s *KVStore) UnansweredWrites(host, prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -29,7 +29,7 @@
 }
 
 // SetRateLimits makes the service refuse what is above its rates.
-func (s *State) SetRateLimits(rps, writeRPS float64) {
+func (s *KVStore) SetRateLimits(rps, writeRPS float64) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
 	s.limits.requestLimiter = rate.NewLimiter(rate.Limit(rps), int(rps))
@@ -39,7 +39,7 @@
 // LowerLimits gives the service smaller limits from now on, without notice: a larger
 // value or transaction gets 400, changes beyond the rate 429. What is stored
 // stays readable.
-func (s *State) LowerLimits(valueKB, maxOps int, rps, writeRPS float64) {
+func (s *KVStore) LowerLimits(valueKB, maxOps int, rps, writeRPS float64) {
 	s.mu.Lock()
 	s.maxOps, s.valueKB = maxOps, valueKB
 	s.mu.Unlock()
@@ -48,7 +48,7 @@
 
 // allows reports whether a transaction is within the limits of size. What it
 // refuses is counted.
-func (s *State) allows(t *wire.Txn, bytes int) bool {
+func (s *KVStore) allows(t *wire.Txn, bytes int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok := len(t.Writes) <= s.maxOps && len(t.Guards) <= 4*s.maxOps && bytes <= 64<<10
@@ -87,7 +87,7 @@
 }()
 
 // OversizeRefusals counts the transactions that were refused for their size.
-func (s *State) OversizeRefusals() int {
+func (s *KVStore) OversizeRefusals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.oversize
@@ -95,7 +95,7 @@
 
 // RateRefusals counts the requests that were refused for the rate, and the most that
 // came within a second.
-func (s *State) RateRefusals() (refused, most int) {
+func (s *KVStore) RateRefusals() (refused, most int) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
 	return s.limits.refusals, int(s.limits.peakRate)
@@ -103,21 +103,21 @@
 
 // LimitHistory makes the service keep only so many changes and list pages of so many
 // entries at most, as if many more had been written.
-func (s *State) LimitHistory(keep, page int) {
+func (s *KVStore) LimitHistory(keep, page int) {
 	s.limits.mu.Lock()
 	s.limits.historyLimit, s.limits.pageLimit = keep, page
 	s.limits.mu.Unlock()
 }
 
 // DelayTransactions makes a transaction wait before it is looked at, for as long as f says.
-func (s *State) DelayTransactions(f func(*wire.Txn) time.Duration) {
+func (s *KVStore) DelayTransactions(f func(*wire.Txn) time.Duration) {
 	s.limits.mu.Lock()
 	s.limits.txnDelay = f
 	s.limits.mu.Unlock()
 }
 
 // DelayReads makes reads of a key wait before they are looked at, for as long as f says.
-func (s *State) DelayReads(f func(key string) time.Duration) {
+func (s *KVStore) DelayReads(f func(key string) time.Duration) {
 	s.limits.mu.Lock()
 	s.limits.readDelay = f
 	s.limits.mu.Unlock()
@@ -125,14 +125,14 @@
 
 // DelayLists makes answers that list keys or changes wait once they are made, for as
 // long as f says: what they tell is that old when they arrive.
-func (s *State) DelayLists(f func() time.Duration) {
+func (s *KVStore) DelayLists(f func() time.Duration) {
 	s.limits.mu.Lock()
 	s.limits.listDelay = f
 	s.limits.mu.Unlock()
 }
 
 // FailedAtGuard counts the transactions that pass the test and failed at a guard.
-func (s *State) FailedAtGuard(which func(*wire.Txn) bool) int {
+func (s *KVStore) FailedAtGuard(which func(*wire.Txn) bool) int {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
 	n := 0
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -12,8 +12,8 @@
 	"lilaclead/internal/wire"
 )
 
-// State is the key-value store: revisions, guards, grants and watches.
-type State struct {
+// KVStore is the key-value store: revisions, guards, grants and watches.
+type KVStore struct {
 	mu        sync.Mutex
 	revision  wire.Revision
 	keys      map[string]*stateEntry
@@ -55,14 +55,14 @@
 	change   wire.Change
 }
 
-// NewState returns an empty key-value store with limits of transactions and values.
-func NewState(maxOps, valueKB int) *State {
-	return &State{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
+// NewKVStore returns an empty key-value store with limits of transactions and values.
+func NewKVStore(maxOps, valueKB int) *KVStore {
+	return &KVStore{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
 		refused: map[string]bool{}, maxOps: maxOps, valueKB: valueKB}
 }
 
 // Put writes a key as some client would, for tests.
-func (s *State) Put(key string, v any) wire.Revision {
+func (s *KVStore) Put(key string, v any) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -73,7 +73,7 @@
 }
 
 // Delete removes a key as some client would, for tests.
-func (s *State) Delete(key string) {
+func (s *KVStore) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.keys[key] == nil {
@@ -86,7 +86,7 @@
 }
 
 // Revision returns the revision of a key, 0 if there is none, for tests.
-func (s *State) Revision(key string) wire.Revision {
+func (s *KVStore) Revision(key string) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
@@ -96,7 +96,7 @@
 }
 
 // Changes returns how many changes of keys with a prefix are still kept.
-func (s *State) Changes(prefix string) (n int) {
+func (s *KVStore) Changes(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.changes {
@@ -108,14 +108,14 @@
 }
 
 // LastRevision returns the revision of the newest change.
-func (s *State) LastRevision() wire.Revision {
+func (s *KVStore) LastRevision() wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
 // Value returns the value of a key, nil if there is none, for tests.
-func (s *State) Value(key string) wire.Raw {
+func (s *KVStore) Value(key string) wire.Raw {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
@@ -125,7 +125,7 @@
 }
 
 // Keys lists the keys with a prefix, for tests.
-func (s *State) Keys(prefix string) []string {
+func (s *KVStore) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []string
@@ -139,7 +139,7 @@
 }
 
 // LargestValue returns the size of the largest value under a prefix.
-func (s *State) LargestValue(prefix string) int {
+func (s *KVStore) LargestValue(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -152,13 +152,13 @@
 }
 
 // notify wakes all open watches; the caller holds the lock.
-func (s *State) notify() {
+func (s *KVStore) notify() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
 
 // expire ends grants; during an outage nothing ends.
-func (s *State) expire() {
+func (s *KVStore) expire() {
 	if s.outage {
 		return
 	}
@@ -171,7 +171,7 @@
 }
 
 // endGrant ends a grant and removes its keys; the caller holds the lock.
-func (s *State) endGrant(id wire.GrantID) {
+func (s *KVStore) endGrant(id wire.GrantID) {
 	delete(s.grants, id)
 	var dead []string
 	for k, e := range s.keys {
@@ -197,7 +197,7 @@
 }
 
 // ServeHTTP answers the requests of the key-value store's page.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
 		return
@@ -208,7 +208,7 @@
 	refuse := s.outage || s.refused[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
 	if !refuse && !s.limits.allow(1, 0) {
-		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
+		wire.WriteResponse(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
 		return
 	}
 	w = s.delayed(w, r)
@@ -217,7 +217,7 @@
 		return
 	}
 	if refuse {
-		wire.Answer(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
+		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorBody{Error: "trouble"})
 		return
 	}
 	switch {
@@ -237,11 +237,11 @@
 }
 
 func malformedRequest(w http.ResponseWriter) {
-	wire.Answer(w, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
+	wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 }
 
 // read answers with one key.
-func (s *State) read(w http.ResponseWriter, key string) {
+func (s *KVStore) read(w http.ResponseWriter, key string) {
 	s.limits.delayRead(key)
 	s.mu.Lock()
 	e, rev := s.keys[key], s.revision
@@ -251,21 +251,21 @@
 	}
 	s.mu.Unlock()
 	if e == nil {
-		wire.Answer(w, http.StatusNotFound, missingKey{rev})
+		wire.WriteResponse(w, http.StatusNotFound, missingKey{rev})
 		return
 	}
-	wire.Answer(w, http.StatusOK, out)
+	wire.WriteResponse(w, http.StatusOK, out)
 }
 
 // serveTxn executes a transaction within the limits, unless a fault hits it.
-func (s *State) serveTxn(w http.ResponseWriter, r *http.Request, raw []byte) {
+func (s *KVStore) serveTxn(w http.ResponseWriter, r *http.Request, raw []byte) {
 	var t wire.Txn
 	if wire.Decode(raw, &t) != nil || !s.allows(&t, len(raw)) {
 		malformedRequest(w)
 		return
 	}
 	if !s.limits.allow(0, len(t.Writes)) {
-		wire.Answer(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many changes"})
+		wire.WriteResponse(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many changes"})
 		return
 	}
 	s.limits.delayTxn(&t)
@@ -275,7 +275,7 @@
 }
 
 // newGrant gives a grant of the time asked for.
-func (s *State) newGrant(w http.ResponseWriter, raw []byte) {
+func (s *KVStore) newGrant(w http.ResponseWriter, raw []byte) {
 	var a wire.GrantRequest
 	if wire.Decode(raw, &a) != nil || a.TTLMillis < 100 || a.TTLMillis > 600_000 {
 		malformedRequest(w)
@@ -287,11 +287,11 @@
 	life := time.Duration(a.TTLMillis) * time.Millisecond
 	s.grants[id] = &stateGrant{life, time.Now().Add(life)}
 	s.mu.Unlock()
-	wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: id})
+	wire.WriteResponse(w, http.StatusOK, wire.GrantResult{Grant: id})
 }
 
 // renewOrEndGrant does what the path and the method say with a grant.
-func (s *State) renewOrEndGrant(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) renewOrEndGrant(w http.ResponseWriter, r *http.Request) {
 	rest, renew := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/renew")
 	n, _ := strconv.ParseUint(rest, 10, 64)
 	s.mu.Lock()
@@ -305,14 +305,14 @@
 	}
 	s.mu.Unlock()
 	if g == nil {
-		wire.Answer(w, http.StatusNotFound, wire.ErrorBody{Error: "no such lease"})
+		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorBody{Error: "no such lease"})
 		return
 	}
-	wire.Answer(w, http.StatusOK, wire.GrantResult{Grant: wire.GrantID(n)})
+	wire.WriteResponse(w, http.StatusOK, wire.GrantResult{Grant: wire.GrantID(n)})
 }
 
 // list answers with a page of the keys with a prefix.
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	most, _ := strconv.Atoi(q.Get("page"))
 	if most <= 0 || most > 1000 {
@@ -338,11 +338,11 @@
 	}
 	s.mu.Unlock()
 	s.limits.delayList()
-	wire.Answer(w, http.StatusOK, page)
+	wire.WriteResponse(w, http.StatusOK, page)
 }
 
 // txn executes a transaction and answers, unless the request or the answer is lost.
-func (s *State) txn(w http.ResponseWriter, from string, t *wire.Txn) {
+func (s *KVStore) txn(w http.ResponseWriter, from string, t *wire.Txn) {
 	s.mu.Lock()
 	if s.dropRequests > 0 {
 		s.dropRequests--
@@ -361,11 +361,11 @@
 	if status == http.StatusOK {
 		defer s.trackUnanswered(from, t)()
 	}
-	wire.Answer(w, status, answer)
+	wire.WriteResponse(w, status, answer)
 }
 
 // execute carries a transaction out; the caller holds the lock.
-func (s *State) execute(from string, t *wire.Txn) (status int, answer any) {
+func (s *KVStore) execute(from string, t *wire.Txn) (status int, answer any) {
 	// An expired lease is told first, whatever the conditions.
 	for _, x := range t.Writes {
 		if x.Put != "" && x.Grant != 0 && s.grants[x.Grant] == nil {
@@ -405,7 +405,7 @@
 }
 
 // watch answers with the changes after a revision, as soon as there are any.
-func (s *State) watch(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	block, _ := strconv.Atoi(q.Get("blockMs"))
@@ -421,7 +421,7 @@
 		silent := s.outage || s.refused[hostOf(r.RemoteAddr)]
 		if s.forgottenUpTo > wire.Revision(after) {
 			s.mu.Unlock()
-			wire.Answer(w, http.StatusGone, wire.ErrorBody{Error: "too old"})
+			wire.WriteResponse(w, http.StatusGone, wire.ErrorBody{Error: "too old"})
 			return
 		}
 		if !silent {
@@ -439,7 +439,7 @@
 			if block > 0 {
 				time.Sleep(lag)
 			}
-			wire.Answer(w, http.StatusOK, res)
+			wire.WriteResponse(w, http.StatusOK, res)
 			return
 		}
 		select {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -218,7 +218,7 @@
 			return
 		}
 		var s wire.JobState
-		if status == 200 && wire.Decode(raw, &s) == nil && s.Status.Final() && time.Since(begin) > cancel+lastPollAfter {
+		if status == 200 && wire.Decode(raw, &s) == nil && s.Status.IsFinal() && time.Since(begin) > cancel+lastPollAfter {
 			return
 		}
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -68,7 +68,7 @@
 		r.SpotNotice = &left
 	}
 	for t, x := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskState{Task: t.String(), Attempt: x.attempt, Phase: x.phase, Cause: x.cause, Saved: x.checkpointed})
+		r.Tasks = append(r.Tasks, wire.TaskState{Task: t.String(), Attempt: x.attempt, Phase: x.phase, Cause: x.cause, CheckpointSaved: x.checkpointed})
 	}
 	return r
 }
@@ -130,10 +130,10 @@
 // redirectedTo returns the controller that an answer names in its place, if it does.
 func redirectedTo(status int, body []byte) (node int, ok bool) {
 	var redirect wire.Redirect
-	if status != http.StatusMisdirectedRequest || wire.Decode(body, &redirect) != nil || redirect.ReportsTo == "" {
+	if status != http.StatusMisdirectedRequest || wire.Decode(body, &redirect) != nil || redirect.Leader == "" {
 		return 0, false
 	}
-	return parseID(string(redirect.ReportsTo)), true
+	return parseID(string(redirect.Leader)), true
 }
 
 // sendHeartbeatTo sends a heartbeat of now to the i-th controller and takes its answer.
@@ -255,7 +255,7 @@
 	heartbeat := m.nextHeartbeat()
 	m.sim.mu.Unlock()
 	sleep(m.ctx, lag.Answer)
-	wire.Answer(rw, status, heartbeat)
+	wire.WriteResponse(rw, status, heartbeat)
 }
 
 // onCommands executes a controller's commands if their token and epoch are in force, and
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -37,7 +37,7 @@
 // holds the lock.
 func (m *worker) stopTask(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) {
 	spec := &m.sim.scripts[t.Job].Spec
-	if spec.Gang() {
+	if spec.IsGang() {
 		m.stopGangTask(t, x, gracePeriod)
 		return
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	free := m.room()
-	if script.Spec.CPUs > free.CPUs+wire.Eps || script.Spec.MemoryGB > free.MemoryGB+wire.Eps {
+	if script.Spec.CPUs > free.CPUs+wire.AmountTolerance || script.Spec.MemoryGB > free.MemoryGB+wire.AmountTolerance {
 		refuse(wire.CauseFull)
 		return
 	}
@@ -98,7 +98,7 @@
 	m.cached[script.Spec.Image] = true
 	x.phase = wire.PhaseRunning
 	m.sim.checker.TaskStarted(t, Place{m.id, m.machineType, m.zone, m.spot}, time.Now())
-	if script.Spec.Gang() {
+	if script.Spec.IsGang() {
 		m.joinGang(t, x)
 		m.sim.mu.Unlock()
 		return
@@ -111,7 +111,7 @@
 	case fails:
 		m.workFor(ctx, timeToFail)
 		cause = wire.CauseError
-	case script.Spec.Service():
+	case script.Spec.IsService():
 		<-ctx.Done()
 	default:
 		m.workFor(ctx, time.Duration(script.runTimeOf(t.Index)*float64(time.Second)))
@@ -134,13 +134,13 @@
 	switch {
 	case !m.sim.slowSaves:
 		return false
-	case x.phase == wire.PhaseSaving:
+	case x.phase == wire.PhaseCheckpointing:
 		return gracePeriod != nil && *gracePeriod > 0
 	case !x.checkpointed:
 		return false
 	}
 	x.cancel()
-	x.phase = wire.PhaseSaving
+	x.phase = wire.PhaseCheckpointing
 	m.requestHeartbeat()
 	checkpointTime := m.sim.scripts[t.Job].Spec.CheckpointTime.Duration()
 	m.sim.spawn(func() {
@@ -148,7 +148,7 @@
 		m.awaitUnstalled(m.ctx)
 		m.sim.mu.Lock()
 		defer m.sim.mu.Unlock()
-		if m.tasks[t] == x && x.phase == wire.PhaseSaving {
+		if m.tasks[t] == x && x.phase == wire.PhaseCheckpointing {
 			m.exitTask(t, x, wire.CauseStopped)
 		}
 	})
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -39,7 +39,7 @@
 	userWrites *rate.Limiter // that users ask for
 }
 
-func newBudget(limits config.State, nodes int) budget {
+func newBudget(limits config.StoreLimits, nodes int) budget {
 	share := func(total float64) float64 { return max(minRate, total*nodeShare) }
 	if nodes == 1 {
 		share = func(total float64) float64 { return total }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -53,7 +53,7 @@
 
 // New returns a client of the service at the address, for one of so many nodes. The
 // limits are those of the whole deployment.
-func New(addr string, limits config.State, nodes int, network netio.Net) *Client {
+func New(addr string, limits config.StoreLimits, nodes int, network netio.Net) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
 		http:    &http.Client{Transport: network.Transport(requestConnections, requestConnections)},
@@ -64,8 +64,8 @@
 	}
 }
 
-// Budget returns what is left of the budgets for requests and for writes.
-func (c *Client) Budget() (requests, writes float64) {
+// RemainingBudget returns what is left of the budgets for requests and for writes.
+func (c *Client) RemainingBudget() (requests, writes float64) {
 	return c.budget.requests.Tokens(), c.budget.writes.Tokens()
 }
 
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -14,7 +14,7 @@
 
 // serve answers requests to the key-value store until the server is closed.
 func serve(t *testing.T, nw *simulator.Network, service http.Handler) *http.Server {
-	l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.StateAddr)
+	l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.KVStoreAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		nw := simulator.NewNetwork(time.Millisecond)
-		env := &storeEnv{network: nw, state: simulator.NewState(12, 16), client: newClient(nw)}
+		env := &storeEnv{network: nw, state: simulator.NewKVStore(12, 16), client: newClient(nw)}
 		f(t, env)
 		nw.Close()
 		if env.server != nil {
@@ -43,7 +43,7 @@
 // storeEnv is a client with the key-value store and the network beneath it.
 type storeEnv struct {
 	network *simulator.Network
-	state   *simulator.State
+	state   *simulator.KVStore
 	client  *store.Client
 	server  *http.Server
 }
@@ -143,9 +143,9 @@
 // follows them reads the keys anew, page by page.
 func TestWatchOverTheLimitAsksForAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nw, state := simulator.NewNetwork(time.Millisecond), simulator.NewState(12, 16)
+		nw, state := simulator.NewNetwork(time.Millisecond), simulator.NewKVStore(12, 16)
 		c := newClient(nw)
-		stop, err := nw.ServeState(state)
+		stop, err := nw.ServeKVStore(state)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -146,7 +146,7 @@
 }
 
 func newClient(nw *simulator.Network) *store.Client {
-	return store.New(simulator.StateAddr, config.State{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
+	return store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 }
 
 // TestRefusedRequestNamesOperationAndKey checks the error of requests that never reached
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -20,7 +20,7 @@
 // cacheEnv is a job cache with the key-value store and the network beneath it.
 type cacheEnv struct {
 	network *simulator.Network
-	state   *simulator.State
+	state   *simulator.KVStore
 	client  *store.Client
 	cache   *store.JobCache
 }
@@ -30,9 +30,9 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		env := cacheEnv{network: simulator.NewNetwork(time.Millisecond), state: simulator.NewState(12, 16)}
+		env := cacheEnv{network: simulator.NewNetwork(time.Millisecond), state: simulator.NewKVStore(12, 16)}
 		server := serve(t, env.network, env.state)
-		env.client = store.New(simulator.StateAddr, config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, env.network.Host("10.0.0.1"))
+		env.client = store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, env.network.Host("10.0.0.1"))
 		env.cache = store.NewJobCache(env.client, cancels.New(nil, time.Minute), rps, 1)
 		var running sync.WaitGroup
 		running.Go(func() { env.cache.Run(ctx) })
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -81,9 +81,9 @@
 	AcceptedAt wire.Timestamp `cbor:"at"`
 	// CancelledAt is when the job was cancelled; 0: it was not.
 	CancelledAt wire.Timestamp `cbor:"ended,omitempty"`
-	// Chunk is how many tasks a chunk of the job's progress has, fixed when the job
-	// is accepted; 0: ChunkSize.
-	Chunk int `cbor:"chunk,omitempty"`
+	// TasksPerChunk is how many tasks a chunk of the job's progress has, fixed when the job
+	// is accepted; 0: MaxChunkTasks.
+	TasksPerChunk int `cbor:"chunk,omitempty"`
 	// MinVersion is the lowest version of the behaviour (package upgrade) that
 	// understands the record in full; 0: all do.
 	MinVersion uint64 `cbor:"needs,omitempty"`
@@ -131,10 +131,10 @@
 
 // ChunkTasks returns how many tasks a chunk of the job's progress has.
 func (r *JobRecord) ChunkTasks() int {
-	if r.Chunk < 1 || r.Chunk > ChunkSize {
-		return ChunkSize
+	if r.TasksPerChunk < 1 || r.TasksPerChunk > MaxChunkTasks {
+		return MaxChunkTasks
 	}
-	return r.Chunk
+	return r.TasksPerChunk
 }
 
 // FinalRecord is the value of past/<id>.
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -19,7 +19,7 @@
 // The packed ranges against a plain list of flags.
 func TestPackRangesKeepsFlags(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		flags := rapid.SliceOfN(rapid.Bool(), 0, ChunkSize).Draw(t, "flags")
+		flags := rapid.SliceOfN(rapid.Bool(), 0, MaxChunkTasks).Draw(t, "flags")
 		ranges := PackRanges(flags)
 		unpacked := make([]bool, len(flags))
 		SetFlags(ranges, unpacked)
@@ -80,8 +80,8 @@
 			}
 		})
 	}
-	if n := ChunkTasksFor(32); n != ChunkSize {
-		t.Errorf("got %d tasks in a chunk at 32 KiB, want %d", n, ChunkSize)
+	if n := ChunkTasksFor(32); n != MaxChunkTasks {
+		t.Errorf("got %d tasks in a chunk at 32 KiB, want %d", n, MaxChunkTasks)
 	}
 }
 
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -13,35 +13,35 @@
 
 // Values are the values of all settings.
 type Values struct {
-	Preferred    float64 // utility factor of machines that hold the image
-	Fallback     float64 // utility factor of any other fitting machine
-	WaitRaiseS   float64 // seconds of waiting that double a job's utility
-	RoundS       float64 // longest time, in seconds, between scheduling cycles while jobs wait
-	SpareUnits   float64 // room that is kept free for the next replicas of services, in replicas
-	SpareGangs   float64 // room that is kept free for gangs, in times the largest gang of each class
-	IdleBoots    float64 // how long an idle machine is kept, in boot times of its type
-	LogLevel     string  // error, info or debug; empty: as LOG_LEVEL says
-	PriceLimit   float64 // how many times the cheapest price the room for an array's task may cost
-	MaxVersion   float64 // highest version of the behaviour that may become active; 0: any
-	StretchShare float64 // share of a deadline's slack over which an array's work may be stretched
+	PreferredFactor      float64 // utility factor of machines that hold the image
+	FallbackFactor       float64 // utility factor of any other fitting machine
+	WaitDoublingSeconds  float64 // seconds of waiting that double a job's utility
+	CycleIntervalSeconds float64 // longest time, in seconds, between scheduling cycles while jobs wait
+	SpareReplicas        float64 // room that is kept free for the next replicas of services, in replicas
+	SpareGangs           float64 // room that is kept free for gangs, in times the largest gang of each class
+	IdleBootTimes        float64 // how long an idle machine is kept, in boot times of its type
+	LogLevel             string  // error, info or debug; empty: as LOG_LEVEL says
+	PriceLimit           float64 // how many times the cheapest price the room for an array's task may cost
+	MaxVersion           float64 // highest version of the behaviour that may become active; 0: any
+	StretchShare         float64 // share of a deadline's slack over which an array's work may be stretched
 }
 
 // Default returns the default values; docs/design.md says how they were found.
 func Default() Values {
 	return Values{
-		Preferred:    1,
-		Fallback:     0.5,
-		WaitRaiseS:   60,
-		RoundS:       1,
-		SpareUnits:   2,
-		SpareGangs:   1,
-		IdleBoots:    0.6,
-		PriceLimit:   2.3,
-		StretchShare: 0.6,
+		PreferredFactor:      1,
+		FallbackFactor:       0.5,
+		WaitDoublingSeconds:  60,
+		CycleIntervalSeconds: 1,
+		SpareReplicas:        2,
+		SpareGangs:           1,
+		IdleBootTimes:        0.6,
+		PriceLimit:           2.3,
+		StretchShare:         0.6,
 	}
 }
 
-// Apply returns the base values with the settings in the map replaced.
+// Override returns the base values with the settings in the map replaced.
 //
 // Strict is for a change that an operator makes: if any name is unknown or any value
 // is not allowed, the base values are returned unchanged. Otherwise unknown names are
@@ -49,7 +49,7 @@
 // allowed keeps its base value, so that it does not keep the others from being applied.
 //
 // The error joins one wire.FieldError for each invalid setting, in the order of names.
-func Apply(base Values, set map[string]any, strict bool) (Values, error) {
+func Override(base Values, set map[string]any, strict bool) (Values, error) {
 	applied := base
 	var errs []error
 	for _, name := range slices.Sorted(maps.Keys(set)) {
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -15,9 +15,9 @@
 var invalidSet = map[string]any{"fleet.keep_boots": 2.0, "fleet.dear_limit": -1.0, "gangs.of_tomorrow": "yes", "log.level": "loud", "round.period_s": 2.0}
 
 func TestInvalidStoredSettingsKeepTheirBaseValues(t *testing.T) {
-	got, err := Apply(Default(), invalidSet, false)
+	got, err := Override(Default(), invalidSet, false)
 	want := Default()
-	want.IdleBoots, want.RoundS = 2, 2
+	want.IdleBootTimes, want.CycleIntervalSeconds = 2, 2
 	if got != want {
 		t.Errorf("%v: got %+v, want %+v", invalidSet, got, want)
 	}
@@ -32,7 +32,7 @@
 }
 
 func TestStrictChangeIsAllOrNothing(t *testing.T) {
-	got, err := Apply(Default(), invalidSet, true)
+	got, err := Override(Default(), invalidSet, true)
 	if got != Default() {
 		t.Errorf("%v: got %+v, want the base values", invalidSet, got)
 	}
@@ -49,7 +49,7 @@
 
 func TestNoSettingsLeaveTheBaseValues(t *testing.T) {
 	for _, strict := range []bool{false, true} {
-		if got, err := Apply(Default(), nil, strict); got != Default() || err != nil {
+		if got, err := Override(Default(), nil, strict); got != Default() || err != nil {
 			t.Errorf("no settings, strict %t: got %+v, %v, want the base values", strict, got, err)
 		}
 	}
--- a/internal/undecodable/undecodable.go
+++ b/internal/undecodable/undecodable.go
@@ -34,10 +34,10 @@
 	return host
 }
 
-// Note logs why a record or message can't be decoded, unless one of the same source was
+// LogOnce logs why a record or message can't be decoded, unless one of the same source was
 // logged before. The source is a key of the key-value store, or what a message is and whom
 // it is from.
-func (l *Log) Note(source string, err error) {
+func (l *Log) LogOnce(source string, err error) {
 	if l == nil {
 		return
 	}
--- a/internal/undecodable/undecodable_test.go
+++ b/internal/undecodable/undecodable_test.go
@@ -24,8 +24,8 @@
 	var notes sync.WaitGroup
 	for range 8 {
 		notes.Go(func() {
-			log.Note("job/req-1", errDecoding)
-			log.Note("a heartbeat from 10.0.0.2", errDecoding)
+			log.LogOnce("job/req-1", errDecoding)
+			log.LogOnce("a heartbeat from 10.0.0.2", errDecoding)
 		})
 	}
 	notes.Wait()
@@ -42,7 +42,7 @@
 func TestNoteStopsAtMaxSources(t *testing.T) {
 	log, out := newTestLog()
 	for n := range maxSources + 10 {
-		log.Note(fmt.Sprint("job/req-", n), errDecoding)
+		log.LogOnce(fmt.Sprint("job/req-", n), errDecoding)
 	}
 	if got := strings.Count(out.String(), "\n"); got != maxSources {
 		t.Errorf("got %d lines, want %d", got, maxSources)
@@ -51,7 +51,7 @@
 
 func TestNilLogLogsNothing(*testing.T) {
 	var log *Log
-	log.Note("job/req-1", errDecoding)
+	log.LogOnce("job/req-1", errDecoding)
 }
 
 func TestSenderIsHostWithoutPort(t *testing.T) {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -38,15 +38,15 @@
 }
 
 func (m *MachineSpec) hasRoomFor(spec *JobSpec) bool {
-	fitsCompute := spec.CPUs <= m.CPUs+Eps && spec.GPUs <= m.GPUs+Eps
-	fitsMemory := spec.MemoryGB <= m.MemoryGB+Eps
-	fitsDisk := spec.ImageGB <= m.DiskGB+Eps
+	fitsCompute := spec.CPUs <= m.CPUs+AmountTolerance && spec.GPUs <= m.GPUs+AmountTolerance
+	fitsMemory := spec.MemoryGB <= m.MemoryGB+AmountTolerance
+	fitsDisk := spec.ImageGB <= m.DiskGB+AmountTolerance
 	return fitsCompute && fitsMemory && fitsDisk
 }
 
-// Eps is the tolerance of comparisons of amounts. It absorbs the rounding of sums of
+// AmountTolerance is the tolerance of comparisons of amounts. It absorbs the rounding of sums of
 // decimal amounts.
-const Eps = 1e-6
+const AmountTolerance = 1e-6
 
 // MachineSpecs answers the cloud's request for its machine types, GET /flavors.
 type MachineSpecs struct {
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -36,8 +36,8 @@
 	Field string `cbor:"field,omitempty"`
 }
 
-// Answer writes a response with a status and a CBOR body.
-func Answer(w http.ResponseWriter, status int, v any) {
+// WriteResponse writes a response with a status and a CBOR body.
+func WriteResponse(w http.ResponseWriter, status int, v any) {
 	body := Encode(v)
 	header := w.Header()
 	header.Set("Content-Type", ContentType)
@@ -46,11 +46,11 @@
 	_, _ = w.Write(body) // an error: the client has closed the connection, and there is nothing to do
 }
 
-// RefuseRetryable writes a response that says that the request can't be served now, and
+// WriteRetryableError writes a response that says that the request can't be served now, and
 // after how many seconds to repeat it.
-func RefuseRetryable(w http.ResponseWriter, status int, reason string, retryAfterS int) {
+func WriteRetryableError(w http.ResponseWriter, status int, reason string, retryAfterS int) {
 	w.Header().Set("Retry-After", strconv.Itoa(retryAfterS))
-	Answer(w, status, ErrorBody{Error: reason})
+	WriteResponse(w, status, ErrorBody{Error: reason})
 }
 
 // NotSent reports whether a request failed before anything of it was sent: the
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -46,8 +46,8 @@
 	Cancelled Status = "cancelled"
 )
 
-// Final reports whether the status never changes again.
-func (s Status) Final() bool { return s == Done || s == Cancelled }
+// IsFinal reports whether the status never changes again.
+func (s Status) IsFinal() bool { return s == Done || s == Cancelled }
 
 // JobSpec is a submission that was checked.
 type JobSpec struct {
@@ -73,25 +73,25 @@
 	Deadline           Seconds       `cbor:"dueS,omitempty"` // 0: no deadline
 }
 
-// Service reports whether the job's tasks run until it is cancelled.
-func (s *JobSpec) Service() bool { return s.Kind == KindService }
+// IsService reports whether the job's tasks run until it is cancelled.
+func (s *JobSpec) IsService() bool { return s.Kind == KindService }
 
-// Gang reports whether the job is scheduled as a gang: all of its tasks run at the same
+// IsGang reports whether the job is scheduled as a gang: all of its tasks run at the same
 // time, or none does.
-func (s *JobSpec) Gang() bool { return s.Kind == KindGang }
+func (s *JobSpec) IsGang() bool { return s.Kind == KindGang }
 
-// MinTogether returns how many of the job's tasks must be able to run at the same time:
+// MinConcurrentTasks returns how many of the job's tasks must be able to run at the same time:
 // all of a service or a gang.
-func (s *JobSpec) MinTogether() int {
-	if s.Service() || s.Gang() {
+func (s *JobSpec) MinConcurrentTasks() int {
+	if s.IsService() || s.IsGang() {
 		return s.Tasks
 	}
 	return 1
 }
 
-// ZoneCap returns how many of the job's tasks may be in one zone: half of them, rounded
+// MaxTasksPerZone returns how many of the job's tasks may be in one zone: half of them, rounded
 // up, where they are spread.
-func (s *JobSpec) ZoneCap() int {
+func (s *JobSpec) MaxTasksPerZone() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
 	}
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatalf("got %v, want no error", err)
 	}
-	if spec.Tasks != MaxTasks || spec.CPUs != 1e9 || len(spec.MachineTypes) != 64 || spec.Zone != "a" || !spec.Gang() {
+	if spec.Tasks != MaxTasks || spec.CPUs != 1e9 || len(spec.MachineTypes) != 64 || spec.Zone != "a" || !spec.IsGang() {
 		t.Errorf("got %+v", spec)
 	}
 	if spec.Deadline != 0.001 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -70,7 +70,7 @@
 	submission := validSubmission()
 	submission["novel"] = []int{1}
 	spec, err := DecodeJobSpec(Encode(submission))
-	if err != nil || spec.CPUs != 4 || spec.MachineTypes != nil || spec.Deadline != 0 || spec.ZoneCap() != 1 {
+	if err != nil || spec.CPUs != 4 || spec.MachineTypes != nil || spec.Deadline != 0 || spec.MaxTasksPerZone() != 1 {
 		t.Fatalf("got %+v, %v", spec, err)
 	}
 	for _, field := range []string{"nameId", "lane", "owner", "shape", "urgency", "parts", "cpus", "cards", "ramGb", "bundle", "imageGb", "samePlace", "apart", "standby", "expectedS", "snapshotEveryS", "snapshotS"} {
@@ -119,7 +119,7 @@
 		want   bool
 	}{
 		{"exactly full", func(*JobSpec) {}, true},
-		{"over by rounding", func(s *JobSpec) { s.CPUs += Eps / 2 }, true},
+		{"over by rounding", func(s *JobSpec) { s.CPUs += AmountTolerance / 2 }, true},
 		{"too many CPUs", func(s *JobSpec) { s.CPUs++ }, false},
 		{"too many GPUs", func(s *JobSpec) { s.GPUs++ }, false},
 		{"too much memory", func(s *JobSpec) { s.MemoryGB++ }, false},
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -5,11 +5,11 @@
 
 // The phases in the heartbeats of workers.
 const (
-	PhaseFetching TaskPhase = "pulling" // of its image
-	PhaseRunning  TaskPhase = "running"
-	PhaseWaiting  TaskPhase = "waiting" // for the other tasks of its gang
-	PhaseSaving   TaskPhase = "saving"  // of a checkpoint
-	PhaseExited   TaskPhase = "exited"
+	PhaseFetching      TaskPhase = "pulling" // of its image
+	PhaseRunning       TaskPhase = "running"
+	PhaseWaiting       TaskPhase = "waiting" // for the other tasks of its gang
+	PhaseCheckpointing TaskPhase = "saving"  // of a checkpoint
+	PhaseExited        TaskPhase = "exited"
 )
 
 // ExitCause says why a task ended.
@@ -32,11 +32,11 @@
 
 // TaskState is the state of one task in a heartbeat.
 type TaskState struct {
-	Task    string    `cbor:"part"`
-	Attempt Attempt   `cbor:"try"`
-	Phase   TaskPhase `cbor:"status"`
-	Cause   ExitCause `cbor:"cause,omitempty"`
-	Saved   bool      `cbor:"saved,omitempty"`
+	Task            string    `cbor:"part"`
+	Attempt         Attempt   `cbor:"try"`
+	Phase           TaskPhase `cbor:"status"`
+	Cause           ExitCause `cbor:"cause,omitempty"`
+	CheckpointSaved bool      `cbor:"saved,omitempty"`
 }
 
 // Heartbeat is the heartbeat of a worker, with its status and that of its tasks.
@@ -86,5 +86,5 @@
 
 // Redirect refers a worker to the node that is the leader.
 type Redirect struct {
-	ReportsTo NodeID `cbor:"reportsTo,omitempty"`
+	Leader NodeID `cbor:"reportsTo,omitempty"`
 }
--- a/machinetypes.go
+++ b/machinetypes.go
@@ -62,7 +62,7 @@
 	}
 	var stored wire.MachineSpecs
 	if err := wire.Decode(entry.Value, &stored); err != nil {
-		l.undecodable.Note(store.MachineSpecsKey, err)
+		l.undecodable.LogOnce(store.MachineSpecsKey, err)
 		return nil, store.ErrMissing
 	}
 	if len(stored.Types) == 0 {
--- a/node_test.go
+++ b/node_test.go
@@ -33,7 +33,7 @@
 		Zone:      settings.Zones[0],
 		UserAddr:  nodeHost + ":8080",
 		PeerAddr:  nodeHost + ":8081",
-		Endpoints: config.Endpoints{Cloud: simulator.CloudAddr, State: simulator.StateAddr},
+		Endpoints: config.Endpoints{Cloud: simulator.CloudAddr, State: simulator.KVStoreAddr},
 		Settings:  settings,
 	}
 }
@@ -45,11 +45,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
 		cfg := testConfig()
-		state := simulator.NewState(cfg.Settings.State.TxnOps, int(cfg.Settings.State.ValueKB))
+		state := simulator.NewKVStore(cfg.Settings.State.TxnOps, int(cfg.Settings.State.ValueKB))
 		for key, value := range records {
 			state.Put(key, value)
 		}
-		stopState, err := network.ServeState(state)
+		stopState, err := network.ServeKVStore(state)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/readiness.go
+++ b/readiness.go
@@ -23,10 +23,10 @@
 // share, every node stays ready and refuses fast.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if reason := n.notReadyReason(); reason != "" {
-		wire.RefuseRetryable(w, http.StatusServiceUnavailable, reason, retryAfterSeconds)
+		wire.WriteRetryableError(w, http.StatusServiceUnavailable, reason, retryAfterSeconds)
 		return
 	}
-	wire.Answer(w, http.StatusOK, struct {
+	wire.WriteResponse(w, http.StatusOK, struct {
 		Ready bool `cbor:"ready"`
 	}{true})
 }
@@ -70,6 +70,6 @@
 // from which it learns the active version, can't be reached: then all nodes may be in
 // the same outage.
 func excusedByOutage(refusal error, stateReachable bool) bool {
-	waitsForState := errors.Is(refusal, upgrade.ErrNotPublished) || errors.Is(refusal, upgrade.ErrUnknown)
+	waitsForState := errors.Is(refusal, upgrade.ErrNotPublished) || errors.Is(refusal, upgrade.ErrActiveUnknown)
 	return waitsForState && !stateReachable
 }
--- a/readiness_test.go
+++ b/readiness_test.go
@@ -38,9 +38,9 @@
 		stateReachable bool
 		want           bool
 	}{
-		"active version unknown in an outage": {fmt.Errorf("refused: %w", upgrade.ErrUnknown), false, true},
+		"active version unknown in an outage": {fmt.Errorf("refused: %w", upgrade.ErrActiveUnknown), false, true},
 		"not published in an outage":          {upgrade.ErrNotPublished, false, true},
-		"active version unknown":              {upgrade.ErrUnknown, true, false},
+		"active version unknown":              {upgrade.ErrActiveUnknown, true, false},
 		"another refusal in an outage":        {errors.New("version 7 is active"), false, false},
 	} {
 		if got := excusedByOutage(c.refusal, c.stateReachable); got != c.want {
--- a/routes.go
+++ b/routes.go
@@ -47,6 +47,6 @@
 // answerError returns a handler that always answers with an error.
 func answerError(status int, reason string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		wire.Answer(w, status, wire.ErrorBody{Error: reason})
+		wire.WriteResponse(w, status, wire.ErrorBody{Error: reason})
 	})
 }
--- a/run.go
+++ b/run.go
@@ -90,7 +90,7 @@
 	go n.leader.Run(ctx)
 	go n.intake.Run(ctx)
 	go n.machineTypes.run(ctx)
-	go n.admin.Follow(ctx, n.level.applyTuning)
+	go n.admin.FollowSettings(ctx, n.level.applyTuning)
 }
 
 // logLimits logs how the sockets are split, and limits that don't fit each other.
@@ -106,11 +106,11 @@
 // status returns what the other nodes are told of this one.
 func (n *Node) status() peer.Status {
 	status := peer.Status{
-		Leads:            n.leader.Leads(),
-		Delegation:       n.leader.DelegationToken(),
-		StateReachable:   n.store.Reachable(),
-		ReachableWorkers: n.leader.WorkersInContact(),
-		UnconfirmedSince: n.leader.UnconfirmedCancelSince(),
+		Leads:                  n.leader.Leads(),
+		Delegation:             n.leader.DelegationToken(),
+		StateReachable:         n.store.Reachable(),
+		ReachableWorkers:       n.leader.ReachableWorkers(),
+		UnconfirmedCancelSince: n.leader.UnconfirmedCancelSince(),
 	}
 	n.versions.addTo(&status)
 	return status
--- a/sockets.go
+++ b/sockets.go
@@ -56,7 +56,7 @@
 // splitSockets splits the limit for a deployment of so many nodes. One node may be left
 // with every worker: each holds one accepted connection, and commands need a few more at
 // a time.
-func splitSockets(limits config.Limits, nodes int) socketBudget {
+func splitSockets(limits config.ProcessLimits, nodes int) socketBudget {
 	limit := max(minSockets, min(limits.FDLimit, connectionsInMemory(limits.MemoryMB)))
 	internal := min(limit/internalDivisor, internalSockets(nodes))
 	direct := max(minDirect, (limit-internal)/directDivisor)
@@ -85,7 +85,7 @@
 const searchDivisor = 50
 
 // socketsNeeded returns the limit that so many workers would need, to 2%.
-func socketsNeeded(workers int, limits config.Limits, nodes int) int {
+func socketsNeeded(workers int, limits config.ProcessLimits, nodes int) int {
 	limits.MemoryMB = math.Inf(1)
 	limits.FDLimit = workers
 	for splitSockets(limits, nodes).workers() < workers {
--- a/sockets_test.go
+++ b/sockets_test.go
@@ -27,7 +27,7 @@
 		{"memory too small", 4296, 60, 5, 500, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			limits := config.Limits{FDLimit: c.fdLimit, MemoryMB: c.memoryMB}
+			limits := config.ProcessLimits{FDLimit: c.fdLimit, MemoryMB: c.memoryMB}
 			split := splitSockets(limits, c.nodes)
 			if got := split.workers(); got < c.minWorkers {
 				t.Errorf("splitSockets(%+v, %d) = %+v holds %d workers, want %d or more", limits, c.nodes, split, got, c.minWorkers)
--- a/upgrade/deployment_test.go
+++ b/upgrade/deployment_test.go
@@ -33,7 +33,7 @@
 // deployment is processes of controllers around a simulated store, in virtual time.
 type deployment struct {
 	network *simulator.Network
-	store   *simulator.State
+	store   *simulator.KVStore
 
 	mu        sync.Mutex // processes use what follows from goroutines of their own
 	processes map[duty.NodeID]*process
@@ -61,11 +61,11 @@
 	t.Helper()
 	d := &deployment{
 		network:   simulator.NewNetwork(time.Millisecond),
-		store:     simulator.NewState(12, 16),
+		store:     simulator.NewKVStore(12, 16),
 		processes: map[duty.NodeID]*process{},
 		lastEnded: map[duty.NodeID]endedProcess{},
 	}
-	stop, err := d.network.ServeState(d.store)
+	stop, err := d.network.ServeKVStore(d.store)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,8 +75,8 @@
 
 // client returns a client of the store on the host of that number.
 func (d *deployment) client(host int) *store.Client {
-	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
-	return store.New(simulator.StateAddr, limits, 3, d.network.Host(simulator.NodeIP(host)))
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+	return store.New(simulator.KVStoreAddr, limits, 3, d.network.Host(simulator.NodeIP(host)))
 }
 
 // start replaces a controller's process.
@@ -194,14 +194,14 @@
 	if lease == nil {
 		t.Fatal("got no lease, want one")
 	}
-	go lease.Keep(t.Context(), func(time.Time) {}) //nolint:errcheck // the tests ask the lease itself
+	go lease.KeepAlive(t.Context(), func(time.Time) {}) //nolint:errcheck // the tests ask the lease itself
 	return lease
 }
 
 // knowledge returns what the holder of the lease knows beside the records, if operators
 // allow no version above the given one.
 func (d *deployment) knowledge(allowed upgrade.Version) upgrade.Deployment {
-	return upgrade.Deployment{Controllers: controllers, Ceiling: allowed, Present: d.connectedIncarnation}
+	return upgrade.Deployment{Controllers: controllers, MaxVersion: allowed, ConnectedIncarnation: d.connectedIncarnation}
 }
 
 // advance has a process try to switch to the next version.
--- a/upgrade/doc.go
+++ b/upgrade/doc.go
@@ -21,7 +21,7 @@
 //
 // Errors are met with errors.Is and errors.As:
 //
-//   - [ErrUnknown] and [ErrNotPublished] pass by themselves, once the store answers. Ask
+//   - [ErrActiveUnknown] and [ErrNotPublished] pass by themselves, once the store answers. Ask
 //     again.
 //   - [ErrTooOld] and [ErrTooNew], wrapped in an [UnsupportedVersionError], are final for
 //     this program: another program, or a switch, has to come first.
--- a/upgrade/errors.go
+++ b/upgrade/errors.go
@@ -7,8 +7,8 @@
 
 // Reasons why a controller must not serve.
 var (
-	// ErrUnknown reports that the active version was neither read nor heard of yet.
-	ErrUnknown = errors.New("the active version is not known yet")
+	// ErrActiveUnknown reports that the active version was neither read nor heard of yet.
+	ErrActiveUnknown = errors.New("the active version is not known yet")
 	// ErrNotPublished reports that this process has not published what it supports yet.
 	ErrNotPublished = errors.New("the versions of this process are not published yet")
 	// ErrTooOld reports that a later version is active than this program supports.
--- a/upgrade/example_test.go
+++ b/upgrade/example_test.go
@@ -20,8 +20,8 @@
 
 // openStore serves a simulated store on the loopback interface and returns a client of it.
 func openStore() (client *store.Client, closeStore func()) {
-	server := httptest.NewServer(simulator.NewState(12, 16))
-	limits := config.State{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+	server := httptest.NewServer(simulator.NewKVStore(12, 16))
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	addr := strings.TrimPrefix(server.URL, "http://")
 	return store.New(addr, limits, 1, netio.Real()), server.Close
 }
@@ -47,7 +47,7 @@
 	following.Go(func() { member.Run(ctx) })
 
 	// Until it may serve, a controller answers its users that they should retry.
-	for member.MayServe() != nil {
+	for member.CheckServe() != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
 	fmt.Println("serves under version", member.Active())
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -60,7 +60,7 @@
 	o.Log = cmp.Or(o.Log, slog.New(slog.DiscardHandler))
 	o.PollInterval = cmp.Or(o.PollInterval, defaultPollInterval)
 	m := &Member{Options: o, incarnation: rand.Text()}
-	m.state.Store(&memberState{refusal: ErrUnknown})
+	m.state.Store(&memberState{refusal: ErrActiveUnknown})
 	return m, nil
 }
 
@@ -73,9 +73,9 @@
 	return max(m.state.Load().active, Version(m.reportedActive.Load()))
 }
 
-// Learn records that another controller has reported the version as active. It counts at
+// ObserveActive records that another controller has reported the version as active. It counts at
 // once, before the records are read; a lower version than the known one is ignored.
-func (m *Member) Learn(v Version) {
+func (m *Member) ObserveActive(v Version) {
 	for {
 		known := m.reportedActive.Load()
 		if uint64(v) <= known || m.reportedActive.CompareAndSwap(known, uint64(v)) {
@@ -84,9 +84,9 @@
 	}
 }
 
-// Understands returns why this process must not even acknowledge others; nil once it
+// CheckSupport returns why this process must not even acknowledge others; nil once it
 // knows the active version and supports it.
-func (m *Member) Understands() error {
+func (m *Member) CheckSupport() error {
 	active := m.Active()
 	refusal := m.state.Load().refusal
 	if active == 0 {
@@ -101,10 +101,10 @@
 	return nil
 }
 
-// MayServe returns why this process must not serve, lead or write; nil once it has
+// CheckServe returns why this process must not serve, lead or write; nil once it has
 // published what it supports, as long as it supports the active version.
-func (m *Member) MayServe() error {
-	if err := m.Understands(); err != nil {
+func (m *Member) CheckServe() error {
+	if err := m.CheckSupport(); err != nil {
 		return err
 	}
 	if !m.state.Load().published {
--- a/upgrade/member_test.go
+++ b/upgrade/member_test.go
@@ -18,19 +18,19 @@
 		d.store.Outage(true)
 		p := d.start(t, "a", oldProgram)
 		time.Sleep(2 * time.Second)
-		if err := p.Understands(); !errors.Is(err, upgrade.ErrUnknown) {
-			t.Errorf("nothing known: got %v, want %v", err, upgrade.ErrUnknown)
+		if err := p.CheckSupport(); !errors.Is(err, upgrade.ErrActiveUnknown) {
+			t.Errorf("nothing known: got %v, want %v", err, upgrade.ErrActiveUnknown)
 		}
-		p.Learn(1)
-		if err := p.Understands(); err != nil {
+		p.ObserveActive(1)
+		if err := p.CheckSupport(); err != nil {
 			t.Errorf("version 1 reported: got %v, want nil", err)
 		}
-		if err := p.MayServe(); !errors.Is(err, upgrade.ErrNotPublished) {
+		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrNotPublished) {
 			t.Errorf("version 1 reported: serving: got %v, want %v", err, upgrade.ErrNotPublished)
 		}
-		p.Learn(2)
-		p.Learn(1)
-		if err := p.Understands(); !errors.Is(err, upgrade.ErrTooOld) {
+		p.ObserveActive(2)
+		p.ObserveActive(1)
+		if err := p.CheckSupport(); !errors.Is(err, upgrade.ErrTooOld) {
 			t.Errorf("versions 2, then 1 reported: got %v, want %v", err, upgrade.ErrTooOld)
 		}
 		if got := p.Active(); got != 2 {
@@ -46,7 +46,7 @@
 		p := d.start(t, "a", newProgram)
 		awaitPolls()
 		d.store.Outage(true)
-		_, statusErr := p.Look(t.Context(), d.knowledge(anyVersion))
+		_, statusErr := p.ReadStatus(t.Context(), d.knowledge(anyVersion))
 		_, activeErr := p.ReadActive(t.Context())
 		for _, c := range []struct {
 			name, key string
@@ -59,7 +59,7 @@
 				t.Errorf("%s: got %v, want %v that names %s", c.name, c.got, duty.ErrRefused, c.key)
 			}
 		}
-		if err := p.MayServe(); err != nil {
+		if err := p.CheckServe(); err != nil {
 			t.Errorf("serving: got %v, want nil", err)
 		}
 	})
@@ -73,7 +73,7 @@
 		d.store.Delete(upgrade.SupportKey("a"))
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
-			if err := p.MayServe(); err != nil {
+			if err := p.CheckServe(); err != nil {
 				t.Fatalf("after its record was removed: got %v, want nil", err)
 			}
 		}
@@ -90,17 +90,17 @@
 		d := newDeployment(t)
 		p := d.start(t, "a", newProgram)
 		awaitPolls()
-		if err := p.MayServe(); err != nil {
+		if err := p.CheckServe(); err != nil {
 			t.Fatalf("before it was replaced: got %v, want nil", err)
 		}
 		d.store.Put(upgrade.SupportKey("a"), upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "another"})
 		awaitPolls()
-		if err := p.MayServe(); !errors.Is(err, upgrade.ErrReplaced) {
+		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrReplaced) {
 			t.Errorf("replaced: got %v, want %v", err, upgrade.ErrReplaced)
 		}
 		d.store.Delete(upgrade.SupportKey("a"))
 		awaitPolls()
-		if err := p.MayServe(); !errors.Is(err, upgrade.ErrReplaced) {
+		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrReplaced) {
 			t.Errorf("replaced, then the record removed: got %v, want %v", err, upgrade.ErrReplaced)
 		}
 	})
@@ -129,7 +129,7 @@
 					d.start(t, "a", newProgram)
 				}
 				awaitPolls()
-				err := d.process("a").MayServe()
+				err := d.process("a").CheckServe()
 				if !errors.Is(err, c.want) {
 					t.Errorf("got %v, want %v", err, c.want)
 				}
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -13,26 +13,26 @@
 type Deployment struct {
 	// Controllers are all that are configured, this one included.
 	Controllers []duty.NodeID
-	// Present returns the incarnation of another controller's process that was in contact
+	// ConnectedIncarnation returns the incarnation of another controller's process that was in contact
 	// a moment ago; empty if none was, or if its program does not negotiate versions.
-	Present func(duty.NodeID) string
-	// Ceiling is the highest version that the operators allow; 0: any.
-	Ceiling Version
+	ConnectedIncarnation func(duty.NodeID) string
+	// MaxVersion is the highest version that the operators allow; 0: any.
+	MaxVersion Version
 	// Guards make the switch fail if what that limit rests on has changed since.
 	Guards []duty.Guard
 }
 
-// Missing is why a controller holds up the next version; empty: it does not. The values
+// Blocker is why a controller holds up the next version; empty: it does not. The values
 // are part of what is shown to operators.
-type Missing string
+type Blocker string
 
 // The reasons why a controller holds up the next version.
 const (
-	NothingPublished  Missing = "nothing published: never started, or of a version from before"
-	NotUnderstood     Missing = "does not understand the next version"
-	NotInContact      Missing = "not in contact, or of a version from before"
-	OtherIncarnation  Missing = "another process runs than the one that published"
-	UndecodableRecord Missing = "its record can't be decoded"
+	NothingPublished  Blocker = "nothing published: never started, or of a version from before"
+	NotSupported      Blocker = "does not understand the next version"
+	NotConnected      Blocker = "not in contact, or of a version from before"
+	OtherIncarnation  Blocker = "another process runs than the one that published"
+	UndecodableRecord Blocker = "its record can't be decoded"
 )
 
 // ControllerStatus is one controller as operators see it.
@@ -42,7 +42,7 @@
 	Max         Version        `cbor:"max"`
 	Incarnation string         `cbor:"process"`
 	PublishedAt wire.Timestamp `cbor:"published_at"`
-	Missing     Missing        `cbor:"missing"`
+	Blocker     Blocker        `cbor:"missing"`
 }
 
 // Status describes how far an upgrade is.
@@ -50,22 +50,22 @@
 	Active Version `cbor:"active"`
 	// Next is the version that all controllers have to support; if it equals Active there
 	// is none.
-	Next    Version `cbor:"next"`
-	Ceiling Version `cbor:"ceiling"` // by the operators; 0: none
-	// Held is true if only the operators hold the next version back.
-	Held        bool               `cbor:"held"`
-	Controllers []ControllerStatus `cbor:"controllers"`
+	Next       Version `cbor:"next"`
+	MaxVersion Version `cbor:"ceiling"` // by the operators; 0: none
+	// LimitedByOperators is true if only the operators hold the next version back.
+	LimitedByOperators bool               `cbor:"held"`
+	Controllers        []ControllerStatus `cbor:"controllers"`
 }
 
 // Ready reports whether there is a next version and every controller supports it.
 func (s *Status) Ready() bool {
-	isBlocked := func(c ControllerStatus) bool { return c.Missing != "" }
+	isBlocked := func(c ControllerStatus) bool { return c.Blocker != "" }
 	return s.Next > s.Active && !slices.ContainsFunc(s.Controllers, isBlocked)
 }
 
-// Look reads how far the upgrade is. It fails if the store can't be read, which may be
+// ReadStatus reads how far the upgrade is. It fails if the store can't be read, which may be
 // retried, or if the active version can't be decoded.
-func (m *Member) Look(ctx context.Context, d Deployment) (Status, error) {
+func (m *Member) ReadStatus(ctx context.Context, d Deployment) (Status, error) {
 	r, err := readDecidableRecords(ctx, m.Store, store.User)
 	if err != nil {
 		return Status{}, err
@@ -77,12 +77,12 @@
 // operators allow.
 func (m *Member) status(r *records, d Deployment) Status {
 	s := Status{
-		Active:  r.active.Version,
-		Next:    max(r.active.Version, m.Supports.Max),
-		Ceiling: d.Ceiling,
+		Active:     r.active.Version,
+		Next:       max(r.active.Version, m.Supports.Max),
+		MaxVersion: d.MaxVersion,
 	}
-	if d.Ceiling > 0 && s.Next > d.Ceiling {
-		s.Next, s.Held = max(s.Active, d.Ceiling), true
+	if d.MaxVersion > 0 && s.Next > d.MaxVersion {
+		s.Next, s.LimitedByOperators = max(s.Active, d.MaxVersion), true
 	}
 	for _, node := range d.Controllers {
 		published := r.supports[node].record
@@ -92,18 +92,18 @@
 			Max:         published.Max,
 			Incarnation: published.Incarnation,
 			PublishedAt: published.At,
-			Missing:     m.blockerOf(r, d, node, s.Next),
+			Blocker:     m.blockerOf(r, d, node, s.Next),
 		})
 	}
 	return s
 }
 
 // blockerOf returns why a controller holds up a version; empty if it does not.
-func (m *Member) blockerOf(r *records, d Deployment, node duty.NodeID, next Version) Missing {
+func (m *Member) blockerOf(r *records, d Deployment, node duty.NodeID, next Version) Blocker {
 	support, published := r.supports[node]
 	connected := m.incarnation
 	if node != m.Node {
-		connected = d.Present(node)
+		connected = d.ConnectedIncarnation(node)
 	}
 	switch {
 	case r.isUndecodable(SupportKey(node)):
@@ -111,9 +111,9 @@
 	case !published:
 		return NothingPublished
 	case !support.record.Range().Contains(next):
-		return NotUnderstood
+		return NotSupported
 	case connected == "":
-		return NotInContact
+		return NotConnected
 	case connected != support.record.Incarnation:
 		return OtherIncarnation
 	}
--- a/upgrade/status_test.go
+++ b/upgrade/status_test.go
@@ -13,7 +13,7 @@
 func describe(s upgrade.Status) string {
 	var out []string
 	for _, c := range s.Controllers {
-		out = append(out, fmt.Sprintf("%s %d-%d %s", c.Node, c.Min, c.Max, c.Missing))
+		out = append(out, fmt.Sprintf("%s %d-%d %s", c.Node, c.Min, c.Max, c.Blocker))
 	}
 	return strings.Join(out, "; ")
 }
@@ -27,7 +27,7 @@
 		awaitPolls()
 		check := func(situation, want string) {
 			t.Helper()
-			s, err := p.Look(t.Context(), d.knowledge(anyVersion))
+			s, err := p.ReadStatus(t.Context(), d.knowledge(anyVersion))
 			if err != nil || s.Active != 1 || s.Next != 2 {
 				t.Errorf("%s: got %+v, error %v, want version 1 active, 2 next", situation, s, err)
 			}
@@ -37,7 +37,7 @@
 		}
 		d.stop("b")
 		d.store.Put(upgrade.SupportKey("c"), "no record")
-		check("b stopped, c damaged", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.NotInContact, upgrade.UndecodableRecord))
+		check("b stopped, c damaged", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.NotConnected, upgrade.UndecodableRecord))
 		d.store.Delete(upgrade.SupportKey("c"))
 		d.setProcess("b", &process{p.Member, func() {}}) // a process that has not published
 		check("another process of b, nothing of c", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.OtherIncarnation, upgrade.NothingPublished))
@@ -46,7 +46,7 @@
 
 func TestStatusIsReadyOnceAllSupportANextVersion(t *testing.T) {
 	ready := upgrade.ControllerStatus{Node: "a"}
-	blocked := upgrade.ControllerStatus{Node: "b", Missing: upgrade.NotInContact}
+	blocked := upgrade.ControllerStatus{Node: "b", Blocker: upgrade.NotConnected}
 	for _, c := range []struct {
 		name   string
 		status upgrade.Status
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -29,7 +29,7 @@
 		return status.Active, fmt.Errorf("switch from version %d to %d: %w", status.Active, status.Next, err)
 	}
 	m.state.Store(&memberState{active: status.Next, activeRevision: revision, published: true})
-	m.Learn(status.Next)
+	m.ObserveActive(status.Next)
 	m.Log.Info("active version switched", "from", status.Active, "to", status.Next)
 	m.emit(Event{Kind: Switched, Version: status.Next, Token: permit.Token(), Reason: fmt.Sprintf("from %d", status.Active)})
 	return status.Next, nil
@@ -54,7 +54,7 @@
 // fail from then on. The error says whether this process may act by it.
 func (m *Member) ReadActive(ctx context.Context) (Version, error) {
 	active, revision, err := readActive(ctx, m.Store)
-	if errors.Is(err, ErrUndecodable) && m.MayServe() == nil {
+	if errors.Is(err, ErrUndecodable) && m.CheckServe() == nil {
 		// Damaged since this process knew it. To act by an earlier version than the active
 		// one harms nothing: whoever supports the later one reads it.
 		m.notifyUndecodable(ActiveKey, err)
@@ -69,6 +69,6 @@
 		next.active, next.activeRevision = active.Version, revision
 		m.state.CompareAndSwap(state, &next)
 	}
-	m.Learn(active.Version)
-	return active.Version, m.Understands()
+	m.ObserveActive(active.Version)
+	return active.Version, m.CheckSupport()
 }
--- a/upgrade/switch_test.go
+++ b/upgrade/switch_test.go
@@ -68,7 +68,7 @@
 		if got := d.active(); got != 1 {
 			t.Errorf("active: got %d, want 1", got)
 		}
-		if err := old.MayServe(); err != nil {
+		if err := old.CheckServe(); err != nil {
 			t.Errorf("the old process: got %v, want nil", err)
 		}
 		d.checkEvent(t, "c versions published 1")
@@ -92,11 +92,11 @@
 		d.store.DelayTransactions(nil)
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
-			if old.MayServe() == nil {
+			if old.CheckServe() == nil {
 				t.Fatal("an old process serves that the switch has overtaken")
 			}
 		}
-		if err := old.MayServe(); !errors.Is(err, upgrade.ErrTooOld) {
+		if err := old.CheckServe(); !errors.Is(err, upgrade.ErrTooOld) {
 			t.Errorf("the old process: got %v, want %v", err, upgrade.ErrTooOld)
 		}
 		d.checkEvent(t, "a version switched 2")
@@ -124,7 +124,7 @@
 		}
 		tooNew := d.start(t, "c", upgrade.Range{Min: 3, Max: 4})
 		awaitPolls()
-		err := tooNew.MayServe()
+		err := tooNew.CheckServe()
 		var unsupported *upgrade.UnsupportedVersionError
 		if !errors.Is(err, upgrade.ErrTooNew) || !errors.As(err, &unsupported) || unsupported.Active != 2 {
 			t.Errorf("too new: got %v, want %v at version 2", err, upgrade.ErrTooNew)
@@ -197,7 +197,7 @@
 func (d *deployment) checkServingProcesses(t *testing.T, seed uint64, step int, active upgrade.Version) {
 	t.Helper()
 	for node, p := range d.running() {
-		if p.MayServe() == nil && !p.Supports.Contains(active) {
+		if p.CheckServe() == nil && !p.Supports.Contains(active) {
 			t.Fatalf("seed %d, step %d: %s serves and supports %v, want one that supports %d", seed, step, node, p.Supports, active)
 		}
 	}
--- a/versions.go
+++ b/versions.go
@@ -30,14 +30,14 @@
 func (g versionGate) negotiated() bool { return g.member != nil }
 
 // learn takes in that another controller knows a version to be active.
-func (g versionGate) learn(version uint64) { g.member.Learn(upgrade.Version(version)) }
+func (g versionGate) learn(version uint64) { g.member.ObserveActive(upgrade.Version(version)) }
 
 // understands returns why this node must not even acknowledge workers and peers, or nil.
 func (g versionGate) understands() error {
 	if !g.negotiated() {
 		return nil
 	}
-	return g.member.Understands()
+	return g.member.CheckSupport()
 }
 
 // mayServe returns why this node must not serve users, or nil.
@@ -45,7 +45,7 @@
 	if !g.negotiated() {
 		return nil
 	}
-	return g.member.MayServe()
+	return g.member.CheckServe()
 }
 
 // addTo adds to a status what the other nodes need to know about versions.
@@ -55,7 +55,7 @@
 	}
 	status.Incarnation = g.member.Incarnation()
 	status.ActiveVersion = uint64(g.member.Active())
-	status.RefusesAcks = g.member.Understands() != nil
+	status.RefusesAcks = g.member.CheckSupport() != nil
 }
 
 // retryAfterSeconds is when a refused client may try again.
@@ -67,7 +67,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := check(); err != nil {
 			w.Header().Set("Connection", "close")
-			wire.RefuseRetryable(w, http.StatusServiceUnavailable, err.Error(), retryAfterSeconds)
+			wire.WriteRetryableError(w, http.StatusServiceUnavailable, err.Error(), retryAfterSeconds)
 			return
 		}
 		handler.ServeHTTP(w, r)
