--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -35,7 +35,7 @@
 		if m.up {
 			st = wire.ListedRunning
 		}
-		out = append(out, wire.ListedMachine{Name: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, State: st, Age: wire.Seconds(time.Since(m.provisionedAt).Seconds())})
+		out = append(out, wire.ListedMachine{Name: m.id, Addr: sim.advertisedAddr(m.addr), Type: m.machineType, Zone: m.zone, Spot: m.spot, State: st, Age: wire.Seconds(time.Since(m.provisionedAt).Seconds())})
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
 	return out
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -38,10 +38,12 @@
 
 // Simulation is a deployment of fakes around real controllers. One lock guards it all.
 type Simulation struct {
-	Net      *Network // the network in memory, with its faults
-	hostNet  func(ip string) netio.Net
-	State    *KVStore
-	Settings config.Settings
+	Net     *Network // the network in memory, with its faults
+	hostNet func(ip string) netio.Net
+	// onLoopback: the hosts are on the machine's own loopback network (see Loopback).
+	onLoopback bool
+	State      *KVStore
+	Settings   config.Settings
 
 	mu               sync.Mutex
 	checker          *Checker
@@ -86,8 +88,17 @@
 	up     bool // the simulation's lock guards it
 }
 
-// New builds a deployment; no node runs yet. Without a host function it
-// lives on its own network in memory.
+// advertisedAddr returns the address under which controllers reach a host: on the loopback
+// network that which stands for its address.
+func (sim *Simulation) advertisedAddr(addr string) string {
+	if sim.onLoopback {
+		return LoopbackAddr(addr)
+	}
+	return addr
+}
+
+// New builds a deployment; no node runs yet. Without a host function it lives on its own
+// network in memory; Loopback is the only other one.
 func New(ctx context.Context, set config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
 	limits := map[wire.TeamID]TeamLimit{}
 	for _, t := range set.Teams {
@@ -103,7 +114,7 @@
 		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, scaleOuts: map[string][]wire.MachineID{},
 		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLag.Duration(), bootFactor: 1,
 	}
-	if sim.hostNet = host; host == nil {
+	if sim.hostNet, sim.onLoopback = host, host != nil; host == nil {
 		sim.hostNet = sim.Net.Host
 	}
 	for _, f := range sim.machineTypes {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -62,7 +62,7 @@
 // nextHeartbeat returns a heartbeat with the worker's present state; the caller holds the lock.
 func (m *worker) nextHeartbeat() wire.Heartbeat {
 	m.sequence++
-	r := wire.Heartbeat{Machine: m.id, Addr: m.addr, Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
+	r := wire.Heartbeat{Machine: m.id, Addr: m.sim.advertisedAddr(m.addr), Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
 	if !m.reclaimAt.IsZero() {
 		left := wire.Seconds(max(0, time.Until(m.reclaimAt).Seconds()))
 		r.SpotNotice = &left
