--- a/config.go
+++ b/config.go
@@ -26,9 +26,9 @@
 // as deploy/service.toml says.
 func FeaturesPathBeside(program string) string { return features.PathBeside(program) }
 
-// StateService returns a client of the deployment's state service, for programs that
+// NewStateServiceClient returns a client of the deployment's state service, for programs that
 // hold a duty of their own (package duty).
-func StateService(cfg *Config) duty.Store { return newStore(cfg, netio.Real()) }
+func NewStateServiceClient(cfg *Config) duty.Store { return newStore(cfg, netio.Real()) }
 
 // newStore returns a client of the state service on a network.
 func newStore(cfg *Config, network netio.Net) *store.Client {
--- a/doc.go
+++ b/doc.go
@@ -8,7 +8,7 @@
 // [LoadConfig] reads the settings file, [New] builds a Node and [Node.Run] serves until
 // its context ends. A process that is a Node and nothing else calls [LimitProcess]
 // before. A process that holds a duty of its own (package duty) needs only
-// [StateService].
+// [NewStateServiceClient].
 //
 // # Units
 //
--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -119,7 +119,7 @@
 // leaseIsFree reads who holds the lease and reports whether nobody does. A record that
 // can't be decoded belongs to somebody: it is never overwritten.
 func (c *Candidate) leaseIsFree(ctx context.Context) bool {
-	entry, err := c.Store.Get(ctx, store.Critical, c.Key)
+	entry, err := c.Store.Get(ctx, store.ClassCritical, c.Key)
 	if err != nil {
 		return errors.Is(err, ErrNotFound)
 	}
@@ -143,9 +143,9 @@
 // host runs one process; deleting the key makes its late writes fail.
 func (c *Candidate) removeLeaseOfEarlierProcess(ctx context.Context, revision Revision) bool {
 	c.Log.Info("lease removal requested", "reason", "held by an earlier process of this node", "token", revision)
-	_, err := c.Store.Commit(ctx, store.Critical, Txn{
+	_, err := c.Store.Commit(ctx, store.ClassCritical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: revision}},
-		Writes: []Write{{Delete: c.Key}},
+		Writes: []Write{{DeleteKey: c.Key}},
 	})
 	return err == nil
 }
@@ -171,30 +171,30 @@
 	revision, err := c.createLeaseKey(ctx, grant)
 	if err != nil {
 		// A late execution of the write is harmless without its grant.
-		_ = c.Store.EndGrant(ctx, grant) // else it expires by itself
+		_ = c.Store.RevokeGrant(ctx, grant) // else it expires by itself
 		return nil
 	}
-	lease := NewLease(c, Tenure{
+	lease := NewLease(c, Acquisition{
 		Grant:      grant,
 		Token:      FencingToken(revision),
 		AcquiredAt: c.Clock.Now(),
 		ValidUntil: requestedAt.Add(c.Timing.SafeTTL()),
 	})
-	lease.emit(Acquired, "", "")
+	lease.emit(LeaseAcquired, "", "")
 	return lease
 }
 
 // createLeaseKey writes the lease's key, bound to the grant, if there is none. An unknown
 // outcome is resolved by reading the key: it then names this process and grant.
 func (c *Candidate) createLeaseKey(ctx context.Context, grant GrantID) (Revision, error) {
-	revision, err := c.Store.Commit(ctx, store.Critical, Txn{
+	revision, err := c.Store.Commit(ctx, store.ClassCritical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: 0}},
-		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: grant}},
+		Writes: []Write{{PutKey: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: grant}},
 	})
 	if !errors.Is(err, ErrOutcomeUnknown) {
 		return revision, err
 	}
-	entry, readErr := c.Store.Get(ctx, store.Critical, c.Key)
+	entry, readErr := c.Store.Get(ctx, store.ClassCritical, c.Key)
 	if readErr == nil && c.isOwnRecord(entry, grant) {
 		return entry.Revision, nil
 	}
--- a/duty/errors.go
+++ b/duty/errors.go
@@ -10,15 +10,15 @@
 // Errors of a Store.
 var (
 	// ErrNotFound reports that the key or grant does not exist.
-	ErrNotFound = store.ErrMissing
+	ErrNotFound = store.ErrNotFound
 	// ErrRefused reports that the request was certainly not executed, as the store was away
 	// or over its rate; retry it after a pause.
 	ErrRefused = store.ErrRefused
 	// ErrOutcomeUnknown reports that a change may have been executed or may still be; read
 	// what it wrote before retrying.
-	ErrOutcomeUnknown = store.ErrUnknown
+	ErrOutcomeUnknown = store.ErrOutcomeUnknown
 	// ErrInvalidRequest reports that the store calls the request malformed; don't retry it.
-	ErrInvalidRequest = store.ErrInvalid
+	ErrInvalidRequest = store.ErrInvalidRequest
 )
 
 // Reasons why an act, or an operation on a lease, is refused.
--- a/duty/event.go
+++ b/duty/event.go
@@ -7,13 +7,13 @@
 
 // The kinds of events.
 const (
-	Acquired EventKind = "acquired"         // the lease was acquired
-	Raised   EventKind = "token raised"     // its fencing token was replaced by a higher one
-	Resigned EventKind = "resigned"         // its holder gave it up
-	Lost     EventKind = "lost"             // its grant had expired at a renewal
-	Accepted EventKind = "act accepted"     // an act was carried out under a permit
-	Refused  EventKind = "act refused"      // an act was refused, here or by the store
-	Recorded EventKind = "intents recorded" // open intents were written to the store
+	LeaseAcquired   EventKind = "acquired"         // the lease was acquired
+	TokenRaised     EventKind = "token raised"     // its fencing token was replaced by a higher one
+	LeaseResigned   EventKind = "resigned"         // its holder gave it up
+	LeaseLost       EventKind = "lost"             // its grant had expired at a renewal
+	ActAccepted     EventKind = "act accepted"     // an act was carried out under a permit
+	ActRefused      EventKind = "act refused"      // an act was refused, here or by the store
+	IntentsRecorded EventKind = "intents recorded" // open intents were written to the store
 )
 
 // Event describes a change of a lease, or an act under it.
--- a/duty/example_test.go
+++ b/duty/example_test.go
@@ -81,7 +81,7 @@
 	fmt.Println("backup:", err)
 
 	// A write to the store fails once another process holds the lease.
-	_, err = permit.Commit(ctx, store.Critical, duty.Txn{Writes: []duty.Write{{Put: "backup/last", Value: wire.Encode("done")}}})
+	_, err = permit.Commit(ctx, store.ClassCritical, duty.Txn{Writes: []duty.Write{{PutKey: "backup/last", Value: wire.Encode("done")}}})
 	var conflict *duty.ConflictError
 	switch {
 	case err == nil:
@@ -125,13 +125,13 @@
 	if err := intents.Record(ctx, []string{"snapshot-17"}); err != nil {
 		return // nothing may be sent
 	}
-	fmt.Println("send", intents.Pending())
+	fmt.Println("send", intents.OpenIntents())
 
 	// Once the receiver has answered, nothing is open any more.
 	if err := intents.Record(ctx, nil); err != nil {
 		return
 	}
-	fmt.Println("open:", len(intents.Pending()))
+	fmt.Println("open:", len(intents.OpenIntents()))
 
 	// Output:
 	// send [snapshot-17]
--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -245,16 +245,16 @@
 // cleanUp writes a record that is named by the token.
 func (h *holder) cleanUp(ctx context.Context) error {
 	key := factPrefix + strconv.FormatUint(uint64(h.lease.FirstToken()), 10)
-	txn := duty.Txn{Writes: []duty.Write{{Put: key, Value: wire.Encode(time.Now().UnixNano())}}}
+	txn := duty.Txn{Writes: []duty.Write{{PutKey: key, Value: wire.Encode(time.Now().UnixNano())}}}
 	if !h.fenced {
-		_, err := h.store.Commit(ctx, store.Critical, txn)
+		_, err := h.store.Commit(ctx, store.ClassCritical, txn)
 		return err
 	}
 	permit, err := duty.PermitFor[duty.Cleanup](h.lease)
 	if err != nil {
 		return err
 	}
-	_, err = permit.Commit(ctx, store.Critical, txn)
+	_, err = permit.Commit(ctx, store.ClassCritical, txn)
 	return err
 }
 
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -54,7 +54,7 @@
 // ErrUndecodable; any other error may be retried.
 func (i *Intents[D, T]) Load(ctx context.Context) (IntentRecord[T], error) {
 	var record IntentRecord[T]
-	entry, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
+	entry, err := i.lease.candidate.Store.Get(ctx, store.ClassCritical, i.key())
 	switch {
 	case errors.Is(err, ErrNotFound):
 	case err != nil:
@@ -72,8 +72,8 @@
 // Loaded reports whether Load has succeeded.
 func (i *Intents[D, T]) Loaded() bool { return i.loaded }
 
-// Pending returns the open intents as last read or written.
-func (i *Intents[D, T]) Pending() []T { return i.recorded }
+// OpenIntents returns the open intents as last read or written.
+func (i *Intents[D, T]) OpenIntents() []T { return i.recorded }
 
 // Fits reports whether the intents fit in one record.
 func (i *Intents[D, T]) Fits(open []T) bool {
@@ -115,15 +115,15 @@
 	}
 	// The record's own revision is a guard too: an attempt without an answer that is
 	// executed late must not undo a later one.
-	revision, err := permit.Commit(ctx, store.Critical, Txn{
+	revision, err := permit.Commit(ctx, store.ClassCritical, Txn{
 		Guards: []Guard{{Key: i.key(), Revision: i.revision}},
-		Writes: []Write{{Put: i.key(), Value: wire.Encode(i.newRecord(open))}},
+		Writes: []Write{{PutKey: i.key(), Value: wire.Encode(i.newRecord(open))}},
 	})
 	var conflict *ConflictError
 	switch {
 	case err == nil:
 		i.revision, i.recorded = revision, open
-		i.lease.emit(Recorded, permit.Name(), fmt.Sprint(len(open), " open"))
+		i.lease.emit(IntentsRecorded, permit.Name(), fmt.Sprint(len(open), " open"))
 		return true, nil
 	case errors.As(err, &conflict):
 		return false, i.resolveConflict(ctx, conflict)
@@ -143,7 +143,7 @@
 	if conflict.Has(i.key()) {
 		// An earlier attempt of this holder was executed: nobody else can write the record
 		// while it holds the lease.
-		entry, err := i.lease.candidate.Store.Get(ctx, store.Critical, i.key())
+		entry, err := i.lease.candidate.Store.Get(ctx, store.ClassCritical, i.key())
 		if err == nil || errors.Is(err, ErrNotFound) {
 			i.revision = entry.Revision
 		}
@@ -154,7 +154,7 @@
 // mayHoldLease reads the lease's key and reports whether it may still be this holder's.
 func (i *Intents[D, T]) mayHoldLease(ctx context.Context) bool {
 	candidate := i.lease.candidate
-	entry, err := candidate.Store.Get(ctx, store.Critical, candidate.Key)
+	entry, err := candidate.Store.Get(ctx, store.ClassCritical, candidate.Key)
 	if errors.Is(err, ErrNotFound) {
 		return false
 	}
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -17,8 +17,8 @@
 // resigned replaces Lease.validFor once the lease was given up: no renewal changes it.
 const resigned = math.MinInt64 / 2
 
-// Tenure describes how a lease was acquired.
-type Tenure struct {
+// Acquisition describes how a lease was acquired.
+type Acquisition struct {
 	Grant      GrantID
 	Token      FencingToken // the revision of the lease's key
 	AcquiredAt time.Time    // when the lease was acquired
@@ -28,7 +28,7 @@
 // Lease is a lease as its holder knows it. Any goroutine may ask whether it is still held.
 type Lease struct {
 	candidate *Candidate // nil for a lease that only tells the time
-	tenure    Tenure
+	tenure    Acquisition
 	token     atomic.Uint64
 	// validFor is a time.Duration since the lease was acquired, which no step of the wall
 	// clock changes; or resigned.
@@ -37,7 +37,7 @@
 
 // NewLease returns a lease that was acquired by other means than Campaign, or that is
 // restored.
-func NewLease(c *Candidate, tenure Tenure) *Lease {
+func NewLease(c *Candidate, tenure Acquisition) *Lease {
 	l := &Lease{candidate: c, tenure: tenure}
 	l.token.Store(uint64(tenure.Token))
 	l.validFor.Store(int64(tenure.ValidUntil.Sub(tenure.AcquiredAt)))
@@ -147,7 +147,7 @@
 			renewed(sentAt)
 			wait = timing.RenewEvery
 		case errors.Is(err, ErrNotFound):
-			l.emit(Lost, "", ErrGrantExpired.Error())
+			l.emit(LeaseLost, "", ErrGrantExpired.Error())
 			return l.failure(ErrGrantExpired)
 		default:
 			wait = timing.RenewEvery / 3
@@ -167,7 +167,7 @@
 		}
 		if token > old {
 			l.token.Store(uint64(token))
-			l.emit(Raised, "", "")
+			l.emit(TokenRaised, "", "")
 			return token, nil
 		}
 		select {
@@ -182,16 +182,16 @@
 // means that the outcome is open.
 func (l *Lease) tryRaise(ctx context.Context, old FencingToken) (FencingToken, error) {
 	c := l.candidate
-	revision, err := c.Store.Commit(ctx, store.Critical, Txn{
+	revision, err := c.Store.Commit(ctx, store.ClassCritical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: Revision(old)}},
-		Writes: []Write{{Put: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: l.tenure.Grant}},
+		Writes: []Write{{PutKey: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: l.tenure.Grant}},
 	})
 	if err == nil {
 		return FencingToken(revision), nil
 	}
 	// It may have been executed, perhaps by an earlier attempt: then the key is still this
 	// holder's, with a new revision.
-	entry, err := c.Store.Get(ctx, store.Critical, c.Key)
+	entry, err := c.Store.Get(ctx, store.ClassCritical, c.Key)
 	var record store.LeaderRecord
 	switch {
 	case errors.Is(err, ErrNotFound):
@@ -209,7 +209,7 @@
 // store can't be reached the grant expires by itself.
 func (l *Lease) Resign(ctx context.Context, until time.Time) {
 	l.validFor.Store(resigned)
-	l.emit(Resigned, "", "")
+	l.emit(LeaseResigned, "", "")
 	l.candidate.BackOffUntil(until)
-	go func() { _ = l.candidate.Store.EndGrant(context.WithoutCancel(ctx), l.tenure.Grant) }() // else it expires by itself
+	go func() { _ = l.candidate.Store.RevokeGrant(context.WithoutCancel(ctx), l.tenure.Grant) }() // else it expires by itself
 }
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -67,7 +67,7 @@
 		sim.store.DelayTransactions(func(*wire.Txn) time.Duration { return 700 * time.Millisecond })
 		late := make(chan error, 1)
 		go func() {
-			_, err := permit.Commit(t.Context(), store.Critical, putFact)
+			_, err := permit.Commit(t.Context(), store.ClassCritical, putFact)
 			late <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
--- a/duty/permit.go
+++ b/duty/permit.go
@@ -26,7 +26,7 @@
 		return ErrNoPermit
 	}
 	if !p.lease.Held() {
-		p.lease.emit(Refused, p.Name(), ErrNotHeld.Error())
+		p.lease.emit(ActRefused, p.Name(), ErrNotHeld.Error())
 		return p.lease.failure(ErrNotHeld)
 	}
 	return nil
@@ -50,7 +50,7 @@
 	if err := act(ctx); err != nil {
 		return err
 	}
-	p.lease.emit(Accepted, p.Name(), "")
+	p.lease.emit(ActAccepted, p.Name(), "")
 	return nil
 }
 
@@ -66,7 +66,7 @@
 	revision, err := candidate.Store.Commit(ctx, class, txn)
 	var conflict *ConflictError
 	if errors.As(err, &conflict) && conflict.Has(candidate.Key) {
-		p.lease.emit(Refused, p.Name(), "by the state service")
+		p.lease.emit(ActRefused, p.Name(), "by the state service")
 	}
 	return revision, err
 }
--- a/duty/permit_test.go
+++ b/duty/permit_test.go
@@ -13,7 +13,7 @@
 )
 
 // putFact is a transaction that depends on nothing.
-var putFact = duty.Txn{Writes: []duty.Write{{Put: "fact/x", Value: wire.Encode(1)}}}
+var putFact = duty.Txn{Writes: []duty.Write{{PutKey: "fact/x", Value: wire.Encode(1)}}}
 
 func TestZeroPermitRefusesEverything(t *testing.T) {
 	var permit duty.Permit[duty.ScaleIn]
@@ -24,7 +24,7 @@
 	if err := permit.Do(t.Context(), act); !errors.Is(err, duty.ErrNoPermit) {
 		t.Errorf("Do: got %v, want %v", err, duty.ErrNoPermit)
 	}
-	if _, err := permit.Commit(t.Context(), store.Critical, putFact); !errors.Is(err, duty.ErrNoPermit) {
+	if _, err := permit.Commit(t.Context(), store.ClassCritical, putFact); !errors.Is(err, duty.ErrNoPermit) {
 		t.Errorf("Commit: got %v, want %v", err, duty.ErrNoPermit)
 	}
 	if got := permit.Token(); got != 0 {
@@ -42,7 +42,7 @@
 		if err != nil || permit.Token() != first.Token() || permit.Name() != "cleanup" {
 			t.Fatalf("held: got permit %+v, error %v, want one for cleanup under token %d", permit, err, first.Token())
 		}
-		if _, err := permit.Commit(t.Context(), store.Critical, putFact); err != nil {
+		if _, err := permit.Commit(t.Context(), store.ClassCritical, putFact); err != nil {
 			t.Errorf("held: got %v, want nil", err)
 		}
 		act, cancel := first.Context(t.Context())
@@ -53,7 +53,7 @@
 		if got := second.AcquiredAt().Sub(first.AcquiredAt()); got > time.Second || second.Token() <= first.Token() {
 			t.Errorf("after resigning: got token %d after %d, acquired %v later, want a higher one within 1 s", second.Token(), first.Token(), got)
 		}
-		if _, err := permit.Commit(t.Context(), store.Critical, putFact); !errors.Is(err, duty.ErrNotHeld) {
+		if _, err := permit.Commit(t.Context(), store.ClassCritical, putFact); !errors.Is(err, duty.ErrNotHeld) {
 			t.Errorf("commit after resigning: got %v, want %v", err, duty.ErrNotHeld)
 		}
 		if _, err := duty.PermitFor[duty.ScaleOut](first); !errors.Is(err, duty.ErrNotHeld) {
--- a/duty/store.go
+++ b/duty/store.go
@@ -43,8 +43,8 @@
 	Grant(ctx context.Context, ttl time.Duration) (GrantID, error)
 	// Renew renews a grant, or returns ErrNotFound if it has expired.
 	Renew(ctx context.Context, grant GrantID, timeout time.Duration) error
-	// EndGrant revokes a grant and deletes the keys bound to it.
-	EndGrant(ctx context.Context, grant GrantID) error
+	// RevokeGrant revokes a grant and deletes the keys bound to it.
+	RevokeGrant(ctx context.Context, grant GrantID) error
 	// Get reads a key, or returns ErrNotFound.
 	Get(ctx context.Context, class RequestClass, key string) (Entry, error)
 	// Commit executes a transaction and returns its revision, or a *ConflictError.
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -47,8 +47,8 @@
 // readSettings reads what operators have set. Of a record that can't be decoded, it
 // returns what was decoded up to the error.
 func (a *Admin) readSettings(ctx context.Context) (storedSettings, error) {
-	entry, err := a.store.Get(ctx, store.User, store.SettingsKey)
-	if errors.Is(err, store.ErrMissing) {
+	entry, err := a.store.Get(ctx, store.ClassUser, store.SettingsKey)
+	if errors.Is(err, store.ErrNotFound) {
 		return storedSettings{values: map[string]any{}}, nil
 	}
 	if err != nil {
@@ -164,9 +164,9 @@
 // storeSettings replaces the stored settings, unless they are no longer of the version
 // that was read, and returns the new version.
 func (a *Admin) storeSettings(ctx context.Context, settings storedSettings) (wire.Revision, error) {
-	version, err := a.store.Commit(ctx, store.Background, wire.Txn{
+	version, err := a.store.Commit(ctx, store.ClassBackground, wire.Txn{
 		Guards: []wire.Guard{{Key: store.SettingsKey, Revision: settings.version}},
-		Writes: []wire.Write{{Put: store.SettingsKey, Value: wire.Encode(settings.values)}},
+		Writes: []wire.Write{{PutKey: store.SettingsKey, Value: wire.Encode(settings.values)}},
 	})
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -132,13 +132,13 @@
 // grantStore is a state service of which only the end of a grant is asked.
 type grantStore struct{ duty.Store }
 
-func (grantStore) EndGrant(context.Context, duty.GrantID) error { return nil }
+func (grantStore) RevokeGrant(context.Context, duty.GrantID) error { return nil }
 
 // heldLease returns a lease that is held for the given time from now.
 func heldLease(duration time.Duration) *duty.Lease {
 	now := time.Now()
 	candidate := duty.NewCandidate(duty.Options{Key: "lead", Node: "worker-1", Store: grantStore{}})
-	return duty.NewLease(candidate, duty.Tenure{Token: 7, AcquiredAt: now, ValidUntil: now.Add(duration)})
+	return duty.NewLease(candidate, duty.Acquisition{Token: 7, AcquiredAt: now, ValidUntil: now.Add(duration)})
 }
 
 func permitFor[D duty.Duty](t *testing.T, lease *duty.Lease) duty.Permit[D] {
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -136,13 +136,13 @@
 	for _, c := range []struct{ got, want any }{
 		{wire.KindArray, wire.JobKind("sweep")}, {wire.KindService, wire.JobKind("daemon")}, {wire.KindGang, wire.JobKind("ensemble")},
 		{wire.PriorityProd, wire.Priority("prod")}, {wire.PriorityUrgent, wire.Priority("urgent")}, {wire.PriorityStandard, wire.Priority("standard")}, {wire.PriorityBestEffort, wire.Priority("best_effort")},
-		{wire.Queued, wire.Status("queued")}, {wire.Running, wire.Status("running")}, {wire.Done, wire.Status("done")}, {wire.Cancelled, wire.Status("cancelled")},
+		{wire.StatusQueued, wire.Status("queued")}, {wire.StatusRunning, wire.Status("running")}, {wire.StatusDone, wire.Status("done")}, {wire.StatusCancelled, wire.Status("cancelled")},
 		{wire.ListedStarting, wire.ListedState("starting")}, {wire.ListedRunning, wire.ListedState("running")}, {wire.ListedFailed, wire.ListedState("failed")},
 		{wire.PhaseFetching, wire.TaskPhase("pulling")}, {wire.PhaseRunning, wire.TaskPhase("running")}, {wire.PhaseWaiting, wire.TaskPhase("waiting")}, {wire.PhaseCheckpointing, wire.TaskPhase("saving")},
 		{wire.PhaseExited, wire.TaskPhase("exited")},
 		{wire.CauseDone, wire.ExitCause("done")}, {wire.CauseStopped, wire.ExitCause("stopped")}, {wire.CauseError, wire.ExitCause("error")}, {wire.CauseFull, wire.ExitCause("full")},
 		{wire.CauseBusy, wire.ExitCause("busy")}, {wire.CauseNoSuch, wire.ExitCause("no_such")}, {wire.CauseGangBroken, wire.ExitCause("mates_gone")}, {wire.CauseGangIncomplete, wire.ExitCause("alone")},
-		{wire.Launch, wire.Verb("launch")}, {wire.Stop, wire.Verb("halt")}, {wire.Forget, wire.Verb("forget")},
+		{wire.VerbLaunch, wire.Verb("launch")}, {wire.VerbStop, wire.Verb("halt")}, {wire.VerbForget, wire.Verb("forget")},
 	} {
 		if c.got != c.want {
 			t.Errorf("got %q, want %q", c.got, c.want)
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -25,16 +25,16 @@
 // that a changed, dropped or exchanged key shows.
 func samples() []sample {
 	return []sample{
-		{"job", store.JobRecord{Spec: fullJobSpec(), Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 37}},
+		{"job", store.JobRecord{Spec: fullJobSpec(), Status: wire.StatusCancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 37}},
 		{"chunk", store.ChunkRecord{NextAttempt: 17, Done: []int{0, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}},
 		{"held", store.ActiveAttempt{Task: 5, Attempt: 13, Machine: "n-000232"}},
-		{"past", store.FinalRecord{Status: wire.Done, Done: 1600}},
+		{"past", store.FinalRecord{Status: wire.StatusDone, Done: 1600}},
 		{"bookings", duty.IntentRecord[autoscaler.ScaleOutIntent]{Token: 43, At: 1796000000124, Open: []autoscaler.ScaleOutIntent{{Request: wire.ScaleOutRequest{Name: "b-43-1", Type: "g8", Zone: "a", Spot: true, Count: 9}, Since: 1796000000125}}}},
 		{"booking, recorded", autoscaler.ScaleOutIntent{Request: wire.ScaleOutRequest{Name: "b-43-2", Type: "g8", Zone: "b", Spot: true, Count: 8}, Since: 1796000000126}},
 		{"returns", duty.IntentRecord[wire.MachineID]{Token: 44, At: 1796000000127, Open: []wire.MachineID{"n-000231", "n-000232"}}},
 		{"active version", upgrade.ActiveRecord{Version: 2, By: "worker-2", At: 1796000000128}},
 		{"support", upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "c0ffee", At: 1796000000129}},
-		{"job, later", store.JobRecord{Spec: fullJobSpec(), Status: wire.Queued, AcceptedAt: 1796000000130, MinVersion: 2}},
+		{"job, later", store.JobRecord{Spec: fullJobSpec(), Status: wire.StatusQueued, AcceptedAt: 1796000000130, MinVersion: 2}},
 		{"upgrade status", upgrade.Status{Active: 1, Next: 2, MaxVersion: 3, LimitedByOperators: true, Controllers: []upgrade.ControllerStatus{fullControllerStatus()}}},
 		{"upgrade status, controller", fullControllerStatus()},
 		{"lead", store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"}},
@@ -56,18 +56,18 @@
 		{"entry", wire.Entry{Key: "job/req-1", Value: wire.Raw{0x18, 0x63}, Revision: 7, Grant: 8}},
 		{"entry page", wire.EntryPage{Entries: []wire.Entry{{Key: "past/req-2", Value: wire.Raw{0x18, 0x64}, Revision: 9, Grant: 10}}, Truncated: true, Revision: 11}},
 		{"guard", wire.Guard{Key: "lead", Revision: 12}},
-		{"write", wire.Write{Put: "run/req-3/0", Value: wire.Raw{0x18, 0x65}, Grant: 13, Delete: "run/req-4/0"}},
-		{"txn", wire.Txn{Guards: []wire.Guard{{Key: "lead", Revision: 14}}, Writes: []wire.Write{{Put: "run/req-5/0", Value: wire.Raw{0x18, 0x66}, Grant: 15, Delete: "run/req-6/0"}}}},
-		{"txn result", wire.TxnResult{Revision: 16, Failed: []string{"lead"}}},
+		{"write", wire.Write{PutKey: "run/req-3/0", Value: wire.Raw{0x18, 0x65}, Grant: 13, DeleteKey: "run/req-4/0"}},
+		{"txn", wire.Txn{Guards: []wire.Guard{{Key: "lead", Revision: 14}}, Writes: []wire.Write{{PutKey: "run/req-5/0", Value: wire.Raw{0x18, 0x66}, Grant: 15, DeleteKey: "run/req-6/0"}}}},
+		{"txn result", wire.TxnResponse{Revision: 16, FailedKeys: []string{"lead"}}},
 		{"grant ask", wire.GrantRequest{TTLMillis: 9000}},
-		{"grant result", wire.GrantResult{Grant: 17}},
-		{"change", wire.Change{Put: "job/req-7", Delete: "job/req-8", Value: wire.Raw{0x18, 0x67}, Revision: 18}},
-		{"changes", wire.Changes{Revision: 19, Events: []wire.Change{{Put: "job/req-9", Delete: "job/req-10", Value: wire.Raw{0x18, 0x68}, Revision: 20}}}},
+		{"grant result", wire.GrantResponse{Grant: 17}},
+		{"change", wire.WatchEvent{PutKey: "job/req-7", DeletedKey: "job/req-8", Value: wire.Raw{0x18, 0x67}, Revision: 18}},
+		{"changes", wire.WatchResponse{Revision: 19, Events: []wire.WatchEvent{{PutKey: "job/req-9", DeletedKey: "job/req-10", Value: wire.Raw{0x18, 0x68}, Revision: 20}}}},
 
 		{"spec", fullJobSpec()},
 		{"spec, flags", wire.JobSpec{ID: "req-000416", SameZone: true, Spread: true}},
-		{"job state", wire.JobState{ID: "req-000417", Status: wire.Running, Done: 21, Running: 22}},
-		{"job brief", wire.JobSummary{ID: "req-000418", Status: wire.Queued}},
+		{"job state", wire.JobState{ID: "req-000417", Status: wire.StatusRunning, Done: 21, Running: 22}},
+		{"job brief", wire.JobSummary{ID: "req-000418", Status: wire.StatusQueued}},
 
 		{"part state", fullTaskState()},
 		{"report", fullWorkerHeartbeat()},
@@ -109,24 +109,24 @@
 }
 
 func fullMachineSpec() wire.MachineSpec {
-	return wire.MachineSpec{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a"}}
+	return wire.MachineSpec{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerSecond: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a"}}
 }
 
 func fullListedMachine() wire.ListedMachine {
 	return wire.ListedMachine{Name: "n-3", Addr: "10.1.0.3:9000", Type: "g8", Zone: "b", Spot: true, State: wire.ListedRunning, Age: 33}
 }
 
-func fullTaskState() wire.TaskState {
-	return wire.TaskState{Task: "req-000419/0", Attempt: 27, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken, CheckpointSaved: true}
+func fullTaskState() wire.TaskStatus {
+	return wire.TaskStatus{Task: "req-000419/0", Attempt: 27, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken, CheckpointSaved: true}
 }
 
 func fullWorkerHeartbeat() wire.Heartbeat {
 	return wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 2, Sequence: 88, Token: 41,
-		SpotNotice: pointer(wire.Seconds(12.5)), Tasks: []wire.TaskState{fullTaskState()}}
+		SpotNotice: pointer(wire.Seconds(12.5)), Tasks: []wire.TaskStatus{fullTaskState()}}
 }
 
 func fullCommand() wire.Command {
-	return wire.Command{Verb: wire.Stop, Task: "req-000420/1", Attempt: 28, GracePeriod: pointer(wire.Seconds(2.5))}
+	return wire.Command{Verb: wire.VerbStop, Task: "req-000420/1", Attempt: 28, GracePeriod: pointer(wire.Seconds(2.5))}
 }
 
 func fullNodeView() admin.View {
--- a/internal/compat/versions_test.go
+++ b/internal/compat/versions_test.go
@@ -40,10 +40,10 @@
 	spec.Spread = true
 	chunk := store.ChunkRecord{NextAttempt: 17, Done: []int{1, 3}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}}, SubchunkTasks: 64}
 	for _, c := range []struct{ now, earlier any }{
-		{store.JobRecord{Spec: spec, Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 37}, earlierJobRecord{}},
+		{store.JobRecord{Spec: spec, Status: wire.StatusCancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 37}, earlierJobRecord{}},
 		{chunk, productionChunk{}},
 		{chunk, gangsChunk{}},
-		{store.FinalRecord{Status: wire.Done, Done: 1600}, earlierFinalRecord{}},
+		{store.FinalRecord{Status: wire.StatusDone, Done: 1600}, earlierFinalRecord{}},
 		{store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"}, earlierLeaderRecord{}},
 		{wire.MachineSpecs{Types: []wire.MachineSpec{fullMachineSpec()}}, earlierMachineSpecs{}},
 		{fullPeerHeartbeat(), earlierPeerHeartbeat{}},
@@ -83,7 +83,7 @@
 	}
 	for _, s := range samples() {
 		switch s.value.(type) {
-		case wire.Entry, wire.EntryPage, wire.Write, wire.Txn, wire.Change, wire.Changes:
+		case wire.Entry, wire.EntryPage, wire.Write, wire.Txn, wire.WatchEvent, wire.WatchResponse:
 			continue // they carry a record as it is
 		}
 		if !strings.HasPrefix(s.name, "settings change") { // its map has the settings' own names
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -29,18 +29,18 @@
 // consecutive numbers, or all the same in a gang.
 type placement struct {
 	firstTask    int
-	firstAttempt wire.Attempt
+	firstAttempt wire.AttemptNumber
 	count        int
 	machine      wire.MachineID
 }
 
 // activeAttempts returns the attempts of placements. The numbers of a placement's attempts
 // grow by step.
-func activeAttempts(step wire.Attempt, placements ...placement) []store.ActiveAttempt {
+func activeAttempts(step wire.AttemptNumber, placements ...placement) []store.ActiveAttempt {
 	var attempts []store.ActiveAttempt
 	for _, p := range placements {
 		for i := range p.count {
-			attempts = append(attempts, store.ActiveAttempt{Task: p.firstTask + i, Attempt: p.firstAttempt + step*wire.Attempt(i), Machine: p.machine})
+			attempts = append(attempts, store.ActiveAttempt{Task: p.firstTask + i, Attempt: p.firstAttempt + step*wire.AttemptNumber(i), Machine: p.machine})
 		}
 	}
 	return attempts
@@ -58,12 +58,12 @@
 
 func storedMachineSpecs() wire.MachineSpecs {
 	return wire.MachineSpecs{Types: []wire.MachineSpec{
-		{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: []wire.Zone{"a", "b"}},
-		{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerS: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: []wire.Zone{"a", "b"}},
+		{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: []wire.Zone{"a", "b"}},
+		{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: []wire.Zone{"a", "b"}},
 	}}
 }
 
-func sentHeartbeat(tasks ...wire.TaskState) wire.Heartbeat {
+func sentHeartbeat(tasks ...wire.TaskStatus) wire.Heartbeat {
 	return wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 1, Sequence: 88, Token: 41,
 		SpotNotice: pointer(wire.Seconds(12.5)), Tasks: tasks}
 }
@@ -74,10 +74,10 @@
 		"message beat": peer.Heartbeat{From: "worker-1", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120},
 		"message ack": peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedCancelAge: time.Second,
 			Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}},
-		"message report": sentHeartbeat(wire.TaskState{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning},
-			wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone, CheckpointSaved: true}),
-		"message orders": wire.Commands{Token: 41, Epoch: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "req-000412/3", Attempt: 2},
-			{Verb: wire.Stop, Task: "req-000398/0", Attempt: 1, GracePeriod: pointer(wire.Seconds(6))}}},
+		"message report": sentHeartbeat(wire.TaskStatus{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning},
+			wire.TaskStatus{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone, CheckpointSaved: true}),
+		"message orders": wire.Commands{Token: 41, Epoch: 1, Commands: []wire.Command{{Verb: wire.VerbLaunch, Task: "req-000412/3", Attempt: 2},
+			{Verb: wire.VerbStop, Task: "req-000398/0", Attempt: 1, GracePeriod: pointer(wire.Seconds(6))}}},
 	}
 }
 
@@ -88,28 +88,28 @@
 	case productionVersion:
 		maps.Copy(values, map[string]any{
 			"fact/flavors":   storedMachineSpecs(),
-			"job/req-000001": store.JobRecord{Spec: smallArray("req-000001", 60), Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256},
-			"job/req-000002": store.JobRecord{Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256, Spec: wire.JobSpec{ID: "req-000002", Class: "portal", Team: "blue",
+			"job/req-000001": store.JobRecord{Spec: smallArray("req-000001", 60), Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256},
+			"job/req-000002": store.JobRecord{Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256, Spec: wire.JobSpec{ID: "req-000002", Class: "portal", Team: "blue",
 				Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}},
 			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "OA5NX7QCZ6OJIQ3476RZVCWUEP"},
-			"past/req-000003": store.FinalRecord{Status: wire.Done, Done: 4},
-			"past/req-000004": store.FinalRecord{Status: wire.Cancelled},
+			"past/req-000003": store.FinalRecord{Status: wire.StatusDone, Done: 4},
+			"past/req-000004": store.FinalRecord{Status: wire.StatusCancelled},
 			"run/req-000001/0": store.ChunkRecord{NextAttempt: 39, Active: activeAttempts(1, placement{0, 1, 4, "n-000004"}, placement{4, 5, 8, "n-000001"}, placement{12, 13, 8, "n-000002"},
 				placement{20, 21, 2, "n-000000"}, placement{22, 23, 8, "n-000005"}, placement{30, 31, 4, "n-000004"}, placement{34, 35, 2, "n-000000"}, placement{36, 37, 2, "n-000003"})},
 			"run/req-000002/0": store.ChunkRecord{NextAttempt: 4, Active: activeAttempts(1, placement{0, 1, 2, "n-000003"}, placement{2, 3, 1, "n-000000"})},
 		})
 	case gangsVersion:
 		maps.Copy(values, map[string]any{
-			"message gang report": sentHeartbeat(wire.TaskState{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseWaiting},
-				wire.TaskState{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken},
-				wire.TaskState{Task: "req-000399/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangIncomplete}),
+			"message gang report": sentHeartbeat(wire.TaskStatus{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseWaiting},
+				wire.TaskStatus{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken},
+				wire.TaskStatus{Task: "req-000399/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseGangIncomplete}),
 			"fact/flavors":    storedMachineSpecs(),
-			"job/req-000005":  store.JobRecord{Spec: smallGang("req-000005", 3, 2, 6, true), Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256},
-			"job/req-000007":  store.JobRecord{Spec: smallArray("req-000007", 500), Status: wire.Queued, AcceptedAt: 946684802001, TasksPerChunk: 256},
-			"job/req-000008":  store.JobRecord{Spec: smallGang("req-000008", 60, 0.25, 0.5, false), Status: wire.Queued, AcceptedAt: 946684877001, TasksPerChunk: 56},
+			"job/req-000005":  store.JobRecord{Spec: smallGang("req-000005", 3, 2, 6, true), Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256},
+			"job/req-000007":  store.JobRecord{Spec: smallArray("req-000007", 500), Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256},
+			"job/req-000008":  store.JobRecord{Spec: smallGang("req-000008", 60, 0.25, 0.5, false), Status: wire.StatusQueued, AcceptedAt: 946684877001, TasksPerChunk: 56},
 			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
-			"past/req-000004": store.FinalRecord{Status: wire.Cancelled},
-			"past/req-000006": store.FinalRecord{Status: wire.Done, Done: 60},
+			"past/req-000004": store.FinalRecord{Status: wire.StatusCancelled},
+			"past/req-000006": store.FinalRecord{Status: wire.StatusDone, Done: 60},
 			// A chunk of 256 tasks, and a subchunk that holds in its place for 32.
 			"run/req-000007/0": store.ChunkRecord{NextAttempt: 80, Active: activeAttempts(1, placement{0, 1, 6, "n-000013"}, placement{6, 7, 1, "n-000015"}, placement{7, 8, 4, "n-000016"},
 				placement{11, 12, 8, "n-000012"}, placement{19, 20, 28, "n-000016"}, placement{47, 48, 31, "n-000015"}, placement{78, 79, 1, "n-000017"})},
--- a/internal/fleet/all_or_nothing.go
+++ b/internal/fleet/all_or_nothing.go
@@ -77,8 +77,8 @@
 
 // most returns how many more units the zone may take of those for which there is room.
 func (c *unitCount) most(zone wire.Zone, room int) int {
-	if c.d.ZoneLeft != nil {
-		room = min(room, c.d.ZoneLeft[zone]-c.inZone[zone])
+	if c.d.ZoneCapacityLeft != nil {
+		room = min(room, c.d.ZoneCapacityLeft[zone]-c.inZone[zone])
 	}
 	return min(c.left, room)
 }
@@ -104,7 +104,7 @@
 		if !inZone(b.zone, zone) || !b.allowed(count.d.Spec) {
 			continue
 		}
-		units := count.most(b.zone, unit.Units(b.freeWithin(count.d.SlackS)))
+		units := count.most(b.zone, unit.UnitsIn(b.freeWithin(count.d.SlackSeconds)))
 		if units <= 0 {
 			continue
 		}
@@ -150,7 +150,7 @@
 	count := newUnitCount(d)
 	p.placeInBins(count, zone)
 	picks := &offerPicks{byOffer: map[int]int{}}
-	for count.left > 0 && len(p.added)+len(picks.offers) < p.s.MaxScaleOuts {
+	for count.left > 0 && len(p.added)+len(picks.offers) < p.s.MaxMachinesAdded {
 		offer, units, ok := p.cheapestOfferIn(zone, count, picks)
 		if !ok {
 			break
@@ -173,8 +173,8 @@
 	bestCost := 0.0
 	for i := range p.offers {
 		o := &p.offers[i]
-		available := o.Room > picks.byOffer[i] && o.suits(count.d.Spec)
-		units := count.most(o.Zone, unit.Units(o.Total))
+		available := o.MaxCount > picks.byOffer[i] && o.suits(count.d.Spec)
+		units := count.most(o.Zone, unit.UnitsIn(o.Total))
 		if !inZone(o.Zone, zone) || !available || units <= 0 {
 			continue
 		}
--- a/internal/fleet/all_or_nothing_test.go
+++ b/internal/fleet/all_or_nothing_test.go
@@ -20,16 +20,16 @@
 			continue
 		}
 		room := m.Free
-		for _, f := range m.Freeing {
-			if f.InS <= d.SlackS {
-				room = room.Plus(f.Room)
+		for _, f := range m.ExpectedReleases {
+			if f.InSeconds <= d.SlackSeconds {
+				room = room.Plus(f.Resources)
 			}
 		}
-		units[m.Zone] += unit.Units(room)
+		units[m.Zone] += unit.UnitsIn(room)
 	}
 	for _, r := range added {
 		if !r.Spot || d.Spec.SpotAllowed {
-			units[r.Zone] += r.Count * unit.Units(machineTypes[r.Type])
+			units[r.Zone] += r.Count * unit.UnitsIn(machineTypes[r.Type])
 		}
 	}
 	return units
@@ -39,8 +39,8 @@
 func holdsAll(d *Demand, units map[wire.Zone]int) bool {
 	total := 0
 	for zone, n := range units {
-		if d.ZoneLeft != nil {
-			n = min(n, d.ZoneLeft[zone])
+		if d.ZoneCapacityLeft != nil {
+			n = min(n, d.ZoneCapacityLeft[zone])
 		}
 		if total += n; d.Spec.SameZone && n >= d.Units {
 			return true
@@ -53,7 +53,7 @@
 func offeredMachines(offers []Offer) []ScaleOut {
 	var all []ScaleOut
 	for _, o := range offers {
-		all = append(all, ScaleOut{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Room})
+		all = append(all, ScaleOut{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.MaxCount})
 	}
 	return all
 }
@@ -70,7 +70,7 @@
 		s.Demands = []Demand{d}
 		limited := rapid.Bool().Draw(t, "limited")
 		if !limited {
-			s.Cheapest, s.MaxScaleOuts = nil, 1000
+			s.LowestPrice, s.MaxMachinesAdded = nil, 1000
 		}
 		plan := MakePlan(s)
 		checkGangScaleOuts(t, s, &d, plan)
@@ -105,8 +105,8 @@
 	}
 	present := unitsByZone(d, s.Machines, nil)
 	switch {
-	case total > s.MaxScaleOuts:
-		t.Fatalf("%d machines added, may be %d", total, s.MaxScaleOuts)
+	case total > s.MaxMachinesAdded:
+		t.Fatalf("%d machines added, may be %d", total, s.MaxMachinesAdded)
 	case holdsAll(d, present):
 		t.Fatalf("adds %+v although %v has room for it", plan.ScaleOuts, present)
 	case !holdsAll(d, unitsByZone(d, s.Machines, plan.ScaleOuts)):
@@ -123,10 +123,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := snapshots(t)
 		d := drawGangDemand(t)
-		s.Demands, s.MaxScaleOuts = append(s.Demands, d), 20
-		s.Offers = append(s.Offers, Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 3})
+		s.Demands, s.MaxMachinesAdded = append(s.Demands, d), 20
+		s.Offers = append(s.Offers, Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 3})
 		scaleOuts := MakePlan(s).ScaleOuts
-		if !slices.ContainsFunc(scaleOuts, func(r ScaleOut) bool { return r.For == d.Spec.ID }) {
+		if !slices.ContainsFunc(scaleOuts, func(r ScaleOut) bool { return r.ForJob == d.Spec.ID }) {
 			return
 		}
 		added++
@@ -152,9 +152,9 @@
 		return Machine{ID: "n", Type: "c4", Zone: zone, Total: machineTypes["c4"], Free: placement.Resources{CPUs: cpus, MemoryGB: 16}}
 	}
 	freeIn10 := free("a", 0)
-	freeIn10.Freeing = []Freeing{{InS: 10, Room: machineTypes["c4"]}}
+	freeIn10.ExpectedReleases = []ExpectedRelease{{InSeconds: 10, Resources: machineTypes["c4"]}}
 	offer := func(zone wire.Zone, price float64, room int) Offer {
-		return Offer{Type: "c4", Zone: zone, Total: machineTypes["c4"], Price: price, FetchGBPerS: 1, Room: room}
+		return Offer{Type: "c4", Zone: zone, Total: machineTypes["c4"], Price: price, FetchGBPerSecond: 1, MaxCount: room}
 	}
 	for _, c := range []struct {
 		name         string
@@ -168,26 +168,26 @@
 		{"room in two zones is none", []Machine{free("a", 2), free("b", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
 		{"the last task", []Machine{free("a", 3)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
 		{"too expensive", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4}, 0, nil},
-		{"expensive, but allowed", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4, PriceStretch: 10}, 0, map[wire.Zone]int{"a": 1}},
-		{"frees in time", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackS: 15}, 0, nil},
-		{"frees too late", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackS: 5}, 0, map[wire.Zone]int{"b": 1}},
+		{"expensive, but allowed", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4, PriceLimitFactor: 10}, 0, map[wire.Zone]int{"a": 1}},
+		{"frees in time", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 15}, 0, nil},
+		{"frees too late", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 5}, 0, map[wire.Zone]int{"b": 1}},
 		{"half can be had in each zone", nil, []Offer{offer("a", 0.26, 1), offer("b", 0.26, 1)}, Demand{Spec: &eight, Units: 8}, 0, nil},
 		{"the other zone", nil, []Offer{offer("a", 0.20, 1), offer("b", 0.26, 2)}, Demand{Spec: &eight, Units: 8}, 0, map[wire.Zone]int{"b": 2}},
-		{"spread", nil, []Offer{offer("a", 0.20, 9), offer("b", 0.26, 9)}, Demand{Spec: &spread, Units: 8, ZoneLeft: map[wire.Zone]int{"a": 4, "b": 4}}, 0, map[wire.Zone]int{"a": 1, "b": 1}},
+		{"spread", nil, []Offer{offer("a", 0.20, 9), offer("b", 0.26, 9)}, Demand{Spec: &spread, Units: 8, ZoneCapacityLeft: map[wire.Zone]int{"a": 4, "b": 4}}, 0, map[wire.Zone]int{"a": 1, "b": 1}},
 		{"more than a plan may add", nil, []Offer{offer("a", 0.20, 9)}, Demand{Spec: &eight, Units: 8}, 1, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.demand.AllOrNothing = true
 			s := &Snapshot{
-				Machines:     c.machines,
-				Offers:       c.offers,
-				Demands:      []Demand{c.demand},
-				PriceLimit:   2.3,
-				Cheapest:     func(*wire.JobSpec) float64 { return 0.065 },
-				MaxScaleOuts: 9,
+				Machines:         c.machines,
+				Offers:           c.offers,
+				Demands:          []Demand{c.demand},
+				PriceLimit:       2.3,
+				LowestPrice:      func(*wire.JobSpec) float64 { return 0.065 },
+				MaxMachinesAdded: 9,
 			}
 			if c.maxScaleOuts > 0 {
-				s.MaxScaleOuts = c.maxScaleOuts
+				s.MaxMachinesAdded = c.maxScaleOuts
 			}
 			got := map[wire.Zone]int{}
 			for _, r := range MakePlan(s).ScaleOuts {
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -15,7 +15,7 @@
 	free        placement.Resources
 	services    bool
 	used        bool
-	freeing     []Freeing
+	freeing     []ExpectedRelease
 }
 
 // newBin returns the bin of a machine. A machine that boots or is idle is not used yet.
@@ -25,9 +25,9 @@
 		zone:        m.Zone,
 		spot:        m.Spot,
 		free:        m.Free,
-		services:    m.Services > 0,
+		services:    m.ServiceTasks > 0,
 		used:        !m.Idle && !m.Booting,
-		freeing:     slices.Clone(m.Freeing),
+		freeing:     slices.Clone(m.ExpectedReleases),
 	}
 }
 
@@ -39,15 +39,15 @@
 // allowed reports whether the job may run in the bin.
 func (b *bin) allowed(spec *wire.JobSpec) bool {
 	m := placement.Machine{Type: b.machineType, Zone: b.zone, Spot: b.spot}
-	return placement.Allowed(spec, &m)
+	return placement.MachineAllowed(spec, &m)
 }
 
 // freeWithin returns the room that is free, or will be within so many seconds.
 func (b *bin) freeWithin(seconds float64) placement.Resources {
 	free := b.free
 	for _, f := range b.freeing {
-		if f.InS <= seconds {
-			free = free.Plus(f.Room)
+		if f.InSeconds <= seconds {
+			free = free.Plus(f.Resources)
 		}
 	}
 	return free
@@ -57,14 +57,14 @@
 // most, and returns how many units that is.
 func (b *bin) fill(d *Demand, most int) int {
 	unit := placement.ResourcesOf(d.Spec)
-	units := d.zoneUnits(b.zone, min(most, unit.Units(b.free)))
+	units := d.zoneUnits(b.zone, min(most, unit.UnitsIn(b.free)))
 	if units <= 0 || !b.allowed(d.Spec) {
 		return 0
 	}
 	b.take(unit, units)
 	b.services = b.services || d.Spec.IsService()
-	if d.ZoneLeft != nil {
-		d.ZoneLeft[b.zone] -= units
+	if d.ZoneCapacityLeft != nil {
+		d.ZoneCapacityLeft[b.zone] -= units
 	}
 	return units
 }
@@ -78,7 +78,7 @@
 // freesInTime reports whether tasks there are expected to free room within the demand's
 // slack.
 func (b *bin) freesInTime(d *Demand) bool {
-	return len(b.freeing) > 0 && b.freeing[0].InS <= d.SlackS && b.allowed(d.Spec)
+	return len(b.freeing) > 0 && b.freeing[0].InSeconds <= d.SlackSeconds && b.allowed(d.Spec)
 }
 
 // fillFreed takes room that running tasks will free within the demand's slack, for so
@@ -91,12 +91,12 @@
 	var room placement.Resources
 	kept := b.freeing[:0]
 	for _, f := range b.freeing {
-		if f.InS > d.SlackS || filled == most {
+		if f.InSeconds > d.SlackSeconds || filled == most {
 			kept = append(kept, f)
 			continue
 		}
-		room = room.Plus(f.Room)
-		if units := min(most-filled, unit.Units(room)); units > 0 {
+		room = room.Plus(f.Resources)
+		if units := min(most-filled, unit.UnitsIn(room)); units > 0 {
 			filled += units
 			room = placement.Resources{}
 		}
@@ -107,8 +107,8 @@
 
 // zoneUnits returns how many of so many units the zone may still take of the demand.
 func (d *Demand) zoneUnits(zone wire.Zone, units int) int {
-	if d.ZoneLeft == nil {
+	if d.ZoneCapacityLeft == nil {
 		return units
 	}
-	return min(units, d.ZoneLeft[zone])
+	return min(units, d.ZoneCapacityLeft[zone])
 }
--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -46,11 +46,11 @@
 // unitsOnOthers returns how many units of a machine fit on the others that are not
 // cordoned.
 func (p *cordonPlan) unitsOnOthers(machine int) int {
-	unit, units := p.s.Machines[machine].Unit, 0
+	unit, units := p.s.Machines[machine].LargestArrayTask, 0
 	for i := range p.s.Machines {
 		available := i != machine && !p.cordoned[i]
 		if available && takesArrays(&p.s.Machines[i], &p.bins[i]) {
-			units += unit.Units(p.bins[i].free)
+			units += unit.UnitsIn(p.bins[i].free)
 		}
 	}
 	return units
@@ -60,7 +60,7 @@
 // machine: it is up, not idle unless this plan uses it, and does not run services alone.
 func takesArrays(m *Machine, b *bin) bool {
 	unused := m.Booting || m.Idle && !b.used
-	servicesAlone := m.Services > 0 && m.Unit.CPUs == 0
+	servicesAlone := m.ServiceTasks > 0 && m.LargestArrayTask.CPUs == 0
 	return !unused && !(servicesAlone && b.services && !m.Spot)
 }
 
@@ -91,7 +91,7 @@
 // runsOnlyArrays reports whether the machine is up and runs tasks of arrays alone.
 func (m *Machine) runsOnlyArrays() bool {
 	up := !m.Booting && !m.Idle
-	return up && m.Services == 0 && m.Unit.CPUs > 0
+	return up && m.ServiceTasks == 0 && m.LargestArrayTask.CPUs > 0
 }
 
 // roundUp makes a division by the size of a unit count a started unit as one.
@@ -99,7 +99,7 @@
 
 // unitsOf returns how many of the machine's largest units a load is taken to be.
 func (m *Machine) unitsOf(load placement.Resources) int {
-	byCPU := load.CPUs / m.Unit.CPUs
-	byMemory := load.MemoryGB / max(0.001, m.Unit.MemoryGB)
+	byCPU := load.CPUs / m.LargestArrayTask.CPUs
+	byMemory := load.MemoryGB / max(0.001, m.LargestArrayTask.MemoryGB)
 	return int(max(byCPU, byMemory) + roundUp)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,10 +15,10 @@
 	Spot  bool
 	Total placement.Resources
 	Price float64 // per hour, now
-	// FetchGBPerS is the rate at which such a machine fetches images, GB a second.
-	FetchGBPerS float64
-	// Room is how many more may be requested at once.
-	Room int
+	// FetchGBPerSecond is the rate at which such a machine fetches images, GB a second.
+	FetchGBPerSecond float64
+	// MaxCount is how many more may be requested at once.
+	MaxCount int
 }
 
 // Machine is a machine that the cluster has, or that is being added.
@@ -30,27 +30,27 @@
 	// Free is all of it while the machine boots.
 	Free, Total placement.Resources
 	Booting     bool
-	// Idle reports that the machine is up, with nothing on it for IdleS seconds.
-	Idle  bool
-	IdleS float64
-	// KeepS is how many seconds an idle machine is kept.
-	KeepS float64
-	// PaidS is for how many more seconds it is paid whether it is returned or not.
-	PaidS float64
-	Price float64
-	// Services is the number of tasks of services on it.
-	Services int
-	// Freeing is the room that tasks of arrays there are expected to free, the earliest
+	// Idle reports that the machine is up, with nothing on it for IdleSeconds seconds.
+	Idle        bool
+	IdleSeconds float64
+	// KeepIdleSeconds is how many seconds an idle machine is kept.
+	KeepIdleSeconds float64
+	// PrepaidSeconds is for how many more seconds it is paid whether it is returned or not.
+	PrepaidSeconds float64
+	Price          float64
+	// ServiceTasks is the number of tasks of services on it.
+	ServiceTasks int
+	// ExpectedReleases is the room that tasks of arrays there are expected to free, the earliest
 	// first.
-	Freeing []Freeing
-	// Unit is the largest task of an array there.
-	Unit placement.Resources
+	ExpectedReleases []ExpectedRelease
+	// LargestArrayTask is the largest task of an array there.
+	LargestArrayTask placement.Resources
 }
 
-// Freeing is room that is expected to be free in so many seconds.
-type Freeing struct {
-	InS  float64
-	Room placement.Resources
+// ExpectedRelease is room that is expected to be free in so many seconds.
+type ExpectedRelease struct {
+	InSeconds float64
+	Resources placement.Resources
 }
 
 // Demand is a number of equal units that should run at the same time.
@@ -59,15 +59,15 @@
 	Units int
 	// Rank orders demands, the highest first.
 	Rank float64
-	// ZoneLeft is how many units each zone may still take; nil: any number.
-	ZoneLeft map[wire.Zone]int
-	// SlackS is how many seconds the units may wait for room and still be in time.
-	SlackS float64
+	// ZoneCapacityLeft is how many units each zone may still take; nil: any number.
+	ZoneCapacityLeft map[wire.Zone]int
+	// SlackSeconds is how many seconds the units may wait for room and still be in time.
+	SlackSeconds float64
 	// AllOrNothing asks for all of the units or none, in one zone if the job requires
 	// that.
 	AllOrNothing bool
-	// PriceStretch is a factor on the price limit; 0 leaves the limit as it is.
-	PriceStretch float64
+	// PriceLimitFactor is a factor on the price limit; 0 leaves the limit as it is.
+	PriceLimitFactor float64
 }
 
 // Snapshot is the input of a plan.
@@ -78,20 +78,20 @@
 	// PriceLimit is how many times the cheapest price of a unit may be paid for a unit
 	// of an array or a gang.
 	PriceLimit float64
-	// Cheapest returns the lowest nominal price of a unit's share of any machine type,
+	// LowestPrice returns the lowest nominal price of a unit's share of any machine type,
 	// spot or not as the job allows; nil: no limit.
-	Cheapest func(*wire.JobSpec) float64
-	// MaxScaleOuts bounds the machines that one plan adds.
-	MaxScaleOuts int
+	LowestPrice func(*wire.JobSpec) float64
+	// MaxMachinesAdded bounds the machines that one plan adds.
+	MaxMachinesAdded int
 }
 
 // ScaleOut is a request for machines of one offer.
 type ScaleOut struct {
-	Type  wire.MachineType
-	Zone  wire.Zone
-	Spot  bool
-	Count int
-	For   wire.JobID
+	Type   wire.MachineType
+	Zone   wire.Zone
+	Spot   bool
+	Count  int
+	ForJob wire.JobID
 }
 
 // Plan is what to change in the fleet.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -21,12 +21,12 @@
 			machines[m.ID] = m
 		}
 		for _, id := range plan.ScaleIns {
-			if m := machines[id]; !m.Idle || m.Booting || m.IdleS < m.KeepS || m.PaidS > 0 {
+			if m := machines[id]; !m.Idle || m.Booting || m.IdleSeconds < m.KeepIdleSeconds || m.PrepaidSeconds > 0 {
 				t.Fatalf("scales in %+v", m)
 			}
 		}
 		for _, id := range plan.Cordons {
-			if m := machines[id]; m.Services > 0 || m.Booting || m.Idle {
+			if m := machines[id]; m.ServiceTasks > 0 || m.Booting || m.Idle {
 				t.Fatalf("cordons %+v", m)
 			}
 		}
@@ -43,7 +43,7 @@
 	}
 	offered := map[offerKey]int{}
 	for _, o := range s.Offers {
-		offered[offerKey{o.Type, o.Zone, o.Spot}] += o.Room
+		offered[offerKey{o.Type, o.Zone, o.Spot}] += o.MaxCount
 	}
 	spotAllowed := false
 	for _, d := range s.Demands {
@@ -59,8 +59,8 @@
 			t.Fatalf("adds spot machines for jobs that don't allow them: %+v", r)
 		}
 	}
-	if total > s.MaxScaleOuts || len(s.Demands) == 0 && total > 0 {
-		t.Fatalf("adds %d machines for %d demands, may add %d", total, len(s.Demands), s.MaxScaleOuts)
+	if total > s.MaxMachinesAdded || len(s.Demands) == 0 && total > 0 {
+		t.Fatalf("adds %d machines for %d demands, may add %d", total, len(s.Demands), s.MaxMachinesAdded)
 	}
 }
 
@@ -68,8 +68,8 @@
 // demand needs is returned once it is paid for no longer.
 func TestPresentRoomIsUsedBeforeScaleOut(t *testing.T) {
 	spec := &wire.JobSpec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
-	idle := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, IdleS: 20, KeepS: 10}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.3, FetchGBPerS: 1, Room: 9}
+	idle := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, IdleSeconds: 20, KeepIdleSeconds: 10}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.3, FetchGBPerSecond: 1, MaxCount: 9}
 	for _, c := range []struct {
 		name                   string
 		units                  int
@@ -80,7 +80,7 @@
 		{"no demand", 0, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &Snapshot{Machines: []Machine{idle}, MaxScaleOuts: 9}
+			s := &Snapshot{Machines: []Machine{idle}, MaxMachinesAdded: 9}
 			if c.units > 0 {
 				s.Offers, s.Demands = []Offer{offer}, []Demand{{Spec: spec, Units: c.units}}
 			}
@@ -103,14 +103,14 @@
 // An array adds no machine at a price at which it is better late; a service does.
 // (Bursts once added the largest type for a few tasks.)
 func TestDearLimit(t *testing.T) {
-	offer := Offer{Type: "c16", Zone: "a", Total: machineTypes["c16"], Price: 4, FetchGBPerS: 1, Room: 1}
+	offer := Offer{Type: "c16", Zone: "a", Total: machineTypes["c16"], Price: 4, FetchGBPerSecond: 1, MaxCount: 1}
 	for kind, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
 		plan := MakePlan(&Snapshot{
-			Offers:       []Offer{offer},
-			Demands:      []Demand{{Spec: &wire.JobSpec{Kind: kind, CPUs: 2, MemoryGB: 4}, Units: 1}},
-			MaxScaleOuts: 9,
-			PriceLimit:   3,
-			Cheapest:     func(*wire.JobSpec) float64 { return 0.05 },
+			Offers:           []Offer{offer},
+			Demands:          []Demand{{Spec: &wire.JobSpec{Kind: kind, CPUs: 2, MemoryGB: 4}, Units: 1}},
+			MaxMachinesAdded: 9,
+			PriceLimit:       3,
+			LowestPrice:      func(*wire.JobSpec) float64 { return 0.05 },
 		})
 		if len(plan.ScaleOuts) != want {
 			t.Errorf("%s: scale-outs %v, want %d", kind, plan.ScaleOuts, want)
@@ -121,14 +121,14 @@
 // Room that becomes free in time spares a scale-out; room that becomes free too late
 // doesn't.
 func TestRoomThatFreesInTimeSparesScaleOut(t *testing.T) {
-	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Freeing: []Freeing{{InS: 10, Room: machineTypes["c4"]}}, Unit: machineTypes["c4"]}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 10, Resources: machineTypes["c4"]}}, LargestArrayTask: machineTypes["c4"]}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	for slackS, want := range map[float64]int{15: 0, 5: 1} {
 		plan := MakePlan(&Snapshot{
-			Machines:     []Machine{machine},
-			Offers:       []Offer{offer},
-			Demands:      []Demand{{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackS: slackS}},
-			MaxScaleOuts: 9,
+			Machines:         []Machine{machine},
+			Offers:           []Offer{offer},
+			Demands:          []Demand{{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackSeconds: slackS}},
+			MaxMachinesAdded: 9,
 		})
 		if len(plan.ScaleOuts) != want {
 			t.Errorf("free in 10 s, slack %g s: scale-outs %v, want %d", slackS, plan.ScaleOuts, want)
@@ -159,11 +159,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			plan := MakePlan(&Snapshot{
-				MaxScaleOuts: 8,
-				PriceLimit:   2.5,
-				Cheapest:     func(*wire.JobSpec) float64 { return 0.025 },
-				Offers:       []Offer{{Type: "c4", Zone: "a", Spot: true, Total: machineTypes["c4"], Price: 0.1, Room: 9}},
-				Demands:      c.demands,
+				MaxMachinesAdded: 8,
+				PriceLimit:       2.5,
+				LowestPrice:      func(*wire.JobSpec) float64 { return 0.025 },
+				Offers:           []Offer{{Type: "c4", Zone: "a", Spot: true, Total: machineTypes["c4"], Price: 0.1, MaxCount: 9}},
+				Demands:          c.demands,
 			})
 			if got := machinesAdded(plan); got != c.want {
 				t.Errorf("%d demands: %d machines, want %d", len(c.demands), got, c.want)
@@ -178,17 +178,17 @@
 	unit := placement.Resources{CPUs: 1, MemoryGB: 4}
 	machine := func(id wire.MachineID, freeCPUs, price float64) Machine {
 		return Machine{
-			ID:    id,
-			Type:  "c4",
-			Zone:  "a",
-			Total: machineTypes["c4"],
-			Free:  placement.Resources{CPUs: freeCPUs, MemoryGB: freeCPUs * 4},
-			Unit:  unit,
-			Price: price,
+			ID:               id,
+			Type:             "c4",
+			Zone:             "a",
+			Total:            machineTypes["c4"],
+			Free:             placement.Resources{CPUs: freeCPUs, MemoryGB: freeCPUs * 4},
+			LargestArrayTask: unit,
+			Price:            price,
 		}
 	}
 	withService := machine("s", 3, 9)
-	withService.Services = 1
+	withService.ServiceTasks = 1
 	large := machine("l", 6, 0.1)
 	large.Total = machineTypes["c16"]
 	busy := machine("o", 2, 0.1)
@@ -220,18 +220,18 @@
 // A service's units fill a zone no further than the demand allows.
 func TestUnitsOfServiceKeepToZoneLimits(t *testing.T) {
 	idle := func(id wire.MachineID, zone wire.Zone) Machine {
-		return Machine{ID: id, Type: "c4", Zone: zone, Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepS: 10}
+		return Machine{ID: id, Type: "c4", Zone: zone, Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepIdleSeconds: 10}
 	}
-	offer := Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	offer := Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	plan := MakePlan(&Snapshot{
 		Machines: []Machine{idle("m", "a"), idle("n", "a")},
 		Offers:   []Offer{offer},
 		Demands: []Demand{{
-			Spec:     &wire.JobSpec{ID: "req-1", Kind: wire.KindService, Tasks: 4, CPUs: 4, MemoryGB: 4, Spread: true},
-			Units:    2,
-			ZoneLeft: map[wire.Zone]int{"a": 1, "b": 2},
+			Spec:             &wire.JobSpec{ID: "req-1", Kind: wire.KindService, Tasks: 4, CPUs: 4, MemoryGB: 4, Spread: true},
+			Units:            2,
+			ZoneCapacityLeft: map[wire.Zone]int{"a": 1, "b": 2},
 		}},
-		MaxScaleOuts: 9,
+		MaxMachinesAdded: 9,
 	})
 	if len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].Zone != "b" || plan.ScaleOuts[0].Count != 1 {
 		t.Errorf("scale-outs %+v, want one machine in zone b", plan.ScaleOuts)
@@ -242,8 +242,8 @@
 // unit only.
 func TestNeighbouringTasksFreeRoomTogether(t *testing.T) {
 	half := placement.Resources{CPUs: 2, MemoryGB: 8}
-	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Freeing: []Freeing{{InS: 5, Room: half}, {InS: 10, Room: half}, {InS: 20, Room: half}}, Unit: half}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 5, Resources: half}, {InSeconds: 10, Resources: half}, {InSeconds: 20, Resources: half}}, LargestArrayTask: half}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	for _, c := range []struct {
 		name   string
 		units  int
@@ -256,10 +256,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			plan := MakePlan(&Snapshot{
-				Machines:     []Machine{machine},
-				Offers:       []Offer{offer},
-				Demands:      []Demand{{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindArray, CPUs: 4, MemoryGB: 16}, Units: c.units, SlackS: c.slackS}},
-				MaxScaleOuts: 9,
+				Machines:         []Machine{machine},
+				Offers:           []Offer{offer},
+				Demands:          []Demand{{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindArray, CPUs: 4, MemoryGB: 16}, Units: c.units, SlackSeconds: c.slackS}},
+				MaxMachinesAdded: 9,
 			})
 			if got := machinesAdded(plan); got != c.want {
 				t.Errorf("%d units, slack %g s: %d machines added, want %d", c.units, c.slackS, got, c.want)
@@ -270,12 +270,12 @@
 
 // Room that a gang takes is none for the demands after it.
 func TestRoomOfGangIsNotGivenTwice(t *testing.T) {
-	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepS: 10}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerS: 1, Room: 9}
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepIdleSeconds: 10}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	gang := Demand{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindGang, Tasks: 2, CPUs: 2, MemoryGB: 4}, Units: 2, Rank: 1, AllOrNothing: true}
 	array := Demand{Spec: &wire.JobSpec{ID: "req-2", Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1}
-	plan := MakePlan(&Snapshot{Machines: []Machine{machine}, Offers: []Offer{offer}, Demands: []Demand{array, gang}, MaxScaleOuts: 9})
-	if len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].For != "req-2" || plan.ScaleOuts[0].Count != 1 {
+	plan := MakePlan(&Snapshot{Machines: []Machine{machine}, Offers: []Offer{offer}, Demands: []Demand{array, gang}, MaxMachinesAdded: 9})
+	if len(plan.ScaleOuts) != 1 || plan.ScaleOuts[0].ForJob != "req-2" || plan.ScaleOuts[0].Count != 1 {
 		t.Errorf("scale-outs %+v, want one machine for the array", plan.ScaleOuts)
 	}
 }
--- a/internal/fleet/generators_test.go
+++ b/internal/fleet/generators_test.go
@@ -28,7 +28,7 @@
 
 // snapshots draws a small fleet with offers and demands of arrays and services.
 func snapshots(t *rapid.T) *Snapshot {
-	s := &Snapshot{MaxScaleOuts: 8, PriceLimit: 3, Cheapest: func(*wire.JobSpec) float64 { return 0.02 }}
+	s := &Snapshot{MaxMachinesAdded: 8, PriceLimit: 3, LowestPrice: func(*wire.JobSpec) float64 { return 0.02 }}
 	for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
 		s.Machines = append(s.Machines, drawMachine(t, i))
 	}
@@ -45,26 +45,26 @@
 func drawMachine(t *rapid.T, i int) Machine {
 	machineType := drawType(t)
 	m := Machine{
-		ID:    wire.MachineID(fmt.Sprint("n-", i)),
-		Type:  machineType,
-		Zone:  drawZone(t),
-		Spot:  rapid.Bool().Draw(t, "spot"),
-		Total: machineTypes[machineType],
-		Free:  machineTypes[machineType],
-		Price: 0.3,
-		KeepS: 10,
+		ID:              wire.MachineID(fmt.Sprint("n-", i)),
+		Type:            machineType,
+		Zone:            drawZone(t),
+		Spot:            rapid.Bool().Draw(t, "spot"),
+		Total:           machineTypes[machineType],
+		Free:            machineTypes[machineType],
+		Price:           0.3,
+		KeepIdleSeconds: 10,
 	}
 	switch rapid.IntRange(0, 2).Draw(t, "state") {
 	case 0:
 		m.Booting = true
 	case 1:
 		m.Idle = true
-		m.IdleS = float64(rapid.IntRange(0, 30).Draw(t, "idle"))
-		m.PaidS = float64(rapid.IntRange(-20, 20).Draw(t, "paid"))
+		m.IdleSeconds = float64(rapid.IntRange(0, 30).Draw(t, "idle"))
+		m.PrepaidSeconds = float64(rapid.IntRange(-20, 20).Draw(t, "paid"))
 	default:
 		used := placement.Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "used")), MemoryGB: 4}
-		m.Free, m.Unit = m.Free.Minus(used), used
-		m.Freeing = []Freeing{{InS: float64(rapid.IntRange(1, 40).Draw(t, "free in")), Room: used}}
+		m.Free, m.LargestArrayTask = m.Free.Minus(used), used
+		m.ExpectedReleases = []ExpectedRelease{{InSeconds: float64(rapid.IntRange(1, 40).Draw(t, "free in")), Resources: used}}
 	}
 	return m
 }
@@ -72,22 +72,22 @@
 func drawOffer(t *rapid.T) Offer {
 	machineType := drawType(t)
 	return Offer{
-		Type:        machineType,
-		Zone:        drawZone(t),
-		Spot:        rapid.Bool().Draw(t, "spot"),
-		Total:       machineTypes[machineType],
-		Price:       float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100,
-		FetchGBPerS: 1,
-		Room:        rapid.IntRange(0, 4).Draw(t, "room"),
+		Type:             machineType,
+		Zone:             drawZone(t),
+		Spot:             rapid.Bool().Draw(t, "spot"),
+		Total:            machineTypes[machineType],
+		Price:            float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100,
+		FetchGBPerSecond: 1,
+		MaxCount:         rapid.IntRange(0, 4).Draw(t, "room"),
 	}
 }
 
 func drawDemand(t *rapid.T, i int) Demand {
 	kind := rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindService}).Draw(t, "kind")
 	return Demand{
-		Units:  rapid.IntRange(1, 20).Draw(t, "units"),
-		Rank:   float64(i % 2),
-		SlackS: float64(rapid.IntRange(-10, 60).Draw(t, "slack")),
+		Units:        rapid.IntRange(1, 20).Draw(t, "units"),
+		Rank:         float64(i % 2),
+		SlackSeconds: float64(rapid.IntRange(-10, 60).Draw(t, "slack")),
 		Spec: &wire.JobSpec{
 			ID:          wire.JobID(fmt.Sprint("req-", i)),
 			Kind:        kind,
@@ -114,13 +114,13 @@
 	d := Demand{
 		Spec:         spec,
 		Units:        spec.Tasks,
-		SlackS:       float64(rapid.IntRange(-10, 60).Draw(t, "gang's slack")),
+		SlackSeconds: float64(rapid.IntRange(-10, 60).Draw(t, "gang's slack")),
 		Rank:         float64(rapid.IntRange(0, 1).Draw(t, "gang's rank")),
 		AllOrNothing: true,
 	}
 	spec.Spread = !spec.SameZone && rapid.Bool().Draw(t, "spread")
 	if spec.Spread {
-		d.ZoneLeft = map[wire.Zone]int{"a": spec.MaxTasksPerZone(), "b": spec.MaxTasksPerZone()}
+		d.ZoneCapacityLeft = map[wire.Zone]int{"a": spec.MaxTasksPerZone(), "b": spec.MaxTasksPerZone()}
 	}
 	return d
 }
--- a/internal/fleet/packer.go
+++ b/internal/fleet/packer.go
@@ -63,7 +63,7 @@
 		unit:        placement.ResourcesOf(d.Spec),
 		zone:        d.Spec.Zone,
 		spot:        d.Spec.SpotAllowed,
-		sharesPrice: !d.Spec.IsService() && d.ZoneLeft == nil,
+		sharesPrice: !d.Spec.IsService() && d.ZoneCapacityLeft == nil,
 	}
 	for _, t := range d.Spec.MachineTypes {
 		kind.types += string(t) + " "
@@ -79,7 +79,7 @@
 	if !d.Spec.IsService() {
 		left -= p.fillFreed(d, left)
 	}
-	for left > 0 && len(p.added) < p.s.MaxScaleOuts {
+	for left > 0 && len(p.added) < p.s.MaxMachinesAdded {
 		offer, cost, ok := p.cheapestOffer(d, kind, left)
 		if !ok {
 			return
@@ -124,7 +124,7 @@
 	unit := placement.ResourcesOf(d.Spec)
 	p.order = p.order[:0]
 	for i := range p.bins {
-		if unit.Fits(p.bins[i].free) && p.bins[i].allowed(d.Spec) {
+		if unit.FitsIn(p.bins[i].free) && p.bins[i].allowed(d.Spec) {
 			p.order = append(p.order, i)
 		}
 	}
@@ -158,7 +158,7 @@
 // addMachine adds a machine of the offer to the bins.
 func (p *packer) addMachine(offer int, d *Demand) *bin {
 	o := &p.offers[offer]
-	o.Room--
+	o.MaxCount--
 	p.inZone[o.Zone]++
 	p.added = append(p.added, addedMachine{offer, d.Spec.ID})
 	p.bins = append(p.bins, o.newBin())
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -35,7 +35,7 @@
 		i := slices.IndexFunc(out, offer.matches)
 		if i < 0 {
 			i = len(out)
-			out = append(out, ScaleOut{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, For: added.job})
+			out = append(out, ScaleOut{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, ForJob: added.job})
 		}
 		out[i].Count++
 	}
@@ -61,5 +61,5 @@
 // mayScaleIn reports whether the machine has been idle for long enough and is paid for
 // no longer.
 func (m *Machine) mayScaleIn() bool {
-	return m.Idle && m.IdleS >= m.KeepS && m.PaidS <= 0
+	return m.Idle && m.IdleSeconds >= m.KeepIdleSeconds && m.PrepaidSeconds <= 0
 }
--- a/internal/fleet/price.go
+++ b/internal/fleet/price.go
@@ -38,7 +38,7 @@
 // unitsSharing returns how many units share the price of a machine of the offer: those
 // that are left of the demand, and what waits beside it.
 func (p *packer) unitsSharing(o *Offer, d *Demand, kind unitKind, left int) int {
-	capacity := placement.ResourcesOf(d.Spec).Units(o.Total)
+	capacity := placement.ResourcesOf(d.Spec).UnitsIn(o.Total)
 	units := d.zoneUnits(o.Zone, min(left, capacity))
 	if units <= 0 || !kind.sharesPrice {
 		return units
@@ -55,15 +55,15 @@
 // suits reports whether the offer has a machine that the job may run on.
 func (o *Offer) suits(spec *wire.JobSpec) bool {
 	b := o.newBin()
-	canFetchImage := spec.ImageGB == 0 || o.FetchGBPerS > 0
-	return o.Room > 0 && b.allowed(spec) && canFetchImage
+	canFetchImage := spec.ImageGB == 0 || o.FetchGBPerSecond > 0
+	return o.MaxCount > 0 && b.allowed(spec) && canFetchImage
 }
 
 // tooExpensive reports whether a unit of the demand is not worth that price.
 func (p *packer) tooExpensive(d *Demand, unitCost float64) bool {
-	if p.s.Cheapest == nil {
+	if p.s.LowestPrice == nil {
 		return false
 	}
-	limit := p.s.PriceLimit * max(1, d.PriceStretch) * p.s.Cheapest(d.Spec)
+	limit := p.s.PriceLimit * max(1, d.PriceLimitFactor) * p.s.LowestPrice(d.Spec)
 	return unitCost > limit
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -56,8 +56,8 @@
 		return summary(id, final.Status), nil
 	}
 	key := store.JobKey(id)
-	entry, err := in.store.Get(ctx, store.User, key)
-	if errors.Is(err, store.ErrMissing) {
+	entry, err := in.store.Get(ctx, store.ClassUser, key)
+	if errors.Is(err, store.ErrNotFound) {
 		return in.cancelWithoutRecord(ctx, id)
 	}
 	if err != nil {
@@ -68,11 +68,11 @@
 		in.Undecodable.LogOnce(key, err)
 		return response{}, err
 	}
-	if rec.Status == wire.Cancelled {
-		in.confirm(wire.JobState{ID: id, Status: wire.Cancelled})
+	if rec.Status == wire.StatusCancelled {
+		in.confirm(wire.JobState{ID: id, Status: wire.StatusCancelled})
 		return response{}, errJobChanged // the next try answers with the final state
 	}
-	rec.Status, rec.CancelledAt = wire.Cancelled, wire.TimestampOf(time.Now())
+	rec.Status, rec.CancelledAt = wire.StatusCancelled, wire.TimestampOf(time.Now())
 	in.feasibility.shrinkToFit(&rec, mustShrink)
 	return in.storeCancellation(ctx, &rec, entry.Revision)
 }
@@ -84,17 +84,17 @@
 	key := store.JobKey(id)
 	err := commit(ctx, in.store, wire.Txn{
 		Guards: []wire.Guard{{Key: key, Revision: readAt}},
-		Writes: []wire.Write{{Put: key, Value: wire.Encode(rec)}},
+		Writes: []wire.Write{{PutKey: key, Value: wire.Encode(rec)}},
 	})
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
 		in.log.Info("job cancelled", "job", id)
-		in.confirm(wire.JobState{ID: id, Status: wire.Cancelled})
-		return summary(id, wire.Cancelled), nil
+		in.confirm(wire.JobState{ID: id, Status: wire.StatusCancelled})
+		return summary(id, wire.StatusCancelled), nil
 	case errors.As(err, &conflict):
 		return response{}, errJobChanged // done or cancelled meanwhile
-	case errors.Is(err, store.ErrInvalid):
+	case errors.Is(err, store.ErrInvalidRequest):
 		return response{}, errRecordTooLarge
 	default:
 		return response{}, err
@@ -105,7 +105,7 @@
 func (in *Intake) cancelWithoutRecord(ctx context.Context, id wire.JobID) (response, error) {
 	state, err := in.state(ctx, id)
 	switch {
-	case errors.Is(err, store.ErrMissing):
+	case errors.Is(err, store.ErrNotFound):
 		return noSuchJob, nil
 	case err != nil:
 		return response{}, err
--- a/internal/intake/commit.go
+++ b/internal/intake/commit.go
@@ -23,8 +23,8 @@
 // which users expect a response; every other error is returned at once.
 func commit(ctx context.Context, client *store.Client, txn wire.Txn) error {
 	for pause := firstCommitRetry; ; pause *= 2 {
-		_, err := client.Commit(ctx, store.User, txn)
-		if !errors.Is(err, store.ErrBusy) || pause > lastCommitRetry {
+		_, err := client.Commit(ctx, store.ClassUser, txn)
+		if !errors.Is(err, store.ErrRateLimited) || pause > lastCommitRetry {
 			return err
 		}
 		jitter := rand.N(pause / 2)
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -78,10 +78,10 @@
 	now := wire.TimestampOf(time.Now())
 	return &store.JobRecord{
 		Spec:          *spec,
-		Status:        wire.Cancelled,
+		Status:        wire.StatusCancelled,
 		AcceptedAt:    now,
 		CancelledAt:   now,
-		TasksPerChunk: store.MaxChunkTasks,
+		TasksPerChunk: store.MaxTasksPerChunk,
 	}
 }
 
--- a/internal/intake/feasibility_test.go
+++ b/internal/intake/feasibility_test.go
@@ -68,7 +68,7 @@
 		{"names too long as well", wire.JobSpec{Class: longName, Image: wire.ImageID(longName), MachineTypes: manyTypes}, false, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			rec := store.JobRecord{Spec: tt.spec, Status: wire.Cancelled}
+			rec := store.JobRecord{Spec: tt.spec, Status: wire.StatusCancelled}
 			feasibility.shrinkToFit(&rec, tt.mustShrink)
 			if got := rec.Spec.MachineTypes != nil; got != tt.wantTypes {
 				t.Errorf("machine types kept: got %t, want %t", got, tt.wantTypes)
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -70,8 +70,8 @@
 // never 404; what can't be judged yet is 503.
 func TestUnreachableStoreAllowsOnlyFinalStates(t *testing.T) {
 	in, h := newIntakeWithoutStore(t)
-	in.finals.put(wire.JobState{ID: "req-1", Status: wire.Done, Done: 3})
-	in.finals.put(wire.JobState{ID: "req-2", Status: wire.Running})
+	in.finals.put(wire.JobState{ID: "req-1", Status: wire.StatusDone, Done: 3})
+	in.finals.put(wire.JobState{ID: "req-2", Status: wire.StatusRunning})
 	spec := wire.Encode(map[string]any{"nameId": "req-3", "lane": "l", "owner": "red", "shape": "sweep", "urgency": "prod", "parts": 2, "cpus": 4.0, "cards": 0.0,
 		"ramGb": 1.0, "bundle": "b", "imageGb": 0.5, "samePlace": false, "apart": false, "standby": false, "expectedS": 1.0, "snapshotEveryS": 0.0, "snapshotS": 0.0})
 	for _, tt := range []struct {
@@ -105,7 +105,7 @@
 	var finals finalStates
 	id := func(n int) wire.JobID { return wire.JobID("req-" + strconv.Itoa(n)) }
 	for n := range 5 * maxFinalStates {
-		finals.put(wire.JobState{ID: id(n), Status: wire.Done})
+		finals.put(wire.JobState{ID: id(n), Status: wire.StatusDone})
 	}
 	if got, limit := len(finals.young)+len(finals.old), 2*maxFinalStates; got > limit {
 		t.Errorf("states kept: got %d, want at most %d", got, limit)
--- a/internal/intake/job_state.go
+++ b/internal/intake/job_state.go
@@ -10,13 +10,13 @@
 
 // state returns the state of a job, as new as the store is now: from the live
 // record if there is one, else from the final one (the package comment has the
-// reasons). The error is store.ErrMissing if the job was never accepted.
+// reasons). The error is store.ErrNotFound if the job was never accepted.
 func (in *Intake) state(ctx context.Context, id wire.JobID) (wire.JobState, error) {
 	if final, ok := in.finals.get(id); ok {
 		return final, nil
 	}
 	job, err := in.jobs.Get(ctx, id)
-	if errors.Is(err, store.ErrMissing) {
+	if errors.Is(err, store.ErrNotFound) {
 		return in.readFinalState(ctx, id)
 	}
 	if err != nil {
@@ -30,7 +30,7 @@
 // readFinalState reads the final record of a job and remembers its state.
 func (in *Intake) readFinalState(ctx context.Context, id wire.JobID) (wire.JobState, error) {
 	key := store.FinalKey(id)
-	entry, err := in.store.Get(ctx, store.User, key)
+	entry, err := in.store.Get(ctx, store.ClassUser, key)
 	if err != nil {
 		return wire.JobState{}, err
 	}
@@ -48,7 +48,7 @@
 // cancellation is added to the log first, so that the updates which this node
 // sends to its peers cover it.
 func (in *Intake) confirm(state wire.JobState) {
-	if state.Status == wire.Cancelled {
+	if state.Status == wire.StatusCancelled {
 		in.cancels.Add(state.ID, 0)
 	}
 	in.finals.put(state)
--- a/internal/intake/poll.go
+++ b/internal/intake/poll.go
@@ -19,11 +19,11 @@
 	}
 	state, err := in.state(ctx, id)
 	switch {
-	case errors.Is(err, store.ErrMissing):
+	case errors.Is(err, store.ErrNotFound):
 		return noSuchJob
 	case err != nil:
 		return storeUnavailable
-	case state.Status == wire.Queued:
+	case state.Status == wire.StatusQueued:
 		state = in.withTaskCounts(ctx, state)
 	}
 	return response{status: http.StatusOK, body: state}
@@ -39,7 +39,7 @@
 	}
 	state.Done, state.Running = count.done, count.running
 	if state.Running > 0 {
-		state.Status = wire.Running
+		state.Status = wire.StatusRunning
 	}
 	return state
 }
--- a/internal/intake/store_test.go
+++ b/internal/intake/store_test.go
@@ -133,19 +133,19 @@
 
 func TestRepeatedSubmissionIsAnsweredWithTheJobsStatus(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
-		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		created := c.store.Revision(store.JobKey("req-1"))
-		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
 		c.types = nil
-		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
 		c.types = []wire.MachineSpec{}
-		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
 		if got := c.store.Revision(store.JobKey("req-1")); got != created {
 			t.Errorf("revision of the record after the repetitions: got %d, want %d", got, created)
 		}
 		c.store.Delete(store.JobKey("req-1"))
-		c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.Done, Done: 2})
-		c.nodes[0].submit(t, "req-1", http.StatusOK, wire.Done)
+		c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.StatusDone, Done: 2})
+		c.nodes[0].submit(t, "req-1", http.StatusOK, wire.StatusDone)
 	})
 }
 
@@ -153,7 +153,7 @@
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.store.LoseAnswers(1)
 		c.nodes[0].submit(t, "req-1", http.StatusServiceUnavailable, "")
-		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.Queued)
+		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
 	})
 }
 
@@ -164,7 +164,7 @@
 	runClusterWithin(t, limits, func(t *testing.T, c *cluster) {
 		start := time.Now()
 		for n := range 2 * writeRPS {
-			c.nodes[0].submit(t, wire.JobID("req-"+strconv.Itoa(n)), http.StatusCreated, wire.Queued)
+			c.nodes[0].submit(t, wire.JobID("req-"+strconv.Itoa(n)), http.StatusCreated, wire.StatusQueued)
 		}
 		if took := time.Since(start); took < time.Second {
 			t.Errorf("%d submissions at %d writes a second took %v: the rate was not kept to", 2*writeRPS, writeRPS, took)
@@ -220,34 +220,34 @@
 func TestPollSeesWhatAnotherNodeConfirmed(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[1].poll(t, "req-1", http.StatusNotFound, wire.JobState{})
-		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
-		c.nodes[1].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.Queued})
-		c.nodes[0].cancel(t, "req-1", http.StatusOK, wire.Cancelled)
-		c.nodes[1].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.Cancelled})
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
+		c.nodes[1].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.StatusQueued})
+		c.nodes[0].cancel(t, "req-1", http.StatusOK, wire.StatusCancelled)
+		c.nodes[1].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.StatusCancelled})
 	})
 }
 
 func TestPollCountsTasks(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
-		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		c.store.Put(store.ChunkKey("req-1", 0), store.ChunkRecord{Done: []int{0, 1}, Active: []store.ActiveAttempt{{Task: 1, Attempt: 2, Machine: "machine-1"}}})
-		want := wire.JobState{ID: "req-1", Status: wire.Running, Done: 1, Running: 1}
+		want := wire.JobState{ID: "req-1", Status: wire.StatusRunning, Done: 1, Running: 1}
 		c.nodes[0].poll(t, "req-1", http.StatusOK, want)
 		c.store.Put(store.ChunkKey("req-1", 0), store.ChunkRecord{Done: []int{0, 2}})
 		c.nodes[0].poll(t, "req-1", http.StatusOK, want) // within the lifetime of the count
 		time.Sleep(3 * time.Second)
-		c.nodes[0].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.Queued, Done: 2})
+		c.nodes[0].poll(t, "req-1", http.StatusOK, wire.JobState{ID: "req-1", Status: wire.StatusQueued, Done: 2})
 	})
 }
 
 func TestPollDuringOutageIsRefusedUnlessTheStateIsFinal(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
-		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
-		c.nodes[0].submit(t, "req-2", http.StatusCreated, wire.Queued)
-		c.nodes[0].cancel(t, "req-2", http.StatusOK, wire.Cancelled)
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
+		c.nodes[0].submit(t, "req-2", http.StatusCreated, wire.StatusQueued)
+		c.nodes[0].cancel(t, "req-2", http.StatusOK, wire.StatusCancelled)
 		c.store.Outage(true)
 		c.nodes[0].poll(t, "req-1", http.StatusServiceUnavailable, wire.JobState{})
-		c.nodes[0].poll(t, "req-2", http.StatusOK, wire.JobState{ID: "req-2", Status: wire.Cancelled})
+		c.nodes[0].poll(t, "req-2", http.StatusOK, wire.JobState{ID: "req-2", Status: wire.StatusCancelled})
 		c.nodes[0].poll(t, "req-3", http.StatusServiceUnavailable, wire.JobState{})
 		c.store.Outage(false)
 	})
@@ -263,40 +263,40 @@
 func TestRepeatedCancellationIsAnsweredWithTheFinalStatus(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].cancel(t, "req-1", http.StatusNotFound, "")
-		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		for i, n := range []node{c.nodes[0], c.nodes[1], c.nodes[0]} {
-			n.cancel(t, "req-1", http.StatusOK, wire.Cancelled)
+			n.cancel(t, "req-1", http.StatusOK, wire.StatusCancelled)
 			if _, logged := n.cancels.ConfirmedAt("req-1"); !logged {
 				t.Errorf("cancellation %d is not in the log of the node that confirmed it", i+1)
 			}
 		}
-		c.store.Put(store.FinalKey("req-2"), store.FinalRecord{Status: wire.Done, Done: 2})
-		c.nodes[0].cancel(t, "req-2", http.StatusOK, wire.Done)
+		c.store.Put(store.FinalKey("req-2"), store.FinalRecord{Status: wire.StatusDone, Done: 2})
+		c.nodes[0].cancel(t, "req-2", http.StatusOK, wire.StatusDone)
 	})
 }
 
 func TestCancellationWhoseOutcomeIsUnknownIsFoundByItsRepetition(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
-		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		c.store.LoseAnswers(1)
 		c.nodes[0].cancel(t, "req-1", http.StatusServiceUnavailable, "")
-		c.nodes[1].cancel(t, "req-1", http.StatusOK, wire.Cancelled)
+		c.nodes[1].cancel(t, "req-1", http.StatusOK, wire.StatusCancelled)
 	})
 }
 
 func TestCancellationThatLosesTheRaceAnswersWhatWon(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
-		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.Queued)
+		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		won := false
 		c.store.DelayTransactions(func(*wire.Txn) time.Duration {
 			if !won {
 				won = true
 				c.store.Delete(store.JobKey("req-1"))
-				c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.Done, Done: 2})
+				c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.StatusDone, Done: 2})
 			}
 			return 0
 		})
-		c.nodes[0].cancel(t, "req-1", http.StatusOK, wire.Done)
+		c.nodes[0].cancel(t, "req-1", http.StatusOK, wire.StatusDone)
 		if !won {
 			t.Error("no transaction was delayed")
 		}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -66,13 +66,13 @@
 	switch {
 	case err == nil:
 		in.log.Info("job accepted", "job", spec.ID, "class", spec.Class, "tasks", spec.Tasks)
-		return response{status: http.StatusCreated, body: wire.JobSummary{ID: spec.ID, Status: wire.Queued}}
+		return response{status: http.StatusCreated, body: wire.JobSummary{ID: spec.ID, Status: wire.StatusQueued}}
 	case errors.As(err, &conflict):
 		if resp, known := in.knownJob(ctx, spec.ID); known {
 			return resp
 		}
 		return storeUnavailable
-	case errors.Is(err, store.ErrInvalid):
+	case errors.Is(err, store.ErrInvalidRequest):
 		// The record exceeds the store's limit of a value, and a retry would not
 		// change that. But the job may have been accepted while more was allowed, and
 		// then it stays accepted.
@@ -87,7 +87,7 @@
 	const absent wire.Revision = 0
 	rec := store.JobRecord{
 		Spec:          *spec,
-		Status:        wire.Queued,
+		Status:        wire.StatusQueued,
 		AcceptedAt:    wire.TimestampOf(time.Now()),
 		TasksPerChunk: store.ChunkTasksFor(in.settings.State.Strictest().ValueKB),
 	}
@@ -96,7 +96,7 @@
 			{Key: store.JobKey(spec.ID), Revision: absent},
 			{Key: store.FinalKey(spec.ID), Revision: absent},
 		},
-		Writes: []wire.Write{{Put: store.JobKey(spec.ID), Value: wire.Encode(rec)}},
+		Writes: []wire.Write{{PutKey: store.JobKey(spec.ID), Value: wire.Encode(rec)}},
 	})
 }
 
@@ -108,7 +108,7 @@
 	switch {
 	case err == nil:
 		return summary(state.ID, state.Status), true
-	case errors.Is(err, store.ErrMissing):
+	case errors.Is(err, store.ErrNotFound):
 		return response{}, false
 	default:
 		return storeUnavailable, true
--- a/internal/intake/task_counts.go
+++ b/internal/intake/task_counts.go
@@ -75,7 +75,7 @@
 	if fresh || !c.reads.Allow() {
 		return last
 	}
-	entries, _, err := c.store.List(ctx, store.User, store.ProgressPrefix+string(id)+"/")
+	entries, _, err := c.store.List(ctx, store.ClassUser, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
 		return last
 	}
--- a/internal/leader/agents/client_test.go
+++ b/internal/leader/agents/client_test.go
@@ -38,7 +38,7 @@
 }
 
 var (
-	launches = wire.Commands{Token: testToken, Epoch: 1, Commands: []wire.Command{{Verb: wire.Launch, Task: "req-1/0", Attempt: testAttempt}}}
+	launches = wire.Commands{Token: testToken, Epoch: 1, Commands: []wire.Command{{Verb: wire.VerbLaunch, Task: "req-1/0", Attempt: testAttempt}}}
 	probe    = wire.Commands{Token: testToken, Epoch: 1}
 )
 
--- a/internal/leader/agents/dispatcher.go
+++ b/internal/leader/agents/dispatcher.go
@@ -74,7 +74,7 @@
 // awaitsLaunch reports whether a launch of an attempt may be sent, and no heartbeat has
 // shown the attempt yet.
 func awaitsLaunch(attempt *cluster.Attempt) bool {
-	notStarted := !attempt.Observed && !attempt.Inherited
+	notStarted := !attempt.SeenInHeartbeat && !attempt.Inherited
 	stillWanted := !attempt.Stopping && !attempt.Job.Cancelled && attempt.Machine.DrainReason == ""
 	return !attempt.Unstored && notStarted && stillWanted && attempt.MayLaunch()
 }
@@ -97,11 +97,11 @@
 	})
 }
 
-func launchCommand(task wire.Task, attempt *cluster.Attempt) wire.Command {
-	return wire.Command{Verb: wire.Launch, Task: task.String(), Attempt: attempt.Number}
+func launchCommand(task wire.TaskID, attempt *cluster.Attempt) wire.Command {
+	return wire.Command{Verb: wire.VerbLaunch, Task: task.String(), Attempt: attempt.Number}
 }
 
-func stopCommand(task wire.Task, attempt *cluster.Attempt) wire.Command {
+func stopCommand(task wire.TaskID, attempt *cluster.Attempt) wire.Command {
 	gracePeriod := attempt.GracePeriod
-	return wire.Command{Verb: wire.Stop, Task: task.String(), Attempt: attempt.Number, GracePeriod: &gracePeriod}
+	return wire.Command{Verb: wire.VerbStop, Task: task.String(), Attempt: attempt.Number, GracePeriod: &gracePeriod}
 }
--- a/internal/leader/agents/dispatcher_test.go
+++ b/internal/leader/agents/dispatcher_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestCommandsByStateOfAttempt(t *testing.T) {
-	launch, stop := []wire.Verb{wire.Launch}, []wire.Verb{wire.Stop}
+	launch, stop := []wire.Verb{wire.VerbLaunch}, []wire.Verb{wire.VerbStop}
 	cases := []struct {
 		name       string
 		setup      func(f *fixture)
@@ -30,14 +30,14 @@
 		{"not stored, stopping", func(f *fixture) { f.attempt.Unstored, f.attempt.Stopping = true, true }, nil, nil},
 		{"launch sent", func(f *fixture) { f.attempt.LaunchSent = true }, launch, nil},
 		{"direct launch in flight", func(f *fixture) { f.attempt.LaunchSent, f.attempt.LaunchInFlight = true, true }, nil, nil},
-		{"observed", func(f *fixture) { f.attempt.Observed = true }, nil, nil},
+		{"observed", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, nil, nil},
 		{"inherited", func(f *fixture) { f.attempt.Inherited = true }, nil, nil},
 		{"job cancelled", func(f *fixture) { f.job.Cancelled = true }, nil, nil},
 		{"machine draining", func(f *fixture) { f.machine.DrainReason = cluster.DrainIdle }, nil, nil},
 		{"machine receives nothing", func(f *fixture) { loseInbound(f.machine) }, nil, launch},
 		{"stopping", func(f *fixture) { f.attempt.Stopping = true }, stop, stop},
 		{"stopping, observed, on a draining machine", func(f *fixture) {
-			f.attempt.Stopping, f.attempt.Observed, f.machine.DrainReason = true, true, cluster.DrainFaulty
+			f.attempt.Stopping, f.attempt.SeenInHeartbeat, f.machine.DrainReason = true, true, cluster.DrainFaulty
 		}, stop, stop},
 		{"stop sent lately", func(f *fixture) { f.attempt.Stopping, f.attempt.StopSentAt = true, time.Now().Add(-time.Second) }, stop, nil},
 		{"stop sent long ago", func(f *fixture) {
@@ -53,7 +53,7 @@
 			if !slices.Equal(verbs(got), tc.wantAnswer) {
 				t.Errorf("attempt %+v: answered by %v, want %v", *f.attempt, verbs(got), tc.wantAnswer)
 			}
-			if slices.Contains(tc.wantAnswer, wire.Launch) && (!f.attempt.LaunchSent || f.attempt.ReplySequence != 11 || f.attempt.LaunchInFlight) {
+			if slices.Contains(tc.wantAnswer, wire.VerbLaunch) && (!f.attempt.LaunchSent || f.attempt.ReplySequence != 11 || f.attempt.LaunchInFlight) {
 				t.Errorf("after the launch the attempt is %+v, want it sent in the answer to heartbeat 11", *f.attempt)
 			}
 		})
@@ -80,7 +80,7 @@
 	}
 	launchCount := 0
 	for _, verb := range verbs(answer.Commands.Commands) {
-		if verb == wire.Launch {
+		if verb == wire.VerbLaunch {
 			launchCount++
 		}
 	}
@@ -118,10 +118,10 @@
 func TestWithoutTheStoreOnlyStopsAreSentDirectly(t *testing.T) {
 	f := newFixture(t)
 	stopping := f.addAttempt(f.job, 1, f.machine)
-	stopping.Stopping, stopping.Observed = true, true
+	stopping.Stopping, stopping.SeenInHeartbeat = true, true
 	f.loseStore(true)
 	f.Dispatch(f.machine)
-	if got, want := f.sentDirectly(t), []wire.Verb{wire.Stop}; !slices.Equal(got, want) {
+	if got, want := f.sentDirectly(t), []wire.Verb{wire.VerbStop}; !slices.Equal(got, want) {
 		t.Errorf("sent %v, want %v", got, want)
 	}
 	if f.attempt.LaunchSent {
@@ -150,8 +150,8 @@
 }
 
 func TestWhatHasNoRecordIsStoppedOrForgotten(t *testing.T) {
-	running := wire.TaskState{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseRunning}
-	exited := wire.TaskState{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseExited, Cause: wire.CauseDone}
+	running := wire.TaskStatus{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseRunning}
+	exited := wire.TaskStatus{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseExited, Cause: wire.CauseDone}
 	cases := []struct {
 		name      string
 		setup     func(f *fixture)
@@ -159,16 +159,16 @@
 		want      []wire.Verb
 		wantRaise bool // a higher token is requested
 	}{
-		{"running", func(*fixture) {}, heartbeat(11, running), []wire.Verb{wire.Stop}, false},
+		{"running", func(*fixture) {}, heartbeat(11, running), []wire.Verb{wire.VerbStop}, false},
 		{"running, of a quarantined job", func(f *fixture) { f.State.QuarantinedJobs["req-1"] = true }, heartbeat(11, running), nil, false},
-		{"another attempt of a recorded task", func(f *fixture) { f.addAttempt(f.job, 1, f.machine).Observed = true }, heartbeat(11, running), []wire.Verb{wire.Stop}, false},
+		{"another attempt of a recorded task", func(f *fixture) { f.addAttempt(f.job, 1, f.machine).SeenInHeartbeat = true }, heartbeat(11, running), []wire.Verb{wire.VerbStop}, false},
 		{"the recorded attempt", func(f *fixture) {
 			attempt := f.addAttempt(f.job, 1, f.machine)
-			attempt.Observed, attempt.Number = true, 3
+			attempt.SeenInHeartbeat, attempt.Number = true, 3
 		}, heartbeat(11, exited), nil, false},
-		{"outcome stored", func(*fixture) {}, heartbeat(11, exited), []wire.Verb{wire.Forget}, false},
-		{"outcome of an archived job", func(f *fixture) { delete(f.State.Jobs, "req-1") }, heartbeat(11, exited), []wire.Verb{wire.Forget}, false},
-		{"outcome beyond the chunks", func(*fixture) {}, heartbeat(11, wire.TaskState{Task: "req-1/99999", Attempt: 3, Phase: wire.PhaseExited}), []wire.Verb{wire.Forget}, false},
+		{"outcome stored", func(*fixture) {}, heartbeat(11, exited), []wire.Verb{wire.VerbForget}, false},
+		{"outcome of an archived job", func(f *fixture) { delete(f.State.Jobs, "req-1") }, heartbeat(11, exited), []wire.Verb{wire.VerbForget}, false},
+		{"outcome beyond the chunks", func(*fixture) {}, heartbeat(11, wire.TaskStatus{Task: "req-1/99999", Attempt: 3, Phase: wire.PhaseExited}), []wire.Verb{wire.VerbForget}, false},
 		{"outcome not stored", func(f *fixture) { f.job.Chunk(0).Dirty = true }, heartbeat(11, exited), nil, false},
 		{"outcome being stored", func(f *fixture) { f.job.Chunk(0).WriteInFlight = true }, heartbeat(11, exited), nil, false},
 		{"job to be archived", func(f *fixture) { f.job.Finished = true }, heartbeat(11, exited), nil, false},
@@ -180,12 +180,12 @@
 		}, heartbeat(11, exited), nil, true},
 		{"an unanswered launch has an older token", func(f *fixture) {
 			f.machine.UnansweredLaunch = cluster.UnansweredCommand{Token: testToken - 1, Epoch: 1}
-		}, heartbeat(11, exited), []wire.Verb{wire.Forget}, false},
+		}, heartbeat(11, exited), []wire.Verb{wire.VerbForget}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.attempt.Observed = true
+			f.attempt.SeenInHeartbeat = true
 			tc.setup(f)
 			got := f.CommandsFor(f.machine, tc.heartbeat, time.Now())
 			if !slices.Equal(verbs(got), tc.want) || f.Fencing.RaiseRequested != tc.wantRaise {
@@ -193,7 +193,7 @@
 					tc.heartbeat.Tasks, verbs(got), f.Fencing.RaiseRequested, tc.want, tc.wantRaise)
 			}
 			for _, command := range got {
-				if command.Verb == wire.Stop && (command.GracePeriod == nil || *command.GracePeriod != 0) {
+				if command.Verb == wire.VerbStop && (command.GracePeriod == nil || *command.GracePeriod != 0) {
 					t.Errorf("%+v has a grace period, want a stop at once", command)
 				}
 			}
--- a/internal/leader/agents/fixture_test.go
+++ b/internal/leader/agents/fixture_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	testToken   wire.FencingToken = 50
-	testAttempt wire.Attempt      = 7
+	testToken   wire.FencingToken  = 50
+	testAttempt wire.AttemptNumber = 7
 )
 
 // fixture is a dispatcher whose commands go nowhere, with one machine that has one stored
@@ -46,7 +46,7 @@
 	})
 	settings := &config.Settings{Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41}}
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, now, testToken)
-	state.Recovered = true
+	state.RecordsRead = true
 	f.Dispatcher = &Dispatcher{Loop: loop, State: state, Client: &Client{}}
 	f.machine = f.addMachine("n-1")
 	f.job = f.addJob("req-1", wire.KindArray, 2)
@@ -86,7 +86,7 @@
 }
 
 // heartbeat returns a heartbeat of the fixture's machine with this term's token.
-func heartbeat(sequence wire.Sequence, tasks ...wire.TaskState) *wire.Heartbeat {
+func heartbeat(sequence wire.Sequence, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "n-1", Epoch: 1, Sequence: sequence, Token: testToken, Tasks: tasks}
 }
 
--- a/internal/leader/agents/heartbeat_answers.go
+++ b/internal/leader/agents/heartbeat_answers.go
@@ -53,7 +53,7 @@
 		if len(commands) >= MaxCommands {
 			break
 		}
-		task, err := wire.ParseTask(state.Task)
+		task, err := wire.ParseTaskID(state.Task)
 		if err != nil {
 			continue
 		}
@@ -64,9 +64,9 @@
 		case dp.State.Quarantined(task.Job): // it may be one of those that can't be decoded
 		case state.Phase != wire.PhaseExited:
 			atOnce := wire.Seconds(0)
-			commands = append(commands, wire.Command{Verb: wire.Stop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
 		case dp.mayForget(machine, task, heartbeat):
-			commands = append(commands, wire.Command{Verb: wire.Forget, Task: state.Task, Attempt: state.Attempt})
+			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: state.Task, Attempt: state.Attempt})
 		}
 	}
 	return commands
@@ -76,7 +76,7 @@
 // and no launch that could start the attempt again is in flight to the agent. A forgotten
 // attempt that is launched late would run once more. If such a launch may be in flight it
 // asks for a higher token, which ends it.
-func (dp *Dispatcher) mayForget(machine *cluster.Machine, task wire.Task, heartbeat *wire.Heartbeat) bool {
+func (dp *Dispatcher) mayForget(machine *cluster.Machine, task wire.TaskID, heartbeat *wire.Heartbeat) bool {
 	if machine.LaunchMayArrive(heartbeat) {
 		dp.Fencing.RaiseRequested = true
 		return false
@@ -89,7 +89,7 @@
 
 // outcomeStored reports whether the outcomes of a task's attempts are stored; job is nil if
 // it is not known, that is archived.
-func outcomeStored(job *cluster.Job, task wire.Task) bool {
+func outcomeStored(job *cluster.Job, task wire.TaskID) bool {
 	if job == nil {
 		return true
 	}
--- a/internal/leader/agents/probes.go
+++ b/internal/leader/agents/probes.go
@@ -79,7 +79,7 @@
 // addresses are known, so that the first round of heartbeats of a new leader takes a moment
 // and not a heartbeat interval.
 func (dp *Dispatcher) AnnounceToken() {
-	if dp.TokenAnnounced || !dp.State.Recovered || !dp.Lease.Deciding() {
+	if dp.TokenAnnounced || !dp.State.RecordsRead || !dp.Lease.Deciding() {
 		return
 	}
 	uninformed := 0
--- a/internal/leader/agents/probes_test.go
+++ b/internal/leader/agents/probes_test.go
@@ -125,7 +125,7 @@
 func TestTokenIsNotAnnouncedWithoutLeading(t *testing.T) {
 	for name, setup := range map[string]func(f *fixture){
 		"announced before": func(f *fixture) { f.TokenAnnounced = true },
-		"not recovered":    func(f *fixture) { f.State.Recovered = false },
+		"not recovered":    func(f *fixture) { f.State.RecordsRead = false },
 		"store not reached": func(f *fixture) {
 			f.loseStore(true)
 		},
--- a/internal/leader/agents/stops.go
+++ b/internal/leader/agents/stops.go
@@ -54,7 +54,7 @@
 // checkpoint.
 func (dp *Dispatcher) StopGang(job *cluster.Job, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
 	gang := job.Gang
-	if !gang.Ran && !gang.Inherited {
+	if !gang.HasRun && !gang.Inherited {
 		gracePeriod = 0 // there is nothing to save
 	}
 	if gang.StopRequested && gang.GracePeriod <= gracePeriod {
@@ -86,7 +86,7 @@
 func (dp *Dispatcher) breakGang(job *cluster.Job) {
 	gang := job.Gang
 	gang.Broken = true
-	dp.Log.Info("gang broken", "job", job.Spec.ID, "attempt", gang.Number, "ran", gang.Ran, "stopping", gang.StoppingGracefully,
+	dp.Log.Info("gang broken", "job", job.Spec.ID, "attempt", gang.AttemptNumber, "ran", gang.HasRun, "stopping", gang.StoppingGracefully,
 		"age", time.Since(gang.StartedAt), "remaining_tasks", job.ActiveTasks)
 	if gang.StoppingGracefully {
 		return
--- a/internal/leader/agents/stops_test.go
+++ b/internal/leader/agents/stops_test.go
@@ -12,9 +12,9 @@
 // addGang adds a running gang with a task on each of three machines.
 func (f *fixture) addGang() *cluster.Job {
 	job := f.addJob("req-2", wire.KindGang, 3)
-	job.Gang = &cluster.Gang{Number: testAttempt, StartedAt: time.Now(), Ran: true}
+	job.Gang = &cluster.Gang{AttemptNumber: testAttempt, StartedAt: time.Now(), HasRun: true}
 	for index, id := range []wire.MachineID{"n-1", "n-2", "n-3"} {
-		f.addAttempt(job, index, f.addMachine(id)).Observed = true
+		f.addAttempt(job, index, f.addMachine(id)).SeenInHeartbeat = true
 	}
 	return job
 }
@@ -27,8 +27,8 @@
 		wantGracePeriod wire.Seconds
 	}{
 		{"the gang has run", func(*cluster.Gang) {}, 13, 13},
-		{"an earlier leader's gang may have run", func(gang *cluster.Gang) { gang.Ran, gang.Inherited = false, true }, 13, 13},
-		{"the gang has not run", func(gang *cluster.Gang) { gang.Ran = false }, 13, 0},
+		{"an earlier leader's gang may have run", func(gang *cluster.Gang) { gang.HasRun, gang.Inherited = false, true }, 13, 13},
+		{"the gang has not run", func(gang *cluster.Gang) { gang.HasRun = false }, 13, 0},
 		{"without a grace period", func(*cluster.Gang) {}, 0, 0},
 	}
 	for _, tc := range cases {
@@ -63,7 +63,7 @@
 
 func TestLaterStopOnlyShortensTheGracePeriod(t *testing.T) {
 	f := newFixture(t)
-	f.attempt.Observed = true
+	f.attempt.SeenInHeartbeat = true
 	for _, step := range []struct{ requested, want wire.Seconds }{{10, 10}, {20, 10}, {10, 10}, {4, 4}} {
 		f.Stop(f.attempt, step.requested, cluster.EvictedPreempted)
 		if f.attempt.GracePeriod != step.want {
@@ -133,7 +133,7 @@
 
 func TestCancelledJobIsStoppedWithoutGracePeriod(t *testing.T) {
 	f := newFixture(t)
-	f.attempt.Observed = true
+	f.attempt.SeenInHeartbeat = true
 	f.job.Cancelled = true
 	f.StopCancelledJob(f.job)
 	if !f.attempt.Stopping || f.attempt.GracePeriod != 0 || f.attempt.StopReason != cluster.EvictedCancelled {
@@ -145,7 +145,7 @@
 	if len(f.evicted) != 0 {
 		t.Errorf("a cancellation is counted as evictions %v", f.evicted)
 	}
-	if got, want := f.sentDirectly(t), []wire.Verb{wire.Stop}; !slices.Equal(got, want) {
+	if got, want := f.sentDirectly(t), []wire.Verb{wire.VerbStop}; !slices.Equal(got, want) {
 		t.Errorf("sent %v, want %v", got, want)
 	}
 }
--- a/internal/leader/autoscaler/plan.go
+++ b/internal/leader/autoscaler/plan.go
@@ -31,7 +31,7 @@
 // mayPlan reports whether the cluster is known well enough to plan its capacity, and
 // whether the cloud may be asked now.
 func (s *Scaler) mayPlan(specs []wire.MachineSpec, now time.Time) bool {
-	clusterKnown := s.state.Recovered && s.state.SchedulingEnabled && s.state.MachineListReceived
+	clusterKnown := s.state.RecordsRead && s.state.SchedulingEnabled && s.state.MachineListReceived
 	return clusterKnown && s.Lease.Deciding() && specs != nil && !s.Tracker.Paused(now)
 }
 
--- a/internal/leader/autoscaler/plan_test.go
+++ b/internal/leader/autoscaler/plan_test.go
@@ -20,7 +20,7 @@
 		want   bool
 	}{
 		{"everything is known", func(*testTerm) {}, true},
-		{"records are not read", func(term *testTerm) { term.state.Recovered = false }, false},
+		{"records are not read", func(term *testTerm) { term.state.RecordsRead = false }, false},
 		{"first heartbeats are missing", func(term *testTerm) { term.state.SchedulingEnabled = false }, false},
 		{"no machine list", func(term *testTerm) { term.state.MachineListReceived = false }, false},
 		{"no machine types", func(term *testTerm) { term.catalog.Set(nil) }, false},
@@ -35,7 +35,7 @@
 				term.load()
 				job := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 3, CPUs: 4, MemoryGB: 4, ExpectedRunTime: 60}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 				term.state.Jobs[job.Spec.ID] = job
-				term.state.Recovered, term.state.SchedulingEnabled, term.state.MachineListReceived = true, true, true
+				term.state.RecordsRead, term.state.SchedulingEnabled, term.state.MachineListReceived = true, true, true
 				specs, err := term.Cloud.MachineSpecs(term.Context())
 				if err != nil {
 					t.Fatal(err)
--- a/internal/leader/autoscaler/scale_in_intents.go
+++ b/internal/leader/autoscaler/scale_in_intents.go
@@ -35,7 +35,7 @@
 // scaleInsClearable reports whether the record holds scale-ins, and none was confirmed for
 // a while. It is called while no scale-in is in flight.
 func (c *CloudIntents) scaleInsClearable(now time.Time) bool {
-	return len(c.scaleIns.Pending()) > 0 && now.Sub(c.scaledInAt) > clearIntentsAfter
+	return len(c.scaleIns.OpenIntents()) > 0 && now.Sub(c.scaledInAt) > clearIntentsAfter
 }
 
 // maxScaleInBatch returns how many machines one request may return: as many as the cloud
--- a/internal/leader/autoscaler/scale_in_test.go
+++ b/internal/leader/autoscaler/scale_in_test.go
@@ -121,8 +121,8 @@
 			t.Errorf("before the confirmation: %d active tasks, drains as %q; want 1, %q", job.ActiveTasks, machine.DrainReason, cluster.DrainSlow)
 		}
 		term.run(3 * time.Second)
-		if job.ActiveTasks != 0 || job.Pending() != 1 || !term.state.Cycle.Requested {
-			t.Errorf("after it: %d active and %d pending tasks, cycle requested %v; want 0, 1, true", job.ActiveTasks, job.Pending(), term.state.Cycle.Requested)
+		if job.ActiveTasks != 0 || job.PendingTasks() != 1 || !term.state.CycleTimer.Requested {
+			t.Errorf("after it: %d active and %d pending tasks, cycle requested %v; want 0, 1, true", job.ActiveTasks, job.PendingTasks(), term.state.CycleTimer.Requested)
 		}
 	})
 }
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -14,7 +14,7 @@
 func (s *Scaler) requestScaleOut(scaleOut fleet.ScaleOut) {
 	request := s.Tracker.StartScaleOut(scaleOut, time.Now())
 	s.Log.Info("scale-out requested", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
-		"count", request.Count, "job", scaleOut.For, "request", request.Name)
+		"count", request.Count, "job", scaleOut.ForJob, "request", request.Name)
 	if s.recordsIntents() {
 		s.Intents.unrecorded = append(s.Intents.unrecorded, request)
 		return
--- a/internal/leader/autoscaler/scale_out_intents.go
+++ b/internal/leader/autoscaler/scale_out_intents.go
@@ -61,7 +61,7 @@
 // scaleOutsClearable reports whether the record holds only requests that have been
 // answered, and has not been written for a while.
 func (c *CloudIntents) scaleOutsClearable(tracker *scaling.Tracker, now time.Time) bool {
-	recorded := len(c.scaleOuts.Pending()) > 0
+	recorded := len(c.scaleOuts.OpenIntents()) > 0
 	answered := len(tracker.PendingScaleOuts()) == 0
 	return recorded && answered && now.Sub(c.recordedAt) > clearIntentsAfter
 }
--- a/internal/leader/autoscaler/scale_out_test.go
+++ b/internal/leader/autoscaler/scale_out_test.go
@@ -11,7 +11,7 @@
 	"lilaclead/internal/wire"
 )
 
-var smallScaleOut = fleet.ScaleOut{Type: "c4", Zone: "a", Count: 2, For: "req-1"}
+var smallScaleOut = fleet.ScaleOut{Type: "c4", Zone: "a", Count: 2, ForJob: "req-1"}
 
 func TestScaleOutIsRecordedBeforeItIsSent(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -12,7 +12,7 @@
 	Job         *Job
 	Chunk       *Chunk
 	Index       int // of the task in its chunk
-	Number      wire.Attempt
+	Number      wire.AttemptNumber
 	Machine     *Machine
 	ScheduledAt time.Time // when the scheduler decided on it, or the term inherited it
 
@@ -25,10 +25,10 @@
 	Inherited bool
 
 	// What the heartbeats of this term have shown of it. Reconciliation writes it.
-	Observed     bool           // it was in a heartbeat
-	Phase        wire.TaskPhase // in the last one
-	RunningSince time.Time      // when it was first seen running
-	ImageReadyAt time.Time      // when it was first seen past the fetch of its image
+	SeenInHeartbeat bool           // it was in a heartbeat
+	Phase           wire.TaskPhase // in the last one
+	RunningSince    time.Time      // when it was first seen running
+	ImageReadyAt    time.Time      // when it was first seen past the fetch of its image
 
 	// LaunchSent: a launch of this term was sent, the last one to LaunchEpoch of the agent.
 	LaunchSent  bool
@@ -38,15 +38,15 @@
 }
 
 // Task returns the task that the attempt is one of.
-func (a *Attempt) Task() wire.Task {
-	return wire.Task{Job: a.Job.Spec.ID, Index: a.Chunk.Index*a.Job.TasksPerChunk + a.Index}
+func (a *Attempt) Task() wire.TaskID {
+	return wire.TaskID{Job: a.Job.Spec.ID, Index: a.Chunk.Index*a.Job.TasksPerChunk + a.Index}
 }
 
 // Resources returns what the attempt takes of its machine.
 func (a *Attempt) Resources() placement.Resources { return placement.ResourcesOf(&a.Job.Spec) }
 
 // ActiveAttempt returns the attempt of a task; nil if it has none.
-func (t *JobTable) ActiveAttempt(task wire.Task) *Attempt {
+func (t *JobTable) ActiveAttempt(task wire.TaskID) *Attempt {
 	j := t.Jobs[task.Job]
 	if j == nil {
 		return nil
@@ -69,7 +69,7 @@
 	a.Detach()
 	a.MarkStored()
 	c.TaskStates[a.Index] = state
-	s.Unsaved.MarkDirty(c)
+	s.UnsavedChanges.MarkDirty(c)
 	switch state {
 	case TaskPending:
 		s.requeueTask(a)
--- a/internal/leader/cluster/attempt_test.go
+++ b/internal/leader/cluster/attempt_test.go
@@ -58,10 +58,10 @@
 			if _, broken := s.BrokenGangs[j]; broken != tt.wantBroken {
 				t.Errorf("broken gang = %v, want %v", broken, tt.wantBroken)
 			}
-			if _, marked := s.Unsaved.FinishedJobs[j]; j.Finished != tt.wantFinished || marked != tt.wantFinished {
+			if _, marked := s.UnsavedChanges.FinishedJobs[j]; j.Finished != tt.wantFinished || marked != tt.wantFinished {
 				t.Errorf("finished = %v, to be archived = %v, want %v", j.Finished, marked, tt.wantFinished)
 			}
-			if _, unsaved := s.Unsaved.Chunks[c]; !unsaved || !c.Dirty || c.DirtySince.IsZero() {
+			if _, unsaved := s.UnsavedChanges.Chunks[c]; !unsaved || !c.Dirty || c.DirtySince.IsZero() {
 				t.Errorf("chunk to be written = %v, dirty %v since %v", unsaved, c.Dirty, c.DirtySince)
 			}
 			if pending := tt.state == TaskPending; (c.FirstPending == 0) != pending || (j.FirstPendingChunk == 0) != pending {
@@ -70,7 +70,7 @@
 			if m.LastUsedAt.IsZero() || !m.LastUsedAt.Equal(j.lastActiveAt) {
 				t.Errorf("machine last used at %v, job last active at %v", m.LastUsedAt, j.lastActiveAt)
 			}
-			if !s.Cycle.Requested {
+			if !s.CycleTimer.Requested {
 				t.Error("no scheduling cycle was requested")
 			}
 		})
@@ -126,13 +126,13 @@
 	j := addTestJob(s, wire.KindArray, 4, 2)
 	held := addTestAttempt(j, 2, s.GetOrAddMachine("n-1"), 7)
 	tests := map[string]struct {
-		task wire.Task
+		task wire.TaskID
 		want *Attempt
 	}{
-		"of an unknown job":         {wire.Task{Job: "req-9", Index: 0}, nil},
-		"of a chunk never touched":  {wire.Task{Job: "req-1", Index: 0}, nil},
-		"of a task without attempt": {wire.Task{Job: "req-1", Index: 3}, nil},
-		"of a task with one":        {wire.Task{Job: "req-1", Index: 2}, held},
+		"of an unknown job":         {wire.TaskID{Job: "req-9", Index: 0}, nil},
+		"of a chunk never touched":  {wire.TaskID{Job: "req-1", Index: 0}, nil},
+		"of a task without attempt": {wire.TaskID{Job: "req-1", Index: 3}, nil},
+		"of a task with one":        {wire.TaskID{Job: "req-1", Index: 2}, held},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -27,11 +27,11 @@
 // Chunk is the progress of a fixed number of a job's tasks, which is stored as one record.
 type Chunk struct {
 	Job          *Job
-	Index        int              // in Job.Chunks
-	NextAttempt  wire.Attempt     // number of the next attempt of one of the tasks
-	TaskStates   []TaskState      // by task of the chunk
-	Attempts     map[int]*Attempt // by task of the chunk, those that may be on machines
-	FirstPending int              // no earlier task is pending
+	Index        int                // in Job.Chunks
+	NextAttempt  wire.AttemptNumber // number of the next attempt of one of the tasks
+	TaskStates   []TaskState        // by task of the chunk
+	Attempts     map[int]*Attempt   // by task of the chunk, those that may be on machines
+	FirstPending int                // no earlier task is pending
 	// UnstoredAttempts is how many of the attempts are not stored yet.
 	UnstoredAttempts int
 	ChunkRecordState
--- a/internal/leader/cluster/chunk_layout.go
+++ b/internal/leader/cluster/chunk_layout.go
@@ -45,9 +45,9 @@
 	return j.Chunks[n]
 }
 
-// ForEachPending calls start for up to limit pending tasks, in their order. A task that
+// ForEachPendingTask calls start for up to limit pending tasks, in their order. A task that
 // start leaves pending is not visited again.
-func (j *Job) ForEachPending(limit int, start func(c *Chunk, index int)) {
+func (j *Job) ForEachPendingTask(limit int, start func(c *Chunk, index int)) {
 	for chunkIndex := j.FirstPendingChunk; chunkIndex < len(j.Chunks); chunkIndex++ {
 		c := j.Chunk(chunkIndex)
 		for i := c.FirstPending; i < len(c.TaskStates); i++ {
--- a/internal/leader/cluster/chunk_layout_test.go
+++ b/internal/leader/cluster/chunk_layout_test.go
@@ -34,13 +34,13 @@
 			t.Errorf("states of sub-chunk %d = %v, want %v", n, got, want)
 		}
 	}
-	for n, want := range map[int]wire.Attempt{0: 9, 1: 9, 4: 6} {
+	for n, want := range map[int]wire.AttemptNumber{0: 9, 1: 9, 4: 6} {
 		if c := j.Chunks[n]; c.NextAttempt != want || c.Revision != 0 {
 			t.Errorf("sub-chunk %d: next attempt %d at revision %d, want %d at 0", n, c.NextAttempt, c.Revision, want)
 		}
 	}
 	for task, a := range map[int]*Attempt{1: stored, 3: unstored, 9: last} {
-		if got := s.ActiveAttempt(wire.Task{Job: "req-1", Index: task}); got != a || a.Task().Index != task || m.Tasks[a.Task()] != a {
+		if got := s.ActiveAttempt(wire.TaskID{Job: "req-1", Index: task}); got != a || a.Task().Index != task || m.Tasks[a.Task()] != a {
 			t.Errorf("attempt of task %d = %+v, want %+v as task %d", task, got, a, a.Task().Index)
 		}
 	}
--- a/internal/leader/cluster/chunk_test.go
+++ b/internal/leader/cluster/chunk_test.go
@@ -103,7 +103,7 @@
 	m := s.GetOrAddMachine("n-1")
 	j.Chunk(0).TaskStates[1], j.DoneTasks = TaskDone, 1
 	visit := func(n int) (visited []int) {
-		j.ForEachPending(n, func(c *Chunk, index int) {
+		j.ForEachPendingTask(n, func(c *Chunk, index int) {
 			task := c.Index*j.TasksPerChunk + index
 			visited = append(visited, task)
 			addTestAttempt(j, task, m, 1)
@@ -133,10 +133,10 @@
 func TestMarkDirtyKeepsTheTimeOfTheFirstChange(t *testing.T) {
 	s := newTestState(t)
 	c := addTestJob(s, wire.KindArray, 1, 1).Chunk(0)
-	s.Unsaved.MarkDirty(c)
+	s.UnsavedChanges.MarkDirty(c)
 	first := c.DirtySince
 	c.DirtySince = first.Add(-time.Second)
-	s.Unsaved.MarkDirty(c)
+	s.UnsavedChanges.MarkDirty(c)
 	if want := first.Add(-time.Second); !c.DirtySince.Equal(want) {
 		t.Errorf("dirty since %v after a second change, want %v", c.DirtySince, want)
 	}
--- a/internal/leader/cluster/cycle_timer.go
+++ b/internal/leader/cluster/cycle_timer.go
@@ -40,7 +40,7 @@
 
 // RequestCycle asks for a scheduling cycle soon. Further requests don't put it off.
 func (s *State) RequestCycle() {
-	if !s.Cycle.Requested {
-		s.Cycle.request(time.Now())
+	if !s.CycleTimer.Requested {
+		s.CycleTimer.request(time.Now())
 	}
 }
--- a/internal/leader/cluster/cycle_timer_test.go
+++ b/internal/leader/cluster/cycle_timer_test.go
@@ -24,14 +24,14 @@
 		t.Run(name, func(t *testing.T) {
 			s := newTestState(t)
 			before := time.Now()
-			s.Cycle.Begin(before.Add(-tt.sinceLast))
-			s.Cycle.LastDuration = tt.lastDuration
+			s.CycleTimer.Begin(before.Add(-tt.sinceLast))
+			s.CycleTimer.LastDuration = tt.lastDuration
 			s.RequestCycle()
 			after := time.Now()
-			if earliest := before.Add(tt.wantIn); s.Cycle.Due(earliest, time.Hour) {
+			if earliest := before.Add(tt.wantIn); s.CycleTimer.Due(earliest, time.Hour) {
 				t.Errorf("due %v after the request, want later", tt.wantIn)
 			}
-			if latest := after.Add(tt.wantIn + time.Microsecond); !s.Cycle.Due(latest, time.Hour) {
+			if latest := after.Add(tt.wantIn + time.Microsecond); !s.CycleTimer.Due(latest, time.Hour) {
 				t.Errorf("not due %v after the request", tt.wantIn)
 			}
 		})
@@ -41,25 +41,25 @@
 func TestCycleIsDueByIntervalOrRequest(t *testing.T) {
 	s := newTestState(t)
 	now := time.Now()
-	s.Cycle.Begin(now)
-	if s.Cycle.Due(now.Add(59*time.Second), time.Minute) {
+	s.CycleTimer.Begin(now)
+	if s.CycleTimer.Due(now.Add(59*time.Second), time.Minute) {
 		t.Error("due without a request before the interval is over")
 	}
-	if !s.Cycle.Due(now.Add(time.Minute), time.Minute) {
+	if !s.CycleTimer.Due(now.Add(time.Minute), time.Minute) {
 		t.Error("not due without a request once the interval is over")
 	}
 	s.RequestCycle()
-	first := s.Cycle
-	s.Cycle.LastDuration = time.Hour
+	first := s.CycleTimer
+	s.CycleTimer.LastDuration = time.Hour
 	s.RequestCycle()
-	if s.Cycle.notBefore != first.notBefore {
-		t.Errorf("a second request puts the cycle off from %v to %v", first.notBefore, s.Cycle.notBefore)
+	if s.CycleTimer.notBefore != first.notBefore {
+		t.Errorf("a second request puts the cycle off from %v to %v", first.notBefore, s.CycleTimer.notBefore)
 	}
-	if !s.Cycle.Due(now.Add(30*time.Second), time.Minute) {
+	if !s.CycleTimer.Due(now.Add(30*time.Second), time.Minute) {
 		t.Error("requested cycle is not due")
 	}
-	s.Cycle.Begin(now.Add(30 * time.Second))
-	if s.Cycle.Requested || s.Cycle.Due(now.Add(31*time.Second), time.Minute) {
+	s.CycleTimer.Begin(now.Add(30 * time.Second))
+	if s.CycleTimer.Requested || s.CycleTimer.Due(now.Add(31*time.Second), time.Minute) {
 		t.Error("still requested after it began")
 	}
 }
--- a/internal/leader/cluster/doc.go
+++ b/internal/leader/cluster/doc.go
@@ -38,5 +38,5 @@
 //	                   replaces what the chunk's record said
 //
 // With every transition but those of the reader the chunk is marked as one to be written
-// (Unsaved.MarkDirty).
+// (UnsavedChanges.MarkDirty).
 package cluster
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -10,10 +10,10 @@
 // one number, by which they find each other, and start together when the last has its
 // image.
 type Gang struct {
-	Number    wire.Attempt
-	StartedAt time.Time // when the scheduler decided on it, or the term inherited it
-	// Ran: a task of it ran, so that it was complete. Reconciliation sets it.
-	Ran bool
+	AttemptNumber wire.AttemptNumber
+	StartedAt     time.Time // when the scheduler decided on it, or the term inherited it
+	// HasRun: a task of it ran, so that it was complete. Reconciliation sets it.
+	HasRun bool
 	// Inherited from an earlier leader: it may have run before any heartbeat of this term
 	// shows it. RestoreGang sets it.
 	Inherited bool
@@ -33,17 +33,17 @@
 // waitsForMembers reports whether those of the gang's tasks that are on machines wait for
 // the others: the gang has not run, and the time that a task waits is not over.
 func (g *Gang) waitsForMembers(gangWait time.Duration) bool {
-	return !g.Ran && time.Since(g.StartedAt) < gangWait
+	return !g.HasRun && time.Since(g.StartedAt) < gangWait
 }
 
-// FullyStored reports whether every task of the gang has an attempt that is stored.
-func (j *Job) FullyStored() bool { return j.ActiveTasks == j.Spec.Tasks && j.UnstoredAttempts == 0 }
+// GangFullyStored reports whether every task of the gang has an attempt that is stored.
+func (j *Job) GangFullyStored() bool { return j.ActiveTasks == j.Spec.Tasks && j.UnstoredAttempts == 0 }
 
 // MayLaunch reports whether the attempt's launch may be sent. A gang's may once all of the
 // gang is stored, and no more once a task of it is lost.
 func (a *Attempt) MayLaunch() bool {
 	g := a.Job.Gang
-	return g == nil || a.Job.FullyStored() && !g.ending()
+	return g == nil || a.Job.GangFullyStored() && !g.ending()
 }
 
 // MayRelaunch reports whether a gang's task that its machine surely does not have, nor can
@@ -55,7 +55,7 @@
 	if g == nil || !a.MayLaunch() {
 		return false
 	}
-	if a.Observed || a.Stopping || a.Job.Cancelled {
+	if a.SeenInHeartbeat || a.Stopping || a.Job.Cancelled {
 		return false
 	}
 	return a.Machine.staying() && g.waitsForMembers(s.Settings.Workers.GangWait.Duration())
@@ -81,7 +81,7 @@
 		}
 		c.TaskStates[i] = TaskDone
 		c.Job.DoneTasks++
-		s.Unsaved.MarkDirty(c)
+		s.UnsavedChanges.MarkDirty(c)
 	}
 }
 
@@ -99,22 +99,22 @@
 		return
 	}
 	attempts := j.Attempts()
-	j.Gang = &Gang{Number: highestNumber(attempts), StartedAt: s.TermStartedAt, Inherited: true}
-	intact := j.FullyStored() && sameNumber(attempts, j.Gang.Number)
+	j.Gang = &Gang{AttemptNumber: highestNumber(attempts), StartedAt: s.TermStartedAt, Inherited: true}
+	intact := j.GangFullyStored() && sameNumber(attempts, j.Gang.AttemptNumber)
 	if !intact && !s.Quarantined(j.Spec.ID) {
 		s.BrokenGangs[j] = struct{}{}
 	}
 }
 
-func highestNumber(attempts []*Attempt) wire.Attempt {
-	var highest wire.Attempt
+func highestNumber(attempts []*Attempt) wire.AttemptNumber {
+	var highest wire.AttemptNumber
 	for _, a := range attempts {
 		highest = max(highest, a.Number)
 	}
 	return highest
 }
 
-func sameNumber(attempts []*Attempt, number wire.Attempt) bool {
+func sameNumber(attempts []*Attempt, number wire.AttemptNumber) bool {
 	for _, a := range attempts {
 		if a.Number != number {
 			return false
--- a/internal/leader/cluster/gang_test.go
+++ b/internal/leader/cluster/gang_test.go
@@ -8,25 +8,25 @@
 )
 
 func TestRestoreGangByWhatTheRecordsHold(t *testing.T) {
-	all := []wire.Attempt{4, 4, 4}
+	all := []wire.AttemptNumber{4, 4, 4}
 	tests := map[string]struct {
 		kind         wire.JobKind
-		attempts     []wire.Attempt // by task; 0: it has none
-		done         int            // tasks that the records have as done, from the last
+		attempts     []wire.AttemptNumber // by task; 0: it has none
+		done         int                  // tasks that the records have as done, from the last
 		quarantined  bool
-		wantGang     wire.Attempt // number of the gang's attempt; 0: none is restored
+		wantGang     wire.AttemptNumber // number of the gang's attempt; 0: none is restored
 		wantBroken   bool
 		wantFinished bool
 	}{
 		"not a gang":                     {kind: wire.KindArray, attempts: all},
-		"never started":                  {kind: wire.KindGang, attempts: []wire.Attempt{0, 0, 0}},
+		"never started":                  {kind: wire.KindGang, attempts: []wire.AttemptNumber{0, 0, 0}},
 		"all attempts of one number":     {kind: wire.KindGang, attempts: all, wantGang: 4},
-		"one attempt is missing":         {kind: wire.KindGang, attempts: []wire.Attempt{4, 0, 4}, wantGang: 4, wantBroken: true},
-		"one attempt of an older number": {kind: wire.KindGang, attempts: []wire.Attempt{3, 4, 4}, wantGang: 4, wantBroken: true},
-		"missing, but quarantined":       {kind: wire.KindGang, attempts: []wire.Attempt{4, 0, 4}, quarantined: true, wantGang: 4},
-		"some tasks are done":            {kind: wire.KindGang, attempts: []wire.Attempt{4, 4, 0}, done: 1, wantFinished: true},
-		"some are done, none is active":  {kind: wire.KindGang, attempts: []wire.Attempt{0, 0, 0}, done: 2, wantFinished: true},
-		"all tasks are done":             {kind: wire.KindGang, attempts: []wire.Attempt{0, 0, 0}, done: 3},
+		"one attempt is missing":         {kind: wire.KindGang, attempts: []wire.AttemptNumber{4, 0, 4}, wantGang: 4, wantBroken: true},
+		"one attempt of an older number": {kind: wire.KindGang, attempts: []wire.AttemptNumber{3, 4, 4}, wantGang: 4, wantBroken: true},
+		"missing, but quarantined":       {kind: wire.KindGang, attempts: []wire.AttemptNumber{4, 0, 4}, quarantined: true, wantGang: 4},
+		"some tasks are done":            {kind: wire.KindGang, attempts: []wire.AttemptNumber{4, 4, 0}, done: 1, wantFinished: true},
+		"some are done, none is active":  {kind: wire.KindGang, attempts: []wire.AttemptNumber{0, 0, 0}, done: 2, wantFinished: true},
+		"all tasks are done":             {kind: wire.KindGang, attempts: []wire.AttemptNumber{0, 0, 0}, done: 3},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 			switch {
 			case (j.Gang != nil) != (tt.wantGang > 0):
 				t.Errorf("gang = %+v, want number %d", j.Gang, tt.wantGang)
-			case j.Gang != nil && (j.Gang.Number != tt.wantGang || !j.Gang.Inherited || !j.Gang.StartedAt.Equal(s.TermStartedAt)):
+			case j.Gang != nil && (j.Gang.AttemptNumber != tt.wantGang || !j.Gang.Inherited || !j.Gang.StartedAt.Equal(s.TermStartedAt)):
 				t.Errorf("gang = %+v, want number %d inherited at %v", j.Gang, tt.wantGang, s.TermStartedAt)
 			}
 			if _, broken := s.BrokenGangs[j]; broken != tt.wantBroken {
@@ -71,7 +71,7 @@
 	for _, task := range []int{0, 1, 3} {
 		addTestAttempt(j, task, m, 4)
 	}
-	j.Gang = &Gang{Number: 4}
+	j.Gang = &Gang{AttemptNumber: 4}
 	j.Chunk(4).TaskStates[0], j.DoneTasks = TaskDone, 1 // chunks 2 and 3 were never touched
 
 	s.CompleteGang(j)
@@ -84,7 +84,7 @@
 			t.Errorf("state of task %d = %d, want %d", task, got, TaskDone)
 		}
 	}
-	if _, marked := s.Unsaved.FinishedJobs[j]; !j.Finished || !marked {
+	if _, marked := s.UnsavedChanges.FinishedJobs[j]; !j.Finished || !marked {
 		t.Errorf("finished = %v, to be archived = %v, want both", j.Finished, marked)
 	}
 	for n, want := range []bool{true, true, true, true, false} {
@@ -106,7 +106,7 @@
 		"broken":                  {func(_ *State, j *Job) { j.Gang.Broken = true }, false},
 		"stopping gracefully":     {func(_ *State, j *Job) { j.Gang.StopRequested, j.Gang.StoppingGracefully = true, true }, false},
 		"stopping without grace":  {func(_ *State, j *Job) { j.Gang.StopRequested = true }, true},
-		"running":                 {func(_ *State, j *Job) { j.Gang.Ran = true }, true},
+		"running":                 {func(_ *State, j *Job) { j.Gang.HasRun = true }, true},
 		"inherited and not known": {func(_ *State, j *Job) { j.Gang.Inherited = true }, true},
 	}
 	for name, tt := range tests {
@@ -129,16 +129,16 @@
 	}{
 		"gang waits for it":         {func(*Job, *Attempt) {}, true},
 		"not a gang's":              {func(j *Job, _ *Attempt) { j.Gang = nil }, false},
-		"it was observed":           {func(_ *Job, a *Attempt) { a.Observed = true }, false},
+		"it was observed":           {func(_ *Job, a *Attempt) { a.SeenInHeartbeat = true }, false},
 		"it is being stopped":       {func(_ *Job, a *Attempt) { a.Stopping = true }, false},
-		"the gang has run":          {func(j *Job, _ *Attempt) { j.Gang.Ran = true }, false},
+		"the gang has run":          {func(j *Job, _ *Attempt) { j.Gang.HasRun = true }, false},
 		"the gang is broken":        {func(j *Job, _ *Attempt) { j.Gang.Broken = true }, false},
 		"the job is cancelled":      {func(j *Job, _ *Attempt) { j.Cancelled = true }, false},
 		"its machine is drained":    {func(_ *Job, a *Attempt) { a.Machine.DrainReason = DrainSlow }, false},
 		"its machine is scaled in":  {func(_ *Job, a *Attempt) { a.Machine.ScalingIn = true }, false},
 		"the others have given up":  {func(j *Job, _ *Attempt) { j.Gang.StartedAt = time.Now().Add(-31 * time.Second) }, false},
 		"the others wait still":     {func(j *Job, _ *Attempt) { j.Gang.StartedAt = time.Now().Add(-20 * time.Second) }, true},
-		"another member's was seen": {func(j *Job, _ *Attempt) { j.Chunk(0).Attempts[1].Observed = true }, true},
+		"another member's was seen": {func(j *Job, _ *Attempt) { j.Chunk(0).Attempts[1].SeenInHeartbeat = true }, true},
 		"another machine is drained": {func(j *Job, _ *Attempt) {
 			j.Chunk(0).Attempts[1].Machine.DrainReason = DrainSlow
 		}, true},
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -63,9 +63,9 @@
 // refused by a machine, or by the store for its size.
 type JobFailures struct {
 	// FailedMachines are those on which a task of the job failed since the last success.
-	FailedMachines map[wire.MachineID]bool
-	Failures       int  // since the last success
-	Succeeded      bool // a task of it has completed in this term
+	FailedMachines   map[wire.MachineID]bool
+	Failures         int  // since the last success
+	AnyTaskSucceeded bool // a task of it has completed in this term
 	// StartNotBefore: no task of it is started before.
 	StartNotBefore time.Time
 }
@@ -96,13 +96,13 @@
 // FinalStatus returns the status with which a finished job is archived.
 func (j *Job) FinalStatus() wire.Status {
 	if j.Cancelled {
-		return wire.Cancelled
+		return wire.StatusCancelled
 	}
-	return wire.Done
+	return wire.StatusDone
 }
 
-// Pending returns how many tasks are neither done nor have an attempt.
-func (j *Job) Pending() int { return j.Spec.Tasks - j.DoneTasks - j.ActiveTasks }
+// PendingTasks returns how many tasks are neither done nor have an attempt.
+func (j *Job) PendingTasks() int { return j.Spec.Tasks - j.DoneTasks - j.ActiveTasks }
 
 // Attempts returns the attempts that may be on machines.
 func (j *Job) Attempts() []*Attempt {
--- a/internal/leader/cluster/job_test.go
+++ b/internal/leader/cluster/job_test.go
@@ -106,19 +106,19 @@
 func TestExpectedSecondsPrefersMeasuredRunTimes(t *testing.T) {
 	j := addTestJob(newTestState(t), wire.KindArray, 1, 1)
 	j.Spec.ExpectedRunTime = 30
-	if got := j.ExpectedSeconds(); got != 30 {
+	if got := j.ExpectedRunSeconds(); got != 30 {
 		t.Errorf("by its owner: %v, want 30", got)
 	}
 	for _, seconds := range []float64{50, 10, 40} {
 		j.RunTimes.Add(seconds)
 	}
-	if got := j.ExpectedSeconds(); got != 40 {
+	if got := j.ExpectedRunSeconds(); got != 40 {
 		t.Errorf("median of three: %v, want 40", got)
 	}
 	for range 15 {
 		j.RunTimes.Add(7)
 	}
-	if got := j.ExpectedSeconds(); got != 7 || len(j.RunTimes.Samples) != 15 {
+	if got := j.ExpectedRunSeconds(); got != 7 || len(j.RunTimes.Samples) != 15 {
 		t.Errorf("after 15 further ones: %v of %d samples, want 7 of 15", got, len(j.RunTimes.Samples))
 	}
 }
@@ -130,10 +130,10 @@
 		want         bool
 		wantStatus   wire.Status
 	}{
-		"tasks to come":             {1, 0, false, false, wire.Done},
-		"all done":                  {2, 0, false, true, wire.Done},
-		"cancelled, one is active":  {0, 1, true, false, wire.Cancelled},
-		"cancelled, none is active": {0, 0, true, true, wire.Cancelled},
+		"tasks to come":             {1, 0, false, false, wire.StatusDone},
+		"all done":                  {2, 0, false, true, wire.StatusDone},
+		"cancelled, one is active":  {0, 1, true, false, wire.StatusCancelled},
+		"cancelled, none is active": {0, 0, true, true, wire.StatusCancelled},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -141,13 +141,13 @@
 			j := addTestJob(s, wire.KindArray, 2, 2)
 			j.DoneTasks, j.ActiveTasks, j.Cancelled = tt.done, tt.active, tt.cancelled
 			s.MarkIfFinished(j)
-			if _, marked := s.Unsaved.FinishedJobs[j]; j.Finished != tt.want || marked != tt.want {
+			if _, marked := s.UnsavedChanges.FinishedJobs[j]; j.Finished != tt.want || marked != tt.want {
 				t.Errorf("finished = %v, to be archived = %v, want %v", j.Finished, marked, tt.want)
 			}
 			if got := j.FinalStatus(); got != tt.wantStatus {
 				t.Errorf("final status = %v, want %v", got, tt.wantStatus)
 			}
-			if got, want := j.Pending(), 2-tt.done-tt.active; got != want {
+			if got, want := j.PendingTasks(), 2-tt.done-tt.active; got != want {
 				t.Errorf("pending = %d, want %d", got, want)
 			}
 		})
--- a/internal/leader/cluster/launch.go
+++ b/internal/leader/cluster/launch.go
@@ -84,7 +84,7 @@
 // know of by now, and the heartbeat lacks it.
 func (m *Machine) MissesLaunch(heartbeat *wire.Heartbeat) bool {
 	for task, a := range m.Tasks {
-		expected := !a.Observed && a.launchedByReplyTo(heartbeat.Epoch) && heartbeat.Sequence > a.ReplySequence
+		expected := !a.SeenInHeartbeat && a.launchedByReplyTo(heartbeat.Epoch) && heartbeat.Sequence > a.ReplySequence
 		if expected && !listsAttempt(heartbeat, task, a.Number) {
 			return true
 		}
@@ -93,9 +93,9 @@
 }
 
 // listsAttempt reports whether a heartbeat has a state of the attempt.
-func listsAttempt(heartbeat *wire.Heartbeat, task wire.Task, number wire.Attempt) bool {
+func listsAttempt(heartbeat *wire.Heartbeat, task wire.TaskID, number wire.AttemptNumber) bool {
 	name := task.String()
-	return slices.ContainsFunc(heartbeat.Tasks, func(state wire.TaskState) bool {
+	return slices.ContainsFunc(heartbeat.Tasks, func(state wire.TaskStatus) bool {
 		return state.Task == name && state.Attempt == number
 	})
 }
--- a/internal/leader/cluster/launch_test.go
+++ b/internal/leader/cluster/launch_test.go
@@ -128,13 +128,13 @@
 		want      bool
 	}{
 		"launch was in no reply":       {func(a *Attempt) { a.ReplySequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
-		"already observed":             {func(a *Attempt) { a.Observed = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"already observed":             {func(a *Attempt) { a.SeenInHeartbeat = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
 		"heartbeat that was replied":   {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 5}, false},
 		"heartbeat of another epoch":   {func(a *Attempt) {}, wire.Heartbeat{Epoch: 3, Sequence: 6}, false},
 		"later heartbeat lacks it":     {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6}, true},
-		"later heartbeat lists it":     {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskState{{Task: "req-1/0", Attempt: 7}}}, false},
-		"another attempt is in there":  {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskState{{Task: "req-1/0", Attempt: 6}}}, true},
-		"another task has that number": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskState{{Task: "req-1/1", Attempt: 7}}}, true},
+		"later heartbeat lists it":     {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 7}}}, false},
+		"another attempt is in there":  {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 6}}}, true},
+		"another task has that number": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/1", Attempt: 7}}}, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -22,10 +22,10 @@
 
 	// Tasks are the attempts that may be on the machine, kept by Chunk.Add and
 	// Attempt.Detach; usedResources is what they take.
-	Tasks         map[wire.Task]*Attempt
+	Tasks         map[wire.TaskID]*Attempt
 	usedResources placement.Resources
 	// OrphanTasks are tasks in its last heartbeat that this term has no such attempt of.
-	OrphanTasks map[wire.Task]bool
+	OrphanTasks map[wire.TaskID]bool
 	Images      ImageCache
 	// Reservations are the scheduler's.
 	Reservations []Reservation
@@ -98,8 +98,8 @@
 	FailedJobs map[wire.JobID]bool // jobs that failed on it since the last success
 	Failures   int                 // of tasks since the last success
 	SlowRuns   slowRunCounts
-	// RefusedUntil: it refused a start, and gets no further one until then.
-	RefusedUntil time.Time
+	// StartNotBefore: it refused a start, and gets no further one until then.
+	StartNotBefore time.Time
 }
 
 // GetOrAddMachine returns the entry of a machine, which is made if there is none.
@@ -115,8 +115,8 @@
 func newMachine(id wire.MachineID, now time.Time) *Machine {
 	return &Machine{
 		ID:              id,
-		Tasks:           map[wire.Task]*Attempt{},
-		OrphanTasks:     map[wire.Task]bool{},
+		Tasks:           map[wire.TaskID]*Attempt{},
+		OrphanTasks:     map[wire.TaskID]bool{},
 		LastUsedAt:      now,
 		Provisioning:    Provisioning{RequestedAt: now, ListedAt: now},
 		MachineFailures: MachineFailures{FailedJobs: map[wire.JobID]bool{}},
--- a/internal/leader/cluster/machine_lifecycle.go
+++ b/internal/leader/cluster/machine_lifecycle.go
@@ -29,15 +29,15 @@
 	DrainSpotNotice DrainReason = "spot notice"
 	DrainRestarted  DrainReason = "restarted"
 	DrainIdle       DrainReason = "idle"
-	// DrainFailed: it has failed by the cloud's list.
-	DrainFailed         DrainReason = "failed"
-	DrainUnresponsive   DrainReason = "silent"
-	DrainNeverUp        DrainReason = "never came up"
-	DrainInboundLost    DrainReason = "receives nothing"
-	DrainOutboundLost   DrainReason = "its reports don't arrive"
-	DrainLeaseExpiring  DrainReason = "its lease ends while its zone is partitioned"
-	DrainAdoptedScaleIn DrainReason = "an earlier leader was returning it"
-	DrainUncancellable  DrainReason = "a cancelled task could not be stopped"
+	// DrainFailedInCloud: it has failed by the cloud's list.
+	DrainFailedInCloud            DrainReason = "failed"
+	DrainUnresponsive             DrainReason = "silent"
+	DrainBootTimeout              DrainReason = "never came up"
+	DrainInboundConnectivityLost  DrainReason = "receives nothing"
+	DrainOutboundConnectivityLost DrainReason = "its reports don't arrive"
+	DrainLeaseExpiring            DrainReason = "its lease ends while its zone is partitioned"
+	DrainAdoptedScaleIn           DrainReason = "an earlier leader was returning it"
+	DrainUncancellable            DrainReason = "a cancelled task could not be stopped"
 )
 
 // MachineLifecycle names where a machine is between scale-out and scale-in. It is a label
--- a/internal/leader/cluster/machine_test.go
+++ b/internal/leader/cluster/machine_test.go
@@ -33,7 +33,7 @@
 		"up":                    {false, DrainState{}, MachineUp, true},
 		"cordoned":              {false, DrainState{Cordoned: true}, MachineUp, true},
 		"booting":               {true, DrainState{}, MachineBooting, true},
-		"booting, drained":      {true, DrainState{DrainReason: DrainNeverUp}, MachineDraining, false},
+		"booting, drained":      {true, DrainState{DrainReason: DrainBootTimeout}, MachineDraining, false},
 		"drained":               {false, DrainState{DrainReason: DrainSlow}, MachineDraining, false},
 		"drained and scaled in": {false, DrainState{DrainReason: DrainIdle, ScalingIn: true}, MachineReleasing, false},
 		"booting and scaled in": {true, DrainState{ScalingIn: true}, MachineReleasing, false},
@@ -58,7 +58,7 @@
 	prepare := map[wire.MachineID]func(m *Machine){
 		"up":                    func(*Machine) {},
 		"booting":               func(m *Machine) { m.Booting = true },
-		"booting, drained":      func(m *Machine) { m.Booting, m.DrainReason = true, DrainNeverUp },
+		"booting, drained":      func(m *Machine) { m.Booting, m.DrainReason = true, DrainBootTimeout },
 		"drained":               func(m *Machine) { m.DrainReason = DrainSlow },
 		"drained and scaled in": func(m *Machine) { m.DrainReason, m.ScalingIn = DrainIdle, true },
 		"booting and scaled in": func(m *Machine) { m.Booting, m.ScalingIn = true, true },
--- a/internal/leader/cluster/reachability.go
+++ b/internal/leader/cluster/reachability.go
@@ -20,23 +20,23 @@
 	return now.Sub(Latest(m.HeartbeatsMissingSince, Latest(s.StoreAvailableSince, s.DelegatesRenewedUntil)))
 }
 
-// OutboundLost reports whether a machine looks alive but can't reach any controller: its
+// OutboundConnectivityLost reports whether a machine looks alive but can't reach any controller: its
 // lease expires again and again, with all that is started there. It takes nothing new, and
 // its room is not counted on. (Tasks longer than a lease were once started on such machines
 // for ever and never completed.)
-func (s *State) OutboundLost(m *Machine, now time.Time) bool {
+func (s *State) OutboundConnectivityLost(m *Machine, now time.Time) bool {
 	halfLease := s.Settings.Workers.Lease.Duration() / 2
 	return s.HeartbeatsMissingFor(m, now) > max(halfLease, 2*s.HeartbeatInterval())
 }
 
-// Partitioned reports whether a zone seems partitioned from this node now.
-func (t *MachineTable) Partitioned(zone wire.Zone, now time.Time) bool {
+// ZonePartitioned reports whether a zone seems partitioned from this node now.
+func (t *MachineTable) ZonePartitioned(zone wire.Zone, now time.Time) bool {
 	return t.ZoneDetector.Partitioned(zone, now)
 }
 
-// RecentlyPartitioned reports whether a zone seems partitioned from this node, or did so
+// ZoneRecentlyPartitioned reports whether a zone seems partitioned from this node, or did so
 // lately: its machines need a while until their heartbeats come again.
-func (t *MachineTable) RecentlyPartitioned(zone wire.Zone, now time.Time) bool {
+func (t *MachineTable) ZoneRecentlyPartitioned(zone wire.Zone, now time.Time) bool {
 	return t.ZoneDetector.RecentlyPartitioned(zone, now)
 }
 
--- a/internal/leader/cluster/reachability_test.go
+++ b/internal/leader/cluster/reachability_test.go
@@ -35,7 +35,7 @@
 			if got := s.HeartbeatsMissingFor(m, now); got != tt.wantFor {
 				t.Errorf("HeartbeatsMissingFor = %v, want %v", got, tt.wantFor)
 			}
-			if got := s.OutboundLost(m, now); got != tt.wantLost {
+			if got := s.OutboundConnectivityLost(m, now); got != tt.wantLost {
 				t.Errorf("OutboundLost = %v, want %v", got, tt.wantLost)
 			}
 		})
@@ -48,10 +48,10 @@
 	s.Settings.Workers.HeartbeatInterval = 10 // longer than a quarter of the lease
 	m := s.GetOrAddMachine("n-1")
 	m.HeartbeatsMissingSince = now.Add(-20 * time.Second)
-	if s.OutboundLost(m, now) {
+	if s.OutboundConnectivityLost(m, now) {
 		t.Error("lost after two intervals, want later")
 	}
-	if !s.OutboundLost(m, now.Add(time.Millisecond)) {
+	if !s.OutboundConnectivityLost(m, now.Add(time.Millisecond)) {
 		t.Error("not lost after more than two intervals")
 	}
 }
@@ -78,17 +78,17 @@
 	mostAreLost := detector.Counts{Up: 10, Lost: 9, AllUp: 100}
 	s.ZoneDetector.Judge("a", mostAreLost, begin)
 
-	if !s.Partitioned("a", begin) || !s.RecentlyPartitioned("a", begin) || !s.UnseenSincePartition(behind, begin) {
+	if !s.ZonePartitioned("a", begin) || !s.ZoneRecentlyPartitioned("a", begin) || !s.UnseenSincePartition(behind, begin) {
 		t.Error("zone is not partitioned, or the machine not behind the partition, when most of it is lost")
 	}
 	if s.UnseenSincePartition(seen, begin) {
 		t.Error("machine is behind the partition although it was seen since")
 	}
-	if s.Partitioned("b", begin) || s.RecentlyPartitioned("b", begin) {
+	if s.ZonePartitioned("b", begin) || s.ZoneRecentlyPartitioned("b", begin) {
 		t.Error("another zone is partitioned")
 	}
 	later := begin.Add(time.Hour)
-	if s.Partitioned("a", later) || s.RecentlyPartitioned("a", later) || s.UnseenSincePartition(behind, later) {
+	if s.ZonePartitioned("a", later) || s.ZoneRecentlyPartitioned("a", later) || s.UnseenSincePartition(behind, later) {
 		t.Error("zone is still partitioned an hour later")
 	}
 }
--- a/internal/leader/cluster/resources.go
+++ b/internal/leader/cluster/resources.go
@@ -10,8 +10,8 @@
 // Reservation is room that is being made on a machine for a job.
 type Reservation struct {
 	placement.Reservation
-	AwaitedTasks []wire.Task // expected to end by themselves
-	Until        time.Time   // until when it is kept
+	AwaitedTasks []wire.TaskID // expected to end by themselves
+	ExpiresAt    time.Time     // until when it is kept
 }
 
 // MachineResources returns all the room of a machine of the type.
--- a/internal/leader/cluster/resources_test.go
+++ b/internal/leader/cluster/resources_test.go
@@ -8,22 +8,22 @@
 )
 
 func TestFreeResourcesCountAttemptsAndOrphans(t *testing.T) {
-	ours := wire.Task{Job: "req-1", Index: 0}
-	other := wire.Task{Job: "req-1", Index: 1}
+	ours := wire.TaskID{Job: "req-1", Index: 0}
+	other := wire.TaskID{Job: "req-1", Index: 1}
 	tests := map[string]struct {
 		machineType wire.MachineType
 		attempts    int
-		orphans     []wire.Task
+		orphans     []wire.TaskID
 		want        placement.Resources
 	}{
 		"empty":                         {"k4", 0, nil, placement.Resources{CPUs: 4, MemoryGB: 16}},
 		"with attempts":                 {"k4", 2, nil, placement.Resources{CPUs: 2, MemoryGB: 12}},
 		"of a type that is not listed":  {"k9", 0, nil, placement.Resources{}},
-		"orphan of a known job":         {"k4", 0, []wire.Task{other}, placement.Resources{CPUs: 3, MemoryGB: 14}},
-		"orphan and attempts":           {"k4", 1, []wire.Task{other}, placement.Resources{CPUs: 2, MemoryGB: 12}},
-		"older attempt of a task of it": {"k4", 1, []wire.Task{ours}, placement.Resources{CPUs: 3, MemoryGB: 14}},
-		"orphan of unknown size":        {"k4", 0, []wire.Task{{Job: "req-9", Index: 0}}, placement.Resources{}},
-		"both kinds of orphans":         {"k4", 1, []wire.Task{other, {Job: "req-9", Index: 0}}, placement.Resources{}},
+		"orphan of a known job":         {"k4", 0, []wire.TaskID{other}, placement.Resources{CPUs: 3, MemoryGB: 14}},
+		"orphan and attempts":           {"k4", 1, []wire.TaskID{other}, placement.Resources{CPUs: 2, MemoryGB: 12}},
+		"older attempt of a task of it": {"k4", 1, []wire.TaskID{ours}, placement.Resources{CPUs: 3, MemoryGB: 14}},
+		"orphan of unknown size":        {"k4", 0, []wire.TaskID{{Job: "req-9", Index: 0}}, placement.Resources{}},
+		"both kinds of orphans":         {"k4", 1, []wire.TaskID{other, {Job: "req-9", Index: 0}}, placement.Resources{}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/rig_test.go
+++ b/internal/leader/cluster/rig_test.go
@@ -36,7 +36,7 @@
 }
 
 // addTestAttempt adds a stored attempt of one of the job's tasks on a machine.
-func addTestAttempt(j *Job, task int, m *Machine, number wire.Attempt) *Attempt {
+func addTestAttempt(j *Job, task int, m *Machine, number wire.AttemptNumber) *Attempt {
 	c := j.Chunk(task / j.TasksPerChunk)
 	a := &Attempt{Job: j, Chunk: c, Index: task % j.TasksPerChunk, Number: number, Machine: m, ScheduledAt: time.Now()}
 	c.AddAttempt(a)
@@ -56,6 +56,6 @@
 	for i := range tasks {
 		addTestAttempt(j, i, s.GetOrAddMachine(wire.MachineID(rune('a'+i))), 3)
 	}
-	j.Gang = &Gang{Number: 3, StartedAt: time.Now()}
+	j.Gang = &Gang{AttemptNumber: 3, StartedAt: time.Now()}
 	return j
 }
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -46,9 +46,9 @@
 // their job's other tasks.
 type slowRunCounts struct{ Slow, Normal int }
 
-// ExpectedSeconds returns the expected run time of a task: what was measured, else what
+// ExpectedRunSeconds returns the expected run time of a task: what was measured, else what
 // the owner says.
-func (j *Job) ExpectedSeconds() float64 {
+func (j *Job) ExpectedRunSeconds() float64 {
 	if j.RunTimes.measured() {
 		return j.RunTimes.Median()
 	}
@@ -62,7 +62,7 @@
 	if a.RunningSince.IsZero() || a.Job.Spec.IsService() {
 		return math.Inf(1)
 	}
-	expected := a.Job.ExpectedSeconds()
+	expected := a.Job.ExpectedRunSeconds()
 	if !a.Job.RunTimes.measured() {
 		expected *= ownerEstimateFactor
 	}
@@ -72,7 +72,7 @@
 // PlannedRemainingSeconds returns in how many seconds the attempt is expected to end by its
 // run time alone, one at least.
 func (a *Attempt) PlannedRemainingSeconds(now time.Time) float64 {
-	remaining := a.Job.ExpectedSeconds()
+	remaining := a.Job.ExpectedRunSeconds()
 	if !a.RunningSince.IsZero() {
 		remaining -= now.Sub(a.RunningSince).Seconds()
 	}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -29,8 +29,8 @@
 	// ActiveVersion is the version of the behaviour that the leader acts by.
 	ActiveVersion upgrade.Version
 
-	Unsaved unsavedChanges
-	Cycle   cycleTimer
+	UnsavedChanges unsavedChanges
+	CycleTimer     cycleTimer
 }
 
 // JobTable indexes the jobs of a term. Recovery and the watch on job records add jobs;
@@ -65,8 +65,8 @@
 type TermReadiness struct {
 	// QuorumAckedAt is when a quorum first acknowledged this term's fencing token.
 	QuorumAckedAt time.Time
-	// Recovered is set when the records have been read.
-	Recovered bool
+	// RecordsRead is set when the records have been read.
+	RecordsRead bool
 	// SchedulingEnabled is set when the first round of heartbeats is over.
 	SchedulingEnabled bool
 	// MachineListReceived is set when a machine list has come in, and
@@ -107,7 +107,7 @@
 			RemovedMachines: map[wire.MachineID]time.Time{},
 			ZoneDetector:    detector.NewZones(startedAt, settings.Workers.HeartbeatInterval.Duration()),
 		},
-		Unsaved: newUnsavedChanges(),
+		UnsavedChanges: newUnsavedChanges(),
 	}
 }
 
--- a/internal/leader/cluster/unsaved.go
+++ b/internal/leader/cluster/unsaved.go
@@ -34,5 +34,5 @@
 		return
 	}
 	j.Finished = true
-	s.Unsaved.markFinished(j)
+	s.UnsavedChanges.markFinished(j)
 }
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -10,11 +10,11 @@
 // runDueWork does what has become due after an event: it stops the rest of broken gangs,
 // runs a scheduling cycle and writes what has changed.
 func (t *term) runDueWork(now time.Time) {
-	if !t.state.Recovered || !t.Lease.Deciding() {
+	if !t.state.RecordsRead || !t.Lease.Deciding() {
 		return
 	}
 	t.dispatcher.StopBrokenGangs()
-	if t.state.SchedulingEnabled && t.state.Cycle.Due(now, t.maxCycleInterval()) {
+	if t.state.SchedulingEnabled && t.state.CycleTimer.Due(now, t.maxCycleInterval()) {
 		t.runCycle(now)
 	}
 	t.committer.Flush(now)
@@ -40,5 +40,5 @@
 		}
 	}
 	t.scheduler.FinishCycle(cycle)
-	t.Metrics.SchedulingCycle(t.state.Cycle.LastDuration, cycle.Starts, len(cycle.Preemptions))
+	t.Metrics.SchedulingCycle(t.state.CycleTimer.LastDuration, cycle.Starts, len(cycle.Preemptions))
 }
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -107,8 +107,8 @@
 }
 
 // mustStop reports whether a task runs although its job is known to be cancelled.
-func (d *Delegate) mustStop(state *wire.TaskState) bool {
-	task, err := wire.ParseTask(state.Task)
+func (d *Delegate) mustStop(state *wire.TaskStatus) bool {
+	task, err := wire.ParseTaskID(state.Task)
 	if err != nil || state.Phase == wire.PhaseExited {
 		return false
 	}
@@ -116,9 +116,9 @@
 	return cancelled
 }
 
-func stopAtOnce(state *wire.TaskState) wire.Command {
+func stopAtOnce(state *wire.TaskStatus) wire.Command {
 	noGracePeriod := wire.Seconds(0)
-	return wire.Command{Verb: wire.Stop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &noGracePeriod}
+	return wire.Command{Verb: wire.VerbStop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &noGracePeriod}
 }
 
 // renewalToken returns the token with which this node may renew the lease of a worker
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -150,7 +150,7 @@
 
 func testDelegateAnswer(t *testing.T, s situation, want bool) {
 	d, mesh := newDelegate(s)
-	heartbeat := &wire.Heartbeat{Machine: "n-1", Token: s.seenByWorker, Tasks: []wire.TaskState{
+	heartbeat := &wire.Heartbeat{Machine: "n-1", Token: s.seenByWorker, Tasks: []wire.TaskStatus{
 		{Task: "req-7/0", Attempt: 1, Phase: wire.PhaseRunning},
 		{Task: "req-8/0", Attempt: 1, Phase: wire.PhaseRunning},
 		{Task: "req-7/1", Attempt: 2, Phase: wire.PhaseExited},
@@ -162,7 +162,7 @@
 	if answer == nil {
 		return
 	}
-	if answer.Token != 50 || len(answer.Commands) != 1 || answer.Commands[0].Verb != wire.Stop || answer.Commands[0].Task != "req-7/0" {
+	if answer.Token != 50 || len(answer.Commands) != 1 || answer.Commands[0].Verb != wire.VerbStop || answer.Commands[0].Task != "req-7/0" {
 		t.Errorf("%+v: answers %+v, want token 50 and the stop of req-7/0", s, answer)
 	}
 	// A token that arrives between the record and the answer still counts.
--- a/internal/leader/demands_test.go
+++ b/internal/leader/demands_test.go
@@ -24,8 +24,8 @@
 		t.Errorf("zones: got %s, want %s", got, want)
 	}
 	for _, d := range tm.scheduler.Demands(time.Now(), 0.6, 2) {
-		if d.Spec.ID == spec.ID && (d.ZoneLeft["a"] != 3 || d.ZoneLeft["d"] != 3) {
-			t.Errorf("room left in zones a and d: got %v, want 3 in each", d.ZoneLeft)
+		if d.Spec.ID == spec.ID && (d.ZoneCapacityLeft["a"] != 3 || d.ZoneCapacityLeft["d"] != 3) {
+			t.Errorf("room left in zones a and d: got %v, want 3 in each", d.ZoneCapacityLeft)
 		}
 	}
 }
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -19,7 +19,7 @@
 )
 
 // Tenure are the terms on which a lease was taken.
-type Tenure = duty.Tenure
+type Tenure = duty.Acquisition
 
 // Lease is the leadership as its holder knows it. It is safe for concurrent use.
 type Lease struct {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -11,7 +11,7 @@
 )
 
 // gangAttempt is the number of the attempts of the gang of newGangTerm.
-const gangAttempt wire.Attempt = 4
+const gangAttempt wire.AttemptNumber = 4
 
 // newGangTerm returns a term without I/O with a gang of three tasks that checkpoints. Each
 // task has an attempt that is stored, on a machine of its own. Chunks have two tasks.
@@ -26,7 +26,7 @@
 	j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 20, 3
 	j.TasksPerChunk = 2
 	j.Chunks = make([]*cluster.Chunk, (tasks+1)/2)
-	j.Gang = &cluster.Gang{Number: gangAttempt, StartedAt: time.Now()}
+	j.Gang = &cluster.Gang{AttemptNumber: gangAttempt, StartedAt: time.Now()}
 	for i := range tasks {
 		c := j.Chunk(i / j.TasksPerChunk)
 		c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Index: i % j.TasksPerChunk, Number: gangAttempt, Machine: addHeardMachine(tm, i), ScheduledAt: time.Now()})
@@ -53,7 +53,7 @@
 func countLaunches(commands []wire.Command) int {
 	n := 0
 	for _, command := range commands {
-		if command.Verb == wire.Launch {
+		if command.Verb == wire.VerbLaunch {
 			n++
 		}
 	}
@@ -92,7 +92,7 @@
 
 // activeRecords returns the chunks' records of a gang on machines n-1 and on, by the
 // numbers of its tasks' active attempts. 0 means none.
-func activeRecords(numbers ...wire.Attempt) []store.ChunkRecord {
+func activeRecords(numbers ...wire.AttemptNumber) []store.ChunkRecord {
 	var records []store.ChunkRecord
 	for i, number := range numbers {
 		if i%2 == 0 {
--- a/internal/leader/gang_launch_test.go
+++ b/internal/leader/gang_launch_test.go
@@ -28,7 +28,7 @@
 		{"it is being stopped", func(_ *term, j *cluster.Job) { j.Gang.StoppingGracefully = true }, false},
 		{"it was stopped at once", func(tm *term, j *cluster.Job) { tm.dispatcher.StopGang(j, 0, cluster.EvictedPreempted) }, false},
 		{"it was stopped gracefully", func(tm *term, j *cluster.Job) {
-			j.Gang.Ran = true
+			j.Gang.HasRun = true
 			tm.dispatcher.StopGang(j, 13, cluster.EvictedPreempted)
 		}, false},
 		{"its job was cancelled", func(_ *term, j *cluster.Job) { j.Cancelled = true }, false},
@@ -60,9 +60,9 @@
 	}{
 		{"the others wait", func(*cluster.Job, *cluster.Attempt) {}, true},
 		{"an array's task", func(j *cluster.Job, _ *cluster.Attempt) { j.Gang = nil }, false},
-		{"it was observed", func(_ *cluster.Job, a *cluster.Attempt) { a.Observed = true }, false},
+		{"it was observed", func(_ *cluster.Job, a *cluster.Attempt) { a.SeenInHeartbeat = true }, false},
 		{"it is being stopped", func(_ *cluster.Job, a *cluster.Attempt) { a.Stopping = true }, false},
-		{"the gang ran", func(j *cluster.Job, _ *cluster.Attempt) { j.Gang.Ran = true }, false},
+		{"the gang ran", func(j *cluster.Job, _ *cluster.Attempt) { j.Gang.HasRun = true }, false},
 		{"another was lost", func(j *cluster.Job, _ *cluster.Attempt) { j.Gang.Broken = true }, false},
 		{"the job was cancelled", func(j *cluster.Job, _ *cluster.Attempt) { j.Cancelled = true }, false},
 		{"its machine is drained", func(_ *cluster.Job, a *cluster.Attempt) { a.Machine.DrainReason = "slow" }, false},
@@ -105,8 +105,8 @@
 		machines = append(machines, addHeardMachine(tm, i))
 	}
 	tm.scheduler.StartGang(j, machines, time.Now())
-	if n := len(j.Attempts()); n != 3 || j.UnstoredAttempts != 3 || j.Gang.Number != 7 || j.Gang.Inherited || j.FullyStored() {
-		t.Errorf("got %d attempts, %d not stored, gang %+v, fully stored %v, want 3, 3, number 7, false", n, j.UnstoredAttempts, j.Gang, j.FullyStored())
+	if n := len(j.Attempts()); n != 3 || j.UnstoredAttempts != 3 || j.Gang.AttemptNumber != 7 || j.Gang.Inherited || j.GangFullyStored() {
+		t.Errorf("got %d attempts, %d not stored, gang %+v, fully stored %v, want 3, 3, number 7, false", n, j.UnstoredAttempts, j.Gang, j.GangFullyStored())
 	}
 	for _, a := range j.Attempts() {
 		if a.Number != 7 || !a.Unstored || a.MayLaunch() {
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -26,7 +26,7 @@
 			if (j.Gang != nil) != c.wantGang {
 				t.Fatalf("gang: got %+v, want one: %v", j.Gang, c.wantGang)
 			}
-			if c.wantGang && (j.Gang.Number != gangAttempt || !j.Gang.Inherited || j.Gang.Ran) {
+			if c.wantGang && (j.Gang.AttemptNumber != gangAttempt || !j.Gang.Inherited || j.Gang.HasRun) {
 				t.Errorf("gang: got %+v, want number %d, inherited, not known to have run", j.Gang, gangAttempt)
 			}
 			tm.dispatcher.StopBrokenGangs()
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -15,7 +15,7 @@
 // All of a gang are told to stop at once, each with the same grace period. A later, longer
 // one replaces no shorter one.
 func TestGangStopsWithTheShortestGracePeriod(t *testing.T) {
-	ran := func(g *cluster.Gang) { g.Ran = true }
+	ran := func(g *cluster.Gang) { g.HasRun = true }
 	cases := []struct {
 		name    string
 		setup   func(g *cluster.Gang)
@@ -49,7 +49,7 @@
 
 func TestCancelledGangHasNoTimeToCheckpoint(t *testing.T) {
 	tm, j := newGangTerm(t)
-	j.Gang.Ran = true
+	j.Gang.HasRun = true
 	tm.dispatcher.Stop(member(j, 1), 13, cluster.EvictedPreempted)
 	tm.dispatcher.StopCancelledJob(j)
 	if got, want := gracePeriods(j), allWith(j, 0); !slices.Equal(got, want) {
@@ -61,7 +61,7 @@
 // scheduled again.
 func TestBrokenGangIsStoppedAndScheduledAgain(t *testing.T) {
 	tm, j := newGangTerm(t)
-	j.Gang.Ran = true
+	j.Gang.HasRun = true
 	tm.dispatcher.StopBrokenGangs()
 	if got, want := gracePeriods(j), allWith(j, notStopped); !slices.Equal(got, want) {
 		t.Errorf("grace periods of a complete gang: got %v, want %v", got, want)
@@ -76,17 +76,17 @@
 	}
 	tm.state.EndAttempt(member(j, 0), cluster.TaskPending)
 	tm.state.EndAttempt(member(j, 2), cluster.TaskPending)
-	tm.state.Cycle.Requested = false
+	tm.state.CycleTimer.Requested = false
 	tm.dispatcher.StopBrokenGangs()
-	if schedulable := tm.scheduler.Schedulable(j, time.Now()); j.Gang != nil || !tm.state.Cycle.Requested || !schedulable {
-		t.Errorf("with no task left: got gang %+v, cycle requested %v, schedulable %v, want none, true, true", j.Gang, tm.state.Cycle.Requested, schedulable)
+	if schedulable := tm.scheduler.Schedulable(j, time.Now()); j.Gang != nil || !tm.state.CycleTimer.Requested || !schedulable {
+		t.Errorf("with no task left: got gang %+v, cycle requested %v, schedulable %v, want none, true, true", j.Gang, tm.state.CycleTimer.Requested, schedulable)
 	}
 }
 
 // A task that ends while its gang stops gracefully does not shorten the others' time.
 func TestGracefullyStoppingGangKeepsItsGracePeriod(t *testing.T) {
 	tm, j := newGangTerm(t)
-	j.Gang.Ran = true
+	j.Gang.HasRun = true
 	tm.dispatcher.Stop(member(j, 0), 13, cluster.EvictedPreempted)
 	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
 	tm.dispatcher.StopBrokenGangs()
@@ -99,7 +99,7 @@
 func TestGangIsDoneWhenOneTaskIs(t *testing.T) {
 	tm, j := newGangTerm(t)
 	m := member(j, 1).Machine
-	heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken, wire.TaskState{Task: "req-2/1", Attempt: gangAttempt, Phase: wire.PhaseExited, Cause: wire.CauseDone})
+	heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken, wire.TaskStatus{Task: "req-2/1", Attempt: gangAttempt, Phase: wire.PhaseExited, Cause: wire.CauseDone})
 	heartbeat.Machine = m.ID
 	tm.reconciler.Reconcile(m, heartbeat, true, time.Now())
 	tm.dispatcher.StopBrokenGangs()
@@ -119,12 +119,12 @@
 func newNoticeTerm(t *testing.T) *noticeTerm {
 	t.Helper()
 	tm, j := newGangTerm(t)
-	j.Gang.Ran = true
+	j.Gang.HasRun = true
 	spec := wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}
 	arrayJob := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
 	tm.state.Jobs[spec.ID] = arrayJob
 	n := &noticeTerm{term: tm, gang: j, reclaimed: member(j, 0).Machine}
-	n.array = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Number: 2, Machine: n.reclaimed, Observed: true}
+	n.array = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Number: 2, Machine: n.reclaimed, SeenInHeartbeat: true}
 	n.array.Chunk.AddAttempt(n.array)
 	n.pendingLaunch = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Index: 1, Number: 3, Machine: member(j, 1).Machine}
 	n.pendingLaunch.Chunk.AddAttempt(n.pendingLaunch)
@@ -160,7 +160,7 @@
 	t.Helper()
 	stops := 0
 	for _, command := range reply.Commands {
-		if command.Verb == wire.Stop && command.Task == "req-2/1" && *command.GracePeriod == 13 {
+		if command.Verb == wire.VerbStop && command.Task == "req-2/1" && *command.GracePeriod == 13 {
 			stops++
 		}
 	}
@@ -172,7 +172,7 @@
 // sendSecondHeartbeat returns the reply to a heartbeat of the gang's second machine.
 func (n *noticeTerm) sendSecondHeartbeat() *wire.Commands {
 	n.leader.Cancels.RecordRead(time.Now())
-	heartbeat := heartbeatFrom(1, 11, n.state.FirstToken, wire.TaskState{Task: "req-2/1", Attempt: gangAttempt, Phase: wire.PhaseRunning})
+	heartbeat := heartbeatFrom(1, 11, n.state.FirstToken, wire.TaskStatus{Task: "req-2/1", Attempt: gangAttempt, Phase: wire.PhaseRunning})
 	heartbeat.Machine = member(n.gang, 1).Machine.ID
 	return sendHeartbeat(n.term, heartbeat).Commands
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -30,7 +30,7 @@
 	other := tm.state.GetOrAddMachine("n-2")
 	now := time.Now()
 	for _, reserved := range []*cluster.Machine{m, other} {
-		reserved.Reservations = []cluster.Reservation{{Reservation: placement.Reservation{Job: "req-2", Rank: 1}, Until: now.Add(time.Minute)}}
+		reserved.Reservations = []cluster.Reservation{{Reservation: placement.Reservation{Job: "req-2", Rank: 1}, ExpiresAt: now.Add(time.Minute)}}
 		tm.scheduler.ReservedMachines[reserved] = struct{}{}
 	}
 	if got := tm.scheduler.PruneReservations(now); got["req-2"] != 2 {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -99,7 +99,7 @@
 	l.delegate = newDelegate(l.Dependencies, l.delegationBounds)
 	l.agents = &agents.Client{}
 	tm := newTerm(l, newLease(l, 50, time.Hour))
-	tm.state.Recovered = true
+	tm.state.RecordsRead = true
 	j := addJob(tm, wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1})
 	m := tm.state.GetOrAddMachine("n-1")
 	m.Epoch, m.Sequence, m.Token, m.FirstHeartbeatAt = 1, 10, 50, time.Now()
@@ -121,7 +121,7 @@
 }
 
 // heartbeatFrom returns a heartbeat of machine n-1.
-func heartbeatFrom(epoch wire.AgentEpoch, sequence wire.Sequence, token wire.FencingToken, tasks ...wire.TaskState) *wire.Heartbeat {
+func heartbeatFrom(epoch wire.AgentEpoch, sequence wire.Sequence, token wire.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "n-1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
@@ -157,7 +157,7 @@
 		m.Token = tm.Fencing.Token
 		tm.state.EndAttempt(a, cluster.TaskPending)
 		a.Chunk.Dirty, a.Job.Finished = false, false
-		a.Job.Revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.Job.Spec, Status: wire.Queued})
+		a.Job.Revision = st.Put(store.JobKey("req-1"), store.JobRecord{Spec: a.Job.Spec, Status: wire.StatusQueued})
 		test(tm, m, st, func() { handleEvents(tm, 200) })
 		cancel()
 		stop()
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -17,7 +17,7 @@
 	tm, m, a := newTestTerm(t)
 	tm.Begin(t.Context())
 	disconnect(tm)
-	a.LaunchSent, a.Observed, a.Phase = true, true, wire.PhaseRunning
+	a.LaunchSent, a.SeenInHeartbeat, a.Phase = true, true, wire.PhaseRunning
 	lease := tm.Lease
 	tm.Lease = newLease(tm.leader, tm.Fencing.Token, -time.Second)
 	tm.scaler.AdoptIntents(autoscaler.EarlierIntents{ScaleIns: []wire.MachineID{m.ID}})
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return false
 	}
-	write := wire.Write{Put: store.MachineSpecsKey, Value: wire.Encode(wire.MachineSpecs{Types: specs})}
-	_, err = permit.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{write}})
+	write := wire.Write{PutKey: store.MachineSpecsKey, Value: wire.Encode(wire.MachineSpecs{Types: specs})}
+	_, err = permit.Commit(ctx, store.ClassBackground, wire.Txn{Writes: []wire.Write{write}})
 	return err == nil
 }
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -90,7 +90,7 @@
 // enableScheduling starts scheduling once the records are read and the first heartbeats
 // have come in.
 func (t *term) enableScheduling(now time.Time) {
-	if t.state.SchedulingEnabled || !t.state.Recovered {
+	if t.state.SchedulingEnabled || !t.state.RecordsRead {
 		return
 	}
 	age := now.Sub(t.state.TermStartedAt)
--- a/internal/leader/leadership_test.go
+++ b/internal/leader/leadership_test.go
@@ -50,7 +50,7 @@
 		{"held again", true, start.Add(3 * time.Second), time.Time{}, start.Add(3 * time.Second), true},
 	}
 	for _, s := range steps {
-		tm.state.Cycle.Requested = false
+		tm.state.CycleTimer.Requested = false
 		tm.Lease = held
 		if !s.held {
 			tm.Lease = newLease(tm.leader, 50, -time.Second)
@@ -62,7 +62,7 @@
 		if got := tm.state.StoreAvailableSince; !got.Equal(s.wantAvailable) {
 			t.Errorf("%s: got available since %v, want %v", s.name, got, s.wantAvailable)
 		}
-		if got := tm.state.Cycle.Requested; got != s.wantCycleRequest {
+		if got := tm.state.CycleTimer.Requested; got != s.wantCycleRequest {
 			t.Errorf("%s: got cycle requested %v, want %v", s.name, got, s.wantCycleRequest)
 		}
 	}
@@ -103,7 +103,7 @@
 			delete(tm.state.Machines, m.ID)
 			now := time.Now()
 			tm.state.TermStartedAt = now.Add(-c.age)
-			tm.state.Recovered = !c.notRecovered
+			tm.state.RecordsRead = !c.notRecovered
 			tm.state.MachineListReceived = !c.noList
 			for i := range c.heard {
 				heard(addHeardMachine(tm, i))
--- a/internal/leader/liveness/counts.go
+++ b/internal/leader/liveness/counts.go
@@ -53,7 +53,7 @@
 	if !machine.Inbound.Works() {
 		counts.inboundLost++
 	}
-	if mo.State.OutboundLost(machine, now) {
+	if mo.State.OutboundConnectivityLost(machine, now) {
 		counts.outboundLost++
 	}
 	if sinceMessage > limits.unresponsiveAfter() {
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -60,7 +60,7 @@
 	catalog := &cluster.MachineCatalog{}
 	catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, BootTime: 10}})
 	state := cluster.NewState(settings, catalog, began, testToken)
-	state.Recovered, state.MachineListReceived, state.MachineListRequestedAt = true, true, f.now
+	state.RecordsRead, state.MachineListReceived, state.MachineListRequestedAt = true, true, f.now
 	network := simulator.NewNetwork(0).Host("10.0.0.1")
 	mesh := peer.New("a", nil, func() peer.Status { return peer.Status{} }, cancels.New(nil, time.Minute), network, log)
 	f.Monitor = &Monitor{
@@ -112,7 +112,7 @@
 // addAttempt adds a running attempt of a job's task.
 func (f *fixture) addAttempt(job *cluster.Job, index int, machine *cluster.Machine) *cluster.Attempt {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: index, Number: 7, Machine: machine,
-		ScheduledAt: f.now.Add(-time.Minute), LaunchSent: true, Observed: true}
+		ScheduledAt: f.now.Add(-time.Minute), LaunchSent: true, SeenInHeartbeat: true}
 	attempt.Chunk.AddAttempt(attempt)
 	return attempt
 }
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -24,7 +24,7 @@
 // ExpireLease ends the tasks of a machine whose lease has surely expired: nobody can have
 // answered it within the lease, the drift of the clocks and a margin.
 func (mo *Monitor) ExpireLease(machine *cluster.Machine, now time.Time) {
-	if len(machine.Tasks) == 0 || !mo.State.Recovered {
+	if len(machine.Tasks) == 0 || !mo.State.RecordsRead {
 		return
 	}
 	lease := mo.State.Settings.Workers.Lease.Duration()
--- a/internal/leader/liveness/lease_expiry_test.go
+++ b/internal/leader/liveness/lease_expiry_test.go
@@ -79,7 +79,7 @@
 		{"running", func(*fixture, *cluster.Attempt) {}, 0},
 		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, 1},
 		{"direct launch in flight", func(_ *fixture, attempt *cluster.Attempt) { attempt.LaunchInFlight = true }, 1},
-		{"before recovery", func(f *fixture, _ *cluster.Attempt) { f.State.Recovered = false }, 1},
+		{"before recovery", func(f *fixture, _ *cluster.Attempt) { f.State.RecordsRead = false }, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/liveness/machine_checks.go
+++ b/internal/leader/liveness/machine_checks.go
@@ -26,7 +26,7 @@
 	}
 	limit := bootTime*bootLimitQuarters/4 + bootMargin
 	if now.Sub(machine.RequestedAt) > limit && mo.Lease.Deciding() {
-		mo.Scaler.ScaleIn(machine, cluster.DrainNeverUp)
+		mo.Scaler.ScaleIn(machine, cluster.DrainBootTimeout)
 	}
 }
 
--- a/internal/leader/liveness/monitor.go
+++ b/internal/leader/liveness/monitor.go
@@ -71,7 +71,7 @@
 	case machine.Booting:
 		mo.checkBoot(machine, now)
 		return
-	case !mo.State.Recovered:
+	case !mo.State.RecordsRead:
 		return
 	}
 	mo.repeatStops(machine, now)
@@ -82,7 +82,7 @@
 		return
 	}
 	if machine.FailedInCloud {
-		mo.Scaler.ScaleIn(machine, cluster.DrainFailed)
+		mo.Scaler.ScaleIn(machine, cluster.DrainFailedInCloud)
 		return
 	}
 	verdict := mo.verdictOn(machine, counts, now)
--- a/internal/leader/liveness/partitions_test.go
+++ b/internal/leader/liveness/partitions_test.go
@@ -99,10 +99,10 @@
 				f.now = time.Now()
 				counts := &machineCounts{up: 100, zoneUp: map[wire.Zone]int{"a": 3, "": 2}, zoneLost: map[wire.Zone]int{"a": 3, "": 2}}
 				f.judgePartitions(counts, f.now)
-				if got := f.State.Partitioned("a", f.now); got != tc.want {
+				if got := f.State.ZonePartitioned("a", f.now); got != tc.want {
 					t.Errorf("three of three machines lost: partitioned %v, want %v", got, tc.want)
 				}
-				if f.State.Partitioned("", f.now) {
+				if f.State.ZonePartitioned("", f.now) {
 					t.Error("the unknown zone is partitioned")
 				}
 			})
--- a/internal/leader/liveness/paths.go
+++ b/internal/leader/liveness/paths.go
@@ -16,7 +16,7 @@
 	if machine.Inbound.Works() || machine.ScalingIn {
 		return
 	}
-	if !mo.Lease.Deciding() || !mo.State.Recovered {
+	if !mo.Lease.Deciding() || !mo.State.RecordsRead {
 		return
 	}
 	if now.Sub(machine.LastVerifiedAt) > inboundProbeInterval {
@@ -27,7 +27,7 @@
 	proofOverdue := lostFor > mo.State.HeartbeatInterval()/2+inboundProbeInterval && machine.Inbound.CommandsFail()
 	leaseExpired := lostFor > mo.State.Settings.Workers.Lease.Duration()
 	if leaseExpired || proofOverdue && awaitsProof(machine) {
-		mo.Scaler.ScaleIn(machine, cluster.DrainInboundLost)
+		mo.Scaler.ScaleIn(machine, cluster.DrainInboundConnectivityLost)
 	}
 }
 
@@ -35,7 +35,7 @@
 // machine receives something: its launch, or its stop.
 func awaitsProof(machine *cluster.Machine) bool {
 	for _, attempt := range machine.Tasks {
-		if !attempt.Unstored && (!attempt.Observed || attempt.Stopping) {
+		if !attempt.Unstored && (!attempt.SeenInHeartbeat || attempt.Stopping) {
 			return true
 		}
 	}
@@ -46,7 +46,7 @@
 // expired, so that nothing is lost by it, if it may be faulty by itself, or much later when
 // such machines are many. Then it is rather the path from them, which will be back.
 func (mo *Monitor) checkOutboundPath(machine *cluster.Machine, now time.Time, singleFault bool) {
-	if machine.ScalingIn || !mo.State.Recovered {
+	if machine.ScalingIn || !mo.State.RecordsRead {
 		return
 	}
 	missingFor := mo.State.HeartbeatsMissingFor(machine, now)
@@ -54,6 +54,6 @@
 		return
 	}
 	if singleFault || missingFor > mo.limits().partitionOutlastedAfter() {
-		mo.Scaler.ScaleIn(machine, cluster.DrainOutboundLost)
+		mo.Scaler.ScaleIn(machine, cluster.DrainOutboundConnectivityLost)
 	}
 }
--- a/internal/leader/liveness/paths_test.go
+++ b/internal/leader/liveness/paths_test.go
@@ -29,11 +29,11 @@
 		setup        func(f *fixture, attempt *cluster.Attempt)
 		want         bool
 	}{
-		{"a launch waits for a proof", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = false }, true},
+		{"a launch waits for a proof", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, true},
 		{"a stop waits for a proof", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Stopping = true }, true},
-		{"a launch waits, not for long", 3 * time.Second, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = false }, false},
-		{"a launch waits, no command failed", 3100 * time.Millisecond, false, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = false }, false},
-		{"an attempt that is not stored waits", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed, attempt.Unstored = false, true }, false},
+		{"a launch waits, not for long", 3 * time.Second, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, false},
+		{"a launch waits, no command failed", 3100 * time.Millisecond, false, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, false},
+		{"an attempt that is not stored waits", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat, attempt.Unstored = false, true }, false},
 		{"nothing waits", 16 * time.Second, true, func(*fixture, *cluster.Attempt) {}, false},
 		{"nothing waits, the lease has expired", 16100 * time.Millisecond, false, func(*fixture, *cluster.Attempt) {}, true},
 		{"the lease has expired, not leading", time.Minute, true, func(f *fixture, _ *cluster.Attempt) { f.loseStore(true) }, false},
@@ -49,7 +49,7 @@
 			}
 			tc.setup(f, attempt)
 			f.checkInboundPath(machine, f.now)
-			if got := machine.DrainReason == cluster.DrainInboundLost; got != tc.want {
+			if got := machine.DrainReason == cluster.DrainInboundConnectivityLost; got != tc.want {
 				t.Errorf("lost for %v, commands fail %v: scaled in %v, want %v", tc.lostFor, tc.commandsFail, got, tc.want)
 			}
 		})
@@ -73,7 +73,7 @@
 			machine := f.addMachine(0)
 			machine.HeartbeatsMissingSince = f.now.Add(-tc.missingFor)
 			f.checkOutboundPath(machine, f.now, tc.singleFault)
-			if got := machine.DrainReason == cluster.DrainOutboundLost; got != tc.want {
+			if got := machine.DrainReason == cluster.DrainOutboundConnectivityLost; got != tc.want {
 				t.Errorf("missing for %v, single fault %v: scaled in %v, want %v", tc.missingFor, tc.singleFault, got, tc.want)
 			}
 		})
--- a/internal/leader/liveness/replicas.go
+++ b/internal/leader/liveness/replicas.go
@@ -15,7 +15,7 @@
 // elsewhere. They end with its lease, and nothing tells just when; the cloud can end them
 // for sure. If the cloud can't be reached either, the lease expiry is waited for.
 func (mo *Monitor) checkReplicas(machine *cluster.Machine, counts *machineCounts, now time.Time) {
-	if !mo.State.Partitioned(machine.Zone, now) || counts.isolated() {
+	if !mo.State.ZonePartitioned(machine.Zone, now) || counts.isolated() {
 		return
 	}
 	if mo.leaseEnding(machine, now) && mo.replicasMovable(machine, now) {
@@ -59,7 +59,7 @@
 func (mo *Monitor) fitsOtherZones(job *cluster.Job, from wire.Zone, now time.Time) bool {
 	active, capacity := job.ActiveByZone(), 0
 	for _, zone := range mo.State.Zones() {
-		if zone != from && !mo.State.RecentlyPartitioned(zone, now) {
+		if zone != from && !mo.State.ZoneRecentlyPartitioned(zone, now) {
 			capacity += job.Spec.MaxTasksPerZone() - active[zone]
 		}
 	}
--- a/internal/leader/liveness/spot_reclaim_test.go
+++ b/internal/leader/liveness/spot_reclaim_test.go
@@ -44,7 +44,7 @@
 			}
 			attempt := f.addAttempt(job, 0, machine)
 			if tc.kind == wire.KindGang {
-				job.Gang = &cluster.Gang{Number: attempt.Number, StartedAt: f.now, Ran: true}
+				job.Gang = &cluster.Gang{AttemptNumber: attempt.Number, StartedAt: f.now, HasRun: true}
 			}
 			f.CheckMachine(machine, &machineCounts{up: 1}, f.now)
 			if attempt.StopReason != tc.wantReason || attempt.Stopping != (tc.wantReason != "") {
--- a/internal/leader/liveness/tasks.go
+++ b/internal/leader/liveness/tasks.go
@@ -31,14 +31,14 @@
 // launchMustEnd reports whether an unanswered launch of an attempt that must not start any
 // more has to be ended by a higher token.
 func launchMustEnd(attempt *cluster.Attempt, now time.Time) bool {
-	mayArrive := attempt.LaunchUnanswered && !attempt.Observed
+	mayArrive := attempt.LaunchUnanswered && !attempt.SeenInHeartbeat
 	startUnwanted := attempt.Stopping || attempt.Machine.DrainReason != ""
 	return mayArrive && startUnwanted && now.Sub(attempt.ScheduledAt) > unansweredLaunchWait
 }
 
 // scaleInUncancellable scales in machines on which a cancelled task goes on.
 func (mo *Monitor) scaleInUncancellable(now time.Time) {
-	if !mo.Lease.Deciding() || !mo.State.Recovered {
+	if !mo.Lease.Deciding() || !mo.State.RecordsRead {
 		return
 	}
 	limit := mo.State.Settings.Workers.CancelTimeout.Duration() * uncancellableTenths / 10
--- a/internal/leader/liveness/verdict.go
+++ b/internal/leader/liveness/verdict.go
@@ -109,7 +109,7 @@
 		return true
 	}
 	// When a partition is over the machines need a while to send heartbeats again.
-	return v.state.RecentlyPartitioned(v.machine.Zone, v.now) && v.sinceMessage < v.limits.partitionOutlastedAfter()
+	return v.state.ZoneRecentlyPartitioned(v.machine.Zone, v.now) && v.sinceMessage < v.limits.partitionOutlastedAfter()
 }
 
 // unlisted reports whether the cloud's lists have lacked the machine for longer than they
--- a/internal/leader/liveness/verdict_test.go
+++ b/internal/leader/liveness/verdict_test.go
@@ -117,7 +117,7 @@
 			machine := f.addMachine(0)
 			machine.Booting, machine.MachineType, machine.RequestedAt = true, tc.machineType, f.now.Add(-tc.age)
 			f.CheckMachine(machine, &machineCounts{}, f.now)
-			if got := machine.DrainReason == cluster.DrainNeverUp; got != tc.want || machine.ScalingIn != tc.want {
+			if got := machine.DrainReason == cluster.DrainBootTimeout; got != tc.want || machine.ScalingIn != tc.want {
 				t.Errorf("type %s, requested %v ago: scaled in %v for %q, want %v", tc.machineType, tc.age, machine.ScalingIn, machine.DrainReason, tc.want)
 			}
 		})
@@ -134,9 +134,9 @@
 		{"empty", cluster.DrainIdle, func(*fixture, *cluster.Machine) {}, true},
 		{"not draining", "", func(*fixture, *cluster.Machine) {}, false},
 		{"a task is left", cluster.DrainIdle, func(f *fixture, machine *cluster.Machine) { f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine) }, false},
-		{"an orphaned task is left", cluster.DrainIdle, func(_ *fixture, machine *cluster.Machine) { machine.OrphanTasks[wire.Task{Job: "req-9"}] = true }, false},
+		{"an orphaned task is left", cluster.DrainIdle, func(_ *fixture, machine *cluster.Machine) { machine.OrphanTasks[wire.TaskID{Job: "req-9"}] = true }, false},
 		{"an outcome is not stored", cluster.DrainIdle, func(f *fixture, machine *cluster.Machine) {
-			f.State.Unsaved.MarkDirty(f.addJob(wire.KindArray, 1).Chunk(0))
+			f.State.UnsavedChanges.MarkDirty(f.addJob(wire.KindArray, 1).Chunk(0))
 			machine.LastUsedAt = time.Now().Add(time.Second)
 		}, false},
 		{"adopted with a task", cluster.DrainAdoptedScaleIn, func(f *fixture, machine *cluster.Machine) { f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine) }, true},
@@ -168,7 +168,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.State.Recovered = tc.recovered
+			f.State.RecordsRead = tc.recovered
 			machine := f.addMachine(0)
 			job := f.addJob(wire.KindArray, 1)
 			f.addAttempt(job, 0, machine)
@@ -193,7 +193,7 @@
 		}, true},
 		{"still wanted", func(_ *fixture, attempt *cluster.Attempt) { attempt.Machine.DrainReason = "" }, false},
 		{"decided lately", func(f *fixture, attempt *cluster.Attempt) { attempt.ScheduledAt = f.now.Add(-unansweredLaunchWait) }, false},
-		{"observed", func(_ *fixture, attempt *cluster.Attempt) { attempt.Observed = true }, false},
+		{"observed", func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = true }, false},
 		{"answered", func(_ *fixture, attempt *cluster.Attempt) { attempt.LaunchUnanswered = false }, false},
 		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, false},
 	}
@@ -203,7 +203,7 @@
 			machine := f.addMachine(0)
 			machine.DrainReason = cluster.DrainSlow
 			attempt := f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine)
-			attempt.Observed, attempt.LaunchUnanswered = false, true
+			attempt.SeenInHeartbeat, attempt.LaunchUnanswered = false, true
 			tc.setup(f, attempt)
 			f.checkTasks(machine, f.now)
 			if f.Fencing.RaiseRequested != tc.want {
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tm := newSizedTerm(t, 300)
 		defer tm.End("the test is over")
-		partitioned := func(zone wire.Zone) bool { return tm.state.RecentlyPartitioned(zone, time.Now()) }
+		partitioned := func(zone wire.Zone) bool { return tm.state.ZoneRecentlyPartitioned(zone, time.Now()) }
 		receiveHeartbeats(tm, 20*time.Second, noneUnresponsive)
 		time.Sleep(5 * time.Second) // this node receives nothing at all
 		receiveHeartbeats(tm, 20*time.Second, noneUnresponsive)
--- a/internal/leader/progress/batch.go
+++ b/internal/leader/progress/batch.go
@@ -55,9 +55,9 @@
 // requestClass returns the class of the request budget that the transaction is charged to.
 func (b *batch) requestClass() store.RequestClass {
 	if b.urgent {
-		return store.Critical
+		return store.ClassCritical
 	}
-	return store.Background
+	return store.ClassBackground
 }
 
 // isEmpty reports whether the transaction writes nothing.
@@ -80,14 +80,14 @@
 func (b *batch) keys() []string {
 	var keys []string
 	for _, w := range b.txn.Writes {
-		keys = append(keys, w.Put+w.Delete)
+		keys = append(keys, w.PutKey+w.DeleteKey)
 	}
 	return keys
 }
 
 // changes reports whether the transaction writes the key.
 func (b *batch) changes(key string) bool {
-	return slices.ContainsFunc(b.txn.Writes, func(w wire.Write) bool { return w.Put == key || w.Delete == key })
+	return slices.ContainsFunc(b.txn.Writes, func(w wire.Write) bool { return w.PutKey == key || w.DeleteKey == key })
 }
 
 // hasGuard reports whether the transaction has a guard on the key.
@@ -106,14 +106,14 @@
 	b.bytes += size
 	b.largestValue = max(b.largestValue, size)
 	b.addGuard(c.Key(), c.Revision)
-	b.txn.Writes = append(b.txn.Writes, wire.Write{Put: c.Key(), Value: wire.Encode(record)})
+	b.txn.Writes = append(b.txn.Writes, wire.Write{PutKey: c.Key(), Value: wire.Encode(record)})
 	b.chunks = append(b.chunks, c)
 }
 
 // deleteRecord deletes the record that a guard names.
 func (b *batch) deleteRecord(g wire.Guard) {
 	b.txn.Guards = append(b.txn.Guards, g)
-	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: g.Key})
+	b.txn.Writes = append(b.txn.Writes, wire.Write{DeleteKey: g.Key})
 }
 
 // archive replaces a job that is over by its final record, unless the transaction has no
@@ -130,8 +130,8 @@
 	b.addGuard(store.JobKey(id), j.Revision)
 	b.addGuard(store.FinalKey(id), 0)
 	b.txn.Writes = append(b.txn.Writes,
-		wire.Write{Delete: store.JobKey(id)},
-		wire.Write{Put: store.FinalKey(id), Value: wire.Encode(final)})
+		wire.Write{DeleteKey: store.JobKey(id)},
+		wire.Write{PutKey: store.FinalKey(id), Value: wire.Encode(final)})
 	for _, g := range j.StoredGuards() {
 		if b.hasRoom(1, 0) {
 			b.deleteRecord(g)
--- a/internal/leader/progress/committer.go
+++ b/internal/leader/progress/committer.go
@@ -55,9 +55,9 @@
 		co.onCommitted(e.batch, e.revision)
 	case errors.As(e.err, &conflict):
 		co.onConflict(e.batch, conflict)
-	case errors.Is(e.err, store.ErrUnknown):
+	case errors.Is(e.err, store.ErrOutcomeUnknown):
 		co.onOutcomeUnknown(e.batch)
-	case errors.Is(e.err, store.ErrInvalid):
+	case errors.Is(e.err, store.ErrInvalidRequest):
 		co.onRejected(e.batch, time.Now())
 	default:
 		co.revert(e.batch)
@@ -156,7 +156,7 @@
 	j.RecordOutdated = true
 	id := j.Spec.ID
 	co.Spawn(func(ctx context.Context) {
-		entry, err := co.Store.Get(ctx, store.Critical, store.JobKey(id))
+		entry, err := co.Store.Get(ctx, store.ClassCritical, store.JobKey(id))
 		co.Post(JobRecordReread{j, entry, err})
 	})
 }
--- a/internal/leader/progress/launches.go
+++ b/internal/leader/progress/launches.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		targets[a.Machine] = true
-		if a.Job.Gang != nil && a.Job.FullyStored() {
+		if a.Job.Gang != nil && a.Job.GangFullyStored() {
 			for _, member := range a.Job.Attempts() {
 				targets[member.Machine] = true
 			}
--- a/internal/leader/progress/selection.go
+++ b/internal/leader/progress/selection.go
@@ -26,7 +26,7 @@
 	}
 	for _, c := range b.chunks {
 		c.Dirty, c.WriteInFlight = false, true
-		delete(w.state.Unsaved.Chunks, c)
+		delete(w.state.UnsavedChanges.Chunks, c)
 	}
 	w.txn, w.txnSentAt = txnInFlight, now
 	return b
@@ -34,7 +34,7 @@
 
 // addFinishedJobs archives the jobs that are over.
 func (w *Writer) addFinishedJobs(b *batch, now time.Time) {
-	for j := range w.state.Unsaved.FinishedJobs {
+	for j := range w.state.UnsavedChanges.FinishedJobs {
 		if !j.Archiving && !j.RecordOutdated && !now.Before(j.WriteNotBefore) {
 			b.archive(j)
 			b.urgent = true
@@ -45,7 +45,7 @@
 // dueChunks returns the chunks that may be written now: those with launches by priority
 // and age of their jobs, and the others by how long they have waited.
 func (w *Writer) dueChunks(now time.Time) (launches, routine []*cluster.Chunk) {
-	for c := range w.state.Unsaved.Chunks {
+	for c := range w.state.UnsavedChanges.Chunks {
 		switch {
 		case !w.mayWriteChunk(c, now):
 		case c.UnstoredAttempts > 0:
--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -24,7 +24,7 @@
 	}
 	limit := w.ValueLimit()
 	maxTasks := store.ChunkTasksFor(w.limits().Strictest().ValueKB)
-	for c := range w.state.Unsaved.Chunks {
+	for c := range w.state.UnsavedChanges.Chunks {
 		if !canSplit(c.Job, maxTasks) {
 			continue
 		}
@@ -51,10 +51,10 @@
 		if c == nil {
 			continue
 		}
-		if _, dirty := w.state.Unsaved.Chunks[c]; !dirty {
+		if _, dirty := w.state.UnsavedChanges.Chunks[c]; !dirty {
 			continue
 		}
-		delete(w.state.Unsaved.Chunks, c)
+		delete(w.state.UnsavedChanges.Chunks, c)
 		w.markSubchunksDirty(c, perChunk)
 	}
 	w.log.Info("job progress split", "job", j.Spec.ID, "tasks_per_chunk", j.TasksPerChunk)
@@ -77,7 +77,7 @@
 	first := c.Index * perChunk
 	for i := first; i < min(first+perChunk, len(subchunks)); i++ {
 		if subchunks[i] != nil {
-			w.state.Unsaved.MarkDirty(subchunks[i])
+			w.state.UnsavedChanges.MarkDirty(subchunks[i])
 			subchunks[i].DirtySince = c.DirtySince
 		}
 	}
--- a/internal/leader/progress/token.go
+++ b/internal/leader/progress/token.go
@@ -36,7 +36,7 @@
 func (co *Committer) OnTokenRaised(e TokenRaised) {
 	co.Log.Info("token raised", "token", e.token, "previous", co.Fencing.Token)
 	co.Fencing.Token = e.token
-	if co.State.Recovered {
+	if co.State.RecordsRead {
 		co.Published.DelegationToken.Store(uint64(e.token))
 	}
 	co.Mesh.ObserveToken(co.Context(), e.token)
@@ -50,8 +50,8 @@
 func (co *Committer) readOutcome(ctx context.Context, b *batch) {
 	guard := b.outcomeGuard()
 	for {
-		entry, err := co.Store.Get(ctx, store.Critical, guard.Key)
-		if err == nil || errors.Is(err, store.ErrMissing) {
+		entry, err := co.Store.Get(ctx, store.ClassCritical, guard.Key)
+		if err == nil || errors.Is(err, store.ErrNotFound) {
 			co.Post(TxnOutcomeRead{b, guard, entry.Revision})
 			return
 		}
--- a/internal/leader/progress/writer.go
+++ b/internal/leader/progress/writer.go
@@ -100,9 +100,9 @@
 		c.Revision, c.WriteInFlight = revision, false
 	}
 	for _, j := range b.archived {
-		delete(w.state.Unsaved.FinishedJobs, j)
+		delete(w.state.UnsavedChanges.FinishedJobs, j)
 		for _, c := range j.Chunks {
-			delete(w.state.Unsaved.Chunks, c)
+			delete(w.state.UnsavedChanges.Chunks, c)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	w.Orphans = append(w.Orphans, b.orphans...)
 	for _, c := range b.chunks {
 		c.WriteInFlight = false
-		w.state.Unsaved.MarkDirty(c)
+		w.state.UnsavedChanges.MarkDirty(c)
 	}
 	for _, j := range b.archived {
 		j.Archiving = false
@@ -129,7 +129,7 @@
 	if w.InFlight() && !usedAt.After(w.txnSentAt) {
 		return false
 	}
-	for c := range w.state.Unsaved.Chunks {
+	for c := range w.state.UnsavedChanges.Chunks {
 		if !c.DirtySince.After(usedAt) && w.maySoonWrite(c, now) {
 			return false
 		}
--- a/internal/leader/progress/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -33,7 +33,7 @@
 // addRoutineChunk adds a changed chunk, the only one of a new job, that starts nothing.
 func addRoutineChunk(w *Writer, id wire.JobID) *cluster.Chunk {
 	c := newTestJob(id, wire.PriorityStandard, 1).Chunk(0)
-	w.state.Unsaved.MarkDirty(c)
+	w.state.UnsavedChanges.MarkDirty(c)
 	return c
 }
 
@@ -42,10 +42,10 @@
 func addLaunchChunk(w *Writer, id wire.JobID, priority wire.Priority) *cluster.Chunk {
 	j := newTestJob(id, priority, 1)
 	c := j.Chunk(0)
-	m := &cluster.Machine{ID: "n-1", Tasks: map[wire.Task]*cluster.Attempt{}}
+	m := &cluster.Machine{ID: "n-1", Tasks: map[wire.TaskID]*cluster.Attempt{}}
 	c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Machine: m, Unstored: true})
 	c.UnstoredAttempts, j.UnstoredAttempts = 1, 1
-	w.state.Unsaved.MarkDirty(c)
+	w.state.UnsavedChanges.MarkDirty(c)
 	return c
 }
 
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -27,7 +27,7 @@
 		a.Chunk.AddAttempt(a)
 	}
 	nothing := func(*term, *cluster.Machine) {}
-	launched := wire.TaskState{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
+	launched := wire.TaskStatus{Task: "req-1/0", Attempt: 8, Phase: wire.PhaseFetching}
 	cases := []struct {
 		name       string
 		setup      func(tm *term, m *cluster.Machine)
@@ -118,7 +118,7 @@
 
 func TestNewestHeartbeatIsKeptDuringRecovery(t *testing.T) {
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, _ *simulator.KVStore, _ func()) {
-		tm.state.Recovered = false
+		tm.state.RecordsRead = false
 		tm.reconciler.EarlyHeartbeats = map[wire.MachineID]wire.Heartbeat{}
 		sendHeartbeat(tm, heartbeatFrom(2, 5, tm.Fencing.Token))
 		sendHeartbeat(tm, heartbeatFrom(1, 40, tm.Fencing.Token))
@@ -155,7 +155,7 @@
 		zoneA, zoneB := addZones(tm)
 		withReplica, unresponsiveAlone := zoneA[0], zoneB[0]
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
-		j.Chunk(0).AddAttempt(&cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 1, Machine: withReplica, Observed: true})
+		j.Chunk(0).AddAttempt(&cluster.Attempt{Job: j, Chunk: j.Chunk(0), Index: 0, Number: 1, Machine: withReplica, SeenInHeartbeat: true})
 		unresponsive := map[*cluster.Machine]bool{unresponsiveAlone: true}
 		for _, m := range zoneA {
 			unresponsive[m] = true
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -18,7 +18,7 @@
 		return Reply{Rejected: err}
 	}
 	machine := rc.state.GetOrAddMachine(heartbeat.Machine)
-	if !rc.state.Recovered {
+	if !rc.state.RecordsRead {
 		rc.keepEarlyHeartbeat(heartbeat)
 		machine.LastMessageAt, machine.LastReplyAt = now, now
 		return Reply{Commands: rc.cancelledStops(heartbeat)}
@@ -166,9 +166,9 @@
 }
 
 // lists reports whether a heartbeat contains an attempt of a task.
-func lists(heartbeat *wire.Heartbeat, task wire.Task, number wire.Attempt) bool {
+func lists(heartbeat *wire.Heartbeat, task wire.TaskID, number wire.AttemptNumber) bool {
 	name := task.String()
-	return slices.ContainsFunc(heartbeat.Tasks, func(state wire.TaskState) bool {
+	return slices.ContainsFunc(heartbeat.Tasks, func(state wire.TaskStatus) bool {
 		return state.Task == name && state.Attempt == number
 	})
 }
--- a/internal/leader/reconcile/answer_test.go
+++ b/internal/leader/reconcile/answer_test.go
@@ -58,12 +58,12 @@
 
 func TestHeartbeatBeforeRecoveryIsKeptAndAnsweredWithoutLaunches(t *testing.T) {
 	f := newFixture(t)
-	f.state.Recovered = false
+	f.state.RecordsRead = false
 	f.cancels.Add("req-1", 0)
 	running := shown(wire.PhaseRunning, "")
 	for _, sequence := range []wire.Sequence{12, 11} {
 		reply := f.answerHeartbeat(heartbeat(1, sequence, testToken, running), false, time.Now())
-		if reply.Commands == nil || len(reply.Commands.Commands) != 1 || reply.Commands.Commands[0].Verb != wire.Stop {
+		if reply.Commands == nil || len(reply.Commands.Commands) != 1 || reply.Commands.Commands[0].Verb != wire.VerbStop {
 			t.Errorf("sequence %d: reply %+v, want the stop of the cancelled task", sequence, reply)
 		}
 	}
@@ -184,7 +184,7 @@
 
 func TestSpotNoticeDrainsOnceAndKeepsTheNewestTime(t *testing.T) {
 	f := newFixture(t)
-	f.attempt.LaunchSent, f.attempt.Observed = true, true
+	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true
 	now := time.Now()
 	for i, remaining := range []wire.Seconds{30, 20} {
 		at := now.Add(time.Duration(i) * time.Second)
--- a/internal/leader/reconcile/command_answers.go
+++ b/internal/leader/reconcile/command_answers.go
@@ -90,7 +90,7 @@
 // the next heartbeat.
 func onCommandNotSent(answer *agents.CommandAnswer) {
 	for _, attempt := range answer.Launched {
-		if !attempt.Observed {
+		if !attempt.SeenInHeartbeat {
 			attempt.LaunchSent = false
 		}
 	}
--- a/internal/leader/reconcile/command_answers_test.go
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -65,8 +65,8 @@
 				t.Errorf("unanswered launch %+v, want %+v", f.machine.UnansweredLaunch, wantLaunch)
 			}
 			answered := tc.want == commandAnswered
-			if got := f.machine.UnansweredCommands == 0; got != answered || f.attempt.Observed != answered {
-				t.Errorf("%d unanswered probes, attempt observed %v; want answered %v", f.machine.UnansweredCommands, f.attempt.Observed, answered)
+			if got := f.machine.UnansweredCommands == 0; got != answered || f.attempt.SeenInHeartbeat != answered {
+				t.Errorf("%d unanswered probes, attempt observed %v; want answered %v", f.machine.UnansweredCommands, f.attempt.SeenInHeartbeat, answered)
 			}
 			if got := !f.machine.HeartbeatsMissingSince.IsZero(); got != answered {
 				t.Errorf("only answers direct commands: %v, want %v", got, answered)
@@ -77,7 +77,7 @@
 
 func TestRestartedMachineIsScaledInAndItsTasksAreLost(t *testing.T) {
 	f := newFixture(t)
-	f.attempt.LaunchSent, f.attempt.Observed = true, true
+	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true
 	f.OnCommandAnswer(agents.CommandAnswer{
 		Machine:     f.machine,
 		KnownBefore: agents.Position{Epoch: 1, Sequence: 10},
@@ -98,7 +98,7 @@
 
 func TestAnswerBehindALaterHeartbeatIsNoRestart(t *testing.T) {
 	f := newFixture(t)
-	f.attempt.Observed = true
+	f.attempt.SeenInHeartbeat = true
 	f.machine.Sequence = 15 // heartbeats came in while the command was in flight
 	f.OnCommandAnswer(agents.CommandAnswer{
 		Machine:     f.machine,
@@ -114,7 +114,7 @@
 
 func TestLaunchThatWasNotSentStaysSentIfItIsShown(t *testing.T) {
 	f := newFixture(t)
-	f.attempt.LaunchSent, f.attempt.Observed = true, true // by the answer to a heartbeat
+	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true // by the answer to a heartbeat
 	f.OnCommandAnswer(agents.CommandAnswer{
 		Machine:  f.machine,
 		Commands: wire.Commands{Token: testToken, Epoch: 1},
--- a/internal/leader/reconcile/exits.go
+++ b/internal/leader/reconcile/exits.go
@@ -12,7 +12,7 @@
 const refusedLaunchBackoff = 2 * time.Second
 
 // onTaskExit handles the end of an attempt by its cause.
-func (rc *Reconciler) onTaskExit(attempt *cluster.Attempt, state *wire.TaskState, now time.Time) {
+func (rc *Reconciler) onTaskExit(attempt *cluster.Attempt, state *wire.TaskStatus, now time.Time) {
 	switch state.Cause {
 	case wire.CauseDone:
 		rc.onTaskDone(attempt, now)
@@ -34,7 +34,7 @@
 	if !attempt.RunningSince.IsZero() && !job.Spec.IsGang() { // a gang runs at the speed of its slowest machine
 		rc.failures.recordRunTime(attempt, now)
 	}
-	job.Succeeded, job.Failures = true, 0
+	job.AnyTaskSucceeded, job.Failures = true, 0
 	clear(job.FailedMachines)
 	clear(machine.FailedJobs)
 	machine.Failures = 0
@@ -48,7 +48,7 @@
 // onLaunchRefused handles an attempt that its machine did not start.
 func (rc *Reconciler) onLaunchRefused(attempt *cluster.Attempt, cause wire.ExitCause, now time.Time) {
 	rc.Log.Info("launch refused", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "reason", cause)
-	attempt.Machine.RefusedUntil = now.Add(refusedLaunchBackoff)
+	attempt.Machine.StartNotBefore = now.Add(refusedLaunchBackoff)
 	if cause == wire.CauseNoSuch {
 		attempt.Job.StartNotBefore = now.Add(refusedLaunchBackoff)
 	}
