--- a/internal/leader/reconcile/exits_test.go
+++ b/internal/leader/reconcile/exits_test.go
@@ -34,7 +34,7 @@
 			if got := f.attempt.Chunk.TaskStates[0]; got != tc.wantState || f.job.ActiveTasks != 0 {
 				t.Errorf("cause %q: task state %d with %d active tasks, want %d with 0", tc.cause, got, f.job.ActiveTasks, tc.wantState)
 			}
-			if got, want := f.machine.RefusedUntil, after(now, tc.machineBackoff); !got.Equal(want) {
+			if got, want := f.machine.StartNotBefore, after(now, tc.machineBackoff); !got.Equal(want) {
 				t.Errorf("cause %q: machine gets launches from %v, want %v", tc.cause, got, want)
 			}
 			if got, want := f.job.StartNotBefore, after(now, tc.jobBackoff); !got.Equal(want) {
@@ -60,8 +60,8 @@
 	f.job.Failures, f.job.FailedMachines = 3, map[wire.MachineID]bool{"n-1": true, "n-2": true}
 	f.machine.Failures, f.machine.FailedJobs["req-1"] = 3, true
 	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseExited, wire.CauseDone)), true, time.Now())
-	if f.job.Failures != 0 || len(f.job.FailedMachines) != 0 || !f.job.Succeeded {
-		t.Errorf("job has %d failures on %v, succeeded %v; want 0 on none, true", f.job.Failures, f.job.FailedMachines, f.job.Succeeded)
+	if f.job.Failures != 0 || len(f.job.FailedMachines) != 0 || !f.job.AnyTaskSucceeded {
+		t.Errorf("job has %d failures on %v, succeeded %v; want 0 on none, true", f.job.Failures, f.job.FailedMachines, f.job.AnyTaskSucceeded)
 	}
 	if f.machine.Failures != 0 || len(f.machine.FailedJobs) != 0 {
 		t.Errorf("machine has %d failures of %v, want 0 of none", f.machine.Failures, f.machine.FailedJobs)
@@ -71,11 +71,11 @@
 func TestGangTaskDoneCompletesGang(t *testing.T) {
 	f := newFixture(t)
 	gang := f.addJob("req-2", wire.KindGang, 2)
-	gang.Gang = &cluster.Gang{Number: testAttempt}
+	gang.Gang = &cluster.Gang{AttemptNumber: testAttempt}
 	f.addAttempt(gang, 0, f.machine)
 	f.addAttempt(gang, 1, f.addMachine("n-2"))
 	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, ""),
-		wire.TaskState{Task: "req-2/0", Attempt: testAttempt, Phase: wire.PhaseExited, Cause: wire.CauseDone}), true, time.Now())
+		wire.TaskStatus{Task: "req-2/0", Attempt: testAttempt, Phase: wire.PhaseExited, Cause: wire.CauseDone}), true, time.Now())
 	if gang.DoneTasks != 2 || gang.ActiveTasks != 0 || gang.Gang != nil {
 		t.Errorf("gang has %d done and %d active tasks, attempt %+v; want 2 and 0, none", gang.DoneTasks, gang.ActiveTasks, gang.Gang)
 	}
@@ -85,7 +85,7 @@
 	cases := []struct {
 		name     string
 		previous wire.TaskPhase
-		state    wire.TaskState
+		state    wire.TaskStatus
 		want     bool
 	}{
 		{"fetching", "", shown(wire.PhaseFetching, ""), false},
--- a/internal/leader/reconcile/failures.go
+++ b/internal/leader/reconcile/failures.go
@@ -66,7 +66,7 @@
 	severalJobsFail := len(machine.FailedJobs) >= faultyMachineJobs
 	failsRepeatedly := machine.Failures >= faultyMachineFailures
 	failsHereOnly := len(job.FailedMachines) == 1 && job.Failures >= singleMachineFailures
-	return severalJobsFail || failsRepeatedly && (job.Succeeded || failsHereOnly)
+	return severalJobsFail || failsRepeatedly && (job.AnyTaskSucceeded || failsHereOnly)
 }
 
 // backOff sets when a job of which a task has just failed may start tasks again.
--- a/internal/leader/reconcile/failures_test.go
+++ b/internal/leader/reconcile/failures_test.go
@@ -43,7 +43,7 @@
 				machines = append(machines, f.addMachine(wire.MachineID(fmt.Sprintf("n-%d", i))))
 			}
 			jobs := []*cluster.Job{f.job, f.addJob("req-2", wire.KindArray, 1)}
-			f.job.Succeeded = tc.succeeded
+			f.job.AnyTaskSucceeded = tc.succeeded
 			now := time.Now()
 			for _, failed := range tc.failures {
 				f.failOn(jobs[failed.job], machines[failed.machine], now)
--- a/internal/leader/reconcile/fixture_test.go
+++ b/internal/leader/reconcile/fixture_test.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	testToken    wire.FencingToken = 50
-	maxCancelAge                   = 20 * time.Second
-	testTask                       = "req-1/0"
-	testAttempt  wire.Attempt      = 7
+	testToken    wire.FencingToken  = 50
+	maxCancelAge                    = 20 * time.Second
+	testTask                        = "req-1/0"
+	testAttempt  wire.AttemptNumber = 7
 )
 
 // fixture is a reconciler whose commands go nowhere, with one machine that has one attempt
@@ -64,7 +64,7 @@
 	})
 	settings := &config.Settings{Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41, GangWait: 60}}
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, now, testToken)
-	state.Recovered = true
+	state.RecordsRead = true
 	state.Delegation.MaxCancelAge = maxCancelAge
 	dispatcher := &agents.Dispatcher{Loop: loop, State: state, Client: &agents.Client{}}
 	scaler := autoscaler.NewScaler(loop, state, nil, scaling.NewTracker(testToken), autoscaler.Options{})
@@ -99,11 +99,11 @@
 }
 
 // heartbeat returns a heartbeat of the fixture's machine.
-func heartbeat(epoch wire.AgentEpoch, sequence wire.Sequence, token wire.FencingToken, tasks ...wire.TaskState) *wire.Heartbeat {
+func heartbeat(epoch wire.AgentEpoch, sequence wire.Sequence, token wire.FencingToken, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "n-1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
 // shown returns the state of the fixture's attempt in a heartbeat.
-func shown(phase wire.TaskPhase, cause wire.ExitCause) wire.TaskState {
-	return wire.TaskState{Task: testTask, Attempt: testAttempt, Phase: phase, Cause: cause}
+func shown(phase wire.TaskPhase, cause wire.ExitCause) wire.TaskStatus {
+	return wire.TaskStatus{Task: testTask, Attempt: testAttempt, Phase: phase, Cause: cause}
 }
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -23,7 +23,7 @@
 	rc.updateMachine(machine, heartbeat, now)
 	recordHeartbeatGap(machine, sentByAgent, now)
 	rc.updateSpotNotice(machine, heartbeat, now)
-	listed := make(map[wire.Task]bool, len(heartbeat.Tasks)) // made here, it stays off the heap
+	listed := make(map[wire.TaskID]bool, len(heartbeat.Tasks)) // made here, it stays off the heap
 	rc.reconcileTasks(machine, heartbeat, listed, now)
 	for task, attempt := range machine.Tasks {
 		if listed[task] || attempt.Unstored {
--- a/internal/leader/reconcile/missing_attempts_test.go
+++ b/internal/leader/reconcile/missing_attempts_test.go
@@ -57,7 +57,7 @@
 		want        outcome
 	}{
 		{"not stored", func(f *fixture) { f.attempt.Unstored = true }, heartbeat(1, 12, testToken), false, kept},
-		{"observed before", func(f *fixture) { f.attempt.Observed = true }, heartbeat(1, 12, testToken), false, lost},
+		{"observed before", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken), false, lost},
 		{"inherited, the earlier leader's token still accepted", func(f *fixture) { f.attempt.Inherited = true }, heartbeat(1, 12, testToken-1), false, kept},
 		{"inherited, a token of this term is shown", func(f *fixture) { f.attempt.Inherited = true }, heartbeat(1, 12, testToken), false, lost},
 		{"direct launch in flight", inFlight, heartbeat(1, 12, testToken), false, kept},
@@ -72,9 +72,9 @@
 		{"in the answer, stopping", func(f *fixture) { sentInAnswer(f); f.attempt.Stopping = true }, heartbeat(1, 12, testToken), false, withdrawn},
 		{"in the answer, machine draining", func(f *fixture) { sentInAnswer(f); f.machine.DrainReason = cluster.DrainIdle }, heartbeat(1, 12, testToken), false, withdrawn},
 		{"in the answer, job cancelled", func(f *fixture) { sentInAnswer(f); f.job.Cancelled = true }, heartbeat(1, 12, testToken), false, withdrawn},
-		{"another attempt is shown", func(f *fixture) { f.attempt.Observed = true },
-			heartbeat(1, 12, testToken, wire.TaskState{Task: testTask, Attempt: testAttempt - 1, Phase: wire.PhaseRunning}), false, lost},
-		{"shown", func(f *fixture) { f.attempt.Observed = true }, heartbeat(1, 12, testToken, shown(wire.PhaseRunning, "")), false, kept},
+		{"another attempt is shown", func(f *fixture) { f.attempt.SeenInHeartbeat = true },
+			heartbeat(1, 12, testToken, wire.TaskStatus{Task: testTask, Attempt: testAttempt - 1, Phase: wire.PhaseRunning}), false, lost},
+		{"shown", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken, shown(wire.PhaseRunning, "")), false, kept},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			gang := f.addJob("req-2", wire.KindGang, 2)
-			gang.Gang = &cluster.Gang{Number: testAttempt, StartedAt: time.Now(), Inherited: true, Ran: tc.ran}
+			gang.Gang = &cluster.Gang{AttemptNumber: testAttempt, StartedAt: time.Now(), Inherited: true, HasRun: tc.ran}
 			attempt := f.addAttempt(gang, 0, f.machine)
 			f.addAttempt(gang, 1, f.addMachine("n-2"))
 			attempt.Inherited, attempt.LaunchSent, attempt.LaunchEpoch = true, true, 1
@@ -119,11 +119,11 @@
 
 func TestTaskWithoutRecordIsOrphanedWhileItRuns(t *testing.T) {
 	f := newFixture(t)
-	running := wire.TaskState{Task: "req-9/0", Attempt: 1, Phase: wire.PhaseRunning}
-	exited := wire.TaskState{Task: "req-9/1", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}
-	undecodable := wire.TaskState{Task: "no task", Attempt: 1, Phase: wire.PhaseRunning}
+	running := wire.TaskStatus{Task: "req-9/0", Attempt: 1, Phase: wire.PhaseRunning}
+	exited := wire.TaskStatus{Task: "req-9/1", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}
+	undecodable := wire.TaskStatus{Task: "no task", Attempt: 1, Phase: wire.PhaseRunning}
 	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, ""), running, exited, undecodable), true, time.Now())
-	if len(f.machine.OrphanTasks) != 1 || !f.machine.OrphanTasks[wire.Task{Job: "req-9", Index: 0}] {
+	if len(f.machine.OrphanTasks) != 1 || !f.machine.OrphanTasks[wire.TaskID{Job: "req-9", Index: 0}] {
 		t.Errorf("orphaned tasks %v, want req-9/0 alone", f.machine.OrphanTasks)
 	}
 	f.Reconcile(f.machine, heartbeat(1, 12, testToken, shown(wire.PhaseRunning, "")), true, time.Now())
--- a/internal/leader/reconcile/tasks.go
+++ b/internal/leader/reconcile/tasks.go
@@ -10,11 +10,11 @@
 // reconcileTasks updates the recorded attempts by the task states in a heartbeat and
 // marks in listed those that it contains. Anything else that runs on the machine is
 // orphaned.
-func (rc *Reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *wire.Heartbeat, listed map[wire.Task]bool, now time.Time) {
+func (rc *Reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *wire.Heartbeat, listed map[wire.TaskID]bool, now time.Time) {
 	clear(machine.OrphanTasks)
 	for i := range heartbeat.Tasks {
 		state := &heartbeat.Tasks[i]
-		task, err := wire.ParseTask(state.Task)
+		task, err := wire.ParseTaskID(state.Task)
 		if err != nil {
 			continue
 		}
@@ -28,11 +28,11 @@
 }
 
 // reconcileAttempt updates a recorded attempt by its state in a heartbeat.
-func (rc *Reconciler) reconcileAttempt(attempt *cluster.Attempt, state *wire.TaskState, now time.Time) {
-	if attempt.LaunchSent && !attempt.Observed {
+func (rc *Reconciler) reconcileAttempt(attempt *cluster.Attempt, state *wire.TaskStatus, now time.Time) {
+	if attempt.LaunchSent && !attempt.SeenInHeartbeat {
 		rc.onReceived(attempt.Machine)
 	}
-	attempt.Observed = true
+	attempt.SeenInHeartbeat = true
 	if hasImage(attempt, state) {
 		rc.recordImage(attempt, now)
 	}
@@ -66,7 +66,7 @@
 }
 
 // hasImage reports whether an attempt's state shows that its image is on the machine.
-func hasImage(attempt *cluster.Attempt, state *wire.TaskState) bool {
+func hasImage(attempt *cluster.Attempt, state *wire.TaskStatus) bool {
 	if state.Phase == wire.PhaseFetching {
 		return false
 	}
@@ -80,13 +80,13 @@
 }
 
 // reconcileGang updates the attempt's gang, if it is of one, by the state of the attempt.
-func (rc *Reconciler) reconcileGang(attempt *cluster.Attempt, state *wire.TaskState) {
+func (rc *Reconciler) reconcileGang(attempt *cluster.Attempt, state *wire.TaskStatus) {
 	job, gang := attempt.Job, attempt.Job.Gang
 	if gang == nil {
 		return
 	}
 	if state.Phase == wire.PhaseRunning || state.Phase == wire.PhaseCheckpointing || state.Cause == wire.CauseGangBroken {
-		gang.Ran = true
+		gang.HasRun = true
 	}
 	stopKnown := gang.StopRequested || gang.Broken || job.Cancelled
 	if state.Phase == wire.PhaseCheckpointing && attempt.Inherited && !stopKnown {
@@ -107,7 +107,7 @@
 	epochEnded := attempt.LaunchSent && heartbeat.Epoch > attempt.LaunchEpoch
 	startUnwanted := attempt.Stopping || attempt.Machine.DrainReason != "" || attempt.Job.Cancelled
 	switch {
-	case attempt.Observed, attempt.Inherited, epochEnded:
+	case attempt.SeenInHeartbeat, attempt.Inherited, epochEnded:
 		rc.Log.Info("task lost", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
 		rc.Metrics.TaskInterrupted(string(cluster.EvictedMissing))
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
--- a/internal/leader/reconciliation_test.go
+++ b/internal/leader/reconciliation_test.go
@@ -12,10 +12,10 @@
 // effect.
 func TestMissingTaskEndsOnlyWhenNoLaunchCanTakeEffect(t *testing.T) {
 	unanswered := func(a *cluster.Attempt) {
-		a.Observed, a.LaunchSent, a.LaunchEpoch, a.LaunchUnanswered, a.UnansweredLaunchToken = true, true, 1, true, 50
+		a.SeenInHeartbeat, a.LaunchSent, a.LaunchEpoch, a.LaunchUnanswered, a.UnansweredLaunchToken = true, true, 1, true, 50
 	}
 	inAnswer := func(a *cluster.Attempt) {
-		a.Observed, a.LaunchSent, a.LaunchEpoch, a.ReplyEpoch, a.ReplySequence = true, true, 1, 1, 10
+		a.SeenInHeartbeat, a.LaunchSent, a.LaunchEpoch, a.ReplyEpoch, a.ReplySequence = true, true, 1, 1, 10
 	}
 	inherited := func(a *cluster.Attempt) { a.Inherited = true }
 	cases := []struct {
@@ -53,7 +53,7 @@
 // An agent is told to forget an attempt only when its outcome is stored and no launch of it
 // can still arrive. A launch that may still arrive asks for a higher token.
 func TestAttemptIsForgottenOnceItsOutcomeIsStored(t *testing.T) {
-	exited := wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseExited, Cause: wire.CauseStopped}
+	exited := wire.TaskStatus{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseExited, Cause: wire.CauseStopped}
 	unansweredUnder := func(token wire.FencingToken) func(*cluster.Machine, *cluster.Attempt) {
 		return func(m *cluster.Machine, _ *cluster.Attempt) {
 			m.UnansweredLaunch = cluster.UnansweredCommand{Token: token, Epoch: 1}
@@ -80,7 +80,7 @@
 			c.setup(m, a)
 			forget := false
 			for _, command := range tm.dispatcher.CommandsFor(m, heartbeat, time.Now()) {
-				forget = forget || command.Verb == wire.Forget && command.Attempt == 7
+				forget = forget || command.Verb == wire.VerbForget && command.Attempt == 7
 			}
 			if raise := tm.Fencing.RaiseRequested; forget != c.wantForget || raise != c.wantRaise {
 				t.Errorf("got forget %v and raise %v, want %v and %v", forget, raise, c.wantForget, c.wantRaise)
@@ -93,8 +93,8 @@
 	tm, m, _ := newTestTerm(t)
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
 	heartbeat := heartbeatFrom(1, 11, 50,
-		wire.TaskState{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning},
-		wire.TaskState{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
+		wire.TaskStatus{Task: "req-1/0", Attempt: 7, Phase: wire.PhaseRunning},
+		wire.TaskStatus{Task: "req-77/0", Attempt: 1, Phase: wire.PhaseRunning})
 	heartbeat.Type = "c4"
 	tm.reconciler.Reconcile(m, heartbeat, true, time.Now())
 	if free := tm.state.FreeResources(m); free.CPUs != 0 {
@@ -102,7 +102,7 @@
 	}
 	stops := 0
 	for _, command := range tm.dispatcher.CommandsFor(m, heartbeat, time.Now()) {
-		if command.Verb == wire.Stop && command.Task == "req-77/0" {
+		if command.Verb == wire.VerbStop && command.Task == "req-77/0" {
 			stops++
 		}
 	}
--- a/internal/leader/recovery/cancellations.go
+++ b/internal/leader/recovery/cancellations.go
@@ -28,7 +28,7 @@
 func (r *Records) cancelJob(j *cluster.Job, at time.Time) {
 	j.Cancelled = true
 	j.CancelledAt = at
-	if r.State.Recovered {
+	if r.State.RecordsRead {
 		r.Dispatcher.StopCancelledJob(j)
 	}
 }
@@ -55,7 +55,7 @@
 // answered, has arrived.
 func anyLaunchMayBeInFlight(j *cluster.Job) bool {
 	for _, a := range j.Attempts() {
-		arrived := a.Observed && !a.LaunchUnanswered && !a.LaunchInFlight
+		arrived := a.SeenInHeartbeat && !a.LaunchUnanswered && !a.LaunchInFlight
 		if !a.Unstored && !arrived {
 			return true
 		}
--- a/internal/leader/recovery/cancellations_test.go
+++ b/internal/leader/recovery/cancellations_test.go
@@ -30,7 +30,7 @@
 	spec := wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}
 	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(at)}, 1)
 	j.Cancelled, j.CancelledAt = true, at
-	a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Number: 1, Machine: r.State.GetOrAddMachine("n-1"), Observed: true}
+	a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Number: 1, Machine: r.State.GetOrAddMachine("n-1"), SeenInHeartbeat: true}
 	a.Chunk.AddAttempt(a)
 	setup(a)
 	r.State.CancelledJobs[j] = struct{}{}
@@ -44,11 +44,11 @@
 		want  bool
 	}{
 		{"shown by the agent", func(*cluster.Attempt) {}, false},
-		{"not shown by the agent", func(a *cluster.Attempt) { a.Observed = false }, true},
+		{"not shown by the agent", func(a *cluster.Attempt) { a.SeenInHeartbeat = false }, true},
 		{"launch in flight", func(a *cluster.Attempt) { a.LaunchInFlight = true }, true},
 		{"launch unanswered", func(a *cluster.Attempt) { a.LaunchUnanswered = true }, true},
-		{"not stored, so never sent", func(a *cluster.Attempt) { a.Unstored, a.Observed = true, false }, false},
-		{"ended", func(a *cluster.Attempt) { a.Observed = false; a.Detach() }, false},
+		{"not stored, so never sent", func(a *cluster.Attempt) { a.Unstored, a.SeenInHeartbeat = true, false }, false},
+		{"ended", func(a *cluster.Attempt) { a.SeenInHeartbeat = false; a.Detach() }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 		t.Errorf("before the first search: got %v, want the zero time", got)
 	}
 	now := time.Now()
-	notShown := func(a *cluster.Attempt) { a.Observed = false }
+	notShown := func(a *cluster.Attempt) { a.SeenInHeartbeat = false }
 	addCancelledJob(r, "req-1", now.Add(-time.Second), notShown)
 	addCancelledJob(r, "req-2", now.Add(-3*time.Second), notShown)
 	addCancelledJob(r, "req-3", now.Add(-5*time.Second), func(*cluster.Attempt) {})
--- a/internal/leader/recovery/events.go
+++ b/internal/leader/recovery/events.go
@@ -20,7 +20,7 @@
 
 // JobRecordsChanged is an event: a watch of the jobs' records was answered.
 type JobRecordsChanged struct {
-	Changes   []wire.Change
+	Changes   []wire.WatchEvent
 	StartedAt time.Time // when the watch began
 }
 
--- a/internal/leader/recovery/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -29,7 +29,7 @@
 	for ctx.Err() == nil {
 		startedAt := time.Now()
 		answer, err := r.Store.Watch(ctx, store.JobPrefix, revision, watchDuration)
-		if errors.Is(err, store.ErrTooOld) {
+		if errors.Is(err, store.ErrCompacted) {
 			r.End("fell behind the changes")
 			return
 		}
@@ -43,13 +43,13 @@
 }
 
 // ApplyChanges updates the model with changes of the jobs' records.
-func (r *Records) ApplyChanges(changes []wire.Change) {
+func (r *Records) ApplyChanges(changes []wire.WatchEvent) {
 	for _, change := range changes {
-		if change.Put != "" {
-			r.applyJobRecord(change.Put, change.Value, change.Revision)
+		if change.PutKey != "" {
+			r.applyJobRecord(change.PutKey, change.Value, change.Revision)
 			continue
 		}
-		r.applyDeletion(jobIDOfKey(change.Delete))
+		r.applyDeletion(jobIDOfKey(change.DeletedKey))
 	}
 }
 
@@ -80,7 +80,7 @@
 	if j == nil || revision < j.Revision {
 		return
 	}
-	cancelled := record.Status == wire.Cancelled
+	cancelled := record.Status == wire.StatusCancelled
 	j.Revision = revision
 	j.RecordOutdated = j.Cancelled && !cancelled
 	record.LogCancellation(r.Cancels)
@@ -119,7 +119,7 @@
 		// The watch was faster, and the job is archived.
 	case e.Err == nil:
 		r.applyJobRecord(store.JobKey(id), e.Entry.Value, e.Entry.Revision)
-	case errors.Is(e.Err, store.ErrMissing):
+	case errors.Is(e.Err, store.ErrNotFound):
 		if e.Job.RecordOutdated { // otherwise it is being archived
 			r.End("a live job's record is gone: " + string(id))
 		}
--- a/internal/leader/recovery/job_records_test.go
+++ b/internal/leader/recovery/job_records_test.go
@@ -22,12 +22,12 @@
 		wantCancelled bool
 		wantOver      bool
 	}{
-		{"new", func(*Records) {}, wire.Queued, 5, true, false, false},
-		{"new and cancelled", func(*Records) {}, wire.Cancelled, 5, true, true, false},
-		{"known and cancelled", func(r *Records) { r.applyJobRecord(store.JobKey("req-1"), record(wire.Queued), 4) }, wire.Cancelled, 5, true, true, false},
-		{"older than the known record", func(r *Records) { r.applyJobRecord(store.JobKey("req-1"), record(wire.Queued), 6) }, wire.Cancelled, 5, true, false, false},
-		{"archived", func(r *Records) { r.State.ArchivedJobs["req-1"] = true }, wire.Queued, 5, false, false, false},
-		{"quarantined, decodable again", func(r *Records) { r.State.QuarantinedJobs["req-1"] = true }, wire.Queued, 5, false, false, true},
+		{"new", func(*Records) {}, wire.StatusQueued, 5, true, false, false},
+		{"new and cancelled", func(*Records) {}, wire.StatusCancelled, 5, true, true, false},
+		{"known and cancelled", func(r *Records) { r.applyJobRecord(store.JobKey("req-1"), record(wire.StatusQueued), 4) }, wire.StatusCancelled, 5, true, true, false},
+		{"older than the known record", func(r *Records) { r.applyJobRecord(store.JobKey("req-1"), record(wire.StatusQueued), 6) }, wire.StatusCancelled, 5, true, false, false},
+		{"archived", func(r *Records) { r.State.ArchivedJobs["req-1"] = true }, wire.StatusQueued, 5, false, false, false},
+		{"quarantined, decodable again", func(r *Records) { r.State.QuarantinedJobs["req-1"] = true }, wire.StatusQueued, 5, false, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/leader/recovery/recovery.go
+++ b/internal/leader/recovery/recovery.go
@@ -63,11 +63,11 @@
 func (r *Records) readAll(ctx context.Context) (RecordsRead, error) {
 	read := RecordsRead{StartedAt: time.Now()}
 	var err error
-	read.Jobs, read.jobsRevision, err = r.Store.List(ctx, store.Background, store.JobPrefix)
+	read.Jobs, read.jobsRevision, err = r.Store.List(ctx, store.ClassBackground, store.JobPrefix)
 	if err != nil {
 		return read, err
 	}
-	read.Progress, _, err = r.Store.List(ctx, store.Background, store.ProgressPrefix)
+	read.Progress, _, err = r.Store.List(ctx, store.ClassBackground, store.ProgressPrefix)
 	if err != nil {
 		return read, err
 	}
@@ -108,7 +108,7 @@
 	for _, j := range r.State.Jobs {
 		r.State.RestoreGang(j)
 	}
-	r.State.Recovered = true
+	r.State.RecordsRead = true
 	r.Log.Info("records recovered", "jobs", len(r.State.Jobs), "machines", len(r.State.Machines), "duration", time.Since(r.State.TermStartedAt))
 	r.endFinishedJobs()
 	r.reconcileEarlyHeartbeats()
--- a/internal/leader/scheduling/capacity/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -39,15 +39,15 @@
 	case !e.state.StartOverdue(job, e.now):
 	case job.Spec.IsGang():
 		d.Rank += startOverdueRank
-		d.PriceStretch = anyPrice
+		d.PriceLimitFactor = anyPrice
 	default:
 		// Only the first task of a job array is due at any price.
 		e.demands = append(e.demands, firstTaskDemand(d))
 		d.Units--
 	}
-	d.PriceStretch = max(d.PriceStretch, e.PriceStretch(job, e.waits[job.Spec.ID], e.now))
+	d.PriceLimitFactor = max(d.PriceLimitFactor, e.PriceStretch(job, e.waits[job.Spec.ID], e.now))
 	if job.Spec.Spread || job.Spec.SameZone {
-		d.ZoneLeft = job.ZoneCapacityLeft(e.zones)
+		d.ZoneCapacityLeft = job.ZoneCapacityLeft(e.zones)
 	}
 	e.demands = append(e.demands, d)
 }
@@ -59,7 +59,7 @@
 		Units:        units,
 		AllOrNothing: job.Spec.IsGang(),
 		Rank:         float64(job.Spec.Priority.Rank()),
-		SlackS:       e.valuer.SlackSeconds(job, e.now) * e.stretchShare,
+		SlackSeconds: e.valuer.SlackSeconds(job, e.now) * e.stretchShare,
 	}
 }
 
@@ -67,7 +67,7 @@
 func firstTaskDemand(d fleet.Demand) fleet.Demand {
 	d.Units = 1
 	d.Rank += startOverdueRank
-	d.PriceStretch = anyPrice
+	d.PriceLimitFactor = anyPrice
 	return d
 }
 
@@ -83,11 +83,11 @@
 	if gang && job.ActiveTasks > 0 {
 		return 0 // the rest of its last attempt ends first
 	}
-	units := job.Pending()
+	units := job.PendingTasks()
 	if !job.Spec.IsService() && !gang {
 		units = demand.ParallelTasks(units, valuation.WorkOf(job, e.now), e.state.Settings.Objectives, e.stretchShare)
 	}
-	allowed := placement.ResourcesOf(&job.Spec).Units(limitLeft(team.MaxCPUs, team.MaxGPUs, e.used[job.Spec.Team]))
+	allowed := placement.ResourcesOf(&job.Spec).UnitsIn(limitLeft(team.MaxCPUs, team.MaxGPUs, e.used[job.Spec.Team]))
 	if gang && allowed < units {
 		return 0
 	}
@@ -119,5 +119,5 @@
 		zoneLeft[zone] = (spare.Count + 1) / 2
 	}
 	spec := &wire.JobSpec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: spare.Count, CPUs: spare.Takes.CPUs, MemoryGB: spare.Takes.MemoryGB}
-	e.demands = append(e.demands, fleet.Demand{Spec: spec, Units: spare.Count, Rank: spareRank, ZoneLeft: zoneLeft})
+	e.demands = append(e.demands, fleet.Demand{Spec: spec, Units: spare.Count, Rank: spareRank, ZoneCapacityLeft: zoneLeft})
 }
--- a/internal/leader/scheduling/capacity/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -84,7 +84,7 @@
 
 // deservesScaleOut reports whether machines may be requested for a job.
 func (e *Estimator) deservesScaleOut(job *cluster.Job) bool {
-	waiting := !job.Cancelled && !job.Finished && job.Pending() > 0
+	waiting := !job.Cancelled && !job.Finished && job.PendingTasks() > 0
 	return waiting && job.Failures < maxFailuresForScaleOut && !e.state.Quarantined(job.Spec.ID)
 }
 
@@ -104,9 +104,9 @@
 	for _, spec := range gangs {
 		reserve := fleet.Demand{Spec: spec, Units: spec.Tasks, Rank: gangReserveRank, AllOrNothing: true}
 		if spec.Spread {
-			reserve.ZoneLeft = map[wire.Zone]int{}
+			reserve.ZoneCapacityLeft = map[wire.Zone]int{}
 			for _, zone := range e.state.Zones() {
-				reserve.ZoneLeft[zone] = spec.MaxTasksPerZone()
+				reserve.ZoneCapacityLeft[zone] = spec.MaxTasksPerZone()
 			}
 		}
 		reserves = append(reserves, reserve)
@@ -128,8 +128,8 @@
 func (e *Estimator) bootSeconds(spec *wire.JobSpec) float64 {
 	earliest := math.Inf(1)
 	for _, machineType := range e.state.Catalog.Get() {
-		if machineType.Fits(spec) && machineType.FetchGBPerS > 0 {
-			earliest = min(earliest, float64(machineType.BootTime)+spec.ImageGB/machineType.FetchGBPerS)
+		if machineType.Fits(spec) && machineType.FetchGBPerSecond > 0 {
+			earliest = min(earliest, float64(machineType.BootTime)+spec.ImageGB/machineType.FetchGBPerSecond)
 		}
 	}
 	return earliest
--- a/internal/leader/scheduling/capacity/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -66,8 +66,8 @@
 func TestOverdueGangMayCostAnyPrice(t *testing.T) {
 	s := newTestPlanner(t)
 	s.AddJobAcceptedAt(schedulingtest.Gang("req-1", 4), schedulingtest.Now.Add(-3*time.Minute))
-	if d := s.demandsOf("req-1")[0]; !math.IsInf(d.PriceStretch, 1) {
-		t.Errorf("price stretch %v, want infinity", d.PriceStretch)
+	if d := s.demandsOf("req-1")[0]; !math.IsInf(d.PriceLimitFactor, 1) {
+		t.Errorf("price stretch %v, want infinity", d.PriceLimitFactor)
 	}
 }
 
@@ -81,10 +81,10 @@
 		t.Fatalf("demands %+v, want one for the first task and one for the rest", demands)
 	}
 	first, rest := demands[0], demands[1]
-	if first.Units != 1 || first.Rank != 1+startOverdueRank || !math.IsInf(first.PriceStretch, 1) {
+	if first.Units != 1 || first.Rank != 1+startOverdueRank || !math.IsInf(first.PriceLimitFactor, 1) {
 		t.Errorf("first task: %+v, want one unit of rank %v at any price", first, 1+startOverdueRank)
 	}
-	if rest.Units != 9 || rest.Rank != 1 || rest.PriceStretch != 1 {
+	if rest.Units != 9 || rest.Rank != 1 || rest.PriceLimitFactor != 1 {
 		t.Errorf("rest: %+v, want nine units of rank 1 within the limit", rest)
 	}
 }
@@ -148,7 +148,7 @@
 		t.Fatalf("demands %+v, want one for the spare replicas", demands)
 	}
 	want := map[wire.Zone]int{"a": 2, "b": 2}
-	if d := demands[0]; d.Units != 3 || d.Rank != spareRank || d.Spec.CPUs != 2 || !maps.Equal(d.ZoneLeft, want) {
+	if d := demands[0]; d.Units != 3 || d.Rank != spareRank || d.Spec.CPUs != 2 || !maps.Equal(d.ZoneCapacityLeft, want) {
 		t.Errorf("demand %+v of %v CPUs, want 3 units of 2 CPUs, rank %v, zones %v", d, d.Spec.CPUs, spareRank, want)
 	}
 }
@@ -162,7 +162,7 @@
 		t.Fatalf("demands %+v, want the gang twice", reserves)
 	}
 	for _, d := range reserves {
-		if d.Units != 5 || d.Rank != gangReserveRank || !d.AllOrNothing || d.ZoneLeft["a"] != spec.MaxTasksPerZone() || d.ZoneLeft["b"] != spec.MaxTasksPerZone() {
+		if d.Units != 5 || d.Rank != gangReserveRank || !d.AllOrNothing || d.ZoneCapacityLeft["a"] != spec.MaxTasksPerZone() || d.ZoneCapacityLeft["b"] != spec.MaxTasksPerZone() {
 			t.Errorf("demand %+v, want five units, all or nothing, rank %v, at most %d in a zone", d, gangReserveRank, spec.MaxTasksPerZone())
 		}
 	}
--- a/internal/leader/scheduling/capacity/offers.go
+++ b/internal/leader/scheduling/capacity/offers.go
@@ -17,7 +17,7 @@
 	for i := range specs {
 		spec := &specs[i]
 		for _, zone := range spec.Zones {
-			if p.state.Partitioned(zone, now) {
+			if p.state.ZonePartitioned(zone, now) {
 				continue // no heartbeat of a machine there would arrive
 			}
 			for _, spot := range []bool{false, true} {
@@ -34,13 +34,13 @@
 // planOffer describes an offer of a machine type to a plan.
 func planOffer(spec *wire.MachineSpec, offer scaling.Offer) fleet.Offer {
 	return fleet.Offer{
-		Type:        offer.Type,
-		Zone:        offer.Zone,
-		Spot:        offer.Spot,
-		Total:       cluster.MachineResources(spec),
-		Price:       spec.Price(offer.Spot),
-		FetchGBPerS: spec.FetchGBPerS,
-		Room:        maxOffer,
+		Type:             offer.Type,
+		Zone:             offer.Zone,
+		Spot:             offer.Spot,
+		Total:            cluster.MachineResources(spec),
+		Price:            spec.Price(offer.Spot),
+		FetchGBPerSecond: spec.FetchGBPerSecond,
+		MaxCount:         maxOffer,
 	}
 }
 
@@ -53,7 +53,7 @@
 		if !spec.Fits(job) {
 			continue
 		}
-		units := float64(placement.ResourcesOf(job).Units(cluster.MachineResources(spec)))
+		units := float64(placement.ResourcesOf(job).UnitsIn(cluster.MachineResources(spec)))
 		cheapest = min(cheapest, spec.OnDemandPrice/units)
 		if job.SpotAllowed {
 			cheapest = min(cheapest, spec.SpotPrice/units)
--- a/internal/leader/scheduling/capacity/plan_machines.go
+++ b/internal/leader/scheduling/capacity/plan_machines.go
@@ -29,31 +29,31 @@
 	if !machine.Booting && p.state.SinceLastMessage(machine, now) > maxMissedHeartbeats*p.state.HeartbeatInterval() {
 		return false
 	}
-	return !p.state.UnseenSincePartition(machine, now) && !p.state.OutboundLost(machine, now)
+	return !p.state.UnseenSincePartition(machine, now) && !p.state.OutboundConnectivityLost(machine, now)
 }
 
 // planMachine describes a machine to a plan. An idle one is kept for idleBoots times the
 // boot time of its type.
 func (p *Planner) planMachine(machine *cluster.Machine, spec *wire.MachineSpec, idleBoots float64, now time.Time) fleet.Machine {
 	described := fleet.Machine{
-		ID:      machine.ID,
-		Type:    machine.MachineType,
-		Zone:    machine.Zone,
-		Spot:    machine.Spot,
-		Total:   p.state.TotalResources(machine),
-		Free:    p.state.FreeResources(machine),
-		Booting: machine.Booting,
-		PaidS:   billedUpfrontS - now.Sub(machine.RequestedAt).Seconds(),
-		Price:   spec.Price(machine.Spot),
-		KeepS:   idleBoots * float64(spec.BootTime),
+		ID:              machine.ID,
+		Type:            machine.MachineType,
+		Zone:            machine.Zone,
+		Spot:            machine.Spot,
+		Total:           p.state.TotalResources(machine),
+		Free:            p.state.FreeResources(machine),
+		Booting:         machine.Booting,
+		PrepaidSeconds:  billedUpfrontS - now.Sub(machine.RequestedAt).Seconds(),
+		Price:           spec.Price(machine.Spot),
+		KeepIdleSeconds: idleBoots * float64(spec.BootTime),
 	}
 	for _, attempt := range machine.Tasks {
 		addTaskToPlan(&described, attempt, now)
 	}
-	slices.SortFunc(described.Freeing, func(a, b fleet.Freeing) int { return cmp.Compare(a.InS, b.InS) })
+	slices.SortFunc(described.ExpectedReleases, func(a, b fleet.ExpectedRelease) int { return cmp.Compare(a.InSeconds, b.InSeconds) })
 	if idle(machine) {
 		idleSince := cluster.Latest(machine.LastUsedAt, machine.FirstHeartbeatAt)
-		described.Idle, described.IdleS = true, now.Sub(idleSince).Seconds()
+		described.Idle, described.IdleSeconds = true, now.Sub(idleSince).Seconds()
 	}
 	return described
 }
@@ -61,13 +61,13 @@
 // addTaskToPlan adds a task to the description of its machine.
 func addTaskToPlan(described *fleet.Machine, attempt *cluster.Attempt, now time.Time) {
 	if attempt.Job.Spec.IsService() {
-		described.Services++
+		described.ServiceTasks++
 		return
 	}
 	takes := attempt.Resources()
-	described.Freeing = append(described.Freeing, fleet.Freeing{InS: attempt.PlannedRemainingSeconds(now), Room: takes})
-	if takes.CPUs > described.Unit.CPUs {
-		described.Unit = takes
+	described.ExpectedReleases = append(described.ExpectedReleases, fleet.ExpectedRelease{InSeconds: attempt.PlannedRemainingSeconds(now), Resources: takes})
+	if takes.CPUs > described.LargestArrayTask.CPUs {
+		described.LargestArrayTask = takes
 	}
 }
 
--- a/internal/leader/scheduling/capacity/planner.go
+++ b/internal/leader/scheduling/capacity/planner.go
@@ -87,9 +87,9 @@
 func (p *Planner) snapshot(candidates []*cluster.Machine, input Input) *fleet.Snapshot {
 	values := input.Values
 	snapshot := &fleet.Snapshot{
-		MaxScaleOuts: maxScaleOutsPerPlan,
-		PriceLimit:   values.PriceLimit,
-		Cheapest:     func(job *wire.JobSpec) float64 { return cheapestUnit(input.Specs, job) },
+		MaxMachinesAdded: maxScaleOutsPerPlan,
+		PriceLimit:       values.PriceLimit,
+		LowestPrice:      func(job *wire.JobSpec) float64 { return cheapestUnit(input.Specs, job) },
 	}
 	for _, machine := range candidates {
 		spec := p.state.MachineSpec(machine.MachineType)
--- a/internal/leader/scheduling/capacity/planner_test.go
+++ b/internal/leader/scheduling/capacity/planner_test.go
@@ -88,7 +88,7 @@
 	}{
 		{"idle for long", func(*testPlanner, *cluster.Machine) {}, true},
 		{"idle for less than it is kept", func(_ *testPlanner, m *cluster.Machine) { m.LastUsedAt = schedulingtest.Now.Add(-time.Second) }, false},
-		{"with an orphan task", func(_ *testPlanner, m *cluster.Machine) { m.OrphanTasks[wire.Task{Job: "req-1"}] = true }, false},
+		{"with an orphan task", func(_ *testPlanner, m *cluster.Machine) { m.OrphanTasks[wire.TaskID{Job: "req-1"}] = true }, false},
 		{"scaling in already", func(_ *testPlanner, m *cluster.Machine) { m.ScalingIn = true }, false},
 		{"draining", func(_ *testPlanner, m *cluster.Machine) { m.DrainReason = cluster.DrainSlow }, false},
 		{"of an unknown type", func(_ *testPlanner, m *cluster.Machine) { m.MachineType = "" }, false},
@@ -152,14 +152,14 @@
 	s.Run(s.AddJob(schedulingtest.Array("req-2", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
 	s.Run(s.AddJob(schedulingtest.Service("req-3", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
 	got := s.planMachine(machine, s.State.MachineSpec("c16"), 0.5, schedulingtest.Now)
-	if got.Total.CPUs != 16 || got.Free.CPUs != 10 || got.Price != 0.8 || got.PaidS != 10 || got.KeepS != 10 || got.Idle {
+	if got.Total.CPUs != 16 || got.Free.CPUs != 10 || got.Price != 0.8 || got.PrepaidSeconds != 10 || got.KeepIdleSeconds != 10 || got.Idle {
 		t.Errorf("machine %+v, want 10 of 16 CPUs free, price 0.8, paid for and kept for 10 s, not idle", got)
 	}
-	if got.Services != 1 || got.Unit.CPUs != 3 {
-		t.Errorf("%d services, largest task of %v CPUs; want 1, 3", got.Services, got.Unit.CPUs)
+	if got.ServiceTasks != 1 || got.LargestArrayTask.CPUs != 3 {
+		t.Errorf("%d services, largest task of %v CPUs; want 1, 3", got.ServiceTasks, got.LargestArrayTask.CPUs)
 	}
-	if len(got.Freeing) != 2 || got.Freeing[0].InS != 20 || got.Freeing[1].InS != 50 {
-		t.Errorf("freeing %+v, want in 20 s and in 50 s", got.Freeing)
+	if len(got.ExpectedReleases) != 2 || got.ExpectedReleases[0].InSeconds != 20 || got.ExpectedReleases[1].InSeconds != 50 {
+		t.Errorf("freeing %+v, want in 20 s and in 50 s", got.ExpectedReleases)
 	}
 }
 
@@ -183,7 +183,7 @@
 		t.Fatalf("zone a is partitioned: offers %+v, want 2", offers)
 	}
 	for i, spot := range []bool{false, true} {
-		if o := offers[i]; o.Type != "c4" || o.Zone != "b" || o.Spot != spot || o.Room != maxOffer || o.Total.CPUs != 4 {
+		if o := offers[i]; o.Type != "c4" || o.Zone != "b" || o.Spot != spot || o.MaxCount != maxOffer || o.Total.CPUs != 4 {
 			t.Errorf("offer %+v, want c4 in zone b, spot %v", o, spot)
 		}
 	}
--- a/internal/leader/scheduling/capacity/waits.go
+++ b/internal/leader/scheduling/capacity/waits.go
@@ -22,7 +22,7 @@
 		queue = append(queue, demand.QueuedJob{
 			ID:     job.Spec.ID,
 			Weight: weight * (1 + now.Sub(job.AcceptedAt).Seconds()/doublingS),
-			WorkS:  float64(job.Pending()) * job.Spec.CPUs * max(1, job.ExpectedSeconds()),
+			WorkS:  float64(job.PendingTasks()) * job.Spec.CPUs * max(1, job.ExpectedRunSeconds()),
 		})
 	}
 	waits, backlogS := demand.PredictWaits(queue, e.batchCPUs())
--- a/internal/leader/scheduling/cycle_test.go
+++ b/internal/leader/scheduling/cycle_test.go
@@ -17,8 +17,8 @@
 	if cycle := s.BeginCycle(schedulingtest.Now); cycle != nil {
 		t.Errorf("cycle %+v, want none", cycle)
 	}
-	if !s.State.Cycle.LastAt.Equal(schedulingtest.Now) {
-		t.Errorf("the last cycle was at %v, want %v", s.State.Cycle.LastAt, schedulingtest.Now)
+	if !s.State.CycleTimer.LastAt.Equal(schedulingtest.Now) {
+		t.Errorf("the last cycle was at %v, want %v", s.State.CycleTimer.LastAt, schedulingtest.Now)
 	}
 }
 
@@ -34,14 +34,14 @@
 	if job.ActiveTasks != 3 || job.UnstoredAttempts != 3 || !job.LastStartAt.Equal(schedulingtest.Now) {
 		t.Errorf("%d active, %d unstored tasks, last start at %v; want 3, 3, %v", job.ActiveTasks, job.UnstoredAttempts, job.LastStartAt, schedulingtest.Now)
 	}
-	numbers := map[wire.Attempt]bool{}
+	numbers := map[wire.AttemptNumber]bool{}
 	for _, attempt := range machine.Tasks {
 		numbers[attempt.Number] = true
 	}
 	if len(numbers) != 3 || !numbers[1] || !numbers[3] || job.Chunk(0).NextAttempt != 4 {
 		t.Errorf("attempts %v, next %d; want 1 to 3, next 4", numbers, job.Chunk(0).NextAttempt)
 	}
-	if _, dirty := s.State.Unsaved.Chunks[job.Chunk(0)]; !dirty {
+	if _, dirty := s.State.UnsavedChanges.Chunks[job.Chunk(0)]; !dirty {
 		t.Error("the chunk is not marked as dirty")
 	}
 }
@@ -63,8 +63,8 @@
 			t.Errorf("task %v has attempt %d, unstored %v; want 5, true", attempt.Task(), attempt.Number, attempt.Unstored)
 		}
 	}
-	if next := tooLarge.Chunk(0).NextAttempt; next != 6 || tooLarge.Gang.Number != 5 {
-		t.Errorf("gang attempt %d, next %d; want 5, 6", tooLarge.Gang.Number, next)
+	if next := tooLarge.Chunk(0).NextAttempt; next != 6 || tooLarge.Gang.AttemptNumber != 5 {
+		t.Errorf("gang attempt %d, next %d; want 5, 6", tooLarge.Gang.AttemptNumber, next)
 	}
 }
 
@@ -85,15 +85,15 @@
 	if len(machine.Reservations) != 1 || machine.Reservations[0].Job != urgent.Spec.ID {
 		t.Fatalf("reservations %+v, want one for req-2", machine.Reservations)
 	}
-	if want := schedulingtest.Now.Add(s.stopDuration(0)); !machine.Reservations[0].Until.Equal(want) {
-		t.Errorf("reserved until %v, want %v", machine.Reservations[0].Until, want)
+	if want := schedulingtest.Now.Add(s.stopDuration(0)); !machine.Reservations[0].ExpiresAt.Equal(want) {
+		t.Errorf("reserved until %v, want %v", machine.Reservations[0].ExpiresAt, want)
 	}
 
 	preempted := s.State.ActiveAttempt(cycle.Preemptions[0].Task)
 	preempted.GracePeriod = 7
 	s.ExtendReservations(preempted, schedulingtest.Now)
-	if want := schedulingtest.Now.Add(s.stopDuration(7)); !machine.Reservations[0].Until.Equal(want) {
-		t.Errorf("with the grace period: reserved until %v, want %v", machine.Reservations[0].Until, want)
+	if want := schedulingtest.Now.Add(s.stopDuration(7)); !machine.Reservations[0].ExpiresAt.Equal(want) {
+		t.Errorf("with the grace period: reserved until %v, want %v", machine.Reservations[0].ExpiresAt, want)
 	}
 
 	s.State.EndAttempt(preempted, cluster.TaskPending)
@@ -158,8 +158,8 @@
 	machine := s.AddMachine("n-1", "c4", "a")
 	job := s.AddJob(schedulingtest.Array("req-1", 4))
 	s.Run(job, machine, schedulingtest.Now)
-	machine.OrphanTasks[wire.Task{Job: "req-1", Index: 3}] = true
-	machine.OrphanTasks[wire.Task{Job: "unknown", Index: 0}] = true
+	machine.OrphanTasks[wire.TaskID{Job: "req-1", Index: 3}] = true
+	machine.OrphanTasks[wire.TaskID{Job: "unknown", Index: 0}] = true
 	teams := teamUsage(s.State)
 	if got := teams["red"].Used.CPUs; got != 2 {
 		t.Errorf("team red uses %v CPUs, want 2", got)
@@ -203,8 +203,8 @@
 	} {
 		attempt.StopRequestedAt = schedulingtest.Now.Add(-c.since)
 		view := s.snapshot([]*cluster.Job{waiting}, schedulingtest.Now).placement.Machines[0]
-		if view.Stopping.CPUs != c.want || len(view.Victims) != 0 {
-			t.Errorf("stopped for %v: %v CPUs stopping, %d victims; want %v, 0", c.since, view.Stopping.CPUs, len(view.Victims), c.want)
+		if view.StoppingResources.CPUs != c.want || len(view.Victims) != 0 {
+			t.Errorf("stopped for %v: %v CPUs stopping, %d victims; want %v, 0", c.since, view.StoppingResources.CPUs, len(view.Victims), c.want)
 		}
 	}
 }
--- a/internal/leader/scheduling/eligibility.go
+++ b/internal/leader/scheduling/eligibility.go
@@ -26,7 +26,7 @@
 
 // startDue reports whether a job has pending tasks that may start now.
 func startDue(job *cluster.Job, now time.Time) bool {
-	return job.Pending() > 0 && !now.Before(job.StartNotBefore)
+	return job.PendingTasks() > 0 && !now.Before(job.StartNotBefore)
 }
 
 // Usable reports whether tasks may start on a machine now.
@@ -45,11 +45,11 @@
 func (e *Eligibility) reachable(machine *cluster.Machine, now time.Time) bool {
 	followsTerm := machine.Token >= e.state.FirstToken
 	inboundWorks := machine.UnansweredCommands == 0 && machine.Inbound.Works()
-	return followsTerm && inboundWorks && !e.state.UnseenSincePartition(machine, now) && !e.state.OutboundLost(machine, now)
+	return followsTerm && inboundWorks && !e.state.UnseenSincePartition(machine, now) && !e.state.OutboundConnectivityLost(machine, now)
 }
 
 // accepting reports whether a machine sent a message lately and has refused no task lately.
 func (e *Eligibility) accepting(machine *cluster.Machine, now time.Time) bool {
 	maxSilence := 2*e.state.HeartbeatInterval() + time.Second
-	return !now.Before(machine.RefusedUntil) && now.Sub(machine.LastMessageAt) < maxSilence
+	return !now.Before(machine.StartNotBefore) && now.Sub(machine.LastMessageAt) < maxSilence
 }
--- a/internal/leader/scheduling/eligibility_test.go
+++ b/internal/leader/scheduling/eligibility_test.go
@@ -63,8 +63,8 @@
 		{"its heartbeats don't arrive", func(_ *testScheduler, m *cluster.Machine) {
 			m.HeartbeatsMissingSince = schedulingtest.Now.Add(-time.Minute)
 		}, false},
-		{"has refused a task", func(_ *testScheduler, m *cluster.Machine) { m.RefusedUntil = schedulingtest.Now.Add(1) }, false},
-		{"has refused one long ago", func(_ *testScheduler, m *cluster.Machine) { m.RefusedUntil = schedulingtest.Now }, true},
+		{"has refused a task", func(_ *testScheduler, m *cluster.Machine) { m.StartNotBefore = schedulingtest.Now.Add(1) }, false},
+		{"has refused one long ago", func(_ *testScheduler, m *cluster.Machine) { m.StartNotBefore = schedulingtest.Now }, true},
 		{"nearly overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(1 - maxSilence) }, true},
 		{"overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-maxSilence) }, false},
 		{"cordoned", func(_ *testScheduler, m *cluster.Machine) { m.Cordoned = true }, true},
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -32,7 +32,7 @@
 			wait := wire.Seconds(r.patience.PatienceSeconds(job, now))
 			until = until.Add(wait.Duration())
 		}
-		machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: reservation.Reservation, AwaitedTasks: reservation.AwaitedTasks, Until: until})
+		machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: reservation.Reservation, AwaitedTasks: reservation.AwaitedTasks, ExpiresAt: until})
 		r.ReservedMachines[machine] = struct{}{}
 	}
 }
@@ -57,11 +57,11 @@
 // can use it any more. The job's reservations that are kept so far are counted in reserved.
 func (r *Reservations) obsolete(machine *cluster.Machine, reservation cluster.Reservation, reserved map[wire.JobID]int, now time.Time) bool {
 	removed := r.state.Machines[machine.ID] != machine || machine.ScalingIn || machine.DrainReason != ""
-	if now.After(reservation.Until) || removed {
+	if now.After(reservation.ExpiresAt) || removed {
 		return true
 	}
 	job := r.state.Jobs[reservation.Job]
-	return job == nil || job.Cancelled || reserved[reservation.Job] >= job.Pending()
+	return job == nil || job.Cancelled || reserved[reservation.Job] >= job.PendingTasks()
 }
 
 // dropIncompleteGangs drops what is left of a gang's reservations if some of them were
@@ -98,10 +98,10 @@
 func (r *Reservations) extendGangReservations() {
 	latest := map[wire.JobID]time.Time{}
 	r.eachOfGangs(func(reservation *cluster.Reservation) {
-		latest[reservation.Job] = cluster.Latest(latest[reservation.Job], reservation.Until)
+		latest[reservation.Job] = cluster.Latest(latest[reservation.Job], reservation.ExpiresAt)
 	})
 	r.eachOfGangs(func(reservation *cluster.Reservation) {
-		reservation.Until = latest[reservation.Job]
+		reservation.ExpiresAt = latest[reservation.Job]
 	})
 }
 
@@ -122,7 +122,7 @@
 	until := now.Add(r.stopDuration(preempted.GracePeriod))
 	for i := range preempted.Machine.Reservations {
 		reservation := &preempted.Machine.Reservations[i]
-		reservation.Until = cluster.Latest(reservation.Until, until)
+		reservation.ExpiresAt = cluster.Latest(reservation.ExpiresAt, until)
 	}
 }
 
--- a/internal/leader/scheduling/reservations_test.go
+++ b/internal/leader/scheduling/reservations_test.go
@@ -12,7 +12,7 @@
 
 // reserveFor reserves resources for one task of a job on a machine.
 func (s *testScheduler) reserveFor(id wire.JobID, machine *cluster.Machine, until time.Time) {
-	machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: placement.Reservation{Job: id}, Until: until})
+	machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: placement.Reservation{Job: id}, ExpiresAt: until})
 	s.ReservedMachines[machine] = struct{}{}
 }
 
@@ -24,10 +24,10 @@
 	}{
 		{"needed", func(*testScheduler, *cluster.Job, *cluster.Machine) {}, 1},
 		{"until now", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) {
-			m.Reservations[0].Until = schedulingtest.Now
+			m.Reservations[0].ExpiresAt = schedulingtest.Now
 		}, 1},
 		{"expired", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) {
-			m.Reservations[0].Until = schedulingtest.Now.Add(-1)
+			m.Reservations[0].ExpiresAt = schedulingtest.Now.Add(-1)
 		}, 0},
 		{"machine removed", func(s *testScheduler, _ *cluster.Job, m *cluster.Machine) { delete(s.State.Machines, m.ID) }, 0},
 		{"machine replaced", func(s *testScheduler, _ *cluster.Job, m *cluster.Machine) {
@@ -100,8 +100,8 @@
 	s.reserveFor("req-2", second, late)
 	s.extendGangReservations()
 	for i, want := range []time.Time{late, early} {
-		if got := first.Reservations[i]; !got.Until.Equal(want) {
-			t.Errorf("%s: reserved until %v, want %v", got.Job, got.Until, want)
+		if got := first.Reservations[i]; !got.ExpiresAt.Equal(want) {
+			t.Errorf("%s: reserved until %v, want %v", got.Job, got.ExpiresAt, want)
 		}
 	}
 }
@@ -121,8 +121,8 @@
 	}, schedulingtest.Now)
 	reservations := s.State.Machines["n-1"].Reservations
 	arrayUntil, gangUntil := schedulingtest.Now.Add(s.stopDuration(0)), schedulingtest.Now.Add(s.stopDuration(0)+patience)
-	if !reservations[0].Until.Equal(arrayUntil) || !reservations[1].Until.Equal(gangUntil) {
-		t.Errorf("reserved until %v and %v, want %v and %v", reservations[0].Until, reservations[1].Until, arrayUntil, gangUntil)
+	if !reservations[0].ExpiresAt.Equal(arrayUntil) || !reservations[1].ExpiresAt.Equal(gangUntil) {
+		t.Errorf("reserved until %v and %v, want %v and %v", reservations[0].ExpiresAt, reservations[1].ExpiresAt, arrayUntil, gangUntil)
 	}
 }
 
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -82,7 +82,7 @@
 // BeginCycle starts tasks, reserves resources for waiting jobs and names the tasks to be
 // preempted for them. It returns nil if no job waits.
 func (s *Scheduler) BeginCycle(now time.Time) *Cycle {
-	s.state.Cycle.Begin(now)
+	s.state.CycleTimer.Begin(now)
 	waiting := s.schedulableJobs(now)
 	if len(waiting) == 0 {
 		return nil
@@ -104,7 +104,7 @@
 	if c.reserved {
 		s.extendGangReservations()
 	}
-	s.state.Cycle.LastDuration = time.Since(c.startedAt)
+	s.state.CycleTimer.LastDuration = time.Since(c.startedAt)
 }
 
 // schedulableJobs returns the jobs with tasks that can be placed now, in no order.
--- a/internal/leader/scheduling/schedulingtest/cluster.go
+++ b/internal/leader/scheduling/schedulingtest/cluster.go
@@ -51,8 +51,8 @@
 	}
 	catalog := &cluster.MachineCatalog{}
 	catalog.Set([]wire.MachineSpec{
-		{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 50, FetchGBPerS: 1, OnDemandPrice: 0.4, SpotPrice: 0.1, BootTime: 10, Zones: settings.Zones},
-		{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 50, FetchGBPerS: 2, OnDemandPrice: 1.2, SpotPrice: 0.8, BootTime: 20, Zones: []wire.Zone{"a"}},
+		{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 50, FetchGBPerSecond: 1, OnDemandPrice: 0.4, SpotPrice: 0.1, BootTime: 10, Zones: settings.Zones},
+		{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 50, FetchGBPerSecond: 2, OnDemandPrice: 1.2, SpotPrice: 0.8, BootTime: 20, Zones: []wire.Zone{"a"}},
 	})
 	return &Cluster{
 		State:   cluster.NewState(settings, catalog, Now.Add(-10*time.Minute), Token),
@@ -95,7 +95,7 @@
 func (c *Cluster) Run(job *cluster.Job, machine *cluster.Machine, since time.Time) *cluster.Attempt {
 	c.t.Helper()
 	var attempt *cluster.Attempt
-	job.ForEachPending(1, func(chunk *cluster.Chunk, index int) {
+	job.ForEachPendingTask(1, func(chunk *cluster.Chunk, index int) {
 		attempt = &cluster.Attempt{
 			Job: job, Chunk: chunk, Index: index, Number: chunk.NextAttempt, Machine: machine,
 			ScheduledAt: since, RunningSince: since, ImageReadyAt: since,
--- a/internal/leader/scheduling/snapshot.go
+++ b/internal/leader/scheduling/snapshot.go
@@ -37,10 +37,10 @@
 	values := s.tuning.Get()
 	builder := &snapshotBuilder{scheduler: s, state: s.state, now: now}
 	builder.snapshot = &placement.Snapshot{
-		Teams:         teamUsage(s.state),
-		Factors:       placement.Factors{Preferred: values.PreferredFactor, Fallback: values.FallbackFactor, WaitRaiseS: values.WaitDoublingSeconds},
-		Preempt:       true,
-		ExpectedGangs: s.ExpectedGangs(values.SpareGangs, now),
+		Teams:           teamUsage(s.state),
+		Factors:         placement.Factors{Preferred: values.PreferredFactor, Fallback: values.FallbackFactor, WaitDoublingSeconds: values.WaitDoublingSeconds},
+		AllowPreemption: true,
+		ExpectedGangs:   s.ExpectedGangs(values.SpareGangs, now),
 	}
 	spare := capacity.SpareReplicasOf(s.state, values.SpareReplicas)
 	builder.snapshot.HeadroomUnits, builder.snapshot.HeadroomUnit = spare.Count, spare.Takes
--- a/internal/leader/scheduling/snapshot_jobs.go
+++ b/internal/leader/scheduling/snapshot_jobs.go
@@ -43,26 +43,26 @@
 func (b *snapshotBuilder) jobView(job *cluster.Job, guaranteed bool) placement.Job {
 	waitedS := b.now.Sub(job.AcceptedAt).Seconds()
 	view := placement.Job{
-		Spec:         &job.Spec,
-		Pending:      job.Pending(),
-		TasksByZone:  map[wire.Zone]int{},
-		WaitedS:      waitedS,
-		Avoid:        job.FailedMachines,
-		Guaranteed:   guaranteed,
-		Reservations: b.reservedUnits[job.Spec.ID],
-		PatienceS:    b.scheduler.PatienceSeconds(job, b.now),
-		StartsInS:    max(0, b.scheduler.startObjectiveSeconds(job.Spec.Class)-waitedS),
-		Weight:       b.scheduler.valuer.UtilityWeight(job, guaranteed, b.now),
-		WaitedLong:   b.state.SinceLastStart(job, b.now) > maxLinger,
+		Spec:                   &job.Spec,
+		PendingTasks:           job.PendingTasks(),
+		TasksByZone:            map[wire.Zone]int{},
+		WaitedSeconds:          waitedS,
+		AvoidMachines:          job.FailedMachines,
+		WithinGuarantee:        guaranteed,
+		ReservedUnits:          b.reservedUnits[job.Spec.ID],
+		PreemptionDelaySeconds: b.scheduler.PatienceSeconds(job, b.now),
+		StartSlackSeconds:      max(0, b.scheduler.startObjectiveSeconds(job.Spec.Class)-waitedS),
+		Weight:                 b.scheduler.valuer.UtilityWeight(job, guaranteed, b.now),
+		StartOverdue:           b.state.SinceLastStart(job, b.now) > maxLinger,
 	}
 	if b.state.StartOverdue(job, b.now) {
 		view.Weight = valuation.StarvingWeight
 		if !job.Spec.IsGang() {
-			view.Pending = 1
+			view.PendingTasks = 1
 		}
 	}
 	if job.Failures > 0 && !job.Spec.IsGang() {
-		view.Pending = min(view.Pending, max(1, maxSuspectTasks-job.ActiveTasks))
+		view.PendingTasks = min(view.PendingTasks, max(1, maxSuspectTasks-job.ActiveTasks))
 	}
 	return view
 }
--- a/internal/leader/scheduling/snapshot_machines.go
+++ b/internal/leader/scheduling/snapshot_machines.go
@@ -21,7 +21,7 @@
 	for _, machine := range b.state.Machines {
 		switch {
 		case !b.scheduler.Usable(machine, b.now):
-		case smallest.Fits(b.state.FreeResources(machine)):
+		case smallest.FitsIn(b.state.FreeResources(machine)):
 			b.machines = append(b.machines, machine)
 		default:
 			full = append(full, machine)
@@ -68,9 +68,9 @@
 		Images:   make(map[wire.ImageID]placement.ImageState, len(machine.Images.Images)+len(machine.Tasks)),
 	}
 	if spec := b.state.MachineSpec(machine.MachineType); spec != nil {
-		view.FetchGBPerS = spec.FetchGBPerS
+		view.FetchGBPerSecond = spec.FetchGBPerSecond
 	}
-	var awaited []wire.Task
+	var awaited []wire.TaskID
 	for _, reservation := range machine.Reservations {
 		view.Reservations = append(view.Reservations, reservation.Reservation)
 		awaited = append(awaited, reservation.AwaitedTasks...)
@@ -80,7 +80,7 @@
 	}
 	sortVictims(view.Victims)
 	for id := range machine.Images.Images {
-		view.Images[id] = placement.Present
+		view.Images[id] = placement.ImagePresent
 	}
 	return view
 }
@@ -89,11 +89,11 @@
 // expected to end by themselves.
 func (b *snapshotBuilder) addTask(view *placement.Machine, attempt *cluster.Attempt, awaited bool) {
 	if attempt.Job.Spec.IsService() {
-		view.Services++
+		view.ServiceTasks++
 	}
 	ending := b.ending(attempt, awaited)
 	if ending {
-		view.Stopping = view.Stopping.Plus(attempt.Resources())
+		view.StoppingResources = view.StoppingResources.Plus(attempt.Resources())
 	}
 	addFetch(view, attempt)
 	if b.victimsNeeded && !ending && preemptible(attempt) {
@@ -113,10 +113,10 @@
 // addFetch adds the image that a task waits for.
 func addFetch(view *placement.Machine, attempt *cluster.Attempt) {
 	spec := &attempt.Job.Spec
-	if !attempt.ImageReadyAt.IsZero() || view.Images[spec.Image] != placement.Absent {
+	if !attempt.ImageReadyAt.IsZero() || view.Images[spec.Image] != placement.ImageAbsent {
 		return
 	}
-	view.Images[spec.Image] = placement.Fetching
+	view.Images[spec.Image] = placement.ImageFetching
 	if !attempt.Machine.Images.Has(spec.Image) {
 		view.FetchingGB += spec.ImageGB
 	}
@@ -138,14 +138,14 @@
 	spec := &attempt.Job.Spec
 	lostS, checkpointS := b.preemptionCost(attempt)
 	return placement.Victim{
-		Task:            attempt.Task(),
-		Rank:            spec.Priority.Rank(),
-		Resources:       attempt.Resources(),
-		LostS:           lostS,
-		RemainingS:      attempt.ExpectedRemainingSeconds(b.now),
-		CheckpointS:     checkpointS,
-		BeyondGuarantee: b.beyondGuarantee(spec.Team),
-		Team:            spec.Team,
+		Task:              attempt.Task(),
+		Rank:              spec.Priority.Rank(),
+		Resources:         attempt.Resources(),
+		LostWorkSeconds:   lostS,
+		RemainingSeconds:  attempt.ExpectedRemainingSeconds(b.now),
+		CheckpointSeconds: checkpointS,
+		BeyondGuarantee:   b.beyondGuarantee(spec.Team),
+		Team:              spec.Team,
 	}
 }
 
--- a/internal/leader/scheduling/starter.go
+++ b/internal/leader/scheduling/starter.go
@@ -17,7 +17,7 @@
 }
 
 // nextAttempt stands for the next attempt number of a task's chunk.
-const nextAttempt wire.Attempt = 0
+const nextAttempt wire.AttemptNumber = 0
 
 // StartTask starts one pending task of a job on a machine.
 func (s *Starter) StartTask(job *cluster.Job, machine *cluster.Machine, now time.Time) {
@@ -27,24 +27,24 @@
 // StartGang starts all tasks of a gang at once, with an attempt number that none of them
 // has had. Nothing is sent before all of them are stored.
 func (s *Starter) StartGang(job *cluster.Job, machines []*cluster.Machine, now time.Time) {
-	gang := &cluster.Gang{Number: 1, StartedAt: now}
+	gang := &cluster.Gang{AttemptNumber: 1, StartedAt: now}
 	chunks := (job.Spec.Tasks + job.TasksPerChunk - 1) / job.TasksPerChunk
 	for i := range chunks {
-		gang.Number = max(gang.Number, job.Chunk(i).NextAttempt)
+		gang.AttemptNumber = max(gang.AttemptNumber, job.Chunk(i).NextAttempt)
 	}
 	job.Gang = gang
 	for _, machine := range machines {
-		s.startAttempt(job, machine, gang.Number, now)
+		s.startAttempt(job, machine, gang.AttemptNumber, now)
 	}
 	for i := range chunks {
-		job.Chunks[i].NextAttempt = gang.Number + 1
+		job.Chunks[i].NextAttempt = gang.AttemptNumber + 1
 	}
 }
 
 // startAttempt starts the first pending task of a job with an attempt number, which can be
 // nextAttempt.
-func (s *Starter) startAttempt(job *cluster.Job, machine *cluster.Machine, number wire.Attempt, now time.Time) {
-	job.ForEachPending(1, func(chunk *cluster.Chunk, index int) {
+func (s *Starter) startAttempt(job *cluster.Job, machine *cluster.Machine, number wire.AttemptNumber, now time.Time) {
+	job.ForEachPendingTask(1, func(chunk *cluster.Chunk, index int) {
 		attempt := &cluster.Attempt{Job: job, Chunk: chunk, Index: index, Number: number, Machine: machine, ScheduledAt: now, Unstored: true}
 		if number == nextAttempt {
 			attempt.Number = chunk.NextAttempt
@@ -55,7 +55,7 @@
 		chunk.AddAttempt(attempt)
 		job.LastStartAt = now
 		useReservation(machine, job.Spec.ID)
-		s.state.Unsaved.MarkDirty(chunk)
+		s.state.UnsavedChanges.MarkDirty(chunk)
 		s.log.Debug("task scheduled", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID, "age", now.Sub(job.AcceptedAt))
 	})
 }
--- a/internal/leader/scheduling/valuation/valuation.go
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -78,7 +78,7 @@
 	}
 	// A job is of use only when all of it is done: a task of a job with little work left
 	// is of more use than one of a job with much.
-	runTime := job.ExpectedSeconds()
+	runTime := job.ExpectedRunSeconds()
 	work := float64(job.Spec.Tasks-job.DoneTasks) * job.Spec.CPUs * max(1, runTime)
 	weight *= workScale / (work + workOffset)
 	switch slack := v.SlackSeconds(job, now); {
@@ -101,6 +101,6 @@
 		Class:     job.Spec.Class,
 		DeadlineS: float64(job.Spec.Deadline),
 		AgeS:      now.Sub(job.AcceptedAt).Seconds(),
-		ExpectedS: job.ExpectedSeconds(),
+		ExpectedS: job.ExpectedRunSeconds(),
 	}
 }
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -79,10 +79,10 @@
 func BenchmarkSettle(b *testing.B) {
 	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		for _, j := range tm.state.Jobs {
-			tm.state.Unsaved.MarkDirty(j.Chunk(0))
+			tm.state.UnsavedChanges.MarkDirty(j.Chunk(0))
 		}
 		tm.writer.NextRoutineWrite = time.Now().Add(time.Hour)
-		tm.state.Cycle.LastAt = time.Now().Add(time.Hour)
+		tm.state.CycleTimer.LastAt = time.Now().Add(time.Hour)
 		for b.Loop() {
 			tm.runDueWork(time.Now())
 		}
--- a/internal/leader/sized_term_test.go
+++ b/internal/leader/sized_term_test.go
@@ -50,8 +50,8 @@
 	tm.state.EndAttempt(a, cluster.TaskDone)
 	delete(tm.state.Machines, m.ID)
 	delete(tm.state.Jobs, "req-1")
-	clear(tm.state.Unsaved.Chunks)
-	clear(tm.state.Unsaved.FinishedJobs)
+	clear(tm.state.UnsavedChanges.Chunks)
+	clear(tm.state.UnsavedChanges.FinishedJobs)
 	ctx, cancel := context.WithCancel(context.Background())
 	tb.Cleanup(cancel)
 	tm.Begin(ctx)
@@ -64,7 +64,7 @@
 	settings.Teams = []config.Team{{Name: "red", GuaranteedCPUs: float64(machines), MaxCPUs: 8 * float64(machines)}}
 	settings.State.TxnOps = 12
 	settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
-	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerS: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: testZones}})
+	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerSecond: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: testZones}})
 	tm.state.MachineListReceived, tm.state.SchedulingEnabled = true, true
 	return tm
 }
@@ -115,18 +115,18 @@
 	i := f.j.Spec.Tasks - f.remaining
 	f.remaining--
 	f.j.Chunk(0).AddAttempt(&cluster.Attempt{
-		Job:          f.j,
-		Chunk:        f.j.Chunk(0),
-		Index:        i,
-		Number:       wire.Attempt(i + 1),
-		Machine:      m,
-		ScheduledAt:  b.now,
-		LaunchSent:   true,
-		LaunchEpoch:  1,
-		Observed:     true,
-		Phase:        wire.PhaseRunning,
-		RunningSince: b.now,
-		ImageReadyAt: b.now,
+		Job:             f.j,
+		Chunk:           f.j.Chunk(0),
+		Index:           i,
+		Number:          wire.AttemptNumber(i + 1),
+		Machine:         m,
+		ScheduledAt:     b.now,
+		LaunchSent:      true,
+		LaunchEpoch:     1,
+		SeenInHeartbeat: true,
+		Phase:           wire.PhaseRunning,
+		RunningSince:    b.now,
+		ImageReadyAt:    b.now,
 	})
 	m.Images.RecordUse(f.j.Spec.Image, 1, 50, b.now)
 	return f
@@ -136,7 +136,7 @@
 func heartbeatOf(m *cluster.Machine) wire.Heartbeat {
 	heartbeat := wire.Heartbeat{Machine: m.ID, Addr: m.Addr, Type: m.MachineType, Zone: m.Zone, Spot: m.Spot, Epoch: m.Epoch, Sequence: m.Sequence + 1, Token: m.Token}
 	for task, a := range m.Tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskState{Task: task.String(), Attempt: a.Number, Phase: a.Phase})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: task.String(), Attempt: a.Number, Phase: a.Phase})
 	}
 	return heartbeat
 }
@@ -160,7 +160,7 @@
 // recordsOf returns the records of a term's jobs, each of which has one chunk.
 func recordsOf(tm *term) (jobs, chunks []wire.Entry) {
 	for _, j := range tm.state.Jobs {
-		record := store.JobRecord{Spec: j.Spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(j.AcceptedAt)}
+		record := store.JobRecord{Spec: j.Spec, Status: wire.StatusQueued, AcceptedAt: wire.TimestampOf(j.AcceptedAt)}
 		jobs = append(jobs, wire.Entry{Key: store.JobKey(j.Spec.ID), Revision: j.Revision, Value: wire.Encode(record)})
 		chunks = append(chunks, wire.Entry{Key: store.ChunkKey(j.Spec.ID, 0), Revision: j.Revision, Value: wire.Encode(j.Chunk(0).Record())})
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -25,7 +25,7 @@
 		counts.tasks += j.Spec.Tasks
 		counts.active += j.ActiveTasks
 		counts.done += j.DoneTasks
-		if !j.Cancelled && j.Pending() > 0 {
+		if !j.Cancelled && j.PendingTasks() > 0 {
 			counts.pendingJobs++
 		}
 	}
@@ -49,6 +49,6 @@
 		"tasks_active", counts.active,
 		"tasks_pending", counts.tasks-counts.active-counts.done,
 		"backlog_s", int(t.scheduler.BacklogSeconds),
-		"cycle_duration", t.state.Cycle.LastDuration,
+		"cycle_duration", t.state.CycleTimer.LastDuration,
 		"tick_delay", time.Since(now))
 }
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -21,7 +21,7 @@
 // expectedTask is a task in a model without chunks.
 type expectedTask struct {
 	state   cluster.TaskState
-	attempt wire.Attempt
+	attempt wire.AttemptNumber
 	machine wire.MachineID
 }
 
@@ -67,7 +67,7 @@
 	j     *cluster.Job
 
 	current, stored []expectedTask
-	usedNumbers     []map[wire.Attempt]bool // by task; of attempts that were stored
+	usedNumbers     []map[wire.AttemptNumber]bool // by task; of attempts that were stored
 }
 
 func newSubchunkModel(t *rapid.T) *subchunkModel {
@@ -80,7 +80,7 @@
 		store:         &recordStore{entries: map[string]wire.Entry{}},
 		current:       make([]expectedTask, tasks),
 		stored:        make([]expectedTask, tasks),
-		usedNumbers:   make([]map[wire.Attempt]bool, tasks),
+		usedNumbers:   make([]map[wire.AttemptNumber]bool, tasks),
 	}
 	m.changeLeader()
 	return m
@@ -91,7 +91,7 @@
 	limits := config.StoreLimits{ValueKB: 32, TxnOps: 12, Next: &config.NextStoreLimits{ValueKB: m.nextValueKB}}
 	l := &Leader{Dependencies: testDependencies(limits)}
 	m.tm = newTerm(l, newLease(l, 50, 0))
-	m.tm.state.Recovered = true
+	m.tm.state.RecordsRead = true
 	m.j = cluster.NewJob(store.JobRecord{Spec: m.spec, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: m.tasksPerChunk}, 1)
 	m.tm.state.Jobs[m.spec.ID] = m.j
 	m.tm.records.Progress.ReadAll(m.store.list())
@@ -108,7 +108,7 @@
 // startTasks starts up to n pending tasks on a machine.
 func (m *subchunkModel) startTasks(n int, machine *cluster.Machine) {
 	var pending []int
-	m.j.ForEachPending(n, func(c *cluster.Chunk, i int) { pending = append(pending, c.Index*m.j.TasksPerChunk+i) })
+	m.j.ForEachPendingTask(n, func(c *cluster.Chunk, i int) { pending = append(pending, c.Index*m.j.TasksPerChunk+i) })
 	m.j.FirstPendingChunk = 0
 	for _, c := range m.j.Chunks {
 		if c != nil {
@@ -152,12 +152,12 @@
 	writer := m.tm.writer
 	writer.ValueLimitLowered = writer.ValueLimitLowered || m.limitLowered // a record was rejected by itself
 	writer.SplitOversizedChunks()
-	for c := range m.tm.state.Unsaved.Chunks {
+	for c := range m.tm.state.UnsavedChanges.Chunks {
 		if rapid.IntRange(0, 2).Draw(m.t, "writes") == 0 {
 			continue
 		}
 		m.store.put(m.t, c, writer.ValueLimit())
-		delete(m.tm.state.Unsaved.Chunks, c)
+		delete(m.tm.state.UnsavedChanges.Chunks, c)
 		m.markStored(c)
 	}
 }
@@ -182,7 +182,7 @@
 			continue
 		}
 		if m.usedNumbers[task] == nil {
-			m.usedNumbers[task] = map[wire.Attempt]bool{}
+			m.usedNumbers[task] = map[wire.AttemptNumber]bool{}
 		}
 		m.usedNumbers[task][expected.attempt] = true
 	}
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -40,10 +40,10 @@
 func addActiveAttempts(tm *term, j *cluster.Job, chunk, tasks int, m *cluster.Machine) {
 	c := j.Chunk(chunk)
 	for i := range tasks {
-		c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Index: i, Number: c.NextAttempt, Machine: m, Observed: true})
+		c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Index: i, Number: c.NextAttempt, Machine: m, SeenInHeartbeat: true})
 		c.NextAttempt++
 	}
-	tm.state.Unsaved.MarkDirty(c)
+	tm.state.UnsavedChanges.MarkDirty(c)
 }
 
 // An oversized chunk and a small one of the same job are to be written, the small one
@@ -57,7 +57,7 @@
 		addActiveAttempts(tm, j, 1, 250, m)
 		tm.scheduler.StartTask(j, m, time.Now())
 		runEvents()
-		unsaved := len(tm.state.Unsaved.Chunks)
+		unsaved := len(tm.state.UnsavedChanges.Chunks)
 		if unsaved > 0 || j.UnstoredAttempts > 0 || j.ActiveTasks != 251 || j.SubchunksPerChunk == 0 || isOver(tm) {
 			t.Errorf("got %d chunks and %d attempts not stored, %d tasks active, %d sub-chunks, term over %v, want 0, 0, 251, some, false",
 				unsaved, j.UnstoredAttempts, j.ActiveTasks, j.SubchunksPerChunk, isOver(tm))
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -14,7 +14,7 @@
 )
 
 // SupportedVersions is the range of versions that this program supports.
-var SupportedVersions = upgrade.Range{Min: upgrade.Base, Max: store.Version}
+var SupportedVersions = upgrade.Range{Min: upgrade.BaseVersion, Max: store.MaxSupportedVersion}
 
 // versionChecked is an event: this version of the behaviour is active. It is 0 if the
 // active version is not known.
@@ -64,7 +64,7 @@
 
 // adoptVersion has the term act by the active version, once all records are known.
 func (t *term) adoptVersion(version upgrade.Version) {
-	if version > t.state.ActiveVersion && t.state.Recovered {
+	if version > t.state.ActiveVersion && t.state.RecordsRead {
 		t.Log.Info("version adopted", "version", version, "previous", t.state.ActiveVersion)
 		t.state.ActiveVersion = version
 	}
@@ -73,8 +73,8 @@
 // deployment returns the controllers, and the highest version that the operators allow.
 func (l *Leader) deployment(ctx context.Context) (upgrade.Deployment, error) {
 	d := upgrade.Deployment{Controllers: l.controllers(), ConnectedIncarnation: l.connectedIncarnation}
-	settings, err := l.Store.Get(ctx, store.Background, store.SettingsKey)
-	if err != nil && !errors.Is(err, store.ErrMissing) {
+	settings, err := l.Store.Get(ctx, store.ClassBackground, store.SettingsKey)
+	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return d, err
 	}
 	d.Guards = []duty.Guard{{Key: store.SettingsKey, Revision: settings.Revision}}
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -18,7 +18,7 @@
 func TestLaunchOfCancelledJobIsNotStored(t *testing.T) {
 	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := tm.state.Jobs["req-1"]
-		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.Spec, Status: wire.Cancelled})
+		st.Put(store.JobKey("req-1"), store.JobRecord{Spec: j.Spec, Status: wire.StatusCancelled})
 		tm.scheduler.StartTask(j, m, time.Now())
 		runEvents()
 		if chunks := st.Keys(store.ProgressPrefix); len(chunks) != 0 || j.ActiveTasks != 0 || !j.Cancelled {
@@ -105,14 +105,14 @@
 func TestStartsBeyondTheRecordLimitWait(t *testing.T) {
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1})
-		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.Queued})
+		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.StatusQueued})
 		tm.state.Settings.State.ValueKB = 0.5
 		longName := tm.state.GetOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
 			tm.scheduler.StartTask(j, longName, time.Now())
 		}
 		runEvents()
-		active, pending, revision := j.ActiveTasks, j.Pending(), j.Chunk(0).Revision
+		active, pending, revision := j.ActiveTasks, j.PendingTasks(), j.Chunk(0).Revision
 		if active == 0 || active > 8 || pending != 40-active || revision == 0 {
 			t.Errorf("got %d of 40 tasks active, %d pending, stored at revision %d, want 1 to 8 active, the others pending, stored", active, pending, revision)
 		}
@@ -127,7 +127,7 @@
 	const chunks = 20
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		spec := wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: chunks, CPUs: 1}
-		record := store.JobRecord{Spec: spec, Status: wire.Queued, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: 1}
+		record := store.JobRecord{Spec: spec, Status: wire.StatusQueued, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: 1}
 		j := cluster.NewJob(record, st.Put(store.JobKey("req-2"), record))
 		tm.state.Jobs[j.Spec.ID] = j
 		for n := range j.Chunks {
@@ -136,7 +136,7 @@
 			c.Revision = st.Put(store.ChunkKey("req-2", n), c.Record())
 			j.DoneTasks++
 		}
-		record.Status = wire.Cancelled
+		record.Status = wire.StatusCancelled
 		st.Put(store.JobKey("req-2"), record) // not yet known to the leader
 		st.DelayAnswers("", 300*time.Millisecond)
 		tm.state.MarkIfFinished(j)
@@ -166,9 +166,9 @@
 		t.Run(fmt.Sprintf("watch before the read's answer %v", watchFirst), func(t *testing.T) {
 			withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 				j := tm.state.Jobs["req-1"]
-				record := store.JobRecord{Spec: j.Spec, Status: wire.Cancelled}
-				put := wire.Change{Put: store.JobKey("req-1"), Value: wire.Encode(record), Revision: st.Put(store.JobKey("req-1"), record)}
-				deletion := wire.Change{Delete: store.JobKey("req-1"), Revision: put.Revision + 1}
+				record := store.JobRecord{Spec: j.Spec, Status: wire.StatusCancelled}
+				put := wire.WatchEvent{PutKey: store.JobKey("req-1"), Value: wire.Encode(record), Revision: st.Put(store.JobKey("req-1"), record)}
+				deletion := wire.WatchEvent{DeletedKey: store.JobKey("req-1"), Revision: put.Revision + 1}
 				if watchFirst {
 					// The record is read again after a guard that failed. The watch shows its
 					// change first, and the answer comes when the watch has shown its end too.
@@ -176,12 +176,12 @@
 					tm.committer.Reread(j)
 					time.Sleep(20 * time.Millisecond)
 					st.DelayAnswers("", 0)
-					tm.records.ApplyChanges([]wire.Change{put})
+					tm.records.ApplyChanges([]wire.WatchEvent{put})
 					handleEvents(tm, 8)
 					if final := st.Keys(store.FinalKey("req-1")); len(final) != 1 {
 						t.Errorf("final records while the answer is in flight: got %v, want one", final)
 					}
-					tm.records.ApplyChanges([]wire.Change{deletion})
+					tm.records.ApplyChanges([]wire.WatchEvent{deletion})
 				} else {
 					tm.scheduler.StartTask(j, m, time.Now())
 				}
@@ -192,13 +192,13 @@
 				tm.committer.Reread(j) // as one that was in flight
 				runEvents()
 				if !watchFirst {
-					tm.records.ApplyChanges([]wire.Change{put})
+					tm.records.ApplyChanges([]wire.WatchEvent{put})
 					runEvents()
 				}
 				if len(tm.state.Jobs) != 0 || isOver(tm) {
 					t.Errorf("after late events: got jobs %v, term over %v (%s), want none, false", tm.state.Jobs, isOver(tm), tm.EndReason())
 				}
-				tm.records.ApplyChanges([]wire.Change{deletion})
+				tm.records.ApplyChanges([]wire.WatchEvent{deletion})
 				if len(tm.state.ArchivedJobs) != 0 {
 					t.Errorf("archived jobs remembered after the deletion: got %v, want none", tm.state.ArchivedJobs)
 				}
--- a/internal/placement/gains.go
+++ b/internal/placement/gains.go
@@ -64,5 +64,5 @@
 // utilityRaise returns the factor by which a job's weight and waiting time raise its
 // utility.
 func utilityRaise(j *Job, f Factors) float64 {
-	return j.Weight * (1 + j.WaitedS/max(1, f.WaitRaiseS))
+	return j.Weight * (1 + j.WaitedSeconds/max(1, f.WaitDoublingSeconds))
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -34,7 +34,7 @@
 // that fetches slowly rather than to two that are quick.)
 func (p *pass) chooseForGang(q *queuedJob) choice {
 	j := &p.s.Jobs[q.job]
-	if !p.s.Teams[j.Spec.Team].allows(j, ResourcesOf(j.Spec).Times(float64(j.Pending))) {
+	if !p.s.Teams[j.Spec.Team].allows(j, ResourcesOf(j.Spec).Times(float64(j.PendingTasks))) {
 		return choice{state: choiceNone}
 	}
 	best, found := gangFit{}, false
@@ -79,7 +79,7 @@
 	for _, i := range group {
 		m := &p.s.Machines[i]
 		usesHeadroom := m.usesHeadroom(j, unit)
-		if !canLaunch(j, m, unit) || usesHeadroom && !j.WaitedLong {
+		if !canLaunch(j, m, unit) || usesHeadroom && !j.StartOverdue {
 			continue
 		}
 		c := candidate{machine: i, class: classOf(j, m), fetchSteps: fetchSteps(j, m), score: score(j, m, unit)}
@@ -107,9 +107,9 @@
 // machine. A fetch that is under way may be nearly over, or have just begun.
 func fetchSteps(j *Job, m *Machine) int {
 	switch m.Images[j.Spec.Image] {
-	case Present:
+	case ImagePresent:
 		return 0
-	case Fetching:
+	case ImageFetching:
 		return 1
 	}
 	return 1 + int(m.fetchSeconds(j)/fetchStepSeconds)
@@ -140,7 +140,7 @@
 		c := &candidates[i]
 		fit.fill(j, c, p.s.Machines[c.machine])
 	}
-	return fit, len(fit.machines) == j.Pending
+	return fit, len(fit.machines) == j.PendingTasks
 }
 
 // fill packs as many units of the gang as can be into a candidate. It works on a copy of
@@ -148,7 +148,7 @@
 func (f *gangFit) fill(j *Job, c *candidate, m Machine) {
 	unit := ResourcesOf(j.Spec)
 	filled := false
-	for len(f.machines) < j.Pending && f.fitsOneMore(j, &m, unit) {
+	for len(f.machines) < j.PendingTasks && f.fitsOneMore(j, &m, unit) {
 		filled = true
 		m.Free = m.Free.Minus(unit)
 		m.consumeReservation(j.Spec.ID)
@@ -171,10 +171,10 @@
 // fitsOneMore reports whether the machine can take another unit of the gang beside those
 // that are packed.
 func (f *gangFit) fitsOneMore(j *Job, m *Machine, unit Resources) bool {
-	if !unit.Fits(m.Free) || m.reservedForOthers(j, unit) {
+	if !unit.FitsIn(m.Free) || m.reservedForOthers(j, unit) {
 		return false
 	}
-	if !j.WaitedLong && m.usesHeadroom(j, unit) {
+	if !j.StartOverdue && m.usesHeadroom(j, unit) {
 		return false
 	}
 	return j.TasksByZone[m.Zone]+f.inZone[m.Zone] < j.Spec.MaxTasksPerZone()
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -11,7 +11,7 @@
 func TestGangGoesWhereLastImageIsThereSoonest(t *testing.T) {
 	machine := func(id wire.MachineID, freeCPUs, fetchRate float64, image ImageState) Machine {
 		m := machineIn("a", id, freeCPUs)
-		m.FetchGBPerS, m.Images = fetchRate, map[wire.ImageID]ImageState{"i": image}
+		m.FetchGBPerSecond, m.Images = fetchRate, map[wire.ImageID]ImageState{"i": image}
 		return m
 	}
 	inZoneB := func(m Machine) Machine {
@@ -26,9 +26,9 @@
 		m.Spot = true
 		return m
 	}
-	slow := func() Machine { return machine("m", 4, 0.3, Absent) }
-	quickN := func() Machine { return machine("n", 2, 1, Absent) }
-	quickO := func() Machine { return machine("o", 2, 1, Absent) }
+	slow := func() Machine { return machine("m", 4, 0.3, ImageAbsent) }
+	quickN := func() Machine { return machine("n", 2, 1, ImageAbsent) }
+	quickO := func() Machine { return machine("o", 2, 1, ImageAbsent) }
 	for _, c := range []struct {
 		name     string
 		machines []Machine
@@ -38,9 +38,9 @@
 		{"the quick ones are in another zone", []Machine{slow(), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
 		{"4.4 s against 4.7 s", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 3))}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
 		{"5.4 s against 4.7 s", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 4))}, map[wire.MachineID]int{"m": 2}},
-		{"a spot machine is a little slower", []Machine{onSpot(machine("m", 4, 0.8, Absent)), machine("n", 4, 1, Absent)}, map[wire.MachineID]int{"m": 0, "n": 2}},
-		{"one has the image", []Machine{machine("m", 4, 0.3, Present), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 2}},
-		{"one fetches the image already", []Machine{machine("m", 2, 0.3, Fetching), machine("n", 2, 0.8, Absent), quickO()}, map[wire.MachineID]int{"n": 0}},
+		{"a spot machine is a little slower", []Machine{onSpot(machine("m", 4, 0.8, ImageAbsent)), machine("n", 4, 1, ImageAbsent)}, map[wire.MachineID]int{"m": 0, "n": 2}},
+		{"one has the image", []Machine{machine("m", 4, 0.3, ImagePresent), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 2}},
+		{"one fetches the image already", []Machine{machine("m", 2, 0.3, ImageFetching), machine("n", 2, 0.8, ImageAbsent), quickO()}, map[wire.MachineID]int{"n": 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := gangSpec("req-1", wire.PriorityUrgent, 2, 2)
--- a/internal/placement/generators_test.go
+++ b/internal/placement/generators_test.go
@@ -15,7 +15,7 @@
 			"red":  {Limit: Resources{CPUs: float64(rapid.IntRange(0, 24).Draw(t, "limit"))}},
 			"blue": {},
 		},
-		Factors: Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 60},
+		Factors: Factors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 60},
 	}
 	for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 		s.Machines = append(s.Machines, drawMachine(t, i))
@@ -35,14 +35,14 @@
 	cpus := float64(rapid.SampledFrom([]int{4, 16}).Draw(t, "machine's cpus"))
 	used := float64(rapid.IntRange(0, 4).Draw(t, "used"))
 	return Machine{
-		ID:          wire.MachineID(fmt.Sprint("n-", i)),
-		Type:        wire.MachineType(fmt.Sprint("c", cpus)),
-		Zone:        rapid.SampledFrom([]wire.Zone{"a", "b"}).Draw(t, "machine's zone"),
-		Spot:        rapid.Bool().Draw(t, "spot"),
-		Total:       Resources{CPUs: cpus, MemoryGB: cpus * 4},
-		Free:        Resources{CPUs: cpus - used, MemoryGB: cpus*4 - used},
-		FetchGBPerS: 1,
-		Images:      map[wire.ImageID]ImageState{wire.ImageID(fmt.Sprint("img-", i%2)): ImageState(rapid.IntRange(0, 2).Draw(t, "image"))},
+		ID:               wire.MachineID(fmt.Sprint("n-", i)),
+		Type:             wire.MachineType(fmt.Sprint("c", cpus)),
+		Zone:             rapid.SampledFrom([]wire.Zone{"a", "b"}).Draw(t, "machine's zone"),
+		Spot:             rapid.Bool().Draw(t, "spot"),
+		Total:            Resources{CPUs: cpus, MemoryGB: cpus * 4},
+		Free:             Resources{CPUs: cpus - used, MemoryGB: cpus*4 - used},
+		FetchGBPerSecond: 1,
+		Images:           map[wire.ImageID]ImageState{wire.ImageID(fmt.Sprint("img-", i%2)): ImageState(rapid.IntRange(0, 2).Draw(t, "image"))},
 	}
 }
 
@@ -73,11 +73,11 @@
 		running["b"] = rapid.IntRange(0, 1).Draw(t, "running")
 	}
 	return Job{
-		Spec:        spec,
-		Pending:     tasks - running["b"],
-		TasksByZone: running,
-		WaitedS:     float64(rapid.IntRange(0, 90).Draw(t, "waited")),
-		Weight:      1 + 0.137*float64(i), // differs by job, so that their order is decided
+		Spec:          spec,
+		PendingTasks:  tasks - running["b"],
+		TasksByZone:   running,
+		WaitedSeconds: float64(rapid.IntRange(0, 90).Draw(t, "waited")),
+		Weight:        1 + 0.137*float64(i), // differs by job, so that their order is decided
 	}
 }
 
@@ -93,17 +93,17 @@
 		}
 	}
 	m.Reservations = []Reservation{r}
-	m.Stopping = Resources{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "stopping")), MemoryGB: 2}
+	m.StoppingResources = Resources{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "stopping")), MemoryGB: 2}
 }
 
 // crowdedSnapshots draws full machines with tasks that could be preempted, and gangs,
 // arrays and services that wait.
 func crowdedSnapshots(t *rapid.T) *Snapshot {
 	s := snapshots(t)
-	s.Preempt = true
+	s.AllowPreemption = true
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		m.Reservations, m.Stopping = nil, Resources{}
+		m.Reservations, m.StoppingResources = nil, Resources{}
 		drawVictims(t, m, wire.JobID(fmt.Sprint("req-9", i)))
 	}
 	for i := range s.Jobs {
@@ -112,9 +112,9 @@
 			spec := j.Spec
 			spec.Kind, spec.Tasks = wire.KindGang, rapid.IntRange(1, 4).Draw(t, "gang's tasks")
 			spec.MachineTypes, spec.Zone, spec.SpotAllowed = nil, "", true
-			j.Pending, j.TasksByZone = spec.Tasks, map[wire.Zone]int{}
+			j.PendingTasks, j.TasksByZone = spec.Tasks, map[wire.Zone]int{}
 		}
-		j.PatienceS = float64(rapid.IntRange(0, 30).Draw(t, "patience"))
+		j.PreemptionDelaySeconds = float64(rapid.IntRange(0, 30).Draw(t, "patience"))
 	}
 	return s
 }
@@ -123,14 +123,14 @@
 func drawVictims(t *rapid.T, m *Machine, job wire.JobID) {
 	for k := range rapid.IntRange(0, 4).Draw(t, "victims") {
 		v := Victim{
-			Task:       wire.Task{Job: job, Index: k},
-			Rank:       rapid.IntRange(0, 2).Draw(t, "victim's rank"),
-			Team:       "blue",
-			Resources:  Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "victim's cpus")), MemoryGB: 2},
-			LostS:      float64(rapid.IntRange(0, 60).Draw(t, "lost")),
-			RemainingS: float64(rapid.IntRange(1, 60).Draw(t, "remaining")),
+			Task:             wire.TaskID{Job: job, Index: k},
+			Rank:             rapid.IntRange(0, 2).Draw(t, "victim's rank"),
+			Team:             "blue",
+			Resources:        Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "victim's cpus")), MemoryGB: 2},
+			LostWorkSeconds:  float64(rapid.IntRange(0, 60).Draw(t, "lost")),
+			RemainingSeconds: float64(rapid.IntRange(1, 60).Draw(t, "remaining")),
 		}
-		if !v.Resources.Fits(m.Free) {
+		if !v.Resources.FitsIn(m.Free) {
 			return
 		}
 		m.Free = m.Free.Minus(v.Resources)
@@ -148,8 +148,8 @@
 	unitsIn := map[wire.Zone]int{}
 	for i := range s.Machines {
 		m := &s.Machines[i]
-		if Allowed(j.Spec, m) {
-			unitsIn[m.Zone] += ResourcesOf(j.Spec).Units(possibleRoom(j, m))
+		if MachineAllowed(j.Spec, m) {
+			unitsIn[m.Zone] += ResourcesOf(j.Spec).UnitsIn(possibleRoom(j, m))
 		}
 	}
 	total := 0
@@ -165,13 +165,13 @@
 // possibleRoom is the room on a machine once everything has ended that the job may
 // preempt or await.
 func possibleRoom(j *Job, m *Machine) Resources {
-	room := m.Free.Plus(m.Stopping)
+	room := m.Free.Plus(m.StoppingResources)
 	for _, r := range m.Reservations {
 		room = room.Minus(r.Resources)
 	}
 	urgent := j.Spec.Priority.Rank() >= wire.PriorityUrgent.Rank()
 	for _, v := range m.Victims {
-		awaited := v.RemainingS <= j.PatienceS && j.PatienceS > 0
+		awaited := v.RemainingSeconds <= j.PreemptionDelaySeconds && j.PreemptionDelaySeconds > 0
 		if awaited || urgent && v.Rank < j.Spec.Priority.Rank() {
 			room = room.Plus(v.Resources)
 		}
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -36,19 +36,19 @@
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
 		a, b := &s.Machines[x], &s.Machines[y]
-		return cmp.Or(cmp.Compare(b.Services, a.Services), cmp.Compare(a.Free.CPUs, b.Free.CPUs))
+		return cmp.Or(cmp.Compare(b.ServiceTasks, a.ServiceTasks), cmp.Compare(a.Free.CPUs, b.Free.CPUs))
 	})
 	return order
 }
 
 // headroomUnits returns for how many units of headroom the machine has room.
 func (m *Machine) headroomUnits(unit Resources) int {
-	units := unit.Units(m.Free)
+	units := unit.UnitsIn(m.Free)
 	if len(m.Reservations) > 0 {
 		// Not in room that is reserved for others: what urgent gangs had preempted tasks
 		// for was kept from them as soon as it was free, for as long as their
 		// reservations held.
-		units = min(units, unit.Units(m.unreservedRoom()))
+		units = min(units, unit.UnitsIn(m.unreservedRoom()))
 	}
 	return units
 }
@@ -99,7 +99,7 @@
 		room.units[i] = units
 		room.total += units
 		inZone[m.Zone] += units
-		if m.Images[spec.Image] == Present {
+		if m.Images[spec.Image] == ImagePresent {
 			room.withImage += units
 		}
 	}
@@ -110,7 +110,7 @@
 // fullest.
 func sortForGangHeadroom(s *Snapshot, spec *wire.JobSpec, machines []int) {
 	fetches := func(m *Machine) int {
-		if m.Images[spec.Image] == Present {
+		if m.Images[spec.Image] == ImagePresent {
 			return 0
 		}
 		return 1
@@ -124,13 +124,13 @@
 // unreservedUnits returns how many units of a gang a machine has room for that is
 // neither headroom nor reserved.
 func unreservedUnits(m *Machine, spec *wire.JobSpec) int {
-	if m.Cordoned || !Allowed(spec, m) {
+	if m.Cordoned || !MachineAllowed(spec, m) {
 		return 0
 	}
 	unit, headroom := ResourcesOf(spec), m.serviceHeadroom.Plus(m.gangHeadroom)
-	units := unit.Units(m.Free.Minus(headroom))
+	units := unit.UnitsIn(m.Free.Minus(headroom))
 	if len(m.Reservations) > 0 {
-		units = min(units, unit.Units(m.unreservedRoom().Minus(headroom)))
+		units = min(units, unit.UnitsIn(m.unreservedRoom().Minus(headroom)))
 	}
 	return units
 }
@@ -138,7 +138,7 @@
 // usesHeadroom reports whether a unit of the job would take room that is kept from it.
 func (m *Machine) usesHeadroom(j *Job, unit Resources) bool {
 	kept := m.headroomKeptFrom(j.Spec)
-	return kept != (Resources{}) && !unit.Plus(kept).Fits(m.Free)
+	return kept != (Resources{}) && !unit.Plus(kept).FitsIn(m.Free)
 }
 
 // headroomKeptFrom returns the headroom that a job may not use.
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -27,7 +27,7 @@
 					{ID: "m", Zone: "a", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}},
 					{ID: "n", Zone: "b", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}},
 				},
-				Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: c.kind, Tasks: 9, CPUs: 1, MemoryGB: 4}, Pending: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
+				Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: c.kind, Tasks: 9, CPUs: 1, MemoryGB: 4}, PendingTasks: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 			}
 			if got := len(Place(s).Starts); got != c.want {
 				t.Errorf("%d starts in room for 8 units, of which 2 are headroom, want %d", got, c.want)
@@ -51,11 +51,11 @@
 			HeadroomUnit:  Resources{1, 0, 4},
 			Machines:      append(machines, extra...),
 			Jobs: []Job{{
-				Spec:        &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true},
-				Pending:     9,
-				TasksByZone: map[wire.Zone]int{},
-				Weight:      1,
-				WaitedLong:  true,
+				Spec:         &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true},
+				PendingTasks: 9,
+				TasksByZone:  map[wire.Zone]int{},
+				Weight:       1,
+				StartOverdue: true,
 			}},
 		}
 	}
@@ -71,7 +71,7 @@
 // Headroom for the next replicas can't be reserved for a gang: it reserved that room,
 // could not use it, and waited beside it for ever. A gang that has waited long uses it.
 func TestGangBesideKeptRoom(t *testing.T) {
-	victim := Victim{Task: wire.Task{Job: "req-9"}, Rank: 0, Resources: Resources{4, 0, 4}, LostS: 9, RemainingS: 99, Team: "t"}
+	victim := Victim{Task: wire.TaskID{Job: "req-9"}, Rank: 0, Resources: Resources{4, 0, 4}, LostWorkSeconds: 9, RemainingSeconds: 99, Team: "t"}
 	snapshot := func(gang Job, extra ...Machine) *Snapshot {
 		machines := []Machine{machineIn("a", "m", 4), machineIn("a", "n", 0, victim)}
 		s := snapshotOf(append(machines, extra...), gang)
@@ -83,11 +83,11 @@
 	if len(res.Starts) != 0 || len(res.Reservations) != 1 || res.Reservations[0].Machine != "n" || len(res.Preemptions) != 1 {
 		t.Errorf("an urgent gang: %+v, want a reservation on n with one victim", res)
 	}
-	standard := Job{Spec: gangSpec("req-1", wire.PriorityStandard, 1, 4), PatienceS: 5}
+	standard := Job{Spec: gangSpec("req-1", wire.PriorityStandard, 1, 4), PreemptionDelaySeconds: 5}
 	if res := Place(snapshot(standard)); len(res.Starts) != 0 || len(res.Reservations) != 0 {
 		t.Errorf("a standard gang: %+v, want nothing", res)
 	}
-	standard.WaitedLong = true
+	standard.StartOverdue = true
 	if res := Place(snapshot(standard)); len(res.Starts) != 1 {
 		t.Errorf("one that has waited long: %+v, want a start", res)
 	}
@@ -100,8 +100,8 @@
 // is. Services and gangs use it, and an array that has waited long.
 func TestGangHeadroomIsKeptFromArrays(t *testing.T) {
 	place := func(spec *wire.JobSpec, waitedLong bool, machines ...Machine) map[wire.MachineID]int {
-		s := snapshotOf(machines, Job{Spec: spec, WaitedLong: waitedLong})
-		s.Preempt, s.ExpectedGangs = false, []*wire.JobSpec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
+		s := snapshotOf(machines, Job{Spec: spec, StartOverdue: waitedLong})
+		s.AllowPreemption, s.ExpectedGangs = false, []*wire.JobSpec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
 		return startsByMachine(s)
 	}
 	spec := func(kind wire.JobKind, tasks int) *wire.JobSpec {
@@ -109,7 +109,7 @@
 	}
 	withImage := func() Machine {
 		m := machineIn("b", "n", 4)
-		m.Images = map[wire.ImageID]ImageState{"i": Present}
+		m.Images = map[wire.ImageID]ImageState{"i": ImagePresent}
 		return m
 	}
 	cluster := func() []Machine {
@@ -140,7 +140,7 @@
 		m := machineIn("a", "m", freeCPUs)
 		reservation := Reservation{"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}
 		m.Reservations = []Reservation{reservation, reservation}
-		s := snapshotOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), Reservations: 2})
+		s := snapshotOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), ReservedUnits: 2})
 		s.HeadroomUnits, s.HeadroomUnit = 4, Resources{1, 0, 1} // half of it in one zone at most
 		if got := len(Place(s).Starts); got != 2 {
 			t.Errorf("%g free: %d of 2 tasks start in the room reserved for them", freeCPUs, got)
@@ -172,17 +172,17 @@
 		"the limit, against higher rank": {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), Pending: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, WaitedLong: c.waitedLong}
+			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), PendingTasks: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, StartOverdue: c.waitedLong}
 			s := &Snapshot{
 				Machines:      []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: c.freeCPUs, MemoryGB: 16}}},
 				Teams:         map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
-				Factors:       Factors{Preferred: 1, Fallback: 0.5, WaitRaiseS: 30},
+				Factors:       Factors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 30},
 				HeadroomUnits: c.spareUnits,
 				HeadroomUnit:  Resources{CPUs: 1, MemoryGB: 1},
 				Jobs:          []Job{gang},
 			}
 			if c.other != nil {
-				s.Jobs = append(s.Jobs, Job{Spec: c.other, Pending: c.other.Tasks, TasksByZone: map[wire.Zone]int{}, Weight: 1})
+				s.Jobs = append(s.Jobs, Job{Spec: c.other, PendingTasks: c.other.Tasks, TasksByZone: map[wire.Zone]int{}, Weight: 1})
 			}
 			if got := len(Place(s).Starts); got != c.want {
 				t.Errorf("%d starts, want %d", got, c.want)
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -11,21 +11,21 @@
 
 // States of an image.
 const (
-	Absent   ImageState = iota
-	Fetching            // some task there waits for it
-	Present             // a task has run with it, and it was not evicted since
+	ImageAbsent   ImageState = iota
+	ImageFetching            // some task there waits for it
+	ImagePresent             // a task has run with it, and it was not evicted since
 )
 
 // Victim is a task that could be preempted.
 type Victim struct {
-	Task            wire.Task
-	Rank            int
-	Resources       Resources
-	LostS           float64 // run time that would be repeated, seconds
-	BeyondGuarantee bool    // its team runs beyond its own guarantee
-	Team            wire.TeamID
-	RemainingS      float64 // until it is expected to end by itself
-	CheckpointS     float64 // that it takes to save a checkpoint once it is told to stop
+	Task              wire.TaskID
+	Rank              int
+	Resources         Resources
+	LostWorkSeconds   float64 // run time that would be repeated, seconds
+	BeyondGuarantee   bool    // its team runs beyond its own guarantee
+	Team              wire.TeamID
+	RemainingSeconds  float64 // until it is expected to end by itself
+	CheckpointSeconds float64 // that it takes to save a checkpoint once it is told to stop
 }
 
 // Reservation is room that is being made for one unit of a job.
@@ -37,25 +37,25 @@
 
 // Machine is a machine that can take tasks.
 type Machine struct {
-	ID          wire.MachineID
-	Type        wire.MachineType
-	Zone        wire.Zone
-	Spot        bool
-	Total       Resources
-	Free        Resources // less everything that may still run there
-	FetchGBPerS float64
-	FetchingGB  float64 // of the images that are being fetched
-	Services    int     // tasks of services there
-	Images      map[wire.ImageID]ImageState
-	Victims     []Victim
-	Cordoned    bool // takes tasks of arrays only when no other machine can
-	// Reservations are the rooms that are being made here, and Stopping is what the
+	ID               wire.MachineID
+	Type             wire.MachineType
+	Zone             wire.Zone
+	Spot             bool
+	Total            Resources
+	Free             Resources // less everything that may still run there
+	FetchGBPerSecond float64
+	FetchingGB       float64 // of the images that are being fetched
+	ServiceTasks     int     // tasks of services there
+	Images           map[wire.ImageID]ImageState
+	Victims          []Victim
+	Cordoned         bool // takes tasks of arrays only when no other machine can
+	// Reservations are the rooms that are being made here, and StoppingResources is what the
 	// tasks use that are being preempted or awaited. Until a reservation is used no job
 	// of its rank or below takes that room. (Two tasks of two processors were stopped
 	// for one of four. They ended one after the other, and each time another of two
 	// took the half that was free. One day stopped 84,361 tasks that way.)
-	Reservations []Reservation
-	Stopping     Resources
+	Reservations      []Reservation
+	StoppingResources Resources
 	// Headroom that is kept here in this cycle.
 	serviceHeadroomUnits int
 	serviceHeadroom      Resources
@@ -71,7 +71,7 @@
 // roomBeside returns the room there will be when everything that is being stopped has
 // ended and the reservations that count are used.
 func (m *Machine) roomBeside(counts func(*Reservation) bool) Resources {
-	room := m.Free.Plus(m.Stopping)
+	room := m.Free.Plus(m.StoppingResources)
 	for i := range m.Reservations {
 		if counts(&m.Reservations[i]) {
 			room = room.Minus(m.Reservations[i].Resources)
@@ -89,7 +89,7 @@
 	room := m.roomBeside(func(r *Reservation) bool {
 		return r.Job != j.Spec.ID && r.Rank >= j.Spec.Priority.Rank()
 	})
-	return !unit.Fits(room)
+	return !unit.FitsIn(room)
 }
 
 // consumeReservation removes the reservation that a unit of the job has used.
@@ -109,7 +109,7 @@
 			continue
 		}
 		removed = append(removed, v)
-		m.Stopping = m.Stopping.Plus(v.Resources)
+		m.StoppingResources = m.StoppingResources.Plus(v.Resources)
 	}
 	m.Victims, m.Reservations = left, append(slices.Clone(m.Reservations), r)
 	return removed
@@ -119,8 +119,8 @@
 // that it fetches already, with which it shares the rate. (Replicas of four services,
 // started on one machine after the loss of a zone, waited 16 s for their images.)
 func (m *Machine) fetchSeconds(j *Job) float64 {
-	if m.FetchGBPerS <= 0 {
+	if m.FetchGBPerSecond <= 0 {
 		return 0
 	}
-	return (m.FetchingGB + j.Spec.ImageGB) / m.FetchGBPerS
+	return (m.FetchingGB + j.Spec.ImageGB) / m.FetchGBPerSecond
 }
--- a/internal/placement/model_test.go
+++ b/internal/placement/model_test.go
@@ -23,7 +23,7 @@
 	starts = map[int]int{}
 	left := make([]int, len(s.Jobs))
 	for i := range s.Jobs {
-		left[i] = s.Jobs[i].Pending
+		left[i] = s.Jobs[i].PendingTasks
 	}
 	for {
 		best, bestJob, bestMachine := 0.0, -1, -1
@@ -34,7 +34,7 @@
 					continue
 				}
 				if u, where := slowGang(s, job); where != nil {
-					if g := u * j.Weight * (1 + j.WaitedS/max(1, s.Factors.WaitRaiseS)); g > best+1e-12 {
+					if g := u * j.Weight * (1 + j.WaitedSeconds/max(1, s.Factors.WaitDoublingSeconds)); g > best+1e-12 {
 						best, bestJob, gangMachines = g, job, where
 					}
 				}
@@ -46,11 +46,11 @@
 				}
 				j, m := &s.Jobs[job], &s.Machines[machine]
 				class := withoutImage
-				if m.Images[j.Spec.Image] == Present {
+				if m.Images[j.Spec.Image] == ImagePresent {
 					class = withImage
 				}
 				u := taskTree(s.Factors).Value(utility.Grant{class: 1})
-				if g := u * j.Weight * (1 + j.WaitedS/max(1, s.Factors.WaitRaiseS)); g > best+1e-12 {
+				if g := u * j.Weight * (1 + j.WaitedSeconds/max(1, s.Factors.WaitDoublingSeconds)); g > best+1e-12 {
 					best, bestJob, bestMachine, gangMachines = g, job, machine, nil
 				}
 			}
@@ -92,7 +92,7 @@
 			var got []int
 			for machine := range here.Machines {
 				m := &here.Machines[machine]
-				if z != "" && m.Zone != z || class == withImage && m.Images[s.Jobs[job].Spec.Image] != Present {
+				if z != "" && m.Zone != z || class == withImage && m.Images[s.Jobs[job].Spec.Image] != ImagePresent {
 					continue
 				}
 				for len(got) < n && legal(here, job, machine) {
@@ -120,7 +120,7 @@
 		return false
 	}
 	// Nothing takes the room that is reserved for others of its rank or above.
-	left, reserved := m.Free.Plus(m.Stopping), false
+	left, reserved := m.Free.Plus(m.StoppingResources), false
 	for _, r := range m.Reservations {
 		if r.Job != spec.ID && r.Rank >= spec.Priority.Rank() {
 			left, reserved = left.Minus(r.Resources), true
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -50,14 +50,14 @@
 	ofTask := taskGains(s.Factors)
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		if j.Pending == 0 || s.Teams[j.Spec.Team] == nil {
+		if j.PendingTasks == 0 || s.Teams[j.Spec.Team] == nil {
 			continue
 		}
 		raise := utilityRaise(j, s.Factors)
 		switch {
 		case !j.Spec.IsGang():
-			p.enqueue(i, j.Pending, ofTask.raisedBy(raise))
-		case j.Pending == j.Spec.Tasks:
+			p.enqueue(i, j.PendingTasks, ofTask.raisedBy(raise))
+		case j.PendingTasks == j.Spec.Tasks:
 			p.enqueue(i, 1, gangGains(s.Factors, j.Spec.Tasks, raise))
 		}
 	}
@@ -115,7 +115,7 @@
 	j := &p.s.Jobs[q.job]
 	needed := ResourcesOf(j.Spec)
 	if j.Spec.IsGang() {
-		needed = needed.Times(float64(j.Pending))
+		needed = needed.Times(float64(j.PendingTasks))
 	}
 	return !p.s.Teams[j.Spec.Team].allows(j, needed)
 }
@@ -128,7 +128,7 @@
 	}
 	j := &p.s.Jobs[q.job]
 	if !j.Spec.IsGang() {
-		j.WaitedLong = false // only its next unit might use headroom
+		j.StartOverdue = false // only its next unit might use headroom
 		return
 	}
 	if team := p.s.Teams[j.Spec.Team]; team.ReservedFor == j.Spec.ID {
@@ -139,7 +139,7 @@
 // launch grants one unit of a job on a machine.
 func (p *pass) launch(job, machine, step int) {
 	j, m := &p.s.Jobs[job], &p.s.Machines[machine]
-	j.Pending--
+	j.PendingTasks--
 	j.TasksByZone[m.Zone]++
 	team, unit := p.s.Teams[j.Spec.Team], ResourcesOf(j.Spec)
 	team.Used = team.Used.Plus(unit)
@@ -152,13 +152,13 @@
 func (m *Machine) launch(spec *wire.JobSpec, unit Resources) {
 	m.Free = m.Free.Minus(unit)
 	if spec.IsService() {
-		m.Services++
+		m.ServiceTasks++
 	}
-	if m.Images[spec.Image] == Absent {
+	if m.Images[spec.Image] == ImageAbsent {
 		if m.Images == nil {
 			m.Images = map[wire.ImageID]ImageState{}
 		}
-		m.Images[spec.Image] = Fetching
+		m.Images[spec.Image] = ImageFetching
 		m.FetchingGB += spec.ImageGB
 	}
 	m.consumeReservation(spec.ID)
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -17,14 +17,14 @@
 		model := clone(s)
 		pending := make([]int, len(s.Jobs))
 		for i := range s.Jobs {
-			pending[i] = s.Jobs[i].Pending
+			pending[i] = s.Jobs[i].PendingTasks
 		}
 		starts := Place(clone(s)).Starts
 		for n := 0; n < len(starts); {
 			n += checkStep(t, s, model, pending, starts, n)
 		}
 		for i := range model.Jobs {
-			model.Jobs[i].Pending = pending[i]
+			model.Jobs[i].PendingTasks = pending[i]
 		}
 		if gains, _ := slow(model); len(gains) > 0 {
 			t.Fatalf("the pass stopped, but %d more starts are legal", len(gains))
@@ -42,7 +42,7 @@
 	}
 	position := clone(model)
 	for i := range position.Jobs {
-		position.Jobs[i].Pending = pending[i]
+		position.Jobs[i].PendingTasks = pending[i]
 	}
 	gains, _ := slow(position)
 	if j.Spec.IsGang() {
@@ -60,12 +60,12 @@
 		if !legal(model, start.Job, start.Machine) {
 			t.Fatalf("start %d is not legal: %+v", n+k, start)
 		}
-		if model.Machines[start.Machine].Images[j.Spec.Image] != Present {
+		if model.Machines[start.Machine].Images[j.Spec.Image] != ImagePresent {
 			unitUtility = s.Factors.Fallback
 		}
 		modelLaunch(model, start.Job, start.Machine)
 	}
-	got := unitUtility * j.Weight * (1 + j.WaitedS/s.Factors.WaitRaiseS)
+	got := unitUtility * j.Weight * (1 + j.WaitedSeconds/s.Factors.WaitDoublingSeconds)
 	if len(gains) == 0 || got < gains[0]-1e-9 {
 		t.Fatalf("start %d gains %g, the best is %v", n, got, gains)
 	}
@@ -78,19 +78,19 @@
 // The fallback is taken without waiting, and the preferred machine first.
 func TestPreferredMachineIsTakenBeforeFallback(t *testing.T) {
 	machine := func(id wire.MachineID) Machine {
-		return Machine{ID: id, Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1}
+		return Machine{ID: id, Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerSecond: 1}
 	}
 	withImage := machine("with-image")
-	withImage.Images = map[wire.ImageID]ImageState{"i": Present}
+	withImage.Images = map[wire.ImageID]ImageState{"i": ImagePresent}
 	s := &Snapshot{
 		Teams:    map[wire.TeamID]*Team{"t": {}},
 		Factors:  testFactors,
 		Machines: []Machine{machine("without-image"), withImage},
 		Jobs: []Job{{
-			Spec:        &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"},
-			Pending:     2,
-			TasksByZone: map[wire.Zone]int{},
-			Weight:      1,
+			Spec:         &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 2, CPUs: 4, MemoryGB: 4, Image: "i"},
+			PendingTasks: 2,
+			TasksByZone:  map[wire.Zone]int{},
+			Weight:       1,
 		}},
 	}
 	if starts := Place(s).Starts; len(starts) != 2 || starts[0].Machine != 1 || starts[1].Machine != 0 {
@@ -101,18 +101,18 @@
 // A machine on which the job failed is its last choice, even with the image. (A replica
 // was once started four times on the machine that failed it.)
 func TestMachineThatFailedJobIsLastChoice(t *testing.T) {
-	failed := Machine{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1, Services: 1, Images: map[wire.ImageID]ImageState{"i": Present}}
-	other := Machine{ID: "other", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerS: 1}
+	failed := Machine{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerSecond: 1, ServiceTasks: 1, Images: map[wire.ImageID]ImageState{"i": ImagePresent}}
+	other := Machine{ID: "other", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerSecond: 1}
 	s := &Snapshot{
 		Teams:    map[wire.TeamID]*Team{"t": {}},
 		Factors:  testFactors,
 		Machines: []Machine{failed, other},
 		Jobs: []Job{{
-			Spec:        &wire.JobSpec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"},
-			Pending:     1,
-			TasksByZone: map[wire.Zone]int{},
-			Weight:      1,
-			Avoid:       map[wire.MachineID]bool{"failed": true},
+			Spec:          &wire.JobSpec{Team: "t", Kind: wire.KindService, Tasks: 1, CPUs: 4, MemoryGB: 4, Image: "i"},
+			PendingTasks:  1,
+			TasksByZone:   map[wire.Zone]int{},
+			Weight:        1,
+			AvoidMachines: map[wire.MachineID]bool{"failed": true},
 		}},
 	}
 	if starts := Place(s).Starts; len(starts) != 1 || starts[0].Machine != 1 {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -27,7 +27,7 @@
 	Machine wire.MachineID
 	Reservation
 	// AwaitedTasks will end by themselves in time.
-	AwaitedTasks []wire.Task
+	AwaitedTasks []wire.TaskID
 }
 
 // Place runs one scheduling cycle. It works on the snapshot.
@@ -39,7 +39,7 @@
 	pass := newPass(s)
 	pass.run()
 	result := Result{Starts: pass.starts}
-	if s.Preempt {
+	if s.AllowPreemption {
 		result.Preemptions, result.Reservations = preempt(s)
 	}
 	return result
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -47,15 +47,15 @@
 
 // mayReserve reports whether room may be reserved for the job.
 func mayReserve(j *Job) bool {
-	if j.Pending <= j.Reservations {
+	if j.PendingTasks <= j.ReservedUnits {
 		return false
 	}
 	if !j.Spec.IsGang() {
 		return MayPreempt(j.Spec)
 	}
 	// Room is reserved for all of a gang or for none of it.
-	untouched := j.Reservations == 0 && j.Pending == j.Spec.Tasks
-	return untouched && (MayPreempt(j.Spec) || j.PatienceS > 0)
+	untouched := j.ReservedUnits == 0 && j.PendingTasks == j.Spec.Tasks
+	return untouched && (MayPreempt(j.Spec) || j.PreemptionDelaySeconds > 0)
 }
 
 // preemption is the state of reserving room in one cycle.
@@ -77,7 +77,7 @@
 // reserveForGang reserves room for all of a gang, or for nothing of it.
 func (p *preemption) reserveForGang(j *Job) {
 	unit := ResourcesOf(j.Spec)
-	if !p.allows(j, unit.Times(float64(j.Pending))) {
+	if !p.allows(j, unit.Times(float64(j.PendingTasks))) {
 		return
 	}
 	for _, i := range cheapestRoomForGang(p.s, j) {
@@ -95,7 +95,7 @@
 	for i := range p.s.Machines {
 		p.options[i] = roomFor(j, &p.s.Machines[i], unit)
 	}
-	for range min(j.Pending-j.Reservations, maxReservedUnits) {
+	for range min(j.PendingTasks-j.ReservedUnits, maxReservedUnits) {
 		if !p.allows(j, unit) {
 			return
 		}
@@ -156,7 +156,7 @@
 	}
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		ofTeam, units := reserved[j.Spec.Team], min(j.Reservations, j.Pending)
+		ofTeam, units := reserved[j.Spec.Team], min(j.ReservedUnits, j.PendingTasks)
 		if units <= 0 || ofTeam == nil {
 			continue
 		}
--- a/internal/placement/preempt_gang.go
+++ b/internal/placement/preempt_gang.go
@@ -24,7 +24,7 @@
 	for _, group := range zoneGroups(s, j.Spec) {
 		room := newGangRoom(s, j, group)
 		room.addAllUnits()
-		if len(room.machines) == j.Pending && (best == nil || room.cost < best.cost) {
+		if len(room.machines) == j.PendingTasks && (best == nil || room.cost < best.cost) {
 			best = room
 		}
 	}
@@ -54,7 +54,7 @@
 
 // addAllUnits adds the gang's units, until all are added or one finds no room.
 func (r *gangRoom) addAllUnits() {
-	for len(r.machines) < r.j.Pending {
+	for len(r.machines) < r.j.PendingTasks {
 		machine, ok := r.cheapest()
 		if !ok {
 			return
--- a/internal/placement/preempt_gang_test.go
+++ b/internal/placement/preempt_gang_test.go
@@ -33,7 +33,7 @@
 // ended that is preempted or awaited, and that nothing is preempted where nothing is
 // reserved.
 func checkReservationsFit(t *rapid.T, before, after *Snapshot, res Result) {
-	preempted, awaited := map[wire.Task]bool{}, map[wire.Task]bool{}
+	preempted, awaited := map[wire.TaskID]bool{}, map[wire.TaskID]bool{}
 	for _, v := range res.Preemptions {
 		preempted[v.Task] = true
 	}
@@ -138,11 +138,11 @@
 // it: of two gangs the earlier has all of its reservations, the later none.
 func TestGangsDontWaitForEachOther(t *testing.T) {
 	gang := func(id wire.JobID, priority wire.Priority, tasks int) Job {
-		return Job{Spec: gangSpec(id, priority, tasks, 4), PatienceS: 9}
+		return Job{Spec: gangSpec(id, priority, tasks, 4), PreemptionDelaySeconds: 9}
 	}
 	array := Job{Weight: 50, Spec: &wire.JobSpec{ID: "req-3", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 4, MemoryGB: 4, SpotAllowed: true}}
 	withReservations := gang("req-1", wire.PriorityStandard, 2)
-	withReservations.Reservations = 2
+	withReservations.ReservedUnits = 2
 
 	// Two standard gangs of two, two machines.
 	machines := []Machine{machineIn("a", "m", 0, fullSizeVictim(0, 9, 3)), machineIn("a", "n", 0, fullSizeVictim(1, 9, 5))}
@@ -157,7 +157,7 @@
 		free, full := machineIn("a", "m", 4), machineIn("a", "n", 0)
 		free.Reservations = fullSizeReservation("req-1", wire.PriorityStandard)
 		full.Reservations = fullSizeReservation("req-1", wire.PriorityStandard)
-		full.Stopping = Resources{4, 0, 4}
+		full.StoppingResources = Resources{4, 0, 4}
 		return []Machine{free, full}
 	}
 	later := gang("req-2", wire.PriorityStandard, 1)
@@ -175,7 +175,7 @@
 
 	// Both free: the gang starts, whatever gains more.
 	bothFree := halfFree()
-	bothFree[1].Free, bothFree[1].Stopping = Resources{4, 0, 16}, Resources{}
+	bothFree[1].Free, bothFree[1].StoppingResources = Resources{4, 0, 16}, Resources{}
 	res = Place(snapshotOf(bothFree, withReservations, array))
 	if len(res.Starts) != 2 || res.Starts[0].Job != 0 {
 		t.Fatalf("with all its room free: %+v, want its two starts", res)
@@ -240,10 +240,10 @@
 				machines = append(machines, machineIn("a", id, 0, fullSizeVictim(i, 5, 500)))
 			}
 			for i := range c.reservations {
-				machines[i].Victims, machines[i].Stopping = nil, Resources{4, 0, 4}
+				machines[i].Victims, machines[i].StoppingResources = nil, Resources{4, 0, 4}
 				machines[i].Reservations = fullSizeReservation("req-1", wire.PriorityUrgent)
 			}
-			res := Place(snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Reservations: c.reservations}))
+			res := Place(snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), ReservedUnits: c.reservations}))
 			if len(res.Reservations) != c.want || len(res.Preemptions) != c.want {
 				t.Errorf("victims %v for %v, want %d of each", res.Preemptions, res.Reservations, c.want)
 			}
@@ -261,10 +261,10 @@
 		}
 		machines := []Machine{machineIn("a", "m", 0), machineIn("a", "n", 0), machineIn("a", "o", 0, victims[0]), machineIn("a", "p", 0, victims[1])}
 		for i := range 2 {
-			machines[i].Stopping = Resources{4, 0, 4}
+			machines[i].StoppingResources = Resources{4, 0, 4}
 			machines[i].Reservations = fullSizeReservation("req-1", wire.PriorityUrgent)
 		}
-		s := snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), Reservations: 2}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 2, 4)})
+		s := snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), ReservedUnits: 2}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 2, 4)})
 		s.Teams["t"].Limit = Resources{CPUs: limit}
 		if res := Place(s); len(res.Reservations) != want || len(res.Preemptions) != want {
 			t.Errorf("limit %g: victims %v for %v, want %d of each", limit, res.Preemptions, res.Reservations, want)
@@ -276,8 +276,8 @@
 // preempted only where no others can be. For one without an objective, or late already,
 // the lowest priority goes first.
 func TestGangInTimePreemptsWhatEndsAtOnce(t *testing.T) {
-	saving := Victim{Task: wire.Task{Job: "req-8"}, Rank: 0, Resources: Resources{4, 0, 4}, LostS: 3, RemainingS: 99, CheckpointS: 3, Team: "t"}
-	atOnce := Victim{Task: wire.Task{Job: "req-9"}, Rank: 1, Resources: Resources{4, 0, 4}, LostS: 30, RemainingS: 99, Team: "t"}
+	saving := Victim{Task: wire.TaskID{Job: "req-8"}, Rank: 0, Resources: Resources{4, 0, 4}, LostWorkSeconds: 3, RemainingSeconds: 99, CheckpointSeconds: 3, Team: "t"}
+	atOnce := Victim{Task: wire.TaskID{Job: "req-9"}, Rank: 1, Resources: Resources{4, 0, 4}, LostWorkSeconds: 30, RemainingSeconds: 99, Team: "t"}
 	full := func(victims ...Victim) Machine {
 		m := machineIn("a", "m", 0, victims...)
 		m.Total = Resources{4 * float64(len(victims)), 0, 32}
@@ -299,7 +299,7 @@
 		"a standard gang, of these":  {[]Machine{full(saving, atOnce), other}, wire.PriorityStandard, 2, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := Place(snapshotOf(c.machines, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartsInS: c.startsInS})).Preemptions
+			got := Place(snapshotOf(c.machines, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartSlackSeconds: c.startsInS})).Preemptions
 			if c.want == "" && len(got) == 0 {
 				return
 			}
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -23,17 +23,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			victim := func(index int, lostS float64) []Victim {
-				return []Victim{{Task: wire.Task{Job: "req-1", Index: index}, Rank: c.victims.Rank(), Resources: Resources{4, 0, 4}, LostS: lostS, Team: "t"}}
+				return []Victim{{Task: wire.TaskID{Job: "req-1", Index: index}, Rank: c.victims.Rank(), Resources: Resources{4, 0, 4}, LostWorkSeconds: lostS, Team: "t"}}
 			}
 			s := &Snapshot{
-				Preempt: true,
-				Teams:   map[wire.TeamID]*Team{"t": {}},
-				Factors: testFactors,
+				AllowPreemption: true,
+				Teams:           map[wire.TeamID]*Team{"t": {}},
+				Factors:         testFactors,
 				Machines: []Machine{
 					{ID: "m", Total: Resources{4, 0, 16}, Victims: victim(0, 30)},
 					{ID: "n", Total: Resources{4, 0, 16}, Victims: victim(1, 3)},
 				},
-				Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: c.kind, Priority: c.priority, Tasks: 1, CPUs: 2, MemoryGB: 4}, Pending: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
+				Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: c.kind, Priority: c.priority, Tasks: 1, CPUs: 2, MemoryGB: 4}, PendingTasks: 1, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 			}
 			got := Place(s).Preemptions
 			if len(got) != len(c.wantVictims) {
@@ -68,7 +68,7 @@
 			victim := fullSizeVictim(0, 5, 500)
 			victim.Rank, victim.Team, victim.BeyondGuarantee = wire.PriorityUrgent.Rank(), c.team, c.beyondGuarantee
 			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: c.kind, Priority: wire.PriorityUrgent, Tasks: 1, CPUs: 4, MemoryGB: 4}
-			s := snapshotOf([]Machine{machineIn("a", "m", 0, victim)}, Job{Spec: spec, Guaranteed: c.guaranteed})
+			s := snapshotOf([]Machine{machineIn("a", "m", 0, victim)}, Job{Spec: spec, WithinGuarantee: c.guaranteed})
 			if got := Place(s).Preemptions; len(got) != c.want {
 				t.Errorf("victims %v, want %d", got, c.want)
 			}
@@ -88,14 +88,14 @@
 	halfSize, machineSize := Resources{2, 0, 7}, Resources{4, 0, 16}
 	little := Resources{0, 0, 2}
 	snapshot := func(m Machine, jobs ...Job) *Snapshot {
-		m.ID, m.Total, m.FetchGBPerS = "n", machineSize, 1
+		m.ID, m.Total, m.FetchGBPerSecond = "n", machineSize, 1
 		for i := range jobs {
 			jobs[i].TasksByZone = map[wire.Zone]int{}
 		}
-		return &Snapshot{Teams: map[wire.TeamID]*Team{"t": {}}, Factors: testFactors, Preempt: true, Machines: []Machine{m}, Jobs: jobs}
+		return &Snapshot{Teams: map[wire.TeamID]*Team{"t": {}}, Factors: testFactors, AllowPreemption: true, Machines: []Machine{m}, Jobs: jobs}
 	}
 	withMachine := func(s *Snapshot, m Machine) *Snapshot {
-		m.Total, m.FetchGBPerS = machineSize, 1
+		m.Total, m.FetchGBPerSecond = machineSize, 1
 		s.Machines = append(s.Machines, m)
 		return s
 	}
@@ -104,37 +104,37 @@
 		return s
 	}
 	victim := func(i int) Victim {
-		return Victim{Task: wire.Task{Job: "req-9", Index: i}, Rank: 1, Resources: halfSize}
+		return Victim{Task: wire.TaskID{Job: "req-9", Index: i}, Rank: 1, Resources: halfSize}
 	}
 	endingIn := func(seconds float64, v Victim) Victim {
-		v.RemainingS = seconds
+		v.RemainingSeconds = seconds
 		return v
 	}
 	urgentSpec := spec("req-1", wire.PriorityUrgent, 4)
 	reservations := []Reservation{{urgentSpec.ID, urgentSpec.Priority.Rank(), ResourcesOf(urgentSpec)}}
 	full := func(victims ...Victim) Machine { return Machine{Victims: victims, Free: little} }
-	halfFree := Machine{Reservations: reservations, Free: Resources{2, 0, 9}, Stopping: halfSize}
+	halfFree := Machine{Reservations: reservations, Free: Resources{2, 0, 9}, StoppingResources: halfSize}
 	twoVictims := []Victim{victim(0), victim(1)}
 	endingSoon := full(endingIn(3, victim(0)), endingIn(4, victim(1)))
-	notPreemptible := Victim{Task: wire.Task{Job: "req-8"}, Rank: 2, Resources: machineSize, RemainingS: 2}
+	notPreemptible := Victim{Task: wire.TaskID{Job: "req-8"}, Rank: 2, Resources: machineSize, RemainingSeconds: 2}
 
-	urgent := Job{Spec: urgentSpec, Pending: 1, Weight: 8}
+	urgent := Job{Spec: urgentSpec, PendingTasks: 1, Weight: 8}
 	reserved := urgent
-	reserved.Reservations = 1
+	reserved.ReservedUnits = 1
 	twoUnits := reserved
-	twoUnits.Pending = 2
+	twoUnits.PendingTasks = 2
 	patient := urgent
-	patient.PatienceS = 5
+	patient.PreemptionDelaySeconds = 5
 	specWithImage := *urgentSpec
 	specWithImage.Image, specWithImage.ImageGB = "i", 1
 	patientWithImage := patient
 	patientWithImage.Spec = &specWithImage
-	small := Job{Spec: spec("req-2", wire.PriorityStandard, 2), Pending: 2, Weight: 99}
-	prod := Job{Spec: spec("req-3", wire.PriorityProd, 2), Pending: 1, Weight: 256}
-	other := Job{Spec: spec("req-4", wire.PriorityUrgent, 4), Pending: 1, Weight: 8}
+	small := Job{Spec: spec("req-2", wire.PriorityStandard, 2), PendingTasks: 2, Weight: 99}
+	prod := Job{Spec: spec("req-3", wire.PriorityProd, 2), PendingTasks: 1, Weight: 256}
+	other := Job{Spec: spec("req-4", wire.PriorityUrgent, 4), PendingTasks: 1, Weight: 8}
 	lighterOther := other
 	lighterOther.Weight = 7
-	warm := Machine{ID: "warm", Images: map[wire.ImageID]ImageState{"i": Present}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: little}
+	warm := Machine{ID: "warm", Images: map[wire.ImageID]ImageState{"i": ImagePresent}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: little}
 
 	for _, c := range []struct {
 		name                                      string
@@ -197,7 +197,7 @@
 // first, then those of the lowest rank, and of one rank those that lose least.
 func TestOrderOfVictimsOnMachine(t *testing.T) {
 	victim := func(index, rank int, lostS, remainingS float64) Victim {
-		return Victim{Task: wire.Task{Job: "req-9", Index: index}, Rank: rank, Resources: Resources{2, 0, 2}, LostS: lostS, RemainingS: remainingS, Team: "t"}
+		return Victim{Task: wire.TaskID{Job: "req-9", Index: index}, Rank: rank, Resources: Resources{2, 0, 2}, LostWorkSeconds: lostS, RemainingSeconds: remainingS, Team: "t"}
 	}
 	for _, c := range []struct {
 		name         string
@@ -212,8 +212,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityUrgent, Tasks: 1, CPUs: 2, MemoryGB: 2}
-			res := Place(snapshotOf([]Machine{machineIn("a", "m", 0, c.victims[:]...)}, Job{Spec: spec, PatienceS: 10}))
-			var awaited, preempted []wire.Task
+			res := Place(snapshotOf([]Machine{machineIn("a", "m", 0, c.victims[:]...)}, Job{Spec: spec, PreemptionDelaySeconds: 10}))
+			var awaited, preempted []wire.TaskID
 			for _, r := range res.Reservations {
 				awaited = append(awaited, r.AwaitedTasks...)
 			}
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -10,8 +10,8 @@
 // ResourcesOf returns what one task of a job requests.
 func ResourcesOf(s *wire.JobSpec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
 
-// Fits reports whether the amount is available.
-func (r Resources) Fits(free Resources) bool {
+// FitsIn reports whether the amount is available.
+func (r Resources) FitsIn(free Resources) bool {
 	return r.CPUs <= free.CPUs+wire.AmountTolerance && r.GPUs <= free.GPUs+wire.AmountTolerance && r.MemoryGB <= free.MemoryGB+wire.AmountTolerance
 }
 
@@ -35,11 +35,11 @@
 	return Resources{r.CPUs * factor, r.GPUs * factor, r.MemoryGB * factor}
 }
 
-// maxUnits is what Units returns for an amount of nothing.
+// maxUnits is what UnitsIn returns for an amount of nothing.
 const maxUnits = 1 << 20
 
-// Units returns how many times the amount fits into free.
-func (r Resources) Units(free Resources) int {
+// UnitsIn returns how many times the amount fits into free.
+func (r Resources) UnitsIn(free Resources) int {
 	units := maxUnits
 	for _, d := range [...]struct{ amount, free float64 }{{r.CPUs, free.CPUs}, {r.GPUs, free.GPUs}, {r.MemoryGB, free.MemoryGB}} {
 		if d.amount > 0 {
--- a/internal/placement/resources_test.go
+++ b/internal/placement/resources_test.go
@@ -15,10 +15,10 @@
 		"an amount of nothing":     {Resources{}, Resources{1, 1, 1}, maxUnits},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := c.amount.Units(c.free); got != c.want {
+			if got := c.amount.UnitsIn(c.free); got != c.want {
 				t.Errorf("%+v in %+v: %d units, want %d", c.amount, c.free, got, c.want)
 			}
-			if got, want := c.amount.Fits(c.free), c.want > 0; got != want {
+			if got, want := c.amount.FitsIn(c.free), c.want > 0; got != want {
 				t.Errorf("%+v in %+v: fits %v, want %v", c.amount, c.free, got, want)
 			}
 		})
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -23,16 +23,16 @@
 // would have ended in a moment, most of it of the lowest priority, whose jobs were then
 // late because they were stopped again and again.)
 func roomFor(j *Job, m *Machine, unit Resources) roomOption {
-	if !unit.Fits(m.Total) || !Allowed(j.Spec, m) {
+	if !unit.FitsIn(m.Total) || !MachineAllowed(j.Spec, m) {
 		return roomOption{}
 	}
 	option := roomOption{cost: fetchCost(j, m)}
 	room := m.unreservedRoom()
-	if j.Spec.IsGang() && !j.WaitedLong {
+	if j.Spec.IsGang() && !j.StartOverdue {
 		// It may not use the headroom, and would reserve it for ever.
 		room = room.Minus(m.serviceHeadroom)
 	}
-	if unit.Fits(room) {
+	if unit.FitsIn(room) {
 		option.feasible = true
 		return option
 	}
@@ -41,7 +41,7 @@
 		room = room.Plus(victim.Resources)
 		option.cost += victimCost(j, victim)
 		option.victims = append(option.victims, i)
-		if unit.Fits(room) {
+		if unit.FitsIn(room) {
 			option.feasible = true
 			break
 		}
@@ -89,9 +89,9 @@
 		return cmp.Compare(kind, other)
 	}
 	if kind == endsByItself {
-		return cmp.Compare(a.RemainingS, b.RemainingS)
+		return cmp.Compare(a.RemainingSeconds, b.RemainingSeconds)
 	}
-	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.LostS, b.LostS))
+	return cmp.Or(cmp.Compare(a.Rank, b.Rank), cmp.Compare(a.LostWorkSeconds, b.LostWorkSeconds))
 }
 
 const (
@@ -108,18 +108,18 @@
 // victimCost returns what it costs to await or preempt a task, in seconds of work.
 func victimCost(j *Job, v *Victim) float64 {
 	if endsInTime(j, v) {
-		return v.RemainingS
+		return v.RemainingSeconds
 	}
-	cost := v.LostS + preemptionCost
+	cost := v.LostWorkSeconds + preemptionCost
 	if savesTooLong(j, v) {
-		cost += waitingWeight * v.CheckpointS
+		cost += waitingWeight * v.CheckpointSeconds
 	}
 	return cost
 }
 
 // fetchCost returns what it costs to fetch the job's image, in seconds of work.
 func fetchCost(j *Job, m *Machine) float64 {
-	if m.Images[j.Spec.Image] == Present {
+	if m.Images[j.Spec.Image] == ImagePresent {
 		return 0
 	}
 	if j.Spec.IsService() || mustStartSoon(j) {
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -13,8 +13,8 @@
 	return s.IsService() || s.Priority.Rank() >= wire.PriorityUrgent.Rank()
 }
 
-// Allowed reports whether the job may run on the machine at all.
-func Allowed(s *wire.JobSpec, m *Machine) bool {
+// MachineAllowed reports whether the job may run on the machine at all.
+func MachineAllowed(s *wire.JobSpec, m *Machine) bool {
 	if m.Spot && !s.SpotAllowed {
 		return false
 	}
@@ -40,7 +40,7 @@
 // canLaunch reports whether one more unit of the job may be launched on the machine now.
 // Headroom is not looked at.
 func canLaunch(j *Job, m *Machine, unit Resources) bool {
-	return unit.Fits(m.Free) && Allowed(j.Spec, m) && zoneOpen(j, m.Zone) && !m.reservedForOthers(j, unit)
+	return unit.FitsIn(m.Free) && MachineAllowed(j.Spec, m) && zoneOpen(j, m.Zone) && !m.reservedForOthers(j, unit)
 }
 
 // allows reports whether the team's limit leaves so much more for the job.
@@ -63,7 +63,9 @@
 
 // endsInTime reports whether the task is worth waiting for: it is expected to end by
 // itself within the job's patience. That takes no permission, whatever its priority.
-func endsInTime(j *Job, v *Victim) bool { return j.PatienceS > 0 && v.RemainingS <= j.PatienceS }
+func endsInTime(j *Job, v *Victim) bool {
+	return j.PreemptionDelaySeconds > 0 && v.RemainingSeconds <= j.PreemptionDelaySeconds
+}
 
 // mayPreempt reports whether the task may be preempted for the job: its priority is
 // lower, or it runs beyond its team's guaranteed quota and the job is a service of
@@ -76,17 +78,19 @@
 }
 
 func mayReclaimQuota(j *Job, v *Victim) bool {
-	return j.Spec.IsService() && j.Guaranteed && v.BeyondGuarantee && v.Team != j.Spec.Team
+	return j.Spec.IsService() && j.WithinGuarantee && v.BeyondGuarantee && v.Team != j.Spec.Team
 }
 
 // mustStartSoon reports whether the job is a gang that may preempt and can still start
 // in time.
-func mustStartSoon(j *Job) bool { return j.Spec.IsGang() && MayPreempt(j.Spec) && j.StartsInS > 0 }
+func mustStartSoon(j *Job) bool {
+	return j.Spec.IsGang() && MayPreempt(j.Spec) && j.StartSlackSeconds > 0
+}
 
 // savesTooLong reports whether the task would still be saving a checkpoint when a gang
 // that must start soon should have started. (Urgent gangs with an objective of 2 s
 // preempted tasks of the lowest priority, which take 3 s to save, beside others that
 // would have ended at once.)
 func savesTooLong(j *Job, v *Victim) bool {
-	return mustStartSoon(j) && v.CheckpointS > j.StartsInS
+	return mustStartSoon(j) && v.CheckpointSeconds > j.StartSlackSeconds
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -22,15 +22,15 @@
 func score(j *Job, m *Machine, unit Resources) float64 {
 	score := 0.0
 	switch m.Images[j.Spec.Image] {
-	case Absent:
+	case ImageAbsent:
 		score -= min(maxFetchSeconds, m.fetchSeconds(j)) * fetchSecondCost
-	case Fetching:
+	case ImageFetching:
 		score -= fetchingCost
 	}
 	if m.Spot {
 		score += spotBonus
 	}
-	if j.Spec.IsService() && m.Services > 0 {
+	if j.Spec.IsService() && m.ServiceTasks > 0 {
 		score += servicesBonus
 	}
 	left := m.Free.Minus(unit)
@@ -40,7 +40,7 @@
 
 // classOf returns the class of a machine for the job.
 func classOf(j *Job, m *Machine) utility.Class {
-	if m.Images[j.Spec.Image] == Present {
+	if m.Images[j.Spec.Image] == ImagePresent {
 		return withImage
 	}
 	return withoutImage
@@ -50,5 +50,5 @@
 // has.
 func isLastResort(j *Job, m *Machine, usesHeadroom bool) bool {
 	cordoned := m.Cordoned && !j.Spec.IsService()
-	return cordoned || j.Avoid[m.ID] || usesHeadroom
+	return cordoned || j.AvoidMachines[m.ID] || usesHeadroom
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -6,34 +6,34 @@
 
 // Factors are the weights that operators may set.
 type Factors struct {
-	Preferred  float64 // of the branch over machines that have the image
-	Fallback   float64 // of the branch over any fitting machine
-	WaitRaiseS float64 // after so many seconds of waiting a job's utility per unit has doubled
+	Preferred           float64 // of the branch over machines that have the image
+	Fallback            float64 // of the branch over any fitting machine
+	WaitDoublingSeconds float64 // after so many seconds of waiting a job's utility per unit has doubled
 }
 
 // Job is a job with tasks that wait. A unit is one of its tasks.
 type Job struct {
-	Spec        *wire.JobSpec
-	Pending     int
-	TasksByZone map[wire.Zone]int
-	WaitedS     float64
-	Weight      float64 // of one unit: priority, guarantee, deadline
-	// Avoid lists machines on which a task of the job failed.
-	Avoid map[wire.MachineID]bool
-	// Guaranteed reports that the job fits into its team's guaranteed quota beside the
+	Spec          *wire.JobSpec
+	PendingTasks  int
+	TasksByZone   map[wire.Zone]int
+	WaitedSeconds float64
+	Weight        float64 // of one unit: priority, guarantee, deadline
+	// AvoidMachines lists machines on which a task of the job failed.
+	AvoidMachines map[wire.MachineID]bool
+	// WithinGuarantee reports that the job fits into its team's guaranteed quota beside the
 	// jobs before it.
-	Guaranteed bool
-	// WaitedLong reports that the job has waited so long without a start that its next
+	WithinGuarantee bool
+	// StartOverdue reports that the job has waited so long without a start that its next
 	// unit may use headroom.
-	WaitedLong bool
-	// Reservations is the number of its units for which room is reserved.
-	Reservations int
-	// PatienceS is how long a unit may wait for tasks to end by themselves, rather than
+	StartOverdue bool
+	// ReservedUnits is the number of its units for which room is reserved.
+	ReservedUnits int
+	// PreemptionDelaySeconds is how long a unit may wait for tasks to end by themselves, rather than
 	// have them preempted.
-	PatienceS float64
-	// StartsInS is how long the job may still wait to start in time; 0: no objective
+	PreemptionDelaySeconds float64
+	// StartSlackSeconds is how long the job may still wait to start in time; 0: no objective
 	// says, or it is late already.
-	StartsInS float64
+	StartSlackSeconds float64
 }
 
 // Team is a team's resource usage and its limit; a limit of 0 is none.
@@ -59,8 +59,8 @@
 	HeadroomUnit  Resources
 	// ExpectedGangs are those for which headroom is kept from arrays.
 	ExpectedGangs []*wire.JobSpec
-	// Preempt allows to preempt tasks for jobs of higher priority.
-	Preempt bool
+	// AllowPreemption allows to preempt tasks for jobs of higher priority.
+	AllowPreemption bool
 	// FullMachines, if set, returns the machines that have no room for anything that
 	// waits, with their victims. It is called only when a job that may preempt is left:
 	// in most cycles of a full cluster there is none.
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -147,14 +147,14 @@
 		}
 		time.Sleep(2 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(cancelledJob.Spec.ID) })
-		ask("cancel", "POST", "/v1/jobs/"+string(cancelledJob.Spec.ID)+"/cancel", nil, 200, wire.Cancelled)
+		ask("cancel", "POST", "/v1/jobs/"+string(cancelledJob.Spec.ID)+"/cancel", nil, 200, wire.StatusCancelled)
 		at(80 * time.Second)
 		mustFinish(t, sim, wide)
 		known := func() {
 			t.Helper()
-			for j, want := range map[*simulator.JobScript]wire.Status{&wide: wire.Done, &s: wire.Queued, &cancelledJob: wire.Cancelled} {
+			for j, want := range map[*simulator.JobScript]wire.Status{&wide: wire.StatusDone, &s: wire.StatusQueued, &cancelledJob: wire.StatusCancelled} {
 				ask("repeat of "+string(want), "POST", "/v1/jobs", simulator.Submission(j.Spec), 200, want)
-				if want != wire.Queued {
+				if want != wire.StatusQueued {
 					ask("cancel of "+string(want), "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil, 200, want)
 					ask("poll of "+string(want), "GET", "/v1/jobs/"+string(j.Spec.ID), nil, 200, want)
 				}
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -30,7 +30,7 @@
 		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(s.Spec.ID) })
 		status, raw, _ := sim.Ask((l+1)%3, "POST", "/v1/jobs/"+string(s.Spec.ID)+"/cancel", nil)
 		var b wire.JobSummary
-		if status != 200 || wire.Decode(raw, &b) != nil || b.Status != wire.Cancelled || sim.Leader() == (l+1)%3 {
+		if status != 200 || wire.Decode(raw, &b) != nil || b.Status != wire.StatusCancelled || sim.Leader() == (l+1)%3 {
 			t.Fatalf("cancel answered %d %+v, leader %d", status, b, sim.Leader())
 		}
 		sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(s.Spec.ID, b.Status, time.Now()) })
@@ -146,7 +146,7 @@
 			// final record waits.
 			begin := time.Now()
 			status, s := l.Ask(int(seed), simulator.CancelOperation, early)
-			if status != 200 || s.Status != wire.Cancelled || time.Since(begin) > 120*time.Millisecond {
+			if status != 200 || s.Status != wire.StatusCancelled || time.Since(begin) > 120*time.Millisecond {
 				t.Errorf("cancel answered %d %s after %v", status, s.Status, time.Since(begin))
 			}
 			at(70 * time.Second)
@@ -157,7 +157,7 @@
 				t.Errorf("%d cancellations failed at a final record", n)
 			}
 			sim.WithChecker(func(c *simulator.Checker) {
-				if a, b := c.FinalStatus(early.Spec.ID), c.FinalStatus(late.Spec.ID); a != wire.Cancelled || b != wire.Done {
+				if a, b := c.FinalStatus(early.Spec.ID), c.FinalStatus(late.Spec.ID); a != wire.StatusCancelled || b != wire.StatusDone {
 					t.Errorf("ended as %q and %q", a, b)
 				}
 			})
@@ -201,7 +201,7 @@
 					return 1200 * time.Millisecond
 				default:
 					for _, j := range ending {
-						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.Delete, store.ProgressPrefix+string(j.Spec.ID)) }) {
+						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.DeleteKey, store.ProgressPrefix+string(j.Spec.ID)) }) {
 							hit = &j
 							close(crosses)
 							return 150 * time.Millisecond
@@ -235,7 +235,7 @@
 				return
 			}
 			status, s := l.Ask(1, simulator.CancelOperation, *hit)
-			if status != 200 || s.Status != wire.Cancelled {
+			if status != 200 || s.Status != wire.StatusCancelled {
 				t.Errorf("cancel answered %d %s", status, s.Status)
 			}
 			mu.Lock()
@@ -305,7 +305,7 @@
 		mustRun(t, sim, j, "before it is cancelled")
 		at(75 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if s := c.FinalStatus(j.Spec.ID); s != wire.Cancelled || c.OnMachines(j.Spec.ID) != 0 {
+			if s := c.FinalStatus(j.Spec.ID); s != wire.StatusCancelled || c.OnMachines(j.Spec.ID) != 0 {
 				t.Errorf("it is %q, %d tasks run", s, c.OnMachines(j.Spec.ID))
 			}
 		})
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -36,7 +36,7 @@
 func delayProgressWrites(sim *simulator.Simulation, by time.Duration) {
 	sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
 		for _, write := range txn.Writes {
-			if strings.HasPrefix(write.Put, store.ProgressPrefix) {
+			if strings.HasPrefix(write.PutKey, store.ProgressPrefix) {
 				return by
 			}
 		}
@@ -50,7 +50,7 @@
 	t.Helper()
 	type attempt struct {
 		task   string
-		number wire.Attempt
+		number wire.AttemptNumber
 	}
 	on := map[attempt]wire.MachineID{}
 	for n := range 400 { // also those that are gone
@@ -75,7 +75,7 @@
 	t.Helper()
 	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
-	entries, _, err := reader.List(context.Background(), store.Background, store.ProgressPrefix+string(id)+"/")
+	entries, _, err := reader.List(context.Background(), store.ClassBackground, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -221,8 +221,8 @@
 	for i := range size {
 		status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
 		var s wire.JobState
-		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done {
-			t.Errorf("node %d answers %d %+v about %s, want 200 and %s", i, status, s, id, wire.Done)
+		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.StatusDone {
+			t.Errorf("node %d answers %d %+v about %s, want 200 and %s", i, status, s, id, wire.StatusDone)
 		}
 	}
 }
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -60,13 +60,13 @@
 
 // isFinalRecordOf reports whether a transaction replaces a job by its final record.
 func isFinalRecordOf(x *wire.Txn, id wire.JobID) bool {
-	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return w.Delete == store.JobKey(id) })
+	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return w.DeleteKey == store.JobKey(id) })
 }
 
 // isCancellationOf reports whether a transaction is a user's cancellation of a job.
 func isCancellationOf(x *wire.Txn, id wire.JobID) bool {
 	return slices.ContainsFunc(x.Writes, func(w wire.Write) bool {
 		var rec store.JobRecord
-		return w.Put == store.JobKey(id) && wire.Decode(w.Value, &rec) == nil && rec.Status == wire.Cancelled
+		return w.PutKey == store.JobKey(id) && wire.Decode(w.Value, &rec) == nil && rec.Status == wire.StatusCancelled
 	})
 }
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -36,7 +36,7 @@
 // whether it confirmed that.
 func cancelOnceAt(sim *simulator.Simulation, node int, id wire.JobID) bool {
 	status, ok := requestCancel(sim, node, id)
-	return ok && status == wire.Cancelled
+	return ok && status == wire.StatusCancelled
 }
 
 // cancelWithin has a user ask all controllers in turn to cancel a job until one
@@ -50,7 +50,7 @@
 		status, ok = requestCancel(sim, i%sim.Settings.Size, id)
 		return ok
 	})
-	return answered && status == wire.Cancelled
+	return answered && status == wire.StatusCancelled
 }
 
 // cancelAtController has a user ask one controller to cancel a job until it is
@@ -62,7 +62,7 @@
 	if !poll(20*time.Second, 100*time.Millisecond, func() (ok bool) { status, ok = requestCancel(sim, i, id); return ok }) {
 		t.Fatalf("%s can't be cancelled at node %d", id, i)
 	}
-	if status != wire.Cancelled {
+	if status != wire.StatusCancelled {
 		t.Errorf("%s is called %s when its user cancels it", id, status)
 	}
 	return time.Now()
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -101,8 +101,8 @@
 					mustBeGone(t, sim, late, "20 s later")
 					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
-						wire.Launch: c.hang || c.lag.Command > 0, wire.Stop: c.hang || c.lag.Command == 2*time.Second,
-						simulator.Answered: c.lag.Answer > 0, wire.Forget: c.lag.HeartbeatResponse > 0 && c.lag.Answer == 0,
+						wire.VerbLaunch: c.hang || c.lag.Command > 0, wire.VerbStop: c.hang || c.lag.Command == 2*time.Second,
+						simulator.Answered: c.lag.Answer > 0, wire.VerbForget: c.lag.HeartbeatResponse > 0 && c.lag.Answer == 0,
 					} {
 						if want && sim.LateCommands(verb) == 0 {
 							t.Errorf("no %s came late", verb)
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -105,7 +105,7 @@
 						late200++
 					}
 					for _, p := range h.Heartbeat.Tasks {
-						if task, err := wire.ParseTask(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
+						if task, err := wire.ParseTaskID(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
 							listed++
 						}
 					}
@@ -152,11 +152,11 @@
 				t.Errorf("%s is still in its first session", id)
 			}
 		}
-		tries := map[wire.Attempt]bool{}
+		tries := map[wire.AttemptNumber]bool{}
 		for _, id := range ms {
 			for _, r := range sim.RecordedHeartbeats(id) {
 				for _, p := range r.Tasks {
-					if task, err := wire.ParseTask(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
+					if task, err := wire.ParseTaskID(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
 						tries[p.Attempt] = true
 					}
 				}
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -96,7 +96,7 @@
 				case 3:
 					mustFinish(t, sim, a)
 					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), finalSeen)
-					if when, _, said := requestUntilAnswered(t, sim, a, true, k); when.IsZero() || said != wire.Done {
+					if when, _, said := requestUntilAnswered(t, sim, a, true, k); when.IsZero() || said != wire.StatusDone {
 						t.Errorf("a job that was done is called %s", said)
 					}
 				case 5:
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -265,7 +265,7 @@
 		mustFinish(t, sim, small)
 		status, raw, _ := sim.Ask(sim.Leader(), "GET", "/v1/jobs/req-000001", nil)
 		var s wire.JobState
-		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Running || s.Done < 500 {
+		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.StatusRunning || s.Done < 500 {
 			t.Errorf("%d %+v", status, s)
 		}
 	})
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -205,7 +205,7 @@
 						}
 						if requestOnce(sim, j, true, n%sim.Settings.Size) == 200 {
 							cancelled = append(cancelled, time.Now())
-							sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.Cancelled, time.Now()) })
+							sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.StatusCancelled, time.Now()) })
 							return
 						}
 						if time.Sleep(100 * time.Millisecond); n > l+20 {
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -76,7 +76,7 @@
 		for i := range sim.Settings.Size {
 			status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
 			var s wire.JobState
-			if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.Done || s.Done != j.Spec.Tasks {
+			if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.StatusDone || s.Done != j.Spec.Tasks {
 				t.Errorf("%s is %d %+v by node %d", j.Spec.ID, status, s, i)
 			}
 		}
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -36,7 +36,7 @@
 		// A repeat of a finished job's submission is answered with its state.
 		status, raw, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(a.Spec))
 		var brief wire.JobSummary
-		if status != 200 || wire.Decode(raw, &brief) != nil || brief.Status != wire.Done {
+		if status != 200 || wire.Decode(raw, &brief) != nil || brief.Status != wire.StatusDone {
 			t.Errorf("repeat answered %d %+v", status, brief)
 		}
 	})
--- a/internal/scenarios/rolling_upgrade_test.go
+++ b/internal/scenarios/rolling_upgrade_test.go
@@ -51,19 +51,19 @@
 
 func TestProductionRecordsAreRead(t *testing.T) {
 	t.Parallel()
-	mustMatchProduction(t, "job", store.JobRecord{Spec: productionSpec(), Status: wire.Queued, AcceptedAt: 1796000000123, TasksPerChunk: 256})
-	mustMatchProduction(t, "cancelled", store.JobRecord{Status: wire.Cancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 256,
+	mustMatchProduction(t, "job", store.JobRecord{Spec: productionSpec(), Status: wire.StatusQueued, AcceptedAt: 1796000000123, TasksPerChunk: 256})
+	mustMatchProduction(t, "cancelled", store.JobRecord{Status: wire.StatusCancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 256,
 		Spec: wire.JobSpec{ID: "req-000413", Class: "live", Team: "portal", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 4.8, Image: "img-b", ImageGB: 1, Spread: true}})
 	mustMatchProduction(t, "run", store.ChunkRecord{NextAttempt: 17, Done: []int{0, 3, 9, 200}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}, {Task: 255, Attempt: 16, Machine: "n-001200"}}})
-	mustMatchProduction(t, "past", store.FinalRecord{Status: wire.Done, Done: 1600})
+	mustMatchProduction(t, "past", store.FinalRecord{Status: wire.StatusDone, Done: 1600})
 	mustMatchProduction(t, "lead", store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"})
-	mustMatchProduction(t, "flavors", wire.MachineSpecs{Types: []wire.MachineSpec{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerS: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a", "b"}}}})
+	mustMatchProduction(t, "flavors", wire.MachineSpecs{Types: []wire.MachineSpec{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerSecond: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a", "b"}}}})
 	mustMatchProduction(t, "beat", peer.Heartbeat{From: "worker-1", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120})
 	mustMatchProduction(t, "ack", peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedCancelAge: time.Second,
 		Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}})
 	warning := wire.Seconds(12.5)
 	mustMatchProduction(t, "report", wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 1, Sequence: 88, Token: 41, SpotNotice: &warning,
-		Tasks: []wire.TaskState{{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}}})
+		Tasks: []wire.TaskStatus{{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}}})
 	var m map[string]any
 	raw, _ := hex.DecodeString(productionBytes["settings"])
 	if err := wire.Decode(raw, &m); err != nil || m["services.spare_units"] != 2.0 || m["log.level"] != "debug" {
@@ -121,7 +121,7 @@
 	// Chunks are smaller, and their size is part of the job's record, as before.
 	size := store.ChunkTasksFor(2)
 	var j productionJob
-	if err := wire.Decode(wire.Encode(store.JobRecord{Spec: productionSpec(), Status: wire.Cancelled, AcceptedAt: 5, CancelledAt: 7, TasksPerChunk: size}), &j); err != nil {
+	if err := wire.Decode(wire.Encode(store.JobRecord{Spec: productionSpec(), Status: wire.StatusCancelled, AcceptedAt: 5, CancelledAt: 7, TasksPerChunk: size}), &j); err != nil {
 		t.Fatal(err)
 	}
 	want := productionJob{Status: "cancelled", At: 5, Ended: 7, Chunk: size, Spec: productionJobSpec{ID: "req-000412", Lane: "train", Owner: "vision", Shape: "sweep", Urgency: "urgent",
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -120,14 +120,14 @@
 				t.Fatalf("cancellation answered %d", status)
 			}
 			told := time.Now()
-			sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.Cancelled, told) })
+			sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.StatusCancelled, told) })
 			for range 40 {
 				// Answers of the same moment may cross on their way.
 				p := <-polled
 				if p.sent.Before(told) && p.at.After(told.Add(10*time.Millisecond)) {
 					between++
 				}
-				if p.at.After(told.Add(10*time.Millisecond)) && p.status != "" && p.status != wire.Cancelled {
+				if p.at.After(told.Add(10*time.Millisecond)) && p.status != "" && p.status != wire.StatusCancelled {
 					t.Errorf("%s %s: asked %v before and answered %v after it was told to be cancelled", j.Spec.ID, p.status, told.Sub(p.sent), p.at.Sub(told))
 				}
 			}
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -22,7 +22,7 @@
 var (
 	// beforeVersions is of before versions were negotiated, as production is.
 	beforeVersions = program{}
-	oldProgram     = program{negotiates: true, understands: upgrade.Range{Min: upgrade.Base, Max: upgrade.Base}}
+	oldProgram     = program{negotiates: true, understands: upgrade.Range{Min: upgrade.BaseVersion, Max: upgrade.BaseVersion}}
 	newProgram     = program{negotiates: true, understands: leader.SupportedVersions}
 )
 
@@ -78,7 +78,7 @@
 	if raw := sim.State.Value(upgrade.ActiveKey); len(raw) > 0 && wire.Decode(raw, &r) == nil {
 		return r.Version
 	}
-	return upgrade.Base
+	return upgrade.BaseVersion
 }
 
 // upgradeStatus is what a controller shows its operators.
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -66,11 +66,11 @@
 	Violations    []Violation
 
 	jobs   map[wire.JobID]*jobHistory
-	on     map[wire.Task]Place
+	on     map[wire.TaskID]Place
 	starts int
 	// again counts the starts of tasks that had been started before.
 	restarts    int
-	everStarted map[wire.Task]bool
+	everStarted map[wire.TaskID]bool
 	// lastAnswered is when a user's poll was last answered.
 	lastAnswered time.Time
 	// polls of all users.
@@ -114,7 +114,7 @@
 
 // NewChecker returns a checker for jobs whose tasks must be gone within the cancel timeout.
 func NewChecker(cancelS time.Duration, limits map[wire.TeamID]TeamLimit) *Checker {
-	return &Checker{CancelTimeout: cancelS, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, on: map[wire.Task]Place{}, everStarted: map[wire.Task]bool{}, posted: map[wire.JobID]bool{}}
+	return &Checker{CancelTimeout: cancelS, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, on: map[wire.TaskID]Place{}, everStarted: map[wire.TaskID]bool{}, posted: map[wire.JobID]bool{}}
 }
 
 // observeTime advances the latest time that the checker knows.
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -190,11 +190,11 @@
 		c.violated(now, WentBack, "%s was %s and is called %s", id, j.finalStatus, st)
 	}
 	switch st {
-	case wire.Done:
+	case wire.StatusDone:
 		if len(j.done) < j.spec.Tasks || j.spec.IsService() {
 			c.violated(now, NotDone, "%s called done with %d of %d tasks", id, len(j.done), j.spec.Tasks)
 		}
-	case wire.Cancelled:
+	case wire.StatusCancelled:
 		if !j.cancelRequested {
 			c.violated(now, WentBack, "%s called cancelled, which nobody asked for", id)
 		}
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -26,9 +26,9 @@
 func (c *Checker) Finished() (done, cancelled int) {
 	for _, j := range c.jobs {
 		switch j.finalStatus {
-		case wire.Done:
+		case wire.StatusDone:
 			done++
-		case wire.Cancelled:
+		case wire.StatusCancelled:
 			cancelled++
 		}
 	}
@@ -73,7 +73,7 @@
 func (c *Checker) Waiting(id wire.JobID) int {
 	j, n := c.jobs[id], 0
 	for i := range j.spec.Tasks {
-		if _, on := c.on[wire.Task{Job: id, Index: i}]; !on && !j.done[i] {
+		if _, on := c.on[wire.TaskID{Job: id, Index: i}]; !on && !j.done[i] {
 			n++
 		}
 	}
@@ -95,7 +95,7 @@
 // CancelConfirmedAt returns when a user was first told that the job is cancelled.
 func (c *Checker) CancelConfirmedAt(id wire.JobID) (time.Time, bool) {
 	j := c.jobs[id]
-	if j == nil || j.finalStatus != wire.Cancelled {
+	if j == nil || j.finalStatus != wire.StatusCancelled {
 		return time.Time{}, false
 	}
 	return j.cancelToldAt, true
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -8,7 +8,7 @@
 )
 
 // TaskStarted records that a task started on a machine and checks the placement rules.
-func (c *Checker) TaskStarted(t wire.Task, p Place, now time.Time) {
+func (c *Checker) TaskStarted(t wire.TaskID, p Place, now time.Time) {
 	c.observeTime(now)
 	c.starts++
 	if c.everStarted[t] {
@@ -58,7 +58,7 @@
 
 // TaskResumed notes that a task goes on after its machine hung: like a start, but
 // for what depends on where it was started.
-func (c *Checker) TaskResumed(t wire.Task, p Place, now time.Time) {
+func (c *Checker) TaskResumed(t wire.TaskID, p Place, now time.Time) {
 	c.observeTime(now)
 	if j := c.jobs[t.Job]; j != nil {
 		c.recordOnMachine(t, j, p, now, "goes on")
@@ -66,7 +66,7 @@
 }
 
 // recordOnMachine records that a task starts or resumes on a machine.
-func (c *Checker) recordOnMachine(t wire.Task, j *jobHistory, p Place, now time.Time, what string) {
+func (c *Checker) recordOnMachine(t wire.TaskID, j *jobHistory, p Place, now time.Time, what string) {
 	if at, on := c.on[t]; on && at.Machine != p.Machine {
 		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, at.Machine, what, p.Machine)
 	}
@@ -77,7 +77,7 @@
 }
 
 // TaskLeft records that a task is no longer on a machine.
-func (c *Checker) TaskLeft(t wire.Task, m wire.MachineID, done bool) {
+func (c *Checker) TaskLeft(t wire.TaskID, m wire.MachineID, done bool) {
 	if at, on := c.on[t]; on && at.Machine == m {
 		delete(c.on, t)
 	}
@@ -88,7 +88,7 @@
 }
 
 // TaskFailed records that a task failed: it may be retried later, and elsewhere.
-func (c *Checker) TaskFailed(t wire.Task, m wire.MachineID) {
+func (c *Checker) TaskFailed(t wire.TaskID, m wire.MachineID) {
 	if j := c.jobs[t.Job]; j != nil {
 		j.waits.end()
 		if j.waits.failed == nil {
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -35,7 +35,7 @@
 	spec := wire.JobSpec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, Spread: true}
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
 	there := Place{Machine: "n-2", Type: "c4", Zone: "b"}
-	task := func(i int) wire.Task { return wire.Task{Job: "req-1", Index: i} }
+	task := func(i int) wire.TaskID { return wire.TaskID{Job: "req-1", Index: i} }
 	cases := map[string]struct {
 		rule Rule
 		do   func(c *Checker)
@@ -55,24 +55,24 @@
 		}},
 		"starts after a cancel": {RanCancelled, func(c *Checker) {
 			c.CancelRequested("req-1")
-			c.StatusToldNow("req-1", wire.Cancelled, t0)
+			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.TaskStarted(task(0), here, t0.Add(11*time.Second))
 		}},
 		"stays after a cancel": {RanCancelled, func(c *Checker) {
 			c.TaskStarted(task(0), here, t0)
 			c.CancelRequested("req-1")
-			c.StatusToldNow("req-1", wire.Cancelled, t0)
+			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.Tick(t0.Add(11 * time.Second))
 		}},
 		"answered 404":        {Forgotten, func(c *Checker) { c.PollAnsweredNow("req-1", 404, "", t0) }},
 		"repeat answered 422": {Forgotten, func(c *Checker) { c.Refused("req-1", 422, t0) }},
-		"never submitted":     {Invented, func(c *Checker) { c.PollAnsweredNow("req-9", 200, wire.Queued, t0) }},
-		"done too early":      {NotDone, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.Done, t0) }},
-		"cancelled by nobody": {WentBack, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.Cancelled, t0) }},
+		"never submitted":     {Invented, func(c *Checker) { c.PollAnsweredNow("req-9", 200, wire.StatusQueued, t0) }},
+		"done too early":      {NotDone, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.StatusDone, t0) }},
+		"cancelled by nobody": {WentBack, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.StatusCancelled, t0) }},
 		"final and then otherwise": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
-			c.StatusToldNow("req-1", wire.Cancelled, t0)
-			c.PollAnsweredNow("req-1", 200, wire.Running, t0)
+			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
+			c.PollAnsweredNow("req-1", 200, wire.StatusRunning, t0)
 		}},
 		"polls fail when all is well": {Forgotten, func(c *Checker) {
 			c.FaultsOver(t0)
@@ -82,7 +82,7 @@
 		}},
 		"a class never begins": {Unserved, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Class: "other", Team: "blue"})
-			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
+			c.TaskStarted(wire.TaskID{Job: "req-2"}, here, t0)
 			c.Finish(t0.Add(5 * time.Minute))
 		}},
 		"the largest begin late": {Unserved, func(c *Checker) {
@@ -94,41 +94,41 @@
 			c.TaskStarted(task(0), here, t0)
 			c.TaskLeft(task(0), "n-1", false)
 			c.CancelRequested("req-1")
-			c.StatusToldNow("req-1", wire.Cancelled, t0)
+			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.TaskResumed(task(0), here, t0.Add(11*time.Second))
 		}},
 		"one zone, elsewhere": {WrongPlace, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, SameZone: true})
-			c.TaskStarted(wire.Task{Job: "req-2", Index: 0}, here, t0)
-			c.TaskStarted(wire.Task{Job: "req-2", Index: 1}, there, t0)
+			c.TaskStarted(wire.TaskID{Job: "req-2", Index: 0}, here, t0)
+			c.TaskStarted(wire.TaskID{Job: "req-2", Index: 1}, there, t0)
 		}},
 		"wrong type": {WrongPlace, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, MachineTypes: []wire.MachineType{"c16"}})
-			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
+			c.TaskStarted(wire.TaskID{Job: "req-2"}, here, t0)
 		}},
 		"wrong zone": {WrongPlace, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, Zone: "b"})
-			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
+			c.TaskStarted(wire.TaskID{Job: "req-2"}, here, t0)
 		}},
 		"a service called done": {NotDone, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 1, CPUs: 1})
-			c.TaskStarted(wire.Task{Job: "req-2"}, here, t0)
-			c.TaskLeft(wire.Task{Job: "req-2"}, "n-1", true)
-			c.StatusToldNow("req-2", wire.Done, t0)
+			c.TaskStarted(wire.TaskID{Job: "req-2"}, here, t0)
+			c.TaskLeft(wire.TaskID{Job: "req-2"}, "n-1", true)
+			c.StatusToldNow("req-2", wire.StatusDone, t0)
 		}},
 		"404 after a poll that knew it": {Forgotten, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1})
-			c.PollAnsweredNow("req-2", 200, wire.Queued, t0)
+			c.PollAnsweredNow("req-2", 200, wire.StatusQueued, t0)
 			c.PollAnsweredNow("req-2", 404, "", t0.Add(time.Second))
 		}},
 		"cancellation answered 404": {Forgotten, func(c *Checker) { c.CancelAnswered("req-1", 404, nil, t0, t0) }},
 		"accepted anew": {Forgotten, func(c *Checker) {
-			c.SubmissionAnswered(encodedSubmission(spec), 201, encodedSummary("req-1", wire.Queued), t0, t0)
+			c.SubmissionAnswered(encodedSubmission(spec), 201, encodedSummary("req-1", wire.StatusQueued), t0, t0)
 		}},
 		"a repeat is answered an older": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
-			c.StatusToldNow("req-1", wire.Cancelled, t0)
-			c.SubmissionAnswered(encodedSubmission(spec), 200, encodedSummary("req-1", wire.Queued), t0, t0)
+			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
+			c.SubmissionAnswered(encodedSubmission(spec), 200, encodedSummary("req-1", wire.StatusQueued), t0, t0)
 		}},
 		"asked before, and two ends": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
@@ -136,10 +136,12 @@
 				c.TaskStarted(task(i), Place{Machine: "n-1", Zone: wire.Zone(rune('a' + i))}, t0)
 				c.TaskLeft(task(i), "n-1", true)
 			}
-			c.StatusToldNow("req-1", wire.Done, t0.Add(2*time.Second))
-			c.PollAnswered("req-1", 200, wire.Cancelled, t0, t0.Add(3*time.Second))
+			c.StatusToldNow("req-1", wire.StatusDone, t0.Add(2*time.Second))
+			c.PollAnswered("req-1", 200, wire.StatusCancelled, t0, t0.Add(3*time.Second))
+		}},
+		"cancellation of nothing": {Invented, func(c *Checker) {
+			c.CancelAnswered("req-9", 200, encodedSummary("req-9", wire.StatusCancelled), t0, t0)
 		}},
-		"cancellation of nothing":  {Invented, func(c *Checker) { c.CancelAnswered("req-9", 200, encodedSummary("req-9", wire.Cancelled), t0, t0) }},
 		"accepts what nobody sent": {Invented, func(c *Checker) { c.Accepted("req-9", t0) }},
 		"polls fail although few others do": {Forgotten, func(c *Checker) {
 			for s := range 100 {
@@ -183,7 +185,7 @@
 			c.Tick(t0)
 			for s := range 110 {
 				now := t0.Add(time.Duration(s) * time.Second)
-				c.PollAnsweredNow("req-1", 200, wire.Queued, now)
+				c.PollAnsweredNow("req-1", 200, wire.StatusQueued, now)
 				c.ObserveFaults(t0, true)
 				c.ObserveRoom([]MachineRoom{freeMachine}, now)
 			}
@@ -206,7 +208,7 @@
 			for s := range 100 {
 				now := t0.Add(time.Duration(s) * time.Second)
 				c.PollAnsweredNow("req-1", 503, "", now)
-				c.PollAnsweredNow("req-2", 200, wire.Queued, now)
+				c.PollAnsweredNow("req-2", 200, wire.StatusQueued, now)
 			}
 		}},
 	}
@@ -226,7 +228,7 @@
 func TestAllowedBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	after := func(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
-	task := wire.Task{Job: "req-1", Index: 0}
+	task := wire.TaskID{Job: "req-1", Index: 0}
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
 	with := func(change func(r *MachineRoom)) MachineRoom {
 		r := freeMachine
@@ -244,8 +246,8 @@
 	cases := map[string]func(c *Checker){
 		"an answer on its way while a newer one came": func(c *Checker) {
 			c.CancelRequested("req-1")
-			c.PollAnswered("req-1", 200, wire.Cancelled, after(1), after(2))
-			c.PollAnswered("req-1", 200, wire.Running, after(1), after(3))
+			c.PollAnswered("req-1", 200, wire.StatusCancelled, after(1), after(2))
+			c.PollAnswered("req-1", 200, wire.StatusRunning, after(1), after(3))
 		},
 		"a 404 that was on its way": func(c *Checker) { c.PollAnswered("req-1", 404, "", after(-1), after(1)) },
 		"no room":                   waiting(with(func(r *MachineRoom) { r.CPUs = 3 })),
@@ -253,13 +255,13 @@
 		"not up, or faulty":         waiting(with(func(r *MachineRoom) { r.Usable = false })),
 		"a spot machine":            waiting(with(func(r *MachineRoom) { r.Spot = true })),
 		"an image too large":        waiting(with(func(r *MachineRoom) { r.DiskGB = 0.5 })),
-		"the team at its limit":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
-		"half is there already":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
+		"the team at its limit":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
+		"half is there already":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
 		"all of it runs": func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
 			c.Accepted("req-3", t0)
 			c.CancelRequested("req-1")
-			waiting(with(func(r *MachineRoom) { r.Tasks = []wire.Task{{Job: "req-3"}} }))(c)
+			waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-3"}} }))(c)
 		},
 		"something starts now and then": func(c *Checker) {
 			for s := range 200 {
@@ -278,7 +280,7 @@
 		},
 		"all of it is done, and nobody asks": func(c *Checker) {
 			for i := range 4 {
-				c.TaskLeft(wire.Task{Job: "req-1", Index: i}, "n-9", true)
+				c.TaskLeft(wire.TaskID{Job: "req-1", Index: i}, "n-9", true)
 			}
 			waiting(freeMachine)(c)
 		},
@@ -306,23 +308,23 @@
 	for n, id := range []wire.JobID{"req-1", "req-2"} {
 		c.Submitted(wire.JobSpec{ID: id, Tasks: 2, CPUs: 1})
 		c.Accepted(id, t0)
-		c.TaskStarted(wire.Task{Job: id}, here, t0)
-		c.TaskLeft(wire.Task{Job: id}, "n-1", true)
+		c.TaskStarted(wire.TaskID{Job: id}, here, t0)
+		c.TaskLeft(wire.TaskID{Job: id}, "n-1", true)
 		if n == 0 {
-			c.TaskStarted(wire.Task{Job: id, Index: 1}, here, t0)
-			c.TaskLeft(wire.Task{Job: id, Index: 1}, "n-1", true)
+			c.TaskStarted(wire.TaskID{Job: id, Index: 1}, here, t0)
+			c.TaskLeft(wire.TaskID{Job: id, Index: 1}, "n-1", true)
 		}
 	}
 	c.Tick(t0)
-	c.PollAnswered("req-1", 200, wire.Running, t0.Add(2*time.Second), t0.Add(4*time.Second))
+	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(2*time.Second), t0.Add(4*time.Second))
 	if c.LateDone() != 0 {
 		t.Error("a poll 2 s after the end is counted")
 	}
-	c.PollAnswered("req-1", 200, wire.Running, t0.Add(4*time.Second), t0.Add(4*time.Second))
-	c.PollAnswered("req-2", 200, wire.Running, t0.Add(4*time.Second), t0.Add(4*time.Second))
+	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(4*time.Second), t0.Add(4*time.Second))
+	c.PollAnswered("req-2", 200, wire.StatusRunning, t0.Add(4*time.Second), t0.Add(4*time.Second))
 	c.CancelRequested("req-2")
-	c.StatusToldNow("req-2", wire.Cancelled, t0.Add(5*time.Second))
-	c.TaskStarted(wire.Task{Job: "req-2", Index: 1}, here, t0.Add(6*time.Second))
+	c.StatusToldNow("req-2", wire.StatusCancelled, t0.Add(5*time.Second))
+	c.TaskStarted(wire.TaskID{Job: "req-2", Index: 1}, here, t0.Add(6*time.Second))
 	if c.LateDone() != 1 || c.LateStarts() != 1 || len(c.Violations) > 0 {
 		t.Errorf("%d late polls, %d late starts, %v", c.LateDone(), c.LateStarts(), c.Violations)
 	}
@@ -378,9 +380,9 @@
 		{"job not known", http.StatusNotFound, "", ToldNothing, true},
 		{"no answer", 0, "", ToldNothing, false},
 		{"refused for now", http.StatusServiceUnavailable, "", ToldNothing, false},
-		{"done", http.StatusOK, wire.Done, ToldFinal, true},
-		{"cancelled", http.StatusOK, wire.Cancelled, ToldFinal, true},
-		{"not over", http.StatusOK, wire.Running, ToldAccepted, true},
+		{"done", http.StatusOK, wire.StatusDone, ToldFinal, true},
+		{"cancelled", http.StatusOK, wire.StatusCancelled, ToldFinal, true},
+		{"not over", http.StatusOK, wire.StatusRunning, ToldAccepted, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, answered := ToldOf(c.httpStatus, c.status); got != c.want || answered != c.wantAnswered {
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -17,7 +17,7 @@
 	CPUs     float64
 	GPUs     float64
 	MemoryGB float64 // these three are free
-	Tasks    []wire.Task
+	Tasks    []wire.TaskID
 	DiskGB   float64
 }
 
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -184,7 +184,7 @@
 	}
 	ctx, cancel := context.WithCancel(sim.ctx)
 	m := &worker{sim: sim, id: id, ip: ip, addr: ip + ":9000", machineType: machineType, zone: zone, spot: spot, spec: spec, provisionedAt: time.Now(), ctx: ctx, cancel: cancel,
-		epoch: 1, tasks: map[wire.Task]*taskRun{}, cached: map[wire.ImageID]bool{}, clockRate: 1 + (sim.rng.Float64()-0.5)*0.001, wake: make(chan struct{}, 1)}
+		epoch: 1, tasks: map[wire.TaskID]*taskRun{}, cached: map[wire.ImageID]bool{}, clockRate: 1 + (sim.rng.Float64()-0.5)*0.001, wake: make(chan struct{}, 1)}
 	sim.machines[id] = m
 	sim.Net.SlowHost(ip, sim.linkDelay)
 	m.unlisted = sim.unlisted
@@ -217,7 +217,7 @@
 		sim.checker.TaskLeft(t, id, false)
 		sim.onGangTaskLeft(t, x)
 	}
-	m.tasks = map[wire.Task]*taskRun{}
+	m.tasks = map[wire.TaskID]*taskRun{}
 	m.removed = true
 	sim.Net.SetPowerOff(m.ip, true)
 }
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -25,7 +25,7 @@
 	saves      int // orderly stops that succeeded
 	rollbacks  int // times that it fell back to its last checkpoint
 	incomplete int // tasks that waited in vain
-	attempts   map[wire.Attempt]*gangRun
+	attempts   map[wire.AttemptNumber]*gangRun
 }
 
 // gangRun is one attempt of a gang.
@@ -64,7 +64,7 @@
 type gangMember struct {
 	worker       *worker
 	run          *taskRun
-	task         wire.Task
+	task         wire.TaskID
 	waitingSince time.Time // when it had its image
 	failAt       time.Time
 	toldToStop   bool
@@ -83,7 +83,7 @@
 	}
 	g := sim.gangs.jobs[id]
 	if g == nil {
-		g = &gangJob{attempts: map[wire.Attempt]*gangRun{}}
+		g = &gangJob{attempts: map[wire.AttemptNumber]*gangRun{}}
 		sim.gangs.jobs[id] = g
 	}
 	if !sim.gangs.ticking {
@@ -102,7 +102,7 @@
 
 // joinGang brings a gang's task that has its image to its gang; call with the lock
 // held.
-func (m *worker) joinGang(t wire.Task, x *taskRun) {
+func (m *worker) joinGang(t wire.TaskID, x *taskRun) {
 	now := time.Now()
 	g := m.sim.gangOf(t.Job)
 	if g.done {
@@ -141,7 +141,7 @@
 
 // onGangTaskLeft notes that a task of a gang ended or is gone with its machine; call
 // with the lock held.
-func (sim *Simulation) onGangTaskLeft(t wire.Task, x *taskRun) {
+func (sim *Simulation) onGangTaskLeft(t wire.TaskID, x *taskRun) {
 	g := sim.gangs.jobs[t.Job]
 	if g == nil || g.attempts[x.attempt] == nil {
 		return
@@ -190,7 +190,7 @@
 }
 
 // stopGangTask carries out a stop of a gang's task; the caller holds the lock.
-func (m *worker) stopGangTask(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) {
+func (m *worker) stopGangTask(t wire.TaskID, x *taskRun, gracePeriod *wire.Seconds) {
 	now := time.Now()
 	s := &m.sim.scripts[t.Job].Spec
 	g := m.sim.gangOf(t.Job)
@@ -336,7 +336,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out GangState
-	tries := map[wire.Attempt]bool{}
+	tries := map[wire.AttemptNumber]bool{}
 	for _, m := range sim.machines {
 		for t, x := range m.tasks {
 			if t.Job != id {
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -19,7 +19,7 @@
 func TestEveryGangRuleCanBeViolated(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	here, there := Place{Machine: "n-1", Type: "c4", Zone: "a"}, Place{Machine: "n-2", Type: "c4", Zone: "b"}
-	task := func(i int) wire.Task { return wire.Task{Job: "req-000001", Index: i} }
+	task := func(i int) wire.TaskID { return wire.TaskID{Job: "req-000001", Index: i} }
 	complete := func(c *Checker) {
 		for i := range 2 {
 			c.TaskStarted(task(i), here, t0)
@@ -40,11 +40,11 @@
 		"called done before its end": {NotDone, func(c *Checker) {
 			complete(c)
 			c.GangBegan("req-000001", t0)
-			c.StatusToldNow("req-000001", wire.Done, t0)
+			c.StatusToldNow("req-000001", wire.StatusDone, t0)
 		}},
 		"waits after a cancellation": {RanCancelled, func(c *Checker) {
 			c.CancelRequested("req-000001")
-			c.StatusToldNow("req-000001", wire.Cancelled, t0)
+			c.StatusToldNow("req-000001", wire.StatusCancelled, t0)
 			c.TaskStarted(task(0), here, t0.Add(11*time.Second))
 		}},
 		"accepted over the limit": {AcceptedWrongly, func(c *Checker) { c.Submitted(big); c.Accepted("req-000002", t0) }},
@@ -90,7 +90,7 @@
 	cases := map[string][]MachineRoom{
 		"room in two zones for one place": {room("a", 2), room("b", 2)},
 		"room for half of it":             {room("a", 2)},
-		"an attempt is there":             {func() MachineRoom { r := room("a", 4); r.Tasks = []wire.Task{{Job: "req-000001"}}; return r }()},
+		"an attempt is there":             {func() MachineRoom { r := room("a", 4); r.Tasks = []wire.TaskID{{Job: "req-000001"}}; return r }()},
 	}
 	for name, rooms := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
@@ -132,19 +132,19 @@
 }
 
 // launchCommand starts a task of the tests' gang.
-func launchCommand(i int, try wire.Attempt) wire.Command {
-	return wire.Command{Verb: wire.Launch, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try}
+func launchCommand(i int, try wire.AttemptNumber) wire.Command {
+	return wire.Command{Verb: wire.VerbLaunch, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: try}
 }
 
 // stopCommand stops one.
-func stopCommand(i int, try wire.Attempt, gracePeriod wire.Seconds) wire.Command {
-	return wire.Command{Verb: wire.Stop, Task: wire.Task{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &gracePeriod}
+func stopCommand(i int, try wire.AttemptNumber, gracePeriod wire.Seconds) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &gracePeriod}
 }
 
 // The workers do with gangs what the page says.
 func TestWorkersRunGangs(t *testing.T) {
 	const s = time.Second
-	all := func(order func(int, ...wire.Command), n int, try wire.Attempt) {
+	all := func(order func(int, ...wire.Command), n int, try wire.AttemptNumber) {
 		for i := range n {
 			order(i, launchCommand(i, try))
 		}
@@ -262,7 +262,7 @@
 					t.Helper()
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
-					x := ms[i].tasks[wire.Task{Job: "req-000001", Index: i}]
+					x := ms[i].tasks[wire.TaskID{Job: "req-000001", Index: i}]
 					if x == nil || x.phase != p || x.cause != c || x.checkpointed != saved {
 						t.Errorf("task %d is %+v, want %s %s %v", i, x, p, c, saved)
 					}
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -62,16 +62,16 @@
 
 // BusyMachines returns the machines of a zone (empty: of all) that run tasks.
 func (sim *Simulation) BusyMachines(z wire.Zone) []wire.MachineID {
-	return sim.machinesOfTasks(func(_ wire.Task, p Place) bool { return z == "" || p.Zone == z })
+	return sim.machinesOfTasks(func(_ wire.TaskID, p Place) bool { return z == "" || p.Zone == z })
 }
 
 // MachinesRunning returns the machines that run tasks of a job.
 func (sim *Simulation) MachinesRunning(id wire.JobID) []wire.MachineID {
-	return sim.machinesOfTasks(func(t wire.Task, _ Place) bool { return t.Job == id })
+	return sim.machinesOfTasks(func(t wire.TaskID, _ Place) bool { return t.Job == id })
 }
 
 // machinesOfTasks returns the machines of the running tasks that pass the test, sorted.
-func (sim *Simulation) machinesOfTasks(passes func(wire.Task, Place) bool) []wire.MachineID {
+func (sim *Simulation) machinesOfTasks(passes func(wire.TaskID, Place) bool) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out []wire.MachineID
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -168,8 +168,8 @@
 		var answer any
 		f.Status, answer = s.execute(from, t)
 		f.Done = time.Now()
-		if res, ok := answer.(wire.TxnResult); ok {
-			f.Failed = res.Failed
+		if res, ok := answer.(wire.TxnResponse); ok {
+			f.Failed = res.FailedKeys
 		}
 	}
 	if f.Late = x.Late[1] > 0; f.Late {
@@ -193,7 +193,7 @@
 func keysOf(t *wire.Txn) []string {
 	var out []string
 	for _, x := range t.Writes {
-		out = append(out, x.Put+x.Delete)
+		out = append(out, x.PutKey+x.DeleteKey)
 	}
 	return out
 }
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -53,7 +53,7 @@
 	defer s.mu.Unlock()
 	ok := len(t.Writes) <= s.maxOps && len(t.Guards) <= 4*s.maxOps && bytes <= 64<<10
 	for _, x := range t.Writes {
-		ok = ok && jsonSize(x.Value) <= s.valueKB<<10 && (x.Put == "") != (x.Delete == "")
+		ok = ok && jsonSize(x.Value) <= s.valueKB<<10 && (x.PutKey == "") != (x.DeleteKey == "")
 	}
 	if !ok {
 		s.oversize++
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -52,7 +52,7 @@
 // stateChange is a change that watches may still ask for.
 type stateChange struct {
 	revision wire.Revision
-	change   wire.Change
+	change   wire.WatchEvent
 }
 
 // NewKVStore returns an empty key-value store with limits of transactions and values.
@@ -67,7 +67,7 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.keys[key] = &stateEntry{value: wire.Encode(v), revision: s.revision}
-	s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: key, Value: wire.Encode(v), Revision: s.revision}})
+	s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: key, Value: wire.Encode(v), Revision: s.revision}})
 	s.notify()
 	return s.revision
 }
@@ -81,7 +81,7 @@
 	}
 	s.revision++
 	delete(s.keys, key)
-	s.changes = append(s.changes, stateChange{s.revision, wire.Change{Delete: key, Revision: s.revision}})
+	s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: key, Revision: s.revision}})
 	s.notify()
 }
 
@@ -100,7 +100,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.changes {
-		if strings.HasPrefix(c.change.Put+c.change.Delete, prefix) {
+		if strings.HasPrefix(c.change.PutKey+c.change.DeletedKey, prefix) {
 			n++
 		}
 	}
@@ -186,7 +186,7 @@
 	sort.Strings(dead)
 	for _, k := range dead {
 		delete(s.keys, k)
-		s.changes = append(s.changes, stateChange{s.revision, wire.Change{Delete: k, Revision: s.revision}})
+		s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: k, Revision: s.revision}})
 	}
 	s.notify()
 }
@@ -287,7 +287,7 @@
 	life := time.Duration(a.TTLMillis) * time.Millisecond
 	s.grants[id] = &stateGrant{life, time.Now().Add(life)}
 	s.mu.Unlock()
-	wire.WriteResponse(w, http.StatusOK, wire.GrantResult{Grant: id})
+	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: id})
 }
 
 // renewOrEndGrant does what the path and the method say with a grant.
@@ -308,7 +308,7 @@
 		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorBody{Error: "no such lease"})
 		return
 	}
-	wire.WriteResponse(w, http.StatusOK, wire.GrantResult{Grant: wire.GrantID(n)})
+	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: wire.GrantID(n)})
 }
 
 // list answers with a page of the keys with a prefix.
@@ -368,7 +368,7 @@
 func (s *KVStore) execute(from string, t *wire.Txn) (status int, answer any) {
 	// An expired lease is told first, whatever the conditions.
 	for _, x := range t.Writes {
-		if x.Put != "" && x.Grant != 0 && s.grants[x.Grant] == nil {
+		if x.PutKey != "" && x.Grant != 0 && s.grants[x.Grant] == nil {
 			return http.StatusBadRequest, wire.ErrorBody{Error: "no such lease"}
 		}
 	}
@@ -381,18 +381,18 @@
 	}
 	if failed != nil {
 		s.limits.recordFailed(t)
-		return http.StatusConflict, wire.TxnResult{Revision: s.revision, Failed: failed}
+		return http.StatusConflict, wire.TxnResponse{Revision: s.revision, FailedKeys: failed}
 	}
 	if len(t.Writes) > 0 {
 		s.revision++
 		for _, x := range t.Writes {
-			if x.Delete != "" {
-				delete(s.keys, x.Delete)
-				s.changes = append(s.changes, stateChange{s.revision, wire.Change{Delete: x.Delete, Revision: s.revision}})
+			if x.DeleteKey != "" {
+				delete(s.keys, x.DeleteKey)
+				s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: x.DeleteKey, Revision: s.revision}})
 				continue
 			}
-			s.keys[x.Put] = &stateEntry{append(wire.Raw(nil), x.Value...), s.revision, x.Grant}
-			s.changes = append(s.changes, stateChange{s.revision, wire.Change{Put: x.Put, Value: append(wire.Raw(nil), x.Value...), Revision: s.revision}})
+			s.keys[x.PutKey] = &stateEntry{append(wire.Raw(nil), x.Value...), s.revision, x.Grant}
+			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: x.PutKey, Value: append(wire.Raw(nil), x.Value...), Revision: s.revision}})
 		}
 		if keep := s.limits.historySize(); len(s.changes) > keep {
 			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].revision
@@ -401,7 +401,7 @@
 		s.txnFaults.countExecuted(from)
 		s.notify()
 	}
-	return http.StatusOK, wire.TxnResult{Revision: s.revision}
+	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
 // watch answers with the changes after a revision, as soon as there are any.
@@ -417,7 +417,7 @@
 	for {
 		s.mu.Lock()
 		s.expire()
-		res := wire.Changes{Revision: s.revision, Events: []wire.Change{}}
+		res := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
 		silent := s.outage || s.refused[hostOf(r.RemoteAddr)]
 		if s.forgottenUpTo > wire.Revision(after) {
 			s.mu.Unlock()
@@ -426,7 +426,7 @@
 		}
 		if !silent {
 			for _, c := range s.changes {
-				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.Put+c.change.Delete, q.Get("under")) {
+				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.PutKey+c.change.DeletedKey, q.Get("under")) {
 					res.Events = append(res.Events, c.change)
 				}
 			}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -230,9 +230,9 @@
 	defer sim.mu.Unlock()
 	for _, t := range jobs {
 		switch sim.checker.jobs[t.Spec.ID].finalStatus {
-		case wire.Done:
+		case wire.StatusDone:
 			done++
-		case wire.Cancelled:
+		case wire.StatusCancelled:
 			cancelled++
 		}
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -35,7 +35,7 @@
 	token          wire.FencingToken
 	leaseRenewedAt time.Time // sending time of the last answered report
 	clockRate      float64
-	tasks          map[wire.Task]*taskRun
+	tasks          map[wire.TaskID]*taskRun
 	cached         map[wire.ImageID]bool
 	wake           chan struct{}
 	restarts       int            // counts the machine's own restarts
@@ -44,7 +44,7 @@
 
 // taskRun is an attempt of a task on a machine.
 type taskRun struct {
-	attempt      wire.Attempt
+	attempt      wire.AttemptNumber
 	phase        wire.TaskPhase
 	cause        wire.ExitCause
 	checkpointed bool
@@ -62,13 +62,13 @@
 // nextHeartbeat returns a heartbeat with the worker's present state; the caller holds the lock.
 func (m *worker) nextHeartbeat() wire.Heartbeat {
 	m.sequence++
-	r := wire.Heartbeat{Machine: m.id, Addr: m.sim.advertisedAddr(m.addr), Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskState{}}
+	r := wire.Heartbeat{Machine: m.id, Addr: m.sim.advertisedAddr(m.addr), Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskStatus{}}
 	if !m.reclaimAt.IsZero() {
 		left := wire.Seconds(max(0, time.Until(m.reclaimAt).Seconds()))
 		r.SpotNotice = &left
 	}
 	for t, x := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskState{Task: t.String(), Attempt: x.attempt, Phase: x.phase, Cause: x.cause, CheckpointSaved: x.checkpointed})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.String(), Attempt: x.attempt, Phase: x.phase, Cause: x.cause, CheckpointSaved: x.checkpointed})
 	}
 	return r
 }
@@ -192,7 +192,7 @@
 	m.observeToken(o.Token)
 	m.leaseRenewedAt = sent
 	m.execute(o.Commands)
-	m.sim.countLate(sent, o.Commands, wire.Forget)
+	m.sim.countLate(sent, o.Commands, wire.VerbForget)
 }
 
 // observeToken remembers the highest token that the worker has seen.
@@ -231,7 +231,7 @@
 		m.sim.checker.TaskLeft(t, m.id, false)
 		m.sim.onGangTaskLeft(t, x)
 	}
-	m.tasks = map[wire.Task]*taskRun{}
+	m.tasks = map[wire.TaskID]*taskRun{}
 }
 
 // handle serves what controllers ask a worker directly.
@@ -263,7 +263,7 @@
 func (m *worker) onCommands(raw []byte, came time.Time, lag CommandDelay) (status int) {
 	var o wire.Commands
 	err := wire.Decode(raw, &o)
-	m.sim.countLate(came, o.Commands, wire.Launch, wire.Stop)
+	m.sim.countLate(came, o.Commands, wire.VerbLaunch, wire.VerbStop)
 	switch {
 	case err != nil || o.Token == 0 || o.Epoch == 0:
 		return http.StatusBadRequest
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -10,22 +10,22 @@
 // execute carries commands out in order; the caller holds the lock.
 func (m *worker) execute(orders []wire.Command) {
 	for _, o := range orders {
-		t, err := wire.ParseTask(o.Task)
+		t, err := wire.ParseTaskID(o.Task)
 		if err != nil {
 			continue
 		}
 		x := m.tasks[t]
 		listed := x != nil && x.attempt == o.Attempt
 		switch o.Verb {
-		case wire.Launch:
+		case wire.VerbLaunch:
 			if !listed {
 				m.launch(t, o.Attempt, x)
 			}
-		case wire.Stop:
+		case wire.VerbStop:
 			if listed && x.phase != wire.PhaseExited {
 				m.stopTask(t, x, o.GracePeriod)
 			}
-		case wire.Forget:
+		case wire.VerbForget:
 			if listed && x.phase == wire.PhaseExited {
 				delete(m.tasks, t)
 			}
@@ -35,7 +35,7 @@
 
 // stopTask stops an attempt of a task, with a checkpoint if it has the time; the caller
 // holds the lock.
-func (m *worker) stopTask(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) {
+func (m *worker) stopTask(t wire.TaskID, x *taskRun, gracePeriod *wire.Seconds) {
 	spec := &m.sim.scripts[t.Job].Spec
 	if spec.IsGang() {
 		m.stopGangTask(t, x, gracePeriod)
@@ -52,7 +52,7 @@
 
 // launch starts an attempt of a task, or lists it as refused; call with the lock
 // held.
-func (m *worker) launch(t wire.Task, attempt wire.Attempt, old *taskRun) {
+func (m *worker) launch(t wire.TaskID, attempt wire.AttemptNumber, old *taskRun) {
 	script := m.sim.scripts[t.Job]
 	refuse := func(c wire.ExitCause) {
 		m.tasks[t] = &taskRun{attempt: attempt, phase: wire.PhaseExited, cause: c, cancel: func() {}}
@@ -79,7 +79,7 @@
 	m.requestHeartbeat()
 	fetch := time.Duration(0)
 	if !m.cached[script.Spec.Image] {
-		fetch = time.Duration(script.Spec.ImageGB / m.spec.FetchGBPerS / m.sim.speedOf(m.id) * float64(time.Second))
+		fetch = time.Duration(script.Spec.ImageGB / m.spec.FetchGBPerSecond / m.sim.speedOf(m.id) * float64(time.Second))
 	}
 	m.sim.spawn(func() {
 		m.workFor(ctx, fetch)
@@ -89,7 +89,7 @@
 }
 
 // runTask runs a task that has its image to its end, or has it join its gang.
-func (m *worker) runTask(ctx context.Context, t wire.Task, x *taskRun, script *JobScript) {
+func (m *worker) runTask(ctx context.Context, t wire.TaskID, x *taskRun, script *JobScript) {
 	m.sim.mu.Lock()
 	if ctx.Err() != nil || m.tasks[t] != x {
 		m.sim.mu.Unlock()
@@ -130,7 +130,7 @@
 // startSaving lets a task that was told to stop save first, and reports whether it does.
 // What saves already goes on with it unless it is told to end at once. Call with
 // the lock held.
-func (m *worker) startSaving(t wire.Task, x *taskRun, gracePeriod *wire.Seconds) bool {
+func (m *worker) startSaving(t wire.TaskID, x *taskRun, gracePeriod *wire.Seconds) bool {
 	switch {
 	case !m.sim.slowSaves:
 		return false
@@ -156,7 +156,7 @@
 }
 
 // exitTask ends a task; the caller holds the lock.
-func (m *worker) exitTask(t wire.Task, x *taskRun, c wire.ExitCause) {
+func (m *worker) exitTask(t wire.TaskID, x *taskRun, c wire.ExitCause) {
 	if x.phase != wire.PhaseFetching {
 		m.sim.checker.TaskLeft(t, m.id, c == wire.CauseDone)
 	}
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -14,13 +14,13 @@
 
 // The classes of requests.
 const (
-	// Critical requests (lease renewals, elections, launches) never wait for the
+	// ClassCritical requests (lease renewals, elections, launches) never wait for the
 	// budget, but are charged to it, into debt: background requests wait then.
-	Critical RequestClass = iota
-	// Background requests (progress, recovery, settings) wait for the budget.
-	Background
-	// User requests are refused at once when the budget is used up.
-	User
+	ClassCritical RequestClass = iota
+	// ClassBackground requests (progress, recovery, settings) wait for the budget.
+	ClassBackground
+	// ClassUser requests are refused at once when the budget is used up.
+	ClassUser
 )
 
 const (
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -2,15 +2,15 @@
 
 import "lilaclead/internal/wire"
 
-// MaxChunkTasks is the largest number of tasks in one chunk.
-const MaxChunkTasks = 256
+// MaxTasksPerChunk is the largest number of tasks in one chunk.
+const MaxTasksPerChunk = 256
 
 // ChunkTasksFor returns the number of tasks that a chunk may have where a value may have
 // so many KiB: the chunk fits with every task on a machine, however often started, and in
 // every mix of states. (At 4 KiB a job array of 200 tasks in one chunk was just too large
 // once most had been started again.)
 func ChunkTasksFor(valueKB float64) int {
-	return max(1, min(MaxChunkTasks, int(valueKB*1024-chunkBytes)/attemptBytes))
+	return max(1, min(MaxTasksPerChunk, int(valueKB*1024-chunkBytes)/attemptBytes))
 }
 
 // chunkBytes and attemptBytes are what a chunk and each attempt in it take in JSON:
@@ -26,14 +26,14 @@
 type ActiveAttempt struct {
 	_       struct{} `cbor:",toarray"`
 	Task    int      // counted within the chunk
-	Attempt wire.Attempt
+	Attempt wire.AttemptNumber
 	Machine wire.MachineID
 }
 
-// ChunkRecord is the progress of up to MaxChunkTasks tasks.
+// ChunkRecord is the progress of up to MaxTasksPerChunk tasks.
 type ChunkRecord struct {
 	// NextAttempt is the number of the next attempt; it only grows.
-	NextAttempt wire.Attempt `cbor:"n"`
+	NextAttempt wire.AttemptNumber `cbor:"n"`
 	// Done lists ranges of completed tasks: from, to (exclusive), from, to…
 	Done []int `cbor:"d"`
 	// Active lists the attempts that may be on a machine.
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -57,29 +57,29 @@
 func TestRequestFailsWithItsCause(t *testing.T) {
 	withStore(t, func(t *testing.T, env *storeEnv) {
 		ctx, c, state := t.Context(), env.client, env.state
-		if _, err := c.Get(ctx, store.Background, "k"); !errors.Is(err, store.ErrRefused) {
+		if _, err := c.Get(ctx, store.ClassBackground, "k"); !errors.Is(err, store.ErrRefused) {
 			t.Errorf("no listener: got %v, want %v", err, store.ErrRefused)
 		}
 		env.listen(t)
-		put := wire.Txn{Guards: []wire.Guard{{Key: "k"}}, Writes: []wire.Write{{Put: "k", Value: wire.Encode(1)}}}
-		if _, err := c.Commit(ctx, store.Background, put); err != nil {
+		put := wire.Txn{Guards: []wire.Guard{{Key: "k"}}, Writes: []wire.Write{{PutKey: "k", Value: wire.Encode(1)}}}
+		if _, err := c.Commit(ctx, store.ClassBackground, put); err != nil {
 			t.Errorf("first put: got %v, want no error", err)
 		}
 		var conflict *store.ConflictError
-		if _, err := c.Commit(ctx, store.Background, put); !errors.As(err, &conflict) || !conflict.Has("k") {
+		if _, err := c.Commit(ctx, store.ClassBackground, put); !errors.As(err, &conflict) || !conflict.Has("k") {
 			t.Errorf("second put: got %v, want a conflict on k", err)
 		}
-		if _, err := c.Get(ctx, store.Background, "none"); !errors.Is(err, store.ErrMissing) {
-			t.Errorf("no such key: got %v, want %v", err, store.ErrMissing)
+		if _, err := c.Get(ctx, store.ClassBackground, "none"); !errors.Is(err, store.ErrNotFound) {
+			t.Errorf("no such key: got %v, want %v", err, store.ErrNotFound)
 		}
 		state.Outage(true)
-		if _, err := c.Commit(ctx, store.Background, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
+		if _, err := c.Commit(ctx, store.ClassBackground, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
 			t.Errorf("outage: got %v, reachable %v, want %v, false", err, c.Reachable(), store.ErrRefused)
 		}
 		state.Outage(false)
 		state.LoseAnswers(1)
-		if _, err := c.Commit(ctx, store.Background, wire.Txn{Writes: []wire.Write{{Delete: "k"}}}); !errors.Is(err, store.ErrUnknown) {
-			t.Errorf("answer lost: got %v, want %v", err, store.ErrUnknown)
+		if _, err := c.Commit(ctx, store.ClassBackground, wire.Txn{Writes: []wire.Write{{DeleteKey: "k"}}}); !errors.Is(err, store.ErrOutcomeUnknown) {
+			t.Errorf("answer lost: got %v, want %v", err, store.ErrOutcomeUnknown)
 		}
 		if keys := state.Keys("k"); len(keys) != 0 {
 			t.Errorf("deleted with the answer lost: got keys %v, want none", keys)
@@ -92,21 +92,21 @@
 	withStore(t, func(t *testing.T, env *storeEnv) {
 		ctx, c := t.Context(), env.client
 		env.listen(t)
-		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrMissing) {
-			t.Errorf("before the cut: got %v, want %v", err, store.ErrMissing)
+		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrNotFound) {
+			t.Errorf("before the cut: got %v, want %v", err, store.ErrNotFound)
 		}
 		env.cut(true)
 		for range 2 {
-			c.Get(ctx, store.Critical, "k") //nolint:errcheck // it can't work
+			c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // it can't work
 		}
 		begin := time.Now()
-		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
+		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
 			t.Errorf("service cut off: got %v after %v, want %v at once", err, time.Since(begin), store.ErrRefused)
 		}
 		env.cut(false)
-		c.Get(ctx, store.Critical, "k") //nolint:errcheck // shows the client that the service is back
-		if _, err := c.Get(ctx, store.User, "k"); !errors.Is(err, store.ErrMissing) {
-			t.Errorf("after the cut: got %v, want %v", err, store.ErrMissing)
+		c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // shows the client that the service is back
+		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrNotFound) {
+			t.Errorf("after the cut: got %v, want %v", err, store.ErrNotFound)
 		}
 	})
 }
@@ -118,23 +118,23 @@
 	withStore(t, func(t *testing.T, env *storeEnv) {
 		env.listen(t)
 		write := func(class store.RequestClass) error {
-			_, err := env.client.Commit(t.Context(), class, wire.Txn{Writes: []wire.Write{{Put: "x", Value: wire.Encode(1)}}})
+			_, err := env.client.Commit(t.Context(), class, wire.Txn{Writes: []wire.Write{{PutKey: "x", Value: wire.Encode(1)}}})
 			return err
 		}
 		for range 30 {
-			if err := write(store.Critical); err != nil {
+			if err := write(store.ClassCritical); err != nil {
 				t.Fatalf("critical: got %v, want no error", err)
 			}
 		}
-		if err := write(store.User); err != nil {
+		if err := write(store.ClassUser); err != nil {
 			t.Errorf("user after many launches: got %v, want no error", err)
 		}
 		var last error
 		for range 30 {
-			last = write(store.User)
+			last = write(store.ClassUser)
 		}
-		if !errors.Is(last, store.ErrBusy) {
-			t.Errorf("user over the budget: got %v, want %v", last, store.ErrBusy)
+		if !errors.Is(last, store.ErrRateLimited) {
+			t.Errorf("user over the budget: got %v, want %v", last, store.ErrRateLimited)
 		}
 	})
 }
@@ -153,10 +153,10 @@
 		for range 600 {
 			state.Put("job/b", make([]byte, 15<<10))
 		}
-		if _, err := c.Watch(t.Context(), "job/", 0, time.Second); !errors.Is(err, store.ErrTooOld) {
-			t.Errorf("9 MB of changes: got %v, want %v", err, store.ErrTooOld)
+		if _, err := c.Watch(t.Context(), "job/", 0, time.Second); !errors.Is(err, store.ErrCompacted) {
+			t.Errorf("9 MB of changes: got %v, want %v", err, store.ErrCompacted)
 		}
-		if all, _, err := c.List(t.Context(), store.Background, "job/"); err != nil || len(all) != 2 {
+		if all, _, err := c.List(t.Context(), store.ClassBackground, "job/"); err != nil || len(all) != 2 {
 			t.Errorf("read anew: got %d keys, %v, want 2", len(all), err)
 		}
 		stop()
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -11,23 +11,23 @@
 // a Client returns is an OpError around one of them, or a ConflictError. Their texts are
 // label values of the metric lilaclead_call_seconds and must not change.
 var (
-	// ErrMissing means that the key or the lease does not exist.
-	ErrMissing = errors.New("state: no such key or grant")
+	// ErrNotFound means that the key or the lease does not exist.
+	ErrNotFound = errors.New("state: no such key or grant")
 	// ErrRefused means that the request was certainly not executed: the service answered
 	// 429 or 503, refused the connection, or this node's own budget had no room.
 	ErrRefused = errors.New("state: refused")
-	// ErrBusy is the ErrRefused of a request that was over the rate limit and may
+	// ErrRateLimited is the ErrRefused of a request that was over the rate limit and may
 	// succeed in a moment.
-	ErrBusy = fmt.Errorf("%w: over the rate", ErrRefused)
-	// ErrUnknown means that there was no usable answer: a change may have been executed,
+	ErrRateLimited = fmt.Errorf("%w: over the rate", ErrRefused)
+	// ErrOutcomeUnknown means that there was no usable answer: a change may have been executed,
 	// or may still be.
-	ErrUnknown = errors.New("state: outcome unknown")
-	// ErrTooOld means that a watch asked for changes that are no longer kept.
-	ErrTooOld = errors.New("state: revision too old")
-	// ErrTooLarge means that the answer is larger than this client accepts.
-	ErrTooLarge = errors.New("state: answer too large")
-	// ErrInvalid means that the service considers the request malformed.
-	ErrInvalid = errors.New("state: request refused as invalid")
+	ErrOutcomeUnknown = errors.New("state: outcome unknown")
+	// ErrCompacted means that a watch asked for changes that are no longer kept.
+	ErrCompacted = errors.New("state: revision too old")
+	// ErrResponseTooLarge means that the answer is larger than this client accepts.
+	ErrResponseTooLarge = errors.New("state: answer too large")
+	// ErrInvalidRequest means that the service considers the request malformed.
+	ErrInvalidRequest = errors.New("state: request refused as invalid")
 )
 
 // OpError reports which operation on which key failed, and why.
@@ -55,20 +55,22 @@
 // MaybeExecuted reports whether the service may have executed the request, or may still
 // do so. What it was to change must be read before it is repeated.
 func (e *OpError) MaybeExecuted() bool {
-	return errors.Is(e.Err, ErrUnknown) || errors.Is(e.Err, ErrTooLarge)
+	return errors.Is(e.Err, ErrOutcomeUnknown) || errors.Is(e.Err, ErrResponseTooLarge)
 }
 
 // Retryable reports whether the same request may succeed later. For any other cause it
 // fails again until the stored data or the service's limits change.
 func (e *OpError) Retryable() bool {
-	return errors.Is(e.Err, ErrRefused) || errors.Is(e.Err, ErrUnknown)
+	return errors.Is(e.Err, ErrRefused) || errors.Is(e.Err, ErrOutcomeUnknown)
 }
 
 // ConflictError lists the guards of a compare-and-swap that failed.
-type ConflictError struct{ Failed []string }
+type ConflictError struct{ FailedKeys []string }
 
 // Error returns the keys whose guards failed.
-func (e *ConflictError) Error() string { return "state: guards failed: " + strings.Join(e.Failed, ",") }
+func (e *ConflictError) Error() string {
+	return "state: guards failed: " + strings.Join(e.FailedKeys, ",")
+}
 
 // Has reports whether the guard on the key failed.
-func (e *ConflictError) Has(key string) bool { return slices.Contains(e.Failed, key) }
+func (e *ConflictError) Has(key string) bool { return slices.Contains(e.FailedKeys, key) }
