--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -28,15 +28,15 @@
 // requests makes one request of each kind.
 var requests = map[string]func(ctx context.Context, c *store.Client) error{
 	"get": func(ctx context.Context, c *store.Client) error {
-		_, err := c.Get(ctx, store.Critical, "job/req-1")
+		_, err := c.Get(ctx, store.ClassCritical, "job/req-1")
 		return err
 	},
 	"list": func(ctx context.Context, c *store.Client) error {
-		_, _, err := c.List(ctx, store.Critical, "job/")
+		_, _, err := c.List(ctx, store.ClassCritical, "job/")
 		return err
 	},
 	"txn": func(ctx context.Context, c *store.Client) error {
-		_, err := c.Commit(ctx, store.Critical, wire.Txn{Guards: []wire.Guard{{Key: "lead", Revision: 3}}, Writes: []wire.Write{{Put: "job/req-1", Value: wire.Encode(1)}}})
+		_, err := c.Commit(ctx, store.ClassCritical, wire.Txn{Guards: []wire.Guard{{Key: "lead", Revision: 3}}, Writes: []wire.Write{{PutKey: "job/req-1", Value: wire.Encode(1)}}})
 		return err
 	},
 	"grant": func(ctx context.Context, c *store.Client) error {
@@ -44,7 +44,7 @@
 		return err
 	},
 	"renew": func(ctx context.Context, c *store.Client) error { return c.Renew(ctx, 7, time.Second) },
-	"end":   func(ctx context.Context, c *store.Client) error { return c.EndGrant(ctx, 7) },
+	"end":   func(ctx context.Context, c *store.Client) error { return c.RevokeGrant(ctx, 7) },
 	"watch": func(ctx context.Context, c *store.Client) error {
 		_, err := c.Watch(ctx, "job/", 5, time.Second)
 		return err
@@ -68,17 +68,17 @@
 
 		maybeExecuted, retryable bool // by an error that is err
 	}{
-		{name: "no such key or lease", answer: cannedAnswer{status: 404}, outcome: "404", err: store.ErrUnknown, maybeExecuted: true, retryable: true,
-			other: map[string]error{"get": store.ErrMissing, "renew": store.ErrMissing, "end": nil}},
-		{name: "conflict", answer: cannedAnswer{status: 409, body: wire.Encode(wire.TxnResult{Failed: []string{"lead"}})}, outcome: "409", err: store.ErrUnknown, maybeExecuted: true, retryable: true,
-			other: map[string]error{"get": store.ErrMissing, "renew": nil, "end": nil, "txn": errConflict}},
-		{name: "over the rate", answer: cannedAnswer{status: 429}, outcome: "state: refused: over the rate", err: store.ErrBusy, retryable: true},
+		{name: "no such key or lease", answer: cannedAnswer{status: 404}, outcome: "404", err: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true,
+			other: map[string]error{"get": store.ErrNotFound, "renew": store.ErrNotFound, "end": nil}},
+		{name: "conflict", answer: cannedAnswer{status: 409, body: wire.Encode(wire.TxnResponse{FailedKeys: []string{"lead"}})}, outcome: "409", err: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true,
+			other: map[string]error{"get": store.ErrNotFound, "renew": nil, "end": nil, "txn": errConflict}},
+		{name: "over the rate", answer: cannedAnswer{status: 429}, outcome: "state: refused: over the rate", err: store.ErrRateLimited, retryable: true},
 		{name: "service unavailable", answer: cannedAnswer{status: 503}, outcome: "state: refused", err: store.ErrRefused, retryable: true},
-		{name: "history compacted", answer: cannedAnswer{status: 410}, outcome: "state: revision too old", err: store.ErrTooOld},
-		{name: "malformed request", answer: cannedAnswer{status: 400}, outcome: "state: request refused as invalid", err: store.ErrInvalid},
-		{name: "unexpected status", answer: cannedAnswer{status: 500}, outcome: "state: outcome unknown: status 500", err: store.ErrUnknown, maybeExecuted: true, retryable: true},
-		{name: "answer over 8 MiB", answer: cannedAnswer{status: 200, body: make([]byte, 8<<20+1)}, outcome: "state: answer too large", err: store.ErrTooLarge, maybeExecuted: true,
-			other: map[string]error{"watch": store.ErrTooOld}},
+		{name: "history compacted", answer: cannedAnswer{status: 410}, outcome: "state: revision too old", err: store.ErrCompacted},
+		{name: "malformed request", answer: cannedAnswer{status: 400}, outcome: "state: request refused as invalid", err: store.ErrInvalidRequest},
+		{name: "unexpected status", answer: cannedAnswer{status: 500}, outcome: "state: outcome unknown: status 500", err: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true},
+		{name: "answer over 8 MiB", answer: cannedAnswer{status: 200, body: make([]byte, 8<<20+1)}, outcome: "state: answer too large", err: store.ErrResponseTooLarge, maybeExecuted: true,
+			other: map[string]error{"watch": store.ErrCompacted}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -163,21 +163,21 @@
 				t.Errorf("%s: got %#v (%v), want a retryable error that says %q", situation, err, err, want)
 			}
 		}
-		_, err := c.Get(t.Context(), store.Critical, "lead")
+		_, err := c.Get(t.Context(), store.ClassCritical, "lead")
 		check("no listener", err, "get lead: state: refused", store.ErrRefused)
 
-		_, err = c.Commit(t.Context(), store.Critical, wire.Txn{Writes: []wire.Write{{Delete: "job/req-1"}, {Put: "past/req-1", Value: wire.Encode(1)}}})
+		_, err = c.Commit(t.Context(), store.ClassCritical, wire.Txn{Writes: []wire.Write{{DeleteKey: "job/req-1"}, {PutKey: "past/req-1", Value: wire.Encode(1)}}})
 		check("transaction of two keys", err, "txn job/req-1 and 1 more: state: refused", store.ErrRefused)
 
 		ended, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, _, err = c.List(ended, store.Background, "run/")
+		_, _, err = c.List(ended, store.ClassBackground, "run/")
 		check("ended while waiting for the budget", err, "list run/: state: refused", store.ErrRefused)
 
 		time.Sleep(3 * time.Second)
 		_, err = c.Watch(t.Context(), "job/", 1, 0)
 		check("watch without listener", err, "watch job/: state: refused", store.ErrRefused)
-		_, err = c.Get(t.Context(), store.User, "past/req-1")
+		_, err = c.Get(t.Context(), store.ClassUser, "past/req-1")
 		check("user in an outage", err, "get past/req-1: state: refused", store.ErrRefused)
 	})
 }
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -117,7 +117,7 @@
 	began := time.Now()
 	if c.revision > 0 {
 		err := c.refreshByChanges(ctx, began)
-		if !errors.Is(err, ErrTooOld) {
+		if !errors.Is(err, ErrCompacted) {
 			return err
 		}
 	}
@@ -132,10 +132,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range changes.Events {
-		if change.Delete != "" {
-			delete(c.jobs, wire.JobID(change.Delete[len(JobPrefix):]))
+		if change.DeletedKey != "" {
+			delete(c.jobs, wire.JobID(change.DeletedKey[len(JobPrefix):]))
 		} else {
-			c.put(change.Put, change.Value, change.Revision)
+			c.put(change.PutKey, change.Value, change.Revision)
 		}
 	}
 	c.revision = max(c.revision, changes.Revision)
@@ -144,7 +144,7 @@
 }
 
 func (c *JobCache) refreshByList(ctx context.Context, began time.Time) error {
-	entries, revision, err := c.client.List(ctx, User, JobPrefix)
+	entries, revision, err := c.client.List(ctx, ClassUser, JobPrefix)
 	if err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-// Get returns what is known of a live job as of now. The error is ErrMissing where there
+// Get returns what is known of a live job as of now. The error is ErrNotFound where there
 // is none.
 func (c *JobCache) Get(ctx context.Context, id wire.JobID) (CachedJob, error) {
 	if err := c.awaitRefresh(ctx, id); err != nil {
@@ -182,7 +182,7 @@
 	defer c.mu.RUnlock()
 	job, ok := c.jobs[id]
 	if !ok {
-		return CachedJob{}, cachedGetFailed(id, ErrMissing)
+		return CachedJob{}, cachedGetFailed(id, ErrNotFound)
 	}
 	return job, job.err
 }
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -63,14 +63,14 @@
 			id := wire.JobID("req-" + strconv.Itoa(rng.IntN(12)))
 			switch _, live := model[id]; {
 			case !live:
-				model[id] = wire.Queued
-				state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.Queued})
+				model[id] = wire.StatusQueued
+				state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.StatusQueued})
 			case rng.IntN(2) == 0:
-				model[id] = wire.Cancelled
-				state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.Cancelled})
+				model[id] = wire.StatusCancelled
+				state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.StatusCancelled})
 			default:
 				delete(model, id)
-				if _, err := client.Commit(ctx, store.Critical, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey(id)}}}); err != nil {
+				if _, err := client.Commit(ctx, store.ClassCritical, wire.Txn{Writes: []wire.Write{{DeleteKey: store.JobKey(id)}}}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -80,7 +80,7 @@
 			ask := wire.JobID("req-" + strconv.Itoa(rng.IntN(12)))
 			got, err := cache.Get(ctx, ask)
 			want, live := model[ask]
-			if live && (err != nil || got.Status != want) || !live && !errors.Is(err, store.ErrMissing) {
+			if live && (err != nil || got.Status != want) || !live && !errors.Is(err, store.ErrNotFound) {
 				t.Fatalf("%s: got %v %v, want %v, live %v", ask, got, err, want, live)
 			}
 		}
@@ -100,7 +100,7 @@
 		}
 		network.Cut("10.0.0.1", "10.2.0.1", true)
 		begin := time.Now()
-		if _, err := cache.Get(ctx, "req-1"); err == nil || errors.Is(err, store.ErrMissing) || time.Since(begin) > 1500*time.Millisecond {
+		if _, err := cache.Get(ctx, "req-1"); err == nil || errors.Is(err, store.ErrNotFound) || time.Since(begin) > 1500*time.Millisecond {
 			t.Errorf("service cut off: got %v after %v, want a refusal within 1.5s", err, time.Since(begin))
 		}
 	})
@@ -115,26 +115,26 @@
 			state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: s})
 		}
 		for _, id := range []wire.JobID{"req-1", "req-2", "req-3", "req-4", "req-5"} {
-			put(id, wire.Queued)
+			put(id, wire.StatusQueued)
 		}
 		state.LimitHistory(0, 2)
 		pages := 0
 		state.DelayLists(func() time.Duration {
 			if pages++; pages == 1 {
-				put("req-1", wire.Cancelled) // listed already
-				put("req-3", wire.Cancelled) // not yet
+				put("req-1", wire.StatusCancelled) // listed already
+				put("req-3", wire.StatusCancelled) // not yet
 				state.Delete(store.JobKey("req-2"))
 				state.Delete(store.JobKey("req-4"))
 				return 50 * time.Millisecond
 			}
 			return 0
 		})
-		if got, err := cache.Get(ctx, "req-5"); err != nil || got.Status != wire.Queued || pages != 2 {
-			t.Errorf("req-5: got %v %v after %d pages, want %q after 2", got, err, pages, wire.Queued)
+		if got, err := cache.Get(ctx, "req-5"); err != nil || got.Status != wire.StatusQueued || pages != 2 {
+			t.Errorf("req-5: got %v %v after %d pages, want %q after 2", got, err, pages, wire.StatusQueued)
 		}
-		for id, want := range map[wire.JobID]wire.Status{"req-1": wire.Cancelled, "req-2": "", "req-3": wire.Cancelled, "req-4": "", "req-5": wire.Queued} {
+		for id, want := range map[wire.JobID]wire.Status{"req-1": wire.StatusCancelled, "req-2": "", "req-3": wire.StatusCancelled, "req-4": "", "req-5": wire.StatusQueued} {
 			got, err := cache.Get(ctx, id)
-			if got.Status != want || errors.Is(err, store.ErrMissing) != (want == "") {
+			if got.Status != want || errors.Is(err, store.ErrNotFound) != (want == "") {
 				t.Errorf("%s: got %v %v, want %q", id, got, err, want)
 			}
 		}
@@ -148,16 +148,16 @@
 	withCache(t, 1000, func(ctx context.Context, t *testing.T, env cacheEnv) {
 		state, client, cache := env.state, env.client, env.cache
 		state.LimitHistory(2, 0)
-		state.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Tasks: 1}, Status: wire.Queued})
-		if got, err := cache.Get(ctx, "req-1"); err != nil || got.Status != wire.Queued {
-			t.Errorf("live job: got %v %v, want %q", got, err, wire.Queued)
+		state.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Tasks: 1}, Status: wire.StatusQueued})
+		if got, err := cache.Get(ctx, "req-1"); err != nil || got.Status != wire.StatusQueued {
+			t.Errorf("live job: got %v %v, want %q", got, err, wire.StatusQueued)
 		}
-		if _, err := client.Commit(ctx, store.Critical, wire.Txn{Writes: []wire.Write{{Delete: store.JobKey("req-1")},
-			{Put: store.FinalKey("req-1"), Value: wire.Encode(store.FinalRecord{Status: wire.Done})}, {Delete: store.ChunkKey("req-1", 0)}}}); err != nil {
+		if _, err := client.Commit(ctx, store.ClassCritical, wire.Txn{Writes: []wire.Write{{DeleteKey: store.JobKey("req-1")},
+			{PutKey: store.FinalKey("req-1"), Value: wire.Encode(store.FinalRecord{Status: wire.StatusDone})}, {DeleteKey: store.ChunkKey("req-1", 0)}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := cache.Get(ctx, "req-1"); !errors.Is(err, store.ErrMissing) {
-			t.Errorf("ended job: got %v %v, want %v", got, err, store.ErrMissing)
+		if got, err := cache.Get(ctx, "req-1"); !errors.Is(err, store.ErrNotFound) {
+			t.Errorf("ended job: got %v %v, want %v", got, err, store.ErrNotFound)
 		}
 	})
 }
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -30,7 +30,7 @@
 		return entry, err
 	}
 	if status != http.StatusOK {
-		return wire.Entry{}, req.failed(ErrMissing)
+		return wire.Entry{}, req.failed(ErrNotFound)
 	}
 	return entry, nil
 }
@@ -93,7 +93,7 @@
 	if txn.Writes == nil {
 		txn.Writes = []wire.Write{}
 	}
-	var result wire.TxnResult
+	var result wire.TxnResponse
 	req := request{
 		op:      opCommit,
 		key:     describeKeys(txn),
@@ -112,7 +112,7 @@
 	case status == http.StatusOK && result.Revision > 0:
 		return result.Revision, nil
 	case status == http.StatusConflict:
-		return result.Revision, &ConflictError{Failed: result.Failed}
+		return result.Revision, &ConflictError{FailedKeys: result.FailedKeys}
 	default:
 		return 0, req.unexpected(status)
 	}
@@ -125,7 +125,7 @@
 	var others int
 	switch {
 	case len(txn.Writes) > 0:
-		key, others = cmp.Or(txn.Writes[0].Put, txn.Writes[0].Delete), len(txn.Writes)-1
+		key, others = cmp.Or(txn.Writes[0].PutKey, txn.Writes[0].DeleteKey), len(txn.Writes)-1
 	case len(txn.Guards) > 0:
 		key, others = txn.Guards[0].Key, len(txn.Guards)-1
 	}
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -12,10 +12,10 @@
 
 // Grant opens a lease of the service, and returns its id.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (wire.GrantID, error) {
-	var result wire.GrantResult
+	var result wire.GrantResponse
 	req := request{
 		op:      opGrant,
-		class:   Critical,
+		class:   ClassCritical,
 		method:  http.MethodPost,
 		path:    "/grants",
 		body:    wire.GrantRequest{TTLMillis: ttl.Milliseconds()},
@@ -32,13 +32,13 @@
 	return result.Grant, nil
 }
 
-// Renew extends a lease to its full duration. The error is ErrMissing where the lease
+// Renew extends a lease to its full duration. The error is ErrNotFound where the lease
 // has expired.
 func (c *Client) Renew(ctx context.Context, id wire.GrantID, timeout time.Duration) error {
 	req := request{
 		op:      opRenew,
 		key:     leaseName(id),
-		class:   Critical,
+		class:   ClassCritical,
 		method:  http.MethodPost,
 		path:    fmt.Sprintf("/grants/%d/renew", id),
 		body:    map[string]any{},
@@ -49,13 +49,13 @@
 		return err
 	}
 	if status == http.StatusNotFound {
-		return req.failed(ErrMissing)
+		return req.failed(ErrNotFound)
 	}
 	return nil
 }
 
-// EndGrant revokes a lease. It is not charged to the budget.
-func (c *Client) EndGrant(ctx context.Context, id wire.GrantID) error {
+// RevokeGrant revokes a lease. It is not charged to the budget.
+func (c *Client) RevokeGrant(ctx context.Context, id wire.GrantID) error {
 	req := request{
 		op:      opRevoke,
 		key:     leaseName(id),
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -82,19 +82,19 @@
 	// CancelledAt is when the job was cancelled; 0: it was not.
 	CancelledAt wire.Timestamp `cbor:"ended,omitempty"`
 	// TasksPerChunk is how many tasks a chunk of the job's progress has, fixed when the job
-	// is accepted; 0: MaxChunkTasks.
+	// is accepted; 0: MaxTasksPerChunk.
 	TasksPerChunk int `cbor:"chunk,omitempty"`
 	// MinVersion is the lowest version of the behaviour (package upgrade) that
 	// understands the record in full; 0: all do.
 	MinVersion uint64 `cbor:"needs,omitempty"`
 }
 
-// Version is the highest version of the behaviour that this program understands.
-const Version = 2
+// MaxSupportedVersion is the highest version of the behaviour that this program understands.
+const MaxSupportedVersion = 2
 
-// ErrNewer is returned for a record that only a later version understands. Such a record
+// ErrRecordTooNew is returned for a record that only a later version understands. Such a record
 // is neither rewritten, which would lose what is not understood, nor answered 404.
-var ErrNewer = errors.New("state: the record is of a later version")
+var ErrRecordTooNew = errors.New("state: the record is of a later version")
 
 // ErrNotAJob is returned for a record that can be decoded, but is not that of the job
 // under whose key it lies.
@@ -112,15 +112,15 @@
 	if JobKey(record.Spec.ID) != key || !validTasks {
 		return JobRecord{}, ErrNotAJob
 	}
-	if record.MinVersion > Version {
-		return JobRecord{}, ErrNewer
+	if record.MinVersion > MaxSupportedVersion {
+		return JobRecord{}, ErrRecordTooNew
 	}
 	return record, nil
 }
 
 // LogCancellation adds the job to the log of cancellations, if it is cancelled.
 func (r *JobRecord) LogCancellation(log *cancels.Log) {
-	if r.Status == wire.Cancelled {
+	if r.Status == wire.StatusCancelled {
 		log.Add(r.Spec.ID, r.SinceCancelled())
 	}
 }
@@ -131,8 +131,8 @@
 
 // ChunkTasks returns how many tasks a chunk of the job's progress has.
 func (r *JobRecord) ChunkTasks() int {
-	if r.TasksPerChunk < 1 || r.TasksPerChunk > MaxChunkTasks {
-		return MaxChunkTasks
+	if r.TasksPerChunk < 1 || r.TasksPerChunk > MaxTasksPerChunk {
+		return MaxTasksPerChunk
 	}
 	return r.TasksPerChunk
 }
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -19,7 +19,7 @@
 // The packed ranges against a plain list of flags.
 func TestPackRangesKeepsFlags(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		flags := rapid.SliceOfN(rapid.Bool(), 0, MaxChunkTasks).Draw(t, "flags")
+		flags := rapid.SliceOfN(rapid.Bool(), 0, MaxTasksPerChunk).Draw(t, "flags")
 		ranges := PackRanges(flags)
 		unpacked := make([]bool, len(flags))
 		SetFlags(ranges, unpacked)
@@ -59,7 +59,7 @@
 			for i := range size {
 				switch state := rapid.IntRange(0, 5).Draw(t, "state"); {
 				case state > share:
-					record.Active = append(record.Active, ActiveAttempt{Task: i, Attempt: 1e8 - 1 - wire.Attempt(i), Machine: "n-000000001231"})
+					record.Active = append(record.Active, ActiveAttempt{Task: i, Attempt: 1e8 - 1 - wire.AttemptNumber(i), Machine: "n-000000001231"})
 				case state > 0:
 					done[i] = true
 				}
@@ -80,8 +80,8 @@
 			}
 		})
 	}
-	if n := ChunkTasksFor(32); n != MaxChunkTasks {
-		t.Errorf("got %d tasks in a chunk at 32 KiB, want %d", n, MaxChunkTasks)
+	if n := ChunkTasksFor(32); n != MaxTasksPerChunk {
+		t.Errorf("got %d tasks in a chunk at 32 KiB, want %d", n, MaxTasksPerChunk)
 	}
 }
 
@@ -123,7 +123,7 @@
 
 func TestDecodeJobRefusesWhatIsNoJobOfItsKey(t *testing.T) {
 	record := func(id wire.JobID, tasks int, minVersion uint64) wire.Raw {
-		return wire.Encode(JobRecord{Spec: wire.JobSpec{ID: id, Tasks: tasks}, Status: wire.Queued, MinVersion: minVersion})
+		return wire.Encode(JobRecord{Spec: wire.JobSpec{ID: id, Tasks: tasks}, Status: wire.StatusQueued, MinVersion: minVersion})
 	}
 	cases := []struct {
 		name  string
@@ -131,11 +131,11 @@
 		want  error
 	}{
 		{"job", record("req-1", 1, 0), nil},
-		{"most tasks", record("req-1", wire.MaxTasks, Version), nil},
+		{"most tasks", record("req-1", wire.MaxTasks, MaxSupportedVersion), nil},
 		{"record of another job", record("req-2", 1, 0), ErrNotAJob},
 		{"no tasks", record("req-1", 0, 0), ErrNotAJob},
 		{"too many tasks", record("req-1", wire.MaxTasks+1, 0), ErrNotAJob},
-		{"record of a later version", record("req-1", 1, Version+1), ErrNewer},
+		{"record of a later version", record("req-1", 1, MaxSupportedVersion+1), ErrRecordTooNew},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -45,26 +45,28 @@
 // meaning for it.
 func (r *request) unexpected(status int) error { return r.failed(unexpectedStatus(status)) }
 
-func unexpectedStatus(status int) error { return fmt.Errorf("%w: status %d", ErrUnknown, status) }
+func unexpectedStatus(status int) error {
+	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
+}
 
 // admit takes the request from the budget, and waits for it or refuses it as its class
 // says.
 func (c *Client) admit(ctx context.Context, req *request) error {
 	switch req.class {
-	case Critical:
+	case ClassCritical:
 		c.budget.charge(req.writes)
-	case Background:
+	case ClassBackground:
 		if c.budget.wait(ctx, req.writes) != nil {
 			return req.failed(ErrRefused)
 		}
-	case User:
+	case ClassUser:
 		// A user isn't kept waiting for a service that is in an outage; the polls of
 		// the leader election find out when it is back.
 		if c.inOutage() {
 			return req.failed(ErrRefused)
 		}
 		if !c.budget.allowUser(req.writes) {
-			return req.failed(ErrBusy)
+			return req.failed(ErrRateLimited)
 		}
 	}
 	return nil
@@ -113,7 +115,7 @@
 	}
 	status, raw, _, err := netio.Call(ctx, client, req.method, c.baseURL+req.path, req.body, maxAnswer)
 	if errors.Is(err, wire.ErrTooLarge) {
-		return 0, ErrTooLarge
+		return 0, ErrResponseTooLarge
 	}
 	if err != nil {
 		c.recordRefusal()
@@ -134,7 +136,7 @@
 	if wire.NotSent(err) {
 		return ErrRefused
 	}
-	return ErrUnknown
+	return ErrOutcomeUnknown
 }
 
 // statusFailure returns the cause of a failure for an answer that is not a result, and nil
@@ -144,13 +146,13 @@
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
 		return nil
 	case http.StatusTooManyRequests:
-		return ErrBusy
+		return ErrRateLimited
 	case http.StatusServiceUnavailable:
 		return ErrRefused
 	case http.StatusGone:
-		return ErrTooOld
+		return ErrCompacted
 	case http.StatusBadRequest:
-		return ErrInvalid
+		return ErrInvalidRequest
 	default:
 		return unexpectedStatus(status)
 	}
@@ -162,7 +164,7 @@
 		return nil
 	}
 	if err := wire.Decode(raw, result); err != nil {
-		return fmt.Errorf("%w: bad answer: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: bad answer: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -4,16 +4,16 @@
 
 // MachineSpec is a machine type as the cloud offers it.
 type MachineSpec struct {
-	Name          MachineType `cbor:"name"`
-	CPUs          float64     `cbor:"cpus"`
-	GPUs          float64     `cbor:"cards"`
-	MemoryGB      float64     `cbor:"ramGb"`
-	DiskGB        float64     `cbor:"localGb"`
-	FetchGBPerS   float64     `cbor:"pullGbPerS"`
-	OnDemandPrice float64     `cbor:"rate"`
-	SpotPrice     float64     `cbor:"lowPrice"`
-	BootTime      Seconds     `cbor:"readyS"`
-	Zones         []Zone      `cbor:"sites"`
+	Name             MachineType `cbor:"name"`
+	CPUs             float64     `cbor:"cpus"`
+	GPUs             float64     `cbor:"cards"`
+	MemoryGB         float64     `cbor:"ramGb"`
+	DiskGB           float64     `cbor:"localGb"`
+	FetchGBPerSecond float64     `cbor:"pullGbPerS"`
+	OnDemandPrice    float64     `cbor:"rate"`
+	SpotPrice        float64     `cbor:"lowPrice"`
+	BootTime         Seconds     `cbor:"readyS"`
+	Zones            []Zone      `cbor:"sites"`
 }
 
 // Price returns the price per hour of a spot or an on-demand machine.
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -23,8 +23,8 @@
 	Revision uint64
 	// GrantID names a lease of the key-value store.
 	GrantID uint64
-	// Attempt numbers the starts of a task; a number is never used twice.
-	Attempt uint64
+	// AttemptNumber numbers the starts of a task; a number is never used twice.
+	AttemptNumber uint64
 	// AgentEpoch counts how often a worker's lease has ended, from 1.
 	AgentEpoch uint64
 	// Sequence orders the messages of a worker within an agent epoch.
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -38,16 +38,16 @@
 // Status is the status of a job as users see it.
 type Status string
 
-// The statuses of jobs. Only Queued, Done and Cancelled are stored.
+// The statuses of jobs. Only StatusQueued, StatusDone and StatusCancelled are stored.
 const (
-	Queued    Status = "queued"
-	Running   Status = "running"
-	Done      Status = "done"
-	Cancelled Status = "cancelled"
+	StatusQueued    Status = "queued"
+	StatusRunning   Status = "running"
+	StatusDone      Status = "done"
+	StatusCancelled Status = "cancelled"
 )
 
 // IsFinal reports whether the status never changes again.
-func (s Status) IsFinal() bool { return s == Done || s == Cancelled }
+func (s Status) IsFinal() bool { return s == StatusDone || s == StatusCancelled }
 
 // JobSpec is a submission that was checked.
 type JobSpec struct {
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -29,10 +29,10 @@
 
 // Write is one change of a transaction: a value is put under a key, or a key deleted.
 type Write struct {
-	Put    string  `cbor:"put,omitempty"`
-	Value  Raw     `cbor:"v,omitempty"`
-	Grant  GrantID `cbor:"permit,omitempty"`
-	Delete string  `cbor:"drop,omitempty"`
+	PutKey    string  `cbor:"put,omitempty"`
+	Value     Raw     `cbor:"v,omitempty"`
+	Grant     GrantID `cbor:"permit,omitempty"`
+	DeleteKey string  `cbor:"drop,omitempty"`
 }
 
 // Txn is a transaction, a compare-and-swap of several keys: where all guards hold, all
@@ -42,10 +42,10 @@
 	Writes []Write `cbor:"writes"`
 }
 
-// TxnResult answers a transaction with its revision, or with the keys whose guards failed.
-type TxnResult struct {
-	Revision Revision `cbor:"ledger"`
-	Failed   []string `cbor:"failed,omitempty"`
+// TxnResponse answers a transaction with its revision, or with the keys whose guards failed.
+type TxnResponse struct {
+	Revision   Revision `cbor:"ledger"`
+	FailedKeys []string `cbor:"failed,omitempty"`
 }
 
 // GrantRequest asks for a lease of the key-value store.
@@ -53,21 +53,21 @@
 	TTLMillis int64 `cbor:"lifeMs"`
 }
 
-// GrantResult answers a GrantRequest.
-type GrantResult struct {
+// GrantResponse answers a GrantRequest.
+type GrantResponse struct {
 	Grant GrantID `cbor:"permit"`
 }
 
-// Change is one event of a watch: a key was put or deleted.
-type Change struct {
-	Put      string   `cbor:"put,omitempty"`
-	Delete   string   `cbor:"drop,omitempty"`
-	Value    Raw      `cbor:"v,omitempty"`
-	Revision Revision `cbor:"stamp"`
+// WatchEvent is one event of a watch: a key was put or deleted.
+type WatchEvent struct {
+	PutKey     string   `cbor:"put,omitempty"`
+	DeletedKey string   `cbor:"drop,omitempty"`
+	Value      Raw      `cbor:"v,omitempty"`
+	Revision   Revision `cbor:"stamp"`
 }
 
-// Changes answers a watch.
-type Changes struct {
-	Revision Revision `cbor:"ledger"`
-	Events   []Change `cbor:"news"`
+// WatchResponse answers a watch.
+type WatchResponse struct {
+	Revision Revision     `cbor:"ledger"`
+	Events   []WatchEvent `cbor:"news"`
 }
--- a/internal/wire/task.go
+++ b/internal/wire/task.go
@@ -9,34 +9,34 @@
 // MaxTasks is the largest number of tasks that a job may have.
 const MaxTasks = 100_000
 
-// Task identifies one task of a job.
-type Task struct {
+// TaskID identifies one task of a job.
+type TaskID struct {
 	Job   JobID
 	Index int
 }
 
 // String returns the protocol's form, "req-000412/3".
-func (t Task) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
+func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
 // MarshalText lets a task be a key of a CBOR map or a log attribute.
-func (t Task) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
+func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
 var errMalformedTask = errors.New("malformed task id")
 
-// ParseTask parses the protocol's form. Each task has exactly one.
-func ParseTask(s string) (Task, error) {
+// ParseTaskID parses the protocol's form. Each task has exactly one.
+func ParseTaskID(s string) (TaskID, error) {
 	slash := strings.LastIndexByte(s, '/')
 	if slash < 0 {
-		return Task{}, errMalformedTask
+		return TaskID{}, errMalformedTask
 	}
 	digits := s[slash+1:]
 	index, err := strconv.Atoi(digits)
 	if err != nil || index < 0 || index >= MaxTasks || strconv.Itoa(index) != digits {
-		return Task{}, errMalformedTask
+		return TaskID{}, errMalformedTask
 	}
 	id := JobID(s[:slash])
 	if !id.Valid() {
-		return Task{}, errMalformedTask
+		return TaskID{}, errMalformedTask
 	}
-	return Task{Job: id, Index: index}, nil
+	return TaskID{Job: id, Index: index}, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,7 +23,7 @@
 
 // A task id that is parsed has one form, whatever the bytes of the heartbeat are.
 func FuzzDecodeHeartbeat(f *testing.F) {
-	f.Add(Encode(Heartbeat{Machine: "n-1", Tasks: []TaskState{{Task: "req-1/0", Attempt: 1, Phase: PhaseExited, Cause: CauseDone}}}))
+	f.Add(Encode(Heartbeat{Machine: "n-1", Tasks: []TaskStatus{{Task: "req-1/0", Attempt: 1, Phase: PhaseExited, Cause: CauseDone}}}))
 	f.Add([]byte{0xa1, 0x65, 'p', 'a', 'r', 't', 's', 0x9a, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var heartbeat Heartbeat
@@ -31,7 +31,7 @@
 			return
 		}
 		for _, state := range heartbeat.Tasks {
-			if task, err := ParseTask(state.Task); err == nil && task.String() != state.Task {
+			if task, err := ParseTaskID(state.Task); err == nil && task.String() != state.Task {
 				t.Fatalf("got %v for %q, want the same form", task, state.Task)
 			}
 		}
@@ -41,23 +41,23 @@
 func TestParseTaskAcceptsOneForm(t *testing.T) {
 	cases := []struct {
 		name, id string
-		want     Task // the zero Task: refused
+		want     TaskID // the zero TaskID: refused
 	}{
-		{"leading zeros in the job", "req-000412/3", Task{"req-000412", 3}},
-		{"highest index", "req-1/99999", Task{"req-1", 99999}},
-		{"index over the limit", "req-1/100000", Task{}},
-		{"negative index", "req-1/-1", Task{}},
-		{"leading zero in the index", "req-1/03", Task{}},
-		{"sign in the index", "req-1/+1", Task{}},
-		{"no index", "req-1", Task{}},
-		{"no job", "/3", Task{}},
-		{"another prefix", "job-1/3", Task{}},
-		{"no digits in the job", "req-/1", Task{}},
+		{"leading zeros in the job", "req-000412/3", TaskID{"req-000412", 3}},
+		{"highest index", "req-1/99999", TaskID{"req-1", 99999}},
+		{"index over the limit", "req-1/100000", TaskID{}},
+		{"negative index", "req-1/-1", TaskID{}},
+		{"leading zero in the index", "req-1/03", TaskID{}},
+		{"sign in the index", "req-1/+1", TaskID{}},
+		{"no index", "req-1", TaskID{}},
+		{"no job", "/3", TaskID{}},
+		{"another prefix", "job-1/3", TaskID{}},
+		{"no digits in the job", "req-/1", TaskID{}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			got, err := ParseTask(tc.id)
-			if refused := tc.want == (Task{}); got != tc.want || (err != nil) != refused {
+			got, err := ParseTaskID(tc.id)
+			if refused := tc.want == (TaskID{}); got != tc.want || (err != nil) != refused {
 				t.Errorf("%q: got %v, error %v, want %v, refused %v", tc.id, got, err, tc.want, refused)
 			}
 		})
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -30,13 +30,13 @@
 	CauseGangIncomplete ExitCause = "alone"
 )
 
-// TaskState is the state of one task in a heartbeat.
-type TaskState struct {
-	Task            string    `cbor:"part"`
-	Attempt         Attempt   `cbor:"try"`
-	Phase           TaskPhase `cbor:"status"`
-	Cause           ExitCause `cbor:"cause,omitempty"`
-	CheckpointSaved bool      `cbor:"saved,omitempty"`
+// TaskStatus is the state of one task in a heartbeat.
+type TaskStatus struct {
+	Task            string        `cbor:"part"`
+	Attempt         AttemptNumber `cbor:"try"`
+	Phase           TaskPhase     `cbor:"status"`
+	Cause           ExitCause     `cbor:"cause,omitempty"`
+	CheckpointSaved bool          `cbor:"saved,omitempty"`
 }
 
 // Heartbeat is the heartbeat of a worker, with its status and that of its tasks.
@@ -50,7 +50,7 @@
 	Sequence   Sequence     `cbor:"tally"`
 	Token      FencingToken `cbor:"baton"`
 	SpotNotice *Seconds     `cbor:"warningS"`
-	Tasks      []TaskState  `cbor:"parts"`
+	Tasks      []TaskStatus `cbor:"parts"`
 }
 
 // Newer reports whether the heartbeat was made after the one with the given epoch and
@@ -64,17 +64,17 @@
 
 // The verbs of commands.
 const (
-	Launch Verb = "launch"
-	Stop   Verb = "halt"
-	Forget Verb = "forget"
+	VerbLaunch Verb = "launch"
+	VerbStop   Verb = "halt"
+	VerbForget Verb = "forget"
 )
 
 // Command is one command to a worker, about one attempt of a task.
 type Command struct {
-	Verb        Verb     `cbor:"verb"`
-	Task        string   `cbor:"part"`
-	Attempt     Attempt  `cbor:"try"`
-	GracePeriod *Seconds `cbor:"windDownS,omitempty"`
+	Verb        Verb          `cbor:"verb"`
+	Task        string        `cbor:"part"`
+	Attempt     AttemptNumber `cbor:"try"`
+	GracePeriod *Seconds      `cbor:"windDownS,omitempty"`
 }
 
 // Commands answers a heartbeat, without an epoch, or is sent to a worker directly.
--- a/logging.go
+++ b/logging.go
@@ -15,8 +15,8 @@
 // operators' settings give another.
 const logLevelVariable = "LOG_LEVEL"
 
-// Level returns the log level of a name; info if the name is unknown or empty.
-func Level(name string) slog.Level {
+// ParseLogLevel returns the log level of a name; info if the name is unknown or empty.
+func ParseLogLevel(name string) slog.Level {
 	switch strings.ToLower(name) {
 	case "debug":
 		return slog.LevelDebug
@@ -35,7 +35,7 @@
 
 // newLogLevel returns the level that the environment gives.
 func newLogLevel() logLevel {
-	level := logLevel{current: &slog.LevelVar{}, initial: Level(os.Getenv(logLevelVariable))}
+	level := logLevel{current: &slog.LevelVar{}, initial: ParseLogLevel(os.Getenv(logLevelVariable))}
 	level.current.Set(level.initial)
 	return level
 }
@@ -45,7 +45,7 @@
 func (l logLevel) applyTuning(values tuning.Values) {
 	l.current.Set(l.initial)
 	if values.LogLevel != "" {
-		l.current.Set(Level(values.LogLevel))
+		l.current.Set(ParseLogLevel(values.LogLevel))
 	}
 }
 
--- a/logging_test.go
+++ b/logging_test.go
@@ -16,7 +16,7 @@
 		"":        slog.LevelInfo,
 		"unknown": slog.LevelInfo,
 	} {
-		if got := Level(name); got != want {
+		if got := ParseLogLevel(name); got != want {
 			t.Errorf("Level(%q) = %v, want %v", name, got, want)
 		}
 	}
--- a/machinetypes.go
+++ b/machinetypes.go
@@ -47,7 +47,7 @@
 // those that the cloud offers if there is no such record or none that can be decoded.
 func (l machineTypeLoader) load(ctx context.Context) ([]wire.MachineSpec, error) {
 	types, err := l.loadStored(ctx)
-	if errors.Is(err, store.ErrMissing) {
+	if errors.Is(err, store.ErrNotFound) {
 		return l.cloud.MachineSpecs(ctx)
 	}
 	return types, err
@@ -56,14 +56,14 @@
 // loadStored returns the machine types of the state service. A record that can't be
 // decoded counts as missing.
 func (l machineTypeLoader) loadStored(ctx context.Context) ([]wire.MachineSpec, error) {
-	entry, err := l.store.Get(ctx, store.Background, store.MachineSpecsKey)
+	entry, err := l.store.Get(ctx, store.ClassBackground, store.MachineSpecsKey)
 	if err != nil {
 		return nil, err
 	}
 	var stored wire.MachineSpecs
 	if err := wire.Decode(entry.Value, &stored); err != nil {
 		l.undecodable.LogOnce(store.MachineSpecsKey, err)
-		return nil, store.ErrMissing
+		return nil, store.ErrNotFound
 	}
 	if len(stored.Types) == 0 {
 		return nil, errNoMachineTypes
--- a/upgrade/deployment_test.go
+++ b/upgrade/deployment_test.go
@@ -219,13 +219,13 @@
 	if raw := d.store.Value(upgrade.ActiveKey); len(raw) > 0 && wire.Decode(raw, &record) == nil {
 		return record.Version
 	}
-	return upgrade.Base
+	return upgrade.BaseVersion
 }
 
 // delayWritesOf delays every transaction that writes a key by a second.
 func (d *deployment) delayWritesOf(key string) {
 	d.store.DelayTransactions(func(txn *wire.Txn) time.Duration {
-		if txn.Writes[0].Put == key {
+		if txn.Writes[0].PutKey == key {
 			return time.Second
 		}
 		return 0
--- a/upgrade/event.go
+++ b/upgrade/event.go
@@ -11,9 +11,9 @@
 
 // The kinds of events.
 const (
-	Published EventKind = "versions published" // a process published what it supports
-	Switched  EventKind = "version switched"   // the active version moved up
-	Refused   EventKind = "version refused"    // a process must not serve
+	VersionsPublished EventKind = "versions published" // a process published what it supports
+	VersionSwitched   EventKind = "version switched"   // the active version moved up
+	VersionRefused    EventKind = "version refused"    // a process must not serve
 )
 
 // Event describes a decision of a member.
--- a/upgrade/example_test.go
+++ b/upgrade/example_test.go
@@ -78,9 +78,9 @@
 	// A writer that holds no lease adds the guard to its transaction, which fails once
 	// another version is active.
 	guard, version := member.ActiveVersionGuard()
-	_, err = client.Commit(ctx, store.User, duty.Txn{
+	_, err = client.Commit(ctx, store.ClassUser, duty.Txn{
 		Guards: []duty.Guard{guard},
-		Writes: []duty.Write{{Put: "fact/example", Value: wire.Encode(version)}},
+		Writes: []duty.Write{{PutKey: "fact/example", Value: wire.Encode(version)}},
 	})
 	fmt.Println("written by version", version, "with error", err)
 	cancel()
--- a/upgrade/publish.go
+++ b/upgrade/publish.go
@@ -56,9 +56,9 @@
 // since it can't serve before.
 func (m *Member) readClass() duty.RequestClass {
 	if m.state.Load().published {
-		return store.Background
+		return store.ClassBackground
 	}
-	return store.Critical
+	return store.ClassCritical
 }
 
 // nextState returns what this process knows after the records were read, and publishes if
@@ -115,19 +115,19 @@
 		Incarnation: m.incarnation,
 		At:          wire.TimestampOf(m.Clock.Now()),
 	}
-	_, err := m.Store.Commit(ctx, store.Critical, duty.Txn{
+	_, err := m.Store.Commit(ctx, store.ClassCritical, duty.Txn{
 		Guards: []duty.Guard{
 			{Key: ActiveKey, Revision: r.activeRevision},
 			{Key: ownKey, Revision: r.supports[m.Node].revision},
 		},
-		Writes: []duty.Write{{Put: ownKey, Value: wire.Encode(record)}},
+		Writes: []duty.Write{{PutKey: ownKey, Value: wire.Encode(record)}},
 	})
 	// Without an answer, or with a conflict, an earlier attempt may have been executed.
 	if err != nil && !m.hasPublished(ctx) {
 		return false
 	}
 	m.Log.Info("versions published", "supported", m.Supports, "active", r.active.Version)
-	m.emit(Event{Kind: Published, Version: m.Supports.Max})
+	m.emit(Event{Kind: VersionsPublished, Version: m.Supports.Max})
 	return true
 }
 
@@ -135,7 +135,7 @@
 // was written while the version was active that this process had read: the write's guard
 // ensures that.
 func (m *Member) hasPublished(ctx context.Context) bool {
-	e, err := m.Store.Get(ctx, store.Critical, SupportKey(m.Node))
+	e, err := m.Store.Get(ctx, store.ClassCritical, SupportKey(m.Node))
 	var record SupportRecord
 	return err == nil && wire.Decode(e.Value, &record) == nil && record.Incarnation == m.incarnation
 }
@@ -147,5 +147,5 @@
 	}
 	m.loggedRefusalAt = active
 	m.Log.Error("serving refused", "reason", reason, "active", active, "supported", m.Supports)
-	m.emit(Event{Kind: Refused, Version: active, Reason: reason.Error()})
+	m.emit(Event{Kind: VersionRefused, Version: active, Reason: reason.Error()})
 }
--- a/upgrade/records.go
+++ b/upgrade/records.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return records{}, fmt.Errorf("read the records under %q: %w", Prefix, err)
 	}
-	r := records{active: ActiveRecord{Version: Base}, supports: map[duty.NodeID]publishedSupport{}}
+	r := records{active: ActiveRecord{Version: BaseVersion}, supports: map[duty.NodeID]publishedSupport{}}
 	for _, e := range entries {
 		r.add(e)
 	}
@@ -103,7 +103,7 @@
 // decodeActive decodes the active version and reports whether it could.
 func (r *records) decodeActive(e duty.Entry) bool {
 	var active ActiveRecord
-	if wire.Decode(e.Value, &active) != nil || active.Version < Base {
+	if wire.Decode(e.Value, &active) != nil || active.Version < BaseVersion {
 		return false
 	}
 	r.active = active
@@ -127,9 +127,9 @@
 
 // readActive reads the active version alone.
 func readActive(ctx context.Context, s Store) (ActiveRecord, duty.Revision, error) {
-	e, err := s.Get(ctx, store.Critical, ActiveKey)
+	e, err := s.Get(ctx, store.ClassCritical, ActiveKey)
 	if errors.Is(err, duty.ErrNotFound) {
-		return ActiveRecord{Version: Base}, 0, nil
+		return ActiveRecord{Version: BaseVersion}, 0, nil
 	}
 	if err != nil {
 		return ActiveRecord{}, 0, fmt.Errorf("read the active version %q: %w", ActiveKey, err)
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -66,7 +66,7 @@
 // ReadStatus reads how far the upgrade is. It fails if the store can't be read, which may be
 // retried, or if the active version can't be decoded.
 func (m *Member) ReadStatus(ctx context.Context, d Deployment) (Status, error) {
-	r, err := readDecidableRecords(ctx, m.Store, store.User)
+	r, err := readDecidableRecords(ctx, m.Store, store.ClassUser)
 	if err != nil {
 		return Status{}, err
 	}
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -16,7 +16,7 @@
 // were read, or if the operators' setting has changed. ErrNotReady says that it was not
 // attempted; after duty.ErrOutcomeUnknown either version may be active.
 func (m *Member) Advance(ctx context.Context, permit duty.Permit[duty.Cleanup], d Deployment) (Version, error) {
-	r, err := readDecidableRecords(ctx, m.Store, store.Background)
+	r, err := readDecidableRecords(ctx, m.Store, store.ClassBackground)
 	if err != nil {
 		return 0, err
 	}
@@ -24,14 +24,14 @@
 	if !status.Ready() {
 		return status.Active, ErrNotReady
 	}
-	revision, err := permit.Commit(ctx, store.Critical, m.switchTransaction(&r, d, status.Next))
+	revision, err := permit.Commit(ctx, store.ClassCritical, m.switchTransaction(&r, d, status.Next))
 	if err != nil {
 		return status.Active, fmt.Errorf("switch from version %d to %d: %w", status.Active, status.Next, err)
 	}
 	m.state.Store(&memberState{active: status.Next, activeRevision: revision, published: true})
 	m.ObserveActive(status.Next)
 	m.Log.Info("active version switched", "from", status.Active, "to", status.Next)
-	m.emit(Event{Kind: Switched, Version: status.Next, Token: permit.Token(), Reason: fmt.Sprintf("from %d", status.Active)})
+	m.emit(Event{Kind: VersionSwitched, Version: status.Next, Token: permit.Token(), Reason: fmt.Sprintf("from %d", status.Active)})
 	return status.Next, nil
 }
 
@@ -45,7 +45,7 @@
 	record := ActiveRecord{Version: next, By: m.Node, At: wire.TimestampOf(m.Clock.Now())}
 	return duty.Txn{
 		Guards: guards,
-		Writes: []duty.Write{{Put: ActiveKey, Value: wire.Encode(record)}},
+		Writes: []duty.Write{{PutKey: ActiveKey, Value: wire.Encode(record)}},
 	}
 }
 
--- a/upgrade/switch_test.go
+++ b/upgrade/switch_test.go
@@ -165,7 +165,7 @@
 	d.store.InjectTxnFaults(seed,
 		simulator.TxnFault{Prefix: upgrade.Prefix, Share: 0.15},
 		simulator.TxnFault{Prefix: upgrade.Prefix, Share: 0.15, Late: [2]time.Duration{100 * time.Millisecond, 4 * time.Second}})
-	last := upgrade.Base
+	last := upgrade.BaseVersion
 	for step := range 400 {
 		time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
 		node := controllers[rng.IntN(len(controllers))]
--- a/upgrade/version.go
+++ b/upgrade/version.go
@@ -5,9 +5,9 @@
 // Version numbers the behaviour: what is written, and what must be understood.
 type Version uint64
 
-// Base is the version that is active where none was ever recorded: what was written
+// BaseVersion is the version that is active where none was ever recorded: what was written
 // before versions were negotiated.
-const Base Version = 1
+const BaseVersion Version = 1
 
 // Range is the versions that a program supports. It reads what was written under each of
 // them, and behaves as the active one demands.
@@ -27,10 +27,10 @@
 // String returns both ends of the range.
 func (r Range) String() string { return fmt.Sprintf("%d to %d", r.Min, r.Max) }
 
-// Validate returns an error unless the range goes up from Base at least.
+// Validate returns an error unless the range goes up from BaseVersion at least.
 func (r Range) Validate() error {
-	if r.Min < Base || r.Max < r.Min {
-		return fmt.Errorf("versions %v: must go up from %d at least", r, Base)
+	if r.Min < BaseVersion || r.Max < r.Min {
+		return fmt.Errorf("versions %v: must go up from %d at least", r, BaseVersion)
 	}
 	return nil
 }
