--- a/builder.go
+++ b/builder.go
@@ -85,12 +85,12 @@
 		return err
 	}
 	n.versions, err = newVersionGate(n.features, upgrade.Options{
-		Node:        n.cfg.HostName,
-		Supports:    b.options.Versions,
-		Store:       n.store,
-		Log:         n.log,
-		Observe:     n.history.recordVersionEvent,
-		Undecodable: b.undecodable.LogOnce,
+		Node:           n.cfg.HostName,
+		SupportedRange: b.options.Versions,
+		Store:          n.store,
+		Log:            n.log,
+		Observe:        n.history.recordVersionEvent,
+		OnUndecodable:  b.undecodable.LogOnce,
 	})
 	if err != nil {
 		return err
--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -28,8 +28,8 @@
 	Eligible func() bool
 	// Observe, if set, receives the events of the lease.
 	Observe Observer
-	// Undecodable, if set, receives the key of each record that can't be decoded.
-	Undecodable func(key string, err error)
+	// OnUndecodable, if set, receives the key of each record that can't be decoded.
+	OnUndecodable func(key string, err error)
 }
 
 // Candidate campaigns for a lease on behalf of one process.
@@ -210,7 +210,7 @@
 
 // notifyUndecodable passes the key of an undecodable record on, if anybody asked for it.
 func (c *Candidate) notifyUndecodable(key string, err error) {
-	if c.Undecodable != nil {
-		c.Undecodable(key, err)
+	if c.OnUndecodable != nil {
+		c.OnUndecodable(key, err)
 	}
 }
--- a/duty/doc.go
+++ b/duty/doc.go
@@ -36,7 +36,7 @@
 //     process holds the lease or the token was raised.
 //   - [ErrUndecodable], wrapped in an [UndecodableError], needs a person: the record is
 //     never overwritten, and what rests on it is refused.
-//   - [ErrTooLarge] calls for fewer intents at a time.
+//   - [ErrIntentsTooLarge] calls for fewer intents at a time.
 //   - [ErrNoPermit] is a fault of the program: the permit is the zero value, or intents
 //     were recorded before the earlier ones were loaded.
 package duty
--- a/duty/errors.go
+++ b/duty/errors.go
@@ -35,8 +35,8 @@
 	ErrNoPermit = errors.New("no permit")
 	// ErrUndecodable reports that a record can't be decoded; what rests on it is refused.
 	ErrUndecodable = errors.New("undecodable record")
-	// ErrTooLarge reports that the intents do not fit in one record.
-	ErrTooLarge = errors.New("too many open intents for one record")
+	// ErrIntentsTooLarge reports that the intents do not fit in one record.
+	ErrIntentsTooLarge = errors.New("too many open intents for one record")
 )
 
 // LeaseError reports why a lease gives no right to act, or could not be kept. It is final
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -92,7 +92,7 @@
 		return fmt.Errorf("%w: the record %q has not been loaded", ErrNoPermit, i.key())
 	}
 	if !i.Fits(open) {
-		return fmt.Errorf("%w: %d intents under %q exceed %d bytes", ErrTooLarge, len(open), i.key(), i.sizeLimit)
+		return fmt.Errorf("%w: %d intents under %q exceed %d bytes", ErrIntentsTooLarge, len(open), i.key(), i.sizeLimit)
 	}
 	for {
 		done, err := i.tryRecord(ctx, open)
@@ -137,10 +137,10 @@
 // retried.
 func (i *Intents[D, T]) resolveConflict(ctx context.Context, conflict *ConflictError) error {
 	// The lease's key may have a new revision because this holder raised its token.
-	if conflict.Has(i.lease.candidate.Key) && !i.mayHoldLease(ctx) {
+	if conflict.HasKey(i.lease.candidate.Key) && !i.mayHoldLease(ctx) {
 		return i.lease.failure(ErrHeldByOther)
 	}
-	if conflict.Has(i.key()) {
+	if conflict.HasKey(i.key()) {
 		// An earlier attempt of this holder was executed: nobody else can write the record
 		// while it holds the lease.
 		entry, err := i.lease.candidate.Store.Get(ctx, store.ClassCritical, i.key())
--- a/duty/intents_test.go
+++ b/duty/intents_test.go
@@ -54,8 +54,8 @@
 			t.Fatalf("open intents: got %v, want none", record.Open)
 		}
 		tooLarge := []string{strings.Repeat("x", intentSizeLimit)}
-		if err := intents.Record(t.Context(), tooLarge); !errors.Is(err, duty.ErrTooLarge) {
-			t.Errorf("too large: got %v, want %v", err, duty.ErrTooLarge)
+		if err := intents.Record(t.Context(), tooLarge); !errors.Is(err, duty.ErrIntentsTooLarge) {
+			t.Errorf("too large: got %v, want %v", err, duty.ErrIntentsTooLarge)
 		}
 	})
 }
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -75,7 +75,7 @@
 		first.Resign(t.Context(), time.Now())
 		second := acquire(t, candidate)
 		var conflict *duty.ConflictError
-		if err := <-late; !errors.As(err, &conflict) || !conflict.Has(store.LeaderKey) {
+		if err := <-late; !errors.As(err, &conflict) || !conflict.HasKey(store.LeaderKey) {
 			t.Errorf("sent under token %d with %d in force: got %v, want a conflict at %s", first.Token(), second.Token(), err, store.LeaderKey)
 		}
 		if first.Held() || !second.Held() {
--- a/duty/permit.go
+++ b/duty/permit.go
@@ -65,7 +65,7 @@
 	txn.Guards = append([]Guard{guard}, txn.Guards...)
 	revision, err := candidate.Store.Commit(ctx, class, txn)
 	var conflict *ConflictError
-	if errors.As(err, &conflict) && conflict.Has(candidate.Key) {
+	if errors.As(err, &conflict) && conflict.HasKey(candidate.Key) {
 		p.lease.emit(ActRefused, p.Name(), "by the state service")
 	}
 	return revision, err
--- a/duty/simulation_test.go
+++ b/duty/simulation_test.go
@@ -49,12 +49,12 @@
 func (s *simulation) options(host int) duty.Options {
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	return duty.Options{
-		Key:         store.LeaderKey,
-		Node:        nodeOn(host),
-		Store:       store.New(simulator.KVStoreAddr, limits, 3, s.network.Host(simulator.NodeIP(host))),
-		Timing:      leaseTiming,
-		Observe:     s.recordEvent,
-		Undecodable: s.recordUndecodable,
+		Key:           store.LeaderKey,
+		Node:          nodeOn(host),
+		Store:         store.New(simulator.KVStoreAddr, limits, 3, s.network.Host(simulator.NodeIP(host))),
+		Timing:        leaseTiming,
+		Observe:       s.recordEvent,
+		OnUndecodable: s.recordUndecodable,
 	}
 }
 
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -77,7 +77,7 @@
 		Catalog: &cluster.MachineCatalog{}, Log: log, Metrics: n.metrics.LeaderMetrics(), Undecodable: undecodableLog,
 	}
 	if negotiatesVersions {
-		member, err := upgrade.NewMember(upgrade.Options{Node: cfg.HostName, Supports: leader.SupportedVersions, Store: n.client})
+		member, err := upgrade.NewMember(upgrade.Options{Node: cfg.HostName, SupportedRange: leader.SupportedVersions, Store: n.client})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -119,7 +119,7 @@
 // classOfTransport returns the class of a request that got no answer. One whose connection could not be opened was
 // certainly not executed.
 func classOfTransport(err error) error {
-	if wire.NotSent(err) {
+	if wire.IsNotSent(err) {
 		return ErrUnavailable
 	}
 	return ErrUnknown
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -27,7 +27,7 @@
 
 // cancel responds once it is certain that the job is cancelled, or that it had ended.
 func (in *Intake) cancel(ctx context.Context, r *http.Request, params httprouter.Params) response {
-	if _, err := wire.ReadBody(r.Body, wire.MaxBody); errors.Is(err, wire.ErrTooLarge) {
+	if _, err := wire.ReadBody(r.Body, wire.MaxBody); errors.Is(err, wire.ErrBodyTooLarge) {
 		return rejected(http.StatusRequestEntityTooLarge, err.Error())
 	}
 	id := wire.JobID(params.ByName("id"))
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -49,7 +49,7 @@
 	if types == nil {
 		return errMachineTypesUnknown
 	}
-	fits := func(machineType wire.MachineSpec) bool { return machineType.Fits(spec) }
+	fits := func(machineType wire.MachineSpec) bool { return machineType.CanRun(spec) }
 	if !slices.ContainsFunc(types, fits) {
 		return errFitsNoMachine
 	}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -15,7 +15,7 @@
 // submit accepts a job once its record is stored.
 func (in *Intake) submit(ctx context.Context, r *http.Request, _ httprouter.Params) response {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
-	if errors.Is(err, wire.ErrTooLarge) {
+	if errors.Is(err, wire.ErrBodyTooLarge) {
 		return rejected(http.StatusRequestEntityTooLarge, err.Error())
 	}
 	if err != nil {
--- a/internal/leader/agents/heartbeat_answers.go
+++ b/internal/leader/agents/heartbeat_answers.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		switch {
-		case dp.State.Quarantined(task.Job): // it may be one of those that can't be decoded
+		case dp.State.IsQuarantined(task.Job): // it may be one of those that can't be decoded
 		case state.Phase != wire.PhaseExited:
 			atOnce := wire.Seconds(0)
 			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
--- a/internal/leader/agents/peer_probe_test.go
+++ b/internal/leader/agents/peer_probe_test.go
@@ -67,7 +67,7 @@
 				if tc.wantErr != nil && !errors.Is(err, tc.wantErr) {
 					t.Errorf("err %v, want %v", err, tc.wantErr)
 				}
-				if wire.NotSent(err) {
+				if wire.IsNotSent(err) {
 					t.Errorf("err %v says that nothing was sent", err)
 				}
 				if wantHeartbeat := !tc.wantRelay && tc.wantErr == nil; wantHeartbeat && (err != nil || got.Machine != "n-1" || path != "/peer/ask") {
--- a/internal/leader/cluster/cycle_timer.go
+++ b/internal/leader/cluster/cycle_timer.go
@@ -35,7 +35,7 @@
 func (t *cycleTimer) request(now time.Time) {
 	t.Requested = true
 	pause := max(minCyclePause, cyclePauseFactor*t.LastDuration)
-	t.notBefore = Latest(now.Add(cycleGatherTime), t.LastAt.Add(pause))
+	t.notBefore = LaterOf(now.Add(cycleGatherTime), t.LastAt.Add(pause))
 }
 
 // RequestCycle asks for a scheduling cycle soon. Further requests don't put it off.
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -101,7 +101,7 @@
 	attempts := j.Attempts()
 	j.Gang = &Gang{AttemptNumber: highestNumber(attempts), StartedAt: s.TermStartedAt, Inherited: true}
 	intact := j.GangFullyStored() && sameNumber(attempts, j.Gang.AttemptNumber)
-	if !intact && !s.Quarantined(j.Spec.ID) {
+	if !intact && !s.IsQuarantined(j.Spec.ID) {
 		s.BrokenGangs[j] = struct{}{}
 	}
 }
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -64,7 +64,7 @@
 type JobFailures struct {
 	// FailedMachines are those on which a task of the job failed since the last success.
 	FailedMachines   map[wire.MachineID]bool
-	Failures         int  // since the last success
+	TaskFailures     int  // since the last success
 	AnyTaskSucceeded bool // a task of it has completed in this term
 	// StartNotBefore: no task of it is started before.
 	StartNotBefore time.Time
@@ -147,7 +147,7 @@
 // SinceLastStart returns for how long no task of the job has been started, as far as this
 // term knows.
 func (s *State) SinceLastStart(j *Job, now time.Time) time.Duration {
-	return now.Sub(Latest(Latest(j.AcceptedAt, j.LastStartAt), s.TermStartedAt))
+	return now.Sub(LaterOf(LaterOf(j.AcceptedAt, j.LastStartAt), s.TermStartedAt))
 }
 
 // StartOverdue reports whether a job other than a service has waited so long without a
@@ -164,5 +164,5 @@
 		return false
 	}
 	begun := j.DoneTasks > 0
-	return !begun || now.Sub(Latest(j.lastActiveAt, s.TermStartedAt)) > startWithin/2
+	return !begun || now.Sub(LaterOf(j.lastActiveAt, s.TermStartedAt)) > startWithin/2
 }
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -95,9 +95,9 @@
 // MachineFailures is what tells a faulty or slow machine from a job that fails by itself.
 // Reconciliation writes it as tasks exit.
 type MachineFailures struct {
-	FailedJobs map[wire.JobID]bool // jobs that failed on it since the last success
-	Failures   int                 // of tasks since the last success
-	SlowRuns   slowRunCounts
+	FailedJobs   map[wire.JobID]bool // jobs that failed on it since the last success
+	TaskFailures int                 // of tasks since the last success
+	SlowRuns     slowRunCounts
 	// StartNotBefore: it refused a start, and gets no further one until then.
 	StartNotBefore time.Time
 }
--- a/internal/leader/cluster/machine_lifecycle.go
+++ b/internal/leader/cluster/machine_lifecycle.go
@@ -37,7 +37,7 @@
 	DrainOutboundConnectivityLost DrainReason = "its reports don't arrive"
 	DrainLeaseExpiring            DrainReason = "its lease ends while its zone is partitioned"
 	DrainAdoptedScaleIn           DrainReason = "an earlier leader was returning it"
-	DrainUncancellable            DrainReason = "a cancelled task could not be stopped"
+	DrainCancelFailed             DrainReason = "a cancelled task could not be stopped"
 )
 
 // MachineLifecycle names where a machine is between scale-out and scale-in. It is a label
--- a/internal/leader/cluster/quarantine.go
+++ b/internal/leader/cluster/quarantine.go
@@ -5,9 +5,9 @@
 	"lilaclead/internal/wire"
 )
 
-// Quarantined reports whether a job is quarantined. A cancelled one is not: whatever of it
+// IsQuarantined reports whether a job is quarantined. A cancelled one is not: whatever of it
 // is on machines is to be stopped.
-func (t *JobTable) Quarantined(id wire.JobID) bool {
+func (t *JobTable) IsQuarantined(id wire.JobID) bool {
 	if !t.QuarantinedJobs[id] {
 		return false
 	}
--- a/internal/leader/cluster/quarantine_test.go
+++ b/internal/leader/cluster/quarantine_test.go
@@ -26,7 +26,7 @@
 			if tt.quarantine {
 				s.Quarantine(store.JobKey("req-1"), "req-1")
 			}
-			if got := s.Quarantined("req-1"); got != tt.want {
+			if got := s.IsQuarantined("req-1"); got != tt.want {
 				t.Errorf("Quarantined = %v, want %v", got, tt.want)
 			}
 		})
@@ -46,8 +46,8 @@
 			s := newTestState(t)
 			j := addTestJob(s, wire.KindArray, 1, 1)
 			s.Quarantine(tt.key, j.Spec.ID)
-			if !s.Quarantined(j.Spec.ID) || j.RecordOutdated != tt.want {
-				t.Errorf("after Quarantine(%q): quarantined %v, record outdated %v, want true and %v", tt.key, s.Quarantined(j.Spec.ID), j.RecordOutdated, tt.want)
+			if !s.IsQuarantined(j.Spec.ID) || j.RecordOutdated != tt.want {
+				t.Errorf("after Quarantine(%q): quarantined %v, record outdated %v, want true and %v", tt.key, s.IsQuarantined(j.Spec.ID), j.RecordOutdated, tt.want)
 			}
 		})
 	}
--- a/internal/leader/cluster/reachability.go
+++ b/internal/leader/cluster/reachability.go
@@ -8,7 +8,7 @@
 
 // SinceLastMessage returns for how long a machine has sent nothing to this term.
 func (s *State) SinceLastMessage(m *Machine, now time.Time) time.Duration {
-	return now.Sub(Latest(m.LastMessageAt, s.TermStartedAt))
+	return now.Sub(LaterOf(m.LastMessageAt, s.TermStartedAt))
 }
 
 // HeartbeatsMissingFor returns for how long a machine has answered direct commands while
@@ -17,7 +17,7 @@
 	if m.HeartbeatsMissingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(Latest(m.HeartbeatsMissingSince, Latest(s.StoreAvailableSince, s.DelegatesRenewedUntil)))
+	return now.Sub(LaterOf(m.HeartbeatsMissingSince, LaterOf(s.StoreAvailableSince, s.DelegatesRenewedUntil)))
 }
 
 // OutboundConnectivityLost reports whether a machine looks alive but can't reach any controller: its
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -116,8 +116,8 @@
 	return s.Settings.Workers.HeartbeatInterval.Duration()
 }
 
-// Latest returns the later of two times.
-func Latest(a, b time.Time) time.Time {
+// LaterOf returns the later of two times.
+func LaterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -110,7 +110,7 @@
 func newCandidate(d Dependencies) *election.Candidate {
 	o := election.Options(d.Config, d.Store, d.Log, d.Mesh.ObserveToken)
 	o.Observe = d.Observe
-	o.Undecodable = d.Undecodable.LogOnce
+	o.OnUndecodable = d.Undecodable.LogOnce
 	if d.Versions != nil {
 		o.Eligible = func() bool { return d.Versions.CheckServe() == nil }
 	}
--- a/internal/leader/liveness/delegates.go
+++ b/internal/leader/liveness/delegates.go
@@ -22,7 +22,7 @@
 	}
 	view := mo.Mesh.View()
 	for _, node := range mo.Peers {
-		latest = cluster.Latest(latest, mo.State.Delegation.AnswersUntil(tenure, view.Peers[node.HostName], now))
+		latest = cluster.LaterOf(latest, mo.State.Delegation.AnswersUntil(tenure, view.Peers[node.HostName], now))
 	}
 	return latest
 }
@@ -35,7 +35,7 @@
 	view := mo.Mesh.View()
 	for _, node := range mo.Peers {
 		if node.Zone == zone {
-			latest = cluster.Latest(latest, view.Peers[node.HostName].LastContact)
+			latest = cluster.LaterOf(latest, view.Peers[node.HostName].LastContact)
 		}
 	}
 	return latest
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -49,14 +49,14 @@
 func (mo *Monitor) lastPossibleRenewal(machine *cluster.Machine) time.Time {
 	// Until it first showed a token of this term, an earlier leader may have answered the
 	// machine; from then on only this one can have.
-	last := cluster.Latest(machine.LastReplyAt, machine.TokenSeenAt)
+	last := cluster.LaterOf(machine.LastReplyAt, machine.TokenSeenAt)
 	// A new epoch has its full time even if no heartbeat of it was answered: a launch that
 	// was sent into it may run that long. (Tasks that were started right after a lease had
 	// expired were once given up at once, and started again.)
-	last = cluster.Latest(last, machine.EpochSince)
-	last = cluster.Latest(last, mo.State.DelegatesRenewedUntil)
+	last = cluster.LaterOf(last, machine.EpochSince)
+	last = cluster.LaterOf(last, mo.State.DelegatesRenewedUntil)
 	if machine.Token < mo.State.FirstToken {
-		last = cluster.Latest(last, mo.EarlierLeaderRepliesUntil())
+		last = cluster.LaterOf(last, mo.EarlierLeaderRepliesUntil())
 	}
 	return last
 }
--- a/internal/leader/liveness/replicas.go
+++ b/internal/leader/liveness/replicas.go
@@ -29,7 +29,7 @@
 func (mo *Monitor) leaseEnding(machine *cluster.Machine, now time.Time) bool {
 	renewed := machine.LastMessageAt
 	if cutOff := mo.zoneControllersLastContact(machine.Zone); !cutOff.IsZero() {
-		renewed = cluster.Latest(renewed, cutOff.Add(mo.State.Delegation.MaxDelegationTime-mo.limits().maxHeartbeatGap()))
+		renewed = cluster.LaterOf(renewed, cutOff.Add(mo.State.Delegation.MaxDelegationTime-mo.limits().maxHeartbeatGap()))
 	} else if renewed.IsZero() {
 		renewed = mo.State.TermStartedAt
 	}
--- a/internal/leader/liveness/tasks.go
+++ b/internal/leader/liveness/tasks.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		for _, attempt := range job.Attempts() {
-			mo.Scaler.ScaleIn(attempt.Machine, cluster.DrainUncancellable)
+			mo.Scaler.ScaleIn(attempt.Machine, cluster.DrainCancelFailed)
 		}
 	}
 }
--- a/internal/leader/progress/committer.go
+++ b/internal/leader/progress/committer.go
@@ -89,20 +89,20 @@
 // onConflict handles a transaction of which guards failed. It ends the term if another
 // process has written what only the leader writes.
 func (co *Committer) onConflict(b *batch, conflict *store.ConflictError) {
-	if conflict.Has(store.LeaderKey) {
+	if conflict.HasKey(store.LeaderKey) {
 		co.End(election.ErrHeldByOther.Error())
 		return
 	}
-	deleted := func(orphan wire.Guard) bool { return conflict.Has(orphan.Key) }
+	deleted := func(orphan wire.Guard) bool { return conflict.HasKey(orphan.Key) }
 	b.orphans = slices.DeleteFunc(b.orphans, deleted)
 	co.revert(b)
 	for _, j := range co.State.Jobs {
-		if conflict.Has(store.JobKey(j.Spec.ID)) {
+		if conflict.HasKey(store.JobKey(j.Spec.ID)) {
 			co.Reread(j)
 		}
 	}
 	for _, c := range b.chunks {
-		if conflict.Has(c.Key()) {
+		if conflict.HasKey(c.Key()) {
 			co.End("a chunk was written by another process: " + c.Key())
 		}
 	}
--- a/internal/leader/progress/reader.go
+++ b/internal/leader/progress/reader.go
@@ -40,7 +40,7 @@
 // readChunkEntry restores the chunk of a job with an index.
 func (r *Reader) readChunkEntry(e wire.Entry, id wire.JobID, index int) {
 	j := r.state.Jobs[id]
-	if j == nil && r.state.Quarantined(id) {
+	if j == nil && r.state.IsQuarantined(id) {
 		return
 	}
 	if j == nil || index >= len(j.Chunks) {
@@ -62,7 +62,7 @@
 func (r *Reader) readSubchunkEntry(e wire.Entry) {
 	id, chunk, subchunk, ok := store.ParseSubchunkKey(e.Key)
 	j := r.state.Jobs[id]
-	if ok && j == nil && r.state.Quarantined(id) {
+	if ok && j == nil && r.state.IsQuarantined(id) {
 		return
 	}
 	if !ok || j == nil {
--- a/internal/leader/progress/selection.go
+++ b/internal/leader/progress/selection.go
@@ -63,7 +63,7 @@
 func (w *Writer) mayWriteChunk(c *cluster.Chunk, now time.Time) bool {
 	j := c.Job
 	ending := j.Archiving || j.Finished
-	return !ending && !j.RecordOutdated && !w.state.Quarantined(j.Spec.ID) && !now.Before(c.WriteNotBefore)
+	return !ending && !j.RecordOutdated && !w.state.IsQuarantined(j.Spec.ID) && !now.Before(c.WriteNotBefore)
 }
 
 // compareLaunches orders chunks with launches: higher priority first, then the jobs that
--- a/internal/leader/progress/writer.go
+++ b/internal/leader/progress/writer.go
@@ -141,5 +141,5 @@
 // was rejected, or that belongs to a quarantined job.
 func (w *Writer) maySoonWrite(c *cluster.Chunk, now time.Time) bool {
 	rejected := !now.After(c.WriteNotBefore) || !now.After(c.Job.WriteNotBefore)
-	return !rejected && !w.state.Quarantined(c.Job.Spec.ID)
+	return !rejected && !w.state.IsQuarantined(c.Job.Spec.ID)
 }
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -23,7 +23,7 @@
 		machine.LastMessageAt, machine.LastReplyAt = now, now
 		return Reply{Commands: rc.cancelledStops(heartbeat)}
 	}
-	if !heartbeat.Newer(machine.Epoch, machine.Sequence) {
+	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) {
 		return rc.onStaleHeartbeat(machine, heartbeat, now)
 	}
 	if rc.recordHeartbeatPath(machine, relayed, now) {
@@ -76,7 +76,7 @@
 // keepEarlyHeartbeat keeps the newest heartbeat of a machine until the records are read.
 func (rc *Reconciler) keepEarlyHeartbeat(heartbeat *wire.Heartbeat) {
 	earlier, ok := rc.EarlyHeartbeats[heartbeat.Machine]
-	if !ok || heartbeat.Newer(earlier.Epoch, earlier.Sequence) {
+	if !ok || heartbeat.IsNewerThan(earlier.Epoch, earlier.Sequence) {
 		rc.EarlyHeartbeats[heartbeat.Machine] = *heartbeat
 	}
 }
--- a/internal/leader/reconcile/command_answers.go
+++ b/internal/leader/reconcile/command_answers.go
@@ -24,7 +24,7 @@
 
 func outcomeOf(answer *agents.CommandAnswer) commandOutcome {
 	if answer.Err != nil {
-		if wire.NotSent(answer.Err) {
+		if wire.IsNotSent(answer.Err) {
 			return commandNotSent
 		}
 		return commandLost
@@ -69,7 +69,7 @@
 	machine, heartbeat, known := answer.Machine, answer.Heartbeat, answer.KnownBefore
 	rc.onReceived(machine)
 	machine.LastMessageAt = now
-	if !heartbeat.Newer(known.Epoch, known.Sequence) && !machine.Restarted {
+	if !heartbeat.IsNewerThan(known.Epoch, known.Sequence) && !machine.Restarted {
 		// Made after the command was sent, and yet not newer than what was known then.
 		rc.onRestart(machine, heartbeat, now)
 		return
--- a/internal/leader/reconcile/exits.go
+++ b/internal/leader/reconcile/exits.go
@@ -34,10 +34,10 @@
 	if !attempt.RunningSince.IsZero() && !job.Spec.IsGang() { // a gang runs at the speed of its slowest machine
 		rc.failures.recordRunTime(attempt, now)
 	}
-	job.AnyTaskSucceeded, job.Failures = true, 0
+	job.AnyTaskSucceeded, job.TaskFailures = true, 0
 	clear(job.FailedMachines)
 	clear(machine.FailedJobs)
-	machine.Failures = 0
+	machine.TaskFailures = 0
 	if job.Spec.IsGang() {
 		rc.state.CompleteGang(job)
 		return
--- a/internal/leader/reconcile/exits_test.go
+++ b/internal/leader/reconcile/exits_test.go
@@ -40,8 +40,8 @@
 			if got, want := f.job.StartNotBefore, after(now, tc.jobBackoff); !got.Equal(want) {
 				t.Errorf("cause %q: job starts from %v, want %v", tc.cause, got, want)
 			}
-			if f.job.Failures != tc.failures || f.machine.Failures != tc.failures {
-				t.Errorf("cause %q: %d failures of the job and %d of the machine, want %d", tc.cause, f.job.Failures, f.machine.Failures, tc.failures)
+			if f.job.TaskFailures != tc.failures || f.machine.TaskFailures != tc.failures {
+				t.Errorf("cause %q: %d failures of the job and %d of the machine, want %d", tc.cause, f.job.TaskFailures, f.machine.TaskFailures, tc.failures)
 			}
 		})
 	}
@@ -57,14 +57,14 @@
 
 func TestTaskDoneClearsFailures(t *testing.T) {
 	f := newFixture(t)
-	f.job.Failures, f.job.FailedMachines = 3, map[wire.MachineID]bool{"n-1": true, "n-2": true}
-	f.machine.Failures, f.machine.FailedJobs["req-1"] = 3, true
+	f.job.TaskFailures, f.job.FailedMachines = 3, map[wire.MachineID]bool{"n-1": true, "n-2": true}
+	f.machine.TaskFailures, f.machine.FailedJobs["req-1"] = 3, true
 	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseExited, wire.CauseDone)), true, time.Now())
-	if f.job.Failures != 0 || len(f.job.FailedMachines) != 0 || !f.job.AnyTaskSucceeded {
-		t.Errorf("job has %d failures on %v, succeeded %v; want 0 on none, true", f.job.Failures, f.job.FailedMachines, f.job.AnyTaskSucceeded)
+	if f.job.TaskFailures != 0 || len(f.job.FailedMachines) != 0 || !f.job.AnyTaskSucceeded {
+		t.Errorf("job has %d failures on %v, succeeded %v; want 0 on none, true", f.job.TaskFailures, f.job.FailedMachines, f.job.AnyTaskSucceeded)
 	}
-	if f.machine.Failures != 0 || len(f.machine.FailedJobs) != 0 {
-		t.Errorf("machine has %d failures of %v, want 0 of none", f.machine.Failures, f.machine.FailedJobs)
+	if f.machine.TaskFailures != 0 || len(f.machine.FailedJobs) != 0 {
+		t.Errorf("machine has %d failures of %v, want 0 of none", f.machine.TaskFailures, f.machine.FailedJobs)
 	}
 }
 
--- a/internal/leader/reconcile/failures.go
+++ b/internal/leader/reconcile/failures.go
@@ -46,9 +46,9 @@
 		job.FailedMachines = map[wire.MachineID]bool{}
 	}
 	job.FailedMachines[machine.ID] = true
-	job.Failures++
+	job.TaskFailures++
 	machine.FailedJobs[job.Spec.ID] = true
-	machine.Failures++
+	machine.TaskFailures++
 	fd.Log.Info("task failed", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID,
 		"job_machines", len(job.FailedMachines), "machine_jobs", len(machine.FailedJobs))
 	if machineAtFault(machine, job) {
@@ -64,8 +64,8 @@
 // taken to be the cause.
 func machineAtFault(machine *cluster.Machine, job *cluster.Job) bool {
 	severalJobsFail := len(machine.FailedJobs) >= faultyMachineJobs
-	failsRepeatedly := machine.Failures >= faultyMachineFailures
-	failsHereOnly := len(job.FailedMachines) == 1 && job.Failures >= singleMachineFailures
+	failsRepeatedly := machine.TaskFailures >= faultyMachineFailures
+	failsHereOnly := len(job.FailedMachines) == 1 && job.TaskFailures >= singleMachineFailures
 	return severalJobsFail || failsRepeatedly && (job.AnyTaskSucceeded || failsHereOnly)
 }
 
@@ -75,7 +75,7 @@
 		job.StartNotBefore = now.Add(singleMachineBackoff)
 		return
 	}
-	doublings := min(job.Failures, maxBackoffDoublings)
+	doublings := min(job.TaskFailures, maxBackoffDoublings)
 	job.StartNotBefore = now.Add(time.Duration(1<<doublings) * time.Second)
 }
 
@@ -84,7 +84,7 @@
 	for _, machine := range fd.state.Machines {
 		if machine.FailedJobs[job.Spec.ID] {
 			delete(machine.FailedJobs, job.Spec.ID)
-			machine.Failures = 0
+			machine.TaskFailures = 0
 		}
 	}
 }
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -11,7 +11,7 @@
 // has the same form; sentByAgent distinguishes the two. It reports whether the heartbeat
 // was newer than what was known.
 func (rc *Reconciler) Reconcile(machine *cluster.Machine, heartbeat *wire.Heartbeat, sentByAgent bool, now time.Time) bool {
-	if !heartbeat.Newer(machine.Epoch, machine.Sequence) || machine.Restarted {
+	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) || machine.Restarted {
 		return false
 	}
 	rc.state.ZoneDetector.RecordMessage(heartbeat.Zone, sentByAgent, now)
--- a/internal/leader/recovery/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -69,7 +69,7 @@
 }
 
 // applyJobRecord updates the model with a job record that is new or has changed.
-func (r *Records) applyJobRecord(key string, value wire.Raw, revision wire.Revision) {
+func (r *Records) applyJobRecord(key string, value wire.RawValue, revision wire.Revision) {
 	record, err := store.DecodeJob(key, value)
 	if err != nil {
 		r.Undecodable.LogOnce(key, err)
--- a/internal/leader/recovery/job_records_test.go
+++ b/internal/leader/recovery/job_records_test.go
@@ -10,7 +10,7 @@
 
 func TestJobRecordAddsAndCancelsJobs(t *testing.T) {
 	spec := wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}
-	record := func(status wire.Status) wire.Raw {
+	record := func(status wire.Status) wire.RawValue {
 		return wire.Encode(store.JobRecord{Spec: spec, Status: status, AcceptedAt: wire.TimestampOf(time.Now())})
 	}
 	cases := []struct {
--- a/internal/leader/recovery/recovery.go
+++ b/internal/leader/recovery/recovery.go
@@ -82,7 +82,7 @@
 }
 
 // versionMismatches are the errors after which this process must not lead.
-var versionMismatches = []error{upgrade.ErrTooOld, upgrade.ErrTooNew, upgrade.ErrUndecodable, upgrade.ErrReplaced}
+var versionMismatches = []error{upgrade.ErrProgramTooOld, upgrade.ErrProgramTooNew, upgrade.ErrUndecodable, upgrade.ErrProcessReplaced}
 
 // readVersion reads the active version for this term, and has the term resign if this
 // process can't act by it. The version is read after the lease was taken, and only leaders
--- a/internal/leader/scheduling/capacity/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -85,7 +85,7 @@
 // deservesScaleOut reports whether machines may be requested for a job.
 func (e *Estimator) deservesScaleOut(job *cluster.Job) bool {
 	waiting := !job.Cancelled && !job.Finished && job.PendingTasks() > 0
-	return waiting && job.Failures < maxFailuresForScaleOut && !e.state.Quarantined(job.Spec.ID)
+	return waiting && job.TaskFailures < maxFailuresForScaleOut && !e.state.IsQuarantined(job.Spec.ID)
 }
 
 // usedByTeam returns the resources that each team's active tasks take.
@@ -128,7 +128,7 @@
 func (e *Estimator) bootSeconds(spec *wire.JobSpec) float64 {
 	earliest := math.Inf(1)
 	for _, machineType := range e.state.Catalog.Get() {
-		if machineType.Fits(spec) && machineType.FetchGBPerSecond > 0 {
+		if machineType.CanRun(spec) && machineType.FetchGBPerSecond > 0 {
 			earliest = min(earliest, float64(machineType.BootTime)+spec.ImageGB/machineType.FetchGBPerSecond)
 		}
 	}
--- a/internal/leader/scheduling/capacity/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -98,7 +98,7 @@
 		{"cancelled", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Cancelled = true }},
 		{"finished", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Finished = true }},
 		{"nothing pending", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.ActiveTasks = 2 }},
-		{"fails wherever it runs", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Failures = maxFailuresForScaleOut }},
+		{"fails wherever it runs", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.TaskFailures = maxFailuresForScaleOut }},
 		{"quarantined", schedulingtest.Array("req-1", 2), func(s *testPlanner, _ *cluster.Job) { s.State.QuarantinedJobs["req-1"] = true }},
 		{"of an unknown team", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Spec.Team = "unknown" }},
 		{"a gang whose last attempt has not ended", schedulingtest.Gang("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.ActiveTasks = 1 }},
--- a/internal/leader/scheduling/capacity/offers.go
+++ b/internal/leader/scheduling/capacity/offers.go
@@ -50,7 +50,7 @@
 	cheapest := math.Inf(1)
 	for i := range specs {
 		spec := &specs[i]
-		if !spec.Fits(job) {
+		if !spec.CanRun(job) {
 			continue
 		}
 		units := float64(placement.ResourcesOf(job).UnitsIn(cluster.MachineResources(spec)))
--- a/internal/leader/scheduling/capacity/plan_machines.go
+++ b/internal/leader/scheduling/capacity/plan_machines.go
@@ -52,7 +52,7 @@
 	}
 	slices.SortFunc(described.ExpectedReleases, func(a, b fleet.ExpectedRelease) int { return cmp.Compare(a.InSeconds, b.InSeconds) })
 	if idle(machine) {
-		idleSince := cluster.Latest(machine.LastUsedAt, machine.FirstHeartbeatAt)
+		idleSince := cluster.LaterOf(machine.LastUsedAt, machine.FirstHeartbeatAt)
 		described.Idle, described.IdleSeconds = true, now.Sub(idleSince).Seconds()
 	}
 	return described
--- a/internal/leader/scheduling/cycle_test.go
+++ b/internal/leader/scheduling/cycle_test.go
@@ -120,7 +120,7 @@
 			for range c.active {
 				s.Run(job, machine, schedulingtest.Now)
 			}
-			job.Failures = c.failures
+			job.TaskFailures = c.failures
 			if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != c.want {
 				t.Errorf("%d starts, want %d", cycle.Starts, c.want)
 			}
--- a/internal/leader/scheduling/eligibility.go
+++ b/internal/leader/scheduling/eligibility.go
@@ -21,7 +21,7 @@
 // startable reports whether a job is unfinished and its record is known.
 func (e *Eligibility) startable(job *cluster.Job) bool {
 	ended := job.Cancelled || job.Finished || job.Archiving
-	return !ended && !job.RecordOutdated && !e.state.Quarantined(job.Spec.ID)
+	return !ended && !job.RecordOutdated && !e.state.IsQuarantined(job.Spec.ID)
 }
 
 // startDue reports whether a job has pending tasks that may start now.
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -98,7 +98,7 @@
 func (r *Reservations) extendGangReservations() {
 	latest := map[wire.JobID]time.Time{}
 	r.eachOfGangs(func(reservation *cluster.Reservation) {
-		latest[reservation.Job] = cluster.Latest(latest[reservation.Job], reservation.ExpiresAt)
+		latest[reservation.Job] = cluster.LaterOf(latest[reservation.Job], reservation.ExpiresAt)
 	})
 	r.eachOfGangs(func(reservation *cluster.Reservation) {
 		reservation.ExpiresAt = latest[reservation.Job]
@@ -122,7 +122,7 @@
 	until := now.Add(r.stopDuration(preempted.GracePeriod))
 	for i := range preempted.Machine.Reservations {
 		reservation := &preempted.Machine.Reservations[i]
-		reservation.ExpiresAt = cluster.Latest(reservation.ExpiresAt, until)
+		reservation.ExpiresAt = cluster.LaterOf(reservation.ExpiresAt, until)
 	}
 }
 
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -122,7 +122,7 @@
 func (s *Scheduler) startTasks(starts []placement.Start, snapshot *cycleSnapshot, now time.Time) {
 	gangs := map[*cluster.Job][]*cluster.Machine{}
 	for _, start := range starts {
-		job, machine := snapshot.jobs[start.Job], snapshot.machines[start.Machine]
+		job, machine := snapshot.jobs[start.JobIndex], snapshot.machines[start.MachineIndex]
 		if job.Spec.IsGang() {
 			gangs[job] = append(gangs[job], machine)
 		} else {
--- a/internal/leader/scheduling/snapshot.go
+++ b/internal/leader/scheduling/snapshot.go
@@ -38,7 +38,7 @@
 	builder := &snapshotBuilder{scheduler: s, state: s.state, now: now}
 	builder.snapshot = &placement.Snapshot{
 		Teams:           teamUsage(s.state),
-		Factors:         placement.Factors{Preferred: values.PreferredFactor, Fallback: values.FallbackFactor, WaitDoublingSeconds: values.WaitDoublingSeconds},
+		Factors:         placement.UtilityFactors{Preferred: values.PreferredFactor, Fallback: values.FallbackFactor, WaitDoublingSeconds: values.WaitDoublingSeconds},
 		AllowPreemption: true,
 		ExpectedGangs:   s.ExpectedGangs(values.SpareGangs, now),
 	}
--- a/internal/leader/scheduling/snapshot_jobs.go
+++ b/internal/leader/scheduling/snapshot_jobs.go
@@ -61,7 +61,7 @@
 			view.PendingTasks = 1
 		}
 	}
-	if job.Failures > 0 && !job.Spec.IsGang() {
+	if job.TaskFailures > 0 && !job.Spec.IsGang() {
 		view.PendingTasks = min(view.PendingTasks, max(1, maxSuspectTasks-job.ActiveTasks))
 	}
 	return view
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -44,7 +44,7 @@
 // the version that is active then, 0 if that is not known.
 func (t *term) tryAdvance(ctx context.Context) (upgrade.Version, error) {
 	versions := t.leader.Versions
-	if active := versions.Active(); active >= versions.Supports.Max {
+	if active := versions.ActiveVersion(); active >= versions.SupportedRange.Max {
 		return active, nil
 	}
 	permit, err := duty.PermitFor[duty.Cleanup](t.Lease.Lease)
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -106,7 +106,7 @@
 		Tasks:      j.Spec.Tasks,
 		Done:       j.DoneTasks,
 		Active:     j.ActiveTasks,
-		Failures:   j.Failures,
+		Failures:   j.TaskFailures,
 		AgeSeconds: now.Sub(j.AcceptedAt).Seconds(),
 		Cancelled:  j.Cancelled,
 	}
--- a/internal/netio/bounded_test.go
+++ b/internal/netio/bounded_test.go
@@ -77,7 +77,7 @@
 			defer d.mustDial(openAddr).Close()
 			begin := time.Now()
 			_, err := d.dial(openAddr)
-			if err == nil || !wire.NotSent(err) {
+			if err == nil || !wire.IsNotSent(err) {
 				t.Errorf("error %v, want one that says that nothing was sent", err)
 			}
 			if waited := time.Since(begin); waited != dialTimeout {
--- a/internal/netio/http_test.go
+++ b/internal/netio/http_test.go
@@ -49,7 +49,7 @@
 		{name: "value is encoded", body: wire.ErrorBody{Error: "trouble"}, maxAnswer: 100, sent: encoded, contentType: wire.ContentType},
 		{name: "bytes go as they are", body: encoded, maxAnswer: 100, sent: encoded, contentType: wire.ContentType},
 		{name: "answer of the largest size", maxAnswer: int64(len("answer"))},
-		{name: "answer over the limit", maxAnswer: int64(len("answer")) - 1, err: wire.ErrTooLarge},
+		{name: "answer over the limit", maxAnswer: int64(len("answer")) - 1, err: wire.ErrBodyTooLarge},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 		if err := call(); err != nil {
 			t.Fatal(err)
 		}
-		if err := call(); err == nil || wire.NotSent(err) {
+		if err := call(); err == nil || wire.IsNotSent(err) {
 			t.Errorf("error %v, want one that leaves open whether the request was executed", err)
 		}
 		if received != 2 {
--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -5,7 +5,7 @@
 )
 
 // testFactors let the image count for half, and double a job's utility in a minute.
-var testFactors = Factors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 60}
+var testFactors = UtilityFactors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 60}
 
 // gangSpec is a gang of the team t that must be in one zone.
 func gangSpec(id wire.JobID, priority wire.Priority, tasks int, cpus float64) *wire.JobSpec {
@@ -42,7 +42,7 @@
 func startsByMachine(s *Snapshot) map[wire.MachineID]int {
 	starts := map[wire.MachineID]int{}
 	for _, start := range Place(s).Starts {
-		starts[s.Machines[start.Machine].ID]++
+		starts[s.Machines[start.MachineIndex].ID]++
 	}
 	return starts
 }
--- a/internal/placement/gains.go
+++ b/internal/placement/gains.go
@@ -16,7 +16,7 @@
 // is the Sum over its tasks. One pair of leaves for the whole job would make the
 // fallback worthless as soon as some units hold preferred machines, and tasks would
 // wait where the design says they don't.
-func taskTree(f Factors) utility.Expr {
+func taskTree(f UtilityFactors) utility.Expr {
 	return utility.Max{
 		utility.Scale{By: f.Preferred, Of: utility.Linear{From: utility.SetOf(withImage), K: 1, U: 1}},
 		utility.Scale{By: f.Fallback, Of: utility.Linear{From: utility.SetOf(withImage, withoutImage), K: 1, U: 1}},
@@ -26,7 +26,7 @@
 // gangTree returns the utility tree of a gang: the better of the preferred branch and of
 // the fallback, each an n Choose k leaf of its full count. It is zero until all of it
 // fits.
-func gangTree(f Factors, units int) utility.Expr {
+func gangTree(f UtilityFactors, units int) utility.Expr {
 	return utility.Max{
 		utility.Scale{By: f.Preferred, Of: utility.Choose{From: utility.SetOf(withImage), K: units, U: float64(units)}},
 		utility.Scale{By: f.Fallback, Of: utility.Choose{From: utility.SetOf(withImage, withoutImage), K: units, U: float64(units)}},
@@ -44,7 +44,7 @@
 }
 
 // taskGains returns the gains of one task of any array or service.
-func taskGains(f Factors) classGains {
+func taskGains(f UtilityFactors) classGains {
 	tree := taskTree(f)
 	return classGains{
 		utility.Gain(tree, utility.Grant{}, withImage),
@@ -53,7 +53,7 @@
 }
 
 // gangGains returns the gains per unit of a gang whose utility is raised by a factor.
-func gangGains(f Factors, units int, raise float64) classGains {
+func gangGains(f UtilityFactors, units int, raise float64) classGains {
 	tree := gangTree(f, units)
 	return classGains{
 		tree.Value(utility.Grant{withImage: units}) * raise / float64(units),
@@ -63,6 +63,6 @@
 
 // utilityRaise returns the factor by which a job's weight and waiting time raise its
 // utility.
-func utilityRaise(j *Job, f Factors) float64 {
+func utilityRaise(j *Job, f UtilityFactors) float64 {
 	return j.Weight * (1 + j.WaitedSeconds/max(1, f.WaitDoublingSeconds))
 }
--- a/internal/placement/generators_test.go
+++ b/internal/placement/generators_test.go
@@ -15,7 +15,7 @@
 			"red":  {Limit: Resources{CPUs: float64(rapid.IntRange(0, 24).Draw(t, "limit"))}},
 			"blue": {},
 		},
-		Factors: Factors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 60},
+		Factors: UtilityFactors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 60},
 	}
 	for i := range rapid.IntRange(0, 6).Draw(t, "machines") {
 		s.Machines = append(s.Machines, drawMachine(t, i))
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("beside headroom only: starts %+v, want one", starts)
 	}
 	other := Machine{ID: "o", Zone: "a", Spot: true, Free: Resources{1, 0, 4}, Total: Resources{16, 0, 64}}
-	if starts := Place(snapshot(other)).Starts; len(starts) != 1 || starts[0].Machine != 2 {
+	if starts := Place(snapshot(other)).Starts; len(starts) != 1 || starts[0].MachineIndex != 2 {
 		t.Errorf("beside other room: starts %+v, want one on machine 2", starts)
 	}
 }
@@ -91,7 +91,7 @@
 	if res := Place(snapshot(standard)); len(res.Starts) != 1 {
 		t.Errorf("one that has waited long: %+v, want a start", res)
 	}
-	if res := Place(snapshot(standard, machineIn("a", "o", 4))); len(res.Starts) != 1 || res.Starts[0].Machine != 2 {
+	if res := Place(snapshot(standard, machineIn("a", "o", 4))); len(res.Starts) != 1 || res.Starts[0].MachineIndex != 2 {
 		t.Errorf("one that has waited long, beside other room: %+v, want a start on machine 2", res)
 	}
 }
@@ -176,7 +176,7 @@
 			s := &Snapshot{
 				Machines:      []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: c.freeCPUs, MemoryGB: 16}}},
 				Teams:         map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
-				Factors:       Factors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 30},
+				Factors:       UtilityFactors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 30},
 				HeadroomUnits: c.spareUnits,
 				HeadroomUnit:  Resources{CPUs: 1, MemoryGB: 1},
 				Jobs:          []Job{gang},
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -35,7 +35,7 @@
 // checkStep compares the step that begins with the n-th start with the model, makes it
 // there, and returns its number of starts.
 func checkStep(t *rapid.T, s, model *Snapshot, pending []int, starts []Start, n int) int {
-	job := starts[n].Job
+	job := starts[n].JobIndex
 	j, units := &model.Jobs[job], 1
 	if j.Spec.IsGang() {
 		units = j.Spec.Tasks
@@ -53,17 +53,17 @@
 	}
 	unitUtility := s.Factors.Preferred
 	for k := range units {
-		if n+k >= len(starts) || starts[n+k].Job != job {
+		if n+k >= len(starts) || starts[n+k].JobIndex != job {
 			t.Fatalf("start %d: only %d of %d tasks of a gang", n, k, units)
 		}
 		start := starts[n+k]
-		if !legal(model, start.Job, start.Machine) {
+		if !legal(model, start.JobIndex, start.MachineIndex) {
 			t.Fatalf("start %d is not legal: %+v", n+k, start)
 		}
-		if model.Machines[start.Machine].Images[j.Spec.Image] != ImagePresent {
+		if model.Machines[start.MachineIndex].Images[j.Spec.Image] != ImagePresent {
 			unitUtility = s.Factors.Fallback
 		}
-		modelLaunch(model, start.Job, start.Machine)
+		modelLaunch(model, start.JobIndex, start.MachineIndex)
 	}
 	got := unitUtility * j.Weight * (1 + j.WaitedSeconds/s.Factors.WaitDoublingSeconds)
 	if len(gains) == 0 || got < gains[0]-1e-9 {
@@ -93,7 +93,7 @@
 			Weight:       1,
 		}},
 	}
-	if starts := Place(s).Starts; len(starts) != 2 || starts[0].Machine != 1 || starts[1].Machine != 0 {
+	if starts := Place(s).Starts; len(starts) != 2 || starts[0].MachineIndex != 1 || starts[1].MachineIndex != 0 {
 		t.Fatalf("starts %+v, want one on machine 1, then one on 0", starts)
 	}
 }
@@ -115,7 +115,7 @@
 			AvoidMachines: map[wire.MachineID]bool{"failed": true},
 		}},
 	}
-	if starts := Place(s).Starts; len(starts) != 1 || starts[0].Machine != 1 {
+	if starts := Place(s).Starts; len(starts) != 1 || starts[0].MachineIndex != 1 {
 		t.Fatalf("starts %+v, want one on the other machine", starts)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -12,8 +12,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Start is a launch: one unit of Jobs[Job] on Machines[Machine].
-type Start struct{ Job, Machine int }
+// Start is a launch: one unit of Jobs[JobIndex] on Machines[MachineIndex].
+type Start struct{ JobIndex, MachineIndex int }
 
 // Result is the outcome of a scheduling cycle.
 type Result struct {
--- a/internal/placement/preempt_gang_test.go
+++ b/internal/placement/preempt_gang_test.go
@@ -68,7 +68,7 @@
 	spec := after.Jobs[job].Spec
 	starts := 0
 	for _, start := range res.Starts {
-		if start.Job == job {
+		if start.JobIndex == job {
 			starts++
 		}
 	}
@@ -169,7 +169,7 @@
 
 	urgent := Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 1, 4)}
 	res = Place(snapshotOf(halfFree(), withReservations, urgent))
-	if len(res.Starts) != 1 || res.Starts[0].Job != 1 {
+	if len(res.Starts) != 1 || res.Starts[0].JobIndex != 1 {
 		t.Fatalf("an urgent gang beside a lower one's reservations: %+v, want its start", res)
 	}
 
@@ -177,7 +177,7 @@
 	bothFree := halfFree()
 	bothFree[1].Free, bothFree[1].StoppingResources = Resources{4, 0, 16}, Resources{}
 	res = Place(snapshotOf(bothFree, withReservations, array))
-	if len(res.Starts) != 2 || res.Starts[0].Job != 0 {
+	if len(res.Starts) != 2 || res.Starts[0].JobIndex != 0 {
 		t.Fatalf("with all its room free: %+v, want its two starts", res)
 	}
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -4,8 +4,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Factors are the weights that operators may set.
-type Factors struct {
+// UtilityFactors are the weights that operators may set.
+type UtilityFactors struct {
 	Preferred           float64 // of the branch over machines that have the image
 	Fallback            float64 // of the branch over any fitting machine
 	WaitDoublingSeconds float64 // after so many seconds of waiting a job's utility per unit has doubled
@@ -52,7 +52,7 @@
 	Machines []Machine
 	Jobs     []Job
 	Teams    map[wire.TeamID]*Team
-	Factors  Factors
+	Factors  UtilityFactors
 	// HeadroomUnits is how many units of headroom are kept for the next replicas; only
 	// services may use them.
 	HeadroomUnits int
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -62,7 +62,7 @@
 }
 
 // jsonSize returns the size of a value as the service counts it.
-func jsonSize(v wire.Raw) int {
+func jsonSize(v wire.RawValue) int {
 	if len(v) == 0 {
 		return 0
 	}
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -38,7 +38,7 @@
 
 // stateEntry is what is stored under a key.
 type stateEntry struct {
-	value    wire.Raw
+	value    wire.RawValue
 	revision wire.Revision
 	grant    wire.GrantID
 }
@@ -115,7 +115,7 @@
 }
 
 // Value returns the value of a key, nil if there is none, for tests.
-func (s *KVStore) Value(key string) wire.Raw {
+func (s *KVStore) Value(key string) wire.RawValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.keys[key]; e != nil {
@@ -391,8 +391,8 @@
 				s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: x.DeleteKey, Revision: s.revision}})
 				continue
 			}
-			s.keys[x.PutKey] = &stateEntry{append(wire.Raw(nil), x.Value...), s.revision, x.Grant}
-			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: x.PutKey, Value: append(wire.Raw(nil), x.Value...), Revision: s.revision}})
+			s.keys[x.PutKey] = &stateEntry{append(wire.RawValue(nil), x.Value...), s.revision, x.Grant}
+			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: x.PutKey, Value: append(wire.RawValue(nil), x.Value...), Revision: s.revision}})
 		}
 		if keep := s.limits.historySize(); len(s.changes) > keep {
 			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].revision
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("first put: got %v, want no error", err)
 		}
 		var conflict *store.ConflictError
-		if _, err := c.Commit(ctx, store.ClassBackground, put); !errors.As(err, &conflict) || !conflict.Has("k") {
+		if _, err := c.Commit(ctx, store.ClassBackground, put); !errors.As(err, &conflict) || !conflict.HasKey("k") {
 			t.Errorf("second put: got %v, want a conflict on k", err)
 		}
 		if _, err := c.Get(ctx, store.ClassBackground, "none"); !errors.Is(err, store.ErrNotFound) {
--- a/internal/store/count_test.go
+++ b/internal/store/count_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 		other := states("other chunk", chunkTasks) // no subchunk is of it
-		entries = append(entries, entry(ChunkKey("req-1", 1), other, 0), wire.Entry{Key: ChunkKey("req-1", 2), Value: wire.Raw{0xff}})
+		entries = append(entries, entry(ChunkKey("req-1", 1), other, 0), wire.Entry{Key: ChunkKey("req-1", 2), Value: wire.RawValue{0xff}})
 		wantDone, wantActive := 0, 0
 		for _, state := range append(effective, other...) {
 			switch state {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -72,5 +72,5 @@
 	return "state: guards failed: " + strings.Join(e.FailedKeys, ",")
 }
 
-// Has reports whether the guard on the key failed.
-func (e *ConflictError) Has(key string) bool { return slices.Contains(e.FailedKeys, key) }
+// HasKey reports whether the guard on the key failed.
+func (e *ConflictError) HasKey(key string) bool { return slices.Contains(e.FailedKeys, key) }
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -126,7 +126,7 @@
 func isError(err, want error) bool {
 	if want == errConflict {
 		var conflict *store.ConflictError
-		return errors.As(err, &conflict) && conflict.Has("lead")
+		return errors.As(err, &conflict) && conflict.HasKey("lead")
 	}
 	return errors.Is(err, want)
 }
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -161,7 +161,7 @@
 
 // put adds a record, unless a newer one of the job is known: a list of several pages may
 // be newer than the revision that the next refresh starts from.
-func (c *JobCache) put(key string, value wire.Raw, revision wire.Revision) {
+func (c *JobCache) put(key string, value wire.RawValue, revision wire.Revision) {
 	id := wire.JobID(strings.TrimPrefix(key, JobPrefix))
 	record, err := DecodeJob(key, value)
 	if err == nil {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -96,21 +96,21 @@
 // is neither rewritten, which would lose what is not understood, nor answered 404.
 var ErrRecordTooNew = errors.New("state: the record is of a later version")
 
-// ErrNotAJob is returned for a record that can be decoded, but is not that of the job
+// ErrRecordMismatch is returned for a record that can be decoded, but is not that of the job
 // under whose key it lies.
-var ErrNotAJob = errors.New("state: not the record of that job")
+var ErrRecordMismatch = errors.New("state: not the record of that job")
 
 // DecodeJob decodes the record of a live job that lies under the key. A record that
 // names another job, or a number of tasks that no job may have, is refused: accepted, it
 // would be written to another key, or take all memory.
-func DecodeJob(key string, value wire.Raw) (JobRecord, error) {
+func DecodeJob(key string, value wire.RawValue) (JobRecord, error) {
 	var record JobRecord
 	if err := wire.Decode(value, &record); err != nil {
 		return JobRecord{}, err
 	}
 	validTasks := record.Spec.Tasks >= 1 && record.Spec.Tasks <= wire.MaxTasks
 	if JobKey(record.Spec.ID) != key || !validTasks {
-		return JobRecord{}, ErrNotAJob
+		return JobRecord{}, ErrRecordMismatch
 	}
 	if record.MinVersion > MaxSupportedVersion {
 		return JobRecord{}, ErrRecordTooNew
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -122,19 +122,19 @@
 }
 
 func TestDecodeJobRefusesWhatIsNoJobOfItsKey(t *testing.T) {
-	record := func(id wire.JobID, tasks int, minVersion uint64) wire.Raw {
+	record := func(id wire.JobID, tasks int, minVersion uint64) wire.RawValue {
 		return wire.Encode(JobRecord{Spec: wire.JobSpec{ID: id, Tasks: tasks}, Status: wire.StatusQueued, MinVersion: minVersion})
 	}
 	cases := []struct {
 		name  string
-		value wire.Raw
+		value wire.RawValue
 		want  error
 	}{
 		{"job", record("req-1", 1, 0), nil},
 		{"most tasks", record("req-1", wire.MaxTasks, MaxSupportedVersion), nil},
-		{"record of another job", record("req-2", 1, 0), ErrNotAJob},
-		{"no tasks", record("req-1", 0, 0), ErrNotAJob},
-		{"too many tasks", record("req-1", wire.MaxTasks+1, 0), ErrNotAJob},
+		{"record of another job", record("req-2", 1, 0), ErrRecordMismatch},
+		{"no tasks", record("req-1", 0, 0), ErrRecordMismatch},
+		{"too many tasks", record("req-1", wire.MaxTasks+1, 0), ErrRecordMismatch},
 		{"record of a later version", record("req-1", 1, MaxSupportedVersion+1), ErrRecordTooNew},
 	}
 	for _, tc := range cases {
@@ -144,7 +144,7 @@
 			}
 		})
 	}
-	if _, err := DecodeJob("job/req-1", wire.Raw{0xff}); err == nil {
+	if _, err := DecodeJob("job/req-1", wire.RawValue{0xff}); err == nil {
 		t.Error("got no error for bytes that are no CBOR")
 	}
 }
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -114,7 +114,7 @@
 		client = c.watches
 	}
 	status, raw, _, err := netio.Call(ctx, client, req.method, c.baseURL+req.path, req.body, maxAnswer)
-	if errors.Is(err, wire.ErrTooLarge) {
+	if errors.Is(err, wire.ErrBodyTooLarge) {
 		return 0, ErrResponseTooLarge
 	}
 	if err != nil {
@@ -133,7 +133,7 @@
 
 // transportFailure returns the cause of a failure for a request that got no answer.
 func transportFailure(err error) error {
-	if wire.NotSent(err) {
+	if wire.IsNotSent(err) {
 		return ErrRefused
 	}
 	return ErrOutcomeUnknown
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -24,9 +24,9 @@
 	return m.OnDemandPrice
 }
 
-// Fits reports whether the job allows machines of this type, and one of its tasks fits an
+// CanRun reports whether the job allows machines of this type, and one of its tasks fits an
 // empty one.
-func (m *MachineSpec) Fits(spec *JobSpec) bool {
+func (m *MachineSpec) CanRun(spec *JobSpec) bool {
 	return m.allowedBy(spec) && m.hasRoomFor(spec)
 }
 
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -15,8 +15,8 @@
 // ContentType is sent with every body.
 const ContentType = "application/cbor"
 
-// ErrTooLarge is returned by ReadBody for a body over the limit.
-var ErrTooLarge = errors.New("body too large")
+// ErrBodyTooLarge is returned by ReadBody for a body over the limit.
+var ErrBodyTooLarge = errors.New("body too large")
 
 // ReadBody reads a whole body of at most limit bytes.
 func ReadBody(r io.Reader, limit int64) ([]byte, error) {
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, ErrTooLarge
+		return nil, ErrBodyTooLarge
 	}
 	return body, nil
 }
@@ -53,10 +53,10 @@
 	WriteResponse(w, status, ErrorBody{Error: reason})
 }
 
-// NotSent reports whether a request failed before anything of it was sent: the
+// IsNotSent reports whether a request failed before anything of it was sent: the
 // connection could not be opened. Such a request is certainly not executed,
 // since an attempt to connect that was given up does not complete later.
-func NotSent(err error) bool {
+func IsNotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -2,13 +2,13 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// Raw is a value of the key-value store, not yet decoded.
-type Raw = cbor.RawMessage
+// RawValue is a value of the key-value store, not yet decoded.
+type RawValue = cbor.RawMessage
 
 // Entry is a key of the key-value store with its value.
 type Entry struct {
 	Key      string   `cbor:"k"`
-	Value    Raw      `cbor:"v"`
+	Value    RawValue `cbor:"v"`
 	Revision Revision `cbor:"stamp"`
 	Grant    GrantID  `cbor:"permit,omitempty"`
 }
@@ -29,10 +29,10 @@
 
 // Write is one change of a transaction: a value is put under a key, or a key deleted.
 type Write struct {
-	PutKey    string  `cbor:"put,omitempty"`
-	Value     Raw     `cbor:"v,omitempty"`
-	Grant     GrantID `cbor:"permit,omitempty"`
-	DeleteKey string  `cbor:"drop,omitempty"`
+	PutKey    string   `cbor:"put,omitempty"`
+	Value     RawValue `cbor:"v,omitempty"`
+	Grant     GrantID  `cbor:"permit,omitempty"`
+	DeleteKey string   `cbor:"drop,omitempty"`
 }
 
 // Txn is a transaction, a compare-and-swap of several keys: where all guards hold, all
@@ -62,7 +62,7 @@
 type WatchEvent struct {
 	PutKey     string   `cbor:"put,omitempty"`
 	DeletedKey string   `cbor:"drop,omitempty"`
-	Value      Raw      `cbor:"v,omitempty"`
+	Value      RawValue `cbor:"v,omitempty"`
 	Revision   Revision `cbor:"stamp"`
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -103,7 +103,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			heartbeat := Heartbeat{Epoch: tc.epoch, Sequence: tc.sequence}
-			if got := heartbeat.Newer(2, 5); got != tc.want {
+			if got := heartbeat.IsNewerThan(2, 5); got != tc.want {
 				t.Errorf("%d/%d newer than 2/5: got %v, want %v", tc.epoch, tc.sequence, got, tc.want)
 			}
 		})
@@ -133,7 +133,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			changed := spec
 			tc.change(&changed)
-			if got := machine.Fits(&changed); got != tc.want {
+			if got := machine.CanRun(&changed); got != tc.want {
 				t.Errorf("%+v on %+v: got %v, want %v", changed, machine, got, tc.want)
 			}
 		})
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -53,9 +53,9 @@
 	Tasks      []TaskStatus `cbor:"parts"`
 }
 
-// Newer reports whether the heartbeat was made after the one with the given epoch and
+// IsNewerThan reports whether the heartbeat was made after the one with the given epoch and
 // sequence number.
-func (h *Heartbeat) Newer(epoch AgentEpoch, sequence Sequence) bool {
+func (h *Heartbeat) IsNewerThan(epoch AgentEpoch, sequence Sequence) bool {
 	return h.Epoch > epoch || h.Epoch == epoch && h.Sequence > sequence
 }
 
--- a/upgrade/deployment_test.go
+++ b/upgrade/deployment_test.go
@@ -84,11 +84,11 @@
 	t.Helper()
 	d.stop(node)
 	member, err := upgrade.NewMember(upgrade.Options{
-		Node:         node,
-		Supports:     supports,
-		Store:        d.client(slices.Index(controllers, node)),
-		PollInterval: time.Second,
-		Observe:      func(e upgrade.Event) { d.recordEvent(node, e) },
+		Node:           node,
+		SupportedRange: supports,
+		Store:          d.client(slices.Index(controllers, node)),
+		PollInterval:   time.Second,
+		Observe:        func(e upgrade.Event) { d.recordEvent(node, e) },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/upgrade/doc.go
+++ b/upgrade/doc.go
@@ -7,7 +7,7 @@
 // moves up by one compare-and-swap transaction, which the holder of a lease makes with
 // [Member.Advance], and only once every configured controller has published support for
 // the next version. Code whose writes depend on the version asks for the active one when
-// it writes: [Member.Active], or [Member.ActiveVersionGuard] where no lease orders the
+// it writes: [Member.ActiveVersion], or [Member.ActiveVersionGuard] where no lease orders the
 // writes.
 //
 // docs/upgrades.md gives the reasons.
@@ -23,9 +23,9 @@
 //
 //   - [ErrActiveUnknown] and [ErrNotPublished] pass by themselves, once the store answers. Ask
 //     again.
-//   - [ErrTooOld] and [ErrTooNew], wrapped in an [UnsupportedVersionError], are final for
+//   - [ErrProgramTooOld] and [ErrProgramTooNew], wrapped in an [UnsupportedVersionError], are final for
 //     this program: another program, or a switch, has to come first.
-//   - [ErrReplaced] is final for this process: another one has its controller's name.
+//   - [ErrProcessReplaced] is final for this process: another one has its controller's name.
 //   - [ErrUndecodable], wrapped in an [UndecodableError], needs a person: the record is
 //     never overwritten.
 //   - [ErrNotReady] says that a controller, or the operators, hold the next version up.
--- a/upgrade/errors.go
+++ b/upgrade/errors.go
@@ -11,13 +11,13 @@
 	ErrActiveUnknown = errors.New("the active version is not known yet")
 	// ErrNotPublished reports that this process has not published what it supports yet.
 	ErrNotPublished = errors.New("the versions of this process are not published yet")
-	// ErrTooOld reports that a later version is active than this program supports.
-	ErrTooOld = errors.New("this program is too old for the active version")
-	// ErrTooNew reports that an earlier version is active than this program supports.
-	ErrTooNew = errors.New("this program is too new for the active version")
-	// ErrReplaced reports that another process has published under this controller's name
+	// ErrProgramTooOld reports that a later version is active than this program supports.
+	ErrProgramTooOld = errors.New("this program is too old for the active version")
+	// ErrProgramTooNew reports that an earlier version is active than this program supports.
+	ErrProgramTooNew = errors.New("this program is too new for the active version")
+	// ErrProcessReplaced reports that another process has published under this controller's name
 	// since.
-	ErrReplaced = errors.New("another process serves under this controller's name")
+	ErrProcessReplaced = errors.New("another process serves under this controller's name")
 	// ErrUndecodable reports that a record of versions can't be decoded.
 	ErrUndecodable = errors.New("undecodable record of versions")
 )
@@ -26,7 +26,7 @@
 var ErrNotReady = errors.New("not every controller supports the next version")
 
 // UnsupportedVersionError reports that a program does not support the active version. It
-// meets ErrTooOld or ErrTooNew. Retrying is of no use to the same program.
+// meets ErrProgramTooOld or ErrProgramTooNew. Retrying is of no use to the same program.
 type UnsupportedVersionError struct {
 	Active    Version
 	Supported Range
@@ -37,12 +37,12 @@
 	return fmt.Sprintf("%v: version %d is active, supported are %v", e.Unwrap(), e.Active, e.Supported)
 }
 
-// Unwrap returns ErrTooOld or ErrTooNew.
+// Unwrap returns ErrProgramTooOld or ErrProgramTooNew.
 func (e *UnsupportedVersionError) Unwrap() error {
 	if e.Active > e.Supported.Max {
-		return ErrTooOld
+		return ErrProgramTooOld
 	}
-	return ErrTooNew
+	return ErrProgramTooNew
 }
 
 // UndecodableError reports a record of versions that can't be decoded. It meets
--- a/upgrade/example_test.go
+++ b/upgrade/example_test.go
@@ -36,9 +36,9 @@
 	defer cancel()
 
 	member, err := upgrade.NewMember(upgrade.Options{
-		Node:     "controller-1",
-		Supports: upgrade.Range{Min: 1, Max: 2},
-		Store:    client,
+		Node:           "controller-1",
+		SupportedRange: upgrade.Range{Min: 1, Max: 2},
+		Store:          client,
 	})
 	if err != nil {
 		return // the range is invalid
@@ -50,7 +50,7 @@
 	for member.CheckServe() != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
-	fmt.Println("serves under version", member.Active())
+	fmt.Println("serves under version", member.ActiveVersion())
 
 	lease := duty.NewCandidate(duty.Options{
 		Key:    "lease/leader",
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -16,17 +16,17 @@
 
 // Options configure a member. Node, Supports and Store are required.
 type Options struct {
-	Node     duty.NodeID
-	Supports Range
-	Store    Store
-	Clock    duty.Clock   // nil: the machine's own
-	Log      *slog.Logger // nil: none
+	Node           duty.NodeID
+	SupportedRange Range
+	Store          Store
+	Clock          duty.Clock   // nil: the machine's own
+	Log            *slog.Logger // nil: none
 	// PollInterval is how often the records are read; 0: every 5 s.
 	PollInterval time.Duration
 	// Observe, if set, receives the member's events; it must not block.
 	Observe func(Event)
-	// Undecodable, if set, receives the key of each record that can't be decoded.
-	Undecodable func(key string, err error)
+	// OnUndecodable, if set, receives the key of each record that can't be decoded.
+	OnUndecodable func(key string, err error)
 }
 
 // Member is one process of a controller. It publishes what it supports before it may
@@ -53,7 +53,7 @@
 // NewMember returns the member of a process, under an incarnation of its own. It fails if
 // the supported range is invalid.
 func NewMember(o Options) (*Member, error) {
-	if err := o.Supports.Validate(); err != nil {
+	if err := o.SupportedRange.Validate(); err != nil {
 		return nil, err
 	}
 	o.Clock = cmp.Or[duty.Clock](o.Clock, duty.SystemClock{})
@@ -67,9 +67,9 @@
 // Incarnation distinguishes this process from others of its controller.
 func (m *Member) Incarnation() string { return m.incarnation }
 
-// Active returns the active version that this process knows of, from the records or from
+// ActiveVersion returns the active version that this process knows of, from the records or from
 // another controller; 0 if it knows none.
-func (m *Member) Active() Version {
+func (m *Member) ActiveVersion() Version {
 	return max(m.state.Load().active, Version(m.reportedActive.Load()))
 }
 
@@ -87,15 +87,15 @@
 // CheckSupport returns why this process must not even acknowledge others; nil once it
 // knows the active version and supports it.
 func (m *Member) CheckSupport() error {
-	active := m.Active()
+	active := m.ActiveVersion()
 	refusal := m.state.Load().refusal
 	if active == 0 {
 		return refusal
 	}
-	if err := m.Supports.check(active); err != nil {
+	if err := m.SupportedRange.check(active); err != nil {
 		return err
 	}
-	if errors.Is(refusal, ErrReplaced) || errors.Is(refusal, ErrUndecodable) {
+	if errors.Is(refusal, ErrProcessReplaced) || errors.Is(refusal, ErrUndecodable) {
 		return refusal
 	}
 	return nil
@@ -132,7 +132,7 @@
 
 // notifyUndecodable passes the key of an undecodable record on, if anybody asked for it.
 func (m *Member) notifyUndecodable(key string, err error) {
-	if m.Undecodable != nil {
-		m.Undecodable(key, err)
+	if m.OnUndecodable != nil {
+		m.OnUndecodable(key, err)
 	}
 }
--- a/upgrade/member_test.go
+++ b/upgrade/member_test.go
@@ -30,10 +30,10 @@
 		}
 		p.ObserveActive(2)
 		p.ObserveActive(1)
-		if err := p.CheckSupport(); !errors.Is(err, upgrade.ErrTooOld) {
-			t.Errorf("versions 2, then 1 reported: got %v, want %v", err, upgrade.ErrTooOld)
+		if err := p.CheckSupport(); !errors.Is(err, upgrade.ErrProgramTooOld) {
+			t.Errorf("versions 2, then 1 reported: got %v, want %v", err, upgrade.ErrProgramTooOld)
 		}
-		if got := p.Active(); got != 2 {
+		if got := p.ActiveVersion(); got != 2 {
 			t.Errorf("versions 2, then 1 reported: active: got %d, want 2", got)
 		}
 	})
@@ -52,7 +52,7 @@
 			name, key string
 			got       error
 		}{
-			{"status", upgrade.Prefix, statusErr},
+			{"status", upgrade.KeyPrefix, statusErr},
 			{"active version", upgrade.ActiveKey, activeErr},
 		} {
 			if !errors.Is(c.got, duty.ErrRefused) || !strings.Contains(c.got.Error(), c.key) {
@@ -95,13 +95,13 @@
 		}
 		d.store.Put(upgrade.SupportKey("a"), upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "another"})
 		awaitPolls()
-		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrReplaced) {
-			t.Errorf("replaced: got %v, want %v", err, upgrade.ErrReplaced)
+		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrProcessReplaced) {
+			t.Errorf("replaced: got %v, want %v", err, upgrade.ErrProcessReplaced)
 		}
 		d.store.Delete(upgrade.SupportKey("a"))
 		awaitPolls()
-		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrReplaced) {
-			t.Errorf("replaced, then the record removed: got %v, want %v", err, upgrade.ErrReplaced)
+		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrProcessReplaced) {
+			t.Errorf("replaced, then the record removed: got %v, want %v", err, upgrade.ErrProcessReplaced)
 		}
 	})
 }
--- a/upgrade/publish.go
+++ b/upgrade/publish.go
@@ -94,12 +94,12 @@
 	case r.isUndecodable(ownKey):
 		// Damage, and not another process: that one would have refused to serve.
 		return nil
-	case !m.Supports.Contains(r.active.Version):
-		return m.Supports.check(r.active.Version)
+	case !m.SupportedRange.Contains(r.active.Version):
+		return m.SupportedRange.check(r.active.Version)
 	case published && own.Incarnation != m.incarnation:
-		return ErrReplaced
-	case errors.Is(m.state.Load().refusal, ErrReplaced):
-		return ErrReplaced
+		return ErrProcessReplaced
+	case errors.Is(m.state.Load().refusal, ErrProcessReplaced):
+		return ErrProcessReplaced
 	}
 	return nil
 }
@@ -110,8 +110,8 @@
 func (m *Member) publish(ctx context.Context, r *records) bool {
 	ownKey := SupportKey(m.Node)
 	record := SupportRecord{
-		Min:         m.Supports.Min,
-		Max:         m.Supports.Max,
+		Min:         m.SupportedRange.Min,
+		Max:         m.SupportedRange.Max,
 		Incarnation: m.incarnation,
 		At:          wire.TimestampOf(m.Clock.Now()),
 	}
@@ -126,8 +126,8 @@
 	if err != nil && !m.hasPublished(ctx) {
 		return false
 	}
-	m.Log.Info("versions published", "supported", m.Supports, "active", r.active.Version)
-	m.emit(Event{Kind: VersionsPublished, Version: m.Supports.Max})
+	m.Log.Info("versions published", "supported", m.SupportedRange, "active", r.active.Version)
+	m.emit(Event{Kind: VersionsPublished, Version: m.SupportedRange.Max})
 	return true
 }
 
@@ -146,6 +146,6 @@
 		return
 	}
 	m.loggedRefusalAt = active
-	m.Log.Error("serving refused", "reason", reason, "active", active, "supported", m.Supports)
+	m.Log.Error("serving refused", "reason", reason, "active", active, "supported", m.SupportedRange)
 	m.emit(Event{Kind: VersionRefused, Version: active, Reason: reason.Error()})
 }
--- a/upgrade/records.go
+++ b/upgrade/records.go
@@ -14,9 +14,9 @@
 
 // Keys of the records.
 const (
-	Prefix        = "version/"
-	ActiveKey     = Prefix + "active"
-	supportPrefix = Prefix + "support/"
+	KeyPrefix     = "version/"
+	ActiveKey     = KeyPrefix + "active"
+	supportPrefix = KeyPrefix + "support/"
 )
 
 // SupportKey returns the key under which a controller publishes what it supports.
@@ -65,9 +65,9 @@
 
 // readRecords reads all records.
 func readRecords(ctx context.Context, s Store, class duty.RequestClass) (records, error) {
-	entries, _, err := s.List(ctx, class, Prefix)
+	entries, _, err := s.List(ctx, class, KeyPrefix)
 	if err != nil {
-		return records{}, fmt.Errorf("read the records under %q: %w", Prefix, err)
+		return records{}, fmt.Errorf("read the records under %q: %w", KeyPrefix, err)
 	}
 	r := records{active: ActiveRecord{Version: BaseVersion}, supports: map[duty.NodeID]publishedSupport{}}
 	for _, e := range entries {
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -78,7 +78,7 @@
 func (m *Member) status(r *records, d Deployment) Status {
 	s := Status{
 		Active:     r.active.Version,
-		Next:       max(r.active.Version, m.Supports.Max),
+		Next:       max(r.active.Version, m.SupportedRange.Max),
 		MaxVersion: d.MaxVersion,
 	}
 	if d.MaxVersion > 0 && s.Next > d.MaxVersion {
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -58,7 +58,7 @@
 		// Damaged since this process knew it. To act by an earlier version than the active
 		// one harms nothing: whoever supports the later one reads it.
 		m.notifyUndecodable(ActiveKey, err)
-		return m.Active(), nil
+		return m.ActiveVersion(), nil
 	}
 	if err != nil {
 		return 0, err
--- a/upgrade/switch_test.go
+++ b/upgrade/switch_test.go
@@ -62,7 +62,7 @@
 		time.Sleep(100 * time.Millisecond)
 		old := d.start(t, "c", oldProgram)
 		var conflict *duty.ConflictError
-		if err := <-switched; !errors.As(err, &conflict) || !conflict.Has(upgrade.SupportKey("c")) {
+		if err := <-switched; !errors.As(err, &conflict) || !conflict.HasKey(upgrade.SupportKey("c")) {
 			t.Errorf("switch: got %v, want a conflict at %s", err, upgrade.SupportKey("c"))
 		}
 		if got := d.active(); got != 1 {
@@ -96,8 +96,8 @@
 				t.Fatal("an old process serves that the switch has overtaken")
 			}
 		}
-		if err := old.CheckServe(); !errors.Is(err, upgrade.ErrTooOld) {
-			t.Errorf("the old process: got %v, want %v", err, upgrade.ErrTooOld)
+		if err := old.CheckServe(); !errors.Is(err, upgrade.ErrProgramTooOld) {
+			t.Errorf("the old process: got %v, want %v", err, upgrade.ErrProgramTooOld)
 		}
 		d.checkEvent(t, "a version switched 2")
 		d.checkEvent(t, "b version refused 2")
@@ -126,8 +126,8 @@
 		awaitPolls()
 		err := tooNew.CheckServe()
 		var unsupported *upgrade.UnsupportedVersionError
-		if !errors.Is(err, upgrade.ErrTooNew) || !errors.As(err, &unsupported) || unsupported.Active != 2 {
-			t.Errorf("too new: got %v, want %v at version 2", err, upgrade.ErrTooNew)
+		if !errors.Is(err, upgrade.ErrProgramTooNew) || !errors.As(err, &unsupported) || unsupported.Active != 2 {
+			t.Errorf("too new: got %v, want %v at version 2", err, upgrade.ErrProgramTooNew)
 		}
 	})
 }
@@ -163,8 +163,8 @@
 		d.start(t, node, oldProgram)
 	}
 	d.store.InjectTxnFaults(seed,
-		simulator.TxnFault{Prefix: upgrade.Prefix, Share: 0.15},
-		simulator.TxnFault{Prefix: upgrade.Prefix, Share: 0.15, Late: [2]time.Duration{100 * time.Millisecond, 4 * time.Second}})
+		simulator.TxnFault{Prefix: upgrade.KeyPrefix, Share: 0.15},
+		simulator.TxnFault{Prefix: upgrade.KeyPrefix, Share: 0.15, Late: [2]time.Duration{100 * time.Millisecond, 4 * time.Second}})
 	last := upgrade.BaseVersion
 	for step := range 400 {
 		time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
@@ -197,8 +197,8 @@
 func (d *deployment) checkServingProcesses(t *testing.T, seed uint64, step int, active upgrade.Version) {
 	t.Helper()
 	for node, p := range d.running() {
-		if p.CheckServe() == nil && !p.Supports.Contains(active) {
-			t.Fatalf("seed %d, step %d: %s serves and supports %v, want one that supports %d", seed, step, node, p.Supports, active)
+		if p.CheckServe() == nil && !p.SupportedRange.Contains(active) {
+			t.Fatalf("seed %d, step %d: %s serves and supports %v, want one that supports %d", seed, step, node, p.SupportedRange, active)
 		}
 	}
 }
--- a/upgrade/version_test.go
+++ b/upgrade/version_test.go
@@ -15,7 +15,7 @@
 		{"downwards", upgrade.Range{Min: 2, Max: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := upgrade.NewMember(upgrade.Options{Supports: c.supports}); err == nil {
+			if _, err := upgrade.NewMember(upgrade.Options{SupportedRange: c.supports}); err == nil {
 				t.Errorf("%v: got nil, want an error", c.supports)
 			}
 		})
--- a/versions.go
+++ b/versions.go
@@ -54,7 +54,7 @@
 		return
 	}
 	status.Incarnation = g.member.Incarnation()
-	status.ActiveVersion = uint64(g.member.Active())
+	status.ActiveVersion = uint64(g.member.ActiveVersion())
 	status.RefusesAcks = g.member.CheckSupport() != nil
 }
 
