--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -14,7 +14,7 @@
 // defaultPollInterval is how often a process reads the records.
 const defaultPollInterval = 5 * time.Second
 
-// Options configure a member. Node, Supports and Store are required.
+// Options configure a member. Node, SupportedRange and Store are required.
 type Options struct {
 	Node           duty.NodeID
 	SupportedRange Range
