--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -67,7 +67,7 @@
 		sim.store.DelayTransactions(func(*wire.Txn) time.Duration { return 700 * time.Millisecond })
 		late := make(chan error, 1)
 		go func() {
-			_, err := permit.Commit(t.Context(), store.Critical, putFact)
+			_, err := permit.Commit(t.Context(), store.ClassCritical, putFact)
 			late <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
@@ -75,7 +75,7 @@
 		first.Resign(t.Context(), time.Now())
 		second := acquire(t, candidate)
 		var conflict *duty.ConflictError
-		if err := <-late; !errors.As(err, &conflict) || !conflict.Has(store.LeaderKey) {
+		if err := <-late; !errors.As(err, &conflict) || !conflict.HasKey(store.LeaderKey) {
 			t.Errorf("sent under token %d with %d in force: got %v, want a conflict at %s", first.Token(), second.Token(), err, store.LeaderKey)
 		}
 		if first.Held() || !second.Held() {
--- a/duty/permit.go
+++ b/duty/permit.go
@@ -26,7 +26,7 @@
 		return ErrNoPermit
 	}
 	if !p.lease.Held() {
-		p.lease.emit(Refused, p.Name(), ErrNotHeld.Error())
+		p.lease.emit(ActRefused, p.Name(), ErrNotHeld.Error())
 		return p.lease.failure(ErrNotHeld)
 	}
 	return nil
@@ -50,7 +50,7 @@
 	if err := act(ctx); err != nil {
 		return err
 	}
-	p.lease.emit(Accepted, p.Name(), "")
+	p.lease.emit(ActAccepted, p.Name(), "")
 	return nil
 }
 
@@ -65,8 +65,8 @@
 	txn.Guards = append([]Guard{guard}, txn.Guards...)
 	revision, err := candidate.Store.Commit(ctx, class, txn)
 	var conflict *ConflictError
-	if errors.As(err, &conflict) && conflict.Has(candidate.Key) {
-		p.lease.emit(Refused, p.Name(), "by the state service")
+	if errors.As(err, &conflict) && conflict.HasKey(candidate.Key) {
+		p.lease.emit(ActRefused, p.Name(), "by the state service")
 	}
 	return revision, err
 }
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -49,7 +49,7 @@
 	if types == nil {
 		return errMachineTypesUnknown
 	}
-	fits := func(machineType wire.MachineSpec) bool { return machineType.Fits(spec) }
+	fits := func(machineType wire.MachineSpec) bool { return machineType.CanRun(spec) }
 	if !slices.ContainsFunc(types, fits) {
 		return errFitsNoMachine
 	}
@@ -78,10 +78,10 @@
 	now := wire.TimestampOf(time.Now())
 	return &store.JobRecord{
 		Spec:          *spec,
-		Status:        wire.Cancelled,
+		Status:        wire.StatusCancelled,
 		AcceptedAt:    now,
 		CancelledAt:   now,
-		TasksPerChunk: store.MaxChunkTasks,
+		TasksPerChunk: store.MaxTasksPerChunk,
 	}
 }
 
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -63,9 +63,9 @@
 // refused by a machine, or by the store for its size.
 type JobFailures struct {
 	// FailedMachines are those on which a task of the job failed since the last success.
-	FailedMachines map[wire.MachineID]bool
-	Failures       int  // since the last success
-	Succeeded      bool // a task of it has completed in this term
+	FailedMachines   map[wire.MachineID]bool
+	TaskFailures     int  // since the last success
+	AnyTaskSucceeded bool // a task of it has completed in this term
 	// StartNotBefore: no task of it is started before.
 	StartNotBefore time.Time
 }
@@ -96,13 +96,13 @@
 // FinalStatus returns the status with which a finished job is archived.
 func (j *Job) FinalStatus() wire.Status {
 	if j.Cancelled {
-		return wire.Cancelled
+		return wire.StatusCancelled
 	}
-	return wire.Done
+	return wire.StatusDone
 }
 
-// Pending returns how many tasks are neither done nor have an attempt.
-func (j *Job) Pending() int { return j.Spec.Tasks - j.DoneTasks - j.ActiveTasks }
+// PendingTasks returns how many tasks are neither done nor have an attempt.
+func (j *Job) PendingTasks() int { return j.Spec.Tasks - j.DoneTasks - j.ActiveTasks }
 
 // Attempts returns the attempts that may be on machines.
 func (j *Job) Attempts() []*Attempt {
@@ -147,7 +147,7 @@
 // SinceLastStart returns for how long no task of the job has been started, as far as this
 // term knows.
 func (s *State) SinceLastStart(j *Job, now time.Time) time.Duration {
-	return now.Sub(Latest(Latest(j.AcceptedAt, j.LastStartAt), s.TermStartedAt))
+	return now.Sub(LaterOf(LaterOf(j.AcceptedAt, j.LastStartAt), s.TermStartedAt))
 }
 
 // StartOverdue reports whether a job other than a service has waited so long without a
@@ -164,5 +164,5 @@
 		return false
 	}
 	begun := j.DoneTasks > 0
-	return !begun || now.Sub(Latest(j.lastActiveAt, s.TermStartedAt)) > startWithin/2
+	return !begun || now.Sub(LaterOf(j.lastActiveAt, s.TermStartedAt)) > startWithin/2
 }
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -22,10 +22,10 @@
 
 	// Tasks are the attempts that may be on the machine, kept by Chunk.Add and
 	// Attempt.Detach; usedResources is what they take.
-	Tasks         map[wire.Task]*Attempt
+	Tasks         map[wire.TaskID]*Attempt
 	usedResources placement.Resources
 	// OrphanTasks are tasks in its last heartbeat that this term has no such attempt of.
-	OrphanTasks map[wire.Task]bool
+	OrphanTasks map[wire.TaskID]bool
 	Images      ImageCache
 	// Reservations are the scheduler's.
 	Reservations []Reservation
@@ -95,11 +95,11 @@
 // MachineFailures is what tells a faulty or slow machine from a job that fails by itself.
 // Reconciliation writes it as tasks exit.
 type MachineFailures struct {
-	FailedJobs map[wire.JobID]bool // jobs that failed on it since the last success
-	Failures   int                 // of tasks since the last success
-	SlowRuns   slowRunCounts
-	// RefusedUntil: it refused a start, and gets no further one until then.
-	RefusedUntil time.Time
+	FailedJobs   map[wire.JobID]bool // jobs that failed on it since the last success
+	TaskFailures int                 // of tasks since the last success
+	SlowRuns     slowRunCounts
+	// StartNotBefore: it refused a start, and gets no further one until then.
+	StartNotBefore time.Time
 }
 
 // GetOrAddMachine returns the entry of a machine, which is made if there is none.
@@ -115,8 +115,8 @@
 func newMachine(id wire.MachineID, now time.Time) *Machine {
 	return &Machine{
 		ID:              id,
-		Tasks:           map[wire.Task]*Attempt{},
-		OrphanTasks:     map[wire.Task]bool{},
+		Tasks:           map[wire.TaskID]*Attempt{},
+		OrphanTasks:     map[wire.TaskID]bool{},
 		LastUsedAt:      now,
 		Provisioning:    Provisioning{RequestedAt: now, ListedAt: now},
 		MachineFailures: MachineFailures{FailedJobs: map[wire.JobID]bool{}},
--- a/internal/leader/progress/committer.go
+++ b/internal/leader/progress/committer.go
@@ -55,9 +55,9 @@
 		co.onCommitted(e.batch, e.revision)
 	case errors.As(e.err, &conflict):
 		co.onConflict(e.batch, conflict)
-	case errors.Is(e.err, store.ErrUnknown):
+	case errors.Is(e.err, store.ErrOutcomeUnknown):
 		co.onOutcomeUnknown(e.batch)
-	case errors.Is(e.err, store.ErrInvalid):
+	case errors.Is(e.err, store.ErrInvalidRequest):
 		co.onRejected(e.batch, time.Now())
 	default:
 		co.revert(e.batch)
@@ -89,20 +89,20 @@
 // onConflict handles a transaction of which guards failed. It ends the term if another
 // process has written what only the leader writes.
 func (co *Committer) onConflict(b *batch, conflict *store.ConflictError) {
-	if conflict.Has(store.LeaderKey) {
+	if conflict.HasKey(store.LeaderKey) {
 		co.End(election.ErrHeldByOther.Error())
 		return
 	}
-	deleted := func(orphan wire.Guard) bool { return conflict.Has(orphan.Key) }
+	deleted := func(orphan wire.Guard) bool { return conflict.HasKey(orphan.Key) }
 	b.orphans = slices.DeleteFunc(b.orphans, deleted)
 	co.revert(b)
 	for _, j := range co.State.Jobs {
-		if conflict.Has(store.JobKey(j.Spec.ID)) {
+		if conflict.HasKey(store.JobKey(j.Spec.ID)) {
 			co.Reread(j)
 		}
 	}
 	for _, c := range b.chunks {
-		if conflict.Has(c.Key()) {
+		if conflict.HasKey(c.Key()) {
 			co.End("a chunk was written by another process: " + c.Key())
 		}
 	}
@@ -156,7 +156,7 @@
 	j.RecordOutdated = true
 	id := j.Spec.ID
 	co.Spawn(func(ctx context.Context) {
-		entry, err := co.Store.Get(ctx, store.Critical, store.JobKey(id))
+		entry, err := co.Store.Get(ctx, store.ClassCritical, store.JobKey(id))
 		co.Post(JobRecordReread{j, entry, err})
 	})
 }
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -18,12 +18,12 @@
 		return Reply{Rejected: err}
 	}
 	machine := rc.state.GetOrAddMachine(heartbeat.Machine)
-	if !rc.state.Recovered {
+	if !rc.state.RecordsRead {
 		rc.keepEarlyHeartbeat(heartbeat)
 		machine.LastMessageAt, machine.LastReplyAt = now, now
 		return Reply{Commands: rc.cancelledStops(heartbeat)}
 	}
-	if !heartbeat.Newer(machine.Epoch, machine.Sequence) {
+	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) {
 		return rc.onStaleHeartbeat(machine, heartbeat, now)
 	}
 	if rc.recordHeartbeatPath(machine, relayed, now) {
@@ -76,7 +76,7 @@
 // keepEarlyHeartbeat keeps the newest heartbeat of a machine until the records are read.
 func (rc *Reconciler) keepEarlyHeartbeat(heartbeat *wire.Heartbeat) {
 	earlier, ok := rc.EarlyHeartbeats[heartbeat.Machine]
-	if !ok || heartbeat.Newer(earlier.Epoch, earlier.Sequence) {
+	if !ok || heartbeat.IsNewerThan(earlier.Epoch, earlier.Sequence) {
 		rc.EarlyHeartbeats[heartbeat.Machine] = *heartbeat
 	}
 }
@@ -166,9 +166,9 @@
 }
 
 // lists reports whether a heartbeat contains an attempt of a task.
-func lists(heartbeat *wire.Heartbeat, task wire.Task, number wire.Attempt) bool {
+func lists(heartbeat *wire.Heartbeat, task wire.TaskID, number wire.AttemptNumber) bool {
 	name := task.String()
-	return slices.ContainsFunc(heartbeat.Tasks, func(state wire.TaskState) bool {
+	return slices.ContainsFunc(heartbeat.Tasks, func(state wire.TaskStatus) bool {
 		return state.Task == name && state.Attempt == number
 	})
 }
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -11,7 +11,7 @@
 // has the same form; sentByAgent distinguishes the two. It reports whether the heartbeat
 // was newer than what was known.
 func (rc *Reconciler) Reconcile(machine *cluster.Machine, heartbeat *wire.Heartbeat, sentByAgent bool, now time.Time) bool {
-	if !heartbeat.Newer(machine.Epoch, machine.Sequence) || machine.Restarted {
+	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) || machine.Restarted {
 		return false
 	}
 	rc.state.ZoneDetector.RecordMessage(heartbeat.Zone, sentByAgent, now)
@@ -23,7 +23,7 @@
 	rc.updateMachine(machine, heartbeat, now)
 	recordHeartbeatGap(machine, sentByAgent, now)
 	rc.updateSpotNotice(machine, heartbeat, now)
-	listed := make(map[wire.Task]bool, len(heartbeat.Tasks)) // made here, it stays off the heap
+	listed := make(map[wire.TaskID]bool, len(heartbeat.Tasks)) // made here, it stays off the heap
 	rc.reconcileTasks(machine, heartbeat, listed, now)
 	for task, attempt := range machine.Tasks {
 		if listed[task] || attempt.Unstored {
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -82,7 +82,7 @@
 // BeginCycle starts tasks, reserves resources for waiting jobs and names the tasks to be
 // preempted for them. It returns nil if no job waits.
 func (s *Scheduler) BeginCycle(now time.Time) *Cycle {
-	s.state.Cycle.Begin(now)
+	s.state.CycleTimer.Begin(now)
 	waiting := s.schedulableJobs(now)
 	if len(waiting) == 0 {
 		return nil
@@ -104,7 +104,7 @@
 	if c.reserved {
 		s.extendGangReservations()
 	}
-	s.state.Cycle.LastDuration = time.Since(c.startedAt)
+	s.state.CycleTimer.LastDuration = time.Since(c.startedAt)
 }
 
 // schedulableJobs returns the jobs with tasks that can be placed now, in no order.
@@ -122,7 +122,7 @@
 func (s *Scheduler) startTasks(starts []placement.Start, snapshot *cycleSnapshot, now time.Time) {
 	gangs := map[*cluster.Job][]*cluster.Machine{}
 	for _, start := range starts {
-		job, machine := snapshot.jobs[start.Job], snapshot.machines[start.Machine]
+		job, machine := snapshot.jobs[start.JobIndex], snapshot.machines[start.MachineIndex]
 		if job.Spec.IsGang() {
 			gangs[job] = append(gangs[job], machine)
 		} else {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -4,16 +4,16 @@
 
 // MachineSpec is a machine type as the cloud offers it.
 type MachineSpec struct {
-	Name          MachineType `cbor:"name"`
-	CPUs          float64     `cbor:"cpus"`
-	GPUs          float64     `cbor:"cards"`
-	MemoryGB      float64     `cbor:"ramGb"`
-	DiskGB        float64     `cbor:"localGb"`
-	FetchGBPerS   float64     `cbor:"pullGbPerS"`
-	OnDemandPrice float64     `cbor:"rate"`
-	SpotPrice     float64     `cbor:"lowPrice"`
-	BootTime      Seconds     `cbor:"readyS"`
-	Zones         []Zone      `cbor:"sites"`
+	Name             MachineType `cbor:"name"`
+	CPUs             float64     `cbor:"cpus"`
+	GPUs             float64     `cbor:"cards"`
+	MemoryGB         float64     `cbor:"ramGb"`
+	DiskGB           float64     `cbor:"localGb"`
+	FetchGBPerSecond float64     `cbor:"pullGbPerS"`
+	OnDemandPrice    float64     `cbor:"rate"`
+	SpotPrice        float64     `cbor:"lowPrice"`
+	BootTime         Seconds     `cbor:"readyS"`
+	Zones            []Zone      `cbor:"sites"`
 }
 
 // Price returns the price per hour of a spot or an on-demand machine.
@@ -24,9 +24,9 @@
 	return m.OnDemandPrice
 }
 
-// Fits reports whether the job allows machines of this type, and one of its tasks fits an
+// CanRun reports whether the job allows machines of this type, and one of its tasks fits an
 // empty one.
-func (m *MachineSpec) Fits(spec *JobSpec) bool {
+func (m *MachineSpec) CanRun(spec *JobSpec) bool {
 	return m.allowedBy(spec) && m.hasRoomFor(spec)
 }
 
--- a/upgrade/deployment_test.go
+++ b/upgrade/deployment_test.go
@@ -84,11 +84,11 @@
 	t.Helper()
 	d.stop(node)
 	member, err := upgrade.NewMember(upgrade.Options{
-		Node:         node,
-		Supports:     supports,
-		Store:        d.client(slices.Index(controllers, node)),
-		PollInterval: time.Second,
-		Observe:      func(e upgrade.Event) { d.recordEvent(node, e) },
+		Node:           node,
+		SupportedRange: supports,
+		Store:          d.client(slices.Index(controllers, node)),
+		PollInterval:   time.Second,
+		Observe:        func(e upgrade.Event) { d.recordEvent(node, e) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -219,13 +219,13 @@
 	if raw := d.store.Value(upgrade.ActiveKey); len(raw) > 0 && wire.Decode(raw, &record) == nil {
 		return record.Version
 	}
-	return upgrade.Base
+	return upgrade.BaseVersion
 }
 
 // delayWritesOf delays every transaction that writes a key by a second.
 func (d *deployment) delayWritesOf(key string) {
 	d.store.DelayTransactions(func(txn *wire.Txn) time.Duration {
-		if txn.Writes[0].Put == key {
+		if txn.Writes[0].PutKey == key {
 			return time.Second
 		}
 		return 0
--- a/upgrade/example_test.go
+++ b/upgrade/example_test.go
@@ -36,9 +36,9 @@
 	defer cancel()
 
 	member, err := upgrade.NewMember(upgrade.Options{
-		Node:     "controller-1",
-		Supports: upgrade.Range{Min: 1, Max: 2},
-		Store:    client,
+		Node:           "controller-1",
+		SupportedRange: upgrade.Range{Min: 1, Max: 2},
+		Store:          client,
 	})
 	if err != nil {
 		return // the range is invalid
@@ -50,7 +50,7 @@
 	for member.CheckServe() != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
-	fmt.Println("serves under version", member.Active())
+	fmt.Println("serves under version", member.ActiveVersion())
 
 	lease := duty.NewCandidate(duty.Options{
 		Key:    "lease/leader",
@@ -78,9 +78,9 @@
 	// A writer that holds no lease adds the guard to its transaction, which fails once
 	// another version is active.
 	guard, version := member.ActiveVersionGuard()
-	_, err = client.Commit(ctx, store.User, duty.Txn{
+	_, err = client.Commit(ctx, store.ClassUser, duty.Txn{
 		Guards: []duty.Guard{guard},
-		Writes: []duty.Write{{Put: "fact/example", Value: wire.Encode(version)}},
+		Writes: []duty.Write{{PutKey: "fact/example", Value: wire.Encode(version)}},
 	})
 	fmt.Println("written by version", version, "with error", err)
 	cancel()
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -66,7 +66,7 @@
 // ReadStatus reads how far the upgrade is. It fails if the store can't be read, which may be
 // retried, or if the active version can't be decoded.
 func (m *Member) ReadStatus(ctx context.Context, d Deployment) (Status, error) {
-	r, err := readDecidableRecords(ctx, m.Store, store.User)
+	r, err := readDecidableRecords(ctx, m.Store, store.ClassUser)
 	if err != nil {
 		return Status{}, err
 	}
@@ -78,7 +78,7 @@
 func (m *Member) status(r *records, d Deployment) Status {
 	s := Status{
 		Active:     r.active.Version,
-		Next:       max(r.active.Version, m.Supports.Max),
+		Next:       max(r.active.Version, m.SupportedRange.Max),
 		MaxVersion: d.MaxVersion,
 	}
 	if d.MaxVersion > 0 && s.Next > d.MaxVersion {
