--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -7,45 +7,48 @@
 	"lilaclead/internal/wire"
 )
 
-// Attempt is one start of a task that may be on its machine, or may still get there.
+// Attempt is one start of a task on a machine. It is active while the task may be on the
+// machine or a launch may still get there.
 type Attempt struct {
 	Job         *Job
 	Chunk       *Chunk
-	Index       int // of the task in its chunk
+	Index       int // of the task within its chunk
 	Number      wire.AttemptNumber
 	Machine     *Machine
 	ScheduledAt time.Time // when the scheduler decided on it, or the term inherited it
 
 	// Unstored: the attempt is not yet in its chunk's stored record, and its launch must
-	// not be sent. The scheduler sets it; the committer clears it, and EndAttempt.
+	// not be sent. The scheduler sets it; the committer and EndAttempt clear it.
 	Unstored bool
 	// Inherited: an earlier leader stored the attempt and may have sent its launch. The
-	// reader of progress records sets it; it is cleared when the launch is to be sent
-	// again.
+	// reader of progress records sets it. It is cleared when this term is to send the
+	// launch again.
 	Inherited bool
 
-	// What the heartbeats of this term have shown of it. Reconciliation writes it.
-	SeenInHeartbeat bool           // it was in a heartbeat
-	Phase           wire.TaskPhase // in the last one
+	// The next four fields are what heartbeats of this term have shown of the attempt.
+	// Reconciliation writes them.
+	SeenInHeartbeat bool           // a heartbeat has listed it
+	Phase           wire.TaskPhase // in the last heartbeat that listed it
 	RunningSince    time.Time      // when it was first seen running
 	ImageReadyAt    time.Time      // when it was first seen past the fetch of its image
 
-	// LaunchSent: a launch of this term was sent, the last one to LaunchEpoch of the agent.
+	// LaunchSent: this term has sent a launch. LaunchEpoch is the epoch of the agent that
+	// the last one was sent to.
 	LaunchSent  bool
 	LaunchEpoch wire.AgentEpoch
 	LaunchDelivery
 	StopRequest
 }
 
-// Task returns the task that the attempt is one of.
+// Task returns the ID of the task that the attempt runs.
 func (a *Attempt) Task() wire.TaskID {
 	return wire.TaskID{Job: a.Job.Spec.ID, Index: a.Chunk.Index*a.Job.TasksPerChunk + a.Index}
 }
 
-// Resources returns what the attempt takes of its machine.
+// Resources returns the resources that the attempt uses on its machine.
 func (a *Attempt) Resources() placement.Resources { return placement.ResourcesOf(&a.Job.Spec) }
 
-// ActiveAttempt returns the attempt of a task; nil if it has none.
+// ActiveAttempt returns the active attempt of a task; nil if it has none.
 func (t *JobTable) ActiveAttempt(task wire.TaskID) *Attempt {
 	j := t.Jobs[task.Job]
 	if j == nil {
@@ -58,9 +61,9 @@
 	return c.Attempts[task.Index%j.TasksPerChunk]
 }
 
-// EndAttempt ends an attempt and leaves its task pending or done. The caller has proof
-// that nothing of the attempt is on its machine, nor can get there any more. An attempt
-// that has ended already is ignored.
+// EndAttempt ends an attempt and sets its task to state, which is pending or done. The
+// caller must have proof that nothing of the attempt is on its machine, nor can get there
+// any more. An attempt that has ended already is ignored.
 func (s *State) EndAttempt(a *Attempt, state TaskState) {
 	c, j := a.Chunk, a.Job
 	if c.Attempts[a.Index] != a {
@@ -82,7 +85,8 @@
 	s.RequestCycle()
 }
 
-// MarkStored no longer counts the attempt as one that is not stored yet.
+// MarkStored records that the attempt is in the stored record of its chunk, or no longer
+// needs to be: it clears Unstored and lowers the counts of unstored attempts.
 func (a *Attempt) MarkStored() {
 	if !a.Unstored {
 		return
@@ -92,8 +96,8 @@
 	a.Job.UnstoredAttempts--
 }
 
-// requeueTask lets the next search for pending tasks find that of an ended attempt. A gang
-// has lost it.
+// requeueTask makes the next search for pending tasks find the task of an ended attempt.
+// For a gang the task is lost, which breaks the gang.
 func (s *State) requeueTask(a *Attempt) {
 	c, j := a.Chunk, a.Job
 	c.FirstPending = min(c.FirstPending, a.Index)
@@ -103,8 +107,8 @@
 	}
 }
 
-// Detach takes an attempt off its chunk and its machine. The task's state is the caller's
-// to set.
+// Detach removes an attempt from its chunk and its machine. The caller sets the state of
+// the task.
 func (a *Attempt) Detach() {
 	delete(a.Chunk.Attempts, a.Index)
 	a.Job.ActiveTasks--
--- a/internal/leader/cluster/attempt_test.go
+++ b/internal/leader/cluster/attempt_test.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestEndAttemptInEachState(t *testing.T) {
+func TestEndAttemptUpdatesTaskJobAndMachine(t *testing.T) {
 	tests := map[string]struct {
 		kind         wire.JobKind
 		tasks        int
@@ -19,14 +19,14 @@
 		wantFinished bool
 		wantBroken   bool
 	}{
-		"stored and to be run again":           {kind: wire.KindArray, tasks: 2, state: TaskPending},
-		"unstored and to be run again":         {kind: wire.KindArray, tasks: 2, prepare: markUnstored, state: TaskPending},
-		"completed with others to come":        {kind: wire.KindArray, tasks: 2, state: TaskDone, wantDone: 1},
-		"completed as the last of its job":     {kind: wire.KindArray, tasks: 1, state: TaskDone, wantDone: 1, wantFinished: true},
-		"last attempt of a cancelled job":      {kind: wire.KindArray, tasks: 2, prepare: func(a *Attempt) { a.Job.Cancelled = true }, state: TaskPending, wantFinished: true},
-		"member of a gang that is lost":        {kind: wire.KindGang, tasks: 2, state: TaskPending, wantBroken: true},
-		"member of a gang that has completed":  {kind: wire.KindGang, tasks: 2, state: TaskDone, wantDone: 1},
-		"unstored member of a gang given back": {kind: wire.KindGang, tasks: 2, prepare: markUnstored, state: TaskPending, wantBroken: true},
+		"stored, task to be run again":           {kind: wire.KindArray, tasks: 2, state: TaskPending},
+		"unstored, task to be run again":         {kind: wire.KindArray, tasks: 2, prepare: markUnstored, state: TaskPending},
+		"completed, others pending":              {kind: wire.KindArray, tasks: 2, state: TaskDone, wantDone: 1},
+		"completed, last task of its job":        {kind: wire.KindArray, tasks: 1, state: TaskDone, wantDone: 1, wantFinished: true},
+		"last active attempt of a cancelled job": {kind: wire.KindArray, tasks: 2, prepare: func(a *Attempt) { a.Job.Cancelled = true }, state: TaskPending, wantFinished: true},
+		"task of a gang lost":                    {kind: wire.KindGang, tasks: 2, state: TaskPending, wantBroken: true},
+		"task of a gang completed":               {kind: wire.KindGang, tasks: 2, state: TaskDone, wantDone: 1},
+		"unstored task of a gang withdrawn":      {kind: wire.KindGang, tasks: 2, prepare: markUnstored, state: TaskPending, wantBroken: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -47,7 +47,7 @@
 				t.Errorf("state of the task = %d, want %d", got, tt.state)
 			}
 			if c.Attempts[0] != nil || m.Tasks[a.Task()] != nil || j.ActiveTasks != 0 {
-				t.Errorf("attempt is still held: chunk %v, machine %v, active %d", c.Attempts, m.Tasks, j.ActiveTasks)
+				t.Errorf("attempt is not detached: chunk %v, machine %v, active %d", c.Attempts, m.Tasks, j.ActiveTasks)
 			}
 			if a.Unstored || c.UnstoredAttempts != 0 || j.UnstoredAttempts != 0 {
 				t.Errorf("unstored = %v, of chunk %d, of job %d, want none", a.Unstored, c.UnstoredAttempts, j.UnstoredAttempts)
@@ -86,11 +86,11 @@
 	next := addTestAttempt(j, 0, m, 8)
 	s.EndAttempt(ended, TaskDone)
 	if got := j.Chunk(0).Attempts[0]; got != next || j.DoneTasks != 0 || j.ActiveTasks != 1 {
-		t.Errorf("attempt = %+v, done %d, active %d, want the next one to be left", got, j.DoneTasks, j.ActiveTasks)
+		t.Errorf("attempt = %+v, done %d, active %d, want the next attempt to remain", got, j.DoneTasks, j.ActiveTasks)
 	}
 }
 
-func TestDetachOfTheLastTaskLeavesNoResourcesUsed(t *testing.T) {
+func TestDetachOfTheLastAttemptLeavesNoResourcesUsed(t *testing.T) {
 	s := newTestState(t)
 	j := addTestJob(s, wire.KindArray, 3, 3)
 	j.Spec.CPUs = 0.1
@@ -117,22 +117,22 @@
 	used := m.usedResources
 	older.Detach()
 	if m.Tasks[newer.Task()] != newer || m.usedResources != used {
-		t.Errorf("on the machine = %+v, used %+v, want %+v and %+v", m.Tasks, m.usedResources, newer, used)
+		t.Errorf("attempts on the machine = %+v, used %+v, want %+v and %+v", m.Tasks, m.usedResources, newer, used)
 	}
 }
 
 func TestActiveAttemptByTask(t *testing.T) {
 	s := newTestState(t)
 	j := addTestJob(s, wire.KindArray, 4, 2)
-	held := addTestAttempt(j, 2, s.GetOrAddMachine("n-1"), 7)
+	active := addTestAttempt(j, 2, s.GetOrAddMachine("n-1"), 7)
 	tests := map[string]struct {
 		task wire.TaskID
 		want *Attempt
 	}{
 		"of an unknown job":         {wire.TaskID{Job: "req-9", Index: 0}, nil},
-		"of a chunk never touched":  {wire.TaskID{Job: "req-1", Index: 0}, nil},
-		"of a task without attempt": {wire.TaskID{Job: "req-1", Index: 3}, nil},
-		"of a task with one":        {wire.TaskID{Job: "req-1", Index: 2}, held},
+		"of a chunk never used":     {wire.TaskID{Job: "req-1", Index: 0}, nil},
+		"of a task without one":     {wire.TaskID{Job: "req-1", Index: 3}, nil},
+		"of a task with an attempt": {wire.TaskID{Job: "req-1", Index: 2}, active},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -154,12 +154,12 @@
 	}{
 		"does not run yet":                 {wire.KindArray, 0, nil, math.Inf(1), 100},
 		"service":                          {wire.KindService, 10 * time.Second, nil, math.Inf(1), 90},
-		"by its owner's estimate":          {wire.KindArray, 10 * time.Second, nil, 140, 90},
-		"by measured run times":            {wire.KindArray, 10 * time.Second, []float64{40, 60, 50}, 40, 40},
+		"owner's estimate only":            {wire.KindArray, 10 * time.Second, nil, 140, 90},
+		"measured run times":               {wire.KindArray, 10 * time.Second, []float64{40, 60, 50}, 40, 40},
 		"runs longer than estimated":       {wire.KindArray, 500 * time.Second, nil, 15, 1},
-		"runs longer than its peers have":  {wire.KindArray, 500 * time.Second, []float64{50}, 5, 1},
-		"measured, and does not run yet":   {wire.KindArray, 0, []float64{50}, math.Inf(1), 50},
-		"has a moment of its planned time": {wire.KindArray, 99500 * time.Millisecond, nil, 50.5, 1},
+		"runs longer than other tasks did": {wire.KindArray, 500 * time.Second, []float64{50}, 5, 1},
+		"measured, does not run yet":       {wire.KindArray, 0, []float64{50}, math.Inf(1), 50},
+		"half a second of estimate left":   {wire.KindArray, 99500 * time.Millisecond, nil, 50.5, 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/catalog.go
+++ b/internal/leader/cluster/catalog.go
@@ -12,8 +12,8 @@
 	specs atomic.Pointer[[]wire.MachineSpec]
 }
 
-// Get returns the types that were last set; nil if none ever were. They must not be
-// changed.
+// Get returns the types that were last set; nil if none ever were. The caller must not
+// change them.
 func (c *MachineCatalog) Get() []wire.MachineSpec {
 	if specs := c.specs.Load(); specs != nil {
 		return *specs
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -8,7 +8,8 @@
 	"lilaclead/internal/wire"
 )
 
-// withdrawnStartBackoff is how long a job waits whose start had no room in its record.
+// withdrawnStartBackoff is how long no task of a job is started after an attempt has been
+// withdrawn because the chunk's record had no room for it.
 const withdrawnStartBackoff = time.Second
 
 // TaskState is the state of a task. See the package comment for the transitions.
@@ -28,28 +29,28 @@
 type Chunk struct {
 	Job          *Job
 	Index        int                // in Job.Chunks
-	NextAttempt  wire.AttemptNumber // number of the next attempt of one of the tasks
-	TaskStates   []TaskState        // by task of the chunk
-	Attempts     map[int]*Attempt   // by task of the chunk, those that may be on machines
-	FirstPending int                // no earlier task is pending
+	NextAttempt  wire.AttemptNumber // number of the next attempt of any of the tasks
+	TaskStates   []TaskState        // by index of the task in the chunk
+	Attempts     map[int]*Attempt   // active ones by index of the task in the chunk
+	FirstPending int                // index of a task; no task before it is pending
 	// UnstoredAttempts is how many of the attempts are not stored yet.
 	UnstoredAttempts int
 	ChunkRecordState
 }
 
 // ChunkRecordState is the state of a chunk with regard to its record in the key-value store.
-// The reader and the writer of progress records write it, and MarkDirty.
+// The reader and the writer of progress records and MarkDirty write it.
 type ChunkRecordState struct {
 	Revision      wire.Revision // of the record; 0: there is none
-	Dirty         bool          // differs from what is stored or being stored
-	DirtySince    time.Time     // when it came to differ from what is stored
-	WriteInFlight bool          // being written
-	// WriteNotBefore: the chunk is not written before, as the store refused to write it in
-	// a transaction of its own.
+	Dirty         bool          // the chunk differs from what is stored or being stored
+	DirtySince    time.Time     // when it began to differ from what is stored
+	WriteInFlight bool          // a transaction that writes the chunk is under way
+	// WriteNotBefore: the chunk is not written before this time, because the store refused
+	// to write it in a transaction of its own.
 	WriteNotBefore time.Time
 }
 
-// AddAttempt makes an attempt the one of its task, on its machine.
+// AddAttempt registers an attempt with its chunk and its machine, and makes its task active.
 func (c *Chunk) AddAttempt(a *Attempt) {
 	c.TaskStates[a.Index] = TaskActive
 	c.Attempts[a.Index] = a
@@ -78,7 +79,7 @@
 	return rec
 }
 
-// Reset forgets all that is known of the chunk's tasks.
+// Reset detaches the attempts of the chunk and sets all of its tasks to pending.
 func (c *Chunk) Reset() {
 	for _, a := range c.Attempts {
 		a.Detach()
@@ -91,8 +92,8 @@
 	}
 }
 
-// WithdrawUnstoredAttempt ends one attempt that is not stored yet, as the chunk's record has
-// no room for it. It reports whether there was one.
+// WithdrawUnstoredAttempt ends one attempt that is not stored yet, because the chunk's record
+// has no room for it. It reports whether there was one.
 func (s *State) WithdrawUnstoredAttempt(c *Chunk, now time.Time) bool {
 	for _, a := range c.Attempts {
 		if a.Unstored {
--- a/internal/leader/cluster/chunk_layout.go
+++ b/internal/leader/cluster/chunk_layout.go
@@ -5,27 +5,29 @@
 	"lilaclead/internal/wire"
 )
 
-// ChunkLayout divides a job's tasks into chunks. The chunks' size is fixed when the job is
-// accepted, by the limit on values in the store at that time. If that limit drops later, a
-// chunk may be too large to be written again. Then the job's chunks become several smaller
-// ones in memory (Job.Split), which are stored as sub-chunks beside the chunk that they
-// are parts of: the chunk's record stays and is never written again, each sub-chunk that
-// is stored replaces its part of it, and each is written by itself. No records have to be
-// converted at once, and no attempt is without a record at any time.
+// ChunkLayout divides a job's tasks into chunks. The size of the chunks is fixed when the
+// job is accepted, by the store's limit on the size of a value at that time. If that limit
+// drops later, a chunk may be too large to be written again. Then each chunk of the job is
+// split in memory into several smaller ones (Job.Split), which are stored as sub-chunks
+// beside the chunk's record. That record stays and is never written again. Each sub-chunk
+// is written by itself, and once stored it replaces its part of the chunk's record. So
+// records need not all be converted at once, and no attempt is ever without a record.
 //
-// An earlier version takes sub-chunks for leftovers of a job and deletes them: they are
-// written only once the store has refused a chunk, after all nodes have this version.
+// A version without sub-chunks takes their records for leftovers of an archived job and
+// deletes them. Therefore sub-chunks are written only once the store has refused a chunk,
+// after all nodes have this version.
 type ChunkLayout struct {
 	// Chunks are made when they are first used, by Job.Chunk; nil until then.
 	Chunks        []*Chunk
 	TasksPerChunk int
-	// SubchunksPerChunk is into how many sub-chunks each chunk was split; 0: none was.
+	// SubchunksPerChunk is the number of sub-chunks that each chunk is split into; 0: the
+	// chunks are not split.
 	SubchunksPerChunk int
-	// baseRevisions are the revisions of the chunks' records at the split, by chunk.
+	// baseRevisions are the revisions that the chunks' records had at the split, by chunk.
 	baseRevisions []wire.Revision
 }
 
-// chunkCount returns how many chunks of a size the tasks need.
+// chunkCount returns how many chunks of tasksPerChunk tasks the given number of tasks needs.
 func chunkCount(tasks, tasksPerChunk int) int {
 	return (tasks + tasksPerChunk - 1) / tasksPerChunk
 }
@@ -97,10 +99,10 @@
 // splitChunk moves the states and attempts of a chunk to its sub-chunks.
 func (j *Job) splitChunk(c *Chunk) {
 	size, first := j.TasksPerChunk, c.Index*j.SubchunksPerChunk
-	for k := 0; k*size < len(c.TaskStates); k++ {
-		sub := j.Chunk(first + k)
+	for n := 0; n*size < len(c.TaskStates); n++ {
+		sub := j.Chunk(first + n)
 		sub.NextAttempt = c.NextAttempt
-		copy(sub.TaskStates, c.TaskStates[k*size:])
+		copy(sub.TaskStates, c.TaskStates[n*size:])
 	}
 	for i, a := range c.Attempts {
 		sub := j.Chunk(first + i/size)
@@ -120,7 +122,8 @@
 	return store.ChunkKey(c.Job.Spec.ID, c.Index)
 }
 
-// StoredGuards returns a guard for each stored record of the job's progress.
+// StoredGuards returns a guard on the known revision of each stored record of the job's
+// progress.
 func (j *Job) StoredGuards() []wire.Guard {
 	var guards []wire.Guard
 	for _, c := range j.Chunks {
--- a/internal/leader/cluster/chunk_layout_test.go
+++ b/internal/leader/cluster/chunk_layout_test.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestSplitKeepsStatesAttemptsAndNumbers(t *testing.T) {
+func TestSplitKeepsTaskStatesAttemptsAndNextNumbers(t *testing.T) {
 	s := newTestState(t)
 	j := addTestJob(s, wire.KindArray, 10, 4) // chunks of 4, 4 and 2 tasks
 	m := s.GetOrAddMachine("n-1")
@@ -26,7 +26,7 @@
 		t.Errorf("layout: %d sub-chunks of %d tasks, %d chunks, first pending %d, want 2, 2, 5, 0", j.SubchunksPerChunk, j.TasksPerChunk, len(j.Chunks), j.FirstPendingChunk)
 	}
 	if j.Chunks[2] != nil || j.Chunks[3] != nil {
-		t.Error("a chunk that was never touched has sub-chunks")
+		t.Error("a chunk that was never used has sub-chunks")
 	}
 	wantStates := map[int][]TaskState{0: {TaskDone, TaskActive}, 1: {TaskPending, TaskActive}, 4: {TaskPending, TaskActive}}
 	for n, want := range wantStates {
@@ -77,20 +77,20 @@
 	}
 }
 
-func TestCanSplitIntoEqualSmallerChunks(t *testing.T) {
+func TestCanSplitIntoEqualSubchunksOnly(t *testing.T) {
 	tests := map[string]struct {
 		split, size int // split: the size of the sub-chunks already made, 0: none
 		want        bool
 	}{
-		"no tasks":               {0, 0, false},
-		"negative":               {0, -4, false},
-		"a divisor":              {0, 4, true},
-		"one task each":          {0, 1, true},
-		"not a divisor":          {0, 5, false},
-		"the chunks themselves":  {0, 8, false},
-		"larger than the chunks": {0, 16, false},
-		"split so already":       {4, 4, true},
-		"split otherwise":        {4, 2, false},
+		"no tasks":                  {0, 0, false},
+		"negative":                  {0, -4, false},
+		"a divisor":                 {0, 4, true},
+		"one task each":             {0, 1, true},
+		"not a divisor":             {0, 5, false},
+		"the chunks themselves":     {0, 8, false},
+		"larger than the chunks":    {0, 16, false},
+		"already split into these":  {4, 4, true},
+		"already split into others": {4, 2, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/chunk_test.go
+++ b/internal/leader/cluster/chunk_test.go
@@ -43,7 +43,7 @@
 	j := addTestJob(s, wire.KindArray, 4, 2)
 	m := s.GetOrAddMachine("n-1")
 	addTestAttempt(j, 0, m, 1)
-	kept := addTestAttempt(j, 2, m, 1)
+	ofOtherChunk := addTestAttempt(j, 2, m, 1)
 	j.Chunk(0).TaskStates[1], j.DoneTasks = TaskDone, 1
 
 	j.Chunk(0).Reset()
@@ -51,12 +51,12 @@
 	if got := j.Chunk(0).TaskStates; !slices.Equal(got, []TaskState{TaskPending, TaskPending}) {
 		t.Errorf("states = %v, want all pending", got)
 	}
-	if j.DoneTasks != 0 || j.ActiveTasks != 1 || len(m.Tasks) != 1 || m.Tasks[kept.Task()] != kept {
+	if j.DoneTasks != 0 || j.ActiveTasks != 1 || len(m.Tasks) != 1 || m.Tasks[ofOtherChunk.Task()] != ofOtherChunk {
 		t.Errorf("done %d, active %d, on the machine %v, want only the other chunk's attempt", j.DoneTasks, j.ActiveTasks, m.Tasks)
 	}
 }
 
-func TestWithdrawUnstoredStartTakesBackOne(t *testing.T) {
+func TestWithdrawUnstoredAttemptEndsAtMostOne(t *testing.T) {
 	now := time.Now()
 	tests := map[string]struct {
 		unstored, stored int
@@ -65,7 +65,7 @@
 		"no attempts":        {0, 0, false},
 		"only stored ones":   {0, 2, false},
 		"one unstored":       {1, 1, true},
-		"several not stored": {3, 0, true},
+		"several unstored":   {3, 0, true},
 		"several of both":    {2, 2, true},
 		"only one, unstored": {1, 0, true},
 	}
@@ -97,13 +97,13 @@
 	}
 }
 
-func TestForEachPendingResumesWhereNothingEarlierIsPending(t *testing.T) {
+func TestForEachPendingTaskResumesAfterVisitedTasks(t *testing.T) {
 	s := newTestState(t)
 	j := addTestJob(s, wire.KindArray, 7, 3)
 	m := s.GetOrAddMachine("n-1")
 	j.Chunk(0).TaskStates[1], j.DoneTasks = TaskDone, 1
-	visit := func(n int) (visited []int) {
-		j.ForEachPendingTask(n, func(c *Chunk, index int) {
+	visit := func(limit int) (visited []int) {
+		j.ForEachPendingTask(limit, func(c *Chunk, index int) {
 			task := c.Index*j.TasksPerChunk + index
 			visited = append(visited, task)
 			addTestAttempt(j, task, m, 1)
@@ -114,10 +114,10 @@
 		t.Errorf("first three pending = %v, want %v", got, want)
 	}
 	if got, want := visit(10), []int{4, 5, 6}; !slices.Equal(got, want) {
-		t.Errorf("rest = %v, want %v", got, want)
+		t.Errorf("remaining pending = %v, want %v", got, want)
 	}
 	if got := visit(1); got != nil {
-		t.Errorf("with none pending = %v, want none", got)
+		t.Errorf("visited with none pending = %v, want none", got)
 	}
 	for n, want := range []int{3, 3, 1} {
 		if got := j.Chunk(n).FirstPending; got != want || j.FirstPendingChunk != 3 {
@@ -126,7 +126,7 @@
 	}
 	s.EndAttempt(j.Chunk(1).Attempts[1], TaskPending)
 	if got, want := visit(10), []int{4}; !slices.Equal(got, want) {
-		t.Errorf("after one was given back = %v, want %v", got, want)
+		t.Errorf("pending after one attempt ended = %v, want %v", got, want)
 	}
 }
 
--- a/internal/leader/cluster/cycle_timer.go
+++ b/internal/leader/cluster/cycle_timer.go
@@ -3,14 +3,15 @@
 import "time"
 
 const (
-	// minCyclePause is the least time between the beginnings of two requested scheduling
-	// cycles.
-	minCyclePause = 100 * time.Millisecond
-	// cyclePauseFactor: a requested cycle begins so many times the duration of the last
-	// one after the beginning of that, so that at most a quarter of the time goes to
-	// cycles, however large they are.
-	cyclePauseFactor = 4
-	// cycleGatherTime is how long further events are gathered before a requested cycle.
+	// minCycleInterval is the least time from the beginning of a scheduling cycle to the
+	// beginning of a requested one.
+	minCycleInterval = 100 * time.Millisecond
+	// cycleIntervalFactor times the duration of the last cycle is the least time from its
+	// beginning to the beginning of a requested one. So requested cycles take at most a
+	// quarter of the time, however long they are.
+	cycleIntervalFactor = 4
+	// cycleGatherTime is the delay from a request to its cycle, in which further events are
+	// gathered for the same cycle.
 	cycleGatherTime = 10 * time.Millisecond
 )
 
@@ -19,26 +20,27 @@
 	Requested    bool
 	LastAt       time.Time // when the last cycle began
 	LastDuration time.Duration
-	notBefore    time.Time // when a requested cycle may begin
+	notBefore    time.Time // a requested cycle begins only after this time
 }
 
-// Due reports whether a requested cycle may begin, or one is due without a request.
+// Due reports whether a requested cycle may begin, or maxInterval has passed since
+// the last one began.
 func (t *cycleTimer) Due(now time.Time, maxInterval time.Duration) bool {
 	requestDue := t.Requested && now.After(t.notBefore)
 	return requestDue || now.Sub(t.LastAt) >= maxInterval
 }
 
-// Begin records that a cycle begins.
+// Begin records the beginning of a cycle, which serves the request if there is one.
 func (t *cycleTimer) Begin(now time.Time) { t.LastAt, t.Requested = now, false }
 
-// request schedules a requested cycle.
+// request records a request and sets the time after which its cycle may begin.
 func (t *cycleTimer) request(now time.Time) {
 	t.Requested = true
-	pause := max(minCyclePause, cyclePauseFactor*t.LastDuration)
-	t.notBefore = LaterOf(now.Add(cycleGatherTime), t.LastAt.Add(pause))
+	interval := max(minCycleInterval, cycleIntervalFactor*t.LastDuration)
+	t.notBefore = LaterOf(now.Add(cycleGatherTime), t.LastAt.Add(interval))
 }
 
-// RequestCycle asks for a scheduling cycle soon. Further requests don't put it off.
+// RequestCycle asks for a scheduling cycle soon. Further requests do not delay it.
 func (s *State) RequestCycle() {
 	if !s.CycleTimer.Requested {
 		s.CycleTimer.request(time.Now())
--- a/internal/leader/cluster/cycle_timer_test.go
+++ b/internal/leader/cluster/cycle_timer_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-func TestRequestedCycleWaitsForFurtherEventsAndAPause(t *testing.T) {
-	const gather, leastPause = 10 * time.Millisecond, 100 * time.Millisecond
+func TestRequestedCycleWaitsForGatherTimeAndMinimumInterval(t *testing.T) {
+	const gatherTime, minInterval = 10 * time.Millisecond, 100 * time.Millisecond
 	tests := map[string]struct {
 		sinceLast    time.Duration // since the last cycle began
 		lastDuration time.Duration
 		wantIn       time.Duration // from the request
 	}{
-		"long after the last":          {time.Minute, 0, gather},
-		"soon after a short cycle":     {40 * time.Millisecond, 0, leastPause - 40*time.Millisecond},
-		"just before the pause's end":  {95 * time.Millisecond, 0, gather},
-		"soon after a long cycle":      {600 * time.Millisecond, 500 * time.Millisecond, 1400 * time.Millisecond},
-		"a while after a long cycle":   {3 * time.Second, 500 * time.Millisecond, gather},
-		"after a cycle of 25 ms":       {40 * time.Millisecond, 25 * time.Millisecond, 60 * time.Millisecond},
-		"after a cycle of 26 ms, late": {99 * time.Millisecond, 26 * time.Millisecond, gather},
+		"long after the last":            {time.Minute, 0, gatherTime},
+		"soon after a short cycle":       {40 * time.Millisecond, 0, minInterval - 40*time.Millisecond},
+		"just before the interval's end": {95 * time.Millisecond, 0, gatherTime},
+		"soon after a long cycle":        {600 * time.Millisecond, 500 * time.Millisecond, 1400 * time.Millisecond},
+		"a while after a long cycle":     {3 * time.Second, 500 * time.Millisecond, gatherTime},
+		"after a cycle of 25 ms":         {40 * time.Millisecond, 25 * time.Millisecond, 60 * time.Millisecond},
+		"after a cycle of 26 ms, late":   {99 * time.Millisecond, 26 * time.Millisecond, gatherTime},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -53,13 +53,13 @@
 	s.CycleTimer.LastDuration = time.Hour
 	s.RequestCycle()
 	if s.CycleTimer.notBefore != first.notBefore {
-		t.Errorf("a second request puts the cycle off from %v to %v", first.notBefore, s.CycleTimer.notBefore)
+		t.Errorf("a second request delays the cycle from %v to %v", first.notBefore, s.CycleTimer.notBefore)
 	}
 	if !s.CycleTimer.Due(now.Add(30*time.Second), time.Minute) {
 		t.Error("requested cycle is not due")
 	}
 	s.CycleTimer.Begin(now.Add(30 * time.Second))
 	if s.CycleTimer.Requested || s.CycleTimer.Due(now.Add(31*time.Second), time.Minute) {
-		t.Error("still requested after it began")
+		t.Error("request still pending, or cycle due, after the cycle began")
 	}
 }
--- a/internal/leader/cluster/doc.go
+++ b/internal/leader/cluster/doc.go
@@ -1,7 +1,7 @@
 // Package cluster is the leader's in-memory model of the cluster: jobs, the chunks of
-// their progress, attempts to run tasks, machines, gangs, what has changed and is not
-// saved yet, and the timer of scheduling cycles. The other packages below internal/leader
-// read and change it; the rules that several of them depend on are methods here.
+// their progress, attempts to run tasks, machines, gangs, changes that are not saved yet,
+// and the timer of scheduling cycles. The other packages below internal/leader read and
+// change it; the rules that several of them depend on are methods here.
 //
 // A [State] belongs to one term of leadership. The goroutine of the term's loop owns it
 // and all that it refers to, except the [MachineCatalog], which is shared between
@@ -21,22 +21,23 @@
 //     never sent; its machine reports its exit; its machine's heartbeat lacks it and no
 //     launch that was sent may still take effect ([State.LaunchMayTakeEffect]); the
 //     machine's lease has expired; or the cloud has confirmed that the machine is gone.
-//     [State.EndAttempt] is the only way, and the caller has the proof.
+//     [State.EndAttempt] is the only way to end an attempt, and its caller must have the
+//     proof.
 //   - Attempt numbers are never reused. Chunk.NextAttempt only grows and is stored with
 //     the attempts that it numbered; a number that was not stored was never sent either.
 //     All members of a gang carry one number, which none of their tasks has had before.
 //
 // # Transitions of a task
 //
-//	pending → active   Chunk.Add: by the scheduler for a new attempt, and by the reader
-//	                   of progress records for one that an earlier leader recorded
+//	pending → active   Chunk.AddAttempt: by the scheduler for a new attempt, and by the
+//	                   reader of progress records for one that an earlier leader recorded
 //	active  → pending  State.EndAttempt: the task is to run again
 //	active  → done     State.EndAttempt: its agent has reported that it completed
 //	pending → done     State.CompleteGang: the tasks of a gang complete together; also
-//	                   the reader, for what the record has as done
+//	                   the reader, for tasks that the record lists as done
 //	any     → pending  Chunk.Reset: only during recovery, before a sub-chunk's record
 //	                   replaces what the chunk's record said
 //
-// With every transition but those of the reader the chunk is marked as one to be written
+// Every transition except those of the reader marks the chunk as one to be written
 // (UnsavedChanges.MarkDirty).
 package cluster
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -6,32 +6,35 @@
 	"lilaclead/internal/wire"
 )
 
-// Gang is the one attempt of a gang's tasks that may be on machines. All of them carry
-// one number, by which they find each other, and start together when the last has its
-// image.
+// Gang is the current attempt of a gang's tasks, some or all of which may be on machines.
+// The attempts of all tasks carry one number, by which the tasks find each other. The tasks
+// start together once the last of them has its image.
 type Gang struct {
 	AttemptNumber wire.AttemptNumber
 	StartedAt     time.Time // when the scheduler decided on it, or the term inherited it
-	// HasRun: a task of it ran, so that it was complete. Reconciliation sets it.
+	// HasRun: a task of the gang has run, so all of its tasks were there. Reconciliation
+	// sets it.
 	HasRun bool
-	// Inherited from an earlier leader: it may have run before any heartbeat of this term
-	// shows it. RestoreGang sets it.
+	// Inherited: an earlier leader started the gang, which may have run before any heartbeat
+	// of this term shows it. RestoreGang sets it.
 	Inherited bool
-	// Broken: a task of it is lost, or was never there. The rest is stopped, and the gang
-	// is queued again when nothing of it is left. The dispatcher of commands sets it.
+	// Broken: a task of the gang is lost, or was never there. The other tasks are stopped,
+	// and the gang is queued again when none of them is left. The dispatcher of commands
+	// sets it.
 	Broken bool
-	// StopRequested: all tasks were told to stop, with GracePeriod to save a checkpoint;
-	// StoppingGracefully: with any. The dispatcher of commands sets them.
+	// StopRequested: all tasks were told to stop, with GracePeriod to save a checkpoint.
+	// StoppingGracefully: they were, and GracePeriod is above 0. The dispatcher of commands
+	// sets all three.
 	StopRequested, StoppingGracefully bool
 	GracePeriod                       wire.Seconds
 }
 
-// ending reports whether the gang does not start any more: it has lost a task, or its
-// tasks are saving a checkpoint before they stop.
+// ending reports whether no task of the gang may be started any more: the gang has lost a
+// task, or its tasks are saving a checkpoint before they stop.
 func (g *Gang) ending() bool { return g.Broken || g.StoppingGracefully }
 
-// waitsForMembers reports whether those of the gang's tasks that are on machines wait for
-// the others: the gang has not run, and the time that a task waits is not over.
+// waitsForMembers reports whether the gang's tasks that are on machines still wait for the
+// others: the gang has not run, and it was started less than gangWait ago.
 func (g *Gang) waitsForMembers(gangWait time.Duration) bool {
 	return !g.HasRun && time.Since(g.StartedAt) < gangWait
 }
@@ -39,17 +42,18 @@
 // GangFullyStored reports whether every task of the gang has an attempt that is stored.
 func (j *Job) GangFullyStored() bool { return j.ActiveTasks == j.Spec.Tasks && j.UnstoredAttempts == 0 }
 
-// MayLaunch reports whether the attempt's launch may be sent. A gang's may once all of the
-// gang is stored, and no more once a task of it is lost.
+// MayLaunch reports whether the attempt's launch may be sent. For a task of a gang it may be
+// once the whole gang is stored, until the gang is broken or stopping gracefully.
 func (a *Attempt) MayLaunch() bool {
 	g := a.Job.Gang
 	return g == nil || a.Job.GangFullyStored() && !g.ending()
 }
 
-// MayRelaunch reports whether a gang's task that its machine surely does not have, nor can
-// get any more, is to be sent there again: the others wait for it, and its record stands.
-// A leader may have ended between the first launch and the last. Once the gang has run it
-// is lost with that task.
+// MayRelaunch reports whether the launch of a gang's task is to be sent to its machine again.
+// The caller must have proof that the machine does not have the task, nor can get it any
+// more. The launch may be missing because a leader ended between the first launch of the
+// gang and the last. It is sent again while the other tasks wait for it, as the stored
+// record still holds. Once the gang has run, the loss of a task is the loss of the gang.
 func (s *State) MayRelaunch(a *Attempt) bool {
 	g := a.Job.Gang
 	if g == nil || !a.MayLaunch() {
@@ -61,7 +65,8 @@
 	return a.Machine.staying() && g.waitsForMembers(s.Settings.Workers.GangWait.Duration())
 }
 
-// CompleteGang ends a gang of which a task has completed: they complete together.
+// CompleteGang marks all tasks of a gang as done after one of them has completed, since the
+// tasks of a gang complete together.
 func (s *State) CompleteGang(j *Job) {
 	for _, a := range j.Attempts() {
 		s.EndAttempt(a, TaskDone)
@@ -73,7 +78,7 @@
 	s.MarkIfFinished(j)
 }
 
-// completeTasks marks those tasks of a chunk as done that are not yet. They have no attempt.
+// completeTasks marks the remaining tasks of a chunk as done. None of them has an attempt.
 func (s *State) completeTasks(c *Chunk) {
 	for i, state := range c.TaskStates {
 		if state == TaskDone {
@@ -85,8 +90,9 @@
 	}
 }
 
-// RestoreGang finds out how the attempt of a gang stands that an earlier leader recorded:
-// complete, with a task missing, or with its end written in some of the records only.
+// RestoreGang restores the state of a gang from the records of an earlier leader. The gang
+// may have all of its tasks; it may lack one, and is then broken; or its completion may be
+// in some of the records only, and is then applied to all.
 func (s *State) RestoreGang(j *Job) {
 	if !j.Spec.IsGang() {
 		return
@@ -99,14 +105,14 @@
 		return
 	}
 	attempts := j.Attempts()
-	j.Gang = &Gang{AttemptNumber: highestNumber(attempts), StartedAt: s.TermStartedAt, Inherited: true}
-	intact := j.GangFullyStored() && sameNumber(attempts, j.Gang.AttemptNumber)
+	j.Gang = &Gang{AttemptNumber: highestAttemptNumber(attempts), StartedAt: s.TermStartedAt, Inherited: true}
+	intact := j.GangFullyStored() && allHaveAttemptNumber(attempts, j.Gang.AttemptNumber)
 	if !intact && !s.IsQuarantined(j.Spec.ID) {
 		s.BrokenGangs[j] = struct{}{}
 	}
 }
 
-func highestNumber(attempts []*Attempt) wire.AttemptNumber {
+func highestAttemptNumber(attempts []*Attempt) wire.AttemptNumber {
 	var highest wire.AttemptNumber
 	for _, a := range attempts {
 		highest = max(highest, a.Number)
@@ -114,7 +120,7 @@
 	return highest
 }
 
-func sameNumber(attempts []*Attempt, number wire.AttemptNumber) bool {
+func allHaveAttemptNumber(attempts []*Attempt, number wire.AttemptNumber) bool {
 	for _, a := range attempts {
 		if a.Number != number {
 			return false
--- a/internal/leader/cluster/gang_test.go
+++ b/internal/leader/cluster/gang_test.go
@@ -7,12 +7,12 @@
 	"lilaclead/internal/wire"
 )
 
-func TestRestoreGangByWhatTheRecordsHold(t *testing.T) {
+func TestRestoreGangFromRecords(t *testing.T) {
 	all := []wire.AttemptNumber{4, 4, 4}
 	tests := map[string]struct {
 		kind         wire.JobKind
 		attempts     []wire.AttemptNumber // by task; 0: it has none
-		done         int                  // tasks that the records have as done, from the last
+		done         int                  // how many of the last tasks are done by the records
 		quarantined  bool
 		wantGang     wire.AttemptNumber // number of the gang's attempt; 0: none is restored
 		wantBroken   bool
@@ -23,7 +23,7 @@
 		"all attempts of one number":     {kind: wire.KindGang, attempts: all, wantGang: 4},
 		"one attempt is missing":         {kind: wire.KindGang, attempts: []wire.AttemptNumber{4, 0, 4}, wantGang: 4, wantBroken: true},
 		"one attempt of an older number": {kind: wire.KindGang, attempts: []wire.AttemptNumber{3, 4, 4}, wantGang: 4, wantBroken: true},
-		"missing, but quarantined":       {kind: wire.KindGang, attempts: []wire.AttemptNumber{4, 0, 4}, quarantined: true, wantGang: 4},
+		"one is missing, quarantined":    {kind: wire.KindGang, attempts: []wire.AttemptNumber{4, 0, 4}, quarantined: true, wantGang: 4},
 		"some tasks are done":            {kind: wire.KindGang, attempts: []wire.AttemptNumber{4, 4, 0}, done: 1, wantFinished: true},
 		"some are done, none is active":  {kind: wire.KindGang, attempts: []wire.AttemptNumber{0, 0, 0}, done: 2, wantFinished: true},
 		"all tasks are done":             {kind: wire.KindGang, attempts: []wire.AttemptNumber{0, 0, 0}, done: 3},
@@ -52,7 +52,7 @@
 				t.Errorf("gang = %+v, want number %d inherited at %v", j.Gang, tt.wantGang, s.TermStartedAt)
 			}
 			if _, broken := s.BrokenGangs[j]; broken != tt.wantBroken {
-				t.Errorf("broken = %v, want %v", broken, tt.wantBroken)
+				t.Errorf("broken gang = %v, want %v", broken, tt.wantBroken)
 			}
 			if j.Finished != tt.wantFinished {
 				t.Errorf("finished = %v, want %v", j.Finished, tt.wantFinished)
@@ -72,7 +72,7 @@
 		addTestAttempt(j, task, m, 4)
 	}
 	j.Gang = &Gang{AttemptNumber: 4}
-	j.Chunk(4).TaskStates[0], j.DoneTasks = TaskDone, 1 // chunks 2 and 3 were never touched
+	j.Chunk(4).TaskStates[0], j.DoneTasks = TaskDone, 1 // chunks 2 and 3 were never used
 
 	s.CompleteGang(j)
 
@@ -94,20 +94,20 @@
 	}
 }
 
-func TestMayLaunchOnlyWhileTheGangIsComplete(t *testing.T) {
+func TestMayLaunchOnlyWhileTheGangIsStoredAndNotEnding(t *testing.T) {
 	tests := map[string]struct {
 		prepare func(s *State, j *Job)
 		want    bool
 	}{
-		"all stored":              {func(*State, *Job) {}, true},
-		"not a gang's":            {func(_ *State, j *Job) { j.Gang = nil; j.Spec.Tasks++ }, true},
-		"one not stored yet":      {func(_ *State, j *Job) { markUnstored(j.Chunk(0).Attempts[1]) }, false},
-		"one without attempt":     {func(s *State, j *Job) { s.EndAttempt(j.Chunk(0).Attempts[1], TaskPending) }, false},
-		"broken":                  {func(_ *State, j *Job) { j.Gang.Broken = true }, false},
-		"stopping gracefully":     {func(_ *State, j *Job) { j.Gang.StopRequested, j.Gang.StoppingGracefully = true, true }, false},
-		"stopping without grace":  {func(_ *State, j *Job) { j.Gang.StopRequested = true }, true},
-		"running":                 {func(_ *State, j *Job) { j.Gang.HasRun = true }, true},
-		"inherited and not known": {func(_ *State, j *Job) { j.Gang.Inherited = true }, true},
+		"all stored":               {func(*State, *Job) {}, true},
+		"not a gang's":             {func(_ *State, j *Job) { j.Gang = nil; j.Spec.Tasks++ }, true},
+		"one attempt unstored":     {func(_ *State, j *Job) { markUnstored(j.Chunk(0).Attempts[1]) }, false},
+		"one task without attempt": {func(s *State, j *Job) { s.EndAttempt(j.Chunk(0).Attempts[1], TaskPending) }, false},
+		"broken":                   {func(_ *State, j *Job) { j.Gang.Broken = true }, false},
+		"stopping gracefully":      {func(_ *State, j *Job) { j.Gang.StopRequested, j.Gang.StoppingGracefully = true, true }, false},
+		"stopping without grace":   {func(_ *State, j *Job) { j.Gang.StopRequested = true }, true},
+		"running":                  {func(_ *State, j *Job) { j.Gang.HasRun = true }, true},
+		"inherited":                {func(_ *State, j *Job) { j.Gang.Inherited = true }, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -127,18 +127,18 @@
 		prepare func(j *Job, a *Attempt)
 		want    bool
 	}{
-		"gang waits for it":         {func(*Job, *Attempt) {}, true},
-		"not a gang's":              {func(j *Job, _ *Attempt) { j.Gang = nil }, false},
-		"it was observed":           {func(_ *Job, a *Attempt) { a.SeenInHeartbeat = true }, false},
-		"it is being stopped":       {func(_ *Job, a *Attempt) { a.Stopping = true }, false},
-		"the gang has run":          {func(j *Job, _ *Attempt) { j.Gang.HasRun = true }, false},
-		"the gang is broken":        {func(j *Job, _ *Attempt) { j.Gang.Broken = true }, false},
-		"the job is cancelled":      {func(j *Job, _ *Attempt) { j.Cancelled = true }, false},
-		"its machine is drained":    {func(_ *Job, a *Attempt) { a.Machine.DrainReason = DrainSlow }, false},
-		"its machine is scaled in":  {func(_ *Job, a *Attempt) { a.Machine.ScalingIn = true }, false},
-		"the others have given up":  {func(j *Job, _ *Attempt) { j.Gang.StartedAt = time.Now().Add(-31 * time.Second) }, false},
-		"the others wait still":     {func(j *Job, _ *Attempt) { j.Gang.StartedAt = time.Now().Add(-20 * time.Second) }, true},
-		"another member's was seen": {func(j *Job, _ *Attempt) { j.Chunk(0).Attempts[1].SeenInHeartbeat = true }, true},
+		"gang waits for it":          {func(*Job, *Attempt) {}, true},
+		"not a gang's":               {func(j *Job, _ *Attempt) { j.Gang = nil }, false},
+		"a heartbeat listed it":      {func(_ *Job, a *Attempt) { a.SeenInHeartbeat = true }, false},
+		"it is being stopped":        {func(_ *Job, a *Attempt) { a.Stopping = true }, false},
+		"the gang has run":           {func(j *Job, _ *Attempt) { j.Gang.HasRun = true }, false},
+		"the gang is broken":         {func(j *Job, _ *Attempt) { j.Gang.Broken = true }, false},
+		"the job is cancelled":       {func(j *Job, _ *Attempt) { j.Cancelled = true }, false},
+		"its machine is drained":     {func(_ *Job, a *Attempt) { a.Machine.DrainReason = DrainSlow }, false},
+		"its machine is scaled in":   {func(_ *Job, a *Attempt) { a.Machine.ScalingIn = true }, false},
+		"the gang wait is over":      {func(j *Job, _ *Attempt) { j.Gang.StartedAt = time.Now().Add(-31 * time.Second) }, false},
+		"the gang wait is not over":  {func(j *Job, _ *Attempt) { j.Gang.StartedAt = time.Now().Add(-20 * time.Second) }, true},
+		"a heartbeat listed another": {func(j *Job, _ *Attempt) { j.Chunk(0).Attempts[1].SeenInHeartbeat = true }, true},
 		"another machine is drained": {func(j *Job, _ *Attempt) {
 			j.Chunk(0).Attempts[1].Machine.DrainReason = DrainSlow
 		}, true},
@@ -158,9 +158,9 @@
 
 func TestGracePeriodCoversTheCheckpointAndTheGang(t *testing.T) {
 	tests := map[string]struct {
-		kind         wire.JobKind
-		interval, at wire.Seconds
-		want         wire.Seconds
+		kind                     wire.JobKind
+		interval, checkpointTime wire.Seconds
+		want                     wire.Seconds
 	}{
 		"no checkpoints":           {wire.KindArray, 0, 3, 0},
 		"gang without checkpoints": {wire.KindGang, 0, 3, 0},
@@ -171,7 +171,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := newTestState(t)
 			j := addTestJob(s, tt.kind, 2, 2)
-			j.Spec.CheckpointInterval, j.Spec.CheckpointTime = tt.interval, tt.at
+			j.Spec.CheckpointInterval, j.Spec.CheckpointTime = tt.interval, tt.checkpointTime
 			if got := s.GracePeriodOf(j); got != tt.want {
 				t.Errorf("GracePeriodOf = %v, want %v", got, tt.want)
 			}
--- a/internal/leader/cluster/image_cache.go
+++ b/internal/leader/cluster/image_cache.go
@@ -6,8 +6,9 @@
 	"lilaclead/internal/wire"
 )
 
-// ImageCache is what heartbeats imply of a machine's images: an image is there once a task
-// of it got past its fetch, until later ones evict it. Reconciliation writes it.
+// ImageCache is an estimate, from heartbeats, of the images that a machine has on disk. An
+// image counts as cached once a task that uses it has got past the fetch, until later images
+// evict it. Reconciliation writes it.
 type ImageCache struct {
 	Images map[wire.ImageID]cachedImage
 }
@@ -17,7 +18,7 @@
 	usedAt time.Time
 }
 
-// Has reports whether an image is taken to be there.
+// Has reports whether an image counts as cached.
 func (c *ImageCache) Has(id wire.ImageID) bool {
 	_, ok := c.Images[id]
 	return ok
@@ -52,7 +53,8 @@
 	return used
 }
 
-// leastRecentlyUsed returns the image used longest ago; newest, unless one was used before it.
+// leastRecentlyUsed returns the image that was used longest ago. It is newest, the image used
+// last, only if no other image was used before it.
 func (c *ImageCache) leastRecentlyUsed(newest wire.ImageID) wire.ImageID {
 	oldest := newest
 	for id, image := range c.Images {
--- a/internal/leader/cluster/image_cache_test.go
+++ b/internal/leader/cluster/image_cache_test.go
@@ -14,24 +14,24 @@
 		sizeGB float64
 	}
 	tests := map[string]struct {
-		roomGB float64
-		uses   []use // a second apart
-		want   []wire.ImageID
+		capacityGB float64
+		uses       []use // one second apart
+		want       []wire.ImageID
 	}{
-		"all fit":                         {10, []use{{"a", 4}, {"b", 6}}, []wire.ImageID{"a", "b"}},
-		"the oldest goes":                 {10, []use{{"a", 4}, {"b", 4}, {"c", 4}}, []wire.ImageID{"b", "c"}},
-		"a use makes it the newest":       {10, []use{{"a", 4}, {"b", 4}, {"a", 4}, {"c", 4}}, []wire.ImageID{"a", "c"}},
-		"several go for a large one":      {10, []use{{"a", 4}, {"b", 4}, {"c", 8}}, []wire.ImageID{"c"}},
-		"too large a one still is there":  {10, []use{{"a", 4}, {"b", 12}}, []wire.ImageID{"b"}},
-		"room of unknown size never ends": {0, []use{{"a", 400}, {"b", 400}}, []wire.ImageID{"a", "b"}},
-		"its size may change":             {10, []use{{"a", 4}, {"b", 4}, {"b", 8}}, []wire.ImageID{"b"}},
+		"all fit":                             {10, []use{{"a", 4}, {"b", 6}}, []wire.ImageID{"a", "b"}},
+		"the oldest is evicted":               {10, []use{{"a", 4}, {"b", 4}, {"c", 4}}, []wire.ImageID{"b", "c"}},
+		"a use makes it the newest":           {10, []use{{"a", 4}, {"b", 4}, {"a", 4}, {"c", 4}}, []wire.ImageID{"a", "c"}},
+		"several are evicted for a large one": {10, []use{{"a", 4}, {"b", 4}, {"c", 8}}, []wire.ImageID{"c"}},
+		"one larger than the cache stays":     {10, []use{{"a", 4}, {"b", 12}}, []wire.ImageID{"b"}},
+		"unknown capacity evicts nothing":     {0, []use{{"a", 400}, {"b", 400}}, []wire.ImageID{"a", "b"}},
+		"an image's size changes":             {10, []use{{"a", 4}, {"b", 4}, {"b", 8}}, []wire.ImageID{"b"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			var cache ImageCache
 			now := time.Now()
 			for i, u := range tt.uses {
-				cache.RecordUse(u.image, u.sizeGB, tt.roomGB, now.Add(time.Duration(i)*time.Second))
+				cache.RecordUse(u.image, u.sizeGB, tt.capacityGB, now.Add(time.Duration(i)*time.Second))
 			}
 			var got []wire.ImageID
 			for _, id := range []wire.ImageID{"a", "b", "c"} {
@@ -40,7 +40,7 @@
 				}
 			}
 			if !slices.Equal(got, tt.want) {
-				t.Errorf("after %v in %v GB: %v, want %v", tt.uses, tt.roomGB, got, tt.want)
+				t.Errorf("images after %v in %v GB = %v, want %v", tt.uses, tt.capacityGB, got, tt.want)
 			}
 		})
 	}
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -8,14 +8,14 @@
 	"lilaclead/internal/wire"
 )
 
-// startWithin is the time within which every job should have begun.
+// startWithin is the time from its acceptance within which every job should have begun.
 const startWithin = demand.StartWithinSeconds * time.Second
 
 // Job is a job that is accepted and not archived yet.
 type Job struct {
 	Spec       wire.JobSpec
 	AcceptedAt time.Time
-	Gang       *Gang // its attempt that may be on machines; nil: none
+	Gang       *Gang // the current attempt of a gang; nil: there is none
 	JobRecordState
 	ChunkLayout
 	TaskCounts
@@ -24,33 +24,34 @@
 }
 
 // JobRecordState is the state of a job with regard to its record in the key-value store.
-// Recovery, the watch on job records and cancellations write it, and the writer and the
-// committer of progress records what concerns the job's end.
+// Recovery, the watch on job records and cancellations write it. The writer and the
+// committer of progress records write the fields that concern the job's end.
 type JobRecordState struct {
 	Revision       wire.Revision
-	RecordOutdated bool // the record has changed in a way not yet read
+	RecordOutdated bool // the stored record has changed in a way that is not read yet
 	RecordDeleted  bool // the watch has shown that the record is gone
 	Cancelled      bool
 	CancelledAt    time.Time
 	Finished       bool // to be archived
 	Archiving      bool // the transaction that archives it is under way
-	// WriteNotBefore: the job's end is not written before, as the store refused to write
-	// it in a transaction of its own.
+	// WriteNotBefore: the job's end is not written before this time, because the store
+	// refused to write it in a transaction of its own.
 	WriteNotBefore time.Time
 }
 
-// TaskCounts counts the tasks of a job by state. Chunk.Add and Attempt.Detach, EndAttempt
-// and CompleteGang keep them; the scheduler counts what it starts as not stored, the
-// committer as stored, and the reader of progress records what is done.
+// TaskCounts counts the tasks of a job by state. Chunk.AddAttempt, Chunk.Reset,
+// Attempt.Detach, EndAttempt and CompleteGang update it. So do the scheduler, which counts
+// what it starts as unstored, the committer, which counts it as stored, and the reader of
+// progress records, which counts the tasks that are done.
 type TaskCounts struct {
 	DoneTasks        int
 	ActiveTasks      int
-	UnstoredAttempts int // active ones whose attempt is not stored yet
+	UnstoredAttempts int // active tasks whose attempt is not stored yet
 	// FirstPendingChunk: no task of an earlier chunk is pending.
 	FirstPendingChunk int
 }
 
-// StartHistory is what is known in this term of the starts and runs of a job's tasks.
+// StartHistory is what this term knows of the starts and runs of a job's tasks.
 type StartHistory struct {
 	HasRun       bool         // a task of it was seen running; set by reconciliation
 	LastStartAt  time.Time    // when the scheduler last decided on a task of it
@@ -58,19 +59,19 @@
 	lastActiveAt time.Time    // when a task of it was last on a machine; set by EndAttempt
 }
 
-// JobFailures is what tells a job that fails wherever it runs from a faulty machine.
-// Reconciliation writes it as tasks exit; StartNotBefore is also set when a start is
-// refused by a machine, or by the store for its size.
+// JobFailures is the evidence that a job fails wherever it runs, as opposed to failing on a
+// faulty machine. Reconciliation writes it as tasks exit. StartNotBefore is also set when a
+// machine refuses a start, or the store refuses it for its size.
 type JobFailures struct {
 	// FailedMachines are those on which a task of the job failed since the last success.
 	FailedMachines   map[wire.MachineID]bool
 	TaskFailures     int  // since the last success
 	AnyTaskSucceeded bool // a task of it has completed in this term
-	// StartNotBefore: no task of it is started before.
+	// StartNotBefore: no task of the job is started before this time.
 	StartNotBefore time.Time
 }
 
-// NewJob returns a job by its record.
+// NewJob returns the job that a record describes, without any progress.
 func NewJob(rec store.JobRecord, revision wire.Revision) *Job {
 	chunkTasks := rec.ChunkTasks()
 	return &Job{
@@ -84,9 +85,9 @@
 	}
 }
 
-// monotonicTime returns a stored time as one that later changes of the wall clock do not
-// affect. A time in the future, by a clock that is off, counts as now: no job has waited
-// for a negative time.
+// monotonicTime gives a stored time a monotonic clock reading, so that later changes of the
+// wall clock do not affect the time since. A time in the future, from a clock that is wrong,
+// counts as now: no job has waited for a negative time.
 func monotonicTime(stored time.Time) time.Time {
 	now := time.Now()
 	age := max(now.Sub(stored), 0)
@@ -128,8 +129,8 @@
 	return counts
 }
 
-// ZoneCapacityLeft returns how many more tasks of a job that is bound to zones each zone
-// may take.
+// ZoneCapacityLeft returns how many more of the job's tasks may be placed in each zone, for
+// a job with SameZone or Spread set.
 func (j *Job) ZoneCapacityLeft(zones []wire.Zone) map[wire.Zone]int {
 	left := map[wire.Zone]int{}
 	active := j.ActiveByZone()
@@ -144,18 +145,18 @@
 	return left
 }
 
-// SinceLastStart returns for how long no task of the job has been started, as far as this
-// term knows.
+// SinceLastStart returns for how long no task of the job has been started. What happened
+// before this term is not known, so it is at most the time since the term began.
 func (s *State) SinceLastStart(j *Job, now time.Time) time.Duration {
 	return now.Sub(LaterOf(LaterOf(j.AcceptedAt, j.LastStartAt), s.TermStartedAt))
 }
 
 // StartOverdue reports whether a job other than a service has waited so long without a
-// start that its first task goes before everything but services. Little work left, prices
-// and priorities order the rest; under a steady overload they would keep a large or cheap
-// job waiting for ever. The same holds for a job that has begun and of which nothing has
-// run for as long: when the spot machines that it was on had been reclaimed and there were
-// no more of them, the rest of it was never run.
+// start that its first task goes before everything but services. The other jobs are ordered
+// by how little work is left, by price and by priority, which alone would keep a large or
+// cheap job waiting for ever under a steady overload. A job that has begun, but of which
+// nothing has run for as long, is overdue too. Without this, the rest of a job is never run
+// if the spot machines that it was on are reclaimed and no more of them are to be had.
 func (s *State) StartOverdue(j *Job, now time.Time) bool {
 	if j.Spec.IsService() || j.ActiveTasks > 0 {
 		return false
--- a/internal/leader/cluster/job_test.go
+++ b/internal/leader/cluster/job_test.go
@@ -9,13 +9,13 @@
 	"lilaclead/internal/wire"
 )
 
-func TestNewJobNeverWaitsNegatively(t *testing.T) {
+func TestNewJobHasNoNegativeAge(t *testing.T) {
 	tests := map[string]struct {
 		acceptedIn time.Duration
 		wantAge    time.Duration
 	}{
-		"accepted a minute ago":            {-time.Minute, time.Minute},
-		"accepted by a clock that is fast": {time.Minute, 0},
+		"accepted a minute ago":             {-time.Minute, time.Minute},
+		"accepted by a clock ahead of ours": {time.Minute, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,13 +37,13 @@
 func TestZoneCapacityLeft(t *testing.T) {
 	tests := map[string]struct {
 		sameZone, spread bool
-		onA              int
+		tasksInA         int
 		want             map[wire.Zone]int
 	}{
 		"same zone, nothing placed": {sameZone: true, want: map[wire.Zone]int{"a": 4, "b": 4}},
-		"same zone, one placed":     {sameZone: true, onA: 1, want: map[wire.Zone]int{"a": 3, "b": 0}},
+		"same zone, one placed":     {sameZone: true, tasksInA: 1, want: map[wire.Zone]int{"a": 3, "b": 0}},
 		"spread, nothing placed":    {spread: true, want: map[wire.Zone]int{"a": 2, "b": 2}},
-		"spread, zone is full":      {spread: true, onA: 3, want: map[wire.Zone]int{"a": 0, "b": 2}},
+		"spread, zone is full":      {spread: true, tasksInA: 3, want: map[wire.Zone]int{"a": 0, "b": 2}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,17 +52,17 @@
 			j.Spec.SameZone, j.Spec.Spread = tt.sameZone, tt.spread
 			m := s.GetOrAddMachine("n-1")
 			m.Zone = "a"
-			for i := range tt.onA {
+			for i := range tt.tasksInA {
 				addTestAttempt(j, i, m, 1)
 			}
 			if got := j.ZoneCapacityLeft([]wire.Zone{"a", "b"}); !maps.Equal(got, tt.want) {
-				t.Errorf("ZoneCapacityLeft with %d tasks in a = %v, want %v (cap %d)", tt.onA, got, tt.want, j.Spec.MaxTasksPerZone())
+				t.Errorf("ZoneCapacityLeft with %d tasks in a = %v, want %v (limit %d)", tt.tasksInA, got, tt.want, j.Spec.MaxTasksPerZone())
 			}
 		})
 	}
 }
 
-func TestStartOverdueAfterHalfTheTimeToStart(t *testing.T) {
+func TestStartOverdueAfterHalfOfStartWithin(t *testing.T) {
 	const half = 2 * time.Minute
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
@@ -97,17 +97,17 @@
 			}
 			s.TermStartedAt = now
 			if got := s.StartOverdue(j, now); tt.done > 0 && got {
-				t.Error("overdue at the beginning of a term that knows nothing of when it ran")
+				t.Error("job that has begun is overdue as soon as a term starts, which cannot know when it last ran")
 			}
 		})
 	}
 }
 
-func TestExpectedSecondsPrefersMeasuredRunTimes(t *testing.T) {
+func TestExpectedRunSecondsPrefersMeasuredRunTimes(t *testing.T) {
 	j := addTestJob(newTestState(t), wire.KindArray, 1, 1)
 	j.Spec.ExpectedRunTime = 30
 	if got := j.ExpectedRunSeconds(); got != 30 {
-		t.Errorf("by its owner: %v, want 30", got)
+		t.Errorf("owner's estimate: %v, want 30", got)
 	}
 	for _, seconds := range []float64{50, 10, 40} {
 		j.RunTimes.Add(seconds)
@@ -130,7 +130,7 @@
 		want         bool
 		wantStatus   wire.Status
 	}{
-		"tasks to come":             {1, 0, false, false, wire.StatusDone},
+		"a task pending":            {1, 0, false, false, wire.StatusDone},
 		"all done":                  {2, 0, false, true, wire.StatusDone},
 		"cancelled, one is active":  {0, 1, true, false, wire.StatusCancelled},
 		"cancelled, none is active": {0, 0, true, true, wire.StatusCancelled},
--- a/internal/leader/cluster/launch_test.go
+++ b/internal/leader/cluster/launch_test.go
@@ -59,12 +59,12 @@
 			prepare:   func(a *Attempt) { a.LaunchUnanswered, a.UnansweredLaunchToken, a.LaunchEpoch = true, testToken, 2 },
 			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 5, Token: testToken},
 		},
-		"in a reply, and a later state came as the answer to a command": {
+		"in a reply, and a later heartbeat answers a command": {
 			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
 			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
 			want:      replyPath,
 		},
-		"in a reply, and the same heartbeat came again": {
+		"in a reply, and the heartbeat that it answered arrives again": {
 			prepare:     func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
 			heartbeat:   wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
 			sentByAgent: true,
@@ -86,7 +86,7 @@
 			a := addTestAttempt(addTestJob(s, wire.KindArray, 1, 1), 0, s.GetOrAddMachine("n-1"), 7)
 			tt.prepare(a)
 			if got := s.openLaunchPath(a, &tt.heartbeat, tt.sentByAgent); got != tt.want {
-				t.Errorf("open path after %+v, sent by the agent %v = %v, want %v", tt.heartbeat, tt.sentByAgent, got, tt.want)
+				t.Errorf("openLaunchPath(%+v, sent by the agent %v) = %v, want %v", tt.heartbeat, tt.sentByAgent, got, tt.want)
 			}
 			want := tt.want != noLaunchPath
 			if got := s.LaunchMayTakeEffect(a, &tt.heartbeat, tt.sentByAgent); got != want {
@@ -107,7 +107,7 @@
 		"agent before its epoch":      {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 49, Epoch: 1}, true},
 		"agent with a higher token":   {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 51, Epoch: 2}, false},
 		"agent in a later epoch":      {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 50, Epoch: 3}, false},
-		"agent past token and epoch":  {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 51, Epoch: 3}, false},
+		"agent past both":             {UnansweredCommand{Token: 50, Epoch: 2}, wire.Heartbeat{Token: 51, Epoch: 3}, false},
 		"agent restarted, same token": {UnansweredCommand{Token: 50, Epoch: 0}, wire.Heartbeat{Token: 50, Epoch: 1}, false},
 	}
 	for name, tt := range tests {
@@ -127,14 +127,14 @@
 		heartbeat wire.Heartbeat
 		want      bool
 	}{
-		"launch was in no reply":       {func(a *Attempt) { a.ReplySequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
-		"already observed":             {func(a *Attempt) { a.SeenInHeartbeat = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
-		"heartbeat that was replied":   {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 5}, false},
-		"heartbeat of another epoch":   {func(a *Attempt) {}, wire.Heartbeat{Epoch: 3, Sequence: 6}, false},
-		"later heartbeat lacks it":     {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6}, true},
-		"later heartbeat lists it":     {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 7}}}, false},
-		"another attempt is in there":  {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 6}}}, true},
-		"another task has that number": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/1", Attempt: 7}}}, true},
+		"launch was in no reply":        {func(a *Attempt) { a.ReplySequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"already listed before":         {func(a *Attempt) { a.SeenInHeartbeat = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"heartbeat that was replied to": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 5}, false},
+		"heartbeat of another epoch":    {func(a *Attempt) {}, wire.Heartbeat{Epoch: 3, Sequence: 6}, false},
+		"later heartbeat lacks it":      {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6}, true},
+		"later heartbeat lists it":      {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 7}}}, false},
+		"lists another attempt":         {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 6}}}, true},
+		"lists another task":            {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/1", Attempt: 7}}}, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -20,20 +20,21 @@
 	CommandDelivery
 	MachineFailures
 
-	// Tasks are the attempts that may be on the machine, kept by Chunk.Add and
-	// Attempt.Detach; usedResources is what they take.
+	// Tasks are the attempts that may be on the machine, and usedResources is what they use.
+	// Chunk.AddAttempt and Attempt.Detach update both.
 	Tasks         map[wire.TaskID]*Attempt
 	usedResources placement.Resources
-	// OrphanTasks are tasks in its last heartbeat that this term has no such attempt of.
+	// OrphanTasks are the tasks that its last heartbeat lists with an attempt that this term
+	// does not know.
 	OrphanTasks map[wire.TaskID]bool
 	Images      ImageCache
-	// Reservations are the scheduler's.
+	// Reservations are read and written by the scheduler.
 	Reservations []Reservation
-	LastUsedAt   time.Time // when a task was last on it
+	LastUsedAt   time.Time // when a task was last on it; initially when it became known
 }
 
-// MachineAttributes is what a machine is and where it can be reached, by its last
-// heartbeat. Until the first one it is what was asked of the cloud, or the machine list.
+// MachineAttributes are the properties and the address of a machine, according to its last
+// heartbeat. Until the first one they come from the request to the cloud or the machine list.
 type MachineAttributes struct {
 	Addr        string
 	MachineType wire.MachineType
@@ -41,68 +42,70 @@
 	Spot        bool
 }
 
-// AgentProgress is how far a machine's agent has come by its last heartbeat. Reconciliation
-// writes it.
+// AgentProgress is the position of a machine's agent according to its heartbeats.
+// Reconciliation writes it.
 type AgentProgress struct {
 	Epoch       wire.AgentEpoch
 	Sequence    wire.Sequence
-	Token       wire.FencingToken // the highest that it has shown
+	Token       wire.FencingToken // highest token that it has shown
 	TokenSeenAt time.Time         // when it first showed a token of this term
 	EpochSince  time.Time         // when its epoch became known
-	// Restarted: the machine restarted, and its agent counts from the start again, so that
-	// its heartbeats can't be told from late copies. It is scaled in.
+	// Restarted: the machine restarted and its agent counts epochs and sequences from the
+	// start again, so that its heartbeats can't be told from late copies of earlier ones.
+	// Such a machine is scaled in.
 	Restarted bool
 }
 
-// ContactTimes is when and by which way a machine was last in contact. Reconciliation
-// writes it, and the liveness monitor the time of verification.
+// ContactTimes is when and by which path a machine was last in contact. Reconciliation
+// writes it; the liveness monitor also writes LastVerifiedAt.
 type ContactTimes struct {
 	FirstHeartbeatAt   time.Time // first heartbeat in this term
 	DirectHeartbeatAt  time.Time // last heartbeat that the agent sent to this node
 	RelayedHeartbeatAt time.Time // last heartbeat through another node
 	RelayedOnly        bool      // the last heartbeat came through another node
-	LastMessageAt      time.Time // last message from it: a heartbeat, or the answer to a command
+	LastMessageAt      time.Time // last message from it: a heartbeat or the answer to a command
 	LastReplyAt        time.Time // last reply to a heartbeat of it
-	// HeartbeatsMissingSince is since when it only answers direct commands; zero: it sends
-	// heartbeats.
+	// HeartbeatsMissingSince is the time since which it has answered direct commands, but
+	// sent no heartbeat; zero: its heartbeats arrive.
 	HeartbeatsMissingSince time.Time
 	// LastVerifiedAt is when it was last probed directly because of what its heartbeats
-	// show, for instance one that is not newer than what is known.
+	// show, for instance because one was not newer than the last known one.
 	LastVerifiedAt time.Time
 }
 
-// Provisioning is the machine in the cloud's view. The autoscaler and the inventory of
-// machine lists write it; reconciliation ends Booting and takes in spot notices.
+// Provisioning is the state of a machine as seen by the cloud. The autoscaler and the
+// inventory of machine lists write it; reconciliation clears Booting and records spot
+// notices.
 type Provisioning struct {
 	Booting       bool      // it has never sent a heartbeat, as far as is known
-	RequestedAt   time.Time // when it was asked of the cloud
-	ListedAt      time.Time // when a list last had it; else when it became known
-	FailedInCloud bool      // the list has it as stopped by itself
+	RequestedAt   time.Time // when it was requested from the cloud
+	ListedAt      time.Time // when a machine list last had it; until then when it became known
+	FailedInCloud bool      // a machine list shows that it stopped by itself
 	ReclaimAt     time.Time // when the cloud reclaims it; zero: no spot notice
 }
 
-// CommandDelivery is whether direct commands reach the machine. The dispatcher of commands,
-// the term's loop and reconciliation write it.
+// CommandDelivery tracks whether direct commands reach the machine. The dispatcher of
+// commands, the term's loop and reconciliation write it.
 type CommandDelivery struct {
 	CommandInFlight    bool // a direct command is under way
 	UnansweredCommands int  // direct commands without an answer since LastMessageAt
-	RelayUnanswered    bool // the last of these went through another node, in vain too
-	// UnansweredLaunch covers the launches that were never answered.
+	RelayUnanswered    bool // the last of these was relayed by another node, also without an answer
+	// UnansweredLaunch covers all launches that were never answered.
 	UnansweredLaunch UnansweredCommand
 	Inbound          detector.Inbound
 }
 
-// MachineFailures is what tells a faulty or slow machine from a job that fails by itself.
-// Reconciliation writes it as tasks exit.
+// MachineFailures is the evidence that a machine is faulty or slow, as opposed to a job that
+// fails wherever it runs. Reconciliation writes it as tasks exit.
 type MachineFailures struct {
 	FailedJobs   map[wire.JobID]bool // jobs that failed on it since the last success
-	TaskFailures int                 // of tasks since the last success
+	TaskFailures int                 // failures of tasks since the last success
 	SlowRuns     slowRunCounts
-	// StartNotBefore: it refused a start, and gets no further one until then.
+	// StartNotBefore: the machine refused a start, and gets no further one before this time.
 	StartNotBefore time.Time
 }
 
-// GetOrAddMachine returns the entry of a machine, which is made if there is none.
+// GetOrAddMachine returns the entry of a machine, which it adds if there is none.
 func (t *MachineTable) GetOrAddMachine(id wire.MachineID) *Machine {
 	m := t.Machines[id]
 	if m == nil {
@@ -123,13 +126,13 @@
 	}
 }
 
-// addAttempt makes an attempt the one of its task on the machine.
+// addAttempt registers an attempt as that of its task on the machine.
 func (m *Machine) addAttempt(a *Attempt) {
 	m.Tasks[a.Task()] = a
 	m.usedResources = m.usedResources.Plus(a.Resources())
 }
 
-// removeAttempt removes an attempt, unless another one of its task has taken its place.
+// removeAttempt removes an attempt, unless another attempt of the same task has replaced it.
 func (m *Machine) removeAttempt(a *Attempt) {
 	task := a.Task()
 	if m.Tasks[task] != a {
@@ -138,7 +141,7 @@
 	delete(m.Tasks, task)
 	m.usedResources = m.usedResources.Minus(a.Resources())
 	if len(m.Tasks) == 0 {
-		m.usedResources = placement.Resources{} // sums of decimals drift
+		m.usedResources = placement.Resources{} // rounding errors of sums add up
 	}
 }
 
@@ -152,9 +155,9 @@
 	return false
 }
 
-// Zones returns the zones of the settings, in their order, then those of the machine types
-// that can be scaled out and of the machines that have sent something: some of these may
-// be in no settings.
+// Zones returns the zones of the settings in their order. After these it returns, sorted, the
+// zones in which the cloud offers machine types and those of machines that have sent
+// messages, as far as the settings lack them.
 func (s *State) Zones() []wire.Zone {
 	zones := slices.Clone(s.Settings.Zones)
 	add := func(zone wire.Zone) {
--- a/internal/leader/cluster/machine_test.go
+++ b/internal/leader/cluster/machine_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestMachineStateCountsEachMachineOnce(t *testing.T) {
+func TestLifecycleCountsCountsEachMachineOnce(t *testing.T) {
 	s := newTestState(t)
 	prepare := map[wire.MachineID]func(m *Machine){
 		"up":                    func(*Machine) {},
@@ -65,25 +65,25 @@
 		"scaled in":             func(m *Machine) { m.ScalingIn = true },
 	}
 	if got, want := s.LifecycleCounts(), map[string]int{"up": 0, "booting": 0, "draining": 0, "releasing": 0}; !maps.Equal(got, want) {
-		t.Errorf("without machines: %v, want %v", got, want)
+		t.Errorf("counts without machines = %v, want %v", got, want)
 	}
-	for id, p := range prepare {
-		p(s.GetOrAddMachine(id))
+	for id, prepareMachine := range prepare {
+		prepareMachine(s.GetOrAddMachine(id))
 	}
 	if got, want := s.LifecycleCounts(), map[string]int{"up": 1, "booting": 1, "draining": 2, "releasing": 3}; !maps.Equal(got, want) {
 		t.Errorf("counts = %v, want %v", got, want)
 	}
 }
 
-func TestHoldsReplicasOfServicesOnly(t *testing.T) {
+func TestHoldsReplicasCountsServicesOnly(t *testing.T) {
 	tests := map[string]struct {
 		kinds []wire.JobKind
 		want  bool
 	}{
-		"empty":               {nil, false},
-		"arrays":              {[]wire.JobKind{wire.KindArray, wire.KindArray}, false},
-		"gang":                {[]wire.JobKind{wire.KindGang}, false},
-		"service among these": {[]wire.JobKind{wire.KindArray, wire.KindService, wire.KindGang}, true},
+		"empty":                {nil, false},
+		"arrays":               {[]wire.JobKind{wire.KindArray, wire.KindArray}, false},
+		"gang":                 {[]wire.JobKind{wire.KindGang}, false},
+		"service among others": {[]wire.JobKind{wire.KindArray, wire.KindService, wire.KindGang}, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/quarantine_test.go
+++ b/internal/leader/cluster/quarantine_test.go
@@ -27,7 +27,7 @@
 				s.Quarantine(store.JobKey("req-1"), "req-1")
 			}
 			if got := s.IsQuarantined("req-1"); got != tt.want {
-				t.Errorf("Quarantined = %v, want %v", got, tt.want)
+				t.Errorf("IsQuarantined = %v, want %v", got, tt.want)
 			}
 		})
 	}
--- a/internal/leader/cluster/reachability_test.go
+++ b/internal/leader/cluster/reachability_test.go
@@ -7,24 +7,24 @@
 	"lilaclead/internal/leader/detector"
 )
 
-func TestOutboundLostOnceHeartbeatsAreMissingForLong(t *testing.T) {
+func TestOutboundConnectivityLostAfterHalfALeaseWithoutHeartbeats(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	tests := map[string]struct {
 		missingSince          time.Time
 		storeAvailableSince   time.Time
 		delegatesRenewedUntil time.Time
-		wantFor               time.Duration
+		wantMissingFor        time.Duration
 		wantLost              bool
 	}{
-		"heartbeats come":                {wantFor: 0},
-		"missing for a moment":           {missingSince: ago(3 * time.Second), wantFor: 3 * time.Second},
-		"missing for half a lease":       {missingSince: ago(8 * time.Second), wantFor: 8 * time.Second},
-		"missing for more than half":     {missingSince: ago(9 * time.Second), wantFor: 9 * time.Second, wantLost: true},
-		"the store was away until then":  {missingSince: ago(time.Minute), storeAvailableSince: ago(5 * time.Second), wantFor: 5 * time.Second},
-		"a delegate renewed until then":  {missingSince: ago(time.Minute), delegatesRenewedUntil: ago(6 * time.Second), wantFor: 6 * time.Second},
-		"both ended long ago":            {missingSince: ago(10 * time.Second), storeAvailableSince: ago(time.Hour), delegatesRenewedUntil: ago(time.Hour), wantFor: 10 * time.Second, wantLost: true},
-		"the later of the three is used": {missingSince: ago(time.Minute), storeAvailableSince: ago(4 * time.Second), delegatesRenewedUntil: ago(20 * time.Second), wantFor: 4 * time.Second},
+		"heartbeats come":                 {wantMissingFor: 0},
+		"missing for a moment":            {missingSince: ago(3 * time.Second), wantMissingFor: 3 * time.Second},
+		"missing for half a lease":        {missingSince: ago(8 * time.Second), wantMissingFor: 8 * time.Second},
+		"missing for more than half":      {missingSince: ago(9 * time.Second), wantMissingFor: 9 * time.Second, wantLost: true},
+		"the store was out until lately":  {missingSince: ago(time.Minute), storeAvailableSince: ago(5 * time.Second), wantMissingFor: 5 * time.Second},
+		"a delegate renewed until lately": {missingSince: ago(time.Minute), delegatesRenewedUntil: ago(6 * time.Second), wantMissingFor: 6 * time.Second},
+		"both ended long ago":             {missingSince: ago(10 * time.Second), storeAvailableSince: ago(time.Hour), delegatesRenewedUntil: ago(time.Hour), wantMissingFor: 10 * time.Second, wantLost: true},
+		"the later of the three is used":  {missingSince: ago(time.Minute), storeAvailableSince: ago(4 * time.Second), delegatesRenewedUntil: ago(20 * time.Second), wantMissingFor: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -32,31 +32,31 @@
 			m := s.GetOrAddMachine("n-1")
 			m.HeartbeatsMissingSince = tt.missingSince
 			s.StoreAvailableSince, s.DelegatesRenewedUntil = tt.storeAvailableSince, tt.delegatesRenewedUntil
-			if got := s.HeartbeatsMissingFor(m, now); got != tt.wantFor {
-				t.Errorf("HeartbeatsMissingFor = %v, want %v", got, tt.wantFor)
+			if got := s.HeartbeatsMissingFor(m, now); got != tt.wantMissingFor {
+				t.Errorf("HeartbeatsMissingFor = %v, want %v", got, tt.wantMissingFor)
 			}
 			if got := s.OutboundConnectivityLost(m, now); got != tt.wantLost {
-				t.Errorf("OutboundLost = %v, want %v", got, tt.wantLost)
+				t.Errorf("OutboundConnectivityLost = %v, want %v", got, tt.wantLost)
 			}
 		})
 	}
 }
 
-func TestOutboundLostNeedsTwoHeartbeatIntervals(t *testing.T) {
+func TestOutboundConnectivityLostNeedsTwoHeartbeatIntervals(t *testing.T) {
 	now := time.Now()
 	s := newTestState(t)
 	s.Settings.Workers.HeartbeatInterval = 10 // longer than a quarter of the lease
 	m := s.GetOrAddMachine("n-1")
 	m.HeartbeatsMissingSince = now.Add(-20 * time.Second)
 	if s.OutboundConnectivityLost(m, now) {
-		t.Error("lost after two intervals, want later")
+		t.Error("outbound connectivity lost after two intervals, want later")
 	}
 	if !s.OutboundConnectivityLost(m, now.Add(time.Millisecond)) {
-		t.Error("not lost after more than two intervals")
+		t.Error("outbound connectivity not lost after more than two intervals")
 	}
 }
 
-func TestSinceLastMessageCountsFromTheTermAtMost(t *testing.T) {
+func TestSinceLastMessageCountsFromTheStartOfTheTermAtTheEarliest(t *testing.T) {
 	s := newTestState(t)
 	now := s.TermStartedAt.Add(time.Minute)
 	m := s.GetOrAddMachine("n-1")
@@ -69,26 +69,26 @@
 	}
 }
 
-func TestMachinesOfAPartitionedZoneAreBehindItUntilSeen(t *testing.T) {
+func TestMachinesOfAPartitionedZoneAreUnseenUntilTheyMessage(t *testing.T) {
 	s := newTestState(t)
 	begin := s.TermStartedAt
-	behind, seen := s.GetOrAddMachine("n-1"), s.GetOrAddMachine("n-2")
-	behind.Zone, behind.LastMessageAt = "a", begin.Add(-time.Second)
+	unseen, seen := s.GetOrAddMachine("n-1"), s.GetOrAddMachine("n-2")
+	unseen.Zone, unseen.LastMessageAt = "a", begin.Add(-time.Second)
 	seen.Zone, seen.LastMessageAt = "a", begin.Add(time.Millisecond)
-	mostAreLost := detector.Counts{Up: 10, Lost: 9, AllUp: 100}
-	s.ZoneDetector.Judge("a", mostAreLost, begin)
+	mostMachinesLost := detector.Counts{Up: 10, Lost: 9, AllUp: 100}
+	s.ZoneDetector.Judge("a", mostMachinesLost, begin)
 
-	if !s.ZonePartitioned("a", begin) || !s.ZoneRecentlyPartitioned("a", begin) || !s.UnseenSincePartition(behind, begin) {
-		t.Error("zone is not partitioned, or the machine not behind the partition, when most of it is lost")
+	if !s.ZonePartitioned("a", begin) || !s.ZoneRecentlyPartitioned("a", begin) || !s.UnseenSincePartition(unseen, begin) {
+		t.Error("zone is not partitioned, or the silent machine is not unseen, when most of the zone's machines are lost")
 	}
 	if s.UnseenSincePartition(seen, begin) {
-		t.Error("machine is behind the partition although it was seen since")
+		t.Error("machine counts as unseen although it has sent a message since")
 	}
 	if s.ZonePartitioned("b", begin) || s.ZoneRecentlyPartitioned("b", begin) {
 		t.Error("another zone is partitioned")
 	}
 	later := begin.Add(time.Hour)
-	if s.ZonePartitioned("a", later) || s.ZoneRecentlyPartitioned("a", later) || s.UnseenSincePartition(behind, later) {
-		t.Error("zone is still partitioned an hour later")
+	if s.ZonePartitioned("a", later) || s.ZoneRecentlyPartitioned("a", later) || s.UnseenSincePartition(unseen, later) {
+		t.Error("zone is still partitioned, or the machine still unseen, an hour later")
 	}
 }
--- a/internal/leader/cluster/resources.go
+++ b/internal/leader/cluster/resources.go
@@ -7,14 +7,14 @@
 	"lilaclead/internal/wire"
 )
 
-// Reservation is room that is being made on a machine for a job.
+// Reservation is capacity that is being freed on a machine for a job.
 type Reservation struct {
 	placement.Reservation
-	AwaitedTasks []wire.TaskID // expected to end by themselves
-	ExpiresAt    time.Time     // until when it is kept
+	AwaitedTasks []wire.TaskID // tasks on the machine that are expected to end by themselves
+	ExpiresAt    time.Time
 }
 
-// MachineResources returns all the room of a machine of the type.
+// MachineResources returns the total resources of a machine of the type.
 func MachineResources(spec *wire.MachineSpec) placement.Resources {
 	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
@@ -38,8 +38,8 @@
 	return 0
 }
 
-// TotalResources returns all the room of a machine. One of a type that the catalog lacks
-// can hold nothing.
+// TotalResources returns the total resources of a machine; none if the catalog lacks its
+// type.
 func (s *State) TotalResources(m *Machine) placement.Resources {
 	if spec := s.MachineSpec(m.MachineType); spec != nil {
 		return MachineResources(spec)
@@ -47,8 +47,8 @@
 	return placement.Resources{}
 }
 
-// FreeResources returns the room that neither attempts nor orphans take. A machine with an
-// orphan of a job that is not known has none, as the orphan may be of any size.
+// FreeResources returns the resources that neither attempts nor orphans use. A machine with
+// an orphan of an unknown job has none free, because the orphan may be of any size.
 func (s *State) FreeResources(m *Machine) placement.Resources {
 	free := s.TotalResources(m).Minus(m.usedResources)
 	for task := range m.OrphanTasks {
@@ -56,7 +56,7 @@
 		if j == nil {
 			return placement.Resources{}
 		}
-		counted := m.Tasks[task] != nil // with the attempt of the same task
+		counted := m.Tasks[task] != nil // in usedResources, by another attempt of the task
 		if !counted {
 			free = free.Minus(placement.ResourcesOf(&j.Spec))
 		}
--- a/internal/leader/cluster/resources_test.go
+++ b/internal/leader/cluster/resources_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestFreeResourcesCountAttemptsAndOrphans(t *testing.T) {
-	ours := wire.TaskID{Job: "req-1", Index: 0}
+	attempted := wire.TaskID{Job: "req-1", Index: 0}
 	other := wire.TaskID{Job: "req-1", Index: 1}
 	tests := map[string]struct {
 		machineType wire.MachineType
@@ -16,14 +16,14 @@
 		orphans     []wire.TaskID
 		want        placement.Resources
 	}{
-		"empty":                         {"k4", 0, nil, placement.Resources{CPUs: 4, MemoryGB: 16}},
-		"with attempts":                 {"k4", 2, nil, placement.Resources{CPUs: 2, MemoryGB: 12}},
-		"of a type that is not listed":  {"k9", 0, nil, placement.Resources{}},
-		"orphan of a known job":         {"k4", 0, []wire.TaskID{other}, placement.Resources{CPUs: 3, MemoryGB: 14}},
-		"orphan and attempts":           {"k4", 1, []wire.TaskID{other}, placement.Resources{CPUs: 2, MemoryGB: 12}},
-		"older attempt of a task of it": {"k4", 1, []wire.TaskID{ours}, placement.Resources{CPUs: 3, MemoryGB: 14}},
-		"orphan of unknown size":        {"k4", 0, []wire.TaskID{{Job: "req-9", Index: 0}}, placement.Resources{}},
-		"both kinds of orphans":         {"k4", 1, []wire.TaskID{other, {Job: "req-9", Index: 0}}, placement.Resources{}},
+		"empty":                            {"k4", 0, nil, placement.Resources{CPUs: 4, MemoryGB: 16}},
+		"with attempts":                    {"k4", 2, nil, placement.Resources{CPUs: 2, MemoryGB: 12}},
+		"type not in the catalog":          {"k9", 0, nil, placement.Resources{}},
+		"orphan of a known job":            {"k4", 0, []wire.TaskID{other}, placement.Resources{CPUs: 3, MemoryGB: 14}},
+		"orphan and attempts":              {"k4", 1, []wire.TaskID{other}, placement.Resources{CPUs: 2, MemoryGB: 12}},
+		"orphan of a task with an attempt": {"k4", 1, []wire.TaskID{attempted}, placement.Resources{CPUs: 3, MemoryGB: 14}},
+		"orphan of unknown size":           {"k4", 0, []wire.TaskID{{Job: "req-9", Index: 0}}, placement.Resources{}},
+		"both kinds of orphans":            {"k4", 1, []wire.TaskID{other, {Job: "req-9", Index: 0}}, placement.Resources{}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,16 +48,16 @@
 func TestMachineSpecByType(t *testing.T) {
 	s := newTestState(t)
 	if got := s.MachineSpec("k4"); got != nil {
-		t.Errorf("before any list: %+v, want nil", got)
+		t.Errorf("MachineSpec(k4) with an empty catalog = %+v, want nil", got)
 	}
 	s.Catalog.Set([]wire.MachineSpec{{Name: "k2", DiskGB: 20}, {Name: "k4", DiskGB: 50}})
 	if got := s.MachineSpec("k4"); got == nil || got.Name != "k4" {
-		t.Errorf("MachineSpec(k4) = %+v, want it", got)
+		t.Errorf("MachineSpec(k4) = %+v, want that type", got)
 	}
 	if got := s.ImageCacheGB("k4"); got != 50 {
 		t.Errorf("ImageCacheGB(k4) = %v, want 50", got)
 	}
 	if got := s.ImageCacheGB("k9"); got != 0 {
-		t.Errorf("ImageCacheGB of a type that is not listed = %v, want 0", got)
+		t.Errorf("ImageCacheGB of a type not in the catalog = %v, want 0", got)
 	}
 }
--- a/internal/leader/cluster/rig_test.go
+++ b/internal/leader/cluster/rig_test.go
@@ -43,7 +43,7 @@
 	return a
 }
 
-// markUnstored makes an attempt one whose record is not stored yet.
+// markUnstored makes an attempt one that is not in its chunk's stored record yet.
 func markUnstored(a *Attempt) {
 	a.Unstored = true
 	a.Chunk.UnstoredAttempts++
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -9,13 +9,13 @@
 const (
 	// runTimeSamples is how many of the last run times of a job's tasks are kept.
 	runTimeSamples = 15
-	// ownerEstimateFactor stretches the owner's estimate of a run time, which is often
-	// too short, until some of the job's tasks are done.
+	// ownerEstimateFactor multiplies the owner's estimate of a run time, which is often too
+	// short, until some of the job's tasks are done.
 	ownerEstimateFactor = 1.5
-	// minRemainingDivisor: a task that runs longer than expected is expected to need a
-	// tenth of its run time still.
+	// minRemainingDivisor: a task that has run as long as expected, or longer, is expected to
+	// need another tenth of its expected run time.
 	minRemainingDivisor = 10
-	// minPlannedSeconds is the least remaining time that is planned with.
+	// minPlannedSeconds is the least remaining time that capacity planning assumes.
 	minPlannedSeconds = 1
 )
 
@@ -42,12 +42,12 @@
 // measured reports whether there are run times.
 func (r *runTimeStats) measured() bool { return len(r.Samples) > 0 }
 
-// slowRunCounts counts a machine's completions by how they compare with the run times of
-// their job's other tasks.
+// slowRunCounts counts the tasks that completed on a machine: those that ran slowly, compared
+// with the run times of their job's other tasks, and the others.
 type slowRunCounts struct{ Slow, Normal int }
 
-// ExpectedRunSeconds returns the expected run time of a task: what was measured, else what
-// the owner says.
+// ExpectedRunSeconds returns the expected run time of a task: the median of the measured run
+// times, or the owner's estimate if there are none.
 func (j *Job) ExpectedRunSeconds() float64 {
 	if j.RunTimes.measured() {
 		return j.RunTimes.Median()
@@ -57,7 +57,7 @@
 
 // ExpectedRemainingSeconds returns in how many seconds a task is expected to end by itself;
 // infinity for a replica of a service, and for a task that does not run yet. Until some of
-// its job's tasks are done there is only the owner's estimate, which is often too short.
+// its job's tasks are done, the owner's estimate is lengthened by ownerEstimateFactor.
 func (a *Attempt) ExpectedRemainingSeconds(now time.Time) float64 {
 	if a.RunningSince.IsZero() || a.Job.Spec.IsService() {
 		return math.Inf(1)
@@ -69,8 +69,9 @@
 	return max(expected/minRemainingDivisor, expected-now.Sub(a.RunningSince).Seconds())
 }
 
-// PlannedRemainingSeconds returns in how many seconds the attempt is expected to end by its
-// run time alone, one at least.
+// PlannedRemainingSeconds returns in how many seconds the attempt is expected to end judged
+// by its expected run time alone, and at least one. Unlike ExpectedRemainingSeconds it is
+// finite also for a replica of a service and for a task that does not run yet.
 func (a *Attempt) PlannedRemainingSeconds(now time.Time) float64 {
 	remaining := a.Job.ExpectedRunSeconds()
 	if !a.RunningSince.IsZero() {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -26,7 +26,7 @@
 	TermReadiness
 	LeaseRenewal
 
-	// ActiveVersion is the version of the behaviour that the leader acts by.
+	// ActiveVersion is the version whose behaviour the leader follows.
 	ActiveVersion upgrade.Version
 
 	UnsavedChanges unsavedChanges
@@ -37,15 +37,15 @@
 // the committer of progress records removes them once they are archived.
 type JobTable struct {
 	Jobs map[wire.JobID]*Job
-	// ArchivedJobs are jobs that were archived in this term, of which late events of the
-	// watch may still come.
+	// ArchivedJobs are the jobs that were archived in this term. Late events of the watch on
+	// their records may still arrive.
 	ArchivedJobs map[wire.JobID]bool
-	// QuarantinedJobs are jobs of which a record can't be decoded, see Quarantine.
+	// QuarantinedJobs are jobs with a record that can't be decoded, see Quarantine.
 	QuarantinedJobs map[wire.JobID]bool
 	// CancelledJobs are cancelled jobs with attempts that may be on machines.
 	CancelledJobs map[*Job]struct{}
-	// BrokenGangs are gangs that lost a task, which is not handled yet. EndAttempt and
-	// RestoreGang add to it, the dispatcher of commands empties it.
+	// BrokenGangs are the gangs that have lost a task and are still to be handled as broken.
+	// EndAttempt and RestoreGang add to it, the dispatcher of commands empties it.
 	BrokenGangs map[*Job]struct{}
 }
 
@@ -54,29 +54,30 @@
 // and removed when the cloud has confirmed their scale-in.
 type MachineTable struct {
 	Machines map[wire.MachineID]*Machine
-	// RemovedMachines are the machines whose scale-in the cloud has confirmed, and when.
-	// The machine list lags, and may show them for a while.
+	// RemovedMachines are the machines whose scale-in the cloud has confirmed, with the time
+	// of their removal. The machine list lags, and may show them for a while.
 	RemovedMachines map[wire.MachineID]time.Time
 	ZoneDetector    *detector.Zones
 }
 
-// TermReadiness is how far the beginning of a term has come. The term's loop, the recovery
-// of records and the inventory of machine lists write it; apart from the time of the list each item is set once.
+// TermReadiness records which steps of the start of a term are complete. The term's loop, the
+// recovery of records and the inventory of machine lists write it. Each item is set once,
+// except MachineListRequestedAt.
 type TermReadiness struct {
 	// QuorumAckedAt is when a quorum first acknowledged this term's fencing token.
 	QuorumAckedAt time.Time
-	// RecordsRead is set when the records have been read.
+	// RecordsRead is set when the stored records have been read.
 	RecordsRead bool
 	// SchedulingEnabled is set when the first round of heartbeats is over.
 	SchedulingEnabled bool
-	// MachineListReceived is set when a machine list has come in, and
-	// MachineListRequestedAt is when the last one that did was asked for.
+	// MachineListReceived is set when a machine list has been received, and
+	// MachineListRequestedAt is when the last one received was requested.
 	MachineListReceived    bool
 	MachineListRequestedAt time.Time
 }
 
-// LeaseRenewal is what bounds the renewal of machines' leases by others than this leader,
-// or without the store. The term's loop and the liveness monitor write it.
+// LeaseRenewal bounds the renewal of machines' leases by other nodes than this leader, or
+// while the store is out. The term's loop and the liveness monitor write it.
 type LeaseRenewal struct {
 	// Delegation bounds for how long leases may be renewed on a leader's behalf.
 	Delegation delegation.Bounds
@@ -111,7 +112,8 @@
 	}
 }
 
-// HeartbeatInterval returns how often an agent sends a heartbeat, give or take a quarter.
+// HeartbeatInterval returns the nominal time between two heartbeats of an agent. The actual
+// time varies by up to a quarter of it.
 func (s *State) HeartbeatInterval() time.Duration {
 	return s.Settings.Workers.HeartbeatInterval.Duration()
 }
--- a/internal/leader/cluster/stop.go
+++ b/internal/leader/cluster/stop.go
@@ -6,18 +6,20 @@
 	"lilaclead/internal/wire"
 )
 
-// StopRequest is the wish to stop an attempt. The dispatcher of commands writes it. It
-// stands until the attempt has ended, and is renewed only with a shorter grace period.
+// StopRequest is a request to stop an attempt. The dispatcher of commands writes it. It
+// stands until the attempt has ended, and is replaced only by one with a shorter grace
+// period.
 type StopRequest struct {
 	Stopping        bool
-	StopRequestedAt time.Time // when it was first wanted
-	StopSentAt      time.Time // when the command was last sent; zero: it is still to be
+	StopRequestedAt time.Time // when the stop was first requested
+	StopSentAt      time.Time // when the command was last sent; zero: it is to be sent
 	GracePeriod     wire.Seconds
 	StopReason      EvictionReason
 }
 
 // EvictionReason says why a task left its machine, or is stopped there. It is a label of
-// lilaclead_moves_total. A machine that is faulty or slow stops tasks with its DrainReason.
+// lilaclead_moves_total. Tasks that are stopped because their machine is faulty or slow have
+// its DrainReason as the reason.
 type EvictionReason string
 
 // The reasons of evictions.
@@ -34,12 +36,12 @@
 	EvictedByEarlierLeader  EvictionReason = "an earlier leader stops its gang"
 )
 
-// checkpointMargin is what a grace period leaves beyond the time to save a checkpoint.
+// checkpointMargin is the time by which a grace period exceeds the time to save a checkpoint.
 const checkpointMargin wire.Seconds = 2
 
 // GracePeriodOf returns how long a task of the job is given to save a checkpoint; 0 if it
-// saves none. That of a gang is longer: each task has its time to save, and what is saved
-// waits for the others.
+// saves none. A task of a gang is given GangPeerTimeout more: each task needs its own time
+// to save, and a saved checkpoint waits for those of the other tasks.
 func (s *State) GracePeriodOf(j *Job) wire.Seconds {
 	if j.Spec.CheckpointInterval <= 0 {
 		return 0
