--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -6,86 +6,91 @@
 	"lilaclead/internal/wire"
 )
 
-// maxIgnoredAnswers is how many answers in a row a machine may seem not to have
-// received: one may be lost, or be crossed by an older heartbeat.
-const maxIgnoredAnswers = 2
-
-// Inbound judges the path from this node to a machine whose heartbeats arrive. Answers
-// and commands may be lost while heartbeats still come in: such a machine looks alive,
-// but starts nothing, and its lease expires.
+// ignoredAnswersThreshold is how many answers must seem to have been lost, with no delivery
+// known in between, for the inbound path to count as lost. A single answer may be lost, or be
+// crossed by an older heartbeat.
+const ignoredAnswersThreshold = 2
+
+// Inbound tells whether the inbound path of a machine works: the path from this node to a
+// machine whose heartbeats arrive. Answers and commands may be lost while heartbeats still
+// come in. Such a machine looks alive, but starts nothing, and its lease expires.
 type Inbound struct {
-	lastAnswer answerMark
-	// ignoredAnswers and unansweredCommands are in a row.
+	lastAnswer sentAnswer
+	// ignoredAnswers and unansweredCommands count since a message is known to have reached the
+	// machine.
 	ignoredAnswers     int
 	unansweredCommands int
-	// lostSince is when the path began to count as lost; zero: it works.
+	// lostSince is when the path began to count as lost. It is zero while the path works.
 	lostSince time.Time
 }
 
-// answerMark is the last answer to a heartbeat: the token in it, and the heartbeat's
-// place among those of the machine.
-type answerMark struct {
+// sentAnswer identifies an answer to a heartbeat: the token in the answer, and the epoch and
+// sequence number of the heartbeat.
+type sentAnswer struct {
 	token    wire.FencingToken
 	epoch    wire.AgentEpoch
 	sequence wire.Sequence
 }
 
-// Evidence is what a heartbeat shows of earlier answers.
+// Evidence is what the caller knows of a machine when a heartbeat of it is compared with
+// earlier answers.
 type Evidence struct {
-	// KnownToken is the token that the machine had shown before.
+	// KnownToken is the highest token in earlier heartbeats of the machine. It is 0 if there
+	// was none.
 	KnownToken wire.FencingToken
-	// RecentlyRenewed: the machine's lease can't have expired if it received the last
-	// answer.
+	// RecentlyRenewed reports that the last answer is so recent that the machine's lease can't
+	// have expired if it received that answer.
 	RecentlyRenewed bool
 	// MissesLaunch reports whether the heartbeat lacks a task that an earlier answer
-	// told the machine to start. It is called only if that matters.
+	// told the machine to start. It is called only if the result depends on it.
 	MissesLaunch func() bool
 }
 
-// Change of the verdict on a path.
-type Change int
+// PathChange is how the state of an inbound path has changed.
+type PathChange int
 
-// Changes of a path.
+// The possible changes of a path.
 const (
-	Unchanged Change = iota
-	Lost
-	Restored
+	PathUnchanged PathChange = iota
+	PathLost
+	PathRestored
 )
 
-// RecordAnswer records the answer to a heartbeat.
+// RecordAnswer records the answer that is sent to a heartbeat: the token in the answer, and the
+// epoch and sequence number of the heartbeat.
 func (p *Inbound) RecordAnswer(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
-	p.lastAnswer = answerMark{token, epoch, sequence}
+	p.lastAnswer = sentAnswer{token, epoch, sequence}
 }
 
-// ObserveHeartbeat compares a heartbeat with what the machine was told in the answer to an
-// earlier one.
-func (p *Inbound) ObserveHeartbeat(heartbeat *wire.Heartbeat, evidence Evidence, now time.Time) Change {
+// ObserveHeartbeat compares a heartbeat with the answer to an earlier one, and returns whether
+// the path has been lost or restored by it.
+func (p *Inbound) ObserveHeartbeat(heartbeat *wire.Heartbeat, evidence Evidence, now time.Time) PathChange {
 	if heartbeat.Token > evidence.KnownToken && evidence.KnownToken > 0 {
-		return p.RecordDelivery() // a new token has reached it
+		return p.RecordDelivery() // a new token has reached the machine
 	}
-	ignored := p.ignoredBy(heartbeat, evidence)
+	ignored := p.countIgnoredAnswers(heartbeat, evidence)
 	if ignored == 0 {
-		return Unchanged
+		return PathUnchanged
 	}
 	p.ignoredAnswers += ignored
-	enough := p.ignoredAnswers >= maxIgnoredAnswers || p.unansweredCommands > 0
-	if !p.Works() || !enough {
-		return Unchanged
+	thresholdReached := p.ignoredAnswers >= ignoredAnswersThreshold || p.unansweredCommands > 0
+	if !p.Works() || !thresholdReached {
+		return PathUnchanged
 	}
 	p.lostSince = now
-	return Lost
+	return PathLost
 }
 
-// ignoredBy returns how many answers a heartbeat shows not to have been received.
-func (p *Inbound) ignoredBy(heartbeat *wire.Heartbeat, evidence Evidence) int {
+// countIgnoredAnswers returns how many answers a heartbeat shows not to have been received.
+func (p *Inbound) countIgnoredAnswers(heartbeat *wire.Heartbeat, evidence Evidence) int {
 	last := &p.lastAnswer
 	switch {
 	case last.sequence == 0:
-		return 0 // none was given yet
+		return 0 // no answer was sent yet
 	case heartbeat.Epoch > last.epoch && evidence.RecentlyRenewed:
-		return maxIgnoredAnswers // its lease expired although its heartbeats were answered
+		return ignoredAnswersThreshold // the lease expired although heartbeats were answered
 	case heartbeat.Epoch != last.epoch || heartbeat.Sequence <= last.sequence:
-		return 0 // it was made before the answer
+		return 0 // the heartbeat was made before the answer, or in another epoch
 	case heartbeat.Token < last.token || evidence.MissesLaunch():
 		return 1
 	}
@@ -93,10 +98,10 @@
 }
 
 // RecordDelivery records that a message from this node has reached the machine.
-func (p *Inbound) RecordDelivery() Change {
-	change := Unchanged
+func (p *Inbound) RecordDelivery() PathChange {
+	change := PathUnchanged
 	if !p.Works() {
-		change = Restored
+		change = PathRestored
 	}
 	p.ignoredAnswers, p.unansweredCommands, p.lostSince = 0, 0, time.Time{}
 	return change
@@ -105,10 +110,10 @@
 // RecordUnansweredCommand records that a direct command was not answered.
 func (p *Inbound) RecordUnansweredCommand() { p.unansweredCommands++ }
 
-// Works reports whether messages to the machine are taken to arrive.
+// Works reports whether messages to the machine are assumed to arrive.
 func (p *Inbound) Works() bool { return p.lostSince.IsZero() }
 
-// LostFor returns how long nothing has been taken to arrive, 0 if the path works.
+// LostFor returns for how long the path has counted as lost, 0 if it works.
 func (p *Inbound) LostFor(now time.Time) time.Duration {
 	if p.Works() {
 		return 0
@@ -116,5 +121,6 @@
 	return now.Sub(p.lostSince)
 }
 
-// CommandsFail reports whether the last direct command was not answered either.
+// CommandsFail reports whether a direct command has gone unanswered since a message is known to
+// have reached the machine.
 func (p *Inbound) CommandsFail() bool { return p.unansweredCommands > 0 }
--- a/internal/leader/detector/inbound_test.go
+++ b/internal/leader/detector/inbound_test.go
@@ -7,68 +7,68 @@
 	"lilaclead/internal/wire"
 )
 
-// A path is lost when two answers in a row have no effect, or one has none and a direct
-// command is not answered. Anything that arrives restores it.
+// A path is lost when two answers have no effect, with no delivery known in between, or one has
+// none and a direct command is not answered. Any message that arrives restores the path.
 func TestPathIsLostByIgnoredAnswers(t *testing.T) {
 	const token = 50
 	heartbeat := func(epoch wire.AgentEpoch, sequence wire.Sequence, token wire.FencingToken) *wire.Heartbeat {
 		return &wire.Heartbeat{Epoch: epoch, Sequence: sequence, Token: token}
 	}
-	misses := func() bool { return true }
+	lacksLaunch := func() bool { return true }
 	complete := Evidence{token, true, func() bool { return false }}
-	missesLaunch := Evidence{token, true, misses}
-	noTokenBefore := Evidence{0, true, misses}
-	notRenewed := Evidence{token, false, misses}
+	missesLaunch := Evidence{token, true, lacksLaunch}
+	noTokenBefore := Evidence{0, true, lacksLaunch}
+	notRenewed := Evidence{token, false, lacksLaunch}
 	type step struct {
 		heartbeat         *wire.Heartbeat
 		evidence          Evidence
 		commandUnanswered bool // before the heartbeat
-		want              Change
+		want              PathChange
 	}
 	for name, steps := range map[string][]step{
-		"shows what it was told": {
-			{heartbeat(1, 11, token), complete, false, Unchanged},
-			{heartbeat(1, 12, token), complete, false, Unchanged},
+		"the heartbeats show what the answers ordered": {
+			{heartbeat(1, 11, token), complete, false, PathUnchanged},
+			{heartbeat(1, 12, token), complete, false, PathUnchanged},
 		},
 		"one answer has no effect": {
-			{heartbeat(1, 11, token), missesLaunch, false, Unchanged},
-			{heartbeat(1, 12, token), complete, false, Unchanged},
+			{heartbeat(1, 11, token), missesLaunch, false, PathUnchanged},
+			{heartbeat(1, 12, token), complete, false, PathUnchanged},
 		},
-		"two have none": {
-			{heartbeat(1, 11, token), missesLaunch, false, Unchanged},
-			{heartbeat(1, 12, token), missesLaunch, false, Lost},
-			{heartbeat(1, 13, token), missesLaunch, false, Unchanged},
+		"two answers have no effect": {
+			{heartbeat(1, 11, token), missesLaunch, false, PathUnchanged},
+			{heartbeat(1, 12, token), missesLaunch, false, PathLost},
+			{heartbeat(1, 13, token), missesLaunch, false, PathUnchanged},
 		},
-		"one, and a command": {
-			{heartbeat(1, 11, token), missesLaunch, true, Lost},
+		"one answer has no effect, and a command is not answered": {
+			{heartbeat(1, 11, token), missesLaunch, true, PathLost},
 		},
-		"an older token": {
-			{heartbeat(1, 11, token-1), complete, false, Unchanged},
-			{heartbeat(1, 12, token-1), complete, false, Lost},
+		"the heartbeats show an older token": {
+			{heartbeat(1, 11, token-1), complete, false, PathUnchanged},
+			{heartbeat(1, 12, token-1), complete, false, PathLost},
 		},
-		"its lease expired": {
-			{heartbeat(2, 1, token), complete, false, Lost},
+		"the lease expired": {
+			{heartbeat(2, 1, token), complete, false, PathLost},
 		},
-		"its lease expired, but no answer was due": {
-			{heartbeat(2, 1, token), notRenewed, false, Unchanged},
+		"the lease expired, but was not renewed recently": {
+			{heartbeat(2, 1, token), notRenewed, false, PathUnchanged},
 		},
-		"made before the answer": {
-			{heartbeat(1, 10, token), missesLaunch, false, Unchanged},
-			{heartbeat(1, 9, token), missesLaunch, true, Unchanged},
+		"the heartbeats were made before the answer": {
+			{heartbeat(1, 10, token), missesLaunch, false, PathUnchanged},
+			{heartbeat(1, 9, token), missesLaunch, true, PathUnchanged},
 		},
-		"a higher token comes back": {
-			{heartbeat(1, 11, token), missesLaunch, true, Lost},
-			{heartbeat(1, 12, token+1), missesLaunch, false, Restored},
-			{heartbeat(1, 13, token), missesLaunch, false, Unchanged},
+		"a heartbeat shows a higher token": {
+			{heartbeat(1, 11, token), missesLaunch, true, PathLost},
+			{heartbeat(1, 12, token+1), missesLaunch, false, PathRestored},
+			{heartbeat(1, 13, token), missesLaunch, false, PathUnchanged},
 		},
-		"the first token it is shown": {
-			{heartbeat(1, 11, token), noTokenBefore, true, Lost},
+		"the machine has shown no token before": {
+			{heartbeat(1, 11, token), noTokenBefore, true, PathLost},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var path Inbound
-			if got := path.ObserveHeartbeat(heartbeat(1, 9, 0), missesLaunch, start); got != Unchanged {
-				t.Errorf("before any answer: change %d, want %d", got, Unchanged)
+			if got := path.ObserveHeartbeat(heartbeat(1, 9, 0), missesLaunch, start); got != PathUnchanged {
+				t.Errorf("before any answer: change %d, want %d", got, PathUnchanged)
 			}
 			path.RecordAnswer(token, 1, 10)
 			for i, s := range steps {
@@ -100,8 +100,8 @@
 	if got, want := verdictOn(&path), (verdict{false, true, time.Second}); got != want {
 		t.Errorf("lost: %+v, want %+v", got, want)
 	}
-	if first, second := path.RecordDelivery(), path.RecordDelivery(); first != Restored || second != Unchanged {
-		t.Errorf("received twice: changes %d, %d, want %d, %d", first, second, Restored, Unchanged)
+	if first, second := path.RecordDelivery(), path.RecordDelivery(); first != PathRestored || second != PathUnchanged {
+		t.Errorf("received twice: changes %d, %d, want %d, %d", first, second, PathRestored, PathUnchanged)
 	}
 	if got, want := verdictOn(&path), (verdict{true, false, 0}); got != want {
 		t.Errorf("restored: %+v, want %+v", got, want)
--- a/internal/leader/detector/zones.go
+++ b/internal/leader/detector/zones.go
@@ -1,7 +1,6 @@
-// Package detector is a failure detector: it judges, from what arrives and what does
-// not, which zones and machines can be reached. It is pure: it reads no clock, sends
-// nothing and knows no jobs. Its owner passes it every message and asks for its
-// verdict.
+// Package detector is a failure detector: it decides which zones and machines can be reached,
+// by the messages that arrive from them and those that are missing. It reads no clock, sends
+// nothing and knows no jobs. Its owner passes it every message and queries the result.
 package detector
 
 import (
@@ -11,51 +10,53 @@
 )
 
 const (
-	// unresponsiveAfter is how long nothing must have come from a zone for it to count
-	// as partitioned. In that time at least minMissedHeartbeats of its own must have
-	// been due, by the rate at which the other zones' arrive. (Waiting until most of
-	// its machines were overdue, the leader had scaled in three quarters of a large
-	// zone one by one.)
+	// A zone counts as partitioned when no message has come from it for longer than
+	// unresponsiveAfter and at least minMissedHeartbeats of its heartbeats were due in that
+	// time, by the rate at which heartbeats arrive from the other zones. Without this rule a
+	// partition is noticed only when most machines of the zone are overdue, and until then the
+	// leader scales in three quarters of a large zone one by one.
 	unresponsiveAfter   = 1500 * time.Millisecond
 	minMissedHeartbeats = 12
-	// minMachines is how many machines a zone must have, or have lost, to be judged.
+	// minMachines is how many machines a zone must have for its missed heartbeats to count, and
+	// how many must be lost for the loss of most of its machines to count.
 	minMachines = 4
-	// Less evidence is enough if the zone's controllers are lost as well.
+	// These lower thresholds apply if the zone's controllers are lost as well.
 	minMissedHeartbeatsNoController = minMissedHeartbeats / 6
 	minMachinesNoController         = 2
 
-	// partitionedFor is how long a zone counts as partitioned after it last seemed so.
+	// partitionedFor is for how long a zone counts as partitioned after a check last found it
+	// unreachable.
 	partitionedFor = 2 * unresponsiveAfter
-	// recoveryHeartbeats is for how many heartbeat intervals it counts as recently so:
-	// its machines need a while to be heard again.
+	// recoveryHeartbeats is for how many heartbeat intervals after that check the zone counts as
+	// recently partitioned: the heartbeats of its machines need a while to arrive again.
 	recoveryHeartbeats = 3
 )
 
-// contact is the last sign of life of a zone's machines.
+// contact is the last message from any machine of a zone.
 type contact struct {
 	at time.Time
-	// heartbeats is how many had come from all zones by then.
-	heartbeats int
+	// heartbeatCount is how many heartbeats had come from all zones by then.
+	heartbeatCount int
 }
 
-// Zones judges which zones are partitioned from this node. It is not safe for
-// concurrent use.
+// Zones decides which zones are partitioned from this node. It is not safe for concurrent
+// use.
 type Zones struct {
-	startedAt     time.Time
-	recoveryTime  time.Duration
-	heartbeats    int // that arrived so far, of all zones
-	lastContact   map[wire.Zone]contact
-	partitionedAt map[wire.Zone]time.Time // when a zone last seemed partitioned
+	startedAt      time.Time
+	recoveryPeriod time.Duration // for which a zone counts as recently partitioned
+	heartbeatCount int           // heartbeats received so far, from all zones
+	lastContact    map[wire.Zone]contact
+	partitionedAt  map[wire.Zone]time.Time // when a check last found the zone unreachable
 }
 
-// NewZones returns a detector that knows no zone yet, from a time on at which machines
-// that are up send heartbeats at the given interval.
+// NewZones returns a detector that has received no message yet. From now on the machines that
+// are up are expected to send heartbeats at the given interval.
 func NewZones(now time.Time, heartbeatInterval time.Duration) *Zones {
 	return &Zones{
-		startedAt:     now,
-		recoveryTime:  recoveryHeartbeats * heartbeatInterval,
-		lastContact:   map[wire.Zone]contact{},
-		partitionedAt: map[wire.Zone]time.Time{},
+		startedAt:      now,
+		recoveryPeriod: recoveryHeartbeats * heartbeatInterval,
+		lastContact:    map[wire.Zone]contact{},
+		partitionedAt:  map[wire.Zone]time.Time{},
 	}
 }
 
@@ -63,12 +64,12 @@
 // answer to a command.
 func (z *Zones) RecordMessage(zone wire.Zone, heartbeat bool, now time.Time) {
 	if heartbeat {
-		z.heartbeats++
+		z.heartbeatCount++
 	}
-	z.lastContact[zone] = contact{now, z.heartbeats}
+	z.lastContact[zone] = contact{now, z.heartbeatCount}
 }
 
-// Known returns the zones from which a message came, in no order.
+// Known returns the zones from which a message has come, in no particular order.
 func (z *Zones) Known() []wire.Zone {
 	zones := make([]wire.Zone, 0, len(z.lastContact))
 	for zone := range z.lastContact {
@@ -79,69 +80,72 @@
 
 // Counts are the numbers of machines that should send heartbeats.
 type Counts struct {
-	// Up and Lost are of the zone; lost machines are those that are long overdue.
+	// Up is how many there are in the zone. Lost is how many of them are lost: their heartbeats
+	// are long overdue.
 	Up, Lost int
-	// AllUp is of all zones.
+	// AllUp is how many there are in all zones.
 	AllUp int
-	// ControllersLost reports that the zone's controllers are lost as well.
+	// ControllersLost reports that the zone's controllers can't be reached either.
 	ControllersLost bool
 }
 
-// Judge takes in the counts of a zone. It reports whether the zone begins to seem
-// partitioned: most of its machines are lost, or none was heard for a while. Heartbeats
-// are counted, not time alone: when this node is slow nothing comes from any zone.
+// Judge checks a zone by its current counts and reports whether a partition of it begins: most
+// of its machines are lost, or none of them has sent a message for a while. Missed heartbeats
+// are counted besides the time: when this node itself is slow, nothing arrives from any zone.
 func (z *Zones) Judge(zone wire.Zone, counts Counts, now time.Time) bool {
-	if !z.unresponsive(zone, counts, now) {
+	if !z.unreachable(zone, counts, now) {
 		return false
 	}
-	begins := !z.RecentlyPartitioned(zone, now)
+	partitionBegins := !z.RecentlyPartitioned(zone, now)
 	z.partitionedAt[zone] = now
-	return begins
+	return partitionBegins
 }
 
-// unresponsive reports whether a zone seems partitioned by its counts now.
-func (z *Zones) unresponsive(zone wire.Zone, counts Counts, now time.Time) bool {
+// unreachable reports whether a zone can't be reached now, by its counts and its last contact.
+func (z *Zones) unreachable(zone wire.Zone, counts Counts, now time.Time) bool {
 	missedThreshold, machineThreshold := minMissedHeartbeats, minMachines
 	if counts.ControllersLost {
 		missedThreshold, machineThreshold = minMissedHeartbeatsNoController, minMachinesNoController
 	}
-	mostLost := counts.Lost*2 > counts.Up
-	if mostLost && counts.Lost >= machineThreshold {
+	mostMachinesLost := counts.Lost*2 > counts.Up
+	if mostMachinesLost && counts.Lost >= machineThreshold {
 		return true
 	}
 	if counts.Up < machineThreshold || z.sinceContact(zone, now) <= unresponsiveAfter {
 		return false
 	}
-	// Of the heartbeats since the last contact the zone's share was due from it.
-	heartbeats := z.heartbeats - z.lastContact[zone].heartbeats
-	return heartbeats*counts.Up >= missedThreshold*counts.AllUp
+	// The zone's share of all machines, counts.Up/counts.AllUp, is also its share of the
+	// heartbeats that were due since its last contact.
+	heartbeatsSinceContact := z.heartbeatCount - z.lastContact[zone].heartbeatCount
+	return heartbeatsSinceContact*counts.Up >= missedThreshold*counts.AllUp
 }
 
-// sinceContact returns how long ago a zone was last heard, counted from the start at
-// most.
+// sinceContact returns the time since the last message from a zone, or since the start of the
+// detector if that is shorter.
 func (z *Zones) sinceContact(zone wire.Zone, now time.Time) time.Duration {
-	heardAt := z.lastContact[zone].at
-	if heardAt.Before(z.startedAt) {
-		heardAt = z.startedAt
+	silentSince := z.lastContact[zone].at
+	if silentSince.Before(z.startedAt) {
+		silentSince = z.startedAt
 	}
-	return now.Sub(heardAt)
+	return now.Sub(silentSince)
 }
 
-// Partitioned reports whether a zone seems partitioned from this node now.
+// Partitioned reports whether a zone counts as partitioned from this node now.
 func (z *Zones) Partitioned(zone wire.Zone, now time.Time) bool {
 	at, ok := z.partitionedAt[zone]
 	return ok && now.Sub(at) < partitionedFor
 }
 
-// RecentlyPartitioned reports whether a zone seems partitioned, or did so recently: its
-// machines need a while to be heard again.
+// RecentlyPartitioned reports whether a zone counts as partitioned, or did so recently: the
+// heartbeats of its machines need a while to arrive again.
 func (z *Zones) RecentlyPartitioned(zone wire.Zone, now time.Time) bool {
 	at, ok := z.partitionedAt[zone]
-	return ok && now.Sub(at) < z.recoveryTime
+	return ok && now.Sub(at) < z.recoveryPeriod
 }
 
-// UnseenSincePartition reports whether a machine that was last seen at the given time has not been
-// seen since its zone seemed partitioned.
+// UnseenSincePartition reports whether the zone is or was recently partitioned, and a machine
+// of it that was last seen at seenAt has not been seen since a check found the zone
+// unreachable.
 func (z *Zones) UnseenSincePartition(zone wire.Zone, seenAt, now time.Time) bool {
 	return z.RecentlyPartitioned(zone, now) && seenAt.Before(z.partitionedAt[zone])
 }
--- a/internal/leader/detector/zones_test.go
+++ b/internal/leader/detector/zones_test.go
@@ -7,77 +7,77 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A zone from which nothing comes is partitioned once enough of its own heartbeats are
-// missed, by what comes from the others. When nothing comes from anywhere it is this
-// node that is slow. Small zones are judged only without their controllers.
+// A silent zone is partitioned once enough of its heartbeats are missed, by the heartbeats that
+// come from other zones. If nothing comes from any zone, this node itself is slow. A small zone
+// can be partitioned only if its controllers are lost as well.
 func TestZoneIsPartitionedWhenItsHeartbeatsAreMissed(t *testing.T) {
 	for name, c := range map[string]struct {
-		counts     Counts
-		heartbeats int           // that come from the other zone
-		after      time.Duration // the last message of this one
-		want       bool
+		counts              Counts
+		otherZoneHeartbeats int           // received from the other zone
+		silence             time.Duration // since the last message from this zone
+		want                bool
 	}{
-		"half of the machines":          {Counts{Up: 10, AllUp: 20}, 24, 2 * time.Second, true},
-		"one heartbeat short":           {Counts{Up: 10, AllUp: 20}, 23, 2 * time.Second, false},
-		"a tenth of the machines":       {Counts{Up: 10, AllUp: 100}, 24, 2 * time.Second, false},
-		"too early":                     {Counts{Up: 10, AllUp: 20}, 24, unresponsiveAfter, false},
-		"nothing from anywhere":         {Counts{Up: 10, AllUp: 20}, 0, time.Minute, false},
-		"a small zone":                  {Counts{Up: 3, AllUp: 20}, 200, time.Minute, false},
-		"and its controllers are lost":  {Counts{Up: 3, AllUp: 20, ControllersLost: true}, 14, 2 * time.Second, true},
-		"controllers lost, one short":   {Counts{Up: 3, AllUp: 20, ControllersLost: true}, 13, 2 * time.Second, false},
-		"most of it lost":               {Counts{Up: 7, Lost: 4, AllUp: 100}, 0, time.Second, true},
-		"half of it lost":               {Counts{Up: 8, Lost: 4, AllUp: 100}, 0, time.Second, false},
-		"most of a small zone lost":     {Counts{Up: 3, Lost: 3, AllUp: 100}, 0, time.Second, false},
-		"and that without controllers":  {Counts{Up: 3, Lost: 3, AllUp: 100, ControllersLost: true}, 0, time.Second, true},
-		"a machine, without controller": {Counts{Up: 1, Lost: 1, AllUp: 100, ControllersLost: true}, 0, time.Second, false},
+		"half of the machines":           {Counts{Up: 10, AllUp: 20}, 24, 2 * time.Second, true},
+		"one heartbeat short":            {Counts{Up: 10, AllUp: 20}, 23, 2 * time.Second, false},
+		"a tenth of the machines":        {Counts{Up: 10, AllUp: 100}, 24, 2 * time.Second, false},
+		"too early":                      {Counts{Up: 10, AllUp: 20}, 24, unresponsiveAfter, false},
+		"nothing from anywhere":          {Counts{Up: 10, AllUp: 20}, 0, time.Minute, false},
+		"a small zone":                   {Counts{Up: 3, AllUp: 20}, 200, time.Minute, false},
+		"a small zone, controllers lost": {Counts{Up: 3, AllUp: 20, ControllersLost: true}, 14, 2 * time.Second, true},
+		"a small zone, controllers lost, one heartbeat short": {Counts{Up: 3, AllUp: 20, ControllersLost: true}, 13, 2 * time.Second, false},
+		"most machines lost":                                  {Counts{Up: 7, Lost: 4, AllUp: 100}, 0, time.Second, true},
+		"half of the machines lost":                           {Counts{Up: 8, Lost: 4, AllUp: 100}, 0, time.Second, false},
+		"most of a small zone lost":                           {Counts{Up: 3, Lost: 3, AllUp: 100}, 0, time.Second, false},
+		"most of a small zone and its controllers lost":       {Counts{Up: 3, Lost: 3, AllUp: 100, ControllersLost: true}, 0, time.Second, true},
+		"the only machine of a zone and its controllers lost": {Counts{Up: 1, Lost: 1, AllUp: 100, ControllersLost: true}, 0, time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			zones := NewZones(start, 2*time.Second)
 			lastHeard := start.Add(time.Minute)
 			zones.RecordMessage("a", true, lastHeard)
-			for range c.heartbeats {
+			for range c.otherZoneHeartbeats {
 				zones.RecordMessage("b", true, lastHeard)
 			}
-			now := lastHeard.Add(c.after)
+			now := lastHeard.Add(c.silence)
 			if got := zones.Judge("a", c.counts, now); got != c.want || zones.Partitioned("a", now) != c.want {
 				t.Errorf("%+v: judged %v, partitioned %v, want %v", c.counts, got, zones.Partitioned("a", now), c.want)
 			}
 			if zones.Partitioned("b", now) {
-				t.Errorf("%+v: the zone that is heard is partitioned", c.counts)
+				t.Errorf("%+v: the zone that sends heartbeats is partitioned", c.counts)
 			}
 		})
 	}
 }
 
-// Answers to commands show that a zone is there, but not how many heartbeats are due
-// from the others.
-func TestAnswersToCommandsAreNoHeartbeats(t *testing.T) {
+// Answers to commands show that a zone is connected, but don't count among the heartbeats by
+// which the missed ones of another zone are estimated.
+func TestAnswersToCommandsAreNotCountedAsHeartbeats(t *testing.T) {
 	zones := NewZones(start, 2*time.Second)
 	zones.RecordMessage("a", true, start)
 	for range 100 {
 		zones.RecordMessage("b", false, start)
 	}
 	if zones.Judge("a", Counts{Up: 10, AllUp: 20}, start.Add(time.Minute)) {
-		t.Error("partitioned by answers to commands")
+		t.Error("zone a is partitioned although only answers to commands came from zone b")
 	}
 	if got := zones.Known(); len(got) != 2 {
-		t.Errorf("knows %v, want two zones", got)
+		t.Errorf("known zones %v, want two", got)
 	}
 }
 
-// A partition ends soon after the zone last seemed partitioned. Its machines then have
-// the time of a few heartbeats, and one that is seen again counts as back at once.
+// A partition ends a fixed time after a check last found the zone unreachable. Its machines
+// have a few heartbeat intervals to be seen again. One that is seen counts as back at once.
 func TestPartitionEndsAndMachinesRecover(t *testing.T) {
 	zones := NewZones(start, 2*time.Second)
 	mostLost := Counts{Up: 10, Lost: 9, AllUp: 20}
 	if !zones.Judge("a", mostLost, start) || zones.Judge("a", mostLost, start.Add(time.Second)) {
-		t.Error("a partition doesn't begin once")
+		t.Error("Judge doesn't report the start of a partition exactly once")
 	}
 	lastJudged := start.Add(time.Second)
 	for _, c := range []struct {
-		name                    string
-		after                   time.Duration
-		wantNow, wantRecentlySo bool
+		name                          string
+		after                         time.Duration
+		wantPartitioned, wantRecently bool
 	}{
 		{"at once", 0, true, true},
 		{"just before it ends", partitionedFor - 1, true, true},
@@ -87,13 +87,13 @@
 	} {
 		now := lastJudged.Add(c.after)
 		partitioned, recently := zones.Partitioned("a", now), zones.RecentlyPartitioned("a", now)
-		behind, seenAgain := zones.UnseenSincePartition("a", start, now), !zones.UnseenSincePartition("a", lastJudged, now)
-		if partitioned != c.wantNow || recently != c.wantRecentlySo || behind != c.wantRecentlySo || !seenAgain {
-			t.Errorf("%s, after %v: partitioned %v, recently %v, machine behind %v, one seen again %v, want %v, %v, %v, true",
-				c.name, c.after, partitioned, recently, behind, seenAgain, c.wantNow, c.wantRecentlySo, c.wantRecentlySo)
+		unseen, seenAgain := zones.UnseenSincePartition("a", start, now), !zones.UnseenSincePartition("a", lastJudged, now)
+		if partitioned != c.wantPartitioned || recently != c.wantRecently || unseen != c.wantRecently || !seenAgain {
+			t.Errorf("%s, after %v: partitioned %v, recently %v, machine unseen %v, one seen again %v, want %v, %v, %v, true",
+				c.name, c.after, partitioned, recently, unseen, seenAgain, c.wantPartitioned, c.wantRecently, c.wantRecently)
 		}
 	}
 	if !zones.Judge("a", mostLost, lastJudged.Add(time.Minute)) {
-		t.Error("a second partition does not begin")
+		t.Error("Judge doesn't report the start of a second partition")
 	}
 }
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -21,7 +21,7 @@
 	if !rc.state.RecordsRead {
 		rc.keepEarlyHeartbeat(heartbeat)
 		machine.LastMessageAt, machine.LastReplyAt = now, now
-		return Reply{Commands: rc.cancelledStops(heartbeat)}
+		return Reply{Commands: rc.stopsOfCancelled(heartbeat)}
 	}
 	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) {
 		return rc.onStaleHeartbeat(machine, heartbeat, now)
@@ -29,7 +29,7 @@
 	if rc.recordHeartbeatPath(machine, relayed, now) {
 		return Reply{Redirect: true}
 	}
-	rc.checkInbound(machine, heartbeat, now)
+	rc.checkInboundPath(machine, heartbeat, now)
 	rc.Reconcile(machine, heartbeat, true, now)
 	if rc.renewalWithheld(machine, heartbeat, now) {
 		return Reply{Rejected: errCancelPending}
@@ -39,8 +39,8 @@
 	return Reply{Commands: rc.commandsFor(machine, heartbeat, now)}
 }
 
-// checkAnswerable returns why a heartbeat must not be answered, whatever it says; nil if
-// it may be.
+// checkAnswerable returns the reason why a heartbeat must not be answered, whatever it
+// contains, or nil if it may be answered.
 func (rc *Reconciler) checkAnswerable(heartbeat *wire.Heartbeat, now time.Time) error {
 	if !rc.Lease.MayAnswerHeartbeats() {
 		return errNotLeading
@@ -49,14 +49,14 @@
 		return errCancellationsUnknown
 	}
 	if _, removed := rc.state.RemovedMachines[heartbeat.Machine]; removed {
-		// The cloud has confirmed the scale-in: this can only be a late copy.
+		// The cloud has confirmed the scale-in, so the heartbeat can only be a late copy.
 		return errMachineRemoved
 	}
 	return nil
 }
 
-// commandsFor returns the commands that answer a heartbeat: stops alone while the
-// key-value store can't be reached.
+// commandsFor returns the commands that answer a heartbeat: only stops while the key-value
+// store can't be reached.
 func (rc *Reconciler) commandsFor(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) *wire.Commands {
 	answer := &wire.Commands{Token: rc.Fencing.Token}
 	if rc.Lease.Deciding() {
@@ -67,9 +67,9 @@
 	return answer
 }
 
-// cancelledStops returns an answer with no commands but the stops of tasks whose jobs are
+// stopsOfCancelled returns an answer whose only commands are the stops of tasks whose jobs are
 // known to be cancelled.
-func (rc *Reconciler) cancelledStops(heartbeat *wire.Heartbeat) *wire.Commands {
+func (rc *Reconciler) stopsOfCancelled(heartbeat *wire.Heartbeat) *wire.Commands {
 	return &wire.Commands{Token: rc.Fencing.Token, Commands: rc.delegate.StopCommands(heartbeat)}
 }
 
@@ -81,19 +81,20 @@
 	}
 }
 
-// recordHeartbeatPath records by which path a heartbeat came, and reports whether the
-// agent should send its heartbeats here directly: one that is new, or new to this leader,
-// is redirected first. If it was here before, or was redirected and comes through another
-// node again, it can't reach this node.
+// recordHeartbeatPath records whether a heartbeat came directly or through another node, and
+// reports whether the agent is to be redirected: asked to send its heartbeats to this node
+// directly. An agent is redirected if its first heartbeat to this leader was relayed. A later
+// relayed heartbeat shows that the agent can't reach this node, since it has sent heartbeats
+// directly before or has been redirected.
 func (rc *Reconciler) recordHeartbeatPath(machine *cluster.Machine, relayed bool, now time.Time) (redirect bool) {
 	if !relayed {
 		machine.DirectHeartbeatAt = now
 		machine.RelayedOnly = false
 		return false
 	}
-	first := machine.DirectHeartbeatAt.IsZero() && machine.RelayedHeartbeatAt.IsZero()
+	firstHeartbeat := machine.DirectHeartbeatAt.IsZero() && machine.RelayedHeartbeatAt.IsZero()
 	machine.RelayedHeartbeatAt = now
-	if first {
+	if firstHeartbeat {
 		return true
 	}
 	if !machine.RelayedOnly {
@@ -104,60 +105,61 @@
 }
 
 const (
-	// crossingWindow is for how long after a message of an agent an older heartbeat of it
-	// may still be waiting for its answer: agents give up after 4 s.
+	// crossingWindow is for how long after a message of an agent an older heartbeat of it may
+	// still be waiting for its answer. Agents stop waiting for an answer after 4 s.
 	crossingWindow = 4 * time.Second
-	// maxCrossedSequences is by how much the sequence number of a heartbeat that crossed
-	// the answer to a direct command may lie below that answer's.
+	// maxCrossedSequences is by how much the sequence number of a heartbeat that crossed the
+	// answer to a direct command may be lower than that of the answer.
 	maxCrossedSequences = 2
-	// staleProbeInterval is the least time between two probes of a machine because of
-	// stale heartbeats.
+	// staleProbeInterval is the minimum time between two probes of a machine because of stale
+	// heartbeats.
 	staleProbeInterval = time.Second
 )
 
-// onStaleHeartbeat handles a heartbeat that is not newer than what is known. Mostly it has
-// crossed the answer to a direct command. It may be a late copy, which says nothing of the
-// present, not even that the machine is alive; or it may come from a machine that restarted
-// at once and counts from the start again. The machine itself is probed to find out.
+// onStaleHeartbeat handles a heartbeat that is not newer than the last known one. Usually it
+// has crossed the answer to a direct command. It may also be a late copy, which says nothing
+// of the present, not even that the machine is alive. Or it comes from a machine that
+// restarted at once and numbers its heartbeats from the start again. If the heartbeat has not
+// just crossed an answer, the machine is probed to find out.
 func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) Reply {
-	inWindow := now.Sub(machine.LastMessageAt) < crossingWindow
+	inCrossingWindow := now.Sub(machine.LastMessageAt) < crossingWindow
 	justBehind := heartbeat.Epoch == machine.Epoch && heartbeat.Sequence+maxCrossedSequences >= machine.Sequence
-	crossed := inWindow && justBehind
+	crossedAnswer := inCrossingWindow && justBehind
 	mayProbe := now.Sub(machine.LastVerifiedAt) > staleProbeInterval && !machine.ScalingIn
-	if !crossed && mayProbe && rc.Lease.Deciding() {
+	if !crossedAnswer && mayProbe && rc.Lease.Deciding() {
 		machine.LastVerifiedAt = now
 		rc.dispatcher.Probe(machine)
 	}
-	if !inWindow {
+	if !inCrossingWindow {
 		return Reply{Rejected: errStaleHeartbeat}
 	}
 	machine.LastReplyAt = now
-	return Reply{Commands: rc.cancelledStops(heartbeat)}
+	return Reply{Commands: rc.stopsOfCancelled(heartbeat)}
 }
 
-// renewalWithheld reports whether the machine's lease must not be renewed any more: a
-// launch of a cancelled task that the heartbeat does not show may be on its way there, and
-// only the end of the agent's epoch, or a token above the launch's, keeps it from starting
-// too late.
+// renewalWithheld reports whether the machine's lease must not be renewed: a direct launch of
+// a cancelled task that the heartbeat does not show may still be on its way there. Only the
+// end of the agent's epoch, or a higher token than the launch's, keeps that launch from taking
+// effect.
 func (rc *Reconciler) renewalWithheld(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) bool {
-	oldestRenewable := now.Add(-rc.state.Delegation.MaxCancelAge)
+	cancelCutoff := now.Add(-rc.state.Delegation.MaxCancelAge)
 	for task, attempt := range machine.Tasks {
-		if cancelledBefore(oldestRenewable, attempt) && directLaunchMayArrive(attempt, rc.Fencing.Token) && !lists(heartbeat, task, attempt.Number) {
+		if cancelledBefore(cancelCutoff, attempt) && directLaunchMayArrive(attempt, rc.Fencing.Token) && !listsAttempt(heartbeat, task, attempt.Number) {
 			return true
 		}
 	}
 	return false
 }
 
-// cancelledBefore reports whether the job of a stored attempt was cancelled at a time or
-// before: so long ago that no controller may renew the lease of what runs of it.
-func cancelledBefore(at time.Time, attempt *cluster.Attempt) bool {
-	return attempt.Job.Cancelled && !attempt.Unstored && !attempt.Job.CancelledAt.After(at)
+// cancelledBefore reports whether an attempt is stored and its job was cancelled at the cutoff
+// or earlier: so long ago that no controller may renew the lease of a machine for it.
+func cancelledBefore(cutoff time.Time, attempt *cluster.Attempt) bool {
+	return attempt.Job.Cancelled && !attempt.Unstored && !attempt.Job.CancelledAt.After(cutoff)
 }
 
-// directLaunchMayArrive reports whether a direct launch of the attempt may still take
-// effect while this controller has a token: it is in flight, or was never answered and has
-// no older token, which the agent would refuse.
+// directLaunchMayArrive reports whether a direct launch of the attempt may still take effect,
+// given the token of this controller: the launch is in flight, or it was never answered and
+// its token is not lower. Agents refuse a launch with a lower token.
 func directLaunchMayArrive(attempt *cluster.Attempt, token wire.FencingToken) bool {
 	if attempt.LaunchInFlight {
 		return true
@@ -165,10 +167,10 @@
 	return attempt.LaunchUnanswered && token <= attempt.UnansweredLaunchToken
 }
 
-// lists reports whether a heartbeat contains an attempt of a task.
-func lists(heartbeat *wire.Heartbeat, task wire.TaskID, number wire.AttemptNumber) bool {
+// listsAttempt reports whether a heartbeat contains an attempt of a task.
+func listsAttempt(heartbeat *wire.Heartbeat, task wire.TaskID, number wire.AttemptNumber) bool {
 	name := task.String()
-	return slices.ContainsFunc(heartbeat.Tasks, func(state wire.TaskStatus) bool {
-		return state.Task == name && state.Attempt == number
+	return slices.ContainsFunc(heartbeat.Tasks, func(status wire.TaskStatus) bool {
+		return status.Task == name && status.Attempt == number
 	})
 }
--- a/internal/leader/reconcile/answer_test.go
+++ b/internal/leader/reconcile/answer_test.go
@@ -12,7 +12,8 @@
 	"lilaclead/internal/wire"
 )
 
-// loseStore lets the lease end, with heartbeats still answered or not.
+// loseStore lets the leader's lease expire. If answering is set, the leader may still answer
+// heartbeats.
 func (f *fixture) loseStore(answering bool) {
 	now := time.Now()
 	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
@@ -47,20 +48,20 @@
 			tc.setup(f)
 			reply := f.answerHeartbeat(tc.heartbeat, false, time.Now())
 			if !errors.Is(reply.Rejected, tc.want) {
-				t.Errorf("rejected for %v, want %v", reply.Rejected, tc.want)
+				t.Errorf("rejected with %v, want %v", reply.Rejected, tc.want)
 			}
 			if answered := reply.Commands != nil; answered != (tc.want == nil) {
-				t.Errorf("answered %v, rejected for %v", answered, reply.Rejected)
+				t.Errorf("answered %v, rejected with %v", answered, reply.Rejected)
 			}
 		})
 	}
 }
 
-func TestHeartbeatBeforeRecoveryIsKeptAndAnsweredWithoutLaunches(t *testing.T) {
+func TestHeartbeatBeforeRecordsAreReadIsKeptAndAnsweredWithStopsOnly(t *testing.T) {
 	f := newFixture(t)
 	f.state.RecordsRead = false
 	f.cancels.Add("req-1", 0)
-	running := shown(wire.PhaseRunning, "")
+	running := attemptStatus(wire.PhaseRunning, "")
 	for _, sequence := range []wire.Sequence{12, 11} {
 		reply := f.answerHeartbeat(heartbeat(1, sequence, testToken, running), false, time.Now())
 		if reply.Commands == nil || len(reply.Commands.Commands) != 1 || reply.Commands.Commands[0].Verb != wire.VerbStop {
@@ -72,13 +73,13 @@
 	}
 }
 
-func TestAnswerHoldsLaunchesOnlyWhileLeading(t *testing.T) {
+func TestAnswerHoldsLaunchesOnlyWhileStoreIsReachable(t *testing.T) {
 	for name, tc := range map[string]struct {
 		setup func(f *fixture)
 		want  int
 	}{
-		"the store is reached":     {func(*fixture) {}, 1},
-		"the store is not reached": {func(f *fixture) { f.loseStore(true) }, 0},
+		"the store is reachable":     {func(*fixture) {}, 1},
+		"the store is not reachable": {func(f *fixture) { f.loseStore(true) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
@@ -112,15 +113,15 @@
 	}
 }
 
-func TestRelayedHeartbeatAfterADirectOneIsNotRedirected(t *testing.T) {
+func TestRelayedHeartbeatAfterDirectOneIsNotRedirected(t *testing.T) {
 	f := newFixture(t)
 	f.recordHeartbeatPath(f.machine, false, time.Now())
 	if f.recordHeartbeatPath(f.machine, true, time.Now()) || !f.machine.RelayedOnly {
-		t.Errorf("redirected, or relayed only %v; want neither redirected nor reachable directly", f.machine.RelayedOnly)
+		t.Errorf("redirected, or relayed only %v; want no redirect and relayed only true", f.machine.RelayedOnly)
 	}
 }
 
-func TestStaleHeartbeatIsProbedUnlessItCrossedAnAnswer(t *testing.T) {
+func TestMachineIsProbedOnStaleHeartbeatThatCrossedNoAnswer(t *testing.T) {
 	cases := []struct {
 		name      string
 		setup     func(f *fixture, now time.Time)
@@ -131,7 +132,7 @@
 		{"further behind", func(*fixture, time.Time) {}, heartbeat(1, 7, testToken), true},
 		{"of an earlier epoch", func(f *fixture, _ time.Time) { f.machine.Epoch = 2 }, heartbeat(1, 10, testToken), true},
 		{"outside the crossing window", func(f *fixture, now time.Time) { f.machine.LastMessageAt = now.Add(-crossingWindow) }, heartbeat(1, 10, testToken), true},
-		{"probed lately", func(f *fixture, now time.Time) { f.machine.LastVerifiedAt = now.Add(-staleProbeInterval) }, heartbeat(1, 7, testToken), false},
+		{"probed recently", func(f *fixture, now time.Time) { f.machine.LastVerifiedAt = now.Add(-staleProbeInterval) }, heartbeat(1, 7, testToken), false},
 		{"scaling in", func(f *fixture, _ time.Time) { f.machine.ScalingIn = true }, heartbeat(1, 7, testToken), false},
 		{"not leading", func(f *fixture, _ time.Time) { f.loseStore(true) }, heartbeat(1, 7, testToken), false},
 	}
@@ -159,14 +160,14 @@
 	}{
 		{"launch in flight", func(f *fixture) { f.attempt.LaunchInFlight = true }, heartbeat(1, 11, testToken), true},
 		{"launch unanswered", func(f *fixture) { f.attempt.LaunchUnanswered, f.attempt.UnansweredLaunchToken = true, testToken }, heartbeat(1, 11, testToken), true},
-		{"launch unanswered, a higher token is taken", func(f *fixture) {
+		{"launch unanswered, this leader has a higher token", func(f *fixture) {
 			f.attempt.LaunchUnanswered, f.attempt.UnansweredLaunchToken = true, testToken
 			f.Fencing.Token = testToken + 1
 		}, heartbeat(1, 11, testToken), false},
 		{"no direct launch", func(*fixture) {}, heartbeat(1, 11, testToken), false},
-		{"shown by the heartbeat", func(f *fixture) { f.attempt.LaunchInFlight = true }, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, "")), false},
+		{"shown by the heartbeat", func(f *fixture) { f.attempt.LaunchInFlight = true }, heartbeat(1, 11, testToken, attemptStatus(wire.PhaseRunning, "")), false},
 		{"not cancelled", func(f *fixture) { f.attempt.LaunchInFlight, f.job.Cancelled = true, false }, heartbeat(1, 11, testToken), false},
-		{"cancelled lately", func(f *fixture) { f.attempt.LaunchInFlight, f.job.CancelledAt = true, time.Now() }, heartbeat(1, 11, testToken), false},
+		{"cancelled recently", func(f *fixture) { f.attempt.LaunchInFlight, f.job.CancelledAt = true, time.Now() }, heartbeat(1, 11, testToken), false},
 		{"not stored", func(f *fixture) { f.attempt.LaunchInFlight, f.attempt.Unstored = true, true }, heartbeat(1, 11, testToken), false},
 	}
 	for _, tc := range cases {
@@ -182,20 +183,20 @@
 	}
 }
 
-func TestSpotNoticeDrainsOnceAndKeepsTheNewestTime(t *testing.T) {
+func TestSpotNoticesDrainOnceAndUpdateReclaimTime(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true
 	now := time.Now()
 	for i, remaining := range []wire.Seconds{30, 20} {
-		at := now.Add(time.Duration(i) * time.Second)
-		notice := heartbeat(1, wire.Sequence(11+i), testToken, shown(wire.PhaseRunning, ""))
+		receivedAt := now.Add(time.Duration(i) * time.Second)
+		notice := heartbeat(1, wire.Sequence(11+i), testToken, attemptStatus(wire.PhaseRunning, ""))
 		notice.SpotNotice = &remaining
-		f.Reconcile(f.machine, notice, true, at)
-		if want := at.Add(remaining.Duration()); !f.machine.ReclaimAt.Equal(want) {
+		f.Reconcile(f.machine, notice, true, receivedAt)
+		if want := receivedAt.Add(remaining.Duration()); !f.machine.ReclaimAt.Equal(want) {
 			t.Errorf("notice %d: reclaimed at %v, want %v", i, f.machine.ReclaimAt, want)
 		}
 	}
-	if f.machine.DrainReason != cluster.DrainSpotNotice || f.drained != 1 || f.attempt.Stopping {
-		t.Errorf("drained for %q, counted %d times, task stopping %v; want a spot notice, once, false", f.machine.DrainReason, f.drained, f.attempt.Stopping)
+	if f.machine.DrainReason != cluster.DrainSpotNotice || f.drainCount != 1 || f.attempt.Stopping {
+		t.Errorf("drained for %q, counted %d times, task stopping %v; want a spot notice, once, false", f.machine.DrainReason, f.drainCount, f.attempt.Stopping)
 	}
 }
--- a/internal/leader/reconcile/command_answers.go
+++ b/internal/leader/reconcile/command_answers.go
@@ -17,9 +17,9 @@
 	commandAnswered commandOutcome = "ok"
 	// commandNotSent is the outcome of a command that certainly has not left this node.
 	commandNotSent commandOutcome = "not sent"
-	// commandLost is the outcome of a command that was not answered, and may have been
-	// executed, or may be executed later.
-	commandLost commandOutcome = "lost"
+	// commandOutcomeUnknown is the outcome of a command that was sent and got no usable answer.
+	// It may have been executed, or may be executed later.
+	commandOutcomeUnknown commandOutcome = "lost"
 )
 
 func outcomeOf(answer *agents.CommandAnswer) commandOutcome {
@@ -27,16 +27,16 @@
 		if wire.IsNotSent(answer.Err) {
 			return commandNotSent
 		}
-		return commandLost
+		return commandOutcomeUnknown
 	}
-	// An agent answers a command of another epoch, or with an old token, by a conflict
-	// that holds its heartbeat too.
-	withHeartbeat := answer.Status == http.StatusOK || answer.Status == http.StatusConflict
-	// At the address of a machine that was removed another one may answer.
-	if withHeartbeat && answer.Heartbeat.Machine == answer.Machine.ID {
+	// An agent rejects a command of another epoch, or with an old token, by the status
+	// "conflict". That answer holds its heartbeat too.
+	hasHeartbeat := answer.Status == http.StatusOK || answer.Status == http.StatusConflict
+	// Another machine may answer at the address of one that was removed.
+	if hasHeartbeat && answer.Heartbeat.Machine == answer.Machine.ID {
 		return commandAnswered
 	}
-	return commandLost
+	return commandOutcomeUnknown
 }
 
 // OnCommandAnswer handles the outcome of a direct command or of a probe.
@@ -53,11 +53,11 @@
 	case commandAnswered:
 		rc.onCommandAnswered(&answer, now)
 	case commandNotSent:
-		recordUnanswered(machine)
+		recordUnansweredCommand(machine)
 		onCommandNotSent(&answer)
-	case commandLost:
-		recordUnanswered(machine)
-		rc.onCommandLost(&answer)
+	case commandOutcomeUnknown:
+		recordUnansweredCommand(machine)
+		rc.onCommandOutcomeUnknown(&answer)
 	}
 	if machine.UnansweredCommands == 0 {
 		rc.dispatcher.Dispatch(machine)
@@ -67,27 +67,28 @@
 // onCommandAnswered reconciles the heartbeat in the answer to a command.
 func (rc *Reconciler) onCommandAnswered(answer *agents.CommandAnswer, now time.Time) {
 	machine, heartbeat, known := answer.Machine, answer.Heartbeat, answer.KnownBefore
-	rc.onReceived(machine)
+	rc.onDelivery(machine)
 	machine.LastMessageAt = now
 	if !heartbeat.IsNewerThan(known.Epoch, known.Sequence) && !machine.Restarted {
-		// Made after the command was sent, and yet not newer than what was known then.
+		// The answer was made after the command was sent, and yet it is not newer than the last
+		// heartbeat known then.
 		rc.onRestart(machine, heartbeat, now)
 		return
 	}
 	rc.Reconcile(machine, heartbeat, false, now)
 }
 
-// recordUnanswered records that a command was not answered.
-func recordUnanswered(machine *cluster.Machine) {
+// recordUnansweredCommand records that a direct command was not answered.
+func recordUnansweredCommand(machine *cluster.Machine) {
 	machine.UnansweredCommands++
-	// A machine that does not answer commands either is unresponsive, which the liveness
-	// monitor handles.
+	// A machine that neither sends heartbeats nor answers commands is unresponsive, and the
+	// liveness monitor handles it.
 	machine.HeartbeatsMissingSince = time.Time{}
 	machine.Inbound.RecordUnansweredCommand()
 }
 
-// onCommandNotSent lets the launches of a command that never left be sent in the answer to
-// the next heartbeat.
+// onCommandNotSent marks the launches of a command that never left this node as not sent, so
+// that they go out in the answer to the next heartbeat.
 func onCommandNotSent(answer *agents.CommandAnswer) {
 	for _, attempt := range answer.Launched {
 		if !attempt.SeenInHeartbeat {
@@ -96,9 +97,9 @@
 	}
 }
 
-// onCommandLost records that the launches of a command may still take effect at any time,
-// as long as the agent accepts their token and epoch.
-func (rc *Reconciler) onCommandLost(answer *agents.CommandAnswer) {
+// onCommandOutcomeUnknown records that the launches of a command may still take effect at any
+// time, as long as the agent accepts their token and epoch.
+func (rc *Reconciler) onCommandOutcomeUnknown(answer *agents.CommandAnswer) {
 	machine, sent := answer.Machine, &answer.Commands
 	rc.Log.Debug("command not answered", "machine", machine.ID, "commands", len(sent.Commands), "err", answer.Err, "status", answer.Status)
 	for _, attempt := range answer.Launched {
--- a/internal/leader/reconcile/command_answers_test.go
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -15,9 +15,9 @@
 
 func TestCommandOutcomes(t *testing.T) {
 	notSent := &net.OpError{Op: "dial", Err: errors.New("refused")}
-	broken := &net.OpError{Op: "read", Err: errors.New("reset")}
-	answer := heartbeat(1, 12, testToken, shown(wire.PhaseFetching, ""))
-	other := &wire.Heartbeat{Machine: "n-2", Epoch: 1, Sequence: 12, Token: testToken}
+	connectionReset := &net.OpError{Op: "read", Err: errors.New("reset")}
+	answer := heartbeat(1, 12, testToken, attemptStatus(wire.PhaseFetching, ""))
+	otherMachine := &wire.Heartbeat{Machine: "n-2", Epoch: 1, Sequence: 12, Token: testToken}
 	cases := []struct {
 		name           string
 		status         int
@@ -28,11 +28,11 @@
 		wantUnanswered bool // the launch may take effect at any time
 	}{
 		{"answered", http.StatusOK, answer, nil, commandAnswered, true, false},
-		{"answered by a conflict", http.StatusConflict, answer, nil, commandAnswered, true, false},
-		{"answered by another status", http.StatusServiceUnavailable, answer, nil, commandLost, true, true},
-		{"answered by another machine", http.StatusOK, other, nil, commandLost, true, true},
+		{"answered with a conflict", http.StatusConflict, answer, nil, commandAnswered, true, false},
+		{"answered with another status", http.StatusServiceUnavailable, answer, nil, commandOutcomeUnknown, true, true},
+		{"answered by another machine", http.StatusOK, otherMachine, nil, commandOutcomeUnknown, true, true},
 		{"not connected", 0, nil, notSent, commandNotSent, false, false},
-		{"connection broken", 0, nil, broken, commandLost, true, true},
+		{"connection broken", 0, nil, connectionReset, commandOutcomeUnknown, true, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -48,8 +48,8 @@
 				Status:      tc.status,
 				Err:         tc.err,
 			})
-			if !slices.Equal(f.outcomes, []string{string(tc.want)}) {
-				t.Errorf("status %d, err %v: outcomes %v, want %q", tc.status, tc.err, f.outcomes, tc.want)
+			if !slices.Equal(f.commandOutcomes, []string{string(tc.want)}) {
+				t.Errorf("status %d, err %v: outcomes %v, want %q", tc.status, tc.err, f.commandOutcomes, tc.want)
 			}
 			if f.machine.CommandInFlight || f.attempt.LaunchInFlight {
 				t.Errorf("command in flight %v, launch in flight %v; want neither", f.machine.CommandInFlight, f.attempt.LaunchInFlight)
@@ -66,10 +66,10 @@
 			}
 			answered := tc.want == commandAnswered
 			if got := f.machine.UnansweredCommands == 0; got != answered || f.attempt.SeenInHeartbeat != answered {
-				t.Errorf("%d unanswered probes, attempt observed %v; want answered %v", f.machine.UnansweredCommands, f.attempt.SeenInHeartbeat, answered)
+				t.Errorf("%d unanswered commands, attempt seen in heartbeat %v; want answered %v", f.machine.UnansweredCommands, f.attempt.SeenInHeartbeat, answered)
 			}
 			if got := !f.machine.HeartbeatsMissingSince.IsZero(); got != answered {
-				t.Errorf("only answers direct commands: %v, want %v", got, answered)
+				t.Errorf("heartbeats counted as missing: %v, want %v", got, answered)
 			}
 		})
 	}
@@ -88,15 +88,15 @@
 	if !f.machine.Restarted || !f.machine.ScalingIn || f.machine.DrainReason != cluster.DrainRestarted {
 		t.Errorf("restarted %v, scaling in %v, drained for %q", f.machine.Restarted, f.machine.ScalingIn, f.machine.DrainReason)
 	}
-	if f.job.ActiveTasks != 0 || !slices.Equal(f.evicted, []string{string(cluster.EvictedMissing)}) {
-		t.Errorf("%d active tasks, evictions %v; want 0, one missing", f.job.ActiveTasks, f.evicted)
+	if f.job.ActiveTasks != 0 || !slices.Equal(f.evictionReasons, []string{string(cluster.EvictedMissing)}) {
+		t.Errorf("%d active tasks, evictions %v; want 0, one missing", f.job.ActiveTasks, f.evictionReasons)
 	}
 	if f.Reconcile(f.machine, heartbeat(1, 11, testToken), true, time.Now()) {
-		t.Error("a heartbeat of a restarted machine is taken for newer")
+		t.Error("a heartbeat of a restarted machine counts as newer")
 	}
 }
 
-func TestAnswerBehindALaterHeartbeatIsNoRestart(t *testing.T) {
+func TestAnswerOvertakenByHeartbeatIsNoRestart(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.SeenInHeartbeat = true
 	f.machine.Sequence = 15 // heartbeats came in while the command was in flight
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestLaunchThatWasNotSentStaysSentIfItIsShown(t *testing.T) {
+func TestLaunchSeenInHeartbeatStaysSentWhenCommandIsNotSent(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true // by the answer to a heartbeat
 	f.OnCommandAnswer(agents.CommandAnswer{
@@ -122,6 +122,6 @@
 		Err:      &net.OpError{Op: "dial", Err: errors.New("refused")},
 	})
 	if !f.attempt.LaunchSent {
-		t.Error("an attempt that runs counts as never sent")
+		t.Error("an attempt that a heartbeat has shown counts as not sent")
 	}
 }
--- a/internal/leader/reconcile/doc.go
+++ b/internal/leader/reconcile/doc.go
@@ -6,34 +6,40 @@
 //
 // A heartbeat that lacks an attempt proves nothing by itself: the launch may still be on
 // its way. The attempt is missing only when no launch of it can take effect any more
-// (cluster.State.LaunchMayTakeEffect): a launch by an earlier leader ends with a higher
-// fencing token, a direct launch whose answer was lost ends with a higher token or a new
-// agent epoch, and a launch in the answer to a heartbeat ends when the agent has sent a
-// newer heartbeat of the same epoch, or has begun another epoch. What is missing then was
-// either seen before, inherited, or launched in an earlier epoch, and is queued again; or
-// it was stored and never delivered, and is launched again.
+// (cluster.State.LaunchMayTakeEffect):
+//   - A launch by an earlier leader can take effect until the agent has a higher fencing token.
+//   - A direct launch whose answer was lost can take effect until the agent has a higher token
+//     or a new epoch.
+//   - A launch in the answer to a heartbeat can take effect until the agent has sent a newer
+//     heartbeat of the same epoch, or has begun another epoch.
+//
+// The task of a missing attempt is queued again if the attempt was seen before, inherited, or
+// launched in an earlier epoch. Otherwise the attempt was stored and never delivered, and is
+// launched again.
 //
 // # When a lease renewal is withheld
 //
 // Each answer renews the lease of the machine. No heartbeat is answered while this
 // controller can't tell whether it still leads, nor while it can't tell which jobs were
-// cancelled. Beyond that, the answer is withheld while a launch of a job that was
-// cancelled long enough ago may still be on its way to the machine and the heartbeat does
-// not show it: the end of the agent's epoch, which follows the expiry of the lease, keeps
-// such a launch from taking effect, as a higher token does.
+// cancelled. The answer is also withheld once a job has been cancelled for longer than a
+// maximum time, while a direct launch of one of its tasks may still be on its way to the
+// machine and the heartbeat does not show that task. The lease then expires and the agent
+// begins a new epoch, in which the launch can't take effect any more. A higher token has the
+// same effect.
 //
-// # What a stale heartbeat says
+// # What a stale heartbeat means
 //
-// A heartbeat that is not newer than the last one has mostly crossed the answer to a
-// direct command. It may also be a late copy, which does not even prove that the machine
-// is alive, or come from a machine that restarted before anybody missed it and counts from
-// the start again. Only the machine itself can tell, so it is probed. The answer to a
-// command that was sent after the last known heartbeat and yet is not newer proves a
-// restart.
+// A heartbeat that is not newer than the last known one has usually crossed the answer to a
+// direct command. It may also be a late copy, which does not even prove that the machine is
+// alive. Or it comes from a machine that restarted before its absence was noticed, and that
+// numbers its heartbeats from the start again. Only the machine itself can tell, so it is
+// probed. The answer to a command that was sent after the last known heartbeat and yet is not
+// newer proves a restart.
 //
 // # Without the key-value store
 //
 // A leader that can't reach the key-value store still answers heartbeats for a bounded
-// time, but sends stops only: a stop starts nothing, so a leader elected meanwhile loses
-// nothing by it, while a launch that is not recorded could run beside another one.
+// time, but sends only stops. A stop starts nothing, so it does no harm to a leader that was
+// elected meanwhile, whereas a launch that is not recorded could run beside another one of the
+// same task.
 package reconcile
--- a/internal/leader/reconcile/drain.go
+++ b/internal/leader/reconcile/drain.go
@@ -13,11 +13,12 @@
 	dispatcher *agents.Dispatcher
 }
 
-// suspectDivisor bounds the suspected machines that may be drained at a time to a quarter
-// of all.
+// suspectDivisor limits the machines that may be drained on suspicion at the same time to a
+// quarter of all machines.
 const suspectDivisor = 4
 
-// drainSuspect drains a machine on the suspicion that it is faulty or slow, if it may.
+// drainSuspect drains a machine on the suspicion that it is faulty or slow, if MayDrainSuspect
+// permits it.
 func (d *drainer) drainSuspect(machine *cluster.Machine, reason cluster.DrainReason) {
 	if d.MayDrainSuspect() {
 		d.drain(machine, reason)
@@ -25,7 +26,7 @@
 }
 
 // MayDrainSuspect reports whether one more machine may be drained on the suspicion that it
-// is faulty or slow. A fault that shows on many machines is not theirs.
+// is faulty or slow. A fault that shows on many machines is not a fault of the machines.
 func (d *drainer) MayDrainSuspect() bool {
 	suspects, total := 0, 0
 	for _, machine := range d.state.Machines {
@@ -40,7 +41,7 @@
 	return suspects < max(1, total/suspectDivisor)
 }
 
-// drain takes a machine out of service. It is scaled in when it is empty.
+// drain takes a machine out of service. The machine is scaled in once it has no tasks.
 func (d *drainer) drain(machine *cluster.Machine, reason cluster.DrainReason) {
 	if machine.DrainReason != "" || machine.ScalingIn {
 		return
@@ -61,9 +62,9 @@
 	d.state.RequestCycle()
 }
 
-// stopsTask reports whether a drain for a reason stops the tasks of a job rather than let
-// them end by themselves: all on a faulty machine, and on a slow one the replicas of
-// services, which would never end.
+// stopsTask reports whether a drain for the given reason stops the tasks of a job instead of
+// letting them end by themselves. The drain of a faulty machine stops all tasks. That of a slow
+// machine stops only the replicas of services, which would never end.
 func stopsTask(reason cluster.DrainReason, job *cluster.Job) bool {
 	return reason == cluster.DrainFaulty || reason == cluster.DrainSlow && job.Spec.IsService()
 }
--- a/internal/leader/reconcile/exits.go
+++ b/internal/leader/reconcile/exits.go
@@ -7,32 +7,32 @@
 	"lilaclead/internal/wire"
 )
 
-// refusedLaunchBackoff is for how long a machine that refused a launch gets no further
-// one, nor a job whose image does not exist.
+// refusedLaunchBackoff is for how long a machine that refused a launch gets no further one. A
+// job whose image does not exist starts no task for the same time.
 const refusedLaunchBackoff = 2 * time.Second
 
 // onTaskExit handles the end of an attempt by its cause.
-func (rc *Reconciler) onTaskExit(attempt *cluster.Attempt, state *wire.TaskStatus, now time.Time) {
-	switch state.Cause {
+func (rc *Reconciler) onTaskExit(attempt *cluster.Attempt, status *wire.TaskStatus, now time.Time) {
+	switch status.Cause {
 	case wire.CauseDone:
 		rc.onTaskDone(attempt, now)
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	case wire.CauseError:
-		rc.failures.onTaskFailure(attempt, now)
+		rc.faults.onTaskFailure(attempt, now)
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	default:
-		rc.onLaunchRefused(attempt, state.Cause, now)
+		rc.onLaunchRefused(attempt, status.Cause, now)
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	}
 }
 
-// onTaskDone handles the completion of a task. It clears the failures of its job and of
-// its machine, which both have shown to work.
+// onTaskDone handles the completion of a task. It clears the failures of the job and of the
+// machine, since both have just been shown to work.
 func (rc *Reconciler) onTaskDone(attempt *cluster.Attempt, now time.Time) {
 	machine, job := attempt.Machine, attempt.Job
 	if !attempt.RunningSince.IsZero() && !job.Spec.IsGang() { // a gang runs at the speed of its slowest machine
-		rc.failures.recordRunTime(attempt, now)
+		rc.faults.recordRunTime(attempt, now)
 	}
 	job.AnyTaskSucceeded, job.TaskFailures = true, 0
 	clear(job.FailedMachines)
--- a/internal/leader/reconcile/exits_test.go
+++ b/internal/leader/reconcile/exits_test.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestTaskExitCauses(t *testing.T) {
+func TestTaskExitByCause(t *testing.T) {
 	cases := []struct {
 		cause          wire.ExitCause
 		wantState      cluster.TaskState
@@ -30,15 +30,15 @@
 		t.Run(string(tc.cause), func(t *testing.T) {
 			f := newFixture(t)
 			now := time.Now()
-			f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseExited, tc.cause)), true, now)
+			f.Reconcile(f.machine, heartbeat(1, 11, testToken, attemptStatus(wire.PhaseExited, tc.cause)), true, now)
 			if got := f.attempt.Chunk.TaskStates[0]; got != tc.wantState || f.job.ActiveTasks != 0 {
 				t.Errorf("cause %q: task state %d with %d active tasks, want %d with 0", tc.cause, got, f.job.ActiveTasks, tc.wantState)
 			}
-			if got, want := f.machine.StartNotBefore, after(now, tc.machineBackoff); !got.Equal(want) {
-				t.Errorf("cause %q: machine gets launches from %v, want %v", tc.cause, got, want)
+			if got, want := f.machine.StartNotBefore, backoffEnd(now, tc.machineBackoff); !got.Equal(want) {
+				t.Errorf("cause %q: machine gets no launches before %v, want %v", tc.cause, got, want)
 			}
-			if got, want := f.job.StartNotBefore, after(now, tc.jobBackoff); !got.Equal(want) {
-				t.Errorf("cause %q: job starts from %v, want %v", tc.cause, got, want)
+			if got, want := f.job.StartNotBefore, backoffEnd(now, tc.jobBackoff); !got.Equal(want) {
+				t.Errorf("cause %q: job starts no tasks before %v, want %v", tc.cause, got, want)
 			}
 			if f.job.TaskFailures != tc.failures || f.machine.TaskFailures != tc.failures {
 				t.Errorf("cause %q: %d failures of the job and %d of the machine, want %d", tc.cause, f.job.TaskFailures, f.machine.TaskFailures, tc.failures)
@@ -47,19 +47,19 @@
 	}
 }
 
-// after returns when a backoff that begins now ends, zero if there is none.
-func after(now time.Time, backoff time.Duration) time.Time {
+// backoffEnd returns when a backoff that begins now ends, zero if there is no backoff.
+func backoffEnd(now time.Time, backoff time.Duration) time.Time {
 	if backoff == 0 {
 		return time.Time{}
 	}
 	return now.Add(backoff)
 }
 
-func TestTaskDoneClearsFailures(t *testing.T) {
+func TestTaskDoneClearsFailuresOfJobAndMachine(t *testing.T) {
 	f := newFixture(t)
 	f.job.TaskFailures, f.job.FailedMachines = 3, map[wire.MachineID]bool{"n-1": true, "n-2": true}
 	f.machine.TaskFailures, f.machine.FailedJobs["req-1"] = 3, true
-	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseExited, wire.CauseDone)), true, time.Now())
+	f.Reconcile(f.machine, heartbeat(1, 11, testToken, attemptStatus(wire.PhaseExited, wire.CauseDone)), true, time.Now())
 	if f.job.TaskFailures != 0 || len(f.job.FailedMachines) != 0 || !f.job.AnyTaskSucceeded {
 		t.Errorf("job has %d failures on %v, succeeded %v; want 0 on none, true", f.job.TaskFailures, f.job.FailedMachines, f.job.AnyTaskSucceeded)
 	}
@@ -74,33 +74,33 @@
 	gang.Gang = &cluster.Gang{AttemptNumber: testAttempt}
 	f.addAttempt(gang, 0, f.machine)
 	f.addAttempt(gang, 1, f.addMachine("n-2"))
-	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, ""),
+	f.Reconcile(f.machine, heartbeat(1, 11, testToken, attemptStatus(wire.PhaseRunning, ""),
 		wire.TaskStatus{Task: "req-2/0", Attempt: testAttempt, Phase: wire.PhaseExited, Cause: wire.CauseDone}), true, time.Now())
 	if gang.DoneTasks != 2 || gang.ActiveTasks != 0 || gang.Gang != nil {
 		t.Errorf("gang has %d done and %d active tasks, attempt %+v; want 2 and 0, none", gang.DoneTasks, gang.ActiveTasks, gang.Gang)
 	}
 }
 
-func TestHasImage(t *testing.T) {
+func TestImageOnMachineByTaskStatus(t *testing.T) {
 	cases := []struct {
 		name     string
 		previous wire.TaskPhase
 		state    wire.TaskStatus
 		want     bool
 	}{
-		{"fetching", "", shown(wire.PhaseFetching, ""), false},
-		{"waiting for its gang", wire.PhaseFetching, shown(wire.PhaseWaiting, ""), true},
-		{"running", wire.PhaseFetching, shown(wire.PhaseRunning, ""), true},
-		{"done", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseDone), true},
-		{"failed", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseError), true},
-		{"refused: full", "", shown(wire.PhaseExited, wire.CauseFull), false},
-		{"refused: busy", "", shown(wire.PhaseExited, wire.CauseBusy), false},
-		{"refused: no such image", wire.PhaseFetching, shown(wire.PhaseExited, wire.CauseNoSuch), false},
-		{"stopped while fetching", wire.PhaseFetching, shown(wire.PhaseExited, wire.CauseStopped), false},
-		{"stopped while running", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseStopped), true},
-		{"gang incomplete while fetching", wire.PhaseFetching, shown(wire.PhaseExited, wire.CauseGangIncomplete), false},
-		{"gang broken while running", wire.PhaseRunning, shown(wire.PhaseExited, wire.CauseGangBroken), true},
-		{"saving since it is stopped", wire.PhaseRunning, shown(wire.PhaseCheckpointing, wire.CauseStopped), true},
+		{"fetching", "", attemptStatus(wire.PhaseFetching, ""), false},
+		{"waiting for its gang", wire.PhaseFetching, attemptStatus(wire.PhaseWaiting, ""), true},
+		{"running", wire.PhaseFetching, attemptStatus(wire.PhaseRunning, ""), true},
+		{"done", wire.PhaseRunning, attemptStatus(wire.PhaseExited, wire.CauseDone), true},
+		{"failed", wire.PhaseRunning, attemptStatus(wire.PhaseExited, wire.CauseError), true},
+		{"refused: full", "", attemptStatus(wire.PhaseExited, wire.CauseFull), false},
+		{"refused: busy", "", attemptStatus(wire.PhaseExited, wire.CauseBusy), false},
+		{"refused: no such image", wire.PhaseFetching, attemptStatus(wire.PhaseExited, wire.CauseNoSuch), false},
+		{"stopped while fetching", wire.PhaseFetching, attemptStatus(wire.PhaseExited, wire.CauseStopped), false},
+		{"stopped while running", wire.PhaseRunning, attemptStatus(wire.PhaseExited, wire.CauseStopped), true},
+		{"gang incomplete while fetching", wire.PhaseFetching, attemptStatus(wire.PhaseExited, wire.CauseGangIncomplete), false},
+		{"gang broken while running", wire.PhaseRunning, attemptStatus(wire.PhaseExited, wire.CauseGangBroken), true},
+		{"writing a checkpoint because it is stopped", wire.PhaseRunning, attemptStatus(wire.PhaseCheckpointing, wire.CauseStopped), true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/reconcile/failures.go
+++ b/internal/leader/reconcile/failures.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// maxBackoffDoublings bounds the backoff of a job that fails on several machines:
-	// 2^6 seconds, about a minute.
+	// maxBackoffDoublings limits the backoff of a job that fails on several machines to 2^6
+	// seconds, about a minute.
 	maxBackoffDoublings = 6
-	// singleMachineBackoff is the backoff of a job that failed on one machine only: the
-	// machine may be at fault, and the job is tried on another one soon.
+	// singleMachineBackoff is the backoff of a job that failed on one machine only. The machine
+	// may be at fault, so the job is soon retried on another one.
 	singleMachineBackoff = 500 * time.Millisecond
 
-	// faultyMachineJobs is how many jobs must have failed on a machine in a row for the
-	// machine to be at fault.
+	// faultyMachineJobs is how many jobs must have failed on a machine, with no success on it
+	// in between, for the machine to be at fault.
 	faultyMachineJobs = 2
-	// faultyMachineFailures is how many failures make a machine faulty if the job
-	// runs on others.
+	// faultyMachineFailures is how many task failures on a machine, with no success in between,
+	// put it at fault if the failing job has ever completed a task, or has failed only on this
+	// machine (singleMachineFailures).
 	faultyMachineFailures = 2
-	// singleMachineFailures is how many failures in a row of a job, all on one machine,
-	// make that machine faulty although the job has never completed a task.
+	// singleMachineFailures is how many failures in a row of a job, all on one machine, put that
+	// machine at fault although the job has never completed a task.
 	singleMachineFailures = 3
-	// suspectJobMachines is on how many machines a job must have failed for it to be
-	// retried ever more rarely.
+	// suspectJobMachines is on how many machines a job must have failed for its backoff to grow
+	// with each failure.
 	suspectJobMachines = 2
-	// faultyJobMachines is on how many machines a job must have failed in a row for the
-	// job to be at fault.
+	// faultyJobMachines is on how many machines a job must have failed, with no success in
+	// between, for the job to be at fault.
 	faultyJobMachines = 3
 )
 
@@ -37,9 +38,9 @@
 	*drainer
 }
 
-// onTaskFailure distinguishes a faulty machine from a faulty job. A job that fails wherever
-// it runs is retried ever more rarely; a machine on which several jobs fail, or a job that
-// other machines run well, is drained and scaled in.
+// onTaskFailure records a failed task and decides whether the machine or the job is faulty. A
+// job that fails on every machine is retried with a growing backoff. A machine is drained and
+// scaled in if several jobs fail on it, or if a job fails on it that succeeds elsewhere.
 func (fd *faultDetector) onTaskFailure(attempt *cluster.Attempt, now time.Time) {
 	job, machine := attempt.Job, attempt.Machine
 	if job.FailedMachines == nil {
@@ -60,8 +61,8 @@
 	}
 }
 
-// machineAtFault reports whether a machine on which a task of the job has just failed is
-// taken to be the cause.
+// machineAtFault reports whether the machine on which a task of the job has just failed counts
+// as the cause.
 func machineAtFault(machine *cluster.Machine, job *cluster.Job) bool {
 	severalJobsFail := len(machine.FailedJobs) >= faultyMachineJobs
 	failsRepeatedly := machine.TaskFailures >= faultyMachineFailures
@@ -69,7 +70,7 @@
 	return severalJobsFail || failsRepeatedly && (job.AnyTaskSucceeded || failsHereOnly)
 }
 
-// backOff sets when a job of which a task has just failed may start tasks again.
+// backOff sets when a job may start tasks again after one of its tasks has failed.
 func backOff(job *cluster.Job, now time.Time) {
 	if len(job.FailedMachines) < suspectJobMachines {
 		job.StartNotBefore = now.Add(singleMachineBackoff)
@@ -79,7 +80,8 @@
 	job.StartNotBefore = now.Add(time.Duration(1<<doublings) * time.Second)
 }
 
-// clearFailuresOf clears the failures of all machines on which a faulty job has failed.
+// clearFailuresOf clears the failures of all machines on which a faulty job has failed, since
+// the machines are not their cause.
 func (fd *faultDetector) clearFailuresOf(job *cluster.Job) {
 	for _, machine := range fd.state.Machines {
 		if machine.FailedJobs[job.Spec.ID] {
--- a/internal/leader/reconcile/failures_test.go
+++ b/internal/leader/reconcile/failures_test.go
@@ -9,22 +9,22 @@
 	"lilaclead/internal/wire"
 )
 
-// failOn has a task of the job fail on a machine.
+// failOn makes a task of the job fail on a machine.
 func (f *fixture) failOn(job *cluster.Job, machine *cluster.Machine, now time.Time) {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: 0, Number: testAttempt, Machine: machine}
-	f.failures.onTaskFailure(attempt, now)
+	f.faults.onTaskFailure(attempt, now)
 }
 
-func TestFaultyMachineAndFaultyJob(t *testing.T) {
-	// Each failure is of a job on a machine of six.
+func TestRepeatedFailuresDrainFaultyMachineOrBackOffJob(t *testing.T) {
+	// failure holds the index of the job that fails, and of the machine it fails on: one of six.
 	type failure struct{ job, machine int }
 	cases := []struct {
-		name          string
-		succeeded     bool // the first job has completed a task elsewhere
-		failures      []failure
-		wantDrained   []int
-		wantBackoff   time.Duration // of the first job
-		wantForgotten bool          // no machine is charged with the first job's failures
+		name        string
+		succeeded   bool // the first job has completed a task elsewhere
+		failures    []failure
+		wantDrained []int
+		wantBackoff time.Duration // of the first job
+		wantCleared bool          // no machine is charged with the first job's failures any more
 	}{
 		{"one failure", false, []failure{{0, 0}}, nil, singleMachineBackoff, false},
 		{"two failures of one job on one machine", false, []failure{{0, 0}, {0, 0}}, nil, singleMachineBackoff, false},
@@ -62,14 +62,14 @@
 			if got := f.job.StartNotBefore.Sub(now); got != tc.wantBackoff {
 				t.Errorf("failures %v: backoff %v, want %v", tc.failures, got, tc.wantBackoff)
 			}
-			if charged == tc.wantForgotten {
-				t.Errorf("failures %v: machines are charged %v, want %v", tc.failures, charged, !tc.wantForgotten)
+			if charged == tc.wantCleared {
+				t.Errorf("failures %v: machines are charged %v, want %v", tc.failures, charged, !tc.wantCleared)
 			}
 		})
 	}
 }
 
-func TestSuspectDrainsAreBoundedToAQuarter(t *testing.T) {
+func TestDrainsOnSuspicionAreLimitedToAQuarterOfMachines(t *testing.T) {
 	f := newFixture(t)
 	var others []*cluster.Machine
 	for i := 2; i <= 8; i++ {
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestDrainStopsWhatItsReasonRequires(t *testing.T) {
+func TestDrainStopsOrEndsTasksByReasonAndKind(t *testing.T) {
 	cases := []struct {
 		reason    cluster.DrainReason
 		kind      wire.JobKind
@@ -106,8 +106,8 @@
 			f.job.Spec.Kind = tc.kind
 			tc.setup(f.attempt)
 			f.drain(f.machine, tc.reason)
-			if f.machine.DrainReason != tc.reason || f.drained != 1 {
-				t.Errorf("drain reason %q, counted %d times; want %q, once", f.machine.DrainReason, f.drained, tc.reason)
+			if f.machine.DrainReason != tc.reason || f.drainCount != 1 {
+				t.Errorf("drain reason %q, counted %d times; want %q, once", f.machine.DrainReason, f.drainCount, tc.reason)
 			}
 			if f.attempt.Stopping != tc.wantStop || tc.wantStop && f.attempt.StopReason != cluster.EvictionReason(tc.reason) {
 				t.Errorf("stopping %v for %q, want %v", f.attempt.Stopping, f.attempt.StopReason, tc.wantStop)
@@ -116,8 +116,8 @@
 				t.Errorf("ended %v, want %v", ended, tc.wantEnded)
 			}
 			f.drain(f.machine, cluster.DrainIdle)
-			if f.machine.DrainReason != tc.reason || f.drained != 1 {
-				t.Errorf("a second drain changes the reason to %q, counted %d times", f.machine.DrainReason, f.drained)
+			if f.machine.DrainReason != tc.reason || f.drainCount != 1 {
+				t.Errorf("after a second drain: reason %q, counted %d times; want the first reason, once", f.machine.DrainReason, f.drainCount)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 func TestMachineWithMostlySlowRunsIsDrained(t *testing.T) {
 	cases := []struct {
 		name        string
-		runs        []time.Duration // on the machine, of a job whose other runs take 10 s
+		runs        []time.Duration // run times on the machine, of a job whose other runs take 10 s
 		wantDrained bool
 	}{
 		{"two slow runs", []time.Duration{30 * time.Second, 30 * time.Second}, false},
@@ -143,7 +143,7 @@
 			now := time.Now()
 			for _, run := range tc.runs {
 				f.attempt.RunningSince = now.Add(-run)
-				f.failures.recordRunTime(f.attempt, now)
+				f.faults.recordRunTime(f.attempt, now)
 			}
 			if drained := f.machine.DrainReason == cluster.DrainSlow; drained != tc.wantDrained {
 				t.Errorf("runs %v: drained %v (%+v), want %v", tc.runs, drained, f.machine.SlowRuns, tc.wantDrained)
--- a/internal/leader/reconcile/fixture_test.go
+++ b/internal/leader/reconcile/fixture_test.go
@@ -27,7 +27,7 @@
 	testAttempt  wire.AttemptNumber = 7
 )
 
-// fixture is a reconciler whose commands go nowhere, with one machine that has one attempt
+// fixture is a reconciler whose commands are never sent, with one machine that has one attempt
 // of a job array.
 type fixture struct {
 	*Reconciler
@@ -36,9 +36,9 @@
 	attempt *cluster.Attempt
 	cancels *cancels.Log
 
-	evicted  []string // label values of evictions
-	drained  int
-	outcomes []string // label values of commands
+	evictionReasons []string // label values of the metric of interrupted tasks
+	drainCount      int
+	commandOutcomes []string // label values of the metric of commands
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -47,17 +47,17 @@
 	f := &fixture{cancels: cancels.New(nil, time.Minute)}
 	f.cancels.RecordRead(now)
 	metrics := &core.Metrics{
-		TaskInterrupted: func(reason string) { f.evicted = append(f.evicted, reason) },
-		Command:         func(outcome string) { f.outcomes = append(f.outcomes, outcome) },
-		FleetChange:     func(_ string, machines int) { f.drained += machines },
+		TaskInterrupted: func(reason string) { f.evictionReasons = append(f.evictionReasons, reason) },
+		Command:         func(outcome string) { f.commandOutcomes = append(f.commandOutcomes, outcome) },
+		FleetChange:     func(_ string, machines int) { f.drainCount += machines },
 		StartDelay:      func(string, float64) {},
 	}
 	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	loop := core.NewLoop(lease, log, metrics)
-	ended, end := context.WithCancel(t.Context())
-	end()
-	loop.Begin(ended)
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	loop.Begin(cancelled)
 	t.Cleanup(func() {
 		loop.End("the test is over")
 		loop.Wait()
@@ -103,7 +103,7 @@
 	return &wire.Heartbeat{Machine: "n-1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
-// shown returns the state of the fixture's attempt in a heartbeat.
-func shown(phase wire.TaskPhase, cause wire.ExitCause) wire.TaskStatus {
+// attemptStatus returns the status of the fixture's attempt in a heartbeat.
+func attemptStatus(phase wire.TaskPhase, cause wire.ExitCause) wire.TaskStatus {
 	return wire.TaskStatus{Task: testTask, Attempt: testAttempt, Phase: phase, Cause: cause}
 }
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -7,9 +7,9 @@
 	"lilaclead/internal/wire"
 )
 
-// Reconcile updates the state by a heartbeat, or by the answer to a direct command, which
-// has the same form; sentByAgent distinguishes the two. It reports whether the heartbeat
-// was newer than what was known.
+// Reconcile updates the state by a heartbeat, or by the answer to a direct command, which has
+// the same form. sentByAgent is true for a heartbeat that the agent sent by itself. Reconcile
+// reports whether the heartbeat was newer than the last known one.
 func (rc *Reconciler) Reconcile(machine *cluster.Machine, heartbeat *wire.Heartbeat, sentByAgent bool, now time.Time) bool {
 	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) || machine.Restarted {
 		return false
@@ -23,7 +23,7 @@
 	rc.updateMachine(machine, heartbeat, now)
 	recordHeartbeatGap(machine, sentByAgent, now)
 	rc.updateSpotNotice(machine, heartbeat, now)
-	listed := make(map[wire.TaskID]bool, len(heartbeat.Tasks)) // made here, it stays off the heap
+	listed := make(map[wire.TaskID]bool, len(heartbeat.Tasks)) // allocated here, so that it does not escape to the heap
 	rc.reconcileTasks(machine, heartbeat, listed, now)
 	for task, attempt := range machine.Tasks {
 		if listed[task] || attempt.Unstored {
@@ -36,7 +36,8 @@
 	return true
 }
 
-// recordHeartbeatGap records since when a machine only answers direct commands.
+// recordHeartbeatGap records since when a machine has only answered direct commands, and sent
+// no heartbeat by itself.
 func recordHeartbeatGap(machine *cluster.Machine, sentByAgent bool, now time.Time) {
 	if sentByAgent {
 		machine.HeartbeatsMissingSince = time.Time{}
@@ -55,11 +56,11 @@
 	machine.LastUsedAt = now
 }
 
-// updateMachine records what a heartbeat says of the machine itself.
+// updateMachine records what a heartbeat says about the machine itself.
 func (rc *Reconciler) updateMachine(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	if heartbeat.Epoch > machine.Epoch {
-		// The images survive the expiry of a lease; a restart, which loses them, begins
-		// with the first epoch again.
+		// The images of the machine are kept: they survive the expiry of a lease. A restart,
+		// which loses them, begins with the first epoch again.
 		machine.EpochSince = now
 	}
 	machine.Addr, machine.MachineType = heartbeat.Addr, heartbeat.Type
@@ -72,8 +73,8 @@
 	machine.Token = max(machine.Token, heartbeat.Token)
 }
 
-// updateSpotNotice records when the cloud will reclaim the machine, if the heartbeat says
-// so.
+// updateSpotNotice records when the cloud will reclaim the machine, if the heartbeat carries a
+// spot notice.
 func (rc *Reconciler) updateSpotNotice(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	if heartbeat.SpotNotice == nil {
 		return
@@ -86,9 +87,10 @@
 	machine.ReclaimAt = now.Add(remaining)
 }
 
-// onRestart handles the answer of a machine that counts from the start again: it was back
-// before anybody missed it. What its answer lacks is lost. The machine is scaled in, since
-// from now on its heartbeats can't be told from late copies of those before the restart.
+// onRestart handles an answer which shows that the machine has restarted, before its absence
+// was noticed, and numbers its heartbeats from the start again. The tasks that the answer lacks
+// are lost. The machine is scaled in, since from now on its heartbeats can't be told from late
+// copies of those before the restart.
 func (rc *Reconciler) onRestart(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	rc.Log.Info("machine restarted", "machine", machine.ID, "tasks", len(machine.Tasks),
 		"epoch", heartbeat.Epoch, "sequence", heartbeat.Sequence,
--- a/internal/leader/reconcile/heartbeat_test.go
+++ b/internal/leader/reconcile/heartbeat_test.go
@@ -7,27 +7,27 @@
 	"lilaclead/internal/wire"
 )
 
-func TestHeartbeatUpdatesTheMachine(t *testing.T) {
+func TestHeartbeatUpdatesMachine(t *testing.T) {
 	f := newFixture(t)
 	f.machine.Token, f.machine.Booting, f.machine.UnansweredCommands = testToken-1, true, 2
 	f.machine.FirstHeartbeatAt, f.machine.LastMessageAt = time.Time{}, time.Time{}
 	now := time.Now()
-	sent := heartbeat(2, 1, testToken, shown(wire.PhaseRunning, ""))
+	sent := heartbeat(2, 1, testToken, attemptStatus(wire.PhaseRunning, ""))
 	sent.Addr, sent.Type, sent.Zone, sent.Spot = "10.0.0.9:9000", "c4", "a", true
 	f.Reconcile(f.machine, sent, true, now)
 
 	m := f.machine
 	if m.Addr != sent.Addr || m.MachineType != sent.Type || m.Zone != sent.Zone || !m.Spot {
-		t.Errorf("machine at %q of type %q in zone %q, spot %v; want what %+v says", m.Addr, m.MachineType, m.Zone, m.Spot, sent)
+		t.Errorf("machine at %q of type %q in zone %q, spot %v; want those of heartbeat %+v", m.Addr, m.MachineType, m.Zone, m.Spot, sent)
 	}
 	if m.Epoch != 2 || m.Sequence != 1 || m.Token != testToken {
 		t.Errorf("epoch %d, sequence %d, token %d; want 2, 1, %d", m.Epoch, m.Sequence, m.Token, testToken)
 	}
 	if m.Booting || m.UnansweredCommands != 0 {
-		t.Errorf("booting %v with %d unanswered probes, want neither", m.Booting, m.UnansweredCommands)
+		t.Errorf("booting %v with %d unanswered commands, want neither", m.Booting, m.UnansweredCommands)
 	}
 	for name, got := range map[string]time.Time{
-		"last message": m.LastMessageAt, "first heartbeat": m.FirstHeartbeatAt, "begin of the epoch": m.EpochSince,
+		"last message": m.LastMessageAt, "first heartbeat": m.FirstHeartbeatAt, "start of the epoch": m.EpochSince,
 		"token of this term": m.TokenSeenAt, "last use": m.LastUsedAt,
 	} {
 		if !got.Equal(now) {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestOnlyAnswersToCommandsMeanHeartbeatsAreMissing(t *testing.T) {
+func TestHeartbeatsCountAsMissingWhileMachineOnlyAnswersCommands(t *testing.T) {
 	f := newFixture(t)
 	start := time.Now()
 	for i, step := range []struct {
@@ -55,9 +55,9 @@
 	}
 }
 
-func TestNewEpochSoonAfterARenewalMeansNothingIsReceived(t *testing.T) {
+func TestNewEpochSoonAfterRenewalMeansInboundPathIsLost(t *testing.T) {
 	for name, tc := range map[string]struct {
-		sinceReply time.Duration // of a lease of 16 s
+		sinceReply time.Duration // the lease lasts 16 s
 		wantWorks  bool
 	}{
 		"within half a lease":  {7900 * time.Millisecond, false},
@@ -68,13 +68,13 @@
 			now := time.Now()
 			f.machine.LastReplyAt = now.Add(-tc.sinceReply)
 			f.machine.Inbound.RecordAnswer(testToken, 1, 10)
-			f.checkInbound(f.machine, heartbeat(2, 1, testToken), now)
+			f.checkInboundPath(f.machine, heartbeat(2, 1, testToken), now)
 			if got := f.machine.Inbound.Works(); got != tc.wantWorks {
 				t.Errorf("new epoch %v after a renewal: inbound path works %v, want %v", tc.sinceReply, got, tc.wantWorks)
 			}
-			f.onReceived(f.machine)
+			f.onDelivery(f.machine)
 			if !f.machine.Inbound.Works() {
-				t.Error("the inbound path does not work although something was received")
+				t.Error("the inbound path does not work although a message was received")
 			}
 		})
 	}
--- a/internal/leader/reconcile/inbound.go
+++ b/internal/leader/reconcile/inbound.go
@@ -8,27 +8,27 @@
 	"lilaclead/internal/wire"
 )
 
-// checkInbound compares a heartbeat with what the machine was sent in the answer to an
-// earlier one.
-func (rc *Reconciler) checkInbound(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
+// checkInboundPath compares a heartbeat with the answer to an earlier one, to find out whether
+// messages from this node reach the machine.
+func (rc *Reconciler) checkInboundPath(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	evidence := detector.Evidence{
 		KnownToken:      machine.Token,
 		RecentlyRenewed: now.Sub(machine.LastReplyAt) < rc.state.Settings.Workers.Lease.Duration()/2,
 		MissesLaunch:    func() bool { return machine.MissesLaunch(heartbeat) },
 	}
-	rc.onInboundChange(machine, machine.Inbound.ObserveHeartbeat(heartbeat, evidence, now))
+	rc.onInboundPathChange(machine, machine.Inbound.ObserveHeartbeat(heartbeat, evidence, now))
 }
 
-// onReceived records that something sent by this node has reached the machine.
-func (rc *Reconciler) onReceived(machine *cluster.Machine) {
-	rc.onInboundChange(machine, machine.Inbound.RecordDelivery())
+// onDelivery records that a message from this node has reached the machine.
+func (rc *Reconciler) onDelivery(machine *cluster.Machine) {
+	rc.onInboundPathChange(machine, machine.Inbound.RecordDelivery())
 }
 
-func (rc *Reconciler) onInboundChange(machine *cluster.Machine, change detector.Change) {
+func (rc *Reconciler) onInboundPathChange(machine *cluster.Machine, change detector.PathChange) {
 	switch change {
-	case detector.Lost:
+	case detector.PathLost:
 		rc.Log.Info("inbound path lost", "machine", machine.ID, "tasks", len(machine.Tasks))
-	case detector.Restored:
+	case detector.PathRestored:
 		rc.Log.Info("inbound path restored", "machine", machine.ID)
 		rc.state.RequestCycle()
 	}
--- a/internal/leader/reconcile/missing_attempts_test.go
+++ b/internal/leader/reconcile/missing_attempts_test.go
@@ -9,35 +9,36 @@
 	"lilaclead/internal/wire"
 )
 
-// outcome is what becomes of an attempt that a heartbeat lacks.
-type outcome string
+// attemptOutcome is what becomes of an attempt that a heartbeat lacks.
+type attemptOutcome string
 
 const (
-	kept       outcome = "kept: its launch may take effect"
-	relaunched outcome = "launched again"
-	lost       outcome = "lost: queued again and counted as an eviction"
-	withdrawn  outcome = "queued again: it never started"
+	attemptKept       attemptOutcome = "kept: its launch may take effect"
+	attemptRelaunched attemptOutcome = "launched again"
+	attemptLost       attemptOutcome = "lost: queued again and counted as an eviction"
+	attemptWithdrawn  attemptOutcome = "queued again: it never started"
 )
 
-// outcomeOfAttempt returns what became of the fixture's attempt, which had been marked as
-// sent in an answer or as an unanswered direct launch before.
-func (f *fixture) outcomeOfAttempt(before cluster.Attempt) outcome {
-	launchForgotten := !f.attempt.LaunchUnanswered && f.attempt.ReplySequence == 0
+// outcomeOfAttempt returns what became of the fixture's attempt since it was as in before. To be
+// told from a kept attempt, one that is launched again must have been marked before as sent in
+// an answer or as an unanswered direct launch.
+func (f *fixture) outcomeOfAttempt(before cluster.Attempt) attemptOutcome {
+	launchCleared := !f.attempt.LaunchUnanswered && f.attempt.ReplySequence == 0
 	wasSent := before.LaunchUnanswered || before.ReplySequence > 0
 	switch {
-	case f.job.ActiveTasks == 0 && slices.Equal(f.evicted, []string{string(cluster.EvictedMissing)}):
-		return lost
-	case f.job.ActiveTasks == 0 && len(f.evicted) == 0:
-		return withdrawn
-	case f.job.ActiveTasks == 1 && launchForgotten && wasSent:
-		return relaunched
+	case f.job.ActiveTasks == 0 && slices.Equal(f.evictionReasons, []string{string(cluster.EvictedMissing)}):
+		return attemptLost
+	case f.job.ActiveTasks == 0 && len(f.evictionReasons) == 0:
+		return attemptWithdrawn
+	case f.job.ActiveTasks == 1 && launchCleared && wasSent:
+		return attemptRelaunched
 	case f.job.ActiveTasks == 1:
-		return kept
+		return attemptKept
 	}
-	return "none that is known"
+	return "no known outcome"
 }
 
-func TestMissingAttemptByLaunchState(t *testing.T) {
+func TestMissingAttemptOutcomeByLaunchState(t *testing.T) {
 	sentInAnswer := func(f *fixture) {
 		f.attempt.LaunchSent, f.attempt.LaunchEpoch = true, 1
 		f.attempt.ReplyEpoch, f.attempt.ReplySequence = 1, 11
@@ -54,27 +55,27 @@
 		setup       func(f *fixture)
 		heartbeat   *wire.Heartbeat
 		fromCommand bool // the heartbeat is the answer to a command
-		want        outcome
+		want        attemptOutcome
 	}{
-		{"not stored", func(f *fixture) { f.attempt.Unstored = true }, heartbeat(1, 12, testToken), false, kept},
-		{"observed before", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken), false, lost},
-		{"inherited, the earlier leader's token still accepted", func(f *fixture) { f.attempt.Inherited = true }, heartbeat(1, 12, testToken-1), false, kept},
-		{"inherited, a token of this term is shown", func(f *fixture) { f.attempt.Inherited = true }, heartbeat(1, 12, testToken), false, lost},
-		{"direct launch in flight", inFlight, heartbeat(1, 12, testToken), false, kept},
-		{"direct launch in flight, a newer epoch", inFlight, heartbeat(2, 1, testToken), false, lost},
-		{"direct launch unanswered", unanswered, heartbeat(1, 12, testToken), false, kept},
-		{"direct launch unanswered, a higher token is shown", unanswered, heartbeat(1, 12, testToken+1), false, relaunched},
-		{"direct launch unanswered, a newer epoch", unanswered, heartbeat(2, 1, testToken), false, lost},
-		{"in the answer to the last heartbeat", sentInAnswer, heartbeat(1, 11, testToken), false, kept},
-		{"in the answer, a newer heartbeat", sentInAnswer, heartbeat(1, 12, testToken), false, relaunched},
-		{"in the answer, a newer answer to a command", sentInAnswer, heartbeat(1, 12, testToken), true, kept},
-		{"in the answer, a newer epoch", sentInAnswer, heartbeat(2, 1, testToken), false, lost},
-		{"in the answer, stopping", func(f *fixture) { sentInAnswer(f); f.attempt.Stopping = true }, heartbeat(1, 12, testToken), false, withdrawn},
-		{"in the answer, machine draining", func(f *fixture) { sentInAnswer(f); f.machine.DrainReason = cluster.DrainIdle }, heartbeat(1, 12, testToken), false, withdrawn},
-		{"in the answer, job cancelled", func(f *fixture) { sentInAnswer(f); f.job.Cancelled = true }, heartbeat(1, 12, testToken), false, withdrawn},
+		{"not stored", func(f *fixture) { f.attempt.Unstored = true }, heartbeat(1, 12, testToken), false, attemptKept},
+		{"seen before", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken), false, attemptLost},
+		{"inherited, the earlier leader's token still accepted", func(f *fixture) { f.attempt.Inherited = true }, heartbeat(1, 12, testToken-1), false, attemptKept},
+		{"inherited, a token of this term is shown", func(f *fixture) { f.attempt.Inherited = true }, heartbeat(1, 12, testToken), false, attemptLost},
+		{"direct launch in flight", inFlight, heartbeat(1, 12, testToken), false, attemptKept},
+		{"direct launch in flight, a newer epoch", inFlight, heartbeat(2, 1, testToken), false, attemptLost},
+		{"direct launch unanswered", unanswered, heartbeat(1, 12, testToken), false, attemptKept},
+		{"direct launch unanswered, a higher token is shown", unanswered, heartbeat(1, 12, testToken+1), false, attemptRelaunched},
+		{"direct launch unanswered, a newer epoch", unanswered, heartbeat(2, 1, testToken), false, attemptLost},
+		{"in the answer to the last heartbeat", sentInAnswer, heartbeat(1, 11, testToken), false, attemptKept},
+		{"in the answer, a newer heartbeat", sentInAnswer, heartbeat(1, 12, testToken), false, attemptRelaunched},
+		{"in the answer, a newer answer to a command", sentInAnswer, heartbeat(1, 12, testToken), true, attemptKept},
+		{"in the answer, a newer epoch", sentInAnswer, heartbeat(2, 1, testToken), false, attemptLost},
+		{"in the answer, stopping", func(f *fixture) { sentInAnswer(f); f.attempt.Stopping = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
+		{"in the answer, machine draining", func(f *fixture) { sentInAnswer(f); f.machine.DrainReason = cluster.DrainIdle }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
+		{"in the answer, job cancelled", func(f *fixture) { sentInAnswer(f); f.job.Cancelled = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
 		{"another attempt is shown", func(f *fixture) { f.attempt.SeenInHeartbeat = true },
-			heartbeat(1, 12, testToken, wire.TaskStatus{Task: testTask, Attempt: testAttempt - 1, Phase: wire.PhaseRunning}), false, lost},
-		{"shown", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken, shown(wire.PhaseRunning, "")), false, kept},
+			heartbeat(1, 12, testToken, wire.TaskStatus{Task: testTask, Attempt: testAttempt - 1, Phase: wire.PhaseRunning}), false, attemptLost},
+		{"shown", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken, attemptStatus(wire.PhaseRunning, "")), false, attemptKept},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -82,10 +83,10 @@
 			tc.setup(f)
 			before := *f.attempt
 			if !f.Reconcile(f.machine, tc.heartbeat, !tc.fromCommand, time.Now()) {
-				t.Fatalf("heartbeat %+v is not taken for newer", tc.heartbeat)
+				t.Fatalf("heartbeat %+v does not count as newer", tc.heartbeat)
 			}
 			if got := f.outcomeOfAttempt(before); got != tc.want {
-				t.Errorf("heartbeat %+v: got %q, want %q (evictions %v)", tc.heartbeat, got, tc.want, f.evicted)
+				t.Errorf("heartbeat %+v: got %q, want %q (evictions %v)", tc.heartbeat, got, tc.want, f.evictionReasons)
 			}
 		})
 	}
@@ -93,25 +94,25 @@
 
 func TestMissingGangTaskIsLaunchedAgainBeforeGangRuns(t *testing.T) {
 	for name, tc := range map[string]struct {
-		ran      bool
-		wantLost bool
+		gangHasRun bool
+		wantLost   bool
 	}{
-		"the gang has not run": {ran: false, wantLost: false},
-		"the gang has run":     {ran: true, wantLost: true},
+		"the gang has not run": {gangHasRun: false, wantLost: false},
+		"the gang has run":     {gangHasRun: true, wantLost: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			gang := f.addJob("req-2", wire.KindGang, 2)
-			gang.Gang = &cluster.Gang{AttemptNumber: testAttempt, StartedAt: time.Now(), Inherited: true, HasRun: tc.ran}
+			gang.Gang = &cluster.Gang{AttemptNumber: testAttempt, StartedAt: time.Now(), Inherited: true, HasRun: tc.gangHasRun}
 			attempt := f.addAttempt(gang, 0, f.machine)
 			f.addAttempt(gang, 1, f.addMachine("n-2"))
 			attempt.Inherited, attempt.LaunchSent, attempt.LaunchEpoch = true, true, 1
-			f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, "")), true, time.Now())
+			f.Reconcile(f.machine, heartbeat(1, 11, testToken, attemptStatus(wire.PhaseRunning, "")), true, time.Now())
 			if got := gang.ActiveTasks == 1; got != tc.wantLost {
-				t.Errorf("gang that ran %v: lost %v, want %v", tc.ran, got, tc.wantLost)
+				t.Errorf("gang has run %v: task lost %v, want %v", tc.gangHasRun, got, tc.wantLost)
 			}
 			if attempt.Inherited != tc.wantLost || attempt.LaunchSent != tc.wantLost {
-				t.Errorf("gang that ran %v: attempt inherited %v, launch sent %v; want both %v", tc.ran, attempt.Inherited, attempt.LaunchSent, tc.wantLost)
+				t.Errorf("gang has run %v: attempt inherited %v, launch sent %v; want both %v", tc.gangHasRun, attempt.Inherited, attempt.LaunchSent, tc.wantLost)
 			}
 		})
 	}
@@ -122,11 +123,11 @@
 	running := wire.TaskStatus{Task: "req-9/0", Attempt: 1, Phase: wire.PhaseRunning}
 	exited := wire.TaskStatus{Task: "req-9/1", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone}
 	undecodable := wire.TaskStatus{Task: "no task", Attempt: 1, Phase: wire.PhaseRunning}
-	f.Reconcile(f.machine, heartbeat(1, 11, testToken, shown(wire.PhaseRunning, ""), running, exited, undecodable), true, time.Now())
+	f.Reconcile(f.machine, heartbeat(1, 11, testToken, attemptStatus(wire.PhaseRunning, ""), running, exited, undecodable), true, time.Now())
 	if len(f.machine.OrphanTasks) != 1 || !f.machine.OrphanTasks[wire.TaskID{Job: "req-9", Index: 0}] {
 		t.Errorf("orphaned tasks %v, want req-9/0 alone", f.machine.OrphanTasks)
 	}
-	f.Reconcile(f.machine, heartbeat(1, 12, testToken, shown(wire.PhaseRunning, "")), true, time.Now())
+	f.Reconcile(f.machine, heartbeat(1, 12, testToken, attemptStatus(wire.PhaseRunning, "")), true, time.Now())
 	if len(f.machine.OrphanTasks) != 0 {
 		t.Errorf("orphaned tasks %v after a heartbeat without them, want none", f.machine.OrphanTasks)
 	}
--- a/internal/leader/reconcile/reconciler.go
+++ b/internal/leader/reconcile/reconciler.go
@@ -11,17 +11,17 @@
 	"lilaclead/internal/wire"
 )
 
-// Reconciler compares the heartbeats of the agents with the records and answers them. It
-// is used by the goroutine of the term's loop alone.
+// Reconciler compares the heartbeats of the agents with the records and answers them. It is
+// not safe for concurrent use: only the goroutine of the term's loop uses it.
 type Reconciler struct {
 	*core.Loop
 	*drainer
-	failures   *faultDetector
+	faults     *faultDetector
 	state      *cluster.State
 	delegate   *delegation.Delegate
 	dispatcher *agents.Dispatcher
 	scaler     *autoscaler.Scaler
-	// EarlyHeartbeats holds the newest heartbeat of each machine that came in before the
+	// EarlyHeartbeats holds, of each machine, the newest heartbeat that arrived before the
 	// records were read.
 	EarlyHeartbeats map[wire.MachineID]wire.Heartbeat
 }
@@ -32,7 +32,7 @@
 	return &Reconciler{
 		Loop:            loop,
 		drainer:         drainer,
-		failures:        &faultDetector{drainer},
+		faults:          &faultDetector{drainer},
 		state:           state,
 		delegate:        delegate,
 		dispatcher:      dispatcher,
@@ -55,8 +55,8 @@
 	Rejected error          // why the heartbeat is not answered
 }
 
-// Reasons for which a heartbeat is not answered. The agent sends it to another controller
-// then. The texts are part of the answer to the agent.
+// Reasons for rejecting a heartbeat. The agent then sends it to another controller. The texts
+// are sent to the agent.
 var (
 	errNotLeading           = errors.New("can't tell whether this node still leads")
 	errCancellationsUnknown = errors.New("can't tell what was cancelled")
--- a/internal/leader/reconcile/run_times.go
+++ b/internal/leader/reconcile/run_times.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// minRunTimeSamples is how many run times of a job must be known for another one to
-	// be compared with them.
+	// minRunTimeSamples is how many run times of a job must be known before another one is
+	// compared with them.
 	minRunTimeSamples = 3
-	// A run is slow when it takes longer than slowFactor times the median of its job and
-	// slowMarginSeconds.
+	// A run is slow when it takes longer than slowFactor times the median run time of its job
+	// plus slowMarginSeconds.
 	slowFactor        = 1.6
 	slowMarginSeconds = 2
-	// A machine is slow when it had minSlowRuns slow runs, and more than slowRunsPerNormal
-	// for each normal one.
+	// A machine is slow when it has had at least minSlowRuns slow runs, and more than
+	// slowRunsPerNormal times as many slow runs as normal ones.
 	minSlowRuns       = 3
 	slowRunsPerNormal = 3
 )
 
-// recordRunTime compares a completed run with the others of its job, and drains a machine
-// on which most runs are slow.
+// recordRunTime compares the run time of a completed attempt with the others of its job, and
+// drains the machine if most runs on it are slow.
 func (fd *faultDetector) recordRunTime(attempt *cluster.Attempt, now time.Time) {
 	runSeconds := now.Sub(attempt.RunningSince).Seconds()
 	job, machine := attempt.Job, attempt.Machine
--- a/internal/leader/reconcile/tasks.go
+++ b/internal/leader/reconcile/tasks.go
@@ -7,42 +7,42 @@
 	"lilaclead/internal/wire"
 )
 
-// reconcileTasks updates the recorded attempts by the task states in a heartbeat and
-// marks in listed those that it contains. Anything else that runs on the machine is
-// orphaned.
+// reconcileTasks updates the recorded attempts of a machine by the task statuses in its
+// heartbeat, and adds the tasks of those attempts to listed. Any other task that runs on the
+// machine is recorded as orphaned.
 func (rc *Reconciler) reconcileTasks(machine *cluster.Machine, heartbeat *wire.Heartbeat, listed map[wire.TaskID]bool, now time.Time) {
 	clear(machine.OrphanTasks)
 	for i := range heartbeat.Tasks {
-		state := &heartbeat.Tasks[i]
-		task, err := wire.ParseTaskID(state.Task)
+		status := &heartbeat.Tasks[i]
+		task, err := wire.ParseTaskID(status.Task)
 		if err != nil {
 			continue
 		}
-		if attempt := machine.Tasks[task]; attempt != nil && attempt.Number == state.Attempt {
+		if attempt := machine.Tasks[task]; attempt != nil && attempt.Number == status.Attempt {
 			listed[task] = true
-			rc.reconcileAttempt(attempt, state, now)
-		} else if state.Phase != wire.PhaseExited {
+			rc.reconcileAttempt(attempt, status, now)
+		} else if status.Phase != wire.PhaseExited {
 			machine.OrphanTasks[task] = true
 		}
 	}
 }
 
-// reconcileAttempt updates a recorded attempt by its state in a heartbeat.
-func (rc *Reconciler) reconcileAttempt(attempt *cluster.Attempt, state *wire.TaskStatus, now time.Time) {
+// reconcileAttempt updates a recorded attempt by its status in a heartbeat.
+func (rc *Reconciler) reconcileAttempt(attempt *cluster.Attempt, status *wire.TaskStatus, now time.Time) {
 	if attempt.LaunchSent && !attempt.SeenInHeartbeat {
-		rc.onReceived(attempt.Machine)
+		rc.onDelivery(attempt.Machine)
 	}
 	attempt.SeenInHeartbeat = true
-	if hasImage(attempt, state) {
+	if hasImage(attempt, status) {
 		rc.recordImage(attempt, now)
 	}
-	if state.Phase == wire.PhaseRunning && attempt.RunningSince.IsZero() {
+	if status.Phase == wire.PhaseRunning && attempt.RunningSince.IsZero() {
 		rc.onTaskRunning(attempt, now)
 	}
-	attempt.Phase = state.Phase
-	rc.reconcileGang(attempt, state)
-	if state.Phase == wire.PhaseExited {
-		rc.onTaskExit(attempt, state, now)
+	attempt.Phase = status.Phase
+	rc.reconcileGang(attempt, status)
+	if status.Phase == wire.PhaseExited {
+		rc.onTaskExit(attempt, status, now)
 	}
 }
 
@@ -65,39 +65,39 @@
 	}
 }
 
-// hasImage reports whether an attempt's state shows that its image is on the machine.
-func hasImage(attempt *cluster.Attempt, state *wire.TaskStatus) bool {
-	if state.Phase == wire.PhaseFetching {
+// hasImage reports whether the status of an attempt shows that its image is on the machine.
+func hasImage(attempt *cluster.Attempt, status *wire.TaskStatus) bool {
+	if status.Phase == wire.PhaseFetching {
 		return false
 	}
-	switch state.Cause {
+	switch status.Cause {
 	case wire.CauseFull, wire.CauseBusy, wire.CauseNoSuch:
 		return false
 	case wire.CauseStopped, wire.CauseGangBroken, wire.CauseGangIncomplete:
-		return state.Phase != wire.PhaseExited || attempt.Phase != wire.PhaseFetching
+		return status.Phase != wire.PhaseExited || attempt.Phase != wire.PhaseFetching
 	}
 	return true
 }
 
-// reconcileGang updates the attempt's gang, if it is of one, by the state of the attempt.
-func (rc *Reconciler) reconcileGang(attempt *cluster.Attempt, state *wire.TaskStatus) {
+// reconcileGang updates the gang to which an attempt belongs, if any, by the attempt's status.
+func (rc *Reconciler) reconcileGang(attempt *cluster.Attempt, status *wire.TaskStatus) {
 	job, gang := attempt.Job, attempt.Job.Gang
 	if gang == nil {
 		return
 	}
-	if state.Phase == wire.PhaseRunning || state.Phase == wire.PhaseCheckpointing || state.Cause == wire.CauseGangBroken {
+	if status.Phase == wire.PhaseRunning || status.Phase == wire.PhaseCheckpointing || status.Cause == wire.CauseGangBroken {
 		gang.HasRun = true
 	}
-	stopKnown := gang.StopRequested || gang.Broken || job.Cancelled
-	if state.Phase == wire.PhaseCheckpointing && attempt.Inherited && !stopKnown {
+	stopInProgress := gang.StopRequested || gang.Broken || job.Cancelled
+	if status.Phase == wire.PhaseCheckpointing && attempt.Inherited && !stopInProgress {
 		// An earlier leader began to stop the gang, and may not have reached all of its
-		// tasks. Those that don't learn of it in time don't write a checkpoint.
+		// tasks. A task that learns of the stop too late writes no checkpoint.
 		rc.dispatcher.StopGang(job, rc.state.GracePeriodOf(job), cluster.EvictedByEarlierLeader)
 	}
 }
 
-// onMissingAttempt handles an attempt that its machine's heartbeat lacks and that can't
-// start there any more by any launch that was sent.
+// onMissingAttempt handles an attempt that is missing: its machine's heartbeat lacks it, and
+// no launch that was sent can start it there any more.
 func (rc *Reconciler) onMissingAttempt(attempt *cluster.Attempt, heartbeat *wire.Heartbeat) {
 	if rc.state.MayRelaunch(attempt) {
 		attempt.Inherited, attempt.LaunchSent = false, false
@@ -108,7 +108,7 @@
 	startUnwanted := attempt.Stopping || attempt.Machine.DrainReason != "" || attempt.Job.Cancelled
 	switch {
 	case attempt.SeenInHeartbeat, attempt.Inherited, epochEnded:
-		rc.Log.Info("task lost", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
+		rc.Log.Info("task missing from heartbeat", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
 		rc.Metrics.TaskInterrupted(string(cluster.EvictedMissing))
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	case startUnwanted:
@@ -118,8 +118,8 @@
 	}
 }
 
-// prepareRelaunch forgets the launches of an attempt that did not take effect, so that it
-// is launched again.
+// prepareRelaunch clears the record of those launches of an attempt that did not take effect,
+// so that the attempt is launched again.
 func prepareRelaunch(attempt *cluster.Attempt) {
 	attempt.LaunchUnanswered, attempt.ReplySequence = false, 0
 }
