--- a/internal/leader/reconcile/doc.go
+++ b/internal/leader/reconcile/doc.go
@@ -21,11 +21,10 @@
 //
 // Each answer renews the lease of the machine. No heartbeat is answered while this
 // controller can't tell whether it still leads, nor while it can't tell which jobs were
-// cancelled. The answer is also withheld once a job has been cancelled for longer than a
-// maximum time, while a direct launch of one of its tasks may still be on its way to the
-// machine and the heartbeat does not show that task. The lease then expires and the agent
-// begins a new epoch, in which the launch can't take effect any more. A higher token has the
-// same effect.
+// cancelled. The answer is also withheld while a direct launch of a task may still be on its
+// way to the machine, the heartbeat does not show that task, and its job was cancelled at least
+// MaxCancelAge ago. The lease then expires and the agent begins a new epoch, in which the
+// launch can't take effect any more. A higher token has the same effect.
 //
 // # What a stale heartbeat means
 //
--- a/internal/leader/reconcile/missing_attempts_test.go
+++ b/internal/leader/reconcile/missing_attempts_test.go
@@ -73,9 +73,9 @@
 		{"in the answer, stopping", func(f *fixture) { sentInAnswer(f); f.attempt.Stopping = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
 		{"in the answer, machine draining", func(f *fixture) { sentInAnswer(f); f.machine.DrainReason = cluster.DrainIdle }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
 		{"in the answer, job cancelled", func(f *fixture) { sentInAnswer(f); f.job.Cancelled = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
-		{"another attempt is shown", func(f *fixture) { f.attempt.SeenInHeartbeat = true },
+		{"another attempt is in the heartbeat", func(f *fixture) { f.attempt.SeenInHeartbeat = true },
 			heartbeat(1, 12, testToken, wire.TaskStatus{Task: testTask, Attempt: testAttempt - 1, Phase: wire.PhaseRunning}), false, attemptLost},
-		{"shown", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken, attemptStatus(wire.PhaseRunning, "")), false, attemptKept},
+		{"the attempt is in the heartbeat", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken, attemptStatus(wire.PhaseRunning, "")), false, attemptKept},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
