--- a/internal/leader/scheduling/capacity/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -11,45 +11,45 @@
 	"lilaclead/internal/wire"
 )
 
-// unlimited stands for the resources that a team without a limit may use.
+// unlimited is the amount of each resource that a team without a limit may use.
 const unlimited = 1e9
 
-// demandEstimate collects the demands of one estimate.
+// demandEstimate collects the demands while Estimator.Demands runs.
 type demandEstimate struct {
 	*Estimator
 	now          time.Time
-	stretchShare float64 // the share of its remaining time over which a job array may be stretched
-	waits        map[wire.JobID]float64
+	stretchShare float64                // share of its slack over which a job array's work may be stretched
+	waitSeconds  map[wire.JobID]float64 // expected waits for the present resources
 	zones        []wire.Zone
-	used         map[wire.TeamID]placement.Resources // with the demands so far
+	teamUsage    map[wire.TeamID]placement.Resources // including the demands added so far
 	demands      []fleet.Demand
 }
 
-// addJob adds the demand of a waiting job.
+// addJob adds the demands for the wanted tasks of a waiting job.
 func (e *demandEstimate) addJob(job *cluster.Job) {
 	units := e.wantedUnits(job)
 	if units <= 0 {
 		return
 	}
-	e.used[job.Spec.Team] = e.used[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(units)))
-	d := e.jobDemand(job, units)
+	e.teamUsage[job.Spec.Team] = e.teamUsage[job.Spec.Team].Plus(placement.ResourcesOf(&job.Spec).Times(float64(units)))
+	jobDemand := e.jobDemand(job, units)
 	switch {
 	case job.Spec.IsService():
-		d.Rank += serviceRank
+		jobDemand.Rank += serviceRank
 	case !e.state.StartOverdue(job, e.now):
 	case job.Spec.IsGang():
-		d.Rank += startOverdueRank
-		d.PriceLimitFactor = anyPrice
+		jobDemand.Rank += startOverdueRank
+		jobDemand.PriceLimitFactor = anyPrice
 	default:
-		// Only the first task of a job array is due at any price.
-		e.demands = append(e.demands, firstTaskDemand(d))
-		d.Units--
+		// Only the first task of an overdue job array may cost any price.
+		e.demands = append(e.demands, firstTaskDemand(jobDemand))
+		jobDemand.Units--
 	}
-	d.PriceLimitFactor = max(d.PriceLimitFactor, e.PriceStretch(job, e.waits[job.Spec.ID], e.now))
+	jobDemand.PriceLimitFactor = max(jobDemand.PriceLimitFactor, e.PriceStretch(job, e.waitSeconds[job.Spec.ID], e.now))
 	if job.Spec.Spread || job.Spec.SameZone {
-		d.ZoneCapacityLeft = job.ZoneCapacityLeft(e.zones)
+		jobDemand.ZoneCapacityLeft = job.ZoneCapacityLeft(e.zones)
 	}
-	e.demands = append(e.demands, d)
+	e.demands = append(e.demands, jobDemand)
 }
 
 // jobDemand returns the demand for a number of a job's tasks, ranked by its priority alone.
@@ -71,9 +71,9 @@
 	return d
 }
 
-// wantedUnits returns for how many tasks of a job resources are wanted now. Not all tasks
-// of a job array need to run at once: its work may be stretched over a share of the time
-// that its deadline leaves. The team's limit bounds what can run at all.
+// wantedUnits returns the number of a job's tasks for which resources are wanted now. Not all
+// tasks of a job array need to run at once: its work may be stretched over a share of the time
+// that its deadline leaves. The team's limit bounds the number for every job.
 func (e *demandEstimate) wantedUnits(job *cluster.Job) int {
 	team, ok := e.state.Settings.Team(job.Spec.Team)
 	if !ok {
@@ -81,21 +81,21 @@
 	}
 	gang := job.Spec.IsGang()
 	if gang && job.ActiveTasks > 0 {
-		return 0 // the rest of its last attempt ends first
+		return 0 // all tasks of its last attempt must end first
 	}
 	units := job.PendingTasks()
 	if !job.Spec.IsService() && !gang {
 		units = demand.ParallelTasks(units, valuation.WorkOf(job, e.now), e.state.Settings.Objectives, e.stretchShare)
 	}
-	allowed := placement.ResourcesOf(&job.Spec).UnitsIn(limitLeft(team.MaxCPUs, team.MaxGPUs, e.used[job.Spec.Team]))
+	allowed := placement.ResourcesOf(&job.Spec).UnitsIn(limitLeft(team.MaxCPUs, team.MaxGPUs, e.teamUsage[job.Spec.Team]))
 	if gang && allowed < units {
 		return 0
 	}
 	return min(units, allowed)
 }
 
-// limitLeft returns what a team's limit leaves beside the resources that are used. A limit
-// of 0 is none.
+// limitLeft returns the resources that a team may use in addition to those that it uses. A
+// maximum of 0 means no limit.
 func limitLeft(maxCPUs, maxGPUs float64, used placement.Resources) placement.Resources {
 	left := placement.Resources{CPUs: unlimited, GPUs: unlimited, MemoryGB: unlimited}
 	if maxCPUs > 0 {
@@ -107,17 +107,18 @@
 	return left
 }
 
-// addSpareReplicas adds the demand for the resources that are kept for the next replicas.
-// In a single zone they would be of no use to a service that is spread over zones.
-func (e *demandEstimate) addSpareReplicas(minUnits float64) {
-	spare := SpareReplicasOf(e.state, minUnits)
+// addSpareReplicas adds the demand for the resources that are kept free for the next replicas.
+// It is spread over the zones, because a service that is spread over zones could not use
+// resources that are all in one zone.
+func (e *demandEstimate) addSpareReplicas(minReplicas float64) {
+	spare := SpareReplicasOf(e.state, minReplicas)
 	if spare.Count <= 0 {
 		return
 	}
-	zoneLeft := map[wire.Zone]int{}
+	zoneCapacityLeft := map[wire.Zone]int{}
 	for _, zone := range e.zones {
-		zoneLeft[zone] = (spare.Count + 1) / 2
+		zoneCapacityLeft[zone] = (spare.Count + 1) / 2
 	}
-	spec := &wire.JobSpec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: spare.Count, CPUs: spare.Takes.CPUs, MemoryGB: spare.Takes.MemoryGB}
-	e.demands = append(e.demands, fleet.Demand{Spec: spec, Units: spare.Count, Rank: spareRank, ZoneCapacityLeft: zoneLeft})
+	spec := &wire.JobSpec{Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: spare.Count, CPUs: spare.ReplicaResources.CPUs, MemoryGB: spare.ReplicaResources.MemoryGB}
+	e.demands = append(e.demands, fleet.Demand{Spec: spec, Units: spare.Count, Rank: spareReplicaRank, ZoneCapacityLeft: zoneCapacityLeft})
 }
--- a/internal/leader/scheduling/capacity/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -19,24 +19,25 @@
 const (
 	// serviceRank is added for services, which go before everything else.
 	serviceRank = 10
-	// spareRank is that of the resources kept for the next replicas.
-	spareRank = 9
-	// gangReserveRank is that of the resources kept for the next gangs.
+	// spareReplicaRank is the rank of the resources kept free for the next replicas.
+	spareReplicaRank = 9
+	// gangReserveRank is the rank of the resources kept free for the next gangs.
 	gangReserveRank = 8.5
-	// startOverdueRank is added for a job that has waited too long for its first start.
+	// startOverdueRank is added for a job that has waited too long without a start.
 	startOverdueRank = 5
 )
 
-// anyPrice is the price stretch of a demand that is met whatever it costs.
+// anyPrice is the price limit factor of a demand that is met whatever it costs.
 var anyPrice = math.Inf(1)
 
-// maxFailuresForScaleOut is the number of failed attempts from which on no machines are
-// requested for a job, which probably fails wherever it runs.
-const maxFailuresForScaleOut = 3
+// scaleOutFailureLimit is the number of failed attempts from which on no machines are requested
+// for a job: it probably fails wherever it runs.
+const scaleOutFailureLimit = 3
 
 // Estimator estimates for how many tasks of each job resources are needed.
 type Estimator struct {
-	// BacklogSeconds is in how many seconds the present resources would do all waiting work.
+	// BacklogSeconds is how many seconds the present resources would need for all waiting
+	// work. Demands sets it.
 	BacklogSeconds float64
 
 	state   *cluster.State
@@ -50,22 +51,22 @@
 	return &Estimator{state: state, tuning: values, tracker: tracker, valuer: valuer}
 }
 
-// Demands returns the demands of the waiting jobs, and that for the resources that are kept
-// for the next replicas.
-func (e *Estimator) Demands(now time.Time, stretchShare, spareUnits float64) []fleet.Demand {
+// Demands returns the demands of the waiting jobs, and the demand for the resources that are
+// kept free for the next replicas, at least minSpareReplicas of them.
+func (e *Estimator) Demands(now time.Time, stretchShare, minSpareReplicas float64) []fleet.Demand {
 	jobs := e.waitingJobs()
 	estimate := &demandEstimate{
 		Estimator:    e,
 		now:          now,
 		stretchShare: stretchShare,
-		waits:        e.predictWaits(jobs, now),
+		waitSeconds:  e.predictWaits(jobs, now),
 		zones:        e.state.Zones(),
-		used:         e.usedByTeam(),
+		teamUsage:    e.usedByTeam(),
 	}
 	for _, job := range jobs {
 		estimate.addJob(job)
 	}
-	estimate.addSpareReplicas(spareUnits)
+	estimate.addSpareReplicas(minSpareReplicas)
 	return estimate.demands
 }
 
@@ -74,7 +75,7 @@
 func (e *Estimator) waitingJobs() []*cluster.Job {
 	jobs := make([]*cluster.Job, 0, len(e.state.Jobs))
 	for _, job := range e.state.Jobs {
-		if e.deservesScaleOut(job) {
+		if e.eligibleForScaleOut(job) {
 			jobs = append(jobs, job)
 		}
 	}
@@ -82,10 +83,10 @@
 	return jobs
 }
 
-// deservesScaleOut reports whether machines may be requested for a job.
-func (e *Estimator) deservesScaleOut(job *cluster.Job) bool {
+// eligibleForScaleOut reports whether machines may be requested for a job.
+func (e *Estimator) eligibleForScaleOut(job *cluster.Job) bool {
 	waiting := !job.Cancelled && !job.Finished && job.PendingTasks() > 0
-	return waiting && job.TaskFailures < maxFailuresForScaleOut && !e.state.IsQuarantined(job.Spec.ID)
+	return waiting && job.TaskFailures < scaleOutFailureLimit && !e.state.IsQuarantined(job.Spec.ID)
 }
 
 // usedByTeam returns the resources that each team's active tasks take.
@@ -97,8 +98,8 @@
 	return used
 }
 
-// ReservesFor returns the demands for the resources that are kept for expected gangs. They
-// go before those of job arrays, and behind those of services and spare replicas.
+// ReservesFor returns the demands for the resources that are kept free for expected gangs.
+// They rank above the demands of job arrays, and below those of services and spare replicas.
 func (e *Estimator) ReservesFor(gangs []*wire.JobSpec) []fleet.Demand {
 	var reserves []fleet.Demand
 	for _, spec := range gangs {
@@ -114,18 +115,18 @@
 	return reserves
 }
 
-// PriceStretch returns how far beyond the price limit machines may cost for a job that
-// would wait for waitS seconds for resources within the limit.
-func (e *Estimator) PriceStretch(job *cluster.Job, waitS float64, now time.Time) float64 {
+// PriceStretch returns the factor on the price limit for the machines of a job that would wait
+// for waitSeconds for resources within the limit. A factor of 1 keeps the limit.
+func (e *Estimator) PriceStretch(job *cluster.Job, waitSeconds float64, now time.Time) float64 {
 	if job.Spec.IsService() {
 		return 1
 	}
-	return demand.PriceStretch(valuation.WorkOf(job, now), e.state.Settings.Objectives, waitS, e.bootSeconds(&job.Spec))
+	return demand.PriceStretch(valuation.WorkOf(job, now), e.state.Settings.Objectives, waitSeconds, e.bootAndFetchSeconds(&job.Spec))
 }
 
-// bootSeconds returns after how many seconds a machine that is requested now can run a task
-// of the job at the earliest; infinity if no type fits it.
-func (e *Estimator) bootSeconds(spec *wire.JobSpec) float64 {
+// bootAndFetchSeconds returns the shortest time, in seconds, in which a machine of any type
+// boots and fetches the job's image; infinity if no type fits the job.
+func (e *Estimator) bootAndFetchSeconds(spec *wire.JobSpec) float64 {
 	earliest := math.Inf(1)
 	for _, machineType := range e.state.Catalog.Get() {
 		if machineType.CanRun(spec) && machineType.FetchGBPerSecond > 0 {
--- a/internal/leader/scheduling/capacity/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	testStretch = 0.6
-	noSpare     = 0
+	testStretchShare = 0.6
+	noSpareReplicas  = 0
 )
 
 // demandsOf returns the demands for a job.
 func (s *testPlanner) demandsOf(id wire.JobID) []fleet.Demand {
 	var demands []fleet.Demand
-	for _, d := range s.Demands(schedulingtest.Now, testStretch, noSpare) {
+	for _, d := range s.Demands(schedulingtest.Now, testStretchShare, noSpareReplicas) {
 		if d.Spec.ID == id {
 			demands = append(demands, d)
 		}
@@ -29,24 +29,24 @@
 	return demands
 }
 
-func TestDemandOfEachKindOfJob(t *testing.T) {
-	deadline := func(spec wire.JobSpec, d wire.Seconds) wire.JobSpec {
-		spec.Deadline = d
+func TestDemandFollowsKindOfJobAndDeadline(t *testing.T) {
+	withDeadline := func(spec wire.JobSpec, deadline wire.Seconds) wire.JobSpec {
+		spec.Deadline = deadline
 		return spec
 	}
 	cases := []struct {
-		name  string
-		spec  wire.JobSpec
-		age   time.Duration
-		units int
-		rank  float64
-		whole bool
+		name         string
+		spec         wire.JobSpec
+		age          time.Duration
+		units        int
+		rank         float64
+		allOrNothing bool
 	}{
 		{"service", schedulingtest.Service("req-1", 5), 0, 5, 3 + serviceRank, false},
 		{"gang", schedulingtest.Gang("req-1", 4), 0, 4, 1, true},
 		{"gang that is overdue", schedulingtest.Gang("req-1", 4), 3 * time.Minute, 4, 1 + startOverdueRank, true},
-		{"array that is due at once", deadline(schedulingtest.Array("req-1", 10), 61), 0, 10, 1, false},
-		{"array that can run in turns", deadline(schedulingtest.Array("req-1", 10), 600), 0, 2, 1, false},
+		{"array that is due at once", withDeadline(schedulingtest.Array("req-1", 10), 61), 0, 10, 1, false},
+		{"array that can run in several rounds", withDeadline(schedulingtest.Array("req-1", 10), 600), 0, 2, 1, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,8 +56,8 @@
 			if len(demands) != 1 {
 				t.Fatalf("demands %+v, want one", demands)
 			}
-			if d := demands[0]; d.Units != c.units || d.Rank != c.rank || d.AllOrNothing != c.whole {
-				t.Errorf("%d units of rank %v, all or nothing %v; want %d, %v, %v", d.Units, d.Rank, d.AllOrNothing, c.units, c.rank, c.whole)
+			if d := demands[0]; d.Units != c.units || d.Rank != c.rank || d.AllOrNothing != c.allOrNothing {
+				t.Errorf("%d units of rank %v, all or nothing %v; want %d, %v, %v", d.Units, d.Rank, d.AllOrNothing, c.units, c.rank, c.allOrNothing)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 		{"cancelled", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Cancelled = true }},
 		{"finished", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Finished = true }},
 		{"nothing pending", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.ActiveTasks = 2 }},
-		{"fails wherever it runs", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.TaskFailures = maxFailuresForScaleOut }},
+		{"fails wherever it runs", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.TaskFailures = scaleOutFailureLimit }},
 		{"quarantined", schedulingtest.Array("req-1", 2), func(s *testPlanner, _ *cluster.Job) { s.State.QuarantinedJobs["req-1"] = true }},
 		{"of an unknown team", schedulingtest.Array("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.Spec.Team = "unknown" }},
 		{"a gang whose last attempt has not ended", schedulingtest.Gang("req-1", 2), func(_ *testPlanner, j *cluster.Job) { j.ActiveTasks = 1 }},
@@ -123,7 +123,7 @@
 	second := schedulingtest.Array("req-2", 30)
 	second.Deadline = 61
 	s.AddJob(second)
-	for range schedulingtest.MapOrders {
+	for range schedulingtest.MapOrderRepeats {
 		if d := s.demandsOf("req-1"); len(d) != 1 || d[0].Units != 30 {
 			t.Fatalf("first job: demands %+v, want 30 units", d)
 		}
@@ -143,17 +143,17 @@
 	s := newTestPlanner(t)
 	replicas := s.AddJob(schedulingtest.Service("req-1", 5))
 	replicas.ActiveTasks = 5
-	demands := s.Demands(schedulingtest.Now, testStretch, 2)
+	demands := s.Demands(schedulingtest.Now, testStretchShare, 2)
 	if len(demands) != 1 {
 		t.Fatalf("demands %+v, want one for the spare replicas", demands)
 	}
 	want := map[wire.Zone]int{"a": 2, "b": 2}
-	if d := demands[0]; d.Units != 3 || d.Rank != spareRank || d.Spec.CPUs != 2 || !maps.Equal(d.ZoneCapacityLeft, want) {
-		t.Errorf("demand %+v of %v CPUs, want 3 units of 2 CPUs, rank %v, zones %v", d, d.Spec.CPUs, spareRank, want)
+	if d := demands[0]; d.Units != 3 || d.Rank != spareReplicaRank || d.Spec.CPUs != 2 || !maps.Equal(d.ZoneCapacityLeft, want) {
+		t.Errorf("demand %+v of %v CPUs, want 3 units of 2 CPUs, rank %v, zones %v", d, d.Spec.CPUs, spareReplicaRank, want)
 	}
 }
 
-func TestDemandForExpectedGangs(t *testing.T) {
+func TestReservesForExpectedGangsAreAllOrNothingAndSpread(t *testing.T) {
 	s := newTestPlanner(t)
 	spec := schedulingtest.Gang("req-1", 5)
 	spec.Spread = true
@@ -168,20 +168,20 @@
 	}
 }
 
-func TestPriceStretchOfAJobThatWouldBeLate(t *testing.T) {
+func TestPriceStretchRisesForAJobThatWouldBeLate(t *testing.T) {
 	s := newTestPlanner(t)
 	spec := schedulingtest.Array("req-1", 1)
 	spec.Deadline, spec.ImageGB = 400, 3
 	age := 130 * time.Second // no longer waits for cheap machines first
 	job := s.AddJobAcceptedAt(spec, schedulingtest.Now.Add(-age))
 	for _, c := range []struct {
-		waitS, want float64
+		waitSeconds, want float64
 	}{
 		{200, 1},                       // still in time
 		{220, demand.LatePriceStretch}, // late, and a new machine would be in time
 	} {
-		if got := s.PriceStretch(job, c.waitS, schedulingtest.Now); got != c.want {
-			t.Errorf("age %v, wait %v s: price stretch %v, want %v", age, c.waitS, got, c.want)
+		if got := s.PriceStretch(job, c.waitSeconds, schedulingtest.Now); got != c.want {
+			t.Errorf("age %v, wait %v s: price stretch %v, want %v", age, c.waitSeconds, got, c.want)
 		}
 	}
 	if got := s.PriceStretch(s.AddJob(schedulingtest.Service("req-2", 1)), 1e6, schedulingtest.Now); got != 1 {
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestBootSecondsIncludeTheFetchOfTheImage(t *testing.T) {
+func TestBootAndFetchSecondsOfTheFastestType(t *testing.T) {
 	s := newTestPlanner(t)
 	for _, c := range []struct {
 		name string
@@ -198,11 +198,11 @@
 	}{
 		{"no image", wire.JobSpec{CPUs: 1}, 10},
 		{"an image of 4 GB", wire.JobSpec{CPUs: 1, ImageGB: 4}, 14},
-		{"an image that the slower boot fetches faster", wire.JobSpec{CPUs: 1, ImageGB: 40}, 40},
+		{"a large image that the slower-booting type fetches faster", wire.JobSpec{CPUs: 1, ImageGB: 40}, 40},
 		{"only a large type fits", wire.JobSpec{CPUs: 8}, 20},
 		{"no type fits", wire.JobSpec{CPUs: 99}, math.Inf(1)},
 	} {
-		if got := s.bootSeconds(&c.spec); got != c.want {
+		if got := s.bootAndFetchSeconds(&c.spec); got != c.want {
 			t.Errorf("%s: %v s, want %v s", c.name, got, c.want)
 		}
 	}
@@ -219,7 +219,7 @@
 	if got := s.batchCPUs(); got != 10 {
 		t.Errorf("%v CPUs, want 10: 4 of a machine and 8 pending without 2 of a service", got)
 	}
-	s.Demands(schedulingtest.Now, testStretch, noSpare)
+	s.Demands(schedulingtest.Now, testStretchShare, noSpareReplicas)
 	if s.BacklogSeconds != 30 {
 		t.Errorf("backlog of %v s, want 30 s", s.BacklogSeconds)
 	}
--- a/internal/leader/scheduling/capacity/doc.go
+++ b/internal/leader/scheduling/capacity/doc.go
@@ -2,6 +2,6 @@
 // waiting jobs and describes them, the machines and the cloud's offers to package fleet,
 // which decides what to scale out and in and what to cordon.
 //
-// It starts no I/O, and changes nothing of the cluster's state but the cordons. It is used
-// by the goroutine of the term's loop alone.
+// It does no I/O, and changes only the cordons in the cluster's state.
+// Only the goroutine of the term's loop may call it.
 package capacity
--- a/internal/leader/scheduling/capacity/offers.go
+++ b/internal/leader/scheduling/capacity/offers.go
@@ -11,7 +11,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Offers returns what may be requested from the cloud now.
+// Offers returns the machine types, by zone and spot or on demand, that may be requested from
+// the cloud now.
 func (p *Planner) Offers(specs []wire.MachineSpec, now time.Time) []fleet.Offer {
 	var offers []fleet.Offer
 	for i := range specs {
@@ -31,7 +32,7 @@
 	return offers
 }
 
-// planOffer describes an offer of a machine type to a plan.
+// planOffer returns an offer of a machine type in the form that package fleet plans with.
 func planOffer(spec *wire.MachineSpec, offer scaling.Offer) fleet.Offer {
 	return fleet.Offer{
 		Type:             offer.Type,
@@ -40,13 +41,13 @@
 		Total:            cluster.MachineResources(spec),
 		Price:            spec.Price(offer.Spot),
 		FetchGBPerSecond: spec.FetchGBPerSecond,
-		MaxCount:         maxOffer,
+		MaxCount:         maxMachinesPerOffer,
 	}
 }
 
-// cheapestUnit returns the lowest price of the resources for one task of a job; infinity if
-// no machine type fits it.
-func cheapestUnit(specs []wire.MachineSpec, job *wire.JobSpec) float64 {
+// lowestTaskPrice returns the lowest price of the share of a machine that one task of a job
+// takes; infinity if no machine type fits the job.
+func lowestTaskPrice(specs []wire.MachineSpec, job *wire.JobSpec) float64 {
 	cheapest := math.Inf(1)
 	for i := range specs {
 		spec := &specs[i]
--- a/internal/leader/scheduling/capacity/plan_machines.go
+++ b/internal/leader/scheduling/capacity/plan_machines.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// maxBoots is how many boot times a plan waits for a machine's first heartbeat.
-	maxBoots = 2
-	// maxMissedHeartbeats is how many heartbeat intervals without a message a plan
-	// tolerates.
+	// maxBootTimes is how long a plan counts on a machine that has sent no heartbeat yet, in
+	// boot times of its type.
+	maxBootTimes = 2
+	// maxMissedHeartbeats is how long a plan counts on a machine without a message from it,
+	// in heartbeat intervals.
 	maxMissedHeartbeats = 3
-	// billedUpfrontS is the number of seconds from its start that every machine is billed
-	// for.
-	billedUpfrontS = 60
+	// minBilledSeconds is the time from its start that is billed for every machine, however
+	// soon it is returned.
+	minBilledSeconds = 60
 )
 
 // dependable reports whether a plan may count on a machine's resources.
 func (p *Planner) dependable(machine *cluster.Machine, spec *wire.MachineSpec, now time.Time) bool {
-	if machine.Booting && now.Sub(machine.RequestedAt) > spec.BootTime.Duration()*maxBoots {
+	if machine.Booting && now.Sub(machine.RequestedAt) > spec.BootTime.Duration()*maxBootTimes {
 		return false
 	}
 	if !machine.Booting && p.state.SinceLastMessage(machine, now) > maxMissedHeartbeats*p.state.HeartbeatInterval() {
@@ -32,10 +33,10 @@
 	return !p.state.UnseenSincePartition(machine, now) && !p.state.OutboundConnectivityLost(machine, now)
 }
 
-// planMachine describes a machine to a plan. An idle one is kept for idleBoots times the
-// boot time of its type.
-func (p *Planner) planMachine(machine *cluster.Machine, spec *wire.MachineSpec, idleBoots float64, now time.Time) fleet.Machine {
-	described := fleet.Machine{
+// planMachine returns the view of a machine that package fleet plans with. An idle machine is
+// kept for idleBootTimes times the boot time of its type.
+func (p *Planner) planMachine(machine *cluster.Machine, spec *wire.MachineSpec, idleBootTimes float64, now time.Time) fleet.Machine {
+	view := fleet.Machine{
 		ID:              machine.ID,
 		Type:            machine.MachineType,
 		Zone:            machine.Zone,
@@ -43,31 +44,31 @@
 		Total:           p.state.TotalResources(machine),
 		Free:            p.state.FreeResources(machine),
 		Booting:         machine.Booting,
-		PrepaidSeconds:  billedUpfrontS - now.Sub(machine.RequestedAt).Seconds(),
+		PrepaidSeconds:  minBilledSeconds - now.Sub(machine.RequestedAt).Seconds(),
 		Price:           spec.Price(machine.Spot),
-		KeepIdleSeconds: idleBoots * float64(spec.BootTime),
+		KeepIdleSeconds: idleBootTimes * float64(spec.BootTime),
 	}
 	for _, attempt := range machine.Tasks {
-		addTaskToPlan(&described, attempt, now)
+		addTask(&view, attempt, now)
 	}
-	slices.SortFunc(described.ExpectedReleases, func(a, b fleet.ExpectedRelease) int { return cmp.Compare(a.InSeconds, b.InSeconds) })
+	slices.SortFunc(view.ExpectedReleases, func(a, b fleet.ExpectedRelease) int { return cmp.Compare(a.InSeconds, b.InSeconds) })
 	if idle(machine) {
 		idleSince := cluster.LaterOf(machine.LastUsedAt, machine.FirstHeartbeatAt)
-		described.Idle, described.IdleSeconds = true, now.Sub(idleSince).Seconds()
+		view.Idle, view.IdleSeconds = true, now.Sub(idleSince).Seconds()
 	}
-	return described
+	return view
 }
 
-// addTaskToPlan adds a task to the description of its machine.
-func addTaskToPlan(described *fleet.Machine, attempt *cluster.Attempt, now time.Time) {
+// addTask adds a task to the view of its machine.
+func addTask(view *fleet.Machine, attempt *cluster.Attempt, now time.Time) {
 	if attempt.Job.Spec.IsService() {
-		described.ServiceTasks++
+		view.ServiceTasks++
 		return
 	}
-	takes := attempt.Resources()
-	described.ExpectedReleases = append(described.ExpectedReleases, fleet.ExpectedRelease{InSeconds: attempt.PlannedRemainingSeconds(now), Resources: takes})
-	if takes.CPUs > described.LargestArrayTask.CPUs {
-		described.LargestArrayTask = takes
+	taskResources := attempt.Resources()
+	view.ExpectedReleases = append(view.ExpectedReleases, fleet.ExpectedRelease{InSeconds: attempt.PlannedRemainingSeconds(now), Resources: taskResources})
+	if taskResources.CPUs > view.LargestArrayTask.CPUs {
+		view.LargestArrayTask = taskResources
 	}
 }
 
@@ -76,8 +77,9 @@
 	return !machine.Booting && len(machine.Tasks) == 0 && len(machine.OrphanTasks) == 0
 }
 
-// appendPending adds the machines of the scale-out requests that are not yet answered.
-func (p *Planner) appendPending(machines []fleet.Machine) []fleet.Machine {
+// appendPendingScaleOuts adds the machines of the scale-out requests that are not yet
+// answered.
+func (p *Planner) appendPendingScaleOuts(machines []fleet.Machine) []fleet.Machine {
 	for _, request := range p.tracker.PendingScaleOuts() {
 		spec := p.state.MachineSpec(request.Type)
 		if spec == nil {
--- a/internal/leader/scheduling/capacity/planner.go
+++ b/internal/leader/scheduling/capacity/planner.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	// maxOffer is the most machines that one plan requests of an offer: two requests.
-	maxOffer = 2 * scaling.MaxScaleOut
-	// maxScaleOutsPerPlan bounds the machines that one plan requests: a few seconds' worth
-	// of calls.
-	maxScaleOutsPerPlan = 8 * scaling.MaxScaleOut
+	// maxMachinesPerOffer bounds the machines of one offer that one plan requests, to two
+	// requests.
+	maxMachinesPerOffer = 2 * scaling.MaxScaleOut
+	// maxMachinesPerPlan bounds the machines that one plan requests, to those that a few
+	// seconds of calls to the cloud can request.
+	maxMachinesPerPlan = 8 * scaling.MaxScaleOut
 )
 
 // Planner plans which machines to scale out and in.
@@ -38,7 +39,7 @@
 	candidates []*cluster.Machine
 }
 
-// Input is what a plan is made for.
+// Input holds the parameters of one plan.
 type Input struct {
 	// Specs are the machine types that the cloud offers.
 	Specs []wire.MachineSpec
@@ -83,13 +84,13 @@
 	return candidates
 }
 
-// snapshot returns what a plan is made from.
+// snapshot returns the input of a plan for package fleet.
 func (p *Planner) snapshot(candidates []*cluster.Machine, input Input) *fleet.Snapshot {
 	values := input.Values
 	snapshot := &fleet.Snapshot{
-		MaxMachinesAdded: maxScaleOutsPerPlan,
+		MaxMachinesAdded: maxMachinesPerPlan,
 		PriceLimit:       values.PriceLimit,
-		LowestPrice:      func(job *wire.JobSpec) float64 { return cheapestUnit(input.Specs, job) },
+		LowestPrice:      func(job *wire.JobSpec) float64 { return lowestTaskPrice(input.Specs, job) },
 	}
 	for _, machine := range candidates {
 		spec := p.state.MachineSpec(machine.MachineType)
@@ -97,7 +98,7 @@
 			snapshot.Machines = append(snapshot.Machines, p.planMachine(machine, spec, values.IdleBootTimes, input.Now))
 		}
 	}
-	snapshot.Machines = p.appendPending(snapshot.Machines)
+	snapshot.Machines = p.appendPendingScaleOuts(snapshot.Machines)
 	if input.MayScaleOut && p.earlierRequestsListed(input.Now) {
 		snapshot.Offers = p.Offers(input.Specs, input.Now)
 	}
@@ -106,11 +107,11 @@
 	return snapshot
 }
 
-// listLagMargin is added to the lag of machine lists, for the time that a list takes.
+// listLagMargin is added to the lag of machine lists, for the duration of a list request.
 const listLagMargin = time.Second
 
-// earlierRequestsListed reports whether a machine list shows the machines that an earlier
-// leader requested last. Before that they would be requested once more.
+// earlierRequestsListed reports whether machine lists already include the machines that an
+// earlier leader requested last. A plan made before that would request them once more.
 func (p *Planner) earlierRequestsListed(now time.Time) bool {
 	return now.Sub(p.state.TermStartedAt) > p.state.Settings.Cloud.ListLag.Duration()+listLagMargin
 }
--- a/internal/leader/scheduling/capacity/planner_test.go
+++ b/internal/leader/scheduling/capacity/planner_test.go
@@ -15,8 +15,8 @@
 	"lilaclead/internal/wire"
 )
 
-// requested returns how many machines a plan requests.
-func requested(plan Plan) int {
+// requestedMachines returns how many machines a plan requests.
+func requestedMachines(plan Plan) int {
 	count := 0
 	for _, scaleOut := range plan.ScaleOuts {
 		count += scaleOut.Count
@@ -35,10 +35,10 @@
 	s.AddMachine("n-1", "c4", "a")
 	s.AddJob(dueArray("req-1", 3))
 	plan := s.plan(true)
-	if got := requested(plan); got != 2 {
+	if got := requestedMachines(plan); got != 2 {
 		t.Errorf("%d machines requested in %+v, want 2 beside the one there is", got, plan.ScaleOuts)
 	}
-	if plan := s.plan(false); requested(plan) != 0 {
+	if plan := s.plan(false); requestedMachines(plan) != 0 {
 		t.Errorf("requested %+v though no request may be made", plan.ScaleOuts)
 	}
 }
@@ -56,7 +56,7 @@
 			s.AddJob(dueArray("req-1", 3))
 			s.Tracker.StartScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Count: c.pending}, schedulingtest.Now)
 			s.Tracker.StartScaleOut(fleet.ScaleOut{Type: "unknown", Zone: "a", Count: 9}, schedulingtest.Now)
-			if got := requested(s.plan(true)); got != c.want {
+			if got := requestedMachines(s.plan(true)); got != c.want {
 				t.Errorf("%d pending of 3: %d machines requested, want %d", c.pending, got, c.want)
 			}
 		})
@@ -74,7 +74,7 @@
 		s := newTestPlanner(t)
 		s.State.TermStartedAt = schedulingtest.Now.Add(-c.age)
 		s.AddJob(dueArray("req-1", 1))
-		if got := requested(s.plan(true)); got != c.want {
+		if got := requestedMachines(s.plan(true)); got != c.want {
 			t.Errorf("%v after the term began: %d machines requested, want %d", c.age, got, c.want)
 		}
 	}
@@ -93,7 +93,7 @@
 		{"draining", func(_ *testPlanner, m *cluster.Machine) { m.DrainReason = cluster.DrainSlow }, false},
 		{"of an unknown type", func(_ *testPlanner, m *cluster.Machine) { m.MachineType = "" }, false},
 		{"with a task", func(s *testPlanner, m *cluster.Machine) {
-			s.Run(s.AddJob(schedulingtest.Array("req-1", 1)), m, schedulingtest.Now.Add(-time.Minute))
+			s.RunTask(s.AddJob(schedulingtest.Array("req-1", 1)), m, schedulingtest.Now.Add(-time.Minute))
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestDependableMachines(t *testing.T) {
+func TestUnresponsiveMachinesAreNotDependable(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(s *testPlanner, machine *cluster.Machine)
@@ -142,15 +142,15 @@
 	}
 }
 
-func TestMachineDescribedToAPlan(t *testing.T) {
+func TestPlanMachineDescribesResourcesCostAndTasks(t *testing.T) {
 	s := newTestPlanner(t)
 	machine := s.AddMachine("n-1", "c16", "a")
 	machine.Spot, machine.RequestedAt = true, schedulingtest.Now.Add(-50*time.Second)
 	large := schedulingtest.Array("req-1", 1)
 	large.CPUs = 3
-	s.Run(s.AddJob(large), machine, schedulingtest.Now.Add(-10*time.Second))
-	s.Run(s.AddJob(schedulingtest.Array("req-2", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
-	s.Run(s.AddJob(schedulingtest.Service("req-3", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
+	s.RunTask(s.AddJob(large), machine, schedulingtest.Now.Add(-10*time.Second))
+	s.RunTask(s.AddJob(schedulingtest.Array("req-2", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
+	s.RunTask(s.AddJob(schedulingtest.Service("req-3", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
 	got := s.planMachine(machine, s.State.MachineSpec("c16"), 0.5, schedulingtest.Now)
 	if got.Total.CPUs != 16 || got.Free.CPUs != 10 || got.Price != 0.8 || got.PrepaidSeconds != 10 || got.KeepIdleSeconds != 10 || got.Idle {
 		t.Errorf("machine %+v, want 10 of 16 CPUs free, price 0.8, paid for and kept for 10 s, not idle", got)
@@ -159,11 +159,11 @@
 		t.Errorf("%d services, largest task of %v CPUs; want 1, 3", got.ServiceTasks, got.LargestArrayTask.CPUs)
 	}
 	if len(got.ExpectedReleases) != 2 || got.ExpectedReleases[0].InSeconds != 20 || got.ExpectedReleases[1].InSeconds != 50 {
-		t.Errorf("freeing %+v, want in 20 s and in 50 s", got.ExpectedReleases)
+		t.Errorf("expected releases %+v, want one in 20 s and one in 50 s", got.ExpectedReleases)
 	}
 }
 
-func TestOffers(t *testing.T) {
+func TestOffersLeaveOutWhatCannotBeRequested(t *testing.T) {
 	s := newTestPlanner(t)
 	specs := s.State.Catalog.Get()
 	if offers := s.Offers(specs, schedulingtest.Now); len(offers) != 6 {
@@ -183,13 +183,13 @@
 		t.Fatalf("zone a is partitioned: offers %+v, want 2", offers)
 	}
 	for i, spot := range []bool{false, true} {
-		if o := offers[i]; o.Type != "c4" || o.Zone != "b" || o.Spot != spot || o.MaxCount != maxOffer || o.Total.CPUs != 4 {
+		if o := offers[i]; o.Type != "c4" || o.Zone != "b" || o.Spot != spot || o.MaxCount != maxMachinesPerOffer || o.Total.CPUs != 4 {
 			t.Errorf("offer %+v, want c4 in zone b, spot %v", o, spot)
 		}
 	}
 }
 
-func TestCheapestUnit(t *testing.T) {
+func TestLowestTaskPriceIsOfTheCheapestFittingType(t *testing.T) {
 	s := newTestPlanner(t)
 	specs := s.State.Catalog.Get()
 	for _, c := range []struct {
@@ -202,7 +202,7 @@
 		{"only a large type fits", wire.JobSpec{CPUs: 8, SpotAllowed: true}, 0.8 / 2},
 		{"no type fits", wire.JobSpec{CPUs: 99}, math.Inf(1)},
 	} {
-		if got := cheapestUnit(specs, &c.spec); got != c.want {
+		if got := lowestTaskPrice(specs, &c.spec); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/leader/scheduling/capacity/spare.go
+++ b/internal/leader/scheduling/capacity/spare.go
@@ -9,14 +9,15 @@
 type SpareReplicas struct {
 	// Count is the number of replicas.
 	Count int
-	// Takes are the resources of one replica.
-	Takes placement.Resources
+	// ReplicaResources are the resources of one replica.
+	ReplicaResources placement.Resources
 }
 
-// SpareReplicasOf returns the spare resources: the largest replica that services have now,
-// as many times as operators have set, and at least for half of the largest service.
-func SpareReplicasOf(state *cluster.State, minUnits float64) SpareReplicas {
-	var takes placement.Resources
+// SpareReplicasOf returns the spare resources: those of the largest replica that services have
+// now, for minReplicas replicas and at least for half of the replicas of the largest service.
+// Services that may use spot machines don't count.
+func SpareReplicasOf(state *cluster.State, minReplicas float64) SpareReplicas {
+	var largestReplica placement.Resources
 	largestService := 0
 	for _, job := range state.Jobs {
 		if !job.Spec.IsService() || job.Spec.SpotAllowed {
@@ -24,10 +25,10 @@
 		}
 		largestService = max(largestService, job.Spec.Tasks)
 		replica := placement.ResourcesOf(&job.Spec)
-		takes = placement.Resources{CPUs: max(takes.CPUs, replica.CPUs), GPUs: 0, MemoryGB: max(takes.MemoryGB, replica.MemoryGB)}
+		largestReplica = placement.Resources{CPUs: max(largestReplica.CPUs, replica.CPUs), GPUs: 0, MemoryGB: max(largestReplica.MemoryGB, replica.MemoryGB)}
 	}
-	if takes.CPUs == 0 {
-		return SpareReplicas{0, takes}
+	if largestReplica.CPUs == 0 {
+		return SpareReplicas{0, largestReplica}
 	}
-	return SpareReplicas{max(int(minUnits), (largestService+1)/2), takes}
+	return SpareReplicas{max(int(minReplicas), (largestService+1)/2), largestReplica}
 }
--- a/internal/leader/scheduling/capacity/spare_test.go
+++ b/internal/leader/scheduling/capacity/spare_test.go
@@ -7,13 +7,13 @@
 	"lilaclead/internal/wire"
 )
 
-func TestSpareReplicas(t *testing.T) {
+func TestSpareReplicasFollowSettingAndLargestService(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		services []wire.JobSpec
-		minUnits float64
-		count    int
-		cpus     float64
+		name        string
+		services    []wire.JobSpec
+		minReplicas float64
+		count       int
+		cpus        float64
 	}{
 		{"no services", nil, 2, 0, 0},
 		{"as many as set", []wire.JobSpec{schedulingtest.Service("req-1", 2)}, 3, 3, 2},
@@ -26,7 +26,7 @@
 			for _, spec := range append(c.services, spot, schedulingtest.Array("req-9", 99)) {
 				s.AddJob(spec)
 			}
-			if got := SpareReplicasOf(s.State, c.minUnits); got.Count != c.count || got.Takes.CPUs != c.cpus {
+			if got := SpareReplicasOf(s.State, c.minReplicas); got.Count != c.count || got.ReplicaResources.CPUs != c.cpus {
 				t.Errorf("spare replicas %+v, want %d of %v CPUs", got, c.count, c.cpus)
 			}
 		})
--- a/internal/leader/scheduling/capacity/waits.go
+++ b/internal/leader/scheduling/capacity/waits.go
@@ -9,10 +9,10 @@
 )
 
 // predictWaits returns for how many seconds each waiting array and gang is expected to wait
-// for the present resources, and sets the backlog.
+// for the present resources. It also sets BacklogSeconds.
 func (e *Estimator) predictWaits(jobs []*cluster.Job, now time.Time) map[wire.JobID]float64 {
 	guaranteed := e.valuer.Guaranteed()
-	doublingS := max(1, e.tuning.Get().WaitDoublingSeconds) // a wait as long as this doubles a weight
+	waitDoublingSeconds := max(1, e.tuning.Get().WaitDoublingSeconds) // a wait of this length doubles a job's weight
 	queue := make([]demand.QueuedJob, 0, len(jobs))
 	for _, job := range jobs {
 		if job.Spec.IsService() {
@@ -21,12 +21,12 @@
 		weight := e.valuer.UtilityWeight(job, guaranteed[job.Spec.ID], now)
 		queue = append(queue, demand.QueuedJob{
 			ID:     job.Spec.ID,
-			Weight: weight * (1 + now.Sub(job.AcceptedAt).Seconds()/doublingS),
+			Weight: weight * (1 + now.Sub(job.AcceptedAt).Seconds()/waitDoublingSeconds),
 			WorkS:  float64(job.PendingTasks()) * job.Spec.CPUs * max(1, job.ExpectedRunSeconds()),
 		})
 	}
-	waits, backlogS := demand.PredictWaits(queue, e.batchCPUs())
-	e.BacklogSeconds = backlogS
+	waits, backlogSeconds := demand.PredictWaits(queue, e.batchCPUs())
+	e.BacklogSeconds = backlogSeconds
 	return waits
 }
 
--- a/internal/leader/scheduling/cycle_test.go
+++ b/internal/leader/scheduling/cycle_test.go
@@ -15,7 +15,7 @@
 	s.AddMachine("n-1", "c4", "a")
 	s.AddJob(schedulingtest.Array("req-1", 1)).Cancelled = true
 	if cycle := s.BeginCycle(schedulingtest.Now); cycle != nil {
-		t.Errorf("cycle %+v, want none", cycle)
+		t.Errorf("cycle %+v without a waiting job, want none", cycle)
 	}
 	if !s.State.CycleTimer.LastAt.Equal(schedulingtest.Now) {
 		t.Errorf("the last cycle was at %v, want %v", s.State.CycleTimer.LastAt, schedulingtest.Now)
@@ -49,22 +49,22 @@
 func TestCycleStartsAGangAsAWhole(t *testing.T) {
 	s := newTestScheduler(t)
 	s.AddMachine("n-1", "c4", "a")
-	tooLarge := s.AddJob(schedulingtest.Gang("req-1", 3))
-	if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != 0 || tooLarge.ActiveTasks != 0 || tooLarge.Gang != nil {
+	gang := s.AddJob(schedulingtest.Gang("req-1", 3))
+	if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != 0 || gang.ActiveTasks != 0 || gang.Gang != nil {
 		t.Fatalf("%d starts of a gang that needs more machines, want none", cycle.Starts)
 	}
 	s.AddMachine("n-2", "c4", "a")
-	tooLarge.Chunk(0).NextAttempt = 5
+	gang.Chunk(0).NextAttempt = 5
 	if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != 3 {
 		t.Fatalf("%d starts of a gang that fits, want 3", cycle.Starts)
 	}
-	for _, attempt := range tooLarge.Attempts() {
+	for _, attempt := range gang.Attempts() {
 		if attempt.Number != 5 || !attempt.Unstored {
 			t.Errorf("task %v has attempt %d, unstored %v; want 5, true", attempt.Task(), attempt.Number, attempt.Unstored)
 		}
 	}
-	if next := tooLarge.Chunk(0).NextAttempt; next != 6 || tooLarge.Gang.AttemptNumber != 5 {
-		t.Errorf("gang attempt %d, next %d; want 5, 6", tooLarge.Gang.AttemptNumber, next)
+	if next := gang.Chunk(0).NextAttempt; next != 6 || gang.Gang.AttemptNumber != 5 {
+		t.Errorf("gang attempt %d, next %d; want 5, 6", gang.Gang.AttemptNumber, next)
 	}
 }
 
@@ -73,7 +73,7 @@
 	machine := s.AddMachine("n-1", "c4", "a")
 	running := s.AddJob(schedulingtest.Array("req-1", 4))
 	for range 4 {
-		s.Run(running, machine, schedulingtest.Now.Add(-10*time.Second))
+		s.RunTask(running, machine, schedulingtest.Now.Add(-10*time.Second))
 	}
 	spec := schedulingtest.Array("req-2", 1)
 	spec.Priority = wire.PriorityUrgent
@@ -102,23 +102,23 @@
 	}
 }
 
-func TestSuspectJobStartsFewTasks(t *testing.T) {
+func TestJobWithFailuresStartsFewTasks(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		failures, active int
 		want             int
 	}{
-		{"never failed", 0, 0, 4},
-		{"failed, nothing active", 1, 0, 2},
-		{"failed, one active", 1, 1, 1},
-		{"failed, several active", 1, 3, 1},
+		{"no failures", 0, 0, 4},
+		{"failures, no active task", 1, 0, 2},
+		{"failures, one active task", 1, 1, 1},
+		{"failures, several active tasks", 1, 3, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler(t)
 			machine := s.AddMachine("n-1", "c16", "a")
 			job := s.AddJob(schedulingtest.Array("req-1", 4+c.active))
 			for range c.active {
-				s.Run(job, machine, schedulingtest.Now)
+				s.RunTask(job, machine, schedulingtest.Now)
 			}
 			job.TaskFailures = c.failures
 			if cycle := s.BeginCycle(schedulingtest.Now); cycle.Starts != c.want {
@@ -135,8 +135,8 @@
 		want   wire.JobID
 		rank   int
 	}{
-		{"just accepted", reserveLimitAfter - 1, "", 0},
-		{"has waited long", reserveLimitAfter, "req-1", wire.PriorityStandard.Rank()},
+		{"has not waited long", limitReservationDelay - 1, "", 0},
+		{"has waited long", limitReservationDelay, "req-1", wire.PriorityStandard.Rank()},
 		{"is overdue", 3 * time.Minute, "req-1", wire.PriorityProd.Rank()},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 	s := newTestScheduler(t)
 	machine := s.AddMachine("n-1", "c4", "a")
 	job := s.AddJob(schedulingtest.Array("req-1", 4))
-	s.Run(job, machine, schedulingtest.Now)
+	s.RunTask(job, machine, schedulingtest.Now)
 	machine.OrphanTasks[wire.TaskID{Job: "req-1", Index: 3}] = true
 	machine.OrphanTasks[wire.TaskID{Job: "unknown", Index: 0}] = true
 	teams := teamUsage(s.State)
@@ -175,7 +175,7 @@
 	full, free := s.AddMachine("n-1", "c4", "a"), s.AddMachine("n-2", "c4", "a")
 	running := s.AddJob(schedulingtest.Array("req-1", 4))
 	for range 4 {
-		s.Run(running, full, schedulingtest.Now.Add(-time.Minute))
+		s.RunTask(running, full, schedulingtest.Now.Add(-time.Minute))
 	}
 	waiting := s.AddJob(schedulingtest.Gang("req-2", 1))
 	snapshot := s.snapshot([]*cluster.Job{waiting}, schedulingtest.Now)
@@ -191,25 +191,26 @@
 func TestStoppedTaskThatDoesNotEndFreesNothing(t *testing.T) {
 	s := newTestScheduler(t)
 	machine := s.AddMachine("n-1", "c4", "a")
-	attempt := s.Run(s.AddJob(schedulingtest.Array("req-1", 1)), machine, schedulingtest.Now.Add(-time.Minute))
+	attempt := s.RunTask(s.AddJob(schedulingtest.Array("req-1", 1)), machine, schedulingtest.Now.Add(-time.Minute))
 	attempt.Stopping, attempt.GracePeriod = true, 3
 	waiting := s.AddJob(schedulingtest.Gang("req-2", 1))
 	for _, c := range []struct {
-		since time.Duration
-		want  float64
+		sinceStopRequest time.Duration
+		want             float64 // CPUs that are about to be free
 	}{
 		{s.stopDuration(3) - 1, 1},
 		{s.stopDuration(3), 0},
 	} {
-		attempt.StopRequestedAt = schedulingtest.Now.Add(-c.since)
+		attempt.StopRequestedAt = schedulingtest.Now.Add(-c.sinceStopRequest)
 		view := s.snapshot([]*cluster.Job{waiting}, schedulingtest.Now).placement.Machines[0]
 		if view.StoppingResources.CPUs != c.want || len(view.Victims) != 0 {
-			t.Errorf("stopped for %v: %v CPUs stopping, %d victims; want %v, 0", c.since, view.StoppingResources.CPUs, len(view.Victims), c.want)
+			t.Errorf("stopped for %v: %v CPUs stopping, %d victims; want %v, 0", c.sinceStopRequest, view.StoppingResources.CPUs, len(view.Victims), c.want)
 		}
 	}
 }
 
-// withoutReserves returns values by which nothing is kept for replicas and gangs to come.
+// withoutReserves returns tuning values that keep no resources free for the next replicas and
+// gangs.
 func withoutReserves(values tuning.Values) tuning.Values {
 	values.SpareReplicas, values.SpareGangs = 0, 0
 	return values
--- a/internal/leader/scheduling/eligibility_test.go
+++ b/internal/leader/scheduling/eligibility_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestSchedulable(t *testing.T) {
+func TestOnlyUnfinishedJobsWithStartableTasksAreSchedulable(t *testing.T) {
 	cases := []struct {
 		name   string
 		spec   wire.JobSpec
@@ -21,14 +21,14 @@
 		{"cancelled", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Cancelled = true }, false},
 		{"finished", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Finished = true }, false},
 		{"being archived", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.Archiving = true }, false},
-		{"its record has changed", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.RecordOutdated = true }, false},
+		{"record outdated", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.RecordOutdated = true }, false},
 		{"quarantined", schedulingtest.Array("req-1", 2), func(s *testScheduler, _ *cluster.Job) { s.State.QuarantinedJobs["req-1"] = true }, false},
 		{"all tasks done", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.DoneTasks = 2 }, false},
-		{"backed off from", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = schedulingtest.Now.Add(1) }, false},
-		{"backoff just over", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = schedulingtest.Now }, true},
+		{"start delay not over", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = schedulingtest.Now.Add(1) }, false},
+		{"start delay just over", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.StartNotBefore = schedulingtest.Now }, true},
 		{"an array with an active task", schedulingtest.Array("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.ActiveTasks = 1 }, true},
 		{"a gang with an active task", schedulingtest.Gang("req-1", 2), func(_ *testScheduler, job *cluster.Job) { job.ActiveTasks = 1 }, false},
-		{"a gang without one", schedulingtest.Gang("req-1", 2), func(*testScheduler, *cluster.Job) {}, true},
+		{"a gang without an active task", schedulingtest.Gang("req-1", 2), func(*testScheduler, *cluster.Job) {}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestUsable(t *testing.T) {
+func TestOnlyReachableMachinesInServiceAreUsable(t *testing.T) {
 	const maxSilence = 5 * time.Second // two heartbeat intervals and a second
 	cases := []struct {
 		name   string
@@ -56,17 +56,17 @@
 		{"scaling in", func(_ *testScheduler, m *cluster.Machine) { m.ScalingIn = true }, false},
 		{"with an earlier token", func(_ *testScheduler, m *cluster.Machine) { m.Token = schedulingtest.Token - 1 }, false},
 		{"with a later token", func(_ *testScheduler, m *cluster.Machine) { m.Token = schedulingtest.Token + 1 }, true},
-		{"with an unanswered probe", func(_ *testScheduler, m *cluster.Machine) { m.UnansweredCommands = 1 }, false},
+		{"with an unanswered command", func(_ *testScheduler, m *cluster.Machine) { m.UnansweredCommands = 1 }, false},
 		{"behind a partition", func(s *testScheduler, m *cluster.Machine) {
 			s.State.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
 		}, false},
 		{"its heartbeats don't arrive", func(_ *testScheduler, m *cluster.Machine) {
 			m.HeartbeatsMissingSince = schedulingtest.Now.Add(-time.Minute)
 		}, false},
-		{"has refused a task", func(_ *testScheduler, m *cluster.Machine) { m.StartNotBefore = schedulingtest.Now.Add(1) }, false},
-		{"has refused one long ago", func(_ *testScheduler, m *cluster.Machine) { m.StartNotBefore = schedulingtest.Now }, true},
-		{"nearly overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(1 - maxSilence) }, true},
-		{"overdue", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-maxSilence) }, false},
+		{"start delay after a refused task not over", func(_ *testScheduler, m *cluster.Machine) { m.StartNotBefore = schedulingtest.Now.Add(1) }, false},
+		{"start delay after a refused task just over", func(_ *testScheduler, m *cluster.Machine) { m.StartNotBefore = schedulingtest.Now }, true},
+		{"last message nearly too old", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(1 - maxSilence) }, true},
+		{"last message too old", func(_ *testScheduler, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-maxSilence) }, false},
 		{"cordoned", func(_ *testScheduler, m *cluster.Machine) { m.Cordoned = true }, true},
 	}
 	for _, c := range cases {
--- a/internal/leader/scheduling/gang_history.go
+++ b/internal/leader/scheduling/gang_history.go
@@ -10,10 +10,11 @@
 	"lilaclead/internal/wire"
 )
 
-// RecentGangLife is how long resources are kept for the gangs of a class after its last one.
+// RecentGangLife is how long resources are kept free for the next gang of a class and size
+// after the last one was seen unfinished.
 const RecentGangLife = 3 * time.Minute
 
-// GangHistory remembers the recent gangs, as an estimate of the next ones.
+// GangHistory records the recent gangs, which serve as an estimate of the next ones.
 type GangHistory struct {
 	state  *cluster.State
 	recent map[gangShape]recentGang
@@ -21,12 +22,12 @@
 
 // gangShape identifies gangs of one class and size.
 type gangShape struct {
-	class string
-	tasks int
-	takes placement.Resources
+	class         string
+	tasks         int
+	taskResources placement.Resources
 }
 
-// recentGang is a gang, and when one of its shape was last unfinished.
+// recentGang is a gang, and when a gang of its shape was last seen unfinished.
 type recentGang struct {
 	spec     *wire.JobSpec
 	lastSeen time.Time
@@ -37,15 +38,14 @@
 }
 
 // ExpectedGangs returns the gangs for which resources are kept free of job arrays: the
-// largest of each class that was seen lately, as many times as operators have set.
-// Ordinary gangs may not preempt, and should start sooner than anything ends on a full
-// deployment.
-func (h *GangHistory) ExpectedGangs(times float64, now time.Time) []*wire.JobSpec {
-	h.observe(now)
-	h.forgetOld(now)
+// largest recent gang of each class, spareGangs times. Gangs that may not preempt need these
+// resources because they should start sooner than tasks end on a full deployment.
+func (h *GangHistory) ExpectedGangs(spareGangs float64, now time.Time) []*wire.JobSpec {
+	h.recordUnfinished(now)
+	h.removeExpired(now)
 	var expected []*wire.JobSpec
 	for _, spec := range h.largestByClass() {
-		for range int(times) {
+		for range int(spareGangs) {
 			expected = append(expected, spec)
 		}
 	}
@@ -55,8 +55,8 @@
 	return expected
 }
 
-// observe adds the unfinished gangs.
-func (h *GangHistory) observe(now time.Time) {
+// recordUnfinished records the gangs that are unfinished now.
+func (h *GangHistory) recordUnfinished(now time.Time) {
 	for _, job := range h.state.Jobs {
 		if job.Spec.IsGang() && !job.Cancelled && !job.Finished {
 			shape := gangShape{job.Spec.Class, job.Spec.Tasks, placement.ResourcesOf(&job.Spec)}
@@ -65,8 +65,8 @@
 	}
 }
 
-// forgetOld removes the gangs that were seen too long ago.
-func (h *GangHistory) forgetOld(now time.Time) {
+// removeExpired removes the gangs that were last seen more than RecentGangLife ago.
+func (h *GangHistory) removeExpired(now time.Time) {
 	for shape, gang := range h.recent {
 		if now.Sub(gang.lastSeen) > RecentGangLife {
 			delete(h.recent, shape)
@@ -74,7 +74,6 @@
 	}
 }
 
-// largestByClass returns the largest gang of each class.
 func (h *GangHistory) largestByClass() map[string]*wire.JobSpec {
 	largest := map[string]*wire.JobSpec{}
 	for shape, gang := range h.recent {
@@ -85,21 +84,21 @@
 	return largest
 }
 
-// largerGang reports whether a gang is larger than another; of equal ones the job's name
-// decides.
+// largerGang reports whether a gang is larger than another. Of gangs of equal size, the one
+// with the lower job ID counts as larger.
 func largerGang(spec, other *wire.JobSpec) bool {
 	size, otherSize := gangSize(spec), gangSize(other)
 	return size > otherSize || size == otherSize && spec.ID < other.ID
 }
 
 const (
-	// gigabytesPerCPU is how much memory counts as one CPU in the size of a gang.
+	// gigabytesPerCPU is how many GB of memory count as one CPU in the size of a gang.
 	gigabytesPerCPU = 1000
-	// cpusPerGPU is how many CPUs a GPU counts as.
+	// cpusPerGPU is how many CPUs a GPU counts as in the size of a gang.
 	cpusPerGPU = 10
 )
 
-// gangSize returns a measure of the resources that a gang takes.
+// gangSize returns the resources that a gang takes as one number, in CPUs.
 func gangSize(spec *wire.JobSpec) float64 {
 	return float64(spec.Tasks) * (spec.CPUs + spec.MemoryGB/gigabytesPerCPU + cpusPerGPU*spec.GPUs)
 }
--- a/internal/leader/scheduling/gang_history_test.go
+++ b/internal/leader/scheduling/gang_history_test.go
@@ -9,10 +9,10 @@
 	"lilaclead/internal/wire"
 )
 
-// expectedIDs returns the jobs whose gangs are expected again.
-func (s *testScheduler) expectedIDs(times float64, at time.Time) []wire.JobID {
+// expectedIDs returns the job IDs of the expected gangs.
+func (s *testScheduler) expectedIDs(spareGangs float64, at time.Time) []wire.JobID {
 	ids := []wire.JobID{}
-	for _, spec := range s.ExpectedGangs(times, at) {
+	for _, spec := range s.ExpectedGangs(spareGangs, at) {
 		ids = append(ids, spec.ID)
 	}
 	return ids
@@ -23,21 +23,21 @@
 	s.AddJob(schedulingtest.Gang("req-1", 2))
 	s.AddJob(schedulingtest.Gang("req-2", 4))
 	s.AddJob(schedulingtest.Array("req-3", 9))
-	other := schedulingtest.Gang("req-4", 1)
-	other.Class, other.Priority = "train", wire.PriorityUrgent
-	s.AddJob(other)
+	otherClass := schedulingtest.Gang("req-4", 1)
+	otherClass.Class, otherClass.Priority = "train", wire.PriorityUrgent
+	s.AddJob(otherClass)
 	cancelled := schedulingtest.Gang("req-5", 8)
 	s.AddJob(cancelled).Cancelled = true
 	for _, c := range []struct {
-		times float64
-		want  []wire.JobID
+		spareGangs float64
+		want       []wire.JobID
 	}{
 		{0, []wire.JobID{}},
 		{1, []wire.JobID{"req-4", "req-2"}},
 		{2, []wire.JobID{"req-4", "req-4", "req-2", "req-2"}},
 	} {
-		if got := s.expectedIDs(c.times, schedulingtest.Now); !slices.Equal(got, c.want) {
-			t.Errorf("%v times: expected gangs %v, want %v", c.times, got, c.want)
+		if got := s.expectedIDs(c.spareGangs, schedulingtest.Now); !slices.Equal(got, c.want) {
+			t.Errorf("%v spare gangs of each class: expected gangs %v, want %v", c.spareGangs, got, c.want)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		t.Errorf("%v after its end: expected gangs %v, want req-1", RecentGangLife, got)
 	}
 	if got := s.expectedIDs(1, schedulingtest.Now.Add(RecentGangLife+1)); len(got) != 0 {
-		t.Errorf("later than that: expected gangs %v, want none", got)
+		t.Errorf("longer after its end: expected gangs %v, want none", got)
 	}
 }
 
@@ -63,7 +63,7 @@
 		{"more tasks", wire.JobSpec{ID: "b", Tasks: 3, CPUs: 1}, wire.JobSpec{ID: "a", Tasks: 2, CPUs: 1}},
 		{"a GPU beside nine CPUs", wire.JobSpec{ID: "b", Tasks: 1, GPUs: 1}, wire.JobSpec{ID: "a", Tasks: 1, CPUs: 9}},
 		{"memory decides among equals", wire.JobSpec{ID: "b", Tasks: 1, CPUs: 1, MemoryGB: 2}, wire.JobSpec{ID: "a", Tasks: 1, CPUs: 1, MemoryGB: 1}},
-		{"the name decides at last", wire.JobSpec{ID: "a", Tasks: 1, CPUs: 1}, wire.JobSpec{ID: "b", Tasks: 1, CPUs: 1}},
+		{"equal size, lower job ID", wire.JobSpec{ID: "a", Tasks: 1, CPUs: 1}, wire.JobSpec{ID: "b", Tasks: 1, CPUs: 1}},
 	} {
 		if !largerGang(&c.larger, &c.other) || largerGang(&c.other, &c.larger) {
 			t.Errorf("%s: %+v is not larger than %+v", c.name, c.larger, c.other)
--- a/internal/leader/scheduling/patience.go
+++ b/internal/leader/scheduling/patience.go
@@ -9,42 +9,43 @@
 )
 
 const (
-	// MaxPatienceS is for how many seconds a task of an urgent array may wait for others
-	// to end by themselves before they are preempted.
+	// MaxPatienceS is the longest time, in seconds, that a task of an urgent array waits for
+	// other tasks to end by themselves before they are preempted.
 	MaxPatienceS = 5.0
-	// patienceEndS is how many seconds after its acceptance such a job preempts at once.
-	patienceEndS = MaxPatienceS + 1
-	// maxGangPatienceS is for how many seconds resources may be reserved for a gang until
-	// all of them are free. A gang that does not preempt would otherwise starve beside job
-	// arrays, which take each task's resources as they become free.
-	maxGangPatienceS = 45.0
-	// patienceSlackDivisor: the patience is at most this part of the slack.
+	// patienceEndSeconds is the age, in seconds since its acceptance, from which such a job
+	// preempts at once.
+	patienceEndSeconds = MaxPatienceS + 1
+	// maxGangPatienceSeconds is the longest time, in seconds, for which resources are reserved
+	// for a gang that may not preempt, until all of them are free. Without reservations the
+	// gang starves, because job arrays take the resources of each task as they become free.
+	maxGangPatienceSeconds = 45.0
+	// patienceSlackDivisor bounds the patience: it is at most the slack divided by this.
 	patienceSlackDivisor = 8
 )
 
-// Patience decides for how long jobs wait before others are preempted for them.
+// Patience decides how long jobs wait before other tasks are preempted for them.
 type Patience struct {
 	state  *cluster.State
 	valuer *valuation.Valuer
 }
 
 // PatienceSeconds returns for how many seconds a job waits for tasks to end by themselves
-// before they are preempted. An urgent job waits for a small part of its slack, and little
-// once it has waited; a service does not wait.
+// before they are preempted. An urgent job waits at most for a small part of its slack, and
+// less the longer it has waited already. A service does not wait.
 func (p *Patience) PatienceSeconds(job *cluster.Job, now time.Time) float64 {
 	if job.Spec.IsService() {
 		return 0
 	}
 	waited := now.Sub(job.AcceptedAt).Seconds()
 	if job.Spec.IsGang() && !placement.MayPreempt(&job.Spec) {
-		return min(maxGangPatienceS, MaxPatienceS+waited/2)
+		return min(maxGangPatienceSeconds, MaxPatienceS+waited/2)
 	}
-	patience := min(MaxPatienceS, p.valuer.SlackSeconds(job, now)/patienceSlackDivisor, patienceEndS-waited)
-	// Patience must not make a gang miss an objective that it can still meet. Urgent gangs
-	// with an objective of 2 s waited for tasks that were expected to end within 3 s and
-	// often ended later, and meanwhile nothing else was preempted for them.
-	if left := p.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.IsGang() && left > 0 {
-		patience = min(patience, left/2)
+	patience := min(MaxPatienceS, p.valuer.SlackSeconds(job, now)/patienceSlackDivisor, patienceEndSeconds-waited)
+	// Patience must not make a gang miss an objective that it can still meet. Without this
+	// bound, urgent gangs with an objective of 2 s wait for tasks that are expected to end
+	// within 3 s and often end later, and meanwhile nothing else is preempted for them.
+	if untilObjective := p.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.IsGang() && untilObjective > 0 {
+		patience = min(patience, untilObjective/2)
 	}
 	return max(0, patience)
 }
@@ -52,8 +53,8 @@
 // startObjective is the kind of the service-level objectives for the time until a job starts.
 const startObjective = "wait"
 
-// startObjectiveSeconds returns within how many seconds the service-level objectives want
-// jobs of a class started; 0 if there is no such objective.
+// startObjectiveSeconds returns the number of seconds within which jobs of a class should
+// start by their service-level objective; 0 if there is no such objective.
 func (p *Patience) startObjectiveSeconds(class string) float64 {
 	for _, objective := range p.state.Settings.Objectives {
 		if objective.Kind == startObjective && objective.Class == class {
--- a/internal/leader/scheduling/patience_test.go
+++ b/internal/leader/scheduling/patience_test.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestPatience(t *testing.T) {
+func TestPatienceFollowsKindOfJobAndAge(t *testing.T) {
 	urgent := func(spec wire.JobSpec) wire.JobSpec {
 		spec.Priority, spec.Deadline = wire.PriorityUrgent, 10000
 		return spec
@@ -18,7 +18,7 @@
 		name string
 		spec wire.JobSpec
 		age  time.Duration
-		want float64
+		want float64 // seconds
 	}{
 		{"service", schedulingtest.Service("req-1", 1), 0, 0},
 		{"urgent array, new", urgent(schedulingtest.Array("req-1", 1)), 0, MaxPatienceS},
@@ -26,9 +26,9 @@
 		{"urgent array, has waited long", urgent(schedulingtest.Array("req-1", 1)), time.Minute, 0},
 		{"ordinary gang, new", schedulingtest.Gang("req-1", 2), 0, MaxPatienceS},
 		{"ordinary gang, has waited", schedulingtest.Gang("req-1", 2), 20 * time.Second, 15},
-		{"ordinary gang, has waited long", schedulingtest.Gang("req-1", 2), time.Hour, maxGangPatienceS},
-		{"urgent gang, in time", urgent(schedulingtest.Gang("req-1", 2)), time.Second, 0.5},
-		{"urgent gang, late", urgent(schedulingtest.Gang("req-1", 2)), 3 * time.Second, 3},
+		{"ordinary gang, has waited long", schedulingtest.Gang("req-1", 2), time.Hour, maxGangPatienceSeconds},
+		{"urgent gang, objective can be met", urgent(schedulingtest.Gang("req-1", 2)), time.Second, 0.5},
+		{"urgent gang, objective missed", urgent(schedulingtest.Gang("req-1", 2)), 3 * time.Second, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -22,24 +22,24 @@
 	return &Reservations{ReservedMachines: map[*cluster.Machine]struct{}{}, state: state, patience: patience}
 }
 
-// reserve adds the reservations of a cycle. Those of a gang are kept for as long as it may
-// wait for the resources of its other tasks.
+// reserve adds the reservations of a cycle. Those of a gang last longer, by the time for which
+// it may wait for the resources of its other tasks.
 func (r *Reservations) reserve(reservations []placement.MachineReservation, now time.Time) {
 	for _, reservation := range reservations {
 		machine := r.state.Machines[reservation.Machine]
-		until := now.Add(r.stopDuration(0))
+		expiresAt := now.Add(r.stopDuration(0))
 		if job := r.gang(reservation.Job); job != nil {
 			wait := wire.Seconds(r.patience.PatienceSeconds(job, now))
-			until = until.Add(wait.Duration())
+			expiresAt = expiresAt.Add(wait.Duration())
 		}
-		machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: reservation.Reservation, AwaitedTasks: reservation.AwaitedTasks, ExpiresAt: until})
+		machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: reservation.Reservation, AwaitedTasks: reservation.AwaitedTasks, ExpiresAt: expiresAt})
 		r.ReservedMachines[machine] = struct{}{}
 	}
 }
 
 // PruneReservations drops the reservations that are no longer needed, because they have
-// expired or the job's tasks found resources elsewhere. It returns for how many tasks of
-// each job resources are reserved.
+// expired or the job's tasks found resources elsewhere. It returns the number of reservations
+// that are left to each job; a reservation is for one task.
 func (r *Reservations) PruneReservations(now time.Time) map[wire.JobID]int {
 	reserved := map[wire.JobID]int{}
 	r.dropWhere(func(machine *cluster.Machine, reservation cluster.Reservation) bool {
@@ -53,19 +53,20 @@
 	return reserved
 }
 
-// obsolete reports whether a reservation has expired, or neither its machine nor its job
-// can use it any more. The job's reservations that are kept so far are counted in reserved.
+// obsolete reports whether a reservation has expired, its machine is leaving, or its job does
+// not need it. reserved counts the reservations of each job that are kept so far.
 func (r *Reservations) obsolete(machine *cluster.Machine, reservation cluster.Reservation, reserved map[wire.JobID]int, now time.Time) bool {
-	removed := r.state.Machines[machine.ID] != machine || machine.ScalingIn || machine.DrainReason != ""
-	if now.After(reservation.ExpiresAt) || removed {
+	leaving := r.state.Machines[machine.ID] != machine || machine.ScalingIn || machine.DrainReason != ""
+	if now.After(reservation.ExpiresAt) || leaving {
 		return true
 	}
 	job := r.state.Jobs[reservation.Job]
 	return job == nil || job.Cancelled || reserved[reservation.Job] >= job.PendingTasks()
 }
 
-// dropIncompleteGangs drops what is left of a gang's reservations if some of them were
-// dropped: the rest is of no use, and resources are reserved for all of the gang anew.
+// dropIncompleteGangs drops the remaining reservations of a gang if some of its reservations
+// were dropped: the gang can't start on a part of its resources, and a later cycle reserves
+// resources for all of its tasks again.
 func (r *Reservations) dropIncompleteGangs(reserved map[wire.JobID]int) {
 	incomplete := func(id wire.JobID) bool {
 		job := r.gang(id)
@@ -93,20 +94,20 @@
 	}
 }
 
-// extendGangReservations keeps all reservations of a gang until the last of them can be
-// free: the gang needs all of them at once, and what is free first would go to others.
+// extendGangReservations extends all reservations of a gang to the latest expiry among them.
+// The gang needs all of the resources at once, and those that are free first would otherwise
+// go to other jobs.
 func (r *Reservations) extendGangReservations() {
 	latest := map[wire.JobID]time.Time{}
-	r.eachOfGangs(func(reservation *cluster.Reservation) {
+	r.forEachGangReservation(func(reservation *cluster.Reservation) {
 		latest[reservation.Job] = cluster.LaterOf(latest[reservation.Job], reservation.ExpiresAt)
 	})
-	r.eachOfGangs(func(reservation *cluster.Reservation) {
+	r.forEachGangReservation(func(reservation *cluster.Reservation) {
 		reservation.ExpiresAt = latest[reservation.Job]
 	})
 }
 
-// eachOfGangs visits the reservations of gangs.
-func (r *Reservations) eachOfGangs(visit func(*cluster.Reservation)) {
+func (r *Reservations) forEachGangReservation(visit func(*cluster.Reservation)) {
 	for machine := range r.ReservedMachines {
 		for i := range machine.Reservations {
 			if reservation := &machine.Reservations[i]; r.gang(reservation.Job) != nil {
@@ -116,28 +117,28 @@
 	}
 }
 
-// ExtendReservations keeps the reservations on a machine for as long as a task that is
-// preempted there may take to save its checkpoint.
+// ExtendReservations extends the reservations on the machine of a preempted task until the task
+// should have ended. The task may take its grace period to save its checkpoint.
 func (r *Reservations) ExtendReservations(preempted *cluster.Attempt, now time.Time) {
-	until := now.Add(r.stopDuration(preempted.GracePeriod))
+	endsBy := now.Add(r.stopDuration(preempted.GracePeriod))
 	for i := range preempted.Machine.Reservations {
 		reservation := &preempted.Machine.Reservations[i]
-		reservation.ExpiresAt = cluster.LaterOf(reservation.ExpiresAt, until)
+		reservation.ExpiresAt = cluster.LaterOf(reservation.ExpiresAt, endsBy)
 	}
 }
 
-// stopMargin is the time for which a stopped task's resources are waited for beyond its
-// grace period and the next heartbeat.
+// stopMargin is added to a task's grace period and the delay of the next heartbeat, for the
+// stopped task to end and its resources to become free.
 const stopMargin = 2 * time.Second
 
-// stopDuration returns how long a task that is stopped takes to end, also if only the reply
-// to its machine's next heartbeat carries the command. Heartbeats come up to a quarter of
-// the interval late.
+// stopDuration returns the longest time that a stopped task should take to end. It covers the
+// case that only the reply to the machine's next heartbeat delivers the stop command, and that
+// this heartbeat is late by up to a quarter of the interval.
 func (r *Reservations) stopDuration(gracePeriod wire.Seconds) time.Duration {
 	return gracePeriod.Duration() + r.state.HeartbeatInterval()*5/4 + stopMargin
 }
 
-// gang returns the job if it is a gang; nil if it is none or unknown.
+// gang returns the job with an ID; nil if the job is unknown or no gang.
 func (r *Reservations) gang(id wire.JobID) *cluster.Job {
 	if job := r.state.Jobs[id]; job != nil && job.Spec.IsGang() {
 		return job
--- a/internal/leader/scheduling/reservations_test.go
+++ b/internal/leader/scheduling/reservations_test.go
@@ -10,9 +10,9 @@
 	"lilaclead/internal/wire"
 )
 
-// reserveFor reserves resources for one task of a job on a machine.
-func (s *testScheduler) reserveFor(id wire.JobID, machine *cluster.Machine, until time.Time) {
-	machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: placement.Reservation{Job: id}, ExpiresAt: until})
+// reserveFor adds a reservation for one task of a job on a machine.
+func (s *testScheduler) reserveFor(id wire.JobID, machine *cluster.Machine, expiresAt time.Time) {
+	machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: placement.Reservation{Job: id}, ExpiresAt: expiresAt})
 	s.ReservedMachines[machine] = struct{}{}
 }
 
@@ -20,10 +20,10 @@
 	cases := []struct {
 		name   string
 		change func(s *testScheduler, job *cluster.Job, machine *cluster.Machine)
-		want   int
+		want   int // reservations that are kept
 	}{
 		{"needed", func(*testScheduler, *cluster.Job, *cluster.Machine) {}, 1},
-		{"until now", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) {
+		{"expires now", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) {
 			m.Reservations[0].ExpiresAt = schedulingtest.Now
 		}, 1},
 		{"expired", func(_ *testScheduler, _ *cluster.Job, m *cluster.Machine) {
--- a/internal/leader/scheduling/rig_test.go
+++ b/internal/leader/scheduling/rig_test.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/leader/scheduling/schedulingtest"
 )
 
-// testScheduler is the scheduler of a small cluster.
+// testScheduler is the scheduler of a small cluster, together with that cluster.
 type testScheduler struct {
 	*Scheduler
 	*schedulingtest.Cluster
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -14,8 +14,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Scheduler runs scheduling cycles. It is composed of the duties that the parts of a term
-// call by themselves.
+// Scheduler runs scheduling cycles. Other components of a term also call the methods of its
+// embedded types.
 type Scheduler struct {
 	*Eligibility
 	*Starter
@@ -62,10 +62,10 @@
 	})
 }
 
-// GangReserves returns the demands for the resources that are kept for the next gangs, as
-// many times as given.
-func (s *Scheduler) GangReserves(times float64, now time.Time) []fleet.Demand {
-	return s.ReservesFor(s.ExpectedGangs(times, now))
+// GangReserves returns the demands for the resources that are kept free for the next gangs:
+// those of spareGangs gangs of each class.
+func (s *Scheduler) GangReserves(spareGangs float64, now time.Time) []fleet.Demand {
+	return s.ReservesFor(s.ExpectedGangs(spareGangs, now))
 }
 
 // Cycle is one run of the scheduler over all waiting jobs.
@@ -75,12 +75,12 @@
 	// Preemptions are the tasks to be preempted.
 	Preemptions []placement.Victim
 
-	startedAt time.Time
-	reserved  bool // resources were reserved
+	startedAt       time.Time
+	hasReservations bool // the cycle reserved resources
 }
 
-// BeginCycle starts tasks, reserves resources for waiting jobs and names the tasks to be
-// preempted for them. It returns nil if no job waits.
+// BeginCycle starts tasks, reserves resources for waiting jobs and selects the tasks to
+// preempt for them. It returns nil if no job waits.
 func (s *Scheduler) BeginCycle(now time.Time) *Cycle {
 	s.state.CycleTimer.Begin(now)
 	waiting := s.schedulableJobs(now)
@@ -92,22 +92,24 @@
 	s.startTasks(result.Starts, snapshot, now)
 	s.reserve(result.Reservations, now)
 	return &Cycle{
-		Starts:      len(result.Starts),
-		Preemptions: result.Preemptions,
-		startedAt:   now,
-		reserved:    len(result.Reservations) > 0,
+		Starts:          len(result.Starts),
+		Preemptions:     result.Preemptions,
+		startedAt:       now,
+		hasReservations: len(result.Reservations) > 0,
 	}
 }
 
-// FinishCycle ends a cycle after its preemptions were requested.
+// FinishCycle ends a cycle. The caller requests the cycle's preemptions first, because
+// these extend reservations.
 func (s *Scheduler) FinishCycle(c *Cycle) {
-	if c.reserved {
+	if c.hasReservations {
 		s.extendGangReservations()
 	}
 	s.state.CycleTimer.LastDuration = time.Since(c.startedAt)
 }
 
-// schedulableJobs returns the jobs with tasks that can be placed now, in no order.
+// schedulableJobs returns the jobs with tasks that can be placed now, in no particular
+// order.
 func (s *Scheduler) schedulableJobs(now time.Time) []*cluster.Job {
 	var waiting []*cluster.Job
 	for _, job := range s.state.Jobs {
@@ -120,16 +122,16 @@
 
 // startTasks starts the tasks that were placed. The tasks of a gang start together.
 func (s *Scheduler) startTasks(starts []placement.Start, snapshot *cycleSnapshot, now time.Time) {
-	gangs := map[*cluster.Job][]*cluster.Machine{}
+	gangMachines := map[*cluster.Job][]*cluster.Machine{}
 	for _, start := range starts {
 		job, machine := snapshot.jobs[start.JobIndex], snapshot.machines[start.MachineIndex]
 		if job.Spec.IsGang() {
-			gangs[job] = append(gangs[job], machine)
+			gangMachines[job] = append(gangMachines[job], machine)
 		} else {
 			s.StartTask(job, machine, now)
 		}
 	}
-	for job, machines := range gangs {
+	for job, machines := range gangMachines {
 		s.StartGang(job, machines, now)
 	}
 }
--- a/internal/leader/scheduling/schedulingtest/cluster.go
+++ b/internal/leader/scheduling/schedulingtest/cluster.go
@@ -16,9 +16,9 @@
 // Token is the fencing token of the term.
 const Token wire.FencingToken = 50
 
-// MapOrders is how often a test repeats a decision that must not depend on the order of a
-// map.
-const MapOrders = 50
+// MapOrderRepeats is how often a test repeats a decision that must not depend on the
+// iteration order of a map.
+const MapOrderRepeats = 50
 
 // Now is the time of all decisions of a test.
 var Now = time.Now()
@@ -29,7 +29,7 @@
 type Cluster struct {
 	// State is the state of the cluster.
 	State *cluster.State
-	// Tracker is the account of the requests to the cloud.
+	// Tracker records the scale-out and scale-in requests to the cloud.
 	Tracker *scaling.Tracker
 	// Tuning are the values that operators may set.
 	Tuning *tuning.Current
@@ -71,13 +71,13 @@
 	return machine
 }
 
-// AddJob adds a job that was accepted just now. Without a team or priority it is a standard
-// one of the team red.
+// AddJob adds a job that was accepted just now. The team defaults to red, the priority to
+// standard.
 func (c *Cluster) AddJob(spec wire.JobSpec) *cluster.Job {
 	return c.AddJobAcceptedAt(spec, Now)
 }
 
-// AddJobAcceptedAt adds a job that was accepted at a time.
+// AddJobAcceptedAt adds a job that was accepted at a given time, with the defaults of AddJob.
 func (c *Cluster) AddJobAcceptedAt(spec wire.JobSpec, acceptedAt time.Time) *cluster.Job {
 	if spec.Team == "" {
 		spec.Team = "red"
@@ -91,8 +91,9 @@
 	return job
 }
 
-// Run makes the first pending task of a job run on a machine since a time.
-func (c *Cluster) Run(job *cluster.Job, machine *cluster.Machine, since time.Time) *cluster.Attempt {
+// RunTask adds an attempt of the first pending task of a job that has been running on a
+// machine since a given time. The test fails if no task is pending.
+func (c *Cluster) RunTask(job *cluster.Job, machine *cluster.Machine, since time.Time) *cluster.Attempt {
 	c.t.Helper()
 	var attempt *cluster.Attempt
 	job.ForEachPendingTask(1, func(chunk *cluster.Chunk, index int) {
--- a/internal/leader/scheduling/snapshot.go
+++ b/internal/leader/scheduling/snapshot.go
@@ -9,8 +9,8 @@
 	"lilaclead/internal/wire"
 )
 
-// cycleSnapshot is what a cycle places from, with the machines and jobs that the indexes in
-// the snapshot stand for.
+// cycleSnapshot is the placement input of a cycle, with the machines and jobs that the
+// indexes in the placement result refer to.
 type cycleSnapshot struct {
 	placement *placement.Snapshot
 	machines  []*cluster.Machine
@@ -25,14 +25,15 @@
 	snapshot  *placement.Snapshot
 	machines  []*cluster.Machine
 	jobs      []*cluster.Job
-	// reservedUnits is for how many tasks of each job resources are reserved.
+	// reservedUnits is the number of tasks of each job for which resources are reserved.
 	reservedUnits map[wire.JobID]int
-	// victimsNeeded means that tasks may be preempted or awaited for some waiting job. A
-	// gang that does not preempt waits for others to end.
+	// victimsNeeded reports that some waiting job may preempt other tasks or wait for them
+	// to end. A gang that may not preempt waits.
 	victimsNeeded bool
 }
 
-// snapshot returns what a cycle places the waiting jobs from. It sorts them.
+// snapshot returns the placement input for the waiting jobs. It sorts waiting in place, by
+// acceptance.
 func (s *Scheduler) snapshot(waiting []*cluster.Job, now time.Time) *cycleSnapshot {
 	values := s.tuning.Get()
 	builder := &snapshotBuilder{scheduler: s, state: s.state, now: now}
@@ -43,7 +44,7 @@
 		ExpectedGangs:   s.ExpectedGangs(values.SpareGangs, now),
 	}
 	spare := capacity.SpareReplicasOf(s.state, values.SpareReplicas)
-	builder.snapshot.HeadroomUnits, builder.snapshot.HeadroomUnit = spare.Count, spare.Takes
+	builder.snapshot.HeadroomUnits, builder.snapshot.HeadroomUnit = spare.Count, spare.ReplicaResources
 	builder.addMachines(waiting)
 	builder.addJobs(waiting)
 	builder.reserveTeamLimits()
--- a/internal/leader/scheduling/snapshot_jobs.go
+++ b/internal/leader/scheduling/snapshot_jobs.go
@@ -9,13 +9,14 @@
 	"lilaclead/internal/wire"
 )
 
-// maxLinger is how long a job may start nothing because the free resources are kept for the
-// next replicas. Without this bound it waited for ever while the cloud had no capacity.
-const maxLinger = time.Minute
+// maxHeadroomWait is how long a job may go without a start because the free resources are
+// kept for the next replicas. After that its next task may use them. Without this bound, the
+// job waits forever while the cloud has no capacity.
+const maxHeadroomWait = time.Minute
 
-// maxSuspectTasks is how many tasks of a job whose last attempt failed should be active at a
-// time. One more is tried also when more are active already.
-const maxSuspectTasks = 2
+// maxFailingJobTasks limits the active tasks of a job with failures since its last success.
+// If that many are active already, a cycle may still start one more.
+const maxFailingJobTasks = 2
 
 // addJobs adds the waiting jobs in the order in which they were accepted.
 func (b *snapshotBuilder) addJobs(waiting []*cluster.Job) {
@@ -25,13 +26,13 @@
 		view := b.jobView(job, guaranteed[job.Spec.ID])
 		if job.Spec.Spread || job.Spec.SameZone {
 			view.TasksByZone = job.ActiveByZone()
-			unknown := view.TasksByZone[""]
-			if unknown > 0 && job.Spec.SameZone {
+			unknownZoneTasks := view.TasksByZone[""]
+			if unknownZoneTasks > 0 && job.Spec.SameZone {
 				continue // the zone that its tasks are in is not known yet
 			}
-			// Each of these may be in any zone, so it counts in all.
+			// A task in an unknown zone may be in any of them, so it counts in all.
 			for _, zone := range zones {
-				view.TasksByZone[zone] += unknown
+				view.TasksByZone[zone] += unknownZoneTasks
 			}
 		}
 		b.snapshot.Jobs = append(b.snapshot.Jobs, view)
@@ -39,21 +40,21 @@
 	}
 }
 
-// jobView describes a waiting job.
+// jobView returns the placement view of a waiting job.
 func (b *snapshotBuilder) jobView(job *cluster.Job, guaranteed bool) placement.Job {
-	waitedS := b.now.Sub(job.AcceptedAt).Seconds()
+	waitedSeconds := b.now.Sub(job.AcceptedAt).Seconds()
 	view := placement.Job{
 		Spec:                   &job.Spec,
 		PendingTasks:           job.PendingTasks(),
 		TasksByZone:            map[wire.Zone]int{},
-		WaitedSeconds:          waitedS,
+		WaitedSeconds:          waitedSeconds,
 		AvoidMachines:          job.FailedMachines,
 		WithinGuarantee:        guaranteed,
 		ReservedUnits:          b.reservedUnits[job.Spec.ID],
 		PreemptionDelaySeconds: b.scheduler.PatienceSeconds(job, b.now),
-		StartSlackSeconds:      max(0, b.scheduler.startObjectiveSeconds(job.Spec.Class)-waitedS),
+		StartSlackSeconds:      max(0, b.scheduler.startObjectiveSeconds(job.Spec.Class)-waitedSeconds),
 		Weight:                 b.scheduler.valuer.UtilityWeight(job, guaranteed, b.now),
-		StartOverdue:           b.state.SinceLastStart(job, b.now) > maxLinger,
+		StartOverdue:           b.state.SinceLastStart(job, b.now) > maxHeadroomWait,
 	}
 	if b.state.StartOverdue(job, b.now) {
 		view.Weight = valuation.StarvingWeight
@@ -62,7 +63,7 @@
 		}
 	}
 	if job.TaskFailures > 0 && !job.Spec.IsGang() {
-		view.PendingTasks = min(view.PendingTasks, max(1, maxSuspectTasks-job.ActiveTasks))
+		view.PendingTasks = min(view.PendingTasks, max(1, maxFailingJobTasks-job.ActiveTasks))
 	}
 	return view
 }
--- a/internal/leader/scheduling/snapshot_machines.go
+++ b/internal/leader/scheduling/snapshot_machines.go
@@ -9,9 +9,9 @@
 	"lilaclead/internal/wire"
 )
 
-// addMachines adds the usable machines. Those without resources for the smallest task that
-// waits are described only when they are asked for: in a full deployment these are nearly
-// all machines.
+// addMachines adds the usable machines. Views of machines without room for the smallest
+// waiting task are built only on demand, by FullMachines: in a full deployment these are
+// nearly all machines.
 func (b *snapshotBuilder) addMachines(waiting []*cluster.Job) {
 	for _, job := range waiting {
 		b.victimsNeeded = b.victimsNeeded || placement.MayPreempt(&job.Spec) || job.Spec.IsGang()
@@ -32,8 +32,8 @@
 	b.snapshot.FullMachines = func() []placement.Machine { return b.machineViews(full) }
 }
 
-// smallestTask returns the least of each resource that a task of a waiting job or of an
-// expected gang takes.
+// smallestTask returns, for each resource, the smallest amount that a task of any waiting job
+// or expected gang needs.
 func (b *snapshotBuilder) smallestTask(waiting []*cluster.Job) placement.Resources {
 	smallest := placement.ResourcesOf(&waiting[0].Spec)
 	for _, job := range waiting {
@@ -45,7 +45,7 @@
 	return smallest
 }
 
-// machineViews sorts machines by name and describes them.
+// machineViews returns the placement views of machines. It sorts machines in place, by ID.
 func (b *snapshotBuilder) machineViews(machines []*cluster.Machine) []placement.Machine {
 	slices.SortFunc(machines, func(a, b *cluster.Machine) int { return cmp.Compare(a.ID, b.ID) })
 	views := make([]placement.Machine, len(machines))
@@ -55,7 +55,6 @@
 	return views
 }
 
-// machineView describes a machine.
 func (b *snapshotBuilder) machineView(machine *cluster.Machine) placement.Machine {
 	view := placement.Machine{
 		ID:       machine.ID,
@@ -85,33 +84,34 @@
 	return view
 }
 
-// addTask adds to a machine's view what a task on it means for others. Awaited tasks are
-// expected to end by themselves.
+// addTask adds a task to the view of its machine: it counts a service's task, and adds the
+// resources that will be free soon, the image that is being fetched and the task as a victim.
+// An awaited task is one that a reservation expects to end by itself.
 func (b *snapshotBuilder) addTask(view *placement.Machine, attempt *cluster.Attempt, awaited bool) {
 	if attempt.Job.Spec.IsService() {
 		view.ServiceTasks++
 	}
-	ending := b.ending(attempt, awaited)
-	if ending {
+	endsSoon := b.endsSoon(attempt, awaited)
+	if endsSoon {
 		view.StoppingResources = view.StoppingResources.Plus(attempt.Resources())
 	}
-	addFetch(view, attempt)
-	if b.victimsNeeded && !ending && preemptible(attempt) {
+	addImageFetch(view, attempt)
+	if b.victimsNeeded && !endsSoon && preemptible(attempt) {
 		view.Victims = append(view.Victims, b.victim(attempt))
 	}
 }
 
-// ending reports whether a task's resources are expected to be free soon. Those of a task
-// that was stopped and does not end can't be counted on.
-func (b *snapshotBuilder) ending(attempt *cluster.Attempt, awaited bool) bool {
+// endsSoon reports whether a task's resources are expected to be free soon. That no longer
+// holds for a task that has not ended within stopDuration after its stop was requested.
+func (b *snapshotBuilder) endsSoon(attempt *cluster.Attempt, awaited bool) bool {
 	if !attempt.Stopping {
 		return awaited
 	}
 	return !attempt.Unstored && b.now.Sub(attempt.StopRequestedAt) < b.scheduler.stopDuration(attempt.GracePeriod)
 }
 
-// addFetch adds the image that a task waits for.
-func addFetch(view *placement.Machine, attempt *cluster.Attempt) {
+// addImageFetch adds the image fetch that a task waits for, if there is one.
+func addImageFetch(view *placement.Machine, attempt *cluster.Attempt) {
 	spec := &attempt.Job.Spec
 	if !attempt.ImageReadyAt.IsZero() || view.Images[spec.Image] != placement.ImageAbsent {
 		return
@@ -129,44 +129,44 @@
 	return !attempt.Unstored && !attempt.Stopping && !productionService
 }
 
-// gangStopCostS is how many seconds it costs each task of a gang, beside its work, that one
-// of them is preempted.
-const gangStopCostS = 5
+// gangStopCostSeconds is what the preemption of one task costs each task of its gang, in
+// addition to the work that is lost.
+const gangStopCostSeconds = 5
 
 // victim describes a task that can be preempted or awaited.
 func (b *snapshotBuilder) victim(attempt *cluster.Attempt) placement.Victim {
 	spec := &attempt.Job.Spec
-	lostS, checkpointS := b.preemptionCost(attempt)
+	lostWorkSeconds, checkpointSeconds := b.preemptionCost(attempt)
 	return placement.Victim{
 		Task:              attempt.Task(),
 		Rank:              spec.Priority.Rank(),
 		Resources:         attempt.Resources(),
-		LostWorkSeconds:   lostS,
+		LostWorkSeconds:   lostWorkSeconds,
 		RemainingSeconds:  attempt.ExpectedRemainingSeconds(b.now),
-		CheckpointSeconds: checkpointS,
+		CheckpointSeconds: checkpointSeconds,
 		BeyondGuarantee:   b.beyondGuarantee(spec.Team),
 		Team:              spec.Team,
 	}
 }
 
 // preemptionCost returns how many seconds of work are lost if a task is preempted, and how
-// many seconds it takes to save its checkpoint.
-func (b *snapshotBuilder) preemptionCost(attempt *cluster.Attempt) (lostS, checkpointS float64) {
+// many seconds the task takes to save its checkpoint.
+func (b *snapshotBuilder) preemptionCost(attempt *cluster.Attempt) (lostWorkSeconds, checkpointSeconds float64) {
 	spec := &attempt.Job.Spec
 	if !attempt.RunningSince.IsZero() {
-		checkpointS = float64(spec.CheckpointTime)
-		lostS = b.now.Sub(attempt.RunningSince).Seconds()
+		checkpointSeconds = float64(spec.CheckpointTime)
+		lostWorkSeconds = b.now.Sub(attempt.RunningSince).Seconds()
 		if spec.CheckpointInterval > 0 {
-			lostS = min(lostS, checkpointS)
+			lostWorkSeconds = min(lostWorkSeconds, checkpointSeconds)
 		}
 	}
 	if spec.IsGang() { // all tasks of the gang are stopped
-		lostS = (lostS + gangStopCostS) * float64(spec.Tasks)
+		lostWorkSeconds = (lostWorkSeconds + gangStopCostSeconds) * float64(spec.Tasks)
 	}
-	return lostS, checkpointS
+	return lostWorkSeconds, checkpointSeconds
 }
 
-// sortVictims sorts victims by their tasks.
+// sortVictims sorts victims by job ID and task index.
 func sortVictims(victims []placement.Victim) {
 	slices.SortFunc(victims, func(a, b placement.Victim) int {
 		return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), a.Task.Index-b.Task.Index)
--- a/internal/leader/scheduling/snapshot_teams.go
+++ b/internal/leader/scheduling/snapshot_teams.go
@@ -8,24 +8,25 @@
 	"lilaclead/internal/wire"
 )
 
-// teamUsage returns what each team uses, with everything that may be on machines.
+// teamUsage returns the limit and the usage of each team. The usage includes orphan tasks,
+// which run on machines although this term has no attempt of them there.
 func teamUsage(state *cluster.State) map[wire.TeamID]*placement.Team {
 	teams := map[wire.TeamID]*placement.Team{}
 	for _, team := range state.Settings.Teams {
 		teams[team.Name] = &placement.Team{Limit: placement.Resources{CPUs: team.MaxCPUs, GPUs: team.MaxGPUs}}
 	}
-	use := func(job *cluster.Job, tasks int) {
+	addUsage := func(job *cluster.Job, tasks int) {
 		if team := teams[job.Spec.Team]; team != nil {
 			team.Used = team.Used.Plus(placement.ResourcesOf(&job.Spec).Times(float64(tasks)))
 		}
 	}
 	for _, job := range state.Jobs {
-		use(job, job.ActiveTasks)
+		addUsage(job, job.ActiveTasks)
 	}
 	for _, machine := range state.Machines {
 		for task := range machine.OrphanTasks {
 			if job := state.Jobs[task.Job]; job != nil && machine.Tasks[task] == nil {
-				use(job, 1)
+				addUsage(job, 1)
 			}
 		}
 	}
@@ -39,13 +40,15 @@
 	return usage != nil && (usage.Used.CPUs > team.GuaranteedCPUs+wire.AmountTolerance || usage.Used.GPUs > team.GuaranteedGPUs+wire.AmountTolerance)
 }
 
-// reserveLimitAfter is how long a gang waits before a part of its team's limit is reserved
-// for it. Most gangs start at once, or as soon as there are resources.
-const reserveLimitAfter = 30 * time.Second
+// limitReservationDelay is how long a gang goes without a start before a part of its team's
+// limit is reserved for it. Most gangs need no reservation: they start at once, or as soon as
+// there are resources.
+const limitReservationDelay = 30 * time.Second
 
-// reserveTeamLimits reserves a part of each team's limit for one gang: the first by
-// priority among those that have waited long. Once a gang's start is overdue even higher
-// priorities, except services, leave that part alone.
+// reserveTeamLimits reserves a part of each team's limit for one of its gangs that have waited
+// long: the one of the highest priority, and among equals the one accepted first. A gang whose
+// start is overdue counts as of the highest priority. Arrays and gangs up to that priority may
+// not use the part, so that for an overdue gang only services may.
 func (b *snapshotBuilder) reserveTeamLimits() {
 	for _, job := range b.jobs { // in the order in which they were accepted
 		team := b.snapshot.Teams[job.Spec.Team]
@@ -63,7 +66,8 @@
 	}
 }
 
-// needsLimitReserved reports whether a job is a gang that has waited long.
+// needsLimitReserved reports whether a job is a gang that has gone without a start for
+// limitReservationDelay.
 func (b *snapshotBuilder) needsLimitReserved(job *cluster.Job) bool {
-	return job.Spec.IsGang() && b.state.SinceLastStart(job, b.now) >= reserveLimitAfter
+	return job.Spec.IsGang() && b.state.SinceLastStart(job, b.now) >= limitReservationDelay
 }
--- a/internal/leader/scheduling/starter.go
+++ b/internal/leader/scheduling/starter.go
@@ -9,14 +9,14 @@
 	"lilaclead/internal/wire"
 )
 
-// Starter starts tasks on machines: it decides on their attempts, which are sent once they
-// are stored.
+// Starter starts tasks on machines: it creates their attempts, whose launches are sent only
+// after the attempts are stored.
 type Starter struct {
 	state *cluster.State
 	log   *slog.Logger
 }
 
-// nextAttempt stands for the next attempt number of a task's chunk.
+// nextAttempt is passed to startAttempt to use the next attempt number of the task's chunk.
 const nextAttempt wire.AttemptNumber = 0
 
 // StartTask starts one pending task of a job on a machine.
@@ -24,8 +24,8 @@
 	s.startAttempt(job, machine, nextAttempt, now)
 }
 
-// StartGang starts all tasks of a gang at once, with an attempt number that none of them
-// has had. Nothing is sent before all of them are stored.
+// StartGang starts all tasks of a gang at once, with one attempt number that none of them has
+// had. No launch is sent before the attempts of all of them are stored.
 func (s *Starter) StartGang(job *cluster.Job, machines []*cluster.Machine, now time.Time) {
 	gang := &cluster.Gang{AttemptNumber: 1, StartedAt: now}
 	chunks := (job.Spec.Tasks + job.TasksPerChunk - 1) / job.TasksPerChunk
@@ -41,8 +41,8 @@
 	}
 }
 
-// startAttempt starts the first pending task of a job with an attempt number, which can be
-// nextAttempt.
+// startAttempt starts the first pending task of a job with an attempt number, or with the next
+// one of the task's chunk if number is nextAttempt.
 func (s *Starter) startAttempt(job *cluster.Job, machine *cluster.Machine, number wire.AttemptNumber, now time.Time) {
 	job.ForEachPendingTask(1, func(chunk *cluster.Chunk, index int) {
 		attempt := &cluster.Attempt{Job: job, Chunk: chunk, Index: index, Number: number, Machine: machine, ScheduledAt: now, Unstored: true}
@@ -54,14 +54,14 @@
 		job.UnstoredAttempts++
 		chunk.AddAttempt(attempt)
 		job.LastStartAt = now
-		useReservation(machine, job.Spec.ID)
+		removeReservation(machine, job.Spec.ID)
 		s.state.UnsavedChanges.MarkDirty(chunk)
 		s.log.Debug("task scheduled", "task", attempt.Task(), "attempt", attempt.Number, "machine", machine.ID, "age", now.Sub(job.AcceptedAt))
 	})
 }
 
-// useReservation removes one reservation of a job on a machine, if there is any.
-func useReservation(machine *cluster.Machine, id wire.JobID) {
+// removeReservation removes one reservation of a job on a machine, if there is any.
+func removeReservation(machine *cluster.Machine, id wire.JobID) {
 	i := slices.IndexFunc(machine.Reservations, func(r cluster.Reservation) bool { return r.Job == id })
 	if i >= 0 {
 		machine.Reservations = slices.Delete(machine.Reservations, i, i+1)
--- a/internal/leader/scheduling/valuation/valuation.go
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -57,11 +57,11 @@
 	StarvingWeight = 100
 	// guaranteedFactor raises the weight of a job within its team's guaranteed quota.
 	guaranteedFactor = 3
-	// A job's weight is multiplied by workScale / (work + workOffset), where work are its
-	// unfinished CPU seconds.
+	// A job's weight is multiplied by workScale / (work + workOffset), where work is the
+	// number of CPU seconds that its unfinished tasks need.
 	workScale  = 1000
 	workOffset = 50
-	// lateFactor lowers the weight of a job that is late whatever is started.
+	// lateFactor lowers the weight of a job that will be late even if it starts now.
 	lateFactor = 0.1
 	// dueFactor raises the weight of a job that is late unless it starts soon.
 	dueFactor = 2
@@ -90,12 +90,13 @@
 	return weight
 }
 
-// SlackSeconds returns for how many seconds the job's pending tasks may still wait.
+// SlackSeconds returns for how many seconds the job's pending tasks may still wait without
+// making the job late. It is negative for a job that will be late.
 func (v *Valuer) SlackSeconds(job *cluster.Job, now time.Time) float64 {
 	return demand.SlackSeconds(WorkOf(job, now), v.state.Settings.Objectives)
 }
 
-// WorkOf returns what the rules of package demand need to know of a job.
+// WorkOf returns a job in the form that the rules of package demand take.
 func WorkOf(job *cluster.Job, now time.Time) demand.Work {
 	return demand.Work{
 		Class:     job.Spec.Class,
--- a/internal/leader/scheduling/valuation/valuation_test.go
+++ b/internal/leader/scheduling/valuation/valuation_test.go
@@ -24,7 +24,7 @@
 	unknown.Team = "unknown"
 	s.AddJob(unknown)
 	want := map[wire.JobID]bool{"req-1": true, "req-2": true, "req-3": false, "req-5": true}
-	for range schedulingtest.MapOrders {
+	for range schedulingtest.MapOrderRepeats {
 		if got := NewValuer(s.State).Guaranteed(); !maps.Equal(got, want) {
 			t.Fatalf("guaranteed %v, want %v", got, want)
 		}
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestUtilityWeight(t *testing.T) {
+func TestUtilityWeightFollowsPriorityQuotaWorkAndSlack(t *testing.T) {
 	spec := func(change func(*wire.JobSpec)) wire.JobSpec {
 		s := schedulingtest.Array("req-1", 5) // 300 CPU seconds
 		s.Deadline = 1000
@@ -55,7 +55,7 @@
 		{"guaranteed", spec(func(*wire.JobSpec) {}), 0, true, 6 * 1000 / 350.0},
 		{"with less work", spec(func(s *wire.JobSpec) { s.Tasks = 1 }), 0, false, 2 * 1000 / 110.0},
 		{"due soon", spec(func(*wire.JobSpec) {}), 900 * time.Second, false, 4 * 1000 / 350.0},
-		{"too late", spec(func(*wire.JobSpec) {}), 1100 * time.Second, false, 0.2 * 1000 / 350.0},
+		{"late even if started now", spec(func(*wire.JobSpec) {}), 1100 * time.Second, false, 0.2 * 1000 / 350.0},
 		{"service", schedulingtest.Service("req-1", 5), 0, false, 256},
 		{"guaranteed service", schedulingtest.Service("req-1", 5), 0, true, 768},
 	}
@@ -73,7 +73,7 @@
 // closeTo reports whether two numbers are equal but for rounding.
 func closeTo(a, b float64) bool { return a-b < 1e-9 && b-a < 1e-9 }
 
-func TestSortByAcceptance(t *testing.T) {
+func TestSortByAcceptanceBreaksTiesByID(t *testing.T) {
 	s := schedulingtest.New(t)
 	late := s.AddJobAcceptedAt(schedulingtest.Array("req-1", 1), schedulingtest.Now)
 	second := s.AddJobAcceptedAt(schedulingtest.Array("req-3", 1), schedulingtest.Now.Add(-time.Second))
