--- a/internal/leader/scheduling/capacity/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -17,8 +17,9 @@
 // demandEstimate collects the demands while Estimator.Demands runs.
 type demandEstimate struct {
 	*Estimator
-	now          time.Time
-	stretchShare float64                // share of its slack over which a job array's work may be stretched
+	now time.Time
+	// stretchShare is the share of its slack over which a job array's work may be stretched.
+	stretchShare float64
 	waitSeconds  map[wire.JobID]float64 // expected waits for the present resources
 	zones        []wire.Zone
 	teamUsage    map[wire.TeamID]placement.Resources // including the demands added so far
--- a/internal/leader/scheduling/capacity/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -74,7 +74,7 @@
 func TestOnlyTheFirstTaskOfAnOverdueArrayMayCostAnyPrice(t *testing.T) {
 	s := newTestPlanner(t)
 	spec := schedulingtest.Array("req-1", 10)
-	spec.Deadline = 1 // late whatever is started
+	spec.Deadline = 1 // late even if it starts now
 	s.AddJobAcceptedAt(spec, schedulingtest.Now.Add(-3*time.Minute))
 	demands := s.demandsOf("req-1")
 	if len(demands) != 2 {
--- a/internal/leader/scheduling/capacity/waits.go
+++ b/internal/leader/scheduling/capacity/waits.go
@@ -12,7 +12,8 @@
 // for the present resources. It also sets BacklogSeconds.
 func (e *Estimator) predictWaits(jobs []*cluster.Job, now time.Time) map[wire.JobID]float64 {
 	guaranteed := e.valuer.Guaranteed()
-	waitDoublingSeconds := max(1, e.tuning.Get().WaitDoublingSeconds) // a wait of this length doubles a job's weight
+	// A wait of this length doubles a job's weight.
+	waitDoublingSeconds := max(1, e.tuning.Get().WaitDoublingSeconds)
 	queue := make([]demand.QueuedJob, 0, len(jobs))
 	for _, job := range jobs {
 		if job.Spec.IsService() {
