--- a/internal/leader/agents/client.go
+++ b/internal/leader/agents/client.go
@@ -12,32 +12,32 @@
 	"lilaclead/internal/wire"
 )
 
-// Client sends commands to the agents. It is safe for concurrent use.
+// Client sends commands and probes to the agents. It is safe for concurrent use.
 type Client struct {
 	HTTP *http.Client
 	Mesh *peer.Mesh
-	// commandSlots bounds the commands in flight and probeSlots the probes, each with a
-	// connection of its own: those to a partitioned zone hang, and launches must not wait
-	// behind them.
+	// commandSlots limits the command requests in flight, and probeSlots the probes. Each
+	// request in flight uses one connection. Probes have slots of their own because those to
+	// a partitioned zone hang, and launches must not wait behind them.
 	commandSlots, probeSlots chan struct{}
 }
 
 const (
-	// Of a client's connections a third is for commands and a sixth for probes, and half
-	// may stay open while idle; each has a minimum.
+	// A third of a client's connections is for commands and a sixth for probes. Half of them
+	// may stay open while idle. The total and each share have a minimum.
 	minConnections     = 16
 	minCommandSlots    = 4
 	minProbeSlots      = 2
 	minIdleConnections = 4
 	// maxIdlePerAgent is how many connections to one agent may stay open while idle.
 	maxIdlePerAgent = 2
-	// dialTimeout bounds the wait for a connection.
+	// dialTimeout limits the wait for a free connection and the dial together.
 	dialTimeout = 2 * ProbeTimeout
-	// maxAnswerBytes bounds the size of an agent's answer.
-	maxAnswerBytes = 1 << 20
+	// maxResponseBytes limits the size of an agent's response.
+	maxResponseBytes = 1 << 20
 )
 
-// NewClient returns a client that uses up to the given number of connections at a time.
+// NewClient returns a client that has up to the given number of connections open at a time.
 func NewClient(network netio.Net, mesh *peer.Mesh, connections int) *Client {
 	bounded := network.Bounded(max(minConnections, connections), dialTimeout)
 	return &Client{
@@ -48,8 +48,9 @@
 	}
 }
 
-// Send sends commands to the agent at an address and returns its heartbeat and the HTTP
-// status of its answer. The timeout counts from when a slot is free.
+// Send sends commands, or a probe if there are none, to the agent at an address. It returns
+// the agent's heartbeat and the HTTP status of the response. The timeout starts when a slot
+// is free; until then only ctx limits the wait.
 func (c *Client) Send(ctx context.Context, addr string, commands wire.Commands, timeout time.Duration) (*wire.Heartbeat, int, error) {
 	if commands.Commands == nil {
 		commands.Commands = []wire.Command{}
@@ -63,18 +64,19 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, raw, _, err := netio.Call(ctx, c.HTTP, http.MethodPost, "http://"+addr+"/commands", commands, maxAnswerBytes)
+	status, raw, _, err := netio.Call(ctx, c.HTTP, http.MethodPost, "http://"+addr+"/commands", commands, maxResponseBytes)
 	if err != nil {
 		return nil, 0, err
 	}
 	var heartbeat wire.Heartbeat
 	if err := wire.Decode(raw, &heartbeat); err != nil {
-		return nil, 0, fmt.Errorf("decode the answer of the agent at %s: %w", addr, err)
+		return nil, 0, fmt.Errorf("decode the response of the agent at %s: %w", addr, err)
 	}
 	return &heartbeat, status, nil
 }
 
-// slotsFor returns the slots that bound commands like these: a probe has no content.
+// slotsFor returns the slots for a request with these commands. A request without commands
+// is a probe.
 func (c *Client) slotsFor(commands *wire.Commands) chan struct{} {
 	if len(commands.Commands) == 0 {
 		return c.probeSlots
@@ -82,16 +84,16 @@
 	return c.commandSlots
 }
 
-// RelayError says that an agent was not reached through another controller. The probe may
-// be tried again.
+// RelayError means that a probe through another controller returned no heartbeat of the
+// agent. The probe may be retried.
 type RelayError struct {
-	Peer   wire.NodeID
-	Addr   string // of the agent
-	Status int    // with which the other controller answered
-	Err    error  // why the answer could not be decoded, if that was the cause
+	Peer   wire.NodeID // the controller that relayed the probe
+	Addr   string      // of the agent
+	Status int         // HTTP status of the relaying controller's response
+	Err    error       // why the response could not be decoded, if that was the cause
 }
 
-// Error returns what was not reached, and through which controller.
+// Error names the agent, the relaying controller and the cause.
 func (e *RelayError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("agent at %s: undecodable answer through %s: %v", e.Addr, e.Peer, e.Err)
@@ -99,28 +101,28 @@
 	return fmt.Sprintf("agent at %s not reached through %s: status %d", e.Addr, e.Peer, e.Status)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the decoding error, nil if there was none.
 func (e *RelayError) Unwrap() error { return e.Err }
 
-// ProbeThroughPeer probes the agent at an address through another controller and returns
-// its heartbeat and the HTTP status of its answer.
-func (c *Client) ProbeThroughPeer(ctx context.Context, node wire.NodeID, addr string, probe wire.Commands) (*wire.Heartbeat, int, error) {
-	status, raw, err := c.Mesh.Relay(ctx, node, "/peer/ask", relayedProbe{Addr: addr, Commands: probe})
+// ProbeThroughPeer probes the agent at an address through another controller. It returns the
+// agent's heartbeat and the HTTP status of the response.
+func (c *Client) ProbeThroughPeer(ctx context.Context, relay wire.NodeID, addr string, probe wire.Commands) (*wire.Heartbeat, int, error) {
+	status, raw, err := c.Mesh.Relay(ctx, relay, "/peer/ask", relayedProbe{Addr: addr, Commands: probe})
 	if err != nil {
 		return nil, 0, err
 	}
 	if status != http.StatusOK && status != http.StatusConflict {
-		return nil, status, &RelayError{Peer: node, Addr: addr, Status: status}
+		return nil, status, &RelayError{Peer: relay, Addr: addr, Status: status}
 	}
 	var heartbeat wire.Heartbeat
 	if err := wire.Decode(raw, &heartbeat); err != nil {
-		return nil, status, &RelayError{Peer: node, Addr: addr, Status: status, Err: err}
+		return nil, status, &RelayError{Peer: relay, Addr: addr, Status: status, Err: err}
 	}
 	return &heartbeat, status, nil
 }
 
-// RandomConnectedPeer returns another controller that is connected to this one, empty if
-// none is.
+// RandomConnectedPeer returns a random one of the controllers that are connected to this one,
+// empty if none is.
 func (c *Client) RandomConnectedPeer(now time.Time) wire.NodeID {
 	var connected []wire.NodeID
 	for id, node := range c.Mesh.View().Peers {
--- a/internal/leader/agents/client_test.go
+++ b/internal/leader/agents/client_test.go
@@ -13,13 +13,13 @@
 	"lilaclead/internal/wire"
 )
 
-// roundTripper answers requests by a function.
+// roundTripper is an http.RoundTripper that calls the function.
 type roundTripper func(*http.Request) (*http.Response, error)
 
 func (answer roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return answer(r) }
 
-// newTestClient returns a client with one slot of each kind, whose requests are answered by
-// a function.
+// newTestClient returns a client with one slot for commands and one for probes, whose
+// requests are answered by the function.
 func newTestClient(answer roundTripper) *Client {
 	return &Client{
 		HTTP:         &http.Client{Transport: answer},
@@ -28,7 +28,6 @@
 	}
 }
 
-// answerWith returns a response with a status and a body.
 func answerWith(status int, body []byte) (*http.Response, error) {
 	return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body))}, nil
 }
@@ -42,23 +41,23 @@
 	probe    = wire.Commands{Token: testToken, Epoch: 1}
 )
 
-func TestCommandsAndProbesWaitForSlotsOfTheirOwn(t *testing.T) {
+func TestCommandsAndProbesUseSeparateSlots(t *testing.T) {
 	cases := []struct {
 		name     string
-		taken    func(c *Client) chan struct{}
+		occupied func(c *Client) chan struct{}
 		commands wire.Commands
 		wantErr  error
 	}{
-		{"command, probe slots taken", func(c *Client) chan struct{} { return c.probeSlots }, launches, nil},
-		{"probe, command slots taken", func(c *Client) chan struct{} { return c.commandSlots }, probe, nil},
-		{"command, command slots taken", func(c *Client) chan struct{} { return c.commandSlots }, launches, context.DeadlineExceeded},
-		{"probe, probe slots taken", func(c *Client) chan struct{} { return c.probeSlots }, probe, context.DeadlineExceeded},
+		{"command, no free probe slot", func(c *Client) chan struct{} { return c.probeSlots }, launches, nil},
+		{"probe, no free command slot", func(c *Client) chan struct{} { return c.commandSlots }, probe, nil},
+		{"command, no free command slot", func(c *Client) chan struct{} { return c.commandSlots }, launches, context.DeadlineExceeded},
+		{"probe, no free probe slot", func(c *Client) chan struct{} { return c.probeSlots }, probe, context.DeadlineExceeded},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestClient(agentAnswer)
-			taken := tc.taken(c)
-			taken <- struct{}{}
+			occupied := tc.occupied(c)
+			occupied <- struct{}{}
 			ctx := t.Context()
 			if tc.wantErr != nil {
 				var cancel context.CancelFunc
@@ -70,7 +69,7 @@
 				t.Errorf("err %v, want %v", err, tc.wantErr)
 			}
 			if got := len(c.probeSlots) + len(c.commandSlots); got != 1 {
-				t.Errorf("%d slots are taken after the call, want 1", got)
+				t.Errorf("%d slots in use after Send, want 1, which the test occupies", got)
 			}
 		})
 	}
@@ -88,7 +87,7 @@
 		{"refused with a heartbeat", func(*http.Request) (*http.Response, error) {
 			return answerWith(http.StatusConflict, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3}))
 		}, http.StatusConflict, false},
-		{"undecodable", func(*http.Request) (*http.Response, error) { return answerWith(http.StatusOK, []byte("no heartbeat")) }, 0, true},
+		{"undecodable response", func(*http.Request) (*http.Response, error) { return answerWith(http.StatusOK, []byte("no heartbeat")) }, 0, true},
 		{"connection broken", func(*http.Request) (*http.Response, error) { return nil, broken }, 0, true},
 	}
 	for _, tc := range cases {
@@ -99,7 +98,7 @@
 				url, method = r.URL.String(), r.Method
 				raw, err := io.ReadAll(r.Body)
 				if err != nil || wire.Decode(raw, &sent) != nil {
-					t.Errorf("request body %x is not commands: %v", raw, err)
+					t.Errorf("request body %x can't be decoded as commands: %v", raw, err)
 				}
 				return tc.answer(r)
 			})
@@ -117,7 +116,7 @@
 	}
 }
 
-func TestRelayedProbeIsPassedOnWithoutCommands(t *testing.T) {
+func TestServeRelayedProbeForwardsOnlyProbes(t *testing.T) {
 	unreachable := func(*http.Request) (*http.Response, error) { return nil, errors.New("no route") }
 	cases := []struct {
 		name       string
@@ -127,9 +126,9 @@
 	}{
 		{"probe", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: probe}), agentAnswer, http.StatusOK},
 		{"agent not reached", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: probe}), unreachable, http.StatusBadGateway},
-		{"launch", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: launches}), agentAnswer, http.StatusBadRequest},
+		{"launch instead of a probe", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: launches}), agentAnswer, http.StatusBadRequest},
 		{"no address", wire.Encode(relayedProbe{Commands: probe}), agentAnswer, http.StatusBadRequest},
-		{"undecodable", []byte("no probe"), agentAnswer, http.StatusBadRequest},
+		{"undecodable request", []byte("no probe"), agentAnswer, http.StatusBadRequest},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -141,7 +140,7 @@
 			}
 			var got wire.Heartbeat
 			if tc.wantStatus == http.StatusOK && (wire.Decode(w.Body.Bytes(), &got) != nil || got.Machine != "n-1") {
-				t.Errorf("answer %x, want the heartbeat of n-1", w.Body.Bytes())
+				t.Errorf("response %x, want the heartbeat of n-1", w.Body.Bytes())
 			}
 		})
 	}
--- a/internal/leader/agents/dispatcher.go
+++ b/internal/leader/agents/dispatcher.go
@@ -9,29 +9,32 @@
 	"lilaclead/internal/wire"
 )
 
-// Dispatcher sends launches of stored attempts, stops and probes to the agents. It sends
-// again what is not known to have arrived. It is used by the goroutine of the term's loop
-// alone.
+// Dispatcher sends launches of stored attempts, stops and probes to the agents. It repeats
+// the commands that are not known to have arrived. Only the goroutine of the term's loop may
+// use it.
 type Dispatcher struct {
 	*core.Loop
 	State  *cluster.State
 	Client *Client
-	// TokenAnnounced is set once every machine of the first list has been shown the token.
+	// TokenAnnounced is set once a machine list has been received and AnnounceToken finds no
+	// machine to probe. It is cleared when a list shows a running machine that has not seen
+	// the token.
 	TokenAnnounced bool
 }
 
 const (
-	// MaxCommands keeps an answer, or a direct command, within the size that agents accept.
+	// MaxCommands limits the commands in one heartbeat response or direct request, so that its
+	// size stays within what agents accept.
 	MaxCommands = 400
-	// commandTimeout is how long the answer to a command is waited for. A command that is
-	// not answered may still be executed, which launches account for.
+	// commandTimeout is how long a direct request waits for its response. Its commands may
+	// still be executed after that, which cluster.LaunchDelivery accounts for.
 	commandTimeout = 2500 * time.Millisecond
-	// directStopInterval is the least time between two direct stops of an attempt.
+	// directStopInterval is the minimum interval between two direct stops of an attempt.
 	directStopInterval = 1500 * time.Millisecond
 )
 
-// Dispatch sends the commands that a machine has not been sent yet directly to it. Without
-// the key-value store it sends stops alone.
+// Dispatch sends a machine, in one direct request, the stops that are due and the launches
+// that it has not been sent yet. Without the key-value store it sends only stops.
 func (dp *Dispatcher) Dispatch(machine *cluster.Machine) {
 	mayLaunch := dp.Lease.Deciding()
 	if !canReceive(machine) || !mayLaunch && !dp.Lease.MayAnswerHeartbeats() {
@@ -59,14 +62,15 @@
 	}
 }
 
-// canReceive reports whether a direct command can be sent to a machine now: it has sent a
-// heartbeat in this term, is not being scaled in, and no other command is in flight.
+// canReceive reports whether a direct command can be sent to a machine now: its address is
+// known, it has sent a heartbeat in this term, it is not being scaled in, and no other direct
+// request to it is in flight.
 func canReceive(machine *cluster.Machine) bool {
-	known := machine.Addr != "" && !machine.FirstHeartbeatAt.IsZero()
-	return known && !machine.CommandInFlight && !machine.ScalingIn
+	contacted := machine.Addr != "" && !machine.FirstHeartbeatAt.IsZero()
+	return contacted && !machine.CommandInFlight && !machine.ScalingIn
 }
 
-// directStopDue reports whether a stop of an attempt is to be sent directly.
+// directStopDue reports whether a direct stop of an attempt is due.
 func directStopDue(attempt *cluster.Attempt, now time.Time) bool {
 	return attempt.Stopping && !attempt.Unstored && now.Sub(attempt.StopSentAt) > directStopInterval
 }
@@ -79,15 +83,16 @@
 	return !attempt.Unstored && notStarted && stillWanted && attempt.MayLaunch()
 }
 
-// sendCommands sends a direct command. Its outcome is posted to the term's loop.
+// sendCommands sends a direct request in the background and posts its outcome to the term's
+// loop.
 func (dp *Dispatcher) sendCommands(machine *cluster.Machine, commands wire.Commands, launched []*cluster.Attempt) {
 	machine.CommandInFlight = true
-	addr, known := machine.Addr, positionOf(machine)
+	addr, lastPosition := machine.Addr, positionOf(machine)
 	dp.Spawn(func(ctx context.Context) {
 		heartbeat, status, err := dp.Client.Send(ctx, addr, commands, commandTimeout)
 		dp.Post(CommandAnswer{
 			Machine:     machine,
-			KnownBefore: known,
+			KnownBefore: lastPosition,
 			Commands:    commands,
 			Launched:    launched,
 			Heartbeat:   heartbeat,
--- a/internal/leader/agents/dispatcher_test.go
+++ b/internal/leader/agents/dispatcher_test.go
@@ -10,51 +10,51 @@
 	"lilaclead/internal/wire"
 )
 
-// loseInbound makes the inbound path of a machine lost.
-func loseInbound(machine *cluster.Machine) {
+// breakInboundPath records evidence by which messages to a machine are taken not to arrive.
+func breakInboundPath(machine *cluster.Machine) {
 	machine.Inbound.RecordAnswer(0, 1, 8)
 	machine.Inbound.RecordUnansweredCommand()
 	machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.Evidence{MissesLaunch: func() bool { return true }}, time.Now())
 }
 
-func TestCommandsByStateOfAttempt(t *testing.T) {
+func TestCommandsFollowTheStateOfTheAttempt(t *testing.T) {
 	launch, stop := []wire.Verb{wire.VerbLaunch}, []wire.Verb{wire.VerbStop}
 	cases := []struct {
-		name       string
-		setup      func(f *fixture)
-		wantAnswer []wire.Verb // in the answer to a heartbeat
-		wantDirect []wire.Verb // sent directly
+		name           string
+		setup          func(f *fixture)
+		wantInResponse []wire.Verb // in the response to a heartbeat
+		wantDirect     []wire.Verb // sent directly
 	}{
 		{"stored", func(*fixture) {}, launch, launch},
 		{"not stored", func(f *fixture) { f.attempt.Unstored = true }, nil, nil},
 		{"not stored, stopping", func(f *fixture) { f.attempt.Unstored, f.attempt.Stopping = true, true }, nil, nil},
 		{"launch sent", func(f *fixture) { f.attempt.LaunchSent = true }, launch, nil},
 		{"direct launch in flight", func(f *fixture) { f.attempt.LaunchSent, f.attempt.LaunchInFlight = true, true }, nil, nil},
-		{"observed", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, nil, nil},
+		{"seen in a heartbeat", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, nil, nil},
 		{"inherited", func(f *fixture) { f.attempt.Inherited = true }, nil, nil},
 		{"job cancelled", func(f *fixture) { f.job.Cancelled = true }, nil, nil},
 		{"machine draining", func(f *fixture) { f.machine.DrainReason = cluster.DrainIdle }, nil, nil},
-		{"machine receives nothing", func(f *fixture) { loseInbound(f.machine) }, nil, launch},
+		{"inbound path broken", func(f *fixture) { breakInboundPath(f.machine) }, nil, launch},
 		{"stopping", func(f *fixture) { f.attempt.Stopping = true }, stop, stop},
-		{"stopping, observed, on a draining machine", func(f *fixture) {
+		{"stopping, seen in a heartbeat, on a draining machine", func(f *fixture) {
 			f.attempt.Stopping, f.attempt.SeenInHeartbeat, f.machine.DrainReason = true, true, cluster.DrainFaulty
 		}, stop, stop},
-		{"stop sent lately", func(f *fixture) { f.attempt.Stopping, f.attempt.StopSentAt = true, time.Now().Add(-time.Second) }, stop, nil},
-		{"stop sent long ago", func(f *fixture) {
+		{"stop sent less than directStopInterval ago", func(f *fixture) { f.attempt.Stopping, f.attempt.StopSentAt = true, time.Now().Add(-time.Second) }, stop, nil},
+		{"stop sent more than directStopInterval ago", func(f *fixture) {
 			f.attempt.Stopping, f.attempt.StopSentAt = true, time.Now().Add(-directStopInterval-time.Millisecond)
 		}, stop, stop},
-		{"gang not wholly stored", func(f *fixture) { f.job.Gang = &cluster.Gang{} }, nil, nil},
+		{"gang not fully stored", func(f *fixture) { f.job.Gang = &cluster.Gang{} }, nil, nil},
 	}
 	for _, tc := range cases {
-		t.Run(tc.name+", answer", func(t *testing.T) {
+		t.Run(tc.name+", heartbeat response", func(t *testing.T) {
 			f := newFixture(t)
 			tc.setup(f)
 			got := f.CommandsFor(f.machine, heartbeat(11), time.Now())
-			if !slices.Equal(verbs(got), tc.wantAnswer) {
-				t.Errorf("attempt %+v: answered by %v, want %v", *f.attempt, verbs(got), tc.wantAnswer)
+			if !slices.Equal(verbs(got), tc.wantInResponse) {
+				t.Errorf("attempt %+v: commands in the response %v, want %v", *f.attempt, verbs(got), tc.wantInResponse)
 			}
-			if slices.Contains(tc.wantAnswer, wire.VerbLaunch) && (!f.attempt.LaunchSent || f.attempt.ReplySequence != 11 || f.attempt.LaunchInFlight) {
-				t.Errorf("after the launch the attempt is %+v, want it sent in the answer to heartbeat 11", *f.attempt)
+			if slices.Contains(tc.wantInResponse, wire.VerbLaunch) && (!f.attempt.LaunchSent || f.attempt.ReplySequence != 11 || f.attempt.LaunchInFlight) {
+				t.Errorf("after the launch the attempt is %+v, want it sent in the response to heartbeat 11", *f.attempt)
 			}
 		})
 		t.Run(tc.name+", directly", func(t *testing.T) {
@@ -62,35 +62,35 @@
 			tc.setup(f)
 			f.Dispatch(f.machine)
 			if got := f.sentDirectly(t); !slices.Equal(got, tc.wantDirect) {
-				t.Errorf("attempt %+v: sent %v, want %v", *f.attempt, got, tc.wantDirect)
+				t.Errorf("attempt %+v: direct commands %v, want %v", *f.attempt, got, tc.wantDirect)
 			}
 		})
 	}
 }
 
-// sentDirectly returns the verbs of the direct command that is in flight.
+// sentDirectly returns the verbs of the direct request in flight, nil if there is none.
 func (f *fixture) sentDirectly(t *testing.T) []wire.Verb {
 	t.Helper()
 	if !f.machine.CommandInFlight {
 		return nil
 	}
-	answer, ok := (<-f.Events).(CommandAnswer)
-	if !ok || answer.Machine != f.machine || answer.Commands.Token != testToken || answer.Err == nil {
-		t.Fatalf("outcome %+v, want the error of a command with token %d", answer, testToken)
+	outcome, ok := (<-f.Events).(CommandAnswer)
+	if !ok || outcome.Machine != f.machine || outcome.Commands.Token != testToken || outcome.Err == nil {
+		t.Fatalf("outcome %+v, want the error of a request with token %d", outcome, testToken)
 	}
 	launchCount := 0
-	for _, verb := range verbs(answer.Commands.Commands) {
+	for _, verb := range verbs(outcome.Commands.Commands) {
 		if verb == wire.VerbLaunch {
 			launchCount++
 		}
 	}
-	if len(answer.Launched) != launchCount {
-		t.Errorf("%d attempts are listed as launched by %d launches", len(answer.Launched), launchCount)
+	if len(outcome.Launched) != launchCount {
+		t.Errorf("%d attempts are listed as launched by %d launches", len(outcome.Launched), launchCount)
 	}
-	return verbs(answer.Commands.Commands)
+	return verbs(outcome.Commands.Commands)
 }
 
-func TestDirectCommandNeedsAMachineThatCanReceiveIt(t *testing.T) {
+func TestDispatchLaunchesOnlyOnMachinesThatCanReceive(t *testing.T) {
 	cases := []struct {
 		name  string
 		setup func(f *fixture)
@@ -101,7 +101,7 @@
 		{"no address", func(f *fixture) { f.machine.Addr = "" }, false},
 		{"no heartbeat in this term", func(f *fixture) { f.machine.FirstHeartbeatAt = time.Time{} }, false},
 		{"scaling in", func(f *fixture) { f.machine.ScalingIn = true }, false},
-		{"not leading", func(f *fixture) { f.loseStore(false) }, false},
+		{"lease expired", func(f *fixture) { f.expireLease(false) }, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -115,21 +115,21 @@
 	}
 }
 
-func TestWithoutTheStoreOnlyStopsAreSentDirectly(t *testing.T) {
+func TestDispatchSendsOnlyStopsWithoutTheStore(t *testing.T) {
 	f := newFixture(t)
 	stopping := f.addAttempt(f.job, 1, f.machine)
 	stopping.Stopping, stopping.SeenInHeartbeat = true, true
-	f.loseStore(true)
+	f.expireLease(true)
 	f.Dispatch(f.machine)
 	if got, want := f.sentDirectly(t), []wire.Verb{wire.VerbStop}; !slices.Equal(got, want) {
-		t.Errorf("sent %v, want %v", got, want)
+		t.Errorf("direct commands %v, want %v", got, want)
 	}
 	if f.attempt.LaunchSent {
-		t.Error("a launch is marked as sent")
+		t.Error("launch marked as sent without the store")
 	}
 }
 
-func TestCommandsAreBounded(t *testing.T) {
+func TestCommandsAreLimitedToMaxCommands(t *testing.T) {
 	f := newFixture(t)
 	for _, id := range []wire.JobID{"req-2", "req-3", "req-4"} {
 		job := f.addJob(id, wire.KindArray, MaxCommands/2)
@@ -138,18 +138,18 @@
 		}
 	}
 	if len(f.machine.Tasks) <= MaxCommands {
-		t.Fatalf("%d attempts are not more than one answer may hold", len(f.machine.Tasks))
+		t.Fatalf("%d attempts are not more than one response may hold", len(f.machine.Tasks))
 	}
 	f.Dispatch(f.machine)
 	if got := len(f.sentDirectly(t)); got != MaxCommands {
 		t.Errorf("%d direct commands, want %d", got, MaxCommands)
 	}
 	if got := len(f.CommandsFor(f.machine, heartbeat(11), time.Now())); got > MaxCommands {
-		t.Errorf("%d commands in an answer, want at most %d", got, MaxCommands)
+		t.Errorf("%d commands in a heartbeat response, want at most %d", got, MaxCommands)
 	}
 }
 
-func TestWhatHasNoRecordIsStoppedOrForgotten(t *testing.T) {
+func TestUnrecordedAttemptsAreStoppedOrForgotten(t *testing.T) {
 	running := wire.TaskStatus{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseRunning}
 	exited := wire.TaskStatus{Task: "req-1/1", Attempt: 3, Phase: wire.PhaseExited, Cause: wire.CauseDone}
 	cases := []struct {
@@ -174,7 +174,7 @@
 		{"job to be archived", func(f *fixture) { f.job.Finished = true }, heartbeat(11, exited), nil, false},
 		{"job being archived", func(f *fixture) { f.job.Archiving = true }, heartbeat(11, exited), nil, false},
 		{"command in flight", func(f *fixture) { f.machine.CommandInFlight = true }, heartbeat(11, exited), nil, false},
-		{"an older token is shown", func(f *fixture) { f.State.FirstToken = testToken + 1 }, heartbeat(11, exited), nil, false},
+		{"heartbeat with an older token", func(f *fixture) { f.State.FirstToken = testToken + 1 }, heartbeat(11, exited), nil, false},
 		{"an unanswered launch may arrive", func(f *fixture) {
 			f.machine.UnansweredLaunch = cluster.UnansweredCommand{Token: testToken, Epoch: 1}
 		}, heartbeat(11, exited), nil, true},
@@ -194,7 +194,7 @@
 			}
 			for _, command := range got {
 				if command.Verb == wire.VerbStop && (command.GracePeriod == nil || *command.GracePeriod != 0) {
-					t.Errorf("%+v has a grace period, want a stop at once", command)
+					t.Errorf("stop %+v has a grace period, want one of 0 s", command)
 				}
 			}
 		})
--- a/internal/leader/agents/doc.go
+++ b/internal/leader/agents/doc.go
@@ -1,31 +1,31 @@
-// Package agents sends commands to the agents on the machines: launches of attempts that
-// are stored, stops, and probes, which are commands without content.
+// Package agents sends requests to the agents on the machines: launches of stored attempts,
+// stops, and probes, which are requests without commands.
 //
 // # Launches and stops
 //
-// A launch is sent only when its attempt is stored in the key-value store and this
-// controller surely leads: a later leader must find every attempt that may run, and no
-// task may run twice. A stop starts nothing, so it is also sent by a leader that answers
-// heartbeats for a bounded time without the key-value store; an agent that has seen a
-// higher token drops it.
+// A launch is sent only once its attempt is stored in the key-value store, and only while
+// this controller certainly holds the lease: a later leader must find every attempt that may
+// run, and no task may run twice. A stop starts nothing. It is therefore also sent by a
+// leader without the key-value store, for the bounded time in which that leader may answer
+// heartbeats. An agent that has seen a higher token drops the stop.
 //
 // Commands are sent in two ways: directly, as soon as there is something to send, and in
-// the answer to a heartbeat, which repeats whatever has not been shown to have arrived. At
-// most one direct command to a machine is in flight. A direct launch that was not answered
-// may take effect at any later time, as long as the agent has seen no higher token and no
-// newer epoch; it is accounted for until then (see package reconcile).
+// the response to a heartbeat. A heartbeat response repeats every command that no heartbeat
+// has shown to have arrived. At most one direct request to a machine is in flight. A direct
+// launch without a response may take effect at any later time, until the agent has seen a
+// higher token or a newer epoch. The leader accounts for such a launch until then (see
+// package reconcile).
 //
 // # Forgetting an outcome
 //
-// An agent keeps the outcome of an attempt until it is told to forget it. That is only once
-// the outcome is stored, and no launch of the attempt can arrive any more: an agent that
-// has forgotten an attempt would run it once more.
+// An agent keeps the outcome of an attempt until it is told to forget it. The leader does so
+// only once the outcome is stored and no launch of the attempt can arrive any more. Without
+// this, a late launch would make an agent run an attempt again that it has forgotten.
 //
 // # What a probe proves
 //
-// The answer to a probe proves that the machine is alive and has this leader's token, and
-// it holds a heartbeat made after the probe was sent. No answer proves nothing by itself:
-// a machine that did not answer this node is probed through another one, since only the
-// path from here may be cut. An answer through another node proves the same as a direct
-// one.
+// The response to a probe proves that the machine is alive and has seen this leader's token,
+// and it holds a heartbeat made after the probe was sent. A missing response proves nothing
+// by itself, since only the path from this node to the machine may be cut. Such a machine is
+// probed through another controller. A relayed response proves the same as a direct one.
 package agents
--- a/internal/leader/agents/fixture_test.go
+++ b/internal/leader/agents/fixture_test.go
@@ -20,14 +20,14 @@
 	testAttempt wire.AttemptNumber = 7
 )
 
-// fixture is a dispatcher whose commands go nowhere, with one machine that has one stored
-// attempt of a job array.
+// fixture is a dispatcher with one machine that has one stored attempt of a job array. Its
+// requests fail because their context has ended.
 type fixture struct {
 	*Dispatcher
 	machine *cluster.Machine
 	job     *cluster.Job
 	attempt *cluster.Attempt
-	evicted []string // label values of evictions
+	evicted []string // reasons passed to Metrics.TaskInterrupted
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -37,9 +37,9 @@
 	metrics := &core.Metrics{TaskInterrupted: func(reason string) { f.evicted = append(f.evicted, reason) }}
 	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
 	loop := core.NewLoop(lease, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics)
-	ended, end := context.WithCancel(t.Context())
-	end()
-	loop.Begin(ended)
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	loop.Begin(cancelled)
 	t.Cleanup(func() {
 		loop.End("the test is over")
 		loop.Wait()
@@ -54,11 +54,12 @@
 	return f
 }
 
-// loseStore lets the lease end, with heartbeats still answered or not.
-func (f *fixture) loseStore(answering bool) {
+// expireLease makes the lease expire, as without the key-value store. mayAnswerHeartbeats is
+// whether heartbeats may still be answered.
+func (f *fixture) expireLease(mayAnswerHeartbeats bool) {
 	now := time.Now()
 	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
-	if answering {
+	if mayAnswerHeartbeats {
 		f.Lease.RecordAcks(now.Add(time.Hour), now, 0)
 	}
 }
@@ -85,12 +86,11 @@
 	return attempt
 }
 
-// heartbeat returns a heartbeat of the fixture's machine with this term's token.
+// heartbeat returns a heartbeat of the fixture's machine with the term's token.
 func heartbeat(sequence wire.Sequence, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "n-1", Epoch: 1, Sequence: sequence, Token: testToken, Tasks: tasks}
 }
 
-// verbs returns the verbs of commands.
 func verbs(commands []wire.Command) []wire.Verb {
 	var out []wire.Verb
 	for _, command := range commands {
--- a/internal/leader/agents/heartbeat_answers.go
+++ b/internal/leader/agents/heartbeat_answers.go
@@ -7,16 +7,16 @@
 	"lilaclead/internal/wire"
 )
 
-// CommandsFor returns the commands for the answer to a heartbeat. Whatever has not been
-// shown to have arrived is repeated.
+// CommandsFor returns the commands for the response to a heartbeat. A command is repeated
+// until a heartbeat shows that it has arrived.
 func (dp *Dispatcher) CommandsFor(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) []wire.Command {
 	commands := dp.StopCommands(machine, []wire.Command{}, now)
 	commands = appendLaunches(commands, machine, heartbeat)
 	return dp.appendCleanups(commands, machine, heartbeat)
 }
 
-// StopCommands appends the stops of a machine's attempts that are to stop. They may be sent
-// without the key-value store too: a stop starts nothing.
+// StopCommands appends a stop for each of a machine's attempts that is to be stopped. Stops
+// may also be sent without the key-value store, because a stop starts nothing.
 func (dp *Dispatcher) StopCommands(machine *cluster.Machine, commands []wire.Command, now time.Time) []wire.Command {
 	for task, attempt := range machine.Tasks {
 		if len(commands) >= MaxCommands {
@@ -30,7 +30,9 @@
 	return commands
 }
 
-// appendLaunches appends the launches of a machine's attempts that it has not shown yet.
+// appendLaunches appends a launch for each of a machine's attempts that may be launched and
+// that no heartbeat has shown yet, unless a direct launch of it is in flight. It appends none
+// while messages to the machine are taken not to arrive.
 func appendLaunches(commands []wire.Command, machine *cluster.Machine, heartbeat *wire.Heartbeat) []wire.Command {
 	for task, attempt := range machine.Tasks {
 		if len(commands) >= MaxCommands {
@@ -45,37 +47,37 @@
 	return commands
 }
 
-// appendCleanups appends the commands for what a heartbeat shows and this leader has no
-// record of: a stop if it runs, else a forget once that is allowed.
+// appendCleanups appends commands for the attempts in a heartbeat of which this leader has no
+// record: a stop if the attempt has not exited, otherwise a forget once that is allowed.
 func (dp *Dispatcher) appendCleanups(commands []wire.Command, machine *cluster.Machine, heartbeat *wire.Heartbeat) []wire.Command {
 	for i := range heartbeat.Tasks {
-		state := &heartbeat.Tasks[i]
+		status := &heartbeat.Tasks[i]
 		if len(commands) >= MaxCommands {
 			break
 		}
-		task, err := wire.ParseTaskID(state.Task)
+		task, err := wire.ParseTaskID(status.Task)
 		if err != nil {
 			continue
 		}
-		if attempt := machine.Tasks[task]; attempt != nil && attempt.Number == state.Attempt {
+		if attempt := machine.Tasks[task]; attempt != nil && attempt.Number == status.Attempt {
 			continue
 		}
 		switch {
-		case dp.State.IsQuarantined(task.Job): // it may be one of those that can't be decoded
-		case state.Phase != wire.PhaseExited:
-			atOnce := wire.Seconds(0)
-			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &atOnce})
+		case dp.State.IsQuarantined(task.Job): // its record may be one that can't be decoded
+		case status.Phase != wire.PhaseExited:
+			noGracePeriod := wire.Seconds(0)
+			commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: status.Task, Attempt: status.Attempt, GracePeriod: &noGracePeriod})
 		case dp.mayForget(machine, task, heartbeat):
-			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: state.Task, Attempt: state.Attempt})
+			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: status.Task, Attempt: status.Attempt})
 		}
 	}
 	return commands
 }
 
-// mayForget reports whether an agent may forget the outcome of an attempt: it is stored,
-// and no launch that could start the attempt again is in flight to the agent. A forgotten
-// attempt that is launched late would run once more. If such a launch may be in flight it
-// asks for a higher token, which ends it.
+// mayForget reports whether an agent may forget the outcome of an attempt: the outcome is
+// stored, and no launch that could start the attempt again is in flight to the agent. A late
+// launch would run a forgotten attempt again. If an unanswered launch may still arrive,
+// mayForget requests a higher fencing token, with which the agent drops that launch.
 func (dp *Dispatcher) mayForget(machine *cluster.Machine, task wire.TaskID, heartbeat *wire.Heartbeat) bool {
 	if machine.LaunchMayArrive(heartbeat) {
 		dp.Fencing.RaiseRequested = true
@@ -87,8 +89,8 @@
 	return outcomeStored(dp.State.Jobs[task.Job], task)
 }
 
-// outcomeStored reports whether the outcomes of a task's attempts are stored; job is nil if
-// it is not known, that is archived.
+// outcomeStored reports whether the outcomes of a task's attempts are stored. A nil job is
+// one that this leader does not have because it is archived.
 func outcomeStored(job *cluster.Job, task wire.TaskID) bool {
 	if job == nil {
 		return true
@@ -96,10 +98,10 @@
 	if job.Finished || job.Archiving {
 		return false
 	}
-	index := task.Index / job.TasksPerChunk
-	if index >= len(job.Chunks) {
+	chunkIndex := task.Index / job.TasksPerChunk
+	if chunkIndex >= len(job.Chunks) {
 		return true
 	}
-	chunk := job.Chunks[index]
+	chunk := job.Chunks[chunkIndex]
 	return chunk == nil || !chunk.Dirty && !chunk.WriteInFlight
 }
--- a/internal/leader/agents/peer_probe_test.go
+++ b/internal/leader/agents/peer_probe_test.go
@@ -14,22 +14,22 @@
 	"lilaclead/internal/wire"
 )
 
-func TestProbeThroughPeer(t *testing.T) {
+func TestProbeThroughPeerReturnsHeartbeatOrRelayError(t *testing.T) {
 	answer := wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3})
 	cases := []struct {
-		name       string
-		peer       wire.NodeID
-		status     int
-		body       []byte
-		wantStatus int
-		wantRelay  bool // the error is a RelayError
-		wantDecode bool // the error has the cause that the answer is undecodable
-		wantErr    error
+		name            string
+		peer            wire.NodeID
+		status          int
+		body            []byte
+		wantStatus      int
+		wantRelayError  bool // the error is a RelayError
+		wantDecodeError bool // the RelayError has a decoding error as its cause
+		wantErr         error
 	}{
 		{"answered", "b", http.StatusOK, answer, http.StatusOK, false, false, nil},
 		{"refused with a heartbeat", "b", http.StatusConflict, answer, http.StatusConflict, false, false, nil},
 		{"agent not reached", "b", http.StatusBadGateway, nil, http.StatusBadGateway, true, false, nil},
-		{"undecodable answer", "b", http.StatusOK, []byte("no heartbeat"), http.StatusOK, true, true, nil},
+		{"undecodable response", "b", http.StatusOK, []byte("no heartbeat"), http.StatusOK, true, true, nil},
 		{"unknown peer", "c", http.StatusOK, answer, 0, false, false, peer.ErrUnknownPeer},
 	}
 	for _, tc := range cases {
@@ -59,19 +59,19 @@
 					t.Errorf("status %d, want %d", status, tc.wantStatus)
 				}
 				var relayError *RelayError
-				if isRelay := errors.As(err, &relayError); isRelay != tc.wantRelay {
-					t.Errorf("err %v is a RelayError: %v, want %v", err, isRelay, tc.wantRelay)
-				} else if isRelay && (relayError.Peer != tc.peer || relayError.Addr != "10.1.0.9:9000" || (errors.Unwrap(relayError) != nil) != tc.wantDecode) {
-					t.Errorf("err %+v, want one for 10.1.0.9:9000 through %s, undecodable %v", relayError, tc.peer, tc.wantDecode)
+				if isRelayError := errors.As(err, &relayError); isRelayError != tc.wantRelayError {
+					t.Errorf("err %v is a RelayError: %v, want %v", err, isRelayError, tc.wantRelayError)
+				} else if isRelayError && (relayError.Peer != tc.peer || relayError.Addr != "10.1.0.9:9000" || (errors.Unwrap(relayError) != nil) != tc.wantDecodeError) {
+					t.Errorf("err %+v, want one for 10.1.0.9:9000 through %s, undecodable %v", relayError, tc.peer, tc.wantDecodeError)
 				}
 				if tc.wantErr != nil && !errors.Is(err, tc.wantErr) {
 					t.Errorf("err %v, want %v", err, tc.wantErr)
 				}
 				if wire.IsNotSent(err) {
-					t.Errorf("err %v says that nothing was sent", err)
+					t.Errorf("err %v means that nothing was sent, want one after which the request may have arrived", err)
 				}
-				if wantHeartbeat := !tc.wantRelay && tc.wantErr == nil; wantHeartbeat && (err != nil || got.Machine != "n-1" || path != "/peer/ask") {
-					t.Errorf("heartbeat %+v by a request to %s, err %v; want that of n-1 by /peer/ask", got, path, err)
+				if wantHeartbeat := !tc.wantRelayError && tc.wantErr == nil; wantHeartbeat && (err != nil || got.Machine != "n-1" || path != "/peer/ask") {
+					t.Errorf("heartbeat %+v by a request to %s, err %v; want that of n-1 by a request to /peer/ask", got, path, err)
 				}
 				server.Close()
 				network.Close()
--- a/internal/leader/agents/probes_test.go
+++ b/internal/leader/agents/probes_test.go
@@ -13,7 +13,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestProbeIsRepeatedOnceWithTheRightEpoch(t *testing.T) {
+func TestProbeIsRepeatedOnceWithTheEpochOfTheAgent(t *testing.T) {
 	cases := []struct {
 		name       string
 		epoch      wire.AgentEpoch // of the agent
@@ -35,7 +35,7 @@
 				raw, err := io.ReadAll(r.Body)
 				var sent wire.Commands
 				if err != nil || wire.Decode(raw, &sent) != nil || len(sent.Commands) != 0 {
-					t.Errorf("probe %x is not one: %v", raw, err)
+					t.Errorf("request body %x is not a probe: %v", raw, err)
 				}
 				status := http.StatusOK
 				if sent.Epoch != tc.epoch {
@@ -46,7 +46,7 @@
 			f.Probe(f.machine)
 			answer, ok := (<-f.Events).(ProbeAnswer)
 			if !ok || answer.Err != nil || answer.Status != tc.wantStatus || answer.Heartbeat.Epoch != tc.epoch || answer.Relayed {
-				t.Fatalf("outcome %+v, want status %d of epoch %d, directly", answer, tc.wantStatus, tc.epoch)
+				t.Fatalf("outcome %+v, want status %d of epoch %d by a direct probe", answer, tc.wantStatus, tc.epoch)
 			}
 			if want := (Position{Epoch: 1, Sequence: 10}); answer.KnownBefore != want || probes != tc.wantProbes {
 				t.Errorf("%d probes, known before %+v; want %d, %+v", probes, answer.KnownBefore, tc.wantProbes, want)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestProbeGoesDirectlyWhereNoPeerIsConnected(t *testing.T) {
+func TestProbeIsDirectIfNoPeerIsConnected(t *testing.T) {
 	f := newFixture(t)
 	f.Begin(t.Context())
 	f.Client = newTestClient(agentAnswer)
@@ -65,7 +65,7 @@
 	f.Probe(f.machine)
 	answer, ok := (<-f.Events).(ProbeAnswer)
 	if !ok || answer.Err != nil || answer.Relayed {
-		t.Errorf("outcome %+v, want a direct answer", answer)
+		t.Errorf("outcome %+v, want the response to a direct probe", answer)
 	}
 }
 
@@ -73,7 +73,7 @@
 	f := newFixture(t)
 	f.Begin(t.Context())
 	f.Client = newTestClient(agentAnswer)
-	go func() { // takes the outcomes
+	go func() { // discards the outcomes, so that posting them does not block
 		for {
 			select {
 			case <-f.Events:
@@ -108,26 +108,26 @@
 		}
 	}
 	if !f.TokenAnnounced {
-		t.Error("not announced once all machines that can be probed were")
+		t.Error("token not announced after all machines that can be probed were probed")
 	}
 }
 
-func TestTokenIsNotAnnouncedToAllBeforeTheFirstMachineList(t *testing.T) {
+func TestTokenAnnouncementIsNotCompleteBeforeTheFirstMachineList(t *testing.T) {
 	f := newFixture(t)
 	for _, listed := range []bool{false, true} {
 		f.State.MachineListReceived = listed
 		if f.AnnounceToken(); f.TokenAnnounced != listed {
-			t.Errorf("list received %v: announced %v", listed, f.TokenAnnounced)
+			t.Errorf("machine list received %v: token announced %v, want the same", listed, f.TokenAnnounced)
 		}
 	}
 }
 
-func TestTokenIsNotAnnouncedWithoutLeading(t *testing.T) {
+func TestAnnounceTokenProbesNothingUnlessDueAndLeading(t *testing.T) {
 	for name, setup := range map[string]func(f *fixture){
-		"announced before": func(f *fixture) { f.TokenAnnounced = true },
-		"not recovered":    func(f *fixture) { f.State.RecordsRead = false },
-		"store not reached": func(f *fixture) {
-			f.loseStore(true)
+		"already announced": func(f *fixture) { f.TokenAnnounced = true },
+		"records not read":  func(f *fixture) { f.State.RecordsRead = false },
+		"lease expired": func(f *fixture) {
+			f.expireLease(true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 			f.machine.Token = testToken - 1
 			setup(f)
 			if f.AnnounceToken(); f.machine.CommandInFlight {
-				t.Error("probed")
+				t.Error("machine probed")
 			}
 		})
 	}
--- a/internal/leader/agents/relayed_probe.go
+++ b/internal/leader/agents/relayed_probe.go
@@ -8,18 +8,19 @@
 	"lilaclead/internal/wire"
 )
 
-// relayedProbe is a probe that another controller passes on to an agent.
+// relayedProbe is the request by which a leader asks another controller to probe an agent.
 type relayedProbe struct {
 	Addr     string        `cbor:"addr"`
 	Commands wire.Commands `cbor:"orders"`
 }
 
-// relayRetrySeconds is after how many seconds a leader may send a probe again that did not
-// reach the agent.
+// relayRetrySeconds is the Retry-After time of the response to a probe that did not reach the
+// agent.
 const relayRetrySeconds = 1
 
-// ServeRelayedProbe passes a probe on to an agent that the leader can't reach itself. It
-// passes on no launches: the leader accounts for those itself.
+// ServeRelayedProbe forwards a probe to an agent that the leader can't reach itself, and
+// returns the agent's response. It refuses requests with commands: a leader sends its
+// launches itself, as it has to account for them.
 func (c *Client) ServeRelayedProbe(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	probe, ok := readRelayedProbe(r)
 	if !ok {
@@ -34,7 +35,8 @@
 	wire.WriteResponse(w, status, heartbeat)
 }
 
-// readRelayedProbe reads a probe from a request; ok is false if it is none.
+// readRelayedProbe reads a probe from a request. ok is false if the request can't be read, has
+// no address of an agent, or contains commands.
 func readRelayedProbe(r *http.Request) (probe relayedProbe, ok bool) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil || wire.Decode(raw, &probe) != nil {
--- a/internal/leader/agents/stops.go
+++ b/internal/leader/agents/stops.go
@@ -7,7 +7,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Stop requests that an attempt is stopped, and with a task of a gang all of the gang.
+// Stop requests the stop of an attempt or, if its job is a gang, of the whole gang. A repeated
+// request takes effect only if it shortens the grace period.
 func (dp *Dispatcher) Stop(attempt *cluster.Attempt, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
 	if attempt.Job.Gang != nil {
 		dp.StopGang(attempt.Job, gracePeriod, reason)
@@ -36,8 +37,8 @@
 	dp.Dispatch(attempt.Machine)
 }
 
-// stopUnstored ends an attempt that is not stored, and so was never sent; if it is being
-// written it is stopped once that has an outcome.
+// stopUnstored ends an attempt that is not stored; its launch was never sent. An attempt that
+// is being written is only marked, and stopped once the outcome of the write is known.
 func (dp *Dispatcher) stopUnstored(attempt *cluster.Attempt, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
 	if attempt.Chunk.WriteInFlight {
 		markStopping(attempt, gracePeriod, reason)
@@ -50,12 +51,12 @@
 	attempt.Stopping, attempt.GracePeriod, attempt.StopReason = true, gracePeriod, reason
 }
 
-// StopGang stops all tasks of a gang at once: those that are stopped late don't write a
-// checkpoint.
+// StopGang stops all tasks of a gang at the same time, because a task that is stopped later
+// than the others does not write a checkpoint.
 func (dp *Dispatcher) StopGang(job *cluster.Job, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
 	gang := job.Gang
 	if !gang.HasRun && !gang.Inherited {
-		gracePeriod = 0 // there is nothing to save
+		gracePeriod = 0 // there is no progress to checkpoint
 	}
 	if gang.StopRequested && gang.GracePeriod <= gracePeriod {
 		return
@@ -66,8 +67,9 @@
 	}
 }
 
-// StopBrokenGangs handles the gangs that have lost a task: the rest of such a gang can do
-// nothing, and is stopped. A gang that is being stopped gracefully ends by itself.
+// StopBrokenGangs stops the remaining tasks of each gang that has lost a task, since they can
+// do nothing without it. A gang that is being stopped gracefully ends by itself. A gang with
+// no tasks left is queued again.
 func (dp *Dispatcher) StopBrokenGangs() {
 	for job := range dp.State.BrokenGangs {
 		delete(dp.State.BrokenGangs, job)
@@ -77,13 +79,14 @@
 			job.Gang = nil
 			dp.State.RequestCycle()
 		case !job.Gang.Broken:
-			dp.breakGang(job)
+			dp.stopBrokenGang(job)
 		}
 	}
 }
 
-// breakGang marks a gang as broken and stops what is left of it.
-func (dp *Dispatcher) breakGang(job *cluster.Job) {
+// stopBrokenGang marks a gang as broken. It stops the remaining tasks unless they are being
+// stopped gracefully.
+func (dp *Dispatcher) stopBrokenGang(job *cluster.Job) {
 	gang := job.Gang
 	gang.Broken = true
 	dp.Log.Info("gang broken", "job", job.Spec.ID, "attempt", gang.AttemptNumber, "ran", gang.HasRun, "stopping", gang.StoppingGracefully,
@@ -96,9 +99,9 @@
 	}
 }
 
-// StopCancelledJob stops what is left of a cancelled job. For a job that is read during
-// recovery it must be called only once its attempts have been read too: before, nothing of
-// the job seems to be left.
+// StopCancelledJob stops the remaining attempts of a cancelled job, and marks the job as
+// finished if none remain. During recovery it must not be called before the job's attempts
+// have been read: until then the job seems to have none.
 func (dp *Dispatcher) StopCancelledJob(job *cluster.Job) {
 	dp.Log.Info("job stop requested", "job", job.Spec.ID, "reason", cluster.EvictedCancelled, "tasks", job.ActiveTasks)
 	dp.State.CancelledJobs[job] = struct{}{}
--- a/internal/leader/agents/stops_test.go
+++ b/internal/leader/agents/stops_test.go
@@ -19,7 +19,7 @@
 	return job
 }
 
-func TestStopOfOneTaskStopsItsGangAtOnce(t *testing.T) {
+func TestStopOfOneTaskStopsTheWholeGang(t *testing.T) {
 	cases := []struct {
 		name            string
 		setup           func(gang *cluster.Gang)
@@ -50,18 +50,18 @@
 	}
 }
 
-func TestLaterStopOfAGangOnlyShortensTheGracePeriod(t *testing.T) {
+func TestRepeatedStopOfAGangOnlyShortensTheGracePeriod(t *testing.T) {
 	f := newFixture(t)
-	gang := f.addGang()
+	job := f.addGang()
 	for _, step := range []struct{ requested, want wire.Seconds }{{10, 10}, {20, 10}, {4, 4}, {10, 4}} {
-		f.StopGang(gang, step.requested, cluster.EvictedPreempted)
-		if gang.Gang.GracePeriod != step.want {
-			t.Errorf("stop with %v s: grace period %v s, want %v s", step.requested, gang.Gang.GracePeriod, step.want)
+		f.StopGang(job, step.requested, cluster.EvictedPreempted)
+		if job.Gang.GracePeriod != step.want {
+			t.Errorf("stop with %v s: grace period %v s, want %v s", step.requested, job.Gang.GracePeriod, step.want)
 		}
 	}
 }
 
-func TestLaterStopOnlyShortensTheGracePeriod(t *testing.T) {
+func TestRepeatedStopOnlyShortensTheGracePeriod(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.SeenInHeartbeat = true
 	for _, step := range []struct{ requested, want wire.Seconds }{{10, 10}, {20, 10}, {10, 10}, {4, 4}} {
@@ -71,11 +71,11 @@
 		}
 	}
 	if len(f.evicted) != 2 {
-		t.Errorf("evictions %v, want one for each stop that changed something", f.evicted)
+		t.Errorf("evictions %v, want one for each stop that took effect", f.evicted)
 	}
 }
 
-func TestStopOfAnUnstoredAttempt(t *testing.T) {
+func TestStopOfAnUnstoredAttemptEndsItUnlessItIsBeingWritten(t *testing.T) {
 	for name, tc := range map[string]struct {
 		writeInFlight bool
 		wantActive    int
@@ -100,8 +100,8 @@
 
 func TestBrokenGangIsStoppedUnlessItStopsGracefully(t *testing.T) {
 	for name, tc := range map[string]struct {
-		graceful bool
-		want     bool
+		graceful     bool
+		wantStopping bool
 	}{
 		"running":             {false, true},
 		"stopping gracefully": {true, false},
@@ -113,8 +113,8 @@
 			f.State.EndAttempt(job.Attempts()[0], cluster.TaskPending)
 			f.StopBrokenGangs()
 			for _, attempt := range job.Attempts() {
-				if attempt.Stopping != tc.want || tc.want && attempt.StopReason != cluster.EvictedGangIncomplete {
-					t.Errorf("%v: stopping %v for %q, want %v", attempt.Task(), attempt.Stopping, attempt.StopReason, tc.want)
+				if attempt.Stopping != tc.wantStopping || tc.wantStopping && attempt.StopReason != cluster.EvictedGangIncomplete {
+					t.Errorf("%v: stopping %v for %q, want %v", attempt.Task(), attempt.Stopping, attempt.StopReason, tc.wantStopping)
 				}
 			}
 			if !job.Gang.Broken || len(f.State.BrokenGangs) != 0 {
@@ -125,7 +125,7 @@
 			}
 			f.StopBrokenGangs()
 			if job.Gang != nil {
-				t.Error("a gang of which nothing is left is not queued again")
+				t.Error("gang without remaining tasks is not queued again")
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 	f.job.Cancelled = true
 	f.StopCancelledJob(f.job)
 	if !f.attempt.Stopping || f.attempt.GracePeriod != 0 || f.attempt.StopReason != cluster.EvictedCancelled {
-		t.Errorf("stopping %v with %v s for %q", f.attempt.Stopping, f.attempt.GracePeriod, f.attempt.StopReason)
+		t.Errorf("stopping %v with a grace period of %v s for %q, want a stop at once as cancelled", f.attempt.Stopping, f.attempt.GracePeriod, f.attempt.StopReason)
 	}
 	if _, ok := f.State.CancelledJobs[f.job]; !ok || f.job.Finished {
 		t.Errorf("listed as cancelled %v, finished %v; want true, false", ok, f.job.Finished)
