--- a/internal/leader/core/fencing.go
+++ b/internal/leader/core/fencing.go
@@ -7,16 +7,16 @@
 	"lilaclead/internal/wire"
 )
 
-// Fencing is the fencing token of a term, and whether a higher one is being taken.
+// Fencing is the fencing token of a term and the state of its replacement by a higher one.
 type Fencing struct {
 	// Token is the token under which the term acts. It is also the revision of the
 	// leader's key.
 	Token wire.FencingToken
 	// Raising means that the request for a higher token has not been answered.
 	Raising bool
-	// RaiseRequested means that a higher token should be taken at the next chance.
+	// RaiseRequested means that a higher token is to be acquired, not before RaiseNotBefore.
 	RaiseRequested bool
-	// RaiseNotBefore is the earliest time for a raise that was requested.
+	// RaiseNotBefore is the time before which no requested raise begins.
 	RaiseNotBefore time.Time
 }
 
--- a/internal/leader/core/loop.go
+++ b/internal/leader/core/loop.go
@@ -1,9 +1,9 @@
 // Package core holds what the parts of a leader's term share: the event loop, the lease
 // and the fencing token under which the term acts, and the metrics that it updates.
 //
-// One goroutine, the loop of the term, owns all of the term's state. Whatever waits for
-// the network runs in goroutines that Loop.Spawn starts and Loop.Wait waits for; they
-// touch none of that state and hand their results back as events with Loop.Post.
+// One goroutine, the loop of the term, owns all of the term's state. Network I/O runs in
+// goroutines that Loop.Spawn starts and Loop.Wait waits for. They touch none of that state
+// and hand their results back as events with Loop.Post.
 package core
 
 import (
@@ -34,7 +34,7 @@
 	endOnce   sync.Once
 	endReason string
 
-	// ctx is the context of the background work. Begin sets it; it ends with the term.
+	// ctx is the context of the background work, which ends with the term. Begin sets it.
 	ctx        context.Context
 	background sync.WaitGroup
 }
@@ -46,7 +46,7 @@
 // eventBacklog is how many events are buffered before Post blocks.
 const eventBacklog = 32
 
-// NewLoop returns the loop of a term that holds the lease.
+// NewLoop returns the loop of a term with the given lease, which this node holds.
 func NewLoop(lease *election.Lease, log *slog.Logger, metrics *Metrics) *Loop {
 	return &Loop{
 		Lease:   lease,
@@ -58,14 +58,13 @@
 	}
 }
 
-// Begin sets the context of the work that Spawn starts.
+// Begin sets the context of the background work. It must be called before Spawn and Resign.
 func (l *Loop) Begin(ctx context.Context) { l.ctx = ctx }
 
 // Context returns the context that Begin set.
 func (l *Loop) Context() context.Context { return l.ctx }
 
-// Spawn runs work in the background, with a context that ends with the term. Wait waits
-// for its end.
+// Spawn runs work in the background, with the context that Begin set.
 func (l *Loop) Spawn(work func(ctx context.Context)) {
 	ctx := l.ctx
 	l.background.Go(func() { work(ctx) })
@@ -83,7 +82,7 @@
 	}
 }
 
-// End ends the term. Only the reason of the first call counts.
+// End ends the term. Calls after the first have no effect.
 func (l *Loop) End(reason string) {
 	l.endOnce.Do(func() {
 		l.endReason = reason
@@ -94,8 +93,8 @@
 // EndReason returns why the term is over. It must not be called before Done is closed.
 func (l *Loop) EndReason() string { return l.endReason }
 
-// resignationPause is how long this controller does not campaign after it resigned, so
-// that another one can become leader.
+// resignationPause is how long this controller does not campaign for the leadership after it
+// has resigned, so that another one can become leader.
 const resignationPause = 15 * time.Second
 
 // Resign gives up the leadership and ends the term.
--- a/internal/leader/core/loop_test.go
+++ b/internal/leader/core/loop_test.go
@@ -18,20 +18,20 @@
 	return loop
 }
 
-func TestLoopStartsWithTheTokenOfItsLease(t *testing.T) {
+func TestNewLoopHasTheTokenOfItsLease(t *testing.T) {
 	if got := newTestLoop(t.Context()).Fencing.Token; got != 7 {
 		t.Errorf("token: got %d, want 7", got)
 	}
 }
 
-func TestFirstEndReasonCounts(t *testing.T) {
+func TestEndKeepsTheReasonOfTheFirstCall(t *testing.T) {
 	loop := newTestLoop(t.Context())
 	loop.End("lease lost")
 	loop.End("stopped")
 	select {
 	case <-loop.Done:
 	default:
-		t.Error("Done: got open, want closed after End")
+		t.Error("Done is open after End, want it closed")
 	}
 	if got := loop.EndReason(); got != "lease lost" {
 		t.Errorf("end reason: got %q, want %q", got, "lease lost")
@@ -51,14 +51,14 @@
 		}()
 		synctest.Wait()
 		if returned {
-			t.Error("Post with a full backlog: got a return, want it to block")
+			t.Error("Post with a full backlog returned, want it to block")
 		}
 		if got := <-loop.Events; got != 0 {
 			t.Errorf("first event: got %v, want 0", got)
 		}
 		synctest.Wait()
 		if !returned {
-			t.Error("Post after an event was taken: got blocked, want a return")
+			t.Error("Post after an event was received is still blocked, want it to return")
 		}
 		loop.End("stopped")
 		loop.Post("after the end") // must not block
@@ -81,12 +81,12 @@
 		cancel()
 		loop.Wait()
 		if !ended {
-			t.Error("background work at the return of Wait: got running, want ended")
+			t.Error("Wait returned while background work was running")
 		}
 	})
 }
 
-func TestPauseReportsWhetherTheContextOutlivedIt(t *testing.T) {
+func TestPauseReturnsFalseIfTheContextEndsFirst(t *testing.T) {
 	cases := []struct {
 		name    string
 		timeout time.Duration
@@ -95,15 +95,15 @@
 		{"context outlives the pause", 2 * time.Second, true},
 		{"context ends first", time.Second / 2, false},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
+				ctx, cancel := context.WithTimeout(t.Context(), tc.timeout)
 				defer cancel()
 				start := time.Now()
 				got := Pause(ctx, time.Second)
-				if took, want := time.Since(start), min(c.timeout, time.Second); got != c.want || took != want {
-					t.Errorf("Pause of 1s with a context of %v: got %v after %v, want %v after %v", c.timeout, got, took, c.want, want)
+				if elapsed, want := time.Since(start), min(tc.timeout, time.Second); got != tc.want || elapsed != want {
+					t.Errorf("Pause of 1s with a context of %v: got %v after %v, want %v after %v", tc.timeout, got, elapsed, tc.want, want)
 				}
 			})
 		})
--- a/internal/leader/core/metrics.go
+++ b/internal/leader/core/metrics.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Metrics are the functions by which a leader reports what happens. None may be nil.
+// Metrics holds the functions by which a leader updates its metrics. None may be nil.
 type Metrics struct {
 	SchedulingCycle func(duration time.Duration, starts, preemptions int)
 	BecameLeader    func()
--- a/internal/leader/recovery/cancellations.go
+++ b/internal/leader/recovery/cancellations.go
@@ -6,57 +6,59 @@
 	"lilaclead/internal/leader/cluster"
 )
 
-// ApplyCancellations cancels the jobs that the log of cancellations names, however this
-// node learned of them. Their records are read when the key-value store is available.
+// ApplyCancellations cancels the jobs that the log of cancellations names after
+// cancellationCursor, however this node learned of them. Their records are read once the
+// key-value store is available.
 func (r *Records) ApplyCancellations() {
 	ids, cursor := r.Cancels.Since(r.cancellationCursor)
 	r.cancellationCursor = cursor
 	for _, id := range ids {
-		j := r.State.Jobs[id]
-		if j == nil || j.Cancelled {
+		job := r.State.Jobs[id]
+		if job == nil || job.Cancelled {
 			continue
 		}
 		confirmedAt, _ := r.Cancels.ConfirmedAt(id)
 		r.Log.Info("cancellation received", "job", id, "deciding", r.Lease.Deciding())
-		j.RecordOutdated = true
-		r.cancelJob(j, confirmedAt)
+		job.RecordOutdated = true
+		r.cancelJob(job, confirmedAt)
 	}
 	r.publishUnconfirmedCancel()
 }
 
-// cancelJob marks a job as cancelled and, once all records are known, stops it.
-func (r *Records) cancelJob(j *cluster.Job, at time.Time) {
-	j.Cancelled = true
-	j.CancelledAt = at
+// cancelJob marks a job as cancelled, and stops it if the records have been read. Before that,
+// LoadRecords stops it.
+func (r *Records) cancelJob(job *cluster.Job, cancelledAt time.Time) {
+	job.Cancelled = true
+	job.CancelledAt = cancelledAt
 	if r.State.RecordsRead {
-		r.Dispatcher.StopCancelledJob(j)
+		r.Dispatcher.StopCancelledJob(job)
 	}
 }
 
-// publishUnconfirmedCancel publishes the time of the oldest cancellation of a job of which
-// a launch may be in flight, and forgets the cancelled jobs that have ended.
+// publishUnconfirmedCancel publishes the time of the oldest cancellation of a job of which a
+// launch may still be in flight. It removes the jobs without active tasks from CancelledJobs.
 func (r *Records) publishUnconfirmedCancel() {
 	var oldest time.Time
-	for j := range r.State.CancelledJobs {
-		if j.ActiveTasks == 0 {
-			delete(r.State.CancelledJobs, j)
+	for job := range r.State.CancelledJobs {
+		if job.ActiveTasks == 0 {
+			delete(r.State.CancelledJobs, job)
 			continue
 		}
-		older := oldest.IsZero() || j.CancelledAt.Before(oldest)
-		if older && anyLaunchMayBeInFlight(j) {
-			oldest = j.CancelledAt
+		older := oldest.IsZero() || job.CancelledAt.Before(oldest)
+		if older && anyLaunchMayBeInFlight(job) {
+			oldest = job.CancelledAt
 		}
 	}
 	r.Published.UnconfirmedCancelSince.Store(&oldest)
 }
 
-// anyLaunchMayBeInFlight reports whether an agent may still receive a launch of the job.
-// What is not stored was never sent; what an agent has shown, and whose launch was
-// answered, has arrived.
-func anyLaunchMayBeInFlight(j *cluster.Job) bool {
-	for _, a := range j.Attempts() {
-		arrived := a.SeenInHeartbeat && !a.LaunchUnanswered && !a.LaunchInFlight
-		if !a.Unstored && !arrived {
+// anyLaunchMayBeInFlight reports whether an agent may still receive a launch of the job. An
+// attempt that is not stored was never sent. The launch of an attempt has arrived if a
+// heartbeat has shown the attempt and every direct launch of it was answered.
+func anyLaunchMayBeInFlight(job *cluster.Job) bool {
+	for _, attempt := range job.Attempts() {
+		arrived := attempt.SeenInHeartbeat && !attempt.LaunchUnanswered && !attempt.LaunchInFlight
+		if !attempt.Unstored && !arrived {
 			return true
 		}
 	}
--- a/internal/leader/recovery/cancellations_test.go
+++ b/internal/leader/recovery/cancellations_test.go
@@ -15,7 +15,7 @@
 	"lilaclead/internal/wire"
 )
 
-// newTestRecords returns the records of a term with an empty model.
+// newTestRecords returns the Records of a term with an empty model.
 func newTestRecords(ctx context.Context) *Records {
 	lease := election.NewLease(nil, election.Tenure{Token: 50})
 	loop := core.NewLoop(lease, slog.New(slog.DiscardHandler), &core.Metrics{})
@@ -24,40 +24,40 @@
 	return &Records{Loop: loop, State: state, Cancels: cancels.New(nil, time.Minute)}
 }
 
-// addCancelledJob adds a job of one task that was cancelled at a time, with an attempt that
-// setup changes.
-func addCancelledJob(r *Records, id wire.JobID, at time.Time, setup func(*cluster.Attempt)) *cluster.Job {
+// addCancelledJob adds a cancelled job with one task. Its attempt was seen in a heartbeat;
+// setup may change that.
+func addCancelledJob(r *Records, id wire.JobID, cancelledAt time.Time, setup func(*cluster.Attempt)) *cluster.Job {
 	spec := wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}
-	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(at)}, 1)
-	j.Cancelled, j.CancelledAt = true, at
-	a := &cluster.Attempt{Job: j, Chunk: j.Chunk(0), Number: 1, Machine: r.State.GetOrAddMachine("n-1"), SeenInHeartbeat: true}
-	a.Chunk.AddAttempt(a)
-	setup(a)
-	r.State.CancelledJobs[j] = struct{}{}
-	return j
+	job := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(cancelledAt)}, 1)
+	job.Cancelled, job.CancelledAt = true, cancelledAt
+	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Number: 1, Machine: r.State.GetOrAddMachine("n-1"), SeenInHeartbeat: true}
+	attempt.Chunk.AddAttempt(attempt)
+	setup(attempt)
+	r.State.CancelledJobs[job] = struct{}{}
+	return job
 }
 
 func TestCancelIsUnconfirmedWhileALaunchMayBeInFlight(t *testing.T) {
 	cases := []struct {
-		name  string
-		setup func(*cluster.Attempt)
-		want  bool
+		name            string
+		setup           func(*cluster.Attempt)
+		wantUnconfirmed bool
 	}{
-		{"shown by the agent", func(*cluster.Attempt) {}, false},
-		{"not shown by the agent", func(a *cluster.Attempt) { a.SeenInHeartbeat = false }, true},
-		{"launch in flight", func(a *cluster.Attempt) { a.LaunchInFlight = true }, true},
-		{"launch unanswered", func(a *cluster.Attempt) { a.LaunchUnanswered = true }, true},
-		{"not stored, so never sent", func(a *cluster.Attempt) { a.Unstored, a.SeenInHeartbeat = true, false }, false},
-		{"ended", func(a *cluster.Attempt) { a.SeenInHeartbeat = false; a.Detach() }, false},
+		{"seen in a heartbeat", func(*cluster.Attempt) {}, false},
+		{"not seen in a heartbeat", func(attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, true},
+		{"launch in flight", func(attempt *cluster.Attempt) { attempt.LaunchInFlight = true }, true},
+		{"launch unanswered", func(attempt *cluster.Attempt) { attempt.LaunchUnanswered = true }, true},
+		{"not stored, so never sent", func(attempt *cluster.Attempt) { attempt.Unstored, attempt.SeenInHeartbeat = true, false }, false},
+		{"attempt ended", func(attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false; attempt.Detach() }, false},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			r := newTestRecords(t.Context())
 			cancelledAt := time.Now().Add(-time.Second)
-			addCancelledJob(r, "req-1", cancelledAt, c.setup)
+			addCancelledJob(r, "req-1", cancelledAt, tc.setup)
 			r.publishUnconfirmedCancel()
 			want := time.Time{}
-			if c.want {
+			if tc.wantUnconfirmed {
 				want = cancelledAt
 			}
 			if got := r.Published.OldestUnconfirmedCancel(); !got.Equal(want) {
@@ -70,19 +70,19 @@
 func TestOldestUnconfirmedCancelIsPublished(t *testing.T) {
 	r := newTestRecords(t.Context())
 	if got := r.Published.OldestUnconfirmedCancel(); !got.IsZero() {
-		t.Errorf("before the first search: got %v, want the zero time", got)
+		t.Errorf("before the first publication: got %v, want the zero time", got)
 	}
 	now := time.Now()
-	notShown := func(a *cluster.Attempt) { a.SeenInHeartbeat = false }
-	addCancelledJob(r, "req-1", now.Add(-time.Second), notShown)
-	addCancelledJob(r, "req-2", now.Add(-3*time.Second), notShown)
+	notSeen := func(attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }
+	addCancelledJob(r, "req-1", now.Add(-time.Second), notSeen)
+	addCancelledJob(r, "req-2", now.Add(-3*time.Second), notSeen)
 	addCancelledJob(r, "req-3", now.Add(-5*time.Second), func(*cluster.Attempt) {})
-	ended := addCancelledJob(r, "req-4", now.Add(-9*time.Second), func(a *cluster.Attempt) { a.Detach() })
+	ended := addCancelledJob(r, "req-4", now.Add(-9*time.Second), func(attempt *cluster.Attempt) { attempt.Detach() })
 	r.publishUnconfirmedCancel()
 	if got, want := r.Published.OldestUnconfirmedCancel(), now.Add(-3*time.Second); !got.Equal(want) {
 		t.Errorf("oldest unconfirmed cancellation: got %v, want %v", got, want)
 	}
-	if _, kept := r.State.CancelledJobs[ended]; kept {
-		t.Error("cancelled job without active tasks: got kept, want forgotten")
+	if _, listed := r.State.CancelledJobs[ended]; listed {
+		t.Error("cancelled job without active tasks: still in CancelledJobs, want it removed")
 	}
 }
--- a/internal/leader/recovery/events.go
+++ b/internal/leader/recovery/events.go
@@ -8,21 +8,22 @@
 	"lilaclead/upgrade"
 )
 
-// RecordsRead is an event: all that the key-value store holds for a new leader was read.
+// RecordsRead is an event: the records that a new leader needs were read from the key-value
+// store.
 type RecordsRead struct {
 	Jobs, Progress []wire.Entry
 	Version        upgrade.Version
 	Intents        autoscaler.EarlierIntents
 	StartedAt      time.Time // when the read began
 
-	jobsRevision wire.Revision // of the store when the jobs were read
+	jobsRevision wire.Revision // revision of the store at which the jobs were read
 }
 
-// JobRecordsChanged is an event: a watch of the jobs' records was answered.
+// JobRecordsChanged is an event: a watch of the job records returned, with or without changes.
 type JobRecordsChanged struct {
 	Changes   []wire.WatchEvent
 	StartedAt time.Time // when the watch began
 }
 
-// ResignationDue is an event: the leadership must be given up.
+// ResignationDue is an event: this process must not lead, and the term has to resign.
 type ResignationDue struct{ Reason string }
--- a/internal/leader/recovery/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// watchDuration is how long one watch is open. Its answer proves only what was known
-	// when it began, and leases are renewed by that.
+	// watchDuration is how long one watch stays open. Its response proves only that changes up
+	// to the start of the watch are known, and the renewal of leases depends on that time.
 	watchDuration = time.Second
-	// watchRetry is the pause after a watch that failed.
+	// watchRetry is the pause after a failed watch.
 	watchRetry = 250 * time.Millisecond
-	// rereadRetry is the pause before a job's record is read again.
+	// rereadRetry is the pause after a failed read of one job's record.
 	rereadRetry = 300 * time.Millisecond
 )
 
-// watchJobRecords posts the changes of the jobs' records from a revision on, until the
-// context ends.
+// watchJobRecords posts the changes of the job records after a revision until the context
+// ends. It ends the term if the store no longer has these changes.
 func (r *Records) watchJobRecords(ctx context.Context, revision wire.Revision) {
 	for ctx.Err() == nil {
 		startedAt := time.Now()
-		answer, err := r.Store.Watch(ctx, store.JobPrefix, revision, watchDuration)
+		response, err := r.Store.Watch(ctx, store.JobPrefix, revision, watchDuration)
 		if errors.Is(err, store.ErrCompacted) {
 			r.End("fell behind the changes")
 			return
@@ -37,12 +37,12 @@
 			core.Pause(ctx, watchRetry)
 			continue
 		}
-		revision = max(revision, answer.Revision)
-		r.Post(JobRecordsChanged{Changes: answer.Events, StartedAt: startedAt})
+		revision = max(revision, response.Revision)
+		r.Post(JobRecordsChanged{Changes: response.Events, StartedAt: startedAt})
 	}
 }
 
-// ApplyChanges updates the model with changes of the jobs' records.
+// ApplyChanges updates the model with changes of the job records.
 func (r *Records) ApplyChanges(changes []wire.WatchEvent) {
 	for _, change := range changes {
 		if change.PutKey != "" {
@@ -53,22 +53,23 @@
 	}
 }
 
-// applyDeletion forgets what is kept of a job for late events: the deletion of its record
-// is the last one.
+// applyDeletion removes what is kept of a job to handle late events: the deletion of its
+// record is the last event.
 func (r *Records) applyDeletion(id wire.JobID) {
 	delete(r.State.QuarantinedJobs, id)
 	delete(r.State.ArchivedJobs, id)
-	if j := r.State.Jobs[id]; j != nil {
-		j.RecordDeleted = true
+	if job := r.State.Jobs[id]; job != nil {
+		job.RecordDeleted = true
 	}
 }
 
-// jobIDOfKey returns the ID of the job that a record's key names.
+// jobIDOfKey returns the ID of the job whose record has the key.
 func jobIDOfKey(key string) wire.JobID {
 	return wire.JobID(strings.TrimPrefix(key, store.JobPrefix))
 }
 
-// applyJobRecord updates the model with a job record that is new or has changed.
+// applyJobRecord updates the model with a job record that is new or has changed. A job whose
+// record can't be decoded is quarantined.
 func (r *Records) applyJobRecord(key string, value wire.RawValue, revision wire.Revision) {
 	record, err := store.DecodeJob(key, value)
 	if err != nil {
@@ -76,54 +77,54 @@
 		r.State.Quarantine(key, jobIDOfKey(key))
 		return
 	}
-	j := r.findOrAddJob(record, revision)
-	if j == nil || revision < j.Revision {
+	job := r.findOrAddJob(record, revision)
+	if job == nil || revision < job.Revision {
 		return
 	}
 	cancelled := record.Status == wire.StatusCancelled
-	j.Revision = revision
-	j.RecordOutdated = j.Cancelled && !cancelled
+	job.Revision = revision
+	job.RecordOutdated = job.Cancelled && !cancelled
 	record.LogCancellation(r.Cancels)
-	if cancelled && !j.Cancelled {
-		r.cancelJob(j, time.Now().Add(-record.SinceCancelled()))
+	if cancelled && !job.Cancelled {
+		r.cancelJob(job, time.Now().Add(-record.SinceCancelled()))
 	}
 }
 
-// findOrAddJob returns the job of a record, which it adds to the model if it is new. It
-// returns nil for a job that is archived, and if the term must end.
+// findOrAddJob returns the job of a record, and adds it to the model if it is new. It returns
+// nil for an archived job, and for a quarantined one, for which it ends the term.
 func (r *Records) findOrAddJob(record store.JobRecord, revision wire.Revision) *cluster.Job {
 	id := record.Spec.ID
-	if j := r.State.Jobs[id]; j != nil {
-		return j
+	if job := r.State.Jobs[id]; job != nil {
+		return job
 	}
 	if r.State.QuarantinedJobs[id] {
-		// Its progress was not read when the term began.
+		// The job's progress was not read when the term began: a new term has to read it.
 		r.End("a job's record can be decoded again: " + string(id))
 		return nil
 	}
 	if r.State.ArchivedJobs[id] {
-		return nil // a late event
+		return nil // a late event of the watch
 	}
-	j := cluster.NewJob(record, revision)
-	r.State.Jobs[id] = j
+	job := cluster.NewJob(record, revision)
+	r.State.Jobs[id] = job
 	r.State.RequestCycle()
-	return j
+	return job
 }
 
-// OnReread updates the model with a job's record that was read again after a transaction
+// OnReread updates the model with a job's record that was read again because a transaction
 // failed at the guard on it.
-func (r *Records) OnReread(e progress.JobRecordReread) {
-	id := e.Job.Spec.ID
+func (r *Records) OnReread(event progress.JobRecordReread) {
+	id := event.Job.Spec.ID
 	switch {
-	case r.State.Jobs[id] != e.Job:
-		// The watch was faster, and the job is archived.
-	case e.Err == nil:
-		r.applyJobRecord(store.JobKey(id), e.Entry.Value, e.Entry.Revision)
-	case errors.Is(e.Err, store.ErrNotFound):
-		if e.Job.RecordOutdated { // otherwise it is being archived
+	case r.State.Jobs[id] != event.Job:
+		// The job was archived before the record was read.
+	case event.Err == nil:
+		r.applyJobRecord(store.JobKey(id), event.Entry.Value, event.Entry.Revision)
+	case errors.Is(event.Err, store.ErrNotFound):
+		if event.Job.RecordOutdated { // otherwise it is being archived
 			r.End("a live job's record is gone: " + string(id))
 		}
-	case e.Job.RecordOutdated:
-		time.AfterFunc(rereadRetry, func() { r.Post(progress.RereadDue{Job: e.Job}) })
+	case event.Job.RecordOutdated:
+		time.AfterFunc(rereadRetry, func() { r.Post(progress.RereadDue{Job: event.Job}) })
 	}
 }
--- a/internal/leader/recovery/recovery.go
+++ b/internal/leader/recovery/recovery.go
@@ -1,5 +1,5 @@
-// Package recovery reads the records of jobs and their progress at the start of a term,
-// and keeps the model up to date with the jobs' records and cancellations after that.
+// Package recovery reads the records of jobs and of their progress at the start of a term.
+// After that it applies changes of the job records, and cancellations, to the model.
 package recovery
 
 import (
@@ -21,8 +21,8 @@
 	"lilaclead/upgrade"
 )
 
-// Records applies the stored records to the model. Run belongs to a goroutine of its own,
-// the other methods to that of the term's loop.
+// Records applies the stored records to the model. Run is for a goroutine of its own, the
+// other exported methods are for the goroutine of the term's loop.
 type Records struct {
 	*core.Loop
 	State       *cluster.State
@@ -32,61 +32,62 @@
 	Progress    *progress.Reader
 	Dispatcher  *agents.Dispatcher
 	Reconciler  *reconcile.Reconciler
-	// Versions negotiates the active version. It is nil if that is off.
+	// Versions negotiates the active version. It is nil if versions are not negotiated.
 	Versions *upgrade.Member
-	// Intents are what is asked of the cloud. It is nil if they are not recorded.
+	// Intents records the requests to the cloud. It is nil if they are not recorded.
 	Intents *autoscaler.CloudIntents
 
-	// cancellationCursor is the position up to which the log of cancellations was applied.
+	// cancellationCursor is the position in Cancels up to which cancellations were applied.
 	cancellationCursor uint64
 }
 
-// recoveryRetry is the pause before records are read again after an error.
+// recoveryRetry is the pause before all records are read again after an error.
 const recoveryRetry = 300 * time.Millisecond
 
-// Run reads all records for a new term, and then watches those of the jobs until
-// the context ends.
+// Run reads all records for a new term, and then watches the job records until the context
+// ends.
 func (r *Records) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		read, err := r.readAll(ctx)
+		records, err := r.readAll(ctx)
 		if err == nil {
-			r.Post(read)
-			r.watchJobRecords(ctx, read.jobsRevision)
+			r.Post(records)
+			r.watchJobRecords(ctx, records.jobsRevision)
 			return
 		}
-		r.Log.Info("recovery read failed", "err", err)
+		r.Log.Info("reading the records for recovery failed", "err", err)
 		core.Pause(ctx, recoveryRetry)
 	}
 }
 
 // readAll reads all records once.
 func (r *Records) readAll(ctx context.Context) (RecordsRead, error) {
-	read := RecordsRead{StartedAt: time.Now()}
+	records := RecordsRead{StartedAt: time.Now()}
 	var err error
-	read.Jobs, read.jobsRevision, err = r.Store.List(ctx, store.ClassBackground, store.JobPrefix)
+	records.Jobs, records.jobsRevision, err = r.Store.List(ctx, store.ClassBackground, store.JobPrefix)
 	if err != nil {
-		return read, err
+		return records, err
 	}
-	read.Progress, _, err = r.Store.List(ctx, store.ClassBackground, store.ProgressPrefix)
+	records.Progress, _, err = r.Store.List(ctx, store.ClassBackground, store.ProgressPrefix)
 	if err != nil {
-		return read, err
+		return records, err
 	}
-	read.Version, err = r.readVersion(ctx)
+	records.Version, err = r.readVersion(ctx)
 	if err != nil {
-		return read, err
+		return records, err
 	}
 	if r.Intents != nil {
-		read.Intents, err = r.Intents.Load(ctx)
+		records.Intents, err = r.Intents.Load(ctx)
 	}
-	return read, err
+	return records, err
 }
 
-// versionMismatches are the errors after which this process must not lead.
+// versionMismatches are the errors of reading the active version after which this process must
+// not lead.
 var versionMismatches = []error{upgrade.ErrProgramTooOld, upgrade.ErrProgramTooNew, upgrade.ErrUndecodable, upgrade.ErrProcessReplaced}
 
-// readVersion reads the active version for this term, and has the term resign if this
-// process can't act by it. The version is read after the lease was taken, and only leaders
-// switch it, by writes that their token guards: no earlier leader can switch it any more.
+// readVersion reads the active version for this term, and has the term resign if this process
+// must not lead with it. No earlier leader can switch the version after this read: only
+// leaders switch it, with writes that their token guards, and the lease was acquired before.
 func (r *Records) readVersion(ctx context.Context) (upgrade.Version, error) {
 	if r.Versions == nil {
 		return 0, nil
@@ -98,38 +99,40 @@
 	return version, err
 }
 
-// LoadRecords builds the term's model from the records, and starts the work that waited
-// for it.
+// LoadRecords builds the term's model from the records, and then starts the work that needs
+// the model.
 func (r *Records) LoadRecords(jobs, progress []wire.Entry) {
 	for _, entry := range jobs {
 		r.applyJobRecord(entry.Key, entry.Value, entry.Revision)
 	}
 	r.Progress.ReadAll(progress)
-	for _, j := range r.State.Jobs {
-		r.State.RestoreGang(j)
+	for _, job := range r.State.Jobs {
+		r.State.RestoreGang(job)
 	}
 	r.State.RecordsRead = true
 	r.Log.Info("records recovered", "jobs", len(r.State.Jobs), "machines", len(r.State.Machines), "duration", time.Since(r.State.TermStartedAt))
-	r.endFinishedJobs()
+	r.stopCancelledAndMarkFinishedJobs()
 	r.reconcileEarlyHeartbeats()
-	r.cancellationCursor = 0
+	r.cancellationCursor = 0 // earlier calls skipped the jobs that were not in the model yet
 	r.ApplyCancellations()
-	// Delegates must know the cancellations, which are complete only now.
+	// Delegation starts only now: delegates must know all cancellations, and those are complete
+	// only after ApplyCancellations.
 	r.Published.DelegationToken.Store(uint64(r.Fencing.Token))
 	r.Dispatcher.AnnounceToken()
 }
 
-// endFinishedJobs stops the cancelled jobs, and marks those that are over.
-func (r *Records) endFinishedJobs() {
-	for _, j := range r.State.Jobs {
-		if j.Cancelled {
-			r.Dispatcher.StopCancelledJob(j)
+// stopCancelledAndMarkFinishedJobs stops the cancelled jobs, and marks the jobs that are
+// complete or of which nothing remains to be stopped.
+func (r *Records) stopCancelledAndMarkFinishedJobs() {
+	for _, job := range r.State.Jobs {
+		if job.Cancelled {
+			r.Dispatcher.StopCancelledJob(job)
 		}
-		r.State.MarkIfFinished(j)
+		r.State.MarkIfFinished(job)
 	}
 }
 
-// reconcileEarlyHeartbeats reconciles the heartbeats that came before the records.
+// reconcileEarlyHeartbeats reconciles the heartbeats that arrived before the records were read.
 func (r *Records) reconcileEarlyHeartbeats() {
 	for _, heartbeat := range r.Reconciler.EarlyHeartbeats {
 		machine := r.State.GetOrAddMachine(heartbeat.Machine)
