--- a/internal/leader/agents/client.go
+++ b/internal/leader/agents/client.go
@@ -37,7 +37,8 @@
 	maxResponseBytes = 1 << 20
 )
 
-// NewClient returns a client that has up to the given number of connections open at a time.
+// NewClient returns a client that uses up to the given number of connections at a time, or
+// minConnections if that is more.
 func NewClient(network netio.Net, mesh *peer.Mesh, connections int) *Client {
 	bounded := network.Bounded(max(minConnections, connections), dialTimeout)
 	return &Client{
