--- a/internal/leader/delegation/bounds.go
+++ b/internal/leader/delegation/bounds.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	// cancelMargin covers how long a leader takes to learn of a cancellation and to
-	// stop its tasks, and scheduling delays.
+	// cancelMargin covers the time that a leader takes to learn of a cancellation and to stop
+	// the job's tasks, and scheduling delays.
 	cancelMargin = 3 * time.Second
-	// clockDriftDivisor: a lease is taken to be longer by one part in so many, twice
-	// what two clocks can differ in rate.
+	// clockDriftDivisor defines the allowance for clock drift, a five-hundredth of the lease:
+	// twice the difference in rate that two clocks can have.
 	clockDriftDivisor = 500
-	// minCancelAge is the time in which stop commands themselves arrive.
+	// minCancelAge is the time that stop commands take to arrive.
 	minCancelAge = 2 * peer.AckLifetime
 )
 
-// Bounds limit how long leases may be renewed without contact to those who cancel jobs.
+// Bounds limit how long leases may be renewed without contact to the nodes that confirm
+// cancellations.
 type Bounds struct {
-	// MaxDelegationTime is how long a node may renew leases for a leader that it has lost; 0:
-	// never.
+	// MaxDelegationTime is how long a node may renew leases on behalf of a leader that it has
+	// lost contact with; 0 disables delegation.
 	MaxDelegationTime time.Duration
-	// MaxCancelAge is D of the rule in package cancels. Where a lease leaves next to
-	// nothing of the cancellation timeout, it is minCancelAge.
+	// MaxCancelAge is D in the renewal rule of package cancels: a node may renew leases only
+	// while it knows every cancellation that was confirmed longer ago than this. It is at least
+	// minCancelAge, even where the lease takes up most of the cancellation timeout.
 	MaxCancelAge time.Duration
 }
 
@@ -33,62 +35,66 @@
 func BoundsOf(workers config.Workers) Bounds {
 	lease := workers.Lease.Duration()
 	drift := lease / clockDriftDivisor
-	left := workers.CancelTimeout.Duration() - lease - drift - cancelMargin
-	bounds := Bounds{MaxCancelAge: max(left, minCancelAge)}
-	// A delegate must not have heard from the leader for leaderLostAfter: a shorter
-	// time would permit nothing.
-	if left > leaderLostAfter {
-		bounds.MaxDelegationTime = left
+	maxAge := workers.CancelTimeout.Duration() - lease - drift - cancelMargin
+	bounds := Bounds{MaxCancelAge: max(maxAge, minCancelAge)}
+	// A node becomes a delegate only after leaderLostAfter without contact to the leader, so a
+	// delegation that is no longer than that could never be used.
+	if maxAge > leaderLostAfter {
+		bounds.MaxDelegationTime = maxAge
 	}
 	return bounds
 }
 
-// Tenure is what of a leader's term bounds the delegates of the leaders before it, and
-// its own.
+// Tenure describes a leader's term, as far as it bounds how long the delegates of this leader
+// and of earlier ones can answer workers.
 type Tenure struct {
 	StartedAt time.Time
 	// FirstToken is the fencing token with which the term began.
 	FirstToken wire.FencingToken
-	// StoreAvailableSince is when the key-value store was last available again after an outage.
+	// StoreAvailableSince is when the last outage of the key-value store ended.
 	StoreAvailableSince time.Time
 }
 
 const (
-	// maxAckAge is the age up to which an acknowledgement shows that a node heard this
+	// maxAckAge is the age up to which an acknowledgement shows that a node heard from this
 	// leader too recently to be a delegate.
 	maxAckAge = 3 * peer.AckLifetime / 2
-	// recentDelegation is how long after its last renewal, or after this leader's store
-	// was available again, a node may still be a delegate without having said so.
-	recentDelegation = 3 * peer.AckLifetime
+	// unreportedRenewalWindow is how long after its last reported renewal, or after an outage
+	// of this leader's store ended, a node may still act as a delegate without having reported
+	// it.
+	unreportedRenewalWindow = 3 * peer.AckLifetime
 )
 
-// AnswersUntil returns the latest time at which another node can answer a worker as a
-// leader's delegate, or can have answered one.
+// AnswersUntil returns the latest time, past or future, at which another node can answer a
+// worker as a leader's delegate.
 //
-// A node that acknowledged a heartbeat of the last seconds heard this node lead too
-// recently to be a delegate, unless this node did not lead for a while. It says itself
-// when it last renewed a lease, and if that was just now it may be doing so still. It
-// does not know what its former process did, which may have been a delegate until the
-// present one started. If it never acknowledged a token of this term, an earlier
-// leader's delegation may be in force: the last of those was given before this term.
+// A node that recently acknowledged this leader's heartbeat heard from it too recently to be a
+// delegate, unless the leader's store has only just become available again. The node reports
+// when it last renewed a lease, and if that was recent it may still be renewing.
+//
+// The node does not know what its previous process did. That process may have been a delegate
+// until the present one started.
+//
+// If the node has not acknowledged a token of this term, the delegation of an earlier leader may
+// still be valid. The last such delegation was granted before this term.
 func (b Bounds) AnswersUntil(tenure Tenure, node peer.Peer, now time.Time) time.Time {
 	until := latest(node.LastDelegatedRenewal, node.LatestStart)
 	if node.AckToken < tenure.FirstToken {
 		until = latest(until, tenure.StartedAt.Add(b.MaxDelegationTime))
 	}
-	if !node.DelegationGrantedAt.IsZero() && mayStillBeDelegate(tenure, node, now) {
+	if !node.DelegationGrantedAt.IsZero() && mayBeDelegate(tenure, node, now) {
 		until = latest(until, node.DelegationGrantedAt.Add(b.MaxDelegationTime))
 	}
 	return until
 }
 
-// mayStillBeDelegate reports whether a node that this leader delegated to may be
-// renewing leases now.
-func mayStillBeDelegate(tenure Tenure, node peer.Peer, now time.Time) bool {
+// mayBeDelegate reports whether a node that holds a delegation of this leader may be renewing
+// leases now.
+func mayBeDelegate(tenure Tenure, node peer.Peer, now time.Time) bool {
 	outOfContact := now.Sub(node.AckRequestedAt) > maxAckAge
-	renewedRecently := now.Sub(node.LastDelegatedRenewal) < recentDelegation
-	storeJustBack := now.Sub(tenure.StoreAvailableSince) < recentDelegation
-	return outOfContact || renewedRecently || storeJustBack
+	renewedRecently := now.Sub(node.LastDelegatedRenewal) < unreportedRenewalWindow
+	storeOutageJustEnded := now.Sub(tenure.StoreAvailableSince) < unreportedRenewalWindow
+	return outOfContact || renewedRecently || storeOutageJustEnded
 }
 
 func latest(a, b time.Time) time.Time {
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -1,17 +1,16 @@
-// Package delegation implements delegated lease renewal: a node that has lost contact
-// with the leader renews, as the leader's delegate, the leases of workers that turn to
-// it. It answers with the leader's fencing token and starts nothing, so that what runs
-// in a partitioned zone keeps running.
+// Package delegation implements delegated lease renewal: a node that has lost contact with the
+// leader renews, as the leader's delegate, the leases of workers that send it heartbeats. It
+// answers with the leader's fencing token and starts nothing. This keeps the tasks in a
+// partitioned zone running.
 //
-// If the key-value store still names the leader, only the path to the leader is cut,
-// from here and perhaps not from the worker. Then the delegate answers only workers
-// that were redirected to the leader and came back.
+// If the key-value store still names the leader, only the path to the leader is cut. The worker
+// may still reach the leader where this node can't. The delegate then answers only workers that
+// were redirected to the leader and came back.
 //
-// A node may be a delegate for a limited time after it last asked the leader, by a
-// heartbeat that the leader answered while it surely held the leadership. Bounds makes
-// that time short enough for cancellations that the delegate can't learn of: a task
-// ends within the cancellation timeout even if its lease was renewed at the last
-// moment.
+// A delegation is valid for a limited time. That time counts from when the node sent the last
+// heartbeat that the leader answered while it certainly held the leadership. Bounds makes it
+// short enough for cancellations that the delegate can't learn of: a task ends within the
+// cancellation timeout even if its lease was renewed at the last moment.
 package delegation
 
 import (
@@ -25,48 +24,50 @@
 )
 
 const (
-	// leaderLostAfter is how long a delegate must not have heard from the leader.
+	// leaderLostAfter is the time without contact to the leader after which a node may act as
+	// its delegate.
 	leaderLostAfter = 2 * peer.AckLifetime
-	// returnTimePerNode is how long a worker takes to try one node: it gives each 4 s,
-	// and pauses for a second between two.
-	returnTimePerNode = 5 * time.Second
-	// minRedirectsKept is how many workers' redirects are kept at least.
-	minRedirectsKept = 1000
+	// workerTimePerNode is the time that a worker spends on one node before it tries the next:
+	// a request timeout of 4 s, and a pause of 1 s.
+	workerTimePerNode = 5 * time.Second
+	// minRedirectCapacity bounds from below the number of workers whose redirects are
+	// remembered.
+	minRedirectCapacity = 1000
 )
 
-// Mesh is what a delegate needs of the connections between the nodes.
+// Mesh is the part of the connections between the nodes that a delegate uses.
 type Mesh interface {
 	View() *peer.View
-	// RecordRenewal records, for others to learn, that this node is about to renew
-	// leases as a delegate.
+	// RecordRenewal records that this node is about to renew leases as a delegate, so that the
+	// other nodes learn of it.
 	RecordRenewal()
-	// SinceRenewal returns how long ago this node last renewed a lease as a delegate;
-	// 0: never.
+	// SinceRenewal returns the time since this node last renewed a lease as a delegate; 0 if it
+	// never did.
 	SinceRenewal() time.Duration
 }
 
-// Config is what a delegate works with.
+// Config holds the dependencies and limits of a delegate.
 type Config struct {
 	Bounds  Bounds
 	Mesh    Mesh
 	Cancels *cancels.Log
-	// Nodes and Workers are how many there are.
+	// Nodes and Workers are the numbers of controllers and of workers.
 	Nodes, Workers int
-	// HeartbeatInterval is the interval of workers' heartbeats.
+	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval time.Duration
-	// MaxCommands bounds the commands of one answer.
+	// MaxCommands bounds the number of commands in one answer.
 	MaxCommands int
 }
 
-// Delegate renews leases for a leader that this node has lost contact with. It is safe
+// Delegate renews leases on behalf of a leader that this node has lost contact with. It is safe
 // for concurrent use.
 type Delegate struct {
 	Config
-	// ownDelegation is what this node granted itself while it led.
+	// ownDelegation is the delegation that this node granted itself while it led.
 	ownDelegation atomic.Pointer[peer.Delegation]
 
 	mu sync.Mutex
-	// redirectedAt is when workers last turned to this node without being answered.
+	// redirectedAt is when each worker was last recorded by Returned.
 	redirectedAt map[wire.MachineID]time.Time
 }
 
@@ -75,24 +76,24 @@
 	return &Delegate{Config: c, redirectedAt: map[wire.MachineID]time.Time{}}
 }
 
-// GrantSelf lets this node be its own delegate once it leads no more, for a while after
-// sent, at which it surely led with the token.
-func (d *Delegate) GrantSelf(token wire.FencingToken, sent time.Time) {
-	d.ownDelegation.Store(&peer.Delegation{Token: token, RequestedAt: sent})
+// GrantSelf makes this node its own delegate for when it no longer leads. The delegation counts
+// from requestedAt. The node certainly led with the token at that time or later.
+func (d *Delegate) GrantSelf(token wire.FencingToken, requestedAt time.Time) {
+	d.ownDelegation.Store(&peer.Delegation{Token: token, RequestedAt: requestedAt})
 }
 
-// MayRenew reports whether a worker's lease may be renewed now, whoever answers it and
-// on whatever grounds: every cancellation that any node confirmed before
-// Bounds.MaxCancelAge ago is known here. (A leader that the key-value store refused
-// alone, and that went on serving in the outage that followed, renewed leases for
-// peer.OutageLimit without knowing what other nodes had confirmed in between.)
+// MayRenew reports whether this node, as leader or as delegate, may renew workers' leases now:
+// it must know every cancellation that any node confirmed more than Bounds.MaxCancelAge ago.
+// Without this rule, a leader that alone is refused by the key-value store, and that keeps
+// serving in a store outage that follows, renews leases for peer.OutageLimit without knowing
+// the cancellations that other nodes confirmed in between.
 func (d *Delegate) MayRenew(now time.Time) bool {
 	knownUntil := d.Cancels.Watermark()
 	return !knownUntil.IsZero() && now.Sub(knownUntil) < d.Bounds.MaxCancelAge
 }
 
-// StopCommands returns the commands that a node which may start nothing sends a worker with
-// the renewal of its lease: to stop the tasks that are known to be cancelled.
+// StopCommands returns the commands that a node which must not start tasks sends to a worker
+// with the renewal of its lease. They stop the tasks that are known to be cancelled.
 func (d *Delegate) StopCommands(heartbeat *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
 	for i := range heartbeat.Tasks {
@@ -106,7 +107,7 @@
 	return stops
 }
 
-// mustStop reports whether a task runs although its job is known to be cancelled.
+// mustStop reports whether a task has not exited although its job is known to be cancelled.
 func (d *Delegate) mustStop(state *wire.TaskStatus) bool {
 	task, err := wire.ParseTaskID(state.Task)
 	if err != nil || state.Phase == wire.PhaseExited {
@@ -121,9 +122,10 @@
 	return wire.Command{Verb: wire.VerbStop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &noGracePeriod}
 }
 
-// renewalToken returns the token with which this node may renew the lease of a worker
-// that has seen a token, and whether it may: the delegation must be the newest that the
-// node knows of, from a leader that it has not heard from since.
+// renewalToken returns the token with which this node may renew the lease of a worker that has
+// seen the given token, and whether it may. The delegation must be recent and carry the newest
+// token that the node or the worker knows, the node must have lost contact with the leader, and
+// MayRenew must allow it.
 func (d *Delegate) renewalToken(seen wire.FencingToken) (wire.FencingToken, bool) {
 	view, now := d.Mesh.View(), time.Now()
 	delegation := d.newestDelegation(view)
@@ -141,14 +143,15 @@
 	return view.Delegation
 }
 
-// Answer returns the answer to a heartbeat for a lost leader, nil if this node may not
-// give one.
+// Answer answers a heartbeat on behalf of a leader that this node has lost contact with. It
+// returns nil if the node may not renew the lease.
 func (d *Delegate) Answer(heartbeat *wire.Heartbeat) *wire.Commands {
 	if _, ok := d.renewalToken(heartbeat.Token); !ok {
 		return nil
 	}
 	d.Mesh.RecordRenewal()
-	// Checked again now that others can learn of the renewal: see Mesh.RecordRenewal.
+	// The check is repeated after the renewal is recorded. A node whose heartbeat arrives later
+	// learns of the renewal; one whose heartbeat arrived before is taken into account here.
 	token, ok := d.renewalToken(heartbeat.Token)
 	if !ok {
 		return nil
@@ -156,22 +159,22 @@
 	return &wire.Commands{Token: token, Commands: d.StopCommands(heartbeat)}
 }
 
-// Returned reports whether a worker was redirected to the leader from here recently and
-// is here again, and records that it was here now.
+// Returned reports whether a worker has come back to this node soon after this node redirected
+// it to the leader. It also records the worker as redirected now.
 func (d *Delegate) Returned(id wire.MachineID, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	redirectedAt, ok := d.redirectedAt[id]
-	if len(d.redirectedAt) > 2*max(d.Workers, minRedirectsKept) {
+	if len(d.redirectedAt) > 2*max(d.Workers, minRedirectCapacity) {
 		clear(d.redirectedAt)
 	}
 	d.redirectedAt[id] = now
-	timeForAllNodes := time.Duration(d.Nodes) * returnTimePerNode
+	timeForAllNodes := time.Duration(d.Nodes) * workerTimePerNode
 	return ok && now.Sub(redirectedAt) < timeForAllNodes
 }
 
-// RenewedRecently reports whether this node renewed workers' leases as a delegate recently: those
-// workers are not cut off from the leader that is back.
+// RenewedRecently reports whether this node recently renewed workers' leases as a delegate. Now
+// that the leader can be reached again, those workers can reach it themselves.
 func (d *Delegate) RenewedRecently() bool {
 	sinceRenewal := d.Mesh.SinceRenewal()
 	return sinceRenewal > 0 && sinceRenewal < 2*d.HeartbeatInterval+2*peer.AckLifetime
--- a/internal/leader/election/candidate.go
+++ b/internal/leader/election/candidate.go
@@ -1,7 +1,6 @@
-// Package election elects one leader among the controllers: leadership is a lease of
-// package duty. This package adds the bound on how long a leader may answer workers'
-// heartbeats once it can't renew that lease. It knows nothing of jobs, machines or
-// workers.
+// Package election elects one leader among the controllers. Leadership is a lease of package
+// duty. This package adds the bound on how long a leader that can't renew the lease may still
+// answer workers' heartbeats. It does not depend on jobs, machines or workers.
 package election
 
 import (
@@ -16,45 +15,43 @@
 )
 
 const (
-	// leaseTTL is how long the leadership stays taken after its holder's last
-	// renewal.
+	// leaseTTL is the time from the last renewal to the expiry of the lease.
 	leaseTTL = 3 * time.Second
-	// renewEvery leaves time for three renewal attempts before the lease expires.
-	renewEvery = 700 * time.Millisecond
-	// renewTimeout bounds one attempt to renew.
+	// renewInterval leaves time for three renewal attempts before the lease expires.
+	renewInterval = 700 * time.Millisecond
+	// renewTimeout bounds one renewal attempt.
 	renewTimeout = time.Second
-	// safetyMargin is how long before its lease expires a leader stops deciding: it
-	// covers the drift of the clocks over leaseTTL and scheduling delays.
+	// safetyMargin is how long before the expiry of its lease a leader stops deciding. It
+	// covers clock drift over leaseTTL and scheduling delays.
 	safetyMargin = 150 * time.Millisecond
-	// safeTTL is how long a leader may decide after it sent the request for its
-	// lease, or for the lease's renewal: the lease can't expire earlier than leaseTTL
-	// after that.
+	// safeTTL is how long a leader may decide, counted from when it sent the request to
+	// acquire or renew its lease. The lease expires leaseTTL after that at the earliest.
 	safeTTL = leaseTTL - safetyMargin
 )
 
 const (
-	// minPollInterval is how often the other candidates read who leads, unless the
-	// key-value store's rate limit asks for less.
+	// minPollInterval is the time between a candidate's reads of the current leader, where the
+	// key-value store's rate limit permits it.
 	minPollInterval = 500 * time.Millisecond
-	// maxPollInterval bounds how late a vacant leadership is noticed.
+	// maxPollInterval bounds the delay until a vacant leadership is noticed.
 	maxPollInterval = 4 * minPollInterval
-	// pollJitter spreads the candidates' reads.
+	// pollJitter spreads the candidates' reads over time.
 	pollJitter = minPollInterval / 4
-	// callsPerPoll is the share of the key-value store's calls that polling may take:
-	// the polls of all candidates together are at most one in so many.
+	// callsPerPoll limits the share of the key-value store's rate limit that polling uses: all
+	// candidates together make at most one poll per so many permitted calls.
 	callsPerPoll = 6
 )
 
 // Candidate campaigns for the leadership on behalf of one process.
 type Candidate struct{ *duty.Candidate }
 
-// NewCandidate returns the candidate of a node, which calls observe with every fencing
-// token that it sees.
+// NewCandidate returns the candidate of a node. It calls observe with every fencing token that
+// it sees.
 func NewCandidate(cfg *config.Config, client *store.Client, log *slog.Logger, observe func(context.Context, wire.FencingToken)) *Candidate {
 	return New(Options(cfg, client, log, observe))
 }
 
-// New returns a candidate with the caller's own options.
+// New returns a candidate with the given options.
 func New(options duty.Options) *Candidate { return &Candidate{duty.NewCandidate(options)} }
 
 // Options returns the options with which a node campaigns for the leadership.
@@ -67,7 +64,7 @@
 		ObserveToken: observe,
 		Timing: duty.Timing{
 			TTL:          leaseTTL,
-			RenewEvery:   renewEvery,
+			RenewEvery:   renewInterval,
 			RenewTimeout: renewTimeout,
 			Margin:       safetyMargin,
 			Poll:         pollInterval(&cfg.Settings),
@@ -76,16 +73,16 @@
 	}
 }
 
-// pollInterval returns how often a candidate reads who leads. It is longer where the
-// key-value store allows few calls a second.
+// pollInterval returns the time between a candidate's reads of the current leader. It is longer
+// where the key-value store permits few calls a second.
 func pollInterval(settings *config.Settings) time.Duration {
 	pollingNodes := float64(settings.Size - 1)
 	callsPerSecond := max(1, settings.State.Strictest().RPS)
-	affordable := time.Duration(float64(time.Second) * callsPerPoll * pollingNodes / callsPerSecond)
-	return max(minPollInterval, min(maxPollInterval, affordable))
+	rateLimited := time.Duration(float64(time.Second) * callsPerPoll * pollingNodes / callsPerSecond)
+	return max(minPollInterval, min(maxPollInterval, rateLimited))
 }
 
-// Campaign waits until nobody leads and takes the leadership. It returns nil once the
+// Campaign waits until nobody leads, then acquires the leadership. It returns nil once the
 // context has ended.
 func (c *Candidate) Campaign(ctx context.Context) *Lease {
 	lease := c.Candidate.Campaign(ctx)
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -14,8 +14,8 @@
 	"lilaclead/internal/wire"
 )
 
-// withStore runs a test with a simulated key-value store and a function that starts a
-// process of a node.
+// withStore runs a test with a simulated key-value store and a function that creates the
+// candidate of a new process of a node.
 func withStore(t *testing.T, test func(ctx context.Context, state *simulator.KVStore, newProcess func(node int) *Candidate)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,26 +37,26 @@
 	})
 }
 
-// renewInBackground renews a lease and sends what ended it.
+// renewInBackground renews a lease and sends the error that ended the renewals.
 func renewInBackground(ctx context.Context, lease *Lease) <-chan error {
-	lost := make(chan error, 1)
-	go func() { lost <- lease.KeepAlive(ctx, func(time.Time) {}) }()
-	return lost
+	leaseLost := make(chan error, 1)
+	go func() { leaseLost <- lease.KeepAlive(ctx, func(time.Time) {}) }()
+	return leaseLost
 }
 
-// pollSettings are the settings of a cluster of so many controllers whose key-value
-// store allows so many calls a second.
+// pollSettings returns the settings of a cluster with size controllers, whose key-value store
+// permits rps calls a second.
 func pollSettings(size int, rps float64) config.Settings {
 	return config.Settings{Size: size, State: config.StoreLimits{RPS: rps}}
 }
 
-// A leader that can't renew stops deciding before its grant can end, also when the
-// answers to its renewals arrive late: it counts from when it sent them. Another
-// leads only after that, with a higher token.
+// A leader that can't renew its lease stops deciding before its grant can end. This holds even
+// when the answers to its renewals arrive late, since a lease counts from when the request was
+// sent. Another node leads only after that, with a higher token.
 func TestSuccessorLeadsOnlyAfterLeaderStopsDeciding(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		delay time.Duration // of the answers to renewals
+		name        string
+		answerDelay time.Duration // of the answers to renewals
 	}{
 		{"prompt answers", 0},
 		{"late answers", 400 * time.Millisecond},
@@ -64,63 +64,63 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
-				testSuccession(t, ctx, state, newProcess, c.delay)
+				testSuccession(t, ctx, state, newProcess, c.answerDelay)
 			})
 		})
 	}
 }
 
-func testSuccession(t *testing.T, ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate, delay time.Duration) {
+func testSuccession(t *testing.T, ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate, answerDelay time.Duration) {
 	first := newProcess(0).Campaign(ctx)
-	lost := renewInBackground(ctx, first)
+	leaseLost := renewInBackground(ctx, first)
 	elected, other := make(chan *Lease, 1), newProcess(1)
 	go func() { elected <- other.Campaign(ctx) }()
-	state.DelayAnswers(simulator.NodeIP(0), delay)
+	state.DelayAnswers(simulator.NodeIP(0), answerDelay)
 	time.Sleep(10 * time.Second)
 	if !first.Deciding() || len(elected) > 0 {
-		t.Errorf("answers %v late: decides %v, succeeded %v, want true, false", delay, first.Deciding(), len(elected) > 0)
+		t.Errorf("answers %v late: deciding %v, successor elected %v, want true, false", answerDelay, first.Deciding(), len(elected) > 0)
 	}
 	state.RefuseClient(simulator.NodeIP(0), true)
 	for first.Deciding() {
 		if len(state.Keys(store.LeaderKey)) == 0 {
-			t.Errorf("answers %v late: decides without a grant", delay)
+			t.Errorf("answers %v late: deciding after the grant has ended", answerDelay)
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
 	second := <-elected
 	if first.Deciding() || !second.Deciding() || second.Token() <= first.Token() {
-		t.Errorf("answers %v late: tokens %d and %d, decide %v and %v, want a higher token and false, true",
-			delay, first.Token(), second.Token(), first.Deciding(), second.Deciding())
+		t.Errorf("answers %v late: tokens %d and %d, deciding %v and %v, want a higher second token and false, true",
+			answerDelay, first.Token(), second.Token(), first.Deciding(), second.Deciding())
 	}
 	state.RefuseClient(simulator.NodeIP(0), false)
-	if err := <-lost; !errors.Is(err, ErrGrantExpired) {
-		t.Errorf("answers %v late: lost by %v, want %v", delay, err, ErrGrantExpired)
+	if err := <-leaseLost; !errors.Is(err, ErrGrantExpired) {
+		t.Errorf("answers %v late: the first lease ended with %v, want %v", answerDelay, err, ErrGrantExpired)
 	}
 	if got := other.Holder(time.Now(), time.Second); got != "" {
-		t.Errorf("the leader knows %q as another leader, want none", got)
+		t.Errorf("the leader takes %q for another leader, want none", got)
 	}
 }
 
-// A new process takes over the lease of its node's former one without waiting for the
-// grant to end. What the former process would still write fails.
-func TestNewProcessReplacesFormerOneOfItsNode(t *testing.T) {
+// A new process of a node replaces the lease of the node's previous process without waiting for
+// the grant to end. Later writes of the previous process fail.
+func TestNewProcessReplacesLeaseOfPreviousProcess(t *testing.T) {
 	withStore(t, func(ctx context.Context, _ *simulator.KVStore, newProcess func(int) *Candidate) {
 		first := newProcess(0).Campaign(ctx)
 		renewInBackground(ctx, first)
 		startedAt := time.Now()
 		second := newProcess(0).Campaign(ctx)
-		if took := time.Since(startedAt); took > 2*time.Second || second.Token() <= first.Token() {
-			t.Errorf("leads after %v with token %d after %d, want within 2s with a higher one", took, second.Token(), first.Token())
+		if elapsed := time.Since(startedAt); elapsed > 2*time.Second || second.Token() <= first.Token() {
+			t.Errorf("leads after %v with token %d after %d, want within 2s with a higher one", elapsed, second.Token(), first.Token())
 		}
 		if _, err := first.RaiseToken(ctx, first.Token()); !errors.Is(err, ErrHeldByOther) {
-			t.Errorf("the former process raises its token: %v, want %v", err, ErrHeldByOther)
+			t.Errorf("the previous process raises its token: %v, want %v", err, ErrHeldByOther)
 		}
 	})
 }
 
-// A token is raised exactly once, whatever happens to the answers. A lease that is
-// no longer held can't be raised.
+// A request to raise the token takes effect exactly once, even if requests or answers are lost
+// and the request is repeated. The token of a lease that is no longer held can't be raised.
 func TestRaiseTokenIsIdempotent(t *testing.T) {
 	withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
 		lease := newProcess(0).Campaign(ctx)
@@ -134,34 +134,34 @@
 			injectFault()
 			token, err := lease.RaiseToken(ctx, old)
 			if err != nil || token <= old {
-				t.Errorf("%s: token %d after %d, %v, want a higher one", name, token, old, err)
+				t.Errorf("%s: token %d after %d, error %v, want a higher token", name, token, old, err)
 			}
 			if again, err := lease.RaiseToken(ctx, old); err != nil || again != token {
-				t.Errorf("%s: raised again from the old one: %d, %v, want %d", name, again, err, token)
+				t.Errorf("%s: raised again from the old token: %d, error %v, want %d", name, again, err, token)
 			}
 			old = token
 		}
 		state.Delete(store.LeaderKey)
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrNoHolder) {
-			t.Errorf("without a key: %v, want %v", err, ErrNoHolder)
+			t.Errorf("without a leader key: %v, want %v", err, ErrNoHolder)
 		}
 		state.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrHeldByOther) {
-			t.Errorf("with another's key: %v, want %v", err, ErrHeldByOther)
+			t.Errorf("with the leader key of another node: %v, want %v", err, ErrHeldByOther)
 		}
 	})
 }
 
-// A node that resigns leaves the leadership to the others at once, and does not
-// take it back before the time that it named.
+// A node that resigns frees the leadership at once, and does not acquire it again before the
+// time that it gave.
 func TestResignedNodeBacksOff(t *testing.T) {
 	withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
 		candidate := newProcess(0)
 		lease := candidate.Campaign(ctx)
-		lost := renewInBackground(ctx, lease)
+		leaseLost := renewInBackground(ctx, lease)
 		until := time.Now().Add(15 * time.Second)
 		lease.Resign(ctx, until)
-		if err := <-lost; !errors.Is(err, ErrGrantExpired) {
+		if err := <-leaseLost; !errors.Is(err, ErrGrantExpired) {
 			t.Errorf("after resigning: %v, want %v", err, ErrGrantExpired)
 		}
 		if keys := state.Keys(store.LeaderKey); len(keys) != 0 {
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/peer"
 )
 
-// Why a lease is lost.
+// Errors that tell why a lease was lost.
 var (
 	// ErrGrantExpired reports that the key-value store has ended the lease's grant.
 	ErrGrantExpired = duty.ErrGrantExpired
@@ -18,62 +18,64 @@
 	ErrHeldByOther = duty.ErrHeldByOther
 )
 
-// Tenure are the terms on which a lease was taken.
+// Tenure describes how a lease was acquired.
 type Tenure = duty.Acquisition
 
 // Lease is the leadership as its holder knows it. It is safe for concurrent use.
 type Lease struct {
 	*duty.Lease
-	// answersUntil counts from when the lease was taken, so that no step of the wall
-	// clock changes it.
-	answersUntil atomic.Int64
+	// mayAnswerFor is the duration since AcquiredAt during which heartbeats may be answered
+	// without the key-value store. As a duration it does not depend on the wall clock.
+	mayAnswerFor atomic.Int64
 }
 
-// NewLease returns a lease that was taken on these terms.
-func NewLease(c *Candidate, terms Tenure) *Lease {
+// NewLease returns a lease that was acquired as described by tenure. The candidate may be nil.
+func NewLease(c *Candidate, tenure Tenure) *Lease {
 	if c == nil {
-		return &Lease{Lease: duty.NewLease(nil, terms)}
+		return &Lease{Lease: duty.NewLease(nil, tenure)}
 	}
-	return &Lease{Lease: duty.NewLease(c.Candidate, terms)}
+	return &Lease{Lease: duty.NewLease(c.Candidate, tenure)}
 }
 
-// Deciding reports whether this node surely holds the leadership.
+// Deciding reports whether this node certainly holds the leadership.
 func (l *Lease) Deciding() bool { return l.Held() }
 
-// MayAnswerHeartbeats reports whether workers' heartbeats may be answered: while the lease surely
-// has not expired or, with the key-value store unavailable, while a majority of the
-// nodes acknowledged this node's token recently and peer.OutageLimit has not passed.
+// MayAnswerHeartbeats reports whether workers' heartbeats may be answered. They may while the
+// lease certainly has not expired. After that, with the key-value store unavailable, they may
+// until the time set by RecordAcks.
 func (l *Lease) MayAnswerHeartbeats() bool {
-	return l.Deciding() || int64(time.Since(l.AcquiredAt())) < l.answersUntil.Load()
+	return l.Deciding() || int64(time.Since(l.AcquiredAt())) < l.mayAnswerFor.Load()
 }
 
-// RecordAcks sets how long heartbeats may be answered without the key-value store:
-// until the majority's acknowledgements of the token are too old, and no longer than
-// outageLimit allows. The age of the oldest acknowledgement of any other node counts
-// from when it was asked for.
-func (l *Lease) RecordAcks(majorityUntil, oldest time.Time, delegationTime time.Duration) {
-	until := min(majorityUntil.Sub(l.AcquiredAt()), l.outageLimit(oldest, delegationTime))
-	l.answersUntil.Store(int64(until))
+// RecordAcks sets how long heartbeats may be answered without the key-value store: until
+// majorityUntil, when a majority's acknowledgements of this node's token become too old, and no
+// longer than outageLimit allows. oldestAck is the oldest of the other nodes' latest
+// acknowledgements, timed from when each was requested.
+func (l *Lease) RecordAcks(majorityUntil, oldestAck time.Time, delegationTime time.Duration) {
+	mayAnswerFor := min(majorityUntil.Sub(l.AcquiredAt()), l.outageLimit(oldestAck, delegationTime))
+	l.mayAnswerFor.Store(int64(mayAnswerFor))
 }
 
-// outageLimit returns, as a time since the lease was taken, until when heartbeats may
-// be answered without the key-value store. It counts peer.OutageLimit from the end of
-// the grant, so that a successor knows when this node answered last, at the latest.
+// outageLimit returns, as a duration since AcquiredAt, how long heartbeats may be answered
+// without the key-value store. peer.OutageLimit counts from the end of the grant, so that a
+// successor knows the latest time at which this node can have answered.
 //
-// While not all nodes acknowledge the token this may be no outage of the store but a
-// network partition, on whose other side another node leads and users cancel jobs. Then
-// the limit is no longer than a node may be a delegate. A successor relies on that: a
-// node that never acknowledged the successor's token has not acknowledged this node's
-// since either. (Acknowledgements count from when they were asked for, not from when
-// they arrived: one that was delayed on its way says nothing about the present.)
+// If some node does not acknowledge the token, the cause may be a network partition rather than
+// an outage of the store: another node may lead on the other side, and users may cancel jobs
+// there. The limit is then no longer than a node may be a delegate. A successor relies on that,
+// since a node that never acknowledged the successor's token has not acknowledged this node's
+// token since the successor's term began either.
+//
+// An acknowledgement counts from when it was requested, not from when it arrived: one that was
+// delayed in the network says nothing about the present.
 func (l *Lease) outageLimit(oldestAck time.Time, delegationTime time.Duration) time.Duration {
-	decidesUntil := l.ValidFor()
-	limit := decidesUntil + peer.OutageLimit - safetyMargin
+	decidesFor := l.ValidFor()
+	limit := decidesFor + peer.OutageLimit - safetyMargin
 	if delegationTime == 0 {
 		return limit
 	}
-	lastRenewalSent := decidesUntil - safeTTL
-	withoutAcks := lastRenewalSent + delegationTime
-	withAcks := oldestAck.Add(2 * peer.AckLifetime).Sub(l.AcquiredAt())
-	return min(limit, max(withoutAcks, withAcks))
+	lastRenewalSent := decidesFor - safeTTL
+	limitByRenewal := lastRenewalSent + delegationTime
+	limitByOldestAck := oldestAck.Add(2 * peer.AckLifetime).Sub(l.AcquiredAt())
+	return min(limit, max(limitByRenewal, limitByOldestAck))
 }
--- a/internal/leader/liveness/counts.go
+++ b/internal/leader/liveness/counts.go
@@ -8,32 +8,33 @@
 	"lilaclead/internal/wire"
 )
 
-// manyMachines is how many unresponsive or relayed machines are not taken for single
-// faults.
-const manyMachines = 3
+// systemicFaultThreshold is how many machines must be unresponsive or relayed for a fault of
+// this node or its network to be inferred. Up to as many machines may have separate faults,
+// whatever their share of all machines.
+const systemicFaultThreshold = 3
 
-// singleFaultDivisor bounds the machines that may be faulty each by itself to a quarter of
-// all, where that is more than manyMachines.
+// singleFaultDivisor bounds the number of machines that may have separate faults to a quarter
+// of all, where that is more than systemicFaultThreshold.
 const singleFaultDivisor = 4
 
 // machineCounts counts the machines that should send heartbeats, by how they can be
 // reached.
 type machineCounts struct {
-	up                       int
-	unresponsive             int // their heartbeats are overdue
-	lost                     int // their heartbeats are long overdue
+	up                       int // should send heartbeats
+	unresponsive             int // the last message is older than limits.unresponsiveAfter
+	lost                     int // the last message is older than limits.lostAfter
 	relayed                  int // reach this node only through another one
-	inboundLost              int // send heartbeats, and receive nothing
-	outboundLost             int // answer, and none of their heartbeats arrives
-	replicaHosts             int // hold replicas
-	replicaHostsUnresponsive int // hold replicas and are unresponsive
-	zoneUp                   map[wire.Zone]int
-	zoneLost                 map[wire.Zone]int
+	inboundPathLost          int // send heartbeats, but receive nothing
+	outboundPathLost         int // answer commands, but their heartbeats don't arrive
+	replicaHosts             int // run replicas of services
+	replicaHostsUnresponsive int // run replicas of services and are unresponsive
+	upByZone                 map[wire.Zone]int
+	lostByZone               map[wire.Zone]int
 }
 
 // CountMachines counts the machines that should send heartbeats.
 func (mo *Monitor) CountMachines(now time.Time) *machineCounts {
-	counts := &machineCounts{zoneUp: map[wire.Zone]int{}, zoneLost: map[wire.Zone]int{}}
+	counts := &machineCounts{upByZone: map[wire.Zone]int{}, lostByZone: map[wire.Zone]int{}}
 	for _, machine := range mo.State.Machines {
 		if !machine.Booting && !machine.ScalingIn {
 			mo.countMachine(counts, machine, now)
@@ -46,48 +47,48 @@
 	limits := mo.limits()
 	sinceMessage := mo.State.SinceLastMessage(machine, now)
 	counts.up++
-	counts.zoneUp[machine.Zone]++
+	counts.upByZone[machine.Zone]++
 	if machine.RelayedOnly {
 		counts.relayed++
 	}
 	if !machine.Inbound.Works() {
-		counts.inboundLost++
+		counts.inboundPathLost++
 	}
 	if mo.State.OutboundConnectivityLost(machine, now) {
-		counts.outboundLost++
+		counts.outboundPathLost++
 	}
 	if sinceMessage > limits.unresponsiveAfter() {
 		counts.unresponsive++
 	}
 	if sinceMessage > limits.lostAfter() {
 		counts.lost++
-		counts.zoneLost[machine.Zone]++
+		counts.lostByZone[machine.Zone]++
 	}
 	if !mo.State.HoldsReplicas(machine) {
 		return
 	}
 	counts.replicaHosts++
-	if sinceMessage > maxReplicaHostWait+2*agents.ProbeTimeout {
+	if sinceMessage > maxReplicaHostProbeDelay+2*agents.ProbeTimeout {
 		counts.replicaHostsUnresponsive++
 	}
 }
 
-// isolated reports whether it is rather this node that is cut off: most machines are
-// unresponsive.
+// isolated reports whether this node, rather than the machines, is probably cut off: most
+// machines are unresponsive.
 func (c *machineCounts) isolated() bool {
-	return c.unresponsive >= manyMachines && c.unresponsive*2 > c.up
+	return c.unresponsive >= systemicFaultThreshold && c.unresponsive*2 > c.up
 }
 
-// unreachable reports whether this node is isolated and most machines are lost, or most
-// machines come through other nodes.
-func (c *machineCounts) unreachable() bool {
-	mostLost := c.isolated() && c.lost*2 > c.up
-	mostRelayed := c.relayed >= manyMachines && c.relayed*2 > c.up
-	return mostLost || mostRelayed
+// mostOutOfDirectContact reports whether most machines are lost, or most reach this node only
+// through other nodes.
+func (c *machineCounts) mostOutOfDirectContact() bool {
+	majorityLost := c.isolated() && c.lost*2 > c.up
+	majorityRelayed := c.relayed >= systemicFaultThreshold && c.relayed*2 > c.up
+	return majorityLost || majorityRelayed
 }
 
-// plausibleSingleFaults reports whether so many machines of all may be faulty each by
-// itself.
+// plausibleSingleFaults reports whether the faulty machines are so few that each may have a
+// fault of its own, rather than all a common cause such as the network.
 func plausibleSingleFaults(faulty, total int) bool {
-	return faulty <= max(manyMachines, total/singleFaultDivisor)
+	return faulty <= max(systemicFaultThreshold, total/singleFaultDivisor)
 }
--- a/internal/leader/liveness/counts_test.go
+++ b/internal/leader/liveness/counts_test.go
@@ -30,9 +30,9 @@
 	deaf.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
 
 	want := &machineCounts{
-		up: 9, unresponsive: 4, lost: 3, relayed: 1, inboundLost: 1, outboundLost: 1,
+		up: 9, unresponsive: 4, lost: 3, relayed: 1, inboundPathLost: 1, outboundPathLost: 1,
 		replicaHosts: 2, replicaHostsUnresponsive: 1,
-		zoneUp: map[wire.Zone]int{"a": 8, "b": 1}, zoneLost: map[wire.Zone]int{"a": 2, "b": 1},
+		upByZone: map[wire.Zone]int{"a": 8, "b": 1}, lostByZone: map[wire.Zone]int{"a": 2, "b": 1},
 	}
 	if got := f.CountMachines(f.now); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
@@ -60,7 +60,7 @@
 			if got := tc.counts.isolated(); got != tc.wantIsolated {
 				t.Errorf("%+v: isolated %v, want %v", tc.counts, got, tc.wantIsolated)
 			}
-			if got := tc.counts.unreachable(); got != tc.wantUnreachable {
+			if got := tc.counts.mostOutOfDirectContact(); got != tc.wantUnreachable {
 				t.Errorf("%+v: unreachable %v, want %v", tc.counts, got, tc.wantUnreachable)
 			}
 		})
--- a/internal/leader/liveness/delegates.go
+++ b/internal/leader/liveness/delegates.go
@@ -8,8 +8,8 @@
 	"lilaclead/internal/wire"
 )
 
-// anyDelegateAnswersUntil returns the latest time at which any other controller can answer
-// a heartbeat, or can have answered one, as a delegate of a leader.
+// anyDelegateAnswersUntil returns the latest time, past or future, at which another controller
+// can answer a heartbeat as a delegate of this leader or an earlier one.
 func (mo *Monitor) anyDelegateAnswersUntil(now time.Time) time.Time {
 	var latest time.Time
 	if mo.State.Delegation.MaxDelegationTime == 0 {
@@ -27,9 +27,9 @@
 	return latest
 }
 
-// zoneControllersLastContact returns when a controller in a zone was last in contact, zero
-// if none ever was: a guess at when those there were cut off, whoever led then. Nothing
-// that has to be certain rests on it.
+// zoneControllersLastContact returns when any controller in a zone was last in contact with
+// this node, or zero if none ever was. It estimates when the zone's controllers were cut off
+// from the leader, whichever node led then, and must not be used where certainty is needed.
 func (mo *Monitor) zoneControllersLastContact(zone wire.Zone) time.Time {
 	var latest time.Time
 	view := mo.Mesh.View()
--- a/internal/leader/liveness/doc.go
+++ b/internal/leader/liveness/doc.go
@@ -1,30 +1,34 @@
-// Package liveness decides, by what arrives and what does not, which machines are alive
-// and whose leases have expired, and acts on it.
+// Package liveness decides which machines are alive and whose leases have expired, from the
+// messages that arrive and those that are missing, and acts on it.
 //
 // # When a machine is lost
 //
-// A machine that has sent nothing for longer than its heartbeats may take is probed, once
-// from this node and then through another one. It is lost when it answered neither, when
-// far more heartbeats are overdue than can be late, or when the cloud was to reclaim it by
-// now. A probe that is answered proves that the machine is alive, and shows the leader's
-// token to it; one that is not answered proves nothing by itself, since only the path may
-// be cut. So a lost machine is scaled in, and its tasks count until the cloud has
-// confirmed the end of the machine or its lease has expired.
-//
-// # What is not a fault of single machines
-//
-// When most machines are unresponsive it is rather this node that is isolated; if another
-// controller reaches most of them, this one resigns. When all of a zone is unresponsive the
-// zone is partitioned: its machines keep running what they have until their leases expire,
-// and are kept until the partition has lasted for much longer than that.
-//
-// # When a lease has surely expired
-//
-// A machine stops its tasks when nobody has answered its heartbeats for the lease. The
-// lease has surely expired when nobody can have answered within the lease, the drift of two
-// clocks and a margin. Answers may have come from this leader (its last reply), from an
-// earlier leader (until the machine showed a token of this term; if it never did, until
-// Monitor.EarlierLeaderRepliesUntil), or from a delegate of either (until
-// cluster.State.DelegatesRenewedUntil). A new epoch of the agent has a full lease even if no
-// heartbeat of it was answered, as a launch that was sent into it may run that long.
+// A machine whose heartbeat is overdue is probed, first from this node and then through
+// another one. It is lost when neither probe is answered, when its heartbeats are overdue by
+// more than any delay explains, or when the time at which the cloud reclaims it has passed.
+// An answered probe proves that the machine is alive, and shows it the leader's token. An
+// unanswered probe alone proves nothing, since only the network path may be cut. A lost
+// machine is therefore scaled in, but its tasks count as active until the cloud has confirmed
+// the end of the machine or its lease has expired.
+//
+// # Faults that affect many machines
+//
+// When most machines are unresponsive, this node is probably isolated. If another controller
+// reaches most of them, this one resigns. When a whole zone is unresponsive, the zone is
+// partitioned: its machines keep running their tasks until their leases expire. They are
+// scaled in only if the partition lasts much longer than that.
+//
+// # When a lease has certainly expired
+//
+// A machine stops its tasks when none of its heartbeats has been answered for the length of
+// the lease. The lease has certainly expired when nobody can have answered for that length,
+// plus the drift of two clocks and a margin. An answer may have come from:
+//
+//   - this leader, at its last reply;
+//   - an earlier leader, until the machine showed a token of this term; if it never did, until
+//     Monitor.EarlierLeaderRepliesUntil;
+//   - a delegate of either, until cluster.State.DelegatesRenewedUntil.
+//
+// A new epoch of the agent has a full lease even if none of its heartbeats was answered, as a
+// task launched into that epoch may run that long.
 package liveness
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// clockDriftDivisor of a lease covers two clocks that are each off by 0.05 %, twice
-	// over: a five-hundredth.
+	// clockDriftDivisor defines the allowance for clock drift, a five-hundredth of the lease:
+	// twice the drift of two clocks that are each off by 0.05 %.
 	clockDriftDivisor = 500
-	// leaseRounding covers the rounding to a full second, and a margin.
-	leaseRounding = 1500 * time.Millisecond
-	// emptyAckLifetimes is for how many lifetimes of an acknowledgement those of a fresh
-	// process, which acknowledge no token, may keep an earlier leader answering: one in
-	// which it says no token, and two more in which it counts as asked.
+	// leaseExpiryMargin covers rounding to a full second, plus a safety margin.
+	leaseExpiryMargin = 1500 * time.Millisecond
+	// emptyAckLifetimes bounds, in units of peer.AckLifetime, how long acknowledgements without
+	// a token may keep an earlier leader answering. A process that has just started sends them
+	// for one lifetime, and each counts for two more from when it was requested.
 	emptyAckLifetimes = 3
-	// earlierLeaderMargin is added to these.
+	// earlierLeaderMargin is added to that bound.
 	earlierLeaderMargin = time.Second
 )
 
-// ExpireLease ends the tasks of a machine whose lease has surely expired: nobody can have
-// answered it within the lease, the drift of the clocks and a margin.
+// ExpireLease ends the tasks of a machine whose lease has certainly expired: nobody can have
+// answered its heartbeats for the length of the lease, plus the clock drift and a margin.
 func (mo *Monitor) ExpireLease(machine *cluster.Machine, now time.Time) {
 	if len(machine.Tasks) == 0 || !mo.State.RecordsRead {
 		return
 	}
 	lease := mo.State.Settings.Workers.Lease.Duration()
-	expiredAfter := lease + lease/clockDriftDivisor + leaseRounding
+	expiredAfter := lease + lease/clockDriftDivisor + leaseExpiryMargin
 	if now.Sub(mo.lastPossibleRenewal(machine)) < expiredAfter {
 		return
 	}
 	for _, attempt := range machine.Tasks {
-		// A direct launch in flight may still arrive, even after the lease expired; and a
-		// machine in a new epoch could accept it only with that epoch.
+		// A direct launch in flight may still arrive after the lease has expired, and the agent
+		// accepts it unless it has entered a new epoch by then.
 		if attempt.Unstored || attempt.LaunchInFlight {
 			continue
 		}
@@ -44,43 +44,45 @@
 	}
 }
 
-// lastPossibleRenewal returns the latest time at which the lease of a machine can have been
-// renewed by anybody, or can have begun.
+// lastPossibleRenewal returns the latest time at which anybody can have renewed the lease of a
+// machine, or at which the lease can have begun.
 func (mo *Monitor) lastPossibleRenewal(machine *cluster.Machine) time.Time {
-	// Until it first showed a token of this term, an earlier leader may have answered the
-	// machine; from then on only this one can have.
-	last := cluster.LaterOf(machine.LastReplyAt, machine.TokenSeenAt)
-	// A new epoch has its full time even if no heartbeat of it was answered: a launch that
-	// was sent into it may run that long. (Tasks that were started right after a lease had
-	// expired were once given up at once, and started again.)
-	last = cluster.LaterOf(last, machine.EpochSince)
-	last = cluster.LaterOf(last, mo.State.DelegatesRenewedUntil)
+	// An earlier leader may have answered the machine until the machine first showed a token of
+	// this term. Since then only this leader can have.
+	lastRenewal := cluster.LaterOf(machine.LastReplyAt, machine.TokenSeenAt)
+	// A new epoch has a full lease even if none of its heartbeats was answered, as a task
+	// launched into it may run that long. Without this, tasks launched right after a lease has
+	// expired are given up at once, and started a second time.
+	lastRenewal = cluster.LaterOf(lastRenewal, machine.EpochSince)
+	lastRenewal = cluster.LaterOf(lastRenewal, mo.State.DelegatesRenewedUntil)
 	if machine.Token < mo.State.FirstToken {
-		last = cluster.LaterOf(last, mo.EarlierLeaderRepliesUntil())
+		lastRenewal = cluster.LaterOf(lastRenewal, mo.EarlierLeaderRepliesUntil())
 	}
-	return last
+	return lastRenewal
 }
 
-// EarlierLeaderRepliesUntil returns until when an earlier leader can have answered a
-// machine that has not seen a token of this term: for the lifetime of an acknowledgement
-// after a quorum acknowledged this term's token, and for peer.OutageLimit at most. Where
-// controllers may be delegates the bound is shorter: an earlier leader that never
-// acknowledged a token of this term has had no acknowledgement from this node either since
-// the term began, except the empty ones of a fresh process, and then stops as one that is
-// alone. (Where one zone holds most controllers no quorum is left when it is cut off, and
-// what ran there once counted for all of peer.OutageLimit.)
+// EarlierLeaderRepliesUntil returns until when an earlier leader can have answered a machine
+// that has not seen a token of this term. The bound is peer.AckLifetime after a quorum
+// acknowledged this term's token, and peer.OutageLimit after the term began at the latest.
+//
+// With delegation the second bound is usually shorter. An earlier leader that never acknowledged
+// a token of this term has received no acknowledgement from this node either since the term
+// began, except the empty ones of a process that has just started. It then stops answering as a
+// leader does that is cut off. Without the shorter bound, when the zone that holds most
+// controllers is cut off and no quorum is left, the tasks there count as running for all of
+// peer.OutageLimit.
 func (mo *Monitor) EarlierLeaderRepliesUntil() time.Time {
 	until := mo.State.TermStartedAt.Add(peer.OutageLimit)
 	if mo.State.Delegation.MaxDelegationTime > 0 {
-		emptyAcksLast := emptyAckLifetimes*peer.AckLifetime + earlierLeaderMargin
-		until = mo.State.TermStartedAt.Add(max(mo.State.Delegation.MaxDelegationTime, emptyAcksLast))
+		emptyAcksValidFor := emptyAckLifetimes*peer.AckLifetime + earlierLeaderMargin
+		until = mo.State.TermStartedAt.Add(max(mo.State.Delegation.MaxDelegationTime, emptyAcksValidFor))
 	}
 	if mo.State.QuorumAckedAt.IsZero() {
 		return until
 	}
-	acksExpired := mo.State.QuorumAckedAt.Add(peer.AckLifetime)
-	if acksExpired.Before(until) {
-		return acksExpired
+	acksExpireAt := mo.State.QuorumAckedAt.Add(peer.AckLifetime)
+	if acksExpireAt.Before(until) {
+		return acksExpireAt
 	}
 	return until
 }
--- a/internal/leader/liveness/limits.go
+++ b/internal/leader/liveness/limits.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// maxHeartbeatGapQuarters: agents send a heartbeat every interval, give or take a
-	// quarter, so that two are at most five quarters of it apart.
+	// maxHeartbeatGapQuarters is the longest time between two heartbeats, in quarters of the
+	// heartbeat interval: agents vary the interval by up to a quarter.
 	maxHeartbeatGapQuarters = 5
-	// heartbeatDelay is for how long a heartbeat may be on its way.
+	// heartbeatDelay is the longest time that a heartbeat takes to arrive.
 	heartbeatDelay = 600 * time.Millisecond
-	// maxReplicaHostWait is after how long without a message a machine with replicas is
-	// probed, where heartbeats come more rarely than that.
-	maxReplicaHostWait = 4 * time.Second
-
-	// overdueQuarters and overdueMargin are the time without a message, three intervals
-	// and the quarter by which a heartbeat may be late, and two seconds for what is on its
-	// way, after which a machine is lost even if not all probes of it were tried.
-	overdueQuarters = 13
-	overdueMargin   = 2 * time.Second
-
-	// expiredLeaseQuarters is after how many quarters of a lease from a machine's last
-	// heartbeat its lease must have expired, by any delay.
+	// maxReplicaHostProbeDelay is the time without a message after which a machine with
+	// replicas is probed, even if its next heartbeat is due later.
+	maxReplicaHostProbeDelay = 4 * time.Second
+
+	// A machine is lost, even if not all probes were tried, after a time without a message of
+	// longOverdueQuarters quarters of the heartbeat interval (three intervals, and the quarter
+	// by which a heartbeat may be late) plus longOverdueMargin for messages under way.
+	longOverdueQuarters = 13
+	longOverdueMargin   = 2 * time.Second
+
+	// expiredLeaseQuarters is the time after a machine's last heartbeat, in quarters of the
+	// lease, by which its lease must have expired despite any delay.
 	expiredLeaseQuarters = 5
-	// A partition is outlasted after outlastedLeaseHalves halves of a lease and
-	// outlastedCancelTimeouts times the time for cancellations: every lease behind it has
-	// expired long ago, and the machines have had time to send heartbeats again if it is
-	// over.
-	outlastedLeaseHalves    = 5
-	outlastedCancelTimeouts = 2
+	// Machines that may be behind a partition are waited for during the longer of
+	// partitionWaitLeaseHalves halves of a lease and partitionWaitCancelTimeouts cancellation
+	// timeouts. By then every lease behind the partition has long expired, and if it is over,
+	// the machines have had time to send heartbeats again.
+	partitionWaitLeaseHalves    = 5
+	partitionWaitCancelTimeouts = 2
 )
 
-// limits are the times after which a machine is judged, as they follow from the settings.
+// limits derives from the settings the times after which a machine is judged.
 type limits struct {
 	heartbeatInterval time.Duration
 	lease             time.Duration
@@ -49,45 +49,47 @@
 	}
 }
 
-// limits returns the limits of the present settings.
+// limits returns the limits that follow from the current settings.
 func (mo *Monitor) limits() limits { return limitsOf(&mo.State.Settings.Workers) }
 
-// maxHeartbeatGap returns the longest time between two heartbeats of a machine.
+// maxHeartbeatGap returns the longest time between sending two heartbeats.
 func (l limits) maxHeartbeatGap() time.Duration {
 	return l.heartbeatInterval * maxHeartbeatGapQuarters / 4
 }
 
-// unresponsiveAfter returns after how long without a message a machine is probed.
+// unresponsiveAfter returns the time without a message after which a machine's heartbeat is
+// overdue and the machine is probed.
 func (l limits) unresponsiveAfter() time.Duration { return l.maxHeartbeatGap() + heartbeatDelay }
 
-// lostAfter returns after how long without a message a machine is lost: when two probes
-// had the time to fail.
+// lostAfter returns the time without a message after which a machine with failed probes is
+// lost. It leaves time for two probes to fail.
 func (l limits) lostAfter() time.Duration { return l.unresponsiveAfter() + 2*agents.ProbeTimeout }
 
-// overdueAfter returns after how long without a message a machine is lost even if not all
-// probes of it were tried.
-func (l limits) overdueAfter() time.Duration {
-	return l.heartbeatInterval*overdueQuarters/4 + overdueMargin
+// longOverdueAfter returns the time without a message after which a machine is lost even if
+// not all probes of it were tried.
+func (l limits) longOverdueAfter() time.Duration {
+	return l.heartbeatInterval*longOverdueQuarters/4 + longOverdueMargin
 }
 
-// replicaHostProbeAfter returns after how long without a message a machine with replicas is
-// probed.
+// replicaHostProbeAfter returns the time without a message after which a machine with replicas
+// is probed.
 func (l limits) replicaHostProbeAfter() time.Duration {
-	return min(l.unresponsiveAfter(), maxReplicaHostWait)
+	return min(l.unresponsiveAfter(), maxReplicaHostProbeDelay)
 }
 
-// replicaHostLostAfter returns after how long without a message a machine with replicas is
-// lost, if it may be faulty by itself: when three probes had the time to fail.
+// replicaHostLostAfter returns the time without a message after which a machine with replicas
+// and failed probes is lost, unless many such machines are unresponsive. It leaves time for
+// three probes to fail.
 func (l limits) replicaHostLostAfter() time.Duration {
 	return min(l.lostAfter(), l.replicaHostProbeAfter()+3*agents.ProbeTimeout)
 }
 
-// leaseExpiredAfter returns after how long without a heartbeat the lease of a machine must
+// leaseExpiredAfter returns the time without a heartbeat after which a machine's lease must
 // have expired.
 func (l limits) leaseExpiredAfter() time.Duration { return l.lease * expiredLeaseQuarters / 4 }
 
-// partitionOutlastedAfter returns after how long without a message machines are no longer
-// kept because they may be behind a partition that ends.
-func (l limits) partitionOutlastedAfter() time.Duration {
-	return max(l.lease*outlastedLeaseHalves/2, l.cancelTimeout*outlastedCancelTimeouts)
+// maxPartitionWait returns the time without a message after which a machine is scaled in even
+// if it may be behind a partition.
+func (l limits) maxPartitionWait() time.Duration {
+	return max(l.lease*partitionWaitLeaseHalves/2, l.cancelTimeout*partitionWaitCancelTimeouts)
 }
--- a/internal/leader/liveness/limits_test.go
+++ b/internal/leader/liveness/limits_test.go
@@ -18,16 +18,16 @@
 		{"longest gap between heartbeats", f.limits().maxHeartbeatGap(), 2500 * time.Millisecond},
 		{"probed after", f.limits().unresponsiveAfter(), 3100 * time.Millisecond},
 		{"lost after", f.limits().lostAfter(), 5500 * time.Millisecond},
-		{"lost whatever was probed after", f.limits().overdueAfter(), 8500 * time.Millisecond},
+		{"lost whatever was probed after", f.limits().longOverdueAfter(), 8500 * time.Millisecond},
 		{"lease expired after", f.limits().leaseExpiredAfter(), 20 * time.Second},
-		{"partition outlasted after", f.limits().partitionOutlastedAfter(), 82 * time.Second},
+		{"partition outlasted after", f.limits().maxPartitionWait(), 82 * time.Second},
 	} {
 		if tc.got != tc.want {
 			t.Errorf("%s: got %v, want %v", tc.name, tc.got, tc.want)
 		}
 	}
 	f.State.Settings.Workers.Lease = 60
-	if got, want := f.limits().partitionOutlastedAfter(), 150*time.Second; got != want {
+	if got, want := f.limits().maxPartitionWait(), 150*time.Second; got != want {
 		t.Errorf("with a lease of 60 s a partition is outlasted after %v, want %v", got, want)
 	}
 }
--- a/internal/leader/liveness/machine_checks.go
+++ b/internal/leader/liveness/machine_checks.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// defaultBootTime is the boot time of a machine type that the cloud no longer names.
+	// defaultBootTime is used for a machine type that the cloud no longer lists.
 	defaultBootTime = 30 * time.Second
-	// A machine has failed to boot after bootLimitQuarters quarters of the boot time of
-	// its type, 2.75 boot times, and bootMargin. It is not counted on after two.
+	// A machine has failed to boot after bootLimitQuarters quarters of the boot time of its
+	// type, which are 2.75 boot times, plus bootMargin. The capacity planner stops counting
+	// on it after two boot times already.
 	bootLimitQuarters = 11
 	bootMargin        = 5 * time.Second
 
-	// maxProbes is how often an unresponsive machine is probed.
-	maxProbes = 4
+	// maxUnansweredCommands is the number of unanswered commands, probes included, after which
+	// an unresponsive machine is not probed again.
+	maxUnansweredCommands = 4
 )
 
-// checkBoot scales in a machine that should have come up long ago.
+// checkBoot scales in a machine that has failed to boot in time.
 func (mo *Monitor) checkBoot(machine *cluster.Machine, now time.Time) {
 	bootTime := defaultBootTime
 	if spec := mo.State.MachineSpec(machine.MachineType); spec != nil {
@@ -30,10 +32,10 @@
 	}
 }
 
-// probeUnresponsive probes a machine whose heartbeat is overdue, but only once while it is
-// behind a partition.
+// probeUnresponsive probes a machine whose heartbeat is overdue, unless a command is under way
+// or enough have failed. Behind a partition one failed command is enough.
 func (mo *Monitor) probeUnresponsive(machine *cluster.Machine, now time.Time) {
-	if machine.UnansweredCommands >= maxProbes || machine.CommandInFlight {
+	if machine.UnansweredCommands >= maxUnansweredCommands || machine.CommandInFlight {
 		return
 	}
 	if machine.UnansweredCommands > 0 && mo.State.UnseenSincePartition(machine, now) {
@@ -42,8 +44,8 @@
 	mo.Dispatcher.Probe(machine)
 }
 
-// drainCompleted reports whether a draining machine can be scaled in: it is empty and the
-// outcomes of its tasks are stored, or an earlier leader had begun to scale it in.
+// drainCompleted reports whether a draining machine can be scaled in: it runs no tasks and
+// their outcomes are stored, or an earlier leader had already begun to scale it in.
 func (mo *Monitor) drainCompleted(machine *cluster.Machine) bool {
 	if machine.DrainReason == cluster.DrainAdoptedScaleIn {
 		return true
--- a/internal/leader/liveness/monitor.go
+++ b/internal/leader/liveness/monitor.go
@@ -13,7 +13,7 @@
 )
 
 // Monitor decides which machines are alive and whose leases have expired, and acts on it.
-// It is used by the goroutine of the term's loop alone.
+// Only the goroutine of the term's loop may use it.
 type Monitor struct {
 	*core.Loop
 	State      *cluster.State
@@ -24,12 +24,13 @@
 	Scaler     *autoscaler.Scaler
 }
 
-// forgetRemovedAfter is for how long late copies of the heartbeats of a removed machine are
-// told apart from heartbeats of a new one.
-const forgetRemovedAfter = 10 * time.Minute
+// removedMachineRetention is how long a removed machine is remembered, so that late copies of
+// its heartbeats are not mistaken for heartbeats of a new machine.
+const removedMachineRetention = 10 * time.Minute
 
-// CheckMachines checks all machines: those that are unresponsive, late to boot, or empty
-// and draining.
+// CheckMachines checks every machine's boot, responsiveness, lease, drain and tasks, and the
+// network between the machines and this node. If another controller is better connected, it
+// makes this leader resign instead.
 func (mo *Monitor) CheckMachines(now time.Time) {
 	mo.forgetRemovedMachines(now)
 	counts := mo.CountMachines(now)
@@ -45,23 +46,23 @@
 	for _, machine := range mo.State.Machines {
 		mo.checkReplicas(machine, counts, now)
 		mo.CheckMachine(machine, counts, now)
-		if plausibleSingleFaults(counts.inboundLost, counts.up) {
+		if plausibleSingleFaults(counts.inboundPathLost, counts.up) {
 			mo.checkInboundPath(machine, now)
 		}
-		mo.checkOutboundPath(machine, now, plausibleSingleFaults(counts.outboundLost, counts.up))
+		mo.checkOutboundPath(machine, now, plausibleSingleFaults(counts.outboundPathLost, counts.up))
 	}
 	mo.scaleInUncancellable(now)
 }
 
 func (mo *Monitor) forgetRemovedMachines(now time.Time) {
 	for id, removedAt := range mo.State.RemovedMachines {
-		if now.Sub(removedAt) > forgetRemovedAfter {
+		if now.Sub(removedAt) > removedMachineRetention {
 			delete(mo.State.RemovedMachines, id)
 		}
 	}
 }
 
-// CheckMachine checks one machine: its boot, whether it responds, its lease, and the
+// CheckMachine checks one machine: its boot, whether it responds, its lease and drain, and the
 // commands that have had no effect yet.
 func (mo *Monitor) CheckMachine(machine *cluster.Machine, counts *machineCounts, now time.Time) {
 	switch {
@@ -101,8 +102,8 @@
 	mo.checkTasks(machine, now)
 }
 
-// checkTasks stops what runs on a machine that the cloud reclaims, and ends launches that
-// may still be on their way to a machine that takes nothing new.
+// checkTasks stops the tasks on a machine that the cloud is about to reclaim. It requests a
+// higher token if a launch that must no longer take effect may still arrive.
 func (mo *Monitor) checkTasks(machine *cluster.Machine, now time.Time) {
 	mo.checkpointBeforeReclaim(machine, now)
 	for _, attempt := range machine.Tasks {
@@ -110,7 +111,7 @@
 			continue
 		}
 		mo.stopReplicaBeforeReclaim(attempt)
-		if launchMustEnd(attempt, now) {
+		if launchMustBeFenced(attempt, now) {
 			mo.Fencing.RaiseRequested = true
 		}
 	}
--- a/internal/leader/liveness/partitions.go
+++ b/internal/leader/liveness/partitions.go
@@ -8,18 +8,18 @@
 	"lilaclead/internal/wire"
 )
 
-// judgePartitions looks for zones that are unresponsive as a whole. Their machines will
-// come back, and what runs on them goes on until their leases expire: they are kept, and
-// scaled in only if the partition outlasts that by far.
+// judgePartitions detects zones that are unresponsive as a whole. Their machines are expected
+// back, and run their tasks until their leases expire. They are therefore scaled in only if
+// the partition lasts much longer than that.
 func (mo *Monitor) judgePartitions(counts *machineCounts, now time.Time) {
-	for zone, up := range counts.zoneUp {
+	for zone, up := range counts.upByZone {
 		if zone == "" {
 			continue
 		}
 		lastContact := mo.zoneControllersLastContact(zone)
 		zoneCounts := detector.Counts{
 			Up:              up,
-			Lost:            counts.zoneLost[zone],
+			Lost:            counts.lostByZone[zone],
 			AllUp:           counts.up,
 			ControllersLost: !lastContact.IsZero() && now.Sub(lastContact) > peer.AckLifetime,
 		}
@@ -29,21 +29,22 @@
 	}
 }
 
-// settlingLeaseDivisor: the machines have an eighth of a lease, beyond the time after which
-// an unresponsive one is lost, to reach a new leader.
+// settlingLeaseDivisor defines how long machines have to reach a new leader before it may
+// resign for a lack of contact: the time after which a silent machine is lost, plus this
+// fraction of the lease, an eighth.
 const settlingLeaseDivisor = 8
 
-// betterConnectedPeer returns a controller that most machines reach, if they don't reach
-// this one.
+// betterConnectedPeer returns a controller that most machines reach directly, if most don't
+// reach this one and the term has lasted long enough to tell.
 func (mo *Monitor) betterConnectedPeer(counts *machineCounts, now time.Time) (wire.NodeID, bool) {
 	settlingTime := mo.limits().lostAfter() + mo.State.Settings.Workers.Lease.Duration()/settlingLeaseDivisor
 	settled := now.Sub(mo.State.TermStartedAt) > settlingTime
-	if !counts.unreachable() || !mo.Lease.Deciding() || !settled {
+	if !counts.mostOutOfDirectContact() || !mo.Lease.Deciding() || !settled {
 		return "", false
 	}
 	for id, node := range mo.Mesh.View().Peers {
-		mayLead := node.Connected(now) && node.StateReachable
-		if mayLead && node.ReachableWorkers*2 > counts.up {
+		canLead := node.Connected(now) && node.StateReachable
+		if canLead && node.ReachableWorkers*2 > counts.up {
 			return id, true
 		}
 	}
--- a/internal/leader/liveness/partitions_test.go
+++ b/internal/leader/liveness/partitions_test.go
@@ -97,7 +97,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				f.now = time.Now()
-				counts := &machineCounts{up: 100, zoneUp: map[wire.Zone]int{"a": 3, "": 2}, zoneLost: map[wire.Zone]int{"a": 3, "": 2}}
+				counts := &machineCounts{up: 100, upByZone: map[wire.Zone]int{"a": 3, "": 2}, lostByZone: map[wire.Zone]int{"a": 3, "": 2}}
 				f.judgePartitions(counts, f.now)
 				if got := f.State.ZonePartitioned("a", f.now); got != tc.want {
 					t.Errorf("three of three machines lost: partitioned %v, want %v", got, tc.want)
--- a/internal/leader/liveness/paths.go
+++ b/internal/leader/liveness/paths.go
@@ -6,12 +6,15 @@
 	"lilaclead/internal/leader/cluster"
 )
 
-// inboundProbeInterval is how often a machine that seems to receive nothing is probed.
+// inboundProbeInterval is the time between probes of a machine that seems to receive nothing.
 const inboundProbeInterval = 2 * time.Second
 
-// checkInboundPath scales in a machine that sends heartbeats but receives nothing: soon
-// when something on it waits for a proof that it can't give, else when its lease must have
-// expired. When many seem so it is rather this node that is slow.
+// checkInboundPath probes a machine that sends heartbeats but seems to receive nothing, and
+// scales it in if that lasts: early if commands to it fail and it can't confirm a launch or a
+// stop, otherwise when its lease must have expired.
+//
+// The caller skips this check when many machines seem so, since a slow leader is then the
+// likelier fault.
 func (mo *Monitor) checkInboundPath(machine *cluster.Machine, now time.Time) {
 	if machine.Inbound.Works() || machine.ScalingIn {
 		return
@@ -24,16 +27,16 @@
 		mo.Dispatcher.Probe(machine)
 	}
 	lostFor := machine.Inbound.LostFor(now)
-	proofOverdue := lostFor > mo.State.HeartbeatInterval()/2+inboundProbeInterval && machine.Inbound.CommandsFail()
+	confirmationOverdue := lostFor > mo.State.HeartbeatInterval()/2+inboundProbeInterval && machine.Inbound.CommandsFail()
 	leaseExpired := lostFor > mo.State.Settings.Workers.Lease.Duration()
-	if leaseExpired || proofOverdue && awaitsProof(machine) {
+	if leaseExpired || confirmationOverdue && hasUnconfirmedTask(machine) {
 		mo.Scaler.ScaleIn(machine, cluster.DrainInboundConnectivityLost)
 	}
 }
 
-// awaitsProof reports whether an attempt on the machine can't be accounted for until the
-// machine receives something: its launch, or its stop.
-func awaitsProof(machine *cluster.Machine) bool {
+// hasUnconfirmedTask reports whether no heartbeat has shown yet that an attempt on the machine
+// was launched, or that it was stopped. A machine that receives nothing can't confirm either.
+func hasUnconfirmedTask(machine *cluster.Machine) bool {
 	for _, attempt := range machine.Tasks {
 		if !attempt.Unstored && (!attempt.SeenInHeartbeat || attempt.Stopping) {
 			return true
@@ -42,9 +45,10 @@
 	return false
 }
 
-// checkOutboundPath scales in a machine whose heartbeats are lost: when its lease must have
-// expired, so that nothing is lost by it, if it may be faulty by itself, or much later when
-// such machines are many. Then it is rather the path from them, which will be back.
+// checkOutboundPath scales in a machine that answers commands but whose heartbeats don't
+// arrive. It waits until the lease must have expired, so that no running task is lost by it.
+// If singleFault is false there are many such machines: the path from them is then the
+// likelier fault and is expected back, so the wait is much longer.
 func (mo *Monitor) checkOutboundPath(machine *cluster.Machine, now time.Time, singleFault bool) {
 	if machine.ScalingIn || !mo.State.RecordsRead {
 		return
@@ -53,7 +57,7 @@
 	if missingFor <= mo.limits().leaseExpiredAfter() {
 		return
 	}
-	if singleFault || missingFor > mo.limits().partitionOutlastedAfter() {
+	if singleFault || missingFor > mo.limits().maxPartitionWait() {
 		mo.Scaler.ScaleIn(machine, cluster.DrainOutboundConnectivityLost)
 	}
 }
--- a/internal/leader/liveness/replicas.go
+++ b/internal/leader/liveness/replicas.go
@@ -7,13 +7,14 @@
 	"lilaclead/internal/wire"
 )
 
-// leaseEndingPercent is after which part of a lease the lease of a machine behind a
-// partition ends about now.
+// leaseEndingPercent is the share of a lease after which the lease of a machine behind a
+// partition counts as about to end.
 const leaseEndingPercent = 95
 
-// checkReplicas scales in a machine in a partitioned zone whose replicas can be started
-// elsewhere. They end with its lease, and nothing tells just when; the cloud can end them
-// for sure. If the cloud can't be reached either, the lease expiry is waited for.
+// checkReplicas scales in a machine in a partitioned zone if its lease is about to end and its
+// replicas can be started elsewhere. The replicas stop when the lease ends, but this node can't
+// observe when that is. Scaling in the machine makes their end certain. If the cloud can't be
+// reached either, they are replaced after the lease has expired.
 func (mo *Monitor) checkReplicas(machine *cluster.Machine, counts *machineCounts, now time.Time) {
 	if !mo.State.ZonePartitioned(machine.Zone, now) || counts.isolated() {
 		return
@@ -23,24 +24,24 @@
 	}
 }
 
-// leaseEnding reports whether the lease of a machine behind a partition ends about now, as
-// no delegate in its zone can renew it any more. When the zone's controllers were cut off
-// is a guess.
+// leaseEnding reports whether the lease of a machine behind a partition is about to end. The
+// last renewal is estimated: a delegate in the zone may have renewed the lease until its
+// delegation ended, and when the zone's controllers were cut off is not known exactly.
 func (mo *Monitor) leaseEnding(machine *cluster.Machine, now time.Time) bool {
-	renewed := machine.LastMessageAt
-	if cutOff := mo.zoneControllersLastContact(machine.Zone); !cutOff.IsZero() {
-		renewed = cluster.LaterOf(renewed, cutOff.Add(mo.State.Delegation.MaxDelegationTime-mo.limits().maxHeartbeatGap()))
-	} else if renewed.IsZero() {
-		renewed = mo.State.TermStartedAt
+	renewedAt := machine.LastMessageAt
+	if cutOffAt := mo.zoneControllersLastContact(machine.Zone); !cutOffAt.IsZero() {
+		renewedAt = cluster.LaterOf(renewedAt, cutOffAt.Add(mo.State.Delegation.MaxDelegationTime-mo.limits().maxHeartbeatGap()))
+	} else if renewedAt.IsZero() {
+		renewedAt = mo.State.TermStartedAt
 	}
 	lease := mo.State.Settings.Workers.Lease.Duration()
-	return now.Sub(renewed) >= lease*leaseEndingPercent/100
+	return now.Sub(renewedAt) >= lease*leaseEndingPercent/100
 }
 
-// replicasMovable reports whether a machine in a partitioned zone holds replicas that could
-// be started elsewhere: the other zones can take all that their service runs in this one.
-// (With two zones a service that is spread has nowhere to go; to end its replicas early
-// would gain nothing.)
+// replicasMovable reports whether a machine in a partitioned zone holds a replica that can be
+// started elsewhere. A service bound to its zone can't move. One that is spread over zones can
+// move only if the other zones have room for all its replicas in this zone. (With two zones
+// they have none, and ending its replicas early would gain nothing.)
 func (mo *Monitor) replicasMovable(machine *cluster.Machine, now time.Time) bool {
 	for _, attempt := range machine.Tasks {
 		job := attempt.Job
@@ -54,8 +55,8 @@
 	return false
 }
 
-// fitsOtherZones reports whether the zones that are not partitioned can take all replicas
-// of a spread service that are in the given one.
+// fitsOtherZones reports whether the other zones that are not partitioned may take all replicas
+// of a spread service that are in the given zone.
 func (mo *Monitor) fitsOtherZones(job *cluster.Job, from wire.Zone, now time.Time) bool {
 	active, capacity := job.ActiveByZone(), 0
 	for _, zone := range mo.State.Zones() {
--- a/internal/leader/liveness/spot_reclaim.go
+++ b/internal/leader/liveness/spot_reclaim.go
@@ -6,17 +6,18 @@
 	"lilaclead/internal/leader/cluster"
 )
 
-// reclaimMargin is how much earlier than the tasks on a machine with a spot notice need to
-// write their checkpoints they are stopped: two tries of a command, and the time until the
-// machine is checked.
-const reclaimMargin = 3 * time.Second
+// checkpointStopMargin is added to the time that a task needs to write its checkpoint before
+// its machine is reclaimed. It covers two attempts to send the stop, and the time until the
+// machine is next checked.
+const checkpointStopMargin = 3 * time.Second
 
 // checkpointBeforeReclaim stops the tasks that write checkpoints on a machine with a spot
-// notice while they still have the time for it. All of a gang is stopped, and a task that
-// has written its checkpoint waits for the others for gang_peer_s, on this machine too.
+// notice, while there is time to write them. Stopping one task of a gang stops the whole gang,
+// and a task that has written its checkpoint waits up to gang_peer_s for the others. That wait
+// must fit before the reclaim, too.
 //
-// A leader that answers heartbeats without the key-value store does so as well: stops start
-// nothing, and agents that have seen a successor's token drop them.
+// A leader that only answers heartbeats, without the key-value store, does this as well: a stop
+// starts nothing, and agents that have seen a successor's token ignore it.
 func (mo *Monitor) checkpointBeforeReclaim(machine *cluster.Machine, now time.Time) {
 	if machine.ReclaimAt.IsZero() {
 		return
@@ -33,18 +34,18 @@
 	}
 }
 
-// checkpointLeadTime returns how long before its machine is reclaimed a task of the job has
-// to be stopped to write its checkpoint.
+// checkpointLeadTime returns how long before the reclaim a task of the job must be stopped so
+// that it can write its checkpoint.
 func (mo *Monitor) checkpointLeadTime(job *cluster.Job) time.Duration {
-	leadTime := job.Spec.CheckpointTime.Duration() + reclaimMargin
+	leadTime := job.Spec.CheckpointTime.Duration() + checkpointStopMargin
 	if job.Spec.IsGang() {
 		leadTime += mo.State.Settings.Workers.GangPeerTimeout.Duration()
 	}
 	return leadTime
 }
 
-// stopReplicaBeforeReclaim stops a replica of a service on a machine with a spot notice at
-// once, so that it is started elsewhere.
+// stopReplicaBeforeReclaim immediately stops a replica of a service on a machine with a spot
+// notice, so that it is started elsewhere.
 func (mo *Monitor) stopReplicaBeforeReclaim(attempt *cluster.Attempt) {
 	reclaiming := !attempt.Machine.ReclaimAt.IsZero()
 	if reclaiming && attempt.Job.Spec.IsService() && !attempt.Stopping {
--- a/internal/leader/liveness/tasks.go
+++ b/internal/leader/liveness/tasks.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// stopRepeatInterval is how long after a stop that has had no effect it is sent again.
-	stopRepeatInterval = 2 * time.Second
-	// unansweredLaunchWait is how long after the decision an unanswered launch of an
-	// attempt that must not start any more is waited for, before a higher token ends it.
-	unansweredLaunchWait = 6 * time.Second
-	// uncancellableTenths is for how many tenths of the time for cancellations the stops of
-	// a cancelled job may go on; the rest is for scaling in the machines.
-	uncancellableTenths = 6
+	// stopRetryInterval is the time after which a stop that has had no effect is sent again.
+	stopRetryInterval = 2 * time.Second
+	// unansweredLaunchTimeout is the time, from the decision to schedule the attempt, after
+	// which a higher token is requested against an unanswered launch that is no longer wanted.
+	unansweredLaunchTimeout = 6 * time.Second
+	// cancelStopTenths is the part of the cancellation timeout, in tenths, during which the
+	// tasks of a cancelled job are sent stops. The rest is for scaling in their machines.
+	cancelStopTenths = 6
 )
 
-// repeatStops sends stops again that have had no effect.
+// repeatStops has the machine's commands sent again if a stop on it has had no effect.
 func (mo *Monitor) repeatStops(machine *cluster.Machine, now time.Time) {
 	for _, attempt := range machine.Tasks {
-		stopDue := attempt.StopSentAt.IsZero() || now.Sub(attempt.StopSentAt) > stopRepeatInterval
+		stopDue := attempt.StopSentAt.IsZero() || now.Sub(attempt.StopSentAt) > stopRetryInterval
 		if attempt.Stopping && !attempt.Unstored && stopDue {
 			mo.Dispatcher.Dispatch(machine)
 			return
@@ -28,20 +28,21 @@
 	}
 }
 
-// launchMustEnd reports whether an unanswered launch of an attempt that must not start any
-// more has to be ended by a higher token.
-func launchMustEnd(attempt *cluster.Attempt, now time.Time) bool {
+// launchMustBeFenced reports whether a higher token is needed to keep an unanswered launch from
+// taking effect: the launch may still arrive, but the attempt must no longer start.
+func launchMustBeFenced(attempt *cluster.Attempt, now time.Time) bool {
 	mayArrive := attempt.LaunchUnanswered && !attempt.SeenInHeartbeat
 	startUnwanted := attempt.Stopping || attempt.Machine.DrainReason != ""
-	return mayArrive && startUnwanted && now.Sub(attempt.ScheduledAt) > unansweredLaunchWait
+	return mayArrive && startUnwanted && now.Sub(attempt.ScheduledAt) > unansweredLaunchTimeout
 }
 
-// scaleInUncancellable scales in machines on which a cancelled task goes on.
+// scaleInUncancellable scales in the machines on which tasks of a cancelled job still run after
+// the time for stopping them.
 func (mo *Monitor) scaleInUncancellable(now time.Time) {
 	if !mo.Lease.Deciding() || !mo.State.RecordsRead {
 		return
 	}
-	limit := mo.State.Settings.Workers.CancelTimeout.Duration() * uncancellableTenths / 10
+	limit := mo.State.Settings.Workers.CancelTimeout.Duration() * cancelStopTenths / 10
 	for _, job := range mo.State.Jobs {
 		if !job.Cancelled || job.ActiveTasks == 0 || now.Sub(job.CancelledAt) <= limit {
 			continue
--- a/internal/leader/liveness/verdict.go
+++ b/internal/leader/liveness/verdict.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// minFailedProbes is how many probes must have failed for a machine to be lost by
-	// them, the last of them through another node.
+	// minFailedProbes is how many probes in a row must fail before a machine counts as lost.
+	// The last of them must have gone through another node.
 	minFailedProbes = 2
 
-	// listLags and unlistedMargin are for how long the lists of the cloud must have lacked
-	// a machine: twice what they may lag, and a margin.
-	listLags       = 2
-	unlistedMargin = 10 * time.Second
+	// A machine is unlisted after it has been missing from the cloud's machine lists for
+	// unlistedListLags times the lag of these lists, plus unlistedMargin.
+	unlistedListLags = 2
+	unlistedMargin   = 10 * time.Second
 
-	// reclaimedMargin is how late the cloud may reclaim a machine, and how late the
-	// heartbeat of one that is still there may be.
-	reclaimedMargin = time.Second
+	// reclaimDelayMargin is how long after the announced time the cloud may reclaim a machine,
+	// and how late the heartbeat of a machine that still runs may be.
+	reclaimDelayMargin = time.Second
 )
 
-// verdict judges one machine that may have stopped responding. It acts on nothing.
+// verdict judges whether one machine has stopped responding. It has no side effects.
 type verdict struct {
 	state        *cluster.State
 	machine      *cluster.Machine
@@ -31,7 +31,6 @@
 	sinceMessage time.Duration // since the last message of the machine
 }
 
-// verdictOn returns the verdict on a machine.
 func (mo *Monitor) verdictOn(machine *cluster.Machine, counts *machineCounts, now time.Time) *verdict {
 	return &verdict{
 		state:        mo.State,
@@ -43,9 +42,9 @@
 	}
 }
 
-// probeAfter returns after how long without a message the machine is probed. One with
-// replicas is not left alone for as long as heartbeats may take: the replicas of a machine
-// that has stopped are down until that is known.
+// probeAfter returns the time without a message after which the machine is probed. A machine
+// with replicas may be probed before its heartbeat is overdue, since the replicas of a failed
+// machine are down until the failure is detected.
 func (v *verdict) probeAfter() time.Duration {
 	if v.state.HoldsReplicas(v.machine) {
 		return v.limits.replicaHostProbeAfter()
@@ -53,9 +52,10 @@
 	return v.limits.unresponsiveAfter()
 }
 
-// lostAfter returns after how long without a message, and with failed probes, the machine
-// is lost: sooner with replicas, as they are down meanwhile. When many machines with
-// replicas are unresponsive it is rather the path to them.
+// lostAfter returns the time without a message after which a machine with failed probes is
+// lost. The time is shorter for a machine with replicas, since they are down until they are
+// replaced. It is not shortened when many machines with replicas are unresponsive, since the
+// path to them is then the likelier fault.
 func (v *verdict) lostAfter() time.Duration {
 	singleFault := plausibleSingleFaults(v.counts.replicaHostsUnresponsive, v.counts.replicaHosts)
 	if singleFault && v.state.HoldsReplicas(v.machine) {
@@ -64,41 +64,41 @@
 	return v.limits.lostAfter()
 }
 
-// unresponsive reports whether the machine's heartbeat is overdue.
+// unresponsive reports whether the machine has been silent for long enough to be probed.
 func (v *verdict) unresponsive() bool { return v.sinceMessage > v.probeAfter() }
 
-// lost reports whether the machine is to be scaled in as it does not respond.
+// lost reports whether the machine is to be scaled in because it does not respond.
 func (v *verdict) lost() bool {
-	return (v.probesFailed() || v.longOverdue() || v.reclaimed()) && !v.kept()
+	return (v.probesFailed() || v.longOverdue() || v.reclaimed()) && !v.scaleInWithheld()
 }
 
-// probesFailed reports whether the machine has answered neither this node nor another one
-// for long enough.
+// probesFailed reports whether probes from this node and through another one failed, and the
+// machine has been silent for lostAfter.
 func (v *verdict) probesFailed() bool {
 	probed := v.machine.UnansweredCommands >= minFailedProbes && v.machine.RelayUnanswered
 	return probed && v.sinceMessage > v.lostAfter()
 }
 
-// longOverdue reports whether the machine is lost even if not all probes of it were tried.
-// A machine that an earlier leader used, that is in no list and sends nothing has no
-// address to probe; it is as lost as one that was probed.
+// longOverdue reports whether the machine has been silent for so long that it is lost even if
+// not all probes were tried. One failed probe is enough, or none if the address is unknown:
+// a machine that an earlier leader used, that is in no list and sends nothing can't be probed.
 func (v *verdict) longOverdue() bool {
 	probed := v.machine.UnansweredCommands > 0 || v.machine.Addr == ""
-	return probed && v.sinceMessage > v.limits.overdueAfter()
+	return probed && v.sinceMessage > v.limits.longOverdueAfter()
 }
 
-// reclaimed reports whether the cloud has reclaimed the machine, by its spot notice: the
-// time of the notice is over and a heartbeat is missing.
+// reclaimed reports whether the cloud has probably reclaimed the machine: the time in its spot
+// notice has passed and a heartbeat is missing.
 func (v *verdict) reclaimed() bool {
 	reclaimAt := v.machine.ReclaimAt
-	noticeOver := !reclaimAt.IsZero() && v.now.After(reclaimAt.Add(reclaimedMargin))
-	return noticeOver && v.sinceMessage > v.limits.heartbeatInterval+reclaimedMargin
+	noticeOver := !reclaimAt.IsZero() && v.now.After(reclaimAt.Add(reclaimDelayMargin))
+	return noticeOver && v.sinceMessage > v.limits.heartbeatInterval+reclaimDelayMargin
 }
 
-// kept reports whether the machine is not scaled in although it does not respond.
-func (v *verdict) kept() bool {
-	// Before the first list nothing is known of a machine that an earlier leader used and
-	// that has sent no heartbeat, not even its zone.
+// scaleInWithheld reports whether the machine is not scaled in although it does not respond.
+func (v *verdict) scaleInWithheld() bool {
+	// A machine that an earlier leader used may have sent no heartbeat to this one. Before the
+	// first machine list, not even its zone is known then.
 	if v.machine.Zone == "" && !v.state.MachineListReceived {
 		return true
 	}
@@ -108,17 +108,16 @@
 	if v.counts.isolated() {
 		return true
 	}
-	// When a partition is over the machines need a while to send heartbeats again.
-	return v.state.ZoneRecentlyPartitioned(v.machine.Zone, v.now) && v.sinceMessage < v.limits.partitionOutlastedAfter()
+	// After a partition the machines need a while to send heartbeats again.
+	return v.state.ZoneRecentlyPartitioned(v.machine.Zone, v.now) && v.sinceMessage < v.limits.maxPartitionWait()
 }
 
-// unlisted reports whether the cloud's lists have lacked the machine for longer than they
-// may lag. That is no proof of its end, but there is no partition behind which it is alive
-// and must be kept: asking the cloud to release it costs nothing and brings the proof.
-// (When most machines had vanished at once it looked as if this node were isolated for as
-// long as no more were added than that, and the release of none of them was ever asked
-// for.)
+// unlisted reports whether the machine has been missing from the cloud's lists for longer than
+// they may lag. That does not prove its end, but a machine that is only behind a partition
+// would still be listed. Asking the cloud to release it costs nothing and yields the proof.
+// Without this rule, after most machines have vanished at once, this node would look isolated
+// until more machines than those were added, and would never ask for the release of any.
 func (v *verdict) unlisted() bool {
 	listLag := v.state.Settings.Cloud.ListLag.Duration()
-	return v.state.MachineListRequestedAt.Sub(v.machine.ListedAt) > listLags*listLag+unlistedMargin
+	return v.state.MachineListRequestedAt.Sub(v.machine.ListedAt) > unlistedListLags*listLag+unlistedMargin
 }
--- a/internal/leader/liveness/verdict_test.go
+++ b/internal/leader/liveness/verdict_test.go
@@ -192,7 +192,7 @@
 			attempt.Machine.DrainReason, attempt.Stopping = "", true
 		}, true},
 		{"still wanted", func(_ *fixture, attempt *cluster.Attempt) { attempt.Machine.DrainReason = "" }, false},
-		{"decided lately", func(f *fixture, attempt *cluster.Attempt) { attempt.ScheduledAt = f.now.Add(-unansweredLaunchWait) }, false},
+		{"decided lately", func(f *fixture, attempt *cluster.Attempt) { attempt.ScheduledAt = f.now.Add(-unansweredLaunchTimeout) }, false},
 		{"observed", func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = true }, false},
 		{"answered", func(_ *fixture, attempt *cluster.Attempt) { attempt.LaunchUnanswered = false }, false},
 		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, false},
