--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -52,8 +52,8 @@
 // longer than outageLimit allows. oldestAck is the oldest of the other nodes' latest
 // acknowledgements, timed from when each was requested.
 func (l *Lease) RecordAcks(majorityUntil, oldestAck time.Time, delegationTime time.Duration) {
-	mayAnswerFor := min(majorityUntil.Sub(l.AcquiredAt()), l.outageLimit(oldestAck, delegationTime))
-	l.mayAnswerFor.Store(int64(mayAnswerFor))
+	limit := min(majorityUntil.Sub(l.AcquiredAt()), l.outageLimit(oldestAck, delegationTime))
+	l.mayAnswerFor.Store(int64(limit))
 }
 
 // outageLimit returns, as a duration since AcquiredAt, how long heartbeats may be answered
--- a/internal/leader/liveness/counts_test.go
+++ b/internal/leader/liveness/counts_test.go
@@ -9,10 +9,10 @@
 	"lilaclead/internal/wire"
 )
 
-func TestMachinesAreCountedByHowTheyAreReached(t *testing.T) {
+func TestMachinesAreCountedByReachability(t *testing.T) {
 	f := newFixture(t)
 	f.addMachine(0)
-	f.addMachine(3100 * time.Millisecond)                                       // just not overdue
+	f.addMachine(3100 * time.Millisecond)                                       // heartbeat just not overdue
 	f.addMachine(4 * time.Second)                                               // unresponsive
 	f.addMachine(6 * time.Second)                                               // lost
 	f.addMachine(time.Minute).Booting = true                                    // not counted
@@ -24,10 +24,10 @@
 	service := f.addJob(wire.KindService, 2)
 	f.addAttempt(service, 0, host)
 	f.addAttempt(service, 1, lostHost)
-	deaf := f.addMachine(0)
-	deaf.Inbound.RecordAnswer(testToken, 1, 10)
-	deaf.Inbound.RecordUnansweredCommand()
-	deaf.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
+	receivesNothing := f.addMachine(0)
+	receivesNothing.Inbound.RecordAnswer(testToken, 1, 10)
+	receivesNothing.Inbound.RecordUnansweredCommand()
+	receivesNothing.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
 
 	want := &machineCounts{
 		up: 9, unresponsive: 4, lost: 3, relayed: 1, inboundPathLost: 1, outboundPathLost: 1,
@@ -39,14 +39,14 @@
 	}
 }
 
-func TestIsolationNeedsManyAndMostMachines(t *testing.T) {
+func TestIsolationNeedsMajorityOfAtLeastThreeMachines(t *testing.T) {
 	cases := []struct {
-		name            string
-		counts          machineCounts
-		wantIsolated    bool
-		wantUnreachable bool
+		name                       string
+		counts                     machineCounts
+		wantIsolated               bool
+		wantMostOutOfDirectContact bool
 	}{
-		{"all reached", machineCounts{up: 10}, false, false},
+		{"all responsive", machineCounts{up: 10}, false, false},
 		{"two of two unresponsive", machineCounts{up: 2, unresponsive: 2, lost: 2}, false, false},
 		{"half unresponsive", machineCounts{up: 10, unresponsive: 5, lost: 5}, false, false},
 		{"most unresponsive, half lost", machineCounts{up: 10, unresponsive: 6, lost: 5}, true, false},
@@ -60,20 +60,20 @@
 			if got := tc.counts.isolated(); got != tc.wantIsolated {
 				t.Errorf("%+v: isolated %v, want %v", tc.counts, got, tc.wantIsolated)
 			}
-			if got := tc.counts.mostOutOfDirectContact(); got != tc.wantUnreachable {
-				t.Errorf("%+v: unreachable %v, want %v", tc.counts, got, tc.wantUnreachable)
+			if got := tc.counts.mostOutOfDirectContact(); got != tc.wantMostOutOfDirectContact {
+				t.Errorf("%+v: most out of direct contact %v, want %v", tc.counts, got, tc.wantMostOutOfDirectContact)
 			}
 		})
 	}
 }
 
-func TestSingleFaultsArePlausibleUpToAQuarter(t *testing.T) {
+func TestSingleFaultsArePlausibleUpToThreeOrAQuarter(t *testing.T) {
 	for _, tc := range []struct {
 		faulty, total int
 		want          bool
 	}{{0, 0, true}, {3, 3, true}, {4, 15, false}, {4, 16, true}, {25, 100, true}, {26, 100, false}} {
 		if got := plausibleSingleFaults(tc.faulty, tc.total); got != tc.want {
-			t.Errorf("%d of %d: got %v, want %v", tc.faulty, tc.total, got, tc.want)
+			t.Errorf("%d of %d machines faulty: single faults plausible %v, want %v", tc.faulty, tc.total, got, tc.want)
 		}
 	}
 }
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -31,7 +31,7 @@
 type fixture struct {
 	*Monitor
 	now     time.Time
-	evicted []string // label values of evictions
+	evicted []string // reasons of evictions, as counted in the metrics
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -74,7 +74,8 @@
 	return f
 }
 
-// loseStore lets the lease end, with heartbeats still answered or not.
+// loseStore makes the leader's lease expire, as if the key-value store had become unavailable.
+// If answering is set, the leader may still answer heartbeats.
 func (f *fixture) loseStore(answering bool) {
 	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: f.now, ValidUntil: f.now.Add(-time.Millisecond)})
 	if answering {
@@ -82,12 +83,12 @@
 	}
 }
 
-// partition makes a zone seem partitioned from now on.
+// partition makes the zone detector judge a zone as partitioned at f.now.
 func (f *fixture) partition(zone wire.Zone) {
 	f.State.ZoneDetector.Judge(zone, detector.Counts{Up: 10, Lost: 10, AllUp: 20}, f.now)
 }
 
-// addMachine adds a machine in zone a that sent its last message so long ago.
+// addMachine adds a machine in zone a whose last message is sinceMessage old.
 func (f *fixture) addMachine(sinceMessage time.Duration) *cluster.Machine {
 	machine := f.State.GetOrAddMachine(wire.MachineID(fmt.Sprintf("n-%d", len(f.State.Machines)+1)))
 	machine.Addr, machine.MachineType, machine.Zone = "10.0.0.9:9000", "c4", "a"
@@ -98,7 +99,7 @@
 	return machine
 }
 
-// addJob adds a job of a kind.
+// addJob adds a job of the given kind and number of tasks.
 func (f *fixture) addJob(kind wire.JobKind, tasks int) *cluster.Job {
 	id := wire.JobID(fmt.Sprintf("req-%d", len(f.State.Jobs)+1))
 	job := cluster.NewJob(store.JobRecord{
@@ -109,7 +110,7 @@
 	return job
 }
 
-// addAttempt adds a running attempt of a job's task.
+// addAttempt adds a running attempt of the job's task with the given index.
 func (f *fixture) addAttempt(job *cluster.Job, index int, machine *cluster.Machine) *cluster.Attempt {
 	attempt := &cluster.Attempt{Job: job, Chunk: job.Chunk(0), Index: index, Number: 7, Machine: machine,
 		ScheduledAt: f.now.Add(-time.Minute), LaunchSent: true, SeenInHeartbeat: true}
--- a/internal/leader/liveness/lease_expiry_test.go
+++ b/internal/leader/liveness/lease_expiry_test.go
@@ -10,14 +10,15 @@
 	"lilaclead/internal/wire"
 )
 
-// surelyExpired is how long after the last possible renewal a lease of 16 s has expired.
-const surelyExpired = 16*time.Second + 32*time.Millisecond + 1500*time.Millisecond
+// expiredAfterRenewal is the time after the last possible renewal at which a lease of 16 s has
+// certainly expired.
+const expiredAfterRenewal = 16*time.Second + 32*time.Millisecond + 1500*time.Millisecond
 
 func TestLeaseExpiresAfterTheLastPossibleRenewal(t *testing.T) {
 	cases := []struct {
 		name  string
 		setup func(f *fixture, machine *cluster.Machine)
-		want  time.Duration // last possible renewal, from the begin of the term
+		want  time.Duration // from the start of the term to the last possible renewal
 	}{
 		{"answered by this leader", func(f *fixture, machine *cluster.Machine) {
 			machine.LastReplyAt = f.State.TermStartedAt.Add(7 * time.Second)
@@ -31,18 +32,18 @@
 		{"a delegate renewed it", func(f *fixture, _ *cluster.Machine) {
 			f.State.DelegatesRenewedUntil = f.State.TermStartedAt.Add(10 * time.Second)
 		}, 10 * time.Second},
-		{"an earlier leader, a quorum holds the token", func(f *fixture, machine *cluster.Machine) {
+		{"an earlier leader, a quorum acknowledged the token", func(f *fixture, machine *cluster.Machine) {
 			machine.Token = testToken - 1
 			f.State.QuorumAckedAt = f.State.TermStartedAt.Add(11 * time.Second)
 		}, 11*time.Second + peer.AckLifetime},
-		{"an earlier leader, no quorum, delegates", func(f *fixture, machine *cluster.Machine) {
+		{"an earlier leader, no quorum, delegation enabled", func(f *fixture, machine *cluster.Machine) {
 			machine.Token = testToken - 1
 			f.State.Delegation.MaxDelegationTime = 22 * time.Second
 		}, 22 * time.Second},
-		{"an earlier leader, no quorum, no delegates", func(_ *fixture, machine *cluster.Machine) {
+		{"an earlier leader, no quorum, delegation disabled", func(_ *fixture, machine *cluster.Machine) {
 			machine.Token = testToken - 1
 		}, peer.OutageLimit},
-		{"an earlier leader answered until the quorum, a delegate later", func(f *fixture, machine *cluster.Machine) {
+		{"an earlier leader until the quorum, a delegate later", func(f *fixture, machine *cluster.Machine) {
 			machine.Token = testToken - 1
 			f.State.QuorumAckedAt = f.State.TermStartedAt.Add(time.Second)
 			f.State.DelegatesRenewedUntil = f.State.TermStartedAt.Add(12 * time.Second)
@@ -56,12 +57,12 @@
 			job := f.addJob(wire.KindArray, 1)
 			f.addAttempt(job, 0, machine)
 			tc.setup(f, machine)
-			expired := f.State.TermStartedAt.Add(tc.want + surelyExpired)
+			expired := f.State.TermStartedAt.Add(tc.want + expiredAfterRenewal)
 			if f.ExpireLease(machine, expired.Add(-time.Millisecond)); job.ActiveTasks != 1 {
-				t.Errorf("expired %v after the last possible renewal, want %v", surelyExpired-time.Millisecond, surelyExpired)
+				t.Errorf("expired %v after the last possible renewal, want %v", expiredAfterRenewal-time.Millisecond, expiredAfterRenewal)
 			}
 			if f.ExpireLease(machine, expired); job.ActiveTasks != 0 {
-				t.Errorf("not expired %v after the last possible renewal", surelyExpired)
+				t.Errorf("not expired %v after the last possible renewal", expiredAfterRenewal)
 			}
 			if want := []string{string(cluster.EvictedLeaseExpired)}; !slices.Equal(f.evicted, want) {
 				t.Errorf("evictions %v, want %v", f.evicted, want)
@@ -70,7 +71,7 @@
 	}
 }
 
-func TestLeaseExpiryKeepsWhatMayStillStart(t *testing.T) {
+func TestLeaseExpirySparesAttemptsThatMayStillStart(t *testing.T) {
 	cases := []struct {
 		name  string
 		setup func(f *fixture, attempt *cluster.Attempt)
@@ -79,7 +80,7 @@
 		{"running", func(*fixture, *cluster.Attempt) {}, 0},
 		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, 1},
 		{"direct launch in flight", func(_ *fixture, attempt *cluster.Attempt) { attempt.LaunchInFlight = true }, 1},
-		{"before recovery", func(f *fixture, _ *cluster.Attempt) { f.State.RecordsRead = false }, 1},
+		{"records not read", func(f *fixture, _ *cluster.Attempt) { f.State.RecordsRead = false }, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -97,26 +98,27 @@
 
 func TestEarlierLeaderRepliesUntil(t *testing.T) {
 	cases := []struct {
-		name       string
-		delegation time.Duration
-		acked      time.Duration // after the begin of the term; 0: never
-		want       time.Duration
+		// Times are counted from the start of the term.
+		name              string
+		maxDelegationTime time.Duration
+		quorumAcked       time.Duration // 0: never
+		want              time.Duration
 	}{
-		{"never acknowledged, no delegates", 0, 0, peer.OutageLimit},
-		{"never acknowledged, delegates", 22 * time.Second, 0, 22 * time.Second},
-		{"never acknowledged, delegates for less than empty acknowledgements count", 5 * time.Second, 0, 7 * time.Second},
+		{"never acknowledged, delegation disabled", 0, 0, peer.OutageLimit},
+		{"never acknowledged, delegation enabled", 22 * time.Second, 0, 22 * time.Second},
+		{"never acknowledged, delegation for less time than empty acknowledgements count", 5 * time.Second, 0, 7 * time.Second},
 		{"acknowledged early", 22 * time.Second, 3 * time.Second, 5 * time.Second},
 		{"acknowledged late", 22 * time.Second, 30 * time.Second, 22 * time.Second},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			f.State.Delegation.MaxDelegationTime = tc.delegation
-			if tc.acked > 0 {
-				f.State.QuorumAckedAt = f.State.TermStartedAt.Add(tc.acked)
+			f.State.Delegation.MaxDelegationTime = tc.maxDelegationTime
+			if tc.quorumAcked > 0 {
+				f.State.QuorumAckedAt = f.State.TermStartedAt.Add(tc.quorumAcked)
 			}
 			if got := f.EarlierLeaderRepliesUntil().Sub(f.State.TermStartedAt); got != tc.want {
-				t.Errorf("delegates for %v, acknowledged after %v: got %v, want %v", tc.delegation, tc.acked, got, tc.want)
+				t.Errorf("delegation for up to %v, acknowledged after %v: got %v, want %v", tc.maxDelegationTime, tc.quorumAcked, got, tc.want)
 			}
 		})
 	}
--- a/internal/leader/liveness/limits_test.go
+++ b/internal/leader/liveness/limits_test.go
@@ -18,9 +18,9 @@
 		{"longest gap between heartbeats", f.limits().maxHeartbeatGap(), 2500 * time.Millisecond},
 		{"probed after", f.limits().unresponsiveAfter(), 3100 * time.Millisecond},
 		{"lost after", f.limits().lostAfter(), 5500 * time.Millisecond},
-		{"lost whatever was probed after", f.limits().longOverdueAfter(), 8500 * time.Millisecond},
+		{"lost even without all probes after", f.limits().longOverdueAfter(), 8500 * time.Millisecond},
 		{"lease expired after", f.limits().leaseExpiredAfter(), 20 * time.Second},
-		{"partition outlasted after", f.limits().maxPartitionWait(), 82 * time.Second},
+		{"longest wait for a partition", f.limits().maxPartitionWait(), 82 * time.Second},
 	} {
 		if tc.got != tc.want {
 			t.Errorf("%s: got %v, want %v", tc.name, tc.got, tc.want)
@@ -28,7 +28,7 @@
 	}
 	f.State.Settings.Workers.Lease = 60
 	if got, want := f.limits().maxPartitionWait(), 150*time.Second; got != want {
-		t.Errorf("with a lease of 60 s a partition is outlasted after %v, want %v", got, want)
+		t.Errorf("lease of 60 s: longest wait for a partition %v, want %v", got, want)
 	}
 }
 
@@ -37,7 +37,7 @@
 		name           string
 		interval       wire.Seconds
 		replicas       bool
-		unresponsive   int // machines with replicas that are unresponsive, of 12
+		unresponsive   int // how many of 12 machines with replicas are unresponsive
 		wantProbeAfter time.Duration
 		wantLostAfter  time.Duration
 	}{
--- a/internal/leader/liveness/partitions_test.go
+++ b/internal/leader/liveness/partitions_test.go
@@ -14,8 +14,8 @@
 	"lilaclead/internal/wire"
 )
 
-// withPeer runs a test with a controller b in zone a that is connected to this one; cut
-// ends the connection. It runs in a bubble of its own.
+// withPeer runs a test in a synctest bubble, with a controller b in zone a that is connected to
+// this one and reports the given status. The function cut ends the connection.
 func withPeer(t *testing.T, status peer.Status, test func(t *testing.T, f *fixture, cut func())) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
@@ -42,7 +42,7 @@
 		time.Sleep(3 * time.Second)
 		f.now = time.Now()
 		test(t, f, func() { network.Cut(simulator.NodeIP(0), simulator.NodeIP(1), true) })
-		t.Cleanup(func() { // with the context ended
+		t.Cleanup(func() { // runs after t.Context has been cancelled
 			network.Close()
 			for _, stop := range stops {
 				stop()
@@ -59,15 +59,15 @@
 		name   string
 		status peer.Status
 		counts machineCounts
-		age    time.Duration // of the term
+		age    time.Duration // since the term started
 		want   bool
 	}{
-		{"it reaches most machines", peer.Status{StateReachable: true, ReachableWorkers: 6}, isolated, time.Minute, true},
-		{"it reaches half", peer.Status{StateReachable: true, ReachableWorkers: 5}, isolated, time.Minute, false},
-		{"it can't reach the store", peer.Status{ReachableWorkers: 10}, isolated, time.Minute, false},
-		{"this node reaches most too", peer.Status{StateReachable: true, ReachableWorkers: 10}, machineCounts{up: 10}, time.Minute, false},
+		{"peer reaches most machines", peer.Status{StateReachable: true, ReachableWorkers: 6}, isolated, time.Minute, true},
+		{"peer reaches half of the machines", peer.Status{StateReachable: true, ReachableWorkers: 5}, isolated, time.Minute, false},
+		{"peer can't reach the store", peer.Status{ReachableWorkers: 10}, isolated, time.Minute, false},
+		{"this node reaches the machines too", peer.Status{StateReachable: true, ReachableWorkers: 10}, machineCounts{up: 10}, time.Minute, false},
 		{"the term has just begun", peer.Status{StateReachable: true, ReachableWorkers: 10}, isolated, 7500 * time.Millisecond, false},
-		{"the machines had time to reach this node", peer.Status{StateReachable: true, ReachableWorkers: 10}, isolated, 7600 * time.Millisecond, true},
+		{"the term is old enough", peer.Status{StateReachable: true, ReachableWorkers: 10}, isolated, 7600 * time.Millisecond, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestZoneIsPartitionedSoonerWithoutItsControllers(t *testing.T) {
+func TestSmallZoneIsPartitionedOnlyIfItsControllersAreLost(t *testing.T) {
 	for name, tc := range map[string]struct {
 		cut  bool
 		want bool
@@ -110,21 +110,21 @@
 	}
 }
 
-func TestPeerWithoutThisTermsTokenCountsAsEarlierLeadersDelegate(t *testing.T) {
+func TestPeerThatNeverAcknowledgedTokenMayBeEarlierLeadersDelegate(t *testing.T) {
 	withPeer(t, peer.Status{}, func(t *testing.T, f *fixture, _ func()) {
 		if got := f.anyDelegateAnswersUntil(f.now); !got.IsZero() {
-			t.Errorf("without delegation: until %v, want never", got)
+			t.Errorf("delegation disabled: a delegate can answer until %v, want never", got)
 		}
 		f.State.Delegation.MaxDelegationTime, f.State.TermStartedAt = 22*time.Second, f.now
-		// The peer never acknowledged this term's token: an earlier leader may have made
-		// it its delegate.
+		// The peer never acknowledged this term's token, so it may be the delegate of an
+		// earlier leader.
 		if got, want := f.anyDelegateAnswersUntil(f.now), f.State.TermStartedAt.Add(22*time.Second); !got.Equal(want) {
-			t.Errorf("token never acknowledged: until %v, want %v", got, want)
+			t.Errorf("token never acknowledged: a delegate can answer until %v, want %v", got, want)
 		}
 	})
 }
 
-func TestReplicasBehindAPartitionMoveWhenTheirLeaseEnds(t *testing.T) {
+func TestReplicasBehindPartitionAreMovedWhenLeaseIsEnding(t *testing.T) {
 	cases := []struct {
 		name         string
 		sinceMessage time.Duration
@@ -137,7 +137,7 @@
 		{"no replicas", time.Minute, wire.KindArray, func(*fixture, *cluster.Job) {}, false},
 		{"bound to its zone", time.Minute, wire.KindService, func(_ *fixture, job *cluster.Job) { job.Spec.Zone = "a" }, false},
 		{"spread, one other zone has room", time.Minute, wire.KindService, func(_ *fixture, job *cluster.Job) { job.Spec.Spread = true }, true},
-		{"spread, no other zone", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
+		{"spread, there is no other zone", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
 			job.Spec.Spread, f.State.Settings.Zones = true, []wire.Zone{"a"}
 		}, false},
 		{"spread, the other zone is partitioned too", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
--- a/internal/leader/liveness/paths_test.go
+++ b/internal/leader/liveness/paths_test.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/wire"
 )
 
-// loseInbound makes the inbound path of a machine lost so long ago.
+// loseInbound makes the inbound path of a machine count as lost since the given time ago.
 func (f *fixture) loseInbound(machine *cluster.Machine, ago time.Duration, commandsFail bool) {
 	missesLaunch := detector.Evidence{MissesLaunch: func() bool { return true }}
 	machine.Inbound.RecordAnswer(0, 1, 8)
@@ -29,14 +29,14 @@
 		setup        func(f *fixture, attempt *cluster.Attempt)
 		want         bool
 	}{
-		{"a launch waits for a proof", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, true},
-		{"a stop waits for a proof", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Stopping = true }, true},
-		{"a launch waits, not for long", 3 * time.Second, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, false},
-		{"a launch waits, no command failed", 3100 * time.Millisecond, false, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, false},
-		{"an attempt that is not stored waits", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat, attempt.Unstored = false, true }, false},
-		{"nothing waits", 16 * time.Second, true, func(*fixture, *cluster.Attempt) {}, false},
-		{"nothing waits, the lease has expired", 16100 * time.Millisecond, false, func(*fixture, *cluster.Attempt) {}, true},
-		{"the lease has expired, not leading", time.Minute, true, func(f *fixture, _ *cluster.Attempt) { f.loseStore(true) }, false},
+		{"a launch is unconfirmed", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, true},
+		{"a stop is unconfirmed", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Stopping = true }, true},
+		{"a launch is unconfirmed, path lost only recently", 3 * time.Second, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, false},
+		{"a launch is unconfirmed, no command failed", 3100 * time.Millisecond, false, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, false},
+		{"a launch is unconfirmed, attempt not stored", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat, attempt.Unstored = false, true }, false},
+		{"nothing is unconfirmed", 16 * time.Second, true, func(*fixture, *cluster.Attempt) {}, false},
+		{"nothing is unconfirmed, the lease has expired", 16100 * time.Millisecond, false, func(*fixture, *cluster.Attempt) {}, true},
+		{"the lease has expired, not deciding", time.Minute, true, func(f *fixture, _ *cluster.Attempt) { f.loseStore(true) }, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,17 +56,17 @@
 	}
 }
 
-func TestMachineWhoseHeartbeatsAreLostIsScaledIn(t *testing.T) {
+func TestMachineWhoseHeartbeatsDontArriveIsScaledIn(t *testing.T) {
 	for name, tc := range map[string]struct {
 		missingFor  time.Duration
 		singleFault bool
 		want        bool
 	}{
-		"the lease may run":                        {20 * time.Second, true, false},
+		"the lease may not have expired":           {20 * time.Second, true, false},
 		"the lease has expired":                    {20100 * time.Millisecond, true, true},
-		"the lease has expired, of many":           {20100 * time.Millisecond, false, false},
-		"as long as a partition may last, of many": {82 * time.Second, false, false},
-		"longer than that, of many":                {82100 * time.Millisecond, false, true},
+		"the lease has expired, many machines":     {20100 * time.Millisecond, false, false},
+		"within the partition wait, many machines": {82 * time.Second, false, false},
+		"past the partition wait, many machines":   {82100 * time.Millisecond, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
@@ -87,8 +87,8 @@
 		want  bool
 	}{
 		{"never sent", func(*fixture, *cluster.Attempt) {}, true},
-		{"sent long ago", func(f *fixture, attempt *cluster.Attempt) { attempt.StopSentAt = f.now.Add(-2100 * time.Millisecond) }, true},
-		{"sent lately", func(f *fixture, attempt *cluster.Attempt) { attempt.StopSentAt = f.now.Add(-2 * time.Second) }, false},
+		{"retry interval has passed", func(f *fixture, attempt *cluster.Attempt) { attempt.StopSentAt = f.now.Add(-2100 * time.Millisecond) }, true},
+		{"retry interval has not passed", func(f *fixture, attempt *cluster.Attempt) { attempt.StopSentAt = f.now.Add(-2 * time.Second) }, false},
 		{"not stopping", func(_ *fixture, attempt *cluster.Attempt) { attempt.Stopping = false }, false},
 		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, false},
 	}
--- a/internal/leader/liveness/spot_reclaim_test.go
+++ b/internal/leader/liveness/spot_reclaim_test.go
@@ -9,22 +9,22 @@
 )
 
 func TestCheckpointsAreWrittenBeforeReclaim(t *testing.T) {
-	// A checkpoint takes 4 s, and two more are in the grace period.
+	// A checkpoint takes 4 s, and the grace period is 2 s longer.
 	cases := []struct {
 		name            string
 		kind            wire.JobKind
 		checkpoints     bool
 		remaining       time.Duration
-		withoutStore    bool
-		notAnswering    bool
+		withoutStore    bool                   // the leader may only answer heartbeats
+		notAnswering    bool                   // the leader may not even answer heartbeats
 		wantReason      cluster.EvictionReason // empty: not stopped
 		wantGracePeriod wire.Seconds
 	}{
-		{name: "array in time", kind: wire.KindArray, checkpoints: true, remaining: 7 * time.Second},
-		{name: "array just in time", kind: wire.KindArray, checkpoints: true, remaining: 6900 * time.Millisecond, wantReason: cluster.EvictedBeforeReclaim, wantGracePeriod: 6},
+		{name: "array, time left", kind: wire.KindArray, checkpoints: true, remaining: 7 * time.Second},
+		{name: "array, must stop now", kind: wire.KindArray, checkpoints: true, remaining: 6900 * time.Millisecond, wantReason: cluster.EvictedBeforeReclaim, wantGracePeriod: 6},
 		{name: "array without checkpoints", kind: wire.KindArray, remaining: time.Second},
-		{name: "gang in time", kind: wire.KindGang, checkpoints: true, remaining: 15 * time.Second},
-		{name: "gang just in time", kind: wire.KindGang, checkpoints: true, remaining: 14900 * time.Millisecond, wantReason: cluster.EvictedBeforeReclaim, wantGracePeriod: 14},
+		{name: "gang, time left", kind: wire.KindGang, checkpoints: true, remaining: 15 * time.Second},
+		{name: "gang, must stop now", kind: wire.KindGang, checkpoints: true, remaining: 14900 * time.Millisecond, wantReason: cluster.EvictedBeforeReclaim, wantGracePeriod: 14},
 		{name: "service", kind: wire.KindService, remaining: time.Minute, wantReason: cluster.EvictedMachineReclaimed},
 		{name: "array without the store", kind: wire.KindArray, checkpoints: true, remaining: 6 * time.Second, withoutStore: true, wantReason: cluster.EvictedBeforeReclaim, wantGracePeriod: 6},
 		{name: "service without the store", kind: wire.KindService, remaining: time.Second, withoutStore: true},
--- a/internal/leader/liveness/verdict_test.go
+++ b/internal/leader/liveness/verdict_test.go
@@ -8,11 +8,11 @@
 	"lilaclead/internal/wire"
 )
 
-func TestMachineLost(t *testing.T) {
-	probed := func(_ *fixture, machine *cluster.Machine) {
+func TestVerdictOnUnresponsiveMachine(t *testing.T) {
+	twoProbesFailed := func(_ *fixture, machine *cluster.Machine) {
 		machine.UnansweredCommands, machine.RelayUnanswered = 2, true
 	}
-	once := func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 1 }
+	oneProbeFailed := func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 1 }
 	isolated := machineCounts{up: 10, unresponsive: 6}
 	cases := []struct {
 		name         string
@@ -21,33 +21,33 @@
 		counts       machineCounts
 		want         bool
 	}{
-		{"two probes failed", 5600 * time.Millisecond, probed, machineCounts{}, true},
-		{"two probes failed early", 5500 * time.Millisecond, probed, machineCounts{}, false},
-		{"not probed through another node", 6 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 2 }, machineCounts{}, false},
-		{"one probe failed", 6 * time.Second, once, machineCounts{}, false},
-		{"one probe failed, long overdue", 8600 * time.Millisecond, once, machineCounts{}, true},
-		{"one probe failed, just not long overdue", 8500 * time.Millisecond, once, machineCounts{}, false},
+		{"two probes failed", 5600 * time.Millisecond, twoProbesFailed, machineCounts{}, true},
+		{"two probes failed early", 5500 * time.Millisecond, twoProbesFailed, machineCounts{}, false},
+		{"two probes failed, none through another node", 6 * time.Second, func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 2 }, machineCounts{}, false},
+		{"one probe failed", 6 * time.Second, oneProbeFailed, machineCounts{}, false},
+		{"one probe failed, long overdue", 8600 * time.Millisecond, oneProbeFailed, machineCounts{}, true},
+		{"one probe failed, just not long overdue", 8500 * time.Millisecond, oneProbeFailed, machineCounts{}, false},
 		{"never probed", time.Minute, func(*fixture, *cluster.Machine) {}, machineCounts{}, false},
 		{"no address to probe", time.Minute, func(_ *fixture, machine *cluster.Machine) { machine.Addr = "" }, machineCounts{}, true},
-		{"reclaimed by its notice", 3100 * time.Millisecond, func(f *fixture, machine *cluster.Machine) { machine.ReclaimAt = f.now.Add(-1100 * time.Millisecond) }, machineCounts{}, true},
-		{"notice not over", 3100 * time.Millisecond, func(f *fixture, machine *cluster.Machine) { machine.ReclaimAt = f.now.Add(-900 * time.Millisecond) }, machineCounts{}, false},
-		{"notice over, no heartbeat missing", 2900 * time.Millisecond, func(f *fixture, machine *cluster.Machine) { machine.ReclaimAt = f.now.Add(-time.Minute) }, machineCounts{}, false},
-		{"this node is isolated", 6 * time.Second, probed, isolated, false},
-		{"this node is isolated, but the lists lack the machine", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
-			probed(f, machine)
+		{"reclaim time has passed, heartbeat missing", 3100 * time.Millisecond, func(f *fixture, machine *cluster.Machine) { machine.ReclaimAt = f.now.Add(-1100 * time.Millisecond) }, machineCounts{}, true},
+		{"reclaim time may not have passed", 3100 * time.Millisecond, func(f *fixture, machine *cluster.Machine) { machine.ReclaimAt = f.now.Add(-900 * time.Millisecond) }, machineCounts{}, false},
+		{"reclaim time has passed, no heartbeat missing", 2900 * time.Millisecond, func(f *fixture, machine *cluster.Machine) { machine.ReclaimAt = f.now.Add(-time.Minute) }, machineCounts{}, false},
+		{"this node is isolated", 6 * time.Second, twoProbesFailed, isolated, false},
+		{"this node is isolated, but the machine is unlisted", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
+			twoProbesFailed(f, machine)
 			machine.ListedAt = f.now.Add(-31 * time.Second)
 		}, isolated, true},
-		{"its zone was partitioned lately", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
-			probed(f, machine)
+		{"its zone was recently partitioned", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
+			twoProbesFailed(f, machine)
 			f.partition("a")
 		}, machineCounts{}, false},
-		{"its zone was partitioned lately, which it has outlasted", 82 * time.Second, func(f *fixture, machine *cluster.Machine) {
-			probed(f, machine)
+		{"its zone was recently partitioned, waited for long enough", 82 * time.Second, func(f *fixture, machine *cluster.Machine) {
+			twoProbesFailed(f, machine)
 			f.State.TermStartedAt = f.now.Add(-time.Hour)
 			f.partition("a")
 		}, machineCounts{}, true},
-		{"no list yet, zone unknown", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
-			probed(f, machine)
+		{"no machine list yet, zone unknown", 6 * time.Second, func(f *fixture, machine *cluster.Machine) {
+			twoProbesFailed(f, machine)
 			machine.Zone, f.State.MachineListReceived = "", false
 		}, machineCounts{}, false},
 	}
@@ -94,24 +94,24 @@
 	}
 }
 
-func TestMachineThatNeverComesUpIsScaledIn(t *testing.T) {
+func TestMachineThatFailsToBootIsScaledIn(t *testing.T) {
 	cases := []struct {
 		name        string
 		machineType wire.MachineType
-		age         time.Duration
-		leading     bool
+		age         time.Duration // since the machine was requested
+		deciding    bool
 		want        bool
 	}{
-		{"just in time", "c4", 32500 * time.Millisecond, true, false},
-		{"too late", "c4", 32600 * time.Millisecond, true, true},
-		{"too late, not leading", "c4", time.Hour, false, false},
-		{"unknown type, just in time", "c8", 87500 * time.Millisecond, true, false},
-		{"unknown type, too late", "c8", 87600 * time.Millisecond, true, true},
+		{"within the limit", "c4", 32500 * time.Millisecond, true, false},
+		{"past the limit", "c4", 32600 * time.Millisecond, true, true},
+		{"past the limit, not deciding", "c4", time.Hour, false, false},
+		{"unknown type, within the limit", "c8", 87500 * time.Millisecond, true, false},
+		{"unknown type, past the limit", "c8", 87600 * time.Millisecond, true, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
-			if !tc.leading {
+			if !tc.deciding {
 				f.loseStore(true)
 			}
 			machine := f.addMachine(0)
@@ -133,13 +133,13 @@
 	}{
 		{"empty", cluster.DrainIdle, func(*fixture, *cluster.Machine) {}, true},
 		{"not draining", "", func(*fixture, *cluster.Machine) {}, false},
-		{"a task is left", cluster.DrainIdle, func(f *fixture, machine *cluster.Machine) { f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine) }, false},
-		{"an orphaned task is left", cluster.DrainIdle, func(_ *fixture, machine *cluster.Machine) { machine.OrphanTasks[wire.TaskID{Job: "req-9"}] = true }, false},
+		{"a task is still active", cluster.DrainIdle, func(f *fixture, machine *cluster.Machine) { f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine) }, false},
+		{"an orphaned task is still active", cluster.DrainIdle, func(_ *fixture, machine *cluster.Machine) { machine.OrphanTasks[wire.TaskID{Job: "req-9"}] = true }, false},
 		{"an outcome is not stored", cluster.DrainIdle, func(f *fixture, machine *cluster.Machine) {
 			f.State.UnsavedChanges.MarkDirty(f.addJob(wire.KindArray, 1).Chunk(0))
 			machine.LastUsedAt = time.Now().Add(time.Second)
 		}, false},
-		{"adopted with a task", cluster.DrainAdoptedScaleIn, func(f *fixture, machine *cluster.Machine) { f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine) }, true},
+		{"scale-in begun by an earlier leader, a task is still active", cluster.DrainAdoptedScaleIn, func(f *fixture, machine *cluster.Machine) { f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine) }, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -155,33 +155,33 @@
 	}
 }
 
-func TestCancelledTaskThatGoesOnHasItsMachineScaledIn(t *testing.T) {
+func TestMachineOfUnstoppableCancelledTaskIsScaledIn(t *testing.T) {
 	for name, tc := range map[string]struct {
-		age       time.Duration
-		recovered bool
-		want      bool
+		sinceCancel time.Duration
+		recordsRead bool
+		want        bool
 	}{
-		"within the time for stops":       {24600 * time.Millisecond, true, false},
-		"past the time for stops":         {24700 * time.Millisecond, true, true},
-		"past the time, before recovery":  {time.Minute, false, false},
-		"past the time by a whole minute": {time.Minute, true, true},
+		"within the time for stops":                 {24600 * time.Millisecond, true, false},
+		"past the time for stops":                   {24700 * time.Millisecond, true, true},
+		"past the time for stops, records not read": {time.Minute, false, false},
+		"past the time for stops by far":            {time.Minute, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
-			f.State.RecordsRead = tc.recovered
+			f.State.RecordsRead = tc.recordsRead
 			machine := f.addMachine(0)
 			job := f.addJob(wire.KindArray, 1)
 			f.addAttempt(job, 0, machine)
-			job.Cancelled, job.CancelledAt = true, f.now.Add(-tc.age)
+			job.Cancelled, job.CancelledAt = true, f.now.Add(-tc.sinceCancel)
 			f.scaleInUncancellable(f.now)
 			if machine.ScalingIn != tc.want {
-				t.Errorf("cancelled %v ago, recovered %v: scaled in %v, want %v", tc.age, tc.recovered, machine.ScalingIn, tc.want)
+				t.Errorf("cancelled %v ago, records read %v: scaled in %v, want %v", tc.sinceCancel, tc.recordsRead, machine.ScalingIn, tc.want)
 			}
 		})
 	}
 }
 
-func TestUnansweredLaunchIsEndedByAHigherTokenWhereNothingMayStart(t *testing.T) {
+func TestHigherTokenIsRequestedAgainstUnwantedLaunch(t *testing.T) {
 	cases := []struct {
 		name  string
 		setup func(f *fixture, attempt *cluster.Attempt)
@@ -191,10 +191,10 @@
 		{"stopping", func(_ *fixture, attempt *cluster.Attempt) {
 			attempt.Machine.DrainReason, attempt.Stopping = "", true
 		}, true},
-		{"still wanted", func(_ *fixture, attempt *cluster.Attempt) { attempt.Machine.DrainReason = "" }, false},
-		{"decided lately", func(f *fixture, attempt *cluster.Attempt) { attempt.ScheduledAt = f.now.Add(-unansweredLaunchTimeout) }, false},
-		{"observed", func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = true }, false},
-		{"answered", func(_ *fixture, attempt *cluster.Attempt) { attempt.LaunchUnanswered = false }, false},
+		{"launch still wanted", func(_ *fixture, attempt *cluster.Attempt) { attempt.Machine.DrainReason = "" }, false},
+		{"scheduled recently", func(f *fixture, attempt *cluster.Attempt) { attempt.ScheduledAt = f.now.Add(-unansweredLaunchTimeout) }, false},
+		{"seen in a heartbeat", func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = true }, false},
+		{"launch answered", func(_ *fixture, attempt *cluster.Attempt) { attempt.LaunchUnanswered = false }, false},
 		{"not stored", func(_ *fixture, attempt *cluster.Attempt) { attempt.Unstored = true }, false},
 	}
 	for _, tc := range cases {
@@ -207,7 +207,7 @@
 			tc.setup(f, attempt)
 			f.checkTasks(machine, f.now)
 			if f.Fencing.RaiseRequested != tc.want {
-				t.Errorf("attempt %+v: a higher token is requested %v, want %v", *attempt, f.Fencing.RaiseRequested, tc.want)
+				t.Errorf("attempt %+v: higher token requested %v, want %v", *attempt, f.Fencing.RaiseRequested, tc.want)
 			}
 		})
 	}
