--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -151,7 +151,7 @@
 	}
 	d.Mesh.RecordRenewal()
 	// The check is repeated after the renewal is recorded. A node whose heartbeat arrives later
-	// learns of the renewal; one whose heartbeat arrived before is taken into account here.
+	// learns of the renewal; a heartbeat that arrived before is seen by this check.
 	token, ok := d.renewalToken(heartbeat.Token)
 	if !ok {
 		return nil
--- a/internal/leader/liveness/counts.go
+++ b/internal/leader/liveness/counts.go
@@ -88,7 +88,7 @@
 }
 
 // plausibleSingleFaults reports whether the faulty machines are so few that each may have a
-// fault of its own, rather than all a common cause such as the network.
+// fault of its own. More of them suggest a common cause, such as the network.
 func plausibleSingleFaults(faulty, total int) bool {
 	return faulty <= max(systemicFaultThreshold, total/singleFaultDivisor)
 }
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -34,7 +34,7 @@
 	}
 	for _, attempt := range machine.Tasks {
 		// A direct launch in flight may still arrive after the lease has expired, and the agent
-		// accepts it unless it has entered a new epoch by then.
+		// accepts it unless the agent has entered a new epoch by then.
 		if attempt.Unstored || attempt.LaunchInFlight {
 			continue
 		}
@@ -67,10 +67,10 @@
 //
 // With delegation the second bound is usually shorter. An earlier leader that never acknowledged
 // a token of this term has received no acknowledgement from this node either since the term
-// began, except the empty ones of a process that has just started. It then stops answering as a
-// leader does that is cut off. Without the shorter bound, when the zone that holds most
-// controllers is cut off and no quorum is left, the tasks there count as running for all of
-// peer.OutageLimit.
+// began, except the empty ones of a process that has just started. It then stops answering early,
+// like any leader that lacks acknowledgements (see election.Lease.RecordAcks). Without the
+// shorter bound, when the zone that holds most controllers is cut off and no quorum is left, the
+// tasks there count as running for all of peer.OutageLimit.
 func (mo *Monitor) EarlierLeaderRepliesUntil() time.Time {
 	until := mo.State.TermStartedAt.Add(peer.OutageLimit)
 	if mo.State.Delegation.MaxDelegationTime > 0 {
--- a/internal/leader/liveness/partitions.go
+++ b/internal/leader/liveness/partitions.go
@@ -34,8 +34,8 @@
 // fraction of the lease, an eighth.
 const settlingLeaseDivisor = 8
 
-// betterConnectedPeer returns a controller that most machines reach directly, if most don't
-// reach this one and the term has lasted long enough to tell.
+// betterConnectedPeer returns a controller that most machines reach, if most don't reach this
+// one directly and the term has lasted long enough to tell.
 func (mo *Monitor) betterConnectedPeer(counts *machineCounts, now time.Time) (wire.NodeID, bool) {
 	settlingTime := mo.limits().lostAfter() + mo.State.Settings.Workers.Lease.Duration()/settlingLeaseDivisor
 	settled := now.Sub(mo.State.TermStartedAt) > settlingTime
