--- a/internal/fleet/all_or_nothing.go
+++ b/internal/fleet/all_or_nothing.go
@@ -7,17 +7,18 @@
 	"lilaclead/internal/wire"
 )
 
-// packAllOrNothing finds room for all units of a demand, or for none of them.
+// packAllOrNothing reserves resources for all units of a demand or for none. Where the free ones
+// don't suffice, it adds machines.
 func (p *packer) packAllOrNothing(d *Demand) {
-	for _, offer := range p.cheapestScaleOut(d) {
+	for _, offer := range p.cheapestOffersForAll(d) {
 		p.addMachine(offer, d).used = true
 	}
-	p.fillAllOrNothing(d)
+	p.reserveAllOrNothing(d)
 }
 
-// fillAllOrNothing takes the room of a demand in the first zone that has room for all of
-// it.
-func (p *packer) fillAllOrNothing(d *Demand) {
+// reserveAllOrNothing reserves resources for all units of a demand, in the first zone that has
+// enough of them. If no zone has, it reserves nothing.
+func (p *packer) reserveAllOrNothing(d *Demand) {
 	unit := placement.ResourcesOf(d.Spec)
 	for _, zone := range p.zonesFor(d, nil) {
 		units := newUnitCount(d)
@@ -26,26 +27,26 @@
 			continue
 		}
 		for _, f := range fills {
-			p.bins[f.bin].take(unit, f.units)
+			p.bins[f.bin].reserve(unit, f.units)
 		}
 		return
 	}
 }
 
-// anyZone stands for all zones together.
+// anyZone is used in place of a zone where units may be spread over all zones.
 const anyZone wire.Zone = ""
 
 func inZone(zone, allowed wire.Zone) bool { return allowed == anyZone || zone == allowed }
 
-// zonesFor returns the zones of the bins and offers that may take all units of a demand;
-// anyZone if they may be spread over several.
+// zonesFor returns the zones of the bins and offers that may run all units of a demand, sorted. It
+// returns only anyZone if the units may be in different zones.
 func (p *packer) zonesFor(d *Demand, offers []Offer) []wire.Zone {
 	if !d.Spec.SameZone {
 		return []wire.Zone{anyZone}
 	}
 	var zones []wire.Zone
 	add := func(zone wire.Zone) {
-		if !slices.Contains(zones, zone) && d.mayBeIn(zone) {
+		if !slices.Contains(zones, zone) && d.allUnitsAllowedIn(zone) {
 			zones = append(zones, zone)
 		}
 	}
@@ -59,52 +60,53 @@
 	return zones
 }
 
-// mayBeIn reports whether all units of the demand may be in the zone.
-func (d *Demand) mayBeIn(zone wire.Zone) bool {
+// allUnitsAllowedIn reports whether all units of the demand may be in the zone.
+func (d *Demand) allUnitsAllowedIn(zone wire.Zone) bool {
 	return d.zoneUnits(zone, d.Units) == d.Units && inZone(zone, d.Spec.Zone)
 }
 
-// unitCount counts the units of a demand that are placed.
+// unitCount counts the units of a demand while places for them are sought.
 type unitCount struct {
-	d      *Demand
-	left   int
-	inZone map[wire.Zone]int
+	demand       *Demand
+	left         int // units without a place
+	placedByZone map[wire.Zone]int
 }
 
 func newUnitCount(d *Demand) *unitCount {
 	return &unitCount{d, d.Units, map[wire.Zone]int{}}
 }
 
-// most returns how many more units the zone may take of those for which there is room.
-func (c *unitCount) most(zone wire.Zone, room int) int {
-	if c.d.ZoneCapacityLeft != nil {
-		room = min(room, c.d.ZoneCapacityLeft[zone]-c.inZone[zone])
+// placeable returns how many units can be placed on a machine in the zone that has resources for
+// fitting units: no more than are left, nor than the zone may still take.
+func (c *unitCount) placeable(zone wire.Zone, fitting int) int {
+	if c.demand.ZoneCapacityLeft != nil {
+		fitting = min(fitting, c.demand.ZoneCapacityLeft[zone]-c.placedByZone[zone])
 	}
-	return min(c.left, room)
+	return min(c.left, fitting)
 }
 
 func (c *unitCount) add(zone wire.Zone, units int) {
 	c.left -= units
-	c.inZone[zone] += units
+	c.placedByZone[zone] += units
 }
 
-// binUnits is how many units go into a bin.
+// binUnits is the number of units that are placed in a bin, given by its index.
 type binUnits struct{ bin, units int }
 
-// placeInBins finds places for units in the bins of a zone, where room is free within the
-// demand's slack. It changes no bin.
+// placeInBins finds places for the units that are left, in the bins of a zone that have resources
+// free within the demand's slack. It updates the count, but reserves nothing.
 func (p *packer) placeInBins(count *unitCount, zone wire.Zone) []binUnits {
-	unit := placement.ResourcesOf(count.d.Spec)
+	unit := placement.ResourcesOf(count.demand.Spec)
 	var fills []binUnits
 	for i := range p.bins {
 		if count.left == 0 {
 			break
 		}
 		b := &p.bins[i]
-		if !inZone(b.zone, zone) || !b.allowed(count.d.Spec) {
+		if !inZone(b.zone, zone) || !b.allowed(count.demand.Spec) {
 			continue
 		}
-		units := count.most(b.zone, unit.UnitsIn(b.freeWithin(count.d.SlackSeconds)))
+		units := count.placeable(b.zone, unit.UnitsIn(b.freeWithin(count.demand.SlackSeconds)))
 		if units <= 0 {
 			continue
 		}
@@ -114,26 +116,26 @@
 	return fills
 }
 
-// offerPicks is a choice of offers, one entry for each machine to be added.
+// offerPicks are the offers from which machines are to be added.
 type offerPicks struct {
-	offers  []int
-	byOffer map[int]int // machines
-	cost    float64
+	offers          []int       // index of the offer of each machine
+	machinesByOffer map[int]int // number of machines by index of the offer
+	cost            float64     // price of all machines per hour
 }
 
 func (o *offerPicks) add(offer int, price float64) {
 	o.offers = append(o.offers, offer)
-	o.byOffer[offer]++
+	o.machinesByOffer[offer]++
 	o.cost += price
 }
 
-// cheapestScaleOut returns the offers that add room for all of a demand at the least
-// cost, one entry for each machine; none if there is room already, or if not all of the
-// demand can be met: half of it would help nobody.
-func (p *packer) cheapestScaleOut(d *Demand) []int {
+// cheapestOffersForAll returns the offers from which machines are added at the lowest cost until
+// all units of a demand fit, one index for each machine. It returns none if all units fit already,
+// or if they can't all be placed: a part of such a demand is of no use.
+func (p *packer) cheapestOffersForAll(d *Demand) []int {
 	var best *offerPicks
 	for _, zone := range p.zonesFor(d, p.offers) {
-		picks := p.scaleOutIn(zone, d)
+		picks := p.pickOffersIn(zone, d)
 		if picks != nil && (best == nil || picks.cost < best.cost) {
 			best = picks
 		}
@@ -144,13 +146,13 @@
 	return best.offers
 }
 
-// scaleOutIn picks offers of a zone for those units of a demand that have no room there;
-// nil if they can't be had, or not at that price.
-func (p *packer) scaleOutIn(zone wire.Zone, d *Demand) *offerPicks {
+// pickOffersIn picks offers in a zone for the units of a demand that the bins there can't hold. It
+// returns nil if the offers can't hold them either, or if they are too expensive.
+func (p *packer) pickOffersIn(zone wire.Zone, d *Demand) *offerPicks {
 	count := newUnitCount(d)
 	p.placeInBins(count, zone)
-	picks := &offerPicks{byOffer: map[int]int{}}
-	for count.left > 0 && len(p.added)+len(picks.offers) < p.s.MaxMachinesAdded {
+	picks := &offerPicks{machinesByOffer: map[int]int{}}
+	for count.left > 0 && len(p.added)+len(picks.offers) < p.snapshot.MaxMachinesAdded {
 		offer, units, ok := p.cheapestOfferIn(zone, count, picks)
 		if !ok {
 			break
@@ -159,22 +161,23 @@
 		picks.add(offer, o.Price)
 		count.add(o.Zone, units)
 	}
-	// The price counts for all units: the last one alone is expensive on any machine.
+	// The cost is divided by all units, those that have room already included: for the last unit
+	// alone, any machine would be too expensive.
 	if count.left > 0 || p.tooExpensive(d, picks.cost/float64(d.Units)) {
 		return nil
 	}
 	return picks
 }
 
-// cheapestOfferIn returns the offer of a zone that is cheapest for a unit of those that
-// are left, and how many units its machine takes.
+// cheapestOfferIn returns the index of the offer in a zone that costs least per unit that would
+// be placed there, and how many of the units that are left its machine holds.
 func (p *packer) cheapestOfferIn(zone wire.Zone, count *unitCount, picks *offerPicks) (offer, offerUnits int, ok bool) {
-	unit := placement.ResourcesOf(count.d.Spec)
+	unit := placement.ResourcesOf(count.demand.Spec)
 	bestCost := 0.0
 	for i := range p.offers {
 		o := &p.offers[i]
-		available := o.MaxCount > picks.byOffer[i] && o.suits(count.d.Spec)
-		units := count.most(o.Zone, unit.UnitsIn(o.Total))
+		available := o.MaxCount > picks.machinesByOffer[i] && o.suits(count.demand.Spec)
+		units := count.placeable(o.Zone, unit.UnitsIn(o.Total))
 		if !inZone(o.Zone, zone) || !available || units <= 0 {
 			continue
 		}
--- a/internal/fleet/all_or_nothing_test.go
+++ b/internal/fleet/all_or_nothing_test.go
@@ -11,8 +11,8 @@
 	"lilaclead/internal/wire"
 )
 
-// unitsByZone counts, by plain sums, the units of a demand that have room in each zone on
-// the machines, those to be added among them.
+// unitsByZone returns how many units of a demand fit in each zone on the machines, the added ones
+// included. It only sums up the machines, without the packer.
 func unitsByZone(d *Demand, machines []Machine, added []ScaleOut) map[wire.Zone]int {
 	unit, units := placement.ResourcesOf(d.Spec), map[wire.Zone]int{}
 	for _, m := range machines {
@@ -35,7 +35,8 @@
 	return units
 }
 
-// holdsAll reports whether all of a demand finds room in so many units by zone.
+// holdsAll reports whether all units of a demand fit in zones with room for the given numbers of
+// units.
 func holdsAll(d *Demand, units map[wire.Zone]int) bool {
 	total := 0
 	for zone, n := range units {
@@ -49,7 +50,7 @@
 	return !d.Spec.SameZone && total >= d.Units
 }
 
-// offeredMachines are all machines that the offers allow to add.
+// offeredMachines returns all machines that can be added from the offers.
 func offeredMachines(offers []Offer) []ScaleOut {
 	var all []ScaleOut
 	for _, o := range offers {
@@ -58,14 +59,14 @@
 	return all
 }
 
-// Machines are added for all of a gang's demand or for none of it, in one zone where it
-// requires that: what is added and what there is hold all of it, none is added where
-// there is room, and none in another zone. Where neither price nor number stands in the
-// way, machines are added whenever the offers hold all of it.
+// Machines are added only if, together with the present ones, they hold all units of a gang. None
+// are added if the present ones hold all units already. If the gang requires one zone, they are all
+// in that zone. Without a limit on price and number of machines, they are added whenever the offers
+// can hold what is missing.
 func TestMachinesAreAddedForAllOfGangOrNone(t *testing.T) {
 	added, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := snapshots(t)
+		s := drawSnapshot(t)
 		d := drawGangDemand(t)
 		s.Demands = []Demand{d}
 		limited := rapid.Bool().Draw(t, "limited")
@@ -83,17 +84,17 @@
 			return
 		}
 		if holdsAll(&d, unitsByZone(&d, s.Machines, offeredMachines(s.Offers))) {
-			t.Fatalf("adds nothing, although %v and the offers hold all of it", present)
+			t.Fatalf("no machines added, although the free units by zone %v and the offers hold the whole gang", present)
 		}
 		refused++
 	})
 	if added < 10 || refused < 10 {
-		t.Errorf("added machines for %d gangs, and not for %d: too few to tell", added, refused)
+		t.Errorf("machines added for %d gangs and refused for %d, want at least 10 of each", added, refused)
 	}
 }
 
-// checkGangScaleOuts checks that the machines that are added for a gang alone are needed
-// and enough, and in one zone where it requires that.
+// checkGangScaleOuts checks that the machines that are added for a gang, the only demand, are needed
+// and sufficient, and are in one zone if the gang requires that.
 func checkGangScaleOuts(t *rapid.T, s *Snapshot, d *Demand, plan Plan) {
 	total := machinesAdded(plan)
 	if total == 0 {
@@ -106,22 +107,22 @@
 	present := unitsByZone(d, s.Machines, nil)
 	switch {
 	case total > s.MaxMachinesAdded:
-		t.Fatalf("%d machines added, may be %d", total, s.MaxMachinesAdded)
+		t.Fatalf("%d machines added, want at most %d", total, s.MaxMachinesAdded)
 	case holdsAll(d, present):
-		t.Fatalf("adds %+v although %v has room for it", plan.ScaleOuts, present)
+		t.Fatalf("%+v added, although the free units by zone %v hold the whole gang", plan.ScaleOuts, present)
 	case !holdsAll(d, unitsByZone(d, s.Machines, plan.ScaleOuts)):
-		t.Fatalf("adds %+v, which with %v is not enough for %d", plan.ScaleOuts, present, d.Units)
+		t.Fatalf("%+v added, which with the free units by zone %v is not enough for %d units", plan.ScaleOuts, present, d.Units)
 	case d.Spec.SameZone && len(zones) != 1:
-		t.Fatalf("adds machines in %v, want one zone", zones)
+		t.Fatalf("machines added in zones %v, want one zone", zones)
 	}
 }
 
-// Beside other demands too nothing is added for a gang unless what is added and what
-// there is would hold all of it. (What others use of that comes off only in the plan.)
+// With other demands in the plan, too, machines are added for a gang only if they and the present
+// ones hold all its units. The check doesn't subtract what the other demands use of them.
 func TestGangBesideOtherDemandsGetsAllOrNothing(t *testing.T) {
 	added := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := snapshots(t)
+		s := drawSnapshot(t)
 		d := drawGangDemand(t)
 		s.Demands, s.MaxMachinesAdded = append(s.Demands, d), 20
 		s.Offers = append(s.Offers, Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 3})
@@ -131,17 +132,18 @@
 		}
 		added++
 		if !holdsAll(&d, unitsByZone(&d, s.Machines, scaleOuts)) {
-			t.Fatalf("adds %+v for a gang that does not find room for all of it there", scaleOuts)
+			t.Fatalf("%+v added for a gang, although they and the present machines don't hold all of it", scaleOuts)
 		}
 	})
 	if added < 10 {
-		t.Errorf("added machines for %d gangs: too few to tell", added)
+		t.Errorf("machines added for %d gangs, want at least 10", added)
 	}
 }
 
-// A gang adds machines for all of it in one zone or none, and what it lacks is judged by
-// the price of all of it. (For a gang of four of which three had room no machine was ever
-// added: its last task alone was too expensive on any.)
+// Machines are added for all missing units of a gang or for none, in one zone if it requires that.
+// The price limit applies to their cost divided by all units of the gang. Divided by the missing
+// units alone, a gang of four with room for three would never get a machine: any machine is too
+// expensive for its last task alone.
 func TestGangScaleOutByZoneAndPrice(t *testing.T) {
 	four := &wire.JobSpec{ID: "req-1", Kind: wire.KindGang, Tasks: 4, CPUs: 1, MemoryGB: 4, SameZone: true}
 	eight := *four
@@ -153,28 +155,28 @@
 	}
 	freeIn10 := free("a", 0)
 	freeIn10.ExpectedReleases = []ExpectedRelease{{InSeconds: 10, Resources: machineTypes["c4"]}}
-	offer := func(zone wire.Zone, price float64, room int) Offer {
-		return Offer{Type: "c4", Zone: zone, Total: machineTypes["c4"], Price: price, FetchGBPerSecond: 1, MaxCount: room}
+	offer := func(zone wire.Zone, price float64, maxCount int) Offer {
+		return Offer{Type: "c4", Zone: zone, Total: machineTypes["c4"], Price: price, FetchGBPerSecond: 1, MaxCount: maxCount}
 	}
 	for _, c := range []struct {
-		name         string
-		machines     []Machine
-		offers       []Offer
-		demand       Demand
-		maxScaleOuts int // 0: plenty
-		want         map[wire.Zone]int
+		name             string
+		machines         []Machine
+		offers           []Offer
+		demand           Demand
+		maxMachinesAdded int               // 0: the default of 9
+		want             map[wire.Zone]int // machines added
 	}{
 		{"room in one zone", []Machine{free("a", 2), free("a", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, nil},
-		{"room in two zones is none", []Machine{free("a", 2), free("b", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
-		{"the last task", []Machine{free("a", 3)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
+		{"room split over two zones", []Machine{free("a", 2), free("b", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
+		{"room for all but the last task", []Machine{free("a", 3)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
 		{"too expensive", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4}, 0, nil},
-		{"expensive, but allowed", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4, PriceLimitFactor: 10}, 0, map[wire.Zone]int{"a": 1}},
-		{"frees in time", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 15}, 0, nil},
-		{"frees too late", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 5}, 0, map[wire.Zone]int{"b": 1}},
-		{"half can be had in each zone", nil, []Offer{offer("a", 0.26, 1), offer("b", 0.26, 1)}, Demand{Spec: &eight, Units: 8}, 0, nil},
-		{"the other zone", nil, []Offer{offer("a", 0.20, 1), offer("b", 0.26, 2)}, Demand{Spec: &eight, Units: 8}, 0, map[wire.Zone]int{"b": 2}},
-		{"spread", nil, []Offer{offer("a", 0.20, 9), offer("b", 0.26, 9)}, Demand{Spec: &spread, Units: 8, ZoneCapacityLeft: map[wire.Zone]int{"a": 4, "b": 4}}, 0, map[wire.Zone]int{"a": 1, "b": 1}},
-		{"more than a plan may add", nil, []Offer{offer("a", 0.20, 9)}, Demand{Spec: &eight, Units: 8}, 1, nil},
+		{"expensive, but the price limit is raised", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4, PriceLimitFactor: 10}, 0, map[wire.Zone]int{"a": 1}},
+		{"room is released in time", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 15}, 0, nil},
+		{"room is released too late", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 5}, 0, map[wire.Zone]int{"b": 1}},
+		{"offers for half the gang in each zone", nil, []Offer{offer("a", 0.26, 1), offer("b", 0.26, 1)}, Demand{Spec: &eight, Units: 8}, 0, nil},
+		{"offers for the whole gang only in the expensive zone", nil, []Offer{offer("a", 0.20, 1), offer("b", 0.26, 2)}, Demand{Spec: &eight, Units: 8}, 0, map[wire.Zone]int{"b": 2}},
+		{"spread over two zones", nil, []Offer{offer("a", 0.20, 9), offer("b", 0.26, 9)}, Demand{Spec: &spread, Units: 8, ZoneCapacityLeft: map[wire.Zone]int{"a": 4, "b": 4}}, 0, map[wire.Zone]int{"a": 1, "b": 1}},
+		{"more machines than a plan may add", nil, []Offer{offer("a", 0.20, 9)}, Demand{Spec: &eight, Units: 8}, 1, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.demand.AllOrNothing = true
@@ -186,15 +188,15 @@
 				LowestPrice:      func(*wire.JobSpec) float64 { return 0.065 },
 				MaxMachinesAdded: 9,
 			}
-			if c.maxScaleOuts > 0 {
-				s.MaxMachinesAdded = c.maxScaleOuts
+			if c.maxMachinesAdded > 0 {
+				s.MaxMachinesAdded = c.maxMachinesAdded
 			}
 			got := map[wire.Zone]int{}
 			for _, r := range MakePlan(s).ScaleOuts {
 				got[r.Zone] += r.Count
 			}
 			if !maps.Equal(got, c.want) {
-				t.Errorf("adds %v, want %v", got, c.want)
+				t.Errorf("machines added by zone: %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -7,31 +7,32 @@
 	"lilaclead/internal/wire"
 )
 
-// bin is a machine, present or to be added, into which demands are packed.
+// bin is a machine, present or to be added, into which demands are packed. Its fields change as
+// units are assigned to it.
 type bin struct {
-	machineType wire.MachineType
-	zone        wire.Zone
-	spot        bool
-	free        placement.Resources
-	services    bool
-	used        bool
-	freeing     []ExpectedRelease
+	machineType      wire.MachineType
+	zone             wire.Zone
+	spot             bool
+	free             placement.Resources
+	runsServices     bool
+	used             bool              // a task or a unit of this plan is on it
+	expectedReleases []ExpectedRelease // not yet assigned to units, the earliest first
 }
 
-// newBin returns the bin of a machine. A machine that boots or is idle is not used yet.
+// newBin returns the bin of a present machine. It is not used yet if the machine boots or is idle.
 func (m *Machine) newBin() bin {
 	return bin{
-		machineType: m.Type,
-		zone:        m.Zone,
-		spot:        m.Spot,
-		free:        m.Free,
-		services:    m.ServiceTasks > 0,
-		used:        !m.Idle && !m.Booting,
-		freeing:     slices.Clone(m.ExpectedReleases),
+		machineType:      m.Type,
+		zone:             m.Zone,
+		spot:             m.Spot,
+		free:             m.Free,
+		runsServices:     m.ServiceTasks > 0,
+		used:             !m.Idle && !m.Booting,
+		expectedReleases: slices.Clone(m.ExpectedReleases),
 	}
 }
 
-// newBin returns a machine of the offer with nothing on it.
+// newBin returns the empty bin of a machine of the offer.
 func (o *Offer) newBin() bin {
 	return bin{machineType: o.Type, zone: o.Zone, spot: o.Spot, free: o.Total}
 }
@@ -42,10 +43,10 @@
 	return placement.MachineAllowed(spec, &m)
 }
 
-// freeWithin returns the room that is free, or will be within so many seconds.
+// freeWithin returns the resources that are free now or are expected to be within the given time.
 func (b *bin) freeWithin(seconds float64) placement.Resources {
 	free := b.free
-	for _, f := range b.freeing {
+	for _, f := range b.expectedReleases {
 		if f.InSeconds <= seconds {
 			free = free.Plus(f.Resources)
 		}
@@ -53,59 +54,58 @@
 	return free
 }
 
-// fill takes as much room as the demand may use of what is free, for so many units at
-// most, and returns how many units that is.
-func (b *bin) fill(d *Demand, most int) int {
+// fill reserves free resources for up to maxUnits units of the demand, as far as the job may run
+// here and the zone's limit allows. It returns the number of units.
+func (b *bin) fill(d *Demand, maxUnits int) int {
 	unit := placement.ResourcesOf(d.Spec)
-	units := d.zoneUnits(b.zone, min(most, unit.UnitsIn(b.free)))
+	units := d.zoneUnits(b.zone, min(maxUnits, unit.UnitsIn(b.free)))
 	if units <= 0 || !b.allowed(d.Spec) {
 		return 0
 	}
-	b.take(unit, units)
-	b.services = b.services || d.Spec.IsService()
+	b.reserve(unit, units)
+	b.runsServices = b.runsServices || d.Spec.IsService()
 	if d.ZoneCapacityLeft != nil {
 		d.ZoneCapacityLeft[b.zone] -= units
 	}
 	return units
 }
 
-// take takes the room of so many units.
-func (b *bin) take(unit placement.Resources, units int) {
+// reserve subtracts the resources of a number of units from what is free.
+func (b *bin) reserve(unit placement.Resources, units int) {
 	b.free = b.free.Minus(unit.Times(float64(units)))
 	b.used = true
 }
 
-// freesInTime reports whether tasks there are expected to free room within the demand's
-// slack.
-func (b *bin) freesInTime(d *Demand) bool {
-	return len(b.freeing) > 0 && b.freeing[0].InSeconds <= d.SlackSeconds && b.allowed(d.Spec)
+// releasesInTime reports whether the demand's job may run here and a task is expected to release
+// its resources within the demand's slack.
+func (b *bin) releasesInTime(d *Demand) bool {
+	return len(b.expectedReleases) > 0 && b.expectedReleases[0].InSeconds <= d.SlackSeconds && b.allowed(d.Spec)
 }
 
-// fillFreed takes room that running tasks will free within the demand's slack, for so
-// many units at most, and returns how many units that is.
-func (b *bin) fillFreed(d *Demand, most int) int {
+// fillExpectedReleases assigns resources that running tasks are expected to release within the
+// demand's slack to up to maxUnits units of it. It returns the number of units.
+func (b *bin) fillExpectedReleases(d *Demand, maxUnits int) int {
 	unit := placement.ResourcesOf(d.Spec)
 	filled := 0
-	// Neighbouring tasks of a machine may have to end together to make room for a larger
-	// one.
+	// The releases of several tasks add up: one unit may need more than one of them releases.
 	var room placement.Resources
-	kept := b.freeing[:0]
-	for _, f := range b.freeing {
-		if f.InSeconds > d.SlackSeconds || filled == most {
-			kept = append(kept, f)
+	remaining := b.expectedReleases[:0]
+	for _, f := range b.expectedReleases {
+		if f.InSeconds > d.SlackSeconds || filled == maxUnits {
+			remaining = append(remaining, f)
 			continue
 		}
 		room = room.Plus(f.Resources)
-		if units := min(most-filled, unit.UnitsIn(room)); units > 0 {
+		if units := min(maxUnits-filled, unit.UnitsIn(room)); units > 0 {
 			filled += units
 			room = placement.Resources{}
 		}
 	}
-	b.freeing = kept
+	b.expectedReleases = remaining
 	return filled
 }
 
-// zoneUnits returns how many of so many units the zone may still take of the demand.
+// zoneUnits limits a number of units to what the zone may still take of the demand.
 func (d *Demand) zoneUnits(zone wire.Zone, units int) int {
 	if d.ZoneCapacityLeft == nil {
 		return units
--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -8,34 +8,38 @@
 	"lilaclead/internal/wire"
 )
 
-// maxCordonLoad is the load below which a machine is cordoned if its tasks fit on others.
+// maxCordonLoad is the share of a machine's CPUs in use below which the machine is cordoned if its
+// tasks fit on others.
 const maxCordonLoad = 0.6
 
-// cordonPlan is the machines that are cordoned so far.
+// cordonPlan collects the machines to be cordoned. Machines are given by their index in the
+// snapshot.
 type cordonPlan struct {
-	s          *Snapshot
+	snapshot   *Snapshot
 	bins       []bin
 	cordoned   map[int]bool
-	unitsMoved int // that the other machines take from them
+	unitsMoved int // number of units on the cordoned machines, which the other machines will run
 }
 
-// cordon returns the machines whose load fits on the others, the most wasteful first.
-func cordon(s *Snapshot, bins []bin) []wire.MachineID {
-	plan := cordonPlan{s: s, bins: bins, cordoned: map[int]bool{}}
+// planCordons returns the machines whose load fits on the others. Those whose unused part costs
+// most come first.
+func planCordons(s *Snapshot, bins []bin) []wire.MachineID {
+	plan := cordonPlan{snapshot: s, bins: bins, cordoned: map[int]bool{}}
 	var ids []wire.MachineID
 	for _, c := range cordonCandidates(s, bins) {
-		if plan.add(c.machine) {
+		if plan.tryAdd(c.machine) {
 			ids = append(ids, s.Machines[c.machine].ID)
 		}
 	}
 	return ids
 }
 
-// add cordons a machine if its load fits on the others, and reports whether it does.
-func (p *cordonPlan) add(machine int) bool {
-	m := &p.s.Machines[machine]
+// tryAdd cordons a machine if its load fits on the machines that are not cordoned, with a unit to
+// spare, and reports whether it does.
+func (p *cordonPlan) tryAdd(machine int) bool {
+	m := &p.snapshot.Machines[machine]
 	units := m.unitsOf(m.Total.Minus(p.bins[machine].free))
-	if p.unitsOnOthers(machine)-p.unitsMoved <= units {
+	if p.unitsFittingOnOthers(machine)-p.unitsMoved <= units {
 		return false
 	}
 	p.unitsMoved += units
@@ -43,35 +47,36 @@
 	return true
 }
 
-// unitsOnOthers returns how many units of a machine fit on the others that are not
-// cordoned.
-func (p *cordonPlan) unitsOnOthers(machine int) int {
-	unit, units := p.s.Machines[machine].LargestArrayTask, 0
-	for i := range p.s.Machines {
+// unitsFittingOnOthers returns how many units of the size of a machine's largest task fit on the
+// other machines that are not cordoned.
+func (p *cordonPlan) unitsFittingOnOthers(machine int) int {
+	unit, units := p.snapshot.Machines[machine].LargestArrayTask, 0
+	for i := range p.snapshot.Machines {
 		available := i != machine && !p.cordoned[i]
-		if available && takesArrays(&p.s.Machines[i], &p.bins[i]) {
+		if available && takesArrays(&p.snapshot.Machines[i], &p.bins[i]) {
 			units += unit.UnitsIn(p.bins[i].free)
 		}
 	}
 	return units
 }
 
-// takesArrays reports whether tasks of arrays from cordoned machines may go to the
-// machine: it is up, not idle unless this plan uses it, and does not run services alone.
+// takesArrays reports whether array tasks from cordoned machines can be moved to the machine: it
+// is up, is not idle unless this plan uses it, and is not an on-demand machine that runs only
+// services.
 func takesArrays(m *Machine, b *bin) bool {
 	unused := m.Booting || m.Idle && !b.used
 	servicesAlone := m.ServiceTasks > 0 && m.LargestArrayTask.CPUs == 0
-	return !unused && !(servicesAlone && b.services && !m.Spot)
+	return !unused && !(servicesAlone && b.runsServices && !m.Spot)
 }
 
-// cordonCandidate is a machine with little load.
+// cordonCandidate is a machine whose load is below maxCordonLoad.
 type cordonCandidate struct {
 	machine int
-	waste   float64 // price of the part that is not used
+	waste   float64 // price per hour of the CPUs that are not used
 }
 
-// cordonCandidates returns the machines that run little and no services, the most
-// wasteful first.
+// cordonCandidates returns the machines that run only arrays or gangs and whose load is below
+// maxCordonLoad, those with the highest waste first.
 func cordonCandidates(s *Snapshot, bins []bin) []cordonCandidate {
 	var candidates []cordonCandidate
 	for i := range s.Machines {
@@ -88,16 +93,19 @@
 	return candidates
 }
 
-// runsOnlyArrays reports whether the machine is up and runs tasks of arrays alone.
+// runsOnlyArrays reports whether the machine is up and runs tasks of arrays or gangs, but no
+// services.
 func (m *Machine) runsOnlyArrays() bool {
 	up := !m.Booting && !m.Idle
 	return up && m.ServiceTasks == 0 && m.LargestArrayTask.CPUs > 0
 }
 
-// roundUp makes a division by the size of a unit count a started unit as one.
+// roundUp is added before a number of units is truncated to an integer, so that a part of a unit
+// counts as one. It is less than 1, so that whole numbers stay as they are.
 const roundUp = 0.999
 
-// unitsOf returns how many of the machine's largest units a load is taken to be.
+// unitsOf returns a load on the machine as a number of units of the size of its largest task,
+// rounded up.
 func (m *Machine) unitsOf(load placement.Resources) int {
 	byCPU := load.CPUs / m.LargestArrayTask.CPUs
 	byMemory := load.MemoryGB / max(0.001, m.LargestArrayTask.MemoryGB)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet plans scale-out and scale-in: it takes a snapshot of demand, machines and
-// offers, packs the demand into bins and returns which machines to add and which to
-// return. It is pure: it reads no clock and does no I/O.
+// Package fleet plans scale-out and scale-in. From a snapshot of demands, machines and offers it
+// derives which machines to add, which to return to the cloud, and which to cordon. It reads no
+// clock and does no I/O.
 package fleet
 
 import (
@@ -8,65 +8,71 @@
 	"lilaclead/internal/wire"
 )
 
-// Offer is a machine type that can be had in a zone now, as a spot or an ordinary machine.
+// Offer is a machine type that can be requested in a zone now, as a spot or an on-demand machine.
 type Offer struct {
 	Type  wire.MachineType
 	Zone  wire.Zone
 	Spot  bool
 	Total placement.Resources
-	Price float64 // per hour, now
-	// FetchGBPerSecond is the rate at which such a machine fetches images, GB a second.
+	// Price is the current price of one machine per hour.
+	Price float64
+	// FetchGBPerSecond is the rate at which such a machine fetches images, in GB per second.
+	// With 0, only jobs without an image can run there.
 	FetchGBPerSecond float64
-	// MaxCount is how many more may be requested at once.
+	// MaxCount is how many more such machines may be requested at once.
 	MaxCount int
 }
 
-// Machine is a machine that the cluster has, or that is being added.
+// Machine is a machine of the cluster, or one that was requested and has not started yet.
 type Machine struct {
 	ID   wire.MachineID
 	Type wire.MachineType
 	Zone wire.Zone
 	Spot bool
-	// Free is all of it while the machine boots.
+	// Free is what no task uses. It equals Total while the machine boots.
 	Free, Total placement.Resources
 	Booting     bool
-	// Idle reports that the machine is up, with nothing on it for IdleSeconds seconds.
+	// Idle means that the machine is up and has run nothing for IdleSeconds.
 	Idle        bool
 	IdleSeconds float64
-	// KeepIdleSeconds is how many seconds an idle machine is kept.
+	// KeepIdleSeconds is how long the machine is kept while it is idle.
 	KeepIdleSeconds float64
-	// PrepaidSeconds is for how many more seconds it is paid whether it is returned or not.
+	// PrepaidSeconds is how long the machine is still paid for even if it is returned now. It is
+	// 0 or negative once that time is over.
 	PrepaidSeconds float64
-	Price          float64
-	// ServiceTasks is the number of tasks of services on it.
+	// Price is the price per hour.
+	Price float64
+	// ServiceTasks is the number of service tasks on the machine.
 	ServiceTasks int
-	// ExpectedReleases is the room that tasks of arrays there are expected to free, the earliest
-	// first.
+	// ExpectedReleases are the resources that the array and gang tasks on the machine are expected
+	// to release, the earliest first.
 	ExpectedReleases []ExpectedRelease
-	// LargestArrayTask is the largest task of an array there.
+	// LargestArrayTask is what the largest array or gang task on the machine uses, by CPUs. It is
+	// zero if there is none.
 	LargestArrayTask placement.Resources
 }
 
-// ExpectedRelease is room that is expected to be free in so many seconds.
+// ExpectedRelease is an amount of resources that a task is expected to release in InSeconds.
 type ExpectedRelease struct {
 	InSeconds float64
 	Resources placement.Resources
 }
 
-// Demand is a number of equal units that should run at the same time.
+// Demand is a number of equal tasks of a job, its units, that should run at the same time.
 type Demand struct {
 	Spec  *wire.JobSpec
 	Units int
-	// Rank orders demands, the highest first.
+	// Rank orders the demands: those of the highest rank are packed first.
 	Rank float64
-	// ZoneCapacityLeft is how many units each zone may still take; nil: any number.
+	// ZoneCapacityLeft is how many more units each zone may take; nil means any number.
 	ZoneCapacityLeft map[wire.Zone]int
-	// SlackSeconds is how many seconds the units may wait for room and still be in time.
+	// SlackSeconds is how long the units may wait for resources and still be in time.
 	SlackSeconds float64
-	// AllOrNothing asks for all of the units or none, in one zone if the job requires
-	// that.
+	// AllOrNothing requires resources for all units or for none, and in one zone if the job
+	// requires that.
 	AllOrNothing bool
-	// PriceLimitFactor is a factor on the price limit; 0 leaves the limit as it is.
+	// PriceLimitFactor multiplies Snapshot.PriceLimit for this demand. Values below 1, and so 0,
+	// leave the limit as it is.
 	PriceLimitFactor float64
 }
 
@@ -75,17 +81,19 @@
 	Machines []Machine
 	Offers   []Offer
 	Demands  []Demand
-	// PriceLimit is how many times the cheapest price of a unit may be paid for a unit
-	// of an array or a gang.
+	// PriceLimit is the highest accepted price of a unit of an array or a gang, as a multiple of
+	// LowestPrice. Services have no price limit.
 	PriceLimit float64
-	// LowestPrice returns the lowest nominal price of a unit's share of any machine type,
-	// spot or not as the job allows; nil: no limit.
+	// LowestPrice returns the lowest nominal price per hour of one unit of a job: its share of a
+	// machine, over all machine types, on spot machines too if the job allows them. If it is nil,
+	// prices are not limited.
 	LowestPrice func(*wire.JobSpec) float64
-	// MaxMachinesAdded bounds the machines that one plan adds.
+	// MaxMachinesAdded is the highest number of machines that one plan may add.
 	MaxMachinesAdded int
 }
 
-// ScaleOut is a request for machines of one offer.
+// ScaleOut is a request for Count machines of one offer. ForJob is the job for which the first of
+// them is added.
 type ScaleOut struct {
 	Type   wire.MachineType
 	Zone   wire.Zone
@@ -94,11 +102,11 @@
 	ForJob wire.JobID
 }
 
-// Plan is what to change in the fleet.
+// Plan lists the changes to the fleet.
 type Plan struct {
 	ScaleOuts []ScaleOut
 	ScaleIns  []wire.MachineID
-	// Cordons are machines that should take tasks only when no other can: what runs there
-	// would fit on the others, so that they can be returned.
+	// Cordons are machines that should accept tasks only if no other machine can. Their tasks would
+	// fit on other machines, so that the cordoned ones become idle and can be returned.
 	Cordons []wire.MachineID
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,10 +10,11 @@
 	"lilaclead/internal/wire"
 )
 
-// What must hold of every plan, whatever the demand.
+// Every plan returns only machines that have been idle for long enough and are no longer prepaid,
+// cordons only machines in use that run no services, and adds only machines that are offered.
 func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := snapshots(t)
+		s := drawSnapshot(t)
 		plan := MakePlan(s)
 		checkScaleOuts(t, s, plan)
 		machines := map[wire.MachineID]Machine{}
@@ -22,19 +23,19 @@
 		}
 		for _, id := range plan.ScaleIns {
 			if m := machines[id]; !m.Idle || m.Booting || m.IdleSeconds < m.KeepIdleSeconds || m.PrepaidSeconds > 0 {
-				t.Fatalf("scales in %+v", m)
+				t.Fatalf("plan returns %+v, which must be kept", m)
 			}
 		}
 		for _, id := range plan.Cordons {
 			if m := machines[id]; m.ServiceTasks > 0 || m.Booting || m.Idle {
-				t.Fatalf("cordons %+v", m)
+				t.Fatalf("plan cordons %+v, want only machines in use without services", m)
 			}
 		}
 	})
 }
 
-// checkScaleOuts checks that a plan adds no more than is offered and may be added, and
-// nothing that no job may run on.
+// checkScaleOuts checks that a plan adds no more machines than are offered and than MaxMachinesAdded,
+// and no spot machines unless a job allows them.
 func checkScaleOuts(t *rapid.T, s *Snapshot, plan Plan) {
 	type offerKey struct {
 		machineType wire.MachineType
@@ -53,20 +54,20 @@
 	for _, r := range plan.ScaleOuts {
 		total += r.Count
 		if r.Count > offered[offerKey{r.Type, r.Zone, r.Spot}] {
-			t.Fatalf("adds more than is offered: %+v", r)
+			t.Fatalf("more machines added than offered: %+v", r)
 		}
 		if r.Spot && !spotAllowed {
-			t.Fatalf("adds spot machines for jobs that don't allow them: %+v", r)
+			t.Fatalf("spot machines added, although no job allows them: %+v", r)
 		}
 	}
 	if total > s.MaxMachinesAdded || len(s.Demands) == 0 && total > 0 {
-		t.Fatalf("adds %d machines for %d demands, may add %d", total, len(s.Demands), s.MaxMachinesAdded)
+		t.Fatalf("%d machines added for %d demands, want at most %d and none without demand", total, len(s.Demands), s.MaxMachinesAdded)
 	}
 }
 
-// Demand that fits into the room there is adds nothing, and an idle machine that no
-// demand needs is returned once it is paid for no longer.
-func TestPresentRoomIsUsedBeforeScaleOut(t *testing.T) {
+// No machine is added for demand that fits on the present machines. An idle machine that no demand
+// needs is returned once it has been idle for long enough.
+func TestFreeRoomIsUsedBeforeScaleOut(t *testing.T) {
 	spec := &wire.JobSpec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
 	idle := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, IdleSeconds: 20, KeepIdleSeconds: 10}
 	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.3, FetchGBPerSecond: 1, MaxCount: 9}
@@ -76,7 +77,7 @@
 		wantAdded, wantScaleIn int
 	}{
 		{"fits", 2, 0, 0},
-		{"three units do not fit", 5, 2, 0},
+		{"three of the units do not fit", 5, 2, 0},
 		{"no demand", 0, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -86,7 +87,7 @@
 			}
 			plan := MakePlan(s)
 			if got := machinesAdded(plan); got != c.wantAdded || len(plan.ScaleOuts) > 1 || len(plan.ScaleIns) != c.wantScaleIn {
-				t.Errorf("plan %+v, want %d machines by one request, %d scaled in", plan, c.wantAdded, c.wantScaleIn)
+				t.Errorf("plan %+v, want %d machines added in one request, %d returned", plan, c.wantAdded, c.wantScaleIn)
 			}
 		})
 	}
@@ -100,9 +101,9 @@
 	return total
 }
 
-// An array adds no machine at a price at which it is better late; a service does.
-// (Bursts once added the largest type for a few tasks.)
-func TestDearLimit(t *testing.T) {
+// No machine above the price limit is added for an array; for a service it is. Without the limit,
+// bursts of arrays would add machines of the largest type for a few tasks.
+func TestPriceLimitHoldsForArraysButNotForServices(t *testing.T) {
 	offer := Offer{Type: "c16", Zone: "a", Total: machineTypes["c16"], Price: 4, FetchGBPerSecond: 1, MaxCount: 1}
 	for kind, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
 		plan := MakePlan(&Snapshot{
@@ -118,26 +119,26 @@
 	}
 }
 
-// Room that becomes free in time spares a scale-out; room that becomes free too late
-// doesn't.
-func TestRoomThatFreesInTimeSparesScaleOut(t *testing.T) {
+// No machine is added for units that can run, within their slack, on resources that running tasks
+// release. One is added if the release comes too late.
+func TestRoomReleasedInTimeAvoidsScaleOut(t *testing.T) {
 	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 10, Resources: machineTypes["c4"]}}, LargestArrayTask: machineTypes["c4"]}
 	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
-	for slackS, want := range map[float64]int{15: 0, 5: 1} {
+	for slackSeconds, want := range map[float64]int{15: 0, 5: 1} {
 		plan := MakePlan(&Snapshot{
 			Machines:         []Machine{machine},
 			Offers:           []Offer{offer},
-			Demands:          []Demand{{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackSeconds: slackS}},
+			Demands:          []Demand{{Spec: &wire.JobSpec{Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1, SlackSeconds: slackSeconds}},
 			MaxMachinesAdded: 9,
 		})
 		if len(plan.ScaleOuts) != want {
-			t.Errorf("free in 10 s, slack %g s: scale-outs %v, want %d", slackS, plan.ScaleOuts, want)
+			t.Errorf("release in 10 s, slack %g s: scale-outs %v, want %d", slackSeconds, plan.ScaleOuts, want)
 		}
 	}
 }
 
 // Small jobs that wait together share a machine that is too expensive for one of them.
-func TestSmallDemandsShareAPrice(t *testing.T) {
+func TestSmallArraysShareThePriceOfAMachine(t *testing.T) {
 	smallJobs := func(n int) []Demand {
 		var demands []Demand
 		for range n {
@@ -145,17 +146,17 @@
 		}
 		return demands
 	}
-	ofOtherTypes := smallJobs(2)
-	ofOtherTypes[1].Spec.MachineTypes = []wire.MachineType{"c16"}
+	differentTypes := smallJobs(2)
+	differentTypes[1].Spec.MachineTypes = []wire.MachineType{"c16"}
 	for name, c := range map[string]struct {
 		demands []Demand
 		want    int
 	}{
-		"one":            {smallJobs(1), 0},
-		"two":            {smallJobs(2), 1},
-		"five":           {smallJobs(5), 1},
-		"nine":           {smallJobs(9), 2},
-		"of other types": {ofOtherTypes, 0},
+		"one":             {smallJobs(1), 0},
+		"two":             {smallJobs(2), 1},
+		"five":            {smallJobs(5), 1},
+		"nine":            {smallJobs(9), 2},
+		"different types": {differentTypes, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			plan := MakePlan(&Snapshot{
@@ -166,15 +167,16 @@
 				Demands:          c.demands,
 			})
 			if got := machinesAdded(plan); got != c.want {
-				t.Errorf("%d demands: %d machines, want %d", len(c.demands), got, c.want)
+				t.Errorf("%d demands: %d machines added, want %d", len(c.demands), got, c.want)
 			}
 		})
 	}
 }
 
-// A machine with little load is cordoned if its tasks fit on others, the most wasteful
-// first. One with services is not, and machines that boot are no room.
-func TestLittleUsedMachineIsCordonedIfOthersTakeItsTasks(t *testing.T) {
+// A machine with little load is cordoned if its tasks fit on others; the one whose unused part costs
+// most comes first. Machines with services are not cordoned, and tasks can't be moved to machines
+// that boot.
+func TestLightlyLoadedMachineIsCordonedIfItsTasksFitOnOthers(t *testing.T) {
 	unit := placement.Resources{CPUs: 1, MemoryGB: 4}
 	machine := func(id wire.MachineID, freeCPUs, price float64) Machine {
 		return Machine{
@@ -187,11 +189,11 @@
 			Price:            price,
 		}
 	}
-	withService := machine("s", 3, 9)
-	withService.ServiceTasks = 1
-	large := machine("l", 6, 0.1)
+	machineWithService := machine("s", 3, 9)
+	machineWithService.ServiceTasks = 1
+	large := machine("l", 6, 0.1) // takes the tasks of two machines
 	large.Total = machineTypes["c16"]
-	busy := machine("o", 2, 0.1)
+	busy := machine("o", 2, 0.1) // takes the tasks of one machine
 	busy.Total = machineTypes["c16"]
 	booting := machine("b", 4, 0.1)
 	booting.Booting = true
@@ -201,13 +203,13 @@
 		want     []wire.MachineID
 	}{
 		{"others have room to spare", []Machine{machine("m", 3, 0.2), machine("n", 2, 0.1)}, []wire.MachineID{"m"}},
-		{"the most wasteful goes first", []Machine{machine("m", 3, 0.1), machine("n", 3, 0.2)}, []wire.MachineID{"n"}},
+		{"most expensive unused part first", []Machine{machine("m", 3, 0.1), machine("n", 3, 0.2)}, []wire.MachineID{"n"}},
 		{"others would be full", []Machine{machine("m", 3, 0.2), machine("n", 1, 0.1)}, nil},
-		{"much load", []Machine{machine("m", 1, 0.2), machine("n", 1, 0.1)}, nil},
+		{"load too high", []Machine{machine("m", 1, 0.2), machine("n", 1, 0.1)}, nil},
 		{"the others still boot", []Machine{machine("m", 3, 0.2), booting}, nil},
-		{"a machine with services stays", []Machine{withService, large}, nil},
-		{"others take the tasks of one", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), busy}, []wire.MachineID{"m"}},
-		{"others take the tasks of two", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), large}, []wire.MachineID{"m", "n"}},
+		{"a machine with services is not cordoned", []Machine{machineWithService, large}, nil},
+		{"room for the tasks of one machine", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), busy}, []wire.MachineID{"m"}},
+		{"room for the tasks of two machines", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), large}, []wire.MachineID{"m", "n"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := MakePlan(&Snapshot{Machines: c.machines}).Cordons; !slices.Equal(got, c.want) {
@@ -217,8 +219,8 @@
 	}
 }
 
-// A service's units fill a zone no further than the demand allows.
-func TestUnitsOfServiceKeepToZoneLimits(t *testing.T) {
+// No more units of a service are placed in a zone than ZoneCapacityLeft allows.
+func TestServiceUnitsStayWithinZoneCapacity(t *testing.T) {
 	idle := func(id wire.MachineID, zone wire.Zone) Machine {
 		return Machine{ID: id, Type: "c4", Zone: zone, Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepIdleSeconds: 10}
 	}
@@ -238,38 +240,38 @@
 	}
 }
 
-// Tasks that end one after the other on a machine make room together, each room for one
-// unit only.
-func TestNeighbouringTasksFreeRoomTogether(t *testing.T) {
+// The releases of several tasks of a machine add up to room for one unit, and each release is
+// counted for one unit only.
+func TestTasksOfOneMachineReleaseRoomTogether(t *testing.T) {
 	half := placement.Resources{CPUs: 2, MemoryGB: 8}
 	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 5, Resources: half}, {InSeconds: 10, Resources: half}, {InSeconds: 20, Resources: half}}, LargestArrayTask: half}
 	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	for _, c := range []struct {
-		name   string
-		units  int
-		slackS float64
-		want   int // machines added
+		name         string
+		units        int
+		slackSeconds float64
+		want         int // machines added
 	}{
-		{"both halves in time", 1, 15, 0},
-		{"one half in time", 1, 7, 1},
+		{"two halves released in time", 1, 15, 0},
+		{"one half released in time", 1, 7, 1},
 		{"three halves hold one unit", 2, 30, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			plan := MakePlan(&Snapshot{
 				Machines:         []Machine{machine},
 				Offers:           []Offer{offer},
-				Demands:          []Demand{{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindArray, CPUs: 4, MemoryGB: 16}, Units: c.units, SlackSeconds: c.slackS}},
+				Demands:          []Demand{{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindArray, CPUs: 4, MemoryGB: 16}, Units: c.units, SlackSeconds: c.slackSeconds}},
 				MaxMachinesAdded: 9,
 			})
 			if got := machinesAdded(plan); got != c.want {
-				t.Errorf("%d units, slack %g s: %d machines added, want %d", c.units, c.slackS, got, c.want)
+				t.Errorf("%d units, slack %g s: %d machines added, want %d", c.units, c.slackSeconds, got, c.want)
 			}
 		})
 	}
 }
 
-// Room that a gang takes is none for the demands after it.
-func TestRoomOfGangIsNotGivenTwice(t *testing.T) {
+// Resources that are reserved for a gang are not available to the demands after it.
+func TestRoomReservedForGangIsNotGivenToLaterDemands(t *testing.T) {
 	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepIdleSeconds: 10}
 	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	gang := Demand{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindGang, Tasks: 2, CPUs: 2, MemoryGB: 4}, Units: 2, Rank: 1, AllOrNothing: true}
--- a/internal/fleet/generators_test.go
+++ b/internal/fleet/generators_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// The same cases every time.
+// init fixes the seed, so that every run checks the same cases.
 func init() { flag.Set("rapid.seed", "20261201") } //nolint:errcheck // rapid defines the flag
 
 var machineTypes = map[wire.MachineType]placement.Resources{
@@ -26,8 +26,8 @@
 	return rapid.SampledFrom([]wire.Zone{"a", "b"}).Draw(t, "zone")
 }
 
-// snapshots draws a small fleet with offers and demands of arrays and services.
-func snapshots(t *rapid.T) *Snapshot {
+// drawSnapshot draws a small fleet with offers and demands of arrays and services.
+func drawSnapshot(t *rapid.T) *Snapshot {
 	s := &Snapshot{MaxMachinesAdded: 8, PriceLimit: 3, LowestPrice: func(*wire.JobSpec) float64 { return 0.02 }}
 	for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
 		s.Machines = append(s.Machines, drawMachine(t, i))
@@ -41,7 +41,7 @@
 	return s
 }
 
-// drawMachine draws a machine that boots, is idle, or runs a task.
+// drawMachine draws a machine that boots, is idle, or runs an array task.
 func drawMachine(t *rapid.T, i int) Machine {
 	machineType := drawType(t)
 	m := Machine{
@@ -99,7 +99,7 @@
 	}
 }
 
-// drawGangDemand draws the demand of a gang of a few tasks.
+// drawGangDemand draws the demand of a gang of up to 10 tasks.
 func drawGangDemand(t *rapid.T) Demand {
 	spec := &wire.JobSpec{
 		ID:          "req-77",
--- a/internal/fleet/packer.go
+++ b/internal/fleet/packer.go
@@ -8,54 +8,56 @@
 	"lilaclead/internal/wire"
 )
 
-// packer is the state of one plan. It changes copies of the snapshot's slices.
+// packer is the state while one plan is made. It works on copies of the snapshot's slices.
 type packer struct {
-	s           *Snapshot
-	bins        []bin
-	offers      []Offer
-	demands     []Demand // the highest rank first
-	added       []addedMachine
-	inZone      map[wire.Zone]int // bins
-	kinds       []unitKind        // of the demands
-	unitsToCome map[unitKind]int  // of the demands after the present one
-	order       []int             // a buffer for the bins that a demand may use
+	snapshot        *Snapshot
+	bins            []bin
+	offers          []Offer
+	demands         []Demand // the highest rank first
+	added           []addedMachine
+	binsByZone      map[wire.Zone]int // number of bins, those of added machines included
+	kinds           []unitKind        // of the demands, by the same index
+	laterUnits      map[unitKind]int  // number of units of the demands after the current one
+	candidateBuffer []int             // reused by candidates, to save allocations
 }
 
-// addedMachine is a machine to be added.
+// addedMachine is a machine that the plan adds.
 type addedMachine struct {
-	offer int
-	job   wire.JobID // for which it is added first
+	offer int        // an index of packer.offers
+	job   wire.JobID // the job for which it is added; units of others may be packed into it too
 }
 
 func newPacker(s *Snapshot) *packer {
 	p := &packer{
-		s:           s,
-		bins:        make([]bin, len(s.Machines)),
-		offers:      slices.Clone(s.Offers),
-		demands:     slices.Clone(s.Demands),
-		inZone:      map[wire.Zone]int{},
-		unitsToCome: map[unitKind]int{},
+		snapshot:   s,
+		bins:       make([]bin, len(s.Machines)),
+		offers:     slices.Clone(s.Offers),
+		demands:    slices.Clone(s.Demands),
+		binsByZone: map[wire.Zone]int{},
+		laterUnits: map[unitKind]int{},
 	}
 	for i := range s.Machines {
 		p.bins[i] = s.Machines[i].newBin()
-		p.inZone[s.Machines[i].Zone]++
+		p.binsByZone[s.Machines[i].Zone]++
 	}
 	slices.SortStableFunc(p.demands, func(a, b Demand) int { return cmp.Compare(b.Rank, a.Rank) })
 	p.kinds = make([]unitKind, len(p.demands))
 	for i := range p.demands {
 		p.kinds[i] = kindOf(&p.demands[i])
-		p.unitsToCome[p.kinds[i]] += p.demands[i].Units
+		p.laterUnits[p.kinds[i]] += p.demands[i].Units
 	}
 	return p
 }
 
-// unitKind is what units have in common that take the same room on the same machines.
+// unitKind identifies units that need the same resources on the same kinds of machines.
 type unitKind struct {
-	unit        placement.Resources
-	types       string
-	zone        wire.Zone
-	spot        bool
-	sharesPrice bool // of an array that may be in any zones
+	unit  placement.Resources
+	types string // the allowed machine types, separated by spaces; empty if any
+	zone  wire.Zone
+	spot  bool
+	// sharesPrice means that units of later demands of this kind count when the price per unit of a
+	// machine is computed. It is not set for services, nor for units that are limited by zone.
+	sharesPrice bool
 }
 
 func kindOf(d *Demand) unitKind {
@@ -71,72 +73,73 @@
 	return kind
 }
 
-// pack finds room for the demand's units one by one: where room is free, where it
-// becomes free in time, and on machines to be added.
+// pack assigns the units of a demand, which need not all fit, to free resources, then to resources
+// that are expected to be released in time (not for services), then to machines that it adds.
 func (p *packer) pack(d *Demand, kind unitKind) {
 	left := d.Units
-	left -= p.fillFree(d, left)
+	left -= p.packIntoFree(d, left)
 	if !d.Spec.IsService() {
-		left -= p.fillFreed(d, left)
+		left -= p.packIntoExpectedReleases(d, left)
 	}
-	for left > 0 && len(p.added) < p.s.MaxMachinesAdded {
+	for left > 0 && len(p.added) < p.snapshot.MaxMachinesAdded {
 		offer, cost, ok := p.cheapestOffer(d, kind, left)
 		if !ok {
 			return
 		}
 		if !d.Spec.IsService() && p.tooExpensive(d, cost) {
-			return // it is better late than at that price
+			return // running late is preferred to paying more than the price limit
 		}
 		left -= p.addMachine(offer, d).fill(d, left)
 	}
 }
 
-// fillFree packs units into room that is free, and returns how many.
-func (p *packer) fillFree(d *Demand, most int) int {
+// packIntoFree assigns up to maxUnits units to free resources, and returns how many.
+func (p *packer) packIntoFree(d *Demand, maxUnits int) int {
 	filled := 0
 	for _, i := range p.candidates(d) {
-		if filled == most {
+		if filled == maxUnits {
 			break
 		}
-		filled += p.bins[i].fill(d, most-filled)
+		filled += p.bins[i].fill(d, maxUnits-filled)
 	}
 	return filled
 }
 
-// fillFreed packs units into room that running tasks will free in time, and returns how
-// many.
-func (p *packer) fillFreed(d *Demand, most int) int {
+// packIntoExpectedReleases assigns up to maxUnits units to resources that running tasks are
+// expected to release in time, and returns how many.
+func (p *packer) packIntoExpectedReleases(d *Demand, maxUnits int) int {
 	filled := 0
 	for i := range p.bins {
-		if filled == most {
+		if filled == maxUnits {
 			break
 		}
-		if b := &p.bins[i]; b.freesInTime(d) {
-			filled += b.fillFreed(d, most-filled)
+		if b := &p.bins[i]; b.releasesInTime(d) {
+			filled += b.fillExpectedReleases(d, maxUnits-filled)
 		}
 	}
 	return filled
 }
 
-// candidates returns the bins with room for a unit, in the order in which they are
-// filled.
+// candidates returns the indices of the bins that have free resources for a unit, in the order in
+// which they are filled. The result is valid until the next call.
 func (p *packer) candidates(d *Demand) []int {
 	unit := placement.ResourcesOf(d.Spec)
-	p.order = p.order[:0]
+	p.candidateBuffer = p.candidateBuffer[:0]
 	for i := range p.bins {
 		if unit.FitsIn(p.bins[i].free) && p.bins[i].allowed(d.Spec) {
-			p.order = append(p.order, i)
+			p.candidateBuffer = append(p.candidateBuffer, i)
 		}
 	}
-	slices.SortStableFunc(p.order, func(x, y int) int { return compareBins(d, &p.bins[x], &p.bins[y]) })
-	return p.order
+	slices.SortStableFunc(p.candidateBuffer, func(x, y int) int { return compareBins(d, &p.bins[x], &p.bins[y]) })
+	return p.candidateBuffer
 }
 
-// compareBins puts services together, what is in use before what is idle, spot machines
-// before ordinary ones, and the fuller before the emptier.
+// compareBins orders the bins for a demand: used before unused ones, spot before on-demand
+// machines, and those with fewer free CPUs first. For a service, bins that run services come before
+// all others.
 func compareBins(d *Demand, a, b *bin) int {
-	if d.Spec.IsService() && a.services != b.services {
-		return trueFirst(a.services)
+	if d.Spec.IsService() && a.runsServices != b.runsServices {
+		return trueFirst(a.runsServices)
 	}
 	if a.used != b.used {
 		return trueFirst(a.used)
@@ -147,7 +150,8 @@
 	return cmp.Compare(a.free.CPUs, b.free.CPUs)
 }
 
-// trueFirst orders two values that differ in a flag, given the flag of the first.
+// trueFirst compares two values that differ in a flag: the one whose flag is set comes first. The
+// argument is the flag of the first value.
 func trueFirst(first bool) int {
 	if first {
 		return -1
@@ -155,11 +159,11 @@
 	return 1
 }
 
-// addMachine adds a machine of the offer to the bins.
+// addMachine adds a machine of the offer for the demand's job, and returns its empty bin.
 func (p *packer) addMachine(offer int, d *Demand) *bin {
 	o := &p.offers[offer]
 	o.MaxCount--
-	p.inZone[o.Zone]++
+	p.binsByZone[o.Zone]++
 	p.added = append(p.added, addedMachine{offer, d.Spec.ID})
 	p.bins = append(p.bins, o.newBin())
 	return &p.bins[len(p.bins)-1]
