--- a/internal/leader/autoscaler/events.go
+++ b/internal/leader/autoscaler/events.go
@@ -7,7 +7,7 @@
 
 // ScaleOutsRecorded is the outcome of recording scale-out requests before they are sent.
 type ScaleOutsRecorded struct {
-	// Requests are the requests that were not recorded before.
+	// Requests are the requests that the write was to record for the first time.
 	Requests []*scaling.PendingScaleOut
 	// Err is why the record could not be written; nil if it was.
 	Err error
--- a/internal/leader/autoscaler/intents.go
+++ b/internal/leader/autoscaler/intents.go
@@ -13,9 +13,8 @@
 	"lilaclead/internal/wire"
 )
 
-// clearIntentsAfter is how long nothing must have been recorded before a record whose
-// requests are all answered is emptied: that is a write of its own, which the next intent
-// would save.
+// clearIntentsAfter is the delay before a record whose requests are all answered is emptied. To
+// empty it costs a write, which is saved if the next intent replaces the record before that.
 const clearIntentsAfter = 5 * time.Second
 
 // ScaleOutIntent is the stored form of a scale-out request that may be on its way to the
@@ -26,8 +25,8 @@
 }
 
 // CloudIntents are the requests that the term is about to send to the cloud, recorded
-// before they are sent (package duty). The cloud knows no fencing tokens: it executes a
-// request of an earlier leader as well as one of this term, however late.
+// before they are sent (package duty). The cloud checks no fencing tokens: it executes a request of
+// an earlier leader just like one of this term, however late it arrives.
 type CloudIntents struct {
 	loop      *core.Loop
 	scaleOuts *duty.Intents[duty.ScaleOut, ScaleOutIntent]
@@ -35,14 +34,14 @@
 
 	// The fields below are owned by the term's loop.
 
-	// recording means that a write of the scale-out record is in flight.
-	recording bool
-	// unrecorded are the scale-out requests that are not yet recorded, and so not sent.
-	unrecorded []*scaling.PendingScaleOut
-	// recordedAt is when the scale-out record was last written.
-	recordedAt time.Time
-	// scaledInAt is when the cloud last confirmed a scale-in.
-	scaledInAt time.Time
+	// recordingScaleOuts means that a write of the scale-out record is in flight.
+	recordingScaleOuts bool
+	// unrecordedScaleOuts are the scale-out requests that are not yet recorded, and so not sent.
+	unrecordedScaleOuts []*scaling.PendingScaleOut
+	// scaleOutsRecordedAt is when the scale-out record was last written.
+	scaleOutsRecordedAt time.Time
+	// scaleInConfirmedAt is when the cloud last confirmed a scale-in.
+	scaleInConfirmedAt time.Time
 }
 
 // newCloudIntents returns the intents of a term that holds its lease.
@@ -56,16 +55,15 @@
 	}
 }
 
-// EarlierIntents are the intents that an earlier leader left unfinished.
+// EarlierIntents are the recorded requests of earlier leaders that may not be executed yet.
 type EarlierIntents struct {
 	scaleOuts []ScaleOutIntent
-	// ScaleIns are the machines that it was returning.
+	// ScaleIns are the machines that were being returned.
 	ScaleIns []wire.MachineID
 }
 
-// Load reads the intents that an earlier leader left unfinished. A record that can't be
-// decoded is left as it is, and the requests that would have to be recorded there are
-// refused for the whole term.
+// Load reads the intents of earlier leaders. A record that can't be decoded is left as it is. No
+// request can then be recorded there for the whole term, and so none of its kind is sent.
 func (c *CloudIntents) Load(ctx context.Context) (EarlierIntents, error) {
 	scaleOuts, err := c.scaleOuts.Load(ctx)
 	if err != nil && !errors.Is(err, duty.ErrUndecodable) {
@@ -78,8 +76,8 @@
 	return EarlierIntents{scaleOuts.Open, scaleIns.Open}, nil
 }
 
-// AdoptIntents continues the requests of an earlier leader under the same names: what the
-// cloud has executed already is found done, and a late copy of the request changes nothing.
+// AdoptIntents repeats the requests of earlier leaders under the same names. This is safe: what the
+// cloud has executed already is not executed again, and a late copy of the request changes nothing.
 func (s *Scaler) AdoptIntents(earlier EarlierIntents) {
 	for _, id := range earlier.ScaleIns {
 		s.adoptScaleIn(id)
@@ -95,8 +93,8 @@
 		return
 	}
 	machine := s.state.GetOrAddMachine(id)
-	// The machine accepts no tasks from now on, also if the lease is not held for the
-	// moment and the scale-in is requested by a later check of the machine.
+	// The machine is given no tasks from now on, even if the lease is not held at the moment and a
+	// later check of the machine requests the scale-in.
 	machine.DrainReason = cluster.DrainAdoptedScaleIn
 	s.ScaleIn(machine, cluster.DrainAdoptedScaleIn)
 }
--- a/internal/leader/autoscaler/inventory.go
+++ b/internal/leader/autoscaler/inventory.go
@@ -16,15 +16,15 @@
 }
 
 const (
-	// maxListLagFactor is how many times older than its configured lag a machine list can be.
+	// maxListLagFactor bounds the age of a machine list, as a multiple of the configured lag.
 	maxListLagFactor = 2
 	// listLagMargin covers the time that the request itself took.
 	listLagMargin = time.Second
 )
 
 // maybeUnlisted reports whether the machines of a request may be missing from the latest
-// machine list. Those of a request that an earlier leader sent longer ago are listed,
-// unless they no longer exist.
+// machine list. Those of an adopted request that is older than the longest list lag are in the
+// list, unless they no longer exist.
 func (i *inventory) maybeUnlisted(request *scaling.PendingScaleOut) bool {
 	maxLag := i.state.Settings.Cloud.ListLag.Duration()*maxListLagFactor + listLagMargin
 	return !request.Adopted || time.Since(request.RequestedAt) < maxLag
--- a/internal/leader/autoscaler/plan.go
+++ b/internal/leader/autoscaler/plan.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/wire"
 )
 
-// PlanFleet scales out for tasks that can't be placed, and scales in what is not needed.
+// PlanFleet scales out for tasks that can't be placed, and scales in machines that are not needed.
 func (s *Scaler) PlanFleet(now time.Time) {
 	specs := s.state.Catalog.Get()
 	s.recordScaleOuts(now)
@@ -19,12 +19,12 @@
 	}
 	plan := s.scheduler.PlanCapacity(specs, s.mayScaleOut(), now)
 	for _, scaleOut := range plan.ScaleOuts {
-		s.requestInBatches(scaleOut)
+		s.requestMachinesInBatches(scaleOut)
 	}
 	s.recordScaleOuts(now)
 	s.scheduler.ApplyCordons(plan)
 	for _, id := range plan.ScaleIns {
-		s.scaleInIdle(id)
+		s.scaleInIfIdle(id)
 	}
 }
 
@@ -35,16 +35,17 @@
 	return clusterKnown && s.Lease.Deciding() && specs != nil && !s.Tracker.Paused(now)
 }
 
-// requestInBatches requests the machines of one offer, in requests that the cloud accepts.
-func (s *Scaler) requestInBatches(scaleOut fleet.ScaleOut) {
+// requestMachinesInBatches requests the machines of one offer, in requests that the cloud accepts.
+func (s *Scaler) requestMachinesInBatches(scaleOut fleet.ScaleOut) {
 	for left := scaleOut.Count; left > 0; left -= scaling.MaxScaleOut {
 		scaleOut.Count = min(left, scaling.MaxScaleOut)
 		s.requestScaleOut(scaleOut)
 	}
 }
 
-// scaleInIdle returns a machine on which no task was started since the plan was made.
-func (s *Scaler) scaleInIdle(id wire.MachineID) {
+// scaleInIfIdle returns an idle machine to the cloud, unless a task has been placed on it since the
+// plan was made.
+func (s *Scaler) scaleInIfIdle(id wire.MachineID) {
 	if machine := s.state.Machines[id]; machine != nil && len(machine.Tasks) == 0 {
 		s.ScaleIn(machine, cluster.DrainIdle)
 	}
--- a/internal/leader/autoscaler/plan_test.go
+++ b/internal/leader/autoscaler/plan_test.go
@@ -32,7 +32,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			withTerm(t, termOptions{}, func(term *testTerm) {
-				term.load()
+				term.loadIntents()
 				job := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 3, CPUs: 4, MemoryGB: 4, ExpectedRunTime: 60}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 				term.state.Jobs[job.Spec.ID] = job
 				term.state.RecordsRead, term.state.SchedulingEnabled, term.state.MachineListReceived = true, true, true
@@ -45,11 +45,11 @@
 				c.change(term)
 				term.PlanFleet(time.Now())
 				if got := len(term.Tracker.PendingScaleOuts()) > 0; got != c.want {
-					t.Errorf("%s: machines requested: %v, want %v", c.name, got, c.want)
+					t.Errorf("%s: scale-out requested: %v, want %v", c.name, got, c.want)
 				}
 				term.run(3 * time.Second)
 				if got := len(term.sim.ScaleOutNames()) > 0; got != c.want {
-					t.Errorf("%s: machines started: %v, want %v", c.name, got, c.want)
+					t.Errorf("%s: scale-out executed: %v, want %v", c.name, got, c.want)
 				}
 			})
 		})
@@ -58,10 +58,10 @@
 
 func TestLargeScaleOutIsRequestedInBatches(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
-		term.requestInBatches(fleet.ScaleOut{Type: "c4", Zone: "a", Count: 2*scaling.MaxScaleOut + 7})
+		term.loadIntents()
+		term.requestMachinesInBatches(fleet.ScaleOut{Type: "c4", Zone: "a", Count: 2*scaling.MaxScaleOut + 7})
 		var counts []int
-		for _, request := range term.Intents.unrecorded {
+		for _, request := range term.Intents.unrecordedScaleOuts {
 			counts = append(counts, request.Count)
 		}
 		if want := []int{scaling.MaxScaleOut, scaling.MaxScaleOut, 7}; !slices.Equal(counts, want) {
--- a/internal/leader/autoscaler/requests.go
+++ b/internal/leader/autoscaler/requests.go
@@ -24,16 +24,16 @@
 	maxScaleInRetry = 2 * time.Second
 )
 
-// cloudRequests sends requests to the cloud and repeats them, only while the lease is held.
-// Its methods run in the background.
+// cloudRequests sends requests to the cloud and retries them, only while the lease is held. Its
+// methods are called by background goroutines.
 type cloudRequests struct {
 	loop *core.Loop
 	// Cloud is the client of the cloud's API.
 	Cloud *cloud.Client
 }
 
-// sendScaleOut repeats a request under its name until the cloud has given a final answer,
-// which it posts to the loop.
+// sendScaleOut retries a request under its name until the cloud has given a final answer, and posts
+// that to the loop.
 func (r *cloudRequests) sendScaleOut(ctx context.Context, request *scaling.PendingScaleOut) {
 	var retry scaling.RetryState
 	wait := minScaleOutRetry
@@ -57,8 +57,8 @@
 	return r.Cloud.ScaleOut(ctx, permit, request.ScaleOutRequest)
 }
 
-// sendScaleIn repeats a scale-in request until the cloud has confirmed it. It returns false
-// if the term has ended before.
+// sendScaleIn retries a scale-in request until the cloud has confirmed it. It returns false if the
+// term ends before that.
 func (r *cloudRequests) sendScaleIn(ctx context.Context, machines []wire.MachineID) bool {
 	wait := minScaleInRetry
 	for ctx.Err() == nil {
@@ -68,7 +68,7 @@
 		}
 		r.loop.Log.Debug("scale-in not confirmed", "machines", len(machines), "err", err)
 		core.Pause(ctx, wait+rand.N(wait/2))
-		// Only one request is in flight at a time, however many machines are queued.
+		// Short pauses are enough: only one request is in flight, however many machines are queued.
 		wait = min(2*wait, maxScaleInRetry)
 	}
 	return false
--- a/internal/leader/autoscaler/rig_test.go
+++ b/internal/leader/autoscaler/rig_test.go
@@ -37,12 +37,12 @@
 	catalog *cluster.MachineCatalog
 }
 
-// termOptions are what a test changes of a term.
+// termOptions are the options of a test's term.
 type termOptions struct {
-	valueKB       float64         // the largest record; 0: that of the simulator's settings
+	valueKB       float64         // size limit of a record in KB; 0: that of the simulator's settings
 	withoutRecord bool            // intents are not recorded
-	versioned     bool            // intents are recorded from VersionIntents on
-	activeVersion upgrade.Version // the version that the leader acts by
+	versioned     bool            // intents are recorded only if VersionIntents or later is active
+	activeVersion upgrade.Version // the version of the behaviour that is active
 }
 
 // withTerm runs a test of a term that holds the lease, in virtual time.
@@ -87,8 +87,8 @@
 	return &testTerm{Scaler: scaler, t: t, sim: sim, catalog: catalog}
 }
 
-// load reads the earlier leader's intents, without which none can be recorded.
-func (term *testTerm) load() EarlierIntents {
+// loadIntents reads the earlier leader's intents, without which none can be recorded.
+func (term *testTerm) loadIntents() EarlierIntents {
 	term.t.Helper()
 	earlier, err := term.Intents.Load(term.Context())
 	if err != nil {
@@ -97,7 +97,7 @@
 	return earlier
 }
 
-// run handles events for a time.
+// run handles the loop's events for the given duration of virtual time.
 func (term *testTerm) run(duration time.Duration) {
 	end := time.After(duration)
 	for {
@@ -123,8 +123,8 @@
 	}
 }
 
-// storedScaleOuts returns the names of the recorded scale-out requests.
-func (term *testTerm) storedScaleOuts() []string {
+// storedScaleOutNames returns the names of the recorded scale-out requests.
+func (term *testTerm) storedScaleOutNames() []string {
 	names := []string{}
 	for _, intent := range storedIntents[ScaleOutIntent](term, scaleOutKey) {
 		names = append(names, intent.Request.Name)
@@ -145,8 +145,8 @@
 	return record.Open
 }
 
-// otherLeads makes another node the leader.
-func (term *testTerm) otherLeads() {
+// makeOtherNodeLeader writes the leader record of another node, which takes the lease from the term.
+func (term *testTerm) makeOtherNodeLeader() {
 	term.sim.State.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
 }
 
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -26,8 +26,8 @@
 	s.sendNextScaleIn()
 }
 
-// sendNextScaleIn sends the next batch of scale-ins, unless one is in flight, and repeats
-// it until the cloud has confirmed it.
+// sendNextScaleIn sends the next batch of queued scale-ins, unless one is in flight, and retries it
+// until the cloud has confirmed it.
 func (s *Scaler) sendNextScaleIn() {
 	machines := s.Tracker.NextScaleIn(s.maxScaleInBatch())
 	if len(machines) == 0 {
@@ -52,20 +52,21 @@
 	return s.Intents.maxScaleInBatch()
 }
 
-// OnScaledIn handles the confirmation that machines no longer exist, nor what ran there.
+// OnScaledIn handles the confirmation that machines no longer exist: their tasks become pending, and
+// the next batch is sent. Without machines it ends the clearing of the record of scale-ins.
 func (s *Scaler) OnScaledIn(machines []wire.MachineID) {
 	for _, id := range machines {
 		s.inventory.remove(s.state.Machines[id])
 	}
 	if s.Intents != nil {
-		s.Intents.scaledInAt = time.Now()
+		s.Intents.scaleInConfirmedAt = time.Now()
 	}
 	s.Tracker.EndScaleIn()
 	s.sendNextScaleIn()
 }
 
-// clearScaleIns empties the record of scale-ins when all of them have been confirmed for a
-// while, so that no later leader repeats them.
+// clearScaleIns empties the record of scale-ins clearIntentsAfter the last confirmation, so that no
+// later leader repeats them.
 func (s *Scaler) clearScaleIns(now time.Time) {
 	if !s.recordsIntents() || !s.Lease.Deciding() || !s.Tracker.BeginScaleIn() {
 		return
--- a/internal/leader/autoscaler/scale_in_intents.go
+++ b/internal/leader/autoscaler/scale_in_intents.go
@@ -12,9 +12,9 @@
 	"lilaclead/internal/wire"
 )
 
-// recordScaleIns records that machines are to be returned. This is final: no leader runs
-// anything on them again. It returns false if the term has ended before. It runs in the
-// background.
+// recordScaleIns records that machines are to be returned. This is final: no leader runs anything on
+// them again. It retries failed writes, and returns false if the term ends before one succeeds. It
+// is called by background goroutines.
 func (c *CloudIntents) recordScaleIns(ctx context.Context, machines []wire.MachineID) bool {
 	for {
 		err := c.scaleIns.Record(ctx, machines)
@@ -32,10 +32,10 @@
 	}
 }
 
-// scaleInsClearable reports whether the record holds scale-ins, and none was confirmed for
-// a while. It is called while no scale-in is in flight.
+// scaleInsClearable reports whether the record holds scale-ins, the last of which was confirmed more
+// than clearIntentsAfter ago. It must be called only while no scale-in is in flight.
 func (c *CloudIntents) scaleInsClearable(now time.Time) bool {
-	return len(c.scaleIns.OpenIntents()) > 0 && now.Sub(c.scaledInAt) > clearIntentsAfter
+	return len(c.scaleIns.OpenIntents()) > 0 && now.Sub(c.scaleInConfirmedAt) > clearIntentsAfter
 }
 
 // maxScaleInBatch returns how many machines one request may return: as many as the cloud
@@ -48,11 +48,11 @@
 	return size
 }
 
-// maxMachineIDLength is the assumed length of a machine's name, such as "n-000231", with
-// a reserve for longer ones.
+// maxMachineIDLength is the length of a machine ID that is assumed when a batch is fitted into a
+// record. IDs such as "n-000231" are shorter; the rest is a reserve.
 const maxMachineIDLength = 24
 
-// longMachineIDs returns distinct names of the length maxMachineIDLength.
+// longMachineIDs returns distinct machine IDs of the length maxMachineIDLength.
 func longMachineIDs(count int) []wire.MachineID {
 	ids := make([]wire.MachineID, count)
 	for i := range ids {
--- a/internal/leader/autoscaler/scale_in_test.go
+++ b/internal/leader/autoscaler/scale_in_test.go
@@ -19,10 +19,10 @@
 		term.sim.State.Put(scaleInKey, duty.IntentRecord[wire.MachineID]{Token: 1, Open: []wire.MachineID{"n-1", "n-2"}})
 		removedAt := time.Now()
 		term.state.RemovedMachines["n-2"] = removedAt
-		term.AdoptIntents(term.load())
+		term.AdoptIntents(term.loadIntents())
 		machine := term.state.Machines["n-1"]
 		if machine == nil || !machine.ScalingIn || machine.DrainReason != cluster.DrainAdoptedScaleIn {
-			t.Fatalf("machine %+v, want it scaling in as adopted", machine)
+			t.Fatalf("machine %+v, want one that is scaling in, adopted from an earlier leader", machine)
 		}
 		if term.state.Machines["n-2"] != nil {
 			t.Error("a machine that was removed is scaled in again")
@@ -39,13 +39,13 @@
 	for _, valueKB := range []float64{1, 2, 16} {
 		t.Run(fmt.Sprint(valueKB, " KB"), func(t *testing.T) {
 			withTerm(t, termOptions{valueKB: valueKB}, func(term *testTerm) {
-				term.load()
+				term.loadIntents()
 				limit := term.maxScaleInBatch()
 				if limit < 1 || limit > scaling.MaxScaleIn {
-					t.Fatalf("batches of %d machines", limit)
+					t.Fatalf("batches of %d machines, want between 1 and scaling.MaxScaleIn", limit)
 				}
 				if (limit < scaling.MaxScaleIn) != (valueKB < 16) {
-					t.Errorf("batches of %d machines in records of %v KB", limit, valueKB)
+					t.Errorf("batches of %d machines in records of %v KB, want smaller ones only below 16 KB", limit, valueKB)
 				}
 				for i := range machines {
 					id := wire.MachineID(fmt.Sprintf("n-%0*d", maxMachineIDLength-len("n-"), i))
@@ -70,37 +70,37 @@
 
 func TestScaleInIsRecordedBeforeItIsSent(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
-		term.otherLeads()
+		term.loadIntents()
+		term.makeOtherNodeLeader()
 		machine := term.state.GetOrAddMachine("n-1")
 		term.ScaleIn(machine, cluster.DrainIdle)
 		term.run(5 * time.Second)
 		if !term.ended() {
-			t.Error("the term goes on though another node leads")
+			t.Error("the term has not ended, although another node leads")
 		}
 		if term.state.Machines["n-1"] == nil || len(term.state.RemovedMachines) != 0 {
-			t.Error("the machine was removed though the record was refused")
+			t.Error("the machine was removed, although the record was refused")
 		}
 	})
 }
 
 func TestScaleInRecordIsClearedAWhileAfterTheConfirmation(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
+		term.loadIntents()
 		term.ScaleIn(term.state.GetOrAddMachine("n-1"), cluster.DrainIdle)
 		term.run(3 * time.Second)
-		scaledInAt := term.Intents.scaledInAt
+		confirmedAt := term.Intents.scaleInConfirmedAt
 
-		term.clearScaleIns(scaledInAt.Add(clearIntentsAfter))
+		term.clearScaleIns(confirmedAt.Add(clearIntentsAfter))
 		term.run(time.Second)
 		if stored := storedIntents[wire.MachineID](term, scaleInKey); !slices.Equal(stored, []wire.MachineID{"n-1"}) {
 			t.Errorf("%v after the confirmation: recorded %v, want n-1", clearIntentsAfter, stored)
 		}
 
-		term.clearScaleIns(scaledInAt.Add(clearIntentsAfter + 1))
+		term.clearScaleIns(confirmedAt.Add(clearIntentsAfter + 1))
 		term.run(time.Second)
 		if stored := storedIntents[wire.MachineID](term, scaleInKey); len(stored) != 0 {
-			t.Errorf("later than that: recorded %v, want nothing", stored)
+			t.Errorf("after a longer time: recorded %v, want nothing", stored)
 		}
 		if !term.Tracker.BeginScaleIn() {
 			t.Error("a request is still in flight")
@@ -110,7 +110,7 @@
 
 func TestTasksOfAScaledInMachineBecomePending(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
+		term.loadIntents()
 		job := cluster.NewJob(store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Team: "red", Kind: wire.KindArray, Tasks: 1, CPUs: 1}, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 		term.state.Jobs[job.Spec.ID] = job
 		machine := term.state.GetOrAddMachine("n-1")
@@ -122,14 +122,14 @@
 		}
 		term.run(3 * time.Second)
 		if job.ActiveTasks != 0 || job.PendingTasks() != 1 || !term.state.CycleTimer.Requested {
-			t.Errorf("after it: %d active and %d pending tasks, cycle requested %v; want 0, 1, true", job.ActiveTasks, job.PendingTasks(), term.state.CycleTimer.Requested)
+			t.Errorf("after the confirmation: %d active and %d pending tasks, cycle requested %v; want 0, 1, true", job.ActiveTasks, job.PendingTasks(), term.state.CycleTimer.Requested)
 		}
 	})
 }
 
 func TestNoScaleInWithoutTheLease(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
+		term.loadIntents()
 		now := time.Now()
 		term.Lease = election.NewLease(&election.Candidate{}, election.Tenure{Token: term.Fencing.Token, AcquiredAt: now, ValidUntil: now.Add(-time.Second)})
 		machine := term.state.GetOrAddMachine("n-1")
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -9,14 +9,14 @@
 	"lilaclead/internal/wire"
 )
 
-// requestScaleOut requests machines. Where intents are recorded the request is sent once
-// its record is written.
+// requestScaleOut requests machines. If intents are recorded, the request is sent once its record is
+// written.
 func (s *Scaler) requestScaleOut(scaleOut fleet.ScaleOut) {
 	request := s.Tracker.StartScaleOut(scaleOut, time.Now())
 	s.Log.Info("scale-out requested", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 		"count", request.Count, "job", scaleOut.ForJob, "request", request.Name)
 	if s.recordsIntents() {
-		s.Intents.unrecorded = append(s.Intents.unrecorded, request)
+		s.Intents.unrecordedScaleOuts = append(s.Intents.unrecordedScaleOuts, request)
 		return
 	}
 	s.Spawn(func(ctx context.Context) { s.sendScaleOut(ctx, request) })
@@ -39,7 +39,8 @@
 	}
 }
 
-// onMachinesStarted takes in the machines that a request has started.
+// onMachinesStarted adds the machines that a request has started to the inventory, unless they must
+// already be in the machine list.
 func (s *Scaler) onMachinesStarted(request *scaling.PendingScaleOut, machines []wire.MachineID) {
 	s.Metrics.FleetChange("rented", len(machines))
 	if s.inventory.maybeUnlisted(request) {
--- a/internal/leader/autoscaler/scale_out_intents.go
+++ b/internal/leader/autoscaler/scale_out_intents.go
@@ -15,30 +15,29 @@
 	return !s.recordsIntents() || s.Intents.scaleOuts.Loaded()
 }
 
-// recordScaleOuts records the pending scale-out requests if there are new ones, or if none
-// is left. The new ones are sent when the record is written.
+// recordScaleOuts records the pending scale-out requests if some of them are not recorded yet. These
+// are sent once the record is written. It empties the record a while after all were answered.
 func (s *Scaler) recordScaleOuts(now time.Time) {
 	if !s.recordsIntents() || !s.Intents.scaleOutsWritable() || !s.Lease.Deciding() {
 		return
 	}
 	intents := s.Intents
-	if len(intents.unrecorded) == 0 && !intents.scaleOutsClearable(s.Tracker, now) {
+	if len(intents.unrecordedScaleOuts) == 0 && !intents.scaleOutsClearable(s.Tracker, now) {
 		return
 	}
 	intents.withdrawOversized(s.Tracker)
-	fresh, pending := intents.unrecorded, scaleOutIntents(s.Tracker)
-	intents.unrecorded, intents.recording = nil, true
+	newRequests, pending := intents.unrecordedScaleOuts, scaleOutIntents(s.Tracker)
+	intents.unrecordedScaleOuts, intents.recordingScaleOuts = nil, true
 	s.Spawn(func(ctx context.Context) {
 		err := intents.scaleOuts.Record(ctx, pending)
-		s.Post(ScaleOutsRecorded{fresh, err})
+		s.Post(ScaleOutsRecorded{newRequests, err})
 	})
 }
 
-// OnScaleOutsRecorded sends the requests that are recorded now, or withdraws them if they
-// could not be recorded.
-func (s *Scaler) OnScaleOutsRecorded(fresh []*scaling.PendingScaleOut, err error) {
-	s.Intents.recording, s.Intents.recordedAt = false, time.Now()
-	for _, request := range fresh {
+// OnScaleOutsRecorded sends the newly recorded requests, or withdraws them if the write failed.
+func (s *Scaler) OnScaleOutsRecorded(newRequests []*scaling.PendingScaleOut, err error) {
+	s.Intents.recordingScaleOuts, s.Intents.scaleOutsRecordedAt = false, time.Now()
+	for _, request := range newRequests {
 		if err != nil {
 			s.Tracker.Withdraw(request)
 			continue
@@ -49,29 +48,29 @@
 	case errors.Is(err, duty.ErrHeldByOther):
 		s.End(err.Error())
 	case err != nil:
-		s.Log.Info("scale-out intents not recorded", "requests", len(fresh), "err", err)
+		s.Log.Info("scale-out intents not recorded", "requests", len(newRequests), "err", err)
 	}
 	s.recordScaleOuts(time.Now())
 }
 
-// scaleOutsWritable reports whether the record of scale-out requests was read, and no write
-// of it is in flight.
-func (c *CloudIntents) scaleOutsWritable() bool { return !c.recording && c.scaleOuts.Loaded() }
+// scaleOutsWritable reports whether the record of scale-out requests has been read and no write of
+// it is in flight.
+func (c *CloudIntents) scaleOutsWritable() bool { return !c.recordingScaleOuts && c.scaleOuts.Loaded() }
 
-// scaleOutsClearable reports whether the record holds only requests that have been
-// answered, and has not been written for a while.
+// scaleOutsClearable reports whether the record holds requests, all of them are answered, and it was
+// last written more than clearIntentsAfter ago.
 func (c *CloudIntents) scaleOutsClearable(tracker *scaling.Tracker, now time.Time) bool {
 	recorded := len(c.scaleOuts.OpenIntents()) > 0
-	answered := len(tracker.PendingScaleOuts()) == 0
-	return recorded && answered && now.Sub(c.recordedAt) > clearIntentsAfter
+	allAnswered := len(tracker.PendingScaleOuts()) == 0
+	return recorded && allAnswered && now.Sub(c.scaleOutsRecordedAt) > clearIntentsAfter
 }
 
-// withdrawOversized withdraws the newest requests that exceed the size of the record.
+// withdrawOversized withdraws the newest requests until the others fit in one record.
 func (c *CloudIntents) withdrawOversized(tracker *scaling.Tracker) {
-	for len(c.unrecorded) > 0 && !c.scaleOuts.Fits(scaleOutIntents(tracker)) {
-		last := len(c.unrecorded) - 1
-		tracker.Withdraw(c.unrecorded[last])
-		c.unrecorded = c.unrecorded[:last]
+	for len(c.unrecordedScaleOuts) > 0 && !c.scaleOuts.Fits(scaleOutIntents(tracker)) {
+		last := len(c.unrecordedScaleOuts) - 1
+		tracker.Withdraw(c.unrecordedScaleOuts[last])
+		c.unrecordedScaleOuts = c.unrecordedScaleOuts[:last]
 	}
 }
 
--- a/internal/leader/autoscaler/scale_out_test.go
+++ b/internal/leader/autoscaler/scale_out_test.go
@@ -15,17 +15,17 @@
 
 func TestScaleOutIsRecordedBeforeItIsSent(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
+		term.loadIntents()
 		term.requestScaleOut(smallScaleOut)
 		time.Sleep(time.Second)
-		if stored, sent := term.storedScaleOuts(), term.sim.ScaleOutNames(); len(stored) != 0 || len(sent) != 0 {
+		if stored, sent := term.storedScaleOutNames(), term.sim.ScaleOutNames(); len(stored) != 0 || len(sent) != 0 {
 			t.Fatalf("requested only: recorded %v, sent %v, want neither", stored, sent)
 		}
 
 		term.recordScaleOuts(time.Now())
 		time.Sleep(time.Second) // the outcome is not handled yet
 		name := term.Tracker.PendingScaleOuts()[0].Name
-		if stored, sent := term.storedScaleOuts(), term.sim.ScaleOutNames(); !slices.Equal(stored, []string{name}) || len(sent) != 0 {
+		if stored, sent := term.storedScaleOutNames(), term.sim.ScaleOutNames(); !slices.Equal(stored, []string{name}) || len(sent) != 0 {
 			t.Fatalf("record written: recorded %v, sent %v, want only %s recorded", stored, sent, name)
 		}
 
@@ -49,64 +49,64 @@
 
 func TestScaleOutRecordIsClearedAWhileAfterTheAnswer(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
+		term.loadIntents()
 		term.requestScaleOut(smallScaleOut)
 		term.recordScaleOuts(time.Now())
 		term.run(3 * time.Second)
-		recordedAt := term.Intents.recordedAt
+		recordedAt := term.Intents.scaleOutsRecordedAt
 
 		term.recordScaleOuts(recordedAt.Add(clearIntentsAfter))
 		term.run(time.Second)
-		if stored := term.storedScaleOuts(); len(stored) != 1 {
+		if stored := term.storedScaleOutNames(); len(stored) != 1 {
 			t.Errorf("%v after the record was written: recorded %v, want the request", clearIntentsAfter, stored)
 		}
 
 		term.recordScaleOuts(recordedAt.Add(clearIntentsAfter + 1))
 		term.run(time.Second)
-		if stored := term.storedScaleOuts(); len(stored) != 0 {
-			t.Errorf("later than that: recorded %v, want nothing", stored)
+		if stored := term.storedScaleOutNames(); len(stored) != 0 {
+			t.Errorf("after a longer time: recorded %v, want nothing", stored)
 		}
 	})
 }
 
 func TestScaleOutIsWithdrawnIfItsRecordIsRefused(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
-		term.load()
+		term.loadIntents()
 		term.requestScaleOut(smallScaleOut)
-		term.otherLeads()
+		term.makeOtherNodeLeader()
 		term.recordScaleOuts(time.Now())
 		term.run(5 * time.Second)
 		if sent := term.sim.ScaleOutNames(); len(sent) != 0 {
-			t.Errorf("sent %v though the record was refused", sent)
+			t.Errorf("sent %v, although the record was refused", sent)
 		}
 		if pending := term.Tracker.PendingScaleOuts(); len(pending) != 0 {
 			t.Errorf("%d requests pending, want none", len(pending))
 		}
 		if !term.ended() {
-			t.Error("the term goes on though another node leads")
+			t.Error("the term has not ended, although another node leads")
 		}
 	})
 }
 
 func TestNewestScaleOutsAreWithdrawnIfTheRecordIsFull(t *testing.T) {
 	withTerm(t, termOptions{valueKB: 1}, func(term *testTerm) {
-		term.load()
+		term.loadIntents()
 		const requests = 20
 		for range requests {
 			term.requestScaleOut(fleet.ScaleOut{Type: "c4", Zone: "a", Count: 1})
 		}
-		first := term.Intents.unrecorded[0].Name
+		first := term.Intents.unrecordedScaleOuts[0].Name
 		term.recordScaleOuts(time.Now())
 		term.run(time.Second)
-		stored := term.storedScaleOuts()
+		stored := term.storedScaleOutNames()
 		if len(stored) == 0 || len(stored) == requests || !slices.Contains(stored, first) {
 			t.Errorf("recorded %v, want some of %d requests with the oldest, %s", stored, requests, first)
 		}
 		if size := term.sim.State.LargestValue(scaleOutKey); size > 1024 {
 			t.Errorf("the record has %d bytes, want at most 1024", size)
 		}
-		if len(term.Intents.unrecorded) != 0 {
-			t.Errorf("%d requests are still to be recorded, want none", len(term.Intents.unrecorded))
+		if len(term.Intents.unrecordedScaleOuts) != 0 {
+			t.Errorf("%d requests are still to be recorded, want none", len(term.Intents.unrecordedScaleOuts))
 		}
 	})
 }
@@ -157,7 +157,7 @@
 					}
 				}
 
-				term.AdoptIntents(term.load())
+				term.AdoptIntents(term.loadIntents())
 				pending := term.Tracker.PendingScaleOuts()
 				if len(pending) != 1 || pending[0].Name != request.Name || !pending[0].Adopted {
 					t.Fatalf("pending %+v, want the adopted request %s", pending, request.Name)
@@ -189,9 +189,9 @@
 func TestRequestsAreRefusedIfTheirRecordCannotBeDecoded(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
 		term.sim.State.Put(scaleOutKey, "not a record")
-		term.load()
+		term.loadIntents()
 		if term.mayScaleOut() {
-			t.Error("machines may be requested though the record of scale-outs was not read")
+			t.Error("scale-outs are allowed, although their record was not read")
 		}
 		if !term.Intents.scaleIns.Loaded() {
 			t.Error("the record of scale-ins was not read")
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -21,21 +21,23 @@
 	scheduler *scheduling.Scheduler
 	inventory inventory
 
-	// Tracker is the account of the requests to the cloud.
+	// Tracker tracks the pending requests to the cloud, and the backoffs after refused ones.
 	Tracker *scaling.Tracker
 	// Intents are the recorded intents; nil if none are recorded.
 	Intents *CloudIntents
-	// versioned means that intents are recorded only from VersionIntents on.
+	// versioned means that intents are recorded only while VersionIntents or a later version is
+	// active.
 	versioned bool
 }
 
-// Options are the options of a scaler.
+// Options configure a Scaler.
 type Options struct {
 	// Cloud is the client of the cloud's API.
 	Cloud *cloud.Client
-	// RecordIntents enables that requests are recorded before they are sent.
+	// RecordIntents makes the scaler record requests before it sends them.
 	RecordIntents bool
-	// Versioned restricts RecordIntents to the versions from VersionIntents on.
+	// Versioned restricts RecordIntents to times at which VersionIntents or a later version is
+	// active.
 	Versioned bool
 }
 
