--- a/internal/leader/campaign.go
+++ b/internal/leader/campaign.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/leader/election"
 )
 
-// Run campaigns for the leadership and serves the terms that it wins, until the context
+// Run campaigns for the leadership and serves each term that it wins, until the context
 // ends.
 func (l *Leader) Run(ctx context.Context) {
 	var counting sync.WaitGroup
--- a/internal/leader/contacts.go
+++ b/internal/leader/contacts.go
@@ -11,10 +11,10 @@
 const (
 	// contactLifetime is how long an agent counts as in contact after a heartbeat.
 	contactLifetime = 6 * time.Second
-	// contactRecount is the interval at which the agents in contact are counted.
-	contactRecount = time.Second
-	// contactBacklog is how many contacts are buffered. Further ones are not counted:
-	// no heartbeat waits for the count.
+	// contactRecountInterval is the interval at which the agents in contact are counted.
+	contactRecountInterval = time.Second
+	// contactBacklog is how many contacts are buffered. Contacts beyond it are dropped, so
+	// that no heartbeat waits for the count.
 	contactBacklog = 64
 )
 
@@ -28,7 +28,7 @@
 	return &agentContacts{recorded: make(chan wire.MachineID, contactBacklog)}
 }
 
-// record counts a heartbeat of the agent on a machine. It does not block.
+// record notes that the agent on a machine has sent a heartbeat. It does not block.
 func (c *agentContacts) record(id wire.MachineID) {
 	select {
 	case c.recorded <- id:
@@ -36,10 +36,10 @@
 	}
 }
 
-// count keeps the count of agents in contact up to date until the context ends.
+// count updates the number of agents in contact periodically until the context ends.
 func (c *agentContacts) count(ctx context.Context) {
 	lastContact := map[wire.MachineID]time.Time{}
-	tick := time.NewTicker(contactRecount)
+	tick := time.NewTicker(contactRecountInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -62,5 +62,6 @@
 	}
 }
 
-// ReachableWorkers returns how many agents have sent a heartbeat to this node lately.
+// ReachableWorkers returns how many agents have sent a heartbeat to this node within
+// contactLifetime.
 func (l *Leader) ReachableWorkers() int { return int(l.contacts.inContact.Load()) }
--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -7,8 +7,9 @@
 	"lilaclead/internal/wire"
 )
 
-// runDueWork does what has become due after an event: it stops the rest of broken gangs,
-// runs a scheduling cycle and writes what has changed.
+// runDueWork follows each event: it stops the remaining tasks of broken gangs, runs a
+// scheduling cycle if one is due, and writes changed records. It does nothing without the
+// lease.
 func (t *term) runDueWork(now time.Time) {
 	if !t.state.RecordsRead || !t.Lease.Deciding() {
 		return
@@ -20,7 +21,8 @@
 	t.committer.Flush(now)
 }
 
-// maxCycleInterval returns the time after which a cycle runs without a request.
+// maxCycleInterval returns the longest time between two cycles: a cycle that nothing has
+// requested runs after this time.
 func (t *term) maxCycleInterval() time.Duration {
 	return wire.Seconds(t.leader.Tuning.Get().CycleIntervalSeconds).Duration()
 }
@@ -33,7 +35,8 @@
 		return
 	}
 	for _, victim := range cycle.Preemptions {
-		// Stopping one task of a gang stops all of it, so the attempt is looked up only now.
+		// Stopping one task of a gang stops the whole gang. The attempt is therefore looked up
+		// only now: an earlier pass may have ended it.
 		if attempt := t.state.ActiveAttempt(victim.Task); attempt != nil {
 			t.dispatcher.Stop(attempt, t.state.GracePeriodOf(attempt.Job), cluster.EvictedPreempted)
 			t.scheduler.ExtendReservations(attempt, now)
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -6,8 +6,8 @@
 	"lilaclead/internal/wire"
 )
 
-// DelegationToken returns the token under which this node certainly leads and under which
-// others may renew leases as its delegates, 0 if there is none.
+// DelegationToken returns the token under which other nodes may renew leases as delegates
+// of this one. It is 0 if there is none yet or this node is not sure that it leads.
 func (l *Leader) DelegationToken() wire.FencingToken {
 	if t := l.term.Load(); t != nil && t.Lease.Deciding() {
 		return t.delegationToken()
@@ -20,8 +20,8 @@
 }
 
 // UnconfirmedCancelSince returns the time of the oldest cancellation of a job of which a
-// launch may still be in flight: nobody can stop that by what a heartbeat shows. It
-// returns the zero time if there is none.
+// launch may still be in flight. No heartbeat shows such a launch yet, so no node can stop it
+// in its reply to one. It returns the zero time if there is no such cancellation.
 func (l *Leader) UnconfirmedCancelSince() time.Time {
 	if t := l.term.Load(); t != nil {
 		return t.Published.OldestUnconfirmedCancel()
@@ -29,9 +29,9 @@
 	return time.Time{}
 }
 
-// onLeaseRenewed lets this node be its own delegate for a while after it has lost the
-// leadership. The while counts from when the renewal was requested or, if that is earlier,
-// from the oldest cancellation of a job of which a launch may still be in flight.
+// onLeaseRenewed lets this node be its own delegate for a limited time after it has lost
+// the leadership. That time is counted from the request for the renewal or, if that is
+// earlier, from the oldest cancellation of a job of which a launch may still be in flight.
 func (t *term) onLeaseRenewed(requestedAt time.Time) {
 	token := t.delegationToken()
 	if token == 0 {
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -11,7 +11,7 @@
 	"lilaclead/internal/leader/recovery"
 )
 
-// handle passes an event to the part of the term that handles it.
+// handle dispatches an event to the part of the term that handles it.
 func (t *term) handle(event core.Event) {
 	switch e := event.(type) {
 	case machineListReceived:
@@ -53,8 +53,8 @@
 	}
 }
 
-// onMachineList updates the machines, and checks at once whether scheduling can begin: a
-// new term may have waited for the list.
+// onMachineList updates the machines. It then checks at once whether scheduling can begin,
+// because a new term may have been waiting for the list.
 func (t *term) onMachineList(e machineListReceived) {
 	now := time.Now()
 	t.state.MachineListRequestedAt = e.requestedAt
@@ -64,7 +64,8 @@
 	}
 }
 
-// onRecordsRead builds the model from the records and adopts what earlier leaders began.
+// onRecordsRead builds the model from the records, and continues the scale-outs and
+// scale-ins that earlier leaders began.
 func (t *term) onRecordsRead(e recovery.RecordsRead) {
 	t.records.LoadRecords(e.Jobs, e.Progress)
 	t.state.ActiveVersion = e.Version
--- a/internal/leader/first_heartbeats.go
+++ b/internal/leader/first_heartbeats.go
@@ -11,16 +11,18 @@
 	// machineListWait is how long after its start a term waits for the first machine list.
 	machineListWait = time.Second
 	// largeDeployment is the number of machines above which scheduling waits for only half
-	// of them: showing the token to all of them takes more than four ticks.
+	// of them, because announcing the token to all of them takes more than four ticks.
 	largeDeployment = 4 * agents.MaxProbesPerTick
 )
 
 // enoughMachinesHeard reports whether enough of the machines that should be up have sent
-// a heartbeat with this term's token: all of a small deployment, and half of a large one,
-// where showing the token to the last takes seconds. A machine that is in no list or did
-// not answer a probe is not waited for. A machine that was not heard gets no new tasks,
-// and its tasks count as active until it is known to be gone. Without a list (the cloud's
-// API may be down for minutes) the machines that the records name are waited for.
+// a heartbeat with this term's token: all of them in a small deployment, and half of them
+// in a large one, where announcing the token to the last machine takes seconds.
+//
+// It does not wait for a machine that is in no list or did not answer a probe. Without a
+// list (the cloud's API may be down for minutes) it waits for the machines that the records
+// name. A machine that has sent no heartbeat gets no new tasks, and its tasks count as
+// active until it is known to be gone.
 func (t *term) enoughMachinesHeard(now time.Time) bool {
 	if !t.state.MachineListReceived && now.Sub(t.state.TermStartedAt) < machineListWait {
 		return false
@@ -44,7 +46,8 @@
 	return heard, missing
 }
 
-// awaitsHeartbeat reports whether a machine that was not heard seems to be up.
+// awaitsHeartbeat reports whether a machine that has sent no heartbeat with this term's
+// token seems to be up, so that one can be expected.
 func (t *term) awaitsHeartbeat(m *cluster.Machine) bool {
 	listed := m.Addr != "" || !t.state.MachineListReceived
 	return listed && m.UnansweredCommands == 0
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -14,31 +14,31 @@
 	"lilaclead/internal/wire"
 )
 
-// heartbeatTimeout bounds how long a heartbeat waits for the term's loop.
+// heartbeatTimeout is how long a heartbeat waits for an answer of the term's loop.
 const heartbeatTimeout = 3 * time.Second
 
 // leaderContactLifetime is how long this node believes that a peer leads after it last
 // heard from it.
 const leaderContactLifetime = 2 * peer.AckLifetime
 
-// errNoMachine means that a heartbeat does not name the machine that it is from.
+// errNoMachine means that a heartbeat does not name the machine that sent it.
 var errNoMachine = errors.New("heartbeat without a machine")
 
-// heartbeatOutcome is the way in which a heartbeat is answered.
+// heartbeatOutcome says how a heartbeat is answered, and by which node.
 type heartbeatOutcome int
 
 const (
 	outcomeAnswered       heartbeatOutcome = iota // by the term of this node
 	outcomeRelayed                                // by the leader, through this node
-	outcomeDelegated                              // by this node as the delegate of a lost leader
-	outcomeRedirected                             // the agent is sent to the leader
+	outcomeDelegated                              // by this node as a delegate of the leader
+	outcomeRedirected                             // the agent is redirected to the leader
 	outcomeRedirectedHere                         // the agent should contact this leader directly
-	outcomeRejected                               // by the term, which must not renew the lease
+	outcomeRejected                               // the term must not renew the lease
 	outcomeUnavailable                            // nobody could answer
 )
 
-// heartbeatOutcomeLabels are the outcomes' label values of the heartbeat metric. The other
-// outcomes are not counted by themselves.
+// heartbeatOutcomeLabels maps outcomes to label values of the heartbeat metric. An outcome
+// without one has no count of its own.
 var heartbeatOutcomeLabels = map[heartbeatOutcome]string{
 	outcomeAnswered:       "ok",
 	outcomeRelayed:        "relayed",
@@ -47,11 +47,10 @@
 	outcomeRejected:       "refused",
 }
 
-// labelNotLeading is the label value for heartbeats that reach a node that does not
-// lead. It is counted beside the outcome.
+// labelNotLeading is the label value for heartbeats that agents send to a node that does
+// not lead. Such a heartbeat is counted under this label and also under that of its outcome.
 const labelNotLeading = "elsewhere"
 
-// heartbeatAnswer is the answer to a heartbeat.
 type heartbeatAnswer struct {
 	outcome  heartbeatOutcome
 	commands *wire.Commands // if answered here, relayed or delegated
@@ -122,14 +121,14 @@
 	return &heartbeat, nil
 }
 
-// refuseUndecodable answers a request that holds no heartbeat, and logs its source.
+// refuseUndecodable rejects a request that holds no valid heartbeat, and logs its source.
 func (l *Leader) refuseUndecodable(w http.ResponseWriter, source string, err error) {
 	l.Undecodable.LogOnce(source, err)
 	wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 }
 
-// answerHeartbeat passes a heartbeat to the loop and waits for its answer. relayed means
-// that it came through another node.
+// answerHeartbeat passes a heartbeat to the loop and waits for the answer. relayed means
+// that the heartbeat came through another node.
 func (t *term) answerHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayed bool) heartbeatAnswer {
 	call := reconcile.Call{Heartbeat: *heartbeat, Relayed: relayed, Reply: make(chan reconcile.Reply, 1)}
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -160,7 +159,7 @@
 	}
 }
 
-// answerAsFollower answers a heartbeat while another node leads, or none.
+// answerAsFollower answers a heartbeat while this node does not lead.
 func (l *Leader) answerAsFollower(ctx context.Context, heartbeat *wire.Heartbeat) heartbeatAnswer {
 	now := time.Now()
 	leader := l.currentLeader(now)
@@ -180,8 +179,8 @@
 	return heartbeatAnswer{outcome: outcomeRedirected, leader: leader}
 }
 
-// answerWithoutLeader answers a heartbeat while no leader is known: it renews the lease
-// for the leader that was lost, if this node may.
+// answerWithoutLeader answers a heartbeat while no leader is known: this node renews the
+// lease as a delegate of the last leader, if it still may.
 func (l *Leader) answerWithoutLeader(heartbeat *wire.Heartbeat) heartbeatAnswer {
 	if commands := l.delegate.Answer(heartbeat); commands != nil {
 		return heartbeatAnswer{outcome: outcomeDelegated, commands: commands}
@@ -191,8 +190,8 @@
 
 // currentLeader returns the node that leads according to a recent peer heartbeat or, while
 // the links between the nodes are down, to the key-value store. It returns "" if neither
-// is recent: what this node knew before it was cut off from both does not help, since
-// agents would be sent back and forth between it and a node that no longer leads.
+// is recent. Older knowledge is not used: a node that is cut off from both would redirect
+// agents to a node that no longer leads, which would redirect them back.
 func (l *Leader) currentLeader(now time.Time) wire.NodeID {
 	view := l.Mesh.View()
 	if view.Leader != "" && now.Sub(view.Peers[view.Leader].LastContact) < leaderContactLifetime {
@@ -201,10 +200,10 @@
 	return l.candidate.Holder(now, peer.AckLifetime)
 }
 
-// relayHeartbeat passes a heartbeat on to the leader, which answers it if the agent seems
-// unable to reach the leader itself. An agent that is cut off from the leader alone would
-// otherwise be redirected back and forth until its lease ends. It returns nil if the
-// leader gave no answer.
+// relayHeartbeat forwards a heartbeat to the leader, which answers it if the agent seems
+// unable to reach the leader itself. Without this, an agent that is cut off only from the
+// leader is redirected back and forth until its lease expires. It returns nil if the leader
+// gave no answer.
 func (l *Leader) relayHeartbeat(ctx context.Context, leader wire.NodeID, heartbeat *wire.Heartbeat) *wire.Commands {
 	status, raw, err := l.Mesh.Relay(ctx, leader, "/peer/hello", heartbeat)
 	if err != nil || status != http.StatusOK {
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -130,7 +130,7 @@
 		for _, c := range []struct {
 			wait time.Duration
 			want int
-		}{{2 * time.Second, 2}, {contactLifetime + 2*contactRecount, 0}} {
+		}{{2 * time.Second, 2}, {contactLifetime + 2*contactRecountInterval, 0}} {
 			time.Sleep(c.wait)
 			if got := node.ReachableWorkers(); got != c.want {
 				t.Errorf("agents in contact after another %v: got %d, want %d", c.wait, got, c.want)
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -14,7 +14,7 @@
 	"lilaclead/internal/wire"
 )
 
-// inventory follows the cloud's machine list and its machine types.
+// inventory polls the cloud for its machine list and its machine types.
 type inventory struct {
 	*core.Loop
 	state      *cluster.State
@@ -32,19 +32,21 @@
 type machineSpecsReceived struct{}
 
 const (
-	// machineListInterval is the pause between two machine lists.
+	// machineListInterval is the pause between two requests for the machine list.
 	machineListInterval = 4 * time.Second
-	// machineListRetry is the least pause after a request for the list that failed.
+	// machineListRetry is the shortest pause after a failed request for the list.
 	machineListRetry = time.Second
 	// machineSpecsInterval is the pause between two requests for the machine types.
 	machineSpecsInterval = 20 * time.Second
-	// machineSpecsRetry is the least pause after a request for the types that failed.
+	// machineSpecsRetry is the shortest pause after a failed request for the types.
 	machineSpecsRetry = 2 * time.Second
-	// cloudRetryJitter is added at random to the pause after a request that failed.
+	// cloudRetryJitter is the upper bound of the random time that is added to the pause
+	// after a failed request.
 	cloudRetryJitter = time.Second
 )
 
-// pollMachineList posts the machine list again and again until the context ends.
+// pollMachineList requests the machine list periodically and posts each one to the loop,
+// until the context ends.
 func (in *inventory) pollMachineList(ctx context.Context) {
 	for {
 		requestedAt := time.Now()
@@ -62,8 +64,8 @@
 	}
 }
 
-// onMachineList updates the machines with a list. A list may be older than the one before:
-// a machine that it lacks may exist, and one that it has may be gone.
+// onMachineList updates the machines from a list. A list may be older than the one before:
+// a machine that is missing from it may exist, and one that is in it may be gone.
 func (in *inventory) onMachineList(list []wire.ListedMachine, now time.Time) {
 	in.state.MachineListReceived = true
 	for i := range list {
@@ -73,7 +75,7 @@
 	}
 }
 
-// updateMachine updates a machine with what a list says of it, and adds it if it is new.
+// updateMachine updates a machine from its entry in a list, and adds it if it is new.
 func (in *inventory) updateMachine(listed *wire.ListedMachine, now time.Time) {
 	requestedAt := now.Add(-listed.Age.Duration())
 	known := in.state.Machines[listed.Name] != nil
@@ -92,8 +94,8 @@
 	}
 }
 
-// describeUnheardMachine takes from the list what the machine's own heartbeats will say,
-// and has the token announced to it if it should be up.
+// describeUnheardMachine sets what the heartbeats of a machine would say, from its entry in
+// a list. If the machine should be up it has the token announced to it.
 func (in *inventory) describeUnheardMachine(m *cluster.Machine, listed *wire.ListedMachine, requestedAt time.Time) {
 	m.Addr = listed.Addr
 	m.MachineType = listed.Type
@@ -108,8 +110,8 @@
 	}
 }
 
-// pollMachineSpecs refreshes the machine types and prices until the context ends, and
-// stores them once for nodes that start while the cloud is down.
+// pollMachineSpecs refreshes the machine types and prices periodically until the context
+// ends. It stores them once in a term, for nodes that start while the cloud is down.
 func (in *inventory) pollMachineSpecs(ctx context.Context) {
 	stored := false
 	for {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -20,13 +20,14 @@
 //
 // Other packages act beside that path. Package election holds the leadership and says
 // until when it may be used; recovery reads the records at the start of a term and follows
-// those of the jobs; delegation lets followers renew agents' leases for a leader that was
-// lost. Package liveness detects failed machines and expired leases, with the
-// rules in detector; autoscaler scales out and in, with the account in scaling. Package
-// core is what all of them share: the event loop, the lease and the fencing token.
+// those of the jobs; delegation lets followers renew agents' leases for a leader that they
+// have lost contact with. Package liveness detects failed machines and expired leases, by
+// the rules in detector; autoscaler scales out and in, and scaling keeps account of its
+// requests to the cloud. Package core is what all of them share: the event loop, the lease
+// and the fencing token.
 //
-// What is left to this package is the campaign, the loop and its events, the machine
-// inventory, version switches, the operators' view and the HTTP handlers.
+// This package itself holds the campaign, the loop and its events, the machine inventory,
+// version switches, the operators' view and the HTTP handlers.
 package leader
 
 import (
@@ -65,7 +66,8 @@
 	Catalog *cluster.MachineCatalog
 	// Undecodable logs records and heartbeats that can't be decoded.
 	Undecodable *undecodable.Log
-	// Observe is called with what is decided under the leader's lease. It may be nil.
+	// Observe receives the events of the leader's lease and of the duties done under it. It
+	// may be nil.
 	Observe duty.Observer
 	// Versions negotiates the active version for this process. Nil turns negotiation off.
 	Versions *upgrade.Member
@@ -74,13 +76,13 @@
 	RecordIntents bool
 	// MaxAgentConnections limits the concurrent connections to agents.
 	MaxAgentConnections int
-	// MaxAgents is the number of agents that one controller has sockets for.
+	// MaxAgents is the number of agents that one controller's file descriptors suffice for.
 	MaxAgents int
-	// RequiredFDs returns the limit on file descriptors that so many agents need.
+	// RequiredFDs returns the limit on file descriptors that a number of agents needs.
 	RequiredFDs func(workers int) int
 }
 
-// Leader campaigns for the leadership and serves while it holds it.
+// Leader campaigns for the leadership and runs the cluster while it holds it.
 type Leader struct {
 	Dependencies
 	candidate *election.Candidate
@@ -88,9 +90,9 @@
 	term     atomic.Pointer[term]
 	contacts *agentContacts
 	agents   *agents.Client
-	// delegationBounds limit for how long leases are renewed for a leader that was lost.
+	// delegationBounds limit how long delegates renew leases without contact with the leader.
 	delegationBounds delegation.Bounds
-	// delegate is this node as the delegate of a leader that was lost.
+	// delegate lets this node renew leases for a leader that it has lost contact with.
 	delegate *delegation.Delegate
 }
 
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -7,16 +7,16 @@
 	"lilaclead/internal/peer"
 )
 
-// keepLease renews the leader's lease and ends the term when it is lost.
+// keepLease keeps renewing the leader's lease, and ends the term when the lease is lost.
 func (t *term) keepLease(ctx context.Context) {
 	if err := t.Lease.KeepAlive(ctx, t.onLeaseRenewed); err != nil {
 		t.End(err.Error())
 	}
 }
 
-// checkLeadership ends the term if a higher token is known, limits for how long heartbeats
-// are answered while the key-value store is unavailable, and enables scheduling once
-// enough of the cluster is known.
+// checkLeadership ends the term if a higher token is known. Otherwise it records the peers'
+// acknowledgements, which limit how long heartbeats are answered while the key-value store
+// is unavailable, and enables scheduling once enough of the cluster is known.
 func (t *term) checkLeadership(now time.Time) {
 	view := t.leader.Mesh.View()
 	if t.superseded(view) {
@@ -29,9 +29,9 @@
 	t.enableScheduling(now)
 }
 
-// superseded reports whether another node has taken a higher token. The token that this
-// term raises itself comes back through the peers only after the term knows of it, or
-// while Raising is set.
+// superseded reports whether another node has acquired a higher token. A higher token that
+// this term requested itself is no sign of that: the peers report it only while Raising is
+// set, or after Fencing.Token has been updated.
 func (t *term) superseded(view *peer.View) bool {
 	return view.Token > t.Fencing.Token && !t.Fencing.Raising
 }
@@ -49,8 +49,8 @@
 	return acked
 }
 
-// oldestAck returns when the oldest of the other nodes' last acknowledgements was
-// requested.
+// oldestAck compares the last acknowledgement of each peer, and returns the time at which
+// the oldest of them was requested.
 func (t *term) oldestAck(view *peer.View, now time.Time) time.Time {
 	oldest := now
 	for _, node := range t.leader.Config.Peers {
@@ -61,8 +61,8 @@
 	return oldest
 }
 
-// recordStoreAvailability records since when this node can't renew its lease with the
-// key-value store, or that it can again.
+// recordStoreAvailability records and logs when the key-value store becomes unavailable or
+// available again. It counts as unavailable while this node is not sure of its lease.
 func (t *term) recordStoreAvailability(quorumAcked bool, now time.Time) {
 	available := t.Lease.Deciding()
 	wasAvailable := t.storeUnavailableSince.IsZero()
@@ -78,17 +78,17 @@
 	}
 }
 
-// firstHeartbeatMargin is the time that the first heartbeats of a term may be late.
+// firstHeartbeatMargin is how late the first heartbeats of a term may be.
 const firstHeartbeatMargin = 1500 * time.Millisecond
 
 // firstHeartbeatsTimeout returns how long after its start a term waits for the machines'
-// first heartbeats. An agent's interval varies by a quarter.
+// first heartbeats. An agent's heartbeat interval may be a quarter longer than configured.
 func (t *term) firstHeartbeatsTimeout() time.Duration {
 	return t.state.Settings.Workers.HeartbeatInterval.Duration()*5/4 + firstHeartbeatMargin
 }
 
-// enableScheduling starts scheduling once the records are read and the first heartbeats
-// have come in.
+// enableScheduling enables scheduling once the records are read and enough machines have
+// sent their first heartbeat, or the wait for that has timed out.
 func (t *term) enableScheduling(now time.Time) {
 	if t.state.SchedulingEnabled || !t.state.RecordsRead {
 		return
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// clusterCounts are the machines, jobs and tasks of a cluster by state.
+// clusterCounts are numbers of machines, jobs and tasks by state.
 type clusterCounts struct {
 	up, booting, idle   int // machines; idle ones are up and have no task
-	pendingJobs         int // with tasks to be started
+	pendingJobs         int // jobs with tasks that wait to be started
 	tasks, active, done int
 }
 
@@ -32,9 +32,9 @@
 	return counts
 }
 
-// logStatus logs the numbers of machines, jobs and tasks, and how late the loop is: now is
-// when the tick was due.
-func (t *term) logStatus(now time.Time) {
+// logStatus logs the numbers of machines, jobs and tasks, and the delay of the loop since
+// the tick that was due at dueAt.
+func (t *term) logStatus(dueAt time.Time) {
 	counts := t.countCluster()
 	if limit := t.leader.MaxAgents; counts.up > limit {
 		t.Log.Warn("machine limit exceeded", "machines", counts.up, "limit", limit, "fd_limit_needed", t.leader.RequiredFDs(counts.up))
@@ -50,5 +50,5 @@
 		"tasks_pending", counts.tasks-counts.active-counts.done,
 		"backlog_s", int(t.scheduler.BacklogSeconds),
 		"cycle_duration", t.state.CycleTimer.LastDuration,
-		"tick_delay", time.Since(now))
+		"tick_delay", time.Since(dueAt))
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -17,15 +17,15 @@
 	"lilaclead/internal/leader/scheduling"
 )
 
-// term is one term of leadership. The goroutine in run owns its parts; the goroutines
-// that do I/O hand their results to it as events.
+// term is one term of leadership. The goroutine of run owns its fields; the goroutines
+// that do I/O post their results to it as events.
 type term struct {
 	*core.Loop
 	leader         *Leader
 	heartbeatCalls chan reconcile.Call
 	ticks          int // since the term began
-	// storeUnavailableSince is when this node could last be sure of its lease, zero while
-	// it can.
+	// storeUnavailableSince is when this node stopped being sure of its lease, which it
+	// renews in the key-value store. It is zero while the node is sure of it.
 	storeUnavailableSince time.Time
 
 	state      *cluster.State
@@ -44,15 +44,15 @@
 	// heartbeatBacklog is how many heartbeats are buffered for the loop.
 	heartbeatBacklog = 32
 
-	// tickInterval is the interval at which the loop checks what depends on time alone.
-	// The less urgent checks run at every so many ticks.
+	// tickInterval is the interval of the loop's periodic checks. The less urgent ones run
+	// once in the number of ticks that the constants below give.
 	tickInterval           = 100 * time.Millisecond
 	ticksPerMachineCheck   = 5
 	ticksPerFleetPlan      = 10
 	ticksPerStatusLogEntry = 100
 )
 
-// newTerm returns the term of a lease, with all its parts. It does nothing before run.
+// newTerm returns the term of a lease. It does nothing before run.
 func newTerm(l *Leader, lease *election.Lease) *term {
 	t := &term{
 		Loop:           core.NewLoop(lease, l.Log, &l.Metrics),
@@ -116,7 +116,7 @@
 	}
 }
 
-// remainingWrites returns how many changes the key-value store's rate limit allows now.
+// remainingWrites returns how many writes the key-value store's rate limit allows now.
 func (l *Leader) remainingWrites() float64 {
 	_, writes := l.Store.RemainingBudget()
 	return writes
@@ -157,7 +157,7 @@
 	t.Spawn(t.advanceVersion)
 }
 
-// onTick checks what depends on time alone.
+// onTick runs the periodic checks that are due.
 func (t *term) onTick(now time.Time) {
 	t.ticks++
 	t.checkLeadership(now)
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -16,15 +16,15 @@
 // SupportedVersions is the range of versions that this program supports.
 var SupportedVersions = upgrade.Range{Min: upgrade.BaseVersion, Max: store.MaxSupportedVersion}
 
-// versionChecked is an event: this version of the behaviour is active. It is 0 if the
-// active version is not known.
+// versionChecked is an event: the active version of the behaviour was checked. The version
+// is 0 if it is not known.
 type versionChecked struct{ version upgrade.Version }
 
 // advanceInterval is the pause between two attempts to switch to the next version.
 const advanceInterval = 2 * time.Second
 
-// advanceVersion switches to the next version once all controllers support it, and posts
-// the active version, until the context ends.
+// advanceVersion tries periodically to switch to the next version, which succeeds once all
+// controllers support it, and posts the active version each time, until the context ends.
 func (t *term) advanceVersion(ctx context.Context) {
 	if t.leader.Versions == nil {
 		return
@@ -41,7 +41,7 @@
 }
 
 // tryAdvance switches to the next version if all controllers are ready for it. It returns
-// the version that is active then, 0 if that is not known.
+// the version that is active afterwards, 0 if that is not known.
 func (t *term) tryAdvance(ctx context.Context) (upgrade.Version, error) {
 	versions := t.leader.Versions
 	if active := versions.ActiveVersion(); active >= versions.SupportedRange.Max {
@@ -49,7 +49,7 @@
 	}
 	permit, err := duty.PermitFor[duty.Cleanup](t.Lease.Lease)
 	if err != nil {
-		return 0, nil // the next attempt may hold the lease
+		return 0, nil // the lease may be held again at the next attempt
 	}
 	deployment, err := t.leader.deployment(ctx)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return version, err
 }
 
-// adoptVersion has the term act by the active version, once all records are known.
+// adoptVersion makes the term behave as the active version does, if all records are read
+// and the version is higher than the one before.
 func (t *term) adoptVersion(version upgrade.Version) {
 	if version > t.state.ActiveVersion && t.state.RecordsRead {
 		t.Log.Info("version adopted", "version", version, "previous", t.state.ActiveVersion)
@@ -70,7 +71,8 @@
 	}
 }
 
-// deployment returns the controllers, and the highest version that the operators allow.
+// deployment returns the controllers of the deployment, and the highest version that the
+// operators' settings allow.
 func (l *Leader) deployment(ctx context.Context) (upgrade.Deployment, error) {
 	d := upgrade.Deployment{Controllers: l.controllers(), ConnectedIncarnation: l.connectedIncarnation}
 	settings, err := l.Store.Get(ctx, store.ClassBackground, store.SettingsKey)
@@ -98,9 +100,9 @@
 	return names
 }
 
-// connectedIncarnation returns the incarnation of another controller's process that is
-// connected now. It returns "" if there is none, or if it has an old version that does not
-// send its incarnation.
+// connectedIncarnation returns the incarnation of another controller's process, which has
+// to be connected now. It returns "" if none is, or if the process is of an old version
+// that does not send its incarnation.
 func (l *Leader) connectedIncarnation(node duty.NodeID) string {
 	controller := l.Mesh.View().Peers[node]
 	if !controller.Connected(time.Now()) {
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -18,7 +18,7 @@
 	PendingScaleOuts int           `cbor:"bookings"`
 }
 
-// MachineView is one machine.
+// MachineView is the state of one machine as the leader knows it.
 type MachineView struct {
 	Name                wire.MachineID   `cbor:"name"`
 	Type                wire.MachineType `cbor:"kit"`
@@ -31,7 +31,7 @@
 	FreeCPUs            float64          `cbor:"free_cpus"`
 }
 
-// JobView is one unfinished job.
+// JobView is the state of one unfinished job as the leader knows it.
 type JobView struct {
 	ID         wire.JobID  `cbor:"id"`
 	Class      string      `cbor:"lane"`
@@ -44,7 +44,7 @@
 	Cancelled  bool        `cbor:"cancelled"`
 }
 
-// viewRequested is an event: an operator asks for the view.
+// viewRequested is an event: an operator requests the view.
 type viewRequested struct{ reply chan<- *View }
 
 // View returns the current term's view of the cluster, nil if this node does not lead.
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// view returns the view of the model, with machines and jobs in the order of their names.
+// view returns the view of the model, with the machines sorted by name and the jobs by ID.
 func (t *term) view(now time.Time) *View {
 	v := &View{Deciding: t.Lease.Deciding(), PendingScaleOuts: len(t.scaler.Tracker.PendingScaleOuts())}
 	for _, m := range t.state.Machines {
