--- a/internal/leader/demands_test.go
+++ b/internal/leader/demands_test.go
@@ -12,8 +12,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Zones that no setting names count like the others once machines can be had there or were
-// heard from: a service that is spread has room there.
+// A zone that the settings don't name counts like the others once machines are offered there
+// or have sent heartbeats from there. A service that is spread has room in it.
 func TestServiceSpreadsToZonesOutsideTheSettings(t *testing.T) {
 	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Zones = []wire.Zone{"b"}
@@ -30,10 +30,11 @@
 	}
 }
 
-// A class whose objective lets it wait for cheap room gets expensive room all the same when
-// it has waited for two minutes, would be late and need not be. A rush, which looks the same
-// at first, gets none, nor does a job that is late whatever is scaled out. (With 24 spot
-// machines of 40 the backlog grew to 16 minutes.)
+// A class whose objective lets it wait for cheap machines may use expensive ones if it has
+// waited for two minutes and only they can keep it from being late. Without this, the
+// backlog grows to 16 minutes with 24 spot machines of 40. A short burst of jobs, which
+// looks the same at first, gets no expensive machines, nor does a job that will be late
+// whatever is scaled out.
 func TestPriceStretchesForJobsThatWaitedTooLong(t *testing.T) {
 	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
@@ -45,9 +46,9 @@
 	}{
 		{"new, short delay", 10, 60, 1},
 		{"new, long delay", 10, 900, 1},
-		{"waited, in time without", 130, 90, 1},
-		{"waited, late without", 130, 200, demand.LatePriceStretch},
-		{"waited longer, late without", 200, 90, demand.LatePriceStretch},
+		{"waited, in time at the normal price", 130, 90, 1},
+		{"waited, late at the normal price", 130, 200, demand.LatePriceStretch},
+		{"waited longer, late at the normal price", 200, 90, demand.LatePriceStretch},
 		{"late in any case", 290, 90, 1},
 	}
 	for _, c := range cases {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -10,11 +10,11 @@
 	"lilaclead/internal/wire"
 )
 
-// gangAttempt is the number of the attempts of the gang of newGangTerm.
-const gangAttempt wire.AttemptNumber = 4
+// gangAttemptNumber is the number of all attempts of newGangTerm's gang.
+const gangAttemptNumber wire.AttemptNumber = 4
 
 // newGangTerm returns a term without I/O with a gang of three tasks that checkpoints. Each
-// task has an attempt that is stored, on a machine of its own. Chunks have two tasks.
+// task has a stored attempt on a machine of its own. A chunk has up to two tasks.
 func newGangTerm(t *testing.T) (*term, *cluster.Job) {
 	t.Helper()
 	const tasks = 3
@@ -26,17 +26,17 @@
 	j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 20, 3
 	j.TasksPerChunk = 2
 	j.Chunks = make([]*cluster.Chunk, (tasks+1)/2)
-	j.Gang = &cluster.Gang{AttemptNumber: gangAttempt, StartedAt: time.Now()}
+	j.Gang = &cluster.Gang{AttemptNumber: gangAttemptNumber, StartedAt: time.Now()}
 	for i := range tasks {
 		c := j.Chunk(i / j.TasksPerChunk)
-		c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Index: i % j.TasksPerChunk, Number: gangAttempt, Machine: addHeardMachine(tm, i), ScheduledAt: time.Now()})
-		c.NextAttempt = gangAttempt + 1
+		c.AddAttempt(&cluster.Attempt{Job: j, Chunk: c, Index: i % j.TasksPerChunk, Number: gangAttemptNumber, Machine: addMachineWithHeartbeat(tm, i), ScheduledAt: time.Now()})
+		c.NextAttempt = gangAttemptNumber + 1
 	}
 	return tm, j
 }
 
-// addHeardMachine adds a machine that has just sent heartbeat 10 of epoch 1.
-func addHeardMachine(tm *term, i int) *cluster.Machine {
+// addMachineWithHeartbeat adds machine n-(i+1), which has just sent heartbeat 10 of epoch 1.
+func addMachineWithHeartbeat(tm *term, i int) *cluster.Machine {
 	now := time.Now()
 	m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
 	m.Epoch, m.Sequence, m.Token = 1, 10, tm.state.FirstToken
@@ -44,8 +44,8 @@
 	return m
 }
 
-// member returns the active attempt of a gang's i-th task, nil if there is none.
-func member(j *cluster.Job, i int) *cluster.Attempt {
+// memberAttempt returns the active attempt of a gang's i-th task, nil if there is none.
+func memberAttempt(j *cluster.Job, i int) *cluster.Attempt {
 	return j.Chunk(i / j.TasksPerChunk).Attempts[i%j.TasksPerChunk]
 }
 
@@ -65,11 +65,11 @@
 	notActive  wire.Seconds = -2 // the task has no attempt
 )
 
-// gracePeriods returns how long each task of a gang has to stop.
+// gracePeriods returns the grace period of each task of a gang, or notStopped or notActive.
 func gracePeriods(j *cluster.Job) []wire.Seconds {
 	var periods []wire.Seconds
 	for i := range j.Spec.Tasks {
-		switch a := member(j, i); {
+		switch a := memberAttempt(j, i); {
 		case a == nil:
 			periods = append(periods, notActive)
 		case !a.Stopping:
@@ -81,8 +81,8 @@
 	return periods
 }
 
-// allWith returns the grace periods of a gang whose tasks all have the same.
-func allWith(j *cluster.Job, period wire.Seconds) []wire.Seconds {
+// equalGracePeriods returns what gracePeriods returns if all tasks of a gang have this period.
+func equalGracePeriods(j *cluster.Job, period wire.Seconds) []wire.Seconds {
 	periods := make([]wire.Seconds, j.Spec.Tasks)
 	for i := range periods {
 		periods[i] = period
@@ -90,9 +90,9 @@
 	return periods
 }
 
-// activeRecords returns the chunks' records of a gang on machines n-1 and on, by the
-// numbers of its tasks' active attempts. 0 means none.
-func activeRecords(numbers ...wire.AttemptNumber) []store.ChunkRecord {
+// gangChunkRecords returns the chunk records of a gang, given the number of the active
+// attempt of each task, 0 if the task has none. The i-th task is on machine n-(i+1).
+func gangChunkRecords(numbers ...wire.AttemptNumber) []store.ChunkRecord {
 	var records []store.ChunkRecord
 	for i, number := range numbers {
 		if i%2 == 0 {
@@ -106,7 +106,8 @@
 	return records
 }
 
-// newTermFromRecords returns a term that has read a gang of three with these records.
+// newTermFromRecords returns a term that has restored a gang of three tasks from its chunk
+// records.
 func newTermFromRecords(t *testing.T, records []store.ChunkRecord) (*term, *cluster.Job) {
 	t.Helper()
 	tm, j := newGangTerm(t)
@@ -122,7 +123,8 @@
 	return tm, j
 }
 
-// checkGangDone checks that all of a gang is done and nothing of it is left.
+// checkGangDone checks that all tasks of a gang are done and that none of its attempts is
+// left in the model, in a record or on a machine.
 func checkGangDone(t *testing.T, tm *term, j *cluster.Job) {
 	t.Helper()
 	if j.DoneTasks != j.Spec.Tasks || j.ActiveTasks != 0 || j.Gang != nil || !j.Finished {
--- a/internal/leader/gang_launch_test.go
+++ b/internal/leader/gang_launch_test.go
@@ -7,8 +7,8 @@
 	"lilaclead/internal/leader/cluster"
 )
 
-// The launch of a gang's task is sent only while all of the gang is stored, none of it is
-// lost, and it is not being stopped.
+// The launch of a gang's task is sent only while all attempts of the gang are stored, none
+// is lost, and the gang is not being stopped.
 func TestGangLaunchIsSentOnlyWhileTheGangIsComplete(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -18,12 +18,12 @@
 		{"all stored", func(*term, *cluster.Job) {}, true},
 		{"no gang at all", func(_ *term, j *cluster.Job) { j.Gang = nil }, true},
 		{"one is not yet stored", func(_ *term, j *cluster.Job) {
-			a := member(j, 2)
+			a := memberAttempt(j, 2)
 			a.Unstored = true
 			a.Chunk.UnstoredAttempts++
 			j.UnstoredAttempts++
 		}, false},
-		{"one has no attempt", func(tm *term, j *cluster.Job) { tm.state.EndAttempt(member(j, 2), cluster.TaskPending) }, false},
+		{"one has no attempt", func(tm *term, j *cluster.Job) { tm.state.EndAttempt(memberAttempt(j, 2), cluster.TaskPending) }, false},
 		{"one was lost", func(_ *term, j *cluster.Job) { j.Gang.Broken = true }, false},
 		{"it is being stopped", func(_ *term, j *cluster.Job) { j.Gang.StoppingGracefully = true }, false},
 		{"it was stopped at once", func(tm *term, j *cluster.Job) { tm.dispatcher.StopGang(j, 0, cluster.EvictedPreempted) }, false},
@@ -36,7 +36,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tm, j := newGangTerm(t)
-			first := member(j, 0)
+			first := memberAttempt(j, 0)
 			c.setup(tm, j)
 			heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken)
 			commands := tm.dispatcher.CommandsFor(first.Machine, heartbeat, time.Now())
@@ -47,8 +47,8 @@
 	}
 }
 
-// A task of a gang that its machine does not have is launched there again only while the
-// others may still wait for it.
+// A gang's task that is missing from its machine is launched there again only while the
+// gang's other tasks may still be waiting for it.
 func TestGangTaskIsRelaunchedOnlyWhileTheOthersWait(t *testing.T) {
 	startedAgo := func(d time.Duration) func(*cluster.Job, *cluster.Attempt) {
 		return func(j *cluster.Job, _ *cluster.Attempt) { j.Gang.StartedAt = time.Now().Add(-d) }
@@ -60,7 +60,7 @@
 	}{
 		{"the others wait", func(*cluster.Job, *cluster.Attempt) {}, true},
 		{"an array's task", func(j *cluster.Job, _ *cluster.Attempt) { j.Gang = nil }, false},
-		{"it was observed", func(_ *cluster.Job, a *cluster.Attempt) { a.SeenInHeartbeat = true }, false},
+		{"a heartbeat has shown it", func(_ *cluster.Job, a *cluster.Attempt) { a.SeenInHeartbeat = true }, false},
 		{"it is being stopped", func(_ *cluster.Job, a *cluster.Attempt) { a.Stopping = true }, false},
 		{"the gang ran", func(j *cluster.Job, _ *cluster.Attempt) { j.Gang.HasRun = true }, false},
 		{"another was lost", func(j *cluster.Job, _ *cluster.Attempt) { j.Gang.Broken = true }, false},
@@ -68,12 +68,12 @@
 		{"its machine is drained", func(_ *cluster.Job, a *cluster.Attempt) { a.Machine.DrainReason = "slow" }, false},
 		{"its machine is scaled in", func(_ *cluster.Job, a *cluster.Attempt) { a.Machine.ScalingIn = true }, false},
 		{"just before the wait ends", startedAgo(39 * time.Second), true},
-		{"they have waited in vain", startedAgo(40 * time.Second), false},
+		{"the wait has ended", startedAgo(40 * time.Second), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tm, j := newGangTerm(t)
-			a := member(j, 0)
+			a := memberAttempt(j, 0)
 			a.Inherited, a.LaunchSent = true, true
 			c.setup(j, a)
 			if got := tm.state.MayRelaunch(a); got != c.want {
@@ -85,7 +85,7 @@
 
 func TestMissingGangTaskIsRelaunchedInTheNextReply(t *testing.T) {
 	tm, j := newGangTerm(t)
-	a := member(j, 0)
+	a := memberAttempt(j, 0)
 	a.Inherited, a.LaunchSent = true, true
 	heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken)
 	tm.reconciler.Reconcile(a.Machine, heartbeat, true, time.Now())
@@ -95,14 +95,14 @@
 	}
 }
 
-// A gang starts with one number for all tasks, above every number that any of them has had,
-// and no later attempt may have it.
-func TestGangStartsWithOneUnusedNumber(t *testing.T) {
-	tm, j := newTermFromRecords(t, activeRecords(0, 0, 0, 0)[:2])
+// All tasks of a gang start with the same attempt number. It is above every number that any
+// of them has had, and no later attempt may have it.
+func TestGangStartsWithOneUnusedAttemptNumber(t *testing.T) {
+	tm, j := newTermFromRecords(t, gangChunkRecords(0, 0, 0, 0)[:2])
 	j.Chunk(0).NextAttempt, j.Chunk(1).NextAttempt = 3, 7
 	var machines []*cluster.Machine
 	for i := range j.Spec.Tasks {
-		machines = append(machines, addHeardMachine(tm, i))
+		machines = append(machines, addMachineWithHeartbeat(tm, i))
 	}
 	tm.scheduler.StartGang(j, machines, time.Now())
 	if n := len(j.Attempts()); n != 3 || j.UnstoredAttempts != 3 || j.Gang.AttemptNumber != 7 || j.Gang.Inherited || j.GangFullyStored() {
--- a/internal/leader/gang_recovery_test.go
+++ b/internal/leader/gang_recovery_test.go
@@ -11,14 +11,15 @@
 		name     string
 		records  []store.ChunkRecord
 		wantGang bool
-		// wantBroken means that the rest of the gang is stopped, for it to start again.
+		// wantBroken means that the gang's remaining tasks are stopped, so that it can start
+		// again.
 		wantBroken bool
 	}{
-		{"complete", activeRecords(4, 4, 4), true, false},
-		{"incomplete", activeRecords(4, 4, 0), true, true},
-		{"one has another number", activeRecords(4, 3, 4), true, true},
-		{"the last has another number", activeRecords(4, 4, 3), true, true},
-		{"no attempts", activeRecords(0, 0, 0), false, false},
+		{"complete", gangChunkRecords(4, 4, 4), true, false},
+		{"incomplete", gangChunkRecords(4, 4, 0), true, true},
+		{"one has another number", gangChunkRecords(4, 3, 4), true, true},
+		{"the last has another number", gangChunkRecords(4, 4, 3), true, true},
+		{"no attempts", gangChunkRecords(0, 0, 0), false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -26,8 +27,8 @@
 			if (j.Gang != nil) != c.wantGang {
 				t.Fatalf("gang: got %+v, want one: %v", j.Gang, c.wantGang)
 			}
-			if c.wantGang && (j.Gang.AttemptNumber != gangAttempt || !j.Gang.Inherited || j.Gang.HasRun) {
-				t.Errorf("gang: got %+v, want number %d, inherited, not known to have run", j.Gang, gangAttempt)
+			if c.wantGang && (j.Gang.AttemptNumber != gangAttemptNumber || !j.Gang.Inherited || j.Gang.HasRun) {
+				t.Errorf("gang: got %+v, want number %d, inherited, not known to have run", j.Gang, gangAttemptNumber)
 			}
 			tm.dispatcher.StopBrokenGangs()
 			if c.wantGang && j.Gang.Broken != c.wantBroken {
@@ -42,15 +43,16 @@
 	}
 }
 
-// When one task of a gang is recorded as done all are, whatever else is recorded.
+// When one task of a gang is recorded as done, all of them are done, whatever else is
+// recorded.
 func TestGangRecordedAsDoneInPartIsDone(t *testing.T) {
 	cases := []struct {
 		name    string
 		records []store.ChunkRecord
 	}{
-		{"the others active", activeRecords(4, 0, 4)},
-		{"another active", activeRecords(4, 0, 0)},
-		{"no others", activeRecords(0, 0, 0)},
+		{"the others active", gangChunkRecords(4, 0, 4)},
+		{"another active", gangChunkRecords(4, 0, 0)},
+		{"no others", gangChunkRecords(0, 0, 0)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -12,14 +12,14 @@
 	"lilaclead/internal/wire"
 )
 
-// All of a gang are told to stop at once, each with the same grace period. A later, longer
-// one replaces no shorter one.
+// All tasks of a gang are told to stop at the same time and with the same grace period. A
+// later request can shorten that period but not lengthen it.
 func TestGangStopsWithTheShortestGracePeriod(t *testing.T) {
 	ran := func(g *cluster.Gang) { g.HasRun = true }
 	cases := []struct {
 		name    string
 		setup   func(g *cluster.Gang)
-		periods []wire.Seconds // one after the other
+		periods []wire.Seconds // of successive requests to stop
 		want    wire.Seconds
 	}{
 		{"running", ran, []wire.Seconds{13}, 13},
@@ -35,9 +35,9 @@
 			tm, j := newGangTerm(t)
 			c.setup(j.Gang)
 			for _, period := range c.periods {
-				tm.dispatcher.Stop(member(j, 1), period, cluster.EvictedPreempted)
+				tm.dispatcher.Stop(memberAttempt(j, 1), period, cluster.EvictedPreempted)
 			}
-			if got, want := gracePeriods(j), allWith(j, c.want); !slices.Equal(got, want) {
+			if got, want := gracePeriods(j), equalGracePeriods(j, c.want); !slices.Equal(got, want) {
 				t.Errorf("grace periods: got %v, want %v", got, want)
 			}
 			if got, want := j.Gang.StoppingGracefully, c.want > 0; got != want {
@@ -50,23 +50,23 @@
 func TestCancelledGangHasNoTimeToCheckpoint(t *testing.T) {
 	tm, j := newGangTerm(t)
 	j.Gang.HasRun = true
-	tm.dispatcher.Stop(member(j, 1), 13, cluster.EvictedPreempted)
+	tm.dispatcher.Stop(memberAttempt(j, 1), 13, cluster.EvictedPreempted)
 	tm.dispatcher.StopCancelledJob(j)
-	if got, want := gracePeriods(j), allWith(j, 0); !slices.Equal(got, want) {
+	if got, want := gracePeriods(j), equalGracePeriods(j, 0); !slices.Equal(got, want) {
 		t.Errorf("grace periods: got %v, want %v", got, want)
 	}
 }
 
-// What is left of a gang that lost a task is stopped. When nothing is left the gang may be
-// scheduled again.
+// When a gang has lost a task its remaining tasks are stopped. When none is left the gang may
+// be scheduled again.
 func TestBrokenGangIsStoppedAndScheduledAgain(t *testing.T) {
 	tm, j := newGangTerm(t)
 	j.Gang.HasRun = true
 	tm.dispatcher.StopBrokenGangs()
-	if got, want := gracePeriods(j), allWith(j, notStopped); !slices.Equal(got, want) {
+	if got, want := gracePeriods(j), equalGracePeriods(j, notStopped); !slices.Equal(got, want) {
 		t.Errorf("grace periods of a complete gang: got %v, want %v", got, want)
 	}
-	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
+	tm.state.EndAttempt(memberAttempt(j, 1), cluster.TaskPending)
 	tm.dispatcher.StopBrokenGangs()
 	if got, want := gracePeriods(j), []wire.Seconds{0, notActive, 0}; !slices.Equal(got, want) || !j.Gang.Broken {
 		t.Errorf("after a task was lost: got grace periods %v, broken %v, want %v, true", got, j.Gang.Broken, want)
@@ -74,8 +74,8 @@
 	if tm.scheduler.Schedulable(j, time.Now()) {
 		t.Error("schedulable with two tasks left: got true, want false")
 	}
-	tm.state.EndAttempt(member(j, 0), cluster.TaskPending)
-	tm.state.EndAttempt(member(j, 2), cluster.TaskPending)
+	tm.state.EndAttempt(memberAttempt(j, 0), cluster.TaskPending)
+	tm.state.EndAttempt(memberAttempt(j, 2), cluster.TaskPending)
 	tm.state.CycleTimer.Requested = false
 	tm.dispatcher.StopBrokenGangs()
 	if schedulable := tm.scheduler.Schedulable(j, time.Now()); j.Gang != nil || !tm.state.CycleTimer.Requested || !schedulable {
@@ -83,80 +83,82 @@
 	}
 }
 
-// A task that ends while its gang stops gracefully does not shorten the others' time.
+// A task that ends while its gang stops gracefully does not shorten the grace period of the
+// other tasks.
 func TestGracefullyStoppingGangKeepsItsGracePeriod(t *testing.T) {
 	tm, j := newGangTerm(t)
 	j.Gang.HasRun = true
-	tm.dispatcher.Stop(member(j, 0), 13, cluster.EvictedPreempted)
-	tm.state.EndAttempt(member(j, 1), cluster.TaskPending)
+	tm.dispatcher.Stop(memberAttempt(j, 0), 13, cluster.EvictedPreempted)
+	tm.state.EndAttempt(memberAttempt(j, 1), cluster.TaskPending)
 	tm.dispatcher.StopBrokenGangs()
 	if got := gracePeriods(j); got[0] != 13 || got[2] != 13 {
 		t.Errorf("grace periods of the others: got %v and %v, want 13 and 13", got[0], got[2])
 	}
 }
 
-// When one task of a gang is done all are, whatever the others show.
+// When one task of a gang is done, all of them are done, whatever state the others are in.
 func TestGangIsDoneWhenOneTaskIs(t *testing.T) {
 	tm, j := newGangTerm(t)
-	m := member(j, 1).Machine
-	heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken, wire.TaskStatus{Task: "req-2/1", Attempt: gangAttempt, Phase: wire.PhaseExited, Cause: wire.CauseDone})
+	m := memberAttempt(j, 1).Machine
+	heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken, wire.TaskStatus{Task: "req-2/1", Attempt: gangAttemptNumber, Phase: wire.PhaseExited, Cause: wire.CauseDone})
 	heartbeat.Machine = m.ID
 	tm.reconciler.Reconcile(m, heartbeat, true, time.Now())
 	tm.dispatcher.StopBrokenGangs()
 	checkGangDone(t, tm, j)
 }
 
-// noticeTerm is a term with a running gang of three and a running array, of which a task
-// each is on a machine that gets a spot notice.
-type noticeTerm struct {
+// spotNoticeTerm is a term with a running gang of three and a running array. A task of each
+// is on a machine that gets a spot notice.
+type spotNoticeTerm struct {
 	*term
 	gang          *cluster.Job
 	reclaimed     *cluster.Machine
-	array         *cluster.Attempt // on the reclaimed machine
-	pendingLaunch *cluster.Attempt // on the machine of the gang's second task, not sent yet
+	arrayAttempt  *cluster.Attempt // on the reclaimed machine
+	pendingLaunch *cluster.Attempt // not sent yet, on the machine of the gang's second task
 }
 
-func newNoticeTerm(t *testing.T) *noticeTerm {
+func newSpotNoticeTerm(t *testing.T) *spotNoticeTerm {
 	t.Helper()
 	tm, j := newGangTerm(t)
 	j.Gang.HasRun = true
 	spec := wire.JobSpec{ID: "req-3", Team: "red", Kind: wire.KindArray, Tasks: 2, CPUs: 1, CheckpointInterval: 20, CheckpointTime: 3}
 	arrayJob := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
 	tm.state.Jobs[spec.ID] = arrayJob
-	n := &noticeTerm{term: tm, gang: j, reclaimed: member(j, 0).Machine}
-	n.array = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Number: 2, Machine: n.reclaimed, SeenInHeartbeat: true}
-	n.array.Chunk.AddAttempt(n.array)
-	n.pendingLaunch = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Index: 1, Number: 3, Machine: member(j, 1).Machine}
+	n := &spotNoticeTerm{term: tm, gang: j, reclaimed: memberAttempt(j, 0).Machine}
+	n.arrayAttempt = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Number: 2, Machine: n.reclaimed, SeenInHeartbeat: true}
+	n.arrayAttempt.Chunk.AddAttempt(n.arrayAttempt)
+	n.pendingLaunch = &cluster.Attempt{Job: arrayJob, Chunk: arrayJob.Chunk(0), Index: 1, Number: 3, Machine: memberAttempt(j, 1).Machine}
 	n.pendingLaunch.Chunk.AddAttempt(n.pendingLaunch)
 	return n
 }
 
-// checkMachine checks the reclaimed machine when so much time of its notice is left.
-func (n *noticeTerm) checkMachine(left time.Duration) {
+// checkMachine makes the monitor check the reclaimed machine with this time left until the
+// cloud takes it back.
+func (n *spotNoticeTerm) checkMachine(timeLeft time.Duration) {
 	now := time.Now()
-	n.reclaimed.ReclaimAt, n.reclaimed.DrainReason = now.Add(left), cluster.DrainSpotNotice
+	n.reclaimed.ReclaimAt, n.reclaimed.DrainReason = now.Add(timeLeft), cluster.DrainSpotNotice
 	n.monitor.CheckMachine(n.reclaimed, n.monitor.CountMachines(now), now)
 }
 
-// checkStopTimes checks when the tasks on the reclaimed machine are told to stop: the gang
-// so early that a member that learns of it late has checkpointed too.
-func (n *noticeTerm) checkStopTimes(t *testing.T) {
+// checkStopTimes checks when the tasks on the reclaimed machine are told to stop. The gang
+// is stopped so early that even a member that learns of it late has time to checkpoint.
+func (n *spotNoticeTerm) checkStopTimes(t *testing.T) {
 	t.Helper()
 	if n.checkMachine(14100 * time.Millisecond); gracePeriods(n.gang)[0] != notStopped {
 		t.Errorf("gang with 14.1 s left: got grace periods %v, want none stopped", gracePeriods(n.gang))
 	}
 	n.checkMachine(13900 * time.Millisecond)
-	if got, want := gracePeriods(n.gang), allWith(n.gang, 13); !slices.Equal(got, want) || n.array.Stopping {
-		t.Errorf("with 13.9 s left: got grace periods %v, array stopping %v, want %v, false", got, n.array.Stopping, want)
+	if got, want := gracePeriods(n.gang), equalGracePeriods(n.gang, 13); !slices.Equal(got, want) || n.arrayAttempt.Stopping {
+		t.Errorf("with 13.9 s left: got grace periods %v, array stopping %v, want %v, false", got, n.arrayAttempt.Stopping, want)
 	}
-	if n.checkMachine(5900 * time.Millisecond); !n.array.Stopping || n.array.GracePeriod != 5 {
-		t.Errorf("array with 5.9 s left: got stopping %v, grace period %v, want true, 5", n.array.Stopping, n.array.GracePeriod)
+	if n.checkMachine(5900 * time.Millisecond); !n.arrayAttempt.Stopping || n.arrayAttempt.GracePeriod != 5 {
+		t.Errorf("array with 5.9 s left: got stopping %v, grace period %v, want true, 5", n.arrayAttempt.Stopping, n.arrayAttempt.GracePeriod)
 	}
 }
 
-// checkReply checks the reply to a heartbeat of the gang's second machine: the stop of its
-// task, and the pending launch only if the leader holds its lease.
-func (n *noticeTerm) checkReply(t *testing.T, reply *wire.Commands, wantLaunches int) {
+// checkReply checks the reply to a heartbeat of the gang's second machine. It must have the
+// stop of its task and, only if the leader holds its lease, the pending launch.
+func (n *spotNoticeTerm) checkReply(t *testing.T, reply *wire.Commands, wantLaunches int) {
 	t.Helper()
 	stops := 0
 	for _, command := range reply.Commands {
@@ -169,31 +171,31 @@
 	}
 }
 
-// sendSecondHeartbeat returns the reply to a heartbeat of the gang's second machine.
-func (n *noticeTerm) sendSecondHeartbeat() *wire.Commands {
+// sendHeartbeatOfSecondMachine returns the reply to a heartbeat of the gang's second machine.
+func (n *spotNoticeTerm) sendHeartbeatOfSecondMachine() *wire.Commands {
 	n.leader.Cancels.RecordRead(time.Now())
-	heartbeat := heartbeatFrom(1, 11, n.state.FirstToken, wire.TaskStatus{Task: "req-2/1", Attempt: gangAttempt, Phase: wire.PhaseRunning})
-	heartbeat.Machine = member(n.gang, 1).Machine.ID
+	heartbeat := heartbeatFrom(1, 11, n.state.FirstToken, wire.TaskStatus{Task: "req-2/1", Attempt: gangAttemptNumber, Phase: wire.PhaseRunning})
+	heartbeat.Machine = memberAttempt(n.gang, 1).Machine.ID
 	return sendHeartbeat(n.term, heartbeat).Commands
 }
 
-// A gang with a spot notice is stopped early enough that a member that learns of it
-// gang_peer_s late has checkpointed too; an array needs only its own time. Both are stopped
-// also while the key-value store is unavailable and a quorum acknowledges the leader, but
-// not without a quorum; nothing is launched then.
+// A gang with a spot notice is stopped early enough that even a member that learns of it
+// gang_peer_s late has time to checkpoint. An array task needs only its own checkpoint time.
+// While the key-value store is unavailable both are stopped too if a quorum acknowledges the
+// leader, and neither is stopped without a quorum; nothing is launched then.
 func TestGangCheckpointsBeforeTheSpotNoticeEnds(t *testing.T) {
 	for _, deciding := range []bool{true, false} {
 		t.Run(fmt.Sprintf("deciding %v", deciding), func(t *testing.T) {
-			n := newNoticeTerm(t)
+			n := newSpotNoticeTerm(t)
 			if !deciding {
 				n.Lease = newLease(n.leader, n.Fencing.Token, -time.Millisecond)
-				if n.checkMachine(time.Second); n.array.Stopping || member(n.gang, 0).Stopping {
-					t.Errorf("without a quorum: got array and gang stopping %v, %v, want false", n.array.Stopping, member(n.gang, 0).Stopping)
+				if n.checkMachine(time.Second); n.arrayAttempt.Stopping || memberAttempt(n.gang, 0).Stopping {
+					t.Errorf("without a quorum: got array and gang stopping %v, %v, want false", n.arrayAttempt.Stopping, memberAttempt(n.gang, 0).Stopping)
 				}
 				n.Lease.RecordAcks(time.Now().Add(time.Hour), time.Now(), 0)
 			}
 			n.checkStopTimes(t)
-			reply := n.sendSecondHeartbeat()
+			reply := n.sendHeartbeatOfSecondMachine()
 			if reply == nil {
 				t.Fatal("reply to another machine: got none, want commands")
 			}
@@ -207,18 +209,18 @@
 	}
 }
 
-// checkDirectCommand checks that a direct command without the lease stops the task and
-// launches nothing.
-func (n *noticeTerm) checkDirectCommand(t *testing.T) {
+// checkDirectCommand checks that a direct command of a leader without the lease stops the
+// task and launches nothing.
+func (n *spotNoticeTerm) checkDirectCommand(t *testing.T) {
 	t.Helper()
 	ended, end := context.WithCancel(t.Context())
 	end() // the command itself is not sent
 	n.Begin(ended)
-	second := member(n.gang, 1)
-	second.Machine.Addr = "10.1.0.1:9000"
-	second.StopSentAt = time.Time{}
-	n.dispatcher.Dispatch(second.Machine)
-	if n.pendingLaunch.LaunchSent || second.StopSentAt.IsZero() {
-		t.Errorf("direct command without the lease: got launch sent %v, stop sent %v, want false, true", n.pendingLaunch.LaunchSent, !second.StopSentAt.IsZero())
+	secondAttempt := memberAttempt(n.gang, 1)
+	secondAttempt.Machine.Addr = "10.1.0.1:9000"
+	secondAttempt.StopSentAt = time.Time{}
+	n.dispatcher.Dispatch(secondAttempt.Machine)
+	if n.pendingLaunch.LaunchSent || secondAttempt.StopSentAt.IsZero() {
+		t.Errorf("direct command without the lease: got launch sent %v, stop sent %v, want false, true", n.pendingLaunch.LaunchSent, !secondAttempt.StopSentAt.IsZero())
 	}
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -14,7 +14,7 @@
 	"lilaclead/internal/wire"
 )
 
-// addGangJob adds a gang of so many tasks to a term's model.
+// addGangJob adds a gang with this number of tasks to a term's model.
 func addGangJob(tm *term, id wire.JobID, tasks int) *cluster.Job {
 	spec := wire.JobSpec{ID: id, Class: "sweep", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityStandard, Tasks: tasks, CPUs: 2, MemoryGB: 4, SameZone: true}
 	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 2)
@@ -22,8 +22,8 @@
 	return j
 }
 
-// A gang of which some reservations end with a machine keeps none of them: with the others
-// no room was made for it until they had ended too.
+// When a machine is removed, a gang that has a reservation on it loses all its reservations.
+// Without this, no room is made for the gang until the remaining ones have ended too.
 func TestReservationsOfAGangEndTogether(t *testing.T) {
 	tm, m, _ := newTestTerm(t)
 	addGangJob(tm, "req-2", 2)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Room is kept for the largest gang of each class that is unfinished or was so in the last
-// three minutes.
+// Room is kept free for the largest gang of each class, among the gangs that are unfinished
+// or were so within the last three minutes.
 func TestRoomIsKeptForTheLargestRecentGang(t *testing.T) {
 	tm, _, _ := newTestTerm(t)
 	now := time.Now()
@@ -81,8 +81,9 @@
 	}
 }
 
-// While an urgent gang can still start within its class's objective it does not wait for
-// tasks that will end by themselves later than that. Once it is late it may wait again.
+// While an urgent gang can still start within its class's objective, it does not wait for
+// running tasks that will end by themselves after that time. Once it is late it may wait for
+// them again.
 func TestGangWaitsNoLongerThanItsStartObjective(t *testing.T) {
 	objectives := []config.Objective{{Kind: "wait", Class: "other", Within: 1}, {Kind: "wait", Class: "sweep", Within: 2}}
 	cases := []struct {
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -16,7 +16,8 @@
 	"lilaclead/internal/wire"
 )
 
-// heartbeatNode is a node that answers heartbeats, with what it counts of them.
+// heartbeatNode is a node that answers heartbeats, with the label values that it has counted
+// in the heartbeat metric.
 type heartbeatNode struct {
 	*Leader
 	term    *term
@@ -37,7 +38,7 @@
 	return node
 }
 
-func TestHeartbeatIsAnsweredByWhoLeads(t *testing.T) {
+func TestHeartbeatIsAnsweredOnlyByTheLeader(t *testing.T) {
 	heartbeat := wire.Encode(&wire.Heartbeat{Machine: "n-1", Epoch: 1, Sequence: 11, Token: 50})
 	cases := []struct {
 		name       string
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -28,14 +28,15 @@
 // localAddr is the address of the tested node in simulated networks.
 const localAddr = "10.0.0.1"
 
-// newCurrentCancels returns a log of a single node that has just read all cancellations.
+// newCurrentCancels returns the cancellation log of a single node, which has just read all
+// cancellations.
 func newCurrentCancels() *cancels.Log {
 	log := cancels.New(nil, time.Minute)
 	log.RecordRead(time.Now())
 	return log
 }
 
-// newLease returns a lease that was just acquired and that decides for the duration.
+// newLease returns a lease that was just acquired and is valid for the duration.
 func newLease(l *Leader, token wire.FencingToken, d time.Duration) *election.Lease {
 	now := time.Now()
 	return election.NewLease(l.candidate, election.Tenure{Token: token, AcquiredAt: now, ValidUntil: now.Add(d)})
@@ -56,7 +57,7 @@
 	tm.records.Store = client
 }
 
-// disconnect gives a term a cloud and agents that can't be reached.
+// disconnect makes the cloud and all agents unreachable for a term.
 func disconnect(tm *term) {
 	host := simulator.NewNetwork(0).Host(localAddr)
 	tm.scaler.Cloud = cloud.New("10.2.0.2:8443", config.CloudLimits{RPS: 6}, host)
@@ -134,8 +135,8 @@
 
 // withSimulatedStore runs a test in virtual time with the term of newTestTerm, which writes
 // to a simulated key-value store. Its attempt has ended, and its job is stored as queued.
-// The test takes the place of the loop: runEvents writes what is due and handles events for
-// ten seconds.
+// The term's loop does not run. Instead the test calls runEvents, which writes due changes
+// and handles events for up to ten seconds.
 func withSimulatedStore(t *testing.T, test func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -153,7 +154,7 @@
 		go tm.leader.Mesh.Run(ctx)
 		tm.Begin(ctx)
 		tm.state.Settings.State.TxnOps = 12
-		becomeStoredLeader(tm, st)
+		storeLeadership(tm, st)
 		m.Token = tm.Fencing.Token
 		tm.state.EndAttempt(a, cluster.TaskPending)
 		a.Chunk.Dirty, a.Job.Finished = false, false
@@ -164,9 +165,9 @@
 	})
 }
 
-// becomeStoredLeader stores the term's node as the leader, under a token that the term
-// acts under from then on.
-func becomeStoredLeader(tm *term, st *simulator.KVStore) {
+// storeLeadership stores the term's node as the leader, and gives the term the token and
+// the lease that result.
+func storeLeadership(tm *term, st *simulator.KVStore) {
 	l := tm.leader
 	l.candidate = election.NewCandidate(l.Config, l.Store, l.Log, l.Mesh.ObserveToken)
 	token := wire.FencingToken(st.Put(store.LeaderKey, l.candidate.LeaseRecord()))
@@ -174,14 +175,15 @@
 	tm.Lease = newLease(l, token, time.Hour)
 }
 
-// handleEvents writes what is due and handles an event, or waits for 50 ms, so many times.
+// handleEvents calls handleNextEvent the given number of times.
 func handleEvents(tm *term, times int) {
 	for range times {
 		handleNextEvent(tm)
 	}
 }
 
-// handleNextEvent writes what is due and handles an event, or waits for 50 ms.
+// handleNextEvent writes due changes and then handles the next event, for which it waits up
+// to 50 ms.
 func handleNextEvent(tm *term) {
 	tm.committer.Flush(time.Now())
 	select {
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -11,8 +11,9 @@
 	"lilaclead/internal/wire"
 )
 
-// A machine that an earlier leader was scaling in gets no new tasks and is scaled in,
-// whatever runs there, also if the lease is not held when that becomes known.
+// A machine that an earlier leader was scaling in gets no new tasks and is scaled in whatever
+// runs on it. If the lease is not held when the earlier intent is read, the scale-in follows
+// once it is held.
 func TestAdoptedScaleInWaitsForTheLease(t *testing.T) {
 	tm, m, a := newTestTerm(t)
 	tm.Begin(t.Context())
@@ -33,8 +34,8 @@
 	}
 }
 
-// The machine types are stored only while this node leads, like everything that a leader
-// writes.
+// Like everything that a leader writes, the machine types are stored only while this node
+// leads.
 func TestMachineSpecsAreStoredByTheLeaderOnly(t *testing.T) {
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, _ func()) {
 		specs := []wire.MachineSpec{{Name: "c4"}}
--- a/internal/leader/inventory_test.go
+++ b/internal/leader/inventory_test.go
@@ -16,7 +16,7 @@
 		m := tm.state.GetOrAddMachine("n-2")
 		m.FirstHeartbeatAt, m.MachineType, m.Zone = time.Now(), "c8", "b"
 	}
-	probedInVain := func(tm *term) { tm.state.GetOrAddMachine("n-2").UnansweredCommands = 1 }
+	probeUnanswered := func(tm *term) { tm.state.GetOrAddMachine("n-2").UnansweredCommands = 1 }
 	removed := func(tm *term) { tm.state.RemovedMachines["n-2"] = time.Now() }
 	cases := []struct {
 		name       string
@@ -26,7 +26,7 @@
 		wantType   wire.MachineType
 		wantBoots  bool
 		wantFailed bool
-		// wantAnnounced means that all machines still count as having seen the token.
+		// wantAnnounced means that the token still counts as announced to all machines.
 		wantAnnounced bool
 	}{
 		{name: "new and starting", state: wire.ListedStarting, wantType: "c4", wantBoots: true, wantAnnounced: true},
@@ -34,7 +34,7 @@
 		{name: "new and failed", state: wire.ListedFailed, wantType: "c4", wantFailed: true, wantAnnounced: true},
 		{name: "known by its heartbeats", setup: heard, state: wire.ListedRunning, wantType: "c8", wantAnnounced: true},
 		{name: "known by its heartbeats and failed", setup: heard, state: wire.ListedFailed, wantType: "c8", wantFailed: true, wantAnnounced: true},
-		{name: "running but probed in vain", setup: probedInVain, state: wire.ListedRunning, wantType: "c4", wantAnnounced: true},
+		{name: "running but a probe was unanswered", setup: probeUnanswered, state: wire.ListedRunning, wantType: "c4", wantAnnounced: true},
 		{name: "removed", setup: removed, state: wire.ListedRunning, wantNone: true, wantAnnounced: true},
 	}
 	for _, c := range cases {
--- a/internal/leader/large_fleet_test.go
+++ b/internal/leader/large_fleet_test.go
@@ -9,7 +9,8 @@
 	"lilaclead/internal/wire"
 )
 
-// largestFleet is more machines than the largest fleet that one leader is to serve.
+// largestFleet is a number of machines above that of the largest fleet that one leader has
+// to serve.
 const largestFleet = 4200
 
 // sendAllHeartbeats sends a heartbeat of every machine through the handler, and returns how
@@ -41,9 +42,9 @@
 	return list
 }
 
-// 4,200 machines, all of them occupied, send heartbeats to one leader, and then to the next
-// one, which reads the records and goes on with all that runs. No record, heartbeat or view
-// on the way is over a limit.
+// 4,200 machines, all of them occupied, send heartbeats to one leader and then to its
+// successor, which reads the records and keeps all running tasks. No record, heartbeat or
+// view exceeds a limit.
 func TestSuccessorTakesOverTheLargestFleet(t *testing.T) {
 	tm := newSizedTerm(t, largestFleet)
 	if n := sendAllHeartbeats(tm); n != largestFleet {
--- a/internal/leader/leadership_test.go
+++ b/internal/leader/leadership_test.go
@@ -72,24 +72,24 @@
 	heard := func(m *cluster.Machine) { m.Token = 50 }
 	missing := func(m *cluster.Machine) { m.Token, m.Addr = 0, "10.1.0.1:9000" }
 	booting := func(m *cluster.Machine) { missing(m); m.Booting = true }
-	probedInVain := func(m *cluster.Machine) { missing(m); m.UnansweredCommands = 1 }
+	probeUnanswered := func(m *cluster.Machine) { missing(m); m.UnansweredCommands = 1 }
 	unlisted := func(m *cluster.Machine) { m.Token, m.Addr = 0, "" }
 	cases := []struct {
-		name         string
-		age          time.Duration // of the term
-		notRecovered bool
-		noList       bool
-		heard        int
-		other        func(*cluster.Machine) // sets up a machine that was not heard, if there is one
-		want         bool
+		name           string
+		age            time.Duration // of the term
+		recordsNotRead bool
+		noList         bool
+		heard          int                    // machines that have sent a heartbeat
+		other          func(*cluster.Machine) // sets up one more machine, unless it is nil
+		want           bool
 	}{
 		{name: "all heard", age: time.Second, heard: 3, want: true},
-		{name: "records not read", age: time.Second, notRecovered: true, heard: 3},
+		{name: "records not read", age: time.Second, recordsNotRead: true, heard: 3},
 		{name: "one missing", age: 3900 * time.Millisecond, heard: 3, other: missing},
-		// 2 s and a quarter, and 1.5 s.
+		// The timeout is 4 s: the heartbeat interval of 2 s, a quarter of it, and 1.5 s.
 		{name: "one missing after the timeout", age: 4100 * time.Millisecond, heard: 3, other: missing, want: true},
 		{name: "the missing one boots", age: time.Second, heard: 3, other: booting, want: true},
-		{name: "the missing one did not answer a probe", age: time.Second, heard: 3, other: probedInVain, want: true},
+		{name: "the missing one did not answer a probe", age: time.Second, heard: 3, other: probeUnanswered, want: true},
 		{name: "the missing one is in no list", age: time.Second, heard: 3, other: unlisted, want: true},
 		{name: "no list, one missing", age: 2 * time.Second, noList: true, heard: 3, other: unlisted},
 		{name: "no list yet, all heard", age: 900 * time.Millisecond, noList: true, heard: 3},
@@ -103,13 +103,13 @@
 			delete(tm.state.Machines, m.ID)
 			now := time.Now()
 			tm.state.TermStartedAt = now.Add(-c.age)
-			tm.state.RecordsRead = !c.notRecovered
+			tm.state.RecordsRead = !c.recordsNotRead
 			tm.state.MachineListReceived = !c.noList
 			for i := range c.heard {
-				heard(addHeardMachine(tm, i))
+				heard(addMachineWithHeartbeat(tm, i))
 			}
 			if c.other != nil {
-				c.other(addHeardMachine(tm, c.heard))
+				c.other(addMachineWithHeartbeat(tm, c.heard))
 			}
 			tm.enableScheduling(now)
 			if got := tm.state.SchedulingEnabled; got != c.want {
--- a/internal/leader/lease_expiry_test.go
+++ b/internal/leader/lease_expiry_test.go
@@ -8,8 +8,9 @@
 	"lilaclead/internal/peer"
 )
 
-// The tasks of a machine that became unresponsive count as active until its lease has expired by
-// the slowest clock, from the latest time at which anybody can have answered it.
+// The tasks of an unresponsive machine count as active until its lease has expired even by
+// the slowest clock. The lease is counted from the latest time at which any node can have
+// answered a heartbeat of the machine.
 func TestTasksEndExactlyWhenTheLeaseExpires(t *testing.T) {
 	const clockDriftDivisor = 500
 	lease := 16*time.Second + 16*time.Second/clockDriftDivisor + 1500*time.Millisecond
@@ -25,12 +26,12 @@
 			func(_ *term, m *cluster.Machine) time.Time { return m.LastReplyAt },
 		},
 		{
-			"only probed: an earlier leader may have answered until it saw this term's token",
+			"only probed: an earlier leader may have answered until the agent saw this term's token",
 			func(tm *term, m *cluster.Machine) { m.TokenSeenAt = tm.state.TermStartedAt.Add(time.Second) },
 			func(_ *term, m *cluster.Machine) time.Time { return m.TokenSeenAt },
 		},
 		{
-			"in a new epoch, which may have begun just before it was heard of",
+			"in a new epoch, which may have begun just before its first heartbeat",
 			func(tm *term, m *cluster.Machine) {
 				m.LastReplyAt = tm.state.TermStartedAt
 				m.EpochSince = tm.state.TermStartedAt.Add(15 * time.Second)
