--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -36,7 +36,7 @@
 	}
 	for _, victim := range cycle.Preemptions {
 		// Stopping one task of a gang stops the whole gang. The attempt is therefore looked up
-		// only now: an earlier pass may have ended it.
+		// only now: an earlier iteration may have ended it.
 		if attempt := t.state.ActiveAttempt(victim.Task); attempt != nil {
 			t.dispatcher.Stop(attempt, t.state.GracePeriodOf(attempt.Job), cluster.EvictedPreempted)
 			t.scheduler.ExtendReservations(attempt, now)
--- a/internal/leader/demands_test.go
+++ b/internal/leader/demands_test.go
@@ -13,7 +13,7 @@
 )
 
 // A zone that the settings don't name counts like the others once machines are offered there
-// or have sent heartbeats from there. A service that is spread has room in it.
+// or a machine there was heard from. A service that is spread has room in it.
 func TestServiceSpreadsToZonesOutsideTheSettings(t *testing.T) {
 	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Zones = []wire.Zone{"b"}
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -31,8 +31,8 @@
 	revision wire.Revision
 }
 
-// put writes a chunk's record. It checks that the size is within the limit and that the
-// known revision is the stored one, as a transaction of the committer requires.
+// put writes a chunk's record. It checks what the key-value store checks of the committer's
+// writes: that the size is within the limit, and that the known revision is the stored one.
 func (s *recordStore) put(t *rapid.T, c *cluster.Chunk, limit int) {
 	record := c.Record()
 	if n := record.JSONSize(); n > limit {
@@ -68,7 +68,7 @@
 	tm    *term
 	j     *cluster.Job
 
-	// current are the tasks as the job should have them, stored as the records should.
+	// current is what the job should show of its tasks, stored what its records should show.
 	current, stored []expectedTask
 	// storedNumbers are the numbers of each task's attempts that were stored at any time.
 	storedNumbers []map[wire.AttemptNumber]bool
@@ -166,7 +166,7 @@
 	}
 }
 
-// markStored updates the expected and the job's state after a chunk was written.
+// markStored updates the model and the job after a chunk was written.
 func (m *subchunkModel) markStored(c *cluster.Chunk) {
 	first := c.Index * m.j.TasksPerChunk
 	copy(m.stored[first:first+len(c.TaskStates)], m.current[first:])
