--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -16,7 +16,8 @@
 	"lilaclead/internal/wire"
 )
 
-// heartbeatNode is a node that answers heartbeats, with what it counts of them.
+// heartbeatNode is a node that answers heartbeats, with the label values that it has counted
+// in the heartbeat metric.
 type heartbeatNode struct {
 	*Leader
 	term    *term
@@ -37,7 +38,7 @@
 	return node
 }
 
-func TestHeartbeatIsAnsweredByWhoLeads(t *testing.T) {
+func TestHeartbeatIsAnsweredOnlyByTheLeader(t *testing.T) {
 	heartbeat := wire.Encode(&wire.Heartbeat{Machine: "n-1", Epoch: 1, Sequence: 11, Token: 50})
 	cases := []struct {
 		name       string
@@ -130,7 +131,7 @@
 		for _, c := range []struct {
 			wait time.Duration
 			want int
-		}{{2 * time.Second, 2}, {contactLifetime + 2*contactRecount, 0}} {
+		}{{2 * time.Second, 2}, {contactLifetime + 2*contactRecountInterval, 0}} {
 			time.Sleep(c.wait)
 			if got := node.ReachableWorkers(); got != c.want {
 				t.Errorf("agents in contact after another %v: got %d, want %d", c.wait, got, c.want)
