--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -16,13 +16,14 @@
 
 // Options configure a candidate. Key, Node, Store and Timing are required.
 type Options struct {
-	Key    string // of the lease in the store
+	Key    string // the lease's key in the store
 	Node   NodeID
 	Store  Store
 	Timing Timing
-	Clock  Clock        // nil: the machine's own
-	Log    *slog.Logger // nil: none
-	// ObserveToken, if set, receives every fencing token that is read.
+	Clock  Clock        // nil: SystemClock
+	Log    *slog.Logger // nil: nothing is logged
+	// ObserveToken, if set, receives the lease's fencing token each time that a campaign
+	// reads it.
 	ObserveToken func(context.Context, FencingToken)
 	// Eligible reports whether this process may acquire the lease now; nil: always.
 	Eligible func() bool
@@ -36,47 +37,49 @@
 type Candidate struct {
 	Options
 	// nonce distinguishes this process from earlier ones of the same node.
-	nonce  string
-	holder atomic.Pointer[observedHolder]
-	// backOffUntil is the time before which this node leaves the lease to others. Only the
+	nonce      string
+	lastHolder atomic.Pointer[observedHolder] // nil: none is known
+	// backOffUntil is the time before which this process doesn't acquire the lease. Only the
 	// goroutine that campaigns and holds the lease uses it.
 	backOffUntil time.Time
 }
 
 // observedHolder is the node that held the lease when the store was last read.
 type observedHolder struct {
-	node NodeID
-	at   time.Time
+	node   NodeID
+	readAt time.Time
 }
 
-// NewCandidate returns the candidate of a process.
+// NewCandidate returns the candidate of this process, which does nothing until Campaign is
+// called.
 func NewCandidate(o Options) *Candidate {
 	o.Clock = cmp.Or[Clock](o.Clock, SystemClock{})
 	o.Log = cmp.Or(o.Log, slog.New(slog.DiscardHandler))
 	return &Candidate{Options: o, nonce: rand.Text()}
 }
 
-// Holder returns the other node that held the lease when the store was last read, if that
-// was less than maxAge before now; empty if none is known.
+// Holder returns the node that held the lease when the store was last read. It returns
+// "" if that was this node, if the read is maxAge or longer ago, or if no holder is known.
 func (c *Candidate) Holder(now time.Time, maxAge time.Duration) NodeID {
-	h := c.holder.Load()
-	if h == nil || now.Sub(h.at) >= maxAge || h.node == c.Node {
+	last := c.lastHolder.Load()
+	if last == nil || now.Sub(last.readAt) >= maxAge || last.node == c.Node {
 		return ""
 	}
-	return h.node
+	return last.node
 }
 
-// RecordHolder records that the store named the node as the holder at the given time.
-func (c *Candidate) RecordHolder(node NodeID, at time.Time) {
-	c.holder.Store(&observedHolder{node, at})
+// RecordHolder records that the node held the lease when the store was read at the given
+// time.
+func (c *Candidate) RecordHolder(node NodeID, readAt time.Time) {
+	c.lastHolder.Store(&observedHolder{node, readAt})
 }
 
-// BackOffUntil leaves the lease to others until the given time. It must be called by the
-// goroutine that campaigns, while it holds the lease.
+// BackOffUntil keeps this process from acquiring the lease again until the given time. It
+// must be called by the goroutine that campaigns, while it holds the lease.
 func (c *Candidate) BackOffUntil(until time.Time) { c.backOffUntil = until }
 
-// Campaign waits until nobody holds the lease and acquires it. It returns nil once the
-// context has ended.
+// Campaign polls the store until nobody holds the lease, and acquires it. It returns nil
+// once the context has ended.
 func (c *Candidate) Campaign(ctx context.Context) *Lease {
 	for c.waitForPoll(ctx) {
 		if lease := c.campaignOnce(ctx); lease != nil {
@@ -86,27 +89,27 @@
 	return nil
 }
 
-// waitForPoll waits until the lease is to be read again and reports whether the context
-// is still alive.
+// waitForPoll waits until the next poll is due. It returns false if the context has ended.
 func (c *Candidate) waitForPoll(ctx context.Context) bool {
-	wait := c.Timing.Poll
+	delay := c.Timing.Poll
 	if c.Timing.PollJitter > 0 {
-		wait += mathrand.N(c.Timing.PollJitter)
+		delay += mathrand.N(c.Timing.PollJitter)
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-c.Clock.After(wait):
+	case <-c.Clock.After(delay):
 		return true
 	}
 }
 
-// campaignOnce acquires the lease if it is free and this process may have it; nil if not.
+// campaignOnce polls once. It acquires the lease and returns it if the lease is free, this
+// process is eligible and doesn't back off; else it returns nil.
 func (c *Candidate) campaignOnce(ctx context.Context) *Lease {
 	if !c.leaseIsFree(ctx) {
 		return nil
 	}
-	c.holder.Store(nil)
+	c.lastHolder.Store(nil)
 	if c.Clock.Now().Before(c.backOffUntil) {
 		return nil
 	}
@@ -116,8 +119,10 @@
 	return c.tryAcquire(ctx)
 }
 
-// leaseIsFree reads who holds the lease and reports whether nobody does. A record that
-// can't be decoded belongs to somebody: it is never overwritten.
+// leaseIsFree reads the lease's key, records its holder, and reports whether nobody holds
+// the lease. It frees a lease that an earlier process of this node left behind. If the key
+// can't be read or its record can't be decoded, the lease counts as held: an undecodable
+// record is never overwritten.
 func (c *Candidate) leaseIsFree(ctx context.Context) bool {
 	entry, err := c.Store.Get(ctx, store.ClassCritical, c.Key)
 	if err != nil {
@@ -140,7 +145,7 @@
 
 // removeLeaseOfEarlierProcess deletes the lease's key, which an earlier process of this
 // node wrote, and reports whether that succeeded. The earlier process has ended, since a
-// host runs one process; deleting the key makes its late writes fail.
+// host runs one process. Its writes that arrive late fail once the key is deleted.
 func (c *Candidate) removeLeaseOfEarlierProcess(ctx context.Context, revision Revision) bool {
 	c.Log.Info("lease removal requested", "reason", "held by an earlier process of this node", "token", revision)
 	_, err := c.Store.Commit(ctx, store.ClassCritical, Txn{
@@ -150,18 +155,19 @@
 	return err == nil
 }
 
-// LeaseRecord returns the value of the lease's key as this process writes it.
+// LeaseRecord returns the record that this process writes to the lease's key.
 func (c *Candidate) LeaseRecord() store.LeaderRecord {
 	return store.LeaderRecord{Node: c.Node, Nonce: c.nonce}
 }
 
-// isOwnRecord reports whether this process wrote the lease's key under the grant.
+// isOwnRecord reports whether this process wrote the entry of the lease's key, bound to the
+// grant.
 func (c *Candidate) isOwnRecord(entry Entry, grant GrantID) bool {
 	var record store.LeaderRecord
 	return entry.Grant == grant && wire.Decode(entry.Value, &record) == nil && record.Nonce == c.nonce
 }
 
-// tryAcquire makes one attempt to acquire the lease; nil if it failed.
+// tryAcquire makes one attempt to acquire the lease. It returns nil if that failed.
 func (c *Candidate) tryAcquire(ctx context.Context) *Lease {
 	requestedAt := c.Clock.Now()
 	grant, err := c.Store.Grant(ctx, c.Timing.TTL)
@@ -170,8 +176,9 @@
 	}
 	revision, err := c.createLeaseKey(ctx, grant)
 	if err != nil {
-		// A late execution of the write is harmless without its grant.
-		_ = c.Store.RevokeGrant(ctx, grant) // else it expires by itself
+		// If the outcome is unknown the write may be executed later. It has no effect once
+		// its grant is revoked.
+		_ = c.Store.RevokeGrant(ctx, grant) // if this fails, the grant expires by itself
 		return nil
 	}
 	lease := NewLease(c, Acquisition{
@@ -184,8 +191,9 @@
 	return lease
 }
 
-// createLeaseKey writes the lease's key, bound to the grant, if there is none. An unknown
-// outcome is resolved by reading the key: it then names this process and grant.
+// createLeaseKey writes the lease's key, bound to the grant, if the key doesn't exist. If
+// the outcome is unknown it reads the key: the write was executed if the key holds this
+// process's record and is bound to the grant.
 func (c *Candidate) createLeaseKey(ctx context.Context, grant GrantID) (Revision, error) {
 	revision, err := c.Store.Commit(ctx, store.ClassCritical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: 0}},
@@ -201,14 +209,13 @@
 	return 0, err
 }
 
-// emit passes an event to the observer, if there is one.
 func (c *Candidate) emit(e Event) {
 	if c.Observe != nil {
 		c.Observe(e)
 	}
 }
 
-// notifyUndecodable passes the key of an undecodable record on, if anybody asked for it.
+// notifyUndecodable reports the key of an undecodable record to OnUndecodable, if set.
 func (c *Candidate) notifyUndecodable(key string, err error) {
 	if c.OnUndecodable != nil {
 		c.OnUndecodable(key, err)
--- a/duty/clock.go
+++ b/duty/clock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Clock tells the time. Its monotonic reading must go on while the process is paused, and
-// its rate may differ from that of the store's clock by Timing.Drift.
+// Clock tells the time. Its monotonic reading must advance while the process is paused.
+// Its rate may differ from that of the store's clock by Timing.Drift.
 type Clock interface {
 	Now() time.Time
 	After(time.Duration) <-chan time.Time
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,13 +1,13 @@
 package duty
 
-// Name identifies a duty. It is part of stored keys and of recorded events.
+// Name identifies a duty. It is part of the key of the duty's intents and of events.
 type Name string
 
-// Duty is implemented by a type that stands for a duty, so that a permit for one duty
-// can't be used for another.
+// Duty is implemented by a type for each duty. As permits are generic over that type, the
+// compiler rejects a permit for another duty.
 type Duty interface{ Name() Name }
 
-// nameOf returns the name of a duty given as a type.
+// nameOf returns the name of the duty with type D.
 func nameOf[D Duty]() Name {
 	var duty D
 	return duty.Name()
@@ -19,21 +19,21 @@
 	ScaleOut struct{}
 	// ScaleIn returns machines to the cloud.
 	ScaleIn struct{}
-	// Preemption stops tasks: to make room, to drain a machine, or because no job owns
-	// them any more.
+	// Preemption stops tasks: to make room for others, to drain a machine, or because no
+	// job owns them any more.
 	Preemption struct{}
-	// Cleanup changes and deletes records.
+	// Cleanup changes and deletes records in the store.
 	Cleanup struct{}
 )
 
-// Name returns the name of the duty, which is part of stored keys.
+// Name returns the name of the duty, which is part of the key of its intents.
 func (ScaleOut) Name() Name { return "renting" }
 
-// Name returns the name of the duty, which is part of stored keys.
+// Name returns the name of the duty, which is part of the key of its intents.
 func (ScaleIn) Name() Name { return "returning" }
 
-// Name returns the name of the duty.
+// Name returns the name of the duty, which is part of recorded events.
 func (Preemption) Name() Name { return "reclaiming" }
 
-// Name returns the name of the duty.
+// Name returns the name of the duty, which is part of recorded events.
 func (Cleanup) Name() Name { return "cleanup" }
--- a/duty/errors.go
+++ b/duty/errors.go
@@ -11,13 +11,14 @@
 var (
 	// ErrNotFound reports that the key or grant does not exist.
 	ErrNotFound = store.ErrNotFound
-	// ErrRefused reports that the request was certainly not executed, as the store was away
-	// or over its rate; retry it after a pause.
+	// ErrRefused reports that the request was certainly not executed, because the store was
+	// unavailable or a rate limit was reached. Retry it after a pause.
 	ErrRefused = store.ErrRefused
-	// ErrOutcomeUnknown reports that a change may have been executed or may still be; read
-	// what it wrote before retrying.
+	// ErrOutcomeUnknown reports that a change may have been executed or may still be. Read
+	// the keys that it writes before retrying.
 	ErrOutcomeUnknown = store.ErrOutcomeUnknown
-	// ErrInvalidRequest reports that the store calls the request malformed; don't retry it.
+	// ErrInvalidRequest reports that the store rejected the request as malformed. Don't
+	// retry it.
 	ErrInvalidRequest = store.ErrInvalidRequest
 )
 
@@ -29,22 +30,24 @@
 	ErrNoHolder = errors.New("nobody holds the lease")
 	// ErrHeldByOther reports that another process holds the lease.
 	ErrHeldByOther = errors.New("another process holds the lease")
-	// ErrNotHeld reports that the lease may have expired, or that it was resigned.
+	// ErrNotHeld reports that the lease may have expired, or that its holder resigned it.
 	ErrNotHeld = errors.New("the lease is not certainly held")
-	// ErrNoPermit reports that no lease yielded the permit.
+	// ErrNoPermit reports that no lease yielded the permit, or that intents were recorded
+	// before they were loaded.
 	ErrNoPermit = errors.New("no permit")
-	// ErrUndecodable reports that a record can't be decoded; what rests on it is refused.
+	// ErrUndecodable reports that a record can't be decoded. Operations that depend on it
+	// are refused.
 	ErrUndecodable = errors.New("undecodable record")
 	// ErrIntentsTooLarge reports that the intents do not fit in one record.
 	ErrIntentsTooLarge = errors.New("too many open intents for one record")
 )
 
-// LeaseError reports why a lease gives no right to act, or could not be kept. It is final
-// for this lease; the process may campaign for a new one.
+// LeaseError reports why a lease gives no right to act, or could not be renewed. It is
+// final for this lease; the process may campaign for a new one.
 type LeaseError struct {
-	// Key of the lease in the store; empty if the lease has no candidate.
+	// Key is the lease's key in the store; empty if the lease has no candidate.
 	Key string
-	// Token under which the lease was held.
+	// Token is the fencing token of the lease when the error occurred.
 	Token FencingToken
 	// Err is ErrNotHeld, ErrHeldByOther, ErrNoHolder or ErrGrantExpired.
 	Err error
@@ -58,12 +61,12 @@
 // Unwrap returns the reason.
 func (e *LeaseError) Unwrap() error { return e.Err }
 
-// UndecodableError reports a stored record that can't be decoded. It meets
-// ErrUndecodable. Retrying is of no use until a person has removed the record.
+// UndecodableError reports a stored record that can't be decoded. errors.Is matches it
+// with ErrUndecodable. Retrying is of no use until an operator has removed the record.
 type UndecodableError struct {
-	// Key of the record in the store.
+	// Key is the record's key in the store.
 	Key string
-	// Err is what the decoder reported.
+	// Err is the decoder's error.
 	Err error
 }
 
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -11,36 +11,41 @@
 	"lilaclead/internal/wire"
 )
 
-// raiseRetry is the pause before an attempt to raise the token is repeated.
-const raiseRetry = 200 * time.Millisecond
+// raiseRetryDelay is the pause between attempts to raise the token.
+const raiseRetryDelay = 200 * time.Millisecond
 
-// resigned replaces Lease.validFor once the lease was given up: no renewal changes it.
-const resigned = math.MinInt64 / 2
+// validForResigned is the value of Lease.validFor once the lease was resigned: no renewal
+// changes it. It is half the minimum so that subtracting an age from it doesn't overflow.
+const validForResigned = math.MinInt64 / 2
 
 // Acquisition describes how a lease was acquired.
 type Acquisition struct {
 	Grant      GrantID
-	Token      FencingToken // the revision of the lease's key
-	AcquiredAt time.Time    // when the lease was acquired
+	Token      FencingToken // the revision of the lease's key at its acquisition
+	AcquiredAt time.Time    // by the candidate's clock
 	ValidUntil time.Time    // until when it is certainly held unless it is renewed
 }
 
-// Lease is a lease as its holder knows it. Any goroutine may ask whether it is still held.
+// Lease is the holder's view of a lease that it has acquired. Held may be called from any
+// goroutine.
 type Lease struct {
-	candidate *Candidate // nil for a lease that only tells the time
-	tenure    Acquisition
-	token     atomic.Uint64
-	// validFor is a time.Duration since the lease was acquired, which no step of the wall
-	// clock changes; or resigned.
+	// candidate is nil for a lease that is only checked against the system's clock. Such a
+	// lease emits no events, and no operation that uses the store may be called on it.
+	candidate   *Candidate
+	acquisition Acquisition
+	token       atomic.Uint64
+	// validFor is until when the lease is certainly held, as a time.Duration since it was
+	// acquired; or validForResigned. Being relative to the acquisition, it isn't changed by
+	// a step of the wall clock.
 	validFor atomic.Int64
 }
 
-// NewLease returns a lease that was acquired by other means than Campaign, or that is
-// restored.
-func NewLease(c *Candidate, tenure Acquisition) *Lease {
-	l := &Lease{candidate: c, tenure: tenure}
-	l.token.Store(uint64(tenure.Token))
-	l.validFor.Store(int64(tenure.ValidUntil.Sub(tenure.AcquiredAt)))
+// NewLease returns the lease for an acquisition that the caller made without Campaign, or
+// that it restores.
+func NewLease(c *Candidate, acquisition Acquisition) *Lease {
+	l := &Lease{candidate: c, acquisition: acquisition}
+	l.token.Store(uint64(acquisition.Token))
+	l.validFor.Store(int64(acquisition.ValidUntil.Sub(acquisition.AcquiredAt)))
 	return l
 }
 
@@ -51,15 +56,16 @@
 	return l.candidate.Clock
 }
 
-// emit reports an event of this lease, or of an act under it, with the current token.
+// emit passes an event of this lease, or of an act under it, to the candidate's observer,
+// with the current token.
 func (l *Lease) emit(kind EventKind, duty Name, reason string) {
 	if l.candidate != nil {
 		l.candidate.emit(Event{At: l.clock().Now(), Kind: kind, Duty: duty, Token: l.Token(), Reason: reason})
 	}
 }
 
-// failure wraps a reason with what identifies the lease.
-func (l *Lease) failure(reason error) error {
+// leaseError returns a LeaseError that names this lease and the reason.
+func (l *Lease) leaseError(reason error) error {
 	err := &LeaseError{Token: l.Token(), Err: reason}
 	if l.candidate != nil {
 		err.Key = l.candidate.Key
@@ -67,33 +73,34 @@
 	return err
 }
 
-// FirstToken returns the token with which the lease was acquired.
-func (l *Lease) FirstToken() FencingToken { return l.tenure.Token }
+// FirstToken returns the fencing token with which the lease was acquired, before any
+// RaiseToken.
+func (l *Lease) FirstToken() FencingToken { return l.acquisition.Token }
 
-// Token returns the current token; it only grows.
+// Token returns the current fencing token, which only grows.
 func (l *Lease) Token() FencingToken { return FencingToken(l.token.Load()) }
 
-// AcquiredAt returns when the lease was acquired.
-func (l *Lease) AcquiredAt() time.Time { return l.tenure.AcquiredAt }
+// AcquiredAt returns when the lease was acquired, by the clock of this process.
+func (l *Lease) AcquiredAt() time.Time { return l.acquisition.AcquiredAt }
 
 // ValidFor returns until when the lease is certainly held, as a duration since it was
 // acquired.
 func (l *Lease) ValidFor() time.Duration { return time.Duration(l.validFor.Load()) }
 
-// Held reports whether this process certainly holds the lease: no other can have acquired
-// it yet.
+// Held reports whether this process certainly holds the lease: no other process can have
+// acquired it yet.
 func (l *Lease) Held() bool { return l.age() < l.ValidFor() }
 
-// age returns how long ago the lease was acquired.
-func (l *Lease) age() time.Duration { return l.clock().Now().Sub(l.tenure.AcquiredAt) }
+// age returns the time since the lease was acquired.
+func (l *Lease) age() time.Duration { return l.clock().Now().Sub(l.acquisition.AcquiredAt) }
 
-// extend prolongs the lease by a renewal that was sent at the given time. It never
-// shortens it, and a resigned lease stays resigned.
+// extend prolongs the lease after a successful renewal, whose request was sent at the given
+// time. It never shortens the lease, and a resigned lease stays resigned.
 func (l *Lease) extend(sentAt time.Time) {
-	extended := int64(sentAt.Add(l.candidate.Timing.SafeTTL()).Sub(l.tenure.AcquiredAt))
+	extended := int64(sentAt.Add(l.candidate.Timing.SafeTTL()).Sub(l.acquisition.AcquiredAt))
 	for {
 		current := l.validFor.Load()
-		if current == resigned || current >= extended {
+		if current == validForResigned || current >= extended {
 			return
 		}
 		if l.validFor.CompareAndSwap(current, extended) {
@@ -102,8 +109,8 @@
 	}
 }
 
-// Context returns a context that ends with its parent, or before the lease can expire,
-// then with ErrNotHeld as its cause. The caller must call the cancel function.
+// Context returns a context that ends with its parent or before the lease can expire. In
+// the latter case its cause is ErrNotHeld. The caller must call the cancel function.
 func (l *Lease) Context(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	go l.cancelAtExpiry(ctx, cancel)
@@ -127,41 +134,42 @@
 	}
 }
 
-// KeepAlive renews the lease until the context ends, which returns nil, or until the store has
-// ended the grant, which returns an error that is ErrGrantExpired. After each successful
-// renewal that is counted, renewed receives the time at which its request was sent.
+// KeepAlive renews the lease. It returns nil once the context has ended, or an error that
+// is ErrGrantExpired once a renewal finds that the store has ended the grant. After each
+// successful renewal it calls renewed with the time at which the request was sent.
 func (l *Lease) KeepAlive(ctx context.Context, renewed func(sentAt time.Time)) error {
 	timing := l.candidate.Timing
-	wait := timing.RenewEvery
+	delay := timing.RenewEvery
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.clock().After(wait):
+		case <-l.clock().After(delay):
 		}
 		sentAt := l.clock().Now()
-		err := l.candidate.Store.Renew(ctx, l.tenure.Grant, timing.RenewTimeout)
+		err := l.candidate.Store.Renew(ctx, l.acquisition.Grant, timing.RenewTimeout)
 		switch {
 		case err == nil:
 			l.extend(sentAt)
 			renewed(sentAt)
-			wait = timing.RenewEvery
+			delay = timing.RenewEvery
 		case errors.Is(err, ErrNotFound):
 			l.emit(LeaseLost, "", ErrGrantExpired.Error())
-			return l.failure(ErrGrantExpired)
+			return l.leaseError(ErrGrantExpired)
 		default:
-			wait = timing.RenewEvery / 3
+			delay = timing.RenewEvery / 3
 		}
 	}
 }
 
-// RaiseToken replaces the token old by a higher one, and retries until it succeeds, the
-// context ends or the lease is lost. Nothing that was sent under the old token can take
-// effect afterwards: transactions fail at their guard, and commands at every receiver that
-// has seen the new token.
+// RaiseToken replaces the token old by a higher one. It retries until it succeeds, the
+// context ends, or the store shows that this process doesn't hold the lease any more.
+//
+// Nothing that was sent under the old token can take effect afterwards: a transaction fails
+// at its guard, and a command is refused by every receiver that has seen the new token.
 func (l *Lease) RaiseToken(ctx context.Context, old FencingToken) (FencingToken, error) {
 	for {
-		token, err := l.tryRaise(ctx, old)
+		token, err := l.tryRaiseToken(ctx, old)
 		if err != nil {
 			return 0, err
 		}
@@ -173,43 +181,44 @@
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-l.clock().After(raiseRetry):
+		case <-l.clock().After(raiseRetryDelay):
 		}
 	}
 }
 
-// tryRaise makes one attempt. A token that is not above the old one, without an error,
-// means that the outcome is open.
-func (l *Lease) tryRaise(ctx context.Context, old FencingToken) (FencingToken, error) {
+// tryRaiseToken makes one attempt to raise the token. It returns a token that is not above
+// old, and no error, if the attempt failed or its outcome is unknown: the caller retries.
+func (l *Lease) tryRaiseToken(ctx context.Context, old FencingToken) (FencingToken, error) {
 	c := l.candidate
 	revision, err := c.Store.Commit(ctx, store.ClassCritical, Txn{
 		Guards: []Guard{{Key: c.Key, Revision: Revision(old)}},
-		Writes: []Write{{PutKey: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: l.tenure.Grant}},
+		Writes: []Write{{PutKey: c.Key, Value: wire.Encode(c.LeaseRecord()), Grant: l.acquisition.Grant}},
 	})
 	if err == nil {
 		return FencingToken(revision), nil
 	}
-	// It may have been executed, perhaps by an earlier attempt: then the key is still this
-	// holder's, with a new revision.
+	// This attempt, or an earlier one without an answer, may have been executed after all.
+	// Then the key still holds this process's record, with a new revision.
 	entry, err := c.Store.Get(ctx, store.ClassCritical, c.Key)
 	var record store.LeaderRecord
 	switch {
 	case errors.Is(err, ErrNotFound):
-		return 0, l.failure(ErrNoHolder)
+		return 0, l.leaseError(ErrNoHolder)
 	case err != nil || wire.Decode(entry.Value, &record) != nil:
 		return 0, nil
-	case !c.isOwnRecord(entry, l.tenure.Grant):
-		return 0, l.failure(ErrHeldByOther)
+	case !c.isOwnRecord(entry, l.acquisition.Grant):
+		return 0, l.leaseError(ErrHeldByOther)
 	}
 	return FencingToken(entry.Revision), nil
 }
 
-// Resign gives the lease up and leaves it to others until the given time. No act is
-// permitted from now on, before the store is told: a successor may act at once. If the
-// store can't be reached the grant expires by itself.
+// Resign gives the lease up and keeps this process from acquiring it again until the given
+// time. No act is permitted from now on, even before the store revokes the grant, because a
+// successor may act right after that. If the store can't be reached the grant expires by
+// itself.
 func (l *Lease) Resign(ctx context.Context, until time.Time) {
-	l.validFor.Store(resigned)
+	l.validFor.Store(validForResigned)
 	l.emit(LeaseResigned, "", "")
 	l.candidate.BackOffUntil(until)
-	go func() { _ = l.candidate.Store.RevokeGrant(context.WithoutCancel(ctx), l.tenure.Grant) }() // else it expires by itself
+	go func() { _ = l.candidate.Store.RevokeGrant(context.WithoutCancel(ctx), l.acquisition.Grant) }() // if this fails, the grant expires by itself
 }
--- a/duty/permit.go
+++ b/duty/permit.go
@@ -5,12 +5,13 @@
 	"errors"
 )
 
-// Permit is the right to one act of a duty. Only a lease that is certainly held yields
-// one. A function that carries out an act takes a permit as a parameter and checks it
-// right before the act. The zero value permits nothing.
+// Permit is the right to carry out one act of a duty. Only a lease that is certainly held
+// yields one. A function that carries out an act takes a permit as a parameter and checks
+// it right before the act. The zero value permits nothing.
 type Permit[D Duty] struct{ lease *Lease }
 
-// PermitFor returns a permit for a duty, or an error that is ErrNotHeld.
+// PermitFor returns a permit for a duty. Its error is ErrNotHeld if the lease is not
+// certainly held.
 func PermitFor[D Duty](l *Lease) (Permit[D], error) {
 	p := Permit[D]{l}
 	return p, p.Check()
@@ -19,20 +20,21 @@
 // Name returns the name of the duty.
 func (Permit[D]) Name() Name { return nameOf[D]() }
 
-// Check returns nil if the act may be carried out now, else an error that is ErrNotHeld
-// or ErrNoPermit.
+// Check returns nil if the act may be carried out now. Its error is ErrNotHeld if the lease
+// is not certainly held any more, or ErrNoPermit if the permit is the zero value.
 func (p Permit[D]) Check() error {
 	if p.lease == nil {
 		return ErrNoPermit
 	}
 	if !p.lease.Held() {
 		p.lease.emit(ActRefused, p.Name(), ErrNotHeld.Error())
-		return p.lease.failure(ErrNotHeld)
+		return p.lease.leaseError(ErrNotHeld)
 	}
 	return nil
 }
 
-// Token returns the fencing token under which the act is carried out; 0 if there is none.
+// Token returns the fencing token to send with the act, or 0 if the permit is the zero
+// value.
 func (p Permit[D]) Token() FencingToken {
 	if p.lease == nil {
 		return 0
@@ -40,7 +42,7 @@
 	return p.lease.Token()
 }
 
-// Do carries out an act with a context that ends before the lease can expire.
+// Do checks the permit and calls act with a context that ends before the lease can expire.
 func (p Permit[D]) Do(ctx context.Context, act func(context.Context) error) error {
 	if err := p.Check(); err != nil {
 		return err
@@ -54,8 +56,9 @@
 	return nil
 }
 
-// Commit executes a transaction that fails unless this lease is held when it is executed,
-// however late that is: the lease's key is one of its guards.
+// Commit checks the permit and executes a transaction with a guard on the lease's key. The
+// transaction fails if the lease has another holder or token when the store executes it,
+// however late that is.
 func (p Permit[D]) Commit(ctx context.Context, class RequestClass, txn Txn) (Revision, error) {
 	if err := p.Check(); err != nil {
 		return 0, err
--- a/duty/store.go
+++ b/duty/store.go
@@ -13,23 +13,25 @@
 	// FencingToken orders the holders of a lease: only the one with the highest token may
 	// act. It is the revision of the lease's key.
 	FencingToken = wire.FencingToken
-	// Revision numbers the change that wrote a key last; 0 stands for a key that does not
-	// exist.
+	// Revision is the number of the change that last wrote a key; 0 means that the key does
+	// not exist.
 	Revision = wire.Revision
 	// GrantID identifies a grant: the store deletes the keys bound to it when it expires.
 	GrantID = wire.GrantID
-	// NodeID names a node.
+	// NodeID is the name of a node.
 	NodeID = wire.NodeID
 	// Entry is a key with its value, revision and grant.
 	Entry = wire.Entry
 	// Guard is a condition of a transaction: the revision that a key must have.
 	Guard = wire.Guard
 	// Write is a change that a transaction makes to one key. Its value must be one
-	// well-formed CBOR item; the client of the store panics at any other.
+	// well-formed CBOR item; otherwise the store's client panics.
 	Write = wire.Write
-	// Txn is a compare-and-swap transaction: all writes if all guards hold, else none.
+	// Txn is a compare-and-swap transaction: it makes all its writes if all its guards
+	// hold, and none otherwise.
 	Txn = wire.Txn
-	// RequestClass determines whether a request waits for the rate budget.
+	// RequestClass determines whether a request to the store is sent, waits or is refused
+	// while the client's rate budget is used up.
 	RequestClass = store.RequestClass
 	// ConflictError lists the keys whose guards failed; nothing was written.
 	ConflictError = store.ConflictError
@@ -37,7 +39,7 @@
 
 // Store is the part of the key-value store that the package uses. An implementation
 // returns ErrRefused for a request that was certainly not executed, and ErrOutcomeUnknown
-// for a change that may have been or may still be.
+// for a change that may have been executed or may still be.
 type Store interface {
 	// Grant creates a grant that expires ttl after its last renewal.
 	Grant(ctx context.Context, ttl time.Duration) (GrantID, error)
--- a/duty/timing.go
+++ b/duty/timing.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Timing configures how a lease is acquired and kept.
+// Timing configures how a lease is acquired and renewed.
 type Timing struct {
-	// TTL is how long the lease stays taken after the last renewal by its holder.
+	// TTL is how long after its acquisition or last renewal the lease expires.
 	TTL time.Duration
-	// RenewEvery is the pause between renewals; a failed one is retried after a third of
-	// it.
+	// RenewEvery is the pause after a successful renewal. A failed renewal is retried after
+	// a third of it.
 	RenewEvery time.Duration
-	// RenewTimeout bounds one attempt at a renewal.
+	// RenewTimeout bounds one attempt to renew.
 	RenewTimeout time.Duration
-	// Poll is how often the other candidates read who holds the lease, with a random
-	// addition of up to PollJitter.
+	// Poll is the interval at which the other candidates read who holds the lease. A random
+	// duration of less than PollJitter is added to it.
 	Poll       time.Duration
 	PollJitter time.Duration
-	// Margin is how long before the lease can expire its holder stops acting, beyond the
-	// drift of the clocks: the process needs time to be scheduled.
+	// Margin is how long before the lease can expire its holder stops acting. It covers
+	// scheduling delays of the process; Drift comes on top of it.
 	Margin time.Duration
-	// Drift of two clocks against each other, as a fraction of the elapsed time.
+	// Drift is how far two clocks may drift apart, as a fraction of the elapsed time.
 	Drift float64
 }
 
-// Validate reports every field that can't work, by its name.
+// Validate returns an error that names every invalid field.
 func (t Timing) Validate() error {
 	var errs []error
 	require := func(met bool, field, requirement string) {
@@ -39,15 +39,16 @@
 	require(t.RenewTimeout > 0, "RenewTimeout", "must be above 0")
 	require(t.Poll > 0, "Poll", "must be above 0")
 	require(t.Drift >= 0 && t.Drift < 1, "Drift", "must be from 0 to below 1")
-	require(t.reserve()+t.RenewEvery < t.TTL, "TTL", "leaves no time between a renewal and the end of the lease")
+	require(t.safetyReserve()+t.RenewEvery < t.TTL, "TTL", "leaves no time between a renewal and the end of the lease")
 	return errors.Join(errs...)
 }
 
-// reserve returns how long before the lease can expire its holder stops acting.
-func (t Timing) reserve() time.Duration {
+// safetyReserve returns how long before the end of the TTL the holder stops acting: the
+// margin, and the clock drift over a whole TTL.
+func (t Timing) safetyReserve() time.Duration {
 	return t.Margin + time.Duration(t.Drift*float64(t.TTL))
 }
 
-// SafeTTL returns for how long a lease is certainly held after the request for it, or
-// for its renewal, was sent.
-func (t Timing) SafeTTL() time.Duration { return t.TTL - t.reserve() }
+// SafeTTL returns how long a lease is certainly held after its holder sent the request that
+// acquired or renewed it.
+func (t Timing) SafeTTL() time.Duration { return t.TTL - t.safetyReserve() }
