--- a/duty/candidate_test.go
+++ b/duty/candidate_test.go
@@ -10,12 +10,13 @@
 	"lilaclead/internal/store"
 )
 
-// A host runs one process, so the earlier one has ended: its lease is not waited out.
+// A host runs one process, so the earlier one has ended: its successor doesn't wait until
+// the lease expires.
 func TestLeaseOfEarlierProcessOfTheNodeIsReplacedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		first := acquire(t, sim.candidate(0))
-		second := acquire(t, sim.candidate(0))
+		first := acquire(t, sim.newCandidate(0))
+		second := acquire(t, sim.newCandidate(0))
 		if got := second.AcquiredAt().Sub(first.AcquiredAt()); got > leaseTiming.TTL/2 {
 			t.Errorf("acquired after %v, want less than %v", got, leaseTiming.TTL/2)
 		}
@@ -41,24 +42,24 @@
 	})
 }
 
-func TestProcessThatBacksOffLeavesTheLeaseToOthers(t *testing.T) {
+func TestResignedProcessDoesNotReacquireTheLeaseWhileItBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		candidate := sim.candidate(0)
+		candidate := sim.newCandidate(0)
 		const backOff = time.Minute
 		resignedAt := time.Now()
 		acquire(t, candidate).Resign(t.Context(), resignedAt.Add(backOff))
 		if got := acquire(t, candidate).AcquiredAt().Sub(resignedAt); got < backOff {
-			t.Errorf("acquired again after %v, want %v at least", got, backOff)
+			t.Errorf("acquired again after %v, want at least %v", got, backOff)
 		}
 	})
 }
 
-func TestHolderIsTheOtherNodeThatWasReadRecently(t *testing.T) {
+func TestHolderReturnsOnlyAnotherNodeThatWasReadRecently(t *testing.T) {
 	observedAt := time.Unix(1_000_000, 0)
 	candidate := duty.NewCandidate(duty.Options{Node: "self"})
 	if got := candidate.Holder(observedAt, time.Second); got != "" {
-		t.Errorf("before any was observed: got %q, want none", got)
+		t.Errorf("before any holder was recorded: got %q, want none", got)
 	}
 	for _, c := range []struct {
 		name   string
--- a/duty/example_test.go
+++ b/duty/example_test.go
@@ -17,13 +17,13 @@
 	"lilaclead/internal/wire"
 )
 
-// backup is a duty of the examples.
+// backup is the duty that the examples carry out.
 type backup struct{}
 
 // Name is part of the key under which the duty's intents are recorded.
 func (backup) Name() duty.Name { return "backup" }
 
-// openStore serves a simulated store on the loopback interface and returns a client of it.
+// openStore starts a simulated store on the loopback interface and returns its client.
 func openStore() (client *store.Client, closeStore func()) {
 	server := httptest.NewServer(simulator.NewKVStore(12, 16))
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
@@ -32,11 +32,11 @@
 }
 
 // newExampleCandidate returns a candidate for the lease of the examples.
-func newExampleCandidate(s duty.Store) *duty.Candidate {
+func newExampleCandidate(kvStore duty.Store) *duty.Candidate {
 	return duty.NewCandidate(duty.Options{
 		Key:   "lease/backup",
 		Node:  "node-1",
-		Store: s,
+		Store: kvStore,
 		Timing: duty.Timing{
 			TTL:          3 * time.Second,
 			RenewEvery:   700 * time.Millisecond,
@@ -48,7 +48,8 @@
 	})
 }
 
-// A process acquires a lease, keeps it, and carries out acts of its duty under permits.
+// A process acquires a lease, renews it in the background, and carries out acts of its duty
+// under permits.
 func Example() {
 	client, closeStore := openStore()
 	defer closeStore()
@@ -60,7 +61,8 @@
 		return // the context has ended
 	}
 
-	// Once the lease can't be renewed any more the process campaigns again.
+	// KeepAlive renews the lease until its grant has expired. A long-running process would
+	// then campaign again; this one ends.
 	var renewal sync.WaitGroup
 	renewal.Go(func() {
 		if err := lease.KeepAlive(ctx, func(time.Time) {}); errors.Is(err, duty.ErrGrantExpired) {
@@ -70,11 +72,11 @@
 
 	permit, err := duty.PermitFor[backup](lease)
 	if err != nil {
-		return // the lease is not held any more
+		return // the lease is not certainly held any more
 	}
 	err = permit.Do(ctx, func(ctx context.Context) error {
-		// The context ends before the lease can expire. The receiver of a request refuses
-		// it if it has seen a higher token.
+		// The context ends before the lease can expire. Send the token with each request,
+		// so that its receiver can refuse the request once it has seen a higher token.
 		fmt.Println("backup started under a token:", permit.Token() > 0)
 		return ctx.Err()
 	})
@@ -87,7 +89,7 @@
 	case err == nil:
 		fmt.Println("result written")
 	case errors.As(err, &conflict):
-		fmt.Println("nothing written: read again, then decide anew")
+		fmt.Println("nothing written: read the keys before deciding what to do")
 	case errors.Is(err, duty.ErrOutcomeUnknown):
 		fmt.Println("read the key before retrying")
 	}
@@ -104,8 +106,8 @@
 	// after resigning: true
 }
 
-// A request to a receiver that checks no fencing tokens is recorded before it is sent, so
-// that a successor repeats it under the same name.
+// A request to a receiver that doesn't check fencing tokens is recorded before it is sent, so
+// that a successor can repeat it under the same name.
 func ExampleIntents() {
 	client, closeStore := openStore()
 	defer closeStore()
@@ -127,7 +129,7 @@
 	}
 	fmt.Println("send", intents.OpenIntents())
 
-	// Once the receiver has answered, nothing is open any more.
+	// Once the receiver has responded, the intent is not open any more.
 	if err := intents.Record(ctx, nil); err != nil {
 		return
 	}
--- a/duty/frozen_holder_test.go
+++ b/duty/frozen_holder_test.go
@@ -19,77 +19,82 @@
 	"lilaclead/duty"
 )
 
-// runsVariable asks for more runs than CI makes: DUTY_RUNS=1000 go test ./duty -run Frozen -v
-const runsVariable = "DUTY_RUNS"
+// runCountEnv is the environment variable that sets the number of runs, to make more than CI
+// does: DUTY_RUNS=1000 go test ./duty -run Frozen -v
+const runCountEnv = "DUTY_RUNS"
 
-// holderVariable makes the test's program a holder: "node addr fenced".
-const holderVariable = "DUTY_HOLDER"
+// holderEnv is the environment variable that makes the test binary run a holder instead of
+// the tests. Its value is "node addr fenced".
+const holderEnv = "DUTY_HOLDER"
 
 func TestMain(m *testing.M) {
-	if arguments := os.Getenv(holderVariable); arguments != "" {
+	if arguments := os.Getenv(holderEnv); arguments != "" {
 		runChild(strings.Fields(arguments))
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// runChild is a holder in a process of its own, until its standard input ends.
+// runChild runs a holder in this child process until its standard input ends.
 func runChild(arguments []string) {
 	node, addr, fenced := arguments[0], arguments[1], arguments[2] == "true"
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		bufio.NewReader(os.Stdin).ReadByte() //nolint:errcheck // it ends with the test
+		bufio.NewReader(os.Stdin).ReadByte() //nolint:errcheck // the input ends with the test
 		cancel()
 	}()
 	newHolder(node, addr, fenced, processStopped).run(ctx)
 }
 
-// freezeMode is a way to keep a holder from its work for longer than its lease.
+// freezeMode is a way to freeze a holder for longer than its lease.
 type freezeMode int
 
 const (
-	frozenBeforeRequest  freezeMode = iota // with a request checked, and not sent
-	frozenBeforeAnswer                     // with a request carried out, and its answer kept back
-	partitionedFromStore                   // without the store, and with all else
-	processStopped                         // the whole process, anywhere
-	freezeModes
+	frozenBeforeRequest  freezeMode = iota // a request has been checked but isn't sent
+	frozenBeforeResponse                   // a request is executed but its response is held back
+	partitionedFromStore                   // the store is unreachable, the cloud and the worker are not
+	processStopped                         // the whole process is stopped, at any point
+	freezeModeCount
 )
 
-// String returns the mode as it is logged.
+// String returns the mode's name for messages of the tests.
 func (m freezeMode) String() string {
 	return [...]string{"before the request", "before the answer", "partitioned from the store", "process stopped"}[m]
 }
 
-// keepsBack reports whether a closed gate keeps a request, or its answer, back.
-func (m freezeMode) keepsBack(path string, at stage) bool {
+// holdsBack reports whether a closed gate holds back a request, or its response.
+func (m freezeMode) holdsBack(path string, at gateStage) bool {
 	switch m {
 	case partitionedFromStore:
 		return path == storePath
-	case frozenBeforeAnswer:
-		return at == beforeAnswer
+	case frozenBeforeResponse:
+		return at == beforeResponse
 	}
 	return true
 }
 
-// freezePaths are the requests at which a holder is frozen; empty: at any.
+// freezePaths are the paths of the requests at which a holder is frozen. The empty path
+// means that it is frozen at once, whichever requests follow.
 var freezePaths = []string{scaleOutPath, scaleInPath, preemptPath, ""}
 
-// freezePath returns the request at which a holder is frozen in a run.
+// freezePath returns the path of the request at which a holder is frozen in the run with
+// this seed. It is empty if the holder is frozen at once.
 func freezePath(seed uint64, mode freezeMode) string {
 	if mode == partitionedFromStore {
 		return ""
 	}
-	return freezePaths[seed/uint64(freezeModes)%uint64(len(freezePaths))]
+	return freezePaths[seed/uint64(freezeModeCount)%uint64(len(freezePaths))]
 }
 
-// holderProcess is a holder under test.
+// holderProcess controls a running holder.
 type holderProcess struct {
 	freeze func()
 	resume func()
-	end    func() // returns when it has ended
+	end    func() // returns once the holder has ended
 }
 
-// startInProcess runs a holder in this process, behind a gate that closes at a request.
+// startInProcess starts a holder in this process. When it is frozen its gate closes at the
+// next request with the given path, or at once if the path is empty.
 func startInProcess(h *holder, closeAtPath string) holderProcess {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -105,7 +110,7 @@
 	}
 }
 
-// startChild runs a holder in a process of its own.
+// startChild starts a holder in a child process, which is frozen by SIGSTOP.
 func startChild(t *testing.T, node, addr string, fenced bool) holderProcess {
 	t.Helper()
 	program, err := os.Executable()
@@ -113,7 +118,7 @@
 		t.Fatal(err)
 	}
 	child := exec.Command(program)
-	child.Env = append(os.Environ(), fmt.Sprintf("%s=%s %s %v", holderVariable, node, addr, fenced))
+	child.Env = append(os.Environ(), fmt.Sprintf("%s=%s %s %v", holderEnv, node, addr, fenced))
 	stdin, err := child.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -136,29 +141,28 @@
 	}
 }
 
-// outcome of one run, or the sum of several.
+// outcome is the outcome of one run, or the sum of several.
 type outcome struct {
-	runs      int
-	late      lateActs
-	failovers []time.Duration // from the freeze to the successor's first act
-	acts      int
-	changes   duty.Revision // of the store
+	runs          int
+	late          lateActs
+	failoverTimes []time.Duration // each from the freeze to the successor's first act
+	acts          int
+	changes       duty.Revision // of the store
 }
 
-// add adds the outcome of other runs.
 func (o *outcome) add(other outcome) {
 	o.runs += other.runs
 	o.late.arrived += other.late.arrived
 	o.late.completed += other.late.completed
 	o.late.beforeSuccessor += other.late.beforeSuccessor
 	o.late.stale = append(o.late.stale, other.late.stale...)
-	o.failovers = append(o.failovers, other.failovers...)
+	o.failoverTimes = append(o.failoverTimes, other.failoverTimes...)
 	o.acts += other.acts
 	o.changes += other.changes
 }
 
-// freezeOnce freezes a holder, waits until another takes over, resumes the first, and
-// returns what the receivers accepted.
+// freezeOnce freezes a holder, waits until another one takes over, resumes the first, and
+// returns what arrived at the receivers.
 func freezeOnce(t *testing.T, seed uint64, mode freezeMode, fenced bool) outcome {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 3))
@@ -178,15 +182,15 @@
 	second := start("b")
 	defer second.end()
 	time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
-	failover := awaitFailover(t, r, first.freeze)
+	failoverTime := measureFailover(t, r, first.freeze)
 	time.Sleep(time.Duration(rng.IntN(80)) * time.Millisecond)
 	first.resume()
 	time.Sleep(60 * time.Millisecond)
-	return outcome{runs: 1, late: r.lateActs(), failovers: []time.Duration{failover}, acts: r.countActs(), changes: r.store.LastRevision()}
+	return outcome{runs: 1, late: r.classifyLateActs(), failoverTimes: []time.Duration{failoverTime}, acts: r.countActs(), changes: r.store.LastRevision()}
 }
 
-// awaitFailover freezes the holder and returns how long it took until another acted.
-func awaitFailover(t *testing.T, r *receivers, freeze func()) time.Duration {
+// measureFailover freezes the holder and returns the time until another one acts.
+func measureFailover(t *testing.T, r *receivers, freeze func()) time.Duration {
 	t.Helper()
 	tokenBefore, frozenAt := r.currentToken(), time.Now()
 	freeze()
@@ -199,27 +203,28 @@
 	return actedAt.Sub(frozenAt)
 }
 
-// await waits until a condition is met.
-func await(t *testing.T, what string, met func() bool) {
+// await waits until the event has occurred. It reports a test failure after a timeout.
+func await(t *testing.T, event string, occurred func() bool) {
 	t.Helper()
-	const patience = 20 * time.Second
-	for deadline := time.Now().Add(patience); !met(); time.Sleep(time.Millisecond) {
+	const timeout = 20 * time.Second
+	for deadline := time.Now().Add(timeout); !occurred(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Errorf("got none within %v, want %s", patience, what)
+			t.Errorf("got none within %v, want %s", timeout, event)
 			return
 		}
 	}
 }
 
-// freezeMany makes runs over all modes, some at a time, and sums them up by mode.
-func freezeMany(t *testing.T, runs int, fenced bool) (byMode [freezeModes]outcome) {
+// freezeRepeatedly makes runs with all modes in turn, several at a time, and returns their
+// summed outcomes by mode.
+func freezeRepeatedly(t *testing.T, runs int, fenced bool) (byMode [freezeModeCount]outcome) {
 	t.Helper()
-	const atATime = 8
-	slots := make(chan struct{}, atATime)
+	const maxConcurrentRuns = 8
+	slots := make(chan struct{}, maxConcurrentRuns)
 	var mu sync.Mutex
 	var running sync.WaitGroup
 	for run := range runs {
-		mode := freezeMode(run) % freezeModes
+		mode := freezeMode(run) % freezeModeCount
 		slots <- struct{}{}
 		running.Go(func() {
 			defer func() { <-slots }()
@@ -233,52 +238,53 @@
 	return byMode
 }
 
-// requestedRuns returns how many runs are to be made.
-func requestedRuns() int {
-	if runs, err := strconv.Atoi(os.Getenv(runsVariable)); err == nil {
+// runCount returns the number of runs of TestFrozenHolderMakesNoStaleAct.
+func runCount() int {
+	if runs, err := strconv.Atoi(os.Getenv(runCountEnv)); err == nil {
 		return runs
 	}
 	return 40
 }
 
-// A holder is frozen, another takes over, the first is resumed: no receiver accepts
-// anything from it any more, whatever it is about.
-func TestFrozenHolder(t *testing.T) {
+// A holder is frozen, another takes over, and the first is resumed. No receiver accepts a
+// stale act from the first any more, whatever the duty; lateActs tells which acts are stale.
+func TestFrozenHolderMakesNoStaleAct(t *testing.T) {
 	t.Parallel()
 	var total outcome
-	for mode, o := range freezeMany(t, requestedRuns(), true) {
+	for mode, o := range freezeRepeatedly(t, runCount(), true) {
 		for _, a := range o.late.stale {
-			t.Errorf("%v: accepted %s of %s under token %d, want none of a replaced holder", freezeMode(mode), a.duty, a.target, a.token)
+			t.Errorf("%v: accepted stale act %s of %s under token %d, want none of a replaced holder", freezeMode(mode), a.duty, a.target, a.token)
 		}
 		t.Logf("%v: %d runs, %d acts, %d changes of the store; acts of the frozen holder: "+
-			"%d arrived late, %d of them completed what the successor found open, %d came to a worker before the successor did, "+
+			"%d arrived late, %d of them completed what the successor found open, %d reached a worker before the successor did, "+
 			"%d stale ones accepted", freezeMode(mode), o.runs, o.acts, o.changes,
 			o.late.arrived, o.late.completed, o.late.beforeSuccessor, len(o.late.stale))
 		if freezeMode(mode) == frozenBeforeRequest && o.late.arrived == 0 {
-			t.Errorf("%v: got no late act, want requests that were kept back to arrive", freezeMode(mode))
+			t.Errorf("%v: got no late act, want requests that were held back to arrive", freezeMode(mode))
 		}
 		total.add(o)
 	}
-	failovers := slices.Sorted(slices.Values(total.failovers))
-	t.Logf("%d runs; from freeze to the successor's first act: median %v, 99th %v, worst %v (a lease of %v)", len(failovers),
-		failovers[len(failovers)/2], failovers[len(failovers)*99/100], failovers[len(failovers)-1], shortLease.TTL)
+	failoverTimes := slices.Sorted(slices.Values(total.failoverTimes))
+	t.Logf("%d runs; from freeze to the successor's first act: median %v, 99th %v, worst %v (a lease of %v)", len(failoverTimes),
+		failoverTimes[len(failoverTimes)/2], failoverTimes[len(failoverTimes)*99/100], failoverTimes[len(failoverTimes)-1], shortLease.TTL)
 }
 
-// Without permits, intents and guards, and with a worker that checks no tokens, the same
-// runs find stale acts of every duty: TestFrozenHolder can fail.
-func TestFrozenHolderControl(t *testing.T) {
+// This is the control of TestFrozenHolderMakesNoStaleAct, and shows that it can fail:
+// without permits, intents and guards, and with a worker that doesn't check tokens, the
+// receivers accept stale acts of every duty.
+func TestFrozenHolderWithoutFencingMakesStaleActs(t *testing.T) {
 	t.Parallel()
 	const runs = 40
 	stale := map[duty.Name]int{}
-	for _, o := range freezeMany(t, runs, false) {
+	for _, o := range freezeRepeatedly(t, runs, false) {
 		for _, a := range o.late.stale {
 			stale[a.duty]++
 		}
 	}
-	t.Logf("stale acts accepted without a fence: %v", stale)
+	t.Logf("stale acts accepted without fencing: %v", stale)
 	for _, d := range []duty.Duty{duty.ScaleOut{}, duty.ScaleIn{}, duty.Preemption{}, duty.Cleanup{}} {
 		if stale[d.Name()] == 0 {
-			t.Errorf("stale acts of %s in %d runs without a fence: got none, want some", d.Name(), runs)
+			t.Errorf("stale acts of %s in %d runs without fencing: got none, want some", d.Name(), runs)
 		}
 	}
 }
--- a/duty/gate_test.go
+++ b/duty/gate_test.go
@@ -13,24 +13,25 @@
 // storePath stands for the path of every request to the store.
 const storePath = "store"
 
-// stage of a request that passes a gate.
-type stage int
+// gateStage is one of the two points at which a gate can hold back a request.
+type gateStage int
 
 const (
-	beforeRequest stage = iota
-	beforeAnswer
+	beforeRequest gateStage = iota
+	beforeResponse
 )
 
-// gate lies between a holder and the network. Closed, it keeps requests back whatever
-// becomes of their senders, and lets them pass when it is opened: as a paused process
-// does, or a socket.
+// gate lies between a holder and the network. While it is closed it holds back requests or
+// responses, and lets them pass once it is opened, even if the sender has given up
+// meanwhile: so do a paused process and a socket buffer.
 type gate struct {
-	mode freezeMode // what a closed gate keeps back
+	mode freezeMode // determines what a closed gate holds back
 
 	mu     sync.Mutex
 	opened *sync.Cond
 	closed bool
-	// closeAtPath closes the gate once a request with this path comes; empty: none.
+	// closeAtPath is the path of the request at which the gate closes; empty if it is closed
+	// already or is to stay open.
 	closeAtPath string
 }
 
@@ -40,15 +41,15 @@
 	return g
 }
 
-// close keeps back what comes from now on or, if a path is given, from the next request
-// with that path on.
+// close closes the gate now or, if a path is given, when the next request with that path
+// arrives.
 func (g *gate) close(path string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed, g.closeAtPath = path == "", path
 }
 
-// open lets everything pass.
+// open opens the gate and lets everything pass that it holds back.
 func (g *gate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -56,14 +57,14 @@
 	g.opened.Broadcast()
 }
 
-// pass returns once the gate lets a request, or its answer, pass.
-func (g *gate) pass(path string, at stage) {
+// pass returns once the gate lets the request, or its response, pass.
+func (g *gate) pass(path string, at gateStage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if path == g.closeAtPath {
 		g.closed, g.closeAtPath = true, ""
 	}
-	for g.closed && g.mode.keepsBack(path, at) {
+	for g.closed && g.mode.holdsBack(path, at) {
 		g.opened.Wait()
 	}
 }
@@ -71,44 +72,45 @@
 // RoundTrip sends a request to the cloud or the worker.
 func (g *gate) RoundTrip(request *http.Request) (*http.Response, error) {
 	g.pass(request.URL.Path, beforeRequest)
-	// What is in a socket is sent, though its sender has given up meanwhile.
+	// A request in a socket buffer is sent even if its sender has given up meanwhile.
 	response, err := http.DefaultTransport.RoundTrip(request.WithContext(context.WithoutCancel(request.Context())))
-	g.pass(request.URL.Path, beforeAnswer)
+	g.pass(request.URL.Path, beforeResponse)
 	return response, err
 }
 
-// gatedStore is the store behind a gate.
+// gatedStore is a client of the store whose requests and responses pass a gate.
 type gatedStore struct {
 	*store.Client
 	gate *gate
 }
 
-// pass lets a request to the store pass. The returned function lets its answer pass.
-func (s gatedStore) pass(ctx context.Context) (context.Context, func()) {
+// passRequest returns once the gate lets a request to the store pass, with a context that
+// the sender can't cancel. The returned function does the same for the response.
+func (s gatedStore) passRequest(ctx context.Context) (context.Context, func()) {
 	s.gate.pass(storePath, beforeRequest)
-	return context.WithoutCancel(ctx), func() { s.gate.pass(storePath, beforeAnswer) }
+	return context.WithoutCancel(ctx), func() { s.gate.pass(storePath, beforeResponse) }
 }
 
 func (s gatedStore) Grant(ctx context.Context, ttl time.Duration) (duty.GrantID, error) {
-	ctx, passAnswer := s.pass(ctx)
-	defer passAnswer()
+	ctx, passResponse := s.passRequest(ctx)
+	defer passResponse()
 	return s.Client.Grant(ctx, ttl)
 }
 
 func (s gatedStore) Renew(ctx context.Context, grant duty.GrantID, timeout time.Duration) error {
-	ctx, passAnswer := s.pass(ctx)
-	defer passAnswer()
+	ctx, passResponse := s.passRequest(ctx)
+	defer passResponse()
 	return s.Client.Renew(ctx, grant, timeout)
 }
 
 func (s gatedStore) Get(ctx context.Context, class duty.RequestClass, key string) (duty.Entry, error) {
-	ctx, passAnswer := s.pass(ctx)
-	defer passAnswer()
+	ctx, passResponse := s.passRequest(ctx)
+	defer passResponse()
 	return s.Client.Get(ctx, class, key)
 }
 
 func (s gatedStore) Commit(ctx context.Context, class duty.RequestClass, txn duty.Txn) (duty.Revision, error) {
-	ctx, passAnswer := s.pass(ctx)
-	defer passAnswer()
+	ctx, passResponse := s.passRequest(ctx)
+	defer passResponse()
 	return s.Client.Commit(ctx, class, txn)
 }
--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -19,7 +19,7 @@
 	"lilaclead/internal/wire"
 )
 
-// shortLease is the timing of a lease whose end a test can wait for in real time.
+// shortLease is the timing of a lease that expires soon enough for a test in real time.
 var shortLease = duty.Timing{
 	TTL:          300 * time.Millisecond,
 	RenewEvery:   40 * time.Millisecond,
@@ -30,39 +30,39 @@
 	Drift:        0.002,
 }
 
-// recordLimit is the largest value of the store, in bytes.
-const recordLimit = 16 << 10
+// maxValueBytes is the size limit of the store for a value.
+const maxValueBytes = 16 << 10
 
-// holder is a program that carries out all duties while it holds the lease, one act after
-// the other, as fast as it can.
+// holder is a process under test: it campaigns for the lease and, while it holds the lease,
+// carries out acts of all duties, one after the other, as fast as it can.
 type holder struct {
 	receiversAddr string
-	// fenced: it asks for permits and records its intents. If not, it acts as long as it
-	// believes that it holds the lease, by what it found when it acquired it.
-	fenced    bool
-	http      *http.Client
-	store     gatedStore
-	gate      *gate
-	candidate *duty.Candidate
+	// fenced tells whether it asks for permits and records its intents. Without fencing it
+	// acts until a renewal finds that the lease has expired, and checks nothing before an act.
+	fenced     bool
+	httpClient *http.Client // to the cloud and the worker
+	store      gatedStore
+	gate       *gate
+	candidate  *duty.Candidate
 
 	// The fields below belong to the current lease.
-	lease     *duty.Lease
-	scaleOuts *duty.Intents[duty.ScaleOut, autoscaler.ScaleOutIntent]
-	scaleIns  *duty.Intents[duty.ScaleIn, wire.MachineID]
-	machines  []string
-	requests  int // to scale out, so far
+	lease           *duty.Lease
+	scaleOutIntents *duty.Intents[duty.ScaleOut, autoscaler.ScaleOutIntent]
+	scaleInIntents  *duty.Intents[duty.ScaleIn, wire.MachineID]
+	machines        []string // those listed at takeover, then those added
+	scaleOutCount   int      // requests to scale out under a new name, so far
 }
 
 func newHolder(node, addr string, fenced bool, mode freezeMode) *holder {
 	h := &holder{receiversAddr: addr, fenced: fenced, gate: newGate(mode)}
-	h.http = &http.Client{Transport: h.gate}
-	limits := config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: recordLimit >> 10, TxnOps: 12}
+	h.httpClient = &http.Client{Transport: h.gate}
+	limits := config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: maxValueBytes >> 10, TxnOps: 12}
 	h.store = gatedStore{store.New(addr, limits, 1, netio.Real()), h.gate}
 	h.candidate = duty.NewCandidate(duty.Options{Key: leaseKey, Node: duty.NodeID(node), Store: h.store, Timing: shortLease})
 	return h
 }
 
-// run acquires the lease and acts under it, again and again, until the context ends.
+// run acquires the lease and acts under it, repeatedly, until the context ends.
 func (h *holder) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		lease := h.candidate.Campaign(ctx)
@@ -73,7 +73,8 @@
 	}
 }
 
-// serveTerm acts under a lease and renews it until it is lost.
+// serveTerm acts under a lease and renews it. The term ends when the lease is lost or the
+// context ends.
 func (h *holder) serveTerm(ctx context.Context, lease *duty.Lease) {
 	ctx, cancel := context.WithCancel(ctx)
 	var renewal sync.WaitGroup
@@ -86,19 +87,19 @@
 	renewal.Wait()
 }
 
-// errTermEnded ends an act whose term has ended.
+// errTermEnded is the error of an act that is abandoned because the term has ended.
 var errTermEnded = errors.New("the term has ended")
 
-// act takes over from an earlier holder and then acts until the lease is lost.
+// act takes over from an earlier holder and then carries out acts until the term ends.
 func (h *holder) act(ctx context.Context, lease *duty.Lease) {
 	h.lease = lease
-	h.scaleOuts = duty.NewIntents[duty.ScaleOut, autoscaler.ScaleOutIntent](lease, recordLimit)
-	h.scaleIns = duty.NewIntents[duty.ScaleIn, wire.MachineID](lease, recordLimit)
-	h.machines, h.requests = nil, 0
-	if h.recover(ctx) != nil {
+	h.scaleOutIntents = duty.NewIntents[duty.ScaleOut, autoscaler.ScaleOutIntent](lease, maxValueBytes)
+	h.scaleInIntents = duty.NewIntents[duty.ScaleIn, wire.MachineID](lease, maxValueBytes)
+	h.machines, h.scaleOutCount = nil, 0
+	if h.takeOver(ctx) != nil {
 		return
 	}
-	acts := []func(context.Context) error{h.scaleOutAnew, h.preempt, h.cleanUp, h.scaleInOldest}
+	acts := []func(context.Context) error{h.scaleOutUnderNewName, h.preempt, h.cleanUp, h.scaleInOldest}
 	for n := 0; ctx.Err() == nil; n++ {
 		if err := acts[n%len(acts)](ctx); endsTerm(err) {
 			return
@@ -106,14 +107,14 @@
 	}
 }
 
-// endsTerm reports whether an error means that the lease gives no right to act any more.
+// endsTerm reports whether the error of an act means that the term has ended.
 func endsTerm(err error) bool {
 	return errors.Is(err, duty.ErrNotHeld) || errors.Is(err, duty.ErrHeldByOther) || errors.Is(err, errTermEnded)
 }
 
-// recover shows the new token to the worker, completes what an earlier holder left open,
-// and uses all other machines.
-func (h *holder) recover(ctx context.Context) error {
+// takeOver sends the new token to the worker, completes the intents that an earlier holder
+// left open, and launches a task on each machine that the cloud then lists.
+func (h *holder) takeOver(ctx context.Context) error {
 	if err := h.preempt(ctx); err != nil {
 		return err
 	}
@@ -122,7 +123,7 @@
 			return err
 		}
 	}
-	listed, err := h.request(ctx, listPath, "")
+	listed, err := h.sendRequest(ctx, listPath, "")
 	if err != nil {
 		return err
 	}
@@ -130,13 +131,13 @@
 	return h.launchOn(ctx, listed)
 }
 
-// completeOpenIntents repeats the requests that an earlier holder has recorded.
+// completeOpenIntents repeats the requests that an earlier holder recorded as open.
 func (h *holder) completeOpenIntents(ctx context.Context) error {
-	scaleOuts, err := h.scaleOuts.Load(ctx)
+	scaleOuts, err := h.scaleOutIntents.Load(ctx)
 	if err != nil {
 		return err
 	}
-	scaleIns, err := h.scaleIns.Load(ctx)
+	scaleIns, err := h.scaleInIntents.Load(ctx)
 	if err != nil {
 		return err
 	}
@@ -153,21 +154,22 @@
 	return nil
 }
 
-// launchOn records that machines are used, and then uses them.
+// launchOn writes a record to the store and then launches a task on each machine.
 func (h *holder) launchOn(ctx context.Context, machines []string) error {
 	if err := h.cleanUp(ctx); err != nil {
 		return err
 	}
 	for _, machine := range machines {
-		if _, err := h.request(ctx, launchPath, machine); err != nil {
+		if _, err := h.sendRequest(ctx, launchPath, machine); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// permitted carries out an act under a permit or, if the holder is unfenced, without.
-func permitted[D duty.Duty](ctx context.Context, h *holder, act func(context.Context) error) error {
+// performAct carries out an act of the duty D: under a permit, or without one if the holder
+// is not fenced.
+func performAct[D duty.Duty](ctx context.Context, h *holder, act func(context.Context) error) error {
 	if !h.fenced {
 		return act(ctx)
 	}
@@ -178,10 +180,10 @@
 	return permit.Do(ctx, act)
 }
 
-// permittedUntilDone repeats an act until it succeeds or the term ends.
-func permittedUntilDone[D duty.Duty](ctx context.Context, h *holder, act func(context.Context) error) error {
+// performActUntilDone retries an act of the duty D until it succeeds or the term ends.
+func performActUntilDone[D duty.Duty](ctx context.Context, h *holder, act func(context.Context) error) error {
 	for ctx.Err() == nil {
-		err := permitted[D](ctx, h, act)
+		err := performAct[D](ctx, h, act)
 		if err == nil || errors.Is(err, duty.ErrNotHeld) {
 			return err
 		}
@@ -189,29 +191,30 @@
 	return errTermEnded
 }
 
-// scaleOutAnew requests machines under a new name.
-func (h *holder) scaleOutAnew(ctx context.Context) error {
-	h.requests++
-	return h.scaleOut(ctx, fmt.Sprintf("b-%d-%d", h.lease.Token(), h.requests))
+func (h *holder) scaleOutUnderNewName(ctx context.Context) error {
+	h.scaleOutCount++
+	return h.scaleOut(ctx, fmt.Sprintf("b-%d-%d", h.lease.Token(), h.scaleOutCount))
 }
 
-// scaleOut requests machines under a name.
+// scaleOut requests machines under a name. A request that is repeated under the same name
+// adds no more machines.
 func (h *holder) scaleOut(ctx context.Context, name string) error {
 	if h.fenced {
-		// One request is open at a time; an earlier holder's was this one, or is done.
+		// One request is open at a time, so this record can replace the last one: an earlier
+		// holder's request is either the one recorded here or already completed.
 		request := wire.ScaleOutRequest{Name: name, Type: "c4", Zone: "a", Count: 2}
-		if err := h.scaleOuts.Record(ctx, []autoscaler.ScaleOutIntent{{Request: request}}); err != nil {
+		if err := h.scaleOutIntents.Record(ctx, []autoscaler.ScaleOutIntent{{Request: request}}); err != nil {
 			return err
 		}
 	}
-	return permittedUntilDone[duty.ScaleOut](ctx, h, func(ctx context.Context) error {
-		machines, err := h.request(ctx, scaleOutPath, name)
+	return performActUntilDone[duty.ScaleOut](ctx, h, func(ctx context.Context) error {
+		machines, err := h.sendRequest(ctx, scaleOutPath, name)
 		h.machines = append(h.machines, machines...)
 		return err
 	})
 }
 
-// scaleInOldest returns the machine that was added first, if there are more than two.
+// scaleInOldest scales in the machine that it has known longest, if there are more than two.
 func (h *holder) scaleInOldest(ctx context.Context) error {
 	if len(h.machines) <= 2 {
 		return nil
@@ -221,30 +224,30 @@
 	return h.scaleIn(ctx, wire.MachineID(oldest))
 }
 
-// scaleIn returns a machine.
+// scaleIn returns a machine to the cloud.
 func (h *holder) scaleIn(ctx context.Context, machine wire.MachineID) error {
 	if h.fenced {
-		if err := h.scaleIns.Record(ctx, []wire.MachineID{machine}); err != nil {
+		if err := h.scaleInIntents.Record(ctx, []wire.MachineID{machine}); err != nil {
 			return err
 		}
 	}
-	return permittedUntilDone[duty.ScaleIn](ctx, h, func(ctx context.Context) error {
-		_, err := h.request(ctx, scaleInPath, string(machine))
+	return performActUntilDone[duty.ScaleIn](ctx, h, func(ctx context.Context) error {
+		_, err := h.sendRequest(ctx, scaleInPath, string(machine))
 		return err
 	})
 }
 
-// preempt stops a task on the worker, which then knows the holder's token.
+// preempt stops a task on the worker, which learns the holder's token from the request.
 func (h *holder) preempt(ctx context.Context) error {
-	return permitted[duty.Preemption](ctx, h, func(ctx context.Context) error {
-		_, err := h.request(ctx, preemptPath, "task")
+	return performAct[duty.Preemption](ctx, h, func(ctx context.Context) error {
+		_, err := h.sendRequest(ctx, preemptPath, "task")
 		return err
 	})
 }
 
-// cleanUp writes a record that is named by the token.
+// cleanUp writes a record to the store whose key contains the token.
 func (h *holder) cleanUp(ctx context.Context) error {
-	key := factPrefix + strconv.FormatUint(uint64(h.lease.FirstToken()), 10)
+	key := cleanupPrefix + strconv.FormatUint(uint64(h.lease.FirstToken()), 10)
 	txn := duty.Txn{Writes: []duty.Write{{PutKey: key, Value: wire.Encode(time.Now().UnixNano())}}}
 	if !h.fenced {
 		_, err := h.store.Commit(ctx, store.ClassCritical, txn)
@@ -258,8 +261,8 @@
 	return err
 }
 
-// request sends one request to the cloud or the worker.
-func (h *holder) request(ctx context.Context, path, name string) (answer []string, err error) {
+// sendRequest sends one request to the cloud or the worker and returns the decoded response.
+func (h *holder) sendRequest(ctx context.Context, path, name string) (result []string, err error) {
 	body, err := json.Marshal(actRequest{name})
 	if err != nil {
 		return nil, err
@@ -269,10 +272,10 @@
 		return nil, err
 	}
 	request.Header.Set(tokenHeader, strconv.FormatUint(uint64(h.lease.Token()), 10))
-	response, err := h.http.Do(request)
+	response, err := h.httpClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	return answer, json.NewDecoder(response.Body).Decode(&answer)
+	return result, json.NewDecoder(response.Body).Decode(&result)
 }
--- a/duty/intents_test.go
+++ b/duty/intents_test.go
@@ -13,15 +13,15 @@
 	"lilaclead/internal/simulator"
 )
 
-// intentSizeLimit is the largest record of intents in these tests, in bytes.
-const intentSizeLimit = 200
+// maxIntentRecordBytes is the size limit for a record of intents in these tests.
+const maxIntentRecordBytes = 200
 
-// scaleInIntents returns the intents of a lease for a duty whose requests are names.
+// scaleInIntents returns the intents to scale in under a lease. Each intent is a name.
 func scaleInIntents(l *duty.Lease) *duty.Intents[duty.ScaleIn, string] {
-	return duty.NewIntents[duty.ScaleIn, string](l, intentSizeLimit)
+	return duty.NewIntents[duty.ScaleIn, string](l, maxIntentRecordBytes)
 }
 
-// load reads what is recorded.
+// load loads the record of the intents.
 func load(t *testing.T, intents *duty.Intents[duty.ScaleIn, string]) duty.IntentRecord[string] {
 	t.Helper()
 	record, err := intents.Load(t.Context())
@@ -31,10 +31,11 @@
 	return record
 }
 
-// newLoadedIntents returns a lease that is renewed, and its intents, ready to be recorded.
+// newLoadedIntents acquires a lease that is renewed until the test ends, and returns it with
+// its loaded intents.
 func newLoadedIntents(t *testing.T, sim *simulation) (*duty.Lease, *duty.Intents[duty.ScaleIn, string]) {
 	t.Helper()
-	lease := acquire(t, sim.candidate(0))
+	lease := acquire(t, sim.newCandidate(0))
 	renewInBackground(t, lease)
 	intents := scaleInIntents(lease)
 	load(t, intents)
@@ -44,7 +45,7 @@
 func TestIntentsAreRefusedUntilLoadedAndWhenTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		lease := acquire(t, sim.candidate(0))
+		lease := acquire(t, sim.newCandidate(0))
 		renewInBackground(t, lease)
 		intents := scaleInIntents(lease)
 		if err := intents.Record(t.Context(), []string{"early"}); !errors.Is(err, duty.ErrNoPermit) {
@@ -53,31 +54,32 @@
 		if record := load(t, intents); len(record.Open) > 0 {
 			t.Fatalf("open intents: got %v, want none", record.Open)
 		}
-		tooLarge := []string{strings.Repeat("x", intentSizeLimit)}
+		tooLarge := []string{strings.Repeat("x", maxIntentRecordBytes)}
 		if err := intents.Record(t.Context(), tooLarge); !errors.Is(err, duty.ErrIntentsTooLarge) {
 			t.Errorf("too large: got %v, want %v", err, duty.ErrIntentsTooLarge)
 		}
 	})
 }
 
-// Whatever becomes of the answers, exactly these intents are recorded, under the current
-// token. The cases run one after the other, in any order, with the same intents.
-func TestIntentsAreRecordedWhateverBecomesOfTheAnswers(t *testing.T) {
+// Record stores exactly the given intents under the current token, also if the store loses
+// requests or responses, or the token was raised. The cases share one Intents and run one
+// after the other, in any order.
+func TestRecordWritesTheIntentsDespiteLostRequestsAndResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
 		lease, intents := newLoadedIntents(t, sim)
-		for name, disturb := range map[string]func(){
-			"answered":              func() {},
-			"executed, answer lost": func() { sim.store.LoseAnswers(1) },
-			"request lost":          func() { sim.store.DropRequests(1) },
-			"three answers lost":    func() { sim.store.LoseAnswers(3) },
+		for name, injectFault := range map[string]func(){
+			"no fault":                func() {},
+			"executed, response lost": func() { sim.store.LoseAnswers(1) },
+			"request lost":            func() { sim.store.DropRequests(1) },
+			"three responses lost":    func() { sim.store.LoseAnswers(3) },
 			"token raised": func() {
 				if _, err := lease.RaiseToken(t.Context(), lease.Token()); err != nil {
 					t.Error(err)
 				}
 			},
 		} {
-			disturb()
+			injectFault()
 			want := []string{name}
 			if err := intents.Record(t.Context(), want); err != nil {
 				t.Errorf("%s: got %v, want nil", name, err)
@@ -93,17 +95,17 @@
 	})
 }
 
-func TestIntentsOfAnEarlierHolderAreRefused(t *testing.T) {
+func TestEarlierHolderCannotRecordIntents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		first := acquire(t, sim.candidate(0))
+		first := acquire(t, sim.newCandidate(0))
 		earlier := scaleInIntents(first)
 		load(t, earlier)
 		if err := earlier.Record(t.Context(), []string{"open"}); err != nil {
 			t.Fatal(err)
 		}
 		first.Resign(t.Context(), time.Now().Add(time.Minute))
-		successor := scaleInIntents(acquire(t, sim.candidate(1)))
+		successor := scaleInIntents(acquire(t, sim.newCandidate(1)))
 		if err := earlier.Record(t.Context(), nil); !errors.Is(err, duty.ErrNotHeld) {
 			t.Errorf("by the earlier holder: got %v, want %v", err, duty.ErrNotHeld)
 		}
@@ -118,13 +120,13 @@
 		sim := newSimulation(t)
 		key := duty.IntentKey("returning")
 		sim.store.Put(key, "not a record")
-		intents := scaleInIntents(acquire(t, sim.candidate(0)))
+		intents := scaleInIntents(acquire(t, sim.newCandidate(0)))
 		_, err := intents.Load(t.Context())
 		var undecodable *duty.UndecodableError
 		if !errors.As(err, &undecodable) || !errors.Is(err, duty.ErrUndecodable) || undecodable.Key != key {
 			t.Errorf("load: got %v, want an UndecodableError for %s", err, key)
 		}
-		if got := sim.recordedUndecodable(); !slices.Equal(got, []string{key}) {
+		if got := sim.recordedUndecodableKeys(); !slices.Equal(got, []string{key}) {
 			t.Errorf("undecodable keys: got %v, want [%s]", got, key)
 		}
 		if err := intents.Record(t.Context(), nil); err == nil {
@@ -133,9 +135,9 @@
 	})
 }
 
-// A write of intents without an answer is executed late, after a newer one: the newer one
-// stays.
-func TestLateWriteOfIntentsDoesNotUndoANewerOne(t *testing.T) {
+// A write of intents gets no response and is executed late, after a newer write. It fails
+// and leaves the newer record unchanged.
+func TestLateWriteDoesNotOverwriteNewerIntents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
 		_, intents := newLoadedIntents(t, sim)
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -214,11 +214,11 @@
 
 // Resign gives the lease up and keeps this process from acquiring it again until the given
 // time. No act is permitted from now on, even before the store revokes the grant, because a
-// successor may act right after that. If the store can't be reached the grant expires by
-// itself.
+// successor may act right after that.
 func (l *Lease) Resign(ctx context.Context, until time.Time) {
 	l.validFor.Store(validForResigned)
 	l.emit(LeaseResigned, "", "")
 	l.candidate.BackOffUntil(until)
-	go func() { _ = l.candidate.Store.RevokeGrant(context.WithoutCancel(ctx), l.acquisition.Grant) }() // if this fails, the grant expires by itself
+	// If this fails, the grant expires by itself.
+	go func() { _ = l.candidate.Store.RevokeGrant(context.WithoutCancel(ctx), l.acquisition.Grant) }()
 }
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -14,14 +14,14 @@
 	"lilaclead/internal/wire"
 )
 
-// A holder whose clock is as slow as its timing allows for stops before its grant expires,
-// and so does every context of its acts. The case that allows for no drift shows that the
-// test can fail.
+// A holder whose clock rate differs by no more than its timing allows for stops before its
+// grant expires, and so does the context of an act. In the case that allows for no drift it
+// stops too late, which shows that the test can fail.
 func TestHolderStopsBeforeItsGrantExpires(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		rate, drift float64
-		want        bool // it stops before
+		wantStopped bool // before the grant expires
 	}{
 		{"slow clock, drift allowed for", 0.93, 0.08, true},
 		{"fast clock, drift allowed for", 1.07, 0.08, true},
@@ -42,10 +42,10 @@
 				for len(sim.store.Keys(store.LeaderKey)) > 0 && act.Err() == nil {
 					time.Sleep(time.Millisecond)
 				}
-				if got := act.Err() != nil && !lease.Held(); got != c.want {
-					t.Errorf("clock at %v, drift %v: stopped before the grant expired: got %v, want %v", c.rate, c.drift, got, c.want)
+				if got := act.Err() != nil && !lease.Held(); got != c.wantStopped {
+					t.Errorf("clock at %v, drift %v: stopped before the grant expired: got %v, want %v", c.rate, c.drift, got, c.wantStopped)
 				}
-				if c.want && !errors.Is(context.Cause(act), duty.ErrNotHeld) {
+				if c.wantStopped && !errors.Is(context.Cause(act), duty.ErrNotHeld) {
 					t.Errorf("clock at %v, drift %v: context ended by %v, want %v", c.rate, c.drift, context.Cause(act), duty.ErrNotHeld)
 				}
 			})
@@ -53,29 +53,29 @@
 	}
 }
 
-// One process acquires the lease twice in quick succession. What it sent under the first
-// token fails, though the same process holds the lease.
+// One process acquires the lease twice in quick succession. A write that it sent under the
+// first token fails, though the same process holds the lease again.
 func TestWriteUnderFirstTokenFailsWhenSameProcessReacquires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		candidate := sim.candidate(0)
+		candidate := sim.newCandidate(0)
 		first := acquire(t, candidate)
 		permit, err := duty.PermitFor[duty.Cleanup](first)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sim.store.DelayTransactions(func(*wire.Txn) time.Duration { return 700 * time.Millisecond })
-		late := make(chan error, 1)
+		lateResult := make(chan error, 1)
 		go func() {
-			_, err := permit.Commit(t.Context(), store.ClassCritical, putFact)
-			late <- err
+			_, err := permit.Commit(t.Context(), store.ClassCritical, unguardedWrite)
+			lateResult <- err
 		}()
 		time.Sleep(10 * time.Millisecond)
 		sim.store.DelayTransactions(nil)
 		first.Resign(t.Context(), time.Now())
 		second := acquire(t, candidate)
 		var conflict *duty.ConflictError
-		if err := <-late; !errors.As(err, &conflict) || !conflict.HasKey(store.LeaderKey) {
+		if err := <-lateResult; !errors.As(err, &conflict) || !conflict.HasKey(store.LeaderKey) {
 			t.Errorf("sent under token %d with %d in force: got %v, want a conflict at %s", first.Token(), second.Token(), err, store.LeaderKey)
 		}
 		if first.Held() || !second.Held() {
@@ -87,20 +87,20 @@
 	})
 }
 
-// A lease record that can't be decoded belongs to somebody.
+// A lease counts as held if its record can't be decoded.
 func TestUndecodableLeaseIsNotTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
 		want := sim.store.Put(store.LeaderKey, "no holder")
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		if lease := sim.candidate(0).Campaign(ctx); lease != nil {
+		if lease := sim.newCandidate(0).Campaign(ctx); lease != nil {
 			t.Errorf("got lease %+v, want none", lease)
 		}
 		if got := sim.store.Revision(store.LeaderKey); got != want {
 			t.Errorf("revision of %s: got %d, want %d", store.LeaderKey, got, want)
 		}
-		if len(sim.recordedUndecodable()) == 0 {
+		if len(sim.recordedUndecodableKeys()) == 0 {
 			t.Errorf("undecodable keys: got none, want %s", store.LeaderKey)
 		}
 	})
@@ -109,7 +109,7 @@
 func TestOperationsOnALeaseEmitEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		lease := acquire(t, sim.candidate(0))
+		lease := acquire(t, sim.newCandidate(0))
 		permit, err := duty.PermitFor[duty.ScaleOut](lease)
 		if err != nil {
 			t.Fatal(err)
@@ -138,11 +138,11 @@
 	})
 }
 
-// The error names the lease, so that a caller with several knows which one it lost.
-func TestExpiredGrantIsReportedWithItsLease(t *testing.T) {
+// The error names the lease, so that a caller that holds several knows which one it lost.
+func TestKeepAliveNamesTheLeaseWhoseGrantExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		lease := acquire(t, sim.candidate(0))
+		lease := acquire(t, sim.newCandidate(0))
 		time.Sleep(2 * leaseTiming.TTL)
 		err := lease.KeepAlive(t.Context(), func(time.Time) { t.Error("renewed a grant that has expired") })
 		var failure *duty.LeaseError
@@ -161,15 +161,15 @@
 		prepare func(sim *simulation)
 		want    error
 	}{
-		{"nobody", func(sim *simulation) { sim.store.Delete(store.LeaderKey) }, duty.ErrNoHolder},
-		{"another process", func(sim *simulation) {
+		{"nobody holds the lease", func(sim *simulation) { sim.store.Delete(store.LeaderKey) }, duty.ErrNoHolder},
+		{"another process holds the lease", func(sim *simulation) {
 			sim.store.Put(store.LeaderKey, store.LeaderRecord{Node: nodeOn(1), Nonce: "another"})
 		}, duty.ErrHeldByOther},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sim := newSimulation(t)
-				lease := acquire(t, sim.candidate(0))
+				lease := acquire(t, sim.newCandidate(0))
 				c.prepare(sim)
 				if _, err := lease.RaiseToken(t.Context(), lease.Token()); !errors.Is(err, c.want) {
 					t.Errorf("got %v, want %v", err, c.want)
--- a/duty/permit_test.go
+++ b/duty/permit_test.go
@@ -12,10 +12,10 @@
 	"lilaclead/internal/wire"
 )
 
-// putFact is a transaction that depends on nothing.
-var putFact = duty.Txn{Writes: []duty.Write{{PutKey: "fact/x", Value: wire.Encode(1)}}}
+// unguardedWrite is a transaction without guards of its own.
+var unguardedWrite = duty.Txn{Writes: []duty.Write{{PutKey: "fact/x", Value: wire.Encode(1)}}}
 
-func TestZeroPermitRefusesEverything(t *testing.T) {
+func TestZeroPermitRefusesActsAndCommits(t *testing.T) {
 	var permit duty.Permit[duty.ScaleIn]
 	act := func(context.Context) error {
 		t.Error("an act was carried out without a permit")
@@ -24,7 +24,7 @@
 	if err := permit.Do(t.Context(), act); !errors.Is(err, duty.ErrNoPermit) {
 		t.Errorf("Do: got %v, want %v", err, duty.ErrNoPermit)
 	}
-	if _, err := permit.Commit(t.Context(), store.ClassCritical, putFact); !errors.Is(err, duty.ErrNoPermit) {
+	if _, err := permit.Commit(t.Context(), store.ClassCritical, unguardedWrite); !errors.Is(err, duty.ErrNoPermit) {
 		t.Errorf("Commit: got %v, want %v", err, duty.ErrNoPermit)
 	}
 	if got := permit.Token(); got != 0 {
@@ -32,28 +32,28 @@
 	}
 }
 
-// A permit is of use as long as its lease is held, and no longer, also for an act that is
-// under way.
+// A permit is valid only as long as its lease is held. When the lease is resigned, the
+// context of an act that is under way ends too.
 func TestPermitEndsWithItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
-		first := acquire(t, sim.candidate(0))
+		first := acquire(t, sim.newCandidate(0))
 		permit, err := duty.PermitFor[duty.Cleanup](first)
 		if err != nil || permit.Token() != first.Token() || permit.Name() != "cleanup" {
 			t.Fatalf("held: got permit %+v, error %v, want one for cleanup under token %d", permit, err, first.Token())
 		}
-		if _, err := permit.Commit(t.Context(), store.ClassCritical, putFact); err != nil {
+		if _, err := permit.Commit(t.Context(), store.ClassCritical, unguardedWrite); err != nil {
 			t.Errorf("held: got %v, want nil", err)
 		}
 		act, cancel := first.Context(t.Context())
 		defer cancel()
 
 		first.Resign(t.Context(), time.Now().Add(time.Minute))
-		second := acquire(t, sim.candidate(1))
+		second := acquire(t, sim.newCandidate(1))
 		if got := second.AcquiredAt().Sub(first.AcquiredAt()); got > time.Second || second.Token() <= first.Token() {
 			t.Errorf("after resigning: got token %d after %d, acquired %v later, want a higher one within 1 s", second.Token(), first.Token(), got)
 		}
-		if _, err := permit.Commit(t.Context(), store.ClassCritical, putFact); !errors.Is(err, duty.ErrNotHeld) {
+		if _, err := permit.Commit(t.Context(), store.ClassCritical, unguardedWrite); !errors.Is(err, duty.ErrNotHeld) {
 			t.Errorf("commit after resigning: got %v, want %v", err, duty.ErrNotHeld)
 		}
 		if _, err := duty.PermitFor[duty.ScaleOut](first); !errors.Is(err, duty.ErrNotHeld) {
--- a/duty/receivers_test.go
+++ b/duty/receivers_test.go
@@ -16,14 +16,15 @@
 
 const (
 	leaseKey = store.LeaderKey
-	// launching is no duty of the package: it stands for what a holder does with a machine
-	// that it believes to be its own.
-	launching duty.Name = "launching"
-	// factPrefix starts the keys that clean-up writes, which are named by the token under
-	// which it does.
-	factPrefix = "fact/"
-	// tokenHeader tells the fakes under which token a request was sent. They decide
-	// nothing by it unless the protocol has a token there.
+	// launchDuty is not a duty of the package. It marks an act by which a holder launches a
+	// task on a machine that it considers its own.
+	launchDuty duty.Name = "launching"
+	// cleanupPrefix starts the keys that a clean-up writes. The token under which it writes
+	// follows.
+	cleanupPrefix = "fact/"
+	// tokenHeader names the token under which a request was sent, for the record of the
+	// act. Only the workers check it: the real protocol has no token in requests to the
+	// cloud.
 	tokenHeader = "X-Token"
 )
 
@@ -41,51 +42,51 @@
 	Name string `json:"name"`
 }
 
-// act is something that a receiver was asked to do.
+// act is a change that a holder requested of a receiver.
 type act struct {
 	duty     duty.Name
 	token    duty.FencingToken
-	target   string // request to scale out, machine, task or key
+	target   string // name of a request to scale out, or a machine, task or key
 	accepted bool   // it changed something
 	at       time.Time
 }
 
-// receivers are the fakes that a holder acts upon: the store, a cloud that checks no
-// tokens, and a worker that does. One lock orders all that they do.
+// receivers are the fakes that receive a holder's requests: the store, a cloud that doesn't
+// check fencing tokens, and a worker that does. One lock orders all requests.
 type receivers struct {
 	store *simulator.KVStore
-	// workerChecksTokens is false in the control, where nothing is fenced.
+	// workerChecksTokens is false in the control test, where nothing is fenced.
 	workerChecksTokens bool
 
-	mu         sync.Mutex
-	acts       []act
-	scaledOut  map[string][]string // machines by the name of the request
-	machines   map[string]bool
-	launchedBy map[string]duty.FencingToken // who used a machine last
-	lastID     int
-	// workerToken is the highest that the worker has seen.
+	mu                sync.Mutex
+	acts              []act
+	machinesByRequest map[string][]string // machines by the name of the request to scale out
+	machines          map[string]bool
+	lastLaunchToken   map[string]duty.FencingToken // token of the last accepted launch, by machine
+	lastID            int
+	// workerToken is the highest token that the worker has seen.
 	workerToken duty.FencingToken
-	// facts are the revisions of the records that clean-up writes.
-	facts map[string]duty.Revision
-	tenureStart
+	// cleanupRevisions are the revisions of the records that clean-ups wrote, by key.
+	cleanupRevisions map[string]duty.Revision
+	acquisitionState
 }
 
-// tenureStart is what there was when the lease was acquired last.
-type tenureStart struct {
+// acquisitionState is the state of the receivers when the lease was last acquired.
+type acquisitionState struct {
 	holderToken   duty.FencingToken
-	actsBefore    int
+	actsBefore    int // acts that had arrived by then
 	openScaleOuts map[string]bool
 	openScaleIns  map[string]bool
 }
 
 func newReceivers(workerChecksTokens bool) *receivers {
 	return &receivers{
-		store:              simulator.NewKVStore(12, recordLimit>>10),
+		store:              simulator.NewKVStore(12, maxValueBytes>>10),
 		workerChecksTokens: workerChecksTokens,
-		scaledOut:          map[string][]string{},
+		machinesByRequest:  map[string][]string{},
 		machines:           map[string]bool{},
-		launchedBy:         map[string]duty.FencingToken{},
-		facts:              map[string]duty.Revision{},
+		lastLaunchToken:    map[string]duty.FencingToken{},
+		cleanupRevisions:   map[string]duty.Revision{},
 	}
 }
 
@@ -98,20 +99,22 @@
 	}
 }
 
-// serveStore passes a request on to the store and notices when the lease is acquired.
+// serveStore passes a request on to the store. If the lease's key has a new revision it
+// records the new holder's token and the state that this holder finds.
 func (r *receivers) serveStore(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.store.ServeHTTP(w, request)
 	r.recordCleanups()
 	if token := duty.FencingToken(r.store.Revision(leaseKey)); token > r.holderToken {
-		r.tenureStart = r.newTenureStart(token)
+		r.acquisitionState = r.newAcquisitionState(token)
 	}
 }
 
-// newTenureStart returns what there is now that the lease was acquired under a token.
-func (r *receivers) newTenureStart(token duty.FencingToken) tenureStart {
-	start := tenureStart{holderToken: token, actsBefore: len(r.acts), openScaleOuts: map[string]bool{}, openScaleIns: map[string]bool{}}
+// newAcquisitionState returns the present state, for a lease that was just acquired under
+// the token.
+func (r *receivers) newAcquisitionState(token duty.FencingToken) acquisitionState {
+	start := acquisitionState{holderToken: token, actsBefore: len(r.acts), openScaleOuts: map[string]bool{}, openScaleIns: map[string]bool{}}
 	var scaleOuts duty.IntentRecord[autoscaler.ScaleOutIntent]
 	decodeIntents(r.store.Value(duty.IntentKey("renting")), &scaleOuts)
 	for _, intent := range scaleOuts.Open {
@@ -125,16 +128,16 @@
 	return start
 }
 
-// recordCleanups adds an act for each record that clean-up has written. The caller holds
-// the lock.
+// recordCleanups adds an act for each record that a clean-up has written since the last
+// call. The caller holds the lock.
 func (r *receivers) recordCleanups() {
-	for _, key := range r.store.Keys(factPrefix) {
+	for _, key := range r.store.Keys(cleanupPrefix) {
 		revision := r.store.Revision(key)
-		if revision == r.facts[key] {
+		if revision == r.cleanupRevisions[key] {
 			continue
 		}
-		r.facts[key] = revision
-		token, _ := strconv.ParseUint(key[len(factPrefix):], 10, 64)
+		r.cleanupRevisions[key] = revision
+		token, _ := strconv.ParseUint(key[len(cleanupPrefix):], 10, 64)
 		r.acts = append(r.acts, act{duty: duty.Cleanup{}.Name(), token: duty.FencingToken(token), target: key, accepted: true, at: time.Now()})
 	}
 }
@@ -154,29 +157,29 @@
 	token, _ := strconv.ParseUint(request.Header.Get(tokenHeader), 10, 64)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	status, answer := r.execute(request.URL.Path, duty.FencingToken(token), body.Name)
+	status, result := r.execute(request.URL.Path, duty.FencingToken(token), body.Name)
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(answer) //nolint:errcheck // the client may have gone
+	json.NewEncoder(w).Encode(result) //nolint:errcheck // the client may have gone
 }
 
-// execute carries out what a path stands for, and records it as an act if it is one. The
-// caller holds the lock.
-func (r *receivers) execute(path string, token duty.FencingToken, target string) (status int, answer []string) {
+// execute carries out the request with this path and records it as an act, unless it only
+// lists machines. The caller holds the lock.
+func (r *receivers) execute(path string, token duty.FencingToken, target string) (status int, result []string) {
 	if path == listPath {
 		return http.StatusOK, r.listMachines()
 	}
 	a := act{token: token, target: target, at: time.Now()}
-	status, answer = http.StatusOK, []string{}
+	status, result = http.StatusOK, []string{}
 	switch path {
 	case scaleOutPath:
 		a.duty = duty.ScaleOut{}.Name()
-		answer, a.accepted = r.scaleOut(target)
+		result, a.accepted = r.scaleOut(target)
 	case scaleInPath:
 		a.duty = duty.ScaleIn{}.Name()
 		a.accepted = r.machines[target]
 		delete(r.machines, target)
 	case launchPath:
-		a.duty = launching
+		a.duty = launchDuty
 		a.accepted = r.launch(target, token)
 	case preemptPath:
 		a.duty = duty.Preemption{}.Name()
@@ -186,7 +189,7 @@
 		}
 	}
 	r.acts = append(r.acts, a)
-	return status, answer
+	return status, result
 }
 
 func (r *receivers) listMachines() []string {
@@ -197,9 +200,9 @@
 	return machines
 }
 
-// scaleOut adds two machines; a repeated request gets the same ones and adds none.
+// scaleOut adds two machines. A repeated request returns the same ones and adds none.
 func (r *receivers) scaleOut(name string) (machines []string, added bool) {
-	if known, ok := r.scaledOut[name]; ok {
+	if known, ok := r.machinesByRequest[name]; ok {
 		return known, false
 	}
 	for range 2 {
@@ -208,42 +211,43 @@
 		machines = append(machines, id)
 		r.machines[id] = true
 	}
-	r.scaledOut[name] = machines
+	r.machinesByRequest[name] = machines
 	return machines, true
 }
 
-// launch reports whether a machine takes a task: its worker checks tokens too.
+// launch launches a task on a machine and reports whether it was accepted. The machine's
+// worker checks tokens too.
 func (r *receivers) launch(machine string, token duty.FencingToken) bool {
-	accepted := r.machines[machine] && (!r.workerChecksTokens || token >= r.launchedBy[machine])
+	accepted := r.machines[machine] && (!r.workerChecksTokens || token >= r.lastLaunchToken[machine])
 	if accepted {
-		r.launchedBy[machine] = token
+		r.lastLaunchToken[machine] = token
 	}
 	return accepted
 }
 
-// preempt reports whether the worker stops a task.
+// preempt stops a task and reports whether the worker accepted that.
 func (r *receivers) preempt(token duty.FencingToken) bool {
 	accepted := !r.workerChecksTokens || token >= r.workerToken
 	r.workerToken = max(r.workerToken, token)
 	return accepted
 }
 
-// lateActs are those of earlier holders that arrived after the last one had acquired the
-// lease.
+// lateActs are the acts of earlier holders that arrived after the last holder had acquired
+// the lease.
 type lateActs struct {
 	arrived int
-	// completed are accepted ones that carried out an intent which the successor found
-	// open.
+	// completed counts the accepted acts that carried out an intent which the successor
+	// found open.
 	completed int
-	// beforeSuccessor are those that a worker accepted before the successor had acted on
-	// it, as the worker can't know of it yet.
+	// beforeSuccessor counts the acts that a worker accepted before the successor's first
+	// request to it. Until then the worker can't know the successor's token.
 	beforeSuccessor int
-	// stale are all other accepted ones.
+	// stale are all other accepted acts: the ones that fencing has to prevent.
 	stale []act
 }
 
-// lateActs classifies the late acts so far.
-func (r *receivers) lateActs() lateActs {
+// classifyLateActs classifies the acts that have arrived late so far.
+func (r *receivers) classifyLateActs() lateActs {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var late lateActs
@@ -267,50 +271,50 @@
 	return late
 }
 
-// completesIntent reports whether a late act is one that the successor found open. A
-// machine that the successor uses is none of these.
+// completesIntent reports whether a late act carried out an intent that the successor found
+// open. It isn't one if it returns a machine on which the successor has launched a task.
 func (r *receivers) completesIntent(a act) bool {
 	switch a.duty {
 	case duty.ScaleOut{}.Name():
 		return r.openScaleOuts[a.target]
 	case duty.ScaleIn{}.Name():
-		return r.openScaleIns[a.target] && r.launchedBy[a.target] != r.holderToken
+		return r.openScaleIns[a.target] && r.lastLaunchToken[a.target] != r.holderToken
 	}
 	return false
 }
 
-// precedesSuccessor reports whether a late act came to a worker that the successor had not
-// reached yet.
+// precedesSuccessor reports whether a late act reached a worker before the successor's first
+// request to that worker.
 func (r *receivers) precedesSuccessor(a act, workerKnowsSuccessor bool) bool {
 	switch a.duty {
 	case duty.Preemption{}.Name():
 		return !workerKnowsSuccessor
-	case launching:
-		return r.launchedBy[a.target] != r.holderToken
+	case launchDuty:
+		return r.lastLaunchToken[a.target] != r.holderToken
 	}
 	return false
 }
 
-// firstActAfter returns when the last holder acted first after a time.
-func (r *receivers) firstActAfter(t time.Time) (at time.Time, found bool) {
+// firstActAfter returns the time of the last holder's first act after the given time.
+func (r *receivers) firstActAfter(after time.Time) (at time.Time, found bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range r.acts {
-		if a.token == r.holderToken && a.at.After(t) {
+		if a.token == r.holderToken && a.at.After(after) {
 			return a.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// currentToken returns the token of the last holder.
+// currentToken returns the token under which the lease was last acquired.
 func (r *receivers) currentToken() duty.FencingToken {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.holderToken
 }
 
-// countActs returns how many acts the receivers were asked for.
+// countActs returns how many acts have arrived at the receivers.
 func (r *receivers) countActs() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/duty/simulation_test.go
+++ b/duty/simulation_test.go
@@ -12,19 +12,19 @@
 	"lilaclead/internal/store"
 )
 
-// simulation is a simulated key-value store in virtual time, and what the processes that
-// use it have reported.
+// simulation is a simulated key-value store in virtual time, with the events and undecodable
+// keys that its candidates have reported.
 type simulation struct {
 	network *simulator.Network
 	store   *simulator.KVStore
 
-	mu              sync.Mutex // processes report from goroutines of their own
+	mu              sync.Mutex // candidates report from several goroutines
 	events          []duty.Event
 	undecodableKeys []string
 }
 
-// newSimulation serves a simulated store until the test ends. It must be called in the
-// bubble of synctest.Test.
+// newSimulation serves a simulated store until the test ends. It must be called inside
+// synctest.Test.
 func newSimulation(t *testing.T) *simulation {
 	t.Helper()
 	s := &simulation{network: simulator.NewNetwork(time.Millisecond), store: simulator.NewKVStore(12, 16)}
@@ -36,7 +36,8 @@
 	return s
 }
 
-// leaseTiming is a lease of three seconds, with no margin beyond the clocks' drift.
+// leaseTiming is the timing of a lease whose holder stops early by the clock drift alone:
+// it has no margin.
 var leaseTiming = duty.Timing{
 	TTL:          3 * time.Second,
 	RenewEvery:   700 * time.Millisecond,
@@ -45,7 +46,7 @@
 	Drift:        0.02,
 }
 
-// options returns those of a candidate on the host of that number.
+// options returns the options of a candidate on the host with this number.
 func (s *simulation) options(host int) duty.Options {
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	return duty.Options{
@@ -58,11 +59,13 @@
 	}
 }
 
-// nodeOn returns the name of the node on the host of that number.
+// nodeOn returns the name of the node on the host with this number.
 func nodeOn(host int) duty.NodeID { return duty.NodeID(rune('a' + host)) }
 
-// candidate returns a process on the host of that number.
-func (s *simulation) candidate(host int) *duty.Candidate { return duty.NewCandidate(s.options(host)) }
+// newCandidate returns a candidate on the host with this number, as a new process of it.
+func (s *simulation) newCandidate(host int) *duty.Candidate {
+	return duty.NewCandidate(s.options(host))
+}
 
 func (s *simulation) recordEvent(e duty.Event) {
 	s.mu.Lock()
@@ -76,15 +79,13 @@
 	s.undecodableKeys = append(s.undecodableKeys, key)
 }
 
-// recordedEvents returns the events so far.
 func (s *simulation) recordedEvents() []duty.Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.events)
 }
 
-// recordedUndecodable returns the keys of the undecodable records so far.
-func (s *simulation) recordedUndecodable() []string {
+func (s *simulation) recordedUndecodableKeys() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.undecodableKeys)
@@ -106,10 +107,10 @@
 	go l.KeepAlive(t.Context(), func(time.Time) {}) //nolint:errcheck // the test asks the lease itself
 }
 
-// skewedClock runs at another rate than the store's.
+// skewedClock differs in its rate from the store's clock.
 type skewedClock struct {
 	start time.Time
-	rate  float64
+	rate  float64 // seconds of this clock for each second of the store's
 }
 
 func (c skewedClock) Now() time.Time {
--- a/duty/timing_test.go
+++ b/duty/timing_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestInvalidTimingNamesEveryField(t *testing.T) {
+func TestValidateNamesEveryInvalidField(t *testing.T) {
 	timing := duty.Timing{TTL: time.Second, RenewEvery: 2 * time.Second, Drift: 1.5}
 	err := timing.Validate()
 	for _, field := range []string{"RenewTimeout", "Poll", "Drift", "TTL"} {
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestSafeTTLLeavesMarginAndDrift(t *testing.T) {
+func TestSafeTTLSubtractsMarginAndDrift(t *testing.T) {
 	timing := duty.Timing{TTL: 10 * time.Second, Margin: time.Second, Drift: 0.1}
 	if got, want := timing.SafeTTL(), 8*time.Second; got != want {
 		t.Errorf("%+v: got %v, want %v", timing, got, want)
