--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -145,7 +145,7 @@
 
 // removeLeaseOfEarlierProcess deletes the lease's key, which an earlier process of this
 // node wrote, and reports whether that succeeded. The earlier process has ended, since a
-// host runs one process. Its writes that arrive late fail once the key is deleted.
+// host runs one process. Its late writes fail once the key is deleted.
 func (c *Candidate) removeLeaseOfEarlierProcess(ctx context.Context, revision Revision) bool {
 	c.Log.Info("lease removal requested", "reason", "held by an earlier process of this node", "token", revision)
 	_, err := c.Store.Commit(ctx, store.ClassCritical, Txn{
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -26,8 +26,8 @@
 	ValidUntil time.Time    // until when it is certainly held unless it is renewed
 }
 
-// Lease is the holder's view of a lease that it has acquired. Held may be called from any
-// goroutine.
+// Lease is the holder's view of a lease that it has acquired. Held and Token may be
+// called from any goroutine.
 type Lease struct {
 	// candidate is nil for a lease that is only checked against the system's clock. Such a
 	// lease emits no events, and no operation that uses the store may be called on it.
@@ -197,7 +197,7 @@
 	if err == nil {
 		return FencingToken(revision), nil
 	}
-	// This attempt, or an earlier one without an answer, may have been executed after all.
+	// This attempt, or an earlier one without a response, may have been executed after all.
 	// Then the key still holds this process's record, with a new revision.
 	entry, err := c.Store.Get(ctx, store.ClassCritical, c.Key)
 	var record store.LeaderRecord
@@ -214,7 +214,8 @@
 
 // Resign gives the lease up and keeps this process from acquiring it again until the given
 // time. No act is permitted from now on, even before the store revokes the grant, because a
-// successor may act right after that.
+// successor may act right after that. If the store can't be reached the grant expires by
+// itself.
 func (l *Lease) Resign(ctx context.Context, until time.Time) {
 	l.validFor.Store(validForResigned)
 	l.emit(LeaseResigned, "", "")
