--- a/internal/leader/progress/batch.go
+++ b/internal/leader/progress/batch.go
@@ -9,44 +9,46 @@
 )
 
 const (
-	// maxTxnBytes keeps a transaction below the store's limit of 64 KiB, with room for
-	// its guards.
+	// maxTxnBytes bounds the values of a transaction. It leaves room for the guards below
+	// the store's limit of 64 KiB for a transaction.
 	maxTxnBytes = 48 << 10
-	// guardsPerOp is how many guards the store accepts for each operation that it allows.
+	// guardsPerOp is how many guards the store accepts for each write that it accepts in a
+	// transaction.
 	guardsPerOp = 4
-	// guardsPerWrite is how many guards one write needs at most.
-	guardsPerWrite = 2
-	// finalRecordBytes is the size of a job's final record, at most.
-	finalRecordBytes = 200
-	// archiveWrites is how many writes replace a job's record by its final record.
+	// maxGuardsPerWrite is the most guards that one write needs.
+	maxGuardsPerWrite = 2
+	// maxFinalRecordBytes bounds the size of a job's final record.
+	maxFinalRecordBytes = 200
+	// archiveWrites is how many writes replace a job's record with its final record.
 	archiveWrites = 2
 )
 
-// batch is one transaction, with what it changes in the model when it is committed.
+// batch is one transaction, with the chunks, launches and jobs whose state in the model
+// depends on its outcome.
 type batch struct {
 	txn wire.Txn
-	// urgent means that it starts or ends something.
+	// urgent means that it launches tasks, archives jobs or holds overdue routine writes.
 	urgent   bool
 	chunks   []*cluster.Chunk
-	launches []*cluster.Attempt // may be sent once it is committed
-	archived []*cluster.Job     // replaced by their final records
-	orphans  []wire.Guard       // deleted records of jobs that were archived before
-	// leftovers are the records of its archived jobs that it has no room to delete. They
-	// become orphans when it is committed.
+	launches []*cluster.Attempt // sent once the transaction is committed
+	archived []*cluster.Job     // their records are replaced with final records
+	orphans  []wire.Guard       // on the orphans that it deletes; see Writer.Orphans
+	// leftovers are guards on the records of its archived jobs that it has no room to
+	// delete. They become orphans when it is committed.
 	leftovers []wire.Guard
 
-	maxOps       int
-	singleRecord bool // it may hold one record only
-	bytes        int  // of its values
-	largestValue int  // in bytes
+	maxOps            int  // the most writes that it may hold
+	singleRecord      bool // it may hold only one record
+	totalValueBytes   int
+	largestValueBytes int
 }
 
-// newBatch returns an empty transaction that is committed only while the leader's key has
-// the token.
+// newBatch returns an empty transaction. Its guard on the leader's key lets it be committed
+// only while the token is that key's revision.
 func newBatch(token wire.FencingToken, maxOps int, singleRecord bool) *batch {
-	leads := wire.Guard{Key: store.LeaderKey, Revision: wire.Revision(token)}
+	leaderGuard := wire.Guard{Key: store.LeaderKey, Revision: wire.Revision(token)}
 	return &batch{
-		txn:          wire.Txn{Guards: []wire.Guard{leads}},
+		txn:          wire.Txn{Guards: []wire.Guard{leaderGuard}},
 		maxOps:       maxOps,
 		singleRecord: singleRecord,
 	}
@@ -60,24 +62,25 @@
 	return store.ClassBackground
 }
 
-// isEmpty reports whether the transaction writes nothing.
 func (b *batch) isEmpty() bool { return len(b.txn.Writes) == 0 }
 
-// hasRoom reports whether so many writes with values of so many bytes in all can be added.
-func (b *batch) hasRoom(writes, bytes int) bool {
-	if b.singleRecord && b.records() > 0 {
+// hasRoom reports whether the given number of writes, whose values have the given number of
+// bytes in total, can be added.
+func (b *batch) hasRoom(writes, valueBytes int) bool {
+	if b.singleRecord && b.recordCount() > 0 {
 		return false
 	}
 	ops := len(b.txn.Writes) + writes
-	guards := len(b.txn.Guards) + guardsPerWrite*writes
-	return ops <= b.maxOps && guards <= guardsPerOp*b.maxOps && b.bytes+bytes <= maxTxnBytes
+	guards := len(b.txn.Guards) + maxGuardsPerWrite*writes
+	return ops <= b.maxOps && guards <= guardsPerOp*b.maxOps && b.totalValueBytes+valueBytes <= maxTxnBytes
 }
 
-// records returns how many of its records could be written in transactions of their own.
-func (b *batch) records() int { return len(b.chunks) + len(b.archived) + len(b.orphans) }
+// recordCount returns the number of records that could each be written in a transaction of
+// their own.
+func (b *batch) recordCount() int { return len(b.chunks) + len(b.archived) + len(b.orphans) }
 
-// keys returns the keys that the transaction writes, for the log.
-func (b *batch) keys() []string {
+// writtenKeys returns the keys that the transaction puts or deletes, for the log.
+func (b *batch) writtenKeys() []string {
 	var keys []string
 	for _, w := range b.txn.Writes {
 		keys = append(keys, w.PutKey+w.DeleteKey)
@@ -85,12 +88,11 @@
 	return keys
 }
 
-// changes reports whether the transaction writes the key.
-func (b *batch) changes(key string) bool {
+// writesKey reports whether the transaction puts or deletes the key.
+func (b *batch) writesKey(key string) bool {
 	return slices.ContainsFunc(b.txn.Writes, func(w wire.Write) bool { return w.PutKey == key || w.DeleteKey == key })
 }
 
-// hasGuard reports whether the transaction has a guard on the key.
 func (b *batch) hasGuard(key string) bool {
 	return slices.ContainsFunc(b.txn.Guards, func(g wire.Guard) bool { return g.Key == key })
 }
@@ -100,29 +102,30 @@
 	b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Revision: revision})
 }
 
-// putChunk writes a chunk's record.
+// putChunk adds the write of a chunk's record.
 func (b *batch) putChunk(c *cluster.Chunk, record *store.ChunkRecord) {
 	size := record.JSONSize()
-	b.bytes += size
-	b.largestValue = max(b.largestValue, size)
+	b.totalValueBytes += size
+	b.largestValueBytes = max(b.largestValueBytes, size)
 	b.addGuard(c.Key(), c.Revision)
 	b.txn.Writes = append(b.txn.Writes, wire.Write{PutKey: c.Key(), Value: wire.Encode(record)})
 	b.chunks = append(b.chunks, c)
 }
 
-// deleteRecord deletes the record that a guard names.
+// deleteRecord adds the deletion of the record that a guard is on.
 func (b *batch) deleteRecord(g wire.Guard) {
 	b.txn.Guards = append(b.txn.Guards, g)
 	b.txn.Writes = append(b.txn.Writes, wire.Write{DeleteKey: g.Key})
 }
 
-// archive replaces a job that is over by its final record, unless the transaction has no
-// room for it or a chunk of the job is being written. Chunks that have no room are deleted
-// later, as orphans, but not before the transaction is committed: a job that is cancelled
-// meanwhile is archived by another transaction, whose guards on chunks that are gone would
-// fail forever.
+// archive replaces a finished job's record with its final record, unless the transaction has
+// no room for it or a chunk of the job is being written. It deletes as many of the job's
+// chunks as it has room for. The others are deleted later, as orphans, but not before this
+// transaction is committed: if it fails because the job is cancelled meanwhile, another
+// transaction archives the job, and its guards on chunks that no longer exist would fail
+// forever.
 func (b *batch) archive(j *cluster.Job) {
-	if anyWriteInFlight(j) || !b.hasRoom(archiveWrites, finalRecordBytes) {
+	if anyWriteInFlight(j) || !b.hasRoom(archiveWrites, maxFinalRecordBytes) {
 		return
 	}
 	id := j.Spec.ID
@@ -143,18 +146,18 @@
 	b.archived = append(b.archived, j)
 }
 
-// anyWriteInFlight reports whether a chunk of the job is being written.
 func anyWriteInFlight(j *cluster.Job) bool {
 	return slices.ContainsFunc(j.Chunks, func(c *cluster.Chunk) bool { return c != nil && c.WriteInFlight })
 }
 
-// outcomeGuard returns a guard on one of the keys that the transaction writes. All its
-// writes are committed or none is, so that the key's revision shows which.
+// outcomeGuard returns a guard on one of the keys that the transaction writes. The writes of
+// a transaction are committed together or not at all, so the current revision of that one
+// key shows whether the transaction was committed.
 func (b *batch) outcomeGuard() wire.Guard {
 	guards := b.txn.Guards
 	outcome := guards[len(guards)-1]
-	for _, g := range guards[1:] { // the first one is on the leader's key
-		if b.changes(g.Key) {
+	for _, g := range guards[1:] { // the first guard is on the leader's key
+		if b.writesKey(g.Key) {
 			outcome = g
 		}
 	}
--- a/internal/leader/progress/batch_test.go
+++ b/internal/leader/progress/batch_test.go
@@ -9,8 +9,8 @@
 	"lilaclead/internal/wire"
 )
 
-// newStoredJob returns a finished job of so many tasks, each in a chunk of its own that is
-// stored.
+// newStoredJob returns a job with the given number of stored chunks, each of one task that is
+// done.
 func newStoredJob(id wire.JobID, chunks int) *cluster.Job {
 	spec := wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: chunks, CPUs: 1}
 	j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now()), TasksPerChunk: 1}, 9)
@@ -23,7 +23,7 @@
 	return j
 }
 
-func TestArchiveDeletesTheChunksThatHaveRoom(t *testing.T) {
+func TestArchiveDeletesAsManyChunksAsFitInTheTransaction(t *testing.T) {
 	cases := []struct {
 		name          string
 		maxOps        int
@@ -32,8 +32,8 @@
 		wantWrites    int
 		wantLeftovers int
 	}{
-		{"all have room", 12, 3, false, archiveWrites + 3, 0},
-		{"some have room", 4, 3, false, archiveWrites + 2, 1},
+		{"all chunks have room", 12, 3, false, archiveWrites + 3, 0},
+		{"some chunks have room", 4, 3, false, archiveWrites + 2, 1},
 		{"no room for the final record", 1, 3, false, 0, 0},
 		{"a chunk is being written", 12, 3, true, 0, 0},
 	}
@@ -53,18 +53,18 @@
 	}
 }
 
-func TestOutcomeGuardIsOnAWrittenKey(t *testing.T) {
+func TestOutcomeGuardIsOnAKeyThatTheTransactionWrites(t *testing.T) {
 	j := newStoredJob("req-1", 1)
 	b := newBatch(testToken, 12, false)
 	record := j.Chunk(0).Record()
 	b.putChunk(j.Chunk(0), &record)
-	b.addGuard(store.JobKey("req-1"), j.Revision) // guards the launch, is not written
+	b.addGuard(store.JobKey("req-1"), j.Revision) // guards the launch; the key is not written
 	if got, want := b.outcomeGuard(), (wire.Guard{Key: store.ChunkKey("req-1", 0), Revision: 10}); got != want {
 		t.Errorf("outcome guard: got %+v, want %+v", got, want)
 	}
 }
 
-func TestSingleRecordBatchTakesOneRecord(t *testing.T) {
+func TestSingleRecordBatchHasRoomForOneRecordOnly(t *testing.T) {
 	b := newBatch(testToken, 12, true)
 	if !b.hasRoom(1, 0) {
 		t.Error("room in an empty batch: got false, want true")
--- a/internal/leader/progress/committer.go
+++ b/internal/leader/progress/committer.go
@@ -15,8 +15,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Committer has the Writer's transactions executed, applies their outcomes to the model
-// and raises the fencing token.
+// Committer sends the Writer's transactions to the key-value store, applies their outcomes
+// to the model and raises the fencing token.
 type Committer struct {
 	*core.Loop
 	State      *cluster.State
@@ -26,8 +26,8 @@
 	Dispatcher *agents.Dispatcher
 }
 
-// Flush sends the next transaction, or raises the token if that was requested, unless
-// either is in flight.
+// Flush sends the next transaction, or raises the token if that was requested. It does
+// nothing while a transaction or a raise is in flight.
 func (co *Committer) Flush(now time.Time) {
 	if co.Fencing.Raising || !co.Writer.ready(now) {
 		return
@@ -74,8 +74,9 @@
 	co.sendStoredLaunches(b.launches)
 }
 
-// removeArchivedJob removes a job from the model. Its ID is kept for late events, unless
-// the last of them, the deletion of its record, has come.
+// removeArchivedJob removes a job from the model. It remembers the job's ID, so that late
+// events about the job are ignored, unless the last of them has already arrived: the
+// deletion of the job's record.
 func (co *Committer) removeArchivedJob(j *cluster.Job) {
 	id := j.Spec.ID
 	co.Log.Info("job finished", "job", id, "status", j.FinalStatus(), "duration", time.Since(j.AcceptedAt))
@@ -86,15 +87,15 @@
 	}
 }
 
-// onConflict handles a transaction of which guards failed. It ends the term if another
-// process has written what only the leader writes.
+// onConflict handles a transaction whose guards failed. It ends the term if another process
+// has written a key that only the leader writes.
 func (co *Committer) onConflict(b *batch, conflict *store.ConflictError) {
 	if conflict.HasKey(store.LeaderKey) {
 		co.End(election.ErrHeldByOther.Error())
 		return
 	}
-	deleted := func(orphan wire.Guard) bool { return conflict.HasKey(orphan.Key) }
-	b.orphans = slices.DeleteFunc(b.orphans, deleted)
+	alreadyDeleted := func(orphan wire.Guard) bool { return conflict.HasKey(orphan.Key) }
+	b.orphans = slices.DeleteFunc(b.orphans, alreadyDeleted)
 	co.revert(b)
 	for _, j := range co.State.Jobs {
 		if conflict.HasKey(store.JobKey(j.Spec.ID)) {
@@ -108,25 +109,28 @@
 	}
 }
 
-// onOutcomeUnknown handles a transaction without an answer. It may yet be executed, minutes
-// from now. A higher token ends that; then a read shows whether it was executed.
+// onOutcomeUnknown handles a transaction without a response. The store may still execute it,
+// even minutes later. Raising the token rules that out; a read then shows whether the
+// transaction was executed before.
 func (co *Committer) onOutcomeUnknown(b *batch) {
 	co.Log.Info("write outcome unknown", "writes", len(b.txn.Writes))
 	co.Writer.awaitOutcome()
 	co.raiseToken(b)
 }
 
-// onRejected handles a transaction that the store rejected as invalid.
+// onRejected handles a transaction that the store rejected as invalid. If a single record is
+// to blame, it withdraws the starts in that record.
 func (co *Committer) onRejected(b *batch, now time.Time) {
 	co.revert(b)
 	if co.Writer.onRejected(b, now) {
-		co.withdrawStarts(b, now)
+		co.withdrawUnstoredAttempts(b, now)
 	}
 }
 
-// withdrawStarts withdraws the starts in chunks that are not written for a while: other
-// jobs can use their room meanwhile.
-func (co *Committer) withdrawStarts(b *batch, now time.Time) {
+// withdrawUnstoredAttempts ends the unstored attempts in the chunks of a rejected
+// transaction. These chunks are not written for rejectedRecordPause, and other jobs can use
+// the attempts' resources meanwhile.
+func (co *Committer) withdrawUnstoredAttempts(b *batch, now time.Time) {
 	for _, c := range b.chunks {
 		for _, a := range c.Attempts {
 			if a.Unstored {
@@ -137,8 +141,8 @@
 	}
 }
 
-// revert marks everything in a transaction that was not executed as still to be written,
-// and ends its launches that were stopped meanwhile.
+// revert marks everything in a transaction that was not executed as still to be written. It
+// ends the attempts among its launches that are to be stopped.
 func (co *Committer) revert(b *batch) {
 	co.Writer.revert(b)
 	for _, a := range b.launches {
@@ -151,7 +155,8 @@
 // isCurrent reports whether the attempt is still its task's active attempt.
 func isCurrent(a *cluster.Attempt) bool { return a.Chunk.Attempts[a.Index] == a }
 
-// Reread reads a job's record again after a guard on it failed.
+// Reread reads a job's record again after a guard on it failed, and posts a
+// JobRecordReread.
 func (co *Committer) Reread(j *cluster.Job) {
 	j.RecordOutdated = true
 	id := j.Spec.ID
--- a/internal/leader/progress/events.go
+++ b/internal/leader/progress/events.go
@@ -5,36 +5,38 @@
 	"lilaclead/internal/wire"
 )
 
-// TxnAnswered is an event: the key-value store has answered a transaction, or has not.
+// TxnAnswered is an event: the request to commit a transaction has ended, with or without a
+// response from the key-value store.
 type TxnAnswered struct {
 	batch    *batch
-	revision wire.Revision // if it was committed
+	revision wire.Revision // at which it was committed; only if err is nil
 	err      error
 }
 
-// TokenRaised is an event: the term has taken a higher fencing token.
+// TokenRaised is an event: the term has acquired a higher fencing token.
 type TokenRaised struct {
 	token wire.FencingToken
-	// unresolved is the transaction whose outcome is to be read now, nil if there is none.
+	// unresolved is the transaction whose outcome is unknown and must be read now, nil if
+	// there is none.
 	unresolved *batch
 }
 
-// TxnOutcomeRead is an event: the key that shows whether an unanswered transaction was
-// committed has been read.
+// TxnOutcomeRead is an event: a key that a transaction without a response writes has been
+// read. Its revision shows whether the transaction was committed.
 type TxnOutcomeRead struct {
 	batch *batch
-	// guard is the transaction's guard on the key.
+	// guard is the transaction's guard on the key, with the revision from before the write.
 	guard wire.Guard
-	// revision is the key's current revision, 0 if there is no such key.
+	// revision is the key's current revision, 0 if the key does not exist.
 	revision wire.Revision
 }
 
-// JobRecordReread is an event: a job's record was read again, or could not be.
+// JobRecordReread is an event: the request to read a job's record again has ended.
 type JobRecordReread struct {
 	Job   *cluster.Job
 	Entry wire.Entry
 	Err   error
 }
 
-// RereadDue is an event: a job's record must be read once more.
+// RereadDue is an event: a read of a job's record failed and must be retried now.
 type RereadDue struct{ Job *cluster.Job }
--- a/internal/leader/progress/launches.go
+++ b/internal/leader/progress/launches.go
@@ -2,8 +2,8 @@
 
 import "lilaclead/internal/leader/cluster"
 
-// sendStoredLaunches sends the launches that have just been stored. A gang's launches are
-// sent when the last of them is stored.
+// sendStoredLaunches marks launches as stored and has them sent. A gang's launches are sent
+// once the last of them is stored. Launches that have become obsolete are ended instead.
 func (co *Committer) sendStoredLaunches(launches []*cluster.Attempt) {
 	targets := map[*cluster.Machine]bool{}
 	for _, a := range launches {
@@ -12,7 +12,7 @@
 		}
 		a.MarkStored()
 		if co.obsolete(a) {
-			// No leader has sent it, so there is nothing to stop.
+			// No leader has sent the launch, so there is nothing to stop on the machine.
 			co.State.EndAttempt(a, cluster.TaskPending)
 			continue
 		}
@@ -28,13 +28,14 @@
 	}
 }
 
-// obsolete reports whether an attempt must not be launched any more.
+// obsolete reports whether an attempt must no longer be launched.
 func (co *Committer) obsolete(a *cluster.Attempt) bool {
 	stopped := a.Stopping || a.Job.Cancelled
 	return stopped || !co.acceptsLaunches(a.Machine)
 }
 
-// acceptsLaunches reports whether a machine exists and is not to be emptied.
+// acceptsLaunches reports whether a machine still exists and is neither draining nor being
+// scaled in.
 func (co *Committer) acceptsLaunches(m *cluster.Machine) bool {
 	leaving := m.DrainReason != "" || m.ScalingIn
 	return !leaving && co.State.Machines[m.ID] == m
--- a/internal/leader/progress/reader.go
+++ b/internal/leader/progress/reader.go
@@ -14,14 +14,14 @@
 	undecodable *undecodable.Log
 }
 
-// NewReader returns a reader into a state. It passes the records that archived jobs have
-// left to the writer, which deletes them.
+// NewReader returns a reader that restores progress into the state. It passes the records
+// that archived jobs have left behind to the writer, which deletes them.
 func NewReader(state *cluster.State, writer *Writer, log *undecodable.Log) *Reader {
 	return &Reader{state: state, writer: writer, undecodable: log}
 }
 
-// ReadAll restores the progress of all jobs: chunks first, and then the sub-chunks, each
-// of which replaces a part of one.
+// ReadAll restores the progress of all jobs. It reads the chunks first and then the
+// sub-chunks, because each sub-chunk replaces a part of a chunk.
 func (r *Reader) ReadAll(progress []wire.Entry) {
 	var subchunks []wire.Entry
 	for _, e := range progress {
@@ -37,7 +37,8 @@
 	}
 }
 
-// readChunkEntry restores the chunk of a job with an index.
+// readChunkEntry restores the chunk with the given index of a job. It ignores the chunks of
+// a quarantined job that is not in the model.
 func (r *Reader) readChunkEntry(e wire.Entry, id wire.JobID, index int) {
 	j := r.state.Jobs[id]
 	if j == nil && r.state.IsQuarantined(id) {
@@ -50,15 +51,16 @@
 	var record store.ChunkRecord
 	if err := wire.Decode(e.Value, &record); err != nil {
 		r.quarantine(e.Key, id, err)
-		// It is deleted with the job's record, once the job is cancelled.
+		// With its revision known, the record is deleted together with the job's record once
+		// the job is cancelled.
 		j.Chunk(index).Revision = e.Revision
 		return
 	}
 	r.ReadChunk(j.Chunk(index), e.Revision, &record)
 }
 
-// readSubchunkEntry restores a sub-chunk, which replaces its part of a chunk that was read
-// before.
+// readSubchunkEntry restores a sub-chunk, which replaces the same tasks of a chunk that was
+// read before. The first sub-chunk of a job splits the job's chunks.
 func (r *Reader) readSubchunkEntry(e wire.Entry) {
 	id, chunk, subchunk, ok := store.ParseSubchunkKey(e.Key)
 	j := r.state.Jobs[id]
@@ -86,25 +88,26 @@
 		r.discard(e)
 		return
 	}
-	// Sub-chunks are written only under a lowered limit.
+	// Sub-chunks exist only if an earlier leader found that the limit was lowered.
 	r.writer.ValueLimitLowered = true
 	c := j.Chunk(index)
 	c.Reset()
 	r.ReadChunk(c, e.Revision, &record)
 }
 
-// discard has a record deleted that is left from an archived job.
+// discard has the writer delete a record that an archived job has left behind.
 func (r *Reader) discard(e wire.Entry) {
 	r.writer.AddOrphan(wire.Guard{Key: e.Key, Revision: e.Revision})
 }
 
-// quarantine quarantines a job with a record that can't be decoded.
+// quarantine quarantines a job one of whose records can't be decoded.
 func (r *Reader) quarantine(key string, id wire.JobID, err error) {
 	r.undecodable.LogOnce(key, err)
 	r.state.Quarantine(key, id)
 }
 
-// ReadChunk restores a chunk from its record.
+// ReadChunk restores a chunk from its record. It ignores active attempts of tasks that the
+// chunk does not have or that are not pending.
 func (r *Reader) ReadChunk(c *cluster.Chunk, revision wire.Revision, record *store.ChunkRecord) {
 	c.Revision, c.NextAttempt = revision, record.NextAttempt
 	r.restoreDone(c, record)
@@ -116,7 +119,7 @@
 	}
 }
 
-// restoreDone marks the tasks that a record has as done.
+// restoreDone marks the tasks as done that are done in the record.
 func (r *Reader) restoreDone(c *cluster.Chunk, record *store.ChunkRecord) {
 	done := make([]bool, len(c.TaskStates))
 	store.SetFlags(record.Done, done)
@@ -128,7 +131,8 @@
 	}
 }
 
-// inheritedAttempt returns an attempt that an earlier leader has stored and may have sent.
+// inheritedAttempt returns an attempt that an earlier leader has stored. That leader may
+// also have sent its launch.
 func (r *Reader) inheritedAttempt(c *cluster.Chunk, active store.ActiveAttempt) *cluster.Attempt {
 	return &cluster.Attempt{
 		Job:         c.Job,
--- a/internal/leader/progress/rejected.go
+++ b/internal/leader/progress/rejected.go
@@ -7,42 +7,46 @@
 	"lilaclead/internal/wire"
 )
 
-// onRejected handles a transaction that the store rejected as invalid and that was
-// reverted. Whatever the cause is, it must hold up nothing else: the records that were in
-// the transaction are written one by one. A chunk that is rejected by itself and is too
-// large for the store's next limits shows that these are in force, which the store does
-// not announce: from now on, progress that was accepted under the former limits is written
-// in sub-chunks. (Nothing else shows it, and before all nodes support sub-chunks none may
-// be written.) Any other record that is rejected by itself is not written for a while. For
-// such a record onRejected reports true.
+// onRejected handles a transaction that the store rejected as invalid and that was reverted.
+// It reports whether a single record was found to be invalid, which is then not written for
+// rejectedRecordPause.
+//
+// An invalid record must not block the others. If the transaction held several records,
+// each is next written in a transaction of its own.
+//
+// A chunk that is rejected by itself, and that is too large for the store's next limits,
+// shows that these limits are in force. From then on, chunks that were accepted under the
+// former limits are written in sub-chunks. The store does not announce the change, and
+// nothing else shows it. Sub-chunks must not be written earlier, because some nodes may not
+// support them yet.
 func (w *Writer) onRejected(b *batch, now time.Time) bool {
-	if n := b.records(); n > 1 {
+	if n := b.recordCount(); n > 1 {
 		w.log.Info("transaction rejected as invalid", "writes", len(b.txn.Writes), "single_record_retries", n)
 		w.singleRecordTxns = n
 		return false
 	}
 	if w.showsLoweredLimit(b) {
-		w.log.Info("lowered value limit detected", "keys", b.keys(), "bytes", b.largestValue)
+		w.log.Info("lowered value limit detected", "keys", b.writtenKeys(), "bytes", b.largestValueBytes)
 		w.ValueLimitLowered = true
 		return false
 	}
-	w.log.Error("record rejected as invalid", "keys", b.keys(), "bytes", b.largestValue)
+	w.log.Error("record rejected as invalid", "keys", b.writtenKeys(), "bytes", b.largestValueBytes)
 	w.holdBack(b, now)
 	return true
 }
 
-// showsLoweredLimit reports whether a rejected transaction shows that the store's next
-// limit on values is in force: its only chunk is within the former limit and over the next
-// one.
+// showsLoweredLimit reports whether a rejected transaction of a single record shows that the
+// store's next limit on values is in force: the record is a chunk whose size is within the
+// former limit and above the next one.
 func (w *Writer) showsLoweredLimit(b *batch) bool {
-	former := valueBytes(w.limits().ValueKB)
-	next := valueBytes(w.limits().Strictest().ValueKB)
-	betweenLimits := next < b.largestValue && b.largestValue <= former
+	former := kibToBytes(w.limits().ValueKB)
+	next := kibToBytes(w.limits().Strictest().ValueKB)
+	betweenLimits := next < b.largestValueBytes && b.largestValueBytes <= former
 	return len(b.chunks) == 1 && !w.ValueLimitLowered && betweenLimits
 }
 
-// holdBack keeps the records of a rejected transaction from being written for a while.
-// Orphans are given up: the next leader finds them again.
+// holdBack delays the next write of a rejected transaction's records by rejectedRecordPause.
+// Orphans are no longer to be deleted in this term: the next leader finds them again.
 func (w *Writer) holdBack(b *batch, now time.Time) {
 	until := now.Add(rejectedRecordPause)
 	for _, j := range b.archived {
--- a/internal/leader/progress/selection.go
+++ b/internal/leader/progress/selection.go
@@ -10,14 +10,14 @@
 	"lilaclead/internal/wire"
 )
 
-// nextBatch returns a transaction with what has changed, nil if there is nothing to write.
-// Final states and launches go first, then routine writes at their own pace, then the
-// deletion of orphans.
+// nextBatch returns a transaction with unsaved changes, nil if there is nothing to write now.
+// Final records and launches go first, then routine writes, at most one transaction of them
+// every routineWriteInterval, then the deletion of orphans.
 func (w *Writer) nextBatch(token wire.FencingToken, now time.Time) *batch {
 	b := newBatch(token, w.limits().Strictest().TxnOps, w.singleRecordTxns > 0)
 	w.addFinishedJobs(b, now)
 	w.SplitOversizedChunks()
-	launches, routine := w.dueChunks(now)
+	launches, routine := w.writableChunks(now)
 	w.addLaunches(b, launches, now)
 	w.addRoutineWrites(b, routine, now)
 	w.addOrphanDeletions(b)
@@ -32,7 +32,7 @@
 	return b
 }
 
-// addFinishedJobs archives the jobs that are over.
+// addFinishedJobs archives the finished jobs whose records may be written now.
 func (w *Writer) addFinishedJobs(b *batch, now time.Time) {
 	for j := range w.state.UnsavedChanges.FinishedJobs {
 		if !j.Archiving && !j.RecordOutdated && !now.Before(j.WriteNotBefore) {
@@ -42,9 +42,9 @@
 	}
 }
 
-// dueChunks returns the chunks that may be written now: those with launches by priority
-// and age of their jobs, and the others by how long they have waited.
-func (w *Writer) dueChunks(now time.Time) (launches, routine []*cluster.Chunk) {
+// writableChunks returns the changed chunks that may be written now. Those with launches are
+// ordered by compareLaunchPriority, the others by how long they have waited.
+func (w *Writer) writableChunks(now time.Time) (launches, routine []*cluster.Chunk) {
 	for c := range w.state.UnsavedChanges.Chunks {
 		switch {
 		case !w.mayWriteChunk(c, now):
@@ -54,28 +54,29 @@
 			routine = append(routine, c)
 		}
 	}
-	slices.SortFunc(launches, compareLaunches)
+	slices.SortFunc(launches, compareLaunchPriority)
 	slices.SortFunc(routine, func(a, b *cluster.Chunk) int { return a.DirtySince.Compare(b.DirtySince) })
 	return launches, routine
 }
 
-// mayWriteChunk reports whether a chunk may be written now.
+// mayWriteChunk reports whether a chunk may be written now: its job is neither ending nor
+// quarantined, the known record of the job is not outdated, and the chunk is not held back.
 func (w *Writer) mayWriteChunk(c *cluster.Chunk, now time.Time) bool {
 	j := c.Job
 	ending := j.Archiving || j.Finished
 	return !ending && !j.RecordOutdated && !w.state.IsQuarantined(j.Spec.ID) && !now.Before(c.WriteNotBefore)
 }
 
-// compareLaunches orders chunks with launches: higher priority first, then the jobs that
-// were accepted first, then the first chunks.
-func compareLaunches(a, b *cluster.Chunk) int {
+// compareLaunchPriority orders chunks with launches by the priority of their jobs, highest
+// first, then by the acceptance of the jobs, earliest first, then by the chunk's index.
+func compareLaunchPriority(a, b *cluster.Chunk) int {
 	return cmp.Or(
 		b.Job.Spec.Priority.Rank()-a.Job.Spec.Priority.Rank(),
 		a.Job.AcceptedAt.Compare(b.Job.AcceptedAt),
 		a.Index-b.Index)
 }
 
-// addLaunches adds chunks with attempts that are not stored yet.
+// addLaunches adds the chunks, which have unstored attempts, as far as they have room.
 func (w *Writer) addLaunches(b *batch, chunks []*cluster.Chunk, now time.Time) {
 	for _, c := range chunks {
 		record := w.recordWithinLimit(c, now)
@@ -84,7 +85,7 @@
 		}
 		b.putChunk(c, &record)
 		if key := store.JobKey(c.Job.Spec.ID); !b.hasGuard(key) {
-			// A job that was cancelled meanwhile starts nothing.
+			// The guard fails if the job was cancelled meanwhile, so nothing of it is launched.
 			b.addGuard(key, c.Job.Revision)
 		}
 		for _, a := range c.Attempts {
@@ -96,10 +97,10 @@
 	}
 }
 
-// recordWithinLimit returns a chunk's record. It withdraws starts that are not stored
-// while the record is over the limit: names of machines and numbers of attempts may be
-// longer than estimated, and a record over the limit would be rejected again and again,
-// and with it everything in the same transaction.
+// recordWithinLimit returns a chunk's record. While the record is over the limit on values,
+// it withdraws unstored attempts. A record can exceed the limit because machine names and
+// attempt numbers may be longer than estimated when the chunk's size was chosen. The store
+// would reject such a record every time, together with everything in the same transaction.
 func (w *Writer) recordWithinLimit(c *cluster.Chunk, now time.Time) store.ChunkRecord {
 	limit := w.ValueLimit()
 	record := c.Record()
@@ -109,8 +110,9 @@
 	return record
 }
 
-// addRoutineWrites adds the chunks that the budget has room for, and those that have
-// waited too long.
+// addRoutineWrites adds the chunks that the write budget allows, and beyond the budget those
+// that have waited for longer than maxRoutineWriteDelay. The chunks must be ordered by how
+// long they have waited.
 func (w *Writer) addRoutineWrites(b *batch, chunks []*cluster.Chunk, now time.Time) {
 	if len(chunks) == 0 || !now.After(w.NextRoutineWrite) {
 		return
@@ -129,7 +131,7 @@
 	w.NextRoutineWrite = now.Add(routineWriteInterval)
 }
 
-// addOrphanDeletions fills a transaction that holds nothing else.
+// addOrphanDeletions adds deletions of orphans if the transaction writes nothing else.
 func (w *Writer) addOrphanDeletions(b *batch) {
 	if b.urgent || len(b.chunks) > 0 {
 		return
--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -5,19 +5,19 @@
 	"lilaclead/internal/store"
 )
 
-// valueBytes converts a limit in KiB to bytes.
-func valueBytes(kib float64) int { return int(kib * 1024) }
+func kibToBytes(kib float64) int { return int(kib * 1024) }
 
-// ValueLimit returns the size in bytes that a value may have.
+// ValueLimit returns the largest size of a value in bytes: the store's next limit once that
+// is known to be in force, the present limit before.
 func (w *Writer) ValueLimit() int {
 	if w.ValueLimitLowered {
-		return valueBytes(w.limits().Strictest().ValueKB)
+		return kibToBytes(w.limits().Strictest().ValueKB)
 	}
-	return valueBytes(w.limits().ValueKB)
+	return kibToBytes(w.limits().ValueKB)
 }
 
-// SplitOversizedChunks splits the chunks of jobs of which a changed one has become too
-// large to be written. It must not be called while a transaction is in flight.
+// SplitOversizedChunks splits all chunks of each job that has a changed chunk above the
+// lowered limit on values. It must not be called while a transaction is in flight.
 func (w *Writer) SplitOversizedChunks() {
 	if !w.ValueLimitLowered {
 		return
@@ -34,15 +34,15 @@
 	}
 }
 
-// canSplit reports whether a job's chunks have more than so many tasks, are not split yet
+// canSplit reports whether a job's chunks have more than maxTasks tasks, are not split yet
 // and will be written again.
 func canSplit(j *cluster.Job, maxTasks int) bool {
 	ending := j.Finished || j.Archiving
 	return j.SubchunksPerChunk == 0 && j.TasksPerChunk > maxTasks && !ending
 }
 
-// splitChunks splits all chunks of a job into sub-chunks of equal size, of at most so many
-// tasks. The sub-chunks of a chunk that was to be written are to be written.
+// splitChunks splits all chunks of a job into sub-chunks of equal size, of at most maxTasks
+// tasks. If a chunk had unsaved changes, all its sub-chunks have.
 func (w *Writer) splitChunks(j *cluster.Job, maxTasks int) {
 	perChunk := subchunksPerChunk(j.TasksPerChunk, maxTasks)
 	chunks := j.Chunks
@@ -57,11 +57,11 @@
 		delete(w.state.UnsavedChanges.Chunks, c)
 		w.markSubchunksDirty(c, perChunk)
 	}
-	w.log.Info("job progress split", "job", j.Spec.ID, "tasks_per_chunk", j.TasksPerChunk)
+	w.log.Info("job progress split into sub-chunks", "job", j.Spec.ID, "tasks_per_chunk", j.TasksPerChunk)
 }
 
-// subchunksPerChunk returns the least number of sub-chunks of equal size, of at most so
-// many tasks.
+// subchunksPerChunk returns the least number of sub-chunks of equal size into which a chunk
+// can be split so that none has more than maxTasks tasks.
 func subchunksPerChunk(tasksPerChunk, maxTasks int) int {
 	n := (tasksPerChunk + maxTasks - 1) / maxTasks
 	for tasksPerChunk%n != 0 {
@@ -70,8 +70,8 @@
 	return n
 }
 
-// markSubchunksDirty marks the sub-chunks of a former chunk as to be written. They have
-// waited for as long as the chunk.
+// markSubchunksDirty marks the sub-chunks of a split chunk as changed since the time when the
+// chunk was changed.
 func (w *Writer) markSubchunksDirty(c *cluster.Chunk, perChunk int) {
 	subchunks := c.Job.Chunks
 	first := c.Index * perChunk
--- a/internal/leader/progress/token.go
+++ b/internal/leader/progress/token.go
@@ -9,13 +9,13 @@
 	"lilaclead/internal/store"
 )
 
-// outcomeRetry is the pause before a transaction's outcome is read again.
-const outcomeRetry = 200 * time.Millisecond
+// outcomeRetryPause is the pause before a failed read of a transaction's outcome is retried.
+const outcomeRetryPause = 200 * time.Millisecond
 
-// raiseToken takes a higher fencing token for this term by a compare-and-swap. Nothing
-// that was sent under the old token can take effect afterwards: transactions fail at their
-// guard, and commands at every agent that has seen the new token. The outcome of the
-// unresolved transaction, if there is one, is read then.
+// raiseToken acquires a higher fencing token for this term by a compare-and-swap. Then
+// nothing that was sent under the old token can take effect: transactions fail at their
+// guard on the leader's key, and every agent that has seen the new token rejects the
+// commands. If there is an unresolved transaction, its outcome is read after that.
 func (co *Committer) raiseToken(unresolved *batch) {
 	co.Fencing.Raising = true
 	co.Fencing.RaiseRequested = false
@@ -32,7 +32,8 @@
 	})
 }
 
-// OnTokenRaised has the term act under a higher token.
+// OnTokenRaised makes the term act under the higher token and starts the read of the outcome
+// of an unresolved transaction.
 func (co *Committer) OnTokenRaised(e TokenRaised) {
 	co.Log.Info("token raised", "token", e.token, "previous", co.Fencing.Token)
 	co.Fencing.Token = e.token
@@ -46,7 +47,8 @@
 	}
 }
 
-// readOutcome reads whether a transaction was committed that can't be executed any more.
+// readOutcome reads whether a transaction was committed, and posts a TxnOutcomeRead. The
+// token must have been raised, so that the transaction can no longer be executed.
 func (co *Committer) readOutcome(ctx context.Context, b *batch) {
 	guard := b.outcomeGuard()
 	for {
@@ -55,14 +57,14 @@
 			co.Post(TxnOutcomeRead{b, guard, entry.Revision})
 			return
 		}
-		if !core.Pause(ctx, outcomeRetry) {
+		if !core.Pause(ctx, outcomeRetryPause) {
 			return
 		}
 	}
 }
 
-// OnOutcomeRead applies the outcome of a transaction without an answer: it was committed
-// if the guarded key has changed.
+// OnOutcomeRead applies the outcome of a transaction without a response: it was committed if
+// the revision of the guarded key has changed.
 func (co *Committer) OnOutcomeRead(e TxnOutcomeRead) {
 	co.Writer.onOutcomeRead()
 	if e.revision == e.guard.Revision {
--- a/internal/leader/progress/writer.go
+++ b/internal/leader/progress/writer.go
@@ -2,9 +2,10 @@
 // the start of a term.
 //
 // The Writer selects what goes into the next transaction and does no I/O. The Committer
-// has its transactions executed, one at a time, applies their outcomes to the model, sends
-// the launches that are stored, and raises the fencing token when the outcome of a
-// transaction is unknown. The Reader restores the progress that earlier leaders stored.
+// sends these transactions to the store, one at a time, and applies their outcomes to the
+// model. It has launches sent once they are stored, and raises the fencing token when the
+// outcome of a transaction is unknown. The Reader restores the progress that earlier leaders
+// stored.
 package progress
 
 import (
@@ -17,15 +18,19 @@
 )
 
 const (
-	// routineWriteInterval is the pause between transactions that start and end nothing.
-	// It spares the write budget for submissions, launches and final states.
+	// routineWriteInterval is the least time between transactions with routine writes, which
+	// neither launch tasks nor end jobs. It leaves the write budget to submissions, launches
+	// and final records.
 	routineWriteInterval = 300 * time.Millisecond
-	// maxRoutineWriteDelay is how long routine writes may wait for launches. What is not
-	// stored is not forgotten by the agents either, and their heartbeats grow.
+	// maxRoutineWriteDelay is how long a routine write may wait for the write budget, which
+	// launches use first. Then it is written regardless of the budget. The agents
+	// keep the outcome of an attempt in their heartbeats, which grow, until it is stored.
 	maxRoutineWriteDelay = 6 * time.Second
-	// rejectedRecordPause is how long a record that was rejected by itself is not written.
+	// rejectedRecordPause is how long a record is not written again after the store rejected
+	// it in a transaction of its own.
 	rejectedRecordPause = 10 * time.Second
-	// writeRetryPause is the pause after a transaction that was certainly not executed.
+	// writeRetryPause is the pause before the next transaction after one that failed and was
+	// certainly not executed.
 	writeRetryPause = 150 * time.Millisecond
 )
 
@@ -34,36 +39,38 @@
 
 const (
 	txnNone           txnState = iota // none is in flight
-	txnInFlight                       // it was sent and is not answered
-	txnOutcomeUnknown                 // it was not answered and its outcome is not yet read
+	txnInFlight                       // it was sent, and the request has not ended
+	txnOutcomeUnknown                 // it got no response, and its outcome is not yet read
 )
 
-// Writer selects what is written in each transaction. It belongs to the goroutine of the
-// term's loop.
+// Writer selects what is written in each transaction. Only the goroutine of the term's loop
+// may use it.
 type Writer struct {
 	state *cluster.State
 	log   *slog.Logger
-	// remainingWrites returns how many changes the store's rate limit allows now.
+	// remainingWrites returns how many writes the store's rate limit allows now.
 	remainingWrites func() float64
 
-	// Orphans are records left by jobs that were archived in several steps.
+	// Orphans are guards on the records that archived jobs have left behind, because the
+	// transaction that archived the job had no room to delete them. They are to be deleted.
 	Orphans []wire.Guard
 
-	txn       txnState
-	txnSentAt time.Time // when the latest transaction was sent
-	notBefore time.Time // the earliest time for the next transaction
+	txn              txnState
+	txnSentAt        time.Time // when the latest transaction was sent
+	nextTxnNotBefore time.Time // the earliest time for the next transaction
 	// NextRoutineWrite is the earliest time for the next routine write.
 	NextRoutineWrite time.Time
-	// singleRecordTxns is how many of the next transactions hold one record each, to find
-	// the record that is rejected.
+	// singleRecordTxns is how many of the next transactions may hold only one record each.
+	// It is above 0 after a rejected transaction of several records, to find the invalid one.
 	singleRecordTxns int
-	// ValueLimitLowered means that the store has rejected a value that its former limit
-	// allowed.
+	// ValueLimitLowered means that the store's next limit on values is known to be in force:
+	// the store rejected a value that the former limit allowed, in this term or an earlier
+	// one.
 	ValueLimitLowered bool
 }
 
-// NewWriter returns a writer of the changes in a state. The function returns how many
-// changes the store's rate limit allows now.
+// NewWriter returns a writer of the unsaved changes in a state. remainingWrites returns how
+// many writes the store's rate limit allows now.
 func NewWriter(state *cluster.State, remainingWrites func() float64, log *slog.Logger) *Writer {
 	return &Writer{state: state, remainingWrites: remainingWrites, log: log}
 }
@@ -71,16 +78,16 @@
 // limits returns the limits of the key-value store.
 func (w *Writer) limits() *config.StoreLimits { return &w.state.Settings.State }
 
-// AddOrphan adds a record that is left over and can be deleted.
+// AddOrphan adds a record that an archived job has left behind and that can be deleted.
 func (w *Writer) AddOrphan(g wire.Guard) { w.Orphans = append(w.Orphans, g) }
 
-// InFlight reports whether the outcome of a transaction is not known yet.
+// InFlight reports whether there is a transaction whose outcome is not known yet.
 func (w *Writer) InFlight() bool { return w.txn != txnNone }
 
-// ready reports whether a transaction may be sent now.
-func (w *Writer) ready(now time.Time) bool { return !w.InFlight() && !now.Before(w.notBefore) }
+func (w *Writer) ready(now time.Time) bool { return !w.InFlight() && !now.Before(w.nextTxnNotBefore) }
 
-// onAnswer records that the transaction in flight was answered, or will not be.
+// onAnswer records that the request of the transaction in flight has ended, with or without a
+// response.
 func (w *Writer) onAnswer() {
 	w.txn = txnNone
 	w.singleRecordTxns = max(0, w.singleRecordTxns-1)
@@ -94,7 +101,7 @@
 
 // onCommitted records that a transaction was committed at a revision.
 func (w *Writer) onCommitted(b *batch, revision wire.Revision) {
-	// Not earlier: until its end is stored a job needs all of its chunks.
+	// Not before the commit: until its final record is stored, a job needs all its chunks.
 	w.Orphans = append(w.Orphans, b.leftovers...)
 	for _, c := range b.chunks {
 		c.Revision, c.WriteInFlight = revision, false
@@ -119,27 +126,28 @@
 	}
 }
 
-// retryLater holds back further transactions for a moment.
-func (w *Writer) retryLater(now time.Time) { w.notBefore = now.Add(writeRetryPause) }
+// retryLater holds back further transactions for writeRetryPause.
+func (w *Writer) retryLater(now time.Time) { w.nextTxnNotBefore = now.Add(writeRetryPause) }
 
-// AllStored reports whether the end of everything that ran on a machine is stored, given
-// when the machine was last used. Until then the next leader would take it for lost with
-// the machine, and start it again.
+// AllStored reports whether the end of every task that ran on a machine is stored, given the
+// time when the machine was last used. If the machine were removed earlier, the next leader
+// would consider a task whose end is not stored as lost with it and start the task again.
 func (w *Writer) AllStored(usedAt, now time.Time) bool {
 	if w.InFlight() && !usedAt.After(w.txnSentAt) {
 		return false
 	}
 	for c := range w.state.UnsavedChanges.Chunks {
-		if !c.DirtySince.After(usedAt) && w.maySoonWrite(c, now) {
+		if !c.DirtySince.After(usedAt) && w.mayBeWrittenSoon(c, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// maySoonWrite reports whether a chunk is not held back: nothing waits for a record that
-// was rejected, or that belongs to a quarantined job.
-func (w *Writer) maySoonWrite(c *cluster.Chunk, now time.Time) bool {
+// mayBeWrittenSoon reports whether a chunk is not held back. A chunk is held back while its
+// record or the final record of its job is not written after a rejection, and while the job
+// is quarantined.
+func (w *Writer) mayBeWrittenSoon(c *cluster.Chunk, now time.Time) bool {
 	rejected := !now.After(c.WriteNotBefore) || !now.After(c.Job.WriteNotBefore)
 	return !rejected && !w.state.IsQuarantined(c.Job.Spec.ID)
 }
--- a/internal/leader/progress/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -14,23 +14,24 @@
 	"lilaclead/internal/wire"
 )
 
-// testToken is the fencing token of the tested writers.
+// testToken is the fencing token of the term under test.
 const testToken wire.FencingToken = 50
 
-// newTestWriter returns a writer whose rate limit allows so many changes.
+// newTestWriter returns a writer with at most maxOps writes in a transaction and a rate limit
+// that allows remainingWrites writes.
 func newTestWriter(maxOps, remainingWrites int) *Writer {
 	settings := &config.Settings{State: config.StoreLimits{ValueKB: 16, TxnOps: maxOps}}
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, time.Now(), testToken)
 	return NewWriter(state, func() float64 { return float64(remainingWrites) }, slog.New(slog.DiscardHandler))
 }
 
-// newTestJob returns an array that was accepted just now.
+// newTestJob returns a job array that was accepted just now.
 func newTestJob(id wire.JobID, priority wire.Priority, tasks int) *cluster.Job {
 	spec := wire.JobSpec{ID: id, Team: "red", Kind: wire.KindArray, Tasks: tasks, CPUs: 1, Priority: priority}
 	return cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(time.Now())}, 1)
 }
 
-// addRoutineChunk adds a changed chunk, the only one of a new job, that starts nothing.
+// addRoutineChunk adds a changed chunk without launches, the only one of a new job.
 func addRoutineChunk(w *Writer, id wire.JobID) *cluster.Chunk {
 	c := newTestJob(id, wire.PriorityStandard, 1).Chunk(0)
 	w.state.UnsavedChanges.MarkDirty(c)
@@ -49,7 +50,7 @@
 	return c
 }
 
-// describe returns the jobs of a batch's chunks, and whether it is urgent.
+// describe returns the IDs of the jobs of a batch's chunks, and whether the batch is urgent.
 func describe(b *batch) string {
 	if b == nil {
 		return "nothing"
@@ -61,7 +62,8 @@
 	return fmt.Sprint(ids, " ", b.urgent)
 }
 
-// mustSelect returns the next batch, and checks what is in it.
+// mustSelect checks that a transaction may be sent and that the next batch is as described. It
+// returns the batch.
 func mustSelect(t *testing.T, w *Writer, want string) *batch {
 	t.Helper()
 	if !w.ready(time.Now()) {
@@ -74,7 +76,7 @@
 	return b
 }
 
-// commit records that a batch was committed.
+// commit makes the writer process the commit of a batch.
 func commit(w *Writer, b *batch) {
 	for _, a := range b.launches {
 		a.MarkStored()
@@ -83,9 +85,10 @@
 	w.onCommitted(b, 7)
 }
 
-// Launches go before routine writes, by priority. Routine writes take what the budget has
-// left, at their own pace, and exceed it when they have waited long. What a transaction has
-// no room for waits for the next, and nothing is sent while one is in flight.
+// Launches are written before routine changes, ordered by priority. Routine writes use what is
+// left of the write budget, once per routineWriteInterval. After maxRoutineWriteDelay they
+// exceed the budget. What a transaction has no room for waits for the next one, and no
+// transaction is sent while another is in flight.
 func TestLaunchesAreWrittenBeforeRoutineChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
@@ -106,10 +109,10 @@
 		commit(w, b)
 		time.Sleep(routineWriteInterval + time.Millisecond)
 		commit(w, mustSelect(t, w, "[routine-1] false"))
-		mustSelect(t, w, "nothing") // too soon
+		mustSelect(t, w, "nothing") // routineWriteInterval has not passed
 		w.remainingWrites = func() float64 { return 0 }
 		time.Sleep(routineWriteInterval + time.Millisecond)
-		mustSelect(t, w, "nothing") // no budget
+		mustSelect(t, w, "nothing") // no write budget is left
 		time.Sleep(maxRoutineWriteDelay)
 		commit(w, mustSelect(t, w, "[routine-2] true"))
 	})
@@ -136,9 +139,9 @@
 	})
 }
 
-// Of records that are rejected together each is written by itself. The one that is rejected
-// then is not written for a while, and the others are stored.
-func TestRejectedRecordIsFoundAndHeldBack(t *testing.T) {
+// After a transaction of several records is rejected, each record is written in a transaction
+// of its own. The record that is rejected again is held back, and the others are stored.
+func TestInvalidRecordIsHeldBackAndOthersAreStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		time.Sleep(time.Minute)
 		w := newTestWriter(12, 100)
@@ -164,7 +167,7 @@
 				continue
 			}
 			if age := time.Since(rejectedAt); !rejectedAt.IsZero() && age < rejectedRecordPause {
-				t.Fatalf("rejected record: got another write after %v, want none before %v", age, rejectedRecordPause)
+				t.Fatalf("rejected record: got another write after %v, want none for %v", age, rejectedRecordPause)
 			}
 			w.revert(b)
 			if w.onRejected(b, time.Now()) {
@@ -175,26 +178,26 @@
 			t.Errorf("got rejected alone %v, stored %v, limit lowered %v, want true, two jobs, false", rejectedAlone, stored, w.ValueLimitLowered)
 		}
 		if !w.AllStored(time.Now(), time.Now()) {
-			t.Error("all stored but the rejected record: got false, want true")
+			t.Error("AllStored with only the rejected record unsaved: got false, want true")
 		}
 	})
 }
 
-func TestChunkBetweenTheLimitsShowsThatTheLimitDropped(t *testing.T) {
+func TestRejectedChunkBetweenTheLimitsShowsThatTheLimitWasLowered(t *testing.T) {
 	cases := []struct {
-		name         string
-		chunks       int
-		largestValue int
-		lowered      bool
-		wantHeldBack bool
-		wantLowered  bool
-		wantSingles  int
+		name                 string
+		chunks               int
+		largestValueBytes    int
+		lowered              bool
+		wantHeldBack         bool
+		wantLowered          bool
+		wantSingleRecordTxns int
 	}{
-		{name: "between the limits", chunks: 1, largestValue: 3 << 10, wantLowered: true},
-		{name: "within the next limit", chunks: 1, largestValue: 2 << 10, wantHeldBack: true},
-		{name: "over the former limit", chunks: 1, largestValue: 16<<10 + 1, wantHeldBack: true},
-		{name: "already lowered", chunks: 1, largestValue: 3 << 10, lowered: true, wantHeldBack: true, wantLowered: true},
-		{name: "beside another record", chunks: 2, largestValue: 3 << 10, wantSingles: 2},
+		{name: "between the limits", chunks: 1, largestValueBytes: 3 << 10, wantLowered: true},
+		{name: "within the next limit", chunks: 1, largestValueBytes: 2 << 10, wantHeldBack: true},
+		{name: "over the former limit", chunks: 1, largestValueBytes: 16<<10 + 1, wantHeldBack: true},
+		{name: "already lowered", chunks: 1, largestValueBytes: 3 << 10, lowered: true, wantHeldBack: true, wantLowered: true},
+		{name: "beside another record", chunks: 2, largestValueBytes: 3 << 10, wantSingleRecordTxns: 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -202,7 +205,7 @@
 			w.state.Settings.State.Next = &config.NextStoreLimits{ValueKB: 2, TxnOps: 4}
 			w.ValueLimitLowered = c.lowered
 			b := newBatch(testToken, 12, false)
-			b.largestValue = c.largestValue
+			b.largestValueBytes = c.largestValueBytes
 			for i := range c.chunks {
 				b.chunks = append(b.chunks, addRoutineChunk(w, wire.JobID(fmt.Sprint("req-", i))))
 			}
@@ -210,14 +213,14 @@
 			if heldBack != c.wantHeldBack || w.ValueLimitLowered != c.wantLowered {
 				t.Errorf("got held back %v, limit lowered %v, want %v, %v", heldBack, w.ValueLimitLowered, c.wantHeldBack, c.wantLowered)
 			}
-			if got := w.singleRecordTxns; got != c.wantSingles {
-				t.Errorf("transactions with a single record: got %d, want %d", got, c.wantSingles)
+			if got := w.singleRecordTxns; got != c.wantSingleRecordTxns {
+				t.Errorf("transactions with a single record: got %d, want %d", got, c.wantSingleRecordTxns)
 			}
 		})
 	}
 }
 
-func TestNothingIsReadyUntilAnUnknownOutcomeIsRead(t *testing.T) {
+func TestWriterIsNotReadyUntilAnUnknownOutcomeIsRead(t *testing.T) {
 	w := newTestWriter(12, 100)
 	addLaunchChunk(w, "req-1", wire.PriorityStandard)
 	w.nextBatch(testToken, time.Now())
@@ -238,7 +241,7 @@
 	}
 }
 
-func TestSubchunksPerChunkDividesTheChunk(t *testing.T) {
+func TestSubchunksAreOfEqualSizeWithinMaxTasks(t *testing.T) {
 	for _, c := range []struct{ tasksPerChunk, maxTasks, want int }{{256, 256, 1}, {256, 100, 4}, {256, 56, 8}, {7, 3, 7}, {200, 60, 4}} {
 		if got := subchunksPerChunk(c.tasksPerChunk, c.maxTasks); got != c.want {
 			t.Errorf("sub-chunks of %d tasks with at most %d: got %d, want %d", c.tasksPerChunk, c.maxTasks, got, c.want)
