--- a/internal/leader/scaling/answer.go
+++ b/internal/leader/scaling/answer.go
@@ -14,14 +14,16 @@
 const (
 	// Filled means that all machines were started.
 	Filled Outcome = iota
-	// PartlyFilled means that fewer machines were started; the offer is backed off from.
+	// PartlyFilled means that fewer machines were started than requested. The offer is backed
+	// off from.
 	PartlyFilled
-	// NoCapacity means that the cloud refused the offer, which is backed off from.
+	// NoCapacity means that the cloud refused the offer. The offer is backed off from.
 	NoCapacity
-	// Unavailable means that the cloud is busy or down; all requests are paused.
+	// Unavailable means that the cloud is busy or down. All scale-out requests are paused.
 	Unavailable
-	// AlreadyKnown means that the cloud is unavailable, as an earlier answer has shown.
-	AlreadyKnown
+	// AlreadyPaused means that the cloud is busy or down, and that an earlier answer has
+	// already paused all scale-out requests.
+	AlreadyPaused
 )
 
 // Answer is the cloud's final answer to a scale-out request.
@@ -32,32 +34,32 @@
 	Err error
 }
 
-// FinishScaleOut ends a request with the cloud's final answer. It returns the outcome, and
-// how long the offer is backed off from or all requests are paused.
+// FinishScaleOut ends a pending request with the cloud's final answer. It returns the outcome
+// and for how long at least the offer is backed off from, or all requests are paused.
 func (t *Tracker) FinishScaleOut(request *PendingScaleOut, answer Answer, now time.Time) (Outcome, time.Duration) {
 	delete(t.pending, request.Name)
 	backoff := t.backoffOf(request.Offer())
 	switch {
 	case answer.Err == nil && answer.Machines < request.Count:
 		t.pause.reset()
-		return PartlyFilled, backoff.partlyFilled(now)
+		return PartlyFilled, backoff.backOffAfterPartialFill(now)
 	case answer.Err == nil:
 		t.pause.reset()
 		backoff.reset()
 		return Filled, 0
-	case refused(answer.Err):
-		return NoCapacity, backoff.refused(now)
+	case isRefusal(answer.Err):
+		return NoCapacity, backoff.backOffAfterRefusal(now)
 	case t.Paused(now):
-		// The request was in flight when an earlier one failed for the same cause. When
-		// each of a plan's requests lengthened the pause, it grew to ten seconds at once.
-		return AlreadyKnown, 0
+		// The request was in flight when an earlier one failed for the same reason. If each
+		// request of a plan extended the pause, it would grow to ten seconds at once.
+		return AlreadyPaused, 0
 	default:
-		// The request was certainly not executed; the demand is estimated anew later.
+		// The request was certainly not executed. A later plan estimates the demand again.
 		return Unavailable, t.pause.extend(now)
 	}
 }
 
-// backoffOf returns the backoff of an offer.
+// backoffOf returns the backoff of an offer, which it adds if there is none.
 func (t *Tracker) backoffOf(offer Offer) *offerBackoff {
 	backoff := t.backoffs[offer]
 	if backoff == nil {
@@ -67,23 +69,25 @@
 	return backoff
 }
 
-// refused reports whether the cloud has refused the offer itself.
-func refused(err error) bool {
+// isRefusal reports whether an error means that the cloud refused the offer itself.
+func isRefusal(err error) bool {
 	return errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalid)
 }
 
-// RetryState decides which answer to a scale-out request is final. The request is sent
-// again under its name until one is.
+// RetryState decides whether an answer to a scale-out request is final. Until one is, the
+// request is sent again under the same name.
 type RetryState struct {
-	// outcomeUnknown means that an answer was lost: machines may have been started.
+	// outcomeUnknown means that an attempt got no usable answer: machines may have been
+	// started.
 	outcomeUnknown bool
 }
 
-// Final reports whether an answer ends the request. After a lost answer only a repeated
-// request shows what was started; that the cloud is busy then shows nothing.
+// Final reports whether an answer, given by its error, ends the request. Once an attempt got
+// no usable answer, only a repetition of the request shows which machines were started. An
+// answer that the cloud is busy or down does not show it, and is not final then.
 func (r *RetryState) Final(err error) bool {
-	if err != nil && !errors.Is(err, cloud.ErrUnavailable) && !refused(err) {
+	if err != nil && !errors.Is(err, cloud.ErrUnavailable) && !isRefusal(err) {
 		r.outcomeUnknown = true
 	}
-	return err == nil || refused(err) || !r.outcomeUnknown
+	return err == nil || isRefusal(err) || !r.outcomeUnknown
 }
--- a/internal/leader/scaling/scale_in.go
+++ b/internal/leader/scaling/scale_in.go
@@ -2,20 +2,21 @@
 
 import "lilaclead/internal/wire"
 
-// scaleInQueue are the machines that wait to be scaled in, by one request at a time.
+// scaleInQueue holds the machines that wait to be scaled in. Only one scale-in request is in
+// flight at a time.
 type scaleInQueue struct {
 	waiting  []wire.MachineID
 	inFlight bool
 }
 
-// QueueScaleIn adds a machine that is to be scaled in.
+// QueueScaleIn adds a machine to those that wait to be scaled in.
 func (t *Tracker) QueueScaleIn(machine wire.MachineID) {
 	t.scaleIns.waiting = append(t.scaleIns.waiting, machine)
 }
 
-// NextScaleIn returns the machines of the request that is to be sent now, at most limit and
-// at most MaxScaleIn; none if a request is in flight: what is queued meanwhile shares the
-// next one.
+// NextScaleIn takes the machines of the next request from the queue, at most limit and at most
+// MaxScaleIn, and marks the request as in flight. It returns nil if no machine is queued or a
+// request is in flight already. Machines that are queued meanwhile share the next request.
 func (t *Tracker) NextScaleIn(limit int) []wire.MachineID {
 	queue := &t.scaleIns
 	if len(queue.waiting) == 0 || !t.BeginScaleIn() {
@@ -27,7 +28,8 @@
 	return machines
 }
 
-// BeginScaleIn marks a request as in flight. It returns false if one is already.
+// BeginScaleIn marks a request as in flight. It returns false if one is in flight already. It
+// also keeps scale-in requests from being sent while the record of them is cleared.
 func (t *Tracker) BeginScaleIn() bool {
 	if t.scaleIns.inFlight {
 		return false
--- a/internal/leader/scaling/scale_in_test.go
+++ b/internal/leader/scaling/scale_in_test.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestScaleInsAreSentOneBatchAtATime(t *testing.T) {
+func TestMachinesAreScaledInOnceAndInOrderOneBatchAtATime(t *testing.T) {
 	tracker := NewTracker(testToken)
 	var want, got []wire.MachineID
 	for i := range 250 {
@@ -20,11 +20,11 @@
 		}
 	}
 	if len(got) != 1 {
-		t.Fatalf("the first batch is %v, want one machine", got)
+		t.Fatalf("first batch: got %v, want one machine", got)
 	}
 	for range 4 {
 		if batch := tracker.NextScaleIn(MaxScaleIn); batch != nil {
-			t.Fatalf("a second batch while one is in flight: %v", batch)
+			t.Fatalf("next batch while one is in flight: got %v, want none", batch)
 		}
 		tracker.EndScaleIn()
 		batch := tracker.NextScaleIn(MaxScaleIn)
@@ -36,11 +36,11 @@
 		want = append(want, "late")
 	}
 	if n := len(got); n < 250 || !slices.Equal(got, want[:n]) {
-		t.Errorf("scaled in %d machines, not each once and in order: %v", n, got)
+		t.Errorf("got %d machines %v, want 250 or more, each once and in the order of the queue", n, got)
 	}
 }
 
-func TestScaleInBatchIsWithinTheLimit(t *testing.T) {
+func TestScaleInBatchIsWithinTheLimitAndMaxScaleIn(t *testing.T) {
 	for _, limit := range []int{1, 25, MaxScaleIn, MaxScaleIn + 1} {
 		tracker := NewTracker(testToken)
 		for i := range 2 * MaxScaleIn {
@@ -52,11 +52,11 @@
 	}
 }
 
-func TestNoScaleInWhileTheRecordIsCleared(t *testing.T) {
+func TestBeginScaleInBlocksScaleInsUntilItsEnd(t *testing.T) {
 	tracker := NewTracker(testToken)
 	tracker.QueueScaleIn("n-1")
 	if !tracker.BeginScaleIn() || tracker.BeginScaleIn() {
-		t.Error("not exactly one request can be in flight")
+		t.Error("BeginScaleIn twice: got other than true, false")
 	}
 	if batch := tracker.NextScaleIn(MaxScaleIn); batch != nil {
 		t.Errorf("batch %v while a request is in flight, want none", batch)
--- a/internal/leader/scaling/tracker.go
+++ b/internal/leader/scaling/tracker.go
@@ -15,11 +15,10 @@
 	MaxScaleIn = 100
 )
 
-// Offer identifies what the cloud offers: a machine type in a zone, on demand or spot.
+// Offer identifies machines that the cloud rents out: a machine type in a zone, on demand or
+// spot.
 type Offer struct {
-	// Type is the machine type.
 	Type wire.MachineType
-	// Zone is the zone of the machines.
 	Zone wire.Zone
 	// Spot means that the machines are spot instances.
 	Spot bool
@@ -28,26 +27,26 @@
 // PendingScaleOut is a scale-out request that is not yet answered.
 type PendingScaleOut struct {
 	wire.ScaleOutRequest
-	// RequestedAt is when the request was made.
+	// RequestedAt is when a leader decided on the request.
 	RequestedAt time.Time
-	// Adopted means that an earlier leader made the request.
+	// Adopted means that an earlier leader decided on the request.
 	Adopted bool
 }
 
 // Offer returns the offer that the request is for.
 func (p *PendingScaleOut) Offer() Offer { return Offer{p.Type, p.Zone, p.Spot} }
 
-// Tracker is the account of one leader's requests. It is not safe for concurrent use.
+// Tracker tracks one leader's requests to the cloud. It is not safe for concurrent use.
 type Tracker struct {
-	token    wire.FencingToken // makes the requests' names unique among leaders
-	sequence int
-	pending  map[string]*PendingScaleOut
+	token    wire.FencingToken           // makes the requests' names unique among leaders
+	sequence int                         // number of the last request
+	pending  map[string]*PendingScaleOut // by name
 	backoffs map[Offer]*offerBackoff
 	pause    cloudPause
 	scaleIns scaleInQueue
 }
 
-// NewTracker returns the account of the leader with the fencing token.
+// NewTracker returns an empty tracker of the leader with the fencing token.
 func NewTracker(token wire.FencingToken) *Tracker {
 	return &Tracker{
 		token:    token,
@@ -56,8 +55,8 @@
 	}
 }
 
-// StartScaleOut adds a request for up to MaxScaleOut machines and returns it under a unique
-// name, to be sent until it is answered.
+// StartScaleOut adds a pending request for up to MaxScaleOut machines, under a unique name,
+// and returns it. The caller sends it until the cloud has given a final answer.
 func (t *Tracker) StartScaleOut(scaleOut fleet.ScaleOut, now time.Time) *PendingScaleOut {
 	t.sequence++
 	request := &PendingScaleOut{
@@ -74,17 +73,17 @@
 	return request
 }
 
-// Adopt adds a request that an earlier leader made, under the name that it gave.
+// Adopt adds a pending request of an earlier leader. The request keeps its name.
 func (t *Tracker) Adopt(request wire.ScaleOutRequest, requestedAt time.Time) *PendingScaleOut {
 	adopted := &PendingScaleOut{ScaleOutRequest: request, RequestedAt: requestedAt, Adopted: true}
 	t.pending[request.Name] = adopted
 	return adopted
 }
 
-// Withdraw removes a request that was not sent.
+// Withdraw removes a pending request that was never sent.
 func (t *Tracker) Withdraw(request *PendingScaleOut) { delete(t.pending, request.Name) }
 
-// PendingScaleOuts returns the requests that are not yet answered, in no order.
+// PendingScaleOuts returns the requests that are not yet answered, in no particular order.
 func (t *Tracker) PendingScaleOuts() []*PendingScaleOut {
 	pending := make([]*PendingScaleOut, 0, len(t.pending))
 	for _, request := range t.pending {
@@ -107,5 +106,5 @@
 	return true
 }
 
-// Paused reports whether no requests are made, because the cloud was unavailable.
+// Paused reports whether scale-out requests are paused because the cloud was unavailable.
 func (t *Tracker) Paused(now time.Time) bool { return t.pause.active(now) }
--- a/internal/leader/scaling/tracker_test.go
+++ b/internal/leader/scaling/tracker_test.go
@@ -21,16 +21,16 @@
 	spotOffer     = Offer{Type: "std", Zone: "a", Spot: true}
 )
 
-// request starts a request for machines of onDemandOffer.
-func request(tracker *Tracker, count int, now time.Time) *PendingScaleOut {
+// startScaleOut starts a request for machines of onDemandOffer.
+func startScaleOut(tracker *Tracker, count int, now time.Time) *PendingScaleOut {
 	return tracker.StartScaleOut(fleet.ScaleOut{Type: "std", Zone: "a", Count: count}, now)
 }
 
-// refuse starts a request, answers it with a refusal, and checks that only its offer is
-// backed off from. It returns the backoff.
-func refuse(t *testing.T, tracker *Tracker, err error, now time.Time) time.Duration {
+// mustRefuse starts a request, answers it with the error, and checks that this is a refusal
+// after which only the request's offer is backed off from. It returns the backoff.
+func mustRefuse(t *testing.T, tracker *Tracker, err error, now time.Time) time.Duration {
 	t.Helper()
-	pending := request(tracker, 3, now)
+	pending := startScaleOut(tracker, 3, now)
 	if tracker.Available(onDemandOffer, now) || !tracker.Available(spotOffer, now) {
 		t.Fatalf("while the request is pending: its offer available %v, the other offer %v; want false, true",
 			tracker.Available(onDemandOffer, now), tracker.Available(spotOffer, now))
@@ -40,7 +40,7 @@
 		t.Fatalf("answer %v: outcome %d, want %d", err, outcome, NoCapacity)
 	}
 	if tracker.Available(onDemandOffer, now.Add(backoff-1)) || !tracker.Available(onDemandOffer, now.Add(backoff*5/4)) {
-		t.Fatalf("answer %v: the offer is not backed off from for %v", err, backoff)
+		t.Fatalf("answer %v: offer not backed off from for %v up to a quarter more", err, backoff)
 	}
 	if !tracker.Available(spotOffer, now) || tracker.Paused(now) {
 		t.Fatalf("answer %v: other offer available %v, requests paused %v; want true, false",
@@ -54,7 +54,7 @@
 	var backoffs []time.Duration
 	answers := []error{cloud.ErrNoCapacity, fmt.Errorf("of that: %w", cloud.ErrInvalid), cloud.ErrNoCapacity, cloud.ErrNoCapacity, cloud.ErrNoCapacity}
 	for _, err := range answers {
-		backoff := refuse(t, tracker, err, now)
+		backoff := mustRefuse(t, tracker, err, now)
 		backoffs = append(backoffs, backoff)
 		now = now.Add(backoff * 5 / 4)
 	}
@@ -62,27 +62,27 @@
 		t.Errorf("answers %v: backoffs %v, want %v", answers, backoffs, want)
 	}
 
-	outcome, backoff := tracker.FinishScaleOut(request(tracker, 3, now), Answer{Machines: 2}, now)
+	outcome, backoff := tracker.FinishScaleOut(startScaleOut(tracker, 3, now), Answer{Machines: 2}, now)
 	if outcome != PartlyFilled || tracker.Available(onDemandOffer, now.Add(backoff-1)) || !tracker.Available(onDemandOffer, now.Add(backoff)) {
 		t.Errorf("2 of 3 machines: outcome %d with backoff %v, want %d", outcome, backoff, PartlyFilled)
 	}
 	now = now.Add(time.Minute)
 
-	outcome, _ = tracker.FinishScaleOut(request(tracker, 3, now), Answer{Machines: 3}, now)
+	outcome, _ = tracker.FinishScaleOut(startScaleOut(tracker, 3, now), Answer{Machines: 3}, now)
 	if outcome != Filled || !tracker.Available(onDemandOffer, now) || len(tracker.PendingScaleOuts()) > 0 {
 		t.Errorf("3 of 3 machines: outcome %d, available %v, %d requests pending; want %d, true, 0",
 			outcome, tracker.Available(onDemandOffer, now), len(tracker.PendingScaleOuts()), Filled)
 	}
 
-	if backoff := refuse(t, tracker, cloud.ErrNoCapacity, now); backoff != minOfferBackoff {
+	if backoff := mustRefuse(t, tracker, cloud.ErrNoCapacity, now); backoff != minOfferBackoff {
 		t.Errorf("refused after it was filled: backoff %v, want %v", backoff, minOfferBackoff)
 	}
 }
 
-func TestPauseGrowsOncePerPlanWhileTheCloudIsUnavailable(t *testing.T) {
+func TestPauseGrowsOnceForRequestsInFlightTogether(t *testing.T) {
 	tracker, now := NewTracker(testToken), testStart
 	for _, want := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 5 * time.Second, 5 * time.Second} {
-		first := request(tracker, 1, now)
+		first := startScaleOut(tracker, 1, now)
 		second := tracker.StartScaleOut(fleet.ScaleOut{Type: "std", Zone: "b", Count: 1}, now)
 		if first.Name == second.Name {
 			t.Fatalf("two requests named %s", first.Name)
@@ -91,43 +91,43 @@
 		if outcome != Unavailable || pause != want || !tracker.Paused(now.Add(pause-1)) || tracker.Paused(now.Add(2*pause)) {
 			t.Errorf("first answer: outcome %d with pause %v, want %d with %v", outcome, pause, Unavailable, want)
 		}
-		if outcome, _ := tracker.FinishScaleOut(second, Answer{Err: cloud.ErrUnavailable}, now); outcome != AlreadyKnown {
-			t.Errorf("second answer: outcome %d, want %d", outcome, AlreadyKnown)
+		if outcome, _ := tracker.FinishScaleOut(second, Answer{Err: cloud.ErrUnavailable}, now); outcome != AlreadyPaused {
+			t.Errorf("second answer: outcome %d, want %d", outcome, AlreadyPaused)
 		}
 		if !tracker.Available(first.Offer(), now) {
-			t.Errorf("offer %v is backed off from though it was not refused", first.Offer())
+			t.Errorf("offer %v, which was not refused: got backed off from, want available", first.Offer())
 		}
 		now = now.Add(2 * pause)
 	}
 
-	tracker.FinishScaleOut(request(tracker, 1, now), Answer{Machines: 1}, now)
-	if _, pause := tracker.FinishScaleOut(request(tracker, 1, now), Answer{Err: cloud.ErrUnavailable}, now); pause != minPause {
+	tracker.FinishScaleOut(startScaleOut(tracker, 1, now), Answer{Machines: 1}, now)
+	if _, pause := tracker.FinishScaleOut(startScaleOut(tracker, 1, now), Answer{Err: cloud.ErrUnavailable}, now); pause != minPause {
 		t.Errorf("unavailable after an answer: pause %v, want %v", pause, minPause)
 	}
 }
 
-// Once an answer was lost the request may have been executed: that the cloud is busy when
-// it is repeated does not end it.
-func TestWhichAnswerEndsARequest(t *testing.T) {
-	busy, lost, none := cloud.ErrUnavailable, cloud.ErrUnknown, cloud.ErrNoCapacity
+// After an attempt without a usable answer the request may have been executed. That the cloud
+// is busy when the request is repeated does not end it.
+func TestBusyIsNoFinalAnswerAfterAnUnknownOutcome(t *testing.T) {
+	busy, unknown, noCapacity := cloud.ErrUnavailable, cloud.ErrUnknown, cloud.ErrNoCapacity
 	cases := []struct {
 		name    string
 		answers []error
-		final   []bool
+		want    []bool // whether each answer is final
 	}{
 		{"filled", []error{nil}, []bool{true}},
 		{"busy, certainly not executed", []error{busy}, []bool{true}},
-		{"no capacity", []error{none}, []bool{true}},
+		{"no capacity", []error{noCapacity}, []bool{true}},
 		{"invalid", []error{cloud.ErrInvalid}, []bool{true}},
-		{"busy after a lost answer", []error{lost, busy, lost, nil}, []bool{false, false, false, true}},
-		{"no capacity after a lost answer", []error{lost, none}, []bool{false, true}},
+		{"busy after an unknown outcome", []error{unknown, busy, unknown, nil}, []bool{false, false, false, true}},
+		{"no capacity after an unknown outcome", []error{unknown, noCapacity}, []bool{false, true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var retry RetryState
 			for i, err := range c.answers {
-				if got := retry.Final(err); got != c.final[i] {
-					t.Errorf("answers %v: answer %d is final: %v, want %v", c.answers, i, got, c.final[i])
+				if got := retry.Final(err); got != c.want[i] {
+					t.Errorf("answers %v: answer %d final: got %v, want %v", c.answers, i, got, c.want[i])
 				}
 			}
 		})
@@ -153,14 +153,14 @@
 	}
 }
 
-func TestWithdrawnRequestFreesItsOffer(t *testing.T) {
+func TestWithdrawnRequestFreesItsOfferButNotItsName(t *testing.T) {
 	tracker := NewTracker(testToken)
-	tracker.Withdraw(request(tracker, 2, testStart))
+	tracker.Withdraw(startScaleOut(tracker, 2, testStart))
 	if !tracker.Available(onDemandOffer, testStart) || len(tracker.PendingScaleOuts()) != 0 {
 		t.Errorf("after the withdrawal: available %v, %d requests pending; want true, 0",
 			tracker.Available(onDemandOffer, testStart), len(tracker.PendingScaleOuts()))
 	}
-	if next := request(tracker, 2, testStart); next.Name != "b-7-2" {
+	if next := startScaleOut(tracker, 2, testStart); next.Name != "b-7-2" {
 		t.Errorf("next request %s, want b-7-2: no name is used twice", next.Name)
 	}
 }
