--- a/internal/leader/demand/demand.go
+++ b/internal/leader/demand/demand.go
@@ -1,7 +1,7 @@
-// Package demand holds the rules by which the demand of a waiting job is judged: when it
-// is due, how many of its tasks should run at a time, how long it will wait for the
-// capacity there is, and how much its machines may cost. It is pure: it reads no clock
-// and knows no machines.
+// Package demand holds the rules that estimate the demand of a waiting job: when the job is
+// due, how many of its tasks should run at a time, how long it will wait for the present
+// capacity, and how much its machines may cost. Its functions depend only on their
+// arguments: they read no clock and no state of machines.
 package demand
 
 import (
@@ -14,25 +14,27 @@
 // QueuedJob is a job that waits for capacity.
 type QueuedJob struct {
 	ID     wire.JobID
-	Weight float64 // the heavier goes first
-	WorkS  float64 // processor seconds that it still needs
+	Weight float64 // jobs with higher weights run first
+	WorkS  float64 // CPU seconds that its waiting tasks need
 }
 
-// PredictWaits predicts how many seconds each job of the queue will wait for the capacity
-// there is: the work that goes before it, and half of its own, over the processors that
-// work on the queue now or soon. Machines that are added shorten the wait, so that a
-// steady overload adds as many expensive machines as it needs and a short burst none.
-// It returns the waits by job, and in how many seconds all of the queue would be done.
-func PredictWaits(queue []QueuedJob, processors float64) (map[wire.JobID]float64, float64) {
+// PredictWaits predicts for how many seconds each job of the queue will wait for capacity. The
+// wait is the work of the jobs before it and half of its own work, divided by the number of
+// CPUs that work on the queue now or soon. It returns the waits by job and the backlog, which
+// is in how many seconds the whole queue would be done. It sorts the queue.
+//
+// Machines that are added shorten the waits. Therefore a steady overload adds as many
+// expensive machines as it needs, and a short burst adds none.
+func PredictWaits(queue []QueuedJob, cpus float64) (map[wire.JobID]float64, float64) {
 	slices.SortFunc(queue, func(a, b QueuedJob) int {
 		return cmp.Or(cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.ID, b.ID))
 	})
-	processors = max(1, processors)
+	cpus = max(1, cpus)
 	waits := make(map[wire.JobID]float64, len(queue))
-	ahead := 0.0
+	workAhead := 0.0
 	for _, job := range queue {
-		waits[job.ID] = (ahead + job.WorkS/2) / processors
-		ahead += job.WorkS
+		waits[job.ID] = (workAhead + job.WorkS/2) / cpus
+		workAhead += job.WorkS
 	}
-	return waits, ahead / processors
+	return waits, workAhead / cpus
 }
--- a/internal/leader/demand/demand_test.go
+++ b/internal/leader/demand/demand_test.go
@@ -9,8 +9,8 @@
 	"lilaclead/internal/wire"
 )
 
-// The owner's deadline and the objectives of the class say when a job is due: the
-// earliest that can still be met, else the latest.
+// The owner's deadline and the objectives of the class determine when a job is due: at the
+// earliest of these times that can still be met, else at the latest.
 func TestJobIsDueAtEarliestMeetableTime(t *testing.T) {
 	within := func(seconds wire.Seconds) config.Objective {
 		return config.Objective{Kind: "finished", Class: "batch", Within: seconds, Share: 0.8}
@@ -25,15 +25,15 @@
 		objectives []config.Objective
 		want       float64
 	}{
-		"nothing said":             {Work{ExpectedS: 10}, nil, 60},
+		"no deadline or objective": {Work{ExpectedS: 10}, nil, 60},
 		"objectives of others":     {Work{ExpectedS: 10}, []config.Objective{otherClass, otherKind}, 60},
-		"its deadline":             {Work{ExpectedS: 10, DeadlineS: 100}, []config.Objective{otherClass}, 100},
+		"its owner's deadline":     {Work{ExpectedS: 10, DeadlineS: 100}, []config.Objective{otherClass}, 100},
 		"an objective":             {Work{ExpectedS: 10}, []config.Objective{within(70)}, 70},
 		"the earlier of two":       {Work{ExpectedS: 10}, []config.Objective{within(300), within(70)}, 70},
-		"the first is missed":      {Work{ExpectedS: 10, AgeS: 65}, []config.Objective{within(70), within(300)}, 300},
+		"the earlier is missed":    {Work{ExpectedS: 10, AgeS: 65}, []config.Objective{within(70), within(300)}, 300},
 		"all are missed":           {Work{ExpectedS: 10, AgeS: 500}, []config.Objective{within(300), within(70)}, 300},
 		"twice its deadline":       {Work{ExpectedS: 10, DeadlineS: 100, AgeS: 95}, []config.Objective{times(2)}, 200},
-		"its deadline can be kept": {Work{ExpectedS: 10, DeadlineS: 100, AgeS: 50}, []config.Objective{times(2)}, 100},
+		"its deadline can be met":  {Work{ExpectedS: 10, DeadlineS: 100, AgeS: 50}, []config.Objective{times(2)}, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.work.Class = "batch"
@@ -47,8 +47,8 @@
 	}
 }
 
-// So many tasks run at a time that all are done within the share of what is left, one
-// round after the other, and all at once when that is too short for two rounds.
+// Enough tasks run at a time to complete all of them, one round after the other, within the
+// share of the time that is left. All run at once if that is too short for two rounds.
 func TestParallelTasksFitIntoShareOfTimeLeft(t *testing.T) {
 	for name, c := range map[string]struct {
 		waiting              int
@@ -56,11 +56,11 @@
 		want                 int
 	}{
 		"ten rounds":                  {100, 10, 0, 1, 10},
-		"one task more":               {101, 10, 0, 1, 11},
+		"one task over ten rounds":    {101, 10, 0, 1, 11},
 		"half of the time":            {100, 10, 0, 0.5, 20},
 		"half of the time has passed": {100, 10, 50, 1, 20},
 		"too short for two rounds":    {100, 60, 0, 1, 100},
-		"late already":                {100, 10, 200, 1, 100},
+		"already late":                {100, 10, 200, 1, 100},
 		"a single task":               {1, 1, 0, 1, 1},
 		"tasks of less than a second": {100, 0.1, 0, 1, 1},
 	} {
@@ -73,11 +73,12 @@
 	}
 }
 
-// A job's machines may cost more only if cheap ones come too late and expensive ones in
-// time; a job whose class may often be late must have waited long for that.
-func TestLateJobMayPayMore(t *testing.T) {
+// A job's machines may exceed the price limit only if the job would be late on cheap machines
+// and in time on expensive ones. A job of a lenient class must also have waited for
+// cheapOnlySeconds.
+func TestLateJobMayExceedThePriceLimit(t *testing.T) {
 	strict := []config.Objective{{Kind: "deadline", Class: "batch", DeadlineMultiple: 1, Share: 0.95}}
-	lax := []config.Objective{{Kind: "deadline", Class: "batch", DeadlineMultiple: 1, Share: 0.9}}
+	lenient := []config.Objective{{Kind: "deadline", Class: "batch", DeadlineMultiple: 1, Share: 0.9}}
 	for name, c := range map[string]struct {
 		objectives      []config.Objective
 		age, wait, boot float64
@@ -85,11 +86,11 @@
 	}{
 		"cheap machines are in time":        {strict, 0, 800, 30, 1},
 		"expensive machines are in time":    {strict, 0, 950, 30, LatePriceStretch},
-		"nothing is in time":                {strict, 900, 950, 30, 1},
-		"no machine fits":                   {strict, 0, 950, math.Inf(1), 1},
-		"it may be late":                    {lax, 0, 950, 30, 1},
-		"it has waited long":                {lax, StartWithinSeconds / 2, 950, 30, LatePriceStretch},
-		"it has waited long and is in time": {lax, StartWithinSeconds / 2, 100, 30, 1},
+		"no machines are in time":           {strict, 900, 950, 30, 1},
+		"no machine type fits":              {strict, 0, 950, math.Inf(1), 1},
+		"its class is lenient":              {lenient, 0, 950, 30, 1},
+		"lenient, but it has waited long":   {lenient, StartWithinSeconds / 2, 950, 30, LatePriceStretch},
+		"it has waited long and is in time": {lenient, StartWithinSeconds / 2, 100, 30, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			work := Work{Class: "batch", DeadlineS: 1000, ExpectedS: 100, AgeS: c.age}
@@ -100,25 +101,26 @@
 	}
 }
 
-// The heavier go first, equals by name, in whatever order they are listed.
+// Jobs wait in the order of their weights, highest first, and those of equal weight in the
+// order of their IDs, in whatever order the queue lists them.
 func TestWaitsFollowWeightThenID(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		queue      []QueuedJob
-		processors float64
-		want       map[wire.JobID]float64
-		wantAll    float64
+		name        string
+		queue       []QueuedJob
+		cpus        float64
+		want        map[wire.JobID]float64
+		wantBacklog float64
 	}{
 		{"three jobs", []QueuedJob{{"c", 1, 40}, {"b", 2, 100}, {"a", 1, 20}}, 10, map[wire.JobID]float64{"b": 5, "a": 11, "c": 14}, 16},
-		{"no processors", []QueuedJob{{"a", 1, 20}}, -5, map[wire.JobID]float64{"a": 10}, 20},
+		{"no CPUs", []QueuedJob{{"a", 1, 20}}, -5, map[wire.JobID]float64{"a": 10}, 20},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			waits, all := PredictWaits(c.queue, c.processors)
+			waits, backlog := PredictWaits(c.queue, c.cpus)
 			if !maps.Equal(waits, c.want) {
 				t.Errorf("waits %v, want %v", waits, c.want)
 			}
-			if all != c.wantAll {
-				t.Errorf("all done in %v s, want %v", all, c.wantAll)
+			if backlog != c.wantBacklog {
+				t.Errorf("backlog %v s, want %v", backlog, c.wantBacklog)
 			}
 		})
 	}
--- a/internal/leader/demand/due.go
+++ b/internal/leader/demand/due.go
@@ -5,56 +5,56 @@
 )
 
 const (
-	// defaultDueRuns and defaultDueSeconds: a job with neither a deadline nor an
-	// objective is due after so many expected run times and so many seconds.
-	defaultDueRuns    = 3
-	defaultDueSeconds = 30
+	// A job with neither a deadline nor an objective is due defaultDueRunTimes times its
+	// expected run time plus defaultDueSeconds after its submission.
+	defaultDueRunTimes = 3
+	defaultDueSeconds  = 30
 )
 
-// Kinds of objectives that say when a job is due.
+// The kinds of objectives that determine when a job is due.
 const (
-	kindFinished = "finished" // within a time from its submission
-	kindDeadline = "deadline" // within a multiple of its own deadline
+	kindFinished = "finished" // within a fixed time from its submission
+	kindDeadline = "deadline" // within a multiple of the deadline that its owner set
 )
 
-// Work is what the rules need to know of a job. All times are in seconds.
+// Work holds the properties of a job that the rules depend on. All times are in seconds.
 type Work struct {
 	Class     string
-	DeadlineS float64 // of its owner, from its submission; 0: none
-	AgeS      float64 // since its submission
-	ExpectedS float64 // run time of one of its tasks
+	DeadlineS float64 // set by the job's owner, counted from the submission; 0: none
+	AgeS      float64 // time since the submission
+	ExpectedS float64 // expected run time of one task
 }
 
-// earliestEnd returns when the job would be complete if its tasks started now, counted
+// earliestEnd returns when the job would be complete if all its tasks started now, in seconds
 // from its submission.
 func (w *Work) earliestEnd() float64 { return w.AgeS + w.ExpectedS }
 
-// dueSeconds returns when the job should be complete, counted from its submission: by
-// its owner's deadline, else by the service-level objectives of its class, else a few
-// times its expected run time. Objectives may name several times for a class: the
-// earliest that can still be met counts, else the latest.
+// dueSeconds returns when the job should be complete, in seconds from its submission. The
+// owner's deadline and the service-level objectives of the job's class may each set a time.
+// Of these the earliest that can still be met counts, or the latest if none can. If no time
+// is set, the job is due some time after its expected run time; see defaultDueRunTimes.
 func dueSeconds(w Work, objectives []config.Objective) float64 {
 	earliestEnd := w.earliestEnd()
 	due, known := w.DeadlineS, w.DeadlineS > 0
 	for i := range objectives {
-		named, ok := objectiveSeconds(w, &objectives[i])
+		objectiveDue, ok := objectiveSeconds(w, &objectives[i])
 		if !ok {
 			continue
 		}
-		missedButLater := due < earliestEnd && named > due
-		earlierAndMeetable := named >= earliestEnd && named < due
+		missedButLater := due < earliestEnd && objectiveDue > due
+		earlierAndMeetable := objectiveDue >= earliestEnd && objectiveDue < due
 		if !known || missedButLater || earlierAndMeetable {
-			due, known = named, true
+			due, known = objectiveDue, true
 		}
 	}
 	if !known {
-		return defaultDueRuns*w.ExpectedS + defaultDueSeconds
+		return defaultDueRunTimes*w.ExpectedS + defaultDueSeconds
 	}
 	return due
 }
 
-// objectiveSeconds returns the time that an objective names for the job, if it names
-// one.
+// objectiveSeconds returns when the job is due by an objective, in seconds from its
+// submission. It reports false if the objective sets no time for the job.
 func objectiveSeconds(w Work, objective *config.Objective) (seconds float64, ok bool) {
 	if objective.Class != w.Class {
 		return 0, false
@@ -68,15 +68,17 @@
 	return seconds, seconds > 0
 }
 
-// SlackSeconds returns how many seconds the job's waiting tasks may still wait.
+// SlackSeconds returns for how many seconds the job's waiting tasks may still wait so that the
+// job is complete when it is due. It is negative if the job will be late.
 func SlackSeconds(w Work, objectives []config.Objective) float64 {
 	return dueSeconds(w, objectives) - w.AgeS - w.ExpectedS
 }
 
-// ParallelTasks returns how many of the waiting tasks should run at a time if they may
-// be spread over a share of the time that is left until the job is due.
-func ParallelTasks(waiting int, w Work, objectives []config.Objective, share float64) int {
+// ParallelTasks returns how many of the job's waiting tasks should run at a time so that, one
+// round of tasks after the other, all are done within the given share of the time that is left
+// until the job is due. If that is too short for two rounds, it returns all of them.
+func ParallelTasks(waitingTasks int, w Work, objectives []config.Objective, share float64) int {
 	window := (dueSeconds(w, objectives) - w.AgeS) * share
 	rounds := max(1, int(window/max(1, w.ExpectedS)))
-	return (waiting + rounds - 1) / rounds
+	return (waitingTasks + rounds - 1) / rounds
 }
--- a/internal/leader/demand/price.go
+++ b/internal/leader/demand/price.go
@@ -5,48 +5,50 @@
 )
 
 const (
-	// LatePriceStretch is how far beyond the price limit machines may cost for a job
-	// that would be late otherwise, if the objective of its class is above patientShare
-	// or the job has waited for patienceSeconds.
+	// LatePriceStretch is the factor by which machines may exceed the price limit for a job
+	// that would be late otherwise. It applies if an objective of the job's class is for a
+	// share above maxLenientShare, or if the job has waited for cheapOnlySeconds.
 	LatePriceStretch = 1.35
-	// patientShare is the share of a class's jobs up to which an objective lets it
-	// wait for cheap machines first.
-	patientShare = 0.9
+	// maxLenientShare is the largest share of a class's jobs that objectives may want in time
+	// so that the class is lenient: its jobs first wait for machines within the price limit.
+	maxLenientShare = 0.9
 
-	// StartWithinSeconds is in how many seconds every job should have started, whatever else
-	// waits.
+	// StartWithinSeconds is the time from its submission within which every job should start,
+	// whatever other jobs wait.
 	StartWithinSeconds = 4 * 60
-	// patienceSeconds is how long a patient job waits for cheap machines alone: the
-	// other half of the time is left for what gets it started.
-	patienceSeconds = StartWithinSeconds / 2
+	// cheapOnlySeconds is the time from its submission in which a job of a lenient class gets
+	// only machines within the price limit. The other half of StartWithinSeconds is left to
+	// start the job by other means.
+	cheapOnlySeconds = StartWithinSeconds / 2
 )
 
-// PriceStretch returns how far beyond the price limit machines for the job may cost. It
-// is above 1 for a job that would be late if it waited waitS seconds for cheap
-// machines, and that expensive ones, which are up after bootS seconds, complete in time.
-func PriceStretch(w Work, objectives []config.Objective, waitS, bootS float64) float64 {
-	if patient(w, objectives) {
+// PriceStretch returns the factor by which machines for the job may exceed the price limit. It
+// is above 1 if the job would be late after a wait of waitSeconds for machines within the
+// limit, but in time on more expensive machines, which can run its tasks after bootSeconds.
+func PriceStretch(w Work, objectives []config.Objective, waitSeconds, bootSeconds float64) float64 {
+	if mustWaitForCheapMachines(w, objectives) {
 		return 1
 	}
 	due := dueSeconds(w, objectives)
-	late := w.AgeS+waitS+w.ExpectedS > due
-	inTime := w.AgeS+bootS+w.ExpectedS < due
+	late := w.AgeS+waitSeconds+w.ExpectedS > due
+	inTime := w.AgeS+bootSeconds+w.ExpectedS < due
 	if late && inTime {
 		return LatePriceStretch
 	}
 	return 1
 }
 
-// patient reports whether a job waits for cheap machines first. A class that may be
-// late more often does, but not for ever: cheap machines alone may never catch up. (With
-// 24 cheap machines of 40 a backlog of 16 minutes grew, and no ordinary one was
-// requested.)
-func patient(w Work, objectives []config.Objective) bool {
-	return strictestShare(w.Class, objectives) <= patientShare && w.AgeS < patienceSeconds
+// mustWaitForCheapMachines reports whether a job may get only cheap machines, which are those
+// within the price limit. Jobs of a lenient class must wait for these, but only for
+// cheapOnlySeconds, because cheap machines alone may never catch up with the demand. Without
+// this bound, a backlog of 16 minutes builds up with 24 cheap machines out of 40, and no
+// ordinary machine is requested.
+func mustWaitForCheapMachines(w Work, objectives []config.Objective) bool {
+	return strictestShare(w.Class, objectives) <= maxLenientShare && w.AgeS < cheapOnlySeconds
 }
 
-// strictestShare returns the largest share of a class's jobs that an objective wants
-// in time; 0 if none says.
+// strictestShare returns the largest share of a class's jobs that any objective wants in time,
+// 0 if the class has no such objective.
 func strictestShare(class string, objectives []config.Objective) float64 {
 	share := 0.0
 	for i := range objectives {
