--- a/internal/leader/demand/price.go
+++ b/internal/leader/demand/price.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	// LatePriceStretch is the factor by which machines may exceed the price limit for a job
-	// that would be late otherwise. It applies if an objective of the job's class is for a
-	// share above maxLenientShare, or if the job has waited for cheapOnlySeconds.
+	// LatePriceStretch is the multiple of the price limit that machines may cost for a job that
+	// would be late otherwise. It applies if an objective of the job's class is for a share
+	// above maxLenientShare, or if the job has waited for cheapOnlySeconds.
 	LatePriceStretch = 1.35
 	// maxLenientShare is the largest share of a class's jobs that objectives may want in time
 	// so that the class is lenient: its jobs first wait for machines within the price limit.
@@ -22,9 +22,9 @@
 	cheapOnlySeconds = StartWithinSeconds / 2
 )
 
-// PriceStretch returns the factor by which machines for the job may exceed the price limit. It
-// is above 1 if the job would be late after a wait of waitSeconds for machines within the
-// limit, but in time on more expensive machines, which can run its tasks after bootSeconds.
+// PriceStretch returns the multiple of the price limit that machines for the job may cost. It is
+// above 1 if the job would be late after a wait of waitSeconds for machines within the limit,
+// but in time on more expensive machines, which can run its tasks after bootSeconds.
 func PriceStretch(w Work, objectives []config.Objective, waitSeconds, bootSeconds float64) float64 {
 	if mustWaitForCheapMachines(w, objectives) {
 		return 1
--- a/internal/leader/progress/rejected.go
+++ b/internal/leader/progress/rejected.go
@@ -16,9 +16,9 @@
 //
 // A chunk that is rejected by itself, and that is too large for the store's next limits,
 // shows that these limits are in force. From then on, chunks that were accepted under the
-// former limits are written in sub-chunks. The store does not announce the change, and
-// nothing else shows it. Sub-chunks must not be written earlier, because some nodes may not
-// support them yet.
+// former limits are written in sub-chunks. The store does not announce when its next limits
+// take effect, and nothing else shows it. Sub-chunks must not be written earlier, because
+// some nodes may not support them yet.
 func (w *Writer) onRejected(b *batch, now time.Time) bool {
 	if n := b.recordCount(); n > 1 {
 		w.log.Info("transaction rejected as invalid", "writes", len(b.txn.Writes), "single_record_retries", n)
--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -42,7 +42,7 @@
 }
 
 // splitChunks splits all chunks of a job into sub-chunks of equal size, of at most maxTasks
-// tasks. If a chunk had unsaved changes, all its sub-chunks have.
+// tasks. If a chunk had unsaved changes, its sub-chunks are marked as changed too.
 func (w *Writer) splitChunks(j *cluster.Job, maxTasks int) {
 	perChunk := subchunksPerChunk(j.TasksPerChunk, maxTasks)
 	chunks := j.Chunks
--- a/internal/leader/progress/writer.go
+++ b/internal/leader/progress/writer.go
@@ -23,8 +23,8 @@
 	// and final records.
 	routineWriteInterval = 300 * time.Millisecond
 	// maxRoutineWriteDelay is how long a routine write may wait for the write budget, which
-	// launches use first. Then it is written regardless of the budget. The agents
-	// keep the outcome of an attempt in their heartbeats, which grow, until it is stored.
+	// launches use first. Then it is written regardless of the budget. Until the outcome of an
+	// attempt is stored, the agents keep it in their heartbeats, which grow meanwhile.
 	maxRoutineWriteDelay = 6 * time.Second
 	// rejectedRecordPause is how long a record is not written again after the store rejected
 	// it in a transaction of its own.
--- a/internal/leader/scaling/answer.go
+++ b/internal/leader/scaling/answer.go
@@ -14,10 +14,11 @@
 const (
 	// Filled means that all machines were started.
 	Filled Outcome = iota
-	// PartlyFilled means that fewer machines were started than requested. The offer is backed
-	// off from.
+	// PartlyFilled means that fewer machines were started than requested. The offer is not
+	// requested again until its backoff ends.
 	PartlyFilled
-	// NoCapacity means that the cloud refused the offer. The offer is backed off from.
+	// NoCapacity means that the cloud refused the offer. The offer is not requested again until
+	// its backoff ends.
 	NoCapacity
 	// Unavailable means that the cloud is busy or down. All scale-out requests are paused.
 	Unavailable
