--- a/internal/utility/utility.go
+++ b/internal/utility/utility.go
@@ -3,11 +3,11 @@
 // machines, and the operators Min, Max, Sum, Scale and Barrier that combine them.
 package utility
 
-// Class is an equivalence class of machines. A scheduling cycle tells few classes apart,
-// so that a set of them is a bit set.
+// Class is an equivalence class of machines, from 0 to 63. A scheduling cycle distinguishes
+// only a few.
 type Class uint
 
-// Set is a set of classes.
+// Set is a set of classes, with one bit for each.
 type Set uint64
 
 // SetOf returns the set of the classes.
@@ -22,7 +22,7 @@
 // Has reports whether the class is in the set.
 func (s Set) Has(c Class) bool { return s&(1<<c) != 0 }
 
-// Grant says how many units a job holds in each class.
+// Grant is the number of units that a job holds in each class.
 type Grant map[Class]int
 
 // unitsIn returns how many units are held in the classes of a set.
@@ -42,7 +42,8 @@
 	Value(Grant) float64
 }
 
-// Choose is the n Choose k leaf: it is U once K units come from the set, 0 before.
+// Choose is the n Choose k leaf. Its value is U if the grant has at least K units in the
+// classes of From, else 0.
 type Choose struct {
 	From Set
 	K    int
@@ -57,7 +58,8 @@
 	return 0
 }
 
-// Linear is the linear n Choose k leaf: it rises to U at K units and stays there.
+// Linear is the linear n Choose k leaf. Its value rises linearly with the units in the
+// classes of From, up to U at K units, and stays at U above that.
 type Linear struct {
 	From Set
 	K    int
@@ -73,7 +75,7 @@
 	return e.U * float64(counted) / float64(e.K)
 }
 
-// Min is the least of its operands, 0 without any.
+// Min is the smallest value of its operands, or 0 if there are none.
 type Min []Expr
 
 // Value returns the utility of a grant.
@@ -88,7 +90,7 @@
 	return least
 }
 
-// Max is the greatest of its operands, 0 if none is above that.
+// Max is the largest value of its operands, or 0 if none is above 0.
 type Max []Expr
 
 // Value returns the utility of a grant.
@@ -100,7 +102,7 @@
 	return greatest
 }
 
-// Sum is the sum of its operands.
+// Sum adds the values of its operands.
 type Sum []Expr
 
 // Value returns the utility of a grant.
@@ -112,7 +114,7 @@
 	return sum
 }
 
-// Scale multiplies its operand by a factor.
+// Scale multiplies the value of its operand by a factor.
 type Scale struct {
 	By float64
 	Of Expr
@@ -121,7 +123,7 @@
 // Value returns the utility of a grant.
 func (e Scale) Value(g Grant) float64 { return e.By * e.Of.Value(g) }
 
-// Barrier is 0 until its operand reaches At, and then the operand's value.
+// Barrier is 0 while its operand's value is below At, and that value otherwise.
 type Barrier struct {
 	At float64
 	Of Expr
@@ -135,8 +137,8 @@
 	return 0
 }
 
-// Gain returns what one more unit of a class adds to an expression. It leaves the grant
-// as it was.
+// Gain returns by how much one more unit of a class raises the utility of a grant. It
+// leaves the grant unchanged.
 func Gain(e Expr, g Grant, c Class) float64 {
 	before := e.Value(g)
 	g[c]++
