--- a/internal/placement/fixtures_test.go
+++ b/internal/placement/fixtures_test.go
@@ -4,30 +4,31 @@
 	"lilaclead/internal/wire"
 )
 
-// testFactors let the image count for half, and double a job's utility in a minute.
+// testFactors halve the utility of a machine without the image, and double a job's utility
+// after a minute of waiting.
 var testFactors = UtilityFactors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 60}
 
-// gangSpec is a gang of the team t that must be in one zone.
+// gangSpec returns the spec of a gang of team t that must be in one zone.
 func gangSpec(id wire.JobID, priority wire.Priority, tasks int, cpus float64) *wire.JobSpec {
 	return &wire.JobSpec{ID: id, Team: "t", Kind: wire.KindGang, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: cpus, SameZone: true, SpotAllowed: true, Image: "i"}
 }
 
-// machineIn is a machine of four processors in a zone, some of them free.
+// machineIn returns a machine in a zone with four CPUs, some of them free.
 func machineIn(zone wire.Zone, id wire.MachineID, freeCPUs float64, victims ...Victim) Machine {
 	return Machine{ID: id, Zone: zone, Total: Resources{4, 0, 16}, Free: Resources{freeCPUs, 0, 16}, FetchGBPerSecond: 1, Victims: victims}
 }
 
-// fullSizeVictim is a task of standard priority that fills a machine.
-func fullSizeVictim(index int, lostS, remainingS float64) Victim {
-	return Victim{Task: wire.TaskID{Job: "req-9", Index: index}, Rank: 1, Resources: Resources{4, 0, 4}, LostWorkSeconds: lostS, RemainingSeconds: remainingS, Team: "t"}
+// fullSizeVictim returns a task of standard priority that uses all CPUs of a machine.
+func fullSizeVictim(index int, lostWorkSeconds, remainingSeconds float64) Victim {
+	return Victim{Task: wire.TaskID{Job: "req-9", Index: index}, Rank: 1, Resources: Resources{4, 0, 4}, LostWorkSeconds: lostWorkSeconds, RemainingSeconds: remainingSeconds, Team: "t"}
 }
 
-// fullSizeReservation reserves a machine for a gang's task.
+// fullSizeReservation returns a reservation of all CPUs of a machine for a gang's task.
 func fullSizeReservation(job wire.JobID, priority wire.Priority) []Reservation {
 	return []Reservation{{job, priority.Rank(), Resources{4, 0, 4}}}
 }
 
-// snapshotOf is a cluster with jobs of which all tasks wait.
+// snapshotOf returns a cluster with jobs whose tasks are all pending.
 func snapshotOf(machines []Machine, jobs ...Job) *Snapshot {
 	for i := range jobs {
 		jobs[i].PendingTasks, jobs[i].TasksByZone = jobs[i].Spec.Tasks, map[wire.Zone]int{}
--- a/internal/placement/gains.go
+++ b/internal/placement/gains.go
@@ -4,18 +4,19 @@
 	"lilaclead/internal/utility"
 )
 
-// The two classes that a job's tree tells apart among the machines that its hard
-// constraints allow: those whose heartbeats imply its image, and the rest.
+// The classes that a job's utility tree distinguishes among the machines that its hard
+// constraints allow: those known to have its image, according to their heartbeats, and
+// the rest.
 const (
 	withImage utility.Class = iota
 	withoutImage
 )
 
-// taskTree returns the utility tree of one task: the better of the preferred branch and
-// of the fallback over any fitting machine, each a linear leaf of one unit. A job's tree
-// is the Sum over its tasks. One pair of leaves for the whole job would make the
-// fallback worthless as soon as some units hold preferred machines, and tasks would
-// wait where the design says they don't.
+// taskTree returns the utility tree of one task: the Max of the preferred branch and of
+// the fallback over any fitting machine. Each branch is a linear leaf of one unit. A job's
+// tree is the Sum over its tasks. With one pair of leaves for the whole job, the fallback
+// would add nothing once some units have preferred machines, and the other tasks would
+// wait for preferred machines instead of using the fallback.
 func taskTree(f UtilityFactors) utility.Expr {
 	return utility.Max{
 		utility.Scale{By: f.Preferred, Of: utility.Linear{From: utility.SetOf(withImage), K: 1, U: 1}},
@@ -23,9 +24,9 @@
 	}
 }
 
-// gangTree returns the utility tree of a gang: the better of the preferred branch and of
-// the fallback, each an n Choose k leaf of its full count. It is zero until all of it
-// fits.
+// gangTree returns the utility tree of a gang: the Max of the preferred branch and of the
+// fallback. Each branch is an n Choose k leaf with all units of the gang as k, so that the
+// utility is 0 until all of them fit.
 func gangTree(f UtilityFactors, units int) utility.Expr {
 	return utility.Max{
 		utility.Scale{By: f.Preferred, Of: utility.Choose{From: utility.SetOf(withImage), K: units, U: float64(units)}},
@@ -33,17 +34,17 @@
 	}
 }
 
-// classGains is what a unit of a job gains in each class.
+// classGains is the utility that a unit of a job gains on a machine of each class.
 type classGains [2]float64
 
-func (g classGains) most() float64 { return max(g[withImage], g[withoutImage]) }
+func (g classGains) largest() float64 { return max(g[withImage], g[withoutImage]) }
 
-// raisedBy returns the gains with the job's utility raised by a factor.
-func (g classGains) raisedBy(factor float64) classGains {
+func (g classGains) multipliedBy(factor float64) classGains {
 	return classGains{g[withImage] * factor, g[withoutImage] * factor}
 }
 
-// taskGains returns the gains of one task of any array or service.
+// taskGains returns the gains of one task of an array or a service, before the job's weight
+// and waiting time are applied.
 func taskGains(f UtilityFactors) classGains {
 	tree := taskTree(f)
 	return classGains{
@@ -52,17 +53,17 @@
 	}
 }
 
-// gangGains returns the gains per unit of a gang whose utility is raised by a factor.
-func gangGains(f UtilityFactors, units int, raise float64) classGains {
+// gangGains returns the gains per unit of a gang whose utility is multiplied by multiplier.
+func gangGains(f UtilityFactors, units int, multiplier float64) classGains {
 	tree := gangTree(f, units)
 	return classGains{
-		tree.Value(utility.Grant{withImage: units}) * raise / float64(units),
-		tree.Value(utility.Grant{withoutImage: units}) * raise / float64(units),
+		tree.Value(utility.Grant{withImage: units}) * multiplier / float64(units),
+		tree.Value(utility.Grant{withoutImage: units}) * multiplier / float64(units),
 	}
 }
 
-// utilityRaise returns the factor by which a job's weight and waiting time raise its
-// utility.
-func utilityRaise(j *Job, f UtilityFactors) float64 {
+// utilityMultiplier returns the factor for a job's utility that follows from its weight and
+// waiting time.
+func utilityMultiplier(j *Job, f UtilityFactors) float64 {
 	return j.Weight * (1 + j.WaitedSeconds/max(1, f.WaitDoublingSeconds))
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -8,8 +8,8 @@
 	"lilaclead/internal/wire"
 )
 
-// zoneGroups returns the sets of machines that a gang may be spread over: those of one
-// zone each if all of it must be in one zone, else all.
+// zoneGroups returns the groups of machines that each may take all of a gang, as indexes:
+// one group for each zone if the gang must be in one zone, else one group of all machines.
 func zoneGroups(s *Snapshot, spec *wire.JobSpec) [][]int {
 	var groups [][]int
 	groupOf := map[wire.Zone]int{}
@@ -28,19 +28,19 @@
 	return groups
 }
 
-// chooseForGang finds machines for all units of a gang: in the preferred class alone if
-// all of it fits there, else anywhere, where the last image is there soonest, as the
-// others wait for it. (Fewest fetches went first: a gang went to one full machine type
-// that fetches slowly rather than to two that are quick.)
+// chooseForGang finds machines for all units of a gang. It prefers machines that all have
+// the image, else those where the last image is present soonest, because all tasks of the
+// gang wait for it. If the number of fetches counted first, a gang would go to one
+// machine that fetches slowly instead of two that fetch quickly.
 func (p *pass) chooseForGang(q *queuedJob) choice {
-	j := &p.s.Jobs[q.job]
-	if !p.s.Teams[j.Spec.Team].allows(j, ResourcesOf(j.Spec).Times(float64(j.PendingTasks))) {
+	j := &p.snapshot.Jobs[q.job]
+	if !p.snapshot.Teams[j.Spec.Team].allows(j, ResourcesOf(j.Spec).Times(float64(j.PendingTasks))) {
 		return choice{state: choiceNone}
 	}
 	best, found := gangFit{}, false
-	for _, group := range zoneGroups(p.s, j.Spec) {
+	for _, group := range zoneGroups(p.snapshot, j.Spec) {
 		fit, ok := p.fitGang(j, p.candidates(j, group))
-		if !ok || found && !fit.better(&best) {
+		if !ok || found && !fit.betterThan(&best) {
 			continue
 		}
 		best, found = fit, true
@@ -49,13 +49,13 @@
 		return choice{state: choiceNone}
 	}
 	class := withImage
-	if best.fetches > 0 {
+	if best.fetchingMachines > 0 {
 		class = withoutImage
 	}
 	return choice{state: choiceFound, machines: best.machines, gain: q.gains[class]}
 }
 
-// preference orders candidates before anything else.
+// preference is the first criterion of the order of candidates.
 type preference int
 
 const (
@@ -65,19 +65,20 @@
 
 // candidate is a machine that can take units of a gang.
 type candidate struct {
-	machine    int
+	machine    int // index in Snapshot.Machines
 	preference preference
 	class      utility.Class
-	fetchSteps int // that a unit there waits for its image
+	fetchSteps int // that a unit would wait for its image
 	score      float64
 }
 
-// candidates returns the machines of a group that can take units, the best first.
+// candidates returns the machines of a group that can take units of the gang, the best
+// first.
 func (p *pass) candidates(j *Job, group []int) []candidate {
 	unit := ResourcesOf(j.Spec)
-	var out []candidate
+	var found []candidate
 	for _, i := range group {
-		m := &p.s.Machines[i]
+		m := &p.snapshot.Machines[i]
 		usesHeadroom := m.usesHeadroom(j, unit)
 		if !canLaunch(j, m, unit) || usesHeadroom && !j.StartOverdue {
 			continue
@@ -86,9 +87,9 @@
 		if isLastResort(j, m, usesHeadroom) {
 			c.preference = lastResort
 		}
-		out = append(out, c)
+		found = append(found, c)
 	}
-	slices.SortStableFunc(out, func(a, b candidate) int {
+	slices.SortStableFunc(found, func(a, b candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.preference, b.preference),
 			cmp.Compare(a.class, b.class),
@@ -96,15 +97,16 @@
 			cmp.Compare(b.score, a.score),
 		)
 	})
-	return out
+	return found
 }
 
-// fetchStepSeconds is what fetches may differ by and count as equally long: the rate of
-// each is only known to a third.
+// fetchStepSeconds is the step to which fetch times are rounded. Fetch rates are known only
+// to within a third, so that smaller differences mean nothing.
 const fetchStepSeconds = 0.25
 
-// fetchSteps returns how many steps a unit of a gang would wait for its image on a
-// machine. A fetch that is under way may be nearly over, or have just begun.
+// fetchSteps returns how long a unit of a gang would wait for its image on a machine, in
+// steps of fetchStepSeconds. A fetch in progress counts as one step, because it is unknown
+// how much of it is left.
 func fetchSteps(j *Job, m *Machine) int {
 	switch m.Images[j.Spec.Image] {
 	case ImagePresent:
@@ -115,61 +117,63 @@
 	return 1 + int(m.fetchSeconds(j)/fetchStepSeconds)
 }
 
-// gangFit is a set of machines that take units of a gang.
+// gangFit is an assignment of a gang's units to machines.
 type gangFit struct {
-	machines   []int // one for each unit
-	inZone     map[wire.Zone]int
-	fetchSteps int // until the last image is there
-	fetches    int
-	score      float64
+	machines         []int // index of the machine of each unit
+	unitsByZone      map[wire.Zone]int
+	maxFetchSteps    int // until the last machine has the image
+	fetchingMachines int
+	score            float64
 }
 
-// better reports whether this fit is to be taken rather than the other.
-func (f *gangFit) better(than *gangFit) bool {
+// betterThan reports whether this fit is preferred to the other: first by the time of the
+// last fetch, then by the number of fetches, then by score.
+func (f *gangFit) betterThan(other *gangFit) bool {
 	return cmp.Or(
-		cmp.Compare(f.fetchSteps, than.fetchSteps),
-		cmp.Compare(f.fetches, than.fetches),
-		cmp.Compare(than.score, f.score),
+		cmp.Compare(f.maxFetchSteps, other.maxFetchSteps),
+		cmp.Compare(f.fetchingMachines, other.fetchingMachines),
+		cmp.Compare(other.score, f.score),
 	) < 0
 }
 
-// fitGang packs all units of a gang into the candidates, if they fit.
+// fitGang packs the units of a gang into the candidates. It returns false if not all of
+// them fit.
 func (p *pass) fitGang(j *Job, candidates []candidate) (gangFit, bool) {
-	fit := gangFit{inZone: map[wire.Zone]int{}}
+	fit := gangFit{unitsByZone: map[wire.Zone]int{}}
 	for i := range candidates {
 		c := &candidates[i]
-		fit.fill(j, c, p.s.Machines[c.machine])
+		fit.packUnits(j, c, p.snapshot.Machines[c.machine])
 	}
 	return fit, len(fit.machines) == j.PendingTasks
 }
 
-// fill packs as many units of the gang as can be into a candidate. It works on a copy of
-// the machine.
-func (f *gangFit) fill(j *Job, c *candidate, m Machine) {
+// packUnits packs as many of the gang's remaining units as fit into a candidate. The machine
+// is a copy, which it modifies.
+func (f *gangFit) packUnits(j *Job, c *candidate, m Machine) {
 	unit := ResourcesOf(j.Spec)
-	filled := false
+	used := false
 	for len(f.machines) < j.PendingTasks && f.fitsOneMore(j, &m, unit) {
-		filled = true
+		used = true
 		m.Free = m.Free.Minus(unit)
 		m.consumeReservation(j.Spec.ID)
-		f.inZone[m.Zone]++
+		f.unitsByZone[m.Zone]++
 		f.machines = append(f.machines, c.machine)
 		f.score += c.score
 		if c.preference == lastResort {
 			f.score -= lastResortCost
 		}
 	}
-	if !filled {
+	if !used {
 		return
 	}
-	f.fetchSteps = max(f.fetchSteps, c.fetchSteps)
+	f.maxFetchSteps = max(f.maxFetchSteps, c.fetchSteps)
 	if c.class == withoutImage {
-		f.fetches++
+		f.fetchingMachines++
 	}
 }
 
-// fitsOneMore reports whether the machine can take another unit of the gang beside those
-// that are packed.
+// fitsOneMore reports whether the machine can take another unit of the gang in addition to
+// those packed so far.
 func (f *gangFit) fitsOneMore(j *Job, m *Machine, unit Resources) bool {
 	if !unit.FitsIn(m.Free) || m.reservedForOthers(j, unit) {
 		return false
@@ -177,5 +181,5 @@
 	if !j.StartOverdue && m.usesHeadroom(j, unit) {
 		return false
 	}
-	return j.TasksByZone[m.Zone]+f.inZone[m.Zone] < j.Spec.MaxTasksPerZone()
+	return j.TasksByZone[m.Zone]+f.unitsByZone[m.Zone] < j.Spec.MaxTasksPerZone()
 }
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -6,9 +6,9 @@
 	"lilaclead/internal/wire"
 )
 
-// A gang that must fetch goes where its last image is there soonest: neither where the
-// fewest machines fetch, nor where it leaves the least room.
-func TestGangGoesWhereLastImageIsThereSoonest(t *testing.T) {
+// A gang that must fetch its image goes where the last of its machines has the image
+// soonest. Neither the number of machines that fetch nor the room left free counts first.
+func TestGangGoesWhereLastFetchEndsSoonest(t *testing.T) {
 	machine := func(id wire.MachineID, freeCPUs, fetchRate float64, image ImageState) Machine {
 		m := machineIn("a", id, freeCPUs)
 		m.FetchGBPerSecond, m.Images = fetchRate, map[wire.ImageID]ImageState{"i": image}
@@ -34,13 +34,13 @@
 		machines []Machine
 		want     map[wire.MachineID]int
 	}{
-		{"a slow one has room for both", []Machine{slow(), quickN(), quickO()}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
-		{"the quick ones are in another zone", []Machine{slow(), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
-		{"4.4 s against 4.7 s", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 3))}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
-		{"5.4 s against 4.7 s", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 4))}, map[wire.MachineID]int{"m": 2}},
+		{"the slow machine has room for both tasks", []Machine{slow(), quickN(), quickO()}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
+		{"the quick machines are in another zone", []Machine{slow(), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
+		{"the last fetch takes 4.4 s elsewhere, 4.7 s on the slow machine", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 3))}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
+		{"the last fetch takes 5.4 s elsewhere, 4.7 s on the slow machine", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 4))}, map[wire.MachineID]int{"m": 2}},
 		{"a spot machine is a little slower", []Machine{onSpot(machine("m", 4, 0.8, ImageAbsent)), machine("n", 4, 1, ImageAbsent)}, map[wire.MachineID]int{"m": 0, "n": 2}},
-		{"one has the image", []Machine{machine("m", 4, 0.3, ImagePresent), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 2}},
-		{"one fetches the image already", []Machine{machine("m", 2, 0.3, ImageFetching), machine("n", 2, 0.8, ImageAbsent), quickO()}, map[wire.MachineID]int{"n": 0}},
+		{"the slow machine has the image", []Machine{machine("m", 4, 0.3, ImagePresent), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 2}},
+		{"a machine fetches the image already", []Machine{machine("m", 2, 0.3, ImageFetching), machine("n", 2, 0.8, ImageAbsent), quickO()}, map[wire.MachineID]int{"n": 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := gangSpec("req-1", wire.PriorityUrgent, 2, 2)
--- a/internal/placement/generators_test.go
+++ b/internal/placement/generators_test.go
@@ -8,8 +8,8 @@
 	"lilaclead/internal/wire"
 )
 
-// snapshots draws a small cluster with jobs that wait, some of which have reservations.
-func snapshots(t *rapid.T) *Snapshot {
+// drawSnapshot draws a small cluster with pending jobs, some of which have reservations.
+func drawSnapshot(t *rapid.T) *Snapshot {
 	s := &Snapshot{
 		Teams: map[wire.TeamID]*Team{
 			"red":  {Limit: Resources{CPUs: float64(rapid.IntRange(0, 24).Draw(t, "limit"))}},
@@ -77,7 +77,7 @@
 		PendingTasks:  tasks - running["b"],
 		TasksByZone:   running,
 		WaitedSeconds: float64(rapid.IntRange(0, 90).Draw(t, "waited")),
-		Weight:        1 + 0.137*float64(i), // differs by job, so that their order is decided
+		Weight:        1 + 0.137*float64(i), // differs by job, so that their order is determined
 	}
 }
 
@@ -96,10 +96,10 @@
 	m.StoppingResources = Resources{CPUs: float64(rapid.IntRange(0, 3).Draw(t, "stopping")), MemoryGB: 2}
 }
 
-// crowdedSnapshots draws full machines with tasks that could be preempted, and gangs,
-// arrays and services that wait.
-func crowdedSnapshots(t *rapid.T) *Snapshot {
-	s := snapshots(t)
+// drawCrowdedSnapshot draws machines with tasks that could be preempted, and pending gangs,
+// arrays and services.
+func drawCrowdedSnapshot(t *rapid.T) *Snapshot {
+	s := drawSnapshot(t)
 	s.AllowPreemption = true
 	for i := range s.Machines {
 		m := &s.Machines[i]
@@ -114,16 +114,16 @@
 			spec.MachineTypes, spec.Zone, spec.SpotAllowed = nil, "", true
 			j.PendingTasks, j.TasksByZone = spec.Tasks, map[wire.Zone]int{}
 		}
-		j.PreemptionDelaySeconds = float64(rapid.IntRange(0, 30).Draw(t, "patience"))
+		j.PreemptionDelaySeconds = float64(rapid.IntRange(0, 30).Draw(t, "preemption delay"))
 	}
 	return s
 }
 
-// drawVictims fills a machine with tasks of a job, as far as they fit.
+// drawVictims adds up to four tasks of a job to a machine, until one doesn't fit.
 func drawVictims(t *rapid.T, m *Machine, job wire.JobID) {
-	for k := range rapid.IntRange(0, 4).Draw(t, "victims") {
+	for index := range rapid.IntRange(0, 4).Draw(t, "victims") {
 		v := Victim{
-			Task:             wire.TaskID{Job: job, Index: k},
+			Task:             wire.TaskID{Job: job, Index: index},
 			Rank:             rapid.IntRange(0, 2).Draw(t, "victim's rank"),
 			Team:             "blue",
 			Resources:        Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "victim's cpus")), MemoryGB: 2},
@@ -138,9 +138,9 @@
 	}
 }
 
-// couldFit reports whether all of a gang would fit if everything that may be preempted
-// or awaited had ended: in one zone if it requires that.
-func couldFit(s *Snapshot, j *Job) bool {
+// gangCouldFit reports whether all units of a gang would fit once every task has ended that
+// it may preempt or await. If the gang must be in one zone, one zone has to hold all units.
+func gangCouldFit(s *Snapshot, j *Job) bool {
 	team := s.Teams[j.Spec.Team]
 	if team.Limit.CPUs > 0 && team.Used.CPUs+j.Spec.CPUs*float64(j.Spec.Tasks) > team.Limit.CPUs+wire.AmountTolerance {
 		return false
@@ -162,7 +162,7 @@
 	return !j.Spec.SameZone && total >= j.Spec.Tasks
 }
 
-// possibleRoom is the room on a machine once everything has ended that the job may
+// possibleRoom returns the room on a machine once every task has ended that the job may
 // preempt or await.
 func possibleRoom(j *Job, m *Machine) Resources {
 	room := m.Free.Plus(m.StoppingResources)
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -7,26 +7,28 @@
 	"lilaclead/internal/wire"
 )
 
-// keepServiceHeadroom marks the headroom for services on the ordinary machines where a
-// service would go first.
-func keepServiceHeadroom(s *Snapshot) {
+// markServiceHeadroom distributes the headroom for services over the ordinary machines, in
+// headroomOrder.
+func markServiceHeadroom(s *Snapshot) {
 	if s.HeadroomUnits <= 0 {
 		return
 	}
-	left := s.HeadroomUnits
-	// Half of it in one zone at most, as services that are spread need.
-	zoneCap := (s.HeadroomUnits + 1) / 2
-	inZone := map[wire.Zone]int{}
+	remainingUnits := s.HeadroomUnits
+	// A zone has at most half of the headroom, so that a service that must be spread over
+	// zones can use all of it.
+	maxUnitsPerZone := (s.HeadroomUnits + 1) / 2
+	unitsByZone := map[wire.Zone]int{}
 	for _, i := range headroomOrder(s) {
 		m := &s.Machines[i]
-		units := min(left, m.headroomUnits(s.HeadroomUnit), zoneCap-inZone[m.Zone])
+		units := min(remainingUnits, m.headroomUnits(s.HeadroomUnit), maxUnitsPerZone-unitsByZone[m.Zone])
 		m.serviceHeadroomUnits, m.serviceHeadroom = units, s.HeadroomUnit.Times(float64(units))
-		left -= units
-		inZone[m.Zone] += units
+		remainingUnits -= units
+		unitsByZone[m.Zone] += units
 	}
 }
 
-// headroomOrder returns the ordinary machines, those first where a service would go.
+// headroomOrder returns the ordinary machines. Those with the most tasks of services come
+// first, then those with the fewest free CPUs, as a service prefers them too.
 func headroomOrder(s *Snapshot) []int {
 	order := make([]int, 0, len(s.Machines))
 	for i := range s.Machines {
@@ -41,75 +43,74 @@
 	return order
 }
 
-// headroomUnits returns for how many units of headroom the machine has room.
+// headroomUnits returns how many units of headroom fit on the machine.
 func (m *Machine) headroomUnits(unit Resources) int {
 	units := unit.UnitsIn(m.Free)
 	if len(m.Reservations) > 0 {
-		// Not in room that is reserved for others: what urgent gangs had preempted tasks
-		// for was kept from them as soon as it was free, for as long as their
-		// reservations held.
+		// Headroom may not overlap with reservations. Otherwise, the room that urgent gangs
+		// have preempted tasks for is kept from them as soon as it is free, for as long as
+		// their reservations last.
 		units = min(units, unit.UnitsIn(m.unreservedRoom()))
 	}
 	return units
 }
 
-// keepGangHeadroom marks room for a gang, where most of it fits: what it lacks is kept as
-// it becomes free. Machines that have its image go first, then the fullest.
-func keepGangHeadroom(s *Snapshot, spec *wire.JobSpec) {
+// markGangHeadroom marks headroom for a gang in the group of machines where most of its
+// units fit. If not all of them fit, later cycles add room as it becomes free.
+func markGangHeadroom(s *Snapshot, spec *wire.JobSpec) {
 	var best gangHeadroom
 	for _, group := range zoneGroups(s, spec) {
-		if room := gangHeadroomIn(s, spec, group); room.better(&best) {
+		if room := gangHeadroomIn(s, spec, group); room.betterThan(&best) {
 			best = room
 		}
 	}
-	for i, units := range best.units {
+	for i, units := range best.unitsByMachine {
 		m := &s.Machines[i]
 		m.gangHeadroom = m.gangHeadroom.Plus(ResourcesOf(spec).Times(float64(units)))
 	}
 }
 
-// gangHeadroom is room for units of a gang.
+// gangHeadroom is headroom for units of a gang in a group of machines.
 type gangHeadroom struct {
-	units     map[int]int // by machine
-	total     int
-	withImage int // units on machines that have the image
+	unitsByMachine map[int]int // by index of the machine
+	totalUnits     int
+	unitsWithImage int // units on machines that have its image
 }
 
-func (h *gangHeadroom) better(than *gangHeadroom) bool {
-	return h.total > than.total || h.total == than.total && h.withImage > than.withImage
+func (h *gangHeadroom) betterThan(other *gangHeadroom) bool {
+	return h.totalUnits > other.totalUnits || h.totalUnits == other.totalUnits && h.unitsWithImage > other.unitsWithImage
 }
 
-// gangHeadroomIn finds room for as many units of a gang as there is in a group of
-// machines.
+// gangHeadroomIn finds headroom for as many units of a gang as fit in a group of machines.
 func gangHeadroomIn(s *Snapshot, spec *wire.JobSpec, group []int) gangHeadroom {
-	available := map[int]int{}
+	availableUnits := map[int]int{}
 	var order []int
 	for _, i := range group {
-		if units := unreservedUnits(&s.Machines[i], spec); units > 0 {
-			available[i] = units
+		if units := availableGangUnits(&s.Machines[i], spec); units > 0 {
+			availableUnits[i] = units
 			order = append(order, i)
 		}
 	}
 	sortForGangHeadroom(s, spec, order)
-	room := gangHeadroom{units: map[int]int{}}
-	inZone := map[wire.Zone]int{}
+	room := gangHeadroom{unitsByMachine: map[int]int{}}
+	unitsByZone := map[wire.Zone]int{}
 	for _, i := range order {
 		m := &s.Machines[i]
-		units := min(spec.Tasks-room.total, available[i], spec.MaxTasksPerZone()-inZone[m.Zone])
-		room.units[i] = units
-		room.total += units
-		inZone[m.Zone] += units
+		units := min(spec.Tasks-room.totalUnits, availableUnits[i], spec.MaxTasksPerZone()-unitsByZone[m.Zone])
+		room.unitsByMachine[i] = units
+		room.totalUnits += units
+		unitsByZone[m.Zone] += units
 		if m.Images[spec.Image] == ImagePresent {
-			room.withImage += units
+			room.unitsWithImage += units
 		}
 	}
 	return room
 }
 
-// sortForGangHeadroom puts the machines first that have the gang's image, then the
-// fullest.
+// sortForGangHeadroom puts the machines first that have the gang's image, and of those
+// alike the ones with the fewest free CPUs.
 func sortForGangHeadroom(s *Snapshot, spec *wire.JobSpec, machines []int) {
-	fetches := func(m *Machine) int {
+	fetchesNeeded := func(m *Machine) int {
 		if m.Images[spec.Image] == ImagePresent {
 			return 0
 		}
@@ -117,13 +118,13 @@
 	}
 	slices.SortStableFunc(machines, func(x, y int) int {
 		a, b := &s.Machines[x], &s.Machines[y]
-		return cmp.Or(cmp.Compare(fetches(a), fetches(b)), cmp.Compare(a.Free.CPUs, b.Free.CPUs))
+		return cmp.Or(cmp.Compare(fetchesNeeded(a), fetchesNeeded(b)), cmp.Compare(a.Free.CPUs, b.Free.CPUs))
 	})
 }
 
-// unreservedUnits returns how many units of a gang a machine has room for that is
-// neither headroom nor reserved.
-func unreservedUnits(m *Machine, spec *wire.JobSpec) int {
+// availableGangUnits returns how many units of a gang fit on a machine beside its headroom
+// and its reservations.
+func availableGangUnits(m *Machine, spec *wire.JobSpec) int {
 	if m.Cordoned || !MachineAllowed(spec, m) {
 		return 0
 	}
@@ -135,14 +136,14 @@
 	return units
 }
 
-// usesHeadroom reports whether a unit of the job would take room that is kept from it.
+// usesHeadroom reports whether a unit of the job would use headroom that is withheld from it.
 func (m *Machine) usesHeadroom(j *Job, unit Resources) bool {
-	kept := m.headroomKeptFrom(j.Spec)
-	return kept != (Resources{}) && !unit.Plus(kept).FitsIn(m.Free)
+	withheld := m.withheldHeadroom(j.Spec)
+	return withheld != (Resources{}) && !unit.Plus(withheld).FitsIn(m.Free)
 }
 
-// headroomKeptFrom returns the headroom that a job may not use.
-func (m *Machine) headroomKeptFrom(spec *wire.JobSpec) Resources {
+// withheldHeadroom returns the headroom that a job may use only once its start is overdue.
+func (m *Machine) withheldHeadroom(spec *wire.JobSpec) Resources {
 	switch {
 	case spec.IsService():
 		return Resources{}
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -6,14 +6,13 @@
 	"lilaclead/internal/wire"
 )
 
-// Headroom for services is open to services only.
-func TestServiceHeadroomIsOpenToServicesOnly(t *testing.T) {
+func TestServiceHeadroomIsWithheldFromArrays(t *testing.T) {
 	for _, c := range []struct {
-		kind wire.JobKind
-		want int
+		kind       wire.JobKind
+		wantStarts int
 	}{
-		// One unit stays free in each zone. (Both in one zone once left a spread service
-		// with half of its replicas for the time of a boot.)
+		// One unit stays free in each zone. With both units in one zone, a spread service
+		// would have only half of its replicas until a machine has booted.
 		{wire.KindArray, 6},
 		{wire.KindService, 8},
 	} {
@@ -29,16 +28,17 @@
 				},
 				Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: c.kind, Tasks: 9, CPUs: 1, MemoryGB: 4}, PendingTasks: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 			}
-			if got := len(Place(s).Starts); got != c.want {
-				t.Errorf("%d starts in room for 8 units, of which 2 are headroom, want %d", got, c.want)
+			if got := len(Place(s).Starts); got != c.wantStarts {
+				t.Errorf("%d starts in room for 8 units, of which 2 are headroom, want %d", got, c.wantStarts)
 			}
 		})
 	}
 }
 
-// One unit of an array that has waited long may use the headroom, and takes any other
-// room first. (With the cloud sold out it waited beside the headroom for ever.)
-func TestArrayThatWaitedLongUsesHeadroomLast(t *testing.T) {
+// One unit of an array whose start is overdue may use the headroom, but takes any other room
+// first. Without this, an array never starts while the cloud has no capacity and the
+// headroom is the only room.
+func TestOverdueArrayUsesHeadroomLast(t *testing.T) {
 	snapshot := func(extra ...Machine) *Snapshot {
 		machines := []Machine{
 			{ID: "m", Zone: "a", Free: Resources{1, 0, 4}, Total: Resources{4, 0, 16}},
@@ -60,17 +60,17 @@
 		}
 	}
 	if starts := Place(snapshot()).Starts; len(starts) != 1 {
-		t.Errorf("beside headroom only: starts %+v, want one", starts)
+		t.Errorf("headroom only: starts %+v, want one", starts)
 	}
 	other := Machine{ID: "o", Zone: "a", Spot: true, Free: Resources{1, 0, 4}, Total: Resources{16, 0, 64}}
 	if starts := Place(snapshot(other)).Starts; len(starts) != 1 || starts[0].MachineIndex != 2 {
-		t.Errorf("beside other room: starts %+v, want one on machine 2", starts)
+		t.Errorf("headroom and other room: starts %+v, want one on machine 2", starts)
 	}
 }
 
-// Headroom for the next replicas can't be reserved for a gang: it reserved that room,
-// could not use it, and waited beside it for ever. A gang that has waited long uses it.
-func TestGangBesideKeptRoom(t *testing.T) {
+// Headroom for services can't be reserved for a gang. Otherwise, the gang reserves room that
+// it may not use, and waits for ever. A gang whose start is overdue may use the headroom.
+func TestServiceHeadroomIsNotReservedForGang(t *testing.T) {
 	victim := Victim{Task: wire.TaskID{Job: "req-9"}, Rank: 0, Resources: Resources{4, 0, 4}, LostWorkSeconds: 9, RemainingSeconds: 99, Team: "t"}
 	snapshot := func(gang Job, extra ...Machine) *Snapshot {
 		machines := []Machine{machineIn("a", "m", 4), machineIn("a", "n", 0, victim)}
@@ -81,26 +81,27 @@
 	urgent := Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)}
 	res := Place(snapshot(urgent))
 	if len(res.Starts) != 0 || len(res.Reservations) != 1 || res.Reservations[0].Machine != "n" || len(res.Preemptions) != 1 {
-		t.Errorf("an urgent gang: %+v, want a reservation on n with one victim", res)
+		t.Errorf("urgent gang: %+v, want a reservation on n with one victim", res)
 	}
 	standard := Job{Spec: gangSpec("req-1", wire.PriorityStandard, 1, 4), PreemptionDelaySeconds: 5}
 	if res := Place(snapshot(standard)); len(res.Starts) != 0 || len(res.Reservations) != 0 {
-		t.Errorf("a standard gang: %+v, want nothing", res)
+		t.Errorf("standard gang: %+v, want nothing", res)
 	}
 	standard.StartOverdue = true
 	if res := Place(snapshot(standard)); len(res.Starts) != 1 {
-		t.Errorf("one that has waited long: %+v, want a start", res)
+		t.Errorf("overdue standard gang: %+v, want a start", res)
 	}
 	if res := Place(snapshot(standard, machineIn("a", "o", 4))); len(res.Starts) != 1 || res.Starts[0].MachineIndex != 2 {
-		t.Errorf("one that has waited long, beside other room: %+v, want a start on machine 2", res)
+		t.Errorf("overdue standard gang with other room: %+v, want a start on machine 2", res)
 	}
 }
 
-// Headroom for the next gang is kept from arrays, all of it in one zone, where its image
-// is. Services and gangs use it, and an array that has waited long.
-func TestGangHeadroomIsKeptFromArrays(t *testing.T) {
-	place := func(spec *wire.JobSpec, waitedLong bool, machines ...Machine) map[wire.MachineID]int {
-		s := snapshotOf(machines, Job{Spec: spec, StartOverdue: waitedLong})
+// Headroom for an expected gang that must be in one zone is in the zone that has the gang's
+// image. It is withheld from arrays, except for one whose start is overdue. Services and
+// gangs may use it.
+func TestGangHeadroomIsWithheldFromArrays(t *testing.T) {
+	place := func(spec *wire.JobSpec, startOverdue bool, machines ...Machine) map[wire.MachineID]int {
+		s := snapshotOf(machines, Job{Spec: spec, StartOverdue: startOverdue})
 		s.AllowPreemption, s.ExpectedGangs = false, []*wire.JobSpec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
 		return startsByMachine(s)
 	}
@@ -115,27 +116,27 @@
 	cluster := func() []Machine {
 		return []Machine{machineIn("a", "m", 4), withImage(), machineIn("a", "o", 2), machineIn("b", "p", 4)}
 	}
-	// Two of three units are kept on n, which has the image, one on p.
+	// Of the three units of headroom two are on n, which has the image, and one is on p.
 	if got := place(spec(wire.KindArray, 9), false, cluster()...); got["n"] != 0 || got["p"] != 1 || got["m"] != 2 || got["o"] != 1 {
-		t.Errorf("an array takes %v, want 2 on m, none on n, 1 on o, 1 on p", got)
+		t.Errorf("starts of an array: %v, want 2 on m, none on n, 1 on o, 1 on p", got)
 	}
-	// What there is of the headroom is kept, though it is not all. One unit of an array
-	// that has waited long and finds no other room uses it.
-	for waitedLong, want := range map[bool]int{false: 0, true: 1} {
-		if got := place(spec(wire.KindArray, 9), waitedLong, withImage()); got["n"] != want {
-			t.Errorf("waited long %v: an array takes %v, want %d on n", waitedLong, got, want)
+	// Headroom is withheld also if there is room for only a part of the gang. One unit of an
+	// array whose start is overdue uses it if there is no other room.
+	for startOverdue, want := range map[bool]int{false: 0, true: 1} {
+		if got := place(spec(wire.KindArray, 9), startOverdue, withImage()); got["n"] != want {
+			t.Errorf("start overdue %v: starts of an array: %v, want %d on n", startOverdue, got, want)
 		}
 	}
 	for _, kind := range []wire.JobKind{wire.KindService, wire.KindGang} {
 		if got := place(spec(kind, 7), false, cluster()...); got["n"] != 2 || got["p"] != 2 || got["m"] != 2 || got["o"] != 1 {
-			t.Errorf("%s takes %v, want 2 on m, 2 on n, 1 on o, 2 on p", kind, got)
+			t.Errorf("starts of a %s: %v, want 2 on m, 2 on n, 1 on o, 2 on p", kind, got)
 		}
 	}
 }
 
-// Room that is reserved for a gang does not become headroom for the next replicas when it
-// is free; what is free beside it does.
-func TestReservedRoomIsNoHeadroom(t *testing.T) {
+// Room that is reserved for a gang does not become headroom for services once it is free.
+// Other free room on the machine does.
+func TestReservedRoomIsNotHeadroom(t *testing.T) {
 	for freeCPUs, want := range map[float64]int{4: 0, 5: 1, 9: 2} {
 		m := machineIn("a", "m", freeCPUs)
 		reservation := Reservation{"req-1", wire.PriorityUrgent.Rank(), Resources{2, 0, 2}}
@@ -143,49 +144,49 @@
 		s := snapshotOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), ReservedUnits: 2})
 		s.HeadroomUnits, s.HeadroomUnit = 4, Resources{1, 0, 1} // half of it in one zone at most
 		if got := len(Place(s).Starts); got != 2 {
-			t.Errorf("%g free: %d of 2 tasks start in the room reserved for them", freeCPUs, got)
+			t.Errorf("%g CPUs free: %d of 2 tasks start in the room reserved for them", freeCPUs, got)
 		}
 		if got := s.Machines[0].serviceHeadroomUnits; got != want {
-			t.Errorf("%g free: headroom for %d replicas, want %d", freeCPUs, got, want)
+			t.Errorf("%g CPUs free: %d units of headroom, want %d", freeCPUs, got, want)
 		}
 	}
 }
 
-// A gang that has waited long may use the headroom for replicas, and what is reserved of
-// its team's limit is left alone by arrays up to its rank, not by services.
-func TestGangThatWaitedLongIsNotStarved(t *testing.T) {
+// A gang whose start is overdue may use the headroom for services. Arrays up to the gang's
+// rank may not use the part of the team's limit that is reserved for it; services may.
+func TestOverdueGangIsNotStarved(t *testing.T) {
 	spec := func(id wire.JobID, kind wire.JobKind, priority wire.Priority, tasks int) *wire.JobSpec {
 		return &wire.JobSpec{ID: id, Team: "red", Kind: kind, Priority: priority, Tasks: tasks, CPUs: 2, MemoryGB: 1}
 	}
 	for name, c := range map[string]struct {
-		waitedLong bool
-		other      *wire.JobSpec
-		spareUnits int
-		freeCPUs   float64
-		want       int // starts
+		startOverdue  bool
+		other         *wire.JobSpec
+		headroomUnits int
+		freeCPUs      float64
+		wantStarts    int
 	}{
-		"headroom":                       {false, nil, 2, 8, 0},
-		"headroom after a while":         {true, nil, 2, 8, 4},
-		"the limit, against an array":    {true, spec("a", wire.KindArray, wire.PriorityStandard, 2), 0, 6, 0},
-		"the limit, against a service":   {true, spec("s", wire.KindService, wire.PriorityProd, 2), 0, 6, 2},
-		"against a service of its rank":  {true, spec("s", wire.KindService, wire.PriorityStandard, 2), 0, 6, 2},
-		"the limit, against higher rank": {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
+		"headroom, not overdue":                      {false, nil, 2, 8, 0},
+		"headroom, overdue":                          {true, nil, 2, 8, 4},
+		"reserved limit, array":                      {true, spec("a", wire.KindArray, wire.PriorityStandard, 2), 0, 6, 0},
+		"reserved limit, service":                    {true, spec("s", wire.KindService, wire.PriorityProd, 2), 0, 6, 2},
+		"reserved limit, service of the gang's rank": {true, spec("s", wire.KindService, wire.PriorityStandard, 2), 0, 6, 2},
+		"reserved limit, array of a higher rank":     {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), PendingTasks: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, StartOverdue: c.waitedLong}
+			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), PendingTasks: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, StartOverdue: c.startOverdue}
 			s := &Snapshot{
 				Machines:      []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: c.freeCPUs, MemoryGB: 16}}},
 				Teams:         map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
 				Factors:       UtilityFactors{Preferred: 1, Fallback: 0.5, WaitDoublingSeconds: 30},
-				HeadroomUnits: c.spareUnits,
+				HeadroomUnits: c.headroomUnits,
 				HeadroomUnit:  Resources{CPUs: 1, MemoryGB: 1},
 				Jobs:          []Job{gang},
 			}
 			if c.other != nil {
 				s.Jobs = append(s.Jobs, Job{Spec: c.other, PendingTasks: c.other.Tasks, TasksByZone: map[wire.Zone]int{}, Weight: 1})
 			}
-			if got := len(Place(s).Starts); got != c.want {
-				t.Errorf("%d starts, want %d", got, c.want)
+			if got := len(Place(s).Starts); got != c.wantStarts {
+				t.Errorf("%d starts, want %d", got, c.wantStarts)
 			}
 		})
 	}
--- a/internal/placement/model_test.go
+++ b/internal/placement/model_test.go
@@ -9,39 +9,40 @@
 	"lilaclead/internal/wire"
 )
 
-// The same cases every time, and enough of them that gangs meet all else.
+// The fixed seed gives the same cases in every run. There are enough cases to combine gangs
+// with everything else that is drawn.
 func init() {
 	flag.Set("rapid.seed", "20261201") //nolint:errcheck // rapid defines the flag
-	flag.Set("rapid.checks", "2000")   //nolint:errcheck // here too
+	flag.Set("rapid.checks", "2000")   //nolint:errcheck // rapid defines the flag
 }
 
-// slow is the plain model, straight from the design's text: again and again it
-// evaluates the tree of every waiting job for one more unit on every
-// machine, over plain lists, and takes the largest gain. It returns each
-// step's gain; among equals the real pass may choose freely.
-func slow(s *Snapshot) (gains []float64, starts map[int]int) {
+// modelPass is a simple reference model of the pass. In each step it evaluates the utility
+// tree of every pending job for one more unit on every machine and takes the largest gain.
+// It returns the gain of each step and the number of starts of each job. Among equal gains
+// the real pass may choose any.
+func modelPass(s *Snapshot) (gains []float64, starts map[int]int) {
 	starts = map[int]int{}
-	left := make([]int, len(s.Jobs))
+	pendingUnits := make([]int, len(s.Jobs))
 	for i := range s.Jobs {
-		left[i] = s.Jobs[i].PendingTasks
+		pendingUnits[i] = s.Jobs[i].PendingTasks
 	}
 	for {
 		best, bestJob, bestMachine := 0.0, -1, -1
-		var gangMachines []int // where all of a gang goes
+		var gangMachines []int // for all units, if the best job is a gang
 		for job := range s.Jobs {
 			if j := &s.Jobs[job]; j.Spec.IsGang() {
-				if left[job] != j.Spec.Tasks || left[job] == 0 {
+				if pendingUnits[job] != j.Spec.Tasks || pendingUnits[job] == 0 {
 					continue
 				}
-				if u, where := slowGang(s, job); where != nil {
-					if g := u * j.Weight * (1 + j.WaitedSeconds/max(1, s.Factors.WaitDoublingSeconds)); g > best+1e-12 {
-						best, bestJob, gangMachines = g, job, where
+				if unitUtility, machines := modelGang(s, job); machines != nil {
+					if gain := unitUtility * j.Weight * (1 + j.WaitedSeconds/max(1, s.Factors.WaitDoublingSeconds)); gain > best+1e-12 {
+						best, bestJob, gangMachines = gain, job, machines
 					}
 				}
 				continue
 			}
 			for machine := range s.Machines {
-				if left[job] == 0 || !legal(s, job, machine) {
+				if pendingUnits[job] == 0 || !modelAllows(s, job, machine) {
 					continue
 				}
 				j, m := &s.Jobs[job], &s.Machines[machine]
@@ -49,9 +50,9 @@
 				if m.Images[j.Spec.Image] == ImagePresent {
 					class = withImage
 				}
-				u := taskTree(s.Factors).Value(utility.Grant{class: 1})
-				if g := u * j.Weight * (1 + j.WaitedSeconds/max(1, s.Factors.WaitDoublingSeconds)); g > best+1e-12 {
-					best, bestJob, bestMachine, gangMachines = g, job, machine, nil
+				unitUtility := taskTree(s.Factors).Value(utility.Grant{class: 1})
+				if gain := unitUtility * j.Weight * (1 + j.WaitedSeconds/max(1, s.Factors.WaitDoublingSeconds)); gain > best+1e-12 {
+					best, bestJob, bestMachine, gangMachines = gain, job, machine, nil
 				}
 			}
 		}
@@ -62,71 +63,73 @@
 			for _, machine := range gangMachines {
 				modelLaunch(s, bestJob, machine)
 			}
-			left[bestJob] = 0
+			pendingUnits[bestJob] = 0
 			starts[bestJob] += len(gangMachines)
 			gains = append(gains, best)
 			continue
 		}
 		modelLaunch(s, bestJob, bestMachine)
-		left[bestJob]--
+		pendingUnits[bestJob]--
 		starts[bestJob]++
 		gains = append(gains, best)
 	}
 }
 
-// slowGang evaluates the tree of a gang for all that can be had at once: the
-// machines with its image alone, then all, each of one zone where the job wants
-// that, one unit after the other until a unit is illegal. It returns the utility
-// of a unit, and where they go; nil if not all of it fits.
-func slowGang(s *Snapshot, job int) (unit float64, where []int) {
-	n := s.Jobs[job].Spec.Tasks
-	if spec := s.Jobs[job].Spec; s.Teams[spec.Team].Limit.CPUs > 0 && s.Teams[spec.Team].Used.CPUs+float64(n)*spec.CPUs > s.Teams[spec.Team].Limit.CPUs+wire.AmountTolerance {
+// modelGang evaluates the utility tree of a gang for all its units at once. It tries only
+// the machines that have its image, then all machines, and does so in each zone if the
+// gang must be in one zone. On each machine it places units while modelAllows permits it.
+// It returns the utility per unit and the machine of each unit, or nil if not all units
+// fit.
+func modelGang(s *Snapshot, job int) (unitUtility float64, machines []int) {
+	units := s.Jobs[job].Spec.Tasks
+	if spec := s.Jobs[job].Spec; s.Teams[spec.Team].Limit.CPUs > 0 && s.Teams[spec.Team].Used.CPUs+float64(units)*spec.CPUs > s.Teams[spec.Team].Limit.CPUs+wire.AmountTolerance {
 		return 0, nil
 	}
 	for _, class := range []utility.Class{withImage, withoutImage} {
-		for _, z := range []wire.Zone{"a", "b", ""} {
-			if (z == "") == s.Jobs[job].Spec.SameZone {
+		for _, zone := range []wire.Zone{"a", "b", ""} {
+			if (zone == "") == s.Jobs[job].Spec.SameZone {
 				continue
 			}
-			here := clone(s)
-			var got []int
-			for machine := range here.Machines {
-				m := &here.Machines[machine]
-				if z != "" && m.Zone != z || class == withImage && m.Images[s.Jobs[job].Spec.Image] != ImagePresent {
+			trial := clone(s)
+			var placed []int
+			for machine := range trial.Machines {
+				m := &trial.Machines[machine]
+				if zone != "" && m.Zone != zone || class == withImage && m.Images[s.Jobs[job].Spec.Image] != ImagePresent {
 					continue
 				}
-				for len(got) < n && legal(here, job, machine) {
-					modelLaunch(here, job, machine)
-					got = append(got, machine)
+				for len(placed) < units && modelAllows(trial, job, machine) {
+					modelLaunch(trial, job, machine)
+					placed = append(placed, machine)
 				}
 			}
-			if len(got) < n {
+			if len(placed) < units {
 				continue
 			}
-			if u := gangTree(s.Factors, n).Value(utility.Grant{class: n}) / float64(n); u > unit {
-				unit, where = u, got
+			if utilityOfClass := gangTree(s.Factors, units).Value(utility.Grant{class: units}) / float64(units); utilityOfClass > unitUtility {
+				unitUtility, machines = utilityOfClass, placed
 			}
 		}
 	}
-	return unit, where
+	return unitUtility, machines
 }
 
-// legal is the hard constraints, written out once more.
-func legal(s *Snapshot, job, machine int) bool {
+// modelAllows reports whether the hard constraints allow a unit of the job on the machine.
+// It doesn't use the code under test for that.
+func modelAllows(s *Snapshot, job, machine int) bool {
 	j, m := &s.Jobs[job], &s.Machines[machine]
 	spec := j.Spec
 	team := s.Teams[spec.Team]
 	if team.Limit.CPUs > 0 && team.Used.CPUs+spec.CPUs > team.Limit.CPUs+wire.AmountTolerance {
 		return false
 	}
-	// Nothing takes the room that is reserved for others of its rank or above.
-	left, reserved := m.Free.Plus(m.StoppingResources), false
+	// A job may not use room that is reserved for other jobs of its rank or above.
+	room, reserved := m.Free.Plus(m.StoppingResources), false
 	for _, r := range m.Reservations {
 		if r.Job != spec.ID && r.Rank >= spec.Priority.Rank() {
-			left, reserved = left.Minus(r.Resources), true
+			room, reserved = room.Minus(r.Resources), true
 		}
 	}
-	if reserved && (spec.CPUs > left.CPUs+wire.AmountTolerance || spec.MemoryGB > left.MemoryGB+wire.AmountTolerance) {
+	if reserved && (spec.CPUs > room.CPUs+wire.AmountTolerance || spec.MemoryGB > room.MemoryGB+wire.AmountTolerance) {
 		return false
 	}
 	if spec.CPUs > m.Free.CPUs+wire.AmountTolerance || spec.GPUs > m.Free.GPUs+wire.AmountTolerance || spec.MemoryGB > m.Free.MemoryGB+wire.AmountTolerance {
@@ -139,8 +142,8 @@
 		return false
 	}
 	if spec.SameZone {
-		for zone, n := range j.TasksByZone {
-			if zone != m.Zone && n > 0 {
+		for zone, tasks := range j.TasksByZone {
+			if zone != m.Zone && tasks > 0 {
 				return false
 			}
 		}
@@ -148,7 +151,7 @@
 	return true
 }
 
-// modelLaunch takes the room of a unit and its reservation.
+// modelLaunch takes room for a unit on the machine and consumes a reservation of its job.
 func modelLaunch(s *Snapshot, job, machine int) {
 	j, m := &s.Jobs[job], &s.Machines[machine]
 	m.Free = m.Free.Minus(ResourcesOf(j.Spec))
@@ -162,7 +165,7 @@
 	}
 }
 
-// clone copies all that a scheduling cycle changes.
+// clone copies everything that a scheduling cycle may change.
 func clone(s *Snapshot) *Snapshot {
 	c := *s
 	c.Machines = slices.Clone(s.Machines)
@@ -176,9 +179,9 @@
 		c.Jobs[i].TasksByZone = maps.Clone(s.Jobs[i].TasksByZone)
 	}
 	c.Teams = map[wire.TeamID]*Team{}
-	for k, v := range s.Teams {
-		t := *v
-		c.Teams[k] = &t
+	for id, team := range s.Teams {
+		teamCopy := *team
+		c.Teams[id] = &teamCopy
 	}
 	return &c
 }
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -8,12 +8,13 @@
 	"lilaclead/internal/wire"
 )
 
-// Every launch of the real pass is legal when it is made, each step gains as much as the
-// best that the slow model finds in the same position, and the pass stops only when
-// nothing legal is left.
-func TestPassGainsAsMuchAsSlowModel(t *testing.T) {
+// The pass is compared with the reference model, step by step. Every launch of the pass
+// satisfies the hard constraints when it is made. Each step gains as much as the best step
+// that the model finds for the same snapshot. The pass stops only when the model finds no
+// further start.
+func TestPassGainsAsMuchAsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := snapshots(t)
+		s := drawSnapshot(t)
 		model := clone(s)
 		pending := make([]int, len(s.Jobs))
 		for i := range s.Jobs {
@@ -26,14 +27,14 @@
 		for i := range model.Jobs {
 			model.Jobs[i].PendingTasks = pending[i]
 		}
-		if gains, _ := slow(model); len(gains) > 0 {
-			t.Fatalf("the pass stopped, but %d more starts are legal", len(gains))
+		if gains, _ := modelPass(model); len(gains) > 0 {
+			t.Fatalf("the pass stopped, but the model makes %d more steps", len(gains))
 		}
 	})
 }
 
-// checkStep compares the step that begins with the n-th start with the model, makes it
-// there, and returns its number of starts.
+// checkStep compares the step that begins with start n with the model's best step, applies
+// it to the model's snapshot, and returns its number of starts.
 func checkStep(t *rapid.T, s, model *Snapshot, pending []int, starts []Start, n int) int {
 	job := starts[n].JobIndex
 	j, units := &model.Jobs[job], 1
@@ -44,21 +45,21 @@
 	for i := range position.Jobs {
 		position.Jobs[i].PendingTasks = pending[i]
 	}
-	gains, _ := slow(position)
+	gains, _ := modelPass(position)
 	if j.Spec.IsGang() {
 		limit := s.Teams[j.Spec.Team].Limit.CPUs
 		if used := model.Teams[j.Spec.Team].Used.CPUs + float64(units)*j.Spec.CPUs; limit > 0 && used > limit {
-			t.Fatalf("start %d: a gang of a team that may use %g makes it %g", n, limit, used)
+			t.Fatalf("start %d: the gang's team has a limit of %g CPUs and would use %g", n, limit, used)
 		}
 	}
 	unitUtility := s.Factors.Preferred
 	for k := range units {
 		if n+k >= len(starts) || starts[n+k].JobIndex != job {
-			t.Fatalf("start %d: only %d of %d tasks of a gang", n, k, units)
+			t.Fatalf("start %d: only %d of %d tasks of a gang start", n, k, units)
 		}
 		start := starts[n+k]
-		if !legal(model, start.JobIndex, start.MachineIndex) {
-			t.Fatalf("start %d is not legal: %+v", n+k, start)
+		if !modelAllows(model, start.JobIndex, start.MachineIndex) {
+			t.Fatalf("start %d violates a hard constraint: %+v", n+k, start)
 		}
 		if model.Machines[start.MachineIndex].Images[j.Spec.Image] != ImagePresent {
 			unitUtility = s.Factors.Fallback
@@ -67,15 +68,16 @@
 	}
 	got := unitUtility * j.Weight * (1 + j.WaitedSeconds/s.Factors.WaitDoublingSeconds)
 	if len(gains) == 0 || got < gains[0]-1e-9 {
-		t.Fatalf("start %d gains %g, the best is %v", n, got, gains)
+		t.Fatalf("start %d gains %g per unit, the model's steps gain %v", n, got, gains)
 	}
 	if pending[job] -= units; pending[job] < 0 {
-		t.Fatalf("job %d was started too often", job)
+		t.Fatalf("job %d has more starts than pending tasks", job)
 	}
 	return units
 }
 
-// The fallback is taken without waiting, and the preferred machine first.
+// A preferred machine is used first. A task that has none left starts on a fallback machine
+// at once.
 func TestPreferredMachineIsTakenBeforeFallback(t *testing.T) {
 	machine := func(id wire.MachineID) Machine {
 		return Machine{ID: id, Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerSecond: 1}
@@ -98,8 +100,9 @@
 	}
 }
 
-// A machine on which the job failed is its last choice, even with the image. (A replica
-// was once started four times on the machine that failed it.)
+// A machine on which a task of the job failed is the job's last choice, even if it has the
+// image. Without this, a replica is started again and again, as often as four times, on the
+// machine where it fails.
 func TestMachineThatFailedJobIsLastChoice(t *testing.T) {
 	failed := Machine{ID: "failed", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerSecond: 1, ServiceTasks: 1, Images: map[wire.ImageID]ImageState{"i": ImagePresent}}
 	other := Machine{ID: "other", Free: Resources{4, 0, 16}, Total: Resources{4, 0, 16}, FetchGBPerSecond: 1}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,40 +1,41 @@
-// Package placement decides which task runs on which machine: it takes a snapshot of
-// machines and waiting jobs and returns launches, preemptions and reservations. It is
-// pure: it reads no clock and does no I/O.
+// Package placement decides which task runs on which machine. It takes a snapshot of
+// machines and waiting jobs and returns launches, preemptions and reservations. It reads
+// no clock and does no I/O.
 //
-// Each job has a utility tree, machines fall into equivalence classes, and a greedy pass
-// grants one unit after another to the job that gains most utility per unit, raised by
-// the time it has waited. What then still waits with a higher priority may preempt
-// other tasks: room for it is reserved until they have ended.
+// Each job has a utility tree, and machines fall into equivalence classes. A greedy pass
+// grants one unit after another to the job that gains most utility per unit. A job's
+// utility grows with its waiting time. Jobs of a higher priority that the pass could not
+// start may preempt other tasks: room for them is reserved until those tasks have ended.
 package placement
 
 import (
 	"lilaclead/internal/wire"
 )
 
-// Start is a launch: one unit of Jobs[JobIndex] on Machines[MachineIndex].
+// Start is a launch of one unit of Jobs[JobIndex] on Machines[MachineIndex].
 type Start struct{ JobIndex, MachineIndex int }
 
-// Result is the outcome of a scheduling cycle.
+// Result says what a scheduling cycle launches, preempts and reserves.
 type Result struct {
 	Starts       []Start
 	Preemptions  []Victim
 	Reservations []MachineReservation
 }
 
-// MachineReservation is a reservation on a machine.
+// MachineReservation is a new reservation of room on a machine.
 type MachineReservation struct {
 	Machine wire.MachineID
 	Reservation
-	// AwaitedTasks will end by themselves in time.
+	// AwaitedTasks occupy the reserved room. They are not preempted, because they are
+	// expected to end by themselves within the job's preemption delay.
 	AwaitedTasks []wire.TaskID
 }
 
-// Place runs one scheduling cycle. It works on the snapshot.
+// Place runs one scheduling cycle. It modifies the snapshot.
 func Place(s *Snapshot) Result {
-	keepServiceHeadroom(s)
+	markServiceHeadroom(s)
 	for _, spec := range s.ExpectedGangs {
-		keepGangHeadroom(s, spec)
+		markGangHeadroom(s, spec)
 	}
 	pass := newPass(s)
 	pass.run()
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -7,8 +7,8 @@
 	"lilaclead/internal/wire"
 )
 
-// preempt reserves room for what still waits with a higher priority, on the machines
-// where least work is lost, and returns the tasks to stop for it.
+// preempt reserves room for jobs that the pass did not start, where that costs least work.
+// It returns the tasks to stop and the new reservations.
 func preempt(s *Snapshot) ([]Victim, []MachineReservation) {
 	waiting := jobsToReserveFor(s)
 	if len(waiting) == 0 {
@@ -17,7 +17,7 @@
 	if s.FullMachines != nil {
 		s.Machines = append(s.Machines, s.FullMachines()...)
 	}
-	p := preemption{s: s, reservedByTeam: reservedByTeam(s), options: make([]roomOption, len(s.Machines))}
+	p := preemption{snapshot: s, reservedByTeam: reservedByTeam(s), optionByMachine: make([]roomOption, len(s.Machines))}
 	for _, i := range waiting {
 		j := &s.Jobs[i]
 		if j.Spec.IsGang() {
@@ -29,8 +29,8 @@
 	return p.victims, p.reservations
 }
 
-// jobsToReserveFor returns the jobs for which room may be reserved, the highest priority
-// first.
+// jobsToReserveFor returns the indexes of the jobs for which room may be reserved, the
+// highest priority first.
 func jobsToReserveFor(s *Snapshot) []int {
 	var waiting []int
 	for i := range s.Jobs {
@@ -45,7 +45,6 @@
 	return waiting
 }
 
-// mayReserve reports whether room may be reserved for the job.
 func mayReserve(j *Job) bool {
 	if j.PendingTasks <= j.ReservedUnits {
 		return false
@@ -53,67 +52,68 @@
 	if !j.Spec.IsGang() {
 		return MayPreempt(j.Spec)
 	}
-	// Room is reserved for all of a gang or for none of it.
-	untouched := j.ReservedUnits == 0 && j.PendingTasks == j.Spec.Tasks
-	return untouched && (MayPreempt(j.Spec) || j.PreemptionDelaySeconds > 0)
+	// Room is reserved for all units of a gang or for none.
+	noneReservedOrStarted := j.ReservedUnits == 0 && j.PendingTasks == j.Spec.Tasks
+	return noneReservedOrStarted && (MayPreempt(j.Spec) || j.PreemptionDelaySeconds > 0)
 }
 
-// preemption is the state of reserving room in one cycle.
+// preemption collects the reservations of one cycle and the victims that they need.
 type preemption struct {
-	s              *Snapshot
-	reservedByTeam map[wire.TeamID]*resourcesByRank
-	options        []roomOption // a buffer, by machine
-	victims        []Victim
-	reservations   []MachineReservation
+	snapshot        *Snapshot
+	reservedByTeam  map[wire.TeamID]*resourcesByRank
+	optionByMachine []roomOption // buffer of reserveForTasks
+	victims         []Victim
+	reservations    []MachineReservation
 }
 
-// allows reports whether the team's limit leaves so much more for the job beside what is
-// reserved already.
-func (p *preemption) allows(j *Job, more Resources) bool {
+// allows reports whether the team's limit has room for the requested resources of the job
+// in addition to what is reserved for the team's jobs of its rank or above.
+func (p *preemption) allows(j *Job, requested Resources) bool {
 	reserved := p.reservedByTeam[j.Spec.Team][j.Spec.Priority.Rank()]
-	return p.s.Teams[j.Spec.Team].allows(j, more.Plus(reserved))
+	return p.snapshot.Teams[j.Spec.Team].allows(j, requested.Plus(reserved))
 }
 
-// reserveForGang reserves room for all of a gang, or for nothing of it.
+// reserveForGang reserves room for all units of a gang or for none.
 func (p *preemption) reserveForGang(j *Job) {
 	unit := ResourcesOf(j.Spec)
 	if !p.allows(j, unit.Times(float64(j.PendingTasks))) {
 		return
 	}
-	for _, i := range cheapestRoomForGang(p.s, j) {
-		p.reserveUnit(j, i, roomFor(j, &p.s.Machines[i], unit))
+	for _, i := range cheapestRoomForGang(p.snapshot, j) {
+		p.reserveUnit(j, i, roomFor(j, &p.snapshot.Machines[i], unit))
 	}
 }
 
-// maxReservedUnits bounds for how many units of a job one cycle reserves room.
+// maxReservedUnits is the largest number of a job's units that one cycle reserves room for.
+// It does not apply to gangs.
 const maxReservedUnits = 8
 
-// reserveForTasks reserves room for units of an array or a service where that costs
-// least.
+// reserveForTasks reserves room for units of an array or a service, each on the machine
+// where that costs least.
 func (p *preemption) reserveForTasks(j *Job) {
 	unit := ResourcesOf(j.Spec)
-	for i := range p.s.Machines {
-		p.options[i] = roomFor(j, &p.s.Machines[i], unit)
+	for i := range p.snapshot.Machines {
+		p.optionByMachine[i] = roomFor(j, &p.snapshot.Machines[i], unit)
 	}
 	for range min(j.PendingTasks-j.ReservedUnits, maxReservedUnits) {
 		if !p.allows(j, unit) {
 			return
 		}
-		machine, ok := p.cheapestRoom(j)
+		machine, ok := p.cheapestMachine(j)
 		if !ok {
 			return
 		}
-		p.reserveUnit(j, machine, p.options[machine])
-		p.options[machine] = roomFor(j, &p.s.Machines[machine], unit)
+		p.reserveUnit(j, machine, p.optionByMachine[machine])
+		p.optionByMachine[machine] = roomFor(j, &p.snapshot.Machines[machine], unit)
 	}
 }
 
-// cheapestRoom returns the machine where room for a unit of the job costs least.
-func (p *preemption) cheapestRoom(j *Job) (machine int, ok bool) {
+// cheapestMachine returns the machine where room for a unit of the job costs least.
+func (p *preemption) cheapestMachine(j *Job) (machine int, ok bool) {
 	var best *roomOption
-	for i := range p.options {
-		option := &p.options[i]
-		if option.cheaperThan(best) && zoneOpen(j, p.s.Machines[i].Zone) {
+	for i := range p.optionByMachine {
+		option := &p.optionByMachine[i]
+		if option.cheaperThan(best) && zoneOpen(j, p.snapshot.Machines[i].Zone) {
 			best, machine = option, i
 		}
 	}
@@ -122,10 +122,10 @@
 
 // reserveUnit reserves room for one unit on a machine.
 func (p *preemption) reserveUnit(j *Job, machine int, option roomOption) {
-	m := &p.s.Machines[machine]
+	m := &p.snapshot.Machines[machine]
 	reservation := reservationFor(j)
 	reserved := MachineReservation{Machine: m.ID, Reservation: reservation}
-	for _, v := range m.reserve(reservation, option.victims) {
+	for _, v := range m.reserveRoom(reservation, option.victims) {
 		if endsInTime(j, &v) {
 			reserved.AwaitedTasks = append(reserved.AwaitedTasks, v.Task)
 		} else {
@@ -133,7 +133,7 @@
 		}
 	}
 	p.reservations = append(p.reservations, reserved)
-	team := p.s.Teams[j.Spec.Team]
+	team := p.snapshot.Teams[j.Spec.Team]
 	team.Used = team.Used.Plus(reservation.Resources)
 	j.TasksByZone[m.Zone]++
 }
@@ -142,13 +142,13 @@
 	return Reservation{j.Spec.ID, j.Spec.Priority.Rank(), ResourcesOf(j.Spec)}
 }
 
-// resourcesByRank is an amount for each rank of a priority.
+// resourcesByRank is an amount of resources for each rank of a priority.
 type resourcesByRank [4]Resources
 
-// reservedByTeam returns what each team will use once the room is used that is reserved
-// for its jobs of a rank or above it. The team's limit must hold for that too: ten
-// urgent tasks of a team that had room for one once had others' work stopped for all
-// ten, one after the other, before the first of them had started.
+// reservedByTeam returns, for each team and rank, the resources that are reserved for the
+// team's jobs of that rank or above. They count toward the team's limit before they are
+// used. Otherwise, if ten urgent tasks wait and their team's limit has room for one, other
+// tasks are stopped for all ten, one after the other, before the first has started.
 func reservedByTeam(s *Snapshot) map[wire.TeamID]*resourcesByRank {
 	reserved := make(map[wire.TeamID]*resourcesByRank, len(s.Teams))
 	for id := range s.Teams {
@@ -156,13 +156,13 @@
 	}
 	for i := range s.Jobs {
 		j := &s.Jobs[i]
-		ofTeam, units := reserved[j.Spec.Team], min(j.ReservedUnits, j.PendingTasks)
-		if units <= 0 || ofTeam == nil {
+		teamReserved, units := reserved[j.Spec.Team], min(j.ReservedUnits, j.PendingTasks)
+		if units <= 0 || teamReserved == nil {
 			continue
 		}
-		more := ResourcesOf(j.Spec).Times(float64(units))
+		reservedForJob := ResourcesOf(j.Spec).Times(float64(units))
 		for rank := range j.Spec.Priority.Rank() + 1 {
-			ofTeam[rank] = ofTeam[rank].Plus(more)
+			teamReserved[rank] = teamReserved[rank].Plus(reservedForJob)
 		}
 	}
 	return reserved
--- a/internal/placement/preempt_gang.go
+++ b/internal/placement/preempt_gang.go
@@ -4,27 +4,27 @@
 	"lilaclead/internal/wire"
 )
 
-// gangRoom is a way to make room for units of a gang in a group of machines, found one
-// unit after the other.
+// gangRoom is a way to make room for units of a gang in a group of machines. Units are
+// added one after the other.
 type gangRoom struct {
-	s        *Snapshot
-	j        *Job
-	group    []int
-	options  map[int]*roomOption // by machine, for the next unit; nil: no room
-	changed  map[int]*Machine    // copies, as they would be with the units found so far
-	inZone   map[wire.Zone]int
-	machines []int // one for each unit
-	cost     float64
+	snapshot         *Snapshot
+	job              *Job
+	group            []int
+	optionByMachine  map[int]*roomOption // for the next unit, by machine; nil: no room can be made
+	modifiedMachines map[int]*Machine    // copies with the units added so far
+	unitsByZone      map[wire.Zone]int
+	machines         []int // index of the machine of each unit
+	costSeconds      float64
 }
 
-// cheapestRoomForGang finds where room for all units of a gang costs least, and returns
-// a machine for each unit; nil if it can't be made for all of them.
+// cheapestRoomForGang returns a machine for each unit of a gang, in the group of machines
+// where room for all of them costs least. It returns nil if no group can hold all of them.
 func cheapestRoomForGang(s *Snapshot, j *Job) []int {
 	var best *gangRoom
 	for _, group := range zoneGroups(s, j.Spec) {
 		room := newGangRoom(s, j, group)
 		room.addAllUnits()
-		if len(room.machines) == j.PendingTasks && (best == nil || room.cost < best.cost) {
+		if len(room.machines) == j.PendingTasks && (best == nil || room.costSeconds < best.costSeconds) {
 			best = room
 		}
 	}
@@ -36,26 +36,26 @@
 
 func newGangRoom(s *Snapshot, j *Job, group []int) *gangRoom {
 	r := &gangRoom{
-		s:       s,
-		j:       j,
-		group:   group,
-		options: make(map[int]*roomOption, len(group)),
-		changed: make(map[int]*Machine, len(group)),
-		inZone:  map[wire.Zone]int{},
+		snapshot:         s,
+		job:              j,
+		group:            group,
+		optionByMachine:  make(map[int]*roomOption, len(group)),
+		modifiedMachines: make(map[int]*Machine, len(group)),
+		unitsByZone:      map[wire.Zone]int{},
 	}
 	unit := ResourcesOf(j.Spec)
 	for _, i := range group {
 		if option := roomFor(j, &s.Machines[i], unit); option.feasible {
-			r.options[i] = &option
+			r.optionByMachine[i] = &option
 		}
 	}
 	return r
 }
 
-// addAllUnits adds the gang's units, until all are added or one finds no room.
+// addAllUnits adds units until the gang is complete or no room can be made for the next.
 func (r *gangRoom) addAllUnits() {
-	for len(r.machines) < r.j.PendingTasks {
-		machine, ok := r.cheapest()
+	for len(r.machines) < r.job.PendingTasks {
+		machine, ok := r.cheapestMachine()
 		if !ok {
 			return
 		}
@@ -63,37 +63,38 @@
 	}
 }
 
-// cheapest returns the machine where room for the next unit costs least.
-func (r *gangRoom) cheapest() (machine int, ok bool) {
+// cheapestMachine returns the machine where room for the next unit costs least.
+func (r *gangRoom) cheapestMachine() (machine int, ok bool) {
 	var best *roomOption
 	for _, i := range r.group {
-		option := r.options[i]
-		if option != nil && option.cheaperThan(best) && r.zoneOpen(r.s.Machines[i].Zone) {
+		option := r.optionByMachine[i]
+		if option != nil && option.cheaperThan(best) && r.zoneOpenForUnit(r.snapshot.Machines[i].Zone) {
 			best, machine = option, i
 		}
 	}
 	return machine, best != nil
 }
 
-// zoneOpen reports whether one more unit may start in the zone.
-func (r *gangRoom) zoneOpen(zone wire.Zone) bool {
-	units := r.j.TasksByZone[zone] + r.inZone[zone]
-	return zoneOpen(r.j, zone) && units < r.j.Spec.MaxTasksPerZone()
+// zoneOpenForUnit reports whether the zone can take one more unit in addition to those added
+// so far.
+func (r *gangRoom) zoneOpenForUnit(zone wire.Zone) bool {
+	units := r.job.TasksByZone[zone] + r.unitsByZone[zone]
+	return zoneOpen(r.job, zone) && units < r.job.Spec.MaxTasksPerZone()
 }
 
-// addUnit makes room for the next unit on a copy of the machine.
+// addUnit adds a unit and reserves its room on a copy of the machine.
 func (r *gangRoom) addUnit(machine int) {
-	m := r.changed[machine]
+	m := r.modifiedMachines[machine]
 	if m == nil {
-		unchanged := r.s.Machines[machine]
+		unchanged := r.snapshot.Machines[machine]
 		m = &unchanged
-		r.changed[machine] = m
+		r.modifiedMachines[machine] = m
 	}
-	option := r.options[machine]
+	option := r.optionByMachine[machine]
 	r.machines = append(r.machines, machine)
-	r.cost += option.cost
-	r.inZone[m.Zone]++
-	m.reserve(reservationFor(r.j), option.victims)
-	next := roomFor(r.j, m, ResourcesOf(r.j.Spec))
-	r.options[machine] = &next
+	r.costSeconds += option.costSeconds
+	r.unitsByZone[m.Zone]++
+	m.reserveRoom(reservationFor(r.job), option.victims)
+	next := roomFor(r.job, m, ResourcesOf(r.job.Spec))
+	r.optionByMachine[machine] = &next
 }
--- a/internal/placement/preempt_gang_test.go
+++ b/internal/placement/preempt_gang_test.go
@@ -8,13 +8,13 @@
 	"lilaclead/internal/wire"
 )
 
-// Room is reserved for all of a gang or for none of it, in one zone if it requires that,
-// and nothing is preempted or awaited but for what is then reserved and fits.
+// Room is reserved for all units of a gang or for none, and in one zone if the gang must be
+// in one zone. Tasks are preempted or awaited only for reservations, which then fit.
 func TestRoomIsReservedForAllOfGangOrNone(t *testing.T) {
 	gangs, victims := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		before := crowdedSnapshots(t)
-		after := clone(before) // Place works on it
+		before := drawCrowdedSnapshot(t)
+		after := clone(before) // Place modifies it
 		res := Place(after)
 		checkReservationsFit(t, before, after, res)
 		for i := range before.Jobs {
@@ -25,13 +25,13 @@
 		victims += len(res.Preemptions)
 	})
 	if gangs < 20 || victims < 20 {
-		t.Errorf("room was reserved for %d gangs, %d tasks were preempted: too few to tell", gangs, victims)
+		t.Errorf("room was reserved for %d gangs, %d tasks were preempted: too few cases", gangs, victims)
 	}
 }
 
-// checkReservationsFit checks that everything that is reserved fits once everything has
-// ended that is preempted or awaited, and that nothing is preempted where nothing is
-// reserved.
+// checkReservationsFit checks that the reservations on each machine fit once the preempted
+// and awaited tasks have ended, and that no task is preempted on a machine without a
+// reservation.
 func checkReservationsFit(t *rapid.T, before, after *Snapshot, res Result) {
 	preempted, awaited := map[wire.TaskID]bool{}, map[wire.TaskID]bool{}
 	for _, v := range res.Preemptions {
@@ -50,20 +50,20 @@
 				room = room.Plus(v.Resources)
 			}
 			if preempted[v.Task] && len(m.Reservations) == 0 {
-				t.Fatalf("%v is preempted on %s, for nothing", v.Task, m.ID)
+				t.Fatalf("%v is preempted on %s, which has no reservation", v.Task, m.ID)
 			}
 		}
 		for _, r := range m.Reservations {
 			room = room.Minus(r.Resources)
 		}
 		if room.CPUs < -wire.AmountTolerance || room.MemoryGB < -wire.AmountTolerance {
-			t.Fatalf("more is reserved on %s than will be free: %v", m.ID, room)
+			t.Fatalf("more is reserved on %s than will be free: remaining room %v", m.ID, room)
 		}
 	}
 }
 
-// checkGang checks the starts and reservations of a gang, and reports whether it has
-// reservations.
+// checkGang checks the starts and reservations of a gang. It reports whether the cycle
+// reserved room for the gang.
 func checkGang(t *rapid.T, after *Snapshot, res Result, job int) bool {
 	spec := after.Jobs[job].Spec
 	starts := 0
@@ -73,44 +73,45 @@
 		}
 	}
 	if starts != 0 && starts != spec.Tasks {
-		t.Fatalf("%d of %d tasks start", starts, spec.Tasks)
+		t.Fatalf("%d of %d tasks of a gang start", starts, spec.Tasks)
 	}
-	reservations, inZone := reservationsOf(after, res, spec.ID)
+	reservations, byZone := reservationsOf(after, res, spec.ID)
 	if reservations != 0 && (reservations != spec.Tasks || starts > 0) {
 		t.Fatalf("room is reserved for %d of %d tasks, %d start", reservations, spec.Tasks, starts)
 	}
-	for zone, n := range inZone {
+	for zone, n := range byZone {
 		if spec.SameZone && n != spec.Tasks || n > spec.MaxTasksPerZone() {
 			t.Fatalf("room for %d of %d tasks in zone %s", n, spec.Tasks, zone)
 		}
 	}
 	if team := after.Teams[spec.Team]; team.Limit.CPUs > 0 && team.Used.CPUs > team.Limit.CPUs+wire.AmountTolerance {
-		t.Fatalf("%s uses %v of %v", spec.Team, team.Used, team.Limit)
+		t.Fatalf("team %s uses %v, its limit is %v", spec.Team, team.Used, team.Limit)
 	}
 	return reservations > 0
 }
 
-// reservationsOf counts a job's new reservations, in all and by zone.
+// reservationsOf returns the number of a job's new reservations, in total and by zone.
 func reservationsOf(s *Snapshot, res Result, job wire.JobID) (int, map[wire.Zone]int) {
 	zoneOf := map[wire.MachineID]wire.Zone{}
 	for i := range s.Machines {
 		zoneOf[s.Machines[i].ID] = s.Machines[i].Zone
 	}
-	total, inZone := 0, map[wire.Zone]int{}
+	total, byZone := 0, map[wire.Zone]int{}
 	for _, r := range res.Reservations {
 		if r.Job == job {
 			total++
-			inZone[zoneOf[r.Machine]]++
+			byZone[zoneOf[r.Machine]]++
 		}
 	}
-	return total, inZone
+	return total, byZone
 }
 
-// For a gang that waits alone room is reserved whenever it can be made for all of it.
-func TestRoomIsReservedWhereverAllOfGangCouldFit(t *testing.T) {
+// If a gang is the only pending job, room is reserved whenever it can be made for all of the
+// gang.
+func TestRoomIsReservedWheneverAllOfGangCouldFit(t *testing.T) {
 	reserved, impossible := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		s := crowdedSnapshots(t)
+		s := drawCrowdedSnapshot(t)
 		i := 0
 		for ; i < len(s.Jobs) && !s.Jobs[i].Spec.IsGang(); i++ {
 		}
@@ -118,10 +119,10 @@
 			return
 		}
 		s.Jobs = s.Jobs[i : i+1]
-		want := couldFit(s, &s.Jobs[0])
+		want := gangCouldFit(s, &s.Jobs[0])
 		res := Place(clone(s))
 		if got := len(res.Starts)+len(res.Reservations) > 0; got != want {
-			t.Fatalf("starts %v, reserves %v, but it could fit: %v", res.Starts, res.Reservations, want)
+			t.Fatalf("starts %v, reservations %v, but the gang could fit: %v", res.Starts, res.Reservations, want)
 		}
 		if len(res.Reservations) > 0 {
 			reserved++
@@ -130,12 +131,13 @@
 		}
 	})
 	if reserved < 5 || impossible < 5 {
-		t.Errorf("room could be reserved %d times, %d times not: too few to tell", reserved, impossible)
+		t.Errorf("room was reserved %d times and impossible %d times: too few cases", reserved, impossible)
 	}
 }
 
-// A gang whose reservations are complete waits for its room, and nothing takes a part of
-// it: of two gangs the earlier has all of its reservations, the later none.
+// Two gangs don't block each other with partial reservations: the earlier has all of its
+// reservations, the later none. While a gang waits for its reserved room, no other job of
+// its rank or below takes a part of it.
 func TestGangsDontWaitForEachOther(t *testing.T) {
 	gang := func(id wire.JobID, priority wire.Priority, tasks int) Job {
 		return Job{Spec: gangSpec(id, priority, tasks, 4), PreemptionDelaySeconds: 9}
@@ -148,11 +150,11 @@
 	machines := []Machine{machineIn("a", "m", 0, fullSizeVictim(0, 9, 3)), machineIn("a", "n", 0, fullSizeVictim(1, 9, 5))}
 	res := Place(snapshotOf(machines, gang("req-1", wire.PriorityStandard, 2), gang("req-2", wire.PriorityStandard, 2)))
 	if len(res.Reservations) != 2 || res.Reservations[0].Job != "req-1" || res.Reservations[1].Job != "req-1" || len(res.Preemptions) != 0 {
-		t.Fatalf("reserves %+v, preempts %v, want two reservations for req-1", res.Reservations, res.Preemptions)
+		t.Fatalf("reservations %+v, preemptions %v, want two reservations for req-1", res.Reservations, res.Preemptions)
 	}
 
 	// The first machine is free, the second not yet: neither the later gang nor an array
-	// gets the first.
+	// starts on the first.
 	halfFree := func() []Machine {
 		free, full := machineIn("a", "m", 4), machineIn("a", "n", 0)
 		free.Reservations = fullSizeReservation("req-1", wire.PriorityStandard)
@@ -164,26 +166,26 @@
 	later.Weight = 9
 	res = Place(snapshotOf(halfFree(), withReservations, array, later))
 	if len(res.Starts)+len(res.Reservations)+len(res.Preemptions) != 0 {
-		t.Fatalf("beside a gang's reservations %+v, want nothing", res)
+		t.Fatalf("array and later gang beside a gang's reservations: %+v, want nothing", res)
 	}
 
 	urgent := Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 1, 4)}
 	res = Place(snapshotOf(halfFree(), withReservations, urgent))
 	if len(res.Starts) != 1 || res.Starts[0].JobIndex != 1 {
-		t.Fatalf("an urgent gang beside a lower one's reservations: %+v, want its start", res)
+		t.Fatalf("urgent gang beside a standard gang's reservations: %+v, want its start", res)
 	}
 
-	// Both free: the gang starts, whatever gains more.
+	// Both machines are free: the gang starts, although the array has a larger gain.
 	bothFree := halfFree()
 	bothFree[1].Free, bothFree[1].StoppingResources = Resources{4, 0, 16}, Resources{}
 	res = Place(snapshotOf(bothFree, withReservations, array))
 	if len(res.Starts) != 2 || res.Starts[0].JobIndex != 0 {
-		t.Fatalf("with all its room free: %+v, want its two starts", res)
+		t.Fatalf("gang with all reserved room free: %+v, want its two starts", res)
 	}
 }
 
-// Of two machines with one task each the cheaper is preempted: a gang's task costs what
-// all of its gang loses, which the leader counts.
+// Of two machines with one task each, the task that loses less work is preempted. The lost
+// work of a gang's task, which the caller of Place supplies, is that of the whole gang.
 func TestTaskOfGangIsPreemptedLast(t *testing.T) {
 	ofGang, other := fullSizeVictim(0, 4*(10+5), 99), fullSizeVictim(1, 40, 99)
 	s := snapshotOf([]Machine{machineIn("a", "m", 0, ofGang), machineIn("a", "n", 0, other)}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 1, 4)})
@@ -192,8 +194,8 @@
 	}
 }
 
-// Room for a gang that must be in one zone is made in the one of two zones that hold it
-// where least work is lost, whichever of them comes first.
+// If two zones can hold a gang that must be in one zone, room is made in the zone where the
+// least work is lost, in whichever order the zones come.
 func TestRoomForGangIsMadeInCheaperZone(t *testing.T) {
 	for _, first := range []wire.Zone{"expensive", "cheap"} {
 		t.Run(string(first)+" zone first", func(t *testing.T) {
@@ -201,7 +203,7 @@
 				machineIn("expensive", "e1", 0, fullSizeVictim(0, 30, 500)),
 				machineIn("expensive", "e2", 0, fullSizeVictim(1, 30, 500)),
 			}
-			// One of the cheaper zone's tasks alone has more to lose than any of the other's.
+			// One task in the cheap zone loses more work than any task in the expensive zone.
 			cheap := []Machine{
 				machineIn("cheap", "c1", 0, fullSizeVictim(2, 35, 500)),
 				machineIn("cheap", "c2", 0, fullSizeVictim(3, 5, 500)),
@@ -212,27 +214,27 @@
 			}
 			res := Place(snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4)}))
 			if len(res.Preemptions) != 2 || len(res.Reservations) != 2 {
-				t.Fatalf("victims %v for %v, want two", res.Preemptions, res.Reservations)
+				t.Fatalf("victims %v for reservations %v, want two of each", res.Preemptions, res.Reservations)
 			}
 			for _, v := range res.Preemptions {
 				if v.Task.Index < 2 {
-					t.Errorf("victims %v, which cost 60, want those that cost 40", res.Preemptions)
+					t.Errorf("victims %v, which lose 60 s of work, want those that lose 40 s", res.Preemptions)
 				}
 			}
 		})
 	}
 }
 
-// For a gang with reservations no room is reserved once more: neither for one that has all
-// of them, nor for one of which a part is left, which expires first.
+// No more room is reserved for a gang that has reservations. If only a part of them is left,
+// these have to expire first.
 func TestGangWithReservationsGetsNoMore(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		reservations, want int
 	}{
-		{"none yet", 0, 2},
-		{"a part is left", 1, 0},
-		{"all of them", 2, 0},
+		{"no reservations", 0, 2},
+		{"a part of the reservations is left", 1, 0},
+		{"all reservations", 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var machines []Machine
@@ -245,14 +247,14 @@
 			}
 			res := Place(snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), ReservedUnits: c.reservations}))
 			if len(res.Reservations) != c.want || len(res.Preemptions) != c.want {
-				t.Errorf("victims %v for %v, want %d of each", res.Preemptions, res.Reservations, c.want)
+				t.Errorf("victims %v for reservations %v, want %d of each", res.Preemptions, res.Reservations, c.want)
 			}
 		})
 	}
 }
 
-// What a gang's reservations will take counts toward its team's limit as soon as they are
-// made: for the team's next gang no room is reserved beyond the limit.
+// A gang's reservations count toward its team's limit as soon as they are made: no room is
+// reserved for the team's next gang beyond the limit.
 func TestReservationsOfGangCountTowardLimit(t *testing.T) {
 	for limit, want := range map[float64]int{12: 0, 16: 2} {
 		victims := []Victim{fullSizeVictim(2, 5, 500), fullSizeVictim(3, 5, 500)}
@@ -267,15 +269,15 @@
 		s := snapshotOf(machines, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 4), ReservedUnits: 2}, Job{Spec: gangSpec("req-2", wire.PriorityUrgent, 2, 4)})
 		s.Teams["t"].Limit = Resources{CPUs: limit}
 		if res := Place(s); len(res.Reservations) != want || len(res.Preemptions) != want {
-			t.Errorf("limit %g: victims %v for %v, want %d of each", limit, res.Preemptions, res.Reservations, want)
+			t.Errorf("limit %g: victims %v for reservations %v, want %d of each", limit, res.Preemptions, res.Reservations, want)
 		}
 	}
 }
 
-// For an urgent gang that can still start in time, tasks that would save for longer are
-// preempted only where no others can be. For one without an objective, or late already,
-// the lowest priority goes first.
-func TestGangInTimePreemptsWhatEndsAtOnce(t *testing.T) {
+// For an urgent gang that can still start in time, tasks whose checkpoint would take too long
+// are preempted only if no others can be. For a gang that has no start objective, or is
+// late already, the lowest priority is preempted first.
+func TestGangInTimePreemptsTasksThatStopAtOnce(t *testing.T) {
 	saving := Victim{Task: wire.TaskID{Job: "req-8"}, Rank: 0, Resources: Resources{4, 0, 4}, LostWorkSeconds: 3, RemainingSeconds: 99, CheckpointSeconds: 3, Team: "t"}
 	atOnce := Victim{Task: wire.TaskID{Job: "req-9"}, Rank: 1, Resources: Resources{4, 0, 4}, LostWorkSeconds: 30, RemainingSeconds: 99, Team: "t"}
 	full := func(victims ...Victim) Machine {
@@ -285,26 +287,26 @@
 	}
 	other := machineIn("a", "n", 0, atOnce)
 	for name, c := range map[string]struct {
-		machines  []Machine
-		priority  wire.Priority
-		startsInS float64
-		want      wire.JobID // of the victim
+		machines          []Machine
+		priority          wire.Priority
+		startSlackSeconds float64
+		wantVictim        wire.JobID // "": none
 	}{
-		"no objective, one machine":  {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 0, "req-8"},
-		"no objective, two machines": {[]Machine{full(saving), other}, wire.PriorityUrgent, 0, "req-8"},
-		"in time, one machine":       {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 2, "req-9"},
-		"in time, two machines":      {[]Machine{full(saving), other}, wire.PriorityUrgent, 2, "req-9"},
-		"there is time to save":      {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 4, "req-8"},
-		"nothing else can be":        {[]Machine{full(saving)}, wire.PriorityUrgent, 2, "req-8"},
-		"a standard gang, of these":  {[]Machine{full(saving, atOnce), other}, wire.PriorityStandard, 2, ""},
+		"no objective, one machine":        {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 0, "req-8"},
+		"no objective, two machines":       {[]Machine{full(saving), other}, wire.PriorityUrgent, 0, "req-8"},
+		"in time, one machine":             {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 2, "req-9"},
+		"in time, two machines":            {[]Machine{full(saving), other}, wire.PriorityUrgent, 2, "req-9"},
+		"in time to save the checkpoint":   {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 4, "req-8"},
+		"in time, no other victim":         {[]Machine{full(saving)}, wire.PriorityUrgent, 2, "req-8"},
+		"a standard gang preempts nothing": {[]Machine{full(saving, atOnce), other}, wire.PriorityStandard, 2, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := Place(snapshotOf(c.machines, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartSlackSeconds: c.startsInS})).Preemptions
-			if c.want == "" && len(got) == 0 {
+			got := Place(snapshotOf(c.machines, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartSlackSeconds: c.startSlackSeconds})).Preemptions
+			if c.wantVictim == "" && len(got) == 0 {
 				return
 			}
-			if len(got) != 1 || got[0].Task.Job != c.want {
-				t.Errorf("victims %+v, want one of %q", got, c.want)
+			if len(got) != 1 || got[0].Task.Job != c.wantVictim {
+				t.Errorf("victims %+v, want one task of job %q", got, c.wantVictim)
 			}
 		})
 	}
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -6,24 +6,24 @@
 	"lilaclead/internal/wire"
 )
 
-// Preemption takes victims of lower priorities only, where the least work is lost, and
-// none for a standard array. (Two classes of arrays once preempted each other's tasks in
-// turn for minutes.)
-func TestVictimsHaveLowerPriorityAndLoseLeast(t *testing.T) {
+// Only tasks of a lower priority are preempted, those that lose the least work first. Nothing
+// is preempted for a standard array: otherwise, two classes of arrays preempt each other's
+// tasks in turn for minutes.
+func TestVictimsHaveLowerPriorityAndLeastLostWork(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		priority    wire.Priority
-		kind        wire.JobKind
-		victims     wire.Priority
-		wantVictims []int // by index
+		name           string
+		priority       wire.Priority
+		kind           wire.JobKind
+		victimPriority wire.Priority
+		wantVictims    []int // indexes of the tasks
 	}{
 		{"a production service preempts standard tasks", wire.PriorityProd, wire.KindService, wire.PriorityStandard, []int{1}},
 		{"the same priority is not preempted", wire.PriorityStandard, wire.KindService, wire.PriorityStandard, nil},
 		{"a standard array preempts nothing", wire.PriorityStandard, wire.KindArray, wire.PriorityBestEffort, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			victim := func(index int, lostS float64) []Victim {
-				return []Victim{{Task: wire.TaskID{Job: "req-1", Index: index}, Rank: c.victims.Rank(), Resources: Resources{4, 0, 4}, LostWorkSeconds: lostS, Team: "t"}}
+			victim := func(index int, lostWorkSeconds float64) []Victim {
+				return []Victim{{Task: wire.TaskID{Job: "req-1", Index: index}, Rank: c.victimPriority.Rank(), Resources: Resources{4, 0, 4}, LostWorkSeconds: lostWorkSeconds, Team: "t"}}
 			}
 			s := &Snapshot{
 				AllowPreemption: true,
@@ -48,45 +48,44 @@
 	}
 }
 
-// A service within its team's guaranteed quota may preempt a task of its own priority
-// that another team runs beyond its quota.
+// A service within its team's guaranteed quota may preempt a task of its own priority if the
+// task's team uses more than its quota.
 func TestServiceReclaimsGuaranteedQuota(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind            wire.JobKind
-		guaranteed      bool
-		beyondGuarantee bool
+		withinGuarantee bool        // of the job
+		beyondGuarantee bool        // of the victim
 		team            wire.TeamID // of the victim
-		want            int         // victims
+		wantVictims     int
 	}{
-		"beyond another team's quota": {wire.KindService, true, true, "other", 1},
-		"within another team's quota": {wire.KindService, true, false, "other", 0},
-		"a task of its own team":      {wire.KindService, true, true, "t", 0},
-		"not within its own quota":    {wire.KindService, false, true, "other", 0},
-		"for an array of that quota":  {wire.KindArray, true, true, "other", 0},
+		"the victim's team is beyond its quota": {wire.KindService, true, true, "other", 1},
+		"the victim's team is within its quota": {wire.KindService, true, false, "other", 0},
+		"the victim is of the job's team":       {wire.KindService, true, true, "t", 0},
+		"the job is not within its quota":       {wire.KindService, false, true, "other", 0},
+		"the job is an array":                   {wire.KindArray, true, true, "other", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			victim := fullSizeVictim(0, 5, 500)
 			victim.Rank, victim.Team, victim.BeyondGuarantee = wire.PriorityUrgent.Rank(), c.team, c.beyondGuarantee
 			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: c.kind, Priority: wire.PriorityUrgent, Tasks: 1, CPUs: 4, MemoryGB: 4}
-			s := snapshotOf([]Machine{machineIn("a", "m", 0, victim)}, Job{Spec: spec, WithinGuarantee: c.guaranteed})
-			if got := Place(s).Preemptions; len(got) != c.want {
-				t.Errorf("victims %v, want %d", got, c.want)
+			s := snapshotOf([]Machine{machineIn("a", "m", 0, victim)}, Job{Spec: spec, WithinGuarantee: c.withinGuarantee})
+			if got := Place(s).Preemptions; len(got) != c.wantVictims {
+				t.Errorf("victims %v, want %d", got, c.wantVictims)
 			}
 		})
 	}
 }
 
-// Room that is being made for an urgent task stays reserved for it until all of it is
-// free: two tasks of half a machine end one after the other, and a smaller job with more
-// to gain does not take the half that is free first. Nothing more is preempted for it
-// meanwhile, a second unit gets room of its own, and a job of a higher priority passes
-// over the reservation.
-func TestRoomIsKeptForWhatItIsMadeFor(t *testing.T) {
+// Room for an urgent task stays reserved until all of it is free. If two tasks of half a
+// machine end one after the other, a smaller job with a larger gain does not take the half
+// that is free first. Nothing more is preempted for the urgent task meanwhile. A second
+// unit needs other room, and a job of a higher priority may use the reserved room.
+func TestRoomStaysReservedUntilAllOfItIsFree(t *testing.T) {
 	spec := func(id wire.JobID, priority wire.Priority, cpus float64) *wire.JobSpec {
 		return &wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
 	}
 	halfSize, machineSize := Resources{2, 0, 7}, Resources{4, 0, 16}
-	little := Resources{0, 0, 2}
+	noFreeCPUs := Resources{0, 0, 2}
 	snapshot := func(m Machine, jobs ...Job) *Snapshot {
 		m.ID, m.Total, m.FetchGBPerSecond = "n", machineSize, 1
 		for i := range jobs {
@@ -112,7 +111,7 @@
 	}
 	urgentSpec := spec("req-1", wire.PriorityUrgent, 4)
 	reservations := []Reservation{{urgentSpec.ID, urgentSpec.Priority.Rank(), ResourcesOf(urgentSpec)}}
-	full := func(victims ...Victim) Machine { return Machine{Victims: victims, Free: little} }
+	full := func(victims ...Victim) Machine { return Machine{Victims: victims, Free: noFreeCPUs} }
 	halfFree := Machine{Reservations: reservations, Free: Resources{2, 0, 9}, StoppingResources: halfSize}
 	twoVictims := []Victim{victim(0), victim(1)}
 	endingSoon := full(endingIn(3, victim(0)), endingIn(4, victim(1)))
@@ -134,26 +133,26 @@
 	other := Job{Spec: spec("req-4", wire.PriorityUrgent, 4), PendingTasks: 1, Weight: 8}
 	lighterOther := other
 	lighterOther.Weight = 7
-	warm := Machine{ID: "warm", Images: map[wire.ImageID]ImageState{"i": ImagePresent}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: little}
+	warm := Machine{ID: "warm", Images: map[wire.ImageID]ImageState{"i": ImagePresent}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: noFreeCPUs}
 
 	for _, c := range []struct {
 		name                                      string
 		snapshot                                  *Snapshot
 		wantStarts, wantVictims, wantReservations int
 	}{
-		{"what ends soon is awaited", snapshot(endingSoon, patient), 0, 0, 1},
-		{"one is awaited, the other preempted", snapshot(full(endingIn(3, victim(0)), endingIn(40, victim(1))), patient), 0, 1, 1},
-		{"what may not be preempted can be awaited", snapshot(Machine{Victims: []Victim{notPreemptible}}, patient), 0, 0, 1},
-		{"a fetch is no reason to preempt two tasks", withMachine(snapshot(endingSoon, patientWithImage), warm), 0, 0, 1},
+		{"tasks that end soon are awaited", snapshot(endingSoon, patient), 0, 0, 1},
+		{"one task is awaited, the other preempted", snapshot(full(endingIn(3, victim(0)), endingIn(40, victim(1))), patient), 0, 1, 1},
+		{"a task that may not be preempted can be awaited", snapshot(Machine{Victims: []Victim{notPreemptible}}, patient), 0, 0, 1},
+		{"two tasks are not preempted to avoid a fetch", withMachine(snapshot(endingSoon, patientWithImage), warm), 0, 0, 1},
 		{"a full machine is reserved", snapshot(full(twoVictims...), urgent), 0, 2, 1},
-		{"the half that is free is kept", snapshot(halfFree, reserved, small), 0, 0, 0},
+		{"the half that is free stays reserved", snapshot(halfFree, reserved, small), 0, 0, 0},
 		{"the reserved room is used", snapshot(Machine{Reservations: reservations, Free: machineSize}, reserved, small), 1, 0, 0},
-		{"without a reservation the small ones go", snapshot(Machine{Free: machineSize}, urgent, small), 2, 0, 0},
-		{"a reserved machine is no room for a second unit", snapshot(halfFree, twoUnits), 0, 0, 0},
-		{"a higher priority passes over it", snapshot(halfFree, prod), 1, 0, 0},
+		{"without a reservation the small tasks start", snapshot(Machine{Free: machineSize}, urgent, small), 2, 0, 0},
+		{"a reserved machine has no room for a second unit", snapshot(halfFree, twoUnits), 0, 0, 0},
+		{"a job of a higher priority uses reserved room", snapshot(halfFree, prod), 1, 0, 0},
 		{"no room is reserved beyond the team's limit", withLimit(snapshot(full(twoVictims...), reserved, other), 4), 0, 0, 0},
-		{"within it some is reserved for a second job", withLimit(snapshot(full(twoVictims...), reserved, other), 8), 0, 2, 1},
-		{"a reservation that is used counts once", withLimit(snapshot(Machine{Reservations: reservations, Free: machineSize, Victims: twoVictims}, reserved, lighterOther), 8), 1, 2, 1},
+		{"within the limit room is reserved for a second job", withLimit(snapshot(full(twoVictims...), reserved, other), 8), 0, 2, 1},
+		{"a reservation that is used counts toward the limit once", withLimit(snapshot(Machine{Reservations: reservations, Free: machineSize, Victims: twoVictims}, reserved, lighterOther), 8), 1, 2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			res := Place(c.snapshot)
@@ -164,9 +163,8 @@
 	}
 }
 
-// The machines that have no room are looked at only for a job that may preempt and did
-// not start.
-func TestFullMachinesAreLookedAtOnlyToPreempt(t *testing.T) {
+// The full machines are requested only if a job that may preempt did not start.
+func TestFullMachinesAreRequestedOnlyToPreempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		priority    wire.Priority
 		freeCPUs    float64
@@ -187,28 +185,28 @@
 			}
 			res := Place(s)
 			if calls != c.wantCalls || len(res.Preemptions) != c.wantVictims {
-				t.Errorf("looked at %d times, victims %v, want %d and %d victims", calls, res.Preemptions, c.wantCalls, c.wantVictims)
+				t.Errorf("full machines requested %d times, victims %v; want %d times, %d victims", calls, res.Preemptions, c.wantCalls, c.wantVictims)
 			}
 		})
 	}
 }
 
-// Of the tasks on a machine those are taken first that end by themselves, the earliest
-// first, then those of the lowest rank, and of one rank those that lose least.
+// Of the tasks on a machine, those that end by themselves are chosen first, the earliest
+// first. Then come those of the lowest rank, and within a rank those that lose least work.
 func TestOrderOfVictimsOnMachine(t *testing.T) {
-	victim := func(index, rank int, lostS, remainingS float64) Victim {
-		return Victim{Task: wire.TaskID{Job: "req-9", Index: index}, Rank: rank, Resources: Resources{2, 0, 2}, LostWorkSeconds: lostS, RemainingSeconds: remainingS, Team: "t"}
+	victim := func(index, rank int, lostWorkSeconds, remainingSeconds float64) Victim {
+		return Victim{Task: wire.TaskID{Job: "req-9", Index: index}, Rank: rank, Resources: Resources{2, 0, 2}, LostWorkSeconds: lostWorkSeconds, RemainingSeconds: remainingSeconds, Team: "t"}
 	}
 	for _, c := range []struct {
-		name         string
-		victims      [2]Victim
-		wantIndex    int
-		wantAwaiting bool
+		name        string
+		victims     [2]Victim
+		wantIndex   int
+		wantAwaited bool
 	}{
-		{"the earliest that ends in time is awaited", [2]Victim{victim(0, 1, 5, 8), victim(1, 1, 5, 3)}, 1, true},
-		{"one that ends in time goes before a lower rank", [2]Victim{victim(0, 0, 0, 500), victim(1, 1, 5, 8)}, 1, true},
+		{"of two that end in time the earlier is awaited", [2]Victim{victim(0, 1, 5, 8), victim(1, 1, 5, 3)}, 1, true},
+		{"a task that ends in time is chosen before a lower rank", [2]Victim{victim(0, 0, 0, 500), victim(1, 1, 5, 8)}, 1, true},
 		{"the lowest rank is preempted", [2]Victim{victim(0, 1, 5, 500), victim(1, 0, 50, 500)}, 1, false},
-		{"of one rank the one that loses least", [2]Victim{victim(0, 1, 50, 500), victim(1, 1, 5, 500)}, 1, false},
+		{"within a rank the task that loses least work is preempted", [2]Victim{victim(0, 1, 50, 500), victim(1, 1, 5, 500)}, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityUrgent, Tasks: 1, CPUs: 2, MemoryGB: 2}
@@ -220,12 +218,12 @@
 			for _, v := range res.Preemptions {
 				preempted = append(preempted, v.Task)
 			}
-			taken, other := preempted, awaited
-			if c.wantAwaiting {
-				taken, other = awaited, preempted
+			chosen, other := preempted, awaited
+			if c.wantAwaited {
+				chosen, other = awaited, preempted
 			}
-			if len(taken) != 1 || taken[0].Index != c.wantIndex || len(other) != 0 {
-				t.Errorf("awaits %v, preempts %v, want task %d alone, awaited %v", awaited, preempted, c.wantIndex, c.wantAwaiting)
+			if len(chosen) != 1 || chosen[0].Index != c.wantIndex || len(other) != 0 {
+				t.Errorf("awaited %v, preempted %v; want only task %d, awaited: %v", awaited, preempted, c.wantIndex, c.wantAwaited)
 			}
 		})
 	}
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -5,31 +5,32 @@
 	"slices"
 )
 
-// roomOption is a way to make room for one unit of a job on a machine.
+// roomOption is a way to make room for one unit of a job on a machine, by awaiting or
+// preempting victims.
 type roomOption struct {
-	feasible bool
-	cost     float64 // seconds of work
-	victims  []int   // of the machine, to be awaited or preempted
+	feasible    bool
+	costSeconds float64 // of work that is lost or delayed
+	victims     []int   // indexes in the machine's Victims
 }
 
-// cheaperThan reports whether the option is feasible and costs less than the other, if
-// there is another.
+// cheaperThan reports whether the option is feasible and costs less than the other, which
+// may be nil.
 func (o *roomOption) cheaperThan(other *roomOption) bool {
-	return o.feasible && (other == nil || o.cost < other.cost)
+	return o.feasible && (other == nil || o.costSeconds < other.costSeconds)
 }
 
-// roomFor finds the victims on a machine that make room for one unit of the job, those
-// with the least work lost first. (Urgent tasks on full machines once preempted what
-// would have ended in a moment, most of it of the lowest priority, whose jobs were then
-// late because they were stopped again and again.)
+// roomFor chooses the victims on a machine that make room for one unit of the job, in the
+// order of compareVictims. Without this order, urgent tasks on full machines preempt tasks
+// that would have ended in a moment. Most of those have the lowest priority, and their
+// jobs are late because they are stopped again and again.
 func roomFor(j *Job, m *Machine, unit Resources) roomOption {
 	if !unit.FitsIn(m.Total) || !MachineAllowed(j.Spec, m) {
 		return roomOption{}
 	}
-	option := roomOption{cost: fetchCost(j, m)}
+	option := roomOption{costSeconds: fetchCostSeconds(j, m)}
 	room := m.unreservedRoom()
 	if j.Spec.IsGang() && !j.StartOverdue {
-		// It may not use the headroom, and would reserve it for ever.
+		// The gang may not use the headroom. A reservation there would never be used.
 		room = room.Minus(m.serviceHeadroom)
 	}
 	if unit.FitsIn(room) {
@@ -39,7 +40,7 @@
 	for _, i := range victimOrder(j, m) {
 		victim := &m.Victims[i]
 		room = room.Plus(victim.Resources)
-		option.cost += victimCost(j, victim)
+		option.costSeconds += victimCostSeconds(j, victim)
 		option.victims = append(option.victims, i)
 		if unit.FitsIn(room) {
 			option.feasible = true
@@ -49,31 +50,31 @@
 	return option
 }
 
-// victimKind orders the victims of a machine.
+// victimKind is the first criterion of the order of victims: lower kinds are chosen first.
 type victimKind int
 
 const (
-	endsByItself victimKind = iota // in time
-	savesInTime
-	savesLate // it would save a checkpoint for too long
+	endsByItself victimKind = iota // within the job's preemption delay
+	stopsInTime
+	stopsLate // saving its checkpoint takes too long
 )
 
 func kindOfVictim(j *Job, v *Victim) victimKind {
 	switch {
 	case endsInTime(j, v):
 		return endsByItself
-	case savesTooLong(j, v):
-		return savesLate
+	case checkpointsTooLong(j, v):
+		return stopsLate
 	}
-	return savesInTime
+	return stopsInTime
 }
 
-// victimOrder returns the tasks on a machine that may be awaited or preempted for the
-// job, in the order in which they are taken.
+// victimOrder returns the indexes of the tasks on a machine that may be awaited or
+// preempted for the job, in the order of compareVictims.
 func victimOrder(j *Job, m *Machine) []int {
 	order := make([]int, 0, len(m.Victims))
 	for i := range m.Victims {
-		if v := &m.Victims[i]; endsInTime(j, v) || mayPreempt(j, v) {
+		if v := &m.Victims[i]; endsInTime(j, v) || mayPreemptVictim(j, v) {
 			order = append(order, i)
 		}
 	}
@@ -81,8 +82,9 @@
 	return order
 }
 
-// compareVictims puts those first that end by themselves, the earliest first, then those
-// of the lowest rank that lose least, and last those that would save for too long.
+// compareVictims puts tasks first that end by themselves, the earliest first. Then come
+// tasks that stop in time, and last those whose checkpoint takes too long. Both are
+// ordered by rank and within a rank by lost work, the lowest first.
 func compareVictims(j *Job, a, b *Victim) int {
 	kind, other := kindOfVictim(j, a), kindOfVictim(j, b)
 	if kind != other {
@@ -95,30 +97,29 @@
 }
 
 const (
-	// preemptionCost is what a preemption costs beside the work that is repeated,
-	// seconds.
-	preemptionCost = 5
-	// waitingWeight is how many seconds of repeated work a second of waiting, for an
-	// image or a checkpoint, may cost a service, or a gang that must start soon: in a
-	// full cluster most replicas start in room that was made for them, and the image
+	// preemptionCostSeconds is the cost of a preemption in addition to the repeated work.
+	preemptionCostSeconds = 5
+	// waitingWeight is how many seconds of repeated work are accepted to save a service, or
+	// a gang that must start soon, a second of waiting for an image or a checkpoint. In a
+	// full cluster, most replicas start in room that was made for them, and the image
 	// decides whether they start in time.
 	waitingWeight = 20
 )
 
-// victimCost returns what it costs to await or preempt a task, in seconds of work.
-func victimCost(j *Job, v *Victim) float64 {
+// victimCostSeconds returns the cost to await or preempt a task, in seconds of work.
+func victimCostSeconds(j *Job, v *Victim) float64 {
 	if endsInTime(j, v) {
 		return v.RemainingSeconds
 	}
-	cost := v.LostWorkSeconds + preemptionCost
-	if savesTooLong(j, v) {
+	cost := v.LostWorkSeconds + preemptionCostSeconds
+	if checkpointsTooLong(j, v) {
 		cost += waitingWeight * v.CheckpointSeconds
 	}
 	return cost
 }
 
-// fetchCost returns what it costs to fetch the job's image, in seconds of work.
-func fetchCost(j *Job, m *Machine) float64 {
+// fetchCostSeconds returns the cost to fetch the job's image, in seconds of work.
+func fetchCostSeconds(j *Job, m *Machine) float64 {
 	if m.Images[j.Spec.Image] == ImagePresent {
 		return 0
 	}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -4,44 +4,44 @@
 	"lilaclead/internal/wire"
 )
 
-// UtilityFactors are the weights that operators may set.
+// UtilityFactors are the weights in a job's utility that operators may set.
 type UtilityFactors struct {
-	Preferred           float64 // of the branch over machines that have the image
-	Fallback            float64 // of the branch over any fitting machine
-	WaitDoublingSeconds float64 // after so many seconds of waiting a job's utility per unit has doubled
+	Preferred           float64 // factor of the branch over machines that have the image
+	Fallback            float64 // factor of the branch over any fitting machine
+	WaitDoublingSeconds float64 // waiting time that doubles a job's utility per unit
 }
 
-// Job is a job with tasks that wait. A unit is one of its tasks.
+// Job is a job with pending tasks. A unit is one of its tasks.
 type Job struct {
 	Spec          *wire.JobSpec
 	PendingTasks  int
 	TasksByZone   map[wire.Zone]int
 	WaitedSeconds float64
-	Weight        float64 // of one unit: priority, guarantee, deadline
-	// AvoidMachines lists machines on which a task of the job failed.
+	Weight        float64 // of one unit, from the job's priority, guarantee and deadline
+	// AvoidMachines are the machines on which a task of the job failed.
 	AvoidMachines map[wire.MachineID]bool
-	// WithinGuarantee reports that the job fits into its team's guaranteed quota beside the
-	// jobs before it.
+	// WithinGuarantee reports that the job fits into its team's guaranteed quota together
+	// with the jobs before it.
 	WithinGuarantee bool
 	// StartOverdue reports that the job has waited so long without a start that its next
 	// unit may use headroom.
 	StartOverdue bool
-	// ReservedUnits is the number of its units for which room is reserved.
+	// ReservedUnits is the number of the job's units for which room is reserved.
 	ReservedUnits int
-	// PreemptionDelaySeconds is how long a unit may wait for tasks to end by themselves, rather than
-	// have them preempted.
+	// PreemptionDelaySeconds is how long a unit may wait for tasks to end by themselves
+	// instead of preempting them.
 	PreemptionDelaySeconds float64
-	// StartSlackSeconds is how long the job may still wait to start in time; 0: no objective
-	// says, or it is late already.
+	// StartSlackSeconds is how long the job may still wait and start in time. It is 0 if the
+	// job has no start objective or is late already.
 	StartSlackSeconds float64
 }
 
-// Team is a team's resource usage and its limit; a limit of 0 is none.
+// Team is a team's resource usage and its limit. A limit of 0 means no limit.
 type Team struct {
 	Used, Limit Resources
-	// Reserved is the part of the limit that is kept for ReservedFor, a gang of the team
-	// that has waited long. Arrays and gangs up to ReservedRank leave it alone: they
-	// would use for ever what the gang needs all at once.
+	// Reserved is the part of the limit that is reserved for ReservedFor, a gang of the team
+	// that has waited long. Arrays and other gangs up to ReservedRank may not use it.
+	// Otherwise, their tasks would always occupy some of what the gang needs all at once.
 	Reserved     Resources
 	ReservedFor  wire.JobID
 	ReservedRank int
@@ -53,16 +53,17 @@
 	Jobs     []Job
 	Teams    map[wire.TeamID]*Team
 	Factors  UtilityFactors
-	// HeadroomUnits is how many units of headroom are kept for the next replicas; only
-	// services may use them.
+	// HeadroomUnits is how many units of HeadroomUnit are kept free for new replicas of
+	// services. Other jobs may use this headroom only once their start is overdue.
 	HeadroomUnits int
 	HeadroomUnit  Resources
-	// ExpectedGangs are those for which headroom is kept from arrays.
+	// ExpectedGangs are the gangs for which headroom is kept free. Arrays may use this
+	// headroom only once their start is overdue.
 	ExpectedGangs []*wire.JobSpec
-	// AllowPreemption allows to preempt tasks for jobs of higher priority.
+	// AllowPreemption turns on reservations and preemptions for jobs that did not start.
 	AllowPreemption bool
-	// FullMachines, if set, returns the machines that have no room for anything that
-	// waits, with their victims. It is called only when a job that may preempt is left:
-	// in most cycles of a full cluster there is none.
+	// FullMachines, if set, returns the machines that have no room for any pending unit,
+	// with their victims. It is called only if a job that may reserve room did not start:
+	// most cycles of a full cluster have no such job.
 	FullMachines func() []Machine
 }
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -4,47 +4,46 @@
 	"lilaclead/internal/utility"
 )
 
-// taskFit is a machine that can take a unit of an array or a service.
+// taskFit rates a machine that can take a unit of an array or a service.
 type taskFit struct {
-	machine int
+	machine int // index in Snapshot.Machines
 	class   utility.Class
 	score   float64
 }
 
-// lastResortGap is a difference of scores that only lastResortCost can make.
+// lastResortGap is a score difference that only lastResortCost can cause.
 const lastResortGap = lastResortCost / 2
 
-// better reports whether this machine is to be taken rather than the other: one of last
-// resort last, then by class, then by score.
-func (f *taskFit) better(than *taskFit) bool {
-	gap := f.score - than.score
+// betterThan reports whether this machine is preferred to the other. Machines of last
+// resort come last. Otherwise, the class decides, and within a class the score.
+func (f *taskFit) betterThan(other *taskFit) bool {
+	gap := f.score - other.score
 	switch {
 	case gap > lastResortGap:
 		return true
 	case gap <= -lastResortGap:
 		return false
-	case f.class != than.class:
-		return f.class < than.class
+	case f.class != other.class:
+		return f.class < other.class
 	}
-	return f.score > than.score
+	return f.score > other.score
 }
 
-// chooseForTask finds the machine for the next unit of an array or a service: the class
-// with the larger gain first, and within it the machine with the best score.
+// chooseForTask finds the best machine for the next unit of an array or a service.
 func (p *pass) chooseForTask(q *queuedJob) choice {
-	j := &p.s.Jobs[q.job]
+	j := &p.snapshot.Jobs[q.job]
 	unit := ResourcesOf(j.Spec)
-	if !p.s.Teams[j.Spec.Team].allows(j, unit) {
+	if !p.snapshot.Teams[j.Spec.Team].allows(j, unit) {
 		return choice{state: choiceNone}
 	}
 	best, found := taskFit{}, false
-	for i := range p.s.Machines {
-		fit, ok := fitTask(j, &p.s.Machines[i], unit)
+	for i := range p.snapshot.Machines {
+		fit, ok := fitTask(j, &p.snapshot.Machines[i], unit)
 		if !ok {
 			continue
 		}
 		fit.machine = i
-		if !found || fit.better(&best) {
+		if !found || fit.betterThan(&best) {
 			best, found = fit, true
 		}
 	}
@@ -54,7 +53,8 @@
 	return choice{state: choiceFound, machines: []int{best.machine}, gain: q.gains[best.class]}
 }
 
-// fitTask rates a machine for a unit of the job, if it can take one.
+// fitTask rates a machine for a unit of the job. It returns false if the machine can't
+// take one.
 func fitTask(j *Job, m *Machine, unit Resources) (taskFit, bool) {
 	if !canLaunch(j, m, unit) {
 		return taskFit{}, false
