--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -68,7 +68,7 @@
 	machine    int // index in Snapshot.Machines
 	preference preference
 	class      utility.Class
-	fetchSteps int // that a unit would wait for its image
+	fetchSteps int // number of steps that a unit would wait for its image
 	score      float64
 }
 
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -7,8 +7,8 @@
 	"lilaclead/internal/wire"
 )
 
-// markServiceHeadroom distributes the headroom for services over the ordinary machines, in
-// headroomOrder.
+// markServiceHeadroom marks the headroom for services on the ordinary machines, in the order
+// of headroomOrder.
 func markServiceHeadroom(s *Snapshot) {
 	if s.HeadroomUnits <= 0 {
 		return
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -35,8 +35,8 @@
 
 // checkStep compares the step that begins with start n with the model's best step, applies
 // it to the model's snapshot, and returns its number of starts.
-func checkStep(t *rapid.T, s, model *Snapshot, pending []int, starts []Start, n int) int {
-	job := starts[n].JobIndex
+func checkStep(t *rapid.T, s, model *Snapshot, pending []int, starts []Start, firstStart int) int {
+	job := starts[firstStart].JobIndex
 	j, units := &model.Jobs[job], 1
 	if j.Spec.IsGang() {
 		units = j.Spec.Tasks
@@ -49,17 +49,17 @@
 	if j.Spec.IsGang() {
 		limit := s.Teams[j.Spec.Team].Limit.CPUs
 		if used := model.Teams[j.Spec.Team].Used.CPUs + float64(units)*j.Spec.CPUs; limit > 0 && used > limit {
-			t.Fatalf("start %d: the gang's team has a limit of %g CPUs and would use %g", n, limit, used)
+			t.Fatalf("start %d: the gang's team has a limit of %g CPUs and would use %g", firstStart, limit, used)
 		}
 	}
 	unitUtility := s.Factors.Preferred
-	for k := range units {
-		if n+k >= len(starts) || starts[n+k].JobIndex != job {
-			t.Fatalf("start %d: only %d of %d tasks of a gang start", n, k, units)
+	for unit := range units {
+		if firstStart+unit >= len(starts) || starts[firstStart+unit].JobIndex != job {
+			t.Fatalf("start %d: only %d of %d tasks of a gang start", firstStart, unit, units)
 		}
-		start := starts[n+k]
+		start := starts[firstStart+unit]
 		if !modelAllows(model, start.JobIndex, start.MachineIndex) {
-			t.Fatalf("start %d violates a hard constraint: %+v", n+k, start)
+			t.Fatalf("start %d violates a hard constraint: %+v", firstStart+unit, start)
 		}
 		if model.Machines[start.MachineIndex].Images[j.Spec.Image] != ImagePresent {
 			unitUtility = s.Factors.Fallback
@@ -68,7 +68,7 @@
 	}
 	got := unitUtility * j.Weight * (1 + j.WaitedSeconds/s.Factors.WaitDoublingSeconds)
 	if len(gains) == 0 || got < gains[0]-1e-9 {
-		t.Fatalf("start %d gains %g per unit, the model's steps gain %v", n, got, gains)
+		t.Fatalf("start %d gains %g per unit, the model's next steps gain %v", firstStart, got, gains)
 	}
 	if pending[job] -= units; pending[job] < 0 {
 		t.Fatalf("job %d has more starts than pending tasks", job)
--- a/internal/placement/preempt_gang_test.go
+++ b/internal/placement/preempt_gang_test.go
@@ -278,27 +278,27 @@
 // are preempted only if no others can be. For a gang that has no start objective, or is
 // late already, the lowest priority is preempted first.
 func TestGangInTimePreemptsTasksThatStopAtOnce(t *testing.T) {
-	saving := Victim{Task: wire.TaskID{Job: "req-8"}, Rank: 0, Resources: Resources{4, 0, 4}, LostWorkSeconds: 3, RemainingSeconds: 99, CheckpointSeconds: 3, Team: "t"}
-	atOnce := Victim{Task: wire.TaskID{Job: "req-9"}, Rank: 1, Resources: Resources{4, 0, 4}, LostWorkSeconds: 30, RemainingSeconds: 99, Team: "t"}
+	savingVictim := Victim{Task: wire.TaskID{Job: "req-8"}, Rank: 0, Resources: Resources{4, 0, 4}, LostWorkSeconds: 3, RemainingSeconds: 99, CheckpointSeconds: 3, Team: "t"}
+	immediateVictim := Victim{Task: wire.TaskID{Job: "req-9"}, Rank: 1, Resources: Resources{4, 0, 4}, LostWorkSeconds: 30, RemainingSeconds: 99, Team: "t"}
 	full := func(victims ...Victim) Machine {
 		m := machineIn("a", "m", 0, victims...)
 		m.Total = Resources{4 * float64(len(victims)), 0, 32}
 		return m
 	}
-	other := machineIn("a", "n", 0, atOnce)
+	other := machineIn("a", "n", 0, immediateVictim)
 	for name, c := range map[string]struct {
 		machines          []Machine
 		priority          wire.Priority
 		startSlackSeconds float64
 		wantVictim        wire.JobID // "": none
 	}{
-		"no objective, one machine":        {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 0, "req-8"},
-		"no objective, two machines":       {[]Machine{full(saving), other}, wire.PriorityUrgent, 0, "req-8"},
-		"in time, one machine":             {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 2, "req-9"},
-		"in time, two machines":            {[]Machine{full(saving), other}, wire.PriorityUrgent, 2, "req-9"},
-		"in time to save the checkpoint":   {[]Machine{full(saving, atOnce)}, wire.PriorityUrgent, 4, "req-8"},
-		"in time, no other victim":         {[]Machine{full(saving)}, wire.PriorityUrgent, 2, "req-8"},
-		"a standard gang preempts nothing": {[]Machine{full(saving, atOnce), other}, wire.PriorityStandard, 2, ""},
+		"no objective, one machine":        {[]Machine{full(savingVictim, immediateVictim)}, wire.PriorityUrgent, 0, "req-8"},
+		"no objective, two machines":       {[]Machine{full(savingVictim), other}, wire.PriorityUrgent, 0, "req-8"},
+		"in time, one machine":             {[]Machine{full(savingVictim, immediateVictim)}, wire.PriorityUrgent, 2, "req-9"},
+		"in time, two machines":            {[]Machine{full(savingVictim), other}, wire.PriorityUrgent, 2, "req-9"},
+		"in time to save the checkpoint":   {[]Machine{full(savingVictim, immediateVictim)}, wire.PriorityUrgent, 4, "req-8"},
+		"in time, no other victim":         {[]Machine{full(savingVictim)}, wire.PriorityUrgent, 2, "req-8"},
+		"a standard gang preempts nothing": {[]Machine{full(savingVictim, immediateVictim), other}, wire.PriorityStandard, 2, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := Place(snapshotOf(c.machines, Job{Spec: gangSpec("req-1", c.priority, 1, 4), StartSlackSeconds: c.startSlackSeconds})).Preemptions
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -118,41 +118,41 @@
 	notPreemptible := Victim{Task: wire.TaskID{Job: "req-8"}, Rank: 2, Resources: machineSize, RemainingSeconds: 2}
 
 	urgent := Job{Spec: urgentSpec, PendingTasks: 1, Weight: 8}
-	reserved := urgent
-	reserved.ReservedUnits = 1
-	twoUnits := reserved
+	jobWithReservation := urgent
+	jobWithReservation.ReservedUnits = 1
+	twoUnits := jobWithReservation
 	twoUnits.PendingTasks = 2
-	patient := urgent
-	patient.PreemptionDelaySeconds = 5
+	delayedPreemption := urgent
+	delayedPreemption.PreemptionDelaySeconds = 5
 	specWithImage := *urgentSpec
 	specWithImage.Image, specWithImage.ImageGB = "i", 1
-	patientWithImage := patient
-	patientWithImage.Spec = &specWithImage
+	delayedPreemptionWithImage := delayedPreemption
+	delayedPreemptionWithImage.Spec = &specWithImage
 	small := Job{Spec: spec("req-2", wire.PriorityStandard, 2), PendingTasks: 2, Weight: 99}
 	prod := Job{Spec: spec("req-3", wire.PriorityProd, 2), PendingTasks: 1, Weight: 256}
 	other := Job{Spec: spec("req-4", wire.PriorityUrgent, 4), PendingTasks: 1, Weight: 8}
 	lighterOther := other
 	lighterOther.Weight = 7
-	warm := Machine{ID: "warm", Images: map[wire.ImageID]ImageState{"i": ImagePresent}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: noFreeCPUs}
+	machineWithImage := Machine{ID: "warm", Images: map[wire.ImageID]ImageState{"i": ImagePresent}, Victims: []Victim{endingIn(40, victim(2)), endingIn(40, victim(3))}, Free: noFreeCPUs}
 
 	for _, c := range []struct {
 		name                                      string
 		snapshot                                  *Snapshot
 		wantStarts, wantVictims, wantReservations int
 	}{
-		{"tasks that end soon are awaited", snapshot(endingSoon, patient), 0, 0, 1},
-		{"one task is awaited, the other preempted", snapshot(full(endingIn(3, victim(0)), endingIn(40, victim(1))), patient), 0, 1, 1},
-		{"a task that may not be preempted can be awaited", snapshot(Machine{Victims: []Victim{notPreemptible}}, patient), 0, 0, 1},
-		{"two tasks are not preempted to avoid a fetch", withMachine(snapshot(endingSoon, patientWithImage), warm), 0, 0, 1},
+		{"tasks that end soon are awaited", snapshot(endingSoon, delayedPreemption), 0, 0, 1},
+		{"one task is awaited, the other preempted", snapshot(full(endingIn(3, victim(0)), endingIn(40, victim(1))), delayedPreemption), 0, 1, 1},
+		{"a task that may not be preempted can be awaited", snapshot(Machine{Victims: []Victim{notPreemptible}}, delayedPreemption), 0, 0, 1},
+		{"two tasks are not preempted to avoid a fetch", withMachine(snapshot(endingSoon, delayedPreemptionWithImage), machineWithImage), 0, 0, 1},
 		{"a full machine is reserved", snapshot(full(twoVictims...), urgent), 0, 2, 1},
-		{"the half that is free stays reserved", snapshot(halfFree, reserved, small), 0, 0, 0},
-		{"the reserved room is used", snapshot(Machine{Reservations: reservations, Free: machineSize}, reserved, small), 1, 0, 0},
+		{"the half that is free stays reserved", snapshot(halfFree, jobWithReservation, small), 0, 0, 0},
+		{"the reserved room is used", snapshot(Machine{Reservations: reservations, Free: machineSize}, jobWithReservation, small), 1, 0, 0},
 		{"without a reservation the small tasks start", snapshot(Machine{Free: machineSize}, urgent, small), 2, 0, 0},
 		{"a reserved machine has no room for a second unit", snapshot(halfFree, twoUnits), 0, 0, 0},
 		{"a job of a higher priority uses reserved room", snapshot(halfFree, prod), 1, 0, 0},
-		{"no room is reserved beyond the team's limit", withLimit(snapshot(full(twoVictims...), reserved, other), 4), 0, 0, 0},
-		{"within the limit room is reserved for a second job", withLimit(snapshot(full(twoVictims...), reserved, other), 8), 0, 2, 1},
-		{"a reservation that is used counts toward the limit once", withLimit(snapshot(Machine{Reservations: reservations, Free: machineSize, Victims: twoVictims}, reserved, lighterOther), 8), 1, 2, 1},
+		{"no room is reserved beyond the team's limit", withLimit(snapshot(full(twoVictims...), jobWithReservation, other), 4), 0, 0, 0},
+		{"within the limit room is reserved for a second job", withLimit(snapshot(full(twoVictims...), jobWithReservation, other), 8), 0, 2, 1},
+		{"a reservation that is used counts toward the limit once", withLimit(snapshot(Machine{Reservations: reservations, Free: machineSize, Victims: twoVictims}, jobWithReservation, lighterOther), 8), 1, 2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			res := Place(c.snapshot)
