--- a/upgrade/deployment_test.go
+++ b/upgrade/deployment_test.go
@@ -17,46 +17,47 @@
 	"lilaclead/upgrade"
 )
 
-// controllers are those of every deployment.
+// controllers are the controllers of every deployment under test.
 var controllers = []duty.NodeID{"a", "b", "c"}
 
-// What the programs of the tests support.
+// The versions that the programs under test support.
 var (
 	oldProgram   = upgrade.Range{Min: 1, Max: 1}
 	newProgram   = upgrade.Range{Min: 1, Max: 2}
 	laterProgram = upgrade.Range{Min: 2, Max: 3}
 )
 
-// anyVersion is the setting of operators that hold nothing back.
-const anyVersion upgrade.Version = 0
+// noVersionLimit is the operators' setting that allows any version.
+const noVersionLimit upgrade.Version = 0
 
-// deployment is processes of controllers around a simulated store, in virtual time.
+// deployment is a set of controllers' processes that share a simulated store, in virtual
+// time.
 type deployment struct {
 	network *simulator.Network
 	store   *simulator.KVStore
 
-	mu        sync.Mutex // processes use what follows from goroutines of their own
+	mu        sync.Mutex // guards the fields below, which the processes' goroutines use
 	processes map[duty.NodeID]*process
 	lastEnded map[duty.NodeID]endedProcess
-	// contactLag is for how long a process that has ended still counts as connected.
-	contactLag time.Duration
-	events     []string
+	// disconnectDelay is how long a process that has ended still counts as connected.
+	disconnectDelay time.Duration
+	events          []string
 }
 
-// process of a controller.
+// process is a running process of a controller.
 type process struct {
 	*upgrade.Member
 	cancel context.CancelFunc
 }
 
-// endedProcess is a controller's last process, and when it ended.
+// endedProcess is a controller's last process that has ended.
 type endedProcess struct {
 	incarnation string
 	at          time.Time
 }
 
-// newDeployment serves a simulated store until the test ends. It must be called in the
-// bubble of synctest.Test.
+// newDeployment returns a deployment without processes, whose store is served until the test
+// ends. It must be called in a synctest bubble.
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
 	d := &deployment{
@@ -73,13 +74,13 @@
 	return d
 }
 
-// client returns a client of the store on the host of that number.
+// client returns a client of the store for the host with that number.
 func (d *deployment) client(host int) *store.Client {
 	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	return store.New(simulator.KVStoreAddr, limits, 3, d.network.Host(simulator.NodeIP(host)))
 }
 
-// start replaces a controller's process.
+// start starts a process of a controller, in place of the one that runs.
 func (d *deployment) start(t *testing.T, node duty.NodeID, supports upgrade.Range) *process {
 	t.Helper()
 	d.stop(node)
@@ -100,7 +101,7 @@
 	return p
 }
 
-// startAll replaces the process of every controller and waits until they have published.
+// startAll starts a process of every controller and waits until all have published.
 func (d *deployment) startAll(t *testing.T, supports upgrade.Range) {
 	t.Helper()
 	for _, node := range controllers {
@@ -143,18 +144,18 @@
 	return maps.Clone(d.processes)
 }
 
-func (d *deployment) setContactLag(lag time.Duration) {
+func (d *deployment) setDisconnectDelay(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.contactLag = lag
+	d.disconnectDelay = delay
 }
 
-// connectedIncarnation returns the process of a controller that was in contact within the
-// contact lag; empty if none was.
+// connectedIncarnation returns the incarnation of a controller's process that counts as
+// connected; empty if none does.
 func (d *deployment) connectedIncarnation(node duty.NodeID) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if ended := d.lastEnded[node]; !ended.at.IsZero() && time.Since(ended.at) < d.contactLag {
+	if ended := d.lastEnded[node]; !ended.at.IsZero() && time.Since(ended.at) < d.disconnectDelay {
 		return ended.incarnation
 	}
 	if p := d.processes[node]; p != nil {
@@ -169,7 +170,8 @@
 	d.events = append(d.events, fmt.Sprint(node, " ", e.Kind, " ", e.Version))
 }
 
-// checkEvent fails the test unless a controller has emitted an event.
+// checkEvent fails the test unless the event has been emitted. It is written as controller,
+// kind and version, separated by spaces.
 func (d *deployment) checkEvent(t *testing.T, want string) {
 	t.Helper()
 	d.mu.Lock()
@@ -179,7 +181,8 @@
 	}
 }
 
-// acquireLease returns a lease that a process of its own holds until the test ends.
+// acquireLease returns a lease that is renewed until the test ends. Its holder is none of the
+// controllers' processes.
 func (d *deployment) acquireLease(t *testing.T) *duty.Lease {
 	t.Helper()
 	timing := duty.Timing{
@@ -194,27 +197,26 @@
 	if lease == nil {
 		t.Fatal("got no lease, want one")
 	}
-	go lease.KeepAlive(t.Context(), func(time.Time) {}) //nolint:errcheck // the tests ask the lease itself
+	go lease.KeepAlive(t.Context(), func(time.Time) {}) //nolint:errcheck // the tests check the lease itself
 	return lease
 }
 
-// knowledge returns what the holder of the lease knows beside the records, if operators
-// allow no version above the given one.
-func (d *deployment) knowledge(allowed upgrade.Version) upgrade.Deployment {
-	return upgrade.Deployment{Controllers: controllers, MaxVersion: allowed, ConnectedIncarnation: d.connectedIncarnation}
+// withLimit returns the deployment as the lease holder knows it, with the operators' limit.
+func (d *deployment) withLimit(maxVersion upgrade.Version) upgrade.Deployment {
+	return upgrade.Deployment{Controllers: controllers, MaxVersion: maxVersion, ConnectedIncarnation: d.connectedIncarnation}
 }
 
-// advance has a process try to switch to the next version.
-func (d *deployment) advance(ctx context.Context, lease *duty.Lease, by *process, allowed upgrade.Version) (upgrade.Version, error) {
+// advance has the process p try to switch to the next version.
+func (d *deployment) advance(ctx context.Context, lease *duty.Lease, p *process, maxVersion upgrade.Version) (upgrade.Version, error) {
 	permit, err := duty.PermitFor[duty.Cleanup](lease)
 	if err != nil {
 		return 0, err
 	}
-	return by.Advance(ctx, permit, d.knowledge(allowed))
+	return p.Advance(ctx, permit, d.withLimit(maxVersion))
 }
 
-// active returns the recorded version.
-func (d *deployment) active() upgrade.Version {
+// recordedActive returns the active version from its record in the store.
+func (d *deployment) recordedActive() upgrade.Version {
 	var record upgrade.ActiveRecord
 	if raw := d.store.Value(upgrade.ActiveKey); len(raw) > 0 && wire.Decode(raw, &record) == nil {
 		return record.Version
@@ -222,8 +224,8 @@
 	return upgrade.BaseVersion
 }
 
-// delayWritesOf delays every transaction that writes a key by a second.
-func (d *deployment) delayWritesOf(key string) {
+// delayWritesTo delays every transaction whose first write is to a key by a second.
+func (d *deployment) delayWritesTo(key string) {
 	d.store.DelayTransactions(func(txn *wire.Txn) time.Duration {
 		if txn.Writes[0].PutKey == key {
 			return time.Second
--- a/upgrade/doc.go
+++ b/upgrade/doc.go
@@ -2,37 +2,38 @@
 // whose controllers are upgraded one at a time, and switches to the next version once
 // every controller supports it.
 //
-// Each process of a controller runs a [Member]. It publishes the range of versions that
-// it supports before it serves. The active version is a record in the key-value store; it
-// moves up by one compare-and-swap transaction, which the holder of a lease makes with
-// [Member.Advance], and only once every configured controller has published support for
-// the next version. Code whose writes depend on the version asks for the active one when
-// it writes: [Member.ActiveVersion], or [Member.ActiveVersionGuard] where no lease orders the
-// writes.
+// Each process of a controller runs a [Member], which publishes the range of versions that
+// it supports before the process serves. The active version is a record in the key-value
+// store. The holder of a lease raises it with [Member.Advance], in one compare-and-swap
+// transaction, once every configured controller has published support for the next
+// version. Code whose writes depend on the version reads the active one for each write:
+// with [Member.ActiveVersion], or with [Member.ActiveVersionGuard] where no lease orders
+// the writes.
 //
 // docs/upgrades.md gives the reasons.
 //
 // # Units
 //
-// A [Version] is a plain number without units; 0 stands for unknown, or for no limit.
+// A [Version] is a number without a unit; 0 stands for unknown, or for no limit.
 // Durations are time.Duration.
 //
 // # Errors and retries
 //
-// Errors are met with errors.Is and errors.As:
+// Errors are matched with errors.Is and errors.As:
 //
-//   - [ErrActiveUnknown] and [ErrNotPublished] pass by themselves, once the store answers. Ask
-//     again.
-//   - [ErrProgramTooOld] and [ErrProgramTooNew], wrapped in an [UnsupportedVersionError], are final for
-//     this program: another program, or a switch, has to come first.
-//   - [ErrProcessReplaced] is final for this process: another one has its controller's name.
-//   - [ErrUndecodable], wrapped in an [UndecodableError], needs a person: the record is
-//     never overwritten.
-//   - [ErrNotReady] says that a controller, or the operators, hold the next version up.
-//     Try again later; the status names who does.
-//   - duty.ErrRefused says that the store was away, and nothing was written. Try again after
-//     a pause.
-//   - duty.ErrOutcomeUnknown of [Member.Advance] leaves open whether the switch was made,
-//     and a *duty.ConflictError says that it was not, since something has changed that it
-//     rests on. In both cases call it again: it reads all records anew.
+//   - [ErrActiveUnknown] and [ErrNotPublished] are temporary: they end once the store
+//     responds. Check again later.
+//   - [ErrProgramTooOld] and [ErrProgramTooNew], wrapped in an [UnsupportedVersionError],
+//     are permanent for this program: another program, or a switch, has to come first.
+//   - [ErrProcessReplaced] is permanent for this process: another process has published
+//     under its controller's name.
+//   - [ErrUndecodable], wrapped in an [UndecodableError], needs an operator, since the
+//     record is never overwritten.
+//   - [ErrNotReady] means that a controller or the operators' limit blocks the next
+//     version, or that there is none. Retry later; [Member.ReadStatus] shows what blocks it.
+//   - duty.ErrRefused means that the store was unavailable or over its rate, and nothing was
+//     written. Retry after a pause.
+//   - duty.ErrOutcomeUnknown from [Member.Advance] means that the switch may have been made.
+//     A *duty.ConflictError means that it was not, because a record that the decision
+//     depends on has changed. In both cases retry: Advance reads all records again.
 package upgrade
--- a/upgrade/errors.go
+++ b/upgrade/errors.go
@@ -7,32 +7,35 @@
 
 // Reasons why a controller must not serve.
 var (
-	// ErrActiveUnknown reports that the active version was neither read nor heard of yet.
+	// ErrActiveUnknown reports that this process has not read the active version yet, and
+	// that no other controller has reported it.
 	ErrActiveUnknown = errors.New("the active version is not known yet")
-	// ErrNotPublished reports that this process has not published what it supports yet.
+	// ErrNotPublished reports that this process has not yet published what it supports.
 	ErrNotPublished = errors.New("the versions of this process are not published yet")
-	// ErrProgramTooOld reports that a later version is active than this program supports.
+	// ErrProgramTooOld reports that the active version is above those this program supports.
 	ErrProgramTooOld = errors.New("this program is too old for the active version")
-	// ErrProgramTooNew reports that an earlier version is active than this program supports.
+	// ErrProgramTooNew reports that the active version is below those this program supports.
 	ErrProgramTooNew = errors.New("this program is too new for the active version")
-	// ErrProcessReplaced reports that another process has published under this controller's name
-	// since.
+	// ErrProcessReplaced reports that another process has published under this controller's
+	// name after this one.
 	ErrProcessReplaced = errors.New("another process serves under this controller's name")
 	// ErrUndecodable reports that a record of versions can't be decoded.
 	ErrUndecodable = errors.New("undecodable record of versions")
 )
 
-// ErrNotReady reports that a controller, or the operators, hold up the next version.
+// ErrNotReady reports that a controller or the operators' limit blocks the next version, or
+// that there is no next version.
 var ErrNotReady = errors.New("not every controller supports the next version")
 
 // UnsupportedVersionError reports that a program does not support the active version. It
-// meets ErrProgramTooOld or ErrProgramTooNew. Retrying is of no use to the same program.
+// wraps ErrProgramTooOld or ErrProgramTooNew. Retrying with the same program is of
+// no use.
 type UnsupportedVersionError struct {
 	Active    Version
 	Supported Range
 }
 
-// Error names the active version and the supported ones.
+// Error states the active version and the supported ones.
 func (e *UnsupportedVersionError) Error() string {
 	return fmt.Sprintf("%v: version %d is active, supported are %v", e.Unwrap(), e.Active, e.Supported)
 }
@@ -45,14 +48,14 @@
 	return ErrProgramTooNew
 }
 
-// UndecodableError reports a record of versions that can't be decoded. It meets
-// ErrUndecodable. Retrying is of no use until a person has removed the record.
+// UndecodableError reports a record of versions that can't be decoded. It wraps
+// ErrUndecodable. Retrying is of no use until an operator has removed the record.
 type UndecodableError struct {
-	// Key of the record in the store.
+	// Key is the key of the record in the store.
 	Key string
 }
 
-// Error names the record.
+// Error states the key of the record.
 func (e *UndecodableError) Error() string { return fmt.Sprintf("%v: %s", ErrUndecodable, e.Key) }
 
 // Unwrap returns ErrUndecodable.
--- a/upgrade/event.go
+++ b/upgrade/event.go
@@ -6,7 +6,7 @@
 	"lilaclead/duty"
 )
 
-// EventKind classifies an event. The values are part of the recorded history.
+// EventKind classifies an event. The values are stored in the history of events.
 type EventKind string
 
 // The kinds of events.
@@ -18,9 +18,11 @@
 
 // Event describes a decision of a member.
 type Event struct {
-	At      time.Time
-	Kind    EventKind
+	At   time.Time
+	Kind EventKind
+	// Version is the highest supported version in a VersionsPublished event, and the active
+	// version in the others: BaseVersion if its record can't be decoded.
 	Version Version
-	Token   duty.FencingToken // of the lease under which the version was switched
+	Token   duty.FencingToken // of the lease under which the version was switched; else 0
 	Reason  string
 }
--- a/upgrade/example_test.go
+++ b/upgrade/example_test.go
@@ -26,9 +26,9 @@
 	return store.New(addr, limits, 1, netio.Real()), server.Close
 }
 
-// A controller publishes what it supports, waits until it may serve, and, while it holds
-// the lease, switches to the next version. It is the only controller here, so the next
-// version is supported by all.
+// A controller publishes which versions it supports and waits until it may serve. It then
+// acquires the lease and switches to the next version. As it is the only controller, every
+// controller supports that version.
 func Example() {
 	client, closeStore := openStore()
 	defer closeStore()
@@ -43,10 +43,10 @@
 	if err != nil {
 		return // the range is invalid
 	}
-	var following sync.WaitGroup
-	following.Go(func() { member.Run(ctx) })
+	var running sync.WaitGroup
+	running.Go(func() { member.Run(ctx) })
 
-	// Until it may serve, a controller answers its users that they should retry.
+	// Until it may serve, a controller refuses its users' requests and asks them to retry.
 	for member.CheckServe() != nil {
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -60,7 +60,7 @@
 	}).Campaign(ctx)
 	permit, err := duty.PermitFor[duty.Cleanup](lease)
 	if err != nil {
-		return // the lease is not held any more
+		return // the lease is no longer held
 	}
 
 	deployment := upgrade.Deployment{Controllers: []duty.NodeID{"controller-1"}}
@@ -70,9 +70,9 @@
 	case err == nil:
 		fmt.Println("switched to version", version)
 	case errors.Is(err, upgrade.ErrNotReady):
-		fmt.Println("a controller, or the operators, hold the next version up")
+		fmt.Println("a controller or the operators' limit blocks the next version")
 	case errors.As(err, &conflict), errors.Is(err, duty.ErrOutcomeUnknown):
-		fmt.Println("try again: the records are read anew")
+		fmt.Println("retry: Advance reads all records again")
 	}
 
 	// A writer that holds no lease adds the guard to its transaction, which fails once
@@ -84,7 +84,7 @@
 	})
 	fmt.Println("written by version", version, "with error", err)
 	cancel()
-	following.Wait()
+	running.Wait()
 
 	// Output:
 	// serves under version 1
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -11,7 +11,6 @@
 	"lilaclead/duty"
 )
 
-// defaultPollInterval is how often a process reads the records.
 const defaultPollInterval = 5 * time.Second
 
 // Options configure a member. Node, SupportedRange and Store are required.
@@ -19,9 +18,9 @@
 	Node           duty.NodeID
 	SupportedRange Range
 	Store          Store
-	Clock          duty.Clock   // nil: the machine's own
-	Log            *slog.Logger // nil: none
-	// PollInterval is how often the records are read; 0: every 5 s.
+	Clock          duty.Clock   // nil: the system clock
+	Log            *slog.Logger // nil: nothing is logged
+	// PollInterval is the time between two reads of the records; 0: 5 s.
 	PollInterval time.Duration
 	// Observe, if set, receives the member's events; it must not block.
 	Observe func(Event)
@@ -29,29 +28,29 @@
 	OnUndecodable func(key string, err error)
 }
 
-// Member is one process of a controller. It publishes what it supports before it may
-// serve, and knows whether it still may. Its methods may be called from any goroutine.
+// Member is one process of a controller. It publishes which versions the process supports,
+// and tells whether the process may serve. Its methods may be called from any goroutine.
 type Member struct {
 	Options
 	incarnation string
 	state       atomic.Pointer[memberState]
 	// reportedActive is the highest active version that another controller has reported.
 	reportedActive atomic.Uint64
-	// loggedRefusalAt is the active version at which a refusal was logged last. Only Run
+	// lastRefusedVersion is the active version for which a refusal was logged last. Only Run
 	// uses it.
-	loggedRefusalAt Version
+	lastRefusedVersion Version
 }
 
-// memberState is what a member knows from the records. It is never changed once stored.
+// memberState is what a member knows from the records. It is immutable once stored.
 type memberState struct {
 	active         Version // 0: unknown
 	activeRevision duty.Revision
 	published      bool
-	refusal        error // nil: the records allow it to serve
+	refusal        error // why the records forbid serving; nil: they allow it
 }
 
-// NewMember returns the member of a process, under an incarnation of its own. It fails if
-// the supported range is invalid.
+// NewMember returns a member with a new, random incarnation. It fails if the supported
+// range is invalid.
 func NewMember(o Options) (*Member, error) {
 	if err := o.SupportedRange.Validate(); err != nil {
 		return nil, err
@@ -64,28 +63,30 @@
 	return m, nil
 }
 
-// Incarnation distinguishes this process from others of its controller.
+// Incarnation returns the identifier that distinguishes this process from earlier and later
+// ones of its controller.
 func (m *Member) Incarnation() string { return m.incarnation }
 
-// ActiveVersion returns the active version that this process knows of, from the records or from
-// another controller; 0 if it knows none.
+// ActiveVersion returns the highest active version that this process has read from the
+// records or that another controller has reported; 0 if it knows none.
 func (m *Member) ActiveVersion() Version {
 	return max(m.state.Load().active, Version(m.reportedActive.Load()))
 }
 
-// ObserveActive records that another controller has reported the version as active. It counts at
-// once, before the records are read; a lower version than the known one is ignored.
+// ObserveActive notes that another controller has reported the version as active. The report
+// takes effect at once, before the records are read. A version below the highest one reported
+// so far is ignored.
 func (m *Member) ObserveActive(v Version) {
 	for {
-		known := m.reportedActive.Load()
-		if uint64(v) <= known || m.reportedActive.CompareAndSwap(known, uint64(v)) {
+		reported := m.reportedActive.Load()
+		if uint64(v) <= reported || m.reportedActive.CompareAndSwap(reported, uint64(v)) {
 			return
 		}
 	}
 }
 
-// CheckSupport returns why this process must not even acknowledge others; nil once it
-// knows the active version and supports it.
+// CheckSupport returns why this process must not even acknowledge requests of workers and of
+// other controllers; nil once it knows the active version and supports it.
 func (m *Member) CheckSupport() error {
 	active := m.ActiveVersion()
 	refusal := m.state.Load().refusal
@@ -101,8 +102,8 @@
 	return nil
 }
 
-// CheckServe returns why this process must not serve, lead or write; nil once it has
-// published what it supports, as long as it supports the active version.
+// CheckServe returns why this process must not serve, lead or write; nil while it supports
+// the active version and has published what it supports.
 func (m *Member) CheckServe() error {
 	if err := m.CheckSupport(); err != nil {
 		return err
@@ -113,16 +114,16 @@
 	return nil
 }
 
-// ActiveVersionGuard returns the active version as last read, and a condition for a
-// transaction whose writes depend on it: the condition fails once another version is
-// active. It is for writers that hold no lease; a lease holder's writes are ordered by its
-// token (docs/upgrades.md).
+// ActiveVersionGuard returns the active version as last read, and a guard for transactions
+// whose writes depend on it: the guard fails once another version is active. It is for
+// writers that hold no lease; a lease holder's writes are ordered by its fencing token
+// (docs/upgrades.md).
 func (m *Member) ActiveVersionGuard() (duty.Guard, Version) {
 	state := m.state.Load()
 	return duty.Guard{Key: ActiveKey, Revision: state.activeRevision}, state.active
 }
 
-// emit passes an event to the observer, if there is one.
+// emit sets the event's time and passes it to Observe, if that is set.
 func (m *Member) emit(e Event) {
 	if m.Observe != nil {
 		e.At = m.Clock.Now()
@@ -130,7 +131,6 @@
 	}
 }
 
-// notifyUndecodable passes the key of an undecodable record on, if anybody asked for it.
 func (m *Member) notifyUndecodable(key string, err error) {
 	if m.OnUndecodable != nil {
 		m.OnUndecodable(key, err)
--- a/upgrade/member_test.go
+++ b/upgrade/member_test.go
@@ -11,8 +11,9 @@
 	"lilaclead/upgrade"
 )
 
-// What another controller reports as active counts at once, before the records are read.
-func TestReportedVersionCountsDuringAnOutage(t *testing.T) {
+// While the store is unavailable, the versions that other controllers report as active still
+// decide whether a process may acknowledge requests.
+func TestReportedVersionTakesEffectDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
 		d.store.Outage(true)
@@ -26,7 +27,7 @@
 			t.Errorf("version 1 reported: got %v, want nil", err)
 		}
 		if err := p.CheckServe(); !errors.Is(err, upgrade.ErrNotPublished) {
-			t.Errorf("version 1 reported: serving: got %v, want %v", err, upgrade.ErrNotPublished)
+			t.Errorf("version 1 reported: CheckServe: got %v, want %v", err, upgrade.ErrNotPublished)
 		}
 		p.ObserveActive(2)
 		p.ObserveActive(1)
@@ -34,19 +35,19 @@
 			t.Errorf("versions 2, then 1 reported: got %v, want %v", err, upgrade.ErrProgramTooOld)
 		}
 		if got := p.ActiveVersion(); got != 2 {
-			t.Errorf("versions 2, then 1 reported: active: got %d, want 2", got)
+			t.Errorf("versions 2, then 1 reported: active version: got %d, want 2", got)
 		}
 	})
 }
 
-// The error says what could not be read, and that asking again may help.
-func TestReadingDuringAnOutageSaysWhatFailed(t *testing.T) {
+// The error of a failed read states the key or prefix, and allows a retry.
+func TestReadErrorStatesKeyDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
 		p := d.start(t, "a", newProgram)
 		awaitPolls()
 		d.store.Outage(true)
-		_, statusErr := p.ReadStatus(t.Context(), d.knowledge(anyVersion))
+		_, statusErr := p.ReadStatus(t.Context(), d.withLimit(noVersionLimit))
 		_, activeErr := p.ReadActive(t.Context())
 		for _, c := range []struct {
 			name, key string
@@ -56,16 +57,16 @@
 			{"active version", upgrade.ActiveKey, activeErr},
 		} {
 			if !errors.Is(c.got, duty.ErrRefused) || !strings.Contains(c.got.Error(), c.key) {
-				t.Errorf("%s: got %v, want %v that names %s", c.name, c.got, duty.ErrRefused, c.key)
+				t.Errorf("%s: got %v, want %v that states %s", c.name, c.got, duty.ErrRefused, c.key)
 			}
 		}
 		if err := p.CheckServe(); err != nil {
-			t.Errorf("serving: got %v, want nil", err)
+			t.Errorf("CheckServe: got %v, want nil", err)
 		}
 	})
 }
 
-func TestProcessKeepsServingWhileItsRemovedRecordIsPublishedAgain(t *testing.T) {
+func TestProcessKeepsServingWhileRepublishingItsRemovedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
 		p := d.start(t, "a", newProgram)
@@ -78,13 +79,13 @@
 			}
 		}
 		if d.store.Revision(upgrade.SupportKey("a")) == 0 {
-			t.Error("support record: got none, want one that was published again")
+			t.Error("support record: got none, want it published again")
 		}
 	})
 }
 
-// A process whose record another one has written serves no more, also once that record is
-// removed.
+// A process stops serving once another process has overwritten its record. It stays refused
+// after that record has been removed.
 func TestReplacedProcessStopsServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
@@ -106,16 +107,16 @@
 	})
 }
 
-// An undecodable record never lets a process start; one that has published goes on, since
-// nobody can switch while the record is damaged.
-func TestUndecodableActiveRecord(t *testing.T) {
+// While the record of the active version is undecodable, a starting process is refused. A
+// process that has published keeps serving, since no controller can switch the version.
+func TestUndecodableActiveRecordRefusesOnlyStartingProcesses(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		published bool // before the record was damaged
 		want      error
 	}{
-		{"a process that has published goes on", true, nil},
-		{"a process that starts is refused", false, upgrade.ErrUndecodable},
+		{"a process that has published keeps serving", true, nil},
+		{"a starting process is refused", false, upgrade.ErrUndecodable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -124,7 +125,7 @@
 					d.start(t, "a", newProgram)
 					awaitPolls()
 				}
-				damaged := d.store.Put(upgrade.ActiveKey, "no record")
+				damagedRevision := d.store.Put(upgrade.ActiveKey, "no record")
 				if !c.published {
 					d.start(t, "a", newProgram)
 				}
@@ -137,8 +138,8 @@
 				if errors.As(err, &undecodable) && undecodable.Key != upgrade.ActiveKey {
 					t.Errorf("undecodable key: got %q, want %q", undecodable.Key, upgrade.ActiveKey)
 				}
-				if got := d.store.Revision(upgrade.ActiveKey); got != damaged {
-					t.Errorf("revision of the damaged record: got %d, want %d", got, damaged)
+				if got := d.store.Revision(upgrade.ActiveKey); got != damagedRevision {
+					t.Errorf("revision of the damaged record: got %d, want %d", got, damagedRevision)
 				}
 			})
 		})
--- a/upgrade/publish.go
+++ b/upgrade/publish.go
@@ -10,27 +10,26 @@
 	"lilaclead/internal/wire"
 )
 
-// publishRetry is the pause before a process that has neither published nor been refused
-// reads the records again.
-const publishRetry = 500 * time.Millisecond
+// publishRetryDelay is the pause before a process that has neither published nor been
+// refused reads the records again.
+const publishRetryDelay = 500 * time.Millisecond
 
-// Run publishes what this process supports and then follows the records until the context
-// ends.
+// Run publishes what this process supports, and polls the records until the context ends.
 func (m *Member) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := m.PollInterval
+		delay := m.PollInterval
 		if !m.refresh(ctx) {
-			wait = publishRetry
+			delay = publishRetryDelay
 		}
 		select {
 		case <-ctx.Done():
-		case <-m.Clock.After(wait):
+		case <-m.Clock.After(delay):
 		}
 	}
 }
 
-// refresh reads the records once and publishes if that is due. False means that it is to
-// be retried soon.
+// refresh reads the records once, and publishes if this process may serve and has not
+// published yet. It returns false if it is to be retried after publishRetryDelay.
 func (m *Member) refresh(ctx context.Context) bool {
 	r, err := readRecords(ctx, m.Store, m.readClass())
 	if err != nil {
@@ -39,12 +38,13 @@
 	for _, key := range r.undecodable {
 		m.notifyUndecodable(key, ErrUndecodable)
 	}
-	last := m.state.Load()
-	if r.isUndecodable(ActiveKey) && last.published {
-		// Nobody can switch while it can't be decoded: what was active still is.
+	previous := m.state.Load()
+	if r.isUndecodable(ActiveKey) && previous.published {
+		// No controller can switch while the record is undecodable, so the known version is
+		// still active.
 		return true
 	}
-	next := m.nextState(ctx, &r, last)
+	next := m.nextState(ctx, &r, previous)
 	if next.refusal != nil {
 		m.logRefusal(next.active, next.refusal)
 	}
@@ -52,8 +52,8 @@
 	return next.published || next.refusal != nil
 }
 
-// readClass returns the class of this process's reads: critical until it has published,
-// since it can't serve before.
+// readClass returns the request class of this process's reads. They are critical until it
+// has published, since it can't serve before.
 func (m *Member) readClass() duty.RequestClass {
 	if m.state.Load().published {
 		return store.ClassBackground
@@ -61,15 +61,15 @@
 	return store.ClassCritical
 }
 
-// nextState returns what this process knows after the records were read, and publishes if
-// it may serve and has not published.
-func (m *Member) nextState(ctx context.Context, r *records, last *memberState) memberState {
-	// A record that was removed is published again: nobody else has taken its place.
+// nextState returns what this process knows after the records were read. It publishes if
+// this process may serve and has not published yet.
+func (m *Member) nextState(ctx context.Context, r *records, previous *memberState) memberState {
+	// A removed record is published again: no other process has published in its place.
 	_, recorded := r.supports[m.Node]
 	next := memberState{
 		active:         r.active.Version,
 		activeRevision: r.activeRevision,
-		published:      last.published && recorded,
+		published:      previous.published && recorded,
 	}
 	next.refusal = m.refusal(r, next.published)
 	switch {
@@ -81,8 +81,8 @@
 	return next
 }
 
-// refusal returns why this process must not serve by the records that were read; nil if it
-// may.
+// refusal returns why the records that were read forbid this process to serve; nil if they
+// allow it.
 func (m *Member) refusal(r *records, published bool) error {
 	ownKey := SupportKey(m.Node)
 	own := r.supports[m.Node].record
@@ -92,7 +92,8 @@
 	case r.isUndecodable(ownKey) && !published:
 		return &UndecodableError{Key: ownKey}
 	case r.isUndecodable(ownKey):
-		// Damage, and not another process: that one would have refused to serve.
+		// The record is damaged. No other process has taken over the name: one that starts is
+		// refused while the record is undecodable.
 		return nil
 	case !m.SupportedRange.Contains(r.active.Version):
 		return m.SupportedRange.check(r.active.Version)
@@ -104,9 +105,9 @@
 	return nil
 }
 
-// publish records what this process supports, in place of the last record under its name,
-// and reports whether it did. It fails if another version is active by then, or if another
-// process publishes.
+// publish writes what this process supports, in place of the previous record under its
+// name, and reports whether that succeeded. It fails if, since the records were read,
+// another version has become active or another process has published under the name.
 func (m *Member) publish(ctx context.Context, r *records) bool {
 	ownKey := SupportKey(m.Node)
 	record := SupportRecord{
@@ -122,7 +123,8 @@
 		},
 		Writes: []duty.Write{{PutKey: ownKey, Value: wire.Encode(record)}},
 	})
-	// Without an answer, or with a conflict, an earlier attempt may have been executed.
+	// After a lost response or a conflict, this attempt or an earlier one may have been
+	// executed.
 	if err != nil && !m.hasPublished(ctx) {
 		return false
 	}
@@ -131,21 +133,21 @@
 	return true
 }
 
-// hasPublished reads whether the record under this controller's name is this process's. It
-// was written while the version was active that this process had read: the write's guard
-// ensures that.
+// hasPublished reads the record under this controller's name and reports whether this
+// process wrote it. The guard on ActiveKey ensures that it was written while the version
+// that this process had read was still active.
 func (m *Member) hasPublished(ctx context.Context) bool {
 	e, err := m.Store.Get(ctx, store.ClassCritical, SupportKey(m.Node))
 	var record SupportRecord
 	return err == nil && wire.Decode(e.Value, &record) == nil && record.Incarnation == m.incarnation
 }
 
-// logRefusal logs why this process does not serve, once for each active version.
+// logRefusal logs why this process must not serve, once for each active version.
 func (m *Member) logRefusal(active Version, reason error) {
-	if m.loggedRefusalAt == active {
+	if m.lastRefusedVersion == active {
 		return
 	}
-	m.loggedRefusalAt = active
+	m.lastRefusedVersion = active
 	m.Log.Error("serving refused", "reason", reason, "active", active, "supported", m.SupportedRange)
 	m.emit(Event{Kind: VersionRefused, Version: active, Reason: reason.Error()})
 }
--- a/upgrade/records.go
+++ b/upgrade/records.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Keys of the records.
+// Keys of the records of versions, all of which begin with KeyPrefix.
 const (
 	KeyPrefix     = "version/"
 	ActiveKey     = KeyPrefix + "active"
@@ -22,14 +22,16 @@
 // SupportKey returns the key under which a controller publishes what it supports.
 func SupportKey(node duty.NodeID) string { return supportPrefix + string(node) }
 
-// ActiveRecord is the stored form of the active version.
+// ActiveRecord is the stored form of the active version. By is the controller that switched
+// to it.
 type ActiveRecord struct {
 	Version Version        `cbor:"version"`
 	By      duty.NodeID    `cbor:"by"`
 	At      wire.Timestamp `cbor:"at"`
 }
 
-// SupportRecord is the stored form of what one process of a controller supports.
+// SupportRecord is the stored form of the versions that one process of a controller
+// supports.
 type SupportRecord struct {
 	Min         Version        `cbor:"min"`
 	Max         Version        `cbor:"max"`
@@ -43,41 +45,41 @@
 // Store is the part of the key-value store that the package uses.
 type Store interface {
 	duty.Store
-	// List reads all keys with a prefix, and the store's revision.
+	// List returns the entries of all keys with a prefix, and the store's revision.
 	List(ctx context.Context, class duty.RequestClass, prefix string) ([]duty.Entry, duty.Revision, error)
 }
 
-// records are those of a deployment as they were read.
+// records holds the records of versions of a deployment, as they were read.
 type records struct {
 	active         ActiveRecord
 	activeRevision duty.Revision // 0: none recorded
 	supports       map[duty.NodeID]publishedSupport
-	// undecodable keys; what rests on them is refused.
+	// undecodable holds the keys of the records that can't be decoded. Decisions that depend
+	// on one of them are refused.
 	undecodable []string
 }
 
-// publishedSupport is a controller's record with its revision. An undecodable record has
-// the zero value.
+// publishedSupport is a controller's record with its revision. The record is zero if it
+// can't be decoded.
 type publishedSupport struct {
 	record   SupportRecord
 	revision duty.Revision
 }
 
-// readRecords reads all records.
 func readRecords(ctx context.Context, s Store, class duty.RequestClass) (records, error) {
 	entries, _, err := s.List(ctx, class, KeyPrefix)
 	if err != nil {
 		return records{}, fmt.Errorf("read the records under %q: %w", KeyPrefix, err)
 	}
 	r := records{active: ActiveRecord{Version: BaseVersion}, supports: map[duty.NodeID]publishedSupport{}}
-	for _, e := range entries {
-		r.add(e)
+	for _, entry := range entries {
+		r.decodeEntry(entry)
 	}
 	return r, nil
 }
 
-// readDecidableRecords reads all records, and fails if the active version can't be decoded.
-func readDecidableRecords(ctx context.Context, s Store, class duty.RequestClass) (records, error) {
+// readRecordsWithActive reads all records, and fails if the active version can't be decoded.
+func readRecordsWithActive(ctx context.Context, s Store, class duty.RequestClass) (records, error) {
 	r, err := readRecords(ctx, s, class)
 	if err == nil && r.isUndecodable(ActiveKey) {
 		err = &UndecodableError{Key: ActiveKey}
@@ -85,9 +87,9 @@
 	return r, err
 }
 
-// add decodes one entry. A key that is neither kind of record belongs to a later version
-// and is ignored.
-func (r *records) add(e duty.Entry) {
+// decodeEntry adds one entry of the store to the records. An entry that is neither kind of
+// record belongs to a later version and is ignored.
+func (r *records) decodeEntry(e duty.Entry) {
 	decoded := true
 	if e.Key == ActiveKey {
 		r.activeRevision = e.Revision
@@ -100,7 +102,7 @@
 	}
 }
 
-// decodeActive decodes the active version and reports whether it could.
+// decodeActive decodes the active version and reports whether that succeeded.
 func (r *records) decodeActive(e duty.Entry) bool {
 	var active ActiveRecord
 	if wire.Decode(e.Value, &active) != nil || active.Version < BaseVersion {
@@ -110,8 +112,8 @@
 	return true
 }
 
-// decodeSupport decodes a controller's record and reports whether it could. The revision
-// of an undecodable one is kept for guards.
+// decodeSupport decodes a controller's record and reports whether that succeeded. The
+// revision is kept even if the record can't be decoded, since guards need it.
 func (r *records) decodeSupport(node duty.NodeID, e duty.Entry) bool {
 	support := publishedSupport{revision: e.Revision}
 	valid := wire.Decode(e.Value, &support.record) == nil && support.record.Range().Validate() == nil
@@ -122,10 +124,9 @@
 	return valid
 }
 
-// isUndecodable reports whether the record under a key can't be decoded.
 func (r *records) isUndecodable(key string) bool { return slices.Contains(r.undecodable, key) }
 
-// readActive reads the active version alone.
+// readActive reads only the active version, which is BaseVersion if none is recorded.
 func readActive(ctx context.Context, s Store) (ActiveRecord, duty.Revision, error) {
 	e, err := s.Get(ctx, store.ClassCritical, ActiveKey)
 	if errors.Is(err, duty.ErrNotFound) {
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -9,24 +9,26 @@
 	"lilaclead/internal/wire"
 )
 
-// Deployment is what the holder of the lease knows beside the records.
+// Deployment is what the lease holder knows about the controllers and the operators'
+// settings. The records of versions don't contain it.
 type Deployment struct {
-	// Controllers are all that are configured, this one included.
+	// Controllers are all configured controllers, this one included.
 	Controllers []duty.NodeID
-	// ConnectedIncarnation returns the incarnation of another controller's process that was in contact
-	// a moment ago; empty if none was, or if its program does not negotiate versions.
+	// ConnectedIncarnation returns the incarnation of another controller's process that is
+	// connected now; empty if none is, or if its program does not negotiate versions.
 	ConnectedIncarnation func(duty.NodeID) string
 	// MaxVersion is the highest version that the operators allow; 0: any.
 	MaxVersion Version
-	// Guards make the switch fail if what that limit rests on has changed since.
+	// Guards make the switch fail if the records that MaxVersion was read from have changed
+	// since.
 	Guards []duty.Guard
 }
 
-// Blocker is why a controller holds up the next version; empty: it does not. The values
-// are part of what is shown to operators.
+// Blocker is the reason why a controller blocks the next version; empty: it does not. The
+// values are shown to operators.
 type Blocker string
 
-// The reasons why a controller holds up the next version.
+// The reasons why a controller blocks the next version.
 const (
 	NothingPublished  Blocker = "nothing published: never started, or of a version from before"
 	NotSupported      Blocker = "does not understand the next version"
@@ -35,7 +37,8 @@
 	UndecodableRecord Blocker = "its record can't be decoded"
 )
 
-// ControllerStatus is one controller as operators see it.
+// ControllerStatus describes one controller to operators: what its last process published,
+// and why it blocks the next version.
 type ControllerStatus struct {
 	Node        duty.NodeID    `cbor:"node"`
 	Min         Version        `cbor:"min"`
@@ -45,14 +48,15 @@
 	Blocker     Blocker        `cbor:"missing"`
 }
 
-// Status describes how far an upgrade is.
+// Status describes the progress of an upgrade.
 type Status struct {
 	Active Version `cbor:"active"`
-	// Next is the version that all controllers have to support; if it equals Active there
-	// is none.
+	// Next is the version that all controllers have to support before it becomes active. If
+	// it equals Active, there is no next version.
 	Next       Version `cbor:"next"`
-	MaxVersion Version `cbor:"ceiling"` // by the operators; 0: none
-	// LimitedByOperators is true if only the operators hold the next version back.
+	MaxVersion Version `cbor:"ceiling"` // the operators' limit; 0: none
+	// LimitedByOperators is true if MaxVersion is below the version that would be next
+	// without it.
 	LimitedByOperators bool               `cbor:"held"`
 	Controllers        []ControllerStatus `cbor:"controllers"`
 }
@@ -63,28 +67,28 @@
 	return s.Next > s.Active && !slices.ContainsFunc(s.Controllers, isBlocked)
 }
 
-// ReadStatus reads how far the upgrade is. It fails if the store can't be read, which may be
-// retried, or if the active version can't be decoded.
-func (m *Member) ReadStatus(ctx context.Context, d Deployment) (Status, error) {
-	r, err := readDecidableRecords(ctx, m.Store, store.ClassUser)
+// ReadStatus reads the progress of the upgrade. It fails if the store can't be read, which
+// may be retried, or if the active version can't be decoded.
+func (m *Member) ReadStatus(ctx context.Context, deployment Deployment) (Status, error) {
+	r, err := readRecordsWithActive(ctx, m.Store, store.ClassUser)
 	if err != nil {
 		return Status{}, err
 	}
-	return m.status(&r, d), nil
+	return m.status(&r, deployment), nil
 }
 
-// status judges each controller by the highest version that this program supports and the
-// operators allow.
-func (m *Member) status(r *records, d Deployment) Status {
+// status evaluates each controller against the next version: the highest that this program
+// supports and the operators allow.
+func (m *Member) status(r *records, deployment Deployment) Status {
 	s := Status{
 		Active:     r.active.Version,
 		Next:       max(r.active.Version, m.SupportedRange.Max),
-		MaxVersion: d.MaxVersion,
+		MaxVersion: deployment.MaxVersion,
 	}
-	if d.MaxVersion > 0 && s.Next > d.MaxVersion {
-		s.Next, s.LimitedByOperators = max(s.Active, d.MaxVersion), true
+	if deployment.MaxVersion > 0 && s.Next > deployment.MaxVersion {
+		s.Next, s.LimitedByOperators = max(s.Active, deployment.MaxVersion), true
 	}
-	for _, node := range d.Controllers {
+	for _, node := range deployment.Controllers {
 		published := r.supports[node].record
 		s.Controllers = append(s.Controllers, ControllerStatus{
 			Node:        node,
@@ -92,18 +96,18 @@
 			Max:         published.Max,
 			Incarnation: published.Incarnation,
 			PublishedAt: published.At,
-			Blocker:     m.blockerOf(r, d, node, s.Next),
+			Blocker:     m.blockerOf(r, deployment, node, s.Next),
 		})
 	}
 	return s
 }
 
-// blockerOf returns why a controller holds up a version; empty if it does not.
-func (m *Member) blockerOf(r *records, d Deployment, node duty.NodeID, next Version) Blocker {
+// blockerOf returns why a controller blocks the next version; empty if it does not.
+func (m *Member) blockerOf(r *records, deployment Deployment, node duty.NodeID, next Version) Blocker {
 	support, published := r.supports[node]
-	connected := m.incarnation
+	connectedIncarnation := m.incarnation
 	if node != m.Node {
-		connected = d.ConnectedIncarnation(node)
+		connectedIncarnation = deployment.ConnectedIncarnation(node)
 	}
 	switch {
 	case r.isUndecodable(SupportKey(node)):
@@ -112,9 +116,9 @@
 		return NothingPublished
 	case !support.record.Range().Contains(next):
 		return NotSupported
-	case connected == "":
+	case connectedIncarnation == "":
 		return NotConnected
-	case connected != support.record.Incarnation:
+	case connectedIncarnation != support.record.Incarnation:
 		return OtherIncarnation
 	}
 	return ""
--- a/upgrade/status_test.go
+++ b/upgrade/status_test.go
@@ -9,17 +9,17 @@
 	"lilaclead/upgrade"
 )
 
-// describe returns one line about the controllers of a status.
-func describe(s upgrade.Status) string {
-	var out []string
+// describeControllers returns one line about the controllers of a status.
+func describeControllers(s upgrade.Status) string {
+	var descriptions []string
 	for _, c := range s.Controllers {
-		out = append(out, fmt.Sprintf("%s %d-%d %s", c.Node, c.Min, c.Max, c.Blocker))
+		descriptions = append(descriptions, fmt.Sprintf("%s %d-%d %s", c.Node, c.Min, c.Max, c.Blocker))
 	}
-	return strings.Join(out, "; ")
+	return strings.Join(descriptions, "; ")
 }
 
-// Operators see each controller, and why it holds up the next version.
-func TestStatusNamesWhatHoldsUpTheNextVersion(t *testing.T) {
+// The status shows operators each controller, and why it blocks the next version.
+func TestStatusShowsWhatBlocksTheNextVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
 		p := d.start(t, "a", newProgram)
@@ -27,24 +27,24 @@
 		awaitPolls()
 		check := func(situation, want string) {
 			t.Helper()
-			s, err := p.ReadStatus(t.Context(), d.knowledge(anyVersion))
+			s, err := p.ReadStatus(t.Context(), d.withLimit(noVersionLimit))
 			if err != nil || s.Active != 1 || s.Next != 2 {
 				t.Errorf("%s: got %+v, error %v, want version 1 active, 2 next", situation, s, err)
 			}
-			if got := describe(s); got != want {
+			if got := describeControllers(s); got != want {
 				t.Errorf("%s: got %q, want %q", situation, got, want)
 			}
 		}
 		d.stop("b")
 		d.store.Put(upgrade.SupportKey("c"), "no record")
-		check("b stopped, c damaged", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.NotConnected, upgrade.UndecodableRecord))
+		check("b stopped, record of c damaged", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.NotConnected, upgrade.UndecodableRecord))
 		d.store.Delete(upgrade.SupportKey("c"))
-		d.setProcess("b", &process{p.Member, func() {}}) // a process that has not published
-		check("another process of b, nothing of c", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.OtherIncarnation, upgrade.NothingPublished))
+		d.setProcess("b", &process{p.Member, func() {}}) // an incarnation that has not published for b
+		check("another process of b, no record of c", fmt.Sprintf("a 1-2 ; b 1-2 %s; c 0-0 %s", upgrade.OtherIncarnation, upgrade.NothingPublished))
 	})
 }
 
-func TestStatusIsReadyOnceAllSupportANextVersion(t *testing.T) {
+func TestStatusIsReadyOnceAllSupportTheNextVersion(t *testing.T) {
 	ready := upgrade.ControllerStatus{Node: "a"}
 	blocked := upgrade.ControllerStatus{Node: "b", Blocker: upgrade.NotConnected}
 	for _, c := range []struct {
@@ -53,7 +53,7 @@
 		want   bool
 	}{
 		{"all ready", upgrade.Status{Active: 1, Next: 2, Controllers: []upgrade.ControllerStatus{ready, ready}}, true},
-		{"one holds it up", upgrade.Status{Active: 1, Next: 2, Controllers: []upgrade.ControllerStatus{ready, blocked}}, false},
+		{"one blocks it", upgrade.Status{Active: 1, Next: 2, Controllers: []upgrade.ControllerStatus{ready, blocked}}, false},
 		{"no next version", upgrade.Status{Active: 2, Next: 2, Controllers: []upgrade.ControllerStatus{ready}}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -10,21 +10,21 @@
 	"lilaclead/internal/wire"
 )
 
-// Advance moves the active version up if every controller supports the next one, and
-// returns the version that is active then. Only the holder of the lease may call it: the
-// write fails under another's lease, if another process has published since the records
-// were read, or if the operators' setting has changed. ErrNotReady says that it was not
-// attempted; after duty.ErrOutcomeUnknown either version may be active.
-func (m *Member) Advance(ctx context.Context, permit duty.Permit[duty.Cleanup], d Deployment) (Version, error) {
-	r, err := readDecidableRecords(ctx, m.Store, store.ClassBackground)
+// Advance switches to the next version if every controller supports it, and returns the
+// version that is active then. Only the lease holder may call it. The transaction fails if,
+// since the records were read, another node has acquired the lease, another process has
+// published, or a record under deployment.Guards has changed. ErrNotReady means that no
+// switch was attempted. After duty.ErrOutcomeUnknown either version may be active.
+func (m *Member) Advance(ctx context.Context, permit duty.Permit[duty.Cleanup], deployment Deployment) (Version, error) {
+	r, err := readRecordsWithActive(ctx, m.Store, store.ClassBackground)
 	if err != nil {
 		return 0, err
 	}
-	status := m.status(&r, d)
+	status := m.status(&r, deployment)
 	if !status.Ready() {
 		return status.Active, ErrNotReady
 	}
-	revision, err := permit.Commit(ctx, store.ClassCritical, m.switchTransaction(&r, d, status.Next))
+	revision, err := permit.Commit(ctx, store.ClassCritical, m.switchTransaction(&r, deployment, status.Next))
 	if err != nil {
 		return status.Active, fmt.Errorf("switch from version %d to %d: %w", status.Active, status.Next, err)
 	}
@@ -35,11 +35,11 @@
 	return status.Next, nil
 }
 
-// switchTransaction returns the transaction that makes a version active. It fails if any
-// record has changed that the decision rests on.
-func (m *Member) switchTransaction(r *records, d Deployment, next Version) duty.Txn {
-	guards := append([]duty.Guard{{Key: ActiveKey, Revision: r.activeRevision}}, d.Guards...)
-	for _, node := range d.Controllers {
+// switchTransaction returns the transaction that activates the next version. It fails if any
+// record that the decision depends on has changed.
+func (m *Member) switchTransaction(r *records, deployment Deployment, next Version) duty.Txn {
+	guards := append([]duty.Guard{{Key: ActiveKey, Revision: r.activeRevision}}, deployment.Guards...)
+	for _, node := range deployment.Controllers {
 		guards = append(guards, duty.Guard{Key: SupportKey(node), Revision: r.supports[node].revision})
 	}
 	record := ActiveRecord{Version: next, By: m.Node, At: wire.TimestampOf(m.Clock.Now())}
@@ -49,14 +49,15 @@
 	}
 }
 
-// ReadActive reads the active version for a new holder of the lease. Read after the lease
-// was acquired it is at least what every earlier holder has written by: their switches
-// fail from then on. The error says whether this process may act by it.
+// ReadActive reads the active version for a new lease holder, after it has acquired the
+// lease. The version is then at least the one that any earlier holder has written under:
+// switches by earlier holders fail once the lease is acquired. The error is not nil if the
+// version can't be read or this process must not act under it.
 func (m *Member) ReadActive(ctx context.Context) (Version, error) {
 	active, revision, err := readActive(ctx, m.Store)
 	if errors.Is(err, ErrUndecodable) && m.CheckServe() == nil {
-		// Damaged since this process knew it. To act by an earlier version than the active
-		// one harms nothing: whoever supports the later one reads it.
+		// The record was damaged after this process had read it. Acting under a version below
+		// the active one is safe: programs that support the higher one read its records too.
 		m.notifyUndecodable(ActiveKey, err)
 		return m.ActiveVersion(), nil
 	}
--- a/upgrade/version.go
+++ b/upgrade/version.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// Version numbers the behaviour: what is written, and what must be understood.
+// Version is a version of the controllers' behaviour: what a controller writes, and what it
+// must be able to read.
 type Version uint64
 
-// BaseVersion is the version that is active where none was ever recorded: what was written
-// before versions were negotiated.
+// BaseVersion is the active version while none is recorded. Records of programs
+// that don't negotiate versions are of this version.
 const BaseVersion Version = 1
 
-// Range is the versions that a program supports. It reads what was written under each of
-// them, and behaves as the active one demands.
+// Range is the versions from Min to Max, both included, that a program supports. The program
+// reads what was written under each of them, and behaves as the active one requires.
 type Range struct{ Min, Max Version }
 
 // Contains reports whether a version is supported.
@@ -27,10 +28,10 @@
 // String returns both ends of the range.
 func (r Range) String() string { return fmt.Sprintf("%d to %d", r.Min, r.Max) }
 
-// Validate returns an error unless the range goes up from BaseVersion at least.
+// Validate returns an error if Min is below BaseVersion or Max is below Min.
 func (r Range) Validate() error {
 	if r.Min < BaseVersion || r.Max < r.Min {
-		return fmt.Errorf("versions %v: must go up from %d at least", r, BaseVersion)
+		return fmt.Errorf("invalid version range %v: minimum must be %d or more, maximum must not be below it", r, BaseVersion)
 	}
 	return nil
 }
--- a/upgrade/version_test.go
+++ b/upgrade/version_test.go
@@ -12,7 +12,7 @@
 		supports upgrade.Range
 	}{
 		{"empty", upgrade.Range{}},
-		{"downwards", upgrade.Range{Min: 2, Max: 1}},
+		{"maximum below minimum", upgrade.Range{Min: 2, Max: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := upgrade.NewMember(upgrade.Options{SupportedRange: c.supports}); err == nil {
