--- a/history/checksums.go
+++ b/history/checksums.go
@@ -7,22 +7,22 @@
 	"hash/crc32"
 )
 
-// A segment carries CRC-32 checksums of its bytes in a block between the row groups and
-// the Parquet footer. Readers of Parquet find everything by offsets that the footer
-// gives, so those that don't know the block skip it. The block is:
+// A segment contains CRC-32 checksums of its bytes, in a block between the row groups and
+// the Parquet footer. Parquet readers find all data by the offsets in the footer, so readers
+// that don't know the block skip it. The block consists of:
 //
 //	marker
 //	number of row groups, 4 bytes
-//	for each row group: where it ends (8 bytes), its checksum (4 bytes)
+//	for each row group: the offset of its end (8 bytes), its checksum (4 bytes)
 //	checksum of everything from the end of the block to the end of the file, 4 bytes
 //	checksum of the block up to here, 4 bytes
 //
-// Integers are little-endian. A row group's checksum covers the bytes from the end of
-// the one before. The page index, between the last row group and the block, has none:
-// it is never read.
+// Integers are little-endian. A row group's checksum covers the bytes from the end of the
+// previous row group to its own end. The page index, between the last row group and the
+// block, has no checksum, as it is never read.
 
-// checksumMarker begins the block, and is a key of the footer's metadata as well, so
-// that a segment whose block is damaged isn't mistaken for one written without it.
+// checksumMarker is the start of the block. It is a key of the footer's metadata as well, so
+// that a segment whose block is damaged isn't mistaken for one written without a block.
 const checksumMarker = "lilaclead-segment-checksums"
 
 const (
@@ -30,32 +30,34 @@
 	groupCountSize    = 4
 	groupEndSize      = 8
 	groupChecksumSize = groupEndSize + checksumSize
-	// footerSuffixSize is what ends a Parquet file: the footer's length and a magic number.
+	// footerSuffixSize is the size of the end of a Parquet file: the footer's length and a
+	// magic number, 4 bytes each.
 	footerSuffixSize = 8
 )
 
-// errNoChecksums says that a segment was written without checksums of its bytes.
+// errNoChecksums reports that a segment was written without checksums of its bytes.
 var errNoChecksums = errors.New("segment without checksums")
 
-// groupChecksum guards the bytes of one row group.
+// groupChecksum is the checksum of one row group.
 type groupChecksum struct {
 	end uint64 // offset in the file of the first byte after the group
 	crc uint32
 }
 
-// segmentChecksums guards the bytes of a segment.
+// segmentChecksums are the checksums in a segment's block.
 type segmentChecksums struct {
 	groups []groupChecksum
-	footer uint32
+	footer uint32 // checksum of everything after the block
 }
 
-// appendGroup adds the checksum of a row group that ends where written does.
+// appendGroup adds the checksum of the next row group, given the segment's bytes up to the
+// group's end.
 func (c *segmentChecksums) appendGroup(written []byte) {
 	start := c.groupStart(len(c.groups))
 	c.groups = append(c.groups, groupChecksum{uint64(len(written)), crc32.ChecksumIEEE(written[start:])})
 }
 
-// groupStart returns the offset of a row group's first byte.
+// groupStart returns the offset of the first byte of a row group, given by its index.
 func (c *segmentChecksums) groupStart(group int) uint64 {
 	if group == 0 {
 		return 0
@@ -63,8 +65,8 @@
 	return c.groups[group-1].end
 }
 
-// groupIntact reports whether the bytes of a row group are those that were written, as
-// far as that is known: without checksums (nil) every group counts as intact.
+// groupIntact reports whether a row group's bytes match its checksum. If the segment has no
+// checksums (c is nil), every group counts as intact.
 func (c *segmentChecksums) groupIntact(segment []byte, group int) bool {
 	if c == nil {
 		return true
@@ -76,18 +78,19 @@
 	return crc32.ChecksumIEEE(segment[start:end]) == c.groups[group].crc
 }
 
-// insertInto returns a Parquet file with the block of checksums before its footer.
+// insertInto sets the footer's checksum, and returns the Parquet file with the block of
+// checksums inserted before the footer.
 func (c *segmentChecksums) insertInto(parquetFile []byte) ([]byte, error) {
-	suffix := len(parquetFile) - footerSuffixSize
-	if suffix < 0 {
+	suffixStart := len(parquetFile) - footerSuffixSize
+	if suffixStart < 0 {
 		return nil, ErrDamaged
 	}
-	footer := suffix - int(binary.LittleEndian.Uint32(parquetFile[suffix:]))
-	if footer < 0 {
+	footerStart := suffixStart - int(binary.LittleEndian.Uint32(parquetFile[suffixStart:]))
+	if footerStart < 0 {
 		return nil, ErrDamaged
 	}
-	c.footer = crc32.ChecksumIEEE(parquetFile[footer:])
-	return bytes.Join([][]byte{parquetFile[:footer], c.encode(), parquetFile[footer:]}, nil), nil
+	c.footer = crc32.ChecksumIEEE(parquetFile[footerStart:])
+	return bytes.Join([][]byte{parquetFile[:footerStart], c.encode(), parquetFile[footerStart:]}, nil), nil
 }
 
 // encode returns the block.
@@ -102,16 +105,17 @@
 	return binary.LittleEndian.AppendUint32(block, crc32.ChecksumIEEE(block))
 }
 
-// findChecksums finds the block of checksums in a segment, and has checked the footer
-// against it. The error is errNoChecksums or ErrDamaged.
+// findChecksums finds and decodes the block of checksums in a segment, and verifies the
+// footer. The marker also occurs outside the block, so every occurrence is tried. The error is
+// errNoChecksums if the marker occurs nowhere, and ErrDamaged if no block is intact.
 func findChecksums(segment []byte) (*segmentChecksums, error) {
 	rest, err := segment, errNoChecksums
 	for {
-		at := bytes.Index(rest, []byte(checksumMarker))
-		if at < 0 {
+		markerStart := bytes.Index(rest, []byte(checksumMarker))
+		if markerStart < 0 {
 			return nil, err
 		}
-		rest, err = rest[at:], ErrDamaged
+		rest, err = rest[markerStart:], ErrDamaged
 		if checksums, size, ok := decodeChecksums(rest); ok && crc32.ChecksumIEEE(rest[size:]) == checksums.footer {
 			return checksums, nil
 		}
@@ -119,30 +123,31 @@
 	}
 }
 
-// decodeChecksums decodes the block at the start of data, and returns its size.
+// decodeChecksums decodes the block at the start of data, and returns the block's size. It
+// reports false if there is no intact block.
 func decodeChecksums(data []byte) (checksums *segmentChecksums, size int, ok bool) {
-	at := len(checksumMarker)
-	if len(data) < at+groupCountSize {
+	offset := len(checksumMarker)
+	if len(data) < offset+groupCountSize {
 		return nil, 0, false
 	}
-	groups := int(binary.LittleEndian.Uint32(data[at:]))
-	at += groupCountSize
-	if groups > (len(data)-at)/groupChecksumSize {
+	groupCount := int(binary.LittleEndian.Uint32(data[offset:]))
+	offset += groupCountSize
+	if groupCount > (len(data)-offset)/groupChecksumSize {
 		return nil, 0, false
 	}
-	checksums = &segmentChecksums{groups: make([]groupChecksum, groups)}
+	checksums = &segmentChecksums{groups: make([]groupChecksum, groupCount)}
 	for i := range checksums.groups {
-		checksums.groups[i].end = binary.LittleEndian.Uint64(data[at:])
-		checksums.groups[i].crc = binary.LittleEndian.Uint32(data[at+groupEndSize:])
-		at += groupChecksumSize
+		checksums.groups[i].end = binary.LittleEndian.Uint64(data[offset:])
+		checksums.groups[i].crc = binary.LittleEndian.Uint32(data[offset+groupEndSize:])
+		offset += groupChecksumSize
 	}
-	if len(data) < at+2*checksumSize {
+	if len(data) < offset+2*checksumSize {
 		return nil, 0, false
 	}
-	checksums.footer = binary.LittleEndian.Uint32(data[at:])
-	at += checksumSize
-	if crc32.ChecksumIEEE(data[:at]) != binary.LittleEndian.Uint32(data[at:]) {
+	checksums.footer = binary.LittleEndian.Uint32(data[offset:])
+	offset += checksumSize
+	if crc32.ChecksumIEEE(data[:offset]) != binary.LittleEndian.Uint32(data[offset:]) {
 		return nil, 0, false
 	}
-	return checksums, at + checksumSize, true
+	return checksums, offset + checksumSize, true
 }
--- a/history/example_test.go
+++ b/history/example_test.go
@@ -9,7 +9,7 @@
 	"lilaclead/history"
 )
 
-// A controller records what it decides; later its lost leases are looked up.
+// A controller records its decisions. Afterwards the leases that it lost are looked up.
 func Example() {
 	dir, err := os.MkdirTemp("", "history")
 	if err != nil {
@@ -24,16 +24,16 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	finished := make(chan struct{})
+	runEnded := make(chan struct{})
 	go func() {
-		defer close(finished)
+		defer close(runEnded)
 		recorder.Run(ctx)
 	}()
 	acquired := time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC)
 	recorder.Record(history.Event{At: acquired, Kind: "acquired", Duty: "renting", Token: 7})
 	recorder.Record(history.Event{At: acquired.Add(time.Minute), Kind: "lost", Duty: "renting", Token: 7, Reason: "lease expired"})
 	cancel()
-	<-finished // everything recorded so far is written
+	<-runEnded // all recorded events are written
 
 	events, damaged, err := history.Read(dir, history.Filter{Kind: "lost"})
 	if err != nil {
--- a/history/filename.go
+++ b/history/filename.go
@@ -10,13 +10,13 @@
 	"strings"
 )
 
-// filePrefix begins the name of every file: history-<controller>-<number><kind>.
+// filePrefix is the start of every file's name: history-<controller>-<number><kind>.
 const filePrefix = "history-"
 
-// partialSuffix ends the name of a segment that is still being written.
+// partialSuffix is the end of the name of a segment that is still being written.
 const partialSuffix = ".part"
 
-// fileKind is the kind of a file, which is the suffix of its name.
+// fileKind is the kind of a file. Its value is the suffix of the file's name.
 type fileKind string
 
 const (
@@ -24,7 +24,8 @@
 	segmentKind fileKind = ".parquet"
 )
 
-// fileName identifies a log or a segment. A segment keeps the number of its log.
+// fileName identifies a log or a segment. A segment has the number of the log that it
+// replaces.
 type fileName struct {
 	controller string
 	number     uint64
@@ -36,17 +37,17 @@
 	return fmt.Sprintf("%s%s-%012d%s", filePrefix, n.controller, n.number, n.kind)
 }
 
-// in returns the path of the file in a folder.
-func (n fileName) in(dir string) string { return filepath.Join(dir, n.String()) }
+// pathIn returns the path of the file in a folder.
+func (n fileName) pathIn(dir string) string { return filepath.Join(dir, n.String()) }
 
-// segment returns the name of the segment that a log is sealed as.
+// segment returns the name of the segment that replaces a log.
 func (n fileName) segment() fileName {
 	n.kind = segmentKind
 	return n
 }
 
-// parseFileName parses the name of a file in its folder. It reports false if the file
-// is neither a log nor a segment.
+// parseFileName parses the name of a file in its folder. It reports false if the name is
+// neither a log's nor a segment's.
 func parseFileName(name string) (fileName, bool) {
 	for _, kind := range []fileKind{logKind, segmentKind} {
 		stem, matches := strings.CutSuffix(name, string(kind))
@@ -59,16 +60,16 @@
 
 // parseFileStem parses a file's name without the suffix of its kind.
 func parseFileStem(stem string, kind fileKind) (fileName, bool) {
-	numbered, hasPrefix := strings.CutPrefix(stem, filePrefix)
-	dash := strings.LastIndexByte(numbered, '-')
+	controllerAndNumber, hasPrefix := strings.CutPrefix(stem, filePrefix)
+	dash := strings.LastIndexByte(controllerAndNumber, '-')
 	if !hasPrefix || dash < 0 {
 		return fileName{}, false
 	}
-	number, err := strconv.ParseUint(numbered[dash+1:], 10, 64)
+	number, err := strconv.ParseUint(controllerAndNumber[dash+1:], 10, 64)
 	if err != nil {
 		return fileName{}, false
 	}
-	return fileName{controller: numbered[:dash], number: number, kind: kind}, true
+	return fileName{controller: controllerAndNumber[:dash], number: number, kind: kind}, true
 }
 
 // listFiles returns a controller's files in a folder, the oldest first. A folder that
--- a/history/helpers_test.go
+++ b/history/helpers_test.go
@@ -9,7 +9,7 @@
 
 var testStart = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// testEvent returns the event with number i.
+// testEvent returns an event whose fields depend on its number i.
 func testEvent(i int) Event {
 	return Event{
 		At:      testStart.Add(time.Duration(i) * time.Second),
@@ -21,7 +21,7 @@
 	}
 }
 
-// testRecords returns the records of a controller's events from first to before end.
+// testRecords returns the records of a controller's test events from number first to end-1.
 func testRecords(controller string, first, end int) []eventRecord {
 	var records []eventRecord
 	for i := first; i < end; i++ {
@@ -32,8 +32,8 @@
 	return records
 }
 
-// recordEvents runs a Recorder over the events from first to before end, and returns
-// what became of them.
+// recordEvents has a Recorder write the test events from number first to end-1, and returns
+// its counts.
 func recordEvents(t *testing.T, options Options, first, end int) Counts {
 	t.Helper()
 	if options.Buffer == 0 {
@@ -45,23 +45,22 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan struct{})
+	runEnded := make(chan struct{})
 	go func() {
-		defer close(done)
+		defer close(runEnded)
 		r.Run(ctx)
 	}()
 	for i := first; i < end; i++ {
 		r.Record(testEvent(i))
 		if i%50 == 0 {
-			time.Sleep(3 * time.Millisecond) // several frames
+			time.Sleep(3 * time.Millisecond) // so that the events are written in several frames
 		}
 	}
 	cancel()
-	<-done
+	<-runEnded
 	return r.Counts()
 }
 
-// writeFile writes a file that a test reads again.
 func writeFile(t *testing.T, path string, content []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, content, 0o644); err != nil {
@@ -69,7 +68,7 @@
 	}
 }
 
-// readFile reads a file that must be there.
+// readFile returns the content of a file that must exist.
 func readFile(t *testing.T, path string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(path)
--- a/history/history.go
+++ b/history/history.go
@@ -1,37 +1,40 @@
 // Package history keeps an audit trail of what controllers decided: leases acquired and
-// lost, actions accepted and refused, versions activated. It answers afterwards who
-// acted, when, and under which fencing token.
+// lost, actions accepted and refused, versions activated. The trail shows who acted, when,
+// and under which fencing token.
 //
-// A [Recorder] takes events without ever blocking the caller, and writes them to files
-// whose total size is bounded. [Read] finds them again by time, kind, duty and
-// controller, in the files of any number of controllers.
+// A [Recorder] accepts events without ever blocking the caller, and writes them to files
+// whose total size is bounded. [Read] selects events by time, kind, duty and controller,
+// from the files of any number of controllers.
 //
 // # Files
 //
-// Events go to a log of compressed frames first, each readable by itself, so that a
-// process that is killed loses at most [Options.FlushEvery] of them. A full log is
-// sealed as a segment: a Parquet file, which other tools can read as well. Both kinds
-// carry checksums. Times are stored in microseconds, sizes are in bytes.
+// Events are first written to a log of compressed frames. Each frame can be read by itself,
+// so a process that is killed loses at most the events of the last [Options.FlushEvery]. A
+// full log is sealed: it is replaced by a segment, a Parquet file that other tools can read
+// as well. Both kinds of files contain checksums. Times are stored in microseconds, and
+// sizes are in bytes.
 //
 // # Errors and retries
 //
 // Recording never fails for the caller: an event that can't be written is lost and
-// counted ([Counts]), and the next one is tried again. [Options.Validate] returns an
-// [OptionError] for each invalid option; trying again with the same options doesn't help.
+// counted ([Counts]), and later events are still written if possible. [Options.Validate]
+// returns an [OptionError] for each invalid option; retrying with the same options doesn't
+// help.
 //
-// [Read] fails only if the folder itself can't be listed, which may be tried again. Each
-// file that can't be read in full is reported as a [DamageError] beside the events. Its
-// lost events stay lost when the cause is [ErrDamaged], except that the newest log of a
-// running Recorder may end in a frame that is still being written. A file that a
+// [Read] fails only if the folder itself can't be listed; this may be retried. It reports
+// each file that can't be read in full as a [DamageError], beside the events. If the cause
+// is [ErrDamaged], the missing events are lost for good, with one exception: the newest log
+// of a running Recorder may end in a frame that is still being written. A file that a
 // Recorder seals or removes while the folder is read may be reported as missing, and the
-// events of a log that is just being sealed may be missing without an error. Reading
-// again settles these cases.
+// events of a log that is just being sealed may be missing without an error. In these three
+// cases read again.
 package history
 
 import "time"
 
 // Event is a decision of a controller.
 type Event struct {
+	// At is the time of the decision; it is stored in whole microseconds.
 	At time.Time
 	// Controller is set by the Recorder.
 	Controller string
@@ -44,7 +47,7 @@
 	// Version is the behaviour version (package upgrade) that the event is about; 0 if
 	// there is none.
 	Version uint64
-	// Reason explains the decision to a person.
+	// Reason explains the decision to operators.
 	Reason string
 }
 
--- a/history/log.go
+++ b/history/log.go
@@ -10,12 +10,13 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A log is a sequence of frames. A frame is the length of its body and the body's
-// CRC-32, four bytes each in little-endian order, and the body: records in CBOR,
-// compressed with zstd.
+// A log is a sequence of frames. A frame consists of the length of its body, the CRC-32 of
+// its body, and the body. The length and the CRC-32 have four bytes each in little-endian
+// order. The body is records in CBOR, compressed with zstd.
 const (
 	frameHeaderSize = 8
-	// maxFrameBody bounds the memory that a damaged length can ask for, in bytes.
+	// maxFrameBody bounds the size of a frame's body, in bytes, and thereby the memory that a
+	// damaged length can request.
 	maxFrameBody = 16 << 20
 	// maxDecodedFrame bounds the size of a frame's decompressed records, in bytes.
 	maxDecodedFrame = 64 << 20
@@ -28,20 +29,20 @@
 	events int // written so far
 }
 
-// createLog creates a log, and its folder if that is missing.
+// createLog creates a log, and its folder if that is missing. The log must not exist yet.
 func createLog(dir string, name fileName) (*logWriter, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	file, err := os.OpenFile(name.in(dir), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+	file, err := os.OpenFile(name.pathIn(dir), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
 	return &logWriter{name: name, file: file}, nil
 }
 
-// append writes one frame. After an error the log may end in part of a frame.
-func (w *logWriter) append(records []eventRecord) error {
+// appendFrame writes records as one frame. After an error the log may end in a partial frame.
+func (w *logWriter) appendFrame(records []eventRecord) error {
 	frame, err := encodeFrame(records)
 	if err != nil {
 		return err
@@ -53,9 +54,9 @@
 	return nil
 }
 
-func (w *logWriter) close() { _ = w.file.Close() } // what was written is checked when it is read
+func (w *logWriter) close() { _ = w.file.Close() } // checksums reveal a lost write on reading
 
-// encodeFrame returns a frame with its header.
+// encodeFrame returns records as a frame: the header and the body.
 func encodeFrame(records []eventRecord) ([]byte, error) {
 	plain, err := cbor.Marshal(records)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return append(frame, body...), nil
 }
 
-// readLog returns the records of the frames before the first that is damaged. The error
-// says where that is.
+// readLog returns the records of a log. If a frame is damaged, it returns the records of the
+// frames before it, and an error that states the frame's offset.
 func readLog(path string) ([]eventRecord, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -86,20 +87,20 @@
 	defer decoder.Close()
 	var records []eventRecord
 	for offset := 0; offset < len(content); {
-		frame, size, err := decodeFrame(content[offset:], decoder)
+		frameRecords, size, err := decodeFrame(content[offset:], decoder)
 		if err != nil {
 			return records, fmt.Errorf("at byte %d of %d: %w", offset, len(content), err)
 		}
-		records = append(records, frame...)
+		records = append(records, frameRecords...)
 		offset += size
 	}
 	return records, nil
 }
 
-// decodeFrame decodes the frame at the start of content, and returns its size with the
-// header.
+// decodeFrame decodes the frame at the start of content, and returns the frame's size
+// including the header.
 func decodeFrame(content []byte, decoder *zstd.Decoder) (records []eventRecord, size int, err error) {
-	body, err := checkedBody(content)
+	body, err := verifiedBody(content)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -113,9 +114,9 @@
 	return records, frameHeaderSize + len(body), nil
 }
 
-// checkedBody returns the body of the frame at the start of content, after comparing it
-// with its checksum.
-func checkedBody(content []byte) ([]byte, error) {
+// verifiedBody returns the body of the frame at the start of content, or ErrDamaged if the
+// body doesn't match its checksum.
+func verifiedBody(content []byte) ([]byte, error) {
 	if len(content) < frameHeaderSize {
 		return nil, ErrDamaged
 	}
@@ -131,15 +132,15 @@
 	return body, nil
 }
 
-// sealLog replaces a log by a segment. A log that can't be read in full stays a log, so
-// that nothing is lost that a reader might still get.
+// sealLog replaces a log by a segment. A log that can't be read in full is kept as it is, so
+// that its unreadable part isn't lost as well.
 func sealLog(dir string, log fileName) error {
-	path := log.in(dir)
+	path := log.pathIn(dir)
 	records, err := readLog(path)
 	if err != nil {
 		return err
 	}
-	segment := log.segment().in(dir)
+	segment := log.segment().pathIn(dir)
 	partial := segment + partialSuffix
 	if err := writeSegment(partial, records); err != nil {
 		_ = os.Remove(partial) // the log is still there
--- a/history/options.go
+++ b/history/options.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Options configure a Recorder. Dir and Controller are required; the zero value of the
-// others stands for their default.
+// Options configure a Recorder. Dir and Controller are required; the others have a default,
+// which their zero value selects.
 type Options struct {
-	// Dir is the folder of the files. It is created when it is missing.
+	// Dir is the folder of the files. It is created if it is missing.
 	Dir string
-	// Controller names the writer in events and in file names.
+	// Controller is the name of the writing controller, in events and in file names.
 	Controller string
-	// LimitBytes bounds the total size of this controller's files; 64 MiB by default.
+	// LimitBytes is the maximum total size of this controller's files; 64 MiB by default. The
+	// oldest files are removed to keep within it.
 	LimitBytes int64
-	// Buffer is how many events may wait to be written; those beyond it are dropped and
-	// counted. 1,024 by default.
+	// Buffer is the maximum number of events that wait to be written; further events are
+	// dropped and counted. 1,024 by default.
 	Buffer int
-	// FlushEvery is how long an event waits at most before it is written; one second by
+	// FlushEvery is the maximum time that an event waits before it is written; one second by
 	// default.
 	FlushEvery time.Duration
 	// SegmentEvents is the number of events at which a log is sealed; 8,192 by default.
@@ -57,10 +58,10 @@
 	Problem string
 }
 
-// Error returns the option's name and the problem.
+// Error states the option's name and the problem.
 func (e *OptionError) Error() string { return e.Option + ": " + e.Problem }
 
-// Validate returns an OptionError for each option that is invalid, joined, or nil.
+// Validate returns nil, or an error that joins an OptionError for each invalid option.
 func (o Options) Validate() error {
 	var errs []error
 	if o.Dir == "" {
--- a/history/read_test.go
+++ b/history/read_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Everything that was recorded is read again, by any filter, through logs and segments
-// of several processes.
-func TestReadReturnsWhatWasRecorded(t *testing.T) {
+// Read returns every recorded event that the filter selects, from the logs and segments of
+// several processes and controllers.
+func TestReadReturnsRecordedEvents(t *testing.T) {
 	dir := t.TempDir()
-	for k, controller := range []string{"worker-0", "worker-1"} {
+	for controllerIndex, controller := range []string{"worker-0", "worker-1"} {
 		for process := range 3 {
 			options := Options{Dir: dir, Controller: controller, SegmentEvents: 120}
-			first := 1000*k + 300*process
+			first := 1000*controllerIndex + 300*process
 			if got, want := recordEvents(t, options, first, first+300), (Counts{Written: 300}); got != want {
 				t.Errorf("%s, process %d: counts %+v, want %+v", controller, process, got, want)
 			}
@@ -85,19 +85,19 @@
 func TestLogBesideItsSegmentIsReadOnce(t *testing.T) {
 	dir := t.TempDir()
 	log := writeLog(t, dir, "a", 10)
-	content := readFile(t, log.in(dir))
+	content := readFile(t, log.pathIn(dir))
 	if err := sealLog(dir, log); err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, log.in(dir), content)
+	writeFile(t, log.pathIn(dir), content)
 	events, damaged, err := Read(dir, Filter{})
 	if err != nil || len(damaged) > 0 || len(events) != 10 {
 		t.Errorf("Read = %d events, damaged %v, error %v, want 10 events", len(events), damaged, err)
 	}
 }
 
-// writeLog writes a controller's first log, of frames with so many events each.
-func writeLog(t *testing.T, dir, controller string, frames ...int) fileName {
+// writeLog writes a controller's first log, with one frame for each number of events.
+func writeLog(t *testing.T, dir, controller string, eventsPerFrame ...int) fileName {
 	t.Helper()
 	name := fileName{controller: controller, number: 1, kind: logKind}
 	log, err := createLog(dir, name)
@@ -105,8 +105,8 @@
 		t.Fatal(err)
 	}
 	first := 0
-	for _, events := range frames {
-		if err := log.append(testRecords(controller, first, first+events)); err != nil {
+	for _, events := range eventsPerFrame {
+		if err := log.appendFrame(testRecords(controller, first, first+events)); err != nil {
 			t.Fatal(err)
 		}
 		first += events
@@ -115,13 +115,13 @@
 	return name
 }
 
-// Of a damaged or truncated file what is intact is read, and the file is named. A
-// Recorder that finds it goes on beside it.
-func TestDamagedFileIsNamedAndReadAsFarAsIntact(t *testing.T) {
+// Read returns the intact events of a damaged or truncated file, and reports the file. A later
+// Recorder of the same controller writes other files.
+func TestDamagedFileIsReportedAndItsIntactEventsAreRead(t *testing.T) {
 	for name, damage := range map[string]func(content []byte) []byte{
-		"truncated": func(content []byte) []byte { return content[:len(content)*2/3] },
-		"a byte":    func(content []byte) []byte { content[len(content)/3] ^= 0xFF; return content },
-		"emptied":   func([]byte) []byte { return []byte("x") },
+		"truncated":         func(content []byte) []byte { return content[:len(content)*2/3] },
+		"one byte inverted": func(content []byte) []byte { content[len(content)/3] ^= 0xFF; return content },
+		"overwritten":       func([]byte) []byte { return []byte("x") },
 	} {
 		for _, kind := range []fileKind{logKind, segmentKind} {
 			t.Run(name+string(kind), func(t *testing.T) {
@@ -134,49 +134,49 @@
 					file = file.segment()
 				}
 				recordEvents(t, Options{Dir: dir, Controller: "b"}, 300, 400)
-				if paths, _ := filepath.Glob(filepath.Join(dir, filePrefix+"a-*")); !slices.Equal(paths, []string{file.in(dir)}) {
-					t.Fatalf("files %v, want %v alone", paths, file)
+				if paths, _ := filepath.Glob(filepath.Join(dir, filePrefix+"a-*")); !slices.Equal(paths, []string{file.pathIn(dir)}) {
+					t.Fatalf("files %v, want only %v", paths, file)
 				}
-				writeFile(t, file.in(dir), damage(readFile(t, file.in(dir))))
+				writeFile(t, file.pathIn(dir), damage(readFile(t, file.pathIn(dir))))
 
 				events, damaged, err := Read(dir, Filter{})
 				if err != nil || len(damaged) != 1 || !strings.Contains(damaged[0].Error(), file.String()) {
 					t.Fatalf("Read: damaged %v, error %v, want %v damaged", damaged, err, file)
 				}
 				if !errors.Is(damaged[0], ErrDamaged) {
-					t.Errorf("damage of %v is %v, want %v", file, damaged[0], ErrDamaged)
+					t.Errorf("cause for %v: got %v, want %v", file, damaged[0], ErrDamaged)
 				}
 				intact := len(events) - 100
 				if intact != damaged[0].EventsRead || intact >= 300 {
-					t.Errorf("%d events read of %v, said %d, want fewer than 300", intact, file, damaged[0].EventsRead)
+					t.Errorf("%d events read of %v, EventsRead is %d, want the same and fewer than 300", intact, file, damaged[0].EventsRead)
 				}
 				if kind == logKind && name == "truncated" && intact < 50 {
-					t.Errorf("%d events read of %v, want at least the first frame's", intact, file)
+					t.Errorf("%d events read of %v, want at least 50", intact, file)
 				}
 				if got, want := recordEvents(t, Options{Dir: dir, Controller: "a"}, 400, 500), (Counts{Written: 100}); got.Written != want.Written {
 					t.Errorf("a later process: counts %+v, want %+v", got, want)
 				}
 				if again, _, _ := Read(dir, Filter{}); len(again) != len(events)+100 {
-					t.Errorf("%d events after 100 more, want %d", len(again), len(events)+100)
+					t.Errorf("%d events read after 100 more were written, want %d", len(again), len(events)+100)
 				}
 			})
 		}
 	}
 }
 
-// A log that can't be read in full must not lose what a reader might still get.
+// A log that can't be read in full is kept, so that its unreadable part isn't lost as well.
 func TestDamagedLogIsNotSealed(t *testing.T) {
 	dir := t.TempDir()
 	log := writeLog(t, dir, "a", 10, 10)
-	content := readFile(t, log.in(dir))
-	writeFile(t, log.in(dir), content[:len(content)-1])
+	content := readFile(t, log.pathIn(dir))
+	writeFile(t, log.pathIn(dir), content[:len(content)-1])
 	if err := sealLog(dir, log); !errors.Is(err, ErrDamaged) {
 		t.Errorf("sealLog(%v) = %v, want %v", log, err, ErrDamaged)
 	}
-	if _, err := os.Stat(log.in(dir)); err != nil {
-		t.Errorf("the damaged log is lost: %v", err)
+	if _, err := os.Stat(log.pathIn(dir)); err != nil {
+		t.Errorf("damaged log: %v, want it kept", err)
 	}
-	if _, err := os.Stat(log.segment().in(dir)); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(log.segment().pathIn(dir)); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("segment of a damaged log: %v, want %v", err, fs.ErrNotExist)
 	}
 }
--- a/history/recorder.go
+++ b/history/recorder.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Counts are the numbers of events by what became of them, and of removed files.
+// Counts are the numbers of events by outcome, and the number of removed files.
 type Counts struct {
 	// Written is the number of events written to a file.
 	Written uint64
@@ -20,20 +20,20 @@
 	Removed uint64
 }
 
-// Recorder writes events to files. Record and Counts may be called from any goroutine
-// and never block; the files are touched by Run alone.
+// Recorder writes events to files. Record and Counts may be called from any goroutine and
+// never block. Only Run accesses the files.
 type Recorder struct {
 	options Options
 	events  chan Event
 
 	written, dropped, failed, removed atomic.Uint64
 
-	// log is the open log, nil if there is none. It belongs to Run.
+	// log is the open log, nil if there is none. Only Run uses it.
 	log *logWriter
 }
 
-// NewRecorder returns a Recorder, which writes nothing before Run. The error joins an
-// OptionError for each invalid option.
+// NewRecorder returns a Recorder, which writes nothing before Run is called. The error joins
+// an OptionError for each invalid option.
 func NewRecorder(options Options) (*Recorder, error) {
 	options = options.withDefaults()
 	if err := options.Validate(); err != nil {
@@ -42,8 +42,8 @@
 	return &Recorder{options: options, events: make(chan Event, options.Buffer)}, nil
 }
 
-// Record hands an event to Run. It drops and counts the event if the buffer is full. A
-// nil Recorder records nothing.
+// Record puts an event into the buffer, from which Run writes it. If the buffer is full, the
+// event is dropped and counted. A nil Recorder records nothing.
 func (r *Recorder) Record(e Event) {
 	if r == nil {
 		return
@@ -56,7 +56,7 @@
 	}
 }
 
-// Counts returns what became of the events so far.
+// Counts returns the counts since the Recorder was created.
 func (r *Recorder) Counts() Counts {
 	return Counts{
 		Written: r.written.Load(),
@@ -66,8 +66,9 @@
 	}
 }
 
-// Run writes events until the context ends, then those still in the buffer. A disk that
-// fails or is full costs events, which are counted; the next ones are tried again.
+// Run writes events until the context ends, and then those still in the buffer. If writing
+// fails, for example because the disk is full, the affected events are lost and counted. Run
+// goes on with the next ones.
 func (r *Recorder) Run(ctx context.Context) {
 	r.sealLeftoverLogs()
 	ticker := time.NewTicker(r.options.FlushEvery)
@@ -91,7 +92,7 @@
 	}
 }
 
-// appendBuffered appends the events in the buffer.
+// appendBuffered empties the buffer and appends its events to the pending records.
 func (r *Recorder) appendBuffered(pending []eventRecord) []eventRecord {
 	for {
 		select {
@@ -103,24 +104,25 @@
 	}
 }
 
-// flush writes records to the open log, and seals it when it is full.
+// flush writes records to the open log, seals the log if it is full, and enforces the size
+// limit.
 func (r *Recorder) flush(records []eventRecord) {
 	if len(records) == 0 {
 		return
 	}
 	if err := r.writeToLog(records); err != nil {
 		r.failed.Add(uint64(len(records)))
-		r.closeLog() // the next records go to a new one
+		r.closeLog() // the next records go to a new log
 		return
 	}
 	r.written.Add(uint64(len(records)))
 	if r.log.events >= r.options.SegmentEvents {
 		r.sealOpenLog()
 	}
-	r.removeBeyondLimit()
+	r.enforceSizeLimit()
 }
 
-// writeToLog writes records to the open log, and opens one if there is none.
+// writeToLog writes records to the open log, and creates one if there is none.
 func (r *Recorder) writeToLog(records []eventRecord) error {
 	if r.log == nil {
 		log, err := createLog(r.options.Dir, r.nextLogName())
@@ -129,10 +131,10 @@
 		}
 		r.log = log
 	}
-	return r.log.append(records)
+	return r.log.appendFrame(records)
 }
 
-// nextLogName returns a name with a number above that of every file.
+// nextLogName returns the name of a log whose number is above those of all existing files.
 func (r *Recorder) nextLogName() fileName {
 	name := fileName{controller: r.options.Controller, number: 1, kind: logKind}
 	if files := r.files(); len(files) > 0 {
@@ -141,7 +143,7 @@
 	return name
 }
 
-// closeLog closes the open log, if there is one, and leaves it a log.
+// closeLog closes the open log, if there is one, without sealing it.
 func (r *Recorder) closeLog() {
 	if r.log == nil {
 		return
@@ -150,33 +152,33 @@
 	r.log = nil
 }
 
-// sealOpenLog makes the open log a segment.
+// sealOpenLog closes the open log and replaces it by a segment.
 func (r *Recorder) sealOpenLog() {
 	name := r.log.name
 	r.closeLog()
-	_ = sealLog(r.options.Dir, name) // else it stays a log, which is read as well
+	_ = sealLog(r.options.Dir, name) // if this fails, the log remains and is read instead
 }
 
-// sealLeftoverLogs seals the logs of earlier processes, and removes the segments that
+// sealLeftoverLogs seals the logs that earlier processes left, and removes the segments that
 // they didn't finish writing.
 func (r *Recorder) sealLeftoverLogs() {
 	for _, name := range r.files() {
 		if name.kind == logKind {
-			_ = sealLog(r.options.Dir, name) // else it stays a log
+			_ = sealLog(r.options.Dir, name) // if this fails, the log remains and is read instead
 		}
 	}
 	partials, _ := filepath.Glob(filepath.Join(r.options.Dir, filePrefix+r.options.Controller+"-*"+partialSuffix))
 	for _, partial := range partials {
 		_ = os.Remove(partial) // its log is still there
 	}
-	r.removeBeyondLimit()
+	r.enforceSizeLimit()
 }
 
 // files returns this controller's files, the oldest first.
 func (r *Recorder) files() []fileName { return listFiles(r.options.Dir, r.options.Controller) }
 
-// removeBeyondLimit removes the oldest files until the rest is within the size limit.
-func (r *Recorder) removeBeyondLimit() {
+// enforceSizeLimit removes the oldest files until the total size is within the limit.
+func (r *Recorder) enforceSizeLimit() {
 	files := r.files()
 	sizes, total := r.sizes(files)
 	for i, name := range files {
@@ -184,21 +186,21 @@
 			return
 		}
 		if r.log != nil && name == r.log.name {
-			r.closeLog() // the next records begin a new one
+			r.closeLog() // the next records go to a new log
 		}
-		if os.Remove(name.in(r.options.Dir)) == nil {
+		if os.Remove(name.pathIn(r.options.Dir)) == nil {
 			total -= sizes[i]
 			r.removed.Add(1)
 		}
 	}
 }
 
-// sizes returns the size of each file and their sum, in bytes. A file that can't be
-// examined counts as empty.
+// sizes returns the size of each file and the total, in bytes. A file whose size can't be
+// read counts as empty.
 func (r *Recorder) sizes(files []fileName) (sizes []int64, total int64) {
 	sizes = make([]int64, len(files))
 	for i, name := range files {
-		if info, err := os.Stat(name.in(r.options.Dir)); err == nil {
+		if info, err := os.Stat(name.pathIn(r.options.Dir)); err == nil {
 			sizes[i] = info.Size()
 			total += sizes[i]
 		}
--- a/history/recorder_test.go
+++ b/history/recorder_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// The files keep within their limit; the newest events are kept.
-func TestOldestFilesAreRemovedBeyondLimit(t *testing.T) {
+// The total size of the files stays within the limit, and the newest events are kept.
+func TestOldestFilesAreRemovedBeyondSizeLimit(t *testing.T) {
 	dir := t.TempDir()
 	const limit = 12 << 10
 	counts := recordEvents(t, Options{Dir: dir, Controller: "a", SegmentEvents: 100, LimitBytes: limit}, 0, 4000)
@@ -39,16 +39,16 @@
 	}
 }
 
-func TestEventsAreCountedWhenNoFolderCanBeMade(t *testing.T) {
-	blocked := filepath.Join(t.TempDir(), "file")
-	writeFile(t, blocked, nil)
-	got := recordEvents(t, Options{Dir: filepath.Join(blocked, "dir"), Controller: "a"}, 0, 100)
+func TestEventsAreCountedAsFailedIfFolderCantBeCreated(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "file")
+	writeFile(t, file, nil)
+	got := recordEvents(t, Options{Dir: filepath.Join(file, "dir"), Controller: "a"}, 0, 100)
 	if want := (Counts{Failed: 100}); got != want {
 		t.Errorf("counts %+v, want %+v", got, want)
 	}
 }
 
-// A disk that hangs costs events, which are counted; Record never blocks.
+// While a write hangs, Record doesn't block: events beyond the buffer are dropped and counted.
 func TestRecordDoesNotBlockWhenDiskHangs(t *testing.T) {
 	dir := t.TempDir()
 	r, err := NewRecorder(Options{Dir: dir, Controller: "a", Buffer: 10})
@@ -58,29 +58,29 @@
 	pipe := openUnreadPipe(t, dir)
 	r.log = &logWriter{name: fileName{controller: "a", number: 1, kind: logKind}, file: pipe}
 	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan struct{})
+	runEnded := make(chan struct{})
 	go func() {
-		defer close(done)
+		defer close(runEnded)
 		r.Run(ctx)
 	}()
 	defer func() {
 		cancel()
-		pipe.Close() // ends a write that hangs
-		<-done
+		pipe.Close() // ends the hanging write
+		<-runEnded
 	}()
-	began := time.Now()
+	start := time.Now()
 	for i := range 5000 {
 		e := testEvent(i)
 		e.Reason = strings.Repeat(fmt.Sprint(i, " "), 2000)
 		r.Record(e)
 	}
-	if took := time.Since(began); took > 5*time.Second || r.Counts().Dropped == 0 {
-		t.Errorf("5,000 events took %v beside a hung disk, counts %+v, want at most 5s and some dropped", took, r.Counts())
+	if elapsed := time.Since(start); elapsed > 5*time.Second || r.Counts().Dropped == 0 {
+		t.Errorf("5,000 events took %v while a write hung, counts %+v, want at most 5s and some dropped", elapsed, r.Counts())
 	}
 }
 
-// openUnreadPipe returns a pipe that nobody reads: writing to it hangs once it is full,
-// as on a disk that hangs.
+// openUnreadPipe returns a pipe without a reader. Once it is full, writing to it hangs, as on a
+// hanging disk.
 func openUnreadPipe(t *testing.T, dir string) *os.File {
 	t.Helper()
 	path := filepath.Join(dir, "pipe")
@@ -95,33 +95,34 @@
 }
 
 func TestNilRecorderRecordsNothing(_ *testing.T) {
-	var none *Recorder
-	none.Record(testEvent(1))
+	var recorder *Recorder
+	recorder.Record(testEvent(1))
 }
 
-func TestEveryInvalidOptionIsNamed(t *testing.T) {
+func TestEveryInvalidOptionIsReported(t *testing.T) {
 	options := Options{Controller: "a/b", LimitBytes: -1}
 	_, err := NewRecorder(options)
 	for _, option := range []string{"dir", "controller", "limit"} {
 		if err == nil || !strings.Contains(err.Error(), option) {
-			t.Errorf("NewRecorder(%+v): error %v doesn't name %s", options, err, option)
+			t.Errorf("NewRecorder(%+v): error %v doesn't contain %s", options, err, option)
 		}
 	}
 	if invalid, ok := errors.AsType[*OptionError](err); !ok || invalid.Option != "dir" {
-		t.Errorf("NewRecorder(%+v): first typed error %+v, want one for dir", options, invalid)
+		t.Errorf("NewRecorder(%+v): first OptionError %+v, want one for dir", options, invalid)
 	}
 }
 
-// BenchmarkRecord measures what it costs to record an event while files are written.
+// BenchmarkRecord measures the time to record an event while Run writes files, and the share of
+// dropped events.
 func BenchmarkRecord(b *testing.B) {
 	r, err := NewRecorder(Options{Dir: b.TempDir(), Controller: "a"})
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(b.Context())
-	done := make(chan struct{})
+	runEnded := make(chan struct{})
 	go func() {
-		defer close(done)
+		defer close(runEnded)
 		r.Run(ctx)
 	}()
 	recorded := 0
@@ -131,10 +132,10 @@
 	}
 	b.ReportMetric(float64(r.Counts().Dropped)/float64(recorded), "dropped/op")
 	cancel()
-	<-done
+	<-runEnded
 }
 
-// BenchmarkEncodeSegment measures how large segments are.
+// BenchmarkEncodeSegment measures the time to encode a segment, and its size per event.
 func BenchmarkEncodeSegment(b *testing.B) {
 	records := testRecords("", 0, defaultSegmentEvents)
 	for b.Loop() {
--- a/history/segment.go
+++ b/history/segment.go
@@ -13,20 +13,22 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// recordsPerGroup is how many records of a segment are kept or lost together when it is
-// damaged.
+// recordsPerGroup is the maximum number of records in a row group. If a row group is damaged,
+// all of its records are lost.
 const recordsPerGroup = 1024
 
-// unbuffered makes the library write a row group when it is flushed, so that its end
-// offset is known. (0 would be the library's default.)
-const unbuffered = -1
+// unbufferedWrites is a write buffer size that makes the Parquet library write each row group
+// when it is flushed, so that the group's end offset is known. 0 would select the library's
+// default size.
+const unbufferedWrites = -1
 
-// recordsChecksumKey names the checksum of a row group's records in a segment's
-// metadata. (The format guards its pages alone: a damaged header of one once gave other
-// records, unnoticed.)
+// recordsChecksumKey returns the key of the checksum of a row group's records in a segment's
+// metadata. Parquet's own checksums cover only the pages' content: without this checksum, a
+// damaged page header can yield wrong records without an error.
 func recordsChecksumKey(group int) string { return fmt.Sprint("rows-crc32-", group) }
 
-// recordsChecksum returns the checksum of records, independent of how they are stored.
+// recordsChecksum returns the checksum of records. It doesn't depend on how they are encoded
+// in the segment.
 func recordsChecksum(records []eventRecord) (string, error) {
 	encoded, err := cbor.Marshal(records)
 	return fmt.Sprintf("%08x", crc32.ChecksumIEEE(encoded)), err
@@ -35,7 +37,7 @@
 // encodeSegment returns records as a Parquet file with checksums of its bytes.
 func encodeSegment(records []eventRecord) ([]byte, error) {
 	var file bytes.Buffer
-	writer := parquet.NewGenericWriter[eventRecord](&file, parquet.Compression(&parquet.Zstd), parquet.WriteBufferSize(unbuffered))
+	writer := parquet.NewGenericWriter[eventRecord](&file, parquet.Compression(&parquet.Zstd), parquet.WriteBufferSize(unbufferedWrites))
 	writer.SetKeyValueMetadata(checksumMarker, "crc32")
 	var checksums segmentChecksums
 	group := 0
@@ -65,7 +67,7 @@
 	return writer.Flush()
 }
 
-// writeSegment writes records to a segment, and returns when they are on the disk.
+// writeSegment writes records to a segment, and returns once they are synced to the disk.
 func writeSegment(path string, records []eventRecord) error {
 	content, err := encodeSegment(records)
 	if err != nil {
@@ -79,8 +81,8 @@
 	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// readSegment returns the records of a segment's intact row groups. The error names one
-// of the damaged groups, or what is wrong with the whole file.
+// readSegment returns the records of a segment's intact row groups. The error states the rows
+// of the last damaged group, or the problem with the whole file.
 func readSegment(path string) ([]eventRecord, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -91,9 +93,9 @@
 
 // decodeSegment is readSegment for a segment's content.
 //
-// The Parquet library may panic on damaged bytes, and may even end the process. So it
-// is given only bytes that their checksums confirm. Segments that were written before
-// there were checksums of bytes are read as they are.
+// The Parquet library may panic on damaged bytes, and may even end the process. It is
+// therefore given only bytes that match their checksums. Segments of earlier versions have
+// no checksums of their bytes and are read without this check.
 func decodeSegment(content []byte) (records []eventRecord, err error) {
 	defer recoverDamage(&err)
 	checksums, err := findChecksums(content)
@@ -105,18 +107,18 @@
 		return nil, err
 	}
 	for i, group := range file.RowGroups() {
-		intact, ok := readGroup(file, i, checksums.groupIntact(content, i))
+		groupRecords, ok := readGroup(file, i, checksums.groupIntact(content, i))
 		if !ok {
 			err = damagedGroupError(i, group.NumRows())
 			continue
 		}
-		records = append(records, intact...)
+		records = append(records, groupRecords...)
 	}
 	return records, err
 }
 
-// openSegment opens a segment's content. The page index has no checksum, so it is read
-// only if nothing has.
+// openSegment opens a segment's content. The page index has no checksum, so it is skipped if
+// the segment has checksums.
 func openSegment(content []byte, checksums *segmentChecksums) (*parquet.File, error) {
 	file, err := parquet.OpenFile(bytes.NewReader(content), int64(len(content)), parquet.SkipPageIndex(checksums != nil))
 	if err != nil {
@@ -128,14 +130,15 @@
 	return file, nil
 }
 
-// damagedGroupError says which records of a segment are lost with a row group.
+// damagedGroupError returns an error that states which rows of a segment are lost with a row
+// group.
 func damagedGroupError(group int, records int64) error {
-	first := group * recordsPerGroup
-	return fmt.Errorf("%w: rows %d to %d", ErrDamaged, first, first+int(records)-1)
+	firstRow := group * recordsPerGroup
+	return fmt.Errorf("%w: rows %d to %d", ErrDamaged, firstRow, firstRow+int(records)-1)
 }
 
-// readGroup returns the records of a row group whose bytes are intact, and reports
-// whether they are those that were written.
+// readGroup returns the records of a row group. It reports false if the group's bytes are
+// damaged, can't be decoded, or yield records that don't match their checksum.
 func readGroup(file *parquet.File, group int, bytesIntact bool) ([]eventRecord, bool) {
 	if !bytesIntact {
 		return nil, false
@@ -144,12 +147,11 @@
 	if err != nil {
 		return nil, false
 	}
-	want, _ := file.Lookup(recordsChecksumKey(group))
+	wantChecksum, _ := file.Lookup(recordsChecksumKey(group))
 	checksum, err := recordsChecksum(records)
-	return records, err == nil && checksum == want
+	return records, err == nil && checksum == wantChecksum
 }
 
-// decodeGroup decodes the records of a row group.
 func decodeGroup(group parquet.RowGroup) (records []eventRecord, err error) {
 	defer recoverDamage(&err)
 	if group.NumRows() < 0 || group.NumRows() > recordsPerGroup {
@@ -163,8 +165,8 @@
 	return records[:count], err
 }
 
-// recoverDamage makes a panic of the Parquet library an error. It must be deferred
-// itself.
+// recoverDamage turns a panic of the Parquet library into an error that wraps ErrDamaged. It
+// must be deferred directly, since recover works only in the deferred function itself.
 func recoverDamage(err *error) {
 	if cause := recover(); cause != nil {
 		*err = fmt.Errorf("%w: %v", ErrDamaged, cause)
--- a/history/segment_test.go
+++ b/history/segment_test.go
@@ -9,10 +9,10 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// encodeTestSegment returns so many records and their segment.
-func encodeTestSegment(t *testing.T, events int) (records []eventRecord, content []byte) {
+// encodeTestSegment returns the given number of records and the content of their segment.
+func encodeTestSegment(t *testing.T, count int) (records []eventRecord, content []byte) {
 	t.Helper()
-	records = testRecords("a", 0, events)
+	records = testRecords("a", 0, count)
 	content, err := encodeSegment(records)
 	if err != nil {
 		t.Fatal(err)
@@ -20,9 +20,9 @@
 	return records, content
 }
 
-// Wherever a byte of a segment is wrong, either the right records are read or none and
-// the damage is reported.
-func TestEveryDamagedByteIsNoticedOrHarmless(t *testing.T) {
+// Whichever byte of a segment is damaged, decodeSegment returns either all records as written,
+// or no records and an error.
+func TestEveryDamagedByteIsDetectedOrHarmless(t *testing.T) {
 	want, content := encodeTestSegment(t, 40)
 	for i := range content {
 		damaged := slices.Clone(content)
@@ -34,8 +34,7 @@
 	}
 }
 
-// A segment that was written before segments had checksums of their bytes is read in
-// full.
+// A segment of an earlier version, without checksums of its bytes, is read in full.
 func TestSegmentWithoutChecksumsIsRead(t *testing.T) {
 	const path = "testdata/history-a-000000000001.parquet"
 	if _, err := findChecksums(readFile(t, path)); !errors.Is(err, errNoChecksums) {
@@ -48,9 +47,9 @@
 	}
 }
 
-// A reader that doesn't know the checksums of bytes finds the records and their own
-// checksums, as the earlier versions of this package do.
-func TestSegmentIsPlainParquet(t *testing.T) {
+// A Parquet reader that doesn't know the block of checksums finds the records and the records'
+// checksums. Earlier versions of this package are such readers.
+func TestSegmentIsReadableAsPlainParquet(t *testing.T) {
 	want, content := encodeTestSegment(t, 2*recordsPerGroup+52)
 	file, err := parquet.OpenFile(bytes.NewReader(content), int64(len(content)))
 	if err != nil {
@@ -73,8 +72,8 @@
 	}
 }
 
-// Whatever part of a segment is overwritten, the row groups outside it are read, unless
-// it reaches into the checksums or the footer, without which nothing is.
+// Wherever a part of a segment is damaged, the row groups outside that part are read. Nothing is
+// read if the damage reaches into the magic number at the file's start, the checksums or the footer.
 func TestDamagedGroupsAreSkipped(t *testing.T) {
 	want, content := encodeTestSegment(t, 3*recordsPerGroup)
 	checksums, err := findChecksums(content)
@@ -82,9 +81,9 @@
 		t.Fatalf("findChecksums = %+v, %v, want 3 row groups", checksums, err)
 	}
 	block := bytes.Index(content, []byte(checksumMarker))
-	const window = 64
-	for start := 0; start+window <= len(content); start += window / 2 {
-		end := start + window
+	const damageSize = 64
+	for start := 0; start+damageSize <= len(content); start += damageSize / 2 {
+		end := start + damageSize
 		damaged := slices.Clone(content)
 		for i := start; i < end; i++ {
 			damaged[i] ^= 0xA5
@@ -92,8 +91,8 @@
 		var wantRead []eventRecord
 		framingIntact := start >= len("PAR1") && end <= block
 		for i := range checksums.groups {
-			groupHit := start < int(checksums.groups[i].end) && end > int(checksums.groupStart(i))
-			if framingIntact && !groupHit {
+			groupDamaged := start < int(checksums.groups[i].end) && end > int(checksums.groupStart(i))
+			if framingIntact && !groupDamaged {
 				wantRead = append(wantRead, want[i*recordsPerGroup:(i+1)*recordsPerGroup]...)
 			}
 		}
@@ -107,28 +106,28 @@
 	}
 }
 
-// A segment that was cut anywhere is reported, and nothing is read of it: its footer is
-// at its end.
+// A segment that is truncated anywhere is reported as damaged. None of its records are read,
+// since the footer is at the segment's end.
 func TestTruncatedSegmentIsReported(t *testing.T) {
 	_, content := encodeTestSegment(t, 40)
 	for size := range content {
 		if got, err := decodeSegment(content[:size]); len(got) > 0 || !errors.Is(err, ErrDamaged) {
-			t.Errorf("cut to %d of %d bytes: got %d records, error %v, want none and %v", size, len(content), len(got), err, ErrDamaged)
+			t.Errorf("truncated to %d of %d bytes: got %d records, error %v, want none and %v", size, len(content), len(got), err, ErrDamaged)
 		}
 	}
 }
 
-// A segment whose checksums are damaged must not be decoded like one without them.
-func TestDamagedChecksumsArentTakenForMissingOnes(t *testing.T) {
+// A segment whose checksums are damaged must not be decoded like one without checksums.
+func TestDamagedChecksumsAreNotTreatedAsMissing(t *testing.T) {
 	_, content := encodeTestSegment(t, 40)
 	block := bytes.Index(content, []byte(checksumMarker))
-	for name, at := range map[string]int{
+	for name, offset := range map[string]int{
 		"marker":           block,
 		"number of groups": block + len(checksumMarker),
 		"group":            block + len(checksumMarker) + groupCountSize,
 	} {
 		damaged := slices.Clone(content)
-		damaged[at] ^= 0xFF
+		damaged[offset] ^= 0xFF
 		if _, err := findChecksums(damaged); !errors.Is(err, ErrDamaged) {
 			t.Errorf("%s damaged: findChecksums = %v, want %v", name, err, ErrDamaged)
 		}
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -63,8 +63,8 @@
 	return m, nil
 }
 
-// Incarnation returns the identifier that distinguishes this process from earlier and later
-// ones of its controller.
+// Incarnation returns the identifier that distinguishes this process from all others of its
+// controller.
 func (m *Member) Incarnation() string { return m.incarnation }
 
 // ActiveVersion returns the highest active version that this process has read from the
