--- a/internal/cancels/cancels.go
+++ b/internal/cancels/cancels.go
@@ -1,18 +1,19 @@
-// Package cancels keeps the cancellations that users were told of, and a
-// completeness watermark: the time up to which this node knows all of them,
-// whichever node confirmed them. On the watermark rests the one rule by which a
-// worker's lease may be renewed:
+// Package cancels keeps a log of confirmed cancellations and a completeness watermark. A
+// node confirms a cancellation by telling the user that the job is cancelled. The
+// watermark is the time before which this node knows every cancellation, whichever node
+// confirmed it. It decides whether a worker's lease may be renewed:
 //
 //	A node may renew a worker's lease at t only if it knows every cancellation
-//	that any node confirmed before t - D, where D is cancel_s less the lease,
-//	drift and margin.
+//	that any node confirmed before t - D, where D is cancel_s less the lease
+//	duration, the clock drift and a margin.
 //
-// The watermark rises by a read of the key-value store, to when the read began,
-// and by the updates that the nodes send each other. In these each node states
-// for how long all that it confirmed itself has been in its log; one that has
-// restarted starts from nothing. A task of a cancellation that is known is
-// stopped in the same answer that renews the lease; one of a cancellation that is
-// not known yet ends by lease expiry.
+// A read of the key-value store raises the watermark to the time when the read began. The
+// updates that the nodes send each other raise it too: in an update, a node states the
+// period for which every cancellation that it confirmed itself is in its log. This period
+// starts anew when the node restarts.
+//
+// A task whose cancellation is known is stopped in the same response that renews the lease.
+// A task whose cancellation is not known yet ends when its lease expires.
 package cancels
 
 import (
@@ -22,19 +23,19 @@
 	"lilaclead/internal/wire"
 )
 
-// maxRecords bounds what is kept, at 100 cancellations a second for more than
-// a minute; beyond it the span that a node states of itself is shorter.
+// maxRecords bounds the log. It holds more than a minute of 100 cancellations per second;
+// at higher rates the period that a node states for its own cancellations is shorter.
 const maxRecords = 8192
 
 // record is one cancellation in the log.
 type record struct {
 	job         wire.JobID
-	confirmedAt time.Time // when its user was told, at the earliest
-	addedAt     time.Time // when it was added here
+	confirmedAt time.Time // lower bound of the time when its user was told
+	addedAt     time.Time // when it was added to this log
 }
 
-// Log keeps cancellations in the order in which they were added, numbered from
-// 1, so that readers can continue from a cursor. It is safe for concurrent use.
+// Log keeps cancellations in the order in which they were added. They are numbered from 1,
+// so that readers can continue from a cursor. Log is safe for concurrent use.
 type Log struct {
 	retention time.Duration
 
@@ -42,18 +43,18 @@
 	records       []record
 	firstNumber   uint64 // of records[0]
 	confirmedAt   map[wire.JobID]time.Time
-	completeSince time.Time // all that was added since then is in records
-	// watermark is the time before which every confirmed cancellation is known, by
-	// reads and by the watermarks of peers; zero: there was no read yet, and not even
-	// those of this node's former process are known.
+	completeSince time.Time // every cancellation added since then is in records
+	// watermark is the time before which every cancellation that any node confirmed is
+	// known, from reads and from the watermarks that peers stated. Zero: neither has come
+	// yet, and not even the cancellations of this node's former process are known.
 	watermark time.Time
-	// peerWatermarks are, by peer, the time before which every cancellation that this
-	// peer confirmed is known.
+	// peerWatermarks has, for each peer, the time before which every cancellation that
+	// this peer itself confirmed is known.
 	peerWatermarks map[wire.NodeID]time.Time
 }
 
-// New returns an empty log. What is added to it is kept for twice the time within which a
-// cancelled task must have ended.
+// New returns an empty log. It keeps a cancellation for twice cancelTime, the time within
+// which the tasks of a cancelled job must have ended.
 func New(peers []wire.NodeID, cancelTime time.Duration) *Log {
 	l := &Log{
 		retention:      2 * cancelTime,
@@ -68,25 +69,25 @@
 	return l
 }
 
-// Add adds a cancellation that was confirmed so long ago. A node that confirms
-// one calls it before its user has the answer.
-func (l *Log) Add(id wire.JobID, ago time.Duration) {
+// Add adds a cancellation, unless its job is in the log already. A node that confirms a
+// cancellation calls Add before it responds to the user.
+func (l *Log) Add(id wire.JobID, sinceConfirmed time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.add(id, ago, time.Now())
+	l.add(id, sinceConfirmed, time.Now())
 }
 
-func (l *Log) add(id wire.JobID, ago time.Duration, now time.Time) {
+func (l *Log) add(id wire.JobID, sinceConfirmed time.Duration, now time.Time) {
 	if _, known := l.confirmedAt[id]; known {
 		return
 	}
-	confirmedAt := now.Add(-max(0, ago))
+	confirmedAt := now.Add(-max(0, sinceConfirmed))
 	l.confirmedAt[id] = confirmedAt
 	l.records = append(l.records, record{id, confirmedAt, now})
 	l.prune(now)
 }
 
-// prune drops the records that are too old, and the oldest where there are too many.
+// prune drops the records that are too old, and the oldest if there are too many.
 func (l *Log) prune(now time.Time) {
 	dropped := 0
 	for dropped < len(l.records) && l.mustDrop(dropped, now) {
@@ -99,13 +100,14 @@
 	}
 }
 
-// mustDrop reports whether the record at the index is too old, or has too many after it.
+// mustDrop reports whether the record at the index is too old, or is followed by too many.
 func (l *Log) mustDrop(index int, now time.Time) bool {
 	age := now.Sub(l.records[index].addedAt)
 	return age > l.retention || len(l.records)-index > maxRecords
 }
 
-// drop forgets a record; the log is complete only since that was added.
+// drop removes a record from the index by job. From then on the log is complete only since
+// the time when that record was added.
 func (l *Log) drop(r record) {
 	delete(l.confirmedAt, r.job)
 	if r.addedAt.After(l.completeSince) {
@@ -113,10 +115,11 @@
 	}
 }
 
-// nextNumber is the number of the next record that is added.
+// nextNumber returns the number that the next added record gets.
 func (l *Log) nextNumber() uint64 { return l.firstNumber + uint64(len(l.records)) }
 
-// ConfirmedAt returns when a job's user was told that it is cancelled, if that is known.
+// ConfirmedAt returns a lower bound of the time when a job's user was told that the job is
+// cancelled, and whether the job is in the log.
 func (l *Log) ConfirmedAt(id wire.JobID) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,8 +127,8 @@
 	return at, ok
 }
 
-// Since returns the jobs that were added after the cursor, and the next cursor. The first
-// cursor is 0.
+// Since returns the jobs added since the cursor was returned, and the next cursor. The
+// first cursor is 0.
 func (l *Log) Since(cursor uint64) ([]wire.JobID, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/cancels/cancels_test.go
+++ b/internal/cancels/cancels_test.go
@@ -12,20 +12,21 @@
 	"lilaclead/internal/wire"
 )
 
+// A fixed seed makes every run check the same cases.
 func init() { flag.Set("rapid.seed", "20261202") } //nolint:errcheck // rapid defines the flag
 
 const modelCancelTime = 20 * time.Second
 
-// Nodes that confirm cancellations, read the key-value store or are refused by
-// it, tell each other over streams whose answers come late or never, end, and
-// are back with nothing. The plain model is the list of all that was ever
-// confirmed: all before a node's watermark it knows.
+// A node must know every cancellation that was confirmed before its watermark. The model is
+// the list of all cancellations ever confirmed. The nodes confirm cancellations, read the
+// key-value store, exchange updates over streams whose responses come late or never, and
+// restart with empty logs.
 func TestWatermarkIsComplete(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			m := newModel()
 			for step := range rapid.IntRange(10, 120).Draw(rt, "steps") {
-				m.act(rt, step)
+				m.performAction(rt, step)
 				m.checkWatermarks(rt)
 				time.Sleep(time.Millisecond)
 			}
@@ -35,18 +36,18 @@
 
 const modelNodes = 3
 
-// model is a deployment of three nodes with all that they ever confirmed.
+// model is a deployment of three nodes, with every cancellation that they ever confirmed.
 type model struct {
 	names     [modelNodes]wire.NodeID
 	logs      [modelNodes]*Log
-	cursors   [modelNodes][modelNodes]uint64   // by sender, then receiver
-	pending   [modelNodes][modelNodes][]answer // in flight on the stream that is open
-	confirmed []confirmation                   // by any node, in order
+	cursors   [modelNodes][modelNodes]uint64     // by sender, then receiver
+	pending   [modelNodes][modelNodes][]response // not received yet, by sender, then receiver
+	confirmed []confirmation                     // by any node, in order
 }
 
-// answer is an update in an answer that was not received yet.
-type answer struct {
-	sent   time.Time
+// response is an update on its way to the node that asked for it.
+type response struct {
+	sentAt time.Time // when the request was sent
 	update Update
 }
 
@@ -74,8 +75,8 @@
 	m.logs[node] = New(peers, modelCancelTime)
 }
 
-// act lets one node do one thing.
-func (m *model) act(t *rapid.T, step int) {
+// performAction lets one node perform one random action.
+func (m *model) performAction(t *rapid.T, step int) {
 	node := rapid.IntRange(0, modelNodes-1).Draw(t, "node")
 	peer := (node + rapid.IntRange(1, modelNodes-1).Draw(t, "peer")) % modelNodes
 	switch rapid.IntRange(0, 9).Draw(t, "action") {
@@ -84,14 +85,14 @@
 	case 2:
 		m.read(t, node)
 	case 3, 4, 5:
-		m.ask(t, node, peer)
+		m.requestUpdate(t, node, peer)
 	case 6, 7:
 		m.receive(node, peer)
 	case 8:
 		if rapid.IntRange(0, 3).Draw(t, "restarts") == 0 {
 			m.restart(node)
 		}
-		m.breakStreams(node) // or its links only
+		m.breakStreams(node) // also without a restart, as if only its links failed
 	case 9:
 		time.Sleep(time.Duration(rapid.IntRange(0, 8000).Draw(t, "wait")) * time.Millisecond)
 	}
@@ -103,7 +104,7 @@
 	m.confirmed = append(m.confirmed, confirmation{job, time.Now()})
 }
 
-// read lets a node read the key-value store. That takes a while, and shows what was
+// read lets a node read the key-value store. The read takes a while and returns what was
 // stored when it began.
 func (m *model) read(t *rapid.T, node int) {
 	began := time.Now()
@@ -115,19 +116,20 @@
 	m.logs[node].RecordRead(began)
 }
 
-// ask lets the peer ask the node, whose answer is made after a moment.
-func (m *model) ask(t *rapid.T, node, peer int) {
-	sent := time.Now()
+// requestUpdate lets the peer send a request to the node, which creates its response after
+// a delay.
+func (m *model) requestUpdate(t *rapid.T, node, peer int) {
+	sentAt := time.Now()
 	time.Sleep(time.Duration(rapid.IntRange(0, 200).Draw(t, "ask")) * time.Millisecond)
 	var update Update
 	update, m.cursors[node][peer] = m.logs[node].UpdateSince(m.cursors[node][peer])
-	m.pending[node][peer] = append(m.pending[node][peer], answer{sent, update})
+	m.pending[node][peer] = append(m.pending[node][peer], response{sentAt, update})
 }
 
-// receive lets the peer receive all answers of the node.
+// receive lets the peer receive all pending responses of the node.
 func (m *model) receive(node, peer int) {
-	for _, a := range m.pending[node][peer] {
-		m.logs[peer].MergeUpdate(m.names[node], a.sent, &a.update)
+	for _, r := range m.pending[node][peer] {
+		m.logs[peer].MergeUpdate(m.names[node], r.sentAt, &r.update)
 	}
 	m.pending[node][peer] = nil
 }
@@ -139,29 +141,30 @@
 	}
 }
 
-// checkWatermarks checks that each node knows all that was confirmed before its watermark,
-// and dates none of it too late.
+// checkWatermarks checks that each node knows every cancellation confirmed before its
+// watermark, and takes none to be confirmed later than it was.
 func (m *model) checkWatermarks(t *rapid.T) {
 	for node, l := range m.logs {
 		watermark := l.Watermark()
 		if watermark.After(time.Now()) {
-			t.Fatalf("%s: got a watermark in %v, want none in the future", m.names[node], time.Until(watermark))
+			t.Fatalf("%s: got a watermark %v in the future, want none", m.names[node], time.Until(watermark))
 		}
 		for _, c := range m.confirmed {
 			confirmedAt, known := l.ConfirmedAt(c.job)
 			if known && confirmedAt.After(c.at) {
-				t.Fatalf("%s: got %s confirmed %v after it was, want not later", m.names[node], c.job, confirmedAt.Sub(c.at))
+				t.Fatalf("%s: got %s recorded as confirmed %v too late, want no later than it was", m.names[node], c.job, confirmedAt.Sub(c.at))
 			}
 			mustBeKnown := c.at.Before(watermark) && time.Since(c.at) < l.retention
 			if mustBeKnown && !known {
-				t.Fatalf("%s: got a watermark of %v ago, but %s of %v ago is not known", m.names[node], time.Since(watermark), c.job, time.Since(c.at))
+				t.Fatalf("%s: got a watermark of %v ago, but the cancellation of %s, confirmed %v ago, is not known", m.names[node], time.Since(watermark), c.job, time.Since(c.at))
 			}
 		}
 	}
 }
 
-// In an outage the updates of all peers raise the watermark; with one that sends none, or
-// has restarted and knows nothing, it stays at the last update of that one.
+// In an outage of the key-value store, the updates of all peers together raise the
+// watermark. If one peer sends no update, or has restarted with an empty log, the watermark
+// stays at that peer's last update.
 func TestWatermarkFollowsUpdatesOfAllPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, c := New([]wire.NodeID{"b", "c"}, modelCancelTime), New([]wire.NodeID{"a", "c"}, modelCancelTime), New([]wire.NodeID{"a", "b"}, modelCancelTime)
@@ -190,7 +193,7 @@
 			update("c", c, &fromC)
 		}
 		if at := a.Watermark(); !at.Equal(last) {
-			t.Errorf("peer restarted: got a watermark %v after the last update of its former process, want that update's time", at.Sub(last))
+			t.Errorf("peer restarted: got a watermark %v after the last update of the peer's former process, want that update's time", at.Sub(last))
 		}
 		a.RecordRead(time.Now())
 		time.Sleep(time.Second)
@@ -202,7 +205,7 @@
 	})
 }
 
-// What is kept is bounded; a node that had to drop some states a shorter span.
+// The log is bounded. A node that had to drop records states a shorter span.
 func TestLogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := New([]wire.NodeID{"b"}, modelCancelTime)
@@ -212,7 +215,7 @@
 			time.Sleep(time.Millisecond / 10)
 		}
 		if len(l.records) > maxRecords || len(l.confirmedAt) != len(l.records) {
-			t.Errorf("got %d records and %d times, want at most %d of both", len(l.records), len(l.confirmedAt), maxRecords)
+			t.Errorf("got %d records and %d times, want equal numbers of at most %d", len(l.records), len(l.confirmedAt), maxRecords)
 		}
 		update, cursor := l.UpdateSince(0)
 		if update.OwnSpan != 0 || len(update.Cancelled) != maxUpdateEntries {
--- a/internal/cancels/update.go
+++ b/internal/cancels/update.go
@@ -7,39 +7,41 @@
 )
 
 const (
-	// maxUpdateEntries bounds one update, to some 10 KB; the rest follows in the
-	// next.
+	// maxUpdateEntries bounds one update to about 10 KB. Further entries follow in the next
+	// update.
 	maxUpdateEntries = 300
-	// minSpan is the shortest span that an update states, since 0 stands for none.
+	// minSpan is the shortest span that an update states, since 0 means that it states none.
 	minSpan = time.Nanosecond
 )
 
-// Entry is one cancelled job, as nodes tell each other.
+// Entry is one cancelled job in an update.
 type Entry struct {
 	Job wire.JobID    `cbor:"j"`
-	Age time.Duration `cbor:"a"` // since its user was told, at the most
+	Age time.Duration `cbor:"a"` // upper bound of the time since its user was told
 }
 
-// Update is what one node tells another of cancellations. It is sent in the
-// answers of a stream, each with what is new since the last.
+// Update is what one node tells another about cancellations. Updates are sent in the
+// responses of a stream, each with what is new since the previous one.
 type Update struct {
-	// Cancelled are those that were not sent yet on the same stream.
+	// Cancelled has the jobs that were not sent yet on the same stream.
 	Cancelled []Entry `cbor:"cancelled,omitempty"`
-	// OwnSpan states that the receiver has been sent every cancellation that the sender
-	// confirmed itself within this last span; 0: more follows, nothing is stated.
+	// OwnSpan is a period that ends now: the receiver has been sent every cancellation
+	// that the sender itself confirmed within it. 0: nothing is stated, as more entries
+	// follow.
 	OwnSpan time.Duration `cbor:"vouches,omitempty"`
-	// WatermarkAge states that the receiver has been sent every cancellation that any
-	// node confirmed before so long ago; 0: nothing is stated.
+	// WatermarkAge is the age of the sender's watermark: the receiver has been sent every
+	// cancellation that any node confirmed before the watermark. 0: nothing is stated.
 	WatermarkAge time.Duration `cbor:"knew,omitempty"`
 }
 
-// isEmpty reports whether the update states nothing, as those of older versions do.
+// isEmpty reports whether the update states nothing, which is so for nodes of older
+// versions.
 func (u *Update) isEmpty() bool {
 	return len(u.Cancelled) == 0 && u.OwnSpan == 0 && u.WatermarkAge == 0
 }
 
-// UpdateSince returns what to send on a stream on which all before the cursor was
-// sent, and the next cursor. The first cursor is 0.
+// UpdateSince returns the next update of a stream on which everything before the cursor has
+// been sent, and the next cursor. The first cursor is 0.
 func (l *Log) UpdateSince(cursor uint64) (Update, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +50,7 @@
 	entries, cursor := l.entriesSince(cursor, now)
 	update := Update{Cancelled: entries}
 	if cursor < l.nextNumber() {
-		return update, cursor // spans are stated only once all is sent
+		return update, cursor // spans are stated only once all entries are sent
 	}
 	update.OwnSpan = l.ownSpan(now)
 	update.WatermarkAge = l.watermarkAge(now)
@@ -66,15 +68,17 @@
 	return entries, number
 }
 
-// ownSpan returns for how long all that this node confirmed itself has been in the log.
+// ownSpan returns the length of the period until now for which every cancellation that this
+// node confirmed itself is in the log.
 func (l *Log) ownSpan(now time.Time) time.Duration {
 	span := now.Sub(l.completeSince)
-	// What is older than the retention is no longer in the log, nor on any machine.
+	// A cancellation older than the retention is no longer in the log, and its tasks are no
+	// longer on any machine.
 	return max(minSpan, min(span, l.retention))
 }
 
-// watermarkAge returns how long ago the watermark is; 0: it can't be stated, since records
-// from before it may no longer be in the log.
+// watermarkAge returns the age of the watermark. It returns 0, which states nothing, if
+// there is no watermark or if records from before it may no longer be in the log.
 func (l *Log) watermarkAge(now time.Time) time.Duration {
 	watermark := l.watermarkAt(now)
 	if watermark.IsZero() {
@@ -87,8 +91,9 @@
 	return max(minSpan, age)
 }
 
-// MergeUpdate adds another node's update, which came in an answer to what was sent then.
-func (l *Log) MergeUpdate(from wire.NodeID, sent time.Time, update *Update) {
+// MergeUpdate adds the update of another node. It came in the response to a request that
+// was sent at sentAt.
+func (l *Log) MergeUpdate(sender wire.NodeID, sentAt time.Time, update *Update) {
 	if update.isEmpty() {
 		return
 	}
@@ -96,10 +101,10 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, entry := range update.Cancelled {
-		l.add(entry.Job, max(0, entry.Age)+now.Sub(sent), now)
+		l.add(entry.Job, max(0, entry.Age)+now.Sub(sentAt), now)
 	}
 	if update.WatermarkAge > 0 {
-		l.raiseWatermark(sent.Add(-update.WatermarkAge - drift(update.WatermarkAge)))
+		l.raiseWatermark(sentAt.Add(-update.WatermarkAge - maxDrift(update.WatermarkAge)))
 	}
-	l.raisePeerWatermark(from, sent, now, update.OwnSpan)
+	l.raisePeerWatermark(sender, sentAt, now, update.OwnSpan)
 }
--- a/internal/cancels/watermark.go
+++ b/internal/cancels/watermark.go
@@ -6,15 +6,16 @@
 	"lilaclead/internal/wire"
 )
 
-// driftDivisor gives what a span by another node's clock may be off by: 1/500, twice what
-// two clocks can differ in rate (0.05% each).
+// driftDivisor bounds the error of a time span that another node measured, to 1/500 of the
+// span. This is twice the largest difference in rate of two clocks, which may each be off
+// by 0.05%.
 const driftDivisor = 500
 
-// drift returns what a span by another node's clock may be off by.
-func drift(span time.Duration) time.Duration { return span / driftDivisor }
+// maxDrift returns the largest error of a time span that another node measured.
+func maxDrift(span time.Duration) time.Duration { return span / driftDivisor }
 
-// RecordRead raises the watermark to when a read of the key-value store began,
-// after all that it showed has been added.
+// RecordRead raises the watermark to the time when a read of the key-value store began. It
+// is called after every cancellation that the read returned has been added.
 func (l *Log) RecordRead(began time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,30 +29,30 @@
 }
 
 // Watermark returns the time before which every cancellation that any node confirmed is
-// known; zero: none are. What this node confirmed itself it knows; its former process
-// counts as another node until the first read.
+// known; zero: there is no such time yet. This node always knows what this process of it
+// confirmed, but its former process counts as another node until the first read.
 func (l *Log) Watermark() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.watermarkAt(time.Now())
 }
 
-// watermarkAt returns the later of two times: that of reads and of the watermarks that
-// peers stated, and the earliest of the watermarks of all peers. It is zero until the first
-// read, or the first watermark of a peer.
+// watermarkAt returns the later of two times: the watermark from reads and from the
+// watermarks that peers stated, and the earliest of peerWatermarks. It returns zero until
+// the first read, or until a peer first states its watermark.
 func (l *Log) watermarkAt(now time.Time) time.Time {
 	if l.watermark.IsZero() {
 		return l.watermark
 	}
-	ofPeers := l.earliestPeerWatermark(now)
-	if ofPeers.After(l.watermark) {
-		return ofPeers
+	earliestOfPeers := l.earliestPeerWatermark(now)
+	if earliestOfPeers.After(l.watermark) {
+		return earliestOfPeers
 	}
 	return l.watermark
 }
 
 // earliestPeerWatermark returns the time before which every cancellation that any peer
-// confirmed is known; now, if there is no peer.
+// itself confirmed is known; now, if there is no peer.
 func (l *Log) earliestPeerWatermark(now time.Time) time.Time {
 	earliest := now
 	for _, watermark := range l.peerWatermarks {
@@ -62,23 +63,24 @@
 	return earliest
 }
 
-// raisePeerWatermark raises a peer's watermark by its own span, stated after sent. The
-// span covers what the peer confirmed from its beginning until after sent: if all from
-// before the beginning is known, all until sent is. The span of a node that has restarted
-// is too short for that, since it has forgotten what it confirmed between its last
+// raisePeerWatermark raises a peer's watermark to sentAt, if the span that the peer stated
+// of its own cancellations allows it. The peer stated the span after sentAt, so the span
+// covers what the peer confirmed from the span's start to sentAt. If everything from before
+// the start is known too, everything up to sentAt is. The span of a restarted peer is too
+// short for this: the peer has lost what its former process confirmed between its last
 // update and its end.
-func (l *Log) raisePeerWatermark(peer wire.NodeID, sent, now time.Time, span time.Duration) {
-	known, isPeer := l.peerWatermarks[peer]
+func (l *Log) raisePeerWatermark(peer wire.NodeID, sentAt, now time.Time, span time.Duration) {
+	knownUntil, isPeer := l.peerWatermarks[peer]
 	if !isPeer {
 		return
 	}
-	if l.watermark.After(known) {
-		known = l.watermark
+	if l.watermark.After(knownUntil) {
+		knownUntil = l.watermark
 	}
-	begin := now.Add(-span + drift(span))
-	knownToBegin := span > 0 && !known.Before(begin)
-	if knownToBegin && sent.After(known) {
-		known = sent
+	spanStart := now.Add(-span + maxDrift(span))
+	isKnownToStart := span > 0 && !knownUntil.Before(spanStart)
+	if isKnownToStart && sentAt.After(knownUntil) {
+		knownUntil = sentAt
 	}
-	l.peerWatermarks[peer] = known
+	l.peerWatermarks[peer] = knownUntil
 }
