--- a/internal/cancels/update.go
+++ b/internal/cancels/update.go
@@ -34,8 +34,8 @@
 	WatermarkAge time.Duration `cbor:"knew,omitempty"`
 }
 
-// isEmpty reports whether the update states nothing, which is so for nodes of older
-// versions.
+// isEmpty reports whether the update states nothing. Updates from nodes of older versions
+// state nothing.
 func (u *Update) isEmpty() bool {
 	return len(u.Cancelled) == 0 && u.OwnSpan == 0 && u.WatermarkAge == 0
 }
--- a/internal/cancels/watermark.go
+++ b/internal/cancels/watermark.go
@@ -29,8 +29,8 @@
 }
 
 // Watermark returns the time before which every cancellation that any node confirmed is
-// known; zero: there is no such time yet. This node always knows what this process of it
-// confirmed, but its former process counts as another node until the first read.
+// known; zero: there is no such time yet. The node always knows what it has confirmed itself
+// since its start; its former process counts as another node until the first read.
 func (l *Log) Watermark() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -9,13 +9,14 @@
 	"lilaclead/internal/config"
 )
 
-// RequestClass determines whether a request waits for the rate budget.
+// RequestClass determines how the rate budget treats a request that it has no room for.
 type RequestClass int
 
 // The classes of requests.
 const (
 	// ClassCritical requests (lease renewals, elections, launches) never wait for the
-	// budget, but are charged to it, into debt: background requests wait then.
+	// budget. They are charged to it even when that puts it into debt, and background
+	// requests then wait until the debt is paid off.
 	ClassCritical RequestClass = iota
 	// ClassBackground requests (progress, recovery, settings) wait for the budget.
 	ClassBackground
@@ -24,19 +25,20 @@
 )
 
 const (
-	// nodeShare is the part of the deployment's budgets that one node uses. A node
-	// takes the larger half of what is left if the others take little, since mostly
-	// one node leads and writes.
+	// nodeShare is the share of the deployment's rate limits that one of several nodes
+	// uses. It is more than half, since mostly one node leads and writes while the others
+	// use little of theirs.
 	nodeShare = 0.6
-	// minRate, in requests a second, keeps a node working under the lowest limits.
+	// minRate, in requests or writes per second, keeps a node working under the lowest
+	// limits.
 	minRate = 2
 )
 
 // budget limits the rate of one node's requests.
 type budget struct {
 	requests   *rate.Limiter
-	writes     *rate.Limiter // of the node itself
-	userWrites *rate.Limiter // that users ask for
+	writes     *rate.Limiter // keys that the node changes for itself
+	userWrites *rate.Limiter // keys that it changes for users
 }
 
 func newBudget(limits config.StoreLimits, nodes int) budget {
@@ -54,13 +56,14 @@
 	}
 }
 
-// charge takes a request with so many writes from the budget without waiting.
+// charge charges a request and its writes to the budget without waiting.
 func (b *budget) charge(writes int) {
 	chargeLimiter(b.requests, 1)
 	chargeLimiter(b.writes, writes)
 }
 
-// chargeLimiter takes n events from the limiter, into a debt of one burst at most.
+// chargeLimiter takes n tokens from the limiter, a burst at most, even if that puts it into
+// debt. It takes none once the debt has reached one burst.
 func chargeLimiter(limiter *rate.Limiter, n int) {
 	n = min(n, limiter.Burst())
 	inDebt := limiter.Tokens() <= -float64(limiter.Burst())
@@ -69,7 +72,7 @@
 	}
 }
 
-// wait blocks until the budget has room for a request with so many writes.
+// wait blocks until the budget has room for a request and its writes, and charges them.
 func (b *budget) wait(ctx context.Context, writes int) error {
 	if err := b.requests.Wait(ctx); err != nil {
 		return err
@@ -80,10 +83,10 @@
 	return b.writes.WaitN(ctx, min(writes, b.writes.Burst()))
 }
 
-// allowUser reports whether the budget has room for a user's request now, and takes it.
-// A leader's own requests must not shut out the users that come to the same node: the
-// writes of users have a budget of their own, and their reads are few, since polls share
-// them.
+// allowUser reports whether the budget has room for a user's request now, and if so charges
+// it. A leader's own requests must not shut out the users that come to the same node, so
+// user writes have a budget of their own. User reads need none: they are few, since polls
+// share them.
 func (b *budget) allowUser(writes int) bool {
 	if writes == 0 {
 		return b.requests.Allow()
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -5,27 +5,27 @@
 // MaxTasksPerChunk is the largest number of tasks in one chunk.
 const MaxTasksPerChunk = 256
 
-// ChunkTasksFor returns the number of tasks that a chunk may have where a value may have
-// so many KiB: the chunk fits with every task on a machine, however often started, and in
-// every mix of states. (At 4 KiB a job array of 200 tasks in one chunk was just too large
-// once most had been started again.)
+// ChunkTasksFor returns the largest number of tasks in a chunk under a limit of valueKB KiB
+// on a value. A chunk of that size fits the limit in every mix of task states, also with
+// every task on a machine and however often the tasks were started. (At 4 KiB, one chunk
+// with 200 tasks would exceed the limit once most of them have been started again.)
 func ChunkTasksFor(valueKB float64) int {
-	return max(1, min(MaxTasksPerChunk, int(valueKB*1024-chunkBytes)/attemptBytes))
+	return max(1, min(MaxTasksPerChunk, int(valueKB*1024-baseChunkBytes)/attemptBytes))
 }
 
-// chunkBytes and attemptBytes are what a chunk and each attempt in it take in JSON:
-// a task of 3 digits, an attempt's number of 8, a machine's name of 14 bytes. A
-// range of completed tasks takes less.
+// These are sizes in JSON, in bytes: of a chunk without its lists, and of each attempt in
+// it, with 3 digits for the task, 8 for the attempt number and 14 bytes for the name of the
+// machine. A range of completed tasks takes less than an attempt.
 const (
-	chunkBytes         = 64
-	attemptBytes       = 3 + 8 + 14 + attemptPunctuation
-	attemptPunctuation = 10 // brackets, commas with a space, quotation marks
+	baseChunkBytes   = 64
+	attemptBytes     = 3 + 8 + 14 + punctuationBytes
+	punctuationBytes = 10 // brackets, commas with a space, quotation marks
 )
 
-// ActiveAttempt is an attempt that may be on a machine.
+// ActiveAttempt is an attempt to run a task that may be on a machine.
 type ActiveAttempt struct {
 	_       struct{} `cbor:",toarray"`
-	Task    int      // counted within the chunk
+	Task    int      // index within the chunk or subchunk
 	Attempt wire.AttemptNumber
 	Machine wire.MachineID
 }
@@ -34,23 +34,24 @@
 type ChunkRecord struct {
 	// NextAttempt is the number of the next attempt; it only grows.
 	NextAttempt wire.AttemptNumber `cbor:"n"`
-	// Done lists ranges of completed tasks: from, to (exclusive), from, to…
+	// Done lists the ranges of completed tasks: from, to (exclusive), from, to…
 	Done []int `cbor:"d"`
 	// Active lists the attempts that may be on a machine.
 	Active []ActiveAttempt `cbor:"r"`
-	// SubchunkTasks is, in a subchunk, how many tasks each subchunk of the chunk has.
+	// SubchunkTasks is the number of tasks in each subchunk of a chunk. It is set in the
+	// records of subchunks only.
 	SubchunkTasks int `cbor:"s,omitempty"`
 }
 
-// JSONSize estimates the size of the record in the form in which the service
-// counts it, from above.
+// JSONSize returns an upper bound of the record's size in JSON, in bytes. The service
+// applies its limit on a value to that form.
 func (c *ChunkRecord) JSONSize() int {
-	size := chunkBytes
+	size := baseChunkBytes
 	for _, bound := range c.Done {
 		size += decimalDigits(uint64(bound)) + 2
 	}
 	for _, active := range c.Active {
-		size += decimalDigits(uint64(active.Task)) + decimalDigits(uint64(active.Attempt)) + len(active.Machine) + attemptPunctuation
+		size += decimalDigits(uint64(active.Task)) + decimalDigits(uint64(active.Attempt)) + len(active.Machine) + punctuationBytes
 	}
 	return size
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// serve answers requests to the key-value store until the server is closed.
+// serve runs a server for requests to the key-value store until it is closed.
 func serve(t *testing.T, nw *simulator.Network, service http.Handler) *http.Server {
 	l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.KVStoreAddr)
 	if err != nil {
@@ -23,8 +23,8 @@
 	return srv
 }
 
-// withStore runs f in virtual time with a client of the simulated key-value store, which
-// listens once listen is called.
+// withStore runs f in virtual time with a client of the simulated key-value store. The store
+// accepts connections once f calls listen.
 func withStore(t *testing.T, f func(t *testing.T, env *storeEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,7 +40,7 @@
 	})
 }
 
-// storeEnv is a client with the key-value store and the network beneath it.
+// storeEnv is a client with its key-value store and the network between them.
 type storeEnv struct {
 	network *simulator.Network
 	state   *simulator.KVStore
@@ -50,11 +50,12 @@
 
 func (e *storeEnv) listen(t *testing.T) { e.server = serve(t, e.network, e.state) }
 
-func (e *storeEnv) cut(cut bool) { e.network.Cut("10.0.0.1", "10.2.0.1", cut) }
+// cut breaks or restores the link between the client and the key-value store.
+func (e *storeEnv) cut(isCut bool) { e.network.Cut("10.0.0.1", "10.2.0.1", isCut) }
 
-// A caller learns whether its request was refused for sure, has an unknown outcome, or
-// conflicts with what is stored.
-func TestRequestFailsWithItsCause(t *testing.T) {
+// A caller must be able to tell a request that was certainly refused from one with an unknown
+// outcome, and both from one that conflicts with the stored data.
+func TestRequestErrorIdentifiesOutcome(t *testing.T) {
 	withStore(t, func(t *testing.T, env *storeEnv) {
 		ctx, c, state := t.Context(), env.client, env.state
 		if _, err := c.Get(ctx, store.ClassBackground, "k"); !errors.Is(err, store.ErrRefused) {
@@ -79,15 +80,15 @@
 		state.Outage(false)
 		state.LoseAnswers(1)
 		if _, err := c.Commit(ctx, store.ClassBackground, wire.Txn{Writes: []wire.Write{{DeleteKey: "k"}}}); !errors.Is(err, store.ErrOutcomeUnknown) {
-			t.Errorf("answer lost: got %v, want %v", err, store.ErrOutcomeUnknown)
+			t.Errorf("response lost: got %v, want %v", err, store.ErrOutcomeUnknown)
 		}
 		if keys := state.Keys("k"); len(keys) != 0 {
-			t.Errorf("deleted with the answer lost: got keys %v, want none", keys)
+			t.Errorf("deletion with the response lost: got keys %v, want none", keys)
 		}
 	})
 }
 
-// A user isn't kept waiting for a service that answers nothing.
+// A user isn't kept waiting for a service that does not respond.
 func TestUserIsRefusedAtOnceInOutage(t *testing.T) {
 	withStore(t, func(t *testing.T, env *storeEnv) {
 		ctx, c := t.Context(), env.client
@@ -97,7 +98,7 @@
 		}
 		env.cut(true)
 		for range 2 {
-			c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // it can't work
+			c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // fails, as the service is cut off
 		}
 		begin := time.Now()
 		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
@@ -111,9 +112,9 @@
 	})
 }
 
-// The budget refuses users and lets critical requests pass; and what the node itself
-// writes does not shut out its users. (A leader that launched much once refused every
-// submission that came to it.)
+// A budget that is used up refuses users and lets critical requests pass. The writes of the
+// node itself don't count against its users: otherwise a leader that launches many tasks
+// refuses every submission that comes to it.
 func TestBudgetRefusesUsersOnly(t *testing.T) {
 	withStore(t, func(t *testing.T, env *storeEnv) {
 		env.listen(t)
@@ -129,19 +130,19 @@
 		if err := write(store.ClassUser); err != nil {
 			t.Errorf("user after many launches: got %v, want no error", err)
 		}
-		var last error
+		var lastErr error
 		for range 30 {
-			last = write(store.ClassUser)
+			lastErr = write(store.ClassUser)
 		}
-		if !errors.Is(last, store.ErrRateLimited) {
-			t.Errorf("user over the budget: got %v, want %v", last, store.ErrRateLimited)
+		if !errors.Is(lastErr, store.ErrRateLimited) {
+			t.Errorf("user over the budget: got %v, want %v", lastErr, store.ErrRateLimited)
 		}
 	})
 }
 
-// Changes that are too many for one answer are not asked for again and again: who
-// follows them reads the keys anew, page by page.
-func TestWatchOverTheLimitAsksForAList(t *testing.T) {
+// A watch whose changes are too large for one response must not be repeated for ever. It fails
+// with ErrCompacted, and the caller lists the keys page by page instead.
+func TestWatchWithOversizedResponseFailsAsCompacted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw, state := simulator.NewNetwork(time.Millisecond), simulator.NewKVStore(12, 16)
 		c := newClient(nw)
@@ -156,8 +157,8 @@
 		if _, err := c.Watch(t.Context(), "job/", 0, time.Second); !errors.Is(err, store.ErrCompacted) {
 			t.Errorf("9 MB of changes: got %v, want %v", err, store.ErrCompacted)
 		}
-		if all, _, err := c.List(t.Context(), store.ClassBackground, "job/"); err != nil || len(all) != 2 {
-			t.Errorf("read anew: got %d keys, %v, want 2", len(all), err)
+		if entries, _, err := c.List(t.Context(), store.ClassBackground, "job/"); err != nil || len(entries) != 2 {
+			t.Errorf("list: got %d keys, %v, want 2", len(entries), err)
 		}
 		stop()
 	})
--- a/internal/store/count.go
+++ b/internal/store/count.go
@@ -2,22 +2,22 @@
 
 import "lilaclead/internal/wire"
 
-// taskSpan is the tasks of a chunk that a subchunk holds in its place: [from, to).
+// taskSpan is the range [from, to) of tasks in a chunk that belong to a subchunk.
 type taskSpan struct{ from, to int }
 
 func (s taskSpan) contains(task int) bool { return task >= s.from && task < s.to }
 
-// CountTasks counts the tasks that are done and those that may be on machines, by
-// all that is stored of a job's progress. Records that can't be decoded count nothing.
+// CountTasks counts the tasks of a job that are done and those that may be on machines. The
+// entries are all chunks and subchunks of the job; those that can't be decoded are ignored.
 func CountTasks(entries []wire.Entry) (done, active int) {
 	records := make([]ChunkRecord, len(entries))
-	replaced := map[int][]taskSpan{} // by chunk: what its subchunks hold in its place
+	superseded := map[int][]taskSpan{} // by chunk: the tasks for which a subchunk counts instead
 	for i, entry := range entries {
 		if wire.Decode(entry.Value, &records[i]) != nil {
 			records[i] = ChunkRecord{}
 		} else if _, chunk, subchunk, ok := ParseSubchunkKey(entry.Key); ok {
 			size := records[i].SubchunkTasks
-			replaced[chunk] = append(replaced[chunk], taskSpan{subchunk * size, (subchunk + 1) * size})
+			superseded[chunk] = append(superseded[chunk], taskSpan{subchunk * size, (subchunk + 1) * size})
 		}
 	}
 	for i, entry := range entries {
@@ -25,18 +25,18 @@
 		done += CountRanges(record.Done)
 		active += len(record.Active)
 		if _, chunk, ok := ParseChunkKey(entry.Key); ok {
-			replacedDone, replacedActive := record.countWithin(replaced[chunk])
-			done -= replacedDone
-			active -= replacedActive
+			supersededDone, supersededActive := record.countWithin(superseded[chunk])
+			done -= supersededDone
+			active -= supersededActive
 		}
 	}
 	return done, active
 }
 
-// countWithin counts the tasks of a chunk that its subchunks hold in its place.
+// countWithin counts the tasks within the spans that are done or active in the record.
 func (c *ChunkRecord) countWithin(spans []taskSpan) (done, active int) {
 	for _, span := range spans {
-		done += countWithin(c.Done, span.from, span.to)
+		done += countRangesWithin(c.Done, span.from, span.to)
 		for _, attempt := range c.Active {
 			if span.contains(attempt.Task) {
 				active++
--- a/internal/store/count_test.go
+++ b/internal/store/count_test.go
@@ -8,8 +8,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Tasks of a chunk count by its subchunk where there is one, and by the chunk otherwise.
-// The model is a list of the tasks' states.
+// A task must be counted by its subchunk if there is one, and by its chunk otherwise. The
+// model is a list of the tasks' states.
 func TestCountTasksPrefersSubchunks(t *testing.T) {
 	const chunkTasks, subchunkTasks = 64, 16
 	const idle, doneTask, activeTask = 0, 1, 2
@@ -33,15 +33,15 @@
 		entries := []wire.Entry{entry(ChunkKey("req-1", 0), effective, 0)}
 		for subchunk := range chunkTasks / subchunkTasks {
 			if rapid.Bool().Draw(t, "has a subchunk") {
-				own := states("subchunk", subchunkTasks)
-				copy(effective[subchunk*subchunkTasks:], own)
-				entries = append(entries, entry(SubchunkKey("req-1", 0, subchunk), own, subchunkTasks))
+				subchunkStates := states("subchunk", subchunkTasks)
+				copy(effective[subchunk*subchunkTasks:], subchunkStates)
+				entries = append(entries, entry(SubchunkKey("req-1", 0, subchunk), subchunkStates, subchunkTasks))
 			}
 		}
-		other := states("other chunk", chunkTasks) // no subchunk is of it
-		entries = append(entries, entry(ChunkKey("req-1", 1), other, 0), wire.Entry{Key: ChunkKey("req-1", 2), Value: wire.RawValue{0xff}})
+		unsplit := states("other chunk", chunkTasks) // a chunk without subchunks
+		entries = append(entries, entry(ChunkKey("req-1", 1), unsplit, 0), wire.Entry{Key: ChunkKey("req-1", 2), Value: wire.RawValue{0xff}})
 		wantDone, wantActive := 0, 0
-		for _, state := range append(effective, other...) {
+		for _, state := range append(effective, unsplit...) {
 			switch state {
 			case doneTask:
 				wantDone++
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -7,24 +7,25 @@
 	"strings"
 )
 
-// The causes for which a request fails. They are compared with errors.Is; the error that
-// a Client returns is an OpError around one of them, or a ConflictError. Their texts are
-// label values of the metric lilaclead_call_seconds and must not change.
+// The causes for which a request fails. A Client returns an OpError that wraps one of them,
+// to be tested with errors.Is, or a ConflictError. Their texts are label values of the
+// metric lilaclead_call_seconds and must not change.
 var (
 	// ErrNotFound means that the key or the lease does not exist.
 	ErrNotFound = errors.New("state: no such key or grant")
 	// ErrRefused means that the request was certainly not executed: the service answered
 	// 429 or 503, refused the connection, or this node's own budget had no room.
 	ErrRefused = errors.New("state: refused")
-	// ErrRateLimited is the ErrRefused of a request that was over the rate limit and may
-	// succeed in a moment.
+	// ErrRateLimited is an ErrRefused: the request was over the rate limit of the service
+	// or of this node's budget. It may succeed a moment later.
 	ErrRateLimited = fmt.Errorf("%w: over the rate", ErrRefused)
-	// ErrOutcomeUnknown means that there was no usable answer: a change may have been executed,
-	// or may still be.
+	// ErrOutcomeUnknown means that there was no usable response: a change may have been
+	// executed, or may still be.
 	ErrOutcomeUnknown = errors.New("state: outcome unknown")
-	// ErrCompacted means that a watch asked for changes that are no longer kept.
+	// ErrCompacted means that a watch can't return the changes, since they are no longer
+	// kept or are too many for one response. The keys must be listed instead.
 	ErrCompacted = errors.New("state: revision too old")
-	// ErrResponseTooLarge means that the answer is larger than this client accepts.
+	// ErrResponseTooLarge means that the response is larger than this client accepts.
 	ErrResponseTooLarge = errors.New("state: answer too large")
 	// ErrInvalidRequest means that the service considers the request malformed.
 	ErrInvalidRequest = errors.New("state: request refused as invalid")
@@ -34,14 +35,14 @@
 type OpError struct {
 	// Op is the operation by the name that the metrics use, such as "get" or "txn".
 	Op string
-	// Key is what the operation was about: a key, a prefix, the keys that a transaction
-	// changes, or a lease.
+	// Key is the object of the operation: a key, a prefix, the keys of a transaction, or a
+	// lease.
 	Key string
 	// Err is the cause and wraps one of the sentinel errors of this package.
 	Err error
 }
 
-// Error returns the operation, what it was about, and the cause.
+// Error returns the operation, its object and the cause.
 func (e *OpError) Error() string {
 	if e.Key == "" {
 		return e.Op + ": " + e.Err.Error()
@@ -53,7 +54,7 @@
 func (e *OpError) Unwrap() error { return e.Err }
 
 // MaybeExecuted reports whether the service may have executed the request, or may still
-// do so. What it was to change must be read before it is repeated.
+// do so. The caller must then read the keys that it was to change before a retry.
 func (e *OpError) MaybeExecuted() bool {
 	return errors.Is(e.Err, ErrOutcomeUnknown) || errors.Is(e.Err, ErrResponseTooLarge)
 }
@@ -64,7 +65,7 @@
 	return errors.Is(e.Err, ErrRefused) || errors.Is(e.Err, ErrOutcomeUnknown)
 }
 
-// ConflictError lists the guards of a compare-and-swap that failed.
+// ConflictError lists the keys of a transaction whose guards failed.
 type ConflictError struct{ FailedKeys []string }
 
 // Error returns the keys whose guards failed.
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -14,15 +14,15 @@
 	"lilaclead/internal/wire"
 )
 
-// cannedAnswer answers every request with one status and body.
-type cannedAnswer struct {
+// cannedResponse responds to every request with one status and body.
+type cannedResponse struct {
 	status int
 	body   []byte
 }
 
-func (a cannedAnswer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	w.WriteHeader(a.status)
-	w.Write(a.body) //nolint:errcheck // the client under test is the only reader
+func (r cannedResponse) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(r.status)
+	w.Write(r.body) //nolint:errcheck // the client under test is the only reader
 }
 
 // requests makes one request of each kind.
@@ -51,42 +51,42 @@
 	},
 }
 
-// requestKeys are what the requests are about, as errors name it.
+// requestKeys has the key that the error of each request names.
 var requestKeys = map[string]string{"get": "job/req-1", "list": "job/", "txn": "job/req-1", "grant": "", "renew": "lease 7", "end": "lease 7", "watch": "job/"}
 
-// TestRequestOutcomes checks what each kind of answer makes of each kind of request: the
-// error that the caller gets, and the outcome that is a label value of the metric
-// lilaclead_call_seconds. The label values are part of what operators read, and a key in
-// one would make a time series of each key.
-func TestRequestOutcomes(t *testing.T) {
+// For each kind of response to each kind of request, the caller must get the right error, and
+// Observe the right outcome. The outcome is a label value of the metric
+// lilaclead_call_seconds, which operators read; a key in it would make a time series of each
+// key.
+func TestResponseDeterminesErrorAndOutcomeLabel(t *testing.T) {
 	cases := []struct {
-		name    string
-		answer  cannedAnswer
-		outcome string           // as observed
-		err     error            // of most requests; nil: none
-		other   map[string]error // of requests for which it differs
+		name       string
+		response   cannedResponse
+		outcome    string           // passed to Observe
+		wantErr    error            // of every request that exceptions doesn't have; nil: none
+		exceptions map[string]error // by operation; nil: none
 
-		maybeExecuted, retryable bool // by an error that is err
+		maybeExecuted, retryable bool // of the OpError that wraps wantErr
 	}{
-		{name: "no such key or lease", answer: cannedAnswer{status: 404}, outcome: "404", err: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true,
-			other: map[string]error{"get": store.ErrNotFound, "renew": store.ErrNotFound, "end": nil}},
-		{name: "conflict", answer: cannedAnswer{status: 409, body: wire.Encode(wire.TxnResponse{FailedKeys: []string{"lead"}})}, outcome: "409", err: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true,
-			other: map[string]error{"get": store.ErrNotFound, "renew": nil, "end": nil, "txn": errConflict}},
-		{name: "over the rate", answer: cannedAnswer{status: 429}, outcome: "state: refused: over the rate", err: store.ErrRateLimited, retryable: true},
-		{name: "service unavailable", answer: cannedAnswer{status: 503}, outcome: "state: refused", err: store.ErrRefused, retryable: true},
-		{name: "history compacted", answer: cannedAnswer{status: 410}, outcome: "state: revision too old", err: store.ErrCompacted},
-		{name: "malformed request", answer: cannedAnswer{status: 400}, outcome: "state: request refused as invalid", err: store.ErrInvalidRequest},
-		{name: "unexpected status", answer: cannedAnswer{status: 500}, outcome: "state: outcome unknown: status 500", err: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true},
-		{name: "answer over 8 MiB", answer: cannedAnswer{status: 200, body: make([]byte, 8<<20+1)}, outcome: "state: answer too large", err: store.ErrResponseTooLarge, maybeExecuted: true,
-			other: map[string]error{"watch": store.ErrCompacted}},
+		{name: "no such key or lease", response: cannedResponse{status: 404}, outcome: "404", wantErr: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true,
+			exceptions: map[string]error{"get": store.ErrNotFound, "renew": store.ErrNotFound, "end": nil}},
+		{name: "conflict", response: cannedResponse{status: 409, body: wire.Encode(wire.TxnResponse{FailedKeys: []string{"lead"}})}, outcome: "409", wantErr: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true,
+			exceptions: map[string]error{"get": store.ErrNotFound, "renew": nil, "end": nil, "txn": errConflict}},
+		{name: "over the rate", response: cannedResponse{status: 429}, outcome: "state: refused: over the rate", wantErr: store.ErrRateLimited, retryable: true},
+		{name: "service unavailable", response: cannedResponse{status: 503}, outcome: "state: refused", wantErr: store.ErrRefused, retryable: true},
+		{name: "history compacted", response: cannedResponse{status: 410}, outcome: "state: revision too old", wantErr: store.ErrCompacted},
+		{name: "malformed request", response: cannedResponse{status: 400}, outcome: "state: request refused as invalid", wantErr: store.ErrInvalidRequest},
+		{name: "unexpected status", response: cannedResponse{status: 500}, outcome: "state: outcome unknown: status 500", wantErr: store.ErrOutcomeUnknown, maybeExecuted: true, retryable: true},
+		{name: "response over 8 MiB", response: cannedResponse{status: 200, body: make([]byte, 8<<20+1)}, outcome: "state: answer too large", wantErr: store.ErrResponseTooLarge, maybeExecuted: true,
+			exceptions: map[string]error{"watch": store.ErrCompacted}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			withAnswer(t, tc.answer, func(ctx context.Context, c *store.Client) {
+			withResponse(t, tc.response, func(ctx context.Context, c *store.Client) {
 				for op, request := range requests {
-					want, differs := tc.other[op]
-					if !differs {
-						want = tc.err
+					want, isException := tc.exceptions[op]
+					if !isException {
+						want = tc.wantErr
 					}
 					var gotOp, gotOutcome string
 					c.Observe = func(op, outcome string, _ time.Duration) { gotOp, gotOutcome = op, outcome }
@@ -94,10 +94,10 @@
 					if gotOp != op || gotOutcome != tc.outcome {
 						t.Errorf("%s: observed %q with outcome %q, want outcome %q", op, gotOp, gotOutcome, tc.outcome)
 					}
-					if !isError(err, want) {
+					if !matches(err, want) {
 						t.Errorf("%s: got error %v, want %v", op, err, want)
 					}
-					if reachable := tc.answer.status != http.StatusServiceUnavailable; c.Reachable() != reachable {
+					if reachable := tc.response.status != http.StatusServiceUnavailable; c.Reachable() != reachable {
 						t.Errorf("%s: got reachable %v, want %v", op, c.Reachable(), reachable)
 					}
 					if want == nil || want == errConflict {
@@ -108,10 +108,10 @@
 						t.Errorf("%s: got error %#v, want an OpError of %s on %q", op, err, op, requestKeys[op])
 						continue
 					}
-					if want == tc.err && (opErr.MaybeExecuted() != tc.maybeExecuted || opErr.Retryable() != tc.retryable) {
+					if want == tc.wantErr && (opErr.MaybeExecuted() != tc.maybeExecuted || opErr.Retryable() != tc.retryable) {
 						t.Errorf("%s: %v: got maybe executed %v, retryable %v, want %v, %v", op, err, opErr.MaybeExecuted(), opErr.Retryable(), tc.maybeExecuted, tc.retryable)
 					}
-					if differs && (opErr.MaybeExecuted() || opErr.Retryable()) {
+					if isException && (opErr.MaybeExecuted() || opErr.Retryable()) {
 						t.Errorf("%s: %v: got maybe executed %v, retryable %v, want neither", op, err, opErr.MaybeExecuted(), opErr.Retryable())
 					}
 				}
@@ -120,10 +120,11 @@
 	}
 }
 
-// errConflict stands for a ConflictError in a table of expectations.
+// errConflict stands for a ConflictError in the table of cases.
 var errConflict = errors.New("conflict")
 
-func isError(err, want error) bool {
+// matches reports whether err is the error that the table of cases names.
+func matches(err, want error) bool {
 	if want == errConflict {
 		var conflict *store.ConflictError
 		return errors.As(err, &conflict) && conflict.HasKey("lead")
@@ -131,12 +132,13 @@
 	return errors.Is(err, want)
 }
 
-// withAnswer runs f in virtual time with a client of a service that gives one answer.
-func withAnswer(t *testing.T, answer cannedAnswer, f func(ctx context.Context, c *store.Client)) {
+// withResponse runs f in virtual time with a client of a service that always gives the same
+// response.
+func withResponse(t *testing.T, response cannedResponse, f func(ctx context.Context, c *store.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		nw := simulator.NewNetwork(time.Millisecond)
-		srv := serve(t, nw, answer)
+		srv := serve(t, nw, response)
 		f(t.Context(), newClient(nw))
 		nw.Close()
 		srv.Close()
@@ -149,18 +151,18 @@
 	return store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 }
 
-// TestRefusedRequestNamesOperationAndKey checks the error of requests that never reached
-// the service, and its text.
+// A request that never reached the service must fail with a retryable error that names the
+// operation and the key.
 func TestRefusedRequestNamesOperationAndKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nw := simulator.NewNetwork(time.Millisecond)
 		defer nw.Close()
 		c := newClient(nw)
-		check := func(situation string, err error, want string, cause error) {
+		check := func(situation string, err error, wantText string, cause error) {
 			t.Helper()
 			var opErr *store.OpError
-			if !errors.As(err, &opErr) || !errors.Is(err, cause) || opErr.MaybeExecuted() || !opErr.Retryable() || err.Error() != want {
-				t.Errorf("%s: got %#v (%v), want a retryable error that says %q", situation, err, err, want)
+			if !errors.As(err, &opErr) || !errors.Is(err, cause) || opErr.MaybeExecuted() || !opErr.Retryable() || err.Error() != wantText {
+				t.Errorf("%s: got %#v (%v), want a retryable error with the text %q", situation, err, err, wantText)
 			}
 		}
 		_, err := c.Get(t.Context(), store.ClassCritical, "lead")
@@ -169,9 +171,9 @@
 		_, err = c.Commit(t.Context(), store.ClassCritical, wire.Txn{Writes: []wire.Write{{DeleteKey: "job/req-1"}, {PutKey: "past/req-1", Value: wire.Encode(1)}}})
 		check("transaction of two keys", err, "txn job/req-1 and 1 more: state: refused", store.ErrRefused)
 
-		ended, cancel := context.WithCancel(t.Context())
+		endedCtx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, _, err = c.List(ended, store.ClassBackground, "run/")
+		_, _, err = c.List(endedCtx, store.ClassBackground, "run/")
 		check("ended while waiting for the budget", err, "list run/: state: refused", store.ErrRefused)
 
 		time.Sleep(3 * time.Second)
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -11,16 +11,16 @@
 	"lilaclead/internal/wire"
 )
 
-// JobCache is a node's copy of the live jobs, from which it answers its users.
-// It is never used as it is: a request waits for a refresh that begins after the
-// request came, so that the answer is as new as the key-value store was then. All
-// requests that come meanwhile share the next refresh, and the cost of polls does
-// not grow with their number.
+// JobCache is a node's copy of the live jobs, from which it responds to polls of its users.
+// Get never returns the copy as it stands: it waits for a refresh that begins after the
+// call, so that its result is as recent as a read of the key-value store at that time. All
+// calls that come meanwhile share the next refresh, so the cost of polls does not grow with
+// their number.
 type JobCache struct {
-	client      *Client
-	cancels     *cancels.Log
-	requests    chan chan error // each with the channel that gets the refresh's result
-	minInterval time.Duration
+	client             *Client
+	cancels            *cancels.Log
+	refreshRequests    chan chan error // each is the channel that gets the refresh's error
+	minRefreshInterval time.Duration   // from one start to the next
 
 	mu       sync.RWMutex
 	jobs     map[wire.JobID]CachedJob
@@ -31,35 +31,36 @@
 type CachedJob struct {
 	Status   wire.Status
 	Revision wire.Revision
-	// err is why the job's record can't be decoded, if it can't.
+	// err tells why the job's record can't be decoded; nil: it can.
 	err error
 }
 
 const (
-	// refreshTimeout bounds one refresh; a user waits two seconds in all. An open watch
-	// hangs in an outage, and so may this.
+	// refreshTimeout bounds one refresh, which may hang in an outage as an open watch
+	// does. A user must get a response within two seconds in all.
 	refreshTimeout = 1200 * time.Millisecond
-	// refreshShare is the reciprocal of what the refreshes of all nodes together take
-	// of the service's rate at most: a quarter.
-	refreshShare = 4
-	// requestBuffer spares requests a wait for the goroutine of Run.
-	requestBuffer = 64
+	// refreshRateDivisor bounds the refreshes of all nodes together to a quarter of the
+	// service's rate limit.
+	refreshRateDivisor = 4
+	// refreshRequestBuffer is the number of calls of Get that can request a refresh without
+	// waiting for the goroutine of Run.
+	refreshRequestBuffer = 64
 )
 
-// NewJobCache returns an empty cache for one of so many nodes, under the service's limit
-// of requests per second.
-func NewJobCache(client *Client, cancelled *cancels.Log, rps float64, nodes int) *JobCache {
-	refreshesPerSecond := max(1, rps/refreshShare) // of all nodes
+// NewJobCache returns an empty cache for one of so many nodes. rps is the service's limit of
+// requests per second, which all nodes share.
+func NewJobCache(client *Client, cancelLog *cancels.Log, rps float64, nodes int) *JobCache {
+	refreshesPerSecond := max(1, rps/refreshRateDivisor) // of all nodes
 	return &JobCache{
-		client:      client,
-		cancels:     cancelled,
-		requests:    make(chan chan error, requestBuffer),
-		minInterval: time.Duration(float64(time.Second) * float64(max(1, nodes)) / refreshesPerSecond),
-		jobs:        map[wire.JobID]CachedJob{},
+		client:             client,
+		cancels:            cancelLog,
+		refreshRequests:    make(chan chan error, refreshRequestBuffer),
+		minRefreshInterval: time.Duration(float64(time.Second) * float64(max(1, nodes)) / refreshesPerSecond),
+		jobs:               map[wire.JobID]CachedJob{},
 	}
 }
 
-// Run refreshes the cache for those that wait for it, until the context ends.
+// Run refreshes the cache for the calls of Get that wait for it, until the context ends.
 func (c *JobCache) Run(ctx context.Context) {
 	var waiting []chan error
 	var lastRefresh time.Time
@@ -67,25 +68,25 @@
 		select {
 		case <-ctx.Done():
 			return
-		case reply := <-c.requests:
-			waiting = append(waiting[:0], reply)
+		case result := <-c.refreshRequests:
+			waiting = append(waiting[:0], result)
 		}
 		if !c.awaitInterval(ctx, lastRefresh) {
 			return
 		}
-		waiting = c.appendRequests(waiting)
+		waiting = c.appendRefreshRequests(waiting)
 		lastRefresh = time.Now()
 		err := c.refresh(ctx)
-		for _, reply := range waiting {
-			reply <- err
+		for _, result := range waiting {
+			result <- err
 		}
 	}
 }
 
-// awaitInterval waits until the next refresh may begin; it reports whether the context
-// still holds then.
+// awaitInterval waits until the next refresh may begin. It returns false if the context
+// ends before.
 func (c *JobCache) awaitInterval(ctx context.Context, lastRefresh time.Time) bool {
-	wait := c.minInterval - time.Since(lastRefresh)
+	wait := c.minRefreshInterval - time.Since(lastRefresh)
 	if wait <= 0 {
 		return true
 	}
@@ -97,20 +98,20 @@
 	}
 }
 
-// appendRequests appends the requests that have come by now.
-func (c *JobCache) appendRequests(waiting []chan error) []chan error {
+// appendRefreshRequests appends the requests for a refresh that have come by now.
+func (c *JobCache) appendRefreshRequests(waiting []chan error) []chan error {
 	for {
 		select {
-		case reply := <-c.requests:
-			waiting = append(waiting, reply)
+		case result := <-c.refreshRequests:
+			waiting = append(waiting, result)
 		default:
 			return waiting
 		}
 	}
 }
 
-// refresh brings the cache up to date: by the changes since the last refresh, or, at
-// first and where these are no longer kept, by a list of all jobs.
+// refresh updates the cache by the changes since the last refresh. It lists all jobs instead
+// if it is the first refresh, or if the service no longer has these changes.
 func (c *JobCache) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
@@ -159,8 +160,8 @@
 	return nil
 }
 
-// put adds a record, unless a newer one of the job is known: a list of several pages may
-// be newer than the revision that the next refresh starts from.
+// put adds the record of a job, unless the cache has a newer one: a list of several pages may
+// be newer than its revision, from which the next refresh reads the changes.
 func (c *JobCache) put(key string, value wire.RawValue, revision wire.Revision) {
 	id := wire.JobID(strings.TrimPrefix(key, JobPrefix))
 	record, err := DecodeJob(key, value)
@@ -172,8 +173,8 @@
 	}
 }
 
-// Get returns what is known of a live job as of now. The error is ErrNotFound where there
-// is none.
+// Get returns a live job as the key-value store has it at the time of the call or later. The
+// error wraps ErrNotFound if there is no such job.
 func (c *JobCache) Get(ctx context.Context, id wire.JobID) (CachedJob, error) {
 	if err := c.awaitRefresh(ctx, id); err != nil {
 		return CachedJob{}, err
@@ -189,14 +190,14 @@
 
 // awaitRefresh waits for a refresh that begins after the call, and returns its error.
 func (c *JobCache) awaitRefresh(ctx context.Context, id wire.JobID) error {
-	reply := make(chan error, 1)
+	result := make(chan error, 1)
 	select {
-	case c.requests <- reply:
+	case c.refreshRequests <- result:
 	case <-ctx.Done():
 		return cachedGetFailed(id, ErrRefused)
 	}
 	select {
-	case err := <-reply:
+	case err := <-result:
 		return err
 	case <-ctx.Done():
 		return cachedGetFailed(id, ErrRefused)
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -17,7 +17,7 @@
 	"lilaclead/internal/wire"
 )
 
-// cacheEnv is a job cache with the key-value store and the network beneath it.
+// cacheEnv is a job cache with its key-value store and the network between them.
 type cacheEnv struct {
 	network *simulator.Network
 	state   *simulator.KVStore
@@ -25,7 +25,7 @@
 	cache   *store.JobCache
 }
 
-// withCache runs f in virtual time with a cache under so many requests per second.
+// withCache runs f in virtual time with a cache under a limit of rps requests per second.
 func withCache(t *testing.T, rps float64, f func(ctx context.Context, t *testing.T, env cacheEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,15 +46,14 @@
 	})
 }
 
-// The cache against the plain model, a map: whatever was written before a
-// request is in its answer; requests that come together share a refresh; and
-// with the service away they are refused soon.
+// Get must return everything that was written before the call; the model is a map. Concurrent
+// calls must share a refresh, and while the service is cut off a call must fail soon.
 func TestCacheIsNeverStale(t *testing.T) {
-	withCache(t, 40, func(ctx context.Context, t *testing.T, env cacheEnv) { // a refresh every tenth of a second at most
+	withCache(t, 40, func(ctx context.Context, t *testing.T, env cacheEnv) { // at most one refresh every tenth of a second
 		network, state, client, cache := env.network, env.state, env.client, env.cache
-		var calls sync.Map
+		var requests sync.Map
 		client.Observe = func(string, string, time.Duration) {
-			calls.Store(time.Now().UnixNano()+int64(rand.Uint32()%1000), true)
+			requests.Store(time.Now().UnixNano()+int64(rand.Uint32()%1000), true)
 		}
 
 		model := map[wire.JobID]wire.Status{}
@@ -75,27 +74,27 @@
 				}
 			}
 			if rng.IntN(2) == 0 {
-				continue // several changes of a key may come with one refresh
+				continue // so that one refresh may get several changes of a key
 			}
-			ask := wire.JobID("req-" + strconv.Itoa(rng.IntN(12)))
-			got, err := cache.Get(ctx, ask)
-			want, live := model[ask]
+			asked := wire.JobID("req-" + strconv.Itoa(rng.IntN(12)))
+			got, err := cache.Get(ctx, asked)
+			want, live := model[asked]
 			if live && (err != nil || got.Status != want) || !live && !errors.Is(err, store.ErrNotFound) {
-				t.Fatalf("%s: got %v %v, want %v, live %v", ask, got, err, want, live)
+				t.Fatalf("%s: got %v %v, want %v, live %v", asked, got, err, want, live)
 			}
 		}
 
-		count := func() (n int) {
-			calls.Range(func(any, any) bool { n++; return true })
+		countRequests := func() (n int) {
+			requests.Range(func(any, any) bool { n++; return true })
 			return
 		}
-		before := count()
+		before := countRequests()
 		var wg sync.WaitGroup
 		for range 30 {
 			wg.Go(func() { cache.Get(ctx, "req-1") }) //nolint:errcheck // only counted
 		}
 		wg.Wait()
-		if n := count() - before; n > 2 {
+		if n := countRequests() - before; n > 2 {
 			t.Errorf("30 polls at a time: got %d requests, want at most 2", n)
 		}
 		network.Cut("10.0.0.1", "10.2.0.1", true)
@@ -106,13 +105,13 @@
 	})
 }
 
-// A list of several pages is older at its beginning than at its end: what changes
-// meanwhile on a page that was read already must be seen by the next refresh.
-func TestCacheListedWhileJobsChange(t *testing.T) {
+// The first page of a list is older than the last. If a job on a page that was read already
+// changes meanwhile, the next refresh must see the change.
+func TestCacheSeesChangesMadeWhileItLists(t *testing.T) {
 	withCache(t, 1000, func(ctx context.Context, t *testing.T, env cacheEnv) {
 		state, cache := env.state, env.cache
-		put := func(id wire.JobID, s wire.Status) {
-			state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: s})
+		put := func(id wire.JobID, status wire.Status) {
+			state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: status})
 		}
 		for _, id := range []wire.JobID{"req-1", "req-2", "req-3", "req-4", "req-5"} {
 			put(id, wire.StatusQueued)
@@ -121,8 +120,8 @@
 		pages := 0
 		state.DelayLists(func() time.Duration {
 			if pages++; pages == 1 {
-				put("req-1", wire.StatusCancelled) // listed already
-				put("req-3", wire.StatusCancelled) // not yet
+				put("req-1", wire.StatusCancelled) // on the first page, which was read already
+				put("req-3", wire.StatusCancelled) // on a later page
 				state.Delete(store.JobKey("req-2"))
 				state.Delete(store.JobKey("req-4"))
 				return 50 * time.Millisecond
@@ -141,10 +140,10 @@
 	})
 }
 
-// The simulated service keeps or drops the changes of a revision together: where one of them is no
-// longer kept, the cache must be told to list. (It once was given the rest, and
-// took a job that had ended for a live one.)
-func TestCacheAfterCompaction(t *testing.T) {
+// The simulated service keeps or drops all changes of one revision together. If one of them is
+// dropped, it must tell the cache to list the jobs: a cache that gets only the others takes a
+// job that has ended for a live one.
+func TestCacheListsJobsAfterCompaction(t *testing.T) {
 	withCache(t, 1000, func(ctx context.Context, t *testing.T, env cacheEnv) {
 		state, client, cache := env.state, env.client, env.cache
 		state.LimitHistory(2, 0)
--- a/internal/store/keys.go
+++ b/internal/store/keys.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// pageSize is the number of keys asked for at a time.
+// pageSize is the largest number of keys in a page of a list.
 const pageSize = 500
 
 // Get reads one key.
@@ -30,7 +30,7 @@
 		return entry, err
 	}
 	if status != http.StatusOK {
-		return wire.Entry{}, req.failed(ErrNotFound)
+		return wire.Entry{}, req.errorFor(ErrNotFound)
 	}
 	return entry, nil
 }
@@ -39,25 +39,26 @@
 // page: a watch from there misses no change that is made while later pages are read.
 func (c *Client) List(ctx context.Context, class RequestClass, prefix string) ([]wire.Entry, wire.Revision, error) {
 	var entries []wire.Entry
-	var first wire.Revision
-	after := ""
+	var firstRevision wire.Revision
+	lastKey := ""
 	for {
-		page, err := c.listPage(ctx, class, prefix, after)
+		page, err := c.listPage(ctx, class, prefix, lastKey)
 		if err != nil {
 			return nil, 0, err
 		}
-		if first == 0 {
-			first = page.Revision
+		if firstRevision == 0 {
+			firstRevision = page.Revision
 		}
 		entries = append(entries, page.Entries...)
 		if !page.Truncated || len(page.Entries) == 0 {
-			return entries, first, nil
+			return entries, firstRevision, nil
 		}
-		after = page.Entries[len(page.Entries)-1].Key
+		lastKey = page.Entries[len(page.Entries)-1].Key
 	}
 }
 
-// listPage reads the keys with a prefix that follow the key after.
+// listPage reads one page of the keys with a prefix: those that follow the key after, or the
+// first page if that is empty.
 func (c *Client) listPage(ctx context.Context, class RequestClass, prefix, after string) (wire.EntryPage, error) {
 	path := "/kv?under=" + url.QueryEscape(prefix) + "&page=" + strconv.Itoa(pageSize)
 	if after != "" {
@@ -78,15 +79,15 @@
 		return wire.EntryPage{}, err
 	}
 	if status != http.StatusOK {
-		return wire.EntryPage{}, req.unexpected(status)
+		return wire.EntryPage{}, req.errorForStatus(status)
 	}
 	return page, nil
 }
 
 // Commit executes a transaction, a compare-and-swap of several keys, and returns its
-// revision. The error is a ConflictError where guards failed.
+// revision. The error is a ConflictError if guards failed.
 func (c *Client) Commit(ctx context.Context, class RequestClass, txn wire.Txn) (wire.Revision, error) {
-	// Without any they are encoded as empty arrays, not as null.
+	// Nil slices would be encoded as null, not as empty arrays.
 	if txn.Guards == nil {
 		txn.Guards = []wire.Guard{}
 	}
@@ -114,12 +115,12 @@
 	case status == http.StatusConflict:
 		return result.Revision, &ConflictError{FailedKeys: result.FailedKeys}
 	default:
-		return 0, req.unexpected(status)
+		return 0, req.errorForStatus(status)
 	}
 }
 
-// describeKeys names the first key that a transaction is about, and how many it has
-// beside it.
+// describeKeys returns the first key that a transaction writes, or that it guards if it
+// writes none, and the number of further ones.
 func describeKeys(txn wire.Txn) string {
 	var key string
 	var others int
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Grant opens a lease of the service, and returns its id.
+// Grant creates a lease in the key-value store and returns its id.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (wire.GrantID, error) {
 	var result wire.GrantResponse
 	req := request{
@@ -27,13 +27,13 @@
 		return 0, err
 	}
 	if status != http.StatusOK {
-		return 0, req.unexpected(status)
+		return 0, req.errorForStatus(status)
 	}
 	return result.Grant, nil
 }
 
-// Renew extends a lease to its full duration. The error is ErrNotFound where the lease
-// has expired.
+// Renew extends a lease to its full duration. The error wraps ErrNotFound if the lease has
+// expired.
 func (c *Client) Renew(ctx context.Context, id wire.GrantID, timeout time.Duration) error {
 	req := request{
 		op:      opRenew,
@@ -49,7 +49,7 @@
 		return err
 	}
 	if status == http.StatusNotFound {
-		return req.failed(ErrNotFound)
+		return req.errorFor(ErrNotFound)
 	}
 	return nil
 }
--- a/internal/store/ranges.go
+++ b/internal/store/ranges.go
@@ -19,7 +19,7 @@
 	return ranges
 }
 
-// SetFlags sets the flags of the ranges; what lies outside is ignored.
+// SetFlags sets the flags within the ranges; parts of a range outside the flags are ignored.
 func SetFlags(ranges []int, flags []bool) {
 	for i := 0; i+1 < len(ranges); i += 2 {
 		for task := max(0, ranges[i]); task < min(ranges[i+1], len(flags)); task++ {
@@ -37,9 +37,9 @@
 	return count
 }
 
-// countWithin returns the number of tasks that are both within the ranges and within
+// countRangesWithin returns the number of tasks that are both within the ranges and within
 // [from, to).
-func countWithin(ranges []int, from, to int) int {
+func countRangesWithin(ranges []int, from, to int) int {
 	count := 0
 	for i := 0; i+1 < len(ranges); i += 2 {
 		count += max(0, min(ranges[i+1], to)-max(ranges[i], from))
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -10,11 +10,10 @@
 	"lilaclead/internal/wire"
 )
 
-// The layout of the key-value store. A live job is one record, job/<id>, with its
-// spec and its one status; its progress lies beside it in chunks,
-// run/<id>/<n>. When the job has ended and nothing of it can run any more, one
-// transaction replaces these by past/<id>. A reader that finds no job/<id>
-// reads past/<id> next, in this order, so that it can't miss both.
+// The layout of the key-value store. A live job is one record, job/<id>, with its spec and
+// its status; its progress is in chunks, run/<id>/<n>. When the job has ended and none of
+// its tasks can run any more, one transaction replaces these by past/<id>. A reader reads
+// job/<id> first and, if there is none, past/<id>: in this order it can't miss both.
 const (
 	// JobPrefix is the prefix of the keys of live jobs.
 	JobPrefix = "job/"
@@ -22,10 +21,10 @@
 	ProgressPrefix = "run/"
 	// finalPrefix is the prefix of the keys of jobs that have ended.
 	finalPrefix = "past/"
-	// LeaderKey is written by the leader and bound to its lease.
+	// LeaderKey holds the leader's record; the key is bound to the leader's lease.
 	LeaderKey = "lead"
-	// MachineSpecsKey keeps the machine types last seen, so that a node that
-	// starts while the cloud is down can still judge submissions.
+	// MachineSpecsKey holds the machine types that were last read from the cloud, so that a
+	// node that starts while the cloud is down can still check submissions against them.
 	MachineSpecsKey = "fact/flavors"
 	// SettingsKey holds the operators' own settings.
 	SettingsKey = "fact/settings"
@@ -42,8 +41,8 @@
 	return ProgressPrefix + string(id) + "/" + strconv.Itoa(chunk)
 }
 
-// ParseChunkKey returns the job and the chunk that ChunkKey made the key of; ok reports
-// whether it is such a key.
+// ParseChunkKey returns the job and the chunk of a key that ChunkKey returns; ok reports
+// whether the key is of that form.
 func ParseChunkKey(key string) (id wire.JobID, chunk int, ok bool) {
 	job, number, hasNumber := strings.Cut(strings.TrimPrefix(key, ProgressPrefix), "/")
 	id = wire.JobID(job)
@@ -52,16 +51,16 @@
 	return id, chunk, hasNumber && isNumber && id.Valid()
 }
 
-// SubchunkKey returns the key of a subchunk: a section of a chunk that has become too
-// large to be written again. The chunk stays as it is, and for the tasks of a subchunk
-// that exists the subchunk holds in its place. So each is replaced by itself, in one
+// SubchunkKey returns the key of a subchunk: a section of a chunk that has become too large
+// to be written again. The chunk's record stays as it is; for the tasks of a subchunk that
+// has a record, that record counts instead. So each section is written by itself, in one
 // transaction.
 func SubchunkKey(id wire.JobID, chunk, subchunk int) string {
 	return ChunkKey(id, chunk) + "/" + strconv.Itoa(subchunk)
 }
 
-// ParseSubchunkKey returns the job, the chunk and the subchunk that SubchunkKey made the
-// key of; ok reports whether it is such a key.
+// ParseSubchunkKey returns the job, the chunk and the subchunk of a key that SubchunkKey
+// returns; ok reports whether the key is of that form.
 func ParseSubchunkKey(key string) (id wire.JobID, chunk, subchunk int, ok bool) {
 	lastSlash := strings.LastIndexByte(key, '/')
 	if lastSlash < 0 {
@@ -81,8 +80,8 @@
 	AcceptedAt wire.Timestamp `cbor:"at"`
 	// CancelledAt is when the job was cancelled; 0: it was not.
 	CancelledAt wire.Timestamp `cbor:"ended,omitempty"`
-	// TasksPerChunk is how many tasks a chunk of the job's progress has, fixed when the job
-	// is accepted; 0: MaxTasksPerChunk.
+	// TasksPerChunk is the number of tasks in each chunk of the job's progress, fixed when
+	// the job is accepted; 0: MaxTasksPerChunk.
 	TasksPerChunk int `cbor:"chunk,omitempty"`
 	// MinVersion is the lowest version of the behaviour (package upgrade) that
 	// understands the record in full; 0: all do.
@@ -96,13 +95,13 @@
 // is neither rewritten, which would lose what is not understood, nor answered 404.
 var ErrRecordTooNew = errors.New("state: the record is of a later version")
 
-// ErrRecordMismatch is returned for a record that can be decoded, but is not that of the job
-// under whose key it lies.
+// ErrRecordMismatch is returned for a record that can be decoded, but is not a valid record of
+// the job that its key names.
 var ErrRecordMismatch = errors.New("state: not the record of that job")
 
-// DecodeJob decodes the record of a live job that lies under the key. A record that
-// names another job, or a number of tasks that no job may have, is refused: accepted, it
-// would be written to another key, or take all memory.
+// DecodeJob decodes the record of a live job that is stored under the key. It refuses a
+// record that names another job, which would be written back to another key, and one with a
+// number of tasks that no job may have, which might take all memory.
 func DecodeJob(key string, value wire.RawValue) (JobRecord, error) {
 	var record JobRecord
 	if err := wire.Decode(value, &record); err != nil {
@@ -125,11 +124,11 @@
 	}
 }
 
-// SinceCancelled returns how long ago the job was cancelled; the clock of the node that
-// cancelled it may differ from this node's.
+// SinceCancelled returns how long ago the job was cancelled, and 0 for a time in the future:
+// the clock of the node that cancelled the job may differ from this node's.
 func (r *JobRecord) SinceCancelled() time.Duration { return max(0, time.Since(r.CancelledAt.Time())) }
 
-// ChunkTasks returns how many tasks a chunk of the job's progress has.
+// ChunkTasks returns the number of tasks in each chunk of the job's progress.
 func (r *JobRecord) ChunkTasks() int {
 	if r.TasksPerChunk < 1 || r.TasksPerChunk > MaxTasksPerChunk {
 		return MaxTasksPerChunk
@@ -140,7 +139,7 @@
 // FinalRecord is the value of past/<id>.
 type FinalRecord struct {
 	Status wire.Status `cbor:"status"`
-	Done   int         `cbor:"done"`
+	Done   int         `cbor:"done"` // number of completed tasks
 }
 
 // LeaderRecord is the value of the leader's key.
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -13,10 +13,10 @@
 	"lilaclead/internal/wire"
 )
 
-// The same cases every time.
+// A fixed seed makes every run check the same cases.
 func init() { flag.Set("rapid.seed", "20261201") } //nolint:errcheck // rapid defines the flag
 
-// The packed ranges against a plain list of flags.
+// Unpacking must return the flags that were packed, and the count must be that of the flags.
 func TestPackRangesKeepsFlags(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flags := rapid.SliceOfN(rapid.Bool(), 0, MaxTasksPerChunk).Draw(t, "flags")
@@ -38,8 +38,8 @@
 	})
 }
 
-// Garbage in stored ranges must not reach outside the chunk.
-func TestSetFlagsIgnoresWhatIsOutside(t *testing.T) {
+// Invalid stored ranges must not cause an access outside the chunk.
+func TestSetFlagsIgnoresRangesOutsideFlags(t *testing.T) {
 	flags := make([]bool, 4)
 	SetFlags([]int{-3, 2, 3, 900, 7}, flags)
 	if want := [4]bool{true, true, false, true}; [4]bool(flags) != want {
@@ -47,18 +47,18 @@
 	}
 }
 
-// A chunk survives its encoding, and the largest that the value limit allows fits
-// it by the size that the service counts, with its tasks in every mix of states.
+// A chunk must be unchanged after encoding and decoding. A chunk with the most tasks allowed
+// under a value limit must fit the limit, by its size in JSON and in every mix of task states.
 func TestLargestChunkFitsValueLimit(t *testing.T) {
 	for _, valueKB := range []float64{1, 4, 16, 32} {
 		rapid.Check(t, func(t *rapid.T) {
 			size := ChunkTasksFor(valueKB)
 			record := ChunkRecord{NextAttempt: 1e8, Done: []int{}, Active: []ActiveAttempt{}}
 			done := make([]bool, size)
-			share := rapid.IntRange(0, 4).Draw(t, "share")
+			maxDoneDraw := rapid.IntRange(0, 4).Draw(t, "share")
 			for i := range size {
 				switch state := rapid.IntRange(0, 5).Draw(t, "state"); {
-				case state > share:
+				case state > maxDoneDraw:
 					record.Active = append(record.Active, ActiveAttempt{Task: i, Attempt: 1e8 - 1 - wire.AttemptNumber(i), Machine: "n-000000001231"})
 				case state > 0:
 					done[i] = true
@@ -69,14 +69,14 @@
 			if err := wire.Decode(wire.Encode(record), &decoded); err != nil || !reflect.DeepEqual(decoded, record) {
 				t.Fatalf("got %v, %v, want %v", decoded, err, record)
 			}
-			list := [][]any{}
+			attempts := [][]any{}
 			for _, attempt := range record.Active {
-				list = append(list, []any{attempt.Task, attempt.Attempt, attempt.Machine})
+				attempts = append(attempts, []any{attempt.Task, attempt.Attempt, attempt.Machine})
 			}
-			j, _ := json.Marshal(map[string]any{"n": record.NextAttempt, "d": record.Done, "r": list})
-			spaced := len(j) + bytes.Count(j, []byte(",")) + bytes.Count(j, []byte(":"))
-			if spaced > int(valueKB*1024) || record.JSONSize() < spaced {
-				t.Fatalf("got %d bytes, estimated as %d, want less than the estimate and than %g KiB", spaced, record.JSONSize(), valueKB)
+			encoded, _ := json.Marshal(map[string]any{"n": record.NextAttempt, "d": record.Done, "r": attempts})
+			jsonSize := len(encoded) + bytes.Count(encoded, []byte(",")) + bytes.Count(encoded, []byte(":")) // a space after each
+			if jsonSize > int(valueKB*1024) || record.JSONSize() < jsonSize {
+				t.Fatalf("got %d bytes, estimated as %d, want at most the estimate and at most %g KiB", jsonSize, record.JSONSize(), valueKB)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestParseRefusesOtherKeys(t *testing.T) {
+func TestParseKeyRejectsKeysOfOtherForms(t *testing.T) {
 	cases := []struct {
 		name, key           string
 		isChunk, isSubchunk bool
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestDecodeJobRefusesWhatIsNoJobOfItsKey(t *testing.T) {
+func TestDecodeJobRejectsRecordNotValidForKey(t *testing.T) {
 	record := func(id wire.JobID, tasks int, minVersion uint64) wire.RawValue {
 		return wire.Encode(JobRecord{Spec: wire.JobSpec{ID: id, Tasks: tasks}, Status: wire.StatusQueued, MinVersion: minVersion})
 	}
@@ -131,7 +131,7 @@
 		want  error
 	}{
 		{"job", record("req-1", 1, 0), nil},
-		{"most tasks", record("req-1", wire.MaxTasks, MaxSupportedVersion), nil},
+		{"largest number of tasks", record("req-1", wire.MaxTasks, MaxSupportedVersion), nil},
 		{"record of another job", record("req-2", 1, 0), ErrRecordMismatch},
 		{"no tasks", record("req-1", 0, 0), ErrRecordMismatch},
 		{"too many tasks", record("req-1", wire.MaxTasks+1, 0), ErrRecordMismatch},
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -23,56 +23,55 @@
 	opWatch  = "watch"
 )
 
-// request is one request to the service.
 type request struct {
 	op     string
-	key    string // what it is about, for errors
+	key    string // its object, for errors: see OpError.Key
 	class  RequestClass
-	writes int // how many keys it changes
+	writes int // number of keys that it changes
 
 	method  string
 	path    string
 	body    any // nil: none
-	result  any // the answer is decoded into it; nil: the answer is dropped
+	result  any // the response is decoded into it; nil: the response is dropped
 	timeout time.Duration
-	blocks  bool // for changes; such requests have connections of their own
+	blocks  bool // the service may wait for changes first; uses the watch connections
 }
 
-// failed returns the error of the request that failed for the cause.
-func (r *request) failed(cause error) error { return &OpError{Op: r.op, Key: r.key, Err: cause} }
+// errorFor returns the error of the request for a cause.
+func (r *request) errorFor(cause error) error { return &OpError{Op: r.op, Key: r.key, Err: cause} }
 
-// unexpected returns the error of a request that was answered with a status that has no
-// meaning for it.
-func (r *request) unexpected(status int) error { return r.failed(unexpectedStatus(status)) }
+// errorForStatus returns the error of the request for a response whose status has no meaning
+// for it.
+func (r *request) errorForStatus(status int) error { return r.errorFor(unexpectedStatus(status)) }
 
 func unexpectedStatus(status int) error {
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// admit takes the request from the budget, and waits for it or refuses it as its class
-// says.
+// admit charges the request to the budget. If the budget has no room, the request waits, is
+// refused or is charged anyway, depending on its class.
 func (c *Client) admit(ctx context.Context, req *request) error {
 	switch req.class {
 	case ClassCritical:
 		c.budget.charge(req.writes)
 	case ClassBackground:
 		if c.budget.wait(ctx, req.writes) != nil {
-			return req.failed(ErrRefused)
+			return req.errorFor(ErrRefused)
 		}
 	case ClassUser:
-		// A user isn't kept waiting for a service that is in an outage; the polls of
-		// the leader election find out when it is back.
+		// A user isn't kept waiting during an outage of the service. The polls of the
+		// leader election detect when the service is back.
 		if c.inOutage() {
-			return req.failed(ErrRefused)
+			return req.errorFor(ErrRefused)
 		}
 		if !c.budget.allowUser(req.writes) {
-			return req.failed(ErrRateLimited)
+			return req.errorFor(ErrRateLimited)
 		}
 	}
 	return nil
 }
 
-// call makes a request once the budget admits it. Without an error the status is 200,
+// call sends a request once the budget admits it. Without an error the status is 200,
 // 404 or 409.
 func (c *Client) call(ctx context.Context, req request) (status int, err error) {
 	if err := c.admit(ctx, &req); err != nil {
@@ -81,19 +80,19 @@
 	return c.callAdmitted(ctx, &req)
 }
 
-// callAdmitted makes a request that the budget has admitted, and observes it.
+// callAdmitted sends a request without charging it to the budget, and reports it to Observe.
 func (c *Client) callAdmitted(ctx context.Context, req *request) (status int, err error) {
-	begin := time.Now()
+	sentAt := time.Now()
 	status, cause := c.exchange(ctx, req)
-	c.Observe(req.op, outcomeLabel(status, cause), time.Since(begin))
+	c.Observe(req.op, outcomeLabel(status, cause), time.Since(sentAt))
 	if cause != nil {
-		return status, req.failed(cause)
+		return status, req.errorFor(cause)
 	}
 	return status, nil
 }
 
-// outcomeLabel returns the metric label of a request that ended with the status and the
-// cause of its failure. The label holds no key: each would be a time series of its own.
+// outcomeLabel returns the metric label for the status of a request and the cause of its
+// failure. The label has no key, since each key would make a time series of its own.
 func outcomeLabel(status int, cause error) string {
 	switch {
 	case cause != nil:
@@ -105,33 +104,34 @@
 	}
 }
 
-// exchange sends a request and decodes the answer. The error wraps a sentinel.
+// exchange sends a request and decodes the response. The cause wraps one of the sentinel
+// errors of this package.
 func (c *Client) exchange(ctx context.Context, req *request) (status int, cause error) {
 	ctx, cancel := context.WithTimeout(ctx, req.timeout)
 	defer cancel()
-	client := c.http
+	client := c.httpClient
 	if req.blocks {
-		client = c.watches
+		client = c.watchClient
 	}
-	status, raw, _, err := netio.Call(ctx, client, req.method, c.baseURL+req.path, req.body, maxAnswer)
+	status, body, _, err := netio.Call(ctx, client, req.method, c.baseURL+req.path, req.body, maxResponseBytes)
 	if errors.Is(err, wire.ErrBodyTooLarge) {
 		return 0, ErrResponseTooLarge
 	}
 	if err != nil {
-		c.recordRefusal()
+		c.recordFailure()
 		return 0, transportFailure(err)
 	}
-	c.recordAnswer(status)
+	c.recordStatus(status)
 	if cause := statusFailure(status); cause != nil {
 		return status, cause
 	}
-	if cause := decodeResult(raw, req.result); cause != nil {
+	if cause := decodeResult(body, req.result); cause != nil {
 		return 0, cause
 	}
 	return status, nil
 }
 
-// transportFailure returns the cause of a failure for a request that got no answer.
+// transportFailure returns the cause of a failure for a request that got no response.
 func transportFailure(err error) error {
 	if wire.IsNotSent(err) {
 		return ErrRefused
@@ -139,8 +139,8 @@
 	return ErrOutcomeUnknown
 }
 
-// statusFailure returns the cause of a failure for an answer that is not a result, and nil
-// for one that is.
+// statusFailure returns the cause of a failure for the status of a response; nil: the response
+// has a result.
 func statusFailure(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusNotFound, http.StatusConflict:
@@ -158,12 +158,13 @@
 	}
 }
 
-// decodeResult decodes an answer, unless it is empty or nothing of it is wanted.
-func decodeResult(raw []byte, result any) error {
-	if result == nil || len(raw) == 0 {
+// decodeResult decodes the body of a response, unless it is empty or there is no result to
+// decode it into.
+func decodeResult(body []byte, result any) error {
+	if result == nil || len(body) == 0 {
 		return nil
 	}
-	if err := wire.Decode(raw, result); err != nil {
+	if err := wire.Decode(body, result); err != nil {
 		return fmt.Errorf("%w: bad answer: %w", ErrOutcomeUnknown, err)
 	}
 	return nil
