--- a/internal/cloud/call.go
+++ b/internal/cloud/call.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// callTimeout is the longest that a call may take, its wait for the rate budget included.
+	// callTimeout bounds a call, including its wait for the rate budget.
 	callTimeout = 4 * time.Second
-	// maxAnswer bounds an answer, in bytes. A page of the machine list takes some 200 bytes a machine.
-	maxAnswer = 4 << 20
+	// maxResponseBytes bounds the body of a response. A page of the machine list takes about 200
+	// bytes per machine.
+	maxResponseBytes = 4 << 20
 )
 
-// Operation is a request of the cloud's API, by its value of the metrics' operation label.
+// Operation is a kind of request to the cloud's API. Its text is the value of the "op" label of the
+// metrics.
 type Operation string
 
 // The operations of the cloud's API.
@@ -33,16 +35,17 @@
 	method    string
 	path      string
 	request   any // nil: no body
-	response  any // what the answer is decoded into; nil: it is ignored
-	// permitted is asked right before the request is sent, after any wait for the rate budget.
-	permitted func() error
+	response  any // the response body is decoded into it; nil: the body is ignored
+	// checkPermit is called after any wait for the rate budget, right before the request is sent.
+	// Unless it returns nil, the request is not sent.
+	checkPermit func() error
 }
 
-// alwaysPermitted is for calls that change nothing.
+// alwaysPermitted is the checkPermit of calls that change nothing.
 func alwaysPermitted() error { return nil }
 
-// do makes a call and tells the observer of its outcome. It does not retry: a caller that repeats a request decides whether
-// it still wants it.
+// do makes a call and reports its outcome to Observe. It does not retry: only the caller knows
+// whether it still wants the request.
 func (c *Client) do(ctx context.Context, call call) error {
 	begin := time.Now()
 	err := c.attempt(ctx, call)
@@ -50,39 +53,38 @@
 	return err
 }
 
-// attempt sends the request within the rate budget, if it is permitted by then, and decodes the answer.
+// attempt waits for the rate budget, checks the permit, sends the request and decodes the response.
 func (c *Client) attempt(ctx context.Context, call call) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.budget.Wait(ctx); err != nil {
-		return call.failed(ErrUnavailable, 0, err)
+		return call.newError(ErrUnavailable, 0, err)
 	}
-	if err := call.permitted(); err != nil {
+	if err := call.checkPermit(); err != nil {
 		return err
 	}
-	status, answer, _, err := netio.Call(ctx, c.http, call.method, c.base+call.path, call.request, maxAnswer)
+	status, body, _, err := netio.Call(ctx, c.http, call.method, c.baseURL+call.path, call.request, maxResponseBytes)
 	if err != nil {
-		return call.failed(classOfTransport(err), 0, err)
+		return call.newError(classOfTransportError(err), 0, err)
 	}
 	if status != http.StatusOK {
-		class, cause := classOfStatus(status, answer)
-		return call.failed(class, status, cause)
+		class, cause := classOfStatus(status, body)
+		return call.newError(class, status, cause)
 	}
-	return call.decode(answer)
+	return call.decode(body)
 }
 
-// decode decodes the answer to a call that was executed.
-func (c *call) decode(answer []byte) error {
+// decode decodes the body of a response with status 200.
+func (c *call) decode(body []byte) error {
 	if c.response == nil {
 		return nil
 	}
-	if err := wire.Decode(answer, c.response); err != nil {
-		return c.failed(ErrUnknown, http.StatusOK, err)
+	if err := wire.Decode(body, c.response); err != nil {
+		return c.newError(ErrUnknown, http.StatusOK, err)
 	}
 	return nil
 }
 
-// failed returns the error of a call.
-func (c *call) failed(class error, status int, cause error) *Error {
+func (c *call) newError(class error, status int, cause error) *Error {
 	return &Error{Operation: c.operation, Class: class, Status: status, Cause: cause}
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -24,8 +24,8 @@
 	controllerIP = "10.0.0.1"
 	cloudIP      = "10.0.0.2"
 	cloudAddr    = cloudIP + ":8443"
-	// unlimited is a request rate that no test reaches.
-	unlimited = 1000
+	// unlimitedRate is a request rate, per second, that no test reaches.
+	unlimitedRate = 1000
 )
 
 // receivedRequest is a request as the cloud received it.
@@ -35,13 +35,13 @@
 	body  []byte
 }
 
-// observedCall is what Client.Observe was given.
+// observedCall holds the arguments of one call of Client.Observe.
 type observedCall struct {
 	operation, outcome string
 	duration           time.Duration
 }
 
-// fakeCloud serves one handler as the cloud's API, on a network in memory.
+// fakeCloud serves one handler as the cloud's API on an in-memory network.
 type fakeCloud struct {
 	network *simulator.Network
 	client  *cloud.Client
@@ -51,8 +51,8 @@
 	observed []observedCall
 }
 
-// withCloud runs a test in virtual time against a cloud that answers with the
-// handler; without one nothing listens at its address.
+// withCloud runs a test in virtual time against a cloud that answers with the handler. If the handler
+// is nil, nothing listens at the cloud's address.
 func withCloud(t *testing.T, rps float64, handler http.HandlerFunc, test func(t *testing.T, f *fakeCloud)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	})
 }
 
-// serve answers requests until the function that it returns is called.
+// serve answers requests with the handler until the returned function is called.
 func (f *fakeCloud) serve(t *testing.T, handler http.HandlerFunc) (stop func()) {
 	t.Helper()
 	listener, err := f.network.Host(cloudIP).Listen("tcp4", cloudAddr)
@@ -77,7 +77,7 @@
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := wire.ReadBody(r.Body, wire.MaxBody)
 		if err != nil {
-			t.Errorf("%s %s: body unreadable: %v", r.Method, r.URL, err)
+			t.Errorf("%s %s: read request body: %v", r.Method, r.URL, err)
 		}
 		f.mu.Lock()
 		f.received = append(f.received, receivedRequest{time.Now(), r.Method + " " + r.URL.String(), body})
@@ -98,21 +98,21 @@
 	f.observed = append(f.observed, observedCall{operation, outcome, duration})
 }
 
-// requests returns what the cloud has received.
+// requests returns the requests that the cloud has received.
 func (f *fakeCloud) requests() []receivedRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.received)
 }
 
-// calls returns what the client has told its observer.
+// calls returns the calls that the client has reported to Observe.
 func (f *fakeCloud) calls() []observedCall {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.observed)
 }
 
-// routes returns the routes that the cloud was asked for.
+// routes returns the routes of the requests that the cloud has received.
 func (f *fakeCloud) routes() []string {
 	var routes []string
 	for _, r := range f.requests() {
@@ -126,15 +126,15 @@
 	return func(w http.ResponseWriter, _ *http.Request) { wire.WriteResponse(w, status, body) }
 }
 
-// stall answers nothing until its client has given up.
+// stall sends no response until the client cancels its request.
 func stall(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// grantStore is a state service of which only the end of a grant is asked.
+// grantStore is a key-value store that implements only RevokeGrant.
 type grantStore struct{ duty.Store }
 
 func (grantStore) RevokeGrant(context.Context, duty.GrantID) error { return nil }
 
-// heldLease returns a lease that is held for the given time from now.
+// heldLease returns a lease that is held from now on for the given duration.
 func heldLease(duration time.Duration) *duty.Lease {
 	now := time.Now()
 	candidate := duty.NewCandidate(duty.Options{Key: "lead", Node: "worker-1", Store: grantStore{}})
@@ -150,24 +150,24 @@
 	return permit
 }
 
-// sentinels are the classes of failed calls; an error is of one of them.
+// sentinels are the classes of failed calls. Every error has exactly one of them.
 var sentinels = []error{cloud.ErrNoCapacity, cloud.ErrUnavailable, cloud.ErrInvalid, cloud.ErrUnknown}
 
-// Every answer of the cloud, and the lack of one, is of one error class, is observed under the label that dashboards know,
-// and is not asked for again by the client itself.
-func TestAnswerDeterminesErrorClass(t *testing.T) {
+// The response, or the lack of one, determines the one class of the error. The call is observed under
+// the label that dashboards match, and the client doesn't retry by itself.
+func TestResponseDeterminesErrorClass(t *testing.T) {
 	tests := []struct {
 		name     string
 		respond  http.HandlerFunc
 		want     error // a sentinel, or nil
-		status   int   // of the error; 0: no whole answer came
+		status   int   // Error.Status; 0: no complete response
 		label    string
-		duration time.Duration // at least, and less than a second more
+		duration time.Duration // of the call, at least; less than a second more
 	}{
 		{name: "success", respond: respondWith(http.StatusOK, wire.MachineNames{}), label: "ok"},
 		{name: "rate limited", respond: respondWith(http.StatusTooManyRequests, wire.ErrorBody{Error: "rate"}),
 			want: cloud.ErrUnavailable, status: http.StatusTooManyRequests, label: "cloud: busy or down"},
-		{name: "rate limited with Retry-After, which is the caller's matter",
+		{name: "rate limited with Retry-After, which the client ignores",
 			respond: func(w http.ResponseWriter, _ *http.Request) {
 				wire.WriteRetryableError(w, http.StatusTooManyRequests, "rate", 7)
 			},
@@ -180,20 +180,20 @@
 			want: cloud.ErrUnavailable, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
 		{name: "malformed request", respond: respondWith(http.StatusBadRequest, wire.ErrorBody{Error: "malformed"}),
 			want: cloud.ErrInvalid, status: http.StatusBadRequest, label: "cloud: request refused as invalid"},
-		{name: "status that the API does not have", respond: respondWith(http.StatusInternalServerError, wire.ErrorBody{}),
+		{name: "status that the API does not define", respond: respondWith(http.StatusInternalServerError, wire.ErrorBody{}),
 			want: cloud.ErrUnknown, status: http.StatusInternalServerError, label: "cloud: outcome unknown: status 500"},
 		{name: "body of the wrong type", respond: respondWith(http.StatusOK, "hosts"),
 			want: cloud.ErrUnknown, status: http.StatusOK, label: "cloud: outcome unknown: bad answer: cbor: cannot unmarshal UTF-8 text string into Go value of type wire.MachineNames"},
 		{name: "body over the limit", respond: respondWith(http.StatusOK, bytes.Repeat([]byte{0}, 5<<20)),
 			want: cloud.ErrUnknown, label: "cloud: outcome unknown"},
-		{name: "connection closed without an answer", respond: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		{name: "connection closed without a response", respond: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			want: cloud.ErrUnknown, label: "cloud: outcome unknown"},
-		{name: "no answer within the timeout", respond: stall,
+		{name: "no response within the timeout", respond: stall,
 			want: cloud.ErrUnknown, label: "cloud: outcome unknown", duration: 4 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			withCloud(t, unlimited, tt.respond, func(t *testing.T, f *fakeCloud) {
+			withCloud(t, unlimitedRate, tt.respond, func(t *testing.T, f *fakeCloud) {
 				permit := permitFor[duty.ScaleOut](t, heldLease(time.Hour))
 				begin := time.Now()
 				_, err := f.client.ScaleOut(t.Context(), permit, wire.ScaleOutRequest{Name: "b-1", Count: 1})
@@ -212,7 +212,8 @@
 	}
 }
 
-// checkClass fails the test unless the error is the sentinel, and no other.
+// checkClass fails the test unless the error is the wanted sentinel and no other. If want is nil, the
+// error must be nil.
 func checkClass(t *testing.T, err, want error) {
 	t.Helper()
 	if (err == nil) != (want == nil) {
@@ -225,34 +226,35 @@
 	}
 }
 
-// checkFields fails the test unless an error is of the operation with the status, and names both.
+// checkFields fails the test unless an error is nil or has the operation and the status. Its text must
+// begin with the operation and the class.
 func checkFields(t *testing.T, err error, operation cloud.Operation, status int) {
 	t.Helper()
 	if err == nil {
 		return
 	}
-	var failed *cloud.Error
-	if !errors.As(err, &failed) {
-		t.Fatalf("%T %q, want a *cloud.Error", err, err)
+	var callErr *cloud.Error
+	if !errors.As(err, &callErr) {
+		t.Fatalf("error of type %T: %q, want a *cloud.Error", err, err)
 	}
-	if failed.Operation != operation || failed.Status != status {
-		t.Errorf("operation %q, status %d, want %q, %d", failed.Operation, failed.Status, operation, status)
+	if callErr.Operation != operation || callErr.Status != status {
+		t.Errorf("operation %q, status %d, want %q, %d", callErr.Operation, callErr.Status, operation, status)
 	}
-	if prefix := string(operation) + ": " + failed.Class.Error(); !strings.HasPrefix(err.Error(), prefix) {
+	if prefix := string(operation) + ": " + callErr.Class.Error(); !strings.HasPrefix(err.Error(), prefix) {
 		t.Errorf("error text %q, want it to begin with %q", err, prefix)
 	}
 }
 
-// checkDuration fails the test unless a call took at least so long, and less than a second more.
-func checkDuration(t *testing.T, got, least time.Duration) {
+// checkDuration fails the test unless a call took at least the minimum, and less than a second more.
+func checkDuration(t *testing.T, got, minimum time.Duration) {
 	t.Helper()
-	if got < least || got >= least+time.Second {
-		t.Errorf("took %v, want %v to %v", got, least, least+time.Second)
+	if got < minimum || got >= minimum+time.Second {
+		t.Errorf("call took %v, want %v to %v", got, minimum, minimum+time.Second)
 	}
 }
 
 // A request that could not be sent was certainly not executed.
-func TestUnreachableCloud(t *testing.T) {
+func TestUnreachableCloudIsUnavailable(t *testing.T) {
 	tests := []struct {
 		name     string
 		powerOff bool
@@ -263,7 +265,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			withCloud(t, unlimited, nil, func(t *testing.T, f *fakeCloud) {
+			withCloud(t, unlimitedRate, nil, func(t *testing.T, f *fakeCloud) {
 				f.network.SetPowerOff(cloudIP, tt.powerOff)
 				begin := time.Now()
 				_, err := f.client.List(t.Context())
@@ -279,9 +281,10 @@
 	}
 }
 
-// A caller's deadline ends a call before the client's own timeout, and its request may have been executed.
+// A caller's deadline that precedes the client's own timeout ends the call. The request may have been
+// executed.
 func TestCallerDeadlineLeavesOutcomeUnknown(t *testing.T) {
-	withCloud(t, unlimited, stall, func(t *testing.T, f *fakeCloud) {
+	withCloud(t, unlimitedRate, stall, func(t *testing.T, f *fakeCloud) {
 		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 		defer cancel()
 		begin := time.Now()
@@ -291,12 +294,12 @@
 	})
 }
 
-// Requests beyond a burst are spread over time at the node's share of the rate.
+// Requests beyond a burst are delayed so that they are sent at the node's share of the rate.
 func TestRateBudgetDelaysRequests(t *testing.T) {
 	const (
 		rps   = 4
-		rate  = 0.85 * rps // a second
-		burst = 5          // 1.5 seconds' worth
+		rate  = 0.85 * rps // requests per second
+		burst = 5          // requests in 1.5 s at the rate
 		calls = 12
 	)
 	withCloud(t, rps, respondWith(http.StatusOK, wire.MachinePage{}), func(t *testing.T, f *fakeCloud) {
@@ -307,18 +310,20 @@
 			}
 		}
 		for i, r := range f.requests() {
-			least := time.Duration(max(0, float64(i+1-burst)/rate) * float64(time.Second))
-			if got := r.at.Sub(begin); got < least || got > least+100*time.Millisecond {
-				t.Errorf("request %d after %v, want %v", i, got, least)
+			earliest := time.Duration(max(0, float64(i+1-burst)/rate) * float64(time.Second))
+			if got := r.at.Sub(begin); got < earliest || got > earliest+100*time.Millisecond {
+				t.Errorf("request %d received after %v, want %v", i, got, earliest)
 			}
 		}
 	})
 }
 
-// A call that the budget would delay beyond the call's timeout is refused at once, unsent.
-func TestRateBudgetExhausted(t *testing.T) {
+// A call that the rate budget would delay beyond the call's timeout fails at once, and its request is
+// not sent.
+func TestCallFailsAtOnceIfRateBudgetIsExhausted(t *testing.T) {
 	withCloud(t, 1, respondWith(http.StatusOK, wire.MachinePage{}), func(t *testing.T, f *fakeCloud) {
-		// One in 1.18 s: the first goes at once, three more wait up to 3.53 s, and the others would wait for more than 4 s.
+		// The budget is one request per 1.18 s. The first is sent at once and three more after up to
+		// 3.53 s. The others would wait for more than 4 s.
 		const calls, wantSent = 6, 4
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -342,32 +347,32 @@
 	})
 }
 
-// The permit is checked before a request leaves, also after the wait for the rate budget.
+// A request is not sent if the permit is lost during the wait for the rate budget.
 func TestRequestWithoutPermitIsNotSent(t *testing.T) {
 	tests := []struct {
 		name string
-		// lose loses the lease, a second into the wait for the budget.
-		lose func(ctx context.Context, lease *duty.Lease)
-		hold time.Duration
-		want error
+		// endLease is called one second into the wait for the rate budget.
+		endLease func(ctx context.Context, lease *duty.Lease)
+		validFor time.Duration // of the lease
+		want     error
 	}{
-		{name: "lease resigned during the wait", hold: time.Hour, want: duty.ErrNotHeld,
-			lose: func(ctx context.Context, lease *duty.Lease) { lease.Resign(ctx, time.Now()) }},
-		{name: "lease expired during the wait", hold: time.Second, want: cloud.ErrUnavailable,
-			lose: func(context.Context, *duty.Lease) {}},
+		{name: "lease resigned during the wait", validFor: time.Hour, want: duty.ErrNotHeld,
+			endLease: func(ctx context.Context, lease *duty.Lease) { lease.Resign(ctx, time.Now()) }},
+		{name: "lease expired during the wait", validFor: time.Second, want: cloud.ErrUnavailable,
+			endLease: func(context.Context, *duty.Lease) {}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			withCloud(t, 0.1, respondWith(http.StatusOK, wire.MachinePage{}), func(t *testing.T, f *fakeCloud) {
-				if _, err := f.client.List(t.Context()); err != nil { // takes the whole burst
+				if _, err := f.client.List(t.Context()); err != nil { // uses up the whole burst
 					t.Fatal(err)
 				}
-				lease := heldLease(tt.hold)
+				lease := heldLease(tt.validFor)
 				permit := permitFor[duty.ScaleOut](t, lease)
 				var wg sync.WaitGroup
 				wg.Go(func() {
 					time.Sleep(time.Second)
-					tt.lose(t.Context(), lease)
+					tt.endLease(t.Context(), lease)
 				})
 				_, err := f.client.ScaleOut(t.Context(), permit, wire.ScaleOutRequest{Name: "b-1", Count: 1})
 				wg.Wait()
@@ -375,16 +380,16 @@
 					t.Errorf("error %v, want %v", err, tt.want)
 				}
 				if got := f.routes(); len(got) != 1 {
-					t.Errorf("requests %q, want the list alone", got)
+					t.Errorf("requests %q, want only the list", got)
 				}
 			})
 		})
 	}
 }
 
-// Without a lease nothing is sent, nor counted as a call.
+// With a zero permit nothing is sent, and no call is observed.
 func TestZeroPermitIsRefused(t *testing.T) {
-	withCloud(t, unlimited, respondWith(http.StatusOK, wire.MachineNames{}), func(t *testing.T, f *fakeCloud) {
+	withCloud(t, unlimitedRate, respondWith(http.StatusOK, wire.MachineNames{}), func(t *testing.T, f *fakeCloud) {
 		if _, err := f.client.ScaleOut(t.Context(), duty.Permit[duty.ScaleOut]{}, wire.ScaleOutRequest{}); !errors.Is(err, duty.ErrNoPermit) {
 			t.Errorf("ScaleOut: %v, want %v", err, duty.ErrNoPermit)
 		}
@@ -400,9 +405,9 @@
 	})
 }
 
-// A request under way ends with the lease; it may have been executed.
+// A request that is in flight when the lease expires is cancelled. It may have been executed.
 func TestLeaseExpiryEndsRequest(t *testing.T) {
-	withCloud(t, unlimited, stall, func(t *testing.T, f *fakeCloud) {
+	withCloud(t, unlimitedRate, stall, func(t *testing.T, f *fakeCloud) {
 		permit := permitFor[duty.ScaleIn](t, heldLease(2*time.Second))
 		begin := time.Now()
 		err := f.client.ScaleIn(t.Context(), permit, []wire.MachineID{"n-1"})
@@ -414,8 +419,8 @@
 	})
 }
 
-// What is asked and answered is encoded as the cloud's API says.
-func TestOperations(t *testing.T) {
+// Requests and responses are encoded as the cloud's API requires.
+func TestOperationsMatchTheAPI(t *testing.T) {
 	machineTypes := []wire.MachineSpec{{Name: "g8", GPUs: 8}}
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method + " " + r.URL.Path {
@@ -429,7 +434,7 @@
 			w.WriteHeader(http.StatusNotFound)
 		}
 	}
-	withCloud(t, unlimited, handler, func(t *testing.T, f *fakeCloud) {
+	withCloud(t, unlimitedRate, handler, func(t *testing.T, f *fakeCloud) {
 		lease := heldLease(time.Hour)
 		request := wire.ScaleOutRequest{Name: "b-1", Type: "g8", Zone: "a", Spot: true, Count: 2}
 		if got, err := f.client.MachineSpecs(t.Context()); err != nil || len(got) != 1 || got[0].Name != "g8" || got[0].GPUs != 8 {
@@ -466,9 +471,9 @@
 	})
 }
 
-// A cloud that offers nothing is not believed: the machine types that are known stay.
+// An empty list of machine types is an error, so that the caller keeps the types that it knows.
 func TestEmptyMachineSpecsAreUnknown(t *testing.T) {
-	withCloud(t, unlimited, respondWith(http.StatusOK, wire.MachineSpecs{}), func(t *testing.T, f *fakeCloud) {
+	withCloud(t, unlimitedRate, respondWith(http.StatusOK, wire.MachineSpecs{}), func(t *testing.T, f *fakeCloud) {
 		got, err := f.client.MachineSpecs(t.Context())
 		checkClass(t, err, cloud.ErrUnknown)
 		if len(got) != 0 {
@@ -477,7 +482,7 @@
 	})
 }
 
-// machinesFrom returns so many listed machines, numbered from first.
+// machinesFrom returns count listed machines, numbered from first.
 func machinesFrom(first, count int) []wire.ListedMachine {
 	var machines []wire.ListedMachine
 	for i := range count {
@@ -486,7 +491,8 @@
 	return machines
 }
 
-// The machine list is read page by page, each after the last machine of the one before.
+// The machine list is read page by page. Each page begins after the last machine of the previous
+// one.
 func TestListReadsPages(t *testing.T) {
 	const firstPage, nextPage = "GET /machines?page=500", "GET /machines?after=n-0499&page=500"
 	full := wire.MachinePage{Machines: machinesFrom(0, 500), Truncated: true}
@@ -516,7 +522,7 @@
 				}
 				wire.WriteResponse(w, http.StatusOK, page)
 			}
-			withCloud(t, unlimited, handler, func(t *testing.T, f *fakeCloud) {
+			withCloud(t, unlimitedRate, handler, func(t *testing.T, f *fakeCloud) {
 				got, err := f.client.List(t.Context())
 				checkClass(t, err, tt.err)
 				if len(got) != tt.want {
@@ -535,8 +541,9 @@
 	}
 }
 
-// Only a request without a usable answer may have been executed, and only an invalid one can't succeed later.
-func TestErrorSaysWhatACallerMayDo(t *testing.T) {
+// Only a request with an unknown outcome may have been executed. Only an invalid one can't succeed
+// later.
+func TestErrorClassDeterminesExecutionAndRetry(t *testing.T) {
 	tests := []struct {
 		class                    error
 		maybeExecuted, retryable bool
@@ -559,7 +566,7 @@
 	}
 }
 
-// Errors of the client name the cloud, for logs that hold those of other services too.
+// Error texts name the cloud, since logs also hold errors of other services.
 func TestSentinelsNameTheCloud(t *testing.T) {
 	for _, sentinel := range sentinels {
 		if !strings.HasPrefix(sentinel.Error(), "cloud: ") {
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -8,40 +8,44 @@
 	"lilaclead/internal/wire"
 )
 
-// The classes of failed calls, for errors.Is. Their texts are values of the metrics' outcome label too.
+// The classes of failed calls, for errors.Is. Their texts are also values of the "outcome" label of
+// the metrics.
 var (
-	// ErrNoCapacity means that the cloud has no machine of this type and price in this zone now.
+	// ErrNoCapacity means that the cloud currently has no machine of this type and price in this zone.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrUnavailable means that there were too many requests, or that the API is down; the request was not executed.
+	// ErrUnavailable means that the request was not executed: there were too many requests, or the
+	// API is down.
 	ErrUnavailable = errors.New("cloud: busy or down")
-	// ErrInvalid means that the cloud calls the request malformed.
+	// ErrInvalid means that the cloud rejected the request as malformed.
 	ErrInvalid = errors.New("cloud: request refused as invalid")
-	// ErrUnknown means that there was no usable answer: the request may have been executed, or may still be.
+	// ErrUnknown means that there was no usable response: the request may have been executed, or may
+	// still be.
 	ErrUnknown = errors.New("cloud: outcome unknown")
 )
 
-// Causes of errors whose answer was well-formed.
+// Causes of errors whose response was well-formed.
 var (
 	errUnexpectedStatus = errors.New("unexpected status")
 	errNoMachineTypes   = errors.New("no machine types")
 )
 
-// reasonNoCapacity is the cloud's reason for a 503 that is no outage: it lacks machines of the requested kind.
+// reasonNoCapacity is the error text in the body of a 503 response if the cloud is up, but lacks
+// machines of the requested type.
 const reasonNoCapacity = "no capacity"
 
-// Error is a call that failed, other than for the lack of a permit.
+// Error describes a failed call. Calls without a permit fail with errors of package duty instead.
 type Error struct {
-	// Operation is the call that failed.
+	// Operation is the operation of the failed call.
 	Operation Operation
 	// Class is ErrNoCapacity, ErrUnavailable, ErrInvalid or ErrUnknown.
 	Class error
-	// Status is the HTTP status of the answer; 0 if none came, or not the whole of it.
+	// Status is the HTTP status of the response; 0 if no complete response was received.
 	Status int
-	// Cause is why there was no answer, or no usable one; nil where the class says it all.
+	// Cause is why there was no response, or no usable one; nil if Class says enough.
 	Cause error
 }
 
-// Error returns the operation, the class, the status and the cause, as far as there are such.
+// Error returns the operation and the class, followed by the status and the cause if they are set.
 func (e *Error) Error() string {
 	text := string(e.Operation) + ": " + e.Class.Error()
 	if e.Status != 0 {
@@ -53,8 +57,9 @@
 	return text
 }
 
-// Unwrap returns the class, and the cause of an answer that was not usable. Why there was no answer is not wrapped: a request
-// that is under way when the lease ends fails with duty.ErrNotHeld for its cause, which would say that it was not sent.
+// Unwrap returns the class and, if a complete response was received, the cause. It hides why there
+// was none: for a request that is in flight when the lease ends, the cause is duty.ErrNotHeld, which
+// would tell callers that the request was not sent.
 func (e *Error) Unwrap() []error {
 	if e.Cause == nil || e.Status == 0 {
 		return []error{e.Class}
@@ -62,15 +67,16 @@
 	return []error{e.Class, e.Cause}
 }
 
-// MaybeExecuted reports whether the cloud may have executed the request, or may still do so.
+// MaybeExecuted reports whether the cloud may have executed the request, or may still execute it.
 func (e *Error) MaybeExecuted() bool { return errors.Is(e.Class, ErrUnknown) }
 
-// Retryable reports whether the same request can succeed later, which one that was refused as invalid can't.
+// Retryable reports whether the same request can succeed later. Only an invalid request can't.
 func (e *Error) Retryable() bool { return !errors.Is(e.Class, ErrInvalid) }
 
-// outcome returns the error's value of the metrics' outcome label. Dashboards know these texts, so they are independent of
-// Error; why a request could not be sent or was not answered is left out, since it differs from call to call.
-func (e *Error) outcome() string {
+// outcomeLabel returns the value of the "outcome" label of the metrics for the error. Dashboards
+// match these texts, so they don't depend on the text of Error. They omit why a request could not be
+// sent or got no response, since that differs from call to call.
+func (e *Error) outcomeLabel() string {
 	switch {
 	case !errors.Is(e.Class, ErrUnknown) || e.Status == 0:
 		return e.Class.Error()
@@ -81,19 +87,20 @@
 	}
 }
 
-// outcomeOf returns the value of the metrics' outcome label for the result of a call.
+// outcomeOf returns the value of the "outcome" label of the metrics for the result of a call.
 func outcomeOf(err error) string {
 	if err == nil {
 		return "ok"
 	}
-	var failed *Error
-	if errors.As(err, &failed) {
-		return failed.outcome()
+	var callErr *Error
+	if errors.As(err, &callErr) {
+		return callErr.outcomeLabel()
 	}
 	return err.Error()
 }
 
-// classOfStatus returns the class of an answer that is not 200, with the cause if the class alone does not say it.
+// classOfStatus returns the class of a response whose status is not 200. It returns a cause only if
+// the class doesn't say enough.
 func classOfStatus(status int, body []byte) (class, cause error) {
 	switch status {
 	case http.StatusTooManyRequests:
@@ -110,15 +117,16 @@
 	}
 }
 
-// lacksCapacity reports whether the body of a 503 says that the cloud lacks machines, which is no outage.
+// lacksCapacity reports whether the body of a 503 response says that the cloud lacks machines, rather
+// than that it is down.
 func lacksCapacity(body []byte) bool {
 	var refusal wire.ErrorBody
 	return wire.Decode(body, &refusal) == nil && refusal.Error == reasonNoCapacity
 }
 
-// classOfTransport returns the class of a request that got no answer. One whose connection could not be opened was
-// certainly not executed.
-func classOfTransport(err error) error {
+// classOfTransportError returns the class of a request that got no complete response. If its
+// connection could not be opened, it was certainly not executed.
+func classOfTransportError(err error) error {
 	if wire.IsNotSent(err) {
 		return ErrUnavailable
 	}
--- a/internal/netio/bounded.go
+++ b/internal/netio/bounded.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// Bounded returns the network with a limit on the connections that are open or being opened at a time. Those being opened
-// count because a client's requests may be given up long before the network gives up on their connections. Beyond the limit
-// a dial waits for another connection to end; the wait and the dial together take no longer than the timeout.
+// Bounded returns the network with a limit on the number of connections that are open or being opened.
+// Those being opened count because a client may cancel its requests long before the network gives up
+// opening their connections. At the limit, a dial waits until another connection is closed. The wait
+// and the dial together take no longer than the timeout.
 func (n Net) Bounded(limit int, timeout time.Duration) Net {
 	slots := make(connectionSlots, limit)
 	dial := n.Dial
@@ -32,7 +33,7 @@
 // connectionSlots holds one element for each connection that is open or being opened.
 type connectionSlots chan struct{}
 
-// acquire waits for a free slot until the context ends.
+// acquire waits for a free slot and occupies it, or fails when the context ends.
 func (s connectionSlots) acquire(ctx context.Context) error {
 	select {
 	case s <- struct{}{}:
@@ -42,7 +43,7 @@
 	}
 }
 
-// release frees a slot that was acquired.
+// release frees an acquired slot.
 func (s connectionSlots) release() { <-s }
 
 // slotConn is a connection that frees its slot when it is closed for the first time.
@@ -51,7 +52,7 @@
 	releaseOnce func()
 }
 
-// Close closes the connection and frees its slot.
+// Close closes the connection. The first call also frees the slot.
 func (c *slotConn) Close() error {
 	defer c.releaseOnce()
 	return c.Conn.Close()
--- a/internal/netio/bounded_test.go
+++ b/internal/netio/bounded_test.go
@@ -15,10 +15,11 @@
 
 const (
 	localIP = "10.0.0.1"
-	// openAddr takes connections; hangingAddr is of a host without power, which lets them hang.
+	// openAddr accepts connections. hangingAddr is at a host that is powered off, where dials hang
+	// until they time out.
 	openIP, openAddr       = "10.0.0.2", "10.0.0.2:1"
 	hangingIP, hangingAddr = "10.0.0.3", "10.0.0.3:1"
-	// connectionLimit and dialTimeout are those of the bounded network.
+	// connectionLimit and dialTimeout are the limit and the timeout of the bounded network.
 	connectionLimit = 2
 	dialTimeout     = time.Second
 )
@@ -29,12 +30,11 @@
 	network netio.Net
 }
 
-// dial opens a connection.
 func (d *boundedDialer) dial(addr string) (net.Conn, error) {
 	return d.network.Dial(d.t.Context(), "tcp4", addr)
 }
 
-// mustDial opens a connection that there is room for.
+// mustDial opens a connection and fails the test unless that succeeds without a wait.
 func (d *boundedDialer) mustDial(addr string) net.Conn {
 	d.t.Helper()
 	begin := time.Now()
@@ -43,45 +43,45 @@
 		d.t.Fatalf("dial %s: %v", addr, err)
 	}
 	if waited := time.Since(begin); waited > 100*time.Millisecond {
-		d.t.Errorf("dial %s waited for %v, want a connection at once", addr, waited)
+		d.t.Errorf("dial %s waited for %v, want no wait", addr, waited)
 	}
 	return conn
 }
 
-// Connections that hang while they are opened count like open ones; beyond the limit nothing is sent, and who waits learns so
-// in time.
-func TestBounded(t *testing.T) {
+// Connections that are being opened count towards the limit like open ones. A dial at the limit sends
+// nothing while it waits, and fails after the timeout.
+func TestBoundedLimitsOpenAndOpeningConnections(t *testing.T) {
 	tests := []struct {
 		name string
 		test func(t *testing.T, d *boundedDialer)
 	}{
-		{"dial waits while an attempt that hangs takes the last slot", func(t *testing.T, d *boundedDialer) {
+		{"dial waits while a hanging dial occupies the last slot", func(t *testing.T, d *boundedDialer) {
 			defer d.mustDial(openAddr).Close()
 			var wg sync.WaitGroup
 			defer wg.Wait()
 			wg.Go(func() {
 				if _, err := d.dial(hangingAddr); err == nil {
-					t.Error("dial of a host without power succeeded")
+					t.Error("dial of a host that is powered off succeeded")
 				}
 			})
 			time.Sleep(dialTimeout / 2)
 			begin := time.Now()
 			conn, err := d.dial(openAddr)
 			if waited := time.Since(begin); err != nil || waited < 400*time.Millisecond {
-				t.Fatalf("third connection after %v: %v, want one after %v", waited, err, dialTimeout/2)
+				t.Fatalf("third dial returned after %v with error %v, want a connection after %v", waited, err, dialTimeout/2)
 			}
 			conn.Close()
 		}},
-		{"dial beyond the limit fails after the timeout, unsent", func(t *testing.T, d *boundedDialer) {
+		{"dial at the limit fails after the timeout and sends nothing", func(t *testing.T, d *boundedDialer) {
 			defer d.mustDial(openAddr).Close()
 			defer d.mustDial(openAddr).Close()
 			begin := time.Now()
 			_, err := d.dial(openAddr)
 			if err == nil || !wire.IsNotSent(err) {
-				t.Errorf("error %v, want one that says that nothing was sent", err)
+				t.Errorf("error %v, want one for which IsNotSent is true", err)
 			}
 			if waited := time.Since(begin); waited != dialTimeout {
-				t.Errorf("failed after %v, want %v", waited, dialTimeout)
+				t.Errorf("dial failed after %v, want %v", waited, dialTimeout)
 			}
 		}},
 		{"close frees the slot", func(t *testing.T, d *boundedDialer) {
@@ -90,7 +90,7 @@
 			first.Close()
 			d.mustDial(openAddr).Close()
 		}},
-		{"second close frees no other slot", func(t *testing.T, d *boundedDialer) {
+		{"second close of a connection frees no further slot", func(t *testing.T, d *boundedDialer) {
 			first := d.mustDial(openAddr)
 			defer d.mustDial(openAddr).Close()
 			first.Close()
@@ -98,7 +98,7 @@
 			defer d.mustDial(openAddr).Close()
 			if conn, err := d.dial(openAddr); err == nil {
 				conn.Close()
-				t.Error("three connections are open, want 2 at most")
+				t.Error("three connections are open, want at most 2")
 			}
 		}},
 		{"refused connection frees the slot", func(t *testing.T, d *boundedDialer) {
@@ -107,7 +107,7 @@
 				_, err := d.dial(openIP + ":2")
 				var refused *net.OpError
 				if !errors.As(err, &refused) || time.Since(begin) >= dialTimeout {
-					t.Errorf("error %v after %v, want a refusal at once", err, time.Since(begin))
+					t.Errorf("error %v after %v, want a refusal without a wait", err, time.Since(begin))
 				}
 			}
 		}},
--- a/internal/netio/http_test.go
+++ b/internal/netio/http_test.go
@@ -15,7 +15,8 @@
 	"lilaclead/internal/wire"
 )
 
-// withServer runs a test in virtual time with an HTTP server at openAddr; network is the client's.
+// withServer runs a test in virtual time with an HTTP server at openAddr. The test gets the network of
+// its client.
 func withServer(t *testing.T, handler http.HandlerFunc, test func(t *testing.T, network netio.Net)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,29 +35,29 @@
 	})
 }
 
-// A body is sent as CBOR, or as it is if it is bytes already; the answer is read up to a limit.
-func TestCall(t *testing.T) {
+// A request body is sent as CBOR, a []byte unchanged. A response body over the limit is an error.
+func TestCallEncodesRequestAndLimitsResponse(t *testing.T) {
 	encoded := wire.Encode(wire.ErrorBody{Error: "trouble"})
 	tests := []struct {
 		name        string
 		body        any
-		maxAnswer   int64
+		maxResponse int64 // bytes
 		sent        []byte
 		contentType string
-		err         error
+		wantErr     error
 	}{
-		{name: "without a body", maxAnswer: 100},
-		{name: "value is encoded", body: wire.ErrorBody{Error: "trouble"}, maxAnswer: 100, sent: encoded, contentType: wire.ContentType},
-		{name: "bytes go as they are", body: encoded, maxAnswer: 100, sent: encoded, contentType: wire.ContentType},
-		{name: "answer of the largest size", maxAnswer: int64(len("answer"))},
-		{name: "answer over the limit", maxAnswer: int64(len("answer")) - 1, err: wire.ErrBodyTooLarge},
+		{name: "without a body", maxResponse: 100},
+		{name: "value is encoded", body: wire.ErrorBody{Error: "trouble"}, maxResponse: 100, sent: encoded, contentType: wire.ContentType},
+		{name: "bytes are sent unchanged", body: encoded, maxResponse: 100, sent: encoded, contentType: wire.ContentType},
+		{name: "response of the largest size", maxResponse: int64(len("answer"))},
+		{name: "response over the limit", maxResponse: int64(len("answer")) - 1, wantErr: wire.ErrBodyTooLarge},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				got, err := wire.ReadBody(r.Body, wire.MaxBody)
 				if err != nil || !bytes.Equal(got, tt.sent) || r.Header.Get("Content-Type") != tt.contentType {
-					t.Errorf("received body %x, %v of type %q, want %x of type %q", got, err, r.Header.Get("Content-Type"), tt.sent, tt.contentType)
+					t.Errorf("received body %x, error %v, type %q, want body %x, type %q", got, err, r.Header.Get("Content-Type"), tt.sent, tt.contentType)
 				}
 				w.Header().Set("Retry-After", "7")
 				w.WriteHeader(http.StatusTeapot)
@@ -64,22 +65,23 @@
 			}
 			withServer(t, handler, func(t *testing.T, network netio.Net) {
 				client := &http.Client{Transport: network.Transport(1, 1)}
-				status, answer, header, err := netio.Call(t.Context(), client, http.MethodPost, "http://"+openAddr+"/", tt.body, tt.maxAnswer)
-				if !errors.Is(err, tt.err) {
-					t.Fatalf("error %v, want %v", err, tt.err)
+				status, response, header, err := netio.Call(t.Context(), client, http.MethodPost, "http://"+openAddr+"/", tt.body, tt.maxResponse)
+				if !errors.Is(err, tt.wantErr) {
+					t.Fatalf("error %v, want %v", err, tt.wantErr)
 				}
 				if status != http.StatusTeapot || header.Get("Retry-After") != "7" {
 					t.Errorf("status %d, header %v, want 418 with Retry-After", status, header)
 				}
-				if tt.err == nil && string(answer) != "answer" {
-					t.Errorf("answer %q, want %q", answer, "answer")
+				if tt.wantErr == nil && string(response) != "answer" {
+					t.Errorf("response %q, want %q", response, "answer")
 				}
 			})
 		})
 	}
 }
 
-// A request with a body that may have been executed is not sent again, though its connection had been used before.
+// A request with a body is not sent again, even if it was the second on its connection and failed
+// without a response: it may have been executed.
 func TestCallNeverResendsBody(t *testing.T) {
 	var received int
 	handler := func(http.ResponseWriter, *http.Request) {
@@ -98,24 +100,24 @@
 			t.Fatal(err)
 		}
 		if err := call(); err == nil || wire.IsNotSent(err) {
-			t.Errorf("error %v, want one that leaves open whether the request was executed", err)
+			t.Errorf("error %v, want one for which IsNotSent is false", err)
 		}
 		if received != 2 {
-			t.Errorf("%d requests received of 2 calls", received)
+			t.Errorf("%d requests received from 2 calls, want 2", received)
 		}
 	})
 }
 
-// A request beyond a host's connections waits for one of them; a call ends with its context.
+// A request waits while the limit of connections to its host is reached. A call ends with its context.
 func TestTransportBoundsConnectionsPerHost(t *testing.T) {
-	const answerTime, calls, connections = time.Second, 6, 2
-	answer := func(_ http.ResponseWriter, r *http.Request) {
+	const responseTime, calls, connections = time.Second, 6, 2
+	respond := func(_ http.ResponseWriter, r *http.Request) {
 		select {
-		case <-time.After(answerTime):
+		case <-time.After(responseTime):
 		case <-r.Context().Done():
 		}
 	}
-	withServer(t, answer, func(t *testing.T, network netio.Net) {
+	withServer(t, respond, func(t *testing.T, network netio.Net) {
 		client := &http.Client{Transport: network.Transport(connections, connections)}
 		begin := time.Now()
 		var wg sync.WaitGroup
@@ -127,10 +129,10 @@
 			})
 		}
 		wg.Wait()
-		if got, want := time.Since(begin), calls/connections*answerTime; got < want || got > want+answerTime/2 {
+		if got, want := time.Since(begin), calls/connections*responseTime; got < want || got > want+responseTime/2 {
 			t.Errorf("%d calls over %d connections took %v, want %v", calls, connections, got, want)
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), answerTime/2)
+		ctx, cancel := context.WithTimeout(t.Context(), responseTime/2)
 		defer cancel()
 		if _, _, _, err := netio.Call(ctx, client, http.MethodGet, "http://"+openAddr+"/", nil, 100); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("error %v, want %v", err, context.DeadlineExceeded)
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,5 +1,5 @@
-// Package netio is the network that a node is given, so that tests and embedding programs can put another one under it, and
-// HTTP requests over that network.
+// Package netio defines the network that a node uses, which tests and embedding programs can replace,
+// and makes HTTP requests over it.
 package netio
 
 import (
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// Net is a network that connections are opened and accepted on.
+// Net is a network on which connections are opened and accepted.
 type Net struct {
 	// Dial opens a connection to an address.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Listen accepts connections at an address.
+	// Listen opens a listener that accepts connections at an address.
 	Listen func(network, addr string) (net.Listener, error)
 }
 
 const (
-	// dialTimeout bounds the attempt to connect to a host that does not answer.
+	// dialTimeout bounds the time for opening a connection, for hosts that don't answer.
 	dialTimeout = 2 * time.Second
-	// keepAlivePeriod is the period of the probes that find connections whose other end no longer exists.
+	// keepAlivePeriod is the period of the TCP keep-alive probes, which detect connections whose
+	// other end no longer exists.
 	keepAlivePeriod = 15 * time.Second
 )
 
-// Real returns the machine's own network.
+// Real returns the network of the machine that the process runs on.
 func Real() Net {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod}
 	return Net{Dial: dialer.DialContext, Listen: net.Listen}
--- a/internal/undecodable/undecodable_test.go
+++ b/internal/undecodable/undecodable_test.go
@@ -19,33 +19,33 @@
 	return New(slog.New(slog.NewTextHandler(&out, nil))), &out
 }
 
-func TestNoteLogsEachSourceOnce(t *testing.T) {
+func TestLogOnceLogsEachSourceOnce(t *testing.T) {
 	log, out := newTestLog()
-	var notes sync.WaitGroup
+	var callers sync.WaitGroup
 	for range 8 {
-		notes.Go(func() {
+		callers.Go(func() {
 			log.LogOnce("job/req-1", errDecoding)
 			log.LogOnce("a heartbeat from 10.0.0.2", errDecoding)
 		})
 	}
-	notes.Wait()
+	callers.Wait()
 	for _, want := range []string{
 		`level=ERROR msg="undecodable input rejected" source=job/req-1 err="unexpected EOF"`,
 		`level=ERROR msg="undecodable input rejected" source="a heartbeat from 10.0.0.2" err="unexpected EOF"`,
 	} {
 		if got := strings.Count(out.String(), want); got != 1 {
-			t.Errorf("got %d lines %s, want 1, in\n%s", got, want, out)
+			t.Errorf("got %d lines %s, want 1, in log:\n%s", got, want, out)
 		}
 	}
 }
 
-func TestNoteStopsAtMaxSources(t *testing.T) {
+func TestLogOnceStopsAtMaxSources(t *testing.T) {
 	log, out := newTestLog()
 	for n := range maxSources + 10 {
 		log.LogOnce(fmt.Sprint("job/req-", n), errDecoding)
 	}
 	if got := strings.Count(out.String(), "\n"); got != maxSources {
-		t.Errorf("got %d lines, want %d", got, maxSources)
+		t.Errorf("got %d log lines, want %d", got, maxSources)
 	}
 }
 
