--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -40,8 +40,8 @@
 	// minRate is the lowest rate of a node, in requests per second. It lets a node work even if the
 	// deployment's limit is very low.
 	minRate = 0.5
-	// burstSeconds is the size of a burst, as the seconds in which the node's rate yields as many
-	// requests. The cloud allows the deployment bursts of two seconds.
+	// burstSeconds is the size of a burst, in seconds' worth of requests at the node's rate. The cloud
+	// allows the deployment bursts of two seconds' worth.
 	burstSeconds = 1.5
 )
 
--- a/internal/netio/http_test.go
+++ b/internal/netio/http_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// A request with a body is not sent again, even if it was the second on its connection and failed
-// without a response: it may have been executed.
+// A request with a body is not sent again when a reused connection fails without a response, since it
+// may have been executed.
 func TestCallNeverResendsBody(t *testing.T) {
 	var received int
 	handler := func(http.ResponseWriter, *http.Request) {
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -6,7 +6,7 @@
 	"lilaclead/internal/wire"
 )
 
-// event is a message that a stream has received. The goroutine that owns the view handles it.
+// event is a message that was received on a stream. The goroutine that owns the view handles it.
 type event interface {
 	handle(m *Mesh, current *View)
 }
@@ -14,7 +14,8 @@
 // heartbeatReceived is another node's heartbeat.
 type heartbeatReceived struct {
 	heartbeat Heartbeat
-	// reply takes the answer; it has room for it, so that a stream that has ended holds up nobody.
+	// reply receives the answer. It is buffered, so that the handler does not block if the stream has
+	// ended.
 	reply chan<- Heartbeat
 }
 
@@ -26,13 +27,14 @@
 	requestedAt time.Time
 }
 
-// handle applies the heartbeat to the view and answers it. What the answer says is in the published view before it is sent.
+// handle applies the heartbeat to the view and answers it. It publishes the view before it hands over
+// the answer, so that the view contains all that the answer states.
 func (e heartbeatReceived) handle(m *Mesh, current *View) {
 	from := e.heartbeat.From
 	p := current.peerInContact(from)
 	m.learnVersion(&e.heartbeat)
 	current.observeHeartbeat(&p, &e.heartbeat)
-	answer := m.answer(current.Token, e.heartbeat.Sequence)
+	answer := m.newAnswer(current.Token, e.heartbeat.Sequence)
 	if answer.Delegation > 0 {
 		p.DelegationGrantedAt = time.Now()
 	}
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -7,58 +7,66 @@
 	"lilaclead/internal/wire"
 )
 
-// Heartbeat is the message of a stream, in both directions: one node sends heartbeats, the other answers each with a Heartbeat
-// of its own. Ages, rather than times of day, are sent, since the nodes' clocks are not compared.
+// Heartbeat is the message type of a stream in both directions: one node sends heartbeats, and the
+// other answers each with a Heartbeat of its own. It states ages instead of times, since times of
+// different nodes' clocks can't be compared.
 type Heartbeat struct {
 	// From is the sender.
 	From wire.NodeID `cbor:"from"`
-	// Sequence numbers the heartbeats of a stream from 1; an answer has the number of its heartbeat.
+	// Sequence numbers the heartbeats of a stream from 1. An answer has the number of its heartbeat.
 	Sequence uint64 `cbor:"seq"`
-	// Token is the highest fencing token that the sender knows. In an answer it is the acknowledgement; 0 acknowledges none.
+	// Token is the highest fencing token that the sender knows. In an answer it is the token that the
+	// sender acknowledges, 0 if none.
 	Token wire.FencingToken `cbor:"token"`
-	// Leads means that the sender is the leader with that token.
+	// Leads means that the sender is the leader with Token.
 	Leads bool `cbor:"leads"`
-	// StateReachable means that the sender reaches the state service.
+	// StateReachable means that the sender reaches the key-value store.
 	StateReachable bool `cbor:"serves"`
 	// ReachableWorkers is the number of workers in contact with the sender.
 	ReachableWorkers int `cbor:"hears"`
-	// Delegation, in an answer, is the token with which the sender surely leads: the receiver may renew workers' leases on its
-	// behalf for a while, counted from when the receiver sent the heartbeat.
+	// Delegation, in an answer, is the token with which the sender certainly leads; 0 if there is no
+	// delegation. The receiver may renew workers' leases on the sender's behalf for a limited time,
+	// which counts from when the receiver sent the heartbeat.
 	Delegation wire.FencingToken `cbor:"grants,omitempty"`
-	// SinceRenewal, in an answer, is how long ago the sender last renewed a worker's lease as a delegate; 0 if it has not since
-	// it started.
+	// SinceRenewal, in an answer, is how long ago the sender last renewed a worker's lease as a
+	// delegate; 0 if it has not done so since it started.
 	SinceRenewal time.Duration `cbor:"stood,omitempty"`
-	// Uptime, in an answer, is how long ago the sender started. What its predecessor on the same node renewed as a delegate it
-	// does not know.
+	// Uptime, in an answer, is how long ago the sender's process started. The sender does not know
+	// which leases the previous process of its node renewed as a delegate.
 	Uptime time.Duration `cbor:"age,omitempty"`
-	// UnconfirmedCancelAge, in an answer with a Delegation, is the age of the oldest confirmed cancellation whose job may still be
-	// started by a launch that is on its way; 0 if there is none. No worker's heartbeat shows such a task yet, so a delegate
-	// can't stop it: the time for which it may renew leases is counted from that cancellation.
+	// UnconfirmedCancelAge, in an answer with a Delegation, is the age of the oldest cancellation that
+	// a user was told of and of whose job a launch may still be in flight; 0 if there is none. No
+	// worker's heartbeat shows such a task yet, so a delegate can't stop it. The time for which the
+	// delegate may renew leases therefore counts from that cancellation.
 	UnconfirmedCancelAge time.Duration `cbor:"unproven,omitempty"`
-	// Incarnation identifies the sender's process among those of its node; empty where versions are not negotiated.
+	// Incarnation identifies the sender's process among those of its node; empty if versions are not
+	// negotiated.
 	Incarnation string `cbor:"process,omitempty"`
-	// ActiveVersion is the version of the behaviour that the sender knows to be active; 0 where versions are not negotiated.
+	// ActiveVersion is the version of the behaviour that the sender knows to be active; 0 if versions
+	// are not negotiated.
 	ActiveVersion uint64 `cbor:"version,omitempty"`
 	// Update, in an answer, is what the sender knows of cancellations.
 	cancels.Update
 }
 
-// Status is this node's part of the heartbeats and answers that it sends. The fields are as in Heartbeat, where not described.
+// Status is what a node states of itself in its heartbeats and answers. Fields without a comment are as
+// in Heartbeat.
 type Status struct {
 	Leads            bool
 	Delegation       wire.FencingToken
 	StateReachable   bool
 	ReachableWorkers int
-	// UnconfirmedCancelSince is when the oldest cancellation was confirmed whose job may still be started by a launch that is on its
-	// way; zero if there is none.
+	// UnconfirmedCancelSince is the time of the oldest cancellation that a user was told of and of
+	// whose job a launch may still be in flight; zero if there is none.
 	UnconfirmedCancelSince time.Time
 	Incarnation            string
 	ActiveVersion          uint64
-	// RefusesAcks means that this node must not acknowledge any token, as it may not understand the active version.
+	// RefusesAcks means that the node must not acknowledge any token, since it may not understand the
+	// active version.
 	RefusesAcks bool
 }
 
-// heartbeat returns the heartbeat that a stream sends.
+// heartbeat returns the heartbeat to be sent on a stream.
 func (s *Status) heartbeat(from wire.NodeID, sequence uint64, token wire.FencingToken) Heartbeat {
 	return Heartbeat{
 		From:             from,
@@ -72,7 +80,7 @@
 	}
 }
 
-// unconfirmedCancelAge returns the age of the oldest cancellation of UnconfirmedCancelSince; 0 if there is none.
+// unconfirmedCancelAge returns how long ago UnconfirmedCancelSince was; 0 if it is zero.
 func (s *Status) unconfirmedCancelAge() time.Duration {
 	if s.UnconfirmedCancelSince.IsZero() {
 		return 0
--- a/internal/peer/incoming.go
+++ b/internal/peer/incoming.go
@@ -11,16 +11,17 @@
 	"lilaclead/internal/undecodable"
 )
 
-// incomingStream is the end of a stream that receives heartbeats.
+// incomingStream is the receiving end of a stream: it receives heartbeats and sends answers.
 type incomingStream struct {
 	mesh       *Mesh
-	sender     string // the host that the request is from
+	senderHost string // the host that opened the stream
 	control    *http.ResponseController
 	heartbeats *cbor.Decoder
 	answers    *cbor.Encoder
-	// replies takes the answer to the heartbeat that was received last.
+	// replies receives the answer to the latest heartbeat from the goroutine that owns the view.
 	replies chan Heartbeat
-	// cancelCursor is the position in the log of cancellations up to which they were sent on this stream.
+	// cancelCursor is the position in the log of cancellations up to which they were sent on this
+	// stream.
 	cancelCursor uint64
 }
 
@@ -28,7 +29,7 @@
 func (m *Mesh) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := &incomingStream{
 		mesh:       m,
-		sender:     undecodable.Sender(r),
+		senderHost: undecodable.Sender(r),
 		control:    http.NewResponseController(w),
 		heartbeats: cbor.NewDecoder(r.Body),
 		answers:    cbor.NewEncoder(w),
@@ -38,29 +39,29 @@
 	if s.control.Flush() != nil {
 		return
 	}
-	for s.answerNext(r.Context()) == nil {
+	for s.answerNextHeartbeat(r.Context()) == nil {
 	}
 }
 
-// answerNext answers the next heartbeat, or returns why the stream ends.
-func (s *incomingStream) answerNext(ctx context.Context) error {
-	heartbeat, err := s.receive()
+// answerNextHeartbeat receives and answers the next heartbeat. An error ends the stream.
+func (s *incomingStream) answerNextHeartbeat(ctx context.Context) error {
+	heartbeat, err := s.receiveHeartbeat()
 	if err != nil {
 		return err
 	}
-	answer, err := s.answer(ctx, heartbeat)
+	answer, err := s.awaitAnswer(ctx, heartbeat)
 	if err != nil {
 		return err
 	}
-	return s.send(answer)
+	return s.sendAnswer(answer)
 }
 
-// receive returns the next heartbeat, from a known peer.
-func (s *incomingStream) receive() (Heartbeat, error) {
-	_ = s.control.SetReadDeadline(time.Now().Add(streamIdleTimeout)) // else the stream ends later, by itself
+// receiveHeartbeat returns the next heartbeat. One from an unknown node is an error.
+func (s *incomingStream) receiveHeartbeat() (Heartbeat, error) {
+	_ = s.control.SetReadDeadline(time.Now().Add(streamIdleTimeout)) // if this fails, a stream without heartbeats ends later
 	var heartbeat Heartbeat
 	if err := s.heartbeats.Decode(&heartbeat); err != nil {
-		s.mesh.logUndecodable("a heartbeat from "+s.sender, err)
+		s.mesh.logUndecodable("a heartbeat from "+s.senderHost, err)
 		return Heartbeat{}, err
 	}
 	if _, ok := s.mesh.findPeer(heartbeat.From); !ok {
@@ -69,8 +70,8 @@
 	return heartbeat, nil
 }
 
-// answer returns the answer to a heartbeat from the goroutine that owns the view.
-func (s *incomingStream) answer(ctx context.Context, heartbeat Heartbeat) (Heartbeat, error) {
+// awaitAnswer passes a heartbeat to the goroutine that owns the view and returns its answer.
+func (s *incomingStream) awaitAnswer(ctx context.Context, heartbeat Heartbeat) (Heartbeat, error) {
 	select {
 	case s.mesh.events <- heartbeatReceived{heartbeat: heartbeat, reply: s.replies}:
 	case <-ctx.Done():
@@ -84,8 +85,8 @@
 	}
 }
 
-// send sends an answer, with the cancellations that were not sent yet on this stream.
-func (s *incomingStream) send(answer Heartbeat) error {
+// sendAnswer sends an answer, with the cancellations that were not sent on this stream yet.
+func (s *incomingStream) sendAnswer(answer Heartbeat) error {
 	answer.Update, s.cancelCursor = s.mesh.cancels.UpdateSince(s.cancelCursor)
 	if err := s.answers.Encode(answer); err != nil {
 		return err
@@ -93,8 +94,8 @@
 	return s.control.Flush()
 }
 
-// logUndecodable logs a message that has arrived and can't be decoded, rather than one that was cut short. Its stream is opened
-// anew, and streams to other nodes go on.
+// logUndecodable logs the error of a message that arrived completely and can't be decoded. It does not
+// log one of a message that was cut short. In both cases only this stream ends and is reopened.
 func (m *Mesh) logUndecodable(message string, err error) {
 	var wrongType *cbor.UnmarshalTypeError
 	var malformed *cbor.SyntaxError
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,13 +1,15 @@
-// Package peer connects the controllers. Every node keeps a stream to every other, an HTTP/2 request whose body and answer do
-// not end, on which it sends heartbeats and receives an answer to each. They carry the highest fencing token that a node
-// knows, its acknowledgement, a leader's permission to renew workers' leases on its behalf (a delegation), and the
-// cancellations that users were told of.
+// Package peer connects the controllers. Every node keeps a stream open to every other node. A stream
+// is an HTTP/2 request whose request and response bodies do not end. On it, the node sends heartbeats
+// and receives an answer to each. The messages carry the highest fencing token that a node knows, the
+// acknowledgement of that token, a leader's permission to renew workers' leases on its behalf (a
+// delegation), and the cancellations that users were told of.
 //
-// Mesh owns these streams, and View is what a node knows of the others. Election and leases, which rest on it, are in package
-// leader.
+// Mesh owns the streams. View is what a node knows of the other nodes. Election and leases, which are
+// built on View, are in package leader.
 //
-// Run owns the goroutines of the streams that this node opens, one for each peer and one more for each stream's heartbeats, and
-// returns when they have ended. The receiving ends are requests of the node's HTTP server, which owns their goroutines.
+// Run owns the goroutines of the streams that this node opens, and returns when they have ended. One per
+// peer opens the stream and receives the answers, and one per open stream sends the heartbeats. The
+// receiving end of a stream is a request to the node's HTTP server, which owns its goroutine.
 package peer
 
 import (
@@ -26,13 +28,15 @@
 )
 
 const (
-	// eventBuffer spares streams a wait for the goroutine that owns the view.
-	eventBuffer = 16
-	// tokenBuffer spares callers of ObserveToken that wait.
-	tokenBuffer = 4
+	// eventBufferSize is the number of events that streams can pass on without waiting for the
+	// goroutine that owns the view.
+	eventBufferSize = 16
+	// tokenBufferSize is the same for callers of ObserveToken, in tokens.
+	tokenBufferSize = 4
 )
 
-// Mesh is the actor that owns the streams to the other nodes and the view of them. It is safe for concurrent use; Run is called once.
+// Mesh owns the streams to the other nodes and the view of them. It is safe for concurrent use. Run is
+// called once.
 type Mesh struct {
 	name    wire.NodeID
 	peers   []config.Peer
@@ -40,33 +44,34 @@
 	cancels *cancels.Log
 	log     *slog.Logger
 	client  *http.Client
-	// LearnVersion, if not nil, is called with versions of the behaviour that others know to be active. It is set before Run.
+	// LearnVersion, if not nil, is called with each version of the behaviour that another node reports
+	// as active. It is set before Run.
 	LearnVersion func(version uint64)
-	// undecodable logs messages that can't be decoded.
-	undecodable *undecodable.Log
+	undecodable  *undecodable.Log
 
-	// events and tokens are what changes the view, which the goroutine of Run alone does.
+	// events and tokens hold pending changes of the view. Only the goroutine of Run applies them.
 	events chan event
 	tokens chan wire.FencingToken
 	view   atomic.Pointer[View]
 
 	startedAt time.Time
-	// renewedAfter is the time from startedAt to the last renewal as a delegate, in nanoseconds; 0 if there was none.
-	renewedAfter atomic.Int64
+	// uptimeAtRenewal is the time from startedAt to the last renewal as a delegate, in nanoseconds; 0 if
+	// there was none.
+	uptimeAtRenewal atomic.Int64
 }
 
-// New returns a mesh of a node with its peers. It asks for the status before each message that it sends.
-func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelled *cancels.Log, network netio.Net, log *slog.Logger) *Mesh {
+// New returns the mesh of a node. The mesh calls status before it sends a heartbeat or an answer.
+func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelLog *cancels.Log, network netio.Net, log *slog.Logger) *Mesh {
 	m := &Mesh{
 		name:        name,
 		peers:       peers,
 		status:      status,
-		cancels:     cancelled,
+		cancels:     cancelLog,
 		log:         log,
 		client:      &http.Client{Transport: newTransport(network)},
 		undecodable: undecodable.New(log),
-		events:      make(chan event, eventBuffer),
-		tokens:      make(chan wire.FencingToken, tokenBuffer),
+		events:      make(chan event, eventBufferSize),
+		tokens:      make(chan wire.FencingToken, tokenBufferSize),
 		startedAt:   time.Now(),
 	}
 	m.view.Store(&View{})
@@ -84,10 +89,11 @@
 	}
 }
 
-// View returns the newest view.
+// View returns the view that was published last.
 func (m *Mesh) View() *View { return m.view.Load() }
 
-// ObserveToken records a fencing token that this node has learnt of elsewhere.
+// ObserveToken records a fencing token that this node learnt from another source than its peers. It
+// returns without effect if the context ends first.
 func (m *Mesh) ObserveToken(ctx context.Context, token wire.FencingToken) {
 	select {
 	case m.tokens <- token:
@@ -95,18 +101,19 @@
 	}
 }
 
-// Run keeps streams to all peers and owns the view, until the context ends and the streams have ended with it.
+// Run keeps streams to all peers open and updates the view until the context ends. It returns after the
+// streams have ended.
 func (m *Mesh) Run(ctx context.Context) {
-	var links sync.WaitGroup
-	defer links.Wait()
+	var streams sync.WaitGroup
+	defer streams.Wait()
 	for _, p := range m.peers {
-		links.Go(func() { m.keepStream(ctx, p) })
+		streams.Go(func() { m.keepStream(ctx, p) })
 	}
-	m.ownView(ctx)
+	m.updateView(ctx)
 }
 
-// ownView applies events and tokens to the view until the context ends.
-func (m *Mesh) ownView(ctx context.Context) {
+// updateView applies events and tokens to the view until the context ends.
+func (m *Mesh) updateView(ctx context.Context) {
 	current := View{Peers: map[wire.NodeID]Peer{}}
 	for {
 		select {
@@ -121,18 +128,19 @@
 	}
 }
 
-// publish makes a copy of the view the newest one.
+// publish publishes a copy of the view.
 func (m *Mesh) publish(current *View) { m.view.Store(current.clone()) }
 
-// learnVersion reports the version that a message says is active to LearnVersion.
+// learnVersion passes the active version that a message states, if any, to LearnVersion.
 func (m *Mesh) learnVersion(message *Heartbeat) {
 	if message.ActiveVersion > 0 && m.LearnVersion != nil {
 		m.LearnVersion(message.ActiveVersion)
 	}
 }
 
-// answer returns the answer to a heartbeat, from a node that knows the token.
-func (m *Mesh) answer(token wire.FencingToken, sequence uint64) Heartbeat {
+// newAnswer returns the answer to the heartbeat with the sequence number. The token is the highest one
+// that this node knows.
+func (m *Mesh) newAnswer(token wire.FencingToken, sequence uint64) Heartbeat {
 	status := m.status()
 	answer := Heartbeat{
 		From:          m.name,
@@ -152,9 +160,9 @@
 	return answer
 }
 
-// mayAcknowledge reports whether this node may acknowledge tokens: not when it refuses to, nor as a fresh process (see
-// AckLifetime).
+// mayAcknowledge reports whether this node may acknowledge tokens. It may not if its status refuses
+// that, nor in the first AckLifetime after its process started (see AckLifetime).
 func (m *Mesh) mayAcknowledge(status *Status) bool {
-	fresh := time.Since(m.startedAt) < AckLifetime
-	return !fresh && !status.RefusesAcks
+	justStarted := time.Since(m.startedAt) < AckLifetime
+	return !justStarted && !status.RefusesAcks
 }
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -25,16 +25,17 @@
 	port     = ":1"
 	// leaderToken is the token with which node a leads.
 	leaderToken = 7
-	// connected is long enough for two fresh nodes to acknowledge tokens.
-	connected = AckLifetime + 1500*time.Millisecond
+	// connectTime is long enough for two newly started nodes to acknowledge tokens.
+	connectTime = AckLifetime + 1500*time.Millisecond
 )
 
-// pair is two nodes on a network in memory; a leads with leaderToken, of which both were told by a.
+// pair is two nodes on an in-memory network. Node a leads with leaderToken, and b learns the token from
+// a.
 type pair struct {
 	network *simulator.Network
 	ctx     context.Context
 	a, b    *Mesh
-	// logs holds what both nodes log.
+	// logs holds the log lines of both nodes.
 	logs lockedBuffer
 	// cancelsA and cancelsB are the nodes' logs of cancellations.
 	cancelsA, cancelsB *cancels.Log
@@ -43,7 +44,7 @@
 	statusB Status
 }
 
-// setStatusB changes what node b says of itself.
+// setStatusB changes the status that node b states.
 func (p *pair) setStatusB(s Status) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,7 +57,7 @@
 	return p.statusB
 }
 
-// lockedBuffer is a buffer for concurrent use.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -74,7 +75,7 @@
 	return b.buffer.String()
 }
 
-// withPair runs a test in virtual time with two nodes that start when it does.
+// withPair runs a test in virtual time with two nodes that have just started.
 func withPair(t *testing.T, test func(t *testing.T, p *pair)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -84,12 +85,12 @@
 		var running sync.WaitGroup
 		var stops []func()
 		start := func(name, other wire.NodeID, ip, otherIP string, status func() Status) (*Mesh, *cancels.Log) {
-			cancelled := cancels.New([]wire.NodeID{other}, time.Minute)
+			cancelLog := cancels.New([]wire.NodeID{other}, time.Minute)
 			log := slog.New(slog.NewTextHandler(&p.logs, &slog.HandlerOptions{Level: slog.LevelDebug}))
-			m := New(name, []config.Peer{{HostName: other, Addr: otherIP + port}}, status, cancelled, p.network.Host(ip), log)
+			m := New(name, []config.Peer{{HostName: other, Addr: otherIP + port}}, status, cancelLog, p.network.Host(ip), log)
 			stops = append(stops, serveHTTP2(t, p.network, ip, m))
 			running.Go(func() { m.Run(ctx) })
-			return m, cancelled
+			return m, cancelLog
 		}
 		statusA := Status{Leads: true, Delegation: leaderToken, StateReachable: true}
 		p.a, p.cancelsA = start("a", "b", ipA, ipB, func() Status { return statusA })
@@ -106,7 +107,7 @@
 	})
 }
 
-// serveHTTP2 serves a handler on a host, until the function that it returns is called.
+// serveHTTP2 serves a handler on a host until the returned function is called.
 func serveHTTP2(t *testing.T, network *simulator.Network, ip string, handler http.Handler) (stop func()) {
 	t.Helper()
 	listener, err := network.Host(ip).Listen("tcp4", ip+port)
@@ -124,30 +125,30 @@
 	}
 }
 
-// acked reports whether a's token is acknowledged by both nodes now.
+// acked reports whether, in the view of a, both nodes currently acknowledge the token.
 func (p *pair) acked(token wire.FencingToken) bool {
 	return p.a.View().AckedUntil(token, 2).After(time.Now())
 }
 
-// Heartbeats spread tokens, and their answers acknowledge them.
-func TestHeartbeats(t *testing.T) {
+// Heartbeats and answers spread tokens, acknowledgements, status and cancellations.
+func TestHeartbeatsSpreadTokensAndStatus(t *testing.T) {
 	tests := []struct {
 		name string
 		test func(t *testing.T, p *pair)
 	}{
-		{"fresh process acknowledges nothing for AckLifetime", func(t *testing.T, p *pair) {
+		{"newly started process acknowledges nothing for AckLifetime", func(t *testing.T, p *pair) {
 			time.Sleep(AckLifetime - 500*time.Millisecond)
 			if p.acked(leaderToken) {
-				t.Error("a fresh process acknowledges")
+				t.Error("acknowledged by a newly started process")
 			}
 			time.Sleep(2 * time.Second)
 			if !p.acked(leaderToken) {
 				t.Error("no acknowledgement after AckLifetime")
 			}
 		}},
-		{"node that refuses acknowledges nothing", func(t *testing.T, p *pair) {
+		{"node that refuses acknowledgements acknowledges nothing", func(t *testing.T, p *pair) {
 			p.setStatusB(Status{RefusesAcks: true})
-			time.Sleep(connected)
+			time.Sleep(connectTime)
 			if p.acked(leaderToken) {
 				t.Error("acknowledged by a node that refuses to")
 			}
@@ -156,36 +157,36 @@
 			}
 		}},
 		{"token and leader become known", func(t *testing.T, p *pair) {
-			time.Sleep(connected)
+			time.Sleep(connectTime)
 			if v := p.b.View(); v.Token != leaderToken || v.Leader != "a" {
 				t.Errorf("b knows token %d, leader %q, want %d, a", v.Token, v.Leader, leaderToken)
 			}
 		}},
 		{"higher token ends acknowledgements of the lower one", func(t *testing.T, p *pair) {
-			time.Sleep(connected)
+			time.Sleep(connectTime)
 			p.b.ObserveToken(p.ctx, 9)
 			time.Sleep(time.Second)
 			if got := p.a.View().AckedUntil(leaderToken, 1); got.After(time.Now()) {
-				t.Errorf("the lower token still counts until %v", got)
+				t.Errorf("lower token acknowledged until %v, want not acknowledged", got)
 			}
 			if token := p.a.View().Token; token != 9 {
 				t.Errorf("a knows token %d, want 9", token)
 			}
 		}},
 		{"partition ends acknowledgements until it heals", func(t *testing.T, p *pair) {
-			time.Sleep(connected)
+			time.Sleep(connectTime)
 			if !p.acked(leaderToken) {
 				t.Error("no acknowledgement before the partition")
 			}
 			p.network.Cut(ipA, ipB, true)
 			time.Sleep(AckLifetime + time.Second)
 			if p.acked(leaderToken) {
-				t.Error("acknowledged through a partition")
+				t.Error("acknowledged during a partition")
 			}
 			p.network.Cut(ipA, ipB, false)
 			time.Sleep(5 * time.Second)
 			if !p.acked(leaderToken) {
-				t.Error("no acknowledgement after the partition")
+				t.Error("no acknowledgement after the partition has healed")
 			}
 		}},
 		{"status becomes known", func(t *testing.T, p *pair) {
@@ -193,14 +194,14 @@
 			time.Sleep(time.Second)
 			got := p.a.View().Peers["b"]
 			if !got.StateReachable || got.ReachableWorkers != 12 || got.Incarnation != "c0ffee" || got.ActiveVersion != 2 {
-				t.Errorf("a knows %+v of b", got.Heartbeat)
+				t.Errorf("a knows heartbeat %+v of b, want the status that b states", got.Heartbeat)
 			}
 		}},
-		{"start becomes known as an upper bound", func(t *testing.T, p *pair) {
+		{"upper bound of the start becomes known", func(t *testing.T, p *pair) {
 			started := time.Now()
-			time.Sleep(connected)
+			time.Sleep(connectTime)
 			if got := p.a.View().Peers["b"].LatestStart; got.Before(started) || got.After(started.Add(100*time.Millisecond)) {
-				t.Errorf("a knows that b started before %v, want %v and little more", got, started)
+				t.Errorf("latest start of b is %v, want at most 100 ms after %v", got, started)
 			}
 		}},
 		{"cancellations become known", func(t *testing.T, p *pair) {
@@ -216,40 +217,41 @@
 	}
 }
 
-// A leader's delegation reaches the other node, and what it did as a delegate the leader.
-func TestDelegation(t *testing.T) {
+// A leader's delegation reaches the other node. The leader learns when that node renewed leases as a
+// delegate.
+func TestDelegationsAndRenewalsBecomeKnown(t *testing.T) {
 	tests := []struct {
 		name string
 		test func(t *testing.T, p *pair)
 	}{
-		{"counted from the request, and noted by the leader after it", func(t *testing.T, p *pair) {
-			time.Sleep(connected)
+		{"delegation counts from the request, and the leader records it later", func(t *testing.T, p *pair) {
+			time.Sleep(connectTime)
 			got := p.b.View().Delegation
 			if got.Token != leaderToken || time.Since(got.RequestedAt) > time.Second {
-				t.Errorf("delegation %+v, want one of token %d within a second before %v", got, leaderToken, time.Now())
+				t.Errorf("delegation %+v, want token %d and a request less than a second before %v", got, leaderToken, time.Now())
 			}
 			if granted := p.a.View().Peers["b"].DelegationGrantedAt; granted.Before(got.RequestedAt) {
 				t.Errorf("granted at %v, want no earlier than the request at %v", granted, got.RequestedAt)
 			}
 		}},
-		{"not granted under a token that is not the highest", func(t *testing.T, p *pair) {
-			time.Sleep(connected)
+		{"no delegation under a token that is not the highest", func(t *testing.T, p *pair) {
+			time.Sleep(connectTime)
 			p.b.ObserveToken(p.ctx, 9)
 			time.Sleep(time.Second)
 			if got := p.b.View().Delegation; got.Token != leaderToken || time.Since(got.RequestedAt) < 900*time.Millisecond {
-				t.Errorf("delegation under a lower token is granted again: %+v at %v", got, time.Now())
+				t.Errorf("delegation under a lower token granted again: %+v at %v", got, time.Now())
 			}
 		}},
 		{"renewal as a delegate becomes known", func(t *testing.T, p *pair) {
-			time.Sleep(connected)
+			time.Sleep(connectTime)
 			if got := p.a.View().Peers["b"].LastDelegatedRenewal; !got.IsZero() {
-				t.Errorf("renewed at %v, want never", got)
+				t.Errorf("renewal known at %v, want none", got)
 			}
 			p.b.RecordRenewal()
 			renewed := time.Now()
 			time.Sleep(time.Second)
 			if got := p.a.View().Peers["b"].LastDelegatedRenewal; got.Before(renewed) || got.After(renewed.Add(100*time.Millisecond)) {
-				t.Errorf("a knows of a renewal at %v, want %v and little more", got, renewed)
+				t.Errorf("latest renewal known at %v, want at most 100 ms after %v", got, renewed)
 			}
 		}},
 	}
@@ -258,28 +260,29 @@
 	}
 }
 
-// The age of the last renewal is 0 before the first, and positive afterwards.
-func TestSinceRenewal(t *testing.T) {
+// The age of the last renewal is 0 before the first renewal and positive afterwards.
+func TestSinceRenewalIsZeroBeforeFirstRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New("a", nil, func() Status { return Status{} }, cancels.New(nil, time.Minute), simulator.NewNetwork(0).Host(ipA), discardLog())
 		if got := m.SinceRenewal(); got != 0 {
-			t.Errorf("before the first renewal: %v, want 0", got)
+			t.Errorf("SinceRenewal() = %v before the first renewal, want 0", got)
 		}
 		m.RecordRenewal()
 		if got := m.SinceRenewal(); got <= 0 || got > time.Millisecond {
-			t.Errorf("right after a renewal: %v, want above 0", got)
+			t.Errorf("SinceRenewal() = %v right after a renewal, want above 0 and at most 1 ms", got)
 		}
 		time.Sleep(time.Minute)
 		if got := m.SinceRenewal(); got < time.Minute-time.Millisecond || got > time.Minute {
-			t.Errorf("a minute after a renewal: %v", got)
+			t.Errorf("SinceRenewal() = %v a minute after a renewal, want a minute", got)
 		}
 	})
 }
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// A version is learnt from heartbeats and answers alike, and one that is not negotiated from neither.
-func TestLearnVersion(t *testing.T) {
+// The active version is learnt from heartbeats and from answers. Without negotiation, neither states
+// one.
+func TestVersionIsLearntFromHeartbeatsAndAnswers(t *testing.T) {
 	tests := []struct {
 		name    string
 		message Heartbeat
@@ -303,16 +306,16 @@
 	}
 }
 
-// Run returns only when the goroutines of its streams have ended.
+// Run returns only after the goroutines of its streams have ended.
 func TestRunWaitsForItsStreams(t *testing.T) {
 	tests := []struct {
 		name    string
 		handler http.HandlerFunc // of the peer; nil: nothing listens
 	}{
-		{"peer is not there", nil},
+		{"peer does not listen", nil},
 		{"peer refuses the stream", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }},
-		{"peer accepts no stream", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
-		{"peer answers nothing", func(w http.ResponseWriter, r *http.Request) {
+		{"peer does not respond to the stream request", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
+		{"peer accepts the stream and answers no heartbeat", func(w http.ResponseWriter, r *http.Request) {
 			w.WriteHeader(http.StatusOK)
 			http.NewResponseController(w).Flush() //nolint:errcheck // then the stream ends
 			<-r.Context().Done()
@@ -332,10 +335,10 @@
 				begin := time.Now()
 				m.Run(ctx)
 				if got := time.Since(begin); got != time.Second {
-					t.Errorf("ended after %v, want with the context after %v", got, time.Second)
+					t.Errorf("Run returned after %v, want with the end of the context after %v", got, time.Second)
 				}
 				if running := streamGoroutines(); running > 0 {
-					t.Errorf("%d goroutines of streams run after Run", running)
+					t.Errorf("%d goroutines of streams still run after Run, want 0", running)
 				}
 				network.Close()
 			})
@@ -343,7 +346,7 @@
 	}
 }
 
-// A stream that ends before the context ends its heartbeats too.
+// A stream that ends before its context returns only after its sending goroutine has ended.
 func TestStreamWaitsForItsSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
@@ -354,20 +357,20 @@
 			t.Errorf("error %v, want %v", err, errStreamRefused)
 		}
 		if running := streamGoroutines(); running > 0 {
-			t.Errorf("%d goroutines of the stream run after it", running)
+			t.Errorf("%d goroutines of the stream still run after runStream, want 0", running)
 		}
 		network.Close()
 	})
 }
 
-// streamGoroutines returns the number of goroutines that run a stream of this package.
+// streamGoroutines returns how many goroutines run outgoing streams, by the functions on their stacks.
 func streamGoroutines() int {
 	stacks := make([]byte, 1<<20)
 	stacks = stacks[:runtime.Stack(stacks, true)]
 	return strings.Count(string(stacks), "(*outgoingStream).sendHeartbeats(") + strings.Count(string(stacks), "(*Mesh).runStream(")
 }
 
-// A stream on which nothing is answered is closed and opened anew.
+// A stream on which no answers arrive is closed and reopened.
 func TestIdleStreamIsReopened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
@@ -389,20 +392,21 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if len(opened) != 3 {
-			t.Fatalf("%d streams in %v, want 3", len(opened), 3*streamIdleTimeout)
+			t.Fatalf("%d streams opened in %v, want 3", len(opened), 3*streamIdleTimeout)
 		}
 		for i, next := range opened[1:] {
 			want := streamIdleTimeout + heartbeatPeriod
 			if got := next.Sub(opened[i]); got < want || got > want+100*time.Millisecond {
-				t.Errorf("stream %d opened %v after the one before, want %v", i+2, got, want)
+				t.Errorf("stream %d opened %v after the previous one, want %v", i+2, got, want)
 			}
 		}
 		network.Close()
 	})
 }
 
-// A message that can't be decoded, or is from an unknown node, ends its stream; only the former is logged as an error.
-func TestRefusedHeartbeats(t *testing.T) {
+// A heartbeat that can't be decoded or is from an unknown node ends its stream. Only one that arrived
+// completely and can't be decoded is logged as an error.
+func TestInvalidHeartbeatEndsItsStream(t *testing.T) {
 	tests := []struct {
 		name    string
 		body    []byte
@@ -425,7 +429,7 @@
 				defer resp.Body.Close()
 				answer, err := io.ReadAll(resp.Body)
 				if err != nil || len(answer) > 0 {
-					t.Errorf("answered %x, %v, want the end of the stream", answer, err)
+					t.Errorf("answer %x, error %v, want the end of the stream", answer, err)
 				}
 				logs := p.logs.String()
 				if tt.wantLog == "" && strings.Contains(logs, "level=ERROR") {
@@ -434,21 +438,21 @@
 				if !strings.Contains(logs, tt.wantLog) {
 					t.Errorf("logged %q, want %q", logs, tt.wantLog)
 				}
-				time.Sleep(connected)
+				time.Sleep(connectTime)
 				if !p.acked(leaderToken) {
-					t.Error("no acknowledgement on the other streams")
+					t.Error("no acknowledgement on the streams between the nodes")
 				}
 			})
 		})
 	}
 }
 
-// A request is relayed to a node that the settings name, within relayTimeout.
-func TestRelay(t *testing.T) {
-	answer := func(w http.ResponseWriter, r *http.Request) {
+// A request is relayed to a node that the settings file names, and fails after relayTimeout.
+func TestRelayReturnsResponseOrFails(t *testing.T) {
+	respond := func(w http.ResponseWriter, r *http.Request) {
 		body, err := wire.ReadBody(r.Body, wire.MaxBody)
 		if err != nil {
-			t.Errorf("body unreadable: %v", err)
+			t.Errorf("read request body: %v", err)
 		}
 		w.WriteHeader(http.StatusConflict)
 		w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), body...)) //nolint:errcheck // the client reads it or not
@@ -458,13 +462,13 @@
 		to         wire.NodeID
 		handler    http.HandlerFunc
 		wantStatus int
-		wantAnswer string
+		wantBody   string
 		wantErr    error
 		duration   time.Duration
 	}{
-		{name: "answer is passed on", to: "b", handler: answer, wantStatus: http.StatusConflict, wantAnswer: "POST /peer/ask question"},
-		{name: "node that the settings do not name", to: "unknown", handler: answer, wantErr: ErrUnknownPeer},
-		{name: "no answer in time", to: "b", handler: func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		{name: "response is returned", to: "b", handler: respond, wantStatus: http.StatusConflict, wantBody: "POST /peer/ask question"},
+		{name: "node that the settings file does not name", to: "unknown", handler: respond, wantErr: ErrUnknownPeer},
+		{name: "no response in time", to: "b", handler: func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 			wantErr: context.DeadlineExceeded, duration: relayTimeout},
 	}
 	for _, tt := range tests {
@@ -476,11 +480,11 @@
 					cancels.New(nil, time.Minute), network.Host(ipA), discardLog())
 				begin := time.Now()
 				status, got, err := m.Relay(t.Context(), tt.to, "/peer/ask", []byte("question"))
-				if status != tt.wantStatus || string(got) != tt.wantAnswer || !errors.Is(err, tt.wantErr) {
-					t.Errorf("Relay to %s: %d, %q, %v, want %d, %q, %v", tt.to, status, got, err, tt.wantStatus, tt.wantAnswer, tt.wantErr)
+				if status != tt.wantStatus || string(got) != tt.wantBody || !errors.Is(err, tt.wantErr) {
+					t.Errorf("Relay to %s: status %d, body %q, error %v, want %d, %q, %v", tt.to, status, got, err, tt.wantStatus, tt.wantBody, tt.wantErr)
 				}
 				if elapsed := time.Since(begin); elapsed < tt.duration || elapsed > tt.duration+500*time.Millisecond {
-					t.Errorf("took %v, want %v", elapsed, tt.duration)
+					t.Errorf("Relay took %v, want %v", elapsed, tt.duration)
 				}
 				network.Close()
 			})
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -14,17 +14,17 @@
 	"lilaclead/internal/config"
 )
 
-// streamPath is where nodes receive each other's heartbeats.
+// streamPath is the path of the endpoint at which nodes receive each other's heartbeats.
 const streamPath = "/peer/beats"
 
-// Why a stream ends, other than by its connection or its context.
+// Errors that end a stream, besides those of its connection and its context.
 var (
-	errNoAnswers        = errors.New("peer answers no heartbeat")
-	errUnexpectedAnswer = errors.New("answer without a heartbeat")
-	errStreamRefused    = errors.New("peer refused the stream")
+	errTooManyUnanswered = errors.New("too many heartbeats without an answer")
+	errUnexpectedAnswer  = errors.New("answer without an outstanding heartbeat")
+	errStreamRefused     = errors.New("peer refused the stream")
 )
 
-// keepStream keeps a stream to a peer open until the context ends.
+// keepStream keeps a stream to a peer open until the context ends. It reopens a stream that has ended.
 func (m *Mesh) keepStream(ctx context.Context, p config.Peer) {
 	for ctx.Err() == nil {
 		if err := m.runStream(ctx, p); err != nil && ctx.Err() == nil {
@@ -38,22 +38,23 @@
 	}
 }
 
-// outgoingStream is the end of a stream that sends heartbeats.
+// outgoingStream is the sending end of a stream: it sends heartbeats and receives answers.
 type outgoingStream struct {
 	mesh *Mesh
 	peer config.Peer
-	// sentAt holds when each heartbeat without an answer was sent, the oldest first: answers come in the order of heartbeats.
+	// sentAt holds the times at which the unanswered heartbeats were sent, the oldest first. Answers
+	// arrive in the order of their heartbeats.
 	sentAt chan time.Time
-	// watchdog ends the stream when it has been without an answer for streamIdleTimeout. It guards against whatever hangs
-	// without an error: the connection, the other process, this node's writes.
+	// watchdog ends the stream if no answer arrives for streamIdleTimeout. It detects hangs that cause
+	// no error: of the connection, the other process or this node's writes.
 	watchdog *time.Timer
 }
 
-// runStream opens a stream to a peer, sends heartbeats and receives their answers, until either fails. It returns when the
-// goroutine that sends has ended.
+// runStream opens a stream to a peer, sends heartbeats and receives their answers until either fails.
+// It returns after the goroutine that sends the heartbeats has ended.
 func (m *Mesh) runStream(ctx context.Context, p config.Peer) error {
 	var sender sync.WaitGroup
-	defer sender.Wait() // the last step: what is deferred below ends the sender
+	defer sender.Wait() // runs last: the calls deferred below end the sender
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	body, out := io.Pipe()
@@ -62,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	s := &outgoingStream{mesh: m, peer: p, sentAt: make(chan time.Time, maxUnanswered)}
+	s := &outgoingStream{mesh: m, peer: p, sentAt: make(chan time.Time, maxUnansweredHeartbeats)}
 	s.watchdog = time.AfterFunc(streamIdleTimeout, cancel)
 	defer s.watchdog.Stop()
 	sender.Go(func() { s.sendHeartbeats(ctx, out) })
@@ -77,7 +78,8 @@
 	return s.receiveAnswers(ctx, resp.Body)
 }
 
-// sendHeartbeats writes a heartbeat every heartbeatPeriod, until the context ends or the peer has left too many unanswered.
+// sendHeartbeats writes a heartbeat every heartbeatPeriod until the context ends, a write fails or too
+// many heartbeats are unanswered.
 func (s *outgoingStream) sendHeartbeats(ctx context.Context, out *io.PipeWriter) {
 	encoder := cbor.NewEncoder(out)
 	ticker := time.NewTicker(heartbeatPeriod)
@@ -87,7 +89,7 @@
 		select {
 		case s.sentAt <- time.Now():
 		default:
-			out.CloseWithError(errNoAnswers)
+			out.CloseWithError(errTooManyUnanswered)
 			return
 		}
 		heartbeat := status.heartbeat(s.mesh.name, sequence, s.mesh.View().Token)
@@ -103,7 +105,7 @@
 	}
 }
 
-// receiveAnswers reads answers until one can't be read or delivered.
+// receiveAnswers reads answers and delivers them to the view until either fails.
 func (s *outgoingStream) receiveAnswers(ctx context.Context, body io.Reader) error {
 	decoder := cbor.NewDecoder(body)
 	for {
@@ -113,14 +115,15 @@
 			return err
 		}
 		s.watchdog.Reset(streamIdleTimeout)
-		if err := s.deliver(ctx, answer); err != nil {
+		if err := s.deliverAnswer(ctx, answer); err != nil {
 			return err
 		}
 	}
 }
 
-// deliver passes to the view the answer to the oldest heartbeat without one.
-func (s *outgoingStream) deliver(ctx context.Context, answer Heartbeat) error {
+// deliverAnswer merges the cancellations of an answer and passes the answer to the goroutine that owns
+// the view. The answer belongs to the oldest unanswered heartbeat.
+func (s *outgoingStream) deliverAnswer(ctx context.Context, answer Heartbeat) error {
 	var requestedAt time.Time
 	select {
 	case requestedAt = <-s.sentAt:
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -15,7 +15,8 @@
 // ErrUnknownPeer is returned for a node that the settings file does not name.
 var ErrUnknownPeer = errors.New("no such node")
 
-// Relay sends a request to another node over HTTP/2 and returns the status and the body of its answer.
+// Relay sends a POST request to another node over HTTP/2. It returns the status and the body of the
+// response.
 func (m *Mesh) Relay(ctx context.Context, to wire.NodeID, path string, body any) (int, []byte, error) {
 	p, ok := m.findPeer(to)
 	if !ok {
@@ -23,11 +24,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	status, answer, _, err := netio.Call(ctx, m.client, http.MethodPost, "http://"+p.Addr+path, body, wire.MaxBody)
-	return status, answer, err
+	status, responseBody, _, err := netio.Call(ctx, m.client, http.MethodPost, "http://"+p.Addr+path, body, wire.MaxBody)
+	return status, responseBody, err
 }
 
-// findPeer returns the peer of that name, if the settings file names one.
+// findPeer returns the peer with the name, if the settings file names it.
 func (m *Mesh) findPeer(id wire.NodeID) (config.Peer, bool) {
 	i := slices.IndexFunc(m.peers, func(p config.Peer) bool { return p.HostName == id })
 	if i < 0 {
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -8,38 +8,42 @@
 	"lilaclead/internal/wire"
 )
 
-// View is what one node knows of all. It is never changed once published. Times are of this node's monotonic clock.
+// View is what one node knows of all nodes. A published view is immutable. All times are of this node's
+// monotonic clock.
 type View struct {
 	// Token is the highest fencing token that this node knows.
 	Token wire.FencingToken
-	// Leader is the node that leads with Token, if its last heartbeat said so; empty if none is known.
+	// Leader is the node whose last heartbeat said that it leads with Token; empty if there is none.
 	Leader wire.NodeID
 	// Peers holds the other nodes that have been in contact.
 	Peers map[wire.NodeID]Peer
-	// LeaderSeenAt is when a node last said that it leads with the highest token, in a heartbeat or by a delegation.
+	// LeaderSeenAt is when this node last received a heartbeat or a delegation of a leader with the
+	// highest token.
 	LeaderSeenAt time.Time
-	// Delegation is the newest that this node has.
+	// Delegation is the newest delegation that this node has received.
 	Delegation Delegation
 }
 
-// Peer is what is known of another node.
+// Peer is what this node knows of another node.
 type Peer struct {
-	// Heartbeat is its last one.
+	// Heartbeat is its last heartbeat. Incarnation and ActiveVersion may also be from a later answer.
 	Heartbeat
-	// LastContact is when its last message came in.
+	// LastContact is when its last message arrived.
 	LastContact time.Time
-	// AckRequestedAt is when this node sent the heartbeat that the other has answered last. An acknowledgement counts from then, and
-	// not from when it came in, since the other may have made it at any time in between.
+	// AckRequestedAt is when this node sent the latest heartbeat that the other node has answered. An
+	// acknowledgement is valid from then rather than from its arrival, since the other node may have
+	// made it at any time in between.
 	AckRequestedAt time.Time
-	// AckToken is the token that the last answer acknowledged; 0 if none.
+	// AckToken is the token that the latest answer acknowledged; 0 if none.
 	AckToken wire.FencingToken
-	// DelegationGrantedAt is when this node, as the leader, last granted the other a delegation.
+	// DelegationGrantedAt is when this node, as the leader, last granted the other node a delegation.
 	DelegationGrantedAt time.Time
-	// LastDelegatedRenewal is when the other last renewed a lease as a delegate, at the latest: when its last answer came in, less the
-	// age of the renewal that it stated.
+	// LastDelegatedRenewal is the latest time at which the other node's last renewal as a delegate can
+	// have been: the arrival of an answer, less the age of the renewal that the answer stated.
 	LastDelegatedRenewal time.Time
-	// LatestStart is when the other's process started, at the latest: when its last answer came in, less the uptime that it
-	// stated. Until then an earlier process may have renewed leases as a delegate, of which this one knows nothing.
+	// LatestStart is the latest time at which the other node's process can have started: the arrival of
+	// an answer, less the uptime that the answer stated. Until then, an earlier process of that node
+	// may have renewed leases as a delegate, which the present process does not know of.
 	LatestStart time.Time
 }
 
@@ -50,30 +54,32 @@
 type Delegation struct {
 	// Token is the token with which the leader led.
 	Token wire.FencingToken
-	// RequestedAt is when this node sent the heartbeat that was answered with the delegation, or earlier by the age of the
-	// oldest cancellation whose job may still be started: no launch of a job that was cancelled before can arrive any more.
+	// RequestedAt is when this node sent the heartbeat that was answered with the delegation, less the
+	// UnconfirmedCancelAge of the answer. No launch of a job that was cancelled before RequestedAt can
+	// still arrive.
 	RequestedAt time.Time
 }
 
-// AckedUntil returns until when acknowledgements of the token by a quorum of so many nodes, this one included, count; zero if
-// there are none, or if a higher token is known.
+// AckedUntil returns the time until which a quorum's acknowledgements of the token are valid. The quorum
+// is a number of nodes, this one included. The result is zero if fewer nodes have acknowledged the
+// token, or if a higher token is known.
 func (v *View) AckedUntil(token wire.FencingToken, quorum int) time.Time {
 	if v.Token > token {
 		return time.Time{}
 	}
-	others := quorum - 1
-	if others <= 0 {
+	otherAcksNeeded := quorum - 1
+	if otherAcksNeeded <= 0 {
 		return time.Now().Add(AckLifetime)
 	}
 	expiries := v.ackExpiries(token)
-	if len(expiries) < others {
+	if len(expiries) < otherAcksNeeded {
 		return time.Time{}
 	}
 	slices.SortFunc(expiries, func(a, b time.Time) int { return b.Compare(a) })
-	return expiries[others-1]
+	return expiries[otherAcksNeeded-1]
 }
 
-// ackExpiries returns until when each acknowledgement of the token counts.
+// ackExpiries returns the end of validity of each peer's acknowledgement of the token.
 func (v *View) ackExpiries(token wire.FencingToken) []time.Time {
 	var expiries []time.Time
 	for _, p := range v.Peers {
@@ -84,14 +90,14 @@
 	return expiries
 }
 
-// peerInContact returns what is known of a node that a message has just come from.
+// peerInContact returns what is known of a node from which a message has just arrived.
 func (v *View) peerInContact(id wire.NodeID) Peer {
 	p := v.Peers[id]
 	p.LastContact = time.Now()
 	return p
 }
 
-// observeToken records a token. Nobody is known to lead with a new one.
+// observeToken records a token. If it is a new highest token, no leader with it is known yet.
 func (v *View) observeToken(token wire.FencingToken) {
 	if token > v.Token {
 		v.Token, v.Leader = token, ""
@@ -112,8 +118,8 @@
 
 // observeAnswer records another node's answer to the heartbeat that was sent at requestedAt.
 func (v *View) observeAnswer(p *Peer, answer *Heartbeat, requestedAt time.Time) {
-	p.observeAck(answer, requestedAt)
-	// Also if they are empty: the node may have been replaced by one of a version that does not negotiate.
+	p.updateFromAnswer(answer, requestedAt)
+	// Empty values are recorded too: the node may now run a program that does not negotiate versions.
 	p.Incarnation, p.ActiveVersion = answer.Incarnation, answer.ActiveVersion
 	v.observeToken(answer.Token)
 	if answer.Delegation > 0 && answer.Delegation == v.Token {
@@ -122,9 +128,9 @@
 	}
 }
 
-// observeAck records what an answer says of the other node, unless a newer heartbeat was answered before: answers of an
-// earlier stream may come after those of a newer one.
-func (p *Peer) observeAck(answer *Heartbeat, requestedAt time.Time) {
+// updateFromAnswer records what an answer says of the other node. It ignores the answer if a newer
+// heartbeat is already answered: answers on an earlier stream may arrive after those on a newer one.
+func (p *Peer) updateFromAnswer(answer *Heartbeat, requestedAt time.Time) {
 	if !requestedAt.After(p.AckRequestedAt) {
 		return
 	}
@@ -137,7 +143,7 @@
 	}
 }
 
-// clone returns a copy that can be published.
+// clone returns a copy that does not change with the view.
 func (v *View) clone() *View {
 	published := *v
 	published.Peers = maps.Clone(v.Peers)
