--- a/internal/peer/renewal.go
+++ b/internal/peer/renewal.go
@@ -12,9 +12,9 @@
 // SinceRenewal returns how long ago this node last renewed a worker's lease as a delegate; 0 if it has
 // not done so since it started.
 func (m *Mesh) SinceRenewal() time.Duration {
-	uptimeAtRenewal := time.Duration(m.uptimeAtRenewal.Load())
-	if uptimeAtRenewal == 0 {
+	renewalUptime := time.Duration(m.uptimeAtRenewal.Load())
+	if renewalUptime == 0 {
 		return 0
 	}
-	return max(1, time.Since(m.startedAt)-uptimeAtRenewal)
+	return max(1, time.Since(m.startedAt)-renewalUptime)
 }
