--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -12,20 +12,22 @@
 	"lilaclead/internal/wire"
 )
 
-// maxCancelTries bounds how often a cancellation is tried whose record changes
-// meanwhile. The record of a live job changes once, when the job ends.
+// maxCancelTries bounds how often a cancellation is tried. It is tried again if the job's
+// record changed between its read and its write. The record of a live job changes only
+// once, when the job ends.
 const maxCancelTries = 4
 
 var (
 	// errJobChanged is returned if a job's record changed after it was read. The
-	// cancellation is tried again with what is stored now.
+	// cancellation is tried again with the record that is stored then.
 	errJobChanged = errors.New("job changed")
-	// errRecordTooLarge is returned if the store refused a record as invalid. The
-	// cancellation is tried again with a smaller record.
+	// errRecordTooLarge is returned if the store refused a cancelled job's record as
+	// invalid. The cancellation is tried again with a smaller record.
 	errRecordTooLarge = errors.New("job record too large")
 )
 
-// cancel responds once it is certain that the job is cancelled, or that it had ended.
+// cancel handles a cancellation. It confirms the cancellation once it is certain that the
+// job is cancelled or had ended before.
 func (in *Intake) cancel(ctx context.Context, r *http.Request, params httprouter.Params) response {
 	if _, err := wire.ReadBody(r.Body, wire.MaxBody); errors.Is(err, wire.ErrBodyTooLarge) {
 		return rejected(http.StatusRequestEntityTooLarge, err.Error())
@@ -49,8 +51,8 @@
 	return storeUnavailable
 }
 
-// tryCancel reads the record of a job and replaces it by a cancelled one, which has
-// fewer fields if it must shrink.
+// tryCancel reads the record of a job and replaces it by a cancelled one. If mustShrink is
+// set, the cancelled record has fewer fields.
 func (in *Intake) tryCancel(ctx context.Context, id wire.JobID, mustShrink bool) (response, error) {
 	if final, ok := in.finals.get(id); ok {
 		return summary(id, final.Status), nil
@@ -69,8 +71,8 @@
 		return response{}, err
 	}
 	if rec.Status == wire.StatusCancelled {
-		in.confirm(wire.JobState{ID: id, Status: wire.StatusCancelled})
-		return response{}, errJobChanged // the next try answers with the final state
+		in.recordConfirmed(wire.JobState{ID: id, Status: wire.StatusCancelled})
+		return response{}, errJobChanged // the next try responds with the final state
 	}
 	rec.Status, rec.CancelledAt = wire.StatusCancelled, wire.TimestampOf(time.Now())
 	in.feasibility.shrinkToFit(&rec, mustShrink)
@@ -90,10 +92,10 @@
 	switch {
 	case err == nil:
 		in.log.Info("job cancelled", "job", id)
-		in.confirm(wire.JobState{ID: id, Status: wire.StatusCancelled})
+		in.recordConfirmed(wire.JobState{ID: id, Status: wire.StatusCancelled})
 		return summary(id, wire.StatusCancelled), nil
 	case errors.As(err, &conflict):
-		return response{}, errJobChanged // done or cancelled meanwhile
+		return response{}, errJobChanged // done or cancelled since the read
 	case errors.Is(err, store.ErrInvalidRequest):
 		return response{}, errRecordTooLarge
 	default:
--- a/internal/intake/commit.go
+++ b/internal/intake/commit.go
@@ -10,28 +10,28 @@
 	"lilaclead/internal/wire"
 )
 
-// firstCommitRetry and lastCommitRetry are the first and the last pause before a
-// transaction is retried that was refused for the rate alone. The pauses double; with
-// the jitter of up to a half, all of them together take 350 to 525 ms.
+// minRetryDelay and maxRetryDelay are the first and the last delay before a transaction is
+// retried that was refused only because of the rate limit. The delays double, and jitter
+// adds up to a half to each; all together take 350 to 525 ms.
 const (
-	firstCommitRetry = 50 * time.Millisecond
-	lastCommitRetry  = 200 * time.Millisecond
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
 )
 
-// commit executes a user's transaction. A refusal for the rate alone passes within
-// a fraction of a second, so it is retried a few times, well within the time in
-// which users expect a response; every other error is returned at once.
+// commit executes a user's transaction. The rate limit refuses a request only for a
+// fraction of a second, so such a transaction is retried a few times, well within the time
+// in which users expect a response. Every other error is returned at once.
 func commit(ctx context.Context, client *store.Client, txn wire.Txn) error {
-	for pause := firstCommitRetry; ; pause *= 2 {
+	for delay := minRetryDelay; ; delay *= 2 {
 		_, err := client.Commit(ctx, store.ClassUser, txn)
-		if !errors.Is(err, store.ErrRateLimited) || pause > lastCommitRetry {
+		if !errors.Is(err, store.ErrRateLimited) || delay > maxRetryDelay {
 			return err
 		}
-		jitter := rand.N(pause / 2)
+		jitter := rand.N(delay / 2)
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pause + jitter):
+		case <-time.After(delay + jitter):
 		}
 	}
 }
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// infeasibleError says why a job can never run. A retry would not change it. Its
-// text is what the user is told.
+// infeasibleError says why a job can never run, which a retry would not change. Its text
+// is sent to the user.
 type infeasibleError string
 
 // Error returns the reason.
@@ -25,14 +25,15 @@
 	errFitsNoMachine   infeasibleError = "a task fits no allowed machine type"
 )
 
-// errMachineTypesUnknown is returned while it is not known what the cloud offers. A
-// retry may succeed.
+// errMachineTypesUnknown is returned while the machine types that the cloud offers are not
+// known. A retry may succeed.
 var errMachineTypesUnknown = errors.New("machine types not known yet")
 
 // feasibility decides which jobs can run.
 type feasibility struct {
 	settings *config.Settings
-	// machineTypes returns what the cloud offers, nil while that is not known.
+	// machineTypes returns the machine types that the cloud offers, or nil while they are
+	// not known.
 	machineTypes func() []wire.MachineSpec
 }
 
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// checkTeam checks that the job's team exists and that its limits allow the tasks
-// which must run at the same time. A limit of 0 means none.
+// checkTeam checks that the job's team exists, and that the team's limits allow the tasks
+// that must run at the same time. A limit of 0 means no limit.
 func (f *feasibility) checkTeam(spec *wire.JobSpec) error {
 	team, ok := f.settings.Team(spec.Team)
 	if !ok {
@@ -72,8 +73,8 @@
 	return nil
 }
 
-// worstCaseRecord returns the largest form that the job's record may take: that of a
-// cancelled job.
+// worstCaseRecord returns the largest form that the job's record may take: the record of
+// the cancelled job.
 func worstCaseRecord(spec *wire.JobSpec) *store.JobRecord {
 	now := wire.TimestampOf(time.Now())
 	return &store.JobRecord{
@@ -85,21 +86,22 @@
 	}
 }
 
-// recordFits reports whether the store takes a job's record, both under its present
-// limits and under those that are announced.
+// recordFits reports whether a job's record is small enough for the store, both under its
+// present limits and under those that are announced.
 func (f *feasibility) recordFits(rec *store.JobRecord) bool {
 	return wire.JSONSize(rec) <= int(f.settings.State.Strictest().ValueKB*1024)
 }
 
-// shrinkToFit drops what a cancelled job can do without from a record that only just
-// fitted before it was cancelled, or that was stored under higher limits. No task of
-// the job is placed any more, so it needs no list of machine types.
+// shrinkToFit drops fields that a cancelled job doesn't need, if its record is too large
+// for the store or mustShrink is set. A record that barely fits as queued may be too large
+// as cancelled, and it may have been stored under a higher limit. No task of a cancelled
+// job is placed any more, so its list of machine types goes first.
 func (f *feasibility) shrinkToFit(rec *store.JobRecord, mustShrink bool) {
 	if !mustShrink && f.recordFits(rec) {
 		return
 	}
 	rec.Spec.MachineTypes = nil
 	if !f.recordFits(rec) {
-		rec.Spec.Class, rec.Spec.Image = "", "" // names of 120 bytes, each of which may be escaped
+		rec.Spec.Class, rec.Spec.Image = "", "" // up to 120 bytes each, and each byte may be escaped
 	}
 }
--- a/internal/intake/feasibility_test.go
+++ b/internal/intake/feasibility_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-func TestFeasibilityCheckNamesTheReason(t *testing.T) {
+func TestFeasibilityCheckReturnsReason(t *testing.T) {
 	const maxTextBytes = 120
 	types := []wire.MachineSpec{{Name: "small", CPUs: 8, MemoryGB: 16, DiskGB: 100, Zones: []wire.Zone{"a"}}}
 	valid := wire.JobSpec{ID: "req-1", Class: "batch", Team: "red", Kind: wire.KindArray, Tasks: 10, CPUs: 4, MemoryGB: 8}
@@ -20,7 +20,7 @@
 		types  []wire.MachineSpec
 		want   error
 	}{
-		{"array of which one task fits the team's limit", func(*wire.JobSpec) {}, types, nil},
+		{"array larger than the team's limit, one task within it", func(*wire.JobSpec) {}, types, nil},
 		{"unknown team", func(s *wire.JobSpec) { s.Team = "blue" }, types, errUnknownTeam},
 		{"task over the CPU limit", func(s *wire.JobSpec) { s.CPUs = 20.5 }, types, errOverTeamLimit},
 		{"gang over the CPU limit", func(s *wire.JobSpec) { s.Kind = wire.KindGang }, types, errOverTeamLimit},
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestShrinkToFitDropsOnlyWhatIsTooMuch(t *testing.T) {
+func TestShrinkToFitDropsNoMoreThanNeeded(t *testing.T) {
 	feasibility := feasibility{settings: &config.Settings{State: config.StoreLimits{ValueKB: 1}}}
 	manyTypes := make([]wire.MachineType, 64)
 	for i := range manyTypes {
@@ -57,10 +57,10 @@
 	}
 	longName := string(bytes.Repeat([]byte{1}, 120)) // six bytes each in JSON
 	for _, tt := range []struct {
-		name                string
-		spec                wire.JobSpec
-		mustShrink          bool
-		wantTypes, wantText bool
+		name                 string
+		spec                 wire.JobSpec
+		mustShrink           bool
+		wantTypes, wantNames bool
 	}{
 		{"small record", wire.JobSpec{Class: "batch", Image: "image", MachineTypes: manyTypes[:1]}, false, true, true},
 		{"small record that the store refused", wire.JobSpec{Class: "batch", Image: "image", MachineTypes: manyTypes[:1]}, true, false, true},
@@ -73,8 +73,8 @@
 			if got := rec.Spec.MachineTypes != nil; got != tt.wantTypes {
 				t.Errorf("machine types kept: got %t, want %t", got, tt.wantTypes)
 			}
-			if got := rec.Spec.Class != "" && rec.Spec.Image != ""; got != tt.wantText {
-				t.Errorf("class and image kept: got %t, want %t", got, tt.wantText)
+			if got := rec.Spec.Class != "" && rec.Spec.Image != ""; got != tt.wantNames {
+				t.Errorf("class and image kept: got %t, want %t", got, tt.wantNames)
 			}
 			if !feasibility.recordFits(&rec) {
 				t.Errorf("the record is still too large: %+v", rec)
--- a/internal/intake/final_states.go
+++ b/internal/intake/final_states.go
@@ -6,13 +6,13 @@
 	"lilaclead/internal/wire"
 )
 
-// maxFinalStates bounds one of the two generations of final states, of some 100
-// bytes each.
-const maxFinalStates = 8192
+// maxStatesPerGeneration bounds each of the two generations of final states. A state takes
+// some 100 bytes.
+const maxStatesPerGeneration = 8192
 
-// finalStates remembers the final states of jobs, which never change. Its size is
-// bounded by two generations: when the young one is full, it becomes the old one,
-// and the former old one is dropped. It is safe for concurrent use.
+// finalStates remembers the final states of jobs, which never change. Its size is bounded
+// by keeping them in two generations: when the young generation is full, it becomes the
+// old one, and the former old one is dropped. It is safe for concurrent use.
 type finalStates struct {
 	mu         sync.Mutex
 	young, old map[wire.JobID]wire.JobState
@@ -36,7 +36,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.young == nil || len(f.young) >= maxFinalStates {
+	if f.young == nil || len(f.young) >= maxStatesPerGeneration {
 		f.young, f.old = map[wire.JobID]wire.JobState{}, f.young
 	}
 	f.young[state.ID] = state
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -16,11 +16,13 @@
 )
 
 const (
-	// requestTimeout ends before the 2 s for which users wait for a response.
+	// requestTimeout is shorter than the 2 s for which users wait for a response.
 	requestTimeout = 1800 * time.Millisecond
-	// minInFlight and maxInFlight bound the requests in flight: those that wait do
-	// so for the key-value store, which takes milliseconds. socketsPerRequest keeps
-	// them few compared with the connections of worker agents.
+	// minInFlight and maxInFlight bound the number of requests that are handled at the
+	// same time. Few suffice, since a request waits only for the key-value store, which
+	// responds within milliseconds. Between the two, one request is allowed for every
+	// socketsPerRequest file descriptors of the process, so that users' requests take few
+	// sockets compared with the connections of worker agents.
 	minInFlight       = 8
 	maxInFlight       = 48
 	socketsPerRequest = 20
@@ -41,12 +43,12 @@
 	settings    *config.Settings
 	store       *store.Client
 	jobs        *store.JobCache
-	cancels     *cancels.Log
+	cancelLog   *cancels.Log
 	feasibility feasibility
 	finals      finalStates
 	counts      *taskCounts
 	log         *slog.Logger
-	// inFlight holds a slot for each request in flight; while it is full, further
+	// inFlight holds one element for each request in flight. While it is full, further
 	// requests are refused.
 	inFlight chan struct{}
 	// Observe is called after every response, for the metrics.
@@ -56,17 +58,17 @@
 }
 
 // New returns an Intake. The function machineTypes returns the machine types that
-// the cloud offers, nil while they are not known.
-func New(settings *config.Settings, st *store.Client, cancelled *cancels.Log, machineTypes func() []wire.MachineSpec, log *slog.Logger) *Intake {
+// the cloud offers, or nil while they are not known.
+func New(settings *config.Settings, client *store.Client, cancelLog *cancels.Log, machineTypes func() []wire.MachineSpec, log *slog.Logger) *Intake {
 	limits := settings.State.Strictest()
 	inFlight := max(minInFlight, min(maxInFlight, settings.Limits.FDLimit/socketsPerRequest))
 	return &Intake{
 		settings:    settings,
-		store:       st,
-		jobs:        store.NewJobCache(st, cancelled, limits.RPS, settings.Size),
-		cancels:     cancelled,
+		store:       client,
+		jobs:        store.NewJobCache(client, cancelLog, limits.RPS, settings.Size),
+		cancelLog:   cancelLog,
 		feasibility: feasibility{settings: settings, machineTypes: machineTypes},
-		counts:      newTaskCounts(st, limits.RPS, settings.Size),
+		counts:      newTaskCounts(client, limits.RPS, settings.Size),
 		log:         log,
 		inFlight:    make(chan struct{}, inFlight),
 		Observe:     func(Operation, int, time.Duration) {},
@@ -87,19 +89,19 @@
 // requestHandler handles a request of one operation.
 type requestHandler func(ctx context.Context, r *http.Request, params httprouter.Params) response
 
-// handle returns an HTTP handler that runs h within the limits on time and on
+// handle returns an HTTP handler that runs handler within the limits on time and on
 // requests in flight, and writes its response.
-func (in *Intake) handle(op Operation, h requestHandler) httprouter.Handle {
+func (in *Intake) handle(op Operation, handler requestHandler) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 		start := time.Now()
-		resp := in.runLimited(h, r, params)
+		resp := in.runLimited(handler, r, params)
 		in.respond(w, op, resp)
 		in.Observe(op, resp.status, time.Since(start))
 	}
 }
 
-// runLimited runs h with a timeout, unless too many requests are in flight.
-func (in *Intake) runLimited(h requestHandler, r *http.Request, params httprouter.Params) response {
+// runLimited runs a handler with a timeout, unless too many requests are in flight.
+func (in *Intake) runLimited(handler requestHandler, r *http.Request, params httprouter.Params) response {
 	select {
 	case in.inFlight <- struct{}{}:
 	default:
@@ -108,5 +110,5 @@
 	defer func() { <-in.inFlight }()
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	return h(ctx, r, params)
+	return handler(ctx, r, params)
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -22,8 +22,8 @@
 	"lilaclead/internal/wire"
 )
 
-// newIntakeWithoutStore returns an Intake whose key-value store can't be reached, and
-// the handler of its routes.
+// newIntakeWithoutStore returns an Intake that can't reach the key-value store, and the
+// handler of its routes.
 func newIntakeWithoutStore(t *testing.T) (*Intake, http.Handler) {
 	t.Helper()
 	limits := config.StoreLimits{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16}
@@ -40,7 +40,7 @@
 	return in, router
 }
 
-// request sends a request to a handler and returns what it wrote.
+// request sends a request to a handler and returns the recorded response.
 func request(h http.Handler, method, path string, body []byte) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader(body)))
@@ -54,20 +54,21 @@
 	}
 	w := request(h, "GET", "/v1/jobs/req-1", nil)
 	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") == "" {
-		t.Errorf("with all slots taken: got %d, Retry-After %q, want 429 with Retry-After", w.Code, w.Header().Get("Retry-After"))
+		t.Errorf("at the limit of requests in flight: got %d, Retry-After %q, want 429 with Retry-After", w.Code, w.Header().Get("Retry-After"))
 	}
 	<-in.inFlight
 	w = request(h, "GET", "/v1/jobs/req-1", nil)
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
-		t.Errorf("with a free slot and an unreachable store: got %d, Retry-After %q, want 503 with Retry-After", w.Code, w.Header().Get("Retry-After"))
+		t.Errorf("below the limit, with an unreachable store: got %d, Retry-After %q, want 503 with Retry-After", w.Code, w.Header().Get("Retry-After"))
 	}
 	if got, want := len(in.inFlight), cap(in.inFlight)-1; got != want {
-		t.Errorf("slots taken after the request: got %d, want %d", got, want)
+		t.Errorf("requests in flight after the request: got %d, want %d", got, want)
 	}
 }
 
-// A final state is served without the store, forever; what can't be read is 503 and
-// never 404; what can't be judged yet is 503.
+// Without the store, a node still reports final states, since they never change. It must
+// not report a job as unknown (404) whose record it can't read, and it can't check the
+// feasibility of a submission: both get 503.
 func TestUnreachableStoreAllowsOnlyFinalStates(t *testing.T) {
 	in, h := newIntakeWithoutStore(t)
 	in.finals.put(wire.JobState{ID: "req-1", Status: wire.StatusDone, Done: 3})
@@ -82,7 +83,7 @@
 		{"poll of a job with a final state", "GET", "/v1/jobs/req-1", nil, http.StatusOK},
 		{"cancellation of a finished job", "POST", "/v1/jobs/req-1/cancel", nil, http.StatusOK},
 		{"poll of a job whose state may change", "GET", "/v1/jobs/req-2", nil, http.StatusServiceUnavailable},
-		{"submission that can't be judged yet", "POST", "/v1/jobs", spec, http.StatusServiceUnavailable},
+		{"submission whose feasibility is unknown", "POST", "/v1/jobs", spec, http.StatusServiceUnavailable},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if got := request(h, tt.method, tt.path, tt.body).Code; got != tt.want {
@@ -92,8 +93,8 @@
 	}
 }
 
-// The user's next request should reach a node that can serve it.
-func TestUnreachableStoreEndsConnection(t *testing.T) {
+// On a new connection, the user's next request may reach a node that can serve it.
+func TestUnreachableStoreClosesConnection(t *testing.T) {
 	_, h := newIntakeWithoutStore(t)
 	w := request(h, "GET", "/v1/jobs/req-4", nil)
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Connection") != "close" || w.Header().Get("Retry-After") == "" {
@@ -101,17 +102,17 @@
 	}
 }
 
-func TestFinalStatesAreBoundedAndKeepTheNewest(t *testing.T) {
+func TestFinalStatesAreBoundedAndKeepNewest(t *testing.T) {
 	var finals finalStates
 	id := func(n int) wire.JobID { return wire.JobID("req-" + strconv.Itoa(n)) }
-	for n := range 5 * maxFinalStates {
+	for n := range 5 * maxStatesPerGeneration {
 		finals.put(wire.JobState{ID: id(n), Status: wire.StatusDone})
 	}
-	if got, limit := len(finals.young)+len(finals.old), 2*maxFinalStates; got > limit {
-		t.Errorf("states kept: got %d, want at most %d", got, limit)
+	if got, limit := len(finals.young)+len(finals.old), 2*maxStatesPerGeneration; got > limit {
+		t.Errorf("remembered states: got %d, want at most %d", got, limit)
 	}
-	newest := id(5*maxFinalStates - 1)
+	newest := id(5*maxStatesPerGeneration - 1)
 	if _, ok := finals.get(newest); !ok {
-		t.Errorf("the newest state, of %s, is not kept", newest)
+		t.Errorf("the newest state, of %s, is not remembered", newest)
 	}
 }
--- a/internal/intake/job_state.go
+++ b/internal/intake/job_state.go
@@ -8,9 +8,9 @@
 	"lilaclead/internal/wire"
 )
 
-// state returns the state of a job, as new as the store is now: from the live
-// record if there is one, else from the final one (the package comment has the
-// reasons). The error is store.ErrNotFound if the job was never accepted.
+// state returns the state of a job, no older than the store at the time of the call. It is
+// read from the live record if there is one, else from the final one; the package comment
+// says why. The error is store.ErrNotFound if the job was never accepted.
 func (in *Intake) state(ctx context.Context, id wire.JobID) (wire.JobState, error) {
 	if final, ok := in.finals.get(id); ok {
 		return final, nil
@@ -23,7 +23,7 @@
 		return wire.JobState{}, err
 	}
 	live := wire.JobState{ID: id, Status: job.Status}
-	in.confirm(live)
+	in.recordConfirmed(live)
 	return live, nil
 }
 
@@ -44,12 +44,12 @@
 	return final, nil
 }
 
-// confirm remembers a state that is about to be confirmed to a user. A
-// cancellation is added to the log first, so that the updates which this node
-// sends to its peers cover it.
-func (in *Intake) confirm(state wire.JobState) {
+// recordConfirmed records a state before it is confirmed to a user. A cancellation is added
+// to the cancellation log first, because the updates that this node sends to its peers
+// must contain every cancellation that it has confirmed.
+func (in *Intake) recordConfirmed(state wire.JobState) {
 	if state.Status == wire.StatusCancelled {
-		in.cancels.Add(state.ID, 0)
+		in.cancelLog.Add(state.ID, 0)
 	}
 	in.finals.put(state)
 }
--- a/internal/intake/poll.go
+++ b/internal/intake/poll.go
@@ -31,9 +31,9 @@
 
 // withTaskCounts returns the state of a live job with the numbers of its tasks.
 func (in *Intake) withTaskCounts(ctx context.Context, state wire.JobState) wire.JobState {
-	count := in.counts.count(ctx, state.ID)
-	// While the tasks were counted, this node may have confirmed to a user that the
-	// job has ended; then no poll may be answered with less.
+	count := in.counts.getOrRead(ctx, state.ID)
+	// While the tasks were counted, this node may have confirmed to a user that the job
+	// has ended. No poll may then report an earlier state.
 	if final, ok := in.finals.get(state.ID); ok {
 		return final
 	}
--- a/internal/intake/response.go
+++ b/internal/intake/response.go
@@ -14,8 +14,8 @@
 	status int
 	// body is the CBOR body, unless the request was refused.
 	body any
-	// refusal says why the request can't be served now, so that the user should
-	// retry it; empty: the response is not a refusal.
+	// refusal says why the request can't be served now, and the user is asked to retry
+	// it. Empty: the response is no refusal.
 	refusal string
 }
 
@@ -39,9 +39,8 @@
 	noSuchJob        = rejected(http.StatusNotFound, "no such job")
 )
 
-// respond writes a response.
 func (in *Intake) respond(w http.ResponseWriter, op Operation, resp response) {
-	if in.endsConnection(resp.status) {
+	if in.mustCloseConnection(resp.status) {
 		w.Header().Set("Connection", "close")
 	}
 	if resp.refusal == "" {
@@ -52,11 +51,11 @@
 	wire.WriteRetryableError(w, resp.status, resp.refusal, retryAfterSeconds)
 }
 
-// endsConnection reports whether the connection must not be used again: a body
-// that is too large was not read to its end, and a user who is refused since this
-// node can't reach the store would retry here on the same connection, while on a
-// new one the load balancer may choose a node that can serve.
-func (in *Intake) endsConnection(status int) bool {
+// mustCloseConnection reports whether the client must not use the connection again. If the
+// body was too large, its rest was not read. If this node can't reach the store, a retry
+// on the same connection would reach this node again; for a new connection, the load
+// balancer may choose a node that can serve it.
+func (in *Intake) mustCloseConnection(status int) bool {
 	switch status {
 	case http.StatusRequestEntityTooLarge:
 		return true
--- a/internal/intake/store_test.go
+++ b/internal/intake/store_test.go
@@ -25,27 +25,28 @@
 
 // node is the intake of one node.
 type node struct {
-	handler http.Handler
-	cancels *cancels.Log
+	handler   http.Handler
+	cancelLog *cancels.Log
 }
 
-// cluster is two nodes on the simulator's key-value store.
+// cluster is two nodes that share the simulator's key-value store.
 type cluster struct {
 	store *simulator.KVStore
 	nodes [2]node
-	types []wire.MachineSpec // what the cloud offers
+	types []wire.MachineSpec // offered by the cloud; nil: not known yet
 }
 
-// amplyLimited are limits of the store that no test reaches.
-var amplyLimited = config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
+// highLimits are limits of the store that no test reaches.
+var highLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
 
 // runCluster runs a test on a cluster in virtual time.
 func runCluster(t *testing.T, test func(t *testing.T, c *cluster)) {
 	t.Helper()
-	runClusterWithin(t, amplyLimited, test)
+	runClusterWithin(t, highLimits, test)
 }
 
-// runClusterWithin runs a test on a cluster whose nodes keep to limits of the store.
+// runClusterWithin runs a test, in virtual time, on a cluster whose nodes keep to the given
+// limits of the store.
 func runClusterWithin(t *testing.T, limits config.StoreLimits, test func(t *testing.T, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -72,14 +73,14 @@
 func (c *cluster) startNode(ctx context.Context, network *simulator.Network, host string, limits config.StoreLimits) node {
 	settings := &config.Settings{Size: 2, Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.ProcessLimits{FDLimit: 900}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	cancelled := cancels.New(nil, time.Minute)
+	cancelLog := cancels.New(nil, time.Minute)
 	client := store.New(simulator.KVStoreAddr, limits, settings.Size, network.Host(host))
-	in := intake.New(settings, client, cancelled, func() []wire.MachineSpec { return c.types }, log)
+	in := intake.New(settings, client, cancelLog, func() []wire.MachineSpec { return c.types }, log)
 	in.Undecodable = undecodable.New(log)
 	router := httprouter.New()
 	in.Routes(router)
 	go in.Run(ctx)
-	return node{handler: router, cancels: cancelled}
+	return node{handler: router, cancelLog: cancelLog}
 }
 
 // send sends a request to the node, decodes the body of the response into out,
@@ -124,24 +125,24 @@
 	}
 }
 
-// submission returns the body of a submission.
+// submission returns the body of a valid submission.
 func submission(id wire.JobID) []byte {
 	return wire.Encode(map[string]any{"nameId": id, "lane": "batch", "owner": "red", "shape": "sweep", "urgency": "standard",
 		"parts": 2, "cpus": 4.0, "cards": 0.0, "ramGb": 1.0, "bundle": "image", "imageGb": 0.5, "samePlace": false, "apart": false,
 		"standby": false, "expectedS": 1.0, "snapshotEveryS": 0.0, "snapshotS": 0.0})
 }
 
-func TestRepeatedSubmissionIsAnsweredWithTheJobsStatus(t *testing.T) {
+func TestRepeatedSubmissionReturnsJobStatus(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
-		created := c.store.Revision(store.JobKey("req-1"))
+		firstRevision := c.store.Revision(store.JobKey("req-1"))
 		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
 		c.types = nil
 		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
 		c.types = []wire.MachineSpec{}
 		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
-		if got := c.store.Revision(store.JobKey("req-1")); got != created {
-			t.Errorf("revision of the record after the repetitions: got %d, want %d", got, created)
+		if got := c.store.Revision(store.JobKey("req-1")); got != firstRevision {
+			t.Errorf("revision of the record after the repetitions: got %d, want %d", got, firstRevision)
 		}
 		c.store.Delete(store.JobKey("req-1"))
 		c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.StatusDone, Done: 2})
@@ -149,7 +150,7 @@
 	})
 }
 
-func TestSubmissionWhoseOutcomeIsUnknownIsFoundByItsRepetition(t *testing.T) {
+func TestRepetitionFindsSubmissionOfUnknownOutcome(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.store.LoseAnswers(1)
 		c.nodes[0].submit(t, "req-1", http.StatusServiceUnavailable, "")
@@ -159,7 +160,7 @@
 
 func TestSubmissionOverTheWriteRateIsRetried(t *testing.T) {
 	const writeRPS = 10
-	limits := amplyLimited
+	limits := highLimits
 	limits.WriteRPS = writeRPS
 	runClusterWithin(t, limits, func(t *testing.T, c *cluster) {
 		start := time.Now()
@@ -167,12 +168,12 @@
 			c.nodes[0].submit(t, wire.JobID("req-"+strconv.Itoa(n)), http.StatusCreated, wire.StatusQueued)
 		}
 		if took := time.Since(start); took < time.Second {
-			t.Errorf("%d submissions at %d writes a second took %v: the rate was not kept to", 2*writeRPS, writeRPS, took)
+			t.Errorf("%d submissions at %d writes per second took %v, want at least 1s", 2*writeRPS, writeRPS, took)
 		}
 	})
 }
 
-func TestInfeasibleSubmission(t *testing.T) {
+func TestInfeasibleOrUndecidedSubmissionIsNotStored(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		for _, tt := range []struct {
 			name       string
@@ -195,13 +196,13 @@
 	})
 }
 
-func TestMalformedSubmissionNamesTheField(t *testing.T) {
+func TestMalformedSubmissionReportsField(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		body := wire.Encode(map[string]any{"nameId": "req-1"})
 		want := wire.ErrorBody{Error: "missing", Field: "lane"}
 		var got wire.ErrorBody
 		if code := c.nodes[0].send(t, "POST", "/v1/jobs", body, &got); code != http.StatusBadRequest || got != want {
-			t.Errorf("submission of an ID alone: got %d %+v, want 400 %+v", code, got, want)
+			t.Errorf("submission with only an ID: got %d %+v, want 400 %+v", code, got, want)
 		}
 	})
 }
@@ -217,7 +218,7 @@
 	})
 }
 
-func TestPollSeesWhatAnotherNodeConfirmed(t *testing.T) {
+func TestPollReportsStateThatAnotherNodeConfirmed(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[1].poll(t, "req-1", http.StatusNotFound, wire.JobState{})
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
@@ -227,7 +228,7 @@
 	})
 }
 
-func TestPollCountsTasks(t *testing.T) {
+func TestPollReportsTaskCounts(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		c.store.Put(store.ChunkKey("req-1", 0), store.ChunkRecord{Done: []int{0, 1}, Active: []store.ActiveAttempt{{Task: 1, Attempt: 2, Machine: "machine-1"}}})
@@ -240,7 +241,7 @@
 	})
 }
 
-func TestPollDuringOutageIsRefusedUnlessTheStateIsFinal(t *testing.T) {
+func TestPollDuringOutageIsRefusedUnlessStateIsFinal(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		c.nodes[0].submit(t, "req-2", http.StatusCreated, wire.StatusQueued)
@@ -253,20 +254,20 @@
 	})
 }
 
-func TestInvalidJobIDIsUnknown(t *testing.T) {
+func TestMalformedJobIDIsNotFound(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].poll(t, "job-1", http.StatusNotFound, wire.JobState{})
 		c.nodes[0].cancel(t, "job-1", http.StatusNotFound, "")
 	})
 }
 
-func TestRepeatedCancellationIsAnsweredWithTheFinalStatus(t *testing.T) {
+func TestRepeatedCancellationReturnsFinalStatus(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].cancel(t, "req-1", http.StatusNotFound, "")
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		for i, n := range []node{c.nodes[0], c.nodes[1], c.nodes[0]} {
 			n.cancel(t, "req-1", http.StatusOK, wire.StatusCancelled)
-			if _, logged := n.cancels.ConfirmedAt("req-1"); !logged {
+			if _, logged := n.cancelLog.ConfirmedAt("req-1"); !logged {
 				t.Errorf("cancellation %d is not in the log of the node that confirmed it", i+1)
 			}
 		}
@@ -275,7 +276,7 @@
 	})
 }
 
-func TestCancellationWhoseOutcomeIsUnknownIsFoundByItsRepetition(t *testing.T) {
+func TestRepetitionFindsCancellationOfUnknownOutcome(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		c.store.LoseAnswers(1)
@@ -284,26 +285,26 @@
 	})
 }
 
-func TestCancellationThatLosesTheRaceAnswersWhatWon(t *testing.T) {
+func TestCancellationAfterJobEndedMeanwhileReturnsDone(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
-		won := false
+		ended := false
 		c.store.DelayTransactions(func(*wire.Txn) time.Duration {
-			if !won {
-				won = true
+			if !ended {
+				ended = true
 				c.store.Delete(store.JobKey("req-1"))
 				c.store.Put(store.FinalKey("req-1"), store.FinalRecord{Status: wire.StatusDone, Done: 2})
 			}
 			return 0
 		})
 		c.nodes[0].cancel(t, "req-1", http.StatusOK, wire.StatusDone)
-		if !won {
-			t.Error("no transaction was delayed")
+		if !ended {
+			t.Error("the cancellation executed no transaction")
 		}
 	})
 }
 
-func TestUndecodableRecordIsRefusedAndNotDenied(t *testing.T) {
+func TestUndecodableRecordIsUnavailableRatherThanNotFound(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.store.Put(store.JobKey("req-1"), "no record")
 		c.store.Put(store.FinalKey("req-2"), "no record")
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// submit accepts a job once its record is stored.
+// submit handles a submission. The job is accepted once its record is stored.
 func (in *Intake) submit(ctx context.Context, r *http.Request, _ httprouter.Params) response {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if errors.Is(err, wire.ErrBodyTooLarge) {
@@ -43,9 +43,10 @@
 	return response{status: http.StatusBadRequest, body: body}
 }
 
-// declineUnlessKnown responds to a submission that is infeasible, or whose
-// feasibility can't be decided now. A job that was accepted before stays accepted,
-// whatever is offered now.
+// declineUnlessKnown rejects a submission that is infeasible, and refuses one whose
+// feasibility can't be decided now. A job that was accepted before stays accepted, though
+// limits and machine types may have changed, so its repeated submission gets the job's
+// status.
 func (in *Intake) declineUnlessKnown(ctx context.Context, id wire.JobID, err error) response {
 	if resp, known := in.knownJob(ctx, id); known {
 		return resp
@@ -58,8 +59,8 @@
 	return rejected(http.StatusUnprocessableEntity, infeasible.Error())
 }
 
-// accept stores the record of a new job. If the job is already known, it responds
-// with its status.
+// accept stores the record of a new job. If the job is already known, the response is the
+// job's status.
 func (in *Intake) accept(ctx context.Context, spec *wire.JobSpec) response {
 	err := in.createRecord(ctx, spec)
 	var conflict *store.ConflictError
@@ -73,8 +74,8 @@
 		}
 		return storeUnavailable
 	case errors.Is(err, store.ErrInvalidRequest):
-		// The record exceeds the store's limit of a value, and a retry would not
-		// change that. But the job may have been accepted while more was allowed, and
+		// The record exceeds the store's limit on the size of a value, and a retry would
+		// not change that. But the job may have been accepted under a higher limit, and
 		// then it stays accepted.
 		return in.declineUnlessKnown(ctx, spec.ID, errRecordOverLimit)
 	default:
@@ -82,7 +83,8 @@
 	}
 }
 
-// createRecord stores the record of a new job, unless a live or a final one exists.
+// createRecord stores the record of a new job, unless the job has a live or a final
+// record.
 func (in *Intake) createRecord(ctx context.Context, spec *wire.JobSpec) error {
 	const absent wire.Revision = 0
 	rec := store.JobRecord{
@@ -100,9 +102,9 @@
 	})
 }
 
-// knownJob responds with the status of a job that was accepted before. It reports
-// false for a job that never was; where the store can't be read, the job may have
-// been, and the response is a refusal.
+// knownJob responds with the status of a job that was accepted before. For a job that
+// never was, known is false. While the store can't be read, the job may have been
+// accepted: known is true, and the response is a refusal.
 func (in *Intake) knownJob(ctx context.Context, id wire.JobID) (resp response, known bool) {
 	state, err := in.state(ctx, id)
 	switch {
--- a/internal/intake/task_counts.go
+++ b/internal/intake/task_counts.go
@@ -12,45 +12,47 @@
 )
 
 const (
-	// taskCountLifetime is how long a count is shown before it is read again.
+	// taskCountLifetime is how long a count is reported before it is read again.
 	taskCountLifetime = 2 * time.Second
-	// taskCountShare is the share of the store's request rate that all nodes
-	// together spend on counts; minTaskCountRate, in reads a second, keeps the
-	// counts up to date under low limits.
-	taskCountShare   = 0.15
-	minTaskCountRate = 0.5
-	// maxTaskCounts bounds the counts that are remembered, of some 100 bytes each.
+	// taskCountRateShare is the share of the store's rate limit that all nodes together
+	// spend on reads of task counts. minTaskCountRPS, the least number of reads per second
+	// of a node, keeps the counts up to date if the store's limit is low.
+	taskCountRateShare = 0.15
+	minTaskCountRPS    = 0.5
+	// maxTaskCounts bounds the number of counts that are remembered. A count takes some
+	// 100 bytes.
 	maxTaskCounts = 8192
 )
 
-// taskCount is how many tasks of a job were done and running at a time.
+// taskCount is how many tasks of a job were done and running when they were read.
 type taskCount struct {
 	done, running int
 	readAt        time.Time
 }
 
-// taskCounts remembers the task counts of jobs. Counts are for display, so they
-// are read at a small rate and may be somewhat old. It is safe for concurrent use.
+// taskCounts remembers the task counts of jobs. Counts are for display, so they are read
+// at a low rate and may be somewhat old. It is safe for concurrent use.
 type taskCounts struct {
-	store *store.Client
-	reads *rate.Limiter
+	store       *store.Client
+	readLimiter *rate.Limiter
 
 	mu    sync.Mutex
 	byJob map[wire.JobID]taskCount
 }
 
-// newTaskCounts returns an empty taskCounts of one node. The store's limit, in
-// requests a second, is shared by the given number of nodes.
+// newTaskCounts returns an empty taskCounts for one of the given number of nodes, which
+// share the store's limit of storeRPS requests per second.
 func newTaskCounts(client *store.Client, storeRPS float64, nodes int) *taskCounts {
-	limit := max(minTaskCountRate, storeRPS*taskCountShare/float64(max(1, nodes)))
+	limit := max(minTaskCountRPS, storeRPS*taskCountRateShare/float64(max(1, nodes)))
 	return &taskCounts{
-		store: client,
-		byJob: map[wire.JobID]taskCount{},
-		reads: rate.NewLimiter(rate.Limit(limit), max(1, int(limit))),
+		store:       client,
+		byJob:       map[wire.JobID]taskCount{},
+		readLimiter: rate.NewLimiter(rate.Limit(limit), max(1, int(limit))),
 	}
 }
 
-// get returns the last count of a job and whether it need not be read again yet.
+// get returns the last count of a job and whether it is still fresh, so that it need not
+// be read again yet.
 func (c *taskCounts) get(id wire.JobID) (last taskCount, fresh bool) {
 	c.mu.Lock()
 	last, known := c.byJob[id]
@@ -58,7 +60,7 @@
 	return last, known && time.Since(last.readAt) < taskCountLifetime
 }
 
-// put remembers the count of a job.
+// put remembers the count of a job. If too many are remembered, it drops all others.
 func (c *taskCounts) put(id wire.JobID, count taskCount) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,11 +70,12 @@
 	c.byJob[id] = count
 }
 
-// count returns the task count of a job: the last one, zero if there is none,
-// where it need not or can't be read again now.
-func (c *taskCounts) count(ctx context.Context, id wire.JobID) taskCount {
+// getOrRead returns the task count of a job. It reads the count from the store, unless the
+// last one is fresh, the rate limit allows no read now, or the read fails. It then returns
+// the last count, which is zero if there is none.
+func (c *taskCounts) getOrRead(ctx context.Context, id wire.JobID) taskCount {
 	last, fresh := c.get(id)
-	if fresh || !c.reads.Allow() {
+	if fresh || !c.readLimiter.Allow() {
 		return last
 	}
 	entries, _, err := c.store.List(ctx, store.ClassUser, store.ProgressPrefix+string(id)+"/")
