--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -102,17 +102,17 @@
 	}
 }
 
-func TestFinalStatesAreBoundedAndKeepNewest(t *testing.T) {
+func TestFinalStatesAreBoundedAndKeepTheNewest(t *testing.T) {
 	var finals finalStates
 	id := func(n int) wire.JobID { return wire.JobID("req-" + strconv.Itoa(n)) }
 	for n := range 5 * maxStatesPerGeneration {
 		finals.put(wire.JobState{ID: id(n), Status: wire.StatusDone})
 	}
 	if got, limit := len(finals.young)+len(finals.old), 2*maxStatesPerGeneration; got > limit {
-		t.Errorf("remembered states: got %d, want at most %d", got, limit)
+		t.Errorf("states kept: got %d, want at most %d", got, limit)
 	}
 	newest := id(5*maxStatesPerGeneration - 1)
 	if _, ok := finals.get(newest); !ok {
-		t.Errorf("the newest state, of %s, is not remembered", newest)
+		t.Errorf("the newest state, of %s, is not kept", newest)
 	}
 }
--- a/internal/intake/task_counts_test.go
+++ b/internal/intake/task_counts_test.go
@@ -30,7 +30,7 @@
 	for n := range 2*maxTaskCounts + 1 {
 		counts.put(wire.JobID("req-"+strconv.Itoa(n)), taskCount{done: n})
 		if len(counts.byJob) > maxTaskCounts {
-			t.Fatalf("remembered counts after %d: got %d, want at most %d", n+1, len(counts.byJob), maxTaskCounts)
+			t.Fatalf("counts kept after %d: got %d, want at most %d", n+1, len(counts.byJob), maxTaskCounts)
 		}
 	}
 }
@@ -42,15 +42,15 @@
 		nodes    int
 		want     float64
 	}{
-		{"one node may use the whole share", 100, 1, 15},
-		{"three nodes may use a third each", 100, 3, 5},
+		{"one node has the whole share", 100, 1, 15},
+		{"three nodes have a third each", 100, 3, 5},
 		{"a low limit leaves the minimum", 1, 3, minTaskCountRPS},
 		{"an unknown number of nodes counts as one", 100, 0, 15},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			counts := newTaskCounts(nil, tt.storeRPS, tt.nodes)
 			if got := float64(counts.readLimiter.Limit()); got != tt.want {
-				t.Errorf("newTaskCounts(%g, %d): got %g reads per second, want %g", tt.storeRPS, tt.nodes, got, tt.want)
+				t.Errorf("newTaskCounts(%g, %d): got %g reads a second, want %g", tt.storeRPS, tt.nodes, got, tt.want)
 			}
 		})
 	}
--- a/internal/wire/cbor.go
+++ b/internal/wire/cbor.go
@@ -2,12 +2,12 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// maxNesting bounds how deep arrays and maps that are read may be nested.
+// maxNesting bounds how deep arrays and maps may be nested in a decoded value.
 const maxNesting = 16
 
-// maxElements bounds the arrays and maps that are read, above the largest of the
-// protocol, a job's 100,000 tasks. It only keeps a damaged length from taking all
-// memory: how much is read at all is bounded in bytes.
+// maxElements bounds the number of elements of a decoded array or map. It is above the
+// largest of the protocol, the 100,000 tasks of a job. The size of what is read is bounded
+// in bytes elsewhere; this limit only keeps a corrupt length from exhausting the memory.
 const maxElements = 131072
 
 var encMode = func() cbor.EncMode {
@@ -31,8 +31,8 @@
 	return mode
 }()
 
-// Encode encodes a value as CBOR. It panics on a value that can't be encoded, which those
-// of this package's types always can.
+// Encode encodes a value as CBOR. It panics if the value can't be encoded; values of this
+// package's types always can.
 func Encode(v any) []byte {
 	b, err := encMode.Marshal(v)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return b
 }
 
-// Decode decodes one value; bytes after it are an error.
+// Decode decodes one CBOR value into v. Bytes after the value are an error.
 func Decode(b []byte, v any) error { return decMode.Unmarshal(b, v) }
 
 // IsMap reports whether the bytes begin a CBOR map.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// MachineSpec is a machine type as the cloud offers it.
+// MachineSpec is a machine type as the cloud offers it. Its prices are per hour.
 type MachineSpec struct {
 	Name             MachineType `cbor:"name"`
 	CPUs             float64     `cbor:"cpus"`
@@ -44,17 +44,17 @@
 	return fitsCompute && fitsMemory && fitsDisk
 }
 
-// AmountTolerance is the tolerance of comparisons of amounts. It absorbs the rounding of sums of
-// decimal amounts.
+// AmountTolerance is the tolerance of comparisons between amounts of resources. It absorbs
+// the rounding of sums of decimal amounts.
 const AmountTolerance = 1e-6
 
-// MachineSpecs answers the cloud's request for its machine types, GET /flavors.
+// MachineSpecs is the cloud's response to GET /flavors, the request for its machine types.
 type MachineSpecs struct {
 	Types []MachineSpec `cbor:"kits"`
 }
 
-// ScaleOutRequest asks the cloud for machines. It is idempotent: repeated under the same
-// name it starts no machine twice.
+// ScaleOutRequest asks the cloud for machines. It is idempotent: a repetition under the
+// same name starts no further machine.
 type ScaleOutRequest struct {
 	Name  string      `cbor:"booking"`
 	Type  MachineType `cbor:"kit"`
@@ -63,8 +63,8 @@
 	Count int         `cbor:"count"`
 }
 
-// MachineNames lists machines, in the answer to a ScaleOutRequest and in a request to scale
-// in.
+// MachineNames lists machines, in the response to a ScaleOutRequest and in a request to
+// scale in.
 type MachineNames struct {
 	Machines []MachineID `cbor:"hosts"`
 }
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -2,8 +2,9 @@
 // key-value store and the other nodes send and receive, together with the small types for
 // ids, versions and times that the rest of the program uses.
 //
-// The names on the wire are the protocol's and stand in the struct tags alone; everywhere
-// else the program uses the names of the fields. The fields whose names differ:
+// The names on the wire are the protocol's. They stand in the struct tags alone; everywhere
+// else the program uses the names of the fields. In the table of those that differ, the
+// name on the wire comes first:
 //
 //	users       nameId job id            lane class               owner team
 //	            shape kind               urgency priority         parts tasks
@@ -23,7 +24,7 @@
 //	store       permit lease (grant)     drop delete              news events
 //	            lifeMs time to live
 //
-// The values that differ: sweep is a job array, daemon a service, ensemble a gang; of the
-// phases of a task, pulling is fetching its image and saving is taking a checkpoint; the
-// command halt stops a task.
+// Values whose names differ: the job kind sweep is a job array, daemon a service, and
+// ensemble a gang. A task in the phase pulling fetches its image, and one in the phase
+// saving takes a checkpoint. The command halt stops a task.
 package wire
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -8,11 +8,11 @@
 	"strconv"
 )
 
-// MaxBody is the largest body of a request, and of an answer to users and
-// workers, in bytes.
+// MaxBody is the largest body of a request, and of a response to a user or a worker, in
+// bytes.
 const MaxBody = 64 << 10
 
-// ContentType is sent with every body.
+// ContentType is the media type of every body.
 const ContentType = "application/cbor"
 
 // ErrBodyTooLarge is returned by ReadBody for a body over the limit.
@@ -30,7 +30,8 @@
 	return body, nil
 }
 
-// ErrorBody is the body of every answer that refuses a request.
+// ErrorBody is the body of every response that refuses or rejects a request. Field says
+// which field of the request is wrong, if the error is about one.
 type ErrorBody struct {
 	Error string `cbor:"error"`
 	Field string `cbor:"field,omitempty"`
@@ -43,20 +44,20 @@
 	header.Set("Content-Type", ContentType)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // an error: the client has closed the connection, and there is nothing to do
+	_, _ = w.Write(body) // an error: the client has closed the connection
 }
 
-// WriteRetryableError writes a response that says that the request can't be served now, and
-// after how many seconds to repeat it.
-func WriteRetryableError(w http.ResponseWriter, status int, reason string, retryAfterS int) {
-	w.Header().Set("Retry-After", strconv.Itoa(retryAfterS))
+// WriteRetryableError writes a response that says why the request can't be served now, and
+// after how many seconds the client should retry it.
+func WriteRetryableError(w http.ResponseWriter, status int, reason string, retryAfterSeconds int) {
+	w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	WriteResponse(w, status, ErrorBody{Error: reason})
 }
 
-// IsNotSent reports whether a request failed before anything of it was sent: the
-// connection could not be opened. Such a request is certainly not executed,
-// since an attempt to connect that was given up does not complete later.
+// IsNotSent reports whether a request failed before anything of it was sent, because the
+// connection could not be opened. Such a request is certainly not executed: an attempt to
+// connect that was given up does not complete later.
 func IsNotSent(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -9,23 +9,24 @@
 	MachineID string
 	// NodeID is the host name of one of this program's own processes.
 	NodeID string
-	// TeamID names a team.
+	// TeamID is the name under which the settings list a team.
 	TeamID string
-	// Zone names a zone.
+	// Zone is the cloud's name for a zone.
 	Zone string
-	// MachineType names a machine type.
+	// MachineType is the cloud's name for a machine type.
 	MachineType string
-	// ImageID names an image.
+	// ImageID names the image from which a task is run.
 	ImageID string
-	// FencingToken says who may command the workers: they obey the highest they have seen.
+	// FencingToken decides whose commands a worker obeys: only those with the highest token
+	// that it has seen.
 	FencingToken uint64
-	// Revision counts the changes of the key-value store.
+	// Revision numbers the changes of the key-value store.
 	Revision uint64
-	// GrantID names a lease of the key-value store.
+	// GrantID identifies a lease (grant) of the key-value store.
 	GrantID uint64
 	// AttemptNumber numbers the starts of a task; a number is never used twice.
 	AttemptNumber uint64
-	// AgentEpoch counts how often a worker's lease has ended, from 1.
+	// AgentEpoch starts at 1 and increases whenever a worker's lease ends.
 	AgentEpoch uint64
 	// Sequence orders the messages of a worker within an agent epoch.
 	Sequence uint64
@@ -36,7 +37,8 @@
 	maxJobIDDigits = 32
 )
 
-// Valid reports whether the id has the one form that ids have, "req-000412".
+// Valid reports whether the id has the only form of job ids: "req-" and 1 to 32 digits, as
+// in "req-000412".
 func (id JobID) Valid() bool {
 	digits, ok := strings.CutPrefix(string(id), jobIDPrefix)
 	if !ok || digits == "" || len(digits) > maxJobIDDigits {
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -10,7 +10,7 @@
 	KindGang    JobKind = "ensemble" // a gang: all tasks run at the same time, or none
 )
 
-// Priority is a job's priority.
+// Priority decides which jobs a job may preempt; see Rank.
 type Priority string
 
 // The priorities, highest first.
@@ -21,7 +21,7 @@
 	PriorityBestEffort Priority = "best_effort"
 )
 
-// Rank orders priorities: a job may preempt those of a lower rank.
+// Rank orders priorities: a job may preempt jobs of a lower rank.
 func (p Priority) Rank() int {
 	switch p {
 	case PriorityProd:
@@ -49,7 +49,7 @@
 // IsFinal reports whether the status never changes again.
 func (s Status) IsFinal() bool { return s == StatusDone || s == StatusCancelled }
 
-// JobSpec is a submission that was checked.
+// JobSpec is a checked submission. CPUs, GPUs and MemoryGB are what one task needs.
 type JobSpec struct {
 	ID                 JobID         `cbor:"nameId"`
 	Class              string        `cbor:"lane"`
@@ -80,8 +80,8 @@
 // time, or none does.
 func (s *JobSpec) IsGang() bool { return s.Kind == KindGang }
 
-// MinConcurrentTasks returns how many of the job's tasks must be able to run at the same time:
-// all of a service or a gang.
+// MinConcurrentTasks returns how many of the job's tasks must be able to run at the same
+// time: all tasks of a service or a gang, and one of an array.
 func (s *JobSpec) MinConcurrentTasks() int {
 	if s.IsService() || s.IsGang() {
 		return s.Tasks
@@ -89,8 +89,8 @@
 	return 1
 }
 
-// MaxTasksPerZone returns how many of the job's tasks may be in one zone: half of them, rounded
-// up, where they are spread.
+// MaxTasksPerZone returns how many of the job's tasks may be in one zone: half of them,
+// rounded up, if the job is spread, else all.
 func (s *JobSpec) MaxTasksPerZone() int {
 	if s.Spread {
 		return (s.Tasks + 1) / 2
@@ -98,7 +98,7 @@
 	return s.Tasks
 }
 
-// JobState answers a user who polls a job.
+// JobState is the response to a user's poll. Done and Running are numbers of tasks.
 type JobState struct {
 	ID      JobID  `cbor:"nameId"`
 	Status  Status `cbor:"status"`
@@ -106,7 +106,7 @@
 	Running int    `cbor:"running"`
 }
 
-// JobSummary answers a submission or a cancellation.
+// JobSummary is the response to a submission or a cancellation.
 type JobSummary struct {
 	ID     JobID  `cbor:"nameId"`
 	Status Status `cbor:"status"`
--- a/internal/wire/size.go
+++ b/internal/wire/size.go
@@ -5,9 +5,9 @@
 	"strconv"
 )
 
-// JSONSize estimates a value's size in the form in which the key-value store
-// counts it, from above: as JSON with every character escaped that may be, and with a
-// space after each comma and colon.
+// JSONSize returns an upper estimate of a value's size in bytes as the key-value store
+// counts it. The store counts the value as JSON; the estimate escapes every character that
+// may be escaped, and adds a space after each comma and colon.
 func JSONSize(v any) int {
 	var generic any
 	if err := Decode(Encode(v), &generic); err != nil {
@@ -16,7 +16,7 @@
 	return jsonSize(generic)
 }
 
-// jsonSize estimates the size of a value of the types that Decode gives.
+// jsonSize estimates the size of a value of one of the types that Decode returns in an any.
 func jsonSize(v any) int {
 	switch v := v.(type) {
 	case nil:
@@ -36,7 +36,7 @@
 	case map[any]any:
 		return jsonObjectSize(v)
 	default:
-		return len(Encode(v)) * len(`\u0000`) // bytes and tags, each byte escaped
+		return len(Encode(v)) * len(`\u0000`) // byte strings and tags: every byte escaped
 	}
 }
 
@@ -56,14 +56,15 @@
 	return size
 }
 
-// jsonFloatSize allows for a fraction of ".0", which some writers give whole numbers.
+// jsonFloatSize allows for the ".0" that some encoders add to whole numbers.
 func jsonFloatSize(f float64) int {
-	const smallestDecimal, smallestExponential = 1e-6, 1e21 // encoding/json switches there
-	form := byte('f')
+	// encoding/json writes an exponent below the first and from the second on.
+	const smallestDecimal, smallestExponential = 1e-6, 1e21
+	format := byte('f')
 	if abs := math.Abs(f); abs != 0 && abs < smallestDecimal || abs >= smallestExponential {
-		form = 'e'
+		format = 'e'
 	}
-	return len(strconv.FormatFloat(f, form, -1, 64)) + len(".0")
+	return len(strconv.FormatFloat(f, format, -1, 64)) + len(".0")
 }
 
 func jsonStringSize(s string) int {
@@ -74,9 +75,9 @@
 	return size
 }
 
-// jsonRuneSize returns the size of a character, escaped wherever a usual writer does so.
+// jsonRuneSize returns the size of a character, escaped if any of the usual encoders does so.
 func jsonRuneSize(r rune) int {
-	const maxBasicPlane = 0xFFFF // beyond it a character takes two escapes
+	const maxBasicPlane = 0xFFFF // a character beyond it takes two escapes
 	switch {
 	case r > maxBasicPlane:
 		return len(`\u0000\u0000`)
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases every time.
+// A fixed seed makes every run test the same cases.
 func init() { flag.Set("rapid.seed", "20261202") } //nolint:errcheck // rapid defines the flag
 
-// The size of a value is never estimated below what its JSON has, however that is
-// spaced and escaped, and not much above.
-func TestJSONSizeIsNeverBelowActualSize(t *testing.T) {
+// An estimate below the actual size would let the key-value store refuse a record that
+// passed the check of its size. An estimate far above would reject records that fit.
+func TestJSONSizeIsNeverBelowAndNotFarAboveActualSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 120, 200)
 		types := rapid.SliceOfN(text, 0, 64).Draw(t, "types")
@@ -24,25 +24,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// As escaped as JSON can be by the usual writers.
-		escaped := 0
+		// The length of the JSON, escaped as far as the usual encoders do.
+		escapedLen := 0
 		for _, r := range string(plain) {
 			switch {
 			case r > 0xFFFF:
-				escaped += 12
+				escapedLen += 12
 			case r > '~':
-				escaped += 6
+				escapedLen += 6
 			default:
-				escaped++
+				escapedLen++
 			}
 		}
-		spaced := escaped + bytes.Count(plain, []byte(",")) + bytes.Count(plain, []byte(":"))
+		spacedLen := escapedLen + bytes.Count(plain, []byte(",")) + bytes.Count(plain, []byte(":"))
 		got := JSONSize(value)
-		if got < escaped || got < len(plain) {
-			t.Fatalf("%s: got an estimate of %d, want at least %d and %d bytes", plain, got, escaped, len(plain))
+		if got < escapedLen || got < len(plain) {
+			t.Fatalf("%s: got an estimate of %d, want at least %d and %d bytes", plain, got, escapedLen, len(plain))
 		}
-		if got > 2*spaced+40 {
-			t.Fatalf("%s: got an estimate of %d, want at most %d", plain, got, 2*spaced+40)
+		if got > 2*spacedLen+40 {
+			t.Fatalf("%s: got an estimate of %d, want at most %d", plain, got, 2*spacedLen+40)
 		}
 	})
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -13,21 +13,22 @@
 	Grant    GrantID  `cbor:"permit,omitempty"`
 }
 
-// EntryPage is one page of keys.
+// EntryPage is one page of a list of keys. Truncated says that there are more. Revision is
+// that of the whole store, while that of an Entry is of its key.
 type EntryPage struct {
 	Entries   []Entry  `cbor:"entries"`
 	Truncated bool     `cbor:"truncated"`
 	Revision  Revision `cbor:"ledger"`
 }
 
-// Guard is a condition of a transaction: the key is at the revision; at 0 it must not
-// exist.
+// Guard is a condition of a transaction: the key must be at the revision. Revision 0 means
+// that the key must not exist.
 type Guard struct {
 	Key      string   `cbor:"k"`
 	Revision Revision `cbor:"stamp"`
 }
 
-// Write is one change of a transaction: a value is put under a key, or a key deleted.
+// Write is one change of a transaction: a value is put under a key, or a key is deleted.
 type Write struct {
 	PutKey    string   `cbor:"put,omitempty"`
 	Value     RawValue `cbor:"v,omitempty"`
@@ -35,14 +36,14 @@
 	DeleteKey string   `cbor:"drop,omitempty"`
 }
 
-// Txn is a transaction, a compare-and-swap of several keys: where all guards hold, all
-// writes are executed, and else none.
+// Txn is a transaction, a compare-and-swap of several keys: if all guards hold, all writes
+// are executed, otherwise none.
 type Txn struct {
 	Guards []Guard `cbor:"guards"`
 	Writes []Write `cbor:"writes"`
 }
 
-// TxnResponse answers a transaction with its revision, or with the keys whose guards failed.
+// TxnResponse is the response to a Txn: its revision, or the keys whose guards failed.
 type TxnResponse struct {
 	Revision   Revision `cbor:"ledger"`
 	FailedKeys []string `cbor:"failed,omitempty"`
@@ -53,7 +54,7 @@
 	TTLMillis int64 `cbor:"lifeMs"`
 }
 
-// GrantResponse answers a GrantRequest.
+// GrantResponse is the response to a GrantRequest.
 type GrantResponse struct {
 	Grant GrantID `cbor:"permit"`
 }
@@ -66,7 +67,8 @@
 	Revision   Revision `cbor:"stamp"`
 }
 
-// WatchResponse answers a watch.
+// WatchResponse is the response to a watch: the revision of the store, and the events in any
+// order.
 type WatchResponse struct {
 	Revision Revision     `cbor:"ledger"`
 	Events   []WatchEvent `cbor:"news"`
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -3,18 +3,18 @@
 import "fmt"
 
 const (
-	// maxText bounds texts, in bytes.
-	maxText = 120
-	// maxAmount bounds amounts of any unit.
+	// maxTextBytes bounds the length of a text.
+	maxTextBytes = 120
+	// maxAmount bounds amounts in any unit.
 	maxAmount = 1e9
 	// maxMachineTypes bounds the machine types that a job names.
 	maxMachineTypes = 64
-	// shortestDeadline takes the place of a deadline of zero, which is a deadline and
-	// not its absence.
+	// shortestDeadline replaces a submitted deadline of 0, since a Deadline of 0 in a
+	// JobSpec stands for no deadline.
 	shortestDeadline Seconds = 0.001
 )
 
-// submission mirrors JobSpec with pointers, so that a missing field shows.
+// submission mirrors JobSpec with pointers, to tell a missing field from a zero value.
 type submission struct {
 	ID                 *string   `cbor:"nameId"`
 	Class              *string   `cbor:"lane"`
@@ -64,8 +64,9 @@
 	return spec, check.firstError
 }
 
-// requiredFields returns the fields that every submission has, but for the number of
-// tasks, whose check follows those of the values of these.
+// requiredFields checks that each required field is present and in range, and returns them
+// all but the number of tasks. That is checked after fieldChecker.values, since the order
+// of the checks decides which error is reported.
 func (in *submission) requiredFields(check *fieldChecker) JobSpec {
 	return JobSpec{
 		ID:                 JobID(check.text("nameId", in.ID)),
@@ -93,11 +94,11 @@
 	Reason string
 }
 
-// Error returns the field and the reason.
+// Error returns the field and the reason, separated by a colon.
 func (e FieldError) Error() string { return fmt.Sprintf("%s: %s", e.Field, e.Reason) }
 
-// fieldChecker checks the fields of a submission, each by its name on the wire, and keeps
-// the first error.
+// fieldChecker checks the fields of a submission and remembers the first error, which names
+// the field as on the wire.
 type fieldChecker struct{ firstError error }
 
 func (c *fieldChecker) fail(field, reason string) {
@@ -111,7 +112,7 @@
 		c.fail(field, "missing")
 		return ""
 	}
-	if *value == "" || len(*value) > maxText {
+	if *value == "" || len(*value) > maxTextBytes {
 		c.fail(field, "must have 1 to 120 bytes")
 	}
 	return *value
@@ -145,7 +146,7 @@
 	return *value
 }
 
-// values checks the fields that have one of several values or a form.
+// values checks the fields that have a fixed form or a fixed set of values.
 func (c *fieldChecker) values(spec *JobSpec) {
 	if !spec.ID.Valid() {
 		c.fail("nameId", "not of the form req-000412")
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// validSubmission returns a submission that is accepted, by the names of the wire.
+// validSubmission returns a valid submission, keyed by the names on the wire.
 func validSubmission() map[string]any {
 	return map[string]any{"nameId": "req-1", "lane": "l", "owner": "o", "shape": "sweep", "urgency": "prod", "parts": 2, "cpus": 4, "cards": 0, "ramGb": 1.5,
 		"bundle": "b", "imageGb": 0.5, "kits": nil, "site": nil, "samePlace": false, "apart": true, "standby": false, "expectedS": 1, "snapshotEveryS": 0,
 		"snapshotS": 0}
 }
 
-// Each wrong submission is refused for its first wrong field, in the order in which the
-// fields are checked. Users and their scripts read field and reason.
-func TestDecodeJobSpecRefusesWrongSubmission(t *testing.T) {
+// The error is about the first wrong field, in the order in which the fields are checked.
+// Users and their scripts read its field and reason, so both must stay as they are.
+func TestDecodeJobSpecRejectsInvalidField(t *testing.T) {
 	const missing = "missing"
-	long := strings.Repeat("x", 121)
-	types := func(n int) []string { return strings.Split(strings.Repeat("t,", n-1)+"t", ",") }
+	tooLong := strings.Repeat("x", 121)
+	machineTypes := func(n int) []string { return strings.Split(strings.Repeat("t,", n-1)+"t", ",") }
 	cases := []struct {
 		name   string
 		change map[string]any
@@ -45,11 +45,11 @@
 		{"no checkpoint time", map[string]any{"snapshotS": nil}, FieldError{"snapshotS", missing}},
 
 		{"empty job id", map[string]any{"nameId": ""}, FieldError{"nameId", "must have 1 to 120 bytes"}},
-		{"long job id", map[string]any{"nameId": long}, FieldError{"nameId", "must have 1 to 120 bytes"}},
+		{"long job id", map[string]any{"nameId": tooLong}, FieldError{"nameId", "must have 1 to 120 bytes"}},
 		{"malformed job id", map[string]any{"nameId": "job-1"}, FieldError{"nameId", "not of the form req-000412"}},
 		{"empty class", map[string]any{"lane": ""}, FieldError{"lane", "must have 1 to 120 bytes"}},
-		{"long class", map[string]any{"lane": long}, FieldError{"lane", "must have 1 to 120 bytes"}},
-		{"long team", map[string]any{"owner": long}, FieldError{"owner", "must have 1 to 120 bytes"}},
+		{"long class", map[string]any{"lane": tooLong}, FieldError{"lane", "must have 1 to 120 bytes"}},
+		{"long team", map[string]any{"owner": tooLong}, FieldError{"owner", "must have 1 to 120 bytes"}},
 		{"empty kind", map[string]any{"shape": ""}, FieldError{"shape", "must have 1 to 120 bytes"}},
 		{"unknown kind", map[string]any{"shape": "array"}, FieldError{"shape", "unknown"}},
 		{"unknown priority", map[string]any{"urgency": "low"}, FieldError{"urgency", "unknown"}},
@@ -67,11 +67,12 @@
 		{"deadline below 0", map[string]any{"dueS": -1}, FieldError{"dueS", "out of range"}},
 		{"empty zone", map[string]any{"site": ""}, FieldError{"site", "must have 1 to 120 bytes"}},
 		{"empty list of machine types", map[string]any{"kits": []string{}}, FieldError{"kits", "must be null or name 1 to 64 types"}},
-		{"too many machine types", map[string]any{"kits": types(65)}, FieldError{"kits", "must be null or name 1 to 64 types"}},
+		{"too many machine types", map[string]any{"kits": machineTypes(65)}, FieldError{"kits", "must be null or name 1 to 64 types"}},
 		{"empty machine type", map[string]any{"kits": []string{"t", ""}}, FieldError{"kits", "must have 1 to 120 bytes"}},
 
-		// Presence and range of the plain fields, in the order of the table of fields;
-		// then the values of job id, kind and priority; then tasks, types, zone, deadline.
+		// Checked first is that the required fields but the tasks are present and in range, in
+		// the order of the cases above; then the values of job id, kind and priority; then
+		// tasks, machine types, zone and deadline.
 		{"missing class before missing team", map[string]any{"owner": nil, "lane": nil}, FieldError{"lane", missing}},
 		{"missing checkpoint time before malformed job id", map[string]any{"nameId": "job-1", "snapshotS": nil}, FieldError{"snapshotS", missing}},
 		{"image size before flags", map[string]any{"samePlace": nil, "imageGb": -1}, FieldError{"imageGb", "out of range"}},
@@ -80,7 +81,7 @@
 		{"unknown kind before unknown priority", map[string]any{"urgency": "low", "shape": "array"}, FieldError{"shape", "unknown"}},
 		{"unknown priority before tasks", map[string]any{"urgency": "low", "parts": 0}, FieldError{"urgency", "unknown"}},
 		{"tasks before machine types", map[string]any{"kits": []string{}, "parts": nil}, FieldError{"parts", missing}},
-		{"number of machine types before their names", map[string]any{"kits": append(types(64), "")}, FieldError{"kits", "must be null or name 1 to 64 types"}},
+		{"number of machine types before their names", map[string]any{"kits": append(machineTypes(64), "")}, FieldError{"kits", "must be null or name 1 to 64 types"}},
 		{"machine types before zone", map[string]any{"kits": []string{""}, "site": ""}, FieldError{"kits", "must have 1 to 120 bytes"}},
 		{"zone before deadline", map[string]any{"site": "", "dueS": -1}, FieldError{"site", "must have 1 to 120 bytes"}},
 	}
@@ -96,12 +97,12 @@
 	}
 }
 
-// A body that is no submission at all is refused as a whole.
-func TestDecodeJobSpecRefusesWrongBody(t *testing.T) {
+// A body that can't be decoded has no wrong field, so the error names the body.
+func TestDecodeJobSpecRejectsUndecodableBody(t *testing.T) {
 	cases := []struct {
-		name   string
-		body   []byte
-		reason string // what it begins with
+		name         string
+		body         []byte
+		reasonPrefix string
 	}{
 		{"empty", nil, "not a CBOR map"},
 		{"array", Encode([]int{1}), "not a CBOR map"},
@@ -112,16 +113,15 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := DecodeJobSpec(tc.body)
-			var field FieldError
-			if !errors.As(err, &field) || field.Field != "body" || !strings.HasPrefix(field.Reason, tc.reason) {
-				t.Errorf("got %v, want field body with reason %q", err, tc.reason)
+			var fieldError FieldError
+			if !errors.As(err, &fieldError) || fieldError.Field != "body" || !strings.HasPrefix(fieldError.Reason, tc.reasonPrefix) {
+				t.Errorf("got %v, want field body with a reason that starts with %q", err, tc.reasonPrefix)
 			}
 		})
 	}
 }
 
-// The largest and smallest values that are accepted.
-func TestDecodeJobSpecAcceptsLimits(t *testing.T) {
+func TestDecodeJobSpecAcceptsValuesAtTheirLimits(t *testing.T) {
 	submission := validSubmission()
 	maps.Copy(submission, map[string]any{"nameId": "req-" + strings.Repeat("1", 32), "lane": strings.Repeat("x", 120), "shape": "ensemble", "urgency": "best_effort",
 		"parts": 100000, "cpus": 1e9, "kits": strings.Split(strings.Repeat("t,", 63)+"t", ","), "site": "a", "dueS": 0})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A submission that is accepted has valid fields, whatever its bytes are.
+// Whatever the bytes of a submission are, if it is accepted, its fields are valid.
 func FuzzDecodeJobSpec(f *testing.F) {
 	f.Add(Encode(map[string]any{"nameId": "req-1", "parts": 3}))
 	f.Add([]byte{0xa1, 0x61, 0x61})
@@ -21,7 +21,8 @@
 	})
 }
 
-// A task id that is parsed has one form, whatever the bytes of the heartbeat are.
+// Whatever the bytes of a heartbeat are, if a task id of it can be parsed, it has the only
+// form of that id.
 func FuzzDecodeHeartbeat(f *testing.F) {
 	f.Add(Encode(Heartbeat{Machine: "n-1", Tasks: []TaskStatus{{Task: "req-1/0", Attempt: 1, Phase: PhaseExited, Cause: CauseDone}}}))
 	f.Add([]byte{0xa1, 0x65, 'p', 'a', 'r', 't', 's', 0x9a, 0xff, 0xff, 0xff, 0xff})
@@ -30,18 +31,18 @@
 		if Decode(b, &heartbeat) != nil {
 			return
 		}
-		for _, state := range heartbeat.Tasks {
-			if task, err := ParseTaskID(state.Task); err == nil && task.String() != state.Task {
-				t.Fatalf("got %v for %q, want the same form", task, state.Task)
+		for _, status := range heartbeat.Tasks {
+			if task, err := ParseTaskID(status.Task); err == nil && task.String() != status.Task {
+				t.Fatalf("got %v for %q, want the same form", task, status.Task)
 			}
 		}
 	})
 }
 
-func TestParseTaskAcceptsOneForm(t *testing.T) {
+func TestParseTaskIDAcceptsOneForm(t *testing.T) {
 	cases := []struct {
 		name, id string
-		want     TaskID // the zero TaskID: refused
+		want     TaskID // the zero TaskID: an error
 	}{
 		{"leading zeros in the job", "req-000412/3", TaskID{"req-000412", 3}},
 		{"highest index", "req-1/99999", TaskID{"req-1", 99999}},
@@ -57,16 +58,16 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			got, err := ParseTaskID(tc.id)
-			if refused := tc.want == (TaskID{}); got != tc.want || (err != nil) != refused {
-				t.Errorf("%q: got %v, error %v, want %v, refused %v", tc.id, got, err, tc.want, refused)
+			if wantErr := tc.want == (TaskID{}); got != tc.want || (err != nil) != wantErr {
+				t.Errorf("%q: got %v, error %v, want %v, an error: %v", tc.id, got, err, tc.want, wantErr)
 			}
 		})
 	}
 }
 
-// Nulls equal omission, unknown fields are ignored, and whole numbers are accepted as
-// amounts.
-func TestDecodeJobSpecIgnoresNullsAndUnknownFields(t *testing.T) {
+// A null is treated like an omitted field, unknown fields are ignored, and whole numbers are
+// accepted as amounts.
+func TestDecodeJobSpecTreatsNullAsMissingAndIgnoresUnknownFields(t *testing.T) {
 	submission := validSubmission()
 	submission["novel"] = []int{1}
 	spec, err := DecodeJobSpec(Encode(submission))
@@ -81,13 +82,13 @@
 			submission := validSubmission()
 			change(submission)
 			if _, err := DecodeJobSpec(Encode(submission)); err != (FieldError{field, "missing"}) {
-				t.Errorf("%s %s: got %v, want it to be missing", field, name, err)
+				t.Errorf("%s %s: got %v, want the error that it is missing", field, name, err)
 			}
 		}
 	}
 }
 
-func TestHeartbeatNewerComparesEpochFirst(t *testing.T) {
+func TestHeartbeatIsNewerThanComparesEpochFirst(t *testing.T) {
 	cases := []struct {
 		name     string
 		epoch    AgentEpoch
@@ -98,7 +99,7 @@
 		{"same epoch, higher sequence", 2, 6, true},
 		{"same epoch and sequence", 2, 5, false},
 		{"same epoch, lower sequence", 2, 4, false},
-		{"former epoch, higher sequence", 1, 9, false},
+		{"earlier epoch, higher sequence", 1, 9, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -110,7 +111,7 @@
 	}
 }
 
-func TestMachineSpecFitsAllowedTypeWithRoom(t *testing.T) {
+func TestMachineSpecCanRunNeedsAllowedTypeWithRoom(t *testing.T) {
 	spec := JobSpec{CPUs: 4, GPUs: 1, MemoryGB: 8, ImageGB: 10}
 	machine := MachineSpec{Name: "g4", CPUs: 4, GPUs: 1, MemoryGB: 8, DiskGB: 10, Zones: []Zone{"a", "b"}}
 	cases := []struct {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -5,10 +5,10 @@
 
 // The phases in the heartbeats of workers.
 const (
-	PhaseFetching      TaskPhase = "pulling" // of its image
+	PhaseFetching      TaskPhase = "pulling" // fetches its image
 	PhaseRunning       TaskPhase = "running"
-	PhaseWaiting       TaskPhase = "waiting" // for the other tasks of its gang
-	PhaseCheckpointing TaskPhase = "saving"  // of a checkpoint
+	PhaseWaiting       TaskPhase = "waiting" // waits for the other tasks of its gang
+	PhaseCheckpointing TaskPhase = "saving"  // takes a checkpoint
 	PhaseExited        TaskPhase = "exited"
 )
 
@@ -20,12 +20,12 @@
 	CauseDone    ExitCause = "done"
 	CauseStopped ExitCause = "stopped"
 	CauseError   ExitCause = "error"
-	CauseFull    ExitCause = "full"
-	CauseBusy    ExitCause = "busy"
-	CauseNoSuch  ExitCause = "no_such"
-	// CauseGangBroken and CauseGangIncomplete are of a gang's task: another one has
-	// ended, or the gang was not complete in time. Neither counts as a failure of the
-	// machine on which it happens.
+	CauseFull    ExitCause = "full"    // the launch was refused: the machine has no room for the task
+	CauseBusy    ExitCause = "busy"    // the launch was refused: an earlier attempt of the task still runs
+	CauseNoSuch  ExitCause = "no_such" // the launch was refused: there is no such task
+	// CauseGangBroken and CauseGangIncomplete occur only with tasks of a gang: another task
+	// of the gang has ended, or the gang was not complete in time. Neither counts as a
+	// failure of the machine on which it happens.
 	CauseGangBroken     ExitCause = "mates_gone"
 	CauseGangIncomplete ExitCause = "alone"
 )
@@ -53,8 +53,8 @@
 	Tasks      []TaskStatus `cbor:"parts"`
 }
 
-// IsNewerThan reports whether the heartbeat was made after the one with the given epoch and
-// sequence number.
+// IsNewerThan reports whether the heartbeat was made after the worker's heartbeat with the
+// given epoch and sequence number.
 func (h *Heartbeat) IsNewerThan(epoch AgentEpoch, sequence Sequence) bool {
 	return h.Epoch > epoch || h.Epoch == epoch && h.Sequence > sequence
 }
@@ -77,14 +77,15 @@
 	GracePeriod *Seconds      `cbor:"windDownS,omitempty"`
 }
 
-// Commands answers a heartbeat, without an epoch, or is sent to a worker directly.
+// Commands is the response to a heartbeat, then without an epoch, or is sent to a worker
+// directly.
 type Commands struct {
 	Token    FencingToken `cbor:"baton"`
 	Epoch    AgentEpoch   `cbor:"shift,omitempty"`
 	Commands []Command    `cbor:"orders"`
 }
 
-// Redirect refers a worker to the node that is the leader.
+// Redirect is a response to a heartbeat that refers the worker to the leader.
 type Redirect struct {
 	Leader NodeID `cbor:"reportsTo,omitempty"`
 }
