--- a/internal/compat/cbor_test.go
+++ b/internal/compat/cbor_test.go
@@ -13,22 +13,23 @@
 	"lilaclead/internal/wire"
 )
 
-// sampleBytes returns the bytes of the samples by their names.
+// sampleBytes returns the stored encodings of the samples, by sample name.
 func sampleBytes(t *testing.T) map[string][]byte {
 	t.Helper()
 	return readHexFile(t, "testdata/keys.hex")
 }
 
-// readHexFile returns the bytes in a file by their names.
+// readHexFile returns the byte strings of a file by name. Each line holds a name, a colon, a
+// space and the bytes as hexadecimal digits; other lines are skipped.
 func readHexFile(t *testing.T, path string) map[string][]byte {
 	t.Helper()
-	f, err := os.Open(path)
+	file, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer file.Close()
 	data := map[string][]byte{}
-	lines := bufio.NewScanner(f)
+	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		name, digits, ok := strings.Cut(lines.Text(), ": ")
@@ -44,17 +45,17 @@
 	return data
 }
 
-// decodeGeneric decodes a value by the keys that its bytes have.
+// decodeGeneric decodes a value without a type, into maps with the keys of the encoding.
 func decodeGeneric(t *testing.T, raw []byte) any {
 	t.Helper()
-	var v any
-	if err := wire.Decode(raw, &v); err != nil {
+	var decoded any
+	if err := wire.Decode(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	return v
+	return decoded
 }
 
-// diagnosis returns the readable form of CBOR bytes.
+// diagnosis returns CBOR bytes in diagnostic notation, or the error if they are malformed.
 func diagnosis(raw []byte) string {
 	text, err := cbor.Diagnose(raw)
 	if err != nil {
@@ -63,24 +64,25 @@
 	return text
 }
 
-// decodeAs decodes a value of a type.
+// decodeAs decodes bytes as a value of the given type.
 func decodeAs(typ reflect.Type, raw []byte) (any, error) {
-	v := reflect.New(typ)
-	err := wire.Decode(raw, v.Interface())
-	return v.Elem().Interface(), err
+	decoded := reflect.New(typ)
+	err := wire.Decode(raw, decoded.Interface())
+	return decoded.Elem().Interface(), err
 }
 
-// unsetFields lists the fields that have not been decoded.
+// unsetFields returns the paths of the fields of a value that have the zero value. Of a
+// slice it looks at the first element only.
 func unsetFields(v reflect.Value, path string) []string {
 	switch v.Kind() {
 	case reflect.Struct:
-		var out []string
+		var unset []string
 		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.Name != "_" {
-				out = append(out, unsetFields(v.Field(i), path+"."+f.Name)...)
+			if field := v.Type().Field(i); field.Name != "_" {
+				unset = append(unset, unsetFields(v.Field(i), path+"."+field.Name)...)
 			}
 		}
-		return out
+		return unset
 	case reflect.Slice:
 		if v.Len() > 0 {
 			return unsetFields(v.Index(0), path+"[0]")
@@ -92,47 +94,48 @@
 	return nil
 }
 
-// isSubset reports whether b has all that a has; b may have more keys.
-func isSubset(a, b any) bool {
-	switch x := a.(type) {
+// isSubset reports whether two generic values are equal but for maps, in which the superset
+// may have further keys.
+func isSubset(subset, superset any) bool {
+	switch sub := subset.(type) {
 	case map[any]any:
-		y, ok := b.(map[any]any)
-		for k, v := range x {
-			ok = ok && isSubset(v, y[k])
+		super, ok := superset.(map[any]any)
+		for key, value := range sub {
+			ok = ok && isSubset(value, super[key])
 		}
 		return ok
 	case []any:
-		y, ok := b.([]any)
-		if !ok || len(x) != len(y) {
+		super, ok := superset.([]any)
+		if !ok || len(sub) != len(super) {
 			return false
 		}
-		for i := range x {
-			if !isSubset(x[i], y[i]) {
+		for i := range sub {
+			if !isSubset(sub[i], super[i]) {
 				return false
 			}
 		}
 		return true
 	default:
-		return reflect.DeepEqual(a, b)
+		return reflect.DeepEqual(subset, superset)
 	}
 }
 
-// withUnknownKeys adds keys to all maps of a value.
-func withUnknownKeys(v any) any {
-	switch x := v.(type) {
+// withUnknownKeys returns a copy of a generic value in which each map has further keys.
+func withUnknownKeys(value any) any {
+	switch value := value.(type) {
 	case map[any]any:
-		out := map[any]any{"aa_new": map[any]any{"n": []any{1, "two"}}, "zz_new": nil}
-		for k, e := range x {
-			out[k] = withUnknownKeys(e)
+		extended := map[any]any{"aa_new": map[any]any{"n": []any{1, "two"}}, "zz_new": nil}
+		for key, element := range value {
+			extended[key] = withUnknownKeys(element)
 		}
-		return out
+		return extended
 	case []any:
-		out := make([]any, len(x))
-		for i := range x {
-			out[i] = withUnknownKeys(x[i])
+		extended := make([]any, len(value))
+		for i := range value {
+			extended[i] = withUnknownKeys(value[i])
 		}
-		return out
+		return extended
 	default:
-		return v
+		return value
 	}
 }
--- a/internal/compat/earlier_test.go
+++ b/internal/compat/earlier_test.go
@@ -1,6 +1,8 @@
 package compat_test
 
-// The fields by which 2d2d3f7 and 78c1803 read. What differs says so.
+// The types by which the earlier versions 2d2d3f7 (productionVersion) and 78c1803
+// (gangsVersion) decode records and messages. Both versions have the same fields, except
+// where a type's name or a comment says otherwise.
 type (
 	earlierJobRecord struct {
 		Spec        earlierJobSpec `cbor:"spec"`
@@ -46,7 +48,7 @@
 		NextAttempt   uint64                 `cbor:"n"`
 		Done          []int                  `cbor:"d"`
 		Active        []earlierActiveAttempt `cbor:"r"`
-		SubchunkTasks int                    `cbor:"s,omitempty"` // not known to 2d2d3f7
+		SubchunkTasks int                    `cbor:"s,omitempty"` // unknown to 2d2d3f7
 	}
 	earlierFinalRecord struct {
 		Status string `cbor:"status"`
@@ -90,7 +92,8 @@
 		Job string `cbor:"j"`
 		Age int64  `cbor:"a"`
 	}
-	// earlierWorkerHeartbeat is relayed from node to node as it comes from a worker.
+	// earlierWorkerHeartbeat is a worker's heartbeat, which one node relays to another as it
+	// is.
 	earlierWorkerHeartbeat struct {
 		Machine    string             `cbor:"host"`
 		Addr       string             `cbor:"addr"`
@@ -110,7 +113,7 @@
 		Cause   string `cbor:"cause,omitempty"`
 		Saved   bool   `cbor:"saved,omitempty"`
 	}
-	// earlierCommands are the answer to a relayed heartbeat, and what a node asks another
+	// earlierCommands is the response to a relayed heartbeat, and what a node asks another
 	// to pass on to a worker.
 	earlierCommands struct {
 		Token    uint64           `cbor:"baton"`
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -1,5 +1,5 @@
-// Package compat tests that versions of the program which run side by side read
-// each other's records and messages.
+// Package compat tests that different versions of the program, which run side by side during
+// an upgrade, can read each other's records and messages.
 package compat_test
 
 import (
@@ -15,15 +15,16 @@
 	"lilaclead/upgrade"
 )
 
-// Every type that is stored, sent between nodes, or of the protocol keeps its
-// keys: bytes that were written once are read as the whole value that they were
-// written from, and that value is written with the same keys and values.
-func TestNoKeyChanges(t *testing.T) {
+// Another version could not read a record or message whose keys had changed. For every type
+// that is stored, sent between nodes or part of the protocol, the bytes in
+// testdata/keys.hex must still decode to the whole value that they were encoded from, and
+// that value must still be encoded with the same keys and values.
+func TestKeysOfEncodedTypesDoNotChange(t *testing.T) {
 	data := sampleBytes(t)
 	for _, s := range samples() {
 		raw, ok := data[s.name]
 		if !ok {
-			t.Errorf("%s: no bytes in testdata/keys.hex; it is now encoded as %x", s.name, wire.Encode(s.value))
+			t.Errorf("%s: no bytes in testdata/keys.hex; the sample is now encoded as %x", s.name, wire.Encode(s.value))
 			continue
 		}
 		delete(data, s.name)
@@ -45,15 +46,15 @@
 	}
 }
 
-// A key that is left out of an empty value, or not, stays so: old nodes, users and
-// workers tell a missing field from null.
-func TestNoKeyOfEmptyValuesChanges(t *testing.T) {
+// Earlier versions, users and workers tell a missing field from null. So the keys that a zero
+// value is encoded with, and those that it is encoded without, must stay the same.
+func TestKeysOfZeroValuesDoNotChange(t *testing.T) {
 	want := map[string]string{}
-	f, err := os.ReadFile("testdata/empty.txt")
+	text, err := os.ReadFile("testdata/empty.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for line := range strings.Lines(string(f)) {
+	for line := range strings.Lines(string(text)) {
 		name, keys, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		want[name] = keys
 	}
@@ -65,43 +66,44 @@
 		}
 		seen[typ] = true
 		if got := diagnosis(wire.Encode(reflect.Zero(typ).Interface())); got != want[s.name] {
-			t.Errorf("%s: encoding an empty value\ngot  %s\nwant %s", s.name, got, want[s.name])
+			t.Errorf("%s: encoding a zero value\ngot  %s\nwant %s", s.name, got, want[s.name])
 		}
 	}
 }
 
-// The samples set every field of their types, and no two fields of a type alike.
-func TestSamplesSetEveryField(t *testing.T) {
+// If a field were set in no sample, a change of its key would not show; if two fields of a
+// type had equal values in all samples, an exchange of their keys would not.
+func TestSamplesSetEveryFieldDistinctly(t *testing.T) {
 	byType := map[reflect.Type][]reflect.Value{}
 	for _, s := range samples() {
 		v := reflect.ValueOf(s.value)
 		byType[v.Type()] = append(byType[v.Type()], v)
 	}
 	for typ, values := range byType {
-		pattern := map[string]string{} // of a field's values in all samples, and its name
+		fieldByValues := map[string]string{} // field name by the field's values in all samples
 		for i := range typ.NumField() {
 			field := typ.Field(i)
 			if field.Name == "_" {
 				continue
 			}
-			zero, all := true, ""
+			isZero, fieldValues := true, ""
 			for _, v := range values {
-				zero = zero && v.Field(i).IsZero()
-				all += fmt.Sprintf("%v;", v.Field(i))
+				isZero = isZero && v.Field(i).IsZero()
+				fieldValues += fmt.Sprintf("%v;", v.Field(i))
 			}
-			if zero {
+			if isZero {
 				t.Errorf("no sample of %v sets %s", typ, field.Name)
 			}
-			if other, ok := pattern[all]; ok {
-				t.Errorf("the samples of %v set %s and %s alike", typ, field.Name, other)
+			if other, ok := fieldByValues[fieldValues]; ok {
+				t.Errorf("the samples of %v have the same values of %s and %s", typ, field.Name, other)
 			}
-			pattern[all] = field.Name
+			fieldByValues[fieldValues] = field.Name
 		}
 	}
 }
 
-// A submission is read by the keys of a stored specification, each of which users
-// send.
+// A submission and the stored JobSpec are decoded by different types, which must have the
+// same keys.
 func TestSubmissionHasKeysOfJobSpec(t *testing.T) {
 	raw := sampleBytes(t)["spec"]
 	spec, err := wire.DecodeJobSpec(raw)
@@ -110,8 +112,8 @@
 	}
 }
 
-// The keys of records in the key-value store.
-func TestRecordsKeepTheirStoreKeys(t *testing.T) {
+// Different versions find each other's records by their keys in the key-value store.
+func TestStoreKeysOfRecordsDoNotChange(t *testing.T) {
 	for got, want := range map[string]string{
 		store.JobKey("req-1"):                  "job/req-1",
 		store.ChunkKey("req-1", 2):             "run/req-1/2",
@@ -131,8 +133,8 @@
 	}
 }
 
-// The constants that are stored and sent as values.
-func TestNoConstantChanges(t *testing.T) {
+// These constants are stored and sent as values.
+func TestStoredAndSentConstantsDoNotChange(t *testing.T) {
 	for _, c := range []struct{ got, want any }{
 		{wire.KindArray, wire.JobKind("sweep")}, {wire.KindService, wire.JobKind("daemon")}, {wire.KindGang, wire.JobKind("ensemble")},
 		{wire.PriorityProd, wire.Priority("prod")}, {wire.PriorityUrgent, wire.Priority("urgent")}, {wire.PriorityStandard, wire.Priority("standard")}, {wire.PriorityBestEffort, wire.Priority("best_effort")},
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -14,15 +14,15 @@
 	"lilaclead/upgrade"
 )
 
-// sample is a value whose bytes stand in testdata/keys.hex under its name.
+// sample is a value whose encoding is in testdata/keys.hex under its name.
 type sample struct {
 	name  string
 	value any
 }
 
-// samples holds at least one value of every type that is stored or sent. All
-// samples of a type together set each of its fields, and no two fields alike, so
-// that a changed, dropped or exchanged key shows.
+// samples returns at least one value of every type that is stored or sent. The samples of a
+// type together set each of its fields, and no two fields to equal values, so that a
+// changed, dropped or exchanged key is noticed.
 func samples() []sample {
 	return []sample{
 		{"job", store.JobRecord{Spec: fullJobSpec(), Status: wire.StatusCancelled, AcceptedAt: 1796000000123, CancelledAt: 1796000005321, TasksPerChunk: 37}},
--- a/internal/compat/sources_test.go
+++ b/internal/compat/sources_test.go
@@ -13,33 +13,34 @@
 	"testing"
 )
 
-// unexportedKeys are the tags of the structs that no sample can be made of here: of
-// unexported types and of structs without a name.
+// unexportedKeys are the keys of the structs that this package can't make a sample of:
+// unexported types and structs without a name.
 var unexportedKeys = []string{
-	"nameId lane owner shape urgency parts cpus cards ramGb bundle imageGb kits site samePlace apart standby expectedS snapshotEveryS snapshotS dueS", // a submission
-	"at controller kind duty token version why", // an event of the history, which only its own package reads
+	"nameId lane owner shape urgency parts cpus cards ramGb bundle imageGb kits site samePlace apart standby expectedS snapshotEveryS snapshotS dueS", // the body of a submission
+	"at controller kind duty token version why", // an event of the history, which only package history reads
 	"addr orders", // what a node asks another to pass on to a worker
-	"version",     // the answer to a change of settings
-	"version",     // the same, as the command line reads it
-	"ready",       // the answer of a node that is ready
+	"version",     // the response to a change of settings
+	"version",     // that response as the command line decodes it
+	"ready",       // the response of a node that is ready
 }
 
-// simulatorPackages are packages that play the outside world in tests: they send what the
-// protocol says and store nothing that the program reads.
+// simulatorPackages are packages that simulate the outside world in tests. They send messages
+// of the protocol, and store nothing that the program reads.
 var simulatorPackages = []string{"simulator", "scenarios"}
 
-// buildOutput is the folder of what is built, by .gitignore no part of the sources.
-// A build of the version in production leaves that version's sources there.
-const buildOutput = "target"
+// buildOutputDir holds the output of builds, which .gitignore excludes from the sources. A
+// build of the version in production leaves that version's sources there.
+const buildOutputDir = "target"
 
-// A type with keys, anywhere in the program, has a sample.
-func TestEveryTypeHasASample(t *testing.T) {
+// A type without a sample would escape the tests of its keys. So every exported struct of
+// the program with keys in its tags must have a sample.
+func TestEveryTypeWithKeysHasSample(t *testing.T) {
 	sampled := map[string]bool{}
 	for _, s := range samples() {
-		name, _, _ := strings.Cut(reflect.TypeOf(s.value).String(), "[") // of a generic type, without its parameters
+		name, _, _ := strings.Cut(reflect.TypeOf(s.value).String(), "[") // drops the type arguments of a generic type
 		sampled[name] = true
 	}
-	var others []string
+	var unexported []string
 	for _, found := range structsWithKeys(t, "../..") {
 		if ast.IsExported(found.name) {
 			if !sampled[found.pkg+"."+found.name] {
@@ -47,19 +48,20 @@
 			}
 			continue
 		}
-		others = append(others, found.keys)
+		unexported = append(unexported, found.keys)
 	}
-	slices.Sort(others)
+	slices.Sort(unexported)
 	want := slices.Clone(unexportedKeys)
 	slices.Sort(want)
-	if !slices.Equal(others, want) {
-		t.Errorf("keys of unexported structs: got\n%s\nwant\n%s", strings.Join(others, "\n"), strings.Join(want, "\n"))
+	if !slices.Equal(unexported, want) {
+		t.Errorf("keys of unexported structs: got\n%s\nwant\n%s", strings.Join(unexported, "\n"), strings.Join(want, "\n"))
 	}
 }
 
 type structWithKeys struct{ pkg, name, keys string }
 
-// structsWithKeys lists the structs with cbor or json tags in the program's sources.
+// structsWithKeys returns the structs with cbor or json tags in the sources under root. Test
+// files and simulatorPackages are left out.
 func structsWithKeys(t *testing.T, root string) []structWithKeys {
 	t.Helper()
 	var structs []structWithKeys
@@ -76,36 +78,37 @@
 		if err != nil {
 			return err
 		}
-		structs = append(structs, structsWithKeysOf(file)...)
+		structs = append(structs, structsWithKeysInFile(file)...)
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if least := len(samples()) / 2; len(structs) < least {
-		t.Fatalf("got %d structs with keys, want at least %d", len(structs), least)
+	if minStructs := len(samples()) / 2; len(structs) < minStructs {
+		t.Fatalf("got %d structs with keys, want at least %d", len(structs), minStructs)
 	}
 	return structs
 }
 
 func isSkippedDir(name string) bool {
 	isHidden := strings.HasPrefix(name, ".") && name != ".."
-	return isHidden || name == buildOutput || slices.Contains(simulatorPackages, name)
+	return isHidden || name == buildOutputDir || slices.Contains(simulatorPackages, name)
 }
 
-// structsWithKeysOf lists the structs with tags of one file, also those without a name.
-func structsWithKeysOf(file *ast.File) []structWithKeys {
+// structsWithKeysInFile returns the structs with cbor or json tags of one file, including
+// those without a name.
+func structsWithKeysInFile(file *ast.File) []structWithKeys {
 	var structs []structWithKeys
 	names := map[*ast.StructType]string{}
-	ast.Inspect(file, func(n ast.Node) bool {
-		switch n := n.(type) {
+	ast.Inspect(file, func(node ast.Node) bool {
+		switch node := node.(type) {
 		case *ast.TypeSpec:
-			if typ, ok := n.Type.(*ast.StructType); ok {
-				names[typ] = n.Name.Name
+			if typ, ok := node.Type.(*ast.StructType); ok {
+				names[typ] = node.Name.Name
 			}
 		case *ast.StructType:
-			if keys := tagKeys(n); len(keys) > 0 {
-				structs = append(structs, structWithKeys{file.Name.Name, names[n], strings.Join(keys, " ")})
+			if keys := tagKeys(node); len(keys) > 0 {
+				structs = append(structs, structWithKeys{file.Name.Name, names[node], strings.Join(keys, " ")})
 			}
 		}
 		return true
@@ -113,7 +116,8 @@
 	return structs
 }
 
-// tagKeys returns the names in the cbor and json tags of a struct.
+// tagKeys returns the keys in the cbor and json tags of a struct. For a tag without a key,
+// it returns the tag's options.
 func tagKeys(typ *ast.StructType) []string {
 	var keys []string
 	for _, field := range typ.Fields.List {
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -10,23 +10,23 @@
 	"lilaclead/internal/wire"
 )
 
-// What earlier versions wrote stands in testdata, in a file that is named after the
-// commit whose own code wrote it: records as they lay in the simulated key-value
-// store, under their keys, and messages as they were encoded.
+// The earlier versions whose records and messages this version must read. Each has a file
+// in testdata, named after the commit whose own code wrote it. It holds records from the
+// simulated key-value store, by their keys, and encoded messages.
 //
-// 2d2d3f7 is the version that deploy/service.toml names as production, the last
-// one before gangs: jobs with chunks of 256 tasks, and a service.
+// 2d2d3f7 is the version that deploy/service.toml names as production, the last one before
+// gangs. Its records are of jobs with chunks of 256 tasks, and of a service.
 //
-// 78c1803 is the first complete version with gangs. Its records were read after the
-// limits of the key-value store had dropped: gangs, one of them in two chunks, and a
-// job with a chunk of 256 tasks of which subchunks had been written.
+// 78c1803 is the first complete version with gangs. Its records were taken after the limits
+// of the key-value store had been lowered. They are of gangs, one of them in two chunks, and
+// of a job with a chunk of 256 tasks, of which subchunks had been written.
 const (
 	productionVersion = "2d2d3f7"
 	gangsVersion      = "78c1803"
 )
 
-// placement is a range of tasks of a chunk that are on one machine. Their attempts have
-// consecutive numbers, or all the same in a gang.
+// placement is a range of tasks of a chunk that are on one machine. The numbers of their
+// attempts are consecutive, or all the same in a gang.
 type placement struct {
 	firstTask    int
 	firstAttempt wire.AttemptNumber
@@ -34,13 +34,13 @@
 	machine      wire.MachineID
 }
 
-// activeAttempts returns the attempts of placements. The numbers of a placement's attempts
-// grow by step.
-func activeAttempts(step wire.AttemptNumber, placements ...placement) []store.ActiveAttempt {
+// activeAttempts returns the attempts of placements. From task to task of a placement, the
+// attempt number grows by numberStep.
+func activeAttempts(numberStep wire.AttemptNumber, placements ...placement) []store.ActiveAttempt {
 	var attempts []store.ActiveAttempt
 	for _, p := range placements {
 		for i := range p.count {
-			attempts = append(attempts, store.ActiveAttempt{Task: p.firstTask + i, Attempt: p.firstAttempt + step*wire.AttemptNumber(i), Machine: p.machine})
+			attempts = append(attempts, store.ActiveAttempt{Task: p.firstTask + i, Attempt: p.firstAttempt + numberStep*wire.AttemptNumber(i), Machine: p.machine})
 		}
 	}
 	return attempts
@@ -81,7 +81,7 @@
 	}
 }
 
-// valuesWrittenBy returns the values that the bytes of a version stand for.
+// valuesWrittenBy returns the values that the bytes in a version's file stand for, by name.
 func valuesWrittenBy(commit string) map[string]any {
 	values := messagesOfBothVersions()
 	switch commit {
@@ -110,11 +110,11 @@
 			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
 			"past/req-000004": store.FinalRecord{Status: wire.StatusCancelled},
 			"past/req-000006": store.FinalRecord{Status: wire.StatusDone, Done: 60},
-			// A chunk of 256 tasks, and a subchunk that holds in its place for 32.
+			// A chunk of 256 tasks, and a subchunk that replaces its entries for 32 of them.
 			"run/req-000007/0": store.ChunkRecord{NextAttempt: 80, Active: activeAttempts(1, placement{0, 1, 6, "n-000013"}, placement{6, 7, 1, "n-000015"}, placement{7, 8, 4, "n-000016"},
 				placement{11, 12, 8, "n-000012"}, placement{19, 20, 28, "n-000016"}, placement{47, 48, 31, "n-000015"}, placement{78, 79, 1, "n-000017"})},
 			"run/req-000007/0/1": store.ChunkRecord{NextAttempt: 111, SubchunkTasks: 32, Active: activeAttempts(1, placement{0, 33, 15, "n-000016"}, placement{15, 48, 17, "n-000015"})},
-			// Subchunks of a job with completed tasks.
+			// Subchunks with completed tasks.
 			"run/req-000001/0/7": store.ChunkRecord{NextAttempt: 257, Done: []int{0, 32}, Active: []store.ActiveAttempt{}, SubchunkTasks: 32},
 			"run/req-000001/1/0": store.ChunkRecord{NextAttempt: 5, Done: []int{0, 2}, Active: activeAttempts(1, placement{2, 3, 2, "n-000013"}), SubchunkTasks: 32},
 			// A gang in one chunk, and one in two.
