--- a/internal/compat/cbor_test.go
+++ b/internal/compat/cbor_test.go
@@ -122,17 +122,17 @@
 
 // withUnknownKeys returns a copy of a generic value in which each map has further keys.
 func withUnknownKeys(value any) any {
-	switch value := value.(type) {
+	switch container := value.(type) {
 	case map[any]any:
 		extended := map[any]any{"aa_new": map[any]any{"n": []any{1, "two"}}, "zz_new": nil}
-		for key, element := range value {
+		for key, element := range container {
 			extended[key] = withUnknownKeys(element)
 		}
 		return extended
 	case []any:
-		extended := make([]any, len(value))
-		for i := range value {
-			extended[i] = withUnknownKeys(value[i])
+		extended := make([]any, len(container))
+		for i := range container {
+			extended[i] = withUnknownKeys(container[i])
 		}
 		return extended
 	default:
--- a/internal/compat/earlier_test.go
+++ b/internal/compat/earlier_test.go
@@ -5,11 +5,11 @@
 // where a type's name or a comment says otherwise.
 type (
 	earlierJobRecord struct {
-		Spec        earlierJobSpec `cbor:"spec"`
-		Status      string         `cbor:"status"`
-		AcceptedAt  int64          `cbor:"at"`
-		CancelledAt int64          `cbor:"ended,omitempty"`
-		Chunk       int            `cbor:"chunk,omitempty"`
+		Spec          earlierJobSpec `cbor:"spec"`
+		Status        string         `cbor:"status"`
+		AcceptedAt    int64          `cbor:"at"`
+		CancelledAt   int64          `cbor:"ended,omitempty"`
+		TasksPerChunk int            `cbor:"chunk,omitempty"`
 	}
 	earlierJobSpec struct {
 		ID                 string   `cbor:"nameId"`
@@ -27,7 +27,7 @@
 		Zone               string   `cbor:"site,omitempty"`
 		SameZone           bool     `cbor:"samePlace"`
 		Spread             bool     `cbor:"apart"`
-		Spot               bool     `cbor:"standby"`
+		SpotAllowed        bool     `cbor:"standby"`
 		ExpectedRunTime    float64  `cbor:"expectedS"`
 		CheckpointInterval float64  `cbor:"snapshotEveryS"`
 		CheckpointTime     float64  `cbor:"snapshotS"`
@@ -59,34 +59,34 @@
 		Nonce string `cbor:"nonce"`
 	}
 	earlierMachineSpec struct {
-		Name          string   `cbor:"name"`
-		CPUs          float64  `cbor:"cpus"`
-		GPUs          float64  `cbor:"cards"`
-		MemoryGB      float64  `cbor:"ramGb"`
-		DiskGB        float64  `cbor:"localGb"`
-		FetchGBPerS   float64  `cbor:"pullGbPerS"`
-		OnDemandPrice float64  `cbor:"rate"`
-		SpotPrice     float64  `cbor:"lowPrice"`
-		BootTime      float64  `cbor:"readyS"`
-		Zones         []string `cbor:"sites"`
+		Name             string   `cbor:"name"`
+		CPUs             float64  `cbor:"cpus"`
+		GPUs             float64  `cbor:"cards"`
+		MemoryGB         float64  `cbor:"ramGb"`
+		DiskGB           float64  `cbor:"localGb"`
+		FetchGBPerSecond float64  `cbor:"pullGbPerS"`
+		OnDemandPrice    float64  `cbor:"rate"`
+		SpotPrice        float64  `cbor:"lowPrice"`
+		BootTime         float64  `cbor:"readyS"`
+		Zones            []string `cbor:"sites"`
 	}
 	earlierMachineSpecs struct {
 		Types []earlierMachineSpec `cbor:"kits"`
 	}
 	earlierPeerHeartbeat struct {
-		From             string                `cbor:"from"`
-		Seq              uint64                `cbor:"seq"`
-		Token            uint64                `cbor:"token"`
-		Leader           bool                  `cbor:"leads"`
-		StateReachable   bool                  `cbor:"serves"`
-		ReachableWorkers int                   `cbor:"hears"`
-		Delegation       uint64                `cbor:"grants,omitempty"`
-		SinceRenewal     int64                 `cbor:"stood,omitempty"`
-		Uptime           int64                 `cbor:"age,omitempty"`
-		UnconfirmedFor   int64                 `cbor:"unproven,omitempty"`
-		Cancelled        []earlierCancellation `cbor:"cancelled,omitempty"`
-		OwnSpan          int64                 `cbor:"vouches,omitempty"`
-		WatermarkAge     int64                 `cbor:"knew,omitempty"`
+		From                 string                `cbor:"from"`
+		Sequence             uint64                `cbor:"seq"`
+		Token                uint64                `cbor:"token"`
+		Leads                bool                  `cbor:"leads"`
+		StateReachable       bool                  `cbor:"serves"`
+		ReachableWorkers     int                   `cbor:"hears"`
+		Delegation           uint64                `cbor:"grants,omitempty"`
+		SinceRenewal         int64                 `cbor:"stood,omitempty"`
+		Uptime               int64                 `cbor:"age,omitempty"`
+		UnconfirmedCancelAge int64                 `cbor:"unproven,omitempty"`
+		Cancelled            []earlierCancellation `cbor:"cancelled,omitempty"`
+		OwnSpan              int64                 `cbor:"vouches,omitempty"`
+		WatermarkAge         int64                 `cbor:"knew,omitempty"`
 	}
 	earlierCancellation struct {
 		Job string `cbor:"j"`
@@ -95,23 +95,23 @@
 	// earlierWorkerHeartbeat is a worker's heartbeat, which one node relays to another as it
 	// is.
 	earlierWorkerHeartbeat struct {
-		Machine    string             `cbor:"host"`
-		Addr       string             `cbor:"addr"`
-		Type       string             `cbor:"kit"`
-		Zone       string             `cbor:"site"`
-		Spot       bool               `cbor:"standby"`
-		Epoch      uint64             `cbor:"shift"`
-		Sequence   uint64             `cbor:"tally"`
-		Token      uint64             `cbor:"baton"`
-		SpotNotice *float64           `cbor:"warningS"`
-		Tasks      []earlierTaskState `cbor:"parts"`
-	}
-	earlierTaskState struct {
-		Task    string `cbor:"part"`
-		Attempt uint64 `cbor:"try"`
-		Phase   string `cbor:"status"`
-		Cause   string `cbor:"cause,omitempty"`
-		Saved   bool   `cbor:"saved,omitempty"`
+		Machine    string              `cbor:"host"`
+		Addr       string              `cbor:"addr"`
+		Type       string              `cbor:"kit"`
+		Zone       string              `cbor:"site"`
+		Spot       bool                `cbor:"standby"`
+		Epoch      uint64              `cbor:"shift"`
+		Sequence   uint64              `cbor:"tally"`
+		Token      uint64              `cbor:"baton"`
+		SpotNotice *float64            `cbor:"warningS"`
+		Tasks      []earlierTaskStatus `cbor:"parts"`
+	}
+	earlierTaskStatus struct {
+		Task            string `cbor:"part"`
+		Attempt         uint64 `cbor:"try"`
+		Phase           string `cbor:"status"`
+		Cause           string `cbor:"cause,omitempty"`
+		CheckpointSaved bool   `cbor:"saved,omitempty"`
 	}
 	// earlierCommands is the response to a relayed heartbeat, and what a node asks another
 	// to pass on to a worker.
@@ -127,6 +127,6 @@
 		GracePeriod *float64 `cbor:"windDownS,omitempty"`
 	}
 	earlierRedirect struct {
-		ReportsTo string `cbor:"reportsTo,omitempty"`
+		Leader string `cbor:"reportsTo,omitempty"`
 	}
 )
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -79,13 +79,13 @@
 	return in.storeCancellation(ctx, &rec, entry.Revision)
 }
 
-// storeCancellation replaces a job's record, which was read at the given revision, by
-// a cancelled one.
-func (in *Intake) storeCancellation(ctx context.Context, rec *store.JobRecord, readAt wire.Revision) (response, error) {
+// storeCancellation replaces a job's record, which was read at readRevision, by a cancelled
+// one.
+func (in *Intake) storeCancellation(ctx context.Context, rec *store.JobRecord, readRevision wire.Revision) (response, error) {
 	id := rec.Spec.ID
 	key := store.JobKey(id)
 	err := commit(ctx, in.store, wire.Txn{
-		Guards: []wire.Guard{{Key: key, Revision: readAt}},
+		Guards: []wire.Guard{{Key: key, Revision: readRevision}},
 		Writes: []wire.Write{{PutKey: key, Value: wire.Encode(rec)}},
 	})
 	var conflict *store.ConflictError
