--- a/internal/intake/task_counts_test.go
+++ b/internal/intake/task_counts_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestTaskCountReadsShareTheStoresRate(t *testing.T) {
+func TestTaskCountReadsShareStoreRateLimit(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		storeRPS float64
@@ -44,12 +44,12 @@
 	}{
 		{"one node has the whole share", 100, 1, 15},
 		{"three nodes have a third each", 100, 3, 5},
-		{"a low limit leaves the minimum", 1, 3, minTaskCountRate},
+		{"a low limit leaves the minimum", 1, 3, minTaskCountRPS},
 		{"an unknown number of nodes counts as one", 100, 0, 15},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			counts := newTaskCounts(nil, tt.storeRPS, tt.nodes)
-			if got := float64(counts.reads.Limit()); got != tt.want {
+			if got := float64(counts.readLimiter.Limit()); got != tt.want {
 				t.Errorf("newTaskCounts(%g, %d): got %g reads a second, want %g", tt.storeRPS, tt.nodes, got, tt.want)
 			}
 		})
