--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads the settings file that the platform hands over: the node's own
-// addresses, its peers, and what holds for the whole deployment. Unknown fields are
-// ignored. Everything that is wrong is reported at once, each error with its field.
+// Package config reads and validates the settings file that the platform provides to a node:
+// the node's own addresses, its peers, and the settings of the whole deployment. Unknown
+// fields are ignored. Validation reports all wrong fields at once, each by its name.
 package config
 
 import (
@@ -13,7 +13,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Config is the content of the file.
+// Config is the content of a settings file.
 type Config struct {
 	HostName  wire.NodeID `toml:"host_name"`
 	Zone      wire.Zone   `toml:"zone"`
@@ -34,11 +34,11 @@
 // Endpoints are the addresses of the external services.
 type Endpoints struct {
 	Cloud string `toml:"cloud"`
-	// State is the key-value store.
+	// State is the address of the key-value store.
 	State string `toml:"state"`
 }
 
-// Load reads and validates a file.
+// Load reads and validates a settings file, as Parse does.
 func Load(path string) (*Config, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -47,17 +47,17 @@
 	return Parse(content)
 }
 
-// Parse reads and validates the content of a file. If it is not valid, Parse returns
-// both what it has read and the error of Validate.
+// Parse decodes and validates the content of a settings file. If the content can be decoded
+// but is not valid, Parse returns both the Config and the error of Validate.
 func Parse(content []byte) (*Config, error) {
 	var cfg Config
 	err := toml.Unmarshal(content, &cfg)
-	var syntax *toml.DecodeError
+	var decodeErr *toml.DecodeError
 	switch {
 	case err == nil:
 		return &cfg, cfg.Validate()
-	case errors.As(err, &syntax):
-		line, column := syntax.Position()
+	case errors.As(err, &decodeErr):
+		line, column := decodeErr.Position()
 		return nil, fmt.Errorf("settings file, line %d, column %d: %w", line, column, err)
 	default:
 		return nil, fmt.Errorf("settings file: %w", err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,8 +42,8 @@
 fd_limit = 900
 `
 
-// parseChanged parses the valid file with pieces of its text replaced. Each of them
-// must occur in it.
+// parseChanged parses the valid file after replacements in its text. They are pairs of an old
+// text, which the file must contain, and a new one.
 func parseChanged(t *testing.T, replacements ...string) (*Config, error) {
 	t.Helper()
 	for i := 0; i < len(replacements); i += 2 {
@@ -54,7 +54,7 @@
 	return Parse([]byte(strings.NewReplacer(replacements...).Replace(validFile)))
 }
 
-// parseWith parses the valid file with lines added to the section on workers, and a
+// parseWith parses the valid file with lines added to its table of workers, and with another
 // section added.
 func parseWith(t *testing.T, workerLines, section string) (*Config, error) {
 	t.Helper()
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestLoad(t *testing.T) {
+func TestLoadReadsFileOrReportsItMissing(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "settings.toml")
 	if err := os.WriteFile(path, []byte(validFile), 0o644); err != nil {
@@ -81,18 +81,18 @@
 		t.Errorf("Load of a valid file: got %+v, %v", cfg, err)
 	}
 	if cfg, err := Load(filepath.Join(dir, "none.toml")); !errors.Is(err, os.ErrNotExist) || cfg != nil {
-		t.Errorf("Load of no file: got %+v, %v, want %v", cfg, err, os.ErrNotExist)
+		t.Errorf("Load of a missing file: got %+v, %v, want %v", cfg, err, os.ErrNotExist)
 	}
 }
 
-func TestParseErrorNamesThePosition(t *testing.T) {
+func TestParseErrorNamesPositionOfSyntaxError(t *testing.T) {
 	_, err := Parse([]byte("host_name = \"a\"\n\nzone = z1\n"))
 	if err == nil || !strings.Contains(err.Error(), "settings file, line 3") {
 		t.Errorf("got %v, want an error in line 3", err)
 	}
 }
 
-func TestValidateNamesEveryError(t *testing.T) {
+func TestValidateReportsEveryWrongField(t *testing.T) {
 	_, err := parseChanged(t, `zone = "z1"`, "", "lease_s = 45.0", "lease_s = -1.0", "size = 1", "size = 3",
 		`front = "127.0.0.1:8080"`, `front = "nowhere"`)
 	if err == nil {
@@ -100,7 +100,7 @@
 	}
 	for _, want := range []string{"zone: missing", "settings.workers.lease_s", "settings.size", "front: must be host:port"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("got %q, want an error that has %q", err, want)
+			t.Errorf("got %q, want an error that contains %q", err, want)
 		}
 	}
 	var first wire.FieldError
@@ -109,21 +109,21 @@
 	}
 }
 
-// A tight deployment starts, and so does one with zones that have no node or that no
-// setting names.
+// Tight limits are valid, and so are a node in a zone that the settings lack and a zone without
+// a node.
 func TestValidateAllowsTightSettings(t *testing.T) {
 	for _, tt := range []struct{ name, old, replacement string }{
-		{"zone that the settings lack", `zone = "z1"`, `zone = "elsewhere"`},
+		{"node in a zone that the settings lack", `zone = "z1"`, `zone = "elsewhere"`},
 		{"zones without a node", `zones = ["z1"]`, `zones = ["z1", "z2", "z3"]`},
 		{"short lease", "lease_s = 45.0", "lease_s = 4.0"},
-		{"short time for cancellations", "cancel_s = 70.0", "cancel_s = 20.0"},
-		{"small values", "value_kb = 16.0", "value_kb = 1.0"},
-		{"smallest value", "value_kb = 16.0", "value_kb = 0.5"},
+		{"short cancellation timeout", "cancel_s = 70.0", "cancel_s = 20.0"},
+		{"small value limit", "value_kb = 16.0", "value_kb = 1.0"},
+		{"smallest value limit", "value_kb = 16.0", "value_kb = 0.5"},
 		{"small transactions", "txn_ops = 12", "txn_ops = 2"},
-		{"low rate of the store", "rps = 10.0", "rps = 1.5"},
+		{"low request rate of the store", "rps = 10.0", "rps = 1.5"},
 		{"little memory", "memory_mb = 98.0", "memory_mb = 24.0"},
-		{"few sockets", "fd_limit = 900", "fd_limit = 64"},
-		{"no lag of the cloud's list", "list_lag_s = 4.0", "list_lag_s = 0.0"},
+		{"few file descriptors", "fd_limit = 900", "fd_limit = 64"},
+		{"machine list without lag", "list_lag_s = 4.0", "list_lag_s = 0.0"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if _, err := parseChanged(t, tt.old, tt.replacement); err != nil {
@@ -133,42 +133,42 @@
 	}
 }
 
-func TestValidateNamesWhatCanNotWork(t *testing.T) {
+func TestValidateRejectsSettingsThatCannotWork(t *testing.T) {
 	for _, tt := range []struct{ name, old, replacement, want string }{
 		{"lease shorter than the heartbeat interval", "lease_s = 45.0", "lease_s = 2.0", "settings.workers.lease_s: must be longer than report_s: leases would end between two reports"},
 		{"infinite heartbeat interval", "report_s = 3.0", "report_s = inf", "settings.workers.report_s: must be above 0"},
-		{"no time for cancellations", "cancel_s = 70.0", "cancel_s = 0.0", "settings.workers.cancel_s: must be above 0"},
-		{"value too small for a job", "value_kb = 16.0", "value_kb = 0.1", "settings.state.value_kb: must be 0.5 or more, to hold one job"},
-		{"value of no size", "value_kb = 16.0", "value_kb = nan", "settings.state.value_kb: must be above 0"},
-		{"transaction of one change", "txn_ops = 12", "txn_ops = 1", "settings.state.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
-		{"store without requests", "rps = 10.0", "rps = 0.0", "settings.state.rps: must be above 0"},
-		{"store without changes", "write_rps = 5.0", "write_rps = -1.0", "settings.state.write_rps: must be above 0"},
+		{"cancellation timeout of zero", "cancel_s = 70.0", "cancel_s = 0.0", "settings.workers.cancel_s: must be above 0"},
+		{"value limit too small for a job", "value_kb = 16.0", "value_kb = 0.1", "settings.state.value_kb: must be 0.5 or more, to hold one job"},
+		{"value limit that is not a number", "value_kb = 16.0", "value_kb = nan", "settings.state.value_kb: must be above 0"},
+		{"transaction limit of one write", "txn_ops = 12", "txn_ops = 1", "settings.state.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
+		{"request rate of zero for the store", "rps = 10.0", "rps = 0.0", "settings.state.rps: must be above 0"},
+		{"negative write rate of the store", "write_rps = 5.0", "write_rps = -1.0", "settings.state.write_rps: must be above 0"},
 		{"zone without a name", `zones = ["z1"]`, `zones = ["z1", ""]`, "settings.zones[1]: missing"},
 		{"no zones", `zones = ["z1"]`, `zones = []`, "settings.zones: missing"},
 		{"no teams", "[[settings.teams]]\nname = \"t\"", "", "settings.teams: missing"},
 		{"team named twice", `name = "t"`, "name = \"t\"\n[[settings.teams]]\nname = \"t\"", "settings.teams[1].name: named twice"},
 		{"team without a name", `name = "t"`, `name = ""`, "settings.teams[0].name: missing"},
-		{"negative quota", `name = "t"`, "name = \"t\"\ncpus = -1.0", "settings.teams[0].cpus: must be 0 or more"},
-		{"negative quota limit", `name = "t"`, "name = \"t\"\ncpus_max = -1.0", "settings.teams[0].cpus_max: must be 0 or more"},
+		{"negative CPU quota", `name = "t"`, "name = \"t\"\ncpus = -1.0", "settings.teams[0].cpus: must be 0 or more"},
+		{"negative CPU limit", `name = "t"`, "name = \"t\"\ncpus_max = -1.0", "settings.teams[0].cpus_max: must be 0 or more"},
 		{"negative GPU quota", `name = "t"`, "name = \"t\"\ngpus = -1.0", "settings.teams[0].gpus: must be 0 or more"},
-		{"GPU quota limit that is no number", `name = "t"`, "name = \"t\"\ngpus_max = nan", "settings.teams[0].gpus_max: must be 0 or more"},
+		{"GPU limit that is not a number", `name = "t"`, "name = \"t\"\ngpus_max = nan", "settings.teams[0].gpus_max: must be 0 or more"},
 		{"no nodes", "size = 1", "size = 0", "settings.size: must be 1 or more"},
 		{"more nodes than are named", "size = 1", "size = 3", "settings.size: is 3, but others and this node make 1"},
 		{"no host name", `host_name = "a"`, "", "host_name: missing"},
-		{"peer address without a port", `peer_bind = "127.0.0.1:8081"`, `peer_bind = "127.0.0.1:"`, "peer_bind: must be host:port"},
-		{"peer with this node's name", "[endpoints]", "[[others]]\nhost_name = \"a\"\naddr = \"127.0.0.1:9\"\n[endpoints]", "others[0].host_name: named twice"},
+		{"own peer address without a port", `peer_bind = "127.0.0.1:8081"`, `peer_bind = "127.0.0.1:"`, "peer_bind: must be host:port"},
+		{"peer with the name of this node", "[endpoints]", "[[others]]\nhost_name = \"a\"\naddr = \"127.0.0.1:9\"\n[endpoints]", "others[0].host_name: named twice"},
 		{"peer without an address", "[endpoints]", "[[others]]\nhost_name = \"b\"\n[endpoints]", "others[0].addr: must be host:port"},
-		{"no cloud", `cloud = "127.0.0.1:1"`, "", "endpoints.cloud: must be host:port"},
-		{"no store", `state = "127.0.0.1:2"`, "", "endpoints.state: must be host:port"},
-		{"cloud without requests", "rps = 6.0", "rps = 0.0", "settings.cloud.rps: must be above 0"},
-		{"negative lag of the cloud's list", "list_lag_s = 4.0", "list_lag_s = -1.0", "settings.cloud.list_lag_s: must be 0 or more"},
-		{"no processor", "cores = 0.2", "cores = 0.0", "settings.limits.cores: must be above 0"},
-		{"no memory", "memory_mb = 98.0", "memory_mb = 0.0", "settings.limits.memory_mb: must be above 0"},
-		{"too few sockets", "fd_limit = 900", "fd_limit = 63", "settings.limits.fd_limit: must be 64 or more"},
+		{"no address of the cloud", `cloud = "127.0.0.1:1"`, "", "endpoints.cloud: must be host:port"},
+		{"no address of the store", `state = "127.0.0.1:2"`, "", "endpoints.state: must be host:port"},
+		{"request rate of zero for the cloud", "rps = 6.0", "rps = 0.0", "settings.cloud.rps: must be above 0"},
+		{"negative lag of the machine list", "list_lag_s = 4.0", "list_lag_s = -1.0", "settings.cloud.list_lag_s: must be 0 or more"},
+		{"zero cores", "cores = 0.2", "cores = 0.0", "settings.limits.cores: must be above 0"},
+		{"zero memory", "memory_mb = 98.0", "memory_mb = 0.0", "settings.limits.memory_mb: must be above 0"},
+		{"too few file descriptors", "fd_limit = 900", "fd_limit = 63", "settings.limits.fd_limit: must be 64 or more"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			if _, err := parseChanged(t, tt.old, tt.replacement); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("%q: got %v, want an error that has %q", tt.replacement, err, tt.want)
+				t.Errorf("%q: got %v, want an error that contains %q", tt.replacement, err, tt.want)
 			}
 		})
 	}
@@ -180,14 +180,14 @@
 		t.Fatal(err)
 	}
 	if limits := cfg.Settings.State; limits.Next != nil || limits.Strictest() != limits {
-		t.Errorf("limits: got %+v and %+v as the least, want both the same", limits, limits.Strictest())
+		t.Errorf("limits: got %+v and %+v as the strictest, want both the same", limits, limits.Strictest())
 	}
 	if w := cfg.Settings.Workers; w.GangWait != 0 || w.GangPeerTimeout != 0 {
 		t.Errorf("gang times: got %v and %v, want 0", w.GangWait, w.GangPeerTimeout)
 	}
 }
 
-func TestGangTimesAreRead(t *testing.T) {
+func TestParseReadsGangTimes(t *testing.T) {
 	cfg, err := parseWith(t, "gang_wait_s = 40.0\ngang_peer_s = 3.0", "")
 	if err != nil {
 		t.Fatal(err)
@@ -197,14 +197,14 @@
 	}
 }
 
-func TestLeastLimits(t *testing.T) {
+func TestStrictestLimitsAreTheLowerOnes(t *testing.T) {
 	for _, tt := range []struct {
 		name, next string
 		want       StoreLimits
 	}{
-		{"limits that fall are kept to before they hold", "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0", StoreLimits{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}},
-		{"limits that rise are used only once they hold", "value_kb = 64.0\ntxn_ops = 40", StoreLimits{RPS: 10, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
-		{"limits that are not named stay", "rps = 4.0", StoreLimits{RPS: 4, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
+		{"lower announced limits apply before they are in force", "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0", StoreLimits{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}},
+		{"higher announced limits do not apply before they are in force", "value_kb = 64.0\ntxn_ops = 40", StoreLimits{RPS: 10, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
+		{"limits that are not announced stay", "rps = 4.0", StoreLimits{RPS: 4, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg, err := parseWith(t, "gang_wait_s = 40.0\ngang_peer_s = 3.0", "[settings.state.next]\n"+tt.next)
@@ -218,18 +218,18 @@
 	}
 }
 
-func TestValidateNamesWrongGangTimesAndNextLimits(t *testing.T) {
+func TestValidateRejectsWrongGangTimesAndNextLimits(t *testing.T) {
 	for _, tt := range []struct{ name, workerLines, next, want string }{
-		{"negative wait of gangs", "gang_wait_s = -1.0", "", "settings.workers.gang_wait_s: must be 0 or more"},
-		{"infinite wait of gangs", "gang_wait_s = inf", "", "settings.workers.gang_wait_s: must be 0 or more"},
-		{"peer timeout that is no number", "gang_peer_s = nan", "", "settings.workers.gang_peer_s: must be 0 or more"},
-		{"infinite peer timeout", "gang_peer_s = inf", "", "settings.workers.gang_peer_s: must be 0 or more"},
-		{"negative rate", "", "rps = -1.0", "settings.state.next.rps: must be 0 or more"},
-		{"rate of changes that is no number", "", "write_rps = nan", "settings.state.next.write_rps: must be 0 or more"},
-		{"value too small for a job", "", "value_kb = 0.1", "settings.state.next.value_kb: must be 0.5 or more, to hold one job"},
-		{"value that is no number", "", "value_kb = nan", "settings.state.next.value_kb: must be 0.5 or more, to hold one job"},
-		{"transaction of one change", "", "txn_ops = 1", "settings.state.next.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
-		{"negative transaction", "", "txn_ops = -4", "settings.state.next.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
+		{"negative gang wait", "gang_wait_s = -1.0", "", "settings.workers.gang_wait_s: must be 0 or more"},
+		{"infinite gang wait", "gang_wait_s = inf", "", "settings.workers.gang_wait_s: must be 0 or more"},
+		{"gang peer timeout that is not a number", "gang_peer_s = nan", "", "settings.workers.gang_peer_s: must be 0 or more"},
+		{"infinite gang peer timeout", "gang_peer_s = inf", "", "settings.workers.gang_peer_s: must be 0 or more"},
+		{"negative request rate", "", "rps = -1.0", "settings.state.next.rps: must be 0 or more"},
+		{"write rate that is not a number", "", "write_rps = nan", "settings.state.next.write_rps: must be 0 or more"},
+		{"value limit too small for a job", "", "value_kb = 0.1", "settings.state.next.value_kb: must be 0.5 or more, to hold one job"},
+		{"value limit that is not a number", "", "value_kb = nan", "settings.state.next.value_kb: must be 0.5 or more, to hold one job"},
+		{"transaction limit of one write", "", "txn_ops = 1", "settings.state.next.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
+		{"negative transaction limit", "", "txn_ops = -4", "settings.state.next.txn_ops: must be 2 or more: a job's record is replaced by its final one"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			section := ""
@@ -237,13 +237,13 @@
 				section = "[settings.state.next]\n" + tt.next
 			}
 			if _, err := parseWith(t, tt.workerLines, section); err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("%s%s: got %v, want an error that has %q", tt.workerLines, tt.next, err, tt.want)
+				t.Errorf("%s%s: got %v, want an error that contains %q", tt.workerLines, tt.next, err, tt.want)
 			}
 		})
 	}
 }
 
-func TestTeam(t *testing.T) {
+func TestTeamIsFoundByName(t *testing.T) {
 	settings := Settings{Teams: []Team{{Name: "red", GuaranteedCPUs: 1}, {Name: "blue", GuaranteedCPUs: 2}}}
 	if team, known := settings.Team("blue"); !known || team.GuaranteedCPUs != 2 {
 		t.Errorf("blue: got %+v, %t, want the team with 2 CPUs", team, known)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,7 +2,7 @@
 
 import "lilaclead/internal/wire"
 
-// Settings is what holds for the whole deployment.
+// Settings are the settings that apply to the whole deployment.
 type Settings struct {
 	// Size is the number of nodes.
 	Size  int         `toml:"size"`
@@ -17,17 +17,18 @@
 	Limits             ProcessLimits `toml:"limits"`
 }
 
-// Team returns a team by its name.
-func (s *Settings) Team(id wire.TeamID) (Team, bool) {
+// Team returns the team of that name, and whether there is one.
+func (s *Settings) Team(name wire.TeamID) (Team, bool) {
 	for _, team := range s.Teams {
-		if team.Name == id {
+		if team.Name == name {
 			return team, true
 		}
 	}
 	return Team{}, false
 }
 
-// Team has a guaranteed quota of CPUs and GPUs, and a limit of each; 0 means none.
+// Team has a guaranteed quota of CPUs and GPUs, and a limit on each. A quota of 0 guarantees
+// nothing; a limit of 0 means no limit.
 type Team struct {
 	Name           wire.TeamID `toml:"name"`
 	GuaranteedCPUs float64     `toml:"cpus"`
@@ -36,38 +37,41 @@
 	MaxGPUs        float64     `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective.
+// Objective is a service-level objective for the jobs of a class.
 type Objective struct {
 	Kind   string       `toml:"kind"`
 	Class  string       `toml:"class"`
 	Within wire.Seconds `toml:"within_s"`
 	Share  float64      `toml:"share"`
-	// DeadlineMultiple is the multiple of a job's own deadline that a deadline objective means.
+	// DeadlineMultiple is used by objectives of the kind "deadline": the time by which a job
+	// should be complete, as a multiple of the job's own deadline.
 	DeadlineMultiple float64 `toml:"times"`
 }
 
-// Workers says how worker agents behave.
+// Workers holds the intervals and timeouts of worker agents.
 type Workers struct {
 	HeartbeatInterval wire.Seconds `toml:"report_s"`
 	Lease             wire.Seconds `toml:"lease_s"`
 	// CancelTimeout bounds the time from the confirmation of a cancellation until no
 	// task of the job runs.
 	CancelTimeout wire.Seconds `toml:"cancel_s"`
-	// GangWait is how long a task of a gang waits for the others. GangPeerTimeout is how
-	// soon the others notice that one has ended; all of them must be told to stop within
-	// it. Older files lack both.
+	// GangWait is how long a task of a gang waits for the other tasks of the gang.
+	// GangPeerTimeout is the time within which the others notice that a task has ended; to
+	// stop a gang, all of its tasks must be told to stop within it. Files of earlier versions
+	// lack both, which are then 0.
 	GangWait        wire.Seconds `toml:"gang_wait_s"`
 	GangPeerTimeout wire.Seconds `toml:"gang_peer_s"`
 }
 
-// CloudLimits holds the limits of the cloud.
+// CloudLimits holds the limits of the cloud's API.
 type CloudLimits struct {
+	// RPS is the number of requests that the whole deployment may send per second.
 	RPS float64 `toml:"rps"`
 	// ListLag is how old the cloud's list of machines may be.
 	ListLag wire.Seconds `toml:"list_lag_s"`
 }
 
-// ProcessLimits are the limits of this process.
+// ProcessLimits are the resource limits of the node's process.
 type ProcessLimits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,19 +9,19 @@
 	"lilaclead/internal/wire"
 )
 
-// Lower bounds of limits, and the reasons that are given where a limit is lower.
+// Lower bounds of limits, each with the reason that is reported for a lower limit.
 const (
-	// minValueKB holds the record of one job.
+	// minValueKB is large enough for the record of one job.
 	minValueKB    = 0.5
 	valueTooSmall = "must be 0.5 or more, to hold one job"
 
-	// minTxnOps: a job's live record is replaced by its final one in one transaction.
+	// minTxnOps is 2 since a job's live record is replaced by its final one in one transaction.
 	minTxnOps    = 2
 	tooFewTxnOps = "must be 2 or more: a job's record is replaced by its final one"
 
-	// minFDLimit serves a deployment of a few machines.
-	minFDLimit    = 64
-	tooFewSockets = "must be 64 or more"
+	// minFDLimit is enough for a deployment of a few machines.
+	minFDLimit        = 64
+	tooFewDescriptors = "must be 64 or more"
 )
 
 // Further reasons for which a field is wrong.
@@ -51,8 +51,8 @@
 	return errors.Join(v.errs...)
 }
 
-// validator collects the errors. Its conditions are written so that they don't hold
-// for NaN.
+// validator collects the errors of a Config. Its conditions on numbers are written so that
+// they are false for NaN.
 type validator struct{ errs []error }
 
 // require reports the field as wrong unless the condition holds.
@@ -62,7 +62,7 @@
 	}
 }
 
-// requireText requires a text that is not empty.
+// requireText requires a string that is not empty.
 func (v *validator) requireText(field, value string) {
 	v.require(value != "", field, missing)
 }
@@ -83,12 +83,13 @@
 	v.require(value >= 0, field, negative)
 }
 
-// requireFinite requires a finite number of 0 or more.
-func (v *validator) requireFinite(field string, value float64) {
+// requireFiniteNotNegative requires a finite number of 0 or more.
+func (v *validator) requireFiniteNotNegative(field string, value float64) {
 	v.require(value >= 0 && !math.IsInf(value, 1), field, negative)
 }
 
-// checkNode checks the node's own addresses and those of its peers.
+// checkNode checks the names and addresses of the node and its peers, and the addresses of
+// the external services.
 func (v *validator) checkNode(c *Config) {
 	v.requireText("host_name", string(c.HostName))
 	v.requireText("zone", string(c.Zone))
@@ -106,9 +107,9 @@
 	v.requireAddress("endpoints.state", c.Endpoints.State)
 }
 
-// checkDeployment checks the size of the deployment, against the number of nodes that
-// the file names, and that there are zones and teams. The node's own zone need not be
-// among the zones, and a zone need not have a node.
+// checkDeployment checks that the size of the deployment is the number of nodes that the file
+// names, and that there are zones and teams. The node's own zone need not be among the zones,
+// and a zone need not have a node.
 func (v *validator) checkDeployment(s *Settings, namedNodes int) {
 	if s.Size < 1 {
 		v.require(false, "settings.size", tooFewNodes)
@@ -122,7 +123,7 @@
 	}
 }
 
-// checkTeams checks the names and the quotas of teams.
+// checkTeams checks the names, quotas and limits of teams.
 func (v *validator) checkTeams(teams []Team) {
 	seen := map[wire.TeamID]bool{}
 	for i, team := range teams {
@@ -137,8 +138,8 @@
 	}
 }
 
-// checkWorkers checks the times of worker agents. Times that are tight, but may work,
-// are allowed.
+// checkWorkers checks the intervals and timeouts of worker agents. Short ones that may still
+// work are allowed.
 func (v *validator) checkWorkers(w *Workers) {
 	v.requirePositive("settings.workers.report_s", float64(w.HeartbeatInterval))
 	v.requirePositive("settings.workers.lease_s", float64(w.Lease))
@@ -146,12 +147,12 @@
 	if w.Lease > 0 {
 		v.require(w.Lease > w.HeartbeatInterval, "settings.workers.lease_s", leaseTooShort)
 	}
-	v.requireFinite("settings.workers.gang_wait_s", float64(w.GangWait))
-	v.requireFinite("settings.workers.gang_peer_s", float64(w.GangPeerTimeout))
+	v.requireFiniteNotNegative("settings.workers.gang_wait_s", float64(w.GangWait))
+	v.requireFiniteNotNegative("settings.workers.gang_peer_s", float64(w.GangPeerTimeout))
 }
 
-// checkNextStoreLimits checks the announced limits of the key-value store, if there
-// are any. A limit of 0 stays as it is.
+// checkNextStoreLimits checks the announced limits of the key-value store, if there are any.
+// A limit of 0 means that the present one stays.
 func (v *validator) checkNextStoreLimits(next *NextStoreLimits) {
 	if next == nil {
 		return
@@ -173,15 +174,13 @@
 	v.require(s.TxnOps >= minTxnOps, "settings.state.txn_ops", tooFewTxnOps)
 }
 
-// checkCloud checks the limits of the cloud.
 func (v *validator) checkCloud(c *CloudLimits) {
 	v.requirePositive("settings.cloud.rps", c.RPS)
 	v.requireNotNegative("settings.cloud.list_lag_s", float64(c.ListLag))
 }
 
-// checkProcessLimits checks the limits of this process.
 func (v *validator) checkProcessLimits(l *ProcessLimits) {
 	v.requirePositive("settings.limits.cores", l.Cores)
 	v.requirePositive("settings.limits.memory_mb", l.MemoryMB)
-	v.require(l.FDLimit >= minFDLimit, "settings.limits.fd_limit", tooFewSockets)
+	v.require(l.FDLimit >= minFDLimit, "settings.limits.fd_limit", tooFewDescriptors)
 }
