--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,7 +16,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Admin serves operators.
+// Admin serves the operator-facing API of a node.
 type Admin struct {
 	cfg     *config.Config
 	store   *store.Client
@@ -46,13 +46,14 @@
 // retryAfterSeconds is the Retry-After of refused requests.
 const retryAfterSeconds = 1
 
-// requestError is a request that is at fault itself: repeated, it fails again.
+// requestError is an error of the request itself: the same request fails again if it is
+// retried.
 type requestError struct {
 	status int
 	body   wire.ErrorBody
 }
 
-// Error returns the reason, with the field that is wrong if there is one.
+// Error returns the reason, preceded by the name of the wrong field if there is one.
 func (e *requestError) Error() string {
 	if e.body.Field == "" {
 		return e.body.Error
@@ -60,8 +61,8 @@
 	return wire.FieldError{Field: e.body.Field, Reason: e.body.Error}.Error()
 }
 
-// respondError writes the response to a request that failed. An error other than
-// a requestError is one of the key-value store: the request may be retried.
+// respondError writes the response to a request that failed. Any error other than a
+// requestError comes from the key-value store, and the client may retry the request.
 func respondError(w http.ResponseWriter, err error) {
 	var rejected *requestError
 	if !errors.As(err, &rejected) {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -29,7 +29,7 @@
 	"lilaclead/upgrade"
 )
 
-// node is the operator-facing API of a node that does not lead, on the simulator's
+// node is a node that does not lead, with its operator-facing API and the simulator's
 // key-value store.
 type node struct {
 	admin   *admin.Admin
@@ -42,7 +42,7 @@
 	log     *bytes.Buffer
 }
 
-// runNode runs a test on a node in virtual time. The node negotiates versions if asked.
+// runNode runs a test on a node, in virtual time.
 func runNode(t *testing.T, negotiatesVersions bool, test func(t *testing.T, n *node)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -58,7 +58,7 @@
 	})
 }
 
-// build makes the node's parts.
+// build creates the parts of the node and registers the operators' paths.
 func (n *node) build(t *testing.T, net netio.Net, negotiatesVersions bool) {
 	t.Helper()
 	cfg := &config.Config{HostName: "node-1", Settings: config.Settings{
@@ -90,7 +90,7 @@
 	n.handler = router
 }
 
-// send sends a request and returns what the node wrote.
+// send sends a request and returns the recorded response.
 func (n *node) send(method, path string, body []byte) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	n.handler.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader(body)))
@@ -106,7 +106,7 @@
 	return listing
 }
 
-// change changes a setting, which must succeed, and returns the new version.
+// change changes a setting and returns the new version. The change must succeed.
 func (n *node) change(t *testing.T, version wire.Revision, name string, value any) wire.Revision {
 	t.Helper()
 	w := n.send("PUT", "/admin/settings", changeBody(version, name, value))
@@ -117,7 +117,7 @@
 	return changed.Version
 }
 
-// changeBody returns the body of a change of one setting.
+// changeBody returns the body of a request that changes one setting.
 func changeBody(version wire.Revision, name string, value any) []byte {
 	return wire.Encode(map[string]any{"version": version, "set": map[string]any{name: value}})
 }
@@ -183,7 +183,7 @@
 		second := n.change(t, first, "log.level", "debug")
 		listing := n.list(t)
 		if stored := n.store.Revision(store.SettingsKey); listing.Version != second || second != stored {
-			t.Errorf("version: got %d listed and %d answered, want the record's revision %d", listing.Version, second, stored)
+			t.Errorf("version: got %d in the listing and %d in the response, want the record's revision %d", listing.Version, second, stored)
 		}
 		for name, want := range map[string]any{"round.period_s": 2.5, "log.level": "debug", "gangs.spare": tuning.Default().SpareGangs} {
 			if got := valueOf(t, listing, name); got != want {
@@ -193,7 +193,7 @@
 	})
 }
 
-func TestRejectedChangeLeavesSettingsAsTheyWere(t *testing.T) {
+func TestRejectedChangeLeavesStoredSettingsUnchanged(t *testing.T) {
 	runNode(t, false, func(t *testing.T, n *node) {
 		version := n.change(t, 0, "round.period_s", 2.5)
 		for _, tt := range []struct {
@@ -203,15 +203,15 @@
 			want     wire.ErrorBody
 		}{
 			{"version before the last change", changeBody(0, "round.period_s", 3.0), http.StatusConflict, wire.ErrorBody{Error: "the settings have changed since that version"}},
-			{"version that is not reached yet", changeBody(version+1, "round.period_s", 3.0), http.StatusConflict, wire.ErrorBody{Error: "the settings have changed since that version"}},
+			{"version after the last change", changeBody(version+1, "round.period_s", 3.0), http.StatusConflict, wire.ErrorBody{Error: "the settings have changed since that version"}},
 			{"unknown setting", changeBody(version, "round.color", 1), http.StatusBadRequest, wire.ErrorBody{Error: "unknown setting", Field: "round.color"}},
 			{"value out of range", changeBody(version, "round.period_s", 99.0), http.StatusBadRequest, wire.ErrorBody{Error: "must be 0.2 to 30", Field: "round.period_s"}},
-			{"value of a wrong type", changeBody(version, "round.period_s", "fast"), http.StatusBadRequest, wire.ErrorBody{Error: "must be 0.2 to 30", Field: "round.period_s"}},
-			{"word that is not a choice", changeBody(version, "log.level", "loud"), http.StatusBadRequest, wire.ErrorBody{Error: `must be one of ["" "error" "info" "debug"]`, Field: "log.level"}},
-			{"invalid value with an old version", changeBody(0, "round.period_s", 99.0), http.StatusBadRequest, wire.ErrorBody{Error: "must be 0.2 to 30", Field: "round.period_s"}},
+			{"value of the wrong type", changeBody(version, "round.period_s", "fast"), http.StatusBadRequest, wire.ErrorBody{Error: "must be 0.2 to 30", Field: "round.period_s"}},
+			{"text that is not among the choices", changeBody(version, "log.level", "loud"), http.StatusBadRequest, wire.ErrorBody{Error: `must be one of ["" "error" "info" "debug"]`, Field: "log.level"}},
+			{"invalid value with an older version", changeBody(0, "round.period_s", 99.0), http.StatusBadRequest, wire.ErrorBody{Error: "must be 0.2 to 30", Field: "round.period_s"}},
 			{"one invalid value of two", wire.Encode(map[string]any{"version": version, "set": map[string]any{"gangs.spare": 3, "zone.color": 1}}), http.StatusBadRequest, wire.ErrorBody{Error: "unknown setting", Field: "zone.color"}},
-			{"no map", wire.Encode(7), http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"}},
-			{"no CBOR", []byte{0xa1, 0x61}, http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"}},
+			{"body that is not a map", wire.Encode(7), http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"}},
+			{"body that is not CBOR", []byte{0xa1, 0x61}, http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"}},
 			{"empty body", nil, http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"}},
 			{"no version", wire.Encode(map[string]any{"set": map[string]any{"round.period_s": 3.0}}), http.StatusBadRequest, wire.ErrorBody{Error: "missing", Field: "version and set"}},
 			{"nothing to set", wire.Encode(map[string]any{"version": version}), http.StatusBadRequest, wire.ErrorBody{Error: "missing", Field: "version and set"}},
@@ -233,7 +233,7 @@
 	})
 }
 
-func TestChangeThatLosesTheRaceConflicts(t *testing.T) {
+func TestChangeConflictsWithConcurrentChange(t *testing.T) {
 	runNode(t, false, func(t *testing.T, n *node) {
 		n.store.DelayTransactions(func(*wire.Txn) time.Duration {
 			n.store.Put(store.SettingsKey, map[string]any{"gangs.spare": 3.0})
@@ -243,12 +243,12 @@
 		var got wire.ErrorBody
 		decode(t, w, http.StatusConflict, &got)
 		if stored, want := n.storedValues(t), map[string]any{"gangs.spare": 3.0}; !maps.Equal(stored, want) {
-			t.Errorf("stored: got %v, want the other change %v", stored, want)
+			t.Errorf("stored: got %v, want the concurrent change %v", stored, want)
 		}
 	})
 }
 
-func TestOutageRefusesSettingsWithRetryAfter(t *testing.T) {
+func TestSettingsRequestsFailWithRetryAfterDuringStoreOutage(t *testing.T) {
 	runNode(t, false, func(t *testing.T, n *node) {
 		n.store.Outage(true)
 		for method, body := range map[string][]byte{"GET": nil, "PUT": changeBody(0, "round.period_s", 2.5)} {
@@ -263,8 +263,8 @@
 	})
 }
 
-// A newer node may have stored settings that this one does not know or allow: the
-// others hold, and a change keeps them.
+// A newer node may have stored settings that this one does not know or allow. This node ignores
+// them and applies the others, and a change keeps them in the record.
 func TestInvalidStoredSettingsAreIgnoredAndKept(t *testing.T) {
 	runNode(t, false, func(t *testing.T, n *node) {
 		version := n.store.Put(store.SettingsKey, map[string]any{"round.period_s": 99.0, "gangs.spare": 3.0, "gangs.of_tomorrow": "yes"})
@@ -302,13 +302,13 @@
 	})
 }
 
-func TestFollowAppliesEveryChangeOnce(t *testing.T) {
+func TestFollowSettingsAppliesEveryChangeOnce(t *testing.T) {
 	runNode(t, false, func(t *testing.T, n *node) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var applied []tuning.Values
-		ended := make(chan struct{})
+		followingEnded := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(followingEnded)
 			n.admin.FollowSettings(ctx, func(values tuning.Values) { applied = append(applied, values) })
 		}()
 		time.Sleep(time.Minute)
@@ -322,14 +322,14 @@
 		n.store.Outage(false)
 		time.Sleep(6 * time.Second)
 		cancel()
-		<-ended
+		<-followingEnded
 		if len(applied) != 1 || applied[0] != n.current.Get() {
-			t.Errorf("values applied: got %+v, want once %+v", applied, n.current.Get())
+			t.Errorf("values applied: got %+v, want only %+v", applied, n.current.Get())
 		}
 	})
 }
 
-func TestViewOfANodeThatDoesNotLead(t *testing.T) {
+func TestViewOfNodeThatDoesNotLead(t *testing.T) {
 	runNode(t, false, func(t *testing.T, n *node) {
 		n.list(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -344,10 +344,10 @@
 		}
 		n.store.Outage(true)
 		n.send("GET", "/admin/settings", nil)
-		var inOutage admin.View
-		decode(t, n.send("GET", "/admin/view", nil), http.StatusOK, &inOutage)
-		if want := (admin.View{Node: "node-1", Token: 7}); inOutage != want {
-			t.Errorf("view in an outage: got %+v, want %+v", inOutage, want)
+		var duringOutage admin.View
+		decode(t, n.send("GET", "/admin/view", nil), http.StatusOK, &duringOutage)
+		if want := (admin.View{Node: "node-1", Token: 7}); duringOutage != want {
+			t.Errorf("view during an outage: got %+v, want %+v", duringOutage, want)
 		}
 		n.store.Outage(false)
 	})
@@ -363,7 +363,7 @@
 	})
 }
 
-func TestVersionsWithNegotiation(t *testing.T) {
+func TestVersionsWithNegotiationShowUpgradeStatus(t *testing.T) {
 	runNode(t, true, func(t *testing.T, n *node) {
 		var status upgrade.Status
 		decode(t, n.send("GET", "/admin/versions", nil), http.StatusOK, &status)
@@ -375,7 +375,7 @@
 		var got wire.ErrorBody
 		decode(t, w, http.StatusServiceUnavailable, &got)
 		if w.Header().Get("Retry-After") != "1" {
-			t.Errorf("in an outage: Retry-After: got %q, want 1", w.Header().Get("Retry-After"))
+			t.Errorf("during an outage: Retry-After: got %q, want 1", w.Header().Get("Retry-After"))
 		}
 		n.store.Outage(false)
 	})
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -43,29 +43,29 @@
 	factory := metricFactory{promauto.With(registry)}
 	return &Metrics{
 		registry:         registry,
-		calls:            factory.histograms("lilaclead_call_seconds", "Calls to the state service and the cloud.", latencyBuckets, "service", "op", "outcome"),
-		requests:         factory.histograms("lilaclead_request_seconds", "Users' requests.", latencyBuckets, "op", "status"),
+		calls:            factory.histogramVec("lilaclead_call_seconds", "Calls to the state service and the cloud.", latencyBuckets, "service", "op", "outcome"),
+		requests:         factory.histogramVec("lilaclead_request_seconds", "Users' requests.", latencyBuckets, "op", "status"),
 		schedulingCycles: factory.histogram("lilaclead_round_seconds", "Placement rounds.", latencyBuckets),
 		placements:       factory.counter("lilaclead_starts_total", "Tasks placed."),
 		preemptions:      factory.counter("lilaclead_preemptions_total", "Tasks stopped to make room."),
 		terms:            factory.counter("lilaclead_terms_total", "Times that this node became leader."),
-		heartbeats:       factory.counters("lilaclead_reports_total", "Workers' reports.", "outcome"),
-		startDelays:      factory.histograms("lilaclead_wait_seconds", "From acceptance to a job's first running task.", startDelayBuckets, "class"),
-		commands:         factory.counters("lilaclead_commands_total", "Direct commands to workers.", "outcome"),
-		interruptions:    factory.counters("lilaclead_moves_total", "Tasks that ended before they were done.", "why"),
-		fleetChanges:     factory.counters("lilaclead_fleet_total", "Machines rented, drained and released.", "what"),
-		machines:         factory.gauges("lilaclead_machines", "Machines by state, as the leader knows them.", "state"),
+		heartbeats:       factory.counterVec("lilaclead_reports_total", "Workers' reports.", "outcome"),
+		startDelays:      factory.histogramVec("lilaclead_wait_seconds", "From acceptance to a job's first running task.", startDelayBuckets, "class"),
+		commands:         factory.counterVec("lilaclead_commands_total", "Direct commands to workers.", "outcome"),
+		interruptions:    factory.counterVec("lilaclead_moves_total", "Tasks that ended before they were done.", "why"),
+		fleetChanges:     factory.counterVec("lilaclead_fleet_total", "Machines rented, drained and released.", "what"),
+		machines:         factory.gaugeVec("lilaclead_machines", "Machines by state, as the leader knows them.", "state"),
 	}
 }
 
-// metricFactory creates metrics that are registered.
+// metricFactory creates metrics and registers them.
 type metricFactory struct{ promauto.Factory }
 
 func (f metricFactory) histogram(name, help string, buckets []float64) prometheus.Histogram {
 	return f.NewHistogram(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets})
 }
 
-func (f metricFactory) histograms(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
+func (f metricFactory) histogramVec(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
 	return f.NewHistogramVec(prometheus.HistogramOpts{Name: name, Help: help, Buckets: buckets}, labels)
 }
 
@@ -73,16 +73,16 @@
 	return f.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 }
 
-func (f metricFactory) counters(name, help string, labels ...string) *prometheus.CounterVec {
+func (f metricFactory) counterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return f.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, labels)
 }
 
-func (f metricFactory) gauges(name, help string, labels ...string) *prometheus.GaugeVec {
+func (f metricFactory) gaugeVec(name, help string, labels ...string) *prometheus.GaugeVec {
 	return f.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, labels)
 }
 
-// RegisterHistory registers metrics of what became of the events of the history, as counted
-// by the given function.
+// RegisterHistory registers a counter of the history's events for each outcome. The metrics
+// call counts each time they are collected.
 func (m *Metrics) RegisterHistory(counts func() history.Counts) {
 	register := func(outcome string, count func() uint64) {
 		opts := prometheus.CounterOpts{
@@ -97,31 +97,32 @@
 	register("failed", func() uint64 { return counts().Failed })
 }
 
-// RegisterBudget registers a metric of what is left of a request budget, as returned by the
-// given function.
-func (m *Metrics) RegisterBudget(name string, left func() float64) {
+// RegisterBudget registers a gauge of the requests that remain in a budget, as returned by the
+// given function. The number is negative while the budget is in debt.
+func (m *Metrics) RegisterBudget(name string, remaining func() float64) {
 	opts := prometheus.GaugeOpts{
 		Name:        "lilaclead_budget_left",
 		Help:        "Requests left in a budget now; below 0: ahead of it.",
 		ConstLabels: prometheus.Labels{"budget": name},
 	}
-	m.registry.MustRegister(prometheus.NewGaugeFunc(opts, left))
+	m.registry.MustRegister(prometheus.NewGaugeFunc(opts, remaining))
 }
 
 // maxOutcomeBytes bounds the label of an outcome, which may hold the text of an error.
 const maxOutcomeBytes = 40
 
-// ObserveCalls returns a function that observes the calls to an external service.
-func (m *Metrics) ObserveCalls(service string) func(op, outcome string, took time.Duration) {
-	return func(op, outcome string, took time.Duration) {
+// ObserveCalls returns a function that records the duration of a call to the external service,
+// by operation and outcome.
+func (m *Metrics) ObserveCalls(service string) func(op, outcome string, duration time.Duration) {
+	return func(op, outcome string, duration time.Duration) {
 		outcome = outcome[:min(len(outcome), maxOutcomeBytes)]
-		m.calls.WithLabelValues(service, op, outcome).Observe(took.Seconds())
+		m.calls.WithLabelValues(service, op, outcome).Observe(duration.Seconds())
 	}
 }
 
-// ObserveRequest observes a user's request.
-func (m *Metrics) ObserveRequest(op intake.Operation, status int, took time.Duration) {
-	m.requests.WithLabelValues(string(op), strconv.Itoa(status)).Observe(took.Seconds())
+// ObserveRequest records the duration of a user's request, by operation and HTTP status.
+func (m *Metrics) ObserveRequest(op intake.Operation, status int, duration time.Duration) {
+	m.requests.WithLabelValues(string(op), strconv.Itoa(status)).Observe(duration.Seconds())
 }
 
 // LeaderMetrics returns the functions by which a leader updates the metrics.
@@ -138,14 +139,16 @@
 	}
 }
 
-// observeSchedulingCycle observes a scheduling cycle and what it decided.
-func (m *Metrics) observeSchedulingCycle(took time.Duration, placed, preempted int) {
-	m.schedulingCycles.Observe(took.Seconds())
+// observeSchedulingCycle records the duration of a scheduling cycle, and the numbers of tasks
+// that it placed and preempted.
+func (m *Metrics) observeSchedulingCycle(duration time.Duration, placed, preempted int) {
+	m.schedulingCycles.Observe(duration.Seconds())
 	m.placements.Add(float64(placed))
 	m.preemptions.Add(float64(preempted))
 }
 
-// setMachines replaces the numbers of machines by state.
+// setMachines sets the number of machines in each state. States that byState lacks are no
+// longer exposed.
 func (m *Metrics) setMachines(byState map[string]int) {
 	m.machines.Reset()
 	for state, machines := range byState {
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -15,8 +15,8 @@
 	"lilaclead/internal/intake"
 )
 
-// expose returns the lines of the metrics that a node exposes.
-func expose(t *testing.T, metrics *admin.Metrics) []string {
+// exposedLines returns the lines of the metrics that a node exposes.
+func exposedLines(t *testing.T, metrics *admin.Metrics) []string {
 	t.Helper()
 	router := httprouter.New()
 	admin.New(nil, nil, nil, nil, nil, metrics, nil).Routes(router)
@@ -28,7 +28,7 @@
 	return strings.Split(w.Body.String(), "\n")
 }
 
-// Dashboards and alerts name the metrics and their labels.
+// Dashboards and alerts refer to the metrics by their names and labels, which must not change.
 func TestMetricNamesAndLabels(t *testing.T) {
 	metrics := admin.NewMetrics()
 	metrics.ObserveCalls("state")("get", "ok", 3*time.Millisecond)
@@ -49,7 +49,7 @@
 	hooks.Machines(map[string]int{"up": 3, "booting": 1})
 	hooks.Machines(map[string]int{"up": 2})
 
-	lines := expose(t, metrics)
+	lines := exposedLines(t, metrics)
 	for _, want := range []string{
 		`lilaclead_call_seconds_bucket{op="get",outcome="ok",service="state",le="0.005"} 1`,
 		`lilaclead_call_seconds_bucket{op="get",outcome="ok",service="state",le="0.001"} 0`,
@@ -107,7 +107,7 @@
 	}
 	for _, line := range lines {
 		if strings.Contains(line, `state="booting"`) {
-			t.Errorf("got %q, want no state that the last numbers lack", line)
+			t.Errorf("got %q, want no state that the last update lacks", line)
 		}
 	}
 	if t.Failed() {
@@ -116,7 +116,7 @@
 }
 
 func TestUnusedMetricsAreExposedAsZero(t *testing.T) {
-	lines := expose(t, admin.NewMetrics())
+	lines := exposedLines(t, admin.NewMetrics())
 	for _, want := range []string{
 		`lilaclead_starts_total 0`,
 		`lilaclead_preemptions_total 0`,
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -15,7 +15,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Setting is one setting in a Listing.
+// Setting is one setting in a Listing, with the value in effect and a description of the
+// allowed values.
 type Setting struct {
 	Name    string `cbor:"name"`
 	Value   any    `cbor:"value"`
@@ -37,15 +38,15 @@
 	Set     map[string]any `cbor:"set"`
 }
 
-// storedSettings is what operators have set, by the names of the settings.
+// storedSettings are the settings that operators have set, by name.
 type storedSettings struct {
 	values map[string]any
-	// version is the revision of the record; 0: there is none.
+	// version is the revision of the record; 0: there is no record.
 	version wire.Revision
 }
 
-// readSettings reads what operators have set. Of a record that can't be decoded, it
-// returns what was decoded up to the error.
+// readSettings reads the stored settings. If the record can't be decoded, it logs the error, the
+// first time only, and returns the values that were decoded before it.
 func (a *Admin) readSettings(ctx context.Context) (storedSettings, error) {
 	entry, err := a.store.Get(ctx, store.ClassUser, store.SettingsKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -61,8 +62,8 @@
 	return storedSettings{values: values, version: entry.Revision}, nil
 }
 
-// effectiveValues returns the values that hold under the stored settings: the defaults
-// in place of those that are not stored or not valid.
+// effectiveValues returns the stored values, and the default of each setting that is not
+// stored or whose stored value is not valid.
 func (a *Admin) effectiveValues(stored storedSettings) tuning.Values {
 	values, err := tuning.Override(tuning.Default(), stored.values, false)
 	if err != nil {
@@ -104,11 +105,11 @@
 	}{version})
 }
 
-// errVersionConflict is returned for a change that is based on an older version.
+// errVersionConflict is returned for a change that is not based on the stored version.
 var errVersionConflict = &requestError{http.StatusConflict, wire.ErrorBody{Error: "the settings have changed since that version"}}
 
 // changeSettings reads a change from the body of a request, stores it and returns the
-// new version. It is carried out as a whole or not at all.
+// new version. The change is stored as a whole or not at all.
 func (a *Admin) changeSettings(ctx context.Context, body io.Reader) (wire.Revision, error) {
 	change, err := readChange(body)
 	if err != nil {
@@ -149,8 +150,8 @@
 	return change, nil
 }
 
-// checkValues checks the names and the values of a change. Of several errors, it
-// returns the first by name.
+// checkValues checks the names and the values of a change. If several settings are invalid, it
+// returns the error of the first by name.
 func checkValues(set map[string]any) error {
 	_, err := tuning.Override(tuning.Default(), set, true)
 	if err == nil {
@@ -161,8 +162,8 @@
 	return &requestError{http.StatusBadRequest, wire.ErrorBody{Error: invalid.Reason, Field: invalid.Field}}
 }
 
-// storeSettings replaces the stored settings, unless they are no longer of the version
-// that was read, and returns the new version.
+// storeSettings replaces the stored settings and returns the new version. It fails with
+// errVersionConflict if they have changed since they were read.
 func (a *Admin) storeSettings(ctx context.Context, settings storedSettings) (wire.Revision, error) {
 	version, err := a.store.Commit(ctx, store.ClassBackground, wire.Txn{
 		Guards: []wire.Guard{{Key: store.SettingsKey, Revision: settings.version}},
@@ -175,13 +176,13 @@
 	return version, err
 }
 
-// followInterval is the pause between two reads of the settings, and so about the
-// longest time until a change is applied on every node.
-const followInterval = 5 * time.Second
+// pollInterval is the pause between two reads of the settings. Every node applies a change
+// within about this time.
+const pollInterval = 5 * time.Second
 
-// FollowSettings applies the settings that operators have stored, now and after every change,
-// until the context ends. It calls changed with the values that it has applied.
-func (a *Admin) FollowSettings(ctx context.Context, changed func(tuning.Values)) {
+// FollowSettings polls the stored settings until the context ends. It applies them at the start
+// and after every change, and calls onApplied with the values that it has applied.
+func (a *Admin) FollowSettings(ctx context.Context, onApplied func(tuning.Values)) {
 	var applied wire.Revision
 	for {
 		stored, err := a.readSettings(ctx)
@@ -189,13 +190,13 @@
 			applied = stored.version
 			values := a.effectiveValues(stored)
 			a.tuning.Set(values)
-			changed(values)
+			onApplied(values)
 			a.log.Info("settings applied", "version", stored.version)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(followInterval):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/admin/view.go
+++ b/internal/admin/view.go
@@ -12,24 +12,24 @@
 // View is the status of a node.
 type View struct {
 	Node wire.NodeID `cbor:"node"`
-	// Token is the highest fencing token that the node knows of, and Leader the node
-	// that leads with it, empty if that is not known.
+	// Token is the highest fencing token that the node knows. Leader is the node that leads
+	// with that token; empty if it is not known.
 	Token  wire.FencingToken `cbor:"token"`
 	Leader wire.NodeID       `cbor:"leader"`
 	Leads  bool              `cbor:"leads"`
 	// StoreReachable reports whether the node can reach the key-value store.
 	StoreReachable bool `cbor:"serves"`
-	// Term is the cluster as the leader knows it; nil unless the node leads.
+	// Term is the state of the cluster as the leader knows it; nil unless this node leads.
 	Term *leader.View `cbor:"term,omitempty"`
 }
 
 // viewNode responds with the View of this node.
 func (a *Admin) viewNode(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	known := a.mesh.View()
+	peerView := a.mesh.View()
 	view := View{
 		Node:           a.cfg.HostName,
-		Token:          known.Token,
-		Leader:         known.Leader,
+		Token:          peerView.Token,
+		Leader:         peerView.Leader,
 		Leads:          a.leader.Leads(),
 		StoreReachable: a.store.Reachable(),
 	}
@@ -40,7 +40,7 @@
 	wire.WriteResponse(w, http.StatusOK, view)
 }
 
-// viewVersions responds with the progress of an upgrade.
+// viewVersions responds with the status of an upgrade, or with 404 if versions are not negotiated.
 func (a *Admin) viewVersions(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	status, err := a.leader.UpgradeStatus(r.Context())
 	switch {
