--- a/internal/tuning/fields.go
+++ b/internal/tuning/fields.go
@@ -15,16 +15,17 @@
 	value fieldValue
 }
 
-// fieldValue reads and writes the value of a field of one type.
+// fieldValue reads, checks and writes the value of a field. There is one implementation for
+// each type of value.
 type fieldValue interface {
 	// allowed describes the allowed values.
 	allowed() string
 	get(values *Values) any
-	// set writes the value, unless it is not allowed, and reports whether it did.
-	set(values *Values, to any) bool
+	// set writes the value if it is allowed, and reports whether it is.
+	set(values *Values, value any) bool
 }
 
-// Fields lists the settings.
+// Fields lists all settings, in the order in which operators see them.
 var Fields = []Field{
 	{"utility.preferred", "factor of the branch over machines that hold the image",
 		number{0.01, 100, func(v *Values) *float64 { return &v.PreferredFactor }}},
@@ -50,7 +51,6 @@
 		choice{[]string{"", "error", "info", "debug"}, func(v *Values) *string { return &v.LogLevel }}},
 }
 
-// fieldNamed returns the field of that name, if there is one.
 func fieldNamed(name string) (field Field, known bool) {
 	i := slices.IndexFunc(Fields, func(f Field) bool { return f.Name == name })
 	if i < 0 {
@@ -65,36 +65,35 @@
 // Get returns the field's value.
 func (f Field) Get(values *Values) any { return f.value.get(values) }
 
-// Set writes the field's value. It returns a wire.FieldError if the value is not
-// allowed.
-func (f Field) Set(values *Values, to any) error {
-	if !f.value.set(values, to) {
+// Set writes the field's value if it is allowed, and returns a wire.FieldError if it is not.
+func (f Field) Set(values *Values, value any) error {
+	if !f.value.set(values, value) {
 		return wire.FieldError{Field: f.Name, Reason: "must be " + f.Range()}
 	}
 	return nil
 }
 
-// number is the value of a field that is a number in a range.
+// number is the value of a field that is a number from min to max.
 type number struct {
 	min, max float64
-	at       func(*Values) *float64
+	pointer  func(*Values) *float64
 }
 
 func (n number) allowed() string { return fmt.Sprintf("%g to %g", n.min, n.max) }
 
-func (n number) get(values *Values) any { return *n.at(values) }
+func (n number) get(values *Values) any { return *n.pointer(values) }
 
-func (n number) set(values *Values, to any) bool {
-	decoded, ok := decodedNumber(to)
+func (n number) set(values *Values, value any) bool {
+	decoded, ok := decodedNumber(value)
 	inRange := decoded >= n.min && decoded <= n.max // false for NaN
 	if !ok || !inRange {
 		return false
 	}
-	*n.at(values) = decoded
+	*n.pointer(values) = decoded
 	return true
 }
 
-// decodedNumber converts a number of any type to which CBOR numbers are decoded.
+// decodedNumber converts a number of any of the types to which CBOR numbers are decoded.
 func decodedNumber(value any) (number float64, ok bool) {
 	switch n := value.(type) {
 	case float64:
@@ -108,21 +107,21 @@
 	}
 }
 
-// choice is the value of a field that is one of some texts.
+// choice is the value of a field that is one of several strings.
 type choice struct {
 	choices []string
-	at      func(*Values) *string
+	pointer func(*Values) *string
 }
 
 func (c choice) allowed() string { return fmt.Sprintf("one of %q", c.choices) }
 
-func (c choice) get(values *Values) any { return *c.at(values) }
+func (c choice) get(values *Values) any { return *c.pointer(values) }
 
-func (c choice) set(values *Values, to any) bool {
-	text, ok := to.(string)
+func (c choice) set(values *Values, value any) bool {
+	text, ok := value.(string)
 	if !ok || !slices.Contains(c.choices, text) {
 		return false
 	}
-	*c.at(values) = text
+	*c.pointer(values) = text
 	return true
 }
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -13,20 +13,20 @@
 
 // Values are the values of all settings.
 type Values struct {
-	PreferredFactor      float64 // utility factor of machines that hold the image
-	FallbackFactor       float64 // utility factor of any other fitting machine
+	PreferredFactor      float64 // factor on the utility of machines that hold the job's image
+	FallbackFactor       float64 // factor on the utility of any other fitting machine
 	WaitDoublingSeconds  float64 // seconds of waiting that double a job's utility
 	CycleIntervalSeconds float64 // longest time, in seconds, between scheduling cycles while jobs wait
-	SpareReplicas        float64 // room that is kept free for the next replicas of services, in replicas
-	SpareGangs           float64 // room that is kept free for gangs, in times the largest gang of each class
+	SpareReplicas        float64 // resources kept free for the next replicas of services, in replicas
+	SpareGangs           float64 // resources kept free for gangs, as a multiple of the largest gang of each class
 	IdleBootTimes        float64 // how long an idle machine is kept, in boot times of its type
-	LogLevel             string  // error, info or debug; empty: as LOG_LEVEL says
-	PriceLimit           float64 // how many times the cheapest price the room for an array's task may cost
+	LogLevel             string  // error, info or debug; empty: the level set by LOG_LEVEL
+	PriceLimit           float64 // highest price for an array's task, as a multiple of the lowest price
 	MaxVersion           float64 // highest version of the behaviour that may become active; 0: any
-	StretchShare         float64 // share of a deadline's slack over which an array's work may be stretched
+	StretchShare         float64 // share of its deadline's slack over which an array's work may be spread
 }
 
-// Default returns the default values; docs/design.md says how they were found.
+// Default returns the default values. Those that are not listed here are 0 or empty.
 func Default() Values {
 	return Values{
 		PreferredFactor:      1,
@@ -41,22 +41,22 @@
 	}
 }
 
-// Override returns the base values with the settings in the map replaced.
+// Override returns the base values with the given settings, by name, in place of theirs.
 //
-// Strict is for a change that an operator makes: if any name is unknown or any value
-// is not allowed, the base values are returned unchanged. Otherwise unknown names are
-// ignored, since a newer node may have stored them, and a setting whose value is not
-// allowed keeps its base value, so that it does not keep the others from being applied.
+// Strict mode is for a change by an operator: if any name is unknown or any value is not
+// allowed, Override returns the base values unchanged. Without strict mode, for stored
+// settings, it ignores unknown names, since a newer node may have stored them. A setting whose
+// value is not allowed then keeps its base value, so that the other settings still apply.
 //
-// The error joins one wire.FieldError for each invalid setting, in the order of names.
-func Override(base Values, set map[string]any, strict bool) (Values, error) {
+// The error joins one wire.FieldError for each invalid setting, ordered by name.
+func Override(base Values, settings map[string]any, strict bool) (Values, error) {
 	applied := base
 	var errs []error
-	for _, name := range slices.Sorted(maps.Keys(set)) {
+	for _, name := range slices.Sorted(maps.Keys(settings)) {
 		field, known := fieldNamed(name)
 		switch {
 		case known:
-			if err := field.Set(&applied, set[name]); err != nil {
+			if err := field.Set(&applied, settings[name]); err != nil {
 				errs = append(errs, err)
 			}
 		case strict:
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -10,44 +10,44 @@
 	"lilaclead/internal/wire"
 )
 
-// invalidSet holds, beside valid settings, some that are out of range and one of a
-// newer node.
-var invalidSet = map[string]any{"fleet.keep_boots": 2.0, "fleet.dear_limit": -1.0, "gangs.of_tomorrow": "yes", "log.level": "loud", "round.period_s": 2.0}
+// partlyInvalidSettings holds valid settings, some with values that are not allowed, and one that only
+// a newer node knows.
+var partlyInvalidSettings = map[string]any{"fleet.keep_boots": 2.0, "fleet.dear_limit": -1.0, "gangs.of_tomorrow": "yes", "log.level": "loud", "round.period_s": 2.0}
 
 func TestInvalidStoredSettingsKeepTheirBaseValues(t *testing.T) {
-	got, err := Override(Default(), invalidSet, false)
+	got, err := Override(Default(), partlyInvalidSettings, false)
 	want := Default()
 	want.IdleBootTimes, want.CycleIntervalSeconds = 2, 2
 	if got != want {
-		t.Errorf("%v: got %+v, want %+v", invalidSet, got, want)
+		t.Errorf("%v: got %+v, want %+v", partlyInvalidSettings, got, want)
 	}
 	for _, field := range []string{"fleet.dear_limit", "log.level"} {
 		if err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%v: got error %v, want one that names %s", invalidSet, err, field)
+			t.Errorf("%v: got error %v, want one that names %s", partlyInvalidSettings, err, field)
 		}
 	}
 	if err != nil && strings.Contains(err.Error(), "gangs.of_tomorrow") {
-		t.Errorf("%v: got error %v, want none for an unknown setting", invalidSet, err)
+		t.Errorf("%v: got error %v, want none for an unknown setting", partlyInvalidSettings, err)
 	}
 }
 
 func TestStrictChangeIsAllOrNothing(t *testing.T) {
-	got, err := Override(Default(), invalidSet, true)
+	got, err := Override(Default(), partlyInvalidSettings, true)
 	if got != Default() {
-		t.Errorf("%v: got %+v, want the base values", invalidSet, got)
+		t.Errorf("%v: got %+v, want the base values", partlyInvalidSettings, got)
 	}
 	for _, field := range []string{"fleet.dear_limit", "gangs.of_tomorrow", "log.level"} {
 		if err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%v: got error %v, want one that names %s", invalidSet, err, field)
+			t.Errorf("%v: got error %v, want one that names %s", partlyInvalidSettings, err, field)
 		}
 	}
 	var first wire.FieldError
 	if !errors.As(err, &first) || first.Field != "fleet.dear_limit" {
-		t.Errorf("%v: got first error %v, want that of fleet.dear_limit, the first by name", invalidSet, first)
+		t.Errorf("%v: got first error %v, want that of fleet.dear_limit, the first by name", partlyInvalidSettings, first)
 	}
 }
 
-func TestNoSettingsLeaveTheBaseValues(t *testing.T) {
+func TestOverrideWithoutSettingsReturnsBaseValues(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		if got, err := Override(Default(), nil, strict); got != Default() || err != nil {
 			t.Errorf("no settings, strict %t: got %+v, %v, want the base values", strict, got, err)
@@ -55,11 +55,11 @@
 	}
 }
 
-func TestFieldSet(t *testing.T) {
+func TestFieldSetAcceptsOnlyAllowedValues(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		field string
-		to    any
+		value any
 		want  any // nil: not allowed
 	}{
 		{"fraction", "round.period_s", 2.5, 2.5},
@@ -73,10 +73,10 @@
 		{"not a number", "round.period_s", math.NaN(), nil},
 		{"infinity", "round.period_s", math.Inf(1), nil},
 		{"text for a number", "round.period_s", "2", nil},
-		{"nothing for a number", "round.period_s", nil, nil},
+		{"null for a number", "round.period_s", nil, nil},
 		{"choice", "log.level", "debug", "debug"},
 		{"empty choice", "log.level", "", ""},
-		{"no choice", "log.level", "loud", nil},
+		{"text that is not among the choices", "log.level", "loud", nil},
 		{"number for a text", "log.level", 1.0, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -85,22 +85,22 @@
 				t.Fatalf("%s is not a setting", tt.field)
 			}
 			values := Default()
-			err := field.Set(&values, tt.to)
+			err := field.Set(&values, tt.value)
 			if tt.want == nil {
 				want := wire.FieldError{Field: tt.field, Reason: "must be " + field.Range()}
 				if err != error(want) || values != Default() {
-					t.Errorf("Set(%v): got %v, %+v, want %v and no change", tt.to, err, values, want)
+					t.Errorf("Set(%v): got %v, %+v, want %v and no change", tt.value, err, values, want)
 				}
 				return
 			}
 			if got := field.Get(&values); err != nil || got != tt.want {
-				t.Errorf("Set(%v): got %v, %v, want %v", tt.to, got, err, tt.want)
+				t.Errorf("Set(%v): got %v, %v, want %v", tt.value, got, err, tt.want)
 			}
 		})
 	}
 }
 
-func TestRangeIsTheTextThatOperatorsRead(t *testing.T) {
+func TestRangeDescribesAllowedValues(t *testing.T) {
 	for name, want := range map[string]string{
 		"round.period_s": "0.2 to 30",
 		"log.level":      `one of ["" "error" "info" "debug"]`,
@@ -114,9 +114,9 @@
 	}
 }
 
-func TestEveryFieldHasItsOwnValueAndAnAllowedDefault(t *testing.T) {
+func TestEveryFieldHasItsOwnValueAndAllowedDefault(t *testing.T) {
 	if got, want := len(Fields), reflect.TypeFor[Values]().NumField(); got != want {
-		t.Errorf("fields: got %d, want %d, one for each value", got, want)
+		t.Errorf("fields: got %d, want %d, one for each member of Values", got, want)
 	}
 	names, addresses := map[string]bool{}, map[any]bool{}
 	var values Values
@@ -128,9 +128,9 @@
 		var address any
 		switch value := field.value.(type) {
 		case number:
-			address = value.at(&values)
+			address = value.pointer(&values)
 		case choice:
-			address = value.at(&values)
+			address = value.pointer(&values)
 		}
 		if addresses[address] {
 			t.Errorf("%s shares its value with another field", field.Name)
