--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,6 +1,6 @@
-// Package features reads the file that turns optional parts on. Without a file, all of
-// them are off. An unknown name or a value of a wrong type is an error that names the
-// field, so that a misspelt name does not leave a part off unnoticed.
+// Package features reads the file that turns optional features on. Without a file, all of them
+// are off. An unknown name or a value of the wrong type is an error that names the field, so
+// that a misspelt name does not silently leave a feature off.
 package features
 
 import (
@@ -17,34 +17,35 @@
 	"lilaclead/internal/wire"
 )
 
-// Features says which optional parts are on. The zero value has all of them off.
+// Features says which optional features are on. The zero value has all of them off.
 type Features struct {
-	// RecordIntents has requests to scale out and in recorded before they are sent.
+	// RecordIntents makes the leader record requests to scale out and in before it sends them.
 	RecordIntents bool
-	// NegotiateVersions has new behaviour begin only once every controller understands it.
+	// NegotiateVersions delays new behaviour until every controller supports it.
 	NegotiateVersions bool
 	// HistoryDir is the directory in which decisions are recorded; empty: they are not.
 	HistoryDir string
-	// HistoryLimitMB limits the size of a controller's files in it; 0: the default.
+	// HistoryLimitMB limits the total size of one controller's files in HistoryDir, in
+	// megabytes; 0: the default limit.
 	HistoryLimitMB float64
 }
 
 // String returns every field with its value, as in "upgrades.negotiate=true".
 func (f Features) String() string {
-	var settings []string
-	for _, known := range fields {
-		settings = append(settings, fmt.Sprintf("%s=%v", known.name, known.get(&f)))
+	var assignments []string
+	for _, field := range fields {
+		assignments = append(assignments, fmt.Sprintf("%s=%v", field.name, field.get(&f)))
 	}
-	return strings.Join(settings, " ")
+	return strings.Join(assignments, " ")
 }
 
-// PathBeside returns the path of the file for a program that was built as the deploy
-// file says: in deploy/, beside the directory of the program.
+// PathBeside returns the path of the features file of a program that was built as
+// deploy/service.toml says: in the directory deploy, beside the directory of the program.
 func PathBeside(program string) string {
 	return filepath.Join(filepath.Dir(program), "..", "deploy", "features.toml")
 }
 
-// Load reads a file. If there is none, all parts are off.
+// Load reads a features file. If it doesn't exist, all features are off.
 func Load(path string) (Features, error) {
 	content, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -56,8 +57,8 @@
 	return Parse(content)
 }
 
-// Parse reads the content of a file. The error joins one wire.FieldError for each
-// field that is wrong, in the order of names.
+// Parse decodes the content of a features file. If fields are wrong, the error joins one
+// wire.FieldError for each of them, ordered by name.
 func Parse(content []byte) (Features, error) {
 	tables, err := decodeTOML(content)
 	if err != nil {
@@ -77,26 +78,26 @@
 	return parsed, nil
 }
 
-// decodeTOML decodes the content of a file. The error names the position of a syntax
-// error.
+// decodeTOML decodes the content of a features file. For a syntax error, the returned error
+// names its position.
 func decodeTOML(content []byte) (map[string]any, error) {
 	var tables map[string]any
 	err := toml.Unmarshal(content, &tables)
-	var syntax *toml.DecodeError
+	var decodeErr *toml.DecodeError
 	switch {
 	case err == nil:
 		return tables, nil
-	case errors.As(err, &syntax):
-		line, column := syntax.Position()
+	case errors.As(err, &decodeErr):
+		line, column := decodeErr.Position()
 		return nil, fmt.Errorf("features file, line %d, column %d: %w", line, column, err)
 	default:
 		return nil, fmt.Errorf("features file: %w", err)
 	}
 }
 
-// flatten returns the values of a table and of the tables in it by their full names,
-// as in "upgrades.negotiate". An empty table that no field is in is returned as a
-// value, so that its name is reported as unknown.
+// flatten returns the values in a table and in its nested tables by their full names, as in
+// "upgrades.negotiate". An empty table that belongs to no field is itself returned as a value,
+// so that its name is reported as unknown.
 func flatten(prefix string, table map[string]any) map[string]any {
 	values := map[string]any{}
 	for name, value := range table {
@@ -114,7 +115,7 @@
 	return values
 }
 
-// set writes the field of that name.
+// set writes the value to the field of that name, if there is one and it allows the value.
 func (f *Features) set(name string, value any) error {
 	field, known := fieldNamed(name)
 	if !known {
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -10,14 +10,14 @@
 	"lilaclead/internal/wire"
 )
 
-func TestLoadWithoutFileTurnsNothingOn(t *testing.T) {
+func TestLoadOfMissingFileTurnsNothingOn(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "features.toml")
 	if got, err := Load(path); err != nil || got != (Features{}) {
-		t.Errorf("Load of no file: got %+v, %v, want all off", got, err)
+		t.Errorf("Load of a missing file: got %+v, %v, want all off", got, err)
 	}
 }
 
-func TestLoadTurnsOnWhatTheFileNames(t *testing.T) {
+func TestLoadReadsFeatures(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "features.toml")
 	content := "[duties]\nrecord_intents = true\n[history]\ndir = \"/h\"\nlimit_mb = 8\n"
 	if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestLoadOfADirectoryFails(t *testing.T) {
+func TestLoadOfDirectoryFails(t *testing.T) {
 	if got, err := Load(t.TempDir()); err == nil || got != (Features{}) {
 		t.Errorf("Load of a directory: got %+v, %v, want an error", got, err)
 	}
@@ -42,7 +42,7 @@
 	}{
 		{"empty file", "", Features{}},
 		{"empty table", "[duties]", Features{}},
-		{"part named as off", "duties.record_intents = false", Features{}},
+		{"feature set to false", "duties.record_intents = false", Features{}},
 		{"dotted names", "upgrades.negotiate = true", Features{NegotiateVersions: true}},
 		{"limit with a fraction", "history.limit_mb = 0.5", Features{HistoryLimitMB: 0.5}},
 	} {
@@ -63,7 +63,7 @@
 			[]string{"duties.record_intents: must be true or false", "duty: unknown name", "dutees: unknown name", "x.y.z: unknown name"}},
 		{"wrong types beside an unknown name", "[history]\ndir = 3\nlimit_mb = -1\nlimit = 2",
 			[]string{"history.dir: must be a text", "history.limit_mb: must be a number above 0", "history.limit: unknown name"}},
-		{"limit that is no number", "history.limit_mb = nan", []string{"history.limit_mb: must be a number above 0"}},
+		{"limit that is not a number", "history.limit_mb = nan", []string{"history.limit_mb: must be a number above 0"}},
 		{"infinite limit", "history.limit_mb = inf", []string{"history.limit_mb: must be a number above 0"}},
 		{"limit of zero", "history.limit_mb = 0", []string{"history.limit_mb: must be a number above 0"}},
 		{"limit as a text", "history.limit_mb = \"8\"", []string{"history.limit_mb: must be a number above 0"}},
@@ -77,7 +77,7 @@
 			}
 			for _, want := range tt.want {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("Parse(%q): got error %v, want one that has %q", tt.content, err, want)
+					t.Errorf("Parse(%q): got error %v, want one that contains %q", tt.content, err, want)
 				}
 			}
 		})
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestFileInTheRepositoryIsValid(t *testing.T) {
+func TestFeaturesFileInRepositoryIsValid(t *testing.T) {
 	if _, err := Load(PathBeside("../../target/lilaclead")); err != nil {
 		t.Error(err)
 	}
--- a/internal/features/fields.go
+++ b/internal/features/fields.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// field is a field of the file.
+// field describes a field of the features file.
 type field struct {
 	name string
-	// requirement says what its value must be.
+	// requirement says what the value must be. It is the reason reported for a wrong value.
 	requirement string
-	// set writes the value, unless it is not allowed, and reports whether it did.
+	// set writes the value if it is allowed, and reports whether it is.
 	set func(f *Features, value any) bool
 	get func(f *Features) any
 }
 
-// fields lists the fields of the file.
+// fields lists the fields of the features file, in the order of Features.String.
 var fields = []field{
 	flagField("duties.record_intents", func(f *Features) *bool { return &f.RecordIntents }),
 	flagField("upgrades.negotiate", func(f *Features) *bool { return &f.NegotiateVersions }),
@@ -24,7 +24,6 @@
 	positiveField("history.limit_mb", func(f *Features) *float64 { return &f.HistoryLimitMB }),
 }
 
-// fieldNamed returns the field of that name, if there is one.
 func fieldNamed(name string) (found field, known bool) {
 	i := slices.IndexFunc(fields, func(f field) bool { return f.name == name })
 	if i < 0 {
@@ -38,45 +37,44 @@
 	return slices.ContainsFunc(fields, func(f field) bool { return strings.HasPrefix(f.name, name+".") })
 }
 
-// flagField returns a field that is true or false.
-func flagField(name string, at func(*Features) *bool) field {
-	return newField(name, "must be true or false", at, asType[bool])
+func flagField(name string, pointer func(*Features) *bool) field {
+	return newField(name, "must be true or false", pointer, asType[bool])
 }
 
-// textField returns a field that is a text.
-func textField(name string, at func(*Features) *string) field {
-	return newField(name, "must be a text", at, asType[string])
+func textField(name string, pointer func(*Features) *string) field {
+	return newField(name, "must be a text", pointer, asType[string])
 }
 
-// positiveField returns a field that is a number above 0.
-func positiveField(name string, at func(*Features) *float64) field {
-	return newField(name, "must be a number above 0", at, asPositive)
+// positiveField returns a field that is a finite number above 0.
+func positiveField(name string, pointer func(*Features) *float64) field {
+	return newField(name, "must be a number above 0", pointer, asPositive)
 }
 
-// newField returns a field whose value lies where at says; convert converts and checks
-// a decoded value.
-func newField[T any](name, requirement string, at func(*Features) *T, convert func(any) (T, bool)) field {
+// newField returns a field whose value is stored at the address that pointer returns. The
+// function convert converts a decoded value, and reports whether it is allowed.
+func newField[T any](name, requirement string, pointer func(*Features) *T, convert func(any) (T, bool)) field {
 	return field{
 		name:        name,
 		requirement: requirement,
 		set: func(f *Features, value any) bool {
 			converted, ok := convert(value)
 			if ok {
-				*at(f) = converted
+				*pointer(f) = converted
 			}
 			return ok
 		},
-		get: func(f *Features) any { return *at(f) },
+		get: func(f *Features) any { return *pointer(f) },
 	}
 }
 
-// asType returns a value of type T, if it is one.
+// asType returns the value as a T, and whether it is of that type.
 func asType[T any](value any) (T, bool) {
 	typed, ok := value.(T)
 	return typed, ok
 }
 
-// asPositive returns an integer or a fraction as a number, if it is above 0 and finite.
+// asPositive returns an integer or a fraction as a float64, and whether it is a finite number
+// above 0.
 func asPositive(value any) (float64, bool) {
 	number, ok := value.(float64)
 	if integer, isInteger := value.(int64); isInteger {
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// partlyInvalidSettings holds valid settings, some with values that are not allowed, and one that only
-// a newer node knows.
+// partlyInvalidSettings holds valid settings, some with values that are not allowed, and one
+// that only a newer node knows.
 var partlyInvalidSettings = map[string]any{"fleet.keep_boots": 2.0, "fleet.dear_limit": -1.0, "gangs.of_tomorrow": "yes", "log.level": "loud", "round.period_s": 2.0}
 
 func TestInvalidStoredSettingsKeepTheirBaseValues(t *testing.T) {
