--- a/architecture_test.go
+++ b/architecture_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// architecturePage names code that an engineer looks up from an alert or a log line.
+// architecturePage leads engineers from an alert or a log line to the code, by its name.
 const architecturePage = "docs/architecture.md"
 
-// codeName matches package.Name and package.Type.Method in back quotes; sourcePath a file
-// or folder of this repository.
+// codeName matches package.Name and package.Type.Member in back quotes. sourcePath matches a
+// file or directory of this repository in back quotes.
 var (
 	codeName   = regexp.MustCompile("`([a-z]+(?:\\.[A-Za-z]\\w*){1,2})`")
 	sourcePath = regexp.MustCompile("`((?:internal|cmd|docs|deploy)/[\\w./-]+|\\w+_test\\.go)`")
--- a/builder.go
+++ b/builder.go
@@ -14,7 +14,7 @@
 	"lilaclead/upgrade"
 )
 
-// builder builds a node, and holds what the parts of the node share.
+// builder builds a node and holds the objects that its components share.
 type builder struct {
 	node    *Node
 	options Options
@@ -27,7 +27,8 @@
 	undecodable *undecodable.Log
 }
 
-// newBuilder returns a builder of a node with valid settings and complete options.
+// newBuilder returns a builder of a node. The settings must be valid, and the options must
+// have their defaults filled in.
 func newBuilder(cfg *Config, options Options) *builder {
 	level := newLogLevel()
 	node := &Node{
@@ -58,12 +59,13 @@
 	return names
 }
 
-// connectServices adds the clients of state service and cloud, and measures their calls.
+// connectServices adds the clients of the state service and the cloud, with metrics of their
+// calls.
 func (b *builder) connectServices() {
 	n := b.node
 	n.store = newStore(n.cfg, n.net)
 	n.store.Observe = b.metrics.ObserveCalls("state")
-	b.metrics.RegisterBudget("state requests", func() float64 { calls, _ := n.store.RemainingBudget(); return calls })
+	b.metrics.RegisterBudget("state requests", func() float64 { requests, _ := n.store.RemainingBudget(); return requests })
 	b.metrics.RegisterBudget("state changes", func() float64 { _, writes := n.store.RemainingBudget(); return writes })
 
 	b.cloud = cloud.New(n.cfg.Endpoints.Cloud, n.cfg.Settings.Cloud, n.net)
@@ -78,7 +80,7 @@
 	n.mesh = peer.New(n.cfg.HostName, n.cfg.Peers, n.status, b.cancels, n.net, n.log)
 }
 
-// enableFeatures adds the optional parts that are on.
+// enableFeatures adds the optional features that are on.
 func (b *builder) enableFeatures() (err error) {
 	n := b.node
 	if n.history, err = newDecisionHistory(n.features, n.cfg.HostName, b.metrics); err != nil {
@@ -96,12 +98,13 @@
 		return err
 	}
 	if n.versions.negotiated() {
-		n.mesh.LearnVersion = n.versions.learn
+		n.mesh.LearnVersion = n.versions.observeActive
 	}
 	return nil
 }
 
-// addLeader adds what campaigns for the leadership, and schedules while it has it.
+// addLeader adds the component that campaigns for leadership, and schedules while this node
+// is the leader.
 func (b *builder) addLeader() {
 	n := b.node
 	settings := &n.cfg.Settings
@@ -121,12 +124,12 @@
 		Observe:             n.history.recordDutyEvent,
 		Versions:            n.versions.member,
 		MaxAgentConnections: n.sockets.direct,
-		MaxAgents:           n.sockets.workers(),
+		MaxAgents:           n.sockets.maxWorkers(),
 		RequiredFDs:         func(workers int) int { return socketsNeeded(workers, settings.Limits, settings.Size) },
 	})
 }
 
-// addIntake adds what answers users.
+// addIntake adds the users' API, which submits, polls and cancels jobs.
 func (b *builder) addIntake() {
 	n := b.node
 	n.intake = intake.New(&n.cfg.Settings, n.store, b.cancels, b.catalog.Get, n.log)
@@ -134,7 +137,7 @@
 	n.intake.Undecodable = b.undecodable
 }
 
-// addAdmin adds what answers operators.
+// addAdmin adds the operators' API.
 func (b *builder) addAdmin() {
 	n := b.node
 	n.admin = admin.New(n.cfg, n.store, b.tuning, n.leader, n.mesh, b.metrics, n.log)
--- a/config.go
+++ b/config.go
@@ -8,11 +8,10 @@
 	"lilaclead/internal/store"
 )
 
-// Config holds the settings of a node, as the platform's file gives them.
+// Config holds a node's settings, as read from the platform's settings file.
 type Config = config.Config
 
-// LoadConfig reads and validates a settings file. Its error names every setting that is
-// wrong.
+// LoadConfig reads and validates a settings file. The error names every invalid setting.
 func LoadConfig(path string) (*Config, error) { return config.Load(path) }
 
 // Features says which optional features are on.
@@ -22,15 +21,16 @@
 // features are off.
 func LoadFeatures(path string) (Features, error) { return features.Load(path) }
 
-// FeaturesPathBeside returns where the features file lies for a program that was built
-// as deploy/service.toml says.
+// FeaturesPathBeside returns the path of the features file for a program that was built as
+// deploy/service.toml says, given the path of its executable. The file is
+// deploy/features.toml, beside the executable's directory.
 func FeaturesPathBeside(program string) string { return features.PathBeside(program) }
 
 // NewStateServiceClient returns a client of the deployment's state service, for programs that
 // hold a duty of their own (package duty).
 func NewStateServiceClient(cfg *Config) duty.Store { return newStore(cfg, netio.Real()) }
 
-// newStore returns a client of the state service on a network.
+// newStore returns a client that reaches the state service through the network.
 func newStore(cfg *Config, network netio.Net) *store.Client {
 	settings := &cfg.Settings
 	return store.New(cfg.Endpoints.State, settings.State.Strictest(), settings.Size, network)
--- a/doc.go
+++ b/doc.go
@@ -1,26 +1,30 @@
-// Package lilaclead is a cluster scheduler as a library. A [Node] is one controller of a
-// deployment: it accepts users' jobs, talks to workers, the cloud, the other controllers
-// and a consensus-backed key-value store (the state service), and, while it is the
-// leader, decides what runs where.
+// Package lilaclead is a cluster scheduler as a library.
+//
+// A [Node] is one controller of a deployment. It accepts users' jobs and talks to the
+// workers, the cloud, the other controllers and the state service, which is a
+// consensus-backed key-value store. While it is the leader, it also decides which machine
+// each task runs on.
 //
 // # Use
 //
-// [LoadConfig] reads the settings file, [New] builds a Node and [Node.Run] serves until
-// its context ends. A process that is a Node and nothing else calls [LimitProcess]
-// before. A process that holds a duty of its own (package duty) needs only
-// [NewStateServiceClient].
+// [LoadConfig] reads the settings file, [New] builds a Node, and [Node.Run] serves until
+// its context ends. A process that runs a Node and nothing else calls [LimitProcess]
+// first. A process that runs no Node, but holds a duty of its own (package duty), needs
+// only the settings and [NewStateServiceClient].
 //
 // # Units
 //
-// The settings file's sizes are in megabytes and its durations in seconds or
-// milliseconds, as the names of the settings say; inside, durations are time.Duration.
+// The suffix of a setting's name gives its unit: _mb and _kb for sizes, _s and _ms for
+// durations. In the code, durations are time.Duration.
 //
 // # Errors and retries
 //
-// LoadConfig, LoadFeatures and New fail on invalid settings, and name every one that is
-// wrong; trying again with the same file doesn't help. Run fails with a [ListenError] if
-// an address can't be bound, which may be tried again once the address is free, and with
-// the server's error if accepting connections fails for good. Services that can't be
-// reached aren't errors: a running Node tries them again by itself, and meanwhile answers
-// its users 503 with a Retry-After header.
+// LoadConfig, LoadFeatures and New return an error that names every invalid setting.
+// Retrying with the same file doesn't help.
+//
+// Run returns a [ListenError] if an address can't be bound; retry once the address is
+// free. It returns the server's error if accepting connections fails for good.
+//
+// An unreachable service is not an error. A running Node retries by itself, and meanwhile
+// answers users with status 503 and a Retry-After header.
 package lilaclead
--- a/example_test.go
+++ b/example_test.go
@@ -13,7 +13,7 @@
 	"lilaclead/internal/simulator"
 )
 
-// exampleConfig stands for LoadConfig with the platform's settings file.
+// exampleConfig returns the settings that LoadConfig would read from the platform's file.
 func exampleConfig() *lilaclead.Config {
 	settings := simulator.DefaultSettings()
 	settings.Size = 1
@@ -28,8 +28,8 @@
 	}
 }
 
-// A node serves on a simulated network until its context ends. On the machine's own
-// network Options.Net is left out.
+// A node serves on a simulated network until its context ends. To use the machine's own
+// network, leave Options.Net out.
 func Example() {
 	network := simulator.NewNetwork(time.Millisecond)
 	node, err := lilaclead.New(exampleConfig(), lilaclead.Options{Net: network.Host("10.0.0.1"), Log: io.Discard})
@@ -43,13 +43,13 @@
 
 	client := &http.Client{Transport: &http.Transport{DialContext: network.Host("10.1.0.1").Dial}}
 	for {
-		answer, err := client.Get("http://10.0.0.1:8080/ready")
+		response, err := client.Get("http://10.0.0.1:8080/ready")
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // it doesn't listen yet
+			time.Sleep(10 * time.Millisecond) // the node doesn't listen yet
 			continue
 		}
-		answer.Body.Close()
-		fmt.Println("ready:", answer.Status)
+		response.Body.Close()
+		fmt.Println("ready:", response.Status)
 		break
 	}
 
@@ -60,7 +60,8 @@
 	// ended: <nil>
 }
 
-// Run names the address that can't be bound; trying again helps once it is free.
+// The ListenError that Run returns names the address that can't be bound. Retrying helps once
+// the address is free.
 func ExampleListenError() {
 	network := simulator.NewNetwork(time.Millisecond).Host("10.0.0.1")
 	if _, err := network.Listen("tcp4", "10.0.0.1:8081"); err != nil {
@@ -73,8 +74,8 @@
 		return
 	}
 	err = node.Run(context.Background())
-	if failed, ok := errors.AsType[*lilaclead.ListenError](err); ok {
-		fmt.Println(failed.Setting, failed.Addr)
+	if listenErr, ok := errors.AsType[*lilaclead.ListenError](err); ok {
+		fmt.Println(listenErr.Setting, listenErr.Addr)
 	}
 	// Output: peer_bind 10.0.0.1:8081
 }
--- a/history.go
+++ b/history.go
@@ -12,16 +12,16 @@
 	"lilaclead/upgrade"
 )
 
-// historyTimeout bounds the wait for a disk at the end of a node.
-const historyTimeout = 2 * time.Second
+// historyFlushTimeout bounds the wait for the disk when a node stops.
+const historyFlushTimeout = 2 * time.Second
 
-// decisionHistory records the decisions of this node, if that feature is on.
+// decisionHistory records this node's decisions, if that feature is on.
 type decisionHistory struct {
 	recorder *history.Recorder // nil: nothing is recorded
 }
 
-// newDecisionHistory returns the history that the features ask for, and registers its
-// counts.
+// newDecisionHistory returns the history that the features configure, and registers metrics
+// of its events.
 func newDecisionHistory(features Features, controller wire.NodeID, metrics *admin.Metrics) (decisionHistory, error) {
 	if features.HistoryDir == "" {
 		return decisionHistory{}, nil
@@ -60,8 +60,8 @@
 	})
 }
 
-// start writes what is recorded until the context ends. The function that it returns
-// waits until all is written, or until historyTimeout.
+// start starts writing recorded events, until the context ends. The function that it returns
+// waits until all of them are written, for at most historyFlushTimeout.
 func (h decisionHistory) start(ctx context.Context) (wait func()) {
 	if h.recorder == nil {
 		return func() {}
@@ -74,7 +74,7 @@
 	return func() {
 		select {
 		case <-done:
-		case <-time.After(historyTimeout):
+		case <-time.After(historyFlushTimeout):
 		}
 	}
 }
--- a/imports_test.go
+++ b/imports_test.go
@@ -15,9 +15,9 @@
 // module is the prefix of the import paths of this project's own packages.
 const module = "lilaclead"
 
-// imports lists, for each package, which packages of this project its sources may import
-// (tests may import more). docs/architecture.md describes the packages.
-var imports = map[string]string{
+// allowedImports lists which packages of this project each package may import. Test files may
+// import others, too. docs/architecture.md describes the packages.
+var allowedImports = map[string]string{
 	".":              "duty history internal/admin internal/cancels internal/cloud internal/config internal/features internal/intake internal/leader internal/leader/cluster internal/netio internal/peer internal/store internal/tuning internal/undecodable internal/wire upgrade",
 	"cmd/lilaclead":  ". history internal/admin internal/netio internal/wire upgrade",
 	"cmd/simulator":  "internal/simulator internal/wire",
@@ -26,7 +26,7 @@
 	"upgrade":        "duty internal/store internal/wire",
 	"internal/admin": "history internal/config internal/intake internal/leader internal/leader/core internal/peer internal/store internal/tuning internal/undecodable internal/wire",
 
-	// The edge and the clients of what is outside.
+	// Protocol, settings, and clients of other processes and services.
 	"internal/wire":        "",
 	"internal/netio":       "internal/wire",
 	"internal/undecodable": "",
@@ -39,12 +39,12 @@
 	"internal/peer":        "internal/cancels internal/config internal/netio internal/undecodable internal/wire",
 	"internal/intake":      "internal/cancels internal/config internal/store internal/undecodable internal/wire",
 
-	// Pure: no I/O, no clock.
+	// Pure computation: no I/O, no clock.
 	"internal/utility":   "",
 	"internal/placement": "internal/utility internal/wire",
 	"internal/fleet":     "internal/placement internal/wire",
 
-	// The leader, from what knows least to what knows most.
+	// The leader: each package comes after those that it imports.
 	"internal/leader/demand":                    "internal/config internal/wire",
 	"internal/leader/detector":                  "internal/wire",
 	"internal/leader/scaling":                   "internal/cloud internal/fleet internal/wire",
@@ -55,7 +55,7 @@
 	"internal/leader/scheduling/valuation":      "internal/leader/cluster internal/leader/demand internal/placement internal/wire",
 	"internal/leader/scheduling/capacity":       "internal/fleet internal/leader/cluster internal/leader/demand internal/leader/scaling internal/leader/scheduling/valuation internal/placement internal/tuning internal/wire",
 	"internal/leader/scheduling":                "internal/fleet internal/leader/cluster internal/leader/scaling internal/leader/scheduling/capacity internal/leader/scheduling/valuation internal/placement internal/tuning internal/wire",
-	"internal/leader/scheduling/schedulingtest": "internal/config internal/leader/cluster internal/leader/scaling internal/store internal/tuning internal/wire", // fixtures of tests
+	"internal/leader/scheduling/schedulingtest": "internal/config internal/leader/cluster internal/leader/scaling internal/store internal/tuning internal/wire", // test fixtures
 	"internal/leader/agents":                    "internal/leader/cluster internal/leader/core internal/netio internal/peer internal/wire",
 	"internal/leader/progress":                  "internal/config internal/leader/agents internal/leader/cluster internal/leader/core internal/leader/election internal/peer internal/store internal/undecodable internal/wire",
 	"internal/leader/autoscaler":                "duty internal/cloud internal/config internal/fleet internal/leader/cluster internal/leader/core internal/leader/scaling internal/leader/scheduling internal/wire upgrade",
@@ -64,18 +64,18 @@
 	"internal/leader/recovery":                  "internal/cancels internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/progress internal/leader/reconcile internal/store internal/undecodable internal/wire upgrade",
 	"internal/leader":                           "duty internal/cancels internal/cloud internal/config internal/leader/agents internal/leader/autoscaler internal/leader/cluster internal/leader/core internal/leader/delegation internal/leader/election internal/leader/liveness internal/leader/progress internal/leader/reconcile internal/leader/recovery internal/leader/scaling internal/leader/scheduling internal/netio internal/peer internal/store internal/tuning internal/undecodable internal/wire upgrade",
 
-	// Stand-ins for what is outside; only tests and cmd/simulator use them.
+	// The simulation, and packages of tests. Only tests and cmd/simulator import them.
 	"internal/simulator": "internal/config internal/netio internal/wire",
 	"internal/scenarios": "",
 	"internal/compat":    "",
 }
 
-// TestImportsFollowTheArchitecture finds imports that the table above does not allow, and
-// entries of the table that nothing needs any more.
+// TestImportsFollowTheArchitecture finds imports that allowedImports does not list, and entries
+// of that table that no import needs.
 func TestImportsFollowTheArchitecture(t *testing.T) {
-	found := importsBySource(t)
+	found := importsByPackage(t)
 	for pkg, imported := range found {
-		allowed, listed := imports[pkg]
+		allowed, listed := allowedImports[pkg]
 		if !listed {
 			t.Errorf("package %s is not in the table", pkg)
 			continue
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	for pkg, allowed := range imports {
+	for pkg, allowed := range allowedImports {
 		if _, exists := found[pkg]; !exists {
 			t.Errorf("the table lists %s, which has no sources", pkg)
 		}
@@ -98,9 +98,9 @@
 	}
 }
 
-// importsBySource returns which packages of this project each package's sources import;
-// packages of tests alone have an entry without any.
-func importsBySource(t *testing.T) map[string][]string {
+// importsByPackage returns which packages of this project each package imports, test files left
+// out. A package that has only test files gets an empty entry.
+func importsByPackage(t *testing.T) map[string][]string {
 	t.Helper()
 	found := map[string][]string{}
 	eachGoFile(t, func(file string) {
@@ -125,8 +125,8 @@
 	return found
 }
 
-// ownPackage returns the folder of an imported package of this project, and false for all
-// others.
+// ownPackage returns the directory of an imported package, and whether that is a package of this
+// project.
 func ownPackage(t *testing.T, quoted string) (string, bool) {
 	t.Helper()
 	name, err := strconv.Unquote(quoted)
@@ -139,7 +139,7 @@
 	return strings.CutPrefix(name, module+"/")
 }
 
-// eachGoFile calls visit for each Go file of the project, tests included.
+// eachGoFile calls visit for each Go file of the project, including test files.
 func eachGoFile(t *testing.T, visit func(file string)) {
 	t.Helper()
 	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
--- a/listener.go
+++ b/listener.go
@@ -12,35 +12,35 @@
 	"time"
 )
 
-// clientKind is the kind of client that a connection belongs to, by its last request.
+// clientKind is the kind of client that a connection belongs to, as its last request shows.
 // Idle connections are evicted in the order of these constants.
 type clientKind int32
 
 const (
-	userClient clientKind = iota // a user, a health check, or one without a request yet
+	userClient clientKind = iota // also health checks, and connections without a request yet
 	workerClient
 	clientKindCount
 )
 
-// evictionLogPeriod keeps the log short while connections are at their limit.
+// evictionLogPeriod is the least time between two log lines about evicted connections.
 const evictionLogPeriod = 10 * time.Second
 
-// boundedListener bounds the open connections of a listener, since the platform's limit
-// would make accepting fail, and with it health checks and workers. At the limit the
-// connection that has been idle longest is evicted, users' before workers'; when none is
-// idle, accepting waits.
+// boundedListener limits the number of open connections of a listener. Without this, the
+// process would reach the platform's limit, and accepting connections would fail, also for
+// health checks and workers. At the limit, the connection that has been idle longest is evicted, users' connections
+// before workers'. If none is idle, Accept waits.
 type boundedListener struct {
 	net.Listener
 	limit int
 	log   *slog.Logger
-	// retryAccept wakes an Accept that waits at the limit.
+	// retryAccept wakes an Accept that is waiting at the limit.
 	retryAccept chan struct{}
 
 	mu       sync.Mutex
-	open     int
+	open     int                         // connections, including one that Accept waits for
 	idle     [clientKindCount]*list.List // of *boundedConn, the longest idle first
-	evicted  int                         // connections evicted since that was last logged
-	loggedAt time.Time
+	evicted  int                         // connections evicted since the last log line about them
+	loggedAt time.Time                   // time of that log line
 }
 
 func newBoundedListener(listener net.Listener, limit int, log *slog.Logger) *boundedListener {
@@ -53,7 +53,7 @@
 	}
 }
 
-// boundedConn is an accepted connection.
+// boundedConn is an accepted connection, which counts towards its listener's limit.
 type boundedConn struct {
 	net.Conn
 	listener *boundedListener
@@ -66,22 +66,23 @@
 	closed      bool
 }
 
-// Accept waits until the connections are below their limit, and then for the next one.
+// Accept waits until the number of connections is below the limit, and then for the next
+// connection.
 func (l *boundedListener) Accept() (net.Conn, error) {
-	for !l.reserve() {
+	for !l.reserveSlot() {
 		<-l.retryAccept
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		l.release()
+		l.releaseSlot()
 		return nil, err
 	}
 	return &boundedConn{Conn: conn, listener: l}, nil
 }
 
-// reserve counts one more connection, for which an idle one may have to be evicted. It
-// reports false if the connections are at their limit and none is idle.
-func (l *boundedListener) reserve() bool {
+// reserveSlot counts one more connection, and evicts an idle one for it if necessary. It
+// reports false if the number of connections is at the limit and none is idle.
+func (l *boundedListener) reserveSlot() bool {
 	for {
 		l.mu.Lock()
 		if l.open < l.limit {
@@ -89,7 +90,7 @@
 			l.mu.Unlock()
 			return true
 		}
-		victim := l.longestIdle()
+		victim := l.nextVictim()
 		if victim != nil {
 			l.logEviction()
 		}
@@ -101,9 +102,9 @@
 	}
 }
 
-// longestIdle returns the next connection to evict, nil if none is idle. The mutex must
-// be held.
-func (l *boundedListener) longestIdle() *boundedConn {
+// nextVictim returns the connection to evict next, nil if none is idle. The caller holds the
+// mutex.
+func (l *boundedListener) nextVictim() *boundedConn {
 	for _, idle := range l.idle {
 		if front := idle.Front(); front != nil {
 			return front.Value.(*boundedConn)
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// logEviction counts an evicted connection, and logs their number once in a while. The
-// mutex must be held.
+// logEviction counts an evicted connection, and logs the count at most once in
+// evictionLogPeriod. The caller holds the mutex.
 func (l *boundedListener) logEviction() {
 	l.evicted++
 	now := time.Now()
@@ -125,37 +126,38 @@
 	l.evicted = 0
 }
 
-// release counts one connection fewer.
-func (l *boundedListener) release() {
+// releaseSlot counts one connection fewer, and wakes a waiting Accept.
+func (l *boundedListener) releaseSlot() {
 	l.mu.Lock()
 	l.open--
 	l.mu.Unlock()
-	l.wake()
+	l.wakeAccept()
 }
 
-// wake makes a waiting Accept try again.
-func (l *boundedListener) wake() {
+// wakeAccept makes a waiting Accept try again.
+func (l *boundedListener) wakeAccept() {
 	select {
 	case l.retryAccept <- struct{}{}:
 	default:
 	}
 }
 
-// Close closes the connection. Only the first call counts it out.
+// Close closes the connection. Only the first call releases its slot.
 func (c *boundedConn) Close() error {
 	c.listener.mu.Lock()
-	first := !c.closed
+	firstCall := !c.closed
 	c.closed = true
 	c.markBusy()
 	c.listener.mu.Unlock()
 	err := c.Conn.Close()
-	if first {
-		c.listener.release()
+	if firstCall {
+		c.listener.releaseSlot()
 	}
 	return err
 }
 
-// markBusy takes the connection out of the idle ones. The listener's mutex must be held.
+// markBusy removes the connection from the list of idle ones that it is in, if any. The
+// caller holds the listener's mutex.
 func (c *boundedConn) markBusy() {
 	if c.idleElement != nil {
 		c.listener.idle[c.idleKind].Remove(c.idleElement)
@@ -163,14 +165,14 @@
 	}
 }
 
-// markIdle makes the connection the last to be evicted of its kind. The listener's mutex
-// must be held.
+// markIdle appends the connection to the idle ones of its kind, as the last to be evicted. The
+// caller holds the listener's mutex.
 func (c *boundedConn) markIdle() {
 	c.idleKind = clientKind(c.kind.Load())
 	c.idleElement = c.listener.idle[c.idleKind].PushBack(c)
 }
 
-// connState is the server's ConnState hook.
+// connState is the server's ConnState hook. It tracks which connections are idle.
 func (l *boundedListener) connState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*boundedConn)
 	if !ok {
@@ -183,20 +185,20 @@
 	}
 	l.mu.Unlock()
 	if state == http.StateIdle {
-		l.wake()
+		l.wakeAccept()
 	}
 }
 
 // connContextKey is the key of a request's connection in its context.
 type connContextKey struct{}
 
-// connContext is the server's ConnContext hook, by which handlers learn a request's
-// connection.
+// connContext is the server's ConnContext hook. It puts the connection into the context of
+// its requests, where classify finds it.
 func (l *boundedListener) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connContextKey{}, conn)
 }
 
-// classify returns a handler that sets the kind of a request's connection first.
+// classify returns a handler that first notes the client's kind on the request's connection.
 func (l *boundedListener) classify(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if conn, ok := r.Context().Value(connContextKey{}).(*boundedConn); ok {
--- a/listener_test.go
+++ b/listener_test.go
@@ -13,8 +13,8 @@
 	"lilaclead/internal/simulator"
 )
 
-// boundedServer is a server on a bounded listener of a simulated network. It answers a
-// request with the query "hold" once release is called.
+// boundedServer is a server on a bounded listener of a simulated network. It holds requests with
+// the query "hold" until release is called, and answers all others at once.
 type boundedServer struct {
 	network  *simulator.Network
 	listener *boundedListener
@@ -43,10 +43,10 @@
 	return s
 }
 
-// release lets held requests be answered.
+// release has the held requests answered.
 func (s *boundedServer) release() { close(s.hold) }
 
-// stop ends all connections, and lets what waits for them end.
+// stop closes all connections, and gives the goroutines that use them a minute to end.
 func (s *boundedServer) stop() {
 	s.server.Close()
 	s.network.Close()
@@ -65,8 +65,8 @@
 	return s.listener.open
 }
 
-// newClient returns a client with a connection of its own, which reports whether a
-// request is answered within a second.
+// newClient returns a client with a connection of its own. The client is a function that sends a
+// request and reports whether it is answered within a second.
 func (s *boundedServer) newClient(t *testing.T) func(path string) bool {
 	t.Helper()
 	host := s.network.Host("10.1.0.1")
@@ -80,8 +80,8 @@
 	}
 }
 
-// At the limit of connections the one that has been idle longest is closed, users'
-// before workers'; when none is idle, the next waits without a spin.
+// At the limit, the connection that has been idle longest is closed, users' connections before
+// workers'. If none is idle, the next connection waits, and Accept doesn't spin.
 func TestIdleConnectionsAreEvictedAtLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 4
@@ -95,9 +95,9 @@
 				t.Fatalf("%s is not served below the limit", request.path)
 			}
 		}
-		// Full but for the place that is kept for the next.
+		// All slots are in use: one of them is reserved for the next connection.
 		if !s.newClient(t)("/ready") || s.idle(userClient) == 0 || s.idle(workerClient) != 2 {
-			t.Errorf("a health check at the limit: %d users' and %d workers' connections idle, want some users' and 2 workers'", s.idle(userClient), s.idle(workerClient))
+			t.Errorf("after a health check at the limit: %d users' and %d workers' connections idle, want it served, some users' and 2 workers'", s.idle(userClient), s.idle(workerClient))
 		}
 		var workers []func(path string) bool
 		for i := range 6 {
@@ -108,7 +108,7 @@
 			}
 		}
 		if s.idle(userClient) != 0 || s.open() > limit {
-			t.Errorf("%d users' connections stay beside workers', %d open, want none and at most %d", s.idle(userClient), s.open(), limit)
+			t.Errorf("%d users' connections idle, %d connections open, want none idle and at most %d open", s.idle(userClient), s.open(), limit)
 		}
 		for _, worker := range workers[3:] {
 			go worker("/hello?hold")
@@ -122,7 +122,7 @@
 		s.release()
 		time.Sleep(100 * time.Millisecond)
 		if !s.newClient(t)("/ready") {
-			t.Error("not served when there is room again")
+			t.Error("not served once connections are idle again")
 		}
 		s.stop()
 	})
--- a/logging_test.go
+++ b/logging_test.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/tuning"
 )
 
-func TestLevelOfName(t *testing.T) {
+func TestParseLogLevel(t *testing.T) {
 	for name, want := range map[string]slog.Level{
 		"debug":   slog.LevelDebug,
 		"DEBUG":   slog.LevelDebug,
@@ -17,25 +17,25 @@
 		"unknown": slog.LevelInfo,
 	} {
 		if got := ParseLogLevel(name); got != want {
-			t.Errorf("Level(%q) = %v, want %v", name, got, want)
+			t.Errorf("ParseLogLevel(%q) = %v, want %v", name, got, want)
 		}
 	}
 }
 
-func TestOperatorsLogLevelReplacesEnvironments(t *testing.T) {
+func TestOperatorsLogLevelOverridesEnvironment(t *testing.T) {
 	t.Setenv(logLevelVariable, "error")
 	level := newLogLevel()
 	for _, step := range []struct {
 		situation string
-		tuned     string
+		operators string
 		want      slog.Level
 	}{
-		{"operators chose a level", "debug", slog.LevelDebug},
-		{"operators took it back", "", slog.LevelError},
+		{"operators set a level", "debug", slog.LevelDebug},
+		{"operators removed their level", "", slog.LevelError},
 	} {
-		level.applyTuning(tuning.Values{LogLevel: step.tuned})
+		level.applyTuning(tuning.Values{LogLevel: step.operators})
 		if got := level.current.Level(); got != step.want {
-			t.Errorf("%s (%q): level %v, want %v", step.situation, step.tuned, got, step.want)
+			t.Errorf("%s (%q): level %v, want %v", step.situation, step.operators, got, step.want)
 		}
 	}
 }
--- a/machinetypes.go
+++ b/machinetypes.go
@@ -12,10 +12,10 @@
 	"lilaclead/internal/wire"
 )
 
-// machineTypesRetry is the pause before the machine types are requested again.
-const machineTypesRetry = 500 * time.Millisecond
+// machineTypesRetryInterval is the pause before the machine types are requested again.
+const machineTypesRetryInterval = 500 * time.Millisecond
 
-// machineTypeLoader finds out which types of machines there are.
+// machineTypeLoader fills the catalog of the machine types that the cloud offers.
 type machineTypeLoader struct {
 	catalog     *cluster.MachineCatalog
 	store       *store.Client
@@ -23,8 +23,8 @@
 	undecodable *undecodable.Log
 }
 
-// run fills the catalog and returns, unless the context ends before. The leader may fill
-// the catalog meanwhile.
+// run retries until the catalog is filled or the context ends. The leader may fill the catalog
+// in the meantime.
 func (l machineTypeLoader) run(ctx context.Context) {
 	for l.catalog.Get() == nil {
 		types, err := l.load(ctx)
@@ -35,16 +35,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(machineTypesRetry):
+		case <-time.After(machineTypesRetryInterval):
 		}
 	}
 }
 
-// errNoMachineTypes says that the state service's record of the machine types is empty.
+// errNoMachineTypes reports that the state service's record of the machine types is empty.
 var errNoMachineTypes = errors.New("no machine types stored")
 
-// load returns the machine types that an earlier leader stored in the state service, or
-// those that the cloud offers if there is no such record or none that can be decoded.
+// load returns the machine types that an earlier leader stored in the state service. If that
+// record is missing or can't be decoded, it asks the cloud for the types.
 func (l machineTypeLoader) load(ctx context.Context) ([]wire.MachineSpec, error) {
 	types, err := l.loadStored(ctx)
 	if errors.Is(err, store.ErrNotFound) {
@@ -53,8 +53,8 @@
 	return types, err
 }
 
-// loadStored returns the machine types of the state service. A record that can't be
-// decoded counts as missing.
+// loadStored returns the machine types that are stored in the state service. It returns
+// ErrNotFound also for a record that can't be decoded.
 func (l machineTypeLoader) loadStored(ctx context.Context) ([]wire.MachineSpec, error) {
 	entry, err := l.store.Get(ctx, store.ClassBackground, store.MachineSpecsKey)
 	if err != nil {
--- a/node.go
+++ b/node.go
@@ -14,7 +14,7 @@
 	"lilaclead/upgrade"
 )
 
-// Node is one controller.
+// Node is one controller of a deployment. New creates it, and Run serves.
 type Node struct {
 	cfg      *Config
 	features Features
@@ -33,14 +33,18 @@
 	admin        *admin.Admin
 }
 
-// Options of a node. The zero value stands for the machine's own network and standard
-// error, with all optional features off.
+// Options configure a node beside its settings file. The zero value is ready for use.
 type Options struct {
-	Net      netio.Net
-	Log      io.Writer
+	// Net is the network that the node dials and listens on. If it is zero, the node uses
+	// the machine's own network.
+	Net netio.Net
+	// Log receives the node's log; nil stands for standard error.
+	Log io.Writer
+	// Features says which optional features are on; the zero value has all of them off.
 	Features Features
-	// Versions is the range of the behaviour's versions that this node understands,
-	// where they are negotiated. The zero value stands for all that the program does.
+	// Versions is the range of the behaviour's versions that this node supports. It
+	// matters only where versions are negotiated. The zero value stands for all that the
+	// program supports.
 	Versions upgrade.Range
 }
 
@@ -57,13 +61,13 @@
 	return o
 }
 
-// New returns a node, which does nothing until Run. It fails if settings or features are
+// New returns a node that does nothing until Run. It fails if the settings or features are
 // invalid.
-func New(cfg *Config, opt Options) (*Node, error) {
+func New(cfg *Config, options Options) (*Node, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	b := newBuilder(cfg, opt.withDefaults())
+	b := newBuilder(cfg, options.withDefaults())
 	b.connectServices()
 	b.connectPeers()
 	if err := b.enableFeatures(); err != nil {
--- a/node_test.go
+++ b/node_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// runNode runs a node beside a state service with some records for a while, in virtual
-// time. While it runs, the script may send it requests.
+// runNode runs a node and a state service with the given records in virtual time, until the
+// script returns. The script may send requests to the node.
 func runNode(t *testing.T, records map[string]any, features Features, script func(t *testing.T, n *Node, network *simulator.Network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -63,7 +63,7 @@
 		script(t, n, network)
 		cancel()
 		if err := <-ended; err != nil {
-			t.Errorf("Run ended with %v after its context, want nil", err)
+			t.Errorf("Run returned %v after its context ended, want nil", err)
 		}
 		stopState()
 		time.Sleep(time.Minute)
@@ -84,7 +84,7 @@
 	return status, body
 }
 
-func TestNodeAnswersKnownPathsAndRefusesOthers(t *testing.T) {
+func TestNodeAnswersKnownPathsAndRejectsOthers(t *testing.T) {
 	runNode(t, nil, Features{}, func(t *testing.T, n *Node, network *simulator.Network) {
 		time.Sleep(time.Second)
 		for _, c := range []struct {
@@ -101,7 +101,7 @@
 			status, body := call(t, network, c.method, c.addr, c.path)
 			var refusal wire.ErrorBody
 			if err := wire.Decode(body, &refusal); c.wantError != "" && err != nil {
-				t.Errorf("%s: %s %s: answer can't be decoded: %v", c.situation, c.method, c.path, err)
+				t.Errorf("%s: %s %s: response can't be decoded: %v", c.situation, c.method, c.path, err)
 			}
 			if status != c.want || refusal.Error != c.wantError {
 				t.Errorf("%s: %s %s = %d %q, want %d %q", c.situation, c.method, c.path, status, refusal.Error, c.want, c.wantError)
@@ -110,12 +110,12 @@
 	})
 }
 
-func TestNodeRecordsItsLease(t *testing.T) {
+func TestNodeRecordsAcquiredLeases(t *testing.T) {
 	features := Features{HistoryDir: t.TempDir(), HistoryLimitMB: 1}
 	runNode(t, nil, features, func(*testing.T, *Node, *simulator.Network) { time.Sleep(time.Minute) })
 	events, damaged, err := history.Read(features.HistoryDir, history.Filter{Kind: "acquired", Controller: "worker-0"})
 	if err != nil || len(damaged) > 0 || len(events) == 0 {
-		t.Errorf("Read = %v, damaged %v, error %v, want an acquired lease", events, damaged, err)
+		t.Errorf("Read = %v, damaged %v, error %v, want the event of an acquired lease", events, damaged, err)
 	}
 }
 
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestNodeWithoutUsableMachineTypesKeepsTrying(t *testing.T) {
+func TestCatalogStaysEmptyWithoutUsableMachineTypes(t *testing.T) {
 	for name, records := range map[string]map[string]any{
 		"none stored":             nil,
 		"record isn't decodable":  {store.MachineSpecsKey: 7},
@@ -154,12 +154,12 @@
 	_, err := New(cfg, Options{Log: io.Discard})
 	for _, setting := range []string{"front", "settings.cloud.rps"} {
 		if err == nil || !strings.Contains(err.Error(), setting) {
-			t.Errorf("New with an invalid %s: error %v doesn't name it", setting, err)
+			t.Errorf("New with an invalid %s: error %v doesn't name the setting", setting, err)
 		}
 	}
 }
 
-func TestNewNamesInvalidHistory(t *testing.T) {
+func TestNewNamesInvalidHistoryLimit(t *testing.T) {
 	features := Features{HistoryDir: t.TempDir(), HistoryLimitMB: -1}
 	_, err := New(testConfig(), Options{Log: io.Discard, Features: features})
 	if invalid, ok := errors.AsType[*history.OptionError](err); !ok || invalid.Option != "limit" {
@@ -182,8 +182,8 @@
 				t.Fatal(err)
 			}
 			err = n.Run(t.Context())
-			failed, ok := errors.AsType[*ListenError](err)
-			if !ok || failed.Setting != c.setting || failed.Addr != c.addr {
+			listenErr, ok := errors.AsType[*ListenError](err)
+			if !ok || listenErr.Setting != c.setting || listenErr.Addr != c.addr {
 				t.Fatalf("Run = %v, want a ListenError for %s", err, c.setting)
 			}
 			if !strings.HasPrefix(err.Error(), c.setting+": ") {
@@ -192,7 +192,7 @@
 			if c.setting == "peer_bind" {
 				listener, err := host.Listen("tcp4", cfg.UserAddr)
 				if err != nil {
-					t.Fatalf("the users' address stays bound: %v", err)
+					t.Fatalf("the users' address is still bound: %v", err)
 				}
 				listener.Close()
 			}
--- a/process.go
+++ b/process.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// processorThreads is 1, since a controller is given one core or less.
-	processorThreads = 1
-	// heapShare is the part of memory_mb for the heap; stacks and the runtime take
+	// maxProcs is the process's GOMAXPROCS: a controller is given one core or less.
+	maxProcs = 1
+	// heapShare is the fraction of memory_mb for the heap. Stacks and the runtime take
 	// the rest.
 	heapShare = 0.7
-	// collectorPercent lets the heap triple between collections below its limit.
-	collectorPercent = 200
+	// gcPercent is the process's GOGC: the heap may triple between two collections while
+	// it is below its limit.
+	gcPercent = 200
 	// bytesPerMegabyte converts the settings' sizes.
 	bytesPerMegabyte = 1 << 20
 )
 
-// LimitProcess fits the Go runtime into the limits of the settings file. It is for a
-// process that is a node and nothing else.
+// LimitProcess sets the Go runtime's number of threads, memory limit and GC percentage so that
+// the process stays within the limits of the settings file. These hold for the whole process,
+// so it is meant for a process that runs a Node and nothing else.
 func LimitProcess(cfg *Config) {
-	runtime.GOMAXPROCS(processorThreads)
+	runtime.GOMAXPROCS(maxProcs)
 	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemoryMB * heapShare * bytesPerMegabyte))
-	debug.SetGCPercent(collectorPercent)
+	debug.SetGCPercent(gcPercent)
 }
--- a/process_test.go
+++ b/process_test.go
@@ -25,7 +25,7 @@
 	if got, want := debug.SetMemoryLimit(-1), int64(70<<20); got != want {
 		t.Errorf("memory limit = %d bytes, want %d of 100 MB", got, want)
 	}
-	if got := debug.SetGCPercent(100); got != collectorPercent {
-		t.Errorf("GC percent = %d, want %d", got, collectorPercent)
+	if got := debug.SetGCPercent(100); got != gcPercent {
+		t.Errorf("GC percent = %d, want %d", got, gcPercent)
 	}
 }
--- a/readiness.go
+++ b/readiness.go
@@ -12,15 +12,16 @@
 	"lilaclead/upgrade"
 )
 
-// Reasons of a node that isn't ready.
+// Reasons why a node isn't ready, as the load balancer receives them.
 const (
 	reasonNoStateService = "state service not reachable from here"
 	reasonIsolated       = "neither state service nor another node reachable from here"
 )
 
-// serveReady answers the load balancer. It fails only when this node can't serve and
-// another says that it can, or may, since none is in contact: in an outage that all
-// share, every node stays ready and refuses fast.
+// serveReady answers the load balancer's health check. It fails if the version check forbids
+// this node to serve users. It also fails if this node can't reach the state service while
+// another node can, or might: a node that is in contact with no other can't tell. In an outage
+// that all nodes share, every node stays ready and refuses requests at once.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if reason := n.notReadyReason(); reason != "" {
 		wire.WriteRetryableError(w, http.StatusServiceUnavailable, reason, retryAfterSeconds)
@@ -31,9 +32,9 @@
 	}{true})
 }
 
-// notReadyReason returns why users should go to other nodes, "" if they may come here.
+// notReadyReason returns why users should use other nodes than this one, "" if it is ready.
 func (n *Node) notReadyReason() string {
-	refusal := n.versions.mayServe()
+	refusal := n.versions.checkServe()
 	stateReachable := n.store.Reachable()
 	if refusal != nil && !excusedByOutage(refusal, stateReachable) {
 		return refusal.Error()
@@ -47,8 +48,9 @@
 	return reasonWithoutState(n.mesh.View().Peers, time.Now())
 }
 
-// reasonWithoutState returns why users should go to other nodes than one that can't
-// reach the state service, "" if they have none that is better.
+// reasonWithoutState returns why users should use other nodes than this one, which can't reach
+// the state service. It returns "" if no node that is in contact reaches the state service
+// either.
 func reasonWithoutState(peers map[wire.NodeID]peer.Peer, now time.Time) string {
 	isolated := true
 	for _, p := range peers {
@@ -66,9 +68,8 @@
 	return ""
 }
 
-// excusedByOutage reports whether a node refuses users only because the state service,
-// from which it learns the active version, can't be reached: then all nodes may be in
-// the same outage.
+// excusedByOutage reports whether a node refuses users only because it can't reach the state
+// service, through which versions are negotiated. Then all nodes may be in the same outage.
 func excusedByOutage(refusal error, stateReachable bool) bool {
 	waitsForState := errors.Is(refusal, upgrade.ErrNotPublished) || errors.Is(refusal, upgrade.ErrActiveUnknown)
 	return waitsForState && !stateReachable
--- a/readiness_test.go
+++ b/readiness_test.go
@@ -11,20 +11,20 @@
 	"lilaclead/upgrade"
 )
 
-func TestNodeWithoutStateServiceIsReadyUnlessAnotherIsBetter(t *testing.T) {
+func TestNodeWithoutStateServiceIsReadyUnlessAnotherMayReachIt(t *testing.T) {
 	now := time.Now()
 	connected := peer.Peer{LastContact: now}
-	reachesState := peer.Heartbeat{StateReachable: true}
-	connectedWithState := peer.Peer{LastContact: now, Heartbeat: reachesState}
-	lostWithState := peer.Peer{LastContact: now.Add(-peer.AckLifetime), Heartbeat: reachesState}
+	heartbeatWithState := peer.Heartbeat{StateReachable: true}
+	connectedWithState := peer.Peer{LastContact: now, Heartbeat: heartbeatWithState}
+	disconnectedWithState := peer.Peer{LastContact: now.Add(-peer.AckLifetime), Heartbeat: heartbeatWithState}
 	for name, c := range map[string]struct {
 		peers map[wire.NodeID]peer.Peer
 		want  string
 	}{
 		"no peer was ever in contact":       {nil, reasonIsolated},
-		"all peers are lost":                {map[wire.NodeID]peer.Peer{"a": lostWithState}, reasonIsolated},
+		"no peer is in contact any more":    {map[wire.NodeID]peer.Peer{"a": disconnectedWithState}, reasonIsolated},
 		"a peer reaches the state service":  {map[wire.NodeID]peer.Peer{"a": connected, "b": connectedWithState}, reasonNoStateService},
-		"no peer reaches the state service": {map[wire.NodeID]peer.Peer{"a": connected, "b": lostWithState}, ""},
+		"no peer reaches the state service": {map[wire.NodeID]peer.Peer{"a": connected, "b": disconnectedWithState}, ""},
 	} {
 		if got := reasonWithoutState(c.peers, now); got != c.want {
 			t.Errorf("%s: reasonWithoutState(%+v) = %q, want %q", name, c.peers, got, c.want)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestOnlyUnknownVersionsAreExcusedByAnOutage(t *testing.T) {
+func TestOutageExcusesOnlyUnknownOrUnpublishedVersions(t *testing.T) {
 	for name, c := range map[string]struct {
 		refusal        error
 		stateReachable bool
--- a/routes.go
+++ b/routes.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/wire"
 )
 
-// heartbeatPath takes workers' heartbeats.
+// heartbeatPath is the endpoint for workers' heartbeats.
 const heartbeatPath = "/hello"
 
 // userRoutes returns the handler for users, workers and the load balancer.
@@ -16,9 +16,9 @@
 	users := newRouter()
 	n.intake.Routes(users)
 	router := newRouter()
-	// What is not named here is a user's path, or none: the users' router answers that.
-	router.NotFound = refuseUnless(n.versions.mayServe, users)
-	router.POST(heartbeatPath, refuseHandleUnless(n.versions.understands, n.leader.ServeHeartbeat))
+	// All other paths go to the users' router, which also answers the unknown ones.
+	router.NotFound = refuseUnless(n.versions.checkServe, users)
+	router.POST(heartbeatPath, refuseHandleUnless(n.versions.checkSupport, n.leader.ServeHeartbeat))
 	router.GET("/ready", n.serveReady)
 	return router
 }
@@ -27,8 +27,8 @@
 func (n *Node) peerRoutes() http.Handler {
 	router := newRouter()
 	router.Handler("POST", "/peer/beats", n.mesh)
-	router.POST("/peer/hello", refuseHandleUnless(n.versions.understands, n.leader.ServeRelayedHeartbeat))
-	router.POST("/peer/ask", refuseHandleUnless(n.versions.understands, n.leader.ServeRelayedProbe))
+	router.POST("/peer/hello", refuseHandleUnless(n.versions.checkSupport, n.leader.ServeRelayedHeartbeat))
+	router.POST("/peer/ask", refuseHandleUnless(n.versions.checkSupport, n.leader.ServeRelayedProbe))
 	n.admin.Routes(router)
 	return router
 }
@@ -39,13 +39,13 @@
 	router.RedirectTrailingSlash = false
 	router.RedirectFixedPath = false
 	router.HandleOPTIONS = false
-	router.NotFound = answerError(http.StatusNotFound, "no such path")
-	router.MethodNotAllowed = answerError(http.StatusMethodNotAllowed, "method not allowed")
+	router.NotFound = errorHandler(http.StatusNotFound, "no such path")
+	router.MethodNotAllowed = errorHandler(http.StatusMethodNotAllowed, "method not allowed")
 	return router
 }
 
-// answerError returns a handler that always answers with an error.
-func answerError(status int, reason string) http.Handler {
+// errorHandler returns a handler that always answers with the same error.
+func errorHandler(status int, reason string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		wire.WriteResponse(w, status, wire.ErrorBody{Error: reason})
 	})
--- a/run.go
+++ b/run.go
@@ -10,10 +10,10 @@
 	"lilaclead/internal/peer"
 )
 
-// ListenError reports an address of the settings file that can't be bound. Trying again
-// helps once the address is free.
+// ListenError reports that an address of the settings file can't be bound. Retrying helps once
+// the address is free.
 type ListenError struct {
-	// Setting is the address's name in the settings file.
+	// Setting is the name of the address in the settings file: front or peer_bind.
 	Setting string
 	Addr    string
 	Err     error
@@ -25,8 +25,8 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Run serves until the context ends. It returns nil then, and an error if it can't serve
-// or no longer can.
+// Run serves until the context ends, and then returns nil. It returns a ListenError if it can't
+// bind an address, and the server's error if it can no longer accept connections.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -37,10 +37,10 @@
 	n.logLimits()
 	bounded := newBoundedListener(userListener, n.sockets.accepted, n.log)
 	userServer, peerServer := n.userServer(bounded), n.peerServer()
-	n.startActors(ctx)
+	n.startComponents(ctx)
 	waitForHistory := n.history.start(ctx)
 	defer waitForHistory()
-	serveErrs := make(chan error, 2) // room for both servers, so that neither blocks once Run is done
+	serveErrs := make(chan error, 2) // room for both servers, so that neither blocks after Run has returned
 	go func() { serveErrs <- userServer.Serve(bounded) }()
 	go func() { serveErrs <- peerServer.Serve(peerListener) }()
 	n.log.Info("node started", "front", n.cfg.UserAddr, "peers", n.cfg.PeerAddr, "features", n.features)
@@ -49,7 +49,7 @@
 	case <-ctx.Done():
 	}
 	cancel()
-	// Close waits until Serve no longer accepts.
+	// Close returns once Serve has stopped accepting connections.
 	userServer.Close()
 	peerServer.Close()
 	if errors.Is(err, http.ErrServerClosed) {
@@ -58,7 +58,7 @@
 	return err
 }
 
-// listen binds the address for users and workers, and that for the other nodes.
+// listen binds the address for users and workers, and that for the other nodes and operators.
 func (n *Node) listen() (users, peers net.Listener, err error) {
 	users, err = n.listenOn("front", n.cfg.UserAddr)
 	if err != nil {
@@ -80,9 +80,9 @@
 	return listener, nil
 }
 
-// startActors starts what runs until the context ends. Run returns without waiting for
-// its end.
-func (n *Node) startActors(ctx context.Context) {
+// startComponents starts the components that run in the background until the context ends. Run
+// doesn't wait for them to end.
+func (n *Node) startComponents(ctx context.Context) {
 	if n.versions.negotiated() {
 		go n.versions.member.Run(ctx)
 	}
@@ -93,17 +93,18 @@
 	go n.admin.FollowSettings(ctx, n.level.applyTuning)
 }
 
-// logLimits logs how the sockets are split, and limits that don't fit each other.
+// logLimits logs how the sockets are split, and warns if the memory limit is too small for the
+// limit on sockets.
 func (n *Node) logLimits() {
 	limits := n.cfg.Settings.Limits
-	n.log.Info("sockets split", "limit", limits.FDLimit, "split", n.sockets, "workers_alone", n.sockets.workers())
-	if n.sockets.memoryNeeded > limits.MemoryMB {
+	n.log.Info("sockets split", "limit", limits.FDLimit, "split", n.sockets, "workers_alone", n.sockets.maxWorkers())
+	if n.sockets.memoryNeededMB > limits.MemoryMB {
 		n.log.Warn("accepted connections reduced", "reason", "memory_mb is too small for fd_limit",
-			"memory_mb", limits.MemoryMB, "needed", int(n.sockets.memoryNeeded))
+			"memory_mb", limits.MemoryMB, "needed", int(n.sockets.memoryNeededMB))
 	}
 }
 
-// status returns what the other nodes are told of this one.
+// status returns this node's status, from which its heartbeats to the other nodes are made.
 func (n *Node) status() peer.Status {
 	status := peer.Status{
 		Leads:                  n.leader.Leads(),
@@ -112,6 +113,6 @@
 		ReachableWorkers:       n.leader.ReachableWorkers(),
 		UnconfirmedCancelSince: n.leader.UnconfirmedCancelSince(),
 	}
-	n.versions.addTo(&status)
+	n.versions.setVersionFields(&status)
 	return status
 }
--- a/servers.go
+++ b/servers.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Limits of time and size of the servers for users, workers and peers.
+// Timeouts and size limits of the servers for users, workers and peers.
 const (
 	headerTimeout   = 4 * time.Second
 	requestTimeout  = 8 * time.Second
 	responseTimeout = 10 * time.Second
-	// idleTimeout outlives the longest pause between two heartbeats of a worker.
+	// idleTimeout is longer than the longest pause between two heartbeats of a worker, so
+	// that its connection stays open in between.
 	idleTimeout     = 75 * time.Second
 	peerIdleTimeout = 60 * time.Second
 	maxHeaderBytes  = 16 << 10
@@ -31,7 +32,8 @@
 	}
 }
 
-// peerServer serves the other nodes, whose streams have no end, and operators.
+// peerServer serves the other nodes and operators. It bounds neither reading a request nor
+// writing a response, since the other nodes' streams have no end.
 func (n *Node) peerServer() *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
--- a/sockets.go
+++ b/sockets.go
@@ -7,88 +7,89 @@
 	"lilaclead/internal/config"
 )
 
-// socketBudget is the split of a process's limit of sockets.
+// socketBudget says how a process's limit on sockets is split among their uses.
 type socketBudget struct {
-	accepted int // from workers, users and health checks
-	direct   int // to workers, for commands
-	internal int // to state service, cloud and the other controllers, and to spare
-	// memoryNeeded is the memory that the limit's connections take, in megabytes.
-	memoryNeeded float64
+	accepted int // connections from workers, users and health checks
+	direct   int // connections to workers, for commands
+	internal int // to the state service, the cloud and the other controllers, and a reserve
+	// memoryNeededMB is the least memory_mb with which all sockets of fd_limit can be used.
+	memoryNeededMB float64
 }
 
 const (
-	// usersShare is the part of the accepted connections that is not counted on
-	// for workers.
+	// usersShare is the fraction of the accepted connections that is left for users and
+	// health checks. The number of workers is computed without it.
 	usersShare = 0.1
-	// baseMB and connectionMB are the memory of a process by itself, and of each
-	// connection with the state of the machine behind it. Measured at 1.5 times the
-	// largest deployment: 165 MB with 3,400 connections, 217 MB with 4,296, 12 MB
-	// with 120.
+	// baseMB is the memory of a process without connections. connectionMB is that of each
+	// connection and of the state of the machine behind it. At 1.5 times the largest
+	// deployment a process takes 165 MB with 3,400 connections, 217 MB with 4,296, and
+	// 12 MB with 120.
 	baseMB       = 12
 	connectionMB = 0.048
-	// memoryShare is the part of memory_mb that is planned for.
+	// memoryShare is the fraction of memory_mb that this budget may use.
 	memoryShare = 0.9
-	// maxByMemory caps the connections that fit into the memory, since an infinite
-	// memory is no int.
-	maxByMemory = 1e9
+	// maxConnectionsByMemory bounds the number of connections that fit into the memory.
+	// With the infinite memory of socketsNeeded, that number would not fit into an int.
+	maxConnectionsByMemory = 1e9
 
-	// minSockets is the least fd_limit that the settings allow.
+	// minSockets is the smallest fd_limit that the settings allow.
 	minSockets = 64
-	// minAccepted and minDirect keep a controller with a tiny limit working.
+	// minAccepted and minDirect let a controller work even with a tiny limit.
 	minAccepted = 16
 	minDirect   = 16
-	// directDivisor gives a sixth of what is left after the internal sockets to
-	// commands, which share their sockets.
+	// directDivisor gives commands a sixth of the sockets that remain after the internal
+	// ones. The commands to all workers share these sockets.
 	directDivisor = 6
 
-	// The internal sockets: state service and cloud; a stream each way to every
-	// other controller and as much again while they are opened anew; both
-	// listeners; a spare for what is being closed.
+	// Internal sockets: for the state service and the cloud; for every other controller
+	// a stream in each direction, and as many again while the streams are reopened; for
+	// both listeners; and a reserve for sockets that are being closed.
 	stateSockets    = 16
 	cloudSockets    = 4
 	socketsPerPeer  = 4
 	listenerSockets = 2
 	spareSockets    = 16
-	// internalDivisor bounds them by a third of a small limit.
+	// internalDivisor bounds the internal sockets by a third of the limit if that is small.
 	internalDivisor = 3
 )
 
-// splitSockets splits the limit for a deployment of so many nodes. One node may be left
-// with every worker: each holds one accepted connection, and commands need a few more at
-// a time.
+// splitSockets splits the limit of a node in a deployment of so many nodes. A single node may
+// have to serve every worker. Each worker holds one accepted connection, and commands need a
+// few more at a time.
 func splitSockets(limits config.ProcessLimits, nodes int) socketBudget {
 	limit := max(minSockets, min(limits.FDLimit, connectionsInMemory(limits.MemoryMB)))
 	internal := min(limit/internalDivisor, internalSockets(nodes))
 	direct := max(minDirect, (limit-internal)/directDivisor)
 	return socketBudget{
-		accepted:     max(minAccepted, limit-internal-direct),
-		direct:       direct,
-		internal:     internal,
-		memoryNeeded: (baseMB + connectionMB*float64(limits.FDLimit)) / memoryShare,
+		accepted:       max(minAccepted, limit-internal-direct),
+		direct:         direct,
+		internal:       internal,
+		memoryNeededMB: (baseMB + connectionMB*float64(limits.FDLimit)) / memoryShare,
 	}
 }
 
 // connectionsInMemory returns how many connections fit into the memory.
 func connectionsInMemory(memoryMB float64) int {
-	return int(min(maxByMemory, (memoryMB*memoryShare-baseMB)/connectionMB))
+	return int(min(maxConnectionsByMemory, (memoryMB*memoryShare-baseMB)/connectionMB))
 }
 
-// internalSockets returns how many sockets a node needs besides workers' and users'.
+// internalSockets returns how many sockets a node needs besides those of workers and users.
 func internalSockets(nodes int) int {
 	return stateSockets + cloudSockets + socketsPerPeer*(nodes-1) + listenerSockets + spareSockets
 }
 
-// workers returns how many workers one node can hold alone.
-func (b socketBudget) workers() int { return int(float64(b.accepted) * (1 - usersShare)) }
+// maxWorkers returns how many workers a single node can serve.
+func (b socketBudget) maxWorkers() int { return int(float64(b.accepted) * (1 - usersShare)) }
 
-// searchDivisor is the precision of socketsNeeded: the limit is raised in steps of 2%.
+// searchDivisor sets the precision of socketsNeeded, which raises the limit in steps of 2%.
 const searchDivisor = 50
 
-// socketsNeeded returns the limit that so many workers would need, to 2%.
+// socketsNeeded returns the fd_limit with which a single node can serve so many workers, if it
+// has the memory. The result is accurate to 2%.
 func socketsNeeded(workers int, limits config.ProcessLimits, nodes int) int {
 	limits.MemoryMB = math.Inf(1)
 	limits.FDLimit = workers
-	for splitSockets(limits, nodes).workers() < workers {
+	for splitSockets(limits, nodes).maxWorkers() < workers {
 		limits.FDLimit += max(1, limits.FDLimit/searchDivisor)
 	}
 	return limits.FDLimit
--- a/sockets_test.go
+++ b/sockets_test.go
@@ -6,17 +6,17 @@
 	"lilaclead/internal/config"
 )
 
-// The split of the sockets follows from the limit and serves the machines that a
-// deployment of that limit may have; a limit that is too small is reported with the
-// figure that is needed.
+// The split stays within the limit and leaves sockets for the workers that a deployment with
+// that limit may have. For more workers than that, socketsNeeded returns a higher limit. A memory
+// limit that is too small for the limit on sockets shows in memoryNeededMB.
 func TestSocketLimitIsSplit(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		fdLimit    int
-		memoryMB   float64
-		nodes      int
-		minWorkers int // that one node must be able to hold
-		tight      bool
+		name           string
+		fdLimit        int
+		memoryMB       float64
+		nodes          int
+		minWorkers     int // that a single node must be able to serve
+		memoryTooSmall bool
 	}{
 		{"large, five nodes", 4296, 322, 5, 2870, false},
 		{"large, seven nodes", 2900, 322, 7, 1170, false},
@@ -29,17 +29,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			limits := config.ProcessLimits{FDLimit: c.fdLimit, MemoryMB: c.memoryMB}
 			split := splitSockets(limits, c.nodes)
-			if got := split.workers(); got < c.minWorkers {
-				t.Errorf("splitSockets(%+v, %d) = %+v holds %d workers, want %d or more", limits, c.nodes, split, got, c.minWorkers)
+			if got := split.maxWorkers(); got < c.minWorkers {
+				t.Errorf("splitSockets(%+v, %d) = %+v serves %d workers, want %d or more", limits, c.nodes, split, got, c.minWorkers)
 			}
-			if got, most := split.accepted+split.direct+split.internal, max(c.fdLimit, 70); got > most {
-				t.Errorf("splitSockets(%+v, %d) = %+v is %d sockets, want at most %d", limits, c.nodes, split, got, most)
+			if got, limit := split.accepted+split.direct+split.internal, max(c.fdLimit, 70); got > limit {
+				t.Errorf("splitSockets(%+v, %d) = %+v is %d sockets, want at most %d", limits, c.nodes, split, got, limit)
 			}
-			if needed := socketsNeeded(3*split.workers(), limits, c.nodes); needed <= c.fdLimit && !c.tight {
-				t.Errorf("socketsNeeded(%d, %+v, %d) = %d, want more than the limit", 3*split.workers(), limits, c.nodes, needed)
+			if needed := socketsNeeded(3*split.maxWorkers(), limits, c.nodes); needed <= c.fdLimit && !c.memoryTooSmall {
+				t.Errorf("socketsNeeded(%d, %+v, %d) = %d, want more than the limit", 3*split.maxWorkers(), limits, c.nodes, needed)
 			}
-			if got := split.memoryNeeded > c.memoryMB; got != c.tight {
-				t.Errorf("splitSockets(%+v, %d) needs %.0f MB, want too much: %v", limits, c.nodes, split.memoryNeeded, c.tight)
+			if got := split.memoryNeededMB > c.memoryMB; got != c.memoryTooSmall {
+				t.Errorf("splitSockets(%+v, %d) needs %.0f MB, want more than the limit: %v", limits, c.nodes, split.memoryNeededMB, c.memoryTooSmall)
 			}
 		})
 	}
--- a/versions.go
+++ b/versions.go
@@ -16,8 +16,8 @@
 	member *upgrade.Member // nil: versions are not negotiated, and nothing is refused
 }
 
-// newVersionGate makes this process one of those that negotiate the active version, if
-// that feature is on.
+// newVersionGate has this process take part in negotiating the active version, if that feature
+// is on.
 func newVersionGate(features Features, options upgrade.Options) (versionGate, error) {
 	if !features.NegotiateVersions {
 		return versionGate{}, nil
@@ -26,30 +26,30 @@
 	return versionGate{member}, err
 }
 
-// negotiated reports whether versions are negotiated.
 func (g versionGate) negotiated() bool { return g.member != nil }
 
-// learn takes in that another controller knows a version to be active.
-func (g versionGate) learn(version uint64) { g.member.ObserveActive(upgrade.Version(version)) }
+// observeActive notes that another controller has reported the version as active.
+func (g versionGate) observeActive(version uint64) { g.member.ObserveActive(upgrade.Version(version)) }
 
-// understands returns why this node must not even acknowledge workers and peers, or nil.
-func (g versionGate) understands() error {
+// checkSupport returns why this node must not even acknowledge workers and peers, or nil if it
+// may.
+func (g versionGate) checkSupport() error {
 	if !g.negotiated() {
 		return nil
 	}
 	return g.member.CheckSupport()
 }
 
-// mayServe returns why this node must not serve users, or nil.
-func (g versionGate) mayServe() error {
+// checkServe returns why this node must not serve users, or nil if it may.
+func (g versionGate) checkServe() error {
 	if !g.negotiated() {
 		return nil
 	}
 	return g.member.CheckServe()
 }
 
-// addTo adds to a status what the other nodes need to know about versions.
-func (g versionGate) addTo(status *peer.Status) {
+// setVersionFields fills in what a status says about versions.
+func (g versionGate) setVersionFields(status *peer.Status) {
 	if !g.negotiated() {
 		return
 	}
@@ -58,11 +58,11 @@
 	status.RefusesAcks = g.member.CheckSupport() != nil
 }
 
-// retryAfterSeconds is when a refused client may try again.
+// retryAfterSeconds is how long a refused client is asked to wait before it retries.
 const retryAfterSeconds = 1
 
-// refuseUnless answers 503 at once while check returns an error, and closes the
-// connection, so that the client goes to another node.
+// refuseUnless returns a handler that calls the given one only if check returns nil. Otherwise
+// it answers 503 and closes the connection, so that the client turns to another node.
 func refuseUnless(check func() error, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := check(); err != nil {
@@ -74,7 +74,7 @@
 	})
 }
 
-// refuseHandleUnless is refuseUnless for a handler with parameters of its path.
+// refuseHandleUnless is refuseUnless for a handler that takes path parameters.
 func refuseHandleUnless(check func() error, handle httprouter.Handle) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 		handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handle(w, r, params) })
