--- a/cmd/lilaclead/adminclient.go
+++ b/cmd/lilaclead/adminclient.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// adminTimeout bounds a request of the administration API.
+	// adminTimeout bounds a request to the administration API.
 	adminTimeout = 5 * time.Second
-	// maxAdminAnswer bounds the size of its answer, in bytes.
-	maxAdminAnswer = 1 << 20
+	// maxAdminResponseBytes bounds the size of its response.
+	maxAdminResponseBytes = 1 << 20
 )
 
 // Paths of the administration API.
@@ -23,8 +23,8 @@
 	versionsPath = "/admin/versions"
 )
 
-// adminError is an answer of the administration API other than OK. A status of 503 may
-// be tried again.
+// adminError is a response of the administration API with a status other than 200. A request
+// that is answered 503 may be retried.
 type adminError struct {
 	status int
 	reason string
@@ -33,10 +33,10 @@
 // Error returns the reason with the status.
 func (e *adminError) Error() string { return fmt.Sprintf("%s (%d)", e.reason, e.status) }
 
-// newAdminError decodes the answer to a request that failed.
-func newAdminError(status int, answer []byte) *adminError {
+// newAdminError decodes the response to a failed request.
+func newAdminError(status int, response []byte) *adminError {
 	var body wire.ErrorBody
-	if wire.Decode(answer, &body) != nil {
+	if wire.Decode(response, &body) != nil {
 		body.Error = "unreadable answer"
 	}
 	if body.Field != "" {
@@ -45,17 +45,16 @@
 	return &adminError{status: status, reason: body.Error}
 }
 
-// callAdmin sends one request of the administration API, and decodes the answer into
-// result.
+// callAdmin sends a request to the administration API, and decodes the response into result.
 func callAdmin(method, addr, path string, request, result any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), adminTimeout)
 	defer cancel()
-	status, answer, _, err := netio.Call(ctx, http.DefaultClient, method, "http://"+addr+path, request, maxAdminAnswer)
+	status, response, _, err := netio.Call(ctx, http.DefaultClient, method, "http://"+addr+path, request, maxAdminResponseBytes)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return newAdminError(status, answer)
+		return newAdminError(status, response)
 	}
-	return wire.Decode(answer, result)
+	return wire.Decode(response, result)
 }
--- a/cmd/lilaclead/history.go
+++ b/cmd/lilaclead/history.go
@@ -8,7 +8,7 @@
 	"lilaclead/history"
 )
 
-// historyCmd prints what package history recorded.
+// historyCmd prints the events that package history has recorded.
 type historyCmd struct {
 	Dir        string `help:"Folder of the files; by default history.dir of the features file." placeholder:"DIR"`
 	From       string `help:"Events at or after this time (RFC 3339, as 2026-12-02T10:00:00Z)." placeholder:"TIME"`
@@ -19,20 +19,21 @@
 }
 
 var (
-	// errNoHistoryDir says that nothing names the folder to read.
+	// errNoHistoryDir reports that neither --dir nor the features file names the directory to
+	// read.
 	errNoHistoryDir = errors.New("--dir: missing, and the features file names no history.dir")
-	// errDamagedHistory says that some files couldn't be read in full.
+	// errDamagedHistory reports that some files couldn't be read in full.
 	errDamagedHistory = errors.New("some of the history is damaged")
 )
 
-// Run prints the events, one a line. It prints those that can be read also when some
-// files are damaged, and fails then.
+// Run prints the events, one per line. If some files are damaged, it also prints an error for
+// each of them, and fails after all readable events are printed.
 func (cmd historyCmd) Run(c *cli, out *output) error {
 	filter, err := cmd.filter()
 	if err != nil {
 		return err
 	}
-	dir, err := cmd.folder(c)
+	dir, err := cmd.directory(c)
 	if err != nil {
 		return err
 	}
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// folder returns the folder that the command line names, or else the features file.
-func (cmd historyCmd) folder(c *cli) (string, error) {
+// directory returns the directory from the command line, or else from the features file.
+func (cmd historyCmd) directory(c *cli) (string, error) {
 	if cmd.Dir != "" {
 		return cmd.Dir, nil
 	}
@@ -78,8 +79,7 @@
 	fmt.Fprintln(out.results, "", e.Reason)
 }
 
-// filter returns the filter that the flags describe. Its error names every flag that is
-// wrong.
+// filter returns the filter that the flags describe. The error names every invalid flag.
 func (cmd historyCmd) filter() (history.Filter, error) {
 	from, fromErr := parseTime("from", cmd.From)
 	to, toErr := parseTime("to", cmd.To)
@@ -94,7 +94,7 @@
 	}
 	parsed, err := time.Parse(time.RFC3339, text)
 	if err != nil {
-		return time.Time{}, fmt.Errorf("--%s: %q is no time as 2026-12-02T10:00:00Z", flag, text)
+		return time.Time{}, fmt.Errorf("--%s: %q is not a time such as 2026-12-02T10:00:00Z", flag, text)
 	}
 	return parsed, nil
 }
--- a/cmd/lilaclead/main.go
+++ b/cmd/lilaclead/main.go
@@ -13,10 +13,11 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is the release's name.
+// version is the version of this release.
 const version = "0.1.0"
 
-// cli is the command line. Kong derives commands, flags and their help from its fields.
+// cli is the command line. Kong derives the commands, the flags and their help from its
+// fields.
 type cli struct {
 	Config   string `help:"Settings file of the platform (TOML)." placeholder:"FILE"`
 	Features string `help:"File that turns optional parts on (TOML); by default deploy/features.toml beside the program's folder, if there is one." placeholder:"FILE"`
@@ -29,16 +30,16 @@
 	Setting  settingsCmd `cmd:"" name:"settings" help:"Read and change the operators' own settings."`
 }
 
-// versionCmd prints the release.
+// versionCmd prints the version of this release.
 type versionCmd struct{}
 
-// Run prints the release's name.
+// Run prints the program's name and version.
 func (versionCmd) Run(out *output) error {
 	_, err := fmt.Fprintln(out.results, "lilaclead", version)
 	return err
 }
 
-// output is where commands print to.
+// output says where commands print their results and errors.
 type output struct {
 	results io.Writer
 	errors  io.Writer
--- a/cmd/lilaclead/main_test.go
+++ b/cmd/lilaclead/main_test.go
@@ -19,7 +19,7 @@
 	"lilaclead/upgrade"
 )
 
-// runCommand runs a command line, and returns what it prints.
+// runCommand runs a command line and returns its output.
 func runCommand(args ...string) (results, errorLines string, err error) {
 	var resultBuffer, errorBuffer bytes.Buffer
 	err = run(args, &output{results: &resultBuffer, errors: &errorBuffer})
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestWrongCommandLinesAreRefused(t *testing.T) {
+func TestInvalidCommandLinesAreRejected(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	for name, c := range map[string]struct {
 		args []string
@@ -43,7 +43,7 @@
 		"check without settings file": {[]string{"check"}, []string{"--config FILE is missing"}},
 		"serve without settings file": {nil, []string{"--config FILE is missing"}},
 		"both files missing":          {[]string{"check", "--config", missing, "--features", missing}, []string{"missing: no such file", "features file: "}},
-		"times that are none":         {[]string{"history", "--from", "noon", "--to", "night"}, []string{`--from: "noon" is no time`, `--to: "night" is no time`}},
+		"times that can't be parsed":  {[]string{"history", "--from", "noon", "--to", "night"}, []string{`--from: "noon" is not a time`, `--to: "night" is not a time`}},
 		"history without a folder":    {[]string{"history"}, []string{"--dir: missing"}},
 		"settings without an address": {[]string{"settings", "list"}, []string{"--addr"}},
 	} {
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordHistory records two events in a folder.
+// recordHistory records two events in a directory.
 func recordHistory(t *testing.T, dir string) {
 	t.Helper()
 	recorder, err := history.NewRecorder(history.Options{Dir: dir, Controller: "worker-0"})
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	cancel() // Run still writes what is recorded
+	cancel() // Run still writes the events that were recorded before
 	at := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	recorder.Record(history.Event{At: at, Kind: "acquired", Duty: "renting", Token: 7, Reason: "free"})
 	recorder.Record(history.Event{At: at.Add(time.Hour), Kind: "version switched", Token: 8, Version: 2, Reason: "all ready"})
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestDamagedHistoryIsNamedAndFails(t *testing.T) {
+func TestDamagedHistoryFileIsReported(t *testing.T) {
 	dir := t.TempDir()
 	recordHistory(t, dir)
 	const name = "history-worker-1-000000000001.log.zst"
@@ -117,27 +117,27 @@
 		t.Errorf("printed\n%s, error %v, want both events and %v", results, err, errDamagedHistory)
 	}
 	if want := "lilaclead: " + name + ": 0 events read, the rest is lost: at byte 0 of 1: damaged or truncated\n"; errorLines != want {
-		t.Errorf("errors printed %q, want %q", errorLines, want)
+		t.Errorf("printed errors %q, want %q", errorLines, want)
 	}
 }
 
-// serveAdmin serves an administration API that gives one answer to GET and one to PUT,
-// which must change the log level, and returns its address.
+// serveAdmin serves an administration API and returns its address. It answers every request with
+// the status, and with get to a GET or put to a PUT. A PUT must change the log level.
 func serveAdmin(t *testing.T, status int, get, put any) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := get
+		response := get
 		if r.Method == http.MethodPut {
-			answer = put
+			response = put
 			checkChange(t, r)
 		}
-		wire.WriteResponse(w, status, answer)
+		wire.WriteResponse(w, status, response)
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// checkChange checks that a change of the log level names the listing's version.
+// checkChange checks that a request sets the log level to debug, at the listing's version.
 func checkChange(t *testing.T, r *http.Request) {
 	t.Helper()
 	body, err := wire.ReadBody(r.Body, 1<<16)
@@ -155,10 +155,10 @@
 	}
 }
 
-// listedVersion is the version of the settings that the listing has.
+// listedVersion is the version of the settings in the listing.
 const listedVersion = 4
 
-func TestOperatorsClientPrintsAnswers(t *testing.T) {
+func TestOperatorsClientPrintsResponses(t *testing.T) {
 	listing := admin.Listing{Version: listedVersion, Settings: []admin.Setting{{Name: "log.level", Value: "info", Default: "info", Allowed: "info, debug", About: "the log's level"}}}
 	settings := serveAdmin(t, http.StatusOK, listing, map[string]any{"version": 5})
 	upgrading := serveAdmin(t, http.StatusOK, upgrade.Status{Active: 1, Next: 2, MaxVersion: 1, LimitedByOperators: true, Controllers: []upgrade.ControllerStatus{
@@ -185,17 +185,17 @@
 	}
 }
 
-func TestOperatorsClientNamesWhyARequestFailed(t *testing.T) {
+func TestOperatorsClientReportsWhyARequestFailed(t *testing.T) {
 	refusing := serveAdmin(t, http.StatusBadRequest, wire.ErrorBody{Error: "must be a number", Field: "rate"}, nil)
 	unreadable := serveAdmin(t, http.StatusBadGateway, 7, nil)
-	known := serveAdmin(t, http.StatusOK, admin.Listing{}, nil)
+	withoutSettings := serveAdmin(t, http.StatusOK, admin.Listing{}, nil)
 	for name, c := range map[string]struct {
 		args []string
 		want string
 	}{
 		"refused":         {[]string{"settings", "--addr", refusing, "list"}, "rate: must be a number (400)"},
 		"unreadable":      {[]string{"versions", "--addr", unreadable}, "unreadable answer (502)"},
-		"unknown setting": {[]string{"settings", "--addr", known, "get", "bogus"}, "bogus: unknown setting"},
+		"unknown setting": {[]string{"settings", "--addr", withoutSettings, "get", "bogus"}, "bogus: unknown setting"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := runCommand(c.args...)
@@ -206,7 +206,7 @@
 	}
 }
 
-func TestSettingsAreSentAsNumbersIfTheyAre(t *testing.T) {
+func TestNumericSettingsAreParsedAsNumbers(t *testing.T) {
 	got := []any{parseSetting("2.5"), parseSetting("7"), parseSetting("debug"), parseSetting("")}
 	want := []any{2.5, 7.0, "debug", ""}
 	if !slices.Equal(got, want) {
--- a/cmd/lilaclead/serve.go
+++ b/cmd/lilaclead/serve.go
@@ -34,7 +34,7 @@
 	return node.Run(ctx)
 }
 
-// Run prints the features that are on, or returns every error in both files.
+// Run prints the value of every feature, or returns every error in both files.
 func (checkCmd) Run(c *cli, out *output) error {
 	_, features, err := c.loadFiles()
 	if err != nil {
@@ -44,10 +44,9 @@
 	return err
 }
 
-// errNoConfig says that the command needs the settings file.
+// errNoConfig reports that the command needs a settings file.
 var errNoConfig = errors.New("--config FILE is missing")
 
-// loadConfig reads the settings file.
 func (c *cli) loadConfig() (*lilaclead.Config, error) {
 	if c.Config == "" {
 		return nil, errNoConfig
@@ -55,13 +54,14 @@
 	return lilaclead.LoadConfig(c.Config)
 }
 
-// loadFeatures reads the features file. A file that the command line names must exist.
+// loadFeatures reads the features file. It fails if the command line names a file that doesn't
+// exist. The default file may be missing.
 func (c *cli) loadFeatures() (lilaclead.Features, error) {
 	path := c.Features
 	if path == "" {
 		program, err := os.Executable()
 		if err != nil {
-			return lilaclead.Features{}, fmt.Errorf("where this program lies, and so its features file: %w", err)
+			return lilaclead.Features{}, fmt.Errorf("find the program's path, for the features file beside it: %w", err)
 		}
 		path = lilaclead.FeaturesPathBeside(program)
 	} else if _, err := os.Stat(path); err != nil {
@@ -70,7 +70,7 @@
 	return lilaclead.LoadFeatures(path)
 }
 
-// loadFiles reads both files and returns what is wrong in either.
+// loadFiles reads both files. The error joins those of each file.
 func (c *cli) loadFiles() (*lilaclead.Config, lilaclead.Features, error) {
 	cfg, configErr := c.loadConfig()
 	features, featuresErr := c.loadFeatures()
--- a/cmd/lilaclead/settings.go
+++ b/cmd/lilaclead/settings.go
@@ -31,14 +31,14 @@
 	}
 )
 
-// listSettings returns all settings.
+// listSettings requests all settings and their version.
 func listSettings(c *cli) (admin.Listing, error) {
 	var listing admin.Listing
 	err := callAdmin(http.MethodGet, c.Setting.Addr, settingsPath, nil, &listing)
 	return listing, err
 }
 
-// Run prints all settings, one a line.
+// Run prints all settings, one per line.
 func (listSettingsCmd) Run(c *cli, out *output) error {
 	listing, err := listSettings(c)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return fmt.Errorf("%s: unknown setting", cmd.Name)
 }
 
-// Run changes the setting, unless somebody else changes one meanwhile.
+// Run changes the setting. It fails if any setting is changed by others in the meantime.
 func (cmd setSettingCmd) Run(c *cli, out *output) error {
 	listing, err := listSettings(c)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// parseSetting returns a setting's value as a number if it is one.
+// parseSetting returns a setting's value as a number if it is one, or else as text.
 func parseSetting(text string) any {
 	if number, err := strconv.ParseFloat(text, 64); err == nil {
 		return number
--- a/cmd/lilaclead/versions.go
+++ b/cmd/lilaclead/versions.go
@@ -12,7 +12,7 @@
 	Addr string `help:"Peer address of any controller." required:"" placeholder:"HOST:PORT"`
 }
 
-// Run prints the active version, and what each controller lacks for the next one.
+// Run prints the active version, and for each controller why it isn't ready for the next one.
 func (cmd versionsCmd) Run(out *output) error {
 	var status upgrade.Status
 	if err := callAdmin(http.MethodGet, cmd.Addr, versionsPath, nil, &status); err != nil {
@@ -24,11 +24,11 @@
 	}
 	fmt.Fprintln(out.results)
 	for _, controller := range status.Controllers {
-		missing := string(controller.Blocker)
-		if missing == "" {
-			missing = "ready"
+		readiness := string(controller.Blocker)
+		if readiness == "" {
+			readiness = "ready"
 		}
-		fmt.Fprintf(out.results, "%-16s understands %d to %d  %s\n", controller.Node, controller.Min, controller.Max, missing)
+		fmt.Fprintf(out.results, "%-16s understands %d to %d  %s\n", controller.Node, controller.Min, controller.Max, readiness)
 	}
 	return nil
 }
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,7 +1,7 @@
-// Command simulator is a small deployment on the loopback network to try lilaclead
-// against: a key-value store, a cloud with its machines' agents, and users who submit
-// jobs, with a checker of the protocol's rules. It writes a settings file for each of
-// three controllers, which are started by hand.
+// Command simulator simulates the surroundings of a small deployment on the loopback network,
+// to try lilaclead in: a key-value store, a cloud with its machines' agents, and users who
+// submit jobs. A checker watches the rules of the protocol. The command writes a settings file
+// for each of three controllers, which are started by hand.
 package main
 
 import (
@@ -24,10 +24,10 @@
 	For time.Duration `help:"How long to run." default:"10m"`
 }
 
-// submitInterval is the time between two jobs.
+// submitInterval is the time between the submissions of two jobs.
 const submitInterval = 5 * time.Second
 
-// serviceCancelAfter is when the user of a service cancels it.
+// serviceCancelAfter is the time from the submission of a service until its user cancels it.
 const serviceCancelAfter = 40 * time.Second
 
 // run writes the settings files and submits jobs until the context ends.
@@ -41,32 +41,32 @@
 	}
 	ticker := time.NewTicker(submitInterval)
 	defer ticker.Stop()
-	for n := 0; ; n++ {
-		submitDemoJob(sim, n)
+	for number := 0; ; number++ {
+		submitDemoJob(sim, number)
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		printProgress(sim, n+1)
+		printProgress(sim, number+1)
 	}
 }
 
-// writeConfig writes the settings file of the i-th controller, with loopback addresses.
-func writeConfig(sim *simulator.Simulation, i int) error {
-	c := sim.Config(i)
-	c.UserAddr = simulator.LoopbackAddr(c.UserAddr)
-	c.PeerAddr = simulator.LoopbackAddr(c.PeerAddr)
-	c.Endpoints.State = simulator.LoopbackAddr(c.Endpoints.State)
-	c.Endpoints.Cloud = simulator.LoopbackAddr(c.Endpoints.Cloud)
-	for k := range c.Peers {
-		c.Peers[k].Addr = simulator.LoopbackAddr(c.Peers[k].Addr)
+// writeConfig writes the settings file of a controller, with loopback addresses.
+func writeConfig(sim *simulator.Simulation, controller int) error {
+	cfg := sim.Config(controller)
+	cfg.UserAddr = simulator.LoopbackAddr(cfg.UserAddr)
+	cfg.PeerAddr = simulator.LoopbackAddr(cfg.PeerAddr)
+	cfg.Endpoints.State = simulator.LoopbackAddr(cfg.Endpoints.State)
+	cfg.Endpoints.Cloud = simulator.LoopbackAddr(cfg.Endpoints.Cloud)
+	for i := range cfg.Peers {
+		cfg.Peers[i].Addr = simulator.LoopbackAddr(cfg.Peers[i].Addr)
 	}
-	text, err := toml.Marshal(c)
+	text, err := toml.Marshal(cfg)
 	if err != nil {
-		return fmt.Errorf("encode the settings of controller %d: %w", i, err)
+		return fmt.Errorf("encode the settings of controller %d: %w", controller, err)
 	}
-	path := filepath.Join(cli.Dir, fmt.Sprintf("node-%d.toml", i))
+	path := filepath.Join(cli.Dir, fmt.Sprintf("node-%d.toml", controller))
 	if err := os.WriteFile(path, text, 0o644); err != nil {
 		return err
 	}
@@ -74,15 +74,15 @@
 	return nil
 }
 
-// submitDemoJob submits the n-th job: every fourth is a service that its user cancels,
+// submitDemoJob submits the job of a number. Every fourth job is a service that its user cancels;
 // the others are arrays.
-func submitDemoJob(sim *simulator.Simulation, n int) {
+func submitDemoJob(sim *simulator.Simulation, number int) {
 	spec := wire.JobSpec{
-		ID: wire.JobID(fmt.Sprintf("req-%06d", n)), Class: "demo", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard,
-		Tasks: 1 + n%6, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: 8,
+		ID: wire.JobID(fmt.Sprintf("req-%06d", number)), Class: "demo", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard,
+		Tasks: 1 + number%6, CPUs: 2, MemoryGB: 4, Image: "img-a", ImageGB: 1, SpotAllowed: true, ExpectedRunTime: 8,
 	}
 	cancelAfter := time.Duration(0)
-	if n%4 == 3 {
+	if number%4 == 3 {
 		spec.Kind, spec.Priority, spec.Team = wire.KindService, wire.PriorityProd, "blue"
 		spec.SpotAllowed, spec.ExpectedRunTime = false, 0
 		cancelAfter = serviceCancelAfter
@@ -90,7 +90,8 @@
 	sim.Submit(simulator.JobScript{RunTime: 8, Spec: spec}, cancelAfter)
 }
 
-// printProgress prints how many jobs have ended, and the rules that were broken.
+// printProgress prints how many jobs were submitted and have ended, and the violations of the
+// protocol's rules.
 func printProgress(sim *simulator.Simulation, submitted int) {
 	sim.WithChecker(func(c *simulator.Checker) {
 		done, cancelled := c.Finished()
