--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,4 +1,4 @@
-// Command simulator simulates the surroundings of a small deployment on the loopback network,
+// Command simulator simulates the environment of a small deployment on the loopback network,
 // to try lilaclead in: a key-value store, a cloud with its machines' agents, and users who
 // submit jobs. A checker watches the rules of the protocol. The command writes a settings file
 // for each of three controllers, which are started by hand.
--- a/doc.go
+++ b/doc.go
@@ -14,8 +14,9 @@
 //
 // # Units
 //
-// The suffix of a setting's name gives its unit: _mb and _kb for sizes, _s and _ms for
-// durations. In the code, durations are time.Duration.
+// The suffix of a setting's name gives its unit: _mb (megabytes) and _kb (kilobytes) for
+// sizes, _s (seconds) and _ms (milliseconds) for durations. In the code, durations are
+// time.Duration.
 //
 // # Errors and retries
 //
--- a/listener.go
+++ b/listener.go
@@ -27,8 +27,8 @@
 
 // boundedListener limits the number of open connections of a listener. Without this, the
 // process would reach the platform's limit, and accepting connections would fail, also for
-// health checks and workers. At the limit, the connection that has been idle longest is evicted, users' connections
-// before workers'. If none is idle, Accept waits.
+// health checks and workers. At the limit, the connection that has been idle longest is
+// evicted, users' connections before workers'. If none is idle, Accept waits.
 type boundedListener struct {
 	net.Listener
 	limit int
@@ -102,7 +102,7 @@
 	}
 }
 
-// nextVictim returns the connection to evict next, nil if none is idle. The caller holds the
+// nextVictim returns the connection to evict next, or nil if none is idle. The caller holds the
 // mutex.
 func (l *boundedListener) nextVictim() *boundedConn {
 	for _, idle := range l.idle {
--- a/run.go
+++ b/run.go
@@ -40,7 +40,7 @@
 	n.startComponents(ctx)
 	waitForHistory := n.history.start(ctx)
 	defer waitForHistory()
-	serveErrs := make(chan error, 2) // room for both servers, so that neither blocks after Run has returned
+	serveErrs := make(chan error, 2) // room for both servers, so that neither blocks after Run returns
 	go func() { serveErrs <- userServer.Serve(bounded) }()
 	go func() { serveErrs <- peerServer.Serve(peerListener) }()
 	n.log.Info("node started", "front", n.cfg.UserAddr, "peers", n.cfg.PeerAddr, "features", n.features)
--- a/versions.go
+++ b/versions.go
@@ -48,7 +48,7 @@
 	return g.member.CheckServe()
 }
 
-// setVersionFields fills in what a status says about versions.
+// setVersionFields sets the fields of a status that tell other nodes about versions.
 func (g versionGate) setVersionFields(status *peer.Status) {
 	if !g.negotiated() {
 		return
