--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -25,23 +25,23 @@
 	})
 }
 
-// mustRun checks that all replicas of a service run.
-func mustRun(t *testing.T, sim *simulator.Simulation, s simulator.JobScript, when string) {
+// mustRun checks that all replicas of a service are on machines.
+func mustRun(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, when string) {
 	t.Helper()
 	sim.WithChecker(func(c *simulator.Checker) {
-		if n := c.OnMachines(s.Spec.ID); n != s.Spec.Tasks {
-			t.Errorf("%s: %d of %d replicas on machines %s, want all", s.Spec.ID, n, s.Spec.Tasks, when)
+		if n := c.OnMachines(j.Spec.ID); n != j.Spec.Tasks {
+			t.Errorf("%s: %d of %d replicas on machines %s, want all", j.Spec.ID, n, j.Spec.Tasks, when)
 		}
 	})
 }
 
-// tasksOnMachines is how many tasks of a job are on machines.
+// tasksOnMachines counts the tasks of a job that are on machines.
 func tasksOnMachines(sim *simulator.Simulation, id wire.JobID) (n int) {
 	sim.WithChecker(func(c *simulator.Checker) { n = c.OnMachines(id) })
 	return n
 }
 
-// mustBeGone checks that nothing of a cancelled job is left.
+// mustBeGone checks that no task of a cancelled job is on a machine.
 func mustBeGone(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, when string) {
 	t.Helper()
 	if n := tasksOnMachines(sim, j.Spec.ID); n != 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// lostMachines counts the machines that exist no more.
+// lostMachines counts the machines that no longer exist.
 func lostMachines(sim *simulator.Simulation, ids []wire.MachineID) (n int) {
 	for _, id := range ids {
 		if sim.MachineIP(id) == "" {
@@ -59,17 +59,17 @@
 	return n
 }
 
-// mustUseCPUs checks how many processors the tasks of a team use.
+// mustUseCPUs checks how many CPUs the tasks of a team use.
 func mustUseCPUs(t *testing.T, sim *simulator.Simulation, team wire.TeamID, want float64) {
 	t.Helper()
 	sim.WithChecker(func(c *simulator.Checker) {
 		if n := c.CPUsUsed(team); n != want {
-			t.Errorf("team %s uses %.0f processors, want %.0f", team, n, want)
+			t.Errorf("team %s uses %.0f CPUs, want %.0f", team, n, want)
 		}
 	})
 }
 
-// preemptionCount is how many tasks the leader has preempted.
+// preemptionCount returns how many tasks the leader has preempted, according to its metrics.
 func preemptionCount(t *testing.T, sim *simulator.Simulation) float64 {
 	t.Helper()
 	_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/metrics", nil)
@@ -80,12 +80,12 @@
 			}
 		}
 	}
-	t.Fatal("the leader counts no preemptions")
+	t.Fatal("the leader's metrics have no readable lilaclead_preemptions_total")
 	return 0
 }
 
-// leftoverKeys lists the records of live jobs and of their progress that the state
-// service still has, but for those of the jobs named.
+// leftoverKeys lists the keys of job and progress records in the key-value store, except
+// those of the given live jobs. Final records are not among them.
 func leftoverKeys(sim *simulator.Simulation, live ...simulator.JobScript) []string {
 	var out []string
 	for _, k := range append(sim.State.Keys("job/"), sim.State.Keys("run/")...) {
@@ -96,12 +96,12 @@
 	return out
 }
 
-// mustLeaveNoKeys checks that the key-value store has no records of live jobs and of
-// their progress, but for those of the jobs named.
+// mustLeaveNoKeys checks that the key-value store has no job and progress records, except
+// those of the given live jobs.
 func mustLeaveNoKeys(t *testing.T, sim *simulator.Simulation, live ...simulator.JobScript) {
 	t.Helper()
 	if keys := leftoverKeys(sim, live...); len(keys) > 0 {
-		t.Errorf("the key-value store still holds %v, want no records but those of %d live jobs", keys, len(live))
+		t.Errorf("the key-value store still holds %v, want only records of %d live jobs", keys, len(live))
 	}
 }
 
@@ -115,8 +115,8 @@
 	})
 }
 
-// mustHaveTaskInUnknownZone checks that the leader knows of a task on a machine
-// that no list has shown to it, so that it can't tell its zone.
+// mustHaveTaskInUnknownZone checks that the leader knows a task on a machine of unknown zone.
+// That is a machine that the leader has not yet seen in any machine list.
 func mustHaveTaskInUnknownZone(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	v, ok := adminView(sim, sim.Leader())
@@ -126,53 +126,55 @@
 	}
 }
 
-// mustLeaveNothingWaiting lets time pass, after which no job may have waited for 90 s
-// without a start while a machine had room for it and its team was under its limit.
+// mustLeaveNothingWaiting watches all jobs for a time. Within it no job may wait for more than
+// 90 s with the same number of waiting tasks while a machine has room for one of them and the
+// job's team is below its limit.
 func mustLeaveNothingWaiting(t *testing.T, sim *simulator.Simulation, d time.Duration) {
 	t.Helper()
 	type wait struct {
-		n     int
+		tasks int
 		since time.Time
 	}
 	waits := map[wire.JobID]wait{}
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
-		could := sim.JobsWithRoom()
-		for id, x := range waits {
-			if could[id] != x.n {
+		withRoom := sim.JobsWithRoom()
+		for id, current := range waits {
+			if withRoom[id] != current.tasks {
 				delete(waits, id)
 			}
 		}
-		for id, n := range could {
-			x, ok := waits[id]
+		for id, tasks := range withRoom {
+			current, ok := waits[id]
 			if !ok {
-				waits[id] = wait{n, time.Now()}
-			} else if time.Since(x.since) > 90*time.Second {
-				t.Errorf("%d tasks of %s wait for 90 s although there is room", n, id)
-				waits[id] = wait{n, time.Now()}
+				waits[id] = wait{tasks, time.Now()}
+			} else if time.Since(current.since) > 90*time.Second {
+				t.Errorf("%d tasks of %s wait for 90 s although a machine has room", tasks, id)
+				waits[id] = wait{tasks, time.Now()}
 			}
 		}
 	}
 }
 
-// mustRecover checks, once all faults are over, that every accepted job which
-// nobody cancelled is answered by every controller within 75 s and runs or is done
-// within 90 s, and that all of them, and those named, come to their end.
-func mustRecover(t *testing.T, sim *simulator.Simulation, size int, all ...simulator.JobScript) {
+// mustRecover checks that the deployment recovers; it is called when all faults have ended.
+// Every controller must answer about every accepted job that nobody cancelled within 75 s, and
+// each of these jobs must run or be complete after 90 s. The given jobs must complete after
+// that, those of them that are services must run.
+func mustRecover(t *testing.T, sim *simulator.Simulation, size int, jobs ...simulator.JobScript) {
 	t.Helper()
-	calm := time.Now()
-	mustAnswerAll(t, sim, size, calm)
-	time.Sleep(time.Until(calm.Add(90 * time.Second)))
+	faultsOver := time.Now()
+	mustAnswerAll(t, sim, size, faultsOver)
+	time.Sleep(time.Until(faultsOver.Add(90 * time.Second)))
 	sim.WithChecker(func(c *simulator.Checker) {
 		for _, id := range c.AcceptedAndNotCancelled() {
 			if !c.Complete(id) && c.OnMachines(id) == 0 {
-				t.Errorf("%s neither runs nor is done 90 s after the troubles", id)
+				t.Errorf("%s neither runs nor is complete 90 s after the end of all faults", id)
 			}
 		}
 	})
-	// What does not complete in time is found by the check below.
-	poll(100*time.Second, time.Second, func() bool { return allComplete(sim, all) })
+	// The result is ignored: the loop below reports each job that is not complete.
+	poll(100*time.Second, time.Second, func() bool { return allComplete(sim, jobs) })
 	time.Sleep(4 * time.Second)
-	for _, j := range all {
+	for _, j := range jobs {
 		if j.Spec.IsService() {
 			mustRun(t, sim, j, "at the end")
 			continue
@@ -182,52 +184,52 @@
 	}
 }
 
-// mustAnswerAll checks that every controller answers about every accepted job that
-// nobody cancelled, within 75 s of the end of all faults.
-func mustAnswerAll(t *testing.T, sim *simulator.Simulation, size int, calm time.Time) {
+// mustAnswerAll checks that every controller answers about every accepted job that nobody
+// cancelled, within 75 s after the end of all faults.
+func mustAnswerAll(t *testing.T, sim *simulator.Simulation, size int, faultsOver time.Time) {
 	t.Helper()
-	var owed []wire.JobID
-	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(calm); owed = c.AcceptedAndNotCancelled() })
+	var ids []wire.JobID
+	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(faultsOver); ids = c.AcceptedAndNotCancelled() })
 	for i := range size {
-		for _, id := range owed {
-			waitUntil(t, 75*time.Second-time.Since(calm), fmt.Sprintf("node %d answers about %s", i, id), func() bool {
+		for _, id := range ids {
+			waitUntil(t, 75*time.Second-time.Since(faultsOver), fmt.Sprintf("node %d answers about %s", i, id), func() bool {
 				status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
-				var s wire.JobState
-				if status != 200 || wire.Decode(raw, &s) != nil {
+				var state wire.JobState
+				if status != 200 || wire.Decode(raw, &state) != nil {
 					time.Sleep(time.Second)
 					return false
 				}
-				sim.WithChecker(func(c *simulator.Checker) { c.PollAnsweredNow(id, status, s.Status, time.Now()) })
+				sim.WithChecker(func(c *simulator.Checker) { c.PollAnsweredNow(id, status, state.Status, time.Now()) })
 				return true
 			})
 		}
 	}
 }
 
-// allComplete reports whether all jobs but services have completed.
+// allComplete reports whether all jobs except services have completed.
 func allComplete(sim *simulator.Simulation, jobs []simulator.JobScript) bool {
-	all := true
+	complete := true
 	sim.WithChecker(func(c *simulator.Checker) {
 		for _, j := range jobs {
-			all = all && (j.Spec.IsService() || c.Complete(j.Spec.ID))
+			complete = complete && (j.Spec.IsService() || c.Complete(j.Spec.ID))
 		}
 	})
-	return all
+	return complete
 }
 
-// mustBeAnsweredDone checks that every controller tells users that a job is done.
+// mustBeAnsweredDone checks that every controller answers a poll of a job with status done.
 func mustBeAnsweredDone(t *testing.T, sim *simulator.Simulation, size int, id wire.JobID) {
 	t.Helper()
 	for i := range size {
 		status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
-		var s wire.JobState
-		if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.StatusDone {
-			t.Errorf("node %d answers %d %+v about %s, want 200 and %s", i, status, s, id, wire.StatusDone)
+		var state wire.JobState
+		if status != 200 || wire.Decode(raw, &state) != nil || state.Status != wire.StatusDone {
+			t.Errorf("node %d answers %d %+v about %s, want 200 and %s", i, status, state, id, wire.StatusDone)
 		}
 	}
 }
 
-// storedChunks counts the chunks that are stored of a job's progress.
+// storedChunks counts the keys in the key-value store under which a job's progress is stored.
 func storedChunks(sim *simulator.Simulation, j simulator.JobScript) int {
 	return len(sim.State.Keys("run/" + string(j.Spec.ID) + "/"))
 }
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -17,51 +17,50 @@
 	"lilaclead/internal/wire"
 )
 
-// startController makes a real controller for a simulated deployment, with the optional
-// parts that are on in the deploy file. With SCENARIO_LOG set its log goes to standard
-// error.
-func startController(cfg *config.Config, nw netio.Net) (func(context.Context) error, error) {
+// newDeployedController makes a real controller for a simulated deployment, with the features
+// that deploy/features.toml turns on, and returns its run function.
+func newDeployedController(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
 	deployed, err := lilaclead.LoadFeatures("../../deploy/features.toml")
 	if err != nil {
 		return nil, err
 	}
-	return startWith(deployed)(cfg, nw)
+	return newControllerWith(deployed)(cfg, network)
 }
 
-// startWith makes controllers with optional parts of the test's own.
-func startWith(features lilaclead.Features) simulator.StartFunc {
-	return func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error) {
-		return startNode(cfg, nw, lilaclead.Options{Features: features})
+// newControllerWith returns a function that makes controllers with the given features.
+func newControllerWith(features lilaclead.Features) simulator.StartFunc {
+	return func(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
+		return newController(cfg, network, lilaclead.Options{Features: features})
 	}
 }
 
-// startNode makes a controller on the simulated network.
-func startNode(cfg *config.Config, nw netio.Net, options lilaclead.Options) (func(context.Context) error, error) {
-	options.Net, options.Log = nw, io.Discard
+// newController makes a controller on the simulated network and returns its run function. With
+// SCENARIO_LOG set, the controller's log goes to standard error.
+func newController(cfg *config.Config, network netio.Net, options lilaclead.Options) (func(context.Context) error, error) {
+	options.Net, options.Log = network, io.Discard
 	if os.Getenv("SCENARIO_LOG") != "" {
 		options.Log = os.Stderr
 	}
-	n, err := lilaclead.New(cfg, options)
+	node, err := lilaclead.New(cfg, options)
 	if err != nil {
 		return nil, err
 	}
-	return n.Run, nil
+	return node.Run, nil
 }
 
-// scenarioRunner runs a script on a deployment with one layout of zones and
-// controllers. The script sleeps until a time after the start with its last
-// argument.
+// scenarioRunner runs a script on a deployment with one layout of zones and controllers. The
+// last argument of the script is a function that sleeps until a given time after the start.
 type scenarioRunner = func(*testing.T, uint64, func(*simulator.Simulation, func(time.Duration)))
 
-// runScenario runs a script on the default deployment, in virtual time. All
-// controllers are up when it begins; when it ends every rule must have held.
+// runScenario runs a script on the default deployment, in virtual time. All controllers are up
+// when the script begins. When it ends, the checker must have found no violation of a rule.
 func runScenario(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	runWithSettings(t, simulator.DefaultSettings(), seed, script)
 }
 
-// runOnBothLayouts runs a script with controllers in every zone, and with a zone
-// that has machines and no controller.
+// runOnBothLayouts runs a script twice: with controllers in every zone, and with a zone that has
+// machines but no controller.
 func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	for _, layout := range layouts {
@@ -72,48 +71,48 @@
 	}
 }
 
-// runWithSettings is runScenario with settings of the test's own.
+// runWithSettings is runScenario with the given settings.
 func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, set, set.Zones, seed, script)
 }
 
-// layouts are the two layouts that tests choose from.
+// layouts are the two layouts of zones and controllers that tests run on.
 var layouts = []struct {
 	name string
 	run  scenarioRunner
 }{{"controllers in every zone", runScenario}, {"zone without controller", runOnUnevenLayout}}
 
-// unevenZones are the zones of three controllers of a deployment with machines in
-// three zones: the third zone has none.
+// unevenZones are the zones of the three controllers in a deployment with machines in the zones
+// a, b and c: zone c has no controller.
 var unevenZones = []wire.Zone{"a", "b", "a"}
 
-// runOnUnevenLayout is runScenario with controllers in two of three zones.
+// runOnUnevenLayout is runScenario with three zones, of which only two have controllers.
 func runOnUnevenLayout(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, simulator.GasSettings(), unevenZones, seed, script)
 }
 
-// runWithControllersIn is runWithSettings with controllers in some zones only.
+// runWithControllersIn is runWithSettings with controllers in the given zones only.
 func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
-	runDeployment(t, set, zones, seed, startController, script)
+	runDeployment(t, set, zones, seed, newDeployedController, script)
 }
 
-// runWithFeatures is runScenario with optional parts of the test's own.
+// runWithFeatures is runScenario with the given features.
 func runWithFeatures(t *testing.T, features lilaclead.Features, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	set := simulator.DefaultSettings()
-	runDeployment(t, set, set.Zones, seed, startWith(features), script)
+	runDeployment(t, set, set.Zones, seed, newControllerWith(features), script)
 }
 
-// runDeployment runs a script on a deployment of controllers that start makes.
+// runDeployment runs a script on a deployment whose controllers are made by start.
 func runDeployment(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, start simulator.StartFunc, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		sim := simulator.New(ctx, set, seed, start, nil)
-		defer sim.Close() // also after t.Fatal: what is left running hides the failure
+		defer sim.Close() // also after t.Fatal: goroutines still running would hide the failure
 		defer cancel()
 		sim.PlaceControllers(zones...)
 		begin := time.Now()
@@ -126,18 +125,18 @@
 		sim.AskAllAboutAll()
 		sim.WithChecker(func(c *simulator.Checker) {
 			c.Finish(time.Now())
-			if late, slow := c.LateStarts(), c.LateDone(); late+slow > 0 {
-				t.Logf("%d starts after a confirmed cancellation, %d polls not told done in time", late, slow)
+			if lateStarts, latePolls := c.LateStarts(), c.LateDone(); lateStarts+latePolls > 0 {
+				t.Logf("%d tasks started after a confirmed cancellation, %d polls didn't show the job's end in time", lateStarts, latePolls)
 			}
-			for _, b := range c.Violations {
-				t.Errorf("%6.1f s %s: %s", b.At.Sub(begin).Seconds(), b.Rule, b.What)
+			for _, v := range c.Violations {
+				t.Errorf("%6.1f s %s: %s", v.At.Sub(begin).Seconds(), v.Rule, v.What)
 			}
 		})
 	})
 }
 
-// runOnAlternatingLayouts runs a script with one seed or as many as asked for: even
-// ones on the first layout, odd ones on the second.
+// runOnAlternatingLayouts runs a script with one seed, or with as many as SCENARIO_SEEDS asks
+// for: even seeds on the first layout, odd ones on the second.
 func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	for i := range seedCount(1) {
@@ -149,37 +148,37 @@
 	}
 }
 
-// seedCount is how many seeds a scenario is run with: at least so many, or as many
-// as SCENARIO_SEEDS asks for.
-func seedCount(least int) uint64 {
+// seedCount returns how many seeds a scenario is run with: the minimum, or more if
+// SCENARIO_SEEDS asks for more.
+func seedCount(minimum int) uint64 {
 	asked, _ := strconv.Atoi(os.Getenv("SCENARIO_SEEDS"))
-	return uint64(max(least, asked))
+	return uint64(max(minimum, asked))
 }
 
-// settingsOfSize are the default settings with another number of controllers.
+// settingsOfSize returns the default settings with n controllers.
 func settingsOfSize(n int) config.Settings {
 	s := simulator.DefaultSettings()
 	s.Size = n
 	return s
 }
 
-// settingsWithTeamLimits are the default settings with limits of both teams that
-// tests can reach.
+// settingsWithTeamLimits returns the default settings with CPU limits for both teams that are
+// low enough for tests to reach.
 func settingsWithTeamLimits() config.Settings {
 	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 24}, {Name: "blue", GuaranteedCPUs: 16, MaxCPUs: 16}}
 	return s
 }
 
-// settingsWithFastStore are the default settings with a key-value store so
-// fast that requests hardly queue, and answers cross within milliseconds.
+// settingsWithFastStore returns the default settings with such high rate limits of the key-value
+// store that requests hardly queue. Requests and answers then cross within milliseconds.
 func settingsWithFastStore() config.Settings {
 	s := simulator.DefaultSettings()
 	s.State.RPS, s.State.WriteRPS = 4000, 2000
 	return s
 }
 
-// startControllers starts those of the controllers that are down.
+// startControllers starts the given controllers, except those that are up.
 func startControllers(t *testing.T, sim *simulator.Simulation, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
@@ -189,7 +188,7 @@
 	}
 }
 
-// startAll starts the controllers that are down.
+// startAll starts all controllers that are down.
 func startAll(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	for i := range sim.Settings.Size {
@@ -197,24 +196,24 @@
 	}
 }
 
-// killAll ends all controllers, as a power cut does.
+// killAll kills all controllers at once, as a power cut does.
 func killAll(sim *simulator.Simulation) {
 	for i := range sim.Settings.Size {
 		sim.KillController(i)
 	}
 }
 
-// restartLeader kills the leader and starts it again after a time, in which another
-// may have been elected.
-func restartLeader(t *testing.T, sim *simulator.Simulation, after time.Duration) {
+// restartLeader kills the leader and starts it again after a downtime. Another controller may be
+// elected meanwhile.
+func restartLeader(t *testing.T, sim *simulator.Simulation, downtime time.Duration) {
 	t.Helper()
-	l := sim.Leader()
-	sim.KillController(l)
-	time.Sleep(after)
-	startControllers(t, sim, l)
+	killed := sim.Leader()
+	sim.KillController(killed)
+	time.Sleep(downtime)
+	startControllers(t, sim, killed)
 }
 
-// markFaultsOver tells the checker that no fault lasts from now on.
+// markFaultsOver tells the checker that all faults have ended.
 func markFaultsOver(sim *simulator.Simulation) {
 	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(time.Now()) })
 }
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -12,73 +12,73 @@
 	"lilaclead/internal/wire"
 )
 
-// submitAll has users submit jobs, which they do not cancel, in this order.
+// submitAll has users submit jobs in this order; they never cancel them.
 func submitAll(sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	for _, j := range jobs {
 		sim.Submit(j, 0)
 	}
 }
 
-// requestCancel asks a controller once to cancel a job, as its user, and returns the
-// status that the user was told, if any.
+// requestCancel asks a controller once to cancel a job, as the job's user would, and returns the
+// job status in the answer; false: there was no readable answer with status 200.
 func requestCancel(sim *simulator.Simulation, node int, id wire.JobID) (wire.Status, bool) {
 	sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(id) })
 	status, raw, _ := sim.Ask(node, "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
-	var b wire.JobSummary
-	if status != 200 || wire.Decode(raw, &b) != nil {
+	var summary wire.JobSummary
+	if status != 200 || wire.Decode(raw, &summary) != nil {
 		return "", false
 	}
-	sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(id, b.Status, time.Now()) })
-	return b.Status, true
+	sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(id, summary.Status, time.Now()) })
+	return summary.Status, true
 }
 
-// cancelOnceAt asks a controller once to cancel a job, as its user, and tells
-// whether it confirmed that.
+// cancelOnceAt asks a controller once to cancel a job, as the job's user would, and reports
+// whether the controller confirmed the cancellation.
 func cancelOnceAt(sim *simulator.Simulation, node int, id wire.JobID) bool {
 	status, ok := requestCancel(sim, node, id)
 	return ok && status == wire.StatusCancelled
 }
 
-// cancelWithin has a user ask all controllers in turn to cancel a job until one
-// confirms it, and reports whether that was within the time.
-func cancelWithin(t *testing.T, sim *simulator.Simulation, id wire.JobID, within time.Duration) bool {
+// cancelWithin has a user ask all controllers in turn to cancel a job until one answers, and
+// reports whether one did so before the timeout and confirmed the cancellation.
+func cancelWithin(t *testing.T, sim *simulator.Simulation, id wire.JobID, timeout time.Duration) bool {
 	t.Helper()
 	var status wire.Status
-	i := -1
-	answered := poll(within, 200*time.Millisecond, func() (ok bool) {
-		i++
-		status, ok = requestCancel(sim, i%sim.Settings.Size, id)
+	attempt := -1
+	answered := poll(timeout, 200*time.Millisecond, func() (ok bool) {
+		attempt++
+		status, ok = requestCancel(sim, attempt%sim.Settings.Size, id)
 		return ok
 	})
 	return answered && status == wire.StatusCancelled
 }
 
-// cancelAtController has a user ask one controller to cancel a job until it is
-// confirmed, and returns when it was.
-func cancelAtController(t *testing.T, sim *simulator.Simulation, i int, j simulator.JobScript) time.Time {
+// cancelAtController has a user ask one controller to cancel a job until it answers, checks that
+// the answer confirms the cancellation, and returns when it arrived.
+func cancelAtController(t *testing.T, sim *simulator.Simulation, node int, j simulator.JobScript) time.Time {
 	t.Helper()
 	id := j.Spec.ID
 	var status wire.Status
-	if !poll(20*time.Second, 100*time.Millisecond, func() (ok bool) { status, ok = requestCancel(sim, i, id); return ok }) {
-		t.Fatalf("%s can't be cancelled at node %d", id, i)
+	if !poll(20*time.Second, 100*time.Millisecond, func() (ok bool) { status, ok = requestCancel(sim, node, id); return ok }) {
+		t.Fatalf("%s: node %d answered no cancellation within 20 s", id, node)
 	}
 	if status != wire.StatusCancelled {
-		t.Errorf("%s is called %s when its user cancels it", id, status)
+		t.Errorf("%s: cancellation is answered with status %s, want cancelled", id, status)
 	}
 	return time.Now()
 }
 
-// mustCancel has a user cancel a job, at whichever controller answers.
+// mustCancel has a user cancel a job, at whichever controller answers first.
 func mustCancel(t *testing.T, sim *simulator.Simulation, j simulator.JobScript) {
 	t.Helper()
 	if !cancelWithin(t, sim, j.Spec.ID, 10*time.Second) {
-		t.Errorf("%s could not be cancelled", j.Spec.ID)
+		t.Errorf("%s: no controller confirmed the cancellation within 10 s", j.Spec.ID)
 	}
 }
 
-// request is the path and the body with which a user submits a job or asks to
-// cancel it. The checker learns that the user will ask to cancel.
-func request(sim *simulator.Simulation, j simulator.JobScript, cancel bool) (path string, body any) {
+// submitOrCancelRequest returns the path and the body of a user's request to submit or to cancel
+// a job. It tells the checker in advance that the user asks to cancel the job.
+func submitOrCancelRequest(sim *simulator.Simulation, j simulator.JobScript, cancel bool) (path string, body any) {
 	if !cancel {
 		return "/v1/jobs", simulator.Submission(j.Spec)
 	}
@@ -86,54 +86,53 @@
 	return "/v1/jobs/" + string(j.Spec.ID) + "/cancel", nil
 }
 
-// requestOnce asks one controller once to submit a job or to cancel it, and tells
-// the answer's status. Without an answer nothing is known.
+// requestOnce sends one request to submit or to cancel a job to one controller and returns the
+// HTTP status of the answer. The checker doesn't learn of the answer.
 func requestOnce(sim *simulator.Simulation, j simulator.JobScript, cancel bool, node int) int {
-	path, body := request(sim, j, cancel)
+	path, body := submitOrCancelRequest(sim, j, cancel)
 	status, _, _ := sim.Ask(node, "POST", path, body)
 	return status
 }
 
-// requestUntilAnswered has a user submit a job or ask to cancel it, again and again
-// at one controller after the other, beginning with the given one, until it is
-// answered, and then at all others once. It tells when which one answered first.
-func requestUntilAnswered(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, cancel bool, from int) (when time.Time, node int, said wire.Status) {
+// requestUntilAnswered has a user submit or cancel a job. The user asks one controller after the
+// other, beginning with the given one, until one answers, and then every other controller once.
+// It returns when the first answer arrived, which controller gave it and the job status in it.
+func requestUntilAnswered(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, cancel bool, first int) (answeredAt time.Time, node int, answer wire.Status) {
 	t.Helper()
 	id := j.Spec.ID
-	path, body := request(sim, j, cancel)
-	more := sim.Settings.Size
-	for i, begin := from, time.Now(); more > 0 && time.Since(begin) < 60*time.Second; i++ {
+	path, body := submitOrCancelRequest(sim, j, cancel)
+	remaining := sim.Settings.Size
+	for i, begin := first, time.Now(); remaining > 0 && time.Since(begin) < 60*time.Second; i++ {
 		n := i % sim.Settings.Size
 		status, raw, _ := sim.Ask(n, "POST", path, body)
 		now := time.Now()
 		sim.WithChecker(func(c *simulator.Checker) {
-			var b wire.JobSummary
-			if status != 200 && status != 201 || wire.Decode(raw, &b) != nil {
+			var summary wire.JobSummary
+			if status != 200 && status != 201 || wire.Decode(raw, &summary) != nil {
 				if c.Refused(id, status, now); status == 400 || status == 404 || status == 422 {
-					t.Errorf("%s of %s answered %d by node %d", path, id, status, n)
+					t.Errorf("%s of %s answered %d by node %d, want 200, 201 or a status that asks to retry", path, id, status, n)
 				}
 				return
 			}
-			if c.Accepted(id, now); cancel || b.Status.IsFinal() {
-				c.StatusToldNow(id, b.Status, now)
+			if c.Accepted(id, now); cancel || summary.Status.IsFinal() {
+				c.StatusToldNow(id, summary.Status, now)
 			}
-			if when.IsZero() {
-				when, node, said = now, n, b.Status
+			if answeredAt.IsZero() {
+				answeredAt, node, answer = now, n, summary.Status
 			}
 		})
-		if !when.IsZero() {
-			more--
+		if !answeredAt.IsZero() {
+			remaining--
 		}
 		time.Sleep(time.Second)
 	}
-	if when.IsZero() {
-		t.Errorf("%s for %s was never answered", path, id)
+	if answeredAt.IsZero() {
+		t.Errorf("%s for %s was not answered within 60 s", path, id)
 	}
 	return
 }
 
-// backgroundPolls are the polls of users who ask one controller about jobs again and
-// again beside the test.
+// backgroundPolls are the repeated polls of users at one controller while the test goes on.
 type backgroundPolls struct {
 	sim           *simulator.Simulation
 	node          int
@@ -142,9 +141,8 @@
 	answeredCount atomic.Int64 // polls that the controller answered
 }
 
-// startBackgroundPolls has users ask one controller about jobs, once a second, until
-// stopPolling: what it answers is checked against what any controller has answered
-// before.
+// startBackgroundPolls has users poll one controller about each of the jobs, once a second, until
+// stopPolling. The checker compares the answers with those that any controller gave before.
 func startBackgroundPolls(sim *simulator.Simulation, node int, jobs ...simulator.JobScript) *backgroundPolls {
 	p := &backgroundPolls{sim: sim, node: node, stop: make(chan struct{})}
 	for _, j := range jobs {
@@ -153,7 +151,7 @@
 	return p
 }
 
-// pollUntilStopped asks about one job once a second until stopPolling.
+// pollUntilStopped polls about one job once a second until stopPolling.
 func (p *backgroundPolls) pollUntilStopped(id wire.JobID) {
 	for {
 		select {
@@ -175,38 +173,38 @@
 // answered returns how many polls the controller has answered so far.
 func (p *backgroundPolls) answered() int64 { return p.answeredCount.Load() }
 
-// stopPolling ends the polls and waits for the answers to those on their way.
+// stopPolling ends the polls and waits for the answers to the polls that were already sent.
 func (p *backgroundPolls) stopPolling() {
 	close(p.stop)
 	p.users.Wait()
 }
 
-// statusSeen is an answer about a job that is newer than all before.
-type statusSeen struct {
+// statusUpdate is an answer about a job that tells users more than all earlier answers.
+type statusUpdate struct {
 	at   time.Time
 	node int
 	told simulator.Told
 }
 
-// statusReader asks the controllers in turn about one job, one question after the
-// other: whatever a user was told before a question, its answer must not be older.
-// (What users are told while the answer is on its way can't be in it.)
+// statusReader polls the controllers in turn about one job, one poll at a time. An answer must
+// not be older than anything that a user was told before the poll was sent. What users are told
+// while the poll is on its way need not be in the answer.
 type statusReader struct {
-	t     *testing.T
-	sim   *simulator.Simulation
-	id    wire.JobID
-	stop  chan struct{}
-	ended chan struct{}
-	news  []statusSeen
+	t       *testing.T
+	sim     *simulator.Simulation
+	id      wire.JobID
+	stop    chan struct{}
+	ended   chan struct{}
+	updates []statusUpdate
 }
 
-// Pauses of a status reader between two questions.
+// Intervals between two polls of a status reader.
 const (
-	readPause      = 250 * time.Millisecond
-	finalReadPause = 9 * readPause // rarely once the job is over
+	readInterval      = 250 * time.Millisecond
+	finalReadInterval = 9 * readInterval // after the end of the job
 )
 
-// startReader starts a reader of a job's status.
+// startReader starts a status reader for a job.
 func startReader(t *testing.T, sim *simulator.Simulation, id wire.JobID) *statusReader {
 	r := &statusReader{t: t, sim: sim, id: id, stop: make(chan struct{}), ended: make(chan struct{})}
 	go func() {
@@ -216,27 +214,27 @@
 	return r
 }
 
-// readUntilStopped asks one controller after the other until stopReading.
+// readUntilStopped polls one controller after the other until stopReading.
 func (r *statusReader) readUntilStopped() {
 	known := simulator.ToldNothing
 	for i := 0; ; i++ {
-		pause := readPause
+		interval := readInterval
 		if known == simulator.ToldFinal {
-			pause = finalReadPause
+			interval = finalReadInterval
 		}
 		select {
 		case <-r.stop:
 			return
 		case <-r.sim.Done(): // the test failed before stopReading
 			return
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 		known = r.readFrom(i%r.sim.Settings.Size, known)
 	}
 }
 
-// readFrom asks one controller, checks its answer against what users were told before the
-// question, known included, and returns how much they know now.
+// readFrom polls one controller and checks its answer against known and against all that users
+// were told before the poll. It returns how much users know afterwards.
 func (r *statusReader) readFrom(node int, known simulator.Told) simulator.Told {
 	r.sim.WithChecker(func(c *simulator.Checker) { known = max(known, c.ToldSoFar(r.id)) })
 	status, raw, _ := r.sim.Ask(node, "GET", "/v1/jobs/"+string(r.id), nil)
@@ -246,15 +244,15 @@
 	}
 	told, answered := simulator.ToldOf(status, state.Status)
 	if !answered {
-		return known // no answer says nothing
+		return known // without an answer there is nothing to compare
 	}
 	r.sim.WithChecker(func(c *simulator.Checker) {
 		if told < known {
-			r.t.Errorf("%s: node %d answers %d %s, want nothing older than %v", r.id, node, status, state.Status, r.news)
+			r.t.Errorf("%s: node %d answers %d %s, want nothing older than %v", r.id, node, status, state.Status, r.updates)
 		}
-		if told > known || len(r.news) == 0 || told > r.news[len(r.news)-1].told {
+		if told > known || len(r.updates) == 0 || told > r.updates[len(r.updates)-1].told {
 			known = max(known, told)
-			r.news = append(r.news, statusSeen{time.Now(), node, told})
+			r.updates = append(r.updates, statusUpdate{time.Now(), node, told})
 		}
 		if told >= c.ToldSoFar(r.id) {
 			c.PollAnsweredNow(r.id, status, state.Status, time.Now())
@@ -263,17 +261,17 @@
 	return known
 }
 
-// stopReading ends the reader and waits for its last answer.
+// stopReading ends the polls and waits for the last answer.
 func (r *statusReader) stopReading() {
 	close(r.stop)
 	<-r.ended
 }
 
-// firstSeen returns when users were first told as much by an answer; zero: never.
+// firstSeen returns when an answer first told users at least this much; zero: never.
 func (r *statusReader) firstSeen(told simulator.Told) (at time.Time) {
 	r.sim.WithChecker(func(*simulator.Checker) {
-		if i := slices.IndexFunc(r.news, func(n statusSeen) bool { return n.told >= told }); i >= 0 {
-			at = r.news[i].at
+		if i := slices.IndexFunc(r.updates, func(u statusUpdate) bool { return u.told >= told }); i >= 0 {
+			at = r.updates[i].at
 		}
 	})
 	return at
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -10,162 +10,165 @@
 	"lilaclead/internal/wire"
 )
 
-// poll waits until a condition holds, looking at once and then after every step of
-// virtual time, and reports whether that was within the time.
-func poll(most, step time.Duration, holds func() bool) bool {
-	for begin := time.Now(); !holds(); {
-		time.Sleep(step)
-		if time.Since(begin) >= most {
+// poll waits until a condition is true. It checks the condition at once and then after every
+// interval of virtual time, and reports whether the condition was true before the timeout.
+func poll(timeout, interval time.Duration, condition func() bool) bool {
+	for begin := time.Now(); !condition(); {
+		time.Sleep(interval)
+		if time.Since(begin) >= timeout {
 			return false
 		}
 	}
 	return true
 }
 
-// waitUntil waits for a condition and ends the test if it does not come in time.
-func waitUntil(t *testing.T, most time.Duration, what string, holds func() bool) {
+// waitUntil waits for a condition. At the timeout the test fails and ends.
+func waitUntil(t *testing.T, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
-	if !poll(most, 2*time.Millisecond, holds) {
-		t.Fatalf("%s: not within %v", what, most)
+	if !poll(timeout, 2*time.Millisecond, condition) {
+		t.Fatalf("%s: not within %v", what, timeout)
 	}
 }
 
-// eventually waits for a condition. If it does not come in time the test has failed
-// and goes on.
-func eventually(t *testing.T, most time.Duration, what string, holds func() bool) bool {
+// eventually waits for a condition and reports whether it became true. At the timeout the test
+// fails but goes on.
+func eventually(t *testing.T, timeout time.Duration, what string, condition func() bool) bool {
 	t.Helper()
-	if poll(most, 5*time.Millisecond, holds) {
+	if poll(timeout, 5*time.Millisecond, condition) {
 		return true
 	}
-	t.Errorf("not within %v: %s", most, what)
+	t.Errorf("not within %v: %s", timeout, what)
 	return false
 }
 
-// signal is an event that happens once and that others wait for.
+// signal is an event that happens once and that other goroutines wait for.
 type signal struct {
-	once  sync.Once
-	given chan struct{}
+	once sync.Once
+	done chan struct{} // closed when the event has happened
 }
 
-func newSignal() *signal { return &signal{given: make(chan struct{})} }
+func newSignal() *signal { return &signal{done: make(chan struct{})} }
 
-// give reports the event and whether this call was the first to do so.
+// give signals the event and reports whether this call was the first to do so.
 func (s *signal) give() (first bool) {
-	s.once.Do(func() { close(s.given); first = true })
+	s.once.Do(func() { close(s.done); first = true })
 	return first
 }
 
-// await waits for the event and reports whether it came in time.
-func (s *signal) await(most time.Duration) bool {
+// await waits for the event and reports whether it happened before the timeout.
+func (s *signal) await(timeout time.Duration) bool {
 	select {
-	case <-s.given:
+	case <-s.done:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
 // awaitGangRunning waits until all tasks of a gang run.
-func awaitGangRunning(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, most time.Duration) bool {
+func awaitGangRunning(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, timeout time.Duration) bool {
 	t.Helper()
-	return eventually(t, most, string(j.Spec.ID)+" runs whole", func() bool { return sim.GangState(j.Spec.ID).Running == j.Spec.Tasks })
+	return eventually(t, timeout, string(j.Spec.ID)+" has all its tasks running", func() bool { return sim.GangState(j.Spec.ID).Running == j.Spec.Tasks })
 }
 
-// awaitGangRestart waits until a gang has started for the second time.
-func awaitGangRestart(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, most time.Duration) bool {
+// awaitGangRestart waits until a gang has been started for the second time.
+func awaitGangRestart(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, timeout time.Duration) bool {
 	t.Helper()
-	return eventually(t, most, string(j.Spec.ID)+" starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
+	return eventually(t, timeout, string(j.Spec.ID)+" starts again", func() bool { return sim.GangState(j.Spec.ID).Starts == 2 })
 }
 
-// awaitOtherLeader waits until another controller than this one leads.
-func awaitOtherLeader(t *testing.T, sim *simulator.Simulation, than int, most time.Duration) int {
+// awaitOtherLeader waits until a controller other than the former leader leads, and returns it.
+func awaitOtherLeader(t *testing.T, sim *simulator.Simulation, former int, timeout time.Duration) int {
 	t.Helper()
-	waitUntil(t, most, "another leader", func() bool { l := sim.Leader(); return l >= 0 && l != than })
+	waitUntil(t, timeout, "another leader", func() bool { l := sim.Leader(); return l >= 0 && l != former })
 	return sim.Leader()
 }
 
-// awaitNewToken waits for an election after the one with the old token, and tells
-// who leads then.
+// awaitNewToken waits for an election after the one that raised the fencing token to old, and
+// returns the new leader and its token.
 func awaitNewToken(t *testing.T, sim *simulator.Simulation, old wire.FencingToken) (leader int, token wire.FencingToken) {
 	t.Helper()
 	if !poll(20*time.Second, time.Millisecond, func() bool { leader, token = sim.LeaderAndToken(); return leader >= 0 && token > old }) {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads with a newer token")
 	}
 	return leader, token
 }
 
-// awaitSuccessor waits until another controller leads than the one that was killed,
-// and starts that one again.
+// awaitSuccessor waits until a controller other than the killed one leads, and then starts the
+// killed one again.
 func awaitSuccessor(t *testing.T, sim *simulator.Simulation, killed int) {
 	t.Helper()
 	if !poll(15*time.Second, 100*time.Millisecond, func() bool { l := sim.Leader(); return l >= 0 && l != killed }) {
-		t.Fatal("nobody followed the leader within 15 s")
+		t.Fatal("no other controller leads within 15 s after the leader was killed")
 	}
 	if err := sim.StartController(killed); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// replaceLeader kills the leader, waits until another one leads, and starts the
-// killed one again.
+// replaceLeader kills the leader, waits until another controller leads, and starts the killed one
+// again.
 func replaceLeader(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
-	l := sim.Leader()
-	if l < 0 {
-		t.Fatal("nobody leads")
+	killed := sim.Leader()
+	if killed < 0 {
+		t.Fatal("no controller leads")
 	}
-	sim.KillController(l)
-	awaitSuccessor(t, sim, l)
+	sim.KillController(killed)
+	awaitSuccessor(t, sim, killed)
 }
 
-// moveLeadershipTo makes a controller of a zone the leader, if none is: all others are
-// down until one there leads. (They were killed in turn until it was one of the zone:
-// that took up to 48 s, and what was to run by then did not.)
-func moveLeadershipTo(t *testing.T, sim *simulator.Simulation, z wire.Zone) {
+// moveLeadershipTo makes a controller in the given zone the leader, unless one is already. All
+// controllers in other zones are down until one in this zone leads. Killing one leader after the
+// other until the next one is in this zone would take up to 48 s, too long for jobs that a script
+// expects to run by then.
+func moveLeadershipTo(t *testing.T, sim *simulator.Simulation, zone wire.Zone) {
 	t.Helper()
-	inZone := func() bool { l := sim.Leader(); return l >= 0 && sim.Config(l).Zone == z }
-	if inZone() {
+	leaderInZone := func() bool { l := sim.Leader(); return l >= 0 && sim.Config(l).Zone == zone }
+	if leaderInZone() {
 		return
 	}
 	var killed []int
 	for i := range sim.Settings.Size {
-		if sim.Config(i).Zone != z {
+		if sim.Config(i).Zone != zone {
 			sim.KillController(i)
 			killed = append(killed, i)
 		}
 	}
-	waitUntil(t, 15*time.Second, "a leader in zone "+string(z), inZone)
+	waitUntil(t, 15*time.Second, "a leader in zone "+string(zone), leaderInZone)
 	startControllers(t, sim, killed...)
 	time.Sleep(3 * time.Second)
 }
 
-// leaderZoneOrOther is the zone that the leader is in, or the other one of two.
-func leaderZoneOrOther(sim *simulator.Simulation, in bool) wire.Zone {
-	if (sim.Config(sim.Leader()).Zone == "a") == in {
+// leaderZoneOrOther returns the zone of the leader, or the other one of the zones a and b.
+func leaderZoneOrOther(sim *simulator.Simulation, ofLeader bool) wire.Zone {
+	if (sim.Config(sim.Leader()).Zone == "a") == ofLeader {
 		return "a"
 	}
 	return "b"
 }
 
-// adminView is what a controller shows its operators; false: nothing readable.
-func adminView(sim *simulator.Simulation, i int) (admin.View, bool) {
-	status, raw, _ := sim.AskAsOperator(i, "GET", "/admin/view", nil)
+// adminView returns the view that a controller shows to operators; false: there was no readable
+// answer.
+func adminView(sim *simulator.Simulation, node int) (admin.View, bool) {
+	status, raw, _ := sim.AskAsOperator(node, "GET", "/admin/view", nil)
 	var v admin.View
 	return v, status == 200 && wire.Decode(raw, &v) == nil
 }
 
-// hasRecovered reports whether a leader has read what is stored.
-func hasRecovered(sim *simulator.Simulation, i int) bool {
-	v, ok := adminView(sim, i)
-	return ok && v.Term != nil && len(v.Term.Jobs) > 0
+// hasRecovered reports whether a controller leads and has read the stored jobs.
+func hasRecovered(sim *simulator.Simulation, node int) bool {
+	view, ok := adminView(sim, node)
+	return ok && view.Term != nil && len(view.Term.Jobs) > 0
 }
 
-// saysItLeads reports whether a controller itself says that it leads.
-func saysItLeads(t *testing.T, sim *simulator.Simulation, i int) bool {
+// saysItLeads reports whether a controller considers itself the leader, according to its admin
+// view.
+func saysItLeads(t *testing.T, sim *simulator.Simulation, node int) bool {
 	t.Helper()
-	v, ok := adminView(sim, i)
+	view, ok := adminView(sim, node)
 	if !ok {
-		t.Fatalf("no view of controller %d", i)
+		t.Fatalf("no readable admin view of controller %d", node)
 	}
-	return v.Leads
+	return view.Leads
 }
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -27,86 +27,86 @@
 		mustFinish(t, sim, a, b)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(cancelledJob.Spec.ID) != 0 {
-				t.Errorf("service has %d of 3 replicas, the cancelled one %d of 0", c.OnMachines(s.Spec.ID), c.OnMachines(cancelledJob.Spec.ID))
+				t.Errorf("the service has %d replicas, want 3; the cancelled one has %d, want 0", c.OnMachines(s.Spec.ID), c.OnMachines(cancelledJob.Spec.ID))
 			}
 		})
 		if keys := sim.State.Keys("run/req-000001/"); len(keys) != 0 {
-			t.Errorf("progress of a finished job is left: %v", keys)
+			t.Errorf("progress records of a finished job are left: %v", keys)
 		}
-		// A repeat of a finished job's submission is answered with its state.
+		// A repeated submission of a finished job is answered with the job's status.
 		status, raw, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(a.Spec))
-		var brief wire.JobSummary
-		if status != 200 || wire.Decode(raw, &brief) != nil || brief.Status != wire.StatusDone {
-			t.Errorf("repeat answered %d %+v", status, brief)
+		var summary wire.JobSummary
+		if status != 200 || wire.Decode(raw, &summary) != nil || summary.Status != wire.StatusDone {
+			t.Errorf("repeated submission is answered %d %+v, want 200 and done", status, summary)
 		}
 	})
 }
 
-// Operators' settings: checked, guarded by their version, applied by all
-// nodes without a restart, and kept when all nodes end.
+// Changes of the operators' settings are validated and refused if they name an old version. All
+// controllers apply them without a restart, and they survive a restart of all controllers.
 func TestOperatorSettings(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 15, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
-		ask := func(i int, method string, body any, out any) int {
-			status, raw, _ := sim.AskAsOperator(i, method, "/admin/settings", body)
+		requestSettings := func(node int, method string, body any, out any) int {
+			status, raw, _ := sim.AskAsOperator(node, method, "/admin/settings", body)
 			if out != nil && wire.Decode(raw, out) != nil {
-				t.Errorf("unreadable answer to %s (%d)", method, status)
+				t.Errorf("undecodable answer to %s (status %d)", method, status)
 			}
 			return status
 		}
-		set := func(version uint64, k string, v any) map[string]any {
-			return map[string]any{"version": version, "set": map[string]any{k: v}}
+		change := func(version uint64, name string, value any) map[string]any {
+			return map[string]any{"version": version, "set": map[string]any{name: value}}
 		}
-		var l admin.Listing
-		if status := ask(0, "GET", nil, &l); status != 200 || len(l.Settings) != len(tuning.Fields) || l.Version != 0 {
-			t.Fatalf("listing %d %+v", status, l)
+		var listing admin.Listing
+		if status := requestSettings(0, "GET", nil, &listing); status != 200 || len(listing.Settings) != len(tuning.Fields) || listing.Version != 0 {
+			t.Fatalf("list of settings is answered %d %+v", status, listing)
 		}
-		var why wire.ErrorBody
-		if status := ask(0, "PUT", set(0, "round.period_s", 99.0), &why); status != 400 || why.Field != "round.period_s" || why.Error != "must be 0.2 to 30" {
-			t.Errorf("out of range: %d %+v", status, why)
+		var refusal wire.ErrorBody
+		if status := requestSettings(0, "PUT", change(0, "round.period_s", 99.0), &refusal); status != 400 || refusal.Field != "round.period_s" || refusal.Error != "must be 0.2 to 30" {
+			t.Errorf("value out of range is answered %d %+v", status, refusal)
 		}
-		for name, body := range map[string]any{"unknown": set(0, "round.colour", 1), "type": set(0, "round.period_s", "fast"), "no version": map[string]any{"set": map[string]any{"log.level": "info"}}, "no map": 7} {
-			if status := ask(0, "PUT", body, nil); status != 400 {
-				t.Errorf("%s: %d", name, status)
+		for name, body := range map[string]any{"unknown setting": change(0, "round.colour", 1), "wrong type": change(0, "round.period_s", "fast"), "no version": map[string]any{"set": map[string]any{"log.level": "info"}}, "not a map": 7} {
+			if status := requestSettings(0, "PUT", body, nil); status != 400 {
+				t.Errorf("%s: answered %d, want 400", name, status)
 			}
 		}
-		if status := ask(1, "PUT", set(0, "round.period_s", 2), nil); status != 200 {
-			t.Errorf("set: %d", status)
+		if status := requestSettings(1, "PUT", change(0, "round.period_s", 2), nil); status != 200 {
+			t.Errorf("change is answered %d, want 200", status)
 		}
-		if status := ask(2, "PUT", set(0, "round.period_s", 3), nil); status != 409 {
-			t.Errorf("set with an old version: %d", status)
+		if status := requestSettings(2, "PUT", change(0, "round.period_s", 3), nil); status != 409 {
+			t.Errorf("change with an old version is answered %d, want 409", status)
 		}
 		killAll(sim)
 		startAll(t, sim)
 		time.Sleep(8 * time.Second)
 		for i := range 3 {
-			if ask(i, "GET", nil, &l); l.Settings[3].Name != "round.period_s" || fmt.Sprint(l.Settings[3].Value) != "2" {
-				t.Errorf("node %d has %+v", i, l.Settings[3])
+			if requestSettings(i, "GET", nil, &listing); listing.Settings[3].Name != "round.period_s" || fmt.Sprint(listing.Settings[3].Value) != "2" {
+				t.Errorf("node %d has %+v, want round.period_s with value 2", i, listing.Settings[3])
 			}
 		}
 		sim.State.Outage(true)
-		if status := ask(0, "PUT", set(uint64(l.Version), "round.period_s", 4), nil); status != 503 {
-			t.Errorf("set in an outage: %d", status)
+		if status := requestSettings(0, "PUT", change(uint64(listing.Version), "round.period_s", 4), nil); status != 503 {
+			t.Errorf("change during an outage of the key-value store is answered %d, want 503", status)
 		}
 		sim.State.Outage(false)
 		sim.Submit(array(1, 1, 100), 0)
 		at(80 * time.Second)
 		status, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/metrics", nil)
 		if status != 200 || !bytes.Contains(raw, []byte("lilaclead_terms_total 1")) || !bytes.Contains(raw, []byte(`lilaclead_machines{state="up"}`)) {
-			t.Errorf("metrics: %d\n%s", status, raw)
+			t.Errorf("metrics are answered %d\n%s", status, raw)
 		}
-		var v admin.View
+		var view admin.View
 		status, raw, _ = sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
-		if status != 200 || wire.Decode(raw, &v) != nil || !v.Leads || v.Term == nil || len(v.Term.Machines) == 0 {
-			t.Errorf("view: %d %+v", status, v)
+		if status != 200 || wire.Decode(raw, &view) != nil || !view.Leads || view.Term == nil || len(view.Term.Machines) == 0 {
+			t.Errorf("leader's admin view is answered %d %+v", status, view)
 		}
 	})
 }
 
-// Under a steady overload of small arrays a large one and one of the lowest
-// priority must begin within four minutes all the same.
-func TestLargestJobStartsUnderOverload(t *testing.T) {
+// Under a steady overload of small arrays, a large array and one of the lowest priority must still
+// start within four minutes.
+func TestLargeAndLowPriorityJobsStartUnderOverload(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(3), 35, func(sim *simulator.Simulation, at func(time.Duration)) {
 		big, low := array(1, 90, 30), array(2, 4, 20)
@@ -126,10 +126,10 @@
 	})
 }
 
-// One-task jobs come four a second for minutes, a quarter is cancelled, and the
-// key-value store holds to its rates. What has gathered while the first machines
-// boot must be worked off, then all must begin at once and nothing be refused any
-// more; and nothing may be left of them but their final records.
+// Jobs of one task arrive at four a second for minutes, a quarter of them is cancelled, and the
+// key-value store enforces its rate limits. The backlog from the boot of the first machines must
+// be cleared. After that every job must start at once, and the store must refuse no request. In the
+// end only the final records of the jobs may be left.
 func TestManySmallJobs(t *testing.T) {
 	t.Parallel()
 	for name, set := range map[string]config.Settings{"usual": simulator.DefaultSettings(), "small": simulator.GasSettings()} {
@@ -137,31 +137,31 @@
 			t.Parallel()
 			runWithSettings(t, set, 430, func(sim *simulator.Simulation, at func(time.Duration)) {
 				sim.State.SetRateLimits(set.State.RPS, set.State.WriteRPS)
-				l := sim.NewBurstReaders()
-				l.BurstLength, l.PollInterval = 0, 3*time.Second
+				users := sim.NewBurstReaders()
+				users.BurstLength, users.PollInterval = 0, 3*time.Second
 				at(2 * time.Second)
-				var all []simulator.JobScript
-				before := 0
+				var jobs []simulator.JobScript
+				refusalsBefore := 0 // refused requests until the backlog was cleared
 				for n := range 600 {
 					j := array(1+n, 1, 2)
-					all = append(all, j)
-					c, after := simulator.NeverCancel, time.Duration(0)
+					jobs = append(jobs, j)
+					cancelTime, delay := simulator.NeverCancel, time.Duration(0)
 					if n%4 == 0 {
-						c, after = []simulator.CancelTime{simulator.CancelAtOnce, simulator.CancelAtEnd}[n/4%2], time.Duration(n%16)*150*time.Millisecond
+						cancelTime, delay = []simulator.CancelTime{simulator.CancelAtOnce, simulator.CancelAtEnd}[n/4%2], time.Duration(n%16)*150*time.Millisecond
 					}
-					l.Submit(j, c, after)
+					users.Submit(j, cancelTime, delay)
 					time.Sleep(250 * time.Millisecond)
 					if n == 449 {
-						before, _ = sim.State.RateRefusals()
+						refusalsBefore, _ = sim.State.RateRefusals()
 					}
 				}
 				markFaultsOver(sim)
 				time.Sleep(40 * time.Second)
-				done, cancelled := sim.CountEnded(all)
-				if done+cancelled != len(all) || cancelled < 75 {
-					t.Errorf("%d done, %d cancelled of %d", done, cancelled, len(all))
+				done, cancelled := sim.CountEnded(jobs)
+				if done+cancelled != len(jobs) || cancelled < 75 {
+					t.Errorf("%d jobs are done and %d cancelled of %d, want all to have ended and 75 or more cancelled", done, cancelled, len(jobs))
 				}
-				longest := func(jobs []simulator.JobScript) (longest time.Duration) {
+				longestWait := func(jobs []simulator.JobScript) (longest time.Duration) {
 					sim.WithChecker(func(c *simulator.Checker) {
 						for _, j := range jobs {
 							if d, ok := c.TimeToStart(j.Spec.ID); ok {
@@ -171,65 +171,65 @@
 					})
 					return
 				}
-				if d := longest(all); d > 30*time.Second {
-					t.Errorf("a job waited for %v", d)
+				if d := longestWait(jobs); d > 30*time.Second {
+					t.Errorf("a job waited for %v, want 30s or less", d)
 				}
-				if d := longest(all[450:]); d > time.Second {
-					t.Errorf("with machines up and nothing gathered a job waited for %v", d)
+				if d := longestWait(jobs[450:]); d > time.Second {
+					t.Errorf("with machines up and no backlog a job waited for %v, want 1s or less", d)
 				}
-				switch refusals, most := sim.State.RateRefusals(); {
-				case refusals != before:
-					t.Errorf("the state service refuses %d requests with nothing gathered", refusals-before)
+				switch refusals, peakRate := sim.State.RateRefusals(); {
+				case refusals != refusalsBefore:
+					t.Errorf("the key-value store refused %d requests without a backlog, want 0", refusals-refusalsBefore)
 				case refusals > 300:
-					t.Errorf("the state service refused %d requests", refusals)
-				case most > int(set.State.RPS)*5/4:
-					t.Errorf("%d requests in a second to a state service for %v", most, set.State.RPS)
+					t.Errorf("the key-value store refused %d requests, want 300 or less", refusals)
+				case peakRate > int(set.State.RPS)*5/4:
+					t.Errorf("%d requests within a second to a key-value store with a limit of %v", peakRate, set.State.RPS)
 				}
 				mustLeaveNoKeys(t, sim)
-				if n := len(sim.State.Keys("past/")); n != len(all) {
-					t.Errorf("%d final records of %d", n, len(all))
+				if n := len(sim.State.Keys("past/")); n != len(jobs) {
+					t.Errorf("%d final records, want %d", n, len(jobs))
 				}
 			})
 		})
 	}
 }
 
-// Jobs of one small task each, many of which fit on the smallest machine, are
-// provisioned for together: for one of them alone every machine would be too dear. (A
-// hundred of them waited two minutes, until the first was taken for starving.)
+// Machines are provisioned for many jobs of one small task together, since many of them fit on the
+// smallest machine. For a single such job every machine would be too expensive: without this, a
+// hundred of them wait for two minutes, until the first is treated as starving.
 func TestSmallJobsShareScaleOutCost(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, simulator.DefaultSettings(), 470, func(sim *simulator.Simulation, at func(time.Duration)) {
-		l := sim.NewBurstReaders()
-		l.BurstLength, l.PollInterval = 0, 3*time.Second
+		users := sim.NewBurstReaders()
+		users.BurstLength, users.PollInterval = 0, 3*time.Second
 		at(2 * time.Second)
-		var all []simulator.JobScript
+		var jobs []simulator.JobScript
 		for n := range 160 {
 			j := array(1+n, 1, 2)
 			j.Spec.CPUs = 1
-			all = append(all, j)
-			l.Submit(j, simulator.NeverCancel, 0)
+			jobs = append(jobs, j)
+			users.Submit(j, simulator.NeverCancel, 0)
 			time.Sleep(250 * time.Millisecond)
 		}
 		at(90 * time.Second)
-		mustFinish(t, sim, all...)
-		longest := time.Duration(0)
+		mustFinish(t, sim, jobs...)
+		longestWait := time.Duration(0)
 		sim.WithChecker(func(c *simulator.Checker) {
-			for _, j := range all {
+			for _, j := range jobs {
 				if d, ok := c.TimeToStart(j.Spec.ID); ok {
-					longest = max(longest, d)
+					longestWait = max(longestWait, d)
 				}
 			}
 		})
-		if longest > 40*time.Second {
-			t.Errorf("a job waited for %v", longest)
+		if longestWait > 40*time.Second {
+			t.Errorf("a job waited for %v, want 40s or less", longestWait)
 		}
 	})
 }
 
-// The largest array that the protocol allows is stored, run, polled and
-// cancelled within the limits of the key-value store.
-func TestHundredThousandTasks(t *testing.T) {
+// The largest array that the protocol allows can be stored, run, polled and cancelled within the
+// limits of the key-value store.
+func TestLargestArray(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 36, func(sim *simulator.Simulation, at func(time.Duration)) {
 		j, s := array(1, wire.MaxTasks, 20), service(2, 3)
@@ -239,22 +239,22 @@
 		sim.Submit(s, 0)
 		at(60 * time.Second)
 		status, raw, _ := sim.Ask(1, "GET", "/v1/jobs/req-000001", nil)
-		var st wire.JobState
-		if status != 200 || wire.Decode(raw, &st) != nil || st.Running == 0 {
-			t.Errorf("poll answered %d %+v", status, st)
+		var state wire.JobState
+		if status != 200 || wire.Decode(raw, &state) != nil || state.Running == 0 {
+			t.Errorf("poll is answered %d %+v, want 200 and running tasks", status, state)
 		}
 		at(150 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n, r := c.OnMachines(j.Spec.ID), c.OnMachines(s.Spec.ID); n != 0 || r != 3 {
-				t.Errorf("%d tasks of the cancelled array, %d of 3 replicas", n, r)
+			if tasks, replicas := c.OnMachines(j.Spec.ID), c.OnMachines(s.Spec.ID); tasks != 0 || replicas != 3 {
+				t.Errorf("%d tasks of the cancelled array are on machines, want 0; %d replicas, want 3", tasks, replicas)
 			}
 		})
 	})
 }
 
-// Values of 4 KiB: the progress of an array whose tasks are all on machines at
-// once stays within them, and starts again after a change of leader. (One record
-// over the limit was refused again and again, and nothing else was written.)
+// With values limited to 4 KiB, the progress records of an array whose tasks all run at once stay
+// within the limit, and the array goes on after a change of leader. Otherwise the store refuses
+// one record over the limit again and again, and nothing else is written.
 func TestSmallValueLimit(t *testing.T) {
 	t.Parallel()
 	runOnUnevenLayout(t, 52, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -265,7 +265,7 @@
 		at(45 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if n := c.OnMachines(wide.Spec.ID); n != 300 {
-				t.Errorf("%d of 300 tasks run", n)
+				t.Errorf("%d of 300 tasks are on machines, want all", n)
 			}
 		})
 		sim.Submit(other, 0)
@@ -275,9 +275,8 @@
 	})
 }
 
-// The smallest key-value store that can work: two changes a transaction, values of
-// 1 KiB, a few requests a second, and leases that leave no time for delegates. It
-// starts and serves.
+// A deployment works with the smallest limits of the key-value store: two changes in a transaction,
+// values of 1 KiB and a few requests a second. Its worker leases are too short for delegates.
 func TestMinimalDeployment(t *testing.T) {
 	t.Parallel()
 	set := simulator.GasSettings()
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -11,8 +11,8 @@
 	"lilaclead/internal/store"
 )
 
-// withAndWithoutIntents runs a script with intents recorded, and as a control without:
-// what a late request then does shows that the script measures something.
+// withAndWithoutIntents runs a script with intents recorded, and without as a control. In the
+// control a late request does harm, which shows that the script can detect it.
 func withAndWithoutIntents(t *testing.T, seed uint64, script func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
 	for _, recorded := range []bool{true, false} {
@@ -26,8 +26,8 @@
 	}
 }
 
-// A leader's scale-out request is carried out long after another leads. The successor goes on with
-// it under its name, so that the late one rents nothing more.
+// A leader's scale-out request is executed long after another controller became leader. The
+// successor repeats the request under the same name, so that the late one provisions nothing.
 func TestScaleOutOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 71, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
@@ -36,7 +36,7 @@
 		a := array(1, 8, 30)
 		sim.Submit(a, 0)
 		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
-		waitUntil(t, 20*time.Second, "a rental on its way", requestDelayed)
+		waitUntil(t, 20*time.Second, "a scale-out request on its way", requestDelayed)
 		killed := sim.Leader()
 		sim.KillController(killed)
 		sim.DelayCloudRequests(0, 0, 45*time.Second)
@@ -48,15 +48,16 @@
 			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
 		}
 		if recorded != (late.Provisioned == 0) {
-			t.Errorf("%d machines were rented late", late.Provisioned)
+			t.Errorf("%d machines were provisioned late", late.Provisioned)
 		}
 		at(140 * time.Second)
 		mustFinish(t, sim, a)
 	})
 }
 
-// A leader's scale-in request is carried out long after another leads. The successor returns the
-// machine itself, so that nothing runs on it when the late one comes.
+// A leader's scale-in request is executed long after another controller became leader. The
+// successor returns the machine itself, so that no task runs on it when the late request is
+// executed.
 func TestScaleInOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 72, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
@@ -66,7 +67,7 @@
 		at(20 * time.Second)
 		sim.DelayCloudRequests(0, 40, 45*time.Second)
 		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
-		waitUntil(t, 150*time.Second, "a release on its way", requestDelayed)
+		waitUntil(t, 150*time.Second, "a scale-in request on its way", requestDelayed)
 		killed := sim.Leader()
 		sim.KillController(killed)
 		sim.DelayCloudRequests(0, 0, 45*time.Second)
@@ -80,15 +81,15 @@
 			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
 		}
 		if recorded != (late.EndedTasks == 0) {
-			t.Errorf("a late release took %d machines with %d tasks", late.ScaledIn, late.EndedTasks)
+			t.Errorf("late scale-in requests returned %d machines on which %d tasks ran", late.ScaledIn, late.EndedTasks)
 		}
 		time.Sleep(200 * time.Second)
 		mustFinish(t, sim, first, next)
 	})
 }
 
-// Writes of intents are carried out without an answer, late or at once: what is provisioned
-// and returned is still right, and nothing is left in the records.
+// Writes of intents are executed without an answer, late or at once. All jobs must still finish,
+// and no machine may be left afterwards.
 func TestIntentWritesUnanswered(t *testing.T) {
 	t.Parallel()
 	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 73, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -102,18 +103,18 @@
 		at(150 * time.Second)
 		hit := faultedTransactions(sim, "intent/", func(*simulator.TxnOutcome) bool { return true })
 		if len(hit) < 2 {
-			t.Fatalf("%d writes of intents were hit", len(hit))
+			t.Fatalf("%d writes of intents were hit by a fault, want 2 or more", len(hit))
 		}
 		endFaultsAndWait(sim, 60*time.Second)
 		mustFinish(t, sim, a)
 		if n := sim.Machines(); n > 0 {
-			t.Errorf("%d machines are kept for nothing", n)
+			t.Errorf("%d machines are left with no job to run, want 0", n)
 		}
 	})
 }
 
-// Records of intents that can't be decoded are never overwritten. What rests on them is
-// refused, and all else goes on.
+// Records of intents that can't be decoded are never overwritten. While such a record exists, no
+// machine is provisioned; scheduling goes on.
 func TestUndecodableIntents(t *testing.T) {
 	t.Parallel()
 	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 74, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -129,24 +130,24 @@
 		sim.Submit(b, 0)
 		time.Sleep(30 * time.Second)
 		if n := sim.ProvisionedSoFar(); n != provisioned {
-			t.Errorf("%d machines were rented without a record", n-provisioned)
+			t.Errorf("%d machines were provisioned although the record can't be decoded", n-provisioned)
 		}
 		if now := sim.State.Revision("intent/renting"); now != damaged {
-			t.Error("the record was overwritten")
+			t.Error("the record of intents was overwritten")
 		}
 		sim.State.Delete("intent/renting")
 		replaceLeader(t, sim)
 		time.Sleep(150 * time.Second)
 		mustFinish(t, sim, b)
 		if len(sim.State.Keys(store.LeaderKey)) != 1 {
-			t.Error("nobody leads")
+			t.Error("no controller leads")
 		}
 	})
 }
 
-// What recording intents costs the key-value store on a day of rushes: at most one
-// change for each time that a machine is provisioned or returned.
-func TestCostOfIntents(t *testing.T) {
+// Under bursts of jobs, recording intents costs the key-value store at most one change for each
+// time that a machine is provisioned or returned.
+func TestIntentWriteCost(t *testing.T) {
 	t.Parallel()
 	withAndWithoutIntents(t, 75, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
 		for i := range 8 {
@@ -155,33 +156,33 @@
 		}
 		at(460 * time.Second)
 		machines, intents, all := sim.ProvisionedSoFar(), sim.State.Changes("intent/"), sim.State.Changes("")
-		t.Logf("%d machines rented, %d still there; %d changes of the state service, %d of them intents", machines, sim.Machines(), all, intents)
+		t.Logf("%d machines provisioned, %d of them left; %d changes of the key-value store, %d of them of intents", machines, sim.Machines(), all, intents)
 		if recorded && (intents == 0 || intents > 2*machines) || !recorded && intents > 0 {
-			t.Errorf("%d changes for %d machines", intents, machines)
+			t.Errorf("%d changes of intents for %d provisioned machines", intents, machines)
 		}
 	})
 }
 
-// mustScaleOutInTokenOrder checks that no leader provisioned once its successor had: a scale-out request's name
-// tells under which token it was decided on.
+// mustScaleOutInTokenOrder checks that no leader provisioned machines after its successor did so.
+// The name of a scale-out request contains the fencing token of the leader that decided on it.
 func mustScaleOutInTokenOrder(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	highest := uint64(0)
 	for _, name := range sim.ScaleOutNames() {
 		var token, number uint64
 		if _, err := fmt.Sscanf(name, "b-%d-%d", &token, &number); err != nil {
-			t.Fatalf("a booking is named %q", name)
+			t.Fatalf("a scale-out request is named %q, want b-TOKEN-NUMBER", name)
 		}
 		if token < highest {
-			t.Errorf("%s was filled after one of token %d", name, highest)
+			t.Errorf("scale-out request %s was filled after one with token %d", name, highest)
 		}
 		highest = max(highest, token)
 	}
 }
 
-// The leader is cut off from key-value store and peers, in each way, but not from workers
-// and the cloud; another leads on the other side, and both have work to rent for. Only
-// one of them rents, and no machine is leaked.
+// A partition cuts the leader off from the key-value store and its peers, in each mode, but not
+// from workers and the cloud. Another controller becomes leader, and both have jobs that need more
+// machines. Only one of them may provision, and no machine may be leaked.
 func TestOnlyOneSideOfPartitionScalesOut(t *testing.T) {
 	t.Parallel()
 	for i, mode := range simulator.CutModes {
@@ -192,13 +193,13 @@
 				first := array(1, 16, 20)
 				sim.Submit(first, 0)
 				at(8 * time.Second)
-				old := sim.Leader()
-				sim.IsolateController(old, mode, true)
+				isolated := sim.Leader()
+				sim.IsolateController(isolated, mode, true)
 				second := array(2, 16, 20)
 				sim.Submit(second, 0)
-				awaitOtherLeader(t, sim, old, 30*time.Second)
+				awaitOtherLeader(t, sim, isolated, 30*time.Second)
 				time.Sleep(40 * time.Second)
-				sim.IsolateController(old, mode, false)
+				sim.IsolateController(isolated, mode, false)
 				time.Sleep(120 * time.Second)
 				mustScaleOutInTokenOrder(t, sim)
 				mustFinish(t, sim, first, second)
@@ -211,18 +212,18 @@
 	}
 }
 
-// The leader ends with each step half done: provisioned and not answered, returned and not
-// answered, recorded and never sent (the cloud is away). Its successor leaks nothing and
-// rents nothing twice.
-func TestLeaderEndsWithScalingHalfDone(t *testing.T) {
+// The leader is killed in the middle of a scale-out or scale-in: after the cloud executed a request
+// but its answer was lost, or after the intent was recorded but could not be sent since the cloud
+// is down. The successor must leak no machine and provision none twice.
+func TestLeaderKilledDuringScaling(t *testing.T) {
 	t.Parallel()
 	steps := map[string]struct {
 		begin, end func(sim *simulator.Simulation)
 	}{
-		"rented":          {func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(0) }},
-		"returned":        {func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(0) }},
-		"only recorded":   {func(sim *simulator.Simulation) { sim.CloudOutage(true) }, func(sim *simulator.Simulation) { sim.CloudOutage(false) }},
-		"recorded, twice": {func(sim *simulator.Simulation) { sim.State.LoseAnswers(2) }, func(*simulator.Simulation) {}},
+		"provisioned, answer lost":                {func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(0) }},
+		"returned, answer lost":                   {func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(0) }},
+		"recorded, cloud down":                    {func(sim *simulator.Simulation) { sim.CloudOutage(true) }, func(sim *simulator.Simulation) { sim.CloudOutage(false) }},
+		"recorded, two answers of the store lost": {func(sim *simulator.Simulation) { sim.State.LoseAnswers(2) }, func(*simulator.Simulation) {}},
 	}
 	for name, step := range steps {
 		t.Run(name, func(t *testing.T) {
@@ -250,8 +251,8 @@
 	}
 }
 
-// A job is cleaned up while it is read slowly: between the two keys under which it may
-// lie. The reader finds it in one of them.
+// A job's record is replaced by its final record, under another key, while a controller reads both
+// keys slowly. The controller must find the job under one of them.
 func TestJobArchivedDuringSlowRead(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 130, func(sim *simulator.Simulation, at func(time.Duration)) {
