--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -144,8 +144,8 @@
 		at(18 * time.Second)
 		checkInvalid(true)
 		// An array as a whole may exceed its team's limit.
-		wide, s, cancelledJob := array(1, 60, 3), service(2, 2), service(3, 2)
-		for _, j := range []simulator.JobScript{wide, s, cancelledJob} {
+		wide, serviceJob, cancelledJob := array(1, 60, 3), service(2, 2), service(3, 2)
+		for _, j := range []simulator.JobScript{wide, serviceJob, cancelledJob} {
 			sim.Submit(j, 0)
 		}
 		time.Sleep(2 * time.Second)
@@ -155,7 +155,7 @@
 		mustFinish(t, sim, wide)
 		checkKnownJobs := func() {
 			t.Helper()
-			for j, want := range map[*simulator.JobScript]wire.Status{&wide: wire.StatusDone, &s: wire.StatusQueued, &cancelledJob: wire.StatusCancelled} {
+			for j, want := range map[*simulator.JobScript]wire.Status{&wide: wire.StatusDone, &serviceJob: wire.StatusQueued, &cancelledJob: wire.StatusCancelled} {
 				checkAnswer("repeat of "+string(want), "POST", "/v1/jobs", simulator.Submission(j.Spec), 200, want)
 				if want != wire.StatusQueued {
 					checkAnswer("cancel of "+string(want), "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil, 200, want)
@@ -176,9 +176,9 @@
 		sim.CloudOutage(false)
 		time.Sleep(20 * time.Second)
 		checkKnownJobs()
-		mustRun(t, sim, s, "after the restart of all controllers")
+		mustRun(t, sim, serviceJob, "after the restart of all controllers")
 		for _, k := range sim.State.Keys("job/") {
-			if !strings.HasSuffix(k, string(s.Spec.ID)) {
+			if !strings.HasSuffix(k, string(serviceJob.Spec.ID)) {
 				t.Errorf("%s exists, want no record but that of the service", k)
 			}
 		}
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -155,10 +155,10 @@
 	}
 }
 
-// mustRecover checks that the deployment recovers; it is called when all faults have ended.
-// Every controller must answer about every accepted job that nobody cancelled within 75 s, and
-// each of these jobs must run or be complete after 90 s. The given jobs must complete after
-// that, those of them that are services must run.
+// mustRecover checks that the deployment recovers; call it when all faults have ended. It looks at
+// all accepted jobs that nobody cancelled: within 75 s every controller must answer about each of
+// them, and after 90 s each must be complete or have a task on a machine. After that it checks
+// that the given jobs complete or, if they are services, run.
 func mustRecover(t *testing.T, sim *simulator.Simulation, size int, jobs ...simulator.JobScript) {
 	t.Helper()
 	faultsOver := time.Now()
@@ -184,8 +184,8 @@
 	}
 }
 
-// mustAnswerAll checks that every controller answers about every accepted job that nobody
-// cancelled, within 75 s after the end of all faults.
+// mustAnswerAll checks that within 75 s after the end of all faults every controller answers about
+// every accepted job that nobody cancelled.
 func mustAnswerAll(t *testing.T, sim *simulator.Simulation, size int, faultsOver time.Time) {
 	t.Helper()
 	var ids []wire.JobID
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -16,25 +16,25 @@
 func TestJobsRunWithoutFailures(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 1, func(sim *simulator.Simulation, at func(time.Duration)) {
-		a, b, s := array(1, 10, 15), array(2, 6, 20), service(3, 3)
+		first, second, serviceJob := array(1, 10, 15), array(2, 6, 20), service(3, 3)
 		cancelledJob := service(4, 2)
 		at(2 * time.Second)
-		submitAll(sim, a, s)
+		submitAll(sim, first, serviceJob)
 		sim.Submit(cancelledJob, 60*time.Second)
 		at(30 * time.Second)
-		sim.Submit(b, 0)
+		sim.Submit(second, 0)
 		at(150 * time.Second)
-		mustFinish(t, sim, a, b)
+		mustFinish(t, sim, first, second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(cancelledJob.Spec.ID) != 0 {
-				t.Errorf("the service has %d replicas, want 3; the cancelled one has %d, want 0", c.OnMachines(s.Spec.ID), c.OnMachines(cancelledJob.Spec.ID))
+			if c.OnMachines(serviceJob.Spec.ID) != 3 || c.OnMachines(cancelledJob.Spec.ID) != 0 {
+				t.Errorf("the service has %d replicas, want 3; the cancelled one has %d, want 0", c.OnMachines(serviceJob.Spec.ID), c.OnMachines(cancelledJob.Spec.ID))
 			}
 		})
 		if keys := sim.State.Keys("run/req-000001/"); len(keys) != 0 {
 			t.Errorf("progress records of a finished job are left: %v", keys)
 		}
 		// A repeated submission of a finished job is answered with the job's status.
-		status, raw, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(a.Spec))
+		status, raw, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(first.Spec))
 		var summary wire.JobSummary
 		if status != 200 || wire.Decode(raw, &summary) != nil || summary.Status != wire.StatusDone {
 			t.Errorf("repeated submission is answered %d %+v, want 200 and done", status, summary)
@@ -232,11 +232,11 @@
 func TestLargestArray(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 36, func(sim *simulator.Simulation, at func(time.Duration)) {
-		j, s := array(1, wire.MaxTasks, 20), service(2, 3)
-		j.Spec.ExpectedRunTime = 2
+		large, serviceJob := array(1, wire.MaxTasks, 20), service(2, 3)
+		large.Spec.ExpectedRunTime = 2
 		at(2 * time.Second)
-		sim.Submit(j, 100*time.Second)
-		sim.Submit(s, 0)
+		sim.Submit(large, 100*time.Second)
+		sim.Submit(serviceJob, 0)
 		at(60 * time.Second)
 		status, raw, _ := sim.Ask(1, "GET", "/v1/jobs/req-000001", nil)
 		var state wire.JobState
@@ -245,7 +245,7 @@
 		}
 		at(150 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if tasks, replicas := c.OnMachines(j.Spec.ID), c.OnMachines(s.Spec.ID); tasks != 0 || replicas != 3 {
+			if tasks, replicas := c.OnMachines(large.Spec.ID), c.OnMachines(serviceJob.Spec.ID); tasks != 0 || replicas != 3 {
 				t.Errorf("%d tasks of the cancelled array are on machines, want 0; %d replicas, want 3", tasks, replicas)
 			}
 		})
@@ -284,15 +284,15 @@
 	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
 	set.Limits = config.ProcessLimits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
 	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
-		a, b, cancelledJob := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
+		first, second, cancelledJob := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
 		at(3 * time.Second)
-		sim.Submit(a, 0)
+		sim.Submit(first, 0)
 		sim.Submit(cancelledJob, 45*time.Second)
 		at(30 * time.Second)
-		sim.Submit(b, 0)
+		sim.Submit(second, 0)
 		at(60 * time.Second)
 		sim.KillController(sim.Leader())
 		at(240 * time.Second)
-		mustFinish(t, sim, a, b)
+		mustFinish(t, sim, first, second)
 	})
 }
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -33,8 +33,8 @@
 	withAndWithoutIntents(t, 71, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
 		sim.DelayCloudRequests(40, 0, 45*time.Second)
-		a := array(1, 8, 30)
-		sim.Submit(a, 0)
+		job := array(1, 8, 30)
+		sim.Submit(job, 0)
 		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
 		waitUntil(t, 20*time.Second, "a scale-out request on its way", requestDelayed)
 		killed := sim.Leader()
@@ -45,13 +45,13 @@
 		at(100 * time.Second)
 		late := sim.LateCloudRequests()
 		if late.CarriedOut != late.Delayed {
-			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
+			t.Fatalf("%d of %d delayed scale-out requests were executed, want all", late.CarriedOut, late.Delayed)
 		}
 		if recorded != (late.Provisioned == 0) {
 			t.Errorf("%d machines were provisioned late", late.Provisioned)
 		}
 		at(140 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, job)
 	})
 }
 
@@ -78,7 +78,7 @@
 		time.Sleep(60 * time.Second)
 		late := sim.LateCloudRequests()
 		if late.CarriedOut != late.Delayed {
-			t.Fatalf("%d of %d were carried out late", late.CarriedOut, late.Delayed)
+			t.Fatalf("%d of %d delayed scale-in requests were executed, want all", late.CarriedOut, late.Delayed)
 		}
 		if recorded != (late.EndedTasks == 0) {
 			t.Errorf("late scale-in requests returned %d machines on which %d tasks ran", late.ScaledIn, late.EndedTasks)
@@ -96,8 +96,8 @@
 		at(2 * time.Second)
 		sim.State.InjectTxnFaults(5, simulator.TxnFault{Prefix: "intent/", Share: 0.6, Late: [2]time.Duration{time.Second, 8 * time.Second}},
 			simulator.TxnFault{Prefix: "intent/", Share: 0.6})
-		a := array(1, 24, 12)
-		sim.Submit(a, 0)
+		job := array(1, 24, 12)
+		sim.Submit(job, 0)
 		at(60 * time.Second)
 		restartLeader(t, sim, 2*time.Second)
 		at(150 * time.Second)
@@ -106,7 +106,7 @@
 			t.Fatalf("%d writes of intents were hit by a fault, want 2 or more", len(hit))
 		}
 		endFaultsAndWait(sim, 60*time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, job)
 		if n := sim.Machines(); n > 0 {
 			t.Errorf("%d machines are left with no job to run, want 0", n)
 		}
@@ -119,15 +119,15 @@
 	t.Parallel()
 	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 74, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
-		a := array(1, 4, 10)
-		sim.Submit(a, 0)
+		first := array(1, 4, 10)
+		sim.Submit(first, 0)
 		at(60 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, first)
 		damaged := sim.State.Put("intent/renting", "no record of intents")
 		replaceLeader(t, sim)
 		provisioned := sim.ProvisionedSoFar()
-		b := array(2, 30, 30)
-		sim.Submit(b, 0)
+		second := array(2, 30, 30)
+		sim.Submit(second, 0)
 		time.Sleep(30 * time.Second)
 		if n := sim.ProvisionedSoFar(); n != provisioned {
 			t.Errorf("%d machines were provisioned although the record can't be decoded", n-provisioned)
@@ -138,7 +138,7 @@
 		sim.State.Delete("intent/renting")
 		replaceLeader(t, sim)
 		time.Sleep(150 * time.Second)
-		mustFinish(t, sim, b)
+		mustFinish(t, sim, second)
 		if len(sim.State.Keys(store.LeaderKey)) != 1 {
 			t.Error("no controller leads")
 		}
@@ -205,16 +205,17 @@
 				mustFinish(t, sim, first, second)
 				time.Sleep(60 * time.Second)
 				if n := sim.Machines(); n > 0 {
-					t.Errorf("%d machines are left", n)
+					t.Errorf("%d machines are left, want 0", n)
 				}
 			})
 		})
 	}
 }
 
-// The leader is killed in the middle of a scale-out or scale-in: after the cloud executed a request
-// but its answer was lost, or after the intent was recorded but could not be sent since the cloud
-// is down. The successor must leak no machine and provision none twice.
+// The leader is killed in the middle of a scale-out or scale-in. Either the cloud executed a request
+// and its answer was lost, or an intent was recorded and the request could not be sent: the cloud is
+// down, or the answer of the key-value store was lost. The successor must leak no machine and
+// provision none twice.
 func TestLeaderKilledDuringScaling(t *testing.T) {
 	t.Parallel()
 	steps := map[string]struct {
@@ -234,17 +235,17 @@
 				sim.Submit(early, 0)
 				at(30 * time.Second)
 				step.begin(sim)
-				a := array(2, 10, 15)
-				sim.Submit(a, 0)
+				late := array(2, 10, 15)
+				sim.Submit(late, 0)
 				at(45 * time.Second)
 				restartLeader(t, sim, 5*time.Second)
 				step.end(sim)
 				at(150 * time.Second)
-				mustFinish(t, sim, early, a)
+				mustFinish(t, sim, early, late)
 				mustScaleOutInTokenOrder(t, sim)
 				at(230 * time.Second)
 				if n := sim.Machines(); n > 0 {
-					t.Errorf("%d machines are left", n)
+					t.Errorf("%d machines are left, want 0", n)
 				}
 			})
 		})
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -79,9 +79,9 @@
 				t.Fatal(err)
 			}
 		}
-		a, s, g, later := array(1, 6, 400), service(2, 3), gang(3, 3, 400), array(4, 4, 10)
+		arrayJob, serviceJob, gangJob, later := array(1, 6, 400), service(2, 3), gang(3, 3, 400), array(4, 4, 10)
 		at(2 * time.Second)
-		for _, j := range []simulator.JobScript{a, s, g} {
+		for _, j := range []simulator.JobScript{arrayJob, serviceJob, gangJob} {
 			sim.Submit(j, 0)
 		}
 		at(60 * time.Second)
@@ -111,8 +111,8 @@
 		at(150 * time.Second)
 		mustFinish(t, sim, later)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(a.Spec.ID) != 6 || c.OnMachines(s.Spec.ID) != 3 || c.OnMachines(g.Spec.ID) != 3 || c.Restarts() != restartsBefore {
-				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 gang tasks run, %d tasks were started again", c.OnMachines(a.Spec.ID), c.OnMachines(s.Spec.ID), c.OnMachines(g.Spec.ID), c.Restarts()-restartsBefore)
+			if c.OnMachines(arrayJob.Spec.ID) != 6 || c.OnMachines(serviceJob.Spec.ID) != 3 || c.OnMachines(gangJob.Spec.ID) != 3 || c.Restarts() != restartsBefore {
+				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 gang tasks run, %d tasks were started again", c.OnMachines(arrayJob.Spec.ID), c.OnMachines(serviceJob.Spec.ID), c.OnMachines(gangJob.Spec.ID), c.Restarts()-restartsBefore)
 			}
 		})
 		for key := range undecodable {
@@ -145,12 +145,12 @@
 			}
 		}
 		// A job with undecodable progress can be cancelled, and its running tasks end.
-		if !cancelWithin(t, sim, a.Spec.ID, 10*time.Second) {
+		if !cancelWithin(t, sim, arrayJob.Spec.ID, 10*time.Second) {
 			t.Error("the job with undecodable progress was not cancelled within 10 s")
 		}
 		at(220 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n := c.OnMachines(a.Spec.ID); n != 0 {
+			if n := c.OnMachines(arrayJob.Spec.ID); n != 0 {
 				t.Errorf("%d tasks of the cancelled job run, want 0", n)
 			}
 			c.Finish(time.Now())
@@ -158,7 +158,7 @@
 				t.Errorf("%6.1f s %s: %s", v.At.Sub(begin).Seconds(), v.Rule, v.What)
 			}
 		})
-		if keys := slices.Concat(sim.State.Keys(store.JobKey(a.Spec.ID)), sim.State.Keys(store.ProgressPrefix+string(a.Spec.ID)+"/")); len(keys) > 0 {
+		if keys := slices.Concat(sim.State.Keys(store.JobKey(arrayJob.Spec.ID)), sim.State.Keys(store.ProgressPrefix+string(arrayJob.Spec.ID)+"/")); len(keys) > 0 {
 			t.Errorf("records of the cancelled job are left: %v", keys)
 		}
 		if t.Failed() {
@@ -192,8 +192,8 @@
 		}
 		time.Sleep(5 * time.Second)
 		leader, leaderKeyRevision := sim.Leader(), sim.LeaderKeyRevision()
-		j := array(1, 6, 10)
-		sim.Submit(j, 0)
+		job := array(1, 6, 10)
+		sim.Submit(job, 0)
 		var protocols http.Protocols // peers send heartbeats over HTTP/2
 		protocols.SetUnencryptedHTTP2(true)
 		peerClient := &http.Client{Transport: &http.Transport{Protocols: &protocols, DialContext: sim.Net.Host("10.3.0.8").Dial}}
@@ -214,7 +214,7 @@
 			time.Sleep(time.Second)
 		}
 		peerClient.CloseIdleConnections()
-		mustFinish(t, sim, j)
+		mustFinish(t, sim, job)
 		if sim.Leader() != leader || sim.LeaderKeyRevision() != leaderKeyRevision {
 			t.Errorf("node %d leads, want node %d without a new election", sim.Leader(), leader)
 		}
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -213,9 +213,9 @@
 	} {
 		runWithProgram(t, uint64(90+i), newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
 			sim.State.InjectTxnFaults(uint64(i), fault)
-			a := array(1, 6, 20)
+			job := array(1, 6, 20)
 			at(500 * time.Millisecond)
-			sim.Submit(a, 0)
+			sim.Submit(job, 0)
 			hit := func() bool { return len(sim.State.TxnOutcomes()) > 0 }
 			waitUntil(t, 30*time.Second, "a version switch under way", hit)
 			killed := sim.Leader()
@@ -224,8 +224,8 @@
 			startControllers(t, sim, killed)
 			eventually(t, 60*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
 			time.Sleep(60 * time.Second)
-			mustFinish(t, sim, a)
-			mustAccountForAll(t, sim, "after the switch", []int{0, 1, 2}, []simulator.JobScript{a})
+			mustFinish(t, sim, job)
+			mustAccountForAll(t, sim, "after the switch", []int{0, 1, 2}, []simulator.JobScript{job})
 		})
 	}
 }
@@ -240,10 +240,10 @@
 		// by a program that negotiates no versions.
 		sim.State.Put(store.SettingsKey, map[string]any{"upgrade.max_version": 1.0})
 		at(2 * time.Second)
-		a := array(1, 4, 10)
-		sim.Submit(a, 0)
+		job := array(1, 4, 10)
+		sim.Submit(job, 0)
 		at(45 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, job)
 		p.replace(t, sim, 2, nonNegotiating)
 		time.Sleep(5 * time.Second)
 		sim.State.Put(store.SettingsKey, map[string]any{})
@@ -299,8 +299,8 @@
 	t.Parallel()
 	runWithProgram(t, 96, newProgram, func(sim *simulator.Simulation, p *programs, at func(time.Duration)) {
 		at(2 * time.Second)
-		s := service(1, 2)
-		sim.Submit(s, 0)
+		serviceJob := service(1, 2)
+		sim.Submit(serviceJob, 0)
 		eventually(t, 40*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
 		at(60 * time.Second)
 		old := (sim.Leader() + 1) % 3
@@ -313,7 +313,7 @@
 		sim.State.Outage(false)
 		time.Sleep(20 * time.Second)
 		mustRefuse(t, sim, old, "after the outage")
-		mustRun(t, sim, s, "while one controller refuses")
+		mustRun(t, sim, serviceJob, "while one controller refuses")
 		if n := len(sim.State.Keys("version/support/")); n != 3 {
 			t.Errorf("%d controllers have published their versions, want 3", n)
 		}
@@ -328,8 +328,8 @@
 	runWithProgram(t, 97, newProgram, func(sim *simulator.Simulation, p *programs, at func(time.Duration)) {
 		p.replace(t, sim, 1, oldProgram)
 		at(5 * time.Second)
-		a, s := array(1, 8, 40), service(2, 2)
-		submitAll(sim, a, s)
+		arrayJob, serviceJob := array(1, 8, 40), service(2, 2)
+		submitAll(sim, arrayJob, serviceJob)
 		at(20 * time.Second)
 		sim.PartitionZones("a", "b", true) // controllers 0 and 2 are in zone a, controller 1 in zone b
 		time.Sleep(25 * time.Second)
@@ -341,8 +341,8 @@
 		sim.PartitionZones("a", "b", false)
 		eventually(t, 60*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
 		time.Sleep(60 * time.Second)
-		mustFinish(t, sim, a)
-		mustRun(t, sim, s, "after the partition")
+		mustFinish(t, sim, arrayJob)
+		mustRun(t, sim, serviceJob, "after the partition")
 	})
 }
 
@@ -351,10 +351,10 @@
 	t.Parallel()
 	runWithProgram(t, 98, newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
 		at(2 * time.Second)
-		a := array(1, 4, 10)
-		sim.Submit(a, 0)
+		job := array(1, 4, 10)
+		sim.Submit(job, 0)
 		at(45 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, job)
 		other := (sim.Leader() + 1) % 3
 		sim.State.Put(upgrade.SupportKey(sim.Config(other).HostName), upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "another process"})
 		time.Sleep(10 * time.Second)
@@ -379,12 +379,12 @@
 			intact := sim.State.Value(key)
 			revision := sim.State.Put(key, "no version")
 			time.Sleep(10 * time.Second)
-			a := array(1, 4, 10)
-			sim.Submit(a, 0)
+			job := array(1, 4, 10)
+			sim.Submit(job, 0)
 			sim.KillController(0)
 			startControllers(t, sim, 0)
 			time.Sleep(45 * time.Second)
-			mustFinish(t, sim, a)
+			mustFinish(t, sim, job)
 			mustRefuse(t, sim, 0, key)
 			if sim.State.Revision(key) != revision {
 				t.Errorf("%s was overwritten", key)
@@ -404,12 +404,12 @@
 	t.Parallel()
 	runWithProgram(t, 100, newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
 		at(5 * time.Second)
-		a, later := array(1, 4, 10), array(2, 4, 10)
+		job, later := array(1, 4, 10), array(2, 4, 10)
 		revision := sim.State.Put("job/"+string(later.Spec.ID), map[string]any{"spec": later.Spec, "status": "queued", "at": 1796000000123, "needs": 99})
-		sim.Submit(a, 0)
+		sim.Submit(job, 0)
 		replaceLeader(t, sim)
 		time.Sleep(60 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, job)
 		for i := range 3 {
 			if status, _, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(later.Spec.ID), nil); status != http.StatusServiceUnavailable {
 				t.Errorf("controller %d answers %d about the job of a later version, want 503", i, status)
