--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -8,15 +8,15 @@
 	"lilaclead/internal/simulator"
 )
 
-// All nodes end during an outage: leases run out, and nothing may run twice
-// when the nodes come back.
+// All controllers are killed during an outage of the key-value store, in which leases expire. No
+// task may run twice when the controllers restart.
 func TestAllControllersRestartDuringOutage(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		runOnBothLayouts(t, 20+seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-			a, s := array(1, 10, 30), service(2, 3)
+			arrayJob, serviceJob := array(1, 10, 30), service(2, 3)
 			at(2 * time.Second)
-			submitAll(sim, a, s)
+			submitAll(sim, arrayJob, serviceJob)
 			at(35 * time.Second)
 			sim.State.Outage(true)
 			at(50 * time.Second)
@@ -26,55 +26,55 @@
 			at(time.Duration(60+8*seed) * time.Second)
 			sim.State.Outage(false)
 			at(220 * time.Second)
-			mustFinish(t, sim, a)
-			mustRun(t, sim, s, "run")
+			mustFinish(t, sim, arrayJob)
+			mustRun(t, sim, serviceJob, "at the end")
 		})
 	}
 }
 
-// All controllers end within a burst while the key-value store is just back; the
-// first is up again within a moment, and all end once more in the middle of its
-// election, while copies of old heartbeats come in and submissions are repeated.
-// The replicas must outlive it, and nothing may run twice or be forgotten.
+// All controllers are killed after a burst of submissions, just as an outage of the key-value store
+// ends. The first one restarts a moment later, and all are killed again in the middle of its
+// election. Meanwhile copies of old heartbeats arrive, and users repeat their submissions. The
+// replicas must survive, no task may run twice, and no job may be forgotten.
 func TestAllControllersRestartDuringElection(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 40, func(sim *simulator.Simulation, at func(time.Duration)) {
-		all := func(f func(i int)) {
-			for i := range 5 {
-				f(i)
+		forAllControllers := func(action func(node int)) {
+			for node := range 5 {
+				action(node)
 			}
 		}
-		up := func(i int) {
+		start := func(i int) {
 			if err := sim.StartController(i); err != nil {
 				t.Error(err)
 			}
 		}
-		s, burst := service(1, 4), []simulator.JobScript{}
+		serviceJob, burst := service(1, 4), []simulator.JobScript{}
 		at(2 * time.Second)
-		sim.Submit(s, 0)
+		sim.Submit(serviceJob, 0)
 		at(40 * time.Second)
 		for n := range 12 {
 			burst = append(burst, array(10+n, 6, 20))
 			sim.Submit(burst[n], 0)
 		}
-		for _, id := range sim.MachinesRunning(s.Spec.ID) {
+		for _, id := range sim.MachinesRunning(serviceJob.Spec.ID) {
 			sim.ResendLastHeartbeat(id, 3*time.Second, 8*time.Second, 12*time.Second, 25*time.Second)
 		}
 		sim.State.Outage(true)
 		at(46 * time.Second)
 		sim.State.Outage(false)
-		all(sim.KillController)
+		forAllControllers(sim.KillController)
 		at(46300 * time.Millisecond)
-		up(0)
+		start(0)
 		at(47 * time.Second)
-		up(1)
-		at(49500 * time.Millisecond) // about when the last leader's grant ends
-		all(sim.KillController)
+		start(1)
+		at(49500 * time.Millisecond) // about when the last leader's grant expires
+		forAllControllers(sim.KillController)
 		at(49700 * time.Millisecond)
-		all(up)
+		forAllControllers(start)
 		at(58 * time.Second)
 		if l := sim.Leader(); l < 0 {
-			t.Error("nobody leads 8 s after the last end")
+			t.Error("no leader 8 s after the controllers were killed for the second time")
 		}
 		for _, j := range burst {
 			if status, _, _ := sim.Ask(3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status != 200 && status != 201 && status != 503 {
@@ -82,61 +82,62 @@
 			}
 		}
 		at(70 * time.Second)
-		mustRun(t, sim, s, "after all that")
+		mustRun(t, sim, serviceJob, "after both restarts")
 		markFaultsOver(sim)
 		at(240 * time.Second)
 		mustFinish(t, sim, burst...)
 	})
 }
 
-// All controllers are away for longer than a lease, one or all come back, and
-// jobs were cancelled just before and are cancelled as soon as one is back: what
-// ran has ended everywhere, is started again once, and the cancelled are not.
+// All controllers are down for longer than a lease, then one or all of them restart. One job is
+// cancelled just before they are killed, another one as soon as a controller is back. Every task
+// must have ended when the controllers restart. The tasks of live jobs are started again once, those
+// of cancelled jobs are not.
 func TestAllControllersDownLongerThanLease(t *testing.T) {
 	t.Parallel()
-	for first, run := range map[int]scenarioRunner{0: runScenario, 1: runOnUnevenLayout, 3: runScenario} { // how many are back first; 0: the last leader
-		t.Run(fmt.Sprint("first back ", first), func(t *testing.T) {
+	for restartedFirst, run := range map[int]scenarioRunner{0: runScenario, 1: runOnUnevenLayout, 3: runScenario} { // which restart first: 0 the last leader, 1 another one, 3 all
+		t.Run(fmt.Sprint("restarted first ", restartedFirst), func(t *testing.T) {
 			t.Parallel()
 			run(t, 61, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, a, b := service(1, 4), array(2, 8, 40), array(3, 3, 30)
-				cancelledJob, late := service(4, 3), array(5, 4, 100)
+				serviceJob, arrayJob, lateArrayJob := service(1, 4), array(2, 8, 40), array(3, 3, 30)
+				cancelledBefore, cancelledAfter := service(4, 3), array(5, 4, 100)
 				at(2 * time.Second)
-				for _, j := range []simulator.JobScript{s, a, cancelledJob, late} {
+				for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledBefore, cancelledAfter} {
 					sim.Submit(j, 0)
 				}
 				at(45 * time.Second)
-				mustRun(t, sim, s, "before")
-				sim.Submit(b, 0)
+				mustRun(t, sim, serviceJob, "before the controllers are killed")
+				sim.Submit(lateArrayJob, 0)
 				time.Sleep(100 * time.Millisecond)
-				l := sim.Leader()
-				confirmed := cancelAtController(t, sim, (l+1)%3, cancelledJob)
+				leader := sim.Leader()
+				confirmed := cancelAtController(t, sim, (leader+1)%3, cancelledBefore)
 				killAll(sim)
 				if time.Since(confirmed) > 20*time.Millisecond {
-					t.Errorf("cancelled %v before the end of all", time.Since(confirmed))
+					t.Errorf("cancelled %v before all controllers were killed, want at most 20ms", time.Since(confirmed))
 				}
-				away := time.Now()
+				killedAt := time.Now()
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + 5*time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
-					for _, j := range []simulator.JobScript{s, a, cancelledJob, late} {
+					for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledBefore, cancelledAfter} {
 						if c.OnMachines(j.Spec.ID) != 0 {
-							t.Errorf("%s is on a machine %v after the end of all", j.Spec.ID, time.Since(away))
+							t.Errorf("%s has tasks on machines %v after all controllers were killed, want none", j.Spec.ID, time.Since(killedAt))
 						}
 					}
 				})
-				back := []int{l}
-				if first == 1 {
-					back = []int{(l + 1) % 3}
-				} else if first == 3 {
-					back = []int{0, 1, 2}
+				restarted := []int{leader}
+				if restartedFirst == 1 {
+					restarted = []int{(leader + 1) % 3}
+				} else if restartedFirst == 3 {
+					restarted = []int{0, 1, 2}
 				}
-				startControllers(t, sim, back...)
-				cancelAtController(t, sim, back[0], late)
+				startControllers(t, sim, restarted...)
+				cancelAtController(t, sim, restarted[0], cancelledAfter)
 				time.Sleep(10 * time.Second)
 				startControllers(t, sim, 0, 1, 2)
-				mustRecover(t, sim, 3, s, a, b)
+				mustRecover(t, sim, 3, serviceJob, arrayJob, lateArrayJob)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(cancelledJob.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
-						t.Errorf("%d tasks of cancelled jobs", n)
+					if n := c.OnMachines(cancelledBefore.Spec.ID) + c.OnMachines(cancelledAfter.Spec.ID); n != 0 {
+						t.Errorf("%d tasks of cancelled jobs on machines, want 0", n)
 					}
 				})
 			})
@@ -144,67 +145,67 @@
 	}
 }
 
-// Leadership moves to another controller and back, all controllers end, and one returns
-// within a second, is ended in the middle of its election (its key is written,
-// nothing is read yet), and another one returns.
+// Leadership moves to another controller and back, then all controllers are killed. One restarts
+// after a pause and is killed in the middle of its election, when it has written the leader's key
+// and read nothing yet. Then another one restarts.
 func TestLeadershipReturnsThenAllControllersRestart(t *testing.T) {
 	t.Parallel()
-	for k, back := range []time.Duration{50 * time.Millisecond, 450 * time.Millisecond, 950 * time.Millisecond, 3 * time.Second} {
-		same := k%2 == 0
-		t.Run(fmt.Sprintf("back after %v, the same one %v", back, same), func(t *testing.T) {
+	for caseNumber, pause := range []time.Duration{50 * time.Millisecond, 450 * time.Millisecond, 950 * time.Millisecond, 3 * time.Second} {
+		lastLeaderFirst := caseNumber%2 == 0
+		t.Run(fmt.Sprintf("restart after %v, last leader first %v", pause, lastLeaderFirst), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 63, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, a, b := service(1, 4), array(2, 6, 50), array(3, 4, 20)
-				cancelledJob, fresh := array(4, 4, 200), array(5, 4, 200)
+				serviceJob, arrayJob, lateArrayJob := service(1, 4), array(2, 6, 50), array(3, 4, 20)
+				cancelledBefore, cancelledDuring := array(4, 4, 200), array(5, 4, 200)
 				at(2 * time.Second)
-				for _, j := range []simulator.JobScript{s, a, cancelledJob, fresh} {
+				for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledBefore, cancelledDuring} {
 					sim.Submit(j, 0)
 				}
 				at(40 * time.Second)
-				one := sim.Leader()
-				sim.State.RefuseClient(simulator.NodeIP(one), true)
-				two := awaitOtherLeader(t, sim, one, 10*time.Second)
-				sim.State.RefuseClient(simulator.NodeIP(one), false)
+				first := sim.Leader()
+				sim.State.RefuseClient(simulator.NodeIP(first), true)
+				second := awaitOtherLeader(t, sim, first, 10*time.Second)
+				sim.State.RefuseClient(simulator.NodeIP(first), false)
 				time.Sleep(500 * time.Millisecond)
-				third := 3 - one - two
-				sim.KillController(third) // so that it goes back
-				sim.State.RefuseClient(simulator.NodeIP(two), true)
-				if awaitOtherLeader(t, sim, two, 10*time.Second) != one {
-					t.Fatal("not handed back")
+				third := 3 - first - second
+				sim.KillController(third) // so that leadership can only return
+				sim.State.RefuseClient(simulator.NodeIP(second), true)
+				if awaitOtherLeader(t, sim, second, 10*time.Second) != first {
+					t.Fatal("leadership did not return to the first leader")
 				}
-				sim.State.RefuseClient(simulator.NodeIP(two), false)
-				sim.Submit(b, 0)
+				sim.State.RefuseClient(simulator.NodeIP(second), false)
+				sim.Submit(lateArrayJob, 0)
 				time.Sleep(150 * time.Millisecond)
-				cancelAtController(t, sim, two, cancelledJob)
-				sim.KillController(one)
-				sim.KillController(two)
-				old := sim.LeaderKeyRevision()
-				time.Sleep(back)
-				i, k := one, two
-				if !same {
-					i, k = two, one
+				cancelAtController(t, sim, second, cancelledBefore)
+				sim.KillController(first)
+				sim.KillController(second)
+				oldRevision := sim.LeaderKeyRevision()
+				time.Sleep(pause)
+				firstBack, secondBack := first, second
+				if !lastLeaderFirst {
+					firstBack, secondBack = second, first
 				}
-				startControllers(t, sim, i)
-				waitUntil(t, 8*time.Second, "an election", func() bool { return sim.LeaderKeyRevision() > old })
-				old = sim.LeaderKeyRevision()
-				sim.KillController(i) // it has been elected just now
-				if sim.Leader() != i {
-					t.Errorf("node %d leads, not %d", sim.Leader(), i)
+				startControllers(t, sim, firstBack)
+				waitUntil(t, 8*time.Second, "an election", func() bool { return sim.LeaderKeyRevision() > oldRevision })
+				oldRevision = sim.LeaderKeyRevision()
+				sim.KillController(firstBack) // it has just been elected
+				if sim.Leader() != firstBack {
+					t.Errorf("controller %d leads, want %d", sim.Leader(), firstBack)
 				}
-				time.Sleep(back)
-				startControllers(t, sim, k)
-				// Cancelled while nobody leads: the grant of the one that ended is not over.
-				cancelAtController(t, sim, k, fresh)
-				if back < time.Second && sim.LeaderKeyRevision() != old {
-					t.Error("cancelled after the election, not in it")
+				time.Sleep(pause)
+				startControllers(t, sim, secondBack)
+				// Nobody leads yet, since the grant of the killed controller has not expired.
+				cancelAtController(t, sim, secondBack, cancelledDuring)
+				if pause < time.Second && sim.LeaderKeyRevision() != oldRevision {
+					t.Error("the next leader was elected before the cancellation")
 				}
-				waitUntil(t, 8*time.Second, "the last election", func() bool { return sim.LeaderKeyRevision() > old })
+				waitUntil(t, 8*time.Second, "the last election", func() bool { return sim.LeaderKeyRevision() > oldRevision })
 				time.Sleep(time.Second)
 				startControllers(t, sim, 0, 1, 2)
-				mustRecover(t, sim, 3, s, a, b)
+				mustRecover(t, sim, 3, serviceJob, arrayJob, lateArrayJob)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(s.Spec.ID) != 4 || c.OnMachines(cancelledJob.Spec.ID)+c.OnMachines(fresh.Spec.ID) != 0 {
-						t.Errorf("%d of 4 replicas, %d and %d tasks of cancelled jobs", c.OnMachines(s.Spec.ID), c.OnMachines(cancelledJob.Spec.ID), c.OnMachines(fresh.Spec.ID))
+					if c.OnMachines(serviceJob.Spec.ID) != 4 || c.OnMachines(cancelledBefore.Spec.ID)+c.OnMachines(cancelledDuring.Spec.ID) != 0 {
+						t.Errorf("%d replicas, %d and %d tasks of cancelled jobs on machines, want 4, 0 and 0", c.OnMachines(serviceJob.Spec.ID), c.OnMachines(cancelledBefore.Spec.ID), c.OnMachines(cancelledDuring.Spec.ID))
 					}
 				})
 			})
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -8,86 +8,90 @@
 	"lilaclead/internal/simulator"
 )
 
-// Jobs are cancelled in the seconds in which the work of one controller changes
-// hands, whether it is ended, resigns or is refused by the key-value store: before
-// the election, in it, and just after it, always confirmed by another node. Some
-// of them run, some are just being started.
+// Jobs are cancelled while the leader changes, because it is killed, resigns or is refused by the
+// key-value store: before the election, during it, and just after it. A controller other than the
+// leader confirms each cancellation. Some of the jobs run, others are just being started. No task of
+// them may remain.
 func TestCancelDuringLeaderChange(t *testing.T) {
 	t.Parallel()
-	type way struct {
-		name      string
-		run       scenarioRunner
-		vacant    bool // the cancellation waits for the end of the old one's grant
-		lose, end func(t *testing.T, sim *simulator.Simulation, l int)
+	type leaderFault struct {
+		name string
+		run  scenarioRunner
+		// awaitNoLeader: the cancellation during the election waits until the old leader's grant has
+		// ended.
+		awaitNoLeader bool
+		begin, end    func(t *testing.T, sim *simulator.Simulation, leader int)
 	}
-	workers := func(on bool) func(t *testing.T, sim *simulator.Simulation, l int) {
-		return func(t *testing.T, sim *simulator.Simulation, l int) {
+	cutFromWorkers := func(on bool) func(t *testing.T, sim *simulator.Simulation, leader int) {
+		return func(t *testing.T, sim *simulator.Simulation, leader int) {
 			for i := 1; i <= 100; i++ {
-				sim.Net.Cut(simulator.NodeIP(l), fmt.Sprintf("10.1.0.%d", i), on)
+				sim.Net.Cut(simulator.NodeIP(leader), fmt.Sprintf("10.1.0.%d", i), on)
 			}
 		}
 	}
-	refuse := func(on bool) func(t *testing.T, sim *simulator.Simulation, l int) {
-		return func(t *testing.T, sim *simulator.Simulation, l int) { sim.State.RefuseClient(simulator.NodeIP(l), on) }
+	refuseByStore := func(on bool) func(t *testing.T, sim *simulator.Simulation, leader int) {
+		return func(t *testing.T, sim *simulator.Simulation, leader int) {
+			sim.State.RefuseClient(simulator.NodeIP(leader), on)
+		}
 	}
-	for _, c := range []way{
-		{"killed", runScenario, false, func(t *testing.T, sim *simulator.Simulation, l int) { sim.KillController(l) }, func(t *testing.T, sim *simulator.Simulation, l int) { startControllers(t, sim, l) }},
-		{"resigns", runOnUnevenLayout, true, workers(true), workers(false)},
-		{"refused", runScenario, true, refuse(true), refuse(false)},
+	for _, fault := range []leaderFault{
+		{"killed", runScenario, false, func(t *testing.T, sim *simulator.Simulation, leader int) { sim.KillController(leader) }, func(t *testing.T, sim *simulator.Simulation, leader int) { startControllers(t, sim, leader) }},
+		{"resigns", runOnUnevenLayout, true, cutFromWorkers(true), cutFromWorkers(false)},
+		{"refused", runScenario, true, refuseByStore(true), refuseByStore(false)},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			c.run(t, 66, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, a := service(1, 4), array(2, 10, 50)
+			fault.run(t, 66, func(sim *simulator.Simulation, at func(time.Duration)) {
+				serviceJob, arrayJob := service(1, 4), array(2, 10, 50)
 				at(2 * time.Second)
-				submitAll(sim, s, a)
+				submitAll(sim, serviceJob, arrayJob)
 				for round := range 3 {
 					at(time.Duration(40+50*round) * time.Second)
-					var ran, begins [3]simulator.JobScript
+					var running, starting [3]simulator.JobScript
 					for k := range 3 {
-						ran[k], begins[k] = array(100*round+10+k, 2, 200), array(100*round+20+k, 2, 200)
-						sim.Submit(ran[k], 0)
+						running[k], starting[k] = array(100*round+10+k, 2, 200), array(100*round+20+k, 2, 200)
+						sim.Submit(running[k], 0)
 					}
 					at(time.Duration(55+50*round) * time.Second)
-					l := sim.Leader()
-					for _, j := range begins {
+					leader := sim.Leader()
+					for _, j := range starting {
 						sim.Submit(j, 0)
 					}
-					time.Sleep(time.Duration(round*40) * time.Millisecond) // accepted, or just being started
-					by := (l + 1 + round%2) % 3
-					cancelAtController(t, sim, by, ran[0])
-					cancelAtController(t, sim, by, begins[0])
-					if sim.Leader() != l {
-						t.Fatal("the leader changed too early")
+					time.Sleep(time.Duration(round*40) * time.Millisecond) // the jobs are accepted, or just being started
+					confirmer := (leader + 1 + round%2) % 3
+					cancelAtController(t, sim, confirmer, running[0])
+					cancelAtController(t, sim, confirmer, starting[0])
+					if sim.Leader() != leader {
+						t.Fatal("the leader changed before the fault")
 					}
-					c.lose(t, sim, l)
-					if c.vacant {
-						waitUntil(t, 15*time.Second, "a vacancy", func() bool { return sim.Leader() < 0 })
+					fault.begin(t, sim, leader)
+					if fault.awaitNoLeader {
+						waitUntil(t, 15*time.Second, "no leader", func() bool { return sim.Leader() < 0 })
 					} else {
 						time.Sleep(time.Second)
 					}
-					since := time.Now()
-					cancelAtController(t, sim, by, ran[1])
-					cancelAtController(t, sim, by, begins[1])
-					// The next one may have been elected meanwhile, but has read nothing yet.
-					if n := sim.Leader(); n >= 0 && n != l && !c.vacant || time.Since(since) > 50*time.Millisecond {
-						t.Errorf("elected before the cancellation, which took %v", time.Since(since))
+					cancelStart := time.Now()
+					cancelAtController(t, sim, confirmer, running[1])
+					cancelAtController(t, sim, confirmer, starting[1])
+					// With awaitNoLeader the next leader may be elected by now, but has read nothing yet.
+					if n := sim.Leader(); n >= 0 && n != leader && !fault.awaitNoLeader || time.Since(cancelStart) > 50*time.Millisecond {
+						t.Errorf("the next leader was elected before the cancellation, or that took too long: %v", time.Since(cancelStart))
 					}
-					awaitOtherLeader(t, sim, l, 10*time.Second)
-					cancelAtController(t, sim, by, ran[2])
-					cancelAtController(t, sim, by, begins[2])
+					awaitOtherLeader(t, sim, leader, 10*time.Second)
+					cancelAtController(t, sim, confirmer, running[2])
+					cancelAtController(t, sim, confirmer, starting[2])
 					time.Sleep(5 * time.Second)
-					c.end(t, sim, l)
+					fault.end(t, sim, leader)
 					time.Sleep(15 * time.Second)
 					sim.WithChecker(func(c *simulator.Checker) {
 						for k := range 3 {
-							if n := c.OnMachines(ran[k].Spec.ID) + c.OnMachines(begins[k].Spec.ID); n != 0 {
-								t.Errorf("round %d: %d tasks are left of what was cancelled %s the election", round, n, [3]string{"before", "in", "after"}[k])
+							if n := c.OnMachines(running[k].Spec.ID) + c.OnMachines(starting[k].Spec.ID); n != 0 {
+								t.Errorf("round %d: %d tasks on machines of jobs cancelled %s the election, want 0", round, n, [3]string{"before", "during", "after"}[k])
 							}
 						}
 					})
 				}
-				mustRecover(t, sim, 3, s, a)
+				mustRecover(t, sim, 3, serviceJob, arrayJob)
 			})
 		})
 	}
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -14,38 +14,38 @@
 	"lilaclead/internal/wire"
 )
 
-// A job is cancelled while nobody leads: the next leader reads the job as
-// cancelled and must still chase the tasks that it reads afterwards. (It once
-// archived such a job before it had read them, and they ran on.)
+// A job is cancelled while nobody leads. The next leader reads the job as cancelled, and must still
+// stop the tasks that it reads afterwards. If it archived the job before it had read the tasks, they
+// would run on.
 func TestCancelWithoutLeader(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 14, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s := service(1, 3)
+		serviceJob := service(1, 3)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
+		sim.Submit(serviceJob, 0)
 		at(44 * time.Second)
-		l := sim.Leader()
-		sim.KillController(l)
+		leader := sim.Leader()
+		sim.KillController(leader)
 		time.Sleep(300 * time.Millisecond)
-		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(s.Spec.ID) })
-		status, raw, _ := sim.Ask((l+1)%3, "POST", "/v1/jobs/"+string(s.Spec.ID)+"/cancel", nil)
-		var b wire.JobSummary
-		if status != 200 || wire.Decode(raw, &b) != nil || b.Status != wire.StatusCancelled || sim.Leader() == (l+1)%3 {
-			t.Fatalf("cancel answered %d %+v, leader %d", status, b, sim.Leader())
+		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(serviceJob.Spec.ID) })
+		status, raw, _ := sim.Ask((leader+1)%3, "POST", "/v1/jobs/"+string(serviceJob.Spec.ID)+"/cancel", nil)
+		var summary wire.JobSummary
+		if status != 200 || wire.Decode(raw, &summary) != nil || summary.Status != wire.StatusCancelled || sim.Leader() == (leader+1)%3 {
+			t.Fatalf("cancellation answered %d %+v, leader %d, want 200 and cancelled by a controller that does not lead", status, summary, sim.Leader())
 		}
-		sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(s.Spec.ID, b.Status, time.Now()) })
+		sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(serviceJob.Spec.ID, summary.Status, time.Now()) })
 		at(60 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n := c.OnMachines(s.Spec.ID); n != 0 {
-				t.Errorf("%d tasks left 15 s after the cancellation", n)
+			if n := c.OnMachines(serviceJob.Spec.ID); n != 0 {
+				t.Errorf("%d tasks on machines 15 s after the cancellation, want 0", n)
 			}
 		})
 		at(120 * time.Second)
 	})
 }
 
-// Cancelling races the last completions; whoever wins, one final state is
-// told for ever.
+// Cancellations race the last completions. Whichever wins, users are told one final status, which
+// never changes.
 func TestCancelRacesCompletion(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 6, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -58,107 +58,107 @@
 		sim.WithChecker(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			if done+cancelled != 12 {
-				t.Errorf("%d done, %d cancelled of 12", done, cancelled)
+				t.Errorf("%d jobs done, %d cancelled, want 12 in all", done, cancelled)
 			}
 		})
 	})
 }
 
-// A job is cancelled around the moment of its last task's end, by no more than
-// milliseconds: whoever wins, one end is told, and it is the key-value store's.
+// A job is cancelled within milliseconds of the end of its last task. Whichever wins, users are told
+// one final status, the one that the key-value store holds.
 func TestCancelAtLastTaskEnd(t *testing.T) {
 	t.Parallel()
-	for _, set := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStore()} {
-		t.Run(fmt.Sprint(set.State.RPS), func(t *testing.T) {
+	for _, settings := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStore()} {
+		t.Run(fmt.Sprint(settings.State.RPS), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, set, 410, func(sim *simulator.Simulation, at func(time.Duration)) {
-				l := sim.NewBurstReaders()
-				l.BurstLength = 60 * time.Millisecond
-				warm := array(900, 20, 8)
+			runWithSettings(t, settings, 410, func(sim *simulator.Simulation, at func(time.Duration)) {
+				readers := sim.NewBurstReaders()
+				readers.BurstLength = 60 * time.Millisecond
+				warmUp := array(900, 20, 8)
 				at(2 * time.Second)
-				sim.Submit(warm, 0)
+				sim.Submit(warmUp, 0)
 				at(34 * time.Second)
-				var all []simulator.JobScript
+				var jobs []simulator.JobScript
 				for n := range 40 {
 					j := array(1+n, 1+n%2, 2)
-					all = append(all, j)
-					after := time.Duration(n*15) * time.Millisecond
+					jobs = append(jobs, j)
+					delay := time.Duration(n*15) * time.Millisecond
 					if n%2 == 0 {
-						after = time.Duration(n) * time.Millisecond
+						delay = time.Duration(n) * time.Millisecond
 					}
-					l.Submit(j, simulator.CancelAtEnd, after)
+					readers.Submit(j, simulator.CancelAtEnd, delay)
 					time.Sleep(400 * time.Millisecond)
 				}
 				at(100 * time.Second)
-				done, cancelled := sim.CountEnded(all)
-				if done+cancelled != len(all) {
-					t.Errorf("%d done, %d cancelled of %d", done, cancelled, len(all))
+				done, cancelled := sim.CountEnded(jobs)
+				if done+cancelled != len(jobs) {
+					t.Errorf("%d jobs done, %d cancelled, want %d in all", done, cancelled, len(jobs))
 				}
 				if done < 4 || cancelled < 4 {
-					t.Errorf("%d done, %d cancelled: they did not meet", done, cancelled)
+					t.Errorf("%d jobs done, %d cancelled, want at least 4 of each", done, cancelled)
 				}
-				// Questions and repeated submissions met the end as well.
+				// Polls and repeated submissions also met the end of the last task.
 				for _, what := range []string{"ending cancel 200", "ending poll 200", "ending submit 200"} {
-					if l.Count(what) < 4 {
-						t.Errorf("%q only %d times: %s", what, l.Count(what), l.Counts())
+					if readers.Count(what) < 4 {
+						t.Errorf("%q counted %d times, want at least 4: %s", what, readers.Count(what), readers.Counts())
 					}
 				}
-				if d, c := l.Count("cancels done"), l.Count("cancels cancelled"); d != done || c != cancelled {
-					t.Errorf("cancellations were answered done %d times of %d, cancelled %d times of %d", d, done, c, cancelled)
+				if answeredDone, answeredCancelled := readers.Count("cancels done"), readers.Count("cancels cancelled"); answeredDone != done || answeredCancelled != cancelled {
+					t.Errorf("cancellations were answered done %d times, want %d, and cancelled %d times, want %d", answeredDone, done, answeredCancelled, cancelled)
 				}
 			})
 		})
 	}
 }
 
-// The two writes cross at the key-value store itself: a cancellation comes while
-// the final record is on its way, and the final record while a cancellation is.
+// The two writes cross at the key-value store itself: a cancellation is executed while the final
+// record of one job is on its way, and a final record while the cancellation of another job is.
 func TestCancelCrossesFinalRecord(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-			l := sim.NewBurstReaders()
-			early, late := array(1, 2, 4), array(2, 2, 4)
+			readers := sim.NewBurstReaders()
+			cancelledFirst, doneFirst := array(1, 2, 4), array(2, 2, 4)
 			finalRecordSent, cancellationSent := newSignal(), newSignal()
-			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
-				if isCancellationOf(x, late.Spec.ID) {
+			sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
+				if isCancellationOf(txn, doneFirst.Spec.ID) {
 					cancellationSent.give()
 					return 1200 * time.Millisecond
 				}
-				if isFinalRecordOf(x, late.Spec.ID) {
-					// The end of the last task has the user cancel and the leader write:
-					// which comes first depends on the schedule.
+				if isFinalRecordOf(txn, doneFirst.Spec.ID) {
+					// The end of the last task triggers both the user's cancellation and the leader's
+					// final record. Which is sent first depends on the schedule.
 					cancellationSent.await(2 * time.Second)
 				}
-				if isFinalRecordOf(x, early.Spec.ID) && finalRecordSent.give() {
+				if isFinalRecordOf(txn, cancelledFirst.Spec.ID) && finalRecordSent.give() {
 					return 120 * time.Millisecond
 				}
 				return 0
 			})
 			at(2 * time.Second)
-			l.Submit(early, simulator.NeverCancel, 0)
-			l.Submit(late, simulator.CancelAtEnd, time.Duration(seed)*20*time.Millisecond)
+			readers.Submit(cancelledFirst, simulator.NeverCancel, 0)
+			readers.Submit(doneFirst, simulator.CancelAtEnd, time.Duration(seed)*20*time.Millisecond)
 			if !finalRecordSent.await(time.Minute) {
 				t.Error("no final record was sent")
 				return
 			}
-			// The cancellation is confirmed, and asked about everywhere, while the
-			// final record waits.
+			// The cancellation is confirmed, and all controllers are polled about it, while the
+			// final record is delayed.
 			begin := time.Now()
-			status, s := l.Ask(int(seed), simulator.CancelOperation, early)
-			if status != 200 || s.Status != wire.StatusCancelled || time.Since(begin) > 120*time.Millisecond {
-				t.Errorf("cancel answered %d %s after %v", status, s.Status, time.Since(begin))
+			status, state := readers.Ask(int(seed), simulator.CancelOperation, cancelledFirst)
+			if status != 200 || state.Status != wire.StatusCancelled || time.Since(begin) > 120*time.Millisecond {
+				t.Errorf("cancellation answered %d %s after %v, want 200 and cancelled within 120ms", status, state.Status, time.Since(begin))
 			}
 			at(70 * time.Second)
-			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isFinalRecordOf(x, early.Spec.ID) }); n != 1 {
-				t.Errorf("%d final records failed at a cancellation", n)
+			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isFinalRecordOf(x, cancelledFirst.Spec.ID) }); n != 1 {
+				t.Errorf("%d final records failed at the guard because of a cancellation, want 1", n)
 			}
-			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isCancellationOf(x, late.Spec.ID) }); n != 1 {
-				t.Errorf("%d cancellations failed at a final record", n)
+			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isCancellationOf(x, doneFirst.Spec.ID) }); n != 1 {
+				t.Errorf("%d cancellations failed at the guard because of a final record, want 1", n)
 			}
 			sim.WithChecker(func(c *simulator.Checker) {
-				if a, b := c.FinalStatus(early.Spec.ID), c.FinalStatus(late.Spec.ID); a != wire.StatusCancelled || b != wire.StatusDone {
-					t.Errorf("ended as %q and %q", a, b)
+				if a, b := c.FinalStatus(cancelledFirst.Spec.ID), c.FinalStatus(doneFirst.Spec.ID); a != wire.StatusCancelled || b != wire.StatusDone {
+					t.Errorf("jobs ended as %q and %q, want cancelled and done", a, b)
 				}
 			})
 			mustLeaveNoKeys(t, sim)
@@ -166,44 +166,43 @@
 	}
 }
 
-// Several jobs end in one transaction, which has no room left for the progress of
-// one of them, and just that one is cancelled meanwhile: its progress must stay
-// until it is archived indeed. (It was dropped at once when the cancelled record
-// took a moment to be read; then the final record failed for ever, and with it
-// all that the leader would write beside it.)
+// Several jobs end in one transaction, which has no room left to delete the progress of one of them,
+// and just that job is cancelled meanwhile. The leader must keep its progress until the job is
+// archived. If it dropped the progress while the cancelled record was still being read, the final
+// record would fail for ever, and with it all other writes of its transaction.
 func TestCancelCrossesFullTransaction(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
 		runWithSettings(t, simulator.GasSettings(), 450+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-			l := sim.NewBurstReaders()
-			var all []simulator.JobScript
+			readers := sim.NewBurstReaders()
+			var jobs []simulator.JobScript
 			for n := range 6 {
-				all = append(all, array(1+n, 1, 4))
+				jobs = append(jobs, array(1+n, 1, 4))
 			}
 			var mu sync.Mutex
-			var hit *simulator.JobScript
-			slow, first := false, true
-			crosses := make(chan struct{})
-			sim.State.DelayTransactions(func(x *wire.Txn) time.Duration {
+			var cancelledJob *simulator.JobScript
+			delayReads, firstTxn := false, true
+			progressLeftOut := make(chan struct{})
+			sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
 				var ending []simulator.JobScript
-				for _, j := range all {
-					if isFinalRecordOf(x, j.Spec.ID) {
+				for _, j := range jobs {
+					if isFinalRecordOf(txn, j.Spec.ID) {
 						ending = append(ending, j)
 					}
 				}
 				switch {
-				case len(ending) == 0 || hit != nil:
-				case first:
-					// The others end while the first final record is on its way.
-					first = false
+				case len(ending) == 0 || cancelledJob != nil:
+				case firstTxn:
+					// The other jobs end while the first final record is on its way.
+					firstTxn = false
 					return 1200 * time.Millisecond
 				default:
 					for _, j := range ending {
-						if !slices.ContainsFunc(x.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.DeleteKey, store.ProgressPrefix+string(j.Spec.ID)) }) {
-							hit = &j
-							close(crosses)
+						if !slices.ContainsFunc(txn.Writes, func(w wire.Write) bool { return strings.HasPrefix(w.DeleteKey, store.ProgressPrefix+string(j.Spec.ID)) }) {
+							cancelledJob = &j
+							close(progressLeftOut)
 							return 150 * time.Millisecond
 						}
 					}
@@ -213,60 +212,60 @@
 			sim.State.DelayReads(func(key string) time.Duration {
 				mu.Lock()
 				defer mu.Unlock()
-				if slow && key == store.JobKey(hit.Spec.ID) {
+				if delayReads && key == store.JobKey(cancelledJob.Spec.ID) {
 					return 400 * time.Millisecond
 				}
 				return 0
 			})
-			// Machines are up, so that all six begin together.
-			warm := array(19, 16, 12)
+			// Wait for machines, so that all six jobs start together.
+			warmUp := array(19, 16, 12)
 			at(2 * time.Second)
-			sim.Submit(warm, 0)
-			for up := false; !up; time.Sleep(100 * time.Millisecond) {
-				sim.WithChecker(func(c *simulator.Checker) { up = c.Complete(warm.Spec.ID) })
+			sim.Submit(warmUp, 0)
+			for running := false; !running; time.Sleep(100 * time.Millisecond) {
+				sim.WithChecker(func(c *simulator.Checker) { running = c.Complete(warmUp.Spec.ID) })
 			}
-			for _, j := range all {
-				l.Submit(j, simulator.NeverCancel, 0)
+			for _, j := range jobs {
+				readers.Submit(j, simulator.NeverCancel, 0)
 			}
 			select {
-			case <-crosses:
+			case <-progressLeftOut:
 			case <-time.After(time.Minute):
-				t.Error("no transaction was too full")
+				t.Error("no transaction left out the progress of a job that ended")
 				return
 			}
-			status, s := l.Ask(1, simulator.CancelOperation, *hit)
-			if status != 200 || s.Status != wire.StatusCancelled {
-				t.Errorf("cancel answered %d %s", status, s.Status)
+			status, state := readers.Ask(1, simulator.CancelOperation, *cancelledJob)
+			if status != 200 || state.Status != wire.StatusCancelled {
+				t.Errorf("cancellation answered %d %s, want 200 and cancelled", status, state.Status)
 			}
 			mu.Lock()
-			slow = true
+			delayReads = true
 			mu.Unlock()
 			time.Sleep(2 * time.Second)
-			after := array(20, 2, 2)
-			l.Submit(after, simulator.NeverCancel, 0)
+			nextJob := array(20, 2, 2)
+			readers.Submit(nextJob, simulator.NeverCancel, 0)
 			time.Sleep(40 * time.Second)
-			mustFinish(t, sim, append(all, after)...)
+			mustFinish(t, sim, append(jobs, nextJob)...)
 			sim.WithChecker(func(c *simulator.Checker) {
-				if d, ok := c.TimeToStart(after.Spec.ID); !ok || d > 3*time.Second {
-					t.Errorf("the next job waited for %v", d)
+				if d, ok := c.TimeToStart(nextJob.Spec.ID); !ok || d > 3*time.Second {
+					t.Errorf("the next job waited %v for its start, want at most 3s", d)
 				}
 			})
-			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isFinalRecordOf(x, hit.Spec.ID) }); n != 1 {
-				t.Errorf("%d final records failed at a cancellation", n)
+			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isFinalRecordOf(x, cancelledJob.Spec.ID) }); n != 1 {
+				t.Errorf("%d final records failed at the guard because of a cancellation, want 1", n)
 			}
 			mustLeaveNoKeys(t, sim)
 		})
 	}
 }
 
-// A job whose record just fits into a value of the key-value store can be cancelled
-// as every other, though a cancelled record says more. (Its cancellation was
-// refused for ever.)
+// A job whose record only just fits into a value of the key-value store can be cancelled like any
+// other. The record of a cancelled job is larger: without an allowance for that, the cancellation
+// would be refused for ever.
 func TestCancelOfLargestRecord(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, simulator.GasSettings(), 460, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
-		large := func(n, imageBytes int) simulator.JobScript {
+		jobWithImageName := func(n, imageBytes int) simulator.JobScript {
 			j := service(n, 1)
 			j.Spec.MachineTypes = []wire.MachineType{"c4", "c16"}
 			for k := range 43 {
@@ -275,30 +274,30 @@
 			j.Spec.Image = wire.ImageID(strings.Repeat("i", imageBytes))
 			return j
 		}
-		// The longest name of an image with which it is accepted.
-		n, fits := 100, 1
-		for tooLarge := 120; tooLarge-fits > 1; n++ {
-			mid := (fits + tooLarge) / 2
-			j := large(n, mid)
-			switch status, _, _ := sim.Ask(n%3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status {
+		// Find the longest image name with which the job is accepted.
+		jobNumber, accepted := 100, 1
+		for refused := 120; refused-accepted > 1; jobNumber++ {
+			imageBytes := (accepted + refused) / 2
+			j := jobWithImageName(jobNumber, imageBytes)
+			switch status, _, _ := sim.Ask(jobNumber%3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status {
 			case 201:
-				fits = mid
+				accepted = imageBytes
 				sim.WithChecker(func(c *simulator.Checker) { c.Submitted(j.Spec); c.CancelRequested(j.Spec.ID) })
-				if status, _, _ := sim.Ask(n%3, "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil); status != 200 {
-					t.Errorf("with %d bytes the cancellation is answered %d", mid, status)
+				if status, _, _ := sim.Ask(jobNumber%3, "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil); status != 200 {
+					t.Errorf("image name of %d bytes: cancellation answered %d, want 200", imageBytes, status)
 				}
 			case 422:
-				tooLarge = mid
+				refused = imageBytes
 			default:
-				t.Errorf("a job of that size is answered %d", status)
+				t.Errorf("submission answered %d, want 201 or 422", status)
 				return
 			}
 		}
-		if fits == 1 || fits >= 118 {
-			t.Errorf("the limit was not met: %d", fits)
+		if accepted == 1 || accepted >= 118 {
+			t.Errorf("longest accepted image name has %d bytes, want it between the bounds of the search", accepted)
 			return
 		}
-		j := large(1, fits)
+		j := jobWithImageName(1, accepted)
 		sim.Submit(j, 30*time.Second)
 		sim.Submit(array(2, 2, 3), 0)
 		at(25 * time.Second)
@@ -306,41 +305,41 @@
 		at(75 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if s := c.FinalStatus(j.Spec.ID); s != wire.StatusCancelled || c.OnMachines(j.Spec.ID) != 0 {
-				t.Errorf("it is %q, %d tasks run", s, c.OnMachines(j.Spec.ID))
+				t.Errorf("the job is %q with %d tasks on machines, want cancelled and 0", s, c.OnMachines(j.Spec.ID))
 			}
 		})
 		mustLeaveNoKeys(t, sim)
 	})
 }
 
-// Jobs are cancelled while they are being started and the leader's watch lags: it
-// finds out by a write that fails, closes them, and only then hears of them from
-// the watch. It must not resign for that.
-func TestCancellationsReadTwice(t *testing.T) {
+// Jobs are cancelled while they are being started and the leader's watch lags. The leader learns of
+// each cancellation from a write that fails, and archives the job, before the watch delivers the
+// cancellation. It must not resign because of that.
+func TestLaggingWatchDeliversKnownCancellations(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 70, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 4), array(2, 10, 60)
-		a.Spec.CPUs = 1.5 // with room beside them
+		serviceJob, arrayJob := service(1, 4), array(2, 10, 60)
+		arrayJob.Spec.CPUs = 1.5 // leaves room on its machines for the small jobs
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(45 * time.Second)
-		l, old := sim.Leader(), sim.LeaderKeyRevision()
+		leader, oldRevision := sim.Leader(), sim.LeaderKeyRevision()
 		sim.State.DelayWatches(300 * time.Millisecond)
 		for n := range 8 {
 			cancelledJob := array(10+n, 2, 100)
 			cancelledJob.Spec.CPUs, cancelledJob.Spec.MemoryGB = 0.1, 0.1
 			sim.Submit(cancelledJob, 0)
 			time.Sleep(time.Duration(100+40*n) * time.Millisecond)
-			cancelAtController(t, sim, (l+1)%3, cancelledJob)
+			cancelAtController(t, sim, (leader+1)%3, cancelledJob)
 			time.Sleep(1500 * time.Millisecond)
 			if keys := sim.State.Keys("job/" + string(cancelledJob.Spec.ID)); len(keys) != 0 {
-				t.Errorf("%s is not closed", cancelledJob.Spec.ID)
+				t.Errorf("%s is not archived", cancelledJob.Spec.ID)
 			}
 		}
-		if sim.LeaderKeyRevision() != old {
-			t.Errorf("leadership has changed: node %d leads, was %d", sim.Leader(), l)
+		if sim.LeaderKeyRevision() != oldRevision {
+			t.Errorf("leadership has changed: controller %d leads, want %d", sim.Leader(), leader)
 		}
 		sim.State.DelayWatches(0)
-		mustRecover(t, sim, 3, s, a)
+		mustRecover(t, sim, 3, serviceJob, arrayJob)
 	})
 }
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -12,107 +12,107 @@
 func TestLateLaunchOfCancelledJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 5, func(sim *simulator.Simulation, at func(time.Duration)) {
-		warm, late := array(1, 12, 200), array(2, 6, 10)
+		warmUp, cancelledJob := array(1, 12, 200), array(2, 6, 10)
 		at(2 * time.Second)
-		sim.Submit(warm, 0)
+		sim.Submit(warmUp, 0)
 		at(40 * time.Second)
-		l := sim.Leader()
+		leader := sim.Leader()
 		var blockedMachines []string
 		for range 40 {
 			_, ip, _ := sim.FirstMachine(func(int) bool { return len(blockedMachines) >= 0 })
 			blockedMachines = append(blockedMachines, ip)
 		}
 		for _, ip := range blockedMachines {
-			sim.Net.Hold(simulator.NodeIP(l), ip, true)
+			sim.Net.Hold(simulator.NodeIP(leader), ip, true)
 		}
-		sim.Submit(late, 12*time.Second)
+		sim.Submit(cancelledJob, 12*time.Second)
 		at(150 * time.Second)
 		for _, ip := range blockedMachines {
-			sim.Net.Hold(simulator.NodeIP(l), ip, false)
+			sim.Net.Hold(simulator.NodeIP(leader), ip, false)
 		}
 		at(200 * time.Second)
 	})
 }
 
-// Commands or their answers are held up for seconds, or wait for a machine that
-// hangs, and the machine then goes on: launches, stops, and answers to reports
-// that forget. Meanwhile a job is cancelled, the leader ends, or both.
+// Launches, stops and their responses, and heartbeat responses with orders to forget a task, are
+// delayed for seconds, by the network or because the machine hangs and then resumes. Meanwhile jobs
+// are cancelled, the leader is killed, or both.
 func TestCommandsDelayed(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		name string
-		lag  simulator.CommandDelay
-		hang bool
-		then []string
+		name         string
+		delay        simulator.CommandDelay
+		machinesHang bool
+		events       []string // cancel: jobs are cancelled; leader: the leader is killed; both
 	}{
-		{"commands for 2 s", simulator.CommandDelay{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
-		{"commands for 9 s", simulator.CommandDelay{Command: 9 * time.Second}, false, []string{"leader", "both"}},
-		{"answers for 9 s", simulator.CommandDelay{Answer: 9 * time.Second, HeartbeatResponse: 3500 * time.Millisecond}, false, []string{"cancel"}},
-		{"both, and the answers to reports", simulator.CommandDelay{Command: 4 * time.Second, Answer: 4 * time.Second, HeartbeatResponse: 3900 * time.Millisecond}, false, []string{"both"}},
-		{"answers to reports for 3 s", simulator.CommandDelay{HeartbeatResponse: 3 * time.Second}, false, []string{"leader"}},
-		{"the machines hang", simulator.CommandDelay{}, true, []string{"cancel", "both"}},
+		{"commands delayed 2 s", simulator.CommandDelay{Command: 2 * time.Second}, false, []string{"cancel", "leader"}},
+		{"commands delayed 9 s", simulator.CommandDelay{Command: 9 * time.Second}, false, []string{"leader", "both"}},
+		{"responses delayed 9 s", simulator.CommandDelay{Answer: 9 * time.Second, HeartbeatResponse: 3500 * time.Millisecond}, false, []string{"cancel"}},
+		{"commands, responses and heartbeat responses delayed", simulator.CommandDelay{Command: 4 * time.Second, Answer: 4 * time.Second, HeartbeatResponse: 3900 * time.Millisecond}, false, []string{"both"}},
+		{"heartbeat responses delayed 3 s", simulator.CommandDelay{HeartbeatResponse: 3 * time.Second}, false, []string{"leader"}},
+		{"machines hang", simulator.CommandDelay{}, true, []string{"cancel", "both"}},
 	}
-	for _, c := range cases {
-		for _, then := range c.then {
-			t.Run(c.name+", "+then, func(t *testing.T) {
+	for _, tc := range cases {
+		for _, event := range tc.events {
+			t.Run(tc.name+", "+event, func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 630, func(sim *simulator.Simulation, at func(time.Duration)) {
-					s, cancelledJob, warm := service(1, 3), array(2, 4, 300), array(3, 8, 18)
-					a, late, quick := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
+					serviceJob, cancelledRunning, warmUp := service(1, 3), array(2, 4, 300), array(3, 8, 18)
+					arrayJob, cancelledStarting, shortJob := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
 					at(2 * time.Second)
-					submitAll(sim, s, cancelledJob, warm)
+					submitAll(sim, serviceJob, cancelledRunning, warmUp)
 					at(44 * time.Second)
-					ms := sim.BusyMachines("")
-					sim.DelayCommands(c.lag)
-					if c.hang {
-						sim.HangMachines(true, ms...)
+					machines := sim.BusyMachines("")
+					sim.DelayCommands(tc.delay)
+					if tc.machinesHang {
+						sim.HangMachines(true, machines...)
 					}
-					submitAll(sim, a, late, quick)
+					submitAll(sim, arrayJob, cancelledStarting, shortJob)
 					time.Sleep(time.Second)
-					if then == "cancel" || then == "both" {
-						mustCancel(t, sim, cancelledJob)
-						mustCancel(t, sim, late)
+					if event == "cancel" || event == "both" {
+						mustCancel(t, sim, cancelledRunning)
+						mustCancel(t, sim, cancelledStarting)
 					}
-					if then == "leader" || then == "both" {
-						l, old := sim.LeaderAndToken()
-						sim.KillController(l)
-						awaitNewToken(t, sim, old)
+					if event == "leader" || event == "both" {
+						leader, oldToken := sim.LeaderAndToken()
+						sim.KillController(leader)
+						awaitNewToken(t, sim, oldToken)
 						time.Sleep(time.Second)
-						startControllers(t, sim, l)
+						startControllers(t, sim, leader)
 					}
-					if c.hang {
+					if tc.machinesHang {
 						time.Sleep(5 * time.Second)
-						sim.HangMachines(false, ms...)
+						sim.HangMachines(false, machines...)
 					}
 					time.Sleep(20 * time.Second)
-					if then == "leader" {
-						if c.hang {
+					if event == "leader" {
+						if tc.machinesHang {
 							sim.HangMachines(true, sim.BusyMachines("")...)
 						}
-						mustCancel(t, sim, cancelledJob) // so that stops are held up too
-						mustCancel(t, sim, late)
+						mustCancel(t, sim, cancelledRunning) // so that stops are delayed too
+						mustCancel(t, sim, cancelledStarting)
 						time.Sleep(6 * time.Second)
-						if c.hang {
+						if tc.machinesHang {
 							sim.HangMachines(false, sim.RunningMachines()...)
 						}
 						time.Sleep(8 * time.Second)
 					}
-					mustBeGone(t, sim, cancelledJob, "20 s later")
-					mustBeGone(t, sim, late, "20 s later")
+					mustBeGone(t, sim, cancelledRunning, "after the cancellation")
+					mustBeGone(t, sim, cancelledStarting, "after the cancellation")
 					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
-						wire.VerbLaunch: c.hang || c.lag.Command > 0, wire.VerbStop: c.hang || c.lag.Command == 2*time.Second,
-						simulator.Answered: c.lag.Answer > 0, wire.VerbForget: c.lag.HeartbeatResponse > 0 && c.lag.Answer == 0,
+						wire.VerbLaunch: tc.machinesHang || tc.delay.Command > 0, wire.VerbStop: tc.machinesHang || tc.delay.Command == 2*time.Second,
+						simulator.Answered: tc.delay.Answer > 0, wire.VerbForget: tc.delay.HeartbeatResponse > 0 && tc.delay.Answer == 0,
 					} {
 						if want && sim.LateCommands(verb) == 0 {
-							t.Errorf("no %s came late", verb)
+							t.Errorf("no late command was counted as %s", verb)
 						}
 					}
 					time.Sleep(20 * time.Second)
 					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
-					mustFinish(t, sim, warm, a, quick)
-					mustRun(t, sim, s, "at the end")
+					mustFinish(t, sim, warmUp, arrayJob, shortJob)
+					mustRun(t, sim, serviceJob, "at the end")
 				})
 			})
 		}
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -10,297 +10,296 @@
 	"lilaclead/internal/wire"
 )
 
-// Copies of heartbeats come late, from seconds to more than a lease: of live
-// machines, of machines that are gone, and as the first that a new leader
-// hears of a machine. They must free nothing, bring nothing back, and not
-// make a dead machine seem alive.
+// Copies of heartbeats arrive late, by seconds up to more than a lease: from live machines, from
+// machines that are gone, and as the first heartbeat of a machine that a new leader receives. They
+// must not free resources, revive tasks, or make a dead machine seem alive.
 func TestDuplicatedHeartbeatsArriveLate(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 31, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 4), array(2, 12, 30)
+		serviceJob, arrayJob := service(1, 4), array(2, 12, 30)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
-		var late []time.Duration
-		for d := 2; d < 60; d += 3 {
-			late = append(late, time.Duration(d)*time.Second)
+		submitAll(sim, serviceJob, arrayJob)
+		var delays []time.Duration
+		for seconds := 2; seconds < 60; seconds += 3 {
+			delays = append(delays, time.Duration(seconds)*time.Second)
 		}
-		copies := func() {
-			for _, id := range append(sim.MachinesRunning(s.Spec.ID), sim.MachinesRunning(a.Spec.ID)...) {
-				sim.ResendLastHeartbeat(id, late...)
+		resendHeartbeats := func() {
+			for _, id := range append(sim.MachinesRunning(serviceJob.Spec.ID), sim.MachinesRunning(arrayJob.Spec.ID)...) {
+				sim.ResendLastHeartbeat(id, delays...)
 			}
 		}
 		at(40 * time.Second)
-		copies()
+		resendHeartbeats()
 		at(50 * time.Second)
 		// A machine with replicas dies while copies of its heartbeats come in.
-		on := sim.MachinesRunning(s.Spec.ID)
-		if sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 }) != 1 || len(on) == 0 {
-			t.Fatal("nothing to take")
+		machines := sim.MachinesRunning(serviceJob.Spec.ID)
+		if sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 }) != 1 || len(machines) == 0 {
+			t.Fatal("no machine with replicas could be reclaimed")
 		}
 		at(80 * time.Second)
-		mustRun(t, sim, s, "30 s after a machine's end")
-		copies()
-		l := sim.Leader()
-		sim.KillController(l)
+		mustRun(t, sim, serviceJob, "30 s after a machine was reclaimed")
+		resendHeartbeats()
+		leader := sim.Leader()
+		sim.KillController(leader)
 		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 		time.Sleep(300 * time.Millisecond)
-		startControllers(t, sim, l)
+		startControllers(t, sim, leader)
 		at(115 * time.Second)
-		mustRun(t, sim, s, "35 s after the leader's and a machine's end")
+		mustRun(t, sim, serviceJob, "35 s after the leader was killed and a machine was reclaimed")
 		at(200 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, arrayJob)
 	})
 }
 
-// Reports are held back on their way until a new leader has acted: it has asked
-// the machines itself, has halted a cancelled job's tasks there, and has started
-// others. Then they arrive there, before the machines' own next ones or after.
-// What they lack is not gone, and what they list is not there any more.
+// Heartbeats are delayed until a new leader has acted: it has probed the machines itself, has stopped
+// a cancelled job's tasks there, and has started others. Then the delayed heartbeats arrive at it,
+// before the machines' next heartbeats or after them. Tasks that they lack must not count as gone,
+// and tasks that they list must not count as running.
 func TestHeartbeatDelayedUntilNewLeaderActed(t *testing.T) {
 	t.Parallel()
-	for _, before := range []bool{true, false} {
-		t.Run(fmt.Sprint("before the next ones ", before), func(t *testing.T) {
+	for _, beforeNext := range []bool{true, false} {
+		t.Run(fmt.Sprint("before the next heartbeats ", beforeNext), func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 600, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				sim.RecordHeartbeats()
-				a, cancelledJob, late := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
+				arrayJob, cancelledJob, newJob := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
 				at(2 * time.Second)
-				submitAll(sim, a, cancelledJob)
+				submitAll(sim, arrayJob, cancelledJob)
 				at(45 * time.Second)
-				ms := sim.BusyMachines("")
-				if len(ms) == 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 {
-					t.Fatalf("%d machines at work, %d tasks to cancel", len(ms), tasksOnMachines(sim, cancelledJob.Spec.ID))
+				machines := sim.BusyMachines("")
+				if len(machines) == 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 {
+					t.Fatalf("%d machines run tasks, want some; %d tasks to cancel, want 4", len(machines), tasksOnMachines(sim, cancelledJob.Spec.ID))
 				}
 				recordedBefore := map[wire.MachineID]int{}
-				for _, id := range ms {
+				for _, id := range machines {
 					recordedBefore[id] = len(sim.RecordedHeartbeats(id))
 					sim.DropHeartbeats(id, true)
 				}
 				time.Sleep(sim.Settings.Workers.HeartbeatInterval.Duration() * 3 / 2)
-				l, old := sim.LeaderAndToken()
-				sim.KillController(l)
-				_, token := awaitNewToken(t, sim, old)
-				var reps []wire.Heartbeat
-				for _, id := range ms {
-					if k := sim.RecordedHeartbeats(id); len(k) > recordedBefore[id] {
-						reps = append(reps, k[recordedBefore[id]])
+				leader, oldToken := sim.LeaderAndToken()
+				sim.KillController(leader)
+				_, token := awaitNewToken(t, sim, oldToken)
+				var delayed []wire.Heartbeat
+				for _, id := range machines {
+					if recorded := sim.RecordedHeartbeats(id); len(recorded) > recordedBefore[id] {
+						delayed = append(delayed, recorded[recordedBefore[id]])
 					}
 				}
 				mustCancel(t, sim, cancelledJob)
-				sim.Submit(late, 0)
+				sim.Submit(newJob, 0)
 				time.Sleep(4 * time.Second)
-				mustBeGone(t, sim, cancelledJob, "while reports are held up")
-				if !before {
-					for _, id := range ms {
+				mustBeGone(t, sim, cancelledJob, "while heartbeats are delayed")
+				if !beforeNext {
+					for _, id := range machines {
 						sim.DropHeartbeats(id, false)
 					}
 					time.Sleep(6 * time.Second)
 				}
-				late200, listed := 0, 0
-				for _, h := range sim.DeliverHeartbeats(reps...) {
-					if !h.Newer || h.Heartbeat.Token >= token {
-						t.Errorf("the report of %s is not old: tally %d, token %d of %d", h.Heartbeat.Machine, h.Heartbeat.Sequence, h.Heartbeat.Token, token)
+				acceptedCount, listed := 0, 0
+				for _, delivery := range sim.DeliverHeartbeats(delayed...) {
+					if !delivery.Newer || delivery.Heartbeat.Token >= token {
+						t.Errorf("heartbeat of %s is not old: sequence %d, token %d, want a lower token than %d", delivery.Heartbeat.Machine, delivery.Heartbeat.Sequence, delivery.Heartbeat.Token, token)
 					}
-					if h.Status == 200 {
-						late200++
+					if delivery.Status == 200 {
+						acceptedCount++
 					}
-					for _, p := range h.Heartbeat.Tasks {
-						if task, err := wire.ParseTaskID(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
+					for _, taskStatus := range delivery.Heartbeat.Tasks {
+						if task, err := wire.ParseTaskID(taskStatus.Task); err == nil && task.Job == cancelledJob.Spec.ID {
 							listed++
 						}
 					}
 				}
-				if len(reps) == 0 || listed == 0 {
-					t.Errorf("%d reports were held, listing %d tasks that were cancelled meanwhile", len(reps), listed)
+				if len(delayed) == 0 || listed == 0 {
+					t.Errorf("%d heartbeats were delayed, which list %d tasks that were cancelled meanwhile, want some of both", len(delayed), listed)
 				}
-				for _, id := range ms {
+				for _, id := range machines {
 					sim.DropHeartbeats(id, false)
 				}
 				time.Sleep(3 * time.Second)
-				startControllers(t, sim, l)
+				startControllers(t, sim, leader)
 				markFaultsOver(sim)
 				at(200 * time.Second)
-				mustFinish(t, sim, a, late)
+				mustFinish(t, sim, arrayJob, newJob)
 				mustBeGone(t, sim, cancelledJob, "at the end")
 			})
 		})
 	}
 }
 
-// Old heartbeats come after newer ones: of the epoch before, when the tasks had
-// other attempts, and of the same one. A share of all heartbeats comes again until
-// well after a lease meanwhile, a leader ends, and a job is cancelled that the
-// old ones list.
+// Old heartbeats arrive after newer ones: some of the previous agent epoch, in which the tasks had
+// other attempts, and some of the same epoch. Meanwhile a share of all heartbeats is delivered again,
+// up to well after a lease, the leader is killed, and a job is cancelled that the old heartbeats
+// list.
 func TestHeartbeatsOfEarlierEpochsAndAttempts(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		lease := sim.Settings.Workers.Lease.Duration()
 		sim.RecordHeartbeats()
-		a, cancelledJob, s := array(1, 6, 90), array(2, 4, 300), service(3, 3)
+		arrayJob, cancelledJob, serviceJob := array(1, 6, 90), array(2, 4, 300), service(3, 3)
 		at(2 * time.Second)
-		submitAll(sim, a, cancelledJob, s)
+		submitAll(sim, arrayJob, cancelledJob, serviceJob)
 		at(45 * time.Second)
 		sim.DuplicateHeartbeats(0.3, 2*time.Second, lease*5/2)
-		// Their leases run out although they answer all commands.
-		ms := sim.MachinesRunning(cancelledJob.Spec.ID)
-		sim.BlockOutbound(true, ms...)
+		// The leases of these machines expire although they answer all commands.
+		machines := sim.MachinesRunning(cancelledJob.Spec.ID)
+		sim.BlockOutbound(true, machines...)
 		time.Sleep(lease + time.Second)
-		sim.BlockOutbound(false, ms...)
+		sim.BlockOutbound(false, machines...)
 		time.Sleep(6 * time.Second)
-		for _, id := range ms {
+		for _, id := range machines {
 			if epoch, _, _ := sim.MachineEpoch(id); epoch == 1 {
-				t.Errorf("%s is still in its first session", id)
+				t.Errorf("%s is still in its first agent epoch", id)
 			}
 		}
-		tries := map[wire.AttemptNumber]bool{}
-		for _, id := range ms {
-			for _, r := range sim.RecordedHeartbeats(id) {
-				for _, p := range r.Tasks {
-					if task, err := wire.ParseTaskID(p.Task); err == nil && task.Job == cancelledJob.Spec.ID {
-						tries[p.Attempt] = true
+		attempts := map[wire.AttemptNumber]bool{}
+		for _, id := range machines {
+			for _, heartbeat := range sim.RecordedHeartbeats(id) {
+				for _, taskStatus := range heartbeat.Tasks {
+					if task, err := wire.ParseTaskID(taskStatus.Task); err == nil && task.Job == cancelledJob.Spec.ID {
+						attempts[taskStatus.Attempt] = true
 					}
 				}
 			}
 		}
-		if len(tries) < 2 {
-			t.Errorf("the tasks had attempts %v only", tries)
+		if len(attempts) < 2 {
+			t.Errorf("the tasks had only the attempts %v, want at least two", attempts)
 		}
-		old := func() (reps []wire.Heartbeat) {
-			for _, id := range ms {
-				k := sim.RecordedHeartbeats(id)
-				if len(k) > 0 {
-					// When its tasks ran, and its first.
-					i := slices.IndexFunc(k, func(r wire.Heartbeat) bool { return r.Epoch == 1 && len(r.Tasks) > 0 })
-					reps = append(reps, k[0], k[max(0, i)])
-					if i = slices.IndexFunc(k, func(r wire.Heartbeat) bool { return r.Epoch > 1 }); i > 0 {
-						reps = append(reps, k[i-1], k[i])
+		oldHeartbeats := func() (heartbeats []wire.Heartbeat) {
+			for _, id := range machines {
+				recorded := sim.RecordedHeartbeats(id)
+				if len(recorded) > 0 {
+					// The machine's first heartbeat, and its first one with tasks in its first epoch.
+					i := slices.IndexFunc(recorded, func(r wire.Heartbeat) bool { return r.Epoch == 1 && len(r.Tasks) > 0 })
+					heartbeats = append(heartbeats, recorded[0], recorded[max(0, i)])
+					if i = slices.IndexFunc(recorded, func(r wire.Heartbeat) bool { return r.Epoch > 1 }); i > 0 {
+						heartbeats = append(heartbeats, recorded[i-1], recorded[i])
 					}
 				}
 			}
-			return reps
+			return heartbeats
 		}
-		earlier := 0
-		hand := func() {
-			for _, h := range sim.DeliverHeartbeats(old()...) {
-				if epoch, _, _ := sim.MachineEpoch(h.Heartbeat.Machine); h.Newer && epoch > h.Heartbeat.Epoch && len(h.Heartbeat.Tasks) > 0 {
-					earlier++
+		fromEarlierEpoch := 0
+		deliverOld := func() {
+			for _, delivery := range sim.DeliverHeartbeats(oldHeartbeats()...) {
+				if epoch, _, _ := sim.MachineEpoch(delivery.Heartbeat.Machine); delivery.Newer && epoch > delivery.Heartbeat.Epoch && len(delivery.Heartbeat.Tasks) > 0 {
+					fromEarlierEpoch++
 				}
 			}
 		}
-		hand()
+		deliverOld()
 		mustCancel(t, sim, cancelledJob)
-		hand()
-		l, token := sim.LeaderAndToken()
-		sim.KillController(l)
-		awaitNewToken(t, sim, token)
-		hand()
+		deliverOld()
+		leader, oldToken := sim.LeaderAndToken()
+		sim.KillController(leader)
+		awaitNewToken(t, sim, oldToken)
+		deliverOld()
 		time.Sleep(3 * time.Second)
-		startControllers(t, sim, l)
-		hand()
+		startControllers(t, sim, leader)
+		deliverOld()
 		time.Sleep(5 * time.Second)
-		mustBeGone(t, sim, cancelledJob, "after old reports listed them")
-		hand()
-		if earlier == 0 {
-			t.Error("no report of an earlier session came after newer ones")
+		mustBeGone(t, sim, cancelledJob, "after old heartbeats that list it")
+		deliverOld()
+		if fromEarlierEpoch == 0 {
+			t.Error("no heartbeat of an earlier agent epoch arrived after newer ones")
 		}
-		if all, older := sim.DuplicateCounts(); older < all/2 || older < 10 {
-			t.Errorf("%d of %d copies came after a newer report", older, all)
+		if copies, stale := sim.DuplicateCounts(); stale < copies/2 || stale < 10 {
+			t.Errorf("%d of %d copies arrived after a newer heartbeat, want at least 10 and half of them", stale, copies)
 		}
 		sim.DuplicateHeartbeats(0, 0, 0)
 		time.Sleep(lease * 5 / 2)
 		markFaultsOver(sim)
 		time.Sleep(120 * time.Second)
-		mustFinish(t, sim, a)
-		mustRun(t, sim, s, "when all is over")
+		mustFinish(t, sim, arrayJob)
+		mustRun(t, sim, serviceJob, "after all faults")
 	})
 }
 
-// Old reports reach every node just as a new leader begins, as the first that
-// it hears of a machine: before it has read what is stored, and after. It
-// inherits tasks on those machines, some of which the old heartbeats lack, and a
-// job is cancelled while nobody leads.
+// Old heartbeats reach every controller just as a new leader is elected, as the first that it
+// receives from a machine: before it has read what is stored, or after. It inherits tasks on those
+// machines, some of which the old heartbeats lack, and a job is cancelled while nobody leads. No task
+// may be started again.
 func TestOldHeartbeatsDuringLeaderRecovery(t *testing.T) {
 	t.Parallel()
 	for _, recovered := range []bool{false, true} {
-		for _, first := range []bool{false, true} {
-			play := runScenario
-			if first {
-				play = runOnUnevenLayout
+		for _, firstHeartbeats := range []bool{false, true} {
+			run := runScenario
+			if firstHeartbeats {
+				run = runOnUnevenLayout
 			}
-			t.Run(fmt.Sprintf("recovered %v, first reports %v", recovered, first), func(t *testing.T) {
+			t.Run(fmt.Sprintf("recovered %v, first heartbeats %v", recovered, firstHeartbeats), func(t *testing.T) {
 				t.Parallel()
-				play(t, 620, func(sim *simulator.Simulation, at func(time.Duration)) {
+				run(t, 620, func(sim *simulator.Simulation, at func(time.Duration)) {
 					sim.RecordHeartbeats()
-					a, cancelledJob, s, b := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
+					arrayJob, cancelledJob, serviceJob, nextJob := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
 					at(2 * time.Second)
-					submitAll(sim, a, cancelledJob, s)
+					submitAll(sim, arrayJob, cancelledJob, serviceJob)
 					at(45 * time.Second)
-					ms := sim.BusyMachines("")
-					var reps []wire.Heartbeat
-					for _, id := range ms {
-						k := sim.RecordedHeartbeats(id)
-						if first {
-							reps = append(reps, k[0]) // lacks all that runs there now
+					machines := sim.BusyMachines("")
+					var oldHeartbeats []wire.Heartbeat
+					for _, id := range machines {
+						recorded := sim.RecordedHeartbeats(id)
+						if firstHeartbeats {
+							oldHeartbeats = append(oldHeartbeats, recorded[0]) // lists none of the tasks that run there now
 						} else {
-							reps = append(reps, k[len(k)-2])
+							oldHeartbeats = append(oldHeartbeats, recorded[len(recorded)-2])
 						}
 					}
-					l, old := sim.LeaderAndToken()
-					sim.KillController(l)
+					leader, oldToken := sim.LeaderAndToken()
+					sim.KillController(leader)
 					time.Sleep(300 * time.Millisecond)
 					mustCancel(t, sim, cancelledJob)
-					if n, _ := sim.LeaderAndToken(); n >= 0 && n != l {
-						t.Error("somebody leads before the job is cancelled")
+					if elected, _ := sim.LeaderAndToken(); elected >= 0 && elected != leader {
+						t.Error("a new leader was elected before the job was cancelled")
 					}
 					// A slow key-value store makes the recovery take a while.
-					slow := func(d time.Duration) {
+					slowStore := func(d time.Duration) {
 						for i := range sim.Settings.Size {
 							sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), d)
 						}
 					}
 					if !recovered {
-						slow(200 * time.Millisecond)
+						slowStore(200 * time.Millisecond)
 					}
-					n, token := awaitNewToken(t, sim, old)
+					newLeader, token := awaitNewToken(t, sim, oldToken)
 					if recovered {
 						for range 1000 {
-							if hasRecovered(sim, n) {
+							if hasRecovered(sim, newLeader) {
 								break
 							}
 							time.Sleep(time.Millisecond)
 						}
 					} else {
-						time.Sleep(250 * time.Millisecond) // the answer to its taking is on its way
+						time.Sleep(250 * time.Millisecond) // its write of the leader's key is being answered
 					}
-					is := hasRecovered(sim, n)
-					taken := 0
-					for _, h := range sim.DeliverHeartbeats(reps...) {
-						if h.Node == n && h.Status == 200 && h.Token >= token {
-							taken++
+					recoveredBefore := hasRecovered(sim, newLeader)
+					acceptedCount := 0
+					for _, delivery := range sim.DeliverHeartbeats(oldHeartbeats...) {
+						if delivery.Node == newLeader && delivery.Status == 200 && delivery.Token >= token {
+							acceptedCount++
 						}
 					}
-					if is != recovered || !recovered && hasRecovered(sim, n) {
-						t.Errorf("recovered before %v and after %v", is, hasRecovered(sim, n))
+					if recoveredBefore != recovered || !recovered && hasRecovered(sim, newLeader) {
+						t.Errorf("recovered before the heartbeats arrived: %v, after that: %v", recoveredBefore, hasRecovered(sim, newLeader))
 					}
-					if taken == 0 {
-						t.Error("the new leader took none of the old reports")
+					if acceptedCount == 0 {
+						t.Error("the new leader accepted none of the old heartbeats")
 					}
-					slow(0)
-					sim.Submit(b, 0)
+					slowStore(0)
+					sim.Submit(nextJob, 0)
 					time.Sleep(2 * time.Second)
-					sim.DeliverHeartbeats(reps...)
+					sim.DeliverHeartbeats(oldHeartbeats...)
 					time.Sleep(5 * time.Second)
-					startControllers(t, sim, l)
-					mustBeGone(t, sim, cancelledJob, "some seconds after the new leader began")
+					startControllers(t, sim, leader)
+					mustBeGone(t, sim, cancelledJob, "some seconds after the election")
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.Restarts() != 0 {
-							t.Errorf("%d tasks were started again", c.Restarts())
+							t.Errorf("%d tasks were started again, want 0", c.Restarts())
 						}
 						c.FaultsOver(time.Now())
 					})
 					at(170 * time.Second)
-					mustFinish(t, sim, a, b)
-					mustRun(t, sim, s, "at the end")
+					mustFinish(t, sim, arrayJob, nextJob)
+					mustRun(t, sim, serviceJob, "at the end")
 				})
 			})
 		}
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -13,197 +13,197 @@
 	"lilaclead/internal/wire"
 )
 
-// A user's changes get no answer and are carried out ten seconds later or more, when what
-// they speak of has gone on: nothing may come back to life, and a job that was
-// done stays so.
+// A user's submission or cancellation gets no response from the key-value store and is executed ten
+// seconds later or more, when the state of the job has changed. No job that has ended may come back
+// to life, and a job that was done stays done.
 func TestUserWritesExecutedLate(t *testing.T) {
 	t.Parallel()
-	lateBy := func(sim *simulator.Simulation, node int, from, to time.Duration) {
+	delayWrite := func(sim *simulator.Simulation, node int, from, to time.Duration) {
 		sim.State.InjectTxnFaults(1, simulator.TxnFault{Prefix: store.JobPrefix, Hosts: []string{simulator.NodeIP(node)}, Most: 1, Late: [2]time.Duration{from, to}})
 	}
-	late := func(sim *simulator.Simulation, node int) { lateBy(sim, node, 10*time.Second, 12*time.Second) }
-	// Under some schedules the job ends only eleven seconds after its submission.
-	lateAfterEnd := func(sim *simulator.Simulation, node int) { lateBy(sim, node, 20*time.Second, 22*time.Second) }
-	for i, kind := range []string{"acceptance, after the job's end", "acceptance, after its cancellation", "acceptance, nobody asks again",
-		"cancellation, after the job's end", "cancellation, after another", "cancellation, nobody asks again"} {
+	delayNextWrite := func(sim *simulator.Simulation, node int) { delayWrite(sim, node, 10*time.Second, 12*time.Second) }
+	// Under some schedules the job ends as late as eleven seconds after its submission.
+	delayNextWriteBeyondEnd := func(sim *simulator.Simulation, node int) { delayWrite(sim, node, 20*time.Second, 22*time.Second) }
+	for caseNumber, kind := range []string{"acceptance, after the job's end", "acceptance, after its cancellation", "acceptance, not retried",
+		"cancellation, after the job's end", "cancellation, after a second one", "cancellation, not retried"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(600+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				warm, a, small, s := array(1, 8, 10), array(2, 2, 2), array(4, 1, 1), service(3, 3)
-				if i == 2 || i == 4 || i == 5 {
-					a.RunTime = 40
+			runOnAlternatingLayouts(t, uint64(600+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+				warmUp, job, smallJob, serviceJob := array(1, 8, 10), array(2, 2, 2), array(4, 1, 1), service(3, 3)
+				if caseNumber == 2 || caseNumber == 4 || caseNumber == 5 {
+					job.RunTime = 40
 				}
-				if i == 3 {
-					a.RunTime = 5
+				if caseNumber == 3 {
+					job.RunTime = 5
 				}
 				at(2 * time.Second)
-				sim.Submit(s, 0)
-				sim.Submit(warm, 0) // what it leaves has room for the next
+				sim.Submit(serviceJob, 0)
+				sim.Submit(warmUp, 0) // the machines that it leaves idle have room for the next jobs
 				at(27 * time.Second)
-				sim.RegisterJob(a)
-				r := startReader(t, sim, a.Spec.ID)
-				k := i % sim.Settings.Size
-				var other time.Time
-				switch i {
+				sim.RegisterJob(job)
+				reader := startReader(t, sim, job.Spec.ID)
+				firstNode := caseNumber % sim.Settings.Size
+				var otherAnsweredAt time.Time
+				switch caseNumber {
 				case 0:
-					lateAfterEnd(sim, k)
-					requestUntilAnswered(t, sim, a, false, k)
+					delayNextWriteBeyondEnd(sim, firstNode)
+					requestUntilAnswered(t, sim, job, false, firstNode)
 				case 1:
-					late(sim, k)
-					requestUntilAnswered(t, sim, a, false, k)
-					other, _, _ = requestUntilAnswered(t, sim, a, true, k+1)
+					delayNextWrite(sim, firstNode)
+					requestUntilAnswered(t, sim, job, false, firstNode)
+					otherAnsweredAt, _, _ = requestUntilAnswered(t, sim, job, true, firstNode+1)
 				case 2:
-					late(sim, k)
-					if status := requestOnce(sim, a, false, k); status == 200 || status == 201 {
-						t.Errorf("answered %d", status)
+					delayNextWrite(sim, firstNode)
+					if status := requestOnce(sim, job, false, firstNode); status == 200 || status == 201 {
+						t.Errorf("submission answered %d, want no success", status)
 					}
 				case 3:
-					requestUntilAnswered(t, sim, a, false, k)
-					lateAfterEnd(sim, k)
-					if status := requestOnce(sim, a, true, k); status == 200 {
-						t.Errorf("answered %d", status)
+					requestUntilAnswered(t, sim, job, false, firstNode)
+					delayNextWriteBeyondEnd(sim, firstNode)
+					if status := requestOnce(sim, job, true, firstNode); status == 200 {
+						t.Errorf("cancellation answered %d, want no success", status)
 					}
 				case 4:
-					requestUntilAnswered(t, sim, a, false, k)
-					late(sim, k)
-					other, _, _ = requestUntilAnswered(t, sim, a, true, k)
+					requestUntilAnswered(t, sim, job, false, firstNode)
+					delayNextWrite(sim, firstNode)
+					otherAnsweredAt, _, _ = requestUntilAnswered(t, sim, job, true, firstNode)
 				case 5:
-					requestUntilAnswered(t, sim, a, false, k)
-					late(sim, k)
-					requestOnce(sim, a, true, k)
+					requestUntilAnswered(t, sim, job, false, firstNode)
+					delayNextWrite(sim, firstNode)
+					requestOnce(sim, job, true, firstNode)
 				}
-				sim.RegisterJob(small) // something newer of the same node
-				requestOnce(sim, small, false, k)
+				sim.RegisterJob(smallJob) // causes a newer write of the same controller
+				requestOnce(sim, smallJob, false, firstNode)
 				at(55 * time.Second)
-				endFaultsAndWait(sim, 75*time.Second) // a cancelled one must be gone by then
-				r.stopReading()
-				finalSeen := r.firstSeen(simulator.ToldFinal)
-				hit := faultedTransactions(sim, store.JobPrefix+string(a.Spec.ID), func(f *simulator.TxnOutcome) bool { return f.Late })
-				if len(hit) != 1 || hit[0].Done.IsZero() {
-					t.Fatalf("fates %+v", hit)
+				endFaultsAndWait(sim, 75*time.Second) // by then no task of a cancelled job may remain
+				reader.stopReading()
+				finalSeen := reader.firstSeen(simulator.ToldFinal)
+				lateWrites := faultedTransactions(sim, store.JobPrefix+string(job.Spec.ID), func(f *simulator.TxnOutcome) bool { return f.Late })
+				if len(lateWrites) != 1 || lateWrites[0].Done.IsZero() {
+					t.Fatalf("late writes %+v, want one, executed or refused", lateWrites)
 				}
-				switch i {
+				switch caseNumber {
 				case 0:
-					mustFinish(t, sim, a)
+					mustFinish(t, sim, job)
 					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), finalSeen)
 				case 1, 4:
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), finalSeen, other)
+					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), finalSeen, otherAnsweredAt)
 				case 2:
-					mustFinish(t, sim, a)
-					if hit[0].Status != http.StatusOK || !r.firstSeen(simulator.ToldAccepted).After(hit[0].Done) || hit[0].Done.Sub(hit[0].Sent) < 10*time.Second {
-						t.Errorf("%+v, first known at %v", hit[0], r.firstSeen(simulator.ToldAccepted))
+					mustFinish(t, sim, job)
+					if lateWrites[0].Status != http.StatusOK || !reader.firstSeen(simulator.ToldAccepted).After(lateWrites[0].Done) || lateWrites[0].Done.Sub(lateWrites[0].Sent) < 10*time.Second {
+						t.Errorf("late write %+v, acceptance first seen at %v, want it executed 10 s late and seen after that", lateWrites[0], reader.firstSeen(simulator.ToldAccepted))
 					}
 				case 3:
-					mustFinish(t, sim, a)
+					mustFinish(t, sim, job)
 					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), finalSeen)
-					if when, _, said := requestUntilAnswered(t, sim, a, true, k); when.IsZero() || said != wire.StatusDone {
-						t.Errorf("a job that was done is called %s", said)
+					if toldAt, _, toldStatus := requestUntilAnswered(t, sim, job, true, firstNode); toldAt.IsZero() || toldStatus != wire.StatusDone {
+						t.Errorf("a job that was done has the status %s, want done", toldStatus)
 					}
 				case 5:
-					if hit[0].Status != http.StatusOK || !finalSeen.After(hit[0].Done) {
-						t.Errorf("%+v, first known to be over at %v", hit[0], finalSeen)
+					if lateWrites[0].Status != http.StatusOK || !finalSeen.After(lateWrites[0].Done) {
+						t.Errorf("late write %+v, final status first seen at %v, want it executed and seen after that", lateWrites[0], finalSeen)
 					}
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(a.Spec.ID); n != 0 {
-						t.Errorf("%d tasks of a job that is over", n)
+					if n := c.OnMachines(job.Spec.ID); n != 0 {
+						t.Errorf("%d tasks of a job that has ended on machines, want 0", n)
 					}
 				})
-				mustRun(t, sim, s, "afterwards")
+				mustRun(t, sim, serviceJob, "afterwards")
 			})
 		})
 	}
 }
 
-// What the leader writes gets no answer and is carried out seconds later, after
-// newer transactions, or after the leader's end: under the grant that is still
-// there, or after another has come.
+// The leader's writes get no response from the key-value store and are executed seconds later: after
+// newer transactions, or after the leader was killed, while its grant still exists or when another
+// leader has been elected.
 func TestLeaderWritesExecutedLate(t *testing.T) {
 	t.Parallel()
-	type late = [2]time.Duration
-	soon, long := late{2 * time.Second, 2100 * time.Millisecond}, late{6 * time.Second, 12 * time.Second}
-	for i, c := range []struct {
-		what, prefix string
-		late         late
-		ends, lead   bool // the leader ends; the first writes of its key are late too
+	type delayRange = [2]time.Duration
+	shortDelay, longDelay := delayRange{2 * time.Second, 2100 * time.Millisecond}, delayRange{6 * time.Second, 12 * time.Second}
+	for caseNumber, tc := range []struct {
+		name, prefix                string
+		delay                       delayRange
+		leaderKilled, leaderKeyLate bool // leaderKeyLate: the first writes of the leader's key are late too
 	}{
-		{"launch", store.ProgressPrefix, late{2 * time.Second, 12 * time.Second}, false, false},
-		{"launch, and the new token", store.ProgressPrefix, long, false, true},
-		{"launch, under a dead leader's grant", store.ProgressPrefix, soon, true, false},
-		{"launch, after the next leader came", store.ProgressPrefix, long, true, false},
-		{"end of a job", "past/", long, false, false},
-		{"end of a job, and the new token", "past/", long, false, true},
-		{"end of a job, under a dead leader's grant", "past/", soon, true, false},
-		{"end of a job, after the next leader came", "past/", long, true, false},
+		{"launch", store.ProgressPrefix, delayRange{2 * time.Second, 12 * time.Second}, false, false},
+		{"launch, and the new token", store.ProgressPrefix, longDelay, false, true},
+		{"launch, under a dead leader's grant", store.ProgressPrefix, shortDelay, true, false},
+		{"launch, after the next election", store.ProgressPrefix, longDelay, true, false},
+		{"final record", "past/", longDelay, false, false},
+		{"final record, and the new token", "past/", longDelay, false, true},
+		{"final record, under a dead leader's grant", "past/", shortDelay, true, false},
+		{"final record, after the next election", "past/", longDelay, true, false},
 	} {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(620+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				warm, a, b, s := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
+			runOnAlternatingLayouts(t, uint64(620+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+				warmUp, job, nextJob, serviceJob := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
 				at(2 * time.Second)
-				submitAll(sim, s, warm)
+				submitAll(sim, serviceJob, warmUp)
 				at(27 * time.Second)
-				l := sim.Leader()
-				if l < 0 {
+				leader := sim.Leader()
+				if leader < 0 {
 					t.Fatal("nobody leads")
 				}
-				most := 1
-				if !c.ends {
-					most = 3
+				maxFaults := 1
+				if !tc.leaderKilled {
+					maxFaults = 3
 				}
-				faults := []simulator.TxnFault{{Prefix: c.prefix, Hosts: []string{simulator.NodeIP(l)}, Most: most, Late: c.late, Hang: c.ends}}
-				if c.lead {
-					faults = append(faults, simulator.TxnFault{Prefix: store.LeaderKey, Hosts: []string{simulator.NodeIP(l)}, Most: 2, Late: c.late})
+				faults := []simulator.TxnFault{{Prefix: tc.prefix, Hosts: []string{simulator.NodeIP(leader)}, Most: maxFaults, Late: tc.delay, Hang: tc.leaderKilled}}
+				if tc.leaderKeyLate {
+					faults = append(faults, simulator.TxnFault{Prefix: store.LeaderKey, Hosts: []string{simulator.NodeIP(leader)}, Most: 2, Late: tc.delay})
 				}
-				sim.State.InjectTxnFaults(uint64(i), faults...)
-				sim.RegisterJob(a)
-				r := startReader(t, sim, a.Spec.ID)
+				sim.State.InjectTxnFaults(uint64(caseNumber), faults...)
+				sim.RegisterJob(job)
+				reader := startReader(t, sim, job.Spec.ID)
 				var user sync.WaitGroup
-				user.Go(func() { requestUntilAnswered(t, sim, a, false, i) })
-				var killed, next time.Time
-				if c.ends {
+				user.Go(func() { requestUntilAnswered(t, sim, job, false, caseNumber) })
+				var killedAt, nextElectedAt time.Time
+				if tc.leaderKilled {
 					for begin := time.Now(); len(sim.State.TxnOutcomes()) == 0 && time.Since(begin) < 30*time.Second; {
 						time.Sleep(5 * time.Millisecond)
 					}
-					sim.KillController(l)
-					killed = time.Now()
-					for time.Since(killed) < 6*time.Second {
+					sim.KillController(leader)
+					killedAt = time.Now()
+					for time.Since(killedAt) < 6*time.Second {
 						time.Sleep(50 * time.Millisecond)
-						if n := sim.Leader(); next.IsZero() && n >= 0 && n != l {
-							next = time.Now()
+						if n := sim.Leader(); nextElectedAt.IsZero() && n >= 0 && n != leader {
+							nextElectedAt = time.Now()
 						}
 					}
-					startControllers(t, sim, l)
+					startControllers(t, sim, leader)
 				}
 				user.Wait()
 				time.Sleep(10 * time.Second)
-				sim.Submit(b, 0)
+				sim.Submit(nextJob, 0)
 				time.Sleep(20 * time.Second)
 				endFaultsAndWait(sim, 20*time.Second)
-				r.stopReading()
-				mustFinish(t, sim, a, b)
-				mustRun(t, sim, s, "afterwards")
-				if r.firstSeen(simulator.ToldFinal).IsZero() {
+				reader.stopReading()
+				mustFinish(t, sim, job, nextJob)
+				mustRun(t, sim, serviceJob, "afterwards")
+				if reader.firstSeen(simulator.ToldFinal).IsZero() {
 					t.Errorf("nobody was told that the job is done")
 				}
-				hit := faultedTransactions(sim, c.prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
+				lateWrites := faultedTransactions(sim, tc.prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
 				switch {
-				case len(hit) == 0:
-					t.Fatal("nothing was late")
-				case c.ends && c.late == soon:
-					// Carried out between the leader's end and the next one's begin,
-					// which learns from it what nobody was told.
-					if f := hit[0]; f.Status != http.StatusOK || !f.Done.After(killed) || !f.Done.Before(next) {
-						t.Errorf("ended at %v, next at %v: %+v", killed, next, f)
+				case len(lateWrites) == 0:
+					t.Fatal("no write was executed late")
+				case tc.leaderKilled && tc.delay == shortDelay:
+					// Executed between the leader's end and the next election. The next leader learns
+					// from the write what no user was told.
+					if f := lateWrites[0]; f.Status != http.StatusOK || !f.Done.After(killedAt) || !f.Done.Before(nextElectedAt) {
+						t.Errorf("leader killed at %v, next one elected at %v: late write %+v, want it executed in between", killedAt, nextElectedAt, f)
 					}
-				case c.ends:
-					if f := hit[0]; f.Status == http.StatusOK || !f.Done.After(next) || next.IsZero() {
-						t.Errorf("ended at %v, next at %v: %+v", killed, next, f)
+				case tc.leaderKilled:
+					if f := lateWrites[0]; f.Status == http.StatusOK || !f.Done.After(nextElectedAt) || nextElectedAt.IsZero() {
+						t.Errorf("leader killed at %v, next one elected at %v: late write %+v, want it refused after the election", killedAt, nextElectedAt, f)
 					}
 				default:
-					mustBeExecutedLate(t, c.what, faultedTransactions(sim, c.prefix, refusedByGuardOn(store.LeaderKey)))
+					mustBeExecutedLate(t, tc.name, faultedTransactions(sim, tc.prefix, refusedByGuardOn(store.LeaderKey)))
 				}
-				if c.lead {
+				if tc.leaderKeyLate {
 					mustBeExecutedLate(t, "the new token", faultedTransactions(sim, store.LeaderKey, refusedByGuardOn(store.LeaderKey)))
 				}
 			})
@@ -211,37 +211,37 @@
 	}
 }
 
-// Candidates' writes of the leader's key are carried out late: while another one
-// leads, or nobody yet, by a grant that was given up. Nobody may lead by it.
+// Candidates' writes of the leader's key are executed late: while another controller leads, or while
+// nobody leads yet and the candidate has given up the grant. Such a write may make nobody the leader.
 func TestLeaderKeyWrittenLate(t *testing.T) {
 	t.Parallel()
-	for i, most := range []int{1, 6} {
-		t.Run(fmt.Sprint(most), func(t *testing.T) {
+	for caseNumber, maxFaults := range []int{1, 6} {
+		t.Run(fmt.Sprint(maxFaults), func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(640+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, a := service(1, 3), array(2, 6, 15)
+			runOnAlternatingLayouts(t, uint64(640+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+				serviceJob, arrayJob := service(1, 3), array(2, 6, 15)
 				at(2 * time.Second)
-				submitAll(sim, s, a)
+				submitAll(sim, serviceJob, arrayJob)
 				at(30 * time.Second)
-				for k := range 2 {
-					l := sim.Leader()
-					if l < 0 {
+				for round := range 2 {
+					leader := sim.Leader()
+					if leader < 0 {
 						t.Fatal("nobody leads")
 					}
-					sim.State.InjectTxnFaults(uint64(10*i+k), simulator.TxnFault{Prefix: store.LeaderKey, Most: most, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
-					sim.KillController(l)
+					sim.State.InjectTxnFaults(uint64(10*caseNumber+round), simulator.TxnFault{Prefix: store.LeaderKey, Most: maxFaults, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
+					sim.KillController(leader)
 					time.Sleep(20 * time.Second)
-					startControllers(t, sim, l)
+					startControllers(t, sim, leader)
 					time.Sleep(10 * time.Second)
 				}
 				sim.Submit(array(3, 4, 5), 0)
 				endFaultsAndWait(sim, 45*time.Second)
-				mustFinish(t, sim, a, array(3, 4, 5))
-				mustRun(t, sim, s, "afterwards")
-				hit := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
-				dead := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Status == http.StatusBadRequest })
-				if len(hit) < 2*most || len(dead) == 0 || slices.ContainsFunc(hit, wasExecutedValue) {
-					t.Errorf("%d late, %d of them with a dead grant: %+v", len(hit), len(dead), hit)
+				mustFinish(t, sim, arrayJob, array(3, 4, 5))
+				mustRun(t, sim, serviceJob, "afterwards")
+				lateWrites := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
+				rejected := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Status == http.StatusBadRequest })
+				if len(lateWrites) < 2*maxFaults || len(rejected) == 0 || slices.ContainsFunc(lateWrites, wasExecutedValue) {
+					t.Errorf("%d late writes of the leader's key, %d rejected for their grant, want enough of both and none executed: %+v", len(lateWrites), len(rejected), lateWrites)
 				}
 			})
 		})
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -15,217 +15,213 @@
 	}
 }
 
-// A leader cut off from all workers resigns in favour of a node that they
-// reach.
+// A leader cut off from all workers resigns in favour of a controller that they reach.
 func TestLeaderPartitionedFromWorkers(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 10, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 3), array(2, 30, 25)
+		serviceJob, arrayJob := service(1, 3), array(2, 30, 25)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
-		l := sim.Leader()
-		cutFromMachines(sim, l, true)
+		leader := sim.Leader()
+		cutFromMachines(sim, leader, true)
 		at(75 * time.Second)
-		if n := sim.Leader(); n == l {
+		if n := sim.Leader(); n == leader {
 			t.Error("the leader that reaches no worker still leads")
 		}
-		cutFromMachines(sim, l, false)
+		cutFromMachines(sim, leader, false)
 		at(220 * time.Second)
-		mustFinish(t, sim, a)
-		mustRun(t, sim, s, "run")
+		mustFinish(t, sim, arrayJob)
+		mustRun(t, sim, serviceJob, "at the end")
 	})
 }
 
-// Workers that only the leader can't reach are served through another node,
-// and their machines are kept. (A leader cut off from half of its workers
-// once released them all.)
+// Workers that only the leader can't reach are served through another controller, and their machines
+// are kept. Without this, a leader cut off from half of its workers would release all their machines.
 func TestWorkerPartitionedFromLeaderOnly(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 13, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 3), array(2, 12, 20)
+		serviceJob, arrayJob := service(1, 3), array(2, 12, 20)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
-		l := sim.Leader()
+		leader := sim.Leader()
 		_, ip, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 		if !ok {
-			t.Fatal("no machine at work")
+			t.Fatal("no machine runs tasks")
 		}
-		sim.Net.Cut(simulator.NodeIP(l), ip, true)
-		at(100 * time.Second) // against a lease of 16 s
-		mustRun(t, sim, s, "run")
+		sim.Net.Cut(simulator.NodeIP(leader), ip, true)
+		at(100 * time.Second) // far longer than the lease of 16 s
+		mustRun(t, sim, serviceJob, "while a worker is cut off from the leader")
 		mustRestartNoTask(t, sim)
-		sim.Net.Cut(simulator.NodeIP(l), ip, false)
+		sim.Net.Cut(simulator.NodeIP(leader), ip, false)
 		at(160 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, arrayJob)
 	})
 }
 
-// A leader cut off from its peers only goes on leading; in an outage on top it
-// may answer for as long as a node may be delegate of a lost leader and must stop
-// then, since no majority agrees, and nothing may run twice when the leases
-// have run out.
+// A leader cut off only from its peers goes on leading. In an outage of the key-value store on top of
+// that, it may answer workers for as long as a controller may act as the delegate of a lost leader.
+// Then it must stop, since no majority agrees, and no task may run twice when the leases have
+// expired.
 func TestLeaderPartitionedFromPeers(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 18, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 3), array(2, 6, 30)
+		serviceJob, arrayJob := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
-		l := sim.Leader()
+		leader := sim.Leader()
 		for i := range 3 {
-			if i != l {
-				sim.Net.Cut(simulator.NodeIP(l), simulator.NodeIP(i), true)
+			if i != leader {
+				sim.Net.Cut(simulator.NodeIP(leader), simulator.NodeIP(i), true)
 			}
 		}
 		at(70 * time.Second)
-		mustRun(t, sim, s, "run")
+		mustRun(t, sim, serviceJob, "while the leader is cut off from its peers")
 		mustRestartNoTask(t, sim)
-		if sim.Leader() != l {
+		if sim.Leader() != leader {
 			t.Error("the leader changed")
 		}
 		sim.State.Outage(true)
 		at(95 * time.Second)
-		mustRun(t, sim, s, "25 s after the state service is gone too")
+		mustRun(t, sim, serviceJob, "25 s after the outage of the key-value store began")
 		at(112 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n := c.OnMachines(s.Spec.ID); n != 0 {
-				t.Errorf("%d replicas outlive their leases without a majority", n)
+			if n := c.OnMachines(serviceJob.Spec.ID); n != 0 {
+				t.Errorf("%d replicas outlive their leases without a majority, want 0", n)
 			}
 		})
 		sim.State.Outage(false)
 		at(180 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, arrayJob)
 	})
 }
 
-// A leader loses the key-value store and the other controllers, not its
-// workers: it must stop answering them, and they must find the next leader
-// before their leases end.
+// A leader is cut off from the key-value store and the other controllers, but not from its workers. It
+// must stop answering them, and they must find the next leader before their leases expire.
 func TestLeaderPartitionedFromAllButWorkers(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{5, 7} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(size), 33, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, a := service(1, 4), array(2, 12, 40)
+				serviceJob, arrayJob := service(1, 4), array(2, 12, 40)
 				at(2 * time.Second)
-				submitAll(sim, s, a)
+				submitAll(sim, serviceJob, arrayJob)
 				at(40 * time.Second)
-				l := sim.Leader()
+				leader := sim.Leader()
 				cut := func(on bool) {
 					for i := range size {
-						if i != l {
-							sim.Net.Cut(simulator.NodeIP(l), simulator.NodeIP(i), on)
+						if i != leader {
+							sim.Net.Cut(simulator.NodeIP(leader), simulator.NodeIP(i), on)
 						}
 					}
-					sim.Net.Cut(simulator.NodeIP(l), "10.2.0.1", on)
+					sim.Net.Cut(simulator.NodeIP(leader), "10.2.0.1", on)
 				}
 				cut(true)
 				at(55 * time.Second)
-				if n := sim.Leader(); n == l || n < 0 {
-					t.Errorf("leader is %d, was %d", n, l)
+				if n := sim.Leader(); n == leader || n < 0 {
+					t.Errorf("the leader is controller %d, want another one than %d", n, leader)
 				}
-				if status, _, _ := sim.Ask(l, "GET", "/ready", nil); status != 503 {
-					t.Errorf("/ready of a node that reaches neither state service nor peers answers %d", status)
+				if status, _, _ := sim.Ask(leader, "GET", "/ready", nil); status != 503 {
+					t.Errorf("/ready of a controller that reaches neither key-value store nor peers answers %d, want 503", status)
 				}
 				at(70 * time.Second)
-				mustRun(t, sim, s, "run")
+				mustRun(t, sim, serviceJob, "while the old leader is cut off")
 				mustRestartNoTask(t, sim)
 				cut(false)
 				at(160 * time.Second)
-				mustFinish(t, sim, a)
+				mustFinish(t, sim, arrayJob)
 			})
 		})
 	}
 }
 
-// A leader is cut from the key-value store and the other controllers while workers
-// and users still reach it, and jobs are cancelled through the next one. In the
-// worst case workers reach the old one only and the cloud is away, so that
-// nothing but its silence ends their tasks. Users at the old one get no older
-// answer than the new one's.
+// A leader is cut off from the key-value store and the other controllers while workers and users still
+// reach it, and jobs are cancelled through the next leader. In the worst case workers reach only the
+// old leader and the cloud is unavailable, so that their tasks end only because the old leader stops
+// answering. Users of the old leader get no older answer than the new leader's.
 func TestCancelWhileLeaderIsPartitioned(t *testing.T) {
 	t.Parallel()
 	for _, mode := range simulator.CutModes {
-		for _, only := range []bool{true, false} {
-			if !only && mode != simulator.CutRefused {
+		for _, onlyOldLeader := range []bool{true, false} {
+			if !onlyOldLeader && mode != simulator.CutRefused {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, workers reach the old one only %v", mode, only), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, workers reach only the old leader %v", mode, onlyOldLeader), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(3), 65, func(sim *simulator.Simulation, at func(time.Duration)) {
-					s, a := service(1, 4), array(2, 4, 60)
-					cancelledJob, late := service(3, 4), array(4, 4, 300)
+					serviceJob, arrayJob := service(1, 4), array(2, 4, 60)
+					cancelledSoon, cancelledLater := service(3, 4), array(4, 4, 300)
 					at(2 * time.Second)
-					for _, j := range []simulator.JobScript{s, a, cancelledJob, late} {
+					for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledSoon, cancelledLater} {
 						sim.Submit(j, 0)
 					}
 					at(45 * time.Second)
-					l := sim.Leader()
-					fresh := array(5, 3, 20)
-					polls := startBackgroundPolls(sim, l, s, a, cancelledJob, late, fresh)
+					oldLeader := sim.Leader()
+					newJob := array(5, 3, 20)
+					polls := startBackgroundPolls(sim, oldLeader, serviceJob, arrayJob, cancelledSoon, cancelledLater, newJob)
 					defer polls.stopPolling()
-					behind := map[string]bool{}
-					for _, id := range append(sim.MachinesRunning(cancelledJob.Spec.ID), sim.MachinesRunning(late.Spec.ID)...) {
-						behind[sim.MachineIP(id)] = true
+					cancelledMachineIPs := map[string]bool{}
+					for _, id := range append(sim.MachinesRunning(cancelledSoon.Spec.ID), sim.MachinesRunning(cancelledLater.Spec.ID)...) {
+						cancelledMachineIPs[sim.MachineIP(id)] = true
 					}
-					split := func(on bool) {
-						sim.IsolateController(l, mode, on)
-						for ip := range behind {
+					partition := func(on bool) {
+						sim.IsolateController(oldLeader, mode, on)
+						for ip := range cancelledMachineIPs {
 							for i := range 3 {
-								if only && i != l {
+								if onlyOldLeader && i != oldLeader {
 									sim.Net.Cut(simulator.NodeIP(i), ip, on)
 								}
 							}
 						}
 					}
-					sim.CloudOutage(only)
-					begin := time.Now()
-					split(true)
-					next := awaitOtherLeader(t, sim, l, 10*time.Second)
+					sim.CloudOutage(onlyOldLeader)
+					cutAt := time.Now()
+					partition(true)
+					newLeader := awaitOtherLeader(t, sim, oldLeader, 10*time.Second)
 					answeredBefore := polls.answered()
-					sim.Submit(fresh, 0) // by any node; those that can't will refuse
-					if got := cancelAtController(t, sim, next, cancelledJob); got.Sub(begin) > 8*time.Second {
-						t.Errorf("cancelled only %v after the cut", got.Sub(begin))
+					sim.Submit(newJob, 0) // at any controller; one that can't accept it refuses
+					if confirmedAt := cancelAtController(t, sim, newLeader, cancelledSoon); confirmedAt.Sub(cutAt) > 8*time.Second {
+						t.Errorf("cancelled %v after the cut, want at most 8s", confirmedAt.Sub(cutAt))
 					}
 					sim.WithChecker(func(c *simulator.Checker) {
-						if !only && c.OnMachines(late.Spec.ID) == 0 || only && c.OnMachines(cancelledJob.Spec.ID) == 0 {
-							t.Error("nothing of the cancelled jobs runs any more when they are cancelled")
+						if !onlyOldLeader && c.OnMachines(cancelledLater.Spec.ID) == 0 || onlyOldLeader && c.OnMachines(cancelledSoon.Spec.ID) == 0 {
+							t.Error("no task of the jobs to cancel runs when they are cancelled")
 						}
 					})
 					time.Sleep(4 * time.Second)
-					cancelAtController(t, sim, next, late)
-					if saysItLeads(t, sim, l) {
-						t.Errorf("the old leader thinks that it leads %v after the cut", time.Since(begin))
+					cancelAtController(t, sim, newLeader, cancelledLater)
+					if saysItLeads(t, sim, oldLeader) {
+						t.Errorf("the old leader still says that it leads %v after the cut", time.Since(cutAt))
 					}
-					if status, _, _ := sim.Ask(l, "GET", "/ready", nil); status != 503 {
-						t.Errorf("/ready of the old leader answers %d", status)
+					if status, _, _ := sim.Ask(oldLeader, "GET", "/ready", nil); status != 503 {
+						t.Errorf("/ready of the old leader answers %d, want 503", status)
 					}
 					for i := range 3 {
-						if i != l && !sim.Net.IsCut(simulator.NodeIP(l), simulator.NodeIP(i)) {
-							t.Error("the cut is over too early")
+						if i != oldLeader && !sim.Net.IsCut(simulator.NodeIP(oldLeader), simulator.NodeIP(i)) {
+							t.Error("the cut ended too early")
 						}
 					}
-					if l == sim.Leader() {
+					if oldLeader == sim.Leader() {
 						t.Error("the old leader leads")
 					}
 					time.Sleep(45 * time.Second)
-					if only {
+					if onlyOldLeader {
 						sim.WithChecker(func(c *simulator.Checker) {
-							if n := c.OnMachines(cancelledJob.Spec.ID) + c.OnMachines(late.Spec.ID); n != 0 {
-								t.Errorf("%d tasks of cancelled jobs behind the old leader", n)
+							if n := c.OnMachines(cancelledSoon.Spec.ID) + c.OnMachines(cancelledLater.Spec.ID); n != 0 {
+								t.Errorf("%d tasks of cancelled jobs on machines that reach only the old leader, want 0", n)
 							}
 						})
 					}
-					split(false)
+					partition(false)
 					sim.CloudOutage(false)
 					time.Sleep(5 * time.Second)
 					if polls.answered() == answeredBefore {
-						t.Error("the old leader has answered no user after the cut")
+						t.Error("the old leader has answered no poll after the cut")
 					}
-					mustRecover(t, sim, 3, s, a, fresh)
+					mustRecover(t, sim, 3, serviceJob, arrayJob, newJob)
 				})
 			})
 		}
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -9,94 +9,101 @@
 	"lilaclead/internal/wire"
 )
 
-// Jobs are cancelled at the moment at which the key-value store refuses the
-// leader alone, and then it is out for everybody, for longer than a cancelled
-// task may last. Workers go on reporting to the leader, which can't read what
-// was cancelled. It may renew their leases only while the other controllers tell
-// it of all that they confirmed, and must stop what they tell of; what none can
-// tell of any more ends with the leases.
+// Jobs are cancelled while the key-value store refuses the leader alone. Then the store has an outage
+// for everybody, up to longer than a task of a cancelled job may run. Workers go on sending
+// heartbeats to the leader, which can't read what was cancelled. It may renew their leases only while
+// the other controllers send it all cancellations that they confirmed, and must stop the tasks of
+// these. Tasks of cancellations that no controller can send any more end by lease expiry.
 func TestCancelWhileStoreRefusesLeader(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name   string
 		refuse func(sim *simulator.Simulation, leader int, on bool)
-		// after the outage began
-		then func(sim *simulator.Simulation, leader, confirmer int)
-		out  time.Duration
-		// lives: the service that nobody cancelled lives through the outage.
-		lives bool
+		// duringOutage, if set, is called when the outage has begun.
+		duringOutage func(sim *simulator.Simulation, leader, confirmer int)
+		outage       time.Duration
+		// survives: the service that nobody cancelled survives the outage.
+		survives bool
 	}{
-		{"a lease", nil, nil, 16 * time.Second, true},
-		{"D", nil, nil, 22 * time.Second, true},
-		{"cancel_s", nil, nil, 41 * time.Second, true},
-		{"longer", nil, nil, 57 * time.Second, true},
-		{"twice B", nil, nil, 120 * time.Second, false},
-		// No list of cancellations of a node that has ended, nor of one that is back and has
-		// forgotten.
-		{"who confirmed it ends", nil, func(sim *simulator.Simulation, _, c int) { sim.KillController(c) }, 57 * time.Second, false},
-		{"who confirmed it is back at once", nil, func(sim *simulator.Simulation, _, c int) {
-			sim.KillController(c)
+		{"outage as long as a lease", nil, nil, 16 * time.Second, true},
+		{"outage as long as MaxCancelAge", nil, nil, 22 * time.Second, true},
+		{"outage as long as the cancellation timeout", nil, nil, 41 * time.Second, true},
+		{"outage as long as the cancellation timeout and a lease", nil, nil, 57 * time.Second, true},
+		{"outage twice as long as OutageLimit", nil, nil, 120 * time.Second, false},
+		// The leader gets no complete list of cancellations from a confirming controller that is
+		// down, nor from one that has restarted and forgotten them.
+		{"confirming controller killed", nil, func(sim *simulator.Simulation, _, confirmer int) { sim.KillController(confirmer) }, 57 * time.Second, false},
+		{"confirming controller restarted", nil, func(sim *simulator.Simulation, _, confirmer int) {
+			sim.KillController(confirmer)
 			time.Sleep(200 * time.Millisecond)
-			startControllers(t, sim, c)
+			startControllers(t, sim, confirmer)
 		}, 57 * time.Second, false},
-		{"who confirmed it is cut off", nil, func(sim *simulator.Simulation, _, c int) { sim.Net.Isolate(simulator.NodeIP(c), true) }, 57 * time.Second, false},
-		{"the leader ends", nil, func(sim *simulator.Simulation, l, _ int) {
-			sim.KillController(l)
+		{"confirming controller cut off", nil, func(sim *simulator.Simulation, _, confirmer int) { sim.Net.Isolate(simulator.NodeIP(confirmer), true) }, 57 * time.Second, false},
+		{"leader restarted", nil, func(sim *simulator.Simulation, leader, _ int) {
+			sim.KillController(leader)
 			time.Sleep(300 * time.Millisecond)
-			startControllers(t, sim, l)
+			startControllers(t, sim, leader)
 		}, 57 * time.Second, false},
-		// The leader's packets to the key-value store are held, and come late.
-		{"its packets are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
-		{"the answers are held", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Hold("10.2.0.1", simulator.NodeIP(l), on) }, nil, 57 * time.Second, true},
-		{"both", func(sim *simulator.Simulation, l int, on bool) { sim.Net.Cut(simulator.NodeIP(l), "10.2.0.1", on) }, nil, 57 * time.Second, true},
+		// The packets between the leader and the key-value store are held up, and arrive late.
+		{"requests held up", func(sim *simulator.Simulation, leader int, on bool) {
+			sim.Net.Hold(simulator.NodeIP(leader), "10.2.0.1", on)
+		}, nil, 57 * time.Second, true},
+		{"responses held up", func(sim *simulator.Simulation, leader int, on bool) {
+			sim.Net.Hold("10.2.0.1", simulator.NodeIP(leader), on)
+		}, nil, 57 * time.Second, true},
+		{"requests and responses held up", func(sim *simulator.Simulation, leader int, on bool) {
+			sim.Net.Cut(simulator.NodeIP(leader), "10.2.0.1", on)
+		}, nil, 57 * time.Second, true},
 	}
-	for k, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for caseNumber, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), uint64(200+k), func(sim *simulator.Simulation, at func(time.Duration)) {
-				keep, cancelledJob, long := service(1, 3), service(2, 4), array(3, 6, 300)
-				for _, s := range []simulator.JobScript{keep, cancelledJob, long} {
-					sim.Submit(s, 0)
+			runWithSettings(t, settingsOfSize(5), uint64(200+caseNumber), func(sim *simulator.Simulation, at func(time.Duration)) {
+				keptService, cancelledService, cancelledArray := service(1, 3), service(2, 4), array(3, 6, 300)
+				for _, job := range []simulator.JobScript{keptService, cancelledService, cancelledArray} {
+					sim.Submit(job, 0)
 				}
-				// Other users, who can't be answered in the outage either. (Without
-				// them most of the few polls were those of the two cancelled jobs,
-				// whose end nodes remember, and the third seemed forgotten.)
+				// The polls of other users can't be answered in the outage either. Without these
+				// jobs most of the few polls would be about the two cancelled jobs, whose end the
+				// controllers remember, and the third job would seem forgotten.
 				for n := range 4 {
 					sim.Submit(service(10+n, 1), 0)
 				}
 				at(45 * time.Second)
-				l := sim.Leader()
-				if l < 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 || tasksOnMachines(sim, long.Spec.ID) == 0 {
-					t.Fatal("nothing runs yet")
+				leader := sim.Leader()
+				if leader < 0 || tasksOnMachines(sim, cancelledService.Spec.ID) != 4 || tasksOnMachines(sim, cancelledArray.Spec.ID) == 0 {
+					t.Fatal("no leader, or the jobs do not run yet")
 				}
-				refuse := c.refuse
+				refuse := tc.refuse
 				if refuse == nil {
-					refuse = func(sim *simulator.Simulation, l int, on bool) { sim.State.RefuseClient(simulator.NodeIP(l), on) }
+					refuse = func(sim *simulator.Simulation, leader int, on bool) {
+						sim.State.RefuseClient(simulator.NodeIP(leader), on)
+					}
 				}
-				refuse(sim, l, true)
-				confirmer := (l + 1) % 5
-				for _, id := range []wire.JobID{cancelledJob.Spec.ID, long.Spec.ID} {
+				refuse(sim, leader, true)
+				confirmer := (leader + 1) % 5
+				for _, id := range []wire.JobID{cancelledService.Spec.ID, cancelledArray.Spec.ID} {
 					if !cancelOnceAt(sim, confirmer, id) {
 						t.Fatalf("%s was not cancelled while the leader was refused", id)
 					}
 				}
 				time.Sleep(200 * time.Millisecond)
 				sim.State.Outage(true)
-				if sim.Leader() != l {
-					t.Fatal("another leads already")
+				if sim.Leader() != leader {
+					t.Fatal("another controller leads before the outage")
 				}
-				out := time.Now()
-				if c.then != nil {
-					c.then(sim, l, confirmer)
+				outageStart := time.Now()
+				if tc.duringOutage != nil {
+					tc.duringOutage(sim, leader, confirmer)
 				}
 				time.Sleep(14 * time.Second)
-				refuse(sim, l, false)
-				time.Sleep(time.Until(out.Add(c.out - time.Second)))
-				if n := tasksOnMachines(sim, keep.Spec.ID); c.lives && n != 3 {
-					t.Errorf("%d of 3 replicas that nobody cancelled live through the outage", n)
+				refuse(sim, leader, false)
+				time.Sleep(time.Until(outageStart.Add(tc.outage - time.Second)))
+				if n := tasksOnMachines(sim, keptService.Spec.ID); tc.survives && n != 3 {
+					t.Errorf("%d of 3 replicas that nobody cancelled survived the outage, want all", n)
 				}
-				if n := tasksOnMachines(sim, cancelledJob.Spec.ID) + tasksOnMachines(sim, long.Spec.ID); c.lives && n != 0 {
-					t.Errorf("%d cancelled tasks are left, of which the leader could hear from the others", n)
+				if n := tasksOnMachines(sim, cancelledService.Spec.ID) + tasksOnMachines(sim, cancelledArray.Spec.ID); tc.survives && n != 0 {
+					t.Errorf("%d tasks on machines of jobs whose cancellation the other controllers could send to the leader, want 0", n)
 				}
 				time.Sleep(time.Second)
 				sim.State.Outage(false)
@@ -104,56 +111,56 @@
 				startControllers(t, sim, confirmer)
 				markFaultsOver(sim)
 				time.Sleep(80 * time.Second)
-				if n := tasksOnMachines(sim, keep.Spec.ID); n != 3 {
-					t.Errorf("%d of 3 replicas after the outage", n)
+				if n := tasksOnMachines(sim, keptService.Spec.ID); n != 3 {
+					t.Errorf("%d of 3 replicas after the outage, want all", n)
 				}
 			})
 		})
 	}
 }
 
-// The same, and the machines of the cancelled tasks receive nothing, or the stops to
-// them are held up on their way: what can't be halted must end with its lease,
-// or with its machine.
+// As in TestCancelWhileStoreRefusesLeader, and the machines of the cancelled tasks receive nothing, or
+// commands to them or their responses are held up. Tasks that can't be stopped must end by lease
+// expiry, or with their machine.
 func TestCancelOnUnreachableMachinesWhileLeaderIsRefused(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"no inbound", "no commands", "answers held"} {
-		for _, cloud := range []bool{true, false} {
-			t.Run(fmt.Sprint(how, ", cloud there: ", cloud), func(t *testing.T) {
+	for _, fault := range []string{"no inbound", "no commands", "answers held"} {
+		for _, cloudAvailable := range []bool{true, false} {
+			t.Run(fmt.Sprint(fault, ", cloud available: ", cloudAvailable), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(5), 230, func(sim *simulator.Simulation, at func(time.Duration)) {
-					keep, cancelledJob := service(1, 3), service(2, 4)
-					submitAll(sim, keep, cancelledJob)
+					keptService, cancelledJob := service(1, 3), service(2, 4)
+					submitAll(sim, keptService, cancelledJob)
 					at(45 * time.Second)
-					l := sim.Leader()
-					on := sim.MachinesRunning(cancelledJob.Spec.ID)
-					if l < 0 || len(on) == 0 {
-						t.Fatal("nothing runs yet")
+					leader := sim.Leader()
+					machines := sim.MachinesRunning(cancelledJob.Spec.ID)
+					if leader < 0 || len(machines) == 0 {
+						t.Fatal("no leader, or the jobs do not run yet")
 					}
-					setFault := func(b bool) {
-						for _, id := range on {
+					setFault := func(on bool) {
+						for _, id := range machines {
 							ip := sim.MachineIP(id)
-							switch how {
+							switch fault {
 							case "no inbound":
-								sim.Net.BlockInbound(ip, b)
+								sim.Net.BlockInbound(ip, on)
 							case "no commands":
-								sim.Net.Hold(simulator.NodeIP(l), ip, b)
+								sim.Net.Hold(simulator.NodeIP(leader), ip, on)
 							case "answers held":
 								for i := range 5 {
-									sim.Net.Hold(ip, simulator.NodeIP(i), b)
+									sim.Net.Hold(ip, simulator.NodeIP(i), on)
 								}
 							}
 						}
 					}
 					setFault(true)
-					sim.CloudOutage(!cloud)
-					sim.State.RefuseClient(simulator.NodeIP(l), true)
-					if !cancelOnceAt(sim, (l+1)%5, cancelledJob.Spec.ID) {
-						t.Fatal("not cancelled")
+					sim.CloudOutage(!cloudAvailable)
+					sim.State.RefuseClient(simulator.NodeIP(leader), true)
+					if !cancelOnceAt(sim, (leader+1)%5, cancelledJob.Spec.ID) {
+						t.Fatal("the job was not cancelled while the leader was refused")
 					}
 					sim.State.Outage(true)
 					time.Sleep(14 * time.Second)
-					sim.State.RefuseClient(simulator.NodeIP(l), false)
+					sim.State.RefuseClient(simulator.NodeIP(leader), false)
 					time.Sleep(43 * time.Second)
 					sim.State.Outage(false)
 					time.Sleep(20 * time.Second)
@@ -161,8 +168,8 @@
 					sim.CloudOutage(false)
 					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
-					if tasksOnMachines(sim, keep.Spec.ID) != 3 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 0 {
-						t.Errorf("%d of 3 replicas run, %d of 0 cancelled ones", tasksOnMachines(sim, keep.Spec.ID), tasksOnMachines(sim, cancelledJob.Spec.ID))
+					if tasksOnMachines(sim, keptService.Spec.ID) != 3 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 0 {
+						t.Errorf("%d replicas and %d cancelled tasks on machines, want 3 and 0", tasksOnMachines(sim, keptService.Spec.ID), tasksOnMachines(sim, cancelledJob.Spec.ID))
 					}
 				})
 			})
@@ -170,91 +177,91 @@
 	}
 }
 
-// The key-value store answers slowly while users cancel and ask, then refuses the
-// leader alone while they go on to cancel, and then everybody, for longer than a
-// cancelled task may last: after the leader alone was refused for a moment, or
-// just when the next one has come and has read nothing yet.
+// The key-value store answers slowly while users cancel jobs and poll. Then it refuses the leader alone
+// while they go on to cancel, and then everybody, for longer than a task of a cancelled job may run.
+// The outage begins when the leader alone has been refused for a moment, or just when the next leader
+// has been elected and has read nothing yet.
 func TestSlowStoreThenLeaderRefusedThenOutage(t *testing.T) {
 	t.Parallel()
-	for i, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
+	for caseNumber, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(670+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, a := service(900, 3), array(901, 4, 60)
+			runOnAlternatingLayouts(t, uint64(670+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+				serviceJob, arrayJob := service(900, 3), array(901, 4, 60)
 				first, second, third := service(1, 2), service(2, 2), service(3, 2)
 				at(2 * time.Second)
-				submitAll(sim, s, a)
+				submitAll(sim, serviceJob, arrayJob)
 				for _, j := range []simulator.JobScript{first, second, third} {
 					j.Spec.Team = "red"
 					sim.RegisterJob(j)
 					go requestUntilAnswered(t, sim, j, false, 0)
 				}
 				at(35 * time.Second)
-				l := sim.Leader()
-				if l < 0 {
+				leader := sim.Leader()
+				if leader < 0 {
 					t.Fatal("nobody leads")
 				}
 				sim.State.DelayAnswers("", 600*time.Millisecond)
-				r := startReader(t, sim, first.Spec.ID)
+				reader := startReader(t, sim, first.Spec.ID)
 				at(40 * time.Second)
-				cancelled := []time.Time{}
+				confirmedAt := []time.Time{}
 				cancel := func(j simulator.JobScript) {
-					for n := l + 1; ; n++ {
-						if n%sim.Settings.Size == l {
+					for n := leader + 1; ; n++ {
+						if n%sim.Settings.Size == leader {
 							continue
 						}
 						if requestOnce(sim, j, true, n%sim.Settings.Size) == 200 {
-							cancelled = append(cancelled, time.Now())
+							confirmedAt = append(confirmedAt, time.Now())
 							sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.StatusCancelled, time.Now()) })
 							return
 						}
-						if time.Sleep(100 * time.Millisecond); n > l+20 {
+						if time.Sleep(100 * time.Millisecond); n > leader+20 {
 							t.Errorf("%s is not cancelled", j.Spec.ID)
 							return
 						}
 					}
 				}
 				cancel(first)
-				for begin := time.Now(); r.firstSeen(simulator.ToldFinal).IsZero() && time.Since(begin) < 10*time.Second; {
+				for begin := time.Now(); reader.firstSeen(simulator.ToldFinal).IsZero() && time.Since(begin) < 10*time.Second; {
 					time.Sleep(50 * time.Millisecond)
 				}
-				var refused, outage time.Time
+				var refusedAt, outageAt time.Time
 				if kind != "cancelled while slow" {
-					sim.State.RefuseClient(simulator.NodeIP(l), true)
-					refused = time.Now()
+					sim.State.RefuseClient(simulator.NodeIP(leader), true)
+					refusedAt = time.Now()
 					cancel(second)
 				} else {
 					cancel(second)
-					sim.State.RefuseClient(simulator.NodeIP(l), true)
-					refused = time.Now()
+					sim.State.RefuseClient(simulator.NodeIP(leader), true)
+					refusedAt = time.Now()
 				}
 				if kind == "the next leader is new" {
-					for time.Since(refused) < 20*time.Second && (sim.Leader() < 0 || sim.Leader() == l) {
+					for time.Since(refusedAt) < 20*time.Second && (sim.Leader() < 0 || sim.Leader() == leader) {
 						time.Sleep(5 * time.Millisecond)
 					}
-					if n := sim.Leader(); n < 0 || n == l {
+					if n := sim.Leader(); n < 0 || n == leader {
 						t.Error("no other node leads")
 					}
-				} else if sim.Leader() != l {
+				} else if sim.Leader() != leader {
 					t.Error("another node leads before the outage")
 				}
 				sim.State.Outage(true)
-				outage = time.Now()
+				outageAt = time.Now()
 				time.Sleep(65 * time.Second)
 				sim.State.Outage(false)
-				sim.State.RefuseClient(simulator.NodeIP(l), false)
+				sim.State.RefuseClient(simulator.NodeIP(leader), false)
 				sim.State.DelayAnswers("", 0)
-				if len(cancelled) != 2 || r.firstSeen(simulator.ToldFinal).IsZero() || r.firstSeen(simulator.ToldFinal).After(outage) || cancelled[1].After(outage) || (kind != "cancelled while slow") != cancelled[1].After(refused) {
-					t.Errorf("cancelled at %v, read to be at %v, the leader refused at %v and everybody at %v", cancelled, r.firstSeen(simulator.ToldFinal), refused, outage)
+				if len(confirmedAt) != 2 || reader.firstSeen(simulator.ToldFinal).IsZero() || reader.firstSeen(simulator.ToldFinal).After(outageAt) || confirmedAt[1].After(outageAt) || (kind != "cancelled while slow") != confirmedAt[1].After(refusedAt) {
+					t.Errorf("cancellations confirmed at %v, the first one seen in a poll at %v, leader refused at %v, outage began at %v: want two, in the right order", confirmedAt, reader.firstSeen(simulator.ToldFinal), refusedAt, outageAt)
 				}
 				endFaultsAndWait(sim, 15*time.Second)
-				b := array(5, 4, 10)
-				sim.Submit(b, 0)
+				nextJob := array(5, 4, 10)
+				sim.Submit(nextJob, 0)
 				cancel(third)
 				time.Sleep(60 * time.Second)
-				r.stopReading()
-				mustFinish(t, sim, a, b)
-				mustRun(t, sim, s, "afterwards")
+				reader.stopReading()
+				mustFinish(t, sim, arrayJob, nextJob)
+				mustRun(t, sim, serviceJob, "afterwards")
 			})
 		})
 	}
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -13,10 +13,10 @@
 	"lilaclead/internal/wire"
 )
 
-// loweredLimits are the limits to come.
+// loweredLimits are the announced limits of the key-value store.
 var loweredLimits = config.NextStoreLimits{RPS: 200, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
 
-// lowering is a deployment with room for many small tasks.
+// settingsBeforeLowering are settings with the larger limits, and with room for many small tasks.
 func settingsBeforeLowering() config.Settings {
 	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 400, MaxCPUs: 400}, {Name: "blue", GuaranteedCPUs: 16}}
@@ -24,8 +24,8 @@
 	return s
 }
 
-// upgrade restarts all nodes with settings that tell of the limits to come. Until
-// then they accept jobs as the version in production does.
+// announceLoweredLimits restarts all controllers, one after the other, with settings that announce the
+// lowered limits. Until then they accept jobs as the version in production does.
 func announceLoweredLimits(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	for i := range sim.Settings.Size {
@@ -43,18 +43,18 @@
 	sim.State.LowerLimits(int(loweredLimits.ValueKB), loweredLimits.TxnOps, loweredLimits.RPS, loweredLimits.WriteRPS)
 }
 
-// grown checks that a job's progress is stored in values over the limit to come:
-// else lowering them would affect nothing.
+// mustExceedLoweredLimits checks that the progress of each job is stored in values larger than the
+// lowered limit. Otherwise lowering it would affect nothing.
 func mustExceedLoweredLimits(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	for _, j := range jobs {
-		if n := sim.State.LargestValue(store.ProgressPrefix + string(j.Spec.ID) + "/"); n <= int(loweredLimits.ValueKB*1024) {
-			t.Errorf("the largest record of %s has %d bytes: the drop meets nothing", j.Spec.ID, n)
+		if bytes := sim.State.LargestValue(store.ProgressPrefix + string(j.Spec.ID) + "/"); bytes <= int(loweredLimits.ValueKB*1024) {
+			t.Errorf("the largest record of %s has %d bytes, want more than the lowered limit", j.Spec.ID, bytes)
 		}
 	}
 }
 
-// pieces counts what is stored in pieces.
+// storedPieces counts the sub-chunks that are stored.
 func storedPieces(sim *simulator.Simulation) int {
 	n := 0
 	for _, k := range sim.State.Keys(store.ProgressPrefix) {
@@ -65,27 +65,28 @@
 	return n
 }
 
-// settled checks that nothing is left of jobs that are over.
+// mustBeArchived checks that the jobs are done, that every controller answers so, and that no record of
+// their progress is left.
 func mustBeArchived(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	mustFinish(t, sim, jobs...)
 	for _, j := range jobs {
-		if k := sim.State.Keys(store.ProgressPrefix + string(j.Spec.ID) + "/"); len(k) > 0 {
-			t.Errorf("of %s is left %v", j.Spec.ID, k)
+		if keys := sim.State.Keys(store.ProgressPrefix + string(j.Spec.ID) + "/"); len(keys) > 0 {
+			t.Errorf("%s: progress records %v are left, want none", j.Spec.ID, keys)
 		}
 		for i := range sim.Settings.Size {
 			status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
-			var s wire.JobState
-			if status != 200 || wire.Decode(raw, &s) != nil || s.Status != wire.StatusDone || s.Done != j.Spec.Tasks {
-				t.Errorf("%s is %d %+v by node %d", j.Spec.ID, status, s, i)
+			var state wire.JobState
+			if status != 200 || wire.Decode(raw, &state) != nil || state.Status != wire.StatusDone || state.Done != j.Spec.Tasks {
+				t.Errorf("poll about %s answered %d %+v by controller %d, want 200, done and all tasks", j.Spec.ID, status, state, i)
 			}
 		}
 	}
 }
 
-// The limits drop while jobs are under way whose progress was stored under the
-// larger ones, alone and with other faults.
-func TestStateLimitsLowered(t *testing.T) {
+// The limits of the key-value store are lowered while jobs run whose progress was stored under the
+// larger limits, alone and with other faults.
+func TestStoreLimitsLowered(t *testing.T) {
 	t.Parallel()
 	kinds := map[string]func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)){
 		"quiet": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) { lowerLimits(sim) },
@@ -101,7 +102,7 @@
 			sim.KillController(l)
 			time.Sleep(time.Second)
 			if sim.Leader() != l {
-				t.Error("leadership passed on before the drop")
+				t.Error("the leader changed before the limits were lowered")
 			}
 			lowerLimits(sim)
 			awaitSuccessor(t, sim, l)
@@ -109,15 +110,15 @@
 		"recovery": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 			l := sim.Leader()
 			sim.KillController(l)
-			sim.State.DelayLists(func() time.Duration { return 300 * time.Millisecond }) // both lists
+			sim.State.DelayLists(func() time.Duration { return 300 * time.Millisecond }) // for each of the two lists that a new leader reads
 			begin := time.Now()
 			for n := sim.Leader(); n == l || n < 0; n = sim.Leader() {
 				if time.Since(begin) > 15*time.Second {
-					t.Fatal("nobody followed")
+					t.Fatal("no new leader within 15 s")
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
-			lowerLimits(sim) // it is elected, and reads for 0.6 s
+			lowerLimits(sim) // the new leader is elected, and reads for 0.6 s
 			time.Sleep(3 * time.Second)
 			sim.State.DelayLists(nil)
 			if err := sim.StartController(l); err != nil {
@@ -131,7 +132,7 @@
 			}
 			for range 5 {
 				if storedPieces(sim) == 0 {
-					t.Error("there are no pieces for the next leader to read")
+					t.Error("no sub-chunks are stored for the next leader to read")
 				}
 				replaceLeader(t, sim)
 				time.Sleep(1500 * time.Millisecond)
@@ -154,7 +155,7 @@
 	kinds["cancellations"] = func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		lowerLimits(sim)
 		if !cancelWithin(t, sim, "req-000006", 10*time.Second) {
-			t.Error("not cancelled")
+			t.Error("req-000006 was not cancelled within 10 s")
 		}
 	}
 	names := []string{}
@@ -167,50 +168,50 @@
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsBeforeLowering(), uint64(700+i)+100*seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-					a, b := arrayOfSmallTasks(1, 600, 60), arrayOfSmallTasks(2, 250, 75)
-					after, s, cancelledJob := arrayOfSmallTasks(3, 100, 10), service(4, 3), service(5, 2)
+					largeArray, smallArray := arrayOfSmallTasks(1, 600, 60), arrayOfSmallTasks(2, 250, 75)
+					nextJob, serviceJob, cancelledJob := arrayOfSmallTasks(3, 100, 10), service(4, 3), service(5, 2)
 					at(2 * time.Second)
-					submitAll(sim, a, b, s)
-					c := arrayOfSmallTasks(6, 250, 80)
-					sim.Submit(c, 0)
+					submitAll(sim, largeArray, smallArray, serviceJob)
+					laterArray := arrayOfSmallTasks(6, 250, 80)
+					sim.Submit(laterArray, 0)
 					at(30 * time.Second)
 					announceLoweredLimits(t, sim)
 					sim.Submit(cancelledJob, 20*time.Second)
-					mustExceedLoweredLimits(t, sim, a, b, c)
+					mustExceedLoweredLimits(t, sim, largeArray, smallArray, laterArray)
 					if n := storedPieces(sim); n > 0 || sim.State.OversizeRefusals() > 0 {
-						t.Errorf("%d pieces, %d refused before the limits drop", n, sim.State.OversizeRefusals())
+						t.Errorf("%d sub-chunks, %d transactions refused before the limits were lowered, want 0", n, sim.State.OversizeRefusals())
 					}
 					sim.WithChecker(func(ck *simulator.Checker) {
-						if n := ck.OnMachines(a.Spec.ID) + ck.OnMachines(b.Spec.ID) + ck.OnMachines(c.Spec.ID); n < 500 {
-							t.Errorf("only %d tasks are under way", n)
+						if n := ck.OnMachines(largeArray.Spec.ID) + ck.OnMachines(smallArray.Spec.ID) + ck.OnMachines(laterArray.Spec.ID); n < 500 {
+							t.Errorf("%d tasks on machines, want at least 500", n)
 						}
 					})
 					kinds[name](t, sim, at)
-					sim.Submit(after, 0)
-					most := 0
+					sim.Submit(nextJob, 0)
+					maxSubchunks := 0
 					for range 300 {
 						time.Sleep(500 * time.Millisecond)
-						most = max(most, storedPieces(sim))
+						maxSubchunks = max(maxSubchunks, storedPieces(sim))
 					}
-					if most == 0 {
-						t.Error("nothing was written in pieces")
+					if maxSubchunks == 0 {
+						t.Error("no sub-chunk was written")
 					}
 					if sim.State.OversizeRefusals() == 0 {
-						t.Error("nothing was refused by the lower limits")
+						t.Error("no transaction was refused for its size under the lowered limits")
 					}
 					refusals, _ := sim.State.RateRefusals()
-					t.Logf("%d transactions refused for their size, %d requests for the rate, %d pieces", sim.State.OversizeRefusals(), refusals, most)
-					mustBeArchived(t, sim, a, b, after)
+					t.Logf("%d transactions refused for their size, %d requests for the rate, %d sub-chunks", sim.State.OversizeRefusals(), refusals, maxSubchunks)
+					mustBeArchived(t, sim, largeArray, smallArray, nextJob)
 					if name != "cancellations" {
-						mustBeArchived(t, sim, c)
+						mustBeArchived(t, sim, laterArray)
 					}
-					mustRun(t, sim, s, "after the drop")
+					mustRun(t, sim, serviceJob, "after the limits were lowered")
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.OnMachines(cancelledJob.Spec.ID) != 0 || c.OnMachines("req-000006") != 0 {
-							t.Error("what was cancelled still runs")
+							t.Error("tasks of cancelled jobs still run")
 						}
 						if c.Restarts() > 0 && name != "answers lost" && name != "all controllers end" {
-							t.Errorf("%d tasks were started again", c.Restarts())
+							t.Errorf("%d tasks were started again, want 0", c.Restarts())
 						}
 					})
 				})
@@ -219,13 +220,13 @@
 	}
 }
 
-// Jobs whose records are over the limit to come are cancelled after the drop, and
-// asked about and submitted again; what could not be stored is refused at once,
-// before the drop too.
+// Jobs whose records exceed the lowered limit are cancelled after the limits were lowered, and polled
+// and submitted again. A job that could not be stored then is refused at once, also before the limits
+// are lowered.
 func TestLargeJobRecordsAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsBeforeLowering(), 720, func(sim *simulator.Simulation, at func(time.Duration)) {
-		large := func(n int) simulator.JobScript {
+		jobWithLargeRecord := func(n int) simulator.JobScript {
 			j := arrayOfSmallTasks(n, 300, 200)
 			for i := range 60 {
 				j.Spec.MachineTypes = append(j.Spec.MachineTypes, wire.MachineType(fmt.Sprintf("kit-%s-%03d", strings.Repeat("x", 36), i)))
@@ -233,77 +234,77 @@
 			j.Spec.MachineTypes = append(j.Spec.MachineTypes, "c4", "c16")
 			return j
 		}
-		a, b, c, plain, never := large(1), large(2), large(3), arrayOfSmallTasks(4, 300, 200), large(5)
-		b.RunTime, c.Spec.Tasks = 60, 2
+		cancelledLarge, finishingLarge, cancelledTwoTasks, cancelledSmall, refusedJob := jobWithLargeRecord(1), jobWithLargeRecord(2), jobWithLargeRecord(3), arrayOfSmallTasks(4, 300, 200), jobWithLargeRecord(5)
+		finishingLarge.RunTime, cancelledTwoTasks.Spec.Tasks = 60, 2
 		at(2 * time.Second)
-		submitAll(sim, a, b, c, plain)
+		submitAll(sim, cancelledLarge, finishingLarge, cancelledTwoTasks, cancelledSmall)
 		at(20 * time.Second)
 		announceLoweredLimits(t, sim)
 		for _, when := range []string{"before", "after"} {
-			status, _, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(never.Spec))
+			status, _, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(refusedJob.Spec))
 			if status != 422 {
-				t.Errorf("what can't be stored is answered %d %s the drop", status, when)
+				t.Errorf("submission of a job over the lowered limit answered %d %s the limits were lowered, want 422", status, when)
 			}
 			for i := range sim.Settings.Size {
-				if status, raw, _ := sim.Ask(i, "POST", "/v1/jobs", simulator.Submission(a.Spec)); status != 200 {
-					t.Errorf("an accepted job submitted again %s the drop is answered %d %x", when, status, raw)
+				if status, raw, _ := sim.Ask(i, "POST", "/v1/jobs", simulator.Submission(cancelledLarge.Spec)); status != 200 {
+					t.Errorf("repeated submission of an accepted job %s the limits were lowered answered %d %x, want 200", when, status, raw)
 				}
 			}
 			if when == "before" {
 				lowerLimits(sim)
 			}
 		}
-		for _, j := range []simulator.JobScript{a, c, plain} {
+		for _, j := range []simulator.JobScript{cancelledLarge, cancelledTwoTasks, cancelledSmall} {
 			mustCancel(t, sim, j)
 		}
 		time.Sleep(30 * time.Second)
 		replaceLeader(t, sim)
 		time.Sleep(120 * time.Second)
-		mustBeArchived(t, sim, b)
+		mustBeArchived(t, sim, finishingLarge)
 		sim.WithChecker(func(ck *simulator.Checker) {
-			for _, j := range []simulator.JobScript{a, c, plain} {
+			for _, j := range []simulator.JobScript{cancelledLarge, cancelledTwoTasks, cancelledSmall} {
 				if ck.OnMachines(j.Spec.ID) != 0 {
-					t.Errorf("%d tasks of %s are left", ck.OnMachines(j.Spec.ID), j.Spec.ID)
+					t.Errorf("%d tasks of the cancelled %s on machines, want 0", ck.OnMachines(j.Spec.ID), j.Spec.ID)
 				}
 			}
 		})
-		if k := sim.State.Keys(store.JobPrefix); len(k) > 0 {
-			t.Errorf("jobs that are over are left: %v", k)
+		if keys := sim.State.Keys(store.JobPrefix); len(keys) > 0 {
+			t.Errorf("records of ended jobs are left: %v", keys)
 		}
 	})
 }
 
-// A job of 100,000 tasks goes through the drop, and its cancellation leaves
-// nothing behind.
+// A job of 100,000 tasks runs while the limits are lowered, another one starts after that, and their
+// cancellation leaves no records.
 func TestLargestJobAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsBeforeLowering(), 730, func(sim *simulator.Simulation, at func(time.Duration)) {
-		old, young := arrayOfSmallTasks(1, 100_000, 30), arrayOfSmallTasks(2, 100_000, 30)
-		old.Spec.CPUs, young.Spec.CPUs = 0.5, 0.5
+		submittedBefore, submittedAfter := arrayOfSmallTasks(1, 100_000, 30), arrayOfSmallTasks(2, 100_000, 30)
+		submittedBefore.Spec.CPUs, submittedAfter.Spec.CPUs = 0.5, 0.5
 		at(2 * time.Second)
-		sim.Submit(old, 0)
+		sim.Submit(submittedBefore, 0)
 		at(30 * time.Second)
 		announceLoweredLimits(t, sim)
 		lowerLimits(sim)
-		sim.Submit(young, 0)
+		sim.Submit(submittedAfter, 0)
 		time.Sleep(60 * time.Second)
 		replaceLeader(t, sim)
 		time.Sleep(60 * time.Second)
 		done := 0
-		status, raw, _ := sim.Ask(0, "GET", "/v1/jobs/"+string(old.Spec.ID), nil)
-		var s wire.JobState
-		if status != 200 || wire.Decode(raw, &s) != nil {
-			t.Errorf("answered %d", status)
+		status, raw, _ := sim.Ask(0, "GET", "/v1/jobs/"+string(submittedBefore.Spec.ID), nil)
+		var state wire.JobState
+		if status != 200 || wire.Decode(raw, &state) != nil {
+			t.Errorf("poll answered %d, want 200 and a job state", status)
 		}
-		if done = s.Done; done < 300 {
-			t.Errorf("%d tasks done", done)
+		if done = state.Done; done < 300 {
+			t.Errorf("%d tasks done, want at least 300", done)
 		}
-		for _, j := range []simulator.JobScript{old, young} {
+		for _, j := range []simulator.JobScript{submittedBefore, submittedAfter} {
 			mustCancel(t, sim, j)
 		}
 		time.Sleep(150 * time.Second)
-		if k := sim.State.Keys(store.ProgressPrefix); len(k) > 0 {
-			t.Errorf("%d records are left of jobs that are over", len(k))
+		if keys := sim.State.Keys(store.ProgressPrefix); len(keys) > 0 {
+			t.Errorf("%d progress records of ended jobs are left, want 0", len(keys))
 		}
 	})
 }
