--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -125,7 +125,7 @@
 				t.Fatal(err)
 			}
 		},
-		"changes of leader after it": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		"changes of leader afterwards": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 			lowerLimits(sim)
 			for begin := time.Now(); storedPieces(sim) == 0 && time.Since(begin) < time.Minute; {
 				time.Sleep(100 * time.Millisecond)
