--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -52,17 +52,17 @@
 // Count tells how often a question was answered with a status, that left
 // within 50 ms after the news ("done submit 200"), or after the end of the last
 // task and before anybody was told ("ending submit 200").
-func (l *BurstReaders) Count(what string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.counts[what]
+func (b *BurstReaders) Count(what string) int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.counts[what]
 }
 
 // Counts returns all counts as text, for failure messages.
-func (l *BurstReaders) Counts() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return fmt.Sprint(l.counts)
+func (b *BurstReaders) Counts() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return fmt.Sprint(b.counts)
 }
 
 // knownStatus returns what users know of a job now and since when; the caller holds the simulation's lock.
@@ -71,187 +71,187 @@
 	if j == nil {
 		return knownStatus{}, time.Time{}
 	}
-	return knownStatus{j.accepted, j.finalStatus}, j.end.at
+	return knownStatus{j.accepted, j.finalStatus}, j.completion.statusChangedAt
 }
 
 // Ask sends one request about a job to a node and checks the answer.
-func (l *BurstReaders) Ask(i int, op Operation, t JobScript) (int, wire.JobState) {
-	sim, id := l.sim, t.Spec.ID
+func (b *BurstReaders) Ask(i int, op Operation, script JobScript) (int, wire.JobState) {
+	sim, id := b.sim, script.Spec.ID
 	method, path, body := "GET", jobsPath+"/"+string(id), any(nil)
 	switch op {
 	case SubmitOperation:
-		method, path, body = "POST", jobsPath, Submission(t.Spec)
+		method, path, body = "POST", jobsPath, Submission(script.Spec)
 	case CancelOperation:
 		method, path = "POST", path+"/cancel"
 	}
-	q := l.recordQuestion(id, op)
-	status, raw, h := sim.ask(i, method, path, body)
+	sent := b.recordRequest(id, op)
+	status, raw, header := sim.ask(i, method, path, body)
 	if sim.ctx.Err() != nil {
 		return 0, wire.JobState{}
 	}
-	var s wire.JobState
-	if (status == 200 || status == 201) && wire.Decode(raw, &s) != nil {
+	var state wire.JobState
+	if (status == 200 || status == 201) && wire.Decode(raw, &state) != nil {
 		status = 0
 	}
-	news := l.checkAnswer(id, op, q.before, status, s.Status, h.Get("Retry-After") != "")
-	l.countAnswer(op, q, status)
-	if news {
-		l.AskAllRepeatedly(t)
+	changed := b.checkAnswer(id, op, sent.before, status, state.Status, header.Get("Retry-After") != "")
+	b.countAnswer(op, sent, status)
+	if changed {
+		b.AskAllRepeatedly(script)
 	}
-	return status, s
+	return status, state
 }
 
 // question is what was known when a question left.
-type question struct {
-	before knownStatus
-	fresh  bool // it left just after the news
-	atEnd  bool // it left just after the last task's end, of which nobody was told
+type sentRequest struct {
+	before            knownStatus
+	afterStatusChange bool // it left just after the news
+	afterCompletion   bool // it left just after the last task's end, of which nobody was told
 }
 
 // justAfter is how long after an event a question counts as one that met it.
-const justAfter = 50 * time.Millisecond
+const justAfterWindow = 50 * time.Millisecond
 
 // recordQuestion records what is known of a job as a question about it is sent.
-func (l *BurstReaders) recordQuestion(id wire.JobID, op Operation) (q question) {
-	l.sim.mu.Lock()
-	defer l.sim.mu.Unlock()
-	before, at := l.sim.knownStatus(id)
+func (b *BurstReaders) recordRequest(id wire.JobID, op Operation) (sent sentRequest) {
+	b.sim.mu.Lock()
+	defer b.sim.mu.Unlock()
+	before, changedAt := b.sim.knownStatus(id)
 	if op == CancelOperation {
-		l.sim.checker.CancelRequested(id)
+		b.sim.checker.CancelRequested(id)
 	}
-	q.before, q.fresh = before, before.accepted && time.Since(at) < justAfter
-	if j := l.sim.checker.jobs[id]; j != nil && before.final == "" && !j.end.endedAt.IsZero() {
-		q.atEnd = time.Since(j.end.endedAt) < justAfter
+	sent.before, sent.afterStatusChange = before, before.accepted && time.Since(changedAt) < justAfterWindow
+	if job := b.sim.checker.jobs[id]; job != nil && before.final == "" && !job.completion.endedAt.IsZero() {
+		sent.afterCompletion = time.Since(job.completion.endedAt) < justAfterWindow
 	}
-	return q
+	return sent
 }
 
 // checkAnswer has the checker look at an answer, and reports whether it brought news.
-func (l *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, said wire.Status, retryAfter bool) bool {
-	sim, now := l.sim, time.Now()
+func (b *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, reported wire.Status, retryAfter bool) bool {
+	sim, now := b.sim, time.Now()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	was, _ := sim.knownStatus(id)
-	sim.checker.answered(id, before, op, status, said, now)
+	previous, _ := sim.knownStatus(id)
+	sim.checker.answered(id, before, op, status, reported, now)
 	if (status == 429 || status == 503) && !retryAfter {
 		sim.checker.violated(now, MissingRetryAfter, "%s of %s answered %d", op, id, status)
 	}
-	is, _ := sim.knownStatus(id)
-	if is != was {
-		sim.checker.jobs[id].end.at = now
+	current, _ := sim.knownStatus(id)
+	if current != previous {
+		sim.checker.jobs[id].completion.statusChangedAt = now
 	}
-	return is != was
+	return current != previous
 }
 
 // countAnswer counts an answer by what its question met.
-func (l *BurstReaders) countAnswer(op Operation, q question, status int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts[fmt.Sprint(op, " ", status)]++
-	if q.fresh {
-		l.counts[fmt.Sprint(q.before, " ", op, " ", status)]++
+func (b *BurstReaders) countAnswer(op Operation, sent sentRequest, status int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.counts[fmt.Sprint(op, " ", status)]++
+	if sent.afterStatusChange {
+		b.counts[fmt.Sprint(sent.before, " ", op, " ", status)]++
 	}
-	if q.atEnd {
-		l.counts[fmt.Sprint("ending ", op, " ", status)]++
+	if sent.afterCompletion {
+		b.counts[fmt.Sprint("ending ", op, " ", status)]++
 	}
 }
 
 // AskAllRepeatedly asks all nodes again and again for a while, without waiting for the
 // answers, and repeats the submission.
-func (l *BurstReaders) AskAllRepeatedly(t JobScript) {
-	if l.BurstLength == 0 {
+func (b *BurstReaders) AskAllRepeatedly(script JobScript) {
+	if b.BurstLength == 0 {
 		return
 	}
-	for i := range l.sim.controllers {
-		l.sim.spawn(func() {
-			for k := 0; time.Duration(k)*l.BurstInterval < l.BurstLength && l.sim.ctx.Err() == nil; k++ {
+	for i := range b.sim.controllers {
+		b.sim.spawn(func() {
+			for k := 0; time.Duration(k)*b.BurstInterval < b.BurstLength && b.sim.ctx.Err() == nil; k++ {
 				op := PollOperation
 				if k%4 == i%4 {
 					op = SubmitOperation
 				}
-				l.sim.spawn(func() { l.Ask(i, op, t) })
-				sleep(l.sim.ctx, l.BurstInterval)
+				b.sim.spawn(func() { b.Ask(i, op, script) })
+				sleep(b.sim.ctx, b.BurstInterval)
 			}
 		})
 	}
 }
 
 // until repeats a request at all nodes in turn until it is answered.
-func (l *BurstReaders) until(op Operation, t JobScript, turn int) wire.JobState {
-	for begin := time.Now(); l.sim.ctx.Err() == nil && time.Since(begin) < time.Minute; turn++ {
-		status, s := l.Ask(turn%len(l.sim.controllers), op, t)
+func (b *BurstReaders) retryUntilAnswered(op Operation, script JobScript, turn int) wire.JobState {
+	for begin := time.Now(); b.sim.ctx.Err() == nil && time.Since(begin) < time.Minute; turn++ {
+		status, state := b.Ask(turn%len(b.sim.controllers), op, script)
 		switch status {
 		case 200, 201:
-			return s
+			return state
 		case 400, 422:
 			return wire.JobState{}
 		}
-		sleep(l.sim.ctx, time.Second)
+		sleep(b.sim.ctx, time.Second)
 	}
 	return wire.JobState{}
 }
 
 // Submit plays such a user: it submits, cancels as said (so long after the
 // moment), finds the end by polls, and asks to cancel what is done.
-func (l *BurstReaders) Submit(t JobScript, c CancelTime, after time.Duration) {
-	sim, id := l.sim, t.Spec.ID
+func (b *BurstReaders) Submit(script JobScript, cancelTime CancelTime, after time.Duration) {
+	sim, id := b.sim, script.Spec.ID
 	sim.mu.Lock()
-	sim.scripts[id] = &t
-	sim.checker.Submitted(t.Spec)
+	sim.scripts[id] = &script
+	sim.checker.Submitted(script.Spec)
 	ended := make(chan struct{})
-	sim.checker.jobs[id].end.ended = ended
+	sim.checker.jobs[id].completion.done = ended
 	sim.mu.Unlock()
 	sim.spawn(func() {
 		// What is drawn is the job's own, so that it depends on no order.
 		n, _ := strconv.Atoi(string(id)[len("req-"):])
 		rng := rand.New(rand.NewPCG(uint64(n), 11))
 		turn := rng.IntN(len(sim.controllers))
-		if l.until(SubmitOperation, t, turn).Status == "" {
+		if b.retryUntilAnswered(SubmitOperation, script, turn).Status == "" {
 			return
 		}
-		sim.spawn(func() { l.pollUntilOver(t, c, turn) })
+		sim.spawn(func() { b.pollUntilOver(script, cancelTime, turn) })
 		sim.spawn(func() {
-			if l.awaitEnd(ended) {
-				l.AskAllRepeatedly(t)
+			if b.awaitEnd(ended) {
+				b.AskAllRepeatedly(script)
 			}
 		})
-		if c != CancelAtOnce && c != CancelAtEnd || c == CancelAtEnd && !l.awaitEnd(ended) {
+		if cancelTime != CancelAtOnce && cancelTime != CancelAtEnd || cancelTime == CancelAtEnd && !b.awaitEnd(ended) {
 			return
 		}
 		sleep(sim.ctx, after)
-		s := l.until(CancelOperation, t, turn+1)
-		l.mu.Lock()
-		l.counts["cancels "+string(s.Status)]++
-		l.mu.Unlock()
+		state := b.retryUntilAnswered(CancelOperation, script, turn+1)
+		b.mu.Lock()
+		b.counts["cancels "+string(state.Status)]++
+		b.mu.Unlock()
 	})
 }
 
 // awaitEnd waits until the last task has completed; false: until all is over.
-func (l *BurstReaders) awaitEnd(ended <-chan struct{}) bool {
+func (b *BurstReaders) awaitEnd(ended <-chan struct{}) bool {
 	select {
 	case <-ended:
 		return true
-	case <-l.sim.ctx.Done():
+	case <-b.sim.ctx.Done():
 		return false
 	}
 }
 
 // pollUntilOver polls a job until it is over, and then has bursts of questions come
 // again.
-func (l *BurstReaders) pollUntilOver(t JobScript, c CancelTime, turn int) {
-	sim := l.sim
+func (b *BurstReaders) pollUntilOver(script JobScript, cancelTime CancelTime, turn int) {
+	sim := b.sim
 	for sim.ctx.Err() == nil {
-		sleep(sim.ctx, l.PollInterval)
+		sleep(sim.ctx, b.PollInterval)
 		turn++
-		if _, s := l.Ask(turn%len(sim.controllers), PollOperation, t); s.Status.IsFinal() {
+		if _, state := b.Ask(turn%len(sim.controllers), PollOperation, script); state.Status.IsFinal() {
 			break
 		}
 	}
-	sleep(sim.ctx, l.BurstLength+time.Second)
-	if c == CancelAfterEnd {
-		l.until(CancelOperation, t, turn)
+	sleep(sim.ctx, b.BurstLength+time.Second)
+	if cancelTime == CancelAfterEnd {
+		b.retryUntilAnswered(CancelOperation, script, turn)
 	}
 	// Once more when the job's final record has taken its place.
 	sleep(sim.ctx, 4*time.Second)
-	l.AskAllRepeatedly(t)
+	b.AskAllRepeatedly(script)
 }
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -65,9 +65,9 @@
 	MachineSpecs  []wire.MachineSpec // nil: not known, and what fits is not judged
 	Violations    []Violation
 
-	jobs   map[wire.JobID]*jobHistory
-	on     map[wire.TaskID]Place
-	starts int
+	jobs    map[wire.JobID]*jobHistory
+	placeOf map[wire.TaskID]Place
+	starts  int
 	// again counts the starts of tasks that had been started before.
 	restarts    int
 	everStarted map[wire.TaskID]bool
@@ -81,10 +81,10 @@
 	// late counts starts after a cancellation was confirmed, lateDone polls
 	// that were not told done in time.
 	lateStarts, lateDone int
-	// latest is the latest time that the checker was told.
-	latest time.Time
-	// posted are the ids that some submission named, in whatever form.
-	posted map[wire.JobID]bool
+	// latestTime is the latestTime time that the checker was told.
+	latestTime time.Time
+	// submittedIDs are the ids that some submission named, in whatever form.
+	submittedIDs map[wire.JobID]bool
 }
 
 // jobHistory is what the checker knows of a job.
@@ -97,15 +97,15 @@
 	cancelRequestedAt time.Time // when its user first asked to cancel
 	cancelToldAt      time.Time // when a user was told
 	overstayRecorded  bool      // noted that it outlives its cancellation
-	done              map[int]bool
-	completed         time.Time // of the last task
+	completedTasks    map[int]bool
+	completionSeenAt  time.Time // of the last task
 	notDoneToldAt     time.Time // when a user was told last that it goes on nevertheless
 	unansweredSince   time.Time // since when every poll failed
-	pollsUntilThen    pollCount // all polls until then, and its own since
+	pollsBaseline     pollCount // all polls until then, and its own since
 	submittedAt       time.Time // of the first attempt to submit
 	acceptedAt        time.Time // of the acceptance
 	startedAt         time.Time // of the first task
-	end               endHistory
+	completion        endHistory
 	waits             waitHistory
 }
 
@@ -113,36 +113,36 @@
 type pollCount struct{ answered, failed int }
 
 // NewChecker returns a checker for jobs whose tasks must be gone within the cancel timeout.
-func NewChecker(cancelS time.Duration, limits map[wire.TeamID]TeamLimit) *Checker {
-	return &Checker{CancelTimeout: cancelS, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, on: map[wire.TaskID]Place{}, everStarted: map[wire.TaskID]bool{}, posted: map[wire.JobID]bool{}}
+func NewChecker(cancelTimeout time.Duration, limits map[wire.TeamID]TeamLimit) *Checker {
+	return &Checker{CancelTimeout: cancelTimeout, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, placeOf: map[wire.TaskID]Place{}, everStarted: map[wire.TaskID]bool{}, submittedIDs: map[wire.JobID]bool{}}
 }
 
 // observeTime advances the latest time that the checker knows.
 func (c *Checker) observeTime(now time.Time) {
-	if now.After(c.latest) {
-		c.latest = now
+	if now.After(c.latestTime) {
+		c.latestTime = now
 	}
 }
 
 // violated records a violation.
-func (c *Checker) violated(at time.Time, r Rule, format string, args ...any) {
-	c.Violations = append(c.Violations, Violation{r, fmt.Sprintf(format, args...), at})
+func (c *Checker) violated(at time.Time, rule Rule, format string, args ...any) {
+	c.Violations = append(c.Violations, Violation{rule, fmt.Sprintf(format, args...), at})
 }
 
 // FaultsOver records that no fault lasts from now on.
 func (c *Checker) FaultsOver(now time.Time) { c.faultsOverSince = now }
 
 // ObserveFaults notes whether the simulation sees a fault now; over since a time.
-func (c *Checker) ObserveFaults(since time.Time, quiet bool) {
-	if !quiet {
+func (c *Checker) ObserveFaults(since time.Time, noFault bool) {
+	if !noFault {
 		since = time.Time{}
 	}
 	c.noFaultSince = since
 }
 
 // faultsOverFor reports whether all faults have been over for so long.
-func (c *Checker) faultsOverFor(now time.Time, long time.Duration) bool {
-	return !c.faultsOverSince.IsZero() && now.Sub(c.faultsOverSince) > long || !c.noFaultSince.IsZero() && now.Sub(c.noFaultSince) > long
+func (c *Checker) faultsOverFor(now time.Time, duration time.Duration) bool {
+	return !c.faultsOverSince.IsZero() && now.Sub(c.faultsOverSince) > duration || !c.noFaultSince.IsZero() && now.Sub(c.noFaultSince) > duration
 }
 
 // largestStartWithin is when the largest jobs must have begun.
@@ -150,17 +150,17 @@
 
 // checkAllServed checks that no class, team or size was left out.
 func (c *Checker) checkAllServed(now time.Time) {
-	type share struct{ all, served int }
-	count := map[string]*share{}
-	add := func(what string, served bool) {
-		k := count[what]
-		if k == nil {
-			k = &share{}
-			count[what] = k
+	type tally struct{ all, served int }
+	tallies := map[string]*tally{}
+	count := func(what string, served bool) {
+		t := tallies[what]
+		if t == nil {
+			t = &tally{}
+			tallies[what] = t
 		}
-		k.all++
+		t.all++
 		if served {
-			k.served++
+			t.served++
 		}
 	}
 	largest := map[string]int{}
@@ -173,15 +173,15 @@
 		if !j.accepted || j.cancelRequested && j.cancelRequestedAt.Sub(j.submittedAt) < largestStartWithin || now.Sub(j.submittedAt) < largestStartWithin {
 			continue
 		}
-		add("class "+j.spec.Class, !j.startedAt.IsZero())
-		add("team "+string(j.spec.Team), !j.startedAt.IsZero())
+		count("class "+j.spec.Class, !j.startedAt.IsZero())
+		count("team "+string(j.spec.Team), !j.startedAt.IsZero())
 		if j.spec.Tasks*2 > largest[j.spec.Class] {
-			add("the largest of class "+j.spec.Class, !j.startedAt.IsZero() && j.startedAt.Sub(j.submittedAt) <= largestStartWithin)
+			count("the largest of class "+j.spec.Class, !j.startedAt.IsZero() && j.startedAt.Sub(j.submittedAt) <= largestStartWithin)
 		}
 	}
-	for what, k := range count {
-		if k.served*2 < k.all {
-			c.violated(now, Unserved, "%s: %d of %d", what, k.served, k.all)
+	for what, t := range tallies {
+		if t.served*2 < t.all {
+			c.violated(now, Unserved, "%s: %d of %d", what, t.served, t.all)
 		}
 	}
 }
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -7,9 +7,9 @@
 )
 
 // Submitted records a user's attempt to submit a job.
-func (c *Checker) Submitted(s wire.JobSpec) {
-	if c.jobs[s.ID] == nil {
-		c.jobs[s.ID] = &jobHistory{spec: s, done: map[int]bool{}, submittedAt: c.latest}
+func (c *Checker) Submitted(spec wire.JobSpec) {
+	if c.jobs[spec.ID] == nil {
+		c.jobs[spec.ID] = &jobHistory{spec: spec, completedTasks: map[int]bool{}, submittedAt: c.latestTime}
 	}
 }
 
@@ -18,7 +18,7 @@
 	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil {
-		if !c.posted[id] {
+		if !c.submittedIDs[id] {
 			c.violated(now, Invented, "%s accepted", id)
 		}
 		return
@@ -57,12 +57,12 @@
 // CancelRequested records that a user asks to cancel a job.
 func (c *Checker) CancelRequested(id wire.JobID) {
 	if j := c.jobs[id]; j != nil && !j.cancelRequested {
-		j.cancelRequested, j.cancelRequestedAt = true, c.latest
+		j.cancelRequested, j.cancelRequestedAt = true, c.latestTime
 	}
 }
 
 // SubmissionAnswered checks the answer to a submission that was sent at the time asked.
-func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, asked, now time.Time) {
+func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, sentAt, now time.Time) {
 	var sent, got wire.JobSummary
 	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
 		return
@@ -72,28 +72,28 @@
 	case status != 200 && status != 201:
 		c.Refused(sent.ID, status, now)
 		return
-	case status == 201 && j.accepted && !asked.Before(j.acceptedAt):
+	case status == 201 && j.accepted && !sentAt.Before(j.acceptedAt):
 		c.violated(now, Forgotten, "%s accepted anew", sent.ID)
 	}
 	c.Accepted(sent.ID, now)
 	if wire.Decode(answer, &got) == nil && got.ID == sent.ID {
-		c.StatusTold(sent.ID, got.Status, asked, now)
+		c.StatusTold(sent.ID, got.Status, sentAt, now)
 	}
 }
 
 // CancelAnswered checks the answer to a cancellation that was sent at the time asked.
-func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, asked, now time.Time) {
+func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
 	switch {
-	case status == 404 && j != nil && j.accepted && !asked.Before(j.acceptedAt):
+	case status == 404 && j != nil && j.accepted && !sentAt.Before(j.acceptedAt):
 		c.violated(now, Forgotten, "cancellation of %s answered 404", id)
-	case status == 200 && j == nil && !c.posted[id]:
+	case status == 200 && j == nil && !c.submittedIDs[id]:
 		c.violated(now, Invented, "cancellation of %s answered 200", id)
 	case status == 200 && j != nil:
 		var got wire.JobSummary
 		if wire.Decode(answer, &got) == nil {
-			c.StatusTold(id, got.Status, asked, now)
+			c.StatusTold(id, got.Status, sentAt, now)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 
 // PollAnswered notes the answer to a poll that was sent at a certain time; status
 // 0: none.
-func (c *Checker) PollAnswered(id wire.JobID, status int, st wire.Status, asked, now time.Time) {
+func (c *Checker) PollAnswered(id wire.JobID, status int, st wire.Status, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
 	if status == 200 || status == 404 {
@@ -115,30 +115,30 @@
 	}
 	switch {
 	case status == 200 && j == nil:
-		if !c.posted[id] {
+		if !c.submittedIDs[id] {
 			c.violated(now, Invented, "%s answered %s", id, st)
 		}
 	case status == 404 && j != nil && j.accepted:
 		// Not so if the question was on its way when its user was told.
-		if !asked.Before(j.acceptedAt) {
+		if !sentAt.Before(j.acceptedAt) {
 			c.violated(now, Forgotten, "%s answered 404", id)
 		}
 	case status == 200:
-		c.pollSucceeded(id, j, st, asked, now)
+		c.pollSucceeded(id, j, st, sentAt, now)
 	case j != nil && j.accepted:
-		c.pollFailed(id, j, asked, now)
+		c.pollFailed(id, j, sentAt, now)
 	}
 }
 
-// doneToldWithin is how soon after its last task's end a poll must be answered with it.
-const doneToldWithin = 3 * time.Second
+// doneReportedWithin is how soon after its last task's end a poll must be answered with it.
+const doneReportedWithin = 3 * time.Second
 
 // pollSucceeded checks the status in the answer to a poll.
-func (c *Checker) pollSucceeded(id wire.JobID, j *jobHistory, st wire.Status, asked, now time.Time) {
+func (c *Checker) pollSucceeded(id wire.JobID, j *jobHistory, st wire.Status, sentAt, now time.Time) {
 	c.lastAnswered = now
 	j.unansweredSince = time.Time{}
-	c.StatusTold(id, st, asked, now)
-	completedBefore := !j.completed.IsZero() && asked.Sub(j.completed) > doneToldWithin
+	c.StatusTold(id, st, sentAt, now)
+	completedBefore := !j.completionSeenAt.IsZero() && sentAt.Sub(j.completionSeenAt) > doneReportedWithin
 	if completedBefore && !st.IsFinal() && !j.cancelRequested {
 		c.lateDone++
 		j.notDoneToldAt = now
@@ -147,25 +147,25 @@
 
 // How long all polls for a job may fail.
 const (
-	// unansweredMost is the limit while polls for other jobs are answered: most of them,
+	// unansweredLimit is the limit while polls for other jobs are answered: most of them,
 	// or one in the last answeredRecently.
-	unansweredMost   = 90 * time.Second
-	answeredRecently = 10 * time.Second
-	// unansweredWithoutFault is the limit once all faults have been over for as long.
-	unansweredWithoutFault = 75 * time.Second
+	unansweredLimit = 90 * time.Second
+	recentAnswer    = 10 * time.Second
+	// unansweredLimitWithoutFault is the limit once all faults have been over for as long.
+	unansweredLimitWithoutFault = 75 * time.Second
 )
 
 // pollFailed checks for how long all polls for an accepted job have failed.
-func (c *Checker) pollFailed(id wire.JobID, j *jobHistory, asked, now time.Time) {
+func (c *Checker) pollFailed(id wire.JobID, j *jobHistory, sentAt, now time.Time) {
 	if j.unansweredSince.IsZero() {
-		j.unansweredSince, j.pollsUntilThen = asked, pollCount{c.polls.answered, c.polls.failed - 1}
+		j.unansweredSince, j.pollsBaseline = sentAt, pollCount{c.polls.answered, c.polls.failed - 1}
 	}
-	j.pollsUntilThen.failed++ // its own
+	j.pollsBaseline.failed++ // its own
 	unanswered := now.Sub(j.unansweredSince)
-	mostAnswered := c.polls.answered-j.pollsUntilThen.answered > c.polls.failed-j.pollsUntilThen.failed
-	othersAnswered := mostAnswered || now.Sub(c.lastAnswered) < answeredRecently
-	withoutFault := c.faultsOverFor(now, unansweredWithoutFault) && unanswered > unansweredWithoutFault
-	if unanswered > unansweredMost && othersAnswered || withoutFault {
+	mostAnswered := c.polls.answered-j.pollsBaseline.answered > c.polls.failed-j.pollsBaseline.failed
+	othersAnswered := mostAnswered || now.Sub(c.lastAnswered) < recentAnswer
+	withoutFault := c.faultsOverFor(now, unansweredLimitWithoutFault) && unanswered > unansweredLimitWithoutFault
+	if unanswered > unansweredLimit && othersAnswered || withoutFault {
 		c.violated(now, Forgotten, "every poll for %s fails", id)
 		j.unansweredSince = time.Time{}
 	}
@@ -179,20 +179,20 @@
 // StatusTold notes a state that a user was told in answer to a question that
 // was sent at a certain time: what was on its way when a newer answer arrived
 // may be older. Final states exclude each other whenever they were asked for.
-func (c *Checker) StatusTold(id wire.JobID, st wire.Status, asked, now time.Time) {
+func (c *Checker) StatusTold(id wire.JobID, st wire.Status, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
 	if j == nil {
 		return
 	}
 	c.recordAccepted(j, now)
-	if j.finalStatus != "" && st != j.finalStatus && (st.IsFinal() || !asked.Before(j.finalToldAt)) {
+	if j.finalStatus != "" && st != j.finalStatus && (st.IsFinal() || !sentAt.Before(j.finalToldAt)) {
 		c.violated(now, WentBack, "%s was %s and is called %s", id, j.finalStatus, st)
 	}
 	switch st {
 	case wire.StatusDone:
-		if len(j.done) < j.spec.Tasks || j.spec.IsService() {
-			c.violated(now, NotDone, "%s called done with %d of %d tasks", id, len(j.done), j.spec.Tasks)
+		if len(j.completedTasks) < j.spec.Tasks || j.spec.IsService() {
+			c.violated(now, NotDone, "%s called done with %d of %d tasks", id, len(j.completedTasks), j.spec.Tasks)
 		}
 	case wire.StatusCancelled:
 		if !j.cancelRequested {
@@ -209,9 +209,9 @@
 
 // endHistory is what the checker keeps of a job for burst readers.
 type endHistory struct {
-	ended   chan struct{} // closed when the last task has completed
-	endedAt time.Time
-	at      time.Time // when the newest answer arrived
+	done            chan struct{} // closed when the last task has completed
+	endedAt         time.Time
+	statusChangedAt time.Time // when the newest answer arrived
 }
 
 // knownStatus is the newest that users had been told of a job when a question left.
@@ -220,11 +220,11 @@
 	final    wire.Status
 }
 
-func (m knownStatus) String() string {
+func (k knownStatus) String() string {
 	switch {
-	case m.final != "":
-		return string(m.final)
-	case m.accepted:
+	case k.final != "":
+		return string(k.final)
+	case k.accepted:
 		return "accepted"
 	}
 	return "new"
@@ -233,7 +233,7 @@
 // answered checks an answer against what had been told when its question left.
 // Answers to questions that crossed each other may come in either order, but
 // there is one end only.
-func (c *Checker) answered(id wire.JobID, m knownStatus, op Operation, status int, st wire.Status, now time.Time) {
+func (c *Checker) answered(id wire.JobID, before knownStatus, op Operation, status int, st wire.Status, now time.Time) {
 	j := c.jobs[id]
 	switch {
 	case j == nil:
@@ -241,12 +241,12 @@
 			c.violated(now, Invented, "%s answered %d to %s", id, status, op)
 		}
 		return
-	case status == 404 && m.accepted, (status == 400 || status == 422) && m.accepted:
-		c.violated(now, Forgotten, "%s was %s and %s is answered %d", id, m, op, status)
-	case status == 201 && m.accepted:
-		c.violated(now, WentBack, "%s was %s and is accepted again", id, m)
-	case status == 200 && m.final != "" && st != m.final:
-		c.violated(now, WentBack, "%s was %s and %s is answered %s", id, m, op, st)
+	case status == 404 && before.accepted, (status == 400 || status == 422) && before.accepted:
+		c.violated(now, Forgotten, "%s was %s and %s is answered %d", id, before, op, status)
+	case status == 201 && before.accepted:
+		c.violated(now, WentBack, "%s was %s and is accepted again", id, before)
+	case status == 200 && before.final != "" && st != before.final:
+		c.violated(now, WentBack, "%s was %s and %s is answered %s", id, before, op, st)
 	case status == 200 && st.IsFinal():
 		c.StatusToldNow(id, st, now)
 	}
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -11,13 +11,13 @@
 // Complete reports whether every task of the job has completed.
 func (c *Checker) Complete(id wire.JobID) bool {
 	j := c.jobs[id]
-	return j != nil && len(j.done) == j.spec.Tasks
+	return j != nil && len(j.completedTasks) == j.spec.Tasks
 }
 
 // Completed counts the job's tasks that have completed.
 func (c *Checker) Completed(id wire.JobID) int {
 	if j := c.jobs[id]; j != nil {
-		return len(j.done)
+		return len(j.completedTasks)
 	}
 	return 0
 }
@@ -38,7 +38,7 @@
 // OnMachines counts the tasks of a job that are on machines.
 func (c *Checker) OnMachines(id wire.JobID) int {
 	n := 0
-	for t := range c.on {
+	for t := range c.placeOf {
 		if t.Job == id {
 			n++
 		}
@@ -49,7 +49,7 @@
 // TasksByZone counts a job's tasks on machines by zone.
 func (c *Checker) TasksByZone(id wire.JobID) map[wire.Zone]int {
 	n := map[wire.Zone]int{}
-	for t, p := range c.on {
+	for t, p := range c.placeOf {
 		if t.Job == id {
 			n[p.Zone]++
 		}
@@ -60,7 +60,7 @@
 // CPUsUsed returns how many processors a team's tasks use that are on machines.
 func (c *Checker) CPUsUsed(team wire.TeamID) float64 {
 	n := 0.0
-	for t := range c.on {
+	for t := range c.placeOf {
 		if j := c.jobs[t.Job]; j != nil && j.spec.Team == team {
 			n += j.spec.CPUs
 		}
@@ -73,7 +73,7 @@
 func (c *Checker) Waiting(id wire.JobID) int {
 	j, n := c.jobs[id], 0
 	for i := range j.spec.Tasks {
-		if _, on := c.on[wire.TaskID{Job: id, Index: i}]; !on && !j.done[i] {
+		if _, on := c.placeOf[wire.TaskID{Job: id, Index: i}]; !on && !j.completedTasks[i] {
 			n++
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 // CompletedAt returns when a job's last task completed.
-func (c *Checker) CompletedAt(id wire.JobID) time.Time { return c.jobs[id].end.endedAt }
+func (c *Checker) CompletedAt(id wire.JobID) time.Time { return c.jobs[id].completion.endedAt }
 
 // FinalStatus returns the final status that users were told of a job, empty if none.
 func (c *Checker) FinalStatus(id wire.JobID) wire.Status { return c.jobs[id].finalStatus }
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -10,23 +10,23 @@
 )
 
 // cannotRun returns why a job can never run, empty if it can.
-func (c *Checker) cannotRun(s *wire.JobSpec) string {
+func (c *Checker) cannotRun(job *wire.JobSpec) string {
 	if c.MachineSpecs == nil {
 		return ""
 	}
-	limit, known := c.Limits[s.Team]
+	limit, known := c.Limits[job.Team]
 	if !known {
 		return "its team is unknown"
 	}
-	n := float64(s.MinConcurrentTasks())
-	if limit.CPUs > 0 && n*s.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && n*s.GPUs > limit.GPUs+wire.AmountTolerance {
+	minTasks := float64(job.MinConcurrentTasks())
+	if limit.CPUs > 0 && minTasks*job.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && minTasks*job.GPUs > limit.GPUs+wire.AmountTolerance {
 		return "it needs more than its team's limit"
 	}
 	for i := range c.MachineSpecs {
-		f := &c.MachineSpecs[i]
-		for _, z := range f.Zones {
-			r := MachineRoom{Place: Place{Type: f.Name, Zone: z}, CPUs: f.CPUs, GPUs: f.GPUs, MemoryGB: f.MemoryGB, DiskGB: f.DiskGB}
-			if r.takes(s, nil) {
+		spec := &c.MachineSpecs[i]
+		for _, zone := range spec.Zones {
+			room := MachineRoom{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
+			if room.hasRoomFor(job, nil) {
 				return ""
 			}
 		}
@@ -36,76 +36,76 @@
 
 // SubmissionSent checks the answer to a submission, whose body may be malformed.
 func (c *Checker) SubmissionSent(raw []byte, status int, now time.Time) {
-	var m map[string]any
-	unread := wire.Decode(raw, &m) != nil
-	id, _ := m["nameId"].(string)
-	c.posted[wire.JobID(id)] = true
+	var fields map[string]any
+	undecodable := wire.Decode(raw, &fields) != nil
+	id, _ := fields["nameId"].(string)
+	c.submittedIDs[wire.JobID(id)] = true
 	if status != 200 && status != 201 {
 		return
 	}
 	why := "it is not a map"
-	if !unread {
-		why = malformed(m)
+	if !undecodable {
+		why = whyMalformed(fields)
 	}
 	if why != "" {
 		c.violated(now, AcceptedWrongly, "%q accepted, but %s", id, why)
 	}
-	var s wire.JobSpec
-	if j := c.jobs[wire.JobID(id)]; j == nil && wire.Decode(raw, &s) == nil && why == "" {
-		if why := c.cannotRun(&s); why != "" {
+	var spec wire.JobSpec
+	if j := c.jobs[wire.JobID(id)]; j == nil && wire.Decode(raw, &spec) == nil && why == "" {
+		if why := c.cannotRun(&spec); why != "" {
 			c.violated(now, AcceptedWrongly, "%s accepted, but %s", id, why)
 		}
 	}
 }
 
-// formOfID matches the names of jobs.
-var formOfID = regexp.MustCompile(`^req-[0-9]{6,}$`)
+// jobIDPattern matches the names of jobs.
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{6,}$`)
 
-// malformed says what is wrong with a submission by PROTOCOL's table; empty:
+// whyMalformed says what is wrong with a submission by PROTOCOL's table; empty:
 // nothing. It judges by itself, not as the nodes do.
-func malformed(m map[string]any) string {
-	texts := []string{"nameId", "lane", "owner", "shape", "urgency", "bundle"}
-	amounts := []string{"parts", "cpus", "cards", "ramGb", "imageGb", "expectedS", "snapshotEveryS", "snapshotS"}
-	for _, k := range texts {
-		if v, ok := m[k].(string); !ok || v == "" {
-			return k + " is no text"
+func whyMalformed(fields map[string]any) string {
+	textFields := []string{"nameId", "lane", "owner", "shape", "urgency", "bundle"}
+	amountFields := []string{"parts", "cpus", "cards", "ramGb", "imageGb", "expectedS", "snapshotEveryS", "snapshotS"}
+	for _, name := range textFields {
+		if value, ok := fields[name].(string); !ok || value == "" {
+			return name + " is no text"
 		}
 	}
-	for _, k := range amounts {
-		if v, ok := number(m[k]); !ok || v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
-			return k + " is no amount"
+	for _, name := range amountFields {
+		if value, ok := number(fields[name]); !ok || value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
+			return name + " is no amount"
 		}
 	}
-	for _, k := range []string{"samePlace", "apart", "standby"} {
-		if _, ok := m[k].(bool); !ok {
-			return k + " is neither true nor false"
+	for _, name := range []string{"samePlace", "apart", "standby"} {
+		if _, ok := fields[name].(bool); !ok {
+			return name + " is neither true nor false"
 		}
 	}
-	if _, text := m["site"].(string); !text && m["site"] != nil {
+	if _, isText := fields["site"].(string); !isText && fields["site"] != nil {
 		return "site is no text"
 	}
-	if due, ok := number(m["dueS"]); m["dueS"] != nil && (!ok || due < 0) {
+	if deadline, ok := number(fields["dueS"]); fields["dueS"] != nil && (!ok || deadline < 0) {
 		return "dueS is no amount"
 	}
-	machineTypes, list := m["kits"].([]any)
-	if m["kits"] != nil && !list {
+	machineTypes, isList := fields["kits"].([]any)
+	if fields["kits"] != nil && !isList {
 		return "kits is no list"
 	}
-	for _, name := range machineTypes {
-		if _, text := name.(string); !text {
+	for _, machineType := range machineTypes {
+		if _, isText := machineType.(string); !isText {
 			return "kits has what is no text"
 		}
 	}
-	if tasks, _ := number(m["parts"]); tasks < 1 || tasks > 100_000 || tasks != math.Trunc(tasks) {
+	if tasks, _ := number(fields["parts"]); tasks < 1 || tasks > 100_000 || tasks != math.Trunc(tasks) {
 		return "parts is not from 1 to 100,000"
 	}
-	if !formOfID.MatchString(m["nameId"].(string)) {
+	if !jobIDPattern.MatchString(fields["nameId"].(string)) {
 		return "nameId has another form"
 	}
-	if !slices.Contains([]any{"sweep", "daemon", "ensemble"}, m["shape"]) {
+	if !slices.Contains([]any{"sweep", "daemon", "ensemble"}, fields["shape"]) {
 		return "shape is unknown"
 	}
-	if !slices.Contains([]any{"prod", "urgent", "standard", "best_effort"}, m["urgency"]) {
+	if !slices.Contains([]any{"prod", "urgent", "standard", "best_effort"}, fields["urgency"]) {
 		return "urgency is unknown"
 	}
 	return ""
@@ -113,13 +113,13 @@
 
 // number reads a number of any kind.
 func number(v any) (float64, bool) {
-	switch n := v.(type) {
+	switch x := v.(type) {
 	case uint64:
-		return float64(n), true
+		return float64(x), true
 	case int64:
-		return float64(n), true
+		return float64(x), true
 	case float64:
-		return n, true
+		return x, true
 	}
 	return 0, false
 }
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -28,31 +28,31 @@
 	if j.startedAt.IsZero() && !j.spec.IsGang() {
 		j.startedAt = now // a gang begins when all of it runs
 	}
-	s := &j.spec
-	if p.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != p.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, p.Type) {
+	spec := &j.spec
+	if p.Spot && !spec.SpotAllowed || spec.Zone != "" && spec.Zone != p.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, p.Type) {
 		c.violated(now, WrongPlace, "%s on %v", t, p)
 	}
 	inZone, elsewhere := 0, 0
 	var used TeamLimit
-	for o, at := range c.on {
-		oj := c.jobs[o.Job]
-		if o.Job == t.Job {
-			if at.Zone == p.Zone {
+	for other, place := range c.placeOf {
+		otherJob := c.jobs[other.Job]
+		if other.Job == t.Job {
+			if place.Zone == p.Zone {
 				inZone++
 			} else {
 				elsewhere++
 			}
 		}
-		if oj.spec.Team == s.Team {
-			used.CPUs += oj.spec.CPUs
-			used.GPUs += oj.spec.GPUs
+		if otherJob.spec.Team == spec.Team {
+			used.CPUs += otherJob.spec.CPUs
+			used.GPUs += otherJob.spec.GPUs
 		}
 	}
-	if s.Spread && inZone > (s.Tasks+1)/2 || s.SameZone && elsewhere > 0 {
+	if spec.Spread && inZone > (spec.Tasks+1)/2 || spec.SameZone && elsewhere > 0 {
 		c.violated(now, WrongPlace, "%s in %s with %d there and %d elsewhere", t, p.Zone, inZone-1, elsewhere)
 	}
-	if l := c.Limits[s.Team]; l.CPUs > 0 && used.CPUs > l.CPUs+wire.AmountTolerance || l.GPUs > 0 && used.GPUs > l.GPUs+wire.AmountTolerance {
-		c.violated(now, Quota, "team %s uses %.1f cpus", s.Team, used.CPUs)
+	if limit := c.Limits[spec.Team]; limit.CPUs > 0 && used.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && used.GPUs > limit.GPUs+wire.AmountTolerance {
+		c.violated(now, Quota, "team %s uses %.1f cpus", spec.Team, used.CPUs)
 	}
 }
 
@@ -66,23 +66,23 @@
 }
 
 // recordOnMachine records that a task starts or resumes on a machine.
-func (c *Checker) recordOnMachine(t wire.TaskID, j *jobHistory, p Place, now time.Time, what string) {
-	if at, on := c.on[t]; on && at.Machine != p.Machine {
-		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, at.Machine, what, p.Machine)
+func (c *Checker) recordOnMachine(t wire.TaskID, j *jobHistory, p Place, now time.Time, verb string) {
+	if place, on := c.placeOf[t]; on && place.Machine != p.Machine {
+		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, place.Machine, verb, p.Machine)
 	}
-	c.on[t] = p
+	c.placeOf[t] = p
 	if !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelTimeout {
-		c.violated(now, RanCancelled, "%s %s on %s", t, what, p.Machine)
+		c.violated(now, RanCancelled, "%s %s on %s", t, verb, p.Machine)
 	}
 }
 
 // TaskLeft records that a task is no longer on a machine.
 func (c *Checker) TaskLeft(t wire.TaskID, m wire.MachineID, done bool) {
-	if at, on := c.on[t]; on && at.Machine == m {
-		delete(c.on, t)
+	if place, on := c.placeOf[t]; on && place.Machine == m {
+		delete(c.placeOf, t)
 	}
 	if j := c.jobs[t.Job]; j != nil && done {
-		j.done[t.Index] = true
+		j.completedTasks[t.Index] = true
 		j.recordCompletion()
 	}
 }
@@ -100,10 +100,10 @@
 
 // recordCompletion records the completion of the job once its last task has completed.
 func (j *jobHistory) recordCompletion() {
-	if len(j.done) == j.spec.Tasks && j.end.endedAt.IsZero() {
-		j.end.endedAt = time.Now()
-		if j.end.ended != nil {
-			close(j.end.ended)
+	if len(j.completedTasks) == j.spec.Tasks && j.completion.endedAt.IsZero() {
+		j.completion.endedAt = time.Now()
+		if j.completion.done != nil {
+			close(j.completion.done)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 // Tick looks for tasks of cancelled jobs that are still on a machine.
 func (c *Checker) Tick(now time.Time) {
 	c.observeTime(now)
-	for t, p := range c.on {
+	for t, p := range c.placeOf {
 		// Once for each job is enough.
 		if j := c.jobs[t.Job]; !j.overstayRecorded && !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelTimeout {
 			c.violated(now, RanCancelled, "%s still on %s", t, p.Machine)
@@ -119,8 +119,8 @@
 		}
 	}
 	for _, j := range c.jobs {
-		if j.completed.IsZero() && len(j.done) >= j.spec.Tasks {
-			j.completed = now
+		if j.completionSeenAt.IsZero() && len(j.completedTasks) >= j.spec.Tasks {
+			j.completionSeenAt = now
 		}
 	}
 }
@@ -144,7 +144,7 @@
 func (c *Checker) GangDone(id wire.JobID) {
 	if j := c.jobs[id]; j != nil {
 		for i := range j.spec.Tasks {
-			j.done[i] = true
+			j.completedTasks[i] = true
 		}
 		j.recordCompletion()
 	}
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -37,8 +37,8 @@
 	there := Place{Machine: "n-2", Type: "c4", Zone: "b"}
 	task := func(i int) wire.TaskID { return wire.TaskID{Job: "req-1", Index: i} }
 	cases := map[string]struct {
-		rule Rule
-		do   func(c *Checker)
+		rule    Rule
+		violate func(c *Checker)
 	}{
 		"on two machines": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(0), there, t0) }},
 		"over the limit": {Quota, func(c *Checker) {
@@ -212,14 +212,14 @@
 			}
 		}},
 	}
-	for name, k := range cases {
+	for name, test := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 8}})
 		c.MachineSpecs = []wire.MachineSpec{{Name: "c4", CPUs: 16, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
 		c.Submitted(spec)
 		c.Accepted("req-1", t0)
-		k.do(c)
-		if len(c.Violations) == 0 || c.Violations[0].Rule != k.rule {
-			t.Errorf("%s: noted %v, want %s", name, c.Violations, k.rule)
+		test.violate(c)
+		if len(c.Violations) == 0 || c.Violations[0].Rule != test.rule {
+			t.Errorf("%s: noted %v, want %s", name, c.Violations, test.rule)
 		}
 	}
 }
@@ -337,9 +337,9 @@
 	isViolation := func(body any) bool {
 		c := NewChecker(time.Second, nil)
 		c.SubmissionSent(bodyOf(body), 201, time.Unix(1000, 0))
-		for _, b := range c.Violations {
-			if b.Rule != AcceptedWrongly {
-				t.Errorf("%v noted %v", body, b)
+		for _, violation := range c.Violations {
+			if violation.Rule != AcceptedWrongly {
+				t.Errorf("%v noted %v", body, violation)
 			}
 		}
 		return len(c.Violations) > 0
@@ -347,21 +347,21 @@
 	if isViolation(Submission(good)) {
 		t.Error("a good submission is blamed")
 	}
-	for k := range Submission(good) {
-		m := Submission(good)
-		delete(m, k)
-		if nullable := k == "kits" || k == "site" || k == "dueS"; isViolation(m) == nullable {
-			t.Errorf("without %s", k)
+	for name := range Submission(good) {
+		fields := Submission(good)
+		delete(fields, name)
+		if nullable := name == "kits" || name == "site" || name == "dueS"; isViolation(fields) == nullable {
+			t.Errorf("without %s", name)
 		}
-		m[k] = []byte{1}
-		if !isViolation(m) {
-			t.Errorf("a wrong %s", k)
+		fields[name] = []byte{1}
+		if !isViolation(fields) {
+			t.Errorf("a wrong %s", name)
 		}
 	}
-	for k, v := range map[string]any{"nameId": "job-1", "shape": "choir", "urgency": "now", "parts": 100_001, "cpus": -1.0, "dueS": -1.0, "ramGb": "many"} {
-		m := Submission(good)
-		if m[k] = v; !isViolation(m) {
-			t.Errorf("%s %v", k, v)
+	for name, value := range map[string]any{"nameId": "job-1", "shape": "choir", "urgency": "now", "parts": 100_001, "cpus": -1.0, "dueS": -1.0, "ramGb": "many"} {
+		fields := Submission(good)
+		if fields[name] = value; !isViolation(fields) {
+			t.Errorf("%s %v", name, value)
 		}
 	}
 	if !isViolation([]string{"a"}) || !isViolation([]byte{0xff, 1}) {
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -51,8 +51,8 @@
 				use.zones[t.Job] = map[int]wire.Zone{}
 			}
 			use.zones[t.Job][t.Index] = rooms[i].Zone
-			u := use.used[j.spec.Team]
-			use.used[j.spec.Team] = TeamLimit{u.CPUs + j.spec.CPUs, u.GPUs + j.spec.GPUs}
+			used := use.used[j.spec.Team]
+			use.used[j.spec.Team] = TeamLimit{used.CPUs + j.spec.CPUs, used.GPUs + j.spec.GPUs}
 		}
 	}
 	return use
@@ -62,78 +62,78 @@
 // While there are faults no spell counts.
 func (c *Checker) ObserveRoom(rooms []MachineRoom, now time.Time) {
 	c.observeTime(now)
-	calm := c.faultsOverFor(now, 0)
+	noFault := c.faultsOverFor(now, 0)
 	use := c.useOf(rooms)
 	for id, j := range c.jobs {
-		mine := use.zones[id]
-		taken, zones := len(j.done), map[wire.Zone]int{}
-		for i, z := range mine {
+		taskZones := use.zones[id]
+		placedOrDone, zones := len(j.completedTasks), map[wire.Zone]int{}
+		for i, z := range taskZones {
 			zones[z]++
-			if !j.done[i] {
-				taken++
+			if !j.completedTasks[i] {
+				placedOrDone++
 			}
 		}
-		startedMore := len(mine) > j.waits.onMachines
-		j.waits.onMachines = len(mine)
+		startedMore := len(taskZones) > j.waits.onMachines
+		j.waits.onMachines = len(taskZones)
 		// What completed may have been lost on its way, with its machine: then its
 		// user is told that it goes on, and it waits to be started again.
-		lost := len(mine) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
-		all := taken >= j.spec.Tasks && !lost
-		if j.spec.IsGang() && (len(mine) > 0 || !gangFits(rooms, &j.spec, j.waits.failed)) {
+		resultsLost := len(taskZones) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
+		allPlaced := placedOrDone >= j.spec.Tasks && !resultsLost
+		if j.spec.IsGang() && (len(taskZones) > 0 || !gangFits(rooms, &j.spec, j.waits.failed)) {
 			j.waits.end() // what is left of its last attempt goes first
 			continue
 		}
-		if !calm || !j.accepted || j.cancelRequested || j.finalStatus != "" || all || startedMore || c.atLimit(&j.spec, use.used[j.spec.Team]) {
+		if !noFault || !j.accepted || j.cancelRequested || j.finalStatus != "" || allPlaced || startedMore || c.atLimit(&j.spec, use.used[j.spec.Team]) {
 			j.waits.end()
 			continue
 		}
-		c.checkUsableMachines(j, rooms, zones, taken, now)
+		c.checkUsableMachines(j, rooms, zones, placedOrDone, now)
 	}
 }
 
 // atLimit reports whether the next task of a job, or all of a gang, would bring its
 // team over its limit.
 func (c *Checker) atLimit(s *wire.JobSpec, used TeamLimit) bool {
-	limit, more := c.Limits[s.Team], 1.0
+	limit, tasks := c.Limits[s.Team], 1.0
 	if s.IsGang() {
-		more = float64(s.Tasks)
+		tasks = float64(s.Tasks)
 	}
-	return limit.CPUs > 0 && used.CPUs+more*s.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && used.GPUs+more*s.GPUs > limit.GPUs+wire.AmountTolerance
+	return limit.CPUs > 0 && used.CPUs+tasks*s.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && used.GPUs+tasks*s.GPUs > limit.GPUs+wire.AmountTolerance
 }
 
 // checkUsableMachines notes which machines a waiting job could use, and a violation
 // when it could use one for too long.
-func (c *Checker) checkUsableMachines(j *jobHistory, rooms []MachineRoom, zones map[wire.Zone]int, taken int, now time.Time) {
-	could := map[wire.MachineID]time.Time{}
+func (c *Checker) checkUsableMachines(j *jobHistory, rooms []MachineRoom, zones map[wire.Zone]int, placedOrDone int, now time.Time) {
+	usableSince := map[wire.MachineID]time.Time{}
 	for i := range rooms {
-		r := &rooms[i]
-		if !r.Usable || j.waits.failed[r.Machine] || !r.takes(&j.spec, zones) {
+		room := &rooms[i]
+		if !room.Usable || j.waits.failed[room.Machine] || !room.hasRoomFor(&j.spec, zones) {
 			continue
 		}
-		since, known := j.waits.since[r.Machine]
+		since, known := j.waits.since[room.Machine]
 		if !known {
 			since = now
 		}
-		could[r.Machine] = since
+		usableSince[room.Machine] = since
 		if now.Sub(since) >= longestWait && !j.waits.violationRecorded {
 			j.waits.violationRecorded = true
-			c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", j.spec.ID, taken, j.spec.Tasks, r.Machine)
+			c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", j.spec.ID, placedOrDone, j.spec.Tasks, room.Machine)
 		}
 	}
-	j.waits.since = could
+	j.waits.since = usableSince
 }
 
 // gangFits reports whether all tasks of a gang would fit on the open machines.
-func gangFits(rooms []MachineRoom, s *wire.JobSpec, not map[wire.MachineID]bool) bool {
+func gangFits(rooms []MachineRoom, s *wire.JobSpec, excluded map[wire.MachineID]bool) bool {
 	zones := map[wire.Zone]int{}
 	for i := range rooms {
-		r := rooms[i]
-		for n := 0; r.Usable && !not[r.Machine] && n < s.Tasks && r.takes(s, nil); n++ {
-			r.CPUs, r.GPUs, r.MemoryGB = r.CPUs-s.CPUs, r.GPUs-s.GPUs, r.MemoryGB-s.MemoryGB
-			zones[r.Zone]++
+		room := rooms[i]
+		for n := 0; room.Usable && !excluded[room.Machine] && n < s.Tasks && room.hasRoomFor(s, nil); n++ {
+			room.CPUs, room.GPUs, room.MemoryGB = room.CPUs-s.CPUs, room.GPUs-s.GPUs, room.MemoryGB-s.MemoryGB
+			zones[room.Zone]++
 		}
 	}
-	all := 0
+	total := 0
 	for _, n := range zones {
 		if s.SameZone && n >= s.Tasks {
 			return true
@@ -141,14 +141,14 @@
 		if s.Spread {
 			n = min(n, s.MaxTasksPerZone())
 		}
-		all += n
+		total += n
 	}
-	return !s.SameZone && all >= s.Tasks
+	return !s.SameZone && total >= s.Tasks
 }
 
-// takes reports whether the machine can take one more task of a job whose tasks
+// hasRoomFor reports whether the machine can take one more task of a job whose tasks
 // are in certain zones.
-func (r *MachineRoom) takes(s *wire.JobSpec, zones map[wire.Zone]int) bool {
+func (r *MachineRoom) hasRoomFor(s *wire.JobSpec, zones map[wire.Zone]int) bool {
 	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
 		return false
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -15,13 +15,13 @@
 
 // listSnapshot is what a list of machines showed at a time.
 type listSnapshot struct {
-	at    time.Time
-	hosts []wire.ListedMachine
+	listedAt time.Time
+	machines []wire.ListedMachine
 }
 
 // capacityKey names what the cloud has a limited number of.
-func capacityKey(k wire.MachineType, z wire.Zone, spot bool) string {
-	return fmt.Sprintf("%s/%s/%v", k, z, spot)
+func capacityKey(machineType wire.MachineType, zone wire.Zone, spot bool) string {
+	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
 // listedMachines lists the machines now; the caller holds the lock.
@@ -95,14 +95,14 @@
 func (sim *Simulation) list(rw http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	sim.listHistory = append(sim.listHistory, listSnapshot{now, sim.listedMachines()})
-	lag := sim.listLag
+	age := sim.listLag
 	if sim.rng.IntN(4) == 0 {
-		lag *= 2 // older than the one before
+		age *= 2 // older than the one before
 	}
 	page := wire.MachinePage{Machines: []wire.ListedMachine{}}
 	for i := len(sim.listHistory) - 1; i >= 0; i-- {
-		if now.Sub(sim.listHistory[i].at) >= lag {
-			page = pageOf(sim.listHistory[i].hosts, r.URL.Query())
+		if now.Sub(sim.listHistory[i].listedAt) >= age {
+			page = pageOf(sim.listHistory[i].machines, r.URL.Query())
 			break
 		}
 	}
@@ -116,21 +116,21 @@
 const maxPage = 500
 
 // pageOf returns the part of a list that the query asks for.
-func pageOf(hosts []wire.ListedMachine, query url.Values) wire.MachinePage {
+func pageOf(machines []wire.ListedMachine, query url.Values) wire.MachinePage {
 	page := wire.MachinePage{Machines: []wire.ListedMachine{}}
-	most := maxPage
-	if asked, err := strconv.Atoi(query.Get("page")); err == nil && asked > 0 {
-		most = min(most, asked)
+	limit := maxPage
+	if requested, err := strconv.Atoi(query.Get("page")); err == nil && requested > 0 {
+		limit = min(limit, requested)
 	}
-	for _, h := range hosts {
-		if string(h.Name) <= query.Get("after") {
+	for _, m := range machines {
+		if string(m.Name) <= query.Get("after") {
 			continue
 		}
-		if len(page.Machines) == most {
+		if len(page.Machines) == limit {
 			page.Truncated = true
 			break
 		}
-		page.Machines = append(page.Machines, h)
+		page.Machines = append(page.Machines, m)
 	}
 	return page
 }
@@ -144,25 +144,25 @@
 
 // scaleOut answers a scale-out request; a repeated one gets the same machines.
 func (sim *Simulation) scaleOut(rw http.ResponseWriter, raw []byte) {
-	var b wire.ScaleOutRequest
-	if wire.Decode(raw, &b) != nil || b.Count < 1 || b.Count > 50 || b.Name == "" {
+	var request wire.ScaleOutRequest
+	if wire.Decode(raw, &request) != nil || request.Count < 1 || request.Count > 50 || request.Name == "" {
 		wire.WriteResponse(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 		return
 	}
-	ids, known := sim.scaleOuts[b.Name]
+	ids, known := sim.scaleOuts[request.Name]
 	if !known {
-		of := capacityKey(b.Type, b.Zone, b.Spot)
-		n := min(b.Count, sim.capacity[of])
-		if n <= 0 || sim.soldOut[b.Zone] || sim.noSpot && b.Spot {
+		key := capacityKey(request.Type, request.Zone, request.Spot)
+		n := min(request.Count, sim.capacity[key])
+		if n <= 0 || sim.soldOut[request.Zone] || sim.spotSoldOut && request.Spot {
 			wire.WriteResponse(rw, http.StatusServiceUnavailable, wire.ErrorBody{Error: "no capacity"})
 			return
 		}
-		sim.capacity[of] -= n
+		sim.capacity[key] -= n
 		for range n {
-			ids = append(ids, sim.provisionMachine(b.Type, b.Zone, b.Spot, time.Duration(float64(10*time.Second)*sim.bootFactor*(0.6+0.9*sim.rng.Float64()))))
+			ids = append(ids, sim.provisionMachine(request.Type, request.Zone, request.Spot, time.Duration(float64(10*time.Second)*sim.bootFactor*(0.6+0.9*sim.rng.Float64()))))
 		}
-		sim.scaleOuts[b.Name] = ids
-		sim.scaleOutNames = append(sim.scaleOutNames, b.Name)
+		sim.scaleOuts[request.Name] = ids
+		sim.scaleOutNames = append(sim.scaleOutNames, request.Name)
 	}
 	if sim.loseScaleOutAnswers > 0 {
 		sim.loseScaleOutAnswers--
@@ -172,22 +172,22 @@
 }
 
 // provisionMachine creates a machine that boots after a time; the caller holds the lock.
-func (sim *Simulation) provisionMachine(machineType wire.MachineType, zone wire.Zone, spot bool, after time.Duration) wire.MachineID {
+func (sim *Simulation) provisionMachine(machineType wire.MachineType, zone wire.Zone, spot bool, bootTime time.Duration) wire.MachineID {
 	id := wire.MachineID(fmt.Sprintf("n-%06d", sim.provisionedCount))
 	ip := fmt.Sprintf("10.1.%d.%d", sim.provisionedCount/250, sim.provisionedCount%250+1)
 	sim.provisionedCount++
 	var spec wire.MachineSpec
-	for _, x := range sim.machineTypes {
-		if x.Name == machineType {
-			spec = x
+	for _, s := range sim.machineTypes {
+		if s.Name == machineType {
+			spec = s
 		}
 	}
 	ctx, cancel := context.WithCancel(sim.ctx)
 	m := &worker{sim: sim, id: id, ip: ip, addr: ip + ":9000", machineType: machineType, zone: zone, spot: spot, spec: spec, provisionedAt: time.Now(), ctx: ctx, cancel: cancel,
-		epoch: 1, tasks: map[wire.TaskID]*taskRun{}, cached: map[wire.ImageID]bool{}, clockRate: 1 + (sim.rng.Float64()-0.5)*0.001, wake: make(chan struct{}, 1)}
+		epoch: 1, tasks: map[wire.TaskID]*taskRun{}, cachedImages: map[wire.ImageID]bool{}, clockRate: 1 + (sim.rng.Float64()-0.5)*0.001, wake: make(chan struct{}, 1)}
 	sim.machines[id] = m
 	sim.Net.SlowHost(ip, sim.linkDelay)
-	m.unlisted = sim.unlisted
+	m.unlisted = sim.provisionUnlisted
 	if zone == sim.isolatedZone {
 		sim.Net.Isolate(ip, true)
 	}
@@ -195,7 +195,7 @@
 		sim.partitionMachine(m, sim.partitionedZones[0], sim.partitionedZones[1], true)
 	}
 	sim.spawn(func() {
-		sleep(ctx, after)
+		sleep(ctx, bootTime)
 		if ctx.Err() == nil {
 			m.run()
 		}
@@ -213,9 +213,9 @@
 	delete(sim.machines, id)
 	sim.capacity[capacityKey(m.machineType, m.zone, m.spot)]++
 	m.cancel()
-	for t, x := range m.tasks {
+	for t, run := range m.tasks {
 		sim.checker.TaskLeft(t, id, false)
-		sim.onGangTaskLeft(t, x)
+		sim.onGangTaskLeft(t, run)
 	}
 	m.tasks = map[wire.TaskID]*taskRun{}
 	m.removed = true
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -37,7 +37,7 @@
 // SetSpotSoldOut makes scale-out of spot machines fail for want of capacity, or succeed again.
 func (sim *Simulation) SetSpotSoldOut(on bool) {
 	sim.mu.Lock()
-	sim.noSpot = on
+	sim.spotSoldOut = on
 	sim.mu.Unlock()
 }
 
@@ -45,8 +45,8 @@
 func (sim *Simulation) SellOutEverything() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for of := range sim.capacity {
-		sim.capacity[of] = -1000
+	for key := range sim.capacity {
+		sim.capacity[key] = -1000
 	}
 }
 
@@ -55,7 +55,7 @@
 // they do may be in none.)
 func (sim *Simulation) SetUnlisted(on bool) {
 	sim.mu.Lock()
-	sim.unlisted = on
+	sim.provisionUnlisted = on
 	sim.mu.Unlock()
 }
 
@@ -77,10 +77,10 @@
 
 // ReclaimMachines makes the cloud take machines back without notice, at most n that
 // pass the test.
-func (sim *Simulation) ReclaimMachines(n int, which func(spot bool, tasks int) bool) int {
+func (sim *Simulation) ReclaimMachines(n int, passes func(spot bool, tasks int) bool) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	ids := sim.machinesWhere(func(m *worker) bool { return m.up && which(m.spot, len(m.tasks)) })
+	ids := sim.machinesWhere(func(m *worker) bool { return m.up && passes(m.spot, len(m.tasks)) })
 	ids = ids[:min(n, len(ids))]
 	for _, id := range ids {
 		sim.removeMachine(id)
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -43,41 +43,41 @@
 	p.network.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, n := time.Now(), 0
-	for n < len(p.inFlight) && !p.inFlight[n].due.After(now) {
-		n++
+	now, arrived := time.Now(), 0
+	for arrived < len(p.inFlight) && !p.inFlight[arrived].due.After(now) {
+		arrived++
 	}
-	if blocked || n == 0 {
+	if blocked || arrived == 0 {
 		return
 	}
-	for _, k := range p.inFlight[:n] {
-		p.buf = append(p.buf, k.data...)
-		p.closed = p.closed || k.fin
+	for _, pkt := range p.inFlight[:arrived] {
+		p.buf = append(p.buf, pkt.data...)
+		p.closed = p.closed || pkt.fin
 	}
-	p.inFlight = p.inFlight[n:]
+	p.inFlight = p.inFlight[arrived:]
 	p.notifyReader()
 }
 
 // blocks reports whether packets from one host to another wait; the caller holds the
 // network's lock.
 func (n *Network) blocks(from, to string) bool {
-	withoutPower := n.down[from] || n.down[to]
-	acrossIsolation := n.isolated[from] != n.isolated[to]
+	withoutPower := n.poweredOff[from] || n.poweredOff[to]
+	acrossIsolation := n.isolatedHosts[from] != n.isolatedHosts[to]
 	return withoutPower || acrossIsolation || n.inboundBlocked[to] || n.blockedLinks[[2]string{from, to}]
 }
 
 // send puts a packet on its way.
-func (p *pipe) send(k packet) error {
-	takes := p.network.delay(p.from, p.to)
+func (p *pipe) send(pkt packet) error {
+	delay := p.network.delay(p.from, p.to)
 	p.mu.Lock()
 	if p.reset {
 		p.mu.Unlock()
 		return &net.OpError{Op: "write", Net: "tcp", Err: errors.New("connection reset")}
 	}
-	k.due = time.Now().Add(takes)
-	p.inFlight = append(p.inFlight, k)
+	pkt.due = time.Now().Add(delay)
+	p.inFlight = append(p.inFlight, pkt)
 	p.mu.Unlock()
-	time.AfterFunc(takes, p.deliver)
+	time.AfterFunc(delay, p.deliver)
 	return nil
 }
 
@@ -92,14 +92,14 @@
 
 // pair returns both ends of a new connection.
 func (n *Network) pair(from, to string) (*conn, *conn) {
-	ab := &pipe{wake: make(chan struct{}), network: n, from: from, to: hostOf(to)}
-	ba := &pipe{wake: make(chan struct{}), network: n, from: hostOf(to), to: from}
-	a := &conn{in: ba, out: ab, local: addr(from + ":0"), remote: addr(to), network: n, done: make(chan struct{})}
-	b := &conn{in: ab, out: ba, local: addr(to), remote: addr(from + ":0"), network: n, done: make(chan struct{})}
+	forward := &pipe{wake: make(chan struct{}), network: n, from: from, to: hostOf(to)}
+	backward := &pipe{wake: make(chan struct{}), network: n, from: hostOf(to), to: from}
+	near := &conn{in: backward, out: forward, local: addr(from + ":0"), remote: addr(to), network: n, done: make(chan struct{})}
+	far := &conn{in: forward, out: backward, local: addr(to), remote: addr(from + ":0"), network: n, done: make(chan struct{})}
 	n.mu.Lock()
-	n.conns[a], n.conns[b] = true, true
+	n.conns[near], n.conns[far] = true, true
 	n.mu.Unlock()
-	return a, b
+	return near, far
 }
 
 func (c *conn) Read(b []byte) (int, error) {
@@ -107,12 +107,12 @@
 	for {
 		p.mu.Lock()
 		if len(p.buf) > 0 {
-			k := copy(b, p.buf)
-			p.buf = p.buf[k:]
+			n := copy(b, p.buf)
+			p.buf = p.buf[n:]
 			p.mu.Unlock()
-			return k, nil
+			return n, nil
 		}
-		wake, closed, reset, until := p.wake, p.closed, p.reset, p.readDeadline
+		wake, closed, reset, deadline := p.wake, p.closed, p.reset, p.readDeadline
 		p.mu.Unlock()
 		if reset {
 			return 0, &net.OpError{Op: "read", Net: "tcp", Err: errors.New("connection reset")}
@@ -121,12 +121,12 @@
 			return 0, io.EOF
 		}
 		var timer <-chan time.Time
-		if !until.IsZero() {
-			left := time.Until(until)
-			if left <= 0 {
+		if !deadline.IsZero() {
+			remaining := time.Until(deadline)
+			if remaining <= 0 {
 				return 0, os.ErrDeadlineExceeded
 			}
-			timer = time.After(left)
+			timer = time.After(remaining)
 		}
 		select {
 		case <-wake:
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -15,12 +15,12 @@
 // some zones may have none.
 func (sim *Simulation) PlaceControllers(zones ...wire.Zone) {
 	zone := func(i int) wire.Zone { return zones[i%len(zones)] }
-	for i, n := range sim.controllers {
-		n.cfg.Zone = zone(i)
-		n.cfg.Peers = slices.Clone(n.cfg.Peers)
-		for k := range n.cfg.Peers {
-			o := &n.cfg.Peers[k]
-			o.Zone = zone(slices.IndexFunc(sim.controllers, func(m *controller) bool { return m.cfg.HostName == o.HostName }))
+	for i, node := range sim.controllers {
+		node.cfg.Zone = zone(i)
+		node.cfg.Peers = slices.Clone(node.cfg.Peers)
+		for p := range node.cfg.Peers {
+			peer := &node.cfg.Peers[p]
+			peer.Zone = zone(slices.IndexFunc(sim.controllers, func(c *controller) bool { return c.cfg.HostName == peer.HostName }))
 		}
 	}
 }
@@ -29,8 +29,8 @@
 func (sim *Simulation) Config(i int) config.Config { return sim.controllers[i].cfg }
 
 // ChangeSettings changes the settings that a node starts with the next time.
-func (sim *Simulation) ChangeSettings(i int, f func(*config.Settings)) {
-	f(&sim.controllers[i].cfg.Settings)
+func (sim *Simulation) ChangeSettings(i int, change func(*config.Settings)) {
+	change(&sim.controllers[i].cfg.Settings)
 }
 
 // StartController starts the i-th node if it is down.
@@ -107,11 +107,11 @@
 // LeaderAndToken returns the leader by the key-value store's record, -1 if nobody leads, and
 // the revision of its key.
 func (sim *Simulation) LeaderAndToken() (int, wire.FencingToken) {
-	i, at := sim.Leader(), sim.LeaderKeyRevision()
-	if i < 0 || at == 0 {
+	i, revision := sim.Leader(), sim.LeaderKeyRevision()
+	if i < 0 || revision == 0 {
 		return -1, 0
 	}
-	return i, wire.FencingToken(at)
+	return i, wire.FencingToken(revision)
 }
 
 // IsolateController cuts the i-th controller from the key-value store and from the other ones,
@@ -126,7 +126,7 @@
 }
 
 // parseID returns the index of a controller by its name.
-func parseID(s string) int {
-	n, _ := strconv.Atoi(strings.TrimPrefix(s, "worker-"))
+func parseID(name string) int {
+	n, _ := strconv.Atoi(strings.TrimPrefix(name, "worker-"))
 	return n
 }
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -19,13 +19,13 @@
 
 // gangJob is a gang and its attempts.
 type gangJob struct {
-	saved      float64 // progress that is stored, in seconds of run time
-	done       bool
-	starts     int // times that it was complete and ran
-	saves      int // orderly stops that succeeded
-	rollbacks  int // times that it fell back to its last checkpoint
-	incomplete int // tasks that waited in vain
-	attempts   map[wire.AttemptNumber]*gangRun
+	checkpointedProgress float64 // progress that is stored, in seconds of run time
+	done                 bool
+	completeStarts       int // times that it was complete and ran
+	checkpointedStops    int // orderly stops that succeeded
+	rollbacks            int // times that it fell back to its last checkpoint
+	waitTimeouts         int // tasks that waited in vain
+	attempts             map[wire.AttemptNumber]*gangRun
 }
 
 // gangRun is one attempt of a gang.
@@ -37,7 +37,7 @@
 	speed         float64
 	stoppingSince time.Time // of the first stop
 	brokenSince   time.Time // of the first loss, or when the save failed
-	saved         bool
+	checkpointed  bool
 }
 
 // broken reports whether the attempt has lost a member and goes back to its checkpoint.
@@ -49,22 +49,22 @@
 // progresses reports whether the attempt runs and is neither stopping nor broken.
 func (r *gangRun) progresses() bool { return r.running && !r.broken() && !r.stopping() }
 
-// inOrder returns the members by their tasks' indexes.
-func (r *gangRun) inOrder(tasks int) []*gangMember {
-	var order []*gangMember
+// membersByIndex returns the members by their tasks' indexes.
+func (r *gangRun) membersByIndex(tasks int) []*gangMember {
+	var members []*gangMember
 	for i := range tasks {
-		if b := r.members[i]; b != nil {
-			order = append(order, b)
+		if member := r.members[i]; member != nil {
+			members = append(members, member)
 		}
 	}
-	return order
+	return members
 }
 
 // gangMember is a gang's task that has its image.
 type gangMember struct {
 	worker       *worker
 	run          *taskRun
-	task         wire.TaskID
+	taskID       wire.TaskID
 	waitingSince time.Time // when it had its image
 	failAt       time.Time
 	toldToStop   bool
@@ -81,10 +81,10 @@
 	if sim.gangs.jobs == nil {
 		sim.gangs.jobs = map[wire.JobID]*gangJob{}
 	}
-	g := sim.gangs.jobs[id]
-	if g == nil {
-		g = &gangJob{attempts: map[wire.AttemptNumber]*gangRun{}}
-		sim.gangs.jobs[id] = g
+	gang := sim.gangs.jobs[id]
+	if gang == nil {
+		gang = &gangJob{attempts: map[wire.AttemptNumber]*gangRun{}}
+		sim.gangs.jobs[id] = gang
 	}
 	if !sim.gangs.ticking {
 		sim.gangs.ticking = true
@@ -97,129 +97,129 @@
 			}
 		})
 	}
-	return g
+	return gang
 }
 
 // joinGang brings a gang's task that has its image to its gang; call with the lock
 // held.
-func (m *worker) joinGang(t wire.TaskID, x *taskRun) {
+func (m *worker) joinGang(t wire.TaskID, run *taskRun) {
 	now := time.Now()
-	g := m.sim.gangOf(t.Job)
-	if g.done {
-		m.exitTask(t, x, wire.CauseDone)
+	gang := m.sim.gangOf(t.Job)
+	if gang.done {
+		m.exitTask(t, run, wire.CauseDone)
 		return
 	}
-	r := g.attempts[x.attempt]
-	if r == nil {
-		r = &gangRun{members: map[int]*gangMember{}}
-		g.attempts[x.attempt] = r
+	attempt := gang.attempts[run.attempt]
+	if attempt == nil {
+		attempt = &gangRun{members: map[int]*gangMember{}}
+		gang.attempts[run.attempt] = attempt
 	}
-	x.phase = wire.PhaseWaiting
-	r.members[t.Index] = &gangMember{worker: m, run: x, task: t, waitingSince: now}
+	run.phase = wire.PhaseWaiting
+	attempt.members[t.Index] = &gangMember{worker: m, run: run, taskID: t, waitingSince: now}
 	m.requestHeartbeat()
-	if r.running || len(r.members) < m.sim.scripts[t.Job].Spec.Tasks {
+	if attempt.running || len(attempt.members) < m.sim.scripts[t.Job].Spec.Tasks {
 		return
 	}
-	m.sim.startGang(t.Job, g, r, now)
+	m.sim.startGang(t.Job, gang, attempt, now)
 }
 
 // startGang starts an attempt whose members are complete, from the gang's last
 // checkpoint; the caller holds the lock.
-func (sim *Simulation) startGang(id wire.JobID, g *gangJob, r *gangRun, now time.Time) {
-	r.running, r.countedUntil, r.speed, r.progress = true, now, math.Inf(1), g.saved
-	g.starts++
+func (sim *Simulation) startGang(id wire.JobID, gang *gangJob, attempt *gangRun, now time.Time) {
+	attempt.running, attempt.countedUntil, attempt.speed, attempt.progress = true, now, math.Inf(1), gang.checkpointedProgress
+	gang.completeStarts++
 	sim.checker.GangBegan(id, now)
-	for _, b := range r.members {
-		b.run.phase = wire.PhaseRunning
-		r.speed = min(r.speed, sim.speedOf(b.worker.id))
-		if b.worker.faulty || sim.scripts[id].AlwaysFails {
-			b.failAt = now.Add(timeToFail)
+	for _, member := range attempt.members {
+		member.run.phase = wire.PhaseRunning
+		attempt.speed = min(attempt.speed, sim.speedOf(member.worker.id))
+		if member.worker.faulty || sim.scripts[id].AlwaysFails {
+			member.failAt = now.Add(timeToFail)
 		}
-		b.worker.requestHeartbeat()
+		member.worker.requestHeartbeat()
 	}
 }
 
 // onGangTaskLeft notes that a task of a gang ended or is gone with its machine; call
 // with the lock held.
-func (sim *Simulation) onGangTaskLeft(t wire.TaskID, x *taskRun) {
-	g := sim.gangs.jobs[t.Job]
-	if g == nil || g.attempts[x.attempt] == nil {
+func (sim *Simulation) onGangTaskLeft(t wire.TaskID, run *taskRun) {
+	gang := sim.gangs.jobs[t.Job]
+	if gang == nil || gang.attempts[run.attempt] == nil {
 		return
 	}
-	r := g.attempts[x.attempt]
-	b := r.members[t.Index]
-	if b == nil || b.run != x {
+	attempt := gang.attempts[run.attempt]
+	member := attempt.members[t.Index]
+	if member == nil || member.run != run {
 		return // it had no image, or the gang had begun without it
 	}
 	now := time.Now()
-	sim.advance(r, now)
-	delete(r.members, t.Index)
-	if r.running && !r.saved && !g.done {
-		sim.rollBack(g, r, now)
+	sim.advance(attempt, now)
+	delete(attempt.members, t.Index)
+	if attempt.running && !attempt.checkpointed && !gang.done {
+		sim.rollBack(gang, attempt, now)
 	}
 }
 
 // advance counts progress up to now.
-func (sim *Simulation) advance(r *gangRun, now time.Time) {
-	if !r.progresses() {
+func (sim *Simulation) advance(attempt *gangRun, now time.Time) {
+	if !attempt.progresses() {
 		return
 	}
-	for _, b := range r.members {
-		if sim.machineFaults.hung[b.worker.id] != nil {
-			r.countedUntil = now
+	for _, member := range attempt.members {
+		if sim.machineFaults.hung[member.worker.id] != nil {
+			attempt.countedUntil = now
 		}
 	}
-	r.progress += now.Sub(r.countedUntil).Seconds() * r.speed
-	r.countedUntil = now
+	attempt.progress += now.Sub(attempt.countedUntil).Seconds() * attempt.speed
+	attempt.countedUntil = now
 }
 
 // rollBack returns a running gang to its last checkpoint.
-func (sim *Simulation) rollBack(g *gangJob, r *gangRun, now time.Time) {
-	if r.broken() {
+func (sim *Simulation) rollBack(gang *gangJob, attempt *gangRun, now time.Time) {
+	if attempt.broken() {
 		return
 	}
-	r.brokenSince = now
-	g.rollbacks++
-	peer := sim.Settings.Workers.GangPeerTimeout.Duration()
-	for i, b := range r.members {
-		if every := float64(sim.scripts[b.task.Job].Spec.CheckpointInterval); every > 0 {
-			g.saved = max(g.saved, math.Floor((r.progress+wire.AmountTolerance)/every)*every)
+	attempt.brokenSince = now
+	gang.rollbacks++
+	peerTimeout := sim.Settings.Workers.GangPeerTimeout.Duration()
+	for index, member := range attempt.members {
+		if interval := float64(sim.scripts[member.taskID.Job].Spec.CheckpointInterval); interval > 0 {
+			gang.checkpointedProgress = max(gang.checkpointedProgress, math.Floor((attempt.progress+wire.AmountTolerance)/interval)*interval)
 		}
-		b.leavesAt = now.Add(peer * time.Duration(1+(i*5+2)%9) / 10)
+		member.leavesAt = now.Add(peerTimeout * time.Duration(1+(index*5+2)%9) / 10)
 	}
 }
 
 // stopGangTask carries out a stop of a gang's task; the caller holds the lock.
-func (m *worker) stopGangTask(t wire.TaskID, x *taskRun, gracePeriod *wire.Seconds) {
+func (m *worker) stopGangTask(t wire.TaskID, run *taskRun, gracePeriod *wire.Seconds) {
 	now := time.Now()
-	s := &m.sim.scripts[t.Job].Spec
-	g := m.sim.gangOf(t.Job)
-	r := g.attempts[x.attempt]
-	var b *gangMember
-	if r != nil {
-		b = r.members[t.Index]
+	spec := &m.sim.scripts[t.Job].Spec
+	gang := m.sim.gangOf(t.Job)
+	attempt := gang.attempts[run.attempt]
+	var member *gangMember
+	if attempt != nil {
+		member = attempt.members[t.Index]
 	}
-	left := wire.Seconds(0)
+	grace := wire.Seconds(0)
 	if gracePeriod != nil {
-		left = *gracePeriod
+		grace = *gracePeriod
 	}
-	hasRun := b != nil && b.run == x && x.phase != wire.PhaseWaiting && x.phase != wire.PhaseFetching
-	canSave := s.CheckpointInterval > 0 && left >= s.CheckpointTime
+	hasRun := member != nil && member.run == run && run.phase != wire.PhaseWaiting && run.phase != wire.PhaseFetching
+	canSave := spec.CheckpointInterval > 0 && grace >= spec.CheckpointTime
 	switch {
 	case !hasRun:
-	case x.phase == wire.PhaseCheckpointing && left > 0:
+	case run.phase == wire.PhaseCheckpointing && grace > 0:
 		return
-	case x.phase == wire.PhaseRunning && canSave && !r.broken():
-		m.sim.advance(r, now)
-		if !r.stopping() {
-			r.stoppingSince = now
+	case run.phase == wire.PhaseRunning && canSave && !attempt.broken():
+		m.sim.advance(attempt, now)
+		if !attempt.stopping() {
+			attempt.stoppingSince = now
 		}
-		b.toldToStop, b.savedAt, x.phase = true, now.Add(s.CheckpointTime.Duration()), wire.PhaseCheckpointing
+		member.toldToStop, member.savedAt, run.phase = true, now.Add(spec.CheckpointTime.Duration()), wire.PhaseCheckpointing
 		m.requestHeartbeat()
 		return
 	}
-	x.cancel()
-	m.exitTask(t, x, wire.CauseStopped)
+	run.cancel()
+	m.exitTask(t, run, wire.CauseStopped)
 }
 
 // stepGangs lets time pass for all gangs; the caller holds the lock.
@@ -230,49 +230,49 @@
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		g := sim.gangs.jobs[id]
-		for _, r := range g.attempts {
-			sim.stepGang(sim.scripts[id], g, r, now)
+		gang := sim.gangs.jobs[id]
+		for _, attempt := range gang.attempts {
+			sim.stepGang(sim.scripts[id], gang, attempt, now)
 		}
 	}
 }
 
 // stepGang lets time pass for one attempt of a gang; the caller holds the lock.
-func (sim *Simulation) stepGang(script *JobScript, g *gangJob, r *gangRun, now time.Time) {
-	sim.advance(r, now)
-	order := r.inOrder(script.Spec.Tasks)
-	sim.breakOnHungMember(g, r, order, now)
-	allTold := r.running && len(order) == script.Spec.Tasks && !slices.ContainsFunc(order, func(b *gangMember) bool { return !b.toldToStop })
-	if allTold && !r.broken() && !r.saved && sim.anySaved(order, now) {
-		r.saved, g.saved = true, max(g.saved, r.progress)
-		g.saves++
+func (sim *Simulation) stepGang(script *JobScript, gang *gangJob, attempt *gangRun, now time.Time) {
+	sim.advance(attempt, now)
+	members := attempt.membersByIndex(script.Spec.Tasks)
+	sim.breakOnHungMember(gang, attempt, members, now)
+	allToldToStop := attempt.running && len(members) == script.Spec.Tasks && !slices.ContainsFunc(members, func(member *gangMember) bool { return !member.toldToStop })
+	if allToldToStop && !attempt.broken() && !attempt.checkpointed && sim.anyCheckpointed(members, now) {
+		attempt.checkpointed, gang.checkpointedProgress = true, max(gang.checkpointedProgress, attempt.progress)
+		gang.checkpointedStops++
 	}
-	if !allTold && sim.stopTimedOut(r, now) {
-		sim.rollBack(g, r, now)
-		for _, b := range order {
-			b.leavesAt = now
+	if !allToldToStop && sim.stopTimedOut(attempt, now) {
+		sim.rollBack(gang, attempt, now)
+		for _, member := range members {
+			member.leavesAt = now
 		}
 	}
-	if r.progresses() && r.progress >= script.RunTime {
-		g.done = true
+	if attempt.progresses() && attempt.progress >= script.RunTime {
+		gang.done = true
 		sim.checker.GangDone(script.Spec.ID)
 	}
-	for _, b := range order {
-		if !sim.hangs(b.worker) && r.members[b.task.Index] == b {
-			sim.stepMember(g, r, b, now)
+	for _, member := range members {
+		if !sim.hangs(member.worker) && attempt.members[member.taskID.Index] == member {
+			sim.stepMember(gang, attempt, member, now)
 		}
 	}
 }
 
-// anySaved reports whether a member that does not hang has had its time to save.
-func (sim *Simulation) anySaved(order []*gangMember, now time.Time) bool {
-	return slices.ContainsFunc(order, func(b *gangMember) bool { return !sim.hangs(b.worker) && !now.Before(b.savedAt) })
+// anyCheckpointed reports whether a member that does not hang has had its time to save.
+func (sim *Simulation) anyCheckpointed(members []*gangMember, now time.Time) bool {
+	return slices.ContainsFunc(members, func(member *gangMember) bool { return !sim.hangs(member.worker) && !now.Before(member.savedAt) })
 }
 
 // stopTimedOut reports whether some members were told to stop and the others were not
 // in the time in which peers wait for each other.
-func (sim *Simulation) stopTimedOut(r *gangRun, now time.Time) bool {
-	return r.stopping() && !r.saved && now.Sub(r.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration()
+func (sim *Simulation) stopTimedOut(attempt *gangRun, now time.Time) bool {
+	return attempt.stopping() && !attempt.checkpointed && now.Sub(attempt.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration()
 }
 
 // hangs reports whether a machine hangs; the caller holds the lock.
@@ -281,43 +281,43 @@
 }
 
 // breakOnHungMember breaks a running gang of which a member hangs for long.
-func (sim *Simulation) breakOnHungMember(g *gangJob, r *gangRun, order []*gangMember, now time.Time) {
-	peer := sim.Settings.Workers.GangPeerTimeout.Duration()
-	for _, b := range order {
-		if !sim.hangs(b.worker) {
-			b.hungSince = time.Time{}
-		} else if b.hungSince.IsZero() {
-			b.hungSince = now
-		} else if r.running && !r.saved && now.Sub(b.hungSince) > peer/2 {
-			sim.rollBack(g, r, now)
+func (sim *Simulation) breakOnHungMember(gang *gangJob, attempt *gangRun, members []*gangMember, now time.Time) {
+	peerTimeout := sim.Settings.Workers.GangPeerTimeout.Duration()
+	for _, member := range members {
+		if !sim.hangs(member.worker) {
+			member.hungSince = time.Time{}
+		} else if member.hungSince.IsZero() {
+			member.hungSince = now
+		} else if attempt.running && !attempt.checkpointed && now.Sub(member.hungSince) > peerTimeout/2 {
+			sim.rollBack(gang, attempt, now)
 		}
 	}
 }
 
 // stepMember ends a gang's task if it is time for that.
-func (sim *Simulation) stepMember(g *gangJob, r *gangRun, b *gangMember, now time.Time) {
+func (sim *Simulation) stepMember(gang *gangJob, attempt *gangRun, member *gangMember, now time.Time) {
 	end := func(c wire.ExitCause, saved bool) {
-		b.run.checkpointed = saved
-		b.run.cancel()
-		b.worker.exitTask(b.task, b.run, c)
+		member.run.checkpointed = saved
+		member.run.cancel()
+		member.worker.exitTask(member.taskID, member.run, c)
 	}
 	switch {
-	case g.done && b.run.phase != wire.PhaseWaiting:
+	case gang.done && member.run.phase != wire.PhaseWaiting:
 		end(wire.CauseDone, false)
-	case b.run.phase == wire.PhaseWaiting:
-		if now.Sub(b.waitingSince) > sim.Settings.Workers.GangWait.Duration() {
-			g.incomplete++
+	case member.run.phase == wire.PhaseWaiting:
+		if now.Sub(member.waitingSince) > sim.Settings.Workers.GangWait.Duration() {
+			gang.waitTimeouts++
 			end(wire.CauseGangIncomplete, false)
 		}
-	case r.saved:
-		if b.toldToStop && !now.Before(b.savedAt) {
+	case attempt.checkpointed:
+		if member.toldToStop && !now.Before(member.savedAt) {
 			end(wire.CauseStopped, true)
 		}
-	case r.broken():
-		if !now.Before(b.leavesAt) {
+	case attempt.broken():
+		if !now.Before(member.leavesAt) {
 			end(wire.CauseGangBroken, false)
 		}
-	case !b.failAt.IsZero() && !now.Before(b.failAt):
+	case !member.failAt.IsZero() && !now.Before(member.failAt):
 		end(wire.CauseError, false)
 	}
 }
@@ -336,13 +336,13 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out GangState
-	tries := map[wire.AttemptNumber]bool{}
+	attempts := map[wire.AttemptNumber]bool{}
 	for _, m := range sim.machines {
-		for t, x := range m.tasks {
+		for t, run := range m.tasks {
 			if t.Job != id {
 				continue
 			}
-			switch x.phase {
+			switch run.phase {
 			case wire.PhaseFetching:
 				out.Fetching++
 			case wire.PhaseWaiting:
@@ -354,12 +354,12 @@
 			case wire.PhaseExited:
 				continue
 			}
-			tries[x.attempt] = true
+			attempts[run.attempt] = true
 		}
 	}
-	out.Attempts = len(tries)
-	if g := sim.gangs.jobs[id]; g != nil {
-		out.Starts, out.Saves, out.Rollbacks, out.Incomplete, out.Saved, out.Done = g.starts, g.saves, g.rollbacks, g.incomplete, g.saved, g.done
+	out.Attempts = len(attempts)
+	if gang := sim.gangs.jobs[id]; gang != nil {
+		out.Starts, out.Saves, out.Rollbacks, out.Incomplete, out.Saved, out.Done = gang.completeStarts, gang.checkpointedStops, gang.rollbacks, gang.waitTimeouts, gang.checkpointedProgress, gang.done
 	}
 	return out
 }
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -10,8 +10,8 @@
 )
 
 // gangSpec is a gang of so many tasks.
-func gangSpec(id wire.JobID, parts int) wire.JobSpec {
-	return wire.JobSpec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: parts, CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1,
+func gangSpec(id wire.JobID, tasks int) wire.JobSpec {
+	return wire.JobSpec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1,
 		SameZone: true, CheckpointInterval: 20, CheckpointTime: 2, ExpectedRunTime: 50}
 }
 
@@ -27,8 +27,8 @@
 	}
 	big := gangSpec("req-000002", 6)
 	cases := map[string]struct {
-		rule Rule
-		do   func(c *Checker)
+		rule    Rule
+		violate func(c *Checker)
 	}{
 		"runs by half":                       {HalfRun, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.GangBegan("req-000001", t0) }},
 		"waits in another zone":              {WrongPlace, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(1), there, t0) }},
@@ -66,17 +66,17 @@
 			}
 		}},
 	}
-	for name, k := range cases {
+	for name, test := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
 		c.MachineSpecs = []wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, Zones: []wire.Zone{"a", "b"}}}
 		c.Submitted(gangSpec("req-000001", 2))
-		k.do(c)
+		test.violate(c)
 		found := false
-		for _, b := range c.Violations {
-			found = found || b.Rule == k.rule
+		for _, violation := range c.Violations {
+			found = found || violation.Rule == test.rule
 		}
 		if !found {
-			t.Errorf("%s: noted %v, want %s", name, c.Violations, k.rule)
+			t.Errorf("%s: noted %v, want %s", name, c.Violations, test.rule)
 		}
 	}
 }
@@ -107,24 +107,24 @@
 }
 
 // runWithWorkers runs a test with some machines without controllers, whose workers are told what to do.
-func runWithWorkers(t *testing.T, n int, do func(sim *Simulation, ms []*worker, order func(i int, o ...wire.Command))) {
+func runWithWorkers(t *testing.T, machines int, run func(sim *Simulation, workers []*worker, execute func(i int, commands ...wire.Command))) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		set := DefaultSettings()
-		set.Size = 1
-		sim := New(ctx, set, 1, nil, nil)
-		var ms []*worker
+		settings := DefaultSettings()
+		settings.Size = 1
+		sim := New(ctx, settings, 1, nil, nil)
+		var workers []*worker
 		sim.mu.Lock()
-		for range n {
-			ms = append(ms, sim.machines[sim.provisionMachine("c4", "a", false, 0)])
+		for range machines {
+			workers = append(workers, sim.machines[sim.provisionMachine("c4", "a", false, 0)])
 		}
 		sim.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
-		do(sim, ms, func(i int, o ...wire.Command) {
+		run(sim, workers, func(i int, commands ...wire.Command) {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			ms[i].leaseRenewedAt = time.Now().Add(time.Hour) // nobody answers here
-			ms[i].execute(o)
+			workers[i].leaseRenewedAt = time.Now().Add(time.Hour) // nobody answers here
+			workers[i].execute(commands)
 		})
 		cancel()
 		sim.Close()
@@ -132,139 +132,139 @@
 }
 
 // launchCommand starts a task of the tests' gang.
-func launchCommand(i int, try wire.AttemptNumber) wire.Command {
-	return wire.Command{Verb: wire.VerbLaunch, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: try}
+func launchCommand(i int, attempt wire.AttemptNumber) wire.Command {
+	return wire.Command{Verb: wire.VerbLaunch, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: attempt}
 }
 
 // stopCommand stops one.
-func stopCommand(i int, try wire.AttemptNumber, gracePeriod wire.Seconds) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: try, GracePeriod: &gracePeriod}
+func stopCommand(i int, attempt wire.AttemptNumber, gracePeriod wire.Seconds) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: attempt, GracePeriod: &gracePeriod}
 }
 
 // The workers do with gangs what the page says.
 func TestWorkersRunGangs(t *testing.T) {
-	const s = time.Second
-	all := func(order func(int, ...wire.Command), n int, try wire.AttemptNumber) {
+	const second = time.Second
+	launchAll := func(execute func(int, ...wire.Command), n int, attempt wire.AttemptNumber) {
 		for i := range n {
-			order(i, launchCommand(i, try))
+			execute(i, launchCommand(i, attempt))
 		}
 	}
-	cases := map[string]func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool)){
-		"start and end together at the slowest speed": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			sim.SetMachineSpeed(ms[1].id, 0.5)
-			all(order, 3, 1)
+	cases := map[string]func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(i int, phase wire.TaskPhase, cause wire.ExitCause, saved bool)){
+		"start and end together at the slowest speed": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			sim.SetMachineSpeed(workers[1].id, 0.5)
+			launchAll(execute, 3, 1)
 			time.Sleep(1500 * time.Millisecond)
-			is(0, wire.PhaseWaiting, "", false)
-			is(1, wire.PhaseFetching, "", false)
-			time.Sleep(s)
-			is(0, wire.PhaseRunning, "", false)
-			time.Sleep(98 * s)
-			is(2, wire.PhaseRunning, "", false)
-			time.Sleep(3 * s)
+			check(0, wire.PhaseWaiting, "", false)
+			check(1, wire.PhaseFetching, "", false)
+			time.Sleep(second)
+			check(0, wire.PhaseRunning, "", false)
+			time.Sleep(98 * second)
+			check(2, wire.PhaseRunning, "", false)
+			time.Sleep(3 * second)
 			for i := range 3 {
-				is(i, wire.PhaseExited, wire.CauseDone, false)
+				check(i, wire.PhaseExited, wire.CauseDone, false)
 			}
 		},
-		"alone": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 2, 1)
-			time.Sleep(45 * s)
-			is(0, wire.PhaseWaiting, "", false)
-			time.Sleep(3 * s)
-			is(0, wire.PhaseExited, wire.CauseGangIncomplete, false)
+		"alone": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 2, 1)
+			time.Sleep(45 * second)
+			check(0, wire.PhaseWaiting, "", false)
+			time.Sleep(3 * second)
+			check(0, wire.PhaseExited, wire.CauseGangIncomplete, false)
 		},
-		"a replacement completes it, another attempt does not": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 2, 1)
-			order(2, launchCommand(2, 2))
-			time.Sleep(5 * s)
-			is(0, wire.PhaseWaiting, "", false)
-			is(2, wire.PhaseWaiting, "", false)
-			order(2, stopCommand(2, 2, 10), launchCommand(2, 1))
-			time.Sleep(2 * s)
-			is(0, wire.PhaseRunning, "", false)
+		"a replacement completes it, another attempt does not": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 2, 1)
+			execute(2, launchCommand(2, 2))
+			time.Sleep(5 * second)
+			check(0, wire.PhaseWaiting, "", false)
+			check(2, wire.PhaseWaiting, "", false)
+			execute(2, stopCommand(2, 2, 10), launchCommand(2, 1))
+			time.Sleep(2 * second)
+			check(0, wire.PhaseRunning, "", false)
 		},
-		"a loss": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 3, 1)
-			time.Sleep(32 * s)
-			sim.ReclaimMachine(ms[0].id)
-			is(1, wire.PhaseRunning, "", false)
-			time.Sleep(9 * s)
-			is(1, wire.PhaseExited, wire.CauseGangBroken, false)
-			if g := sim.GangState("req-000001"); g.Saved != 20 {
-				t.Errorf("%+v, want 20 s kept", g)
+		"a loss": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 3, 1)
+			time.Sleep(32 * second)
+			sim.ReclaimMachine(workers[0].id)
+			check(1, wire.PhaseRunning, "", false)
+			time.Sleep(9 * second)
+			check(1, wire.PhaseExited, wire.CauseGangBroken, false)
+			if state := sim.GangState("req-000001"); state.Saved != 20 {
+				t.Errorf("%+v, want 20 s kept", state)
 			}
 		},
-		"a hung machine": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 3, 1)
-			time.Sleep(10 * s)
-			sim.HangMachines(true, ms[0].id)
-			time.Sleep(13 * s)
-			is(1, wire.PhaseExited, wire.CauseGangBroken, false)
-			is(0, wire.PhaseRunning, "", false)
-			sim.HangMachines(false, ms[0].id)
-			time.Sleep(s)
-			is(0, wire.PhaseExited, wire.CauseGangBroken, false)
+		"a hung machine": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 3, 1)
+			time.Sleep(10 * second)
+			sim.HangMachines(true, workers[0].id)
+			time.Sleep(13 * second)
+			check(1, wire.PhaseExited, wire.CauseGangBroken, false)
+			check(0, wire.PhaseRunning, "", false)
+			sim.HangMachines(false, workers[0].id)
+			time.Sleep(second)
+			check(0, wire.PhaseExited, wire.CauseGangBroken, false)
 		},
-		"an orderly stop": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 3, 1)
-			time.Sleep(11 * s)
-			order(0, stopCommand(0, 1, 2))
-			time.Sleep(6 * s)
-			is(0, wire.PhaseCheckpointing, "", false)
-			order(1, stopCommand(1, 1, 2))
-			order(2, stopCommand(2, 1, 2))
-			time.Sleep(3 * s)
+		"an orderly stop": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 3, 1)
+			time.Sleep(11 * second)
+			execute(0, stopCommand(0, 1, 2))
+			time.Sleep(6 * second)
+			check(0, wire.PhaseCheckpointing, "", false)
+			execute(1, stopCommand(1, 1, 2))
+			execute(2, stopCommand(2, 1, 2))
+			time.Sleep(3 * second)
 			for i := range 3 {
-				is(i, wire.PhaseExited, wire.CauseStopped, true)
+				check(i, wire.PhaseExited, wire.CauseStopped, true)
 			}
-			all(order, 3, 2) // goes on from there
-			time.Sleep(35 * s)
-			is(0, wire.PhaseRunning, "", false)
-			time.Sleep(6 * s)
-			is(0, wire.PhaseExited, wire.CauseDone, false)
+			launchAll(execute, 3, 2) // goes on from there
+			time.Sleep(35 * second)
+			check(0, wire.PhaseRunning, "", false)
+			time.Sleep(6 * second)
+			check(0, wire.PhaseExited, wire.CauseDone, false)
 		},
-		"told too late": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 3, 1)
-			time.Sleep(11 * s)
-			order(0, stopCommand(0, 1, 2))
-			order(1, stopCommand(1, 1, 2))
-			time.Sleep(9 * s)
-			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
-			if g := sim.GangState("req-000001"); g.Saved != 0 || g.Rollbacks != 1 {
-				t.Errorf("%+v, want nothing kept", g)
+		"told too late": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 3, 1)
+			time.Sleep(11 * second)
+			execute(0, stopCommand(0, 1, 2))
+			execute(1, stopCommand(1, 1, 2))
+			time.Sleep(9 * second)
+			check(2, wire.PhaseExited, wire.CauseGangBroken, false)
+			if state := sim.GangState("req-000001"); state.Saved != 0 || state.Rollbacks != 1 {
+				t.Errorf("%+v, want nothing kept", state)
 			}
 		},
-		"too little grace": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 3, 1)
-			time.Sleep(11 * s)
-			order(0, stopCommand(0, 1, 2))
-			order(1, stopCommand(1, 1, 1))
-			is(1, wire.PhaseExited, wire.CauseStopped, false)
-			time.Sleep(9 * s)
-			is(2, wire.PhaseExited, wire.CauseGangBroken, false)
-			if g := sim.GangState("req-000001"); g.Saved != 0 || g.Rollbacks != 1 {
-				t.Errorf("%+v, want nothing kept", g)
+		"too little grace": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 3, 1)
+			time.Sleep(11 * second)
+			execute(0, stopCommand(0, 1, 2))
+			execute(1, stopCommand(1, 1, 1))
+			check(1, wire.PhaseExited, wire.CauseStopped, false)
+			time.Sleep(9 * second)
+			check(2, wire.PhaseExited, wire.CauseGangBroken, false)
+			if state := sim.GangState("req-000001"); state.Saved != 0 || state.Rollbacks != 1 {
+				t.Errorf("%+v, want nothing kept", state)
 			}
 		},
-		"stopped while it waits": func(t *testing.T, sim *Simulation, ms []*worker, order func(int, ...wire.Command), is func(int, wire.TaskPhase, wire.ExitCause, bool)) {
-			all(order, 2, 1)
-			time.Sleep(3 * s)
-			order(0, stopCommand(0, 1, 30))
-			is(0, wire.PhaseExited, wire.CauseStopped, false)
-			is(1, wire.PhaseWaiting, "", false)
+		"stopped while it waits": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+			launchAll(execute, 2, 1)
+			time.Sleep(3 * second)
+			execute(0, stopCommand(0, 1, 30))
+			check(0, wire.PhaseExited, wire.CauseStopped, false)
+			check(1, wire.PhaseWaiting, "", false)
 		},
 	}
 	for name, do := range cases {
 		t.Run(name, func(t *testing.T) {
-			runWithWorkers(t, 3, func(sim *Simulation, ms []*worker, order func(int, ...wire.Command)) {
-				truth := JobScript{RunTime: 50, Spec: gangSpec("req-000001", 3)}
-				sim.RegisterJob(truth)
-				do(t, sim, ms, order, func(i int, p wire.TaskPhase, c wire.ExitCause, saved bool) {
+			runWithWorkers(t, 3, func(sim *Simulation, workers []*worker, execute func(int, ...wire.Command)) {
+				script := JobScript{RunTime: 50, Spec: gangSpec("req-000001", 3)}
+				sim.RegisterJob(script)
+				do(t, sim, workers, execute, func(i int, phase wire.TaskPhase, cause wire.ExitCause, saved bool) {
 					t.Helper()
 					sim.mu.Lock()
 					defer sim.mu.Unlock()
-					x := ms[i].tasks[wire.TaskID{Job: "req-000001", Index: i}]
-					if x == nil || x.phase != p || x.cause != c || x.checkpointed != saved {
-						t.Errorf("task %d is %+v, want %s %s %v", i, x, p, c, saved)
+					run := workers[i].tasks[wire.TaskID{Job: "req-000001", Index: i}]
+					if run == nil || run.phase != phase || run.cause != cause || run.checkpointed != saved {
+						t.Errorf("task %d is %+v, want %s %s %v", i, run, phase, cause, saved)
 					}
 				})
 			})
--- a/internal/simulator/late_requests.go
+++ b/internal/simulator/late_requests.go
@@ -56,9 +56,9 @@
 		return false
 	}
 	sim.lateRequests.outcome.Delayed++
-	by := sim.lateRequests.delay
+	delay := sim.lateRequests.delay
 	sim.spawn(func() {
-		sleep(sim.ctx, by)
+		sleep(sim.ctx, delay)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		sim.lateRequests.outcome.CarriedOut++
@@ -74,11 +74,11 @@
 }
 
 func (sim *Simulation) scaleInLate(raw []byte) {
-	var h wire.MachineNames
-	if wire.Decode(raw, &h) != nil {
+	var names wire.MachineNames
+	if wire.Decode(raw, &names) != nil {
 		return
 	}
-	for _, id := range h.Machines {
+	for _, id := range names.Machines {
 		if m := sim.machines[id]; m != nil {
 			sim.lateRequests.outcome.ScaledIn++
 			sim.lateRequests.outcome.EndedTasks += len(m.tasks)
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -43,7 +43,7 @@
 		m.endAllTasks()
 		m.restarts++
 		m.epoch, m.sequence, m.token = 1, 0, 0
-		m.leaseRenewedAt, m.cached = time.Now(), map[wire.ImageID]bool{}
+		m.leaseRenewedAt, m.cachedImages = time.Now(), map[wire.ImageID]bool{}
 		m.requestHeartbeat()
 	}
 }
@@ -54,22 +54,22 @@
 func (sim *Simulation) HangMachines(on bool, ids ...wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	o := &sim.machineFaults
-	if o.hung == nil {
-		o.hung, o.hungFor, o.hungSince = map[wire.MachineID]chan struct{}{}, map[wire.MachineID]time.Duration{}, map[wire.MachineID]time.Time{}
+	faults := &sim.machineFaults
+	if faults.hung == nil {
+		faults.hung, faults.hungFor, faults.hungSince = map[wire.MachineID]chan struct{}{}, map[wire.MachineID]time.Duration{}, map[wire.MachineID]time.Time{}
 	}
 	for _, id := range ids {
-		c := o.hung[id]
+		resumed := faults.hung[id]
 		switch {
-		case on && c == nil:
-			o.hung[id], o.hungSince[id] = make(chan struct{}), time.Now()
-		case !on && c != nil:
-			delete(o.hung, id)
-			o.hungFor[id] += time.Since(o.hungSince[id])
+		case on && resumed == nil:
+			faults.hung[id], faults.hungSince[id] = make(chan struct{}), time.Now()
+		case !on && resumed != nil:
+			delete(faults.hung, id)
+			faults.hungFor[id] += time.Since(faults.hungSince[id])
 			if m := sim.machines[id]; m != nil {
 				m.checkLease()
 			}
-			close(c)
+			close(resumed)
 		}
 	}
 }
@@ -78,13 +78,13 @@
 func (m *worker) awaitAwake(ctx context.Context) {
 	for {
 		m.sim.mu.Lock()
-		c := m.sim.machineFaults.hung[m.id]
+		resumed := m.sim.machineFaults.hung[m.id]
 		m.sim.mu.Unlock()
-		if c == nil {
+		if resumed == nil {
 			return
 		}
 		select {
-		case <-c:
+		case <-resumed:
 		case <-ctx.Done():
 			return
 		}
@@ -93,17 +93,17 @@
 
 // workFor takes a time in which the machine does not hang.
 func (m *worker) workFor(ctx context.Context, d time.Duration) {
-	hung := func() time.Duration {
+	hungFor := func() time.Duration {
 		m.sim.mu.Lock()
 		defer m.sim.mu.Unlock()
 		return m.sim.machineFaults.hungFor[m.id]
 	}
 	for d > 0 && ctx.Err() == nil {
 		m.awaitAwake(ctx)
-		before := hung()
+		before := hungFor()
 		sleep(ctx, d)
 		m.awaitAwake(ctx)
-		d = hung() - before
+		d = hungFor() - before
 	}
 }
 
@@ -181,8 +181,8 @@
 
 // speedOf returns a machine's speed; the caller holds the lock.
 func (sim *Simulation) speedOf(id wire.MachineID) float64 {
-	if s, ok := sim.gangs.speed[id]; ok {
-		return s
+	if speed, ok := sim.gangs.speed[id]; ok {
+		return speed
 	}
 	return 1
 }
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -36,10 +36,10 @@
 
 // FirstMachine returns the name and address of the first machine that is up and whose
 // number of tasks passes the test.
-func (sim *Simulation) FirstMachine(which func(tasks int) bool) (wire.MachineID, string, bool) {
+func (sim *Simulation) FirstMachine(passes func(tasks int) bool) (wire.MachineID, string, bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	ids := sim.machinesWhere(func(m *worker) bool { return m.up && which(len(m.tasks)) })
+	ids := sim.machinesWhere(func(m *worker) bool { return m.up && passes(len(m.tasks)) })
 	if len(ids) == 0 {
 		return "", "", false
 	}
@@ -75,7 +75,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out []wire.MachineID
-	for t, p := range sim.checker.on {
+	for t, p := range sim.checker.placeOf {
 		if passes(t, p) && !slices.Contains(out, p.Machine) {
 			out = append(out, p.Machine)
 		}
@@ -89,8 +89,8 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.machinesWhere(func(m *worker) bool {
-		for t, x := range m.tasks {
-			if t.Job == id && x.phase != wire.PhaseExited {
+		for t, run := range m.tasks {
+			if t.Job == id && run.phase != wire.PhaseExited {
 				return true
 			}
 		}
@@ -135,8 +135,8 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, m := range sim.machines {
-		if old := time.Since(m.provisionedAt); m.up && (boot == 0 || old < age) {
-			age, boot = old, m.upAt.Sub(m.provisionedAt)
+		if sinceProvisioned := time.Since(m.provisionedAt); m.up && (boot == 0 || sinceProvisioned < age) {
+			age, boot = sinceProvisioned, m.upAt.Sub(m.provisionedAt)
 		}
 	}
 	return
@@ -149,17 +149,17 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	out := map[wire.JobID]int{}
-	for id, j := range sim.checker.jobs {
-		n := sim.checker.Waiting(id)
-		s, l := &j.spec, sim.checker.Limits[j.spec.Team]
-		if !j.accepted || j.cancelRequested || j.finalStatus != "" || n == 0 || l.CPUs > 0 && sim.checker.CPUsUsed(s.Team)+s.CPUs > l.CPUs+wire.AmountTolerance {
+	for id, job := range sim.checker.jobs {
+		waiting := sim.checker.Waiting(id)
+		spec, limit := &job.spec, sim.checker.Limits[job.spec.Team]
+		if !job.accepted || job.cancelRequested || job.finalStatus != "" || waiting == 0 || limit.CPUs > 0 && sim.checker.CPUsUsed(spec.Team)+spec.CPUs > limit.CPUs+wire.AmountTolerance {
 			continue
 		}
 		zones := sim.checker.TasksByZone(id)
 		for _, m := range sim.machines {
-			r := m.room()
-			if m.up && m.reclaimAt.IsZero() && r.takes(s, zones) {
-				out[id] = n
+			room := m.room()
+			if m.up && m.reclaimAt.IsZero() && room.hasRoomFor(spec, zones) {
+				out[id] = waiting
 			}
 		}
 	}
@@ -169,20 +169,20 @@
 // room returns the machine with its free capacity and its tasks; the caller holds the
 // lock.
 func (m *worker) room() MachineRoom {
-	r := MachineRoom{
+	room := MachineRoom{
 		Place:  Place{m.id, m.machineType, m.zone, m.spot},
 		Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
 		CPUs:   m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB,
 	}
-	for t, x := range m.tasks {
-		script := m.sim.scripts[t.Job]
-		if script == nil || x.phase == wire.PhaseExited {
+	for task, run := range m.tasks {
+		script := m.sim.scripts[task.Job]
+		if script == nil || run.phase == wire.PhaseExited {
 			continue
 		}
-		r.CPUs -= script.Spec.CPUs
-		r.GPUs -= script.Spec.GPUs
-		r.MemoryGB -= script.Spec.MemoryGB
-		r.Tasks = append(r.Tasks, t)
+		room.CPUs -= script.Spec.CPUs
+		room.GPUs -= script.Spec.GPUs
+		room.MemoryGB -= script.Spec.MemoryGB
+		room.Tasks = append(room.Tasks, task)
 	}
-	return r
+	return room
 }
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -18,10 +18,10 @@
 
 // DelayCommands holds up commands and answers of all machines from now on; a
 // zero lag ends it.
-func (sim *Simulation) DelayCommands(l CommandDelay) {
+func (sim *Simulation) DelayCommands(delay CommandDelay) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.machineFaults.commandDelay = l
+	sim.machineFaults.commandDelay = delay
 }
 
 // commandDelay returns the present delay of commands.
@@ -45,16 +45,16 @@
 }
 
 // countLate counts what came late; the caller holds the lock.
-func (sim *Simulation) countLate(since time.Time, orders []wire.Command, which ...wire.Verb) {
+func (sim *Simulation) countLate(since time.Time, commands []wire.Command, verbs ...wire.Verb) {
 	if time.Since(since) < time.Second {
 		return
 	}
 	if sim.machineFaults.lateCommands == nil {
 		sim.machineFaults.lateCommands = map[wire.Verb]int{}
 	}
-	for _, o := range orders {
-		if slices.Contains(which, o.Verb) {
-			sim.machineFaults.lateCommands[o.Verb]++
+	for _, command := range commands {
+		if slices.Contains(verbs, command.Verb) {
+			sim.machineFaults.lateCommands[command.Verb]++
 		}
 	}
 }
@@ -101,19 +101,19 @@
 
 // onHeartbeatSent notes a heartbeat that is about to be sent and reports whether it is
 // held up; the caller holds the lock.
-func (sim *Simulation) onHeartbeatSent(m *worker, rep wire.Heartbeat) bool {
-	o := &sim.machineFaults
-	if o.recordedHeartbeats != nil {
-		o.recordedHeartbeats[m.id] = append(o.recordedHeartbeats[m.id], rep)
+func (sim *Simulation) onHeartbeatSent(m *worker, heartbeat wire.Heartbeat) bool {
+	faults := &sim.machineFaults
+	if faults.recordedHeartbeats != nil {
+		faults.recordedHeartbeats[m.id] = append(faults.recordedHeartbeats[m.id], heartbeat)
 	}
-	if o.duplicateShare > 0 && sim.rng.Float64() < o.duplicateShare {
-		after := o.duplicateDelay[0] + time.Duration(sim.rng.Float64()*float64(o.duplicateDelay[1]-o.duplicateDelay[0]))
+	if faults.duplicateShare > 0 && sim.rng.Float64() < faults.duplicateShare {
+		after := faults.duplicateDelay[0] + time.Duration(sim.rng.Float64()*float64(faults.duplicateDelay[1]-faults.duplicateDelay[0]))
 		sim.spawn(func() {
 			sleep(sim.ctx, after)
-			sim.DeliverHeartbeats(rep)
+			sim.DeliverHeartbeats(heartbeat)
 		})
 	}
-	return o.droppedHeartbeats[m.id]
+	return faults.droppedHeartbeats[m.id]
 }
 
 // DeliveredHeartbeat is a heartbeat that was delivered to a node, with the answer.
@@ -127,29 +127,29 @@
 
 // DeliverHeartbeats hands heartbeats to all nodes at once, as the network does with packets
 // that it had held, and waits for the answers, which reach no worker.
-func (sim *Simulation) DeliverHeartbeats(reps ...wire.Heartbeat) []DeliveredHeartbeat {
-	out := make([]DeliveredHeartbeat, 0, len(reps)*len(sim.controllers))
+func (sim *Simulation) DeliverHeartbeats(heartbeats ...wire.Heartbeat) []DeliveredHeartbeat {
+	out := make([]DeliveredHeartbeat, 0, len(heartbeats)*len(sim.controllers))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, rep := range reps {
+	for _, heartbeat := range heartbeats {
 		sim.mu.Lock()
 		sim.machineFaults.duplicates++
-		m := sim.machines[rep.Machine]
-		newer := m != nil && (m.epoch > rep.Epoch || m.epoch == rep.Epoch && m.sequence > rep.Sequence)
+		m := sim.machines[heartbeat.Machine]
+		newer := m != nil && (m.epoch > heartbeat.Epoch || m.epoch == heartbeat.Epoch && m.sequence > heartbeat.Sequence)
 		if newer {
 			sim.machineFaults.staleDuplicates++
 		}
 		sim.mu.Unlock()
 		for i := range sim.controllers {
 			wg.Go(func() {
-				status, raw, _ := sim.Ask(i, "POST", "/hello", rep)
-				h := DeliveredHeartbeat{Node: i, Heartbeat: rep, Status: status, Newer: newer}
-				var o wire.Commands
-				if status == 200 && wire.Decode(raw, &o) == nil {
-					h.Token = o.Token
+				status, raw, _ := sim.Ask(i, "POST", "/hello", heartbeat)
+				delivered := DeliveredHeartbeat{Node: i, Heartbeat: heartbeat, Status: status, Newer: newer}
+				var commands wire.Commands
+				if status == 200 && wire.Decode(raw, &commands) == nil {
+					delivered.Token = commands.Token
 				}
 				mu.Lock()
-				out = append(out, h)
+				out = append(out, delivered)
 				mu.Unlock()
 			})
 		}
@@ -160,21 +160,21 @@
 
 // ResendLastHeartbeat takes the last heartbeat of a machine and sends copies of it to all nodes
 // after the given times, whatever has become of the machine.
-func (sim *Simulation) ResendLastHeartbeat(id wire.MachineID, after ...time.Duration) {
+func (sim *Simulation) ResendLastHeartbeat(id wire.MachineID, delays ...time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	m := sim.machines[id]
 	if m == nil {
 		return
 	}
-	rep := m.lastHeartbeat
-	for _, d := range after {
-		sim.countFault(true)
+	heartbeat := m.lastHeartbeat
+	for _, delay := range delays {
+		sim.reportFault(true)
 		sim.spawn(func() {
 			defer sim.CountFault(false)
-			sleep(sim.ctx, d)
+			sleep(sim.ctx, delay)
 			for i := range sim.controllers {
-				sim.Ask(i, "POST", "/hello", rep)
+				sim.Ask(i, "POST", "/hello", heartbeat)
 			}
 		})
 	}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -15,11 +15,11 @@
 	mu              sync.Mutex
 	listeners       map[string]*listener
 	conns           map[*conn]bool
-	down            map[string]bool             // hosts without power: silent
+	poweredOff      map[string]bool             // hosts without power: silent
 	blockedLinks    map[[2]string]bool          // from, to: packets wait
 	inboundBlocked  map[string]bool             // hosts that nothing reaches, though they are heard
-	isolated        map[string]bool             // hosts that reach only each other
-	filtered        map[[2]string]bool          // from, to: connections are refused
+	isolatedHosts   map[string]bool             // hosts that reach only each other
+	refusedLinks    map[[2]string]bool          // from, to: connections are refused
 	hostDelay       map[string]time.Duration    // hosts to and from which all takes so much longer
 	outboundBlocked map[string]bool             // hosts that can open no connection
 	linkDelay       map[[2]string]time.Duration // from, to: so much longer
@@ -28,7 +28,7 @@
 
 // NewNetwork returns a network on which a packet takes the latency.
 func NewNetwork(latency time.Duration) *Network {
-	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, down: map[string]bool{}, blockedLinks: map[[2]string]bool{}, inboundBlocked: map[string]bool{}, isolated: map[string]bool{}, filtered: map[[2]string]bool{}, hostDelay: map[string]time.Duration{}, latency: latency}
+	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, poweredOff: map[string]bool{}, blockedLinks: map[[2]string]bool{}, inboundBlocked: map[string]bool{}, isolatedHosts: map[string]bool{}, refusedLinks: map[[2]string]bool{}, hostDelay: map[string]time.Duration{}, latency: latency}
 }
 
 // Host returns the network as one host sees it.
@@ -56,15 +56,15 @@
 }
 
 // listen opens an address.
-func (n *Network) listen(at string) (net.Listener, error) {
+func (n *Network) listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.listeners[at] != nil {
-		return nil, errors.New("address in use: " + at)
+	if n.listeners[address] != nil {
+		return nil, errors.New("address in use: " + address)
 	}
-	l := &listener{network: n, addr: at, queue: make(chan *conn, 64), closed: make(chan struct{})}
-	n.listeners[at] = l
-	return l, nil
+	ln := &listener{network: n, addr: address, queue: make(chan *conn, 64), closed: make(chan struct{})}
+	n.listeners[address] = ln
+	return ln, nil
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -109,17 +109,17 @@
 		n.mu.Lock()
 		answersBlocked := n.blockedLinks[[2]string{host, from}]
 		unreachable := n.outboundBlocked[from] || answersBlocked || n.blocks(from, host)
-		l, filtered := n.listeners[to], n.filtered[[2]string{from, host}]
+		ln, refused := n.listeners[to], n.refusedLinks[[2]string{from, host}]
 		n.mu.Unlock()
 		if !unreachable {
-			if l == nil || filtered {
+			if ln == nil || refused {
 				return nil, fail(errors.New("connection refused"))
 			}
-			a, b := n.pair(from, to)
+			local, remote := n.pair(from, to)
 			select {
-			case l.queue <- b:
-				return a, nil
-			case <-l.closed:
+			case ln.queue <- remote:
+				return local, nil
+			case <-ln.closed:
 				return nil, fail(errors.New("connection refused"))
 			case <-ctx.Done():
 				return nil, fail(ctx.Err())
@@ -140,13 +140,13 @@
 	return n.latency + n.hostDelay[from] + n.hostDelay[to] + n.linkDelay[[2]string{from, to}]
 }
 
-// matching lists the open connections that pass the test.
-func (n *Network) matching(which func(*conn) bool) []*conn {
+// connsWhere lists the open connections that pass the test.
+func (n *Network) connsWhere(passes func(*conn) bool) []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []*conn
 	for c := range n.conns {
-		if which(c) {
+		if passes(c) {
 			out = append(out, c)
 		}
 	}
@@ -158,7 +158,7 @@
 
 // Close ends every connection.
 func (n *Network) Close() {
-	for _, c := range n.matching(anyConn) {
+	for _, c := range n.connsWhere(anyConn) {
 		c.abort(func(p *pipe) { p.closed = true })
 	}
 }
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -25,14 +25,14 @@
 func (n *Network) CutWithMode(a, b string, mode CutMode, on bool) {
 	if mode == CutRefused {
 		n.mu.Lock()
-		if n.filtered == nil {
-			n.filtered = map[[2]string]bool{}
+		if n.refusedLinks == nil {
+			n.refusedLinks = map[[2]string]bool{}
 		}
-		n.filtered[[2]string{a, b}], n.filtered[[2]string{b, a}] = on, on
+		n.refusedLinks[[2]string{a, b}], n.refusedLinks[[2]string{b, a}] = on, on
 		n.mu.Unlock()
 	}
 	if mode == CutSilent && !on || mode == CutRefused && on {
-		for _, c := range n.matching(func(c *conn) bool {
+		for _, c := range n.connsWhere(func(c *conn) bool {
 			x, y := hostOf(string(c.local)), hostOf(string(c.remote))
 			return x == a && y == b || x == b && y == a
 		}) {
@@ -48,7 +48,7 @@
 func (n *Network) IsCut(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.filtered[[2]string{a, b}] || n.blockedLinks[[2]string{a, b}] && n.blockedLinks[[2]string{b, a}]
+	return n.refusedLinks[[2]string{a, b}] || n.blockedLinks[[2]string{a, b}] && n.blockedLinks[[2]string{b, a}]
 }
 
 // Cut holds up both directions.
@@ -70,7 +70,7 @@
 
 // deliverPending delivers what waited on open connections.
 func (n *Network) deliverPending() {
-	for _, c := range n.matching(anyConn) {
+	for _, c := range n.connsWhere(anyConn) {
 		c.in.deliver()
 		c.out.deliver()
 	}
@@ -96,7 +96,7 @@
 	n.outboundBlocked[ip] = on
 	n.mu.Unlock()
 	if on {
-		for _, c := range n.matching(func(c *conn) bool { return string(c.local) == ip+":0" }) {
+		for _, c := range n.connsWhere(func(c *conn) bool { return string(c.local) == ip+":0" }) {
 			c.abort(func(p *pipe) { p.reset = true })
 		}
 	}
@@ -105,7 +105,7 @@
 // Isolate makes a host one of those that reach only each other, or no more.
 func (n *Network) Isolate(ip string, on bool) {
 	n.mu.Lock()
-	n.isolated[ip] = on
+	n.isolatedHosts[ip] = on
 	n.mu.Unlock()
 	if !on {
 		n.deliverPending()
@@ -120,19 +120,19 @@
 }
 
 // SlowLink makes what one host sends to another take so much longer; 0: as usual.
-func (n *Network) SlowLink(from, to string, d time.Duration) {
+func (n *Network) SlowLink(from, to string, by time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.linkDelay == nil {
 		n.linkDelay = map[[2]string]time.Duration{}
 	}
-	n.linkDelay[[2]string{from, to}] = d
+	n.linkDelay[[2]string{from, to}] = by
 }
 
 // SetPowerOff takes a host's power, or gives it back.
 func (n *Network) SetPowerOff(ip string, down bool) {
 	n.mu.Lock()
-	n.down[ip] = down
+	n.poweredOff[ip] = down
 	n.mu.Unlock()
 }
 
@@ -141,17 +141,17 @@
 // last life, and was then silently missing from a test.)
 func (n *Network) Reset(ip string) {
 	n.mu.Lock()
-	var ls []*listener
+	var listeners []*listener
 	for at, l := range n.listeners {
 		if hostOf(at) == ip {
-			ls = append(ls, l)
+			listeners = append(listeners, l)
 		}
 	}
 	n.mu.Unlock()
-	for _, l := range ls {
+	for _, l := range listeners {
 		_ = l.Close()
 	}
-	for _, c := range n.matching(func(c *conn) bool { return hostOf(string(c.local)) == ip || hostOf(string(c.remote)) == ip }) {
+	for _, c := range n.connsWhere(func(c *conn) bool { return hostOf(string(c.local)) == ip || hostOf(string(c.remote)) == ip }) {
 		c.abort(func(p *pipe) { p.reset = true })
 	}
 }
@@ -160,11 +160,11 @@
 func (n *Network) faulty() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return has(n.blockedLinks) || has(n.inboundBlocked) || has(n.isolated) || has(n.outboundBlocked) || has(n.filtered)
+	return anyTrue(n.blockedLinks) || anyTrue(n.inboundBlocked) || anyTrue(n.isolatedHosts) || anyTrue(n.outboundBlocked) || anyTrue(n.refusedLinks)
 }
 
-// has reports whether any entry is true.
-func has[K comparable](m map[K]bool) bool {
+// anyTrue reports whether any entry is true.
+func anyTrue[K comparable](m map[K]bool) bool {
 	for _, on := range m {
 		if on {
 			return true
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -47,13 +47,13 @@
 // Loopback is the machine's own loopback network in place of the one in
 // memory: host 10.a.b.c is 127.a.b.c.
 func Loopback(string) netio.Net {
-	real := netio.Real()
-	at := func(addr string) string { return LoopbackAddr(addr) }
+	system := netio.Real()
+	onLoopback := func(addr string) string { return LoopbackAddr(addr) }
 	return netio.Net{
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return real.Dial(ctx, network, at(addr))
+			return system.Dial(ctx, network, onLoopback(addr))
 		},
-		Listen: func(network, addr string) (net.Listener, error) { return real.Listen(network, at(addr)) },
+		Listen: func(network, addr string) (net.Listener, error) { return system.Listen(network, onLoopback(addr)) },
 	}
 }
 
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -29,11 +29,11 @@
 }
 
 // runTimeOf returns the true run time of one of the job's tasks, in seconds.
-func (t *JobScript) runTimeOf(index int) float64 {
-	if index < len(t.RunTimes) {
-		return t.RunTimes[index]
+func (s *JobScript) runTimeOf(index int) float64 {
+	if index < len(s.RunTimes) {
+		return s.RunTimes[index]
 	}
-	return t.RunTime
+	return s.RunTime
 }
 
 // Simulation is a deployment of fakes around real controllers. One lock guards it all.
@@ -71,13 +71,13 @@
 	loseScaleOutAnswers int
 	lateRequests        lateRequests
 	linkDelay           time.Duration
-	unlisted            bool
+	provisionUnlisted   bool
 	slowSaves           bool
-	noSpot              bool
+	spotSoldOut         bool
 	soldOut             map[wire.Zone]bool
 	listLag             time.Duration
 	bootFactor          float64
-	faultCount          int       // faults that last and that nothing else shows
+	reportedFaults      int       // faults that last and that nothing else shows
 	lastFault           time.Time // when there last was a fault
 }
 
@@ -99,35 +99,35 @@
 
 // New builds a deployment; no node runs yet. Without a host function it lives on its own
 // network in memory; Loopback is the only other one.
-func New(ctx context.Context, set config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
+func New(ctx context.Context, settings config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
 	limits := map[wire.TeamID]TeamLimit{}
-	for _, t := range set.Teams {
-		limits[t.Name] = TeamLimit{t.MaxCPUs, t.MaxGPUs}
+	for _, team := range settings.Teams {
+		limits[team.Name] = TeamLimit{team.MaxCPUs, team.MaxGPUs}
 	}
 	sim := &Simulation{
-		Net: NewNetwork(time.Millisecond), State: NewKVStore(set.State.TxnOps, int(set.State.ValueKB)), Settings: set,
-		checker: NewChecker(set.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
+		Net: NewNetwork(time.Millisecond), State: NewKVStore(settings.State.TxnOps, int(settings.State.ValueKB)), Settings: settings,
+		checker: NewChecker(settings.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
 		machineTypes: []wire.MachineSpec{
-			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
-			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: set.Zones},
+			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: settings.Zones},
+			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: settings.Zones},
 		},
 		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, scaleOuts: map[string][]wire.MachineID{},
-		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLag.Duration(), bootFactor: 1,
+		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: settings.Cloud.ListLag.Duration(), bootFactor: 1,
 	}
 	if sim.hostNet, sim.onLoopback = host, host != nil; host == nil {
 		sim.hostNet = sim.Net.Host
 	}
-	for _, f := range sim.machineTypes {
-		for _, z := range set.Zones {
-			sim.capacity[capacityKey(f.Name, z, false)] = 6
-			sim.capacity[capacityKey(f.Name, z, true)] = 3
+	for _, spec := range sim.machineTypes {
+		for _, zone := range settings.Zones {
+			sim.capacity[capacityKey(spec.Name, zone, false)] = 6
+			sim.capacity[capacityKey(spec.Name, zone, true)] = 3
 		}
 	}
 	sim.checker.MachineSpecs, sim.lastFault = sim.machineTypes, time.Now()
 	sim.serve(KVStoreAddr, sim.State)
 	sim.serve(CloudAddr, http.HandlerFunc(sim.cloud))
-	for i := range set.Size {
-		sim.controllers = append(sim.controllers, &controller{cfg: controllerConfig(set, i)})
+	for i := range settings.Size {
+		sim.controllers = append(sim.controllers, &controller{cfg: controllerConfig(settings, i)})
 	}
 	sim.spawn(func() {
 		for ctx.Err() == nil {
@@ -141,12 +141,12 @@
 }
 
 // controllerConfig returns the configuration of the i-th controller.
-func controllerConfig(set config.Settings, i int) config.Config {
+func controllerConfig(settings config.Settings, i int) config.Config {
 	name := func(k int) wire.NodeID { return wire.NodeID(fmt.Sprintf("worker-%d", k)) }
-	zone := func(k int) wire.Zone { return set.Zones[k%len(set.Zones)] }
+	zone := func(k int) wire.Zone { return settings.Zones[k%len(settings.Zones)] }
 	c := config.Config{HostName: name(i), Zone: zone(i), UserAddr: NodeIP(i) + ":8080", PeerAddr: NodeIP(i) + ":8081",
-		Endpoints: config.Endpoints{Cloud: CloudAddr, State: KVStoreAddr}, Settings: set}
-	for k := range set.Size {
+		Endpoints: config.Endpoints{Cloud: CloudAddr, State: KVStoreAddr}, Settings: settings}
+	for k := range settings.Size {
 		if k != i {
 			c.Peers = append(c.Peers, config.Peer{HostName: name(k), Zone: zone(k), Addr: NodeIP(k) + ":8081"})
 		}
@@ -178,17 +178,17 @@
 }
 
 // serve begins to answer requests to an address.
-func (sim *Simulation) serve(at string, h http.Handler) *http.Server {
-	l, err := sim.hostNet(hostOf(at)).Listen("tcp4", at)
+func (sim *Simulation) serve(address string, handler http.Handler) *http.Server {
+	listener, err := sim.hostNet(hostOf(address)).Listen("tcp4", address)
 	if err != nil {
 		panic(err)
 	}
-	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
+	server := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
 	sim.mu.Lock()
-	sim.servers = append(sim.servers, s)
+	sim.servers = append(sim.servers, server)
 	sim.mu.Unlock()
-	sim.spawn(func() { _ = s.Serve(l) }) // ends with Close
-	return s
+	sim.spawn(func() { _ = server.Serve(listener) }) // ends with Close
+	return server
 }
 
 // Done returns a channel that is closed when the simulation's context ends.
@@ -203,8 +203,8 @@
 	servers := sim.servers
 	sim.mu.Unlock()
 	sim.Net.Close()
-	for _, s := range servers {
-		s.Close()
+	for _, server := range servers {
+		server.Close()
 	}
 	sim.wg.Wait()
 	sim.Net.Close()
@@ -234,16 +234,16 @@
 
 // hasFault reports whether the simulation sees a fault; the caller holds the lock.
 func (sim *Simulation) hasFault(now time.Time) bool {
-	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
+	if sim.reportedFaults > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
 		return true
 	}
-	for _, m := range sim.machines {
-		if m.reclaimAt.After(now) {
+	for _, machine := range sim.machines {
+		if machine.reclaimAt.After(now) {
 			return true
 		}
 	}
-	for _, n := range sim.controllers {
-		if !n.up {
+	for _, node := range sim.controllers {
+		if !node.up {
 			return true
 		}
 	}
@@ -255,15 +255,15 @@
 func (sim *Simulation) CountFault(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.countFault(on)
+	sim.reportFault(on)
 }
 
-// countFault is CountFault with the lock held.
-func (sim *Simulation) countFault(on bool) {
+// reportFault is CountFault with the lock held.
+func (sim *Simulation) reportFault(on bool) {
 	if on {
-		sim.faultCount++
+		sim.reportedFaults++
 	} else {
-		sim.faultCount--
+		sim.reportedFaults--
 	}
 	sim.lastFault = time.Now()
 }
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -15,7 +15,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	s.outage = on
+	s.inOutage = on
 	if !on {
 		for _, g := range s.grants {
 			g.expiresAt = time.Now().Add(g.ttl)
@@ -28,27 +28,27 @@
 func (s *KVStore) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outage
+	return s.inOutage
 }
 
 // RefuseClient makes the service refuse one host only.
 func (s *KVStore) RefuseClient(host string, on bool) {
 	s.mu.Lock()
-	s.refused[host] = on
+	s.refusedClients[host] = on
 	s.mu.Unlock()
 }
 
 // LoseAnswers makes the next transactions take effect without an answer.
 func (s *KVStore) LoseAnswers(n int) {
 	s.mu.Lock()
-	s.loseAnswers = n
+	s.answersToLose = n
 	s.mu.Unlock()
 }
 
 // DropRequests makes the next transactions vanish without effect or answer.
 func (s *KVStore) DropRequests(n int) {
 	s.mu.Lock()
-	s.dropRequests = n
+	s.requestsToDrop = n
 	s.mu.Unlock()
 }
 
@@ -64,7 +64,7 @@
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.outage || s.loseAnswers > 0 || s.dropRequests > 0 || has(s.refused)
+	return s.inOutage || s.answersToLose > 0 || s.requestsToDrop > 0 || anyTrue(s.refusedClients)
 }
 
 // TxnFault is what the key-value store does to some transactions: it gives no
@@ -115,11 +115,11 @@
 }
 
 // countExecuted counts a transaction of a client.
-func (l *txnFaults) countExecuted(from string) {
-	if l.executedCount == nil {
-		l.executedCount = map[string]int{}
+func (f *txnFaults) countExecuted(from string) {
+	if f.executedCount == nil {
+		f.executedCount = map[string]int{}
 	}
-	l.executedCount[from]++
+	f.executedCount[from]++
 }
 
 // InjectTxnFaults puts these faults in place of the former ones; without any it ends
@@ -144,44 +144,44 @@
 // injectFault reports whether a fault hits the transaction, and plays it.
 func (s *KVStore) injectFault(r *http.Request, t *wire.Txn) bool {
 	from := hostOf(r.RemoteAddr)
-	f := &TxnOutcome{Client: from, Keys: keysOf(t), Sent: time.Now()}
+	outcome := &TxnOutcome{Client: from, Keys: keysOf(t), Sent: time.Now()}
 	s.mu.Lock()
-	l := &s.txnFaults
-	i := slices.IndexFunc(l.faults, func(x TxnFault) bool {
-		return (x.Hosts == nil || slices.Contains(x.Hosts, from)) && f.ChangesPrefix(x.Prefix) && (x.Share == 0 || l.rng.Float64() < x.Share)
+	injector := &s.txnFaults
+	index := slices.IndexFunc(injector.faults, func(fault TxnFault) bool {
+		return (fault.Hosts == nil || slices.Contains(fault.Hosts, from)) && outcome.ChangesPrefix(fault.Prefix) && (fault.Share == 0 || injector.rng.Float64() < fault.Share)
 	})
-	if i < 0 {
+	if index < 0 {
 		s.mu.Unlock()
 		return false
 	}
-	x := l.faults[i]
-	if x.Most == 1 {
-		l.faults = slices.Delete(l.faults, i, i+1)
-	} else if x.Most > 1 {
-		l.faults[i].Most--
+	fault := injector.faults[index]
+	if fault.Most == 1 {
+		injector.faults = slices.Delete(injector.faults, index, index+1)
+	} else if fault.Most > 1 {
+		injector.faults[index].Most--
 	}
-	l.outcomes = append(l.outcomes, f)
-	before := l.executedCount[from]
-	carryOut := func() {
+	injector.outcomes = append(injector.outcomes, outcome)
+	before := injector.executedCount[from]
+	execute := func() {
 		s.expire()
-		f.Newer = l.executedCount[from] - before
+		outcome.Newer = injector.executedCount[from] - before
 		var answer any
-		f.Status, answer = s.execute(from, t)
-		f.Done = time.Now()
-		if res, ok := answer.(wire.TxnResponse); ok {
-			f.Failed = res.FailedKeys
+		outcome.Status, answer = s.execute(from, t)
+		outcome.Done = time.Now()
+		if response, ok := answer.(wire.TxnResponse); ok {
+			outcome.Failed = response.FailedKeys
 		}
 	}
-	if f.Late = x.Late[1] > 0; f.Late {
-		time.AfterFunc(x.Late[0]+time.Duration(l.rng.Float64()*float64(x.Late[1]-x.Late[0])), func() {
+	if outcome.Late = fault.Late[1] > 0; outcome.Late {
+		time.AfterFunc(fault.Late[0]+time.Duration(injector.rng.Float64()*float64(fault.Late[1]-fault.Late[0])), func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			carryOut()
+			execute()
 		})
 	} else {
-		carryOut()
+		execute()
 	}
-	hang := l.rng.IntN(2) == 0 || x.Hang
+	hang := injector.rng.IntN(2) == 0 || fault.Hang
 	s.mu.Unlock()
 	if hang { // until the client gives up; else the connection breaks at once
 		<-r.Context().Done()
@@ -192,8 +192,8 @@
 // keysOf lists the keys that a transaction changes.
 func keysOf(t *wire.Txn) []string {
 	var out []string
-	for _, x := range t.Writes {
-		out = append(out, x.PutKey+x.DeleteKey)
+	for _, write := range t.Writes {
+		out = append(out, write.PutKey+write.DeleteKey)
 	}
 	return out
 }
@@ -239,7 +239,7 @@
 }
 
 // trackUnanswered records the keys that a transaction changed until the returned function is called.
-func (s *KVStore) trackUnanswered(from string, t *wire.Txn) (said func()) {
+func (s *KVStore) trackUnanswered(from string, t *wire.Txn) (answered func()) {
 	keys := keysOf(t)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -250,13 +250,13 @@
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		left := s.txnFaults.unansweredKeys[from]
+		remaining := s.txnFaults.unansweredKeys[from]
 		for _, k := range keys {
-			if i := slices.Index(left, k); i >= 0 {
-				left = slices.Delete(left, i, i+1)
+			if i := slices.Index(remaining, k); i >= 0 {
+				remaining = slices.Delete(remaining, i, i+1)
 			}
 		}
-		s.txnFaults.unansweredKeys[from] = left
+		s.txnFaults.unansweredKeys[from] = remaining
 	}
 }
 
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -17,7 +17,7 @@
 type stateLimits struct {
 	mu                           sync.Mutex
 	requestLimiter, writeLimiter *rate.Limiter // nil: no limit
-	refusals                     int           // requests refused for the rate
+	rateRefusals                 int           // requests refused for the rate
 	peakRate                     float64       // most requests of any second
 	windowStart                  time.Time
 	requestsInWindow             int
@@ -41,7 +41,7 @@
 // stays readable.
 func (s *KVStore) LowerLimits(valueKB, maxOps int, rps, writeRPS float64) {
 	s.mu.Lock()
-	s.maxOps, s.valueKB = maxOps, valueKB
+	s.maxTxnOps, s.maxValueKB = maxOps, valueKB
 	s.mu.Unlock()
 	s.SetRateLimits(rps, writeRPS)
 }
@@ -51,12 +51,12 @@
 func (s *KVStore) allows(t *wire.Txn, bytes int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok := len(t.Writes) <= s.maxOps && len(t.Guards) <= 4*s.maxOps && bytes <= 64<<10
-	for _, x := range t.Writes {
-		ok = ok && jsonSize(x.Value) <= s.valueKB<<10 && (x.PutKey == "") != (x.DeleteKey == "")
+	ok := len(t.Writes) <= s.maxTxnOps && len(t.Guards) <= 4*s.maxTxnOps && bytes <= 64<<10
+	for _, write := range t.Writes {
+		ok = ok && jsonSize(write.Value) <= s.maxValueKB<<10 && (write.PutKey == "") != (write.DeleteKey == "")
 	}
 	if !ok {
-		s.oversize++
+		s.oversizeRefusals++
 	}
 	return ok
 }
@@ -90,15 +90,15 @@
 func (s *KVStore) OversizeRefusals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.oversize
+	return s.oversizeRefusals
 }
 
 // RateRefusals counts the requests that were refused for the rate, and the most that
 // came within a second.
-func (s *KVStore) RateRefusals() (refused, most int) {
+func (s *KVStore) RateRefusals() (refused, peak int) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
-	return s.limits.refusals, int(s.limits.peakRate)
+	return s.limits.rateRefusals, int(s.limits.peakRate)
 }
 
 // LimitHistory makes the service keep only so many changes and list pages of so many
@@ -132,12 +132,12 @@
 }
 
 // FailedAtGuard counts the transactions that pass the test and failed at a guard.
-func (s *KVStore) FailedAtGuard(which func(*wire.Txn) bool) int {
+func (s *KVStore) FailedAtGuard(passes func(*wire.Txn) bool) int {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
 	n := 0
 	for i := range s.limits.failedTxns {
-		if which(&s.limits.failedTxns[i]) {
+		if passes(&s.limits.failedTxns[i]) {
 			n++
 		}
 	}
@@ -145,19 +145,19 @@
 }
 
 // allow counts a request, or the changes of one, against the rates.
-func (l *stateLimits) allow(calls, writes int) bool {
+func (l *stateLimits) allow(requests, writes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	if now.Sub(l.windowStart) >= time.Second {
 		l.windowStart, l.requestsInWindow = now, 0
 	}
-	l.requestsInWindow += calls
+	l.requestsInWindow += requests
 	l.peakRate = max(l.peakRate, float64(l.requestsInWindow))
-	if l.requestLimiter == nil || l.requestLimiter.AllowN(now, calls) && l.writeLimiter.AllowN(now, writes) {
+	if l.requestLimiter == nil || l.requestLimiter.AllowN(now, requests) && l.writeLimiter.AllowN(now, writes) {
 		return true
 	}
-	l.refusals++
+	l.rateRefusals++
 	return false
 }
 
@@ -209,11 +209,11 @@
 }
 
 // pageSize returns how many entries a page may have.
-func (l *stateLimits) pageSize(most int) int {
+func (l *stateLimits) pageSize(requested int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pageLimit > 0 {
-		return min(l.pageLimit, most)
+		return min(l.pageLimit, requested)
 	}
-	return most
+	return requested
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -22,18 +22,18 @@
 	changes   []stateChange
 	wake      chan struct{}
 	// Faults.
-	outage       bool
-	refused      map[string]bool // hosts that get 503
-	loseAnswers  int             // so many transactions are executed, and their answers lost
-	dropRequests int             // so many are lost before they are executed
-	txnFaults    txnFaults
-	maxOps       int
-	valueKB      int
-	// oversize counts the transactions that were refused for their size.
-	oversize      int
-	limits        stateLimits
-	watchDelay    time.Duration // of the answers to open watches
-	forgottenUpTo wire.Revision // the newest change that is no longer kept
+	inOutage       bool
+	refusedClients map[string]bool // hosts that get 503
+	answersToLose  int             // so many transactions are executed, and their answers lost
+	requestsToDrop int             // so many are lost before they are executed
+	txnFaults      txnFaults
+	maxTxnOps      int
+	maxValueKB     int
+	// oversizeRefusals counts the transactions that were refused for their size.
+	oversizeRefusals int
+	limits           stateLimits
+	watchDelay       time.Duration // of the answers to open watches
+	discardedUpTo    wire.Revision // the newest change that is no longer kept
 }
 
 // stateEntry is what is stored under a key.
@@ -58,7 +58,7 @@
 // NewKVStore returns an empty key-value store with limits of transactions and values.
 func NewKVStore(maxOps, valueKB int) *KVStore {
 	return &KVStore{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
-		refused: map[string]bool{}, maxOps: maxOps, valueKB: valueKB}
+		refusedClients: map[string]bool{}, maxTxnOps: maxOps, maxValueKB: valueKB}
 }
 
 // Put writes a key as some client would, for tests.
@@ -142,13 +142,13 @@
 func (s *KVStore) LargestValue(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := 0
+	largest := 0
 	for k, e := range s.keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
-			n = max(n, jsonSize(e.value))
+			largest = max(largest, jsonSize(e.value))
 		}
 	}
-	return n
+	return largest
 }
 
 // notify wakes all open watches; the caller holds the lock.
@@ -159,7 +159,7 @@
 
 // expire ends grants; during an outage nothing ends.
 func (s *KVStore) expire() {
-	if s.outage {
+	if s.inOutage {
 		return
 	}
 	now := time.Now()
@@ -173,18 +173,18 @@
 // endGrant ends a grant and removes its keys; the caller holds the lock.
 func (s *KVStore) endGrant(id wire.GrantID) {
 	delete(s.grants, id)
-	var dead []string
+	var removed []string
 	for k, e := range s.keys {
 		if e.grant == id {
-			dead = append(dead, k)
+			removed = append(removed, k)
 		}
 	}
-	if len(dead) == 0 {
+	if len(removed) == 0 {
 		return
 	}
 	s.revision++
-	sort.Strings(dead)
-	for _, k := range dead {
+	sort.Strings(removed)
+	for _, k := range removed {
 		delete(s.keys, k)
 		s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: k, Revision: s.revision}})
 	}
@@ -205,7 +205,7 @@
 	time.Sleep(2 * time.Millisecond)
 	s.mu.Lock()
 	s.expire()
-	refuse := s.outage || s.refused[hostOf(r.RemoteAddr)]
+	refuse := s.inOutage || s.refusedClients[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
 	if !refuse && !s.limits.allow(1, 0) {
 		wire.WriteResponse(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
@@ -276,16 +276,16 @@
 
 // newGrant gives a grant of the time asked for.
 func (s *KVStore) newGrant(w http.ResponseWriter, raw []byte) {
-	var a wire.GrantRequest
-	if wire.Decode(raw, &a) != nil || a.TTLMillis < 100 || a.TTLMillis > 600_000 {
+	var request wire.GrantRequest
+	if wire.Decode(raw, &request) != nil || request.TTLMillis < 100 || request.TTLMillis > 600_000 {
 		malformedRequest(w)
 		return
 	}
 	s.mu.Lock()
 	id := s.nextGrant
 	s.nextGrant++
-	life := time.Duration(a.TTLMillis) * time.Millisecond
-	s.grants[id] = &stateGrant{life, time.Now().Add(life)}
+	ttl := time.Duration(request.TTLMillis) * time.Millisecond
+	s.grants[id] = &stateGrant{ttl, time.Now().Add(ttl)}
 	s.mu.Unlock()
 	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: id})
 }
@@ -293,43 +293,43 @@
 // renewOrEndGrant does what the path and the method say with a grant.
 func (s *KVStore) renewOrEndGrant(w http.ResponseWriter, r *http.Request) {
 	rest, renew := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/renew")
-	n, _ := strconv.ParseUint(rest, 10, 64)
+	id, _ := strconv.ParseUint(rest, 10, 64)
 	s.mu.Lock()
-	g := s.grants[wire.GrantID(n)]
+	grant := s.grants[wire.GrantID(id)]
 	switch {
-	case g == nil:
+	case grant == nil:
 	case renew:
-		g.expiresAt = time.Now().Add(g.ttl)
+		grant.expiresAt = time.Now().Add(grant.ttl)
 	case r.Method == "DELETE":
-		s.endGrant(wire.GrantID(n))
+		s.endGrant(wire.GrantID(id))
 	}
 	s.mu.Unlock()
-	if g == nil {
+	if grant == nil {
 		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorBody{Error: "no such lease"})
 		return
 	}
-	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: wire.GrantID(n)})
+	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: wire.GrantID(id)})
 }
 
 // list answers with a page of the keys with a prefix.
 func (s *KVStore) list(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	most, _ := strconv.Atoi(q.Get("page"))
-	if most <= 0 || most > 1000 {
-		most = 1000
+	query := r.URL.Query()
+	limit, _ := strconv.Atoi(query.Get("page"))
+	if limit <= 0 || limit > 1000 {
+		limit = 1000
 	}
-	most = s.limits.pageSize(most)
+	limit = s.limits.pageSize(limit)
 	s.mu.Lock()
-	var ks []string
+	var matching []string
 	for k := range s.keys {
-		if strings.HasPrefix(k, q.Get("under")) && k > q.Get("after") {
-			ks = append(ks, k)
+		if strings.HasPrefix(k, query.Get("under")) && k > query.Get("after") {
+			matching = append(matching, k)
 		}
 	}
-	sort.Strings(ks)
+	sort.Strings(matching)
 	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.revision}
-	for _, k := range ks {
-		if len(page.Entries) == most {
+	for _, k := range matching {
+		if len(page.Entries) == limit {
 			page.Truncated = true
 			break
 		}
@@ -344,18 +344,18 @@
 // txn executes a transaction and answers, unless the request or the answer is lost.
 func (s *KVStore) txn(w http.ResponseWriter, from string, t *wire.Txn) {
 	s.mu.Lock()
-	if s.dropRequests > 0 {
-		s.dropRequests--
+	if s.requestsToDrop > 0 {
+		s.requestsToDrop--
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	status, answer := s.execute(from, t)
-	lose := status == http.StatusOK && s.loseAnswers > 0
-	if lose {
-		s.loseAnswers--
+	answerLost := status == http.StatusOK && s.answersToLose > 0
+	if answerLost {
+		s.answersToLose--
 	}
 	s.mu.Unlock()
-	if lose {
+	if answerLost {
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusOK {
@@ -367,16 +367,16 @@
 // execute carries a transaction out; the caller holds the lock.
 func (s *KVStore) execute(from string, t *wire.Txn) (status int, answer any) {
 	// An expired lease is told first, whatever the conditions.
-	for _, x := range t.Writes {
-		if x.PutKey != "" && x.Grant != 0 && s.grants[x.Grant] == nil {
+	for _, write := range t.Writes {
+		if write.PutKey != "" && write.Grant != 0 && s.grants[write.Grant] == nil {
 			return http.StatusBadRequest, wire.ErrorBody{Error: "no such lease"}
 		}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		e := s.keys[g.Key]
-		if e == nil && g.Revision != 0 || e != nil && e.revision != g.Revision {
-			failed = append(failed, g.Key)
+	for _, guard := range t.Guards {
+		entry := s.keys[guard.Key]
+		if entry == nil && guard.Revision != 0 || entry != nil && entry.revision != guard.Revision {
+			failed = append(failed, guard.Key)
 		}
 	}
 	if failed != nil {
@@ -385,17 +385,17 @@
 	}
 	if len(t.Writes) > 0 {
 		s.revision++
-		for _, x := range t.Writes {
-			if x.DeleteKey != "" {
-				delete(s.keys, x.DeleteKey)
-				s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: x.DeleteKey, Revision: s.revision}})
+		for _, write := range t.Writes {
+			if write.DeleteKey != "" {
+				delete(s.keys, write.DeleteKey)
+				s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: write.DeleteKey, Revision: s.revision}})
 				continue
 			}
-			s.keys[x.PutKey] = &stateEntry{append(wire.RawValue(nil), x.Value...), s.revision, x.Grant}
-			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: x.PutKey, Value: append(wire.RawValue(nil), x.Value...), Revision: s.revision}})
+			s.keys[write.PutKey] = &stateEntry{append(wire.RawValue(nil), write.Value...), s.revision, write.Grant}
+			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: write.PutKey, Value: append(wire.RawValue(nil), write.Value...), Revision: s.revision}})
 		}
 		if keep := s.limits.historySize(); len(s.changes) > keep {
-			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].revision
+			s.discardedUpTo = s.changes[len(s.changes)-keep-1].revision
 			s.changes = append([]stateChange(nil), s.changes[len(s.changes)-keep:]...)
 		}
 		s.txnFaults.countExecuted(from)
@@ -406,46 +406,46 @@
 
 // watch answers with the changes after a revision, as soon as there are any.
 func (s *KVStore) watch(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-	block, _ := strconv.Atoi(q.Get("blockMs"))
-	timeUp := block <= 0
-	var until <-chan time.Time // nil without blocking: see sleep on expired timers
+	query := r.URL.Query()
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
+	blockMillis, _ := strconv.Atoi(query.Get("blockMs"))
+	timeUp := blockMillis <= 0
+	var blockEnd <-chan time.Time // nil without blocking: see sleep on expired timers
 	if !timeUp {
-		until = time.After(time.Duration(min(block, 60_000)) * time.Millisecond)
+		blockEnd = time.After(time.Duration(min(blockMillis, 60_000)) * time.Millisecond)
 	}
 	for {
 		s.mu.Lock()
 		s.expire()
-		res := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
-		silent := s.outage || s.refused[hostOf(r.RemoteAddr)]
-		if s.forgottenUpTo > wire.Revision(after) {
+		response := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
+		refusing := s.inOutage || s.refusedClients[hostOf(r.RemoteAddr)]
+		if s.discardedUpTo > wire.Revision(after) {
 			s.mu.Unlock()
 			wire.WriteResponse(w, http.StatusGone, wire.ErrorBody{Error: "too old"})
 			return
 		}
-		if !silent {
+		if !refusing {
 			for _, c := range s.changes {
-				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.PutKey+c.change.DeletedKey, q.Get("under")) {
-					res.Events = append(res.Events, c.change)
+				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.PutKey+c.change.DeletedKey, query.Get("under")) {
+					response.Events = append(response.Events, c.change)
 				}
 			}
 		}
-		wake, lag := s.wake, s.watchDelay
+		wake, delay := s.wake, s.watchDelay
 		s.mu.Unlock()
-		slices.Reverse(res.Events) // as in the page's example, which promises no order
-		if len(res.Events) > 0 || timeUp && !silent {
+		slices.Reverse(response.Events) // as in the page's example, which promises no order
+		if len(response.Events) > 0 || timeUp && !refusing {
 			s.limits.delayList()
-			if block > 0 {
-				time.Sleep(lag)
+			if blockMillis > 0 {
+				time.Sleep(delay)
 			}
-			wire.WriteResponse(w, http.StatusOK, res)
+			wire.WriteResponse(w, http.StatusOK, response)
 			return
 		}
 		select {
 		case <-wake:
 		case <-time.After(200 * time.Millisecond): // grants end by time
-		case <-until:
+		case <-blockEnd:
 			timeUp = true
 		case <-r.Context().Done():
 			return
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -20,37 +20,37 @@
 )
 
 // Submission returns the map that a user sends to submit a job.
-func Submission(s wire.JobSpec) map[string]any {
-	m := map[string]any{
-		"nameId": string(s.ID), "lane": s.Class, "owner": string(s.Team), "shape": string(s.Kind), "urgency": string(s.Priority),
-		"parts": s.Tasks, "cpus": s.CPUs, "cards": s.GPUs, "ramGb": s.MemoryGB, "bundle": string(s.Image), "imageGb": s.ImageGB,
-		"kits": nil, "site": nil, "samePlace": s.SameZone, "apart": s.Spread, "standby": s.SpotAllowed, "expectedS": float64(s.ExpectedRunTime),
-		"snapshotEveryS": float64(s.CheckpointInterval), "snapshotS": float64(s.CheckpointTime), "dueS": nil,
+func Submission(spec wire.JobSpec) map[string]any {
+	fields := map[string]any{
+		"nameId": string(spec.ID), "lane": spec.Class, "owner": string(spec.Team), "shape": string(spec.Kind), "urgency": string(spec.Priority),
+		"parts": spec.Tasks, "cpus": spec.CPUs, "cards": spec.GPUs, "ramGb": spec.MemoryGB, "bundle": string(spec.Image), "imageGb": spec.ImageGB,
+		"kits": nil, "site": nil, "samePlace": spec.SameZone, "apart": spec.Spread, "standby": spec.SpotAllowed, "expectedS": float64(spec.ExpectedRunTime),
+		"snapshotEveryS": float64(spec.CheckpointInterval), "snapshotS": float64(spec.CheckpointTime), "dueS": nil,
 	}
-	if s.MachineTypes != nil {
-		m["kits"] = s.MachineTypes
+	if spec.MachineTypes != nil {
+		fields["kits"] = spec.MachineTypes
 	}
-	if s.Zone != "" {
-		m["site"] = string(s.Zone)
+	if spec.Zone != "" {
+		fields["site"] = string(spec.Zone)
 	}
-	if s.Deadline > 0 {
-		m["dueS"] = float64(s.Deadline)
+	if spec.Deadline > 0 {
+		fields["dueS"] = float64(spec.Deadline)
 	}
-	return m
+	return fields
 }
 
 // Ask sends one request to a controller. Users wait 2 s for the answer to a poll, 5 s
 // for any other.
 func Ask(ctx context.Context, nw netio.Net, method, url string, body any) (int, []byte, http.Header) {
-	tr := nw.Transport(1, 1)
-	defer tr.CloseIdleConnections()
-	patience := 5 * time.Second
+	transport := nw.Transport(1, 1)
+	defer transport.CloseIdleConnections()
+	timeout := 5 * time.Second
 	if method == "GET" && strings.Contains(url, jobsPath+"/") {
-		patience = 2 * time.Second
+		timeout = 2 * time.Second
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, out, h, err := netio.Call(ctx, &http.Client{Transport: tr}, method, url, body, 1<<20)
+	status, out, h, err := netio.Call(ctx, &http.Client{Transport: transport}, method, url, body, 1<<20)
 	if err != nil {
 		return 0, nil, nil
 	}
@@ -60,14 +60,14 @@
 // Ask makes one request as a user to the i-th node. The checker learns of
 // whatever is asked and answered here.
 func (sim *Simulation) Ask(i int, method, path string, body any) (int, []byte, http.Header) {
-	asked := time.Now()
+	sentAt := time.Now()
 	rest := strings.TrimPrefix(path, jobsPath)
 	id, cancel := strings.CutSuffix(strings.TrimPrefix(rest, "/"), "/cancel")
 	if method == "POST" && cancel {
 		sim.WithChecker(func(c *Checker) { c.CancelRequested(wire.JobID(id)) })
 	}
 	if method == "POST" && path == jobsPath {
-		sim.WithChecker(func(c *Checker) { c.SubmissionSent(bodyOf(body), 0, asked) })
+		sim.WithChecker(func(c *Checker) { c.SubmissionSent(bodyOf(body), 0, sentAt) })
 	}
 	status, out, h := sim.ask(i, method, path, body)
 	if sim.ctx.Err() != nil || !strings.HasPrefix(path, jobsPath) {
@@ -77,16 +77,16 @@
 		switch {
 		case method == "POST" && rest == "":
 			c.SubmissionSent(bodyOf(body), status, time.Now())
-			c.SubmissionAnswered(bodyOf(body), status, out, asked, time.Now())
+			c.SubmissionAnswered(bodyOf(body), status, out, sentAt, time.Now())
 		case method == "POST" && cancel:
-			c.CancelAnswered(wire.JobID(id), status, out, asked, time.Now())
+			c.CancelAnswered(wire.JobID(id), status, out, sentAt, time.Now())
 		case method == "GET" && !cancel:
 			var s wire.JobState
 			got := status
 			if got == 200 && wire.Decode(out, &s) != nil {
 				got = 0
 			}
-			c.PollAnswered(wire.JobID(id), got, s.Status, asked, time.Now())
+			c.PollAnswered(wire.JobID(id), got, s.Status, sentAt, time.Now())
 		}
 	})
 	return status, out, h
@@ -147,56 +147,56 @@
 
 // RegisterJob makes a job known to the workers and the checker; the test itself is its
 // user.
-func (sim *Simulation) RegisterJob(t JobScript) {
+func (sim *Simulation) RegisterJob(script JobScript) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.scripts[t.Spec.ID] = &t
-	sim.checker.Submitted(t.Spec)
+	sim.scripts[script.Spec.ID] = &script
+	sim.checker.Submitted(script.Spec)
 }
 
 // Submit plays a user: submits with retries, then polls until the job is
 // over, asking any node in turn. Cancel, if above 0, is when the user asks
 // to cancel.
-func (sim *Simulation) Submit(t JobScript, cancel time.Duration) {
+func (sim *Simulation) Submit(script JobScript, cancelAfter time.Duration) {
 	sim.mu.Lock()
-	sim.scripts[t.Spec.ID] = &t
-	sim.checker.Submitted(t.Spec)
+	sim.scripts[script.Spec.ID] = &script
+	sim.checker.Submitted(script.Spec)
 	turn := sim.rng.IntN(len(sim.controllers))
 	sim.mu.Unlock()
 	next := func() int { turn++; return turn % len(sim.controllers) }
 	sim.spawn(func() {
 		begin := time.Now()
-		if sim.submitUntilAccepted(&t, begin, next) {
-			sim.pollUntilOver(t.Spec.ID, begin, cancel, next)
+		if sim.submitUntilAccepted(&script, begin, next) {
+			sim.pollUntilOver(script.Spec.ID, begin, cancelAfter, next)
 		}
 	})
 }
 
 // How users repeat themselves.
 const (
-	submissionPatience = 60 * time.Second // after which a user gives up
-	retryPause         = time.Second      // without a Retry-After
-	longestRetryPause  = 30 * time.Second // whatever Retry-After says
-	pollPause          = 5 * time.Second
-	lastPollAfter      = 20 * time.Second // after the time to cancel, even if the job is over
+	submissionTimeout = 60 * time.Second // after which a user gives up
+	defaultRetryDelay = time.Second      // without a Retry-After
+	maxRetryDelay     = 30 * time.Second // whatever Retry-After says
+	pollInterval      = 5 * time.Second
+	pollAfterCancel   = 20 * time.Second // after the time to cancel, even if the job is over
 )
 
 // submitUntilAccepted submits a job at one node after the other, and reports whether it
 // was accepted.
-func (sim *Simulation) submitUntilAccepted(t *JobScript, begin time.Time, next func() int) bool {
+func (sim *Simulation) submitUntilAccepted(script *JobScript, begin time.Time, next func() int) bool {
 	for {
-		status, _, h := sim.Ask(next(), "POST", jobsPath, Submission(t.Spec))
+		status, _, header := sim.Ask(next(), "POST", jobsPath, Submission(script.Spec))
 		switch {
 		case sim.ctx.Err() != nil:
 			return false
 		case status == 200 || status == 201:
 			return true
-		case status == 400 || status == 422 || time.Since(begin) > submissionPatience:
+		case status == 400 || status == 422 || time.Since(begin) > submissionTimeout:
 			return false
 		}
-		wait := retryPause
-		if s, err := strconv.Atoi(h.Get("Retry-After")); err == nil {
-			wait = max(wait, min(longestRetryPause, time.Duration(s)*time.Second))
+		wait := defaultRetryDelay
+		if seconds, err := strconv.Atoi(header.Get("Retry-After")); err == nil {
+			wait = max(wait, min(maxRetryDelay, time.Duration(seconds)*time.Second))
 		}
 		sleep(sim.ctx, wait)
 	}
@@ -204,21 +204,21 @@
 
 // pollUntilOver polls a job at one node after the other until it is over, and asks to
 // cancel it when its time has come.
-func (sim *Simulation) pollUntilOver(id wire.JobID, begin time.Time, cancel time.Duration, next func() int) {
+func (sim *Simulation) pollUntilOver(id wire.JobID, begin time.Time, cancelAfter time.Duration, next func() int) {
 	path, cancelled := jobsPath+"/"+string(id), false
 	for sim.ctx.Err() == nil {
-		sleep(sim.ctx, pollPause)
-		if cancel > 0 && !cancelled && time.Since(begin) > cancel {
+		sleep(sim.ctx, pollInterval)
+		if cancelAfter > 0 && !cancelled && time.Since(begin) > cancelAfter {
 			status, raw, _ := sim.Ask(next(), "POST", path+"/cancel", nil)
-			var b wire.JobSummary
-			cancelled = status == 200 && wire.Decode(raw, &b) == nil
+			var summary wire.JobSummary
+			cancelled = status == 200 && wire.Decode(raw, &summary) == nil
 		}
 		status, raw, _ := sim.Ask(next(), "GET", path, nil)
 		if sim.ctx.Err() != nil {
 			return
 		}
-		var s wire.JobState
-		if status == 200 && wire.Decode(raw, &s) == nil && s.Status.IsFinal() && time.Since(begin) > cancel+lastPollAfter {
+		var state wire.JobState
+		if status == 200 && wire.Decode(raw, &state) == nil && state.Status.IsFinal() && time.Since(begin) > cancelAfter+pollAfterCancel {
 			return
 		}
 	}
@@ -228,8 +228,8 @@
 func (sim *Simulation) CountEnded(jobs []JobScript) (done, cancelled int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for _, t := range jobs {
-		switch sim.checker.jobs[t.Spec.ID].finalStatus {
+	for _, script := range jobs {
+		switch sim.checker.jobs[script.Spec.ID].finalStatus {
 		case wire.StatusDone:
 			done++
 		case wire.StatusCancelled:
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -36,7 +36,7 @@
 	leaseRenewedAt time.Time // sending time of the last answered report
 	clockRate      float64
 	tasks          map[wire.TaskID]*taskRun
-	cached         map[wire.ImageID]bool
+	cachedImages   map[wire.ImageID]bool
 	wake           chan struct{}
 	restarts       int            // counts the machine's own restarts
 	lastHeartbeat  wire.Heartbeat // the last heartbeat
@@ -62,15 +62,15 @@
 // nextHeartbeat returns a heartbeat with the worker's present state; the caller holds the lock.
 func (m *worker) nextHeartbeat() wire.Heartbeat {
 	m.sequence++
-	r := wire.Heartbeat{Machine: m.id, Addr: m.sim.advertisedAddr(m.addr), Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskStatus{}}
+	heartbeat := wire.Heartbeat{Machine: m.id, Addr: m.sim.advertisedAddr(m.addr), Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskStatus{}}
 	if !m.reclaimAt.IsZero() {
-		left := wire.Seconds(max(0, time.Until(m.reclaimAt).Seconds()))
-		r.SpotNotice = &left
+		remaining := wire.Seconds(max(0, time.Until(m.reclaimAt).Seconds()))
+		heartbeat.SpotNotice = &remaining
 	}
-	for t, x := range m.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.String(), Attempt: x.attempt, Phase: x.phase, Cause: x.cause, CheckpointSaved: x.checkpointed})
+	for task, run := range m.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: task.String(), Attempt: run.attempt, Phase: run.phase, Cause: run.cause, CheckpointSaved: run.checkpointed})
 	}
-	return r
+	return heartbeat
 }
 
 // run serves commands and reports until the machine is gone.
@@ -83,10 +83,10 @@
 	}
 	m.up, m.upAt, m.leaseRenewedAt = true, time.Now(), time.Now()
 	sim.mu.Unlock()
-	s := sim.serve(m.addr, http.HandlerFunc(m.handle))
+	server := sim.serve(m.addr, http.HandlerFunc(m.handle))
 	sim.spawn(func() {
 		<-m.ctx.Done()
-		s.Close()
+		server.Close()
 	})
 	sim.spawn(m.watchLease)
 	m.sendHeartbeats()
@@ -96,10 +96,10 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// redirectPause comes before a heartbeat to the controller that an answer named.
-	redirectPause = 250 * time.Millisecond
-	// failurePause comes before a heartbeat to the next controller.
-	failurePause = time.Second
+	// redirectDelay comes before a heartbeat to the controller that an answer named.
+	redirectDelay = 250 * time.Millisecond
+	// retryDelay comes before a heartbeat to the next controller.
+	retryDelay = time.Second
 	// minHeartbeatInterval is the least time between two heartbeats to the same one.
 	minHeartbeatInterval = 500 * time.Millisecond
 )
@@ -107,23 +107,23 @@
 // sendHeartbeats sends heartbeats to one controller after the other, or the one that
 // an answer names, until the machine is gone.
 func (m *worker) sendHeartbeats() {
-	hc := &http.Client{Transport: m.sim.hostNet(m.ip).Transport(1, 1)}
-	defer hc.CloseIdleConnections()
-	at := 0
+	client := &http.Client{Transport: m.sim.hostNet(m.ip).Transport(1, 1)}
+	defer client.CloseIdleConnections()
+	target := 0
 	for m.ctx.Err() == nil {
-		status, body := m.sendHeartbeatTo(hc, at)
+		status, body := m.sendHeartbeatTo(client, target)
 		if status == http.StatusOK {
 			m.awaitNextHeartbeat()
 			continue
 		}
-		hc.CloseIdleConnections()
-		if next, ok := redirectedTo(status, body); ok && next != at {
-			at = next
-			sleep(m.ctx, redirectPause)
+		client.CloseIdleConnections()
+		if next, ok := redirectedTo(status, body); ok && next != target {
+			target = next
+			sleep(m.ctx, redirectDelay)
 			continue
 		}
-		at = (at + 1) % len(m.sim.controllers)
-		sleep(m.ctx, failurePause)
+		target = (target + 1) % len(m.sim.controllers)
+		sleep(m.ctx, retryDelay)
 	}
 }
 
@@ -137,7 +137,7 @@
 }
 
 // sendHeartbeatTo sends a heartbeat of now to the i-th controller and takes its answer.
-func (m *worker) sendHeartbeatTo(hc *http.Client, i int) (status int, body []byte) {
+func (m *worker) sendHeartbeatTo(client *http.Client, i int) (status int, body []byte) {
 	m.awaitAwake(m.ctx)
 	m.sim.mu.Lock()
 	heartbeat, restarts := m.nextHeartbeat(), m.restarts
@@ -148,15 +148,15 @@
 	if dropped {
 		sleep(m.ctx, heartbeatTimeout)
 	} else {
-		status, body = m.postHeartbeat(hc, "http://"+NodeIP(i)+":8080/hello", heartbeat)
+		status, body = m.postHeartbeat(client, "http://"+NodeIP(i)+":8080/hello", heartbeat)
 	}
 	sleep(m.ctx, m.commandDelay().HeartbeatResponse)
 	if m.awaitAwake(m.ctx); time.Since(sent) > heartbeatTimeout {
 		return 0, nil // it hung meanwhile
 	}
-	var o wire.Commands
-	if status == http.StatusOK && wire.Decode(body, &o) == nil {
-		m.onHeartbeatResponse(&o, restarts, heartbeat.Epoch, sent)
+	var commands wire.Commands
+	if status == http.StatusOK && wire.Decode(body, &commands) == nil {
+		m.onHeartbeatResponse(&commands, restarts, heartbeat.Epoch, sent)
 	}
 	return status, body
 }
@@ -172,10 +172,10 @@
 }
 
 // postHeartbeat posts a heartbeat; status 0: no answer.
-func (m *worker) postHeartbeat(hc *http.Client, url string, v any) (int, []byte) {
+func (m *worker) postHeartbeat(client *http.Client, url string, heartbeat any) (int, []byte) {
 	ctx, cancel := context.WithTimeout(m.ctx, heartbeatTimeout)
 	defer cancel()
-	status, raw, _, err := netio.Call(ctx, hc, "POST", url, v, wire.MaxBody)
+	status, raw, _, err := netio.Call(ctx, client, "POST", url, heartbeat, wire.MaxBody)
 	if err != nil {
 		return 0, nil
 	}
@@ -183,16 +183,16 @@
 }
 
 // onHeartbeatResponse takes the answer of a heartbeat that was sent in the given epoch.
-func (m *worker) onHeartbeatResponse(o *wire.Commands, restarts int, epoch wire.AgentEpoch, sent time.Time) {
+func (m *worker) onHeartbeatResponse(response *wire.Commands, restarts int, epoch wire.AgentEpoch, sent time.Time) {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
-	if m.removed || o.Token < m.token || o.Token == 0 || epoch != m.epoch || restarts != m.restarts {
+	if m.removed || response.Token < m.token || response.Token == 0 || epoch != m.epoch || restarts != m.restarts {
 		return
 	}
-	m.observeToken(o.Token)
+	m.observeToken(response.Token)
 	m.leaseRenewedAt = sent
-	m.execute(o.Commands)
-	m.sim.countLate(sent, o.Commands, wire.VerbForget)
+	m.execute(response.Commands)
+	m.sim.countLate(sent, response.Commands, wire.VerbForget)
 }
 
 // observeToken remembers the highest token that the worker has seen.
@@ -226,10 +226,10 @@
 
 // endAllTasks ends all tasks; the caller holds the lock.
 func (m *worker) endAllTasks() {
-	for t, x := range m.tasks {
-		x.cancel()
+	for t, run := range m.tasks {
+		run.cancel()
 		m.sim.checker.TaskLeft(t, m.id, false)
-		m.sim.onGangTaskLeft(t, x)
+		m.sim.onGangTaskLeft(t, run)
 	}
 	m.tasks = map[wire.TaskID]*taskRun{}
 }
@@ -240,8 +240,8 @@
 	if err != nil {
 		return
 	}
-	came, lag := time.Now(), m.commandDelay()
-	sleep(m.ctx, lag.Command)
+	arrivedAt, delay := time.Now(), m.commandDelay()
+	sleep(m.ctx, delay.Command)
 	m.awaitAwake(m.ctx)
 	m.sim.mu.Lock()
 	if m.removed {
@@ -250,30 +250,30 @@
 	}
 	status := http.StatusOK
 	if r.URL.Path == "/commands" {
-		status = m.onCommands(raw, came, lag)
+		status = m.onCommands(raw, arrivedAt, delay)
 	}
 	heartbeat := m.nextHeartbeat()
 	m.sim.mu.Unlock()
-	sleep(m.ctx, lag.Answer)
+	sleep(m.ctx, delay.Answer)
 	wire.WriteResponse(rw, status, heartbeat)
 }
 
 // onCommands executes a controller's commands if their token and epoch are in force, and
 // returns the status of the answer; the caller holds the lock.
-func (m *worker) onCommands(raw []byte, came time.Time, lag CommandDelay) (status int) {
-	var o wire.Commands
-	err := wire.Decode(raw, &o)
-	m.sim.countLate(came, o.Commands, wire.VerbLaunch, wire.VerbStop)
+func (m *worker) onCommands(raw []byte, arrivedAt time.Time, delay CommandDelay) (status int) {
+	var request wire.Commands
+	err := wire.Decode(raw, &request)
+	m.sim.countLate(arrivedAt, request.Commands, wire.VerbLaunch, wire.VerbStop)
 	switch {
-	case err != nil || o.Token == 0 || o.Epoch == 0:
+	case err != nil || request.Token == 0 || request.Epoch == 0:
 		return http.StatusBadRequest
-	case o.Token < m.token || o.Epoch != m.epoch:
+	case request.Token < m.token || request.Epoch != m.epoch:
 		return http.StatusConflict
 	}
-	m.observeToken(o.Token)
-	m.execute(o.Commands)
-	if len(o.Commands) > 0 {
-		m.sim.countLate(time.Now().Add(-lag.Answer), []wire.Command{{Verb: Answered}}, Answered)
+	m.observeToken(request.Token)
+	m.execute(request.Commands)
+	if len(request.Commands) > 0 {
+		m.sim.countLate(time.Now().Add(-delay.Answer), []wire.Command{{Verb: Answered}}, Answered)
 	}
 	return http.StatusOK
 }
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -8,25 +8,25 @@
 )
 
 // execute carries commands out in order; the caller holds the lock.
-func (m *worker) execute(orders []wire.Command) {
-	for _, o := range orders {
-		t, err := wire.ParseTaskID(o.Task)
+func (m *worker) execute(commands []wire.Command) {
+	for _, command := range commands {
+		t, err := wire.ParseTaskID(command.Task)
 		if err != nil {
 			continue
 		}
-		x := m.tasks[t]
-		listed := x != nil && x.attempt == o.Attempt
-		switch o.Verb {
+		run := m.tasks[t]
+		listed := run != nil && run.attempt == command.Attempt
+		switch command.Verb {
 		case wire.VerbLaunch:
 			if !listed {
-				m.launch(t, o.Attempt, x)
+				m.launch(t, command.Attempt, run)
 			}
 		case wire.VerbStop:
-			if listed && x.phase != wire.PhaseExited {
-				m.stopTask(t, x, o.GracePeriod)
+			if listed && run.phase != wire.PhaseExited {
+				m.stopTask(t, run, command.GracePeriod)
 			}
 		case wire.VerbForget:
-			if listed && x.phase == wire.PhaseExited {
+			if listed && run.phase == wire.PhaseExited {
 				delete(m.tasks, t)
 			}
 		}
@@ -35,34 +35,34 @@
 
 // stopTask stops an attempt of a task, with a checkpoint if it has the time; the caller
 // holds the lock.
-func (m *worker) stopTask(t wire.TaskID, x *taskRun, gracePeriod *wire.Seconds) {
+func (m *worker) stopTask(t wire.TaskID, run *taskRun, gracePeriod *wire.Seconds) {
 	spec := &m.sim.scripts[t.Job].Spec
 	if spec.IsGang() {
-		m.stopGangTask(t, x, gracePeriod)
+		m.stopGangTask(t, run, gracePeriod)
 		return
 	}
 	enoughTime := gracePeriod != nil && *gracePeriod >= spec.CheckpointTime
-	x.checkpointed = x.phase == wire.PhaseRunning && enoughTime && spec.CheckpointInterval > 0
-	if m.startSaving(t, x, gracePeriod) {
+	run.checkpointed = run.phase == wire.PhaseRunning && enoughTime && spec.CheckpointInterval > 0
+	if m.startSaving(t, run, gracePeriod) {
 		return
 	}
-	x.cancel()
-	m.exitTask(t, x, wire.CauseStopped)
+	run.cancel()
+	m.exitTask(t, run, wire.CauseStopped)
 }
 
 // launch starts an attempt of a task, or lists it as refused; call with the lock
 // held.
-func (m *worker) launch(t wire.TaskID, attempt wire.AttemptNumber, old *taskRun) {
+func (m *worker) launch(t wire.TaskID, attempt wire.AttemptNumber, previous *taskRun) {
 	script := m.sim.scripts[t.Job]
-	refuse := func(c wire.ExitCause) {
-		m.tasks[t] = &taskRun{attempt: attempt, phase: wire.PhaseExited, cause: c, cancel: func() {}}
+	refuse := func(cause wire.ExitCause) {
+		m.tasks[t] = &taskRun{attempt: attempt, phase: wire.PhaseExited, cause: cause, cancel: func() {}}
 		m.requestHeartbeat()
 	}
 	switch {
 	case script == nil || t.Index >= script.Spec.Tasks:
 		refuse(wire.CauseNoSuch)
 		return
-	case old != nil && old.phase != wire.PhaseExited:
+	case previous != nil && previous.phase != wire.PhaseExited:
 		return // busy: the running attempt stays listed
 	case m.refusesLaunch():
 		refuse(wire.CauseFull)
@@ -74,32 +74,32 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(m.ctx)
-	x := &taskRun{attempt: attempt, phase: wire.PhaseFetching, cancel: cancel}
-	m.tasks[t] = x
+	run := &taskRun{attempt: attempt, phase: wire.PhaseFetching, cancel: cancel}
+	m.tasks[t] = run
 	m.requestHeartbeat()
 	fetch := time.Duration(0)
-	if !m.cached[script.Spec.Image] {
+	if !m.cachedImages[script.Spec.Image] {
 		fetch = time.Duration(script.Spec.ImageGB / m.spec.FetchGBPerSecond / m.sim.speedOf(m.id) * float64(time.Second))
 	}
 	m.sim.spawn(func() {
 		m.workFor(ctx, fetch)
 		m.awaitUnstalled(ctx)
-		m.runTask(ctx, t, x, script)
+		m.runTask(ctx, t, run, script)
 	})
 }
 
 // runTask runs a task that has its image to its end, or has it join its gang.
-func (m *worker) runTask(ctx context.Context, t wire.TaskID, x *taskRun, script *JobScript) {
+func (m *worker) runTask(ctx context.Context, t wire.TaskID, run *taskRun, script *JobScript) {
 	m.sim.mu.Lock()
-	if ctx.Err() != nil || m.tasks[t] != x {
+	if ctx.Err() != nil || m.tasks[t] != run {
 		m.sim.mu.Unlock()
 		return
 	}
-	m.cached[script.Spec.Image] = true
-	x.phase = wire.PhaseRunning
+	m.cachedImages[script.Spec.Image] = true
+	run.phase = wire.PhaseRunning
 	m.sim.checker.TaskStarted(t, Place{m.id, m.machineType, m.zone, m.spot}, time.Now())
 	if script.Spec.IsGang() {
-		m.joinGang(t, x)
+		m.joinGang(t, run)
 		m.sim.mu.Unlock()
 		return
 	}
@@ -119,8 +119,8 @@
 	}
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
-	if ctx.Err() == nil && m.tasks[t] == x {
-		m.exitTask(t, x, cause)
+	if ctx.Err() == nil && m.tasks[t] == run {
+		m.exitTask(t, run, cause)
 	}
 }
 
@@ -130,17 +130,17 @@
 // startSaving lets a task that was told to stop save first, and reports whether it does.
 // What saves already goes on with it unless it is told to end at once. Call with
 // the lock held.
-func (m *worker) startSaving(t wire.TaskID, x *taskRun, gracePeriod *wire.Seconds) bool {
+func (m *worker) startSaving(t wire.TaskID, run *taskRun, gracePeriod *wire.Seconds) bool {
 	switch {
 	case !m.sim.slowSaves:
 		return false
-	case x.phase == wire.PhaseCheckpointing:
+	case run.phase == wire.PhaseCheckpointing:
 		return gracePeriod != nil && *gracePeriod > 0
-	case !x.checkpointed:
+	case !run.checkpointed:
 		return false
 	}
-	x.cancel()
-	x.phase = wire.PhaseCheckpointing
+	run.cancel()
+	run.phase = wire.PhaseCheckpointing
 	m.requestHeartbeat()
 	checkpointTime := m.sim.scripts[t.Job].Spec.CheckpointTime.Duration()
 	m.sim.spawn(func() {
@@ -148,22 +148,22 @@
 		m.awaitUnstalled(m.ctx)
 		m.sim.mu.Lock()
 		defer m.sim.mu.Unlock()
-		if m.tasks[t] == x && x.phase == wire.PhaseCheckpointing {
-			m.exitTask(t, x, wire.CauseStopped)
+		if m.tasks[t] == run && run.phase == wire.PhaseCheckpointing {
+			m.exitTask(t, run, wire.CauseStopped)
 		}
 	})
 	return true
 }
 
 // exitTask ends a task; the caller holds the lock.
-func (m *worker) exitTask(t wire.TaskID, x *taskRun, c wire.ExitCause) {
-	if x.phase != wire.PhaseFetching {
-		m.sim.checker.TaskLeft(t, m.id, c == wire.CauseDone)
+func (m *worker) exitTask(t wire.TaskID, run *taskRun, cause wire.ExitCause) {
+	if run.phase != wire.PhaseFetching {
+		m.sim.checker.TaskLeft(t, m.id, cause == wire.CauseDone)
 	}
-	if c == wire.CauseError {
+	if cause == wire.CauseError {
 		m.sim.checker.TaskFailed(t, m.id)
 	}
-	x.phase, x.cause = wire.PhaseExited, c
-	m.sim.onGangTaskLeft(t, x)
+	run.phase, run.cause = wire.PhaseExited, cause
+	m.sim.onGangTaskLeft(t, run)
 	m.requestHeartbeat()
 }
