--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -13,8 +13,8 @@
 // CancelTime is the moment at which a user of BurstReaders cancels a job.
 type CancelTime int
 
-// The times: not at all, at once after the acceptance, at the end of the last
-// task, and when the job is over.
+// The values: not at all, at once after the acceptance, when the last task has completed, and
+// after a user was told a final status.
 const (
 	NeverCancel CancelTime = iota
 	CancelAtOnce
@@ -32,15 +32,15 @@
 	CancelOperation Operation = "cancel"
 )
 
-// BurstReaders are users who ask all nodes about their jobs again and again within
-// milliseconds, whenever there is news, and repeat the submission then.
+// BurstReaders are users who, whenever an answer brings a newer status of a job, poll all
+// controllers every few milliseconds for a while, and repeat the submission among the polls.
 type BurstReaders struct {
 	sim    *Simulation
 	mu     sync.Mutex
 	counts map[string]int
-	// BurstInterval is the time between two questions to a controller, BurstLength
-	// for how long they come after each change, and PollInterval the time between
-	// the polls that find the end of a job.
+	// BurstInterval is the time between two requests of a burst to a controller, BurstLength
+	// the duration of a burst, and PollInterval the time between the polls that find the end
+	// of a job.
 	BurstInterval, BurstLength, PollInterval time.Duration
 }
 
@@ -49,9 +49,10 @@
 	return &BurstReaders{sim: sim, counts: map[string]int{}, BurstInterval: 7 * time.Millisecond, BurstLength: 150 * time.Millisecond, PollInterval: 400 * time.Millisecond}
 }
 
-// Count tells how often a question was answered with a status, that left
-// within 50 ms after the news ("done submit 200"), or after the end of the last
-// task and before anybody was told ("ending submit 200").
+// Count returns how often requests of an operation were answered with an HTTP status: all of
+// them ("submit 200"), those that were sent within 50 ms after users were told a job status
+// ("done submit 200"), or those that were sent within 50 ms after the last task completed and
+// before users were told a final status ("ending submit 200").
 func (b *BurstReaders) Count(what string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,7 +66,8 @@
 	return fmt.Sprint(b.counts)
 }
 
-// knownStatus returns what users know of a job now and since when; the caller holds the simulation's lock.
+// knownStatus returns what users were told of a job so far, and when it last changed; the caller
+// holds the lock.
 func (sim *Simulation) knownStatus(id wire.JobID) (knownStatus, time.Time) {
 	j := sim.checker.jobs[id]
 	if j == nil {
@@ -74,7 +76,8 @@
 	return knownStatus{j.accepted, j.finalStatus}, j.completion.statusChangedAt
 }
 
-// Ask sends one request about a job to a node and checks the answer.
+// Ask sends one request about a job to the i-th controller and checks the answer. If the answer
+// brings a newer status, it starts a burst.
 func (b *BurstReaders) Ask(i int, op Operation, script JobScript) (int, wire.JobState) {
 	sim, id := b.sim, script.Spec.ID
 	method, path, body := "GET", jobsPath+"/"+string(id), any(nil)
@@ -101,17 +104,18 @@
 	return status, state
 }
 
-// question is what was known when a question left.
+// sentRequest is what was known of a job when a request was sent.
 type sentRequest struct {
 	before            knownStatus
-	afterStatusChange bool // it left just after the news
-	afterCompletion   bool // it left just after the last task's end, of which nobody was told
+	afterStatusChange bool // within justAfterWindow after users were told a newer status
+	afterCompletion   bool // within justAfterWindow after the last task completed, still untold
 }
 
-// justAfter is how long after an event a question counts as one that met it.
+// justAfterWindow is how long after an event requests are counted as sent just after it.
 const justAfterWindow = 50 * time.Millisecond
 
-// recordQuestion records what is known of a job as a question about it is sent.
+// recordRequest records a cancellation in the checker, and returns what is known of a job as a
+// request about it is sent.
 func (b *BurstReaders) recordRequest(id wire.JobID, op Operation) (sent sentRequest) {
 	b.sim.mu.Lock()
 	defer b.sim.mu.Unlock()
@@ -126,7 +130,7 @@
 	return sent
 }
 
-// checkAnswer has the checker look at an answer, and reports whether it brought news.
+// checkAnswer checks an answer, and reports whether it told users a newer status.
 func (b *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, reported wire.Status, retryAfter bool) bool {
 	sim, now := b.sim, time.Now()
 	sim.mu.Lock()
@@ -143,7 +147,7 @@
 	return current != previous
 }
 
-// countAnswer counts an answer by what its question met.
+// countAnswer counts an answer by operation, status and when its request was sent: see Count.
 func (b *BurstReaders) countAnswer(op Operation, sent sentRequest, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -156,8 +160,8 @@
 	}
 }
 
-// AskAllRepeatedly asks all nodes again and again for a while, without waiting for the
-// answers, and repeats the submission.
+// AskAllRepeatedly sends a burst of polls to all controllers without waiting for the answers.
+// Every fourth request repeats the submission instead.
 func (b *BurstReaders) AskAllRepeatedly(script JobScript) {
 	if b.BurstLength == 0 {
 		return
@@ -176,7 +180,8 @@
 	}
 }
 
-// until repeats a request at all nodes in turn until it is answered.
+// retryUntilAnswered sends a request to each controller in turn, for up to a minute, until it
+// succeeds or is refused for good.
 func (b *BurstReaders) retryUntilAnswered(op Operation, script JobScript, turn int) wire.JobState {
 	for begin := time.Now(); b.sim.ctx.Err() == nil && time.Since(begin) < time.Minute; turn++ {
 		status, state := b.Ask(turn%len(b.sim.controllers), op, script)
@@ -191,8 +196,8 @@
 	return wire.JobState{}
 }
 
-// Submit plays such a user: it submits, cancels as said (so long after the
-// moment), finds the end by polls, and asks to cancel what is done.
+// Submit simulates such a user, who submits a job and polls until it is over. The job is
+// cancelled at cancelTime, with CancelAtOnce and CancelAtEnd so long after it.
 func (b *BurstReaders) Submit(script JobScript, cancelTime CancelTime, after time.Duration) {
 	sim, id := b.sim, script.Spec.ID
 	sim.mu.Lock()
@@ -202,7 +207,7 @@
 	sim.checker.jobs[id].completion.done = ended
 	sim.mu.Unlock()
 	sim.spawn(func() {
-		// What is drawn is the job's own, so that it depends on no order.
+		// Each job has its own random numbers, so that they don't depend on the order of jobs.
 		n, _ := strconv.Atoi(string(id)[len("req-"):])
 		rng := rand.New(rand.NewPCG(uint64(n), 11))
 		turn := rng.IntN(len(sim.controllers))
@@ -226,7 +231,8 @@
 	})
 }
 
-// awaitEnd waits until the last task has completed; false: until all is over.
+// awaitEnd waits until the last task has completed, and returns false if the simulation ended
+// first.
 func (b *BurstReaders) awaitEnd(ended <-chan struct{}) bool {
 	select {
 	case <-ended:
@@ -236,8 +242,8 @@
 	}
 }
 
-// pollUntilOver polls a job until it is over, and then has bursts of questions come
-// again.
+// pollUntilOver polls a job until it is over, cancels it then if cancelTime says so, and sends
+// another burst.
 func (b *BurstReaders) pollUntilOver(script JobScript, cancelTime CancelTime, turn int) {
 	sim := b.sim
 	for sim.ctx.Err() == nil {
@@ -251,7 +257,7 @@
 	if cancelTime == CancelAfterEnd {
 		b.retryUntilAnswered(CancelOperation, script, turn)
 	}
-	// Once more when the job's final record has taken its place.
+	// By now the job's final record has replaced its record.
 	sleep(sim.ctx, 4*time.Second)
 	b.AskAllRepeatedly(script)
 }
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -10,33 +10,32 @@
 // Rule identifies an invariant that the checker enforces.
 type Rule string
 
-// The rules.
+// The rules, each named after its violation.
 const (
-	RanTwice     Rule = "ran_twice"
-	Quota        Rule = "quota"
-	WrongPlace   Rule = "wrong_place"
-	RanCancelled Rule = "ran_cancelled"
-	Forgotten    Rule = "forgotten"
-	Invented     Rule = "invented"
-	NotDone      Rule = "not_done"
-	WentBack     Rule = "went_back"
-	NothingRan   Rule = "nothing_ran"
-	// Unserved is checked at the end of a day: half of each class, of each
-	// team and of each class's largest jobs must have begun, the largest ones
-	// within four minutes.
+	RanTwice     Rule = "ran_twice"     // a task was on two machines at once
+	Quota        Rule = "quota"         // a team used more than its limit
+	WrongPlace   Rule = "wrong_place"   // a task was on a machine that its job doesn't allow
+	RanCancelled Rule = "ran_cancelled" // a cancelled task was on a machine after the cancel timeout
+	Forgotten    Rule = "forgotten"     // an accepted job was denied, created again, or not to be polled
+	Invented     Rule = "invented"      // a request about a job that was never submitted succeeded
+	NotDone      Rule = "not_done"      // a job was called done before its last task completed, or a service was
+	WentBack     Rule = "went_back"     // a status contradicted an earlier one, or nobody had asked to cancel
+	NothingRan   Rule = "nothing_ran"   // no task was started in the whole run
+	// Unserved: by the end of a run, less than half of the jobs of a class or of a team had
+	// started, or less than half of the largest jobs of a class within four minutes.
 	Unserved Rule = "unserved"
-	// AcceptedWrongly: a submission that is malformed or can never run was
-	// accepted; RefusedWrongly: one that is neither was answered 400 or 422.
+	// AcceptedWrongly: a submission that is malformed or can never run was accepted.
+	// RefusedWrongly: one that is neither was answered 400 or 422.
 	AcceptedWrongly Rule = "accepted_wrongly"
 	RefusedWrongly  Rule = "refused_wrongly"
-	// LeftWaiting: while all was calm a job started nothing although a machine
-	// that fits had room all that time and its team was under its limit.
+	// LeftWaiting: while there was no fault, a job started no task although a suitable
+	// machine had room all that time and the job's team was below its limit.
 	LeftWaiting Rule = "left_waiting"
 	// HalfRun: a gang ran without some of its tasks.
 	HalfRun Rule = "half_run"
 )
 
-// MissingRetryAfter is broken by a refusal for now that does not say when to come back.
+// MissingRetryAfter is broken by an answer 429 or 503 without a Retry-After header.
 const MissingRetryAfter Rule = "no_retry_after"
 
 // Violation is one breach of a rule.
@@ -57,33 +56,33 @@
 // TeamLimit is the quota of a team; 0 means no limit.
 type TeamLimit struct{ CPUs, GPUs float64 }
 
-// Checker watches what the fakes see and notes every broken rule. It is
-// fed by calls only and takes the time from its caller.
+// Checker records every violation of a rule. It acts only when the fakes report to it what they
+// see, and takes the time from its caller, except for the time of a job's completion.
 type Checker struct {
 	CancelTimeout time.Duration
 	Limits        map[wire.TeamID]TeamLimit
-	MachineSpecs  []wire.MachineSpec // nil: not known, and what fits is not judged
+	MachineSpecs  []wire.MachineSpec // nil: unknown; nothing is checked against machine sizes
 	Violations    []Violation
 
 	jobs    map[wire.JobID]*jobHistory
 	placeOf map[wire.TaskID]Place
 	starts  int
-	// again counts the starts of tasks that had been started before.
+	// restarts counts the starts of tasks that had been started before.
 	restarts    int
 	everStarted map[wire.TaskID]bool
-	// lastAnswered is when a user's poll was last answered.
+	// lastAnswered is when a poll, or any request of BurstReaders, last succeeded.
 	lastAnswered time.Time
-	// polls of all users.
+	// polls counts the polls of all users.
 	polls pollCount
-	// calm is since when all faults are over, by the test's word; zero: not
-	// yet. quiet is the same by what the simulation sees.
+	// faultsOverSince is since when all faults are over as the test reports, noFaultSince as
+	// the simulation sees; zero: a fault is active.
 	faultsOverSince, noFaultSince time.Time
-	// late counts starts after a cancellation was confirmed, lateDone polls
-	// that were not told done in time.
+	// lateStarts counts the starts after a cancellation was confirmed, lateDone the polls
+	// that were not answered with the end of a job in time.
 	lateStarts, lateDone int
-	// latestTime is the latestTime time that the checker was told.
+	// latestTime is the latest time that a caller passed.
 	latestTime time.Time
-	// submittedIDs are the ids that some submission named, in whatever form.
+	// submittedIDs are the job IDs of all submissions, also of malformed ones.
 	submittedIDs map[wire.JobID]bool
 }
 
@@ -91,17 +90,17 @@
 type jobHistory struct {
 	spec              wire.JobSpec
 	accepted          bool
-	finalStatus       wire.Status // the final state that a user was told
+	finalStatus       wire.Status // the final status that a user was told
 	finalToldAt       time.Time
 	cancelRequested   bool
 	cancelRequestedAt time.Time // when its user first asked to cancel
-	cancelToldAt      time.Time // when a user was told
-	overstayRecorded  bool      // noted that it outlives its cancellation
+	cancelToldAt      time.Time // when a user was told of the cancellation
+	overstayRecorded  bool      // a violation was recorded for tasks left after the cancel timeout
 	completedTasks    map[int]bool
-	completionSeenAt  time.Time // of the last task
-	notDoneToldAt     time.Time // when a user was told last that it goes on nevertheless
-	unansweredSince   time.Time // since when every poll failed
-	pollsBaseline     pollCount // all polls until then, and its own since
+	completionSeenAt  time.Time // when Tick first saw all tasks completed
+	notDoneToldAt     time.Time // when a late poll was last answered with a status that is not final
+	unansweredSince   time.Time // since when every poll for the job has failed
+	pollsBaseline     pollCount // all polls before unansweredSince, and the job's own since
 	submittedAt       time.Time // of the first attempt to submit
 	acceptedAt        time.Time // of the acceptance
 	startedAt         time.Time // of the first task
@@ -109,15 +108,16 @@
 	waits             waitHistory
 }
 
-// pollCount counts polls by whether they were answered.
+// pollCount counts polls that were answered 200 or 404, and all others.
 type pollCount struct{ answered, failed int }
 
-// NewChecker returns a checker for jobs whose tasks must be gone within the cancel timeout.
+// NewChecker returns a checker. The tasks of a cancelled job must be gone within the cancel
+// timeout.
 func NewChecker(cancelTimeout time.Duration, limits map[wire.TeamID]TeamLimit) *Checker {
 	return &Checker{CancelTimeout: cancelTimeout, Limits: limits, jobs: map[wire.JobID]*jobHistory{}, placeOf: map[wire.TaskID]Place{}, everStarted: map[wire.TaskID]bool{}, submittedIDs: map[wire.JobID]bool{}}
 }
 
-// observeTime advances the latest time that the checker knows.
+// observeTime advances the latest time that a caller passed.
 func (c *Checker) observeTime(now time.Time) {
 	if now.After(c.latestTime) {
 		c.latestTime = now
@@ -129,10 +129,10 @@
 	c.Violations = append(c.Violations, Violation{rule, fmt.Sprintf(format, args...), at})
 }
 
-// FaultsOver records that no fault lasts from now on.
+// FaultsOver records that all faults are over from now on.
 func (c *Checker) FaultsOver(now time.Time) { c.faultsOverSince = now }
 
-// ObserveFaults notes whether the simulation sees a fault now; over since a time.
+// ObserveFaults records whether the simulation sees no fault now, and since when.
 func (c *Checker) ObserveFaults(since time.Time, noFault bool) {
 	if !noFault {
 		since = time.Time{}
@@ -140,15 +140,16 @@
 	c.noFaultSince = since
 }
 
-// faultsOverFor reports whether all faults have been over for so long.
+// faultsOverFor reports whether all faults have been over for more than a duration, as the test
+// reports or as the simulation sees.
 func (c *Checker) faultsOverFor(now time.Time, duration time.Duration) bool {
 	return !c.faultsOverSince.IsZero() && now.Sub(c.faultsOverSince) > duration || !c.noFaultSince.IsZero() && now.Sub(c.noFaultSince) > duration
 }
 
-// largestStartWithin is when the largest jobs must have begun.
+// largestStartWithin is how soon after their submission the largest jobs must have started.
 const largestStartWithin = 4 * time.Minute
 
-// checkAllServed checks that no class, team or size was left out.
+// checkAllServed checks the rule Unserved.
 func (c *Checker) checkAllServed(now time.Time) {
 	type tally struct{ all, served int }
 	tallies := map[string]*tally{}
@@ -168,8 +169,7 @@
 		largest[j.spec.Class] = max(largest[j.spec.Class], j.spec.Tasks)
 	}
 	for _, j := range c.jobs {
-		// A job whose user gave it up in time, or that is too young, tells
-		// nothing.
+		// Jobs that were cancelled early or submitted late had no time to start.
 		if !j.accepted || j.cancelRequested && j.cancelRequestedAt.Sub(j.submittedAt) < largestStartWithin || now.Sub(j.submittedAt) < largestStartWithin {
 			continue
 		}
@@ -186,7 +186,7 @@
 	}
 }
 
-// Finish makes the checks that need the whole run.
+// Finish makes the checks that need the whole run, at its end.
 func (c *Checker) Finish(now time.Time) {
 	c.checkAllServed(now)
 	if c.starts == 0 {
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -30,7 +30,7 @@
 	j.unansweredSince = time.Time{}
 }
 
-// recordAccepted records that a user knows that the job is accepted.
+// recordAccepted records that a user was told that the job is accepted.
 func (c *Checker) recordAccepted(j *jobHistory, now time.Time) {
 	if !j.accepted {
 		j.accepted, j.acceptedAt = true, now
@@ -54,14 +54,14 @@
 	}
 }
 
-// CancelRequested records that a user asks to cancel a job.
+// CancelRequested records that a user sends a request to cancel a job.
 func (c *Checker) CancelRequested(id wire.JobID) {
 	if j := c.jobs[id]; j != nil && !j.cancelRequested {
 		j.cancelRequested, j.cancelRequestedAt = true, c.latestTime
 	}
 }
 
-// SubmissionAnswered checks the answer to a submission that was sent at the time asked.
+// SubmissionAnswered checks the answer to a submission that was sent at sentAt.
 func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, sentAt, now time.Time) {
 	var sent, got wire.JobSummary
 	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// CancelAnswered checks the answer to a cancellation that was sent at the time asked.
+// CancelAnswered checks the answer to a cancellation that was sent at sentAt.
 func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -103,8 +103,7 @@
 	c.PollAnswered(id, status, st, now, now)
 }
 
-// PollAnswered notes the answer to a poll that was sent at a certain time; status
-// 0: none.
+// PollAnswered checks the answer to a poll that was sent at sentAt; status 0 means no answer.
 func (c *Checker) PollAnswered(id wire.JobID, status int, st wire.Status, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -119,7 +118,7 @@
 			c.violated(now, Invented, "%s answered %s", id, st)
 		}
 	case status == 404 && j != nil && j.accepted:
-		// Not so if the question was on its way when its user was told.
+		// A poll sent before the acceptance was reported may be answered 404.
 		if !sentAt.Before(j.acceptedAt) {
 			c.violated(now, Forgotten, "%s answered 404", id)
 		}
@@ -130,7 +129,8 @@
 	}
 }
 
-// doneReportedWithin is how soon after its last task's end a poll must be answered with it.
+// doneReportedWithin is how soon after the end of a job's last task polls must be answered with
+// the final status.
 const doneReportedWithin = 3 * time.Second
 
 // pollSucceeded checks the status in the answer to a poll.
@@ -145,13 +145,13 @@
 	}
 }
 
-// How long all polls for a job may fail.
+// Limits of how long all polls for a job may fail.
 const (
-	// unansweredLimit is the limit while polls for other jobs are answered: most of them,
-	// or one in the last answeredRecently.
-	unansweredLimit = 90 * time.Second
-	recentAnswer    = 10 * time.Second
-	// unansweredLimitWithoutFault is the limit once all faults have been over for as long.
+	// unansweredLimit applies while polls for other jobs are answered: most of them,
+	// or one within recentAnswerWindow.
+	unansweredLimit    = 90 * time.Second
+	recentAnswerWindow = 10 * time.Second
+	// unansweredLimitWithoutFault applies once all faults have been over for as long.
 	unansweredLimitWithoutFault = 75 * time.Second
 )
 
@@ -160,10 +160,10 @@
 	if j.unansweredSince.IsZero() {
 		j.unansweredSince, j.pollsBaseline = sentAt, pollCount{c.polls.answered, c.polls.failed - 1}
 	}
-	j.pollsBaseline.failed++ // its own
+	j.pollsBaseline.failed++ // excludes the job's own polls from the comparison
 	unanswered := now.Sub(j.unansweredSince)
 	mostAnswered := c.polls.answered-j.pollsBaseline.answered > c.polls.failed-j.pollsBaseline.failed
-	othersAnswered := mostAnswered || now.Sub(c.lastAnswered) < recentAnswer
+	othersAnswered := mostAnswered || now.Sub(c.lastAnswered) < recentAnswerWindow
 	withoutFault := c.faultsOverFor(now, unansweredLimitWithoutFault) && unanswered > unansweredLimitWithoutFault
 	if unanswered > unansweredLimit && othersAnswered || withoutFault {
 		c.violated(now, Forgotten, "every poll for %s fails", id)
@@ -171,14 +171,14 @@
 	}
 }
 
-// StatusToldNow checks a status that some answer showed to a user now.
+// StatusToldNow checks a status that an answer to a request sent now reports to a user.
 func (c *Checker) StatusToldNow(id wire.JobID, st wire.Status, now time.Time) {
 	c.StatusTold(id, st, now, now)
 }
 
-// StatusTold notes a state that a user was told in answer to a question that
-// was sent at a certain time: what was on its way when a newer answer arrived
-// may be older. Final states exclude each other whenever they were asked for.
+// StatusTold checks a status that a user was told in answer to a request that was sent at
+// sentAt. An answer to a request that was sent before a final status was reported may be
+// older and not final. Two different final statuses are a violation in any order.
 func (c *Checker) StatusTold(id wire.JobID, st wire.Status, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -207,14 +207,14 @@
 	}
 }
 
-// endHistory is what the checker keeps of a job for burst readers.
+// endHistory is what the checker records of a job for BurstReaders.
 type endHistory struct {
-	done            chan struct{} // closed when the last task has completed
+	done            chan struct{} // closed when the last task has completed; may be nil
 	endedAt         time.Time
-	statusChangedAt time.Time // when the newest answer arrived
+	statusChangedAt time.Time // when users were last told something new
 }
 
-// knownStatus is the newest that users had been told of a job when a question left.
+// knownStatus is what users had been told of a job when a request was sent.
 type knownStatus struct {
 	accepted bool
 	final    wire.Status
@@ -230,9 +230,8 @@
 	return "new"
 }
 
-// answered checks an answer against what had been told when its question left.
-// Answers to questions that crossed each other may come in either order, but
-// there is one end only.
+// answered checks an answer against what users had been told when the request was sent.
+// Answers to concurrent requests may come in any order, but a job has one final status.
 func (c *Checker) answered(id wire.JobID, before knownStatus, op Operation, status int, st wire.Status, now time.Time) {
 	j := c.jobs[id]
 	switch {
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -8,13 +8,13 @@
 	"lilaclead/internal/wire"
 )
 
-// Complete reports whether every task of the job has completed.
+// Complete reports whether every task of a job has completed.
 func (c *Checker) Complete(id wire.JobID) bool {
 	j := c.jobs[id]
 	return j != nil && len(j.completedTasks) == j.spec.Tasks
 }
 
-// Completed counts the job's tasks that have completed.
+// Completed counts the tasks of a job that have completed.
 func (c *Checker) Completed(id wire.JobID) int {
 	if j := c.jobs[id]; j != nil {
 		return len(j.completedTasks)
@@ -22,7 +22,7 @@
 	return 0
 }
 
-// Finished counts the jobs that users were told the end of.
+// Finished counts the jobs of which users were told a final status.
 func (c *Checker) Finished() (done, cancelled int) {
 	for _, j := range c.jobs {
 		switch j.finalStatus {
@@ -57,7 +57,7 @@
 	return n
 }
 
-// CPUsUsed returns how many processors a team's tasks use that are on machines.
+// CPUsUsed returns the CPUs of a team's tasks that are on machines.
 func (c *Checker) CPUsUsed(team wire.TeamID) float64 {
 	n := 0.0
 	for t := range c.placeOf {
@@ -80,7 +80,8 @@
 	return n
 }
 
-// TimeToStart returns how long a job waited for its first task; false: it still waits.
+// TimeToStart returns the time from the acceptance of a job to the start of its first task,
+// false if none has started.
 func (c *Checker) TimeToStart(id wire.JobID) (time.Duration, bool) {
 	j := c.jobs[id]
 	return j.startedAt.Sub(j.acceptedAt), !j.startedAt.IsZero()
@@ -113,10 +114,10 @@
 	return out
 }
 
-// Told is how much users were told of a job; more is newer.
+// Told is how much users were told of a job; it only grows.
 type Told int
 
-// The steps: nothing, that the job is accepted, and that it is done or cancelled.
+// The values: nothing, that the job is accepted, and that it is done or cancelled.
 const (
 	ToldNothing Told = iota
 	ToldAccepted
@@ -153,12 +154,12 @@
 	return ToldNothing
 }
 
-// LateStarts counts the starts after a user was told that the job is cancelled,
-// also those within the time in which its tasks must be gone.
+// LateStarts counts the starts of tasks after a user was told that the job is cancelled, also
+// those within the cancel timeout.
 func (c *Checker) LateStarts() int { return c.lateStarts }
 
-// LateDone counts the polls that were sent more than 3 s after a job's last task
-// had completed and were not answered with its end.
+// LateDone counts the polls that were sent more than 3 s after a job's last task had
+// completed and were not answered with a final status.
 func (c *Checker) LateDone() int { return c.lateDone }
 
 // Restarts counts the starts of tasks that had been started before.
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -34,7 +34,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// SubmissionSent checks the answer to a submission, whose body may be malformed.
+// SubmissionSent records a submission, whose body may be malformed, and checks its answer;
+// status 0 means no answer yet.
 func (c *Checker) SubmissionSent(raw []byte, status int, now time.Time) {
 	var fields map[string]any
 	undecodable := wire.Decode(raw, &fields) != nil
@@ -58,11 +59,11 @@
 	}
 }
 
-// jobIDPattern matches the names of jobs.
+// jobIDPattern matches well-formed job IDs.
 var jobIDPattern = regexp.MustCompile(`^req-[0-9]{6,}$`)
 
-// whyMalformed says what is wrong with a submission by PROTOCOL's table; empty:
-// nothing. It judges by itself, not as the nodes do.
+// whyMalformed returns what is wrong with a submission according to the table in PROTOCOL,
+// empty if nothing is. It shares no code with the controllers, so that it finds their mistakes.
 func whyMalformed(fields map[string]any) string {
 	textFields := []string{"nameId", "lane", "owner", "shape", "urgency", "bundle"}
 	amountFields := []string{"parts", "cpus", "cards", "ramGb", "imageGb", "expectedS", "snapshotEveryS", "snapshotS"}
@@ -111,7 +112,7 @@
 	return ""
 }
 
-// number reads a number of any kind.
+// number converts a decoded number of any type to a float64.
 func number(v any) (float64, bool) {
 	switch x := v.(type) {
 	case uint64:
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -26,7 +26,7 @@
 	}
 	c.recordOnMachine(t, j, p, now, "starts")
 	if j.startedAt.IsZero() && !j.spec.IsGang() {
-		j.startedAt = now // a gang begins when all of it runs
+		j.startedAt = now // a gang starts when all of its tasks run: see GangBegan
 	}
 	spec := &j.spec
 	if p.Spot && !spec.SpotAllowed || spec.Zone != "" && spec.Zone != p.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, p.Type) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// TaskResumed notes that a task goes on after its machine hung: like a start, but
-// for what depends on where it was started.
+// TaskResumed records that a task resumes after its machine hung. It is checked like a start,
+// except for the placement rules.
 func (c *Checker) TaskResumed(t wire.TaskID, p Place, now time.Time) {
 	c.observeTime(now)
 	if j := c.jobs[t.Job]; j != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// recordOnMachine records that a task starts or resumes on a machine.
+// recordOnMachine records that a task starts or resumes on a machine; verb says which.
 func (c *Checker) recordOnMachine(t wire.TaskID, j *jobHistory, p Place, now time.Time, verb string) {
 	if place, on := c.placeOf[t]; on && place.Machine != p.Machine {
 		c.violated(now, RanTwice, "%s is on %s and %s on %s", t, place.Machine, verb, p.Machine)
@@ -87,7 +87,8 @@
 	}
 }
 
-// TaskFailed records that a task failed: it may be retried later, and elsewhere.
+// TaskFailed records that a task failed on a machine. The machine then no longer counts as one
+// beside which the job is left waiting, as the task may be retried later and elsewhere.
 func (c *Checker) TaskFailed(t wire.TaskID, m wire.MachineID) {
 	if j := c.jobs[t.Job]; j != nil {
 		j.waits.end()
@@ -98,7 +99,7 @@
 	}
 }
 
-// recordCompletion records the completion of the job once its last task has completed.
+// recordCompletion records the time of completion once the last task has completed.
 func (j *jobHistory) recordCompletion() {
 	if len(j.completedTasks) == j.spec.Tasks && j.completion.endedAt.IsZero() {
 		j.completion.endedAt = time.Now()
@@ -108,11 +109,12 @@
 	}
 }
 
-// Tick looks for tasks of cancelled jobs that are still on a machine.
+// Tick checks for tasks of cancelled jobs that are still on a machine after the cancel timeout,
+// and records the jobs whose last task has completed.
 func (c *Checker) Tick(now time.Time) {
 	c.observeTime(now)
 	for t, p := range c.placeOf {
-		// Once for each job is enough.
+		// One violation per job is enough.
 		if j := c.jobs[t.Job]; !j.overstayRecorded && !j.cancelToldAt.IsZero() && now.Sub(j.cancelToldAt) > c.CancelTimeout {
 			c.violated(now, RanCancelled, "%s still on %s", t, p.Machine)
 			j.overstayRecorded = true
@@ -125,7 +127,7 @@
 	}
 }
 
-// GangBegan records that a gang runs and checks that all its tasks are on machines.
+// GangBegan records that a gang starts to run and checks that all its tasks are on machines.
 func (c *Checker) GangBegan(id wire.JobID, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -140,7 +142,7 @@
 	}
 }
 
-// GangDone records that a gang has completed: its tasks complete together.
+// GangDone records that a gang has completed. All its tasks complete together.
 func (c *Checker) GangDone(id wire.JobID) {
 	if j := c.jobs[id]; j != nil {
 		for i := range j.spec.Tasks {
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -8,10 +8,10 @@
 	"lilaclead/internal/wire"
 )
 
-// freeMachine is a machine with room for two tasks of the tests' job.
+// freeMachine is a machine with room for two tasks of the jobs under test.
 var freeMachine = MachineRoom{Place: Place{Machine: "n-1", Type: "c4", Zone: "a"}, Usable: true, CPUs: 8, MemoryGB: 8, DiskGB: 20}
 
-// observeRoom shows that machine, and no fault, for some seconds.
+// observeRoom shows freeMachine and no fault to the checker for some seconds.
 func observeRoom(c *Checker, seconds int) {
 	t0 := time.Unix(1000, 0)
 	for s := range seconds {
@@ -20,16 +20,15 @@
 	}
 }
 
-// encodedSubmission is a submission as a user sends it.
+// encodedSubmission returns the body of a request to submit a job.
 func encodedSubmission(s wire.JobSpec) []byte { return wire.Encode(Submission(s)) }
 
-// encodedSummary is an answer about a job.
+// encodedSummary returns the body of an answer about a job.
 func encodedSummary(id wire.JobID, st wire.Status) []byte {
 	return wire.Encode(wire.JobSummary{ID: id, Status: st})
 }
 
-// A checker that can't fail proves nothing: each rule is broken here once,
-// deliberately, and must be the one that is noted.
+// The checker must record each rule as the first violation when a case violates it.
 func TestEveryRuleCanBeViolated(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	spec := wire.JobSpec{ID: "req-1", Team: "red", Tasks: 4, CPUs: 4, Spread: true}
@@ -53,51 +52,51 @@
 				c.TaskStarted(task(i), here, t0)
 			}
 		}},
-		"starts after a cancel": {RanCancelled, func(c *Checker) {
+		"starts after the cancel timeout": {RanCancelled, func(c *Checker) {
 			c.CancelRequested("req-1")
 			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.TaskStarted(task(0), here, t0.Add(11*time.Second))
 		}},
-		"stays after a cancel": {RanCancelled, func(c *Checker) {
+		"stays after the cancel timeout": {RanCancelled, func(c *Checker) {
 			c.TaskStarted(task(0), here, t0)
 			c.CancelRequested("req-1")
 			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.Tick(t0.Add(11 * time.Second))
 		}},
-		"answered 404":        {Forgotten, func(c *Checker) { c.PollAnsweredNow("req-1", 404, "", t0) }},
-		"repeat answered 422": {Forgotten, func(c *Checker) { c.Refused("req-1", 422, t0) }},
-		"never submitted":     {Invented, func(c *Checker) { c.PollAnsweredNow("req-9", 200, wire.StatusQueued, t0) }},
-		"done too early":      {NotDone, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.StatusDone, t0) }},
-		"cancelled by nobody": {WentBack, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.StatusCancelled, t0) }},
-		"final and then otherwise": {WentBack, func(c *Checker) {
+		"poll answered 404":                {Forgotten, func(c *Checker) { c.PollAnsweredNow("req-1", 404, "", t0) }},
+		"repeated submission answered 422": {Forgotten, func(c *Checker) { c.Refused("req-1", 422, t0) }},
+		"never submitted":                  {Invented, func(c *Checker) { c.PollAnsweredNow("req-9", 200, wire.StatusQueued, t0) }},
+		"done before its tasks":            {NotDone, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.StatusDone, t0) }},
+		"cancelled without a request":      {WentBack, func(c *Checker) { c.PollAnsweredNow("req-1", 200, wire.StatusCancelled, t0) }},
+		"not final after a final status": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
 			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.PollAnsweredNow("req-1", 200, wire.StatusRunning, t0)
 		}},
-		"polls fail when all is well": {Forgotten, func(c *Checker) {
+		"polls fail without a fault": {Forgotten, func(c *Checker) {
 			c.FaultsOver(t0)
 			for s := range 80 {
 				c.PollAnsweredNow("req-1", 503, "", t0.Add(time.Duration(s)*time.Second))
 			}
 		}},
-		"a class never begins": {Unserved, func(c *Checker) {
+		"a class never starts": {Unserved, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Class: "other", Team: "blue"})
 			c.TaskStarted(wire.TaskID{Job: "req-2"}, here, t0)
 			c.Finish(t0.Add(5 * time.Minute))
 		}},
-		"the largest begin late": {Unserved, func(c *Checker) {
+		"the largest jobs start late": {Unserved, func(c *Checker) {
 			c.TaskStarted(task(0), here, t0.Add(250*time.Second))
 			c.Finish(t0.Add(5 * time.Minute))
 		}},
-		"goes on elsewhere after a hang": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskResumed(task(0), there, t0) }},
-		"goes on after a hang though cancelled": {RanCancelled, func(c *Checker) {
+		"resumes elsewhere after a hang": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskResumed(task(0), there, t0) }},
+		"resumes after a hang though cancelled": {RanCancelled, func(c *Checker) {
 			c.TaskStarted(task(0), here, t0)
 			c.TaskLeft(task(0), "n-1", false)
 			c.CancelRequested("req-1")
 			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.TaskResumed(task(0), here, t0.Add(11*time.Second))
 		}},
-		"one zone, elsewhere": {WrongPlace, func(c *Checker) {
+		"tasks of a same-zone job in two zones": {WrongPlace, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 2, CPUs: 1, SameZone: true})
 			c.TaskStarted(wire.TaskID{Job: "req-2", Index: 0}, here, t0)
 			c.TaskStarted(wire.TaskID{Job: "req-2", Index: 1}, there, t0)
@@ -116,7 +115,7 @@
 			c.TaskLeft(wire.TaskID{Job: "req-2"}, "n-1", true)
 			c.StatusToldNow("req-2", wire.StatusDone, t0)
 		}},
-		"404 after a poll that knew it": {Forgotten, func(c *Checker) {
+		"404 after a poll was answered 200": {Forgotten, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 1, CPUs: 1})
 			c.PollAnsweredNow("req-2", 200, wire.StatusQueued, t0)
 			c.PollAnsweredNow("req-2", 404, "", t0.Add(time.Second))
@@ -125,12 +124,12 @@
 		"accepted anew": {Forgotten, func(c *Checker) {
 			c.SubmissionAnswered(encodedSubmission(spec), 201, encodedSummary("req-1", wire.StatusQueued), t0, t0)
 		}},
-		"a repeat is answered an older": {WentBack, func(c *Checker) {
+		"a repeated submission is answered an older status": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
 			c.StatusToldNow("req-1", wire.StatusCancelled, t0)
 			c.SubmissionAnswered(encodedSubmission(spec), 200, encodedSummary("req-1", wire.StatusQueued), t0, t0)
 		}},
-		"asked before, and two ends": {WentBack, func(c *Checker) {
+		"poll sent before, answered another final status": {WentBack, func(c *Checker) {
 			c.CancelRequested("req-1")
 			for i := range 4 {
 				c.TaskStarted(task(i), Place{Machine: "n-1", Zone: wire.Zone(rune('a' + i))}, t0)
@@ -139,11 +138,11 @@
 			c.StatusToldNow("req-1", wire.StatusDone, t0.Add(2*time.Second))
 			c.PollAnswered("req-1", 200, wire.StatusCancelled, t0, t0.Add(3*time.Second))
 		}},
-		"cancellation of nothing": {Invented, func(c *Checker) {
+		"cancellation of an unknown job succeeds": {Invented, func(c *Checker) {
 			c.CancelAnswered("req-9", 200, encodedSummary("req-9", wire.StatusCancelled), t0, t0)
 		}},
-		"accepts what nobody sent": {Invented, func(c *Checker) { c.Accepted("req-9", t0) }},
-		"polls fail although few others do": {Forgotten, func(c *Checker) {
+		"accepted without a submission": {Invented, func(c *Checker) { c.Accepted("req-9", t0) }},
+		"polls fail while most others succeed": {Forgotten, func(c *Checker) {
 			for s := range 100 {
 				now := t0.Add(time.Duration(s) * time.Second)
 				c.PollAnsweredNow("req-1", 503, "", now)
@@ -173,12 +172,12 @@
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindService, Tasks: 3, CPUs: 4})
 			c.Accepted("req-2", t0)
 		}},
-		"what could run is refused": {RefusedWrongly, func(c *Checker) {
+		"a job that can run is refused": {RefusedWrongly, func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 3, CPUs: 4})
 			c.Refused("req-2", 422, t0)
 		}},
 		"left waiting": {LeftWaiting, func(c *Checker) { observeRoom(c, 100) }},
-		"left waiting, its results lost": {LeftWaiting, func(c *Checker) {
+		"left waiting after its completions were lost": {LeftWaiting, func(c *Checker) {
 			for i := range 4 {
 				c.TaskLeft(task(i), "n-9", true)
 			}
@@ -190,7 +189,7 @@
 				c.ObserveRoom([]MachineRoom{freeMachine}, now)
 			}
 		}},
-		"left waiting after a trouble": {LeftWaiting, func(c *Checker) {
+		"left waiting after a fault": {LeftWaiting, func(c *Checker) {
 			observeRoom(c, 80)
 			c.ObserveFaults(time.Time{}, false)
 			c.ObserveRoom([]MachineRoom{freeMachine}, t0)
@@ -219,12 +218,13 @@
 		c.Accepted("req-1", t0)
 		test.violate(c)
 		if len(c.Violations) == 0 || c.Violations[0].Rule != test.rule {
-			t.Errorf("%s: noted %v, want %s", name, c.Violations, test.rule)
+			t.Errorf("%s: recorded %v, want %s first", name, c.Violations, test.rule)
 		}
 	}
 }
 
-// What breaks no rule must not be noted, or the tests would be eased.
+// The checker must record no violation for allowed behaviour. Otherwise tests would fail without a
+// fault, and would have to be weakened.
 func TestAllowedBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	after := func(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
@@ -244,26 +244,26 @@
 		}
 	}
 	cases := map[string]func(c *Checker){
-		"an answer on its way while a newer one came": func(c *Checker) {
+		"an older answer arrives after a newer one": func(c *Checker) {
 			c.CancelRequested("req-1")
 			c.PollAnswered("req-1", 200, wire.StatusCancelled, after(1), after(2))
 			c.PollAnswered("req-1", 200, wire.StatusRunning, after(1), after(3))
 		},
-		"a 404 that was on its way": func(c *Checker) { c.PollAnswered("req-1", 404, "", after(-1), after(1)) },
-		"no room":                   waiting(with(func(r *MachineRoom) { r.CPUs = 3 })),
-		"no memory":                 waiting(with(func(r *MachineRoom) { r.MemoryGB = 3 })),
-		"not up, or faulty":         waiting(with(func(r *MachineRoom) { r.Usable = false })),
-		"a spot machine":            waiting(with(func(r *MachineRoom) { r.Spot = true })),
-		"an image too large":        waiting(with(func(r *MachineRoom) { r.DiskGB = 0.5 })),
-		"the team at its limit":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
-		"half is there already":     waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
-		"all of it runs": func(c *Checker) {
+		"404 to a poll sent before the acceptance": func(c *Checker) { c.PollAnswered("req-1", 404, "", after(-1), after(1)) },
+		"no room":                              waiting(with(func(r *MachineRoom) { r.CPUs = 3 })),
+		"no memory":                            waiting(with(func(r *MachineRoom) { r.MemoryGB = 3 })),
+		"not up, or faulty":                    waiting(with(func(r *MachineRoom) { r.Usable = false })),
+		"a spot machine":                       waiting(with(func(r *MachineRoom) { r.Spot = true })),
+		"an image too large":                   waiting(with(func(r *MachineRoom) { r.DiskGB = 0.5 })),
+		"the team at its limit":                waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
+		"a zone has its share of a spread job": waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
+		"all its tasks run": func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
 			c.Accepted("req-3", t0)
 			c.CancelRequested("req-1")
 			waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-3"}} }))(c)
 		},
-		"something starts now and then": func(c *Checker) {
+		"a task starts now and then": func(c *Checker) {
 			for s := range 200 {
 				c.ObserveFaults(t0, true)
 				if s%80 == 79 {
@@ -272,19 +272,19 @@
 				c.ObserveRoom([]MachineRoom{freeMachine}, after(float64(s)))
 			}
 		},
-		"troubles between": func(c *Checker) {
+		"faults now and then": func(c *Checker) {
 			for s := range 200 {
 				c.ObserveFaults(t0, s%80 != 79)
 				c.ObserveRoom([]MachineRoom{freeMachine}, after(float64(s)))
 			}
 		},
-		"all of it is done, and nobody asks": func(c *Checker) {
+		"all its tasks have completed and nobody polls": func(c *Checker) {
 			for i := range 4 {
 				c.TaskLeft(wire.TaskID{Job: "req-1", Index: i}, "n-9", true)
 			}
 			waiting(freeMachine)(c)
 		},
-		"its user gave up": func(c *Checker) { c.CancelRequested("req-1"); waiting(freeMachine)(c) },
+		"its user cancelled it": func(c *Checker) { c.CancelRequested("req-1"); waiting(freeMachine)(c) },
 	}
 	for name, do := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 8}, "blue": {}})
@@ -294,13 +294,13 @@
 		c.Accepted("req-1", t0)
 		do(c)
 		if len(c.Violations) > 0 {
-			t.Errorf("%s: noted %v", name, c.Violations)
+			t.Errorf("%s: recorded %v, want none", name, c.Violations)
 		}
 	}
 }
 
-// Starts after a cancellation and polls that are not told done in time break no
-// rule by themselves, and are counted.
+// Starts after a cancellation and polls that are not answered with the end in time are counted;
+// they are no violations by themselves.
 func TestLateStartsAndPollsAreCounted(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	c := NewChecker(10*time.Second, nil)
@@ -318,7 +318,7 @@
 	c.Tick(t0)
 	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(2*time.Second), t0.Add(4*time.Second))
 	if c.LateDone() != 0 {
-		t.Error("a poll 2 s after the end is counted")
+		t.Error("poll sent 2 s after the end is counted as late")
 	}
 	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(4*time.Second), t0.Add(4*time.Second))
 	c.PollAnswered("req-2", 200, wire.StatusRunning, t0.Add(4*time.Second), t0.Add(4*time.Second))
@@ -326,50 +326,50 @@
 	c.StatusToldNow("req-2", wire.StatusCancelled, t0.Add(5*time.Second))
 	c.TaskStarted(wire.TaskID{Job: "req-2", Index: 1}, here, t0.Add(6*time.Second))
 	if c.LateDone() != 1 || c.LateStarts() != 1 || len(c.Violations) > 0 {
-		t.Errorf("%d late polls, %d late starts, %v", c.LateDone(), c.LateStarts(), c.Violations)
+		t.Errorf("got %d late polls, %d late starts, violations %v, want 1, 1, none", c.LateDone(), c.LateStarts(), c.Violations)
 	}
 }
 
-// A submission that is malformed must not be accepted, whichever field is to
-// blame, and one that is not must not be blamed.
-func TestMalformedSubmissions(t *testing.T) {
+// The checker must record an accepted submission as a violation if any field is missing or
+// malformed, and only then.
+func TestAcceptedMalformedSubmissionIsViolation(t *testing.T) {
 	good := wire.JobSpec{ID: "req-000001", Class: "solve", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-a"}
 	isViolation := func(body any) bool {
 		c := NewChecker(time.Second, nil)
 		c.SubmissionSent(bodyOf(body), 201, time.Unix(1000, 0))
 		for _, violation := range c.Violations {
 			if violation.Rule != AcceptedWrongly {
-				t.Errorf("%v noted %v", body, violation)
+				t.Errorf("%v: recorded %v, want only accepted_wrongly", body, violation)
 			}
 		}
 		return len(c.Violations) > 0
 	}
 	if isViolation(Submission(good)) {
-		t.Error("a good submission is blamed")
+		t.Error("well-formed submission recorded as a violation")
 	}
 	for name := range Submission(good) {
 		fields := Submission(good)
 		delete(fields, name)
 		if nullable := name == "kits" || name == "site" || name == "dueS"; isViolation(fields) == nullable {
-			t.Errorf("without %s", name)
+			t.Errorf("submission without %s: wrong verdict", name)
 		}
 		fields[name] = []byte{1}
 		if !isViolation(fields) {
-			t.Errorf("a wrong %s", name)
+			t.Errorf("malformed %s: no violation recorded", name)
 		}
 	}
 	for name, value := range map[string]any{"nameId": "job-1", "shape": "choir", "urgency": "now", "parts": 100_001, "cpus": -1.0, "dueS": -1.0, "ramGb": "many"} {
 		fields := Submission(good)
 		if fields[name] = value; !isViolation(fields) {
-			t.Errorf("%s %v", name, value)
+			t.Errorf("invalid %s %v: no violation recorded", name, value)
 		}
 	}
 	if !isViolation([]string{"a"}) || !isViolation([]byte{0xff, 1}) {
-		t.Error("what is no map")
+		t.Error("body that is no map: no violation recorded")
 	}
 }
 
-func TestToldOfAnAnswer(t *testing.T) {
+func TestToldOf(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		httpStatus   int
@@ -377,12 +377,12 @@
 		want         Told
 		wantAnswered bool
 	}{
-		{"job not known", http.StatusNotFound, "", ToldNothing, true},
+		{"unknown job", http.StatusNotFound, "", ToldNothing, true},
 		{"no answer", 0, "", ToldNothing, false},
 		{"refused for now", http.StatusServiceUnavailable, "", ToldNothing, false},
 		{"done", http.StatusOK, wire.StatusDone, ToldFinal, true},
 		{"cancelled", http.StatusOK, wire.StatusCancelled, ToldFinal, true},
-		{"not over", http.StatusOK, wire.StatusRunning, ToldAccepted, true},
+		{"running", http.StatusOK, wire.StatusRunning, ToldAccepted, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, answered := ToldOf(c.httpStatus, c.status); got != c.want || answered != c.wantAnswered {
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -7,38 +7,39 @@
 	"lilaclead/internal/wire"
 )
 
-// longestWait is how long a job may be left waiting when all is calm.
+// longestWait is how long a job may be left waiting while there is no fault.
 const longestWait = 90 * time.Second
 
-// MachineRoom is a machine that exists, with what is on it or on its way there.
+// MachineRoom is a machine with its free capacity and its tasks, which include those whose
+// image is being fetched.
 type MachineRoom struct {
 	Place
-	Usable   bool // sound, up, and not about to be taken
+	Usable   bool // up, not faulty, and without a spot notice
 	CPUs     float64
 	GPUs     float64
-	MemoryGB float64 // these three are free
+	MemoryGB float64 // CPUs, GPUs and MemoryGB are what is free
 	Tasks    []wire.TaskID
 	DiskGB   float64
 }
 
-// waitHistory is what the checker knows of a job that waits.
+// waitHistory is what the checker records of a job that waits for machines.
 type waitHistory struct {
-	since             map[wire.MachineID]time.Time // since when it could have used a machine
-	failed            map[wire.MachineID]bool      // where a task of it failed
-	onMachines        int                          // of its tasks, at the last look
+	since             map[wire.MachineID]time.Time // since when the job could have used a machine
+	failed            map[wire.MachineID]bool      // machines on which a task of the job failed
+	onMachines        int                          // number of its tasks on machines at the last observation
 	violationRecorded bool
 }
 
-// end ends the spell in which the job is left waiting.
+// end ends the period in which the job is left waiting.
 func (w *waitHistory) end() { w.since = nil }
 
-// capacityUse is what an observation shows of jobs and teams.
+// capacityUse is the capacity that jobs and teams use at one observation.
 type capacityUse struct {
-	zones map[wire.JobID]map[int]wire.Zone // the zones of the tasks on machines
+	zones map[wire.JobID]map[int]wire.Zone // by job and task index: zones of the tasks on machines
 	used  map[wire.TeamID]TeamLimit
 }
 
-// useOf sums up what is on the machines.
+// useOf sums up the tasks on the machines by job and by team.
 func (c *Checker) useOf(rooms []MachineRoom) capacityUse {
 	use := capacityUse{map[wire.JobID]map[int]wire.Zone{}, map[wire.TeamID]TeamLimit{}}
 	for i := range rooms {
@@ -58,8 +59,8 @@
 	return use
 }
 
-// ObserveRoom looks for jobs that are left waiting beside machines they could use.
-// While there are faults no spell counts.
+// ObserveRoom checks for jobs that are left waiting beside machines that they could use.
+// Waiting counts only while there is no fault.
 func (c *Checker) ObserveRoom(rooms []MachineRoom, now time.Time) {
 	c.observeTime(now)
 	noFault := c.faultsOverFor(now, 0)
@@ -75,12 +76,12 @@
 		}
 		startedMore := len(taskZones) > j.waits.onMachines
 		j.waits.onMachines = len(taskZones)
-		// What completed may have been lost on its way, with its machine: then its
-		// user is told that it goes on, and it waits to be started again.
+		// The report of a completion can be lost together with its machine. Users are then
+		// told that the job is not over, and the task waits to be started again.
 		resultsLost := len(taskZones) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
 		allPlaced := placedOrDone >= j.spec.Tasks && !resultsLost
 		if j.spec.IsGang() && (len(taskZones) > 0 || !gangFits(rooms, &j.spec, j.waits.failed)) {
-			j.waits.end() // what is left of its last attempt goes first
+			j.waits.end() // the tasks of its last attempt must leave first, or it doesn't fit
 			continue
 		}
 		if !noFault || !j.accepted || j.cancelRequested || j.finalStatus != "" || allPlaced || startedMore || c.atLimit(&j.spec, use.used[j.spec.Team]) {
@@ -91,8 +92,8 @@
 	}
 }
 
-// atLimit reports whether the next task of a job, or all of a gang, would bring its
-// team over its limit.
+// atLimit reports whether the next task of a job, or all tasks of a gang, would exceed the
+// limit of its team.
 func (c *Checker) atLimit(s *wire.JobSpec, used TeamLimit) bool {
 	limit, tasks := c.Limits[s.Team], 1.0
 	if s.IsGang() {
@@ -101,8 +102,8 @@
 	return limit.CPUs > 0 && used.CPUs+tasks*s.CPUs > limit.CPUs+wire.AmountTolerance || limit.GPUs > 0 && used.GPUs+tasks*s.GPUs > limit.GPUs+wire.AmountTolerance
 }
 
-// checkUsableMachines notes which machines a waiting job could use, and a violation
-// when it could use one for too long.
+// checkUsableMachines records which machines a waiting job could use, and a violation if it
+// could have used one of them for longestWait.
 func (c *Checker) checkUsableMachines(j *jobHistory, rooms []MachineRoom, zones map[wire.Zone]int, placedOrDone int, now time.Time) {
 	usableSince := map[wire.MachineID]time.Time{}
 	for i := range rooms {
@@ -123,7 +124,8 @@
 	j.waits.since = usableSince
 }
 
-// gangFits reports whether all tasks of a gang would fit on the open machines.
+// gangFits reports whether all tasks of a gang fit on the usable machines together, without the
+// excluded ones.
 func gangFits(rooms []MachineRoom, s *wire.JobSpec, excluded map[wire.MachineID]bool) bool {
 	zones := map[wire.Zone]int{}
 	for i := range rooms {
@@ -146,8 +148,8 @@
 	return !s.SameZone && total >= s.Tasks
 }
 
-// hasRoomFor reports whether the machine can take one more task of a job whose tasks
-// are in certain zones.
+// hasRoomFor reports whether one more task of a job may and can run on the machine; zones counts
+// the job's tasks on machines by zone.
 func (r *MachineRoom) hasRoomFor(s *wire.JobSpec, zones map[wire.Zone]int) bool {
 	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
 		return false
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -13,18 +13,18 @@
 	"lilaclead/internal/wire"
 )
 
-// listSnapshot is what a list of machines showed at a time.
+// listSnapshot is the list of machines at a time.
 type listSnapshot struct {
 	listedAt time.Time
 	machines []wire.ListedMachine
 }
 
-// capacityKey names what the cloud has a limited number of.
+// capacityKey is the key of Simulation.capacity for a kind of machine in a zone.
 func capacityKey(machineType wire.MachineType, zone wire.Zone, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// listedMachines lists the machines now; the caller holds the lock.
+// listedMachines returns the machines that the cloud lists now; the caller holds the lock.
 func (sim *Simulation) listedMachines() []wire.ListedMachine {
 	out := []wire.ListedMachine{}
 	for _, m := range sim.machines {
@@ -41,7 +41,7 @@
 	return out
 }
 
-// cloud answers the requests of the cloud's page.
+// cloud serves the cloud's API.
 func (sim *Simulation) cloud(rw http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// scaleIn takes machines away; false: the request is malformed.
+// scaleIn removes the machines of a scale-in request, and returns false if it is malformed.
 func (sim *Simulation) scaleIn(raw []byte) bool {
 	var names wire.MachineNames
 	if wire.Decode(raw, &names) != nil || len(names.Machines) > 100 {
@@ -91,13 +91,14 @@
 	return true
 }
 
-// list answers with the machines as they were a while ago.
+// list answers with the machines as they were listLag ago. One answer in four is twice as old,
+// so that a list may be older than the one before.
 func (sim *Simulation) list(rw http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	sim.listHistory = append(sim.listHistory, listSnapshot{now, sim.listedMachines()})
 	age := sim.listLag
 	if sim.rng.IntN(4) == 0 {
-		age *= 2 // older than the one before
+		age *= 2
 	}
 	page := wire.MachinePage{Machines: []wire.ListedMachine{}}
 	for i := len(sim.listHistory) - 1; i >= 0; i-- {
@@ -112,10 +113,10 @@
 	wire.WriteResponse(rw, http.StatusOK, page)
 }
 
-// maxPage is how many machines a page has at most.
+// maxPage is the highest number of machines on a page of a list.
 const maxPage = 500
 
-// pageOf returns the part of a list that the query asks for.
+// pageOf returns the page of a list that a query asks for.
 func pageOf(machines []wire.ListedMachine, query url.Values) wire.MachinePage {
 	page := wire.MachinePage{Machines: []wire.ListedMachine{}}
 	limit := maxPage
@@ -135,14 +136,16 @@
 	return page
 }
 
-// ScaleOutNames returns the names of the scale-out requests that were filled, in that order.
+// ScaleOutNames returns the names of the scale-out requests that were filled, in the order in
+// which they were.
 func (sim *Simulation) ScaleOutNames() []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return slices.Clone(sim.scaleOutNames)
 }
 
-// scaleOut answers a scale-out request; a repeated one gets the same machines.
+// scaleOut serves a scale-out request. A request with the name of an earlier one is answered with
+// the same machines.
 func (sim *Simulation) scaleOut(rw http.ResponseWriter, raw []byte) {
 	var request wire.ScaleOutRequest
 	if wire.Decode(raw, &request) != nil || request.Count < 1 || request.Count > 50 || request.Name == "" {
@@ -171,7 +174,7 @@
 	wire.WriteResponse(rw, http.StatusOK, wire.MachineNames{Machines: ids})
 }
 
-// provisionMachine creates a machine that boots after a time; the caller holds the lock.
+// provisionMachine creates a machine and returns its ID; the caller holds the lock.
 func (sim *Simulation) provisionMachine(machineType wire.MachineType, zone wire.Zone, spot bool, bootTime time.Duration) wire.MachineID {
 	id := wire.MachineID(fmt.Sprintf("n-%06d", sim.provisionedCount))
 	ip := fmt.Sprintf("10.1.%d.%d", sim.provisionedCount/250, sim.provisionedCount%250+1)
@@ -203,8 +206,7 @@
 	return id
 }
 
-// removeMachine takes a machine away with all that is on it; call with the lock
-// held.
+// removeMachine removes a machine with all its tasks; the caller holds the lock.
 func (sim *Simulation) removeMachine(id wire.MachineID) {
 	m := sim.machines[id]
 	if m == nil {
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -6,42 +6,42 @@
 	"lilaclead/internal/wire"
 )
 
-// CloudOutage begins or ends an outage of the cloud's interface.
+// CloudOutage begins or ends an outage of the cloud's API.
 func (sim *Simulation) CloudOutage(on bool) {
 	sim.mu.Lock()
 	sim.cloudOutage = on
 	sim.mu.Unlock()
 }
 
-// LoseScaleInAnswers makes the next scale-in requests take effect without an answer.
+// LoseScaleInAnswers makes the next n scale-in requests take effect without an answer.
 func (sim *Simulation) LoseScaleInAnswers(n int) {
 	sim.mu.Lock()
 	sim.loseScaleInAnswers = n
 	sim.mu.Unlock()
 }
 
-// LoseScaleOutAnswers makes the next scale-out requests take effect without an answer.
+// LoseScaleOutAnswers makes the next n scale-out requests take effect without an answer.
 func (sim *Simulation) LoseScaleOutAnswers(n int) {
 	sim.mu.Lock()
 	sim.loseScaleOutAnswers = n
 	sim.mu.Unlock()
 }
 
-// SetSoldOut makes scale-out fail for want of capacity in a zone, or succeed again.
+// SetSoldOut makes scale-out in a zone fail for lack of capacity, or succeed again.
 func (sim *Simulation) SetSoldOut(z wire.Zone, on bool) {
 	sim.mu.Lock()
 	sim.soldOut[z] = on
 	sim.mu.Unlock()
 }
 
-// SetSpotSoldOut makes scale-out of spot machines fail for want of capacity, or succeed again.
+// SetSpotSoldOut makes scale-out of spot machines fail for lack of capacity, or succeed again.
 func (sim *Simulation) SetSpotSoldOut(on bool) {
 	sim.mu.Lock()
 	sim.spotSoldOut = on
 	sim.mu.Unlock()
 }
 
-// SellOutEverything makes the cloud refuse every further machine, whatever is returned.
+// SellOutEverything makes the cloud refuse every further machine, however many are returned.
 func (sim *Simulation) SellOutEverything() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -50,16 +50,15 @@
 	}
 }
 
-// SetUnlisted makes the machines that are provisioned from now on ones that no list ever
-// shows, or no more of them. (Lists lag, and one that does not live as long as
-// they do may be in none.)
+// SetUnlisted determines whether machines that are provisioned from now on are missing from
+// every list. This happens to a machine whose lifetime is shorter than the lag of the lists.
 func (sim *Simulation) SetUnlisted(on bool) {
 	sim.mu.Lock()
 	sim.provisionUnlisted = on
 	sim.mu.Unlock()
 }
 
-// SetBootFactor multiplies the time that machines take to boot.
+// SetBootFactor multiplies the time that machines take to boot by a factor.
 func (sim *Simulation) SetBootFactor(factor float64) {
 	sim.mu.Lock()
 	sim.bootFactor = factor
@@ -75,8 +74,8 @@
 	}
 }
 
-// ReclaimMachines makes the cloud take machines back without notice, at most n that
-// pass the test.
+// ReclaimMachines makes the cloud take back, without notice, at most n machines for which passes
+// returns true, and returns how many.
 func (sim *Simulation) ReclaimMachines(n int, passes func(spot bool, tasks int) bool) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -97,7 +96,7 @@
 	sim.lastFault = time.Now()
 }
 
-// RemoveMachines takes machines away at once and without a trace.
+// RemoveMachines removes machines at once. Unlike ReclaimMachine it does not count as a fault.
 func (sim *Simulation) RemoveMachines(ids ...wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -106,7 +105,7 @@
 	}
 }
 
-// GiveSpotNotice gives a machine a spot notice.
+// GiveSpotNotice gives a machine a spot notice, and removes the machine when its time is over.
 func (sim *Simulation) GiveSpotNotice(id wire.MachineID, left time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/connection.go
+++ b/internal/simulator/connection.go
@@ -14,16 +14,16 @@
 	mu           sync.Mutex
 	wake         chan struct{} // closed and replaced on every change
 	buf          []byte
-	inFlight     []packet // on their way
+	inFlight     []packet // sent, not yet delivered
 	closed       bool
 	reset        bool
 	from         string
 	to           string
 	network      *Network
-	readDeadline time.Time // read deadline
+	readDeadline time.Time
 }
 
-// packet is what one write sends, or the end of a connection.
+// packet is the data of one Write, or the end of the connection.
 type packet struct {
 	data []byte
 	fin  bool
@@ -36,7 +36,7 @@
 	p.wake = make(chan struct{})
 }
 
-// deliver moves what is on its way into the buffer, unless the link is held.
+// deliver moves the packets that are due into the buffer, unless the link is blocked.
 func (p *pipe) deliver() {
 	p.network.mu.Lock()
 	blocked := p.network.blocks(p.from, p.to)
@@ -58,7 +58,7 @@
 	p.notifyReader()
 }
 
-// blocks reports whether packets from one host to another wait; the caller holds the
+// blocks reports whether packets from one host to another are held; the caller holds the
 // network's lock.
 func (n *Network) blocks(from, to string) bool {
 	withoutPower := n.poweredOff[from] || n.poweredOff[to]
@@ -66,7 +66,7 @@
 	return withoutPower || acrossIsolation || n.inboundBlocked[to] || n.blockedLinks[[2]string{from, to}]
 }
 
-// send puts a packet on its way.
+// send queues a packet, which is delivered after the delay of the link.
 func (p *pipe) send(pkt packet) error {
 	delay := p.network.delay(p.from, p.to)
 	p.mu.Lock()
@@ -90,7 +90,8 @@
 	done          chan struct{}
 }
 
-// pair returns both ends of a new connection.
+// pair returns both ends of a new connection: that of the host from, then that of the
+// address to.
 func (n *Network) pair(from, to string) (*conn, *conn) {
 	forward := &pipe{wake: make(chan struct{}), network: n, from: from, to: hostOf(to)}
 	backward := &pipe{wake: make(chan struct{}), network: n, from: hostOf(to), to: from}
@@ -152,7 +153,7 @@
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.done)
-		_ = c.out.send(packet{fin: true}) // an error: a reset link needs no end
+		_ = c.out.send(packet{fin: true}) // fails only on a reset connection, which needs no FIN
 		c.network.mu.Lock()
 		delete(c.network.conns, c)
 		c.network.mu.Unlock()
@@ -176,7 +177,7 @@
 
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
-// abort ends a connection after marking both of its directions.
+// abort closes a connection after applying mark to both of its directions.
 func (c *conn) abort(mark func(*pipe)) {
 	for _, p := range []*pipe{c.in, c.out} {
 		p.mu.Lock()
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -11,8 +11,8 @@
 	"lilaclead/internal/wire"
 )
 
-// PlaceControllers says in which zones the nodes are, before they are up: by turns, so that
-// some zones may have none.
+// PlaceControllers assigns the controllers to the given zones in turn, before they are
+// started. Zones that are not given have no controller.
 func (sim *Simulation) PlaceControllers(zones ...wire.Zone) {
 	zone := func(i int) wire.Zone { return zones[i%len(zones)] }
 	for i, node := range sim.controllers {
@@ -28,12 +28,12 @@
 // Config returns the configuration of the i-th controller.
 func (sim *Simulation) Config(i int) config.Config { return sim.controllers[i].cfg }
 
-// ChangeSettings changes the settings that a node starts with the next time.
+// ChangeSettings changes the settings with which the i-th controller starts next.
 func (sim *Simulation) ChangeSettings(i int, change func(*config.Settings)) {
 	change(&sim.controllers[i].cfg.Settings)
 }
 
-// StartController starts the i-th node if it is down.
+// StartController starts the i-th controller if it is down.
 func (sim *Simulation) StartController(i int) error {
 	n := sim.controllers[i]
 	if n.cancel != nil {
@@ -47,11 +47,11 @@
 	ctx, cancel := context.WithCancel(sim.ctx)
 	n.cancel = cancel
 	sim.setPower(n, true)
-	sim.spawn(func() { _ = run(ctx) }) // it is killed
+	sim.spawn(func() { _ = run(ctx) }) // the error of a killed controller says nothing
 	return nil
 }
 
-// KillController ends the i-th node as a power cut does.
+// KillController stops the i-th controller as a power failure does.
 func (sim *Simulation) KillController(i int) {
 	n := sim.controllers[i]
 	if n.cancel == nil {
@@ -64,15 +64,15 @@
 	sim.Net.Reset(NodeIP(i))
 }
 
-// setPower records that a controller starts or ends, which is a fault to others.
+// setPower records that a controller starts or stops, which counts as a fault.
 func (sim *Simulation) setPower(n *controller, up bool) {
 	sim.mu.Lock()
 	n.up, sim.lastFault = up, time.Now()
 	sim.mu.Unlock()
 }
 
-// Leader returns the index of the controller that leads by the key-value store's
-// record, or -1.
+// Leader returns the index of the controller that the key-value store records as the leader,
+// or -1.
 func (sim *Simulation) Leader() int {
 	sim.State.mu.Lock()
 	defer sim.State.mu.Unlock()
@@ -94,7 +94,7 @@
 	return -1
 }
 
-// LeaderKeyRevision returns the revision of the leader's key, 0 while nobody holds it.
+// LeaderKeyRevision returns the revision of the leader's key, 0 if the key does not exist.
 func (sim *Simulation) LeaderKeyRevision() wire.Revision {
 	sim.State.mu.Lock()
 	defer sim.State.mu.Unlock()
@@ -104,8 +104,8 @@
 	return 0
 }
 
-// LeaderAndToken returns the leader by the key-value store's record, -1 if nobody leads, and
-// the revision of its key.
+// LeaderAndToken returns the index of the leader, -1 if there is none, and its fencing token,
+// which is the revision of the leader's key.
 func (sim *Simulation) LeaderAndToken() (int, wire.FencingToken) {
 	i, revision := sim.Leader(), sim.LeaderKeyRevision()
 	if i < 0 || revision == 0 {
@@ -114,8 +114,8 @@
 	return i, wire.FencingToken(revision)
 }
 
-// IsolateController cuts the i-th controller from the key-value store and from the other ones,
-// not from workers, users and the cloud, or ends the cut.
+// IsolateController cuts the i-th controller off from the key-value store and from the other
+// controllers, or ends the cut. Workers, users and the cloud still reach it.
 func (sim *Simulation) IsolateController(i int, mode CutMode, on bool) {
 	for k := range sim.controllers {
 		if k != i {
@@ -125,7 +125,7 @@
 	sim.Net.CutWithMode(NodeIP(i), hostOf(KVStoreAddr), mode, on)
 }
 
-// parseID returns the index of a controller by its name.
+// parseID returns the index of the controller with a name.
 func parseID(name string) int {
 	n, _ := strconv.Atoi(strings.TrimPrefix(name, "worker-"))
 	return n
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -8,23 +8,23 @@
 	"lilaclead/internal/wire"
 )
 
-// gangTable is what the workers do with tasks that start together or never, by the
-// page. The simulation's lock guards it.
+// gangTable is the state of all gangs on the workers. The tasks of a gang start together or not
+// at all, as the protocol says. The simulation's lock guards it.
 type gangTable struct {
 	jobs           map[wire.JobID]*gangJob
-	launchRefusals map[wire.MachineID]int // launches that are refused as full
-	speed          map[wire.MachineID]float64
-	ticking        bool
+	launchRefusals map[wire.MachineID]int     // number of next launches that are refused as full
+	speed          map[wire.MachineID]float64 // factor; 1 if missing
+	ticking        bool                       // the goroutine that steps the gangs runs
 }
 
-// gangJob is a gang and its attempts.
+// gangJob is a gang with its attempts.
 type gangJob struct {
-	checkpointedProgress float64 // progress that is stored, in seconds of run time
+	checkpointedProgress float64 // seconds of run time that the last checkpoint holds
 	done                 bool
-	completeStarts       int // times that it was complete and ran
-	checkpointedStops    int // orderly stops that succeeded
-	rollbacks            int // times that it fell back to its last checkpoint
-	waitTimeouts         int // tasks that waited in vain
+	completeStarts       int // times that it started with all its tasks
+	checkpointedStops    int // stops with a checkpoint
+	rollbacks            int // times that it returned to its last checkpoint
+	waitTimeouts         int // tasks that exited because others didn't join in time
 	attempts             map[wire.AttemptNumber]*gangRun
 }
 
@@ -32,15 +32,15 @@
 type gangRun struct {
 	members       map[int]*gangMember
 	running       bool
-	countedUntil  time.Time // until when progress was counted
-	progress      float64
-	speed         float64
-	stoppingSince time.Time // of the first stop
-	brokenSince   time.Time // of the first loss, or when the save failed
-	checkpointed  bool
+	countedUntil  time.Time // the time up to which progress is counted
+	progress      float64   // seconds of run time
+	speed         float64   // that of the slowest machine
+	stoppingSince time.Time // when a member was first told to stop
+	brokenSince   time.Time // when a member was lost or the stop timed out
+	checkpointed  bool      // stopped with a checkpoint
 }
 
-// broken reports whether the attempt has lost a member and goes back to its checkpoint.
+// broken reports whether the attempt has returned to the last checkpoint: rollBack.
 func (r *gangRun) broken() bool { return !r.brokenSince.IsZero() }
 
 // stopping reports whether a member was told to stop.
@@ -49,7 +49,7 @@
 // progresses reports whether the attempt runs and is neither stopping nor broken.
 func (r *gangRun) progresses() bool { return r.running && !r.broken() && !r.stopping() }
 
-// membersByIndex returns the members by their tasks' indexes.
+// membersByIndex returns the members in the order of their tasks' indexes.
 func (r *gangRun) membersByIndex(tasks int) []*gangMember {
 	var members []*gangMember
 	for i := range tasks {
@@ -60,23 +60,24 @@
 	return members
 }
 
-// gangMember is a gang's task that has its image.
+// gangMember is a task of a gang whose image has been fetched.
 type gangMember struct {
 	worker       *worker
 	run          *taskRun
 	taskID       wire.TaskID
-	waitingSince time.Time // when it had its image
-	failAt       time.Time
+	waitingSince time.Time // when its image was fetched
+	failAt       time.Time // zero: the task doesn't fail
 	toldToStop   bool
-	savedAt      time.Time
-	leavesAt     time.Time // when it notices that another is gone
-	hungSince    time.Time // since when its machine hangs
+	savedAt      time.Time // when its checkpoint is complete
+	leavesAt     time.Time // when it notices that the attempt is broken, and exits
+	hungSince    time.Time // since when its machine hangs; zero: it doesn't
 }
 
-// gangTick is how often the state of gangs is looked at.
+// gangTick is the interval at which the state of gangs is stepped.
 const gangTick = 50 * time.Millisecond
 
-// gangOf returns the state of a gang, new if there is none; the caller holds the lock.
+// gangOf returns the state of a gang, which it creates if there is none; the caller holds the
+// lock.
 func (sim *Simulation) gangOf(id wire.JobID) *gangJob {
 	if sim.gangs.jobs == nil {
 		sim.gangs.jobs = map[wire.JobID]*gangJob{}
@@ -100,8 +101,8 @@
 	return gang
 }
 
-// joinGang brings a gang's task that has its image to its gang; call with the lock
-// held.
+// joinGang adds a task whose image has been fetched to its gang, and starts the gang if it is
+// complete; the caller holds the lock.
 func (m *worker) joinGang(t wire.TaskID, run *taskRun) {
 	now := time.Now()
 	gang := m.sim.gangOf(t.Job)
@@ -123,8 +124,8 @@
 	m.sim.startGang(t.Job, gang, attempt, now)
 }
 
-// startGang starts an attempt whose members are complete, from the gang's last
-// checkpoint; the caller holds the lock.
+// startGang starts an attempt with all its members from the gang's last checkpoint; the caller
+// holds the lock.
 func (sim *Simulation) startGang(id wire.JobID, gang *gangJob, attempt *gangRun, now time.Time) {
 	attempt.running, attempt.countedUntil, attempt.speed, attempt.progress = true, now, math.Inf(1), gang.checkpointedProgress
 	gang.completeStarts++
@@ -139,8 +140,8 @@
 	}
 }
 
-// onGangTaskLeft notes that a task of a gang ended or is gone with its machine; call
-// with the lock held.
+// onGangTaskLeft records that a task of a gang exited or was removed with its machine; the caller
+// holds the lock.
 func (sim *Simulation) onGangTaskLeft(t wire.TaskID, run *taskRun) {
 	gang := sim.gangs.jobs[t.Job]
 	if gang == nil || gang.attempts[run.attempt] == nil {
@@ -149,7 +150,7 @@
 	attempt := gang.attempts[run.attempt]
 	member := attempt.members[t.Index]
 	if member == nil || member.run != run {
-		return // it had no image, or the gang had begun without it
+		return // it hadn't joined, or another run of it has replaced it
 	}
 	now := time.Now()
 	sim.advance(attempt, now)
@@ -159,7 +160,8 @@
 	}
 }
 
-// advance counts progress up to now.
+// advance counts the progress of an attempt up to now. While HangMachines makes the machine of a
+// member hang, there is none.
 func (sim *Simulation) advance(attempt *gangRun, now time.Time) {
 	if !attempt.progresses() {
 		return
@@ -173,7 +175,8 @@
 	attempt.countedUntil = now
 }
 
-// rollBack returns a running gang to its last checkpoint.
+// rollBack breaks a running attempt, and returns the gang to its last checkpoint. The members
+// notice one after the other, within 0.9 of the peer timeout.
 func (sim *Simulation) rollBack(gang *gangJob, attempt *gangRun, now time.Time) {
 	if attempt.broken() {
 		return
@@ -189,7 +192,7 @@
 	}
 }
 
-// stopGangTask carries out a stop of a gang's task; the caller holds the lock.
+// stopGangTask stops a task of a gang; the caller holds the lock.
 func (m *worker) stopGangTask(t wire.TaskID, run *taskRun, gracePeriod *wire.Seconds) {
 	now := time.Now()
 	spec := &m.sim.scripts[t.Job].Spec
@@ -222,7 +225,7 @@
 	m.exitTask(t, run, wire.CauseStopped)
 }
 
-// stepGangs lets time pass for all gangs; the caller holds the lock.
+// stepGangs brings all gangs up to the present time; the caller holds the lock.
 func (sim *Simulation) stepGangs(now time.Time) {
 	var ids []wire.JobID
 	for id := range sim.gangs.jobs {
@@ -237,7 +240,7 @@
 	}
 }
 
-// stepGang lets time pass for one attempt of a gang; the caller holds the lock.
+// stepGang brings one attempt of a gang up to the present time; the caller holds the lock.
 func (sim *Simulation) stepGang(script *JobScript, gang *gangJob, attempt *gangRun, now time.Time) {
 	sim.advance(attempt, now)
 	members := attempt.membersByIndex(script.Spec.Tasks)
@@ -264,13 +267,13 @@
 	}
 }
 
-// anyCheckpointed reports whether a member that does not hang has had its time to save.
+// anyCheckpointed reports whether a member whose machine doesn't hang has saved its checkpoint.
 func (sim *Simulation) anyCheckpointed(members []*gangMember, now time.Time) bool {
 	return slices.ContainsFunc(members, func(member *gangMember) bool { return !sim.hangs(member.worker) && !now.Before(member.savedAt) })
 }
 
-// stopTimedOut reports whether some members were told to stop and the others were not
-// in the time in which peers wait for each other.
+// stopTimedOut reports whether more than the peer timeout has passed since a member was first
+// told to stop, without a checkpoint.
 func (sim *Simulation) stopTimedOut(attempt *gangRun, now time.Time) bool {
 	return attempt.stopping() && !attempt.checkpointed && now.Sub(attempt.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration()
 }
@@ -280,7 +283,8 @@
 	return sim.machineFaults.hung[m.id] != nil || m.stalled
 }
 
-// breakOnHungMember breaks a running gang of which a member hangs for long.
+// breakOnHungMember breaks a running attempt if the machine of a member hangs for more than half
+// of the peer timeout.
 func (sim *Simulation) breakOnHungMember(gang *gangJob, attempt *gangRun, members []*gangMember, now time.Time) {
 	peerTimeout := sim.Settings.Workers.GangPeerTimeout.Duration()
 	for _, member := range members {
@@ -294,7 +298,7 @@
 	}
 }
 
-// stepMember ends a gang's task if it is time for that.
+// stepMember ends a task of a gang if it is due to exit.
 func (sim *Simulation) stepMember(gang *gangJob, attempt *gangRun, member *gangMember, now time.Time) {
 	end := func(c wire.ExitCause, saved bool) {
 		member.run.checkpointed = saved
@@ -322,16 +326,17 @@
 	}
 }
 
-// GangState is the progress of a gang on its machines.
+// GangState is the state of a gang: the number of its tasks in each phase, the number of events
+// so far, and the seconds of run time that its last checkpoint holds.
 type GangState struct {
 	Fetching, Waiting, Running, Saving   int
 	Starts, Saves, Rollbacks, Incomplete int
 	Saved                                float64
-	Attempts                             int // attempts of which tasks are on machines
+	Attempts                             int // attempts that have tasks on machines
 	Done                                 bool
 }
 
-// GangState returns the progress of a gang.
+// GangState returns the state of a gang.
 func (sim *Simulation) GangState(id wire.JobID) GangState {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -9,13 +9,13 @@
 	"lilaclead/internal/wire"
 )
 
-// gangSpec is a gang of so many tasks.
+// gangSpec returns the specification of a gang.
 func gangSpec(id wire.JobID, tasks int) wire.JobSpec {
 	return wire.JobSpec{ID: id, Class: "clash", Team: "red", Kind: wire.KindGang, Priority: wire.PriorityUrgent, Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1,
 		SameZone: true, CheckpointInterval: 20, CheckpointTime: 2, ExpectedRunTime: 50}
 }
 
-// Each check that gangs brought is broken here once, deliberately.
+// The checker must record each rule about gangs when a case violates it.
 func TestEveryGangRuleCanBeViolated(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	here, there := Place{Machine: "n-1", Type: "c4", Zone: "a"}, Place{Machine: "n-2", Type: "c4", Zone: "b"}
@@ -30,9 +30,9 @@
 		rule    Rule
 		violate func(c *Checker)
 	}{
-		"runs by half":                       {HalfRun, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.GangBegan("req-000001", t0) }},
-		"waits in another zone":              {WrongPlace, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(1), there, t0) }},
-		"waits while an older attempt is on": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(0), there, t0) }},
+		"runs without a task":                          {HalfRun, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.GangBegan("req-000001", t0) }},
+		"waits in another zone":                        {WrongPlace, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(1), there, t0) }},
+		"waits while an older attempt is on a machine": {RanTwice, func(c *Checker) { c.TaskStarted(task(0), here, t0); c.TaskStarted(task(0), there, t0) }},
 		"waits over the limit": {Quota, func(c *Checker) {
 			c.Limits["red"] = TeamLimit{CPUs: 3}
 			complete(c)
@@ -76,21 +76,21 @@
 			found = found || violation.Rule == test.rule
 		}
 		if !found {
-			t.Errorf("%s: noted %v, want %s", name, c.Violations, test.rule)
+			t.Errorf("%s: recorded %v, want %s among them", name, c.Violations, test.rule)
 		}
 	}
 }
 
-// What breaks no rule of gangs must not be noted.
+// The checker must record no violation for allowed behaviour of gangs.
 func TestAllowedGangBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	room := func(z wire.Zone, cpus float64) MachineRoom {
 		return MachineRoom{Place: Place{Machine: wire.MachineID("n-" + string(z)), Type: "c4", Zone: z}, Usable: true, CPUs: cpus, MemoryGB: 16, DiskGB: 20}
 	}
 	cases := map[string][]MachineRoom{
-		"room in two zones for one place": {room("a", 2), room("b", 2)},
-		"room for half of it":             {room("a", 2)},
-		"an attempt is there":             {func() MachineRoom { r := room("a", 4); r.Tasks = []wire.TaskID{{Job: "req-000001"}}; return r }()},
+		"room in two zones for a gang of one zone": {room("a", 2), room("b", 2)},
+		"room for half of the gang":                {room("a", 2)},
+		"a task of an attempt is on the machine":   {func() MachineRoom { r := room("a", 4); r.Tasks = []wire.TaskID{{Job: "req-000001"}}; return r }()},
 	}
 	for name, rooms := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
@@ -101,12 +101,13 @@
 			c.ObserveRoom(rooms, t0.Add(time.Duration(s)*time.Second))
 		}
 		if len(c.Violations) > 0 {
-			t.Errorf("%s: noted %v", name, c.Violations)
+			t.Errorf("%s: recorded %v, want none", name, c.Violations)
 		}
 	}
 }
 
-// runWithWorkers runs a test with some machines without controllers, whose workers are told what to do.
+// runWithWorkers runs a test with machines but no controllers. The test's function execute has the
+// worker with an index execute commands.
 func runWithWorkers(t *testing.T, machines int, run func(sim *Simulation, workers []*worker, execute func(i int, commands ...wire.Command))) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -123,7 +124,7 @@
 		run(sim, workers, func(i int, commands ...wire.Command) {
 			sim.mu.Lock()
 			defer sim.mu.Unlock()
-			workers[i].leaseRenewedAt = time.Now().Add(time.Hour) // nobody answers here
+			workers[i].leaseRenewedAt = time.Now().Add(time.Hour) // no controller renews the lease
 			workers[i].execute(commands)
 		})
 		cancel()
@@ -131,17 +132,17 @@
 	})
 }
 
-// launchCommand starts a task of the tests' gang.
+// launchCommand returns a command that launches a task of the gang under test.
 func launchCommand(i int, attempt wire.AttemptNumber) wire.Command {
 	return wire.Command{Verb: wire.VerbLaunch, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: attempt}
 }
 
-// stopCommand stops one.
+// stopCommand returns a command that stops a task of the gang under test.
 func stopCommand(i int, attempt wire.AttemptNumber, gracePeriod wire.Seconds) wire.Command {
 	return wire.Command{Verb: wire.VerbStop, Task: wire.TaskID{Job: "req-000001", Index: i}.String(), Attempt: attempt, GracePeriod: &gracePeriod}
 }
 
-// The workers do with gangs what the page says.
+// The fake workers must run gangs as the protocol says.
 func TestWorkersRunGangs(t *testing.T) {
 	const second = time.Second
 	launchAll := func(execute func(int, ...wire.Command), n int, attempt wire.AttemptNumber) {
@@ -165,7 +166,7 @@
 				check(i, wire.PhaseExited, wire.CauseDone, false)
 			}
 		},
-		"alone": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a member times out alone": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			launchAll(execute, 2, 1)
 			time.Sleep(45 * second)
 			check(0, wire.PhaseWaiting, "", false)
@@ -182,7 +183,7 @@
 			time.Sleep(2 * second)
 			check(0, wire.PhaseRunning, "", false)
 		},
-		"a loss": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a lost machine breaks the gang": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			launchAll(execute, 3, 1)
 			time.Sleep(32 * second)
 			sim.ReclaimMachine(workers[0].id)
@@ -190,10 +191,10 @@
 			time.Sleep(9 * second)
 			check(1, wire.PhaseExited, wire.CauseGangBroken, false)
 			if state := sim.GangState("req-000001"); state.Saved != 20 {
-				t.Errorf("%+v, want 20 s kept", state)
+				t.Errorf("GangState() = %+v, want 20 s saved", state)
 			}
 		},
-		"a hung machine": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a hung machine breaks the gang": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			launchAll(execute, 3, 1)
 			time.Sleep(10 * second)
 			sim.HangMachines(true, workers[0].id)
@@ -204,7 +205,7 @@
 			time.Sleep(second)
 			check(0, wire.PhaseExited, wire.CauseGangBroken, false)
 		},
-		"an orderly stop": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a stop of all members saves a checkpoint": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			launchAll(execute, 3, 1)
 			time.Sleep(11 * second)
 			execute(0, stopCommand(0, 1, 2))
@@ -216,13 +217,13 @@
 			for i := range 3 {
 				check(i, wire.PhaseExited, wire.CauseStopped, true)
 			}
-			launchAll(execute, 3, 2) // goes on from there
+			launchAll(execute, 3, 2) // continues from the checkpoint
 			time.Sleep(35 * second)
 			check(0, wire.PhaseRunning, "", false)
 			time.Sleep(6 * second)
 			check(0, wire.PhaseExited, wire.CauseDone, false)
 		},
-		"told too late": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a stop of some members breaks the gang": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			launchAll(execute, 3, 1)
 			time.Sleep(11 * second)
 			execute(0, stopCommand(0, 1, 2))
@@ -230,10 +231,10 @@
 			time.Sleep(9 * second)
 			check(2, wire.PhaseExited, wire.CauseGangBroken, false)
 			if state := sim.GangState("req-000001"); state.Saved != 0 || state.Rollbacks != 1 {
-				t.Errorf("%+v, want nothing kept", state)
+				t.Errorf("GangState() = %+v, want nothing saved and 1 rollback", state)
 			}
 		},
-		"too little grace": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a grace period too short to save breaks the gang": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			launchAll(execute, 3, 1)
 			time.Sleep(11 * second)
 			execute(0, stopCommand(0, 1, 2))
@@ -242,10 +243,10 @@
 			time.Sleep(9 * second)
 			check(2, wire.PhaseExited, wire.CauseGangBroken, false)
 			if state := sim.GangState("req-000001"); state.Saved != 0 || state.Rollbacks != 1 {
-				t.Errorf("%+v, want nothing kept", state)
+				t.Errorf("GangState() = %+v, want nothing saved and 1 rollback", state)
 			}
 		},
-		"stopped while it waits": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
+		"a stop while waiting": func(t *testing.T, sim *Simulation, workers []*worker, execute func(int, ...wire.Command), check func(int, wire.TaskPhase, wire.ExitCause, bool)) {
 			launchAll(execute, 2, 1)
 			time.Sleep(3 * second)
 			execute(0, stopCommand(0, 1, 30))
@@ -264,7 +265,7 @@
 					defer sim.mu.Unlock()
 					run := workers[i].tasks[wire.TaskID{Job: "req-000001", Index: i}]
 					if run == nil || run.phase != phase || run.cause != cause || run.checkpointed != saved {
-						t.Errorf("task %d is %+v, want %s %s %v", i, run, phase, cause, saved)
+						t.Errorf("task %d is %+v, want phase %s, cause %s, checkpointed %v", i, run, phase, cause, saved)
 					}
 				})
 			})
--- a/internal/simulator/late_requests.go
+++ b/internal/simulator/late_requests.go
@@ -8,26 +8,25 @@
 	"lilaclead/internal/wire"
 )
 
-// LateRequests is what became of the scale-out and scale-in requests that the cloud carried out
-// late.
+// LateRequests counts the scale-out and scale-in requests that the cloud delayed, and their
+// effects.
 type LateRequests struct {
-	Delayed     int // requests that were held back
-	CarriedOut  int // of these
-	Provisioned int // machines that a late scale-out request made
-	ScaledIn    int // machines that a late scale-in request took
-	EndedTasks  int // tasks that ran on these
+	Delayed     int // requests that were delayed
+	CarriedOut  int // delayed requests that have been executed
+	Provisioned int // machines that a late scale-out request provisioned
+	ScaledIn    int // machines that a late scale-in request removed
+	EndedTasks  int // tasks that were on the removed machines
 }
 
-// lateRequests is the part of the cloud that holds requests back. The simulation's
-// lock guards it.
+// lateRequests is the part of the cloud that delays requests. The simulation's lock guards it.
 type lateRequests struct {
-	scaleOuts, scaleIns int // how many more are held back
+	scaleOuts, scaleIns int // number of next requests to delay
 	delay               time.Duration
 	outcome             LateRequests
 }
 
-// DelayCloudRequests makes the next scale-out and scale-in requests unanswered and carries them
-// out so much later, whoever leads then.
+// DelayCloudRequests makes the cloud leave the next scale-out and scale-in requests unanswered
+// and execute them after a delay, when another controller may lead.
 func (sim *Simulation) DelayCloudRequests(scaleOuts, scaleIns int, delay time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -41,17 +40,17 @@
 	return sim.lateRequests.outcome
 }
 
-// delayRequest keeps a request for later, if it is one to be kept; call with the lock
-// held.
+// delayRequest schedules a request for later if it is one to be delayed, and reports whether it
+// is; the caller holds the lock.
 func (sim *Simulation) delayRequest(r *http.Request, raw []byte) bool {
-	var carryOut func()
+	var execute func()
 	switch {
 	case r.URL.Path == "/machines" && r.Method == "POST" && sim.lateRequests.scaleOuts > 0:
 		sim.lateRequests.scaleOuts--
-		carryOut = func() { sim.scaleOutLate(raw) }
+		execute = func() { sim.scaleOutLate(raw) }
 	case r.URL.Path == "/machines/release" && sim.lateRequests.scaleIns > 0:
 		sim.lateRequests.scaleIns--
-		carryOut = func() { sim.scaleInLate(raw) }
+		execute = func() { sim.scaleInLate(raw) }
 	default:
 		return false
 	}
@@ -62,7 +61,7 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		sim.lateRequests.outcome.CarriedOut++
-		carryOut()
+		execute()
 	})
 	return true
 }
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -7,24 +7,24 @@
 	"lilaclead/internal/wire"
 )
 
-// machineFaults is what may happen to workers and their messages beside cuts: reports
-// that are copied or held up on their way, and machines that hang. The simulation's
+// machineFaults holds the faults of machines and their messages other than cuts: heartbeats that
+// are duplicated or dropped, commands that are delayed, and machines that hang. The simulation's
 // lock guards it.
 type machineFaults struct {
-	recordedHeartbeats map[wire.MachineID][]wire.Heartbeat // nil: none are kept
-	droppedHeartbeats  map[wire.MachineID]bool             // their next heartbeats arrive nowhere
-	duplicateShare     float64                             // of the heartbeats that are copied
-	duplicateDelay     [2]time.Duration                    // when the copies come
-	duplicates         int                                 // that came
-	staleDuplicates    int                                 // of these, after a newer heartbeat of their machine
-	hung               map[wire.MachineID]chan struct{}    // closed when the machine goes on
-	hungFor            map[wire.MachineID]time.Duration    // how long each hung until now
-	hungSince          map[wire.MachineID]time.Time        // when it last began to hang
+	recordedHeartbeats map[wire.MachineID][]wire.Heartbeat // nil: not recorded
+	droppedHeartbeats  map[wire.MachineID]bool             // machines whose heartbeats are dropped
+	duplicateShare     float64                             // share of the heartbeats that are duplicated
+	duplicateDelay     [2]time.Duration                    // shortest and longest delay of the duplicates
+	duplicates         int                                 // duplicates delivered
+	staleDuplicates    int                                 // of these, delivered after a newer heartbeat of the machine
+	hung               map[wire.MachineID]chan struct{}    // by hanging machine: closed when it resumes
+	hungFor            map[wire.MachineID]time.Duration    // how long each machine has hung, without the present time
+	hungSince          map[wire.MachineID]time.Time        // when each machine last began to hang
 	commandDelay       CommandDelay
-	lateCommands       map[wire.Verb]int // commands that came late, and direct ones answered late
+	lateCommands       map[wire.Verb]int // late commands by verb: see LateCommands
 }
 
-// MakeFaulty makes a machine fail all its tasks from now on.
+// MakeFaulty makes all tasks that start on a machine from now on fail.
 func (sim *Simulation) MakeFaulty(id wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -33,8 +33,8 @@
 	}
 }
 
-// RestartMachine restarts a machine at once: it reports like a new worker, and its
-// tasks and images are gone.
+// RestartMachine restarts a machine at once: its epoch, sequence number and token start anew, and
+// its tasks and images are gone.
 func (sim *Simulation) RestartMachine(id wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -48,9 +48,9 @@
 	}
 }
 
-// HangMachines makes machines hang, or go on. One that hangs reports nothing, answers
-// nothing and does no work, and its lease runs on. When it goes on, it looks at
-// its lease first and then at the commands that wait for it.
+// HangMachines makes machines hang, or resume. A machine that hangs sends nothing, answers
+// nothing and does no work, and its lease expires. When it resumes, it checks its lease first and
+// then executes the commands that wait for it.
 func (sim *Simulation) HangMachines(on bool, ids ...wire.MachineID) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// awaitAwake waits while the machine hangs.
+// awaitAwake waits while HangMachines makes the machine hang.
 func (m *worker) awaitAwake(ctx context.Context) {
 	for {
 		m.sim.mu.Lock()
@@ -91,7 +91,7 @@
 	}
 }
 
-// workFor takes a time in which the machine does not hang.
+// workFor waits for a duration, not counting the time in which the machine hangs.
 func (m *worker) workFor(ctx context.Context, d time.Duration) {
 	hungFor := func() time.Duration {
 		m.sim.mu.Lock()
@@ -107,8 +107,8 @@
 	}
 }
 
-// StallMachine makes a machine hang: it says and hears nothing and its tasks don't get
-// on, until it goes on. Its session ends by its clock all the same.
+// StallMachine makes a machine stall, or resume. A stalled machine is cut off from all controllers
+// and its tasks don't complete, but its lease still ends by its own clock.
 func (sim *Simulation) StallMachine(id wire.MachineID, on bool) {
 	sim.mu.Lock()
 	if m := sim.machines[id]; m != nil {
@@ -118,7 +118,7 @@
 	sim.PartitionMachine(id, on)
 }
 
-// awaitUnstalled waits while the machine hangs.
+// awaitUnstalled waits while the machine is stalled.
 func (m *worker) awaitUnstalled(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.sim.mu.Lock()
@@ -131,8 +131,8 @@
 	}
 }
 
-// PartitionMachine cuts a machine off from all nodes, with all packets held, or lets them
-// through again.
+// PartitionMachine cuts a machine off from all controllers and holds the packets, or ends the cut
+// and delivers them.
 func (sim *Simulation) PartitionMachine(id wire.MachineID, on bool) {
 	ip := sim.MachineIP(id)
 	for i := range sim.controllers {
@@ -142,23 +142,23 @@
 	}
 }
 
-// BlockInbound makes machines ones that nothing reaches, or no more.
+// BlockInbound holds all packets to machines, or delivers them again.
 func (sim *Simulation) BlockInbound(on bool, ids ...wire.MachineID) {
 	for _, id := range ids {
 		sim.Net.BlockInbound(sim.MachineIP(id), on)
 	}
 }
 
-// BlockOutbound makes machines ones that can open no connection, or no more. What
-// others open to them works.
+// BlockOutbound keeps machines from opening connections, or allows it again. Connections that
+// others open to them work.
 func (sim *Simulation) BlockOutbound(on bool, ids ...wire.MachineID) {
 	for _, id := range ids {
 		sim.Net.BlockOutbound(sim.MachineIP(id), on)
 	}
 }
 
-// SlowMachineLinks makes the links of all machines, also of those to come, take so much
-// longer.
+// SlowMachineLinks sets an extra latency of the links of all machines, also of machines that are
+// provisioned later.
 func (sim *Simulation) SlowMachineLinks(by time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -168,8 +168,8 @@
 	}
 }
 
-// SetMachineSpeed gives a machine a speed, at which it fetches; gangs go at that of
-// their slowest.
+// SetMachineSpeed sets a machine's speed, a factor that is 1 by default. The machine fetches images
+// at this speed. A gang progresses at the speed of its slowest machine.
 func (sim *Simulation) SetMachineSpeed(id wire.MachineID, speed float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -187,7 +187,7 @@
 	return 1
 }
 
-// RefuseLaunches makes a machine refuse so many launches as if it were full.
+// RefuseLaunches makes a machine refuse its next n launches as if it were full.
 func (sim *Simulation) RefuseLaunches(id wire.MachineID, n int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -197,7 +197,8 @@
 	sim.gangs.launchRefusals[id] = n
 }
 
-// refusesLaunch reports whether it refuses this launch as full.
+// refusesLaunch reports whether the machine refuses this launch as full, and counts it; the caller
+// holds the lock.
 func (m *worker) refusesLaunch() bool {
 	if m.sim.gangs.launchRefusals[m.id] > 0 {
 		m.sim.gangs.launchRefusals[m.id]--
@@ -206,7 +207,7 @@
 	return false
 }
 
-// EnableSlowSaves makes tasks take their time to save when they are stopped.
+// EnableSlowSaves makes stopped tasks take their checkpoint time to save, not none.
 func (sim *Simulation) EnableSlowSaves() {
 	sim.mu.Lock()
 	sim.slowSaves = true
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -14,15 +14,15 @@
 	return len(sim.machines)
 }
 
-// ProvisionedSoFar counts all the machines that were ever provisioned.
+// ProvisionedSoFar counts all machines that were ever provisioned.
 func (sim *Simulation) ProvisionedSoFar() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.provisionedCount
 }
 
-// machinesWhere returns the machines that pass the test, sorted; the caller holds the
-// lock.
+// machinesWhere returns the machines for which passes returns true, sorted; the caller
+// holds the lock.
 func (sim *Simulation) machinesWhere(passes func(*worker) bool) []wire.MachineID {
 	var out []wire.MachineID
 	for id, m := range sim.machines {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// FirstMachine returns the name and address of the first machine that is up and whose
-// number of tasks passes the test.
+// FirstMachine returns the name and IP address of the first machine that is up and for whose
+// number of tasks passes returns true.
 func (sim *Simulation) FirstMachine(passes func(tasks int) bool) (wire.MachineID, string, bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -53,7 +53,7 @@
 	return sim.machinesWhere(func(m *worker) bool { return m.up })
 }
 
-// RunningMachinesIn returns the machines that are up in a zone.
+// RunningMachinesIn returns the machines of a zone that are up.
 func (sim *Simulation) RunningMachinesIn(z wire.Zone) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -70,7 +70,8 @@
 	return sim.machinesOfTasks(func(t wire.TaskID, _ Place) bool { return t.Job == id })
 }
 
-// machinesOfTasks returns the machines of the running tasks that pass the test, sorted.
+// machinesOfTasks returns the machines of the running tasks for which passes returns true,
+// sorted.
 func (sim *Simulation) machinesOfTasks(passes func(wire.TaskID, Place) bool) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -84,7 +85,7 @@
 	return out
 }
 
-// MachinesHolding returns the machines that have tasks of a job, whatever they do.
+// MachinesHolding returns the machines that have tasks of a job in any phase before exited.
 func (sim *Simulation) MachinesHolding(id wire.JobID) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -98,7 +99,7 @@
 	})
 }
 
-// MachineIP returns the address of a machine, empty if it is gone.
+// MachineIP returns the IP address of a machine, empty if the machine is gone.
 func (sim *Simulation) MachineIP(id wire.MachineID) string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -108,7 +109,7 @@
 	return ""
 }
 
-// MachineZone returns the zone of a machine, empty if it is gone.
+// MachineZone returns the zone of a machine, empty if the machine is gone.
 func (sim *Simulation) MachineZone(id wire.MachineID) wire.Zone {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -118,8 +119,8 @@
 	return ""
 }
 
-// MachineEpoch returns a machine's agent epoch, the number of its last message and the highest
-// token it has seen; zero if it is gone.
+// MachineEpoch returns a machine's agent epoch, the sequence number of its last message and
+// the highest token that it has seen; zeros if the machine is gone.
 func (sim *Simulation) MachineEpoch(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -129,8 +130,8 @@
 	return 0, 0, 0
 }
 
-// NewestMachine tells of the newest machine that is up how long ago it was provisioned and how
-// long after that it was up; zero if there is none.
+// NewestMachine returns the age of the machine that was provisioned last among those that
+// are up, and how long it took to boot; zeros if no machine is up.
 func (sim *Simulation) NewestMachine() (age, boot time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -142,9 +143,9 @@
 	return
 }
 
-// JobsWithRoom lists the jobs that have a task waiting for which a machine has room
-// now where the job's other tasks let it be, with their team under its limit, and
-// how many tasks of each wait.
+// JobsWithRoom returns the number of waiting tasks of each job that could start one now: some
+// machine has room for the task, the placement of the job's other tasks allows that machine,
+// and the job's team is below its limit.
 func (sim *Simulation) JobsWithRoom() map[wire.JobID]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -166,8 +167,7 @@
 	return out
 }
 
-// room returns the machine with its free capacity and its tasks; the caller holds the
-// lock.
+// room returns the machine with its free capacity and its tasks; the caller holds the lock.
 func (m *worker) room() MachineRoom {
 	room := MachineRoom{
 		Place:  Place{m.id, m.machineType, m.zone, m.spot},
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -8,16 +8,16 @@
 	"lilaclead/internal/wire"
 )
 
-// CommandDelay is how long the network holds up what goes between a machine and the
-// node that commands it.
+// CommandDelay is how long the network delays messages between machines and the controller that
+// commands them.
 type CommandDelay struct {
-	Command           time.Duration // a direct command
-	Answer            time.Duration // the answer to one
-	HeartbeatResponse time.Duration // the answer to a heartbeat
+	Command           time.Duration // of a direct command
+	Answer            time.Duration // of the answer to a direct command
+	HeartbeatResponse time.Duration // of the response to a heartbeat
 }
 
-// DelayCommands holds up commands and answers of all machines from now on; a
-// zero lag ends it.
+// DelayCommands delays the commands and answers of all machines from now on; the zero value ends
+// it.
 func (sim *Simulation) DelayCommands(delay CommandDelay) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -31,20 +31,22 @@
 	return m.sim.machineFaults.commandDelay
 }
 
-// Answered is the verb under which direct commands are counted whose answers
-// came late.
+// Answered is the verb under which LateCommands counts direct requests that were executed and
+// answered late.
 const Answered wire.Verb = "answered"
 
-// LateCommands returns how many direct launches or stops came after they had been held up
-// or had waited for a machine that hung, how many direct commands were executed
-// and answered late, and how many orders to forget were executed late.
+// LateCommands counts late commands by verb: for VerbLaunch and VerbStop direct commands that were
+// executed late because they were delayed or the machine hung, for VerbForget commands that were
+// executed late, and for Answered direct requests that were executed and answered late. Late means
+// by a second or more.
 func (sim *Simulation) LateCommands(v wire.Verb) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.machineFaults.lateCommands[v]
 }
 
-// countLate counts what came late; the caller holds the lock.
+// countLate counts the commands with one of the verbs if a second or more has passed since a time;
+// the caller holds the lock.
 func (sim *Simulation) countLate(since time.Time, commands []wire.Command, verbs ...wire.Verb) {
 	if time.Since(since) < time.Second {
 		return
@@ -59,7 +61,7 @@
 	}
 }
 
-// RecordHeartbeats records every heartbeat from now on.
+// RecordHeartbeats records every heartbeat from now on: see RecordedHeartbeats.
 func (sim *Simulation) RecordHeartbeats() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -73,8 +75,8 @@
 	return slices.Clone(sim.machineFaults.recordedHeartbeats[id])
 }
 
-// DropHeartbeats drops the heartbeats of a machine on their way, as if each had
-// been sent and not arrived. They can be handed over later.
+// DropHeartbeats makes the network drop the heartbeats of a machine, or deliver them again. A test
+// can deliver dropped ones later with RecordedHeartbeats and DeliverHeartbeats.
 func (sim *Simulation) DropHeartbeats(id wire.MachineID, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -84,23 +86,24 @@
 	sim.machineFaults.droppedHeartbeats[id] = on
 }
 
-// DuplicateHeartbeats makes copies of a share of all heartbeats come to all nodes again,
-// between the two times after they were sent.
+// DuplicateHeartbeats makes the network deliver a share of all heartbeats again, to all
+// controllers, after a delay between the two given.
 func (sim *Simulation) DuplicateHeartbeats(share float64, from, to time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.machineFaults.duplicateShare, sim.machineFaults.duplicateDelay = share, [2]time.Duration{from, to}
 }
 
-// DuplicateCounts returns how many copies were delivered, and how many of them after a newer heartbeat.
+// DuplicateCounts returns how many duplicates were delivered, and how many of them after a newer
+// heartbeat of the same machine.
 func (sim *Simulation) DuplicateCounts() (all, older int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.machineFaults.duplicates, sim.machineFaults.staleDuplicates
 }
 
-// onHeartbeatSent notes a heartbeat that is about to be sent and reports whether it is
-// held up; the caller holds the lock.
+// onHeartbeatSent applies the faults of heartbeats to one that is about to be sent, and reports
+// whether it is dropped; the caller holds the lock.
 func (sim *Simulation) onHeartbeatSent(m *worker, heartbeat wire.Heartbeat) bool {
 	faults := &sim.machineFaults
 	if faults.recordedHeartbeats != nil {
@@ -116,17 +119,17 @@
 	return faults.droppedHeartbeats[m.id]
 }
 
-// DeliveredHeartbeat is a heartbeat that was delivered to a node, with the answer.
+// DeliveredHeartbeat is a heartbeat that was delivered to a controller, with the response.
 type DeliveredHeartbeat struct {
 	Node      int
 	Heartbeat wire.Heartbeat
 	Status    int
-	Token     wire.FencingToken // of a 200
-	Newer     bool              // the machine had made a newer message before it came
+	Token     wire.FencingToken // token of the response, if Status is 200
+	Newer     bool              // the machine had created a newer message before the delivery
 }
 
-// DeliverHeartbeats hands heartbeats to all nodes at once, as the network does with packets
-// that it had held, and waits for the answers, which reach no worker.
+// DeliverHeartbeats delivers heartbeats to all controllers at once, as a network does with packets
+// that it held, and waits for the responses, which reach no worker.
 func (sim *Simulation) DeliverHeartbeats(heartbeats ...wire.Heartbeat) []DeliveredHeartbeat {
 	out := make([]DeliveredHeartbeat, 0, len(heartbeats)*len(sim.controllers))
 	var mu sync.Mutex
@@ -158,8 +161,8 @@
 	return out
 }
 
-// ResendLastHeartbeat takes the last heartbeat of a machine and sends copies of it to all nodes
-// after the given times, whatever has become of the machine.
+// ResendLastHeartbeat sends copies of the last heartbeat of a machine to all controllers after each
+// of the delays, whether or not the machine still exists then.
 func (sim *Simulation) ResendLastHeartbeat(id wire.MachineID, delays ...time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -10,23 +10,24 @@
 	"lilaclead/internal/netio"
 )
 
-// Network is an in-memory network whose links can be held up or cut.
+// Network is an in-memory network on which packets can be delayed or held and connections
+// refused or reset.
 type Network struct {
 	mu              sync.Mutex
 	listeners       map[string]*listener
 	conns           map[*conn]bool
-	poweredOff      map[string]bool             // hosts without power: silent
-	blockedLinks    map[[2]string]bool          // from, to: packets wait
-	inboundBlocked  map[string]bool             // hosts that nothing reaches, though they are heard
-	isolatedHosts   map[string]bool             // hosts that reach only each other
-	refusedLinks    map[[2]string]bool          // from, to: connections are refused
-	hostDelay       map[string]time.Duration    // hosts to and from which all takes so much longer
-	outboundBlocked map[string]bool             // hosts that can open no connection
-	linkDelay       map[[2]string]time.Duration // from, to: so much longer
+	poweredOff      map[string]bool             // hosts that neither send nor receive
+	blockedLinks    map[[2]string]bool          // [from, to]: packets are held
+	inboundBlocked  map[string]bool             // hosts that send but receive nothing
+	isolatedHosts   map[string]bool             // hosts that can reach only each other
+	refusedLinks    map[[2]string]bool          // [from, to]: new connections are refused
+	hostDelay       map[string]time.Duration    // extra latency of packets to and from a host
+	outboundBlocked map[string]bool             // hosts that can't open connections
+	linkDelay       map[[2]string]time.Duration // [from, to]: extra latency
 	latency         time.Duration
 }
 
-// NewNetwork returns a network on which a packet takes the latency.
+// NewNetwork returns a network on which every packet takes the given latency.
 func NewNetwork(latency time.Duration) *Network {
 	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, poweredOff: map[string]bool{}, blockedLinks: map[[2]string]bool{}, inboundBlocked: map[string]bool{}, isolatedHosts: map[string]bool{}, refusedLinks: map[[2]string]bool{}, hostDelay: map[string]time.Duration{}, latency: latency}
 }
@@ -39,14 +40,14 @@
 	}
 }
 
-// addr is an address of the network in memory.
+// addr is an address on the in-memory network.
 type addr string
 
 func (a addr) Network() string { return "tcp" }
 
 func (a addr) String() string { return string(a) }
 
-// listener takes the connections to one address.
+// listener accepts the connections to one address.
 type listener struct {
 	network *Network
 	addr    string
@@ -55,7 +56,7 @@
 	once    sync.Once
 }
 
-// listen opens an address.
+// listen starts to accept connections to an address.
 func (n *Network) listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,7 +91,7 @@
 
 func (l *listener) Addr() net.Addr { return addr(l.addr) }
 
-// hostOf returns the host of an address.
+// hostOf returns the host of an address, without the port.
 func hostOf(a string) string {
 	h, _, err := net.SplitHostPort(a)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return h
 }
 
-// dial connects, waits while the link is cut, and gives up after 2 s.
+// dial opens a connection. It waits while the link is blocked, for at most 2 s.
 func (n *Network) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	fail := func(err error) error { return &net.OpError{Op: "dial", Net: "tcp", Addr: addr(to), Err: err} }
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -133,14 +134,14 @@
 	}
 }
 
-// delay returns how long a packet is on its way between two hosts.
+// delay returns how long a packet takes from one host to another.
 func (n *Network) delay(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.latency + n.hostDelay[from] + n.hostDelay[to] + n.linkDelay[[2]string{from, to}]
 }
 
-// connsWhere lists the open connections that pass the test.
+// connsWhere lists the open connections for which passes returns true.
 func (n *Network) connsWhere(passes func(*conn) bool) []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -153,10 +154,10 @@
 	return out
 }
 
-// anyConn passes all connections.
+// anyConn matches every connection.
 func anyConn(*conn) bool { return true }
 
-// Close ends every connection.
+// Close closes every connection.
 func (n *Network) Close() {
 	for _, c := range n.connsWhere(anyConn) {
 		c.abort(func(p *pipe) { p.closed = true })
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// CutMode is what a cut does with packets and connections.
+// CutMode is the effect of a cut on packets and connections.
 type CutMode string
 
 // The modes.
 const (
-	// CutHeld: packets wait and come in order after the cut.
+	// CutHeld: packets are held, and delivered in order after the cut.
 	CutHeld CutMode = "held"
-	// CutRefused: open connections are reset, new ones refused.
+	// CutRefused: open connections are reset and new ones refused.
 	CutRefused CutMode = "refused"
-	// CutSilent: packets are lost without a word; when the cut is over, the
-	// connections that it broke are found reset.
+	// CutSilent: packets are lost silently. When the cut ends, the connections across it are
+	// reset.
 	CutSilent CutMode = "silent"
 )
 
-// CutModes lists them.
+// CutModes lists all modes.
 var CutModes = []CutMode{CutHeld, CutRefused, CutSilent}
 
-// CutWithMode cuts two hosts from each other, or ends the cut.
+// CutWithMode cuts two hosts off from each other, or ends the cut.
 func (n *Network) CutWithMode(a, b string, mode CutMode, on bool) {
 	if mode == CutRefused {
 		n.mu.Lock()
@@ -51,14 +51,13 @@
 	return n.refusedLinks[[2]string{a, b}] || n.blockedLinks[[2]string{a, b}] && n.blockedLinks[[2]string{b, a}]
 }
 
-// Cut holds up both directions.
+// Cut holds all packets between two hosts, or delivers them.
 func (n *Network) Cut(a, b string, cut bool) {
 	n.Hold(a, b, cut)
 	n.Hold(b, a, cut)
 }
 
-// Hold holds up all packets from one host to another, or lets them through,
-// with everything that waited.
+// Hold holds all packets from one host to another, or delivers them.
 func (n *Network) Hold(from, to string, hold bool) {
 	n.mu.Lock()
 	n.blockedLinks[[2]string{from, to}] = hold
@@ -68,7 +67,7 @@
 	}
 }
 
-// deliverPending delivers what waited on open connections.
+// deliverPending delivers the packets on open connections that are due and no longer held.
 func (n *Network) deliverPending() {
 	for _, c := range n.connsWhere(anyConn) {
 		c.in.deliver()
@@ -76,7 +75,7 @@
 	}
 }
 
-// BlockInbound blocks all packets to a host, while those that it sends arrive.
+// BlockInbound holds all packets to a host, or delivers them. Packets from the host arrive.
 func (n *Network) BlockInbound(ip string, on bool) {
 	n.mu.Lock()
 	n.inboundBlocked[ip] = on
@@ -86,8 +85,8 @@
 	}
 }
 
-// BlockOutbound makes a host one that can open no connection, and ends those that it
-// opened, or lets it again.
+// BlockOutbound keeps a host from opening connections and resets those that it opened, or allows
+// new ones again.
 func (n *Network) BlockOutbound(ip string, on bool) {
 	n.mu.Lock()
 	if n.outboundBlocked == nil {
@@ -102,7 +101,7 @@
 	}
 }
 
-// Isolate makes a host one of those that reach only each other, or no more.
+// Isolate adds a host to those that reach only each other, or removes it.
 func (n *Network) Isolate(ip string, on bool) {
 	n.mu.Lock()
 	n.isolatedHosts[ip] = on
@@ -112,14 +111,14 @@
 	}
 }
 
-// SlowHost makes everything to and from a host take so much longer; 0: no more.
+// SlowHost sets an extra latency of all packets to and from a host; 0 ends it.
 func (n *Network) SlowHost(ip string, by time.Duration) {
 	n.mu.Lock()
 	n.hostDelay[ip] = by
 	n.mu.Unlock()
 }
 
-// SlowLink makes what one host sends to another take so much longer; 0: as usual.
+// SlowLink sets an extra latency of the packets from one host to another; 0 ends it.
 func (n *Network) SlowLink(from, to string, by time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,16 +128,16 @@
 	n.linkDelay[[2]string{from, to}] = by
 }
 
-// SetPowerOff takes a host's power, or gives it back.
+// SetPowerOff makes a host neither send nor receive, or ends this.
 func (n *Network) SetPowerOff(ip string, down bool) {
 	n.mu.Lock()
 	n.poweredOff[ip] = down
 	n.mu.Unlock()
 }
 
-// Reset breaks every connection and listener of a host, as its end does. (A
-// node that was up again at once could find its address still in use by its
-// last life, and was then silently missing from a test.)
+// Reset resets every connection and closes every listener of a host, as the end of its process
+// does. Without this, a controller that restarts at once can find its address still in use by the
+// previous process, and is then silently missing from a test.
 func (n *Network) Reset(ip string) {
 	n.mu.Lock()
 	var listeners []*listener
@@ -156,14 +155,14 @@
 	}
 }
 
-// faulty reports whether any fault of the network lasts.
+// faulty reports whether any cut, refusal or block of the network is active.
 func (n *Network) faulty() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return anyTrue(n.blockedLinks) || anyTrue(n.inboundBlocked) || anyTrue(n.isolatedHosts) || anyTrue(n.outboundBlocked) || anyTrue(n.refusedLinks)
 }
 
-// anyTrue reports whether any entry is true.
+// anyTrue reports whether any value of a map is true.
 func anyTrue[K comparable](m map[K]bool) bool {
 	for _, on := range m {
 		if on {
--- a/internal/simulator/serve.go
+++ b/internal/simulator/serve.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// drainTime is how long clients may still wait for what was on its way.
+// drainTime is how long stop waits for clients with open requests to give up.
 const drainTime = 5 * time.Second
 
-// ServeKVStore lets a key-value store answer at KVStoreAddr until stop is called, which ends
-// the network and waits for what was on its way, in virtual time.
+// ServeKVStore serves a key-value store at KVStoreAddr until stop is called. stop closes the
+// network and waits for requests that are still open; it is meant for virtual time.
 func (n *Network) ServeKVStore(s *KVStore) (stop func(), err error) {
 	l, err := n.Host(hostOf(KVStoreAddr)).Listen("tcp4", KVStoreAddr)
 	if err != nil {
--- a/internal/simulator/serve_test.go
+++ b/internal/simulator/serve_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-func TestServeStateAnswersUntilStopped(t *testing.T) {
+func TestServeKVStoreAnswersUntilStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := NewNetwork(time.Millisecond)
 		stop, err := network.ServeKVStore(NewKVStore(12, 16))
 		if err != nil {
-			t.Fatalf("ServeState() = %v, want no error", err)
+			t.Fatalf("ServeKVStore() = %v, want no error", err)
 		}
 		ask := func() int {
 			status, _, _ := Ask(t.Context(), network.Host(userIP), "GET", "http://"+KVStoreAddr+"/kv", nil)
@@ -30,12 +30,12 @@
 	})
 }
 
-func TestChangesWithoutBlockingAreAnsweredAtOnce(t *testing.T) {
+func TestNonBlockingWatchIsAnsweredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := NewNetwork(time.Millisecond)
 		stop, err := network.ServeKVStore(NewKVStore(12, 16))
 		if err != nil {
-			t.Fatalf("ServeState() = %v, want no error", err)
+			t.Fatalf("ServeKVStore() = %v, want no error", err)
 		}
 		defer stop()
 		begin := time.Now()
@@ -46,8 +46,8 @@
 	})
 }
 
-// Many goroutines sleep for no time at once: with timers that have already expired this
-// crashed the race detector.
+// sleep must not create a timer that has already expired: many of them at once crash the race
+// detector.
 func TestSleepForNoDurationReturnsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begin := time.Now()
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -11,7 +11,7 @@
 	"lilaclead/internal/wire"
 )
 
-// KVStoreAddr and CloudAddr are the endpoints of the fakes on the in-memory network.
+// KVStoreAddr and CloudAddr are the endpoints of the fake key-value store and the fake cloud.
 const (
 	KVStoreAddr = "10.2.0.1:2379"
 	CloudAddr   = "10.2.0.2:8443"
@@ -32,9 +32,9 @@
 	}
 }
 
-// GasSettings are those of three controllers for three zones, a small state
-// service, and leases and cancellations close to each other. One of the zones
-// has no controller if Nodes says so.
+// GasSettings returns the settings of three controllers and three zones, with low limits of
+// the key-value store and a cancel timeout little longer than two leases. PlaceControllers can
+// leave a zone without a controller.
 func GasSettings() config.Settings {
 	s := DefaultSettings()
 	s.Zones = []wire.Zone{"a", "b", "c"}
@@ -44,8 +44,8 @@
 	return s
 }
 
-// Loopback is the machine's own loopback network in place of the one in
-// memory: host 10.a.b.c is 127.a.b.c.
+// Loopback returns the operating system's loopback network, for use in place of the
+// in-memory network: host 10.a.b.c is 127.a.b.c.
 func Loopback(string) netio.Net {
 	system := netio.Real()
 	onLoopback := func(addr string) string { return LoopbackAddr(addr) }
@@ -57,5 +57,5 @@
 	}
 }
 
-// LoopbackAddr returns the loopback address that stands for an address of the simulation.
+// LoopbackAddr returns the loopback address that replaces an address of the simulation.
 func LoopbackAddr(addr string) string { return "127." + strings.TrimPrefix(addr, "10.") }
--- a/internal/simulator/settings_test.go
+++ b/internal/simulator/settings_test.go
@@ -6,8 +6,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Controllers send commands to the address that an agent advertises: on the loopback
-// network it must not be one of another network.
+// Controllers send commands to the address that an agent advertises. On the loopback network it
+// must be a loopback address.
 func TestAgentsAdvertiseAddressesOfTheirNetwork(t *testing.T) {
 	const address = "10.1.0.7:9000"
 	for _, c := range []struct {
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -17,18 +17,19 @@
 	"lilaclead/internal/wire"
 )
 
-// StartFunc creates a controller; the function that it returns runs it until the context ends.
+// StartFunc creates a controller. The function that it returns runs the controller until
+// the context ends.
 type StartFunc func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error)
 
-// JobScript is a job's specification and how its tasks behave on the fake machines.
+// JobScript is a job's specification and the behaviour of its tasks on the fake machines.
 type JobScript struct {
 	Spec        wire.JobSpec
-	RunTime     float64   // true run time of a task
-	AlwaysFails bool      // its tasks fail on every machine
-	RunTimes    []float64 // the first tasks' own run times; the others take RunTime
+	RunTime     float64   // run time of a task, in seconds
+	AlwaysFails bool      // the tasks fail on every machine
+	RunTimes    []float64 // run times of the first tasks, in seconds; the others take RunTime
 }
 
-// runTimeOf returns the true run time of one of the job's tasks, in seconds.
+// runTimeOf returns the run time of the task with an index, in seconds.
 func (s *JobScript) runTimeOf(index int) float64 {
 	if index < len(s.RunTimes) {
 		return s.RunTimes[index]
@@ -36,11 +37,13 @@
 	return s.RunTime
 }
 
-// Simulation is a deployment of fakes around real controllers. One lock guards it all.
+// Simulation is a deployment of real controllers with fakes of everything else. Its lock
+// guards the fakes, except for the network and the key-value store, which have their own.
 type Simulation struct {
-	Net     *Network // the network in memory, with its faults
+	Net     *Network // the in-memory network
 	hostNet func(ip string) netio.Net
-	// onLoopback: the hosts are on the machine's own loopback network (see Loopback).
+	// onLoopback means that the hosts are on the operating system's loopback network (see
+	// Loopback), not on Net.
 	onLoopback bool
 	State      *KVStore
 	Settings   config.Settings
@@ -51,10 +54,10 @@
 	start            StartFunc
 	rng              *rand.Rand
 	machineTypes     []wire.MachineSpec
-	capacity         map[string]int // type/zone/kind -> how many more
+	capacity         map[string]int // by capacityKey: machines that the cloud can still provide
 	machines         map[wire.MachineID]*worker
 	scaleOuts        map[string][]wire.MachineID
-	scaleOutNames    []string // of those that were filled, in that order
+	scaleOutNames    []string // the keys of scaleOuts in the order in which they were filled
 	listHistory      []listSnapshot
 	provisionedCount int
 	scripts          map[wire.JobID]*JobScript
@@ -65,7 +68,7 @@
 	gangs            gangTable
 
 	isolatedZone        wire.Zone
-	partitionedZones    [2]wire.Zone // zones that can't reach each other; empty: none
+	partitionedZones    [2]wire.Zone // two zones that can't reach each other; empty: none
 	cloudOutage         bool
 	loseScaleInAnswers  int
 	loseScaleOutAnswers int
@@ -77,19 +80,19 @@
 	soldOut             map[wire.Zone]bool
 	listLag             time.Duration
 	bootFactor          float64
-	reportedFaults      int       // faults that last and that nothing else shows
-	lastFault           time.Time // when there last was a fault
+	reportedFaults      int       // active faults reported by CountFault
+	lastFault           time.Time // when a fault was last active
 }
 
-// controller is a node under test, which may be down.
+// controller is a controller under test, which may be down.
 type controller struct {
 	cfg    config.Config
 	cancel context.CancelFunc
 	up     bool // the simulation's lock guards it
 }
 
-// advertisedAddr returns the address under which controllers reach a host: on the loopback
-// network that which stands for its address.
+// advertisedAddr returns the address at which controllers reach a host: on the loopback
+// network it is the replaced one.
 func (sim *Simulation) advertisedAddr(addr string) string {
 	if sim.onLoopback {
 		return LoopbackAddr(addr)
@@ -97,8 +100,8 @@
 	return addr
 }
 
-// New builds a deployment; no node runs yet. Without a host function it lives on its own
-// network in memory; Loopback is the only other one.
+// New returns a deployment in which no controller runs yet. host returns the network as the
+// host with an IP address sees it: nil for an in-memory network, or Loopback.
 func New(ctx context.Context, settings config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
 	limits := map[wire.TeamID]TeamLimit{}
 	for _, team := range settings.Teams {
@@ -154,10 +157,10 @@
 	return c
 }
 
-// sleep waits for a duration or until the context is done. It makes no timer that has
-// already expired: in a synctest bubble under the race detector the receiving goroutine
-// runs such a timer itself, in a detector context that all goroutines of the bubble
-// share, and two at once crash the detector (seen with go1.26).
+// sleep waits for a duration or until the context is done. It never creates a timer that has
+// already expired: in a synctest bubble under the race detector, the receiving goroutine
+// runs such a timer itself, in a detector context that all goroutines of the bubble share,
+// and two of them at once crash the detector (go1.26).
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -168,7 +171,7 @@
 	}
 }
 
-// spawn runs f beside the caller; Close waits for its end.
+// spawn runs f in a goroutine that Close waits for.
 func (sim *Simulation) spawn(f func()) {
 	sim.wg.Add(1)
 	go func() {
@@ -177,7 +180,7 @@
 	}()
 }
 
-// serve begins to answer requests to an address.
+// serve starts an HTTP server at an address.
 func (sim *Simulation) serve(address string, handler http.Handler) *http.Server {
 	listener, err := sim.hostNet(hostOf(address)).Listen("tcp4", address)
 	if err != nil {
@@ -194,7 +197,7 @@
 // Done returns a channel that is closed when the simulation's context ends.
 func (sim *Simulation) Done() <-chan struct{} { return sim.ctx.Done() }
 
-// Close ends everything.
+// Close stops the controllers, the network and the fakes, and waits for their goroutines.
 func (sim *Simulation) Close() {
 	for i := range sim.controllers {
 		sim.KillController(i)
@@ -208,7 +211,7 @@
 	}
 	sim.wg.Wait()
 	sim.Net.Close()
-	time.Sleep(time.Second) // handlers that were still thinking
+	time.Sleep(time.Second) // lets handlers that are still running return
 }
 
 // WithChecker runs f with the checker under the simulation's lock.
@@ -218,7 +221,7 @@
 	f(sim.checker)
 }
 
-// observe feeds the checker with what there is now; the caller holds the lock.
+// observe shows the present faults and machines to the checker; the caller holds the lock.
 func (sim *Simulation) observe(now time.Time) {
 	if sim.hasFault(now) {
 		sim.lastFault = now
@@ -232,7 +235,7 @@
 	sim.checker.ObserveRoom(rooms, now)
 }
 
-// hasFault reports whether the simulation sees a fault; the caller holds the lock.
+// hasFault reports whether any fault is active; the caller holds the lock.
 func (sim *Simulation) hasFault(now time.Time) bool {
 	if sim.reportedFaults > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
 		return true
@@ -250,8 +253,8 @@
 	return sim.State.faulty() || sim.Net.faulty()
 }
 
-// CountFault begins or ends a fault that the simulation can't see by itself: while one
-// is on, no job counts as left waiting.
+// CountFault records that a fault begins or ends that the simulation can't see by itself.
+// While one is active, the rule LeftWaiting does not apply.
 func (sim *Simulation) CountFault(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Outage begins or ends an outage. After it every grant has its full time.
+// Outage begins or ends an outage. At its end every grant gets its full TTL again.
 func (s *KVStore) Outage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,77 +24,75 @@
 	s.notify()
 }
 
-// InOutage reports whether an outage lasts.
+// InOutage reports whether there is an outage now.
 func (s *KVStore) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inOutage
 }
 
-// RefuseClient makes the service refuse one host only.
+// RefuseClient makes the service refuse the requests of one host, or serve them again.
 func (s *KVStore) RefuseClient(host string, on bool) {
 	s.mu.Lock()
 	s.refusedClients[host] = on
 	s.mu.Unlock()
 }
 
-// LoseAnswers makes the next transactions take effect without an answer.
+// LoseAnswers makes the next n transactions take effect without an answer.
 func (s *KVStore) LoseAnswers(n int) {
 	s.mu.Lock()
 	s.answersToLose = n
 	s.mu.Unlock()
 }
 
-// DropRequests makes the next transactions vanish without effect or answer.
+// DropRequests makes the next n transactions have neither effect nor answer.
 func (s *KVStore) DropRequests(n int) {
 	s.mu.Lock()
 	s.requestsToDrop = n
 	s.mu.Unlock()
 }
 
-// DelayWatches makes the answers to open watches come late, as the service's
-// answers do at times.
+// DelayWatches delays the answers to blocking watches, as the real service does at times.
 func (s *KVStore) DelayWatches(d time.Duration) {
 	s.mu.Lock()
 	s.watchDelay = d
 	s.mu.Unlock()
 }
 
-// faulty reports whether any fault of the service lasts.
+// faulty reports whether any fault of the service is active.
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inOutage || s.answersToLose > 0 || s.requestsToDrop > 0 || anyTrue(s.refusedClients)
 }
 
-// TxnFault is what the key-value store does to some transactions: it gives no
-// answer, and carries them out at once or, with Late, some time later, when
-// newer ones have been carried out.
+// TxnFault selects transactions that the key-value store does not answer. It executes them at
+// once or, with Late, after a delay, during which newer ones are executed.
 type TxnFault struct {
-	Hosts  []string // of these clients; nil: of all
-	Prefix string   // those that change a key with this prefix
-	Share  float64  // so many of them; 0: all
-	Most   int      // no more than this; 0: any number
-	// Late is the shortest and the longest delay; zero: at once.
+	Hosts  []string // clients whose transactions are hit; nil: all
+	Prefix string   // only transactions that change a key with this prefix
+	Share  float64  // share of these transactions; 0: all
+	Most   int      // maximal number of transactions; 0: no limit
+	// Late is the shortest and the longest delay of the execution; zero: none.
 	Late [2]time.Duration
-	// Hang: the client always waits until it gives up; else every other
-	// connection breaks at once.
+	// Hang makes every client wait until it gives up. Otherwise half of the connections, at
+	// random, break at once.
 	Hang bool
 }
 
 // TxnOutcome is the outcome of a transaction that a fault hit.
 type TxnOutcome struct {
 	Client string
-	Keys   []string // that it changes
+	Keys   []string // keys that the transaction changes
 	Sent   time.Time
 	Late   bool
-	// Done is when it was carried out or refused; zero: not yet. Status is what
-	// the answer would have been, Failed the guards that failed.
+	// Done is when the transaction was executed or refused; zero: not yet. Status is the
+	// status that the answer would have had, Failed the keys of the guards that failed.
 	Done   time.Time
 	Status int
 	Failed []string
-	// Newer counts the transactions of the same client that were carried out
-	// in between.
+	// Newer counts the transactions of the same client that were executed between the
+	// arrival of this one and its execution.
 	Newer int
 }
 
@@ -103,18 +101,18 @@
 	return slices.ContainsFunc(f.Keys, func(k string) bool { return strings.HasPrefix(k, prefix) })
 }
 
-// txnFaults is the part of the service that injects such faults. The service's
-// lock guards it.
+// txnFaults is the part of the service that injects faults into transactions. The service's lock
+// guards it.
 type txnFaults struct {
 	rng            *rand.Rand
 	faults         []TxnFault
 	outcomes       []*TxnOutcome
-	answerDelay    map[string]time.Duration // by client; "" stands for all
-	unansweredKeys map[string][]string      // by client: keys changed by what is not answered yet
-	executedCount  map[string]int           // by client: transactions carried out
+	answerDelay    map[string]time.Duration // by client; "": all clients
+	unansweredKeys map[string][]string      // by client: keys changed by transactions not answered yet
+	executedCount  map[string]int           // by client: executed transactions that write
 }
 
-// countExecuted counts a transaction of a client.
+// countExecuted counts an executed transaction of a client.
 func (f *txnFaults) countExecuted(from string) {
 	if f.executedCount == nil {
 		f.executedCount = map[string]int{}
@@ -122,15 +120,15 @@
 	f.executedCount[from]++
 }
 
-// InjectTxnFaults puts these faults in place of the former ones; without any it ends
-// them. What is on its way is carried out all the same.
+// InjectTxnFaults replaces the faults of transactions; without arguments it ends them.
+// Transactions that were already delayed are still executed.
 func (s *KVStore) InjectTxnFaults(seed uint64, faults ...TxnFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.txnFaults.rng, s.txnFaults.faults = rand.New(rand.NewPCG(seed, 11)), faults
 }
 
-// TxnOutcomes returns the outcomes of the transactions that were hit so far, in order of arrival.
+// TxnOutcomes returns the outcomes of the transactions that a fault has hit, in order of arrival.
 func (s *KVStore) TxnOutcomes() []TxnOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,7 +139,8 @@
 	return out
 }
 
-// injectFault reports whether a fault hits the transaction, and plays it.
+// injectFault returns false if no fault applies to the transaction. Otherwise it executes the
+// transaction as the fault says, and aborts the request without an answer.
 func (s *KVStore) injectFault(r *http.Request, t *wire.Txn) bool {
 	from := hostOf(r.RemoteAddr)
 	outcome := &TxnOutcome{Client: from, Keys: keysOf(t), Sent: time.Now()}
@@ -183,7 +182,7 @@
 	}
 	hang := injector.rng.IntN(2) == 0 || fault.Hang
 	s.mu.Unlock()
-	if hang { // until the client gives up; else the connection breaks at once
+	if hang { // until the client gives up; otherwise the connection breaks at once
 		<-r.Context().Done()
 	}
 	panic(http.ErrAbortHandler)
@@ -198,8 +197,8 @@
 	return out
 }
 
-// DelayAnswers delays every answer to a host, "" for all, after what was asked for has
-// been done.
+// DelayAnswers delays every answer to a host, "" for all hosts, after the request has been
+// executed.
 func (s *KVStore) DelayAnswers(host string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +208,7 @@
 	s.txnFaults.answerDelay[host] = by
 }
 
-// delayed returns the writer that delays the answer to a client, if its answers are to be slow.
+// delayed returns a writer that delays the answer if answers to the client are delayed, else w.
 func (s *KVStore) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,7 +219,7 @@
 	return &slowWriter{ResponseWriter: w, by: by}
 }
 
-// slowWriter sends an answer after a time.
+// slowWriter delays an answer.
 type slowWriter struct {
 	http.ResponseWriter
 	by time.Duration
@@ -238,7 +237,8 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// trackUnanswered records the keys that a transaction changed until the returned function is called.
+// trackUnanswered records the keys that a transaction changed as unanswered, until the returned
+// function is called.
 func (s *KVStore) trackUnanswered(from string, t *wire.Txn) (answered func()) {
 	keys := keysOf(t)
 	s.mu.Lock()
@@ -260,8 +260,8 @@
 	}
 }
 
-// UnansweredWrites counts the keys with a prefix that a host has changed without having
-// its answer yet, the service being slow.
+// UnansweredWrites counts the keys with a prefix that a host has changed and whose transactions
+// are not answered yet because answers are delayed.
 func (s *KVStore) UnansweredWrites(host, prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -12,23 +12,23 @@
 	"lilaclead/internal/wire"
 )
 
-// stateLimits are what the key-value store can be given beside its faults: rates, as
-// PROTOCOL says, a short history, and delays of single transactions.
+// stateLimits are limits and delays of the key-value store: the rates of PROTOCOL, a short
+// history, small pages, and delays of transactions, reads and lists.
 type stateLimits struct {
 	mu                           sync.Mutex
 	requestLimiter, writeLimiter *rate.Limiter // nil: no limit
 	rateRefusals                 int           // requests refused for the rate
-	peakRate                     float64       // most requests of any second
+	peakRate                     float64       // highest number of requests in one window of a second
 	windowStart                  time.Time
 	requestsInWindow             int
-	historyLimit, pageLimit      int // changes kept and entries of a page, 0: the usual ones
+	historyLimit, pageLimit      int // changes kept and entries per page; 0: the defaults
 	txnDelay                     func(*wire.Txn) time.Duration
 	readDelay                    func(key string) time.Duration
 	listDelay                    func() time.Duration
 	failedTxns                   []wire.Txn // transactions whose guards failed
 }
 
-// SetRateLimits makes the service refuse what is above its rates.
+// SetRateLimits makes the service refuse requests and writes above the rates.
 func (s *KVStore) SetRateLimits(rps, writeRPS float64) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
@@ -36,9 +36,8 @@
 	s.limits.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
 }
 
-// LowerLimits gives the service smaller limits from now on, without notice: a larger
-// value or transaction gets 400, changes beyond the rate 429. What is stored
-// stays readable.
+// LowerLimits lowers the service's limits without notice. A larger value or transaction is
+// then answered 400, requests and writes above the rates 429. Stored values stay readable.
 func (s *KVStore) LowerLimits(valueKB, maxOps int, rps, writeRPS float64) {
 	s.mu.Lock()
 	s.maxTxnOps, s.maxValueKB = maxOps, valueKB
@@ -46,8 +45,8 @@
 	s.SetRateLimits(rps, writeRPS)
 }
 
-// allows reports whether a transaction is within the limits of size. What it
-// refuses is counted.
+// allows reports whether a transaction is well-formed and within the size limits, and counts
+// those that are not.
 func (s *KVStore) allows(t *wire.Txn, bytes int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +60,7 @@
 	return ok
 }
 
-// jsonSize returns the size of a value as the service counts it.
+// jsonSize returns the size of a value as JSON, which is what the service limits.
 func jsonSize(v wire.RawValue) int {
 	if len(v) == 0 {
 		return 0
@@ -77,7 +76,7 @@
 	return len(b)
 }
 
-// valueMode decodes values so that they can be written as JSON.
+// valueMode decodes values to types that can be encoded as JSON.
 var valueMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
 	if err != nil {
@@ -86,52 +85,52 @@
 	return m
 }()
 
-// OversizeRefusals counts the transactions that were refused for their size.
+// OversizeRefusals counts the transactions that were refused as malformed or over a size limit.
 func (s *KVStore) OversizeRefusals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.oversizeRefusals
 }
 
-// RateRefusals counts the requests that were refused for the rate, and the most that
-// came within a second.
+// RateRefusals returns how many requests were refused for their rate, and the highest number of
+// requests within a second.
 func (s *KVStore) RateRefusals() (refused, peak int) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
 	return s.limits.rateRefusals, int(s.limits.peakRate)
 }
 
-// LimitHistory makes the service keep only so many changes and list pages of so many
-// entries at most, as if many more had been written.
+// LimitHistory limits the number of changes that the service keeps and of entries per page, so
+// that a test reaches these limits with few writes.
 func (s *KVStore) LimitHistory(keep, page int) {
 	s.limits.mu.Lock()
 	s.limits.historyLimit, s.limits.pageLimit = keep, page
 	s.limits.mu.Unlock()
 }
 
-// DelayTransactions makes a transaction wait before it is looked at, for as long as f says.
+// DelayTransactions delays the execution of each transaction by what f returns.
 func (s *KVStore) DelayTransactions(f func(*wire.Txn) time.Duration) {
 	s.limits.mu.Lock()
 	s.limits.txnDelay = f
 	s.limits.mu.Unlock()
 }
 
-// DelayReads makes reads of a key wait before they are looked at, for as long as f says.
+// DelayReads delays the execution of each read of a key by what f returns.
 func (s *KVStore) DelayReads(f func(key string) time.Duration) {
 	s.limits.mu.Lock()
 	s.limits.readDelay = f
 	s.limits.mu.Unlock()
 }
 
-// DelayLists makes answers that list keys or changes wait once they are made, for as
-// long as f says: what they tell is that old when they arrive.
+// DelayLists delays each answer that lists keys or changes by what f returns, after its content
+// was read: the content is that old when it arrives.
 func (s *KVStore) DelayLists(f func() time.Duration) {
 	s.limits.mu.Lock()
 	s.limits.listDelay = f
 	s.limits.mu.Unlock()
 }
 
-// FailedAtGuard counts the transactions that pass the test and failed at a guard.
+// FailedAtGuard counts the transactions that failed at a guard and for which passes returns true.
 func (s *KVStore) FailedAtGuard(passes func(*wire.Txn) bool) int {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
@@ -144,7 +143,7 @@
 	return n
 }
 
-// allow counts a request, or the changes of one, against the rates.
+// allow counts requests and writes, and reports whether they are within the rates.
 func (l *stateLimits) allow(requests, writes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,7 +197,7 @@
 	l.mu.Unlock()
 }
 
-// historySize returns how many changes are kept.
+// historySize returns the number of changes to keep.
 func (l *stateLimits) historySize() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +207,7 @@
 	return 10_000
 }
 
-// pageSize returns how many entries a page may have.
+// pageSize returns how many entries a page may have if a client requests a number.
 func (l *stateLimits) pageSize(requested int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// KVStore is the key-value store: revisions, guards, grants and watches.
+// KVStore is the fake key-value store, with revisions, guarded transactions, grants and watches.
 type KVStore struct {
 	mu        sync.Mutex
 	revision  wire.Revision
@@ -21,47 +21,48 @@
 	nextGrant wire.GrantID
 	changes   []stateChange
 	wake      chan struct{}
-	// Faults.
+	// Faults and limits.
 	inOutage       bool
-	refusedClients map[string]bool // hosts that get 503
-	answersToLose  int             // so many transactions are executed, and their answers lost
-	requestsToDrop int             // so many are lost before they are executed
+	refusedClients map[string]bool // hosts that are answered 503
+	answersToLose  int             // number of next transactions that are executed and not answered
+	requestsToDrop int             // number of next transactions that are neither executed nor answered
 	txnFaults      txnFaults
 	maxTxnOps      int
 	maxValueKB     int
-	// oversizeRefusals counts the transactions that were refused for their size.
+	// oversizeRefusals counts the transactions that were refused as malformed or over a limit.
 	oversizeRefusals int
 	limits           stateLimits
-	watchDelay       time.Duration // of the answers to open watches
-	discardedUpTo    wire.Revision // the newest change that is no longer kept
+	watchDelay       time.Duration // extra delay of the answers to blocking watches
+	discardedUpTo    wire.Revision // the revision of the newest change that was discarded
 }
 
-// stateEntry is what is stored under a key.
+// stateEntry is the value of a key, with the revision and the grant of its last write.
 type stateEntry struct {
 	value    wire.RawValue
 	revision wire.Revision
 	grant    wire.GrantID
 }
 
-// stateGrant is a grant: keys written under it are gone when it ends.
+// stateGrant is a grant. Keys that were written under it are removed when it ends.
 type stateGrant struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// stateChange is a change that watches may still ask for.
+// stateChange is a change that is kept for watches.
 type stateChange struct {
 	revision wire.Revision
 	change   wire.WatchEvent
 }
 
-// NewKVStore returns an empty key-value store with limits of transactions and values.
+// NewKVStore returns an empty key-value store that limits the writes of a transaction and the
+// size of a value.
 func NewKVStore(maxOps, valueKB int) *KVStore {
 	return &KVStore{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
 		refusedClients: map[string]bool{}, maxTxnOps: maxOps, maxValueKB: valueKB}
 }
 
-// Put writes a key as some client would, for tests.
+// Put writes a key as a client would, for tests.
 func (s *KVStore) Put(key string, v any) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +73,7 @@
 	return s.revision
 }
 
-// Delete removes a key as some client would, for tests.
+// Delete removes a key as a client would, for tests.
 func (s *KVStore) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	s.notify()
 }
 
-// Revision returns the revision of a key, 0 if there is none, for tests.
+// Revision returns the revision of a key, 0 if the key does not exist, for tests.
 func (s *KVStore) Revision(key string) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	return 0
 }
 
-// Changes returns how many changes of keys with a prefix are still kept.
+// Changes counts the kept changes of keys with a prefix.
 func (s *KVStore) Changes(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +115,7 @@
 	return s.revision
 }
 
-// Value returns the value of a key, nil if there is none, for tests.
+// Value returns the value of a key, nil if the key does not exist, for tests.
 func (s *KVStore) Value(key string) wire.RawValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,7 +139,7 @@
 	return out
 }
 
-// LargestValue returns the size of the largest value under a prefix.
+// LargestValue returns the size of the largest value under a prefix, in bytes as JSON.
 func (s *KVStore) LargestValue(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,13 +152,14 @@
 	return largest
 }
 
-// notify wakes all open watches; the caller holds the lock.
+// notify wakes all blocking watches; the caller holds the lock.
 func (s *KVStore) notify() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
 
-// expire ends grants; during an outage nothing ends.
+// expire ends the grants that have expired; during an outage none ends. The caller holds the
+// lock.
 func (s *KVStore) expire() {
 	if s.inOutage {
 		return
@@ -191,12 +193,12 @@
 	s.notify()
 }
 
-// missingKey is the answer about a key that does not exist: the revision of the store.
+// missingKey is the answer to a read of a key that does not exist, with the store's revision.
 type missingKey struct {
 	Revision wire.Revision `cbor:"ledger"`
 }
 
-// ServeHTTP answers the requests of the key-value store's page.
+// ServeHTTP serves the API of the key-value store.
 func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
@@ -240,7 +242,7 @@
 	wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 }
 
-// read answers with one key.
+// read answers with the entry of one key.
 func (s *KVStore) read(w http.ResponseWriter, key string) {
 	s.limits.delayRead(key)
 	s.mu.Lock()
@@ -257,7 +259,7 @@
 	wire.WriteResponse(w, http.StatusOK, out)
 }
 
-// serveTxn executes a transaction within the limits, unless a fault hits it.
+// serveTxn executes a transaction that is within the limits, unless a fault is injected.
 func (s *KVStore) serveTxn(w http.ResponseWriter, r *http.Request, raw []byte) {
 	var t wire.Txn
 	if wire.Decode(raw, &t) != nil || !s.allows(&t, len(raw)) {
@@ -274,7 +276,7 @@
 	}
 }
 
-// newGrant gives a grant of the time asked for.
+// newGrant creates a grant with the requested TTL.
 func (s *KVStore) newGrant(w http.ResponseWriter, raw []byte) {
 	var request wire.GrantRequest
 	if wire.Decode(raw, &request) != nil || request.TTLMillis < 100 || request.TTLMillis > 600_000 {
@@ -290,7 +292,7 @@
 	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: id})
 }
 
-// renewOrEndGrant does what the path and the method say with a grant.
+// renewOrEndGrant renews or ends a grant, as the path and the method say.
 func (s *KVStore) renewOrEndGrant(w http.ResponseWriter, r *http.Request) {
 	rest, renew := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/renew")
 	id, _ := strconv.ParseUint(rest, 10, 64)
@@ -311,7 +313,7 @@
 	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: wire.GrantID(id)})
 }
 
-// list answers with a page of the keys with a prefix.
+// list answers with a page of the entries whose keys have a prefix.
 func (s *KVStore) list(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("page"))
@@ -341,7 +343,7 @@
 	wire.WriteResponse(w, http.StatusOK, page)
 }
 
-// txn executes a transaction and answers, unless the request or the answer is lost.
+// txn executes a transaction and answers, unless the request or the answer is to be lost.
 func (s *KVStore) txn(w http.ResponseWriter, from string, t *wire.Txn) {
 	s.mu.Lock()
 	if s.requestsToDrop > 0 {
@@ -364,9 +366,9 @@
 	wire.WriteResponse(w, status, answer)
 }
 
-// execute carries a transaction out; the caller holds the lock.
+// execute executes a transaction; the caller holds the lock.
 func (s *KVStore) execute(from string, t *wire.Txn) (status int, answer any) {
-	// An expired lease is told first, whatever the conditions.
+	// An ended grant is reported before failed guards.
 	for _, write := range t.Writes {
 		if write.PutKey != "" && write.Grant != 0 && s.grants[write.Grant] == nil {
 			return http.StatusBadRequest, wire.ErrorBody{Error: "no such lease"}
@@ -404,13 +406,14 @@
 	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-// watch answers with the changes after a revision, as soon as there are any.
+// watch answers with the changes after a revision. It blocks until there are any, for at most
+// the requested time.
 func (s *KVStore) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	blockMillis, _ := strconv.Atoi(query.Get("blockMs"))
 	timeUp := blockMillis <= 0
-	var blockEnd <-chan time.Time // nil without blocking: see sleep on expired timers
+	var blockEnd <-chan time.Time // nil if not blocking: see sleep for why
 	if !timeUp {
 		blockEnd = time.After(time.Duration(min(blockMillis, 60_000)) * time.Millisecond)
 	}
@@ -433,7 +436,7 @@
 		}
 		wake, delay := s.wake, s.watchDelay
 		s.mu.Unlock()
-		slices.Reverse(response.Events) // as in the page's example, which promises no order
+		slices.Reverse(response.Events) // the API promises no order; its example has the newest first
 		if len(response.Events) > 0 || timeUp && !refusing {
 			s.limits.delayList()
 			if blockMillis > 0 {
@@ -444,7 +447,7 @@
 		}
 		select {
 		case <-wake:
-		case <-time.After(200 * time.Millisecond): // grants end by time
+		case <-time.After(200 * time.Millisecond): // grants expire without a notification
 		case <-blockEnd:
 			timeUp = true
 		case <-r.Context().Done():
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -13,13 +13,13 @@
 	"lilaclead/internal/wire"
 )
 
-// Hosts of users and operators.
+// IP addresses of users and operators.
 const (
 	userIP     = "10.3.0.1"
 	operatorIP = "10.3.0.9"
 )
 
-// Submission returns the map that a user sends to submit a job.
+// Submission returns the body of a request to submit a job.
 func Submission(spec wire.JobSpec) map[string]any {
 	fields := map[string]any{
 		"nameId": string(spec.ID), "lane": spec.Class, "owner": string(spec.Team), "shape": string(spec.Kind), "urgency": string(spec.Priority),
@@ -39,8 +39,8 @@
 	return fields
 }
 
-// Ask sends one request to a controller. Users wait 2 s for the answer to a poll, 5 s
-// for any other.
+// Ask sends one request to a controller; status 0 means no answer. The timeout is 2 s for a
+// poll and 5 s for any other request.
 func Ask(ctx context.Context, nw netio.Net, method, url string, body any) (int, []byte, http.Header) {
 	transport := nw.Transport(1, 1)
 	defer transport.CloseIdleConnections()
@@ -57,8 +57,8 @@
 	return status, out, h
 }
 
-// Ask makes one request as a user to the i-th node. The checker learns of
-// whatever is asked and answered here.
+// Ask sends one request as a user to the i-th controller. The checker observes the request and
+// checks the answer.
 func (sim *Simulation) Ask(i int, method, path string, body any) (int, []byte, http.Header) {
 	sentAt := time.Now()
 	rest := strings.TrimPrefix(path, jobsPath)
@@ -97,10 +97,10 @@
 	return Ask(sim.ctx, sim.hostNet(userIP), method, "http://"+NodeIP(i)+":8080"+path, body)
 }
 
-// jobsPath is where users submit jobs.
+// jobsPath is the path of the API for jobs.
 const jobsPath = "/v1/jobs"
 
-// bodyOf returns the body of a request as it is sent.
+// bodyOf returns the encoded body of a request; a []byte is sent as it is.
 func bodyOf(v any) []byte {
 	if raw, plain := v.([]byte); plain {
 		return raw
@@ -108,8 +108,8 @@
 	return wire.Encode(v)
 }
 
-// AskAllAboutAll asks every node that is up about every job that a user knows to be
-// accepted, as users may at any later time.
+// AskAllAboutAll polls every controller that is up for every job that a user was told is
+// accepted, as users may do at any later time.
 func (sim *Simulation) AskAllAboutAll() {
 	var ids []wire.JobID
 	up := make([]bool, len(sim.controllers))
@@ -132,7 +132,7 @@
 		all.Go(func() {
 			for _, id := range ids {
 				if status, _, _ := sim.Ask(i, "GET", jobsPath+"/"+string(id), nil); status == 0 {
-					return // it does not answer, and each question takes 2 s
+					return // the controller does not answer, and each poll takes 2 s
 				}
 			}
 		})
@@ -140,13 +140,13 @@
 	all.Wait()
 }
 
-// AskAsOperator makes one request as an operator to the i-th node.
+// AskAsOperator sends one request as an operator to the i-th controller.
 func (sim *Simulation) AskAsOperator(i int, method, path string, body any) (int, []byte, http.Header) {
 	return Ask(sim.ctx, sim.hostNet(operatorIP), method, "http://"+NodeIP(i)+":8081"+path, body)
 }
 
-// RegisterJob makes a job known to the workers and the checker; the test itself is its
-// user.
+// RegisterJob registers a job with the workers and the checker, for a test that submits it
+// itself.
 func (sim *Simulation) RegisterJob(script JobScript) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -154,9 +154,9 @@
 	sim.checker.Submitted(script.Spec)
 }
 
-// Submit plays a user: submits with retries, then polls until the job is
-// over, asking any node in turn. Cancel, if above 0, is when the user asks
-// to cancel.
+// Submit simulates a user who submits a job with retries and polls until the job is over,
+// sending to each controller in turn. If cancelAfter is above 0, the user cancels the job that
+// long after the start.
 func (sim *Simulation) Submit(script JobScript, cancelAfter time.Duration) {
 	sim.mu.Lock()
 	sim.scripts[script.Spec.ID] = &script
@@ -172,16 +172,16 @@
 	})
 }
 
-// How users repeat themselves.
+// Timing of users' requests.
 const (
-	submissionTimeout = 60 * time.Second // after which a user gives up
-	defaultRetryDelay = time.Second      // without a Retry-After
-	maxRetryDelay     = 30 * time.Second // whatever Retry-After says
+	submissionTimeout = 60 * time.Second // after which a user gives up submitting
+	defaultRetryDelay = time.Second      // without Retry-After
+	maxRetryDelay     = 30 * time.Second // limit of Retry-After
 	pollInterval      = 5 * time.Second
-	pollAfterCancel   = 20 * time.Second // after the time to cancel, even if the job is over
+	pollAfterCancel   = 20 * time.Second // polls continue that long after cancelAfter, even if the job is over
 )
 
-// submitUntilAccepted submits a job at one node after the other, and reports whether it
+// submitUntilAccepted submits a job to one controller after the other, and reports whether it
 // was accepted.
 func (sim *Simulation) submitUntilAccepted(script *JobScript, begin time.Time, next func() int) bool {
 	for {
@@ -202,8 +202,8 @@
 	}
 }
 
-// pollUntilOver polls a job at one node after the other until it is over, and asks to
-// cancel it when its time has come.
+// pollUntilOver polls one controller after the other until a job is over, and cancels the job
+// after cancelAfter.
 func (sim *Simulation) pollUntilOver(id wire.JobID, begin time.Time, cancelAfter time.Duration, next func() int) {
 	path, cancelled := jobsPath+"/"+string(id), false
 	for sim.ctx.Err() == nil {
@@ -224,7 +224,7 @@
 	}
 }
 
-// CountEnded counts the jobs of which users were told the end.
+// CountEnded counts those of the given jobs of which users were told a final status.
 func (sim *Simulation) CountEnded(jobs []JobScript) (done, cancelled int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/wire"
 )
 
-// worker is one machine's agent. The simulation's lock guards it.
+// worker is a machine with its agent. The simulation's lock guards it.
 type worker struct {
 	sim           *Simulation
 	id            wire.MachineID
@@ -33,13 +33,13 @@
 	epoch          wire.AgentEpoch
 	sequence       wire.Sequence
 	token          wire.FencingToken
-	leaseRenewedAt time.Time // sending time of the last answered report
+	leaseRenewedAt time.Time // sending time of the last answered heartbeat
 	clockRate      float64
 	tasks          map[wire.TaskID]*taskRun
 	cachedImages   map[wire.ImageID]bool
 	wake           chan struct{}
-	restarts       int            // counts the machine's own restarts
-	lastHeartbeat  wire.Heartbeat // the last heartbeat
+	restarts       int // restarts of the machine, which reset its epoch
+	lastHeartbeat  wire.Heartbeat
 }
 
 // taskRun is an attempt of a task on a machine.
@@ -51,7 +51,7 @@
 	cancel       context.CancelFunc
 }
 
-// requestHeartbeat makes the worker send a heartbeat soon; the caller holds the lock.
+// requestHeartbeat makes the worker send its next heartbeat early; the caller holds the lock.
 func (m *worker) requestHeartbeat() {
 	select {
 	case m.wake <- struct{}{}:
@@ -59,7 +59,8 @@
 	}
 }
 
-// nextHeartbeat returns a heartbeat with the worker's present state; the caller holds the lock.
+// nextHeartbeat returns a heartbeat with the present state and the next sequence number; the
+// caller holds the lock.
 func (m *worker) nextHeartbeat() wire.Heartbeat {
 	m.sequence++
 	heartbeat := wire.Heartbeat{Machine: m.id, Addr: m.sim.advertisedAddr(m.addr), Type: m.machineType, Zone: m.zone, Spot: m.spot, Epoch: m.epoch, Sequence: m.sequence, Token: m.token, Tasks: []wire.TaskStatus{}}
@@ -73,7 +74,7 @@
 	return heartbeat
 }
 
-// run serves commands and reports until the machine is gone.
+// run serves commands and sends heartbeats until the machine is gone.
 func (m *worker) run() {
 	sim := m.sim
 	sim.mu.Lock()
@@ -92,20 +93,20 @@
 	m.sendHeartbeats()
 }
 
-// Pauses of a worker between two heartbeats.
+// Timing of a worker's heartbeats.
 const (
-	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// redirectDelay comes before a heartbeat to the controller that an answer named.
+	// redirectDelay is the delay before a heartbeat to the leader that a response names.
 	redirectDelay = 250 * time.Millisecond
-	// retryDelay comes before a heartbeat to the next controller.
+	// retryDelay is the delay before a heartbeat to the next controller after a failure.
 	retryDelay = time.Second
-	// minHeartbeatInterval is the least time between two heartbeats to the same one.
+	// minHeartbeatInterval is the shortest time between two heartbeats to the same controller.
 	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// sendHeartbeats sends heartbeats to one controller after the other, or the one that
-// an answer names, until the machine is gone.
+// sendHeartbeats sends heartbeats to one controller until it fails, then to the leader that its
+// response names or to the next controller, until the machine is gone.
 func (m *worker) sendHeartbeats() {
 	client := &http.Client{Transport: m.sim.hostNet(m.ip).Transport(1, 1)}
 	defer client.CloseIdleConnections()
@@ -127,7 +128,7 @@
 	}
 }
 
-// redirectedTo returns the controller that an answer names in its place, if it does.
+// redirectedTo returns the index of the leader that a response names, if it names one.
 func redirectedTo(status int, body []byte) (node int, ok bool) {
 	var redirect wire.Redirect
 	if status != http.StatusMisdirectedRequest || wire.Decode(body, &redirect) != nil || redirect.Leader == "" {
@@ -136,7 +137,8 @@
 	return parseID(string(redirect.Leader)), true
 }
 
-// sendHeartbeatTo sends a heartbeat of now to the i-th controller and takes its answer.
+// sendHeartbeatTo sends a heartbeat to the i-th controller and executes the commands of the
+// response.
 func (m *worker) sendHeartbeatTo(client *http.Client, i int) (status int, body []byte) {
 	m.awaitAwake(m.ctx)
 	m.sim.mu.Lock()
@@ -152,7 +154,7 @@
 	}
 	sleep(m.ctx, m.commandDelay().HeartbeatResponse)
 	if m.awaitAwake(m.ctx); time.Since(sent) > heartbeatTimeout {
-		return 0, nil // it hung meanwhile
+		return 0, nil // timed out while the machine hung
 	}
 	var commands wire.Commands
 	if status == http.StatusOK && wire.Decode(body, &commands) == nil {
@@ -161,7 +163,7 @@
 	return status, body
 }
 
-// awaitNextHeartbeat waits until the next heartbeat is due, or something has changed.
+// awaitNextHeartbeat waits until the next heartbeat is due or was requested early.
 func (m *worker) awaitNextHeartbeat() {
 	sleep(m.ctx, minHeartbeatInterval)
 	select {
@@ -171,7 +173,7 @@
 	}
 }
 
-// postHeartbeat posts a heartbeat; status 0: no answer.
+// postHeartbeat posts a heartbeat; status 0 means no response.
 func (m *worker) postHeartbeat(client *http.Client, url string, heartbeat any) (int, []byte) {
 	ctx, cancel := context.WithTimeout(m.ctx, heartbeatTimeout)
 	defer cancel()
@@ -182,7 +184,8 @@
 	return status, raw
 }
 
-// onHeartbeatResponse takes the answer of a heartbeat that was sent in the given epoch.
+// onHeartbeatResponse executes the commands of the response to a heartbeat, unless the worker has
+// seen a higher token, or has started another epoch or restarted since the heartbeat was sent.
 func (m *worker) onHeartbeatResponse(response *wire.Commands, restarts int, epoch wire.AgentEpoch, sent time.Time) {
 	m.sim.mu.Lock()
 	defer m.sim.mu.Unlock()
@@ -195,7 +198,7 @@
 	m.sim.countLate(sent, response.Commands, wire.VerbForget)
 }
 
-// observeToken remembers the highest token that the worker has seen.
+// observeToken updates the highest token that the worker has seen.
 func (m *worker) observeToken(token wire.FencingToken) {
 	if token > m.token {
 		m.token = token
@@ -203,7 +206,7 @@
 	}
 }
 
-// watchLease ends the epoch when no heartbeat was answered for the lease's time, by the
+// watchLease ends the epoch when no heartbeat was answered for the duration of the lease, by the
 // worker's own clock.
 func (m *worker) watchLease() {
 	for m.ctx.Err() == nil {
@@ -214,7 +217,7 @@
 	}
 }
 
-// checkLease ends the epoch if the lease has run out; the caller holds the lock.
+// checkLease ends the epoch and all tasks if the lease has expired; the caller holds the lock.
 func (m *worker) checkLease() {
 	if time.Since(m.leaseRenewedAt).Seconds()*m.clockRate > float64(m.sim.Settings.Workers.Lease) && !m.removed {
 		m.endAllTasks()
@@ -234,7 +237,8 @@
 	m.tasks = map[wire.TaskID]*taskRun{}
 }
 
-// handle serves what controllers ask a worker directly.
+// handle serves requests that controllers send to a worker directly. Every response is a
+// heartbeat.
 func (m *worker) handle(rw http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, 1<<20)
 	if err != nil {
@@ -258,8 +262,8 @@
 	wire.WriteResponse(rw, status, heartbeat)
 }
 
-// onCommands executes a controller's commands if their token and epoch are in force, and
-// returns the status of the answer; the caller holds the lock.
+// onCommands executes a controller's commands if their token and epoch are valid, and returns
+// the status of the response; the caller holds the lock.
 func (m *worker) onCommands(raw []byte, arrivedAt time.Time, delay CommandDelay) (status int) {
 	var request wire.Commands
 	err := wire.Decode(raw, &request)
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-// execute carries commands out in order; the caller holds the lock.
+// execute executes commands in order; the caller holds the lock.
 func (m *worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		t, err := wire.ParseTaskID(command.Task)
@@ -33,8 +33,8 @@
 	}
 }
 
-// stopTask stops an attempt of a task, with a checkpoint if it has the time; the caller
-// holds the lock.
+// stopTask stops an attempt of a task, with a checkpoint if the grace period suffices; the
+// caller holds the lock.
 func (m *worker) stopTask(t wire.TaskID, run *taskRun, gracePeriod *wire.Seconds) {
 	spec := &m.sim.scripts[t.Job].Spec
 	if spec.IsGang() {
@@ -50,8 +50,8 @@
 	m.exitTask(t, run, wire.CauseStopped)
 }
 
-// launch starts an attempt of a task, or lists it as refused; call with the lock
-// held.
+// launch starts an attempt of a task, or lists the attempt as refused; the caller holds the
+// lock.
 func (m *worker) launch(t wire.TaskID, attempt wire.AttemptNumber, previous *taskRun) {
 	script := m.sim.scripts[t.Job]
 	refuse := func(cause wire.ExitCause) {
@@ -63,7 +63,7 @@
 		refuse(wire.CauseNoSuch)
 		return
 	case previous != nil && previous.phase != wire.PhaseExited:
-		return // busy: the running attempt stays listed
+		return // the attempt that runs stays listed
 	case m.refusesLaunch():
 		refuse(wire.CauseFull)
 		return
@@ -88,7 +88,7 @@
 	})
 }
 
-// runTask runs a task that has its image to its end, or has it join its gang.
+// runTask runs a task whose image has been fetched until its end, or has it join its gang.
 func (m *worker) runTask(ctx context.Context, t wire.TaskID, run *taskRun, script *JobScript) {
 	m.sim.mu.Lock()
 	if ctx.Err() != nil || m.tasks[t] != run {
@@ -124,12 +124,12 @@
 	}
 }
 
-// timeToFail is how long a task runs that fails.
+// timeToFail is how long a failing task runs.
 const timeToFail = 500 * time.Millisecond
 
-// startSaving lets a task that was told to stop save first, and reports whether it does.
-// What saves already goes on with it unless it is told to end at once. Call with
-// the lock held.
+// startSaving makes a task that is told to stop save a checkpoint first, and reports whether it
+// does. A task that is saving already continues, unless it has no grace period. The caller holds
+// the lock.
 func (m *worker) startSaving(t wire.TaskID, run *taskRun, gracePeriod *wire.Seconds) bool {
 	switch {
 	case !m.sim.slowSaves:
@@ -155,7 +155,7 @@
 	return true
 }
 
-// exitTask ends a task; the caller holds the lock.
+// exitTask ends a task with a cause; the caller holds the lock.
 func (m *worker) exitTask(t wire.TaskID, run *taskRun, cause wire.ExitCause) {
 	if run.phase != wire.PhaseFetching {
 		m.sim.checker.TaskLeft(t, m.id, cause == wire.CauseDone)
--- a/internal/simulator/zone_faults.go
+++ b/internal/simulator/zone_faults.go
@@ -4,8 +4,8 @@
 	"lilaclead/internal/wire"
 )
 
-// IsolateZone cuts a zone's controllers and machines off from everything else, with
-// all packets held, or lets them through again.
+// IsolateZone cuts a zone's controllers and machines off from everything else and holds the
+// packets, or ends the cut and delivers them.
 func (sim *Simulation) IsolateZone(z wire.Zone, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -24,8 +24,8 @@
 	}
 }
 
-// PartitionZones keeps two zones from reaching each other, with all packets between them
-// held, or lets them again. Both still reach everything else.
+// PartitionZones cuts two zones off from each other and holds the packets between them, or ends
+// the cut and delivers them. Both still reach everything else.
 func (sim *Simulation) PartitionZones(a, b wire.Zone, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -44,7 +44,8 @@
 	}
 }
 
-// partitionMachine applies PartitionZones to a machine.
+// partitionMachine cuts a machine off from the controllers of the other of two zones, or ends the
+// cut; the caller holds the lock.
 func (sim *Simulation) partitionMachine(m *worker, a, b wire.Zone, on bool) {
 	for i, n := range sim.controllers {
 		if z := n.cfg.Zone; z == a && m.zone == b || z == b && m.zone == a {
