--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -130,13 +130,13 @@
 	return sent
 }
 
-// checkAnswer checks an answer, and reports whether it told users a newer status.
+// checkAnswer has the checker check an answer, and reports whether it told users a newer status.
 func (b *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, reported wire.Status, retryAfter bool) bool {
 	sim, now := b.sim, time.Now()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	previous, _ := sim.knownStatus(id)
-	sim.checker.answered(id, before, op, status, reported, now)
+	sim.checker.checkBurstAnswer(id, before, op, status, reported, now)
 	if (status == 429 || status == 503) && !retryAfter {
 		sim.checker.violated(now, MissingRetryAfter, "%s of %s answered %d", op, id, status)
 	}
@@ -196,8 +196,8 @@
 	return wire.JobState{}
 }
 
-// Submit simulates such a user, who submits a job and polls until it is over. The job is
-// cancelled at cancelTime, with CancelAtOnce and CancelAtEnd so long after it.
+// Submit simulates such a user, who submits a job and polls until it is over. The user cancels
+// the job at cancelTime; CancelAtOnce and CancelAtEnd are delayed by the duration after.
 func (b *BurstReaders) Submit(script JobScript, cancelTime CancelTime, after time.Duration) {
 	sim, id := b.sim, script.Spec.ID
 	sim.mu.Lock()
@@ -257,7 +257,7 @@
 	if cancelTime == CancelAfterEnd {
 		b.retryUntilAnswered(CancelOperation, script, turn)
 	}
-	// By now the job's final record has replaced its record.
+	// After 4 s the job's final record has replaced the record of the live job.
 	sleep(sim.ctx, 4*time.Second)
 	b.AskAllRepeatedly(script)
 }
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -16,10 +16,10 @@
 	Quota        Rule = "quota"         // a team used more than its limit
 	WrongPlace   Rule = "wrong_place"   // a task was on a machine that its job doesn't allow
 	RanCancelled Rule = "ran_cancelled" // a cancelled task was on a machine after the cancel timeout
-	Forgotten    Rule = "forgotten"     // an accepted job was denied, created again, or not to be polled
+	Forgotten    Rule = "forgotten"     // an accepted job was unknown, was created again, or all polls for it failed
 	Invented     Rule = "invented"      // a request about a job that was never submitted succeeded
-	NotDone      Rule = "not_done"      // a job was called done before its last task completed, or a service was
-	WentBack     Rule = "went_back"     // a status contradicted an earlier one, or nobody had asked to cancel
+	NotDone      Rule = "not_done"      // a job was called done before its last task completed
+	WentBack     Rule = "went_back"     // a status contradicted an earlier one, or nobody had requested the cancellation
 	NothingRan   Rule = "nothing_ran"   // no task was started in the whole run
 	// Unserved: by the end of a run, less than half of the jobs of a class or of a team had
 	// started, or less than half of the largest jobs of a class within four minutes.
@@ -35,7 +35,8 @@
 	HalfRun Rule = "half_run"
 )
 
-// MissingRetryAfter is broken by an answer 429 or 503 without a Retry-After header.
+// MissingRetryAfter is broken by an answer 429 or 503 to BurstReaders without a Retry-After
+// header.
 const MissingRetryAfter Rule = "no_retry_after"
 
 // Violation is one breach of a rule.
@@ -104,7 +105,7 @@
 	submittedAt       time.Time // of the first attempt to submit
 	acceptedAt        time.Time // of the acceptance
 	startedAt         time.Time // of the first task
-	completion        endHistory
+	completion        completionHistory
 	waits             waitHistory
 }
 
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// endHistory is what the checker records of a job for BurstReaders.
-type endHistory struct {
+// completionHistory is what the checker records of a job for BurstReaders.
+type completionHistory struct {
 	done            chan struct{} // closed when the last task has completed; may be nil
 	endedAt         time.Time
 	statusChangedAt time.Time // when users were last told something new
@@ -230,9 +230,10 @@
 	return "new"
 }
 
-// answered checks an answer against what users had been told when the request was sent.
-// Answers to concurrent requests may come in any order, but a job has one final status.
-func (c *Checker) answered(id wire.JobID, before knownStatus, op Operation, status int, st wire.Status, now time.Time) {
+// checkBurstAnswer checks an answer to BurstReaders against what users had been told when the
+// request was sent. Answers to concurrent requests may come in any order, but a job has one final
+// status.
+func (c *Checker) checkBurstAnswer(id wire.JobID, before knownStatus, op Operation, status int, st wire.Status, now time.Time) {
 	j := c.jobs[id]
 	switch {
 	case j == nil:
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -19,7 +19,7 @@
 	GPUs     float64
 	MemoryGB float64 // CPUs, GPUs and MemoryGB are what is free
 	Tasks    []wire.TaskID
-	DiskGB   float64
+	DiskGB   float64 // of the machine
 }
 
 // waitHistory is what the checker records of a job that waits for machines.
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -125,8 +125,8 @@
 	sim.Net.CutWithMode(NodeIP(i), hostOf(KVStoreAddr), mode, on)
 }
 
-// parseID returns the index of the controller with a name.
-func parseID(name string) int {
+// controllerIndex returns the index of the controller with a name.
+func controllerIndex(name string) int {
 	n, _ := strconv.Atoi(strings.TrimPrefix(name, "worker-"))
 	return n
 }
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -36,7 +36,7 @@
 	progress      float64   // seconds of run time
 	speed         float64   // that of the slowest machine
 	stoppingSince time.Time // when a member was first told to stop
-	brokenSince   time.Time // when a member was lost or the stop timed out
+	brokenSince   time.Time // when a member was lost or hung, or a stop timed out
 	checkpointed  bool      // stopped with a checkpoint
 }
 
@@ -68,7 +68,7 @@
 	waitingSince time.Time // when its image was fetched
 	failAt       time.Time // zero: the task doesn't fail
 	toldToStop   bool
-	savedAt      time.Time // when its checkpoint is complete
+	savedAt      time.Time // when its checkpoint is complete, if toldToStop
 	leavesAt     time.Time // when it notices that the attempt is broken, and exits
 	hungSince    time.Time // since when its machine hangs; zero: it doesn't
 }
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -159,12 +159,12 @@
 
 // SlowMachineLinks sets an extra latency of the links of all machines, also of machines that are
 // provisioned later.
-func (sim *Simulation) SlowMachineLinks(by time.Duration) {
+func (sim *Simulation) SlowMachineLinks(extra time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.linkDelay = by
+	sim.linkDelay = extra
 	for _, m := range sim.machines {
-		sim.Net.SlowHost(m.ip, by)
+		sim.Net.SlowHost(m.ip, extra)
 	}
 }
 
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -112,20 +112,20 @@
 }
 
 // SlowHost sets an extra latency of all packets to and from a host; 0 ends it.
-func (n *Network) SlowHost(ip string, by time.Duration) {
+func (n *Network) SlowHost(ip string, extra time.Duration) {
 	n.mu.Lock()
-	n.hostDelay[ip] = by
+	n.hostDelay[ip] = extra
 	n.mu.Unlock()
 }
 
 // SlowLink sets an extra latency of the packets from one host to another; 0 ends it.
-func (n *Network) SlowLink(from, to string, by time.Duration) {
+func (n *Network) SlowLink(from, to string, extra time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.linkDelay == nil {
 		n.linkDelay = map[[2]string]time.Duration{}
 	}
-	n.linkDelay[[2]string{from, to}] = by
+	n.linkDelay[[2]string{from, to}] = extra
 }
 
 // SetPowerOff makes a host neither send nor receive, or ends this.
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -40,8 +40,8 @@
 // Simulation is a deployment of real controllers with fakes of everything else. Its lock
 // guards the fakes, except for the network and the key-value store, which have their own.
 type Simulation struct {
-	Net     *Network // the in-memory network
-	hostNet func(ip string) netio.Net
+	Net     *Network                  // the in-memory network
+	hostNet func(ip string) netio.Net // the network as a host sees it
 	// onLoopback means that the hosts are on the operating system's loopback network (see
 	// Loopback), not on Net.
 	onLoopback bool
@@ -91,8 +91,8 @@
 	up     bool // the simulation's lock guards it
 }
 
-// advertisedAddr returns the address at which controllers reach a host: on the loopback
-// network it is the replaced one.
+// advertisedAddr returns the address at which controllers reach a host, which on the loopback
+// network is that of LoopbackAddr.
 func (sim *Simulation) advertisedAddr(addr string) string {
 	if sim.onLoopback {
 		return LoopbackAddr(addr)
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -199,41 +199,41 @@
 
 // DelayAnswers delays every answer to a host, "" for all hosts, after the request has been
 // executed.
-func (s *KVStore) DelayAnswers(host string, by time.Duration) {
+func (s *KVStore) DelayAnswers(host string, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.txnFaults.answerDelay == nil {
 		s.txnFaults.answerDelay = map[string]time.Duration{}
 	}
-	s.txnFaults.answerDelay[host] = by
+	s.txnFaults.answerDelay[host] = delay
 }
 
 // delayed returns a writer that delays the answer if answers to the client are delayed, else w.
 func (s *KVStore) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	by := max(s.txnFaults.answerDelay[""], s.txnFaults.answerDelay[hostOf(r.RemoteAddr)])
-	if by == 0 {
+	delay := max(s.txnFaults.answerDelay[""], s.txnFaults.answerDelay[hostOf(r.RemoteAddr)])
+	if delay == 0 {
 		return w
 	}
-	return &slowWriter{ResponseWriter: w, by: by}
+	return &slowWriter{ResponseWriter: w, delay: delay}
 }
 
 // slowWriter delays an answer.
 type slowWriter struct {
 	http.ResponseWriter
-	by time.Duration
+	delay time.Duration
 }
 
 func (w *slowWriter) WriteHeader(status int) {
-	time.Sleep(w.by)
-	w.by = 0
+	time.Sleep(w.delay)
+	w.delay = 0
 	w.ResponseWriter.WriteHeader(status)
 }
 
 func (w *slowWriter) Write(b []byte) (int, error) {
-	time.Sleep(w.by)
-	w.by = 0
+	time.Sleep(w.delay)
+	w.delay = 0
 	return w.ResponseWriter.Write(b)
 }
 
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -29,16 +29,16 @@
 	faulty         bool
 	stalled        bool
 	unlisted       bool
-	reclaimAt      time.Time
+	reclaimAt      time.Time // end of the spot notice; zero: none
 	epoch          wire.AgentEpoch
 	sequence       wire.Sequence
 	token          wire.FencingToken
 	leaseRenewedAt time.Time // sending time of the last answered heartbeat
-	clockRate      float64
+	clockRate      float64   // speed of its clock; 1 is exact
 	tasks          map[wire.TaskID]*taskRun
 	cachedImages   map[wire.ImageID]bool
-	wake           chan struct{}
-	restarts       int // restarts of the machine, which reset its epoch
+	wake           chan struct{} // requests an early heartbeat
+	restarts       int           // restarts of the machine, which reset its epoch
 	lastHeartbeat  wire.Heartbeat
 }
 
@@ -129,12 +129,12 @@
 }
 
 // redirectedTo returns the index of the leader that a response names, if it names one.
-func redirectedTo(status int, body []byte) (node int, ok bool) {
+func redirectedTo(status int, body []byte) (index int, ok bool) {
 	var redirect wire.Redirect
 	if status != http.StatusMisdirectedRequest || wire.Decode(body, &redirect) != nil || redirect.Leader == "" {
 		return 0, false
 	}
-	return parseID(string(redirect.Leader)), true
+	return controllerIndex(string(redirect.Leader)), true
 }
 
 // sendHeartbeatTo sends a heartbeat to the i-th controller and executes the commands of the
