--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -18,7 +18,7 @@
 	RanCancelled Rule = "ran_cancelled" // a cancelled task was on a machine after the cancel timeout
 	Forgotten    Rule = "forgotten"     // an accepted job was unknown, was created again, or all polls for it failed
 	Invented     Rule = "invented"      // a request about a job that was never submitted succeeded
-	NotDone      Rule = "not_done"      // a job was called done before its last task completed
+	NotDone      Rule = "not_done"      // a job with tasks left, or a service, was called done
 	WentBack     Rule = "went_back"     // a status contradicted an earlier one, or nobody had requested the cancellation
 	NothingRan   Rule = "nothing_ran"   // no task was started in the whole run
 	// Unserved: by the end of a run, less than half of the jobs of a class or of a team had
