--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -14,15 +14,15 @@
 	return len(sim.machines)
 }
 
-// ProvisionedSoFar counts all the machines that were ever provisioned.
+// ProvisionedSoFar counts all machines that were ever provisioned.
 func (sim *Simulation) ProvisionedSoFar() int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.provisionedCount
 }
 
-// machinesWhere returns the machines that pass the test, sorted; the caller holds the
-// lock.
+// machinesWhere returns the machines for which passes returns true, sorted; the caller
+// holds the lock.
 func (sim *Simulation) machinesWhere(passes func(*worker) bool) []wire.MachineID {
 	var out []wire.MachineID
 	for id, m := range sim.machines {
@@ -34,12 +34,12 @@
 	return out
 }
 
-// FirstMachine returns the name and address of the first machine that is up and whose
-// number of tasks passes the test.
-func (sim *Simulation) FirstMachine(which func(tasks int) bool) (wire.MachineID, string, bool) {
+// FirstMachine returns the name and IP address of the first machine that is up and for whose
+// number of tasks passes returns true.
+func (sim *Simulation) FirstMachine(passes func(tasks int) bool) (wire.MachineID, string, bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	ids := sim.machinesWhere(func(m *worker) bool { return m.up && which(len(m.tasks)) })
+	ids := sim.machinesWhere(func(m *worker) bool { return m.up && passes(len(m.tasks)) })
 	if len(ids) == 0 {
 		return "", "", false
 	}
@@ -53,7 +53,7 @@
 	return sim.machinesWhere(func(m *worker) bool { return m.up })
 }
 
-// RunningMachinesIn returns the machines that are up in a zone.
+// RunningMachinesIn returns the machines of a zone that are up.
 func (sim *Simulation) RunningMachinesIn(z wire.Zone) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -70,12 +70,13 @@
 	return sim.machinesOfTasks(func(t wire.TaskID, _ Place) bool { return t.Job == id })
 }
 
-// machinesOfTasks returns the machines of the running tasks that pass the test, sorted.
+// machinesOfTasks returns the machines of the running tasks for which passes returns true,
+// sorted.
 func (sim *Simulation) machinesOfTasks(passes func(wire.TaskID, Place) bool) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	var out []wire.MachineID
-	for t, p := range sim.checker.on {
+	for t, p := range sim.checker.placeOf {
 		if passes(t, p) && !slices.Contains(out, p.Machine) {
 			out = append(out, p.Machine)
 		}
@@ -84,13 +85,13 @@
 	return out
 }
 
-// MachinesHolding returns the machines that have tasks of a job, whatever they do.
+// MachinesHolding returns the machines that have tasks of a job in any phase before exited.
 func (sim *Simulation) MachinesHolding(id wire.JobID) []wire.MachineID {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.machinesWhere(func(m *worker) bool {
-		for t, x := range m.tasks {
-			if t.Job == id && x.phase != wire.PhaseExited {
+		for t, run := range m.tasks {
+			if t.Job == id && run.phase != wire.PhaseExited {
 				return true
 			}
 		}
@@ -98,7 +99,7 @@
 	})
 }
 
-// MachineIP returns the address of a machine, empty if it is gone.
+// MachineIP returns the IP address of a machine, empty if the machine is gone.
 func (sim *Simulation) MachineIP(id wire.MachineID) string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -108,7 +109,7 @@
 	return ""
 }
 
-// MachineZone returns the zone of a machine, empty if it is gone.
+// MachineZone returns the zone of a machine, empty if the machine is gone.
 func (sim *Simulation) MachineZone(id wire.MachineID) wire.Zone {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -118,8 +119,8 @@
 	return ""
 }
 
-// MachineEpoch returns a machine's agent epoch, the number of its last message and the highest
-// token it has seen; zero if it is gone.
+// MachineEpoch returns a machine's agent epoch, the sequence number of its last message and
+// the highest token that it has seen; zeros if the machine is gone.
 func (sim *Simulation) MachineEpoch(id wire.MachineID) (wire.AgentEpoch, wire.Sequence, wire.FencingToken) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -129,60 +130,59 @@
 	return 0, 0, 0
 }
 
-// NewestMachine tells of the newest machine that is up how long ago it was provisioned and how
-// long after that it was up; zero if there is none.
+// NewestMachine returns the age of the machine that was provisioned last among those that
+// are up, and how long it took to boot; zeros if no machine is up.
 func (sim *Simulation) NewestMachine() (age, boot time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	for _, m := range sim.machines {
-		if old := time.Since(m.provisionedAt); m.up && (boot == 0 || old < age) {
-			age, boot = old, m.upAt.Sub(m.provisionedAt)
+		if sinceProvisioned := time.Since(m.provisionedAt); m.up && (boot == 0 || sinceProvisioned < age) {
+			age, boot = sinceProvisioned, m.upAt.Sub(m.provisionedAt)
 		}
 	}
 	return
 }
 
-// JobsWithRoom lists the jobs that have a task waiting for which a machine has room
-// now where the job's other tasks let it be, with their team under its limit, and
-// how many tasks of each wait.
+// JobsWithRoom returns the number of waiting tasks of each job that could start one now: some
+// machine has room for the task, the placement of the job's other tasks allows that machine,
+// and the job's team is below its limit.
 func (sim *Simulation) JobsWithRoom() map[wire.JobID]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	out := map[wire.JobID]int{}
-	for id, j := range sim.checker.jobs {
-		n := sim.checker.Waiting(id)
-		s, l := &j.spec, sim.checker.Limits[j.spec.Team]
-		if !j.accepted || j.cancelRequested || j.finalStatus != "" || n == 0 || l.CPUs > 0 && sim.checker.CPUsUsed(s.Team)+s.CPUs > l.CPUs+wire.AmountTolerance {
+	for id, job := range sim.checker.jobs {
+		waiting := sim.checker.Waiting(id)
+		spec, limit := &job.spec, sim.checker.Limits[job.spec.Team]
+		if !job.accepted || job.cancelRequested || job.finalStatus != "" || waiting == 0 || limit.CPUs > 0 && sim.checker.CPUsUsed(spec.Team)+spec.CPUs > limit.CPUs+wire.AmountTolerance {
 			continue
 		}
 		zones := sim.checker.TasksByZone(id)
 		for _, m := range sim.machines {
-			r := m.room()
-			if m.up && m.reclaimAt.IsZero() && r.takes(s, zones) {
-				out[id] = n
+			room := m.room()
+			if m.up && m.reclaimAt.IsZero() && room.hasRoomFor(spec, zones) {
+				out[id] = waiting
 			}
 		}
 	}
 	return out
 }
 
-// room returns the machine with its free capacity and its tasks; the caller holds the
-// lock.
+// room returns the machine with its free capacity and its tasks; the caller holds the lock.
 func (m *worker) room() MachineRoom {
-	r := MachineRoom{
+	room := MachineRoom{
 		Place:  Place{m.id, m.machineType, m.zone, m.spot},
 		Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
 		CPUs:   m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB,
 	}
-	for t, x := range m.tasks {
-		script := m.sim.scripts[t.Job]
-		if script == nil || x.phase == wire.PhaseExited {
+	for task, run := range m.tasks {
+		script := m.sim.scripts[task.Job]
+		if script == nil || run.phase == wire.PhaseExited {
 			continue
 		}
-		r.CPUs -= script.Spec.CPUs
-		r.GPUs -= script.Spec.GPUs
-		r.MemoryGB -= script.Spec.MemoryGB
-		r.Tasks = append(r.Tasks, t)
+		room.CPUs -= script.Spec.CPUs
+		room.GPUs -= script.Spec.GPUs
+		room.MemoryGB -= script.Spec.MemoryGB
+		room.Tasks = append(room.Tasks, task)
 	}
-	return r
+	return room
 }
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -4,35 +4,35 @@
 	"time"
 )
 
-// CutMode is what a cut does with packets and connections.
+// CutMode is the effect of a cut on packets and connections.
 type CutMode string
 
 // The modes.
 const (
-	// CutHeld: packets wait and come in order after the cut.
+	// CutHeld: packets are held, and delivered in order after the cut.
 	CutHeld CutMode = "held"
-	// CutRefused: open connections are reset, new ones refused.
+	// CutRefused: open connections are reset and new ones refused.
 	CutRefused CutMode = "refused"
-	// CutSilent: packets are lost without a word; when the cut is over, the
-	// connections that it broke are found reset.
+	// CutSilent: packets are lost silently. When the cut ends, the connections across it are
+	// reset.
 	CutSilent CutMode = "silent"
 )
 
-// CutModes lists them.
+// CutModes lists all modes.
 var CutModes = []CutMode{CutHeld, CutRefused, CutSilent}
 
-// CutWithMode cuts two hosts from each other, or ends the cut.
+// CutWithMode cuts two hosts off from each other, or ends the cut.
 func (n *Network) CutWithMode(a, b string, mode CutMode, on bool) {
 	if mode == CutRefused {
 		n.mu.Lock()
-		if n.filtered == nil {
-			n.filtered = map[[2]string]bool{}
+		if n.refusedLinks == nil {
+			n.refusedLinks = map[[2]string]bool{}
 		}
-		n.filtered[[2]string{a, b}], n.filtered[[2]string{b, a}] = on, on
+		n.refusedLinks[[2]string{a, b}], n.refusedLinks[[2]string{b, a}] = on, on
 		n.mu.Unlock()
 	}
 	if mode == CutSilent && !on || mode == CutRefused && on {
-		for _, c := range n.matching(func(c *conn) bool {
+		for _, c := range n.connsWhere(func(c *conn) bool {
 			x, y := hostOf(string(c.local)), hostOf(string(c.remote))
 			return x == a && y == b || x == b && y == a
 		}) {
@@ -48,17 +48,16 @@
 func (n *Network) IsCut(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.filtered[[2]string{a, b}] || n.blockedLinks[[2]string{a, b}] && n.blockedLinks[[2]string{b, a}]
+	return n.refusedLinks[[2]string{a, b}] || n.blockedLinks[[2]string{a, b}] && n.blockedLinks[[2]string{b, a}]
 }
 
-// Cut holds up both directions.
+// Cut holds all packets between two hosts, or delivers them.
 func (n *Network) Cut(a, b string, cut bool) {
 	n.Hold(a, b, cut)
 	n.Hold(b, a, cut)
 }
 
-// Hold holds up all packets from one host to another, or lets them through,
-// with everything that waited.
+// Hold holds all packets from one host to another, or delivers them.
 func (n *Network) Hold(from, to string, hold bool) {
 	n.mu.Lock()
 	n.blockedLinks[[2]string{from, to}] = hold
@@ -68,15 +67,15 @@
 	}
 }
 
-// deliverPending delivers what waited on open connections.
+// deliverPending delivers the packets on open connections that are due and no longer held.
 func (n *Network) deliverPending() {
-	for _, c := range n.matching(anyConn) {
+	for _, c := range n.connsWhere(anyConn) {
 		c.in.deliver()
 		c.out.deliver()
 	}
 }
 
-// BlockInbound blocks all packets to a host, while those that it sends arrive.
+// BlockInbound holds all packets to a host, or delivers them. Packets from the host arrive.
 func (n *Network) BlockInbound(ip string, on bool) {
 	n.mu.Lock()
 	n.inboundBlocked[ip] = on
@@ -86,8 +85,8 @@
 	}
 }
 
-// BlockOutbound makes a host one that can open no connection, and ends those that it
-// opened, or lets it again.
+// BlockOutbound keeps a host from opening connections and resets those that it opened, or allows
+// new ones again.
 func (n *Network) BlockOutbound(ip string, on bool) {
 	n.mu.Lock()
 	if n.outboundBlocked == nil {
@@ -96,75 +95,75 @@
 	n.outboundBlocked[ip] = on
 	n.mu.Unlock()
 	if on {
-		for _, c := range n.matching(func(c *conn) bool { return string(c.local) == ip+":0" }) {
+		for _, c := range n.connsWhere(func(c *conn) bool { return string(c.local) == ip+":0" }) {
 			c.abort(func(p *pipe) { p.reset = true })
 		}
 	}
 }
 
-// Isolate makes a host one of those that reach only each other, or no more.
+// Isolate adds a host to those that reach only each other, or removes it.
 func (n *Network) Isolate(ip string, on bool) {
 	n.mu.Lock()
-	n.isolated[ip] = on
+	n.isolatedHosts[ip] = on
 	n.mu.Unlock()
 	if !on {
 		n.deliverPending()
 	}
 }
 
-// SlowHost makes everything to and from a host take so much longer; 0: no more.
-func (n *Network) SlowHost(ip string, by time.Duration) {
+// SlowHost sets an extra latency of all packets to and from a host; 0 ends it.
+func (n *Network) SlowHost(ip string, extra time.Duration) {
 	n.mu.Lock()
-	n.hostDelay[ip] = by
+	n.hostDelay[ip] = extra
 	n.mu.Unlock()
 }
 
-// SlowLink makes what one host sends to another take so much longer; 0: as usual.
-func (n *Network) SlowLink(from, to string, d time.Duration) {
+// SlowLink sets an extra latency of the packets from one host to another; 0 ends it.
+func (n *Network) SlowLink(from, to string, extra time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.linkDelay == nil {
 		n.linkDelay = map[[2]string]time.Duration{}
 	}
-	n.linkDelay[[2]string{from, to}] = d
+	n.linkDelay[[2]string{from, to}] = extra
 }
 
-// SetPowerOff takes a host's power, or gives it back.
+// SetPowerOff makes a host neither send nor receive, or ends this.
 func (n *Network) SetPowerOff(ip string, down bool) {
 	n.mu.Lock()
-	n.down[ip] = down
+	n.poweredOff[ip] = down
 	n.mu.Unlock()
 }
 
-// Reset breaks every connection and listener of a host, as its end does. (A
-// node that was up again at once could find its address still in use by its
-// last life, and was then silently missing from a test.)
+// Reset resets every connection and closes every listener of a host, as the end of its process
+// does. Without this, a controller that restarts at once can find its address still in use by the
+// previous process, and is then silently missing from a test.
 func (n *Network) Reset(ip string) {
 	n.mu.Lock()
-	var ls []*listener
+	var listeners []*listener
 	for at, l := range n.listeners {
 		if hostOf(at) == ip {
-			ls = append(ls, l)
+			listeners = append(listeners, l)
 		}
 	}
 	n.mu.Unlock()
-	for _, l := range ls {
+	for _, l := range listeners {
 		_ = l.Close()
 	}
-	for _, c := range n.matching(func(c *conn) bool { return hostOf(string(c.local)) == ip || hostOf(string(c.remote)) == ip }) {
+	for _, c := range n.connsWhere(func(c *conn) bool { return hostOf(string(c.local)) == ip || hostOf(string(c.remote)) == ip }) {
 		c.abort(func(p *pipe) { p.reset = true })
 	}
 }
 
-// faulty reports whether any fault of the network lasts.
+// faulty reports whether any cut, refusal or block of the network is active.
 func (n *Network) faulty() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return has(n.blockedLinks) || has(n.inboundBlocked) || has(n.isolated) || has(n.outboundBlocked) || has(n.filtered)
+	return anyTrue(n.blockedLinks) || anyTrue(n.inboundBlocked) || anyTrue(n.isolatedHosts) || anyTrue(n.outboundBlocked) || anyTrue(n.refusedLinks)
 }
 
-// has reports whether any entry is true.
-func has[K comparable](m map[K]bool) bool {
+// anyTrue reports whether any value of a map is true.
+func anyTrue[K comparable](m map[K]bool) bool {
 	for _, on := range m {
 		if on {
 			return true
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -17,30 +17,33 @@
 	"lilaclead/internal/wire"
 )
 
-// StartFunc creates a controller; the function that it returns runs it until the context ends.
+// StartFunc creates a controller. The function that it returns runs the controller until
+// the context ends.
 type StartFunc func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error)
 
-// JobScript is a job's specification and how its tasks behave on the fake machines.
+// JobScript is a job's specification and the behaviour of its tasks on the fake machines.
 type JobScript struct {
 	Spec        wire.JobSpec
-	RunTime     float64   // true run time of a task
-	AlwaysFails bool      // its tasks fail on every machine
-	RunTimes    []float64 // the first tasks' own run times; the others take RunTime
+	RunTime     float64   // run time of a task, in seconds
+	AlwaysFails bool      // the tasks fail on every machine
+	RunTimes    []float64 // run times of the first tasks, in seconds; the others take RunTime
 }
 
-// runTimeOf returns the true run time of one of the job's tasks, in seconds.
-func (t *JobScript) runTimeOf(index int) float64 {
-	if index < len(t.RunTimes) {
-		return t.RunTimes[index]
+// runTimeOf returns the run time of the task with an index, in seconds.
+func (s *JobScript) runTimeOf(index int) float64 {
+	if index < len(s.RunTimes) {
+		return s.RunTimes[index]
 	}
-	return t.RunTime
+	return s.RunTime
 }
 
-// Simulation is a deployment of fakes around real controllers. One lock guards it all.
+// Simulation is a deployment of real controllers with fakes of everything else. Its lock
+// guards the fakes, except for the network and the key-value store, which have their own.
 type Simulation struct {
-	Net     *Network // the network in memory, with its faults
-	hostNet func(ip string) netio.Net
-	// onLoopback: the hosts are on the machine's own loopback network (see Loopback).
+	Net     *Network                  // the in-memory network
+	hostNet func(ip string) netio.Net // the network as a host sees it
+	// onLoopback means that the hosts are on the operating system's loopback network (see
+	// Loopback), not on Net.
 	onLoopback bool
 	State      *KVStore
 	Settings   config.Settings
@@ -51,10 +54,10 @@
 	start            StartFunc
 	rng              *rand.Rand
 	machineTypes     []wire.MachineSpec
-	capacity         map[string]int // type/zone/kind -> how many more
+	capacity         map[string]int // by capacityKey: machines that the cloud can still provide
 	machines         map[wire.MachineID]*worker
 	scaleOuts        map[string][]wire.MachineID
-	scaleOutNames    []string // of those that were filled, in that order
+	scaleOutNames    []string // the keys of scaleOuts in the order in which they were filled
 	listHistory      []listSnapshot
 	provisionedCount int
 	scripts          map[wire.JobID]*JobScript
@@ -65,31 +68,31 @@
 	gangs            gangTable
 
 	isolatedZone        wire.Zone
-	partitionedZones    [2]wire.Zone // zones that can't reach each other; empty: none
+	partitionedZones    [2]wire.Zone // two zones that can't reach each other; empty: none
 	cloudOutage         bool
 	loseScaleInAnswers  int
 	loseScaleOutAnswers int
 	lateRequests        lateRequests
 	linkDelay           time.Duration
-	unlisted            bool
+	provisionUnlisted   bool
 	slowSaves           bool
-	noSpot              bool
+	spotSoldOut         bool
 	soldOut             map[wire.Zone]bool
 	listLag             time.Duration
 	bootFactor          float64
-	faultCount          int       // faults that last and that nothing else shows
-	lastFault           time.Time // when there last was a fault
+	reportedFaults      int       // active faults reported by CountFault
+	lastFault           time.Time // when a fault was last active
 }
 
-// controller is a node under test, which may be down.
+// controller is a controller under test, which may be down.
 type controller struct {
 	cfg    config.Config
 	cancel context.CancelFunc
 	up     bool // the simulation's lock guards it
 }
 
-// advertisedAddr returns the address under which controllers reach a host: on the loopback
-// network that which stands for its address.
+// advertisedAddr returns the address at which controllers reach a host, which on the loopback
+// network is that of LoopbackAddr.
 func (sim *Simulation) advertisedAddr(addr string) string {
 	if sim.onLoopback {
 		return LoopbackAddr(addr)
@@ -97,37 +100,37 @@
 	return addr
 }
 
-// New builds a deployment; no node runs yet. Without a host function it lives on its own
-// network in memory; Loopback is the only other one.
-func New(ctx context.Context, set config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
+// New returns a deployment in which no controller runs yet. host returns the network as the
+// host with an IP address sees it: nil for an in-memory network, or Loopback.
+func New(ctx context.Context, settings config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
 	limits := map[wire.TeamID]TeamLimit{}
-	for _, t := range set.Teams {
-		limits[t.Name] = TeamLimit{t.MaxCPUs, t.MaxGPUs}
+	for _, team := range settings.Teams {
+		limits[team.Name] = TeamLimit{team.MaxCPUs, team.MaxGPUs}
 	}
 	sim := &Simulation{
-		Net: NewNetwork(time.Millisecond), State: NewKVStore(set.State.TxnOps, int(set.State.ValueKB)), Settings: set,
-		checker: NewChecker(set.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
+		Net: NewNetwork(time.Millisecond), State: NewKVStore(settings.State.TxnOps, int(settings.State.ValueKB)), Settings: settings,
+		checker: NewChecker(settings.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
 		machineTypes: []wire.MachineSpec{
-			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: set.Zones},
-			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: set.Zones},
+			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: settings.Zones},
+			{Name: "c16", CPUs: 16, MemoryGB: 64, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 1.1, SpotPrice: 0.4, BootTime: 10, Zones: settings.Zones},
 		},
 		capacity: map[string]int{}, machines: map[wire.MachineID]*worker{}, scaleOuts: map[string][]wire.MachineID{},
-		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: set.Cloud.ListLag.Duration(), bootFactor: 1,
+		scripts: map[wire.JobID]*JobScript{}, soldOut: map[wire.Zone]bool{}, listLag: settings.Cloud.ListLag.Duration(), bootFactor: 1,
 	}
 	if sim.hostNet, sim.onLoopback = host, host != nil; host == nil {
 		sim.hostNet = sim.Net.Host
 	}
-	for _, f := range sim.machineTypes {
-		for _, z := range set.Zones {
-			sim.capacity[capacityKey(f.Name, z, false)] = 6
-			sim.capacity[capacityKey(f.Name, z, true)] = 3
+	for _, spec := range sim.machineTypes {
+		for _, zone := range settings.Zones {
+			sim.capacity[capacityKey(spec.Name, zone, false)] = 6
+			sim.capacity[capacityKey(spec.Name, zone, true)] = 3
 		}
 	}
 	sim.checker.MachineSpecs, sim.lastFault = sim.machineTypes, time.Now()
 	sim.serve(KVStoreAddr, sim.State)
 	sim.serve(CloudAddr, http.HandlerFunc(sim.cloud))
-	for i := range set.Size {
-		sim.controllers = append(sim.controllers, &controller{cfg: controllerConfig(set, i)})
+	for i := range settings.Size {
+		sim.controllers = append(sim.controllers, &controller{cfg: controllerConfig(settings, i)})
 	}
 	sim.spawn(func() {
 		for ctx.Err() == nil {
@@ -141,12 +144,12 @@
 }
 
 // controllerConfig returns the configuration of the i-th controller.
-func controllerConfig(set config.Settings, i int) config.Config {
+func controllerConfig(settings config.Settings, i int) config.Config {
 	name := func(k int) wire.NodeID { return wire.NodeID(fmt.Sprintf("worker-%d", k)) }
-	zone := func(k int) wire.Zone { return set.Zones[k%len(set.Zones)] }
+	zone := func(k int) wire.Zone { return settings.Zones[k%len(settings.Zones)] }
 	c := config.Config{HostName: name(i), Zone: zone(i), UserAddr: NodeIP(i) + ":8080", PeerAddr: NodeIP(i) + ":8081",
-		Endpoints: config.Endpoints{Cloud: CloudAddr, State: KVStoreAddr}, Settings: set}
-	for k := range set.Size {
+		Endpoints: config.Endpoints{Cloud: CloudAddr, State: KVStoreAddr}, Settings: settings}
+	for k := range settings.Size {
 		if k != i {
 			c.Peers = append(c.Peers, config.Peer{HostName: name(k), Zone: zone(k), Addr: NodeIP(k) + ":8081"})
 		}
@@ -154,10 +157,10 @@
 	return c
 }
 
-// sleep waits for a duration or until the context is done. It makes no timer that has
-// already expired: in a synctest bubble under the race detector the receiving goroutine
-// runs such a timer itself, in a detector context that all goroutines of the bubble
-// share, and two at once crash the detector (seen with go1.26).
+// sleep waits for a duration or until the context is done. It never creates a timer that has
+// already expired: in a synctest bubble under the race detector, the receiving goroutine
+// runs such a timer itself, in a detector context that all goroutines of the bubble share,
+// and two of them at once crash the detector (go1.26).
 func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -168,7 +171,7 @@
 	}
 }
 
-// spawn runs f beside the caller; Close waits for its end.
+// spawn runs f in a goroutine that Close waits for.
 func (sim *Simulation) spawn(f func()) {
 	sim.wg.Add(1)
 	go func() {
@@ -177,24 +180,24 @@
 	}()
 }
 
-// serve begins to answer requests to an address.
-func (sim *Simulation) serve(at string, h http.Handler) *http.Server {
-	l, err := sim.hostNet(hostOf(at)).Listen("tcp4", at)
+// serve starts an HTTP server at an address.
+func (sim *Simulation) serve(address string, handler http.Handler) *http.Server {
+	listener, err := sim.hostNet(hostOf(address)).Listen("tcp4", address)
 	if err != nil {
 		panic(err)
 	}
-	s := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
+	server := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
 	sim.mu.Lock()
-	sim.servers = append(sim.servers, s)
+	sim.servers = append(sim.servers, server)
 	sim.mu.Unlock()
-	sim.spawn(func() { _ = s.Serve(l) }) // ends with Close
-	return s
+	sim.spawn(func() { _ = server.Serve(listener) }) // ends with Close
+	return server
 }
 
 // Done returns a channel that is closed when the simulation's context ends.
 func (sim *Simulation) Done() <-chan struct{} { return sim.ctx.Done() }
 
-// Close ends everything.
+// Close stops the controllers, the network and the fakes, and waits for their goroutines.
 func (sim *Simulation) Close() {
 	for i := range sim.controllers {
 		sim.KillController(i)
@@ -203,12 +206,12 @@
 	servers := sim.servers
 	sim.mu.Unlock()
 	sim.Net.Close()
-	for _, s := range servers {
-		s.Close()
+	for _, server := range servers {
+		server.Close()
 	}
 	sim.wg.Wait()
 	sim.Net.Close()
-	time.Sleep(time.Second) // handlers that were still thinking
+	time.Sleep(time.Second) // lets handlers that are still running return
 }
 
 // WithChecker runs f with the checker under the simulation's lock.
@@ -218,7 +221,7 @@
 	f(sim.checker)
 }
 
-// observe feeds the checker with what there is now; the caller holds the lock.
+// observe shows the present faults and machines to the checker; the caller holds the lock.
 func (sim *Simulation) observe(now time.Time) {
 	if sim.hasFault(now) {
 		sim.lastFault = now
@@ -232,38 +235,38 @@
 	sim.checker.ObserveRoom(rooms, now)
 }
 
-// hasFault reports whether the simulation sees a fault; the caller holds the lock.
+// hasFault reports whether any fault is active; the caller holds the lock.
 func (sim *Simulation) hasFault(now time.Time) bool {
-	if sim.faultCount > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
+	if sim.reportedFaults > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
 		return true
 	}
-	for _, m := range sim.machines {
-		if m.reclaimAt.After(now) {
+	for _, machine := range sim.machines {
+		if machine.reclaimAt.After(now) {
 			return true
 		}
 	}
-	for _, n := range sim.controllers {
-		if !n.up {
+	for _, node := range sim.controllers {
+		if !node.up {
 			return true
 		}
 	}
 	return sim.State.faulty() || sim.Net.faulty()
 }
 
-// CountFault begins or ends a fault that the simulation can't see by itself: while one
-// is on, no job counts as left waiting.
+// CountFault records that a fault begins or ends that the simulation can't see by itself.
+// While one is active, the rule LeftWaiting does not apply.
 func (sim *Simulation) CountFault(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.countFault(on)
+	sim.reportFault(on)
 }
 
-// countFault is CountFault with the lock held.
-func (sim *Simulation) countFault(on bool) {
+// reportFault is CountFault with the lock held.
+func (sim *Simulation) reportFault(on bool) {
 	if on {
-		sim.faultCount++
+		sim.reportedFaults++
 	} else {
-		sim.faultCount--
+		sim.reportedFaults--
 	}
 	sim.lastFault = time.Now()
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -12,7 +12,7 @@
 	"lilaclead/internal/wire"
 )
 
-// KVStore is the key-value store: revisions, guards, grants and watches.
+// KVStore is the fake key-value store, with revisions, guarded transactions, grants and watches.
 type KVStore struct {
 	mu        sync.Mutex
 	revision  wire.Revision
@@ -21,47 +21,48 @@
 	nextGrant wire.GrantID
 	changes   []stateChange
 	wake      chan struct{}
-	// Faults.
-	outage       bool
-	refused      map[string]bool // hosts that get 503
-	loseAnswers  int             // so many transactions are executed, and their answers lost
-	dropRequests int             // so many are lost before they are executed
-	txnFaults    txnFaults
-	maxOps       int
-	valueKB      int
-	// oversize counts the transactions that were refused for their size.
-	oversize      int
-	limits        stateLimits
-	watchDelay    time.Duration // of the answers to open watches
-	forgottenUpTo wire.Revision // the newest change that is no longer kept
+	// Faults and limits.
+	inOutage       bool
+	refusedClients map[string]bool // hosts that are answered 503
+	answersToLose  int             // number of next transactions that are executed and not answered
+	requestsToDrop int             // number of next transactions that are neither executed nor answered
+	txnFaults      txnFaults
+	maxTxnOps      int
+	maxValueKB     int
+	// oversizeRefusals counts the transactions that were refused as malformed or over a limit.
+	oversizeRefusals int
+	limits           stateLimits
+	watchDelay       time.Duration // extra delay of the answers to blocking watches
+	discardedUpTo    wire.Revision // the revision of the newest change that was discarded
 }
 
-// stateEntry is what is stored under a key.
+// stateEntry is the value of a key, with the revision and the grant of its last write.
 type stateEntry struct {
 	value    wire.RawValue
 	revision wire.Revision
 	grant    wire.GrantID
 }
 
-// stateGrant is a grant: keys written under it are gone when it ends.
+// stateGrant is a grant. Keys that were written under it are removed when it ends.
 type stateGrant struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// stateChange is a change that watches may still ask for.
+// stateChange is a change that is kept for watches.
 type stateChange struct {
 	revision wire.Revision
 	change   wire.WatchEvent
 }
 
-// NewKVStore returns an empty key-value store with limits of transactions and values.
+// NewKVStore returns an empty key-value store that limits the writes of a transaction and the
+// size of a value.
 func NewKVStore(maxOps, valueKB int) *KVStore {
 	return &KVStore{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
-		refused: map[string]bool{}, maxOps: maxOps, valueKB: valueKB}
+		refusedClients: map[string]bool{}, maxTxnOps: maxOps, maxValueKB: valueKB}
 }
 
-// Put writes a key as some client would, for tests.
+// Put writes a key as a client would, for tests.
 func (s *KVStore) Put(key string, v any) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +73,7 @@
 	return s.revision
 }
 
-// Delete removes a key as some client would, for tests.
+// Delete removes a key as a client would, for tests.
 func (s *KVStore) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +86,7 @@
 	s.notify()
 }
 
-// Revision returns the revision of a key, 0 if there is none, for tests.
+// Revision returns the revision of a key, 0 if the key does not exist, for tests.
 func (s *KVStore) Revision(key string) wire.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,7 @@
 	return 0
 }
 
-// Changes returns how many changes of keys with a prefix are still kept.
+// Changes counts the kept changes of keys with a prefix.
 func (s *KVStore) Changes(prefix string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +115,7 @@
 	return s.revision
 }
 
-// Value returns the value of a key, nil if there is none, for tests.
+// Value returns the value of a key, nil if the key does not exist, for tests.
 func (s *KVStore) Value(key string) wire.RawValue {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,28 +139,29 @@
 	return out
 }
 
-// LargestValue returns the size of the largest value under a prefix.
+// LargestValue returns the size of the largest value under a prefix, in bytes as JSON.
 func (s *KVStore) LargestValue(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := 0
+	largest := 0
 	for k, e := range s.keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
-			n = max(n, jsonSize(e.value))
+			largest = max(largest, jsonSize(e.value))
 		}
 	}
-	return n
+	return largest
 }
 
-// notify wakes all open watches; the caller holds the lock.
+// notify wakes all blocking watches; the caller holds the lock.
 func (s *KVStore) notify() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
 
-// expire ends grants; during an outage nothing ends.
+// expire ends the grants that have expired; during an outage none ends. The caller holds the
+// lock.
 func (s *KVStore) expire() {
-	if s.outage {
+	if s.inOutage {
 		return
 	}
 	now := time.Now()
@@ -173,30 +175,30 @@
 // endGrant ends a grant and removes its keys; the caller holds the lock.
 func (s *KVStore) endGrant(id wire.GrantID) {
 	delete(s.grants, id)
-	var dead []string
+	var removed []string
 	for k, e := range s.keys {
 		if e.grant == id {
-			dead = append(dead, k)
+			removed = append(removed, k)
 		}
 	}
-	if len(dead) == 0 {
+	if len(removed) == 0 {
 		return
 	}
 	s.revision++
-	sort.Strings(dead)
-	for _, k := range dead {
+	sort.Strings(removed)
+	for _, k := range removed {
 		delete(s.keys, k)
 		s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: k, Revision: s.revision}})
 	}
 	s.notify()
 }
 
-// missingKey is the answer about a key that does not exist: the revision of the store.
+// missingKey is the answer to a read of a key that does not exist, with the store's revision.
 type missingKey struct {
 	Revision wire.Revision `cbor:"ledger"`
 }
 
-// ServeHTTP answers the requests of the key-value store's page.
+// ServeHTTP serves the API of the key-value store.
 func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
 	if err != nil {
@@ -205,7 +207,7 @@
 	time.Sleep(2 * time.Millisecond)
 	s.mu.Lock()
 	s.expire()
-	refuse := s.outage || s.refused[hostOf(r.RemoteAddr)]
+	refuse := s.inOutage || s.refusedClients[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
 	if !refuse && !s.limits.allow(1, 0) {
 		wire.WriteResponse(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
@@ -240,7 +242,7 @@
 	wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 }
 
-// read answers with one key.
+// read answers with the entry of one key.
 func (s *KVStore) read(w http.ResponseWriter, key string) {
 	s.limits.delayRead(key)
 	s.mu.Lock()
@@ -257,7 +259,7 @@
 	wire.WriteResponse(w, http.StatusOK, out)
 }
 
-// serveTxn executes a transaction within the limits, unless a fault hits it.
+// serveTxn executes a transaction that is within the limits, unless a fault is injected.
 func (s *KVStore) serveTxn(w http.ResponseWriter, r *http.Request, raw []byte) {
 	var t wire.Txn
 	if wire.Decode(raw, &t) != nil || !s.allows(&t, len(raw)) {
@@ -274,62 +276,62 @@
 	}
 }
 
-// newGrant gives a grant of the time asked for.
+// newGrant creates a grant with the requested TTL.
 func (s *KVStore) newGrant(w http.ResponseWriter, raw []byte) {
-	var a wire.GrantRequest
-	if wire.Decode(raw, &a) != nil || a.TTLMillis < 100 || a.TTLMillis > 600_000 {
+	var request wire.GrantRequest
+	if wire.Decode(raw, &request) != nil || request.TTLMillis < 100 || request.TTLMillis > 600_000 {
 		malformedRequest(w)
 		return
 	}
 	s.mu.Lock()
 	id := s.nextGrant
 	s.nextGrant++
-	life := time.Duration(a.TTLMillis) * time.Millisecond
-	s.grants[id] = &stateGrant{life, time.Now().Add(life)}
+	ttl := time.Duration(request.TTLMillis) * time.Millisecond
+	s.grants[id] = &stateGrant{ttl, time.Now().Add(ttl)}
 	s.mu.Unlock()
 	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: id})
 }
 
-// renewOrEndGrant does what the path and the method say with a grant.
+// renewOrEndGrant renews or ends a grant, as the path and the method say.
 func (s *KVStore) renewOrEndGrant(w http.ResponseWriter, r *http.Request) {
 	rest, renew := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/grants/"), "/renew")
-	n, _ := strconv.ParseUint(rest, 10, 64)
+	id, _ := strconv.ParseUint(rest, 10, 64)
 	s.mu.Lock()
-	g := s.grants[wire.GrantID(n)]
+	grant := s.grants[wire.GrantID(id)]
 	switch {
-	case g == nil:
+	case grant == nil:
 	case renew:
-		g.expiresAt = time.Now().Add(g.ttl)
+		grant.expiresAt = time.Now().Add(grant.ttl)
 	case r.Method == "DELETE":
-		s.endGrant(wire.GrantID(n))
+		s.endGrant(wire.GrantID(id))
 	}
 	s.mu.Unlock()
-	if g == nil {
+	if grant == nil {
 		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorBody{Error: "no such lease"})
 		return
 	}
-	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: wire.GrantID(n)})
+	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: wire.GrantID(id)})
 }
 
-// list answers with a page of the keys with a prefix.
+// list answers with a page of the entries whose keys have a prefix.
 func (s *KVStore) list(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	most, _ := strconv.Atoi(q.Get("page"))
-	if most <= 0 || most > 1000 {
-		most = 1000
+	query := r.URL.Query()
+	limit, _ := strconv.Atoi(query.Get("page"))
+	if limit <= 0 || limit > 1000 {
+		limit = 1000
 	}
-	most = s.limits.pageSize(most)
+	limit = s.limits.pageSize(limit)
 	s.mu.Lock()
-	var ks []string
+	var matching []string
 	for k := range s.keys {
-		if strings.HasPrefix(k, q.Get("under")) && k > q.Get("after") {
-			ks = append(ks, k)
+		if strings.HasPrefix(k, query.Get("under")) && k > query.Get("after") {
+			matching = append(matching, k)
 		}
 	}
-	sort.Strings(ks)
+	sort.Strings(matching)
 	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.revision}
-	for _, k := range ks {
-		if len(page.Entries) == most {
+	for _, k := range matching {
+		if len(page.Entries) == limit {
 			page.Truncated = true
 			break
 		}
@@ -341,21 +343,21 @@
 	wire.WriteResponse(w, http.StatusOK, page)
 }
 
-// txn executes a transaction and answers, unless the request or the answer is lost.
+// txn executes a transaction and answers, unless the request or the answer is to be lost.
 func (s *KVStore) txn(w http.ResponseWriter, from string, t *wire.Txn) {
 	s.mu.Lock()
-	if s.dropRequests > 0 {
-		s.dropRequests--
+	if s.requestsToDrop > 0 {
+		s.requestsToDrop--
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	status, answer := s.execute(from, t)
-	lose := status == http.StatusOK && s.loseAnswers > 0
-	if lose {
-		s.loseAnswers--
+	answerLost := status == http.StatusOK && s.answersToLose > 0
+	if answerLost {
+		s.answersToLose--
 	}
 	s.mu.Unlock()
-	if lose {
+	if answerLost {
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusOK {
@@ -364,19 +366,19 @@
 	wire.WriteResponse(w, status, answer)
 }
 
-// execute carries a transaction out; the caller holds the lock.
+// execute executes a transaction; the caller holds the lock.
 func (s *KVStore) execute(from string, t *wire.Txn) (status int, answer any) {
-	// An expired lease is told first, whatever the conditions.
-	for _, x := range t.Writes {
-		if x.PutKey != "" && x.Grant != 0 && s.grants[x.Grant] == nil {
+	// An ended grant is reported before failed guards.
+	for _, write := range t.Writes {
+		if write.PutKey != "" && write.Grant != 0 && s.grants[write.Grant] == nil {
 			return http.StatusBadRequest, wire.ErrorBody{Error: "no such lease"}
 		}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		e := s.keys[g.Key]
-		if e == nil && g.Revision != 0 || e != nil && e.revision != g.Revision {
-			failed = append(failed, g.Key)
+	for _, guard := range t.Guards {
+		entry := s.keys[guard.Key]
+		if entry == nil && guard.Revision != 0 || entry != nil && entry.revision != guard.Revision {
+			failed = append(failed, guard.Key)
 		}
 	}
 	if failed != nil {
@@ -385,17 +387,17 @@
 	}
 	if len(t.Writes) > 0 {
 		s.revision++
-		for _, x := range t.Writes {
-			if x.DeleteKey != "" {
-				delete(s.keys, x.DeleteKey)
-				s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: x.DeleteKey, Revision: s.revision}})
+		for _, write := range t.Writes {
+			if write.DeleteKey != "" {
+				delete(s.keys, write.DeleteKey)
+				s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: write.DeleteKey, Revision: s.revision}})
 				continue
 			}
-			s.keys[x.PutKey] = &stateEntry{append(wire.RawValue(nil), x.Value...), s.revision, x.Grant}
-			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: x.PutKey, Value: append(wire.RawValue(nil), x.Value...), Revision: s.revision}})
+			s.keys[write.PutKey] = &stateEntry{append(wire.RawValue(nil), write.Value...), s.revision, write.Grant}
+			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: write.PutKey, Value: append(wire.RawValue(nil), write.Value...), Revision: s.revision}})
 		}
 		if keep := s.limits.historySize(); len(s.changes) > keep {
-			s.forgottenUpTo = s.changes[len(s.changes)-keep-1].revision
+			s.discardedUpTo = s.changes[len(s.changes)-keep-1].revision
 			s.changes = append([]stateChange(nil), s.changes[len(s.changes)-keep:]...)
 		}
 		s.txnFaults.countExecuted(from)
@@ -404,48 +406,49 @@
 	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-// watch answers with the changes after a revision, as soon as there are any.
+// watch answers with the changes after a revision. It blocks until there are any, for at most
+// the requested time.
 func (s *KVStore) watch(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-	block, _ := strconv.Atoi(q.Get("blockMs"))
-	timeUp := block <= 0
-	var until <-chan time.Time // nil without blocking: see sleep on expired timers
+	query := r.URL.Query()
+	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
+	blockMillis, _ := strconv.Atoi(query.Get("blockMs"))
+	timeUp := blockMillis <= 0
+	var blockEnd <-chan time.Time // nil if not blocking: see sleep for why
 	if !timeUp {
-		until = time.After(time.Duration(min(block, 60_000)) * time.Millisecond)
+		blockEnd = time.After(time.Duration(min(blockMillis, 60_000)) * time.Millisecond)
 	}
 	for {
 		s.mu.Lock()
 		s.expire()
-		res := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
-		silent := s.outage || s.refused[hostOf(r.RemoteAddr)]
-		if s.forgottenUpTo > wire.Revision(after) {
+		response := wire.WatchResponse{Revision: s.revision, Events: []wire.WatchEvent{}}
+		refusing := s.inOutage || s.refusedClients[hostOf(r.RemoteAddr)]
+		if s.discardedUpTo > wire.Revision(after) {
 			s.mu.Unlock()
 			wire.WriteResponse(w, http.StatusGone, wire.ErrorBody{Error: "too old"})
 			return
 		}
-		if !silent {
+		if !refusing {
 			for _, c := range s.changes {
-				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.PutKey+c.change.DeletedKey, q.Get("under")) {
-					res.Events = append(res.Events, c.change)
+				if c.revision > wire.Revision(after) && strings.HasPrefix(c.change.PutKey+c.change.DeletedKey, query.Get("under")) {
+					response.Events = append(response.Events, c.change)
 				}
 			}
 		}
-		wake, lag := s.wake, s.watchDelay
+		wake, delay := s.wake, s.watchDelay
 		s.mu.Unlock()
-		slices.Reverse(res.Events) // as in the page's example, which promises no order
-		if len(res.Events) > 0 || timeUp && !silent {
+		slices.Reverse(response.Events) // the API promises no order; its example has the newest first
+		if len(response.Events) > 0 || timeUp && !refusing {
 			s.limits.delayList()
-			if block > 0 {
-				time.Sleep(lag)
+			if blockMillis > 0 {
+				time.Sleep(delay)
 			}
-			wire.WriteResponse(w, http.StatusOK, res)
+			wire.WriteResponse(w, http.StatusOK, response)
 			return
 		}
 		select {
 		case <-wake:
-		case <-time.After(200 * time.Millisecond): // grants end by time
-		case <-until:
+		case <-time.After(200 * time.Millisecond): // grants expire without a notification
+		case <-blockEnd:
 			timeUp = true
 		case <-r.Context().Done():
 			return
