--- a/internal/scenarios/gang_capacity_test.go
+++ b/internal/scenarios/gang_capacity_test.go
@@ -8,8 +8,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Gangs compete with arrays for room that is always full, and with each other,
-// also under their team's limit: each begins within four minutes.
+// Gangs compete for machines that are always full: with arrays, with each other, and under
+// their team's limit. Each gang must start within four minutes.
 func TestGangsCompeteWithArrays(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 807, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
@@ -20,120 +20,119 @@
 		}
 		at(35 * time.Second)
 		sim.SellOutEverything()
-		began := map[wire.JobID]time.Duration{}
+		startDelays := map[wire.JobID]time.Duration{}
 		for n := range 45 {
 			at(time.Duration(36+5*n) * time.Second)
-			a := array(200+n, 10, 30)
+			arrayJob := array(200+n, 10, 30)
 			if n%2 == 1 {
-				a.Spec.Team = "blue"
+				arrayJob.Spec.Team = "blue"
 			}
-			sim.Submit(a, 0)
+			sim.Submit(arrayJob, 0)
 			if n%9 == 0 {
 				for k, tasks := range []int{4, 6} {
-					j := gang(10+len(gangs), tasks, 25)
-					j.Spec.SpotAllowed = true
+					gangJob := gang(10+len(gangs), tasks, 25)
+					gangJob.Spec.SpotAllowed = true
 					if k == 1 {
-						j.Spec.Priority, j.Spec.SameZone = wire.PriorityStandard, false
+						gangJob.Spec.Priority, gangJob.Spec.SameZone = wire.PriorityStandard, false
 					}
-					gangs = append(gangs, j)
-					sim.Submit(j, 0)
+					gangs = append(gangs, gangJob)
+					sim.Submit(gangJob, 0)
 				}
 			}
 		}
-		submitted := func(k int) time.Duration { return time.Duration(36+45*(k/2)) * time.Second }
+		submitTime := func(k int) time.Duration { return time.Duration(36+45*(k/2)) * time.Second }
 		at(520 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			for k, j := range gangs {
-				d, ok := c.TimeToStart(j.Spec.ID)
-				began[j.Spec.ID] = d
-				if !ok || d > 4*time.Minute {
-					t.Errorf("%s of %d (submitted at %v) began after %v, %v", j.Spec.ID, j.Spec.Tasks, submitted(k), d, ok)
+			for k, gangJob := range gangs {
+				delay, ok := c.TimeToStart(gangJob.Spec.ID)
+				startDelays[gangJob.Spec.ID] = delay
+				if !ok || delay > 4*time.Minute {
+					t.Errorf("%s with %d tasks, submitted at %v, started after %v (started: %v), want within 4 minutes", gangJob.Spec.ID, gangJob.Spec.Tasks, submitTime(k), delay, ok)
 				}
 			}
 		})
-		t.Logf("began after %v", began)
+		t.Logf("gangs started after %v", startDelays)
 	})
 }
 
-// With the cloud sold out, the room that is free is kept for the next replicas. A
-// gang that fits into it must not wait for ever, as an array must not.
-func TestGangUsesReservedRoom(t *testing.T) {
+// With the cloud sold out, free capacity is reserved for the next replicas of services. A
+// gang that fits into it must not wait for ever; the same holds for arrays.
+func TestGangUsesReservedCapacity(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, simulator.DefaultSettings(), 810, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, j := service(1, 4), gang(2, 3, 20)
-		s.Spec.Spread, s.Spec.MachineTypes, s.Spec.Zone = false, []wire.MachineType{"c16"}, "a"
-		j.Spec.CPUs, j.Spec.Priority, j.Spec.MachineTypes, j.Spec.Zone = 4, wire.PriorityStandard, s.Spec.MachineTypes, "a" // 12 of 16 CPUs, 4 used, 2 kept
+		serviceJob, gangJob := service(1, 4), gang(2, 3, 20)
+		serviceJob.Spec.Spread, serviceJob.Spec.MachineTypes, serviceJob.Spec.Zone = false, []wire.MachineType{"c16"}, "a"
+		gangJob.Spec.CPUs, gangJob.Spec.Priority, gangJob.Spec.MachineTypes, gangJob.Spec.Zone = 4, wire.PriorityStandard, serviceJob.Spec.MachineTypes, "a" // needs 12 of a machine's 16 CPUs; 4 are used, 2 are reserved
 		at(2 * time.Second)
-		sim.Submit(s, 0)
+		sim.Submit(serviceJob, 0)
 		at(40 * time.Second)
-		mustRun(t, sim, s, "at first")
-		if n := len(sim.MachinesHolding(s.Spec.ID)); n != 1 {
-			t.Fatalf("%d machines", n)
+		mustRun(t, sim, serviceJob, "before the gang is submitted")
+		if n := len(sim.MachinesHolding(serviceJob.Spec.ID)); n != 1 {
+			t.Fatalf("the service runs on %d machines, want 1", n)
 		}
 		sim.SellOutEverything()
-		sim.Submit(j, 0)
+		sim.Submit(gangJob, 0)
 		at(240 * time.Second)
-		mustFinish(t, sim, j)
-		mustRun(t, sim, s, "at last")
+		mustFinish(t, sim, gangJob)
+		mustRun(t, sim, serviceJob, "beside the gang")
 	})
 }
 
-// An urgent gang needs several whole machines, some of which are free at once and
-// some only when their tasks have saved. What is free first must be kept until all
-// of it is.
+// An urgent gang needs several whole machines. Some are free at once, others only when their
+// tasks have saved a checkpoint. The first must stay reserved until all of them are free.
 func TestGangWaitsForCheckpoints(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, simulator.DefaultSettings(), 811, func(sim *simulator.Simulation, at func(time.Duration)) {
 		sim.EnableSlowSaves()
-		saves, j := array(1, 2, 300), gang(3, 4, 20)
-		for _, s := range []*wire.JobSpec{&saves.Spec, &j.Spec} {
-			s.CPUs, s.MemoryGB, s.MachineTypes, s.SpotAllowed, s.Zone = 4, 8, []wire.MachineType{"c4"}, false, "a"
+		checkpointingArray, gangJob := array(1, 2, 300), gang(3, 4, 20)
+		for _, spec := range []*wire.JobSpec{&checkpointingArray.Spec, &gangJob.Spec} {
+			spec.CPUs, spec.MemoryGB, spec.MachineTypes, spec.SpotAllowed, spec.Zone = 4, 8, []wire.MachineType{"c4"}, false, "a"
 		}
-		saves.Spec.Team = "blue"
-		saves.Spec.CheckpointInterval, saves.Spec.CheckpointTime = 20, 14
+		checkpointingArray.Spec.Team = "blue"
+		checkpointingArray.Spec.CheckpointInterval, checkpointingArray.Spec.CheckpointTime = 20, 14
 		at(2 * time.Second)
-		sim.Submit(saves, 0)
-		quick := func(n int) {
-			a := array(n, 6, 25)
-			a.Spec.CPUs, a.Spec.MemoryGB, a.Spec.MachineTypes, a.Spec.SpotAllowed, a.Spec.Zone, a.Spec.Team = 4, 8, j.Spec.MachineTypes, false, "a", "blue"
-			sim.Submit(a, 0)
+		sim.Submit(checkpointingArray, 0)
+		submitShortArray := func(n int) {
+			shortArray := array(n, 6, 25)
+			shortArray.Spec.CPUs, shortArray.Spec.MemoryGB, shortArray.Spec.MachineTypes, shortArray.Spec.SpotAllowed, shortArray.Spec.Zone, shortArray.Spec.Team = 4, 8, gangJob.Spec.MachineTypes, false, "a", "blue"
+			sim.Submit(shortArray, 0)
 		}
-		quick(100)
+		submitShortArray(100)
 		at(30 * time.Second)
 		sim.SellOutEverything()
 		for n := range 20 {
-			quick(101 + n)
+			submitShortArray(101 + n)
 		}
 		at(60 * time.Second)
-		sim.Submit(j, 0)
+		sim.Submit(gangJob, 0)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(saves.Spec.ID) != 2 {
-				t.Errorf("%d of 2 tasks that save", c.OnMachines(saves.Spec.ID))
+			if c.OnMachines(checkpointingArray.Spec.ID) != 2 {
+				t.Errorf("%d tasks of the checkpointing array on machines, want 2", c.OnMachines(checkpointingArray.Spec.ID))
 			}
 		})
 		at(250 * time.Second)
-		mustFinish(t, sim, j)
+		mustFinish(t, sim, gangJob)
 		sim.WithChecker(func(c *simulator.Checker) {
-			d, ok := c.TimeToStart(j.Spec.ID)
-			t.Logf("began after %v, %d started again", d, c.Restarts())
-			if !ok || d > 22*time.Second || c.Restarts() > 4 {
-				t.Errorf("began after %v, %v, with %d tasks stopped for four", d, ok, c.Restarts())
+			delay, ok := c.TimeToStart(gangJob.Spec.ID)
+			t.Logf("gang started after %v, %d tasks restarted", delay, c.Restarts())
+			if !ok || delay > 22*time.Second || c.Restarts() > 4 {
+				t.Errorf("gang of 4 started after %v (started: %v) with %d tasks restarted, want within 22 s and at most 4", delay, ok, c.Restarts())
 			}
 		})
 	})
 }
 
-// A team's arrays keep it at its limit for ever, with room enough. Its gangs, which
-// need much of the limit at once, must begin within four minutes all the same.
+// A team's arrays keep it at its limit all the time, while machines have capacity enough. A
+// gang of that team needs much of the limit at once and must start within four minutes.
 func TestGangUnderTeamLimit(t *testing.T) {
 	t.Parallel()
-	for _, u := range []wire.Priority{wire.PriorityUrgent, wire.PriorityStandard, wire.PriorityBestEffort} {
-		t.Run(string(u), func(t *testing.T) {
+	for _, priority := range []wire.Priority{wire.PriorityUrgent, wire.PriorityStandard, wire.PriorityBestEffort} {
+		t.Run(string(priority), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 816, func(sim *simulator.Simulation, at func(time.Duration)) {
-				j := gang(1, 8, 25)
-				j.Spec.SameZone, j.Spec.Priority = false, u
-				j.Spec.MemoryGB = 4
+				gangJob := gang(1, 8, 25)
+				gangJob.Spec.SameZone, gangJob.Spec.Priority = false, priority
+				gangJob.Spec.MemoryGB = 4
 				at(2 * time.Second)
 				for n := range 6 {
 					sim.Submit(array(100+n, 8, 20), 0)
@@ -141,20 +140,20 @@
 				at(40 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					if c.CPUsUsed("red") < 38 {
-						t.Errorf("red uses %v of 40", c.CPUsUsed("red"))
+						t.Errorf("team red uses %v of 40 CPUs, want 38 or more", c.CPUsUsed("red"))
 					}
 				})
-				sim.Submit(j, 0)
+				sim.Submit(gangJob, 0)
 				for n := range 52 {
 					at(time.Duration(41+5*n) * time.Second)
 					sim.Submit(array(200+n, 8, 25), 0)
 				}
 				at(320 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
-					d, ok := c.TimeToStart(j.Spec.ID)
-					t.Logf("began after %v, %v", d, ok)
-					if !ok || d > 4*time.Minute {
-						t.Errorf("began after %v, %v", d, ok)
+					delay, ok := c.TimeToStart(gangJob.Spec.ID)
+					t.Logf("gang started after %v (started: %v)", delay, ok)
+					if !ok || delay > 4*time.Minute {
+						t.Errorf("gang started after %v (started: %v), want within 4 minutes", delay, ok)
 					}
 				})
 			})
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -14,25 +14,25 @@
 	"lilaclead/internal/wire"
 )
 
-// Gangs whose progress takes several chunks, and gangs in every phase as the limits of
-// the key-value store drop.
+// These tests run gangs whose progress takes several chunk records, and gangs in every phase
+// while the limits of the key-value store are lowered.
 
-// largeGang is a gang of many small tasks.
+// largeGang returns a gang of many small tasks, which may run in different zones.
 func largeGang(n, tasks int, run float64) simulator.JobScript {
 	j := gang(n, tasks, run)
 	j.Spec.CPUs, j.Spec.MemoryGB, j.Spec.SameZone = 0.1, 0.3, false
 	return j
 }
 
-// smallChunks are settings by which 56 tasks go into a chunk, and four writes into a
-// transaction.
-func smallChunks() config.Settings {
+// settingsWithSmallChunks returns settings with which a chunk record holds 56 tasks and a
+// transaction four writes.
+func settingsWithSmallChunks() config.Settings {
 	s := settingsBeforeLowering()
 	s.State.Next = &loweredLimits
 	return s
 }
 
-// delayProgressWrites delays what is written of jobs' progress.
+// delayProgressWrites delays the transactions that write progress records.
 func delayProgressWrites(sim *simulator.Simulation, by time.Duration) {
 	sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
 		for _, write := range txn.Writes {
@@ -44,33 +44,34 @@
 	})
 }
 
-// mustUseAttemptsOnce checks that no attempt of a task was ever on two machines, by all that
-// the workers have reported.
-func mustUseAttemptsOnce(t *testing.T, sim *simulator.Simulation) {
+// mustRunAttemptsOnOneMachine checks in all recorded heartbeats that no attempt of a task was
+// ever on two machines.
+func mustRunAttemptsOnOneMachine(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	type attempt struct {
 		task   string
 		number wire.AttemptNumber
 	}
-	on := map[attempt]wire.MachineID{}
-	for n := range 400 { // also those that are gone
-		id := wire.MachineID(fmt.Sprintf("n-%06d", n))
-		for _, rep := range sim.RecordedHeartbeats(id) {
-			for _, p := range rep.Tasks {
-				a := attempt{p.Task, p.Attempt}
-				if other, ok := on[a]; ok && other != id {
-					t.Errorf("attempt %d of %s was on %s and on %s", a.number, a.task, other, id)
+	machineOf := map[attempt]wire.MachineID{}
+	for n := range 400 { // also machines that are gone
+		machine := wire.MachineID(fmt.Sprintf("n-%06d", n))
+		for _, heartbeat := range sim.RecordedHeartbeats(machine) {
+			for _, task := range heartbeat.Tasks {
+				key := attempt{task.Task, task.Attempt}
+				if other, ok := machineOf[key]; ok && other != machine {
+					t.Errorf("attempt %d of %s was on %s and on %s", key.number, key.task, other, machine)
 				}
-				on[a] = id
+				machineOf[key] = machine
 			}
 		}
 	}
-	if len(on) == 0 {
-		t.Error("nothing was reported")
+	if len(machineOf) == 0 {
+		t.Error("no heartbeat reported a task")
 	}
 }
 
-// storedAttempts lists the attempts that are recorded of a job, and their machines.
+// storedAttempts returns the machine of each attempt in a job's progress records. A key is the
+// task's index and the attempt's number.
 func storedAttempts(t *testing.T, sim *simulator.Simulation, id wire.JobID) map[[2]int]wire.MachineID {
 	t.Helper()
 	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
@@ -79,131 +80,131 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[[2]int]wire.MachineID{}
-	for _, e := range entries {
-		var rec store.ChunkRecord
-		_, n, ok := store.ParseChunkKey(e.Key)
-		if !ok || wire.Decode(e.Value, &rec) != nil {
-			t.Fatalf("%s is no chunk", e.Key)
+	machines := map[[2]int]wire.MachineID{}
+	for _, entry := range entries {
+		var record store.ChunkRecord
+		_, chunk, ok := store.ParseChunkKey(entry.Key)
+		if !ok || wire.Decode(entry.Value, &record) != nil {
+			t.Fatalf("%s is not a chunk record", entry.Key)
 		}
-		for _, h := range rec.Active {
-			out[[2]int{n*store.ChunkTasksFor(loweredLimits.ValueKB) + h.Task, int(h.Attempt)}] = h.Machine
+		for _, active := range record.Active {
+			machines[[2]int{chunk*store.ChunkTasksFor(loweredLimits.ValueKB) + active.Task, int(active.Attempt)}] = active.Machine
 		}
 	}
-	return out
+	return machines
 }
 
-// mustNotReassignAttempts checks that no attempt that was recorded is recorded again for another
-// machine.
+// mustNotReassignAttempts checks that no attempt recorded before is recorded for another
+// machine after.
 func mustNotReassignAttempts(t *testing.T, before, after map[[2]int]wire.MachineID) {
 	t.Helper()
 	if len(before) == 0 || len(after) == 0 {
-		t.Errorf("%d attempts are recorded before, %d after", len(before), len(after))
+		t.Errorf("%d attempts recorded before, %d after, want some of both", len(before), len(after))
 	}
-	for a, id := range after {
-		if was, ok := before[a]; ok && was != id {
-			t.Errorf("attempt %d of task %d is recorded for %s and was for %s", a[1], a[0], id, was)
+	for attempt, machine := range after {
+		if previous, ok := before[attempt]; ok && previous != machine {
+			t.Errorf("attempt %d of task %d is recorded for machine %s, was for %s", attempt[1], attempt[0], machine, previous)
 		}
 	}
 }
 
-// A gang of 300 tasks is recorded in six chunks over two transactions at least. The
-// leader ends between these, with all recorded, and with the first launches sent: what
-// is recorded in part is stopped, what is whole is completed, and the gang runs once,
-// as a whole.
-func TestGangOfManyChunksLosesTheLeader(t *testing.T) {
+// A gang of 300 tasks is recorded in six chunks, in at least two transactions. The leader is
+// killed between these, after the last of them, or after the first launches were sent. A gang
+// that is recorded in part must be stopped and one recorded as a whole launched to the end. The
+// gang must run once, as a whole.
+func TestLeaderFailureWhileGangIsRecordedInChunks(t *testing.T) {
 	t.Parallel()
 	const chunks = 6
 	steps := map[string]func(g simulator.GangState, recorded int) bool{
-		"half recorded":  func(g simulator.GangState, n int) bool { return n > 0 && n < chunks },
+		"partly recorded":  func(g simulator.GangState, n int) bool { return n > 0 && n < chunks },
 		"recorded":       func(g simulator.GangState, n int) bool { return n == chunks && g.Fetching+g.Waiting+g.Running == 0 },
 		"first launched": func(g simulator.GangState, n int) bool { return g.Fetching+g.Waiting > 0 },
 	}
-	for name, is := range steps {
-		for _, down := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
-			t.Run(fmt.Sprint(name, " ", down), func(t *testing.T) {
+	for step, reached := range steps {
+		for _, downtime := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
+			t.Run(fmt.Sprint(step, " ", downtime), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, smallChunks(), 850, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithSettings(t, settingsWithSmallChunks(), 850, func(sim *simulator.Simulation, at func(time.Duration)) {
 					sim.RecordHeartbeats()
-					j := largeGang(1, 300, 40)
+					gangJob := largeGang(1, 300, 40)
 					at(2 * time.Second)
 					delayProgressWrites(sim, 400*time.Millisecond)
-					if name != "half recorded" {
+					if step != "partly recorded" {
 						sim.DelayCommands(simulator.CommandDelay{Command: 300 * time.Millisecond})
 					}
-					sim.Submit(j, 0)
-					if !eventually(t, 60*time.Second, name, func() bool { return is(sim.GangState(j.Spec.ID), storedChunks(sim, j)) }) {
+					sim.Submit(gangJob, 0)
+					if !eventually(t, 60*time.Second, step, func() bool { return reached(sim.GangState(gangJob.Spec.ID), storedChunks(sim, gangJob)) }) {
 						return
 					}
-					l := sim.Leader()
-					sim.KillController(l)
-					if g, n := sim.GangState(j.Spec.ID), storedChunks(sim, j); name == "half recorded" && (n == chunks || g.Fetching+g.Waiting > 0) {
-						t.Errorf("%d of %d chunks recorded, %+v: not half recorded", n, chunks, g)
+					leader := sim.Leader()
+					sim.KillController(leader)
+					if g, n := sim.GangState(gangJob.Spec.ID), storedChunks(sim, gangJob); step == "partly recorded" && (n == chunks || g.Fetching+g.Waiting > 0) {
+						t.Errorf("%d of %d chunks recorded, %+v: want some chunks and no launched task", n, chunks, g)
 					}
-					before := storedAttempts(t, sim, j.Spec.ID)
+					attemptsBefore := storedAttempts(t, sim, gangJob.Spec.ID)
 					sim.DelayCommands(simulator.CommandDelay{})
-					time.Sleep(down)
-					if err := sim.StartController(l); err != nil {
+					time.Sleep(downtime)
+					if err := sim.StartController(leader); err != nil {
 						t.Fatal(err)
 					}
 					delayProgressWrites(sim, 0)
-					begin := time.Now()
-					eventually(t, 60*time.Second, "runs", func() bool { return sim.GangState(j.Spec.ID).Starts > 0 })
-					t.Logf("%s: runs %v after, %+v", name, time.Since(begin), sim.GangState(j.Spec.ID))
-					mustNotReassignAttempts(t, before, storedAttempts(t, sim, j.Spec.ID))
+					restarted := time.Now()
+					eventually(t, 60*time.Second, "the gang starts", func() bool { return sim.GangState(gangJob.Spec.ID).Starts > 0 })
+					t.Logf("%s: gang started %v after the controller, %+v", step, time.Since(restarted), sim.GangState(gangJob.Spec.ID))
+					mustNotReassignAttempts(t, attemptsBefore, storedAttempts(t, sim, gangJob.Spec.ID))
 					time.Sleep(120 * time.Second)
-					mustBeArchived(t, sim, j)
-					if g := sim.GangState(j.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
-						t.Errorf("%+v: want one start, no fall, nobody alone", g)
+					mustBeArchived(t, sim, gangJob)
+					if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
+						t.Errorf("%+v, want one start, no rollback and no timed-out wait", g)
 					}
-					mustUseAttemptsOnce(t, sim)
+					mustRunAttemptsOnOneMachine(t, sim)
 				})
 			})
 		}
 	}
 }
 
-// The leader ends twice while a gang is recorded, so that two attempts are left in
-// part, in different chunks.
-func TestGangOfManyChunksIsRecordedInPartTwice(t *testing.T) {
+// The leader is killed twice while it records a gang. This leaves partial records of two
+// attempts, in different chunks.
+func TestTwoLeaderFailuresWhileGangIsRecordedInChunks(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, smallChunks(), 851, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsWithSmallChunks(), 851, func(sim *simulator.Simulation, at func(time.Duration)) {
 		sim.RecordHeartbeats()
-		j := largeGang(1, 500, 30)
+		gangJob := largeGang(1, 500, 30)
 		at(2 * time.Second)
 		delayProgressWrites(sim, 500*time.Millisecond)
-		sim.Submit(j, 0)
-		all := map[[2]int]wire.MachineID{}
+		sim.Submit(gangJob, 0)
+		recordedAttempts := map[[2]int]wire.MachineID{}
 		for range 2 {
-			before := sim.Leader()
-			if !eventually(t, 60*time.Second, "recorded in part", func() bool { n := storedChunks(sim, j); return n > 0 && n < 9 }) {
+			previousLeader := sim.Leader()
+			if !eventually(t, 60*time.Second, "gang recorded in part", func() bool { n := storedChunks(sim, gangJob); return n > 0 && n < 9 }) {
 				return
 			}
-			stored := storedAttempts(t, sim, j.Spec.ID)
-			if len(all) > 0 {
-				mustNotReassignAttempts(t, all, stored)
+			attempts := storedAttempts(t, sim, gangJob.Spec.ID)
+			if len(recordedAttempts) > 0 {
+				mustNotReassignAttempts(t, recordedAttempts, attempts)
 			}
-			maps.Copy(all, stored)
+			maps.Copy(recordedAttempts, attempts)
 			replaceLeader(t, sim)
-			if sim.Leader() == before {
-				t.Error("the leader has not changed")
+			if sim.Leader() == previousLeader {
+				t.Error("the same controller still leads, want another")
 			}
 			time.Sleep(1200 * time.Millisecond)
 		}
 		delayProgressWrites(sim, 0)
-		awaitGangRunning(t, sim, j, 60*time.Second)
-		mustNotReassignAttempts(t, all, storedAttempts(t, sim, j.Spec.ID))
+		awaitGangRunning(t, sim, gangJob, 60*time.Second)
+		mustNotReassignAttempts(t, recordedAttempts, storedAttempts(t, sim, gangJob.Spec.ID))
 		time.Sleep(150 * time.Second)
-		mustBeArchived(t, sim, j)
-		if g := sim.GangState(j.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
-			t.Errorf("%+v: want one start, no fall, nobody alone", g)
+		mustBeArchived(t, sim, gangJob)
+		if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
+			t.Errorf("%+v, want one start, no rollback and no timed-out wait", g)
 		}
-		mustUseAttemptsOnce(t, sim)
+		mustRunAttemptsOnOneMachine(t, sim)
 	})
 }
 
-// machineOnlyWith is a machine that holds tasks of one job and none of the others.
-func machineOnlyWith(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, others ...simulator.JobScript) wire.MachineID {
+// machineHoldingOnly returns a machine that holds tasks of one job and none of the others.
+func machineHoldingOnly(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, others ...simulator.JobScript) wire.MachineID {
 	t.Helper()
 	shared := map[wire.MachineID]bool{}
 	for _, other := range others {
@@ -216,42 +217,43 @@
 			return id
 		}
 	}
-	t.Fatalf("every machine of %s holds tasks of others", j.Spec.ID)
+	t.Fatalf("every machine of %s also holds tasks of the other jobs", j.Spec.ID)
 	return ""
 }
 
-// The limits drop while gangs run, wait for room, and are being recorded, accepted
-// before and after the upgrade, alone and with a change of leader or an outage.
+// The limits of the key-value store are lowered while gangs run, wait for capacity or are being
+// recorded. One gang was accepted before the lower limits were announced, the others after. The
+// limits are lowered alone, with a change of leader, or during an outage.
 func TestGangsAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
-	for i, trouble := range []string{"quiet", "change of leader", "outage"} {
-		t.Run(trouble, func(t *testing.T) {
+	for i, fault := range []string{"no other fault", "change of leader", "outage"} {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, at func(time.Duration)) {
 				sim.RecordHeartbeats()
-				// Of the first a chunk of 256 tasks is stored, over the limit to come.
-				running, young := largeGang(1, 200, 120), largeGang(2, 150, 100)
+				// The first gang is stored in a chunk for 256 tasks, which exceeds the lower limit.
+				acceptedBefore, acceptedAfter := largeGang(1, 200, 120), largeGang(2, 150, 100)
 				waiting := gang(3, 4, 20)
 				waiting.Spec.CPUs, waiting.Spec.MachineTypes, waiting.Spec.Zone = 16, []wire.MachineType{"c16"}, "a"
 				recording := largeGang(4, 300, 40)
 				at(2 * time.Second)
-				sim.Submit(running, 0)
-				awaitGangRunning(t, sim, running, 60*time.Second)
+				sim.Submit(acceptedBefore, 0)
+				awaitGangRunning(t, sim, acceptedBefore, 60*time.Second)
 				announceLoweredLimits(t, sim)
-				sim.Submit(young, 0)
-				awaitGangRunning(t, sim, young, 60*time.Second)
-				mustExceedLoweredLimits(t, sim, running)
+				sim.Submit(acceptedAfter, 0)
+				awaitGangRunning(t, sim, acceptedAfter, 60*time.Second)
+				mustExceedLoweredLimits(t, sim, acceptedBefore)
 				sim.SetSoldOut("a", true)
 				sim.Submit(waiting, 0)
 				delayProgressWrites(sim, 400*time.Millisecond)
 				sim.Submit(recording, 0)
-				eventually(t, 60*time.Second, "is being recorded", func() bool { n := storedChunks(sim, recording); return n > 0 && n < 6 })
-				switch trouble {
+				eventually(t, 60*time.Second, "gang recorded in part", func() bool { n := storedChunks(sim, recording); return n > 0 && n < 6 })
+				switch fault {
 				case "change of leader":
-					l := sim.Leader()
-					sim.KillController(l)
+					leader := sim.Leader()
+					sim.KillController(leader)
 					lowerLimits(sim)
-					awaitSuccessor(t, sim, l)
+					awaitSuccessor(t, sim, leader)
 				case "outage":
 					sim.State.Outage(true)
 					lowerLimits(sim)
@@ -261,30 +263,31 @@
 					lowerLimits(sim)
 				}
 				if g := sim.GangState(waiting.Spec.ID); g.Fetching+g.Waiting+g.Running > 0 {
-					t.Errorf("the gang that is to wait does not: %+v", g)
+					t.Errorf("the gang without capacity is on machines: %+v", g)
 				}
 				delayProgressWrites(sim, 0)
 				sim.SetSoldOut("a", false)
 				time.Sleep(time.Second)
-				// A task of the first is lost: its large chunk is written again, in parts, as it
-				// is stopped or, if all its ends are written at once, as it starts again.
-				sim.ReclaimMachine(machineOnlyWith(t, sim, running, young, recording))
-				eventually(t, 120*time.Second, "is written in parts", func() bool { return storedPieces(sim) > 0 })
+				// The first gang loses a task. Its oversized chunk is split at the next write: when
+				// the gang is stopped or, if the ends of all its tasks go into one write, when it
+				// starts again.
+				sim.ReclaimMachine(machineHoldingOnly(t, sim, acceptedBefore, acceptedAfter, recording))
+				eventually(t, 120*time.Second, "the oversized chunk is split", func() bool { return storedPieces(sim) > 0 })
 				time.Sleep(300 * time.Second)
-				mustBeArchived(t, sim, running, young, waiting, recording)
-				for _, j := range []simulator.JobScript{running, young, waiting, recording} {
-					again := 0
-					if j.Spec.ID == running.Spec.ID {
-						again = 1
+				mustBeArchived(t, sim, acceptedBefore, acceptedAfter, waiting, recording)
+				for _, j := range []simulator.JobScript{acceptedBefore, acceptedAfter, waiting, recording} {
+					rollbacks := 0
+					if j.Spec.ID == acceptedBefore.Spec.ID {
+						rollbacks = 1
 					}
-					if g := sim.GangState(j.Spec.ID); g.Starts != 1+again || g.Rollbacks != again || g.Incomplete > 0 {
-						t.Errorf("%s: %+v: want %d starts, nobody alone", j.Spec.ID, g, 1+again)
+					if g := sim.GangState(j.Spec.ID); g.Starts != 1+rollbacks || g.Rollbacks != rollbacks || g.Incomplete > 0 {
+						t.Errorf("%s: %+v, want %d starts, one rollback less and no timed-out wait", j.Spec.ID, g, 1+rollbacks)
 					}
 				}
 				if sim.State.OversizeRefusals() == 0 {
-					t.Error("nothing was refused by the lower limits")
+					t.Error("the key-value store refused no write as oversized, want some")
 				}
-				mustUseAttemptsOnce(t, sim)
+				mustRunAttemptsOnOneMachine(t, sim)
 			})
 		})
 	}
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -9,115 +9,114 @@
 	"lilaclead/internal/wire"
 )
 
-// runningSpotGang submits a gang for spot machines and waits until it has run for
-// a while.
-func runningSpotGang(t *testing.T, sim *simulator.Simulation, at func(time.Duration), ran time.Duration) simulator.JobScript {
+// startSpotGang submits a gang that may use spot machines, and returns it when all its tasks
+// have run for a while.
+func startSpotGang(t *testing.T, sim *simulator.Simulation, at func(time.Duration), runTime time.Duration) simulator.JobScript {
 	t.Helper()
-	j := gang(1, 4, 80)
-	j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
+	gangJob := gang(1, 4, 80)
+	gangJob.Spec.SpotAllowed, gangJob.Spec.MachineTypes = true, []wire.MachineType{"c4"}
 	at(2 * time.Second)
-	sim.Submit(j, 0)
-	awaitGangRunning(t, sim, j, 60*time.Second)
-	time.Sleep(ran)
-	return j
+	sim.Submit(gangJob, 0)
+	awaitGangRunning(t, sim, gangJob, 60*time.Second)
+	time.Sleep(runTime)
+	return gangJob
 }
 
-// mustHaveSaved checks that a gang was stopped once, in order, with at least so
-// many seconds of progress.
-func mustHaveSaved(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, progress float64) {
+// mustHaveSaved checks that a gang was stopped once, that all its tasks saved, and that this
+// kept at least so many seconds of progress.
+func mustHaveSaved(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, minSeconds float64) {
 	t.Helper()
-	if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.Saved < progress {
-		t.Errorf("%+v, want one orderly stop after %g s", g, progress)
+	if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.Saved < minSeconds {
+		t.Errorf("%+v, want one save, no rollback and at least %g s of progress", g, minSeconds)
 	}
 }
 
-// A spot notice on one member's machine, while another hears of its stop only
-// shortly before gang_peer_s has passed: the stop begins early enough that all
-// are told and have saved before the machine goes.
+// One member's machine gets a spot notice, while another member receives its stop command only
+// shortly before gang_peer_s has passed. The leader must begin the stop so early that all
+// members receive it and have saved before the machine with the notice is reclaimed.
 func TestGangSpotNoticeWithDelayedStop(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		j := runningSpotGang(t, sim, at, 33*time.Second)
-		on := sim.MachinesHolding(j.Spec.ID)
-		if len(on) < 2 {
-			t.Fatalf("all on %v", on)
+		gangJob := startSpotGang(t, sim, at, 33*time.Second)
+		machines := sim.MachinesHolding(gangJob.Spec.ID)
+		if len(machines) < 2 {
+			t.Fatalf("all tasks are on %v, want two or more machines", machines)
 		}
-		holdFromNodes := func(hold bool) {
+		holdCommands := func(hold bool) {
 			for i := range 3 {
-				sim.Net.Hold(simulator.NodeIP(i), sim.MachineIP(on[1]), hold)
+				sim.Net.Hold(simulator.NodeIP(i), sim.MachineIP(machines[1]), hold)
 			}
 		}
-		sim.GiveSpotNotice(on[0], 16*time.Second)
-		holdFromNodes(true)
-		eventually(t, 16*time.Second, "first stop", func() bool { return sim.GangState(j.Spec.ID).Saving > 0 })
+		sim.GiveSpotNotice(machines[0], 16*time.Second)
+		holdCommands(true)
+		eventually(t, 16*time.Second, "the first task saves", func() bool { return sim.GangState(gangJob.Spec.ID).Saving > 0 })
 		time.Sleep(6 * time.Second)
-		holdFromNodes(false)
-		awaitGangRestart(t, sim, j, 90*time.Second)
-		mustHaveSaved(t, sim, j, 33)
+		holdCommands(false)
+		awaitGangRestart(t, sim, gangJob, 90*time.Second)
+		mustHaveSaved(t, sim, gangJob, 33)
 		time.Sleep(70 * time.Second)
-		mustFinish(t, sim, j)
+		mustFinish(t, sim, gangJob)
 	})
 }
 
-// A spot notice comes while the key-value store is away: the leader, whom a
-// majority acknowledges, stops the gang in order all the same. It starts again
-// from there once the service is back, also under another leader.
-func TestGangSavesInAnOutage(t *testing.T) {
+// A spot notice arrives during an outage of the key-value store. A leader that a majority
+// acknowledges must still stop the gang so that it saves. Once the store is back, the gang must
+// start again from the saved progress, also under another leader.
+func TestGangSavesDuringOutage(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"the same leader", "another leader"} {
-		t.Run(how, func(t *testing.T) {
+	for _, nextLeader := range []string{"the same leader", "another leader"} {
+		t.Run(nextLeader, func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 821, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				j := runningSpotGang(t, sim, at, 30*time.Second)
+				gangJob := startSpotGang(t, sim, at, 30*time.Second)
 				sim.State.Outage(true)
 				time.Sleep(5 * time.Second)
-				sim.GiveSpotNotice(sim.MachinesHolding(j.Spec.ID)[0], 20*time.Second)
+				sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], 20*time.Second)
 				time.Sleep(25 * time.Second)
-				mustHaveSaved(t, sim, j, 35)
+				mustHaveSaved(t, sim, gangJob, 35)
 				leader := sim.Leader()
-				if how == "another leader" {
+				if nextLeader == "another leader" {
 					sim.KillController(leader)
 				}
 				sim.State.Outage(false)
-				awaitGangRestart(t, sim, j, 60*time.Second)
-				if how == "another leader" {
+				awaitGangRestart(t, sim, gangJob, 60*time.Second)
+				if nextLeader == "another leader" {
 					startControllers(t, sim, leader)
 				}
-				mustHaveSaved(t, sim, j, 35)
+				mustHaveSaved(t, sim, gangJob, 35)
 				time.Sleep(60 * time.Second)
-				mustFinish(t, sim, j)
+				mustFinish(t, sim, gangJob)
 			})
 		})
 	}
 }
 
-// The leader alone loses the key-value store, and another takes over while the
-// first stops a gang under a notice, and may no more be able to tell all of it.
-// No rule breaks, and the gang loses no more than what it did since its last
-// checkpoint.
+// Only the leader loses its connection to the key-value store. Another controller takes over
+// while the first still stops a gang after a spot notice, and possibly can't reach all members
+// any more. No rule may break, and the gang may lose only its work since its last checkpoint.
 func TestGangSpotNoticeBetweenTwoLeaders(t *testing.T) {
 	t.Parallel()
-	for _, after := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
-		t.Run(fmt.Sprint(after), func(t *testing.T) {
+	for _, refusedFor := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
+		t.Run(fmt.Sprint(refusedFor), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 822, func(sim *simulator.Simulation, at func(time.Duration)) {
-				j := runningSpotGang(t, sim, at, 33*time.Second)
-				on := sim.MachinesHolding(j.Spec.ID)
+				gangJob := startSpotGang(t, sim, at, 33*time.Second)
+				machines := sim.MachinesHolding(gangJob.Spec.ID)
 				leader := sim.Leader()
 				sim.State.RefuseClient(simulator.NodeIP(leader), true)
-				time.Sleep(after)
-				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(on[len(on)-1]), true)
-				sim.GiveSpotNotice(on[0], 12*time.Second)
+				time.Sleep(refusedFor)
+				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), true)
+				sim.GiveSpotNotice(machines[0], 12*time.Second)
 				time.Sleep(30 * time.Second)
-				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(on[len(on)-1]), false)
+				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), false)
 				sim.State.RefuseClient(simulator.NodeIP(leader), false)
-				awaitGangRestart(t, sim, j, 90*time.Second)
-				if g := sim.GangState(j.Spec.ID); g.Saved < 20 {
-					t.Errorf("%+v, want at least the checkpoint at 20 s", g)
+				awaitGangRestart(t, sim, gangJob, 90*time.Second)
+				if g := sim.GangState(gangJob.Spec.ID); g.Saved < 20 {
+					t.Errorf("%+v, want at least the progress of the checkpoint at 20 s", g)
 				}
-				t.Logf("%+v", sim.GangState(j.Spec.ID))
+				t.Logf("%+v", sim.GangState(gangJob.Spec.ID))
 				time.Sleep(90 * time.Second)
-				mustFinish(t, sim, j)
+				mustFinish(t, sim, gangJob)
 			})
 		})
 	}
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -9,140 +9,139 @@
 	"lilaclead/internal/wire"
 )
 
-// A service of prod preempts a gang: all of its tasks are stopped together, and
-// what they have done is saved, also when some hear of it later. The leader may
-// end in the middle; then a save may fail, and the gang goes on from its last
-// checkpoint.
+// A prod service preempts a gang. All tasks of the gang must be stopped together and save their
+// progress, also when some receive the stop command later. The leader may be killed meanwhile.
+// Then a save may fail, and the gang continues from its last checkpoint.
 func TestGangPreempted(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"quiet", "a stop is late", "leader ends at the first stop", "and the service is cancelled"} {
-		t.Run(how, func(t *testing.T) {
+	for _, variant := range []string{"no fault", "late stop command", "leader killed at first stop", "leader killed and service cancelled"} {
+		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, simulator.DefaultSettings(), 804, func(sim *simulator.Simulation, at func(time.Duration)) {
-				j, s := gang(1, 4, 50), service(2, 4)
-				j.Spec.Priority, j.Spec.MachineTypes = wire.PriorityStandard, []wire.MachineType{"c4"}
-				s.Spec.Spread, s.Spec.MemoryGB = false, 6
+				gangJob, serviceJob := gang(1, 4, 50), service(2, 4)
+				gangJob.Spec.Priority, gangJob.Spec.MachineTypes = wire.PriorityStandard, []wire.MachineType{"c4"}
+				serviceJob.Spec.Spread, serviceJob.Spec.MemoryGB = false, 6
 				at(2 * time.Second)
-				// Room kept for the next gang would be room for the service.
+				// The service would fit into capacity reserved for the next gang and preempt nothing.
 				if status, raw, _ := sim.AskAsOperator(0, "PUT", "/admin/settings", map[string]any{"version": 0, "set": map[string]any{"gangs.spare": 0}}); status != 200 {
-					t.Fatalf("settings answer %d %s", status, raw)
+					t.Fatalf("setting gangs.spare answered %d %s, want 200", status, raw)
 				}
-				sim.Submit(j, 0)
-				awaitGangRunning(t, sim, j, 60*time.Second)
+				sim.Submit(gangJob, 0)
+				awaitGangRunning(t, sim, gangJob, 60*time.Second)
 				sim.SellOutEverything()
 				time.Sleep(25 * time.Second) // 5 s past its checkpoint
-				l := sim.Leader()
-				if on := sim.MachinesHolding(j.Spec.ID); len(on) < 2 {
-					t.Fatalf("all on %v", on)
-				} else if how == "leader ends at the first stop" || how == "and the service is cancelled" {
-					sim.Net.Hold(simulator.NodeIP(l), sim.MachineIP(on[1]), true)
-					defer sim.Net.Hold(simulator.NodeIP(l), sim.MachineIP(on[1]), false)
-				} else if how != "quiet" {
-					sim.Net.SlowLink(simulator.NodeIP(l), sim.MachineIP(on[1]), 2500*time.Millisecond)
+				leader := sim.Leader()
+				if machines := sim.MachinesHolding(gangJob.Spec.ID); len(machines) < 2 {
+					t.Fatalf("all tasks are on %v, want two or more machines", machines)
+				} else if variant == "leader killed at first stop" || variant == "leader killed and service cancelled" {
+					sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[1]), true)
+					defer sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[1]), false)
+				} else if variant != "no fault" {
+					sim.Net.SlowLink(simulator.NodeIP(leader), sim.MachineIP(machines[1]), 2500*time.Millisecond)
 				}
-				sim.Submit(s, 0)
-				if !eventually(t, 20*time.Second, "is stopped", func() bool { return sim.GangState(j.Spec.ID).Saving > 0 }) {
+				sim.Submit(serviceJob, 0)
+				if !eventually(t, 20*time.Second, "the first task saves", func() bool { return sim.GangState(gangJob.Spec.ID).Saving > 0 }) {
 					return
 				}
-				g := sim.GangState(j.Spec.ID)
-				if how != "quiet" && g.Running == 0 {
-					t.Errorf("%+v: nobody hears of it late", g)
+				state := sim.GangState(gangJob.Spec.ID)
+				if variant != "no fault" && state.Running == 0 {
+					t.Errorf("%+v, want a task that has not received its stop command", state)
 				}
-				if how == "leader ends at the first stop" || how == "and the service is cancelled" {
-					sim.KillController(l)
-					if how == "and the service is cancelled" { // then only what is saving tells the next leader
+				if variant == "leader killed at first stop" || variant == "leader killed and service cancelled" {
+					sim.KillController(leader)
+					if variant == "leader killed and service cancelled" { // the next leader then learns of the stop only from the tasks that save
 						eventually(t, 5*time.Second, "cancelled", func() bool {
-							status, _, _ := sim.Ask((l+1)%3, "POST", "/v1/jobs/"+string(s.Spec.ID)+"/cancel", nil)
+							status, _, _ := sim.Ask((leader+1)%3, "POST", "/v1/jobs/"+string(serviceJob.Spec.ID)+"/cancel", nil)
 							return status == 200
 						})
 					}
 					time.Sleep(time.Second)
-					startControllers(t, sim, l)
+					startControllers(t, sim, leader)
 				}
 				time.Sleep(30 * time.Second)
-				if g = sim.GangState(j.Spec.ID); g.Saves+g.Rollbacks != 1 || g.Saved < 20 || how != "leader ends at the first stop" && (g.Rollbacks != 0 || g.Saved < 24) {
-					t.Errorf("%+v, want one orderly stop", g)
+				if state = sim.GangState(gangJob.Spec.ID); state.Saves+state.Rollbacks != 1 || state.Saved < 20 || variant != "leader killed at first stop" && (state.Rollbacks != 0 || state.Saved < 24) {
+					t.Errorf("%+v, want one stop that loses no checkpoint, and a rollback only if the leader was killed at the first stop", state)
 				}
-				t.Logf("%+v", g)
-				if how != "and the service is cancelled" {
-					mustRun(t, sim, s, "with room made")
+				t.Logf("%+v", state)
+				if variant != "leader killed and service cancelled" {
+					mustRun(t, sim, serviceJob, "after the preemption")
 				}
 			})
 		})
 	}
 }
 
-// A spot notice on one member's machine: all of the gang saves.
+// One member's machine gets a spot notice: all tasks of the gang must save.
 func TestGangSpotNotice(t *testing.T) {
 	t.Parallel()
-	for _, left := range []time.Duration{25 * time.Second, 12 * time.Second} {
-		t.Run(fmt.Sprint(left), func(t *testing.T) {
+	for _, notice := range []time.Duration{25 * time.Second, 12 * time.Second} {
+		t.Run(fmt.Sprint(notice), func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 805, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				j := gang(1, 4, 60)
-				j.Spec.SpotAllowed = true
+				gangJob := gang(1, 4, 60)
+				gangJob.Spec.SpotAllowed = true
 				at(2 * time.Second)
-				sim.Submit(j, 0)
-				awaitGangRunning(t, sim, j, 60*time.Second)
+				sim.Submit(gangJob, 0)
+				awaitGangRunning(t, sim, gangJob, 60*time.Second)
 				time.Sleep(33 * time.Second)
-				sim.GiveSpotNotice(sim.MachinesHolding(j.Spec.ID)[0], left)
-				awaitGangRestart(t, sim, j, 60*time.Second)
-				mustHaveSaved(t, sim, j, 33)
+				sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], notice)
+				awaitGangRestart(t, sim, gangJob, 60*time.Second)
+				mustHaveSaved(t, sim, gangJob, 33)
 				time.Sleep(60 * time.Second)
-				mustFinish(t, sim, j)
+				mustFinish(t, sim, gangJob)
 			})
 		})
 	}
 }
 
-// A spot notice is in the first report that a new leader hears of a gang: it
-// stops all of it in order.
+// The first heartbeats that a new leader receives from a gang's machines carry spot notices.
+// The leader must stop all tasks of the gang so that they save.
 func TestGangSpotNoticeToNewLeader(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 812, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		j := gang(1, 4, 60)
-		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
+		gangJob := gang(1, 4, 60)
+		gangJob.Spec.SpotAllowed, gangJob.Spec.MachineTypes = true, []wire.MachineType{"c4"}
 		at(2 * time.Second)
-		sim.Submit(j, 0)
-		awaitGangRunning(t, sim, j, 60*time.Second)
+		sim.Submit(gangJob, 0)
+		awaitGangRunning(t, sim, gangJob, 60*time.Second)
 		time.Sleep(33 * time.Second)
-		l := sim.Leader()
-		sim.KillController(l)
-		for _, id := range sim.MachinesHolding(j.Spec.ID) {
+		leader := sim.Leader()
+		sim.KillController(leader)
+		for _, id := range sim.MachinesHolding(gangJob.Spec.ID) {
 			sim.GiveSpotNotice(id, 25*time.Second)
 		}
 		time.Sleep(4 * time.Second)
-		startControllers(t, sim, l)
-		awaitGangRestart(t, sim, j, 60*time.Second)
-		mustHaveSaved(t, sim, j, 33)
+		startControllers(t, sim, leader)
+		awaitGangRestart(t, sim, gangJob, 60*time.Second)
+		mustHaveSaved(t, sim, gangJob, 33)
 		time.Sleep(60 * time.Second)
-		mustFinish(t, sim, j)
+		mustFinish(t, sim, gangJob)
 	})
 }
 
-// A spot notice comes in an outage of the key-value store.
+// A spot notice arrives during an outage of the key-value store.
 func TestGangSpotNoticeDuringOutage(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 813, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		j := gang(1, 4, 80)
-		j.Spec.SpotAllowed, j.Spec.MachineTypes = true, []wire.MachineType{"c4"}
+		gangJob := gang(1, 4, 80)
+		gangJob.Spec.SpotAllowed, gangJob.Spec.MachineTypes = true, []wire.MachineType{"c4"}
 		at(2 * time.Second)
-		sim.Submit(j, 0)
-		awaitGangRunning(t, sim, j, 60*time.Second)
+		sim.Submit(gangJob, 0)
+		awaitGangRunning(t, sim, gangJob, 60*time.Second)
 		time.Sleep(30 * time.Second)
 		sim.State.Outage(true)
 		time.Sleep(5 * time.Second)
-		sim.GiveSpotNotice(sim.MachinesHolding(j.Spec.ID)[0], 20*time.Second)
+		sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], 20*time.Second)
 		time.Sleep(25 * time.Second)
-		t.Logf("in the outage %+v", sim.GangState(j.Spec.ID))
+		t.Logf("during the outage %+v", sim.GangState(gangJob.Spec.ID))
 		sim.State.Outage(false)
-		awaitGangRestart(t, sim, j, 60*time.Second)
+		awaitGangRestart(t, sim, gangJob, 60*time.Second)
 		time.Sleep(90 * time.Second)
-		mustFinish(t, sim, j)
+		mustFinish(t, sim, gangJob)
 	})
 }
 
-// A gang is cancelled in each phase: all of it is gone within cancel_s.
+// A gang is cancelled in each phase. All its tasks must be gone within cancel_s.
 func TestGangCancelled(t *testing.T) {
 	t.Parallel()
 	phases := map[string]func(g simulator.GangState) bool{
@@ -152,33 +151,33 @@
 		"running": func(g simulator.GangState) bool { return g.Running == 4 },
 		"saving":  func(g simulator.GangState) bool { return g.Saving > 0 },
 	}
-	for name, is := range phases {
-		t.Run(name, func(t *testing.T) {
+	for phase, reached := range phases {
+		t.Run(phase, func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 806, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				j, warm := gang(1, 4, 60), array(9, 10, 15)
-				j.Spec.SpotAllowed, j.Spec.CheckpointTime, j.Spec.MachineTypes = true, 4, []wire.MachineType{"c4"}
-				warm.Spec.MachineTypes = j.Spec.MachineTypes
+				gangJob, warmUpArray := gang(1, 4, 60), array(9, 10, 15)
+				gangJob.Spec.SpotAllowed, gangJob.Spec.CheckpointTime, gangJob.Spec.MachineTypes = true, 4, []wire.MachineType{"c4"}
+				warmUpArray.Spec.MachineTypes = gangJob.Spec.MachineTypes
 				at(2 * time.Second)
-				sim.Submit(warm, 0)
+				sim.Submit(warmUpArray, 0)
 				at(30 * time.Second)
 				setUnevenFetchSpeeds(sim)
-				sim.Submit(j, 0)
+				sim.Submit(gangJob, 0)
 				time.Sleep(time.Second)
-				if name == "saving" {
-					awaitGangRunning(t, sim, j, 60*time.Second)
-					sim.GiveSpotNotice(sim.MachinesHolding(j.Spec.ID)[0], 30*time.Second)
+				if phase == "saving" {
+					awaitGangRunning(t, sim, gangJob, 60*time.Second)
+					sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], 30*time.Second)
 				}
-				if !eventually(t, 60*time.Second, name, func() bool { return is(sim.GangState(j.Spec.ID)) }) {
+				if !eventually(t, 60*time.Second, phase, func() bool { return reached(sim.GangState(gangJob.Spec.ID)) }) {
 					return
 				}
 				eventually(t, 10*time.Second, "cancelled", func() bool {
-					status, _, _ := sim.Ask(0, "POST", "/v1/jobs/"+string(j.Spec.ID)+"/cancel", nil)
+					status, _, _ := sim.Ask(0, "POST", "/v1/jobs/"+string(gangJob.Spec.ID)+"/cancel", nil)
 					return status == 200
 				})
 				time.Sleep(12 * time.Second)
-				if g := sim.GangState(j.Spec.ID); g.Fetching+g.Waiting+g.Running+g.Saving != 0 {
-					t.Errorf("12 s after its cancellation: %+v", g)
+				if g := sim.GangState(gangJob.Spec.ID); g.Fetching+g.Waiting+g.Running+g.Saving != 0 {
+					t.Errorf("12 s after the cancellation: %+v, want no tasks on machines", g)
 				}
 				time.Sleep(60 * time.Second)
 				sim.Submit(array(5, 1, 1), 0)
@@ -188,21 +187,21 @@
 	}
 }
 
-// Cancelling races the end of gangs.
+// Users cancel gangs at about the time these complete.
 func TestGangCancelRacesCompletion(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 814, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
 		for n := range 14 {
-			j := gang(100+n, 2, 10)
-			j.Spec.CPUs, j.Spec.MemoryGB = 1, 3
-			sim.Submit(j, time.Duration(18+n)*time.Second)
+			gangJob := gang(100+n, 2, 10)
+			gangJob.Spec.CPUs, gangJob.Spec.MemoryGB = 1, 3
+			sim.Submit(gangJob, time.Duration(18+n)*time.Second)
 		}
 		at(150 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			if done+cancelled != 14 || done == 0 || cancelled == 0 {
-				t.Errorf("%d done, %d cancelled of 14", done, cancelled)
+				t.Errorf("%d done, %d cancelled, want some of both and 14 in all", done, cancelled)
 			}
 		})
 	})
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -16,11 +16,11 @@
 func TestCloudFaults(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 8, func(sim *simulator.Simulation, at func(time.Duration)) {
-		a, s := array(1, 20, 20), service(2, 3)
+		arrayJob, serviceJob := array(1, 20, 20), service(2, 3)
 		at(time.Second)
 		sim.LoseScaleOutAnswers(2)
 		at(2 * time.Second)
-		submitAll(sim, a, s)
+		submitAll(sim, arrayJob, serviceJob)
 		at(40 * time.Second)
 		sim.LoseScaleInAnswers(2)
 		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
@@ -32,8 +32,8 @@
 		at(110 * time.Second)
 		sim.CloudOutage(false)
 		at(220 * time.Second)
-		mustFinish(t, sim, a)
-		mustRun(t, sim, s, "run")
+		mustFinish(t, sim, arrayJob)
+		mustRun(t, sim, serviceJob, "run")
 		if n := sim.Machines(); n > 8 {
 			t.Errorf("%d machines are kept for three replicas", n)
 		}
@@ -45,28 +45,28 @@
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 9, func(sim *simulator.Simulation, at func(time.Duration)) {
-		good, bad := array(1, 16, 15), array(2, 4, 15)
-		bad.AlwaysFails = true
+		goodArray, failingArray := array(1, 16, 15), array(2, 4, 15)
+		failingArray.AlwaysFails = true
 		at(2 * time.Second)
-		sim.Submit(good, 0)
+		sim.Submit(goodArray, 0)
 		at(25 * time.Second)
-		sick, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
+		faultyMachine, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 		if !ok {
 			t.Fatal("no machine at work")
 		}
-		sim.MakeFaulty(sick)
+		sim.MakeFaulty(faultyMachine)
 		at(70 * time.Second)
-		mustFinish(t, sim, good)
-		sim.Submit(bad, 90*time.Second)
-		before := sim.ProvisionedSoFar()
+		mustFinish(t, sim, goodArray)
+		sim.Submit(failingArray, 90*time.Second)
+		machinesBefore := sim.ProvisionedSoFar()
 		at(150 * time.Second)
-		if n := sim.ProvisionedSoFar() - before; n > 6 {
+		if n := sim.ProvisionedSoFar() - machinesBefore; n > 6 {
 			t.Errorf("a faulty job cost %d machines", n)
 		}
-		after := array(3, 4, 10)
-		sim.Submit(after, 0)
+		laterArray := array(3, 4, 10)
+		sim.Submit(laterArray, 0)
 		at(210 * time.Second)
-		mustFinish(t, sim, after)
+		mustFinish(t, sim, laterArray)
 	})
 }
 
@@ -76,25 +76,25 @@
 func TestMachineRestartsAtOnce(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 32, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 4), array(2, 8, 60)
+		serviceJob, arrayJob := service(1, 4), array(2, 8, 60)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(45 * time.Second)
-		on := sim.MachinesRunning(s.Spec.ID)
-		for _, id := range on {
+		machines := sim.MachinesRunning(serviceJob.Spec.ID)
+		for _, id := range machines {
 			sim.ResendLastHeartbeat(id, 3*time.Second, 9*time.Second, 20*time.Second)
 			sim.RestartMachine(id)
 		}
 		at(50 * time.Second)
-		for _, id := range on {
+		for _, id := range machines {
 			if sim.MachineIP(id) != "" {
 				t.Errorf("%s was not noticed within 5 s", id)
 			}
 		}
 		at(75 * time.Second)
-		mustRun(t, sim, s, "after 30 s")
+		mustRun(t, sim, serviceJob, "after 30 s")
 		at(200 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, arrayJob)
 	})
 }
 
@@ -109,34 +109,34 @@
 			t.Parallel()
 			runWithSettings(t, settingsWithTeamLimits(), 480+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				sim.SetBootFactor(0.05)
-				same, sameS := array(1, 12, 30), service(2, 4)
-				same.Spec.SameZone, sameS.Spec.SameZone, sameS.Spec.Spread = true, true, false
-				same.Spec.Deadline = 40
+				sameZoneArray, sameZoneService := array(1, 12, 30), service(2, 4)
+				sameZoneArray.Spec.SameZone, sameZoneService.Spec.SameZone, sameZoneService.Spec.Spread = true, true, false
+				sameZoneArray.Spec.Deadline = 40
 				sim.SetUnlisted(true)
 				at(10 * time.Second)
-				submitAll(sim, same, sameS)
-				for n := 0; len(sim.MachinesRunning(same.Spec.ID)) == 0 || len(sim.MachinesRunning(sameS.Spec.ID)) == 0; n++ {
+				submitAll(sim, sameZoneArray, sameZoneService)
+				for n := 0; len(sim.MachinesRunning(sameZoneArray.Spec.ID)) == 0 || len(sim.MachinesRunning(sameZoneService.Spec.ID)) == 0; n++ {
 					if n > 60 {
-						t.Fatalf("tasks on %v and %v", sim.MachinesRunning(same.Spec.ID), sim.MachinesRunning(sameS.Spec.ID))
+						t.Fatalf("tasks on %v and %v", sim.MachinesRunning(sameZoneArray.Spec.ID), sim.MachinesRunning(sameZoneService.Spec.ID))
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
 				time.Sleep(2 * time.Second)
-				l := sim.Leader()
-				sim.KillController(l)
+				leader := sim.Leader()
+				sim.KillController(leader)
 				sim.RemoveMachines(append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...)...)
 				sim.SetUnlisted(false)
 				time.Sleep(5 * time.Second)
-				if n := sim.Leader(); n == l || n < 0 {
-					t.Fatalf("leader is %d, was %d", n, l)
+				if newLeader := sim.Leader(); newLeader == leader || newLeader < 0 {
+					t.Fatalf("leader is %d, was %d", newLeader, leader)
 				}
 				mustHaveTaskInUnknownZone(t, sim)
-				startControllers(t, sim, l)
+				startControllers(t, sim, leader)
 				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
-				mustFinish(t, sim, same)
-				mustRun(t, sim, sameS, "when all is over")
-				mustLeaveNoKeys(t, sim, sameS)
+				mustFinish(t, sim, sameZoneArray)
+				mustRun(t, sim, sameZoneService, "when all is over")
+				mustLeaveNoKeys(t, sim, sameZoneService)
 			})
 		})
 	}
@@ -151,30 +151,30 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				cancelledJob, next, s := array(1, 12, 300), array(2, 12, 15), service(3, 4)
+				cancelledJob, waitingArray, serviceJob := array(1, 12, 300), array(2, 12, 15), service(3, 4)
 				at(2 * time.Second)
-				submitAll(sim, cancelledJob, s)
+				submitAll(sim, cancelledJob, serviceJob)
 				at(30 * time.Second)
-				sim.Submit(next, 0)
+				sim.Submit(waitingArray, 0)
 				at(45 * time.Second)
 				mustUseCPUs(t, sim, "red", 24)
-				hit := sim.MachinesRunning(cancelledJob.Spec.ID)
-				hit = hit[:1]
+				partitioned := sim.MachinesRunning(cancelledJob.Spec.ID)
+				partitioned = partitioned[:1]
 				sim.LoseScaleInAnswers(1000)
-				for _, id := range hit {
+				for _, id := range partitioned {
 					sim.PartitionMachine(id, true)
 				}
 				if !cancelWithin(t, sim, cancelledJob.Spec.ID, 2*time.Second) {
 					t.Fatal("not cancelled")
 				}
 				time.Sleep(3 * time.Second)
-				lost := 0
+				unreachableTasks := 0
 				sim.WithChecker(func(c *simulator.Checker) {
-					if lost = c.OnMachines(cancelledJob.Spec.ID); lost == 0 {
+					if unreachableTasks = c.OnMachines(cancelledJob.Spec.ID); unreachableTasks == 0 {
 						t.Error("nothing of the cancelled job runs where it can't be stopped")
 					}
 				})
-				for n := 0; slices.ContainsFunc(hit, func(id wire.MachineID) bool { return sim.MachineIP(id) != "" }); n++ {
+				for n := 0; slices.ContainsFunc(partitioned, func(id wire.MachineID) bool { return sim.MachineIP(id) != "" }); n++ {
 					if n > 100 {
 						t.Fatal("the machines were not released")
 					}
@@ -182,17 +182,17 @@
 				}
 				// They are gone, and the leader can't know: they count.
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(next.Spec.ID); c.OnMachines(cancelledJob.Spec.ID) > 0 || n > 12-lost {
-						t.Errorf("%d tasks of the next job run before the release of %d is answered", n, lost)
+					if n := c.OnMachines(waitingArray.Spec.ID); c.OnMachines(cancelledJob.Spec.ID) > 0 || n > 12-unreachableTasks {
+						t.Errorf("%d tasks of the next job run before the release of %d is answered", n, unreachableTasks)
 					}
 				})
 				replaceLeader(t, sim)
 				sim.LoseScaleInAnswers(0)
 				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
-				mustFinish(t, sim, next)
-				mustRun(t, sim, s, "when all is over")
-				mustLeaveNoKeys(t, sim, s)
+				mustFinish(t, sim, waitingArray)
+				mustRun(t, sim, serviceJob, "when all is over")
+				mustLeaveNoKeys(t, sim, serviceJob)
 			})
 		})
 	}
@@ -207,37 +207,37 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 510+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				j, s := array(1, 12, 300), service(2, 4)
+				arrayJob, serviceJob := array(1, 12, 300), service(2, 4)
 				at(2 * time.Second)
-				sim.Submit(j, 90*time.Second)
-				sim.Submit(s, 0)
+				sim.Submit(arrayJob, 90*time.Second)
+				sim.Submit(serviceJob, 0)
 				at(45 * time.Second)
-				mustRun(t, sim, s, "before the fault")
-				all := append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...)
-				keep := sim.MachinesRunning(s.Spec.ID)
-				lost := slices.DeleteFunc(all, func(id wire.MachineID) bool { return slices.Contains(keep, id) })
-				if len(lost) < 3 || len(lost) <= len(keep) {
-					t.Fatalf("%v hold replicas, %v don't", keep, lost)
+				mustRun(t, sim, serviceJob, "before the fault")
+				machines := append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...)
+				replicaMachines := sim.MachinesRunning(serviceJob.Spec.ID)
+				removed := slices.DeleteFunc(machines, func(id wire.MachineID) bool { return slices.Contains(replicaMachines, id) })
+				if len(removed) < 3 || len(removed) <= len(replicaMachines) {
+					t.Fatalf("%v hold replicas, %v don't", replicaMachines, removed)
 				}
-				l := sim.Leader()
-				sim.KillController(l)
-				sim.RemoveMachines(lost...)
-				awaitSuccessor(t, sim, l)
+				leader := sim.Leader()
+				sim.KillController(leader)
+				sim.RemoveMachines(removed...)
+				awaitSuccessor(t, sim, leader)
 				sim.SetSoldOut("a", true)
 				sim.SetSoldOut("b", true)
 				markFaultsOver(sim)
 				time.Sleep(60 * time.Second)
 				_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
-				var v admin.View
-				if wire.Decode(raw, &v) != nil || v.Term == nil {
+				var view admin.View
+				if wire.Decode(raw, &view) != nil || view.Term == nil {
 					t.Fatal("no view")
 				}
-				for _, m := range v.Term.Machines {
-					if sim.MachineIP(m.Name) == "" {
-						t.Errorf("%s is gone and still kept, silent for %.0f s", m.Name, m.SecondsSinceMessage)
+				for _, machine := range view.Term.Machines {
+					if sim.MachineIP(machine.Name) == "" {
+						t.Errorf("%s is gone and still kept, silent for %.0f s", machine.Name, machine.SecondsSinceMessage)
 					}
 				}
-				mustRun(t, sim, s, "when all is over")
+				mustRun(t, sim, serviceJob, "when all is over")
 			})
 		})
 	}
@@ -252,14 +252,16 @@
 		t.Run("bound to "+string(zone), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 520, func(sim *simulator.Simulation, at func(time.Duration)) {
-				j := array(1, 12, 20)
-				j.Spec.Zone = zone
+				arrayJob := array(1, 12, 20)
+				arrayJob.Spec.Zone = zone
 				at(2 * time.Second)
-				sim.Submit(j, 0)
-				done := 0
-				for done == 0 {
+				sim.Submit(arrayJob, 0)
+				doneTasks := 0
+				for doneTasks == 0 {
 					time.Sleep(100 * time.Millisecond)
-					sim.WithChecker(func(c *simulator.Checker) { done = j.Spec.Tasks - c.OnMachines(j.Spec.ID) - c.Waiting(j.Spec.ID) })
+					sim.WithChecker(func(c *simulator.Checker) {
+						doneTasks = arrayJob.Spec.Tasks - c.OnMachines(arrayJob.Spec.ID) - c.Waiting(arrayJob.Spec.ID)
+					})
 				}
 				sim.SetSpotSoldOut(true)
 				if sim.ReclaimMachines(100, func(spot bool, _ int) bool { return spot }) == 0 {
@@ -267,13 +269,13 @@
 				}
 				replaceLeader(t, sim)
 				markFaultsOver(sim)
-				if done == j.Spec.Tasks {
+				if doneTasks == arrayJob.Spec.Tasks {
 					t.Error("the array was done already")
 				}
 				for n := 0; n < 400 && sim.State.Keys("job/") != nil; n++ {
 					time.Sleep(time.Second)
 				}
-				mustFinish(t, sim, j)
+				mustFinish(t, sim, arrayJob)
 			})
 		})
 	}
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -18,65 +18,65 @@
 			t.Parallel()
 			runOnBothLayouts(t, 700+seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				rng := rand.New(rand.NewPCG(seed, 5))
-				seconds := randomDelay(rng)
-				s, all := service(900, 4), []simulator.JobScript{}
-				n := 0
+				randomSeconds := randomDelay(rng)
+				serviceJob, uncancelled := service(900, 4), []simulator.JobScript{}
+				jobNumber := 0
 				submit := func() simulator.JobScript {
-					n++
-					j := array(n, 1+rng.IntN(8), float64(5+rng.IntN(40)))
+					jobNumber++
+					job := array(jobNumber, 1+rng.IntN(8), float64(5+rng.IntN(40)))
 					if rng.IntN(4) == 0 {
-						j.Spec.SameZone = true
+						job.Spec.SameZone = true
 					}
 					cancel := randomCancelDelay(rng)
 					if cancel == 0 {
-						all = append(all, j)
+						uncancelled = append(uncancelled, job)
 					}
-					sim.Submit(j, cancel)
-					return j
+					sim.Submit(job, cancel)
+					return job
 				}
-				some := func() (id wire.MachineID, ip string) {
+				busyMachine := func() (id wire.MachineID, ip string) {
 					id, ip, _ = sim.FirstMachine(func(n int) bool { return n > 0 })
 					return id, ip
 				}
 				// Each begins a fault and returns what ends it.
 				faults := []func() func(){
 					func() func() { // a node ends, and is back at once or later
-						i := rng.IntN(3)
-						if l := sim.Leader(); l >= 0 && rng.IntN(2) == 0 {
-							i = l
+						controller := rng.IntN(3)
+						if leader := sim.Leader(); leader >= 0 && rng.IntN(2) == 0 {
+							controller = leader
 						}
-						sim.KillController(i)
-						return func() { startControllers(t, sim, i) }
+						sim.KillController(controller)
+						return func() { startControllers(t, sim, controller) }
 					},
 					func() func() { // all end
 						killAll(sim)
 						return func() { startControllers(t, sim, 0, 1, 2) }
 					},
 					func() func() { // the leader is back at once
-						l := (sim.Leader() + 3) % 3
-						sim.KillController(l)
+						leader := (sim.Leader() + 3) % 3
+						sim.KillController(leader)
 						time.Sleep(time.Duration(50+rng.IntN(900)) * time.Millisecond)
-						startControllers(t, sim, l)
+						startControllers(t, sim, leader)
 						return func() {}
 					},
 					func() func() { // the key-value store refuses one node
-						i := (sim.Leader() + 3 + rng.IntN(2)) % 3
-						sim.State.RefuseClient(simulator.NodeIP(i), true)
-						return func() { sim.State.RefuseClient(simulator.NodeIP(i), false) }
+						controller := (sim.Leader() + 3 + rng.IntN(2)) % 3
+						sim.State.RefuseClient(simulator.NodeIP(controller), true)
+						return func() { sim.State.RefuseClient(simulator.NodeIP(controller), false) }
 					},
 					func() func() { // the leader is cut from key-value store and peers
-						l, mode := (sim.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
-						sim.IsolateController(l, mode, true)
-						return func() { sim.IsolateController(l, mode, false) }
+						leader, mode := (sim.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
+						sim.IsolateController(leader, mode, true)
+						return func() { sim.IsolateController(leader, mode, false) }
 					},
 					func() func() { sim.State.Outage(true); return func() { sim.State.Outage(false) } },
 					func() func() {
-						z := []wire.Zone{"a", "b"}[rng.IntN(2)]
-						sim.IsolateZone(z, true)
-						return func() { sim.IsolateZone(z, false) }
+						zone := []wire.Zone{"a", "b"}[rng.IntN(2)]
+						sim.IsolateZone(zone, true)
+						return func() { sim.IsolateZone(zone, false) }
 					},
 					func() func() { // nothing reaches a machine
-						_, ip := some()
+						_, ip := busyMachine()
 						sim.Net.BlockInbound(ip, true)
 						return func() { sim.Net.BlockInbound(ip, false) }
 					},
@@ -84,43 +84,43 @@
 					func() func() { sim.CloudOutage(true); return func() { sim.CloudOutage(false) } },
 					func() func() { sim.State.LoseAnswers(1 + rng.IntN(4)); return func() {} },
 					func() func() { // late copies
-						id, _ := some()
-						sim.ResendLastHeartbeat(id, seconds(10), seconds(20), seconds(40))
+						id, _ := busyMachine()
+						sim.ResendLastHeartbeat(id, randomSeconds(10), randomSeconds(20), randomSeconds(40))
 						return func() {}
 					},
 					func() func() { // a burst, half of it cancelled
 						for range 4 {
-							n++
-							j := array(n, 2, 100)
-							sim.Submit(j, time.Second+seconds(15))
+							jobNumber++
+							job := array(jobNumber, 2, 100)
+							sim.Submit(job, time.Second+randomSeconds(15))
 						}
 						return func() {}
 					},
 				}
 				at(2 * time.Second)
-				sim.Submit(s, 0)
+				sim.Submit(serviceJob, 0)
 				for range 3 {
 					for range 4 {
 						submit()
-						time.Sleep(3*time.Second + seconds(5))
+						time.Sleep(3*time.Second + randomSeconds(5))
 					}
-					x := rng.IntN(len(faults))
-					y := (x + 1 + rng.IntN(len(faults)-1)) % len(faults)
-					endX := faults[x]()
+					firstFault := rng.IntN(len(faults))
+					secondFault := (firstFault + 1 + rng.IntN(len(faults)-1)) % len(faults)
+					endFirst := faults[firstFault]()
 					submit()
-					time.Sleep(seconds(1 + 9*rng.IntN(2))) // sometimes close, sometimes seconds apart
-					endY := faults[y]()
+					time.Sleep(randomSeconds(1 + 9*rng.IntN(2))) // sometimes close, sometimes seconds apart
+					endSecond := faults[secondFault]()
 					submit()
-					time.Sleep(seconds(1 + 29*rng.IntN(2)))
-					first, second := endX, endY
+					time.Sleep(randomSeconds(1 + 29*rng.IntN(2)))
+					endEarlier, endLater := endFirst, endSecond
 					if rng.IntN(2) == 0 {
-						first, second = endY, endX
+						endEarlier, endLater = endSecond, endFirst
 					}
-					first()
-					time.Sleep(seconds(1 + 14*rng.IntN(2)))
-					second()
+					endEarlier()
+					time.Sleep(randomSeconds(1 + 14*rng.IntN(2)))
+					endLater()
 				}
-				mustRecover(t, sim, 3, append(all, s)...)
+				mustRecover(t, sim, 3, append(uncancelled, serviceJob)...)
 			})
 		})
 	}
@@ -135,31 +135,31 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			runWithSettings(t, settingsWithTeamLimits(), 500+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				seconds := randomDelay(rng)
-				zone := func() wire.Zone { return []wire.Zone{"a", "b"}[rng.IntN(2)] }
-				s, sameS := service(1, 4), service(2, 3)
-				sameS.Spec.SameZone, sameS.Spec.Spread = true, false
+				randomSeconds := randomDelay(rng)
+				randomZone := func() wire.Zone { return []wire.Zone{"a", "b"}[rng.IntN(2)] }
+				serviceJob, sameZoneService := service(1, 4), service(2, 3)
+				sameZoneService.Spec.SameZone, sameZoneService.Spec.Spread = true, false
 				at(2 * time.Second)
-				submitAll(sim, s, sameS)
-				var all []simulator.JobScript
-				jobs := func(n int) {
+				submitAll(sim, serviceJob, sameZoneService)
+				var submitted []simulator.JobScript
+				submitArrays := func(n int) {
 					for range n {
-						j := array(10+len(all), 1+rng.IntN(8), float64(4+rng.IntN(12)))
-						j.Spec.Priority = []wire.Priority{wire.PriorityBestEffort, wire.PriorityStandard, wire.PriorityUrgent}[rng.IntN(3)]
-						j.Spec.Team = []wire.TeamID{"red", "blue"}[rng.IntN(2)]
+						job := array(10+len(submitted), 1+rng.IntN(8), float64(4+rng.IntN(12)))
+						job.Spec.Priority = []wire.Priority{wire.PriorityBestEffort, wire.PriorityStandard, wire.PriorityUrgent}[rng.IntN(3)]
+						job.Spec.Team = []wire.TeamID{"red", "blue"}[rng.IntN(2)]
 						switch rng.IntN(5) {
 						case 0:
-							j.Spec.SameZone = true
+							job.Spec.SameZone = true
 						case 1:
-							j.Spec.Spread = true
+							job.Spec.Spread = true
 						case 2:
-							j.Spec.Zone = zone()
+							job.Spec.Zone = randomZone()
 						}
-						sim.Submit(j, randomCancelDelay(rng))
-						all = append(all, j)
+						sim.Submit(job, randomCancelDelay(rng))
+						submitted = append(submitted, job)
 					}
 				}
-				some := func() (out []wire.MachineID) {
+				randomMachines := func() (out []wire.MachineID) {
 					bits := rng.Uint64()
 					for i, id := range append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...) {
 						if bits>>(i%64)&1 == 1 {
@@ -168,30 +168,30 @@
 					}
 					return out
 				}
-				jobs(4)
-				met := 0
+				submitArrays(4)
+				overlaps := 0
 				at(30 * time.Second)
 				for range 3 {
-					jobs(2)
-					time.Sleep(seconds(6))
+					submitArrays(2)
+					time.Sleep(randomSeconds(6))
 					var endFaults []func()
-					leaders := sim.Leader()
+					leader := sim.Leader()
 					for n := range 2 + rng.IntN(2) {
-						ids, z := some(), zone()
+						machines, zone := randomMachines(), randomZone()
 						kind := rng.IntN(9)
 						if n == 0 {
 							kind %= 6 // one that lasts, for the others to meet
 						}
 						switch kind {
 						case 0:
-							sim.IsolateZone(z, true)
-							endFaults = append(endFaults, func() { sim.IsolateZone(z, false) })
+							sim.IsolateZone(zone, true)
+							endFaults = append(endFaults, func() { sim.IsolateZone(zone, false) })
 						case 1:
-							for _, id := range ids {
+							for _, id := range machines {
 								sim.StallMachine(id, true)
 							}
 							endFaults = append(endFaults, func() {
-								for _, id := range ids {
+								for _, id := range machines {
 									sim.StallMachine(id, false)
 								}
 							})
@@ -202,19 +202,19 @@
 							sim.State.Outage(true)
 							endFaults = append(endFaults, func() { sim.State.Outage(false) })
 						case 4:
-							sim.SlowMachineLinks(seconds(2) * 6 / 10)
+							sim.SlowMachineLinks(randomSeconds(2) * 6 / 10)
 							endFaults = append(endFaults, func() { sim.SlowMachineLinks(0) })
 						case 5:
-							for _, id := range ids {
+							for _, id := range machines {
 								sim.Net.BlockInbound(sim.MachineIP(id), true)
 							}
 							endFaults = append(endFaults, func() {
-								for _, id := range ids {
+								for _, id := range machines {
 									sim.Net.BlockInbound(sim.MachineIP(id), false)
 								}
 							})
 						case 6:
-							sim.RemoveMachines(ids...)
+							sim.RemoveMachines(machines...)
 						case 7:
 							sim.State.LoseAnswers(1 + rng.IntN(4))
 						case 8:
@@ -222,30 +222,30 @@
 							sim.LoseScaleOutAnswers(2)
 						}
 						if n > 0 && len(endFaults) > 0 {
-							met++
+							overlaps++
 						}
-						time.Sleep(seconds(2))
+						time.Sleep(randomSeconds(2))
 					}
-					jobs(2)
-					if leaders >= 0 && rng.IntN(3) > 0 {
-						sim.KillController(leaders)
-						time.Sleep(seconds(8))
-						startControllers(t, sim, leaders)
+					submitArrays(2)
+					if leader >= 0 && rng.IntN(3) > 0 {
+						sim.KillController(leader)
+						time.Sleep(randomSeconds(8))
+						startControllers(t, sim, leader)
 					}
-					time.Sleep(seconds(40))
-					for _, f := range endFaults {
-						f()
-						time.Sleep(seconds(3))
+					time.Sleep(randomSeconds(40))
+					for _, endFault := range endFaults {
+						endFault()
+						time.Sleep(randomSeconds(3))
 					}
 				}
 				markFaultsOver(sim)
-				if met < 3 {
-					t.Errorf("only %d faults fell into another one", met)
+				if overlaps < 3 {
+					t.Errorf("only %d faults fell into another one", overlaps)
 				}
 				mustLeaveNothingWaiting(t, sim, 200*time.Second)
-				mustRun(t, sim, s, "when all is over")
-				mustRun(t, sim, sameS, "of the one in one place when all is over")
-				mustLeaveNoKeys(t, sim, s, sameS)
+				mustRun(t, sim, serviceJob, "when all is over")
+				mustRun(t, sim, sameZoneService, "of the one in one place when all is over")
+				mustLeaveNoKeys(t, sim, serviceJob, sameZoneService)
 			})
 		})
 	}
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -18,28 +18,28 @@
 			t.Parallel()
 			runOnBothLayouts(t, seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				var all []simulator.JobScript
+				var uncancelled []simulator.JobScript
 				at(2 * time.Second)
-				s := service(900, 3)
-				sim.Submit(s, 0)
-				n := 0
-				for now := 3; now < 150; now += 5 + rng.IntN(10) {
-					at(time.Duration(now) * time.Second)
-					n++
-					j := array(n, 1+rng.IntN(10), float64(5+rng.IntN(25)))
+				serviceJob := service(900, 3)
+				sim.Submit(serviceJob, 0)
+				jobNumber := 0
+				for second := 3; second < 150; second += 5 + rng.IntN(10) {
+					at(time.Duration(second) * time.Second)
+					jobNumber++
+					job := array(jobNumber, 1+rng.IntN(10), float64(5+rng.IntN(25)))
 					cancel := time.Duration(0)
 					if rng.IntN(5) == 0 {
 						cancel = time.Duration(5+rng.IntN(30)) * time.Second
 					} else {
-						all = append(all, j)
+						uncancelled = append(uncancelled, job)
 					}
-					sim.Submit(j, cancel)
+					sim.Submit(job, cancel)
 					switch rng.IntN(9) {
 					case 0, 1:
-						i := rng.IntN(3)
-						sim.KillController(i)
+						controller := rng.IntN(3)
+						sim.KillController(controller)
 						time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
-						startControllers(t, sim, i)
+						startControllers(t, sim, controller)
 					case 2:
 						sim.State.Outage(true)
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
@@ -53,10 +53,10 @@
 						sim.Net.Cut(a, b, false)
 					case 5:
 						_, ip, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
-						if i := rng.IntN(3); ok {
-							sim.Net.Cut(simulator.NodeIP(i), ip, true)
+						if controller := rng.IntN(3); ok {
+							sim.Net.Cut(simulator.NodeIP(controller), ip, true)
 							time.Sleep(time.Duration(rng.IntN(25)) * time.Second)
-							sim.Net.Cut(simulator.NodeIP(i), ip, false)
+							sim.Net.Cut(simulator.NodeIP(controller), ip, false)
 						}
 					case 6:
 						if id, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 }); ok {
@@ -68,7 +68,7 @@
 				}
 				markFaultsOver(sim)
 				time.Sleep(150 * time.Second)
-				mustFinish(t, sim, all...)
+				mustFinish(t, sim, uncancelled...)
 			})
 		})
 	}
@@ -84,42 +84,42 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 2))
 			runWithSettings(t, settingsOfSize(5), 300+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				seconds := randomDelay(rng)
-				s, all := service(1, 4), []simulator.JobScript{}
+				randomSeconds := randomDelay(rng)
+				serviceJob, uncancelled := service(1, 4), []simulator.JobScript{}
 				at(2 * time.Second)
-				sim.Submit(s, 0)
+				sim.Submit(serviceJob, 0)
 				for n := range 30 {
-					j := array(10+n, 1+rng.IntN(8), float64(5+rng.IntN(30)))
+					job := array(10+n, 1+rng.IntN(8), float64(5+rng.IntN(30)))
 					cancel := randomCancelDelay(rng)
 					if cancel == 0 {
-						all = append(all, j)
+						uncancelled = append(uncancelled, job)
 					}
-					at(time.Duration(3+5*n)*time.Second + seconds(5))
-					sim.Submit(j, cancel)
+					at(time.Duration(3+5*n)*time.Second + randomSeconds(5))
+					sim.Submit(job, cancel)
 					if n%10 != 7 {
 						continue
 					}
-					z := []wire.Zone{"a", "b"}[rng.IntN(2)]
-					sim.IsolateZone(z, true)
-					time.Sleep(seconds(6))
-					cloud, state, leader := rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
-					sim.CloudOutage(cloud)
-					sim.State.Outage(state)
-					if l := sim.Leader(); leader && l >= 0 {
-						sim.KillController(l)
-						time.Sleep(seconds(6))
-						startControllers(t, sim, l)
+					zone := []wire.Zone{"a", "b"}[rng.IntN(2)]
+					sim.IsolateZone(zone, true)
+					time.Sleep(randomSeconds(6))
+					cloudDown, storeDown, killLeader := rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
+					sim.CloudOutage(cloudDown)
+					sim.State.Outage(storeDown)
+					if leader := sim.Leader(); killLeader && leader >= 0 {
+						sim.KillController(leader)
+						time.Sleep(randomSeconds(6))
+						startControllers(t, sim, leader)
 					}
-					time.Sleep(seconds(20))
+					time.Sleep(randomSeconds(20))
 					sim.State.Outage(false)
-					time.Sleep(seconds(50))
-					sim.IsolateZone(z, false)
-					time.Sleep(seconds(10))
+					time.Sleep(randomSeconds(50))
+					sim.IsolateZone(zone, false)
+					time.Sleep(randomSeconds(10))
 					sim.CloudOutage(false)
 				}
 				time.Sleep(150 * time.Second)
-				mustFinish(t, sim, all...)
-				mustRun(t, sim, s, "when all is over")
+				mustFinish(t, sim, uncancelled...)
+				mustRun(t, sim, serviceJob, "when all is over")
 			})
 		})
 	}
@@ -135,57 +135,57 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			runOnUnevenLayout(t, 500+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				seconds := randomDelay(rng)
+				randomSeconds := randomDelay(rng)
 				zones := []wire.Zone{"a", "b", "c"}
-				var all []simulator.JobScript
+				var uncancelled []simulator.JobScript
 				for n := range 36 {
-					j := array(10+n, 1+rng.IntN(9), float64(5+rng.IntN(30)))
+					job := array(10+n, 1+rng.IntN(9), float64(5+rng.IntN(30)))
 					if rng.IntN(4) == 0 {
-						j.Spec.Priority, j.Spec.CPUs, j.Spec.MemoryGB, j.Spec.Class, j.Spec.Team = wire.PriorityUrgent, 4, 14, "check", "blue"
+						job.Spec.Priority, job.Spec.CPUs, job.Spec.MemoryGB, job.Spec.Class, job.Spec.Team = wire.PriorityUrgent, 4, 14, "check", "blue"
 					}
 					cancel := randomCancelDelay(rng)
 					if cancel == 0 {
-						all = append(all, j)
+						uncancelled = append(uncancelled, job)
 					}
-					at(time.Duration(3+4*n)*time.Second + seconds(4))
-					sim.Submit(j, cancel)
+					at(time.Duration(3+4*n)*time.Second + randomSeconds(4))
+					sim.Submit(job, cancel)
 					if n%9 != 6 {
 						continue
 					}
 					rng.Shuffle(3, func(i, k int) { zones[i], zones[k] = zones[k], zones[i] })
-					split := func(on bool) { sim.IsolateZone(zones[0], on) }
+					partition := func(on bool) { sim.IsolateZone(zones[0], on) }
 					if rng.IntN(2) == 0 {
-						split = func(on bool) { sim.PartitionZones(zones[0], zones[1], on) }
+						partition = func(on bool) { sim.PartitionZones(zones[0], zones[1], on) }
 					}
-					split(true)
-					time.Sleep(seconds(8))
+					partition(true)
+					time.Sleep(randomSeconds(8))
 					sim.CloudOutage(rng.IntN(2) == 0)
 					sim.State.Outage(rng.IntN(4) == 0)
-					if end := rng.IntN(4); end < 3 {
-						down := []int{end}
-						if end == 2 {
-							down = []int{0, 1, 2}
+					if victim := rng.IntN(4); victim < 3 {
+						killed := []int{victim}
+						if victim == 2 {
+							killed = []int{0, 1, 2}
 						}
-						for _, i := range down {
+						for _, i := range killed {
 							sim.KillController(i)
 						}
-						time.Sleep(seconds(5))
-						for _, i := range down {
+						time.Sleep(randomSeconds(5))
+						for _, i := range killed {
 							if err := sim.StartController(i); err != nil {
 								t.Error(err)
 							}
 						}
 					}
-					time.Sleep(seconds(15))
+					time.Sleep(randomSeconds(15))
 					sim.State.Outage(false)
-					time.Sleep(seconds(60))
-					split(false)
-					time.Sleep(seconds(10))
+					time.Sleep(randomSeconds(60))
+					partition(false)
+					time.Sleep(randomSeconds(10))
 					sim.CloudOutage(false)
 				}
 				markFaultsOver(sim)
 				time.Sleep(240 * time.Second)
-				mustFinish(t, sim, all...)
+				mustFinish(t, sim, uncancelled...)
 			})
 		})
 	}
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -13,15 +13,15 @@
 func TestServiceSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 3, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 3), array(2, 4, 60)
+		serviceJob, arrayJob := service(1, 3), array(2, 4, 60)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(48 * time.Second)
-		status, _, h := sim.Ask(0, "POST", "/v1/jobs", simulator.Submission(array(9, 1, 1).Spec))
-		if status != 503 || h.Get("Retry-After") == "" {
-			t.Errorf("submission in an outage answered %d, Retry-After %q", status, h.Get("Retry-After"))
+		status, _, header := sim.Ask(0, "POST", "/v1/jobs", simulator.Submission(array(9, 1, 1).Spec))
+		if status != 503 || header.Get("Retry-After") == "" {
+			t.Errorf("submission in an outage answered %d, Retry-After %q", status, header.Get("Retry-After"))
 		}
 		if status, _, _ := sim.Ask(0, "GET", "/ready", nil); status != 200 {
 			t.Errorf("in an outage that all share /ready answers %d", status)
@@ -29,8 +29,8 @@
 		at(75 * time.Second) // 35 s against a lease of 16 s
 		sim.State.Outage(false)
 		at(140 * time.Second)
-		mustFinish(t, sim, a)
-		mustRun(t, sim, s, "run")
+		mustFinish(t, sim, arrayJob)
+		mustRun(t, sim, serviceJob, "run")
 		mustRestartNoTask(t, sim)
 	})
 }
@@ -39,21 +39,21 @@
 func TestLeaderRestartsDuringOutage(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 19, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 3), array(2, 6, 30)
+		serviceJob, arrayJob := service(1, 3), array(2, 6, 30)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(45 * time.Second)
-		l := sim.Leader()
-		sim.KillController(l)
+		leader := sim.Leader()
+		sim.KillController(leader)
 		at(51 * time.Second)
-		startControllers(t, sim, l)
+		startControllers(t, sim, leader)
 		at(58 * time.Second)
 		sim.State.Outage(false)
 		at(180 * time.Second)
-		mustFinish(t, sim, a)
-		mustRun(t, sim, s, "run")
+		mustFinish(t, sim, arrayJob)
+		mustRun(t, sim, serviceJob, "run")
 	})
 }
 
@@ -62,24 +62,24 @@
 func TestLeaderRestartsDuringLongOutage(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 39, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 4), array(2, 8, 50)
+		serviceJob, arrayJob := service(1, 4), array(2, 8, 50)
 		at(2 * time.Second)
-		submitAll(sim, s, a)
+		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
 		sim.State.Outage(true)
 		at(44 * time.Second)
-		l := sim.Leader()
-		sim.KillController(l)
+		leader := sim.Leader()
+		sim.KillController(leader)
 		at(50 * time.Second)
-		startControllers(t, sim, l)
+		startControllers(t, sim, leader)
 		at(70 * time.Second)
-		mustRun(t, sim, s, "30 s into the outage")
+		mustRun(t, sim, serviceJob, "30 s into the outage")
 		sim.State.Outage(false)
 		at(90 * time.Second)
-		mustRun(t, sim, s, "after the outage")
+		mustRun(t, sim, serviceJob, "after the outage")
 		mustRestartNoTask(t, sim)
 		at(200 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, arrayJob)
 	})
 }
 
@@ -88,26 +88,26 @@
 func TestPollAtControllerRefusedByStore(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 34, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		a := array(1, 2, 100)
+		arrayJob := array(1, 2, 100)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
+		sim.Submit(arrayJob, 0)
 		at(20 * time.Second)
-		i := (sim.Leader() + 1) % 3
-		sim.State.RefuseClient(simulator.NodeIP(i), true)
+		controller := (sim.Leader() + 1) % 3
+		sim.State.RefuseClient(simulator.NodeIP(controller), true)
 		at(24 * time.Second)
 		begin := time.Now()
-		status, _, h := sim.Ask(i, "GET", "/v1/jobs/req-000001", nil)
-		if status != http.StatusServiceUnavailable || h.Get("Retry-After") != "1" || time.Since(begin) > time.Second {
-			t.Errorf("poll answered %d, %v, after %v", status, h, time.Since(begin))
+		status, _, header := sim.Ask(controller, "GET", "/v1/jobs/req-000001", nil)
+		if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1" || time.Since(begin) > time.Second {
+			t.Errorf("poll answered %d, %v, after %v", status, header, time.Since(begin))
 		}
-		if status, _, _ := sim.Ask(i, "GET", "/ready", nil); status != 503 {
+		if status, _, _ := sim.Ask(controller, "GET", "/ready", nil); status != 503 {
 			t.Errorf("/ready answers %d", status)
 		}
 		at(40 * time.Second)
-		sim.State.RefuseClient(simulator.NodeIP(i), false)
+		sim.State.RefuseClient(simulator.NodeIP(controller), false)
 		markFaultsOver(sim)
 		at(200 * time.Second)
-		mustFinish(t, sim, a)
+		mustFinish(t, sim, arrayJob)
 	})
 }
 
@@ -116,32 +116,32 @@
 func TestStoreRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 4, func(sim *simulator.Simulation, at func(time.Duration)) {
-		a, b := array(1, 8, 30), array(2, 8, 30)
+		firstArray, secondArray := array(1, 8, 30), array(2, 8, 30)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
+		sim.Submit(firstArray, 0)
 		at(25 * time.Second)
-		l := sim.Leader()
-		_, ip, ok := sim.FirstMachine(func(int) bool { return true })
+		leader := sim.Leader()
+		_, machineIP, ok := sim.FirstMachine(func(int) bool { return true })
 		if !ok {
 			t.Fatal("no machine")
 		}
 		// Commands from the leader to one worker hang from now on.
-		sim.Net.Hold(simulator.NodeIP(l), ip, true)
-		sim.Submit(b, 0)
+		sim.Net.Hold(simulator.NodeIP(leader), machineIP, true)
+		sim.Submit(secondArray, 0)
 		at(27 * time.Second)
-		sim.State.RefuseClient(simulator.NodeIP(l), true)
+		sim.State.RefuseClient(simulator.NodeIP(leader), true)
 		at(60 * time.Second)
-		if n := sim.Leader(); n == l || n < 0 {
-			t.Errorf("leader is %d, was %d", n, l)
+		if newLeader := sim.Leader(); newLeader == leader || newLeader < 0 {
+			t.Errorf("leader is %d, was %d", newLeader, leader)
 		}
-		if status, _, _ := sim.Ask(l, "GET", "/ready", nil); status != 503 {
+		if status, _, _ := sim.Ask(leader, "GET", "/ready", nil); status != 503 {
 			t.Errorf("/ready of the refused node answers %d while others serve", status)
 		}
-		sim.State.RefuseClient(simulator.NodeIP(l), false)
+		sim.State.RefuseClient(simulator.NodeIP(leader), false)
 		at(90 * time.Second)
-		sim.Net.Hold(simulator.NodeIP(l), ip, false)
+		sim.Net.Hold(simulator.NodeIP(leader), machineIP, false)
 		at(200 * time.Second)
-		mustFinish(t, sim, a, b)
+		mustFinish(t, sim, firstArray, secondArray)
 	})
 }
 
@@ -150,33 +150,33 @@
 // was cancelled while nobody led. It must not keep alive what it knows nothing of.
 func TestOutageDuringElectionAfterCancel(t *testing.T) {
 	t.Parallel()
-	for _, c := range []struct {
+	for _, variant := range []struct {
 		name string
 		run  scenarioRunner
 		back bool // the last leader is back at once and is elected again
 	}{{"another leads", runScenario, false}, {"the same one is back", runOnUnevenLayout, true}} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
-			c.run(t, 69, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, cancelledJob, a := service(1, 4), service(2, 4), array(3, 6, 60)
+			variant.run(t, 69, func(sim *simulator.Simulation, at func(time.Duration)) {
+				serviceJob, cancelledJob, arrayJob := service(1, 4), service(2, 4), array(3, 6, 60)
 				at(2 * time.Second)
-				for _, j := range []simulator.JobScript{s, cancelledJob, a} {
+				for _, j := range []simulator.JobScript{serviceJob, cancelledJob, arrayJob} {
 					sim.Submit(j, 0)
 				}
 				at(45 * time.Second)
-				l, old := sim.Leader(), sim.LeaderKeyRevision()
-				sim.KillController(l)
-				confirmed := cancelAtController(t, sim, (l+1)%3, cancelledJob)
-				if c.back {
-					startControllers(t, sim, l)
+				leader, oldRevision := sim.Leader(), sim.LeaderKeyRevision()
+				sim.KillController(leader)
+				confirmed := cancelAtController(t, sim, (leader+1)%3, cancelledJob)
+				if variant.back {
+					startControllers(t, sim, leader)
 				}
-				waitUntil(t, 10*time.Second, "an election", func() bool { return sim.LeaderKeyRevision() > old })
+				waitUntil(t, 10*time.Second, "an election", func() bool { return sim.LeaderKeyRevision() > oldRevision })
 				sim.State.Outage(true)
-				if n := sim.Leader(); n < 0 || (n == l) != c.back {
-					t.Errorf("node %d leads", n)
+				if newLeader := sim.Leader(); newLeader < 0 || (newLeader == leader) != variant.back {
+					t.Errorf("node %d leads", newLeader)
 				}
-				if !c.back {
-					startControllers(t, sim, l)
+				if !variant.back {
+					startControllers(t, sim, leader)
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
 					if c.OnMachines(cancelledJob.Spec.ID) != 4 {
@@ -190,7 +190,7 @@
 					}
 				})
 				sim.State.Outage(false)
-				mustRecover(t, sim, 3, s, a)
+				mustRecover(t, sim, 3, serviceJob, arrayJob)
 			})
 		})
 	}
@@ -202,40 +202,40 @@
 // not yet read what is stored. The tasks must be gone in time all the same.
 func TestCancelJustBeforeOutage(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"hang", "no inbound", "not recovered"} {
-		t.Run(how, func(t *testing.T) {
+	for _, fault := range []string{"hang", "no inbound", "not recovered"} {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 670, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, cancelledJob, a := service(1, 3), array(2, 6, 300), array(3, 6, 20)
+				serviceJob, cancelledJob, arrayJob := service(1, 3), array(2, 6, 300), array(3, 6, 20)
 				at(2 * time.Second)
-				submitAll(sim, s, cancelledJob)
+				submitAll(sim, serviceJob, cancelledJob)
 				at(45 * time.Second)
-				ms := sim.BusyMachines("")
-				l, old := sim.LeaderAndToken()
-				switch how {
+				machines := sim.BusyMachines("")
+				leader, oldToken := sim.LeaderAndToken()
+				switch fault {
 				case "hang":
-					sim.HangMachines(true, ms...)
+					sim.HangMachines(true, machines...)
 				case "no inbound":
-					sim.BlockInbound(true, ms...)
+					sim.BlockInbound(true, machines...)
 				default:
 					// It reads of no change any more, and goes on answering reports
 					// until its grant ends. What the others tell it of it can't
 					// stop: the machines hang as well.
-					sim.State.RefuseClient(simulator.NodeIP(l), true)
-					sim.HangMachines(true, ms...)
+					sim.State.RefuseClient(simulator.NodeIP(leader), true)
+					sim.HangMachines(true, machines...)
 					time.Sleep(2 * time.Second)
 				}
 				mustCancel(t, sim, cancelledJob)
-				if how == "not recovered" {
+				if fault == "not recovered" {
 					for i := range sim.Settings.Size {
 						sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 300*time.Millisecond)
 					}
-					n, _ := awaitNewToken(t, sim, old)
-					sim.State.RefuseClient(simulator.NodeIP(l), false)
+					newLeader, _ := awaitNewToken(t, sim, oldToken)
+					sim.State.RefuseClient(simulator.NodeIP(leader), false)
 					time.Sleep(320 * time.Millisecond)
 					sim.State.Outage(true)
 					time.Sleep(time.Second)
-					if hasRecovered(sim, n) {
+					if hasRecovered(sim, newLeader) {
 						t.Error("the new leader has read what is stored")
 					}
 				} else {
@@ -246,18 +246,18 @@
 				if tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 {
 					t.Error("no cancelled task runs when the state service is away")
 				}
-				sim.HangMachines(false, ms...)
-				sim.BlockInbound(false, ms...)
+				sim.HangMachines(false, machines...)
+				sim.BlockInbound(false, machines...)
 				time.Sleep(sim.Settings.Workers.CancelTimeout.Duration() + 5*time.Second)
 				mustBeGone(t, sim, cancelledJob, "although their time is up")
 				for i := range sim.Settings.Size {
 					sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 0)
 				}
 				sim.State.Outage(false)
-				sim.Submit(a, 0)
+				sim.Submit(arrayJob, 0)
 				time.Sleep(80 * time.Second)
-				mustFinish(t, sim, a)
-				mustRun(t, sim, s, "at the end")
+				mustFinish(t, sim, arrayJob)
+				mustRun(t, sim, serviceJob, "at the end")
 			})
 		})
 	}
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -24,7 +24,7 @@
 			sim.Net.BlockInbound(sim.MachineIP(id), on)
 		},
 	}
-	for _, c := range []struct {
+	for _, variant := range []struct {
 		fault  string
 		before bool          // the leader ends before the cancellation
 		half   bool          // of the machines only
@@ -38,37 +38,37 @@
 		{"no inbound", true, false, true, 75 * time.Second},
 	} {
 		for seed := range seedCount(1) {
-			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", c.fault, c.before, c.half, c.cloud, c.lasts, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", variant.fault, variant.before, variant.half, variant.cloud, variant.lasts, seed), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					cancelledJob, cancelledService := array(1, 12, 400), service(2, 16)
-					next, nextS := array(3, 12, 15), service(4, 16)
+					nextArray, nextService := array(3, 12, 15), service(4, 16)
 					at(2 * time.Second)
 					submitAll(sim, cancelledJob, cancelledService)
 					at(20 * time.Second)
-					submitAll(sim, next, nextS)
+					submitAll(sim, nextArray, nextService)
 					at(45 * time.Second)
 					mustUseCPUs(t, sim, "red", 24)
 					mustUseCPUs(t, sim, "blue", 16)
-					var hit []wire.MachineID
+					var hitMachines []wire.MachineID
 					for i, id := range append(sim.MachinesRunning(cancelledJob.Spec.ID), sim.MachinesRunning(cancelledService.Spec.ID)...) {
-						if !c.half || i%2 == 0 {
-							hit = append(hit, id)
+						if !variant.half || i%2 == 0 {
+							hitMachines = append(hitMachines, id)
 						}
 					}
-					fault := func(on bool) {
-						for _, id := range hit {
-							faults[c.fault](sim, id, on)
+					setFault := func(on bool) {
+						for _, id := range hitMachines {
+							faults[variant.fault](sim, id, on)
 						}
-						if c.cloud {
+						if variant.cloud {
 							sim.CloudOutage(on)
 						}
 					}
-					fault(true)
+					setFault(true)
 					begin := time.Now()
-					l := sim.Leader()
-					if c.before {
-						sim.KillController(l)
+					leader := sim.Leader()
+					if variant.before {
+						sim.KillController(leader)
 						time.Sleep(300 * time.Millisecond)
 					}
 					for _, j := range []simulator.JobScript{cancelledJob, cancelledService} {
@@ -81,7 +81,7 @@
 							}
 						})
 					}
-					if !c.before {
+					if !variant.before {
 						time.Sleep(time.Second)
 						sim.WithChecker(func(c *simulator.Checker) {
 							if c.OnMachines(cancelledJob.Spec.ID) == 0 || c.OnMachines(cancelledService.Spec.ID) == 0 {
@@ -90,30 +90,30 @@
 						})
 						replaceLeader(t, sim)
 					} else {
-						if n := sim.Leader(); n >= 0 && n != l {
-							t.Errorf("node %d leads already when all is cancelled", n)
+						if newLeader := sim.Leader(); newLeader >= 0 && newLeader != leader {
+							t.Errorf("node %d leads already when all is cancelled", newLeader)
 						}
-						awaitSuccessor(t, sim, l)
+						awaitSuccessor(t, sim, leader)
 					}
-					if c.lasts > 60*time.Second {
-						time.Sleep(time.Until(begin.Add(c.lasts)))
+					if variant.lasts > 60*time.Second {
+						time.Sleep(time.Until(begin.Add(variant.lasts)))
 						sim.WithChecker(func(c *simulator.Checker) {
 							if c.OnMachines(cancelledJob.Spec.ID) != 0 || c.OnMachines(cancelledService.Spec.ID) != 0 {
 								t.Error("cancelled tasks outlive their time")
 							}
 						})
-						if !c.cloud { // else there may be no room
-							mustFinish(t, sim, next)
-							mustRun(t, sim, nextS, "while the machines are still lost")
+						if !variant.cloud { // else there may be no room
+							mustFinish(t, sim, nextArray)
+							mustRun(t, sim, nextService, "while the machines are still lost")
 						}
 					} else {
-						time.Sleep(time.Until(begin.Add(c.lasts)))
+						time.Sleep(time.Until(begin.Add(variant.lasts)))
 					}
-					fault(false)
+					setFault(false)
 					markFaultsOver(sim)
 					time.Sleep(75 * time.Second)
-					mustFinish(t, sim, next)
-					mustRun(t, sim, nextS, "when all is over")
+					mustFinish(t, sim, nextArray)
+					mustRun(t, sim, nextService, "when all is over")
 					mustUseCPUs(t, sim, "blue", 16)
 				})
 			})
@@ -131,15 +131,15 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			runScenario(t, 460+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				most, low := array(1, 19, 400), array(2, 200, 60)
-				low.Spec.Priority, low.Spec.Team, low.Spec.SpotAllowed, most.Spec.SpotAllowed = wire.PriorityBestEffort, "blue", false, false
-				low.Spec.CheckpointInterval, low.Spec.CheckpointTime = 10, 3
+				fillingArray, lowPriorityArray := array(1, 19, 400), array(2, 200, 60)
+				lowPriorityArray.Spec.Priority, lowPriorityArray.Spec.Team, lowPriorityArray.Spec.SpotAllowed, fillingArray.Spec.SpotAllowed = wire.PriorityBestEffort, "blue", false, false
+				lowPriorityArray.Spec.CheckpointInterval, lowPriorityArray.Spec.CheckpointTime = 10, 3
 				sim.EnableSlowSaves()
 				sim.SetSoldOut("b", true)
 				at(2 * time.Second)
-				sim.Submit(most, 0)
+				sim.Submit(fillingArray, 0)
 				at(20 * time.Second)
-				sim.Submit(low, 0)
+				sim.Submit(lowPriorityArray, 0)
 				at(42 * time.Second)
 				sim.SetSoldOut("a", true)
 				mustUseCPUs(t, sim, "red", 38)
@@ -153,7 +153,7 @@
 					sim.Submit(j, 0)
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.Waiting(low.Spec.ID) == 0 {
+					if c.Waiting(lowPriorityArray.Spec.ID) == 0 {
 						t.Error("there is no more work than room")
 					}
 				})
@@ -174,46 +174,46 @@
 // them must not be stopped over and over; and at the end all is done.
 func TestPreemptionOverSlowLinks(t *testing.T) {
 	t.Parallel()
-	for _, slow := range []time.Duration{700 * time.Millisecond, 1300 * time.Millisecond} {
+	for _, linkDelay := range []time.Duration{700 * time.Millisecond, 1300 * time.Millisecond} {
 		for seed := range seedCount(1) {
-			t.Run(fmt.Sprintf("%v, seed %d", slow, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%v, seed %d", linkDelay, seed), func(t *testing.T) {
 				t.Parallel()
 				runScenario(t, 440+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					sim.EnableSlowSaves()
-					job := func(n, tasks int, run float64, u wire.Priority, team wire.TeamID) simulator.JobScript {
+					newArray := func(n, tasks int, run float64, priority wire.Priority, team wire.TeamID) simulator.JobScript {
 						j := array(n, tasks, run)
-						j.Spec.Priority, j.Spec.Team = u, team
+						j.Spec.Priority, j.Spec.Team = priority, team
 						j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 10, 3
 						return j
 					}
-					low := job(1, 200, 40, wire.PriorityBestEffort, "blue")
-					low.Spec.SpotAllowed = false // where replicas may go too
-					usual := job(2, 24, 20, wire.PriorityStandard, "red")
-					urgent := []simulator.JobScript{job(3, 6, 15, wire.PriorityUrgent, "red"), job(4, 5, 15, wire.PriorityUrgent, "blue"), job(5, 12, 10, wire.PriorityUrgent, "red")}
+					lowPriorityArray := newArray(1, 200, 40, wire.PriorityBestEffort, "blue")
+					lowPriorityArray.Spec.SpotAllowed = false // where replicas may go too
+					standardArray := newArray(2, 24, 20, wire.PriorityStandard, "red")
+					urgent := []simulator.JobScript{newArray(3, 6, 15, wire.PriorityUrgent, "red"), newArray(4, 5, 15, wire.PriorityUrgent, "blue"), newArray(5, 12, 10, wire.PriorityUrgent, "red")}
 					urgent[1].Spec.CPUs, urgent[1].Spec.MemoryGB = 4, 8
-					s := service(6, 4)
-					s.Spec.Spread = false
+					serviceJob := service(6, 4)
+					serviceJob.Spec.Spread = false
 					sim.SetSoldOut("b", true)
 					at(2 * time.Second)
-					sim.Submit(low, 0)
+					sim.Submit(lowPriorityArray, 0)
 					at(38 * time.Second)
 					sim.SetSoldOut("a", true)
-					sim.Submit(usual, 0)
+					sim.Submit(standardArray, 0)
 					at(45 * time.Second)
-					sim.SlowMachineLinks(slow)
+					sim.SlowMachineLinks(linkDelay)
 					at(50 * time.Second)
 					for _, j := range urgent[:2] {
 						sim.Submit(j, 0)
 					}
 					at(52 * time.Second)
-					sim.Submit(s, 0)
+					sim.Submit(serviceJob, 0)
 					sim.WithChecker(func(c *simulator.Checker) {
-						if c.Waiting(low.Spec.ID) == 0 || c.Waiting(usual.Spec.ID) == 0 || c.OnMachines(low.Spec.ID) == 0 {
-							t.Errorf("there is no more work than room: %d and %d wait, %d on", c.Waiting(low.Spec.ID), c.Waiting(usual.Spec.ID), c.OnMachines(low.Spec.ID))
+						if c.Waiting(lowPriorityArray.Spec.ID) == 0 || c.Waiting(standardArray.Spec.ID) == 0 || c.OnMachines(lowPriorityArray.Spec.ID) == 0 {
+							t.Errorf("there is no more work than room: %d and %d wait, %d on", c.Waiting(lowPriorityArray.Spec.ID), c.Waiting(standardArray.Spec.ID), c.OnMachines(lowPriorityArray.Spec.ID))
 						}
 					})
 					at(75 * time.Second)
-					mustRun(t, sim, s, "23 s after it was submitted over slow links")
+					mustRun(t, sim, serviceJob, "23 s after it was submitted over slow links")
 					sim.Submit(urgent[2], 0)
 					at(120 * time.Second)
 					mustFinish(t, sim, urgent...)
@@ -228,8 +228,8 @@
 					sim.SetSoldOut("b", false)
 					markFaultsOver(sim)
 					at(300 * time.Second)
-					mustFinish(t, sim, append(urgent, low, usual)...)
-					mustRun(t, sim, s, "when all is over")
+					mustFinish(t, sim, append(urgent, lowPriorityArray, standardArray)...)
+					mustRun(t, sim, serviceJob, "when all is over")
 				})
 			})
 		}
@@ -241,14 +241,14 @@
 func TestReservedRoomIsGivenUp(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 60, func(sim *simulator.Simulation, at func(time.Duration)) {
-		s, a := service(1, 4), array(2, 2, 10)
+		serviceJob, arrayJob := service(1, 4), array(2, 2, 10)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
+		sim.Submit(serviceJob, 0)
 		at(60 * time.Second)
 		sim.SellOutEverything()
-		sim.Submit(a, 0)
+		sim.Submit(arrayJob, 0)
 		at(220 * time.Second)
-		mustRun(t, sim, s, "beside an array")
-		mustFinish(t, sim, a)
+		mustRun(t, sim, serviceJob, "beside an array")
+		mustFinish(t, sim, arrayJob)
 	})
 }
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -13,16 +13,16 @@
 func TestStoreAnswersLost(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 7, func(sim *simulator.Simulation, at func(time.Duration)) {
-		a, b := array(1, 10, 10), array(2, 10, 10)
+		firstArray, secondArray := array(1, 10, 10), array(2, 10, 10)
 		at(2 * time.Second)
-		sim.Submit(a, 0)
+		sim.Submit(firstArray, 0)
 		at(20 * time.Second)
 		sim.State.LoseAnswers(3)
-		sim.Submit(b, 0)
+		sim.Submit(secondArray, 0)
 		at(35 * time.Second)
 		sim.State.LoseAnswers(2)
 		at(150 * time.Second)
-		mustFinish(t, sim, a, b)
+		mustFinish(t, sim, firstArray, secondArray)
 	})
 }
 
@@ -37,88 +37,88 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				a, b, cancelledJob, s := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
+				firstArray, laterArray, cancelledJob, serviceJob := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each for sure, then half of all
 					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.ProgressPrefix, Most: 1}, {Share: 0.5}}
 				}
 				var begin, end time.Time
-				on := func() { sim.State.InjectTxnFaults(uint64(i), faults...); begin = time.Now() }
-				off := func() { sim.State.InjectTxnFaults(0); end = time.Now() }
+				startFaults := func() { sim.State.InjectTxnFaults(uint64(i), faults...); begin = time.Now() }
+				endFaults := func() { sim.State.InjectTxnFaults(0); end = time.Now() }
 				at(2 * time.Second)
-				sim.Submit(s, 0)
+				sim.Submit(serviceJob, 0)
 				sim.RegisterJob(cancelledJob)
 				requestUntilAnswered(t, sim, cancelledJob, false, 0)
 				at(25 * time.Second)
-				sim.RegisterJob(a)
-				sim.RegisterJob(b)
-				ra, rb, rg := startReader(t, sim, a.Spec.ID), startReader(t, sim, b.Spec.ID), startReader(t, sim, cancelledJob.Spec.ID)
+				sim.RegisterJob(firstArray)
+				sim.RegisterJob(laterArray)
+				firstReader, laterReader, cancelledReader := startReader(t, sim, firstArray.Spec.ID), startReader(t, sim, laterArray.Spec.ID), startReader(t, sim, cancelledJob.Spec.ID)
 				if kind != "cancellation" {
-					on()
+					startFaults()
 				}
-				accepted, _, _ := requestUntilAnswered(t, sim, a, false, i)
+				accepted, _, _ := requestUntilAnswered(t, sim, firstArray, false, i)
 				if kind == "acceptance" {
-					off()
+					endFaults()
 				}
 				at(40 * time.Second)
 				if kind == "cancellation" {
-					on()
+					startFaults()
 				}
 				cancelled, _, _ := requestUntilAnswered(t, sim, cancelledJob, true, i)
 				if kind == "cancellation" {
-					off()
+					endFaults()
 				}
 				at(50 * time.Second)
 				if kind == "leader key" || kind == "all" {
-					l := sim.Leader()
-					if l < 0 {
+					leader := sim.Leader()
+					if leader < 0 {
 						t.Fatal("nobody leads")
 					}
-					sim.KillController(l)
+					sim.KillController(leader)
 					time.Sleep(8 * time.Second)
-					startControllers(t, sim, l)
+					startControllers(t, sim, leader)
 				}
-				requestUntilAnswered(t, sim, b, false, 0)
+				requestUntilAnswered(t, sim, laterArray, false, 0)
 				at(85 * time.Second)
 				if end.IsZero() {
-					off()
+					endFaults()
 				}
 				endFaultsAndWait(sim, 30*time.Second)
-				ra.stopReading()
-				rb.stopReading()
-				rg.stopReading()
-				mustFinish(t, sim, a, b)
-				mustRun(t, sim, s, "afterwards")
+				firstReader.stopReading()
+				laterReader.stopReading()
+				cancelledReader.stopReading()
+				mustFinish(t, sim, firstArray, laterArray)
+				mustRun(t, sim, serviceJob, "afterwards")
 
 				// Both faults met: an answer was lost for what was carried out, and
 				// others told of it, or went on with it, while that went on.
-				hit := faultedTransactions(sim, prefix, wasExecuted)
-				if len(hit) == 0 {
+				executed := faultedTransactions(sim, prefix, wasExecuted)
+				if len(executed) == 0 {
 					t.Fatal("no transaction was carried out without an answer")
 				}
-				during := func(what string, x time.Time) {
-					if x.Before(hit[0].Done) || x.After(end) || x.IsZero() {
-						t.Errorf("%s %v after the trouble's begin, not between its first loss, after %v, and its end, after %v", what, x.Sub(begin), hit[0].Done.Sub(begin), end.Sub(begin))
+				during := func(what string, when time.Time) {
+					if when.Before(executed[0].Done) || when.After(end) || when.IsZero() {
+						t.Errorf("%s %v after the trouble's begin, not between its first loss, after %v, and its end, after %v", what, when.Sub(begin), executed[0].Done.Sub(begin), end.Sub(begin))
 					}
 				}
 				switch kind {
 				case "acceptance":
 					during("accepted", accepted)
-					during("first read", ra.firstSeen(simulator.ToldAccepted))
+					during("first read", firstReader.firstSeen(simulator.ToldAccepted))
 				case "cancellation":
 					during("cancelled", cancelled)
-					during("first read", rg.firstSeen(simulator.ToldFinal))
+					during("first read", cancelledReader.firstSeen(simulator.ToldFinal))
 				case "launch", "end":
-					during("first read to be over", ra.firstSeen(simulator.ToldFinal))
+					during("first read to be over", firstReader.firstSeen(simulator.ToldFinal))
 				case "leader key":
-					if l := sim.Leader(); l < 0 || !slices.ContainsFunc(hit, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(l) }) {
-						t.Errorf("node %d leads by a key whose writing was answered", l)
+					if leader := sim.Leader(); leader < 0 || !slices.ContainsFunc(executed, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(leader) }) {
+						t.Errorf("node %d leads by a key whose writing was answered", leader)
 					}
-					during("the next leader's first job was over", rb.firstSeen(simulator.ToldFinal))
+					during("the next leader's first job was over", laterReader.firstSeen(simulator.ToldFinal))
 				case "all":
-					for _, p := range []string{store.ProgressPrefix, store.JobPrefix} {
-						if len(faultedTransactions(sim, p, wasExecuted)) == 0 {
-							t.Errorf("nothing of %s was hit", p)
+					for _, recordPrefix := range []string{store.ProgressPrefix, store.JobPrefix} {
+						if len(faultedTransactions(sim, recordPrefix, wasExecuted)) == 0 {
+							t.Errorf("nothing of %s was hit", recordPrefix)
 						}
 					}
 				}
@@ -133,36 +133,36 @@
 func TestLateAndUnansweredWrites(t *testing.T) {
 	t.Parallel()
 	runOnAlternatingLayouts(t, 650, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		var all []simulator.JobScript
+		var uncancelled []simulator.JobScript
 		var readers []*statusReader
-		s := service(900, 3)
+		serviceJob := service(900, 3)
 		at(2 * time.Second)
-		sim.Submit(s, 0)
+		sim.Submit(serviceJob, 0)
 		at(15 * time.Second)
-		late := [2]time.Duration{2 * time.Second, 12 * time.Second}
+		delay := [2]time.Duration{2 * time.Second, 12 * time.Second}
 		sim.State.InjectTxnFaults(7, // the first of each kind for sure, then a share of all
-			simulator.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.JobPrefix, Most: 1},
-			simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1, Late: late}, simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1},
-			simulator.TxnFault{Share: 0.25, Late: late}, simulator.TxnFault{Share: 0.25})
+			simulator.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: delay}, simulator.TxnFault{Prefix: store.JobPrefix, Most: 1},
+			simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1, Late: delay}, simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1},
+			simulator.TxnFault{Share: 0.25, Late: delay}, simulator.TxnFault{Share: 0.25})
 		for n := 1; n <= 8; n++ {
-			j := array(n, 1+n%4, float64(4+n%3*8))
+			job := array(n, 1+n%4, float64(4+n%3*8))
 			cancel := time.Duration(0)
 			if n%3 == 0 {
 				cancel = time.Duration(n) * time.Second
 			} else {
-				all = append(all, j)
+				uncancelled = append(uncancelled, job)
 			}
-			sim.Submit(j, cancel)
+			sim.Submit(job, cancel)
 			if n%2 == 0 {
-				readers = append(readers, startReader(t, sim, j.Spec.ID))
+				readers = append(readers, startReader(t, sim, job.Spec.ID))
 			}
 			time.Sleep(6 * time.Second)
 			switch n {
 			case 3, 6:
-				l := max(0, sim.Leader())
-				sim.KillController(l)
+				leader := max(0, sim.Leader())
+				sim.KillController(leader)
 				time.Sleep(3 * time.Second)
-				startControllers(t, sim, l)
+				startControllers(t, sim, leader)
 			case 5:
 				sim.ReclaimMachines(1, func(bool, int) bool { return true })
 			}
@@ -171,15 +171,15 @@
 		for _, r := range readers {
 			r.stopReading()
 		}
-		mustFinish(t, sim, all...)
-		mustRun(t, sim, s, "afterwards")
+		mustFinish(t, sim, uncancelled...)
+		mustRun(t, sim, serviceJob, "afterwards")
 		mustBeExecutedLate(t, "launches", faultedTransactions(sim, store.ProgressPrefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() }))
-		for _, p := range []string{store.JobPrefix, store.ProgressPrefix} {
-			if len(faultedTransactions(sim, p, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })) == 0 {
-				t.Errorf("nothing of %s was late", p)
+		for _, prefix := range []string{store.JobPrefix, store.ProgressPrefix} {
+			if len(faultedTransactions(sim, prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })) == 0 {
+				t.Errorf("nothing of %s was late", prefix)
 			}
-			if len(faultedTransactions(sim, p, func(f *simulator.TxnOutcome) bool { return !f.Late && wasExecuted(f) })) == 0 {
-				t.Errorf("no answer for %s was lost", p)
+			if len(faultedTransactions(sim, prefix, func(f *simulator.TxnOutcome) bool { return !f.Late && wasExecuted(f) })) == 0 {
+				t.Errorf("no answer for %s was lost", prefix)
 			}
 		}
 	})
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -16,33 +16,33 @@
 // be gone in time, and a job that comes meanwhile must not wait for it.
 func TestMachineReceivesNothing(t *testing.T) {
 	t.Parallel()
-	for _, inherited := range []bool{false, true} {
-		t.Run(fmt.Sprint("inherited ", inherited), func(t *testing.T) {
+	for _, leaderRestarts := range []bool{false, true} {
+		t.Run(fmt.Sprint("inherited ", leaderRestarts), func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, cancelledJob, a := service(1, 4), service(2, 4), array(3, 6, 10)
+				serviceJob, cancelledJob, arrayJob := service(1, 4), service(2, 4), array(3, 6, 10)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
+				sim.Submit(serviceJob, 0)
 				sim.Submit(cancelledJob, 55*time.Second)
 				at(45 * time.Second)
-				on := sim.MachinesRunning(s.Spec.ID)
-				if len(on) == 0 {
+				machines := sim.MachinesRunning(serviceJob.Spec.ID)
+				if len(machines) == 0 {
 					t.Fatal("no replica runs")
 				}
-				sim.Net.BlockInbound(sim.MachineIP(on[0]), true)
-				if inherited {
+				sim.Net.BlockInbound(sim.MachineIP(machines[0]), true)
+				if leaderRestarts {
 					// The next leader can never show its token to the machine.
 					restartLeader(t, sim, 5*time.Second)
 				}
 				at(52 * time.Second)
-				sim.Submit(a, 0)
+				sim.Submit(arrayJob, 0)
 				at(90 * time.Second)
-				mustRun(t, sim, s, "while a machine does not hear")
-				mustFinish(t, sim, a)
+				mustRun(t, sim, serviceJob, "while a machine does not hear")
+				mustFinish(t, sim, arrayJob)
 				at(130 * time.Second)
-				sim.Net.BlockInbound(sim.MachineIP(on[0]), false)
+				sim.Net.BlockInbound(sim.MachineIP(machines[0]), false)
 				at(200 * time.Second)
-				mustRun(t, sim, s, "afterwards")
+				mustRun(t, sim, serviceJob, "afterwards")
 			})
 		})
 	}
@@ -54,42 +54,42 @@
 // what is cancelled there must be gone in time.
 func TestMachinesCannotConnect(t *testing.T) {
 	t.Parallel()
-	for name, some := range map[string]func(sim *simulator.Simulation) []wire.MachineID{
+	for name, choose := range map[string]func(sim *simulator.Simulation) []wire.MachineID{
 		"one": func(sim *simulator.Simulation) []wire.MachineID { return sim.BusyMachines("")[:1] },
 		"some": func(sim *simulator.Simulation) []wire.MachineID {
-			ms := sim.BusyMachines("")
-			return ms[:(len(ms)+1)/2]
+			machines := sim.BusyMachines("")
+			return machines[:(len(machines)+1)/2]
 		},
 		"most a zone": func(sim *simulator.Simulation) []wire.MachineID {
-			ms := sim.BusyMachines("a")
-			return ms[:(len(ms)*3+3)/4]
+			machines := sim.BusyMachines("a")
+			return machines[:(len(machines)*3+3)/4]
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			both := runOnBothLayouts
+			run := runOnBothLayouts
 			if name == "one" {
-				both = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.Simulation, func(time.Duration))) {
+				run = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.Simulation, func(time.Duration))) {
 					runOnUnevenLayout(t, seed, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
 				}
 			}
-			both(t, 640, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				s, a, cancelledJob := service(1, 3), array(2, 12, 60), array(3, 4, 300)
+			run(t, 640, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+				serviceJob, arrayJob, cancelledJob := service(1, 3), array(2, 12, 60), array(3, 4, 300)
 				at(2 * time.Second)
-				submitAll(sim, s, a, cancelledJob)
+				submitAll(sim, serviceJob, arrayJob, cancelledJob)
 				at(45 * time.Second)
-				unconnected := some(sim)
+				unconnected := choose(sim)
 				sim.BlockOutbound(true, unconnected...)
 				// Each has outlived a lease without a heartbeat, and yet answers.
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + time.Second)
-				n := 0
+				newSessions := 0
 				for _, id := range unconnected {
 					if epoch, _, _ := sim.MachineEpoch(id); epoch > 1 {
-						n++
+						newSessions++
 					}
 				}
-				if n+lostMachines(sim, unconnected) != len(unconnected) || n == 0 {
-					t.Errorf("%d of %d machines that can't connect are there in a new session", n, len(unconnected))
+				if newSessions+lostMachines(sim, unconnected) != len(unconnected) || newSessions == 0 {
+					t.Errorf("%d of %d machines that can't connect are there in a new session", newSessions, len(unconnected))
 				}
 				mustCancel(t, sim, cancelledJob)
 				time.Sleep(5 * time.Second)
@@ -97,11 +97,11 @@
 				// Where they are many they are kept for a while, and the cloud may
 				// have no more of their cheap type.
 				time.Sleep(170 * time.Second)
-				mustFinish(t, sim, a)
-				mustRun(t, sim, s, "while machines can't connect")
+				mustFinish(t, sim, arrayJob)
+				mustRun(t, sim, serviceJob, "while machines can't connect")
 				sim.BlockOutbound(false, unconnected...)
 				time.Sleep(30 * time.Second)
-				mustRun(t, sim, s, "afterwards")
+				mustRun(t, sim, serviceJob, "afterwards")
 			})
 		})
 	}
@@ -112,69 +112,69 @@
 // neither started twice nor given up for ever.
 func TestLeaderChangeWhileMachinesAreUnreachable(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"cut", "no inbound", "no inbound from the next", "hang"} {
-		for _, long := range []bool{false, true} {
-			play := runScenario
-			if long {
-				play = runOnUnevenLayout
+	for _, fault := range []string{"cut", "no inbound", "no inbound from the next", "hang"} {
+		for _, outlastsLease := range []bool{false, true} {
+			run := runScenario
+			if outlastsLease {
+				run = runOnUnevenLayout
 			}
-			if how == "no inbound" && !long {
+			if fault == "no inbound" && !outlastsLease {
 				continue // as with no inbound from the next
 			}
-			t.Run(fmt.Sprintf("%s, longer than a lease %v", how, long), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, longer than a lease %v", fault, outlastsLease), func(t *testing.T) {
 				t.Parallel()
-				play(t, 650, func(sim *simulator.Simulation, at func(time.Duration)) {
-					s, a := service(1, 3), array(2, 12, 70)
+				run(t, 650, func(sim *simulator.Simulation, at func(time.Duration)) {
+					serviceJob, arrayJob := service(1, 3), array(2, 12, 70)
 					at(2 * time.Second)
-					submitAll(sim, s, a)
+					submitAll(sim, serviceJob, arrayJob)
 					at(45 * time.Second)
-					ms := sim.MachinesRunning(a.Spec.ID)
-					ms = ms[:(len(ms)+1)/2]
-					l, old := sim.LeaderAndToken()
-					off := func(on bool) {
-						for _, id := range ms {
+					machines := sim.MachinesRunning(arrayJob.Spec.ID)
+					machines = machines[:(len(machines)+1)/2]
+					leader, oldToken := sim.LeaderAndToken()
+					setFault := func(on bool) {
+						for _, id := range machines {
 							ip := sim.MachineIP(id)
 							for i := range sim.Settings.Size {
 								switch {
 								case ip == "":
-								case how == "cut":
+								case fault == "cut":
 									sim.Net.Cut(simulator.NodeIP(i), ip, on)
-								case how == "no inbound", how == "no inbound from the next" && i != l:
+								case fault == "no inbound", fault == "no inbound from the next" && i != leader:
 									sim.Net.Hold(simulator.NodeIP(i), ip, on)
 								}
 							}
 						}
-						if how == "hang" {
-							sim.HangMachines(on, ms...)
+						if fault == "hang" {
+							sim.HangMachines(on, machines...)
 						}
 					}
-					off(true)
+					setFault(true)
 					time.Sleep(500 * time.Millisecond)
-					sim.KillController(l)
-					_, token := awaitNewToken(t, sim, old)
+					sim.KillController(leader)
+					_, token := awaitNewToken(t, sim, oldToken)
 					time.Sleep(2 * time.Second)
 					unheard := 0
-					for _, id := range ms {
+					for _, id := range machines {
 						if _, _, seenToken := sim.MachineEpoch(id); seenToken < token {
 							unheard++
 						}
 					}
-					if unheard != len(ms) {
-						t.Errorf("%d of %d machines have not heard the new leader", unheard, len(ms))
+					if unheard != len(machines) {
+						t.Errorf("%d of %d machines have not heard the new leader", unheard, len(machines))
 					}
-					if how != "no inbound from the next" {
-						startControllers(t, sim, l)
+					if fault != "no inbound from the next" {
+						startControllers(t, sim, leader)
 					}
 					time.Sleep(3 * time.Second)
-					if long {
+					if outlastsLease {
 						time.Sleep(sim.Settings.Workers.Lease.Duration() + 10*time.Second)
 					}
-					off(false)
-					startControllers(t, sim, l)
+					setFault(false)
+					startControllers(t, sim, leader)
 					markFaultsOver(sim)
 					time.Sleep(130 * time.Second)
-					mustFinish(t, sim, a)
-					mustRun(t, sim, s, "at the end")
+					mustFinish(t, sim, arrayJob)
+					mustRun(t, sim, serviceJob, "at the end")
 				})
 			})
 		}
@@ -186,77 +186,77 @@
 // machines go on later.
 func TestCancelOnUnresponsiveMachines(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"hang", "no inbound", "no outbound"} {
-		for _, cloud := range []bool{false, true} {
-			for _, leader := range []bool{false, true} {
-				if !cloud && (leader || how != "hang") {
+	for _, fault := range []string{"hang", "no inbound", "no outbound"} {
+		for _, cloudDown := range []bool{false, true} {
+			for _, leaderEnds := range []bool{false, true} {
+				if !cloudDown && (leaderEnds || fault != "hang") {
 					continue // easier than with the cloud away
 				}
-				play := runScenario
-				if leader {
-					play = runOnUnevenLayout
+				run := runScenario
+				if leaderEnds {
+					run = runOnUnevenLayout
 				}
-				t.Run(fmt.Sprintf("%s, cloud away %v, leader ends %v", how, cloud, leader), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, cloud away %v, leader ends %v", fault, cloudDown, leaderEnds), func(t *testing.T) {
 					t.Parallel()
 					rng := rand.New(rand.NewPCG(660, 1))
-					play(t, 660, func(sim *simulator.Simulation, at func(time.Duration)) {
-						s, cancelledJob, a := service(1, 3), array(2, 10, 300), array(3, 6, 20)
-						kept := service(4, 2)
+					run(t, 660, func(sim *simulator.Simulation, at func(time.Duration)) {
+						serviceJob, cancelledJob, arrayJob := service(1, 3), array(2, 10, 300), array(3, 6, 20)
+						cancelledService := service(4, 2)
 						at(2 * time.Second)
-						submitAll(sim, s, cancelledJob, kept)
+						submitAll(sim, serviceJob, cancelledJob, cancelledService)
 						at(45 * time.Second)
-						ms := sim.BusyMachines("")
-						off := func(on bool) {
-							switch how {
+						machines := sim.BusyMachines("")
+						setFault := func(on bool) {
+							switch fault {
 							case "hang":
-								sim.HangMachines(on, ms...)
+								sim.HangMachines(on, machines...)
 							case "no inbound":
-								sim.BlockInbound(on, ms...)
+								sim.BlockInbound(on, machines...)
 							default:
-								sim.BlockOutbound(on, ms...)
+								sim.BlockOutbound(on, machines...)
 							}
 						}
-						sim.CloudOutage(cloud)
-						off(true)
+						sim.CloudOutage(cloudDown)
+						setFault(true)
 						time.Sleep(randomDelay(rng)(3))
 						if n := tasksOnMachines(sim, cancelledJob.Spec.ID); n != 10 {
 							t.Errorf("%d of 10 tasks run when they are cancelled", n)
 						}
 						mustCancel(t, sim, cancelledJob)
-						mustCancel(t, sim, kept)
-						if how == "no outbound" {
+						mustCancel(t, sim, cancelledService)
+						if fault == "no outbound" {
 							time.Sleep(4 * time.Second)
 							mustBeGone(t, sim, cancelledJob, "on machines that can't connect")
 						}
-						if leader {
-							l, old := sim.LeaderAndToken()
-							sim.KillController(l)
-							awaitNewToken(t, sim, old)
+						if leaderEnds {
+							leader, oldToken := sim.LeaderAndToken()
+							sim.KillController(leader)
+							awaitNewToken(t, sim, oldToken)
 							time.Sleep(time.Second)
-							startControllers(t, sim, l)
+							startControllers(t, sim, leader)
 						}
-						sim.Submit(a, 0)
+						sim.Submit(arrayJob, 0)
 						time.Sleep(randomDelay(rng)(8))
-						if how == "hang" && tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 && cloud {
+						if fault == "hang" && tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 && cloudDown {
 							t.Error("the hanging machines lost their tasks before they went on")
 						}
-						if how != "no outbound" {
-							off(false) // within the lease
+						if fault != "no outbound" {
+							setFault(false) // within the lease
 							time.Sleep(6 * time.Second)
 							mustBeGone(t, sim, cancelledJob, "when the machines go on")
-							off(true)
+							setFault(true)
 						}
 						time.Sleep(sim.Settings.Workers.Lease.Duration() + 4*time.Second)
 						mustBeGone(t, sim, cancelledJob, "after a lease")
-						off(false)
+						setFault(false)
 						time.Sleep(20 * time.Second)
 						sim.CloudOutage(false)
 						markFaultsOver(sim)
 						time.Sleep(80 * time.Second)
-						mustFinish(t, sim, a)
-						mustRun(t, sim, s, "at the end")
+						mustFinish(t, sim, arrayJob)
+						mustRun(t, sim, serviceJob, "at the end")
 						mustBeGone(t, sim, cancelledJob, "at the end")
-						mustBeGone(t, sim, kept, "at the end")
+						mustBeGone(t, sim, cancelledService, "at the end")
 					})
 				})
 			}
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -16,7 +16,7 @@
 // another. A service that is spread counts what may still run behind the fault.
 func TestSingleZoneJobsLoseTheirZone(t *testing.T) {
 	t.Parallel()
-	some := func(ids []wire.MachineID, every int) (out []wire.MachineID) {
+	everyNth := func(ids []wire.MachineID, every int) (out []wire.MachineID) {
 		for i, id := range ids {
 			if i%every == 0 {
 				out = append(out, id)
@@ -24,7 +24,7 @@
 		}
 		return out
 	}
-	for _, c := range []struct {
+	for _, variant := range []struct {
 		name   string
 		leader bool // changes meanwhile
 		cloud  bool // is away too, so that no list says where anything is
@@ -47,29 +47,29 @@
 		}},
 		{"cut off, leader changes", true, false, true, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) { sim.IsolateZone("a", on) }},
 		{"half hang", false, false, false, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) {
-			for _, id := range some(ids, 2) {
+			for _, id := range everyNth(ids, 2) {
 				sim.StallMachine(id, on)
 			}
 		}},
 	} {
 		for seed := range seedCount(1) {
-			t.Run(fmt.Sprintf("%s, seed %d", c.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, seed %d", variant.name, seed), func(t *testing.T) {
 				t.Parallel()
 				runWithControllersIn(t, simulator.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-					bound, same := array(1, 8, 70), array(2, 14, 50)
-					bound.Spec.Zone, same.Spec.SameZone = "a", true
-					boundS, sameS, spread := service(3, 3), service(4, 3), service(5, 4)
-					boundS.Spec.Zone, boundS.Spec.Spread = "a", false
-					sameS.Spec.SameZone, sameS.Spec.Spread = true, false
+					boundArray, sameZoneArray := array(1, 8, 70), array(2, 14, 50)
+					boundArray.Spec.Zone, sameZoneArray.Spec.SameZone = "a", true
+					boundService, sameZoneService, spreadService := service(3, 3), service(4, 3), service(5, 4)
+					boundService.Spec.Zone, boundService.Spec.Spread = "a", false
+					sameZoneService.Spec.SameZone, sameZoneService.Spec.Spread = true, false
 					sim.SetSoldOut("b", true)
 					sim.SetSoldOut("c", true)
 					at(2 * time.Second)
-					for _, j := range []simulator.JobScript{same, sameS, boundS, spread, bound} {
+					for _, j := range []simulator.JobScript{sameZoneArray, sameZoneService, boundService, spreadService, boundArray} {
 						sim.Submit(j, 0)
 					}
 					at(50 * time.Second)
 					sim.WithChecker(func(c *simulator.Checker) {
-						for _, j := range []simulator.JobScript{same, sameS, boundS, spread} {
+						for _, j := range []simulator.JobScript{sameZoneArray, sameZoneService, boundService, spreadService} {
 							if z := c.TasksByZone(j.Spec.ID); z["a"] == 0 || len(z) != 1 {
 								t.Errorf("%s runs in %v before the fault", j.Spec.ID, z)
 							}
@@ -78,25 +78,25 @@
 					sim.SetSoldOut("b", false)
 					sim.SetSoldOut("c", false)
 					sim.SetSoldOut("a", true)
-					sim.CloudOutage(c.cloud)
-					ids := sim.RunningMachinesIn("a")
-					c.hit(sim, true, ids)
-					if c.leader {
+					sim.CloudOutage(variant.cloud)
+					machines := sim.RunningMachinesIn("a")
+					variant.hit(sim, true, machines)
+					if variant.leader {
 						time.Sleep(time.Second)
 						replaceLeader(t, sim)
 						time.Sleep(time.Second)
 					}
 					// The next leader meets what still runs there, or what it can't
 					// even place.
-					if c.cloud {
+					if variant.cloud {
 						mustHaveTaskInUnknownZone(t, sim)
 					} else {
 						sim.WithChecker(func(c *simulator.Checker) {
-							n := 0
-							for _, j := range []simulator.JobScript{same, sameS, spread, bound, boundS} {
-								n += c.TasksByZone(j.Spec.ID)["a"]
+							tasksInside := 0
+							for _, j := range []simulator.JobScript{sameZoneArray, sameZoneService, spreadService, boundArray, boundService} {
+								tasksInside += c.TasksByZone(j.Spec.ID)["a"]
 							}
-							if n == 0 {
+							if tasksInside == 0 {
 								t.Error("nothing runs in the zone that is lost")
 							}
 						})
@@ -104,32 +104,32 @@
 					at(100 * time.Second)
 					sim.CloudOutage(false)
 					at(190 * time.Second)
-					if c.moves {
+					if variant.moves {
 						sim.WithChecker(func(c *simulator.Checker) {
-							if z := c.TasksByZone(sameS.Spec.ID); len(z) != 1 || z["a"] > 0 {
+							if z := c.TasksByZone(sameZoneService.Spec.ID); len(z) != 1 || z["a"] > 0 {
 								t.Errorf("the service in one place runs in %v while that is lost", z)
 							}
-							if z := c.TasksByZone(same.Spec.ID); z["a"] > 0 || len(z) == 0 && !c.Complete(same.Spec.ID) {
+							if z := c.TasksByZone(sameZoneArray.Spec.ID); z["a"] > 0 || len(z) == 0 && !c.Complete(sameZoneArray.Spec.ID) {
 								t.Errorf("the array in one place runs in %v while that is lost", z)
 							}
 						})
-						mustRun(t, sim, spread, "while a zone is lost")
+						mustRun(t, sim, spreadService, "while a zone is lost")
 					}
 					sim.SetSoldOut("a", false)
-					c.hit(sim, false, ids)
+					variant.hit(sim, false, machines)
 					markFaultsOver(sim)
 					at(300 * time.Second)
-					mustFinish(t, sim, same)
-					for _, j := range []simulator.JobScript{sameS, boundS, spread} {
+					mustFinish(t, sim, sameZoneArray)
+					for _, j := range []simulator.JobScript{sameZoneService, boundService, spreadService} {
 						mustRun(t, sim, j, "of "+string(j.Spec.ID)+" when all is over")
 					}
 					// The zone's cheap machines may be sold out by then, and the last of the
 					// bound array wait for those before it; but never beside room.
-					if n := sim.JobsWithRoom()[bound.Spec.ID]; n > 0 {
+					if n := sim.JobsWithRoom()[boundArray.Spec.ID]; n > 0 {
 						t.Errorf("%d of the bound array's 8 tasks wait beside room 110 s after the troubles", n)
 					}
 					at(420 * time.Second)
-					mustFinish(t, sim, bound)
+					mustFinish(t, sim, boundArray)
 				})
 			})
 		}
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -15,27 +15,27 @@
 // whether the leader is in that zone.
 func TestZonePartitionedWithItsControllers(t *testing.T) {
 	t.Parallel()
-	for _, leads := range []bool{false, true} {
-		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
+	for _, leaderInside := range []bool{false, true} {
+		t.Run(fmt.Sprint("leader inside ", leaderInside), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, a := service(1, 4), array(2, 12, 30)
+				serviceJob, arrayJob := service(1, 4), array(2, 12, 30)
 				at(2 * time.Second)
-				submitAll(sim, s, a)
+				submitAll(sim, serviceJob, arrayJob)
 				at(45 * time.Second)
-				z := leaderZoneOrOther(sim, leads)
-				sim.IsolateZone(z, true)
+				zone := leaderZoneOrOther(sim, leaderInside)
+				sim.IsolateZone(zone, true)
 				at(78 * time.Second)
-				mustRun(t, sim, s, "33 s after their zone was cut off")
-				if l := sim.Leader(); l < 0 || sim.Config(l).Zone == z {
+				mustRun(t, sim, serviceJob, "33 s after their zone was cut off")
+				if l := sim.Leader(); l < 0 || sim.Config(l).Zone == zone {
 					t.Errorf("the leader is %d", l)
 				}
-				sim.IsolateZone(z, false)
+				sim.IsolateZone(zone, false)
 				at(95 * time.Second)
-				mustRun(t, sim, s, "when the zone is back")
+				mustRun(t, sim, serviceJob, "when the zone is back")
 				mustRestartNoTask(t, sim)
 				at(200 * time.Second)
-				mustFinish(t, sim, a)
+				mustFinish(t, sim, arrayJob)
 			})
 		})
 	}
@@ -46,21 +46,21 @@
 // elsewhere while the cut lasts, never twice, wherever the leader was.
 func TestAnyZonePartitioned(t *testing.T) {
 	t.Parallel()
-	for _, c := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
-		t.Run(fmt.Sprintf("%s, leader in %s", c[0], c[1]), func(t *testing.T) {
+	for _, zones := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
+		t.Run(fmt.Sprintf("%s, leader in %s", zones[0], zones[1]), func(t *testing.T) {
 			t.Parallel()
 			runOnUnevenLayout(t, 50, func(sim *simulator.Simulation, at func(time.Duration)) {
-				a, b := array(1, 18, 40), array(2, 6, 20)
+				firstArray, laterArray := array(1, 18, 40), array(2, 6, 20)
 				at(2 * time.Second)
-				moveLeadershipTo(t, sim, c[1])
-				sim.Submit(a, 0)
+				moveLeadershipTo(t, sim, zones[1])
+				sim.Submit(firstArray, 0)
 				at(45 * time.Second)
-				sim.IsolateZone(c[0], true)
+				sim.IsolateZone(zones[0], true)
 				time.Sleep(8 * time.Second)
-				sim.Submit(b, 0)
+				sim.Submit(laterArray, 0)
 				time.Sleep(160 * time.Second)
-				mustFinish(t, sim, a, b)
-				sim.IsolateZone(c[0], false)
+				mustFinish(t, sim, firstArray, laterArray)
+				sim.IsolateZone(zones[0], false)
 				time.Sleep(60 * time.Second)
 			})
 		})
@@ -73,16 +73,16 @@
 // which zone the leader is, and leadership must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
 	t.Parallel()
-	for _, leader := range []wire.Zone{"a", "b"} {
-		t.Run("leader in "+string(leader), func(t *testing.T) {
+	for _, leaderZone := range []wire.Zone{"a", "b"} {
+		t.Run("leader in "+string(leaderZone), func(t *testing.T) {
 			t.Parallel()
 			runOnUnevenLayout(t, 51, func(sim *simulator.Simulation, at func(time.Duration)) {
-				a := array(1, 18, 70)
+				arrayJob := array(1, 18, 70)
 				at(2 * time.Second)
-				moveLeadershipTo(t, sim, leader)
-				sim.Submit(a, 0)
+				moveLeadershipTo(t, sim, leaderZone)
+				sim.Submit(arrayJob, 0)
 				at(60 * time.Second)
-				l := sim.Leader()
+				leader := sim.Leader()
 				sim.PartitionZones("a", "b", true)
 				time.Sleep(20 * time.Second)
 				for i := range 3 {
@@ -92,11 +92,11 @@
 				}
 				time.Sleep(16 * time.Second)
 				sim.PartitionZones("a", "b", false)
-				if sim.Leader() != l {
+				if sim.Leader() != leader {
 					t.Error("the leader changed")
 				}
 				time.Sleep(80 * time.Second)
-				mustFinish(t, sim, a)
+				mustFinish(t, sim, arrayJob)
 				mustRestartNoTask(t, sim)
 			})
 		})
@@ -108,28 +108,28 @@
 // the delegates there don't know. They must stop answering in time.
 func TestCancelInPartitionedZone(t *testing.T) {
 	t.Parallel()
-	for _, leads := range []bool{false, true} {
-		t.Run(fmt.Sprint("leader inside ", leads), func(t *testing.T) {
+	for _, leaderInside := range []bool{false, true} {
+		t.Run(fmt.Sprint("leader inside ", leaderInside), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, at func(time.Duration)) {
-				s, cancelledJob := service(1, 4), service(2, 6)
+				serviceJob, cancelledJob := service(1, 4), service(2, 6)
 				at(2 * time.Second)
-				sim.Submit(s, 0)
+				sim.Submit(serviceJob, 0)
 				sim.Submit(cancelledJob, 44*time.Second)
 				at(45 * time.Second)
-				z := leaderZoneOrOther(sim, leads)
+				zone := leaderZoneOrOther(sim, leaderInside)
 				sim.CloudOutage(true)
-				sim.IsolateZone(z, true)
+				sim.IsolateZone(zone, true)
 				at(115 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run behind the cut", n)
 					}
 				})
-				sim.IsolateZone(z, false)
+				sim.IsolateZone(zone, false)
 				sim.CloudOutage(false)
 				at(160 * time.Second)
-				mustRun(t, sim, s, "when all is over")
+				mustRun(t, sim, serviceJob, "when all is over")
 			})
 		})
 	}
@@ -141,53 +141,53 @@
 // cloud away nobody but those behind the cut can end what runs there.
 func TestSingleZoneJobsInPartitionedZone(t *testing.T) {
 	t.Parallel()
-	for _, inside := range []bool{false, true} {
-		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
+	for _, leaderInside := range []bool{false, true} {
+		t.Run(fmt.Sprintf("leader inside %v", leaderInside), func(t *testing.T) {
 			t.Parallel()
 			runOnUnevenLayout(t, 62, func(sim *simulator.Simulation, at func(time.Duration)) {
-				z := wire.Zone("b") // node 1
-				in := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = z; return j }
-				stays, same := in(array(1, 4, 120)), array(2, 3, 60)
-				same.Spec.SameZone = true
-				sameZone := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return in(j) }
-				before, early, late, unborn := sameZone(service(3, 2)), sameZone(service(4, 2)), sameZone(service(5, 2)), sameZone(service(6, 2))
-				free := array(7, 6, 30)
+				zone := wire.Zone("b") // node 1
+				inZone := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = zone; return j }
+				uncancelledArray, sameZoneArray := inZone(array(1, 4, 120)), array(2, 3, 60)
+				sameZoneArray.Spec.SameZone = true
+				withoutSpread := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return inZone(j) }
+				cancelledBefore, cancelledEarly, cancelledLate, submittedDuring := withoutSpread(service(3, 2)), withoutSpread(service(4, 2)), withoutSpread(service(5, 2)), withoutSpread(service(6, 2))
+				anyZoneArray := array(7, 6, 30)
 				at(2 * time.Second)
-				if moveLeadershipTo(t, sim, "a"); inside {
-					moveLeadershipTo(t, sim, z)
+				if moveLeadershipTo(t, sim, "a"); leaderInside {
+					moveLeadershipTo(t, sim, zone)
 				}
-				for _, j := range []simulator.JobScript{stays, same, before, early, late} {
+				for _, j := range []simulator.JobScript{uncancelledArray, sameZoneArray, cancelledBefore, cancelledEarly, cancelledLate} {
 					sim.Submit(j, 0)
 				}
 				time.Sleep(40 * time.Second)
-				sim.Submit(free, 0)
+				sim.Submit(anyZoneArray, 0)
 				time.Sleep(5 * time.Second)
-				cancelAtController(t, sim, 0, before)
-				cut := time.Now()
+				cancelAtController(t, sim, 0, cancelledBefore)
+				partitionedAt := time.Now()
 				sim.CloudOutage(true)
-				sim.IsolateZone(z, true)
+				sim.IsolateZone(zone, true)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(early.Spec.ID) != 2 || c.OnMachines(late.Spec.ID) != 2 || c.OnMachines(stays.Spec.ID) == 0 {
+					if c.OnMachines(cancelledEarly.Spec.ID) != 2 || c.OnMachines(cancelledLate.Spec.ID) != 2 || c.OnMachines(uncancelledArray.Spec.ID) == 0 {
 						t.Error("not all that should runs in the zone when it is cut off")
 					}
 				})
 				time.Sleep(3 * time.Second)
-				cancelAtController(t, sim, 0, early)
-				sim.Submit(unborn, 0)
+				cancelAtController(t, sim, 0, cancelledEarly)
+				sim.Submit(submittedDuring, 0)
 				time.Sleep(15 * time.Second)
-				cancelAtController(t, sim, 0, unborn)
-				confirmed := cancelAtController(t, sim, 0, late)
-				if time.Since(cut) > sim.Settings.Workers.Lease.Duration() || !confirmed.After(cut) {
-					t.Errorf("cancelled %v after the cut", confirmed.Sub(cut))
+				cancelAtController(t, sim, 0, submittedDuring)
+				confirmed := cancelAtController(t, sim, 0, cancelledLate)
+				if time.Since(partitionedAt) > sim.Settings.Workers.Lease.Duration() || !confirmed.After(partitionedAt) {
+					t.Errorf("cancelled %v after the cut", confirmed.Sub(partitionedAt))
 				}
 				time.Sleep(50 * time.Second)
-				if time.Since(cut) < sim.Settings.Workers.Lease.Duration()*2 {
+				if time.Since(partitionedAt) < sim.Settings.Workers.Lease.Duration()*2 {
 					t.Error("the cut was too short")
 				}
-				sim.IsolateZone(z, false)
+				sim.IsolateZone(zone, false)
 				time.Sleep(2 * time.Second)
 				sim.CloudOutage(false)
-				mustRecover(t, sim, 3, stays, same, free)
+				mustRecover(t, sim, 3, uncancelledArray, sameZoneArray, anyZoneArray)
 			})
 		})
 	}
@@ -199,56 +199,56 @@
 func TestDelegateRestartsAsPartitionHeals(t *testing.T) {
 	t.Parallel()
 	// With elected the leader is another one than before the cut.
-	for elected, cut := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
-		t.Run(fmt.Sprintf("cut for %v, another leader %v", cut, elected), func(t *testing.T) {
+	for leaderChanges, duration := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
+		t.Run(fmt.Sprintf("cut for %v, another leader %v", duration, leaderChanges), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(3), 68, func(sim *simulator.Simulation, at func(time.Duration)) {
-				a, s, room := array(1, 14, 120), service(2, 4), array(3, 6, 300)
-				room.Spec.Zone = "a"
+				arrayJob, serviceJob, fillerArray := array(1, 14, 120), service(2, 4), array(3, 6, 300)
+				fillerArray.Spec.Zone = "a"
 				at(2 * time.Second)
 				moveLeadershipTo(t, sim, "a")
-				submitAll(sim, a, s, room)
+				submitAll(sim, arrayJob, serviceJob, fillerArray)
 				time.Sleep(60 * time.Second)
-				l := sim.Leader()
+				leader := sim.Leader()
 				sim.IsolateZone("b", true)
 				sim.CloudOutage(true) // nothing is returned
-				if elected {
-					sim.KillController(l)
-					awaitOtherLeader(t, sim, l, 10*time.Second)
-					startControllers(t, sim, l)
+				if leaderChanges {
+					sim.KillController(leader)
+					awaitOtherLeader(t, sim, leader, 10*time.Second)
+					startControllers(t, sim, leader)
 				}
-				time.Sleep(cut - 300*time.Millisecond)
-				there := 0
-				sim.WithChecker(func(c *simulator.Checker) { there = c.TasksByZone(a.Spec.ID)["b"] })
-				if there == 0 {
+				time.Sleep(duration - 300*time.Millisecond)
+				tasksInside := 0
+				sim.WithChecker(func(c *simulator.Checker) { tasksInside = c.TasksByZone(arrayJob.Spec.ID)["b"] })
+				if tasksInside == 0 {
 					t.Error("nothing runs behind the cut")
 				}
-				cancelAtController(t, sim, sim.Leader(), room) // now there is room to start it elsewhere
+				cancelAtController(t, sim, sim.Leader(), fillerArray) // now there is room to start it elsewhere
 				sim.KillController(1)
 				time.Sleep(200 * time.Millisecond)
 				startControllers(t, sim, 1)
 				time.Sleep(100 * time.Millisecond)
 				// Machines take some seconds longer to be heard than controllers.
-				var cutOff []string
-				for _, id := range append(sim.MachinesRunning(a.Spec.ID), sim.MachinesRunning(s.Spec.ID)...) {
+				var machineIPs []string
+				for _, id := range append(sim.MachinesRunning(arrayJob.Spec.ID), sim.MachinesRunning(serviceJob.Spec.ID)...) {
 					if sim.MachineZone(id) == "b" {
-						cutOff = append(cutOff, sim.MachineIP(id))
+						machineIPs = append(machineIPs, sim.MachineIP(id))
 					}
 				}
-				hold := func(on bool) {
-					for _, ip := range cutOff {
+				cutMachines := func(on bool) {
+					for _, ip := range machineIPs {
 						for i := range 3 {
 							sim.Net.Cut(simulator.NodeIP(i), ip, on)
 						}
 					}
 				}
-				hold(true)
+				cutMachines(true)
 				sim.IsolateZone("b", false)
 				time.Sleep(2500 * time.Millisecond)
-				hold(false)
+				cutMachines(false)
 				time.Sleep(8 * time.Second)
 				sim.CloudOutage(false)
-				mustRecover(t, sim, 3, a, s)
+				mustRecover(t, sim, 3, arrayJob, serviceJob)
 			})
 		})
 	}
