--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -116,9 +116,9 @@
 	t.Parallel()
 	const chunks = 6
 	steps := map[string]func(g simulator.GangState, recorded int) bool{
-		"partly recorded":  func(g simulator.GangState, n int) bool { return n > 0 && n < chunks },
-		"recorded":       func(g simulator.GangState, n int) bool { return n == chunks && g.Fetching+g.Waiting+g.Running == 0 },
-		"first launched": func(g simulator.GangState, n int) bool { return g.Fetching+g.Waiting > 0 },
+		"partly recorded": func(g simulator.GangState, n int) bool { return n > 0 && n < chunks },
+		"recorded":        func(g simulator.GangState, n int) bool { return n == chunks && g.Fetching+g.Waiting+g.Running == 0 },
+		"first launched":  func(g simulator.GangState, n int) bool { return g.Fetching+g.Waiting > 0 },
 	}
 	for step, reached := range steps {
 		for _, downtime := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -11,8 +11,8 @@
 	"lilaclead/internal/wire"
 )
 
-// The answers of scale-in requests and scale-out requests are lost, machines vanish silently,
-// and the cloud's interface goes away.
+// The responses to scale-in and scale-out requests are lost, machines vanish without notice,
+// and the cloud's API is unavailable for a while.
 func TestCloudFaults(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 8, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -24,7 +24,7 @@
 		at(40 * time.Second)
 		sim.LoseScaleInAnswers(2)
 		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
-			t.Error("nothing to take")
+			t.Error("no busy machine was reclaimed, want some")
 		}
 		at(60 * time.Second)
 		sim.CloudOutage(true)
@@ -33,15 +33,15 @@
 		sim.CloudOutage(false)
 		at(220 * time.Second)
 		mustFinish(t, sim, arrayJob)
-		mustRun(t, sim, serviceJob, "run")
+		mustRun(t, sim, serviceJob, "at the end")
 		if n := sim.Machines(); n > 8 {
-			t.Errorf("%d machines are kept for three replicas", n)
+			t.Errorf("%d machines are kept for three replicas, want at most 8", n)
 		}
 	})
 }
 
-// A machine that fails everything is returned; a job that fails everywhere
-// condemns no machines.
+// A machine that fails every task must be returned. A job that fails on every machine must not
+// make the machines count as faulty.
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 9, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -52,7 +52,7 @@
 		at(25 * time.Second)
 		faultyMachine, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 		if !ok {
-			t.Fatal("no machine at work")
+			t.Fatal("no machine has a task")
 		}
 		sim.MakeFaulty(faultyMachine)
 		at(70 * time.Second)
@@ -61,7 +61,7 @@
 		machinesBefore := sim.ProvisionedSoFar()
 		at(150 * time.Second)
 		if n := sim.ProvisionedSoFar() - machinesBefore; n > 6 {
-			t.Errorf("a faulty job cost %d machines", n)
+			t.Errorf("%d machines provisioned for a job that always fails, want at most 6", n)
 		}
 		laterArray := array(3, 4, 10)
 		sim.Submit(laterArray, 0)
@@ -70,10 +70,10 @@
 	})
 }
 
-// A machine is back within a moment and counts from the start again. Its
-// reports must not be taken for late copies for ever: what it ran is started
-// elsewhere well before its lease or anybody's patience ends.
-func TestMachineRestartsAtOnce(t *testing.T) {
+// A machine restarts within a moment and numbers its heartbeats from the start again. They must
+// not be taken for delayed copies for ever: its tasks must be started elsewhere well before its
+// lease or any timeout ends.
+func TestQuickMachineRestartDetected(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 32, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 8, 60)
@@ -88,20 +88,19 @@
 		at(50 * time.Second)
 		for _, id := range machines {
 			if sim.MachineIP(id) != "" {
-				t.Errorf("%s was not noticed within 5 s", id)
+				t.Errorf("the restart of %s was not detected within 5 s", id)
 			}
 		}
 		at(75 * time.Second)
-		mustRun(t, sim, serviceJob, "after 30 s")
+		mustRun(t, sim, serviceJob, "30 s after the restarts")
 		at(200 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
 
-// Machines come up at once, take tasks before any list has them, and vanish when
-// the leader ends: the next one knows their names only, from the stored records, and no
-// list will ever say where they were. What is bound to one place must not wait
-// for that.
+// Machines boot quickly, get tasks before any list shows them, and vanish when the leader is
+// killed. The next leader knows only their names, from the stored records, and no list will ever
+// show their zones. Jobs that are bound to one zone must not wait for that.
 func TestMachinesNeverListedByCloud(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(1) {
@@ -117,7 +116,7 @@
 				submitAll(sim, sameZoneArray, sameZoneService)
 				for n := 0; len(sim.MachinesRunning(sameZoneArray.Spec.ID)) == 0 || len(sim.MachinesRunning(sameZoneService.Spec.ID)) == 0; n++ {
 					if n > 60 {
-						t.Fatalf("tasks on %v and %v", sim.MachinesRunning(sameZoneArray.Spec.ID), sim.MachinesRunning(sameZoneService.Spec.ID))
+						t.Fatalf("the array runs on %v and the service on %v, want both on some machine within 6 s", sim.MachinesRunning(sameZoneArray.Spec.ID), sim.MachinesRunning(sameZoneService.Spec.ID))
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
@@ -128,23 +127,23 @@
 				sim.SetUnlisted(false)
 				time.Sleep(5 * time.Second)
 				if newLeader := sim.Leader(); newLeader == leader || newLeader < 0 {
-					t.Fatalf("leader is %d, was %d", newLeader, leader)
+					t.Fatalf("leader is node %d, was node %d, want another", newLeader, leader)
 				}
 				mustHaveTaskInUnknownZone(t, sim)
 				startControllers(t, sim, leader)
 				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, sameZoneArray)
-				mustRun(t, sim, sameZoneService, "when all is over")
+				mustRun(t, sim, sameZoneService, "after all faults")
 				mustLeaveNoKeys(t, sim, sameZoneService)
 			})
 		})
 	}
 }
 
-// A scale-in request takes effect and is never answered, since the leader that asked for it
-// ends: tasks of a team at its limit were on that machine, some of them cancelled
-// meanwhile, and lists go on showing it for a while.
+// A scale-in request takes effect but is never answered, since the leader that sent it is killed.
+// Tasks of a team at its limit were on that machine, some of them were cancelled meanwhile, and
+// lists still show the machine for a while.
 func TestScaleInUnansweredAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(1) {
@@ -165,25 +164,25 @@
 					sim.PartitionMachine(id, true)
 				}
 				if !cancelWithin(t, sim, cancelledJob.Spec.ID, 2*time.Second) {
-					t.Fatal("not cancelled")
+					t.Fatal("the job was not cancelled within 2 s")
 				}
 				time.Sleep(3 * time.Second)
 				unreachableTasks := 0
 				sim.WithChecker(func(c *simulator.Checker) {
 					if unreachableTasks = c.OnMachines(cancelledJob.Spec.ID); unreachableTasks == 0 {
-						t.Error("nothing of the cancelled job runs where it can't be stopped")
+						t.Error("no task of the cancelled job is on the partitioned machine, want some")
 					}
 				})
 				for n := 0; slices.ContainsFunc(partitioned, func(id wire.MachineID) bool { return sim.MachineIP(id) != "" }); n++ {
 					if n > 100 {
-						t.Fatal("the machines were not released")
+						t.Fatal("the partitioned machine was not released within 10 s")
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				// They are gone, and the leader can't know: they count.
+				// The machine is gone, but the leader can't know: its tasks still count towards the limit.
 				sim.WithChecker(func(c *simulator.Checker) {
 					if n := c.OnMachines(waitingArray.Spec.ID); c.OnMachines(cancelledJob.Spec.ID) > 0 || n > 12-unreachableTasks {
-						t.Errorf("%d tasks of the next job run before the release of %d is answered", n, unreachableTasks)
+						t.Errorf("%d tasks of the waiting job run while %d unreachable tasks count towards the limit of 12", n, unreachableTasks)
 					}
 				})
 				replaceLeader(t, sim)
@@ -191,16 +190,16 @@
 				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, waitingArray)
-				mustRun(t, sim, serviceJob, "when all is over")
+				mustRun(t, sim, serviceJob, "after all faults")
 				mustLeaveNoKeys(t, sim, serviceJob)
 			})
 		})
 	}
 }
 
-// Most machines are gone at once and without a trace when the leader ends: to the
-// next it looks as if it were itself cut off from them, and it keeps them. It must
-// not do so for ever: they are in no list any more.
+// Most machines vanish at once and without notice when the leader is killed. To the next leader
+// it looks as if it were itself partitioned from them, so it keeps them. It must not do so for
+// ever: no list shows them any more.
 func TestMostMachinesLostAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(1) {
@@ -217,7 +216,7 @@
 				replicaMachines := sim.MachinesRunning(serviceJob.Spec.ID)
 				removed := slices.DeleteFunc(machines, func(id wire.MachineID) bool { return slices.Contains(replicaMachines, id) })
 				if len(removed) < 3 || len(removed) <= len(replicaMachines) {
-					t.Fatalf("%v hold replicas, %v don't", replicaMachines, removed)
+					t.Fatalf("machines %v hold replicas, %v don't: want at least 3 of the latter, and more than of the former", replicaMachines, removed)
 				}
 				leader := sim.Leader()
 				sim.KillController(leader)
@@ -230,22 +229,22 @@
 				_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
 				var view admin.View
 				if wire.Decode(raw, &view) != nil || view.Term == nil {
-					t.Fatal("no view")
+					t.Fatal("admin view of the leader: not readable or without a term")
 				}
 				for _, machine := range view.Term.Machines {
 					if sim.MachineIP(machine.Name) == "" {
-						t.Errorf("%s is gone and still kept, silent for %.0f s", machine.Name, machine.SecondsSinceMessage)
+						t.Errorf("machine %s is gone but still kept, silent for %.0f s", machine.Name, machine.SecondsSinceMessage)
 					}
 				}
-				mustRun(t, sim, serviceJob, "when all is over")
+				mustRun(t, sim, serviceJob, "after all faults")
 			})
 		})
 	}
 }
 
-// All spot machines are taken at once while an array that may use them is half
-// done, the cloud has no more of them for good, and the leader changes. The rest
-// of the array must run on ordinary machines in the end, whatever they cost.
+// All spot machines are reclaimed at once while an array that may use them is partly done. The
+// cloud has no more of them from then on, and the leader changes. The rest of the array must
+// run on ordinary machines in the end, whatever they cost.
 func TestSpotCapacityLostDuringArray(t *testing.T) {
 	t.Parallel()
 	for _, zone := range []wire.Zone{"", "a"} {
@@ -265,12 +264,12 @@
 				}
 				sim.SetSpotSoldOut(true)
 				if sim.ReclaimMachines(100, func(spot bool, _ int) bool { return spot }) == 0 {
-					t.Error("no spot machine to take")
+					t.Error("no spot machine was reclaimed, want some")
 				}
 				replaceLeader(t, sim)
 				markFaultsOver(sim)
 				if doneTasks == arrayJob.Spec.Tasks {
-					t.Error("the array was done already")
+					t.Error("the array completed before the spot machines were reclaimed")
 				}
 				for n := 0; n < 400 && sim.State.Keys("job/") != nil; n++ {
 					time.Sleep(time.Second)
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Two faults drawn at random overlap, three times in each run. SCENARIO_SEEDS asks for more of them.
+// Two random faults overlap, three times in each run. SCENARIO_SEEDS asks for more seeds.
 func TestRandomFaultPairs(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(2) {
@@ -38,9 +38,9 @@
 					id, ip, _ = sim.FirstMachine(func(n int) bool { return n > 0 })
 					return id, ip
 				}
-				// Each begins a fault and returns what ends it.
+				// Each function begins a fault and returns the function that ends it.
 				faults := []func() func(){
-					func() func() { // a node ends, and is back at once or later
+					func() func() { // a controller is killed until the fault ends
 						controller := rng.IntN(3)
 						if leader := sim.Leader(); leader >= 0 && rng.IntN(2) == 0 {
 							controller = leader
@@ -48,23 +48,23 @@
 						sim.KillController(controller)
 						return func() { startControllers(t, sim, controller) }
 					},
-					func() func() { // all end
+					func() func() { // all controllers are killed
 						killAll(sim)
 						return func() { startControllers(t, sim, 0, 1, 2) }
 					},
-					func() func() { // the leader is back at once
+					func() func() { // the leader is killed and soon restarted
 						leader := (sim.Leader() + 3) % 3
 						sim.KillController(leader)
 						time.Sleep(time.Duration(50+rng.IntN(900)) * time.Millisecond)
 						startControllers(t, sim, leader)
 						return func() {}
 					},
-					func() func() { // the key-value store refuses one node
+					func() func() { // the key-value store refuses one controller
 						controller := (sim.Leader() + 3 + rng.IntN(2)) % 3
 						sim.State.RefuseClient(simulator.NodeIP(controller), true)
 						return func() { sim.State.RefuseClient(simulator.NodeIP(controller), false) }
 					},
-					func() func() { // the leader is cut from key-value store and peers
+					func() func() { // the leader reaches neither the key-value store nor its peers
 						leader, mode := (sim.Leader()+3)%3, simulator.CutModes[rng.IntN(3)]
 						sim.IsolateController(leader, mode, true)
 						return func() { sim.IsolateController(leader, mode, false) }
@@ -75,7 +75,7 @@
 						sim.IsolateZone(zone, true)
 						return func() { sim.IsolateZone(zone, false) }
 					},
-					func() func() { // nothing reaches a machine
+					func() func() { // a machine receives nothing
 						_, ip := busyMachine()
 						sim.Net.BlockInbound(ip, true)
 						return func() { sim.Net.BlockInbound(ip, false) }
@@ -83,12 +83,12 @@
 					func() func() { sim.ReclaimMachines(2, func(_ bool, n int) bool { return n > 0 }); return func() {} },
 					func() func() { sim.CloudOutage(true); return func() { sim.CloudOutage(false) } },
 					func() func() { sim.State.LoseAnswers(1 + rng.IntN(4)); return func() {} },
-					func() func() { // late copies
+					func() func() { // delayed copies of a heartbeat arrive
 						id, _ := busyMachine()
 						sim.ResendLastHeartbeat(id, randomSeconds(10), randomSeconds(20), randomSeconds(40))
 						return func() {}
 					},
-					func() func() { // a burst, half of it cancelled
+					func() func() { // a burst of jobs that are soon cancelled
 						for range 4 {
 							jobNumber++
 							job := array(jobNumber, 2, 100)
@@ -108,7 +108,7 @@
 					secondFault := (firstFault + 1 + rng.IntN(len(faults)-1)) % len(faults)
 					endFirst := faults[firstFault]()
 					submit()
-					time.Sleep(randomSeconds(1 + 9*rng.IntN(2))) // sometimes close, sometimes seconds apart
+					time.Sleep(randomSeconds(1 + 9*rng.IntN(2))) // the faults begin close together or seconds apart
 					endSecond := faults[secondFault]()
 					submit()
 					time.Sleep(randomSeconds(1 + 29*rng.IntN(2)))
@@ -126,8 +126,8 @@
 	}
 }
 
-// Two or three faults drawn at random at a time, with teams at their limits,
-// bound jobs and cancellations; when they are over nothing may wait any more.
+// Two or three random faults at a time, with teams at their limits, jobs bound to one zone and
+// cancellations. Once all faults are over, no job may be left waiting.
 func TestRandomFaultsLeaveNothingWaiting(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(2) {
@@ -180,7 +180,7 @@
 						machines, zone := randomMachines(), randomZone()
 						kind := rng.IntN(9)
 						if n == 0 {
-							kind %= 6 // one that lasts, for the others to meet
+							kind %= 6 // a fault that lasts, so that the others overlap it
 						}
 						switch kind {
 						case 0:
@@ -240,11 +240,11 @@
 				}
 				markFaultsOver(sim)
 				if overlaps < 3 {
-					t.Errorf("only %d faults fell into another one", overlaps)
+					t.Errorf("%d faults overlapped an earlier one, want at least 3", overlaps)
 				}
 				mustLeaveNothingWaiting(t, sim, 200*time.Second)
-				mustRun(t, sim, serviceJob, "when all is over")
-				mustRun(t, sim, sameZoneService, "of the one in one place when all is over")
+				mustRun(t, sim, serviceJob, "after all faults")
+				mustRun(t, sim, sameZoneService, "of the single-zone service after all faults")
 				mustLeaveNoKeys(t, sim, serviceJob, sameZoneService)
 			})
 		})
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -10,7 +10,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Faults drawn at random, one at a time, with jobs all the while.
+// Random faults, one at a time, while jobs are submitted.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(100); seed < 108; seed++ {
@@ -74,9 +74,9 @@
 	}
 }
 
-// Random partitions of a zone, from seconds to well over a lease and the time for
-// cancellations, with the cloud or the key-value store away, leaders that end and
-// jobs that are cancelled meanwhile. SCENARIO_SEEDS asks for more of them.
+// A random zone is partitioned, for seconds to well over a lease and cancel_s. Meanwhile the
+// cloud or the key-value store may be unavailable, leaders are killed and jobs are cancelled.
+// SCENARIO_SEEDS asks for more seeds.
 func TestRandomZonePartitions(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(6) {
@@ -119,15 +119,15 @@
 				}
 				time.Sleep(150 * time.Second)
 				mustFinish(t, sim, uncancelled...)
-				mustRun(t, sim, serviceJob, "when all is over")
+				mustRun(t, sim, serviceJob, "after all faults")
 			})
 		})
 	}
 }
 
-// Random faults on this layout: any zone cut off, or any two from each other, for seconds
-// to well over a lease and the time for cancellations, with controllers that
-// end, one or all, and the cloud or the key-value store away meanwhile.
+// Random faults on a layout with a zone without controllers. One zone is partitioned, or two
+// zones from each other, for seconds to well over a lease and cancel_s. Meanwhile one or all
+// controllers may be killed, and the cloud or the key-value store may be unavailable.
 func TestRandomFaultsOnUnevenLayout(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(6) {
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -8,8 +8,8 @@
 	"lilaclead/internal/simulator"
 )
 
-// A state outage longer than a worker's lease loses no task while a majority
-// of nodes is linked.
+// An outage of the key-value store that is longer than a worker's lease must lose no task while
+// a majority of the controllers is connected.
 func TestServiceSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 3, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -21,21 +21,21 @@
 		at(48 * time.Second)
 		status, _, header := sim.Ask(0, "POST", "/v1/jobs", simulator.Submission(array(9, 1, 1).Spec))
 		if status != 503 || header.Get("Retry-After") == "" {
-			t.Errorf("submission in an outage answered %d, Retry-After %q", status, header.Get("Retry-After"))
+			t.Errorf("submission during an outage answered %d with Retry-After %q, want 503 with a Retry-After", status, header.Get("Retry-After"))
 		}
 		if status, _, _ := sim.Ask(0, "GET", "/ready", nil); status != 200 {
-			t.Errorf("in an outage that all share /ready answers %d", status)
+			t.Errorf("/ready answers %d during an outage for all controllers, want 200", status)
 		}
 		at(75 * time.Second) // 35 s against a lease of 16 s
 		sim.State.Outage(false)
 		at(140 * time.Second)
 		mustFinish(t, sim, arrayJob)
-		mustRun(t, sim, serviceJob, "run")
+		mustRun(t, sim, serviceJob, "at the end")
 		mustRestartNoTask(t, sim)
 	})
 }
 
-// The leader ends in the middle of an outage.
+// The leader is killed and restarted during an outage of the key-value store.
 func TestLeaderRestartsDuringOutage(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 19, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -53,12 +53,12 @@
 		sim.State.Outage(false)
 		at(180 * time.Second)
 		mustFinish(t, sim, arrayJob)
-		mustRun(t, sim, serviceJob, "run")
+		mustRun(t, sim, serviceJob, "at the end")
 	})
 }
 
-// The leader ends in an outage of the key-value store that outlasts a lease. The
-// others renew leases as its delegates; before, every replica was lost.
+// The leader is killed during an outage of the key-value store that lasts longer than a lease.
+// The other controllers must renew leases as its delegates: without this, every replica is lost.
 func TestLeaderRestartsDuringLongOutage(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsOfSize(5), 39, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -83,8 +83,8 @@
 	})
 }
 
-// A user's connection is at a node that the key-value store refuses while it
-// serves others: the node says so at once and leaves the load balancer's set.
+// A user polls a controller that the key-value store refuses while it serves the others. The
+// controller must answer 503 at once, and its /ready must take it out of the load balancer.
 func TestPollAtControllerRefusedByStore(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 34, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
@@ -98,10 +98,10 @@
 		begin := time.Now()
 		status, _, header := sim.Ask(controller, "GET", "/v1/jobs/req-000001", nil)
 		if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1" || time.Since(begin) > time.Second {
-			t.Errorf("poll answered %d, %v, after %v", status, header, time.Since(begin))
+			t.Errorf("poll answered %d, header %v, after %v, want 503 with Retry-After 1 within 1 s", status, header, time.Since(begin))
 		}
 		if status, _, _ := sim.Ask(controller, "GET", "/ready", nil); status != 503 {
-			t.Errorf("/ready answers %d", status)
+			t.Errorf("/ready answers %d, want 503", status)
 		}
 		at(40 * time.Second)
 		sim.State.RefuseClient(simulator.NodeIP(controller), false)
@@ -111,8 +111,8 @@
 	})
 }
 
-// A leader that only the key-value store refuses gives way, and its late
-// commands, held up for minutes, start nothing twice.
+// The key-value store refuses only the leader, which must give up its leadership. Its commands
+// to one worker are held up until after that and must not start a task twice.
 func TestStoreRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 4, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -123,19 +123,19 @@
 		leader := sim.Leader()
 		_, machineIP, ok := sim.FirstMachine(func(int) bool { return true })
 		if !ok {
-			t.Fatal("no machine")
+			t.Fatal("no machine is up")
 		}
-		// Commands from the leader to one worker hang from now on.
+		// Commands from the leader to one worker are held up from now on.
 		sim.Net.Hold(simulator.NodeIP(leader), machineIP, true)
 		sim.Submit(secondArray, 0)
 		at(27 * time.Second)
 		sim.State.RefuseClient(simulator.NodeIP(leader), true)
 		at(60 * time.Second)
 		if newLeader := sim.Leader(); newLeader == leader || newLeader < 0 {
-			t.Errorf("leader is %d, was %d", newLeader, leader)
+			t.Errorf("leader is node %d, was node %d, want another", newLeader, leader)
 		}
 		if status, _, _ := sim.Ask(leader, "GET", "/ready", nil); status != 503 {
-			t.Errorf("/ready of the refused node answers %d while others serve", status)
+			t.Errorf("/ready of the refused controller answers %d while others serve, want 503", status)
 		}
 		sim.State.RefuseClient(simulator.NodeIP(leader), false)
 		at(90 * time.Second)
@@ -145,16 +145,16 @@
 	})
 }
 
-// The key-value store goes out in the middle of an election, for longer than the
-// time for cancellations: the new leader is elected, and has not read what
-// was cancelled while nobody led. It must not keep alive what it knows nothing of.
+// The key-value store becomes unavailable right after an election, for longer than cancel_s. The
+// new leader has not read yet which job was cancelled while there was no leader. It must not
+// renew the leases of tasks that it knows nothing of.
 func TestOutageDuringElectionAfterCancel(t *testing.T) {
 	t.Parallel()
 	for _, variant := range []struct {
-		name string
-		run  scenarioRunner
-		back bool // the last leader is back at once and is elected again
-	}{{"another leads", runScenario, false}, {"the same one is back", runOnUnevenLayout, true}} {
+		name           string
+		run            scenarioRunner
+		restartsAtOnce bool // the killed leader restarts at once and is elected again
+	}{{"another controller is elected", runScenario, false}, {"the old leader is elected again", runOnUnevenLayout, true}} {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
 			variant.run(t, 69, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -167,15 +167,15 @@
 				leader, oldRevision := sim.Leader(), sim.LeaderKeyRevision()
 				sim.KillController(leader)
 				confirmed := cancelAtController(t, sim, (leader+1)%3, cancelledJob)
-				if variant.back {
+				if variant.restartsAtOnce {
 					startControllers(t, sim, leader)
 				}
-				waitUntil(t, 10*time.Second, "an election", func() bool { return sim.LeaderKeyRevision() > oldRevision })
+				waitUntil(t, 10*time.Second, "a new leader key", func() bool { return sim.LeaderKeyRevision() > oldRevision })
 				sim.State.Outage(true)
-				if newLeader := sim.Leader(); newLeader < 0 || (newLeader == leader) != variant.back {
-					t.Errorf("node %d leads", newLeader)
+				if newLeader := sim.Leader(); newLeader < 0 || (newLeader == leader) != variant.restartsAtOnce {
+					t.Errorf("node %d leads, want the killed leader only if it restarted at once", newLeader)
 				}
-				if !variant.back {
+				if !variant.restartsAtOnce {
 					startControllers(t, sim, leader)
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
@@ -186,7 +186,7 @@
 				time.Sleep(time.Until(confirmed.Add(sim.Settings.Workers.CancelTimeout.Duration() + 10*time.Second)))
 				sim.WithChecker(func(c *simulator.Checker) {
 					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
-						t.Errorf("%d tasks of the cancelled job", n)
+						t.Errorf("%d tasks of the cancelled job on machines 10 s after cancel_s, want 0", n)
 					}
 				})
 				sim.State.Outage(false)
@@ -196,10 +196,10 @@
 	}
 }
 
-// A job is cancelled, and before its tasks are halted the key-value store goes
-// away for longer than the time for cancellations, while a majority of the nodes
-// goes on answering reports: the machines hang just then, or the next leader has
-// not yet read what is stored. The tasks must be gone in time all the same.
+// A job is cancelled. Before its tasks are stopped, the key-value store becomes unavailable for
+// longer than cancel_s, while a majority of the controllers keeps answering heartbeats. The
+// machines hang or receive nothing at that moment, or the next leader has not read the stored
+// records yet. The tasks must still be gone in time.
 func TestCancelJustBeforeOutage(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"hang", "no inbound", "not recovered"} {
@@ -218,9 +218,9 @@
 				case "no inbound":
 					sim.BlockInbound(true, machines...)
 				default:
-					// It reads of no change any more, and goes on answering reports
-					// until its grant ends. What the others tell it of it can't
-					// stop: the machines hang as well.
+					// The leader reads no more changes and answers heartbeats until its grant
+					// ends. The machines hang too, so that it can't stop the tasks when another
+					// controller tells it of the cancellation.
 					sim.State.RefuseClient(simulator.NodeIP(leader), true)
 					sim.HangMachines(true, machines...)
 					time.Sleep(2 * time.Second)
@@ -236,7 +236,7 @@
 					sim.State.Outage(true)
 					time.Sleep(time.Second)
 					if hasRecovered(sim, newLeader) {
-						t.Error("the new leader has read what is stored")
+						t.Error("the new leader has read the stored records before the outage")
 					}
 				} else {
 					time.Sleep(300 * time.Millisecond)
@@ -244,12 +244,12 @@
 				}
 				time.Sleep(4 * time.Second)
 				if tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 {
-					t.Error("no cancelled task runs when the state service is away")
+					t.Error("no cancelled task runs during the outage, want some")
 				}
 				sim.HangMachines(false, machines...)
 				sim.BlockInbound(false, machines...)
 				time.Sleep(sim.Settings.Workers.CancelTimeout.Duration() + 5*time.Second)
-				mustBeGone(t, sim, cancelledJob, "although their time is up")
+				mustBeGone(t, sim, cancelledJob, "5 s after cancel_s")
 				for i := range sim.Settings.Size {
 					sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 0)
 				}
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -9,12 +9,11 @@
 	"lilaclead/internal/wire"
 )
 
-// Every team is at its limit and has more that waits, when the machines at work
-// are lost to sight, all that runs is cancelled meanwhile, and the leader changes:
-// before the cancellation, so that it falls into the spell without one, or
-// after. What may still run there counts: nothing that waits may start on top of
-// it. And once it is known to be gone the rest runs, even if the machines never
-// come back.
+// Every team is at its limit and has more tasks waiting when the busy machines become
+// unreachable. All running jobs are cancelled meanwhile, and the leader changes: after the
+// cancellation, or before, so that there is no leader when the jobs are cancelled. Tasks that
+// may still run there count towards the limit: no waiting task may start on top of them. Once
+// they are known to be gone, the waiting tasks must run, even if the machines never come back.
 func TestTeamLimitsCountUnreachableCancelledTasks(t *testing.T) {
 	t.Parallel()
 	faults := map[string]func(sim *simulator.Simulation, id wire.MachineID, on bool){
@@ -25,11 +24,11 @@
 		},
 	}
 	for _, variant := range []struct {
-		fault  string
-		before bool          // the leader ends before the cancellation
-		half   bool          // of the machines only
-		cloud  bool          // is away too
-		lasts  time.Duration // the fault; less than a lease, or more than all
+		fault           string
+		leaderEndsFirst bool          // before the cancellation
+		halfOfMachines  bool          // only half of the machines are unreachable
+		cloudDown       bool          // during the fault
+		duration        time.Duration // of the fault: from below a lease to above any timeout
 	}{
 		{"cut", true, false, false, 12 * time.Second},
 		{"cut", false, true, true, 75 * time.Second},
@@ -38,7 +37,7 @@
 		{"no inbound", true, false, true, 75 * time.Second},
 	} {
 		for seed := range seedCount(1) {
-			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", variant.fault, variant.before, variant.half, variant.cloud, variant.lasts, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", variant.fault, variant.leaderEndsFirst, variant.halfOfMachines, variant.cloudDown, variant.duration, seed), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					cancelledJob, cancelledService := array(1, 12, 400), service(2, 16)
@@ -52,7 +51,7 @@
 					mustUseCPUs(t, sim, "blue", 16)
 					var hitMachines []wire.MachineID
 					for i, id := range append(sim.MachinesRunning(cancelledJob.Spec.ID), sim.MachinesRunning(cancelledService.Spec.ID)...) {
-						if !variant.half || i%2 == 0 {
+						if !variant.halfOfMachines || i%2 == 0 {
 							hitMachines = append(hitMachines, id)
 						}
 					}
@@ -60,60 +59,60 @@
 						for _, id := range hitMachines {
 							faults[variant.fault](sim, id, on)
 						}
-						if variant.cloud {
+						if variant.cloudDown {
 							sim.CloudOutage(on)
 						}
 					}
 					setFault(true)
 					begin := time.Now()
 					leader := sim.Leader()
-					if variant.before {
+					if variant.leaderEndsFirst {
 						sim.KillController(leader)
 						time.Sleep(300 * time.Millisecond)
 					}
 					for _, j := range []simulator.JobScript{cancelledJob, cancelledService} {
 						if !cancelWithin(t, sim, j.Spec.ID, 3*time.Second) {
-							t.Fatalf("%s was not cancelled while the fault was on", j.Spec.ID)
+							t.Fatalf("%s was not cancelled within 3 s during the fault", j.Spec.ID)
 						}
 						sim.WithChecker(func(c *simulator.Checker) {
 							if c.OnMachines(j.Spec.ID) == 0 {
-								t.Errorf("nothing of %s runs when it is cancelled", j.Spec.ID)
+								t.Errorf("no task of %s runs when it is cancelled, want some", j.Spec.ID)
 							}
 						})
 					}
-					if !variant.before {
+					if !variant.leaderEndsFirst {
 						time.Sleep(time.Second)
 						sim.WithChecker(func(c *simulator.Checker) {
 							if c.OnMachines(cancelledJob.Spec.ID) == 0 || c.OnMachines(cancelledService.Spec.ID) == 0 {
-								t.Error("nothing runs behind the fault when the leader ends")
+								t.Error("no cancelled task runs on the unreachable machines when the leader is killed, want some of each job")
 							}
 						})
 						replaceLeader(t, sim)
 					} else {
 						if newLeader := sim.Leader(); newLeader >= 0 && newLeader != leader {
-							t.Errorf("node %d leads already when all is cancelled", newLeader)
+							t.Errorf("node %d leads before both jobs are cancelled, want no new leader yet", newLeader)
 						}
 						awaitSuccessor(t, sim, leader)
 					}
-					if variant.lasts > 60*time.Second {
-						time.Sleep(time.Until(begin.Add(variant.lasts)))
+					if variant.duration > 60*time.Second {
+						time.Sleep(time.Until(begin.Add(variant.duration)))
 						sim.WithChecker(func(c *simulator.Checker) {
 							if c.OnMachines(cancelledJob.Spec.ID) != 0 || c.OnMachines(cancelledService.Spec.ID) != 0 {
-								t.Error("cancelled tasks outlive their time")
+								t.Error("cancelled tasks still run when the fault has outlasted any timeout")
 							}
 						})
-						if !variant.cloud { // else there may be no room
+						if !variant.cloudDown { // without the cloud there may be no capacity
 							mustFinish(t, sim, nextArray)
-							mustRun(t, sim, nextService, "while the machines are still lost")
+							mustRun(t, sim, nextService, "while the machines are still unreachable")
 						}
 					} else {
-						time.Sleep(time.Until(begin.Add(variant.lasts)))
+						time.Sleep(time.Until(begin.Add(variant.duration)))
 					}
 					setFault(false)
 					markFaultsOver(sim)
 					time.Sleep(75 * time.Second)
 					mustFinish(t, sim, nextArray)
-					mustRun(t, sim, nextService, "when all is over")
+					mustRun(t, sim, nextService, "after all faults")
 					mustUseCPUs(t, sim, "blue", 16)
 				})
 			})
@@ -121,10 +120,9 @@
 	}
 }
 
-// A team is two processors short of its limit when ten urgent tasks of it come one
-// by one over slow links, and all room is taken by others' work. Only one of them
-// can run at a time, so room is made for one at a time: what was stopped for those
-// that the limit keeps back was stopped for nothing.
+// A team is two CPUs below its limit when it submits ten urgent tasks. Links are slow, and
+// another team's work takes all capacity. The limit lets only one urgent task run at a time, so
+// tasks must be preempted for one at a time: a preemption for the others is of no use.
 func TestPreemptionWithinTeamLimit(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(1) {
@@ -154,24 +152,24 @@
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
 					if c.Waiting(lowPriorityArray.Spec.ID) == 0 {
-						t.Error("there is no more work than room")
+						t.Error("no task of the low-priority array waits, want more work than capacity")
 					}
 				})
 				at(170 * time.Second)
 				mustFinish(t, sim, urgent...)
 				if n := preemptionCount(t, sim); n < 1 || n > 2 {
-					t.Errorf("%.0f tasks were stopped for ten that run one by one", n)
+					t.Errorf("%.0f tasks preempted for ten that run one by one, want 1 or 2", n)
 				}
 			})
 		})
 	}
 }
 
-// There is more work than room, and nothing more to rent, when the links to all
-// machines become slow, so that stops and launches take seconds, or are never
-// answered in time though they are executed. Urgent arrays and replicas come and
-// must get room soon, by stopping what is of less priority; what is stopped for
-// them must not be stopped over and over; and at the end all is done.
+// There is more work than capacity and no machine left to provision when the links to all
+// machines become slow. Stop and launch commands then take seconds, or time out although they
+// are executed. Urgent arrays and replicas that are submitted must get capacity soon, by
+// preempting lower priorities. The preempted tasks must not be preempted over and over, and in
+// the end all jobs must finish.
 func TestPreemptionOverSlowLinks(t *testing.T) {
 	t.Parallel()
 	for _, linkDelay := range []time.Duration{700 * time.Millisecond, 1300 * time.Millisecond} {
@@ -187,7 +185,7 @@
 						return j
 					}
 					lowPriorityArray := newArray(1, 200, 40, wire.PriorityBestEffort, "blue")
-					lowPriorityArray.Spec.SpotAllowed = false // where replicas may go too
+					lowPriorityArray.Spec.SpotAllowed = false // so that it runs where replicas may run too
 					standardArray := newArray(2, 24, 20, wire.PriorityStandard, "red")
 					urgent := []simulator.JobScript{newArray(3, 6, 15, wire.PriorityUrgent, "red"), newArray(4, 5, 15, wire.PriorityUrgent, "blue"), newArray(5, 12, 10, wire.PriorityUrgent, "red")}
 					urgent[1].Spec.CPUs, urgent[1].Spec.MemoryGB = 4, 8
@@ -209,7 +207,7 @@
 					sim.Submit(serviceJob, 0)
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.Waiting(lowPriorityArray.Spec.ID) == 0 || c.Waiting(standardArray.Spec.ID) == 0 || c.OnMachines(lowPriorityArray.Spec.ID) == 0 {
-							t.Errorf("there is no more work than room: %d and %d wait, %d on", c.Waiting(lowPriorityArray.Spec.ID), c.Waiting(standardArray.Spec.ID), c.OnMachines(lowPriorityArray.Spec.ID))
+							t.Errorf("%d low-priority and %d standard tasks wait, %d low-priority tasks on machines, want some of each", c.Waiting(lowPriorityArray.Spec.ID), c.Waiting(standardArray.Spec.ID), c.OnMachines(lowPriorityArray.Spec.ID))
 						}
 					})
 					at(75 * time.Second)
@@ -219,7 +217,7 @@
 					mustFinish(t, sim, urgent...)
 					sim.WithChecker(func(c *simulator.Checker) {
 						if n := c.Restarts(); n == 0 || n > 40 {
-							t.Errorf("%d tasks were stopped and started again", n)
+							t.Errorf("%d tasks restarted, want 1 to 40", n)
 						}
 					})
 					at(180 * time.Second)
@@ -229,16 +227,16 @@
 					markFaultsOver(sim)
 					at(300 * time.Second)
 					mustFinish(t, sim, append(urgent, lowPriorityArray, standardArray)...)
-					mustRun(t, sim, serviceJob, "when all is over")
+					mustRun(t, sim, serviceJob, "after all faults")
 				})
 			})
 		}
 	}
 }
 
-// The cloud has no more machines, and what is free is kept for the next replicas
-// of a service: an array that fits there must not wait for ever.
-func TestReservedRoomIsGivenUp(t *testing.T) {
+// With the cloud sold out, free capacity is reserved for the next replicas of a service. An
+// array that fits into it must not wait for ever.
+func TestArrayUsesReservedCapacity(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 60, func(sim *simulator.Simulation, at func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 2, 10)
@@ -248,7 +246,7 @@
 		sim.SellOutEverything()
 		sim.Submit(arrayJob, 0)
 		at(220 * time.Second)
-		mustRun(t, sim, serviceJob, "beside an array")
+		mustRun(t, sim, serviceJob, "beside the array")
 		mustFinish(t, sim, arrayJob)
 	})
 }
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -9,7 +9,8 @@
 	"lilaclead/internal/store"
 )
 
-// Transactions whose answers are lost are looked up, not guessed.
+// When the response to a transaction is lost, its outcome must be read from the store and not
+// be guessed.
 func TestStoreAnswersLost(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 7, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -26,20 +27,20 @@
 	})
 }
 
-// Transactions are carried out at once and only their answers are lost, while all
-// nodes are asked about what they wrote and the same user repeats himself at node
-// after node: acceptances, cancellations, launches, the leader's key, and what
-// replaces a job that is over.
+// The key-value store executes transactions at once but their responses are lost. Meanwhile
+// users poll all controllers about what was written, and repeat their request at one controller
+// after the other. The transactions are acceptances, cancellations, launches, writes of the
+// leader key and final records, which replace the records of finished jobs.
 func TestTransactionAnswersLostDuringReads(t *testing.T) {
 	t.Parallel()
-	for i, kind := range []string{"acceptance", "cancellation", "launch", "leader key", "end", "all"} {
-		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.ProgressPrefix, "leader key": store.LeaderKey, "end": "past/"}[kind]
+	for i, kind := range []string{"acceptance", "cancellation", "launch", "leader key", "final record", "all"} {
+		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.ProgressPrefix, "leader key": store.LeaderKey, "final record": "past/"}[kind]
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				firstArray, laterArray, cancelledJob, serviceJob := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
-				if kind == "all" { // the first of each for sure, then half of all
+				if kind == "all" { // the first of each kind, then half of all transactions
 					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.ProgressPrefix, Most: 1}, {Share: 0.5}}
 				}
 				var begin, end time.Time
@@ -72,7 +73,7 @@
 				if kind == "leader key" || kind == "all" {
 					leader := sim.Leader()
 					if leader < 0 {
-						t.Fatal("nobody leads")
+						t.Fatal("no controller leads")
 					}
 					sim.KillController(leader)
 					time.Sleep(8 * time.Second)
@@ -88,37 +89,37 @@
 				laterReader.stopReading()
 				cancelledReader.stopReading()
 				mustFinish(t, sim, firstArray, laterArray)
-				mustRun(t, sim, serviceJob, "afterwards")
+				mustRun(t, sim, serviceJob, "after the faults")
 
-				// Both faults met: an answer was lost for what was carried out, and
-				// others told of it, or went on with it, while that went on.
+				// The test has tested something only if responses of executed transactions were
+				// lost and users read of these transactions before the faults ended.
 				executed := faultedTransactions(sim, prefix, wasExecuted)
 				if len(executed) == 0 {
-					t.Fatal("no transaction was carried out without an answer")
+					t.Fatal("no executed transaction lost its response, want some")
 				}
 				during := func(what string, when time.Time) {
 					if when.Before(executed[0].Done) || when.After(end) || when.IsZero() {
-						t.Errorf("%s %v after the trouble's begin, not between its first loss, after %v, and its end, after %v", what, when.Sub(begin), executed[0].Done.Sub(begin), end.Sub(begin))
+						t.Errorf("%s %v after the faults began, want between the first lost response, after %v, and their end, after %v", what, when.Sub(begin), executed[0].Done.Sub(begin), end.Sub(begin))
 					}
 				}
 				switch kind {
 				case "acceptance":
 					during("accepted", accepted)
-					during("first read", firstReader.firstSeen(simulator.ToldAccepted))
+					during("first read as accepted", firstReader.firstSeen(simulator.ToldAccepted))
 				case "cancellation":
 					during("cancelled", cancelled)
-					during("first read", cancelledReader.firstSeen(simulator.ToldFinal))
-				case "launch", "end":
-					during("first read to be over", firstReader.firstSeen(simulator.ToldFinal))
+					during("first read as cancelled", cancelledReader.firstSeen(simulator.ToldFinal))
+				case "launch", "final record":
+					during("first read as done", firstReader.firstSeen(simulator.ToldFinal))
 				case "leader key":
 					if leader := sim.Leader(); leader < 0 || !slices.ContainsFunc(executed, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(leader) }) {
-						t.Errorf("node %d leads by a key whose writing was answered", leader)
+						t.Errorf("node %d leads, want one whose write of the leader key lost its response", leader)
 					}
-					during("the next leader's first job was over", laterReader.firstSeen(simulator.ToldFinal))
+					during("next leader's first job first read as done", laterReader.firstSeen(simulator.ToldFinal))
 				case "all":
 					for _, recordPrefix := range []string{store.ProgressPrefix, store.JobPrefix} {
 						if len(faultedTransactions(sim, recordPrefix, wasExecuted)) == 0 {
-							t.Errorf("nothing of %s was hit", recordPrefix)
+							t.Errorf("no executed transaction under %s lost its response, want some", recordPrefix)
 						}
 					}
 				}
@@ -127,9 +128,9 @@
 	}
 }
 
-// Of all that all nodes write a share is carried out late, and of the rest the
-// answers of a share are lost, while users submit, cancel and ask, machines are
-// taken and the leader ends.
+// A share of all controllers' transactions is executed late, and a share of the others loses its
+// response. Meanwhile users submit, cancel and poll jobs, a machine is reclaimed and the leader
+// is killed.
 func TestLateAndUnansweredWrites(t *testing.T) {
 	t.Parallel()
 	runOnAlternatingLayouts(t, 650, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
@@ -140,7 +141,7 @@
 		sim.Submit(serviceJob, 0)
 		at(15 * time.Second)
 		delay := [2]time.Duration{2 * time.Second, 12 * time.Second}
-		sim.State.InjectTxnFaults(7, // the first of each kind for sure, then a share of all
+		sim.State.InjectTxnFaults(7, // the first of each kind, then a share of all transactions
 			simulator.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: delay}, simulator.TxnFault{Prefix: store.JobPrefix, Most: 1},
 			simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1, Late: delay}, simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1},
 			simulator.TxnFault{Share: 0.25, Late: delay}, simulator.TxnFault{Share: 0.25})
@@ -172,14 +173,14 @@
 			r.stopReading()
 		}
 		mustFinish(t, sim, uncancelled...)
-		mustRun(t, sim, serviceJob, "afterwards")
+		mustRun(t, sim, serviceJob, "after the faults")
 		mustBeExecutedLate(t, "launches", faultedTransactions(sim, store.ProgressPrefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() }))
 		for _, prefix := range []string{store.JobPrefix, store.ProgressPrefix} {
 			if len(faultedTransactions(sim, prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })) == 0 {
-				t.Errorf("nothing of %s was late", prefix)
+				t.Errorf("no transaction under %s was executed late, want some", prefix)
 			}
 			if len(faultedTransactions(sim, prefix, func(f *simulator.TxnOutcome) bool { return !f.Late && wasExecuted(f) })) == 0 {
-				t.Errorf("no answer for %s was lost", prefix)
+				t.Errorf("no executed transaction under %s lost its response, want some", prefix)
 			}
 		}
 	})
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -10,14 +10,14 @@
 	"lilaclead/internal/wire"
 )
 
-// A machine's heartbeats arrive, but answers and commands don't reach it. It
-// looks alive, so only what it does not do tells. Its replicas must be back
-// elsewhere soon after its lease has ended them, what is cancelled there must
-// be gone in time, and a job that comes meanwhile must not wait for it.
+// A machine's heartbeats arrive, but responses and commands don't reach it. It looks alive; only
+// what it fails to do shows the fault. Its replicas must run elsewhere soon after its lease has
+// ended them, tasks of a cancelled job must be gone in time, and a job that is submitted
+// meanwhile must not wait for it.
 func TestMachineReceivesNothing(t *testing.T) {
 	t.Parallel()
 	for _, leaderRestarts := range []bool{false, true} {
-		t.Run(fmt.Sprint("inherited ", leaderRestarts), func(t *testing.T) {
+		t.Run(fmt.Sprint("leader restarts ", leaderRestarts), func(t *testing.T) {
 			t.Parallel()
 			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				serviceJob, cancelledJob, arrayJob := service(1, 4), service(2, 4), array(3, 6, 10)
@@ -27,40 +27,40 @@
 				at(45 * time.Second)
 				machines := sim.MachinesRunning(serviceJob.Spec.ID)
 				if len(machines) == 0 {
-					t.Fatal("no replica runs")
+					t.Fatal("no replica of the service runs")
 				}
 				sim.Net.BlockInbound(sim.MachineIP(machines[0]), true)
 				if leaderRestarts {
-					// The next leader can never show its token to the machine.
+					// The machine never receives the next leader's token.
 					restartLeader(t, sim, 5*time.Second)
 				}
 				at(52 * time.Second)
 				sim.Submit(arrayJob, 0)
 				at(90 * time.Second)
-				mustRun(t, sim, serviceJob, "while a machine does not hear")
+				mustRun(t, sim, serviceJob, "while a machine receives nothing")
 				mustFinish(t, sim, arrayJob)
 				at(130 * time.Second)
 				sim.Net.BlockInbound(sim.MachineIP(machines[0]), false)
 				at(200 * time.Second)
-				mustRun(t, sim, serviceJob, "afterwards")
+				mustRun(t, sim, serviceJob, "after the fault")
 			})
 		})
 	}
 }
 
-// Workers can open no connection to any controller, while what is sent to them
-// arrives: one machine, some, or most of a zone. They look alive, and their
-// leases run out all the same. What can't live there must be done elsewhere, and
-// what is cancelled there must be gone in time.
+// Workers can't connect to any controller, while requests to them arrive. This affects one
+// machine, half of them, or most of a zone. The machines look alive, but their leases expire.
+// The work that this ends must be done elsewhere, and tasks of a cancelled job must be gone in
+// time.
 func TestMachinesCannotConnect(t *testing.T) {
 	t.Parallel()
 	for name, choose := range map[string]func(sim *simulator.Simulation) []wire.MachineID{
 		"one": func(sim *simulator.Simulation) []wire.MachineID { return sim.BusyMachines("")[:1] },
-		"some": func(sim *simulator.Simulation) []wire.MachineID {
+		"half": func(sim *simulator.Simulation) []wire.MachineID {
 			machines := sim.BusyMachines("")
 			return machines[:(len(machines)+1)/2]
 		},
-		"most a zone": func(sim *simulator.Simulation) []wire.MachineID {
+		"most of a zone": func(sim *simulator.Simulation) []wire.MachineID {
 			machines := sim.BusyMachines("a")
 			return machines[:(len(machines)*3+3)/4]
 		},
@@ -80,7 +80,7 @@
 				at(45 * time.Second)
 				unconnected := choose(sim)
 				sim.BlockOutbound(true, unconnected...)
-				// Each has outlived a lease without a heartbeat, and yet answers.
+				// Each machine has been without a heartbeat for a lease, but still answers requests.
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + time.Second)
 				newSessions := 0
 				for _, id := range unconnected {
@@ -89,37 +89,36 @@
 					}
 				}
 				if newSessions+lostMachines(sim, unconnected) != len(unconnected) || newSessions == 0 {
-					t.Errorf("%d of %d machines that can't connect are there in a new session", newSessions, len(unconnected))
+					t.Errorf("%d of %d machines that can't connect are in a new session, want all but those that are gone", newSessions, len(unconnected))
 				}
 				mustCancel(t, sim, cancelledJob)
 				time.Sleep(5 * time.Second)
 				mustBeGone(t, sim, cancelledJob, "5 s later, on machines that can't connect")
-				// Where they are many they are kept for a while, and the cloud may
-				// have no more of their cheap type.
+				// Many such machines are kept for a while, and the cloud may have no more machines of
+				// their cheap type.
 				time.Sleep(170 * time.Second)
 				mustFinish(t, sim, arrayJob)
 				mustRun(t, sim, serviceJob, "while machines can't connect")
 				sim.BlockOutbound(false, unconnected...)
 				time.Sleep(30 * time.Second)
-				mustRun(t, sim, serviceJob, "afterwards")
+				mustRun(t, sim, serviceJob, "after the fault")
 			})
 		})
 	}
 }
 
-// The leader ends while machines with long tasks can't be reached, or hear none
-// of the new leader's answers, for less than a lease or more. Their tasks are
-// neither started twice nor given up for ever.
+// The leader is killed while machines with long tasks are unreachable, or receive nothing from
+// the new leader, for less than a lease or more. Their tasks must neither run twice nor be lost.
 func TestLeaderChangeWhileMachinesAreUnreachable(t *testing.T) {
 	t.Parallel()
-	for _, fault := range []string{"cut", "no inbound", "no inbound from the next", "hang"} {
+	for _, fault := range []string{"cut", "no inbound", "no inbound from next leader", "hang"} {
 		for _, outlastsLease := range []bool{false, true} {
 			run := runScenario
 			if outlastsLease {
 				run = runOnUnevenLayout
 			}
 			if fault == "no inbound" && !outlastsLease {
-				continue // as with no inbound from the next
+				continue // much the same as no inbound from the next leader
 			}
 			t.Run(fmt.Sprintf("%s, longer than a lease %v", fault, outlastsLease), func(t *testing.T) {
 				t.Parallel()
@@ -139,7 +138,7 @@
 								case ip == "":
 								case fault == "cut":
 									sim.Net.Cut(simulator.NodeIP(i), ip, on)
-								case fault == "no inbound", fault == "no inbound from the next" && i != leader:
+								case fault == "no inbound", fault == "no inbound from next leader" && i != leader:
 									sim.Net.Hold(simulator.NodeIP(i), ip, on)
 								}
 							}
@@ -160,9 +159,9 @@
 						}
 					}
 					if unheard != len(machines) {
-						t.Errorf("%d of %d machines have not heard the new leader", unheard, len(machines))
+						t.Errorf("%d of %d machines have not seen the new leader's token, want all", unheard, len(machines))
 					}
-					if fault != "no inbound from the next" {
+					if fault != "no inbound from next leader" {
 						startControllers(t, sim, leader)
 					}
 					time.Sleep(3 * time.Second)
@@ -181,16 +180,16 @@
 	}
 }
 
-// Jobs are cancelled whose machines hang, receive nothing or can't connect, while the cloud may
-// be away and the leader may end. The tasks must be gone in time, also when the
-// machines go on later.
+// Jobs are cancelled whose machines hang, receive nothing or can't connect. Meanwhile the cloud
+// may be unavailable and the leader may be killed. The tasks must be gone in time, also when the
+// machines resume later.
 func TestCancelOnUnresponsiveMachines(t *testing.T) {
 	t.Parallel()
 	for _, fault := range []string{"hang", "no inbound", "no outbound"} {
 		for _, cloudDown := range []bool{false, true} {
 			for _, leaderEnds := range []bool{false, true} {
 				if !cloudDown && (leaderEnds || fault != "hang") {
-					continue // easier than with the cloud away
+					continue // less demanding than with the cloud unavailable
 				}
 				run := runScenario
 				if leaderEnds {
@@ -220,7 +219,7 @@
 						setFault(true)
 						time.Sleep(randomDelay(rng)(3))
 						if n := tasksOnMachines(sim, cancelledJob.Spec.ID); n != 10 {
-							t.Errorf("%d of 10 tasks run when they are cancelled", n)
+							t.Errorf("%d of 10 tasks run before the cancellation, want all", n)
 						}
 						mustCancel(t, sim, cancelledJob)
 						mustCancel(t, sim, cancelledService)
@@ -238,16 +237,16 @@
 						sim.Submit(arrayJob, 0)
 						time.Sleep(randomDelay(rng)(8))
 						if fault == "hang" && tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 && cloudDown {
-							t.Error("the hanging machines lost their tasks before they went on")
+							t.Error("no cancelled task is left on the hanging machines before they resume, want some")
 						}
 						if fault != "no outbound" {
 							setFault(false) // within the lease
 							time.Sleep(6 * time.Second)
-							mustBeGone(t, sim, cancelledJob, "when the machines go on")
+							mustBeGone(t, sim, cancelledJob, "after the machines resumed")
 							setFault(true)
 						}
 						time.Sleep(sim.Settings.Workers.Lease.Duration() + 4*time.Second)
-						mustBeGone(t, sim, cancelledJob, "after a lease")
+						mustBeGone(t, sim, cancelledJob, "after the end of the lease")
 						setFault(false)
 						time.Sleep(20 * time.Second)
 						sim.CloudOutage(false)
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -9,11 +9,11 @@
 	"lilaclead/internal/wire"
 )
 
-// Jobs that are bound to one zone, by name or by their own first task, lose the
-// machines there, while that zone has nothing more to rent and others have. No
-// task may start in another zone while one may still be in the first; and when
-// those are known to be gone, by whatever proof there is, nothing waits for
-// another. A service that is spread counts what may still run behind the fault.
+// Jobs that are bound to one zone, by name or by their own first task, lose their machines there.
+// That zone has no more machines to provision while others have. No task of such a job may start
+// in another zone while one may still run in the first. Once those are proven to be gone, in
+// whatever way, no task may wait for a further proof. A spread service must count the tasks that
+// may still run on unreachable machines.
 func TestSingleZoneJobsLoseTheirZone(t *testing.T) {
 	t.Parallel()
 	everyNth := func(ids []wire.MachineID, every int) (out []wire.MachineID) {
@@ -25,11 +25,11 @@
 		return out
 	}
 	for _, variant := range []struct {
-		name   string
-		leader bool // changes meanwhile
-		cloud  bool // is away too, so that no list says where anything is
-		moves  bool // all of the first zone is lost, so that jobs move while it lasts
-		hit    func(sim *simulator.Simulation, on bool, ids []wire.MachineID)
+		name          string
+		leaderChanges bool // during the fault
+		cloudDown     bool // during the fault, so that no list shows the zones of machines
+		jobsMove      bool // during the fault, since all of the first zone is lost
+		setFault      func(sim *simulator.Simulation, on bool, ids []wire.MachineID)
 	}{
 		{"all vanish, cloud away, leader changes", true, true, false, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) {
 			if on {
@@ -71,24 +71,24 @@
 					sim.WithChecker(func(c *simulator.Checker) {
 						for _, j := range []simulator.JobScript{sameZoneArray, sameZoneService, boundService, spreadService} {
 							if z := c.TasksByZone(j.Spec.ID); z["a"] == 0 || len(z) != 1 {
-								t.Errorf("%s runs in %v before the fault", j.Spec.ID, z)
+								t.Errorf("%s runs in %v before the fault, want zone a only", j.Spec.ID, z)
 							}
 						}
 					})
 					sim.SetSoldOut("b", false)
 					sim.SetSoldOut("c", false)
 					sim.SetSoldOut("a", true)
-					sim.CloudOutage(variant.cloud)
+					sim.CloudOutage(variant.cloudDown)
 					machines := sim.RunningMachinesIn("a")
-					variant.hit(sim, true, machines)
-					if variant.leader {
+					variant.setFault(sim, true, machines)
+					if variant.leaderChanges {
 						time.Sleep(time.Second)
 						replaceLeader(t, sim)
 						time.Sleep(time.Second)
 					}
-					// The next leader meets what still runs there, or what it can't
-					// even place.
-					if variant.cloud {
+					// Tasks must still run there, or the new leader must know of tasks whose zone it
+					// can't tell.
+					if variant.cloudDown {
 						mustHaveTaskInUnknownZone(t, sim)
 					} else {
 						sim.WithChecker(func(c *simulator.Checker) {
@@ -97,36 +97,36 @@
 								tasksInside += c.TasksByZone(j.Spec.ID)["a"]
 							}
 							if tasksInside == 0 {
-								t.Error("nothing runs in the zone that is lost")
+								t.Error("no task runs in the lost zone, want some")
 							}
 						})
 					}
 					at(100 * time.Second)
 					sim.CloudOutage(false)
 					at(190 * time.Second)
-					if variant.moves {
+					if variant.jobsMove {
 						sim.WithChecker(func(c *simulator.Checker) {
 							if z := c.TasksByZone(sameZoneService.Spec.ID); len(z) != 1 || z["a"] > 0 {
-								t.Errorf("the service in one place runs in %v while that is lost", z)
+								t.Errorf("the single-zone service runs in %v while zone a is lost, want one other zone", z)
 							}
 							if z := c.TasksByZone(sameZoneArray.Spec.ID); z["a"] > 0 || len(z) == 0 && !c.Complete(sameZoneArray.Spec.ID) {
-								t.Errorf("the array in one place runs in %v while that is lost", z)
+								t.Errorf("the single-zone array runs in %v while zone a is lost, want other zones only, or a complete array", z)
 							}
 						})
 						mustRun(t, sim, spreadService, "while a zone is lost")
 					}
 					sim.SetSoldOut("a", false)
-					variant.hit(sim, false, machines)
+					variant.setFault(sim, false, machines)
 					markFaultsOver(sim)
 					at(300 * time.Second)
 					mustFinish(t, sim, sameZoneArray)
 					for _, j := range []simulator.JobScript{sameZoneService, boundService, spreadService} {
-						mustRun(t, sim, j, "of "+string(j.Spec.ID)+" when all is over")
+						mustRun(t, sim, j, "of "+string(j.Spec.ID)+" after all faults")
 					}
-					// The zone's cheap machines may be sold out by then, and the last of the
-					// bound array wait for those before it; but never beside room.
+					// The zone's cheap machines may be sold out by then. The last tasks of the bound array
+					// may wait for the earlier ones, but not while a machine has capacity for them.
 					if n := sim.JobsWithRoom()[boundArray.Spec.ID]; n > 0 {
-						t.Errorf("%d of the bound array's 8 tasks wait beside room 110 s after the troubles", n)
+						t.Errorf("%d of the bound array's 8 tasks wait 110 s after the faults although a machine has capacity for them", n)
 					}
 					at(420 * time.Second)
 					mustFinish(t, sim, boundArray)
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -9,10 +9,10 @@
 	"lilaclead/internal/wire"
 )
 
-// A zone is cut off with its controllers for longer than a lease. They renew
-// leases as delegates of the leader that they have lost, so its replicas go on; with two zones
-// those of a service that is spread could be nowhere else. It must not matter
-// whether the leader is in that zone.
+// A zone is partitioned with its controllers for longer than a lease. They must renew leases as
+// delegates of the leader that they can't reach any more, so that the replicas there keep
+// running. With two zones, a spread service has no other zone for these replicas. It must not
+// matter whether the leader is in the partitioned zone.
 func TestZonePartitionedWithItsControllers(t *testing.T) {
 	t.Parallel()
 	for _, leaderInside := range []bool{false, true} {
@@ -26,13 +26,13 @@
 				zone := leaderZoneOrOther(sim, leaderInside)
 				sim.IsolateZone(zone, true)
 				at(78 * time.Second)
-				mustRun(t, sim, serviceJob, "33 s after their zone was cut off")
+				mustRun(t, sim, serviceJob, "33 s after the zone was partitioned")
 				if l := sim.Leader(); l < 0 || sim.Config(l).Zone == zone {
-					t.Errorf("the leader is %d", l)
+					t.Errorf("leader is node %d, want one outside the partitioned zone", l)
 				}
 				sim.IsolateZone(zone, false)
 				at(95 * time.Second)
-				mustRun(t, sim, serviceJob, "when the zone is back")
+				mustRun(t, sim, serviceJob, "after the partition")
 				mustRestartNoTask(t, sim)
 				at(200 * time.Second)
 				mustFinish(t, sim, arrayJob)
@@ -41,9 +41,9 @@
 	}
 }
 
-// Any zone is cut off: the one with most of the controllers, the one with one,
-// and the one with none, whose workers reach nobody. What ran there is done
-// elsewhere while the cut lasts, never twice, wherever the leader was.
+// One zone is partitioned: the one with most of the controllers, the one with one, or the one
+// with none, whose workers then reach no controller. The work that ran there must be done
+// elsewhere during the partition and never twice, wherever the leader was.
 func TestAnyZonePartitioned(t *testing.T) {
 	t.Parallel()
 	for _, zones := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
@@ -67,10 +67,10 @@
 	}
 }
 
-// Two zones can't reach each other for longer than a lease; both still reach the
-// key-value store. The workers of one reach no node that reaches the leader, and
-// the node there is its delegate: what runs goes on. It must not matter in
-// which zone the leader is, and leadership must not change.
+// Two zones can't reach each other for longer than a lease; both still reach the key-value
+// store. The workers of one reach no controller that reaches the leader, and the controller
+// there acts as the leader's delegate. Running tasks must keep running. It must not matter in
+// which zone the leader is, and the leader must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
 	t.Parallel()
 	for _, leaderZone := range []wire.Zone{"a", "b"} {
@@ -87,13 +87,13 @@
 				time.Sleep(20 * time.Second)
 				for i := range 3 {
 					if status, _, _ := sim.Ask(i, "GET", "/ready", nil); status != 200 {
-						t.Errorf("/ready of node %d answers %d", i, status)
+						t.Errorf("/ready of node %d answers %d, want 200", i, status)
 					}
 				}
 				time.Sleep(16 * time.Second)
 				sim.PartitionZones("a", "b", false)
 				if sim.Leader() != leader {
-					t.Error("the leader changed")
+					t.Error("the leader changed during the partition")
 				}
 				time.Sleep(80 * time.Second)
 				mustFinish(t, sim, arrayJob)
@@ -103,9 +103,9 @@
 	}
 }
 
-// A job is cancelled just after its zone was cut off, for longer than the time
-// for cancellations, while the cloud is away: nobody can stop its tasks, and
-// the delegates there don't know. They must stop answering in time.
+// A job is cancelled just after its zone was partitioned, for longer than cancel_s. The cloud is
+// unavailable, so the leader can't stop the tasks, and the delegates in the zone don't know of
+// the cancellation. They must stop answering heartbeats in time.
 func TestCancelInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	for _, leaderInside := range []bool{false, true} {
@@ -123,22 +123,22 @@
 				at(115 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
-						t.Errorf("%d tasks of the cancelled job run behind the cut", n)
+						t.Errorf("%d tasks of the cancelled job run in the partitioned zone, want 0", n)
 					}
 				})
 				sim.IsolateZone(zone, false)
 				sim.CloudOutage(false)
 				at(160 * time.Second)
-				mustRun(t, sim, serviceJob, "when all is over")
+				mustRun(t, sim, serviceJob, "after all faults")
 			})
 		})
 	}
 }
 
-// A zone with workers and a controller is cut off for longer than a lease. Jobs
-// that may run in that zone only are cancelled just before, early and late in the
-// cut; one is submitted and cancelled in it; others wait for its end. With the
-// cloud away nobody but those behind the cut can end what runs there.
+// A zone with workers and a controller is partitioned for longer than a lease. Jobs that may run
+// only in that zone are cancelled just before the partition, early in it and late in it; one is
+// submitted and cancelled during it; others wait for its end. As the cloud is unavailable, only
+// the workers and the controller in that zone can stop the tasks there.
 func TestSingleZoneJobsInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	for _, leaderInside := range []bool{false, true} {
@@ -168,7 +168,7 @@
 				sim.IsolateZone(zone, true)
 				sim.WithChecker(func(c *simulator.Checker) {
 					if c.OnMachines(cancelledEarly.Spec.ID) != 2 || c.OnMachines(cancelledLate.Spec.ID) != 2 || c.OnMachines(uncancelledArray.Spec.ID) == 0 {
-						t.Error("not all that should runs in the zone when it is cut off")
+						t.Error("jobs have too few tasks in the zone when it is partitioned, want 2, 2 and at least 1")
 					}
 				})
 				time.Sleep(3 * time.Second)
@@ -178,11 +178,11 @@
 				cancelAtController(t, sim, 0, submittedDuring)
 				confirmed := cancelAtController(t, sim, 0, cancelledLate)
 				if time.Since(partitionedAt) > sim.Settings.Workers.Lease.Duration() || !confirmed.After(partitionedAt) {
-					t.Errorf("cancelled %v after the cut", confirmed.Sub(partitionedAt))
+					t.Errorf("last cancellation confirmed %v after the partition began, want within a lease", confirmed.Sub(partitionedAt))
 				}
 				time.Sleep(50 * time.Second)
 				if time.Since(partitionedAt) < sim.Settings.Workers.Lease.Duration()*2 {
-					t.Error("the cut was too short")
+					t.Error("the partition was shorter than two leases")
 				}
 				sim.IsolateZone(zone, false)
 				time.Sleep(2 * time.Second)
@@ -193,14 +193,14 @@
 	}
 }
 
-// The controller of a zone that is cut off was the leader's delegate there, and
-// ends and is back at once just as the cut is over: its new life does not know
-// what its last one answered. The leases that it gave are waited for all the same.
+// The controller in a partitioned zone is the leader's delegate there. It is killed and restarted
+// just as the partition ends, so it no longer knows which heartbeats it answered. The leader
+// must still wait for the end of the leases that it renewed.
 func TestDelegateRestartsAsPartitionHeals(t *testing.T) {
 	t.Parallel()
-	// With elected the leader is another one than before the cut.
+	// With leaderChanges, another controller leads at the end of the partition than before it.
 	for leaderChanges, duration := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
-		t.Run(fmt.Sprintf("cut for %v, another leader %v", duration, leaderChanges), func(t *testing.T) {
+		t.Run(fmt.Sprintf("partition of %v, leader changes %v", duration, leaderChanges), func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, settingsOfSize(3), 68, func(sim *simulator.Simulation, at func(time.Duration)) {
 				arrayJob, serviceJob, fillerArray := array(1, 14, 120), service(2, 4), array(3, 6, 300)
@@ -211,7 +211,7 @@
 				time.Sleep(60 * time.Second)
 				leader := sim.Leader()
 				sim.IsolateZone("b", true)
-				sim.CloudOutage(true) // nothing is returned
+				sim.CloudOutage(true) // so that no machine is returned
 				if leaderChanges {
 					sim.KillController(leader)
 					awaitOtherLeader(t, sim, leader, 10*time.Second)
@@ -221,14 +221,14 @@
 				tasksInside := 0
 				sim.WithChecker(func(c *simulator.Checker) { tasksInside = c.TasksByZone(arrayJob.Spec.ID)["b"] })
 				if tasksInside == 0 {
-					t.Error("nothing runs behind the cut")
+					t.Error("no task of the array runs in the partitioned zone, want some")
 				}
-				cancelAtController(t, sim, sim.Leader(), fillerArray) // now there is room to start it elsewhere
+				cancelAtController(t, sim, sim.Leader(), fillerArray) // frees capacity to start the array's tasks elsewhere
 				sim.KillController(1)
 				time.Sleep(200 * time.Millisecond)
 				startControllers(t, sim, 1)
 				time.Sleep(100 * time.Millisecond)
-				// Machines take some seconds longer to be heard than controllers.
+				// Machines become reachable some seconds later than controllers.
 				var machineIPs []string
 				for _, id := range append(sim.MachinesRunning(arrayJob.Spec.ID), sim.MachinesRunning(serviceJob.Spec.ID)...) {
 					if sim.MachineZone(id) == "b" {
