--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -109,9 +109,9 @@
 }
 
 // A gang of 300 tasks is recorded in six chunks, in at least two transactions. The leader is
-// killed between these, after the last of them, or after the first launches were sent. A gang
-// that is recorded in part must be stopped and one recorded as a whole launched to the end. The
-// gang must run once, as a whole.
+// killed between these, after the last of them, or after the first launches were sent. The next
+// leader must stop what is recorded in part and complete the launch of what is recorded as a
+// whole, so that the gang runs once, as a whole.
 func TestLeaderFailureWhileGangIsRecordedInChunks(t *testing.T) {
 	t.Parallel()
 	const chunks = 6
