--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -24,11 +24,11 @@
 		},
 	}
 	for _, variant := range []struct {
-		fault           string
-		leaderEndsFirst bool          // before the cancellation
-		halfOfMachines  bool          // only half of the machines are unreachable
-		cloudDown       bool          // during the fault
-		duration        time.Duration // of the fault: from below a lease to above any timeout
+		fault             string
+		leaderKilledFirst bool          // before the cancellation
+		halfOfMachines    bool          // only half of the machines are unreachable
+		cloudDown         bool          // during the fault
+		duration          time.Duration // of the fault: from below a lease to above any timeout
 	}{
 		{"cut", true, false, false, 12 * time.Second},
 		{"cut", false, true, true, 75 * time.Second},
@@ -37,7 +37,7 @@
 		{"no inbound", true, false, true, 75 * time.Second},
 	} {
 		for seed := range seedCount(1) {
-			t.Run(fmt.Sprintf("%s, leader ends first %v, half %v, cloud away %v, %v, seed %d", variant.fault, variant.leaderEndsFirst, variant.halfOfMachines, variant.cloudDown, variant.duration, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, leader killed first %v, half %v, cloud down %v, %v, seed %d", variant.fault, variant.leaderKilledFirst, variant.halfOfMachines, variant.cloudDown, variant.duration, seed), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					cancelledJob, cancelledService := array(1, 12, 400), service(2, 16)
@@ -66,7 +66,7 @@
 					setFault(true)
 					begin := time.Now()
 					leader := sim.Leader()
-					if variant.leaderEndsFirst {
+					if variant.leaderKilledFirst {
 						sim.KillController(leader)
 						time.Sleep(300 * time.Millisecond)
 					}
@@ -80,7 +80,7 @@
 							}
 						})
 					}
-					if !variant.leaderEndsFirst {
+					if !variant.leaderKilledFirst {
 						time.Sleep(time.Second)
 						sim.WithChecker(func(c *simulator.Checker) {
 							if c.OnMachines(cancelledJob.Spec.ID) == 0 || c.OnMachines(cancelledService.Spec.ID) == 0 {
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -152,14 +152,14 @@
 					sim.KillController(leader)
 					_, token := awaitNewToken(t, sim, oldToken)
 					time.Sleep(2 * time.Second)
-					unheard := 0
+					withoutToken := 0
 					for _, id := range machines {
 						if _, _, seenToken := sim.MachineEpoch(id); seenToken < token {
-							unheard++
+							withoutToken++
 						}
 					}
-					if unheard != len(machines) {
-						t.Errorf("%d of %d machines have not seen the new leader's token, want all", unheard, len(machines))
+					if withoutToken != len(machines) {
+						t.Errorf("%d of %d machines have not seen the new leader's token, want all", withoutToken, len(machines))
 					}
 					if fault != "no inbound from next leader" {
 						startControllers(t, sim, leader)
@@ -187,15 +187,15 @@
 	t.Parallel()
 	for _, fault := range []string{"hang", "no inbound", "no outbound"} {
 		for _, cloudDown := range []bool{false, true} {
-			for _, leaderEnds := range []bool{false, true} {
-				if !cloudDown && (leaderEnds || fault != "hang") {
+			for _, leaderKilled := range []bool{false, true} {
+				if !cloudDown && (leaderKilled || fault != "hang") {
 					continue // less demanding than with the cloud unavailable
 				}
 				run := runScenario
-				if leaderEnds {
+				if leaderKilled {
 					run = runOnUnevenLayout
 				}
-				t.Run(fmt.Sprintf("%s, cloud away %v, leader ends %v", fault, cloudDown, leaderEnds), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, cloud down %v, leader killed %v", fault, cloudDown, leaderKilled), func(t *testing.T) {
 					t.Parallel()
 					rng := rand.New(rand.NewPCG(660, 1))
 					run(t, 660, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -227,7 +227,7 @@
 							time.Sleep(4 * time.Second)
 							mustBeGone(t, sim, cancelledJob, "on machines that can't connect")
 						}
-						if leaderEnds {
+						if leaderKilled {
 							leader, oldToken := sim.LeaderAndToken()
 							sim.KillController(leader)
 							awaitNewToken(t, sim, oldToken)
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -31,7 +31,7 @@
 		jobsMove      bool // during the fault, since all of the first zone is lost
 		setFault      func(sim *simulator.Simulation, on bool, ids []wire.MachineID)
 	}{
-		{"all vanish, cloud away, leader changes", true, true, false, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) {
+		{"all vanish, cloud down, leader changes", true, true, false, func(sim *simulator.Simulation, on bool, ids []wire.MachineID) {
 			if on {
 				sim.RemoveMachines(ids...)
 			}
