--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -57,7 +57,7 @@
 		delete(w.state.UnsavedChanges.Chunks, c)
 		w.markSubchunksDirty(c, perChunk)
 	}
-	w.log.Info("job progress split into sub-chunks", "job", j.Spec.ID, "tasks_per_chunk", j.TasksPerChunk)
+	w.log.Info("job progress split", "job", j.Spec.ID, "tasks_per_chunk", j.TasksPerChunk)
 }
 
 // subchunksPerChunk returns the least number of sub-chunks of equal size into which a chunk
--- a/internal/leader/reconcile/tasks.go
+++ b/internal/leader/reconcile/tasks.go
@@ -108,7 +108,7 @@
 	startUnwanted := attempt.Stopping || attempt.Machine.DrainReason != "" || attempt.Job.Cancelled
 	switch {
 	case attempt.SeenInHeartbeat, attempt.Inherited, epochEnded:
-		rc.Log.Info("task missing from heartbeat", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
+		rc.Log.Info("task lost", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
 		rc.Metrics.TaskInterrupted(string(cluster.EvictedMissing))
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	case startUnwanted:
--- a/internal/leader/recovery/recovery.go
+++ b/internal/leader/recovery/recovery.go
@@ -54,7 +54,7 @@
 			r.watchJobRecords(ctx, records.jobsRevision)
 			return
 		}
-		r.Log.Info("reading the records for recovery failed", "err", err)
+		r.Log.Info("recovery read failed", "err", err)
 		core.Pause(ctx, recoveryRetry)
 	}
 }
