--- a/builder.go
+++ b/builder.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	if n.versions.negotiated() {
-		n.mesh.LearnVersion = n.versions.observeActive
+		n.mesh.ObserveVersion = n.versions.observeActive
 	}
 	return nil
 }
@@ -119,7 +119,7 @@
 		Catalog:             b.catalog,
 		Log:                 n.log,
 		Metrics:             b.metrics.LeaderMetrics(),
-		Undecodable:         b.undecodable,
+		UndecodableLog:      b.undecodable,
 		RecordIntents:       n.features.RecordIntents,
 		Observe:             n.history.recordDutyEvent,
 		Versions:            n.versions.member,
@@ -134,12 +134,12 @@
 	n := b.node
 	n.intake = intake.New(&n.cfg.Settings, n.store, b.cancels, b.catalog.Get, n.log)
 	n.intake.Observe = b.metrics.ObserveRequest
-	n.intake.Undecodable = b.undecodable
+	n.intake.UndecodableLog = b.undecodable
 }
 
 // addAdmin adds the operators' API.
 func (b *builder) addAdmin() {
 	n := b.node
 	n.admin = admin.New(n.cfg, n.store, b.tuning, n.leader, n.mesh, b.metrics, n.log)
-	n.admin.Undecodable = b.undecodable
+	n.admin.UndecodableLog = b.undecodable
 }
--- a/cmd/lilaclead/serve.go
+++ b/cmd/lilaclead/serve.go
@@ -63,7 +63,7 @@
 		if err != nil {
 			return lilaclead.Features{}, fmt.Errorf("find the program's path, for the features file beside it: %w", err)
 		}
-		path = lilaclead.FeaturesPathBeside(program)
+		path = lilaclead.FeaturesFilePathFor(program)
 	} else if _, err := os.Stat(path); err != nil {
 		return lilaclead.Features{}, fmt.Errorf("features file: %w", err)
 	}
--- a/config.go
+++ b/config.go
@@ -21,17 +21,17 @@
 // features are off.
 func LoadFeatures(path string) (Features, error) { return features.Load(path) }
 
-// FeaturesPathBeside returns the path of the features file for a program that was built as
+// FeaturesFilePathFor returns the path of the features file for a program that was built as
 // deploy/service.toml says, given the path of its executable. The file is
 // deploy/features.toml, beside the executable's directory.
-func FeaturesPathBeside(program string) string { return features.PathBeside(program) }
+func FeaturesFilePathFor(program string) string { return features.FilePathFor(program) }
 
 // NewStateServiceClient returns a client of the deployment's state service, for programs that
 // hold a duty of their own (package duty).
-func NewStateServiceClient(cfg *Config) duty.Store { return newStore(cfg, netio.Real()) }
+func NewStateServiceClient(cfg *Config) duty.Store { return newStore(cfg, netio.HostNetwork()) }
 
 // newStore returns a client that reaches the state service through the network.
-func newStore(cfg *Config, network netio.Net) *store.Client {
+func newStore(cfg *Config, network netio.Network) *store.Client {
 	settings := &cfg.Settings
 	return store.New(cfg.Endpoints.State, settings.State.Strictest(), settings.Size, network)
 }
--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -131,7 +131,7 @@
 	if c.ObserveToken != nil {
 		c.ObserveToken(ctx, FencingToken(entry.Revision))
 	}
-	var record store.LeaderRecord
+	var record store.LeaseRecord
 	if err := wire.Decode(entry.Value, &record); err != nil {
 		c.notifyUndecodable(c.Key, err)
 		return false
@@ -156,21 +156,21 @@
 }
 
 // LeaseRecord returns the record that this process writes to the lease's key.
-func (c *Candidate) LeaseRecord() store.LeaderRecord {
-	return store.LeaderRecord{Node: c.Node, Nonce: c.nonce}
+func (c *Candidate) LeaseRecord() store.LeaseRecord {
+	return store.LeaseRecord{Node: c.Node, Nonce: c.nonce}
 }
 
 // isOwnRecord reports whether this process wrote the entry of the lease's key, bound to the
 // grant.
 func (c *Candidate) isOwnRecord(entry Entry, grant GrantID) bool {
-	var record store.LeaderRecord
+	var record store.LeaseRecord
 	return entry.Grant == grant && wire.Decode(entry.Value, &record) == nil && record.Nonce == c.nonce
 }
 
 // tryAcquire makes one attempt to acquire the lease. It returns nil if that failed.
 func (c *Candidate) tryAcquire(ctx context.Context) *Lease {
 	requestedAt := c.Clock.Now()
-	grant, err := c.Store.Grant(ctx, c.Timing.TTL)
+	grant, err := c.Store.CreateGrant(ctx, c.Timing.TTL)
 	if err != nil {
 		return nil
 	}
--- a/duty/gate_test.go
+++ b/duty/gate_test.go
@@ -91,16 +91,16 @@
 	return context.WithoutCancel(ctx), func() { s.gate.pass(storePath, beforeResponse) }
 }
 
-func (s gatedStore) Grant(ctx context.Context, ttl time.Duration) (duty.GrantID, error) {
+func (s gatedStore) CreateGrant(ctx context.Context, ttl time.Duration) (duty.GrantID, error) {
 	ctx, passResponse := s.passRequest(ctx)
 	defer passResponse()
-	return s.Client.Grant(ctx, ttl)
+	return s.Client.CreateGrant(ctx, ttl)
 }
 
-func (s gatedStore) Renew(ctx context.Context, grant duty.GrantID, timeout time.Duration) error {
+func (s gatedStore) RenewGrant(ctx context.Context, grant duty.GrantID, timeout time.Duration) error {
 	ctx, passResponse := s.passRequest(ctx)
 	defer passResponse()
-	return s.Client.Renew(ctx, grant, timeout)
+	return s.Client.RenewGrant(ctx, grant, timeout)
 }
 
 func (s gatedStore) Get(ctx context.Context, class duty.RequestClass, key string) (duty.Entry, error) {
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -80,7 +80,7 @@
 
 // Fits reports whether these open intents fit in one record.
 func (i *Intents[D, T]) Fits(open []T) bool {
-	return wire.JSONSize(i.newRecord(open)) <= i.maxRecordBytes
+	return wire.MaxJSONSize(i.newRecord(open)) <= i.maxRecordBytes
 }
 
 func (i *Intents[D, T]) newRecord(open []T) IntentRecord[T] {
--- a/duty/intents_test.go
+++ b/duty/intents_test.go
@@ -70,9 +70,9 @@
 		lease, intents := newLoadedIntents(t, sim)
 		for name, injectFault := range map[string]func(){
 			"no fault":                func() {},
-			"executed, response lost": func() { sim.store.LoseAnswers(1) },
+			"executed, response lost": func() { sim.store.LoseResponses(1) },
 			"request lost":            func() { sim.store.DropRequests(1) },
-			"three responses lost":    func() { sim.store.LoseAnswers(3) },
+			"three responses lost":    func() { sim.store.LoseResponses(3) },
 			"token raised": func() {
 				if _, err := lease.RaiseToken(t.Context(), lease.Token()); err != nil {
 					t.Error(err)
@@ -142,10 +142,10 @@
 		sim := newSimulation(t)
 		_, intents := newLoadedIntents(t, sim)
 		sim.store.InjectTxnFaults(1, simulator.TxnFault{
-			Prefix: "intent/",
-			Most:   1,
-			Hang:   true,
-			Late:   [2]time.Duration{4 * time.Second, 5 * time.Second},
+			Prefix:   "intent/",
+			MaxCount: 1,
+			Hang:     true,
+			Delay:    [2]time.Duration{4 * time.Second, 5 * time.Second},
 		})
 		for _, name := range []string{"first", "second"} {
 			if err := intents.Record(t.Context(), []string{name}); err != nil {
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -147,7 +147,7 @@
 		case <-l.clock().After(delay):
 		}
 		sentAt := l.clock().Now()
-		err := l.candidate.Store.Renew(ctx, l.acquisition.Grant, timing.RenewTimeout)
+		err := l.candidate.Store.RenewGrant(ctx, l.acquisition.Grant, timing.RenewTimeout)
 		switch {
 		case err == nil:
 			l.extend(sentAt)
@@ -200,7 +200,7 @@
 	// This attempt, or an earlier one without a response, may have been executed after all.
 	// Then the key still holds this process's record, with a new revision.
 	entry, err := c.Store.Get(ctx, store.ClassCritical, c.Key)
-	var record store.LeaderRecord
+	var record store.LeaseRecord
 	switch {
 	case errors.Is(err, ErrNotFound):
 		return 0, l.leaseError(ErrNoHolder)
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -163,7 +163,7 @@
 	}{
 		{"nobody holds the lease", func(sim *simulation) { sim.store.Delete(store.LeaderKey) }, duty.ErrNoHolder},
 		{"another process holds the lease", func(sim *simulation) {
-			sim.store.Put(store.LeaderKey, store.LeaderRecord{Node: nodeOn(1), Nonce: "another"})
+			sim.store.Put(store.LeaderKey, store.LeaseRecord{Node: nodeOn(1), Nonce: "another"})
 		}, duty.ErrHeldByOther},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/duty/store.go
+++ b/duty/store.go
@@ -41,10 +41,10 @@
 // returns ErrRefused for a request that was certainly not executed, and ErrOutcomeUnknown
 // for a change that may have been executed or may still be.
 type Store interface {
-	// Grant creates a grant that expires ttl after its last renewal.
-	Grant(ctx context.Context, ttl time.Duration) (GrantID, error)
-	// Renew renews a grant, or returns ErrNotFound if it has expired.
-	Renew(ctx context.Context, grant GrantID, timeout time.Duration) error
+	// CreateGrant creates a grant that expires ttl after its last renewal.
+	CreateGrant(ctx context.Context, ttl time.Duration) (GrantID, error)
+	// RenewGrant renews a grant, or returns ErrNotFound if it has expired.
+	RenewGrant(ctx context.Context, grant GrantID, timeout time.Duration) error
 	// RevokeGrant revokes a grant and deletes the keys bound to it.
 	RevokeGrant(ctx context.Context, grant GrantID) error
 	// Get reads a key, or returns ErrNotFound.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,8 +25,8 @@
 	mesh    *peer.Mesh
 	metrics *Metrics
 	log     *slog.Logger
-	// Undecodable logs the stored settings that can't be decoded.
-	Undecodable *undecodable.Log
+	// UndecodableLog logs the stored settings that can't be decoded.
+	UndecodableLog *undecodable.Log
 }
 
 // New returns the operator-facing API of a node.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -59,12 +59,12 @@
 }
 
 // build creates the parts of the node and registers the operators' paths.
-func (n *node) build(t *testing.T, net netio.Net, negotiatesVersions bool) {
+func (n *node) build(t *testing.T, net netio.Network, negotiatesVersions bool) {
 	t.Helper()
 	cfg := &config.Config{HostName: "node-1", Settings: config.Settings{
 		Size:    1,
 		Workers: config.Workers{HeartbeatInterval: 3, Lease: 45, CancelTimeout: 70},
-		State:   config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16},
+		State:   config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxTxnWrites: 12, MaxValueKB: 16},
 	}}
 	log := slog.New(slog.NewTextHandler(n.log, nil))
 	undecodableLog := undecodable.New(log)
@@ -74,7 +74,7 @@
 	n.metrics, n.current = admin.NewMetrics(), tuning.NewCurrent()
 	dependencies := leader.Dependencies{
 		Config: cfg, Net: net, Store: n.client, Mesh: n.mesh, Cancels: cancelled, Tuning: n.current,
-		Catalog: &cluster.MachineCatalog{}, Log: log, Metrics: n.metrics.LeaderMetrics(), Undecodable: undecodableLog,
+		Catalog: &cluster.MachineCatalog{}, Log: log, Metrics: n.metrics.LeaderMetrics(), UndecodableLog: undecodableLog,
 	}
 	if negotiatesVersions {
 		member, err := upgrade.NewMember(upgrade.Options{Node: cfg.HostName, SupportedRange: leader.SupportedVersions, Store: n.client})
@@ -84,7 +84,7 @@
 		dependencies.Versions = member
 	}
 	n.admin = admin.New(cfg, n.client, n.current, leader.New(dependencies), n.mesh, n.metrics, log)
-	n.admin.Undecodable = undecodableLog
+	n.admin.UndecodableLog = undecodableLog
 	router := httprouter.New()
 	n.admin.Routes(router)
 	n.handler = router
@@ -215,7 +215,7 @@
 			{"empty body", nil, http.StatusBadRequest, wire.ErrorBody{Error: "not a CBOR map of version and set"}},
 			{"no version", wire.Encode(map[string]any{"set": map[string]any{"round.period_s": 3.0}}), http.StatusBadRequest, wire.ErrorBody{Error: "missing", Field: "version and set"}},
 			{"nothing to set", wire.Encode(map[string]any{"version": version}), http.StatusBadRequest, wire.ErrorBody{Error: "missing", Field: "version and set"}},
-			{"body over the limit", make([]byte, wire.MaxBody+1), http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: "body too large"}},
+			{"body over the limit", make([]byte, wire.MaxBodyBytes+1), http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: "body too large"}},
 		} {
 			w := n.send("PUT", "/admin/settings", tt.body)
 			var got wire.ErrorBody
@@ -250,7 +250,7 @@
 
 func TestSettingsRequestsFailWithRetryAfterDuringStoreOutage(t *testing.T) {
 	runNode(t, false, func(t *testing.T, n *node) {
-		n.store.Outage(true)
+		n.store.SetOutage(true)
 		for method, body := range map[string][]byte{"GET": nil, "PUT": changeBody(0, "round.period_s", 2.5)} {
 			w := n.send(method, "/admin/settings", body)
 			var got wire.ErrorBody
@@ -259,7 +259,7 @@
 				t.Errorf("%s: got %q, Retry-After %q, want %q, Retry-After 1", method, got.Error, w.Header().Get("Retry-After"), "state service not available")
 			}
 		}
-		n.store.Outage(false)
+		n.store.SetOutage(false)
 	})
 }
 
@@ -317,9 +317,9 @@
 		if got := n.current.Get(); got.CycleIntervalSeconds != 2.5 || got.SpareGangs != tuning.Default().SpareGangs {
 			t.Errorf("current values: got %+v, want round.period_s 2.5 and the default of gangs.spare", got)
 		}
-		n.store.Outage(true)
+		n.store.SetOutage(true)
 		time.Sleep(time.Minute)
-		n.store.Outage(false)
+		n.store.SetOutage(false)
 		time.Sleep(6 * time.Second)
 		cancel()
 		<-followingEnded
@@ -342,14 +342,14 @@
 		if want := (admin.View{Node: "node-1", Token: 7, StoreReachable: true}); got != want {
 			t.Errorf("view: got %+v, want %+v", got, want)
 		}
-		n.store.Outage(true)
+		n.store.SetOutage(true)
 		n.send("GET", "/admin/settings", nil)
 		var duringOutage admin.View
 		decode(t, n.send("GET", "/admin/view", nil), http.StatusOK, &duringOutage)
 		if want := (admin.View{Node: "node-1", Token: 7}); duringOutage != want {
 			t.Errorf("view during an outage: got %+v, want %+v", duringOutage, want)
 		}
-		n.store.Outage(false)
+		n.store.SetOutage(false)
 	})
 }
 
@@ -370,13 +370,13 @@
 		if len(status.Controllers) != 1 || status.Controllers[0].Node != "node-1" || status.Next != leader.SupportedVersions.Max {
 			t.Errorf("status: got %+v, want node-1 alone and version %d next", status, leader.SupportedVersions.Max)
 		}
-		n.store.Outage(true)
+		n.store.SetOutage(true)
 		w := n.send("GET", "/admin/versions", nil)
 		var got wire.ErrorBody
 		decode(t, w, http.StatusServiceUnavailable, &got)
 		if w.Header().Get("Retry-After") != "1" {
 			t.Errorf("during an outage: Retry-After: got %q, want 1", w.Header().Get("Retry-After"))
 		}
-		n.store.Outage(false)
+		n.store.SetOutage(false)
 	})
 }
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -57,7 +57,7 @@
 	}
 	values := map[string]any{}
 	if err := wire.Decode(entry.Value, &values); err != nil {
-		a.Undecodable.LogOnce(store.SettingsKey, err)
+		a.UndecodableLog.LogOnce(store.SettingsKey, err)
 	}
 	return storedSettings{values: values, version: entry.Revision}, nil
 }
@@ -136,7 +136,7 @@
 
 // readChange reads a change from the body of a request.
 func readChange(body io.Reader) (Change, error) {
-	raw, err := wire.ReadBody(body, wire.MaxBody)
+	raw, err := wire.ReadBody(body, wire.MaxBodyBytes)
 	if err != nil {
 		return Change{}, &requestError{http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()}}
 	}
--- a/internal/admin/view.go
+++ b/internal/admin/view.go
@@ -20,7 +20,7 @@
 	// StoreReachable reports whether the node can reach the key-value store.
 	StoreReachable bool `cbor:"serves"`
 	// Term is the state of the cluster as the leader knows it; nil unless this node leads.
-	Term *leader.View `cbor:"term,omitempty"`
+	Cluster *leader.View `cbor:"term,omitempty"`
 }
 
 // viewNode responds with the View of this node.
@@ -35,7 +35,7 @@
 	}
 	if view.Leads {
 		view.Leader = a.cfg.HostName
-		view.Term = a.leader.View(r.Context())
+		view.Cluster = a.leader.View(r.Context())
 	}
 	wire.WriteResponse(w, http.StatusOK, view)
 }
--- a/internal/cloud/call.go
+++ b/internal/cloud/call.go
@@ -80,7 +80,7 @@
 		return nil
 	}
 	if err := wire.Decode(body, c.response); err != nil {
-		return c.newError(ErrUnknown, http.StatusOK, err)
+		return c.newError(ErrOutcomeUnknown, http.StatusOK, err)
 	}
 	return nil
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -53,7 +53,7 @@
 )
 
 // New returns a client of the cloud at the address.
-func New(addr string, limits config.CloudLimits, network netio.Net) *Client {
+func New(addr string, limits config.CloudLimits, network netio.Network) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
 		http:    &http.Client{Transport: network.Transport(maxConnections, maxConnections)},
@@ -76,7 +76,7 @@
 	call := call{operation: OperationMachineSpecs, method: http.MethodGet, path: "/flavors", response: &specs, checkPermit: alwaysPermitted}
 	err := c.do(ctx, call)
 	if err == nil && len(specs.Types) == 0 {
-		err = call.newError(ErrUnknown, http.StatusOK, errNoMachineTypes)
+		err = call.newError(ErrOutcomeUnknown, http.StatusOK, errNoMachineTypes)
 	}
 	return specs.Types, err
 }
@@ -114,7 +114,7 @@
 }
 
 // List reads the machine list page by page. If a page fails, it returns no machines.
-func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
+func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	for {
 		page, err := c.listPage(ctx, all)
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, err := wire.ReadBody(r.Body, wire.MaxBody)
+		body, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 		if err != nil {
 			t.Errorf("%s %s: read request body: %v", r.Method, r.URL, err)
 		}
@@ -151,7 +151,7 @@
 }
 
 // sentinels are the classes of failed calls. Every error has exactly one of them.
-var sentinels = []error{cloud.ErrNoCapacity, cloud.ErrUnavailable, cloud.ErrInvalid, cloud.ErrUnknown}
+var sentinels = []error{cloud.ErrNoCapacity, cloud.ErrUnavailable, cloud.ErrInvalidRequest, cloud.ErrOutcomeUnknown}
 
 // The response, or the lack of one, determines the one class of the error. The call is observed under
 // the label that dashboards match, and the client doesn't retry by itself.
@@ -179,17 +179,17 @@
 		{name: "unavailable without a body", respond: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 			want: cloud.ErrUnavailable, status: http.StatusServiceUnavailable, label: "cloud: busy or down"},
 		{name: "malformed request", respond: respondWith(http.StatusBadRequest, wire.ErrorBody{Error: "malformed"}),
-			want: cloud.ErrInvalid, status: http.StatusBadRequest, label: "cloud: request refused as invalid"},
+			want: cloud.ErrInvalidRequest, status: http.StatusBadRequest, label: "cloud: request refused as invalid"},
 		{name: "status that the API does not define", respond: respondWith(http.StatusInternalServerError, wire.ErrorBody{}),
-			want: cloud.ErrUnknown, status: http.StatusInternalServerError, label: "cloud: outcome unknown: status 500"},
+			want: cloud.ErrOutcomeUnknown, status: http.StatusInternalServerError, label: "cloud: outcome unknown: status 500"},
 		{name: "body of the wrong type", respond: respondWith(http.StatusOK, "hosts"),
-			want: cloud.ErrUnknown, status: http.StatusOK, label: "cloud: outcome unknown: bad answer: cbor: cannot unmarshal UTF-8 text string into Go value of type wire.MachineNames"},
+			want: cloud.ErrOutcomeUnknown, status: http.StatusOK, label: "cloud: outcome unknown: bad answer: cbor: cannot unmarshal UTF-8 text string into Go value of type wire.MachineNames"},
 		{name: "body over the limit", respond: respondWith(http.StatusOK, bytes.Repeat([]byte{0}, 5<<20)),
-			want: cloud.ErrUnknown, label: "cloud: outcome unknown"},
+			want: cloud.ErrOutcomeUnknown, label: "cloud: outcome unknown"},
 		{name: "connection closed without a response", respond: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-			want: cloud.ErrUnknown, label: "cloud: outcome unknown"},
+			want: cloud.ErrOutcomeUnknown, label: "cloud: outcome unknown"},
 		{name: "no response within the timeout", respond: stall,
-			want: cloud.ErrUnknown, label: "cloud: outcome unknown", duration: 4 * time.Second},
+			want: cloud.ErrOutcomeUnknown, label: "cloud: outcome unknown", duration: 4 * time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -268,7 +268,7 @@
 			withCloud(t, unlimitedRate, nil, func(t *testing.T, f *fakeCloud) {
 				f.network.SetPowerOff(cloudIP, tt.powerOff)
 				begin := time.Now()
-				_, err := f.client.List(t.Context())
+				_, err := f.client.ListMachines(t.Context())
 				elapsed := time.Since(begin)
 				checkClass(t, err, cloud.ErrUnavailable)
 				checkFields(t, err, cloud.OperationList, 0)
@@ -289,7 +289,7 @@
 		defer cancel()
 		begin := time.Now()
 		_, err := f.client.MachineSpecs(ctx)
-		checkClass(t, err, cloud.ErrUnknown)
+		checkClass(t, err, cloud.ErrOutcomeUnknown)
 		checkDuration(t, time.Since(begin), 1500*time.Millisecond)
 	})
 }
@@ -305,7 +305,7 @@
 	withCloud(t, rps, respondWith(http.StatusOK, wire.MachinePage{}), func(t *testing.T, f *fakeCloud) {
 		begin := time.Now()
 		for i := range calls {
-			if _, err := f.client.List(t.Context()); err != nil {
+			if _, err := f.client.ListMachines(t.Context()); err != nil {
 				t.Errorf("call %d: %v", i, err)
 			}
 		}
@@ -330,7 +330,7 @@
 		refused := 0
 		for range calls {
 			wg.Go(func() {
-				if _, err := f.client.List(t.Context()); errors.Is(err, cloud.ErrUnavailable) {
+				if _, err := f.client.ListMachines(t.Context()); errors.Is(err, cloud.ErrUnavailable) {
 					mu.Lock()
 					defer mu.Unlock()
 					refused++
@@ -364,7 +364,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			withCloud(t, 0.1, respondWith(http.StatusOK, wire.MachinePage{}), func(t *testing.T, f *fakeCloud) {
-				if _, err := f.client.List(t.Context()); err != nil { // uses up the whole burst
+				if _, err := f.client.ListMachines(t.Context()); err != nil { // uses up the whole burst
 					t.Fatal(err)
 				}
 				lease := heldLease(tt.validFor)
@@ -411,7 +411,7 @@
 		permit := permitFor[duty.ScaleIn](t, heldLease(2*time.Second))
 		begin := time.Now()
 		err := f.client.ScaleIn(t.Context(), permit, []wire.MachineID{"n-1"})
-		checkClass(t, err, cloud.ErrUnknown)
+		checkClass(t, err, cloud.ErrOutcomeUnknown)
 		checkDuration(t, time.Since(begin), 2*time.Second)
 		if errors.Is(err, duty.ErrNotHeld) {
 			t.Errorf("error %v is %q, which says that the request was not sent", err, duty.ErrNotHeld)
@@ -475,7 +475,7 @@
 func TestEmptyMachineSpecsAreUnknown(t *testing.T) {
 	withCloud(t, unlimitedRate, respondWith(http.StatusOK, wire.MachineSpecs{}), func(t *testing.T, f *fakeCloud) {
 		got, err := f.client.MachineSpecs(t.Context())
-		checkClass(t, err, cloud.ErrUnknown)
+		checkClass(t, err, cloud.ErrOutcomeUnknown)
 		if len(got) != 0 {
 			t.Errorf("machine types %v, want none", got)
 		}
@@ -523,7 +523,7 @@
 				wire.WriteResponse(w, http.StatusOK, page)
 			}
 			withCloud(t, unlimitedRate, handler, func(t *testing.T, f *fakeCloud) {
-				got, err := f.client.List(t.Context())
+				got, err := f.client.ListMachines(t.Context())
 				checkClass(t, err, tt.err)
 				if len(got) != tt.want {
 					t.Errorf("%d machines, want %d", len(got), tt.want)
@@ -550,8 +550,8 @@
 	}{
 		{class: cloud.ErrNoCapacity, retryable: true},
 		{class: cloud.ErrUnavailable, retryable: true},
-		{class: cloud.ErrInvalid},
-		{class: cloud.ErrUnknown, maybeExecuted: true, retryable: true},
+		{class: cloud.ErrInvalidRequest},
+		{class: cloud.ErrOutcomeUnknown, maybeExecuted: true, retryable: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.class.Error(), func(t *testing.T) {
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -16,11 +16,11 @@
 	// ErrUnavailable means that the request was not executed: there were too many requests, or the
 	// API is down.
 	ErrUnavailable = errors.New("cloud: busy or down")
-	// ErrInvalid means that the cloud rejected the request as malformed.
-	ErrInvalid = errors.New("cloud: request refused as invalid")
-	// ErrUnknown means that there was no usable response: the request may have been executed, or may
+	// ErrInvalidRequest means that the cloud rejected the request as malformed.
+	ErrInvalidRequest = errors.New("cloud: request refused as invalid")
+	// ErrOutcomeUnknown means that there was no usable response: the request may have been executed, or may
 	// still be.
-	ErrUnknown = errors.New("cloud: outcome unknown")
+	ErrOutcomeUnknown = errors.New("cloud: outcome unknown")
 )
 
 // Causes of errors whose response was well-formed.
@@ -37,7 +37,7 @@
 type Error struct {
 	// Operation is the operation of the failed call.
 	Operation Operation
-	// Class is ErrNoCapacity, ErrUnavailable, ErrInvalid or ErrUnknown.
+	// Class is ErrNoCapacity, ErrUnavailable, ErrInvalidRequest or ErrOutcomeUnknown.
 	Class error
 	// Status is the HTTP status of the response; 0 if no complete response was received.
 	Status int
@@ -68,17 +68,17 @@
 }
 
 // MaybeExecuted reports whether the cloud may have executed the request, or may still execute it.
-func (e *Error) MaybeExecuted() bool { return errors.Is(e.Class, ErrUnknown) }
+func (e *Error) MaybeExecuted() bool { return errors.Is(e.Class, ErrOutcomeUnknown) }
 
 // Retryable reports whether the same request can succeed later. Only an invalid request can't.
-func (e *Error) Retryable() bool { return !errors.Is(e.Class, ErrInvalid) }
+func (e *Error) Retryable() bool { return !errors.Is(e.Class, ErrInvalidRequest) }
 
 // outcomeLabel returns the value of the "outcome" label of the metrics for the error. Dashboards
 // match these texts, so they don't depend on the text of Error. They omit why a request could not be
 // sent or got no response, since that differs from call to call.
 func (e *Error) outcomeLabel() string {
 	switch {
-	case !errors.Is(e.Class, ErrUnknown) || e.Status == 0:
+	case !errors.Is(e.Class, ErrOutcomeUnknown) || e.Status == 0:
 		return e.Class.Error()
 	case e.Status == http.StatusOK:
 		return fmt.Sprintf("%v: bad answer: %v", e.Class, e.Cause)
@@ -111,9 +111,9 @@
 		}
 		return ErrUnavailable, nil
 	case http.StatusBadRequest:
-		return ErrInvalid, nil
+		return ErrInvalidRequest, nil
 	default:
-		return ErrUnknown, errUnexpectedStatus
+		return ErrOutcomeUnknown, errUnexpectedStatus
 	}
 }
 
@@ -130,5 +130,5 @@
 	if wire.IsNotSent(err) {
 		return ErrUnavailable
 	}
-	return ErrUnknown
+	return ErrOutcomeUnknown
 }
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -37,10 +37,10 @@
 		{"job, later", store.JobRecord{Spec: fullJobSpec(), Status: wire.StatusQueued, AcceptedAt: 1796000000130, MinVersion: 2}},
 		{"upgrade status", upgrade.Status{Active: 1, Next: 2, MaxVersion: 3, LimitedByOperators: true, Controllers: []upgrade.ControllerStatus{fullControllerStatus()}}},
 		{"upgrade status, controller", fullControllerStatus()},
-		{"lead", store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"}},
+		{"lead", store.LeaseRecord{Node: "worker-2", Nonce: "c0ffee"}},
 
 		{"beat", fullPeerHeartbeat()},
-		{"beat, leads", peer.Heartbeat{From: "worker-3", Sequence: 10, Token: 43, Leads: true, ReachableWorkers: 122}},
+		{"beat, leads", peer.Heartbeat{From: "worker-3", Sequence: 10, Token: 43, Leads: true, ReachableAgents: 122}},
 		{"beat, version", peer.Heartbeat{From: "worker-4", Sequence: 11, Token: 44, Incarnation: "c0ffee", ActiveVersion: 2}},
 		{"word", fullCancelUpdate()},
 		{"cancellation", cancels.Entry{Job: "req-000414", Age: 3 * time.Second}},
@@ -79,7 +79,7 @@
 		{"settings listing", admin.Listing{Version: 25, Settings: []admin.Setting{{Name: "gangs.spare", Value: 2.5, Default: 1.5, Allowed: "0 to 100", About: "room"}}}},
 		{"settings change", admin.Change{Version: pointer(wire.Revision(26)), Set: map[string]any{"gangs.spare": 3.5}}},
 		{"node view", fullNodeView()},
-		{"node view, leads", admin.View{Node: "worker-6", Token: 46, Leads: true, Term: &leader.View{}}},
+		{"node view, leads", admin.View{Node: "worker-6", Token: 46, Leads: true, Cluster: &leader.View{}}},
 		{"leader view", fullLeaderView()},
 		{"machine view", fullMachineView()},
 		{"machine view, spot", leader.MachineView{Name: "n-6", Spot: true}},
@@ -100,8 +100,8 @@
 }
 
 func fullPeerHeartbeat() peer.Heartbeat {
-	return peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120, Delegation: 42, SinceRenewal: 3 * time.Second, Uptime: time.Minute,
-		UnconfirmedCancelAge: time.Second, Update: fullCancelUpdate()}
+	return peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableAgents: 120, Delegation: 42, SinceRenewal: 3 * time.Second, Uptime: time.Minute,
+		InFlightLaunchCancelAge: time.Second, Update: fullCancelUpdate()}
 }
 
 func fullControllerStatus() upgrade.ControllerStatus {
@@ -131,7 +131,7 @@
 
 func fullNodeView() admin.View {
 	view := fullLeaderView()
-	return admin.View{Node: "worker-1", Token: 45, Leader: "worker-5", Leads: true, StoreReachable: true, Term: &view}
+	return admin.View{Node: "worker-1", Token: 45, Leader: "worker-5", Leads: true, StoreReachable: true, Cluster: &view}
 }
 
 func fullLeaderView() leader.View {
@@ -143,5 +143,5 @@
 }
 
 func fullJobView() leader.JobView {
-	return leader.JobView{ID: "req-000421", Class: "train", Team: "vision", Tasks: 31, Done: 32, Active: 33, Failures: 34, AgeSeconds: 35.5, Cancelled: true}
+	return leader.JobView{ID: "req-000421", Class: "train", Team: "vision", Tasks: 31, DoneTasks: 32, ActiveTasks: 33, TaskFailures: 34, AgeSeconds: 35.5, Cancelled: true}
 }
--- a/internal/compat/versions_test.go
+++ b/internal/compat/versions_test.go
@@ -44,7 +44,7 @@
 		{chunk, productionChunk{}},
 		{chunk, gangsChunk{}},
 		{store.FinalRecord{Status: wire.StatusDone, Done: 1600}, earlierFinalRecord{}},
-		{store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"}, earlierLeaderRecord{}},
+		{store.LeaseRecord{Node: "worker-2", Nonce: "c0ffee"}, earlierLeaderRecord{}},
 		{wire.MachineSpecs{Types: []wire.MachineSpec{fullMachineSpec()}}, earlierMachineSpecs{}},
 		{fullPeerHeartbeat(), earlierPeerHeartbeat{}},
 		{fullWorkerHeartbeat(), earlierWorkerHeartbeat{}},
@@ -66,7 +66,7 @@
 	}
 	// Earlier versions treat a chunk size outside 1 to 256 tasks as 256.
 	for _, valueKB := range []float64{0.25, 2, 32} {
-		if n := store.ChunkTasksFor(valueKB); n < 1 || n > 256 {
+		if n := store.TasksPerChunkForLimit(valueKB); n < 1 || n > 256 {
 			t.Errorf("%g KiB: got chunks of %d tasks, want 1 to 256", valueKB, n)
 		}
 	}
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -71,8 +71,8 @@
 // messagesOfBothVersions are the messages that both versions wrote.
 func messagesOfBothVersions() map[string]any {
 	return map[string]any{
-		"message beat": peer.Heartbeat{From: "worker-1", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120},
-		"message ack": peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedCancelAge: time.Second,
+		"message beat": peer.Heartbeat{From: "worker-1", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableAgents: 120},
+		"message ack": peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, InFlightLaunchCancelAge: time.Second,
 			Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}},
 		"message report": sentHeartbeat(wire.TaskStatus{Task: "req-000412/3", Attempt: 2, Phase: wire.PhaseRunning},
 			wire.TaskStatus{Task: "req-000398/0", Attempt: 1, Phase: wire.PhaseExited, Cause: wire.CauseDone, CheckpointSaved: true}),
@@ -91,7 +91,7 @@
 			"job/req-000001": store.JobRecord{Spec: smallArray("req-000001", 60), Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256},
 			"job/req-000002": store.JobRecord{Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256, Spec: wire.JobSpec{ID: "req-000002", Class: "portal", Team: "blue",
 				Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 3, Image: "img-b", ImageGB: 1, Spread: true}},
-			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "OA5NX7QCZ6OJIQ3476RZVCWUEP"},
+			"lead":            store.LeaseRecord{Node: "worker-1", Nonce: "OA5NX7QCZ6OJIQ3476RZVCWUEP"},
 			"past/req-000003": store.FinalRecord{Status: wire.StatusDone, Done: 4},
 			"past/req-000004": store.FinalRecord{Status: wire.StatusCancelled},
 			"run/req-000001/0": store.ChunkRecord{NextAttempt: 39, Active: activeAttempts(1, placement{0, 1, 4, "n-000004"}, placement{4, 5, 8, "n-000001"}, placement{12, 13, 8, "n-000002"},
@@ -107,7 +107,7 @@
 			"job/req-000005":  store.JobRecord{Spec: smallGang("req-000005", 3, 2, 6, true), Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256},
 			"job/req-000007":  store.JobRecord{Spec: smallArray("req-000007", 500), Status: wire.StatusQueued, AcceptedAt: 946684802001, TasksPerChunk: 256},
 			"job/req-000008":  store.JobRecord{Spec: smallGang("req-000008", 60, 0.25, 0.5, false), Status: wire.StatusQueued, AcceptedAt: 946684877001, TasksPerChunk: 56},
-			"lead":            store.LeaderRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
+			"lead":            store.LeaseRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
 			"past/req-000004": store.FinalRecord{Status: wire.StatusCancelled},
 			"past/req-000006": store.FinalRecord{Status: wire.StatusDone, Done: 60},
 			// A chunk of 256 tasks, and a subchunk that replaces its entries for 32 of them.
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -39,9 +39,9 @@
 	return strings.Join(assignments, " ")
 }
 
-// PathBeside returns the path of the features file of a program that was built as
+// FilePathFor returns the path of the features file of a program that was built as
 // deploy/service.toml says: in the directory deploy, beside the directory of the program.
-func PathBeside(program string) string {
+func FilePathFor(program string) string {
 	return filepath.Join(filepath.Dir(program), "..", "deploy", "features.toml")
 }
 
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -101,7 +101,7 @@
 }
 
 func TestFeaturesFileInRepositoryIsValid(t *testing.T) {
-	if _, err := Load(PathBeside("../../target/lilaclead")); err != nil {
+	if _, err := Load(FilePathFor("../../target/lilaclead")); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/fleet/all_or_nothing.go
+++ b/internal/fleet/all_or_nothing.go
@@ -158,7 +158,7 @@
 			break
 		}
 		o := &p.offers[offer]
-		picks.add(offer, o.Price)
+		picks.add(offer, o.PricePerHour)
 		count.add(o.Zone, units)
 	}
 	// The cost is divided by all units, those that have room already included: for the last unit
@@ -181,7 +181,7 @@
 		if !inZone(o.Zone, zone) || !available || units <= 0 {
 			continue
 		}
-		if cost := o.Price / float64(units); !ok || cost < bestCost {
+		if cost := o.PricePerHour / float64(units); !ok || cost < bestCost {
 			offer, offerUnits, bestCost, ok = i, units, cost, true
 		}
 	}
--- a/internal/fleet/all_or_nothing_test.go
+++ b/internal/fleet/all_or_nothing_test.go
@@ -71,7 +71,7 @@
 		s.Demands = []Demand{d}
 		limited := rapid.Bool().Draw(t, "limited")
 		if !limited {
-			s.LowestPrice, s.MaxMachinesAdded = nil, 1000
+			s.LowestUnitPrice, s.MaxMachinesAdded = nil, 1000
 		}
 		plan := MakePlan(s)
 		checkGangScaleOuts(t, s, &d, plan)
@@ -125,7 +125,7 @@
 		s := drawSnapshot(t)
 		d := drawGangDemand(t)
 		s.Demands, s.MaxMachinesAdded = append(s.Demands, d), 20
-		s.Offers = append(s.Offers, Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 3})
+		s.Offers = append(s.Offers, Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], PricePerHour: 0.1, FetchGBPerSecond: 1, MaxCount: 3})
 		scaleOuts := MakePlan(s).ScaleOuts
 		if !slices.ContainsFunc(scaleOuts, func(r ScaleOut) bool { return r.ForJob == d.Spec.ID }) {
 			return
@@ -156,7 +156,7 @@
 	freeIn10 := free("a", 0)
 	freeIn10.ExpectedReleases = []ExpectedRelease{{InSeconds: 10, Resources: machineTypes["c4"]}}
 	offer := func(zone wire.Zone, price float64, maxCount int) Offer {
-		return Offer{Type: "c4", Zone: zone, Total: machineTypes["c4"], Price: price, FetchGBPerSecond: 1, MaxCount: maxCount}
+		return Offer{Type: "c4", Zone: zone, Total: machineTypes["c4"], PricePerHour: price, FetchGBPerSecond: 1, MaxCount: maxCount}
 	}
 	for _, c := range []struct {
 		name             string
@@ -184,8 +184,8 @@
 				Machines:         c.machines,
 				Offers:           c.offers,
 				Demands:          []Demand{c.demand},
-				PriceLimit:       2.3,
-				LowestPrice:      func(*wire.JobSpec) float64 { return 0.065 },
+				MaxPriceRatio:    2.3,
+				LowestUnitPrice:  func(*wire.JobSpec) float64 { return 0.065 },
 				MaxMachinesAdded: 9,
 			}
 			if c.maxMachinesAdded > 0 {
--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -50,7 +50,7 @@
 // unitsFittingOnOthers returns how many units of the size of a machine's largest task fit on the
 // other machines that are not cordoned.
 func (p *cordonPlan) unitsFittingOnOthers(machine int) int {
-	unit, units := p.snapshot.Machines[machine].LargestArrayTask, 0
+	unit, units := p.snapshot.Machines[machine].LargestBatchTask, 0
 	for i := range p.snapshot.Machines {
 		available := i != machine && !p.cordoned[i]
 		if available && takesArrays(&p.snapshot.Machines[i], &p.bins[i]) {
@@ -65,7 +65,7 @@
 // services.
 func takesArrays(m *Machine, b *bin) bool {
 	unused := m.Booting || m.Idle && !b.used
-	servicesAlone := m.ServiceTasks > 0 && m.LargestArrayTask.CPUs == 0
+	servicesAlone := m.ServiceTasks > 0 && m.LargestBatchTask.CPUs == 0
 	return !unused && !(servicesAlone && b.runsServices && !m.Spot)
 }
 
@@ -86,7 +86,7 @@
 		}
 		load := 1 - max(0, bins[i].free.CPUs)/max(1, m.Total.CPUs)
 		if load < maxCordonLoad {
-			candidates = append(candidates, cordonCandidate{i, m.Price * (1 - load)})
+			candidates = append(candidates, cordonCandidate{i, m.PricePerHour * (1 - load)})
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b cordonCandidate) int { return cmp.Compare(b.waste, a.waste) })
@@ -97,7 +97,7 @@
 // services.
 func (m *Machine) runsOnlyArrays() bool {
 	up := !m.Booting && !m.Idle
-	return up && m.ServiceTasks == 0 && m.LargestArrayTask.CPUs > 0
+	return up && m.ServiceTasks == 0 && m.LargestBatchTask.CPUs > 0
 }
 
 // roundUp is added before a number of units is truncated to an integer, so that a part of a unit
@@ -107,7 +107,7 @@
 // unitsOf returns a load on the machine as a number of units of the size of its largest task,
 // rounded up.
 func (m *Machine) unitsOf(load placement.Resources) int {
-	byCPU := load.CPUs / m.LargestArrayTask.CPUs
-	byMemory := load.MemoryGB / max(0.001, m.LargestArrayTask.MemoryGB)
+	byCPU := load.CPUs / m.LargestBatchTask.CPUs
+	byMemory := load.MemoryGB / max(0.001, m.LargestBatchTask.MemoryGB)
 	return int(max(byCPU, byMemory) + roundUp)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,7 +15,7 @@
 	Spot  bool
 	Total placement.Resources
 	// Price is the current price of one machine per hour.
-	Price float64
+	PricePerHour float64
 	// FetchGBPerSecond is the rate at which such a machine fetches images, in GB per second.
 	// With 0, only jobs without an image can run there.
 	FetchGBPerSecond float64
@@ -41,15 +41,15 @@
 	// 0 or negative once that time is over.
 	PrepaidSeconds float64
 	// Price is the price per hour.
-	Price float64
+	PricePerHour float64
 	// ServiceTasks is the number of service tasks on the machine.
 	ServiceTasks int
 	// ExpectedReleases are the resources that the array and gang tasks on the machine are expected
 	// to release, the earliest first.
 	ExpectedReleases []ExpectedRelease
-	// LargestArrayTask is what the largest array or gang task on the machine uses, by CPUs. It is
+	// LargestBatchTask is what the largest array or gang task on the machine uses, by CPUs. It is
 	// zero if there is none.
-	LargestArrayTask placement.Resources
+	LargestBatchTask placement.Resources
 }
 
 // ExpectedRelease is an amount of resources that a task is expected to release in InSeconds.
@@ -71,7 +71,7 @@
 	// AllOrNothing requires resources for all units or for none, and in one zone if the job
 	// requires that.
 	AllOrNothing bool
-	// PriceLimitFactor multiplies Snapshot.PriceLimit for this demand. Values below 1, and so 0,
+	// PriceLimitFactor multiplies Snapshot.MaxPriceRatio for this demand. Values below 1, and so 0,
 	// leave the limit as it is.
 	PriceLimitFactor float64
 }
@@ -81,13 +81,13 @@
 	Machines []Machine
 	Offers   []Offer
 	Demands  []Demand
-	// PriceLimit is the highest accepted price of a unit of an array or a gang, as a multiple of
-	// LowestPrice. Services have no price limit.
-	PriceLimit float64
-	// LowestPrice returns the lowest nominal price per hour of one unit of a job: its share of a
+	// MaxPriceRatio is the highest accepted price of a unit of an array or a gang, as a multiple of
+	// LowestUnitPrice. Services have no price limit.
+	MaxPriceRatio float64
+	// LowestUnitPrice returns the lowest nominal price per hour of one unit of a job: its share of a
 	// machine, over all machine types, on spot machines too if the job allows them. If it is nil,
 	// prices are not limited.
-	LowestPrice func(*wire.JobSpec) float64
+	LowestUnitPrice func(*wire.JobSpec) float64
 	// MaxMachinesAdded is the highest number of machines that one plan may add.
 	MaxMachinesAdded int
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -70,7 +70,7 @@
 func TestFreeRoomIsUsedBeforeScaleOut(t *testing.T) {
 	spec := &wire.JobSpec{Kind: wire.KindArray, CPUs: 2, MemoryGB: 4}
 	idle := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, IdleSeconds: 20, KeepIdleSeconds: 10}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.3, FetchGBPerSecond: 1, MaxCount: 9}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], PricePerHour: 0.3, FetchGBPerSecond: 1, MaxCount: 9}
 	for _, c := range []struct {
 		name                   string
 		units                  int
@@ -104,14 +104,14 @@
 // No machine above the price limit is added for an array; for a service it is. Without the limit,
 // bursts of arrays would add machines of the largest type for a few tasks.
 func TestPriceLimitHoldsForArraysButNotForServices(t *testing.T) {
-	offer := Offer{Type: "c16", Zone: "a", Total: machineTypes["c16"], Price: 4, FetchGBPerSecond: 1, MaxCount: 1}
+	offer := Offer{Type: "c16", Zone: "a", Total: machineTypes["c16"], PricePerHour: 4, FetchGBPerSecond: 1, MaxCount: 1}
 	for kind, want := range map[wire.JobKind]int{wire.KindArray: 0, wire.KindService: 1} {
 		plan := MakePlan(&Snapshot{
 			Offers:           []Offer{offer},
 			Demands:          []Demand{{Spec: &wire.JobSpec{Kind: kind, CPUs: 2, MemoryGB: 4}, Units: 1}},
 			MaxMachinesAdded: 9,
-			PriceLimit:       3,
-			LowestPrice:      func(*wire.JobSpec) float64 { return 0.05 },
+			MaxPriceRatio:    3,
+			LowestUnitPrice:  func(*wire.JobSpec) float64 { return 0.05 },
 		})
 		if len(plan.ScaleOuts) != want {
 			t.Errorf("%s: scale-outs %v, want %d", kind, plan.ScaleOuts, want)
@@ -122,8 +122,8 @@
 // No machine is added for units that can run, within their slack, on resources that running tasks
 // release. One is added if the release comes too late.
 func TestRoomReleasedInTimeAvoidsScaleOut(t *testing.T) {
-	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 10, Resources: machineTypes["c4"]}}, LargestArrayTask: machineTypes["c4"]}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 10, Resources: machineTypes["c4"]}}, LargestBatchTask: machineTypes["c4"]}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], PricePerHour: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	for slackSeconds, want := range map[float64]int{15: 0, 5: 1} {
 		plan := MakePlan(&Snapshot{
 			Machines:         []Machine{machine},
@@ -161,9 +161,9 @@
 		t.Run(name, func(t *testing.T) {
 			plan := MakePlan(&Snapshot{
 				MaxMachinesAdded: 8,
-				PriceLimit:       2.5,
-				LowestPrice:      func(*wire.JobSpec) float64 { return 0.025 },
-				Offers:           []Offer{{Type: "c4", Zone: "a", Spot: true, Total: machineTypes["c4"], Price: 0.1, MaxCount: 9}},
+				MaxPriceRatio:    2.5,
+				LowestUnitPrice:  func(*wire.JobSpec) float64 { return 0.025 },
+				Offers:           []Offer{{Type: "c4", Zone: "a", Spot: true, Total: machineTypes["c4"], PricePerHour: 0.1, MaxCount: 9}},
 				Demands:          c.demands,
 			})
 			if got := machinesAdded(plan); got != c.want {
@@ -185,8 +185,8 @@
 			Zone:             "a",
 			Total:            machineTypes["c4"],
 			Free:             placement.Resources{CPUs: freeCPUs, MemoryGB: freeCPUs * 4},
-			LargestArrayTask: unit,
-			Price:            price,
+			LargestBatchTask: unit,
+			PricePerHour:     price,
 		}
 	}
 	machineWithService := machine("s", 3, 9)
@@ -224,7 +224,7 @@
 	idle := func(id wire.MachineID, zone wire.Zone) Machine {
 		return Machine{ID: id, Type: "c4", Zone: zone, Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepIdleSeconds: 10}
 	}
-	offer := Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
+	offer := Offer{Type: "c4", Zone: "b", Total: machineTypes["c4"], PricePerHour: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	plan := MakePlan(&Snapshot{
 		Machines: []Machine{idle("m", "a"), idle("n", "a")},
 		Offers:   []Offer{offer},
@@ -244,8 +244,8 @@
 // counted for one unit only.
 func TestTasksOfOneMachineReleaseRoomTogether(t *testing.T) {
 	half := placement.Resources{CPUs: 2, MemoryGB: 8}
-	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 5, Resources: half}, {InSeconds: 10, Resources: half}, {InSeconds: 20, Resources: half}}, LargestArrayTask: half}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
+	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], ExpectedReleases: []ExpectedRelease{{InSeconds: 5, Resources: half}, {InSeconds: 10, Resources: half}, {InSeconds: 20, Resources: half}}, LargestBatchTask: half}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], PricePerHour: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	for _, c := range []struct {
 		name         string
 		units        int
@@ -273,7 +273,7 @@
 // Resources that are reserved for a gang are not available to the demands after it.
 func TestRoomReservedForGangIsNotGivenToLaterDemands(t *testing.T) {
 	machine := Machine{ID: "n", Type: "c4", Zone: "a", Total: machineTypes["c4"], Free: machineTypes["c4"], Idle: true, KeepIdleSeconds: 10}
-	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], Price: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
+	offer := Offer{Type: "c4", Zone: "a", Total: machineTypes["c4"], PricePerHour: 0.1, FetchGBPerSecond: 1, MaxCount: 9}
 	gang := Demand{Spec: &wire.JobSpec{ID: "req-1", Kind: wire.KindGang, Tasks: 2, CPUs: 2, MemoryGB: 4}, Units: 2, Rank: 1, AllOrNothing: true}
 	array := Demand{Spec: &wire.JobSpec{ID: "req-2", Kind: wire.KindArray, CPUs: 4, MemoryGB: 4}, Units: 1}
 	plan := MakePlan(&Snapshot{Machines: []Machine{machine}, Offers: []Offer{offer}, Demands: []Demand{array, gang}, MaxMachinesAdded: 9})
--- a/internal/fleet/generators_test.go
+++ b/internal/fleet/generators_test.go
@@ -28,7 +28,7 @@
 
 // drawSnapshot draws a small fleet with offers and demands of arrays and services.
 func drawSnapshot(t *rapid.T) *Snapshot {
-	s := &Snapshot{MaxMachinesAdded: 8, PriceLimit: 3, LowestPrice: func(*wire.JobSpec) float64 { return 0.02 }}
+	s := &Snapshot{MaxMachinesAdded: 8, MaxPriceRatio: 3, LowestUnitPrice: func(*wire.JobSpec) float64 { return 0.02 }}
 	for i := range rapid.IntRange(0, 5).Draw(t, "machines") {
 		s.Machines = append(s.Machines, drawMachine(t, i))
 	}
@@ -51,7 +51,7 @@
 		Spot:            rapid.Bool().Draw(t, "spot"),
 		Total:           machineTypes[machineType],
 		Free:            machineTypes[machineType],
-		Price:           0.3,
+		PricePerHour:    0.3,
 		KeepIdleSeconds: 10,
 	}
 	switch rapid.IntRange(0, 2).Draw(t, "state") {
@@ -63,7 +63,7 @@
 		m.PrepaidSeconds = float64(rapid.IntRange(-20, 20).Draw(t, "paid"))
 	default:
 		used := placement.Resources{CPUs: float64(rapid.IntRange(1, 4).Draw(t, "used")), MemoryGB: 4}
-		m.Free, m.LargestArrayTask = m.Free.Minus(used), used
+		m.Free, m.LargestBatchTask = m.Free.Minus(used), used
 		m.ExpectedReleases = []ExpectedRelease{{InSeconds: float64(rapid.IntRange(1, 40).Draw(t, "free in")), Resources: used}}
 	}
 	return m
@@ -76,7 +76,7 @@
 		Zone:             drawZone(t),
 		Spot:             rapid.Bool().Draw(t, "spot"),
 		Total:            machineTypes[machineType],
-		Price:            float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100,
+		PricePerHour:     float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100,
 		FetchGBPerSecond: 1,
 		MaxCount:         rapid.IntRange(0, 4).Draw(t, "room"),
 	}
--- a/internal/fleet/price.go
+++ b/internal/fleet/price.go
@@ -25,7 +25,7 @@
 		if units <= 0 || !o.suits(d.Spec) {
 			continue
 		}
-		cost := o.Price / float64(units)
+		cost := o.PricePerHour / float64(units)
 		// The zone penalty affects only the order of the offers. As part of unitCost it would make
 		// all zones of a large cluster exceed the price limit.
 		rank := cost * p.zoneFactor(o.Zone)
@@ -62,9 +62,9 @@
 
 // tooExpensive reports whether unitCost exceeds the price limit of the demand.
 func (p *packer) tooExpensive(d *Demand, unitCost float64) bool {
-	if p.snapshot.LowestPrice == nil {
+	if p.snapshot.LowestUnitPrice == nil {
 		return false
 	}
-	limit := p.snapshot.PriceLimit * max(1, d.PriceLimitFactor) * p.snapshot.LowestPrice(d.Spec)
+	limit := p.snapshot.MaxPriceRatio * max(1, d.PriceLimitFactor) * p.snapshot.LowestUnitPrice(d.Spec)
 	return unitCost > limit
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -29,7 +29,7 @@
 // cancel handles a cancellation. It confirms the cancellation once it is certain that the
 // job is cancelled or had ended before.
 func (in *Intake) cancel(ctx context.Context, r *http.Request, params httprouter.Params) response {
-	if _, err := wire.ReadBody(r.Body, wire.MaxBody); errors.Is(err, wire.ErrBodyTooLarge) {
+	if _, err := wire.ReadBody(r.Body, wire.MaxBodyBytes); errors.Is(err, wire.ErrBodyTooLarge) {
 		return rejected(http.StatusRequestEntityTooLarge, err.Error())
 	}
 	id := wire.JobID(params.ByName("id"))
@@ -67,7 +67,7 @@
 	}
 	rec, err := store.DecodeJob(key, entry.Value)
 	if err != nil {
-		in.Undecodable.LogOnce(key, err)
+		in.UndecodableLog.LogOnce(key, err)
 		return response{}, err
 	}
 	if rec.Status == wire.StatusCancelled {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -53,8 +53,8 @@
 	inFlight chan struct{}
 	// Observe is called after every response, for the metrics.
 	Observe func(op Operation, status int, took time.Duration)
-	// Undecodable logs the stored records that can't be decoded.
-	Undecodable *undecodable.Log
+	// UndecodableLog logs the stored records that can't be decoded.
+	UndecodableLog *undecodable.Log
 }
 
 // New returns an Intake. The function machineTypes returns the machine types that
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -26,9 +26,9 @@
 // handler of its routes.
 func newIntakeWithoutStore(t *testing.T) (*Intake, http.Handler) {
 	t.Helper()
-	limits := config.StoreLimits{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16}
+	limits := config.StoreLimits{RPS: 100, WriteRPS: 100, MaxTxnWrites: 12, MaxValueKB: 16}
 	settings := &config.Settings{Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.ProcessLimits{FDLimit: 900}}
-	unreachable := netio.Net{Dial: func(context.Context, string, string) (net.Conn, error) {
+	unreachable := netio.Network{Dial: func(context.Context, string, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
 	}}
 	client := store.New("10.2.0.1:2379", limits, 1, unreachable)
--- a/internal/intake/job_state.go
+++ b/internal/intake/job_state.go
@@ -36,7 +36,7 @@
 	}
 	var rec store.FinalRecord
 	if err := wire.Decode(entry.Value, &rec); err != nil {
-		in.Undecodable.LogOnce(key, err)
+		in.UndecodableLog.LogOnce(key, err)
 		return wire.JobState{}, err
 	}
 	final := wire.JobState{ID: id, Status: rec.Status, Done: rec.Done}
--- a/internal/intake/store_test.go
+++ b/internal/intake/store_test.go
@@ -37,7 +37,7 @@
 }
 
 // highLimits are limits of the store that no test reaches.
-var highLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
+var highLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxTxnWrites: 12, MaxValueKB: 16}
 
 // runCluster runs a test on a cluster in virtual time.
 func runCluster(t *testing.T, test func(t *testing.T, c *cluster)) {
@@ -76,7 +76,7 @@
 	cancelLog := cancels.New(nil, time.Minute)
 	client := store.New(simulator.KVStoreAddr, limits, settings.Size, network.Host(host))
 	in := intake.New(settings, client, cancelLog, func() []wire.MachineSpec { return c.types }, log)
-	in.Undecodable = undecodable.New(log)
+	in.UndecodableLog = undecodable.New(log)
 	router := httprouter.New()
 	in.Routes(router)
 	go in.Run(ctx)
@@ -152,7 +152,7 @@
 
 func TestRepetitionFindsSubmissionOfUnknownOutcome(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
-		c.store.LoseAnswers(1)
+		c.store.LoseResponses(1)
 		c.nodes[0].submit(t, "req-1", http.StatusServiceUnavailable, "")
 		c.nodes[1].submit(t, "req-1", http.StatusOK, wire.StatusQueued)
 	})
@@ -209,7 +209,7 @@
 
 func TestBodyOverLimitIsRejected(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
-		body := make([]byte, wire.MaxBody+1)
+		body := make([]byte, wire.MaxBodyBytes+1)
 		for _, path := range []string{"/v1/jobs", "/v1/jobs/req-1/cancel"} {
 			if got := c.nodes[0].send(t, "POST", path, body, nil); got != http.StatusRequestEntityTooLarge {
 				t.Errorf("%s with %d bytes: got %d, want 413", path, len(body), got)
@@ -246,11 +246,11 @@
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
 		c.nodes[0].submit(t, "req-2", http.StatusCreated, wire.StatusQueued)
 		c.nodes[0].cancel(t, "req-2", http.StatusOK, wire.StatusCancelled)
-		c.store.Outage(true)
+		c.store.SetOutage(true)
 		c.nodes[0].poll(t, "req-1", http.StatusServiceUnavailable, wire.JobState{})
 		c.nodes[0].poll(t, "req-2", http.StatusOK, wire.JobState{ID: "req-2", Status: wire.StatusCancelled})
 		c.nodes[0].poll(t, "req-3", http.StatusServiceUnavailable, wire.JobState{})
-		c.store.Outage(false)
+		c.store.SetOutage(false)
 	})
 }
 
@@ -279,7 +279,7 @@
 func TestRepetitionFindsCancellationOfUnknownOutcome(t *testing.T) {
 	runCluster(t, func(t *testing.T, c *cluster) {
 		c.nodes[0].submit(t, "req-1", http.StatusCreated, wire.StatusQueued)
-		c.store.LoseAnswers(1)
+		c.store.LoseResponses(1)
 		c.nodes[0].cancel(t, "req-1", http.StatusServiceUnavailable, "")
 		c.nodes[1].cancel(t, "req-1", http.StatusOK, wire.StatusCancelled)
 	})
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -14,7 +14,7 @@
 
 // submit handles a submission. The job is accepted once its record is stored.
 func (in *Intake) submit(ctx context.Context, r *http.Request, _ httprouter.Params) response {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	raw, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 	if errors.Is(err, wire.ErrBodyTooLarge) {
 		return rejected(http.StatusRequestEntityTooLarge, err.Error())
 	}
@@ -91,7 +91,7 @@
 		Spec:          *spec,
 		Status:        wire.StatusQueued,
 		AcceptedAt:    wire.TimestampOf(time.Now()),
-		TasksPerChunk: store.ChunkTasksFor(in.settings.State.Strictest().ValueKB),
+		TasksPerChunk: store.TasksPerChunkForLimit(in.settings.State.Strictest().MaxValueKB),
 	}
 	return commit(ctx, in.store, wire.Txn{
 		Guards: []wire.Guard{
--- a/internal/leader/agents/client.go
+++ b/internal/leader/agents/client.go
@@ -39,8 +39,8 @@
 
 // NewClient returns a client that uses up to the given number of connections at a time, or
 // minConnections if that is more.
-func NewClient(network netio.Net, mesh *peer.Mesh, connections int) *Client {
-	bounded := network.Bounded(max(minConnections, connections), dialTimeout)
+func NewClient(network netio.Network, mesh *peer.Mesh, connections int) *Client {
+	bounded := network.WithConnectionLimit(max(minConnections, connections), dialTimeout)
 	return &Client{
 		HTTP:         &http.Client{Transport: bounded.Transport(maxIdlePerAgent, max(minIdleConnections, connections/2))},
 		Mesh:         mesh,
--- a/internal/leader/agents/dispatcher.go
+++ b/internal/leader/agents/dispatcher.go
@@ -33,9 +33,9 @@
 	directStopInterval = 1500 * time.Millisecond
 )
 
-// Dispatch sends a machine, in one direct request, the stops that are due and the launches
+// SendDueCommands sends a machine, in one direct request, the stops that are due and the launches
 // that it has not been sent yet. Without the key-value store it sends only stops.
-func (dp *Dispatcher) Dispatch(machine *cluster.Machine) {
+func (dp *Dispatcher) SendDueCommands(machine *cluster.Machine) {
 	mayLaunch := dp.Lease.Deciding()
 	if !canReceive(machine) || !mayLaunch && !dp.Lease.MayAnswerHeartbeats() {
 		return
@@ -43,7 +43,7 @@
 	now := time.Now()
 	commands := wire.Commands{Token: dp.Fencing.Token, Epoch: machine.Epoch}
 	var launched []*cluster.Attempt
-	for task, attempt := range machine.Tasks {
+	for task, attempt := range machine.Attempts {
 		if len(commands.Commands) >= MaxCommands {
 			break
 		}
@@ -90,14 +90,14 @@
 	addr, lastPosition := machine.Addr, positionOf(machine)
 	dp.Spawn(func(ctx context.Context) {
 		heartbeat, status, err := dp.Client.Send(ctx, addr, commands, commandTimeout)
-		dp.Post(CommandAnswer{
-			Machine:     machine,
-			KnownBefore: lastPosition,
-			Commands:    commands,
-			Launched:    launched,
-			Heartbeat:   heartbeat,
-			Status:      status,
-			Err:         err,
+		dp.Post(CommandOutcome{
+			Machine:             machine,
+			LastHeartbeatBefore: lastPosition,
+			Commands:            commands,
+			Launched:            launched,
+			Heartbeat:           heartbeat,
+			Status:              status,
+			Err:                 err,
 		})
 	})
 }
--- a/internal/leader/agents/dispatcher_test.go
+++ b/internal/leader/agents/dispatcher_test.go
@@ -14,7 +14,7 @@
 func breakInboundPath(machine *cluster.Machine) {
 	machine.Inbound.RecordAnswer(0, 1, 8)
 	machine.Inbound.RecordUnansweredCommand()
-	machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.Evidence{MissesLaunch: func() bool { return true }}, time.Now())
+	machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.HeartbeatEvidence{LacksLaunch: func() bool { return true }}, time.Now())
 }
 
 func TestCommandsFollowTheStateOfTheAttempt(t *testing.T) {
@@ -49,7 +49,7 @@
 		t.Run(tc.name+", heartbeat response", func(t *testing.T) {
 			f := newFixture(t)
 			tc.setup(f)
-			got := f.CommandsFor(f.machine, heartbeat(11), time.Now())
+			got := f.HeartbeatResponseCommands(f.machine, heartbeat(11), time.Now())
 			if !slices.Equal(verbs(got), tc.wantInResponse) {
 				t.Errorf("attempt %+v: commands in the response %v, want %v", *f.attempt, verbs(got), tc.wantInResponse)
 			}
@@ -60,7 +60,7 @@
 		t.Run(tc.name+", directly", func(t *testing.T) {
 			f := newFixture(t)
 			tc.setup(f)
-			f.Dispatch(f.machine)
+			f.SendDueCommands(f.machine)
 			if got := f.sentDirectly(t); !slices.Equal(got, tc.wantDirect) {
 				t.Errorf("attempt %+v: direct commands %v, want %v", *f.attempt, got, tc.wantDirect)
 			}
@@ -74,7 +74,7 @@
 	if !f.machine.CommandInFlight {
 		return nil
 	}
-	outcome, ok := (<-f.Events).(CommandAnswer)
+	outcome, ok := (<-f.Events).(CommandOutcome)
 	if !ok || outcome.Machine != f.machine || outcome.Commands.Token != testToken || outcome.Err == nil {
 		t.Fatalf("outcome %+v, want the error of a request with token %d", outcome, testToken)
 	}
@@ -107,7 +107,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			tc.setup(f)
-			f.Dispatch(f.machine)
+			f.SendDueCommands(f.machine)
 			if f.attempt.LaunchSent != tc.want {
 				t.Errorf("launch sent %v, want %v", f.attempt.LaunchSent, tc.want)
 			}
@@ -120,7 +120,7 @@
 	stopping := f.addAttempt(f.job, 1, f.machine)
 	stopping.Stopping, stopping.SeenInHeartbeat = true, true
 	f.expireLease(true)
-	f.Dispatch(f.machine)
+	f.SendDueCommands(f.machine)
 	if got, want := f.sentDirectly(t), []wire.Verb{wire.VerbStop}; !slices.Equal(got, want) {
 		t.Errorf("direct commands %v, want %v", got, want)
 	}
@@ -137,14 +137,14 @@
 			f.addAttempt(job, index, f.machine)
 		}
 	}
-	if len(f.machine.Tasks) <= MaxCommands {
-		t.Fatalf("%d attempts are not more than one response may hold", len(f.machine.Tasks))
+	if len(f.machine.Attempts) <= MaxCommands {
+		t.Fatalf("%d attempts are not more than one response may hold", len(f.machine.Attempts))
 	}
-	f.Dispatch(f.machine)
+	f.SendDueCommands(f.machine)
 	if got := len(f.sentDirectly(t)); got != MaxCommands {
 		t.Errorf("%d direct commands, want %d", got, MaxCommands)
 	}
-	if got := len(f.CommandsFor(f.machine, heartbeat(11), time.Now())); got > MaxCommands {
+	if got := len(f.HeartbeatResponseCommands(f.machine, heartbeat(11), time.Now())); got > MaxCommands {
 		t.Errorf("%d commands in a heartbeat response, want at most %d", got, MaxCommands)
 	}
 }
@@ -187,7 +187,7 @@
 			f := newFixture(t)
 			f.attempt.SeenInHeartbeat = true
 			tc.setup(f)
-			got := f.CommandsFor(f.machine, tc.heartbeat, time.Now())
+			got := f.HeartbeatResponseCommands(f.machine, tc.heartbeat, time.Now())
 			if !slices.Equal(verbs(got), tc.want) || f.Fencing.RaiseRequested != tc.wantRaise {
 				t.Errorf("heartbeat %+v: commands %v, higher token requested %v; want %v, %v",
 					tc.heartbeat.Tasks, verbs(got), f.Fencing.RaiseRequested, tc.want, tc.wantRaise)
--- a/internal/leader/agents/fixture_test.go
+++ b/internal/leader/agents/fixture_test.go
@@ -35,7 +35,7 @@
 	now := time.Now()
 	f := &fixture{}
 	metrics := &core.Metrics{TaskInterrupted: func(reason string) { f.evicted = append(f.evicted, reason) }}
-	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
+	lease := election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
 	loop := core.NewLoop(lease, slog.New(slog.NewTextHandler(io.Discard, nil)), metrics)
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -58,7 +58,7 @@
 // whether heartbeats may still be answered.
 func (f *fixture) expireLease(mayAnswerHeartbeats bool) {
 	now := time.Now()
-	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
+	f.Lease = election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
 	if mayAnswerHeartbeats {
 		f.Lease.RecordAcks(now.Add(time.Hour), now, 0)
 	}
--- a/internal/leader/agents/heartbeat_answers.go
+++ b/internal/leader/agents/heartbeat_answers.go
@@ -7,18 +7,18 @@
 	"lilaclead/internal/wire"
 )
 
-// CommandsFor returns the commands for the response to a heartbeat. A command is repeated
+// HeartbeatResponseCommands returns the commands for the response to a heartbeat. A command is repeated
 // until a heartbeat shows that it has arrived.
-func (dp *Dispatcher) CommandsFor(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) []wire.Command {
-	commands := dp.StopCommands(machine, []wire.Command{}, now)
+func (dp *Dispatcher) HeartbeatResponseCommands(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) []wire.Command {
+	commands := dp.AppendStops(machine, []wire.Command{}, now)
 	commands = appendLaunches(commands, machine, heartbeat)
 	return dp.appendCleanups(commands, machine, heartbeat)
 }
 
-// StopCommands appends a stop for each of a machine's attempts that is to be stopped. Stops
+// AppendStops appends a stop for each of a machine's attempts that is to be stopped. Stops
 // may also be sent without the key-value store, because a stop starts nothing.
-func (dp *Dispatcher) StopCommands(machine *cluster.Machine, commands []wire.Command, now time.Time) []wire.Command {
-	for task, attempt := range machine.Tasks {
+func (dp *Dispatcher) AppendStops(machine *cluster.Machine, commands []wire.Command, now time.Time) []wire.Command {
+	for task, attempt := range machine.Attempts {
 		if len(commands) >= MaxCommands {
 			break
 		}
@@ -34,7 +34,7 @@
 // that no heartbeat has shown yet, unless a direct launch of it is in flight. It appends none
 // while messages to the machine are taken not to arrive.
 func appendLaunches(commands []wire.Command, machine *cluster.Machine, heartbeat *wire.Heartbeat) []wire.Command {
-	for task, attempt := range machine.Tasks {
+	for task, attempt := range machine.Attempts {
 		if len(commands) >= MaxCommands {
 			break
 		}
@@ -59,7 +59,7 @@
 		if err != nil {
 			continue
 		}
-		if attempt := machine.Tasks[task]; attempt != nil && attempt.Number == status.Attempt {
+		if attempt := machine.Attempts[task]; attempt != nil && attempt.Number == status.Attempt {
 			continue
 		}
 		switch {
--- a/internal/leader/agents/probes.go
+++ b/internal/leader/agents/probes.go
@@ -33,14 +33,14 @@
 			probe.Epoch = heartbeat.Epoch
 			heartbeat, status, err = dp.Client.probeThrough(ctx, relay, addr, probe)
 		}
-		dp.Post(ProbeAnswer{
-			CommandAnswer: CommandAnswer{
-				Machine:     machine,
-				KnownBefore: lastPosition,
-				Commands:    probe,
-				Heartbeat:   heartbeat,
-				Status:      status,
-				Err:         err,
+		dp.Post(ProbeOutcome{
+			CommandOutcome: CommandOutcome{
+				Machine:             machine,
+				LastHeartbeatBefore: lastPosition,
+				Commands:            probe,
+				Heartbeat:           heartbeat,
+				Status:              status,
+				Err:                 err,
 			},
 			Relayed: relay != "",
 		})
--- a/internal/leader/agents/probes_test.go
+++ b/internal/leader/agents/probes_test.go
@@ -44,12 +44,12 @@
 				return answerWith(status, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: tc.epoch, Sequence: 11, Token: tc.token}))
 			})
 			f.Probe(f.machine)
-			answer, ok := (<-f.Events).(ProbeAnswer)
+			answer, ok := (<-f.Events).(ProbeOutcome)
 			if !ok || answer.Err != nil || answer.Status != tc.wantStatus || answer.Heartbeat.Epoch != tc.epoch || answer.Relayed {
 				t.Fatalf("outcome %+v, want status %d of epoch %d by a direct probe", answer, tc.wantStatus, tc.epoch)
 			}
-			if want := (Position{Epoch: 1, Sequence: 10}); answer.KnownBefore != want || probes != tc.wantProbes {
-				t.Errorf("%d probes, known before %+v; want %d, %+v", probes, answer.KnownBefore, tc.wantProbes, want)
+			if want := (HeartbeatPosition{Epoch: 1, Sequence: 10}); answer.LastHeartbeatBefore != want || probes != tc.wantProbes {
+				t.Errorf("%d probes, known before %+v; want %d, %+v", probes, answer.LastHeartbeatBefore, tc.wantProbes, want)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 		simulator.NewNetwork(0).Host("10.0.0.1"), f.Log)
 	f.machine.UnansweredCommands = 1
 	f.Probe(f.machine)
-	answer, ok := (<-f.Events).(ProbeAnswer)
+	answer, ok := (<-f.Events).(ProbeOutcome)
 	if !ok || answer.Err != nil || answer.Relayed {
 		t.Errorf("outcome %+v, want the response to a direct probe", answer)
 	}
--- a/internal/leader/agents/relayed_probe.go
+++ b/internal/leader/agents/relayed_probe.go
@@ -38,7 +38,7 @@
 // readRelayedProbe reads a probe from a request. ok is false if the request can't be read, has
 // no address of an agent, or contains commands.
 func readRelayedProbe(r *http.Request) (probe relayedProbe, ok bool) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	raw, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 	if err != nil || wire.Decode(raw, &probe) != nil {
 		return relayedProbe{}, false
 	}
--- a/internal/leader/agents/stops.go
+++ b/internal/leader/agents/stops.go
@@ -34,7 +34,7 @@
 		dp.Log.Info("task stop requested", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "reason", reason)
 		dp.Metrics.TaskInterrupted(string(reason))
 	}
-	dp.Dispatch(attempt.Machine)
+	dp.SendDueCommands(attempt.Machine)
 }
 
 // stopUnstored ends an attempt that is not stored; its launch was never sent. An attempt that
--- a/internal/leader/autoscaler/inventory.go
+++ b/internal/leader/autoscaler/inventory.go
@@ -49,7 +49,7 @@
 // remove removes a machine that no longer exists, and makes its tasks pending.
 func (i *inventory) remove(machine *cluster.Machine) {
 	i.state.RemovedMachines[machine.ID] = time.Now()
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		i.metrics.TaskInterrupted(string(cluster.EvictedMachineRemoved))
 		i.state.EndAttempt(attempt, cluster.TaskPending)
 	}
--- a/internal/leader/autoscaler/plan.go
+++ b/internal/leader/autoscaler/plan.go
@@ -46,7 +46,7 @@
 // scaleInIfIdle returns an idle machine to the cloud, unless a task has been placed on it since the
 // plan was made.
 func (s *Scaler) scaleInIfIdle(id wire.MachineID) {
-	if machine := s.state.Machines[id]; machine != nil && len(machine.Tasks) == 0 {
+	if machine := s.state.Machines[id]; machine != nil && len(machine.Attempts) == 0 {
 		s.ScaleIn(machine, cluster.DrainIdle)
 	}
 }
--- a/internal/leader/autoscaler/requests.go
+++ b/internal/leader/autoscaler/requests.go
@@ -39,7 +39,7 @@
 	wait := minScaleOutRetry
 	for ctx.Err() == nil {
 		machines, err := r.callScaleOut(ctx, request)
-		if !errors.Is(err, duty.ErrNotHeld) && retry.Final(err) {
+		if !errors.Is(err, duty.ErrNotHeld) && retry.IsFinal(err) {
 			r.loop.Post(ScaleOutAnswered{request, machines, err})
 			return
 		}
--- a/internal/leader/autoscaler/rig_test.go
+++ b/internal/leader/autoscaler/rig_test.go
@@ -52,7 +52,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		settings := simulator.DefaultSettings()
 		if options.valueKB > 0 {
-			settings.State.ValueKB = options.valueKB
+			settings.State.MaxValueKB = options.valueKB
 		}
 		sim := simulator.New(ctx, settings, 1, nil, nil)
 		term := newTestTerm(t, sim, settings, options)
@@ -71,7 +71,7 @@
 	candidate := election.NewCandidate(&config.Config{HostName: "a", Settings: settings}, client, log, func(context.Context, wire.FencingToken) {})
 	token := wire.FencingToken(sim.State.Put(store.LeaderKey, candidate.LeaseRecord()))
 	now := time.Now()
-	lease := election.NewLease(candidate, election.Tenure{Token: token, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
+	lease := election.NewLease(candidate, election.Acquisition{Token: token, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
 	metrics := &core.Metrics{FleetChange: func(string, int) {}, TaskInterrupted: func(string) {}}
 	loop := core.NewLoop(lease, log, metrics)
 	catalog := &cluster.MachineCatalog{}
@@ -147,7 +147,7 @@
 
 // makeOtherNodeLeader writes the leader record of another node, which takes the lease from the term.
 func (term *testTerm) makeOtherNodeLeader() {
-	term.sim.State.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
+	term.sim.State.Put(store.LeaderKey, store.LeaseRecord{Node: "b", Nonce: "other"})
 }
 
 // ended reports whether the term has ended.
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -20,7 +20,7 @@
 		machine.DrainReason = reason
 	}
 	s.Log.Info("scale-in requested", "machine", machine.ID, "type", machine.MachineType, "zone", machine.Zone, "spot", machine.Spot,
-		"reason", reason, "tasks", len(machine.Tasks), "age", time.Since(machine.RequestedAt))
+		"reason", reason, "tasks", len(machine.Attempts), "age", time.Since(machine.RequestedAt))
 	s.Metrics.FleetChange("released", 1)
 	s.Tracker.QueueScaleIn(machine.ID)
 	s.sendNextScaleIn()
--- a/internal/leader/autoscaler/scale_in_test.go
+++ b/internal/leader/autoscaler/scale_in_test.go
@@ -131,7 +131,7 @@
 	withTerm(t, termOptions{}, func(term *testTerm) {
 		term.loadIntents()
 		now := time.Now()
-		term.Lease = election.NewLease(&election.Candidate{}, election.Tenure{Token: term.Fencing.Token, AcquiredAt: now, ValidUntil: now.Add(-time.Second)})
+		term.Lease = election.NewLease(&election.Candidate{}, election.Acquisition{Token: term.Fencing.Token, AcquiredAt: now, ValidUntil: now.Add(-time.Second)})
 		machine := term.state.GetOrAddMachine("n-1")
 		term.ScaleIn(machine, cluster.DrainIdle)
 		if machine.ScalingIn || machine.DrainReason != "" {
--- a/internal/leader/cluster/attempt.go
+++ b/internal/leader/cluster/attempt.go
@@ -100,7 +100,7 @@
 // For a gang the task is lost, which breaks the gang.
 func (s *State) requeueTask(a *Attempt) {
 	c, j := a.Chunk, a.Job
-	c.FirstPending = min(c.FirstPending, a.Index)
+	c.FirstPendingIndex = min(c.FirstPendingIndex, a.Index)
 	j.FirstPendingChunk = min(j.FirstPendingChunk, c.Index)
 	if j.Spec.IsGang() {
 		s.BrokenGangs[j] = struct{}{}
--- a/internal/leader/cluster/attempt_test.go
+++ b/internal/leader/cluster/attempt_test.go
@@ -39,15 +39,15 @@
 				tt.prepare(a)
 			}
 			c := j.Chunk(0)
-			c.FirstPending, j.FirstPendingChunk = tt.tasks, 1
+			c.FirstPendingIndex, j.FirstPendingChunk = tt.tasks, 1
 
 			s.EndAttempt(a, tt.state)
 
 			if got := c.TaskStates[0]; got != tt.state {
 				t.Errorf("state of the task = %d, want %d", got, tt.state)
 			}
-			if c.Attempts[0] != nil || m.Tasks[a.Task()] != nil || j.ActiveTasks != 0 {
-				t.Errorf("attempt is not detached: chunk %v, machine %v, active %d", c.Attempts, m.Tasks, j.ActiveTasks)
+			if c.Attempts[0] != nil || m.Attempts[a.Task()] != nil || j.ActiveTasks != 0 {
+				t.Errorf("attempt is not detached: chunk %v, machine %v, active %d", c.Attempts, m.Attempts, j.ActiveTasks)
 			}
 			if a.Unstored || c.UnstoredAttempts != 0 || j.UnstoredAttempts != 0 {
 				t.Errorf("unstored = %v, of chunk %d, of job %d, want none", a.Unstored, c.UnstoredAttempts, j.UnstoredAttempts)
@@ -64,8 +64,8 @@
 			if _, unsaved := s.UnsavedChanges.Chunks[c]; !unsaved || !c.Dirty || c.DirtySince.IsZero() {
 				t.Errorf("chunk to be written = %v, dirty %v since %v", unsaved, c.Dirty, c.DirtySince)
 			}
-			if pending := tt.state == TaskPending; (c.FirstPending == 0) != pending || (j.FirstPendingChunk == 0) != pending {
-				t.Errorf("first pending = %d of chunk %d, want the task itself: %v", c.FirstPending, j.FirstPendingChunk, pending)
+			if pending := tt.state == TaskPending; (c.FirstPendingIndex == 0) != pending || (j.FirstPendingChunk == 0) != pending {
+				t.Errorf("first pending = %d of chunk %d, want the task itself: %v", c.FirstPendingIndex, j.FirstPendingChunk, pending)
 			}
 			if m.LastUsedAt.IsZero() || !m.LastUsedAt.Equal(j.lastActiveAt) {
 				t.Errorf("machine last used at %v, job last active at %v", m.LastUsedAt, j.lastActiveAt)
@@ -113,11 +113,11 @@
 	m := s.GetOrAddMachine("n-1")
 	older := addTestAttempt(j, 0, m, 1)
 	newer := &Attempt{Job: j, Chunk: j.Chunk(0), Number: 2, Machine: m}
-	m.Tasks[newer.Task()] = newer
+	m.Attempts[newer.Task()] = newer
 	used := m.usedResources
 	older.Detach()
-	if m.Tasks[newer.Task()] != newer || m.usedResources != used {
-		t.Errorf("attempts on the machine = %+v, used %+v, want %+v and %+v", m.Tasks, m.usedResources, newer, used)
+	if m.Attempts[newer.Task()] != newer || m.usedResources != used {
+		t.Errorf("attempts on the machine = %+v, used %+v, want %+v and %+v", m.Attempts, m.usedResources, newer, used)
 	}
 }
 
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -27,12 +27,12 @@
 
 // Chunk is the progress of a fixed number of a job's tasks, which is stored as one record.
 type Chunk struct {
-	Job          *Job
-	Index        int                // in Job.Chunks
-	NextAttempt  wire.AttemptNumber // number of the next attempt of any of the tasks
-	TaskStates   []TaskState        // by index of the task in the chunk
-	Attempts     map[int]*Attempt   // active ones by index of the task in the chunk
-	FirstPending int                // index of a task; no task before it is pending
+	Job               *Job
+	Index             int                // in Job.Chunks
+	NextAttempt       wire.AttemptNumber // number of the next attempt of any of the tasks
+	TaskStates        []TaskState        // by index of the task in the chunk
+	Attempts          map[int]*Attempt   // active ones by index of the task in the chunk
+	FirstPendingIndex int                // index of a task; no task before it is pending
 	// UnstoredAttempts is how many of the attempts are not stored yet.
 	UnstoredAttempts int
 	ChunkRecordState
@@ -79,8 +79,8 @@
 	return rec
 }
 
-// Reset detaches the attempts of the chunk and sets all of its tasks to pending.
-func (c *Chunk) Reset() {
+// ResetTasks detaches the attempts of the chunk and sets all of its tasks to pending.
+func (c *Chunk) ResetTasks() {
 	for _, a := range c.Attempts {
 		a.Detach()
 	}
--- a/internal/leader/cluster/chunk_layout.go
+++ b/internal/leader/cluster/chunk_layout.go
@@ -52,7 +52,7 @@
 func (j *Job) ForEachPendingTask(limit int, start func(c *Chunk, index int)) {
 	for chunkIndex := j.FirstPendingChunk; chunkIndex < len(j.Chunks); chunkIndex++ {
 		c := j.Chunk(chunkIndex)
-		for i := c.FirstPending; i < len(c.TaskStates); i++ {
+		for i := c.FirstPendingIndex; i < len(c.TaskStates); i++ {
 			if limit == 0 {
 				return
 			}
@@ -60,7 +60,7 @@
 				start(c, i)
 				limit--
 			}
-			c.FirstPending = i + 1
+			c.FirstPendingIndex = i + 1
 		}
 		j.FirstPendingChunk = chunkIndex + 1
 	}
--- a/internal/leader/cluster/chunk_layout_test.go
+++ b/internal/leader/cluster/chunk_layout_test.go
@@ -40,7 +40,7 @@
 		}
 	}
 	for task, a := range map[int]*Attempt{1: stored, 3: unstored, 9: last} {
-		if got := s.ActiveAttempt(wire.TaskID{Job: "req-1", Index: task}); got != a || a.Task().Index != task || m.Tasks[a.Task()] != a {
+		if got := s.ActiveAttempt(wire.TaskID{Job: "req-1", Index: task}); got != a || a.Task().Index != task || m.Attempts[a.Task()] != a {
 			t.Errorf("attempt of task %d = %+v, want %+v as task %d", task, got, a, a.Task().Index)
 		}
 	}
--- a/internal/leader/cluster/chunk_test.go
+++ b/internal/leader/cluster/chunk_test.go
@@ -46,13 +46,13 @@
 	ofOtherChunk := addTestAttempt(j, 2, m, 1)
 	j.Chunk(0).TaskStates[1], j.DoneTasks = TaskDone, 1
 
-	j.Chunk(0).Reset()
+	j.Chunk(0).ResetTasks()
 
 	if got := j.Chunk(0).TaskStates; !slices.Equal(got, []TaskState{TaskPending, TaskPending}) {
 		t.Errorf("states = %v, want all pending", got)
 	}
-	if j.DoneTasks != 0 || j.ActiveTasks != 1 || len(m.Tasks) != 1 || m.Tasks[ofOtherChunk.Task()] != ofOtherChunk {
-		t.Errorf("done %d, active %d, on the machine %v, want only the other chunk's attempt", j.DoneTasks, j.ActiveTasks, m.Tasks)
+	if j.DoneTasks != 0 || j.ActiveTasks != 1 || len(m.Attempts) != 1 || m.Attempts[ofOtherChunk.Task()] != ofOtherChunk {
+		t.Errorf("done %d, active %d, on the machine %v, want only the other chunk's attempt", j.DoneTasks, j.ActiveTasks, m.Attempts)
 	}
 }
 
@@ -120,7 +120,7 @@
 		t.Errorf("visited with none pending = %v, want none", got)
 	}
 	for n, want := range []int{3, 3, 1} {
-		if got := j.Chunk(n).FirstPending; got != want || j.FirstPendingChunk != 3 {
+		if got := j.Chunk(n).FirstPendingIndex; got != want || j.FirstPendingChunk != 3 {
 			t.Errorf("first pending task of chunk %d = %d, first pending chunk %d, want %d and 3", n, got, j.FirstPendingChunk, want)
 		}
 	}
--- a/internal/leader/cluster/doc.go
+++ b/internal/leader/cluster/doc.go
@@ -35,7 +35,7 @@
 //	active  → done     State.EndAttempt: its agent has reported that it completed
 //	pending → done     State.CompleteGang: the tasks of a gang complete together; also
 //	                   the reader, for tasks that the record lists as done
-//	any     → pending  Chunk.Reset: only during recovery, before a sub-chunk's record
+//	any     → pending  Chunk.ResetTasks: only during recovery, before a sub-chunk's record
 //	                   replaces what the chunk's record said
 //
 // Every transition except those of the reader marks the chunk as one to be written
--- a/internal/leader/cluster/gang_test.go
+++ b/internal/leader/cluster/gang_test.go
@@ -76,8 +76,8 @@
 
 	s.CompleteGang(j)
 
-	if j.DoneTasks != 9 || j.ActiveTasks != 0 || len(m.Tasks) != 0 || j.Gang != nil {
-		t.Errorf("done %d, active %d, on the machine %v, gang %+v, want 9, 0, none, nil", j.DoneTasks, j.ActiveTasks, m.Tasks, j.Gang)
+	if j.DoneTasks != 9 || j.ActiveTasks != 0 || len(m.Attempts) != 0 || j.Gang != nil {
+		t.Errorf("done %d, active %d, on the machine %v, gang %+v, want 9, 0, none, nil", j.DoneTasks, j.ActiveTasks, m.Attempts, j.Gang)
 	}
 	for task := range 9 {
 		if got := j.Chunk(task / 2).TaskStates[task%2]; got != TaskDone {
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -39,7 +39,7 @@
 	WriteNotBefore time.Time
 }
 
-// TaskCounts counts the tasks of a job by state. Chunk.AddAttempt, Chunk.Reset,
+// TaskCounts counts the tasks of a job by state. Chunk.AddAttempt, Chunk.ResetTasks,
 // Attempt.Detach, EndAttempt and CompleteGang update it. So do the scheduler, which counts
 // what it starts as unstored, the committer, which counts it as stored, and the reader of
 // progress records, which counts the tasks that are done.
@@ -73,7 +73,7 @@
 
 // NewJob returns the job that a record describes, without any progress.
 func NewJob(rec store.JobRecord, revision wire.Revision) *Job {
-	chunkTasks := rec.ChunkTasks()
+	chunkTasks := rec.EffectiveTasksPerChunk()
 	return &Job{
 		Spec:           rec.Spec,
 		AcceptedAt:     monotonicTime(rec.AcceptedAt.Time()),
--- a/internal/leader/cluster/launch.go
+++ b/internal/leader/cluster/launch.go
@@ -81,10 +81,10 @@
 	return sentByAgent && heartbeat.Sequence > d.ReplySequence
 }
 
-// MissesLaunch reports whether the heartbeat lacks an attempt whose launch was in the reply
+// LacksLaunch reports whether the heartbeat lacks an attempt whose launch was in the reply
 // to an earlier heartbeat, so that the machine should know of it.
-func (m *Machine) MissesLaunch(heartbeat *wire.Heartbeat) bool {
-	for task, a := range m.Tasks {
+func (m *Machine) LacksLaunch(heartbeat *wire.Heartbeat) bool {
+	for task, a := range m.Attempts {
 		expected := !a.SeenInHeartbeat && a.launchedByReplyTo(heartbeat.Epoch) && heartbeat.Sequence > a.ReplySequence
 		if expected && !listsAttempt(heartbeat, task, a.Number) {
 			return true
--- a/internal/leader/cluster/launch_test.go
+++ b/internal/leader/cluster/launch_test.go
@@ -143,8 +143,8 @@
 			a := addTestAttempt(addTestJob(s, wire.KindArray, 1, 1), 0, m, 7)
 			a.ReplyEpoch, a.ReplySequence = 2, 5
 			tt.prepare(a)
-			if got := m.MissesLaunch(&tt.heartbeat); got != tt.want {
-				t.Errorf("MissesLaunch(%+v) = %v, want %v", tt.heartbeat, got, tt.want)
+			if got := m.LacksLaunch(&tt.heartbeat); got != tt.want {
+				t.Errorf("LacksLaunch(%+v) = %v, want %v", tt.heartbeat, got, tt.want)
 			}
 		})
 	}
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -22,7 +22,7 @@
 
 	// Tasks are the attempts that may be on the machine, and usedResources is what they use.
 	// Chunk.AddAttempt and Attempt.Detach update both.
-	Tasks         map[wire.TaskID]*Attempt
+	Attempts      map[wire.TaskID]*Attempt
 	usedResources placement.Resources
 	// OrphanTasks are the tasks that its last heartbeat lists with an attempt that this term
 	// does not know.
@@ -87,20 +87,20 @@
 // CommandDelivery tracks whether direct commands reach the machine. The dispatcher of
 // commands, the term's loop and reconciliation write it.
 type CommandDelivery struct {
-	CommandInFlight    bool // a direct command is under way
-	UnansweredCommands int  // direct commands without an answer since LastMessageAt
-	RelayUnanswered    bool // the last of these was relayed by another node, also without an answer
+	CommandInFlight     bool // a direct command is under way
+	UnansweredCommands  int  // direct commands without an answer since LastMessageAt
+	LastRelayUnanswered bool // the last of these was relayed by another node, also without an answer
 	// UnansweredLaunch covers all launches that were never answered.
 	UnansweredLaunch UnansweredCommand
-	Inbound          detector.Inbound
+	Inbound          detector.InboundPath
 }
 
 // MachineFailures is the evidence that a machine is faulty or slow, as opposed to a job that
 // fails wherever it runs. Reconciliation writes it as tasks exit.
 type MachineFailures struct {
-	FailedJobs   map[wire.JobID]bool // jobs that failed on it since the last success
-	TaskFailures int                 // failures of tasks since the last success
-	SlowRuns     slowRunCounts
+	FailedJobs     map[wire.JobID]bool // jobs that failed on it since the last success
+	TaskFailures   int                 // failures of tasks since the last success
+	RunSpeedCounts slowRunCounts
 	// StartNotBefore: the machine refused a start, and gets no further one before this time.
 	StartNotBefore time.Time
 }
@@ -118,7 +118,7 @@
 func newMachine(id wire.MachineID, now time.Time) *Machine {
 	return &Machine{
 		ID:              id,
-		Tasks:           map[wire.TaskID]*Attempt{},
+		Attempts:        map[wire.TaskID]*Attempt{},
 		OrphanTasks:     map[wire.TaskID]bool{},
 		LastUsedAt:      now,
 		Provisioning:    Provisioning{RequestedAt: now, ListedAt: now},
@@ -128,26 +128,26 @@
 
 // addAttempt registers an attempt as that of its task on the machine.
 func (m *Machine) addAttempt(a *Attempt) {
-	m.Tasks[a.Task()] = a
+	m.Attempts[a.Task()] = a
 	m.usedResources = m.usedResources.Plus(a.Resources())
 }
 
 // removeAttempt removes an attempt, unless another attempt of the same task has replaced it.
 func (m *Machine) removeAttempt(a *Attempt) {
 	task := a.Task()
-	if m.Tasks[task] != a {
+	if m.Attempts[task] != a {
 		return
 	}
-	delete(m.Tasks, task)
+	delete(m.Attempts, task)
 	m.usedResources = m.usedResources.Minus(a.Resources())
-	if len(m.Tasks) == 0 {
+	if len(m.Attempts) == 0 {
 		m.usedResources = placement.Resources{} // rounding errors of sums add up
 	}
 }
 
 // HoldsReplicas reports whether a machine holds replicas of services.
 func (t *MachineTable) HoldsReplicas(m *Machine) bool {
-	for _, a := range m.Tasks {
+	for _, a := range m.Attempts {
 		if a.Job.Spec.IsService() {
 			return true
 		}
@@ -170,7 +170,7 @@
 			add(zone)
 		}
 	}
-	for _, zone := range s.ZoneDetector.Known() {
+	for _, zone := range s.ZoneDetector.KnownZones() {
 		add(zone)
 	}
 	slices.Sort(zones[len(s.Settings.Zones):])
--- a/internal/leader/cluster/reachability.go
+++ b/internal/leader/cluster/reachability.go
@@ -33,13 +33,13 @@
 
 // ZonePartitioned reports whether a zone seems partitioned from this node now.
 func (t *MachineTable) ZonePartitioned(zone wire.Zone, now time.Time) bool {
-	return t.ZoneDetector.Partitioned(zone, now)
+	return t.ZoneDetector.ZonePartitioned(zone, now)
 }
 
 // ZoneRecentlyPartitioned reports whether a zone seems partitioned from this node, or did so
 // until recently: it takes a while until the heartbeats of its machines arrive again.
 func (t *MachineTable) ZoneRecentlyPartitioned(zone wire.Zone, now time.Time) bool {
-	return t.ZoneDetector.RecentlyPartitioned(zone, now)
+	return t.ZoneDetector.ZoneRecentlyPartitioned(zone, now)
 }
 
 // UnseenSincePartition reports whether a machine has sent nothing since its zone began to
--- a/internal/leader/cluster/reachability_test.go
+++ b/internal/leader/cluster/reachability_test.go
@@ -75,8 +75,8 @@
 	unseen, seen := s.GetOrAddMachine("n-1"), s.GetOrAddMachine("n-2")
 	unseen.Zone, unseen.LastMessageAt = "a", begin.Add(-time.Second)
 	seen.Zone, seen.LastMessageAt = "a", begin.Add(time.Millisecond)
-	mostMachinesLost := detector.Counts{Up: 10, Lost: 9, AllUp: 100}
-	s.ZoneDetector.Judge("a", mostMachinesLost, begin)
+	mostMachinesLost := detector.ZoneCounts{Machines: 10, LostMachines: 9, AllMachines: 100}
+	s.ZoneDetector.CheckZone("a", mostMachinesLost, begin)
 
 	if !s.ZonePartitioned("a", begin) || !s.ZoneRecentlyPartitioned("a", begin) || !s.UnseenSincePartition(unseen, begin) {
 		t.Error("zone is not partitioned, or the silent machine is not unseen, when most of the zone's machines are lost")
--- a/internal/leader/cluster/resources.go
+++ b/internal/leader/cluster/resources.go
@@ -14,8 +14,8 @@
 	ExpiresAt    time.Time
 }
 
-// MachineResources returns the total resources of a machine of the type.
-func MachineResources(spec *wire.MachineSpec) placement.Resources {
+// ResourcesOfMachineType returns the total resources of a machine of the type.
+func ResourcesOfMachineType(spec *wire.MachineSpec) placement.Resources {
 	return placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
@@ -42,7 +42,7 @@
 // type.
 func (s *State) TotalResources(m *Machine) placement.Resources {
 	if spec := s.MachineSpec(m.MachineType); spec != nil {
-		return MachineResources(spec)
+		return ResourcesOfMachineType(spec)
 	}
 	return placement.Resources{}
 }
@@ -56,7 +56,7 @@
 		if j == nil {
 			return placement.Resources{}
 		}
-		counted := m.Tasks[task] != nil // in usedResources, by another attempt of the task
+		counted := m.Attempts[task] != nil // in usedResources, by another attempt of the task
 		if !counted {
 			free = free.Minus(placement.ResourcesOf(&j.Spec))
 		}
--- a/internal/leader/contacts.go
+++ b/internal/leader/contacts.go
@@ -62,6 +62,6 @@
 	}
 }
 
-// ReachableWorkers returns how many agents have sent a heartbeat to this node within
+// ReachableAgents returns how many agents have sent a heartbeat to this node within
 // contactLifetime.
-func (l *Leader) ReachableWorkers() int { return int(l.contacts.inContact.Load()) }
+func (l *Leader) ReachableAgents() int { return int(l.contacts.inContact.Load()) }
--- a/internal/leader/core/fencing.go
+++ b/internal/leader/core/fencing.go
@@ -25,15 +25,15 @@
 	// DelegationToken is the token under which other controllers may renew leases as
 	// delegates of this leader, 0 if there is none yet.
 	DelegationToken atomic.Uint64
-	// UnconfirmedCancelSince is the time of the oldest cancellation of a job of which a
+	// InFlightLaunchCancelSince is the time of the oldest cancellation of a job of which a
 	// launch may still be in flight. Nil or the zero time means that there is none.
-	UnconfirmedCancelSince atomic.Pointer[time.Time]
+	InFlightLaunchCancelSince atomic.Pointer[time.Time]
 }
 
-// OldestUnconfirmedCancel returns what UnconfirmedCancelSince holds, the zero time if there
+// OldestInFlightLaunchCancel returns what InFlightLaunchCancelSince holds, the zero time if there
 // is no such cancellation.
-func (p *Published) OldestUnconfirmedCancel() time.Time {
-	if at := p.UnconfirmedCancelSince.Load(); at != nil {
+func (p *Published) OldestInFlightLaunchCancel() time.Time {
+	if at := p.InFlightLaunchCancelSince.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
--- a/internal/leader/core/loop_test.go
+++ b/internal/leader/core/loop_test.go
@@ -12,7 +12,7 @@
 
 // newTestLoop returns the loop of a term that has just begun.
 func newTestLoop(ctx context.Context) *Loop {
-	lease := election.NewLease(nil, election.Tenure{Token: 7})
+	lease := election.NewLease(nil, election.Acquisition{Token: 7})
 	loop := NewLoop(lease, slog.New(slog.DiscardHandler), &Metrics{})
 	loop.Begin(ctx)
 	return loop
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -19,12 +19,12 @@
 	return wire.FencingToken(t.Published.DelegationToken.Load())
 }
 
-// UnconfirmedCancelSince returns the time of the oldest cancellation of a job of which a
+// InFlightLaunchCancelSince returns the time of the oldest cancellation of a job of which a
 // launch may still be in flight. No heartbeat shows such a launch yet, so no node can stop it
 // in its reply to one. It returns the zero time if there is no such cancellation.
-func (l *Leader) UnconfirmedCancelSince() time.Time {
+func (l *Leader) InFlightLaunchCancelSince() time.Time {
 	if t := l.term.Load(); t != nil {
-		return t.Published.OldestUnconfirmedCancel()
+		return t.Published.OldestInFlightLaunchCancel()
 	}
 	return time.Time{}
 }
@@ -37,7 +37,7 @@
 	if token == 0 {
 		return
 	}
-	if at := t.Published.OldestUnconfirmedCancel(); !at.IsZero() && at.Before(requestedAt) {
+	if at := t.Published.OldestInFlightLaunchCancel(); !at.IsZero() && at.Before(requestedAt) {
 		requestedAt = at
 	}
 	t.leader.delegate.GrantSelf(token, requestedAt)
--- a/internal/leader/delegation/bounds.go
+++ b/internal/leader/delegation/bounds.go
@@ -45,9 +45,9 @@
 	return bounds
 }
 
-// Tenure describes a leader's term, as far as it bounds how long the delegates of this leader
+// LeadershipTerm describes a leader's term, as far as it bounds how long the delegates of this leader
 // and of earlier ones can answer workers.
-type Tenure struct {
+type LeadershipTerm struct {
 	StartedAt time.Time
 	// FirstToken is the fencing token with which the term began.
 	FirstToken wire.FencingToken
@@ -65,7 +65,7 @@
 	unreportedRenewalWindow = 3 * peer.AckLifetime
 )
 
-// AnswersUntil returns the latest time, past or future, at which another node can answer a
+// DelegateAnswersUntil returns the latest time, past or future, at which another node can answer a
 // worker as a leader's delegate.
 //
 // A node that recently acknowledged this leader's heartbeat heard from it too recently to be a
@@ -77,12 +77,12 @@
 //
 // If the node has not acknowledged a token of this term, the delegation of an earlier leader may
 // still be valid. The last such delegation was granted before this term.
-func (b Bounds) AnswersUntil(tenure Tenure, node peer.Peer, now time.Time) time.Time {
-	until := latest(node.LastDelegatedRenewal, node.LatestStart)
-	if node.AckToken < tenure.FirstToken {
-		until = latest(until, tenure.StartedAt.Add(b.MaxDelegationTime))
+func (b Bounds) DelegateAnswersUntil(leadership LeadershipTerm, node peer.Peer, now time.Time) time.Time {
+	until := latest(node.LastDelegatedRenewal, node.LatestProcessStart)
+	if node.AckToken < leadership.FirstToken {
+		until = latest(until, leadership.StartedAt.Add(b.MaxDelegationTime))
 	}
-	if !node.DelegationGrantedAt.IsZero() && mayBeDelegate(tenure, node, now) {
+	if !node.DelegationGrantedAt.IsZero() && mayBeDelegate(leadership, node, now) {
 		until = latest(until, node.DelegationGrantedAt.Add(b.MaxDelegationTime))
 	}
 	return until
@@ -90,10 +90,10 @@
 
 // mayBeDelegate reports whether a node that holds a delegation of this leader may be renewing
 // leases now.
-func mayBeDelegate(tenure Tenure, node peer.Peer, now time.Time) bool {
+func mayBeDelegate(leadership LeadershipTerm, node peer.Peer, now time.Time) bool {
 	outOfContact := now.Sub(node.AckRequestedAt) > maxAckAge
 	renewedRecently := now.Sub(node.LastDelegatedRenewal) < unreportedRenewalWindow
-	storeOutageJustEnded := now.Sub(tenure.StoreAvailableSince) < unreportedRenewalWindow
+	storeOutageJustEnded := now.Sub(leadership.StoreAvailableSince) < unreportedRenewalWindow
 	return outOfContact || renewedRecently || storeOutageJustEnded
 }
 
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -67,7 +67,7 @@
 	ownDelegation atomic.Pointer[peer.Delegation]
 
 	mu sync.Mutex
-	// redirectedAt is when each worker was last recorded by Returned.
+	// redirectedAt is when each worker was last recorded by ReturnedAfterRedirect.
 	redirectedAt map[wire.MachineID]time.Time
 }
 
@@ -159,9 +159,9 @@
 	return &wire.Commands{Token: token, Commands: d.StopCommands(heartbeat)}
 }
 
-// Returned reports whether a worker has come back to this node soon after this node redirected
+// ReturnedAfterRedirect reports whether a worker has come back to this node soon after this node redirected
 // it to the leader. It also records the worker as redirected now.
-func (d *Delegate) Returned(id wire.MachineID, now time.Time) bool {
+func (d *Delegate) ReturnedAfterRedirect(id wire.MachineID, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	redirectedAt, ok := d.redirectedAt[id]
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -41,7 +41,7 @@
 	}{
 		{"in contact, never a delegate", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(0.5)}, never, never},
 		{"in contact, a delegate a while ago", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(0.5), LastDelegatedRenewal: ago(12)}, never, ago(12)},
-		{"in contact, started a while ago", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(0.5), LastDelegatedRenewal: ago(20), LatestStart: ago(9)}, never, ago(9)},
+		{"in contact, started a while ago", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(0.5), LastDelegatedRenewal: ago(20), LatestProcessStart: ago(9)}, never, ago(9)},
 		{"in contact, renewed a lease just now", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(15), LastDelegatedRenewal: ago(1)}, never, ago(-5)},
 		{"out of contact after this leader's delegation", peer.Peer{AckRequestedAt: ago(10), AckToken: 50, DelegationGrantedAt: ago(9)}, never, ago(-11)},
 		{"last acknowledged an earlier term's token", peer.Peer{AckRequestedAt: ago(90), AckToken: 40}, never, ago(40)},
@@ -49,8 +49,8 @@
 		{"in contact, but the store outage has just ended", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(7)}, ago(2), ago(-13)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			tenure := Tenure{StartedAt: now.Add(-time.Minute), FirstToken: 50, StoreAvailableSince: c.storeAvailableSince}
-			if got := bounds.AnswersUntil(tenure, c.node, now); !got.Equal(c.want) {
+			leadership := LeadershipTerm{StartedAt: now.Add(-time.Minute), FirstToken: 50, StoreAvailableSince: c.storeAvailableSince}
+			if got := bounds.DelegateAnswersUntil(leadership, c.node, now); !got.Equal(c.want) {
 				t.Errorf("%+v: can answer until %v from now, want %v", c.node, got.Sub(now), c.want.Sub(now))
 			}
 		})
@@ -189,11 +189,11 @@
 		{"again at once", time.Second, true},
 	} {
 		now = now.Add(c.after)
-		if got := d.Returned("n-1", now); got != c.want {
+		if got := d.ReturnedAfterRedirect("n-1", now); got != c.want {
 			t.Errorf("%s, after %v: returned %v, want %v", c.name, c.after, got, c.want)
 		}
 	}
-	if d.Returned("n-2", now) {
+	if d.ReturnedAfterRedirect("n-2", now) {
 		t.Error("another worker counts as returned on its first heartbeat")
 	}
 }
--- a/internal/leader/demand/demand.go
+++ b/internal/leader/demand/demand.go
@@ -13,9 +13,9 @@
 
 // QueuedJob is a job that waits for capacity.
 type QueuedJob struct {
-	ID     wire.JobID
-	Weight float64 // jobs with higher weights run first
-	WorkS  float64 // CPU seconds that its waiting tasks need
+	ID             wire.JobID
+	Weight         float64 // jobs with higher weights run first
+	WorkCPUSeconds float64 // CPU seconds that its waiting tasks need
 }
 
 // PredictWaits predicts for how many seconds each job of the queue will wait for capacity. The
@@ -33,8 +33,8 @@
 	waits := make(map[wire.JobID]float64, len(queue))
 	workAhead := 0.0
 	for _, job := range queue {
-		waits[job.ID] = (workAhead + job.WorkS/2) / cpus
-		workAhead += job.WorkS
+		waits[job.ID] = (workAhead + job.WorkCPUSeconds/2) / cpus
+		workAhead += job.WorkCPUSeconds
 	}
 	return waits, workAhead / cpus
 }
--- a/internal/leader/demand/demand_test.go
+++ b/internal/leader/demand/demand_test.go
@@ -21,26 +21,26 @@
 	otherClass := config.Objective{Kind: "finished", Class: "other", Within: 1}
 	otherKind := config.Objective{Kind: "started", Class: "batch", Within: 1}
 	for name, c := range map[string]struct {
-		work       Work
+		work       JobTiming
 		objectives []config.Objective
 		want       float64
 	}{
-		"no deadline or objective": {Work{ExpectedS: 10}, nil, 60},
-		"objectives of others":     {Work{ExpectedS: 10}, []config.Objective{otherClass, otherKind}, 60},
-		"its owner's deadline":     {Work{ExpectedS: 10, DeadlineS: 100}, []config.Objective{otherClass}, 100},
-		"an objective":             {Work{ExpectedS: 10}, []config.Objective{within(70)}, 70},
-		"the earlier of two":       {Work{ExpectedS: 10}, []config.Objective{within(300), within(70)}, 70},
-		"the earlier is missed":    {Work{ExpectedS: 10, AgeS: 65}, []config.Objective{within(70), within(300)}, 300},
-		"all are missed":           {Work{ExpectedS: 10, AgeS: 500}, []config.Objective{within(300), within(70)}, 300},
-		"twice its deadline":       {Work{ExpectedS: 10, DeadlineS: 100, AgeS: 95}, []config.Objective{times(2)}, 200},
-		"its deadline can be met":  {Work{ExpectedS: 10, DeadlineS: 100, AgeS: 50}, []config.Objective{times(2)}, 100},
+		"no deadline or objective": {JobTiming{ExpectedRunSeconds: 10}, nil, 60},
+		"objectives of others":     {JobTiming{ExpectedRunSeconds: 10}, []config.Objective{otherClass, otherKind}, 60},
+		"its owner's deadline":     {JobTiming{ExpectedRunSeconds: 10, DeadlineSeconds: 100}, []config.Objective{otherClass}, 100},
+		"an objective":             {JobTiming{ExpectedRunSeconds: 10}, []config.Objective{within(70)}, 70},
+		"the earlier of two":       {JobTiming{ExpectedRunSeconds: 10}, []config.Objective{within(300), within(70)}, 70},
+		"the earlier is missed":    {JobTiming{ExpectedRunSeconds: 10, AgeSeconds: 65}, []config.Objective{within(70), within(300)}, 300},
+		"all are missed":           {JobTiming{ExpectedRunSeconds: 10, AgeSeconds: 500}, []config.Objective{within(300), within(70)}, 300},
+		"twice its deadline":       {JobTiming{ExpectedRunSeconds: 10, DeadlineSeconds: 100, AgeSeconds: 95}, []config.Objective{times(2)}, 200},
+		"its deadline can be met":  {JobTiming{ExpectedRunSeconds: 10, DeadlineSeconds: 100, AgeSeconds: 50}, []config.Objective{times(2)}, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.work.Class = "batch"
 			if got := dueSeconds(c.work, c.objectives); got != c.want {
 				t.Errorf("%+v: due after %v s, want %v", c.work, got, c.want)
 			}
-			if got, want := SlackSeconds(c.work, c.objectives), c.want-c.work.AgeS-c.work.ExpectedS; got != want {
+			if got, want := SlackSeconds(c.work, c.objectives), c.want-c.work.AgeSeconds-c.work.ExpectedRunSeconds; got != want {
 				t.Errorf("%+v: slack %v s, want %v", c.work, got, want)
 			}
 		})
@@ -65,7 +65,7 @@
 		"tasks of less than a second": {100, 0.1, 0, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			work := Work{DeadlineS: 100, ExpectedS: c.expected, AgeS: c.age}
+			work := JobTiming{DeadlineSeconds: 100, ExpectedRunSeconds: c.expected, AgeSeconds: c.age}
 			if got := ParallelTasks(c.waiting, work, nil, c.share); got != c.want {
 				t.Errorf("%+v: %d at a time, want %d", c, got, c.want)
 			}
@@ -85,16 +85,16 @@
 		want            float64
 	}{
 		"cheap machines are in time":        {strict, 0, 800, 30, 1},
-		"expensive machines are in time":    {strict, 0, 950, 30, LatePriceStretch},
+		"expensive machines are in time":    {strict, 0, 950, 30, LatePriceLimitFactor},
 		"no machines are in time":           {strict, 900, 950, 30, 1},
 		"no machine type fits":              {strict, 0, 950, math.Inf(1), 1},
 		"its class is lenient":              {lenient, 0, 950, 30, 1},
-		"lenient, but it has waited long":   {lenient, StartWithinSeconds / 2, 950, 30, LatePriceStretch},
+		"lenient, but it has waited long":   {lenient, StartWithinSeconds / 2, 950, 30, LatePriceLimitFactor},
 		"it has waited long and is in time": {lenient, StartWithinSeconds / 2, 100, 30, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			work := Work{Class: "batch", DeadlineS: 1000, ExpectedS: 100, AgeS: c.age}
-			if got := PriceStretch(work, c.objectives, c.wait, c.boot); got != c.want {
+			work := JobTiming{Class: "batch", DeadlineSeconds: 1000, ExpectedRunSeconds: 100, AgeSeconds: c.age}
+			if got := PriceLimitFactor(work, c.objectives, c.wait, c.boot); got != c.want {
 				t.Errorf("%+v, waits %v s, boots in %v s: stretch %v, want %v", work, c.wait, c.boot, got, c.want)
 			}
 		})
--- a/internal/leader/demand/due.go
+++ b/internal/leader/demand/due.go
@@ -17,25 +17,25 @@
 	kindDeadline = "deadline" // within a multiple of the deadline that its owner set
 )
 
-// Work holds the properties of a job that the rules depend on. All times are in seconds.
-type Work struct {
-	Class     string
-	DeadlineS float64 // set by the job's owner, counted from the submission; 0: none
-	AgeS      float64 // time since the submission
-	ExpectedS float64 // expected run time of one task
+// JobTiming holds the properties of a job that the rules depend on. All times are in seconds.
+type JobTiming struct {
+	Class              string
+	DeadlineSeconds    float64 // set by the job's owner, counted from the submission; 0: none
+	AgeSeconds         float64 // time since the submission
+	ExpectedRunSeconds float64 // expected run time of one task
 }
 
 // earliestEnd returns when the job would be complete if all its tasks started now, in seconds
 // from its submission.
-func (w *Work) earliestEnd() float64 { return w.AgeS + w.ExpectedS }
+func (w *JobTiming) earliestEnd() float64 { return w.AgeSeconds + w.ExpectedRunSeconds }
 
 // dueSeconds returns when the job should be complete, in seconds from its submission. The
 // owner's deadline and the service-level objectives of the job's class may each set a time.
 // Of these the earliest that can still be met counts, or the latest if none can. If no time
 // is set, the job is due some time after its expected run time; see defaultDueRunTimes.
-func dueSeconds(w Work, objectives []config.Objective) float64 {
+func dueSeconds(w JobTiming, objectives []config.Objective) float64 {
 	earliestEnd := w.earliestEnd()
-	due, known := w.DeadlineS, w.DeadlineS > 0
+	due, known := w.DeadlineSeconds, w.DeadlineSeconds > 0
 	for i := range objectives {
 		objectiveDue, ok := objectiveSeconds(w, &objectives[i])
 		if !ok {
@@ -48,14 +48,14 @@
 		}
 	}
 	if !known {
-		return defaultDueRunTimes*w.ExpectedS + defaultDueSeconds
+		return defaultDueRunTimes*w.ExpectedRunSeconds + defaultDueSeconds
 	}
 	return due
 }
 
 // objectiveSeconds returns when the job is due by an objective, in seconds from its
 // submission. It reports false if the objective sets no time for the job.
-func objectiveSeconds(w Work, objective *config.Objective) (seconds float64, ok bool) {
+func objectiveSeconds(w JobTiming, objective *config.Objective) (seconds float64, ok bool) {
 	if objective.Class != w.Class {
 		return 0, false
 	}
@@ -63,22 +63,22 @@
 	case kindFinished:
 		seconds = float64(objective.Within)
 	case kindDeadline:
-		seconds = w.DeadlineS * objective.DeadlineMultiple
+		seconds = w.DeadlineSeconds * objective.DeadlineMultiple
 	}
 	return seconds, seconds > 0
 }
 
 // SlackSeconds returns for how many seconds the job's waiting tasks may still wait so that the
 // job is complete when it is due. It is negative if the job will be late.
-func SlackSeconds(w Work, objectives []config.Objective) float64 {
-	return dueSeconds(w, objectives) - w.AgeS - w.ExpectedS
+func SlackSeconds(w JobTiming, objectives []config.Objective) float64 {
+	return dueSeconds(w, objectives) - w.AgeSeconds - w.ExpectedRunSeconds
 }
 
 // ParallelTasks returns how many of the job's waiting tasks should run at a time so that, one
 // round of tasks after the other, all are done within the given share of the time that is left
 // until the job is due. If that is too short for two rounds, it returns all of them.
-func ParallelTasks(waitingTasks int, w Work, objectives []config.Objective, share float64) int {
-	window := (dueSeconds(w, objectives) - w.AgeS) * share
-	rounds := max(1, int(window/max(1, w.ExpectedS)))
+func ParallelTasks(waitingTasks int, w JobTiming, objectives []config.Objective, share float64) int {
+	window := (dueSeconds(w, objectives) - w.AgeSeconds) * share
+	rounds := max(1, int(window/max(1, w.ExpectedRunSeconds)))
 	return (waitingTasks + rounds - 1) / rounds
 }
--- a/internal/leader/demand/price.go
+++ b/internal/leader/demand/price.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// LatePriceStretch is the multiple of the price limit that machines may cost for a job that
+	// LatePriceLimitFactor is the multiple of the price limit that machines may cost for a job that
 	// would be late otherwise. It applies if an objective of the job's class is for a share
 	// above maxLenientShare, or if the job has waited for cheapOnlySeconds.
-	LatePriceStretch = 1.35
+	LatePriceLimitFactor = 1.35
 	// maxLenientShare is the largest share of a class's jobs that objectives may want in time
 	// so that the class is lenient: its jobs first wait for machines within the price limit.
 	maxLenientShare = 0.9
@@ -22,18 +22,18 @@
 	cheapOnlySeconds = StartWithinSeconds / 2
 )
 
-// PriceStretch returns the multiple of the price limit that machines for the job may cost. It is
+// PriceLimitFactor returns the multiple of the price limit that machines for the job may cost. It is
 // above 1 if the job would be late after a wait of waitSeconds for machines within the limit,
 // but in time on more expensive machines, which can run its tasks after bootSeconds.
-func PriceStretch(w Work, objectives []config.Objective, waitSeconds, bootSeconds float64) float64 {
+func PriceLimitFactor(w JobTiming, objectives []config.Objective, waitSeconds, bootSeconds float64) float64 {
 	if mustWaitForCheapMachines(w, objectives) {
 		return 1
 	}
 	due := dueSeconds(w, objectives)
-	late := w.AgeS+waitSeconds+w.ExpectedS > due
-	inTime := w.AgeS+bootSeconds+w.ExpectedS < due
+	late := w.AgeSeconds+waitSeconds+w.ExpectedRunSeconds > due
+	inTime := w.AgeSeconds+bootSeconds+w.ExpectedRunSeconds < due
 	if late && inTime {
-		return LatePriceStretch
+		return LatePriceLimitFactor
 	}
 	return 1
 }
@@ -43,8 +43,8 @@
 // cheapOnlySeconds, because cheap machines alone may never catch up with the demand. Without
 // this bound, a backlog of 16 minutes builds up with 24 cheap machines out of 40, and no
 // ordinary machine is requested.
-func mustWaitForCheapMachines(w Work, objectives []config.Objective) bool {
-	return strictestShare(w.Class, objectives) <= maxLenientShare && w.AgeS < cheapOnlySeconds
+func mustWaitForCheapMachines(w JobTiming, objectives []config.Objective) bool {
+	return strictestShare(w.Class, objectives) <= maxLenientShare && w.AgeSeconds < cheapOnlySeconds
 }
 
 // strictestShare returns the largest share of a class's jobs that any objective wants in time,
--- a/internal/leader/demands_test.go
+++ b/internal/leader/demands_test.go
@@ -35,7 +35,7 @@
 // backlog grows to 16 minutes with 24 spot machines of 40. A short burst of jobs, which
 // looks the same at first, gets no expensive machines, nor does a job that will be late
 // whatever is scaled out.
-func TestPriceStretchesForJobsThatWaitedTooLong(t *testing.T) {
+func TestPriceLimitRisesForJobsThatWaitedTooLong(t *testing.T) {
 	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Objectives = []config.Objective{{Kind: "finished", Class: "recon", Within: 300, Share: 0.9}}
 	now := time.Now()
@@ -47,8 +47,8 @@
 		{"new, short delay", 10, 60, 1},
 		{"new, long delay", 10, 900, 1},
 		{"waited, in time at the normal price", 130, 90, 1},
-		{"waited, late at the normal price", 130, 200, demand.LatePriceStretch},
-		{"waited longer, late at the normal price", 200, 90, demand.LatePriceStretch},
+		{"waited, late at the normal price", 130, 200, demand.LatePriceLimitFactor},
+		{"waited longer, late at the normal price", 200, 90, demand.LatePriceLimitFactor},
 		{"late in any case", 290, 90, 1},
 	}
 	for _, c := range cases {
@@ -56,7 +56,7 @@
 			spec := wire.JobSpec{ID: "req-9", Class: "recon", Team: "red", Kind: wire.KindArray, Tasks: 5, CPUs: 2, SpotAllowed: true, ExpectedRunTime: 20}
 			acceptedAt := now.Add(-time.Duration(c.ageSeconds) * time.Second)
 			j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(acceptedAt)}, 9)
-			if got := tm.scheduler.PriceStretch(j, c.expectedDelay, now); got != c.want {
+			if got := tm.scheduler.PriceLimitFactor(j, c.expectedDelay, now); got != c.want {
 				t.Errorf("stretch at an age of %g s with %g s more expected: got %g, want %g", c.ageSeconds, c.expectedDelay, got, c.want)
 			}
 		})
--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -11,10 +11,10 @@
 // crossed by an older heartbeat.
 const ignoredAnswersThreshold = 2
 
-// Inbound tells whether the inbound path of a machine works: the path from this node to a
+// InboundPath tells whether the inbound path of a machine works: the path from this node to a
 // machine whose heartbeats arrive. Answers and commands may be lost while heartbeats still
 // come in. Such a machine looks alive, but starts nothing, and its lease expires.
-type Inbound struct {
+type InboundPath struct {
 	lastAnswer sentAnswer
 	// ignoredAnswers and unansweredCommands count since a message is known to have reached the
 	// machine.
@@ -32,18 +32,18 @@
 	sequence wire.Sequence
 }
 
-// Evidence is what the caller knows of a machine when a heartbeat of it is compared with
+// HeartbeatEvidence is what the caller knows of a machine when a heartbeat of it is compared with
 // earlier answers.
-type Evidence struct {
+type HeartbeatEvidence struct {
 	// KnownToken is the highest token in earlier heartbeats of the machine. It is 0 if there
 	// was none.
 	KnownToken wire.FencingToken
 	// RecentlyRenewed reports that the last answer is so recent that the machine's lease can't
 	// have expired if it received that answer.
 	RecentlyRenewed bool
-	// MissesLaunch reports whether the heartbeat lacks a task that an earlier answer
+	// LacksLaunch reports whether the heartbeat lacks a task that an earlier answer
 	// told the machine to start. It is called only if the result depends on it.
-	MissesLaunch func() bool
+	LacksLaunch func() bool
 }
 
 // PathChange is how the state of an inbound path has changed.
@@ -58,13 +58,13 @@
 
 // RecordAnswer records the answer that is sent to a heartbeat: the token in the answer, and the
 // epoch and sequence number of the heartbeat.
-func (p *Inbound) RecordAnswer(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
+func (p *InboundPath) RecordAnswer(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
 	p.lastAnswer = sentAnswer{token, epoch, sequence}
 }
 
 // ObserveHeartbeat compares a heartbeat with the answer to an earlier one, and returns whether
 // the path has been lost or restored by it.
-func (p *Inbound) ObserveHeartbeat(heartbeat *wire.Heartbeat, evidence Evidence, now time.Time) PathChange {
+func (p *InboundPath) ObserveHeartbeat(heartbeat *wire.Heartbeat, evidence HeartbeatEvidence, now time.Time) PathChange {
 	if heartbeat.Token > evidence.KnownToken && evidence.KnownToken > 0 {
 		return p.RecordDelivery() // a new token has reached the machine
 	}
@@ -82,7 +82,7 @@
 }
 
 // countIgnoredAnswers returns how many answers a heartbeat shows not to have been received.
-func (p *Inbound) countIgnoredAnswers(heartbeat *wire.Heartbeat, evidence Evidence) int {
+func (p *InboundPath) countIgnoredAnswers(heartbeat *wire.Heartbeat, evidence HeartbeatEvidence) int {
 	last := &p.lastAnswer
 	switch {
 	case last.sequence == 0:
@@ -91,14 +91,14 @@
 		return ignoredAnswersThreshold // the lease expired although heartbeats were answered
 	case heartbeat.Epoch != last.epoch || heartbeat.Sequence <= last.sequence:
 		return 0 // the heartbeat was made before the answer, or in another epoch
-	case heartbeat.Token < last.token || evidence.MissesLaunch():
+	case heartbeat.Token < last.token || evidence.LacksLaunch():
 		return 1
 	}
 	return 0
 }
 
 // RecordDelivery records that a message from this node has reached the machine.
-func (p *Inbound) RecordDelivery() PathChange {
+func (p *InboundPath) RecordDelivery() PathChange {
 	change := PathUnchanged
 	if !p.Works() {
 		change = PathRestored
@@ -108,19 +108,19 @@
 }
 
 // RecordUnansweredCommand records that a direct command was not answered.
-func (p *Inbound) RecordUnansweredCommand() { p.unansweredCommands++ }
+func (p *InboundPath) RecordUnansweredCommand() { p.unansweredCommands++ }
 
 // Works reports whether messages to the machine are assumed to arrive.
-func (p *Inbound) Works() bool { return p.lostSince.IsZero() }
+func (p *InboundPath) Works() bool { return p.lostSince.IsZero() }
 
 // LostFor returns for how long the path has counted as lost, 0 if it works.
-func (p *Inbound) LostFor(now time.Time) time.Duration {
+func (p *InboundPath) LostFor(now time.Time) time.Duration {
 	if p.Works() {
 		return 0
 	}
 	return now.Sub(p.lostSince)
 }
 
-// CommandsFail reports whether a direct command has gone unanswered since a message is known to
+// CommandUnanswered reports whether a direct command has gone unanswered since a message is known to
 // have reached the machine.
-func (p *Inbound) CommandsFail() bool { return p.unansweredCommands > 0 }
+func (p *InboundPath) CommandUnanswered() bool { return p.unansweredCommands > 0 }
--- a/internal/leader/detector/inbound_test.go
+++ b/internal/leader/detector/inbound_test.go
@@ -15,13 +15,13 @@
 		return &wire.Heartbeat{Epoch: epoch, Sequence: sequence, Token: token}
 	}
 	lacksLaunch := func() bool { return true }
-	complete := Evidence{token, true, func() bool { return false }}
-	missesLaunch := Evidence{token, true, lacksLaunch}
-	noTokenBefore := Evidence{0, true, lacksLaunch}
-	notRenewed := Evidence{token, false, lacksLaunch}
+	complete := HeartbeatEvidence{token, true, func() bool { return false }}
+	missesLaunch := HeartbeatEvidence{token, true, lacksLaunch}
+	noTokenBefore := HeartbeatEvidence{0, true, lacksLaunch}
+	notRenewed := HeartbeatEvidence{token, false, lacksLaunch}
 	type step struct {
 		heartbeat         *wire.Heartbeat
-		evidence          Evidence
+		evidence          HeartbeatEvidence
 		commandUnanswered bool // before the heartbeat
 		want              PathChange
 	}
@@ -66,7 +66,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var path Inbound
+			var path InboundPath
 			if got := path.ObserveHeartbeat(heartbeat(1, 9, 0), missesLaunch, start); got != PathUnchanged {
 				t.Errorf("before any answer: change %d, want %d", got, PathUnchanged)
 			}
@@ -89,11 +89,11 @@
 		works, commandsFail bool
 		lostFor             time.Duration
 	}
-	verdictOn := func(path *Inbound) verdict {
-		return verdict{path.Works(), path.CommandsFail(), path.LostFor(start.Add(time.Second))}
+	verdictOn := func(path *InboundPath) verdict {
+		return verdict{path.Works(), path.CommandUnanswered(), path.LostFor(start.Add(time.Second))}
 	}
-	missesLaunch := Evidence{token, true, func() bool { return true }}
-	var path Inbound
+	missesLaunch := HeartbeatEvidence{token, true, func() bool { return true }}
+	var path InboundPath
 	path.RecordAnswer(token, 1, 10)
 	path.RecordUnansweredCommand()
 	path.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11, Token: token}, missesLaunch, start)
--- a/internal/leader/detector/zones.go
+++ b/internal/leader/detector/zones.go
@@ -69,8 +69,8 @@
 	z.lastContact[zone] = contact{now, z.heartbeatCount}
 }
 
-// Known returns the zones from which a message has come, in no particular order.
-func (z *Zones) Known() []wire.Zone {
+// KnownZones returns the zones from which a message has come, in no particular order.
+func (z *Zones) KnownZones() []wire.Zone {
 	zones := make([]wire.Zone, 0, len(z.lastContact))
 	for zone := range z.lastContact {
 		zones = append(zones, zone)
@@ -78,46 +78,46 @@
 	return zones
 }
 
-// Counts are the numbers of machines that should send heartbeats.
-type Counts struct {
-	// Up is how many there are in the zone. Lost is how many of them are lost: their heartbeats
+// ZoneCounts are the numbers of machines that should send heartbeats.
+type ZoneCounts struct {
+	// Machines is how many there are in the zone. LostMachines is how many of them are lost: their heartbeats
 	// are long overdue.
-	Up, Lost int
-	// AllUp is how many there are in all zones.
-	AllUp int
+	Machines, LostMachines int
+	// AllMachines is how many there are in all zones.
+	AllMachines int
 	// ControllersLost reports that the zone's controllers can't be reached either.
 	ControllersLost bool
 }
 
-// Judge checks a zone by its current counts and reports whether a partition of it begins: most
+// CheckZone checks a zone by its current counts and reports whether a partition of it begins: most
 // of its machines are lost, or none of them has sent a message for a while. Missed heartbeats
 // are counted besides the time: when this node itself is slow, nothing arrives from any zone.
-func (z *Zones) Judge(zone wire.Zone, counts Counts, now time.Time) bool {
+func (z *Zones) CheckZone(zone wire.Zone, counts ZoneCounts, now time.Time) bool {
 	if !z.unreachable(zone, counts, now) {
 		return false
 	}
-	partitionBegins := !z.RecentlyPartitioned(zone, now)
+	partitionBegins := !z.ZoneRecentlyPartitioned(zone, now)
 	z.partitionedAt[zone] = now
 	return partitionBegins
 }
 
 // unreachable reports whether a zone can't be reached now, by its counts and its last contact.
-func (z *Zones) unreachable(zone wire.Zone, counts Counts, now time.Time) bool {
+func (z *Zones) unreachable(zone wire.Zone, counts ZoneCounts, now time.Time) bool {
 	missedThreshold, machineThreshold := minMissedHeartbeats, minMachines
 	if counts.ControllersLost {
 		missedThreshold, machineThreshold = minMissedHeartbeatsNoController, minMachinesNoController
 	}
-	mostMachinesLost := counts.Lost*2 > counts.Up
-	if mostMachinesLost && counts.Lost >= machineThreshold {
+	mostMachinesLost := counts.LostMachines*2 > counts.Machines
+	if mostMachinesLost && counts.LostMachines >= machineThreshold {
 		return true
 	}
-	if counts.Up < machineThreshold || z.sinceContact(zone, now) <= unresponsiveAfter {
+	if counts.Machines < machineThreshold || z.sinceContact(zone, now) <= unresponsiveAfter {
 		return false
 	}
-	// The zone's share of all machines, counts.Up/counts.AllUp, is also its share of the
+	// The zone's share of all machines, counts.Machines/counts.AllMachines, is also its share of the
 	// heartbeats that were due since its last contact.
 	heartbeatsSinceContact := z.heartbeatCount - z.lastContact[zone].heartbeatCount
-	return heartbeatsSinceContact*counts.Up >= missedThreshold*counts.AllUp
+	return heartbeatsSinceContact*counts.Machines >= missedThreshold*counts.AllMachines
 }
 
 // sinceContact returns the time since the last message from a zone, or since the start of the
@@ -130,15 +130,15 @@
 	return now.Sub(silentSince)
 }
 
-// Partitioned reports whether a zone counts as partitioned from this node now.
-func (z *Zones) Partitioned(zone wire.Zone, now time.Time) bool {
+// ZonePartitioned reports whether a zone counts as partitioned from this node now.
+func (z *Zones) ZonePartitioned(zone wire.Zone, now time.Time) bool {
 	at, ok := z.partitionedAt[zone]
 	return ok && now.Sub(at) < partitionedFor
 }
 
-// RecentlyPartitioned reports whether a zone counts as partitioned, or did so recently: the
+// ZoneRecentlyPartitioned reports whether a zone counts as partitioned, or did so recently: the
 // heartbeats of its machines need a while to arrive again.
-func (z *Zones) RecentlyPartitioned(zone wire.Zone, now time.Time) bool {
+func (z *Zones) ZoneRecentlyPartitioned(zone wire.Zone, now time.Time) bool {
 	at, ok := z.partitionedAt[zone]
 	return ok && now.Sub(at) < z.recoveryPeriod
 }
@@ -147,5 +147,5 @@
 // of it that was last seen at seenAt has not been seen since a check found the zone
 // unreachable.
 func (z *Zones) UnseenSincePartition(zone wire.Zone, seenAt, now time.Time) bool {
-	return z.RecentlyPartitioned(zone, now) && seenAt.Before(z.partitionedAt[zone])
+	return z.ZoneRecentlyPartitioned(zone, now) && seenAt.Before(z.partitionedAt[zone])
 }
--- a/internal/leader/detector/zones_test.go
+++ b/internal/leader/detector/zones_test.go
@@ -12,24 +12,24 @@
 // can be partitioned only if its controllers are lost as well.
 func TestZoneIsPartitionedWhenItsHeartbeatsAreMissed(t *testing.T) {
 	for name, c := range map[string]struct {
-		counts              Counts
+		counts              ZoneCounts
 		otherZoneHeartbeats int           // received from the other zone
 		silence             time.Duration // since the last message from this zone
 		want                bool
 	}{
-		"half of the machines":           {Counts{Up: 10, AllUp: 20}, 24, 2 * time.Second, true},
-		"one heartbeat short":            {Counts{Up: 10, AllUp: 20}, 23, 2 * time.Second, false},
-		"a tenth of the machines":        {Counts{Up: 10, AllUp: 100}, 24, 2 * time.Second, false},
-		"too early":                      {Counts{Up: 10, AllUp: 20}, 24, unresponsiveAfter, false},
-		"nothing from anywhere":          {Counts{Up: 10, AllUp: 20}, 0, time.Minute, false},
-		"a small zone":                   {Counts{Up: 3, AllUp: 20}, 200, time.Minute, false},
-		"a small zone, controllers lost": {Counts{Up: 3, AllUp: 20, ControllersLost: true}, 14, 2 * time.Second, true},
-		"a small zone, controllers lost, one heartbeat short": {Counts{Up: 3, AllUp: 20, ControllersLost: true}, 13, 2 * time.Second, false},
-		"most machines lost":                                  {Counts{Up: 7, Lost: 4, AllUp: 100}, 0, time.Second, true},
-		"half of the machines lost":                           {Counts{Up: 8, Lost: 4, AllUp: 100}, 0, time.Second, false},
-		"most of a small zone lost":                           {Counts{Up: 3, Lost: 3, AllUp: 100}, 0, time.Second, false},
-		"most of a small zone and its controllers lost":       {Counts{Up: 3, Lost: 3, AllUp: 100, ControllersLost: true}, 0, time.Second, true},
-		"the only machine of a zone and its controllers lost": {Counts{Up: 1, Lost: 1, AllUp: 100, ControllersLost: true}, 0, time.Second, false},
+		"half of the machines":           {ZoneCounts{Machines: 10, AllMachines: 20}, 24, 2 * time.Second, true},
+		"one heartbeat short":            {ZoneCounts{Machines: 10, AllMachines: 20}, 23, 2 * time.Second, false},
+		"a tenth of the machines":        {ZoneCounts{Machines: 10, AllMachines: 100}, 24, 2 * time.Second, false},
+		"too early":                      {ZoneCounts{Machines: 10, AllMachines: 20}, 24, unresponsiveAfter, false},
+		"nothing from anywhere":          {ZoneCounts{Machines: 10, AllMachines: 20}, 0, time.Minute, false},
+		"a small zone":                   {ZoneCounts{Machines: 3, AllMachines: 20}, 200, time.Minute, false},
+		"a small zone, controllers lost": {ZoneCounts{Machines: 3, AllMachines: 20, ControllersLost: true}, 14, 2 * time.Second, true},
+		"a small zone, controllers lost, one heartbeat short": {ZoneCounts{Machines: 3, AllMachines: 20, ControllersLost: true}, 13, 2 * time.Second, false},
+		"most machines lost":                                  {ZoneCounts{Machines: 7, LostMachines: 4, AllMachines: 100}, 0, time.Second, true},
+		"half of the machines lost":                           {ZoneCounts{Machines: 8, LostMachines: 4, AllMachines: 100}, 0, time.Second, false},
+		"most of a small zone lost":                           {ZoneCounts{Machines: 3, LostMachines: 3, AllMachines: 100}, 0, time.Second, false},
+		"most of a small zone and its controllers lost":       {ZoneCounts{Machines: 3, LostMachines: 3, AllMachines: 100, ControllersLost: true}, 0, time.Second, true},
+		"the only machine of a zone and its controllers lost": {ZoneCounts{Machines: 1, LostMachines: 1, AllMachines: 100, ControllersLost: true}, 0, time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			zones := NewZones(start, 2*time.Second)
@@ -39,10 +39,10 @@
 				zones.RecordMessage("b", true, lastHeard)
 			}
 			now := lastHeard.Add(c.silence)
-			if got := zones.Judge("a", c.counts, now); got != c.want || zones.Partitioned("a", now) != c.want {
-				t.Errorf("%+v: judged %v, partitioned %v, want %v", c.counts, got, zones.Partitioned("a", now), c.want)
+			if got := zones.CheckZone("a", c.counts, now); got != c.want || zones.ZonePartitioned("a", now) != c.want {
+				t.Errorf("%+v: judged %v, partitioned %v, want %v", c.counts, got, zones.ZonePartitioned("a", now), c.want)
 			}
-			if zones.Partitioned("b", now) {
+			if zones.ZonePartitioned("b", now) {
 				t.Errorf("%+v: the zone that sends heartbeats is partitioned", c.counts)
 			}
 		})
@@ -57,10 +57,10 @@
 	for range 100 {
 		zones.RecordMessage("b", false, start)
 	}
-	if zones.Judge("a", Counts{Up: 10, AllUp: 20}, start.Add(time.Minute)) {
+	if zones.CheckZone("a", ZoneCounts{Machines: 10, AllMachines: 20}, start.Add(time.Minute)) {
 		t.Error("zone a is partitioned although only answers to commands came from zone b")
 	}
-	if got := zones.Known(); len(got) != 2 {
+	if got := zones.KnownZones(); len(got) != 2 {
 		t.Errorf("known zones %v, want two", got)
 	}
 }
@@ -69,9 +69,9 @@
 // have a few heartbeat intervals to be seen again. One that is seen counts as back at once.
 func TestPartitionEndsAndMachinesRecover(t *testing.T) {
 	zones := NewZones(start, 2*time.Second)
-	mostLost := Counts{Up: 10, Lost: 9, AllUp: 20}
-	if !zones.Judge("a", mostLost, start) || zones.Judge("a", mostLost, start.Add(time.Second)) {
-		t.Error("Judge doesn't report the start of a partition exactly once")
+	mostLost := ZoneCounts{Machines: 10, LostMachines: 9, AllMachines: 20}
+	if !zones.CheckZone("a", mostLost, start) || zones.CheckZone("a", mostLost, start.Add(time.Second)) {
+		t.Error("CheckZone doesn't report the start of a partition exactly once")
 	}
 	lastJudged := start.Add(time.Second)
 	for _, c := range []struct {
@@ -86,14 +86,14 @@
 		{"when its machines are due", 6 * time.Second, false, false},
 	} {
 		now := lastJudged.Add(c.after)
-		partitioned, recently := zones.Partitioned("a", now), zones.RecentlyPartitioned("a", now)
+		partitioned, recently := zones.ZonePartitioned("a", now), zones.ZoneRecentlyPartitioned("a", now)
 		unseen, seenAgain := zones.UnseenSincePartition("a", start, now), !zones.UnseenSincePartition("a", lastJudged, now)
 		if partitioned != c.wantPartitioned || recently != c.wantRecently || unseen != c.wantRecently || !seenAgain {
 			t.Errorf("%s, after %v: partitioned %v, recently %v, machine unseen %v, one seen again %v, want %v, %v, %v, true",
 				c.name, c.after, partitioned, recently, unseen, seenAgain, c.wantPartitioned, c.wantRecently, c.wantRecently)
 		}
 	}
-	if !zones.Judge("a", mostLost, lastJudged.Add(time.Minute)) {
-		t.Error("Judge doesn't report the start of a second partition")
+	if !zones.CheckZone("a", mostLost, lastJudged.Add(time.Minute)) {
+		t.Error("CheckZone doesn't report the start of a second partition")
 	}
 }
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		test(ctx, state, func(node int) *Candidate {
-			limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
+			limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}
 			cfg := &config.Config{HostName: wire.NodeID(rune('a' + node)), Settings: config.Settings{Size: 3, State: limits}}
 			client := store.New(simulator.KVStoreAddr, limits, 3, network.Host(simulator.NodeIP(node)))
 			return NewCandidate(cfg, client, slog.New(slog.DiscardHandler), func(context.Context, wire.FencingToken) {})
@@ -127,9 +127,9 @@
 		old := lease.Token()
 		for name, injectFault := range map[string]func(){
 			"answered":                 func() {},
-			"executed, answer lost":    func() { state.LoseAnswers(1) },
+			"executed, answer lost":    func() { state.LoseResponses(1) },
 			"request lost":             func() { state.DropRequests(1) },
-			"several answers are lost": func() { state.LoseAnswers(4) },
+			"several answers are lost": func() { state.LoseResponses(4) },
 		} {
 			injectFault()
 			token, err := lease.RaiseToken(ctx, old)
@@ -145,7 +145,7 @@
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrNoHolder) {
 			t.Errorf("without a leader key: %v, want %v", err, ErrNoHolder)
 		}
-		state.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
+		state.Put(store.LeaderKey, store.LeaseRecord{Node: "b", Nonce: "other"})
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrHeldByOther) {
 			t.Errorf("with the leader key of another node: %v, want %v", err, ErrHeldByOther)
 		}
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -18,8 +18,8 @@
 	ErrHeldByOther = duty.ErrHeldByOther
 )
 
-// Tenure describes how a lease was acquired.
-type Tenure = duty.Acquisition
+// Acquisition describes how a lease was acquired.
+type Acquisition = duty.Acquisition
 
 // Lease is the leadership as its holder knows it. It is safe for concurrent use.
 type Lease struct {
@@ -29,12 +29,12 @@
 	mayAnswerFor atomic.Int64
 }
 
-// NewLease returns a lease that was acquired as described by tenure. The candidate may be nil.
-func NewLease(c *Candidate, tenure Tenure) *Lease {
+// NewLease returns a lease that was acquired as described by acquisition. The candidate may be nil.
+func NewLease(c *Candidate, acquisition Acquisition) *Lease {
 	if c == nil {
-		return &Lease{Lease: duty.NewLease(nil, tenure)}
+		return &Lease{Lease: duty.NewLease(nil, acquisition)}
 	}
-	return &Lease{Lease: duty.NewLease(c.Candidate, tenure)}
+	return &Lease{Lease: duty.NewLease(c.Candidate, acquisition)}
 }
 
 // Deciding reports whether this node certainly holds the leadership.
--- a/internal/leader/election/lease_test.go
+++ b/internal/leader/election/lease_test.go
@@ -19,7 +19,7 @@
 	}
 	const delegationTime = 22 * time.Second
 	// The last successful renewal was sent 10 s into the term.
-	lease := NewLease(nil, Tenure{AcquiredAt: acquiredAt, ValidUntil: at(10).Add(safeTTL)})
+	lease := NewLease(nil, Acquisition{AcquiredAt: acquiredAt, ValidUntil: at(10).Add(safeTTL)})
 	// The times of a case are in seconds since the lease was acquired.
 	for _, c := range []struct {
 		name         string
@@ -48,7 +48,7 @@
 func TestLeaseAnswersOnlyWhileMajorityAcknowledges(t *testing.T) {
 	now := time.Now()
 	acquiredAt := now.Add(-40 * time.Second)
-	lease := NewLease(nil, Tenure{AcquiredAt: acquiredAt, ValidUntil: acquiredAt.Add(10*time.Second + safeTTL)})
+	lease := NewLease(nil, Acquisition{AcquiredAt: acquiredAt, ValidUntil: acquiredAt.Add(10*time.Second + safeTTL)})
 	lease.RecordAcks(now.Add(-time.Second), now, 0)
 	if lease.MayAnswerHeartbeats() {
 		t.Error("the majority's acknowledgements are too old: may answer, want not")
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -18,22 +18,22 @@
 		t.onMachineList(e)
 	case machineSpecsReceived:
 		t.state.RequestCycle()
-	case recovery.RecordsRead:
-		t.onRecordsRead(e)
+	case recovery.RecordsLoaded:
+		t.onRecordsLoaded(e)
 	case recovery.JobRecordsChanged:
 		t.onJobRecordsChanged(e)
 	case progress.JobRecordReread:
-		t.records.OnReread(e)
+		t.records.OnJobRecordReread(e)
 	case progress.RereadDue:
 		t.committer.Reread(e.Job)
 	case recovery.ResignationDue:
 		t.Resign(e.Reason)
 	case versionChecked:
 		t.adoptVersion(e.version)
-	case agents.CommandAnswer:
-		t.reconciler.OnCommandAnswer(e)
-	case agents.ProbeAnswer:
-		t.onProbeAnswer(e)
+	case agents.CommandOutcome:
+		t.reconciler.OnCommandOutcome(e)
+	case agents.ProbeOutcome:
+		t.onProbeOutcome(e)
 	case autoscaler.ScaleOutsRecorded:
 		t.scaler.OnScaleOutsRecorded(e.Requests, e.Err)
 	case autoscaler.ScaleOutAnswered:
@@ -66,7 +66,7 @@
 
 // onRecordsRead builds the model from the records, and continues the scale-outs and
 // scale-ins that earlier leaders began.
-func (t *term) onRecordsRead(e recovery.RecordsRead) {
+func (t *term) onRecordsLoaded(e recovery.RecordsLoaded) {
 	t.records.LoadRecords(e.Jobs, e.Progress)
 	t.state.ActiveVersion = e.Version
 	t.scaler.AdoptIntents(e.Intents)
@@ -74,11 +74,11 @@
 }
 
 func (t *term) onJobRecordsChanged(e recovery.JobRecordsChanged) {
-	t.records.ApplyChanges(e.Changes)
+	t.records.ApplyJobRecordChanges(e.Changes)
 	t.leader.Cancels.RecordRead(e.StartedAt)
 }
 
-func (t *term) onProbeAnswer(e agents.ProbeAnswer) {
-	t.reconciler.OnCommandAnswer(e.CommandAnswer)
-	e.Machine.RelayUnanswered = e.Err != nil && e.Relayed
+func (t *term) onProbeOutcome(e agents.ProbeOutcome) {
+	t.reconciler.OnCommandOutcome(e.CommandOutcome)
+	e.Machine.LastRelayUnanswered = e.Err != nil && e.Relayed
 }
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -142,8 +142,8 @@
 		}
 	}
 	for _, m := range tm.state.Machines {
-		if len(m.Tasks) > 0 {
-			t.Errorf("machine %s: got tasks %v, want none", m.ID, m.Tasks)
+		if len(m.Attempts) > 0 {
+			t.Errorf("machine %s: got tasks %v, want none", m.ID, m.Attempts)
 		}
 	}
 }
--- a/internal/leader/gang_launch_test.go
+++ b/internal/leader/gang_launch_test.go
@@ -39,7 +39,7 @@
 			first := memberAttempt(j, 0)
 			c.setup(tm, j)
 			heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken)
-			commands := tm.dispatcher.CommandsFor(first.Machine, heartbeat, time.Now())
+			commands := tm.dispatcher.HeartbeatResponseCommands(first.Machine, heartbeat, time.Now())
 			if sent := countLaunches(commands) == 1; sent != c.wantSent {
 				t.Errorf("first task's launch sent: got %v, want %v", sent, c.wantSent)
 			}
@@ -89,7 +89,7 @@
 	a.Inherited, a.LaunchSent = true, true
 	heartbeat := heartbeatFrom(1, 11, tm.state.FirstToken)
 	tm.reconciler.Reconcile(a.Machine, heartbeat, true, time.Now())
-	commands := tm.dispatcher.CommandsFor(a.Machine, heartbeatFrom(1, 11, tm.state.FirstToken), time.Now())
+	commands := tm.dispatcher.HeartbeatResponseCommands(a.Machine, heartbeatFrom(1, 11, tm.state.FirstToken), time.Now())
 	if n := countLaunches(commands); j.ActiveTasks != 3 || n != 1 {
 		t.Errorf("got %d tasks active, %d launches, want 3, 1", j.ActiveTasks, n)
 	}
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -219,7 +219,7 @@
 	secondAttempt := memberAttempt(n.gang, 1)
 	secondAttempt.Machine.Addr = "10.1.0.1:9000"
 	secondAttempt.StopSentAt = time.Time{}
-	n.dispatcher.Dispatch(secondAttempt.Machine)
+	n.dispatcher.SendDueCommands(secondAttempt.Machine)
 	if n.pendingLaunch.LaunchSent || secondAttempt.StopSentAt.IsZero() {
 		t.Errorf("direct command without the lease: got launch sent %v, stop sent %v, want false, true", n.pendingLaunch.LaunchSent, !secondAttempt.StopSentAt.IsZero())
 	}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -49,7 +49,7 @@
 	now := time.Now()
 	addGangJob(tm, "req-2", 2)
 	addGangJob(tm, "req-3", 4)
-	justBefore, justAfter := now.Add(scheduling.RecentGangLife-time.Second), now.Add(scheduling.RecentGangLife+time.Second)
+	justBefore, justAfter := now.Add(scheduling.RecentGangRetention-time.Second), now.Add(scheduling.RecentGangRetention+time.Second)
 	cases := []struct {
 		name  string
 		setup func()
@@ -91,10 +91,10 @@
 		waited     time.Duration
 		want       float64 // seconds
 	}{
-		{nil, 0, scheduling.MaxPatienceS},
+		{nil, 0, scheduling.MaxPreemptionDelaySeconds},
 		{objectives, 0, 1},
 		{objectives, 1500 * time.Millisecond, 0.25},
-		{objectives, 2 * time.Second, scheduling.MaxPatienceS + 1 - 2},
+		{objectives, 2 * time.Second, scheduling.MaxPreemptionDelaySeconds + 1 - 2},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%d objectives, waited %v", len(c.objectives), c.waited), func(t *testing.T) {
@@ -104,8 +104,8 @@
 			gang.Spec.Priority, gang.Spec.ExpectedRunTime = wire.PriorityUrgent, 30
 			gang.AcceptedAt = now.Add(-c.waited)
 			tm.state.Settings.Objectives = c.objectives
-			if got := tm.scheduler.PatienceSeconds(gang, now); got != c.want {
-				t.Errorf("patience: got %g s, want %g s", got, c.want)
+			if got := tm.scheduler.PreemptionDelaySeconds(gang, now); got != c.want {
+				t.Errorf("preemption delay: got %g s, want %g s", got, c.want)
 			}
 		})
 	}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -60,7 +60,7 @@
 
 // ServeHeartbeat handles a heartbeat that an agent sends to this node.
 func (l *Leader) ServeHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	raw, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 	if err != nil {
 		w.Header().Set("Connection", "close")
 		wire.WriteResponse(w, http.StatusRequestEntityTooLarge, wire.ErrorBody{Error: err.Error()})
@@ -102,7 +102,7 @@
 
 // readHeartbeat reads the heartbeat in the body of a request.
 func readHeartbeat(r *http.Request) (*wire.Heartbeat, error) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	raw, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -123,14 +123,14 @@
 
 // refuseUndecodable rejects a request that holds no valid heartbeat, and logs its source.
 func (l *Leader) refuseUndecodable(w http.ResponseWriter, source string, err error) {
-	l.Undecodable.LogOnce(source, err)
+	l.UndecodableLog.LogOnce(source, err)
 	wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 }
 
 // answerHeartbeat passes a heartbeat to the loop and waits for the answer. relayed means
 // that the heartbeat came through another node.
 func (t *term) answerHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayed bool) heartbeatAnswer {
-	call := reconcile.Call{Heartbeat: *heartbeat, Relayed: relayed, Reply: make(chan reconcile.Reply, 1)}
+	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Relayed: relayed, Reply: make(chan reconcile.HeartbeatReply, 1)}
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	select {
@@ -148,7 +148,7 @@
 	}
 }
 
-func answerOfReply(reply reconcile.Reply) heartbeatAnswer {
+func answerOfReply(reply reconcile.HeartbeatReply) heartbeatAnswer {
 	switch {
 	case reply.Redirect:
 		return heartbeatAnswer{outcome: outcomeRedirectedHere}
@@ -171,7 +171,7 @@
 			return heartbeatAnswer{outcome: outcomeRelayed, commands: commands}
 		}
 	}
-	if l.delegate.Returned(heartbeat.Machine, now) {
+	if l.delegate.ReturnedAfterRedirect(heartbeat.Machine, now) {
 		if commands := l.delegate.Answer(heartbeat); commands != nil {
 			return heartbeatAnswer{outcome: outcomeDelegated, commands: commands}
 		}
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -83,8 +83,8 @@
 		{name: "not a heartbeat", body: []byte("hello"), wantStatus: http.StatusBadRequest},
 		{name: "a heartbeat without a machine", body: wire.Encode(&wire.Heartbeat{Epoch: 1}), wantStatus: http.StatusBadRequest},
 		{name: "a relayed heartbeat without a machine", body: wire.Encode(&wire.Heartbeat{Epoch: 1}), relayed: true, wantStatus: http.StatusBadRequest},
-		{name: "too large", body: make([]byte, wire.MaxBody+1), wantStatus: http.StatusRequestEntityTooLarge},
-		{name: "too large and relayed", body: make([]byte, wire.MaxBody+1), relayed: true, wantStatus: http.StatusBadRequest},
+		{name: "too large", body: make([]byte, wire.MaxBodyBytes+1), wantStatus: http.StatusRequestEntityTooLarge},
+		{name: "too large and relayed", body: make([]byte, wire.MaxBodyBytes+1), relayed: true, wantStatus: http.StatusBadRequest},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 			want int
 		}{{2 * time.Second, 2}, {contactLifetime + 2*contactRecountInterval, 0}} {
 			time.Sleep(c.wait)
-			if got := node.ReachableWorkers(); got != c.want {
+			if got := node.ReachableAgents(); got != c.want {
 				t.Errorf("agents in contact after another %v: got %d, want %d", c.wait, got, c.want)
 			}
 		}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -39,7 +39,7 @@
 // newLease returns a lease that was just acquired and is valid for the duration.
 func newLease(l *Leader, token wire.FencingToken, d time.Duration) *election.Lease {
 	now := time.Now()
-	return election.NewLease(l.candidate, election.Tenure{Token: token, AcquiredAt: now, ValidUntil: now.Add(d)})
+	return election.NewLease(l.candidate, election.Acquisition{Token: token, AcquiredAt: now, ValidUntil: now.Add(d)})
 }
 
 // setMesh replaces a term's view of its peers.
@@ -95,7 +95,7 @@
 // on machine n-1. The machine has sent heartbeat 10 of epoch 1.
 func newTestTerm(tb testing.TB) (*term, *cluster.Machine, *cluster.Attempt) {
 	tb.Helper()
-	l := &Leader{Dependencies: testDependencies(config.StoreLimits{ValueKB: 16})}
+	l := &Leader{Dependencies: testDependencies(config.StoreLimits{MaxValueKB: 16})}
 	l.delegationBounds.MaxCancelAge = delegation.BoundsOf(l.Config.Settings.Workers).MaxCancelAge
 	l.delegate = newDelegate(l.Dependencies, l.delegationBounds)
 	l.agents = &agents.Client{}
@@ -127,8 +127,8 @@
 }
 
 // sendHeartbeat returns a term's reply to a heartbeat.
-func sendHeartbeat(tm *term, heartbeat *wire.Heartbeat) reconcile.Reply {
-	call := reconcile.Call{Heartbeat: *heartbeat, Reply: make(chan reconcile.Reply, 1)}
+func sendHeartbeat(tm *term, heartbeat *wire.Heartbeat) reconcile.HeartbeatReply {
+	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Reply: make(chan reconcile.HeartbeatReply, 1)}
 	tm.reconciler.OnHeartbeat(call)
 	return <-call.Reply
 }
@@ -149,11 +149,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		setStore(tm, store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, host))
+		setStore(tm, store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}, 1, host))
 		setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, host, tm.leader.Log))
 		go tm.leader.Mesh.Run(ctx)
 		tm.Begin(ctx)
-		tm.state.Settings.State.TxnOps = 12
+		tm.state.Settings.State.MaxTxnWrites = 12
 		storeLeadership(tm, st)
 		m.Token = tm.Fencing.Token
 		tm.state.EndAttempt(a, cluster.TaskPending)
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -29,8 +29,8 @@
 	now := time.Now()
 	m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = now, now, now
 	tm.monitor.CheckMachines(now)
-	if !m.ScalingIn || len(m.Tasks) != 1 {
-		t.Errorf("with the lease: got scaling in %v, %d tasks, want true, 1 task", m.ScalingIn, len(m.Tasks))
+	if !m.ScalingIn || len(m.Attempts) != 1 {
+		t.Errorf("with the lease: got scaling in %v, %d tasks, want true, 1 task", m.ScalingIn, len(m.Attempts))
 	}
 }
 
@@ -43,7 +43,7 @@
 			t.Errorf("while this node leads: got stored %v, revision %d, want true and a revision", ok, revision)
 		}
 		before := st.Revision(store.MachineSpecsKey)
-		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
+		st.Put(store.LeaderKey, store.LeaseRecord{Node: "b", Nonce: "other"})
 		if ok, revision := tm.inventory.storeMachineSpecs(tm.Context(), specs), st.Revision(store.MachineSpecsKey); ok || revision != before {
 			t.Errorf("while another node leads: got stored %v, revision %d, want false and %d", ok, revision, before)
 		}
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -50,7 +50,7 @@
 func (in *inventory) pollMachineList(ctx context.Context) {
 	for {
 		requestedAt := time.Now()
-		list, err := in.cloud.List(ctx)
+		list, err := in.cloud.ListMachines(ctx)
 		pause := machineListInterval
 		if err == nil {
 			in.Post(machineListReceived{list, requestedAt})
@@ -90,7 +90,7 @@
 	}
 	if listed.State == wire.ListedFailed && !m.FailedInCloud {
 		m.FailedInCloud, m.Booting = true, false
-		in.Log.Info("machine failed", "machine", m.ID, "tasks", len(m.Tasks))
+		in.Log.Info("machine failed", "machine", m.ID, "tasks", len(m.Attempts))
 	}
 }
 
--- a/internal/leader/large_fleet_test.go
+++ b/internal/leader/large_fleet_test.go
@@ -50,10 +50,10 @@
 	if n := sendAllHeartbeats(tm); n != largestFleet {
 		t.Fatalf("answered heartbeats: got %d, want %d", n, largestFleet)
 	}
-	limit := tm.writer.ValueLimit()
+	limit := tm.writer.ValueLimitBytes()
 	for _, j := range tm.state.Jobs {
-		if record := j.Chunk(0).Record(); record.JSONSize() > limit {
-			t.Errorf("record of %s: got %d bytes, want at most %d", j.Spec.ID, record.JSONSize(), limit)
+		if record := j.Chunk(0).Record(); record.MaxJSONSize() > limit {
+			t.Errorf("record of %s: got %d bytes, want at most %d", j.Spec.ID, record.MaxJSONSize(), limit)
 		}
 	}
 	active := countActiveTasks(tm)
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -58,14 +58,14 @@
 	Log     *slog.Logger
 	Metrics core.Metrics
 
-	Net     netio.Net
+	Net     netio.Network
 	Store   *store.Client
 	Cloud   *cloud.Client
 	Mesh    *peer.Mesh
 	Cancels *cancels.Log
 	Catalog *cluster.MachineCatalog
-	// Undecodable logs records and heartbeats that can't be decoded.
-	Undecodable *undecodable.Log
+	// UndecodableLog logs records and heartbeats that can't be decoded.
+	UndecodableLog *undecodable.Log
 	// Observe receives the events of the leader's lease and of the duties done under it. It
 	// may be nil.
 	Observe duty.Observer
@@ -112,7 +112,7 @@
 func newCandidate(d Dependencies) *election.Candidate {
 	o := election.Options(d.Config, d.Store, d.Log, d.Mesh.ObserveToken)
 	o.Observe = d.Observe
-	o.OnUndecodable = d.Undecodable.LogOnce
+	o.OnUndecodable = d.UndecodableLog.LogOnce
 	if d.Versions != nil {
 		o.Eligible = func() bool { return d.Versions.CheckServe() == nil }
 	}
--- a/internal/leader/liveness/counts_test.go
+++ b/internal/leader/liveness/counts_test.go
@@ -27,7 +27,7 @@
 	receivesNothing := f.addMachine(0)
 	receivesNothing.Inbound.RecordAnswer(testToken, 1, 10)
 	receivesNothing.Inbound.RecordUnansweredCommand()
-	receivesNothing.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.Evidence{}, f.now)
+	receivesNothing.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.HeartbeatEvidence{}, f.now)
 
 	want := &machineCounts{
 		up: 9, unresponsive: 4, lost: 3, relayed: 1, inboundPathLost: 1, outboundPathLost: 1,
--- a/internal/leader/liveness/delegates.go
+++ b/internal/leader/liveness/delegates.go
@@ -15,14 +15,14 @@
 	if mo.State.Delegation.MaxDelegationTime == 0 {
 		return latest
 	}
-	tenure := delegation.Tenure{
+	leadership := delegation.LeadershipTerm{
 		StartedAt:           mo.State.TermStartedAt,
 		FirstToken:          mo.State.FirstToken,
 		StoreAvailableSince: mo.State.StoreAvailableSince,
 	}
 	view := mo.Mesh.View()
 	for _, node := range mo.Peers {
-		latest = cluster.LaterOf(latest, mo.State.Delegation.AnswersUntil(tenure, view.Peers[node.HostName], now))
+		latest = cluster.LaterOf(latest, mo.State.Delegation.DelegateAnswersUntil(leadership, view.Peers[node.HostName], now))
 	}
 	return latest
 }
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -43,7 +43,7 @@
 		FleetChange:     func(string, int) {},
 		Machines:        func(map[string]int) {},
 	}
-	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: began, ValidUntil: began.Add(time.Hour)})
+	lease := election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: began, ValidUntil: began.Add(time.Hour)})
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	loop := core.NewLoop(lease, log, metrics)
 	ended, end := context.WithCancel(t.Context())
@@ -74,10 +74,10 @@
 	return f
 }
 
-// loseStore makes the leader's lease expire, as if the key-value store had become unavailable.
+// expireLease makes the leader's lease expire, as if the key-value store had become unavailable.
 // If answering is set, the leader may still answer heartbeats.
-func (f *fixture) loseStore(answering bool) {
-	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: f.now, ValidUntil: f.now.Add(-time.Millisecond)})
+func (f *fixture) expireLease(answering bool) {
+	f.Lease = election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: f.now, ValidUntil: f.now.Add(-time.Millisecond)})
 	if answering {
 		f.Lease.RecordAcks(f.now.Add(time.Hour), f.now, 0)
 	}
@@ -85,7 +85,7 @@
 
 // partition makes the zone detector judge a zone as partitioned at f.now.
 func (f *fixture) partition(zone wire.Zone) {
-	f.State.ZoneDetector.Judge(zone, detector.Counts{Up: 10, Lost: 10, AllUp: 20}, f.now)
+	f.State.ZoneDetector.CheckZone(zone, detector.ZoneCounts{Machines: 10, LostMachines: 10, AllMachines: 20}, f.now)
 }
 
 // addMachine adds a machine in zone a whose last message is sinceMessage old.
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -24,7 +24,7 @@
 // ExpireLease ends the tasks of a machine whose lease has certainly expired: nobody can have
 // answered its heartbeats for the length of the lease, plus the clock drift and a margin.
 func (mo *Monitor) ExpireLease(machine *cluster.Machine, now time.Time) {
-	if len(machine.Tasks) == 0 || !mo.State.RecordsRead {
+	if len(machine.Attempts) == 0 || !mo.State.RecordsRead {
 		return
 	}
 	lease := mo.State.Settings.Workers.Lease.Duration()
@@ -32,7 +32,7 @@
 	if now.Sub(mo.lastPossibleRenewal(machine)) < expiredAfter {
 		return
 	}
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		// A direct launch in flight may still arrive after the lease has expired, and the agent
 		// accepts it unless the agent has entered a new epoch by then.
 		if attempt.Unstored || attempt.LaunchInFlight {
--- a/internal/leader/liveness/machine_checks.go
+++ b/internal/leader/liveness/machine_checks.go
@@ -50,6 +50,6 @@
 	if machine.DrainReason == cluster.DrainAdoptedScaleIn {
 		return true
 	}
-	empty := len(machine.Tasks) == 0 && len(machine.OrphanTasks) == 0
+	empty := len(machine.Attempts) == 0 && len(machine.OrphanTasks) == 0
 	return machine.DrainReason != "" && empty && mo.Writer.AllStored(machine.LastUsedAt, time.Now())
 }
--- a/internal/leader/liveness/monitor.go
+++ b/internal/leader/liveness/monitor.go
@@ -106,7 +106,7 @@
 // higher token if a launch that must no longer take effect may still arrive.
 func (mo *Monitor) checkTasks(machine *cluster.Machine, now time.Time) {
 	mo.checkpointBeforeReclaim(machine, now)
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		if attempt.Unstored {
 			continue
 		}
--- a/internal/leader/liveness/partitions.go
+++ b/internal/leader/liveness/partitions.go
@@ -17,14 +17,14 @@
 			continue
 		}
 		lastContact := mo.zoneControllersLastContact(zone)
-		zoneCounts := detector.Counts{
-			Up:              up,
-			Lost:            counts.lostByZone[zone],
-			AllUp:           counts.up,
+		zoneCounts := detector.ZoneCounts{
+			Machines:        up,
+			LostMachines:    counts.lostByZone[zone],
+			AllMachines:     counts.up,
 			ControllersLost: !lastContact.IsZero() && now.Sub(lastContact) > peer.AckLifetime,
 		}
-		if mo.State.ZoneDetector.Judge(zone, zoneCounts, now) {
-			mo.Log.Info("zone partitioned", "zone", zone, "lost", zoneCounts.Lost, "up", up)
+		if mo.State.ZoneDetector.CheckZone(zone, zoneCounts, now) {
+			mo.Log.Info("zone partitioned", "zone", zone, "lost", zoneCounts.LostMachines, "up", up)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	}
 	for id, node := range mo.Mesh.View().Peers {
 		canLead := node.Connected(now) && node.StateReachable
-		if canLead && node.ReachableWorkers*2 > counts.up {
+		if canLead && node.ReachableAgents*2 > counts.up {
 			return id, true
 		}
 	}
--- a/internal/leader/liveness/partitions_test.go
+++ b/internal/leader/liveness/partitions_test.go
@@ -62,12 +62,12 @@
 		age    time.Duration // since the term started
 		want   bool
 	}{
-		{"peer reaches most machines", peer.Status{StateReachable: true, ReachableWorkers: 6}, isolated, time.Minute, true},
-		{"peer reaches half of the machines", peer.Status{StateReachable: true, ReachableWorkers: 5}, isolated, time.Minute, false},
-		{"peer can't reach the store", peer.Status{ReachableWorkers: 10}, isolated, time.Minute, false},
-		{"this node reaches the machines too", peer.Status{StateReachable: true, ReachableWorkers: 10}, machineCounts{up: 10}, time.Minute, false},
-		{"the term has just begun", peer.Status{StateReachable: true, ReachableWorkers: 10}, isolated, 7500 * time.Millisecond, false},
-		{"the term is old enough", peer.Status{StateReachable: true, ReachableWorkers: 10}, isolated, 7600 * time.Millisecond, true},
+		{"peer reaches most machines", peer.Status{StateReachable: true, ReachableAgents: 6}, isolated, time.Minute, true},
+		{"peer reaches half of the machines", peer.Status{StateReachable: true, ReachableAgents: 5}, isolated, time.Minute, false},
+		{"peer can't reach the store", peer.Status{ReachableAgents: 10}, isolated, time.Minute, false},
+		{"this node reaches the machines too", peer.Status{StateReachable: true, ReachableAgents: 10}, machineCounts{up: 10}, time.Minute, false},
+		{"the term has just begun", peer.Status{StateReachable: true, ReachableAgents: 10}, isolated, 7500 * time.Millisecond, false},
+		{"the term is old enough", peer.Status{StateReachable: true, ReachableAgents: 10}, isolated, 7600 * time.Millisecond, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/liveness/paths.go
+++ b/internal/leader/liveness/paths.go
@@ -27,7 +27,7 @@
 		mo.Dispatcher.Probe(machine)
 	}
 	lostFor := machine.Inbound.LostFor(now)
-	confirmationOverdue := lostFor > mo.State.HeartbeatInterval()/2+inboundProbeInterval && machine.Inbound.CommandsFail()
+	confirmationOverdue := lostFor > mo.State.HeartbeatInterval()/2+inboundProbeInterval && machine.Inbound.CommandUnanswered()
 	leaseExpired := lostFor > mo.State.Settings.Workers.Lease.Duration()
 	if leaseExpired || confirmationOverdue && hasUnconfirmedTask(machine) {
 		mo.Scaler.ScaleIn(machine, cluster.DrainInboundConnectivityLost)
@@ -37,7 +37,7 @@
 // hasUnconfirmedTask reports whether no heartbeat has shown yet that an attempt on the machine
 // was launched, or that it was stopped. A machine that receives nothing can't confirm either.
 func hasUnconfirmedTask(machine *cluster.Machine) bool {
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		if !attempt.Unstored && (!attempt.SeenInHeartbeat || attempt.Stopping) {
 			return true
 		}
--- a/internal/leader/liveness/paths_test.go
+++ b/internal/leader/liveness/paths_test.go
@@ -9,15 +9,15 @@
 	"lilaclead/internal/wire"
 )
 
-// loseInbound makes the inbound path of a machine count as lost since the given time ago.
-func (f *fixture) loseInbound(machine *cluster.Machine, ago time.Duration, commandsFail bool) {
-	missesLaunch := detector.Evidence{MissesLaunch: func() bool { return true }}
+// breakInboundPath makes the inbound path of a machine count as lost since the given time ago.
+func (f *fixture) breakInboundPath(machine *cluster.Machine, ago time.Duration, commandsFail bool) {
+	lacksLaunch := detector.HeartbeatEvidence{LacksLaunch: func() bool { return true }}
 	machine.Inbound.RecordAnswer(0, 1, 8)
 	if commandsFail {
 		machine.Inbound.RecordUnansweredCommand()
 	}
 	for _, sequence := range []wire.Sequence{9, 10} {
-		machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: sequence}, missesLaunch, f.now.Add(-ago))
+		machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: sequence}, lacksLaunch, f.now.Add(-ago))
 	}
 }
 
@@ -36,14 +36,14 @@
 		{"a launch is unconfirmed, attempt not stored", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat, attempt.Unstored = false, true }, false},
 		{"nothing is unconfirmed", 16 * time.Second, true, func(*fixture, *cluster.Attempt) {}, false},
 		{"nothing is unconfirmed, the lease has expired", 16100 * time.Millisecond, false, func(*fixture, *cluster.Attempt) {}, true},
-		{"the lease has expired, not deciding", time.Minute, true, func(f *fixture, _ *cluster.Attempt) { f.loseStore(true) }, false},
+		{"the lease has expired, not deciding", time.Minute, true, func(f *fixture, _ *cluster.Attempt) { f.expireLease(true) }, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			machine := f.addMachine(0)
 			attempt := f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine)
-			f.loseInbound(machine, tc.lostFor, tc.commandsFail)
+			f.breakInboundPath(machine, tc.lostFor, tc.commandsFail)
 			if machine.Inbound.Works() {
 				t.Fatal("the inbound path is not lost")
 			}
--- a/internal/leader/liveness/replicas.go
+++ b/internal/leader/liveness/replicas.go
@@ -43,7 +43,7 @@
 // move only if the other zones have room for all its replicas in this zone. (With two zones
 // they have none, and ending its replicas early would gain nothing.)
 func (mo *Monitor) replicasMovable(machine *cluster.Machine, now time.Time) bool {
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		job := attempt.Job
 		if !job.Spec.IsService() || job.Spec.Zone != "" {
 			continue
--- a/internal/leader/liveness/spot_reclaim.go
+++ b/internal/leader/liveness/spot_reclaim.go
@@ -23,7 +23,7 @@
 		return
 	}
 	remaining := machine.ReclaimAt.Sub(now)
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		writesCheckpoints := attempt.Job.Spec.CheckpointInterval != 0
 		if attempt.Unstored || attempt.Stopping || !writesCheckpoints {
 			continue
--- a/internal/leader/liveness/spot_reclaim_test.go
+++ b/internal/leader/liveness/spot_reclaim_test.go
@@ -34,7 +34,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			if tc.withoutStore || tc.notAnswering {
-				f.loseStore(!tc.notAnswering)
+				f.expireLease(!tc.notAnswering)
 			}
 			machine := f.addMachine(0)
 			machine.ReclaimAt, machine.DrainReason = f.now.Add(tc.remaining), cluster.DrainSpotNotice
--- a/internal/leader/liveness/tasks.go
+++ b/internal/leader/liveness/tasks.go
@@ -19,10 +19,10 @@
 
 // repeatStops has the machine's commands sent again if a stop on it has had no effect.
 func (mo *Monitor) repeatStops(machine *cluster.Machine, now time.Time) {
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		stopDue := attempt.StopSentAt.IsZero() || now.Sub(attempt.StopSentAt) > stopRetryInterval
 		if attempt.Stopping && !attempt.Unstored && stopDue {
-			mo.Dispatcher.Dispatch(machine)
+			mo.Dispatcher.SendDueCommands(machine)
 			return
 		}
 	}
--- a/internal/leader/liveness/verdict.go
+++ b/internal/leader/liveness/verdict.go
@@ -75,7 +75,7 @@
 // probesFailed reports whether probes from this node and through another one failed, and the
 // machine has been silent for lostAfter.
 func (v *verdict) probesFailed() bool {
-	probed := v.machine.UnansweredCommands >= minFailedProbes && v.machine.RelayUnanswered
+	probed := v.machine.UnansweredCommands >= minFailedProbes && v.machine.LastRelayUnanswered
 	return probed && v.sinceMessage > v.lostAfter()
 }
 
--- a/internal/leader/liveness/verdict_test.go
+++ b/internal/leader/liveness/verdict_test.go
@@ -10,7 +10,7 @@
 
 func TestVerdictOnUnresponsiveMachine(t *testing.T) {
 	twoProbesFailed := func(_ *fixture, machine *cluster.Machine) {
-		machine.UnansweredCommands, machine.RelayUnanswered = 2, true
+		machine.UnansweredCommands, machine.LastRelayUnanswered = 2, true
 	}
 	oneProbeFailed := func(_ *fixture, machine *cluster.Machine) { machine.UnansweredCommands = 1 }
 	isolated := machineCounts{up: 10, unresponsive: 6}
@@ -112,7 +112,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			if !tc.deciding {
-				f.loseStore(true)
+				f.expireLease(true)
 			}
 			machine := f.addMachine(0)
 			machine.Booting, machine.MachineType, machine.RequestedAt = true, tc.machineType, f.now.Add(-tc.age)
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -221,7 +221,7 @@
 func recordMessagesExceptFrom(tm *term, unresponsive map[*cluster.Machine]bool) {
 	for _, m := range tm.state.Machines {
 		if unresponsive[m] {
-			m.UnansweredCommands, m.RelayUnanswered = 2, true
+			m.UnansweredCommands, m.LastRelayUnanswered = 2, true
 		} else {
 			m.LastMessageAt = time.Now()
 		}
--- a/internal/leader/progress/batch.go
+++ b/internal/leader/progress/batch.go
@@ -104,7 +104,7 @@
 
 // putChunk adds the write of a chunk's record.
 func (b *batch) putChunk(c *cluster.Chunk, record *store.ChunkRecord) {
-	size := record.JSONSize()
+	size := record.MaxJSONSize()
 	b.totalValueBytes += size
 	b.largestValueBytes = max(b.largestValueBytes, size)
 	b.addGuard(c.Key(), c.Revision)
--- a/internal/leader/progress/launches.go
+++ b/internal/leader/progress/launches.go
@@ -24,7 +24,7 @@
 		}
 	}
 	for m := range targets {
-		co.Dispatcher.Dispatch(m)
+		co.Dispatcher.SendDueCommands(m)
 	}
 }
 
--- a/internal/leader/progress/reader.go
+++ b/internal/leader/progress/reader.go
@@ -91,7 +91,7 @@
 	// Sub-chunks exist only if an earlier leader found that the limit was lowered.
 	r.writer.ValueLimitLowered = true
 	c := j.Chunk(index)
-	c.Reset()
+	c.ResetTasks()
 	r.ReadChunk(c, e.Revision, &record)
 }
 
--- a/internal/leader/progress/selection.go
+++ b/internal/leader/progress/selection.go
@@ -14,7 +14,7 @@
 // Final records and launches go first, then routine writes, at most one transaction of them
 // every routineWriteInterval, then the deletion of orphans.
 func (w *Writer) nextBatch(token wire.FencingToken, now time.Time) *batch {
-	b := newBatch(token, w.limits().Strictest().TxnOps, w.singleRecordTxns > 0)
+	b := newBatch(token, w.limits().Strictest().MaxTxnWrites, w.singleRecordTxns > 0)
 	w.addFinishedJobs(b, now)
 	w.SplitOversizedChunks()
 	launches, routine := w.writableChunks(now)
@@ -80,7 +80,7 @@
 func (w *Writer) addLaunches(b *batch, chunks []*cluster.Chunk, now time.Time) {
 	for _, c := range chunks {
 		record := w.recordWithinLimit(c, now)
-		if !b.hasRoom(1, record.JSONSize()) {
+		if !b.hasRoom(1, record.MaxJSONSize()) {
 			continue
 		}
 		b.putChunk(c, &record)
@@ -102,9 +102,9 @@
 // attempt numbers may be longer than estimated when the chunk's size was chosen. The store
 // would reject such a record every time, together with everything in the same transaction.
 func (w *Writer) recordWithinLimit(c *cluster.Chunk, now time.Time) store.ChunkRecord {
-	limit := w.ValueLimit()
+	limit := w.ValueLimitBytes()
 	record := c.Record()
-	for record.JSONSize() > limit && w.state.WithdrawUnstoredAttempt(c, now) {
+	for record.MaxJSONSize() > limit && w.state.WithdrawUnstoredAttempt(c, now) {
 		record = c.Record()
 	}
 	return record
@@ -124,7 +124,7 @@
 		b.urgent = true
 	}
 	for _, c := range chunks[:n] {
-		if record := c.Record(); b.hasRoom(1, record.JSONSize()) {
+		if record := c.Record(); b.hasRoom(1, record.MaxJSONSize()) {
 			b.putChunk(c, &record)
 		}
 	}
--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -7,13 +7,13 @@
 
 func kibToBytes(kib float64) int { return int(kib * 1024) }
 
-// ValueLimit returns the largest size of a value in bytes: the store's next limit once that
+// ValueLimitBytes returns the largest size of a value in bytes: the store's next limit once that
 // is known to be in force, the present limit before.
-func (w *Writer) ValueLimit() int {
+func (w *Writer) ValueLimitBytes() int {
 	if w.ValueLimitLowered {
-		return kibToBytes(w.limits().Strictest().ValueKB)
+		return kibToBytes(w.limits().Strictest().MaxValueKB)
 	}
-	return kibToBytes(w.limits().ValueKB)
+	return kibToBytes(w.limits().MaxValueKB)
 }
 
 // SplitOversizedChunks splits all chunks of each job that has a changed chunk above the
@@ -22,13 +22,13 @@
 	if !w.ValueLimitLowered {
 		return
 	}
-	limit := w.ValueLimit()
-	maxTasks := store.ChunkTasksFor(w.limits().Strictest().ValueKB)
+	limit := w.ValueLimitBytes()
+	maxTasks := store.TasksPerChunkForLimit(w.limits().Strictest().MaxValueKB)
 	for c := range w.state.UnsavedChanges.Chunks {
 		if !canSplit(c.Job, maxTasks) {
 			continue
 		}
-		if record := c.Record(); record.JSONSize() > limit {
+		if record := c.Record(); record.MaxJSONSize() > limit {
 			w.splitChunks(c.Job, maxTasks)
 		}
 	}
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -9,34 +9,34 @@
 )
 
 // OnHeartbeat reconciles a heartbeat and replies to it.
-func (rc *Reconciler) OnHeartbeat(call Call) {
+func (rc *Reconciler) OnHeartbeat(call HeartbeatCall) {
 	call.Reply <- rc.answerHeartbeat(&call.Heartbeat, call.Relayed, time.Now())
 }
 
-func (rc *Reconciler) answerHeartbeat(heartbeat *wire.Heartbeat, relayed bool, now time.Time) Reply {
+func (rc *Reconciler) answerHeartbeat(heartbeat *wire.Heartbeat, relayed bool, now time.Time) HeartbeatReply {
 	if err := rc.checkAnswerable(heartbeat, now); err != nil {
-		return Reply{Rejected: err}
+		return HeartbeatReply{Rejected: err}
 	}
 	machine := rc.state.GetOrAddMachine(heartbeat.Machine)
 	if !rc.state.RecordsRead {
 		rc.keepEarlyHeartbeat(heartbeat)
 		machine.LastMessageAt, machine.LastReplyAt = now, now
-		return Reply{Commands: rc.stopsOfCancelled(heartbeat)}
+		return HeartbeatReply{Commands: rc.stopsOfCancelled(heartbeat)}
 	}
 	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) {
 		return rc.onStaleHeartbeat(machine, heartbeat, now)
 	}
 	if rc.recordHeartbeatPath(machine, relayed, now) {
-		return Reply{Redirect: true}
+		return HeartbeatReply{Redirect: true}
 	}
 	rc.checkInboundPath(machine, heartbeat, now)
 	rc.Reconcile(machine, heartbeat, true, now)
 	if rc.renewalWithheld(machine, heartbeat, now) {
-		return Reply{Rejected: errCancelPending}
+		return HeartbeatReply{Rejected: errCancelPending}
 	}
 	machine.LastReplyAt = now
 	machine.Inbound.RecordAnswer(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
-	return Reply{Commands: rc.commandsFor(machine, heartbeat, now)}
+	return HeartbeatReply{Commands: rc.commandsFor(machine, heartbeat, now)}
 }
 
 // checkAnswerable returns the reason why a heartbeat must not be answered, whatever it
@@ -60,9 +60,9 @@
 func (rc *Reconciler) commandsFor(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) *wire.Commands {
 	answer := &wire.Commands{Token: rc.Fencing.Token}
 	if rc.Lease.Deciding() {
-		answer.Commands = rc.dispatcher.CommandsFor(machine, heartbeat, now)
+		answer.Commands = rc.dispatcher.HeartbeatResponseCommands(machine, heartbeat, now)
 	} else {
-		answer.Commands = rc.dispatcher.StopCommands(machine, rc.delegate.StopCommands(heartbeat), now)
+		answer.Commands = rc.dispatcher.AppendStops(machine, rc.delegate.StopCommands(heartbeat), now)
 	}
 	return answer
 }
@@ -121,7 +121,7 @@
 // of the present, not even that the machine is alive. Or it comes from a machine that
 // restarted at once and numbers its heartbeats from the start again. If the heartbeat has not
 // just crossed an answer, the machine is probed to find out.
-func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) Reply {
+func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) HeartbeatReply {
 	inCrossingWindow := now.Sub(machine.LastMessageAt) < crossingWindow
 	justBehind := heartbeat.Epoch == machine.Epoch && heartbeat.Sequence+maxCrossedSequences >= machine.Sequence
 	crossedAnswer := inCrossingWindow && justBehind
@@ -131,10 +131,10 @@
 		rc.dispatcher.Probe(machine)
 	}
 	if !inCrossingWindow {
-		return Reply{Rejected: errStaleHeartbeat}
+		return HeartbeatReply{Rejected: errStaleHeartbeat}
 	}
 	machine.LastReplyAt = now
-	return Reply{Commands: rc.stopsOfCancelled(heartbeat)}
+	return HeartbeatReply{Commands: rc.stopsOfCancelled(heartbeat)}
 }
 
 // renewalWithheld reports whether the machine's lease must not be renewed: a direct launch of
@@ -143,7 +143,7 @@
 // effect.
 func (rc *Reconciler) renewalWithheld(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) bool {
 	cancelCutoff := now.Add(-rc.state.Delegation.MaxCancelAge)
-	for task, attempt := range machine.Tasks {
+	for task, attempt := range machine.Attempts {
 		if cancelledBefore(cancelCutoff, attempt) && directLaunchMayArrive(attempt, rc.Fencing.Token) && !listsAttempt(heartbeat, task, attempt.Number) {
 			return true
 		}
--- a/internal/leader/reconcile/answer_test.go
+++ b/internal/leader/reconcile/answer_test.go
@@ -12,11 +12,11 @@
 	"lilaclead/internal/wire"
 )
 
-// loseStore lets the leader's lease expire. If answering is set, the leader may still answer
+// expireLease lets the leader's lease expire. If answering is set, the leader may still answer
 // heartbeats.
-func (f *fixture) loseStore(answering bool) {
+func (f *fixture) expireLease(answering bool) {
 	now := time.Now()
-	f.Lease = election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
+	f.Lease = election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(-time.Millisecond)})
 	if answering {
 		f.Lease.RecordAcks(now.Add(time.Hour), now, 0)
 	}
@@ -30,8 +30,8 @@
 		want      error
 	}{
 		{"no reason", func(*fixture) {}, heartbeat(1, 11, testToken), nil},
-		{"not leading", func(f *fixture) { f.loseStore(false) }, heartbeat(1, 11, testToken), errNotLeading},
-		{"without the store, still answering", func(f *fixture) { f.loseStore(true) }, heartbeat(1, 11, testToken), nil},
+		{"not leading", func(f *fixture) { f.expireLease(false) }, heartbeat(1, 11, testToken), errNotLeading},
+		{"without the store, still answering", func(f *fixture) { f.expireLease(true) }, heartbeat(1, 11, testToken), nil},
 		{"cancellations unknown", func(f *fixture) {
 			f.delegate = delegation.New(delegation.Config{Bounds: f.state.Delegation, Cancels: cancels.New([]wire.NodeID{"b"}, time.Minute)})
 		}, heartbeat(1, 11, testToken), errCancellationsUnknown},
@@ -79,7 +79,7 @@
 		want  int
 	}{
 		"the store is reachable":     {func(*fixture) {}, 1},
-		"the store is not reachable": {func(f *fixture) { f.loseStore(true) }, 0},
+		"the store is not reachable": {func(f *fixture) { f.expireLease(true) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
@@ -134,7 +134,7 @@
 		{"outside the crossing window", func(f *fixture, now time.Time) { f.machine.LastMessageAt = now.Add(-crossingWindow) }, heartbeat(1, 10, testToken), true},
 		{"probed recently", func(f *fixture, now time.Time) { f.machine.LastVerifiedAt = now.Add(-staleProbeInterval) }, heartbeat(1, 7, testToken), false},
 		{"scaling in", func(f *fixture, _ time.Time) { f.machine.ScalingIn = true }, heartbeat(1, 7, testToken), false},
-		{"not leading", func(f *fixture, _ time.Time) { f.loseStore(true) }, heartbeat(1, 7, testToken), false},
+		{"not leading", func(f *fixture, _ time.Time) { f.expireLease(true) }, heartbeat(1, 7, testToken), false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/reconcile/command_answers.go
+++ b/internal/leader/reconcile/command_answers.go
@@ -9,20 +9,20 @@
 	"lilaclead/internal/wire"
 )
 
-// commandOutcome says what is known of a direct command. Its values are label values of a
+// outcomeKind says what is known of a direct command. Its values are label values of a
 // metric.
-type commandOutcome string
+type outcomeKind string
 
 const (
-	commandAnswered commandOutcome = "ok"
+	commandAnswered outcomeKind = "ok"
 	// commandNotSent is the outcome of a command that certainly has not left this node.
-	commandNotSent commandOutcome = "not sent"
+	commandNotSent outcomeKind = "not sent"
 	// commandOutcomeUnknown is the outcome of a command that was sent and got no usable answer.
 	// It may have been executed, or may be executed later.
-	commandOutcomeUnknown commandOutcome = "lost"
+	commandOutcomeUnknown outcomeKind = "lost"
 )
 
-func outcomeOf(answer *agents.CommandAnswer) commandOutcome {
+func outcomeOf(answer *agents.CommandOutcome) outcomeKind {
 	if answer.Err != nil {
 		if wire.IsNotSent(answer.Err) {
 			return commandNotSent
@@ -39,8 +39,8 @@
 	return commandOutcomeUnknown
 }
 
-// OnCommandAnswer handles the outcome of a direct command or of a probe.
-func (rc *Reconciler) OnCommandAnswer(answer agents.CommandAnswer) {
+// OnCommandOutcome handles the outcome of a direct command or of a probe.
+func (rc *Reconciler) OnCommandOutcome(answer agents.CommandOutcome) {
 	machine := answer.Machine
 	machine.CommandInFlight = false
 	now := time.Now()
@@ -60,13 +60,13 @@
 		rc.onCommandOutcomeUnknown(&answer)
 	}
 	if machine.UnansweredCommands == 0 {
-		rc.dispatcher.Dispatch(machine)
+		rc.dispatcher.SendDueCommands(machine)
 	}
 }
 
 // onCommandAnswered reconciles the heartbeat in the answer to a command.
-func (rc *Reconciler) onCommandAnswered(answer *agents.CommandAnswer, now time.Time) {
-	machine, heartbeat, known := answer.Machine, answer.Heartbeat, answer.KnownBefore
+func (rc *Reconciler) onCommandAnswered(answer *agents.CommandOutcome, now time.Time) {
+	machine, heartbeat, known := answer.Machine, answer.Heartbeat, answer.LastHeartbeatBefore
 	rc.onDelivery(machine)
 	machine.LastMessageAt = now
 	if !heartbeat.IsNewerThan(known.Epoch, known.Sequence) && !machine.Restarted {
@@ -89,7 +89,7 @@
 
 // onCommandNotSent marks the launches of a command that never left this node as not sent, so
 // that they go out in the answer to the next heartbeat.
-func onCommandNotSent(answer *agents.CommandAnswer) {
+func onCommandNotSent(answer *agents.CommandOutcome) {
 	for _, attempt := range answer.Launched {
 		if !attempt.SeenInHeartbeat {
 			attempt.LaunchSent = false
@@ -99,7 +99,7 @@
 
 // onCommandOutcomeUnknown records that the launches of a command may still take effect at any
 // time, as long as the agent accepts their token and epoch.
-func (rc *Reconciler) onCommandOutcomeUnknown(answer *agents.CommandAnswer) {
+func (rc *Reconciler) onCommandOutcomeUnknown(answer *agents.CommandOutcome) {
 	machine, sent := answer.Machine, &answer.Commands
 	rc.Log.Debug("command not answered", "machine", machine.ID, "commands", len(sent.Commands), "err", answer.Err, "status", answer.Status)
 	for _, attempt := range answer.Launched {
--- a/internal/leader/reconcile/command_answers_test.go
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -23,7 +23,7 @@
 		status         int
 		heartbeat      *wire.Heartbeat
 		err            error
-		want           commandOutcome
+		want           outcomeKind
 		wantSent       bool // the launch counts as sent
 		wantUnanswered bool // the launch may take effect at any time
 	}{
@@ -39,14 +39,14 @@
 			f := newFixture(t)
 			f.attempt.LaunchSent, f.attempt.LaunchEpoch, f.attempt.LaunchInFlight = true, 1, true
 			f.machine.CommandInFlight, f.machine.HeartbeatsMissingSince = true, time.Now()
-			f.OnCommandAnswer(agents.CommandAnswer{
-				Machine:     f.machine,
-				KnownBefore: agents.Position{Epoch: 1, Sequence: 10},
-				Commands:    wire.Commands{Token: testToken, Epoch: 1},
-				Launched:    []*cluster.Attempt{f.attempt},
-				Heartbeat:   tc.heartbeat,
-				Status:      tc.status,
-				Err:         tc.err,
+			f.OnCommandOutcome(agents.CommandOutcome{
+				Machine:             f.machine,
+				LastHeartbeatBefore: agents.HeartbeatPosition{Epoch: 1, Sequence: 10},
+				Commands:            wire.Commands{Token: testToken, Epoch: 1},
+				Launched:            []*cluster.Attempt{f.attempt},
+				Heartbeat:           tc.heartbeat,
+				Status:              tc.status,
+				Err:                 tc.err,
 			})
 			if !slices.Equal(f.commandOutcomes, []string{string(tc.want)}) {
 				t.Errorf("status %d, err %v: outcomes %v, want %q", tc.status, tc.err, f.commandOutcomes, tc.want)
@@ -78,12 +78,12 @@
 func TestRestartedMachineIsScaledInAndItsTasksAreLost(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true
-	f.OnCommandAnswer(agents.CommandAnswer{
-		Machine:     f.machine,
-		KnownBefore: agents.Position{Epoch: 1, Sequence: 10},
-		Commands:    wire.Commands{Token: testToken, Epoch: 1},
-		Heartbeat:   heartbeat(1, 2, testToken),
-		Status:      http.StatusOK,
+	f.OnCommandOutcome(agents.CommandOutcome{
+		Machine:             f.machine,
+		LastHeartbeatBefore: agents.HeartbeatPosition{Epoch: 1, Sequence: 10},
+		Commands:            wire.Commands{Token: testToken, Epoch: 1},
+		Heartbeat:           heartbeat(1, 2, testToken),
+		Status:              http.StatusOK,
 	})
 	if !f.machine.Restarted || !f.machine.ScalingIn || f.machine.DrainReason != cluster.DrainRestarted {
 		t.Errorf("restarted %v, scaling in %v, drained for %q", f.machine.Restarted, f.machine.ScalingIn, f.machine.DrainReason)
@@ -100,12 +100,12 @@
 	f := newFixture(t)
 	f.attempt.SeenInHeartbeat = true
 	f.machine.Sequence = 15 // heartbeats came in while the command was in flight
-	f.OnCommandAnswer(agents.CommandAnswer{
-		Machine:     f.machine,
-		KnownBefore: agents.Position{Epoch: 1, Sequence: 10},
-		Commands:    wire.Commands{Token: testToken, Epoch: 1},
-		Heartbeat:   heartbeat(1, 12, testToken),
-		Status:      http.StatusOK,
+	f.OnCommandOutcome(agents.CommandOutcome{
+		Machine:             f.machine,
+		LastHeartbeatBefore: agents.HeartbeatPosition{Epoch: 1, Sequence: 10},
+		Commands:            wire.Commands{Token: testToken, Epoch: 1},
+		Heartbeat:           heartbeat(1, 12, testToken),
+		Status:              http.StatusOK,
 	})
 	if f.machine.Restarted || f.machine.Sequence != 15 || f.job.ActiveTasks != 1 {
 		t.Errorf("restarted %v, sequence %d, %d active tasks; want false, 15, 1", f.machine.Restarted, f.machine.Sequence, f.job.ActiveTasks)
@@ -115,7 +115,7 @@
 func TestLaunchSeenInHeartbeatStaysSentWhenCommandIsNotSent(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true // by the answer to a heartbeat
-	f.OnCommandAnswer(agents.CommandAnswer{
+	f.OnCommandOutcome(agents.CommandOutcome{
 		Machine:  f.machine,
 		Commands: wire.Commands{Token: testToken, Epoch: 1},
 		Launched: []*cluster.Attempt{f.attempt},
--- a/internal/leader/reconcile/drain.go
+++ b/internal/leader/reconcile/drain.go
@@ -17,17 +17,17 @@
 // quarter of all machines.
 const suspectDivisor = 4
 
-// drainSuspect drains a machine on the suspicion that it is faulty or slow, if MayDrainSuspect
+// drainSuspect drains a machine on the suspicion that it is faulty or slow, if MayDrainSuspectMachine
 // permits it.
 func (d *drainer) drainSuspect(machine *cluster.Machine, reason cluster.DrainReason) {
-	if d.MayDrainSuspect() {
+	if d.MayDrainSuspectMachine() {
 		d.drain(machine, reason)
 	}
 }
 
-// MayDrainSuspect reports whether one more machine may be drained on the suspicion that it
+// MayDrainSuspectMachine reports whether one more machine may be drained on the suspicion that it
 // is faulty or slow. A fault that shows on many machines is not a fault of the machines.
-func (d *drainer) MayDrainSuspect() bool {
+func (d *drainer) MayDrainSuspectMachine() bool {
 	suspects, total := 0, 0
 	for _, machine := range d.state.Machines {
 		if machine.Booting {
@@ -47,9 +47,9 @@
 		return
 	}
 	machine.DrainReason = reason
-	d.Log.Info("drain started", "machine", machine.ID, "reason", reason, "tasks", len(machine.Tasks))
+	d.Log.Info("drain started", "machine", machine.ID, "reason", reason, "tasks", len(machine.Attempts))
 	d.Metrics.FleetChange("drained", 1)
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		neverSent := !attempt.LaunchSent && !attempt.Inherited
 		switch {
 		case attempt.Unstored:
--- a/internal/leader/reconcile/failures_test.go
+++ b/internal/leader/reconcile/failures_test.go
@@ -76,7 +76,7 @@
 		others = append(others, f.addMachine(wire.MachineID(fmt.Sprintf("n-%d", i))))
 	}
 	for i, want := range []bool{true, true, false} {
-		if got := f.MayDrainSuspect(); got != want {
+		if got := f.MayDrainSuspectMachine(); got != want {
 			t.Errorf("%d of 8 machines drained on suspicion: may drain another %v, want %v", i, got, want)
 		}
 		others[i].DrainReason = []cluster.DrainReason{cluster.DrainFaulty, cluster.DrainSlow, cluster.DrainFaulty}[i]
@@ -146,7 +146,7 @@
 				f.faults.recordRunTime(f.attempt, now)
 			}
 			if drained := f.machine.DrainReason == cluster.DrainSlow; drained != tc.wantDrained {
-				t.Errorf("runs %v: drained %v (%+v), want %v", tc.runs, drained, f.machine.SlowRuns, tc.wantDrained)
+				t.Errorf("runs %v: drained %v (%+v), want %v", tc.runs, drained, f.machine.RunSpeedCounts, tc.wantDrained)
 			}
 		})
 	}
--- a/internal/leader/reconcile/fixture_test.go
+++ b/internal/leader/reconcile/fixture_test.go
@@ -52,7 +52,7 @@
 		FleetChange:     func(_ string, machines int) { f.drainCount += machines },
 		StartDelay:      func(string, float64) {},
 	}
-	lease := election.NewLease(nil, election.Tenure{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
+	lease := election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: now, ValidUntil: now.Add(time.Hour)})
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	loop := core.NewLoop(lease, log, metrics)
 	cancelled, cancel := context.WithCancel(t.Context())
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -25,7 +25,7 @@
 	rc.updateSpotNotice(machine, heartbeat, now)
 	listed := make(map[wire.TaskID]bool, len(heartbeat.Tasks)) // allocated here, so that it does not escape to the heap
 	rc.reconcileTasks(machine, heartbeat, listed, now)
-	for task, attempt := range machine.Tasks {
+	for task, attempt := range machine.Attempts {
 		if listed[task] || attempt.Unstored {
 			continue
 		}
@@ -81,7 +81,7 @@
 	}
 	remaining := heartbeat.SpotNotice.Duration()
 	if machine.ReclaimAt.IsZero() {
-		rc.Log.Info("spot notice received", "machine", machine.ID, "remaining", remaining, "tasks", len(machine.Tasks))
+		rc.Log.Info("spot notice received", "machine", machine.ID, "remaining", remaining, "tasks", len(machine.Attempts))
 		rc.drain(machine, cluster.DrainSpotNotice)
 	}
 	machine.ReclaimAt = now.Add(remaining)
@@ -92,11 +92,11 @@
 // are lost. The machine is scaled in, since from now on its heartbeats can't be told from late
 // copies of those before the restart.
 func (rc *Reconciler) onRestart(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
-	rc.Log.Info("machine restarted", "machine", machine.ID, "tasks", len(machine.Tasks),
+	rc.Log.Info("machine restarted", "machine", machine.ID, "tasks", len(machine.Attempts),
 		"epoch", heartbeat.Epoch, "sequence", heartbeat.Sequence,
 		"previous_epoch", machine.Epoch, "previous_sequence", machine.Sequence)
 	machine.Epoch, machine.Sequence, machine.Images = 0, 0, cluster.ImageCache{}
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		attempt.ReplySequence = 0 // the reply that carried the launch went to the machine before its restart
 	}
 	rc.drain(machine, cluster.DrainRestarted)
--- a/internal/leader/reconcile/inbound.go
+++ b/internal/leader/reconcile/inbound.go
@@ -11,10 +11,10 @@
 // checkInboundPath compares a heartbeat with the answer to an earlier one, to find out whether
 // messages from this node reach the machine.
 func (rc *Reconciler) checkInboundPath(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
-	evidence := detector.Evidence{
+	evidence := detector.HeartbeatEvidence{
 		KnownToken:      machine.Token,
 		RecentlyRenewed: now.Sub(machine.LastReplyAt) < rc.state.Settings.Workers.Lease.Duration()/2,
-		MissesLaunch:    func() bool { return machine.MissesLaunch(heartbeat) },
+		LacksLaunch:     func() bool { return machine.LacksLaunch(heartbeat) },
 	}
 	rc.onInboundPathChange(machine, machine.Inbound.ObserveHeartbeat(heartbeat, evidence, now))
 }
@@ -27,7 +27,7 @@
 func (rc *Reconciler) onInboundPathChange(machine *cluster.Machine, change detector.PathChange) {
 	switch change {
 	case detector.PathLost:
-		rc.Log.Info("inbound path lost", "machine", machine.ID, "tasks", len(machine.Tasks))
+		rc.Log.Info("inbound path lost", "machine", machine.ID, "tasks", len(machine.Attempts))
 	case detector.PathRestored:
 		rc.Log.Info("inbound path restored", "machine", machine.ID)
 		rc.state.RequestCycle()
--- a/internal/leader/reconcile/reconciler.go
+++ b/internal/leader/reconcile/reconciler.go
@@ -42,14 +42,14 @@
 }
 
 // Call is a heartbeat with the channel for its reply.
-type Call struct {
+type HeartbeatCall struct {
 	Heartbeat wire.Heartbeat
 	Relayed   bool // the heartbeat came through another controller
-	Reply     chan Reply
+	Reply     chan HeartbeatReply
 }
 
 // Reply is the reply to a heartbeat: commands, a redirect or a rejection.
-type Reply struct {
+type HeartbeatReply struct {
 	Commands *wire.Commands // nil if the heartbeat is not answered
 	Redirect bool           // the agent should send its heartbeats to this node directly
 	Rejected error          // why the heartbeat is not answered
--- a/internal/leader/reconcile/run_times.go
+++ b/internal/leader/reconcile/run_times.go
@@ -27,9 +27,9 @@
 	job, machine := attempt.Job, attempt.Machine
 	if len(job.RunTimes.Samples) >= minRunTimeSamples {
 		if runSeconds > slowFactor*job.RunTimes.Median()+slowMarginSeconds {
-			machine.SlowRuns.Slow++
+			machine.RunSpeedCounts.Slow++
 		} else {
-			machine.SlowRuns.Normal++
+			machine.RunSpeedCounts.Normal++
 		}
 		if isSlow(machine) {
 			fd.drainSuspect(machine, cluster.DrainSlow)
@@ -40,6 +40,6 @@
 
 // isSlow reports whether most runs on a machine are slow.
 func isSlow(machine *cluster.Machine) bool {
-	runs := machine.SlowRuns
+	runs := machine.RunSpeedCounts
 	return runs.Slow >= minSlowRuns && runs.Slow > slowRunsPerNormal*runs.Normal
 }
--- a/internal/leader/reconcile/tasks.go
+++ b/internal/leader/reconcile/tasks.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			continue
 		}
-		if attempt := machine.Tasks[task]; attempt != nil && attempt.Number == status.Attempt {
+		if attempt := machine.Attempts[task]; attempt != nil && attempt.Number == status.Attempt {
 			listed[task] = true
 			rc.reconcileAttempt(attempt, status, now)
 		} else if status.Phase != wire.PhaseExited {
--- a/internal/leader/reconciliation_test.go
+++ b/internal/leader/reconciliation_test.go
@@ -79,7 +79,7 @@
 			a.Chunk.Dirty = false
 			c.setup(m, a)
 			forget := false
-			for _, command := range tm.dispatcher.CommandsFor(m, heartbeat, time.Now()) {
+			for _, command := range tm.dispatcher.HeartbeatResponseCommands(m, heartbeat, time.Now()) {
 				forget = forget || command.Verb == wire.VerbForget && command.Attempt == 7
 			}
 			if raise := tm.Fencing.RaiseRequested; forget != c.wantForget || raise != c.wantRaise {
@@ -101,7 +101,7 @@
 		t.Errorf("free CPUs beside a task of unknown size: got %g, want 0", free.CPUs)
 	}
 	stops := 0
-	for _, command := range tm.dispatcher.CommandsFor(m, heartbeat, time.Now()) {
+	for _, command := range tm.dispatcher.HeartbeatResponseCommands(m, heartbeat, time.Now()) {
 		if command.Verb == wire.VerbStop && command.Task == "req-77/0" {
 			stops++
 		}
@@ -143,7 +143,7 @@
 		for _, id := range c.added {
 			tm.state.GetOrAddMachine(id)
 		}
-		if got := tm.reconciler.MayDrainSuspect(); got != c.want {
+		if got := tm.reconciler.MayDrainSuspectMachine(); got != c.want {
 			t.Errorf("second suspect of %d machines may be drained: got %v, want %v", c.machines, got, c.want)
 		}
 	}
--- a/internal/leader/recovery/cancellations.go
+++ b/internal/leader/recovery/cancellations.go
@@ -49,7 +49,7 @@
 			oldest = job.CancelledAt
 		}
 	}
-	r.Published.UnconfirmedCancelSince.Store(&oldest)
+	r.Published.InFlightLaunchCancelSince.Store(&oldest)
 }
 
 // anyLaunchMayBeInFlight reports whether an agent may still receive a launch of the job. An
--- a/internal/leader/recovery/cancellations_test.go
+++ b/internal/leader/recovery/cancellations_test.go
@@ -17,7 +17,7 @@
 
 // newTestRecords returns the Records of a term with an empty model.
 func newTestRecords(ctx context.Context) *Records {
-	lease := election.NewLease(nil, election.Tenure{Token: 50})
+	lease := election.NewLease(nil, election.Acquisition{Token: 50})
 	loop := core.NewLoop(lease, slog.New(slog.DiscardHandler), &core.Metrics{})
 	loop.Begin(ctx)
 	state := cluster.NewState(&config.Settings{}, &cluster.MachineCatalog{}, time.Now(), 50)
@@ -60,7 +60,7 @@
 			if tc.wantUnconfirmed {
 				want = cancelledAt
 			}
-			if got := r.Published.OldestUnconfirmedCancel(); !got.Equal(want) {
+			if got := r.Published.OldestInFlightLaunchCancel(); !got.Equal(want) {
 				t.Errorf("oldest unconfirmed cancellation: got %v, want %v", got, want)
 			}
 		})
@@ -69,7 +69,7 @@
 
 func TestOldestUnconfirmedCancelIsPublished(t *testing.T) {
 	r := newTestRecords(t.Context())
-	if got := r.Published.OldestUnconfirmedCancel(); !got.IsZero() {
+	if got := r.Published.OldestInFlightLaunchCancel(); !got.IsZero() {
 		t.Errorf("before the first publication: got %v, want the zero time", got)
 	}
 	now := time.Now()
@@ -79,7 +79,7 @@
 	addCancelledJob(r, "req-3", now.Add(-5*time.Second), func(*cluster.Attempt) {})
 	ended := addCancelledJob(r, "req-4", now.Add(-9*time.Second), func(attempt *cluster.Attempt) { attempt.Detach() })
 	r.publishUnconfirmedCancel()
-	if got, want := r.Published.OldestUnconfirmedCancel(), now.Add(-3*time.Second); !got.Equal(want) {
+	if got, want := r.Published.OldestInFlightLaunchCancel(), now.Add(-3*time.Second); !got.Equal(want) {
 		t.Errorf("oldest unconfirmed cancellation: got %v, want %v", got, want)
 	}
 	if _, listed := r.State.CancelledJobs[ended]; listed {
--- a/internal/leader/recovery/events.go
+++ b/internal/leader/recovery/events.go
@@ -8,9 +8,9 @@
 	"lilaclead/upgrade"
 )
 
-// RecordsRead is an event: the records that a new leader needs were read from the key-value
+// RecordsLoaded is an event: the records that a new leader needs were read from the key-value
 // store.
-type RecordsRead struct {
+type RecordsLoaded struct {
 	Jobs, Progress []wire.Entry
 	Version        upgrade.Version
 	Intents        autoscaler.EarlierIntents
--- a/internal/leader/recovery/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// ApplyChanges updates the model with changes of the job records.
-func (r *Records) ApplyChanges(changes []wire.WatchEvent) {
+// ApplyJobRecordChanges updates the model with changes of the job records.
+func (r *Records) ApplyJobRecordChanges(changes []wire.WatchEvent) {
 	for _, change := range changes {
 		if change.PutKey != "" {
 			r.applyJobRecord(change.PutKey, change.Value, change.Revision)
@@ -73,7 +73,7 @@
 func (r *Records) applyJobRecord(key string, value wire.RawValue, revision wire.Revision) {
 	record, err := store.DecodeJob(key, value)
 	if err != nil {
-		r.Undecodable.LogOnce(key, err)
+		r.UndecodableLog.LogOnce(key, err)
 		r.State.Quarantine(key, jobIDOfKey(key))
 		return
 	}
@@ -111,9 +111,9 @@
 	return job
 }
 
-// OnReread updates the model with a job's record that was read again because a transaction
+// OnJobRecordReread updates the model with a job's record that was read again because a transaction
 // failed at the guard on it.
-func (r *Records) OnReread(event progress.JobRecordReread) {
+func (r *Records) OnJobRecordReread(event progress.JobRecordReread) {
 	id := event.Job.Spec.ID
 	switch {
 	case r.State.Jobs[id] != event.Job:
--- a/internal/leader/recovery/recovery.go
+++ b/internal/leader/recovery/recovery.go
@@ -25,13 +25,13 @@
 // other exported methods are for the goroutine of the term's loop.
 type Records struct {
 	*core.Loop
-	State       *cluster.State
-	Store       *store.Client
-	Cancels     *cancels.Log
-	Undecodable *undecodable.Log
-	Progress    *progress.Reader
-	Dispatcher  *agents.Dispatcher
-	Reconciler  *reconcile.Reconciler
+	State          *cluster.State
+	Store          *store.Client
+	Cancels        *cancels.Log
+	UndecodableLog *undecodable.Log
+	Progress       *progress.Reader
+	Dispatcher     *agents.Dispatcher
+	Reconciler     *reconcile.Reconciler
 	// Versions negotiates the active version. It is nil if versions are not negotiated.
 	Versions *upgrade.Member
 	// Intents records the requests to the cloud. It is nil if they are not recorded.
@@ -60,8 +60,8 @@
 }
 
 // readAll reads all records once.
-func (r *Records) readAll(ctx context.Context) (RecordsRead, error) {
-	records := RecordsRead{StartedAt: time.Now()}
+func (r *Records) readAll(ctx context.Context) (RecordsLoaded, error) {
+	records := RecordsLoaded{StartedAt: time.Now()}
 	var err error
 	records.Jobs, records.jobsRevision, err = r.Store.List(ctx, store.ClassBackground, store.JobPrefix)
 	if err != nil {
--- a/internal/leader/scaling/answer.go
+++ b/internal/leader/scaling/answer.go
@@ -72,7 +72,7 @@
 
 // isRefusal reports whether an error means that the cloud refused the offer itself.
 func isRefusal(err error) bool {
-	return errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalid)
+	return errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalidRequest)
 }
 
 // RetryState decides whether an answer to a scale-out request is final. Until one is, the
@@ -83,10 +83,10 @@
 	outcomeUnknown bool
 }
 
-// Final reports whether an answer, given by its error, ends the request. Once an attempt got
+// IsFinal reports whether an answer, given by its error, ends the request. Once an attempt got
 // no usable answer, only a repetition of the request shows which machines were started. An
 // answer that the cloud is busy or down does not show it, and is not final then.
-func (r *RetryState) Final(err error) bool {
+func (r *RetryState) IsFinal(err error) bool {
 	if err != nil && !errors.Is(err, cloud.ErrUnavailable) && !isRefusal(err) {
 		r.outcomeUnknown = true
 	}
