--- a/internal/leader/scaling/tracker_test.go
+++ b/internal/leader/scaling/tracker_test.go
@@ -52,7 +52,7 @@
 func TestBackoffDoublesWithEachRefusalOfAnOffer(t *testing.T) {
 	tracker, now := NewTracker(testToken), testStart
 	var backoffs []time.Duration
-	answers := []error{cloud.ErrNoCapacity, fmt.Errorf("of that: %w", cloud.ErrInvalid), cloud.ErrNoCapacity, cloud.ErrNoCapacity, cloud.ErrNoCapacity}
+	answers := []error{cloud.ErrNoCapacity, fmt.Errorf("of that: %w", cloud.ErrInvalidRequest), cloud.ErrNoCapacity, cloud.ErrNoCapacity, cloud.ErrNoCapacity}
 	for _, err := range answers {
 		backoff := mustRefuse(t, tracker, err, now)
 		backoffs = append(backoffs, backoff)
@@ -109,7 +109,7 @@
 // After an attempt without a usable answer the request may have been executed. That the cloud
 // is busy when the request is repeated does not end it.
 func TestBusyIsNoFinalAnswerAfterAnUnknownOutcome(t *testing.T) {
-	busy, unknown, noCapacity := cloud.ErrUnavailable, cloud.ErrUnknown, cloud.ErrNoCapacity
+	busy, unknown, noCapacity := cloud.ErrUnavailable, cloud.ErrOutcomeUnknown, cloud.ErrNoCapacity
 	cases := []struct {
 		name    string
 		answers []error
@@ -118,7 +118,7 @@
 		{"filled", []error{nil}, []bool{true}},
 		{"busy, certainly not executed", []error{busy}, []bool{true}},
 		{"no capacity", []error{noCapacity}, []bool{true}},
-		{"invalid", []error{cloud.ErrInvalid}, []bool{true}},
+		{"invalid", []error{cloud.ErrInvalidRequest}, []bool{true}},
 		{"busy after an unknown outcome", []error{unknown, busy, unknown, nil}, []bool{false, false, false, true}},
 		{"no capacity after an unknown outcome", []error{unknown, noCapacity}, []bool{false, true}},
 	}
@@ -126,7 +126,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var retry RetryState
 			for i, err := range c.answers {
-				if got := retry.Final(err); got != c.want[i] {
+				if got := retry.IsFinal(err); got != c.want[i] {
 					t.Errorf("answers %v: answer %d final: got %v, want %v", c.answers, i, got, c.want[i])
 				}
 			}
--- a/internal/leader/scheduling/capacity/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -46,7 +46,7 @@
 		e.demands = append(e.demands, firstTaskDemand(jobDemand))
 		jobDemand.Units--
 	}
-	jobDemand.PriceLimitFactor = max(jobDemand.PriceLimitFactor, e.PriceStretch(job, e.waitSeconds[job.Spec.ID], e.now))
+	jobDemand.PriceLimitFactor = max(jobDemand.PriceLimitFactor, e.PriceLimitFactor(job, e.waitSeconds[job.Spec.ID], e.now))
 	if job.Spec.Spread || job.Spec.SameZone {
 		jobDemand.ZoneCapacityLeft = job.ZoneCapacityLeft(e.zones)
 	}
@@ -86,7 +86,7 @@
 	}
 	units := job.PendingTasks()
 	if !job.Spec.IsService() && !gang {
-		units = demand.ParallelTasks(units, valuation.WorkOf(job, e.now), e.state.Settings.Objectives, e.stretchShare)
+		units = demand.ParallelTasks(units, valuation.TimingOf(job, e.now), e.state.Settings.Objectives, e.stretchShare)
 	}
 	allowed := placement.ResourcesOf(&job.Spec).UnitsIn(limitLeft(team.MaxCPUs, team.MaxGPUs, e.teamUsage[job.Spec.Team]))
 	if gang && allowed < units {
--- a/internal/leader/scheduling/capacity/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -115,13 +115,13 @@
 	return reserves
 }
 
-// PriceStretch returns the factor on the price limit for the machines of a job that would wait
+// PriceLimitFactor returns the factor on the price limit for the machines of a job that would wait
 // for waitSeconds for resources within the limit. A factor of 1 keeps the limit.
-func (e *Estimator) PriceStretch(job *cluster.Job, waitSeconds float64, now time.Time) float64 {
+func (e *Estimator) PriceLimitFactor(job *cluster.Job, waitSeconds float64, now time.Time) float64 {
 	if job.Spec.IsService() {
 		return 1
 	}
-	return demand.PriceStretch(valuation.WorkOf(job, now), e.state.Settings.Objectives, waitSeconds, e.bootAndFetchSeconds(&job.Spec))
+	return demand.PriceLimitFactor(valuation.TimingOf(job, now), e.state.Settings.Objectives, waitSeconds, e.bootAndFetchSeconds(&job.Spec))
 }
 
 // bootAndFetchSeconds returns the shortest time, in seconds, in which a machine of any type
--- a/internal/leader/scheduling/capacity/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestPriceStretchRisesForAJobThatWouldBeLate(t *testing.T) {
+func TestPriceLimitFactorRisesForAJobThatWouldBeLate(t *testing.T) {
 	s := newTestPlanner(t)
 	spec := schedulingtest.Array("req-1", 1)
 	spec.Deadline, spec.ImageGB = 400, 3
@@ -177,14 +177,14 @@
 	for _, c := range []struct {
 		waitSeconds, want float64
 	}{
-		{200, 1},                       // still in time
-		{220, demand.LatePriceStretch}, // late, and a new machine would be in time
+		{200, 1},                           // still in time
+		{220, demand.LatePriceLimitFactor}, // late, and a new machine would be in time
 	} {
-		if got := s.PriceStretch(job, c.waitSeconds, schedulingtest.Now); got != c.want {
+		if got := s.PriceLimitFactor(job, c.waitSeconds, schedulingtest.Now); got != c.want {
 			t.Errorf("age %v, wait %v s: price stretch %v, want %v", age, c.waitSeconds, got, c.want)
 		}
 	}
-	if got := s.PriceStretch(s.AddJob(schedulingtest.Service("req-2", 1)), 1e6, schedulingtest.Now); got != 1 {
+	if got := s.PriceLimitFactor(s.AddJob(schedulingtest.Service("req-2", 1)), 1e6, schedulingtest.Now); got != 1 {
 		t.Errorf("service: price stretch %v, want 1", got)
 	}
 }
--- a/internal/leader/scheduling/capacity/offers.go
+++ b/internal/leader/scheduling/capacity/offers.go
@@ -38,8 +38,8 @@
 		Type:             offer.Type,
 		Zone:             offer.Zone,
 		Spot:             offer.Spot,
-		Total:            cluster.MachineResources(spec),
-		Price:            spec.Price(offer.Spot),
+		Total:            cluster.ResourcesOfMachineType(spec),
+		PricePerHour:     spec.Price(offer.Spot),
 		FetchGBPerSecond: spec.FetchGBPerSecond,
 		MaxCount:         maxMachinesPerOffer,
 	}
@@ -54,7 +54,7 @@
 		if !spec.CanRun(job) {
 			continue
 		}
-		units := float64(placement.ResourcesOf(job).UnitsIn(cluster.MachineResources(spec)))
+		units := float64(placement.ResourcesOf(job).UnitsIn(cluster.ResourcesOfMachineType(spec)))
 		cheapest = min(cheapest, spec.OnDemandPrice/units)
 		if job.SpotAllowed {
 			cheapest = min(cheapest, spec.SpotPrice/units)
--- a/internal/leader/scheduling/capacity/plan_machines.go
+++ b/internal/leader/scheduling/capacity/plan_machines.go
@@ -45,10 +45,10 @@
 		Free:            p.state.FreeResources(machine),
 		Booting:         machine.Booting,
 		PrepaidSeconds:  minBilledSeconds - now.Sub(machine.RequestedAt).Seconds(),
-		Price:           spec.Price(machine.Spot),
+		PricePerHour:    spec.Price(machine.Spot),
 		KeepIdleSeconds: idleBootTimes * float64(spec.BootTime),
 	}
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		addTask(&view, attempt, now)
 	}
 	slices.SortFunc(view.ExpectedReleases, func(a, b fleet.ExpectedRelease) int { return cmp.Compare(a.InSeconds, b.InSeconds) })
@@ -67,14 +67,14 @@
 	}
 	taskResources := attempt.Resources()
 	view.ExpectedReleases = append(view.ExpectedReleases, fleet.ExpectedRelease{InSeconds: attempt.PlannedRemainingSeconds(now), Resources: taskResources})
-	if taskResources.CPUs > view.LargestArrayTask.CPUs {
-		view.LargestArrayTask = taskResources
+	if taskResources.CPUs > view.LargestBatchTask.CPUs {
+		view.LargestBatchTask = taskResources
 	}
 }
 
 // idle reports whether a machine has booted and nothing is on it.
 func idle(machine *cluster.Machine) bool {
-	return !machine.Booting && len(machine.Tasks) == 0 && len(machine.OrphanTasks) == 0
+	return !machine.Booting && len(machine.Attempts) == 0 && len(machine.OrphanTasks) == 0
 }
 
 // appendPendingScaleOuts adds the machines of the scale-out requests that are not yet
@@ -85,8 +85,8 @@
 		if spec == nil {
 			continue
 		}
-		total := cluster.MachineResources(spec)
-		expected := fleet.Machine{Type: request.Type, Zone: request.Zone, Spot: request.Spot, Total: total, Free: total, Booting: true, Price: spec.Price(request.Spot)}
+		total := cluster.ResourcesOfMachineType(spec)
+		expected := fleet.Machine{Type: request.Type, Zone: request.Zone, Spot: request.Spot, Total: total, Free: total, Booting: true, PricePerHour: spec.Price(request.Spot)}
 		for range request.Count {
 			machines = append(machines, expected)
 		}
--- a/internal/leader/scheduling/capacity/planner.go
+++ b/internal/leader/scheduling/capacity/planner.go
@@ -89,8 +89,8 @@
 	values := input.Values
 	snapshot := &fleet.Snapshot{
 		MaxMachinesAdded: maxMachinesPerPlan,
-		PriceLimit:       values.PriceLimit,
-		LowestPrice:      func(job *wire.JobSpec) float64 { return lowestTaskPrice(input.Specs, job) },
+		MaxPriceRatio:    values.PriceLimit,
+		LowestUnitPrice:  func(job *wire.JobSpec) float64 { return lowestTaskPrice(input.Specs, job) },
 	}
 	for _, machine := range candidates {
 		spec := p.state.MachineSpec(machine.MachineType)
--- a/internal/leader/scheduling/capacity/planner_test.go
+++ b/internal/leader/scheduling/capacity/planner_test.go
@@ -124,7 +124,7 @@
 		{"three heartbeats missing", func(_ *testPlanner, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-6 * time.Second) }, true},
 		{"more than three missing", func(_ *testPlanner, m *cluster.Machine) { m.LastMessageAt = schedulingtest.Now.Add(-6*time.Second - 1) }, false},
 		{"behind a partition", func(s *testPlanner, m *cluster.Machine) {
-			s.State.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
+			s.State.ZoneDetector.CheckZone(m.Zone, detector.ZoneCounts{Machines: 4, LostMachines: 4, AllMachines: 8}, schedulingtest.Now)
 		}, false},
 		{"its heartbeats don't arrive", func(_ *testPlanner, m *cluster.Machine) {
 			m.HeartbeatsMissingSince = schedulingtest.Now.Add(-time.Minute)
@@ -152,11 +152,11 @@
 	s.RunTask(s.AddJob(schedulingtest.Array("req-2", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
 	s.RunTask(s.AddJob(schedulingtest.Service("req-3", 1)), machine, schedulingtest.Now.Add(-40*time.Second))
 	got := s.planMachine(machine, s.State.MachineSpec("c16"), 0.5, schedulingtest.Now)
-	if got.Total.CPUs != 16 || got.Free.CPUs != 10 || got.Price != 0.8 || got.PrepaidSeconds != 10 || got.KeepIdleSeconds != 10 || got.Idle {
+	if got.Total.CPUs != 16 || got.Free.CPUs != 10 || got.PricePerHour != 0.8 || got.PrepaidSeconds != 10 || got.KeepIdleSeconds != 10 || got.Idle {
 		t.Errorf("machine %+v, want 10 of 16 CPUs free, price 0.8, paid for and kept for 10 s, not idle", got)
 	}
-	if got.ServiceTasks != 1 || got.LargestArrayTask.CPUs != 3 {
-		t.Errorf("%d services, largest task of %v CPUs; want 1, 3", got.ServiceTasks, got.LargestArrayTask.CPUs)
+	if got.ServiceTasks != 1 || got.LargestBatchTask.CPUs != 3 {
+		t.Errorf("%d services, largest task of %v CPUs; want 1, 3", got.ServiceTasks, got.LargestBatchTask.CPUs)
 	}
 	if len(got.ExpectedReleases) != 2 || got.ExpectedReleases[0].InSeconds != 20 || got.ExpectedReleases[1].InSeconds != 50 {
 		t.Errorf("expected releases %+v, want one in 20 s and one in 50 s", got.ExpectedReleases)
@@ -177,7 +177,7 @@
 	if got := len(s.Offers(specs, schedulingtest.Now)); got != 5 {
 		t.Errorf("an offer was refused: %d offers, want 5", got)
 	}
-	s.State.ZoneDetector.Judge("a", detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
+	s.State.ZoneDetector.CheckZone("a", detector.ZoneCounts{Machines: 4, LostMachines: 4, AllMachines: 8}, schedulingtest.Now)
 	offers := s.Offers(specs, schedulingtest.Now)
 	if len(offers) != 2 {
 		t.Fatalf("zone a is partitioned: offers %+v, want 2", offers)
--- a/internal/leader/scheduling/capacity/waits.go
+++ b/internal/leader/scheduling/capacity/waits.go
@@ -21,9 +21,9 @@
 		}
 		weight := e.valuer.UtilityWeight(job, guaranteed[job.Spec.ID], now)
 		queue = append(queue, demand.QueuedJob{
-			ID:     job.Spec.ID,
-			Weight: weight * (1 + now.Sub(job.AcceptedAt).Seconds()/waitDoublingSeconds),
-			WorkS:  float64(job.PendingTasks()) * job.Spec.CPUs * max(1, job.ExpectedRunSeconds()),
+			ID:             job.Spec.ID,
+			Weight:         weight * (1 + now.Sub(job.AcceptedAt).Seconds()/waitDoublingSeconds),
+			WorkCPUSeconds: float64(job.PendingTasks()) * job.Spec.CPUs * max(1, job.ExpectedRunSeconds()),
 		})
 	}
 	waits, backlogSeconds := demand.PredictWaits(queue, e.batchCPUs())
--- a/internal/leader/scheduling/cycle_test.go
+++ b/internal/leader/scheduling/cycle_test.go
@@ -35,7 +35,7 @@
 		t.Errorf("%d active, %d unstored tasks, last start at %v; want 3, 3, %v", job.ActiveTasks, job.UnstoredAttempts, job.LastStartAt, schedulingtest.Now)
 	}
 	numbers := map[wire.AttemptNumber]bool{}
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		numbers[attempt.Number] = true
 	}
 	if len(numbers) != 3 || !numbers[1] || !numbers[3] || job.Chunk(0).NextAttempt != 4 {
@@ -77,7 +77,7 @@
 	}
 	spec := schedulingtest.Array("req-2", 1)
 	spec.Priority = wire.PriorityUrgent
-	urgent := s.AddJobAcceptedAt(spec, schedulingtest.Now.Add(-10*time.Second)) // its patience is over
+	urgent := s.AddJobAcceptedAt(spec, schedulingtest.Now.Add(-10*time.Second)) // its preemption delay is over
 	cycle := s.BeginCycle(schedulingtest.Now)
 	if cycle == nil || cycle.Starts != 0 || len(cycle.Preemptions) != 1 || cycle.Preemptions[0].Task.Job != "req-1" {
 		t.Fatalf("cycle %+v, want the preemption of one task of req-1", cycle)
--- a/internal/leader/scheduling/eligibility_test.go
+++ b/internal/leader/scheduling/eligibility_test.go
@@ -58,7 +58,7 @@
 		{"with a later token", func(_ *testScheduler, m *cluster.Machine) { m.Token = schedulingtest.Token + 1 }, true},
 		{"with an unanswered command", func(_ *testScheduler, m *cluster.Machine) { m.UnansweredCommands = 1 }, false},
 		{"behind a partition", func(s *testScheduler, m *cluster.Machine) {
-			s.State.ZoneDetector.Judge(m.Zone, detector.Counts{Up: 4, Lost: 4, AllUp: 8}, schedulingtest.Now)
+			s.State.ZoneDetector.CheckZone(m.Zone, detector.ZoneCounts{Machines: 4, LostMachines: 4, AllMachines: 8}, schedulingtest.Now)
 		}, false},
 		{"its heartbeats don't arrive", func(_ *testScheduler, m *cluster.Machine) {
 			m.HeartbeatsMissingSince = schedulingtest.Now.Add(-time.Minute)
--- a/internal/leader/scheduling/gang_history.go
+++ b/internal/leader/scheduling/gang_history.go
@@ -10,9 +10,9 @@
 	"lilaclead/internal/wire"
 )
 
-// RecentGangLife is how long resources are kept free for the next gang of a class and size
+// RecentGangRetention is how long resources are kept free for the next gang of a class and size
 // after the last one was seen unfinished.
-const RecentGangLife = 3 * time.Minute
+const RecentGangRetention = 3 * time.Minute
 
 // GangHistory records the recent gangs, which serve as an estimate of the next ones.
 type GangHistory struct {
@@ -65,10 +65,10 @@
 	}
 }
 
-// removeExpired removes the gangs that were last seen more than RecentGangLife ago.
+// removeExpired removes the gangs that were last seen more than RecentGangRetention ago.
 func (h *GangHistory) removeExpired(now time.Time) {
 	for shape, gang := range h.recent {
-		if now.Sub(gang.lastSeen) > RecentGangLife {
+		if now.Sub(gang.lastSeen) > RecentGangRetention {
 			delete(h.recent, shape)
 		}
 	}
--- a/internal/leader/scheduling/gang_history_test.go
+++ b/internal/leader/scheduling/gang_history_test.go
@@ -47,10 +47,10 @@
 	s.AddJob(schedulingtest.Gang("req-1", 2))
 	s.expectedIDs(1, schedulingtest.Now)
 	delete(s.State.Jobs, "req-1")
-	if got := s.expectedIDs(1, schedulingtest.Now.Add(RecentGangLife)); !slices.Equal(got, []wire.JobID{"req-1"}) {
-		t.Errorf("%v after its end: expected gangs %v, want req-1", RecentGangLife, got)
+	if got := s.expectedIDs(1, schedulingtest.Now.Add(RecentGangRetention)); !slices.Equal(got, []wire.JobID{"req-1"}) {
+		t.Errorf("%v after its end: expected gangs %v, want req-1", RecentGangRetention, got)
 	}
-	if got := s.expectedIDs(1, schedulingtest.Now.Add(RecentGangLife+1)); len(got) != 0 {
+	if got := s.expectedIDs(1, schedulingtest.Now.Add(RecentGangRetention+1)); len(got) != 0 {
 		t.Errorf("longer after its end: expected gangs %v, want none", got)
 	}
 }
--- a/internal/leader/scheduling/patience.go
+++ b/internal/leader/scheduling/patience.go
@@ -9,45 +9,45 @@
 )
 
 const (
-	// MaxPatienceS is the longest time, in seconds, that a task of an urgent array waits for
+	// MaxPreemptionDelaySeconds is the longest time, in seconds, that a task of an urgent array waits for
 	// other tasks to end by themselves before they are preempted.
-	MaxPatienceS = 5.0
-	// patienceEndSeconds is the age, in seconds since its acceptance, from which such a job
+	MaxPreemptionDelaySeconds = 5.0
+	// preemptionDelayEndSeconds is the age, in seconds since its acceptance, from which such a job
 	// preempts at once.
-	patienceEndSeconds = MaxPatienceS + 1
-	// maxGangPatienceSeconds is the longest time, in seconds, for which resources are reserved
+	preemptionDelayEndSeconds = MaxPreemptionDelaySeconds + 1
+	// maxGangPreemptionDelaySeconds is the longest time, in seconds, for which resources are reserved
 	// for a gang that may not preempt, until all of them are free. Without reservations the
 	// gang starves, because job arrays take the resources of each task as they become free.
-	maxGangPatienceSeconds = 45.0
-	// patienceSlackDivisor bounds the patience: it is at most the slack divided by this.
-	patienceSlackDivisor = 8
+	maxGangPreemptionDelaySeconds = 45.0
+	// preemptionDelaySlackDivisor bounds the preemption delay: it is at most the slack divided by this.
+	preemptionDelaySlackDivisor = 8
 )
 
-// Patience decides how long jobs wait before other tasks are preempted for them.
-type Patience struct {
+// PreemptionDelay decides how long jobs wait before other tasks are preempted for them.
+type PreemptionDelay struct {
 	state  *cluster.State
 	valuer *valuation.Valuer
 }
 
-// PatienceSeconds returns for how many seconds a job waits for tasks to end by themselves
+// PreemptionDelaySeconds returns for how many seconds a job waits for tasks to end by themselves
 // before they are preempted. An urgent job waits at most for a small part of its slack, and
 // less the longer it has waited already. A service does not wait.
-func (p *Patience) PatienceSeconds(job *cluster.Job, now time.Time) float64 {
+func (p *PreemptionDelay) PreemptionDelaySeconds(job *cluster.Job, now time.Time) float64 {
 	if job.Spec.IsService() {
 		return 0
 	}
 	waited := now.Sub(job.AcceptedAt).Seconds()
 	if job.Spec.IsGang() && !placement.MayPreempt(&job.Spec) {
-		return min(maxGangPatienceSeconds, MaxPatienceS+waited/2)
+		return min(maxGangPreemptionDelaySeconds, MaxPreemptionDelaySeconds+waited/2)
 	}
-	patience := min(MaxPatienceS, p.valuer.SlackSeconds(job, now)/patienceSlackDivisor, patienceEndSeconds-waited)
-	// Patience must not make a gang miss an objective that it can still meet. Without this
+	delay := min(MaxPreemptionDelaySeconds, p.valuer.SlackSeconds(job, now)/preemptionDelaySlackDivisor, preemptionDelayEndSeconds-waited)
+	// The delay must not make a gang miss an objective that it can still meet. Without this
 	// bound, urgent gangs with an objective of 2 s wait for tasks that are expected to end
 	// within 3 s and often end later, and meanwhile nothing else is preempted for them.
 	if untilObjective := p.startObjectiveSeconds(job.Spec.Class) - waited; job.Spec.IsGang() && untilObjective > 0 {
-		patience = min(patience, untilObjective/2)
+		delay = min(delay, untilObjective/2)
 	}
-	return max(0, patience)
+	return max(0, delay)
 }
 
 // startObjective is the kind of the service-level objectives for the time until a job starts.
@@ -55,7 +55,7 @@
 
 // startObjectiveSeconds returns the number of seconds within which jobs of a class should
 // start by their service-level objective; 0 if there is no such objective.
-func (p *Patience) startObjectiveSeconds(class string) float64 {
+func (p *PreemptionDelay) startObjectiveSeconds(class string) float64 {
 	for _, objective := range p.state.Settings.Objectives {
 		if objective.Kind == startObjective && objective.Class == class {
 			return float64(objective.Within)
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -14,12 +14,12 @@
 	// ReservedMachines are the machines with reservations.
 	ReservedMachines map[*cluster.Machine]struct{}
 
-	state    *cluster.State
-	patience *Patience
+	state           *cluster.State
+	preemptionDelay *PreemptionDelay
 }
 
-func newReservations(state *cluster.State, patience *Patience) *Reservations {
-	return &Reservations{ReservedMachines: map[*cluster.Machine]struct{}{}, state: state, patience: patience}
+func newReservations(state *cluster.State, delay *PreemptionDelay) *Reservations {
+	return &Reservations{ReservedMachines: map[*cluster.Machine]struct{}{}, state: state, preemptionDelay: delay}
 }
 
 // reserve adds the reservations of a cycle. Those of a gang last longer, by the time for which
@@ -29,7 +29,7 @@
 		machine := r.state.Machines[reservation.Machine]
 		expiresAt := now.Add(r.stopDuration(0))
 		if job := r.gang(reservation.Job); job != nil {
-			wait := wire.Seconds(r.patience.PatienceSeconds(job, now))
+			wait := wire.Seconds(r.preemptionDelay.PreemptionDelaySeconds(job, now))
 			expiresAt = expiresAt.Add(wait.Duration())
 		}
 		machine.Reservations = append(machine.Reservations, cluster.Reservation{Reservation: reservation.Reservation, AwaitedTasks: reservation.AwaitedTasks, ExpiresAt: expiresAt})
--- a/internal/leader/scheduling/reservations_test.go
+++ b/internal/leader/scheduling/reservations_test.go
@@ -106,21 +106,21 @@
 	}
 }
 
-func TestReservationOfAGangOutlastsItsPatience(t *testing.T) {
+func TestReservationOfAGangOutlastsItsPreemptionDelay(t *testing.T) {
 	s := newTestScheduler(t)
 	s.AddMachine("n-1", "c4", "a")
 	s.AddJob(schedulingtest.Array("req-1", 1))
 	waitingGang := s.AddJob(schedulingtest.Gang("req-2", 1))
-	patience := time.Duration(s.PatienceSeconds(waitingGang, schedulingtest.Now) * float64(time.Second))
-	if patience <= 0 {
-		t.Fatalf("the gang has a patience of %v, want some", patience)
+	delay := time.Duration(s.PreemptionDelaySeconds(waitingGang, schedulingtest.Now) * float64(time.Second))
+	if delay <= 0 {
+		t.Fatalf("the gang has a preemption delay of %v, want some", delay)
 	}
 	s.reserve([]placement.MachineReservation{
 		{Machine: "n-1", Reservation: placement.Reservation{Job: "req-1"}},
 		{Machine: "n-1", Reservation: placement.Reservation{Job: "req-2"}},
 	}, schedulingtest.Now)
 	reservations := s.State.Machines["n-1"].Reservations
-	arrayUntil, gangUntil := schedulingtest.Now.Add(s.stopDuration(0)), schedulingtest.Now.Add(s.stopDuration(0)+patience)
+	arrayUntil, gangUntil := schedulingtest.Now.Add(s.stopDuration(0)), schedulingtest.Now.Add(s.stopDuration(0)+delay)
 	if !reservations[0].ExpiresAt.Equal(arrayUntil) || !reservations[1].ExpiresAt.Equal(gangUntil) {
 		t.Errorf("reserved until %v and %v, want %v and %v", reservations[0].ExpiresAt, reservations[1].ExpiresAt, arrayUntil, gangUntil)
 	}
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -20,7 +20,7 @@
 	*Eligibility
 	*Starter
 	*Reservations
-	*Patience
+	*PreemptionDelay
 	*GangHistory
 	*capacity.Estimator
 	*capacity.Planner
@@ -33,19 +33,19 @@
 // NewScheduler returns the scheduler of a term.
 func NewScheduler(state *cluster.State, values *tuning.Current, tracker *scaling.Tracker, log *slog.Logger) *Scheduler {
 	valuer := valuation.NewValuer(state)
-	patience := &Patience{state: state, valuer: valuer}
+	preemptionDelay := &PreemptionDelay{state: state, valuer: valuer}
 	estimator := capacity.NewEstimator(state, values, tracker, valuer)
 	return &Scheduler{
-		Eligibility:  &Eligibility{state: state},
-		Starter:      &Starter{state: state, log: log},
-		Reservations: newReservations(state, patience),
-		Patience:     patience,
-		GangHistory:  newGangHistory(state),
-		Estimator:    estimator,
-		Planner:      capacity.NewPlanner(state, tracker, estimator),
-		state:        state,
-		tuning:       values,
-		valuer:       valuer,
+		Eligibility:     &Eligibility{state: state},
+		Starter:         &Starter{state: state, log: log},
+		Reservations:    newReservations(state, preemptionDelay),
+		PreemptionDelay: preemptionDelay,
+		GangHistory:     newGangHistory(state),
+		Estimator:       estimator,
+		Planner:         capacity.NewPlanner(state, tracker, estimator),
+		state:           state,
+		tuning:          values,
+		valuer:          valuer,
 	}
 }
 
--- a/internal/leader/scheduling/snapshot_jobs.go
+++ b/internal/leader/scheduling/snapshot_jobs.go
@@ -51,10 +51,10 @@
 		AvoidMachines:          job.FailedMachines,
 		WithinGuarantee:        guaranteed,
 		ReservedUnits:          b.reservedUnits[job.Spec.ID],
-		PreemptionDelaySeconds: b.scheduler.PatienceSeconds(job, b.now),
+		PreemptionDelaySeconds: b.scheduler.PreemptionDelaySeconds(job, b.now),
 		StartSlackSeconds:      max(0, b.scheduler.startObjectiveSeconds(job.Spec.Class)-waitedSeconds),
 		Weight:                 b.scheduler.valuer.UtilityWeight(job, guaranteed, b.now),
-		StartOverdue:           b.state.SinceLastStart(job, b.now) > maxHeadroomWait,
+		MayUseHeadroom:         b.state.SinceLastStart(job, b.now) > maxHeadroomWait,
 	}
 	if b.state.StartOverdue(job, b.now) {
 		view.Weight = valuation.StarvingWeight
--- a/internal/leader/scheduling/snapshot_machines.go
+++ b/internal/leader/scheduling/snapshot_machines.go
@@ -64,7 +64,7 @@
 		Total:    b.state.TotalResources(machine),
 		Free:     b.state.FreeResources(machine),
 		Cordoned: machine.Cordoned,
-		Images:   make(map[wire.ImageID]placement.ImageState, len(machine.Images.Images)+len(machine.Tasks)),
+		Images:   make(map[wire.ImageID]placement.ImageState, len(machine.Images.Images)+len(machine.Attempts)),
 	}
 	if spec := b.state.MachineSpec(machine.MachineType); spec != nil {
 		view.FetchGBPerSecond = spec.FetchGBPerSecond
@@ -74,7 +74,7 @@
 		view.Reservations = append(view.Reservations, reservation.Reservation)
 		awaited = append(awaited, reservation.AwaitedTasks...)
 	}
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		b.addTask(&view, attempt, slices.Contains(awaited, attempt.Task()))
 	}
 	sortVictims(view.Victims)
--- a/internal/leader/scheduling/snapshot_teams.go
+++ b/internal/leader/scheduling/snapshot_teams.go
@@ -25,7 +25,7 @@
 	}
 	for _, machine := range state.Machines {
 		for task := range machine.OrphanTasks {
-			if job := state.Jobs[task.Job]; job != nil && machine.Tasks[task] == nil {
+			if job := state.Jobs[task.Job]; job != nil && machine.Attempts[task] == nil {
 				addUsage(job, 1)
 			}
 		}
--- a/internal/leader/scheduling/valuation/valuation.go
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -93,15 +93,15 @@
 // SlackSeconds returns for how many seconds the job's pending tasks may still wait without
 // making the job late. It is negative for a job that will be late.
 func (v *Valuer) SlackSeconds(job *cluster.Job, now time.Time) float64 {
-	return demand.SlackSeconds(WorkOf(job, now), v.state.Settings.Objectives)
+	return demand.SlackSeconds(TimingOf(job, now), v.state.Settings.Objectives)
 }
 
 // WorkOf returns a job in the form that the rules of package demand take.
-func WorkOf(job *cluster.Job, now time.Time) demand.Work {
-	return demand.Work{
-		Class:     job.Spec.Class,
-		DeadlineS: float64(job.Spec.Deadline),
-		AgeS:      now.Sub(job.AcceptedAt).Seconds(),
-		ExpectedS: job.ExpectedRunSeconds(),
+func TimingOf(job *cluster.Job, now time.Time) demand.JobTiming {
+	return demand.JobTiming{
+		Class:              job.Spec.Class,
+		DeadlineSeconds:    float64(job.Spec.Deadline),
+		AgeSeconds:         now.Sub(job.AcceptedAt).Seconds(),
+		ExpectedRunSeconds: job.ExpectedRunSeconds(),
 	}
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		counts.up++
-		if len(m.Tasks) == 0 {
+		if len(m.Attempts) == 0 {
 			counts.idle++
 		}
 	}
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -35,7 +35,7 @@
 // writes: that the size is within the limit, and that the known revision is the stored one.
 func (s *recordStore) put(t *rapid.T, c *cluster.Chunk, limit int) {
 	record := c.Record()
-	if n := record.JSONSize(); n > limit {
+	if n := record.MaxJSONSize(); n > limit {
 		t.Fatalf("record %s: got %d bytes, want at most %d", c.Key(), n, limit)
 	}
 	if e := s.entries[c.Key()]; e.Revision != c.Revision {
@@ -92,7 +92,7 @@
 
 // changeLeader begins a new term, which loads what is stored.
 func (m *subchunkModel) changeLeader() {
-	limits := config.StoreLimits{ValueKB: 32, TxnOps: 12, Next: &config.NextStoreLimits{ValueKB: m.nextValueKB}}
+	limits := config.StoreLimits{MaxValueKB: 32, MaxTxnWrites: 12, Next: &config.NextStoreLimits{MaxValueKB: m.nextValueKB}}
 	l := &Leader{Dependencies: testDependencies(limits)}
 	m.tm = newTerm(l, newLease(l, 50, 0))
 	m.tm.state.RecordsRead = true
@@ -116,7 +116,7 @@
 	m.j.FirstPendingChunk = 0
 	for _, c := range m.j.Chunks {
 		if c != nil {
-			c.FirstPending = 0
+			c.FirstPendingIndex = 0
 		}
 	}
 	for range pending {
@@ -160,7 +160,7 @@
 		if rapid.IntRange(0, 2).Draw(m.t, "writes") == 0 {
 			continue
 		}
-		m.store.put(m.t, c, writer.ValueLimit())
+		m.store.put(m.t, c, writer.ValueLimitBytes())
 		delete(m.tm.state.UnsavedChanges.Chunks, c)
 		m.markStored(c)
 	}
@@ -216,7 +216,7 @@
 	}
 	onMachines := 0
 	for _, machine := range m.tm.state.Machines {
-		onMachines += len(machine.Tasks)
+		onMachines += len(machine.Attempts)
 	}
 	if onMachines != active {
 		m.t.Fatalf("%s: got %d tasks on machines, want %d", situation, onMachines, active)
@@ -234,7 +234,7 @@
 		return
 	}
 	asExpected := a.Number == want.attempt && a.Machine.ID == want.machine
-	linked := a.Machine.Tasks[a.Task()] == a && a.Task().Index == task
+	linked := a.Machine.Attempts[a.Task()] == a && a.Task().Index == task
 	if !asExpected || !linked {
 		m.t.Fatalf("%s: task %d: got attempt %+v, want %+v", situation, task, a, want)
 	}
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -15,7 +15,7 @@
 // decreasingLimits returns store limits that will drop: from 16 KiB to 2 KiB a value, and
 // from 12 to 4 operations a transaction.
 func decreasingLimits() config.StoreLimits {
-	return config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextStoreLimits{ValueKB: 2, TxnOps: 4}}
+	return config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12, Next: &config.NextStoreLimits{MaxValueKB: 2, MaxTxnWrites: 4}}
 }
 
 // addStoredArray adds an array whose record is stored, with the given number of tasks in
@@ -156,8 +156,8 @@
 		for _, a := range j.Attempts() {
 			tm.state.EndAttempt(a, cluster.TaskDone)
 		}
-		if len(m.Tasks) > 0 || allStored() {
-			t.Errorf("before the end is written: got %d tasks, all stored %v, want 0, false", len(m.Tasks), allStored())
+		if len(m.Attempts) > 0 || allStored() {
+			t.Errorf("before the end is written: got %d tasks, all stored %v, want 0, false", len(m.Attempts), allStored())
 		}
 		tm.committer.Flush(time.Now())
 		if !tm.writer.InFlight() || allStored() {
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -22,7 +22,7 @@
 type term struct {
 	*core.Loop
 	leader         *Leader
-	heartbeatCalls chan reconcile.Call
+	heartbeatCalls chan reconcile.HeartbeatCall
 	ticks          int // since the term began
 	// storeUnavailableSince is when this node stopped being sure of its lease, which it
 	// renews in the key-value store. It is zero while the node is sure of it.
@@ -57,7 +57,7 @@
 	t := &term{
 		Loop:           core.NewLoop(lease, l.Log, &l.Metrics),
 		leader:         l,
-		heartbeatCalls: make(chan reconcile.Call, heartbeatBacklog),
+		heartbeatCalls: make(chan reconcile.HeartbeatCall, heartbeatBacklog),
 		state:          cluster.NewState(&l.Config.Settings, l.Catalog, lease.AcquiredAt(), lease.Token()),
 	}
 	t.state.Delegation = l.delegationBounds
@@ -103,16 +103,16 @@
 
 func (t *term) newRecords() *recovery.Records {
 	return &recovery.Records{
-		Loop:        t.Loop,
-		State:       t.state,
-		Store:       t.leader.Store,
-		Cancels:     t.leader.Cancels,
-		Undecodable: t.leader.Undecodable,
-		Progress:    progress.NewReader(t.state, t.writer, t.leader.Undecodable),
-		Dispatcher:  t.dispatcher,
-		Reconciler:  t.reconciler,
-		Versions:    t.leader.Versions,
-		Intents:     t.scaler.Intents,
+		Loop:           t.Loop,
+		State:          t.state,
+		Store:          t.leader.Store,
+		Cancels:        t.leader.Cancels,
+		UndecodableLog: t.leader.UndecodableLog,
+		Progress:       progress.NewReader(t.state, t.writer, t.leader.UndecodableLog),
+		Dispatcher:     t.dispatcher,
+		Reconciler:     t.reconciler,
+		Versions:       t.leader.Versions,
+		Intents:        t.scaler.Intents,
 	}
 }
 
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -33,15 +33,15 @@
 
 // JobView is the state of one unfinished job as the leader knows it.
 type JobView struct {
-	ID         wire.JobID  `cbor:"id"`
-	Class      string      `cbor:"lane"`
-	Team       wire.TeamID `cbor:"team"`
-	Tasks      int         `cbor:"parts"`
-	Done       int         `cbor:"done"`
-	Active     int         `cbor:"held"`
-	Failures   int         `cbor:"fails"`
-	AgeSeconds float64     `cbor:"age_s"`
-	Cancelled  bool        `cbor:"cancelled"`
+	ID           wire.JobID  `cbor:"id"`
+	Class        string      `cbor:"lane"`
+	Team         wire.TeamID `cbor:"team"`
+	Tasks        int         `cbor:"parts"`
+	DoneTasks    int         `cbor:"done"`
+	ActiveTasks  int         `cbor:"held"`
+	TaskFailures int         `cbor:"fails"`
+	AgeSeconds   float64     `cbor:"age_s"`
+	Cancelled    bool        `cbor:"cancelled"`
 }
 
 // viewRequested is an event: an operator requests the view.
@@ -92,7 +92,7 @@
 		Spot:                m.Spot,
 		Booting:             m.Booting,
 		Drain:               string(m.DrainReason),
-		Tasks:               len(m.Tasks),
+		Tasks:               len(m.Attempts),
 		SecondsSinceMessage: t.state.SinceLastMessage(m, now).Seconds(),
 		FreeCPUs:            t.state.FreeResources(m).CPUs,
 	}
@@ -100,14 +100,14 @@
 
 func jobView(j *cluster.Job, now time.Time) JobView {
 	return JobView{
-		ID:         j.Spec.ID,
-		Class:      j.Spec.Class,
-		Team:       j.Spec.Team,
-		Tasks:      j.Spec.Tasks,
-		Done:       j.DoneTasks,
-		Active:     j.ActiveTasks,
-		Failures:   j.TaskFailures,
-		AgeSeconds: now.Sub(j.AcceptedAt).Seconds(),
-		Cancelled:  j.Cancelled,
+		ID:           j.Spec.ID,
+		Class:        j.Spec.Class,
+		Team:         j.Spec.Team,
+		Tasks:        j.Spec.Tasks,
+		DoneTasks:    j.DoneTasks,
+		ActiveTasks:  j.ActiveTasks,
+		TaskFailures: j.TaskFailures,
+		AgeSeconds:   now.Sub(j.AcceptedAt).Seconds(),
+		Cancelled:    j.Cancelled,
 	}
 }
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -37,7 +37,7 @@
 		name string
 		fail func(*simulator.KVStore)
 	}{
-		{"executed, answer lost", func(st *simulator.KVStore) { st.LoseAnswers(1) }},
+		{"executed, answer lost", func(st *simulator.KVStore) { st.LoseResponses(1) }},
 		{"request lost", func(st *simulator.KVStore) { st.DropRequests(1) }},
 	}
 	for _, c := range cases {
@@ -67,7 +67,7 @@
 
 func TestSupersededLeaderWritesNothingAndStops(t *testing.T) {
 	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
-		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
+		st.Put(store.LeaderKey, store.LeaseRecord{Node: "b", Nonce: "other"})
 		tm.scheduler.StartTask(tm.state.Jobs["req-1"], m, time.Now())
 		runEvents()
 		if chunks := st.Keys(store.ProgressPrefix); !isOver(tm) || len(chunks) != 0 {
@@ -107,7 +107,7 @@
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1})
 		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.StatusQueued})
-		tm.state.Settings.State.ValueKB = 0.5
+		tm.state.Settings.State.MaxValueKB = 0.5
 		longName := tm.state.GetOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
 			tm.scheduler.StartTask(j, longName, time.Now())
@@ -177,12 +177,12 @@
 					tm.committer.Reread(j)
 					time.Sleep(20 * time.Millisecond)
 					st.DelayAnswers("", 0)
-					tm.records.ApplyChanges([]wire.WatchEvent{put})
+					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{put})
 					handleEvents(tm, 8)
 					if final := st.Keys(store.FinalKey("req-1")); len(final) != 1 {
 						t.Errorf("final records while the answer is in flight: got %v, want one", final)
 					}
-					tm.records.ApplyChanges([]wire.WatchEvent{deletion})
+					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{deletion})
 				} else {
 					tm.scheduler.StartTask(j, m, time.Now())
 				}
@@ -193,13 +193,13 @@
 				tm.committer.Reread(j) // as if a read had still been in flight
 				runEvents()
 				if !watchFirst {
-					tm.records.ApplyChanges([]wire.WatchEvent{put})
+					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{put})
 					runEvents()
 				}
 				if len(tm.state.Jobs) != 0 || isOver(tm) {
 					t.Errorf("after late events: got jobs %v, term over %v (%s), want none, false", tm.state.Jobs, isOver(tm), tm.EndReason())
 				}
-				tm.records.ApplyChanges([]wire.WatchEvent{deletion})
+				tm.records.ApplyJobRecordChanges([]wire.WatchEvent{deletion})
 				if len(tm.state.ArchivedJobs) != 0 {
 					t.Errorf("archived jobs remembered after the deletion: got %v, want none", tm.state.ArchivedJobs)
 				}
--- a/internal/netio/bounded_test.go
+++ b/internal/netio/bounded_test.go
@@ -27,7 +27,7 @@
 // boundedDialer dials over a bounded network.
 type boundedDialer struct {
 	t       *testing.T
-	network netio.Net
+	network netio.Network
 }
 
 func (d *boundedDialer) dial(addr string) (net.Conn, error) {
@@ -120,7 +120,7 @@
 					t.Fatal(err)
 				}
 				network.SetPowerOff(hangingIP, true)
-				tt.test(t, &boundedDialer{t, network.Host(localIP).Bounded(connectionLimit, dialTimeout)})
+				tt.test(t, &boundedDialer{t, network.Host(localIP).WithConnectionLimit(connectionLimit, dialTimeout)})
 				network.Close()
 			})
 		})
--- a/internal/netio/http.go
+++ b/internal/netio/http.go
@@ -14,7 +14,7 @@
 
 // Transport returns an HTTP/1.1 transport over the network. It has at most maxPerHost connections to
 // one host, and at most maxIdle idle connections to all hosts.
-func (n Net) Transport(maxPerHost, maxIdle int) *http.Transport {
+func (n Network) Transport(maxPerHost, maxIdle int) *http.Transport {
 	return &http.Transport{
 		DialContext:         n.Dial,
 		MaxConnsPerHost:     maxPerHost,
--- a/internal/netio/http_test.go
+++ b/internal/netio/http_test.go
@@ -17,7 +17,7 @@
 
 // withServer runs a test in virtual time with an HTTP server at openAddr. The test gets the network of
 // its client.
-func withServer(t *testing.T, handler http.HandlerFunc, test func(t *testing.T, network netio.Net)) {
+func withServer(t *testing.T, handler http.HandlerFunc, test func(t *testing.T, network netio.Network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
@@ -55,7 +55,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			handler := func(w http.ResponseWriter, r *http.Request) {
-				got, err := wire.ReadBody(r.Body, wire.MaxBody)
+				got, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 				if err != nil || !bytes.Equal(got, tt.sent) || r.Header.Get("Content-Type") != tt.contentType {
 					t.Errorf("received body %x, error %v, type %q, want body %x, type %q", got, err, r.Header.Get("Content-Type"), tt.sent, tt.contentType)
 				}
@@ -63,7 +63,7 @@
 				w.WriteHeader(http.StatusTeapot)
 				w.Write([]byte("answer")) //nolint:errcheck // the client reads it or not
 			}
-			withServer(t, handler, func(t *testing.T, network netio.Net) {
+			withServer(t, handler, func(t *testing.T, network netio.Network) {
 				client := &http.Client{Transport: network.Transport(1, 1)}
 				status, response, header, err := netio.Call(t.Context(), client, http.MethodPost, "http://"+openAddr+"/", tt.body, tt.maxResponse)
 				if !errors.Is(err, tt.wantErr) {
@@ -90,7 +90,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	}
-	withServer(t, handler, func(t *testing.T, network netio.Net) {
+	withServer(t, handler, func(t *testing.T, network netio.Network) {
 		client := &http.Client{Transport: network.Transport(1, 1)}
 		call := func() error {
 			_, _, _, err := netio.Call(t.Context(), client, http.MethodPost, "http://"+openAddr+"/", wire.ErrorBody{}, 100)
@@ -117,7 +117,7 @@
 		case <-r.Context().Done():
 		}
 	}
-	withServer(t, respond, func(t *testing.T, network netio.Net) {
+	withServer(t, respond, func(t *testing.T, network netio.Network) {
 		client := &http.Client{Transport: network.Transport(connections, connections)}
 		begin := time.Now()
 		var wg sync.WaitGroup
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Net is a network on which connections are opened and accepted.
-type Net struct {
+// Network is a network on which connections are opened and accepted.
+type Network struct {
 	// Dial opens a connection to an address.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Listen opens a listener that accepts connections at an address.
@@ -24,8 +24,8 @@
 	keepAlivePeriod = 15 * time.Second
 )
 
-// Real returns the network of the machine that the process runs on.
-func Real() Net {
+// HostNetwork returns the network of the machine that the process runs on.
+func HostNetwork() Network {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod}
-	return Net{Dial: dialer.DialContext, Listen: net.Listen}
+	return Network{Dial: dialer.DialContext, Listen: net.Listen}
 }
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -32,7 +32,7 @@
 func (e heartbeatReceived) handle(m *Mesh, current *View) {
 	from := e.heartbeat.From
 	p := current.peerInContact(from)
-	m.learnVersion(&e.heartbeat)
+	m.observeVersion(&e.heartbeat)
 	current.observeHeartbeat(&p, &e.heartbeat)
 	answer := m.newAnswer(current.Token, e.heartbeat.Sequence)
 	if answer.Delegation > 0 {
@@ -46,7 +46,7 @@
 // handle applies the answer to the view.
 func (e answerReceived) handle(m *Mesh, current *View) {
 	p := current.peerInContact(e.from)
-	m.learnVersion(&e.answer)
+	m.observeVersion(&e.answer)
 	current.observeAnswer(&p, &e.answer, e.requestedAt)
 	current.Peers[e.from] = p
 	m.publish(current)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -22,8 +22,8 @@
 	Leads bool `cbor:"leads"`
 	// StateReachable means that the sender reaches the key-value store.
 	StateReachable bool `cbor:"serves"`
-	// ReachableWorkers is the number of workers in contact with the sender.
-	ReachableWorkers int `cbor:"hears"`
+	// ReachableAgents is the number of workers in contact with the sender.
+	ReachableAgents int `cbor:"hears"`
 	// Delegation, in an answer, is the token with which the sender certainly leads; 0 if there is no
 	// delegation. The receiver may renew workers' leases on the sender's behalf for a limited time,
 	// which counts from when the receiver sent the heartbeat.
@@ -34,11 +34,11 @@
 	// Uptime, in an answer, is how long ago the sender's process started. The sender does not know
 	// which leases the previous process of its node renewed as a delegate.
 	Uptime time.Duration `cbor:"age,omitempty"`
-	// UnconfirmedCancelAge, in an answer with a Delegation, is the age of the oldest cancellation that
+	// InFlightLaunchCancelAge, in an answer with a Delegation, is the age of the oldest cancellation that
 	// a user was told of and of whose job a launch may still be in flight; 0 if there is none. No
 	// worker's heartbeat shows such a task yet, so a delegate can't stop it. The time for which the
 	// delegate may renew leases therefore counts from that cancellation.
-	UnconfirmedCancelAge time.Duration `cbor:"unproven,omitempty"`
+	InFlightLaunchCancelAge time.Duration `cbor:"unproven,omitempty"`
 	// Incarnation identifies the sender's process among those of its node; empty if versions are not
 	// negotiated.
 	Incarnation string `cbor:"process,omitempty"`
@@ -52,15 +52,15 @@
 // Status is what a node states of itself in its heartbeats and answers. Fields without a comment are as
 // in Heartbeat.
 type Status struct {
-	Leads            bool
-	Delegation       wire.FencingToken
-	StateReachable   bool
-	ReachableWorkers int
-	// UnconfirmedCancelSince is the time of the oldest cancellation that a user was told of and of
+	Leads           bool
+	Delegation      wire.FencingToken
+	StateReachable  bool
+	ReachableAgents int
+	// InFlightLaunchCancelSince is the time of the oldest cancellation that a user was told of and of
 	// whose job a launch may still be in flight; zero if there is none.
-	UnconfirmedCancelSince time.Time
-	Incarnation            string
-	ActiveVersion          uint64
+	InFlightLaunchCancelSince time.Time
+	Incarnation               string
+	ActiveVersion             uint64
 	// RefusesAcks means that the node must not acknowledge any token, since it may not understand the
 	// active version.
 	RefusesAcks bool
@@ -69,21 +69,21 @@
 // heartbeat returns the heartbeat to be sent on a stream.
 func (s *Status) heartbeat(from wire.NodeID, sequence uint64, token wire.FencingToken) Heartbeat {
 	return Heartbeat{
-		From:             from,
-		Sequence:         sequence,
-		Token:            token,
-		Leads:            s.Leads,
-		StateReachable:   s.StateReachable,
-		ReachableWorkers: s.ReachableWorkers,
-		Incarnation:      s.Incarnation,
-		ActiveVersion:    s.ActiveVersion,
+		From:            from,
+		Sequence:        sequence,
+		Token:           token,
+		Leads:           s.Leads,
+		StateReachable:  s.StateReachable,
+		ReachableAgents: s.ReachableAgents,
+		Incarnation:     s.Incarnation,
+		ActiveVersion:   s.ActiveVersion,
 	}
 }
 
-// unconfirmedCancelAge returns how long ago UnconfirmedCancelSince was; 0 if it is zero.
+// unconfirmedCancelAge returns how long ago InFlightLaunchCancelSince was; 0 if it is zero.
 func (s *Status) unconfirmedCancelAge() time.Duration {
-	if s.UnconfirmedCancelSince.IsZero() {
+	if s.InFlightLaunchCancelSince.IsZero() {
 		return 0
 	}
-	return max(0, time.Since(s.UnconfirmedCancelSince))
+	return max(0, time.Since(s.InFlightLaunchCancelSince))
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -44,10 +44,10 @@
 	cancels *cancels.Log
 	log     *slog.Logger
 	client  *http.Client
-	// LearnVersion, if not nil, is called with each version of the behaviour that another node reports
+	// ObserveVersion, if not nil, is called with each version of the behaviour that another node reports
 	// as active. It is set before Run.
-	LearnVersion func(version uint64)
-	undecodable  *undecodable.Log
+	ObserveVersion func(version uint64)
+	undecodable    *undecodable.Log
 
 	// events and tokens hold pending changes of the view. Only the goroutine of Run applies them.
 	events chan event
@@ -61,7 +61,7 @@
 }
 
 // New returns the mesh of a node. The mesh calls status before it sends a heartbeat or an answer.
-func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelLog *cancels.Log, network netio.Net, log *slog.Logger) *Mesh {
+func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelLog *cancels.Log, network netio.Network, log *slog.Logger) *Mesh {
 	m := &Mesh{
 		name:        name,
 		peers:       peers,
@@ -79,7 +79,7 @@
 }
 
 // newTransport returns a transport for unencrypted HTTP/2 over the network.
-func newTransport(network netio.Net) *http.Transport {
+func newTransport(network netio.Network) *http.Transport {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Transport{
@@ -131,10 +131,10 @@
 // publish publishes a copy of the view.
 func (m *Mesh) publish(current *View) { m.view.Store(current.clone()) }
 
-// learnVersion passes the active version that a message states, if any, to LearnVersion.
-func (m *Mesh) learnVersion(message *Heartbeat) {
-	if message.ActiveVersion > 0 && m.LearnVersion != nil {
-		m.LearnVersion(message.ActiveVersion)
+// observeVersion passes the active version that a message states, if any, to ObserveVersion.
+func (m *Mesh) observeVersion(message *Heartbeat) {
+	if message.ActiveVersion > 0 && m.ObserveVersion != nil {
+		m.ObserveVersion(message.ActiveVersion)
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	if status.Delegation > 0 && status.Delegation == token {
 		answer.Delegation = status.Delegation
-		answer.UnconfirmedCancelAge = status.unconfirmedCancelAge()
+		answer.InFlightLaunchCancelAge = status.unconfirmedCancelAge()
 	}
 	return answer
 }
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -190,17 +190,17 @@
 			}
 		}},
 		{"status becomes known", func(t *testing.T, p *pair) {
-			p.setStatusB(Status{StateReachable: true, ReachableWorkers: 12, Incarnation: "c0ffee", ActiveVersion: 2})
+			p.setStatusB(Status{StateReachable: true, ReachableAgents: 12, Incarnation: "c0ffee", ActiveVersion: 2})
 			time.Sleep(time.Second)
 			got := p.a.View().Peers["b"]
-			if !got.StateReachable || got.ReachableWorkers != 12 || got.Incarnation != "c0ffee" || got.ActiveVersion != 2 {
+			if !got.StateReachable || got.ReachableAgents != 12 || got.Incarnation != "c0ffee" || got.ActiveVersion != 2 {
 				t.Errorf("a knows heartbeat %+v of b, want the status that b states", got.Heartbeat)
 			}
 		}},
 		{"upper bound of the start becomes known", func(t *testing.T, p *pair) {
 			started := time.Now()
 			time.Sleep(connectTime)
-			if got := p.a.View().Peers["b"].LatestStart; got.Before(started) || got.After(started.Add(100*time.Millisecond)) {
+			if got := p.a.View().Peers["b"].LatestProcessStart; got.Before(started) || got.After(started.Add(100*time.Millisecond)) {
 				t.Errorf("latest start of b is %v, want at most 100 ms after %v", got, started)
 			}
 		}},
@@ -295,7 +295,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			m := New("a", nil, func() Status { return Status{} }, cancels.New(nil, time.Minute), simulator.NewNetwork(0).Host(ipA), discardLog())
 			var learnt []uint64
-			m.LearnVersion = func(version uint64) { learnt = append(learnt, version) }
+			m.ObserveVersion = func(version uint64) { learnt = append(learnt, version) }
 			view := &View{Peers: map[wire.NodeID]Peer{}}
 			heartbeatReceived{tt.message, make(chan Heartbeat, 1)}.handle(m, view)
 			answerReceived{"b", tt.message, time.Now()}.handle(m, view)
@@ -450,7 +450,7 @@
 // A request is relayed to a node that the settings file names, and fails after relayTimeout.
 func TestRelayReturnsResponseOrFails(t *testing.T) {
 	respond := func(w http.ResponseWriter, r *http.Request) {
-		body, err := wire.ReadBody(r.Body, wire.MaxBody)
+		body, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 		if err != nil {
 			t.Errorf("read request body: %v", err)
 		}
--- a/internal/peer/relay.go
+++ b/internal/peer/relay.go
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	status, responseBody, _, err := netio.Call(ctx, m.client, http.MethodPost, "http://"+p.Addr+path, body, wire.MaxBody)
+	status, responseBody, _, err := netio.Call(ctx, m.client, http.MethodPost, "http://"+p.Addr+path, body, wire.MaxBodyBytes)
 	return status, responseBody, err
 }
 
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -41,10 +41,10 @@
 	// LastDelegatedRenewal is the latest time at which the other node's last renewal as a delegate can
 	// have been: the arrival of an answer, less the age of the renewal that the answer stated.
 	LastDelegatedRenewal time.Time
-	// LatestStart is the latest time at which the other node's process can have started: the arrival of
+	// LatestProcessStart is the latest time at which the other node's process can have started: the arrival of
 	// an answer, less the uptime that the answer stated. Until then, an earlier process of that node
 	// may have renewed leases as a delegate, which the present process does not know of.
-	LatestStart time.Time
+	LatestProcessStart time.Time
 }
 
 // Connected reports whether the node was in contact within AckLifetime.
@@ -55,7 +55,7 @@
 	// Token is the token with which the leader led.
 	Token wire.FencingToken
 	// RequestedAt is when this node sent the heartbeat that was answered with the delegation, less the
-	// UnconfirmedCancelAge of the answer. No launch of a job that was cancelled before RequestedAt can
+	// InFlightLaunchCancelAge of the answer. No launch of a job that was cancelled before RequestedAt can
 	// still arrive.
 	RequestedAt time.Time
 }
@@ -123,7 +123,7 @@
 	p.Incarnation, p.ActiveVersion = answer.Incarnation, answer.ActiveVersion
 	v.observeToken(answer.Token)
 	if answer.Delegation > 0 && answer.Delegation == v.Token {
-		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.UnconfirmedCancelAge))}
+		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.InFlightLaunchCancelAge))}
 		v.LeaderSeenAt = p.LastContact
 	}
 }
@@ -139,7 +139,7 @@
 		p.LastDelegatedRenewal = p.LastContact.Add(-answer.SinceRenewal)
 	}
 	if answer.Uptime > 0 {
-		p.LatestStart = p.LastContact.Add(-answer.Uptime)
+		p.LatestProcessStart = p.LastContact.Add(-answer.Uptime)
 	}
 }
 
--- a/internal/placement/gains.go
+++ b/internal/placement/gains.go
@@ -19,8 +19,8 @@
 // wait for preferred machines instead of using the fallback.
 func taskTree(f UtilityFactors) utility.Expr {
 	return utility.Max{
-		utility.Scale{By: f.Preferred, Of: utility.Linear{From: utility.SetOf(withImage), K: 1, U: 1}},
-		utility.Scale{By: f.Fallback, Of: utility.Linear{From: utility.SetOf(withImage, withoutImage), K: 1, U: 1}},
+		utility.Scale{Factor: f.Preferred, Operand: utility.Linear{From: utility.SetOf(withImage), Units: 1, Utility: 1}},
+		utility.Scale{Factor: f.Fallback, Operand: utility.Linear{From: utility.SetOf(withImage, withoutImage), Units: 1, Utility: 1}},
 	}
 }
 
@@ -29,8 +29,8 @@
 // utility is 0 until all of them fit.
 func gangTree(f UtilityFactors, units int) utility.Expr {
 	return utility.Max{
-		utility.Scale{By: f.Preferred, Of: utility.Choose{From: utility.SetOf(withImage), K: units, U: float64(units)}},
-		utility.Scale{By: f.Fallback, Of: utility.Choose{From: utility.SetOf(withImage, withoutImage), K: units, U: float64(units)}},
+		utility.Scale{Factor: f.Preferred, Operand: utility.Choose{From: utility.SetOf(withImage), Units: units, Utility: float64(units)}},
+		utility.Scale{Factor: f.Fallback, Operand: utility.Choose{From: utility.SetOf(withImage, withoutImage), Units: units, Utility: float64(units)}},
 	}
 }
 
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -80,7 +80,7 @@
 	for _, i := range group {
 		m := &p.snapshot.Machines[i]
 		usesHeadroom := m.usesHeadroom(j, unit)
-		if !canLaunch(j, m, unit) || usesHeadroom && !j.StartOverdue {
+		if !canLaunch(j, m, unit) || usesHeadroom && !j.MayUseHeadroom {
 			continue
 		}
 		c := candidate{machine: i, class: classOf(j, m), fetchSteps: fetchSteps(j, m), score: score(j, m, unit)}
@@ -178,7 +178,7 @@
 	if !unit.FitsIn(m.Free) || m.reservedForOthers(j, unit) {
 		return false
 	}
-	if !j.StartOverdue && m.usesHeadroom(j, unit) {
+	if !j.MayUseHeadroom && m.usesHeadroom(j, unit) {
 		return false
 	}
 	return j.TasksByZone[m.Zone]+f.unitsByZone[m.Zone] < j.Spec.MaxTasksPerZone()
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -51,11 +51,11 @@
 			HeadroomUnit:  Resources{1, 0, 4},
 			Machines:      append(machines, extra...),
 			Jobs: []Job{{
-				Spec:         &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true},
-				PendingTasks: 9,
-				TasksByZone:  map[wire.Zone]int{},
-				Weight:       1,
-				StartOverdue: true,
+				Spec:           &wire.JobSpec{Team: "t", Kind: wire.KindArray, Tasks: 9, CPUs: 1, MemoryGB: 4, SpotAllowed: true},
+				PendingTasks:   9,
+				TasksByZone:    map[wire.Zone]int{},
+				Weight:         1,
+				MayUseHeadroom: true,
 			}},
 		}
 	}
@@ -87,7 +87,7 @@
 	if res := Place(snapshot(standard)); len(res.Starts) != 0 || len(res.Reservations) != 0 {
 		t.Errorf("standard gang: %+v, want nothing", res)
 	}
-	standard.StartOverdue = true
+	standard.MayUseHeadroom = true
 	if res := Place(snapshot(standard)); len(res.Starts) != 1 {
 		t.Errorf("overdue standard gang: %+v, want a start", res)
 	}
@@ -101,7 +101,7 @@
 // gangs may use it.
 func TestGangHeadroomIsWithheldFromArrays(t *testing.T) {
 	place := func(spec *wire.JobSpec, startOverdue bool, machines ...Machine) map[wire.MachineID]int {
-		s := snapshotOf(machines, Job{Spec: spec, StartOverdue: startOverdue})
+		s := snapshotOf(machines, Job{Spec: spec, MayUseHeadroom: startOverdue})
 		s.AllowPreemption, s.ExpectedGangs = false, []*wire.JobSpec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
 		return startsByMachine(s)
 	}
@@ -173,7 +173,7 @@
 		"reserved limit, array of a higher rank":     {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), PendingTasks: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, StartOverdue: c.startOverdue}
+			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), PendingTasks: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, MayUseHeadroom: c.startOverdue}
 			s := &Snapshot{
 				Machines:      []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: c.freeCPUs, MemoryGB: 16}}},
 				Teams:         map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -129,7 +129,7 @@
 	}
 	j := &p.snapshot.Jobs[q.job]
 	if !j.Spec.IsGang() {
-		j.StartOverdue = false // only its next unit may use headroom
+		j.MayUseHeadroom = false // only its next unit may use headroom
 		return
 	}
 	if team := p.snapshot.Teams[j.Spec.Team]; team.ReservedFor == j.Spec.ID {
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -29,7 +29,7 @@
 	}
 	option := roomOption{costSeconds: fetchCostSeconds(j, m)}
 	room := m.unreservedRoom()
-	if j.Spec.IsGang() && !j.StartOverdue {
+	if j.Spec.IsGang() && !j.MayUseHeadroom {
 		// The gang may not use the headroom. A reservation there would never be used.
 		room = room.Minus(m.serviceHeadroom)
 	}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -23,9 +23,9 @@
 	// WithinGuarantee reports that the job fits into its team's guaranteed quota together
 	// with the jobs before it.
 	WithinGuarantee bool
-	// StartOverdue reports that the job has waited so long without a start that its next
+	// MayUseHeadroom reports that the job has waited so long without a start that its next
 	// unit may use headroom.
-	StartOverdue bool
+	MayUseHeadroom bool
 	// ReservedUnits is the number of the job's units for which room is reserved.
 	ReservedUnits int
 	// PreemptionDelaySeconds is how long a unit may wait for tasks to end by themselves
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -60,7 +60,7 @@
 		return taskFit{}, false
 	}
 	usesHeadroom := m.usesHeadroom(j, unit)
-	if usesHeadroom && !j.StartOverdue {
+	if usesHeadroom && !j.MayUseHeadroom {
 		return taskFit{}, false
 	}
 	fit := taskFit{class: classOf(j, m), score: score(j, m, unit)}
--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -18,13 +18,13 @@
 			at(2 * time.Second)
 			submitAll(sim, arrayJob, serviceJob)
 			at(35 * time.Second)
-			sim.State.Outage(true)
+			sim.State.SetOutage(true)
 			at(50 * time.Second)
 			killAll(sim)
 			at(time.Duration(54+4*seed) * time.Second)
 			startAll(t, sim)
 			at(time.Duration(60+8*seed) * time.Second)
-			sim.State.Outage(false)
+			sim.State.SetOutage(false)
 			at(220 * time.Second)
 			mustFinish(t, sim, arrayJob)
 			mustRun(t, sim, serviceJob, "at the end")
@@ -60,9 +60,9 @@
 		for _, id := range sim.MachinesRunning(serviceJob.Spec.ID) {
 			sim.ResendLastHeartbeat(id, 3*time.Second, 8*time.Second, 12*time.Second, 25*time.Second)
 		}
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		at(46 * time.Second)
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		forAllControllers(sim.KillController)
 		at(46300 * time.Millisecond)
 		start(0)
@@ -119,7 +119,7 @@
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + 5*time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledBefore, cancelledAfter} {
-						if c.OnMachines(j.Spec.ID) != 0 {
+						if c.TasksOnMachines(j.Spec.ID) != 0 {
 							t.Errorf("%s has tasks on machines %v after all controllers were killed, want none", j.Spec.ID, time.Since(killedAt))
 						}
 					}
@@ -136,7 +136,7 @@
 				startControllers(t, sim, 0, 1, 2)
 				mustRecover(t, sim, 3, serviceJob, arrayJob, lateArrayJob)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(cancelledBefore.Spec.ID) + c.OnMachines(cancelledAfter.Spec.ID); n != 0 {
+					if n := c.TasksOnMachines(cancelledBefore.Spec.ID) + c.TasksOnMachines(cancelledAfter.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of cancelled jobs on machines, want 0", n)
 					}
 				})
@@ -204,8 +204,8 @@
 				startControllers(t, sim, 0, 1, 2)
 				mustRecover(t, sim, 3, serviceJob, arrayJob, lateArrayJob)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(serviceJob.Spec.ID) != 4 || c.OnMachines(cancelledBefore.Spec.ID)+c.OnMachines(cancelledDuring.Spec.ID) != 0 {
-						t.Errorf("%d replicas, %d and %d tasks of cancelled jobs on machines, want 4, 0 and 0", c.OnMachines(serviceJob.Spec.ID), c.OnMachines(cancelledBefore.Spec.ID), c.OnMachines(cancelledDuring.Spec.ID))
+					if c.TasksOnMachines(serviceJob.Spec.ID) != 4 || c.TasksOnMachines(cancelledBefore.Spec.ID)+c.TasksOnMachines(cancelledDuring.Spec.ID) != 0 {
+						t.Errorf("%d replicas, %d and %d tasks of cancelled jobs on machines, want 4, 0 and 0", c.TasksOnMachines(serviceJob.Spec.ID), c.TasksOnMachines(cancelledBefore.Spec.ID), c.TasksOnMachines(cancelledDuring.Spec.ID))
 					}
 				})
 			})
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -75,7 +75,7 @@
 func TestInvalidRequestsAtEveryController(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 440, func(sim *simulator.Simulation, at func(time.Duration)) {
-		sim.CloudOutage(true)
+		sim.SetCloudOutage(true)
 		number := 500
 		// with returns the submission of a new job with one field replaced, or removed if value is
 		// "missing".
@@ -140,7 +140,7 @@
 		}
 		at(3 * time.Second)
 		checkInvalid(false)
-		sim.CloudOutage(false)
+		sim.SetCloudOutage(false)
 		at(18 * time.Second)
 		checkInvalid(true)
 		// An array as a whole may exceed its team's limit.
@@ -167,13 +167,13 @@
 		// All controllers restart, and get the machine types neither from the key-value store nor
 		// from the cloud.
 		killAll(sim)
-		sim.CloudOutage(true)
+		sim.SetCloudOutage(true)
 		sim.State.Delete(store.MachineSpecsKey)
 		startAll(t, sim)
 		time.Sleep(3 * time.Second)
 		checkKnownJobs()
 		checkInvalid(false)
-		sim.CloudOutage(false)
+		sim.SetCloudOutage(false)
 		time.Sleep(20 * time.Second)
 		checkKnownJobs()
 		mustRun(t, sim, serviceJob, "after the restart of all controllers")
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -85,7 +85,7 @@
 					time.Sleep(15 * time.Second)
 					sim.WithChecker(func(c *simulator.Checker) {
 						for k := range 3 {
-							if n := c.OnMachines(running[k].Spec.ID) + c.OnMachines(starting[k].Spec.ID); n != 0 {
+							if n := c.TasksOnMachines(running[k].Spec.ID) + c.TasksOnMachines(starting[k].Spec.ID); n != 0 {
 								t.Errorf("round %d: %d tasks on machines of jobs cancelled %s the election, want 0", round, n, [3]string{"before", "during", "after"}[k])
 							}
 						}
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -36,7 +36,7 @@
 		sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(serviceJob.Spec.ID, summary.Status, time.Now()) })
 		at(60 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n := c.OnMachines(serviceJob.Spec.ID); n != 0 {
+			if n := c.TasksOnMachines(serviceJob.Spec.ID); n != 0 {
 				t.Errorf("%d tasks on machines 15 s after the cancellation, want 0", n)
 			}
 		})
@@ -122,15 +122,15 @@
 			finalRecordSent, cancellationSent := newSignal(), newSignal()
 			sim.State.DelayTransactions(func(txn *wire.Txn) time.Duration {
 				if isCancellationOf(txn, doneFirst.Spec.ID) {
-					cancellationSent.give()
+					cancellationSent.fire()
 					return 1200 * time.Millisecond
 				}
 				if isFinalRecordOf(txn, doneFirst.Spec.ID) {
 					// The end of the last task triggers both the user's cancellation and the leader's
 					// final record. Which is sent first depends on the schedule.
-					cancellationSent.await(2 * time.Second)
+					cancellationSent.wait(2 * time.Second)
 				}
-				if isFinalRecordOf(txn, cancelledFirst.Spec.ID) && finalRecordSent.give() {
+				if isFinalRecordOf(txn, cancelledFirst.Spec.ID) && finalRecordSent.fire() {
 					return 120 * time.Millisecond
 				}
 				return 0
@@ -138,7 +138,7 @@
 			at(2 * time.Second)
 			readers.Submit(cancelledFirst, simulator.NeverCancel, 0)
 			readers.Submit(doneFirst, simulator.CancelAtEnd, time.Duration(seed)*20*time.Millisecond)
-			if !finalRecordSent.await(time.Minute) {
+			if !finalRecordSent.wait(time.Minute) {
 				t.Error("no final record was sent")
 				return
 			}
@@ -173,7 +173,7 @@
 func TestCancelCrossesFullTransaction(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		runWithSettings(t, simulator.GasSettings(), 450+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+		runWithSettings(t, simulator.ThreeZoneSettings(), 450+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 			readers := sim.NewBurstReaders()
 			var jobs []simulator.JobScript
 			for n := range 6 {
@@ -263,7 +263,7 @@
 // would be refused for ever.
 func TestCancelOfLargestRecord(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, simulator.GasSettings(), 460, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, simulator.ThreeZoneSettings(), 460, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(3 * time.Second)
 		jobWithImageName := func(n, imageBytes int) simulator.JobScript {
 			j := service(n, 1)
@@ -304,8 +304,8 @@
 		mustRun(t, sim, j, "before it is cancelled")
 		at(75 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if s := c.FinalStatus(j.Spec.ID); s != wire.StatusCancelled || c.OnMachines(j.Spec.ID) != 0 {
-				t.Errorf("the job is %q with %d tasks on machines, want cancelled and 0", s, c.OnMachines(j.Spec.ID))
+			if s := c.FinalStatus(j.Spec.ID); s != wire.StatusCancelled || c.TasksOnMachines(j.Spec.ID) != 0 {
+				t.Errorf("the job is %q with %d tasks on machines, want cancelled and 0", s, c.TasksOnMachines(j.Spec.ID))
 			}
 		})
 		mustLeaveNoKeys(t, sim)
--- a/internal/scenarios/gang_capacity_test.go
+++ b/internal/scenarios/gang_capacity_test.go
@@ -106,8 +106,8 @@
 		at(60 * time.Second)
 		sim.Submit(gangJob, 0)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(checkpointingArray.Spec.ID) != 2 {
-				t.Errorf("%d tasks of the checkpointing array on machines, want 2", c.OnMachines(checkpointingArray.Spec.ID))
+			if c.TasksOnMachines(checkpointingArray.Spec.ID) != 2 {
+				t.Errorf("%d tasks of the checkpointing array on machines, want 2", c.TasksOnMachines(checkpointingArray.Spec.ID))
 			}
 		})
 		at(250 * time.Second)
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -74,7 +74,7 @@
 // task's index and the attempt's number.
 func storedAttempts(t *testing.T, sim *simulator.Simulation, id wire.JobID) map[[2]int]wire.MachineID {
 	t.Helper()
-	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
+	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 32, MaxTxnWrites: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
 	entries, _, err := reader.List(context.Background(), store.ClassBackground, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
@@ -88,7 +88,7 @@
 			t.Fatalf("%s is not a chunk record", entry.Key)
 		}
 		for _, active := range record.Active {
-			machines[[2]int{chunk*store.ChunkTasksFor(loweredLimits.ValueKB) + active.Task, int(active.Attempt)}] = active.Machine
+			machines[[2]int{chunk*store.TasksPerChunkForLimit(loweredLimits.MaxValueKB) + active.Task, int(active.Attempt)}] = active.Machine
 		}
 	}
 	return machines
@@ -154,7 +154,7 @@
 					mustNotReassignAttempts(t, attemptsBefore, storedAttempts(t, sim, gangJob.Spec.ID))
 					time.Sleep(120 * time.Second)
 					mustBeArchived(t, sim, gangJob)
-					if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
+					if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.WaitTimeouts > 0 {
 						t.Errorf("%+v, want one start, no rollback and no timed-out wait", g)
 					}
 					mustRunAttemptsOnOneMachine(t, sim)
@@ -196,7 +196,7 @@
 		mustNotReassignAttempts(t, recordedAttempts, storedAttempts(t, sim, gangJob.Spec.ID))
 		time.Sleep(150 * time.Second)
 		mustBeArchived(t, sim, gangJob)
-		if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
+		if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.WaitTimeouts > 0 {
 			t.Errorf("%+v, want one start, no rollback and no timed-out wait", g)
 		}
 		mustRunAttemptsOnOneMachine(t, sim)
@@ -255,10 +255,10 @@
 					lowerLimits(sim)
 					awaitSuccessor(t, sim, leader)
 				case "outage":
-					sim.State.Outage(true)
+					sim.State.SetOutage(true)
 					lowerLimits(sim)
 					time.Sleep(10 * time.Second)
-					sim.State.Outage(false)
+					sim.State.SetOutage(false)
 				default:
 					lowerLimits(sim)
 				}
@@ -272,7 +272,7 @@
 				// the gang is stopped or, if the ends of all its tasks go into one write, when it
 				// starts again.
 				sim.ReclaimMachine(machineHoldingOnly(t, sim, acceptedBefore, acceptedAfter, recording))
-				eventually(t, 120*time.Second, "the oversized chunk is split", func() bool { return storedPieces(sim) > 0 })
+				eventually(t, 120*time.Second, "the oversized chunk is split", func() bool { return storedSubchunks(sim) > 0 })
 				time.Sleep(300 * time.Second)
 				mustBeArchived(t, sim, acceptedBefore, acceptedAfter, waiting, recording)
 				for _, j := range []simulator.JobScript{acceptedBefore, acceptedAfter, waiting, recording} {
@@ -280,7 +280,7 @@
 					if j.Spec.ID == acceptedBefore.Spec.ID {
 						rollbacks = 1
 					}
-					if g := sim.GangState(j.Spec.ID); g.Starts != 1+rollbacks || g.Rollbacks != rollbacks || g.Incomplete > 0 {
+					if g := sim.GangState(j.Spec.ID); g.Starts != 1+rollbacks || g.Rollbacks != rollbacks || g.WaitTimeouts > 0 {
 						t.Errorf("%s: %+v, want %d starts, one rollback less and no timed-out wait", j.Spec.ID, g, 1+rollbacks)
 					}
 				}
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -26,7 +26,7 @@
 // kept at least so many seconds of progress.
 func mustHaveSaved(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, minSeconds float64) {
 	t.Helper()
-	if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.Saved < minSeconds {
+	if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.SavedSeconds < minSeconds {
 		t.Errorf("%+v, want one save, no rollback and at least %g s of progress", g, minSeconds)
 	}
 }
@@ -44,7 +44,7 @@
 		}
 		holdCommands := func(hold bool) {
 			for i := range 3 {
-				sim.Net.Hold(simulator.NodeIP(i), sim.MachineIP(machines[1]), hold)
+				sim.Net.HoldPackets(simulator.NodeIP(i), sim.MachineIP(machines[1]), hold)
 			}
 		}
 		sim.GiveSpotNotice(machines[0], 16*time.Second)
@@ -69,7 +69,7 @@
 			t.Parallel()
 			runOnBothLayouts(t, 821, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 				gangJob := startSpotGang(t, sim, at, 30*time.Second)
-				sim.State.Outage(true)
+				sim.State.SetOutage(true)
 				time.Sleep(5 * time.Second)
 				sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], 20*time.Second)
 				time.Sleep(25 * time.Second)
@@ -78,7 +78,7 @@
 				if nextLeader == "another leader" {
 					sim.KillController(leader)
 				}
-				sim.State.Outage(false)
+				sim.State.SetOutage(false)
 				awaitGangRestart(t, sim, gangJob, 60*time.Second)
 				if nextLeader == "another leader" {
 					startControllers(t, sim, leader)
@@ -105,13 +105,13 @@
 				leader := sim.Leader()
 				sim.State.RefuseClient(simulator.NodeIP(leader), true)
 				time.Sleep(refusedFor)
-				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), true)
+				sim.Net.HoldPackets(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), true)
 				sim.GiveSpotNotice(machines[0], 12*time.Second)
 				time.Sleep(30 * time.Second)
-				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), false)
+				sim.Net.HoldPackets(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), false)
 				sim.State.RefuseClient(simulator.NodeIP(leader), false)
 				awaitGangRestart(t, sim, gangJob, 90*time.Second)
-				if g := sim.GangState(gangJob.Spec.ID); g.Saved < 20 {
+				if g := sim.GangState(gangJob.Spec.ID); g.SavedSeconds < 20 {
 					t.Errorf("%+v, want at least the progress of the checkpoint at 20 s", g)
 				}
 				t.Logf("%+v", sim.GangState(gangJob.Spec.ID))
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -18,7 +18,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
-			settings := []config.Settings{settingsOfSize(3), settingsOfSize(5), simulator.GasSettings()}[seed%3]
+			settings := []config.Settings{settingsOfSize(3), settingsOfSize(5), simulator.ThreeZoneSettings()}[seed%3]
 			runWithSettings(t, settings, 820+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 				randomSeconds, size := randomDelay(rng), settings.Size
 				var uncancelled []simulator.JobScript
@@ -49,9 +49,9 @@
 						time.Sleep(randomSeconds(5))
 						startControllers(t, sim, controller)
 					case 2:
-						sim.State.Outage(true)
+						sim.State.SetOutage(true)
 						time.Sleep(randomSeconds(20))
-						sim.State.Outage(false)
+						sim.State.SetOutage(false)
 					case 3, 4:
 						if machines := sim.MachinesHolding(job.Spec.ID); len(machines) > 0 {
 							sim.ReclaimMachine(machines[0])
@@ -64,14 +64,14 @@
 						}
 					case 6:
 						if id, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 }); ok {
-							sim.CountFault(true)
+							sim.ReportFault(true)
 							sim.HangMachines(true, id)
 							time.Sleep(randomSeconds(30))
 							sim.HangMachines(false, id)
-							sim.CountFault(false)
+							sim.ReportFault(false)
 						}
 					case 7:
-						sim.State.LoseAnswers(1)
+						sim.State.LoseResponses(1)
 					case 8:
 						zone := settings.Zones[rng.IntN(len(settings.Zones))]
 						sim.IsolateZone(zone, true)
@@ -80,9 +80,9 @@
 					case 9:
 						_, ip, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 						if controller := rng.IntN(size); ok {
-							sim.Net.Hold(simulator.NodeIP(controller), ip, true)
+							sim.Net.HoldPackets(simulator.NodeIP(controller), ip, true)
 							time.Sleep(randomSeconds(25))
-							sim.Net.Hold(simulator.NodeIP(controller), ip, false)
+							sim.Net.HoldPackets(simulator.NodeIP(controller), ip, false)
 						}
 					case 10:
 						for _, id := range sim.RunningMachines() {
@@ -96,7 +96,7 @@
 				starts, saves, rollbacks, incomplete := 0, 0, 0, 0
 				for _, job := range uncancelled {
 					g := sim.GangState(job.Spec.ID)
-					starts, saves, rollbacks, incomplete = starts+g.Starts, saves+g.Saves, rollbacks+g.Rollbacks, incomplete+g.Incomplete
+					starts, saves, rollbacks, incomplete = starts+g.Starts, saves+g.Saves, rollbacks+g.Rollbacks, incomplete+g.WaitTimeouts
 				}
 				t.Logf("%d jobs that were not cancelled: gangs started %d times, saved %d times, rolled back %d times, %d waits timed out", len(uncancelled), starts, saves, rollbacks, incomplete)
 			})
--- a/internal/scenarios/gang_start_test.go
+++ b/internal/scenarios/gang_start_test.go
@@ -60,8 +60,8 @@
 				t.Logf("gang runs after %v, %+v", time.Since(begin), sim.GangState(gangJob.Spec.ID))
 				at(160 * time.Second)
 				mustFinish(t, sim, gangJob)
-				if g := sim.GangState(gangJob.Spec.ID); g.Incomplete != 0 {
-					t.Errorf("%d waits for the other members timed out, want 0", g.Incomplete)
+				if g := sim.GangState(gangJob.Spec.ID); g.WaitTimeouts != 0 {
+					t.Errorf("%d waits for the other members timed out, want 0", g.WaitTimeouts)
 				}
 			})
 		})
@@ -88,7 +88,7 @@
 				case "restarted":
 					sim.RestartMachine(machines[0])
 				default:
-					sim.CountFault(true)
+					sim.ReportFault(true)
 					sim.HangMachines(true, machines[0])
 					duration := 11 * time.Second
 					if fault == "hangs for long" {
@@ -96,10 +96,10 @@
 					}
 					time.Sleep(duration)
 					sim.HangMachines(false, machines[0])
-					sim.CountFault(false)
+					sim.ReportFault(false)
 				}
 				awaitGangRestart(t, sim, gangJob, 100*time.Second)
-				if g := sim.GangState(gangJob.Spec.ID); g.Rollbacks != 1 || g.Saved != 20 {
+				if g := sim.GangState(gangJob.Spec.ID); g.Rollbacks != 1 || g.SavedSeconds != 20 {
 					t.Errorf("%+v, want one rollback to 20 s of progress", g)
 				}
 				time.Sleep(70 * time.Second)
@@ -170,7 +170,7 @@
 					t.Logf("%s: gang started %v after the controller, %+v", step, time.Since(restarted), sim.GangState(gangJob.Spec.ID))
 					time.Sleep(260 * time.Second)
 					mustFinish(t, sim, gangJob)
-					if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Incomplete > 0 {
+					if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.WaitTimeouts > 0 {
 						t.Errorf("%+v, want one start and no timed-out wait", g)
 					}
 				})
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -34,8 +34,8 @@
 				if machines := sim.MachinesHolding(gangJob.Spec.ID); len(machines) < 2 {
 					t.Fatalf("all tasks are on %v, want two or more machines", machines)
 				} else if variant == "leader killed at first stop" || variant == "leader killed and service cancelled" {
-					sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[1]), true)
-					defer sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[1]), false)
+					sim.Net.HoldPackets(simulator.NodeIP(leader), sim.MachineIP(machines[1]), true)
+					defer sim.Net.HoldPackets(simulator.NodeIP(leader), sim.MachineIP(machines[1]), false)
 				} else if variant != "no fault" {
 					sim.Net.SlowLink(simulator.NodeIP(leader), sim.MachineIP(machines[1]), 2500*time.Millisecond)
 				}
@@ -59,7 +59,7 @@
 					startControllers(t, sim, leader)
 				}
 				time.Sleep(30 * time.Second)
-				if state = sim.GangState(gangJob.Spec.ID); state.Saves+state.Rollbacks != 1 || state.Saved < 20 || variant != "leader killed at first stop" && (state.Rollbacks != 0 || state.Saved < 24) {
+				if state = sim.GangState(gangJob.Spec.ID); state.Saves+state.Rollbacks != 1 || state.SavedSeconds < 20 || variant != "leader killed at first stop" && (state.Rollbacks != 0 || state.SavedSeconds < 24) {
 					t.Errorf("%+v, want one stop that loses no checkpoint, and a rollback only if the leader was killed at the first stop", state)
 				}
 				t.Logf("%+v", state)
@@ -129,12 +129,12 @@
 		sim.Submit(gangJob, 0)
 		awaitGangRunning(t, sim, gangJob, 60*time.Second)
 		time.Sleep(30 * time.Second)
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		time.Sleep(5 * time.Second)
 		sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], 20*time.Second)
 		time.Sleep(25 * time.Second)
 		t.Logf("during the outage %+v", sim.GangState(gangJob.Spec.ID))
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		awaitGangRestart(t, sim, gangJob, 60*time.Second)
 		time.Sleep(90 * time.Second)
 		mustFinish(t, sim, gangJob)
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -29,7 +29,7 @@
 func mustRun(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, when string) {
 	t.Helper()
 	sim.WithChecker(func(c *simulator.Checker) {
-		if n := c.OnMachines(j.Spec.ID); n != j.Spec.Tasks {
+		if n := c.TasksOnMachines(j.Spec.ID); n != j.Spec.Tasks {
 			t.Errorf("%s: %d of %d replicas on machines %s, want all", j.Spec.ID, n, j.Spec.Tasks, when)
 		}
 	})
@@ -37,12 +37,12 @@
 
 // tasksOnMachines counts the tasks of a job that are on machines.
 func tasksOnMachines(sim *simulator.Simulation, id wire.JobID) (n int) {
-	sim.WithChecker(func(c *simulator.Checker) { n = c.OnMachines(id) })
+	sim.WithChecker(func(c *simulator.Checker) { n = c.TasksOnMachines(id) })
 	return n
 }
 
-// mustBeGone checks that no task of a cancelled job is on a machine.
-func mustBeGone(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, when string) {
+// mustHaveNoTasks checks that no task of a cancelled job is on a machine.
+func mustHaveNoTasks(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, when string) {
 	t.Helper()
 	if n := tasksOnMachines(sim, j.Spec.ID); n != 0 {
 		t.Errorf("%d tasks of the cancelled %s on machines %s, want 0", n, j.Spec.ID, when)
@@ -121,8 +121,8 @@
 	t.Helper()
 	v, ok := adminView(sim, sim.Leader())
 	unknown := func(m leader.MachineView) bool { return m.Zone == "" && m.Tasks > 0 }
-	if !ok || v.Term == nil || !slices.ContainsFunc(v.Term.Machines, unknown) {
-		t.Errorf("no task is on a machine of unknown zone: %+v", v.Term)
+	if !ok || v.Cluster == nil || !slices.ContainsFunc(v.Cluster.Machines, unknown) {
+		t.Errorf("no task is on a machine of unknown zone: %+v", v.Cluster)
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	waits := map[wire.JobID]wait{}
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
-		withRoom := sim.JobsWithRoom()
+		withRoom := sim.JobsWithCapacity()
 		for id, current := range waits {
 			if withRoom[id] != current.tasks {
 				delete(waits, id)
@@ -166,7 +166,7 @@
 	time.Sleep(time.Until(faultsOver.Add(90 * time.Second)))
 	sim.WithChecker(func(c *simulator.Checker) {
 		for _, id := range c.AcceptedAndNotCancelled() {
-			if !c.Complete(id) && c.OnMachines(id) == 0 {
+			if !c.Complete(id) && c.TasksOnMachines(id) == 0 {
 				t.Errorf("%s neither runs nor is complete 90 s after the end of all faults", id)
 			}
 		}
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -19,7 +19,7 @@
 
 // newDeployedController makes a real controller for a simulated deployment, with the features
 // that deploy/features.toml turns on, and returns its run function.
-func newDeployedController(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
+func newDeployedController(cfg *config.Config, network netio.Network) (func(context.Context) error, error) {
 	deployed, err := lilaclead.LoadFeatures("../../deploy/features.toml")
 	if err != nil {
 		return nil, err
@@ -29,14 +29,14 @@
 
 // newControllerWith returns a function that makes controllers with the given features.
 func newControllerWith(features lilaclead.Features) simulator.StartFunc {
-	return func(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
+	return func(cfg *config.Config, network netio.Network) (func(context.Context) error, error) {
 		return newController(cfg, network, lilaclead.Options{Features: features})
 	}
 }
 
 // newController makes a controller on the simulated network and returns its run function. With
 // SCENARIO_LOG set, the controller's log goes to standard error.
-func newController(cfg *config.Config, network netio.Net, options lilaclead.Options) (func(context.Context) error, error) {
+func newController(cfg *config.Config, network netio.Network, options lilaclead.Options) (func(context.Context) error, error) {
 	options.Net, options.Log = network, io.Discard
 	if os.Getenv("SCENARIO_LOG") != "" {
 		options.Log = os.Stderr
@@ -90,7 +90,7 @@
 // runOnUnevenLayout is runScenario with three zones, of which only two have controllers.
 func runOnUnevenLayout(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
 	t.Helper()
-	runWithControllersIn(t, simulator.GasSettings(), unevenZones, seed, script)
+	runWithControllersIn(t, simulator.ThreeZoneSettings(), unevenZones, seed, script)
 }
 
 // runWithControllersIn is runWithSettings with controllers in the given zones only.
@@ -122,10 +122,10 @@
 			}
 		}
 		script(sim, func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) })
-		sim.AskAllAboutAll()
+		sim.PollAllJobs()
 		sim.WithChecker(func(c *simulator.Checker) {
 			c.Finish(time.Now())
-			if lateStarts, latePolls := c.LateStarts(), c.LateDone(); lateStarts+latePolls > 0 {
+			if lateStarts, latePolls := c.LateStarts(), c.LatePolls(); lateStarts+latePolls > 0 {
 				t.Logf("%d tasks started after a confirmed cancellation, %d polls didn't show the job's end in time", lateStarts, latePolls)
 			}
 			for _, v := range c.Violations {
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -21,22 +21,22 @@
 // wasExecuted reports whether the transaction was executed, not refused or still on its way.
 func wasExecuted(f *simulator.TxnOutcome) bool { return f.Status == http.StatusOK }
 
-// wasExecutedValue is wasExecuted for a transaction passed by value.
-func wasExecutedValue(f simulator.TxnOutcome) bool { return wasExecuted(&f) }
+// outcomeExecuted is wasExecuted for a transaction passed by value.
+func outcomeExecuted(f simulator.TxnOutcome) bool { return wasExecuted(&f) }
 
 // failedAfterNewer reports whether the transaction arrived after newer ones of the same client
 // were executed, and failed.
 func failedAfterNewer(f *simulator.TxnOutcome) bool {
-	return f.Late && f.Newer > 0 && f.Status != 0 && f.Status != http.StatusOK
+	return f.Late && f.NewerExecuted > 0 && f.Status != 0 && f.Status != http.StatusOK
 }
 
-// mustBeExecutedLate checks that at least one of the transactions was executed or refused late:
+// mustHaveLateTransaction checks that at least one of the transactions was executed or refused late:
 // after newer ones of the same client were executed, and after all the given times. It fails if
 // one of these times is zero.
-func mustBeExecutedLate(t *testing.T, what string, transactions []simulator.TxnOutcome, after ...time.Time) {
+func mustHaveLateTransaction(t *testing.T, what string, transactions []simulator.TxnOutcome, after ...time.Time) {
 	t.Helper()
 	for _, f := range transactions {
-		if f.Newer > 0 && !slices.ContainsFunc(after, func(x time.Time) bool { return x.IsZero() || !f.Done.After(x) }) {
+		if f.NewerExecuted > 0 && !slices.ContainsFunc(after, func(x time.Time) bool { return x.IsZero() || !f.ExecutedAt.After(x) }) {
 			return
 		}
 	}
@@ -47,7 +47,7 @@
 // and failed because of a guard on a key with the prefix.
 func refusedByGuardOn(prefix string) func(*simulator.TxnOutcome) bool {
 	return func(f *simulator.TxnOutcome) bool {
-		return failedAfterNewer(f) && slices.ContainsFunc(f.Failed, func(k string) bool { return strings.HasPrefix(k, prefix) })
+		return failedAfterNewer(f) && slices.ContainsFunc(f.FailedKeys, func(k string) bool { return strings.HasPrefix(k, prefix) })
 	}
 }
 
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -183,7 +183,7 @@
 type statusUpdate struct {
 	at   time.Time
 	node int
-	told simulator.Told
+	told simulator.KnownStatus
 }
 
 // statusReader polls the controllers in turn about one job, one poll at a time. An answer must
@@ -216,10 +216,10 @@
 
 // readUntilStopped polls one controller after the other until stopReading.
 func (r *statusReader) readUntilStopped() {
-	known := simulator.ToldNothing
+	known := simulator.KnownStatusNone
 	for i := 0; ; i++ {
 		interval := readInterval
-		if known == simulator.ToldFinal {
+		if known == simulator.KnownStatusFinal {
 			interval = finalReadInterval
 		}
 		select {
@@ -235,14 +235,14 @@
 
 // readFrom polls one controller and checks its answer against known and against all that users
 // were told before the poll. It returns how much users know afterwards.
-func (r *statusReader) readFrom(node int, known simulator.Told) simulator.Told {
-	r.sim.WithChecker(func(c *simulator.Checker) { known = max(known, c.ToldSoFar(r.id)) })
+func (r *statusReader) readFrom(node int, known simulator.KnownStatus) simulator.KnownStatus {
+	r.sim.WithChecker(func(c *simulator.Checker) { known = max(known, c.KnownStatus(r.id)) })
 	status, raw, _ := r.sim.Ask(node, "GET", "/v1/jobs/"+string(r.id), nil)
 	var state wire.JobState
 	if status == http.StatusOK && wire.Decode(raw, &state) != nil {
 		return known
 	}
-	told, answered := simulator.ToldOf(status, state.Status)
+	told, answered := simulator.KnownStatusOf(status, state.Status)
 	if !answered {
 		return known // without an answer there is nothing to compare
 	}
@@ -254,7 +254,7 @@
 			known = max(known, told)
 			r.updates = append(r.updates, statusUpdate{time.Now(), node, told})
 		}
-		if told >= c.ToldSoFar(r.id) {
+		if told >= c.KnownStatus(r.id) {
 			c.PollAnsweredNow(r.id, status, state.Status, time.Now())
 		}
 	})
@@ -268,7 +268,7 @@
 }
 
 // firstSeen returns when an answer first told users at least this much; zero: never.
-func (r *statusReader) firstSeen(told simulator.Told) (at time.Time) {
+func (r *statusReader) firstSeen(told simulator.KnownStatus) (at time.Time) {
 	r.sim.WithChecker(func(*simulator.Checker) {
 		if i := slices.IndexFunc(r.updates, func(u statusUpdate) bool { return u.told >= told }); i >= 0 {
 			at = r.updates[i].at
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -50,13 +50,13 @@
 func newSignal() *signal { return &signal{done: make(chan struct{})} }
 
 // give signals the event and reports whether this call was the first to do so.
-func (s *signal) give() (first bool) {
+func (s *signal) fire() (first bool) {
 	s.once.Do(func() { close(s.done); first = true })
 	return first
 }
 
 // await waits for the event and reports whether it happened before the timeout.
-func (s *signal) await(timeout time.Duration) bool {
+func (s *signal) wait(timeout time.Duration) bool {
 	select {
 	case <-s.done:
 		return true
@@ -159,12 +159,12 @@
 // hasRecovered reports whether a controller leads and has read the stored jobs.
 func hasRecovered(sim *simulator.Simulation, node int) bool {
 	view, ok := adminView(sim, node)
-	return ok && view.Term != nil && len(view.Term.Jobs) > 0
+	return ok && view.Cluster != nil && len(view.Cluster.Jobs) > 0
 }
 
-// saysItLeads reports whether a controller considers itself the leader, according to its admin
+// considersItselfLeader reports whether a controller considers itself the leader, according to its admin
 // view.
-func saysItLeads(t *testing.T, sim *simulator.Simulation, node int) bool {
+func considersItselfLeader(t *testing.T, sim *simulator.Simulation, node int) bool {
 	t.Helper()
 	view, ok := adminView(sim, node)
 	if !ok {
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -23,12 +23,12 @@
 			blockedMachines = append(blockedMachines, ip)
 		}
 		for _, ip := range blockedMachines {
-			sim.Net.Hold(simulator.NodeIP(leader), ip, true)
+			sim.Net.HoldPackets(simulator.NodeIP(leader), ip, true)
 		}
 		sim.Submit(cancelledJob, 12*time.Second)
 		at(150 * time.Second)
 		for _, ip := range blockedMachines {
-			sim.Net.Hold(simulator.NodeIP(leader), ip, false)
+			sim.Net.HoldPackets(simulator.NodeIP(leader), ip, false)
 		}
 		at(200 * time.Second)
 	})
@@ -97,12 +97,12 @@
 						}
 						time.Sleep(8 * time.Second)
 					}
-					mustBeGone(t, sim, cancelledRunning, "after the cancellation")
-					mustBeGone(t, sim, cancelledStarting, "after the cancellation")
+					mustHaveNoTasks(t, sim, cancelledRunning, "after the cancellation")
+					mustHaveNoTasks(t, sim, cancelledStarting, "after the cancellation")
 					sim.DelayCommands(simulator.CommandDelay{})
 					for verb, want := range map[wire.Verb]bool{
 						wire.VerbLaunch: tc.machinesHang || tc.delay.Command > 0, wire.VerbStop: tc.machinesHang || tc.delay.Command == 2*time.Second,
-						simulator.Answered: tc.delay.Answer > 0, wire.VerbForget: tc.delay.HeartbeatResponse > 0 && tc.delay.Answer == 0,
+						simulator.LateAnswer: tc.delay.Answer > 0, wire.VerbForget: tc.delay.HeartbeatResponse > 0 && tc.delay.Answer == 0,
 					} {
 						if want && sim.LateCommands(verb) == 0 {
 							t.Errorf("no late command was counted as %s", verb)
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -88,7 +88,7 @@
 				mustCancel(t, sim, cancelledJob)
 				sim.Submit(newJob, 0)
 				time.Sleep(4 * time.Second)
-				mustBeGone(t, sim, cancelledJob, "while heartbeats are delayed")
+				mustHaveNoTasks(t, sim, cancelledJob, "while heartbeats are delayed")
 				if !beforeNext {
 					for _, id := range machines {
 						sim.DropHeartbeats(id, false)
@@ -120,7 +120,7 @@
 				markFaultsOver(sim)
 				at(200 * time.Second)
 				mustFinish(t, sim, arrayJob, newJob)
-				mustBeGone(t, sim, cancelledJob, "at the end")
+				mustHaveNoTasks(t, sim, cancelledJob, "at the end")
 			})
 		})
 	}
@@ -197,7 +197,7 @@
 		startControllers(t, sim, leader)
 		deliverOld()
 		time.Sleep(5 * time.Second)
-		mustBeGone(t, sim, cancelledJob, "after old heartbeats that list it")
+		mustHaveNoTasks(t, sim, cancelledJob, "after old heartbeats that list it")
 		deliverOld()
 		if fromEarlierEpoch == 0 {
 			t.Error("no heartbeat of an earlier agent epoch arrived after newer ones")
@@ -290,7 +290,7 @@
 					sim.DeliverHeartbeats(oldHeartbeats...)
 					time.Sleep(5 * time.Second)
 					startControllers(t, sim, leader)
-					mustBeGone(t, sim, cancelledJob, "some seconds after the election")
+					mustHaveNoTasks(t, sim, cancelledJob, "some seconds after the election")
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.Restarts() != 0 {
 							t.Errorf("%d tasks were started again, want 0", c.Restarts())
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -19,7 +19,7 @@
 func TestUserWritesExecutedLate(t *testing.T) {
 	t.Parallel()
 	delayWrite := func(sim *simulator.Simulation, node int, from, to time.Duration) {
-		sim.State.InjectTxnFaults(1, simulator.TxnFault{Prefix: store.JobPrefix, Hosts: []string{simulator.NodeIP(node)}, Most: 1, Late: [2]time.Duration{from, to}})
+		sim.State.InjectTxnFaults(1, simulator.TxnFault{Prefix: store.JobPrefix, Hosts: []string{simulator.NodeIP(node)}, MaxCount: 1, Delay: [2]time.Duration{from, to}})
 	}
 	delayNextWrite := func(sim *simulator.Simulation, node int) { delayWrite(sim, node, 10*time.Second, 12*time.Second) }
 	// Under some schedules the job ends as late as eleven seconds after its submission.
@@ -77,35 +77,35 @@
 				at(55 * time.Second)
 				endFaultsAndWait(sim, 75*time.Second) // by then no task of a cancelled job may remain
 				reader.stopReading()
-				finalSeen := reader.firstSeen(simulator.ToldFinal)
+				finalSeen := reader.firstSeen(simulator.KnownStatusFinal)
 				lateWrites := faultedTransactions(sim, store.JobPrefix+string(job.Spec.ID), func(f *simulator.TxnOutcome) bool { return f.Late })
-				if len(lateWrites) != 1 || lateWrites[0].Done.IsZero() {
+				if len(lateWrites) != 1 || lateWrites[0].ExecutedAt.IsZero() {
 					t.Fatalf("late writes %+v, want one, executed or refused", lateWrites)
 				}
 				switch caseNumber {
 				case 0:
 					mustFinish(t, sim, job)
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), finalSeen)
+					mustHaveLateTransaction(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn("past/")), finalSeen)
 				case 1, 4:
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), finalSeen, otherAnsweredAt)
+					mustHaveLateTransaction(t, kind, faultedTransactions(sim, store.JobPrefix, failedAfterNewer), finalSeen, otherAnsweredAt)
 				case 2:
 					mustFinish(t, sim, job)
-					if lateWrites[0].Status != http.StatusOK || !reader.firstSeen(simulator.ToldAccepted).After(lateWrites[0].Done) || lateWrites[0].Done.Sub(lateWrites[0].Sent) < 10*time.Second {
-						t.Errorf("late write %+v, acceptance first seen at %v, want it executed 10 s late and seen after that", lateWrites[0], reader.firstSeen(simulator.ToldAccepted))
+					if lateWrites[0].Status != http.StatusOK || !reader.firstSeen(simulator.KnownStatusAccepted).After(lateWrites[0].ExecutedAt) || lateWrites[0].ExecutedAt.Sub(lateWrites[0].Sent) < 10*time.Second {
+						t.Errorf("late write %+v, acceptance first seen at %v, want it executed 10 s late and seen after that", lateWrites[0], reader.firstSeen(simulator.KnownStatusAccepted))
 					}
 				case 3:
 					mustFinish(t, sim, job)
-					mustBeExecutedLate(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), finalSeen)
+					mustHaveLateTransaction(t, kind, faultedTransactions(sim, store.JobPrefix, refusedByGuardOn(store.JobPrefix)), finalSeen)
 					if toldAt, _, toldStatus := requestUntilAnswered(t, sim, job, true, firstNode); toldAt.IsZero() || toldStatus != wire.StatusDone {
 						t.Errorf("a job that was done has the status %s, want done", toldStatus)
 					}
 				case 5:
-					if lateWrites[0].Status != http.StatusOK || !finalSeen.After(lateWrites[0].Done) {
+					if lateWrites[0].Status != http.StatusOK || !finalSeen.After(lateWrites[0].ExecutedAt) {
 						t.Errorf("late write %+v, final status first seen at %v, want it executed and seen after that", lateWrites[0], finalSeen)
 					}
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(job.Spec.ID); n != 0 {
+					if n := c.TasksOnMachines(job.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of a job that has ended on machines, want 0", n)
 					}
 				})
@@ -151,9 +151,9 @@
 				if !tc.leaderKilled {
 					maxFaults = 3
 				}
-				faults := []simulator.TxnFault{{Prefix: tc.prefix, Hosts: []string{simulator.NodeIP(leader)}, Most: maxFaults, Late: tc.delay, Hang: tc.leaderKilled}}
+				faults := []simulator.TxnFault{{Prefix: tc.prefix, Hosts: []string{simulator.NodeIP(leader)}, MaxCount: maxFaults, Delay: tc.delay, Hang: tc.leaderKilled}}
 				if tc.leaderKeyLate {
-					faults = append(faults, simulator.TxnFault{Prefix: store.LeaderKey, Hosts: []string{simulator.NodeIP(leader)}, Most: 2, Late: tc.delay})
+					faults = append(faults, simulator.TxnFault{Prefix: store.LeaderKey, Hosts: []string{simulator.NodeIP(leader)}, MaxCount: 2, Delay: tc.delay})
 				}
 				sim.State.InjectTxnFaults(uint64(caseNumber), faults...)
 				sim.RegisterJob(job)
@@ -183,28 +183,28 @@
 				reader.stopReading()
 				mustFinish(t, sim, job, nextJob)
 				mustRun(t, sim, serviceJob, "afterwards")
-				if reader.firstSeen(simulator.ToldFinal).IsZero() {
+				if reader.firstSeen(simulator.KnownStatusFinal).IsZero() {
 					t.Errorf("nobody was told that the job is done")
 				}
-				lateWrites := faultedTransactions(sim, tc.prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
+				lateWrites := faultedTransactions(sim, tc.prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.ExecutedAt.IsZero() })
 				switch {
 				case len(lateWrites) == 0:
 					t.Fatal("no write was executed late")
 				case tc.leaderKilled && tc.delay == shortDelay:
 					// Executed between the leader's end and the next election. The next leader learns
 					// from the write what no user was told.
-					if f := lateWrites[0]; f.Status != http.StatusOK || !f.Done.After(killedAt) || !f.Done.Before(nextElectedAt) {
+					if f := lateWrites[0]; f.Status != http.StatusOK || !f.ExecutedAt.After(killedAt) || !f.ExecutedAt.Before(nextElectedAt) {
 						t.Errorf("leader killed at %v, next one elected at %v: late write %+v, want it executed in between", killedAt, nextElectedAt, f)
 					}
 				case tc.leaderKilled:
-					if f := lateWrites[0]; f.Status == http.StatusOK || !f.Done.After(nextElectedAt) || nextElectedAt.IsZero() {
+					if f := lateWrites[0]; f.Status == http.StatusOK || !f.ExecutedAt.After(nextElectedAt) || nextElectedAt.IsZero() {
 						t.Errorf("leader killed at %v, next one elected at %v: late write %+v, want it refused after the election", killedAt, nextElectedAt, f)
 					}
 				default:
-					mustBeExecutedLate(t, tc.name, faultedTransactions(sim, tc.prefix, refusedByGuardOn(store.LeaderKey)))
+					mustHaveLateTransaction(t, tc.name, faultedTransactions(sim, tc.prefix, refusedByGuardOn(store.LeaderKey)))
 				}
 				if tc.leaderKeyLate {
-					mustBeExecutedLate(t, "the new token", faultedTransactions(sim, store.LeaderKey, refusedByGuardOn(store.LeaderKey)))
+					mustHaveLateTransaction(t, "the new token", faultedTransactions(sim, store.LeaderKey, refusedByGuardOn(store.LeaderKey)))
 				}
 			})
 		})
@@ -228,7 +228,7 @@
 					if leader < 0 {
 						t.Fatal("nobody leads")
 					}
-					sim.State.InjectTxnFaults(uint64(10*caseNumber+round), simulator.TxnFault{Prefix: store.LeaderKey, Most: maxFaults, Late: [2]time.Duration{2 * time.Second, 12 * time.Second}})
+					sim.State.InjectTxnFaults(uint64(10*caseNumber+round), simulator.TxnFault{Prefix: store.LeaderKey, MaxCount: maxFaults, Delay: [2]time.Duration{2 * time.Second, 12 * time.Second}})
 					sim.KillController(leader)
 					time.Sleep(20 * time.Second)
 					startControllers(t, sim, leader)
@@ -238,9 +238,9 @@
 				endFaultsAndWait(sim, 45*time.Second)
 				mustFinish(t, sim, arrayJob, array(3, 4, 5))
 				mustRun(t, sim, serviceJob, "afterwards")
-				lateWrites := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })
+				lateWrites := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.ExecutedAt.IsZero() })
 				rejected := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Status == http.StatusBadRequest })
-				if len(lateWrites) < 2*maxFaults || len(rejected) == 0 || slices.ContainsFunc(lateWrites, wasExecutedValue) {
+				if len(lateWrites) < 2*maxFaults || len(rejected) == 0 || slices.ContainsFunc(lateWrites, outcomeExecuted) {
 					t.Errorf("%d late writes of the leader's key, %d rejected for their grant, want enough of both and none executed: %+v", len(lateWrites), len(rejected), lateWrites)
 				}
 			})
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -33,8 +33,8 @@
 			time.Sleep(6 * time.Second)
 		}
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(serviceJob.Spec.ID) != 3 {
-				t.Errorf("service has %d of 3 replicas", c.OnMachines(serviceJob.Spec.ID))
+			if c.TasksOnMachines(serviceJob.Spec.ID) != 3 {
+				t.Errorf("service has %d of 3 replicas", c.TasksOnMachines(serviceJob.Spec.ID))
 			}
 		})
 		mustRestartNoTask(t, sim)
@@ -92,14 +92,14 @@
 				time.Sleep(2 * time.Second)
 				continue
 			}
-			sim.State.Outage(true)
+			sim.State.SetOutage(true)
 			time.Sleep(1500 * time.Millisecond)
 			if sim.Leader() == leader && sim.State.InOutage() {
 				inOutage++
 			}
 			sim.KillController(leader)
 			time.Sleep(2 * time.Second)
-			sim.State.Outage(false)
+			sim.State.SetOutage(false)
 			cancelAtController(t, sim, (leader+1)%3, cancelledJob)
 			awaitOtherLeader(t, sim, leader, 8*time.Second)
 			startControllers(t, sim, leader)
@@ -205,10 +205,10 @@
 					case "lost":
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					case "late":
-						fault.Late = [2]time.Duration{2 * time.Second, 12 * time.Second}
+						fault.Delay = [2]time.Duration{2 * time.Second, 12 * time.Second}
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					case "late, soon":
-						fault.Late = [2]time.Duration{time.Second, 2 * time.Second}
+						fault.Delay = [2]time.Duration{time.Second, 2 * time.Second}
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					}
 					outcomesBefore := len(sim.State.TxnOutcomes())
@@ -305,7 +305,7 @@
 		submitThree()
 		at(35 * time.Second)
 		// The leader changes while the cloud is unavailable.
-		sim.CloudOutage(true)
+		sim.SetCloudOutage(true)
 		submitThree()
 		leader := sim.Leader()
 		sim.IsolateController(leader, simulator.CutRefused, true)
@@ -313,7 +313,7 @@
 		submitThree()
 		time.Sleep(10 * time.Second)
 		sim.IsolateController(leader, simulator.CutRefused, false)
-		sim.CloudOutage(false)
+		sim.SetCloudOutage(false)
 		// A zone is cut off, and all controllers outside it are down for longer than a lease.
 		time.Sleep(10 * time.Second)
 		submitThree()
@@ -330,12 +330,12 @@
 		time.Sleep(10 * time.Second)
 		// All controllers are killed in an outage, and restart one after the other.
 		submitThree()
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		time.Sleep(3 * time.Second)
 		killAll(sim)
 		time.Sleep(time.Second)
 		startControllers(t, sim, 1)
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		submitThree()
 		time.Sleep(5 * time.Second)
 		startControllers(t, sim, 0, 2)
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -83,16 +83,16 @@
 		if sim.Leader() != leader {
 			t.Error("the leader changed")
 		}
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		at(95 * time.Second)
 		mustRun(t, sim, serviceJob, "25 s after the outage of the key-value store began")
 		at(112 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n := c.OnMachines(serviceJob.Spec.ID); n != 0 {
+			if n := c.TasksOnMachines(serviceJob.Spec.ID); n != 0 {
 				t.Errorf("%d replicas outlive their leases without a majority, want 0", n)
 			}
 		})
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		at(180 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
@@ -177,7 +177,7 @@
 							}
 						}
 					}
-					sim.CloudOutage(onlyOldLeader)
+					sim.SetCloudOutage(onlyOldLeader)
 					cutAt := time.Now()
 					partition(true)
 					newLeader := awaitOtherLeader(t, sim, oldLeader, 10*time.Second)
@@ -187,13 +187,13 @@
 						t.Errorf("cancelled %v after the cut, want at most 8s", confirmedAt.Sub(cutAt))
 					}
 					sim.WithChecker(func(c *simulator.Checker) {
-						if !onlyOldLeader && c.OnMachines(cancelledLater.Spec.ID) == 0 || onlyOldLeader && c.OnMachines(cancelledSoon.Spec.ID) == 0 {
+						if !onlyOldLeader && c.TasksOnMachines(cancelledLater.Spec.ID) == 0 || onlyOldLeader && c.TasksOnMachines(cancelledSoon.Spec.ID) == 0 {
 							t.Error("no task of the jobs to cancel runs when they are cancelled")
 						}
 					})
 					time.Sleep(4 * time.Second)
 					cancelAtController(t, sim, newLeader, cancelledLater)
-					if saysItLeads(t, sim, oldLeader) {
+					if considersItselfLeader(t, sim, oldLeader) {
 						t.Errorf("the old leader still says that it leads %v after the cut", time.Since(cutAt))
 					}
 					if status, _, _ := sim.Ask(oldLeader, "GET", "/ready", nil); status != 503 {
@@ -210,13 +210,13 @@
 					time.Sleep(45 * time.Second)
 					if onlyOldLeader {
 						sim.WithChecker(func(c *simulator.Checker) {
-							if n := c.OnMachines(cancelledSoon.Spec.ID) + c.OnMachines(cancelledLater.Spec.ID); n != 0 {
+							if n := c.TasksOnMachines(cancelledSoon.Spec.ID) + c.TasksOnMachines(cancelledLater.Spec.ID); n != 0 {
 								t.Errorf("%d tasks of cancelled jobs on machines that reach only the old leader, want 0", n)
 							}
 						})
 					}
 					partition(false)
-					sim.CloudOutage(false)
+					sim.SetCloudOutage(false)
 					time.Sleep(5 * time.Second)
 					if polls.answered() == answeredBefore {
 						t.Error("the old leader has answered no poll after the cut")
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -46,10 +46,10 @@
 		}, 57 * time.Second, false},
 		// The packets between the leader and the key-value store are held up, and arrive late.
 		{"requests held up", func(sim *simulator.Simulation, leader int, on bool) {
-			sim.Net.Hold(simulator.NodeIP(leader), "10.2.0.1", on)
+			sim.Net.HoldPackets(simulator.NodeIP(leader), "10.2.0.1", on)
 		}, nil, 57 * time.Second, true},
 		{"responses held up", func(sim *simulator.Simulation, leader int, on bool) {
-			sim.Net.Hold("10.2.0.1", simulator.NodeIP(leader), on)
+			sim.Net.HoldPackets("10.2.0.1", simulator.NodeIP(leader), on)
 		}, nil, 57 * time.Second, true},
 		{"requests and responses held up", func(sim *simulator.Simulation, leader int, on bool) {
 			sim.Net.Cut(simulator.NodeIP(leader), "10.2.0.1", on)
@@ -88,7 +88,7 @@
 					}
 				}
 				time.Sleep(200 * time.Millisecond)
-				sim.State.Outage(true)
+				sim.State.SetOutage(true)
 				if sim.Leader() != leader {
 					t.Fatal("another controller leads before the outage")
 				}
@@ -106,7 +106,7 @@
 					t.Errorf("%d tasks on machines of jobs whose cancellation the other controllers could send to the leader, want 0", n)
 				}
 				time.Sleep(time.Second)
-				sim.State.Outage(false)
+				sim.State.SetOutage(false)
 				sim.Net.Isolate(simulator.NodeIP(confirmer), false)
 				startControllers(t, sim, confirmer)
 				markFaultsOver(sim)
@@ -144,28 +144,28 @@
 							case "no inbound":
 								sim.Net.BlockInbound(ip, on)
 							case "no commands":
-								sim.Net.Hold(simulator.NodeIP(leader), ip, on)
+								sim.Net.HoldPackets(simulator.NodeIP(leader), ip, on)
 							case "answers held":
 								for i := range 5 {
-									sim.Net.Hold(ip, simulator.NodeIP(i), on)
+									sim.Net.HoldPackets(ip, simulator.NodeIP(i), on)
 								}
 							}
 						}
 					}
 					setFault(true)
-					sim.CloudOutage(!cloudAvailable)
+					sim.SetCloudOutage(!cloudAvailable)
 					sim.State.RefuseClient(simulator.NodeIP(leader), true)
 					if !cancelOnceAt(sim, (leader+1)%5, cancelledJob.Spec.ID) {
 						t.Fatal("the job was not cancelled while the leader was refused")
 					}
-					sim.State.Outage(true)
+					sim.State.SetOutage(true)
 					time.Sleep(14 * time.Second)
 					sim.State.RefuseClient(simulator.NodeIP(leader), false)
 					time.Sleep(43 * time.Second)
-					sim.State.Outage(false)
+					sim.State.SetOutage(false)
 					time.Sleep(20 * time.Second)
 					setFault(false)
-					sim.CloudOutage(false)
+					sim.SetCloudOutage(false)
 					markFaultsOver(sim)
 					time.Sleep(90 * time.Second)
 					if tasksOnMachines(sim, keptService.Spec.ID) != 3 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 0 {
@@ -222,7 +222,7 @@
 					}
 				}
 				cancel(first)
-				for begin := time.Now(); reader.firstSeen(simulator.ToldFinal).IsZero() && time.Since(begin) < 10*time.Second; {
+				for begin := time.Now(); reader.firstSeen(simulator.KnownStatusFinal).IsZero() && time.Since(begin) < 10*time.Second; {
 					time.Sleep(50 * time.Millisecond)
 				}
 				var refusedAt, outageAt time.Time
@@ -245,14 +245,14 @@
 				} else if sim.Leader() != leader {
 					t.Error("another node leads before the outage")
 				}
-				sim.State.Outage(true)
+				sim.State.SetOutage(true)
 				outageAt = time.Now()
 				time.Sleep(65 * time.Second)
-				sim.State.Outage(false)
+				sim.State.SetOutage(false)
 				sim.State.RefuseClient(simulator.NodeIP(leader), false)
 				sim.State.DelayAnswers("", 0)
-				if len(confirmedAt) != 2 || reader.firstSeen(simulator.ToldFinal).IsZero() || reader.firstSeen(simulator.ToldFinal).After(outageAt) || confirmedAt[1].After(outageAt) || (kind != "cancelled while slow") != confirmedAt[1].After(refusedAt) {
-					t.Errorf("cancellations confirmed at %v, the first one seen in a poll at %v, leader refused at %v, outage began at %v: want two, in the right order", confirmedAt, reader.firstSeen(simulator.ToldFinal), refusedAt, outageAt)
+				if len(confirmedAt) != 2 || reader.firstSeen(simulator.KnownStatusFinal).IsZero() || reader.firstSeen(simulator.KnownStatusFinal).After(outageAt) || confirmedAt[1].After(outageAt) || (kind != "cancelled while slow") != confirmedAt[1].After(refusedAt) {
+					t.Errorf("cancellations confirmed at %v, the first one seen in a poll at %v, leader refused at %v, outage began at %v: want two, in the right order", confirmedAt, reader.firstSeen(simulator.KnownStatusFinal), refusedAt, outageAt)
 				}
 				endFaultsAndWait(sim, 15*time.Second)
 				nextJob := array(5, 4, 10)
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -14,13 +14,13 @@
 )
 
 // loweredLimits are the announced limits of the key-value store.
-var loweredLimits = config.NextStoreLimits{RPS: 200, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
+var loweredLimits = config.NextStoreLimits{RPS: 200, WriteRPS: 25, MaxValueKB: 2, MaxTxnWrites: 4}
 
 // settingsBeforeLowering are settings with the larger limits, and with room for many small tasks.
 func settingsBeforeLowering() config.Settings {
 	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 400, MaxCPUs: 400}, {Name: "blue", GuaranteedCPUs: 16}}
-	s.State = config.StoreLimits{RPS: 200, WriteRPS: 60, ValueKB: 32, TxnOps: 12}
+	s.State = config.StoreLimits{RPS: 200, WriteRPS: 60, MaxValueKB: 32, MaxTxnWrites: 12}
 	return s
 }
 
@@ -40,7 +40,7 @@
 }
 
 func lowerLimits(sim *simulator.Simulation) {
-	sim.State.LowerLimits(int(loweredLimits.ValueKB), loweredLimits.TxnOps, loweredLimits.RPS, loweredLimits.WriteRPS)
+	sim.State.LowerLimits(int(loweredLimits.MaxValueKB), loweredLimits.MaxTxnWrites, loweredLimits.RPS, loweredLimits.WriteRPS)
 }
 
 // mustExceedLoweredLimits checks that the progress of each job is stored in values larger than the
@@ -48,14 +48,14 @@
 func mustExceedLoweredLimits(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	for _, j := range jobs {
-		if bytes := sim.State.LargestValue(store.ProgressPrefix + string(j.Spec.ID) + "/"); bytes <= int(loweredLimits.ValueKB*1024) {
+		if bytes := sim.State.LargestValue(store.ProgressPrefix + string(j.Spec.ID) + "/"); bytes <= int(loweredLimits.MaxValueKB*1024) {
 			t.Errorf("the largest record of %s has %d bytes, want more than the lowered limit", j.Spec.ID, bytes)
 		}
 	}
 }
 
-// storedPieces counts the sub-chunks that are stored.
-func storedPieces(sim *simulator.Simulation) int {
+// storedSubchunks counts the sub-chunks that are stored.
+func storedSubchunks(sim *simulator.Simulation) int {
 	n := 0
 	for _, k := range sim.State.Keys(store.ProgressPrefix) {
 		if strings.Count(k, "/") == 3 {
@@ -91,11 +91,11 @@
 	kinds := map[string]func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)){
 		"quiet": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) { lowerLimits(sim) },
 		"outage": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-			sim.State.Outage(true)
+			sim.State.SetOutage(true)
 			time.Sleep(5 * time.Second)
 			lowerLimits(sim)
 			time.Sleep(15 * time.Second)
-			sim.State.Outage(false)
+			sim.State.SetOutage(false)
 		},
 		"change of leader": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 			l := sim.Leader()
@@ -127,11 +127,11 @@
 		},
 		"changes of leader afterwards": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
 			lowerLimits(sim)
-			for begin := time.Now(); storedPieces(sim) == 0 && time.Since(begin) < time.Minute; {
+			for begin := time.Now(); storedSubchunks(sim) == 0 && time.Since(begin) < time.Minute; {
 				time.Sleep(100 * time.Millisecond)
 			}
 			for range 5 {
-				if storedPieces(sim) == 0 {
+				if storedSubchunks(sim) == 0 {
 					t.Error("no sub-chunks are stored for the next leader to read")
 				}
 				replaceLeader(t, sim)
@@ -178,11 +178,11 @@
 					announceLoweredLimits(t, sim)
 					sim.Submit(cancelledJob, 20*time.Second)
 					mustExceedLoweredLimits(t, sim, largeArray, smallArray, laterArray)
-					if n := storedPieces(sim); n > 0 || sim.State.OversizeRefusals() > 0 {
+					if n := storedSubchunks(sim); n > 0 || sim.State.OversizeRefusals() > 0 {
 						t.Errorf("%d sub-chunks, %d transactions refused before the limits were lowered, want 0", n, sim.State.OversizeRefusals())
 					}
 					sim.WithChecker(func(ck *simulator.Checker) {
-						if n := ck.OnMachines(largeArray.Spec.ID) + ck.OnMachines(smallArray.Spec.ID) + ck.OnMachines(laterArray.Spec.ID); n < 500 {
+						if n := ck.TasksOnMachines(largeArray.Spec.ID) + ck.TasksOnMachines(smallArray.Spec.ID) + ck.TasksOnMachines(laterArray.Spec.ID); n < 500 {
 							t.Errorf("%d tasks on machines, want at least 500", n)
 						}
 					})
@@ -191,7 +191,7 @@
 					maxSubchunks := 0
 					for range 300 {
 						time.Sleep(500 * time.Millisecond)
-						maxSubchunks = max(maxSubchunks, storedPieces(sim))
+						maxSubchunks = max(maxSubchunks, storedSubchunks(sim))
 					}
 					if maxSubchunks == 0 {
 						t.Error("no sub-chunk was written")
@@ -207,7 +207,7 @@
 					}
 					mustRun(t, sim, serviceJob, "after the limits were lowered")
 					sim.WithChecker(func(c *simulator.Checker) {
-						if c.OnMachines(cancelledJob.Spec.ID) != 0 || c.OnMachines("req-000006") != 0 {
+						if c.TasksOnMachines(cancelledJob.Spec.ID) != 0 || c.TasksOnMachines("req-000006") != 0 {
 							t.Error("tasks of cancelled jobs still run")
 						}
 						if c.Restarts() > 0 && name != "answers lost" && name != "all controllers end" {
@@ -263,8 +263,8 @@
 		mustBeArchived(t, sim, finishingLarge)
 		sim.WithChecker(func(ck *simulator.Checker) {
 			for _, j := range []simulator.JobScript{cancelledLarge, cancelledTwoTasks, cancelledSmall} {
-				if ck.OnMachines(j.Spec.ID) != 0 {
-					t.Errorf("%d tasks of the cancelled %s on machines, want 0", ck.OnMachines(j.Spec.ID), j.Spec.ID)
+				if ck.TasksOnMachines(j.Spec.ID) != 0 {
+					t.Errorf("%d tasks of the cancelled %s on machines, want 0", ck.TasksOnMachines(j.Spec.ID), j.Spec.ID)
 				}
 			}
 		})
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -18,19 +18,19 @@
 	runScenario(t, 8, func(sim *simulator.Simulation, at func(time.Duration)) {
 		arrayJob, serviceJob := array(1, 20, 20), service(2, 3)
 		at(time.Second)
-		sim.LoseScaleOutAnswers(2)
+		sim.LoseScaleOutResponses(2)
 		at(2 * time.Second)
 		submitAll(sim, arrayJob, serviceJob)
 		at(40 * time.Second)
-		sim.LoseScaleInAnswers(2)
+		sim.LoseScaleInResponses(2)
 		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
 			t.Error("no busy machine was reclaimed, want some")
 		}
 		at(60 * time.Second)
-		sim.CloudOutage(true)
+		sim.SetCloudOutage(true)
 		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 		at(110 * time.Second)
-		sim.CloudOutage(false)
+		sim.SetCloudOutage(false)
 		at(220 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "at the end")
@@ -159,7 +159,7 @@
 				mustUseCPUs(t, sim, "red", 24)
 				partitioned := sim.MachinesRunning(cancelledJob.Spec.ID)
 				partitioned = partitioned[:1]
-				sim.LoseScaleInAnswers(1000)
+				sim.LoseScaleInResponses(1000)
 				for _, id := range partitioned {
 					sim.PartitionMachine(id, true)
 				}
@@ -169,7 +169,7 @@
 				time.Sleep(3 * time.Second)
 				unreachableTasks := 0
 				sim.WithChecker(func(c *simulator.Checker) {
-					if unreachableTasks = c.OnMachines(cancelledJob.Spec.ID); unreachableTasks == 0 {
+					if unreachableTasks = c.TasksOnMachines(cancelledJob.Spec.ID); unreachableTasks == 0 {
 						t.Error("no task of the cancelled job is on the partitioned machine, want some")
 					}
 				})
@@ -181,12 +181,12 @@
 				}
 				// The machine is gone, but the leader can't know: its tasks still count towards the limit.
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(waitingArray.Spec.ID); c.OnMachines(cancelledJob.Spec.ID) > 0 || n > 12-unreachableTasks {
+					if n := c.TasksOnMachines(waitingArray.Spec.ID); c.TasksOnMachines(cancelledJob.Spec.ID) > 0 || n > 12-unreachableTasks {
 						t.Errorf("%d tasks of the waiting job run while %d unreachable tasks count towards the limit of 12", n, unreachableTasks)
 					}
 				})
 				replaceLeader(t, sim)
-				sim.LoseScaleInAnswers(0)
+				sim.LoseScaleInResponses(0)
 				markFaultsOver(sim)
 				time.Sleep(90 * time.Second)
 				mustFinish(t, sim, waitingArray)
@@ -228,10 +228,10 @@
 				time.Sleep(60 * time.Second)
 				_, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
 				var view admin.View
-				if wire.Decode(raw, &view) != nil || view.Term == nil {
+				if wire.Decode(raw, &view) != nil || view.Cluster == nil {
 					t.Fatal("admin view of the leader: not readable or without a term")
 				}
-				for _, machine := range view.Term.Machines {
+				for _, machine := range view.Cluster.Machines {
 					if sim.MachineIP(machine.Name) == "" {
 						t.Errorf("machine %s is gone but still kept, silent for %.0f s", machine.Name, machine.SecondsSinceMessage)
 					}
@@ -259,7 +259,7 @@
 				for doneTasks == 0 {
 					time.Sleep(100 * time.Millisecond)
 					sim.WithChecker(func(c *simulator.Checker) {
-						doneTasks = arrayJob.Spec.Tasks - c.OnMachines(arrayJob.Spec.ID) - c.Waiting(arrayJob.Spec.ID)
+						doneTasks = arrayJob.Spec.Tasks - c.TasksOnMachines(arrayJob.Spec.ID) - c.Waiting(arrayJob.Spec.ID)
 					})
 				}
 				sim.SetSpotSoldOut(true)
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -26,8 +26,8 @@
 		at(150 * time.Second)
 		mustFinish(t, sim, first, second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(serviceJob.Spec.ID) != 3 || c.OnMachines(cancelledJob.Spec.ID) != 0 {
-				t.Errorf("the service has %d replicas, want 3; the cancelled one has %d, want 0", c.OnMachines(serviceJob.Spec.ID), c.OnMachines(cancelledJob.Spec.ID))
+			if c.TasksOnMachines(serviceJob.Spec.ID) != 3 || c.TasksOnMachines(cancelledJob.Spec.ID) != 0 {
+				t.Errorf("the service has %d replicas, want 3; the cancelled one has %d, want 0", c.TasksOnMachines(serviceJob.Spec.ID), c.TasksOnMachines(cancelledJob.Spec.ID))
 			}
 		})
 		if keys := sim.State.Keys("run/req-000001/"); len(keys) != 0 {
@@ -85,11 +85,11 @@
 				t.Errorf("node %d has %+v, want round.period_s with value 2", i, listing.Settings[3])
 			}
 		}
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		if status := requestSettings(0, "PUT", change(uint64(listing.Version), "round.period_s", 4), nil); status != 503 {
 			t.Errorf("change during an outage of the key-value store is answered %d, want 503", status)
 		}
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		sim.Submit(array(1, 1, 100), 0)
 		at(80 * time.Second)
 		status, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/metrics", nil)
@@ -98,7 +98,7 @@
 		}
 		var view admin.View
 		status, raw, _ = sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
-		if status != 200 || wire.Decode(raw, &view) != nil || !view.Leads || view.Term == nil || len(view.Term.Machines) == 0 {
+		if status != 200 || wire.Decode(raw, &view) != nil || !view.Leads || view.Cluster == nil || len(view.Cluster.Machines) == 0 {
 			t.Errorf("leader's admin view is answered %d %+v", status, view)
 		}
 	})
@@ -132,7 +132,7 @@
 // end only the final records of the jobs may be left.
 func TestManySmallJobs(t *testing.T) {
 	t.Parallel()
-	for name, set := range map[string]config.Settings{"usual": simulator.DefaultSettings(), "small": simulator.GasSettings()} {
+	for name, set := range map[string]config.Settings{"usual": simulator.DefaultSettings(), "small": simulator.ThreeZoneSettings()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			runWithSettings(t, set, 430, func(sim *simulator.Simulation, at func(time.Duration)) {
@@ -245,7 +245,7 @@
 		}
 		at(150 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if tasks, replicas := c.OnMachines(large.Spec.ID), c.OnMachines(serviceJob.Spec.ID); tasks != 0 || replicas != 3 {
+			if tasks, replicas := c.TasksOnMachines(large.Spec.ID), c.TasksOnMachines(serviceJob.Spec.ID); tasks != 0 || replicas != 3 {
 				t.Errorf("%d tasks of the cancelled array are on machines, want 0; %d replicas, want 3", tasks, replicas)
 			}
 		})
@@ -264,7 +264,7 @@
 		sim.Submit(wide, 0)
 		at(45 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n := c.OnMachines(wide.Spec.ID); n != 300 {
+			if n := c.TasksOnMachines(wide.Spec.ID); n != 300 {
 				t.Errorf("%d of 300 tasks are on machines, want all", n)
 			}
 		})
@@ -279,8 +279,8 @@
 // values of 1 KiB and a few requests a second. Its worker leases are too short for delegates.
 func TestMinimalDeployment(t *testing.T) {
 	t.Parallel()
-	set := simulator.GasSettings()
-	set.State = config.StoreLimits{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
+	set := simulator.ThreeZoneSettings()
+	set.State = config.StoreLimits{RPS: 12, WriteRPS: 8, MaxValueKB: 1, MaxTxnWrites: 2}
 	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
 	set.Limits = config.ProcessLimits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
 	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -69,7 +69,7 @@
 						sim.IsolateController(leader, mode, true)
 						return func() { sim.IsolateController(leader, mode, false) }
 					},
-					func() func() { sim.State.Outage(true); return func() { sim.State.Outage(false) } },
+					func() func() { sim.State.SetOutage(true); return func() { sim.State.SetOutage(false) } },
 					func() func() {
 						zone := []wire.Zone{"a", "b"}[rng.IntN(2)]
 						sim.IsolateZone(zone, true)
@@ -81,8 +81,8 @@
 						return func() { sim.Net.BlockInbound(ip, false) }
 					},
 					func() func() { sim.ReclaimMachines(2, func(_ bool, n int) bool { return n > 0 }); return func() {} },
-					func() func() { sim.CloudOutage(true); return func() { sim.CloudOutage(false) } },
-					func() func() { sim.State.LoseAnswers(1 + rng.IntN(4)); return func() {} },
+					func() func() { sim.SetCloudOutage(true); return func() { sim.SetCloudOutage(false) } },
+					func() func() { sim.State.LoseResponses(1 + rng.IntN(4)); return func() {} },
 					func() func() { // delayed copies of a heartbeat arrive
 						id, _ := busyMachine()
 						sim.ResendLastHeartbeat(id, randomSeconds(10), randomSeconds(20), randomSeconds(40))
@@ -196,11 +196,11 @@
 								}
 							})
 						case 2:
-							sim.CloudOutage(true)
-							endFaults = append(endFaults, func() { sim.CloudOutage(false) })
+							sim.SetCloudOutage(true)
+							endFaults = append(endFaults, func() { sim.SetCloudOutage(false) })
 						case 3:
-							sim.State.Outage(true)
-							endFaults = append(endFaults, func() { sim.State.Outage(false) })
+							sim.State.SetOutage(true)
+							endFaults = append(endFaults, func() { sim.State.SetOutage(false) })
 						case 4:
 							sim.SlowMachineLinks(randomSeconds(2) * 6 / 10)
 							endFaults = append(endFaults, func() { sim.SlowMachineLinks(0) })
@@ -216,10 +216,10 @@
 						case 6:
 							sim.RemoveMachines(machines...)
 						case 7:
-							sim.State.LoseAnswers(1 + rng.IntN(4))
+							sim.State.LoseResponses(1 + rng.IntN(4))
 						case 8:
-							sim.LoseScaleInAnswers(3)
-							sim.LoseScaleOutAnswers(2)
+							sim.LoseScaleInResponses(3)
+							sim.LoseScaleOutResponses(2)
 						}
 						if n > 0 && len(endFaults) > 0 {
 							overlaps++
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -41,9 +41,9 @@
 						time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
 						startControllers(t, sim, controller)
 					case 2:
-						sim.State.Outage(true)
+						sim.State.SetOutage(true)
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
-						sim.State.Outage(false)
+						sim.State.SetOutage(false)
 					case 3:
 						sim.ReclaimMachines(1, func(bool, int) bool { return true })
 					case 4:
@@ -63,7 +63,7 @@
 							sim.GiveSpotNotice(id, 8*time.Second)
 						}
 					case 7:
-						sim.State.LoseAnswers(1)
+						sim.State.LoseResponses(1)
 					}
 				}
 				markFaultsOver(sim)
@@ -103,19 +103,19 @@
 					sim.IsolateZone(zone, true)
 					time.Sleep(randomSeconds(6))
 					cloudDown, storeDown, killLeader := rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
-					sim.CloudOutage(cloudDown)
-					sim.State.Outage(storeDown)
+					sim.SetCloudOutage(cloudDown)
+					sim.State.SetOutage(storeDown)
 					if leader := sim.Leader(); killLeader && leader >= 0 {
 						sim.KillController(leader)
 						time.Sleep(randomSeconds(6))
 						startControllers(t, sim, leader)
 					}
 					time.Sleep(randomSeconds(20))
-					sim.State.Outage(false)
+					sim.State.SetOutage(false)
 					time.Sleep(randomSeconds(50))
 					sim.IsolateZone(zone, false)
 					time.Sleep(randomSeconds(10))
-					sim.CloudOutage(false)
+					sim.SetCloudOutage(false)
 				}
 				time.Sleep(150 * time.Second)
 				mustFinish(t, sim, uncancelled...)
@@ -159,8 +159,8 @@
 					}
 					partition(true)
 					time.Sleep(randomSeconds(8))
-					sim.CloudOutage(rng.IntN(2) == 0)
-					sim.State.Outage(rng.IntN(4) == 0)
+					sim.SetCloudOutage(rng.IntN(2) == 0)
+					sim.State.SetOutage(rng.IntN(4) == 0)
 					if victim := rng.IntN(4); victim < 3 {
 						killed := []int{victim}
 						if victim == 2 {
@@ -177,11 +177,11 @@
 						}
 					}
 					time.Sleep(randomSeconds(15))
-					sim.State.Outage(false)
+					sim.State.SetOutage(false)
 					time.Sleep(randomSeconds(60))
 					partition(false)
 					time.Sleep(randomSeconds(10))
-					sim.CloudOutage(false)
+					sim.SetCloudOutage(false)
 				}
 				markFaultsOver(sim)
 				time.Sleep(240 * time.Second)
--- a/internal/scenarios/rolling_upgrade_test.go
+++ b/internal/scenarios/rolling_upgrade_test.go
@@ -57,10 +57,10 @@
 		Spec: wire.JobSpec{ID: "req-000413", Class: "live", Team: "portal", Kind: wire.KindService, Priority: wire.PriorityProd, Tasks: 3, CPUs: 1, MemoryGB: 4.8, Image: "img-b", ImageGB: 1, Spread: true}})
 	mustMatchProduction(t, "run", store.ChunkRecord{NextAttempt: 17, Done: []int{0, 3, 9, 200}, Active: []store.ActiveAttempt{{Task: 4, Attempt: 12, Machine: "n-000231"}, {Task: 255, Attempt: 16, Machine: "n-001200"}}})
 	mustMatchProduction(t, "past", store.FinalRecord{Status: wire.StatusDone, Done: 1600})
-	mustMatchProduction(t, "lead", store.LeaderRecord{Node: "worker-2", Nonce: "c0ffee"})
+	mustMatchProduction(t, "lead", store.LeaseRecord{Node: "worker-2", Nonce: "c0ffee"})
 	mustMatchProduction(t, "flavors", wire.MachineSpecs{Types: []wire.MachineSpec{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, DiskGB: 200, FetchGBPerSecond: 1, OnDemandPrice: 12, SpotPrice: 4.5, BootTime: 45, Zones: []wire.Zone{"a", "b"}}}})
-	mustMatchProduction(t, "beat", peer.Heartbeat{From: "worker-1", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableWorkers: 120})
-	mustMatchProduction(t, "ack", peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, UnconfirmedCancelAge: time.Second,
+	mustMatchProduction(t, "beat", peer.Heartbeat{From: "worker-1", Sequence: 9, Token: 41, Leads: true, StateReachable: true, ReachableAgents: 120})
+	mustMatchProduction(t, "ack", peer.Heartbeat{From: "worker-2", Sequence: 9, Token: 41, StateReachable: true, Delegation: 41, SinceRenewal: 3 * time.Second, Uptime: time.Minute, InFlightLaunchCancelAge: time.Second,
 		Update: cancels.Update{Cancelled: []cancels.Entry{{Job: "req-000413", Age: 2 * time.Second}}, OwnSpan: 20 * time.Second, WatermarkAge: 500 * time.Millisecond}})
 	notice := wire.Seconds(12.5)
 	mustMatchProduction(t, "report", wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 1, Sequence: 88, Token: 41, SpotNotice: &notice,
@@ -123,7 +123,7 @@
 	t.Parallel()
 	// Chunks are smaller than in production. The job's record holds their size, as it does in
 	// production.
-	size := store.ChunkTasksFor(2)
+	size := store.TasksPerChunkForLimit(2)
 	var j productionJob
 	if err := wire.Decode(wire.Encode(store.JobRecord{Spec: productionSpec(), Status: wire.StatusCancelled, AcceptedAt: 5, CancelledAt: 7, TasksPerChunk: size}), &j); err != nil {
 		t.Fatal(err)
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -44,8 +44,8 @@
 		startControllers(t, sim, killed)
 		at(100 * time.Second)
 		late := sim.LateCloudRequests()
-		if late.CarriedOut != late.Delayed {
-			t.Fatalf("%d of %d delayed scale-out requests were executed, want all", late.CarriedOut, late.Delayed)
+		if late.Executed != late.Delayed {
+			t.Fatalf("%d of %d delayed scale-out requests were executed, want all", late.Executed, late.Delayed)
 		}
 		if recorded != (late.Provisioned == 0) {
 			t.Errorf("%d machines were provisioned late", late.Provisioned)
@@ -77,11 +77,11 @@
 		startControllers(t, sim, killed)
 		time.Sleep(60 * time.Second)
 		late := sim.LateCloudRequests()
-		if late.CarriedOut != late.Delayed {
-			t.Fatalf("%d of %d delayed scale-in requests were executed, want all", late.CarriedOut, late.Delayed)
+		if late.Executed != late.Delayed {
+			t.Fatalf("%d of %d delayed scale-in requests were executed, want all", late.Executed, late.Delayed)
 		}
-		if recorded != (late.EndedTasks == 0) {
-			t.Errorf("late scale-in requests returned %d machines on which %d tasks ran", late.ScaledIn, late.EndedTasks)
+		if recorded != (late.KilledTasks == 0) {
+			t.Errorf("late scale-in requests returned %d machines on which %d tasks ran", late.ScaledIn, late.KilledTasks)
 		}
 		time.Sleep(200 * time.Second)
 		mustFinish(t, sim, first, next)
@@ -94,7 +94,7 @@
 	t.Parallel()
 	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 73, func(sim *simulator.Simulation, at func(time.Duration)) {
 		at(2 * time.Second)
-		sim.State.InjectTxnFaults(5, simulator.TxnFault{Prefix: "intent/", Share: 0.6, Late: [2]time.Duration{time.Second, 8 * time.Second}},
+		sim.State.InjectTxnFaults(5, simulator.TxnFault{Prefix: "intent/", Share: 0.6, Delay: [2]time.Duration{time.Second, 8 * time.Second}},
 			simulator.TxnFault{Prefix: "intent/", Share: 0.6})
 		job := array(1, 24, 12)
 		sim.Submit(job, 0)
@@ -221,10 +221,10 @@
 	steps := map[string]struct {
 		begin, end func(sim *simulator.Simulation)
 	}{
-		"provisioned, answer lost":                {func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutAnswers(0) }},
-		"returned, answer lost":                   {func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInAnswers(0) }},
-		"recorded, cloud down":                    {func(sim *simulator.Simulation) { sim.CloudOutage(true) }, func(sim *simulator.Simulation) { sim.CloudOutage(false) }},
-		"recorded, two answers of the store lost": {func(sim *simulator.Simulation) { sim.State.LoseAnswers(2) }, func(*simulator.Simulation) {}},
+		"provisioned, answer lost":                {func(sim *simulator.Simulation) { sim.LoseScaleOutResponses(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutResponses(0) }},
+		"returned, answer lost":                   {func(sim *simulator.Simulation) { sim.LoseScaleInResponses(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInResponses(0) }},
+		"recorded, cloud down":                    {func(sim *simulator.Simulation) { sim.SetCloudOutage(true) }, func(sim *simulator.Simulation) { sim.SetCloudOutage(false) }},
+		"recorded, two answers of the store lost": {func(sim *simulator.Simulation) { sim.State.LoseResponses(2) }, func(*simulator.Simulation) {}},
 	}
 	for name, step := range steps {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -26,7 +26,7 @@
 		listDelay             time.Duration // of every third list of keys or changes
 	}{
 		{"default settings", simulator.DefaultSettings(), 0, 0, 0},
-		{"small deployment", simulator.GasSettings(), 0, 0, 0},
+		{"small deployment", simulator.ThreeZoneSettings(), 0, 0, 0},
 		{"fast store", settingsWithFastStore(), 0, 0, 0},
 		{"delayed changes", settingsWithFastStore(), 0, 0, 120 * time.Millisecond},
 		{"lists of jobs", settingsWithFastStore(), 6, 2, 0},
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -17,7 +17,7 @@
 		at(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		at(48 * time.Second)
 		status, _, header := sim.Ask(0, "POST", "/v1/jobs", simulator.Submission(array(9, 1, 1).Spec))
 		if status != 503 || header.Get("Retry-After") == "" {
@@ -27,7 +27,7 @@
 			t.Errorf("/ready answers %d during an outage for all controllers, want 200", status)
 		}
 		at(75 * time.Second) // 35 s against a lease of 16 s
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		at(140 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "at the end")
@@ -43,14 +43,14 @@
 		at(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		at(45 * time.Second)
 		leader := sim.Leader()
 		sim.KillController(leader)
 		at(51 * time.Second)
 		startControllers(t, sim, leader)
 		at(58 * time.Second)
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		at(180 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "at the end")
@@ -66,7 +66,7 @@
 		at(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
 		at(40 * time.Second)
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		at(44 * time.Second)
 		leader := sim.Leader()
 		sim.KillController(leader)
@@ -74,7 +74,7 @@
 		startControllers(t, sim, leader)
 		at(70 * time.Second)
 		mustRun(t, sim, serviceJob, "30 s into the outage")
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		at(90 * time.Second)
 		mustRun(t, sim, serviceJob, "after the outage")
 		mustRestartNoTask(t, sim)
@@ -126,7 +126,7 @@
 			t.Fatal("no machine is up")
 		}
 		// Commands from the leader to one worker are held up from now on.
-		sim.Net.Hold(simulator.NodeIP(leader), machineIP, true)
+		sim.Net.HoldPackets(simulator.NodeIP(leader), machineIP, true)
 		sim.Submit(secondArray, 0)
 		at(27 * time.Second)
 		sim.State.RefuseClient(simulator.NodeIP(leader), true)
@@ -139,7 +139,7 @@
 		}
 		sim.State.RefuseClient(simulator.NodeIP(leader), false)
 		at(90 * time.Second)
-		sim.Net.Hold(simulator.NodeIP(leader), machineIP, false)
+		sim.Net.HoldPackets(simulator.NodeIP(leader), machineIP, false)
 		at(200 * time.Second)
 		mustFinish(t, sim, firstArray, secondArray)
 	})
@@ -171,7 +171,7 @@
 					startControllers(t, sim, leader)
 				}
 				waitUntil(t, 10*time.Second, "a new leader key", func() bool { return sim.LeaderKeyRevision() > oldRevision })
-				sim.State.Outage(true)
+				sim.State.SetOutage(true)
 				if newLeader := sim.Leader(); newLeader < 0 || (newLeader == leader) != variant.restartsAtOnce {
 					t.Errorf("node %d leads, want the killed leader only if it restarted at once", newLeader)
 				}
@@ -179,17 +179,17 @@
 					startControllers(t, sim, leader)
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(cancelledJob.Spec.ID) != 4 {
+					if c.TasksOnMachines(cancelledJob.Spec.ID) != 4 {
 						t.Error("the cancelled job was stopped before the outage")
 					}
 				})
 				time.Sleep(time.Until(confirmed.Add(sim.Settings.Workers.CancelTimeout.Duration() + 10*time.Second)))
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
+					if n := c.TasksOnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job on machines 10 s after cancel_s, want 0", n)
 					}
 				})
-				sim.State.Outage(false)
+				sim.State.SetOutage(false)
 				mustRecover(t, sim, 3, serviceJob, arrayJob)
 			})
 		})
@@ -233,14 +233,14 @@
 					newLeader, _ := awaitNewToken(t, sim, oldToken)
 					sim.State.RefuseClient(simulator.NodeIP(leader), false)
 					time.Sleep(320 * time.Millisecond)
-					sim.State.Outage(true)
+					sim.State.SetOutage(true)
 					time.Sleep(time.Second)
 					if hasRecovered(sim, newLeader) {
 						t.Error("the new leader has read the stored records before the outage")
 					}
 				} else {
 					time.Sleep(300 * time.Millisecond)
-					sim.State.Outage(true)
+					sim.State.SetOutage(true)
 				}
 				time.Sleep(4 * time.Second)
 				if tasksOnMachines(sim, cancelledJob.Spec.ID) == 0 {
@@ -249,11 +249,11 @@
 				sim.HangMachines(false, machines...)
 				sim.BlockInbound(false, machines...)
 				time.Sleep(sim.Settings.Workers.CancelTimeout.Duration() + 5*time.Second)
-				mustBeGone(t, sim, cancelledJob, "5 s after cancel_s")
+				mustHaveNoTasks(t, sim, cancelledJob, "5 s after cancel_s")
 				for i := range sim.Settings.Size {
 					sim.Net.SlowLink("10.2.0.1", simulator.NodeIP(i), 0)
 				}
-				sim.State.Outage(false)
+				sim.State.SetOutage(false)
 				sim.Submit(arrayJob, 0)
 				time.Sleep(80 * time.Second)
 				mustFinish(t, sim, arrayJob)
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -60,7 +60,7 @@
 							faults[variant.fault](sim, id, on)
 						}
 						if variant.cloudDown {
-							sim.CloudOutage(on)
+							sim.SetCloudOutage(on)
 						}
 					}
 					setFault(true)
@@ -75,7 +75,7 @@
 							t.Fatalf("%s was not cancelled within 3 s during the fault", j.Spec.ID)
 						}
 						sim.WithChecker(func(c *simulator.Checker) {
-							if c.OnMachines(j.Spec.ID) == 0 {
+							if c.TasksOnMachines(j.Spec.ID) == 0 {
 								t.Errorf("no task of %s runs when it is cancelled, want some", j.Spec.ID)
 							}
 						})
@@ -83,7 +83,7 @@
 					if !variant.leaderKilledFirst {
 						time.Sleep(time.Second)
 						sim.WithChecker(func(c *simulator.Checker) {
-							if c.OnMachines(cancelledJob.Spec.ID) == 0 || c.OnMachines(cancelledService.Spec.ID) == 0 {
+							if c.TasksOnMachines(cancelledJob.Spec.ID) == 0 || c.TasksOnMachines(cancelledService.Spec.ID) == 0 {
 								t.Error("no cancelled task runs on the unreachable machines when the leader is killed, want some of each job")
 							}
 						})
@@ -97,7 +97,7 @@
 					if variant.duration > 60*time.Second {
 						time.Sleep(time.Until(begin.Add(variant.duration)))
 						sim.WithChecker(func(c *simulator.Checker) {
-							if c.OnMachines(cancelledJob.Spec.ID) != 0 || c.OnMachines(cancelledService.Spec.ID) != 0 {
+							if c.TasksOnMachines(cancelledJob.Spec.ID) != 0 || c.TasksOnMachines(cancelledService.Spec.ID) != 0 {
 								t.Error("cancelled tasks still run when the fault has outlasted any timeout")
 							}
 						})
@@ -206,8 +206,8 @@
 					at(52 * time.Second)
 					sim.Submit(serviceJob, 0)
 					sim.WithChecker(func(c *simulator.Checker) {
-						if c.Waiting(lowPriorityArray.Spec.ID) == 0 || c.Waiting(standardArray.Spec.ID) == 0 || c.OnMachines(lowPriorityArray.Spec.ID) == 0 {
-							t.Errorf("%d low-priority and %d standard tasks wait, %d low-priority tasks on machines, want some of each", c.Waiting(lowPriorityArray.Spec.ID), c.Waiting(standardArray.Spec.ID), c.OnMachines(lowPriorityArray.Spec.ID))
+						if c.Waiting(lowPriorityArray.Spec.ID) == 0 || c.Waiting(standardArray.Spec.ID) == 0 || c.TasksOnMachines(lowPriorityArray.Spec.ID) == 0 {
+							t.Errorf("%d low-priority and %d standard tasks wait, %d low-priority tasks on machines, want some of each", c.Waiting(lowPriorityArray.Spec.ID), c.Waiting(standardArray.Spec.ID), c.TasksOnMachines(lowPriorityArray.Spec.ID))
 						}
 					})
 					at(75 * time.Second)
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -18,10 +18,10 @@
 		at(2 * time.Second)
 		sim.Submit(firstArray, 0)
 		at(20 * time.Second)
-		sim.State.LoseAnswers(3)
+		sim.State.LoseResponses(3)
 		sim.Submit(secondArray, 0)
 		at(35 * time.Second)
-		sim.State.LoseAnswers(2)
+		sim.State.LoseResponses(2)
 		at(150 * time.Second)
 		mustFinish(t, sim, firstArray, secondArray)
 	})
@@ -41,7 +41,7 @@
 				firstArray, laterArray, cancelledJob, serviceJob := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each kind, then half of all transactions
-					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, Most: 1}, {Prefix: store.ProgressPrefix, Most: 1}, {Share: 0.5}}
+					faults = []simulator.TxnFault{{Prefix: store.JobPrefix, MaxCount: 1}, {Prefix: store.ProgressPrefix, MaxCount: 1}, {Share: 0.5}}
 				}
 				var begin, end time.Time
 				startFaults := func() { sim.State.InjectTxnFaults(uint64(i), faults...); begin = time.Now() }
@@ -98,24 +98,24 @@
 					t.Fatal("no executed transaction lost its response, want some")
 				}
 				during := func(what string, when time.Time) {
-					if when.Before(executed[0].Done) || when.After(end) || when.IsZero() {
-						t.Errorf("%s %v after the faults began, want between the first lost response, after %v, and their end, after %v", what, when.Sub(begin), executed[0].Done.Sub(begin), end.Sub(begin))
+					if when.Before(executed[0].ExecutedAt) || when.After(end) || when.IsZero() {
+						t.Errorf("%s %v after the faults began, want between the first lost response, after %v, and their end, after %v", what, when.Sub(begin), executed[0].ExecutedAt.Sub(begin), end.Sub(begin))
 					}
 				}
 				switch kind {
 				case "acceptance":
 					during("accepted", accepted)
-					during("first read as accepted", firstReader.firstSeen(simulator.ToldAccepted))
+					during("first read as accepted", firstReader.firstSeen(simulator.KnownStatusAccepted))
 				case "cancellation":
 					during("cancelled", cancelled)
-					during("first read as cancelled", cancelledReader.firstSeen(simulator.ToldFinal))
+					during("first read as cancelled", cancelledReader.firstSeen(simulator.KnownStatusFinal))
 				case "launch", "final record":
-					during("first read as done", firstReader.firstSeen(simulator.ToldFinal))
+					during("first read as done", firstReader.firstSeen(simulator.KnownStatusFinal))
 				case "leader key":
 					if leader := sim.Leader(); leader < 0 || !slices.ContainsFunc(executed, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(leader) }) {
 						t.Errorf("node %d leads, want one whose write of the leader key lost its response", leader)
 					}
-					during("next leader's first job first read as done", laterReader.firstSeen(simulator.ToldFinal))
+					during("next leader's first job first read as done", laterReader.firstSeen(simulator.KnownStatusFinal))
 				case "all":
 					for _, recordPrefix := range []string{store.ProgressPrefix, store.JobPrefix} {
 						if len(faultedTransactions(sim, recordPrefix, wasExecuted)) == 0 {
@@ -142,9 +142,9 @@
 		at(15 * time.Second)
 		delay := [2]time.Duration{2 * time.Second, 12 * time.Second}
 		sim.State.InjectTxnFaults(7, // the first of each kind, then a share of all transactions
-			simulator.TxnFault{Prefix: store.JobPrefix, Most: 1, Late: delay}, simulator.TxnFault{Prefix: store.JobPrefix, Most: 1},
-			simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1, Late: delay}, simulator.TxnFault{Prefix: store.ProgressPrefix, Most: 1},
-			simulator.TxnFault{Share: 0.25, Late: delay}, simulator.TxnFault{Share: 0.25})
+			simulator.TxnFault{Prefix: store.JobPrefix, MaxCount: 1, Delay: delay}, simulator.TxnFault{Prefix: store.JobPrefix, MaxCount: 1},
+			simulator.TxnFault{Prefix: store.ProgressPrefix, MaxCount: 1, Delay: delay}, simulator.TxnFault{Prefix: store.ProgressPrefix, MaxCount: 1},
+			simulator.TxnFault{Share: 0.25, Delay: delay}, simulator.TxnFault{Share: 0.25})
 		for n := 1; n <= 8; n++ {
 			job := array(n, 1+n%4, float64(4+n%3*8))
 			cancel := time.Duration(0)
@@ -174,9 +174,9 @@
 		}
 		mustFinish(t, sim, uncancelled...)
 		mustRun(t, sim, serviceJob, "after the faults")
-		mustBeExecutedLate(t, "launches", faultedTransactions(sim, store.ProgressPrefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() }))
+		mustHaveLateTransaction(t, "launches", faultedTransactions(sim, store.ProgressPrefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.ExecutedAt.IsZero() }))
 		for _, prefix := range []string{store.JobPrefix, store.ProgressPrefix} {
-			if len(faultedTransactions(sim, prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.Done.IsZero() })) == 0 {
+			if len(faultedTransactions(sim, prefix, func(f *simulator.TxnOutcome) bool { return f.Late && !f.ExecutedAt.IsZero() })) == 0 {
 				t.Errorf("no transaction under %s was executed late, want some", prefix)
 			}
 			if len(faultedTransactions(sim, prefix, func(f *simulator.TxnOutcome) bool { return !f.Late && wasExecuted(f) })) == 0 {
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -47,8 +47,8 @@
 
 // newLoggingController returns a function that makes real controllers and appends the log of each
 // new process to logs.
-func newLoggingController(logs *[]*processLog) func(*config.Config, netio.Net) (func(context.Context) error, error) {
-	return func(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
+func newLoggingController(logs *[]*processLog) func(*config.Config, netio.Network) (func(context.Context) error, error) {
+	return func(cfg *config.Config, network netio.Network) (func(context.Context) error, error) {
 		out := &processLog{}
 		*logs = append(*logs, out)
 		node, err := lilaclead.New(cfg, lilaclead.Options{Net: network, Log: out})
@@ -111,8 +111,8 @@
 		at(150 * time.Second)
 		mustFinish(t, sim, later)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(arrayJob.Spec.ID) != 6 || c.OnMachines(serviceJob.Spec.ID) != 3 || c.OnMachines(gangJob.Spec.ID) != 3 || c.Restarts() != restartsBefore {
-				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 gang tasks run, %d tasks were started again", c.OnMachines(arrayJob.Spec.ID), c.OnMachines(serviceJob.Spec.ID), c.OnMachines(gangJob.Spec.ID), c.Restarts()-restartsBefore)
+			if c.TasksOnMachines(arrayJob.Spec.ID) != 6 || c.TasksOnMachines(serviceJob.Spec.ID) != 3 || c.TasksOnMachines(gangJob.Spec.ID) != 3 || c.Restarts() != restartsBefore {
+				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 gang tasks run, %d tasks were started again", c.TasksOnMachines(arrayJob.Spec.ID), c.TasksOnMachines(serviceJob.Spec.ID), c.TasksOnMachines(gangJob.Spec.ID), c.Restarts()-restartsBefore)
 			}
 		})
 		for key := range undecodable {
@@ -150,7 +150,7 @@
 		}
 		at(220 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
-			if n := c.OnMachines(arrayJob.Spec.ID); n != 0 {
+			if n := c.TasksOnMachines(arrayJob.Spec.ID); n != 0 {
 				t.Errorf("%d tasks of the cancelled job run, want 0", n)
 			}
 			c.Finish(time.Now())
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -93,7 +93,7 @@
 				}
 				mustCancel(t, sim, cancelledJob)
 				time.Sleep(5 * time.Second)
-				mustBeGone(t, sim, cancelledJob, "5 s later, on machines that can't connect")
+				mustHaveNoTasks(t, sim, cancelledJob, "5 s later, on machines that can't connect")
 				// Many such machines are kept for a while, and the cloud may have no more machines of
 				// their cheap type.
 				time.Sleep(170 * time.Second)
@@ -139,7 +139,7 @@
 								case fault == "cut":
 									sim.Net.Cut(simulator.NodeIP(i), ip, on)
 								case fault == "no inbound", fault == "no inbound from next leader" && i != leader:
-									sim.Net.Hold(simulator.NodeIP(i), ip, on)
+									sim.Net.HoldPackets(simulator.NodeIP(i), ip, on)
 								}
 							}
 						}
@@ -215,7 +215,7 @@
 								sim.BlockOutbound(on, machines...)
 							}
 						}
-						sim.CloudOutage(cloudDown)
+						sim.SetCloudOutage(cloudDown)
 						setFault(true)
 						time.Sleep(randomDelay(rng)(3))
 						if n := tasksOnMachines(sim, cancelledJob.Spec.ID); n != 10 {
@@ -225,7 +225,7 @@
 						mustCancel(t, sim, cancelledService)
 						if fault == "no outbound" {
 							time.Sleep(4 * time.Second)
-							mustBeGone(t, sim, cancelledJob, "on machines that can't connect")
+							mustHaveNoTasks(t, sim, cancelledJob, "on machines that can't connect")
 						}
 						if leaderKilled {
 							leader, oldToken := sim.LeaderAndToken()
@@ -242,20 +242,20 @@
 						if fault != "no outbound" {
 							setFault(false) // within the lease
 							time.Sleep(6 * time.Second)
-							mustBeGone(t, sim, cancelledJob, "after the machines resumed")
+							mustHaveNoTasks(t, sim, cancelledJob, "after the machines resumed")
 							setFault(true)
 						}
 						time.Sleep(sim.Settings.Workers.Lease.Duration() + 4*time.Second)
-						mustBeGone(t, sim, cancelledJob, "after the end of the lease")
+						mustHaveNoTasks(t, sim, cancelledJob, "after the end of the lease")
 						setFault(false)
 						time.Sleep(20 * time.Second)
-						sim.CloudOutage(false)
+						sim.SetCloudOutage(false)
 						markFaultsOver(sim)
 						time.Sleep(80 * time.Second)
 						mustFinish(t, sim, arrayJob)
 						mustRun(t, sim, serviceJob, "at the end")
-						mustBeGone(t, sim, cancelledJob, "at the end")
-						mustBeGone(t, sim, cancelledService, "at the end")
+						mustHaveNoTasks(t, sim, cancelledJob, "at the end")
+						mustHaveNoTasks(t, sim, cancelledService, "at the end")
 					})
 				})
 			}
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -39,7 +39,7 @@
 }
 
 // start makes a controller with the program that is set for it.
-func (p *programs) start(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
+func (p *programs) start(cfg *config.Config, network netio.Network) (func(context.Context) error, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	next := p.byNode[cfg.HostName]
@@ -207,9 +207,9 @@
 func TestLeaderKilledDuringVersionSwitch(t *testing.T) {
 	t.Parallel()
 	for i, fault := range []simulator.TxnFault{
-		{Prefix: upgrade.ActiveKey, Most: 1},
-		{Prefix: upgrade.ActiveKey, Most: 1, Hang: true, Late: [2]time.Duration{4 * time.Second, 9 * time.Second}},
-		{Prefix: upgrade.ActiveKey, Most: 2, Hang: true},
+		{Prefix: upgrade.ActiveKey, MaxCount: 1},
+		{Prefix: upgrade.ActiveKey, MaxCount: 1, Hang: true, Delay: [2]time.Duration{4 * time.Second, 9 * time.Second}},
+		{Prefix: upgrade.ActiveKey, MaxCount: 2, Hang: true},
 	} {
 		runWithProgram(t, uint64(90+i), newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
 			sim.State.InjectTxnFaults(uint64(i), fault)
@@ -306,11 +306,11 @@
 		old := (sim.Leader() + 1) % 3
 		sim.KillController(old)
 		p.setNext(sim, old, oldProgram)
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		startControllers(t, sim, old)
 		time.Sleep(8 * time.Second)
 		mustRefuse(t, sim, old, "during the outage")
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		time.Sleep(20 * time.Second)
 		mustRefuse(t, sim, old, "after the outage")
 		mustRun(t, sim, serviceJob, "while one controller refuses")
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -55,7 +55,7 @@
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, seed %d", variant.name, seed), func(t *testing.T) {
 				t.Parallel()
-				runWithControllersIn(t, simulator.GasSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithControllersIn(t, simulator.ThreeZoneSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
 					boundArray, sameZoneArray := array(1, 8, 70), array(2, 14, 50)
 					boundArray.Spec.Zone, sameZoneArray.Spec.SameZone = "a", true
 					boundService, sameZoneService, spreadService := service(3, 3), service(4, 3), service(5, 4)
@@ -78,7 +78,7 @@
 					sim.SetSoldOut("b", false)
 					sim.SetSoldOut("c", false)
 					sim.SetSoldOut("a", true)
-					sim.CloudOutage(variant.cloudDown)
+					sim.SetCloudOutage(variant.cloudDown)
 					machines := sim.RunningMachinesIn("a")
 					variant.setFault(sim, true, machines)
 					if variant.leaderChanges {
@@ -102,7 +102,7 @@
 						})
 					}
 					at(100 * time.Second)
-					sim.CloudOutage(false)
+					sim.SetCloudOutage(false)
 					at(190 * time.Second)
 					if variant.jobsMove {
 						sim.WithChecker(func(c *simulator.Checker) {
@@ -125,7 +125,7 @@
 					}
 					// The zone's cheap machines may be sold out by then. The last tasks of the bound array
 					// may wait for the earlier ones, but not while a machine has capacity for them.
-					if n := sim.JobsWithRoom()[boundArray.Spec.ID]; n > 0 {
+					if n := sim.JobsWithCapacity()[boundArray.Spec.ID]; n > 0 {
 						t.Errorf("%d of the bound array's 8 tasks wait 110 s after the faults although a machine has capacity for them", n)
 					}
 					at(420 * time.Second)
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -118,16 +118,16 @@
 				sim.Submit(cancelledJob, 44*time.Second)
 				at(45 * time.Second)
 				zone := leaderZoneOrOther(sim, leaderInside)
-				sim.CloudOutage(true)
+				sim.SetCloudOutage(true)
 				sim.IsolateZone(zone, true)
 				at(115 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
+					if n := c.TasksOnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run in the partitioned zone, want 0", n)
 					}
 				})
 				sim.IsolateZone(zone, false)
-				sim.CloudOutage(false)
+				sim.SetCloudOutage(false)
 				at(160 * time.Second)
 				mustRun(t, sim, serviceJob, "after all faults")
 			})
@@ -164,10 +164,10 @@
 				time.Sleep(5 * time.Second)
 				cancelAtController(t, sim, 0, cancelledBefore)
 				partitionedAt := time.Now()
-				sim.CloudOutage(true)
+				sim.SetCloudOutage(true)
 				sim.IsolateZone(zone, true)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(cancelledEarly.Spec.ID) != 2 || c.OnMachines(cancelledLate.Spec.ID) != 2 || c.OnMachines(uncancelledArray.Spec.ID) == 0 {
+					if c.TasksOnMachines(cancelledEarly.Spec.ID) != 2 || c.TasksOnMachines(cancelledLate.Spec.ID) != 2 || c.TasksOnMachines(uncancelledArray.Spec.ID) == 0 {
 						t.Error("jobs have too few tasks in the zone when it is partitioned, want 2, 2 and at least 1")
 					}
 				})
@@ -186,7 +186,7 @@
 				}
 				sim.IsolateZone(zone, false)
 				time.Sleep(2 * time.Second)
-				sim.CloudOutage(false)
+				sim.SetCloudOutage(false)
 				mustRecover(t, sim, 3, uncancelledArray, sameZoneArray, anyZoneArray)
 			})
 		})
@@ -211,7 +211,7 @@
 				time.Sleep(60 * time.Second)
 				leader := sim.Leader()
 				sim.IsolateZone("b", true)
-				sim.CloudOutage(true) // so that no machine is returned
+				sim.SetCloudOutage(true) // so that no machine is returned
 				if leaderChanges {
 					sim.KillController(leader)
 					awaitOtherLeader(t, sim, leader, 10*time.Second)
@@ -247,7 +247,7 @@
 				time.Sleep(2500 * time.Millisecond)
 				cutMachines(false)
 				time.Sleep(8 * time.Second)
-				sim.CloudOutage(false)
+				sim.SetCloudOutage(false)
 				mustRecover(t, sim, 3, arrayJob, serviceJob)
 			})
 		})
--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -99,7 +99,7 @@
 	changed := b.checkAnswer(id, op, sent.before, status, state.Status, header.Get("Retry-After") != "")
 	b.countAnswer(op, sent, status)
 	if changed {
-		b.AskAllRepeatedly(script)
+		b.SendBurst(script)
 	}
 	return status, state
 }
@@ -160,9 +160,9 @@
 	}
 }
 
-// AskAllRepeatedly sends a burst of polls to all controllers without waiting for the answers.
+// SendBurst sends a burst of polls to all controllers without waiting for the answers.
 // Every fourth request repeats the submission instead.
-func (b *BurstReaders) AskAllRepeatedly(script JobScript) {
+func (b *BurstReaders) SendBurst(script JobScript) {
 	if b.BurstLength == 0 {
 		return
 	}
@@ -217,7 +217,7 @@
 		sim.spawn(func() { b.pollUntilOver(script, cancelTime, turn) })
 		sim.spawn(func() {
 			if b.awaitEnd(ended) {
-				b.AskAllRepeatedly(script)
+				b.SendBurst(script)
 			}
 		})
 		if cancelTime != CancelAtOnce && cancelTime != CancelAtEnd || cancelTime == CancelAtEnd && !b.awaitEnd(ended) {
@@ -259,5 +259,5 @@
 	}
 	// After 4 s the job's final record has replaced the record of the live job.
 	sleep(sim.ctx, 4*time.Second)
-	b.AskAllRepeatedly(script)
+	b.SendBurst(script)
 }
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -78,9 +78,9 @@
 	// faultsOverSince is since when all faults are over as the test reports, noFaultSince as
 	// the simulation sees; zero: a fault is active.
 	faultsOverSince, noFaultSince time.Time
-	// lateStarts counts the starts after a cancellation was confirmed, lateDone the polls
+	// lateStarts counts the starts after a cancellation was confirmed, latePolls the polls
 	// that were not answered with the end of a job in time.
-	lateStarts, lateDone int
+	lateStarts, latePolls int
 	// latestTime is the latest time that a caller passed.
 	latestTime time.Time
 	// submittedIDs are the job IDs of all submissions, also of malformed ones.
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -140,7 +140,7 @@
 	c.StatusTold(id, st, sentAt, now)
 	completedBefore := !j.completionSeenAt.IsZero() && sentAt.Sub(j.completionSeenAt) > doneReportedWithin
 	if completedBefore && !st.IsFinal() && !j.cancelRequested {
-		c.lateDone++
+		c.latePolls++
 		j.notDoneToldAt = now
 	}
 }
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -35,8 +35,8 @@
 	return
 }
 
-// OnMachines counts the tasks of a job that are on machines.
-func (c *Checker) OnMachines(id wire.JobID) int {
+// TasksOnMachines counts the tasks of a job that are on machines.
+func (c *Checker) TasksOnMachines(id wire.JobID) int {
 	n := 0
 	for t := range c.placeOf {
 		if t.Job == id {
@@ -114,53 +114,53 @@
 	return out
 }
 
-// Told is how much users were told of a job; it only grows.
-type Told int
+// KnownStatus is how much users were told of a job; it only grows.
+type KnownStatus int
 
 // The values: nothing, that the job is accepted, and that it is done or cancelled.
 const (
-	ToldNothing Told = iota
-	ToldAccepted
-	ToldFinal
+	KnownStatusNone KnownStatus = iota
+	KnownStatusAccepted
+	KnownStatusFinal
 )
 
-func (t Told) String() string {
+func (t KnownStatus) String() string {
 	return [...]string{"nothing", "accepted", "final"}[t]
 }
 
-// ToldOf returns how much an answer to a poll tells, false if the poll was not answered.
-func ToldOf(httpStatus int, status wire.Status) (Told, bool) {
+// KnownStatusOf returns how much an answer to a poll tells, false if the poll was not answered.
+func KnownStatusOf(httpStatus int, status wire.Status) (KnownStatus, bool) {
 	switch {
 	case httpStatus == http.StatusNotFound:
-		return ToldNothing, true
+		return KnownStatusNone, true
 	case httpStatus != http.StatusOK:
-		return ToldNothing, false
+		return KnownStatusNone, false
 	case status.IsFinal():
-		return ToldFinal, true
+		return KnownStatusFinal, true
 	}
-	return ToldAccepted, true
+	return KnownStatusAccepted, true
 }
 
-// ToldSoFar returns how much users were told of a job so far.
-func (c *Checker) ToldSoFar(id wire.JobID) Told {
+// KnownStatus returns how much users were told of a job so far.
+func (c *Checker) KnownStatus(id wire.JobID) KnownStatus {
 	switch j := c.jobs[id]; {
 	case j == nil:
-		return ToldNothing
+		return KnownStatusNone
 	case j.finalStatus != "":
-		return ToldFinal
+		return KnownStatusFinal
 	case j.accepted:
-		return ToldAccepted
+		return KnownStatusAccepted
 	}
-	return ToldNothing
+	return KnownStatusNone
 }
 
 // LateStarts counts the starts of tasks after a user was told that the job is cancelled, also
 // those within the cancel timeout.
 func (c *Checker) LateStarts() int { return c.lateStarts }
 
-// LateDone counts the polls that were sent more than 3 s after a job's last task had
+// LatePolls counts the polls that were sent more than 3 s after a job's last task had
 // completed and were not answered with a final status.
-func (c *Checker) LateDone() int { return c.lateDone }
+func (c *Checker) LatePolls() int { return c.latePolls }
 
 // Restarts counts the starts of tasks that had been started before.
 func (c *Checker) Restarts() int { return c.restarts }
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -25,7 +25,7 @@
 	for i := range c.MachineSpecs {
 		spec := &c.MachineSpecs[i]
 		for _, zone := range spec.Zones {
-			room := MachineRoom{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
+			room := MachineCapacity{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
 			if room.hasRoomFor(job, nil) {
 				return ""
 			}
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -134,7 +134,7 @@
 	if j == nil {
 		return
 	}
-	if n := c.OnMachines(id); n != j.spec.Tasks {
+	if n := c.TasksOnMachines(id); n != j.spec.Tasks {
 		c.violated(now, HalfRun, "%s runs with %d of %d tasks on machines", id, n, j.spec.Tasks)
 	}
 	if j.startedAt.IsZero() {
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -9,14 +9,14 @@
 )
 
 // freeMachine is a machine with room for two tasks of the jobs under test.
-var freeMachine = MachineRoom{Place: Place{Machine: "n-1", Type: "c4", Zone: "a"}, Usable: true, CPUs: 8, MemoryGB: 8, DiskGB: 20}
+var freeMachine = MachineCapacity{Place: Place{Machine: "n-1", Type: "c4", Zone: "a"}, Usable: true, CPUs: 8, MemoryGB: 8, DiskGB: 20}
 
 // observeRoom shows freeMachine and no fault to the checker for some seconds.
 func observeRoom(c *Checker, seconds int) {
 	t0 := time.Unix(1000, 0)
 	for s := range seconds {
 		c.ObserveFaults(t0, true)
-		c.ObserveRoom([]MachineRoom{freeMachine}, t0.Add(time.Duration(s)*time.Second))
+		c.ObserveCapacity([]MachineCapacity{freeMachine}, t0.Add(time.Duration(s)*time.Second))
 	}
 }
 
@@ -186,13 +186,13 @@
 				now := t0.Add(time.Duration(s) * time.Second)
 				c.PollAnsweredNow("req-1", 200, wire.StatusQueued, now)
 				c.ObserveFaults(t0, true)
-				c.ObserveRoom([]MachineRoom{freeMachine}, now)
+				c.ObserveCapacity([]MachineCapacity{freeMachine}, now)
 			}
 		}},
 		"left waiting after a fault": {LeftWaiting, func(c *Checker) {
 			observeRoom(c, 80)
 			c.ObserveFaults(time.Time{}, false)
-			c.ObserveRoom([]MachineRoom{freeMachine}, t0)
+			c.ObserveCapacity([]MachineCapacity{freeMachine}, t0)
 			if len(c.Violations) > 0 {
 				return
 			}
@@ -230,16 +230,16 @@
 	after := func(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 	task := wire.TaskID{Job: "req-1", Index: 0}
 	here := Place{Machine: "n-1", Type: "c4", Zone: "a"}
-	with := func(change func(r *MachineRoom)) MachineRoom {
+	with := func(change func(r *MachineCapacity)) MachineCapacity {
 		r := freeMachine
 		change(&r)
 		return r
 	}
-	waiting := func(r MachineRoom) func(*Checker) {
+	waiting := func(r MachineCapacity) func(*Checker) {
 		return func(c *Checker) {
 			for s := range 200 {
 				c.ObserveFaults(t0, true)
-				c.ObserveRoom([]MachineRoom{r}, after(float64(s)))
+				c.ObserveCapacity([]MachineCapacity{r}, after(float64(s)))
 			}
 		}
 	}
@@ -250,18 +250,18 @@
 			c.PollAnswered("req-1", 200, wire.StatusRunning, after(1), after(3))
 		},
 		"404 to a poll sent before the acceptance": func(c *Checker) { c.PollAnswered("req-1", 404, "", after(-1), after(1)) },
-		"no room":                              waiting(with(func(r *MachineRoom) { r.CPUs = 3 })),
-		"no memory":                            waiting(with(func(r *MachineRoom) { r.MemoryGB = 3 })),
-		"not up, or faulty":                    waiting(with(func(r *MachineRoom) { r.Usable = false })),
-		"a spot machine":                       waiting(with(func(r *MachineRoom) { r.Spot = true })),
-		"an image too large":                   waiting(with(func(r *MachineRoom) { r.DiskGB = 0.5 })),
-		"the team at its limit":                waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
-		"a zone has its share of a spread job": waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
+		"no room":                              waiting(with(func(r *MachineCapacity) { r.CPUs = 3 })),
+		"no memory":                            waiting(with(func(r *MachineCapacity) { r.MemoryGB = 3 })),
+		"not up, or faulty":                    waiting(with(func(r *MachineCapacity) { r.Usable = false })),
+		"a spot machine":                       waiting(with(func(r *MachineCapacity) { r.Spot = true })),
+		"an image too large":                   waiting(with(func(r *MachineCapacity) { r.DiskGB = 0.5 })),
+		"the team at its limit":                waiting(with(func(r *MachineCapacity) { r.Tasks = []wire.TaskID{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
+		"a zone has its share of a spread job": waiting(with(func(r *MachineCapacity) { r.Tasks = []wire.TaskID{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
 		"all its tasks run": func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
 			c.Accepted("req-3", t0)
 			c.CancelRequested("req-1")
-			waiting(with(func(r *MachineRoom) { r.Tasks = []wire.TaskID{{Job: "req-3"}} }))(c)
+			waiting(with(func(r *MachineCapacity) { r.Tasks = []wire.TaskID{{Job: "req-3"}} }))(c)
 		},
 		"a task starts now and then": func(c *Checker) {
 			for s := range 200 {
@@ -269,13 +269,13 @@
 				if s%80 == 79 {
 					c.TaskStarted(task, here, after(float64(s)))
 				}
-				c.ObserveRoom([]MachineRoom{freeMachine}, after(float64(s)))
+				c.ObserveCapacity([]MachineCapacity{freeMachine}, after(float64(s)))
 			}
 		},
 		"faults now and then": func(c *Checker) {
 			for s := range 200 {
 				c.ObserveFaults(t0, s%80 != 79)
-				c.ObserveRoom([]MachineRoom{freeMachine}, after(float64(s)))
+				c.ObserveCapacity([]MachineCapacity{freeMachine}, after(float64(s)))
 			}
 		},
 		"all its tasks have completed and nobody polls": func(c *Checker) {
@@ -317,7 +317,7 @@
 	}
 	c.Tick(t0)
 	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(2*time.Second), t0.Add(4*time.Second))
-	if c.LateDone() != 0 {
+	if c.LatePolls() != 0 {
 		t.Error("poll sent 2 s after the end is counted as late")
 	}
 	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(4*time.Second), t0.Add(4*time.Second))
@@ -325,8 +325,8 @@
 	c.CancelRequested("req-2")
 	c.StatusToldNow("req-2", wire.StatusCancelled, t0.Add(5*time.Second))
 	c.TaskStarted(wire.TaskID{Job: "req-2", Index: 1}, here, t0.Add(6*time.Second))
-	if c.LateDone() != 1 || c.LateStarts() != 1 || len(c.Violations) > 0 {
-		t.Errorf("got %d late polls, %d late starts, violations %v, want 1, 1, none", c.LateDone(), c.LateStarts(), c.Violations)
+	if c.LatePolls() != 1 || c.LateStarts() != 1 || len(c.Violations) > 0 {
+		t.Errorf("got %d late polls, %d late starts, violations %v, want 1, 1, none", c.LatePolls(), c.LateStarts(), c.Violations)
 	}
 }
 
@@ -374,19 +374,19 @@
 		name         string
 		httpStatus   int
 		status       wire.Status
-		want         Told
+		want         KnownStatus
 		wantAnswered bool
 	}{
-		{"unknown job", http.StatusNotFound, "", ToldNothing, true},
-		{"no answer", 0, "", ToldNothing, false},
-		{"refused for now", http.StatusServiceUnavailable, "", ToldNothing, false},
-		{"done", http.StatusOK, wire.StatusDone, ToldFinal, true},
-		{"cancelled", http.StatusOK, wire.StatusCancelled, ToldFinal, true},
-		{"running", http.StatusOK, wire.StatusRunning, ToldAccepted, true},
+		{"unknown job", http.StatusNotFound, "", KnownStatusNone, true},
+		{"no answer", 0, "", KnownStatusNone, false},
+		{"refused for now", http.StatusServiceUnavailable, "", KnownStatusNone, false},
+		{"done", http.StatusOK, wire.StatusDone, KnownStatusFinal, true},
+		{"cancelled", http.StatusOK, wire.StatusCancelled, KnownStatusFinal, true},
+		{"running", http.StatusOK, wire.StatusRunning, KnownStatusAccepted, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got, answered := ToldOf(c.httpStatus, c.status); got != c.want || answered != c.wantAnswered {
-				t.Errorf("ToldOf(%d, %q) = %v, %v, want %v, %v", c.httpStatus, c.status, got, answered, c.want, c.wantAnswered)
+			if got, answered := KnownStatusOf(c.httpStatus, c.status); got != c.want || answered != c.wantAnswered {
+				t.Errorf("KnownStatusOf(%d, %q) = %v, %v, want %v, %v", c.httpStatus, c.status, got, answered, c.want, c.wantAnswered)
 			}
 		})
 	}
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -10,9 +10,9 @@
 // longestWait is how long a job may be left waiting while there is no fault.
 const longestWait = 90 * time.Second
 
-// MachineRoom is a machine with its free capacity and its tasks, which include those whose
+// MachineCapacity is a machine with its free capacity and its tasks, which include those whose
 // image is being fetched.
-type MachineRoom struct {
+type MachineCapacity struct {
 	Place
 	Usable   bool // up, not faulty, and without a spot notice
 	CPUs     float64
@@ -40,7 +40,7 @@
 }
 
 // useOf sums up the tasks on the machines by job and by team.
-func (c *Checker) useOf(rooms []MachineRoom) capacityUse {
+func (c *Checker) useOf(rooms []MachineCapacity) capacityUse {
 	use := capacityUse{map[wire.JobID]map[int]wire.Zone{}, map[wire.TeamID]TeamLimit{}}
 	for i := range rooms {
 		for _, t := range rooms[i].Tasks {
@@ -59,9 +59,9 @@
 	return use
 }
 
-// ObserveRoom checks for jobs that are left waiting beside machines that they could use.
+// ObserveCapacity checks for jobs that are left waiting beside machines that they could use.
 // Waiting counts only while there is no fault.
-func (c *Checker) ObserveRoom(rooms []MachineRoom, now time.Time) {
+func (c *Checker) ObserveCapacity(rooms []MachineCapacity, now time.Time) {
 	c.observeTime(now)
 	noFault := c.faultsOverFor(now, 0)
 	use := c.useOf(rooms)
@@ -104,7 +104,7 @@
 
 // checkUsableMachines records which machines a waiting job could use, and a violation if it
 // could have used one of them for longestWait.
-func (c *Checker) checkUsableMachines(j *jobHistory, rooms []MachineRoom, zones map[wire.Zone]int, placedOrDone int, now time.Time) {
+func (c *Checker) checkUsableMachines(j *jobHistory, rooms []MachineCapacity, zones map[wire.Zone]int, placedOrDone int, now time.Time) {
 	usableSince := map[wire.MachineID]time.Time{}
 	for i := range rooms {
 		room := &rooms[i]
@@ -126,7 +126,7 @@
 
 // gangFits reports whether all tasks of a gang fit on the usable machines together, without the
 // excluded ones.
-func gangFits(rooms []MachineRoom, s *wire.JobSpec, excluded map[wire.MachineID]bool) bool {
+func gangFits(rooms []MachineCapacity, s *wire.JobSpec, excluded map[wire.MachineID]bool) bool {
 	zones := map[wire.Zone]int{}
 	for i := range rooms {
 		room := rooms[i]
@@ -150,7 +150,7 @@
 
 // hasRoomFor reports whether one more task of a job may and can run on the machine; zones counts
 // the job's tasks on machines by zone.
-func (r *MachineRoom) hasRoomFor(s *wire.JobSpec, zones map[wire.Zone]int) bool {
+func (r *MachineCapacity) hasRoomFor(s *wire.JobSpec, zones map[wire.Zone]int) bool {
 	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
 		return false
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -43,7 +43,7 @@
 
 // cloud serves the cloud's API.
 func (sim *Simulation) cloud(rw http.ResponseWriter, r *http.Request) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	raw, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 	if err != nil {
 		return
 	}
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -6,22 +6,22 @@
 	"lilaclead/internal/wire"
 )
 
-// CloudOutage begins or ends an outage of the cloud's API.
-func (sim *Simulation) CloudOutage(on bool) {
+// SetCloudOutage begins or ends an outage of the cloud's API.
+func (sim *Simulation) SetCloudOutage(on bool) {
 	sim.mu.Lock()
 	sim.cloudOutage = on
 	sim.mu.Unlock()
 }
 
-// LoseScaleInAnswers makes the next n scale-in requests take effect without an answer.
-func (sim *Simulation) LoseScaleInAnswers(n int) {
+// LoseScaleInResponses makes the next n scale-in requests take effect without an answer.
+func (sim *Simulation) LoseScaleInResponses(n int) {
 	sim.mu.Lock()
 	sim.loseScaleInAnswers = n
 	sim.mu.Unlock()
 }
 
-// LoseScaleOutAnswers makes the next n scale-out requests take effect without an answer.
-func (sim *Simulation) LoseScaleOutAnswers(n int) {
+// LoseScaleOutResponses makes the next n scale-out requests take effect without an answer.
+func (sim *Simulation) LoseScaleOutResponses(n int) {
 	sim.mu.Lock()
 	sim.loseScaleOutAnswers = n
 	sim.mu.Unlock()
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -329,11 +329,11 @@
 // GangState is the state of a gang: the number of its tasks in each phase, the number of events
 // so far, and the seconds of run time that its last checkpoint holds.
 type GangState struct {
-	Fetching, Waiting, Running, Saving   int
-	Starts, Saves, Rollbacks, Incomplete int
-	Saved                                float64
-	Attempts                             int // attempts that have tasks on machines
-	Done                                 bool
+	Fetching, Waiting, Running, Saving     int
+	Starts, Saves, Rollbacks, WaitTimeouts int
+	SavedSeconds                           float64
+	Attempts                               int // attempts that have tasks on machines
+	Done                                   bool
 }
 
 // GangState returns the state of a gang.
@@ -364,7 +364,7 @@
 	}
 	out.Attempts = len(attempts)
 	if gang := sim.gangs.jobs[id]; gang != nil {
-		out.Starts, out.Saves, out.Rollbacks, out.Incomplete, out.Saved, out.Done = gang.completeStarts, gang.checkpointedStops, gang.rollbacks, gang.waitTimeouts, gang.checkpointedProgress, gang.done
+		out.Starts, out.Saves, out.Rollbacks, out.WaitTimeouts, out.SavedSeconds, out.Done = gang.completeStarts, gang.checkpointedStops, gang.rollbacks, gang.waitTimeouts, gang.checkpointedProgress, gang.done
 	}
 	return out
 }
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -59,10 +59,10 @@
 		}},
 		"left waiting beside room": {LeftWaiting, func(c *Checker) {
 			c.Accepted("req-000001", t0)
-			r := MachineRoom{Place: here, Usable: true, CPUs: 4, MemoryGB: 16, DiskGB: 20}
+			r := MachineCapacity{Place: here, Usable: true, CPUs: 4, MemoryGB: 16, DiskGB: 20}
 			for s := range 200 {
 				c.ObserveFaults(t0, true)
-				c.ObserveRoom([]MachineRoom{r}, t0.Add(time.Duration(s)*time.Second))
+				c.ObserveCapacity([]MachineCapacity{r}, t0.Add(time.Duration(s)*time.Second))
 			}
 		}},
 	}
@@ -84,13 +84,13 @@
 // The checker must record no violation for allowed behaviour of gangs.
 func TestAllowedGangBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	room := func(z wire.Zone, cpus float64) MachineRoom {
-		return MachineRoom{Place: Place{Machine: wire.MachineID("n-" + string(z)), Type: "c4", Zone: z}, Usable: true, CPUs: cpus, MemoryGB: 16, DiskGB: 20}
+	room := func(z wire.Zone, cpus float64) MachineCapacity {
+		return MachineCapacity{Place: Place{Machine: wire.MachineID("n-" + string(z)), Type: "c4", Zone: z}, Usable: true, CPUs: cpus, MemoryGB: 16, DiskGB: 20}
 	}
-	cases := map[string][]MachineRoom{
+	cases := map[string][]MachineCapacity{
 		"room in two zones for a gang of one zone": {room("a", 2), room("b", 2)},
 		"room for half of the gang":                {room("a", 2)},
-		"a task of an attempt is on the machine":   {func() MachineRoom { r := room("a", 4); r.Tasks = []wire.TaskID{{Job: "req-000001"}}; return r }()},
+		"a task of an attempt is on the machine":   {func() MachineCapacity { r := room("a", 4); r.Tasks = []wire.TaskID{{Job: "req-000001"}}; return r }()},
 	}
 	for name, rooms := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
@@ -98,7 +98,7 @@
 		c.Accepted("req-000001", t0)
 		for s := range 200 {
 			c.ObserveFaults(t0, true)
-			c.ObserveRoom(rooms, t0.Add(time.Duration(s)*time.Second))
+			c.ObserveCapacity(rooms, t0.Add(time.Duration(s)*time.Second))
 		}
 		if len(c.Violations) > 0 {
 			t.Errorf("%s: recorded %v, want none", name, c.Violations)
@@ -190,7 +190,7 @@
 			check(1, wire.PhaseRunning, "", false)
 			time.Sleep(9 * second)
 			check(1, wire.PhaseExited, wire.CauseGangBroken, false)
-			if state := sim.GangState("req-000001"); state.Saved != 20 {
+			if state := sim.GangState("req-000001"); state.SavedSeconds != 20 {
 				t.Errorf("GangState() = %+v, want 20 s saved", state)
 			}
 		},
@@ -230,7 +230,7 @@
 			execute(1, stopCommand(1, 1, 2))
 			time.Sleep(9 * second)
 			check(2, wire.PhaseExited, wire.CauseGangBroken, false)
-			if state := sim.GangState("req-000001"); state.Saved != 0 || state.Rollbacks != 1 {
+			if state := sim.GangState("req-000001"); state.SavedSeconds != 0 || state.Rollbacks != 1 {
 				t.Errorf("GangState() = %+v, want nothing saved and 1 rollback", state)
 			}
 		},
@@ -242,7 +242,7 @@
 			check(1, wire.PhaseExited, wire.CauseStopped, false)
 			time.Sleep(9 * second)
 			check(2, wire.PhaseExited, wire.CauseGangBroken, false)
-			if state := sim.GangState("req-000001"); state.Saved != 0 || state.Rollbacks != 1 {
+			if state := sim.GangState("req-000001"); state.SavedSeconds != 0 || state.Rollbacks != 1 {
 				t.Errorf("GangState() = %+v, want nothing saved and 1 rollback", state)
 			}
 		},
--- a/internal/simulator/late_requests.go
+++ b/internal/simulator/late_requests.go
@@ -12,10 +12,10 @@
 // effects.
 type LateRequests struct {
 	Delayed     int // requests that were delayed
-	CarriedOut  int // delayed requests that have been executed
+	Executed    int // delayed requests that have been executed
 	Provisioned int // machines that a late scale-out request provisioned
 	ScaledIn    int // machines that a late scale-in request removed
-	EndedTasks  int // tasks that were on the removed machines
+	KilledTasks int // tasks that were on the removed machines
 }
 
 // lateRequests is the part of the cloud that delays requests. The simulation's lock guards it.
@@ -60,7 +60,7 @@
 		sleep(sim.ctx, delay)
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
-		sim.lateRequests.outcome.CarriedOut++
+		sim.lateRequests.outcome.Executed++
 		execute()
 	})
 	return true
@@ -80,7 +80,7 @@
 	for _, id := range names.Machines {
 		if m := sim.machines[id]; m != nil {
 			sim.lateRequests.outcome.ScaledIn++
-			sim.lateRequests.outcome.EndedTasks += len(m.tasks)
+			sim.lateRequests.outcome.KilledTasks += len(m.tasks)
 		}
 	}
 	sim.scaleIn(raw)
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -143,10 +143,10 @@
 	return
 }
 
-// JobsWithRoom returns the number of waiting tasks of each job that could start one now: some
+// JobsWithCapacity returns the number of waiting tasks of each job that could start one now: some
 // machine has room for the task, the placement of the job's other tasks allows that machine,
 // and the job's team is below its limit.
-func (sim *Simulation) JobsWithRoom() map[wire.JobID]int {
+func (sim *Simulation) JobsWithCapacity() map[wire.JobID]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	out := map[wire.JobID]int{}
@@ -168,8 +168,8 @@
 }
 
 // room returns the machine with its free capacity and its tasks; the caller holds the lock.
-func (m *worker) room() MachineRoom {
-	room := MachineRoom{
+func (m *worker) room() MachineCapacity {
+	room := MachineCapacity{
 		Place:  Place{m.id, m.machineType, m.zone, m.spot},
 		Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
 		CPUs:   m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB,
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -33,7 +33,7 @@
 
 // Answered is the verb under which LateCommands counts direct requests that were executed and
 // answered late.
-const Answered wire.Verb = "answered"
+const LateAnswer wire.Verb = "answered"
 
 // LateCommands counts late commands by verb: for VerbLaunch and VerbStop direct commands that were
 // executed late because they were delayed or the machine hung, for VerbForget commands that were
@@ -174,7 +174,7 @@
 	for _, delay := range delays {
 		sim.reportFault(true)
 		sim.spawn(func() {
-			defer sim.CountFault(false)
+			defer sim.ReportFault(false)
 			sleep(sim.ctx, delay)
 			for i := range sim.controllers {
 				sim.Ask(i, "POST", "/hello", heartbeat)
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -33,8 +33,8 @@
 }
 
 // Host returns the network as one host sees it.
-func (n *Network) Host(ip string) netio.Net {
-	return netio.Net{
+func (n *Network) Host(ip string) netio.Network {
+	return netio.Network{
 		Dial:   func(ctx context.Context, _, addr string) (net.Conn, error) { return n.dial(ctx, ip, addr) },
 		Listen: func(_, addr string) (net.Listener, error) { return n.listen(addr) },
 	}
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -53,12 +53,12 @@
 
 // Cut holds all packets between two hosts, or delivers them.
 func (n *Network) Cut(a, b string, cut bool) {
-	n.Hold(a, b, cut)
-	n.Hold(b, a, cut)
+	n.HoldPackets(a, b, cut)
+	n.HoldPackets(b, a, cut)
 }
 
 // Hold holds all packets from one host to another, or delivers them.
-func (n *Network) Hold(from, to string, hold bool) {
+func (n *Network) HoldPackets(from, to string, hold bool) {
 	n.mu.Lock()
 	n.blockedLinks[[2]string{from, to}] = hold
 	n.mu.Unlock()
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -19,7 +19,7 @@
 
 // StartFunc creates a controller. The function that it returns runs the controller until
 // the context ends.
-type StartFunc func(cfg *config.Config, nw netio.Net) (func(context.Context) error, error)
+type StartFunc func(cfg *config.Config, nw netio.Network) (func(context.Context) error, error)
 
 // JobScript is a job's specification and the behaviour of its tasks on the fake machines.
 type JobScript struct {
@@ -40,8 +40,8 @@
 // Simulation is a deployment of real controllers with fakes of everything else. Its lock
 // guards the fakes, except for the network and the key-value store, which have their own.
 type Simulation struct {
-	Net     *Network                  // the in-memory network
-	hostNet func(ip string) netio.Net // the network as a host sees it
+	Net     *Network                      // the in-memory network
+	hostNet func(ip string) netio.Network // the network as a host sees it
 	// onLoopback means that the hosts are on the operating system's loopback network (see
 	// Loopback), not on Net.
 	onLoopback bool
@@ -80,7 +80,7 @@
 	soldOut             map[wire.Zone]bool
 	listLag             time.Duration
 	bootFactor          float64
-	reportedFaults      int       // active faults reported by CountFault
+	reportedFaults      int       // active faults reported by ReportFault
 	lastFault           time.Time // when a fault was last active
 }
 
@@ -102,13 +102,13 @@
 
 // New returns a deployment in which no controller runs yet. host returns the network as the
 // host with an IP address sees it: nil for an in-memory network, or Loopback.
-func New(ctx context.Context, settings config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Net) *Simulation {
+func New(ctx context.Context, settings config.Settings, seed uint64, start StartFunc, host func(ip string) netio.Network) *Simulation {
 	limits := map[wire.TeamID]TeamLimit{}
 	for _, team := range settings.Teams {
 		limits[team.Name] = TeamLimit{team.MaxCPUs, team.MaxGPUs}
 	}
 	sim := &Simulation{
-		Net: NewNetwork(time.Millisecond), State: NewKVStore(settings.State.TxnOps, int(settings.State.ValueKB)), Settings: settings,
+		Net: NewNetwork(time.Millisecond), State: NewKVStore(settings.State.MaxTxnWrites, int(settings.State.MaxValueKB)), Settings: settings,
 		checker: NewChecker(settings.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
 		machineTypes: []wire.MachineSpec{
 			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: settings.Zones},
@@ -228,11 +228,11 @@
 	}
 	sim.checker.ObserveFaults(sim.lastFault, sim.lastFault != now)
 	sim.checker.Tick(now)
-	rooms := make([]MachineRoom, 0, len(sim.machines))
+	rooms := make([]MachineCapacity, 0, len(sim.machines))
 	for _, id := range slices.Sorted(maps.Keys(sim.machines)) {
 		rooms = append(rooms, sim.machines[id].room())
 	}
-	sim.checker.ObserveRoom(rooms, now)
+	sim.checker.ObserveCapacity(rooms, now)
 }
 
 // hasFault reports whether any fault is active; the caller holds the lock.
@@ -253,15 +253,15 @@
 	return sim.State.faulty() || sim.Net.faulty()
 }
 
-// CountFault records that a fault begins or ends that the simulation can't see by itself.
+// ReportFault records that a fault begins or ends that the simulation can't see by itself.
 // While one is active, the rule LeftWaiting does not apply.
-func (sim *Simulation) CountFault(on bool) {
+func (sim *Simulation) ReportFault(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.reportFault(on)
 }
 
-// reportFault is CountFault with the lock held.
+// reportFault is ReportFault with the lock held.
 func (sim *Simulation) reportFault(on bool) {
 	if on {
 		sim.reportedFaults++
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Outage begins or ends an outage. At its end every grant gets its full TTL again.
-func (s *KVStore) Outage(on bool) {
+// SetOutage begins or ends an outage. At its end every grant gets its full TTL again.
+func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -38,8 +38,8 @@
 	s.mu.Unlock()
 }
 
-// LoseAnswers makes the next n transactions take effect without an answer.
-func (s *KVStore) LoseAnswers(n int) {
+// LoseResponses makes the next n transactions take effect without an answer.
+func (s *KVStore) LoseResponses(n int) {
 	s.mu.Lock()
 	s.answersToLose = n
 	s.mu.Unlock()
@@ -67,14 +67,14 @@
 }
 
 // TxnFault selects transactions that the key-value store does not answer. It executes them at
-// once or, with Late, after a delay, during which newer ones are executed.
+// once or, with Delay, after a delay, during which newer ones are executed.
 type TxnFault struct {
-	Hosts  []string // clients whose transactions are hit; nil: all
-	Prefix string   // only transactions that change a key with this prefix
-	Share  float64  // share of these transactions; 0: all
-	Most   int      // maximal number of transactions; 0: no limit
-	// Late is the shortest and the longest delay of the execution; zero: none.
-	Late [2]time.Duration
+	Hosts    []string // clients whose transactions are hit; nil: all
+	Prefix   string   // only transactions that change a key with this prefix
+	Share    float64  // share of these transactions; 0: all
+	MaxCount int      // maximal number of transactions; 0: no limit
+	// Delay is the shortest and the longest delay of the execution; zero: none.
+	Delay [2]time.Duration
 	// Hang makes every client wait until it gives up. Otherwise half of the connections, at
 	// random, break at once.
 	Hang bool
@@ -88,12 +88,12 @@
 	Late   bool
 	// Done is when the transaction was executed or refused; zero: not yet. Status is the
 	// status that the answer would have had, Failed the keys of the guards that failed.
-	Done   time.Time
-	Status int
-	Failed []string
+	ExecutedAt time.Time
+	Status     int
+	FailedKeys []string
 	// Newer counts the transactions of the same client that were executed between the
 	// arrival of this one and its execution.
-	Newer int
+	NewerExecuted int
 }
 
 // ChangesPrefix reports whether the transaction changes a key with the prefix.
@@ -154,25 +154,25 @@
 		return false
 	}
 	fault := injector.faults[index]
-	if fault.Most == 1 {
+	if fault.MaxCount == 1 {
 		injector.faults = slices.Delete(injector.faults, index, index+1)
-	} else if fault.Most > 1 {
-		injector.faults[index].Most--
+	} else if fault.MaxCount > 1 {
+		injector.faults[index].MaxCount--
 	}
 	injector.outcomes = append(injector.outcomes, outcome)
 	before := injector.executedCount[from]
 	execute := func() {
 		s.expire()
-		outcome.Newer = injector.executedCount[from] - before
+		outcome.NewerExecuted = injector.executedCount[from] - before
 		var answer any
 		outcome.Status, answer = s.execute(from, t)
-		outcome.Done = time.Now()
+		outcome.ExecutedAt = time.Now()
 		if response, ok := answer.(wire.TxnResponse); ok {
-			outcome.Failed = response.FailedKeys
+			outcome.FailedKeys = response.FailedKeys
 		}
 	}
-	if outcome.Late = fault.Late[1] > 0; outcome.Late {
-		time.AfterFunc(fault.Late[0]+time.Duration(injector.rng.Float64()*float64(fault.Late[1]-fault.Late[0])), func() {
+	if outcome.Late = fault.Delay[1] > 0; outcome.Late {
+		time.AfterFunc(fault.Delay[0]+time.Duration(injector.rng.Float64()*float64(fault.Delay[1]-fault.Delay[0])), func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			execute()
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -200,7 +200,7 @@
 
 // ServeHTTP serves the API of the key-value store.
 func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	raw, err := wire.ReadBody(r.Body, wire.MaxBody)
+	raw, err := wire.ReadBody(r.Body, wire.MaxBodyBytes)
 	if err != nil {
 		return
 	}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -41,7 +41,7 @@
 
 // Ask sends one request to a controller; status 0 means no answer. The timeout is 2 s for a
 // poll and 5 s for any other request.
-func Ask(ctx context.Context, nw netio.Net, method, url string, body any) (int, []byte, http.Header) {
+func Ask(ctx context.Context, nw netio.Network, method, url string, body any) (int, []byte, http.Header) {
 	transport := nw.Transport(1, 1)
 	defer transport.CloseIdleConnections()
 	timeout := 5 * time.Second
@@ -108,9 +108,9 @@
 	return wire.Encode(v)
 }
 
-// AskAllAboutAll polls every controller that is up for every job that a user was told is
+// PollAllJobs polls every controller that is up for every job that a user was told is
 // accepted, as users may do at any later time.
-func (sim *Simulation) AskAllAboutAll() {
+func (sim *Simulation) PollAllJobs() {
 	var ids []wire.JobID
 	up := make([]bool, len(sim.controllers))
 	sim.mu.Lock()
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -177,7 +177,7 @@
 func (m *worker) postHeartbeat(client *http.Client, url string, heartbeat any) (int, []byte) {
 	ctx, cancel := context.WithTimeout(m.ctx, heartbeatTimeout)
 	defer cancel()
-	status, raw, _, err := netio.Call(ctx, client, "POST", url, heartbeat, wire.MaxBody)
+	status, raw, _, err := netio.Call(ctx, client, "POST", url, heartbeat, wire.MaxBodyBytes)
 	if err != nil {
 		return 0, nil
 	}
@@ -277,7 +277,7 @@
 	m.observeToken(request.Token)
 	m.execute(request.Commands)
 	if len(request.Commands) > 0 {
-		m.sim.countLate(time.Now().Add(-delay.Answer), []wire.Command{{Verb: Answered}}, Answered)
+		m.sim.countLate(time.Now().Add(-delay.Answer), []wire.Command{{Verb: LateAnswer}}, LateAnswer)
 	}
 	return http.StatusOK
 }
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -5,11 +5,11 @@
 // MaxTasksPerChunk is the largest number of tasks in one chunk.
 const MaxTasksPerChunk = 256
 
-// ChunkTasksFor returns the largest number of tasks in a chunk under a limit of valueKB KiB
+// TasksPerChunkForLimit returns the largest number of tasks in a chunk under a limit of valueKB KiB
 // on a value. A chunk of that size fits the limit in every mix of task states, also with
 // every task on a machine and however often the tasks were started. (At 4 KiB, one chunk
 // with 200 tasks would exceed the limit once most of them have been started again.)
-func ChunkTasksFor(valueKB float64) int {
+func TasksPerChunkForLimit(valueKB float64) int {
 	return max(1, min(MaxTasksPerChunk, int(valueKB*1024-baseChunkBytes)/attemptBytes))
 }
 
@@ -43,9 +43,9 @@
 	SubchunkTasks int `cbor:"s,omitempty"`
 }
 
-// JSONSize returns an upper bound of the record's size in JSON, in bytes. The service
+// MaxJSONSize returns an upper bound of the record's size in JSON, in bytes. The service
 // applies its limit on a value to that form.
-func (c *ChunkRecord) JSONSize() int {
+func (c *ChunkRecord) MaxJSONSize() int {
 	size := baseChunkBytes
 	for _, bound := range c.Done {
 		size += decimalDigits(uint64(bound)) + 2
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -56,7 +56,7 @@
 
 // New returns a client of the service at the address. The limits are those of the whole
 // deployment; the client uses the share of one of its nodes.
-func New(addr string, limits config.StoreLimits, nodes int, network netio.Net) *Client {
+func New(addr string, limits config.StoreLimits, nodes int, network netio.Network) *Client {
 	return &Client{
 		baseURL:     "http://" + addr,
 		httpClient:  &http.Client{Transport: network.Transport(requestConnections, requestConnections)},
