--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -73,12 +73,12 @@
 		if _, err := c.Get(ctx, store.ClassBackground, "none"); !errors.Is(err, store.ErrNotFound) {
 			t.Errorf("no such key: got %v, want %v", err, store.ErrNotFound)
 		}
-		state.Outage(true)
+		state.SetOutage(true)
 		if _, err := c.Commit(ctx, store.ClassBackground, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
 			t.Errorf("outage: got %v, reachable %v, want %v, false", err, c.Reachable(), store.ErrRefused)
 		}
-		state.Outage(false)
-		state.LoseAnswers(1)
+		state.SetOutage(false)
+		state.LoseResponses(1)
 		if _, err := c.Commit(ctx, store.ClassBackground, wire.Txn{Writes: []wire.Write{{DeleteKey: "k"}}}); !errors.Is(err, store.ErrOutcomeUnknown) {
 			t.Errorf("response lost: got %v, want %v", err, store.ErrOutcomeUnknown)
 		}
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -40,10 +40,10 @@
 		return err
 	},
 	"grant": func(ctx context.Context, c *store.Client) error {
-		_, err := c.Grant(ctx, time.Second)
+		_, err := c.CreateGrant(ctx, time.Second)
 		return err
 	},
-	"renew": func(ctx context.Context, c *store.Client) error { return c.Renew(ctx, 7, time.Second) },
+	"renew": func(ctx context.Context, c *store.Client) error { return c.RenewGrant(ctx, 7, time.Second) },
 	"end":   func(ctx context.Context, c *store.Client) error { return c.RevokeGrant(ctx, 7) },
 	"watch": func(ctx context.Context, c *store.Client) error {
 		_, err := c.Watch(ctx, "job/", 5, time.Second)
@@ -148,7 +148,7 @@
 }
 
 func newClient(nw *simulator.Network) *store.Client {
-	return store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
+	return store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 100, WriteRPS: 10, MaxValueKB: 16, MaxTxnWrites: 12}, 1, nw.Host("10.0.0.1"))
 }
 
 // A request that never reached the service must fail with a retryable error that names the
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Grant creates a lease in the key-value store and returns its id.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (wire.GrantID, error) {
+// CreateGrant creates a lease in the key-value store and returns its id.
+func (c *Client) CreateGrant(ctx context.Context, ttl time.Duration) (wire.GrantID, error) {
 	var result wire.GrantResponse
 	req := request{
 		op:      opGrant,
@@ -32,9 +32,9 @@
 	return result.Grant, nil
 }
 
-// Renew extends a lease to its full duration. The error wraps ErrNotFound if the lease has
+// RenewGrant extends a lease to its full duration. The error wraps ErrNotFound if the lease has
 // expired.
-func (c *Client) Renew(ctx context.Context, id wire.GrantID, timeout time.Duration) error {
+func (c *Client) RenewGrant(ctx context.Context, id wire.GrantID, timeout time.Duration) error {
 	req := request{
 		op:      opRenew,
 		key:     leaseName(id),
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -128,8 +128,8 @@
 // the clock of the node that cancelled the job may differ from this node's.
 func (r *JobRecord) SinceCancelled() time.Duration { return max(0, time.Since(r.CancelledAt.Time())) }
 
-// ChunkTasks returns the number of tasks in each chunk of the job's progress.
-func (r *JobRecord) ChunkTasks() int {
+// EffectiveTasksPerChunk returns the number of tasks in each chunk of the job's progress.
+func (r *JobRecord) EffectiveTasksPerChunk() int {
 	if r.TasksPerChunk < 1 || r.TasksPerChunk > MaxTasksPerChunk {
 		return MaxTasksPerChunk
 	}
@@ -142,8 +142,8 @@
 	Done   int         `cbor:"done"` // number of completed tasks
 }
 
-// LeaderRecord is the value of the leader's key.
-type LeaderRecord struct {
+// LeaseRecord is the value of the leader's key.
+type LeaseRecord struct {
 	Node wire.NodeID `cbor:"node"`
 	// Nonce distinguishes one process of a node from the next.
 	Nonce string `cbor:"nonce"`
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -52,7 +52,7 @@
 func TestLargestChunkFitsValueLimit(t *testing.T) {
 	for _, valueKB := range []float64{1, 4, 16, 32} {
 		rapid.Check(t, func(t *rapid.T) {
-			size := ChunkTasksFor(valueKB)
+			size := TasksPerChunkForLimit(valueKB)
 			record := ChunkRecord{NextAttempt: 1e8, Done: []int{}, Active: []ActiveAttempt{}}
 			done := make([]bool, size)
 			maxDoneDraw := rapid.IntRange(0, 4).Draw(t, "share")
@@ -75,12 +75,12 @@
 			}
 			encoded, _ := json.Marshal(map[string]any{"n": record.NextAttempt, "d": record.Done, "r": attempts})
 			jsonSize := len(encoded) + bytes.Count(encoded, []byte(",")) + bytes.Count(encoded, []byte(":")) // a space after each
-			if jsonSize > int(valueKB*1024) || record.JSONSize() < jsonSize {
-				t.Fatalf("got %d bytes, estimated as %d, want at most the estimate and at most %g KiB", jsonSize, record.JSONSize(), valueKB)
+			if jsonSize > int(valueKB*1024) || record.MaxJSONSize() < jsonSize {
+				t.Fatalf("got %d bytes, estimated as %d, want at most the estimate and at most %g KiB", jsonSize, record.MaxJSONSize(), valueKB)
 			}
 		})
 	}
-	if n := ChunkTasksFor(32); n != MaxTasksPerChunk {
+	if n := TasksPerChunkForLimit(32); n != MaxTasksPerChunk {
 		t.Errorf("got %d tasks in a chunk at 32 KiB, want %d", n, MaxTasksPerChunk)
 	}
 }
--- a/internal/utility/utility.go
+++ b/internal/utility/utility.go
@@ -42,37 +42,37 @@
 	Value(Grant) float64
 }
 
-// Choose is the n Choose k leaf. Its value is U if the grant has at least K units in the
+// Choose is the n Choose k leaf. Its value is Utility if the grant has at least Units units in the
 // classes of From, else 0.
 type Choose struct {
-	From Set
-	K    int
-	U    float64
+	From    Set
+	Units   int
+	Utility float64
 }
 
 // Value returns the utility of a grant.
 func (e Choose) Value(g Grant) float64 {
-	if g.unitsIn(e.From) >= e.K {
-		return e.U
+	if g.unitsIn(e.From) >= e.Units {
+		return e.Utility
 	}
 	return 0
 }
 
 // Linear is the linear n Choose k leaf. Its value rises linearly with the units in the
-// classes of From, up to U at K units, and stays at U above that.
+// classes of From, up to Utility at Units units, and stays at Utility above that.
 type Linear struct {
-	From Set
-	K    int
-	U    float64
+	From    Set
+	Units   int
+	Utility float64
 }
 
 // Value returns the utility of a grant.
 func (e Linear) Value(g Grant) float64 {
-	if e.K <= 0 {
-		return e.U
+	if e.Units <= 0 {
+		return e.Utility
 	}
-	counted := min(g.unitsIn(e.From), e.K)
-	return e.U * float64(counted) / float64(e.K)
+	counted := min(g.unitsIn(e.From), e.Units)
+	return e.Utility * float64(counted) / float64(e.Units)
 }
 
 // Min is the smallest value of its operands, or 0 if there are none.
@@ -116,22 +116,22 @@
 
 // Scale multiplies the value of its operand by a factor.
 type Scale struct {
-	By float64
-	Of Expr
+	Factor  float64
+	Operand Expr
 }
 
 // Value returns the utility of a grant.
-func (e Scale) Value(g Grant) float64 { return e.By * e.Of.Value(g) }
+func (e Scale) Value(g Grant) float64 { return e.Factor * e.Operand.Value(g) }
 
-// Barrier is 0 while its operand's value is below At, and that value otherwise.
+// Barrier is 0 while its operand's value is below Threshold, and that value otherwise.
 type Barrier struct {
-	At float64
-	Of Expr
+	Threshold float64
+	Operand   Expr
 }
 
 // Value returns the utility of a grant.
 func (e Barrier) Value(g Grant) float64 {
-	if value := e.Of.Value(g); value >= e.At {
+	if value := e.Operand.Value(g); value >= e.Threshold {
 		return value
 	}
 	return 0
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -8,9 +8,9 @@
 	"strconv"
 )
 
-// MaxBody is the largest body of a request, and of a response to a user or a worker, in
+// MaxBodyBytes is the largest body of a request, and of a response to a user or a worker, in
 // bytes.
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 // ContentType is the media type of every body.
 const ContentType = "application/cbor"
--- a/internal/wire/size.go
+++ b/internal/wire/size.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// JSONSize returns an upper estimate of a value's size in bytes as the key-value store
+// MaxJSONSize returns an upper estimate of a value's size in bytes as the key-value store
 // counts it. The store counts the value as JSON; the estimate escapes every character that
 // may be escaped, and adds a space after each comma and colon.
-func JSONSize(v any) int {
+func MaxJSONSize(v any) int {
 	var generic any
 	if err := Decode(Encode(v), &generic); err != nil {
 		panic(err)
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -37,7 +37,7 @@
 			}
 		}
 		spacedLen := escapedLen + bytes.Count(plain, []byte(",")) + bytes.Count(plain, []byte(":"))
-		got := JSONSize(value)
+		got := MaxJSONSize(value)
 		if got < escapedLen || got < len(plain) {
 			t.Fatalf("%s: got an estimate of %d, want at least %d and %d bytes", plain, got, escapedLen, len(plain))
 		}
--- a/listener_test.go
+++ b/listener_test.go
@@ -70,7 +70,7 @@
 func (s *boundedServer) newClient(t *testing.T) func(path string) bool {
 	t.Helper()
 	host := s.network.Host("10.1.0.1")
-	client := &http.Client{Transport: netio.Net{Dial: host.Dial}.Transport(1, 1)}
+	client := &http.Client{Transport: netio.Network{Dial: host.Dial}.Transport(1, 1)}
 	return func(path string) bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
--- a/node.go
+++ b/node.go
@@ -18,7 +18,7 @@
 type Node struct {
 	cfg      *Config
 	features Features
-	net      netio.Net
+	net      netio.Network
 	log      *slog.Logger
 	level    logLevel
 	sockets  socketBudget
@@ -37,7 +37,7 @@
 type Options struct {
 	// Net is the network that the node dials and listens on. If it is zero, the node uses
 	// the machine's own network.
-	Net netio.Net
+	Net netio.Network
 	// Log receives the node's log; nil stands for standard error.
 	Log io.Writer
 	// Features says which optional features are on; the zero value has all of them off.
@@ -50,7 +50,7 @@
 
 func (o Options) withDefaults() Options {
 	if o.Net.Dial == nil {
-		o.Net = netio.Real()
+		o.Net = netio.HostNetwork()
 	}
 	if o.Log == nil {
 		o.Log = os.Stderr
--- a/node_test.go
+++ b/node_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
 		cfg := testConfig()
-		state := simulator.NewKVStore(cfg.Settings.State.TxnOps, int(cfg.Settings.State.ValueKB))
+		state := simulator.NewKVStore(cfg.Settings.State.MaxTxnWrites, int(cfg.Settings.State.MaxValueKB))
 		for key, value := range records {
 			state.Put(key, value)
 		}
@@ -73,7 +73,7 @@
 // call sends a request from a host of the simulated network.
 func call(t *testing.T, network *simulator.Network, method, addr, path string) (status int, body []byte) {
 	t.Helper()
-	client := &http.Client{Transport: netio.Net{Dial: network.Host(clientHost).Dial}.Transport(1, 1)}
+	client := &http.Client{Transport: netio.Network{Dial: network.Host(clientHost).Dial}.Transport(1, 1)}
 	defer client.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
--- a/run.go
+++ b/run.go
@@ -107,11 +107,11 @@
 // status returns this node's status, from which its heartbeats to the other nodes are made.
 func (n *Node) status() peer.Status {
 	status := peer.Status{
-		Leads:                  n.leader.Leads(),
-		Delegation:             n.leader.DelegationToken(),
-		StateReachable:         n.store.Reachable(),
-		ReachableWorkers:       n.leader.ReachableWorkers(),
-		UnconfirmedCancelSince: n.leader.UnconfirmedCancelSince(),
+		Leads:                     n.leader.Leads(),
+		Delegation:                n.leader.DelegationToken(),
+		StateReachable:            n.store.Reachable(),
+		ReachableAgents:           n.leader.ReachableAgents(),
+		InFlightLaunchCancelSince: n.leader.InFlightLaunchCancelSince(),
 	}
 	n.versions.setVersionFields(&status)
 	return status
--- a/upgrade/member_test.go
+++ b/upgrade/member_test.go
@@ -16,7 +16,7 @@
 func TestReportedVersionTakesEffectDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDeployment(t)
-		d.store.Outage(true)
+		d.store.SetOutage(true)
 		p := d.start(t, "a", oldProgram)
 		time.Sleep(2 * time.Second)
 		if err := p.CheckSupport(); !errors.Is(err, upgrade.ErrActiveUnknown) {
@@ -46,7 +46,7 @@
 		d := newDeployment(t)
 		p := d.start(t, "a", newProgram)
 		awaitPolls()
-		d.store.Outage(true)
+		d.store.SetOutage(true)
 		_, statusErr := p.ReadStatus(t.Context(), d.withLimit(noVersionLimit))
 		_, activeErr := p.ReadActive(t.Context())
 		for _, c := range []struct {
--- a/upgrade/switch_test.go
+++ b/upgrade/switch_test.go
@@ -165,7 +165,7 @@
 	}
 	d.store.InjectTxnFaults(seed,
 		simulator.TxnFault{Prefix: upgrade.KeyPrefix, Share: 0.15},
-		simulator.TxnFault{Prefix: upgrade.KeyPrefix, Share: 0.15, Late: [2]time.Duration{100 * time.Millisecond, 4 * time.Second}})
+		simulator.TxnFault{Prefix: upgrade.KeyPrefix, Share: 0.15, Delay: [2]time.Duration{100 * time.Millisecond, 4 * time.Second}})
 	lastActive := upgrade.BaseVersion
 	for step := range 400 {
 		time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
