--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -18,8 +18,8 @@
 	ErrUnavailable = errors.New("cloud: busy or down")
 	// ErrInvalidRequest means that the cloud rejected the request as malformed.
 	ErrInvalidRequest = errors.New("cloud: request refused as invalid")
-	// ErrOutcomeUnknown means that there was no usable response: the request may have been executed, or may
-	// still be.
+	// ErrOutcomeUnknown means that there was no usable response: the request may have been executed,
+	// or may still be.
 	ErrOutcomeUnknown = errors.New("cloud: outcome unknown")
 )
 
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -6,8 +6,8 @@
 	// second from the whole deployment.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
-	// MaxValueKB is the maximum size of a value, in kilobytes. MaxTxnWrites is the maximum number of
-	// writes in a transaction.
+	// MaxValueKB is the maximum size of a value, in kilobytes. MaxTxnWrites is the maximum
+	// number of writes in a transaction.
 	MaxValueKB   float64 `toml:"value_kb"`
 	MaxTxnWrites int     `toml:"txn_ops"`
 	// Next are limits that are announced for the store. They take effect at an unknown time,
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -15,9 +15,10 @@
 	minValueKB    = 0.5
 	valueTooSmall = "must be 0.5 or more, to hold one job"
 
-	// minTxnOps is 2 since a job's live record is replaced by its final one in one transaction.
-	minTxnOps    = 2
-	tooFewTxnOps = "must be 2 or more: a job's record is replaced by its final one"
+	// minTxnWrites is 2 since a job's live record is replaced by its final one in one
+	// transaction.
+	minTxnWrites    = 2
+	tooFewTxnWrites = "must be 2 or more: a job's record is replaced by its final one"
 
 	// minFDLimit is enough for a deployment of a few machines.
 	minFDLimit        = 64
@@ -160,7 +161,7 @@
 	v.requireNotNegative("settings.state.next.rps", next.RPS)
 	v.requireNotNegative("settings.state.next.write_rps", next.WriteRPS)
 	v.require(next.MaxValueKB == 0 || next.MaxValueKB >= minValueKB, "settings.state.next.value_kb", valueTooSmall)
-	v.require(next.MaxTxnWrites == 0 || next.MaxTxnWrites >= minTxnOps, "settings.state.next.txn_ops", tooFewTxnOps)
+	v.require(next.MaxTxnWrites == 0 || next.MaxTxnWrites >= minTxnWrites, "settings.state.next.txn_ops", tooFewTxnWrites)
 }
 
 // checkStoreLimits checks the present limits of the key-value store.
@@ -171,7 +172,7 @@
 	if s.MaxValueKB > 0 {
 		v.require(s.MaxValueKB >= minValueKB, "settings.state.value_kb", valueTooSmall)
 	}
-	v.require(s.MaxTxnWrites >= minTxnOps, "settings.state.txn_ops", tooFewTxnOps)
+	v.require(s.MaxTxnWrites >= minTxnWrites, "settings.state.txn_ops", tooFewTxnWrites)
 }
 
 func (v *validator) checkCloud(c *CloudLimits) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -84,8 +84,8 @@
 	// MaxPriceRatio is the highest accepted price of a unit of an array or a gang, as a multiple of
 	// LowestUnitPrice. Services have no price limit.
 	MaxPriceRatio float64
-	// LowestUnitPrice returns the lowest nominal price per hour of one unit of a job: its share of a
-	// machine, over all machine types, on spot machines too if the job allows them. If it is nil,
+	// LowestUnitPrice returns the lowest nominal price per hour of one unit of a job: its share of
+	// a machine, over all machine types, on spot machines too if the job allows them. If it is nil,
 	// prices are not limited.
 	LowestUnitPrice func(*wire.JobSpec) float64
 	// MaxMachinesAdded is the highest number of machines that one plan may add.
--- a/internal/leader/agents/dispatcher.go
+++ b/internal/leader/agents/dispatcher.go
@@ -33,8 +33,8 @@
 	directStopInterval = 1500 * time.Millisecond
 )
 
-// SendDueCommands sends a machine, in one direct request, the stops that are due and the launches
-// that it has not been sent yet. Without the key-value store it sends only stops.
+// SendDueCommands sends a machine, in one direct request, the stops that are due and the
+// launches that it has not been sent yet. Without the key-value store it sends only stops.
 func (dp *Dispatcher) SendDueCommands(machine *cluster.Machine) {
 	mayLaunch := dp.Lease.Deciding()
 	if !canReceive(machine) || !mayLaunch && !dp.Lease.MayAnswerHeartbeats() {
--- a/internal/leader/agents/dispatcher_test.go
+++ b/internal/leader/agents/dispatcher_test.go
@@ -12,7 +12,7 @@
 
 // breakInboundPath records evidence by which messages to a machine are taken not to arrive.
 func breakInboundPath(machine *cluster.Machine) {
-	machine.Inbound.RecordAnswer(0, 1, 8)
+	machine.Inbound.RecordResponse(0, 1, 8)
 	machine.Inbound.RecordUnansweredCommand()
 	machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.HeartbeatEvidence{LacksLaunch: func() bool { return true }}, time.Now())
 }
--- a/internal/leader/agents/events.go
+++ b/internal/leader/agents/events.go
@@ -5,8 +5,8 @@
 	"lilaclead/internal/wire"
 )
 
-// HeartbeatPosition identifies a heartbeat of a machine. Heartbeats are ordered by epoch, then by
-// sequence number.
+// HeartbeatPosition identifies a heartbeat of a machine. Heartbeats are ordered by epoch, then
+// by sequence number.
 type HeartbeatPosition struct {
 	Epoch    wire.AgentEpoch
 	Sequence wire.Sequence
--- a/internal/leader/agents/heartbeat_answers.go
+++ b/internal/leader/agents/heartbeat_answers.go
@@ -7,8 +7,8 @@
 	"lilaclead/internal/wire"
 )
 
-// HeartbeatResponseCommands returns the commands for the response to a heartbeat. A command is repeated
-// until a heartbeat shows that it has arrived.
+// HeartbeatResponseCommands returns the commands for the response to a heartbeat. A command is
+// repeated until a heartbeat shows that it has arrived.
 func (dp *Dispatcher) HeartbeatResponseCommands(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) []wire.Command {
 	commands := dp.AppendStops(machine, []wire.Command{}, now)
 	commands = appendLaunches(commands, machine, heartbeat)
--- a/internal/leader/cluster/launch_test.go
+++ b/internal/leader/cluster/launch_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestMissesLaunchOnceALaterHeartbeatLacksIt(t *testing.T) {
+func TestLacksLaunchOnceALaterHeartbeatLacksIt(t *testing.T) {
 	tests := map[string]struct {
 		prepare   func(a *Attempt)
 		heartbeat wire.Heartbeat
--- a/internal/leader/core/fencing.go
+++ b/internal/leader/core/fencing.go
@@ -30,8 +30,8 @@
 	InFlightLaunchCancelSince atomic.Pointer[time.Time]
 }
 
-// OldestInFlightLaunchCancel returns what InFlightLaunchCancelSince holds, the zero time if there
-// is no such cancellation.
+// OldestInFlightLaunchCancel returns what InFlightLaunchCancelSince holds, the zero time if
+// there is no such cancellation.
 func (p *Published) OldestInFlightLaunchCancel() time.Time {
 	if at := p.InFlightLaunchCancelSince.Load(); at != nil {
 		return *at
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -159,8 +159,8 @@
 	return &wire.Commands{Token: token, Commands: d.StopCommands(heartbeat)}
 }
 
-// ReturnedAfterRedirect reports whether a worker has come back to this node soon after this node redirected
-// it to the leader. It also records the worker as redirected now.
+// ReturnedAfterRedirect reports whether a worker has come back to this node soon after this
+// node redirected it to the leader. It also records the worker as redirected now.
 func (d *Delegate) ReturnedAfterRedirect(id wire.MachineID, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/leader/demand/price.go
+++ b/internal/leader/demand/price.go
@@ -5,8 +5,8 @@
 )
 
 const (
-	// LatePriceLimitFactor is the multiple of the price limit that machines may cost for a job that
-	// would be late otherwise. It applies if an objective of the job's class is for a share
+	// LatePriceLimitFactor is the multiple of the price limit that machines may cost for a job
+	// that would be late otherwise. It applies if an objective of the job's class is for a share
 	// above maxLenientShare, or if the job has waited for cheapOnlySeconds.
 	LatePriceLimitFactor = 1.35
 	// maxLenientShare is the largest share of a class's jobs that objectives may want in time
@@ -22,9 +22,9 @@
 	cheapOnlySeconds = StartWithinSeconds / 2
 )
 
-// PriceLimitFactor returns the multiple of the price limit that machines for the job may cost. It is
-// above 1 if the job would be late after a wait of waitSeconds for machines within the limit,
-// but in time on more expensive machines, which can run its tasks after bootSeconds.
+// PriceLimitFactor returns the multiple of the price limit that machines for the job may cost.
+// It is above 1 if the job would be late after a wait of waitSeconds for machines within the
+// limit, but in time on more expensive machines, which can run its tasks after bootSeconds.
 func PriceLimitFactor(w JobTiming, objectives []config.Objective, waitSeconds, bootSeconds float64) float64 {
 	if mustWaitForCheapMachines(w, objectives) {
 		return 1
--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -15,7 +15,7 @@
 // machine whose heartbeats arrive. Answers and commands may be lost while heartbeats still
 // come in. Such a machine looks alive, but starts nothing, and its lease expires.
 type InboundPath struct {
-	lastAnswer sentAnswer
+	lastAnswer sentResponse
 	// ignoredAnswers and unansweredCommands count since a message is known to have reached the
 	// machine.
 	ignoredAnswers     int
@@ -24,16 +24,16 @@
 	lostSince time.Time
 }
 
-// sentAnswer identifies an answer to a heartbeat: the token in the answer, and the epoch and
+// sentResponse identifies an answer to a heartbeat: the token in the answer, and the epoch and
 // sequence number of the heartbeat.
-type sentAnswer struct {
+type sentResponse struct {
 	token    wire.FencingToken
 	epoch    wire.AgentEpoch
 	sequence wire.Sequence
 }
 
-// HeartbeatEvidence is what the caller knows of a machine when a heartbeat of it is compared with
-// earlier answers.
+// HeartbeatEvidence is what the caller knows of a machine when a heartbeat of it is compared
+// with earlier answers.
 type HeartbeatEvidence struct {
 	// KnownToken is the highest token in earlier heartbeats of the machine. It is 0 if there
 	// was none.
@@ -56,10 +56,10 @@
 	PathRestored
 )
 
-// RecordAnswer records the answer that is sent to a heartbeat: the token in the answer, and the
-// epoch and sequence number of the heartbeat.
-func (p *InboundPath) RecordAnswer(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
-	p.lastAnswer = sentAnswer{token, epoch, sequence}
+// RecordResponse records the answer that is sent to a heartbeat: the token in the answer, and
+// the epoch and sequence number of the heartbeat.
+func (p *InboundPath) RecordResponse(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
+	p.lastAnswer = sentResponse{token, epoch, sequence}
 }
 
 // ObserveHeartbeat compares a heartbeat with the answer to an earlier one, and returns whether
@@ -121,6 +121,6 @@
 	return now.Sub(p.lostSince)
 }
 
-// CommandUnanswered reports whether a direct command has gone unanswered since a message is known to
-// have reached the machine.
+// CommandUnanswered reports whether a direct command has gone unanswered since a message is
+// known to have reached the machine.
 func (p *InboundPath) CommandUnanswered() bool { return p.unansweredCommands > 0 }
--- a/internal/leader/detector/inbound_test.go
+++ b/internal/leader/detector/inbound_test.go
@@ -16,7 +16,7 @@
 	}
 	lacksLaunch := func() bool { return true }
 	complete := HeartbeatEvidence{token, true, func() bool { return false }}
-	missesLaunch := HeartbeatEvidence{token, true, lacksLaunch}
+	withoutLaunch := HeartbeatEvidence{token, true, lacksLaunch}
 	noTokenBefore := HeartbeatEvidence{0, true, lacksLaunch}
 	notRenewed := HeartbeatEvidence{token, false, lacksLaunch}
 	type step struct {
@@ -31,16 +31,16 @@
 			{heartbeat(1, 12, token), complete, false, PathUnchanged},
 		},
 		"one answer has no effect": {
-			{heartbeat(1, 11, token), missesLaunch, false, PathUnchanged},
+			{heartbeat(1, 11, token), withoutLaunch, false, PathUnchanged},
 			{heartbeat(1, 12, token), complete, false, PathUnchanged},
 		},
 		"two answers have no effect": {
-			{heartbeat(1, 11, token), missesLaunch, false, PathUnchanged},
-			{heartbeat(1, 12, token), missesLaunch, false, PathLost},
-			{heartbeat(1, 13, token), missesLaunch, false, PathUnchanged},
+			{heartbeat(1, 11, token), withoutLaunch, false, PathUnchanged},
+			{heartbeat(1, 12, token), withoutLaunch, false, PathLost},
+			{heartbeat(1, 13, token), withoutLaunch, false, PathUnchanged},
 		},
 		"one answer has no effect, and a command is not answered": {
-			{heartbeat(1, 11, token), missesLaunch, true, PathLost},
+			{heartbeat(1, 11, token), withoutLaunch, true, PathLost},
 		},
 		"the heartbeats show an older token": {
 			{heartbeat(1, 11, token-1), complete, false, PathUnchanged},
@@ -53,13 +53,13 @@
 			{heartbeat(2, 1, token), notRenewed, false, PathUnchanged},
 		},
 		"the heartbeats were made before the answer": {
-			{heartbeat(1, 10, token), missesLaunch, false, PathUnchanged},
-			{heartbeat(1, 9, token), missesLaunch, true, PathUnchanged},
+			{heartbeat(1, 10, token), withoutLaunch, false, PathUnchanged},
+			{heartbeat(1, 9, token), withoutLaunch, true, PathUnchanged},
 		},
 		"a heartbeat shows a higher token": {
-			{heartbeat(1, 11, token), missesLaunch, true, PathLost},
-			{heartbeat(1, 12, token+1), missesLaunch, false, PathRestored},
-			{heartbeat(1, 13, token), missesLaunch, false, PathUnchanged},
+			{heartbeat(1, 11, token), withoutLaunch, true, PathLost},
+			{heartbeat(1, 12, token+1), withoutLaunch, false, PathRestored},
+			{heartbeat(1, 13, token), withoutLaunch, false, PathUnchanged},
 		},
 		"the machine has shown no token before": {
 			{heartbeat(1, 11, token), noTokenBefore, true, PathLost},
@@ -67,10 +67,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var path InboundPath
-			if got := path.ObserveHeartbeat(heartbeat(1, 9, 0), missesLaunch, start); got != PathUnchanged {
+			if got := path.ObserveHeartbeat(heartbeat(1, 9, 0), withoutLaunch, start); got != PathUnchanged {
 				t.Errorf("before any answer: change %d, want %d", got, PathUnchanged)
 			}
-			path.RecordAnswer(token, 1, 10)
+			path.RecordResponse(token, 1, 10)
 			for i, s := range steps {
 				if s.commandUnanswered {
 					path.RecordUnansweredCommand()
@@ -86,17 +86,17 @@
 func TestReceivedMessageRestoresPathOnce(t *testing.T) {
 	const token = 50
 	type verdict struct {
-		works, commandsFail bool
-		lostFor             time.Duration
+		works, commandUnanswered bool
+		lostFor                  time.Duration
 	}
 	verdictOn := func(path *InboundPath) verdict {
 		return verdict{path.Works(), path.CommandUnanswered(), path.LostFor(start.Add(time.Second))}
 	}
-	missesLaunch := HeartbeatEvidence{token, true, func() bool { return true }}
+	withoutLaunch := HeartbeatEvidence{token, true, func() bool { return true }}
 	var path InboundPath
-	path.RecordAnswer(token, 1, 10)
+	path.RecordResponse(token, 1, 10)
 	path.RecordUnansweredCommand()
-	path.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11, Token: token}, missesLaunch, start)
+	path.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11, Token: token}, withoutLaunch, start)
 	if got, want := verdictOn(&path), (verdict{false, true, time.Second}); got != want {
 		t.Errorf("lost: %+v, want %+v", got, want)
 	}
--- a/internal/leader/detector/zones.go
+++ b/internal/leader/detector/zones.go
@@ -80,8 +80,8 @@
 
 // ZoneCounts are the numbers of machines that should send heartbeats.
 type ZoneCounts struct {
-	// Machines is how many there are in the zone. LostMachines is how many of them are lost: their heartbeats
-	// are long overdue.
+	// Machines is how many there are in the zone. LostMachines is how many of them are lost:
+	// their heartbeats are long overdue.
 	Machines, LostMachines int
 	// AllMachines is how many there are in all zones.
 	AllMachines int
@@ -89,9 +89,10 @@
 	ControllersLost bool
 }
 
-// CheckZone checks a zone by its current counts and reports whether a partition of it begins: most
-// of its machines are lost, or none of them has sent a message for a while. Missed heartbeats
-// are counted besides the time: when this node itself is slow, nothing arrives from any zone.
+// CheckZone checks a zone by its current counts and reports whether a partition of it begins:
+// most of its machines are lost, or none of them has sent a message for a while. Missed
+// heartbeats are counted besides the time: when this node itself is slow, nothing arrives from
+// any zone.
 func (z *Zones) CheckZone(zone wire.Zone, counts ZoneCounts, now time.Time) bool {
 	if !z.unreachable(zone, counts, now) {
 		return false
@@ -114,8 +115,8 @@
 	if counts.Machines < machineThreshold || z.sinceContact(zone, now) <= unresponsiveAfter {
 		return false
 	}
-	// The zone's share of all machines, counts.Machines/counts.AllMachines, is also its share of the
-	// heartbeats that were due since its last contact.
+	// The zone's share of all machines, counts.Machines/counts.AllMachines, is also its share of
+	// the heartbeats that were due since its last contact.
 	heartbeatsSinceContact := z.heartbeatCount - z.lastContact[zone].heartbeatCount
 	return heartbeatsSinceContact*counts.Machines >= missedThreshold*counts.AllMachines
 }
--- a/internal/leader/detector/zones_test.go
+++ b/internal/leader/detector/zones_test.go
@@ -40,7 +40,7 @@
 			}
 			now := lastHeard.Add(c.silence)
 			if got := zones.CheckZone("a", c.counts, now); got != c.want || zones.ZonePartitioned("a", now) != c.want {
-				t.Errorf("%+v: judged %v, partitioned %v, want %v", c.counts, got, zones.ZonePartitioned("a", now), c.want)
+				t.Errorf("%+v: CheckZone %v, partitioned %v, want %v", c.counts, got, zones.ZonePartitioned("a", now), c.want)
 			}
 			if zones.ZonePartitioned("b", now) {
 				t.Errorf("%+v: the zone that sends heartbeats is partitioned", c.counts)
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -29,7 +29,8 @@
 	mayAnswerFor atomic.Int64
 }
 
-// NewLease returns a lease that was acquired as described by acquisition. The candidate may be nil.
+// NewLease returns a lease that was acquired as described by acquisition. The candidate may be
+// nil.
 func NewLease(c *Candidate, acquisition Acquisition) *Lease {
 	if c == nil {
 		return &Lease{Lease: duty.NewLease(nil, acquisition)}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -130,7 +130,7 @@
 // answerHeartbeat passes a heartbeat to the loop and waits for the answer. relayed means
 // that the heartbeat came through another node.
 func (t *term) answerHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayed bool) heartbeatAnswer {
-	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Relayed: relayed, Reply: make(chan reconcile.HeartbeatReply, 1)}
+	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Relayed: relayed, Response: make(chan reconcile.HeartbeatResponse, 1)}
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	select {
@@ -139,7 +139,7 @@
 	case <-ctx.Done():
 	}
 	select {
-	case reply := <-call.Reply:
+	case reply := <-call.Response:
 		return answerOfReply(reply)
 	case <-t.Done:
 		return heartbeatAnswer{outcome: outcomeUnavailable, reason: "no longer leads"}
@@ -148,7 +148,7 @@
 	}
 }
 
-func answerOfReply(reply reconcile.HeartbeatReply) heartbeatAnswer {
+func answerOfReply(reply reconcile.HeartbeatResponse) heartbeatAnswer {
 	switch {
 	case reply.Redirect:
 		return heartbeatAnswer{outcome: outcomeRedirectedHere}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -127,10 +127,10 @@
 }
 
 // sendHeartbeat returns a term's reply to a heartbeat.
-func sendHeartbeat(tm *term, heartbeat *wire.Heartbeat) reconcile.HeartbeatReply {
-	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Reply: make(chan reconcile.HeartbeatReply, 1)}
+func sendHeartbeat(tm *term, heartbeat *wire.Heartbeat) reconcile.HeartbeatResponse {
+	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Response: make(chan reconcile.HeartbeatResponse, 1)}
 	tm.reconciler.OnHeartbeat(call)
-	return <-call.Reply
+	return <-call.Response
 }
 
 // withSimulatedStore runs a test in virtual time with the term of newTestTerm, which writes
--- a/internal/leader/liveness/counts_test.go
+++ b/internal/leader/liveness/counts_test.go
@@ -25,7 +25,7 @@
 	f.addAttempt(service, 0, host)
 	f.addAttempt(service, 1, lostHost)
 	receivesNothing := f.addMachine(0)
-	receivesNothing.Inbound.RecordAnswer(testToken, 1, 10)
+	receivesNothing.Inbound.RecordResponse(testToken, 1, 10)
 	receivesNothing.Inbound.RecordUnansweredCommand()
 	receivesNothing.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11}, detector.HeartbeatEvidence{}, f.now)
 
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -74,8 +74,8 @@
 	return f
 }
 
-// expireLease makes the leader's lease expire, as if the key-value store had become unavailable.
-// If answering is set, the leader may still answer heartbeats.
+// expireLease makes the leader's lease expire, as if the key-value store had become
+// unavailable. If answering is set, the leader may still answer heartbeats.
 func (f *fixture) expireLease(answering bool) {
 	f.Lease = election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: f.now, ValidUntil: f.now.Add(-time.Millisecond)})
 	if answering {
--- a/internal/leader/liveness/paths_test.go
+++ b/internal/leader/liveness/paths_test.go
@@ -10,10 +10,10 @@
 )
 
 // breakInboundPath makes the inbound path of a machine count as lost since the given time ago.
-func (f *fixture) breakInboundPath(machine *cluster.Machine, ago time.Duration, commandsFail bool) {
+func (f *fixture) breakInboundPath(machine *cluster.Machine, ago time.Duration, commandUnanswered bool) {
 	lacksLaunch := detector.HeartbeatEvidence{LacksLaunch: func() bool { return true }}
-	machine.Inbound.RecordAnswer(0, 1, 8)
-	if commandsFail {
+	machine.Inbound.RecordResponse(0, 1, 8)
+	if commandUnanswered {
 		machine.Inbound.RecordUnansweredCommand()
 	}
 	for _, sequence := range []wire.Sequence{9, 10} {
@@ -23,11 +23,11 @@
 
 func TestMachineThatReceivesNothingIsScaledIn(t *testing.T) {
 	cases := []struct {
-		name         string
-		lostFor      time.Duration
-		commandsFail bool
-		setup        func(f *fixture, attempt *cluster.Attempt)
-		want         bool
+		name              string
+		lostFor           time.Duration
+		commandUnanswered bool
+		setup             func(f *fixture, attempt *cluster.Attempt)
+		want              bool
 	}{
 		{"a launch is unconfirmed", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, true},
 		{"a stop is unconfirmed", 3100 * time.Millisecond, true, func(_ *fixture, attempt *cluster.Attempt) { attempt.Stopping = true }, true},
@@ -43,14 +43,14 @@
 			f := newFixture(t)
 			machine := f.addMachine(0)
 			attempt := f.addAttempt(f.addJob(wire.KindArray, 1), 0, machine)
-			f.breakInboundPath(machine, tc.lostFor, tc.commandsFail)
+			f.breakInboundPath(machine, tc.lostFor, tc.commandUnanswered)
 			if machine.Inbound.Works() {
 				t.Fatal("the inbound path is not lost")
 			}
 			tc.setup(f, attempt)
 			f.checkInboundPath(machine, f.now)
 			if got := machine.DrainReason == cluster.DrainInboundConnectivityLost; got != tc.want {
-				t.Errorf("lost for %v, commands fail %v: scaled in %v, want %v", tc.lostFor, tc.commandsFail, got, tc.want)
+				t.Errorf("lost for %v, command unanswered %v: scaled in %v, want %v", tc.lostFor, tc.commandUnanswered, got, tc.want)
 			}
 		})
 	}
--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -7,8 +7,8 @@
 
 func kibToBytes(kib float64) int { return int(kib * 1024) }
 
-// ValueLimitBytes returns the largest size of a value in bytes: the store's next limit once that
-// is known to be in force, the present limit before.
+// ValueLimitBytes returns the largest size of a value in bytes: the store's next limit once
+// that is known to be in force, the present limit before.
 func (w *Writer) ValueLimitBytes() int {
 	if w.ValueLimitLowered {
 		return kibToBytes(w.limits().Strictest().MaxValueKB)
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -10,33 +10,33 @@
 
 // OnHeartbeat reconciles a heartbeat and replies to it.
 func (rc *Reconciler) OnHeartbeat(call HeartbeatCall) {
-	call.Reply <- rc.answerHeartbeat(&call.Heartbeat, call.Relayed, time.Now())
+	call.Response <- rc.answerHeartbeat(&call.Heartbeat, call.Relayed, time.Now())
 }
 
-func (rc *Reconciler) answerHeartbeat(heartbeat *wire.Heartbeat, relayed bool, now time.Time) HeartbeatReply {
+func (rc *Reconciler) answerHeartbeat(heartbeat *wire.Heartbeat, relayed bool, now time.Time) HeartbeatResponse {
 	if err := rc.checkAnswerable(heartbeat, now); err != nil {
-		return HeartbeatReply{Rejected: err}
+		return HeartbeatResponse{Rejected: err}
 	}
 	machine := rc.state.GetOrAddMachine(heartbeat.Machine)
 	if !rc.state.RecordsRead {
 		rc.keepEarlyHeartbeat(heartbeat)
 		machine.LastMessageAt, machine.LastReplyAt = now, now
-		return HeartbeatReply{Commands: rc.stopsOfCancelled(heartbeat)}
+		return HeartbeatResponse{Commands: rc.stopsOfCancelled(heartbeat)}
 	}
 	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) {
 		return rc.onStaleHeartbeat(machine, heartbeat, now)
 	}
 	if rc.recordHeartbeatPath(machine, relayed, now) {
-		return HeartbeatReply{Redirect: true}
+		return HeartbeatResponse{Redirect: true}
 	}
 	rc.checkInboundPath(machine, heartbeat, now)
 	rc.Reconcile(machine, heartbeat, true, now)
 	if rc.renewalWithheld(machine, heartbeat, now) {
-		return HeartbeatReply{Rejected: errCancelPending}
+		return HeartbeatResponse{Rejected: errCancelPending}
 	}
 	machine.LastReplyAt = now
-	machine.Inbound.RecordAnswer(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
-	return HeartbeatReply{Commands: rc.commandsFor(machine, heartbeat, now)}
+	machine.Inbound.RecordResponse(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
+	return HeartbeatResponse{Commands: rc.commandsFor(machine, heartbeat, now)}
 }
 
 // checkAnswerable returns the reason why a heartbeat must not be answered, whatever it
@@ -121,7 +121,7 @@
 // of the present, not even that the machine is alive. Or it comes from a machine that
 // restarted at once and numbers its heartbeats from the start again. If the heartbeat has not
 // just crossed an answer, the machine is probed to find out.
-func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) HeartbeatReply {
+func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) HeartbeatResponse {
 	inCrossingWindow := now.Sub(machine.LastMessageAt) < crossingWindow
 	justBehind := heartbeat.Epoch == machine.Epoch && heartbeat.Sequence+maxCrossedSequences >= machine.Sequence
 	crossedAnswer := inCrossingWindow && justBehind
@@ -131,10 +131,10 @@
 		rc.dispatcher.Probe(machine)
 	}
 	if !inCrossingWindow {
-		return HeartbeatReply{Rejected: errStaleHeartbeat}
+		return HeartbeatResponse{Rejected: errStaleHeartbeat}
 	}
 	machine.LastReplyAt = now
-	return HeartbeatReply{Commands: rc.stopsOfCancelled(heartbeat)}
+	return HeartbeatResponse{Commands: rc.stopsOfCancelled(heartbeat)}
 }
 
 // renewalWithheld reports whether the machine's lease must not be renewed: a direct launch of
--- a/internal/leader/reconcile/drain.go
+++ b/internal/leader/reconcile/drain.go
@@ -17,16 +17,16 @@
 // quarter of all machines.
 const suspectDivisor = 4
 
-// drainSuspect drains a machine on the suspicion that it is faulty or slow, if MayDrainSuspectMachine
-// permits it.
+// drainSuspect drains a machine on the suspicion that it is faulty or slow, if
+// MayDrainSuspectMachine permits it.
 func (d *drainer) drainSuspect(machine *cluster.Machine, reason cluster.DrainReason) {
 	if d.MayDrainSuspectMachine() {
 		d.drain(machine, reason)
 	}
 }
 
-// MayDrainSuspectMachine reports whether one more machine may be drained on the suspicion that it
-// is faulty or slow. A fault that shows on many machines is not a fault of the machines.
+// MayDrainSuspectMachine reports whether one more machine may be drained on the suspicion that
+// it is faulty or slow. A fault that shows on many machines is not a fault of the machines.
 func (d *drainer) MayDrainSuspectMachine() bool {
 	suspects, total := 0, 0
 	for _, machine := range d.state.Machines {
--- a/internal/leader/reconcile/heartbeat_test.go
+++ b/internal/leader/reconcile/heartbeat_test.go
@@ -67,7 +67,7 @@
 			f := newFixture(t)
 			now := time.Now()
 			f.machine.LastReplyAt = now.Add(-tc.sinceReply)
-			f.machine.Inbound.RecordAnswer(testToken, 1, 10)
+			f.machine.Inbound.RecordResponse(testToken, 1, 10)
 			f.checkInboundPath(f.machine, heartbeat(2, 1, testToken), now)
 			if got := f.machine.Inbound.Works(); got != tc.wantWorks {
 				t.Errorf("new epoch %v after a renewal: inbound path works %v, want %v", tc.sinceReply, got, tc.wantWorks)
--- a/internal/leader/reconcile/reconciler.go
+++ b/internal/leader/reconcile/reconciler.go
@@ -41,15 +41,15 @@
 	}
 }
 
-// Call is a heartbeat with the channel for its reply.
+// HeartbeatCall is a heartbeat with the channel for its response.
 type HeartbeatCall struct {
 	Heartbeat wire.Heartbeat
 	Relayed   bool // the heartbeat came through another controller
-	Reply     chan HeartbeatReply
+	Response  chan HeartbeatResponse
 }
 
-// Reply is the reply to a heartbeat: commands, a redirect or a rejection.
-type HeartbeatReply struct {
+// HeartbeatResponse is the response to a heartbeat: commands, a redirect or a rejection.
+type HeartbeatResponse struct {
 	Commands *wire.Commands // nil if the heartbeat is not answered
 	Redirect bool           // the agent should send its heartbeats to this node directly
 	Rejected error          // why the heartbeat is not answered
--- a/internal/leader/recovery/cancellations.go
+++ b/internal/leader/recovery/cancellations.go
@@ -22,7 +22,7 @@
 		job.RecordOutdated = true
 		r.cancelJob(job, confirmedAt)
 	}
-	r.publishUnconfirmedCancel()
+	r.publishInFlightLaunchCancel()
 }
 
 // cancelJob marks a job as cancelled, and stops it if the records have been read. Before that,
@@ -35,9 +35,10 @@
 	}
 }
 
-// publishUnconfirmedCancel publishes the time of the oldest cancellation of a job of which a
-// launch may still be in flight. It removes the jobs without active tasks from CancelledJobs.
-func (r *Records) publishUnconfirmedCancel() {
+// publishInFlightLaunchCancel publishes the time of the oldest cancellation of a job of which
+// a launch may still be in flight. It removes the jobs without active tasks from
+// CancelledJobs.
+func (r *Records) publishInFlightLaunchCancel() {
 	var oldest time.Time
 	for job := range r.State.CancelledJobs {
 		if job.ActiveTasks == 0 {
--- a/internal/leader/recovery/cancellations_test.go
+++ b/internal/leader/recovery/cancellations_test.go
@@ -55,7 +55,7 @@
 			r := newTestRecords(t.Context())
 			cancelledAt := time.Now().Add(-time.Second)
 			addCancelledJob(r, "req-1", cancelledAt, tc.setup)
-			r.publishUnconfirmedCancel()
+			r.publishInFlightLaunchCancel()
 			want := time.Time{}
 			if tc.wantUnconfirmed {
 				want = cancelledAt
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestOldestUnconfirmedCancelIsPublished(t *testing.T) {
+func TestOldestInFlightLaunchCancelIsPublished(t *testing.T) {
 	r := newTestRecords(t.Context())
 	if got := r.Published.OldestInFlightLaunchCancel(); !got.IsZero() {
 		t.Errorf("before the first publication: got %v, want the zero time", got)
@@ -78,7 +78,7 @@
 	addCancelledJob(r, "req-2", now.Add(-3*time.Second), notSeen)
 	addCancelledJob(r, "req-3", now.Add(-5*time.Second), func(*cluster.Attempt) {})
 	ended := addCancelledJob(r, "req-4", now.Add(-9*time.Second), func(attempt *cluster.Attempt) { attempt.Detach() })
-	r.publishUnconfirmedCancel()
+	r.publishInFlightLaunchCancel()
 	if got, want := r.Published.OldestInFlightLaunchCancel(), now.Add(-3*time.Second); !got.Equal(want) {
 		t.Errorf("oldest unconfirmed cancellation: got %v, want %v", got, want)
 	}
--- a/internal/leader/recovery/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -111,8 +111,8 @@
 	return job
 }
 
-// OnJobRecordReread updates the model with a job's record that was read again because a transaction
-// failed at the guard on it.
+// OnJobRecordReread updates the model with a job's record that was read again because a
+// transaction failed at the guard on it.
 func (r *Records) OnJobRecordReread(event progress.JobRecordReread) {
 	id := event.Job.Spec.ID
 	switch {
--- a/internal/leader/scheduling/capacity/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -115,8 +115,8 @@
 	return reserves
 }
 
-// PriceLimitFactor returns the factor on the price limit for the machines of a job that would wait
-// for waitSeconds for resources within the limit. A factor of 1 keeps the limit.
+// PriceLimitFactor returns the factor on the price limit for the machines of a job that would
+// wait for waitSeconds for resources within the limit. A factor of 1 keeps the limit.
 func (e *Estimator) PriceLimitFactor(job *cluster.Job, waitSeconds float64, now time.Time) float64 {
 	if job.Spec.IsService() {
 		return 1
--- a/internal/leader/scheduling/gang_history.go
+++ b/internal/leader/scheduling/gang_history.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// RecentGangRetention is how long resources are kept free for the next gang of a class and size
-// after the last one was seen unfinished.
+// RecentGangRetention is how long resources are kept free for the next gang of a class and
+// size after the last one was seen unfinished.
 const RecentGangRetention = 3 * time.Minute
 
 // GangHistory records the recent gangs, which serve as an estimate of the next ones.
--- a/internal/leader/scheduling/patience.go
+++ b/internal/leader/scheduling/patience.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// MaxPreemptionDelaySeconds is the longest time, in seconds, that a task of an urgent array waits for
-	// other tasks to end by themselves before they are preempted.
+	// MaxPreemptionDelaySeconds is the longest time, in seconds, that a task of an urgent
+	// array waits for other tasks to end by themselves before they are preempted.
 	MaxPreemptionDelaySeconds = 5.0
-	// preemptionDelayEndSeconds is the age, in seconds since its acceptance, from which such a job
-	// preempts at once.
+	// preemptionDelayEndSeconds is the age, in seconds since its acceptance, from which such a
+	// job preempts at once.
 	preemptionDelayEndSeconds = MaxPreemptionDelaySeconds + 1
-	// maxGangPreemptionDelaySeconds is the longest time, in seconds, for which resources are reserved
-	// for a gang that may not preempt, until all of them are free. Without reservations the
-	// gang starves, because job arrays take the resources of each task as they become free.
+	// maxGangPreemptionDelaySeconds is the longest time, in seconds, for which resources are
+	// reserved for a gang that may not preempt, until all of them are free. Without
+	// reservations the gang starves, because job arrays take the resources of each task as
+	// they become free.
 	maxGangPreemptionDelaySeconds = 45.0
-	// preemptionDelaySlackDivisor bounds the preemption delay: it is at most the slack divided by this.
+	// preemptionDelaySlackDivisor bounds the preemption delay: it is at most the slack divided
+	// by this.
 	preemptionDelaySlackDivisor = 8
 )
 
@@ -29,9 +31,9 @@
 	valuer *valuation.Valuer
 }
 
-// PreemptionDelaySeconds returns for how many seconds a job waits for tasks to end by themselves
-// before they are preempted. An urgent job waits at most for a small part of its slack, and
-// less the longer it has waited already. A service does not wait.
+// PreemptionDelaySeconds returns for how many seconds a job waits for tasks to end by
+// themselves before they are preempted. An urgent job waits at most for a small part of its
+// slack, and less the longer it has waited already. A service does not wait.
 func (p *PreemptionDelay) PreemptionDelaySeconds(job *cluster.Job, now time.Time) float64 {
 	if job.Spec.IsService() {
 		return 0
--- a/internal/netio/bounded.go
+++ b/internal/netio/bounded.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// WithConnectionLimit returns the network with a limit on the number of connections that are open or being opened.
-// Those being opened count because a client may cancel its requests long before the network gives up
-// opening their connections. At the limit, a dial waits until another connection is closed. The wait
-// and the dial together take no longer than the timeout.
+// WithConnectionLimit returns the network with a limit on the number of connections that are open or
+// being opened. Those being opened count because a client may cancel its requests long before the
+// network gives up opening their connections. At the limit, a dial waits until another connection is
+// closed. The wait and the dial together take no longer than the timeout.
 func (n Network) WithConnectionLimit(limit int, timeout time.Duration) Network {
 	slots := make(connectionSlots, limit)
 	dial := n.Dial
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -34,8 +34,8 @@
 	// Uptime, in an answer, is how long ago the sender's process started. The sender does not know
 	// which leases the previous process of its node renewed as a delegate.
 	Uptime time.Duration `cbor:"age,omitempty"`
-	// InFlightLaunchCancelAge, in an answer with a Delegation, is the age of the oldest cancellation that
-	// a user was told of and of whose job a launch may still be in flight; 0 if there is none. No
+	// InFlightLaunchCancelAge, in an answer with a Delegation, is the age of the oldest cancellation
+	// that a user was told of and of whose job a launch may still be in flight; 0 if there is none. No
 	// worker's heartbeat shows such a task yet, so a delegate can't stop it. The time for which the
 	// delegate may renew leases therefore counts from that cancellation.
 	InFlightLaunchCancelAge time.Duration `cbor:"unproven,omitempty"`
@@ -81,7 +81,7 @@
 }
 
 // unconfirmedCancelAge returns how long ago InFlightLaunchCancelSince was; 0 if it is zero.
-func (s *Status) unconfirmedCancelAge() time.Duration {
+func (s *Status) inFlightLaunchCancelAge() time.Duration {
 	if s.InFlightLaunchCancelSince.IsZero() {
 		return 0
 	}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -155,7 +155,7 @@
 	}
 	if status.Delegation > 0 && status.Delegation == token {
 		answer.Delegation = status.Delegation
-		answer.InFlightLaunchCancelAge = status.unconfirmedCancelAge()
+		answer.InFlightLaunchCancelAge = status.inFlightLaunchCancelAge()
 	}
 	return answer
 }
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -41,9 +41,9 @@
 	// LastDelegatedRenewal is the latest time at which the other node's last renewal as a delegate can
 	// have been: the arrival of an answer, less the age of the renewal that the answer stated.
 	LastDelegatedRenewal time.Time
-	// LatestProcessStart is the latest time at which the other node's process can have started: the arrival of
-	// an answer, less the uptime that the answer stated. Until then, an earlier process of that node
-	// may have renewed leases as a delegate, which the present process does not know of.
+	// LatestProcessStart is the latest time at which the other node's process can have started: the
+	// arrival of an answer, less the uptime that the answer stated. Until then, an earlier process of
+	// that node may have renewed leases as a delegate, which the present process does not know of.
 	LatestProcessStart time.Time
 }
 
@@ -55,8 +55,8 @@
 	// Token is the token with which the leader led.
 	Token wire.FencingToken
 	// RequestedAt is when this node sent the heartbeat that was answered with the delegation, less the
-	// InFlightLaunchCancelAge of the answer. No launch of a job that was cancelled before RequestedAt can
-	// still arrive.
+	// InFlightLaunchCancelAge of the answer. No launch of a job that was cancelled before RequestedAt
+	// can still arrive.
 	RequestedAt time.Time
 }
 
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -100,8 +100,8 @@
 // image. It is withheld from arrays, except for one whose start is overdue. Services and
 // gangs may use it.
 func TestGangHeadroomIsWithheldFromArrays(t *testing.T) {
-	place := func(spec *wire.JobSpec, startOverdue bool, machines ...Machine) map[wire.MachineID]int {
-		s := snapshotOf(machines, Job{Spec: spec, MayUseHeadroom: startOverdue})
+	place := func(spec *wire.JobSpec, mayUseHeadroom bool, machines ...Machine) map[wire.MachineID]int {
+		s := snapshotOf(machines, Job{Spec: spec, MayUseHeadroom: mayUseHeadroom})
 		s.AllowPreemption, s.ExpectedGangs = false, []*wire.JobSpec{gangSpec("req-9", wire.PriorityStandard, 3, 2)}
 		return startsByMachine(s)
 	}
@@ -122,9 +122,9 @@
 	}
 	// Headroom is withheld also if there is room for only a part of the gang. One unit of an
 	// array whose start is overdue uses it if there is no other room.
-	for startOverdue, want := range map[bool]int{false: 0, true: 1} {
-		if got := place(spec(wire.KindArray, 9), startOverdue, withImage()); got["n"] != want {
-			t.Errorf("start overdue %v: starts of an array: %v, want %d on n", startOverdue, got, want)
+	for mayUseHeadroom, want := range map[bool]int{false: 0, true: 1} {
+		if got := place(spec(wire.KindArray, 9), mayUseHeadroom, withImage()); got["n"] != want {
+			t.Errorf("may use headroom %v: starts of an array: %v, want %d on n", mayUseHeadroom, got, want)
 		}
 	}
 	for _, kind := range []wire.JobKind{wire.KindService, wire.KindGang} {
@@ -159,11 +159,11 @@
 		return &wire.JobSpec{ID: id, Team: "red", Kind: kind, Priority: priority, Tasks: tasks, CPUs: 2, MemoryGB: 1}
 	}
 	for name, c := range map[string]struct {
-		startOverdue  bool
-		other         *wire.JobSpec
-		headroomUnits int
-		freeCPUs      float64
-		wantStarts    int
+		mayUseHeadroom bool
+		other          *wire.JobSpec
+		headroomUnits  int
+		freeCPUs       float64
+		wantStarts     int
 	}{
 		"headroom, not overdue":                      {false, nil, 2, 8, 0},
 		"headroom, overdue":                          {true, nil, 2, 8, 4},
@@ -173,7 +173,7 @@
 		"reserved limit, array of a higher rank":     {true, spec("u", wire.KindArray, wire.PriorityUrgent, 2), 0, 6, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), PendingTasks: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, MayUseHeadroom: c.startOverdue}
+			gang := Job{Spec: spec("g", wire.KindGang, wire.PriorityStandard, 4), PendingTasks: 4, TasksByZone: map[wire.Zone]int{}, Weight: 1, MayUseHeadroom: c.mayUseHeadroom}
 			s := &Snapshot{
 				Machines:      []Machine{{ID: "m", Zone: "a", Total: Resources{CPUs: 16, MemoryGB: 16}, Free: Resources{CPUs: c.freeCPUs, MemoryGB: 16}}},
 				Teams:         map[wire.TeamID]*Team{"red": {Limit: Resources{CPUs: 9}, Reserved: Resources{CPUs: 8, MemoryGB: 4}, ReservedFor: "g", ReservedRank: wire.PriorityStandard.Rank()}},
--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -13,19 +13,19 @@
 func TestAllControllersRestartDuringOutage(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		runOnBothLayouts(t, 20+seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		runOnBothLayouts(t, 20+seed, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			arrayJob, serviceJob := array(1, 10, 30), service(2, 3)
-			at(2 * time.Second)
+			sleepUntil(2 * time.Second)
 			submitAll(sim, arrayJob, serviceJob)
-			at(35 * time.Second)
+			sleepUntil(35 * time.Second)
 			sim.State.SetOutage(true)
-			at(50 * time.Second)
+			sleepUntil(50 * time.Second)
 			killAll(sim)
-			at(time.Duration(54+4*seed) * time.Second)
+			sleepUntil(time.Duration(54+4*seed) * time.Second)
 			startAll(t, sim)
-			at(time.Duration(60+8*seed) * time.Second)
+			sleepUntil(time.Duration(60+8*seed) * time.Second)
 			sim.State.SetOutage(false)
-			at(220 * time.Second)
+			sleepUntil(220 * time.Second)
 			mustFinish(t, sim, arrayJob)
 			mustRun(t, sim, serviceJob, "at the end")
 		})
@@ -38,7 +38,7 @@
 // replicas must survive, no task may run twice, and no job may be forgotten.
 func TestAllControllersRestartDuringElection(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(5), 40, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(5), 40, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		forAllControllers := func(action func(node int)) {
 			for node := range 5 {
 				action(node)
@@ -50,9 +50,9 @@
 			}
 		}
 		serviceJob, burst := service(1, 4), []simulator.JobScript{}
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(serviceJob, 0)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		for n := range 12 {
 			burst = append(burst, array(10+n, 6, 20))
 			sim.Submit(burst[n], 0)
@@ -61,18 +61,18 @@
 			sim.ResendLastHeartbeat(id, 3*time.Second, 8*time.Second, 12*time.Second, 25*time.Second)
 		}
 		sim.State.SetOutage(true)
-		at(46 * time.Second)
+		sleepUntil(46 * time.Second)
 		sim.State.SetOutage(false)
 		forAllControllers(sim.KillController)
-		at(46300 * time.Millisecond)
+		sleepUntil(46300 * time.Millisecond)
 		start(0)
-		at(47 * time.Second)
+		sleepUntil(47 * time.Second)
 		start(1)
-		at(49500 * time.Millisecond) // about when the last leader's grant expires
+		sleepUntil(49500 * time.Millisecond) // about when the last leader's grant expires
 		forAllControllers(sim.KillController)
-		at(49700 * time.Millisecond)
+		sleepUntil(49700 * time.Millisecond)
 		forAllControllers(start)
-		at(58 * time.Second)
+		sleepUntil(58 * time.Second)
 		if l := sim.Leader(); l < 0 {
 			t.Error("no leader 8 s after the controllers were killed for the second time")
 		}
@@ -81,10 +81,10 @@
 				t.Errorf("repeated submission answered %d", status)
 			}
 		}
-		at(70 * time.Second)
+		sleepUntil(70 * time.Second)
 		mustRun(t, sim, serviceJob, "after both restarts")
 		markFaultsOver(sim)
-		at(240 * time.Second)
+		sleepUntil(240 * time.Second)
 		mustFinish(t, sim, burst...)
 	})
 }
@@ -98,14 +98,14 @@
 	for restartedFirst, run := range map[int]scenarioRunner{0: runScenario, 1: runOnUnevenLayout, 3: runScenario} { // which restart first: 0 the last leader, 1 another one, 3 all
 		t.Run(fmt.Sprint("restarted first ", restartedFirst), func(t *testing.T) {
 			t.Parallel()
-			run(t, 61, func(sim *simulator.Simulation, at func(time.Duration)) {
+			run(t, 61, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob, lateArrayJob := service(1, 4), array(2, 8, 40), array(3, 3, 30)
 				cancelledBefore, cancelledAfter := service(4, 3), array(5, 4, 100)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledBefore, cancelledAfter} {
 					sim.Submit(j, 0)
 				}
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				mustRun(t, sim, serviceJob, "before the controllers are killed")
 				sim.Submit(lateArrayJob, 0)
 				time.Sleep(100 * time.Millisecond)
@@ -154,14 +154,14 @@
 		lastLeaderFirst := caseNumber%2 == 0
 		t.Run(fmt.Sprintf("restart after %v, last leader first %v", pause, lastLeaderFirst), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, simulator.DefaultSettings(), 63, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, simulator.DefaultSettings(), 63, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob, lateArrayJob := service(1, 4), array(2, 6, 50), array(3, 4, 20)
 				cancelledBefore, cancelledDuring := array(4, 4, 200), array(5, 4, 200)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledBefore, cancelledDuring} {
 					sim.Submit(j, 0)
 				}
-				at(40 * time.Second)
+				sleepUntil(40 * time.Second)
 				first := sim.Leader()
 				sim.State.RefuseClient(simulator.NodeIP(first), true)
 				second := awaitOtherLeader(t, sim, first, 10*time.Second)
--- a/internal/scenarios/bad_input_test.go
+++ b/internal/scenarios/bad_input_test.go
@@ -14,8 +14,8 @@
 // Invalid requests are refused with the status that the protocol defines for them.
 func TestInvalidInputStatusCodes(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 12, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(3 * time.Second)
+	runScenario(t, 12, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(3 * time.Second)
 		valid := simulator.Submission(array(1, 1, 1).Spec)
 		// with returns a valid submission with one field replaced, or removed if value is "missing".
 		with := func(field string, value any) map[string]any {
@@ -66,7 +66,7 @@
 			}
 		}
 		sim.Submit(array(2, 1, 1), 0)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 	})
 }
 
@@ -74,7 +74,7 @@
 // controllers don't know the machine types yet.
 func TestInvalidRequestsAtEveryController(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 440, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 440, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		sim.SetCloudOutage(true)
 		number := 500
 		// with returns the submission of a new job with one field replaced, or removed if value is
@@ -138,10 +138,10 @@
 			checkAnswer("memory fits no machine type", "POST", "/v1/jobs", with("ramGb", 65.0), want, "")
 			checkAnswer("image fits no disk", "POST", "/v1/jobs", with("imageGb", 21.0), want, "")
 		}
-		at(3 * time.Second)
+		sleepUntil(3 * time.Second)
 		checkInvalid(false)
 		sim.SetCloudOutage(false)
-		at(18 * time.Second)
+		sleepUntil(18 * time.Second)
 		checkInvalid(true)
 		// An array as a whole may exceed its team's limit.
 		wide, serviceJob, cancelledJob := array(1, 60, 3), service(2, 2), service(3, 2)
@@ -151,7 +151,7 @@
 		time.Sleep(2 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(cancelledJob.Spec.ID) })
 		checkAnswer("cancel", "POST", "/v1/jobs/"+string(cancelledJob.Spec.ID)+"/cancel", nil, 200, wire.StatusCancelled)
-		at(80 * time.Second)
+		sleepUntil(80 * time.Second)
 		mustFinish(t, sim, wide)
 		checkKnownJobs := func() {
 			t.Helper()
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -41,18 +41,18 @@
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			fault.run(t, 66, func(sim *simulator.Simulation, at func(time.Duration)) {
+			fault.run(t, 66, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob := service(1, 4), array(2, 10, 50)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob)
 				for round := range 3 {
-					at(time.Duration(40+50*round) * time.Second)
+					sleepUntil(time.Duration(40+50*round) * time.Second)
 					var running, starting [3]simulator.JobScript
 					for k := range 3 {
 						running[k], starting[k] = array(100*round+10+k, 2, 200), array(100*round+20+k, 2, 200)
 						sim.Submit(running[k], 0)
 					}
-					at(time.Duration(55+50*round) * time.Second)
+					sleepUntil(time.Duration(55+50*round) * time.Second)
 					leader := sim.Leader()
 					for _, j := range starting {
 						sim.Submit(j, 0)
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -19,11 +19,11 @@
 // would run on.
 func TestCancelWithoutLeader(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 14, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 14, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob := service(1, 3)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(serviceJob, 0)
-		at(44 * time.Second)
+		sleepUntil(44 * time.Second)
 		leader := sim.Leader()
 		sim.KillController(leader)
 		time.Sleep(300 * time.Millisecond)
@@ -34,13 +34,13 @@
 			t.Fatalf("cancellation answered %d %+v, leader %d, want 200 and cancelled by a controller that does not lead", status, summary, sim.Leader())
 		}
 		sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(serviceJob.Spec.ID, summary.Status, time.Now()) })
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if n := c.TasksOnMachines(serviceJob.Spec.ID); n != 0 {
 				t.Errorf("%d tasks on machines 15 s after the cancellation, want 0", n)
 			}
 		})
-		at(120 * time.Second)
+		sleepUntil(120 * time.Second)
 	})
 }
 
@@ -48,13 +48,13 @@
 // never changes.
 func TestCancelRacesCompletion(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 6, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(2 * time.Second)
+	runScenario(t, 6, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		for n := range 12 {
 			j := array(100+n, 2, 10)
 			sim.Submit(j, time.Duration(18+n)*time.Second)
 		}
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			if done+cancelled != 12 {
@@ -71,13 +71,13 @@
 	for _, settings := range []config.Settings{simulator.DefaultSettings(), settingsWithFastStore()} {
 		t.Run(fmt.Sprint(settings.State.RPS), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settings, 410, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settings, 410, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				readers := sim.NewBurstReaders()
 				readers.BurstLength = 60 * time.Millisecond
 				warmUp := array(900, 20, 8)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(warmUp, 0)
-				at(34 * time.Second)
+				sleepUntil(34 * time.Second)
 				var jobs []simulator.JobScript
 				for n := range 40 {
 					j := array(1+n, 1+n%2, 2)
@@ -89,7 +89,7 @@
 					readers.Submit(j, simulator.CancelAtEnd, delay)
 					time.Sleep(400 * time.Millisecond)
 				}
-				at(100 * time.Second)
+				sleepUntil(100 * time.Second)
 				done, cancelled := sim.CountEnded(jobs)
 				if done+cancelled != len(jobs) {
 					t.Errorf("%d jobs done, %d cancelled, want %d in all", done, cancelled, len(jobs))
@@ -116,7 +116,7 @@
 func TestCancelCrossesFinalRecord(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+		runWithSettings(t, simulator.DefaultSettings(), 420+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			readers := sim.NewBurstReaders()
 			cancelledFirst, doneFirst := array(1, 2, 4), array(2, 2, 4)
 			finalRecordSent, cancellationSent := newSignal(), newSignal()
@@ -135,7 +135,7 @@
 				}
 				return 0
 			})
-			at(2 * time.Second)
+			sleepUntil(2 * time.Second)
 			readers.Submit(cancelledFirst, simulator.NeverCancel, 0)
 			readers.Submit(doneFirst, simulator.CancelAtEnd, time.Duration(seed)*20*time.Millisecond)
 			if !finalRecordSent.wait(time.Minute) {
@@ -149,7 +149,7 @@
 			if status != 200 || state.Status != wire.StatusCancelled || time.Since(begin) > 120*time.Millisecond {
 				t.Errorf("cancellation answered %d %s after %v, want 200 and cancelled within 120ms", status, state.Status, time.Since(begin))
 			}
-			at(70 * time.Second)
+			sleepUntil(70 * time.Second)
 			if n := sim.State.FailedAtGuard(func(x *wire.Txn) bool { return isFinalRecordOf(x, cancelledFirst.Spec.ID) }); n != 1 {
 				t.Errorf("%d final records failed at the guard because of a cancellation, want 1", n)
 			}
@@ -173,7 +173,7 @@
 func TestCancelCrossesFullTransaction(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
-		runWithSettings(t, simulator.ThreeZoneSettings(), 450+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+		runWithSettings(t, simulator.ThreeZoneSettings(), 450+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			readers := sim.NewBurstReaders()
 			var jobs []simulator.JobScript
 			for n := range 6 {
@@ -219,7 +219,7 @@
 			})
 			// Wait for machines, so that all six jobs start together.
 			warmUp := array(19, 16, 12)
-			at(2 * time.Second)
+			sleepUntil(2 * time.Second)
 			sim.Submit(warmUp, 0)
 			for running := false; !running; time.Sleep(100 * time.Millisecond) {
 				sim.WithChecker(func(c *simulator.Checker) { running = c.Complete(warmUp.Spec.ID) })
@@ -263,8 +263,8 @@
 // would be refused for ever.
 func TestCancelOfLargestRecord(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, simulator.ThreeZoneSettings(), 460, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(3 * time.Second)
+	runWithSettings(t, simulator.ThreeZoneSettings(), 460, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(3 * time.Second)
 		jobWithImageName := func(n, imageBytes int) simulator.JobScript {
 			j := service(n, 1)
 			j.Spec.MachineTypes = []wire.MachineType{"c4", "c16"}
@@ -300,9 +300,9 @@
 		j := jobWithImageName(1, accepted)
 		sim.Submit(j, 30*time.Second)
 		sim.Submit(array(2, 2, 3), 0)
-		at(25 * time.Second)
+		sleepUntil(25 * time.Second)
 		mustRun(t, sim, j, "before it is cancelled")
-		at(75 * time.Second)
+		sleepUntil(75 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if s := c.FinalStatus(j.Spec.ID); s != wire.StatusCancelled || c.TasksOnMachines(j.Spec.ID) != 0 {
 				t.Errorf("the job is %q with %d tasks on machines, want cancelled and 0", s, c.TasksOnMachines(j.Spec.ID))
@@ -317,12 +317,12 @@
 // cancellation. It must not resign because of that.
 func TestLaggingWatchDeliversKnownCancellations(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 70, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 70, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 10, 60)
 		arrayJob.Spec.CPUs = 1.5 // leaves room on its machines for the small jobs
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		leader, oldRevision := sim.Leader(), sim.LeaderKeyRevision()
 		sim.State.DelayWatches(300 * time.Millisecond)
 		for n := range 8 {
--- a/internal/scenarios/gang_capacity_test.go
+++ b/internal/scenarios/gang_capacity_test.go
@@ -12,17 +12,17 @@
 // their team's limit. Each gang must start within four minutes.
 func TestGangsCompeteWithArrays(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 807, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 807, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		var gangs []simulator.JobScript
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		for n := range 12 {
 			sim.Submit(array(100+n, 8, 20), 0)
 		}
-		at(35 * time.Second)
+		sleepUntil(35 * time.Second)
 		sim.SellOutEverything()
 		startDelays := map[wire.JobID]time.Duration{}
 		for n := range 45 {
-			at(time.Duration(36+5*n) * time.Second)
+			sleepUntil(time.Duration(36+5*n) * time.Second)
 			arrayJob := array(200+n, 10, 30)
 			if n%2 == 1 {
 				arrayJob.Spec.Team = "blue"
@@ -41,7 +41,7 @@
 			}
 		}
 		submitTime := func(k int) time.Duration { return time.Duration(36+45*(k/2)) * time.Second }
-		at(520 * time.Second)
+		sleepUntil(520 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			for k, gangJob := range gangs {
 				delay, ok := c.TimeToStart(gangJob.Spec.ID)
@@ -59,20 +59,20 @@
 // gang that fits into it must not wait for ever; the same holds for arrays.
 func TestGangUsesReservedCapacity(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, simulator.DefaultSettings(), 810, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, simulator.DefaultSettings(), 810, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, gangJob := service(1, 4), gang(2, 3, 20)
 		serviceJob.Spec.Spread, serviceJob.Spec.MachineTypes, serviceJob.Spec.Zone = false, []wire.MachineType{"c16"}, "a"
 		gangJob.Spec.CPUs, gangJob.Spec.Priority, gangJob.Spec.MachineTypes, gangJob.Spec.Zone = 4, wire.PriorityStandard, serviceJob.Spec.MachineTypes, "a" // needs 12 of a machine's 16 CPUs; 4 are used, 2 are reserved
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(serviceJob, 0)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		mustRun(t, sim, serviceJob, "before the gang is submitted")
 		if n := len(sim.MachinesHolding(serviceJob.Spec.ID)); n != 1 {
 			t.Fatalf("the service runs on %d machines, want 1", n)
 		}
 		sim.SellOutEverything()
 		sim.Submit(gangJob, 0)
-		at(240 * time.Second)
+		sleepUntil(240 * time.Second)
 		mustFinish(t, sim, gangJob)
 		mustRun(t, sim, serviceJob, "beside the gang")
 	})
@@ -82,7 +82,7 @@
 // tasks have saved a checkpoint. The first must stay reserved until all of them are free.
 func TestGangWaitsForCheckpoints(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, simulator.DefaultSettings(), 811, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, simulator.DefaultSettings(), 811, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		sim.EnableSlowSaves()
 		checkpointingArray, gangJob := array(1, 2, 300), gang(3, 4, 20)
 		for _, spec := range []*wire.JobSpec{&checkpointingArray.Spec, &gangJob.Spec} {
@@ -90,7 +90,7 @@
 		}
 		checkpointingArray.Spec.Team = "blue"
 		checkpointingArray.Spec.CheckpointInterval, checkpointingArray.Spec.CheckpointTime = 20, 14
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(checkpointingArray, 0)
 		submitShortArray := func(n int) {
 			shortArray := array(n, 6, 25)
@@ -98,19 +98,19 @@
 			sim.Submit(shortArray, 0)
 		}
 		submitShortArray(100)
-		at(30 * time.Second)
+		sleepUntil(30 * time.Second)
 		sim.SellOutEverything()
 		for n := range 20 {
 			submitShortArray(101 + n)
 		}
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		sim.Submit(gangJob, 0)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if c.TasksOnMachines(checkpointingArray.Spec.ID) != 2 {
 				t.Errorf("%d tasks of the checkpointing array on machines, want 2", c.TasksOnMachines(checkpointingArray.Spec.ID))
 			}
 		})
-		at(250 * time.Second)
+		sleepUntil(250 * time.Second)
 		mustFinish(t, sim, gangJob)
 		sim.WithChecker(func(c *simulator.Checker) {
 			delay, ok := c.TimeToStart(gangJob.Spec.ID)
@@ -129,15 +129,15 @@
 	for _, priority := range []wire.Priority{wire.PriorityUrgent, wire.PriorityStandard, wire.PriorityBestEffort} {
 		t.Run(string(priority), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, 816, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runScenario(t, 816, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				gangJob := gang(1, 8, 25)
 				gangJob.Spec.SameZone, gangJob.Spec.Priority = false, priority
 				gangJob.Spec.MemoryGB = 4
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				for n := range 6 {
 					sim.Submit(array(100+n, 8, 20), 0)
 				}
-				at(40 * time.Second)
+				sleepUntil(40 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					if c.CPUsUsed("red") < 38 {
 						t.Errorf("team red uses %v of 40 CPUs, want 38 or more", c.CPUsUsed("red"))
@@ -145,10 +145,10 @@
 				})
 				sim.Submit(gangJob, 0)
 				for n := range 52 {
-					at(time.Duration(41+5*n) * time.Second)
+					sleepUntil(time.Duration(41+5*n) * time.Second)
 					sim.Submit(array(200+n, 8, 25), 0)
 				}
-				at(320 * time.Second)
+				sleepUntil(320 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					delay, ok := c.TimeToStart(gangJob.Spec.ID)
 					t.Logf("gang started after %v (started: %v)", delay, ok)
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -124,10 +124,10 @@
 		for _, downtime := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
 			t.Run(fmt.Sprint(step, " ", downtime), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsWithSmallChunks(), 850, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithSettings(t, settingsWithSmallChunks(), 850, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					sim.RecordHeartbeats()
 					gangJob := largeGang(1, 300, 40)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					delayProgressWrites(sim, 400*time.Millisecond)
 					if step != "partly recorded" {
 						sim.DelayCommands(simulator.CommandDelay{Command: 300 * time.Millisecond})
@@ -168,10 +168,10 @@
 // attempts, in different chunks.
 func TestTwoLeaderFailuresWhileGangIsRecordedInChunks(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsWithSmallChunks(), 851, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsWithSmallChunks(), 851, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		sim.RecordHeartbeats()
 		gangJob := largeGang(1, 500, 30)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		delayProgressWrites(sim, 500*time.Millisecond)
 		sim.Submit(gangJob, 0)
 		recordedAttempts := map[[2]int]wire.MachineID{}
@@ -229,14 +229,14 @@
 	for i, fault := range []string{"no other fault", "change of leader", "outage"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				sim.RecordHeartbeats()
 				// The first gang is stored in a chunk for 256 tasks, which exceeds the lower limit.
 				acceptedBefore, acceptedAfter := largeGang(1, 200, 120), largeGang(2, 150, 100)
 				waiting := gang(3, 4, 20)
 				waiting.Spec.CPUs, waiting.Spec.MachineTypes, waiting.Spec.Zone = 16, []wire.MachineType{"c16"}, "a"
 				recording := largeGang(4, 300, 40)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(acceptedBefore, 0)
 				awaitGangRunning(t, sim, acceptedBefore, 60*time.Second)
 				announceLoweredLimits(t, sim)
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -11,11 +11,11 @@
 
 // startSpotGang submits a gang that may use spot machines, and returns it when all its tasks
 // have run for a while.
-func startSpotGang(t *testing.T, sim *simulator.Simulation, at func(time.Duration), runTime time.Duration) simulator.JobScript {
+func startSpotGang(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration), runTime time.Duration) simulator.JobScript {
 	t.Helper()
 	gangJob := gang(1, 4, 80)
 	gangJob.Spec.SpotAllowed, gangJob.Spec.MachineTypes = true, []wire.MachineType{"c4"}
-	at(2 * time.Second)
+	sleepUntil(2 * time.Second)
 	sim.Submit(gangJob, 0)
 	awaitGangRunning(t, sim, gangJob, 60*time.Second)
 	time.Sleep(runTime)
@@ -36,8 +36,8 @@
 // members receive it and have saved before the machine with the notice is reclaimed.
 func TestGangSpotNoticeWithDelayedStop(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		gangJob := startSpotGang(t, sim, at, 33*time.Second)
+	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		gangJob := startSpotGang(t, sim, sleepUntil, 33*time.Second)
 		machines := sim.MachinesHolding(gangJob.Spec.ID)
 		if len(machines) < 2 {
 			t.Fatalf("all tasks are on %v, want two or more machines", machines)
@@ -67,8 +67,8 @@
 	for _, nextLeader := range []string{"the same leader", "another leader"} {
 		t.Run(nextLeader, func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 821, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				gangJob := startSpotGang(t, sim, at, 30*time.Second)
+			runOnBothLayouts(t, 821, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+				gangJob := startSpotGang(t, sim, sleepUntil, 30*time.Second)
 				sim.State.SetOutage(true)
 				time.Sleep(5 * time.Second)
 				sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], 20*time.Second)
@@ -99,8 +99,8 @@
 	for _, refusedFor := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
 		t.Run(fmt.Sprint(refusedFor), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, simulator.DefaultSettings(), 822, func(sim *simulator.Simulation, at func(time.Duration)) {
-				gangJob := startSpotGang(t, sim, at, 33*time.Second)
+			runWithSettings(t, simulator.DefaultSettings(), 822, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+				gangJob := startSpotGang(t, sim, sleepUntil, 33*time.Second)
 				machines := sim.MachinesHolding(gangJob.Spec.ID)
 				leader := sim.Leader()
 				sim.State.RefuseClient(simulator.NodeIP(leader), true)
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -16,8 +16,8 @@
 		for _, leaderInside := range []bool{false, true} {
 			t.Run(fmt.Sprint(duration, " leader inside ", leaderInside), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsOfSize(5), 808, func(sim *simulator.Simulation, at func(time.Duration)) {
-					at(2 * time.Second)
+				runWithSettings(t, settingsOfSize(5), 808, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+					sleepUntil(2 * time.Second)
 					time.Sleep(3 * time.Second)
 					zone := leaderZoneOrOther(sim, leaderInside)
 					insideGang, sameZoneGang := gang(1, 4, 50), gang(2, 4, 50)
@@ -45,9 +45,9 @@
 // runs, also at a new leader.
 func TestGangDuplicatedHeartbeatsArriveLate(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(5), 809, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(5), 809, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		gangJob := gang(1, 4, 60)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(gangJob, 0)
 		awaitGangRunning(t, sim, gangJob, 40*time.Second)
 		machines := sim.MachinesHolding(gangJob.Spec.ID)
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -19,13 +19,13 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			settings := []config.Settings{settingsOfSize(3), settingsOfSize(5), simulator.ThreeZoneSettings()}[seed%3]
-			runWithSettings(t, settings, 820+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settings, 820+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				randomSeconds, size := randomDelay(rng), settings.Size
 				var uncancelled []simulator.JobScript
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(service(900, 3), 0)
 				for n := range 24 {
-					at(time.Duration(3+6*n)*time.Second + randomSeconds(4))
+					sleepUntil(time.Duration(3+6*n)*time.Second + randomSeconds(4))
 					job := gang(10+n, 2+rng.IntN(4), float64(5+rng.IntN(50)))
 					job.Spec.SameZone, job.Spec.SpotAllowed = rng.IntN(3) > 0, rng.IntN(2) == 0
 					if rng.IntN(2) == 0 {
--- a/internal/scenarios/gang_start_test.go
+++ b/internal/scenarios/gang_start_test.go
@@ -11,14 +11,14 @@
 
 func TestGangRunsWithoutFailures(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 800, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 800, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		sameZoneGang, singleTaskGang, anyZoneGang := gang(1, 4, 30), gang(2, 1, 10), gang(3, 8, 25)
 		anyZoneGang.Spec.SameZone, anyZoneGang.Spec.CPUs, anyZoneGang.Spec.CheckpointInterval, anyZoneGang.Spec.CheckpointTime = false, 1, 0, 0
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		for _, j := range []simulator.JobScript{sameZoneGang, singleTaskGang, anyZoneGang} {
 			sim.Submit(j, 0)
 		}
-		at(120 * time.Second)
+		sleepUntil(120 * time.Second)
 		mustFinish(t, sim, sameZoneGang, singleTaskGang, anyZoneGang)
 		for _, j := range []simulator.JobScript{sameZoneGang, singleTaskGang, anyZoneGang} {
 			if g := sim.GangState(j.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 {
@@ -38,13 +38,13 @@
 	for _, cause := range []string{"machine reclaimed", "launch refused"} {
 		t.Run(cause, func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 801, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 801, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				warmUpArray, gangJob := array(1, 12, 60), gang(2, 4, 20)
 				warmUpArray.Spec.CPUs = 1
 				gangJob.Spec.ImageGB = 6 // takes a while to fetch
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(warmUpArray, 0)
-				at(40 * time.Second)
+				sleepUntil(40 * time.Second)
 				if cause == "launch refused" {
 					for _, id := range sim.RunningMachines() {
 						sim.RefuseLaunches(id, 1)
@@ -58,7 +58,7 @@
 				begin := time.Now()
 				awaitGangRunning(t, sim, gangJob, 60*time.Second)
 				t.Logf("gang runs after %v, %+v", time.Since(begin), sim.GangState(gangJob.Spec.ID))
-				at(160 * time.Second)
+				sleepUntil(160 * time.Second)
 				mustFinish(t, sim, gangJob)
 				if g := sim.GangState(gangJob.Spec.ID); g.WaitTimeouts != 0 {
 					t.Errorf("%d waits for the other members timed out, want 0", g.WaitTimeouts)
@@ -75,9 +75,9 @@
 	for _, fault := range []string{"reclaimed", "hangs", "hangs for long", "restarted"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 802, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 802, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				gangJob := gang(1, 4, 60)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(gangJob, 0)
 				awaitGangRunning(t, sim, gangJob, 40*time.Second)
 				time.Sleep(30 * time.Second)
@@ -137,13 +137,13 @@
 		for _, downtime := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
 			t.Run(fmt.Sprint(step, " ", downtime), func(t *testing.T) {
 				t.Parallel()
-				runOnBothLayouts(t, 803, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+				runOnBothLayouts(t, 803, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					gangJob := template
 					warmUpArray := array(9, 10, 15)
 					warmUpArray.Spec.SpotAllowed, warmUpArray.Spec.MachineTypes = false, template.Spec.MachineTypes
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					sim.Submit(warmUpArray, 0)
-					at(30 * time.Second)
+					sleepUntil(30 * time.Second)
 					if step == "first waiting" {
 						setUnevenFetchSpeeds(sim)
 					}
@@ -183,30 +183,30 @@
 // every machine must not make the machines count as faulty.
 func TestGangOnFaultyMachineAndFaultyGang(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 815, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 815, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		goodGang, failingGang := gang(1, 4, 40), gang(2, 4, 15)
 		goodGang.Spec.MachineTypes = []wire.MachineType{"c4"}
 		failingGang.AlwaysFails = true
 		warmUpArray := array(9, 10, 15)
 		warmUpArray.Spec.MachineTypes, warmUpArray.Spec.SpotAllowed = goodGang.Spec.MachineTypes, false
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(warmUpArray, 0)
-		at(25 * time.Second)
+		sleepUntil(25 * time.Second)
 		sim.Submit(goodGang, 0)
 		eventually(t, 30*time.Second, "a task fetches the image", func() bool { return sim.GangState(goodGang.Spec.ID).Fetching > 0 })
 		sim.MakeFaulty(sim.MachinesHolding(goodGang.Spec.ID)[0])
-		at(130 * time.Second)
+		sleepUntil(130 * time.Second)
 		mustFinish(t, sim, goodGang)
 		t.Logf("%+v", sim.GangState(goodGang.Spec.ID))
 		machinesBefore := sim.ProvisionedSoFar()
 		sim.Submit(failingGang, 90*time.Second)
-		at(230 * time.Second)
+		sleepUntil(230 * time.Second)
 		if n := sim.ProvisionedSoFar() - machinesBefore; n > 8 {
 			t.Errorf("%d machines provisioned for a gang that always fails, want at most 8", n)
 		}
 		laterGang := gang(3, 4, 10)
 		sim.Submit(laterGang, 0)
-		at(290 * time.Second)
+		sleepUntil(290 * time.Second)
 		mustFinish(t, sim, laterGang)
 	})
 }
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -17,11 +17,11 @@
 	for _, variant := range []string{"no fault", "late stop command", "leader killed at first stop", "leader killed and service cancelled"} {
 		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, simulator.DefaultSettings(), 804, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, simulator.DefaultSettings(), 804, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				gangJob, serviceJob := gang(1, 4, 50), service(2, 4)
 				gangJob.Spec.Priority, gangJob.Spec.MachineTypes = wire.PriorityStandard, []wire.MachineType{"c4"}
 				serviceJob.Spec.Spread, serviceJob.Spec.MemoryGB = false, 6
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				// The service would fit into capacity reserved for the next gang and preempt nothing.
 				if status, raw, _ := sim.AskAsOperator(0, "PUT", "/admin/settings", map[string]any{"version": 0, "set": map[string]any{"gangs.spare": 0}}); status != 200 {
 					t.Fatalf("setting gangs.spare answered %d %s, want 200", status, raw)
@@ -77,10 +77,10 @@
 	for _, notice := range []time.Duration{25 * time.Second, 12 * time.Second} {
 		t.Run(fmt.Sprint(notice), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 805, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 805, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				gangJob := gang(1, 4, 60)
 				gangJob.Spec.SpotAllowed = true
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(gangJob, 0)
 				awaitGangRunning(t, sim, gangJob, 60*time.Second)
 				time.Sleep(33 * time.Second)
@@ -98,10 +98,10 @@
 // The leader must stop all tasks of the gang so that they save.
 func TestGangSpotNoticeToNewLeader(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 812, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 812, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		gangJob := gang(1, 4, 60)
 		gangJob.Spec.SpotAllowed, gangJob.Spec.MachineTypes = true, []wire.MachineType{"c4"}
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(gangJob, 0)
 		awaitGangRunning(t, sim, gangJob, 60*time.Second)
 		time.Sleep(33 * time.Second)
@@ -122,10 +122,10 @@
 // A spot notice arrives during an outage of the key-value store.
 func TestGangSpotNoticeDuringOutage(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 813, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 813, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		gangJob := gang(1, 4, 80)
 		gangJob.Spec.SpotAllowed, gangJob.Spec.MachineTypes = true, []wire.MachineType{"c4"}
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(gangJob, 0)
 		awaitGangRunning(t, sim, gangJob, 60*time.Second)
 		time.Sleep(30 * time.Second)
@@ -154,13 +154,13 @@
 	for phase, reached := range phases {
 		t.Run(phase, func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 806, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 806, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				gangJob, warmUpArray := gang(1, 4, 60), array(9, 10, 15)
 				gangJob.Spec.SpotAllowed, gangJob.Spec.CheckpointTime, gangJob.Spec.MachineTypes = true, 4, []wire.MachineType{"c4"}
 				warmUpArray.Spec.MachineTypes = gangJob.Spec.MachineTypes
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(warmUpArray, 0)
-				at(30 * time.Second)
+				sleepUntil(30 * time.Second)
 				setUnevenFetchSpeeds(sim)
 				sim.Submit(gangJob, 0)
 				time.Sleep(time.Second)
@@ -190,14 +190,14 @@
 // Users cancel gangs at about the time these complete.
 func TestGangCancelRacesCompletion(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 814, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(2 * time.Second)
+	runScenario(t, 814, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		for n := range 14 {
 			gangJob := gang(100+n, 2, 10)
 			gangJob.Spec.CPUs, gangJob.Spec.MemoryGB = 1, 3
 			sim.Submit(gangJob, time.Duration(18+n)*time.Second)
 		}
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			done, cancelled := c.Finished()
 			if done+cancelled != 14 || done == 0 || cancelled == 0 {
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -54,25 +54,25 @@
 
 // runScenario runs a script on the default deployment, in virtual time. All controllers are up
 // when the script begins. When it ends, the checker must have found no violation of a rule.
-func runScenario(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runScenario(t *testing.T, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	runWithSettings(t, simulator.DefaultSettings(), seed, script)
 }
 
 // runOnBothLayouts runs a script twice: with controllers in every zone, and with a zone that has
 // machines but no controller.
-func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
+func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	for _, layout := range layouts {
 		t.Run(layout.name, func(t *testing.T) {
 			t.Parallel()
-			layout.run(t, seed, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
+			layout.run(t, seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) { script(t, sim, sleepUntil) })
 		})
 	}
 }
 
 // runWithSettings is runScenario with the given settings.
-func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, set, set.Zones, seed, script)
 }
@@ -88,26 +88,26 @@
 var unevenZones = []wire.Zone{"a", "b", "a"}
 
 // runOnUnevenLayout is runScenario with three zones, of which only two have controllers.
-func runOnUnevenLayout(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runOnUnevenLayout(t *testing.T, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, simulator.ThreeZoneSettings(), unevenZones, seed, script)
 }
 
 // runWithControllersIn is runWithSettings with controllers in the given zones only.
-func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	runDeployment(t, set, zones, seed, newDeployedController, script)
 }
 
 // runWithFeatures is runScenario with the given features.
-func runWithFeatures(t *testing.T, features lilaclead.Features, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runWithFeatures(t *testing.T, features lilaclead.Features, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	set := simulator.DefaultSettings()
 	runDeployment(t, set, set.Zones, seed, newControllerWith(features), script)
 }
 
 // runDeployment runs a script on a deployment whose controllers are made by start.
-func runDeployment(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, start simulator.StartFunc, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runDeployment(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, start simulator.StartFunc, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -137,13 +137,13 @@
 
 // runOnAlternatingLayouts runs a script with one seed, or with as many as SCENARIO_SEEDS asks
 // for: even seeds on the first layout, odd ones on the second.
-func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
+func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	for i := range seedCount(1) {
 		layout := layouts[(seed+i)%2]
 		t.Run(fmt.Sprint(layout.name, " ", seed+i), func(t *testing.T) {
 			t.Parallel()
-			layout.run(t, seed+i, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
+			layout.run(t, seed+i, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) { script(t, sim, sleepUntil) })
 		})
 	}
 }
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -30,9 +30,9 @@
 	return f.Late && f.NewerExecuted > 0 && f.Status != 0 && f.Status != http.StatusOK
 }
 
-// mustHaveLateTransaction checks that at least one of the transactions was executed or refused late:
-// after newer ones of the same client were executed, and after all the given times. It fails if
-// one of these times is zero.
+// mustHaveLateTransaction checks that at least one of the transactions was executed or refused
+// late: after newer ones of the same client were executed, and after all the given times. It
+// fails if one of these times is zero.
 func mustHaveLateTransaction(t *testing.T, what string, transactions []simulator.TxnOutcome, after ...time.Time) {
 	t.Helper()
 	for _, f := range transactions {
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -49,13 +49,13 @@
 
 func newSignal() *signal { return &signal{done: make(chan struct{})} }
 
-// give signals the event and reports whether this call was the first to do so.
+// fire signals the event and reports whether this call was the first to do so.
 func (s *signal) fire() (first bool) {
 	s.once.Do(func() { close(s.done); first = true })
 	return first
 }
 
-// await waits for the event and reports whether it happened before the timeout.
+// wait waits for the event and reports whether it happened before the timeout.
 func (s *signal) wait(timeout time.Duration) bool {
 	select {
 	case <-s.done:
@@ -162,8 +162,8 @@
 	return ok && view.Cluster != nil && len(view.Cluster.Jobs) > 0
 }
 
-// considersItselfLeader reports whether a controller considers itself the leader, according to its admin
-// view.
+// considersItselfLeader reports whether a controller considers itself the leader, according to
+// its admin view.
 func considersItselfLeader(t *testing.T, sim *simulator.Simulation, node int) bool {
 	t.Helper()
 	view, ok := adminView(sim, node)
--- a/internal/scenarios/late_commands_test.go
+++ b/internal/scenarios/late_commands_test.go
@@ -11,11 +11,11 @@
 // A launch that was never answered arrives after its job was cancelled.
 func TestLateLaunchOfCancelledJob(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 5, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 5, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		warmUp, cancelledJob := array(1, 12, 200), array(2, 6, 10)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(warmUp, 0)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		leader := sim.Leader()
 		var blockedMachines []string
 		for range 40 {
@@ -26,11 +26,11 @@
 			sim.Net.HoldPackets(simulator.NodeIP(leader), ip, true)
 		}
 		sim.Submit(cancelledJob, 12*time.Second)
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		for _, ip := range blockedMachines {
 			sim.Net.HoldPackets(simulator.NodeIP(leader), ip, false)
 		}
-		at(200 * time.Second)
+		sleepUntil(200 * time.Second)
 	})
 }
 
@@ -56,12 +56,12 @@
 		for _, event := range tc.events {
 			t.Run(tc.name+", "+event, func(t *testing.T) {
 				t.Parallel()
-				runScenario(t, 630, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runScenario(t, 630, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					serviceJob, cancelledRunning, warmUp := service(1, 3), array(2, 4, 300), array(3, 8, 18)
 					arrayJob, cancelledStarting, shortJob := array(4, 4, 20), array(5, 4, 300), array(6, 4, 3)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					submitAll(sim, serviceJob, cancelledRunning, warmUp)
-					at(44 * time.Second)
+					sleepUntil(44 * time.Second)
 					machines := sim.BusyMachines("")
 					sim.DelayCommands(tc.delay)
 					if tc.machinesHang {
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -15,9 +15,9 @@
 // must not free resources, revive tasks, or make a dead machine seem alive.
 func TestDuplicatedHeartbeatsArriveLate(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(5), 31, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(5), 31, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 12, 30)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
 		var delays []time.Duration
 		for seconds := 2; seconds < 60; seconds += 3 {
@@ -28,15 +28,15 @@
 				sim.ResendLastHeartbeat(id, delays...)
 			}
 		}
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		resendHeartbeats()
-		at(50 * time.Second)
+		sleepUntil(50 * time.Second)
 		// A machine with replicas dies while copies of its heartbeats come in.
 		machines := sim.MachinesRunning(serviceJob.Spec.ID)
 		if sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 }) != 1 || len(machines) == 0 {
 			t.Fatal("no machine with replicas could be reclaimed")
 		}
-		at(80 * time.Second)
+		sleepUntil(80 * time.Second)
 		mustRun(t, sim, serviceJob, "30 s after a machine was reclaimed")
 		resendHeartbeats()
 		leader := sim.Leader()
@@ -44,9 +44,9 @@
 		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
 		time.Sleep(300 * time.Millisecond)
 		startControllers(t, sim, leader)
-		at(115 * time.Second)
+		sleepUntil(115 * time.Second)
 		mustRun(t, sim, serviceJob, "35 s after the leader was killed and a machine was reclaimed")
-		at(200 * time.Second)
+		sleepUntil(200 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -60,12 +60,12 @@
 	for _, beforeNext := range []bool{true, false} {
 		t.Run(fmt.Sprint("before the next heartbeats ", beforeNext), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 600, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 600, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				sim.RecordHeartbeats()
 				arrayJob, cancelledJob, newJob := array(1, 6, 60), array(2, 4, 300), array(3, 6, 40)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, arrayJob, cancelledJob)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				machines := sim.BusyMachines("")
 				if len(machines) == 0 || tasksOnMachines(sim, cancelledJob.Spec.ID) != 4 {
 					t.Fatalf("%d machines run tasks, want some; %d tasks to cancel, want 4", len(machines), tasksOnMachines(sim, cancelledJob.Spec.ID))
@@ -118,7 +118,7 @@
 				time.Sleep(3 * time.Second)
 				startControllers(t, sim, leader)
 				markFaultsOver(sim)
-				at(200 * time.Second)
+				sleepUntil(200 * time.Second)
 				mustFinish(t, sim, arrayJob, newJob)
 				mustHaveNoTasks(t, sim, cancelledJob, "at the end")
 			})
@@ -132,13 +132,13 @@
 // list.
 func TestHeartbeatsOfEarlierEpochsAndAttempts(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 610, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		lease := sim.Settings.Workers.Lease.Duration()
 		sim.RecordHeartbeats()
 		arrayJob, cancelledJob, serviceJob := array(1, 6, 90), array(2, 4, 300), service(3, 3)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, arrayJob, cancelledJob, serviceJob)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		sim.DuplicateHeartbeats(0.3, 2*time.Second, lease*5/2)
 		// The leases of these machines expire although they answer all commands.
 		machines := sim.MachinesRunning(cancelledJob.Spec.ID)
@@ -228,12 +228,12 @@
 			}
 			t.Run(fmt.Sprintf("recovered %v, first heartbeats %v", recovered, firstHeartbeats), func(t *testing.T) {
 				t.Parallel()
-				run(t, 620, func(sim *simulator.Simulation, at func(time.Duration)) {
+				run(t, 620, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					sim.RecordHeartbeats()
 					arrayJob, cancelledJob, serviceJob, nextJob := array(1, 8, 60), array(2, 4, 300), service(3, 3), array(4, 4, 20)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					submitAll(sim, arrayJob, cancelledJob, serviceJob)
-					at(45 * time.Second)
+					sleepUntil(45 * time.Second)
 					machines := sim.BusyMachines("")
 					var oldHeartbeats []wire.Heartbeat
 					for _, id := range machines {
@@ -297,7 +297,7 @@
 						}
 						c.FaultsOver(time.Now())
 					})
-					at(170 * time.Second)
+					sleepUntil(170 * time.Second)
 					mustFinish(t, sim, arrayJob, nextJob)
 					mustRun(t, sim, serviceJob, "at the end")
 				})
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -28,7 +28,7 @@
 		"cancellation, after the job's end", "cancellation, after a second one", "cancellation, not retried"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(600+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(600+caseNumber), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				warmUp, job, smallJob, serviceJob := array(1, 8, 10), array(2, 2, 2), array(4, 1, 1), service(3, 3)
 				if caseNumber == 2 || caseNumber == 4 || caseNumber == 5 {
 					job.RunTime = 40
@@ -36,10 +36,10 @@
 				if caseNumber == 3 {
 					job.RunTime = 5
 				}
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				sim.Submit(warmUp, 0) // the machines that it leaves idle have room for the next jobs
-				at(27 * time.Second)
+				sleepUntil(27 * time.Second)
 				sim.RegisterJob(job)
 				reader := startReader(t, sim, job.Spec.ID)
 				firstNode := caseNumber % sim.Settings.Size
@@ -74,7 +74,7 @@
 				}
 				sim.RegisterJob(smallJob) // causes a newer write of the same controller
 				requestOnce(sim, smallJob, false, firstNode)
-				at(55 * time.Second)
+				sleepUntil(55 * time.Second)
 				endFaultsAndWait(sim, 75*time.Second) // by then no task of a cancelled job may remain
 				reader.stopReading()
 				finalSeen := reader.firstSeen(simulator.KnownStatusFinal)
@@ -138,11 +138,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(620+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(620+caseNumber), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				warmUp, job, nextJob, serviceJob := array(1, 8, 10), array(2, 8, 8), array(4, 4, 5), service(3, 3)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, warmUp)
-				at(27 * time.Second)
+				sleepUntil(27 * time.Second)
 				leader := sim.Leader()
 				if leader < 0 {
 					t.Fatal("nobody leads")
@@ -218,11 +218,11 @@
 	for caseNumber, maxFaults := range []int{1, 6} {
 		t.Run(fmt.Sprint(maxFaults), func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(640+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(640+caseNumber), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob := service(1, 3), array(2, 6, 15)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob)
-				at(30 * time.Second)
+				sleepUntil(30 * time.Second)
 				for round := range 2 {
 					leader := sim.Leader()
 					if leader < 0 {
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -14,11 +14,11 @@
 // machines.
 func TestLeaderRestartsKeepServices(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		arrayJob, serviceJob := array(1, 12, 40), service(2, 3)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, arrayJob, serviceJob)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		for range 3 {
 			leader := sim.Leader()
 			if leader < 0 {
@@ -38,7 +38,7 @@
 			}
 		})
 		mustRestartNoTask(t, sim)
-		at(160 * time.Second)
+		sleepUntil(160 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -46,11 +46,11 @@
 // Controllers restart within a fraction of a second, also in the middle of an election.
 func TestControllersRestartQuickly(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		arrayJob, serviceJob := array(1, 10, 30), service(2, 3)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, arrayJob, serviceJob)
-		at(30 * time.Second)
+		sleepUntil(30 * time.Second)
 		for round := range 12 {
 			node := (sim.Leader() + 3) % 3
 			if round%3 == 2 {
@@ -61,7 +61,7 @@
 			startControllers(t, sim, node)
 			time.Sleep(time.Duration(round%4) * time.Second)
 		}
-		at(160 * time.Second)
+		sleepUntil(160 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -70,12 +70,12 @@
 // of the key-value store, with submissions and cancellations all the while.
 func TestTenLeaderChangesInTwoMinutes(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 64, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 64, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob := service(1, 4)
 		jobs := []simulator.JobScript{serviceJob}
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(serviceJob, 0)
-		at(35 * time.Second)
+		sleepUntil(35 * time.Second)
 		begin := time.Now()
 		inOutage := 0
 		for round := range 10 {
@@ -148,10 +148,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(3), 60+uint64(caseNumber), func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(3), 60+uint64(caseNumber), func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				twoTasks, threeTasks := array(1, 2, 0), array(2, 3, 0)
 				twoTasks.RunTimes, threeTasks.RunTimes = []float64{14, 75}, []float64{16, 48, 80}
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, twoTasks, threeTasks)
 				endedCount := func() (n int) {
 					sim.WithChecker(func(c *simulator.Checker) { n = c.Completed(twoTasks.Spec.ID) + c.Completed(threeTasks.Spec.ID) })
@@ -186,11 +186,11 @@
 	for caseNumber, kind := range []string{"slow", "lost", "late", "late, soon"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(660+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(660+caseNumber), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, sameZoneJob, arrayJob := service(1, 4), array(2, 4, 12), array(3, 14, 10)
 				sameZoneJob.Spec.SameZone = true
 				sim.SetQuickBoots(true)
-				at(3 * time.Second)
+				sleepUntil(3 * time.Second)
 				matchedRounds := 0
 				for round, jobs := range [][]simulator.JobScript{{serviceJob, arrayJob}, {sameZoneJob, array(4, 10, 9)}, {array(5, 16, 8)}} {
 					leader := sim.Leader()
@@ -250,16 +250,16 @@
 // limits of the key-value store, across a change of leader.
 func TestLargestJobAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 17, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 17, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		largestJob, smallJob := array(1, wire.MaxTasks, 3), array(2, 4, 5)
 		largestJob.Spec.CPUs, largestJob.Spec.MemoryGB = 0.5, 1
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(largestJob, 0)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.KillController(sim.Leader())
-		at(50 * time.Second)
+		sleepUntil(50 * time.Second)
 		sim.Submit(smallJob, 0)
-		at(90 * time.Second)
+		sleepUntil(90 * time.Second)
 		mustFinish(t, sim, smallJob)
 		status, raw, _ := sim.Ask(sim.Leader(), "GET", "/v1/jobs/req-000001", nil)
 		var state wire.JobState
@@ -274,7 +274,7 @@
 // running.
 func TestAllJobsFinishAfterManyFaults(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 67, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 67, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		rng := rand.New(rand.NewPCG(67, 4))
 		var jobs []simulator.JobScript
 		jobNumber := 0
@@ -299,11 +299,11 @@
 				sim.Submit(j, cancelDelay)
 			}
 		}
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		serviceJob := service(900, 4)
 		sim.Submit(serviceJob, 0)
 		submitThree()
-		at(35 * time.Second)
+		sleepUntil(35 * time.Second)
 		// The leader changes while the cloud is unavailable.
 		sim.SetCloudOutage(true)
 		submitThree()
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -18,19 +18,19 @@
 // A leader cut off from all workers resigns in favour of a controller that they reach.
 func TestLeaderPartitionedFromWorkers(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 10, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 10, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 3), array(2, 30, 25)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		leader := sim.Leader()
 		cutFromMachines(sim, leader, true)
-		at(75 * time.Second)
+		sleepUntil(75 * time.Second)
 		if n := sim.Leader(); n == leader {
 			t.Error("the leader that reaches no worker still leads")
 		}
 		cutFromMachines(sim, leader, false)
-		at(220 * time.Second)
+		sleepUntil(220 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "at the end")
 	})
@@ -40,22 +40,22 @@
 // are kept. Without this, a leader cut off from half of its workers would release all their machines.
 func TestWorkerPartitionedFromLeaderOnly(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 13, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 13, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 3), array(2, 12, 20)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		leader := sim.Leader()
 		_, ip, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 		if !ok {
 			t.Fatal("no machine runs tasks")
 		}
 		sim.Net.Cut(simulator.NodeIP(leader), ip, true)
-		at(100 * time.Second) // far longer than the lease of 16 s
+		sleepUntil(100 * time.Second) // far longer than the lease of 16 s
 		mustRun(t, sim, serviceJob, "while a worker is cut off from the leader")
 		mustRestartNoTask(t, sim)
 		sim.Net.Cut(simulator.NodeIP(leader), ip, false)
-		at(160 * time.Second)
+		sleepUntil(160 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -66,34 +66,34 @@
 // expired.
 func TestLeaderPartitionedFromPeers(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 18, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 18, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 3), array(2, 6, 30)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		leader := sim.Leader()
 		for i := range 3 {
 			if i != leader {
 				sim.Net.Cut(simulator.NodeIP(leader), simulator.NodeIP(i), true)
 			}
 		}
-		at(70 * time.Second)
+		sleepUntil(70 * time.Second)
 		mustRun(t, sim, serviceJob, "while the leader is cut off from its peers")
 		mustRestartNoTask(t, sim)
 		if sim.Leader() != leader {
 			t.Error("the leader changed")
 		}
 		sim.State.SetOutage(true)
-		at(95 * time.Second)
+		sleepUntil(95 * time.Second)
 		mustRun(t, sim, serviceJob, "25 s after the outage of the key-value store began")
-		at(112 * time.Second)
+		sleepUntil(112 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if n := c.TasksOnMachines(serviceJob.Spec.ID); n != 0 {
 				t.Errorf("%d replicas outlive their leases without a majority, want 0", n)
 			}
 		})
 		sim.State.SetOutage(false)
-		at(180 * time.Second)
+		sleepUntil(180 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -105,11 +105,11 @@
 	for _, size := range []int{5, 7} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(size), 33, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(size), 33, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob := service(1, 4), array(2, 12, 40)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob)
-				at(40 * time.Second)
+				sleepUntil(40 * time.Second)
 				leader := sim.Leader()
 				cut := func(on bool) {
 					for i := range size {
@@ -120,18 +120,18 @@
 					sim.Net.Cut(simulator.NodeIP(leader), "10.2.0.1", on)
 				}
 				cut(true)
-				at(55 * time.Second)
+				sleepUntil(55 * time.Second)
 				if n := sim.Leader(); n == leader || n < 0 {
 					t.Errorf("the leader is controller %d, want another one than %d", n, leader)
 				}
 				if status, _, _ := sim.Ask(leader, "GET", "/ready", nil); status != 503 {
 					t.Errorf("/ready of a controller that reaches neither key-value store nor peers answers %d, want 503", status)
 				}
-				at(70 * time.Second)
+				sleepUntil(70 * time.Second)
 				mustRun(t, sim, serviceJob, "while the old leader is cut off")
 				mustRestartNoTask(t, sim)
 				cut(false)
-				at(160 * time.Second)
+				sleepUntil(160 * time.Second)
 				mustFinish(t, sim, arrayJob)
 			})
 		})
@@ -151,14 +151,14 @@
 			}
 			t.Run(fmt.Sprintf("%s, workers reach only the old leader %v", mode, onlyOldLeader), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsOfSize(3), 65, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithSettings(t, settingsOfSize(3), 65, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					serviceJob, arrayJob := service(1, 4), array(2, 4, 60)
 					cancelledSoon, cancelledLater := service(3, 4), array(4, 4, 300)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					for _, j := range []simulator.JobScript{serviceJob, arrayJob, cancelledSoon, cancelledLater} {
 						sim.Submit(j, 0)
 					}
-					at(45 * time.Second)
+					sleepUntil(45 * time.Second)
 					oldLeader := sim.Leader()
 					newJob := array(5, 3, 20)
 					polls := startBackgroundPolls(sim, oldLeader, serviceJob, arrayJob, cancelledSoon, cancelledLater, newJob)
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -58,7 +58,7 @@
 	for caseNumber, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), uint64(200+caseNumber), func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), uint64(200+caseNumber), func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				keptService, cancelledService, cancelledArray := service(1, 3), service(2, 4), array(3, 6, 300)
 				for _, job := range []simulator.JobScript{keptService, cancelledService, cancelledArray} {
 					sim.Submit(job, 0)
@@ -69,7 +69,7 @@
 				for n := range 4 {
 					sim.Submit(service(10+n, 1), 0)
 				}
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				leader := sim.Leader()
 				if leader < 0 || tasksOnMachines(sim, cancelledService.Spec.ID) != 4 || tasksOnMachines(sim, cancelledArray.Spec.ID) == 0 {
 					t.Fatal("no leader, or the jobs do not run yet")
@@ -128,10 +128,10 @@
 		for _, cloudAvailable := range []bool{true, false} {
 			t.Run(fmt.Sprint(fault, ", cloud available: ", cloudAvailable), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsOfSize(5), 230, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithSettings(t, settingsOfSize(5), 230, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					keptService, cancelledJob := service(1, 3), service(2, 4)
 					submitAll(sim, keptService, cancelledJob)
-					at(45 * time.Second)
+					sleepUntil(45 * time.Second)
 					leader := sim.Leader()
 					machines := sim.MachinesRunning(cancelledJob.Spec.ID)
 					if leader < 0 || len(machines) == 0 {
@@ -186,24 +186,24 @@
 	for caseNumber, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(670+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(670+caseNumber), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob := service(900, 3), array(901, 4, 60)
 				first, second, third := service(1, 2), service(2, 2), service(3, 2)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob)
 				for _, j := range []simulator.JobScript{first, second, third} {
 					j.Spec.Team = "red"
 					sim.RegisterJob(j)
 					go requestUntilAnswered(t, sim, j, false, 0)
 				}
-				at(35 * time.Second)
+				sleepUntil(35 * time.Second)
 				leader := sim.Leader()
 				if leader < 0 {
 					t.Fatal("nobody leads")
 				}
 				sim.State.DelayAnswers("", 600*time.Millisecond)
 				reader := startReader(t, sim, first.Spec.ID)
-				at(40 * time.Second)
+				sleepUntil(40 * time.Second)
 				confirmedAt := []time.Time{}
 				cancel := func(j simulator.JobScript) {
 					for n := leader + 1; ; n++ {
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -88,16 +88,16 @@
 // larger limits, alone and with other faults.
 func TestStoreLimitsLowered(t *testing.T) {
 	t.Parallel()
-	kinds := map[string]func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)){
-		"quiet": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) { lowerLimits(sim) },
-		"outage": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	kinds := map[string]func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)){
+		"quiet": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) { lowerLimits(sim) },
+		"outage": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			sim.State.SetOutage(true)
 			time.Sleep(5 * time.Second)
 			lowerLimits(sim)
 			time.Sleep(15 * time.Second)
 			sim.State.SetOutage(false)
 		},
-		"change of leader": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		"change of leader": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			l := sim.Leader()
 			sim.KillController(l)
 			time.Sleep(time.Second)
@@ -107,7 +107,7 @@
 			lowerLimits(sim)
 			awaitSuccessor(t, sim, l)
 		},
-		"recovery": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		"recovery": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			l := sim.Leader()
 			sim.KillController(l)
 			sim.State.DelayLists(func() time.Duration { return 300 * time.Millisecond }) // for each of the two lists that a new leader reads
@@ -125,7 +125,7 @@
 				t.Fatal(err)
 			}
 		},
-		"changes of leader afterwards": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		"changes of leader afterwards": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			lowerLimits(sim)
 			for begin := time.Now(); storedSubchunks(sim) == 0 && time.Since(begin) < time.Minute; {
 				time.Sleep(100 * time.Millisecond)
@@ -138,13 +138,13 @@
 				time.Sleep(1500 * time.Millisecond)
 			}
 		},
-		"answers lost": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		"answers lost": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			sim.State.InjectTxnFaults(7, simulator.TxnFault{Prefix: store.ProgressPrefix, Share: 0.3})
 			lowerLimits(sim)
 			time.Sleep(20 * time.Second)
 			sim.State.InjectTxnFaults(0)
 		},
-		"all controllers end": func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+		"all controllers end": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			lowerLimits(sim)
 			time.Sleep(1500 * time.Millisecond)
 			killAll(sim)
@@ -152,7 +152,7 @@
 			startAll(t, sim)
 		},
 	}
-	kinds["cancellations"] = func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	kinds["cancellations"] = func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		lowerLimits(sim)
 		if !cancelWithin(t, sim, "req-000006", 10*time.Second) {
 			t.Error("req-000006 was not cancelled within 10 s")
@@ -167,14 +167,14 @@
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsBeforeLowering(), uint64(700+i)+100*seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithSettings(t, settingsBeforeLowering(), uint64(700+i)+100*seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					largeArray, smallArray := arrayOfSmallTasks(1, 600, 60), arrayOfSmallTasks(2, 250, 75)
 					nextJob, serviceJob, cancelledJob := arrayOfSmallTasks(3, 100, 10), service(4, 3), service(5, 2)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					submitAll(sim, largeArray, smallArray, serviceJob)
 					laterArray := arrayOfSmallTasks(6, 250, 80)
 					sim.Submit(laterArray, 0)
-					at(30 * time.Second)
+					sleepUntil(30 * time.Second)
 					announceLoweredLimits(t, sim)
 					sim.Submit(cancelledJob, 20*time.Second)
 					mustExceedLoweredLimits(t, sim, largeArray, smallArray, laterArray)
@@ -186,7 +186,7 @@
 							t.Errorf("%d tasks on machines, want at least 500", n)
 						}
 					})
-					kinds[name](t, sim, at)
+					kinds[name](t, sim, sleepUntil)
 					sim.Submit(nextJob, 0)
 					maxSubchunks := 0
 					for range 300 {
@@ -225,7 +225,7 @@
 // are lowered.
 func TestLargeJobRecordsAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsBeforeLowering(), 720, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsBeforeLowering(), 720, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		jobWithLargeRecord := func(n int) simulator.JobScript {
 			j := arrayOfSmallTasks(n, 300, 200)
 			for i := range 60 {
@@ -236,9 +236,9 @@
 		}
 		cancelledLarge, finishingLarge, cancelledTwoTasks, cancelledSmall, refusedJob := jobWithLargeRecord(1), jobWithLargeRecord(2), jobWithLargeRecord(3), arrayOfSmallTasks(4, 300, 200), jobWithLargeRecord(5)
 		finishingLarge.RunTime, cancelledTwoTasks.Spec.Tasks = 60, 2
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, cancelledLarge, finishingLarge, cancelledTwoTasks, cancelledSmall)
-		at(20 * time.Second)
+		sleepUntil(20 * time.Second)
 		announceLoweredLimits(t, sim)
 		for _, when := range []string{"before", "after"} {
 			status, _, _ := sim.Ask(1, "POST", "/v1/jobs", simulator.Submission(refusedJob.Spec))
@@ -278,12 +278,12 @@
 // cancellation leaves no records.
 func TestLargestJobAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsBeforeLowering(), 730, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsBeforeLowering(), 730, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		submittedBefore, submittedAfter := arrayOfSmallTasks(1, 100_000, 30), arrayOfSmallTasks(2, 100_000, 30)
 		submittedBefore.Spec.CPUs, submittedAfter.Spec.CPUs = 0.5, 0.5
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(submittedBefore, 0)
-		at(30 * time.Second)
+		sleepUntil(30 * time.Second)
 		announceLoweredLimits(t, sim)
 		lowerLimits(sim)
 		sim.Submit(submittedAfter, 0)
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -15,23 +15,23 @@
 // and the cloud's API is unavailable for a while.
 func TestCloudFaults(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 8, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 8, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		arrayJob, serviceJob := array(1, 20, 20), service(2, 3)
-		at(time.Second)
+		sleepUntil(time.Second)
 		sim.LoseScaleOutResponses(2)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, arrayJob, serviceJob)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.LoseScaleInResponses(2)
 		if sim.ReclaimMachines(2, func(_ bool, tasks int) bool { return tasks > 0 }) == 0 {
 			t.Error("no busy machine was reclaimed, want some")
 		}
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		sim.SetCloudOutage(true)
 		sim.ReclaimMachines(1, func(_ bool, tasks int) bool { return tasks > 0 })
-		at(110 * time.Second)
+		sleepUntil(110 * time.Second)
 		sim.SetCloudOutage(false)
-		at(220 * time.Second)
+		sleepUntil(220 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "at the end")
 		if n := sim.Machines(); n > 8 {
@@ -44,28 +44,28 @@
 // make the machines count as faulty.
 func TestFaultyMachineAndFaultyJob(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 9, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 9, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		goodArray, failingArray := array(1, 16, 15), array(2, 4, 15)
 		failingArray.AlwaysFails = true
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(goodArray, 0)
-		at(25 * time.Second)
+		sleepUntil(25 * time.Second)
 		faultyMachine, _, ok := sim.FirstMachine(func(n int) bool { return n > 0 })
 		if !ok {
 			t.Fatal("no machine has a task")
 		}
 		sim.MakeFaulty(faultyMachine)
-		at(70 * time.Second)
+		sleepUntil(70 * time.Second)
 		mustFinish(t, sim, goodArray)
 		sim.Submit(failingArray, 90*time.Second)
 		machinesBefore := sim.ProvisionedSoFar()
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		if n := sim.ProvisionedSoFar() - machinesBefore; n > 6 {
 			t.Errorf("%d machines provisioned for a job that always fails, want at most 6", n)
 		}
 		laterArray := array(3, 4, 10)
 		sim.Submit(laterArray, 0)
-		at(210 * time.Second)
+		sleepUntil(210 * time.Second)
 		mustFinish(t, sim, laterArray)
 	})
 }
@@ -75,25 +75,25 @@
 // lease or any timeout ends.
 func TestQuickMachineRestartDetected(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 32, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 32, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 8, 60)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		machines := sim.MachinesRunning(serviceJob.Spec.ID)
 		for _, id := range machines {
 			sim.ResendLastHeartbeat(id, 3*time.Second, 9*time.Second, 20*time.Second)
 			sim.RestartMachine(id)
 		}
-		at(50 * time.Second)
+		sleepUntil(50 * time.Second)
 		for _, id := range machines {
 			if sim.MachineIP(id) != "" {
 				t.Errorf("the restart of %s was not detected within 5 s", id)
 			}
 		}
-		at(75 * time.Second)
+		sleepUntil(75 * time.Second)
 		mustRun(t, sim, serviceJob, "30 s after the restarts")
-		at(200 * time.Second)
+		sleepUntil(200 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -106,13 +106,13 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsWithTeamLimits(), 480+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsWithTeamLimits(), 480+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				sim.SetBootFactor(0.05)
 				sameZoneArray, sameZoneService := array(1, 12, 30), service(2, 4)
 				sameZoneArray.Spec.SameZone, sameZoneService.Spec.SameZone, sameZoneService.Spec.Spread = true, true, false
 				sameZoneArray.Spec.Deadline = 40
 				sim.SetUnlisted(true)
-				at(10 * time.Second)
+				sleepUntil(10 * time.Second)
 				submitAll(sim, sameZoneArray, sameZoneService)
 				for n := 0; len(sim.MachinesRunning(sameZoneArray.Spec.ID)) == 0 || len(sim.MachinesRunning(sameZoneService.Spec.ID)) == 0; n++ {
 					if n > 60 {
@@ -149,13 +149,13 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsWithTeamLimits(), 490+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				cancelledJob, waitingArray, serviceJob := array(1, 12, 300), array(2, 12, 15), service(3, 4)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, cancelledJob, serviceJob)
-				at(30 * time.Second)
+				sleepUntil(30 * time.Second)
 				sim.Submit(waitingArray, 0)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				mustUseCPUs(t, sim, "red", 24)
 				partitioned := sim.MachinesRunning(cancelledJob.Spec.ID)
 				partitioned = partitioned[:1]
@@ -205,12 +205,12 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, 510+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runScenario(t, 510+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				arrayJob, serviceJob := array(1, 12, 300), service(2, 4)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(arrayJob, 90*time.Second)
 				sim.Submit(serviceJob, 0)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				mustRun(t, sim, serviceJob, "before the fault")
 				machines := append(sim.RunningMachinesIn("a"), sim.RunningMachinesIn("b")...)
 				replicaMachines := sim.MachinesRunning(serviceJob.Spec.ID)
@@ -250,10 +250,10 @@
 	for _, zone := range []wire.Zone{"", "a"} {
 		t.Run("bound to "+string(zone), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, 520, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runScenario(t, 520, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				arrayJob := array(1, 12, 20)
 				arrayJob.Spec.Zone = zone
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(arrayJob, 0)
 				doneTasks := 0
 				for doneTasks == 0 {
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -15,15 +15,15 @@
 
 func TestJobsRunWithoutFailures(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 1, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 1, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		first, second, serviceJob := array(1, 10, 15), array(2, 6, 20), service(3, 3)
 		cancelledJob := service(4, 2)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, first, serviceJob)
 		sim.Submit(cancelledJob, 60*time.Second)
-		at(30 * time.Second)
+		sleepUntil(30 * time.Second)
 		sim.Submit(second, 0)
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		mustFinish(t, sim, first, second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if c.TasksOnMachines(serviceJob.Spec.ID) != 3 || c.TasksOnMachines(cancelledJob.Spec.ID) != 0 {
@@ -46,8 +46,8 @@
 // controllers apply them without a restart, and they survive a restart of all controllers.
 func TestOperatorSettings(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 15, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(3 * time.Second)
+	runScenario(t, 15, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(3 * time.Second)
 		requestSettings := func(node int, method string, body any, out any) int {
 			status, raw, _ := sim.AskAsOperator(node, method, "/admin/settings", body)
 			if out != nil && wire.Decode(raw, out) != nil {
@@ -91,7 +91,7 @@
 		}
 		sim.State.SetOutage(false)
 		sim.Submit(array(1, 1, 100), 0)
-		at(80 * time.Second)
+		sleepUntil(80 * time.Second)
 		status, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/metrics", nil)
 		if status != 200 || !bytes.Contains(raw, []byte("lilaclead_terms_total 1")) || !bytes.Contains(raw, []byte(`lilaclead_machines{state="up"}`)) {
 			t.Errorf("metrics are answered %d\n%s", status, raw)
@@ -108,21 +108,21 @@
 // start within four minutes.
 func TestLargeAndLowPriorityJobsStartUnderOverload(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(3), 35, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(3), 35, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		big, low := array(1, 90, 30), array(2, 4, 20)
 		big.Spec.CPUs, big.Spec.MemoryGB, big.Spec.Class = 4, 16, "big"
 		low.Spec.Priority, low.Spec.Class = wire.PriorityBestEffort, "low"
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		for n := range 10 {
 			sim.Submit(array(100+n, 8, 20), 0)
 		}
-		at(5 * time.Second)
+		sleepUntil(5 * time.Second)
 		submitAll(sim, big, low)
 		for n := range 60 {
-			at(time.Duration(6+5*n) * time.Second)
+			sleepUntil(time.Duration(6+5*n) * time.Second)
 			sim.Submit(array(200+n, 10, 30), 0)
 		}
-		at(310 * time.Second)
+		sleepUntil(310 * time.Second)
 	})
 }
 
@@ -135,11 +135,11 @@
 	for name, set := range map[string]config.Settings{"usual": simulator.DefaultSettings(), "small": simulator.ThreeZoneSettings()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, set, 430, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, set, 430, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				sim.State.SetRateLimits(set.State.RPS, set.State.WriteRPS)
 				users := sim.NewBurstReaders()
 				users.BurstLength, users.PollInterval = 0, 3*time.Second
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				var jobs []simulator.JobScript
 				refusalsBefore := 0 // refused requests until the backlog was cleared
 				for n := range 600 {
@@ -199,10 +199,10 @@
 // hundred of them wait for two minutes, until the first is treated as starving.
 func TestSmallJobsShareScaleOutCost(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, simulator.DefaultSettings(), 470, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, simulator.DefaultSettings(), 470, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		users := sim.NewBurstReaders()
 		users.BurstLength, users.PollInterval = 0, 3*time.Second
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		var jobs []simulator.JobScript
 		for n := range 160 {
 			j := array(1+n, 1, 2)
@@ -211,7 +211,7 @@
 			users.Submit(j, simulator.NeverCancel, 0)
 			time.Sleep(250 * time.Millisecond)
 		}
-		at(90 * time.Second)
+		sleepUntil(90 * time.Second)
 		mustFinish(t, sim, jobs...)
 		longestWait := time.Duration(0)
 		sim.WithChecker(func(c *simulator.Checker) {
@@ -231,19 +231,19 @@
 // limits of the key-value store.
 func TestLargestArray(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 36, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 36, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		large, serviceJob := array(1, wire.MaxTasks, 20), service(2, 3)
 		large.Spec.ExpectedRunTime = 2
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(large, 100*time.Second)
 		sim.Submit(serviceJob, 0)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		status, raw, _ := sim.Ask(1, "GET", "/v1/jobs/req-000001", nil)
 		var state wire.JobState
 		if status != 200 || wire.Decode(raw, &state) != nil || state.Running == 0 {
 			t.Errorf("poll is answered %d %+v, want 200 and running tasks", status, state)
 		}
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if tasks, replicas := c.TasksOnMachines(large.Spec.ID), c.TasksOnMachines(serviceJob.Spec.ID); tasks != 0 || replicas != 3 {
 				t.Errorf("%d tasks of the cancelled array are on machines, want 0; %d replicas, want 3", tasks, replicas)
@@ -257,12 +257,12 @@
 // one record over the limit again and again, and nothing else is written.
 func TestSmallValueLimit(t *testing.T) {
 	t.Parallel()
-	runOnUnevenLayout(t, 52, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runOnUnevenLayout(t, 52, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		wide, other := array(1, 300, 60), array(2, 3, 10)
 		wide.Spec.CPUs, wide.Spec.MemoryGB = 0.1, 0.1
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(wide, 0)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if n := c.TasksOnMachines(wide.Spec.ID); n != 300 {
 				t.Errorf("%d of 300 tasks are on machines, want all", n)
@@ -270,7 +270,7 @@
 		})
 		sim.Submit(other, 0)
 		sim.KillController(sim.Leader())
-		at(140 * time.Second)
+		sleepUntil(140 * time.Second)
 		mustFinish(t, sim, wide, other)
 	})
 }
@@ -283,16 +283,16 @@
 	set.State = config.StoreLimits{RPS: 12, WriteRPS: 8, MaxValueKB: 1, MaxTxnWrites: 2}
 	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
 	set.Limits = config.ProcessLimits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
-	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		first, second, cancelledJob := array(1, 40, 20), array(2, 6, 10), array(3, 10, 60)
-		at(3 * time.Second)
+		sleepUntil(3 * time.Second)
 		sim.Submit(first, 0)
 		sim.Submit(cancelledJob, 45*time.Second)
-		at(30 * time.Second)
+		sleepUntil(30 * time.Second)
 		sim.Submit(second, 0)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		sim.KillController(sim.Leader())
-		at(240 * time.Second)
+		sleepUntil(240 * time.Second)
 		mustFinish(t, sim, first, second)
 	})
 }
--- a/internal/scenarios/random_fault_pairs_test.go
+++ b/internal/scenarios/random_fault_pairs_test.go
@@ -16,7 +16,7 @@
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 700+seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 700+seed, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				rng := rand.New(rand.NewPCG(seed, 5))
 				randomSeconds := randomDelay(rng)
 				serviceJob, uncancelled := service(900, 4), []simulator.JobScript{}
@@ -97,7 +97,7 @@
 						return func() {}
 					},
 				}
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				for range 3 {
 					for range 4 {
@@ -134,12 +134,12 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
-			runWithSettings(t, settingsWithTeamLimits(), 500+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsWithTeamLimits(), 500+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				randomSeconds := randomDelay(rng)
 				randomZone := func() wire.Zone { return []wire.Zone{"a", "b"}[rng.IntN(2)] }
 				serviceJob, sameZoneService := service(1, 4), service(2, 3)
 				sameZoneService.Spec.SameZone, sameZoneService.Spec.Spread = true, false
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, sameZoneService)
 				var submitted []simulator.JobScript
 				submitArrays := func(n int) {
@@ -170,7 +170,7 @@
 				}
 				submitArrays(4)
 				overlaps := 0
-				at(30 * time.Second)
+				sleepUntil(30 * time.Second)
 				for range 3 {
 					submitArrays(2)
 					time.Sleep(randomSeconds(6))
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -16,15 +16,15 @@
 	for seed := uint64(100); seed < 108; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, seed, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				rng := rand.New(rand.NewPCG(seed, 1))
 				var uncancelled []simulator.JobScript
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				serviceJob := service(900, 3)
 				sim.Submit(serviceJob, 0)
 				jobNumber := 0
 				for second := 3; second < 150; second += 5 + rng.IntN(10) {
-					at(time.Duration(second) * time.Second)
+					sleepUntil(time.Duration(second) * time.Second)
 					jobNumber++
 					job := array(jobNumber, 1+rng.IntN(10), float64(5+rng.IntN(25)))
 					cancel := time.Duration(0)
@@ -83,10 +83,10 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 2))
-			runWithSettings(t, settingsOfSize(5), 300+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 300+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				randomSeconds := randomDelay(rng)
 				serviceJob, uncancelled := service(1, 4), []simulator.JobScript{}
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				for n := range 30 {
 					job := array(10+n, 1+rng.IntN(8), float64(5+rng.IntN(30)))
@@ -94,7 +94,7 @@
 					if cancel == 0 {
 						uncancelled = append(uncancelled, job)
 					}
-					at(time.Duration(3+5*n)*time.Second + randomSeconds(5))
+					sleepUntil(time.Duration(3+5*n)*time.Second + randomSeconds(5))
 					sim.Submit(job, cancel)
 					if n%10 != 7 {
 						continue
@@ -134,7 +134,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
-			runOnUnevenLayout(t, 500+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 500+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				randomSeconds := randomDelay(rng)
 				zones := []wire.Zone{"a", "b", "c"}
 				var uncancelled []simulator.JobScript
@@ -147,7 +147,7 @@
 					if cancel == 0 {
 						uncancelled = append(uncancelled, job)
 					}
-					at(time.Duration(3+4*n)*time.Second + randomSeconds(4))
+					sleepUntil(time.Duration(3+4*n)*time.Second + randomSeconds(4))
 					sim.Submit(job, cancel)
 					if n%9 != 6 {
 						continue
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -13,14 +13,14 @@
 
 // withAndWithoutIntents runs a script with intents recorded, and without as a control. In the
 // control a late request does harm, which shows that the script can detect it.
-func withAndWithoutIntents(t *testing.T, seed uint64, script func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration))) {
+func withAndWithoutIntents(t *testing.T, seed uint64, script func(t *testing.T, recorded bool, sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	for _, recorded := range []bool{true, false} {
 		name := map[bool]string{true: "recorded", false: "control"}[recorded]
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runWithFeatures(t, lilaclead.Features{RecordIntents: recorded}, seed, func(sim *simulator.Simulation, at func(time.Duration)) {
-				script(t, recorded, sim, at)
+			runWithFeatures(t, lilaclead.Features{RecordIntents: recorded}, seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+				script(t, recorded, sim, sleepUntil)
 			})
 		})
 	}
@@ -30,8 +30,8 @@
 // successor repeats the request under the same name, so that the late one provisions nothing.
 func TestScaleOutOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
-	withAndWithoutIntents(t, 71, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
-		at(2 * time.Second)
+	withAndWithoutIntents(t, 71, func(t *testing.T, recorded bool, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		sim.DelayCloudRequests(40, 0, 45*time.Second)
 		job := array(1, 8, 30)
 		sim.Submit(job, 0)
@@ -42,7 +42,7 @@
 		sim.DelayCloudRequests(0, 0, 45*time.Second)
 		awaitSuccessor(t, sim, killed)
 		startControllers(t, sim, killed)
-		at(100 * time.Second)
+		sleepUntil(100 * time.Second)
 		late := sim.LateCloudRequests()
 		if late.Executed != late.Delayed {
 			t.Fatalf("%d of %d delayed scale-out requests were executed, want all", late.Executed, late.Delayed)
@@ -50,7 +50,7 @@
 		if recorded != (late.Provisioned == 0) {
 			t.Errorf("%d machines were provisioned late", late.Provisioned)
 		}
-		at(140 * time.Second)
+		sleepUntil(140 * time.Second)
 		mustFinish(t, sim, job)
 	})
 }
@@ -60,11 +60,11 @@
 // executed.
 func TestScaleInOfFormerLeaderExecutedLate(t *testing.T) {
 	t.Parallel()
-	withAndWithoutIntents(t, 72, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
-		at(2 * time.Second)
+	withAndWithoutIntents(t, 72, func(t *testing.T, recorded bool, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		first := array(1, 12, 12)
 		sim.Submit(first, 0)
-		at(20 * time.Second)
+		sleepUntil(20 * time.Second)
 		sim.DelayCloudRequests(0, 40, 45*time.Second)
 		requestDelayed := func() bool { return sim.LateCloudRequests().Delayed > 0 }
 		waitUntil(t, 150*time.Second, "a scale-in request on its way", requestDelayed)
@@ -92,15 +92,15 @@
 // and no machine may be left afterwards.
 func TestIntentWritesUnanswered(t *testing.T) {
 	t.Parallel()
-	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 73, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(2 * time.Second)
+	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 73, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		sim.State.InjectTxnFaults(5, simulator.TxnFault{Prefix: "intent/", Share: 0.6, Delay: [2]time.Duration{time.Second, 8 * time.Second}},
 			simulator.TxnFault{Prefix: "intent/", Share: 0.6})
 		job := array(1, 24, 12)
 		sim.Submit(job, 0)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		restartLeader(t, sim, 2*time.Second)
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		hit := faultedTransactions(sim, "intent/", func(*simulator.TxnOutcome) bool { return true })
 		if len(hit) < 2 {
 			t.Fatalf("%d writes of intents were hit by a fault, want 2 or more", len(hit))
@@ -117,11 +117,11 @@
 // machine is provisioned; scheduling goes on.
 func TestUndecodableIntents(t *testing.T) {
 	t.Parallel()
-	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 74, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(2 * time.Second)
+	runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 74, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		first := array(1, 4, 10)
 		sim.Submit(first, 0)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		mustFinish(t, sim, first)
 		damaged := sim.State.Put("intent/renting", "no record of intents")
 		replaceLeader(t, sim)
@@ -149,12 +149,12 @@
 // time that a machine is provisioned or returned.
 func TestIntentWriteCost(t *testing.T) {
 	t.Parallel()
-	withAndWithoutIntents(t, 75, func(t *testing.T, recorded bool, sim *simulator.Simulation, at func(time.Duration)) {
+	withAndWithoutIntents(t, 75, func(t *testing.T, recorded bool, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		for i := range 8 {
-			at(time.Duration(2+50*i) * time.Second)
+			sleepUntil(time.Duration(2+50*i) * time.Second)
 			sim.Submit(array(i, 10+2*i, 15), 0)
 		}
-		at(460 * time.Second)
+		sleepUntil(460 * time.Second)
 		machines, intents, all := sim.ProvisionedSoFar(), sim.State.Changes("intent/"), sim.State.Changes("")
 		t.Logf("%d machines provisioned, %d of them left; %d changes of the key-value store, %d of them of intents", machines, sim.Machines(), all, intents)
 		if recorded && (intents == 0 || intents > 2*machines) || !recorded && intents > 0 {
@@ -188,11 +188,11 @@
 	for i, mode := range simulator.CutModes {
 		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
-			runWithFeatures(t, lilaclead.Features{RecordIntents: true}, uint64(110+i), func(sim *simulator.Simulation, at func(time.Duration)) {
-				at(6 * time.Second)
+			runWithFeatures(t, lilaclead.Features{RecordIntents: true}, uint64(110+i), func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+				sleepUntil(6 * time.Second)
 				first := array(1, 16, 20)
 				sim.Submit(first, 0)
-				at(8 * time.Second)
+				sleepUntil(8 * time.Second)
 				isolated := sim.Leader()
 				sim.IsolateController(isolated, mode, true)
 				second := array(2, 16, 20)
@@ -229,21 +229,21 @@
 	for name, step := range steps {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 120, func(sim *simulator.Simulation, at func(time.Duration)) {
-				at(8 * time.Second)
+			runWithFeatures(t, lilaclead.Features{RecordIntents: true}, 120, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+				sleepUntil(8 * time.Second)
 				early := array(1, 8, 6)
 				sim.Submit(early, 0)
-				at(30 * time.Second)
+				sleepUntil(30 * time.Second)
 				step.begin(sim)
 				late := array(2, 10, 15)
 				sim.Submit(late, 0)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				restartLeader(t, sim, 5*time.Second)
 				step.end(sim)
-				at(150 * time.Second)
+				sleepUntil(150 * time.Second)
 				mustFinish(t, sim, early, late)
 				mustScaleOutInTokenOrder(t, sim)
-				at(230 * time.Second)
+				sleepUntil(230 * time.Second)
 				if n := sim.Machines(); n > 0 {
 					t.Errorf("%d machines are left, want 0", n)
 				}
@@ -256,8 +256,8 @@
 // keys slowly. The controller must find the job under one of them.
 func TestJobArchivedDuringSlowRead(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 130, func(sim *simulator.Simulation, at func(time.Duration)) {
-		at(2 * time.Second)
+	runScenario(t, 130, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		sim.State.DelayReads(func(key string) time.Duration {
 			if strings.HasPrefix(key, "past/") || strings.HasPrefix(key, "job/") {
 				return 400 * time.Millisecond
@@ -270,7 +270,7 @@
 			sim.Submit(jobs[i], 0)
 		}
 		polls := startBackgroundPolls(sim, 0, jobs...)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		polls.stopPolling()
 		if polls.answered() == 0 {
 			t.Error("no poll was answered")
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -35,7 +35,7 @@
 	for caseNumber, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, tc.settings, uint64(400+caseNumber), func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, tc.settings, uint64(400+caseNumber), func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				sim.State.LimitHistory(tc.keptChanges, tc.pageSize)
 				listCount := atomic.Int32{}
 				sim.State.DelayLists(func() time.Duration {
@@ -45,13 +45,13 @@
 					return 0
 				})
 				readers := sim.NewBurstReaders()
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				// The services that stay make the list several pages long.
 				sim.Submit(service(900, 3), 0)
 				for n := range 4 {
 					sim.Submit(service(901+n, 1), 0)
 				}
-				at(30 * time.Second)
+				sleepUntil(30 * time.Second)
 				var jobs []simulator.JobScript
 				readers.BurstLength = 100 * time.Millisecond
 				for n := range 12 {
@@ -60,7 +60,7 @@
 					readers.Submit(j, []simulator.CancelTime{simulator.NeverCancel, simulator.CancelAtOnce, simulator.CancelAfterEnd, simulator.CancelAtEnd}[n%4], time.Duration(n/4)*130*time.Millisecond)
 					time.Sleep(700 * time.Millisecond)
 				}
-				at(90 * time.Second)
+				sleepUntil(90 * time.Second)
 				done, cancelled := sim.CountEnded(jobs)
 				if done < 6 || cancelled < 3 || done+cancelled != len(jobs) {
 					t.Errorf("%d jobs done, %d cancelled of %d, want all, at least 6 done and 3 cancelled", done, cancelled, len(jobs))
@@ -82,9 +82,9 @@
 // may say otherwise.
 func TestPollDuringCancellation(t *testing.T) {
 	t.Parallel()
-	runOnAlternatingLayouts(t, 690, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnAlternatingLayouts(t, 690, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		sim.Submit(array(100, 2, 10), 0)
-		at(20 * time.Second)
+		sleepUntil(20 * time.Second)
 		const jobCount = 12
 		jobs := make([]simulator.JobScript, jobCount)
 		var users sync.WaitGroup
@@ -94,7 +94,7 @@
 			users.Go(func() { requestUntilAnswered(t, sim, jobs[k], false, k) })
 		}
 		users.Wait()
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.State.DelayAnswers("", 500*time.Millisecond)
 		inFlight := 0
 		for k, j := range jobs {
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -12,13 +12,13 @@
 // a majority of the controllers is connected.
 func TestServiceSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 3, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 3, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 3), array(2, 4, 60)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.State.SetOutage(true)
-		at(48 * time.Second)
+		sleepUntil(48 * time.Second)
 		status, _, header := sim.Ask(0, "POST", "/v1/jobs", simulator.Submission(array(9, 1, 1).Spec))
 		if status != 503 || header.Get("Retry-After") == "" {
 			t.Errorf("submission during an outage answered %d with Retry-After %q, want 503 with a Retry-After", status, header.Get("Retry-After"))
@@ -26,9 +26,9 @@
 		if status, _, _ := sim.Ask(0, "GET", "/ready", nil); status != 200 {
 			t.Errorf("/ready answers %d during an outage for all controllers, want 200", status)
 		}
-		at(75 * time.Second) // 35 s against a lease of 16 s
+		sleepUntil(75 * time.Second) // 35 s against a lease of 16 s
 		sim.State.SetOutage(false)
-		at(140 * time.Second)
+		sleepUntil(140 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "at the end")
 		mustRestartNoTask(t, sim)
@@ -38,20 +38,20 @@
 // The leader is killed and restarted during an outage of the key-value store.
 func TestLeaderRestartsDuringOutage(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 19, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 19, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 3), array(2, 6, 30)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.State.SetOutage(true)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		leader := sim.Leader()
 		sim.KillController(leader)
-		at(51 * time.Second)
+		sleepUntil(51 * time.Second)
 		startControllers(t, sim, leader)
-		at(58 * time.Second)
+		sleepUntil(58 * time.Second)
 		sim.State.SetOutage(false)
-		at(180 * time.Second)
+		sleepUntil(180 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "at the end")
 	})
@@ -61,24 +61,24 @@
 // The other controllers must renew leases as its delegates: without this, every replica is lost.
 func TestLeaderRestartsDuringLongOutage(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsOfSize(5), 39, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsOfSize(5), 39, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 8, 50)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.State.SetOutage(true)
-		at(44 * time.Second)
+		sleepUntil(44 * time.Second)
 		leader := sim.Leader()
 		sim.KillController(leader)
-		at(50 * time.Second)
+		sleepUntil(50 * time.Second)
 		startControllers(t, sim, leader)
-		at(70 * time.Second)
+		sleepUntil(70 * time.Second)
 		mustRun(t, sim, serviceJob, "30 s into the outage")
 		sim.State.SetOutage(false)
-		at(90 * time.Second)
+		sleepUntil(90 * time.Second)
 		mustRun(t, sim, serviceJob, "after the outage")
 		mustRestartNoTask(t, sim)
-		at(200 * time.Second)
+		sleepUntil(200 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -87,14 +87,14 @@
 // controller must answer 503 at once, and its /ready must take it out of the load balancer.
 func TestPollAtControllerRefusedByStore(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 34, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 34, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		arrayJob := array(1, 2, 100)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(arrayJob, 0)
-		at(20 * time.Second)
+		sleepUntil(20 * time.Second)
 		controller := (sim.Leader() + 1) % 3
 		sim.State.RefuseClient(simulator.NodeIP(controller), true)
-		at(24 * time.Second)
+		sleepUntil(24 * time.Second)
 		begin := time.Now()
 		status, _, header := sim.Ask(controller, "GET", "/v1/jobs/req-000001", nil)
 		if status != http.StatusServiceUnavailable || header.Get("Retry-After") != "1" || time.Since(begin) > time.Second {
@@ -103,10 +103,10 @@
 		if status, _, _ := sim.Ask(controller, "GET", "/ready", nil); status != 503 {
 			t.Errorf("/ready answers %d, want 503", status)
 		}
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.State.RefuseClient(simulator.NodeIP(controller), false)
 		markFaultsOver(sim)
-		at(200 * time.Second)
+		sleepUntil(200 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -115,11 +115,11 @@
 // to one worker are held up until after that and must not start a task twice.
 func TestStoreRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 4, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 4, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		firstArray, secondArray := array(1, 8, 30), array(2, 8, 30)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(firstArray, 0)
-		at(25 * time.Second)
+		sleepUntil(25 * time.Second)
 		leader := sim.Leader()
 		_, machineIP, ok := sim.FirstMachine(func(int) bool { return true })
 		if !ok {
@@ -128,9 +128,9 @@
 		// Commands from the leader to one worker are held up from now on.
 		sim.Net.HoldPackets(simulator.NodeIP(leader), machineIP, true)
 		sim.Submit(secondArray, 0)
-		at(27 * time.Second)
+		sleepUntil(27 * time.Second)
 		sim.State.RefuseClient(simulator.NodeIP(leader), true)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		if newLeader := sim.Leader(); newLeader == leader || newLeader < 0 {
 			t.Errorf("leader is node %d, was node %d, want another", newLeader, leader)
 		}
@@ -138,9 +138,9 @@
 			t.Errorf("/ready of the refused controller answers %d while others serve, want 503", status)
 		}
 		sim.State.RefuseClient(simulator.NodeIP(leader), false)
-		at(90 * time.Second)
+		sleepUntil(90 * time.Second)
 		sim.Net.HoldPackets(simulator.NodeIP(leader), machineIP, false)
-		at(200 * time.Second)
+		sleepUntil(200 * time.Second)
 		mustFinish(t, sim, firstArray, secondArray)
 	})
 }
@@ -157,13 +157,13 @@
 	}{{"another controller is elected", runScenario, false}, {"the old leader is elected again", runOnUnevenLayout, true}} {
 		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
-			variant.run(t, 69, func(sim *simulator.Simulation, at func(time.Duration)) {
+			variant.run(t, 69, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, cancelledJob, arrayJob := service(1, 4), service(2, 4), array(3, 6, 60)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				for _, j := range []simulator.JobScript{serviceJob, cancelledJob, arrayJob} {
 					sim.Submit(j, 0)
 				}
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				leader, oldRevision := sim.Leader(), sim.LeaderKeyRevision()
 				sim.KillController(leader)
 				confirmed := cancelAtController(t, sim, (leader+1)%3, cancelledJob)
@@ -205,11 +205,11 @@
 	for _, fault := range []string{"hang", "no inbound", "not recovered"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 670, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 670, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, cancelledJob, arrayJob := service(1, 3), array(2, 6, 300), array(3, 6, 20)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, cancelledJob)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				machines := sim.BusyMachines("")
 				leader, oldToken := sim.LeaderAndToken()
 				switch fault {
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -39,14 +39,14 @@
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, leader killed first %v, half %v, cloud down %v, %v, seed %d", variant.fault, variant.leaderKilledFirst, variant.halfOfMachines, variant.cloudDown, variant.duration, seed), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithSettings(t, settingsWithTeamLimits(), 400+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					cancelledJob, cancelledService := array(1, 12, 400), service(2, 16)
 					nextArray, nextService := array(3, 12, 15), service(4, 16)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					submitAll(sim, cancelledJob, cancelledService)
-					at(20 * time.Second)
+					sleepUntil(20 * time.Second)
 					submitAll(sim, nextArray, nextService)
-					at(45 * time.Second)
+					sleepUntil(45 * time.Second)
 					mustUseCPUs(t, sim, "red", 24)
 					mustUseCPUs(t, sim, "blue", 16)
 					var hitMachines []wire.MachineID
@@ -128,21 +128,21 @@
 	for seed := range seedCount(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, 460+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runScenario(t, 460+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				fillingArray, lowPriorityArray := array(1, 19, 400), array(2, 200, 60)
 				lowPriorityArray.Spec.Priority, lowPriorityArray.Spec.Team, lowPriorityArray.Spec.SpotAllowed, fillingArray.Spec.SpotAllowed = wire.PriorityBestEffort, "blue", false, false
 				lowPriorityArray.Spec.CheckpointInterval, lowPriorityArray.Spec.CheckpointTime = 10, 3
 				sim.EnableSlowSaves()
 				sim.SetSoldOut("b", true)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(fillingArray, 0)
-				at(20 * time.Second)
+				sleepUntil(20 * time.Second)
 				sim.Submit(lowPriorityArray, 0)
-				at(42 * time.Second)
+				sleepUntil(42 * time.Second)
 				sim.SetSoldOut("a", true)
 				mustUseCPUs(t, sim, "red", 38)
 				sim.SlowMachineLinks(700 * time.Millisecond)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				var urgent []simulator.JobScript
 				for n := range 10 {
 					j := array(10+n, 1, 8)
@@ -155,7 +155,7 @@
 						t.Error("no task of the low-priority array waits, want more work than capacity")
 					}
 				})
-				at(170 * time.Second)
+				sleepUntil(170 * time.Second)
 				mustFinish(t, sim, urgent...)
 				if n := preemptionCount(t, sim); n < 1 || n > 2 {
 					t.Errorf("%.0f tasks preempted for ten that run one by one, want 1 or 2", n)
@@ -176,7 +176,7 @@
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%v, seed %d", linkDelay, seed), func(t *testing.T) {
 				t.Parallel()
-				runScenario(t, 440+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runScenario(t, 440+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					sim.EnableSlowSaves()
 					newArray := func(n, tasks int, run float64, priority wire.Priority, team wire.TeamID) simulator.JobScript {
 						j := array(n, tasks, run)
@@ -192,40 +192,40 @@
 					serviceJob := service(6, 4)
 					serviceJob.Spec.Spread = false
 					sim.SetSoldOut("b", true)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					sim.Submit(lowPriorityArray, 0)
-					at(38 * time.Second)
+					sleepUntil(38 * time.Second)
 					sim.SetSoldOut("a", true)
 					sim.Submit(standardArray, 0)
-					at(45 * time.Second)
+					sleepUntil(45 * time.Second)
 					sim.SlowMachineLinks(linkDelay)
-					at(50 * time.Second)
+					sleepUntil(50 * time.Second)
 					for _, j := range urgent[:2] {
 						sim.Submit(j, 0)
 					}
-					at(52 * time.Second)
+					sleepUntil(52 * time.Second)
 					sim.Submit(serviceJob, 0)
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.Waiting(lowPriorityArray.Spec.ID) == 0 || c.Waiting(standardArray.Spec.ID) == 0 || c.TasksOnMachines(lowPriorityArray.Spec.ID) == 0 {
 							t.Errorf("%d low-priority and %d standard tasks wait, %d low-priority tasks on machines, want some of each", c.Waiting(lowPriorityArray.Spec.ID), c.Waiting(standardArray.Spec.ID), c.TasksOnMachines(lowPriorityArray.Spec.ID))
 						}
 					})
-					at(75 * time.Second)
+					sleepUntil(75 * time.Second)
 					mustRun(t, sim, serviceJob, "23 s after it was submitted over slow links")
 					sim.Submit(urgent[2], 0)
-					at(120 * time.Second)
+					sleepUntil(120 * time.Second)
 					mustFinish(t, sim, urgent...)
 					sim.WithChecker(func(c *simulator.Checker) {
 						if n := c.Restarts(); n == 0 || n > 40 {
 							t.Errorf("%d tasks restarted, want 1 to 40", n)
 						}
 					})
-					at(180 * time.Second)
+					sleepUntil(180 * time.Second)
 					sim.SlowMachineLinks(0)
 					sim.SetSoldOut("a", false)
 					sim.SetSoldOut("b", false)
 					markFaultsOver(sim)
-					at(300 * time.Second)
+					sleepUntil(300 * time.Second)
 					mustFinish(t, sim, append(urgent, lowPriorityArray, standardArray)...)
 					mustRun(t, sim, serviceJob, "after all faults")
 				})
@@ -238,14 +238,14 @@
 // array that fits into it must not wait for ever.
 func TestArrayUsesReservedCapacity(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 60, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 60, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 2, 10)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(serviceJob, 0)
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		sim.SellOutEverything()
 		sim.Submit(arrayJob, 0)
-		at(220 * time.Second)
+		sleepUntil(220 * time.Second)
 		mustRun(t, sim, serviceJob, "beside the array")
 		mustFinish(t, sim, arrayJob)
 	})
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -13,16 +13,16 @@
 // be guessed.
 func TestStoreAnswersLost(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 7, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 7, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		firstArray, secondArray := array(1, 10, 10), array(2, 10, 10)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(firstArray, 0)
-		at(20 * time.Second)
+		sleepUntil(20 * time.Second)
 		sim.State.LoseResponses(3)
 		sim.Submit(secondArray, 0)
-		at(35 * time.Second)
+		sleepUntil(35 * time.Second)
 		sim.State.LoseResponses(2)
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		mustFinish(t, sim, firstArray, secondArray)
 	})
 }
@@ -37,7 +37,7 @@
 		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.ProgressPrefix, "leader key": store.LeaderKey, "final record": "past/"}[kind]
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(500+10*i+i), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				firstArray, laterArray, cancelledJob, serviceJob := array(1, 10, 10), array(2, 6, 6), service(3, 3), service(4, 3)
 				faults := []simulator.TxnFault{{Prefix: prefix}}
 				if kind == "all" { // the first of each kind, then half of all transactions
@@ -46,11 +46,11 @@
 				var begin, end time.Time
 				startFaults := func() { sim.State.InjectTxnFaults(uint64(i), faults...); begin = time.Now() }
 				endFaults := func() { sim.State.InjectTxnFaults(0); end = time.Now() }
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				sim.RegisterJob(cancelledJob)
 				requestUntilAnswered(t, sim, cancelledJob, false, 0)
-				at(25 * time.Second)
+				sleepUntil(25 * time.Second)
 				sim.RegisterJob(firstArray)
 				sim.RegisterJob(laterArray)
 				firstReader, laterReader, cancelledReader := startReader(t, sim, firstArray.Spec.ID), startReader(t, sim, laterArray.Spec.ID), startReader(t, sim, cancelledJob.Spec.ID)
@@ -61,7 +61,7 @@
 				if kind == "acceptance" {
 					endFaults()
 				}
-				at(40 * time.Second)
+				sleepUntil(40 * time.Second)
 				if kind == "cancellation" {
 					startFaults()
 				}
@@ -69,7 +69,7 @@
 				if kind == "cancellation" {
 					endFaults()
 				}
-				at(50 * time.Second)
+				sleepUntil(50 * time.Second)
 				if kind == "leader key" || kind == "all" {
 					leader := sim.Leader()
 					if leader < 0 {
@@ -80,7 +80,7 @@
 					startControllers(t, sim, leader)
 				}
 				requestUntilAnswered(t, sim, laterArray, false, 0)
-				at(85 * time.Second)
+				sleepUntil(85 * time.Second)
 				if end.IsZero() {
 					endFaults()
 				}
@@ -133,13 +133,13 @@
 // is killed.
 func TestLateAndUnansweredWrites(t *testing.T) {
 	t.Parallel()
-	runOnAlternatingLayouts(t, 650, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnAlternatingLayouts(t, 650, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		var uncancelled []simulator.JobScript
 		var readers []*statusReader
 		serviceJob := service(900, 3)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(serviceJob, 0)
-		at(15 * time.Second)
+		sleepUntil(15 * time.Second)
 		delay := [2]time.Duration{2 * time.Second, 12 * time.Second}
 		sim.State.InjectTxnFaults(7, // the first of each kind, then a share of all transactions
 			simulator.TxnFault{Prefix: store.JobPrefix, MaxCount: 1, Delay: delay}, simulator.TxnFault{Prefix: store.JobPrefix, MaxCount: 1},
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -19,12 +19,12 @@
 	for _, leaderRestarts := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader restarts ", leaderRestarts), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, cancelledJob, arrayJob := service(1, 4), service(2, 4), array(3, 6, 10)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				sim.Submit(cancelledJob, 55*time.Second)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				machines := sim.MachinesRunning(serviceJob.Spec.ID)
 				if len(machines) == 0 {
 					t.Fatal("no replica of the service runs")
@@ -34,14 +34,14 @@
 					// The machine never receives the next leader's token.
 					restartLeader(t, sim, 5*time.Second)
 				}
-				at(52 * time.Second)
+				sleepUntil(52 * time.Second)
 				sim.Submit(arrayJob, 0)
-				at(90 * time.Second)
+				sleepUntil(90 * time.Second)
 				mustRun(t, sim, serviceJob, "while a machine receives nothing")
 				mustFinish(t, sim, arrayJob)
-				at(130 * time.Second)
+				sleepUntil(130 * time.Second)
 				sim.Net.BlockInbound(sim.MachineIP(machines[0]), false)
-				at(200 * time.Second)
+				sleepUntil(200 * time.Second)
 				mustRun(t, sim, serviceJob, "after the fault")
 			})
 		})
@@ -70,14 +70,14 @@
 			run := runOnBothLayouts
 			if name == "one" {
 				run = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.Simulation, func(time.Duration))) {
-					runOnUnevenLayout(t, seed, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
+					runOnUnevenLayout(t, seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) { script(t, sim, sleepUntil) })
 				}
 			}
-			run(t, 640, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			run(t, 640, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob, cancelledJob := service(1, 3), array(2, 12, 60), array(3, 4, 300)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob, cancelledJob)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				unconnected := choose(sim)
 				sim.BlockOutbound(true, unconnected...)
 				// Each machine has been without a heartbeat for a lease, but still answers requests.
@@ -122,11 +122,11 @@
 			}
 			t.Run(fmt.Sprintf("%s, longer than a lease %v", fault, outlastsLease), func(t *testing.T) {
 				t.Parallel()
-				run(t, 650, func(sim *simulator.Simulation, at func(time.Duration)) {
+				run(t, 650, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					serviceJob, arrayJob := service(1, 3), array(2, 12, 70)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					submitAll(sim, serviceJob, arrayJob)
-					at(45 * time.Second)
+					sleepUntil(45 * time.Second)
 					machines := sim.MachinesRunning(arrayJob.Spec.ID)
 					machines = machines[:(len(machines)+1)/2]
 					leader, oldToken := sim.LeaderAndToken()
@@ -198,12 +198,12 @@
 				t.Run(fmt.Sprintf("%s, cloud down %v, leader killed %v", fault, cloudDown, leaderKilled), func(t *testing.T) {
 					t.Parallel()
 					rng := rand.New(rand.NewPCG(660, 1))
-					run(t, 660, func(sim *simulator.Simulation, at func(time.Duration)) {
+					run(t, 660, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 						serviceJob, cancelledJob, arrayJob := service(1, 3), array(2, 10, 300), array(3, 6, 20)
 						cancelledService := service(4, 2)
-						at(2 * time.Second)
+						sleepUntil(2 * time.Second)
 						submitAll(sim, serviceJob, cancelledJob, cancelledService)
-						at(45 * time.Second)
+						sleepUntil(45 * time.Second)
 						machines := sim.BusyMachines("")
 						setFault := func(on bool) {
 							switch fault {
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -64,14 +64,14 @@
 }
 
 // runWithProgram runs a script on three controllers that first run the same program.
-func runWithProgram(t *testing.T, seed uint64, first program, script func(sim *simulator.Simulation, p *programs, at func(time.Duration))) {
+func runWithProgram(t *testing.T, seed uint64, first program, script func(sim *simulator.Simulation, p *programs, sleepUntil func(time.Duration))) {
 	t.Helper()
 	set := simulator.DefaultSettings()
 	p := &programs{byNode: map[wire.NodeID]program{}}
 	for _, name := range []wire.NodeID{"worker-0", "worker-1", "worker-2"} {
 		p.byNode[name] = first
 	}
-	runDeployment(t, set, set.Zones, seed, p.start, func(sim *simulator.Simulation, at func(time.Duration)) { script(sim, p, at) })
+	runDeployment(t, set, set.Zones, seed, p.start, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) { script(sim, p, sleepUntil) })
 }
 
 // activeVersion returns the active version in the key-value store; without a record it is the base
@@ -131,7 +131,7 @@
 func TestRollingUpgradeAndRollback(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(2) {
-		runWithProgram(t, 80+seed, oldProgram, func(sim *simulator.Simulation, p *programs, at func(time.Duration)) {
+		runWithProgram(t, 80+seed, oldProgram, func(sim *simulator.Simulation, p *programs, sleepUntil func(time.Duration)) {
 			rng := rand.New(rand.NewPCG(seed, 5))
 			var jobs []simulator.JobScript
 			submit := func() {
@@ -155,7 +155,7 @@
 					t.Errorf("%s: version %d is active, want %d", when, v, want)
 				}
 			}
-			at(2 * time.Second)
+			sleepUntil(2 * time.Second)
 			checkStep("old", 1, all)
 			p.replace(t, sim, 0, newProgram)
 			p.replace(t, sim, 1, newProgram)
@@ -211,10 +211,10 @@
 		{Prefix: upgrade.ActiveKey, MaxCount: 1, Hang: true, Delay: [2]time.Duration{4 * time.Second, 9 * time.Second}},
 		{Prefix: upgrade.ActiveKey, MaxCount: 2, Hang: true},
 	} {
-		runWithProgram(t, uint64(90+i), newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
+		runWithProgram(t, uint64(90+i), newProgram, func(sim *simulator.Simulation, _ *programs, sleepUntil func(time.Duration)) {
 			sim.State.InjectTxnFaults(uint64(i), fault)
 			job := array(1, 6, 20)
-			at(500 * time.Millisecond)
+			sleepUntil(500 * time.Millisecond)
 			sim.Submit(job, 0)
 			hit := func() bool { return len(sim.State.TxnOutcomes()) > 0 }
 			waitUntil(t, 30*time.Second, "a version switch under way", hit)
@@ -235,14 +235,14 @@
 // switch, and why.
 func TestVersionSwitchBlockers(t *testing.T) {
 	t.Parallel()
-	runWithProgram(t, 95, newProgram, func(sim *simulator.Simulation, p *programs, at func(time.Duration)) {
+	runWithProgram(t, 95, newProgram, func(sim *simulator.Simulation, p *programs, sleepUntil func(time.Duration)) {
 		// The limit holds until all have published their versions. Then controller 2 is replaced
 		// by a program that negotiates no versions.
 		sim.State.Put(store.SettingsKey, map[string]any{"upgrade.max_version": 1.0})
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		job := array(1, 4, 10)
 		sim.Submit(job, 0)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		mustFinish(t, sim, job)
 		p.replace(t, sim, 2, nonNegotiating)
 		time.Sleep(5 * time.Second)
@@ -297,12 +297,12 @@
 // It must serve nobody and acknowledge nothing.
 func TestOldControllerRejoinsInAnOutage(t *testing.T) {
 	t.Parallel()
-	runWithProgram(t, 96, newProgram, func(sim *simulator.Simulation, p *programs, at func(time.Duration)) {
-		at(2 * time.Second)
+	runWithProgram(t, 96, newProgram, func(sim *simulator.Simulation, p *programs, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		serviceJob := service(1, 2)
 		sim.Submit(serviceJob, 0)
 		eventually(t, 40*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		old := (sim.Leader() + 1) % 3
 		sim.KillController(old)
 		p.setNext(sim, old, oldProgram)
@@ -325,12 +325,12 @@
 // partition ends, and no job may be lost.
 func TestNoVersionSwitchDuringPartition(t *testing.T) {
 	t.Parallel()
-	runWithProgram(t, 97, newProgram, func(sim *simulator.Simulation, p *programs, at func(time.Duration)) {
+	runWithProgram(t, 97, newProgram, func(sim *simulator.Simulation, p *programs, sleepUntil func(time.Duration)) {
 		p.replace(t, sim, 1, oldProgram)
-		at(5 * time.Second)
+		sleepUntil(5 * time.Second)
 		arrayJob, serviceJob := array(1, 8, 40), service(2, 2)
 		submitAll(sim, arrayJob, serviceJob)
-		at(20 * time.Second)
+		sleepUntil(20 * time.Second)
 		sim.PartitionZones("a", "b", true) // controllers 0 and 2 are in zone a, controller 1 in zone b
 		time.Sleep(25 * time.Second)
 		p.replace(t, sim, 1, newProgram)
@@ -349,11 +349,11 @@
 // When another process publishes under the name of a controller, the first process stops serving.
 func TestProcessReplacedUnderItsNameStopsServing(t *testing.T) {
 	t.Parallel()
-	runWithProgram(t, 98, newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
-		at(2 * time.Second)
+	runWithProgram(t, 98, newProgram, func(sim *simulator.Simulation, _ *programs, sleepUntil func(time.Duration)) {
+		sleepUntil(2 * time.Second)
 		job := array(1, 4, 10)
 		sim.Submit(job, 0)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		mustFinish(t, sim, job)
 		other := (sim.Leader() + 1) % 3
 		sim.State.Put(upgrade.SupportKey(sim.Config(other).HostName), upgrade.SupportRecord{Min: 1, Max: 2, Incarnation: "another process"})
@@ -374,8 +374,8 @@
 func TestUndecodableVersionRecords(t *testing.T) {
 	t.Parallel()
 	for _, key := range []string{upgrade.ActiveKey, upgrade.SupportKey("worker-0")} {
-		runWithProgram(t, 99, newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
-			at(30 * time.Second)
+		runWithProgram(t, 99, newProgram, func(sim *simulator.Simulation, _ *programs, sleepUntil func(time.Duration)) {
+			sleepUntil(30 * time.Second)
 			intact := sim.State.Value(key)
 			revision := sim.State.Put(key, "no version")
 			time.Sleep(10 * time.Second)
@@ -402,8 +402,8 @@
 // answered with 503, and all other jobs go on.
 func TestJobRecordOfLaterVersionIsKept(t *testing.T) {
 	t.Parallel()
-	runWithProgram(t, 100, newProgram, func(sim *simulator.Simulation, _ *programs, at func(time.Duration)) {
-		at(5 * time.Second)
+	runWithProgram(t, 100, newProgram, func(sim *simulator.Simulation, _ *programs, sleepUntil func(time.Duration)) {
+		sleepUntil(5 * time.Second)
 		job, later := array(1, 4, 10), array(2, 4, 10)
 		revision := sim.State.Put("job/"+string(later.Spec.ID), map[string]any{"spec": later.Spec, "status": "queued", "at": 1796000000123, "needs": 99})
 		sim.Submit(job, 0)
--- a/internal/scenarios/zone_loss_test.go
+++ b/internal/scenarios/zone_loss_test.go
@@ -55,7 +55,7 @@
 		for seed := range seedCount(1) {
 			t.Run(fmt.Sprintf("%s, seed %d", variant.name, seed), func(t *testing.T) {
 				t.Parallel()
-				runWithControllersIn(t, simulator.ThreeZoneSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithControllersIn(t, simulator.ThreeZoneSettings(), []wire.Zone{"b", "c", "a"}, 420+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					boundArray, sameZoneArray := array(1, 8, 70), array(2, 14, 50)
 					boundArray.Spec.Zone, sameZoneArray.Spec.SameZone = "a", true
 					boundService, sameZoneService, spreadService := service(3, 3), service(4, 3), service(5, 4)
@@ -63,11 +63,11 @@
 					sameZoneService.Spec.SameZone, sameZoneService.Spec.Spread = true, false
 					sim.SetSoldOut("b", true)
 					sim.SetSoldOut("c", true)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					for _, j := range []simulator.JobScript{sameZoneArray, sameZoneService, boundService, spreadService, boundArray} {
 						sim.Submit(j, 0)
 					}
-					at(50 * time.Second)
+					sleepUntil(50 * time.Second)
 					sim.WithChecker(func(c *simulator.Checker) {
 						for _, j := range []simulator.JobScript{sameZoneArray, sameZoneService, boundService, spreadService} {
 							if z := c.TasksByZone(j.Spec.ID); z["a"] == 0 || len(z) != 1 {
@@ -101,9 +101,9 @@
 							}
 						})
 					}
-					at(100 * time.Second)
+					sleepUntil(100 * time.Second)
 					sim.SetCloudOutage(false)
-					at(190 * time.Second)
+					sleepUntil(190 * time.Second)
 					if variant.jobsMove {
 						sim.WithChecker(func(c *simulator.Checker) {
 							if z := c.TasksByZone(sameZoneService.Spec.ID); len(z) != 1 || z["a"] > 0 {
@@ -118,7 +118,7 @@
 					sim.SetSoldOut("a", false)
 					variant.setFault(sim, false, machines)
 					markFaultsOver(sim)
-					at(300 * time.Second)
+					sleepUntil(300 * time.Second)
 					mustFinish(t, sim, sameZoneArray)
 					for _, j := range []simulator.JobScript{sameZoneService, boundService, spreadService} {
 						mustRun(t, sim, j, "of "+string(j.Spec.ID)+" after all faults")
@@ -128,7 +128,7 @@
 					if n := sim.JobsWithCapacity()[boundArray.Spec.ID]; n > 0 {
 						t.Errorf("%d of the bound array's 8 tasks wait 110 s after the faults although a machine has capacity for them", n)
 					}
-					at(420 * time.Second)
+					sleepUntil(420 * time.Second)
 					mustFinish(t, sim, boundArray)
 				})
 			})
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -18,23 +18,23 @@
 	for _, leaderInside := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leaderInside), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob := service(1, 4), array(2, 12, 30)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				zone := leaderZoneOrOther(sim, leaderInside)
 				sim.IsolateZone(zone, true)
-				at(78 * time.Second)
+				sleepUntil(78 * time.Second)
 				mustRun(t, sim, serviceJob, "33 s after the zone was partitioned")
 				if l := sim.Leader(); l < 0 || sim.Config(l).Zone == zone {
 					t.Errorf("leader is node %d, want one outside the partitioned zone", l)
 				}
 				sim.IsolateZone(zone, false)
-				at(95 * time.Second)
+				sleepUntil(95 * time.Second)
 				mustRun(t, sim, serviceJob, "after the partition")
 				mustRestartNoTask(t, sim)
-				at(200 * time.Second)
+				sleepUntil(200 * time.Second)
 				mustFinish(t, sim, arrayJob)
 			})
 		})
@@ -49,12 +49,12 @@
 	for _, zones := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
 		t.Run(fmt.Sprintf("%s, leader in %s", zones[0], zones[1]), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 50, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 50, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				firstArray, laterArray := array(1, 18, 40), array(2, 6, 20)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				moveLeadershipTo(t, sim, zones[1])
 				sim.Submit(firstArray, 0)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				sim.IsolateZone(zones[0], true)
 				time.Sleep(8 * time.Second)
 				sim.Submit(laterArray, 0)
@@ -76,12 +76,12 @@
 	for _, leaderZone := range []wire.Zone{"a", "b"} {
 		t.Run("leader in "+string(leaderZone), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 51, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 51, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				arrayJob := array(1, 18, 70)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				moveLeadershipTo(t, sim, leaderZone)
 				sim.Submit(arrayJob, 0)
-				at(60 * time.Second)
+				sleepUntil(60 * time.Second)
 				leader := sim.Leader()
 				sim.PartitionZones("a", "b", true)
 				time.Sleep(20 * time.Second)
@@ -111,16 +111,16 @@
 	for _, leaderInside := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leaderInside), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, cancelledJob := service(1, 4), service(2, 6)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				sim.Submit(cancelledJob, 44*time.Second)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				zone := leaderZoneOrOther(sim, leaderInside)
 				sim.SetCloudOutage(true)
 				sim.IsolateZone(zone, true)
-				at(115 * time.Second)
+				sleepUntil(115 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
 					if n := c.TasksOnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run in the partitioned zone, want 0", n)
@@ -128,7 +128,7 @@
 				})
 				sim.IsolateZone(zone, false)
 				sim.SetCloudOutage(false)
-				at(160 * time.Second)
+				sleepUntil(160 * time.Second)
 				mustRun(t, sim, serviceJob, "after all faults")
 			})
 		})
@@ -144,7 +144,7 @@
 	for _, leaderInside := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader inside %v", leaderInside), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 62, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 62, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				zone := wire.Zone("b") // node 1
 				inZone := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = zone; return j }
 				uncancelledArray, sameZoneArray := inZone(array(1, 4, 120)), array(2, 3, 60)
@@ -152,7 +152,7 @@
 				withoutSpread := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return inZone(j) }
 				cancelledBefore, cancelledEarly, cancelledLate, submittedDuring := withoutSpread(service(3, 2)), withoutSpread(service(4, 2)), withoutSpread(service(5, 2)), withoutSpread(service(6, 2))
 				anyZoneArray := array(7, 6, 30)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				if moveLeadershipTo(t, sim, "a"); leaderInside {
 					moveLeadershipTo(t, sim, zone)
 				}
@@ -202,10 +202,10 @@
 	for leaderChanges, duration := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
 		t.Run(fmt.Sprintf("partition of %v, leader changes %v", duration, leaderChanges), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(3), 68, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(3), 68, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				arrayJob, serviceJob, fillerArray := array(1, 14, 120), service(2, 4), array(3, 6, 300)
 				fillerArray.Spec.Zone = "a"
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				moveLeadershipTo(t, sim, "a")
 				submitAll(sim, arrayJob, serviceJob, fillerArray)
 				time.Sleep(60 * time.Second)
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -128,7 +128,8 @@
 	return [...]string{"nothing", "accepted", "final"}[t]
 }
 
-// KnownStatusOf returns how much an answer to a poll tells, false if the poll was not answered.
+// KnownStatusOf returns how much an answer to a poll tells, false if the poll was not
+// answered.
 func KnownStatusOf(httpStatus int, status wire.Status) (KnownStatus, bool) {
 	switch {
 	case httpStatus == http.StatusNotFound:
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -26,7 +26,7 @@
 		spec := &c.MachineSpecs[i]
 		for _, zone := range spec.Zones {
 			room := MachineCapacity{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
-			if room.hasRoomFor(job, nil) {
+			if room.fits(job, nil) {
 				return ""
 			}
 		}
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -40,10 +40,10 @@
 }
 
 // useOf sums up the tasks on the machines by job and by team.
-func (c *Checker) useOf(rooms []MachineCapacity) capacityUse {
+func (c *Checker) useOf(machines []MachineCapacity) capacityUse {
 	use := capacityUse{map[wire.JobID]map[int]wire.Zone{}, map[wire.TeamID]TeamLimit{}}
-	for i := range rooms {
-		for _, t := range rooms[i].Tasks {
+	for i := range machines {
+		for _, t := range machines[i].Tasks {
 			j := c.jobs[t.Job]
 			if j == nil {
 				continue
@@ -51,7 +51,7 @@
 			if use.zones[t.Job] == nil {
 				use.zones[t.Job] = map[int]wire.Zone{}
 			}
-			use.zones[t.Job][t.Index] = rooms[i].Zone
+			use.zones[t.Job][t.Index] = machines[i].Zone
 			used := use.used[j.spec.Team]
 			use.used[j.spec.Team] = TeamLimit{used.CPUs + j.spec.CPUs, used.GPUs + j.spec.GPUs}
 		}
@@ -61,10 +61,10 @@
 
 // ObserveCapacity checks for jobs that are left waiting beside machines that they could use.
 // Waiting counts only while there is no fault.
-func (c *Checker) ObserveCapacity(rooms []MachineCapacity, now time.Time) {
+func (c *Checker) ObserveCapacity(machines []MachineCapacity, now time.Time) {
 	c.observeTime(now)
 	noFault := c.faultsOverFor(now, 0)
-	use := c.useOf(rooms)
+	use := c.useOf(machines)
 	for id, j := range c.jobs {
 		taskZones := use.zones[id]
 		placedOrDone, zones := len(j.completedTasks), map[wire.Zone]int{}
@@ -80,7 +80,7 @@
 		// told that the job is not over, and the task waits to be started again.
 		resultsLost := len(taskZones) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
 		allPlaced := placedOrDone >= j.spec.Tasks && !resultsLost
-		if j.spec.IsGang() && (len(taskZones) > 0 || !gangFits(rooms, &j.spec, j.waits.failed)) {
+		if j.spec.IsGang() && (len(taskZones) > 0 || !gangFits(machines, &j.spec, j.waits.failed)) {
 			j.waits.end() // the tasks of its last attempt must leave first, or it doesn't fit
 			continue
 		}
@@ -88,7 +88,7 @@
 			j.waits.end()
 			continue
 		}
-		c.checkUsableMachines(j, rooms, zones, placedOrDone, now)
+		c.checkUsableMachines(j, machines, zones, placedOrDone, now)
 	}
 }
 
@@ -104,21 +104,21 @@
 
 // checkUsableMachines records which machines a waiting job could use, and a violation if it
 // could have used one of them for longestWait.
-func (c *Checker) checkUsableMachines(j *jobHistory, rooms []MachineCapacity, zones map[wire.Zone]int, placedOrDone int, now time.Time) {
+func (c *Checker) checkUsableMachines(j *jobHistory, machines []MachineCapacity, zones map[wire.Zone]int, placedOrDone int, now time.Time) {
 	usableSince := map[wire.MachineID]time.Time{}
-	for i := range rooms {
-		room := &rooms[i]
-		if !room.Usable || j.waits.failed[room.Machine] || !room.hasRoomFor(&j.spec, zones) {
+	for i := range machines {
+		machine := &machines[i]
+		if !machine.Usable || j.waits.failed[machine.Machine] || !machine.fits(&j.spec, zones) {
 			continue
 		}
-		since, known := j.waits.since[room.Machine]
+		since, known := j.waits.since[machine.Machine]
 		if !known {
 			since = now
 		}
-		usableSince[room.Machine] = since
+		usableSince[machine.Machine] = since
 		if now.Sub(since) >= longestWait && !j.waits.violationRecorded {
 			j.waits.violationRecorded = true
-			c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", j.spec.ID, placedOrDone, j.spec.Tasks, room.Machine)
+			c.violated(now, LeftWaiting, "%s with %d of %d tasks waits beside %s", j.spec.ID, placedOrDone, j.spec.Tasks, machine.Machine)
 		}
 	}
 	j.waits.since = usableSince
@@ -126,13 +126,13 @@
 
 // gangFits reports whether all tasks of a gang fit on the usable machines together, without the
 // excluded ones.
-func gangFits(rooms []MachineCapacity, s *wire.JobSpec, excluded map[wire.MachineID]bool) bool {
+func gangFits(machines []MachineCapacity, s *wire.JobSpec, excluded map[wire.MachineID]bool) bool {
 	zones := map[wire.Zone]int{}
-	for i := range rooms {
-		room := rooms[i]
-		for n := 0; room.Usable && !excluded[room.Machine] && n < s.Tasks && room.hasRoomFor(s, nil); n++ {
-			room.CPUs, room.GPUs, room.MemoryGB = room.CPUs-s.CPUs, room.GPUs-s.GPUs, room.MemoryGB-s.MemoryGB
-			zones[room.Zone]++
+	for i := range machines {
+		machine := machines[i]
+		for n := 0; machine.Usable && !excluded[machine.Machine] && n < s.Tasks && machine.fits(s, nil); n++ {
+			machine.CPUs, machine.GPUs, machine.MemoryGB = machine.CPUs-s.CPUs, machine.GPUs-s.GPUs, machine.MemoryGB-s.MemoryGB
+			zones[machine.Zone]++
 		}
 	}
 	total := 0
@@ -148,9 +148,9 @@
 	return !s.SameZone && total >= s.Tasks
 }
 
-// hasRoomFor reports whether one more task of a job may and can run on the machine; zones counts
+// fits reports whether one more task of a job may and can run on the machine; zones counts
 // the job's tasks on machines by zone.
-func (r *MachineCapacity) hasRoomFor(s *wire.JobSpec, zones map[wire.Zone]int) bool {
+func (r *MachineCapacity) fits(s *wire.JobSpec, zones map[wire.Zone]int) bool {
 	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
 		return false
 	}
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -143,9 +143,9 @@
 	return
 }
 
-// JobsWithCapacity returns the number of waiting tasks of each job that could start one now: some
-// machine has room for the task, the placement of the job's other tasks allows that machine,
-// and the job's team is below its limit.
+// JobsWithCapacity returns the number of waiting tasks of each job that could start one now:
+// some machine has room for the task, the placement of the job's other tasks allows that
+// machine, and the job's team is below its limit.
 func (sim *Simulation) JobsWithCapacity() map[wire.JobID]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -158,8 +158,8 @@
 		}
 		zones := sim.checker.TasksByZone(id)
 		for _, m := range sim.machines {
-			room := m.room()
-			if m.up && m.reclaimAt.IsZero() && room.hasRoomFor(spec, zones) {
+			free := m.capacity()
+			if m.up && m.reclaimAt.IsZero() && free.fits(spec, zones) {
 				out[id] = waiting
 			}
 		}
@@ -167,9 +167,10 @@
 	return out
 }
 
-// room returns the machine with its free capacity and its tasks; the caller holds the lock.
-func (m *worker) room() MachineCapacity {
-	room := MachineCapacity{
+// capacity returns the machine with its free capacity and its tasks; the caller holds the
+// lock.
+func (m *worker) capacity() MachineCapacity {
+	capacity := MachineCapacity{
 		Place:  Place{m.id, m.machineType, m.zone, m.spot},
 		Usable: m.up && !m.faulty && m.reclaimAt.IsZero(),
 		CPUs:   m.spec.CPUs, GPUs: m.spec.GPUs, MemoryGB: m.spec.MemoryGB, DiskGB: m.spec.DiskGB,
@@ -179,10 +180,10 @@
 		if script == nil || run.phase == wire.PhaseExited {
 			continue
 		}
-		room.CPUs -= script.Spec.CPUs
-		room.GPUs -= script.Spec.GPUs
-		room.MemoryGB -= script.Spec.MemoryGB
-		room.Tasks = append(room.Tasks, task)
+		capacity.CPUs -= script.Spec.CPUs
+		capacity.GPUs -= script.Spec.GPUs
+		capacity.MemoryGB -= script.Spec.MemoryGB
+		capacity.Tasks = append(capacity.Tasks, task)
 	}
-	return room
+	return capacity
 }
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// ThreeZoneSettings returns the settings of three controllers and three zones, with low limits of
-// the key-value store and a cancel timeout little longer than two leases. PlaceControllers can
-// leave a zone without a controller.
+// ThreeZoneSettings returns the settings of three controllers and three zones, with low limits
+// of the key-value store and a cancel timeout little longer than two leases. PlaceControllers
+// can leave a zone without a controller.
 func ThreeZoneSettings() config.Settings {
 	s := DefaultSettings()
 	s.Zones = []wire.Zone{"a", "b", "c"}
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -230,7 +230,7 @@
 	sim.checker.Tick(now)
 	rooms := make([]MachineCapacity, 0, len(sim.machines))
 	for _, id := range slices.Sorted(maps.Keys(sim.machines)) {
-		rooms = append(rooms, sim.machines[id].room())
+		rooms = append(rooms, sim.machines[id].capacity())
 	}
 	sim.checker.ObserveCapacity(rooms, now)
 }
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -86,12 +86,12 @@
 	Keys   []string // keys that the transaction changes
 	Sent   time.Time
 	Late   bool
-	// Done is when the transaction was executed or refused; zero: not yet. Status is the
-	// status that the answer would have had, Failed the keys of the guards that failed.
+	// ExecutedAt is when the transaction was executed or refused; zero: not yet. Status is the
+	// status that the response would have had, FailedKeys the keys of the guards that failed.
 	ExecutedAt time.Time
 	Status     int
 	FailedKeys []string
-	// Newer counts the transactions of the same client that were executed between the
+	// NewerExecuted counts the transactions of the same client that were executed between the
 	// arrival of this one and its execution.
 	NewerExecuted int
 }
--- a/internal/simulator/worker_tasks.go
+++ b/internal/simulator/worker_tasks.go
@@ -68,7 +68,7 @@
 		refuse(wire.CauseFull)
 		return
 	}
-	free := m.room()
+	free := m.capacity()
 	if script.Spec.CPUs > free.CPUs+wire.AmountTolerance || script.Spec.MemoryGB > free.MemoryGB+wire.AmountTolerance {
 		refuse(wire.CauseFull)
 		return
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -5,10 +5,10 @@
 // MaxTasksPerChunk is the largest number of tasks in one chunk.
 const MaxTasksPerChunk = 256
 
-// TasksPerChunkForLimit returns the largest number of tasks in a chunk under a limit of valueKB KiB
-// on a value. A chunk of that size fits the limit in every mix of task states, also with
-// every task on a machine and however often the tasks were started. (At 4 KiB, one chunk
-// with 200 tasks would exceed the limit once most of them have been started again.)
+// TasksPerChunkForLimit returns the largest number of tasks in a chunk under a limit of
+// valueKB KiB on a value. A chunk of that size fits the limit in every mix of task states,
+// also with every task on a machine and however often the tasks were started. (At 4 KiB, one
+// chunk with 200 tasks would exceed the limit once most of them have been started again.)
 func TasksPerChunkForLimit(valueKB float64) int {
 	return max(1, min(MaxTasksPerChunk, int(valueKB*1024-baseChunkBytes)/attemptBytes))
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -32,8 +32,8 @@
 	return result.Grant, nil
 }
 
-// RenewGrant extends a lease to its full duration. The error wraps ErrNotFound if the lease has
-// expired.
+// RenewGrant extends a lease to its full duration. The error wraps ErrNotFound if the lease
+// has expired.
 func (c *Client) RenewGrant(ctx context.Context, id wire.GrantID, timeout time.Duration) error {
 	req := request{
 		op:      opRenew,
--- a/internal/utility/utility.go
+++ b/internal/utility/utility.go
@@ -42,8 +42,8 @@
 	Value(Grant) float64
 }
 
-// Choose is the n Choose k leaf. Its value is Utility if the grant has at least Units units in the
-// classes of From, else 0.
+// Choose is the n Choose k leaf. Its value is Utility if the grant has at least Units units in
+// the classes of From, else 0.
 type Choose struct {
 	From    Set
 	Units   int
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -14,7 +14,7 @@
 
 // An estimate below the actual size would let the key-value store refuse a record that
 // passed the check of its size. An estimate far above would reject records that fit.
-func TestJSONSizeIsNeverBelowAndNotFarAboveActualSize(t *testing.T) {
+func TestMaxJSONSizeIsNeverBelowAndNotFarAboveActualSize(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(0, 120, 200)
 		types := rapid.SliceOfN(text, 0, 64).Draw(t, "types")
