--- a/builder.go
+++ b/builder.go
@@ -59,7 +59,7 @@
 	return names
 }
 
-// connectServices adds the clients of the state service and the cloud, with metrics of their
+// connectServices adds the clients of the key-value store and the cloud, with metrics of their
 // calls.
 func (b *builder) connectServices() {
 	n := b.node
--- a/config.go
+++ b/config.go
@@ -26,11 +26,11 @@
 // deploy/features.toml, beside the executable's directory.
 func FeaturesFilePathFor(program string) string { return features.FilePathFor(program) }
 
-// NewStateServiceClient returns a client of the deployment's state service, for programs that
-// hold a duty of their own (package duty).
+// NewStateServiceClient returns a client of the deployment's key-value store, for programs
+// that hold a duty of their own (package duty).
 func NewStateServiceClient(cfg *Config) duty.Store { return newStore(cfg, netio.HostNetwork()) }
 
-// newStore returns a client that reaches the state service through the network.
+// newStore returns a client that reaches the key-value store through the network.
 func newStore(cfg *Config, network netio.Network) *store.Client {
 	settings := &cfg.Settings
 	return store.New(cfg.Endpoints.State, settings.State.Strictest(), settings.Size, network)
--- a/doc.go
+++ b/doc.go
@@ -1,9 +1,8 @@
 // Package lilaclead is a cluster scheduler as a library.
 //
 // A [Node] is one controller of a deployment. It accepts users' jobs and talks to the
-// workers, the cloud, the other controllers and the state service, which is a
-// consensus-backed key-value store. While it is the leader, it also decides which machine
-// each task runs on.
+// agents, the cloud, the other controllers and the key-value store, which is
+// consensus-backed. While it is the leader, it also decides which machine each task runs on.
 //
 // # Use
 //
--- a/internal/cancels/cancels.go
+++ b/internal/cancels/cancels.go
@@ -1,9 +1,9 @@
 // Package cancels keeps a log of confirmed cancellations and a completeness watermark. A
 // node confirms a cancellation by telling the user that the job is cancelled. The
 // watermark is the time before which this node knows every cancellation, whichever node
-// confirmed it. It decides whether a worker's lease may be renewed:
+// confirmed it. It decides whether an agent's lease may be renewed:
 //
-//	A node may renew a worker's lease at t only if it knows every cancellation
+//	A node may renew an agent's lease at t only if it knows every cancellation
 //	that any node confirmed before t - D, where D is cancel_s less the lease
 //	duration, the clock drift and a margin.
 //
--- a/internal/compat/earlier_test.go
+++ b/internal/compat/earlier_test.go
@@ -92,7 +92,7 @@
 		Job string `cbor:"j"`
 		Age int64  `cbor:"a"`
 	}
-	// earlierWorkerHeartbeat is a worker's heartbeat, which one node relays to another as it
+	// earlierWorkerHeartbeat is an agent's heartbeat, which one node relays to another as it
 	// is.
 	earlierWorkerHeartbeat struct {
 		Machine    string              `cbor:"host"`
@@ -114,7 +114,7 @@
 		CheckpointSaved bool   `cbor:"saved,omitempty"`
 	}
 	// earlierCommands is the response to a relayed heartbeat, and what a node asks another
-	// to pass on to a worker.
+	// to pass on to an agent.
 	earlierCommands struct {
 		Token    uint64           `cbor:"baton"`
 		Epoch    uint64           `cbor:"shift,omitempty"`
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Earlier versions, users and workers tell a missing field from null. So the keys that a zero
+// Earlier versions, users and agents tell a missing field from null. So the keys that a zero
 // value is encoded with, and those that it is encoded without, must stay the same.
 func TestKeysOfZeroValuesDoNotChange(t *testing.T) {
 	want := map[string]string{}
--- a/internal/compat/sources_test.go
+++ b/internal/compat/sources_test.go
@@ -18,7 +18,7 @@
 var unexportedKeys = []string{
 	"nameId lane owner shape urgency parts cpus cards ramGb bundle imageGb kits site samePlace apart standby expectedS snapshotEveryS snapshotS dueS", // the body of a submission
 	"at controller kind duty token version why", // an event of the history, which only package history reads
-	"addr orders", // what a node asks another to pass on to a worker
+	"addr orders", // what a node asks another to pass on to an agent
 	"version",     // the response to a change of settings
 	"version",     // that response as the command line decodes it
 	"ready",       // the response of a node that is ready
--- a/internal/compat/written_test.go
+++ b/internal/compat/written_test.go
@@ -19,7 +19,7 @@
 //
 // 78c1803 is the first complete version with gangs. Its records were taken after the limits
 // of the key-value store had been lowered. They are of gangs, one of them in two chunks, and
-// of a job with a chunk of 256 tasks, of which subchunks had been written.
+// of a job with a chunk of 256 tasks, of which sub-chunks had been written.
 const (
 	productionVersion = "2d2d3f7"
 	gangsVersion      = "78c1803"
@@ -110,11 +110,11 @@
 			"lead":            store.LeaseRecord{Node: "worker-1", Nonce: "E4Z65TAKY2EZZ3AI6ABR77BQ7P"},
 			"past/req-000004": store.FinalRecord{Status: wire.StatusCancelled},
 			"past/req-000006": store.FinalRecord{Status: wire.StatusDone, Done: 60},
-			// A chunk of 256 tasks, and a subchunk that replaces its entries for 32 of them.
+			// A chunk of 256 tasks, and a sub-chunk that replaces its entries for 32 of them.
 			"run/req-000007/0": store.ChunkRecord{NextAttempt: 80, Active: activeAttempts(1, placement{0, 1, 6, "n-000013"}, placement{6, 7, 1, "n-000015"}, placement{7, 8, 4, "n-000016"},
 				placement{11, 12, 8, "n-000012"}, placement{19, 20, 28, "n-000016"}, placement{47, 48, 31, "n-000015"}, placement{78, 79, 1, "n-000017"})},
 			"run/req-000007/0/1": store.ChunkRecord{NextAttempt: 111, SubchunkTasks: 32, Active: activeAttempts(1, placement{0, 33, 15, "n-000016"}, placement{15, 48, 17, "n-000015"})},
-			// Subchunks with completed tasks.
+			// Sub-chunks with completed tasks.
 			"run/req-000001/0/7": store.ChunkRecord{NextAttempt: 257, Done: []int{0, 32}, Active: []store.ActiveAttempt{}, SubchunkTasks: 32},
 			"run/req-000001/1/0": store.ChunkRecord{NextAttempt: 5, Done: []int{0, 2}, Active: activeAttempts(1, placement{2, 3, 2, "n-000013"}), SubchunkTasks: 32},
 			// A gang in one chunk, and one in two.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -48,7 +48,7 @@
 	DeadlineMultiple float64 `toml:"times"`
 }
 
-// Workers holds the intervals and timeouts of worker agents.
+// Workers holds the intervals and timeouts of agents.
 type Workers struct {
 	HeartbeatInterval wire.Seconds `toml:"report_s"`
 	Lease             wire.Seconds `toml:"lease_s"`
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// checkWorkers checks the intervals and timeouts of worker agents. Short ones that may still
+// checkWorkers checks the intervals and timeouts of agents. Short ones that may still
 // work are allowed.
 func (v *validator) checkWorkers(w *Workers) {
 	v.requirePositive("settings.workers.report_s", float64(w.HeartbeatInterval))
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -22,7 +22,7 @@
 	// same time. Few suffice, since a request waits only for the key-value store, which
 	// responds within milliseconds. Between the two, one request is allowed for every
 	// socketsPerRequest file descriptors of the process, so that users' requests take few
-	// sockets compared with the connections of worker agents.
+	// sockets compared with the connections of agents.
 	minInFlight       = 8
 	maxInFlight       = 48
 	socketsPerRequest = 20
--- a/internal/leader/agents/dispatcher_test.go
+++ b/internal/leader/agents/dispatcher_test.go
@@ -53,7 +53,7 @@
 			if !slices.Equal(verbs(got), tc.wantInResponse) {
 				t.Errorf("attempt %+v: commands in the response %v, want %v", *f.attempt, verbs(got), tc.wantInResponse)
 			}
-			if slices.Contains(tc.wantInResponse, wire.VerbLaunch) && (!f.attempt.LaunchSent || f.attempt.ReplySequence != 11 || f.attempt.LaunchInFlight) {
+			if slices.Contains(tc.wantInResponse, wire.VerbLaunch) && (!f.attempt.LaunchSent || f.attempt.ResponseSequence != 11 || f.attempt.LaunchInFlight) {
 				t.Errorf("after the launch the attempt is %+v, want it sent in the response to heartbeat 11", *f.attempt)
 			}
 		})
--- a/internal/leader/agents/heartbeat_answers.go
+++ b/internal/leader/agents/heartbeat_answers.go
@@ -41,7 +41,7 @@
 		if awaitsLaunch(attempt) && !attempt.LaunchInFlight && machine.Inbound.Works() {
 			commands = append(commands, launchCommand(task, attempt))
 			attempt.LaunchSent, attempt.LaunchEpoch = true, heartbeat.Epoch
-			attempt.ReplyEpoch, attempt.ReplySequence = heartbeat.Epoch, heartbeat.Sequence
+			attempt.ResponseEpoch, attempt.ResponseSequence = heartbeat.Epoch, heartbeat.Sequence
 		}
 	}
 	return commands
--- a/internal/leader/autoscaler/doc.go
+++ b/internal/leader/autoscaler/doc.go
@@ -1,6 +1,6 @@
 // Package autoscaler scales the cluster out and in on behalf of a leader: it requests
 // machines from the cloud, returns those that are idle or not trusted, and keeps the
-// inventory in step with the cloud's answers.
+// inventory in step with the cloud's responses.
 //
 // The cloud checks no fencing tokens: it executes a delayed request of an earlier leader just like
 // one of the current leader. Therefore every request is recorded as an intent in the key-value store
--- a/internal/leader/autoscaler/events.go
+++ b/internal/leader/autoscaler/events.go
@@ -13,7 +13,7 @@
 	Err error
 }
 
-// ScaleOutAnswered is the cloud's final answer to a scale-out request.
+// ScaleOutAnswered is the cloud's final response to a scale-out request.
 type ScaleOutAnswered struct {
 	// Request is the request that was answered.
 	Request *scaling.PendingScaleOut
--- a/internal/leader/autoscaler/inventory.go
+++ b/internal/leader/autoscaler/inventory.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/wire"
 )
 
-// inventory keeps the machines of the cluster's state in step with the cloud's answers.
+// inventory keeps the machines of the cluster's state in step with the cloud's responses.
 type inventory struct {
 	state   *cluster.State
 	metrics *core.Metrics
@@ -31,7 +31,7 @@
 }
 
 // add adds the machines that a request has started. They may have sent a heartbeat, or have
-// been removed again, before the request's answer arrived.
+// been removed again, before the request's response arrived.
 func (i *inventory) add(request *scaling.PendingScaleOut, machines []wire.MachineID) {
 	for _, id := range machines {
 		if _, removed := i.state.RemovedMachines[id]; removed {
--- a/internal/leader/autoscaler/requests.go
+++ b/internal/leader/autoscaler/requests.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// A scale-out request without a final answer is sent again after a pause that grows
+	// A scale-out request without a final response is sent again after a pause that grows
 	// from minScaleOutRetry to maxScaleOutRetry.
 	minScaleOutRetry = 400 * time.Millisecond
 	maxScaleOutRetry = 5 * time.Second
@@ -32,8 +32,8 @@
 	Cloud *cloud.Client
 }
 
-// sendScaleOut retries a request under its name until the cloud has given a final answer, and posts
-// that to the loop.
+// sendScaleOut retries a request under its name until the cloud has given a final response, and
+// posts that to the loop.
 func (r *cloudRequests) sendScaleOut(ctx context.Context, request *scaling.PendingScaleOut) {
 	var retry scaling.RetryState
 	wait := minScaleOutRetry
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -22,7 +22,7 @@
 	s.Spawn(func(ctx context.Context) { s.sendScaleOut(ctx, request) })
 }
 
-// OnScaleOutAnswered handles the final answer to a scale-out request.
+// OnScaleOutAnswered handles the final response to a scale-out request.
 func (s *Scaler) OnScaleOutAnswered(request *scaling.PendingScaleOut, machines []wire.MachineID, err error) {
 	outcome, backoff := s.Tracker.FinishScaleOut(request, scaling.Answer{Machines: len(machines), Err: err}, time.Now())
 	switch outcome {
--- a/internal/leader/cluster/launch.go
+++ b/internal/leader/cluster/launch.go
@@ -7,19 +7,19 @@
 )
 
 // LaunchDelivery tracks the messages of this term that may still deliver a launch of an
-// attempt: a direct command that is under way or was never answered, or the reply to a
+// attempt: a direct command that is under way or was never answered, or the response to a
 // heartbeat. The dispatcher of commands and reconciliation write it.
 type LaunchDelivery struct {
-	// LaunchInFlight: a direct command with the launch waits for its answer.
+	// LaunchInFlight: a direct command with the launch waits for its response.
 	LaunchInFlight bool
 	// LaunchUnanswered: a direct command with the launch was never answered. The last such
 	// command carried UnansweredLaunchToken.
 	LaunchUnanswered      bool
 	UnansweredLaunchToken wire.FencingToken
-	// ReplyEpoch and ReplySequence identify the last heartbeat whose reply carried the
-	// launch. A sequence of 0: no reply did, or it can have no effect any more.
-	ReplyEpoch    wire.AgentEpoch
-	ReplySequence wire.Sequence
+	// ResponseEpoch and ResponseSequence identify the last heartbeat whose response carried
+	// the launch. A sequence of 0: no response did, or it can have no effect any more.
+	ResponseEpoch    wire.AgentEpoch
+	ResponseSequence wire.Sequence
 }
 
 // launchPath is the path by which a launch of an attempt may still take effect.
@@ -36,13 +36,13 @@
 	// unansweredPath: a direct command with the launch was never answered. The network may
 	// delay it, so that it arrives minutes late.
 	unansweredPath
-	// replyPath: the agent has not yet processed the reply that carried the launch.
-	replyPath
+	// responsePath: the agent has not yet processed the response that carried the launch.
+	responsePath
 )
 
 // LaunchMayTakeEffect reports whether a launch of the attempt may still take effect on the
 // agent after the agent made this heartbeat. sentByAgent is true if the agent sent the
-// heartbeat by itself, and false if it is the answer to a direct command.
+// heartbeat by itself, and false if it is the response to a direct command.
 func (s *State) LaunchMayTakeEffect(a *Attempt, heartbeat *wire.Heartbeat, sentByAgent bool) bool {
 	return s.openLaunchPath(a, heartbeat, sentByAgent) != noLaunchPath
 }
@@ -62,30 +62,31 @@
 		return inFlightPath
 	case a.LaunchUnanswered && acceptsEpoch && heartbeat.Token <= a.UnansweredLaunchToken:
 		return unansweredPath
-	case a.launchedByReplyTo(heartbeat.Epoch) && !a.replyProcessed(heartbeat, sentByAgent):
-		return replyPath
+	case a.launchedByResponseTo(heartbeat.Epoch) && !a.responseProcessed(heartbeat, sentByAgent):
+		return responsePath
 	}
 	return noLaunchPath
 }
 
-// launchedByReplyTo reports whether the reply to a heartbeat of the epoch carried the launch.
-func (d *LaunchDelivery) launchedByReplyTo(epoch wire.AgentEpoch) bool {
-	return d.ReplySequence > 0 && d.ReplyEpoch == epoch
+// launchedByResponseTo reports whether the response to a heartbeat of the epoch carried the
+// launch.
+func (d *LaunchDelivery) launchedByResponseTo(epoch wire.AgentEpoch) bool {
+	return d.ResponseSequence > 0 && d.ResponseEpoch == epoch
 }
 
-// replyProcessed reports whether the agent had processed the reply that carried the launch
-// when it made this heartbeat. An agent sends its next heartbeat only after it has processed
-// the reply to the last one. A heartbeat that answers a direct command proves nothing about
-// that, however late it is.
-func (d *LaunchDelivery) replyProcessed(heartbeat *wire.Heartbeat, sentByAgent bool) bool {
-	return sentByAgent && heartbeat.Sequence > d.ReplySequence
+// responseProcessed reports whether the agent had processed the response that carried the
+// launch when it made this heartbeat. An agent sends its next heartbeat only after it has
+// processed the response to the last one. A heartbeat that answers a direct command proves
+// nothing about that, however late it is.
+func (d *LaunchDelivery) responseProcessed(heartbeat *wire.Heartbeat, sentByAgent bool) bool {
+	return sentByAgent && heartbeat.Sequence > d.ResponseSequence
 }
 
-// LacksLaunch reports whether the heartbeat lacks an attempt whose launch was in the reply
+// LacksLaunch reports whether the heartbeat lacks an attempt whose launch was in the response
 // to an earlier heartbeat, so that the machine should know of it.
 func (m *Machine) LacksLaunch(heartbeat *wire.Heartbeat) bool {
 	for task, a := range m.Attempts {
-		expected := !a.SeenInHeartbeat && a.launchedByReplyTo(heartbeat.Epoch) && heartbeat.Sequence > a.ReplySequence
+		expected := !a.SeenInHeartbeat && a.launchedByResponseTo(heartbeat.Epoch) && heartbeat.Sequence > a.ResponseSequence
 		if expected && !listsAttempt(heartbeat, task, a.Number) {
 			return true
 		}
--- a/internal/leader/cluster/launch_test.go
+++ b/internal/leader/cluster/launch_test.go
@@ -60,23 +60,23 @@
 			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 5, Token: testToken},
 		},
 		"in a reply, and a later heartbeat answers a command": {
-			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			prepare:   func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
-			want:      replyPath,
+			want:      responsePath,
 		},
 		"in a reply, and the heartbeat that it answered arrives again": {
-			prepare:     func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			prepare:     func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat:   wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
 			sentByAgent: true,
-			want:        replyPath,
+			want:        responsePath,
 		},
 		"in a reply, and the agent has sent its next heartbeat": {
-			prepare:     func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			prepare:     func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat:   wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
 			sentByAgent: true,
 		},
 		"in a reply to another epoch": {
-			prepare:   func(a *Attempt) { a.ReplyEpoch, a.ReplySequence = 2, 5 },
+			prepare:   func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 1, Token: testToken},
 		},
 	}
@@ -127,7 +127,7 @@
 		heartbeat wire.Heartbeat
 		want      bool
 	}{
-		"launch was in no reply":        {func(a *Attempt) { a.ReplySequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"launch was in no reply":        {func(a *Attempt) { a.ResponseSequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
 		"already listed before":         {func(a *Attempt) { a.SeenInHeartbeat = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
 		"heartbeat that was replied to": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 5}, false},
 		"heartbeat of another epoch":    {func(a *Attempt) {}, wire.Heartbeat{Epoch: 3, Sequence: 6}, false},
@@ -141,7 +141,7 @@
 			s := newTestState(t)
 			m := s.GetOrAddMachine("n-1")
 			a := addTestAttempt(addTestJob(s, wire.KindArray, 1, 1), 0, m, 7)
-			a.ReplyEpoch, a.ReplySequence = 2, 5
+			a.ResponseEpoch, a.ResponseSequence = 2, 5
 			tt.prepare(a)
 			if got := m.LacksLaunch(&tt.heartbeat); got != tt.want {
 				t.Errorf("LacksLaunch(%+v) = %v, want %v", tt.heartbeat, got, tt.want)
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -63,8 +63,8 @@
 	DirectHeartbeatAt  time.Time // last heartbeat that the agent sent to this node
 	RelayedHeartbeatAt time.Time // last heartbeat through another node
 	RelayedOnly        bool      // the last heartbeat came through another node
-	LastMessageAt      time.Time // last message from it: a heartbeat or the answer to a command
-	LastReplyAt        time.Time // last reply to a heartbeat of it
+	LastMessageAt      time.Time // last message from it: a heartbeat or the response to a command
+	LastResponseAt     time.Time // last response to a heartbeat of it
 	// HeartbeatsMissingSince is the time since which it has answered direct commands, but
 	// sent no heartbeat; zero: its heartbeats arrive.
 	HeartbeatsMissingSince time.Time
@@ -88,8 +88,8 @@
 // commands, the term's loop and reconciliation write it.
 type CommandDelivery struct {
 	CommandInFlight     bool // a direct command is under way
-	UnansweredCommands  int  // direct commands without an answer since LastMessageAt
-	LastRelayUnanswered bool // the last of these was relayed by another node, also without an answer
+	UnansweredCommands  int  // direct commands without a response since LastMessageAt
+	LastRelayUnanswered bool // the last of these was relayed by another node, also without a response
 	// UnansweredLaunch covers all launches that were never answered.
 	UnansweredLaunch UnansweredCommand
 	Inbound          detector.InboundPath
--- a/internal/leader/delegation/bounds.go
+++ b/internal/leader/delegation/bounds.go
@@ -46,7 +46,7 @@
 }
 
 // LeadershipTerm describes a leader's term, as far as it bounds how long the delegates of this
-// leader and of earlier ones can answer workers.
+// leader and of earlier ones can answer agents.
 type LeadershipTerm struct {
 	StartedAt time.Time
 	// FirstToken is the fencing token with which the term began.
@@ -66,7 +66,7 @@
 )
 
 // DelegateAnswersUntil returns the latest time, past or future, at which another node can answer
-// a worker as a leader's delegate.
+// an agent as a leader's delegate.
 //
 // A node that recently acknowledged this leader's heartbeat heard from it too recently to be a
 // delegate, unless the leader's store has only just become available again. The node reports
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -1,10 +1,10 @@
 // Package delegation implements delegated lease renewal: a node that has lost contact with the
-// leader renews, as the leader's delegate, the leases of workers that send it heartbeats. It
+// leader renews, as the leader's delegate, the leases of agents that send it heartbeats. It
 // answers with the leader's fencing token and starts nothing. This keeps the tasks in a
 // partitioned zone running.
 //
-// If the key-value store still names the leader, only the path to the leader is cut. The worker
-// may still reach the leader where this node can't. The delegate then answers only workers that
+// If the key-value store still names the leader, only the path to the leader is cut. The agent
+// may still reach the leader where this node can't. The delegate then answers only agents that
 // were redirected to the leader and came back.
 //
 // A delegation is valid for a limited time. That time counts from when the node sent the last
@@ -27,10 +27,10 @@
 	// leaderLostAfter is the time without contact to the leader after which a node may act as
 	// its delegate.
 	leaderLostAfter = 2 * peer.AckLifetime
-	// workerTimePerNode is the time that a worker spends on one node before it tries the next:
+	// workerTimePerNode is the time that an agent spends on one node before it tries the next:
 	// a request timeout of 4 s, and a pause of 1 s.
 	workerTimePerNode = 5 * time.Second
-	// minRedirectCapacity bounds from below the number of workers whose redirects are
+	// minRedirectCapacity bounds from below the number of agents whose redirects are
 	// remembered.
 	minRedirectCapacity = 1000
 )
@@ -51,11 +51,11 @@
 	Bounds  Bounds
 	Mesh    Mesh
 	Cancels *cancels.Log
-	// Nodes and Workers are the numbers of controllers and of workers.
+	// Nodes and Workers are the numbers of controllers and of agents.
 	Nodes, Workers int
-	// HeartbeatInterval is the time between two heartbeats of a worker.
+	// HeartbeatInterval is the time between two heartbeats of an agent.
 	HeartbeatInterval time.Duration
-	// MaxCommands bounds the number of commands in one answer.
+	// MaxCommands bounds the number of commands in one response.
 	MaxCommands int
 }
 
@@ -67,7 +67,7 @@
 	ownDelegation atomic.Pointer[peer.Delegation]
 
 	mu sync.Mutex
-	// redirectedAt is when each worker was last recorded by ReturnedAfterRedirect.
+	// redirectedAt is when each agent was last recorded by ReturnedAfterRedirect.
 	redirectedAt map[wire.MachineID]time.Time
 }
 
@@ -82,7 +82,7 @@
 	d.ownDelegation.Store(&peer.Delegation{Token: token, RequestedAt: requestedAt})
 }
 
-// MayRenew reports whether this node, as leader or as delegate, may renew workers' leases now:
+// MayRenew reports whether this node, as leader or as delegate, may renew agents' leases now:
 // it must know every cancellation that any node confirmed more than Bounds.MaxCancelAge ago.
 // Without this rule, a leader that alone is refused by the key-value store, and that keeps
 // serving in a store outage that follows, renews leases for peer.OutageLimit without knowing
@@ -92,7 +92,7 @@
 	return !knownUntil.IsZero() && now.Sub(knownUntil) < d.Bounds.MaxCancelAge
 }
 
-// StopCommands returns the commands that a node which must not start tasks sends to a worker
+// StopCommands returns the commands that a node which must not start tasks sends to an agent
 // with the renewal of its lease. They stop the tasks that are known to be cancelled.
 func (d *Delegate) StopCommands(heartbeat *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
@@ -122,9 +122,9 @@
 	return wire.Command{Verb: wire.VerbStop, Task: state.Task, Attempt: state.Attempt, GracePeriod: &noGracePeriod}
 }
 
-// renewalToken returns the token with which this node may renew the lease of a worker that has
+// renewalToken returns the token with which this node may renew the lease of an agent that has
 // seen the given token, and whether it may. The delegation must be recent and carry the newest
-// token that the node or the worker knows, the node must have lost contact with the leader, and
+// token that the node or the agent knows, the node must have lost contact with the leader, and
 // MayRenew must allow it.
 func (d *Delegate) renewalToken(seen wire.FencingToken) (wire.FencingToken, bool) {
 	view, now := d.Mesh.View(), time.Now()
@@ -159,8 +159,8 @@
 	return &wire.Commands{Token: token, Commands: d.StopCommands(heartbeat)}
 }
 
-// ReturnedAfterRedirect reports whether a worker has come back to this node soon after this
-// node redirected it to the leader. It also records the worker as redirected now.
+// ReturnedAfterRedirect reports whether an agent has come back to this node soon after this
+// node redirected it to the leader. It also records the agent as redirected now.
 func (d *Delegate) ReturnedAfterRedirect(id wire.MachineID, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -173,8 +173,8 @@
 	return ok && now.Sub(redirectedAt) < timeForAllNodes
 }
 
-// RenewedRecently reports whether this node recently renewed workers' leases as a delegate. Now
-// that the leader can be reached again, those workers can reach it themselves.
+// RenewedRecently reports whether this node recently renewed agents' leases as a delegate. Now
+// that the leader can be reached again, those agents can reach it themselves.
 func (d *Delegate) RenewedRecently() bool {
 	sinceRenewal := d.Mesh.SinceRenewal()
 	return sinceRenewal > 0 && sinceRenewal < 2*d.HeartbeatInterval+2*peer.AckLifetime
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -27,7 +27,7 @@
 }
 
 // Before a leader treats a lease as expired, it must assume the latest time at which another
-// node can have answered the worker.
+// node can have answered the agent.
 func TestDelegateAnswersUntil(t *testing.T) {
 	now := time.Now()
 	bounds := Bounds{MaxDelegationTime: 20 * time.Second}
@@ -166,14 +166,15 @@
 	if answer.Token != 50 || len(answer.Commands) != 1 || answer.Commands[0].Verb != wire.VerbStop || answer.Commands[0].Task != "req-7/0" {
 		t.Errorf("%+v: answer %+v, want token 50 and the stop of req-7/0", s, answer)
 	}
-	// A token that arrives after the renewal was recorded and before the answer still counts.
+	// A token that arrives after the renewal was recorded and before the response still
+	// counts.
 	mesh.onRenewal = func() { mesh.view.Token = 51 }
 	if d.Answer(heartbeat) != nil {
 		t.Errorf("%+v: answered although a newer token arrived after the renewal was recorded", s)
 	}
 }
 
-// A worker counts as returned if it comes back within the time that it takes to try all nodes,
+// An agent counts as returned if it comes back within the time that it takes to try all nodes,
 // but not on its first heartbeat.
 func TestWorkerReturnsWithinTimeForAllNodes(t *testing.T) {
 	d := New(Config{Nodes: 3})
--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -6,26 +6,26 @@
 	"lilaclead/internal/wire"
 )
 
-// ignoredAnswersThreshold is how many answers must seem to have been lost, with no delivery
-// known in between, for the inbound path to count as lost. A single answer may be lost, or be
+// ignoredResponsesThreshold is how many responses must seem to have been lost, with no delivery
+// known in between, for the inbound path to count as lost. A single response may be lost, or be
 // crossed by an older heartbeat.
-const ignoredAnswersThreshold = 2
+const ignoredResponsesThreshold = 2
 
 // InboundPath tells whether the inbound path of a machine works: the path from this node to a
 // machine whose heartbeats arrive. Answers and commands may be lost while heartbeats still
 // come in. Such a machine looks alive, but starts nothing, and its lease expires.
 type InboundPath struct {
-	lastAnswer sentResponse
-	// ignoredAnswers and unansweredCommands count since a message is known to have reached the
-	// machine.
-	ignoredAnswers     int
+	lastResponse sentResponse
+	// ignoredResponses and unansweredCommands count since a message is known to have reached
+	// the machine.
+	ignoredResponses   int
 	unansweredCommands int
 	// lostSince is when the path began to count as lost. It is zero while the path works.
 	lostSince time.Time
 }
 
-// sentResponse identifies an answer to a heartbeat: the token in the answer, and the epoch and
-// sequence number of the heartbeat.
+// sentResponse identifies a response to a heartbeat: the token in the response, and the epoch
+// and sequence number of the heartbeat.
 type sentResponse struct {
 	token    wire.FencingToken
 	epoch    wire.AgentEpoch
@@ -33,15 +33,15 @@
 }
 
 // HeartbeatEvidence is what the caller knows of a machine when a heartbeat of it is compared
-// with earlier answers.
+// with earlier responses.
 type HeartbeatEvidence struct {
 	// KnownToken is the highest token in earlier heartbeats of the machine. It is 0 if there
 	// was none.
 	KnownToken wire.FencingToken
-	// RecentlyRenewed reports that the last answer is so recent that the machine's lease can't
-	// have expired if it received that answer.
+	// RecentlyRenewed reports that the last response is so recent that the machine's lease
+	// can't have expired if it received that response.
 	RecentlyRenewed bool
-	// LacksLaunch reports whether the heartbeat lacks a task that an earlier answer
+	// LacksLaunch reports whether the heartbeat lacks a task that an earlier response
 	// told the machine to start. It is called only if the result depends on it.
 	LacksLaunch func() bool
 }
@@ -56,24 +56,24 @@
 	PathRestored
 )
 
-// RecordResponse records the answer that is sent to a heartbeat: the token in the answer, and
-// the epoch and sequence number of the heartbeat.
+// RecordResponse records the response that is sent to a heartbeat: the token in the response,
+// and the epoch and sequence number of the heartbeat.
 func (p *InboundPath) RecordResponse(token wire.FencingToken, epoch wire.AgentEpoch, sequence wire.Sequence) {
-	p.lastAnswer = sentResponse{token, epoch, sequence}
+	p.lastResponse = sentResponse{token, epoch, sequence}
 }
 
-// ObserveHeartbeat compares a heartbeat with the answer to an earlier one, and returns whether
-// the path has been lost or restored by it.
+// ObserveHeartbeat compares a heartbeat with the response to an earlier one, and returns
+// whether the path has been lost or restored by it.
 func (p *InboundPath) ObserveHeartbeat(heartbeat *wire.Heartbeat, evidence HeartbeatEvidence, now time.Time) PathChange {
 	if heartbeat.Token > evidence.KnownToken && evidence.KnownToken > 0 {
 		return p.RecordDelivery() // a new token has reached the machine
 	}
-	ignored := p.countIgnoredAnswers(heartbeat, evidence)
+	ignored := p.countIgnoredResponses(heartbeat, evidence)
 	if ignored == 0 {
 		return PathUnchanged
 	}
-	p.ignoredAnswers += ignored
-	thresholdReached := p.ignoredAnswers >= ignoredAnswersThreshold || p.unansweredCommands > 0
+	p.ignoredResponses += ignored
+	thresholdReached := p.ignoredResponses >= ignoredResponsesThreshold || p.unansweredCommands > 0
 	if !p.Works() || !thresholdReached {
 		return PathUnchanged
 	}
@@ -81,16 +81,16 @@
 	return PathLost
 }
 
-// countIgnoredAnswers returns how many answers a heartbeat shows not to have been received.
-func (p *InboundPath) countIgnoredAnswers(heartbeat *wire.Heartbeat, evidence HeartbeatEvidence) int {
-	last := &p.lastAnswer
+// countIgnoredResponses returns how many responses a heartbeat shows not to have been received.
+func (p *InboundPath) countIgnoredResponses(heartbeat *wire.Heartbeat, evidence HeartbeatEvidence) int {
+	last := &p.lastResponse
 	switch {
 	case last.sequence == 0:
-		return 0 // no answer was sent yet
+		return 0 // no response was sent yet
 	case heartbeat.Epoch > last.epoch && evidence.RecentlyRenewed:
-		return ignoredAnswersThreshold // the lease expired although heartbeats were answered
+		return ignoredResponsesThreshold // the lease expired although heartbeats were answered
 	case heartbeat.Epoch != last.epoch || heartbeat.Sequence <= last.sequence:
-		return 0 // the heartbeat was made before the answer, or in another epoch
+		return 0 // the heartbeat was made before the response, or in another epoch
 	case heartbeat.Token < last.token || evidence.LacksLaunch():
 		return 1
 	}
@@ -103,7 +103,7 @@
 	if !p.Works() {
 		change = PathRestored
 	}
-	p.ignoredAnswers, p.unansweredCommands, p.lostSince = 0, 0, time.Time{}
+	p.ignoredResponses, p.unansweredCommands, p.lostSince = 0, 0, time.Time{}
 	return change
 }
 
--- a/internal/leader/detector/inbound_test.go
+++ b/internal/leader/detector/inbound_test.go
@@ -7,9 +7,9 @@
 	"lilaclead/internal/wire"
 )
 
-// A path is lost when two answers have no effect, with no delivery known in between, or one has
-// none and a direct command is not answered. Any message that arrives restores the path.
-func TestPathIsLostByIgnoredAnswers(t *testing.T) {
+// A path is lost when two responses have no effect, with no delivery known in between, or one
+// has none and a direct command is not answered. Any message that arrives restores the path.
+func TestPathIsLostByIgnoredResponses(t *testing.T) {
 	const token = 50
 	heartbeat := func(epoch wire.AgentEpoch, sequence wire.Sequence, token wire.FencingToken) *wire.Heartbeat {
 		return &wire.Heartbeat{Epoch: epoch, Sequence: sequence, Token: token}
--- a/internal/leader/detector/zones.go
+++ b/internal/leader/detector/zones.go
@@ -61,7 +61,7 @@
 }
 
 // RecordMessage records that a message came from a machine of a zone: a heartbeat, or the
-// answer to a command.
+// response to a command.
 func (z *Zones) RecordMessage(zone wire.Zone, heartbeat bool, now time.Time) {
 	if heartbeat {
 		z.heartbeatCount++
--- a/internal/leader/election/candidate.go
+++ b/internal/leader/election/candidate.go
@@ -1,6 +1,6 @@
 // Package election elects one leader among the controllers. Leadership is a lease of package
 // duty. This package adds the bound on how long a leader that can't renew the lease may still
-// answer workers' heartbeats. It does not depend on jobs, machines or workers.
+// answer agents' heartbeats. It does not depend on jobs, machines or agents.
 package election
 
 import (
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -51,12 +51,12 @@
 }
 
 // A leader that can't renew its lease stops deciding before its grant can end. This holds even
-// when the answers to its renewals arrive late, since a lease counts from when the request was
-// sent. Another node leads only after that, with a higher token.
+// when the responses to its renewals arrive late, since a lease counts from when the request
+// was sent. Another node leads only after that, with a higher token.
 func TestSuccessorLeadsOnlyAfterLeaderStopsDeciding(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		answerDelay time.Duration // of the answers to renewals
+		answerDelay time.Duration // of the responses to renewals
 	}{
 		{"prompt answers", 0},
 		{"late answers", 400 * time.Millisecond},
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -41,7 +41,7 @@
 // Deciding reports whether this node certainly holds the leadership.
 func (l *Lease) Deciding() bool { return l.Held() }
 
-// MayAnswerHeartbeats reports whether workers' heartbeats may be answered. They may while the
+// MayAnswerHeartbeats reports whether agents' heartbeats may be answered. They may while the
 // lease certainly has not expired. After that, with the key-value store unavailable, they may
 // until the time set by RecordAcks.
 func (l *Lease) MayAnswerHeartbeats() bool {
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -40,7 +40,7 @@
 	now := time.Now()
 	m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
 	m.Epoch, m.Sequence, m.Token = 1, 10, tm.state.FirstToken
-	m.FirstHeartbeatAt, m.LastMessageAt, m.LastReplyAt = now, now, now
+	m.FirstHeartbeatAt, m.LastMessageAt, m.LastResponseAt = now, now, now
 	return m
 }
 
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-// checkReply checks the reply to a heartbeat of the gang's second machine. It must have the
+// checkReply checks the response to a heartbeat of the gang's second machine. It must have the
 // stop of its task and, only if the leader holds its lease, the pending launch.
 func (n *spotNoticeTerm) checkReply(t *testing.T, reply *wire.Commands, wantLaunches int) {
 	t.Helper()
@@ -171,7 +171,8 @@
 	}
 }
 
-// sendHeartbeatOfSecondMachine returns the reply to a heartbeat of the gang's second machine.
+// sendHeartbeatOfSecondMachine returns the response to a heartbeat of the gang's second
+// machine.
 func (n *spotNoticeTerm) sendHeartbeatOfSecondMachine() *wire.Commands {
 	n.leader.Cancels.RecordRead(time.Now())
 	heartbeat := heartbeatFrom(1, 11, n.state.FirstToken, wire.TaskStatus{Task: "req-2/1", Attempt: gangAttemptNumber, Phase: wire.PhaseRunning})
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -14,7 +14,7 @@
 	"lilaclead/internal/wire"
 )
 
-// heartbeatTimeout is how long a heartbeat waits for an answer of the term's loop.
+// heartbeatTimeout is how long a heartbeat waits for a response from the term's loop.
 const heartbeatTimeout = 3 * time.Second
 
 // leaderContactLifetime is how long this node believes that a peer leads after it last
@@ -127,7 +127,7 @@
 	wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorBody{Error: "not a report"})
 }
 
-// answerHeartbeat passes a heartbeat to the loop and waits for the answer. relayed means
+// answerHeartbeat passes a heartbeat to the loop and waits for the response. relayed means
 // that the heartbeat came through another node.
 func (t *term) answerHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat, relayed bool) heartbeatAnswer {
 	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Relayed: relayed, Response: make(chan reconcile.HeartbeatResponse, 1)}
@@ -203,7 +203,7 @@
 // relayHeartbeat forwards a heartbeat to the leader, which answers it if the agent seems
 // unable to reach the leader itself. Without this, an agent that is cut off only from the
 // leader is redirected back and forth until its lease expires. It returns nil if the leader
-// gave no answer.
+// gave no response.
 func (l *Leader) relayHeartbeat(ctx context.Context, leader wire.NodeID, heartbeat *wire.Heartbeat) *wire.Commands {
 	status, raw, err := l.Mesh.Relay(ctx, leader, "/peer/hello", heartbeat)
 	if err != nil || status != http.StatusOK {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -126,7 +126,7 @@
 	return &wire.Heartbeat{Machine: "n-1", Epoch: epoch, Sequence: sequence, Token: token, Tasks: tasks}
 }
 
-// sendHeartbeat returns a term's reply to a heartbeat.
+// sendHeartbeat returns a term's response to a heartbeat.
 func sendHeartbeat(tm *term, heartbeat *wire.Heartbeat) reconcile.HeartbeatResponse {
 	call := reconcile.HeartbeatCall{Heartbeat: *heartbeat, Response: make(chan reconcile.HeartbeatResponse, 1)}
 	tm.reconciler.OnHeartbeat(call)
--- a/internal/leader/intents_test.go
+++ b/internal/leader/intents_test.go
@@ -27,7 +27,7 @@
 	}
 	tm.Lease = lease
 	now := time.Now()
-	m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = now, now, now
+	m.LastMessageAt, m.DirectHeartbeatAt, m.LastResponseAt = now, now, now
 	tm.monitor.CheckMachines(now)
 	if !m.ScalingIn || len(m.Attempts) != 1 {
 		t.Errorf("with the lease: got scaling in %v, %d tasks, want true, 1 task", m.ScalingIn, len(m.Attempts))
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -9,7 +9,7 @@
 //
 // Each step is a package:
 //
-//   - reconcile compares heartbeats and command answers with the model, and decides which
+//   - reconcile compares heartbeats and command responses with the model, and decides which
 //     attempts run, have ended or are lost;
 //   - cluster is the model: jobs, chunks, attempts, gangs and machines;
 //   - scheduling assigns pending tasks to machines and selects what is preempted for
--- a/internal/leader/lease_expiry_test.go
+++ b/internal/leader/lease_expiry_test.go
@@ -22,8 +22,8 @@
 	}{
 		{
 			"answered by this leader",
-			func(tm *term, m *cluster.Machine) { m.LastReplyAt = tm.state.TermStartedAt.Add(5 * time.Second) },
-			func(_ *term, m *cluster.Machine) time.Time { return m.LastReplyAt },
+			func(tm *term, m *cluster.Machine) { m.LastResponseAt = tm.state.TermStartedAt.Add(5 * time.Second) },
+			func(_ *term, m *cluster.Machine) time.Time { return m.LastResponseAt },
 		},
 		{
 			"only probed: an earlier leader may have answered until the agent saw this term's token",
@@ -33,7 +33,7 @@
 		{
 			"in a new epoch, which may have begun just before its first heartbeat",
 			func(tm *term, m *cluster.Machine) {
-				m.LastReplyAt = tm.state.TermStartedAt
+				m.LastResponseAt = tm.state.TermStartedAt
 				m.EpochSince = tm.state.TermStartedAt.Add(15 * time.Second)
 			},
 			func(_ *term, m *cluster.Machine) time.Time { return m.EpochSince },
--- a/internal/leader/liveness/doc.go
+++ b/internal/leader/liveness/doc.go
@@ -22,9 +22,9 @@
 //
 // A machine stops its tasks when none of its heartbeats has been answered for the length of
 // the lease. The lease has certainly expired when nobody can have answered for that length,
-// plus the drift of two clocks and a margin. An answer may have come from:
+// plus the drift of two clocks and a margin. A response may have come from:
 //
-//   - this leader, at its last reply;
+//   - this leader, at its last response;
 //   - an earlier leader, until the machine showed a token of this term; if it never did, until
 //     Monitor.EarlierLeaderRepliesUntil;
 //   - a delegate of either, until cluster.State.DelegatesRenewedUntil.
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -95,7 +95,7 @@
 	machine.Epoch, machine.Sequence, machine.Token = 1, 10, testToken
 	machine.FirstHeartbeatAt, machine.ListedAt = f.State.TermStartedAt, f.now
 	machine.LastMessageAt = f.now.Add(-sinceMessage)
-	machine.LastReplyAt = machine.LastMessageAt
+	machine.LastResponseAt = machine.LastMessageAt
 	return machine
 }
 
--- a/internal/leader/liveness/lease_expiry_test.go
+++ b/internal/leader/liveness/lease_expiry_test.go
@@ -21,7 +21,7 @@
 		want  time.Duration // from the start of the term to the last possible renewal
 	}{
 		{"answered by this leader", func(f *fixture, machine *cluster.Machine) {
-			machine.LastReplyAt = f.State.TermStartedAt.Add(7 * time.Second)
+			machine.LastResponseAt = f.State.TermStartedAt.Add(7 * time.Second)
 		}, 7 * time.Second},
 		{"token of this term shown after the last answer", func(f *fixture, machine *cluster.Machine) {
 			machine.TokenSeenAt = f.State.TermStartedAt.Add(8 * time.Second)
@@ -53,7 +53,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			machine := f.addMachine(0)
-			machine.LastReplyAt = f.State.TermStartedAt
+			machine.LastResponseAt = f.State.TermStartedAt
 			job := f.addJob(wire.KindArray, 1)
 			f.addAttempt(job, 0, machine)
 			tc.setup(f, machine)
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -50,7 +50,7 @@
 			}
 			heartbeat := heartbeatOf(m)
 			tm.reconciler.Reconcile(m, &heartbeat, true, time.Now())
-			m.LastReplyAt = time.Now()
+			m.LastResponseAt = time.Now()
 		}
 		tm.monitor.CheckMachines(time.Now())
 		handlePostedEvents(tm)
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -94,9 +94,9 @@
 				t.Errorf("late copy %d/%d: got %+v, want a rejection", late.Epoch, late.Sequence, reply)
 			}
 		}
-		if m.LastMessageAt != before.LastMessageAt || m.LastReplyAt != before.LastReplyAt || m.Sequence != before.Sequence {
+		if m.LastMessageAt != before.LastMessageAt || m.LastResponseAt != before.LastResponseAt || m.Sequence != before.Sequence {
 			t.Errorf("after late copies: got last message %v, reply %v, sequence %d, want %v, %v, %d",
-				m.LastMessageAt, m.LastReplyAt, m.Sequence, before.LastMessageAt, before.LastReplyAt, before.Sequence)
+				m.LastMessageAt, m.LastResponseAt, m.Sequence, before.LastMessageAt, before.LastResponseAt, before.Sequence)
 		}
 		// Late copies that arrive together cause a single probe, of the machine itself.
 		if !m.CommandInFlight || m.LastVerifiedAt != time.Now() {
@@ -134,7 +134,7 @@
 	now := time.Now()
 	for i := range 26 {
 		m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", 100+i)))
-		m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.LastReplyAt = tm.Fencing.Token, now, now, now
+		m.Token, m.FirstHeartbeatAt, m.LastMessageAt, m.LastResponseAt = tm.Fencing.Token, now, now, now
 		if i < 10 {
 			m.Zone = "a"
 			zoneA = append(zoneA, m)
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -20,7 +20,7 @@
 	machine := rc.state.GetOrAddMachine(heartbeat.Machine)
 	if !rc.state.RecordsRead {
 		rc.keepEarlyHeartbeat(heartbeat)
-		machine.LastMessageAt, machine.LastReplyAt = now, now
+		machine.LastMessageAt, machine.LastResponseAt = now, now
 		return HeartbeatResponse{Commands: rc.stopsOfCancelled(heartbeat)}
 	}
 	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) {
@@ -34,7 +34,7 @@
 	if rc.renewalWithheld(machine, heartbeat, now) {
 		return HeartbeatResponse{Rejected: errCancelPending}
 	}
-	machine.LastReplyAt = now
+	machine.LastResponseAt = now
 	machine.Inbound.RecordResponse(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
 	return HeartbeatResponse{Commands: rc.commandsFor(machine, heartbeat, now)}
 }
@@ -67,8 +67,8 @@
 	return answer
 }
 
-// stopsOfCancelled returns an answer whose only commands are the stops of tasks whose jobs are
-// known to be cancelled.
+// stopsOfCancelled returns a response whose only commands are the stops of tasks whose jobs
+// are known to be cancelled.
 func (rc *Reconciler) stopsOfCancelled(heartbeat *wire.Heartbeat) *wire.Commands {
 	return &wire.Commands{Token: rc.Fencing.Token, Commands: rc.delegate.StopCommands(heartbeat)}
 }
@@ -106,10 +106,10 @@
 
 const (
 	// crossingWindow is for how long after a message of an agent an older heartbeat of it may
-	// still be waiting for its answer. Agents stop waiting for an answer after 4 s.
+	// still be waiting for its response. Agents stop waiting for a response after 4 s.
 	crossingWindow = 4 * time.Second
 	// maxCrossedSequences is by how much the sequence number of a heartbeat that crossed the
-	// answer to a direct command may be lower than that of the answer.
+	// response to a direct command may be lower than that of the response.
 	maxCrossedSequences = 2
 	// staleProbeInterval is the minimum time between two probes of a machine because of stale
 	// heartbeats.
@@ -117,10 +117,10 @@
 )
 
 // onStaleHeartbeat handles a heartbeat that is not newer than the last known one. Usually it
-// has crossed the answer to a direct command. It may also be a late copy, which says nothing
+// has crossed the response to a direct command. It may also be a late copy, which says nothing
 // of the present, not even that the machine is alive. Or it comes from a machine that
 // restarted at once and numbers its heartbeats from the start again. If the heartbeat has not
-// just crossed an answer, the machine is probed to find out.
+// just crossed a response, the machine is probed to find out.
 func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) HeartbeatResponse {
 	inCrossingWindow := now.Sub(machine.LastMessageAt) < crossingWindow
 	justBehind := heartbeat.Epoch == machine.Epoch && heartbeat.Sequence+maxCrossedSequences >= machine.Sequence
@@ -133,7 +133,7 @@
 	if !inCrossingWindow {
 		return HeartbeatResponse{Rejected: errStaleHeartbeat}
 	}
-	machine.LastReplyAt = now
+	machine.LastResponseAt = now
 	return HeartbeatResponse{Commands: rc.stopsOfCancelled(heartbeat)}
 }
 
--- a/internal/leader/reconcile/command_answers.go
+++ b/internal/leader/reconcile/command_answers.go
@@ -17,8 +17,8 @@
 	commandAnswered outcomeKind = "ok"
 	// commandNotSent is the outcome of a command that certainly has not left this node.
 	commandNotSent outcomeKind = "not sent"
-	// commandOutcomeUnknown is the outcome of a command that was sent and got no usable answer.
-	// It may have been executed, or may be executed later.
+	// commandOutcomeUnknown is the outcome of a command that was sent and got no usable
+	// response. It may have been executed, or may be executed later.
 	commandOutcomeUnknown outcomeKind = "lost"
 )
 
@@ -30,7 +30,7 @@
 		return commandOutcomeUnknown
 	}
 	// An agent rejects a command of another epoch, or with an old token, by the status
-	// "conflict". That answer holds its heartbeat too.
+	// "conflict". That response holds its heartbeat too.
 	hasHeartbeat := answer.Status == http.StatusOK || answer.Status == http.StatusConflict
 	// Another machine may answer at the address of one that was removed.
 	if hasHeartbeat && answer.Heartbeat.Machine == answer.Machine.ID {
@@ -64,14 +64,14 @@
 	}
 }
 
-// onCommandAnswered reconciles the heartbeat in the answer to a command.
+// onCommandAnswered reconciles the heartbeat in the response to a command.
 func (rc *Reconciler) onCommandAnswered(answer *agents.CommandOutcome, now time.Time) {
 	machine, heartbeat, known := answer.Machine, answer.Heartbeat, answer.LastHeartbeatBefore
 	rc.onDelivery(machine)
 	machine.LastMessageAt = now
 	if !heartbeat.IsNewerThan(known.Epoch, known.Sequence) && !machine.Restarted {
-		// The answer was made after the command was sent, and yet it is not newer than the last
-		// heartbeat known then.
+		// The response was made after the command was sent, and yet it is not newer than the
+		// last heartbeat known then.
 		rc.onRestart(machine, heartbeat, now)
 		return
 	}
@@ -88,7 +88,7 @@
 }
 
 // onCommandNotSent marks the launches of a command that never left this node as not sent, so
-// that they go out in the answer to the next heartbeat.
+// that they go out in the response to the next heartbeat.
 func onCommandNotSent(answer *agents.CommandOutcome) {
 	for _, attempt := range answer.Launched {
 		if !attempt.SeenInHeartbeat {
--- a/internal/leader/reconcile/command_answers_test.go
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -114,7 +114,7 @@
 
 func TestLaunchSeenInHeartbeatStaysSentWhenCommandIsNotSent(t *testing.T) {
 	f := newFixture(t)
-	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true // by the answer to a heartbeat
+	f.attempt.LaunchSent, f.attempt.SeenInHeartbeat = true, true // by the response to a heartbeat
 	f.OnCommandOutcome(agents.CommandOutcome{
 		Machine:  f.machine,
 		Commands: wire.Commands{Token: testToken, Epoch: 1},
--- a/internal/leader/reconcile/doc.go
+++ b/internal/leader/reconcile/doc.go
@@ -1,5 +1,5 @@
 // Package reconcile compares the heartbeats of the agents with what the leader has
-// recorded, acts on the differences, and answers the heartbeats. The answer to a direct
+// recorded, acts on the differences, and answers the heartbeats. The response to a direct
 // command is a heartbeat too, and is reconciled in the same way.
 //
 // # When an attempt counts as missing
@@ -8,9 +8,9 @@
 // its way. The attempt is missing only when no launch of it can take effect any more
 // (cluster.State.LaunchMayTakeEffect):
 //   - A launch by an earlier leader can take effect until the agent has a higher fencing token.
-//   - A direct launch whose answer was lost can take effect until the agent has a higher token
+//   - A direct launch whose response was lost can take effect until the agent has a higher token
 //     or a new epoch.
-//   - A launch in the answer to a heartbeat can take effect until the agent has sent a newer
+//   - A launch in the response to a heartbeat can take effect until the agent has sent a newer
 //     heartbeat of the same epoch, or has begun another epoch.
 //
 // The task of a missing attempt is queued again if the attempt was seen before, inherited, or
@@ -19,20 +19,20 @@
 //
 // # When a lease renewal is withheld
 //
-// Each answer renews the lease of the machine. No heartbeat is answered while this
+// Each response renews the lease of the machine. No heartbeat is answered while this
 // controller can't tell whether it still leads, nor while it can't tell which jobs were
-// cancelled. The answer is also withheld while a direct launch of a task may still be on its
+// cancelled. The response is also withheld while a direct launch of a task may still be on its
 // way to the machine, the heartbeat does not show that task, and its job was cancelled at least
 // MaxCancelAge ago. The lease then expires and the agent begins a new epoch, in which the
 // launch can't take effect any more. A higher token has the same effect.
 //
 // # What a stale heartbeat means
 //
-// A heartbeat that is not newer than the last known one has usually crossed the answer to a
+// A heartbeat that is not newer than the last known one has usually crossed the response to a
 // direct command. It may also be a late copy, which does not even prove that the machine is
 // alive. Or it comes from a machine that restarted before its absence was noticed, and that
 // numbers its heartbeats from the start again. Only the machine itself can tell, so it is
-// probed. The answer to a command that was sent after the last known heartbeat and yet is not
+// probed. The response to a command that was sent after the last known heartbeat and yet is not
 // newer proves a restart.
 //
 // # Without the key-value store
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Reconcile updates the state by a heartbeat, or by the answer to a direct command, which has
+// Reconcile updates the state by a heartbeat, or by the response to a direct command, which has
 // the same form. sentByAgent is true for a heartbeat that the agent sent by itself. Reconcile
 // reports whether the heartbeat was newer than the last known one.
 func (rc *Reconciler) Reconcile(machine *cluster.Machine, heartbeat *wire.Heartbeat, sentByAgent bool, now time.Time) bool {
@@ -87,17 +87,17 @@
 	machine.ReclaimAt = now.Add(remaining)
 }
 
-// onRestart handles an answer which shows that the machine has restarted, before its absence
-// was noticed, and numbers its heartbeats from the start again. The tasks that the answer lacks
-// are lost. The machine is scaled in, since from now on its heartbeats can't be told from late
-// copies of those before the restart.
+// onRestart handles a response which shows that the machine has restarted, before its absence
+// was noticed, and numbers its heartbeats from the start again. The tasks that the response
+// lacks are lost. The machine is scaled in, since from now on its heartbeats can't be told from
+// late copies of those before the restart.
 func (rc *Reconciler) onRestart(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	rc.Log.Info("machine restarted", "machine", machine.ID, "tasks", len(machine.Attempts),
 		"epoch", heartbeat.Epoch, "sequence", heartbeat.Sequence,
 		"previous_epoch", machine.Epoch, "previous_sequence", machine.Sequence)
 	machine.Epoch, machine.Sequence, machine.Images = 0, 0, cluster.ImageCache{}
 	for _, attempt := range machine.Attempts {
-		attempt.ReplySequence = 0 // the reply that carried the launch went to the machine before its restart
+		attempt.ResponseSequence = 0 // the response that carried the launch went to the machine before its restart
 	}
 	rc.drain(machine, cluster.DrainRestarted)
 	rc.Reconcile(machine, heartbeat, false, now)
--- a/internal/leader/reconcile/heartbeat_test.go
+++ b/internal/leader/reconcile/heartbeat_test.go
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			now := time.Now()
-			f.machine.LastReplyAt = now.Add(-tc.sinceReply)
+			f.machine.LastResponseAt = now.Add(-tc.sinceReply)
 			f.machine.Inbound.RecordResponse(testToken, 1, 10)
 			f.checkInboundPath(f.machine, heartbeat(2, 1, testToken), now)
 			if got := f.machine.Inbound.Works(); got != tc.wantWorks {
--- a/internal/leader/reconcile/inbound.go
+++ b/internal/leader/reconcile/inbound.go
@@ -8,12 +8,12 @@
 	"lilaclead/internal/wire"
 )
 
-// checkInboundPath compares a heartbeat with the answer to an earlier one, to find out whether
-// messages from this node reach the machine.
+// checkInboundPath compares a heartbeat with the response to an earlier one, to find out
+// whether messages from this node reach the machine.
 func (rc *Reconciler) checkInboundPath(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	evidence := detector.HeartbeatEvidence{
 		KnownToken:      machine.Token,
-		RecentlyRenewed: now.Sub(machine.LastReplyAt) < rc.state.Settings.Workers.Lease.Duration()/2,
+		RecentlyRenewed: now.Sub(machine.LastResponseAt) < rc.state.Settings.Workers.Lease.Duration()/2,
 		LacksLaunch:     func() bool { return machine.LacksLaunch(heartbeat) },
 	}
 	rc.onInboundPathChange(machine, machine.Inbound.ObserveHeartbeat(heartbeat, evidence, now))
--- a/internal/leader/reconcile/missing_attempts_test.go
+++ b/internal/leader/reconcile/missing_attempts_test.go
@@ -21,10 +21,10 @@
 
 // outcomeOfAttempt returns what became of the fixture's attempt since it was as in before. To be
 // told from a kept attempt, one that is launched again must have been marked before as sent in
-// an answer or as an unanswered direct launch.
+// a response or as an unanswered direct launch.
 func (f *fixture) outcomeOfAttempt(before cluster.Attempt) attemptOutcome {
-	launchCleared := !f.attempt.LaunchUnanswered && f.attempt.ReplySequence == 0
-	wasSent := before.LaunchUnanswered || before.ReplySequence > 0
+	launchCleared := !f.attempt.LaunchUnanswered && f.attempt.ResponseSequence == 0
+	wasSent := before.LaunchUnanswered || before.ResponseSequence > 0
 	switch {
 	case f.job.ActiveTasks == 0 && slices.Equal(f.evictionReasons, []string{string(cluster.EvictedMissing)}):
 		return attemptLost
@@ -41,7 +41,7 @@
 func TestMissingAttemptOutcomeByLaunchState(t *testing.T) {
 	sentInAnswer := func(f *fixture) {
 		f.attempt.LaunchSent, f.attempt.LaunchEpoch = true, 1
-		f.attempt.ReplyEpoch, f.attempt.ReplySequence = 1, 11
+		f.attempt.ResponseEpoch, f.attempt.ResponseSequence = 1, 11
 	}
 	unanswered := func(f *fixture) {
 		f.attempt.LaunchSent, f.attempt.LaunchEpoch = true, 1
@@ -54,7 +54,7 @@
 		name        string
 		setup       func(f *fixture)
 		heartbeat   *wire.Heartbeat
-		fromCommand bool // the heartbeat is the answer to a command
+		fromCommand bool // the heartbeat is the response to a command
 		want        attemptOutcome
 	}{
 		{"not stored", func(f *fixture) { f.attempt.Unstored = true }, heartbeat(1, 12, testToken), false, attemptKept},
--- a/internal/leader/reconcile/tasks.go
+++ b/internal/leader/reconcile/tasks.go
@@ -121,5 +121,5 @@
 // prepareRelaunch clears the record of those launches of an attempt that did not take effect,
 // so that the attempt is launched again.
 func prepareRelaunch(attempt *cluster.Attempt) {
-	attempt.LaunchUnanswered, attempt.ReplySequence = false, 0
+	attempt.LaunchUnanswered, attempt.ResponseSequence = false, 0
 }
--- a/internal/leader/reconciliation_test.go
+++ b/internal/leader/reconciliation_test.go
@@ -15,14 +15,14 @@
 		a.SeenInHeartbeat, a.LaunchSent, a.LaunchEpoch, a.LaunchUnanswered, a.UnansweredLaunchToken = true, true, 1, true, 50
 	}
 	inReply := func(a *cluster.Attempt) {
-		a.SeenInHeartbeat, a.LaunchSent, a.LaunchEpoch, a.ReplyEpoch, a.ReplySequence = true, true, 1, 1, 10
+		a.SeenInHeartbeat, a.LaunchSent, a.LaunchEpoch, a.ResponseEpoch, a.ResponseSequence = true, true, 1, 1, 10
 	}
 	inherited := func(a *cluster.Attempt) { a.Inherited = true }
 	cases := []struct {
 		name      string
 		setup     func(*cluster.Attempt)
 		heartbeat *wire.Heartbeat
-		direct    bool // sent by the agent itself, not the answer to a command
+		direct    bool // sent by the agent itself, not the response to a command
 		wantEnded bool
 	}{
 		{"inherited, the agent has not seen the term's token", inherited, heartbeatFrom(1, 11, 49), true, false},
--- a/internal/leader/scaling/answer.go
+++ b/internal/leader/scaling/answer.go
@@ -22,12 +22,12 @@
 	NoCapacity
 	// Unavailable means that the cloud is busy or down. All scale-out requests are paused.
 	Unavailable
-	// AlreadyPaused means that the cloud is busy or down, and that an earlier answer has
+	// AlreadyPaused means that the cloud is busy or down, and that an earlier response has
 	// already paused all scale-out requests.
 	AlreadyPaused
 )
 
-// Answer is the cloud's final answer to a scale-out request.
+// Answer is the cloud's final response to a scale-out request.
 type Answer struct {
 	// Machines is the number of machines that were started.
 	Machines int
@@ -35,7 +35,7 @@
 	Err error
 }
 
-// FinishScaleOut ends a pending request with the cloud's final answer. It returns the outcome
+// FinishScaleOut ends a pending request with the cloud's final response. It returns the outcome
 // and for how long at least the offer is backed off from, or all requests are paused.
 func (t *Tracker) FinishScaleOut(request *PendingScaleOut, answer Answer, now time.Time) (Outcome, time.Duration) {
 	delete(t.pending, request.Name)
@@ -75,17 +75,17 @@
 	return errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrInvalidRequest)
 }
 
-// RetryState decides whether an answer to a scale-out request is final. Until one is, the
+// RetryState decides whether a response to a scale-out request is final. Until one is, the
 // request is sent again under the same name.
 type RetryState struct {
-	// outcomeUnknown means that an attempt got no usable answer: machines may have been
+	// outcomeUnknown means that an attempt got no usable response: machines may have been
 	// started.
 	outcomeUnknown bool
 }
 
-// IsFinal reports whether an answer, given by its error, ends the request. Once an attempt got
-// no usable answer, only a repetition of the request shows which machines were started. An
-// answer that the cloud is busy or down does not show it, and is not final then.
+// IsFinal reports whether a response, given by its error, ends the request. Once an attempt got
+// no usable response, only a repetition of the request shows which machines were started. A
+// response that the cloud is busy or down does not show it, and is not final then.
 func (r *RetryState) IsFinal(err error) bool {
 	if err != nil && !errors.Is(err, cloud.ErrUnavailable) && !isRefusal(err) {
 		r.outcomeUnknown = true
--- a/internal/leader/scaling/tracker.go
+++ b/internal/leader/scaling/tracker.go
@@ -56,7 +56,7 @@
 }
 
 // StartScaleOut adds a pending request for up to MaxScaleOut machines, under a unique name,
-// and returns it. The caller sends it until the cloud has given a final answer.
+// and returns it. The caller sends it until the cloud has given a final response.
 func (t *Tracker) StartScaleOut(scaleOut fleet.ScaleOut, now time.Time) *PendingScaleOut {
 	t.sequence++
 	request := &PendingScaleOut{
--- a/internal/leader/scaling/tracker_test.go
+++ b/internal/leader/scaling/tracker_test.go
@@ -106,14 +106,14 @@
 	}
 }
 
-// After an attempt without a usable answer the request may have been executed. That the cloud
-// is busy when the request is repeated does not end it.
+// After an attempt without a usable response the request may have been executed. That the
+// cloud is busy when the request is repeated does not end it.
 func TestBusyIsNoFinalAnswerAfterAnUnknownOutcome(t *testing.T) {
 	busy, unknown, noCapacity := cloud.ErrUnavailable, cloud.ErrOutcomeUnknown, cloud.ErrNoCapacity
 	cases := []struct {
 		name    string
 		answers []error
-		want    []bool // whether each answer is final
+		want    []bool // whether each response is final
 	}{
 		{"filled", []error{nil}, []bool{true}},
 		{"busy, certainly not executed", []error{busy}, []bool{true}},
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -132,8 +132,8 @@
 const stopMargin = 2 * time.Second
 
 // stopDuration returns the longest time that a stopped task should take to end. It covers the
-// case that only the reply to the machine's next heartbeat delivers the stop command, and that
-// this heartbeat is late by up to a quarter of the interval.
+// case that only the response to the machine's next heartbeat delivers the stop command, and
+// that this heartbeat is late by up to a quarter of the interval.
 func (r *Reservations) stopDuration(gracePeriod wire.Seconds) time.Duration {
 	return gracePeriod.Duration() + r.state.HeartbeatInterval()*5/4 + stopMargin
 }
--- a/internal/leader/sized_term_test.go
+++ b/internal/leader/sized_term_test.go
@@ -93,7 +93,7 @@
 	m.Spot = i%2 == 1
 	m.Addr = fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250+1)
 	m.Epoch, m.Sequence, m.Token = 1, 10, b.tm.Fencing.Token
-	m.FirstHeartbeatAt, m.LastMessageAt, m.DirectHeartbeatAt, m.LastReplyAt = b.now, b.now, b.now, b.now
+	m.FirstHeartbeatAt, m.LastMessageAt, m.DirectHeartbeatAt, m.LastResponseAt = b.now, b.now, b.now, b.now
 	m.RequestedAt = b.now.Add(-2 * time.Minute)
 	return m
 }
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -30,7 +30,7 @@
 	})
 }
 
-// A transaction without an answer is neither repeated blindly nor assumed committed. Raising
+// A transaction without a response is neither repeated blindly nor assumed committed. Raising
 // the token keeps it from being executed later, and a read then shows whether it was.
 func TestUnknownOutcomeIsReadUnderAHigherToken(t *testing.T) {
 	cases := []struct {
@@ -160,7 +160,7 @@
 	})
 }
 
-// If the store is slow, a change of a job's record or the answer to a read of it may arrive
+// If the store is slow, a change of a job's record or the response to a read of it may arrive
 // after the job was archived. Such late events neither restore the job nor end the term.
 func TestLateEventsOfArchivedJobAreIgnored(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -14,12 +14,12 @@
 // heartbeatReceived is another node's heartbeat.
 type heartbeatReceived struct {
 	heartbeat Heartbeat
-	// reply receives the answer. It is buffered, so that the handler does not block if the stream has
-	// ended.
+	// reply receives the response. It is buffered, so that the handler does not block if the stream
+	// has ended.
 	reply chan<- Heartbeat
 }
 
-// answerReceived is another node's answer to a heartbeat of this node.
+// answerReceived is another node's response to a heartbeat of this node.
 type answerReceived struct {
 	from   wire.NodeID
 	answer Heartbeat
@@ -28,7 +28,7 @@
 }
 
 // handle applies the heartbeat to the view and answers it. It publishes the view before it hands over
-// the answer, so that the view contains all that the answer states.
+// the response, so that the view contains all that the response states.
 func (e heartbeatReceived) handle(m *Mesh, current *View) {
 	from := e.heartbeat.From
 	p := current.peerInContact(from)
@@ -43,7 +43,7 @@
 	e.reply <- answer
 }
 
-// handle applies the answer to the view.
+// handle applies the response to the view.
 func (e answerReceived) handle(m *Mesh, current *View) {
 	p := current.peerInContact(e.from)
 	m.observeVersion(&e.answer)
--- a/internal/peer/incoming.go
+++ b/internal/peer/incoming.go
@@ -11,14 +11,14 @@
 	"lilaclead/internal/undecodable"
 )
 
-// incomingStream is the receiving end of a stream: it receives heartbeats and sends answers.
+// incomingStream is the receiving end of a stream: it receives heartbeats and sends responses.
 type incomingStream struct {
 	mesh       *Mesh
 	senderHost string // the host that opened the stream
 	control    *http.ResponseController
 	heartbeats *cbor.Decoder
 	answers    *cbor.Encoder
-	// replies receives the answer to the latest heartbeat from the goroutine that owns the view.
+	// replies receives the response to the latest heartbeat from the goroutine that owns the view.
 	replies chan Heartbeat
 	// cancelCursor is the position in the log of cancellations up to which they were sent on this
 	// stream.
@@ -70,7 +70,7 @@
 	return heartbeat, nil
 }
 
-// awaitAnswer passes a heartbeat to the goroutine that owns the view and returns its answer.
+// awaitAnswer passes a heartbeat to the goroutine that owns the view and returns its response.
 func (s *incomingStream) awaitAnswer(ctx context.Context, heartbeat Heartbeat) (Heartbeat, error) {
 	select {
 	case s.mesh.events <- heartbeatReceived{heartbeat: heartbeat, reply: s.replies}:
@@ -85,7 +85,7 @@
 	}
 }
 
-// sendAnswer sends an answer, with the cancellations that were not sent on this stream yet.
+// sendAnswer sends a response, with the cancellations that were not sent on this stream yet.
 func (s *incomingStream) sendAnswer(answer Heartbeat) error {
 	answer.Update, s.cancelCursor = s.mesh.cancels.UpdateSince(s.cancelCursor)
 	if err := s.answers.Encode(answer); err != nil {
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,14 +1,14 @@
 // Package peer connects the controllers. Every node keeps a stream open to every other node. A stream
 // is an HTTP/2 request whose request and response bodies do not end. On it, the node sends heartbeats
-// and receives an answer to each. The messages carry the highest fencing token that a node knows, the
-// acknowledgement of that token, a leader's permission to renew workers' leases on its behalf (a
+// and receives a response to each. The messages carry the highest fencing token that a node knows, the
+// acknowledgement of that token, a leader's permission to renew agents' leases on its behalf (a
 // delegation), and the cancellations that users were told of.
 //
 // Mesh owns the streams. View is what a node knows of the other nodes. Election and leases, which are
 // built on View, are in package leader.
 //
 // Run owns the goroutines of the streams that this node opens, and returns when they have ended. One per
-// peer opens the stream and receives the answers, and one per open stream sends the heartbeats. The
+// peer opens the stream and receives the responses, and one per open stream sends the heartbeats. The
 // receiving end of a stream is a request to the node's HTTP server, which owns its goroutine.
 package peer
 
@@ -60,7 +60,7 @@
 	uptimeAtRenewal atomic.Int64
 }
 
-// New returns the mesh of a node. The mesh calls status before it sends a heartbeat or an answer.
+// New returns the mesh of a node. The mesh calls status before it sends a heartbeat or a response.
 func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelLog *cancels.Log, network netio.Network, log *slog.Logger) *Mesh {
 	m := &Mesh{
 		name:        name,
@@ -138,7 +138,7 @@
 	}
 }
 
-// newAnswer returns the answer to the heartbeat with the sequence number. The token is the highest one
+// newAnswer returns the response to the heartbeat with the sequence number. The token is the highest one
 // that this node knows.
 func (m *Mesh) newAnswer(token wire.FencingToken, sequence uint64) Heartbeat {
 	status := m.status()
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -280,7 +280,7 @@
 
 func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// The active version is learnt from heartbeats and from answers. Without negotiation, neither states
+// The active version is learnt from heartbeats and from responses. Without negotiation, neither states
 // one.
 func TestVersionIsLearntFromHeartbeatsAndAnswers(t *testing.T) {
 	tests := []struct {
@@ -370,7 +370,7 @@
 	return strings.Count(string(stacks), "(*outgoingStream).sendHeartbeats(") + strings.Count(string(stacks), "(*Mesh).runStream(")
 }
 
-// A stream on which no answers arrive is closed and reopened.
+// A stream on which no responses arrive is closed and reopened.
 func TestIdleStreamIsReopened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -38,20 +38,20 @@
 	}
 }
 
-// outgoingStream is the sending end of a stream: it sends heartbeats and receives answers.
+// outgoingStream is the sending end of a stream: it sends heartbeats and receives responses.
 type outgoingStream struct {
 	mesh *Mesh
 	peer config.Peer
 	// sentAt holds the times at which the unanswered heartbeats were sent, the oldest first. Answers
 	// arrive in the order of their heartbeats.
 	sentAt chan time.Time
-	// watchdog ends the stream if no answer arrives for streamIdleTimeout. It detects hangs that cause
-	// no error: of the connection, the other process or this node's writes.
+	// watchdog ends the stream if no response arrives for streamIdleTimeout. It detects hangs that
+	// cause no error: of the connection, the other process or this node's writes.
 	watchdog *time.Timer
 }
 
-// runStream opens a stream to a peer, sends heartbeats and receives their answers until either fails.
-// It returns after the goroutine that sends the heartbeats has ended.
+// runStream opens a stream to a peer, sends heartbeats and receives their responses until either
+// fails. It returns after the goroutine that sends the heartbeats has ended.
 func (m *Mesh) runStream(ctx context.Context, p config.Peer) error {
 	var sender sync.WaitGroup
 	defer sender.Wait() // runs last: the calls deferred below end the sender
@@ -105,7 +105,7 @@
 	}
 }
 
-// receiveAnswers reads answers and delivers them to the view until either fails.
+// receiveAnswers reads responses and delivers them to the view until either fails.
 func (s *outgoingStream) receiveAnswers(ctx context.Context, body io.Reader) error {
 	decoder := cbor.NewDecoder(body)
 	for {
@@ -121,8 +121,8 @@
 	}
 }
 
-// deliverAnswer merges the cancellations of an answer and passes the answer to the goroutine that owns
-// the view. The answer belongs to the oldest unanswered heartbeat.
+// deliverAnswer merges the cancellations of a response and passes the response to the goroutine that
+// owns the view. The response belongs to the oldest unanswered heartbeat.
 func (s *outgoingStream) deliverAnswer(ctx context.Context, answer Heartbeat) error {
 	var requestedAt time.Time
 	select {
--- a/internal/peer/renewal.go
+++ b/internal/peer/renewal.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// RecordRenewal records that this node is about to renew a worker's lease as a delegate. It is called
-// before the node checks whether it may renew. An answer that does not state the renewal was then made
-// before the check, so the check sees the heartbeat that was answered.
+// RecordRenewal records that this node is about to renew an agent's lease as a delegate. It is called
+// before the node checks whether it may renew. A response that does not state the renewal was then
+// made before the check, so the check sees the heartbeat that was answered.
 func (m *Mesh) RecordRenewal() {
 	m.uptimeAtRenewal.Store(max(1, int64(time.Since(m.startedAt))))
 }
 
-// SinceRenewal returns how long ago this node last renewed a worker's lease as a delegate; 0 if it has
+// SinceRenewal returns how long ago this node last renewed an agent's lease as a delegate; 0 if it has
 // not done so since it started.
 func (m *Mesh) SinceRenewal() time.Duration {
 	renewalUptime := time.Duration(m.uptimeAtRenewal.Load())
--- a/internal/peer/timing.go
+++ b/internal/peer/timing.go
@@ -6,7 +6,7 @@
 	// AckLifetime is how long an acknowledgement of a fencing token is valid, counted from when the
 	// heartbeat that it answers was sent. It is X in docs/design.md. These rules depend on it:
 	//
-	//   - Without the key-value store, a leader answers workers only while a quorum's acknowledgements
+	//   - Without the key-value store, a leader answers agents only while a quorum's acknowledgements
 	//     of its token are valid. No node acknowledges a token below the highest that it knows, and any
 	//     two quorums share a node. So once a quorum has acknowledged a successor's token, the earlier
 	//     leader answers for at most AckLifetime longer.
@@ -15,7 +15,7 @@
 	//   - A node counts as connected if it was in contact within AckLifetime.
 	AckLifetime = 2 * time.Second
 
-	// OutageLimit is how long a leader may answer workers without the key-value store, counted from the
+	// OutageLimit is how long a leader may answer agents without the key-value store, counted from the
 	// end of its grant there. It is B in docs/design.md. Until a quorum has acknowledged a successor's
 	// token, the successor assumes that the earlier leader may answer until OutageLimit after the
 	// successor's term began, because the earlier grant had ended when that term began.
@@ -38,6 +38,6 @@
 	// connected.
 	relayTimeout = AckLifetime
 	// pingTimeout is how long an HTTP/2 connection may receive no frame before a ping is sent, and how
-	// long the reply to the ping may take.
+	// long the response to the ping may take.
 	pingTimeout = 2 * time.Second
 )
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -26,7 +26,7 @@
 
 // Peer is what this node knows of another node.
 type Peer struct {
-	// Heartbeat is its last heartbeat. Incarnation and ActiveVersion may also be from a later answer.
+	// Heartbeat is its last heartbeat. Incarnation and ActiveVersion may also be from a later response.
 	Heartbeat
 	// LastContact is when its last message arrived.
 	LastContact time.Time
@@ -34,15 +34,15 @@
 	// acknowledgement is valid from then rather than from its arrival, since the other node may have
 	// made it at any time in between.
 	AckRequestedAt time.Time
-	// AckToken is the token that the latest answer acknowledged; 0 if none.
+	// AckToken is the token that the latest response acknowledged; 0 if none.
 	AckToken wire.FencingToken
 	// DelegationGrantedAt is when this node, as the leader, last granted the other node a delegation.
 	DelegationGrantedAt time.Time
 	// LastDelegatedRenewal is the latest time at which the other node's last renewal as a delegate can
-	// have been: the arrival of an answer, less the age of the renewal that the answer stated.
+	// have been: the arrival of a response, less the age of the renewal that the response stated.
 	LastDelegatedRenewal time.Time
 	// LatestProcessStart is the latest time at which the other node's process can have started: the
-	// arrival of an answer, less the uptime that the answer stated. Until then, an earlier process of
+	// arrival of a response, less the uptime that the response stated. Until then, an earlier process of
 	// that node may have renewed leases as a delegate, which the present process does not know of.
 	LatestProcessStart time.Time
 }
@@ -50,12 +50,12 @@
 // Connected reports whether the node was in contact within AckLifetime.
 func (p Peer) Connected(now time.Time) bool { return now.Sub(p.LastContact) < AckLifetime }
 
-// Delegation is a leader's permission for this node to renew workers' leases on its behalf.
+// Delegation is a leader's permission for this node to renew agents' leases on its behalf.
 type Delegation struct {
 	// Token is the token with which the leader led.
 	Token wire.FencingToken
 	// RequestedAt is when this node sent the heartbeat that was answered with the delegation, less the
-	// InFlightLaunchCancelAge of the answer. No launch of a job that was cancelled before RequestedAt
+	// InFlightLaunchCancelAge of the response. No launch of a job that was cancelled before RequestedAt
 	// can still arrive.
 	RequestedAt time.Time
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// observeAnswer records another node's answer to the heartbeat that was sent at requestedAt.
+// observeAnswer records another node's response to the heartbeat that was sent at requestedAt.
 func (v *View) observeAnswer(p *Peer, answer *Heartbeat, requestedAt time.Time) {
 	p.updateFromAnswer(answer, requestedAt)
 	// Empty values are recorded too: the node may now run a program that does not negotiate versions.
@@ -128,8 +128,8 @@
 	}
 }
 
-// updateFromAnswer records what an answer says of the other node. It ignores the answer if a newer
-// heartbeat is already answered: answers on an earlier stream may arrive after those on a newer one.
+// updateFromAnswer records what a response says of the other node. It ignores the response if a newer
+// heartbeat is already answered: responses on an earlier stream may arrive after those on a newer one.
 func (p *Peer) updateFromAnswer(answer *Heartbeat, requestedAt time.Time) {
 	if !requestedAt.After(p.AckRequestedAt) {
 		return
--- a/internal/peer/view_test.go
+++ b/internal/peer/view_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// An acknowledgement or delegation counts from when the answered heartbeat was sent. The ages that an
-// answer states count from its arrival.
+// An acknowledgement or delegation counts from when the answered heartbeat was sent. The ages that a
+// response states count from its arrival.
 func TestObserveAnswerTimesAcksFromRequestAndAgesFromArrival(t *testing.T) {
 	known := Peer{AckRequestedAt: at(3), AckToken: 7, LastDelegatedRenewal: at(1), LatestProcessStart: at(0), LastContact: at(10)}
 	tests := []struct {
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -20,7 +20,7 @@
 }
 
 // requestCancel asks a controller once to cancel a job, as the job's user would, and returns the
-// job status in the answer; false: there was no readable answer with status 200.
+// job status in the response; false: there was no readable response with status 200.
 func requestCancel(sim *simulator.Simulation, node int, id wire.JobID) (wire.Status, bool) {
 	sim.WithChecker(func(c *simulator.Checker) { c.CancelRequested(id) })
 	status, raw, _ := sim.Ask(node, "POST", "/v1/jobs/"+string(id)+"/cancel", nil)
@@ -54,7 +54,7 @@
 }
 
 // cancelAtController has a user ask one controller to cancel a job until it answers, checks that
-// the answer confirms the cancellation, and returns when it arrived.
+// the response confirms the cancellation, and returns when it arrived.
 func cancelAtController(t *testing.T, sim *simulator.Simulation, node int, j simulator.JobScript) time.Time {
 	t.Helper()
 	id := j.Spec.ID
@@ -87,7 +87,7 @@
 }
 
 // requestOnce sends one request to submit or to cancel a job to one controller and returns the
-// HTTP status of the answer. The checker doesn't learn of the answer.
+// HTTP status of the response. The checker doesn't learn of the response.
 func requestOnce(sim *simulator.Simulation, j simulator.JobScript, cancel bool, node int) int {
 	path, body := submitOrCancelRequest(sim, j, cancel)
 	status, _, _ := sim.Ask(node, "POST", path, body)
@@ -96,7 +96,7 @@
 
 // requestUntilAnswered has a user submit or cancel a job. The user asks one controller after the
 // other, beginning with the given one, until one answers, and then every other controller once.
-// It returns when the first answer arrived, which controller gave it and the job status in it.
+// It returns when the first response arrived, which controller gave it and the job status in it.
 func requestUntilAnswered(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, cancel bool, first int) (answeredAt time.Time, node int, answer wire.Status) {
 	t.Helper()
 	id := j.Spec.ID
@@ -142,7 +142,7 @@
 }
 
 // startBackgroundPolls has users poll one controller about each of the jobs, once a second, until
-// stopPolling. The checker compares the answers with those that any controller gave before.
+// stopPolling. The checker compares the responses with those that any controller gave before.
 func startBackgroundPolls(sim *simulator.Simulation, node int, jobs ...simulator.JobScript) *backgroundPolls {
 	p := &backgroundPolls{sim: sim, node: node, stop: make(chan struct{})}
 	for _, j := range jobs {
@@ -173,22 +173,22 @@
 // answered returns how many polls the controller has answered so far.
 func (p *backgroundPolls) answered() int64 { return p.answeredCount.Load() }
 
-// stopPolling ends the polls and waits for the answers to the polls that were already sent.
+// stopPolling ends the polls and waits for the responses to the polls that were already sent.
 func (p *backgroundPolls) stopPolling() {
 	close(p.stop)
 	p.users.Wait()
 }
 
-// statusUpdate is an answer about a job that tells users more than all earlier answers.
+// statusUpdate is a response about a job that tells users more than all earlier responses.
 type statusUpdate struct {
 	at   time.Time
 	node int
 	told simulator.KnownStatus
 }
 
-// statusReader polls the controllers in turn about one job, one poll at a time. An answer must
+// statusReader polls the controllers in turn about one job, one poll at a time. A response must
 // not be older than anything that a user was told before the poll was sent. What users are told
-// while the poll is on its way need not be in the answer.
+// while the poll is on its way need not be in the response.
 type statusReader struct {
 	t       *testing.T
 	sim     *simulator.Simulation
@@ -233,7 +233,7 @@
 	}
 }
 
-// readFrom polls one controller and checks its answer against known and against all that users
+// readFrom polls one controller and checks its response against known and against all that users
 // were told before the poll. It returns how much users know afterwards.
 func (r *statusReader) readFrom(node int, known simulator.KnownStatus) simulator.KnownStatus {
 	r.sim.WithChecker(func(c *simulator.Checker) { known = max(known, c.KnownStatus(r.id)) })
@@ -244,7 +244,7 @@
 	}
 	told, answered := simulator.KnownStatusOf(status, state.Status)
 	if !answered {
-		return known // without an answer there is nothing to compare
+		return known // without a response there is nothing to compare
 	}
 	r.sim.WithChecker(func(c *simulator.Checker) {
 		if told < known {
@@ -261,13 +261,13 @@
 	return known
 }
 
-// stopReading ends the polls and waits for the last answer.
+// stopReading ends the polls and waits for the last response.
 func (r *statusReader) stopReading() {
 	close(r.stop)
 	<-r.ended
 }
 
-// firstSeen returns when an answer first told users at least this much; zero: never.
+// firstSeen returns when a response first told users at least this much; zero: never.
 func (r *statusReader) firstSeen(told simulator.KnownStatus) (at time.Time) {
 	r.sim.WithChecker(func(*simulator.Checker) {
 		if i := slices.IndexFunc(r.updates, func(u statusUpdate) bool { return u.told >= told }); i >= 0 {
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// A leader cut off from all workers resigns in favour of a controller that they reach.
+// A leader cut off from all agents resigns in favour of a controller that they reach.
 func TestLeaderPartitionedFromWorkers(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 10, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -36,8 +36,8 @@
 	})
 }
 
-// Workers that only the leader can't reach are served through another controller, and their machines
-// are kept. Without this, a leader cut off from half of its workers would release all their machines.
+// Agents that only the leader can't reach are served through another controller, and their machines
+// are kept. Without this, a leader cut off from half of its agents would release all their machines.
 func TestWorkerPartitionedFromLeaderOnly(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 13, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -61,7 +61,7 @@
 }
 
 // A leader cut off only from its peers goes on leading. In an outage of the key-value store on top of
-// that, it may answer workers for as long as a controller may act as the delegate of a lost leader.
+// that, it may answer agents for as long as a controller may act as the delegate of a lost leader.
 // Then it must stop, since no majority agrees, and no task may run twice when the leases have
 // expired.
 func TestLeaderPartitionedFromPeers(t *testing.T) {
@@ -98,7 +98,7 @@
 	})
 }
 
-// A leader is cut off from the key-value store and the other controllers, but not from its workers. It
+// A leader is cut off from the key-value store and the other controllers, but not from its agents. It
 // must stop answering them, and they must find the next leader before their leases expire.
 func TestLeaderPartitionedFromAllButWorkers(t *testing.T) {
 	t.Parallel()
@@ -138,10 +138,10 @@
 	}
 }
 
-// A leader is cut off from the key-value store and the other controllers while workers and users still
-// reach it, and jobs are cancelled through the next leader. In the worst case workers reach only the
+// A leader is cut off from the key-value store and the other controllers while agents and users still
+// reach it, and jobs are cancelled through the next leader. In the worst case agents reach only the
 // old leader and the cloud is unavailable, so that their tasks end only because the old leader stops
-// answering. Users of the old leader get no older answer than the new leader's.
+// answering. Users of the old leader get no older response than the new leader's.
 func TestCancelWhileLeaderIsPartitioned(t *testing.T) {
 	t.Parallel()
 	for _, mode := range simulator.CutModes {
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -10,7 +10,7 @@
 )
 
 // Jobs are cancelled while the key-value store refuses the leader alone. Then the store has an outage
-// for everybody, up to longer than a task of a cancelled job may run. Workers go on sending
+// for everybody, up to longer than a task of a cancelled job may run. Agents go on sending
 // heartbeats to the leader, which can't read what was cancelled. It may renew their leases only while
 // the other controllers send it all cancellations that they confirmed, and must stop the tasks of
 // these. Tasks of cancellations that no controller can send any more end by lease expiry.
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -276,7 +276,7 @@
 }
 
 // A deployment works with the smallest limits of the key-value store: two changes in a transaction,
-// values of 1 KiB and a few requests a second. Its worker leases are too short for delegates.
+// values of 1 KiB and a few requests a second. Its agent leases are too short for delegates.
 func TestMinimalDeployment(t *testing.T) {
 	t.Parallel()
 	set := simulator.ThreeZoneSettings()
--- a/internal/scenarios/rolling_upgrade_test.go
+++ b/internal/scenarios/rolling_upgrade_test.go
@@ -139,8 +139,8 @@
 		!reflect.DeepEqual(c, productionChunk{Next: 9, Done: []int{1, 3}, Held: []productionAttempt{{Task: 4, Try: 8, On: "n-1"}}}) {
 		t.Errorf("production decodes the chunk's record as %+v, %v", c, err)
 	}
-	// The key of a subchunk is not the key of a chunk, and production would treat the record as a
-	// leftover. So no subchunk is written before the limits are lowered, which a test in
+	// The key of a sub-chunk is not the key of a chunk, and production would treat the record as
+	// a leftover. So no sub-chunk is written before the limits are lowered, which a test in
 	// internal/leader/subchunks_test.go checks.
 	if _, _, ok := store.ParseChunkKey(store.SubchunkKey("req-000412", 3, 1)); ok {
 		t.Error("the key of a subchunk is parsed as the key of a chunk")
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -88,7 +88,7 @@
 	})
 }
 
-// Writes of intents are executed without an answer, late or at once. All jobs must still finish,
+// Writes of intents are executed without a response, late or at once. All jobs must still finish,
 // and no machine may be left afterwards.
 func TestIntentWritesUnanswered(t *testing.T) {
 	t.Parallel()
@@ -181,7 +181,7 @@
 }
 
 // A partition cuts the leader off from the key-value store and its peers, in each mode, but not
-// from workers and the cloud. Another controller becomes leader, and both have jobs that need more
+// from agents and the cloud. Another controller becomes leader, and both have jobs that need more
 // machines. Only one of them may provision, and no machine may be leaked.
 func TestOnlyOneSideOfPartitionScalesOut(t *testing.T) {
 	t.Parallel()
@@ -213,8 +213,8 @@
 }
 
 // The leader is killed in the middle of a scale-out or scale-in. Either the cloud executed a request
-// and its answer was lost, or an intent was recorded and the request could not be sent: the cloud is
-// down, or the answer of the key-value store was lost. The successor must leak no machine and
+// and its response was lost, or an intent was recorded and the request could not be sent: the cloud
+// is down, or the response of the key-value store was lost. The successor must leak no machine and
 // provision none twice.
 func TestLeaderKilledDuringScaling(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -13,7 +13,7 @@
 
 // Right after a job was accepted, has ended or was confirmed as cancelled, users poll all controllers
 // again and again within milliseconds, and repeat the submission. No controller may give an older
-// answer, whether it reads the store's changes or, where these are kept for too short a time, lists
+// response, whether it reads the store's changes or, where these are kept for too short a time, lists
 // all jobs page by page. That holds although some of what it reads is stale on arrival.
 func TestNoStaleAnswerAfterChange(t *testing.T) {
 	t.Parallel()
@@ -78,7 +78,7 @@
 }
 
 // A job is cancelled at a controller that is just looking up the job for a poll, while the key-value
-// store is slow. Once that controller has confirmed the cancellation, no answer that it sends later
+// store is slow. Once that controller has confirmed the cancellation, no response that it sends later
 // may say otherwise.
 func TestPollDuringCancellation(t *testing.T) {
 	t.Parallel()
@@ -101,7 +101,7 @@
 			node, path := k%sim.Settings.Size, "/v1/jobs/"+string(j.Spec.ID)
 			type pollAnswer struct {
 				sentAt, answeredAt time.Time
-				status             wire.Status // empty: no readable answer
+				status             wire.Status // empty: no readable response
 			}
 			polled := make(chan pollAnswer, 40)
 			for i := range 40 {
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/simulator"
 )
 
-// An outage of the key-value store that is longer than a worker's lease must lose no task while
+// An outage of the key-value store that is longer than an agent's lease must lose no task while
 // a majority of the controllers is connected.
 func TestServiceSurvivesStoreOutage(t *testing.T) {
 	t.Parallel()
@@ -112,7 +112,7 @@
 }
 
 // The key-value store refuses only the leader, which must give up its leadership. Its commands
-// to one worker are held up until after that and must not start a task twice.
+// to one agent are held up until after that and must not start a task twice.
 func TestStoreRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 4, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -125,7 +125,7 @@
 		if !ok {
 			t.Fatal("no machine is up")
 		}
-		// Commands from the leader to one worker are held up from now on.
+		// Commands from the leader to one agent are held up from now on.
 		sim.Net.HoldPackets(simulator.NodeIP(leader), machineIP, true)
 		sim.Submit(secondArray, 0)
 		sleepUntil(27 * time.Second)
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -175,7 +175,7 @@
 	})
 }
 
-// Undecodable messages reach each controller repeatedly: heartbeats of a worker, direct and
+// Undecodable messages reach each controller repeatedly: heartbeats of an agent, direct and
 // relayed, and heartbeats of a peer. Each kind is logged once for a sender. Leadership doesn't
 // change, and jobs run.
 func TestUndecodableMessages(t *testing.T) {
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Workers can't connect to any controller, while requests to them arrive. This affects one
+// Agents can't connect to any controller, while requests to them arrive. This affects one
 // machine, half of them, or most of a zone. The machines look alive, but their leases expire.
 // The work that this ends must be done elsewhere, and tasks of a cancelled job must be gone in
 // time.
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -202,8 +202,8 @@
 }
 
 // The leader is killed just before, during or after the transaction that switches the version.
-// The answer to the transaction is lost, or the transaction is executed late. The version must be
-// switched all the same, and all controllers must serve afterwards.
+// The response to the transaction is lost, or the transaction is executed late. The version must
+// be switched all the same, and all controllers must serve afterwards.
 func TestLeaderKilledDuringVersionSwitch(t *testing.T) {
 	t.Parallel()
 	for i, fault := range []simulator.TxnFault{
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -42,7 +42,7 @@
 }
 
 // One zone is partitioned: the one with most of the controllers, the one with one, or the one
-// with none, whose workers then reach no controller. The work that ran there must be done
+// with none, whose agents then reach no controller. The work that ran there must be done
 // elsewhere during the partition and never twice, wherever the leader was.
 func TestAnyZonePartitioned(t *testing.T) {
 	t.Parallel()
@@ -68,7 +68,7 @@
 }
 
 // Two zones can't reach each other for longer than a lease; both still reach the key-value
-// store. The workers of one reach no controller that reaches the leader, and the controller
+// store. The agents of one reach no controller that reaches the leader, and the controller
 // there acts as the leader's delegate. Running tasks must keep running. It must not matter in
 // which zone the leader is, and the leader must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
@@ -135,10 +135,10 @@
 	}
 }
 
-// A zone with workers and a controller is partitioned for longer than a lease. Jobs that may run
+// A zone with agents and a controller is partitioned for longer than a lease. Jobs that may run
 // only in that zone are cancelled just before the partition, early in it and late in it; one is
 // submitted and cancelled during it; others wait for its end. As the cloud is unavailable, only
-// the workers and the controller in that zone can stop the tasks there.
+// the agents and the controller in that zone can stop the tasks there.
 func TestSingleZoneJobsInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	for _, leaderInside := range []bool{false, true} {
--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -32,7 +32,7 @@
 	CancelOperation Operation = "cancel"
 )
 
-// BurstReaders are users who, whenever an answer brings a newer status of a job, poll all
+// BurstReaders are users who, whenever a response brings a newer status of a job, poll all
 // controllers every few milliseconds for a while, and repeat the submission among the polls.
 type BurstReaders struct {
 	sim    *Simulation
@@ -76,8 +76,8 @@
 	return knownStatus{j.accepted, j.finalStatus}, j.completion.statusChangedAt
 }
 
-// Ask sends one request about a job to the i-th controller and checks the answer. If the answer
-// brings a newer status, it starts a burst.
+// Ask sends one request about a job to the i-th controller and checks the response. If the
+// response brings a newer status, it starts a burst.
 func (b *BurstReaders) Ask(i int, op Operation, script JobScript) (int, wire.JobState) {
 	sim, id := b.sim, script.Spec.ID
 	method, path, body := "GET", jobsPath+"/"+string(id), any(nil)
@@ -130,7 +130,8 @@
 	return sent
 }
 
-// checkAnswer has the checker check an answer, and reports whether it told users a newer status.
+// checkAnswer has the checker check a response, and reports whether it told users a newer
+// status.
 func (b *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, reported wire.Status, retryAfter bool) bool {
 	sim, now := b.sim, time.Now()
 	sim.mu.Lock()
@@ -147,7 +148,7 @@
 	return current != previous
 }
 
-// countAnswer counts an answer by operation, status and when its request was sent: see Count.
+// countAnswer counts a response by operation, status and when its request was sent: see Count.
 func (b *BurstReaders) countAnswer(op Operation, sent sentRequest, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -160,7 +161,7 @@
 	}
 }
 
-// SendBurst sends a burst of polls to all controllers without waiting for the answers.
+// SendBurst sends a burst of polls to all controllers without waiting for the responses.
 // Every fourth request repeats the submission instead.
 func (b *BurstReaders) SendBurst(script JobScript) {
 	if b.BurstLength == 0 {
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -35,7 +35,7 @@
 	HalfRun Rule = "half_run"
 )
 
-// MissingRetryAfter is broken by an answer 429 or 503 to BurstReaders without a Retry-After
+// MissingRetryAfter is broken by a response 429 or 503 to BurstReaders without a Retry-After
 // header.
 const MissingRetryAfter Rule = "no_retry_after"
 
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// SubmissionAnswered checks the answer to a submission that was sent at sentAt.
+// SubmissionAnswered checks the response to a submission that was sent at sentAt.
 func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, sentAt, now time.Time) {
 	var sent, got wire.JobSummary
 	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// CancelAnswered checks the answer to a cancellation that was sent at sentAt.
+// CancelAnswered checks the response to a cancellation that was sent at sentAt.
 func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -98,12 +98,12 @@
 	}
 }
 
-// PollAnsweredNow checks the answer to a poll that was sent now; status 0 means no answer.
+// PollAnsweredNow checks the response to a poll that was sent now; status 0 means no response.
 func (c *Checker) PollAnsweredNow(id wire.JobID, status int, st wire.Status, now time.Time) {
 	c.PollAnswered(id, status, st, now, now)
 }
 
-// PollAnswered checks the answer to a poll that was sent at sentAt; status 0 means no answer.
+// PollAnswered checks the response to a poll that was sent at sentAt; status 0 means no response.
 func (c *Checker) PollAnswered(id wire.JobID, status int, st wire.Status, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -133,7 +133,7 @@
 // the final status.
 const doneReportedWithin = 3 * time.Second
 
-// pollSucceeded checks the status in the answer to a poll.
+// pollSucceeded checks the status in the response to a poll.
 func (c *Checker) pollSucceeded(id wire.JobID, j *jobHistory, st wire.Status, sentAt, now time.Time) {
 	c.lastAnswered = now
 	j.unansweredSince = time.Time{}
@@ -171,13 +171,13 @@
 	}
 }
 
-// StatusToldNow checks a status that an answer to a request sent now reports to a user.
+// StatusToldNow checks a status that a response to a request sent now reports to a user.
 func (c *Checker) StatusToldNow(id wire.JobID, st wire.Status, now time.Time) {
 	c.StatusTold(id, st, now, now)
 }
 
 // StatusTold checks a status that a user was told in answer to a request that was sent at
-// sentAt. An answer to a request that was sent before a final status was reported may be
+// sentAt. A response to a request that was sent before a final status was reported may be
 // older and not final. Two different final statuses are a violation in any order.
 func (c *Checker) StatusTold(id wire.JobID, st wire.Status, sentAt, now time.Time) {
 	c.observeTime(now)
@@ -230,7 +230,7 @@
 	return "new"
 }
 
-// checkBurstAnswer checks an answer to BurstReaders against what users had been told when the
+// checkBurstAnswer checks a response to BurstReaders against what users had been told when the
 // request was sent. Answers to concurrent requests may come in any order, but a job has one final
 // status.
 func (c *Checker) checkBurstAnswer(id wire.JobID, before knownStatus, op Operation, status int, st wire.Status, now time.Time) {
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -128,7 +128,7 @@
 	return [...]string{"nothing", "accepted", "final"}[t]
 }
 
-// KnownStatusOf returns how much an answer to a poll tells, false if the poll was not
+// KnownStatusOf returns how much a response to a poll tells, false if the poll was not
 // answered.
 func KnownStatusOf(httpStatus int, status wire.Status) (KnownStatus, bool) {
 	switch {
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -34,8 +34,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// SubmissionSent records a submission, whose body may be malformed, and checks its answer;
-// status 0 means no answer yet.
+// SubmissionSent records a submission, whose body may be malformed, and checks its response;
+// status 0 means no response yet.
 func (c *Checker) SubmissionSent(raw []byte, status int, now time.Time) {
 	var fields map[string]any
 	undecodable := wire.Decode(raw, &fields) != nil
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -23,7 +23,7 @@
 // encodedSubmission returns the body of a request to submit a job.
 func encodedSubmission(s wire.JobSpec) []byte { return wire.Encode(Submission(s)) }
 
-// encodedSummary returns the body of an answer about a job.
+// encodedSummary returns the body of a response about a job.
 func encodedSummary(id wire.JobID, st wire.Status) []byte {
 	return wire.Encode(wire.JobSummary{ID: id, Status: st})
 }
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -76,8 +76,8 @@
 		}
 		startedMore := len(taskZones) > j.waits.onMachines
 		j.waits.onMachines = len(taskZones)
-		// The report of a completion can be lost together with its machine. Users are then
-		// told that the job is not over, and the task waits to be started again.
+		// The heartbeat that reports a completion can be lost together with its machine. Users
+		// are then told that the job is not over, and the task waits to be started again.
 		resultsLost := len(taskZones) == 0 && !j.notDoneToldAt.IsZero() && now.Sub(j.notDoneToldAt) < 15*time.Second
 		allPlaced := placedOrDone >= j.spec.Tasks && !resultsLost
 		if j.spec.IsGang() && (len(taskZones) > 0 || !gangFits(machines, &j.spec, j.waits.failed)) {
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -13,14 +13,14 @@
 	sim.mu.Unlock()
 }
 
-// LoseScaleInResponses makes the next n scale-in requests take effect without an answer.
+// LoseScaleInResponses makes the next n scale-in requests take effect without a response.
 func (sim *Simulation) LoseScaleInResponses(n int) {
 	sim.mu.Lock()
 	sim.loseScaleInAnswers = n
 	sim.mu.Unlock()
 }
 
-// LoseScaleOutResponses makes the next n scale-out requests take effect without an answer.
+// LoseScaleOutResponses makes the next n scale-out requests take effect without a response.
 func (sim *Simulation) LoseScaleOutResponses(n int) {
 	sim.mu.Lock()
 	sim.loseScaleOutAnswers = n
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -12,7 +12,7 @@
 // commands them.
 type CommandDelay struct {
 	Command           time.Duration // of a direct command
-	Answer            time.Duration // of the answer to a direct command
+	Answer            time.Duration // of the response to a direct command
 	HeartbeatResponse time.Duration // of the response to a heartbeat
 }
 
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -38,7 +38,7 @@
 	s.mu.Unlock()
 }
 
-// LoseResponses makes the next n transactions take effect without an answer.
+// LoseResponses makes the next n transactions take effect without a response.
 func (s *KVStore) LoseResponses(n int) {
 	s.mu.Lock()
 	s.answersToLose = n
@@ -52,7 +52,7 @@
 	s.mu.Unlock()
 }
 
-// DelayWatches delays the answers to blocking watches, as the real service does at times.
+// DelayWatches delays the responses to blocking watches, as the real service does at times.
 func (s *KVStore) DelayWatches(d time.Duration) {
 	s.mu.Lock()
 	s.watchDelay = d
@@ -140,7 +140,7 @@
 }
 
 // injectFault returns false if no fault applies to the transaction. Otherwise it executes the
-// transaction as the fault says, and aborts the request without an answer.
+// transaction as the fault says, and aborts the request without a response.
 func (s *KVStore) injectFault(r *http.Request, t *wire.Txn) bool {
 	from := hostOf(r.RemoteAddr)
 	outcome := &TxnOutcome{Client: from, Keys: keysOf(t), Sent: time.Now()}
@@ -197,7 +197,7 @@
 	return out
 }
 
-// DelayAnswers delays every answer to a host, "" for all hosts, after the request has been
+// DelayAnswers delays every response to a host, "" for all hosts, after the request has been
 // executed.
 func (s *KVStore) DelayAnswers(host string, delay time.Duration) {
 	s.mu.Lock()
@@ -208,7 +208,8 @@
 	s.txnFaults.answerDelay[host] = delay
 }
 
-// delayed returns a writer that delays the answer if answers to the client are delayed, else w.
+// delayed returns a writer that delays the response if responses to the client are delayed, else
+// w.
 func (s *KVStore) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,7 +220,7 @@
 	return &slowWriter{ResponseWriter: w, delay: delay}
 }
 
-// slowWriter delays an answer.
+// slowWriter delays a response.
 type slowWriter struct {
 	http.ResponseWriter
 	delay time.Duration
@@ -261,7 +262,7 @@
 }
 
 // UnansweredWrites counts the keys with a prefix that a host has changed and whose transactions
-// are not answered yet because answers are delayed.
+// are not answered yet because responses are delayed.
 func (s *KVStore) UnansweredWrites(host, prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -122,7 +122,7 @@
 	s.limits.mu.Unlock()
 }
 
-// DelayLists delays each answer that lists keys or changes by what f returns, after its content
+// DelayLists delays each response that lists keys or changes by what f returns, after its content
 // was read: the content is that old when it arrives.
 func (s *KVStore) DelayLists(f func() time.Duration) {
 	s.limits.mu.Lock()
@@ -180,7 +180,7 @@
 	}
 }
 
-// delayList waits for the delay of an answer that lists keys or changes.
+// delayList waits for the delay of a response that lists keys or changes.
 func (l *stateLimits) delayList() {
 	l.mu.Lock()
 	f := l.listDelay
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -32,7 +32,7 @@
 	// oversizeRefusals counts the transactions that were refused as malformed or over a limit.
 	oversizeRefusals int
 	limits           stateLimits
-	watchDelay       time.Duration // extra delay of the answers to blocking watches
+	watchDelay       time.Duration // extra delay of the responses to blocking watches
 	discardedUpTo    wire.Revision // the revision of the newest change that was discarded
 }
 
@@ -193,7 +193,7 @@
 	s.notify()
 }
 
-// missingKey is the answer to a read of a key that does not exist, with the store's revision.
+// missingKey is the response to a read of a key that does not exist, with the store's revision.
 type missingKey struct {
 	Revision wire.Revision `cbor:"ledger"`
 }
@@ -343,7 +343,7 @@
 	wire.WriteResponse(w, http.StatusOK, page)
 }
 
-// txn executes a transaction and answers, unless the request or the answer is to be lost.
+// txn executes a transaction and answers, unless the request or the response is to be lost.
 func (s *KVStore) txn(w http.ResponseWriter, from string, t *wire.Txn) {
 	s.mu.Lock()
 	if s.requestsToDrop > 0 {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -39,7 +39,7 @@
 	return fields
 }
 
-// Ask sends one request to a controller; status 0 means no answer. The timeout is 2 s for a
+// Ask sends one request to a controller; status 0 means no response. The timeout is 2 s for a
 // poll and 5 s for any other request.
 func Ask(ctx context.Context, nw netio.Network, method, url string, body any) (int, []byte, http.Header) {
 	transport := nw.Transport(1, 1)
@@ -58,7 +58,7 @@
 }
 
 // Ask sends one request as a user to the i-th controller. The checker observes the request and
-// checks the answer.
+// checks the response.
 func (sim *Simulation) Ask(i int, method, path string, body any) (int, []byte, http.Header) {
 	sentAt := time.Now()
 	rest := strings.TrimPrefix(path, jobsPath)
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -25,7 +25,7 @@
 // ActiveAttempt is an attempt to run a task that may be on a machine.
 type ActiveAttempt struct {
 	_       struct{} `cbor:",toarray"`
-	Task    int      // index within the chunk or subchunk
+	Task    int      // index within the chunk or sub-chunk
 	Attempt wire.AttemptNumber
 	Machine wire.MachineID
 }
@@ -38,8 +38,8 @@
 	Done []int `cbor:"d"`
 	// Active lists the attempts that may be on a machine.
 	Active []ActiveAttempt `cbor:"r"`
-	// SubchunkTasks is the number of tasks in each subchunk of a chunk. It is set in the
-	// records of subchunks only.
+	// SubchunkTasks is the number of tasks in each sub-chunk of a chunk. It is set in the
+	// records of sub-chunks only.
 	SubchunkTasks int `cbor:"s,omitempty"`
 }
 
--- a/internal/store/count.go
+++ b/internal/store/count.go
@@ -2,16 +2,16 @@
 
 import "lilaclead/internal/wire"
 
-// taskSpan is the range [from, to) of tasks in a chunk that belong to a subchunk.
+// taskSpan is the range [from, to) of tasks in a chunk that belong to a sub-chunk.
 type taskSpan struct{ from, to int }
 
 func (s taskSpan) contains(task int) bool { return task >= s.from && task < s.to }
 
 // CountTasks counts the tasks of a job that are done and those that may be on machines. The
-// entries are all chunks and subchunks of the job; those that can't be decoded are ignored.
+// entries are all chunks and sub-chunks of the job; those that can't be decoded are ignored.
 func CountTasks(entries []wire.Entry) (done, active int) {
 	records := make([]ChunkRecord, len(entries))
-	superseded := map[int][]taskSpan{} // by chunk: the tasks for which a subchunk counts instead
+	superseded := map[int][]taskSpan{} // by chunk: the tasks for which a sub-chunk counts instead
 	for i, entry := range entries {
 		if wire.Decode(entry.Value, &records[i]) != nil {
 			records[i] = ChunkRecord{}
--- a/internal/store/count_test.go
+++ b/internal/store/count_test.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/wire"
 )
 
-// A task must be counted by its subchunk if there is one, and by its chunk otherwise. The
+// A task must be counted by its sub-chunk if there is one, and by its chunk otherwise. The
 // model is a list of the tasks' states.
 func TestCountTasksPrefersSubchunks(t *testing.T) {
 	const chunkTasks, subchunkTasks = 64, 16
@@ -38,7 +38,7 @@
 				entries = append(entries, entry(SubchunkKey("req-1", 0, subchunk), subchunkStates, subchunkTasks))
 			}
 		}
-		unsplit := states("other chunk", chunkTasks) // a chunk without subchunks
+		unsplit := states("other chunk", chunkTasks) // a chunk without sub-chunks
 		entries = append(entries, entry(ChunkKey("req-1", 1), unsplit, 0), wire.Entry{Key: ChunkKey("req-1", 2), Value: wire.RawValue{0xff}})
 		wantDone, wantActive := 0, 0
 		for _, state := range append(effective, unsplit...) {
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -17,7 +17,7 @@
 const (
 	// JobPrefix is the prefix of the keys of live jobs.
 	JobPrefix = "job/"
-	// ProgressPrefix is the prefix of the keys of the chunks and subchunks of jobs.
+	// ProgressPrefix is the prefix of the keys of the chunks and sub-chunks of jobs.
 	ProgressPrefix = "run/"
 	// finalPrefix is the prefix of the keys of jobs that have ended.
 	finalPrefix = "past/"
@@ -51,15 +51,15 @@
 	return id, chunk, hasNumber && isNumber && id.Valid()
 }
 
-// SubchunkKey returns the key of a subchunk: a section of a chunk that has become too large
-// to be written again. The chunk's record stays as it is; for the tasks of a subchunk that
+// SubchunkKey returns the key of a sub-chunk: a section of a chunk that has become too large
+// to be written again. The chunk's record stays as it is; for the tasks of a sub-chunk that
 // has a record, that record counts instead. So each section is written by itself, in one
 // transaction.
 func SubchunkKey(id wire.JobID, chunk, subchunk int) string {
 	return ChunkKey(id, chunk) + "/" + strconv.Itoa(subchunk)
 }
 
-// ParseSubchunkKey returns the job, the chunk and the subchunk of a key that SubchunkKey
+// ParseSubchunkKey returns the job, the chunk and the sub-chunk of a key that SubchunkKey
 // returns; ok reports whether the key is of that form.
 func ParseSubchunkKey(key string) (id wire.JobID, chunk, subchunk int, ok bool) {
 	lastSlash := strings.LastIndexByte(key, '/')
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire holds the types that cross a boundary: what users, workers, the cloud, the
+// Package wire holds the types that cross a boundary: what users, agents, the cloud, the
 // key-value store and the other nodes send and receive, together with the small types for
 // ids, versions and times that the rest of the program uses.
 //
@@ -13,7 +13,7 @@
 //	            apart spread             standby spot allowed     dueS deadline
 //	            expectedS expected run time                       snapshotS checkpoint time
 //	            snapshotEveryS checkpoint interval
-//	workers     host machine             kit machine type         site zone
+//	agents      host machine             kit machine type         site zone
 //	            standby spot             shift agent epoch        tally sequence
 //	            baton fencing token      parts, part task(s)      try attempt
 //	            warningS spot notice     orders commands          windDownS grace period
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// MaxBodyBytes is the largest body of a request, and of a response to a user or a worker, in
+// MaxBodyBytes is the largest body of a request, and of a response to a user or an agent, in
 // bytes.
 const MaxBodyBytes = 64 << 10
 
--- a/internal/wire/ids.go
+++ b/internal/wire/ids.go
@@ -17,7 +17,7 @@
 	MachineType string
 	// ImageID names the image from which a task is run.
 	ImageID string
-	// FencingToken decides whose commands a worker obeys: only those with the highest token
+	// FencingToken decides whose commands an agent obeys: only those with the highest token
 	// that it has seen.
 	FencingToken uint64
 	// Revision numbers the changes of the key-value store.
@@ -26,9 +26,9 @@
 	GrantID uint64
 	// AttemptNumber numbers the starts of a task; a number is never used twice.
 	AttemptNumber uint64
-	// AgentEpoch starts at 1 and increases whenever a worker's lease ends.
+	// AgentEpoch starts at 1 and increases whenever an agent's lease ends.
 	AgentEpoch uint64
-	// Sequence orders the messages of a worker within an agent epoch.
+	// Sequence orders the messages of an agent within an agent epoch.
 	Sequence uint64
 )
 
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -3,7 +3,7 @@
 // TaskPhase is the state of a task on its machine.
 type TaskPhase string
 
-// The phases in the heartbeats of workers.
+// The phases in the heartbeats of agents.
 const (
 	PhaseFetching      TaskPhase = "pulling" // fetches its image
 	PhaseRunning       TaskPhase = "running"
@@ -15,7 +15,7 @@
 // ExitCause says why a task ended.
 type ExitCause string
 
-// The causes in the heartbeats of workers.
+// The causes in the heartbeats of agents.
 const (
 	CauseDone    ExitCause = "done"
 	CauseStopped ExitCause = "stopped"
@@ -39,7 +39,7 @@
 	CheckpointSaved bool          `cbor:"saved,omitempty"`
 }
 
-// Heartbeat is the heartbeat of a worker, with its status and that of its tasks.
+// Heartbeat is the heartbeat of an agent, with its status and that of its tasks.
 type Heartbeat struct {
 	Machine    MachineID    `cbor:"host"`
 	Addr       string       `cbor:"addr"`
@@ -53,13 +53,13 @@
 	Tasks      []TaskStatus `cbor:"parts"`
 }
 
-// IsNewerThan reports whether the heartbeat was made after the worker's heartbeat with the
+// IsNewerThan reports whether the heartbeat was made after the agent's heartbeat with the
 // given epoch and sequence number.
 func (h *Heartbeat) IsNewerThan(epoch AgentEpoch, sequence Sequence) bool {
 	return h.Epoch > epoch || h.Epoch == epoch && h.Sequence > sequence
 }
 
-// Verb says what a command tells a worker to do.
+// Verb says what a command tells an agent to do.
 type Verb string
 
 // The verbs of commands.
@@ -69,7 +69,7 @@
 	VerbForget Verb = "forget"
 )
 
-// Command is one command to a worker, about one attempt of a task.
+// Command is one command to an agent, about one attempt of a task.
 type Command struct {
 	Verb        Verb          `cbor:"verb"`
 	Task        string        `cbor:"part"`
@@ -77,7 +77,7 @@
 	GracePeriod *Seconds      `cbor:"windDownS,omitempty"`
 }
 
-// Commands is the response to a heartbeat, then without an epoch, or is sent to a worker
+// Commands is the response to a heartbeat, then without an epoch, or is sent to an agent
 // directly.
 type Commands struct {
 	Token    FencingToken `cbor:"baton"`
@@ -85,7 +85,7 @@
 	Commands []Command    `cbor:"orders"`
 }
 
-// Redirect is a response to a heartbeat that refers the worker to the leader.
+// Redirect is a response to a heartbeat that refers the agent to the leader.
 type Redirect struct {
 	Leader NodeID `cbor:"reportsTo,omitempty"`
 }
--- a/listener.go
+++ b/listener.go
@@ -27,8 +27,8 @@
 
 // boundedListener limits the number of open connections of a listener. Without this, the
 // process would reach the platform's limit, and accepting connections would fail, also for
-// health checks and workers. At the limit, the connection that has been idle longest is
-// evicted, users' connections before workers'. If none is idle, Accept waits.
+// health checks and agents. At the limit, the connection that has been idle longest is
+// evicted, users' connections before agents'. If none is idle, Accept waits.
 type boundedListener struct {
 	net.Listener
 	limit int
--- a/listener_test.go
+++ b/listener_test.go
@@ -81,7 +81,7 @@
 }
 
 // At the limit, the connection that has been idle longest is closed, users' connections before
-// workers'. If none is idle, the next connection waits, and Accept doesn't spin.
+// agents'. If none is idle, the next connection waits, and Accept doesn't spin.
 func TestIdleConnectionsAreEvictedAtLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 4
--- a/machinetypes.go
+++ b/machinetypes.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// errNoMachineTypes reports that the state service's record of the machine types is empty.
+// errNoMachineTypes reports that the key-value store's record of the machine types is empty.
 var errNoMachineTypes = errors.New("no machine types stored")
 
-// load returns the machine types that an earlier leader stored in the state service. If that
+// load returns the machine types that an earlier leader stored in the key-value store. If that
 // record is missing or can't be decoded, it asks the cloud for the types.
 func (l machineTypeLoader) load(ctx context.Context) ([]wire.MachineSpec, error) {
 	types, err := l.loadStored(ctx)
@@ -53,7 +53,7 @@
 	return types, err
 }
 
-// loadStored returns the machine types that are stored in the state service. It returns
+// loadStored returns the machine types that are stored in the key-value store. It returns
 // ErrNotFound also for a record that can't be decoded.
 func (l machineTypeLoader) loadStored(ctx context.Context) ([]wire.MachineSpec, error) {
 	entry, err := l.store.Get(ctx, store.ClassBackground, store.MachineSpecsKey)
--- a/node_test.go
+++ b/node_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// runNode runs a node and a state service with the given records in virtual time, until the
+// runNode runs a node and a key-value store with the given records in virtual time, until the
 // script returns. The script may send requests to the node.
 func runNode(t *testing.T, records map[string]any, features Features, script func(t *testing.T, n *Node, network *simulator.Network)) {
 	t.Helper()
--- a/readiness.go
+++ b/readiness.go
@@ -19,7 +19,7 @@
 )
 
 // serveReady answers the load balancer's health check. It fails if the version check forbids
-// this node to serve users. It also fails if this node can't reach the state service while
+// this node to serve users. It also fails if this node can't reach the key-value store while
 // another node can, or might: a node that is in contact with no other can't tell. In an outage
 // that all nodes share, every node stays ready and refuses requests at once.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -49,7 +49,7 @@
 }
 
 // reasonWithoutState returns why users should use other nodes than this one, which can't reach
-// the state service. It returns "" if no node that is in contact reaches the state service
+// the key-value store. It returns "" if no node that is in contact reaches the key-value store
 // either.
 func reasonWithoutState(peers map[wire.NodeID]peer.Peer, now time.Time) string {
 	isolated := true
@@ -68,8 +68,9 @@
 	return ""
 }
 
-// excusedByOutage reports whether a node refuses users only because it can't reach the state
-// service, through which versions are negotiated. Then all nodes may be in the same outage.
+// excusedByOutage reports whether a node refuses users only because it can't reach the
+// key-value store, through which versions are negotiated. Then all nodes may be in the same
+// outage.
 func excusedByOutage(refusal error, stateReachable bool) bool {
 	waitsForState := errors.Is(refusal, upgrade.ErrNotPublished) || errors.Is(refusal, upgrade.ErrActiveUnknown)
 	return waitsForState && !stateReachable
--- a/routes.go
+++ b/routes.go
@@ -8,10 +8,10 @@
 	"lilaclead/internal/wire"
 )
 
-// heartbeatPath is the endpoint for workers' heartbeats.
+// heartbeatPath is the endpoint for agents' heartbeats.
 const heartbeatPath = "/hello"
 
-// userRoutes returns the handler for users, workers and the load balancer.
+// userRoutes returns the handler for users, agents and the load balancer.
 func (n *Node) userRoutes() http.Handler {
 	users := newRouter()
 	n.intake.Routes(users)
--- a/run.go
+++ b/run.go
@@ -58,7 +58,7 @@
 	return err
 }
 
-// listen binds the address for users and workers, and that for the other nodes and operators.
+// listen binds the address for users and agents, and that for the other nodes and operators.
 func (n *Node) listen() (users, peers net.Listener, err error) {
 	users, err = n.listenOn("front", n.cfg.UserAddr)
 	if err != nil {
--- a/servers.go
+++ b/servers.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Timeouts and size limits of the servers for users, workers and peers.
+// Timeouts and size limits of the servers for users, agents and peers.
 const (
 	headerTimeout   = 4 * time.Second
 	requestTimeout  = 8 * time.Second
 	responseTimeout = 10 * time.Second
-	// idleTimeout is longer than the longest pause between two heartbeats of a worker, so
+	// idleTimeout is longer than the longest pause between two heartbeats of an agent, so
 	// that its connection stays open in between.
 	idleTimeout     = 75 * time.Second
 	peerIdleTimeout = 60 * time.Second
 	maxHeaderBytes  = 16 << 10
 )
 
-// userServer serves users and workers on the bounded listener.
+// userServer serves users and agents on the bounded listener.
 func (n *Node) userServer(listener *boundedListener) *http.Server {
 	return &http.Server{
 		Handler:           listener.classify(n.userRoutes()),
--- a/sockets.go
+++ b/sockets.go
@@ -9,16 +9,16 @@
 
 // socketBudget says how a process's limit on sockets is split among their uses.
 type socketBudget struct {
-	accepted int // connections from workers, users and health checks
-	direct   int // connections to workers, for commands
-	internal int // to the state service, the cloud and the other controllers, and a reserve
+	accepted int // connections from agents, users and health checks
+	direct   int // connections to agents, for commands
+	internal int // to the key-value store, the cloud and the other controllers, and a reserve
 	// memoryNeededMB is the least memory_mb with which all sockets of fd_limit can be used.
 	memoryNeededMB float64
 }
 
 const (
 	// usersShare is the fraction of the accepted connections that is left for users and
-	// health checks. The number of workers is computed without it.
+	// health checks. The number of agents is computed without it.
 	usersShare = 0.1
 	// baseMB is the memory of a process without connections. connectionMB is that of each
 	// connection and of the state of the machine behind it. At 1.5 times the largest
@@ -38,10 +38,10 @@
 	minAccepted = 16
 	minDirect   = 16
 	// directDivisor gives commands a sixth of the sockets that remain after the internal
-	// ones. The commands to all workers share these sockets.
+	// ones. The commands to all agents share these sockets.
 	directDivisor = 6
 
-	// Internal sockets: for the state service and the cloud; for every other controller
+	// Internal sockets: for the key-value store and the cloud; for every other controller
 	// a stream in each direction, and as many again while the streams are reopened; for
 	// both listeners; and a reserve for sockets that are being closed.
 	stateSockets    = 16
@@ -54,7 +54,7 @@
 )
 
 // splitSockets splits the limit of a node in a deployment of so many nodes. A single node may
-// have to serve every worker. Each worker holds one accepted connection, and commands need a
+// have to serve every agent. Each agent holds one accepted connection, and commands need a
 // few more at a time.
 func splitSockets(limits config.ProcessLimits, nodes int) socketBudget {
 	limit := max(minSockets, min(limits.FDLimit, connectionsInMemory(limits.MemoryMB)))
@@ -73,18 +73,18 @@
 	return int(min(maxConnectionsByMemory, (memoryMB*memoryShare-baseMB)/connectionMB))
 }
 
-// internalSockets returns how many sockets a node needs besides those of workers and users.
+// internalSockets returns how many sockets a node needs besides those of agents and users.
 func internalSockets(nodes int) int {
 	return stateSockets + cloudSockets + socketsPerPeer*(nodes-1) + listenerSockets + spareSockets
 }
 
-// maxWorkers returns how many workers a single node can serve.
+// maxWorkers returns how many agents a single node can serve.
 func (b socketBudget) maxWorkers() int { return int(float64(b.accepted) * (1 - usersShare)) }
 
 // searchDivisor sets the precision of socketsNeeded, which raises the limit in steps of 2%.
 const searchDivisor = 50
 
-// socketsNeeded returns the fd_limit with which a single node can serve so many workers, if it
+// socketsNeeded returns the fd_limit with which a single node can serve so many agents, if it
 // has the memory. The result is accurate to 2%.
 func socketsNeeded(workers int, limits config.ProcessLimits, nodes int) int {
 	limits.MemoryMB = math.Inf(1)
--- a/sockets_test.go
+++ b/sockets_test.go
@@ -6,8 +6,8 @@
 	"lilaclead/internal/config"
 )
 
-// The split stays within the limit and leaves sockets for the workers that a deployment with
-// that limit may have. For more workers than that, socketsNeeded returns a higher limit. A memory
+// The split stays within the limit and leaves sockets for the agents that a deployment with
+// that limit may have. For more agents than that, socketsNeeded returns a higher limit. A memory
 // limit that is too small for the limit on sockets shows in memoryNeededMB.
 func TestSocketLimitIsSplit(t *testing.T) {
 	for _, c := range []struct {
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// CheckSupport returns why this process must not even acknowledge requests of workers and of
+// CheckSupport returns why this process must not even acknowledge requests of agents and of
 // other controllers; nil once it knows the active version and supports it.
 func (m *Member) CheckSupport() error {
 	active := m.ActiveVersion()
--- a/versions.go
+++ b/versions.go
@@ -31,7 +31,7 @@
 // observeActive notes that another controller has reported the version as active.
 func (g versionGate) observeActive(version uint64) { g.member.ObserveActive(upgrade.Version(version)) }
 
-// checkSupport returns why this node must not even acknowledge workers and peers, or nil if it
+// checkSupport returns why this node must not even acknowledge agents and peers, or nil if it
 // may.
 func (g versionGate) checkSupport() error {
 	if !g.negotiated() {
