--- a/internal/admin/view.go
+++ b/internal/admin/view.go
@@ -19,7 +19,7 @@
 	Leads  bool              `cbor:"leads"`
 	// StoreReachable reports whether the node can reach the key-value store.
 	StoreReachable bool `cbor:"serves"`
-	// Term is the state of the cluster as the leader knows it; nil unless this node leads.
+	// Cluster is the state of the cluster as the leader knows it; nil unless this node leads.
 	Cluster *leader.View `cbor:"term,omitempty"`
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -113,7 +113,7 @@
 	})
 }
 
-// List reads the machine list page by page. If a page fails, it returns no machines.
+// ListMachines reads the machine list page by page. If a page fails, it returns no machines.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	for {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -14,7 +14,7 @@
 	Zone  wire.Zone
 	Spot  bool
 	Total placement.Resources
-	// Price is the current price of one machine per hour.
+	// PricePerHour is the current price of one machine per hour.
 	PricePerHour float64
 	// FetchGBPerSecond is the rate at which such a machine fetches images, in GB per second.
 	// With 0, only jobs without an image can run there.
@@ -40,7 +40,7 @@
 	// PrepaidSeconds is how long the machine is still paid for even if it is returned now. It is
 	// 0 or negative once that time is over.
 	PrepaidSeconds float64
-	// Price is the price per hour.
+	// PricePerHour is the price per hour.
 	PricePerHour float64
 	// ServiceTasks is the number of service tasks on the machine.
 	ServiceTasks int
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -20,8 +20,8 @@
 	CommandDelivery
 	MachineFailures
 
-	// Tasks are the attempts that may be on the machine, and usedResources is what they use.
-	// Chunk.AddAttempt and Attempt.Detach update both.
+	// Attempts are the attempts that may be on the machine, and usedResources is what they
+	// use. Chunk.AddAttempt and Attempt.Detach update both.
 	Attempts      map[wire.TaskID]*Attempt
 	usedResources placement.Resources
 	// OrphanTasks are the tasks that its last heartbeat lists with an attempt that this term
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -27,9 +27,9 @@
 	// leaderLostAfter is the time without contact to the leader after which a node may act as
 	// its delegate.
 	leaderLostAfter = 2 * peer.AckLifetime
-	// workerTimePerNode is the time that an agent spends on one node before it tries the next:
+	// agentTimePerNode is the time that an agent spends on one node before it tries the next:
 	// a request timeout of 4 s, and a pause of 1 s.
-	workerTimePerNode = 5 * time.Second
+	agentTimePerNode = 5 * time.Second
 	// minRedirectCapacity bounds from below the number of agents whose redirects are
 	// remembered.
 	minRedirectCapacity = 1000
@@ -169,7 +169,7 @@
 		clear(d.redirectedAt)
 	}
 	d.redirectedAt[id] = now
-	timeForAllNodes := time.Duration(d.Nodes) * workerTimePerNode
+	timeForAllNodes := time.Duration(d.Nodes) * agentTimePerNode
 	return ok && now.Sub(redirectedAt) < timeForAllNodes
 }
 
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -75,7 +75,7 @@
 	leaseLost := renewInBackground(ctx, first)
 	elected, other := make(chan *Lease, 1), newProcess(1)
 	go func() { elected <- other.Campaign(ctx) }()
-	state.DelayAnswers(simulator.NodeIP(0), answerDelay)
+	state.DelayResponses(simulator.NodeIP(0), answerDelay)
 	time.Sleep(10 * time.Second)
 	if !first.Deciding() || len(elected) > 0 {
 		t.Errorf("answers %v late: deciding %v, successor elected %v, want true, false", answerDelay, first.Deciding(), len(elected) > 0)
--- a/internal/leader/liveness/doc.go
+++ b/internal/leader/liveness/doc.go
@@ -26,7 +26,7 @@
 //
 //   - this leader, at its last response;
 //   - an earlier leader, until the machine showed a token of this term; if it never did, until
-//     Monitor.EarlierLeaderRepliesUntil;
+//     Monitor.EarlierLeaderAnswersUntil;
 //   - a delegate of either, until cluster.State.DelegatesRenewedUntil.
 //
 // A new epoch of the agent has a full lease even if none of its heartbeats was answered, as a
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -56,12 +56,12 @@
 	lastRenewal = cluster.LaterOf(lastRenewal, machine.EpochSince)
 	lastRenewal = cluster.LaterOf(lastRenewal, mo.State.DelegatesRenewedUntil)
 	if machine.Token < mo.State.FirstToken {
-		lastRenewal = cluster.LaterOf(lastRenewal, mo.EarlierLeaderRepliesUntil())
+		lastRenewal = cluster.LaterOf(lastRenewal, mo.EarlierLeaderAnswersUntil())
 	}
 	return lastRenewal
 }
 
-// EarlierLeaderRepliesUntil returns until when an earlier leader can have answered a machine
+// EarlierLeaderAnswersUntil returns until when an earlier leader can have answered a machine
 // that has not seen a token of this term. The bound is peer.AckLifetime after a quorum
 // acknowledged this term's token, and peer.OutageLimit after the term began at the latest.
 //
@@ -71,7 +71,7 @@
 // like any leader that lacks acknowledgements (see election.Lease.RecordAcks). Without the
 // shorter bound, when the zone that holds most controllers is cut off and no quorum is left, the
 // tasks there count as running for all of peer.OutageLimit.
-func (mo *Monitor) EarlierLeaderRepliesUntil() time.Time {
+func (mo *Monitor) EarlierLeaderAnswersUntil() time.Time {
 	until := mo.State.TermStartedAt.Add(peer.OutageLimit)
 	if mo.State.Delegation.MaxDelegationTime > 0 {
 		emptyAcksValidFor := emptyAckLifetimes*peer.AckLifetime + earlierLeaderMargin
--- a/internal/leader/liveness/lease_expiry_test.go
+++ b/internal/leader/liveness/lease_expiry_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestEarlierLeaderRepliesUntil(t *testing.T) {
+func TestEarlierLeaderAnswersUntil(t *testing.T) {
 	cases := []struct {
 		// Times are counted from the start of the term.
 		name              string
@@ -117,7 +117,7 @@
 			if tc.quorumAcked > 0 {
 				f.State.QuorumAckedAt = f.State.TermStartedAt.Add(tc.quorumAcked)
 			}
-			if got := f.EarlierLeaderRepliesUntil().Sub(f.State.TermStartedAt); got != tc.want {
+			if got := f.EarlierLeaderAnswersUntil().Sub(f.State.TermStartedAt); got != tc.want {
 				t.Errorf("delegation for up to %v, acknowledged after %v: got %v, want %v", tc.maxDelegationTime, tc.quorumAcked, got, tc.want)
 			}
 		})
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -140,7 +140,7 @@
 			if c.ackedAfter > 0 {
 				tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(c.ackedAfter)
 			}
-			until := tm.monitor.EarlierLeaderRepliesUntil()
+			until := tm.monitor.EarlierLeaderAnswersUntil()
 			if got := until.Sub(tm.state.TermStartedAt).Round(time.Second); got != c.want {
 				t.Errorf("an earlier leader may reply for %v of the term, want %v", got, c.want)
 			}
--- a/internal/leader/scheduling/valuation/valuation.go
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -96,7 +96,7 @@
 	return demand.SlackSeconds(TimingOf(job, now), v.state.Settings.Objectives)
 }
 
-// WorkOf returns a job in the form that the rules of package demand take.
+// TimingOf returns a job in the form that the rules of package demand take.
 func TimingOf(job *cluster.Job, now time.Time) demand.JobTiming {
 	return demand.JobTiming{
 		Class:              job.Spec.Class,
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -140,7 +140,7 @@
 		}
 		record.Status = wire.StatusCancelled
 		st.Put(store.JobKey("req-2"), record) // not yet known to the leader
-		st.DelayAnswers("", 300*time.Millisecond)
+		st.DelayResponses("", 300*time.Millisecond)
 		tm.state.MarkIfFinished(j)
 		reread := false
 		for range 100 {
@@ -173,10 +173,10 @@
 				if watchFirst {
 					// The record is read again because a guard failed. The watch shows the
 					// record's change before the read is answered, and its deletion too.
-					st.DelayAnswers("", time.Second)
+					st.DelayResponses("", time.Second)
 					tm.committer.Reread(j)
 					time.Sleep(20 * time.Millisecond)
-					st.DelayAnswers("", 0)
+					st.DelayResponses("", 0)
 					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{put})
 					handleEvents(tm, 8)
 					if final := st.Keys(store.FinalKey("req-1")); len(final) != 1 {
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -19,8 +19,8 @@
 	reply chan<- Heartbeat
 }
 
-// answerReceived is another node's response to a heartbeat of this node.
-type answerReceived struct {
+// responseReceived is another node's response to a heartbeat of this node.
+type responseReceived struct {
 	from   wire.NodeID
 	answer Heartbeat
 	// requestedAt is when the heartbeat was sent.
@@ -34,7 +34,7 @@
 	p := current.peerInContact(from)
 	m.observeVersion(&e.heartbeat)
 	current.observeHeartbeat(&p, &e.heartbeat)
-	answer := m.newAnswer(current.Token, e.heartbeat.Sequence)
+	answer := m.newResponse(current.Token, e.heartbeat.Sequence)
 	if answer.Delegation > 0 {
 		p.DelegationGrantedAt = time.Now()
 	}
@@ -44,10 +44,10 @@
 }
 
 // handle applies the response to the view.
-func (e answerReceived) handle(m *Mesh, current *View) {
+func (e responseReceived) handle(m *Mesh, current *View) {
 	p := current.peerInContact(e.from)
 	m.observeVersion(&e.answer)
-	current.observeAnswer(&p, &e.answer, e.requestedAt)
+	current.observeResponse(&p, &e.answer, e.requestedAt)
 	current.Peers[e.from] = p
 	m.publish(current)
 }
--- a/internal/peer/incoming.go
+++ b/internal/peer/incoming.go
@@ -49,11 +49,11 @@
 	if err != nil {
 		return err
 	}
-	answer, err := s.awaitAnswer(ctx, heartbeat)
+	answer, err := s.awaitResponse(ctx, heartbeat)
 	if err != nil {
 		return err
 	}
-	return s.sendAnswer(answer)
+	return s.sendResponse(answer)
 }
 
 // receiveHeartbeat returns the next heartbeat. One from an unknown node is an error.
@@ -70,8 +70,8 @@
 	return heartbeat, nil
 }
 
-// awaitAnswer passes a heartbeat to the goroutine that owns the view and returns its response.
-func (s *incomingStream) awaitAnswer(ctx context.Context, heartbeat Heartbeat) (Heartbeat, error) {
+// awaitResponse passes a heartbeat to the goroutine that owns the view and returns its response.
+func (s *incomingStream) awaitResponse(ctx context.Context, heartbeat Heartbeat) (Heartbeat, error) {
 	select {
 	case s.mesh.events <- heartbeatReceived{heartbeat: heartbeat, reply: s.replies}:
 	case <-ctx.Done():
@@ -85,8 +85,8 @@
 	}
 }
 
-// sendAnswer sends a response, with the cancellations that were not sent on this stream yet.
-func (s *incomingStream) sendAnswer(answer Heartbeat) error {
+// sendResponse sends a response, with the cancellations that were not sent on this stream yet.
+func (s *incomingStream) sendResponse(answer Heartbeat) error {
 	answer.Update, s.cancelCursor = s.mesh.cancels.UpdateSince(s.cancelCursor)
 	if err := s.answers.Encode(answer); err != nil {
 		return err
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// newAnswer returns the response to the heartbeat with the sequence number. The token is the highest one
-// that this node knows.
-func (m *Mesh) newAnswer(token wire.FencingToken, sequence uint64) Heartbeat {
+// newResponse returns the response to the heartbeat with the sequence number. The token is the highest
+// one that this node knows.
+func (m *Mesh) newResponse(token wire.FencingToken, sequence uint64) Heartbeat {
 	status := m.status()
 	answer := Heartbeat{
 		From:          m.name,
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -298,7 +298,7 @@
 			m.ObserveVersion = func(version uint64) { learnt = append(learnt, version) }
 			view := &View{Peers: map[wire.NodeID]Peer{}}
 			heartbeatReceived{tt.message, make(chan Heartbeat, 1)}.handle(m, view)
-			answerReceived{"b", tt.message, time.Now()}.handle(m, view)
+			responseReceived{"b", tt.message, time.Now()}.handle(m, view)
 			if len(learnt) != len(tt.want) || len(learnt) > 0 && learnt[0] != tt.want[0] {
 				t.Errorf("learnt %v, want %v", learnt, tt.want)
 			}
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -75,7 +75,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("%w: status %s", errStreamRefused, resp.Status)
 	}
-	return s.receiveAnswers(ctx, resp.Body)
+	return s.receiveResponses(ctx, resp.Body)
 }
 
 // sendHeartbeats writes a heartbeat every heartbeatPeriod until the context ends, a write fails or too
@@ -105,8 +105,8 @@
 	}
 }
 
-// receiveAnswers reads responses and delivers them to the view until either fails.
-func (s *outgoingStream) receiveAnswers(ctx context.Context, body io.Reader) error {
+// receiveResponses reads responses and delivers them to the view until either fails.
+func (s *outgoingStream) receiveResponses(ctx context.Context, body io.Reader) error {
 	decoder := cbor.NewDecoder(body)
 	for {
 		var answer Heartbeat
@@ -115,15 +115,15 @@
 			return err
 		}
 		s.watchdog.Reset(streamIdleTimeout)
-		if err := s.deliverAnswer(ctx, answer); err != nil {
+		if err := s.deliverResponse(ctx, answer); err != nil {
 			return err
 		}
 	}
 }
 
-// deliverAnswer merges the cancellations of a response and passes the response to the goroutine that
+// deliverResponse merges the cancellations of a response and passes the response to the goroutine that
 // owns the view. The response belongs to the oldest unanswered heartbeat.
-func (s *outgoingStream) deliverAnswer(ctx context.Context, answer Heartbeat) error {
+func (s *outgoingStream) deliverResponse(ctx context.Context, answer Heartbeat) error {
 	var requestedAt time.Time
 	select {
 	case requestedAt = <-s.sentAt:
@@ -132,7 +132,7 @@
 	}
 	s.mesh.cancels.MergeUpdate(s.peer.HostName, requestedAt, &answer.Update)
 	select {
-	case s.mesh.events <- answerReceived{from: s.peer.HostName, answer: answer, requestedAt: requestedAt}:
+	case s.mesh.events <- responseReceived{from: s.peer.HostName, answer: answer, requestedAt: requestedAt}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// observeAnswer records another node's response to the heartbeat that was sent at requestedAt.
-func (v *View) observeAnswer(p *Peer, answer *Heartbeat, requestedAt time.Time) {
-	p.updateFromAnswer(answer, requestedAt)
+// observeResponse records another node's response to the heartbeat that was sent at requestedAt.
+func (v *View) observeResponse(p *Peer, answer *Heartbeat, requestedAt time.Time) {
+	p.updateFromResponse(answer, requestedAt)
 	// Empty values are recorded too: the node may now run a program that does not negotiate versions.
 	p.Incarnation, p.ActiveVersion = answer.Incarnation, answer.ActiveVersion
 	v.observeToken(answer.Token)
@@ -128,9 +128,9 @@
 	}
 }
 
-// updateFromAnswer records what a response says of the other node. It ignores the response if a newer
+// updateFromResponse records what a response says of the other node. It ignores the response if a newer
 // heartbeat is already answered: responses on an earlier stream may arrive after those on a newer one.
-func (p *Peer) updateFromAnswer(answer *Heartbeat, requestedAt time.Time) {
+func (p *Peer) updateFromResponse(answer *Heartbeat, requestedAt time.Time) {
 	if !requestedAt.After(p.AckRequestedAt) {
 		return
 	}
--- a/internal/peer/view_test.go
+++ b/internal/peer/view_test.go
@@ -135,7 +135,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			view := &View{Token: 7}
 			p := known
-			view.observeAnswer(&p, &tt.answer, tt.requestedAt)
+			view.observeResponse(&p, &tt.answer, tt.requestedAt)
 			if !p.AckRequestedAt.Equal(tt.want.AckRequestedAt) || p.AckToken != tt.want.AckToken {
 				t.Errorf("acknowledged token %d, requested at %v, want %d at %v", p.AckToken, p.AckRequestedAt, tt.want.AckToken, tt.want.AckRequestedAt)
 			}
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -149,7 +149,7 @@
 }
 
 // adminView returns the view that a controller shows to operators; false: there was no readable
-// answer.
+// response.
 func adminView(sim *simulator.Simulation, node int) (admin.View, bool) {
 	status, raw, _ := sim.AskAsOperator(node, "GET", "/admin/view", nil)
 	var v admin.View
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -201,7 +201,7 @@
 					fault := simulator.TxnFault{Prefix: store.ProgressPrefix, Hosts: []string{host}, Hang: true}
 					switch kind {
 					case "slow":
-						sim.State.DelayAnswers(host, 400*time.Millisecond)
+						sim.State.DelayResponses(host, 400*time.Millisecond)
 					case "lost":
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					case "late":
@@ -231,7 +231,7 @@
 					sim.KillController(leader)
 					time.Sleep(7 * time.Second)
 					sim.State.InjectTxnFaults(0)
-					sim.State.DelayAnswers(host, 0)
+					sim.State.DelayResponses(host, 0)
 					startControllers(t, sim, leader)
 					time.Sleep(8 * time.Second)
 				}
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -201,7 +201,7 @@
 				if leader < 0 {
 					t.Fatal("nobody leads")
 				}
-				sim.State.DelayAnswers("", 600*time.Millisecond)
+				sim.State.DelayResponses("", 600*time.Millisecond)
 				reader := startReader(t, sim, first.Spec.ID)
 				sleepUntil(40 * time.Second)
 				confirmedAt := []time.Time{}
@@ -250,7 +250,7 @@
 				time.Sleep(65 * time.Second)
 				sim.State.SetOutage(false)
 				sim.State.RefuseClient(simulator.NodeIP(leader), false)
-				sim.State.DelayAnswers("", 0)
+				sim.State.DelayResponses("", 0)
 				if len(confirmedAt) != 2 || reader.firstSeen(simulator.KnownStatusFinal).IsZero() || reader.firstSeen(simulator.KnownStatusFinal).After(outageAt) || confirmedAt[1].After(outageAt) || (kind != "cancelled while slow") != confirmedAt[1].After(refusedAt) {
 					t.Errorf("cancellations confirmed at %v, the first one seen in a poll at %v, leader refused at %v, outage began at %v: want two, in the right order", confirmedAt, reader.firstSeen(simulator.KnownStatusFinal), refusedAt, outageAt)
 				}
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -95,7 +95,7 @@
 		}
 		users.Wait()
 		sleepUntil(40 * time.Second)
-		sim.State.DelayAnswers("", 500*time.Millisecond)
+		sim.State.DelayResponses("", 500*time.Millisecond)
 		inFlight := 0
 		for k, j := range jobs {
 			node, path := k%sim.Settings.Size, "/v1/jobs/"+string(j.Spec.ID)
@@ -133,7 +133,7 @@
 				}
 			}
 		}
-		sim.State.DelayAnswers("", 0)
+		sim.State.DelayResponses("", 0)
 		if inFlight < jobCount {
 			t.Errorf("%d polls were waiting for their answer when a cancellation was confirmed, want at least one for each job", inFlight)
 		}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -65,8 +65,8 @@
 			wire.WriteResponse(rw, http.StatusBadRequest, wire.ErrorBody{Error: "malformed"})
 			return
 		}
-		if sim.loseScaleInAnswers > 0 {
-			sim.loseScaleInAnswers--
+		if sim.loseScaleInResponses > 0 {
+			sim.loseScaleInResponses--
 			panic(http.ErrAbortHandler)
 		}
 		wire.WriteResponse(rw, http.StatusOK, struct{}{})
@@ -167,8 +167,8 @@
 		sim.scaleOuts[request.Name] = ids
 		sim.scaleOutNames = append(sim.scaleOutNames, request.Name)
 	}
-	if sim.loseScaleOutAnswers > 0 {
-		sim.loseScaleOutAnswers--
+	if sim.loseScaleOutResponses > 0 {
+		sim.loseScaleOutResponses--
 		panic(http.ErrAbortHandler)
 	}
 	wire.WriteResponse(rw, http.StatusOK, wire.MachineNames{Machines: ids})
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -16,14 +16,14 @@
 // LoseScaleInResponses makes the next n scale-in requests take effect without a response.
 func (sim *Simulation) LoseScaleInResponses(n int) {
 	sim.mu.Lock()
-	sim.loseScaleInAnswers = n
+	sim.loseScaleInResponses = n
 	sim.mu.Unlock()
 }
 
 // LoseScaleOutResponses makes the next n scale-out requests take effect without a response.
 func (sim *Simulation) LoseScaleOutResponses(n int) {
 	sim.mu.Lock()
-	sim.loseScaleOutAnswers = n
+	sim.loseScaleOutResponses = n
 	sim.mu.Unlock()
 }
 
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -31,14 +31,14 @@
 	return m.sim.machineFaults.commandDelay
 }
 
-// Answered is the verb under which LateCommands counts direct requests that were executed and
+// LateAnswer is the verb under which LateCommands counts direct requests that were executed and
 // answered late.
 const LateAnswer wire.Verb = "answered"
 
 // LateCommands counts late commands by verb: for VerbLaunch and VerbStop direct commands that were
 // executed late because they were delayed or the machine hung, for VerbForget commands that were
-// executed late, and for Answered direct requests that were executed and answered late. Late means
-// by a second or more.
+// executed late, and for LateAnswer direct requests that were executed and answered late. Late
+// means by a second or more.
 func (sim *Simulation) LateCommands(v wire.Verb) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -57,7 +57,7 @@
 	n.HoldPackets(b, a, cut)
 }
 
-// Hold holds all packets from one host to another, or delivers them.
+// HoldPackets holds all packets from one host to another, or delivers them.
 func (n *Network) HoldPackets(from, to string, hold bool) {
 	n.mu.Lock()
 	n.blockedLinks[[2]string{from, to}] = hold
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -67,21 +67,21 @@
 	machineFaults    machineFaults
 	gangs            gangTable
 
-	isolatedZone        wire.Zone
-	partitionedZones    [2]wire.Zone // two zones that can't reach each other; empty: none
-	cloudOutage         bool
-	loseScaleInAnswers  int
-	loseScaleOutAnswers int
-	lateRequests        lateRequests
-	linkDelay           time.Duration
-	provisionUnlisted   bool
-	slowSaves           bool
-	spotSoldOut         bool
-	soldOut             map[wire.Zone]bool
-	listLag             time.Duration
-	bootFactor          float64
-	reportedFaults      int       // active faults reported by ReportFault
-	lastFault           time.Time // when a fault was last active
+	isolatedZone          wire.Zone
+	partitionedZones      [2]wire.Zone // two zones that can't reach each other; empty: none
+	cloudOutage           bool
+	loseScaleInResponses  int
+	loseScaleOutResponses int
+	lateRequests          lateRequests
+	linkDelay             time.Duration
+	provisionUnlisted     bool
+	slowSaves             bool
+	spotSoldOut           bool
+	soldOut               map[wire.Zone]bool
+	listLag               time.Duration
+	bootFactor            float64
+	reportedFaults        int       // active faults reported by ReportFault
+	lastFault             time.Time // when a fault was last active
 }
 
 // controller is a controller under test, which may be down.
@@ -237,7 +237,7 @@
 
 // hasFault reports whether any fault is active; the caller holds the lock.
 func (sim *Simulation) hasFault(now time.Time) bool {
-	if sim.reportedFaults > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInAnswers > 0 || sim.loseScaleOutAnswers > 0 {
+	if sim.reportedFaults > 0 || sim.cloudOutage || sim.isolatedZone != "" || sim.partitionedZones[0] != "" || sim.loseScaleInResponses > 0 || sim.loseScaleOutResponses > 0 {
 		return true
 	}
 	for _, machine := range sim.machines {
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -197,9 +197,9 @@
 	return out
 }
 
-// DelayAnswers delays every response to a host, "" for all hosts, after the request has been
+// DelayResponses delays every response to a host, "" for all hosts, after the request has been
 // executed.
-func (s *KVStore) DelayAnswers(host string, delay time.Duration) {
+func (s *KVStore) DelayResponses(host string, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.txnFaults.answerDelay == nil {
--- a/internal/store/changes.go
+++ b/internal/store/changes.go
@@ -57,7 +57,7 @@
 		// caller list the keys instead, which is done page by page.
 		err = req.errorFor(ErrCompacted)
 	}
-	// The service guarantees no order, but the newest change of a key must come last.
+	// The store guarantees no order, but the newest change of a key must come last.
 	slices.SortStableFunc(changes.Events, func(a, b wire.WatchEvent) int { return cmp.Compare(a.Revision, b.Revision) })
 	return changes, err
 }
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -43,7 +43,7 @@
 	SubchunkTasks int `cbor:"s,omitempty"`
 }
 
-// MaxJSONSize returns an upper bound of the record's size in JSON, in bytes. The service
+// MaxJSONSize returns an upper bound of the record's size in JSON, in bytes. The store
 // applies its limit on a value to that form.
 func (c *ChunkRecord) MaxJSONSize() int {
 	size := baseChunkBytes
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -23,7 +23,7 @@
 	budget      budget
 
 	// createdAt is when the client was created. lastSuccess is the time of the last
-	// response that shows that the service serves this node, lastFailure that of the last
+	// response that shows that the store serves this node, lastFailure that of the last
 	// request that failed for lack of a response or with status 503. Both count
 	// nanoseconds of the monotonic clock since createdAt.
 	createdAt   time.Time
@@ -43,10 +43,10 @@
 	listTimeout = 2 * requestTimeout
 	// watchMargin is how long a watch's response may take beyond the time that it blocks.
 	watchMargin = 3 * time.Second
-	// outageThreshold is how long the service must have served nothing before requests of
+	// outageThreshold is how long the store must have served nothing before requests of
 	// users are refused without being sent.
 	outageThreshold = 2 * time.Second
-	// requestConnections and watchConnections bound the connections to the service. The
+	// requestConnections and watchConnections bound the connections to the store. The
 	// process's socket budget includes their sum.
 	requestConnections = 12
 	watchConnections   = 4
@@ -54,7 +54,7 @@
 	maxResponseBytes = 8 << 20
 )
 
-// New returns a client of the service at the address. The limits are those of the whole
+// New returns a client of the store at the address. The limits are those of the whole
 // deployment; the client uses the share of one of its nodes.
 func New(addr string, limits config.StoreLimits, nodes int, network netio.Network) *Client {
 	return &Client{
@@ -73,13 +73,13 @@
 	return c.budget.requests.Tokens(), c.budget.writes.Tokens()
 }
 
-// Reachable reports whether the service has served this node lately: its last success is
+// Reachable reports whether the store has served this node lately: its last success is
 // newer than its last failure.
 func (c *Client) Reachable() bool { return c.lastSuccess.Load() >= c.lastFailure.Load() }
 
 func (c *Client) recordSuccess() { c.lastSuccess.Store(int64(time.Since(c.createdAt))) }
 
-// recordStatus records whether a response shows that the service serves this node. Statuses
+// recordStatus records whether a response shows that the store serves this node. Statuses
 // other than these show neither.
 func (c *Client) recordStatus(status int) {
 	switch status {
@@ -92,7 +92,7 @@
 
 func (c *Client) recordFailure() { c.lastFailure.Store(int64(time.Since(c.createdAt))) }
 
-// inOutage reports whether the service has served nothing for longer than outageThreshold.
+// inOutage reports whether the store has served nothing for longer than outageThreshold.
 func (c *Client) inOutage() bool {
 	sinceSuccess := time.Since(c.createdAt) - time.Duration(c.lastSuccess.Load())
 	return !c.Reachable() && sinceSuccess > outageThreshold
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -98,14 +98,14 @@
 		}
 		env.cut(true)
 		for range 2 {
-			c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // fails, as the service is cut off
+			c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // fails, as the store is cut off
 		}
 		begin := time.Now()
 		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
 			t.Errorf("service cut off: got %v after %v, want %v at once", err, time.Since(begin), store.ErrRefused)
 		}
 		env.cut(false)
-		c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // shows the client that the service is back
+		c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // shows the client that the store is back
 		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrNotFound) {
 			t.Errorf("after the cut: got %v, want %v", err, store.ErrNotFound)
 		}
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -13,10 +13,10 @@
 var (
 	// ErrNotFound means that the key or the lease does not exist.
 	ErrNotFound = errors.New("state: no such key or grant")
-	// ErrRefused means that the request was certainly not executed: the service answered
+	// ErrRefused means that the request was certainly not executed: the store answered
 	// 429 or 503, refused the connection, or this node's own budget had no room.
 	ErrRefused = errors.New("state: refused")
-	// ErrRateLimited is an ErrRefused: the request was over the rate limit of the service
+	// ErrRateLimited is an ErrRefused: the request was over the rate limit of the store
 	// or of this node's budget. It may succeed a moment later.
 	ErrRateLimited = fmt.Errorf("%w: over the rate", ErrRefused)
 	// ErrOutcomeUnknown means that there was no usable response: a change may have been
@@ -27,7 +27,7 @@
 	ErrCompacted = errors.New("state: revision too old")
 	// ErrResponseTooLarge means that the response is larger than this client accepts.
 	ErrResponseTooLarge = errors.New("state: answer too large")
-	// ErrInvalidRequest means that the service considers the request malformed.
+	// ErrInvalidRequest means that the store considers the request malformed.
 	ErrInvalidRequest = errors.New("state: request refused as invalid")
 )
 
@@ -53,14 +53,14 @@
 // Unwrap returns the cause.
 func (e *OpError) Unwrap() error { return e.Err }
 
-// MaybeExecuted reports whether the service may have executed the request, or may still
+// MaybeExecuted reports whether the store may have executed the request, or may still
 // do so. The caller must then read the keys that it was to change before a retry.
 func (e *OpError) MaybeExecuted() bool {
 	return errors.Is(e.Err, ErrOutcomeUnknown) || errors.Is(e.Err, ErrResponseTooLarge)
 }
 
 // Retryable reports whether the same request may succeed later. For any other cause it
-// fails again until the stored data or the service's limits change.
+// fails again until the stored data or the store's limits change.
 func (e *OpError) Retryable() bool {
 	return errors.Is(e.Err, ErrRefused) || errors.Is(e.Err, ErrOutcomeUnknown)
 }
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -151,7 +151,7 @@
 	return store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 100, WriteRPS: 10, MaxValueKB: 16, MaxTxnWrites: 12}, 1, nw.Host("10.0.0.1"))
 }
 
-// A request that never reached the service must fail with a retryable error that names the
+// A request that never reached the store must fail with a retryable error that names the
 // operation and the key.
 func TestRefusedRequestNamesOperationAndKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -40,14 +40,14 @@
 	// does. A user must get a response within two seconds in all.
 	refreshTimeout = 1200 * time.Millisecond
 	// refreshRateDivisor bounds the refreshes of all nodes together to a quarter of the
-	// service's rate limit.
+	// store's rate limit.
 	refreshRateDivisor = 4
 	// refreshRequestBuffer is the number of calls of Get that can request a refresh without
 	// waiting for the goroutine of Run.
 	refreshRequestBuffer = 64
 )
 
-// NewJobCache returns an empty cache for one of so many nodes. rps is the service's limit of
+// NewJobCache returns an empty cache for one of so many nodes. rps is the store's limit of
 // requests per second, which all nodes share.
 func NewJobCache(client *Client, cancelLog *cancels.Log, rps float64, nodes int) *JobCache {
 	refreshesPerSecond := max(1, rps/refreshRateDivisor) // of all nodes
@@ -111,7 +111,7 @@
 }
 
 // refresh updates the cache by the changes since the last refresh. It lists all jobs instead
-// if it is the first refresh, or if the service no longer has these changes.
+// if it is the first refresh, or if the store no longer has these changes.
 func (c *JobCache) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, refreshTimeout)
 	defer cancel()
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -47,7 +47,7 @@
 }
 
 // Get must return everything that was written before the call; the model is a map. Concurrent
-// calls must share a refresh, and while the service is cut off a call must fail soon.
+// calls must share a refresh, and while the store is cut off a call must fail soon.
 func TestCacheIsNeverStale(t *testing.T) {
 	withCache(t, 40, func(ctx context.Context, t *testing.T, env cacheEnv) { // at most one refresh every tenth of a second
 		network, state, client, cache := env.network, env.state, env.client, env.cache
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -34,7 +34,7 @@
 	body    any // nil: none
 	result  any // the response is decoded into it; nil: the response is dropped
 	timeout time.Duration
-	blocks  bool // the service may wait for changes first; uses the watch connections
+	blocks  bool // the store may wait for changes first; uses the watch connections
 }
 
 // errorFor returns the error of the request for a cause.
@@ -59,8 +59,8 @@
 			return req.errorFor(ErrRefused)
 		}
 	case ClassUser:
-		// A user isn't kept waiting during an outage of the service. The polls of the
-		// leader election detect when the service is back.
+		// A user isn't kept waiting during an outage of the store. The polls of the
+		// leader election detect when the store is back.
 		if c.inOutage() {
 			return req.errorFor(ErrRefused)
 		}
