--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// onRecordsRead builds the model from the records, and continues the scale-outs and
+// onRecordsLoaded builds the model from the records, and continues the scale-outs and
 // scale-ins that earlier leaders began.
 func (t *term) onRecordsLoaded(e recovery.RecordsLoaded) {
 	t.records.LoadRecords(e.Jobs, e.Progress)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// unconfirmedCancelAge returns how long ago InFlightLaunchCancelSince was; 0 if it is zero.
+// inFlightLaunchCancelAge returns how long ago InFlightLaunchCancelSince was; 0 if it is zero.
 func (s *Status) inFlightLaunchCancelAge() time.Duration {
 	if s.InFlightLaunchCancelSince.IsZero() {
 		return 0
