--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -15,9 +15,10 @@
 	minValueKB    = 0.5
 	valueTooSmall = "must be 0.5 or more, to hold one job"
 
-	// minTxnOps is 2 since a job's live record is replaced by its final one in one transaction.
-	minTxnOps    = 2
-	tooFewTxnOps = "must be 2 or more: a job's record is replaced by its final one"
+	// minTxnWrites is 2 since a job's live record is replaced by its final one in one
+	// transaction.
+	minTxnWrites    = 2
+	tooFewTxnWrites = "must be 2 or more: a job's record is replaced by its final one"
 
 	// minFDLimit is enough for a deployment of a few machines.
 	minFDLimit        = 64
@@ -138,7 +139,7 @@
 	}
 }
 
-// checkWorkers checks the intervals and timeouts of worker agents. Short ones that may still
+// checkWorkers checks the intervals and timeouts of agents. Short ones that may still
 // work are allowed.
 func (v *validator) checkWorkers(w *Workers) {
 	v.requirePositive("settings.workers.report_s", float64(w.HeartbeatInterval))
@@ -159,19 +160,19 @@
 	}
 	v.requireNotNegative("settings.state.next.rps", next.RPS)
 	v.requireNotNegative("settings.state.next.write_rps", next.WriteRPS)
-	v.require(next.ValueKB == 0 || next.ValueKB >= minValueKB, "settings.state.next.value_kb", valueTooSmall)
-	v.require(next.TxnOps == 0 || next.TxnOps >= minTxnOps, "settings.state.next.txn_ops", tooFewTxnOps)
+	v.require(next.MaxValueKB == 0 || next.MaxValueKB >= minValueKB, "settings.state.next.value_kb", valueTooSmall)
+	v.require(next.MaxTxnWrites == 0 || next.MaxTxnWrites >= minTxnWrites, "settings.state.next.txn_ops", tooFewTxnWrites)
 }
 
 // checkStoreLimits checks the present limits of the key-value store.
 func (v *validator) checkStoreLimits(s *StoreLimits) {
 	v.requirePositive("settings.state.rps", s.RPS)
 	v.requirePositive("settings.state.write_rps", s.WriteRPS)
-	v.requirePositive("settings.state.value_kb", s.ValueKB)
-	if s.ValueKB > 0 {
-		v.require(s.ValueKB >= minValueKB, "settings.state.value_kb", valueTooSmall)
+	v.requirePositive("settings.state.value_kb", s.MaxValueKB)
+	if s.MaxValueKB > 0 {
+		v.require(s.MaxValueKB >= minValueKB, "settings.state.value_kb", valueTooSmall)
 	}
-	v.require(s.TxnOps >= minTxnOps, "settings.state.txn_ops", tooFewTxnOps)
+	v.require(s.MaxTxnWrites >= minTxnWrites, "settings.state.txn_ops", tooFewTxnWrites)
 }
 
 func (v *validator) checkCloud(c *CloudLimits) {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -22,7 +22,7 @@
 	// same time. Few suffice, since a request waits only for the key-value store, which
 	// responds within milliseconds. Between the two, one request is allowed for every
 	// socketsPerRequest file descriptors of the process, so that users' requests take few
-	// sockets compared with the connections of worker agents.
+	// sockets compared with the connections of agents.
 	minInFlight       = 8
 	maxInFlight       = 48
 	socketsPerRequest = 20
@@ -53,8 +53,8 @@
 	inFlight chan struct{}
 	// Observe is called after every response, for the metrics.
 	Observe func(op Operation, status int, took time.Duration)
-	// Undecodable logs the stored records that can't be decoded.
-	Undecodable *undecodable.Log
+	// UndecodableLog logs the stored records that can't be decoded.
+	UndecodableLog *undecodable.Log
 }
 
 // New returns an Intake. The function machineTypes returns the machine types that
--- a/internal/leader/gang_helpers_test.go
+++ b/internal/leader/gang_helpers_test.go
@@ -40,7 +40,7 @@
 	now := time.Now()
 	m := tm.state.GetOrAddMachine(wire.MachineID(fmt.Sprint("n-", i+1)))
 	m.Epoch, m.Sequence, m.Token = 1, 10, tm.state.FirstToken
-	m.FirstHeartbeatAt, m.LastMessageAt, m.LastReplyAt = now, now, now
+	m.FirstHeartbeatAt, m.LastMessageAt, m.LastResponseAt = now, now, now
 	return m
 }
 
@@ -142,8 +142,8 @@
 		}
 	}
 	for _, m := range tm.state.Machines {
-		if len(m.Tasks) > 0 {
-			t.Errorf("machine %s: got tasks %v, want none", m.ID, m.Tasks)
+		if len(m.Attempts) > 0 {
+			t.Errorf("machine %s: got tasks %v, want none", m.ID, m.Attempts)
 		}
 	}
 }
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -24,7 +24,7 @@
 // ExpireLease ends the tasks of a machine whose lease has certainly expired: nobody can have
 // answered its heartbeats for the length of the lease, plus the clock drift and a margin.
 func (mo *Monitor) ExpireLease(machine *cluster.Machine, now time.Time) {
-	if len(machine.Tasks) == 0 || !mo.State.RecordsRead {
+	if len(machine.Attempts) == 0 || !mo.State.RecordsRead {
 		return
 	}
 	lease := mo.State.Settings.Workers.Lease.Duration()
@@ -32,7 +32,7 @@
 	if now.Sub(mo.lastPossibleRenewal(machine)) < expiredAfter {
 		return
 	}
-	for _, attempt := range machine.Tasks {
+	for _, attempt := range machine.Attempts {
 		// A direct launch in flight may still arrive after the lease has expired, and the agent
 		// accepts it unless the agent has entered a new epoch by then.
 		if attempt.Unstored || attempt.LaunchInFlight {
@@ -49,19 +49,19 @@
 func (mo *Monitor) lastPossibleRenewal(machine *cluster.Machine) time.Time {
 	// An earlier leader may have answered the machine until the machine first showed a token of
 	// this term. Since then only this leader can have.
-	lastRenewal := cluster.LaterOf(machine.LastReplyAt, machine.TokenSeenAt)
+	lastRenewal := cluster.LaterOf(machine.LastResponseAt, machine.TokenSeenAt)
 	// A new epoch has a full lease even if none of its heartbeats was answered, as a task
 	// launched into it may run that long. Without this, tasks launched right after a lease has
 	// expired are given up at once, and started a second time.
 	lastRenewal = cluster.LaterOf(lastRenewal, machine.EpochSince)
 	lastRenewal = cluster.LaterOf(lastRenewal, mo.State.DelegatesRenewedUntil)
 	if machine.Token < mo.State.FirstToken {
-		lastRenewal = cluster.LaterOf(lastRenewal, mo.EarlierLeaderRepliesUntil())
+		lastRenewal = cluster.LaterOf(lastRenewal, mo.EarlierLeaderAnswersUntil())
 	}
 	return lastRenewal
 }
 
-// EarlierLeaderRepliesUntil returns until when an earlier leader can have answered a machine
+// EarlierLeaderAnswersUntil returns until when an earlier leader can have answered a machine
 // that has not seen a token of this term. The bound is peer.AckLifetime after a quorum
 // acknowledged this term's token, and peer.OutageLimit after the term began at the latest.
 //
@@ -71,7 +71,7 @@
 // like any leader that lacks acknowledgements (see election.Lease.RecordAcks). Without the
 // shorter bound, when the zone that holds most controllers is cut off and no quorum is left, the
 // tasks there count as running for all of peer.OutageLimit.
-func (mo *Monitor) EarlierLeaderRepliesUntil() time.Time {
+func (mo *Monitor) EarlierLeaderAnswersUntil() time.Time {
 	until := mo.State.TermStartedAt.Add(peer.OutageLimit)
 	if mo.State.Delegation.MaxDelegationTime > 0 {
 		emptyAcksValidFor := emptyAckLifetimes*peer.AckLifetime + earlierLeaderMargin
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -50,7 +50,7 @@
 			}
 			heartbeat := heartbeatOf(m)
 			tm.reconciler.Reconcile(m, &heartbeat, true, time.Now())
-			m.LastReplyAt = time.Now()
+			m.LastResponseAt = time.Now()
 		}
 		tm.monitor.CheckMachines(time.Now())
 		handlePostedEvents(tm)
@@ -140,7 +140,7 @@
 			if c.ackedAfter > 0 {
 				tm.state.QuorumAckedAt = tm.state.TermStartedAt.Add(c.ackedAfter)
 			}
-			until := tm.monitor.EarlierLeaderRepliesUntil()
+			until := tm.monitor.EarlierLeaderAnswersUntil()
 			if got := until.Sub(tm.state.TermStartedAt).Round(time.Second); got != c.want {
 				t.Errorf("an earlier leader may reply for %v of the term, want %v", got, c.want)
 			}
@@ -221,7 +221,7 @@
 func recordMessagesExceptFrom(tm *term, unresponsive map[*cluster.Machine]bool) {
 	for _, m := range tm.state.Machines {
 		if unresponsive[m] {
-			m.UnansweredCommands, m.RelayUnanswered = 2, true
+			m.UnansweredCommands, m.LastRelayUnanswered = 2, true
 		} else {
 			m.LastMessageAt = time.Now()
 		}
--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -9,34 +9,34 @@
 )
 
 // OnHeartbeat reconciles a heartbeat and replies to it.
-func (rc *Reconciler) OnHeartbeat(call Call) {
-	call.Reply <- rc.answerHeartbeat(&call.Heartbeat, call.Relayed, time.Now())
+func (rc *Reconciler) OnHeartbeat(call HeartbeatCall) {
+	call.Response <- rc.answerHeartbeat(&call.Heartbeat, call.Relayed, time.Now())
 }
 
-func (rc *Reconciler) answerHeartbeat(heartbeat *wire.Heartbeat, relayed bool, now time.Time) Reply {
+func (rc *Reconciler) answerHeartbeat(heartbeat *wire.Heartbeat, relayed bool, now time.Time) HeartbeatResponse {
 	if err := rc.checkAnswerable(heartbeat, now); err != nil {
-		return Reply{Rejected: err}
+		return HeartbeatResponse{Rejected: err}
 	}
 	machine := rc.state.GetOrAddMachine(heartbeat.Machine)
 	if !rc.state.RecordsRead {
 		rc.keepEarlyHeartbeat(heartbeat)
-		machine.LastMessageAt, machine.LastReplyAt = now, now
-		return Reply{Commands: rc.stopsOfCancelled(heartbeat)}
+		machine.LastMessageAt, machine.LastResponseAt = now, now
+		return HeartbeatResponse{Commands: rc.stopsOfCancelled(heartbeat)}
 	}
 	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) {
 		return rc.onStaleHeartbeat(machine, heartbeat, now)
 	}
 	if rc.recordHeartbeatPath(machine, relayed, now) {
-		return Reply{Redirect: true}
+		return HeartbeatResponse{Redirect: true}
 	}
 	rc.checkInboundPath(machine, heartbeat, now)
 	rc.Reconcile(machine, heartbeat, true, now)
 	if rc.renewalWithheld(machine, heartbeat, now) {
-		return Reply{Rejected: errCancelPending}
+		return HeartbeatResponse{Rejected: errCancelPending}
 	}
-	machine.LastReplyAt = now
-	machine.Inbound.RecordAnswer(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
-	return Reply{Commands: rc.commandsFor(machine, heartbeat, now)}
+	machine.LastResponseAt = now
+	machine.Inbound.RecordResponse(rc.Fencing.Token, heartbeat.Epoch, heartbeat.Sequence)
+	return HeartbeatResponse{Commands: rc.commandsFor(machine, heartbeat, now)}
 }
 
 // checkAnswerable returns the reason why a heartbeat must not be answered, whatever it
@@ -60,15 +60,15 @@
 func (rc *Reconciler) commandsFor(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) *wire.Commands {
 	answer := &wire.Commands{Token: rc.Fencing.Token}
 	if rc.Lease.Deciding() {
-		answer.Commands = rc.dispatcher.CommandsFor(machine, heartbeat, now)
+		answer.Commands = rc.dispatcher.HeartbeatResponseCommands(machine, heartbeat, now)
 	} else {
-		answer.Commands = rc.dispatcher.StopCommands(machine, rc.delegate.StopCommands(heartbeat), now)
+		answer.Commands = rc.dispatcher.AppendStops(machine, rc.delegate.StopCommands(heartbeat), now)
 	}
 	return answer
 }
 
-// stopsOfCancelled returns an answer whose only commands are the stops of tasks whose jobs are
-// known to be cancelled.
+// stopsOfCancelled returns a response whose only commands are the stops of tasks whose jobs
+// are known to be cancelled.
 func (rc *Reconciler) stopsOfCancelled(heartbeat *wire.Heartbeat) *wire.Commands {
 	return &wire.Commands{Token: rc.Fencing.Token, Commands: rc.delegate.StopCommands(heartbeat)}
 }
@@ -106,10 +106,10 @@
 
 const (
 	// crossingWindow is for how long after a message of an agent an older heartbeat of it may
-	// still be waiting for its answer. Agents stop waiting for an answer after 4 s.
+	// still be waiting for its response. Agents stop waiting for a response after 4 s.
 	crossingWindow = 4 * time.Second
 	// maxCrossedSequences is by how much the sequence number of a heartbeat that crossed the
-	// answer to a direct command may be lower than that of the answer.
+	// response to a direct command may be lower than that of the response.
 	maxCrossedSequences = 2
 	// staleProbeInterval is the minimum time between two probes of a machine because of stale
 	// heartbeats.
@@ -117,11 +117,11 @@
 )
 
 // onStaleHeartbeat handles a heartbeat that is not newer than the last known one. Usually it
-// has crossed the answer to a direct command. It may also be a late copy, which says nothing
+// has crossed the response to a direct command. It may also be a late copy, which says nothing
 // of the present, not even that the machine is alive. Or it comes from a machine that
 // restarted at once and numbers its heartbeats from the start again. If the heartbeat has not
-// just crossed an answer, the machine is probed to find out.
-func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) Reply {
+// just crossed a response, the machine is probed to find out.
+func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) HeartbeatResponse {
 	inCrossingWindow := now.Sub(machine.LastMessageAt) < crossingWindow
 	justBehind := heartbeat.Epoch == machine.Epoch && heartbeat.Sequence+maxCrossedSequences >= machine.Sequence
 	crossedAnswer := inCrossingWindow && justBehind
@@ -131,10 +131,10 @@
 		rc.dispatcher.Probe(machine)
 	}
 	if !inCrossingWindow {
-		return Reply{Rejected: errStaleHeartbeat}
+		return HeartbeatResponse{Rejected: errStaleHeartbeat}
 	}
-	machine.LastReplyAt = now
-	return Reply{Commands: rc.stopsOfCancelled(heartbeat)}
+	machine.LastResponseAt = now
+	return HeartbeatResponse{Commands: rc.stopsOfCancelled(heartbeat)}
 }
 
 // renewalWithheld reports whether the machine's lease must not be renewed: a direct launch of
@@ -143,7 +143,7 @@
 // effect.
 func (rc *Reconciler) renewalWithheld(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) bool {
 	cancelCutoff := now.Add(-rc.state.Delegation.MaxCancelAge)
-	for task, attempt := range machine.Tasks {
+	for task, attempt := range machine.Attempts {
 		if cancelledBefore(cancelCutoff, attempt) && directLaunchMayArrive(attempt, rc.Fencing.Token) && !listsAttempt(heartbeat, task, attempt.Number) {
 			return true
 		}
--- a/internal/leader/reconcile/tasks.go
+++ b/internal/leader/reconcile/tasks.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			continue
 		}
-		if attempt := machine.Tasks[task]; attempt != nil && attempt.Number == status.Attempt {
+		if attempt := machine.Attempts[task]; attempt != nil && attempt.Number == status.Attempt {
 			listed[task] = true
 			rc.reconcileAttempt(attempt, status, now)
 		} else if status.Phase != wire.PhaseExited {
@@ -108,7 +108,7 @@
 	startUnwanted := attempt.Stopping || attempt.Machine.DrainReason != "" || attempt.Job.Cancelled
 	switch {
 	case attempt.SeenInHeartbeat, attempt.Inherited, epochEnded:
-		rc.Log.Info("task missing from heartbeat", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
+		rc.Log.Info("task lost", "task", attempt.Task(), "attempt", attempt.Number, "machine", attempt.Machine.ID, "epoch", heartbeat.Epoch)
 		rc.Metrics.TaskInterrupted(string(cluster.EvictedMissing))
 		rc.state.EndAttempt(attempt, cluster.TaskPending)
 	case startUnwanted:
@@ -121,5 +121,5 @@
 // prepareRelaunch clears the record of those launches of an attempt that did not take effect,
 // so that the attempt is launched again.
 func prepareRelaunch(attempt *cluster.Attempt) {
-	attempt.LaunchUnanswered, attempt.ReplySequence = false, 0
+	attempt.LaunchUnanswered, attempt.ResponseSequence = false, 0
 }
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -30,14 +30,14 @@
 	})
 }
 
-// A transaction without an answer is neither repeated blindly nor assumed committed. Raising
+// A transaction without a response is neither repeated blindly nor assumed committed. Raising
 // the token keeps it from being executed later, and a read then shows whether it was.
 func TestUnknownOutcomeIsReadUnderAHigherToken(t *testing.T) {
 	cases := []struct {
 		name string
 		fail func(*simulator.KVStore)
 	}{
-		{"executed, answer lost", func(st *simulator.KVStore) { st.LoseAnswers(1) }},
+		{"executed, answer lost", func(st *simulator.KVStore) { st.LoseResponses(1) }},
 		{"request lost", func(st *simulator.KVStore) { st.DropRequests(1) }},
 	}
 	for _, c := range cases {
@@ -67,7 +67,7 @@
 
 func TestSupersededLeaderWritesNothingAndStops(t *testing.T) {
 	withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
-		st.Put(store.LeaderKey, store.LeaderRecord{Node: "b", Nonce: "other"})
+		st.Put(store.LeaderKey, store.LeaseRecord{Node: "b", Nonce: "other"})
 		tm.scheduler.StartTask(tm.state.Jobs["req-1"], m, time.Now())
 		runEvents()
 		if chunks := st.Keys(store.ProgressPrefix); !isOver(tm) || len(chunks) != 0 {
@@ -107,7 +107,7 @@
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1})
 		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.StatusQueued})
-		tm.state.Settings.State.ValueKB = 0.5
+		tm.state.Settings.State.MaxValueKB = 0.5
 		longName := tm.state.GetOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
 			tm.scheduler.StartTask(j, longName, time.Now())
@@ -140,7 +140,7 @@
 		}
 		record.Status = wire.StatusCancelled
 		st.Put(store.JobKey("req-2"), record) // not yet known to the leader
-		st.DelayAnswers("", 300*time.Millisecond)
+		st.DelayResponses("", 300*time.Millisecond)
 		tm.state.MarkIfFinished(j)
 		reread := false
 		for range 100 {
@@ -160,7 +160,7 @@
 	})
 }
 
-// If the store is slow, a change of a job's record or the answer to a read of it may arrive
+// If the store is slow, a change of a job's record or the response to a read of it may arrive
 // after the job was archived. Such late events neither restore the job nor end the term.
 func TestLateEventsOfArchivedJobAreIgnored(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
@@ -173,16 +173,16 @@
 				if watchFirst {
 					// The record is read again because a guard failed. The watch shows the
 					// record's change before the read is answered, and its deletion too.
-					st.DelayAnswers("", time.Second)
+					st.DelayResponses("", time.Second)
 					tm.committer.Reread(j)
 					time.Sleep(20 * time.Millisecond)
-					st.DelayAnswers("", 0)
-					tm.records.ApplyChanges([]wire.WatchEvent{put})
+					st.DelayResponses("", 0)
+					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{put})
 					handleEvents(tm, 8)
 					if final := st.Keys(store.FinalKey("req-1")); len(final) != 1 {
 						t.Errorf("final records while the answer is in flight: got %v, want one", final)
 					}
-					tm.records.ApplyChanges([]wire.WatchEvent{deletion})
+					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{deletion})
 				} else {
 					tm.scheduler.StartTask(j, m, time.Now())
 				}
@@ -193,13 +193,13 @@
 				tm.committer.Reread(j) // as if a read had still been in flight
 				runEvents()
 				if !watchFirst {
-					tm.records.ApplyChanges([]wire.WatchEvent{put})
+					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{put})
 					runEvents()
 				}
 				if len(tm.state.Jobs) != 0 || isOver(tm) {
 					t.Errorf("after late events: got jobs %v, term over %v (%s), want none, false", tm.state.Jobs, isOver(tm), tm.EndReason())
 				}
-				tm.records.ApplyChanges([]wire.WatchEvent{deletion})
+				tm.records.ApplyJobRecordChanges([]wire.WatchEvent{deletion})
 				if len(tm.state.ArchivedJobs) != 0 {
 					t.Errorf("archived jobs remembered after the deletion: got %v, want none", tm.state.ArchivedJobs)
 				}
--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -14,13 +14,13 @@
 // heartbeatReceived is another node's heartbeat.
 type heartbeatReceived struct {
 	heartbeat Heartbeat
-	// reply receives the answer. It is buffered, so that the handler does not block if the stream has
-	// ended.
+	// reply receives the response. It is buffered, so that the handler does not block if the stream
+	// has ended.
 	reply chan<- Heartbeat
 }
 
-// answerReceived is another node's answer to a heartbeat of this node.
-type answerReceived struct {
+// responseReceived is another node's response to a heartbeat of this node.
+type responseReceived struct {
 	from   wire.NodeID
 	answer Heartbeat
 	// requestedAt is when the heartbeat was sent.
@@ -28,13 +28,13 @@
 }
 
 // handle applies the heartbeat to the view and answers it. It publishes the view before it hands over
-// the answer, so that the view contains all that the answer states.
+// the response, so that the view contains all that the response states.
 func (e heartbeatReceived) handle(m *Mesh, current *View) {
 	from := e.heartbeat.From
 	p := current.peerInContact(from)
-	m.learnVersion(&e.heartbeat)
+	m.observeVersion(&e.heartbeat)
 	current.observeHeartbeat(&p, &e.heartbeat)
-	answer := m.newAnswer(current.Token, e.heartbeat.Sequence)
+	answer := m.newResponse(current.Token, e.heartbeat.Sequence)
 	if answer.Delegation > 0 {
 		p.DelegationGrantedAt = time.Now()
 	}
@@ -43,11 +43,11 @@
 	e.reply <- answer
 }
 
-// handle applies the answer to the view.
-func (e answerReceived) handle(m *Mesh, current *View) {
+// handle applies the response to the view.
+func (e responseReceived) handle(m *Mesh, current *View) {
 	p := current.peerInContact(e.from)
-	m.learnVersion(&e.answer)
-	current.observeAnswer(&p, &e.answer, e.requestedAt)
+	m.observeVersion(&e.answer)
+	current.observeResponse(&p, &e.answer, e.requestedAt)
 	current.Peers[e.from] = p
 	m.publish(current)
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -1,14 +1,14 @@
 // Package peer connects the controllers. Every node keeps a stream open to every other node. A stream
 // is an HTTP/2 request whose request and response bodies do not end. On it, the node sends heartbeats
-// and receives an answer to each. The messages carry the highest fencing token that a node knows, the
-// acknowledgement of that token, a leader's permission to renew workers' leases on its behalf (a
+// and receives a response to each. The messages carry the highest fencing token that a node knows, the
+// acknowledgement of that token, a leader's permission to renew agents' leases on its behalf (a
 // delegation), and the cancellations that users were told of.
 //
 // Mesh owns the streams. View is what a node knows of the other nodes. Election and leases, which are
 // built on View, are in package leader.
 //
 // Run owns the goroutines of the streams that this node opens, and returns when they have ended. One per
-// peer opens the stream and receives the answers, and one per open stream sends the heartbeats. The
+// peer opens the stream and receives the responses, and one per open stream sends the heartbeats. The
 // receiving end of a stream is a request to the node's HTTP server, which owns its goroutine.
 package peer
 
@@ -44,10 +44,10 @@
 	cancels *cancels.Log
 	log     *slog.Logger
 	client  *http.Client
-	// LearnVersion, if not nil, is called with each version of the behaviour that another node reports
+	// ObserveVersion, if not nil, is called with each version of the behaviour that another node reports
 	// as active. It is set before Run.
-	LearnVersion func(version uint64)
-	undecodable  *undecodable.Log
+	ObserveVersion func(version uint64)
+	undecodable    *undecodable.Log
 
 	// events and tokens hold pending changes of the view. Only the goroutine of Run applies them.
 	events chan event
@@ -60,8 +60,8 @@
 	uptimeAtRenewal atomic.Int64
 }
 
-// New returns the mesh of a node. The mesh calls status before it sends a heartbeat or an answer.
-func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelLog *cancels.Log, network netio.Net, log *slog.Logger) *Mesh {
+// New returns the mesh of a node. The mesh calls status before it sends a heartbeat or a response.
+func New(name wire.NodeID, peers []config.Peer, status func() Status, cancelLog *cancels.Log, network netio.Network, log *slog.Logger) *Mesh {
 	m := &Mesh{
 		name:        name,
 		peers:       peers,
@@ -79,7 +79,7 @@
 }
 
 // newTransport returns a transport for unencrypted HTTP/2 over the network.
-func newTransport(network netio.Net) *http.Transport {
+func newTransport(network netio.Network) *http.Transport {
 	var protocols http.Protocols
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Transport{
@@ -131,16 +131,16 @@
 // publish publishes a copy of the view.
 func (m *Mesh) publish(current *View) { m.view.Store(current.clone()) }
 
-// learnVersion passes the active version that a message states, if any, to LearnVersion.
-func (m *Mesh) learnVersion(message *Heartbeat) {
-	if message.ActiveVersion > 0 && m.LearnVersion != nil {
-		m.LearnVersion(message.ActiveVersion)
+// observeVersion passes the active version that a message states, if any, to ObserveVersion.
+func (m *Mesh) observeVersion(message *Heartbeat) {
+	if message.ActiveVersion > 0 && m.ObserveVersion != nil {
+		m.ObserveVersion(message.ActiveVersion)
 	}
 }
 
-// newAnswer returns the answer to the heartbeat with the sequence number. The token is the highest one
-// that this node knows.
-func (m *Mesh) newAnswer(token wire.FencingToken, sequence uint64) Heartbeat {
+// newResponse returns the response to the heartbeat with the sequence number. The token is the highest
+// one that this node knows.
+func (m *Mesh) newResponse(token wire.FencingToken, sequence uint64) Heartbeat {
 	status := m.status()
 	answer := Heartbeat{
 		From:          m.name,
@@ -155,7 +155,7 @@
 	}
 	if status.Delegation > 0 && status.Delegation == token {
 		answer.Delegation = status.Delegation
-		answer.UnconfirmedCancelAge = status.unconfirmedCancelAge()
+		answer.InFlightLaunchCancelAge = status.inFlightLaunchCancelAge()
 	}
 	return answer
 }
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -26,7 +26,7 @@
 
 // Peer is what this node knows of another node.
 type Peer struct {
-	// Heartbeat is its last heartbeat. Incarnation and ActiveVersion may also be from a later answer.
+	// Heartbeat is its last heartbeat. Incarnation and ActiveVersion may also be from a later response.
 	Heartbeat
 	// LastContact is when its last message arrived.
 	LastContact time.Time
@@ -34,29 +34,29 @@
 	// acknowledgement is valid from then rather than from its arrival, since the other node may have
 	// made it at any time in between.
 	AckRequestedAt time.Time
-	// AckToken is the token that the latest answer acknowledged; 0 if none.
+	// AckToken is the token that the latest response acknowledged; 0 if none.
 	AckToken wire.FencingToken
 	// DelegationGrantedAt is when this node, as the leader, last granted the other node a delegation.
 	DelegationGrantedAt time.Time
 	// LastDelegatedRenewal is the latest time at which the other node's last renewal as a delegate can
-	// have been: the arrival of an answer, less the age of the renewal that the answer stated.
+	// have been: the arrival of a response, less the age of the renewal that the response stated.
 	LastDelegatedRenewal time.Time
-	// LatestStart is the latest time at which the other node's process can have started: the arrival of
-	// an answer, less the uptime that the answer stated. Until then, an earlier process of that node
-	// may have renewed leases as a delegate, which the present process does not know of.
-	LatestStart time.Time
+	// LatestProcessStart is the latest time at which the other node's process can have started: the
+	// arrival of a response, less the uptime that the response stated. Until then, an earlier process of
+	// that node may have renewed leases as a delegate, which the present process does not know of.
+	LatestProcessStart time.Time
 }
 
 // Connected reports whether the node was in contact within AckLifetime.
 func (p Peer) Connected(now time.Time) bool { return now.Sub(p.LastContact) < AckLifetime }
 
-// Delegation is a leader's permission for this node to renew workers' leases on its behalf.
+// Delegation is a leader's permission for this node to renew agents' leases on its behalf.
 type Delegation struct {
 	// Token is the token with which the leader led.
 	Token wire.FencingToken
 	// RequestedAt is when this node sent the heartbeat that was answered with the delegation, less the
-	// UnconfirmedCancelAge of the answer. No launch of a job that was cancelled before RequestedAt can
-	// still arrive.
+	// InFlightLaunchCancelAge of the response. No launch of a job that was cancelled before RequestedAt
+	// can still arrive.
 	RequestedAt time.Time
 }
 
@@ -116,21 +116,21 @@
 	}
 }
 
-// observeAnswer records another node's answer to the heartbeat that was sent at requestedAt.
-func (v *View) observeAnswer(p *Peer, answer *Heartbeat, requestedAt time.Time) {
-	p.updateFromAnswer(answer, requestedAt)
+// observeResponse records another node's response to the heartbeat that was sent at requestedAt.
+func (v *View) observeResponse(p *Peer, answer *Heartbeat, requestedAt time.Time) {
+	p.updateFromResponse(answer, requestedAt)
 	// Empty values are recorded too: the node may now run a program that does not negotiate versions.
 	p.Incarnation, p.ActiveVersion = answer.Incarnation, answer.ActiveVersion
 	v.observeToken(answer.Token)
 	if answer.Delegation > 0 && answer.Delegation == v.Token {
-		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.UnconfirmedCancelAge))}
+		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.InFlightLaunchCancelAge))}
 		v.LeaderSeenAt = p.LastContact
 	}
 }
 
-// updateFromAnswer records what an answer says of the other node. It ignores the answer if a newer
-// heartbeat is already answered: answers on an earlier stream may arrive after those on a newer one.
-func (p *Peer) updateFromAnswer(answer *Heartbeat, requestedAt time.Time) {
+// updateFromResponse records what a response says of the other node. It ignores the response if a newer
+// heartbeat is already answered: responses on an earlier stream may arrive after those on a newer one.
+func (p *Peer) updateFromResponse(answer *Heartbeat, requestedAt time.Time) {
 	if !requestedAt.After(p.AckRequestedAt) {
 		return
 	}
@@ -139,7 +139,7 @@
 		p.LastDelegatedRenewal = p.LastContact.Add(-answer.SinceRenewal)
 	}
 	if answer.Uptime > 0 {
-		p.LatestStart = p.LastContact.Add(-answer.Uptime)
+		p.LatestProcessStart = p.LastContact.Add(-answer.Uptime)
 	}
 }
 
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -74,7 +74,7 @@
 // task's index and the attempt's number.
 func storedAttempts(t *testing.T, sim *simulator.Simulation, id wire.JobID) map[[2]int]wire.MachineID {
 	t.Helper()
-	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
+	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 32, MaxTxnWrites: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
 	entries, _, err := reader.List(context.Background(), store.ClassBackground, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
@@ -88,7 +88,7 @@
 			t.Fatalf("%s is not a chunk record", entry.Key)
 		}
 		for _, active := range record.Active {
-			machines[[2]int{chunk*store.ChunkTasksFor(loweredLimits.ValueKB) + active.Task, int(active.Attempt)}] = active.Machine
+			machines[[2]int{chunk*store.TasksPerChunkForLimit(loweredLimits.MaxValueKB) + active.Task, int(active.Attempt)}] = active.Machine
 		}
 	}
 	return machines
@@ -124,10 +124,10 @@
 		for _, downtime := range []time.Duration{200 * time.Millisecond, 6 * time.Second} {
 			t.Run(fmt.Sprint(step, " ", downtime), func(t *testing.T) {
 				t.Parallel()
-				runWithSettings(t, settingsWithSmallChunks(), 850, func(sim *simulator.Simulation, at func(time.Duration)) {
+				runWithSettings(t, settingsWithSmallChunks(), 850, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					sim.RecordHeartbeats()
 					gangJob := largeGang(1, 300, 40)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					delayProgressWrites(sim, 400*time.Millisecond)
 					if step != "partly recorded" {
 						sim.DelayCommands(simulator.CommandDelay{Command: 300 * time.Millisecond})
@@ -154,7 +154,7 @@
 					mustNotReassignAttempts(t, attemptsBefore, storedAttempts(t, sim, gangJob.Spec.ID))
 					time.Sleep(120 * time.Second)
 					mustBeArchived(t, sim, gangJob)
-					if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
+					if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.WaitTimeouts > 0 {
 						t.Errorf("%+v, want one start, no rollback and no timed-out wait", g)
 					}
 					mustRunAttemptsOnOneMachine(t, sim)
@@ -168,10 +168,10 @@
 // attempts, in different chunks.
 func TestTwoLeaderFailuresWhileGangIsRecordedInChunks(t *testing.T) {
 	t.Parallel()
-	runWithSettings(t, settingsWithSmallChunks(), 851, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runWithSettings(t, settingsWithSmallChunks(), 851, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		sim.RecordHeartbeats()
 		gangJob := largeGang(1, 500, 30)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		delayProgressWrites(sim, 500*time.Millisecond)
 		sim.Submit(gangJob, 0)
 		recordedAttempts := map[[2]int]wire.MachineID{}
@@ -196,7 +196,7 @@
 		mustNotReassignAttempts(t, recordedAttempts, storedAttempts(t, sim, gangJob.Spec.ID))
 		time.Sleep(150 * time.Second)
 		mustBeArchived(t, sim, gangJob)
-		if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.Incomplete > 0 {
+		if g := sim.GangState(gangJob.Spec.ID); g.Starts != 1 || g.Rollbacks != 0 || g.WaitTimeouts > 0 {
 			t.Errorf("%+v, want one start, no rollback and no timed-out wait", g)
 		}
 		mustRunAttemptsOnOneMachine(t, sim)
@@ -229,14 +229,14 @@
 	for i, fault := range []string{"no other fault", "change of leader", "outage"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsBeforeLowering(), 860+uint64(i), func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				sim.RecordHeartbeats()
 				// The first gang is stored in a chunk for 256 tasks, which exceeds the lower limit.
 				acceptedBefore, acceptedAfter := largeGang(1, 200, 120), largeGang(2, 150, 100)
 				waiting := gang(3, 4, 20)
 				waiting.Spec.CPUs, waiting.Spec.MachineTypes, waiting.Spec.Zone = 16, []wire.MachineType{"c16"}, "a"
 				recording := largeGang(4, 300, 40)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(acceptedBefore, 0)
 				awaitGangRunning(t, sim, acceptedBefore, 60*time.Second)
 				announceLoweredLimits(t, sim)
@@ -255,10 +255,10 @@
 					lowerLimits(sim)
 					awaitSuccessor(t, sim, leader)
 				case "outage":
-					sim.State.Outage(true)
+					sim.State.SetOutage(true)
 					lowerLimits(sim)
 					time.Sleep(10 * time.Second)
-					sim.State.Outage(false)
+					sim.State.SetOutage(false)
 				default:
 					lowerLimits(sim)
 				}
@@ -272,7 +272,7 @@
 				// the gang is stopped or, if the ends of all its tasks go into one write, when it
 				// starts again.
 				sim.ReclaimMachine(machineHoldingOnly(t, sim, acceptedBefore, acceptedAfter, recording))
-				eventually(t, 120*time.Second, "the oversized chunk is split", func() bool { return storedPieces(sim) > 0 })
+				eventually(t, 120*time.Second, "the oversized chunk is split", func() bool { return storedSubchunks(sim) > 0 })
 				time.Sleep(300 * time.Second)
 				mustBeArchived(t, sim, acceptedBefore, acceptedAfter, waiting, recording)
 				for _, j := range []simulator.JobScript{acceptedBefore, acceptedAfter, waiting, recording} {
@@ -280,7 +280,7 @@
 					if j.Spec.ID == acceptedBefore.Spec.ID {
 						rollbacks = 1
 					}
-					if g := sim.GangState(j.Spec.ID); g.Starts != 1+rollbacks || g.Rollbacks != rollbacks || g.Incomplete > 0 {
+					if g := sim.GangState(j.Spec.ID); g.Starts != 1+rollbacks || g.Rollbacks != rollbacks || g.WaitTimeouts > 0 {
 						t.Errorf("%s: %+v, want %d starts, one rollback less and no timed-out wait", j.Spec.ID, g, 1+rollbacks)
 					}
 				}
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -11,11 +11,11 @@
 
 // startSpotGang submits a gang that may use spot machines, and returns it when all its tasks
 // have run for a while.
-func startSpotGang(t *testing.T, sim *simulator.Simulation, at func(time.Duration), runTime time.Duration) simulator.JobScript {
+func startSpotGang(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration), runTime time.Duration) simulator.JobScript {
 	t.Helper()
 	gangJob := gang(1, 4, 80)
 	gangJob.Spec.SpotAllowed, gangJob.Spec.MachineTypes = true, []wire.MachineType{"c4"}
-	at(2 * time.Second)
+	sleepUntil(2 * time.Second)
 	sim.Submit(gangJob, 0)
 	awaitGangRunning(t, sim, gangJob, 60*time.Second)
 	time.Sleep(runTime)
@@ -26,7 +26,7 @@
 // kept at least so many seconds of progress.
 func mustHaveSaved(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, minSeconds float64) {
 	t.Helper()
-	if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.Saved < minSeconds {
+	if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.SavedSeconds < minSeconds {
 		t.Errorf("%+v, want one save, no rollback and at least %g s of progress", g, minSeconds)
 	}
 }
@@ -36,15 +36,15 @@
 // members receive it and have saved before the machine with the notice is reclaimed.
 func TestGangSpotNoticeWithDelayedStop(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-		gangJob := startSpotGang(t, sim, at, 33*time.Second)
+	runOnBothLayouts(t, 820, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+		gangJob := startSpotGang(t, sim, sleepUntil, 33*time.Second)
 		machines := sim.MachinesHolding(gangJob.Spec.ID)
 		if len(machines) < 2 {
 			t.Fatalf("all tasks are on %v, want two or more machines", machines)
 		}
 		holdCommands := func(hold bool) {
 			for i := range 3 {
-				sim.Net.Hold(simulator.NodeIP(i), sim.MachineIP(machines[1]), hold)
+				sim.Net.HoldPackets(simulator.NodeIP(i), sim.MachineIP(machines[1]), hold)
 			}
 		}
 		sim.GiveSpotNotice(machines[0], 16*time.Second)
@@ -67,9 +67,9 @@
 	for _, nextLeader := range []string{"the same leader", "another leader"} {
 		t.Run(nextLeader, func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 821, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
-				gangJob := startSpotGang(t, sim, at, 30*time.Second)
-				sim.State.Outage(true)
+			runOnBothLayouts(t, 821, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+				gangJob := startSpotGang(t, sim, sleepUntil, 30*time.Second)
+				sim.State.SetOutage(true)
 				time.Sleep(5 * time.Second)
 				sim.GiveSpotNotice(sim.MachinesHolding(gangJob.Spec.ID)[0], 20*time.Second)
 				time.Sleep(25 * time.Second)
@@ -78,7 +78,7 @@
 				if nextLeader == "another leader" {
 					sim.KillController(leader)
 				}
-				sim.State.Outage(false)
+				sim.State.SetOutage(false)
 				awaitGangRestart(t, sim, gangJob, 60*time.Second)
 				if nextLeader == "another leader" {
 					startControllers(t, sim, leader)
@@ -99,19 +99,19 @@
 	for _, refusedFor := range []time.Duration{time.Second, 3 * time.Second, 4 * time.Second, 5 * time.Second, 7 * time.Second} {
 		t.Run(fmt.Sprint(refusedFor), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, simulator.DefaultSettings(), 822, func(sim *simulator.Simulation, at func(time.Duration)) {
-				gangJob := startSpotGang(t, sim, at, 33*time.Second)
+			runWithSettings(t, simulator.DefaultSettings(), 822, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+				gangJob := startSpotGang(t, sim, sleepUntil, 33*time.Second)
 				machines := sim.MachinesHolding(gangJob.Spec.ID)
 				leader := sim.Leader()
 				sim.State.RefuseClient(simulator.NodeIP(leader), true)
 				time.Sleep(refusedFor)
-				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), true)
+				sim.Net.HoldPackets(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), true)
 				sim.GiveSpotNotice(machines[0], 12*time.Second)
 				time.Sleep(30 * time.Second)
-				sim.Net.Hold(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), false)
+				sim.Net.HoldPackets(simulator.NodeIP(leader), sim.MachineIP(machines[len(machines)-1]), false)
 				sim.State.RefuseClient(simulator.NodeIP(leader), false)
 				awaitGangRestart(t, sim, gangJob, 90*time.Second)
-				if g := sim.GangState(gangJob.Spec.ID); g.Saved < 20 {
+				if g := sim.GangState(gangJob.Spec.ID); g.SavedSeconds < 20 {
 					t.Errorf("%+v, want at least the progress of the checkpoint at 20 s", g)
 				}
 				t.Logf("%+v", sim.GangState(gangJob.Spec.ID))
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -19,7 +19,7 @@
 
 // newDeployedController makes a real controller for a simulated deployment, with the features
 // that deploy/features.toml turns on, and returns its run function.
-func newDeployedController(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
+func newDeployedController(cfg *config.Config, network netio.Network) (func(context.Context) error, error) {
 	deployed, err := lilaclead.LoadFeatures("../../deploy/features.toml")
 	if err != nil {
 		return nil, err
@@ -29,14 +29,14 @@
 
 // newControllerWith returns a function that makes controllers with the given features.
 func newControllerWith(features lilaclead.Features) simulator.StartFunc {
-	return func(cfg *config.Config, network netio.Net) (func(context.Context) error, error) {
+	return func(cfg *config.Config, network netio.Network) (func(context.Context) error, error) {
 		return newController(cfg, network, lilaclead.Options{Features: features})
 	}
 }
 
 // newController makes a controller on the simulated network and returns its run function. With
 // SCENARIO_LOG set, the controller's log goes to standard error.
-func newController(cfg *config.Config, network netio.Net, options lilaclead.Options) (func(context.Context) error, error) {
+func newController(cfg *config.Config, network netio.Network, options lilaclead.Options) (func(context.Context) error, error) {
 	options.Net, options.Log = network, io.Discard
 	if os.Getenv("SCENARIO_LOG") != "" {
 		options.Log = os.Stderr
@@ -54,25 +54,25 @@
 
 // runScenario runs a script on the default deployment, in virtual time. All controllers are up
 // when the script begins. When it ends, the checker must have found no violation of a rule.
-func runScenario(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runScenario(t *testing.T, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	runWithSettings(t, simulator.DefaultSettings(), seed, script)
 }
 
 // runOnBothLayouts runs a script twice: with controllers in every zone, and with a zone that has
 // machines but no controller.
-func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
+func runOnBothLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	for _, layout := range layouts {
 		t.Run(layout.name, func(t *testing.T) {
 			t.Parallel()
-			layout.run(t, seed, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
+			layout.run(t, seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) { script(t, sim, sleepUntil) })
 		})
 	}
 }
 
 // runWithSettings is runScenario with the given settings.
-func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runWithSettings(t *testing.T, set config.Settings, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	runWithControllersIn(t, set, set.Zones, seed, script)
 }
@@ -88,26 +88,26 @@
 var unevenZones = []wire.Zone{"a", "b", "a"}
 
 // runOnUnevenLayout is runScenario with three zones, of which only two have controllers.
-func runOnUnevenLayout(t *testing.T, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runOnUnevenLayout(t *testing.T, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
-	runWithControllersIn(t, simulator.GasSettings(), unevenZones, seed, script)
+	runWithControllersIn(t, simulator.ThreeZoneSettings(), unevenZones, seed, script)
 }
 
 // runWithControllersIn is runWithSettings with controllers in the given zones only.
-func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runWithControllersIn(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	runDeployment(t, set, zones, seed, newDeployedController, script)
 }
 
 // runWithFeatures is runScenario with the given features.
-func runWithFeatures(t *testing.T, features lilaclead.Features, seed uint64, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runWithFeatures(t *testing.T, features lilaclead.Features, seed uint64, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	set := simulator.DefaultSettings()
 	runDeployment(t, set, set.Zones, seed, newControllerWith(features), script)
 }
 
 // runDeployment runs a script on a deployment whose controllers are made by start.
-func runDeployment(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, start simulator.StartFunc, script func(sim *simulator.Simulation, at func(time.Duration))) {
+func runDeployment(t *testing.T, set config.Settings, zones []wire.Zone, seed uint64, start simulator.StartFunc, script func(sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -122,10 +122,10 @@
 			}
 		}
 		script(sim, func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) })
-		sim.AskAllAboutAll()
+		sim.PollAllJobs()
 		sim.WithChecker(func(c *simulator.Checker) {
 			c.Finish(time.Now())
-			if lateStarts, latePolls := c.LateStarts(), c.LateDone(); lateStarts+latePolls > 0 {
+			if lateStarts, latePolls := c.LateStarts(), c.LatePolls(); lateStarts+latePolls > 0 {
 				t.Logf("%d tasks started after a confirmed cancellation, %d polls didn't show the job's end in time", lateStarts, latePolls)
 			}
 			for _, v := range c.Violations {
@@ -137,13 +137,13 @@
 
 // runOnAlternatingLayouts runs a script with one seed, or with as many as SCENARIO_SEEDS asks
 // for: even seeds on the first layout, odd ones on the second.
-func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, at func(time.Duration))) {
+func runOnAlternatingLayouts(t *testing.T, seed uint64, script func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	for i := range seedCount(1) {
 		layout := layouts[(seed+i)%2]
 		t.Run(fmt.Sprint(layout.name, " ", seed+i), func(t *testing.T) {
 			t.Parallel()
-			layout.run(t, seed+i, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
+			layout.run(t, seed+i, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) { script(t, sim, sleepUntil) })
 		})
 	}
 }
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -49,14 +49,14 @@
 
 func newSignal() *signal { return &signal{done: make(chan struct{})} }
 
-// give signals the event and reports whether this call was the first to do so.
-func (s *signal) give() (first bool) {
+// fire signals the event and reports whether this call was the first to do so.
+func (s *signal) fire() (first bool) {
 	s.once.Do(func() { close(s.done); first = true })
 	return first
 }
 
-// await waits for the event and reports whether it happened before the timeout.
-func (s *signal) await(timeout time.Duration) bool {
+// wait waits for the event and reports whether it happened before the timeout.
+func (s *signal) wait(timeout time.Duration) bool {
 	select {
 	case <-s.done:
 		return true
@@ -149,7 +149,7 @@
 }
 
 // adminView returns the view that a controller shows to operators; false: there was no readable
-// answer.
+// response.
 func adminView(sim *simulator.Simulation, node int) (admin.View, bool) {
 	status, raw, _ := sim.AskAsOperator(node, "GET", "/admin/view", nil)
 	var v admin.View
@@ -159,12 +159,12 @@
 // hasRecovered reports whether a controller leads and has read the stored jobs.
 func hasRecovered(sim *simulator.Simulation, node int) bool {
 	view, ok := adminView(sim, node)
-	return ok && view.Term != nil && len(view.Term.Jobs) > 0
+	return ok && view.Cluster != nil && len(view.Cluster.Jobs) > 0
 }
 
-// saysItLeads reports whether a controller considers itself the leader, according to its admin
-// view.
-func saysItLeads(t *testing.T, sim *simulator.Simulation, node int) bool {
+// considersItselfLeader reports whether a controller considers itself the leader, according to
+// its admin view.
+func considersItselfLeader(t *testing.T, sim *simulator.Simulation, node int) bool {
 	t.Helper()
 	view, ok := adminView(sim, node)
 	if !ok {
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -14,11 +14,11 @@
 // machines.
 func TestLeaderRestartsKeepServices(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		arrayJob, serviceJob := array(1, 12, 40), service(2, 3)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, arrayJob, serviceJob)
-		at(45 * time.Second)
+		sleepUntil(45 * time.Second)
 		for range 3 {
 			leader := sim.Leader()
 			if leader < 0 {
@@ -33,12 +33,12 @@
 			time.Sleep(6 * time.Second)
 		}
 		sim.WithChecker(func(c *simulator.Checker) {
-			if c.OnMachines(serviceJob.Spec.ID) != 3 {
-				t.Errorf("service has %d of 3 replicas", c.OnMachines(serviceJob.Spec.ID))
+			if c.TasksOnMachines(serviceJob.Spec.ID) != 3 {
+				t.Errorf("service has %d of 3 replicas", c.TasksOnMachines(serviceJob.Spec.ID))
 			}
 		})
 		mustRestartNoTask(t, sim)
-		at(160 * time.Second)
+		sleepUntil(160 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -46,11 +46,11 @@
 // Controllers restart within a fraction of a second, also in the middle of an election.
 func TestControllersRestartQuickly(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		arrayJob, serviceJob := array(1, 10, 30), service(2, 3)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		submitAll(sim, arrayJob, serviceJob)
-		at(30 * time.Second)
+		sleepUntil(30 * time.Second)
 		for round := range 12 {
 			node := (sim.Leader() + 3) % 3
 			if round%3 == 2 {
@@ -61,7 +61,7 @@
 			startControllers(t, sim, node)
 			time.Sleep(time.Duration(round%4) * time.Second)
 		}
-		at(160 * time.Second)
+		sleepUntil(160 * time.Second)
 		mustFinish(t, sim, arrayJob)
 	})
 }
@@ -70,12 +70,12 @@
 // of the key-value store, with submissions and cancellations all the while.
 func TestTenLeaderChangesInTwoMinutes(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 64, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 64, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob := service(1, 4)
 		jobs := []simulator.JobScript{serviceJob}
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(serviceJob, 0)
-		at(35 * time.Second)
+		sleepUntil(35 * time.Second)
 		begin := time.Now()
 		inOutage := 0
 		for round := range 10 {
@@ -92,14 +92,14 @@
 				time.Sleep(2 * time.Second)
 				continue
 			}
-			sim.State.Outage(true)
+			sim.State.SetOutage(true)
 			time.Sleep(1500 * time.Millisecond)
 			if sim.Leader() == leader && sim.State.InOutage() {
 				inOutage++
 			}
 			sim.KillController(leader)
 			time.Sleep(2 * time.Second)
-			sim.State.Outage(false)
+			sim.State.SetOutage(false)
 			cancelAtController(t, sim, (leader+1)%3, cancelledJob)
 			awaitOtherLeader(t, sim, leader, 8*time.Second)
 			startControllers(t, sim, leader)
@@ -148,10 +148,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(3), 60+uint64(caseNumber), func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(3), 60+uint64(caseNumber), func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				twoTasks, threeTasks := array(1, 2, 0), array(2, 3, 0)
 				twoTasks.RunTimes, threeTasks.RunTimes = []float64{14, 75}, []float64{16, 48, 80}
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, twoTasks, threeTasks)
 				endedCount := func() (n int) {
 					sim.WithChecker(func(c *simulator.Checker) { n = c.Completed(twoTasks.Spec.ID) + c.Completed(threeTasks.Spec.ID) })
@@ -186,11 +186,11 @@
 	for caseNumber, kind := range []string{"slow", "lost", "late", "late, soon"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			runOnAlternatingLayouts(t, uint64(660+caseNumber), func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnAlternatingLayouts(t, uint64(660+caseNumber), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, sameZoneJob, arrayJob := service(1, 4), array(2, 4, 12), array(3, 14, 10)
 				sameZoneJob.Spec.SameZone = true
 				sim.SetQuickBoots(true)
-				at(3 * time.Second)
+				sleepUntil(3 * time.Second)
 				matchedRounds := 0
 				for round, jobs := range [][]simulator.JobScript{{serviceJob, arrayJob}, {sameZoneJob, array(4, 10, 9)}, {array(5, 16, 8)}} {
 					leader := sim.Leader()
@@ -201,14 +201,14 @@
 					fault := simulator.TxnFault{Prefix: store.ProgressPrefix, Hosts: []string{host}, Hang: true}
 					switch kind {
 					case "slow":
-						sim.State.DelayAnswers(host, 400*time.Millisecond)
+						sim.State.DelayResponses(host, 400*time.Millisecond)
 					case "lost":
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					case "late":
-						fault.Late = [2]time.Duration{2 * time.Second, 12 * time.Second}
+						fault.Delay = [2]time.Duration{2 * time.Second, 12 * time.Second}
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					case "late, soon":
-						fault.Late = [2]time.Duration{time.Second, 2 * time.Second}
+						fault.Delay = [2]time.Duration{time.Second, 2 * time.Second}
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					}
 					outcomesBefore := len(sim.State.TxnOutcomes())
@@ -231,7 +231,7 @@
 					sim.KillController(leader)
 					time.Sleep(7 * time.Second)
 					sim.State.InjectTxnFaults(0)
-					sim.State.DelayAnswers(host, 0)
+					sim.State.DelayResponses(host, 0)
 					startControllers(t, sim, leader)
 					time.Sleep(8 * time.Second)
 				}
@@ -250,16 +250,16 @@
 // limits of the key-value store, across a change of leader.
 func TestLargestJobAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
-	runScenario(t, 17, func(sim *simulator.Simulation, at func(time.Duration)) {
+	runScenario(t, 17, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		largestJob, smallJob := array(1, wire.MaxTasks, 3), array(2, 4, 5)
 		largestJob.Spec.CPUs, largestJob.Spec.MemoryGB = 0.5, 1
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		sim.Submit(largestJob, 0)
-		at(40 * time.Second)
+		sleepUntil(40 * time.Second)
 		sim.KillController(sim.Leader())
-		at(50 * time.Second)
+		sleepUntil(50 * time.Second)
 		sim.Submit(smallJob, 0)
-		at(90 * time.Second)
+		sleepUntil(90 * time.Second)
 		mustFinish(t, sim, smallJob)
 		status, raw, _ := sim.Ask(sim.Leader(), "GET", "/v1/jobs/req-000001", nil)
 		var state wire.JobState
@@ -274,7 +274,7 @@
 // running.
 func TestAllJobsFinishAfterManyFaults(t *testing.T) {
 	t.Parallel()
-	runOnBothLayouts(t, 67, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+	runOnBothLayouts(t, 67, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		rng := rand.New(rand.NewPCG(67, 4))
 		var jobs []simulator.JobScript
 		jobNumber := 0
@@ -299,13 +299,13 @@
 				sim.Submit(j, cancelDelay)
 			}
 		}
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		serviceJob := service(900, 4)
 		sim.Submit(serviceJob, 0)
 		submitThree()
-		at(35 * time.Second)
+		sleepUntil(35 * time.Second)
 		// The leader changes while the cloud is unavailable.
-		sim.CloudOutage(true)
+		sim.SetCloudOutage(true)
 		submitThree()
 		leader := sim.Leader()
 		sim.IsolateController(leader, simulator.CutRefused, true)
@@ -313,7 +313,7 @@
 		submitThree()
 		time.Sleep(10 * time.Second)
 		sim.IsolateController(leader, simulator.CutRefused, false)
-		sim.CloudOutage(false)
+		sim.SetCloudOutage(false)
 		// A zone is cut off, and all controllers outside it are down for longer than a lease.
 		time.Sleep(10 * time.Second)
 		submitThree()
@@ -330,12 +330,12 @@
 		time.Sleep(10 * time.Second)
 		// All controllers are killed in an outage, and restart one after the other.
 		submitThree()
-		sim.State.Outage(true)
+		sim.State.SetOutage(true)
 		time.Sleep(3 * time.Second)
 		killAll(sim)
 		time.Sleep(time.Second)
 		startControllers(t, sim, 1)
-		sim.State.Outage(false)
+		sim.State.SetOutage(false)
 		submitThree()
 		time.Sleep(5 * time.Second)
 		startControllers(t, sim, 0, 2)
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -16,15 +16,15 @@
 	for seed := uint64(100); seed < 108; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, seed, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, seed, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				rng := rand.New(rand.NewPCG(seed, 1))
 				var uncancelled []simulator.JobScript
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				serviceJob := service(900, 3)
 				sim.Submit(serviceJob, 0)
 				jobNumber := 0
 				for second := 3; second < 150; second += 5 + rng.IntN(10) {
-					at(time.Duration(second) * time.Second)
+					sleepUntil(time.Duration(second) * time.Second)
 					jobNumber++
 					job := array(jobNumber, 1+rng.IntN(10), float64(5+rng.IntN(25)))
 					cancel := time.Duration(0)
@@ -41,9 +41,9 @@
 						time.Sleep(time.Duration(rng.IntN(5000)) * time.Millisecond)
 						startControllers(t, sim, controller)
 					case 2:
-						sim.State.Outage(true)
+						sim.State.SetOutage(true)
 						time.Sleep(time.Duration(rng.IntN(20)) * time.Second)
-						sim.State.Outage(false)
+						sim.State.SetOutage(false)
 					case 3:
 						sim.ReclaimMachines(1, func(bool, int) bool { return true })
 					case 4:
@@ -63,7 +63,7 @@
 							sim.GiveSpotNotice(id, 8*time.Second)
 						}
 					case 7:
-						sim.State.LoseAnswers(1)
+						sim.State.LoseResponses(1)
 					}
 				}
 				markFaultsOver(sim)
@@ -83,10 +83,10 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 2))
-			runWithSettings(t, settingsOfSize(5), 300+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 300+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				randomSeconds := randomDelay(rng)
 				serviceJob, uncancelled := service(1, 4), []simulator.JobScript{}
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				for n := range 30 {
 					job := array(10+n, 1+rng.IntN(8), float64(5+rng.IntN(30)))
@@ -94,7 +94,7 @@
 					if cancel == 0 {
 						uncancelled = append(uncancelled, job)
 					}
-					at(time.Duration(3+5*n)*time.Second + randomSeconds(5))
+					sleepUntil(time.Duration(3+5*n)*time.Second + randomSeconds(5))
 					sim.Submit(job, cancel)
 					if n%10 != 7 {
 						continue
@@ -103,19 +103,19 @@
 					sim.IsolateZone(zone, true)
 					time.Sleep(randomSeconds(6))
 					cloudDown, storeDown, killLeader := rng.IntN(2) == 0, rng.IntN(3) == 0, rng.IntN(2) == 0
-					sim.CloudOutage(cloudDown)
-					sim.State.Outage(storeDown)
+					sim.SetCloudOutage(cloudDown)
+					sim.State.SetOutage(storeDown)
 					if leader := sim.Leader(); killLeader && leader >= 0 {
 						sim.KillController(leader)
 						time.Sleep(randomSeconds(6))
 						startControllers(t, sim, leader)
 					}
 					time.Sleep(randomSeconds(20))
-					sim.State.Outage(false)
+					sim.State.SetOutage(false)
 					time.Sleep(randomSeconds(50))
 					sim.IsolateZone(zone, false)
 					time.Sleep(randomSeconds(10))
-					sim.CloudOutage(false)
+					sim.SetCloudOutage(false)
 				}
 				time.Sleep(150 * time.Second)
 				mustFinish(t, sim, uncancelled...)
@@ -134,7 +134,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 3))
-			runOnUnevenLayout(t, 500+seed, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 500+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				randomSeconds := randomDelay(rng)
 				zones := []wire.Zone{"a", "b", "c"}
 				var uncancelled []simulator.JobScript
@@ -147,7 +147,7 @@
 					if cancel == 0 {
 						uncancelled = append(uncancelled, job)
 					}
-					at(time.Duration(3+4*n)*time.Second + randomSeconds(4))
+					sleepUntil(time.Duration(3+4*n)*time.Second + randomSeconds(4))
 					sim.Submit(job, cancel)
 					if n%9 != 6 {
 						continue
@@ -159,8 +159,8 @@
 					}
 					partition(true)
 					time.Sleep(randomSeconds(8))
-					sim.CloudOutage(rng.IntN(2) == 0)
-					sim.State.Outage(rng.IntN(4) == 0)
+					sim.SetCloudOutage(rng.IntN(2) == 0)
+					sim.State.SetOutage(rng.IntN(4) == 0)
 					if victim := rng.IntN(4); victim < 3 {
 						killed := []int{victim}
 						if victim == 2 {
@@ -177,11 +177,11 @@
 						}
 					}
 					time.Sleep(randomSeconds(15))
-					sim.State.Outage(false)
+					sim.State.SetOutage(false)
 					time.Sleep(randomSeconds(60))
 					partition(false)
 					time.Sleep(randomSeconds(10))
-					sim.CloudOutage(false)
+					sim.SetCloudOutage(false)
 				}
 				markFaultsOver(sim)
 				time.Sleep(240 * time.Second)
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -19,12 +19,12 @@
 	for _, leaderRestarts := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader restarts ", leaderRestarts), func(t *testing.T) {
 			t.Parallel()
-			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			runOnBothLayouts(t, 30, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, cancelledJob, arrayJob := service(1, 4), service(2, 4), array(3, 6, 10)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				sim.Submit(cancelledJob, 55*time.Second)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				machines := sim.MachinesRunning(serviceJob.Spec.ID)
 				if len(machines) == 0 {
 					t.Fatal("no replica of the service runs")
@@ -34,21 +34,21 @@
 					// The machine never receives the next leader's token.
 					restartLeader(t, sim, 5*time.Second)
 				}
-				at(52 * time.Second)
+				sleepUntil(52 * time.Second)
 				sim.Submit(arrayJob, 0)
-				at(90 * time.Second)
+				sleepUntil(90 * time.Second)
 				mustRun(t, sim, serviceJob, "while a machine receives nothing")
 				mustFinish(t, sim, arrayJob)
-				at(130 * time.Second)
+				sleepUntil(130 * time.Second)
 				sim.Net.BlockInbound(sim.MachineIP(machines[0]), false)
-				at(200 * time.Second)
+				sleepUntil(200 * time.Second)
 				mustRun(t, sim, serviceJob, "after the fault")
 			})
 		})
 	}
 }
 
-// Workers can't connect to any controller, while requests to them arrive. This affects one
+// Agents can't connect to any controller, while requests to them arrive. This affects one
 // machine, half of them, or most of a zone. The machines look alive, but their leases expire.
 // The work that this ends must be done elsewhere, and tasks of a cancelled job must be gone in
 // time.
@@ -70,14 +70,14 @@
 			run := runOnBothLayouts
 			if name == "one" {
 				run = func(t *testing.T, seed uint64, script func(*testing.T, *simulator.Simulation, func(time.Duration))) {
-					runOnUnevenLayout(t, seed, func(sim *simulator.Simulation, at func(time.Duration)) { script(t, sim, at) })
+					runOnUnevenLayout(t, seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) { script(t, sim, sleepUntil) })
 				}
 			}
-			run(t, 640, func(t *testing.T, sim *simulator.Simulation, at func(time.Duration)) {
+			run(t, 640, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob, cancelledJob := service(1, 3), array(2, 12, 60), array(3, 4, 300)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob, cancelledJob)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				unconnected := choose(sim)
 				sim.BlockOutbound(true, unconnected...)
 				// Each machine has been without a heartbeat for a lease, but still answers requests.
@@ -93,7 +93,7 @@
 				}
 				mustCancel(t, sim, cancelledJob)
 				time.Sleep(5 * time.Second)
-				mustBeGone(t, sim, cancelledJob, "5 s later, on machines that can't connect")
+				mustHaveNoTasks(t, sim, cancelledJob, "5 s later, on machines that can't connect")
 				// Many such machines are kept for a while, and the cloud may have no more machines of
 				// their cheap type.
 				time.Sleep(170 * time.Second)
@@ -122,11 +122,11 @@
 			}
 			t.Run(fmt.Sprintf("%s, longer than a lease %v", fault, outlastsLease), func(t *testing.T) {
 				t.Parallel()
-				run(t, 650, func(sim *simulator.Simulation, at func(time.Duration)) {
+				run(t, 650, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					serviceJob, arrayJob := service(1, 3), array(2, 12, 70)
-					at(2 * time.Second)
+					sleepUntil(2 * time.Second)
 					submitAll(sim, serviceJob, arrayJob)
-					at(45 * time.Second)
+					sleepUntil(45 * time.Second)
 					machines := sim.MachinesRunning(arrayJob.Spec.ID)
 					machines = machines[:(len(machines)+1)/2]
 					leader, oldToken := sim.LeaderAndToken()
@@ -139,7 +139,7 @@
 								case fault == "cut":
 									sim.Net.Cut(simulator.NodeIP(i), ip, on)
 								case fault == "no inbound", fault == "no inbound from next leader" && i != leader:
-									sim.Net.Hold(simulator.NodeIP(i), ip, on)
+									sim.Net.HoldPackets(simulator.NodeIP(i), ip, on)
 								}
 							}
 						}
@@ -198,12 +198,12 @@
 				t.Run(fmt.Sprintf("%s, cloud down %v, leader killed %v", fault, cloudDown, leaderKilled), func(t *testing.T) {
 					t.Parallel()
 					rng := rand.New(rand.NewPCG(660, 1))
-					run(t, 660, func(sim *simulator.Simulation, at func(time.Duration)) {
+					run(t, 660, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 						serviceJob, cancelledJob, arrayJob := service(1, 3), array(2, 10, 300), array(3, 6, 20)
 						cancelledService := service(4, 2)
-						at(2 * time.Second)
+						sleepUntil(2 * time.Second)
 						submitAll(sim, serviceJob, cancelledJob, cancelledService)
-						at(45 * time.Second)
+						sleepUntil(45 * time.Second)
 						machines := sim.BusyMachines("")
 						setFault := func(on bool) {
 							switch fault {
@@ -215,7 +215,7 @@
 								sim.BlockOutbound(on, machines...)
 							}
 						}
-						sim.CloudOutage(cloudDown)
+						sim.SetCloudOutage(cloudDown)
 						setFault(true)
 						time.Sleep(randomDelay(rng)(3))
 						if n := tasksOnMachines(sim, cancelledJob.Spec.ID); n != 10 {
@@ -225,7 +225,7 @@
 						mustCancel(t, sim, cancelledService)
 						if fault == "no outbound" {
 							time.Sleep(4 * time.Second)
-							mustBeGone(t, sim, cancelledJob, "on machines that can't connect")
+							mustHaveNoTasks(t, sim, cancelledJob, "on machines that can't connect")
 						}
 						if leaderKilled {
 							leader, oldToken := sim.LeaderAndToken()
@@ -242,20 +242,20 @@
 						if fault != "no outbound" {
 							setFault(false) // within the lease
 							time.Sleep(6 * time.Second)
-							mustBeGone(t, sim, cancelledJob, "after the machines resumed")
+							mustHaveNoTasks(t, sim, cancelledJob, "after the machines resumed")
 							setFault(true)
 						}
 						time.Sleep(sim.Settings.Workers.Lease.Duration() + 4*time.Second)
-						mustBeGone(t, sim, cancelledJob, "after the end of the lease")
+						mustHaveNoTasks(t, sim, cancelledJob, "after the end of the lease")
 						setFault(false)
 						time.Sleep(20 * time.Second)
-						sim.CloudOutage(false)
+						sim.SetCloudOutage(false)
 						markFaultsOver(sim)
 						time.Sleep(80 * time.Second)
 						mustFinish(t, sim, arrayJob)
 						mustRun(t, sim, serviceJob, "at the end")
-						mustBeGone(t, sim, cancelledJob, "at the end")
-						mustBeGone(t, sim, cancelledService, "at the end")
+						mustHaveNoTasks(t, sim, cancelledJob, "at the end")
+						mustHaveNoTasks(t, sim, cancelledService, "at the end")
 					})
 				})
 			}
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -18,23 +18,23 @@
 	for _, leaderInside := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leaderInside), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 37, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, arrayJob := service(1, 4), array(2, 12, 30)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				submitAll(sim, serviceJob, arrayJob)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				zone := leaderZoneOrOther(sim, leaderInside)
 				sim.IsolateZone(zone, true)
-				at(78 * time.Second)
+				sleepUntil(78 * time.Second)
 				mustRun(t, sim, serviceJob, "33 s after the zone was partitioned")
 				if l := sim.Leader(); l < 0 || sim.Config(l).Zone == zone {
 					t.Errorf("leader is node %d, want one outside the partitioned zone", l)
 				}
 				sim.IsolateZone(zone, false)
-				at(95 * time.Second)
+				sleepUntil(95 * time.Second)
 				mustRun(t, sim, serviceJob, "after the partition")
 				mustRestartNoTask(t, sim)
-				at(200 * time.Second)
+				sleepUntil(200 * time.Second)
 				mustFinish(t, sim, arrayJob)
 			})
 		})
@@ -42,19 +42,19 @@
 }
 
 // One zone is partitioned: the one with most of the controllers, the one with one, or the one
-// with none, whose workers then reach no controller. The work that ran there must be done
+// with none, whose agents then reach no controller. The work that ran there must be done
 // elsewhere during the partition and never twice, wherever the leader was.
 func TestAnyZonePartitioned(t *testing.T) {
 	t.Parallel()
 	for _, zones := range [][2]wire.Zone{{"a", "a"}, {"a", "b"}, {"b", "a"}, {"b", "b"}, {"c", "a"}} {
 		t.Run(fmt.Sprintf("%s, leader in %s", zones[0], zones[1]), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 50, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 50, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				firstArray, laterArray := array(1, 18, 40), array(2, 6, 20)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				moveLeadershipTo(t, sim, zones[1])
 				sim.Submit(firstArray, 0)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				sim.IsolateZone(zones[0], true)
 				time.Sleep(8 * time.Second)
 				sim.Submit(laterArray, 0)
@@ -68,7 +68,7 @@
 }
 
 // Two zones can't reach each other for longer than a lease; both still reach the key-value
-// store. The workers of one reach no controller that reaches the leader, and the controller
+// store. The agents of one reach no controller that reaches the leader, and the controller
 // there acts as the leader's delegate. Running tasks must keep running. It must not matter in
 // which zone the leader is, and the leader must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
@@ -76,12 +76,12 @@
 	for _, leaderZone := range []wire.Zone{"a", "b"} {
 		t.Run("leader in "+string(leaderZone), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 51, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 51, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				arrayJob := array(1, 18, 70)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				moveLeadershipTo(t, sim, leaderZone)
 				sim.Submit(arrayJob, 0)
-				at(60 * time.Second)
+				sleepUntil(60 * time.Second)
 				leader := sim.Leader()
 				sim.PartitionZones("a", "b", true)
 				time.Sleep(20 * time.Second)
@@ -111,40 +111,40 @@
 	for _, leaderInside := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader inside ", leaderInside), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(5), 38, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				serviceJob, cancelledJob := service(1, 4), service(2, 6)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
 				sim.Submit(cancelledJob, 44*time.Second)
-				at(45 * time.Second)
+				sleepUntil(45 * time.Second)
 				zone := leaderZoneOrOther(sim, leaderInside)
-				sim.CloudOutage(true)
+				sim.SetCloudOutage(true)
 				sim.IsolateZone(zone, true)
-				at(115 * time.Second)
+				sleepUntil(115 * time.Second)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if n := c.OnMachines(cancelledJob.Spec.ID); n != 0 {
+					if n := c.TasksOnMachines(cancelledJob.Spec.ID); n != 0 {
 						t.Errorf("%d tasks of the cancelled job run in the partitioned zone, want 0", n)
 					}
 				})
 				sim.IsolateZone(zone, false)
-				sim.CloudOutage(false)
-				at(160 * time.Second)
+				sim.SetCloudOutage(false)
+				sleepUntil(160 * time.Second)
 				mustRun(t, sim, serviceJob, "after all faults")
 			})
 		})
 	}
 }
 
-// A zone with workers and a controller is partitioned for longer than a lease. Jobs that may run
+// A zone with agents and a controller is partitioned for longer than a lease. Jobs that may run
 // only in that zone are cancelled just before the partition, early in it and late in it; one is
 // submitted and cancelled during it; others wait for its end. As the cloud is unavailable, only
-// the workers and the controller in that zone can stop the tasks there.
+// the agents and the controller in that zone can stop the tasks there.
 func TestSingleZoneJobsInPartitionedZone(t *testing.T) {
 	t.Parallel()
 	for _, leaderInside := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader inside %v", leaderInside), func(t *testing.T) {
 			t.Parallel()
-			runOnUnevenLayout(t, 62, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runOnUnevenLayout(t, 62, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				zone := wire.Zone("b") // node 1
 				inZone := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = zone; return j }
 				uncancelledArray, sameZoneArray := inZone(array(1, 4, 120)), array(2, 3, 60)
@@ -152,7 +152,7 @@
 				withoutSpread := func(j simulator.JobScript) simulator.JobScript { j.Spec.Spread = false; return inZone(j) }
 				cancelledBefore, cancelledEarly, cancelledLate, submittedDuring := withoutSpread(service(3, 2)), withoutSpread(service(4, 2)), withoutSpread(service(5, 2)), withoutSpread(service(6, 2))
 				anyZoneArray := array(7, 6, 30)
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				if moveLeadershipTo(t, sim, "a"); leaderInside {
 					moveLeadershipTo(t, sim, zone)
 				}
@@ -164,10 +164,10 @@
 				time.Sleep(5 * time.Second)
 				cancelAtController(t, sim, 0, cancelledBefore)
 				partitionedAt := time.Now()
-				sim.CloudOutage(true)
+				sim.SetCloudOutage(true)
 				sim.IsolateZone(zone, true)
 				sim.WithChecker(func(c *simulator.Checker) {
-					if c.OnMachines(cancelledEarly.Spec.ID) != 2 || c.OnMachines(cancelledLate.Spec.ID) != 2 || c.OnMachines(uncancelledArray.Spec.ID) == 0 {
+					if c.TasksOnMachines(cancelledEarly.Spec.ID) != 2 || c.TasksOnMachines(cancelledLate.Spec.ID) != 2 || c.TasksOnMachines(uncancelledArray.Spec.ID) == 0 {
 						t.Error("jobs have too few tasks in the zone when it is partitioned, want 2, 2 and at least 1")
 					}
 				})
@@ -186,7 +186,7 @@
 				}
 				sim.IsolateZone(zone, false)
 				time.Sleep(2 * time.Second)
-				sim.CloudOutage(false)
+				sim.SetCloudOutage(false)
 				mustRecover(t, sim, 3, uncancelledArray, sameZoneArray, anyZoneArray)
 			})
 		})
@@ -202,16 +202,16 @@
 	for leaderChanges, duration := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
 		t.Run(fmt.Sprintf("partition of %v, leader changes %v", duration, leaderChanges), func(t *testing.T) {
 			t.Parallel()
-			runWithSettings(t, settingsOfSize(3), 68, func(sim *simulator.Simulation, at func(time.Duration)) {
+			runWithSettings(t, settingsOfSize(3), 68, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 				arrayJob, serviceJob, fillerArray := array(1, 14, 120), service(2, 4), array(3, 6, 300)
 				fillerArray.Spec.Zone = "a"
-				at(2 * time.Second)
+				sleepUntil(2 * time.Second)
 				moveLeadershipTo(t, sim, "a")
 				submitAll(sim, arrayJob, serviceJob, fillerArray)
 				time.Sleep(60 * time.Second)
 				leader := sim.Leader()
 				sim.IsolateZone("b", true)
-				sim.CloudOutage(true) // so that no machine is returned
+				sim.SetCloudOutage(true) // so that no machine is returned
 				if leaderChanges {
 					sim.KillController(leader)
 					awaitOtherLeader(t, sim, leader, 10*time.Second)
@@ -247,7 +247,7 @@
 				time.Sleep(2500 * time.Millisecond)
 				cutMachines(false)
 				time.Sleep(8 * time.Second)
-				sim.CloudOutage(false)
+				sim.SetCloudOutage(false)
 				mustRecover(t, sim, 3, arrayJob, serviceJob)
 			})
 		})
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -25,8 +25,8 @@
 	for i := range c.MachineSpecs {
 		spec := &c.MachineSpecs[i]
 		for _, zone := range spec.Zones {
-			room := MachineRoom{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
-			if room.hasRoomFor(job, nil) {
+			room := MachineCapacity{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
+			if room.fits(job, nil) {
 				return ""
 			}
 		}
@@ -34,8 +34,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// SubmissionSent records a submission, whose body may be malformed, and checks its answer;
-// status 0 means no answer yet.
+// SubmissionSent records a submission, whose body may be malformed, and checks its response;
+// status 0 means no response yet.
 func (c *Checker) SubmissionSent(raw []byte, status int, now time.Time) {
 	var fields map[string]any
 	undecodable := wire.Decode(raw, &fields) != nil
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -6,24 +6,24 @@
 	"lilaclead/internal/wire"
 )
 
-// CloudOutage begins or ends an outage of the cloud's API.
-func (sim *Simulation) CloudOutage(on bool) {
+// SetCloudOutage begins or ends an outage of the cloud's API.
+func (sim *Simulation) SetCloudOutage(on bool) {
 	sim.mu.Lock()
 	sim.cloudOutage = on
 	sim.mu.Unlock()
 }
 
-// LoseScaleInAnswers makes the next n scale-in requests take effect without an answer.
-func (sim *Simulation) LoseScaleInAnswers(n int) {
+// LoseScaleInResponses makes the next n scale-in requests take effect without a response.
+func (sim *Simulation) LoseScaleInResponses(n int) {
 	sim.mu.Lock()
-	sim.loseScaleInAnswers = n
+	sim.loseScaleInResponses = n
 	sim.mu.Unlock()
 }
 
-// LoseScaleOutAnswers makes the next n scale-out requests take effect without an answer.
-func (sim *Simulation) LoseScaleOutAnswers(n int) {
+// LoseScaleOutResponses makes the next n scale-out requests take effect without a response.
+func (sim *Simulation) LoseScaleOutResponses(n int) {
 	sim.mu.Lock()
-	sim.loseScaleOutAnswers = n
+	sim.loseScaleOutResponses = n
 	sim.mu.Unlock()
 }
 
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -12,7 +12,7 @@
 // commands them.
 type CommandDelay struct {
 	Command           time.Duration // of a direct command
-	Answer            time.Duration // of the answer to a direct command
+	Answer            time.Duration // of the response to a direct command
 	HeartbeatResponse time.Duration // of the response to a heartbeat
 }
 
@@ -31,14 +31,14 @@
 	return m.sim.machineFaults.commandDelay
 }
 
-// Answered is the verb under which LateCommands counts direct requests that were executed and
+// LateAnswer is the verb under which LateCommands counts direct requests that were executed and
 // answered late.
-const Answered wire.Verb = "answered"
+const LateAnswer wire.Verb = "answered"
 
 // LateCommands counts late commands by verb: for VerbLaunch and VerbStop direct commands that were
 // executed late because they were delayed or the machine hung, for VerbForget commands that were
-// executed late, and for Answered direct requests that were executed and answered late. Late means
-// by a second or more.
+// executed late, and for LateAnswer direct requests that were executed and answered late. Late
+// means by a second or more.
 func (sim *Simulation) LateCommands(v wire.Verb) int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -174,7 +174,7 @@
 	for _, delay := range delays {
 		sim.reportFault(true)
 		sim.spawn(func() {
-			defer sim.CountFault(false)
+			defer sim.ReportFault(false)
 			sleep(sim.ctx, delay)
 			for i := range sim.controllers {
 				sim.Ask(i, "POST", "/hello", heartbeat)
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -5,11 +5,11 @@
 // MaxTasksPerChunk is the largest number of tasks in one chunk.
 const MaxTasksPerChunk = 256
 
-// ChunkTasksFor returns the largest number of tasks in a chunk under a limit of valueKB KiB
-// on a value. A chunk of that size fits the limit in every mix of task states, also with
-// every task on a machine and however often the tasks were started. (At 4 KiB, one chunk
-// with 200 tasks would exceed the limit once most of them have been started again.)
-func ChunkTasksFor(valueKB float64) int {
+// TasksPerChunkForLimit returns the largest number of tasks in a chunk under a limit of
+// valueKB KiB on a value. A chunk of that size fits the limit in every mix of task states,
+// also with every task on a machine and however often the tasks were started. (At 4 KiB, one
+// chunk with 200 tasks would exceed the limit once most of them have been started again.)
+func TasksPerChunkForLimit(valueKB float64) int {
 	return max(1, min(MaxTasksPerChunk, int(valueKB*1024-baseChunkBytes)/attemptBytes))
 }
 
@@ -25,7 +25,7 @@
 // ActiveAttempt is an attempt to run a task that may be on a machine.
 type ActiveAttempt struct {
 	_       struct{} `cbor:",toarray"`
-	Task    int      // index within the chunk or subchunk
+	Task    int      // index within the chunk or sub-chunk
 	Attempt wire.AttemptNumber
 	Machine wire.MachineID
 }
@@ -38,14 +38,14 @@
 	Done []int `cbor:"d"`
 	// Active lists the attempts that may be on a machine.
 	Active []ActiveAttempt `cbor:"r"`
-	// SubchunkTasks is the number of tasks in each subchunk of a chunk. It is set in the
-	// records of subchunks only.
+	// SubchunkTasks is the number of tasks in each sub-chunk of a chunk. It is set in the
+	// records of sub-chunks only.
 	SubchunkTasks int `cbor:"s,omitempty"`
 }
 
-// JSONSize returns an upper bound of the record's size in JSON, in bytes. The service
+// MaxJSONSize returns an upper bound of the record's size in JSON, in bytes. The store
 // applies its limit on a value to that form.
-func (c *ChunkRecord) JSONSize() int {
+func (c *ChunkRecord) MaxJSONSize() int {
 	size := baseChunkBytes
 	for _, bound := range c.Done {
 		size += decimalDigits(uint64(bound)) + 2
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -73,12 +73,12 @@
 		if _, err := c.Get(ctx, store.ClassBackground, "none"); !errors.Is(err, store.ErrNotFound) {
 			t.Errorf("no such key: got %v, want %v", err, store.ErrNotFound)
 		}
-		state.Outage(true)
+		state.SetOutage(true)
 		if _, err := c.Commit(ctx, store.ClassBackground, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
 			t.Errorf("outage: got %v, reachable %v, want %v, false", err, c.Reachable(), store.ErrRefused)
 		}
-		state.Outage(false)
-		state.LoseAnswers(1)
+		state.SetOutage(false)
+		state.LoseResponses(1)
 		if _, err := c.Commit(ctx, store.ClassBackground, wire.Txn{Writes: []wire.Write{{DeleteKey: "k"}}}); !errors.Is(err, store.ErrOutcomeUnknown) {
 			t.Errorf("response lost: got %v, want %v", err, store.ErrOutcomeUnknown)
 		}
@@ -98,14 +98,14 @@
 		}
 		env.cut(true)
 		for range 2 {
-			c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // fails, as the service is cut off
+			c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // fails, as the store is cut off
 		}
 		begin := time.Now()
 		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
 			t.Errorf("service cut off: got %v after %v, want %v at once", err, time.Since(begin), store.ErrRefused)
 		}
 		env.cut(false)
-		c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // shows the client that the service is back
+		c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // shows the client that the store is back
 		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrNotFound) {
 			t.Errorf("after the cut: got %v, want %v", err, store.ErrNotFound)
 		}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -17,7 +17,7 @@
 const (
 	// JobPrefix is the prefix of the keys of live jobs.
 	JobPrefix = "job/"
-	// ProgressPrefix is the prefix of the keys of the chunks and subchunks of jobs.
+	// ProgressPrefix is the prefix of the keys of the chunks and sub-chunks of jobs.
 	ProgressPrefix = "run/"
 	// finalPrefix is the prefix of the keys of jobs that have ended.
 	finalPrefix = "past/"
@@ -51,15 +51,15 @@
 	return id, chunk, hasNumber && isNumber && id.Valid()
 }
 
-// SubchunkKey returns the key of a subchunk: a section of a chunk that has become too large
-// to be written again. The chunk's record stays as it is; for the tasks of a subchunk that
+// SubchunkKey returns the key of a sub-chunk: a section of a chunk that has become too large
+// to be written again. The chunk's record stays as it is; for the tasks of a sub-chunk that
 // has a record, that record counts instead. So each section is written by itself, in one
 // transaction.
 func SubchunkKey(id wire.JobID, chunk, subchunk int) string {
 	return ChunkKey(id, chunk) + "/" + strconv.Itoa(subchunk)
 }
 
-// ParseSubchunkKey returns the job, the chunk and the subchunk of a key that SubchunkKey
+// ParseSubchunkKey returns the job, the chunk and the sub-chunk of a key that SubchunkKey
 // returns; ok reports whether the key is of that form.
 func ParseSubchunkKey(key string) (id wire.JobID, chunk, subchunk int, ok bool) {
 	lastSlash := strings.LastIndexByte(key, '/')
@@ -128,8 +128,8 @@
 // the clock of the node that cancelled the job may differ from this node's.
 func (r *JobRecord) SinceCancelled() time.Duration { return max(0, time.Since(r.CancelledAt.Time())) }
 
-// ChunkTasks returns the number of tasks in each chunk of the job's progress.
-func (r *JobRecord) ChunkTasks() int {
+// EffectiveTasksPerChunk returns the number of tasks in each chunk of the job's progress.
+func (r *JobRecord) EffectiveTasksPerChunk() int {
 	if r.TasksPerChunk < 1 || r.TasksPerChunk > MaxTasksPerChunk {
 		return MaxTasksPerChunk
 	}
@@ -142,8 +142,8 @@
 	Done   int         `cbor:"done"` // number of completed tasks
 }
 
-// LeaderRecord is the value of the leader's key.
-type LeaderRecord struct {
+// LeaseRecord is the value of the leader's key.
+type LeaseRecord struct {
 	Node wire.NodeID `cbor:"node"`
 	// Nonce distinguishes one process of a node from the next.
 	Nonce string `cbor:"nonce"`
--- a/listener_test.go
+++ b/listener_test.go
@@ -70,7 +70,7 @@
 func (s *boundedServer) newClient(t *testing.T) func(path string) bool {
 	t.Helper()
 	host := s.network.Host("10.1.0.1")
-	client := &http.Client{Transport: netio.Net{Dial: host.Dial}.Transport(1, 1)}
+	client := &http.Client{Transport: netio.Network{Dial: host.Dial}.Transport(1, 1)}
 	return func(path string) bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -81,7 +81,7 @@
 }
 
 // At the limit, the connection that has been idle longest is closed, users' connections before
-// workers'. If none is idle, the next connection waits, and Accept doesn't spin.
+// agents'. If none is idle, the next connection waits, and Accept doesn't spin.
 func TestIdleConnectionsAreEvictedAtLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 4
