--- a/duty/example_test.go
+++ b/duty/example_test.go
@@ -26,7 +26,7 @@
 // openStore starts a simulated store on the loopback interface and returns its client.
 func openStore() (client *store.Client, closeStore func()) {
 	server := httptest.NewServer(simulator.NewKVStore(12, 16))
-	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	addr := strings.TrimPrefix(server.URL, "http://")
 	return store.New(addr, limits, 1, netio.HostNetwork()), server.Close
 }
--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -56,7 +56,7 @@
 func newHolder(node, addr string, fenced bool, mode freezeMode) *holder {
 	h := &holder{receiversAddr: addr, fenced: fenced, gate: newGate(mode)}
 	h.httpClient = &http.Client{Transport: h.gate}
-	limits := config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, MaxValueKB: maxValueBytes >> 10, MaxTxnWrites: 12}
+	limits := config.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: maxValueBytes >> 10, TxnOps: 12}
 	h.store = gatedStore{store.New(addr, limits, 1, netio.HostNetwork()), h.gate}
 	h.candidate = duty.NewCandidate(duty.Options{Key: leaseKey, Node: duty.NodeID(node), Store: h.store, Timing: shortLease})
 	return h
--- a/duty/simulation_test.go
+++ b/duty/simulation_test.go
@@ -48,7 +48,7 @@
 
 // options returns the options of a candidate on the host with this number.
 func (s *simulation) options(host int) duty.Options {
-	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	return duty.Options{
 		Key:           store.LeaderKey,
 		Node:          nodeOn(host),
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -64,7 +64,7 @@
 	cfg := &config.Config{HostName: "node-1", Settings: config.Settings{
 		Size:    1,
 		Workers: config.Workers{HeartbeatInterval: 3, Lease: 45, CancelTimeout: 70},
-		State:   config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxTxnWrites: 12, MaxValueKB: 16},
+		State:   config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16},
 	}}
 	log := slog.New(slog.NewTextHandler(n.log, nil))
 	undecodableLog := undecodable.New(log)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -202,9 +202,9 @@
 		name, next string
 		want       StoreLimits
 	}{
-		{"lower announced limits apply before they are in force", "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0", StoreLimits{RPS: 10, WriteRPS: 3, MaxValueKB: 2, MaxTxnWrites: 4}},
-		{"higher announced limits do not apply before they are in force", "value_kb = 64.0\ntxn_ops = 40", StoreLimits{RPS: 10, WriteRPS: 5, MaxValueKB: 16, MaxTxnWrites: 12}},
-		{"limits that are not announced stay", "rps = 4.0", StoreLimits{RPS: 4, WriteRPS: 5, MaxValueKB: 16, MaxTxnWrites: 12}},
+		{"lower announced limits apply before they are in force", "value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 3.0", StoreLimits{RPS: 10, WriteRPS: 3, ValueKB: 2, TxnOps: 4}},
+		{"higher announced limits do not apply before they are in force", "value_kb = 64.0\ntxn_ops = 40", StoreLimits{RPS: 10, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
+		{"limits that are not announced stay", "rps = 4.0", StoreLimits{RPS: 4, WriteRPS: 5, ValueKB: 16, TxnOps: 12}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			cfg, err := parseWith(t, "gang_wait_s = 40.0\ngang_peer_s = 3.0", "[settings.state.next]\n"+tt.next)
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -6,10 +6,10 @@
 	// second from the whole deployment.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
-	// MaxValueKB is the maximum size of a value, in kilobytes. MaxTxnWrites is the maximum
+	// ValueKB is the maximum size of a value, in kilobytes. TxnOps is the maximum
 	// number of writes in a transaction.
-	MaxValueKB   float64 `toml:"value_kb"`
-	MaxTxnWrites int     `toml:"txn_ops"`
+	ValueKB float64 `toml:"value_kb"`
+	TxnOps  int     `toml:"txn_ops"`
 	// Next are limits that are announced for the store. They take effect at an unknown time,
 	// without further notice. Next is nil if no change is announced.
 	Next *NextStoreLimits `toml:"next"`
@@ -18,10 +18,10 @@
 // NextStoreLimits holds announced limits of the key-value store. A limit of 0 means that the
 // present one stays.
 type NextStoreLimits struct {
-	RPS          float64 `toml:"rps"`
-	WriteRPS     float64 `toml:"write_rps"`
-	MaxValueKB   float64 `toml:"value_kb"`
-	MaxTxnWrites int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`
+	WriteRPS float64 `toml:"write_rps"`
+	ValueKB  float64 `toml:"value_kb"`
+	TxnOps   int     `toml:"txn_ops"`
 }
 
 // Strictest returns, for each limit, the lower of the present and the announced one. The store
@@ -32,10 +32,10 @@
 		return s
 	}
 	return StoreLimits{
-		RPS:          lower(s.RPS, next.RPS),
-		WriteRPS:     lower(s.WriteRPS, next.WriteRPS),
-		MaxValueKB:   lower(s.MaxValueKB, next.MaxValueKB),
-		MaxTxnWrites: lower(s.MaxTxnWrites, next.MaxTxnWrites),
+		RPS:      lower(s.RPS, next.RPS),
+		WriteRPS: lower(s.WriteRPS, next.WriteRPS),
+		ValueKB:  lower(s.ValueKB, next.ValueKB),
+		TxnOps:   lower(s.TxnOps, next.TxnOps),
 	}
 }
 
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -160,19 +160,19 @@
 	}
 	v.requireNotNegative("settings.state.next.rps", next.RPS)
 	v.requireNotNegative("settings.state.next.write_rps", next.WriteRPS)
-	v.require(next.MaxValueKB == 0 || next.MaxValueKB >= minValueKB, "settings.state.next.value_kb", valueTooSmall)
-	v.require(next.MaxTxnWrites == 0 || next.MaxTxnWrites >= minTxnWrites, "settings.state.next.txn_ops", tooFewTxnWrites)
+	v.require(next.ValueKB == 0 || next.ValueKB >= minValueKB, "settings.state.next.value_kb", valueTooSmall)
+	v.require(next.TxnOps == 0 || next.TxnOps >= minTxnWrites, "settings.state.next.txn_ops", tooFewTxnWrites)
 }
 
 // checkStoreLimits checks the present limits of the key-value store.
 func (v *validator) checkStoreLimits(s *StoreLimits) {
 	v.requirePositive("settings.state.rps", s.RPS)
 	v.requirePositive("settings.state.write_rps", s.WriteRPS)
-	v.requirePositive("settings.state.value_kb", s.MaxValueKB)
-	if s.MaxValueKB > 0 {
-		v.require(s.MaxValueKB >= minValueKB, "settings.state.value_kb", valueTooSmall)
+	v.requirePositive("settings.state.value_kb", s.ValueKB)
+	if s.ValueKB > 0 {
+		v.require(s.ValueKB >= minValueKB, "settings.state.value_kb", valueTooSmall)
 	}
-	v.require(s.MaxTxnWrites >= minTxnWrites, "settings.state.txn_ops", tooFewTxnWrites)
+	v.require(s.TxnOps >= minTxnWrites, "settings.state.txn_ops", tooFewTxnWrites)
 }
 
 func (v *validator) checkCloud(c *CloudLimits) {
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -89,7 +89,7 @@
 // recordFits reports whether a job's record is small enough for the store, both under its
 // present limits and under those that are announced.
 func (f *feasibility) recordFits(rec *store.JobRecord) bool {
-	return wire.MaxJSONSize(rec) <= int(f.settings.State.Strictest().MaxValueKB*1024)
+	return wire.MaxJSONSize(rec) <= int(f.settings.State.Strictest().ValueKB*1024)
 }
 
 // shrinkToFit drops fields that a cancelled job doesn't need, if its record is too large
--- a/internal/intake/feasibility_test.go
+++ b/internal/intake/feasibility_test.go
@@ -38,7 +38,7 @@
 		{"no allowed machine type", func(s *wire.JobSpec) { s.MachineTypes = []wire.MachineType{"large"} }, types, errFitsNoMachine},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			settings := &config.Settings{Teams: []config.Team{{Name: "red", MaxCPUs: 20, MaxGPUs: 2}}, State: config.StoreLimits{MaxValueKB: 4}}
+			settings := &config.Settings{Teams: []config.Team{{Name: "red", MaxCPUs: 20, MaxGPUs: 2}}, State: config.StoreLimits{ValueKB: 4}}
 			feasibility := feasibility{settings: settings, machineTypes: func() []wire.MachineSpec { return tt.types }}
 			spec := valid
 			tt.change(&spec)
@@ -50,7 +50,7 @@
 }
 
 func TestShrinkToFitDropsNoMoreThanNeeded(t *testing.T) {
-	feasibility := feasibility{settings: &config.Settings{State: config.StoreLimits{MaxValueKB: 1}}}
+	feasibility := feasibility{settings: &config.Settings{State: config.StoreLimits{ValueKB: 1}}}
 	manyTypes := make([]wire.MachineType, 64)
 	for i := range manyTypes {
 		manyTypes[i] = "a-machine-type-with-a-long-name"
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -26,7 +26,7 @@
 // handler of its routes.
 func newIntakeWithoutStore(t *testing.T) (*Intake, http.Handler) {
 	t.Helper()
-	limits := config.StoreLimits{RPS: 100, WriteRPS: 100, MaxTxnWrites: 12, MaxValueKB: 16}
+	limits := config.StoreLimits{RPS: 100, WriteRPS: 100, TxnOps: 12, ValueKB: 16}
 	settings := &config.Settings{Teams: []config.Team{{Name: "red"}}, State: limits, Limits: config.ProcessLimits{FDLimit: 900}}
 	unreachable := netio.Network{Dial: func(context.Context, string, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: errors.New("refused")}
--- a/internal/intake/store_test.go
+++ b/internal/intake/store_test.go
@@ -37,7 +37,7 @@
 }
 
 // highLimits are limits of the store that no test reaches.
-var highLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxTxnWrites: 12, MaxValueKB: 16}
+var highLimits = config.StoreLimits{RPS: 1000, WriteRPS: 1000, TxnOps: 12, ValueKB: 16}
 
 // runCluster runs a test on a cluster in virtual time.
 func runCluster(t *testing.T, test func(t *testing.T, c *cluster)) {
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -91,7 +91,7 @@
 		Spec:          *spec,
 		Status:        wire.StatusQueued,
 		AcceptedAt:    wire.TimestampOf(time.Now()),
-		TasksPerChunk: store.TasksPerChunkForLimit(in.settings.State.Strictest().MaxValueKB),
+		TasksPerChunk: store.TasksPerChunkForLimit(in.settings.State.Strictest().ValueKB),
 	}
 	return commit(ctx, in.store, wire.Txn{
 		Guards: []wire.Guard{
--- a/internal/leader/autoscaler/intents.go
+++ b/internal/leader/autoscaler/intents.go
@@ -47,7 +47,7 @@
 // newCloudIntents returns the intents of a term that holds its lease.
 func newCloudIntents(loop *core.Loop, settings *config.Settings) *CloudIntents {
 	lease := loop.Lease.Lease
-	maxRecordBytes := int(settings.State.Strictest().MaxValueKB * 1024)
+	maxRecordBytes := int(settings.State.Strictest().ValueKB * 1024)
 	return &CloudIntents{
 		loop:      loop,
 		scaleOuts: duty.NewIntents[duty.ScaleOut, ScaleOutIntent](lease, maxRecordBytes),
--- a/internal/leader/autoscaler/rig_test.go
+++ b/internal/leader/autoscaler/rig_test.go
@@ -52,7 +52,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		settings := simulator.DefaultSettings()
 		if options.valueKB > 0 {
-			settings.State.MaxValueKB = options.valueKB
+			settings.State.ValueKB = options.valueKB
 		}
 		sim := simulator.New(ctx, settings, 1, nil, nil)
 		term := newTestTerm(t, sim, settings, options)
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		test(ctx, state, func(node int) *Candidate {
-			limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}
+			limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 			cfg := &config.Config{HostName: wire.NodeID(rune('a' + node)), Settings: config.Settings{Size: 3, State: limits}}
 			client := store.New(simulator.KVStoreAddr, limits, 3, network.Host(simulator.NodeIP(node)))
 			return NewCandidate(cfg, client, slog.New(slog.DiscardHandler), func(context.Context, wire.FencingToken) {})
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -95,7 +95,7 @@
 // on machine n-1. The machine has sent heartbeat 10 of epoch 1.
 func newTestTerm(tb testing.TB) (*term, *cluster.Machine, *cluster.Attempt) {
 	tb.Helper()
-	l := &Leader{Dependencies: testDependencies(config.StoreLimits{MaxValueKB: 16})}
+	l := &Leader{Dependencies: testDependencies(config.StoreLimits{ValueKB: 16})}
 	l.delegationBounds.MaxCancelAge = delegation.BoundsOf(l.Config.Settings.Workers).MaxCancelAge
 	l.delegate = newDelegate(l.Dependencies, l.delegationBounds)
 	l.agents = &agents.Client{}
@@ -149,11 +149,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		setStore(tm, store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}, 1, host))
+		setStore(tm, store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, host))
 		setMesh(tm, peer.New("a", nil, func() peer.Status { return peer.Status{} }, tm.leader.Cancels, host, tm.leader.Log))
 		go tm.leader.Mesh.Run(ctx)
 		tm.Begin(ctx)
-		tm.state.Settings.State.MaxTxnWrites = 12
+		tm.state.Settings.State.TxnOps = 12
 		storeLeadership(tm, st)
 		m.Token = tm.Fencing.Token
 		tm.state.EndAttempt(a, cluster.TaskPending)
--- a/internal/leader/progress/rejected.go
+++ b/internal/leader/progress/rejected.go
@@ -39,8 +39,8 @@
 // store's next limit on values is in force: the record is a chunk whose size is within the
 // former limit and above the next one.
 func (w *Writer) showsLoweredLimit(b *batch) bool {
-	former := kibToBytes(w.limits().MaxValueKB)
-	next := kibToBytes(w.limits().Strictest().MaxValueKB)
+	former := kibToBytes(w.limits().ValueKB)
+	next := kibToBytes(w.limits().Strictest().ValueKB)
 	betweenLimits := next < b.largestValueBytes && b.largestValueBytes <= former
 	return len(b.chunks) == 1 && !w.ValueLimitLowered && betweenLimits
 }
--- a/internal/leader/progress/selection.go
+++ b/internal/leader/progress/selection.go
@@ -14,7 +14,7 @@
 // Final records and launches go first, then routine writes, at most one transaction of them
 // every routineWriteInterval, then the deletion of orphans.
 func (w *Writer) nextBatch(token wire.FencingToken, now time.Time) *batch {
-	b := newBatch(token, w.limits().Strictest().MaxTxnWrites, w.singleRecordTxns > 0)
+	b := newBatch(token, w.limits().Strictest().TxnOps, w.singleRecordTxns > 0)
 	w.addFinishedJobs(b, now)
 	w.SplitOversizedChunks()
 	launches, routine := w.writableChunks(now)
--- a/internal/leader/progress/subchunks.go
+++ b/internal/leader/progress/subchunks.go
@@ -11,9 +11,9 @@
 // that is known to be in force, the present limit before.
 func (w *Writer) ValueLimitBytes() int {
 	if w.ValueLimitLowered {
-		return kibToBytes(w.limits().Strictest().MaxValueKB)
+		return kibToBytes(w.limits().Strictest().ValueKB)
 	}
-	return kibToBytes(w.limits().MaxValueKB)
+	return kibToBytes(w.limits().ValueKB)
 }
 
 // SplitOversizedChunks splits all chunks of each job that has a changed chunk above the
@@ -23,7 +23,7 @@
 		return
 	}
 	limit := w.ValueLimitBytes()
-	maxTasks := store.TasksPerChunkForLimit(w.limits().Strictest().MaxValueKB)
+	maxTasks := store.TasksPerChunkForLimit(w.limits().Strictest().ValueKB)
 	for c := range w.state.UnsavedChanges.Chunks {
 		if !canSplit(c.Job, maxTasks) {
 			continue
--- a/internal/leader/progress/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -20,7 +20,7 @@
 // newTestWriter returns a writer with at most maxOps writes in a transaction and a rate limit
 // that allows remainingWrites writes.
 func newTestWriter(maxOps, remainingWrites int) *Writer {
-	settings := &config.Settings{State: config.StoreLimits{MaxValueKB: 16, MaxTxnWrites: maxOps}}
+	settings := &config.Settings{State: config.StoreLimits{ValueKB: 16, TxnOps: maxOps}}
 	state := cluster.NewState(settings, &cluster.MachineCatalog{}, time.Now(), testToken)
 	return NewWriter(state, func() float64 { return float64(remainingWrites) }, slog.New(slog.DiscardHandler))
 }
@@ -202,7 +202,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := newTestWriter(12, 100)
-			w.state.Settings.State.Next = &config.NextStoreLimits{MaxValueKB: 2, MaxTxnWrites: 4}
+			w.state.Settings.State.Next = &config.NextStoreLimits{ValueKB: 2, TxnOps: 4}
 			w.ValueLimitLowered = c.lowered
 			b := newBatch(testToken, 12, false)
 			b.largestValueBytes = c.largestValueBytes
--- a/internal/leader/sized_term_test.go
+++ b/internal/leader/sized_term_test.go
@@ -64,7 +64,7 @@
 	settings := tm.state.Settings
 	settings.Zones = testZones
 	settings.Teams = []config.Team{{Name: "red", GuaranteedCPUs: float64(machines), MaxCPUs: 8 * float64(machines)}}
-	settings.State.MaxTxnWrites = 12
+	settings.State.TxnOps = 12
 	settings.Workers = config.Workers{HeartbeatInterval: 10, Lease: 45, CancelTimeout: 70}
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "k4", CPUs: 4, MemoryGB: 32, DiskGB: 50, FetchGBPerSecond: 0.25, OnDemandPrice: 0.28, SpotPrice: 0.12, BootTime: 35, Zones: testZones}})
 	tm.state.MachineListReceived, tm.state.SchedulingEnabled = true, true
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -92,7 +92,7 @@
 
 // changeLeader begins a new term, which loads what is stored.
 func (m *subchunkModel) changeLeader() {
-	limits := config.StoreLimits{MaxValueKB: 32, MaxTxnWrites: 12, Next: &config.NextStoreLimits{MaxValueKB: m.nextValueKB}}
+	limits := config.StoreLimits{ValueKB: 32, TxnOps: 12, Next: &config.NextStoreLimits{ValueKB: m.nextValueKB}}
 	l := &Leader{Dependencies: testDependencies(limits)}
 	m.tm = newTerm(l, newLease(l, 50, 0))
 	m.tm.state.RecordsRead = true
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -15,7 +15,7 @@
 // decreasingLimits returns store limits that will drop: from 16 KiB to 2 KiB a value, and
 // from 12 to 4 operations a transaction.
 func decreasingLimits() config.StoreLimits {
-	return config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12, Next: &config.NextStoreLimits{MaxValueKB: 2, MaxTxnWrites: 4}}
+	return config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12, Next: &config.NextStoreLimits{ValueKB: 2, TxnOps: 4}}
 }
 
 // addStoredArray adds an array whose record is stored, with the given number of tasks in
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -107,7 +107,7 @@
 	withSimulatedStore(t, func(tm *term, _ *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1})
 		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.StatusQueued})
-		tm.state.Settings.State.MaxValueKB = 0.5
+		tm.state.Settings.State.ValueKB = 0.5
 		longName := tm.state.GetOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
 			tm.scheduler.StartTask(j, longName, time.Now())
--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -74,7 +74,7 @@
 // task's index and the attempt's number.
 func storedAttempts(t *testing.T, sim *simulator.Simulation, id wire.JobID) map[[2]int]wire.MachineID {
 	t.Helper()
-	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 32, MaxTxnWrites: 12}, 1, sim.Net.Host("10.9.9.9"))
+	reader := store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 32, TxnOps: 12}, 1, sim.Net.Host("10.9.9.9"))
 	reader.Observe = func(string, string, time.Duration) {}
 	entries, _, err := reader.List(context.Background(), store.ClassBackground, store.ProgressPrefix+string(id)+"/")
 	if err != nil {
@@ -88,7 +88,7 @@
 			t.Fatalf("%s is not a chunk record", entry.Key)
 		}
 		for _, active := range record.Active {
-			machines[[2]int{chunk*store.TasksPerChunkForLimit(loweredLimits.MaxValueKB) + active.Task, int(active.Attempt)}] = active.Machine
+			machines[[2]int{chunk*store.TasksPerChunkForLimit(loweredLimits.ValueKB) + active.Task, int(active.Attempt)}] = active.Machine
 		}
 	}
 	return machines
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -14,13 +14,13 @@
 )
 
 // loweredLimits are the announced limits of the key-value store.
-var loweredLimits = config.NextStoreLimits{RPS: 200, WriteRPS: 25, MaxValueKB: 2, MaxTxnWrites: 4}
+var loweredLimits = config.NextStoreLimits{RPS: 200, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
 
 // settingsBeforeLowering are settings with the larger limits, and with room for many small tasks.
 func settingsBeforeLowering() config.Settings {
 	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 400, MaxCPUs: 400}, {Name: "blue", GuaranteedCPUs: 16}}
-	s.State = config.StoreLimits{RPS: 200, WriteRPS: 60, MaxValueKB: 32, MaxTxnWrites: 12}
+	s.State = config.StoreLimits{RPS: 200, WriteRPS: 60, ValueKB: 32, TxnOps: 12}
 	return s
 }
 
@@ -40,7 +40,7 @@
 }
 
 func lowerLimits(sim *simulator.Simulation) {
-	sim.State.LowerLimits(int(loweredLimits.MaxValueKB), loweredLimits.MaxTxnWrites, loweredLimits.RPS, loweredLimits.WriteRPS)
+	sim.State.LowerLimits(int(loweredLimits.ValueKB), loweredLimits.TxnOps, loweredLimits.RPS, loweredLimits.WriteRPS)
 }
 
 // mustExceedLoweredLimits checks that the progress of each job is stored in values larger than the
@@ -48,7 +48,7 @@
 func mustExceedLoweredLimits(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	for _, j := range jobs {
-		if bytes := sim.State.LargestValue(store.ProgressPrefix + string(j.Spec.ID) + "/"); bytes <= int(loweredLimits.MaxValueKB*1024) {
+		if bytes := sim.State.LargestValue(store.ProgressPrefix + string(j.Spec.ID) + "/"); bytes <= int(loweredLimits.ValueKB*1024) {
 			t.Errorf("the largest record of %s has %d bytes, want more than the lowered limit", j.Spec.ID, bytes)
 		}
 	}
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -280,7 +280,7 @@
 func TestMinimalDeployment(t *testing.T) {
 	t.Parallel()
 	set := simulator.ThreeZoneSettings()
-	set.State = config.StoreLimits{RPS: 12, WriteRPS: 8, MaxValueKB: 1, MaxTxnWrites: 2}
+	set.State = config.StoreLimits{RPS: 12, WriteRPS: 8, ValueKB: 1, TxnOps: 2}
 	set.Workers = config.Workers{HeartbeatInterval: 4, Lease: 8, CancelTimeout: 12}
 	set.Limits = config.ProcessLimits{Cores: 0.1, MemoryMB: 40, FDLimit: 100}
 	runWithControllersIn(t, set, unevenZones, 53, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -26,7 +26,7 @@
 		Size: 3, Zones: []wire.Zone{"a", "b"}, MaxClockSkewMillis: 250,
 		Teams:   []config.Team{{Name: "red", GuaranteedCPUs: 16, MaxCPUs: 40}, {Name: "blue", GuaranteedCPUs: 16}},
 		Workers: config.Workers{HeartbeatInterval: 2, Lease: 16, CancelTimeout: 41, GangWait: 45, GangPeerTimeout: 8},
-		State:   config.StoreLimits{RPS: 200, WriteRPS: 50, MaxValueKB: 16, MaxTxnWrites: 12},
+		State:   config.StoreLimits{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 12},
 		Cloud:   config.CloudLimits{RPS: 6, ListLag: 4},
 		Limits:  config.ProcessLimits{Cores: 0.2, MemoryMB: 98, FDLimit: 900},
 	}
@@ -39,7 +39,7 @@
 	s := DefaultSettings()
 	s.Zones = []wire.Zone{"a", "b", "c"}
 	s.Workers = config.Workers{HeartbeatInterval: 4, Lease: 22, CancelTimeout: 47, GangWait: 45, GangPeerTimeout: 8}
-	s.State = config.StoreLimits{RPS: 80, WriteRPS: 25, MaxValueKB: 4, MaxTxnWrites: 8}
+	s.State = config.StoreLimits{RPS: 80, WriteRPS: 25, ValueKB: 4, TxnOps: 8}
 	s.Cloud = config.CloudLimits{RPS: 10, ListLag: 6}
 	return s
 }
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -108,7 +108,7 @@
 		limits[team.Name] = TeamLimit{team.MaxCPUs, team.MaxGPUs}
 	}
 	sim := &Simulation{
-		Net: NewNetwork(time.Millisecond), State: NewKVStore(settings.State.MaxTxnWrites, int(settings.State.MaxValueKB)), Settings: settings,
+		Net: NewNetwork(time.Millisecond), State: NewKVStore(settings.State.TxnOps, int(settings.State.ValueKB)), Settings: settings,
 		checker: NewChecker(settings.Workers.CancelTimeout.Duration(), limits), ctx: ctx, start: start, rng: rand.New(rand.NewPCG(seed, 7)),
 		machineTypes: []wire.MachineSpec{
 			{Name: "c4", CPUs: 4, MemoryGB: 16, DiskGB: 20, FetchGBPerSecond: 1, OnDemandPrice: 0.3, SpotPrice: 0.1, BootTime: 10, Zones: settings.Zones},
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -148,7 +148,7 @@
 }
 
 func newClient(nw *simulator.Network) *store.Client {
-	return store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 100, WriteRPS: 10, MaxValueKB: 16, MaxTxnWrites: 12}, 1, nw.Host("10.0.0.1"))
+	return store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 100, WriteRPS: 10, ValueKB: 16, TxnOps: 12}, 1, nw.Host("10.0.0.1"))
 }
 
 // A request that never reached the store must fail with a retryable error that names the
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -32,7 +32,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		env := cacheEnv{network: simulator.NewNetwork(time.Millisecond), state: simulator.NewKVStore(12, 16)}
 		server := serve(t, env.network, env.state)
-		env.client = store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}, 1, env.network.Host("10.0.0.1"))
+		env.client = store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, env.network.Host("10.0.0.1"))
 		env.cache = store.NewJobCache(env.client, cancels.New(nil, time.Minute), rps, 1)
 		var running sync.WaitGroup
 		running.Go(func() { env.cache.Run(ctx) })
--- a/node_test.go
+++ b/node_test.go
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := simulator.NewNetwork(time.Millisecond)
 		cfg := testConfig()
-		state := simulator.NewKVStore(cfg.Settings.State.MaxTxnWrites, int(cfg.Settings.State.MaxValueKB))
+		state := simulator.NewKVStore(cfg.Settings.State.TxnOps, int(cfg.Settings.State.ValueKB))
 		for key, value := range records {
 			state.Put(key, value)
 		}
--- a/upgrade/deployment_test.go
+++ b/upgrade/deployment_test.go
@@ -76,7 +76,7 @@
 
 // client returns a client of the store for the host with that number.
 func (d *deployment) client(host int) *store.Client {
-	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	return store.New(simulator.KVStoreAddr, limits, 3, d.network.Host(simulator.NodeIP(host)))
 }
 
--- a/upgrade/example_test.go
+++ b/upgrade/example_test.go
@@ -21,7 +21,7 @@
 // openStore serves a simulated store on the loopback interface and returns a client of it.
 func openStore() (client *store.Client, closeStore func()) {
 	server := httptest.NewServer(simulator.NewKVStore(12, 16))
-	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, MaxValueKB: 16, MaxTxnWrites: 12}
+	limits := config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}
 	addr := strings.TrimPrefix(server.URL, "http://")
 	return store.New(addr, limits, 1, netio.HostNetwork()), server.Close
 }
