--- a/internal/leader/cluster/attempt_test.go
+++ b/internal/leader/cluster/attempt_test.go
@@ -50,7 +50,7 @@
 				t.Errorf("attempt is not detached: chunk %v, machine %v, active %d", c.Attempts, m.Attempts, j.ActiveTasks)
 			}
 			if a.Unstored || c.UnstoredAttempts != 0 || j.UnstoredAttempts != 0 {
-				t.Errorf("unstored = %v, of chunk %d, of job %d, want none", a.Unstored, c.UnstoredAttempts, j.UnstoredAttempts)
+				t.Errorf("unstored = %v, unstored attempts of the chunk = %d, of the job = %d, want none", a.Unstored, c.UnstoredAttempts, j.UnstoredAttempts)
 			}
 			if j.DoneTasks != tt.wantDone {
 				t.Errorf("done tasks = %d, want %d", j.DoneTasks, tt.wantDone)
@@ -62,13 +62,13 @@
 				t.Errorf("finished = %v, to be archived = %v, want %v", j.Finished, marked, tt.wantFinished)
 			}
 			if _, unsaved := s.UnsavedChanges.Chunks[c]; !unsaved || !c.Dirty || c.DirtySince.IsZero() {
-				t.Errorf("chunk to be written = %v, dirty %v since %v", unsaved, c.Dirty, c.DirtySince)
+				t.Errorf("chunk to be written = %v, dirty = %v since %v, want both true and a time", unsaved, c.Dirty, c.DirtySince)
 			}
 			if pending := tt.state == TaskPending; (c.FirstPendingIndex == 0) != pending || (j.FirstPendingChunk == 0) != pending {
 				t.Errorf("first pending = %d of chunk %d, want the task itself: %v", c.FirstPendingIndex, j.FirstPendingChunk, pending)
 			}
 			if m.LastUsedAt.IsZero() || !m.LastUsedAt.Equal(j.lastActiveAt) {
-				t.Errorf("machine last used at %v, job last active at %v", m.LastUsedAt, j.lastActiveAt)
+				t.Errorf("machine last used at %v, job last active at %v, want the same time, not zero", m.LastUsedAt, j.lastActiveAt)
 			}
 			if !s.CycleTimer.Requested {
 				t.Error("no scheduling cycle was requested")
--- a/internal/leader/cluster/chunk.go
+++ b/internal/leader/cluster/chunk.go
@@ -9,7 +9,7 @@
 )
 
 // withdrawnStartBackoff is how long no task of a job is started after an attempt has been
-// withdrawn because the chunk's record had no room for it.
+// withdrawn because it made the chunk's record too large to be stored.
 const withdrawnStartBackoff = time.Second
 
 // TaskState is the state of a task. See the package comment for the transitions.
@@ -93,7 +93,7 @@
 }
 
 // WithdrawUnstoredAttempt ends one attempt that is not stored yet, because the chunk's record
-// has no room for it. It reports whether there was one.
+// is too large to be stored. It reports whether there was such an attempt.
 func (s *State) WithdrawUnstoredAttempt(c *Chunk, now time.Time) bool {
 	for _, a := range c.Attempts {
 		if a.Unstored {
--- a/internal/leader/cluster/chunk_layout.go
+++ b/internal/leader/cluster/chunk_layout.go
@@ -13,9 +13,9 @@
 // is written by itself, and once stored it replaces its part of the chunk's record. So
 // records need not all be converted at once, and no attempt is ever without a record.
 //
-// A version without sub-chunks takes their records for leftovers of an archived job and
-// deletes them. Therefore sub-chunks are written only once the store has refused a chunk,
-// after all nodes have this version.
+// A version of the program without sub-chunks takes their records for leftovers of an
+// archived job and deletes them. Therefore sub-chunks are written only once the store has
+// refused a chunk, after all nodes have this version.
 type ChunkLayout struct {
 	// Chunks are made when they are first used, by Job.Chunk; nil until then.
 	Chunks        []*Chunk
--- a/internal/leader/cluster/chunk_layout_test.go
+++ b/internal/leader/cluster/chunk_layout_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if j.Chunks[0].UnstoredAttempts != 0 || j.Chunks[1].UnstoredAttempts != 1 || j.UnstoredAttempts != 1 {
-		t.Errorf("unstored = %d and %d of %d, want 0 and 1 of 1", j.Chunks[0].UnstoredAttempts, j.Chunks[1].UnstoredAttempts, j.UnstoredAttempts)
+		t.Errorf("unstored attempts of sub-chunks 0 and 1 = %d and %d, of the job = %d, want 0, 1 and 1", j.Chunks[0].UnstoredAttempts, j.Chunks[1].UnstoredAttempts, j.UnstoredAttempts)
 	}
 	if j.ActiveTasks != 3 || j.DoneTasks != 1 {
 		t.Errorf("active %d, done %d, want 3 and 1", j.ActiveTasks, j.DoneTasks)
--- a/internal/leader/cluster/cycle_timer.go
+++ b/internal/leader/cluster/cycle_timer.go
@@ -6,9 +6,9 @@
 	// minCycleInterval is the least time from the beginning of a scheduling cycle to the
 	// beginning of a requested one.
 	minCycleInterval = 100 * time.Millisecond
-	// cycleIntervalFactor times the duration of the last cycle is the least time from its
-	// beginning to the beginning of a requested one. So requested cycles take at most a
-	// quarter of the time, however long they are.
+	// cycleIntervalFactor is the least time from the beginning of the last cycle to the
+	// beginning of a requested one, in durations of the last cycle. So requested cycles take
+	// at most a quarter of the time, however long they are.
 	cycleIntervalFactor = 4
 	// cycleGatherTime is the delay from a request to its cycle, in which further events are
 	// gathered for the same cycle.
--- a/internal/leader/cluster/gang.go
+++ b/internal/leader/cluster/gang.go
@@ -12,19 +12,19 @@
 type Gang struct {
 	AttemptNumber wire.AttemptNumber
 	StartedAt     time.Time // when the scheduler decided on it, or the term inherited it
-	// HasRun: a task of the gang has run, so all of its tasks were there. Reconciliation
+	// HasRun: a task of the gang has run, so all of its tasks were on machines. Reconciliation
 	// sets it.
 	HasRun bool
 	// Inherited: an earlier leader started the gang, which may have run before any heartbeat
 	// of this term shows it. RestoreGang sets it.
 	Inherited bool
-	// Broken: a task of the gang is lost, or was never there. The other tasks are stopped,
-	// and the gang is queued again when none of them is left. The dispatcher of commands
-	// sets it.
+	// Broken: a task of the gang is lost, or never had an attempt. The other tasks are
+	// stopped, and the gang is queued again when none of them is left. The dispatcher of
+	// commands sets it.
 	Broken bool
 	// StopRequested: all tasks were told to stop, with GracePeriod to save a checkpoint.
-	// StoppingGracefully: they were, and GracePeriod is above 0. The dispatcher of commands
-	// sets all three.
+	// StoppingGracefully: StopRequested is set and GracePeriod is above 0. The dispatcher of
+	// commands sets all three.
 	StopRequested, StoppingGracefully bool
 	GracePeriod                       wire.Seconds
 }
@@ -52,8 +52,9 @@
 // MayRelaunch reports whether the launch of a gang's task is to be sent to its machine again.
 // The caller must have proof that the machine does not have the task, nor can get it any
 // more. The launch may be missing because a leader ended between the first launch of the
-// gang and the last. It is sent again while the other tasks wait for it, as the stored
-// record still holds. Once the gang has run, the loss of a task is the loss of the gang.
+// gang and the last. The stored record still lists the attempt, so the launch is sent again
+// while the other tasks wait for it. Once the gang has run, the loss of a task is the loss of
+// the gang.
 func (s *State) MayRelaunch(a *Attempt) bool {
 	g := a.Job.Gang
 	if g == nil || !a.MayLaunch() {
@@ -90,9 +91,10 @@
 	}
 }
 
-// RestoreGang restores the state of a gang from the records of an earlier leader. The gang
-// may have all of its tasks; it may lack one, and is then broken; or its completion may be
-// in some of the records only, and is then applied to all.
+// RestoreGang restores the state of a gang from the records of an earlier leader. If only
+// some of its tasks are recorded as done, the gang has completed, and all are marked as done.
+// Otherwise, if any task has an attempt, every task must have one, all of the same number; if
+// not, the gang is marked as broken, unless its job is quarantined.
 func (s *State) RestoreGang(j *Job) {
 	if !j.Spec.IsGang() {
 		return
--- a/internal/leader/cluster/image_cache.go
+++ b/internal/leader/cluster/image_cache.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// usedGB returns the size of all images.
+// usedGB returns the total size of the cached images.
 func (c *ImageCache) usedGB() float64 {
 	used := 0.0
 	for _, image := range c.Images {
@@ -53,8 +53,8 @@
 	return used
 }
 
-// leastRecentlyUsed returns the image that was used longest ago. It is newest, the image used
-// last, only if no other image was used before it.
+// leastRecentlyUsed returns the image that was used longest ago. The parameter newest is the
+// image used last. It is returned only if no other image was used before it.
 func (c *ImageCache) leastRecentlyUsed(newest wire.ImageID) wire.ImageID {
 	oldest := newest
 	for id, image := range c.Images {
--- a/internal/leader/cluster/job.go
+++ b/internal/leader/cluster/job.go
@@ -61,7 +61,8 @@
 
 // JobFailures is the evidence that a job fails wherever it runs, as opposed to failing on a
 // faulty machine. Reconciliation writes it as tasks exit. StartNotBefore is also set when a
-// machine refuses a start, or the store refuses it for its size.
+// machine refuses a start, or when an attempt is withdrawn because the chunk's record is too
+// large.
 type JobFailures struct {
 	// FailedMachines are those on which a task of the job failed since the last success.
 	FailedMachines   map[wire.MachineID]bool
@@ -145,18 +146,24 @@
 	return left
 }
 
-// SinceLastStart returns for how long no task of the job has been started. What happened
-// before this term is not known, so it is at most the time since the term began.
+// SinceLastStart returns the time since the last start of a task of the job, or since its
+// acceptance if there was none. What happened before this term is not known, so the result
+// is at most the time since the term began.
 func (s *State) SinceLastStart(j *Job, now time.Time) time.Duration {
 	return now.Sub(LaterOf(LaterOf(j.AcceptedAt, j.LastStartAt), s.TermStartedAt))
 }
 
-// StartOverdue reports whether a job other than a service has waited so long without a
-// start that its first task goes before everything but services. The other jobs are ordered
-// by how little work is left, by price and by priority, which alone would keep a large or
-// cheap job waiting for ever under a steady overload. A job that has begun, but of which
-// nothing has run for as long, is overdue too. Without this, the rest of a job is never run
-// if the spot machines that it was on are reclaimed and no more of them are to be had.
+// StartOverdue reports whether a job has waited so long that its first task goes before
+// everything but services. Services are never overdue, nor is a job with an active task.
+//
+// A job without a completed task is overdue once half of startWithin has passed since its
+// acceptance. Jobs that are not overdue are ordered by how little work is left, by price and
+// by priority, which alone would keep a large or cheap job waiting for ever under a steady
+// overload.
+//
+// A job with completed tasks is overdue only if, in addition, none of its tasks has been on a
+// machine for as long, counted within this term. If such a job were never overdue, the rest
+// of it would never run once its spot machines are reclaimed and no more are to be had.
 func (s *State) StartOverdue(j *Job, now time.Time) bool {
 	if j.Spec.IsService() || j.ActiveTasks > 0 {
 		return false
--- a/internal/leader/cluster/job_test.go
+++ b/internal/leader/cluster/job_test.go
@@ -74,11 +74,11 @@
 		lastActiveAt time.Time
 		want         bool
 	}{
-		"accepted lately":                   {wire.KindArray, ago(half - time.Second), false, 0, time.Time{}, false},
+		"accepted recently":                 {wire.KindArray, ago(half - time.Second), false, 0, time.Time{}, false},
 		"never started for long":            {wire.KindArray, ago(half + time.Second), false, 0, time.Time{}, true},
 		"service":                           {wire.KindService, ago(half + time.Second), false, 0, time.Time{}, false},
 		"a task of it is on a machine":      {wire.KindArray, ago(half + time.Second), true, 0, time.Time{}, false},
-		"begun, and ran lately":             {wire.KindArray, ago(time.Hour), false, 1, ago(time.Second), false},
+		"begun, and ran recently":           {wire.KindArray, ago(time.Hour), false, 1, ago(time.Second), false},
 		"begun, and none has run for long":  {wire.KindArray, ago(time.Hour), false, 1, ago(half + time.Second), true},
 		"begun in an earlier term, unknown": {wire.KindArray, ago(time.Hour), false, 1, time.Time{}, true},
 		"nothing done, though it ran":       {wire.KindArray, ago(half + time.Second), false, 0, ago(time.Second), true},
@@ -107,19 +107,19 @@
 	j := addTestJob(newTestState(t), wire.KindArray, 1, 1)
 	j.Spec.ExpectedRunTime = 30
 	if got := j.ExpectedRunSeconds(); got != 30 {
-		t.Errorf("owner's estimate: %v, want 30", got)
+		t.Errorf("ExpectedRunSeconds with only the owner's estimate = %v, want 30", got)
 	}
 	for _, seconds := range []float64{50, 10, 40} {
 		j.RunTimes.Add(seconds)
 	}
 	if got := j.ExpectedRunSeconds(); got != 40 {
-		t.Errorf("median of three: %v, want 40", got)
+		t.Errorf("ExpectedRunSeconds with three run times = %v, want their median 40", got)
 	}
 	for range 15 {
 		j.RunTimes.Add(7)
 	}
 	if got := j.ExpectedRunSeconds(); got != 7 || len(j.RunTimes.Samples) != 15 {
-		t.Errorf("after 15 further ones: %v of %d samples, want 7 of 15", got, len(j.RunTimes.Samples))
+		t.Errorf("ExpectedRunSeconds after 15 further run times = %v of %d samples, want 7 of 15", got, len(j.RunTimes.Samples))
 	}
 }
 
--- a/internal/leader/cluster/launch_test.go
+++ b/internal/leader/cluster/launch_test.go
@@ -59,23 +59,23 @@
 			prepare:   func(a *Attempt) { a.LaunchUnanswered, a.UnansweredLaunchToken, a.LaunchEpoch = true, testToken, 2 },
 			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 5, Token: testToken},
 		},
-		"in a reply, and a later heartbeat answers a command": {
+		"in a response, and a later heartbeat answers a command": {
 			prepare:   func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat: wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
 			want:      responsePath,
 		},
-		"in a reply, and the heartbeat that it answered arrives again": {
+		"in a response, and the heartbeat that it answered arrives again": {
 			prepare:     func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat:   wire.Heartbeat{Epoch: 2, Sequence: 5, Token: testToken},
 			sentByAgent: true,
 			want:        responsePath,
 		},
-		"in a reply, and the agent has sent its next heartbeat": {
+		"in a response, and the agent has sent its next heartbeat": {
 			prepare:     func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat:   wire.Heartbeat{Epoch: 2, Sequence: 6, Token: testToken},
 			sentByAgent: true,
 		},
-		"in a reply to another epoch": {
+		"in a response to another epoch": {
 			prepare:   func(a *Attempt) { a.ResponseEpoch, a.ResponseSequence = 2, 5 },
 			heartbeat: wire.Heartbeat{Epoch: 3, Sequence: 1, Token: testToken},
 		},
@@ -127,14 +127,14 @@
 		heartbeat wire.Heartbeat
 		want      bool
 	}{
-		"launch was in no reply":        {func(a *Attempt) { a.ResponseSequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
-		"already listed before":         {func(a *Attempt) { a.SeenInHeartbeat = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
-		"heartbeat that was replied to": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 5}, false},
-		"heartbeat of another epoch":    {func(a *Attempt) {}, wire.Heartbeat{Epoch: 3, Sequence: 6}, false},
-		"later heartbeat lacks it":      {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6}, true},
-		"later heartbeat lists it":      {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 7}}}, false},
-		"lists another attempt":         {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 6}}}, true},
-		"lists another task":            {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/1", Attempt: 7}}}, true},
+		"launch was in no response":   {func(a *Attempt) { a.ResponseSequence = 0 }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"already listed before":       {func(a *Attempt) { a.SeenInHeartbeat = true }, wire.Heartbeat{Epoch: 2, Sequence: 6}, false},
+		"heartbeat that was answered": {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 5}, false},
+		"heartbeat of another epoch":  {func(a *Attempt) {}, wire.Heartbeat{Epoch: 3, Sequence: 6}, false},
+		"later heartbeat lacks it":    {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6}, true},
+		"later heartbeat lists it":    {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 7}}}, false},
+		"lists another attempt":       {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 6}}}, true},
+		"lists another task":          {func(a *Attempt) {}, wire.Heartbeat{Epoch: 2, Sequence: 6, Tasks: []wire.TaskStatus{{Task: "req-1/1", Attempt: 7}}}, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/leader/cluster/machine.go
+++ b/internal/leader/cluster/machine.go
@@ -87,9 +87,10 @@
 // CommandDelivery tracks whether direct commands reach the machine. The dispatcher of
 // commands, the term's loop and reconciliation write it.
 type CommandDelivery struct {
-	CommandInFlight     bool // a direct command is under way
-	UnansweredCommands  int  // direct commands without a response since LastMessageAt
-	LastRelayUnanswered bool // the last of these was relayed by another node, also without a response
+	CommandInFlight    bool // a direct command is under way
+	UnansweredCommands int  // direct commands without a response since LastMessageAt
+	// LastRelayUnanswered: the last probe was relayed by another node and had no response.
+	LastRelayUnanswered bool
 	// UnansweredLaunch covers all launches that were never answered.
 	UnansweredLaunch UnansweredCommand
 	Inbound          detector.InboundPath
@@ -141,7 +142,7 @@
 	delete(m.Attempts, task)
 	m.usedResources = m.usedResources.Minus(a.Resources())
 	if len(m.Attempts) == 0 {
-		m.usedResources = placement.Resources{} // rounding errors of sums add up
+		m.usedResources = placement.Resources{} // drops the rounding errors of earlier sums
 	}
 }
 
--- a/internal/leader/cluster/reachability_test.go
+++ b/internal/leader/cluster/reachability_test.go
@@ -17,14 +17,14 @@
 		wantMissingFor        time.Duration
 		wantLost              bool
 	}{
-		"heartbeats come":                 {wantMissingFor: 0},
-		"missing for a moment":            {missingSince: ago(3 * time.Second), wantMissingFor: 3 * time.Second},
-		"missing for half a lease":        {missingSince: ago(8 * time.Second), wantMissingFor: 8 * time.Second},
-		"missing for more than half":      {missingSince: ago(9 * time.Second), wantMissingFor: 9 * time.Second, wantLost: true},
-		"the store was out until lately":  {missingSince: ago(time.Minute), storeAvailableSince: ago(5 * time.Second), wantMissingFor: 5 * time.Second},
-		"a delegate renewed until lately": {missingSince: ago(time.Minute), delegatesRenewedUntil: ago(6 * time.Second), wantMissingFor: 6 * time.Second},
-		"both ended long ago":             {missingSince: ago(10 * time.Second), storeAvailableSince: ago(time.Hour), delegatesRenewedUntil: ago(time.Hour), wantMissingFor: 10 * time.Second, wantLost: true},
-		"the later of the three is used":  {missingSince: ago(time.Minute), storeAvailableSince: ago(4 * time.Second), delegatesRenewedUntil: ago(20 * time.Second), wantMissingFor: 4 * time.Second},
+		"heartbeats come":                        {wantMissingFor: 0},
+		"missing for a moment":                   {missingSince: ago(3 * time.Second), wantMissingFor: 3 * time.Second},
+		"missing for half a lease":               {missingSince: ago(8 * time.Second), wantMissingFor: 8 * time.Second},
+		"missing for more than half":             {missingSince: ago(9 * time.Second), wantMissingFor: 9 * time.Second, wantLost: true},
+		"the store had an outage until recently": {missingSince: ago(time.Minute), storeAvailableSince: ago(5 * time.Second), wantMissingFor: 5 * time.Second},
+		"a delegate renewed until recently":      {missingSince: ago(time.Minute), delegatesRenewedUntil: ago(6 * time.Second), wantMissingFor: 6 * time.Second},
+		"both ended long ago":                    {missingSince: ago(10 * time.Second), storeAvailableSince: ago(time.Hour), delegatesRenewedUntil: ago(time.Hour), wantMissingFor: 10 * time.Second, wantLost: true},
+		"the later of the three is used":         {missingSince: ago(time.Minute), storeAvailableSince: ago(4 * time.Second), delegatesRenewedUntil: ago(20 * time.Second), wantMissingFor: 4 * time.Second},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -61,15 +61,15 @@
 	now := s.TermStartedAt.Add(time.Minute)
 	m := s.GetOrAddMachine("n-1")
 	if got := s.SinceLastMessage(m, now); got != time.Minute {
-		t.Errorf("without a message: %v, want %v", got, time.Minute)
+		t.Errorf("SinceLastMessage without a message = %v, want %v", got, time.Minute)
 	}
 	m.LastMessageAt = now.Add(-2 * time.Second)
 	if got := s.SinceLastMessage(m, now); got != 2*time.Second {
-		t.Errorf("after a message: %v, want %v", got, 2*time.Second)
+		t.Errorf("SinceLastMessage after a message = %v, want %v", got, 2*time.Second)
 	}
 }
 
-func TestMachinesOfAPartitionedZoneAreUnseenUntilTheyMessage(t *testing.T) {
+func TestMachinesOfAPartitionedZoneAreUnseenUntilTheySendAMessage(t *testing.T) {
 	s := newTestState(t)
 	begin := s.TermStartedAt
 	unseen, seen := s.GetOrAddMachine("n-1"), s.GetOrAddMachine("n-2")
--- a/internal/leader/cluster/run_times.go
+++ b/internal/leader/cluster/run_times.go
@@ -10,10 +10,10 @@
 	// runTimeSamples is how many of the last run times of a job's tasks are kept.
 	runTimeSamples = 15
 	// ownerEstimateFactor multiplies the owner's estimate of a run time, which is often too
-	// short, until some of the job's tasks are done.
+	// short, until a run time of the job's tasks has been measured.
 	ownerEstimateFactor = 1.5
-	// minRemainingDivisor: a task that has run as long as expected, or longer, is expected to
-	// need another tenth of its expected run time.
+	// minRemainingDivisor divides the expected run time of a task into the least remaining
+	// time: a task is always expected to need at least another tenth of its expected run time.
 	minRemainingDivisor = 10
 	// minPlannedSeconds is the least remaining time that capacity planning assumes.
 	minPlannedSeconds = 1
@@ -56,8 +56,8 @@
 }
 
 // ExpectedRemainingSeconds returns in how many seconds a task is expected to end by itself;
-// infinity for a replica of a service, and for a task that does not run yet. Until some of
-// its job's tasks are done, the owner's estimate is lengthened by ownerEstimateFactor.
+// infinity for a replica of a service, and for a task that does not run yet. Until a run time
+// of its job's tasks has been measured, the owner's estimate counts ownerEstimateFactor times.
 func (a *Attempt) ExpectedRemainingSeconds(now time.Time) float64 {
 	if a.RunningSince.IsZero() || a.Job.Spec.IsService() {
 		return math.Inf(1)
@@ -69,9 +69,9 @@
 	return max(expected/minRemainingDivisor, expected-now.Sub(a.RunningSince).Seconds())
 }
 
-// PlannedRemainingSeconds returns in how many seconds the attempt is expected to end judged
-// by its expected run time alone, and at least one. Unlike ExpectedRemainingSeconds it is
-// finite also for a replica of a service and for a task that does not run yet.
+// PlannedRemainingSeconds returns how many seconds of its expected run time the attempt has
+// left, and at least one. Unlike ExpectedRemainingSeconds it is finite also for a replica of
+// a service and for a task that does not run yet.
 func (a *Attempt) PlannedRemainingSeconds(now time.Time) float64 {
 	remaining := a.Job.ExpectedRunSeconds()
 	if !a.RunningSince.IsZero() {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -45,7 +45,7 @@
 	// CancelledJobs are cancelled jobs with attempts that may be on machines.
 	CancelledJobs map[*Job]struct{}
 	// BrokenGangs are the gangs that have lost a task and are still to be handled as broken.
-	// EndAttempt and RestoreGang add to it, the dispatcher of commands empties it.
+	// EndAttempt and RestoreGang add to it, and the dispatcher of commands empties it.
 	BrokenGangs map[*Job]struct{}
 }
 
@@ -76,8 +76,9 @@
 	MachineListRequestedAt time.Time
 }
 
-// LeaseRenewal bounds the renewal of machines' leases by other nodes than this leader, or
-// while the store is out. The term's loop and the liveness monitor write it.
+// LeaseRenewal is what the term knows of two things that bear on machines' leases: renewals
+// by other nodes than this leader, and outages of the key-value store. The term's loop and
+// the liveness monitor write it.
 type LeaseRenewal struct {
 	// Delegation bounds for how long leases may be renewed on a leader's behalf.
 	Delegation delegation.Bounds
--- a/internal/leader/cluster/stop.go
+++ b/internal/leader/cluster/stop.go
@@ -19,7 +19,7 @@
 
 // EvictionReason says why a task left its machine, or is stopped there. It is a label of
 // lilaclead_moves_total. Tasks that are stopped because their machine is faulty or slow have
-// its DrainReason as the reason.
+// the machine's DrainReason as the reason.
 type EvictionReason string
 
 // The reasons of evictions.
--- a/internal/leader/core/loop.go
+++ b/internal/leader/core/loop.go
@@ -2,7 +2,7 @@
 // and the fencing token under which the term acts, and the metrics that it updates.
 //
 // One goroutine, the loop of the term, owns all of the term's state. Network I/O runs in
-// goroutines that Loop.Spawn starts and Loop.Wait waits for. They touch none of that state
+// goroutines that Loop.Spawn starts and Loop.Wait waits for. They do not access that state,
 // and hand their results back as events with Loop.Post.
 package core
 
