--- a/internal/leader/reconcile/answer.go
+++ b/internal/leader/reconcile/answer.go
@@ -55,16 +55,16 @@
 	return nil
 }
 
-// commandsFor returns the commands that answer a heartbeat: only stops while the key-value
-// store can't be reached.
+// commandsFor returns the commands that answer a heartbeat. They are only stops while this node
+// does not certainly lead, because it can't reach the key-value store.
 func (rc *Reconciler) commandsFor(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) *wire.Commands {
-	answer := &wire.Commands{Token: rc.Fencing.Token}
+	response := &wire.Commands{Token: rc.Fencing.Token}
 	if rc.Lease.Deciding() {
-		answer.Commands = rc.dispatcher.HeartbeatResponseCommands(machine, heartbeat, now)
+		response.Commands = rc.dispatcher.HeartbeatResponseCommands(machine, heartbeat, now)
 	} else {
-		answer.Commands = rc.dispatcher.AppendStops(machine, rc.delegate.StopCommands(heartbeat), now)
+		response.Commands = rc.dispatcher.AppendStops(machine, rc.delegate.StopCommands(heartbeat), now)
 	}
-	return answer
+	return response
 }
 
 // stopsOfCancelled returns a response whose only commands are the stops of tasks whose jobs
@@ -105,11 +105,11 @@
 }
 
 const (
-	// crossingWindow is for how long after a message of an agent an older heartbeat of it may
-	// still be waiting for its response. Agents stop waiting for a response after 4 s.
+	// crossingWindow is the time after a message from an agent in which the agent may still wait
+	// for the response to an older heartbeat. Agents stop waiting for a response after 4 s.
 	crossingWindow = 4 * time.Second
-	// maxCrossedSequences is by how much the sequence number of a heartbeat that crossed the
-	// response to a direct command may be lower than that of the response.
+	// maxCrossedSequences limits how far a heartbeat that crossed the response to a direct command
+	// may be behind that response, in sequence numbers.
 	maxCrossedSequences = 2
 	// staleProbeInterval is the minimum time between two probes of a machine because of stale
 	// heartbeats.
@@ -120,13 +120,14 @@
 // has crossed the response to a direct command. It may also be a late copy, which says nothing
 // of the present, not even that the machine is alive. Or it comes from a machine that
 // restarted at once and numbers its heartbeats from the start again. If the heartbeat has not
-// just crossed a response, the machine is probed to find out.
+// just crossed a response, the machine is probed to find out. The heartbeat is answered with stops
+// within crossingWindow, and rejected after it.
 func (rc *Reconciler) onStaleHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, now time.Time) HeartbeatResponse {
 	inCrossingWindow := now.Sub(machine.LastMessageAt) < crossingWindow
 	justBehind := heartbeat.Epoch == machine.Epoch && heartbeat.Sequence+maxCrossedSequences >= machine.Sequence
-	crossedAnswer := inCrossingWindow && justBehind
+	crossedResponse := inCrossingWindow && justBehind
 	mayProbe := now.Sub(machine.LastVerifiedAt) > staleProbeInterval && !machine.ScalingIn
-	if !crossedAnswer && mayProbe && rc.Lease.Deciding() {
+	if !crossedResponse && mayProbe && rc.Lease.Deciding() {
 		machine.LastVerifiedAt = now
 		rc.dispatcher.Probe(machine)
 	}
@@ -152,7 +153,8 @@
 }
 
 // cancelledBefore reports whether an attempt is stored and its job was cancelled at the cutoff
-// or earlier: so long ago that no controller may renew the lease of a machine for it.
+// or earlier: so long ago that no controller may renew the lease of a machine on which the attempt
+// may still start.
 func cancelledBefore(cutoff time.Time, attempt *cluster.Attempt) bool {
 	return attempt.Job.Cancelled && !attempt.Unstored && !attempt.Job.CancelledAt.After(cutoff)
 }
--- a/internal/leader/reconcile/answer_test.go
+++ b/internal/leader/reconcile/answer_test.go
@@ -46,12 +46,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t)
 			tc.setup(f)
-			reply := f.answerHeartbeat(tc.heartbeat, false, time.Now())
-			if !errors.Is(reply.Rejected, tc.want) {
-				t.Errorf("rejected with %v, want %v", reply.Rejected, tc.want)
+			response := f.answerHeartbeat(tc.heartbeat, false, time.Now())
+			if !errors.Is(response.Rejected, tc.want) {
+				t.Errorf("rejected with %v, want %v", response.Rejected, tc.want)
 			}
-			if answered := reply.Commands != nil; answered != (tc.want == nil) {
-				t.Errorf("answered %v, rejected with %v", answered, reply.Rejected)
+			if answered := response.Commands != nil; answered != (tc.want == nil) {
+				t.Errorf("answered %v, rejected with %v", answered, response.Rejected)
 			}
 		})
 	}
@@ -63,9 +63,9 @@
 	f.cancels.Add("req-1", 0)
 	running := attemptStatus(wire.PhaseRunning, "")
 	for _, sequence := range []wire.Sequence{12, 11} {
-		reply := f.answerHeartbeat(heartbeat(1, sequence, testToken, running), false, time.Now())
-		if reply.Commands == nil || len(reply.Commands.Commands) != 1 || reply.Commands.Commands[0].Verb != wire.VerbStop {
-			t.Errorf("sequence %d: reply %+v, want the stop of the cancelled task", sequence, reply)
+		response := f.answerHeartbeat(heartbeat(1, sequence, testToken, running), false, time.Now())
+		if response.Commands == nil || len(response.Commands.Commands) != 1 || response.Commands.Commands[0].Verb != wire.VerbStop {
+			t.Errorf("sequence %d: response %+v, want the stop of the cancelled task", sequence, response)
 		}
 	}
 	if got := f.EarlyHeartbeats["n-1"].Sequence; got != 12 {
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestAnswerHoldsLaunchesOnlyWhileStoreIsReachable(t *testing.T) {
+func TestResponseHoldsLaunchesOnlyWhileStoreIsReachable(t *testing.T) {
 	for name, tc := range map[string]struct {
 		setup func(f *fixture)
 		want  int
@@ -84,9 +84,9 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			tc.setup(f)
-			reply := f.answerHeartbeat(heartbeat(1, 11, testToken), false, time.Now())
-			if reply.Commands == nil || len(reply.Commands.Commands) != tc.want {
-				t.Errorf("reply %+v, want %d launches", reply, tc.want)
+			response := f.answerHeartbeat(heartbeat(1, 11, testToken), false, time.Now())
+			if response.Commands == nil || len(response.Commands.Commands) != tc.want {
+				t.Errorf("response %+v, want %d launches", response, tc.want)
 			}
 		})
 	}
@@ -121,14 +121,14 @@
 	}
 }
 
-func TestMachineIsProbedOnStaleHeartbeatThatCrossedNoAnswer(t *testing.T) {
+func TestMachineIsProbedOnStaleHeartbeatThatCrossedNoResponse(t *testing.T) {
 	cases := []struct {
 		name      string
 		setup     func(f *fixture, now time.Time)
 		heartbeat *wire.Heartbeat
 		want      bool
 	}{
-		{"crossed an answer", func(*fixture, time.Time) {}, heartbeat(1, 8, testToken), false},
+		{"crossed a response", func(*fixture, time.Time) {}, heartbeat(1, 8, testToken), false},
 		{"further behind", func(*fixture, time.Time) {}, heartbeat(1, 7, testToken), true},
 		{"of an earlier epoch", func(f *fixture, _ time.Time) { f.machine.Epoch = 2 }, heartbeat(1, 10, testToken), true},
 		{"outside the crossing window", func(f *fixture, now time.Time) { f.machine.LastMessageAt = now.Add(-crossingWindow) }, heartbeat(1, 10, testToken), true},
--- a/internal/leader/reconcile/command_answers.go
+++ b/internal/leader/reconcile/command_answers.go
@@ -22,42 +22,42 @@
 	commandOutcomeUnknown outcomeKind = "lost"
 )
 
-func outcomeOf(answer *agents.CommandOutcome) outcomeKind {
-	if answer.Err != nil {
-		if wire.IsNotSent(answer.Err) {
+func outcomeKindOf(outcome *agents.CommandOutcome) outcomeKind {
+	if outcome.Err != nil {
+		if wire.IsNotSent(outcome.Err) {
 			return commandNotSent
 		}
 		return commandOutcomeUnknown
 	}
 	// An agent rejects a command of another epoch, or with an old token, by the status
 	// "conflict". That response holds its heartbeat too.
-	hasHeartbeat := answer.Status == http.StatusOK || answer.Status == http.StatusConflict
+	hasHeartbeat := outcome.Status == http.StatusOK || outcome.Status == http.StatusConflict
 	// Another machine may answer at the address of one that was removed.
-	if hasHeartbeat && answer.Heartbeat.Machine == answer.Machine.ID {
+	if hasHeartbeat && outcome.Heartbeat.Machine == outcome.Machine.ID {
 		return commandAnswered
 	}
 	return commandOutcomeUnknown
 }
 
 // OnCommandOutcome handles the outcome of a direct command or of a probe.
-func (rc *Reconciler) OnCommandOutcome(answer agents.CommandOutcome) {
-	machine := answer.Machine
+func (rc *Reconciler) OnCommandOutcome(outcome agents.CommandOutcome) {
+	machine := outcome.Machine
 	machine.CommandInFlight = false
 	now := time.Now()
-	for _, attempt := range answer.Launched {
+	for _, attempt := range outcome.Launched {
 		attempt.LaunchInFlight = false
 	}
-	outcome := outcomeOf(&answer)
-	rc.Metrics.Command(string(outcome))
-	switch outcome {
+	kind := outcomeKindOf(&outcome)
+	rc.Metrics.Command(string(kind))
+	switch kind {
 	case commandAnswered:
-		rc.onCommandAnswered(&answer, now)
+		rc.onCommandAnswered(&outcome, now)
 	case commandNotSent:
 		recordUnansweredCommand(machine)
-		onCommandNotSent(&answer)
+		onCommandNotSent(&outcome)
 	case commandOutcomeUnknown:
 		recordUnansweredCommand(machine)
-		rc.onCommandOutcomeUnknown(&answer)
+		rc.onCommandOutcomeUnknown(&outcome)
 	}
 	if machine.UnansweredCommands == 0 {
 		rc.dispatcher.SendDueCommands(machine)
@@ -65,8 +65,8 @@
 }
 
 // onCommandAnswered reconciles the heartbeat in the response to a command.
-func (rc *Reconciler) onCommandAnswered(answer *agents.CommandOutcome, now time.Time) {
-	machine, heartbeat, known := answer.Machine, answer.Heartbeat, answer.LastHeartbeatBefore
+func (rc *Reconciler) onCommandAnswered(outcome *agents.CommandOutcome, now time.Time) {
+	machine, heartbeat, known := outcome.Machine, outcome.Heartbeat, outcome.LastHeartbeatBefore
 	rc.onDelivery(machine)
 	machine.LastMessageAt = now
 	if !heartbeat.IsNewerThan(known.Epoch, known.Sequence) && !machine.Restarted {
@@ -81,16 +81,17 @@
 // recordUnansweredCommand records that a direct command was not answered.
 func recordUnansweredCommand(machine *cluster.Machine) {
 	machine.UnansweredCommands++
-	// A machine that neither sends heartbeats nor answers commands is unresponsive, and the
-	// liveness monitor handles it.
+	// HeartbeatsMissingSince is only for a machine that still answers commands. One that neither
+	// sends heartbeats nor answers commands is unresponsive, and the liveness monitor handles it.
 	machine.HeartbeatsMissingSince = time.Time{}
 	machine.Inbound.RecordUnansweredCommand()
 }
 
 // onCommandNotSent marks the launches of a command that never left this node as not sent, so
-// that they go out in the response to the next heartbeat.
-func onCommandNotSent(answer *agents.CommandOutcome) {
-	for _, attempt := range answer.Launched {
+// that they go out in the response to the next heartbeat. A launch whose attempt was seen in a
+// heartbeat stays marked as sent.
+func onCommandNotSent(outcome *agents.CommandOutcome) {
+	for _, attempt := range outcome.Launched {
 		if !attempt.SeenInHeartbeat {
 			attempt.LaunchSent = false
 		}
@@ -99,13 +100,13 @@
 
 // onCommandOutcomeUnknown records that the launches of a command may still take effect at any
 // time, as long as the agent accepts their token and epoch.
-func (rc *Reconciler) onCommandOutcomeUnknown(answer *agents.CommandOutcome) {
-	machine, sent := answer.Machine, &answer.Commands
-	rc.Log.Debug("command not answered", "machine", machine.ID, "commands", len(sent.Commands), "err", answer.Err, "status", answer.Status)
-	for _, attempt := range answer.Launched {
+func (rc *Reconciler) onCommandOutcomeUnknown(outcome *agents.CommandOutcome) {
+	machine, sent := outcome.Machine, &outcome.Commands
+	rc.Log.Debug("command not answered", "machine", machine.ID, "commands", len(sent.Commands), "err", outcome.Err, "status", outcome.Status)
+	for _, attempt := range outcome.Launched {
 		attempt.LaunchUnanswered, attempt.UnansweredLaunchToken = true, sent.Token
 	}
-	if len(answer.Launched) > 0 {
+	if len(outcome.Launched) > 0 {
 		machine.UnansweredLaunch = cluster.UnansweredCommand{
 			Token: max(machine.UnansweredLaunch.Token, sent.Token),
 			Epoch: max(machine.UnansweredLaunch.Epoch, sent.Epoch),
--- a/internal/leader/reconcile/command_answers_test.go
+++ b/internal/leader/reconcile/command_answers_test.go
@@ -16,7 +16,7 @@
 func TestCommandOutcomes(t *testing.T) {
 	notSent := &net.OpError{Op: "dial", Err: errors.New("refused")}
 	connectionReset := &net.OpError{Op: "read", Err: errors.New("reset")}
-	answer := heartbeat(1, 12, testToken, attemptStatus(wire.PhaseFetching, ""))
+	response := heartbeat(1, 12, testToken, attemptStatus(wire.PhaseFetching, ""))
 	otherMachine := &wire.Heartbeat{Machine: "n-2", Epoch: 1, Sequence: 12, Token: testToken}
 	cases := []struct {
 		name           string
@@ -27,9 +27,9 @@
 		wantSent       bool // the launch counts as sent
 		wantUnanswered bool // the launch may take effect at any time
 	}{
-		{"answered", http.StatusOK, answer, nil, commandAnswered, true, false},
-		{"answered with a conflict", http.StatusConflict, answer, nil, commandAnswered, true, false},
-		{"answered with another status", http.StatusServiceUnavailable, answer, nil, commandOutcomeUnknown, true, true},
+		{"answered", http.StatusOK, response, nil, commandAnswered, true, false},
+		{"answered with a conflict", http.StatusConflict, response, nil, commandAnswered, true, false},
+		{"answered with another status", http.StatusServiceUnavailable, response, nil, commandOutcomeUnknown, true, true},
 		{"answered by another machine", http.StatusOK, otherMachine, nil, commandOutcomeUnknown, true, true},
 		{"not connected", 0, nil, notSent, commandNotSent, false, false},
 		{"connection broken", 0, nil, connectionReset, commandOutcomeUnknown, true, true},
@@ -86,7 +86,7 @@
 		Status:              http.StatusOK,
 	})
 	if !f.machine.Restarted || !f.machine.ScalingIn || f.machine.DrainReason != cluster.DrainRestarted {
-		t.Errorf("restarted %v, scaling in %v, drained for %q", f.machine.Restarted, f.machine.ScalingIn, f.machine.DrainReason)
+		t.Errorf("restarted %v, scaling in %v, drained for %q; want true, true, the restart", f.machine.Restarted, f.machine.ScalingIn, f.machine.DrainReason)
 	}
 	if f.job.ActiveTasks != 0 || !slices.Equal(f.evictionReasons, []string{string(cluster.EvictedMissing)}) {
 		t.Errorf("%d active tasks, evictions %v; want 0, one missing", f.job.ActiveTasks, f.evictionReasons)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestAnswerOvertakenByHeartbeatIsNoRestart(t *testing.T) {
+func TestResponseOvertakenByHeartbeatIsNoRestart(t *testing.T) {
 	f := newFixture(t)
 	f.attempt.SeenInHeartbeat = true
 	f.machine.Sequence = 15 // heartbeats came in while the command was in flight
--- a/internal/leader/reconcile/drain.go
+++ b/internal/leader/reconcile/drain.go
@@ -14,7 +14,7 @@
 }
 
 // suspectDivisor limits the machines that may be drained on suspicion at the same time to a
-// quarter of all machines.
+// quarter of the machines that have booted. One is always allowed.
 const suspectDivisor = 4
 
 // drainSuspect drains a machine on the suspicion that it is faulty or slow, if
--- a/internal/leader/reconcile/exits.go
+++ b/internal/leader/reconcile/exits.go
@@ -7,7 +7,7 @@
 	"lilaclead/internal/wire"
 )
 
-// refusedLaunchBackoff is for how long a machine that refused a launch gets no further one. A
+// refusedLaunchBackoff is how long a machine that refused a launch gets no further one. A
 // job whose image does not exist starts no task for the same time.
 const refusedLaunchBackoff = 2 * time.Second
 
--- a/internal/leader/reconcile/exits_test.go
+++ b/internal/leader/reconcile/exits_test.go
@@ -85,7 +85,7 @@
 	cases := []struct {
 		name     string
 		previous wire.TaskPhase
-		state    wire.TaskStatus
+		status   wire.TaskStatus
 		want     bool
 	}{
 		{"fetching", "", attemptStatus(wire.PhaseFetching, ""), false},
@@ -105,8 +105,8 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			attempt := &cluster.Attempt{Phase: tc.previous}
-			if got := hasImage(attempt, &tc.state); got != tc.want {
-				t.Errorf("previous phase %q, state %+v: got %v, want %v", tc.previous, tc.state, got, tc.want)
+			if got := hasImage(attempt, &tc.status); got != tc.want {
+				t.Errorf("previous phase %q, status %+v: image on the machine %v, want %v", tc.previous, tc.status, got, tc.want)
 			}
 		})
 	}
--- a/internal/leader/reconcile/failures.go
+++ b/internal/leader/reconcile/failures.go
@@ -39,8 +39,9 @@
 }
 
 // onTaskFailure records a failed task and decides whether the machine or the job is faulty. A
-// job that fails on every machine is retried with a growing backoff. A machine is drained and
-// scaled in if several jobs fail on it, or if a job fails on it that succeeds elsewhere.
+// job that fails on several machines is retried with a growing backoff. A machine is drained and
+// scaled in if several jobs fail on it, or if its tasks fail repeatedly and the failing job has
+// succeeded before or has failed on this machine only.
 func (fd *faultDetector) onTaskFailure(attempt *cluster.Attempt, now time.Time) {
 	job, machine := attempt.Job, attempt.Machine
 	if job.FailedMachines == nil {
--- a/internal/leader/reconcile/heartbeat.go
+++ b/internal/leader/reconcile/heartbeat.go
@@ -9,7 +9,8 @@
 
 // Reconcile updates the state by a heartbeat, or by the response to a direct command, which has
 // the same form. sentByAgent is true for a heartbeat that the agent sent by itself. Reconcile
-// reports whether the heartbeat was newer than the last known one.
+// does nothing and returns false if the heartbeat is not newer than the last known one, or if the
+// machine is marked as restarted.
 func (rc *Reconciler) Reconcile(machine *cluster.Machine, heartbeat *wire.Heartbeat, sentByAgent bool, now time.Time) bool {
 	if !heartbeat.IsNewerThan(machine.Epoch, machine.Sequence) || machine.Restarted {
 		return false
--- a/internal/leader/reconcile/heartbeat_test.go
+++ b/internal/leader/reconcile/heartbeat_test.go
@@ -57,8 +57,8 @@
 
 func TestNewEpochSoonAfterRenewalMeansInboundPathIsLost(t *testing.T) {
 	for name, tc := range map[string]struct {
-		sinceReply time.Duration // the lease lasts 16 s
-		wantWorks  bool
+		sinceResponse time.Duration // the lease lasts 16 s
+		wantWorks     bool
 	}{
 		"within half a lease":  {7900 * time.Millisecond, false},
 		"after half the lease": {8 * time.Second, true},
@@ -66,11 +66,11 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			now := time.Now()
-			f.machine.LastResponseAt = now.Add(-tc.sinceReply)
+			f.machine.LastResponseAt = now.Add(-tc.sinceResponse)
 			f.machine.Inbound.RecordResponse(testToken, 1, 10)
 			f.checkInboundPath(f.machine, heartbeat(2, 1, testToken), now)
 			if got := f.machine.Inbound.Works(); got != tc.wantWorks {
-				t.Errorf("new epoch %v after a renewal: inbound path works %v, want %v", tc.sinceReply, got, tc.wantWorks)
+				t.Errorf("new epoch %v after a renewal: inbound path works %v, want %v", tc.sinceResponse, got, tc.wantWorks)
 			}
 			f.onDelivery(f.machine)
 			if !f.machine.Inbound.Works() {
--- a/internal/leader/reconcile/missing_attempts_test.go
+++ b/internal/leader/reconcile/missing_attempts_test.go
@@ -19,9 +19,9 @@
 	attemptWithdrawn  attemptOutcome = "queued again: it never started"
 )
 
-// outcomeOfAttempt returns what became of the fixture's attempt since it was as in before. To be
-// told from a kept attempt, one that is launched again must have been marked before as sent in
-// a response or as an unanswered direct launch.
+// outcomeOfAttempt returns what became of the fixture's attempt; before is a copy from before the
+// heartbeat. An attempt that is launched again can be told from a kept one only if it was marked
+// before as sent in a response or as an unanswered direct launch.
 func (f *fixture) outcomeOfAttempt(before cluster.Attempt) attemptOutcome {
 	launchCleared := !f.attempt.LaunchUnanswered && f.attempt.ResponseSequence == 0
 	wasSent := before.LaunchUnanswered || before.ResponseSequence > 0
@@ -39,7 +39,7 @@
 }
 
 func TestMissingAttemptOutcomeByLaunchState(t *testing.T) {
-	sentInAnswer := func(f *fixture) {
+	sentInResponse := func(f *fixture) {
 		f.attempt.LaunchSent, f.attempt.LaunchEpoch = true, 1
 		f.attempt.ResponseEpoch, f.attempt.ResponseSequence = 1, 11
 	}
@@ -66,13 +66,13 @@
 		{"direct launch unanswered", unanswered, heartbeat(1, 12, testToken), false, attemptKept},
 		{"direct launch unanswered, a higher token is shown", unanswered, heartbeat(1, 12, testToken+1), false, attemptRelaunched},
 		{"direct launch unanswered, a newer epoch", unanswered, heartbeat(2, 1, testToken), false, attemptLost},
-		{"in the answer to the last heartbeat", sentInAnswer, heartbeat(1, 11, testToken), false, attemptKept},
-		{"in the answer, a newer heartbeat", sentInAnswer, heartbeat(1, 12, testToken), false, attemptRelaunched},
-		{"in the answer, a newer answer to a command", sentInAnswer, heartbeat(1, 12, testToken), true, attemptKept},
-		{"in the answer, a newer epoch", sentInAnswer, heartbeat(2, 1, testToken), false, attemptLost},
-		{"in the answer, stopping", func(f *fixture) { sentInAnswer(f); f.attempt.Stopping = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
-		{"in the answer, machine draining", func(f *fixture) { sentInAnswer(f); f.machine.DrainReason = cluster.DrainIdle }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
-		{"in the answer, job cancelled", func(f *fixture) { sentInAnswer(f); f.job.Cancelled = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
+		{"in the response to the last heartbeat", sentInResponse, heartbeat(1, 11, testToken), false, attemptKept},
+		{"in the response, a newer heartbeat", sentInResponse, heartbeat(1, 12, testToken), false, attemptRelaunched},
+		{"in the response, a newer response to a command", sentInResponse, heartbeat(1, 12, testToken), true, attemptKept},
+		{"in the response, a newer epoch", sentInResponse, heartbeat(2, 1, testToken), false, attemptLost},
+		{"in the response, stopping", func(f *fixture) { sentInResponse(f); f.attempt.Stopping = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
+		{"in the response, machine draining", func(f *fixture) { sentInResponse(f); f.machine.DrainReason = cluster.DrainIdle }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
+		{"in the response, job cancelled", func(f *fixture) { sentInResponse(f); f.job.Cancelled = true }, heartbeat(1, 12, testToken), false, attemptWithdrawn},
 		{"another attempt is in the heartbeat", func(f *fixture) { f.attempt.SeenInHeartbeat = true },
 			heartbeat(1, 12, testToken, wire.TaskStatus{Task: testTask, Attempt: testAttempt - 1, Phase: wire.PhaseRunning}), false, attemptLost},
 		{"the attempt is in the heartbeat", func(f *fixture) { f.attempt.SeenInHeartbeat = true }, heartbeat(1, 12, testToken, attemptStatus(wire.PhaseRunning, "")), false, attemptKept},
--- a/internal/leader/reconcile/reconciler.go
+++ b/internal/leader/reconcile/reconciler.go
@@ -21,8 +21,8 @@
 	delegate   *delegation.Delegate
 	dispatcher *agents.Dispatcher
 	scaler     *autoscaler.Scaler
-	// EarlyHeartbeats holds, of each machine, the newest heartbeat that arrived before the
-	// records were read.
+	// EarlyHeartbeats holds, for each machine, the newest heartbeat that arrived before the
+	// records were read. It is nil after those heartbeats are reconciled.
 	EarlyHeartbeats map[wire.MachineID]wire.Heartbeat
 }
 
@@ -50,7 +50,7 @@
 
 // HeartbeatResponse is the response to a heartbeat: commands, a redirect or a rejection.
 type HeartbeatResponse struct {
-	Commands *wire.Commands // nil if the heartbeat is not answered
+	Commands *wire.Commands // nil if the heartbeat is redirected or rejected
 	Redirect bool           // the agent should send its heartbeats to this node directly
 	Rejected error          // why the heartbeat is not answered
 }
--- a/internal/leader/reconcile/run_times.go
+++ b/internal/leader/reconcile/run_times.go
@@ -21,7 +21,7 @@
 )
 
 // recordRunTime compares the run time of a completed attempt with the others of its job, and
-// drains the machine if most runs on it are slow.
+// drains the machine if it is slow.
 func (fd *faultDetector) recordRunTime(attempt *cluster.Attempt, now time.Time) {
 	runSeconds := now.Sub(attempt.RunningSince).Seconds()
 	job, machine := attempt.Job, attempt.Machine
@@ -38,7 +38,7 @@
 	job.RunTimes.Add(runSeconds)
 }
 
-// isSlow reports whether most runs on a machine are slow.
+// isSlow reports whether a machine counts as slow by its numbers of slow and normal runs.
 func isSlow(machine *cluster.Machine) bool {
 	runs := machine.RunSpeedCounts
 	return runs.Slow >= minSlowRuns && runs.Slow > slowRunsPerNormal*runs.Normal
