--- a/internal/leader/detector/inbound.go
+++ b/internal/leader/detector/inbound.go
@@ -8,11 +8,11 @@
 
 // ignoredResponsesThreshold is how many responses must seem to have been lost, with no delivery
 // known in between, for the inbound path to count as lost. A single response may be lost, or be
-// crossed by an older heartbeat.
+// crossed by an older heartbeat. One is enough if a direct command was not answered either.
 const ignoredResponsesThreshold = 2
 
 // InboundPath tells whether the inbound path of a machine works: the path from this node to a
-// machine whose heartbeats arrive. Answers and commands may be lost while heartbeats still
+// machine whose heartbeats arrive. Responses and commands may be lost while heartbeats still
 // come in. Such a machine looks alive, but starts nothing, and its lease expires.
 type InboundPath struct {
 	lastResponse sentResponse
@@ -39,7 +39,7 @@
 	// was none.
 	KnownToken wire.FencingToken
 	// RecentlyRenewed reports that the last response is so recent that the machine's lease
-	// can't have expired if it received that response.
+	// can't have expired if the machine received that response.
 	RecentlyRenewed bool
 	// LacksLaunch reports whether the heartbeat lacks a task that an earlier response
 	// told the machine to start. It is called only if the result depends on it.
@@ -62,8 +62,8 @@
 	p.lastResponse = sentResponse{token, epoch, sequence}
 }
 
-// ObserveHeartbeat compares a heartbeat with the response to an earlier one, and returns
-// whether the path has been lost or restored by it.
+// ObserveHeartbeat compares a heartbeat with the response to an earlier one, and returns how
+// the state of the path changes by it.
 func (p *InboundPath) ObserveHeartbeat(heartbeat *wire.Heartbeat, evidence HeartbeatEvidence, now time.Time) PathChange {
 	if heartbeat.Token > evidence.KnownToken && evidence.KnownToken > 0 {
 		return p.RecordDelivery() // a new token has reached the machine
@@ -81,7 +81,9 @@
 	return PathLost
 }
 
-// countIgnoredResponses returns how many responses a heartbeat shows not to have been received.
+// countIgnoredResponses returns how many responses, as the heartbeat shows, have not reached the
+// machine. A lease that expired although it was renewed recently counts as enough of them for the
+// path to be lost.
 func (p *InboundPath) countIgnoredResponses(heartbeat *wire.Heartbeat, evidence HeartbeatEvidence) int {
 	last := &p.lastResponse
 	switch {
--- a/internal/leader/detector/inbound_test.go
+++ b/internal/leader/detector/inbound_test.go
@@ -26,20 +26,20 @@
 		want              PathChange
 	}
 	for name, steps := range map[string][]step{
-		"the heartbeats show what the answers ordered": {
+		"the heartbeats show every launch": {
 			{heartbeat(1, 11, token), complete, false, PathUnchanged},
 			{heartbeat(1, 12, token), complete, false, PathUnchanged},
 		},
-		"one answer has no effect": {
+		"one response has no effect": {
 			{heartbeat(1, 11, token), withoutLaunch, false, PathUnchanged},
 			{heartbeat(1, 12, token), complete, false, PathUnchanged},
 		},
-		"two answers have no effect": {
+		"two responses have no effect": {
 			{heartbeat(1, 11, token), withoutLaunch, false, PathUnchanged},
 			{heartbeat(1, 12, token), withoutLaunch, false, PathLost},
 			{heartbeat(1, 13, token), withoutLaunch, false, PathUnchanged},
 		},
-		"one answer has no effect, and a command is not answered": {
+		"one response has no effect, and a command is not answered": {
 			{heartbeat(1, 11, token), withoutLaunch, true, PathLost},
 		},
 		"the heartbeats show an older token": {
@@ -52,7 +52,7 @@
 		"the lease expired, but was not renewed recently": {
 			{heartbeat(2, 1, token), notRenewed, false, PathUnchanged},
 		},
-		"the heartbeats were made before the answer": {
+		"the heartbeats were made before the response": {
 			{heartbeat(1, 10, token), withoutLaunch, false, PathUnchanged},
 			{heartbeat(1, 9, token), withoutLaunch, true, PathUnchanged},
 		},
@@ -68,7 +68,7 @@
 		t.Run(name, func(t *testing.T) {
 			var path InboundPath
 			if got := path.ObserveHeartbeat(heartbeat(1, 9, 0), withoutLaunch, start); got != PathUnchanged {
-				t.Errorf("before any answer: change %d, want %d", got, PathUnchanged)
+				t.Errorf("before any response: change %d, want %d", got, PathUnchanged)
 			}
 			path.RecordResponse(token, 1, 10)
 			for i, s := range steps {
@@ -83,27 +83,27 @@
 	}
 }
 
-func TestReceivedMessageRestoresPathOnce(t *testing.T) {
+func TestDeliveryRestoresPathOnce(t *testing.T) {
 	const token = 50
-	type verdict struct {
+	type pathState struct {
 		works, commandUnanswered bool
 		lostFor                  time.Duration
 	}
-	verdictOn := func(path *InboundPath) verdict {
-		return verdict{path.Works(), path.CommandUnanswered(), path.LostFor(start.Add(time.Second))}
+	stateOf := func(path *InboundPath) pathState {
+		return pathState{path.Works(), path.CommandUnanswered(), path.LostFor(start.Add(time.Second))}
 	}
 	withoutLaunch := HeartbeatEvidence{token, true, func() bool { return true }}
 	var path InboundPath
 	path.RecordResponse(token, 1, 10)
 	path.RecordUnansweredCommand()
 	path.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 11, Token: token}, withoutLaunch, start)
-	if got, want := verdictOn(&path), (verdict{false, true, time.Second}); got != want {
+	if got, want := stateOf(&path), (pathState{false, true, time.Second}); got != want {
 		t.Errorf("lost: %+v, want %+v", got, want)
 	}
 	if first, second := path.RecordDelivery(), path.RecordDelivery(); first != PathRestored || second != PathUnchanged {
-		t.Errorf("received twice: changes %d, %d, want %d, %d", first, second, PathRestored, PathUnchanged)
+		t.Errorf("two deliveries: changes %d, %d, want %d, %d", first, second, PathRestored, PathUnchanged)
 	}
-	if got, want := verdictOn(&path), (verdict{true, false, 0}); got != want {
+	if got, want := stateOf(&path), (pathState{true, false, 0}); got != want {
 		t.Errorf("restored: %+v, want %+v", got, want)
 	}
 }
--- a/internal/leader/detector/zones.go
+++ b/internal/leader/detector/zones.go
@@ -12,9 +12,9 @@
 const (
 	// A zone counts as partitioned when no message has come from it for longer than
 	// unresponsiveAfter and at least minMissedHeartbeats of its heartbeats were due in that
-	// time, by the rate at which heartbeats arrive from the other zones. Without this rule a
-	// partition is noticed only when most machines of the zone are overdue, and until then the
-	// leader scales in three quarters of a large zone one by one.
+	// time. How many were due is estimated by the heartbeats that came from the other zones.
+	// Without this rule a partition is noticed only when most machines of the zone are overdue,
+	// and until then the leader scales in three quarters of a large zone one by one.
 	unresponsiveAfter   = 1500 * time.Millisecond
 	minMissedHeartbeats = 12
 	// minMachines is how many machines a zone must have for its missed heartbeats to count, and
@@ -24,10 +24,10 @@
 	minMissedHeartbeatsNoController = minMissedHeartbeats / 6
 	minMachinesNoController         = 2
 
-	// partitionedFor is for how long a zone counts as partitioned after a check last found it
+	// partitionedFor is how long a zone counts as partitioned after a check last found it
 	// unreachable.
 	partitionedFor = 2 * unresponsiveAfter
-	// recoveryHeartbeats is for how many heartbeat intervals after that check the zone counts as
+	// recoveryHeartbeats is how many heartbeat intervals after that check the zone counts as
 	// recently partitioned: the heartbeats of its machines need a while to arrive again.
 	recoveryHeartbeats = 3
 )
@@ -78,7 +78,8 @@
 	return zones
 }
 
-// ZoneCounts are the numbers of machines that should send heartbeats.
+// ZoneCounts are the numbers of machines that should send heartbeats, and whether the zone's
+// controllers are lost.
 type ZoneCounts struct {
 	// Machines is how many there are in the zone. LostMachines is how many of them are lost:
 	// their heartbeats are long overdue.
@@ -90,9 +91,9 @@
 }
 
 // CheckZone checks a zone by its current counts and reports whether a partition of it begins:
-// most of its machines are lost, or none of them has sent a message for a while. Missed
-// heartbeats are counted besides the time: when this node itself is slow, nothing arrives from
-// any zone.
+// most of its machines are lost, or none of them has sent a message for a while. The time alone
+// does not decide, and missed heartbeats are counted too: when this node itself is slow, nothing
+// arrives from any zone.
 func (z *Zones) CheckZone(zone wire.Zone, counts ZoneCounts, now time.Time) bool {
 	if !z.unreachable(zone, counts, now) {
 		return false
@@ -145,7 +146,7 @@
 }
 
 // UnseenSincePartition reports whether the zone is or was recently partitioned, and a machine
-// of it that was last seen at seenAt has not been seen since a check found the zone
+// of it that was last seen at seenAt has not been seen since a check last found the zone
 // unreachable.
 func (z *Zones) UnseenSincePartition(zone wire.Zone, seenAt, now time.Time) bool {
 	return z.ZoneRecentlyPartitioned(zone, now) && seenAt.Before(z.partitionedAt[zone])
--- a/internal/leader/detector/zones_test.go
+++ b/internal/leader/detector/zones_test.go
@@ -33,12 +33,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			zones := NewZones(start, 2*time.Second)
-			lastHeard := start.Add(time.Minute)
-			zones.RecordMessage("a", true, lastHeard)
+			lastMessageAt := start.Add(time.Minute)
+			zones.RecordMessage("a", true, lastMessageAt)
 			for range c.otherZoneHeartbeats {
-				zones.RecordMessage("b", true, lastHeard)
+				zones.RecordMessage("b", true, lastMessageAt)
 			}
-			now := lastHeard.Add(c.silence)
+			now := lastMessageAt.Add(c.silence)
 			if got := zones.CheckZone("a", c.counts, now); got != c.want || zones.ZonePartitioned("a", now) != c.want {
 				t.Errorf("%+v: CheckZone %v, partitioned %v, want %v", c.counts, got, zones.ZonePartitioned("a", now), c.want)
 			}
@@ -49,16 +49,16 @@
 	}
 }
 
-// Answers to commands show that a zone is connected, but don't count among the heartbeats by
+// Responses to commands show that a zone is connected, but don't count among the heartbeats by
 // which the missed ones of another zone are estimated.
-func TestAnswersToCommandsAreNotCountedAsHeartbeats(t *testing.T) {
+func TestResponsesToCommandsAreNotCountedAsHeartbeats(t *testing.T) {
 	zones := NewZones(start, 2*time.Second)
 	zones.RecordMessage("a", true, start)
 	for range 100 {
 		zones.RecordMessage("b", false, start)
 	}
 	if zones.CheckZone("a", ZoneCounts{Machines: 10, AllMachines: 20}, start.Add(time.Minute)) {
-		t.Error("zone a is partitioned although only answers to commands came from zone b")
+		t.Error("zone a is partitioned although only responses to commands came from zone b")
 	}
 	if got := zones.KnownZones(); len(got) != 2 {
 		t.Errorf("known zones %v, want two", got)
@@ -73,7 +73,7 @@
 	if !zones.CheckZone("a", mostLost, start) || zones.CheckZone("a", mostLost, start.Add(time.Second)) {
 		t.Error("CheckZone doesn't report the start of a partition exactly once")
 	}
-	lastJudged := start.Add(time.Second)
+	lastCheckAt := start.Add(time.Second)
 	for _, c := range []struct {
 		name                          string
 		after                         time.Duration
@@ -85,15 +85,15 @@
 		{"just before its machines are due", 6*time.Second - 1, false, true},
 		{"when its machines are due", 6 * time.Second, false, false},
 	} {
-		now := lastJudged.Add(c.after)
+		now := lastCheckAt.Add(c.after)
 		partitioned, recently := zones.ZonePartitioned("a", now), zones.ZoneRecentlyPartitioned("a", now)
-		unseen, seenAgain := zones.UnseenSincePartition("a", start, now), !zones.UnseenSincePartition("a", lastJudged, now)
+		unseen, seenAgain := zones.UnseenSincePartition("a", start, now), !zones.UnseenSincePartition("a", lastCheckAt, now)
 		if partitioned != c.wantPartitioned || recently != c.wantRecently || unseen != c.wantRecently || !seenAgain {
 			t.Errorf("%s, after %v: partitioned %v, recently %v, machine unseen %v, one seen again %v, want %v, %v, %v, true",
 				c.name, c.after, partitioned, recently, unseen, seenAgain, c.wantPartitioned, c.wantRecently, c.wantRecently)
 		}
 	}
-	if !zones.CheckZone("a", mostLost, lastJudged.Add(time.Minute)) {
+	if !zones.CheckZone("a", mostLost, lastCheckAt.Add(time.Minute)) {
 		t.Error("CheckZone doesn't report the start of a second partition")
 	}
 }
