--- a/internal/leader/recovery/cancellations.go
+++ b/internal/leader/recovery/cancellations.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// publishInFlightLaunchCancel publishes the time of the oldest cancellation of a job of which
-// a launch may still be in flight. It removes the jobs without active tasks from
-// CancelledJobs.
+// publishInFlightLaunchCancel publishes the oldest cancellation time among the cancelled jobs with
+// a launch that may still be in flight, or the zero time if there is no such job. It removes the
+// jobs without active tasks from CancelledJobs.
 func (r *Records) publishInFlightLaunchCancel() {
 	var oldest time.Time
 	for job := range r.State.CancelledJobs {
--- a/internal/leader/recovery/cancellations_test.go
+++ b/internal/leader/recovery/cancellations_test.go
@@ -37,11 +37,11 @@
 	return job
 }
 
-func TestCancelIsUnconfirmedWhileALaunchMayBeInFlight(t *testing.T) {
+func TestCancelIsPublishedWhileALaunchMayBeInFlight(t *testing.T) {
 	cases := []struct {
-		name            string
-		setup           func(*cluster.Attempt)
-		wantUnconfirmed bool
+		name          string
+		setup         func(*cluster.Attempt)
+		wantPublished bool
 	}{
 		{"seen in a heartbeat", func(*cluster.Attempt) {}, false},
 		{"not seen in a heartbeat", func(attempt *cluster.Attempt) { attempt.SeenInHeartbeat = false }, true},
@@ -57,11 +57,11 @@
 			addCancelledJob(r, "req-1", cancelledAt, tc.setup)
 			r.publishInFlightLaunchCancel()
 			want := time.Time{}
-			if tc.wantUnconfirmed {
+			if tc.wantPublished {
 				want = cancelledAt
 			}
 			if got := r.Published.OldestInFlightLaunchCancel(); !got.Equal(want) {
-				t.Errorf("oldest unconfirmed cancellation: got %v, want %v", got, want)
+				t.Errorf("oldest cancellation with a launch in flight: got %v, want %v", got, want)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 	ended := addCancelledJob(r, "req-4", now.Add(-9*time.Second), func(attempt *cluster.Attempt) { attempt.Detach() })
 	r.publishInFlightLaunchCancel()
 	if got, want := r.Published.OldestInFlightLaunchCancel(), now.Add(-3*time.Second); !got.Equal(want) {
-		t.Errorf("oldest unconfirmed cancellation: got %v, want %v", got, want)
+		t.Errorf("oldest cancellation with a launch in flight: got %v, want %v", got, want)
 	}
 	if _, listed := r.State.CancelledJobs[ended]; listed {
 		t.Error("cancelled job without active tasks: still in CancelledJobs, want it removed")
--- a/internal/leader/recovery/job_records.go
+++ b/internal/leader/recovery/job_records.go
@@ -53,8 +53,9 @@
 	}
 }
 
-// applyDeletion removes what is kept of a job to handle late events: the deletion of its
-// record is the last event.
+// applyDeletion handles the deletion of a job's record, which is the last event of the job. It
+// removes the entries that are kept to handle late events, and marks a job that is still in the
+// model.
 func (r *Records) applyDeletion(id wire.JobID) {
 	delete(r.State.QuarantinedJobs, id)
 	delete(r.State.ArchivedJobs, id)
--- a/internal/leader/recovery/recovery.go
+++ b/internal/leader/recovery/recovery.go
@@ -21,8 +21,8 @@
 	"lilaclead/upgrade"
 )
 
-// Records applies the stored records to the model. Run is for a goroutine of its own, the
-// other exported methods are for the goroutine of the term's loop.
+// Records applies the stored records to the model. Run needs a goroutine of its own. The other
+// exported methods are only called by the goroutine of the term's loop.
 type Records struct {
 	*core.Loop
 	State          *cluster.State
@@ -81,19 +81,20 @@
 	return records, err
 }
 
-// versionMismatches are the errors of reading the active version after which this process must
+// resignationErrors are the errors of reading the active version after which this process must
 // not lead.
-var versionMismatches = []error{upgrade.ErrProgramTooOld, upgrade.ErrProgramTooNew, upgrade.ErrUndecodable, upgrade.ErrProcessReplaced}
+var resignationErrors = []error{upgrade.ErrProgramTooOld, upgrade.ErrProgramTooNew, upgrade.ErrUndecodable, upgrade.ErrProcessReplaced}
 
 // readVersion reads the active version for this term, and has the term resign if this process
 // must not lead with it. No earlier leader can switch the version after this read: only
-// leaders switch it, with writes that their token guards, and the lease was acquired before.
+// leaders switch it, with writes that their token guards, and this node acquired the lease before
+// the read.
 func (r *Records) readVersion(ctx context.Context) (upgrade.Version, error) {
 	if r.Versions == nil {
 		return 0, nil
 	}
 	version, err := r.Versions.ReadActive(ctx)
-	if slices.ContainsFunc(versionMismatches, func(mismatch error) bool { return errors.Is(err, mismatch) }) {
+	if slices.ContainsFunc(resignationErrors, func(target error) bool { return errors.Is(err, target) }) {
 		r.Post(ResignationDue{Reason: err.Error()})
 	}
 	return version, err
