--- a/internal/leader/liveness/counts.go
+++ b/internal/leader/liveness/counts.go
@@ -9,7 +9,7 @@
 )
 
 // systemicFaultThreshold is how many machines must be unresponsive or relayed for a fault of
-// this node or its network to be inferred. Up to as many machines may have separate faults,
+// this node or its network to be inferred. Up to this many machines may have separate faults,
 // whatever their share of all machines.
 const systemicFaultThreshold = 3
 
@@ -17,8 +17,7 @@
 // of all, where that is more than systemicFaultThreshold.
 const singleFaultDivisor = 4
 
-// machineCounts counts the machines that should send heartbeats, by how they can be
-// reached.
+// machineCounts counts the machines that should send heartbeats, by how they can be reached.
 type machineCounts struct {
 	up                       int // should send heartbeats
 	unresponsive             int // the last message is older than limits.unresponsiveAfter
@@ -27,7 +26,7 @@
 	inboundPathLost          int // send heartbeats, but receive nothing
 	outboundPathLost         int // answer commands, but their heartbeats don't arrive
 	replicaHosts             int // run replicas of services
-	replicaHostsUnresponsive int // run replicas of services and are unresponsive
+	replicaHostsUnresponsive int // of these, silent for maxReplicaHostProbeDelay plus two probes
 	upByZone                 map[wire.Zone]int
 	lostByZone               map[wire.Zone]int
 }
@@ -74,13 +73,13 @@
 }
 
 // isolated reports whether this node, rather than the machines, is probably cut off: most
-// machines are unresponsive.
+// machines are unresponsive, and at least systemicFaultThreshold are.
 func (c *machineCounts) isolated() bool {
 	return c.unresponsive >= systemicFaultThreshold && c.unresponsive*2 > c.up
 }
 
 // mostOutOfDirectContact reports whether most machines are lost, or most reach this node only
-// through other nodes.
+// through other nodes. Fewer than systemicFaultThreshold machines do not count as most.
 func (c *machineCounts) mostOutOfDirectContact() bool {
 	majorityLost := c.isolated() && c.lost*2 > c.up
 	majorityRelayed := c.relayed >= systemicFaultThreshold && c.relayed*2 > c.up
--- a/internal/leader/liveness/doc.go
+++ b/internal/leader/liveness/doc.go
@@ -14,9 +14,10 @@
 // # Faults that affect many machines
 //
 // When most machines are unresponsive, this node is probably isolated. If another controller
-// reaches most of them, this one resigns. When a whole zone is unresponsive, the zone is
-// partitioned: its machines keep running their tasks until their leases expire. They are
-// scaled in only if the partition lasts much longer than that.
+// reaches most of them, this one resigns. When most machines of a zone are lost, or none of them
+// has sent a message for a while, the zone counts as partitioned. Its machines keep running
+// their tasks until their leases expire. They are scaled in only if the partition lasts much
+// longer than that.
 //
 // # When a lease has certainly expired
 //
--- a/internal/leader/liveness/fixture_test.go
+++ b/internal/leader/liveness/fixture_test.go
@@ -26,7 +26,7 @@
 
 const testToken wire.FencingToken = 50
 
-// fixture is a monitor whose commands and requests go nowhere, in a term that began a
+// fixture is a monitor whose commands and requests are not delivered, in a term that began a
 // minute ago.
 type fixture struct {
 	*Monitor
@@ -37,13 +37,13 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{now: time.Now()}
-	began := f.now.Add(-time.Minute)
+	termStartedAt := f.now.Add(-time.Minute)
 	metrics := &core.Metrics{
 		TaskInterrupted: func(reason string) { f.evicted = append(f.evicted, reason) },
 		FleetChange:     func(string, int) {},
 		Machines:        func(map[string]int) {},
 	}
-	lease := election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: began, ValidUntil: began.Add(time.Hour)})
+	lease := election.NewLease(nil, election.Acquisition{Token: testToken, AcquiredAt: termStartedAt, ValidUntil: termStartedAt.Add(time.Hour)})
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	loop := core.NewLoop(lease, log, metrics)
 	ended, end := context.WithCancel(t.Context())
@@ -59,7 +59,7 @@
 	}
 	catalog := &cluster.MachineCatalog{}
 	catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16, BootTime: 10}})
-	state := cluster.NewState(settings, catalog, began, testToken)
+	state := cluster.NewState(settings, catalog, termStartedAt, testToken)
 	state.RecordsRead, state.MachineListReceived, state.MachineListRequestedAt = true, true, f.now
 	network := simulator.NewNetwork(0).Host("10.0.0.1")
 	mesh := peer.New("a", nil, func() peer.Status { return peer.Status{} }, cancels.New(nil, time.Minute), network, log)
--- a/internal/leader/liveness/lease_expiry.go
+++ b/internal/leader/liveness/lease_expiry.go
@@ -48,7 +48,7 @@
 // machine, or at which the lease can have begun.
 func (mo *Monitor) lastPossibleRenewal(machine *cluster.Machine) time.Time {
 	// An earlier leader may have answered the machine until the machine first showed a token of
-	// this term. Since then only this leader can have.
+	// this term. After that, only this leader or a delegate can have.
 	lastRenewal := cluster.LaterOf(machine.LastResponseAt, machine.TokenSeenAt)
 	// A new epoch has a full lease even if none of its heartbeats was answered, as a task
 	// launched into it may run that long. Without this, tasks launched right after a lease has
--- a/internal/leader/liveness/lease_expiry_test.go
+++ b/internal/leader/liveness/lease_expiry_test.go
@@ -23,10 +23,10 @@
 		{"answered by this leader", func(f *fixture, machine *cluster.Machine) {
 			machine.LastResponseAt = f.State.TermStartedAt.Add(7 * time.Second)
 		}, 7 * time.Second},
-		{"token of this term shown after the last answer", func(f *fixture, machine *cluster.Machine) {
+		{"token of this term shown after the last response", func(f *fixture, machine *cluster.Machine) {
 			machine.TokenSeenAt = f.State.TermStartedAt.Add(8 * time.Second)
 		}, 8 * time.Second},
-		{"new epoch without an answer", func(f *fixture, machine *cluster.Machine) {
+		{"new epoch without a response", func(f *fixture, machine *cluster.Machine) {
 			machine.EpochSince = f.State.TermStartedAt.Add(9 * time.Second)
 		}, 9 * time.Second},
 		{"a delegate renewed it", func(f *fixture, _ *cluster.Machine) {
--- a/internal/leader/liveness/limits.go
+++ b/internal/leader/liveness/limits.go
@@ -17,19 +17,20 @@
 	// replicas is probed, even if its next heartbeat is due later.
 	maxReplicaHostProbeDelay = 4 * time.Second
 
-	// A machine is lost, even if not all probes were tried, after a time without a message of
-	// longOverdueQuarters quarters of the heartbeat interval (three intervals, and the quarter
-	// by which a heartbeat may be late) plus longOverdueMargin for messages under way.
+	// A machine is lost, even if not all probes were tried, once it has sent no message for
+	// longOverdueQuarters quarters of the heartbeat interval plus longOverdueMargin. The
+	// quarters are three intervals and the quarter by which a heartbeat may be late. The margin
+	// is for messages under way.
 	longOverdueQuarters = 13
 	longOverdueMargin   = 2 * time.Second
 
 	// expiredLeaseQuarters is the time after a machine's last heartbeat, in quarters of the
 	// lease, by which its lease must have expired despite any delay.
 	expiredLeaseQuarters = 5
-	// Machines that may be behind a partition are waited for during the longer of
-	// partitionWaitLeaseHalves halves of a lease and partitionWaitCancelTimeouts cancellation
-	// timeouts. By then every lease behind the partition has long expired, and if it is over,
-	// the machines have had time to send heartbeats again.
+	// A machine that may be behind a partition is not scaled in before it has sent no message for
+	// the longer of partitionWaitLeaseHalves halves of a lease and partitionWaitCancelTimeouts
+	// cancellation timeouts. By then every lease behind the partition has long expired. If the
+	// partition is over, the machines have had time to send heartbeats again.
 	partitionWaitLeaseHalves    = 5
 	partitionWaitCancelTimeouts = 2
 )
@@ -79,7 +80,7 @@
 
 // replicaHostLostAfter returns the time without a message after which a machine with replicas
 // and failed probes is lost, unless many such machines are unresponsive. It leaves time for
-// three probes to fail.
+// three probes to fail, or for two where lostAfter is shorter.
 func (l limits) replicaHostLostAfter() time.Duration {
 	return min(l.lostAfter(), l.replicaHostProbeAfter()+3*agents.ProbeTimeout)
 }
--- a/internal/leader/liveness/machine_checks.go
+++ b/internal/leader/liveness/machine_checks.go
@@ -9,9 +9,9 @@
 const (
 	// defaultBootTime is used for a machine type that the cloud no longer lists.
 	defaultBootTime = 30 * time.Second
-	// A machine has failed to boot after bootLimitQuarters quarters of the boot time of its
-	// type, which are 2.75 boot times, plus bootMargin. The capacity planner stops counting
-	// on it after two boot times already.
+	// A machine has failed to boot after bootLimitQuarters quarters of its type's boot time
+	// (2.75 boot times) plus bootMargin. The capacity planner already stops counting on it after
+	// two boot times.
 	bootLimitQuarters = 11
 	bootMargin        = 5 * time.Second
 
@@ -33,7 +33,8 @@
 }
 
 // probeUnresponsive probes a machine whose heartbeat is overdue, unless a command is under way
-// or enough have failed. Behind a partition one failed command is enough.
+// or maxUnansweredCommands are unanswered. A machine that has sent nothing since its zone was
+// partitioned is not probed again after one unanswered command.
 func (mo *Monitor) probeUnresponsive(machine *cluster.Machine, now time.Time) {
 	if machine.UnansweredCommands >= maxUnansweredCommands || machine.CommandInFlight {
 		return
@@ -45,7 +46,7 @@
 }
 
 // drainCompleted reports whether a draining machine can be scaled in: it runs no tasks and
-// their outcomes are stored, or an earlier leader had already begun to scale it in.
+// the outcomes of those it ran are stored, or an earlier leader had already begun to scale it in.
 func (mo *Monitor) drainCompleted(machine *cluster.Machine) bool {
 	if machine.DrainReason == cluster.DrainAdoptedScaleIn {
 		return true
--- a/internal/leader/liveness/partitions.go
+++ b/internal/leader/liveness/partitions.go
@@ -8,9 +8,10 @@
 	"lilaclead/internal/wire"
 )
 
-// judgePartitions detects zones that are unresponsive as a whole. Their machines are expected
-// back, and run their tasks until their leases expire. They are therefore scaled in only if
-// the partition lasts much longer than that.
+// judgePartitions detects partitioned zones: most of their machines are lost, or none of them
+// has sent a message for a while. These machines are expected back, and run their tasks until
+// their leases expire. They are therefore scaled in only if the partition lasts much longer than
+// that.
 func (mo *Monitor) judgePartitions(counts *machineCounts, now time.Time) {
 	for zone, up := range counts.upByZone {
 		if zone == "" {
@@ -30,8 +31,7 @@
 }
 
 // settlingLeaseDivisor defines how long machines have to reach a new leader before it may
-// resign for a lack of contact: the time after which a silent machine is lost, plus this
-// fraction of the lease, an eighth.
+// resign for a lack of contact: limits.lostAfter plus an eighth of the lease.
 const settlingLeaseDivisor = 8
 
 // betterConnectedPeer returns a controller that most machines reach, if most don't reach this
--- a/internal/leader/liveness/partitions_test.go
+++ b/internal/leader/liveness/partitions_test.go
@@ -22,7 +22,7 @@
 		network := simulator.NewNetwork(time.Millisecond)
 		f.Peers = []config.Peer{{HostName: "b", Zone: "a", Addr: simulator.NodeIP(1) + ":8081"}}
 		var stops []func()
-		mesh := func(name wire.NodeID, node int, peers []config.Peer, status peer.Status) *peer.Mesh {
+		startMesh := func(name wire.NodeID, node int, peers []config.Peer, status peer.Status) *peer.Mesh {
 			host := network.Host(simulator.NodeIP(node))
 			m := peer.New(name, peers, func() peer.Status { return status }, cancels.New(nil, time.Minute), host, f.Log)
 			listener, err := host.Listen("tcp4", simulator.NodeIP(node)+":8081")
@@ -37,8 +37,8 @@
 			stops = append(stops, func() { server.Close() })
 			return m
 		}
-		f.Mesh = mesh("a", 0, f.Peers, peer.Status{Leads: true})
-		mesh("b", 1, []config.Peer{{HostName: "a", Zone: "b", Addr: simulator.NodeIP(0) + ":8081"}}, status)
+		f.Mesh = startMesh("a", 0, f.Peers, peer.Status{Leads: true})
+		startMesh("b", 1, []config.Peer{{HostName: "a", Zone: "b", Addr: simulator.NodeIP(0) + ":8081"}}, status)
 		time.Sleep(3 * time.Second)
 		f.now = time.Now()
 		test(t, f, func() { network.Cut(simulator.NodeIP(0), simulator.NodeIP(1), true) })
@@ -136,7 +136,7 @@
 		{"lease not ending yet", 15100 * time.Millisecond, wire.KindService, func(*fixture, *cluster.Job) {}, false},
 		{"no replicas", time.Minute, wire.KindArray, func(*fixture, *cluster.Job) {}, false},
 		{"bound to its zone", time.Minute, wire.KindService, func(_ *fixture, job *cluster.Job) { job.Spec.Zone = "a" }, false},
-		{"spread, one other zone has room", time.Minute, wire.KindService, func(_ *fixture, job *cluster.Job) { job.Spec.Spread = true }, true},
+		{"spread, the other zone has capacity", time.Minute, wire.KindService, func(_ *fixture, job *cluster.Job) { job.Spec.Spread = true }, true},
 		{"spread, there is no other zone", time.Minute, wire.KindService, func(f *fixture, job *cluster.Job) {
 			job.Spec.Spread, f.State.Settings.Zones = true, []wire.Zone{"a"}
 		}, false},
--- a/internal/leader/liveness/paths.go
+++ b/internal/leader/liveness/paths.go
@@ -13,8 +13,8 @@
 // scales it in if that lasts: early if commands to it fail and it can't confirm a launch or a
 // stop, otherwise when its lease must have expired.
 //
-// The caller skips this check when many machines seem so, since a slow leader is then the
-// likelier fault.
+// The caller skips this check when many machines seem to receive nothing, since a slow
+// leader is then the likelier fault.
 func (mo *Monitor) checkInboundPath(machine *cluster.Machine, now time.Time) {
 	if machine.Inbound.Works() || machine.ScalingIn {
 		return
--- a/internal/leader/liveness/replicas.go
+++ b/internal/leader/liveness/replicas.go
@@ -11,10 +11,10 @@
 // partition counts as about to end.
 const leaseEndingPercent = 95
 
-// checkReplicas scales in a machine in a partitioned zone if its lease is about to end and its
-// replicas can be started elsewhere. The replicas stop when the lease ends, but this node can't
-// observe when that is. Scaling in the machine makes their end certain. If the cloud can't be
-// reached either, they are replaced after the lease has expired.
+// checkReplicas scales in a machine in a partitioned zone if its lease is about to end and one of
+// its replicas can be started elsewhere. The replicas stop when the lease ends, but this node
+// can't observe when that is. Scaling in the machine makes their end certain. If the cloud can't
+// be reached either, the replicas are replaced after the lease has expired.
 func (mo *Monitor) checkReplicas(machine *cluster.Machine, counts *machineCounts, now time.Time) {
 	if !mo.State.ZonePartitioned(machine.Zone, now) || counts.isolated() {
 		return
@@ -24,9 +24,10 @@
 	}
 }
 
-// leaseEnding reports whether the lease of a machine behind a partition is about to end. The
-// last renewal is estimated: a delegate in the zone may have renewed the lease until its
-// delegation ended, and when the zone's controllers were cut off is not known exactly.
+// leaseEnding reports whether the lease of a machine behind a partition is about to end. A
+// delegate in the zone may have renewed the lease until its delegation ended. The time of the
+// last renewal is an estimate, since it is not known exactly when the zone's controllers were
+// cut off.
 func (mo *Monitor) leaseEnding(machine *cluster.Machine, now time.Time) bool {
 	renewedAt := machine.LastMessageAt
 	if cutOffAt := mo.zoneControllersLastContact(machine.Zone); !cutOffAt.IsZero() {
@@ -40,8 +41,8 @@
 
 // replicasMovable reports whether a machine in a partitioned zone holds a replica that can be
 // started elsewhere. A service bound to its zone can't move. One that is spread over zones can
-// move only if the other zones have room for all its replicas in this zone. (With two zones
-// they have none, and ending its replicas early would gain nothing.)
+// move only if the other zones may take all its replicas in this zone. (With two zones the
+// other may not, and ending the replicas early would gain nothing.)
 func (mo *Monitor) replicasMovable(machine *cluster.Machine, now time.Time) bool {
 	for _, attempt := range machine.Attempts {
 		job := attempt.Job
--- a/internal/leader/liveness/spot_reclaim.go
+++ b/internal/leader/liveness/spot_reclaim.go
@@ -7,8 +7,8 @@
 )
 
 // checkpointStopMargin is added to the time that a task needs to write its checkpoint before
-// its machine is reclaimed. It covers two attempts to send the stop, and the time until the
-// machine is next checked.
+// its machine is reclaimed. It covers sending the stop twice, and the time until the machine is
+// next checked.
 const checkpointStopMargin = 3 * time.Second
 
 // checkpointBeforeReclaim stops the tasks that write checkpoints on a machine with a spot
--- a/internal/leader/liveness/tasks.go
+++ b/internal/leader/liveness/tasks.go
@@ -17,7 +17,8 @@
 	cancelStopTenths = 6
 )
 
-// repeatStops has the machine's commands sent again if a stop on it has had no effect.
+// repeatStops sends the machine's due commands if one of its attempts is to stop, and the stop
+// was never sent or has had no effect for stopRetryInterval.
 func (mo *Monitor) repeatStops(machine *cluster.Machine, now time.Time) {
 	for _, attempt := range machine.Attempts {
 		stopDue := attempt.StopSentAt.IsZero() || now.Sub(attempt.StopSentAt) > stopRetryInterval
--- a/internal/leader/liveness/verdict.go
+++ b/internal/leader/liveness/verdict.go
@@ -53,7 +53,7 @@
 }
 
 // lostAfter returns the time without a message after which a machine with failed probes is
-// lost. The time is shorter for a machine with replicas, since they are down until they are
+// lost. The time may be shorter for a machine with replicas, since they are down until they are
 // replaced. It is not shortened when many machines with replicas are unresponsive, since the
 // path to them is then the likelier fault.
 func (v *verdict) lostAfter() time.Duration {
@@ -95,10 +95,10 @@
 	return noticeOver && v.sinceMessage > v.limits.heartbeatInterval+reclaimDelayMargin
 }
 
-// scaleInWithheld reports whether the machine is not scaled in although it does not respond.
+// scaleInWithheld reports whether the machine must not be scaled in even if it does not respond.
 func (v *verdict) scaleInWithheld() bool {
-	// A machine that an earlier leader used may have sent no heartbeat to this one. Before the
-	// first machine list, not even its zone is known then.
+	// A machine that an earlier leader used may have sent no heartbeat to this one. Its zone is
+	// then unknown until the first machine list arrives.
 	if v.machine.Zone == "" && !v.state.MachineListReceived {
 		return true
 	}
@@ -115,8 +115,8 @@
 // unlisted reports whether the machine has been missing from the cloud's lists for longer than
 // they may lag. That does not prove its end, but a machine that is only behind a partition
 // would still be listed. Asking the cloud to release it costs nothing and yields the proof.
-// Without this rule, after most machines have vanished at once, this node would look isolated
-// until more machines than those were added, and would never ask for the release of any.
+// Without this rule, when most machines vanish at once, this node counts as isolated until at
+// least as many others respond, and does not ask for the release of any until then.
 func (v *verdict) unlisted() bool {
 	listLag := v.state.Settings.Cloud.ListLag.Duration()
 	return v.state.MachineListRequestedAt.Sub(v.machine.ListedAt) > unlistedListLags*listLag+unlistedMargin
