--- a/internal/leader/delegation/bounds.go
+++ b/internal/leader/delegation/bounds.go
@@ -15,7 +15,7 @@
 	// clockDriftDivisor defines the allowance for clock drift, a five-hundredth of the lease:
 	// twice the difference in rate that two clocks can have.
 	clockDriftDivisor = 500
-	// minCancelAge is the time that stop commands take to arrive.
+	// minCancelAge is the least Bounds.MaxCancelAge. Stop commands take this long to arrive.
 	minCancelAge = 2 * peer.AckLifetime
 )
 
@@ -78,12 +78,12 @@
 // If the node has not acknowledged a token of this term, the delegation of an earlier leader may
 // still be valid. The last such delegation was granted before this term.
 func (b Bounds) DelegateAnswersUntil(leadership LeadershipTerm, node peer.Peer, now time.Time) time.Time {
-	until := latest(node.LastDelegatedRenewal, node.LatestProcessStart)
+	until := laterOf(node.LastDelegatedRenewal, node.LatestProcessStart)
 	if node.AckToken < leadership.FirstToken {
-		until = latest(until, leadership.StartedAt.Add(b.MaxDelegationTime))
+		until = laterOf(until, leadership.StartedAt.Add(b.MaxDelegationTime))
 	}
 	if !node.DelegationGrantedAt.IsZero() && mayBeDelegate(leadership, node, now) {
-		until = latest(until, node.DelegationGrantedAt.Add(b.MaxDelegationTime))
+		until = laterOf(until, node.DelegationGrantedAt.Add(b.MaxDelegationTime))
 	}
 	return until
 }
@@ -97,7 +97,7 @@
 	return outOfContact || renewedRecently || storeOutageJustEnded
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/internal/leader/delegation/delegate.go
+++ b/internal/leader/delegation/delegate.go
@@ -30,8 +30,8 @@
 	// agentTimePerNode is the time that an agent spends on one node before it tries the next:
 	// a request timeout of 4 s, and a pause of 1 s.
 	agentTimePerNode = 5 * time.Second
-	// minRedirectCapacity bounds from below the number of agents whose redirects are
-	// remembered.
+	// minRedirectCapacity bounds the limit on remembered redirects from below. The limit is
+	// twice the number of agents, or twice minRedirectCapacity if that is more.
 	minRedirectCapacity = 1000
 )
 
@@ -84,9 +84,9 @@
 
 // MayRenew reports whether this node, as leader or as delegate, may renew agents' leases now:
 // it must know every cancellation that any node confirmed more than Bounds.MaxCancelAge ago.
-// Without this rule, a leader that alone is refused by the key-value store, and that keeps
-// serving in a store outage that follows, renews leases for peer.OutageLimit without knowing
-// the cancellations that other nodes confirmed in between.
+// Suppose that the key-value store refuses the leader alone, and that an outage of the store
+// follows. Without this rule, the leader keeps serving in the outage, and renews leases for
+// peer.OutageLimit without knowing the cancellations that other nodes confirmed in between.
 func (d *Delegate) MayRenew(now time.Time) bool {
 	knownUntil := d.Cancels.Watermark()
 	return !knownUntil.IsZero() && now.Sub(knownUntil) < d.Bounds.MaxCancelAge
@@ -173,8 +173,9 @@
 	return ok && now.Sub(redirectedAt) < timeForAllNodes
 }
 
-// RenewedRecently reports whether this node recently renewed agents' leases as a delegate. Now
-// that the leader can be reached again, those agents can reach it themselves.
+// RenewedRecently reports whether this node recently renewed agents' leases as a delegate. The
+// caller then relays no heartbeats to the leader: now that it can be reached again, those agents
+// can reach it themselves.
 func (d *Delegate) RenewedRecently() bool {
 	sinceRenewal := d.Mesh.SinceRenewal()
 	return sinceRenewal > 0 && sinceRenewal < 2*d.HeartbeatInterval+2*peer.AckLifetime
--- a/internal/leader/delegation/delegation_test.go
+++ b/internal/leader/delegation/delegation_test.go
@@ -45,7 +45,7 @@
 		{"in contact, renewed a lease just now", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(15), LastDelegatedRenewal: ago(1)}, never, ago(-5)},
 		{"out of contact after this leader's delegation", peer.Peer{AckRequestedAt: ago(10), AckToken: 50, DelegationGrantedAt: ago(9)}, never, ago(-11)},
 		{"last acknowledged an earlier term's token", peer.Peer{AckRequestedAt: ago(90), AckToken: 40}, never, ago(40)},
-		{"restarted, acknowledges no token yet", peer.Peer{AckRequestedAt: ago(1)}, never, ago(40)},
+		{"restarted, has acknowledged no token yet", peer.Peer{AckRequestedAt: ago(1)}, never, ago(40)},
 		{"in contact, but the store outage has just ended", peer.Peer{AckRequestedAt: ago(1), AckToken: 50, DelegationGrantedAt: ago(7)}, ago(2), ago(-13)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	// all cancellations were known.
 	sinceGrant, sinceLeaderSeen, sinceCancelsKnown time.Duration
 	delegatedToken                                 wire.FencingToken // 0: no delegation
-	newestToken, tokenSeenByWorker                 wire.FencingToken
+	newestToken, tokenSeenByAgent                  wire.FencingToken
 	ownDelegation                                  bool // this node led with token 50
 }
 
@@ -120,14 +120,14 @@
 // most recent. It records the renewal before it answers, so that the other nodes can learn of
 // it.
 func TestDelegateAnswersOnlyWithRecentNewestDelegation(t *testing.T) {
-	mayAnswer := situation{sinceGrant: 10 * time.Second, sinceLeaderSeen: 8 * time.Second, sinceCancelsKnown: 2 * time.Second, delegatedToken: 50, newestToken: 50, tokenSeenByWorker: 50}
+	mayAnswer := situation{sinceGrant: 10 * time.Second, sinceLeaderSeen: 8 * time.Second, sinceCancelsKnown: 2 * time.Second, delegatedToken: 50, newestToken: 50, tokenSeenByAgent: 50}
 	for name, c := range map[string]struct {
 		change func(*situation)
 		want   bool
 	}{
 		"the leader is out of contact":           {func(*situation) {}, true},
-		"the worker has seen an older token":     {func(s *situation) { s.tokenSeenByWorker = 49 }, true},
-		"the worker has seen a newer token":      {func(s *situation) { s.tokenSeenByWorker = 51 }, false},
+		"the agent has seen an older token":      {func(s *situation) { s.tokenSeenByAgent = 49 }, true},
+		"the agent has seen a newer token":       {func(s *situation) { s.tokenSeenByAgent = 51 }, false},
 		"a newer token is known":                 {func(s *situation) { s.newestToken = 51 }, false},
 		"never granted":                          {func(s *situation) { s.delegatedToken = 0 }, false},
 		"granted just within the time":           {func(s *situation) { s.sinceGrant = 19900 * time.Millisecond }, true},
@@ -151,7 +151,7 @@
 
 func testDelegateAnswer(t *testing.T, s situation, want bool) {
 	d, mesh := newDelegate(s)
-	heartbeat := &wire.Heartbeat{Machine: "n-1", Token: s.tokenSeenByWorker, Tasks: []wire.TaskStatus{
+	heartbeat := &wire.Heartbeat{Machine: "n-1", Token: s.tokenSeenByAgent, Tasks: []wire.TaskStatus{
 		{Task: "req-7/0", Attempt: 1, Phase: wire.PhaseRunning},
 		{Task: "req-8/0", Attempt: 1, Phase: wire.PhaseRunning},
 		{Task: "req-7/1", Attempt: 2, Phase: wire.PhaseExited},
@@ -176,7 +176,7 @@
 
 // An agent counts as returned if it comes back within the time that it takes to try all nodes,
 // but not on its first heartbeat.
-func TestWorkerReturnsWithinTimeForAllNodes(t *testing.T) {
+func TestAgentReturnsWithinTimeForAllNodes(t *testing.T) {
 	d := New(Config{Nodes: 3})
 	now := time.Now()
 	for _, c := range []struct {
@@ -195,7 +195,7 @@
 		}
 	}
 	if d.ReturnedAfterRedirect("n-2", now) {
-		t.Error("another worker counts as returned on its first heartbeat")
+		t.Error("another agent counts as returned on its first heartbeat")
 	}
 }
 
