--- a/internal/leader/election/candidate.go
+++ b/internal/leader/election/candidate.go
@@ -17,7 +17,8 @@
 const (
 	// leaseTTL is the time from the last renewal to the expiry of the lease.
 	leaseTTL = 3 * time.Second
-	// renewInterval leaves time for three renewal attempts before the lease expires.
+	// renewInterval is the time between renewals of the lease. It leaves time for three renewal
+	// attempts before the lease expires.
 	renewInterval = 700 * time.Millisecond
 	// renewTimeout bounds one renewal attempt.
 	renewTimeout = time.Second
@@ -38,7 +39,8 @@
 	// pollJitter spreads the candidates' reads over time.
 	pollJitter = minPollInterval / 4
 	// callsPerPoll limits the share of the key-value store's rate limit that polling uses: all
-	// candidates together make at most one poll per so many permitted calls.
+	// candidates together make at most one poll per so many permitted calls, unless each would
+	// then poll less often than every maxPollInterval.
 	callsPerPoll = 6
 )
 
--- a/internal/leader/election/election_test.go
+++ b/internal/leader/election/election_test.go
@@ -55,50 +55,50 @@
 // was sent. Another node leads only after that, with a higher token.
 func TestSuccessorLeadsOnlyAfterLeaderStopsDeciding(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		answerDelay time.Duration // of the responses to renewals
+		name          string
+		responseDelay time.Duration // of the responses to renewals
 	}{
-		{"prompt answers", 0},
-		{"late answers", 400 * time.Millisecond},
-		{"answers just before the timeout", 900 * time.Millisecond},
+		{"prompt responses", 0},
+		{"late responses", 400 * time.Millisecond},
+		{"responses just before the timeout", 900 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
-				testSuccession(t, ctx, state, newProcess, c.answerDelay)
+				testSuccession(t, ctx, state, newProcess, c.responseDelay)
 			})
 		})
 	}
 }
 
-func testSuccession(t *testing.T, ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate, answerDelay time.Duration) {
+func testSuccession(t *testing.T, ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate, responseDelay time.Duration) {
 	first := newProcess(0).Campaign(ctx)
 	leaseLost := renewInBackground(ctx, first)
 	elected, other := make(chan *Lease, 1), newProcess(1)
 	go func() { elected <- other.Campaign(ctx) }()
-	state.DelayResponses(simulator.NodeIP(0), answerDelay)
+	state.DelayResponses(simulator.NodeIP(0), responseDelay)
 	time.Sleep(10 * time.Second)
 	if !first.Deciding() || len(elected) > 0 {
-		t.Errorf("answers %v late: deciding %v, successor elected %v, want true, false", answerDelay, first.Deciding(), len(elected) > 0)
+		t.Errorf("responses %v late: deciding %v, successor elected %v, want true, false", responseDelay, first.Deciding(), len(elected) > 0)
 	}
 	state.RefuseClient(simulator.NodeIP(0), true)
 	for first.Deciding() {
 		if len(state.Keys(store.LeaderKey)) == 0 {
-			t.Errorf("answers %v late: deciding after the grant has ended", answerDelay)
+			t.Errorf("responses %v late: deciding after the grant has ended", responseDelay)
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
 	second := <-elected
 	if first.Deciding() || !second.Deciding() || second.Token() <= first.Token() {
-		t.Errorf("answers %v late: tokens %d and %d, deciding %v and %v, want a higher second token and false, true",
-			answerDelay, first.Token(), second.Token(), first.Deciding(), second.Deciding())
+		t.Errorf("responses %v late: tokens %d and %d, deciding %v and %v, want a higher second token and false, true",
+			responseDelay, first.Token(), second.Token(), first.Deciding(), second.Deciding())
 	}
 	state.RefuseClient(simulator.NodeIP(0), false)
 	if err := <-leaseLost; !errors.Is(err, ErrGrantExpired) {
-		t.Errorf("answers %v late: the first lease ended with %v, want %v", answerDelay, err, ErrGrantExpired)
+		t.Errorf("responses %v late: the first lease ended with %v, want %v", responseDelay, err, ErrGrantExpired)
 	}
 	if got := other.Holder(time.Now(), time.Second); got != "" {
-		t.Errorf("the leader takes %q for another leader, want none", got)
+		t.Errorf("the elected candidate reports %q as another leader, want none", got)
 	}
 }
 
@@ -114,22 +114,22 @@
 			t.Errorf("leads after %v with token %d after %d, want within 2s with a higher one", elapsed, second.Token(), first.Token())
 		}
 		if _, err := first.RaiseToken(ctx, first.Token()); !errors.Is(err, ErrHeldByOther) {
-			t.Errorf("the previous process raises its token: %v, want %v", err, ErrHeldByOther)
+			t.Errorf("the previous process raises its token: error %v, want %v", err, ErrHeldByOther)
 		}
 	})
 }
 
-// A request to raise the token takes effect exactly once, even if requests or answers are lost
+// A request to raise the token takes effect exactly once, even if requests or responses are lost
 // and the request is repeated. The token of a lease that is no longer held can't be raised.
 func TestRaiseTokenIsIdempotent(t *testing.T) {
 	withStore(t, func(ctx context.Context, state *simulator.KVStore, newProcess func(int) *Candidate) {
 		lease := newProcess(0).Campaign(ctx)
 		old := lease.Token()
 		for name, injectFault := range map[string]func(){
-			"answered":                 func() {},
-			"executed, answer lost":    func() { state.LoseResponses(1) },
-			"request lost":             func() { state.DropRequests(1) },
-			"several answers are lost": func() { state.LoseResponses(4) },
+			"answered":                   func() {},
+			"executed, response lost":    func() { state.LoseResponses(1) },
+			"request lost":               func() { state.DropRequests(1) },
+			"several responses are lost": func() { state.LoseResponses(4) },
 		} {
 			injectFault()
 			token, err := lease.RaiseToken(ctx, old)
@@ -143,11 +143,11 @@
 		}
 		state.Delete(store.LeaderKey)
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrNoHolder) {
-			t.Errorf("without a leader key: %v, want %v", err, ErrNoHolder)
+			t.Errorf("raise the token without a leader key: error %v, want %v", err, ErrNoHolder)
 		}
 		state.Put(store.LeaderKey, store.LeaseRecord{Node: "b", Nonce: "other"})
 		if _, err := lease.RaiseToken(ctx, old); !errors.Is(err, ErrHeldByOther) {
-			t.Errorf("with the leader key of another node: %v, want %v", err, ErrHeldByOther)
+			t.Errorf("raise the token with the leader key of another node: error %v, want %v", err, ErrHeldByOther)
 		}
 	})
 }
@@ -162,7 +162,7 @@
 		until := time.Now().Add(15 * time.Second)
 		lease.Resign(ctx, until)
 		if err := <-leaseLost; !errors.Is(err, ErrGrantExpired) {
-			t.Errorf("after resigning: %v, want %v", err, ErrGrantExpired)
+			t.Errorf("after resigning: renewals ended with %v, want %v", err, ErrGrantExpired)
 		}
 		if keys := state.Keys(store.LeaderKey); len(keys) != 0 {
 			t.Errorf("after resigning: keys %v, want none", keys)
--- a/internal/leader/election/lease.go
+++ b/internal/leader/election/lease.go
@@ -58,14 +58,16 @@
 }
 
 // outageLimit returns, as a duration since AcquiredAt, how long heartbeats may be answered
-// without the key-value store. peer.OutageLimit counts from the end of the grant, so that a
-// successor knows the latest time at which this node can have answered.
+// without the key-value store. At the latest that ends shortly before peer.OutageLimit has
+// passed since the end of the grant, so that a successor knows the latest time at which this
+// node can have answered.
 //
 // If some node does not acknowledge the token, the cause may be a network partition rather than
 // an outage of the store: another node may lead on the other side, and users may cancel jobs
-// there. The limit is then no longer than a node may be a delegate. A successor relies on that,
-// since a node that never acknowledged the successor's token has not acknowledged this node's
-// token since the successor's term began either.
+// there. The limit then ends delegationTime after the last renewal was sent, like a delegation,
+// or 2*peer.AckLifetime after the oldest acknowledgement was requested, whichever is later. A
+// successor relies on that, since a node that never acknowledged the successor's token has not
+// acknowledged this node's token since the successor's term began either.
 //
 // An acknowledgement counts from when it was requested, not from when it arrived: one that was
 // delayed in the network says nothing about the present.
