--- a/internal/leader/demand/demand.go
+++ b/internal/leader/demand/demand.go
@@ -20,8 +20,8 @@
 
 // PredictWaits predicts for how many seconds each job of the queue will wait for capacity. The
 // wait is the work of the jobs before it and half of its own work, divided by the number of
-// CPUs that work on the queue now or soon. It returns the waits by job and the backlog, which
-// is in how many seconds the whole queue would be done. It sorts the queue.
+// CPUs that work on the queue now or soon. It returns the waits by job, and the backlog: the
+// number of seconds after which the work of the whole queue would be done. It sorts the queue.
 //
 // Machines that are added shorten the waits. Therefore a steady overload adds as many
 // expensive machines as it needs, and a short burst adds none.
--- a/internal/leader/demand/demand_test.go
+++ b/internal/leader/demand/demand_test.go
@@ -21,7 +21,7 @@
 	otherClass := config.Objective{Kind: "finished", Class: "other", Within: 1}
 	otherKind := config.Objective{Kind: "started", Class: "batch", Within: 1}
 	for name, c := range map[string]struct {
-		work       JobTiming
+		timing     JobTiming
 		objectives []config.Objective
 		want       float64
 	}{
@@ -36,12 +36,12 @@
 		"its deadline can be met":  {JobTiming{ExpectedRunSeconds: 10, DeadlineSeconds: 100, AgeSeconds: 50}, []config.Objective{times(2)}, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c.work.Class = "batch"
-			if got := dueSeconds(c.work, c.objectives); got != c.want {
-				t.Errorf("%+v: due after %v s, want %v", c.work, got, c.want)
+			c.timing.Class = "batch"
+			if got := dueSeconds(c.timing, c.objectives); got != c.want {
+				t.Errorf("%+v: due after %v s, want %v", c.timing, got, c.want)
 			}
-			if got, want := SlackSeconds(c.work, c.objectives), c.want-c.work.AgeSeconds-c.work.ExpectedRunSeconds; got != want {
-				t.Errorf("%+v: slack %v s, want %v", c.work, got, want)
+			if got, want := SlackSeconds(c.timing, c.objectives), c.want-c.timing.AgeSeconds-c.timing.ExpectedRunSeconds; got != want {
+				t.Errorf("%+v: slack %v s, want %v", c.timing, got, want)
 			}
 		})
 	}
@@ -65,9 +65,9 @@
 		"tasks of less than a second": {100, 0.1, 0, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			work := JobTiming{DeadlineSeconds: 100, ExpectedRunSeconds: c.expected, AgeSeconds: c.age}
-			if got := ParallelTasks(c.waiting, work, nil, c.share); got != c.want {
-				t.Errorf("%+v: %d at a time, want %d", c, got, c.want)
+			timing := JobTiming{DeadlineSeconds: 100, ExpectedRunSeconds: c.expected, AgeSeconds: c.age}
+			if got := ParallelTasks(c.waiting, timing, nil, c.share); got != c.want {
+				t.Errorf("%+v: %d tasks at a time, want %d", c, got, c.want)
 			}
 		})
 	}
@@ -93,9 +93,9 @@
 		"it has waited long and is in time": {lenient, StartWithinSeconds / 2, 100, 30, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			work := JobTiming{Class: "batch", DeadlineSeconds: 1000, ExpectedRunSeconds: 100, AgeSeconds: c.age}
-			if got := PriceLimitFactor(work, c.objectives, c.wait, c.boot); got != c.want {
-				t.Errorf("%+v, waits %v s, boots in %v s: stretch %v, want %v", work, c.wait, c.boot, got, c.want)
+			timing := JobTiming{Class: "batch", DeadlineSeconds: 1000, ExpectedRunSeconds: 100, AgeSeconds: c.age}
+			if got := PriceLimitFactor(timing, c.objectives, c.wait, c.boot); got != c.want {
+				t.Errorf("%+v, waits %v s, boots in %v s: price limit factor %v, want %v", timing, c.wait, c.boot, got, c.want)
 			}
 		})
 	}
--- a/internal/leader/demand/price.go
+++ b/internal/leader/demand/price.go
@@ -9,8 +9,8 @@
 	// that would be late otherwise. It applies if an objective of the job's class is for a share
 	// above maxLenientShare, or if the job has waited for cheapOnlySeconds.
 	LatePriceLimitFactor = 1.35
-	// maxLenientShare is the largest share of a class's jobs that objectives may want in time
-	// so that the class is lenient: its jobs first wait for machines within the price limit.
+	// A class is lenient if no objective wants more than maxLenientShare of its jobs in time.
+	// Jobs of a lenient class first wait for machines within the price limit.
 	maxLenientShare = 0.9
 
 	// StartWithinSeconds is the time from its submission within which every job should start,
@@ -23,15 +23,16 @@
 )
 
 // PriceLimitFactor returns the multiple of the price limit that machines for the job may cost.
-// It is above 1 if the job would be late after a wait of waitSeconds for machines within the
-// limit, but in time on more expensive machines, which can run its tasks after bootSeconds.
-func PriceLimitFactor(w JobTiming, objectives []config.Objective, waitSeconds, bootSeconds float64) float64 {
-	if mustWaitForCheapMachines(w, objectives) {
+// It is 1 for a job that must wait for cheap machines. For other jobs it is above 1 if the job
+// would be late after a wait of waitSeconds for machines within the limit, but in time on more
+// expensive machines, which can run its tasks after bootSeconds.
+func PriceLimitFactor(timing JobTiming, objectives []config.Objective, waitSeconds, bootSeconds float64) float64 {
+	if mustWaitForCheapMachines(timing, objectives) {
 		return 1
 	}
-	due := dueSeconds(w, objectives)
-	late := w.AgeSeconds+waitSeconds+w.ExpectedRunSeconds > due
-	inTime := w.AgeSeconds+bootSeconds+w.ExpectedRunSeconds < due
+	due := dueSeconds(timing, objectives)
+	late := timing.AgeSeconds+waitSeconds+timing.ExpectedRunSeconds > due
+	inTime := timing.AgeSeconds+bootSeconds+timing.ExpectedRunSeconds < due
 	if late && inTime {
 		return LatePriceLimitFactor
 	}
@@ -43,8 +44,8 @@
 // cheapOnlySeconds, because cheap machines alone may never catch up with the demand. Without
 // this bound, a backlog of 16 minutes builds up with 24 cheap machines out of 40, and no
 // ordinary machine is requested.
-func mustWaitForCheapMachines(w JobTiming, objectives []config.Objective) bool {
-	return strictestShare(w.Class, objectives) <= maxLenientShare && w.AgeSeconds < cheapOnlySeconds
+func mustWaitForCheapMachines(timing JobTiming, objectives []config.Objective) bool {
+	return strictestShare(timing.Class, objectives) <= maxLenientShare && timing.AgeSeconds < cheapOnlySeconds
 }
 
 // strictestShare returns the largest share of a class's jobs that any objective wants in time,
