--- a/internal/leader/scheduling/capacity/demand_estimate.go
+++ b/internal/leader/scheduling/capacity/demand_estimate.go
@@ -18,7 +18,8 @@
 type demandEstimate struct {
 	*Estimator
 	now time.Time
-	// stretchShare is the share of its slack over which a job array's work may be stretched.
+	// stretchShare is the share of the time until a job array is due over which its work may be
+	// stretched. It is also the share of a job's slack for which its tasks may wait.
 	stretchShare float64
 	waitSeconds  map[wire.JobID]float64 // expected waits for the present resources
 	zones        []wire.Zone
--- a/internal/leader/scheduling/capacity/demands.go
+++ b/internal/leader/scheduling/capacity/demands.go
@@ -99,7 +99,8 @@
 }
 
 // ReservesFor returns the demands for the resources that are kept free for expected gangs.
-// They rank above the demands of job arrays, and below those of services and spare replicas.
+// They rank above the demands of job arrays and waiting gangs, and below those of services and
+// spare replicas.
 func (e *Estimator) ReservesFor(gangs []*wire.JobSpec) []fleet.Demand {
 	var reserves []fleet.Demand
 	for _, spec := range gangs {
--- a/internal/leader/scheduling/capacity/demands_test.go
+++ b/internal/leader/scheduling/capacity/demands_test.go
@@ -67,7 +67,7 @@
 	s := newTestPlanner(t)
 	s.AddJobAcceptedAt(schedulingtest.Gang("req-1", 4), schedulingtest.Now.Add(-3*time.Minute))
 	if d := s.demandsOf("req-1")[0]; !math.IsInf(d.PriceLimitFactor, 1) {
-		t.Errorf("price stretch %v, want infinity", d.PriceLimitFactor)
+		t.Errorf("price limit factor %v, want infinity", d.PriceLimitFactor)
 	}
 }
 
@@ -181,11 +181,11 @@
 		{220, demand.LatePriceLimitFactor}, // late, and a new machine would be in time
 	} {
 		if got := s.PriceLimitFactor(job, c.waitSeconds, schedulingtest.Now); got != c.want {
-			t.Errorf("age %v, wait %v s: price stretch %v, want %v", age, c.waitSeconds, got, c.want)
+			t.Errorf("age %v, wait %v s: price limit factor %v, want %v", age, c.waitSeconds, got, c.want)
 		}
 	}
 	if got := s.PriceLimitFactor(s.AddJob(schedulingtest.Service("req-2", 1)), 1e6, schedulingtest.Now); got != 1 {
-		t.Errorf("service: price stretch %v, want 1", got)
+		t.Errorf("service: price limit factor %v, want 1", got)
 	}
 }
 
@@ -203,7 +203,7 @@
 		{"no type fits", wire.JobSpec{CPUs: 99}, math.Inf(1)},
 	} {
 		if got := s.bootAndFetchSeconds(&c.spec); got != c.want {
-			t.Errorf("%s: %v s, want %v s", c.name, got, c.want)
+			t.Errorf("%s: boots and fetches in %v s, want %v s", c.name, got, c.want)
 		}
 	}
 }
@@ -217,7 +217,7 @@
 	s.AddJob(schedulingtest.Service("req-1", 1))
 	s.AddJob(schedulingtest.Array("req-2", 5)) // 300 CPU seconds
 	if got := s.batchCPUs(); got != 10 {
-		t.Errorf("%v CPUs, want 10: 4 of a machine and 8 pending without 2 of a service", got)
+		t.Errorf("%v batch CPUs, want 10: 4 of a machine and 8 pending without 2 of a service", got)
 	}
 	s.Demands(schedulingtest.Now, testStretchShare, noSpareReplicas)
 	if s.BacklogSeconds != 30 {
--- a/internal/leader/scheduling/capacity/offers.go
+++ b/internal/leader/scheduling/capacity/offers.go
@@ -11,8 +11,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Offers returns the machine types, by zone and spot or on demand, that may be requested from
-// the cloud now.
+// Offers returns what may be requested from the cloud now: the machine types in each of their
+// zones, on demand and as spot machines.
 func (p *Planner) Offers(specs []wire.MachineSpec, now time.Time) []fleet.Offer {
 	var offers []fleet.Offer
 	for i := range specs {
@@ -45,8 +45,8 @@
 	}
 }
 
-// lowestTaskPrice returns the lowest price of the share of a machine that one task of a job
-// takes; infinity if no machine type fits the job.
+// lowestTaskPrice returns the lowest price per hour of the share of a machine that one task of
+// a job takes; infinity if no machine type fits the job.
 func lowestTaskPrice(specs []wire.MachineSpec, job *wire.JobSpec) float64 {
 	cheapest := math.Inf(1)
 	for i := range specs {
--- a/internal/leader/scheduling/capacity/planner.go
+++ b/internal/leader/scheduling/capacity/planner.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxMachinesPerOffer bounds the machines of one offer that one plan requests, to two
-	// requests.
+	// maxMachinesPerOffer bounds the machines of one offer that one plan requests, to those
+	// of two requests.
 	maxMachinesPerOffer = 2 * scaling.MaxScaleOut
 	// maxMachinesPerPlan bounds the machines that one plan requests, to those that a few
 	// seconds of calls to the cloud can request.
@@ -33,7 +33,7 @@
 	return &Planner{state: state, tracker: tracker, estimator: estimator}
 }
 
-// Plan is what to scale out and in, with the machines that were considered.
+// Plan is what to scale out and in and what to cordon, with the machines that were considered.
 type Plan struct {
 	fleet.Plan
 	candidates []*cluster.Machine
@@ -72,7 +72,7 @@
 	}
 }
 
-// candidates returns the machines that a plan may use or scale in, sorted by name.
+// candidates returns the machines that a plan may use or scale in, sorted by ID.
 func (p *Planner) candidates() []*cluster.Machine {
 	var candidates []*cluster.Machine
 	for _, machine := range p.state.Machines {
--- a/internal/leader/scheduling/capacity/planner_test.go
+++ b/internal/leader/scheduling/capacity/planner_test.go
@@ -36,7 +36,7 @@
 	s.AddJob(dueArray("req-1", 3))
 	plan := s.plan(true)
 	if got := requestedMachines(plan); got != 2 {
-		t.Errorf("%d machines requested in %+v, want 2 beside the one there is", got, plan.ScaleOuts)
+		t.Errorf("%d machines requested in %+v, want 2 in addition to the existing one", got, plan.ScaleOuts)
 	}
 	if plan := s.plan(false); requestedMachines(plan) != 0 {
 		t.Errorf("requested %+v though no request may be made", plan.ScaleOuts)
@@ -203,7 +203,7 @@
 		{"no type fits", wire.JobSpec{CPUs: 99}, math.Inf(1)},
 	} {
 		if got := lowestTaskPrice(specs, &c.spec); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: lowest price %v per hour, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/leader/scheduling/capacity/spare.go
+++ b/internal/leader/scheduling/capacity/spare.go
@@ -13,9 +13,10 @@
 	ReplicaResources placement.Resources
 }
 
-// SpareReplicasOf returns the spare resources: those of the largest replica that services have
-// now, for minReplicas replicas and at least for half of the replicas of the largest service.
-// Services that may use spot machines don't count.
+// SpareReplicasOf returns the resources to keep free for the next replicas of services. They are
+// for minReplicas replicas, or for half of the replicas of the largest service if that is more.
+// Each replica has the most CPUs and the most memory of any service's replicas now. Services that
+// may use spot machines don't count.
 func SpareReplicasOf(state *cluster.State, minReplicas float64) SpareReplicas {
 	var largestReplica placement.Resources
 	largestService := 0
--- a/internal/leader/scheduling/patience.go
+++ b/internal/leader/scheduling/patience.go
@@ -33,7 +33,8 @@
 
 // PreemptionDelaySeconds returns for how many seconds a job waits for tasks to end by
 // themselves before they are preempted. An urgent job waits at most for a small part of its
-// slack, and less the longer it has waited already. A service does not wait.
+// slack, and less the longer it has waited already. A gang that may not preempt waits longer
+// the longer it has waited already. A service does not wait.
 func (p *PreemptionDelay) PreemptionDelaySeconds(job *cluster.Job, now time.Time) float64 {
 	if job.Spec.IsService() {
 		return 0
@@ -52,14 +53,14 @@
 	return max(0, delay)
 }
 
-// startObjective is the kind of the service-level objectives for the time until a job starts.
-const startObjective = "wait"
+// startObjectiveKind is the kind of the service-level objectives for the time until a job starts.
+const startObjectiveKind = "wait"
 
 // startObjectiveSeconds returns the number of seconds within which jobs of a class should
 // start by their service-level objective; 0 if there is no such objective.
 func (p *PreemptionDelay) startObjectiveSeconds(class string) float64 {
 	for _, objective := range p.state.Settings.Objectives {
-		if objective.Kind == startObjective && objective.Class == class {
+		if objective.Kind == startObjectiveKind && objective.Class == class {
 			return float64(objective.Within)
 		}
 	}
--- a/internal/leader/scheduling/reservations.go
+++ b/internal/leader/scheduling/reservations.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// PruneReservations drops the reservations that are no longer needed, because they have
-// expired or the job's tasks found resources elsewhere. It returns the number of reservations
-// that are left to each job; a reservation is for one task.
+// PruneReservations drops the reservations that are obsolete, and all reservations of a gang
+// that keeps only some of them. It returns the number of reservations that are left to each
+// job; a reservation is for one task.
 func (r *Reservations) PruneReservations(now time.Time) map[wire.JobID]int {
 	reserved := map[wire.JobID]int{}
 	r.dropWhere(func(machine *cluster.Machine, reservation cluster.Reservation) bool {
@@ -53,8 +53,9 @@
 	return reserved
 }
 
-// obsolete reports whether a reservation has expired, its machine is leaving, or its job does
-// not need it. reserved counts the reservations of each job that are kept so far.
+// obsolete reports whether a reservation has expired, its machine is removed, scaling in or
+// draining, or its job does not need it, for instance because its tasks found resources
+// elsewhere. reserved counts the reservations of each job that are kept so far.
 func (r *Reservations) obsolete(machine *cluster.Machine, reservation cluster.Reservation, reserved map[wire.JobID]int, now time.Time) bool {
 	leaving := r.state.Machines[machine.ID] != machine || machine.ScalingIn || machine.DrainReason != ""
 	if now.After(reservation.ExpiresAt) || leaving {
@@ -138,7 +139,7 @@
 	return gracePeriod.Duration() + r.state.HeartbeatInterval()*5/4 + stopMargin
 }
 
-// gang returns the job with an ID; nil if the job is unknown or no gang.
+// gang returns the job with an ID; nil if the job is unknown or not a gang.
 func (r *Reservations) gang(id wire.JobID) *cluster.Job {
 	if job := r.state.Jobs[id]; job != nil && job.Spec.IsGang() {
 		return job
--- a/internal/leader/scheduling/reservations_test.go
+++ b/internal/leader/scheduling/reservations_test.go
@@ -113,7 +113,7 @@
 	waitingGang := s.AddJob(schedulingtest.Gang("req-2", 1))
 	delay := time.Duration(s.PreemptionDelaySeconds(waitingGang, schedulingtest.Now) * float64(time.Second))
 	if delay <= 0 {
-		t.Fatalf("the gang has a preemption delay of %v, want some", delay)
+		t.Fatalf("the gang has a preemption delay of %v, want one above 0", delay)
 	}
 	s.reserve([]placement.MachineReservation{
 		{Machine: "n-1", Reservation: placement.Reservation{Job: "req-1"}},
@@ -129,6 +129,6 @@
 func TestStopDurationCoversALateHeartbeat(t *testing.T) {
 	s := newTestScheduler(t)
 	if got, want := s.stopDuration(3), 3*time.Second+2500*time.Millisecond+stopMargin; got != want {
-		t.Errorf("grace period 3 s, heartbeats every 2 s: %v, want %v", got, want)
+		t.Errorf("grace period 3 s, heartbeats every 2 s: stop duration %v, want %v", got, want)
 	}
 }
--- a/internal/leader/scheduling/scheduler.go
+++ b/internal/leader/scheduling/scheduler.go
@@ -80,7 +80,7 @@
 }
 
 // BeginCycle starts tasks, reserves resources for waiting jobs and selects the tasks to
-// preempt for them. It returns nil if no job waits.
+// preempt for them. It returns nil if no job has tasks that can be placed now.
 func (s *Scheduler) BeginCycle(now time.Time) *Cycle {
 	s.state.CycleTimer.Begin(now)
 	waiting := s.schedulableJobs(now)
--- a/internal/leader/scheduling/snapshot_machines.go
+++ b/internal/leader/scheduling/snapshot_machines.go
@@ -9,9 +9,9 @@
 	"lilaclead/internal/wire"
 )
 
-// addMachines adds the usable machines. Views of machines without room for the smallest
-// waiting task are built only on demand, by FullMachines: in a full deployment these are
-// nearly all machines.
+// addMachines adds the usable machines. A machine is full if its free resources are less than
+// smallestTask. Views of full machines are built only on demand, by FullMachines, because in a
+// full deployment nearly all machines are full.
 func (b *snapshotBuilder) addMachines(waiting []*cluster.Job) {
 	for _, job := range waiting {
 		b.victimsNeeded = b.victimsNeeded || placement.MayPreempt(&job.Spec) || job.Spec.IsGang()
--- a/internal/leader/scheduling/snapshot_teams.go
+++ b/internal/leader/scheduling/snapshot_teams.go
@@ -47,8 +47,8 @@
 
 // reserveTeamLimits reserves a part of each team's limit for one of its gangs that have waited
 // long: the one of the highest priority, and among equals the one accepted first. A gang whose
-// start is overdue counts as of the highest priority. Arrays and gangs up to that priority may
-// not use the part, so that for an overdue gang only services may.
+// start is overdue counts as of the highest priority. Other arrays and gangs up to the priority
+// of the gang may not use the reserved part. Services may, even if the gang is overdue.
 func (b *snapshotBuilder) reserveTeamLimits() {
 	for _, job := range b.jobs { // in the order in which they were accepted
 		team := b.snapshot.Teams[job.Spec.Team]
--- a/internal/leader/scheduling/valuation/valuation.go
+++ b/internal/leader/scheduling/valuation/valuation.go
@@ -17,8 +17,8 @@
 // NewValuer returns the valuer of a cluster's jobs.
 func NewValuer(state *cluster.State) *Valuer { return &Valuer{state: state} }
 
-// Guaranteed returns the jobs that fit into their team's guaranteed quota together with the
-// team's unfinished jobs that were accepted earlier.
+// Guaranteed returns for each unfinished job of a known team whether the job fits into the
+// team's guaranteed quota together with the team's unfinished jobs that were accepted earlier.
 func (v *Valuer) Guaranteed() map[wire.JobID]bool {
 	used := map[wire.TeamID]placement.Resources{}
 	guaranteed := map[wire.JobID]bool{}
@@ -52,8 +52,8 @@
 var priorityWeights = [4]float64{1, 2, 8, 256}
 
 const (
-	// StarvingWeight is the weight of a job that has waited too long: above that of every
-	// other job array and below that of services.
+	// StarvingWeight is the weight of a job whose start is overdue. It is above the weights of
+	// most arrays and gangs, and below those of production services.
 	StarvingWeight = 100
 	// guaranteedFactor raises the weight of a job within its team's guaranteed quota.
 	guaranteedFactor = 3
@@ -61,9 +61,11 @@
 	// number of CPU seconds that its unfinished tasks need.
 	workScale  = 1000
 	workOffset = 50
-	// lateFactor lowers the weight of a job that will be late even if it starts now.
+	// lateFactor lowers the weight of a job that will be late by more than half of its run time
+	// even if it starts now.
 	lateFactor = 0.1
-	// dueFactor raises the weight of a job that is late unless it starts soon.
+	// dueFactor raises the weight of a job that will be late unless it starts soon: its slack is
+	// less than its run time.
 	dueFactor = 2
 )
 
