--- a/internal/leader/agents/client_test.go
+++ b/internal/leader/agents/client_test.go
@@ -16,24 +16,24 @@
 // roundTripper is an http.RoundTripper that calls the function.
 type roundTripper func(*http.Request) (*http.Response, error)
 
-func (answer roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return answer(r) }
+func (respond roundTripper) RoundTrip(r *http.Request) (*http.Response, error) { return respond(r) }
 
 // newTestClient returns a client with one slot for commands and one for probes, whose
 // requests are answered by the function.
-func newTestClient(answer roundTripper) *Client {
+func newTestClient(respond roundTripper) *Client {
 	return &Client{
-		HTTP:         &http.Client{Transport: answer},
+		HTTP:         &http.Client{Transport: respond},
 		commandSlots: make(chan struct{}, 1),
 		probeSlots:   make(chan struct{}, 1),
 	}
 }
 
-func answerWith(status int, body []byte) (*http.Response, error) {
+func respondWith(status int, body []byte) (*http.Response, error) {
 	return &http.Response{StatusCode: status, Header: http.Header{}, Body: io.NopCloser(bytes.NewReader(body))}, nil
 }
 
-func agentAnswer(*http.Request) (*http.Response, error) {
-	return answerWith(http.StatusOK, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3}))
+func agentResponse(*http.Request) (*http.Response, error) {
+	return respondWith(http.StatusOK, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3}))
 }
 
 var (
@@ -55,7 +55,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newTestClient(agentAnswer)
+			c := newTestClient(agentResponse)
 			occupied := tc.occupied(c)
 			occupied <- struct{}{}
 			ctx := t.Context()
@@ -66,10 +66,10 @@
 			}
 			_, _, err := c.Send(ctx, "10.0.0.9:9000", tc.commands, time.Minute)
 			if !errors.Is(err, tc.wantErr) {
-				t.Errorf("err %v, want %v", err, tc.wantErr)
+				t.Errorf("error of Send: got %v, want %v", err, tc.wantErr)
 			}
 			if got := len(c.probeSlots) + len(c.commandSlots); got != 1 {
-				t.Errorf("%d slots in use after Send, want 1, which the test occupies", got)
+				t.Errorf("slots in use after Send: got %d, want 1, which the test occupies", got)
 			}
 		})
 	}
@@ -79,15 +79,15 @@
 	broken := errors.New("connection broken")
 	cases := []struct {
 		name       string
-		answer     roundTripper
+		respond    roundTripper
 		wantStatus int
 		wantErr    bool
 	}{
-		{"answered", agentAnswer, http.StatusOK, false},
+		{"answered", agentResponse, http.StatusOK, false},
 		{"refused with a heartbeat", func(*http.Request) (*http.Response, error) {
-			return answerWith(http.StatusConflict, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3}))
+			return respondWith(http.StatusConflict, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3}))
 		}, http.StatusConflict, false},
-		{"undecodable response", func(*http.Request) (*http.Response, error) { return answerWith(http.StatusOK, []byte("no heartbeat")) }, 0, true},
+		{"undecodable response", func(*http.Request) (*http.Response, error) { return respondWith(http.StatusOK, []byte("no heartbeat")) }, 0, true},
 		{"connection broken", func(*http.Request) (*http.Response, error) { return nil, broken }, 0, true},
 	}
 	for _, tc := range cases {
@@ -98,19 +98,19 @@
 				url, method = r.URL.String(), r.Method
 				raw, err := io.ReadAll(r.Body)
 				if err != nil || wire.Decode(raw, &sent) != nil {
-					t.Errorf("request body %x can't be decoded as commands: %v", raw, err)
+					t.Errorf("decode request body %x as commands: %v", raw, err)
 				}
-				return tc.answer(r)
+				return tc.respond(r)
 			})
 			got, status, err := c.Send(t.Context(), "10.0.0.9:9000", probe, time.Minute)
 			if status != tc.wantStatus || (err != nil) != tc.wantErr {
-				t.Fatalf("status %d, err %v; want %d, error %v", status, err, tc.wantStatus, tc.wantErr)
+				t.Fatalf("Send: got status %d, error %v, want status %d, an error: %v", status, err, tc.wantStatus, tc.wantErr)
 			}
 			if err == nil && (got.Machine != "n-1" || got.Epoch != 2 || got.Sequence != 3) {
-				t.Errorf("heartbeat %+v, want that of n-1", got)
+				t.Errorf("heartbeat: got %+v, want heartbeat 3 of epoch 2 of n-1", got)
 			}
 			if url != "http://10.0.0.9:9000/commands" || method != http.MethodPost || sent.Commands == nil {
-				t.Errorf("%s %s with %+v, want a POST of an empty list to /commands", method, url, sent)
+				t.Errorf("request: got %s %s with %+v, want a POST of an empty list to /commands", method, url, sent)
 			}
 		})
 	}
@@ -124,11 +124,11 @@
 		agent      roundTripper
 		wantStatus int
 	}{
-		{"probe", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: probe}), agentAnswer, http.StatusOK},
+		{"probe", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: probe}), agentResponse, http.StatusOK},
 		{"agent not reached", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: probe}), unreachable, http.StatusBadGateway},
-		{"launch instead of a probe", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: launches}), agentAnswer, http.StatusBadRequest},
-		{"no address", wire.Encode(relayedProbe{Commands: probe}), agentAnswer, http.StatusBadRequest},
-		{"undecodable request", []byte("no probe"), agentAnswer, http.StatusBadRequest},
+		{"launch instead of a probe", wire.Encode(relayedProbe{Addr: "10.0.0.9:9000", Commands: launches}), agentResponse, http.StatusBadRequest},
+		{"no address", wire.Encode(relayedProbe{Commands: probe}), agentResponse, http.StatusBadRequest},
+		{"undecodable request", []byte("no probe"), agentResponse, http.StatusBadRequest},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -136,11 +136,11 @@
 			w := httptest.NewRecorder()
 			c.ServeRelayedProbe(w, httptest.NewRequest(http.MethodPost, "/peer/ask", bytes.NewReader(tc.body)), nil)
 			if w.Code != tc.wantStatus {
-				t.Errorf("status %d, want %d", w.Code, tc.wantStatus)
+				t.Errorf("status of the response: got %d, want %d", w.Code, tc.wantStatus)
 			}
 			var got wire.Heartbeat
 			if tc.wantStatus == http.StatusOK && (wire.Decode(w.Body.Bytes(), &got) != nil || got.Machine != "n-1") {
-				t.Errorf("response %x, want the heartbeat of n-1", w.Body.Bytes())
+				t.Errorf("response: got %x, want the heartbeat of n-1", w.Body.Bytes())
 			}
 		})
 	}
--- a/internal/leader/agents/dispatcher_test.go
+++ b/internal/leader/agents/dispatcher_test.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// breakInboundPath records evidence by which messages to a machine are taken not to arrive.
-func breakInboundPath(machine *cluster.Machine) {
+// loseInboundPath records evidence by which the path to a machine counts as lost.
+func loseInboundPath(machine *cluster.Machine) {
 	machine.Inbound.RecordResponse(0, 1, 8)
 	machine.Inbound.RecordUnansweredCommand()
 	machine.Inbound.ObserveHeartbeat(&wire.Heartbeat{Epoch: 1, Sequence: 9}, detector.HeartbeatEvidence{LacksLaunch: func() bool { return true }}, time.Now())
@@ -34,7 +34,7 @@
 		{"inherited", func(f *fixture) { f.attempt.Inherited = true }, nil, nil},
 		{"job cancelled", func(f *fixture) { f.job.Cancelled = true }, nil, nil},
 		{"machine draining", func(f *fixture) { f.machine.DrainReason = cluster.DrainIdle }, nil, nil},
-		{"inbound path broken", func(f *fixture) { breakInboundPath(f.machine) }, nil, launch},
+		{"inbound path lost", func(f *fixture) { loseInboundPath(f.machine) }, nil, launch},
 		{"stopping", func(f *fixture) { f.attempt.Stopping = true }, stop, stop},
 		{"stopping, seen in a heartbeat, on a draining machine", func(f *fixture) {
 			f.attempt.Stopping, f.attempt.SeenInHeartbeat, f.machine.DrainReason = true, true, cluster.DrainFaulty
@@ -51,10 +51,10 @@
 			tc.setup(f)
 			got := f.HeartbeatResponseCommands(f.machine, heartbeat(11), time.Now())
 			if !slices.Equal(verbs(got), tc.wantInResponse) {
-				t.Errorf("attempt %+v: commands in the response %v, want %v", *f.attempt, verbs(got), tc.wantInResponse)
+				t.Errorf("attempt %+v: commands in the response: got %v, want %v", *f.attempt, verbs(got), tc.wantInResponse)
 			}
 			if slices.Contains(tc.wantInResponse, wire.VerbLaunch) && (!f.attempt.LaunchSent || f.attempt.ResponseSequence != 11 || f.attempt.LaunchInFlight) {
-				t.Errorf("after the launch the attempt is %+v, want it sent in the response to heartbeat 11", *f.attempt)
+				t.Errorf("attempt after the launch: got %+v, want it sent in the response to heartbeat 11", *f.attempt)
 			}
 		})
 		t.Run(tc.name+", directly", func(t *testing.T) {
@@ -62,7 +62,7 @@
 			tc.setup(f)
 			f.SendDueCommands(f.machine)
 			if got := f.sentDirectly(t); !slices.Equal(got, tc.wantDirect) {
-				t.Errorf("attempt %+v: direct commands %v, want %v", *f.attempt, got, tc.wantDirect)
+				t.Errorf("attempt %+v: direct commands: got %v, want %v", *f.attempt, got, tc.wantDirect)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 	}
 	outcome, ok := (<-f.Events).(CommandOutcome)
 	if !ok || outcome.Machine != f.machine || outcome.Commands.Token != testToken || outcome.Err == nil {
-		t.Fatalf("outcome %+v, want the error of a request with token %d", outcome, testToken)
+		t.Fatalf("outcome of a direct request: got %+v, want the error of a request with token %d", outcome, testToken)
 	}
 	launchCount := 0
 	for _, verb := range verbs(outcome.Commands.Commands) {
@@ -85,7 +85,7 @@
 		}
 	}
 	if len(outcome.Launched) != launchCount {
-		t.Errorf("%d attempts are listed as launched by %d launches", len(outcome.Launched), launchCount)
+		t.Errorf("attempts listed as launched: got %d, want %d, one for each launch", len(outcome.Launched), launchCount)
 	}
 	return verbs(outcome.Commands.Commands)
 }
@@ -109,7 +109,7 @@
 			tc.setup(f)
 			f.SendDueCommands(f.machine)
 			if f.attempt.LaunchSent != tc.want {
-				t.Errorf("launch sent %v, want %v", f.attempt.LaunchSent, tc.want)
+				t.Errorf("launch sent: got %v, want %v", f.attempt.LaunchSent, tc.want)
 			}
 		})
 	}
@@ -122,10 +122,10 @@
 	f.expireLease(true)
 	f.SendDueCommands(f.machine)
 	if got, want := f.sentDirectly(t), []wire.Verb{wire.VerbStop}; !slices.Equal(got, want) {
-		t.Errorf("direct commands %v, want %v", got, want)
+		t.Errorf("direct commands without the store: got %v, want %v", got, want)
 	}
 	if f.attempt.LaunchSent {
-		t.Error("launch marked as sent without the store")
+		t.Error("launch marked as sent without the store: got true, want false")
 	}
 }
 
@@ -138,14 +138,14 @@
 		}
 	}
 	if len(f.machine.Attempts) <= MaxCommands {
-		t.Fatalf("%d attempts are not more than one response may hold", len(f.machine.Attempts))
+		t.Fatalf("attempts on the machine: got %d, want more than MaxCommands", len(f.machine.Attempts))
 	}
 	f.SendDueCommands(f.machine)
 	if got := len(f.sentDirectly(t)); got != MaxCommands {
-		t.Errorf("%d direct commands, want %d", got, MaxCommands)
+		t.Errorf("direct commands: got %d, want %d", got, MaxCommands)
 	}
 	if got := len(f.HeartbeatResponseCommands(f.machine, heartbeat(11), time.Now())); got > MaxCommands {
-		t.Errorf("%d commands in a heartbeat response, want at most %d", got, MaxCommands)
+		t.Errorf("commands in a heartbeat response: got %d, want at most %d", got, MaxCommands)
 	}
 }
 
@@ -189,12 +189,12 @@
 			tc.setup(f)
 			got := f.HeartbeatResponseCommands(f.machine, tc.heartbeat, time.Now())
 			if !slices.Equal(verbs(got), tc.want) || f.Fencing.RaiseRequested != tc.wantRaise {
-				t.Errorf("heartbeat %+v: commands %v, higher token requested %v; want %v, %v",
+				t.Errorf("response to heartbeat %+v: got commands %v, higher token requested %v, want %v, %v",
 					tc.heartbeat.Tasks, verbs(got), f.Fencing.RaiseRequested, tc.want, tc.wantRaise)
 			}
 			for _, command := range got {
 				if command.Verb == wire.VerbStop && (command.GracePeriod == nil || *command.GracePeriod != 0) {
-					t.Errorf("stop %+v has a grace period, want one of 0 s", command)
+					t.Errorf("stop of an unrecorded attempt: got %+v, want a grace period of 0 s", command)
 				}
 			}
 		})
--- a/internal/leader/agents/fixture_test.go
+++ b/internal/leader/agents/fixture_test.go
@@ -20,7 +20,7 @@
 	testAttempt wire.AttemptNumber = 7
 )
 
-// fixture is a dispatcher with one machine that has one stored attempt of a job array. Its
+// fixture is a dispatcher with one machine that has one stored attempt of an array. Its
 // requests fail because their context has ended.
 type fixture struct {
 	*Dispatcher
--- a/internal/leader/agents/heartbeat_answers.go
+++ b/internal/leader/agents/heartbeat_answers.go
@@ -32,7 +32,7 @@
 
 // appendLaunches appends a launch for each of a machine's attempts that may be launched and
 // that no heartbeat has shown yet, unless a direct launch of it is in flight. It appends none
-// while messages to the machine are taken not to arrive.
+// while the path to the machine counts as lost.
 func appendLaunches(commands []wire.Command, machine *cluster.Machine, heartbeat *wire.Heartbeat) []wire.Command {
 	for task, attempt := range machine.Attempts {
 		if len(commands) >= MaxCommands {
@@ -75,9 +75,10 @@
 }
 
 // mayForget reports whether an agent may forget the outcome of an attempt: the outcome is
-// stored, and no launch that could start the attempt again is in flight to the agent. A late
-// launch would run a forgotten attempt again. If an unanswered launch may still arrive,
-// mayForget requests a higher fencing token, with which the agent drops that launch.
+// stored, the agent has seen a token of this term, and no launch that could start the attempt
+// again is in flight to it. A late launch would run a forgotten attempt again. If an unanswered
+// launch may still arrive, mayForget requests a higher fencing token, with which the agent drops
+// that launch.
 func (dp *Dispatcher) mayForget(machine *cluster.Machine, task wire.TaskID, heartbeat *wire.Heartbeat) bool {
 	if machine.LaunchMayArrive(heartbeat) {
 		dp.Fencing.RaiseRequested = true
--- a/internal/leader/agents/peer_probe_test.go
+++ b/internal/leader/agents/peer_probe_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestProbeThroughPeerReturnsHeartbeatOrRelayError(t *testing.T) {
-	answer := wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3})
+	encoded := wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: 2, Sequence: 3})
 	cases := []struct {
 		name            string
 		peer            wire.NodeID
@@ -26,11 +26,11 @@
 		wantDecodeError bool // the RelayError has a decoding error as its cause
 		wantErr         error
 	}{
-		{"answered", "b", http.StatusOK, answer, http.StatusOK, false, false, nil},
-		{"refused with a heartbeat", "b", http.StatusConflict, answer, http.StatusConflict, false, false, nil},
+		{"answered", "b", http.StatusOK, encoded, http.StatusOK, false, false, nil},
+		{"refused with a heartbeat", "b", http.StatusConflict, encoded, http.StatusConflict, false, false, nil},
 		{"agent not reached", "b", http.StatusBadGateway, nil, http.StatusBadGateway, true, false, nil},
 		{"undecodable response", "b", http.StatusOK, []byte("no heartbeat"), http.StatusOK, true, true, nil},
-		{"unknown peer", "c", http.StatusOK, answer, 0, false, false, peer.ErrUnknownPeer},
+		{"unknown peer", "c", http.StatusOK, encoded, 0, false, false, peer.ErrUnknownPeer},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,22 +56,22 @@
 
 				got, status, err := client.ProbeThroughPeer(t.Context(), tc.peer, "10.1.0.9:9000", probe)
 				if status != tc.wantStatus {
-					t.Errorf("status %d, want %d", status, tc.wantStatus)
+					t.Errorf("status of the response: got %d, want %d", status, tc.wantStatus)
 				}
 				var relayError *RelayError
 				if isRelayError := errors.As(err, &relayError); isRelayError != tc.wantRelayError {
-					t.Errorf("err %v is a RelayError: %v, want %v", err, isRelayError, tc.wantRelayError)
+					t.Errorf("error %v is a RelayError: got %v, want %v", err, isRelayError, tc.wantRelayError)
 				} else if isRelayError && (relayError.Peer != tc.peer || relayError.Addr != "10.1.0.9:9000" || (errors.Unwrap(relayError) != nil) != tc.wantDecodeError) {
-					t.Errorf("err %+v, want one for 10.1.0.9:9000 through %s, undecodable %v", relayError, tc.peer, tc.wantDecodeError)
+					t.Errorf("relay error: got %+v, want one for 10.1.0.9:9000 through %s, with a decoding error: %v", relayError, tc.peer, tc.wantDecodeError)
 				}
 				if tc.wantErr != nil && !errors.Is(err, tc.wantErr) {
-					t.Errorf("err %v, want %v", err, tc.wantErr)
+					t.Errorf("error of ProbeThroughPeer: got %v, want %v", err, tc.wantErr)
 				}
 				if wire.IsNotSent(err) {
-					t.Errorf("err %v means that nothing was sent, want one after which the request may have arrived", err)
+					t.Errorf("error %v: got one that means that nothing was sent, want one after which the request may have arrived", err)
 				}
 				if wantHeartbeat := !tc.wantRelayError && tc.wantErr == nil; wantHeartbeat && (err != nil || got.Machine != "n-1" || path != "/peer/ask") {
-					t.Errorf("heartbeat %+v by a request to %s, err %v; want that of n-1 by a request to /peer/ask", got, path, err)
+					t.Errorf("got heartbeat %+v by a request to %s, error %v, want that of n-1 by a request to /peer/ask", got, path, err)
 				}
 				server.Close()
 				network.Close()
--- a/internal/leader/agents/probes_test.go
+++ b/internal/leader/agents/probes_test.go
@@ -35,21 +35,21 @@
 				raw, err := io.ReadAll(r.Body)
 				var sent wire.Commands
 				if err != nil || wire.Decode(raw, &sent) != nil || len(sent.Commands) != 0 {
-					t.Errorf("request body %x is not a probe: %v", raw, err)
+					t.Errorf("decode request body %x as a probe: %v", raw, err)
 				}
 				status := http.StatusOK
 				if sent.Epoch != tc.epoch {
 					status = http.StatusConflict
 				}
-				return answerWith(status, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: tc.epoch, Sequence: 11, Token: tc.token}))
+				return respondWith(status, wire.Encode(wire.Heartbeat{Machine: "n-1", Epoch: tc.epoch, Sequence: 11, Token: tc.token}))
 			})
 			f.Probe(f.machine)
-			answer, ok := (<-f.Events).(ProbeOutcome)
-			if !ok || answer.Err != nil || answer.Status != tc.wantStatus || answer.Heartbeat.Epoch != tc.epoch || answer.Relayed {
-				t.Fatalf("outcome %+v, want status %d of epoch %d by a direct probe", answer, tc.wantStatus, tc.epoch)
+			outcome, ok := (<-f.Events).(ProbeOutcome)
+			if !ok || outcome.Err != nil || outcome.Status != tc.wantStatus || outcome.Heartbeat.Epoch != tc.epoch || outcome.Relayed {
+				t.Fatalf("outcome: got %+v, want status %d and epoch %d by a direct probe", outcome, tc.wantStatus, tc.epoch)
 			}
-			if want := (HeartbeatPosition{Epoch: 1, Sequence: 10}); answer.LastHeartbeatBefore != want || probes != tc.wantProbes {
-				t.Errorf("%d probes, known before %+v; want %d, %+v", probes, answer.LastHeartbeatBefore, tc.wantProbes, want)
+			if want := (HeartbeatPosition{Epoch: 1, Sequence: 10}); outcome.LastHeartbeatBefore != want || probes != tc.wantProbes {
+				t.Errorf("got %d probes, last heartbeat before %+v, want %d, %+v", probes, outcome.LastHeartbeatBefore, tc.wantProbes, want)
 			}
 		})
 	}
@@ -58,21 +58,21 @@
 func TestProbeIsDirectIfNoPeerIsConnected(t *testing.T) {
 	f := newFixture(t)
 	f.Begin(t.Context())
-	f.Client = newTestClient(agentAnswer)
+	f.Client = newTestClient(agentResponse)
 	f.Client.Mesh = peer.New("a", nil, func() peer.Status { return peer.Status{} }, cancels.New(nil, time.Minute),
 		simulator.NewNetwork(0).Host("10.0.0.1"), f.Log)
 	f.machine.UnansweredCommands = 1
 	f.Probe(f.machine)
-	answer, ok := (<-f.Events).(ProbeOutcome)
-	if !ok || answer.Err != nil || answer.Relayed {
-		t.Errorf("outcome %+v, want the response to a direct probe", answer)
+	outcome, ok := (<-f.Events).(ProbeOutcome)
+	if !ok || outcome.Err != nil || outcome.Relayed {
+		t.Errorf("outcome: got %+v, want the response to a direct probe", outcome)
 	}
 }
 
 func TestTokenIsAnnouncedToMachinesThatLackIt(t *testing.T) {
 	f := newFixture(t)
 	f.Begin(t.Context())
-	f.Client = newTestClient(agentAnswer)
+	f.Client = newTestClient(agentResponse)
 	go func() { // discards the outcomes, so that posting them does not block
 		for {
 			select {
@@ -104,11 +104,11 @@
 	f.State.MachineListReceived = true
 	for tick, want := range []int{MaxProbesPerTick, MaxProbesPerTick + 5, MaxProbesPerTick + 5} {
 		if f.AnnounceToken(); probed() != want {
-			t.Errorf("tick %d: %d machines probed, want %d", tick, probed(), want)
+			t.Errorf("machines probed by tick %d: got %d, want %d", tick, probed(), want)
 		}
 	}
 	if !f.TokenAnnounced {
-		t.Error("token not announced after all machines that can be probed were probed")
+		t.Error("token announced after all machines that can be probed were probed: got false, want true")
 	}
 }
 
@@ -117,7 +117,7 @@
 	for _, listed := range []bool{false, true} {
 		f.State.MachineListReceived = listed
 		if f.AnnounceToken(); f.TokenAnnounced != listed {
-			t.Errorf("machine list received %v: token announced %v, want the same", listed, f.TokenAnnounced)
+			t.Errorf("machine list received %v: got token announced %v, want the same", listed, f.TokenAnnounced)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			f.machine.Token = testToken - 1
 			setup(f)
 			if f.AnnounceToken(); f.machine.CommandInFlight {
-				t.Error("machine probed")
+				t.Error("machine probed: got true, want false")
 			}
 		})
 	}
--- a/internal/leader/agents/relayed_probe_test.go
+++ b/internal/leader/agents/relayed_probe_test.go
@@ -23,9 +23,9 @@
 	want := relayedProbe{Addr: "10.1.0.232:9000", Commands: wire.Commands{Token: 41, Epoch: 2, Commands: []wire.Command{}}}
 	var got relayedProbe
 	if err := wire.Decode(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded probe %+v, err %v, want %+v", got, err, want)
+		t.Errorf("decoded probe: got %+v, error %v, want %+v", got, err, want)
 	}
 	if encoded := hex.EncodeToString(wire.Encode(want)); encoded != relayedProbeData {
-		t.Errorf("encoded probe\n%s, want\n%s", encoded, relayedProbeData)
+		t.Errorf("encoded probe: got\n%s, want\n%s", encoded, relayedProbeData)
 	}
 }
--- a/internal/leader/agents/stops.go
+++ b/internal/leader/agents/stops.go
@@ -37,7 +37,7 @@
 	dp.SendDueCommands(attempt.Machine)
 }
 
-// stopUnstored ends an attempt that is not stored; its launch was never sent. An attempt that
+// stopUnstored ends an attempt that is not stored, so that its launch was never sent. An attempt that
 // is being written is only marked, and stopped once the outcome of the write is known.
 func (dp *Dispatcher) stopUnstored(attempt *cluster.Attempt, gracePeriod wire.Seconds, reason cluster.EvictionReason) {
 	if attempt.Chunk.WriteInFlight {
--- a/internal/leader/agents/stops_test.go
+++ b/internal/leader/agents/stops_test.go
@@ -39,12 +39,12 @@
 			f.Stop(job.Attempts()[0], tc.gracePeriod, cluster.EvictedPreempted)
 			for _, attempt := range job.Attempts() {
 				if !attempt.Stopping || attempt.GracePeriod != tc.wantGracePeriod || attempt.StopSentAt.IsZero() {
-					t.Errorf("%v: stopping %v with %v s, sent %v; want true with %v s, true",
+					t.Errorf("%v: got stopping %v with %v s, sent %v, want true with %v s, true",
 						attempt.Task(), attempt.Stopping, attempt.GracePeriod, !attempt.StopSentAt.IsZero(), tc.wantGracePeriod)
 				}
 			}
 			if len(f.evicted) != 3 || job.Gang.StoppingGracefully != (tc.wantGracePeriod > 0) {
-				t.Errorf("evictions %v, stopping gracefully %v; want 3, %v", f.evicted, job.Gang.StoppingGracefully, tc.wantGracePeriod > 0)
+				t.Errorf("got evictions %v, stopping gracefully %v, want 3, %v", f.evicted, job.Gang.StoppingGracefully, tc.wantGracePeriod > 0)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 	for _, step := range []struct{ requested, want wire.Seconds }{{10, 10}, {20, 10}, {4, 4}, {10, 4}} {
 		f.StopGang(job, step.requested, cluster.EvictedPreempted)
 		if job.Gang.GracePeriod != step.want {
-			t.Errorf("stop with %v s: grace period %v s, want %v s", step.requested, job.Gang.GracePeriod, step.want)
+			t.Errorf("grace period after a stop with %v s: got %v s, want %v s", step.requested, job.Gang.GracePeriod, step.want)
 		}
 	}
 }
@@ -67,11 +67,11 @@
 	for _, step := range []struct{ requested, want wire.Seconds }{{10, 10}, {20, 10}, {10, 10}, {4, 4}} {
 		f.Stop(f.attempt, step.requested, cluster.EvictedPreempted)
 		if f.attempt.GracePeriod != step.want {
-			t.Errorf("stop with %v s: grace period %v s, want %v s", step.requested, f.attempt.GracePeriod, step.want)
+			t.Errorf("grace period after a stop with %v s: got %v s, want %v s", step.requested, f.attempt.GracePeriod, step.want)
 		}
 	}
 	if len(f.evicted) != 2 {
-		t.Errorf("evictions %v, want one for each stop that took effect", f.evicted)
+		t.Errorf("evictions: got %v, want one for each stop that took effect", f.evicted)
 	}
 }
 
@@ -89,10 +89,10 @@
 			f.attempt.Unstored, f.attempt.Chunk.WriteInFlight = true, tc.writeInFlight
 			f.Stop(f.attempt, 10, cluster.EvictedPreempted)
 			if f.job.ActiveTasks != tc.wantActive || f.attempt.Stopping != tc.wantStopping {
-				t.Errorf("%d active tasks, stopping %v; want %d, %v", f.job.ActiveTasks, f.attempt.Stopping, tc.wantActive, tc.wantStopping)
+				t.Errorf("got %d active tasks, stopping %v, want %d, %v", f.job.ActiveTasks, f.attempt.Stopping, tc.wantActive, tc.wantStopping)
 			}
 			if f.machine.CommandInFlight || len(f.evicted) != 0 {
-				t.Errorf("command in flight %v, evictions %v; want neither", f.machine.CommandInFlight, f.evicted)
+				t.Errorf("got command in flight %v, evictions %v, want neither", f.machine.CommandInFlight, f.evicted)
 			}
 		})
 	}
@@ -114,18 +114,18 @@
 			f.StopBrokenGangs()
 			for _, attempt := range job.Attempts() {
 				if attempt.Stopping != tc.wantStopping || tc.wantStopping && attempt.StopReason != cluster.EvictedGangIncomplete {
-					t.Errorf("%v: stopping %v for %q, want %v", attempt.Task(), attempt.Stopping, attempt.StopReason, tc.wantStopping)
+					t.Errorf("%v: got stopping %v for %q, want %v", attempt.Task(), attempt.Stopping, attempt.StopReason, tc.wantStopping)
 				}
 			}
 			if !job.Gang.Broken || len(f.State.BrokenGangs) != 0 {
-				t.Errorf("broken %v, %d gangs left to handle; want true, 0", job.Gang.Broken, len(f.State.BrokenGangs))
+				t.Errorf("got broken %v, %d gangs left to handle, want true, 0", job.Gang.Broken, len(f.State.BrokenGangs))
 			}
 			for _, attempt := range job.Attempts() {
 				f.State.EndAttempt(attempt, cluster.TaskPending)
 			}
 			f.StopBrokenGangs()
 			if job.Gang != nil {
-				t.Error("gang without remaining tasks is not queued again")
+				t.Error("gang without remaining tasks: got kept, want queued again")
 			}
 		})
 	}
@@ -137,15 +137,15 @@
 	f.job.Cancelled = true
 	f.StopCancelledJob(f.job)
 	if !f.attempt.Stopping || f.attempt.GracePeriod != 0 || f.attempt.StopReason != cluster.EvictedCancelled {
-		t.Errorf("stopping %v with a grace period of %v s for %q, want a stop at once as cancelled", f.attempt.Stopping, f.attempt.GracePeriod, f.attempt.StopReason)
+		t.Errorf("got stopping %v with a grace period of %v s for %q, want a stop at once as cancelled", f.attempt.Stopping, f.attempt.GracePeriod, f.attempt.StopReason)
 	}
 	if _, ok := f.State.CancelledJobs[f.job]; !ok || f.job.Finished {
-		t.Errorf("listed as cancelled %v, finished %v; want true, false", ok, f.job.Finished)
+		t.Errorf("got listed as cancelled %v, finished %v, want true, false", ok, f.job.Finished)
 	}
 	if len(f.evicted) != 0 {
-		t.Errorf("a cancellation is counted as evictions %v", f.evicted)
+		t.Errorf("evictions after a cancellation: got %v, want none", f.evicted)
 	}
 	if got, want := f.sentDirectly(t), []wire.Verb{wire.VerbStop}; !slices.Equal(got, want) {
-		t.Errorf("sent %v, want %v", got, want)
+		t.Errorf("direct commands: got %v, want %v", got, want)
 	}
 }
