--- a/internal/leader/cycle.go
+++ b/internal/leader/cycle.go
@@ -9,7 +9,7 @@
 
 // runDueWork follows each event: it stops the remaining tasks of broken gangs, runs a
 // scheduling cycle if one is due, and writes changed records. It does nothing without the
-// lease.
+// lease, or before the records are read.
 func (t *term) runDueWork(now time.Time) {
 	if !t.state.RecordsRead || !t.Lease.Deciding() {
 		return
--- a/internal/leader/delegates.go
+++ b/internal/leader/delegates.go
@@ -21,7 +21,7 @@
 
 // InFlightLaunchCancelSince returns the time of the oldest cancellation of a job of which a
 // launch may still be in flight. No heartbeat shows such a launch yet, so no node can stop it
-// in its response to one. It returns the zero time if there is no such cancellation.
+// in a heartbeat response. It returns the zero time if there is no such cancellation.
 func (l *Leader) InFlightLaunchCancelSince() time.Time {
 	if t := l.term.Load(); t != nil {
 		return t.Published.OldestInFlightLaunchCancel()
--- a/internal/leader/demands_test.go
+++ b/internal/leader/demands_test.go
@@ -13,7 +13,7 @@
 )
 
 // A zone that the settings don't name counts like the others once machines are offered there
-// or a machine there was heard from. A service that is spread has room in it.
+// or a message has arrived from there. A service that is spread may have replicas in it.
 func TestServiceSpreadsToZonesOutsideTheSettings(t *testing.T) {
 	tm := newSizedTerm(t, 30)
 	tm.state.Settings.Zones = []wire.Zone{"b"}
@@ -25,7 +25,7 @@
 	}
 	for _, d := range tm.scheduler.Demands(time.Now(), 0.6, 2) {
 		if d.Spec.ID == spec.ID && (d.ZoneCapacityLeft["a"] != 3 || d.ZoneCapacityLeft["d"] != 3) {
-			t.Errorf("room left in zones a and d: got %v, want 3 in each", d.ZoneCapacityLeft)
+			t.Errorf("capacity left in zones a and d: got %v, want 3 in each", d.ZoneCapacityLeft)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 			acceptedAt := now.Add(-time.Duration(c.ageSeconds) * time.Second)
 			j := cluster.NewJob(store.JobRecord{Spec: spec, AcceptedAt: wire.TimestampOf(acceptedAt)}, 9)
 			if got := tm.scheduler.PriceLimitFactor(j, c.expectedDelay, now); got != c.want {
-				t.Errorf("stretch at an age of %g s with %g s more expected: got %g, want %g", c.ageSeconds, c.expectedDelay, got, c.want)
+				t.Errorf("price limit factor at an age of %g s with an expected delay of %g s: got %g, want %g", c.ageSeconds, c.expectedDelay, got, c.want)
 			}
 		})
 	}
--- a/internal/leader/events.go
+++ b/internal/leader/events.go
@@ -47,7 +47,7 @@
 	case progress.TxnOutcomeRead:
 		t.committer.OnOutcomeRead(e)
 	case viewRequested:
-		e.reply <- t.view(time.Now())
+		e.response <- t.view(time.Now())
 	default:
 		t.Log.Error("unknown event", "type", fmt.Sprintf("%T", event))
 	}
--- a/internal/leader/first_heartbeats.go
+++ b/internal/leader/first_heartbeats.go
@@ -32,7 +32,8 @@
 }
 
 // countFirstHeartbeats counts the machines that have sent a heartbeat with this term's
-// token, and those that should but have not.
+// token, and those that should but have not. It leaves out booting machines, and those that an
+// earlier leader was scaling in.
 func (t *term) countFirstHeartbeats() (heard, missing int) {
 	for _, m := range t.state.Machines {
 		switch {
--- a/internal/leader/gang_launch_test.go
+++ b/internal/leader/gang_launch_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestMissingGangTaskIsRelaunchedInTheNextReply(t *testing.T) {
+func TestMissingGangTaskIsRelaunchedInTheNextResponse(t *testing.T) {
 	tm, j := newGangTerm(t)
 	a := memberAttempt(j, 0)
 	a.Inherited, a.LaunchSent = true, true
--- a/internal/leader/gang_stop_test.go
+++ b/internal/leader/gang_stop_test.go
@@ -156,18 +156,18 @@
 	}
 }
 
-// checkReply checks the response to a heartbeat of the gang's second machine. It must have the
+// checkResponse checks the response to a heartbeat of the gang's second machine. It must have the
 // stop of its task and, only if the leader holds its lease, the pending launch.
-func (n *spotNoticeTerm) checkReply(t *testing.T, reply *wire.Commands, wantLaunches int) {
+func (n *spotNoticeTerm) checkResponse(t *testing.T, response *wire.Commands, wantLaunches int) {
 	t.Helper()
 	stops := 0
-	for _, command := range reply.Commands {
+	for _, command := range response.Commands {
 		if command.Verb == wire.VerbStop && command.Task == "req-2/1" && *command.GracePeriod == 13 {
 			stops++
 		}
 	}
-	if got := countLaunches(reply.Commands); stops != 1 || got != wantLaunches {
-		t.Errorf("reply to another machine: got %d stops, %d launches, want 1, %d", stops, got, wantLaunches)
+	if got := countLaunches(response.Commands); stops != 1 || got != wantLaunches {
+		t.Errorf("response to another machine: got %d stops, %d launches, want 1, %d", stops, got, wantLaunches)
 	}
 }
 
@@ -182,8 +182,8 @@
 
 // A gang with a spot notice is stopped early enough that even a member that learns of it
 // gang_peer_s late has time to checkpoint. An array task needs only its own checkpoint time.
-// While the key-value store is unavailable both are stopped too if a quorum acknowledges the
-// leader, and neither is stopped without a quorum; nothing is launched then.
+// While the key-value store is unavailable nothing is launched. Both are still stopped if a
+// quorum acknowledges the leader, and neither is stopped without a quorum.
 func TestGangCheckpointsBeforeTheSpotNoticeEnds(t *testing.T) {
 	for _, deciding := range []bool{true, false} {
 		t.Run(fmt.Sprintf("deciding %v", deciding), func(t *testing.T) {
@@ -191,21 +191,21 @@
 			if !deciding {
 				n.Lease = newLease(n.leader, n.Fencing.Token, -time.Millisecond)
 				if n.checkMachine(time.Second); n.arrayAttempt.Stopping || memberAttempt(n.gang, 0).Stopping {
-					t.Errorf("without a quorum: got array and gang stopping %v, %v, want false", n.arrayAttempt.Stopping, memberAttempt(n.gang, 0).Stopping)
+					t.Errorf("without a quorum: got array and gang stopping %v and %v, want both false", n.arrayAttempt.Stopping, memberAttempt(n.gang, 0).Stopping)
 				}
 				n.Lease.RecordAcks(time.Now().Add(time.Hour), time.Now(), 0)
 			}
 			n.checkStopTimes(t)
-			reply := n.sendHeartbeatOfSecondMachine()
-			if reply == nil {
-				t.Fatal("reply to another machine: got none, want commands")
+			response := n.sendHeartbeatOfSecondMachine()
+			if response == nil {
+				t.Fatal("response to another machine: got none, want commands")
 			}
 			wantLaunches := 1
 			if !deciding {
 				wantLaunches = 0
 				n.checkDirectCommand(t)
 			}
-			n.checkReply(t, reply, wantLaunches)
+			n.checkResponse(t, response, wantLaunches)
 		})
 	}
 }
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -23,7 +23,7 @@
 }
 
 // When a machine is removed, a gang that has a reservation on it loses all its reservations.
-// Without this, no room is made for the gang until the remaining ones have ended too.
+// Without this, no tasks are preempted for the gang until the remaining ones have ended too.
 func TestReservationsOfAGangEndTogether(t *testing.T) {
 	tm, m, _ := newTestTerm(t)
 	addGangJob(tm, "req-2", 2)
@@ -42,37 +42,37 @@
 	}
 }
 
-// Room is kept free for the largest gang of each class, among the gangs that are unfinished
-// or were so within the last three minutes.
-func TestRoomIsKeptForTheLargestRecentGang(t *testing.T) {
+// Resources are kept free for the largest gang of each class, among the gangs that are
+// unfinished or were so within the last three minutes.
+func TestResourcesAreKeptFreeForTheLargestRecentGang(t *testing.T) {
 	tm, _, _ := newTestTerm(t)
 	now := time.Now()
 	addGangJob(tm, "req-2", 2)
 	addGangJob(tm, "req-3", 4)
 	justBefore, justAfter := now.Add(scheduling.RecentGangRetention-time.Second), now.Add(scheduling.RecentGangRetention+time.Second)
 	cases := []struct {
-		name  string
-		setup func()
-		times float64
-		at    time.Time
-		want  []wire.JobID
+		name       string
+		setup      func()
+		spareGangs float64 // of each class
+		at         time.Time
+		want       []wire.JobID
 	}{
 		{"two unfinished", func() {}, 1, now, []wire.JobID{"req-3"}},
-		{"two unfinished, room for none", func() {}, 0, now, nil},
+		{"two unfinished, no spare gangs", func() {}, 0, now, nil},
 		{"the largest was unfinished lately", func() { delete(tm.state.Jobs, "req-3") }, 1, justBefore, []wire.JobID{"req-3"}},
 		{"the largest was finished long ago", func() {}, 1, justAfter, []wire.JobID{"req-2"}},
 	}
 	if got := tm.scheduler.ExpectedGangs(2, now); len(got) != 2 {
-		t.Errorf("two unfinished, room for two: got %d gangs, want 2", len(got))
+		t.Errorf("two unfinished, two spare gangs: got %d gangs, want 2", len(got))
 	}
 	for _, c := range cases {
 		c.setup()
 		var got []wire.JobID
-		for _, spec := range tm.scheduler.ExpectedGangs(c.times, c.at) {
+		for _, spec := range tm.scheduler.ExpectedGangs(c.spareGangs, c.at) {
 			got = append(got, spec.ID)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: got room for %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: got resources kept free for %v, want %v", c.name, got, c.want)
 		}
 	}
 	reserves := tm.scheduler.GangReserves(1, justAfter)
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -17,8 +17,8 @@
 // heartbeatTimeout is how long a heartbeat waits for a response from the term's loop.
 const heartbeatTimeout = 3 * time.Second
 
-// leaderContactLifetime is how long this node believes that a peer leads after it last
-// heard from it.
+// leaderContactLifetime is how long a peer counts as the leader after its last message to
+// this node.
 const leaderContactLifetime = 2 * peer.AckLifetime
 
 // errNoMachine means that a heartbeat does not name the machine that sent it.
@@ -38,7 +38,7 @@
 )
 
 // heartbeatOutcomeLabels maps outcomes to label values of the heartbeat metric. An outcome
-// without one has no count of its own.
+// that is missing here is not counted.
 var heartbeatOutcomeLabels = map[heartbeatOutcome]string{
 	outcomeAnswered:       "ok",
 	outcomeRelayed:        "relayed",
@@ -48,7 +48,7 @@
 }
 
 // labelNotLeading is the label value for heartbeats that agents send to a node that does
-// not lead. Such a heartbeat is counted under this label and also under that of its outcome.
+// not lead. It is counted in addition to the label of the outcome, if the outcome has one.
 const labelNotLeading = "elsewhere"
 
 type heartbeatAnswer struct {
@@ -139,8 +139,8 @@
 	case <-ctx.Done():
 	}
 	select {
-	case reply := <-call.Response:
-		return answerOfReply(reply)
+	case response := <-call.Response:
+		return answerOfResponse(response)
 	case <-t.Done:
 		return heartbeatAnswer{outcome: outcomeUnavailable, reason: "no longer leads"}
 	case <-ctx.Done():
@@ -148,18 +148,21 @@
 	}
 }
 
-func answerOfReply(reply reconcile.HeartbeatResponse) heartbeatAnswer {
+func answerOfResponse(response reconcile.HeartbeatResponse) heartbeatAnswer {
 	switch {
-	case reply.Redirect:
+	case response.Redirect:
 		return heartbeatAnswer{outcome: outcomeRedirectedHere}
-	case reply.Commands == nil:
-		return heartbeatAnswer{outcome: outcomeRejected, reason: reply.Rejected.Error()}
+	case response.Commands == nil:
+		return heartbeatAnswer{outcome: outcomeRejected, reason: response.Rejected.Error()}
 	default:
-		return heartbeatAnswer{outcome: outcomeAnswered, commands: reply.Commands}
+		return heartbeatAnswer{outcome: outcomeAnswered, commands: response.Commands}
 	}
 }
 
-// answerAsFollower answers a heartbeat while this node does not lead.
+// answerAsFollower answers a heartbeat while this node does not lead. It relays the heartbeat
+// to a connected leader, unless this node recently renewed leases as a delegate. If the
+// heartbeat is not relayed, or the leader gives no response, it redirects the agent to the
+// leader. If an agent comes back soon after a redirect, it answers as a delegate if it may.
 func (l *Leader) answerAsFollower(ctx context.Context, heartbeat *wire.Heartbeat) heartbeatAnswer {
 	now := time.Now()
 	leader := l.currentLeader(now)
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -66,7 +66,7 @@
 			body:  heartbeat, wantStatus: http.StatusServiceUnavailable, wantCounts: []string{"refused"},
 		},
 		{
-			name: "the term has ended",
+			name: "the lease has expired",
 			setup: func(n *heartbeatNode) {
 				n.Leader.term.Store(n.term)
 				n.term.Lease = newLease(n.Leader, 50, -time.Second)
--- a/internal/leader/inventory.go
+++ b/internal/leader/inventory.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// describeUnheardMachine sets what the heartbeats of a machine would say, from its entry in
-// a list. If the machine should be up it has the token announced to it.
+// describeUnheardMachine describes a machine that has sent no heartbeat in this term by its
+// entry in a list. If the machine is listed as running but has not seen a token of this term,
+// the token is announced again, unless a probe was unanswered or the machine is being scaled in.
 func (in *inventory) describeUnheardMachine(m *cluster.Machine, listed *wire.ListedMachine, requestedAt time.Time) {
 	m.Addr = listed.Addr
 	m.MachineType = listed.Type
--- a/internal/leader/large_fleet_test.go
+++ b/internal/leader/large_fleet_test.go
@@ -9,8 +9,8 @@
 	"lilaclead/internal/wire"
 )
 
-// largestFleet is a number of machines above that of the largest fleet that one leader has
-// to serve.
+// largestFleet is the number of machines in the test. It exceeds the largest fleet that one
+// leader has to serve.
 const largestFleet = 4200
 
 // sendAllHeartbeats sends a heartbeat of every machine through the handler, and returns how
@@ -79,7 +79,7 @@
 	cycle := time.Since(start)
 
 	if got := countActiveTasks(next); got != active || active < largestFleet {
-		t.Errorf("active tasks: got %d, want the %d of before, at least %d", got, active, largestFleet)
+		t.Errorf("active tasks: got %d, want %d as before, and at least %d", got, active, largestFleet)
 	}
 	checkView(t, next.view(time.Now()), len(tm.state.Jobs))
 	t.Logf("%d machines, %d tasks: recovery %v, a heartbeat from each %v, a scheduling cycle %v", largestFleet, active, recovery, heartbeats, cycle)
--- a/internal/leader/leadership.go
+++ b/internal/leader/leadership.go
@@ -16,7 +16,8 @@
 
 // checkLeadership ends the term if a higher token is known. Otherwise it records the peers'
 // acknowledgements, which limit how long heartbeats are answered while the key-value store
-// is unavailable, and enables scheduling once enough of the cluster is known.
+// is unavailable. It then applies new cancellations, records whether the store is available,
+// and enables scheduling once enough of the cluster is known.
 func (t *term) checkLeadership(now time.Time) {
 	view := t.leader.Mesh.View()
 	if t.superseded(view) {
@@ -49,8 +50,8 @@
 	return acked
 }
 
-// oldestAck compares the last acknowledgement of each peer, and returns the time at which
-// the oldest of them was requested.
+// oldestAck returns the time at which the oldest of the peers' latest acknowledgements was
+// requested, now if there are no peers.
 func (t *term) oldestAck(view *peer.View, now time.Time) time.Time {
 	oldest := now
 	for _, node := range t.leader.Config.Peers {
--- a/internal/leader/liveness_test.go
+++ b/internal/leader/liveness_test.go
@@ -117,7 +117,7 @@
 // A new leader may never be acknowledged by a quorum, if most controllers are in the
 // partitioned zone. It then assumes that an earlier leader may answer heartbeats for as long
 // as a node may be a delegate, and not for the outage limit.
-func TestEarlierLeaderMayReplyUntilDelegatesStop(t *testing.T) {
+func TestEarlierLeaderMayAnswerUntilDelegatesStop(t *testing.T) {
 	cases := []struct {
 		name       string
 		delegation time.Duration
@@ -142,7 +142,7 @@
 			}
 			until := tm.monitor.EarlierLeaderAnswersUntil()
 			if got := until.Sub(tm.state.TermStartedAt).Round(time.Second); got != c.want {
-				t.Errorf("an earlier leader may reply for %v of the term, want %v", got, c.want)
+				t.Errorf("time since the term's start in which an earlier leader may answer: got %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -83,19 +83,19 @@
 		disconnect(tm)
 		token := tm.Fencing.Token
 		sendHeartbeat(tm, heartbeatFrom(1, 20, token))
-		if reply := sendHeartbeat(tm, heartbeatFrom(1, 19, token)); reply.Commands == nil || len(reply.Commands.Commands) > 0 {
-			t.Errorf("heartbeat that crossed a newer one: got %+v, want an answer without commands", reply)
+		if response := sendHeartbeat(tm, heartbeatFrom(1, 19, token)); response.Commands == nil || len(response.Commands.Commands) > 0 {
+			t.Errorf("heartbeat that crossed a newer one: got %+v, want a response without commands", response)
 		}
 		time.Sleep(10 * time.Second)
 		m.Addr = "10.1.0.1:9000"
 		before := *m
 		for _, late := range []*wire.Heartbeat{heartbeatFrom(1, 20, token), heartbeatFrom(1, 3, token), heartbeatFrom(0, 99, 0)} {
-			if reply := sendHeartbeat(tm, late); reply.Rejected == nil {
-				t.Errorf("late copy %d/%d: got %+v, want a rejection", late.Epoch, late.Sequence, reply)
+			if response := sendHeartbeat(tm, late); response.Rejected == nil {
+				t.Errorf("late copy %d/%d: got %+v, want a rejection", late.Epoch, late.Sequence, response)
 			}
 		}
 		if m.LastMessageAt != before.LastMessageAt || m.LastResponseAt != before.LastResponseAt || m.Sequence != before.Sequence {
-			t.Errorf("after late copies: got last message %v, reply %v, sequence %d, want %v, %v, %d",
+			t.Errorf("after late copies: got last message %v, last response %v, sequence %d, want %v, %v, %d",
 				m.LastMessageAt, m.LastResponseAt, m.Sequence, before.LastMessageAt, before.LastResponseAt, before.Sequence)
 		}
 		// Late copies that arrive together cause a single probe, of the machine itself.
@@ -110,8 +110,8 @@
 		tm.state.RemovedMachines["n-9"] = time.Now()
 		removed := heartbeatFrom(9, 9, tm.Fencing.Token)
 		removed.Machine = "n-9"
-		if reply := sendHeartbeat(tm, removed); reply.Rejected == nil || tm.state.Machines["n-9"] != nil {
-			t.Errorf("got %+v, machine added %v, want a rejection and no machine", reply, tm.state.Machines["n-9"] != nil)
+		if response := sendHeartbeat(tm, removed); response.Rejected == nil || tm.state.Machines["n-9"] != nil {
+			t.Errorf("got %+v, machine added %v, want a rejection and no machine", response, tm.state.Machines["n-9"] != nil)
 		}
 	})
 }
--- a/internal/leader/reconciliation_test.go
+++ b/internal/leader/reconciliation_test.go
@@ -14,7 +14,7 @@
 	unanswered := func(a *cluster.Attempt) {
 		a.SeenInHeartbeat, a.LaunchSent, a.LaunchEpoch, a.LaunchUnanswered, a.UnansweredLaunchToken = true, true, 1, true, 50
 	}
-	inReply := func(a *cluster.Attempt) {
+	inResponse := func(a *cluster.Attempt) {
 		a.SeenInHeartbeat, a.LaunchSent, a.LaunchEpoch, a.ResponseEpoch, a.ResponseSequence = true, true, 1, 1, 10
 	}
 	inherited := func(a *cluster.Attempt) { a.Inherited = true }
@@ -34,8 +34,8 @@
 		{"command unanswered, token not raised", unanswered, heartbeatFrom(1, 11, 50), true, false},
 		{"command unanswered, token raised", unanswered, heartbeatFrom(1, 11, 51), true, true},
 		{"command unanswered, epoch over", unanswered, heartbeatFrom(2, 1, 50), true, true},
-		{"in a reply that the agent may still execute", inReply, heartbeatFrom(1, 11, 50), false, false},
-		{"in a reply, and the next heartbeat has come", inReply, heartbeatFrom(1, 11, 50), true, true},
+		{"in a response that the agent may still execute", inResponse, heartbeatFrom(1, 11, 50), false, false},
+		{"in a response, and the next heartbeat has come", inResponse, heartbeatFrom(1, 11, 50), true, true},
 		{"epoch over", func(a *cluster.Attempt) { a.LaunchSent, a.LaunchEpoch = true, 1 }, heartbeatFrom(2, 1, 50), true, true},
 	}
 	for _, c := range cases {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestUnknownTaskIsStoppedAndItsRoomKept(t *testing.T) {
+func TestUnknownTaskIsStoppedAndItsResourcesKept(t *testing.T) {
 	tm, m, _ := newTestTerm(t)
 	tm.leader.Catalog.Set([]wire.MachineSpec{{Name: "c4", CPUs: 4, MemoryGB: 16}})
 	heartbeat := heartbeatFrom(1, 11, 50,
@@ -127,8 +127,8 @@
 	}
 }
 
-// At most a quarter of the machines is drained on suspicion. What shows on more of them is not
-// the machines' fault, and the leader is wrong about them.
+// At most a quarter of the machines is drained on suspicion. If more of them look
+// faulty, the cause is not in the machines, and the leader's suspicion is wrong.
 func TestSuspectsAreLimitedToAQuarterOfTheMachines(t *testing.T) {
 	tm, m, _ := newTestTerm(t)
 	m.DrainReason = "faulty"
--- a/internal/leader/size_test.go
+++ b/internal/leader/size_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// BenchmarkReportRound measures a heartbeat of every machine: its encoding and decoding, the
-// answer of the loop, and the response.
+// BenchmarkReportRound measures a heartbeat of every machine: its encoding and decoding, its
+// handling by the loop, and the response.
 func BenchmarkReportRound(b *testing.B) {
 	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		defer runHeartbeatLoop(tm)()
@@ -91,8 +91,8 @@
 	})
 }
 
-// BenchmarkFleetPlan measures a plan of the fleet. There are no offers, so that nothing is
-// scaled out.
+// BenchmarkFleetPlan measures a plan of the fleet. The scaler's pending scale-outs are
+// discarded after each plan.
 func BenchmarkFleetPlan(b *testing.B) {
 	benchmarkAtSizes(b, func(b *testing.B, tm *term, _ int) {
 		for b.Loop() {
--- a/internal/leader/sized_term_test.go
+++ b/internal/leader/sized_term_test.go
@@ -75,12 +75,12 @@
 type sizedTermBuilder struct {
 	tm                   *term
 	now                  time.Time
-	jobs                 int
-	replicas, arrayTasks *jobFiller // of the current service and array job
+	jobs                 int               // number of jobs added
+	replicas, arrayTasks *partlyStartedJob // of the current service and array job
 }
 
-// jobFiller is a job whose tasks are put on machines one after the other.
-type jobFiller struct {
+// partlyStartedJob is a job whose tasks are started one after the other.
+type partlyStartedJob struct {
 	job            *cluster.Job
 	remainingTasks int
 }
@@ -110,15 +110,15 @@
 
 // startTask puts the next task of a job on a machine. If there is no job or all of its tasks
 // are placed, it adds a new job and puts its first task there. It returns the job.
-func (b *sizedTermBuilder) startTask(f *jobFiller, m *cluster.Machine, tasks int, spec wire.JobSpec) *jobFiller {
-	if f == nil || f.remainingTasks == 0 {
-		f = &jobFiller{b.addJob(tasks, spec), tasks}
+func (b *sizedTermBuilder) startTask(current *partlyStartedJob, m *cluster.Machine, tasks int, spec wire.JobSpec) *partlyStartedJob {
+	if current == nil || current.remainingTasks == 0 {
+		current = &partlyStartedJob{b.addJob(tasks, spec), tasks}
 	}
-	i := f.job.Spec.Tasks - f.remainingTasks
-	f.remainingTasks--
-	f.job.Chunk(0).AddAttempt(&cluster.Attempt{
-		Job:             f.job,
-		Chunk:           f.job.Chunk(0),
+	i := current.job.Spec.Tasks - current.remainingTasks
+	current.remainingTasks--
+	current.job.Chunk(0).AddAttempt(&cluster.Attempt{
+		Job:             current.job,
+		Chunk:           current.job.Chunk(0),
 		Index:           i,
 		Number:          wire.AttemptNumber(i + 1),
 		Machine:         m,
@@ -130,8 +130,8 @@
 		RunningSince:    b.now,
 		ImageReadyAt:    b.now,
 	})
-	m.Images.RecordUse(f.job.Spec.Image, 1, 50, b.now)
-	return f
+	m.Images.RecordUse(current.job.Spec.Image, 1, 50, b.now)
+	return current
 }
 
 // heartbeatOf returns a machine's next heartbeat, with all that runs on it.
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -6,7 +6,7 @@
 type clusterCounts struct {
 	up, booting, idle   int // machines; idle ones are up and have no task
 	pendingJobs         int // jobs with tasks that wait to be started
-	tasks, active, done int
+	tasks, active, done int // all tasks, and those that are active and done
 }
 
 func (t *term) countCluster() clusterCounts {
--- a/internal/leader/subchunk_model_test.go
+++ b/internal/leader/subchunk_model_test.go
@@ -113,6 +113,7 @@
 func (m *subchunkModel) startTasks(n int, machine *cluster.Machine) {
 	var pending []int
 	m.j.ForEachPendingTask(n, func(c *cluster.Chunk, i int) { pending = append(pending, c.Index*m.j.TasksPerChunk+i) })
+	// The iteration has moved the job past these tasks. It goes back, so that they can start.
 	m.j.FirstPendingChunk = 0
 	for _, c := range m.j.Chunks {
 		if c != nil {
@@ -154,7 +155,7 @@
 		return
 	}
 	writer := m.tm.writer
-	writer.ValueLimitLowered = writer.ValueLimitLowered || m.limitLowered // a record was rejected alone
+	writer.ValueLimitLowered = writer.ValueLimitLowered || m.limitLowered // as after a single record was rejected
 	writer.SplitOversizedChunks()
 	for c := range m.tm.state.UnsavedChanges.Chunks {
 		if rapid.IntRange(0, 2).Draw(m.t, "writes") == 0 {
@@ -262,7 +263,7 @@
 	}
 	for key := range m.store.entries {
 		if strings.Count(key, "/") > 2 {
-			m.t.Fatalf("before the limits drop: got sub-chunk %s, want none", key)
+			m.t.Fatalf("before the limit drops: got sub-chunk %s, want none", key)
 		}
 	}
 }
--- a/internal/leader/subchunks_test.go
+++ b/internal/leader/subchunks_test.go
@@ -78,12 +78,12 @@
 // launches, routine writes, final records and deletions of orphans are still stored.
 func TestRejectedRecordDoesNotHoldUpOtherWrites(t *testing.T) {
 	withLoweredLimits(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
-		oversizedName := tm.state.GetOrAddMachine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
-		oversizedName.FirstHeartbeatAt = time.Now()
+		longNamedMachine := tm.state.GetOrAddMachine(wire.MachineID("n-" + strings.Repeat("9", 3000)))
+		longNamedMachine.FirstHeartbeatAt = time.Now()
 		rejectedProgress := addStoredArray(tm, st, "req-3", 4, 1)
 		rejectedLaunch := addStoredArray(tm, st, "req-4", 4, 1)
-		addActiveAttempts(tm, rejectedProgress, 0, 1, oversizedName)
-		tm.scheduler.StartTask(rejectedLaunch, oversizedName, time.Now())
+		addActiveAttempts(tm, rejectedProgress, 0, 1, longNamedMachine)
+		tm.scheduler.StartTask(rejectedLaunch, longNamedMachine, time.Now())
 		launch := addStoredArray(tm, st, "req-5", 2, 56)
 		routine := addStoredArray(tm, st, "req-6", 2, 56)
 		finished := addStoredArray(tm, st, "req-7", 1, 56)
--- a/internal/leader/version.go
+++ b/internal/leader/version.go
@@ -100,9 +100,9 @@
 	return names
 }
 
-// connectedIncarnation returns the incarnation of another controller's process, which has
-// to be connected now. It returns "" if none is, or if the process is of an old version
-// that does not send its incarnation.
+// connectedIncarnation returns the incarnation of another controller's process if that is
+// connected now. It returns "" otherwise, and for a process of an old version, which does not
+// send its incarnation.
 func (l *Leader) connectedIncarnation(node duty.NodeID) string {
 	controller := l.Mesh.View().Peers[node]
 	if !controller.Connected(time.Now()) {
--- a/internal/leader/view.go
+++ b/internal/leader/view.go
@@ -45,7 +45,7 @@
 }
 
 // viewRequested is an event: an operator requests the view.
-type viewRequested struct{ reply chan<- *View }
+type viewRequested struct{ response chan<- *View }
 
 // View returns the current term's view of the cluster, nil if this node does not lead.
 func (l *Leader) View(ctx context.Context) *View {
@@ -53,16 +53,16 @@
 	if t == nil {
 		return nil
 	}
-	reply := make(chan *View, 1)
+	response := make(chan *View, 1)
 	select {
-	case t.Events <- viewRequested{reply}:
+	case t.Events <- viewRequested{response}:
 	case <-t.Done:
 		return nil
 	case <-ctx.Done():
 		return nil
 	}
 	select {
-	case v := <-reply:
+	case v := <-response:
 		return v
 	case <-t.Done:
 	case <-ctx.Done():
--- a/internal/leader/write_test.go
+++ b/internal/leader/write_test.go
@@ -37,7 +37,7 @@
 		name string
 		fail func(*simulator.KVStore)
 	}{
-		{"executed, answer lost", func(st *simulator.KVStore) { st.LoseResponses(1) }},
+		{"executed, response lost", func(st *simulator.KVStore) { st.LoseResponses(1) }},
 		{"request lost", func(st *simulator.KVStore) { st.DropRequests(1) }},
 	}
 	for _, c := range cases {
@@ -108,9 +108,9 @@
 		j := addJob(tm, wire.JobSpec{ID: "req-2", Team: "red", Kind: wire.KindArray, Tasks: 40, CPUs: 1})
 		j.Revision = st.Put(store.JobKey("req-2"), store.JobRecord{Spec: j.Spec, Status: wire.StatusQueued})
 		tm.state.Settings.State.ValueKB = 0.5
-		longName := tm.state.GetOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
+		longNamedMachine := tm.state.GetOrAddMachine("n-a-very-long-name-of-a-machine-000000001")
 		for range 40 {
-			tm.scheduler.StartTask(j, longName, time.Now())
+			tm.scheduler.StartTask(j, longNamedMachine, time.Now())
 		}
 		runEvents()
 		active, pending, revision := j.ActiveTasks, j.PendingTasks(), j.Chunk(0).Revision
@@ -120,7 +120,7 @@
 	})
 }
 
-// The transaction that archives a job has room for only some deletions of its chunks. The
+// The transaction that archives a job can hold only some of the deletions of its chunks. The
 // other chunks are deleted only after that transaction is committed. If they are deleted
 // although it failed, because a user cancelled the job just then, the job is still live and
 // every later attempt to archive it fails at the missing chunks. All other writes in the same
@@ -164,7 +164,7 @@
 // after the job was archived. Such late events neither restore the job nor end the term.
 func TestLateEventsOfArchivedJobAreIgnored(t *testing.T) {
 	for _, watchFirst := range []bool{false, true} {
-		t.Run(fmt.Sprintf("watch before the read's answer %v", watchFirst), func(t *testing.T) {
+		t.Run(fmt.Sprintf("watch before the read's response %v", watchFirst), func(t *testing.T) {
 			withSimulatedStore(t, func(tm *term, m *cluster.Machine, st *simulator.KVStore, runEvents func()) {
 				j := tm.state.Jobs["req-1"]
 				record := store.JobRecord{Spec: j.Spec, Status: wire.StatusCancelled}
@@ -172,7 +172,7 @@
 				deletion := wire.WatchEvent{DeletedKey: store.JobKey("req-1"), Revision: put.Revision + 1}
 				if watchFirst {
 					// The record is read again because a guard failed. The watch shows the
-					// record's change before the read is answered, and its deletion too.
+					// record's change and then its deletion before the response to the read arrives.
 					st.DelayResponses("", time.Second)
 					tm.committer.Reread(j)
 					time.Sleep(20 * time.Millisecond)
@@ -180,7 +180,7 @@
 					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{put})
 					handleEvents(tm, 8)
 					if final := st.Keys(store.FinalKey("req-1")); len(final) != 1 {
-						t.Errorf("final records while the answer is in flight: got %v, want one", final)
+						t.Errorf("final records while the response is in flight: got %v, want one", final)
 					}
 					tm.records.ApplyJobRecordChanges([]wire.WatchEvent{deletion})
 				} else {
