--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -9,7 +9,7 @@
 	"lilaclead/internal/config"
 )
 
-// RequestClass determines how the rate budget treats a request that it has no room for.
+// RequestClass determines what happens to a request while the rate budget is used up.
 type RequestClass int
 
 // The classes of requests.
@@ -72,7 +72,7 @@
 	}
 }
 
-// wait blocks until the budget has room for a request and its writes, and charges them.
+// wait blocks until the budget allows a request and its writes, and charges them.
 func (b *budget) wait(ctx context.Context, writes int) error {
 	if err := b.requests.Wait(ctx); err != nil {
 		return err
@@ -83,10 +83,10 @@
 	return b.writes.WaitN(ctx, min(writes, b.writes.Burst()))
 }
 
-// allowUser reports whether the budget has room for a user's request now, and if so charges
-// it. A leader's own requests must not shut out the users that come to the same node, so
-// user writes have a budget of their own. User reads need none: they are few, since polls
-// share them.
+// allowUser reports whether the budget allows a user's request now, and if so charges it. A
+// request that writes is charged to userWrites alone: otherwise a leader's own requests would
+// use up the budget of the users that come to the same node. Reads share the node's budget of
+// requests: they are few, since polls share refreshes.
 func (b *budget) allowUser(writes int) bool {
 	if writes == 0 {
 		return b.requests.Allow()
--- a/internal/store/chunks.go
+++ b/internal/store/chunks.go
@@ -22,7 +22,7 @@
 	punctuationBytes = 10 // brackets, commas with a space, quotation marks
 )
 
-// ActiveAttempt is an attempt to run a task that may be on a machine.
+// ActiveAttempt is one attempt to run a task. The attempt may be on a machine.
 type ActiveAttempt struct {
 	_       struct{} `cbor:",toarray"`
 	Task    int      // index within the chunk or sub-chunk
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -30,8 +30,8 @@
 	lastSuccess atomic.Int64
 	lastFailure atomic.Int64
 
-	// Observe is called, for the metrics, after every request that was not refused before it
-	// was sent.
+	// Observe is called, for the metrics, after every request that the client sent or tried
+	// to send.
 	Observe func(op string, outcome string, duration time.Duration)
 }
 
@@ -50,7 +50,8 @@
 	// process's socket budget includes their sum.
 	requestConnections = 12
 	watchConnections   = 4
-	// maxResponseBytes bounds a response. It has room for a page of the largest values.
+	// maxResponseBytes bounds a response. A page of pageSize values fits if each has at most
+	// 16 KiB.
 	maxResponseBytes = 8 << 20
 )
 
@@ -68,7 +69,7 @@
 }
 
 // RemainingBudget returns how many requests, and how many writes of the node itself, the
-// budget has room for now. A negative number is a debt.
+// budget allows now. A negative number is a debt.
 func (c *Client) RemainingBudget() (requests, writes float64) {
 	return c.budget.requests.Tokens(), c.budget.writes.Tokens()
 }
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -13,12 +13,12 @@
 )
 
 // serve runs a server for requests to the key-value store until it is closed.
-func serve(t *testing.T, nw *simulator.Network, service http.Handler) *http.Server {
+func serve(t *testing.T, nw *simulator.Network, handler http.Handler) *http.Server {
 	l, err := nw.Host("10.2.0.1").Listen("tcp4", simulator.KVStoreAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: service}
+	srv := &http.Server{Handler: handler}
 	go srv.Serve(l) //nolint:errcheck // ends with Close
 	return srv
 }
@@ -29,7 +29,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		nw := simulator.NewNetwork(time.Millisecond)
-		env := &storeEnv{network: nw, state: simulator.NewKVStore(12, 16), client: newClient(nw)}
+		env := &storeEnv{network: nw, kvStore: simulator.NewKVStore(12, 16), client: newClient(nw)}
 		f(t, env)
 		nw.Close()
 		if env.server != nil {
@@ -43,12 +43,12 @@
 // storeEnv is a client with its key-value store and the network between them.
 type storeEnv struct {
 	network *simulator.Network
-	state   *simulator.KVStore
+	kvStore *simulator.KVStore
 	client  *store.Client
 	server  *http.Server
 }
 
-func (e *storeEnv) listen(t *testing.T) { e.server = serve(t, e.network, e.state) }
+func (e *storeEnv) listen(t *testing.T) { e.server = serve(t, e.network, e.kvStore) }
 
 // cut breaks or restores the link between the client and the key-value store.
 func (e *storeEnv) cut(isCut bool) { e.network.Cut("10.0.0.1", "10.2.0.1", isCut) }
@@ -57,7 +57,7 @@
 // outcome, and both from one that conflicts with the stored data.
 func TestRequestErrorIdentifiesOutcome(t *testing.T) {
 	withStore(t, func(t *testing.T, env *storeEnv) {
-		ctx, c, state := t.Context(), env.client, env.state
+		ctx, c, kvStore := t.Context(), env.client, env.kvStore
 		if _, err := c.Get(ctx, store.ClassBackground, "k"); !errors.Is(err, store.ErrRefused) {
 			t.Errorf("no listener: got %v, want %v", err, store.ErrRefused)
 		}
@@ -73,22 +73,22 @@
 		if _, err := c.Get(ctx, store.ClassBackground, "none"); !errors.Is(err, store.ErrNotFound) {
 			t.Errorf("no such key: got %v, want %v", err, store.ErrNotFound)
 		}
-		state.SetOutage(true)
+		kvStore.SetOutage(true)
 		if _, err := c.Commit(ctx, store.ClassBackground, put); !errors.Is(err, store.ErrRefused) || c.Reachable() {
 			t.Errorf("outage: got %v, reachable %v, want %v, false", err, c.Reachable(), store.ErrRefused)
 		}
-		state.SetOutage(false)
-		state.LoseResponses(1)
+		kvStore.SetOutage(false)
+		kvStore.LoseResponses(1)
 		if _, err := c.Commit(ctx, store.ClassBackground, wire.Txn{Writes: []wire.Write{{DeleteKey: "k"}}}); !errors.Is(err, store.ErrOutcomeUnknown) {
 			t.Errorf("response lost: got %v, want %v", err, store.ErrOutcomeUnknown)
 		}
-		if keys := state.Keys("k"); len(keys) != 0 {
+		if keys := kvStore.Keys("k"); len(keys) != 0 {
 			t.Errorf("deletion with the response lost: got keys %v, want none", keys)
 		}
 	})
 }
 
-// A user isn't kept waiting for a service that does not respond.
+// A user isn't kept waiting for a store that does not respond.
 func TestUserIsRefusedAtOnceInOutage(t *testing.T) {
 	withStore(t, func(t *testing.T, env *storeEnv) {
 		ctx, c := t.Context(), env.client
@@ -102,7 +102,7 @@
 		}
 		begin := time.Now()
 		if _, err := c.Get(ctx, store.ClassUser, "k"); !errors.Is(err, store.ErrRefused) || time.Since(begin) > 0 {
-			t.Errorf("service cut off: got %v after %v, want %v at once", err, time.Since(begin), store.ErrRefused)
+			t.Errorf("store cut off: got %v after %v, want %v at once", err, time.Since(begin), store.ErrRefused)
 		}
 		env.cut(false)
 		c.Get(ctx, store.ClassCritical, "k") //nolint:errcheck // shows the client that the store is back
@@ -144,15 +144,15 @@
 // with ErrCompacted, and the caller lists the keys page by page instead.
 func TestWatchWithOversizedResponseFailsAsCompacted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nw, state := simulator.NewNetwork(time.Millisecond), simulator.NewKVStore(12, 16)
+		nw, kvStore := simulator.NewNetwork(time.Millisecond), simulator.NewKVStore(12, 16)
 		c := newClient(nw)
-		stop, err := nw.ServeKVStore(state)
+		stop, err := nw.ServeKVStore(kvStore)
 		if err != nil {
 			t.Fatal(err)
 		}
-		state.Put("job/a", 1)
+		kvStore.Put("job/a", 1)
 		for range 600 {
-			state.Put("job/b", make([]byte, 15<<10))
+			kvStore.Put("job/b", make([]byte, 15<<10))
 		}
 		if _, err := c.Watch(t.Context(), "job/", 0, time.Second); !errors.Is(err, store.ErrCompacted) {
 			t.Errorf("9 MB of changes: got %v, want %v", err, store.ErrCompacted)
--- a/internal/store/count_test.go
+++ b/internal/store/count_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 		if done, active := CountTasks(entries); done != wantDone || active != wantActive {
-			t.Fatalf("got %d done, %d active, want %d, %d", done, active, wantDone, wantActive)
+			t.Fatalf("CountTasks: got %d done, %d active, want %d, %d", done, active, wantDone, wantActive)
 		}
 	})
 }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -13,8 +13,9 @@
 var (
 	// ErrNotFound means that the key or the lease does not exist.
 	ErrNotFound = errors.New("state: no such key or grant")
-	// ErrRefused means that the request was certainly not executed: the store answered
-	// 429 or 503, refused the connection, or this node's own budget had no room.
+	// ErrRefused means that the request was certainly not executed: the store responded
+	// with 429 or 503, no connection to it could be opened, or this node did not send the
+	// request, since its budget was used up or the store was in an outage.
 	ErrRefused = errors.New("state: refused")
 	// ErrRateLimited is an ErrRefused: the request was over the rate limit of the store
 	// or of this node's budget. It may succeed a moment later.
@@ -36,7 +37,7 @@
 	// Op is the operation by the name that the metrics use, such as "get" or "txn".
 	Op string
 	// Key is the object of the operation: a key, a prefix, the keys of a transaction, or a
-	// lease.
+	// lease. It is empty if a lease could not be created.
 	Key string
 	// Err is the cause and wraps one of the sentinel errors of this package.
 	Err error
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -132,7 +132,7 @@
 	return errors.Is(err, want)
 }
 
-// withResponse runs f in virtual time with a client of a service that always gives the same
+// withResponse runs f in virtual time with a client of a store that always gives the same
 // response.
 func withResponse(t *testing.T, response cannedResponse, f func(ctx context.Context, c *store.Client)) {
 	t.Helper()
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -36,8 +36,8 @@
 }
 
 const (
-	// refreshTimeout bounds one refresh, which may hang in an outage as an open watch
-	// does. A user must get a response within two seconds in all.
+	// refreshTimeout bounds one refresh, since the store may not respond in an outage. A
+	// user must get a response within two seconds in all.
 	refreshTimeout = 1200 * time.Millisecond
 	// refreshRateDivisor bounds the refreshes of all nodes together to a quarter of the
 	// store's rate limit.
@@ -47,7 +47,7 @@
 	refreshRequestBuffer = 64
 )
 
-// NewJobCache returns an empty cache for one of so many nodes. rps is the store's limit of
+// NewJobCache returns an empty cache for a node of a deployment of that many nodes. rps is the store's limit of
 // requests per second, which all nodes share.
 func NewJobCache(client *Client, cancelLog *cancels.Log, rps float64, nodes int) *JobCache {
 	refreshesPerSecond := max(1, rps/refreshRateDivisor) // of all nodes
@@ -160,8 +160,9 @@
 	return nil
 }
 
-// put adds the record of a job, unless the cache has a newer one: a list of several pages may
-// be newer than its revision, from which the next refresh reads the changes.
+// put adds the record of a job, unless the cache has a newer one. The later pages of a list may
+// have newer records than the list's revision, and the next refresh reads the changes from that
+// revision on, so it may return older records of the same jobs.
 func (c *JobCache) put(key string, value wire.RawValue, revision wire.Revision) {
 	id := wire.JobID(strings.TrimPrefix(key, JobPrefix))
 	record, err := DecodeJob(key, value)
--- a/internal/store/job_cache_test.go
+++ b/internal/store/job_cache_test.go
@@ -20,7 +20,7 @@
 // cacheEnv is a job cache with its key-value store and the network between them.
 type cacheEnv struct {
 	network *simulator.Network
-	state   *simulator.KVStore
+	kvStore *simulator.KVStore
 	client  *store.Client
 	cache   *store.JobCache
 }
@@ -30,8 +30,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		env := cacheEnv{network: simulator.NewNetwork(time.Millisecond), state: simulator.NewKVStore(12, 16)}
-		server := serve(t, env.network, env.state)
+		env := cacheEnv{network: simulator.NewNetwork(time.Millisecond), kvStore: simulator.NewKVStore(12, 16)}
+		server := serve(t, env.network, env.kvStore)
 		env.client = store.New(simulator.KVStoreAddr, config.StoreLimits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 12}, 1, env.network.Host("10.0.0.1"))
 		env.cache = store.NewJobCache(env.client, cancels.New(nil, time.Minute), rps, 1)
 		var running sync.WaitGroup
@@ -50,7 +50,7 @@
 // calls must share a refresh, and while the store is cut off a call must fail soon.
 func TestCacheIsNeverStale(t *testing.T) {
 	withCache(t, 40, func(ctx context.Context, t *testing.T, env cacheEnv) { // at most one refresh every tenth of a second
-		network, state, client, cache := env.network, env.state, env.client, env.cache
+		network, kvStore, client, cache := env.network, env.kvStore, env.client, env.cache
 		var requests sync.Map
 		client.Observe = func(string, string, time.Duration) {
 			requests.Store(time.Now().UnixNano()+int64(rand.Uint32()%1000), true)
@@ -63,10 +63,10 @@
 			switch _, live := model[id]; {
 			case !live:
 				model[id] = wire.StatusQueued
-				state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.StatusQueued})
+				kvStore.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.StatusQueued})
 			case rng.IntN(2) == 0:
 				model[id] = wire.StatusCancelled
-				state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.StatusCancelled})
+				kvStore.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: wire.StatusCancelled})
 			default:
 				delete(model, id)
 				if _, err := client.Commit(ctx, store.ClassCritical, wire.Txn{Writes: []wire.Write{{DeleteKey: store.JobKey(id)}}}); err != nil {
@@ -80,7 +80,7 @@
 			got, err := cache.Get(ctx, asked)
 			want, live := model[asked]
 			if live && (err != nil || got.Status != want) || !live && !errors.Is(err, store.ErrNotFound) {
-				t.Fatalf("%s: got %v %v, want %v, live %v", asked, got, err, want, live)
+				t.Fatalf("Get of %s: got %v %v, want %v, live %v", asked, got, err, want, live)
 			}
 		}
 
@@ -100,7 +100,7 @@
 		network.Cut("10.0.0.1", "10.2.0.1", true)
 		begin := time.Now()
 		if _, err := cache.Get(ctx, "req-1"); err == nil || errors.Is(err, store.ErrNotFound) || time.Since(begin) > 1500*time.Millisecond {
-			t.Errorf("service cut off: got %v after %v, want a refusal within 1.5s", err, time.Since(begin))
+			t.Errorf("store cut off: got %v after %v, want a refusal within 1.5s", err, time.Since(begin))
 		}
 	})
 }
@@ -109,21 +109,21 @@
 // changes meanwhile, the next refresh must see the change.
 func TestCacheSeesChangesMadeWhileItLists(t *testing.T) {
 	withCache(t, 1000, func(ctx context.Context, t *testing.T, env cacheEnv) {
-		state, cache := env.state, env.cache
+		kvStore, cache := env.kvStore, env.cache
 		put := func(id wire.JobID, status wire.Status) {
-			state.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: status})
+			kvStore.Put(store.JobKey(id), store.JobRecord{Spec: wire.JobSpec{ID: id, Tasks: 1}, Status: status})
 		}
 		for _, id := range []wire.JobID{"req-1", "req-2", "req-3", "req-4", "req-5"} {
 			put(id, wire.StatusQueued)
 		}
-		state.LimitHistory(0, 2)
+		kvStore.LimitHistory(0, 2)
 		pages := 0
-		state.DelayLists(func() time.Duration {
+		kvStore.DelayLists(func() time.Duration {
 			if pages++; pages == 1 {
 				put("req-1", wire.StatusCancelled) // on the first page, which was read already
 				put("req-3", wire.StatusCancelled) // on a later page
-				state.Delete(store.JobKey("req-2"))
-				state.Delete(store.JobKey("req-4"))
+				kvStore.Delete(store.JobKey("req-2"))
+				kvStore.Delete(store.JobKey("req-4"))
 				return 50 * time.Millisecond
 			}
 			return 0
@@ -140,14 +140,14 @@
 	})
 }
 
-// The simulated service keeps or drops all changes of one revision together. If one of them is
+// The simulated store keeps or drops all changes of one revision together. If one of them is
 // dropped, it must tell the cache to list the jobs: a cache that gets only the others takes a
 // job that has ended for a live one.
 func TestCacheListsJobsAfterCompaction(t *testing.T) {
 	withCache(t, 1000, func(ctx context.Context, t *testing.T, env cacheEnv) {
-		state, client, cache := env.state, env.client, env.cache
-		state.LimitHistory(2, 0)
-		state.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Tasks: 1}, Status: wire.StatusQueued})
+		kvStore, client, cache := env.kvStore, env.client, env.cache
+		kvStore.LimitHistory(2, 0)
+		kvStore.Put(store.JobKey("req-1"), store.JobRecord{Spec: wire.JobSpec{ID: "req-1", Tasks: 1}, Status: wire.StatusQueued})
 		if got, err := cache.Get(ctx, "req-1"); err != nil || got.Status != wire.StatusQueued {
 			t.Errorf("live job: got %v %v, want %q", got, err, wire.StatusQueued)
 		}
--- a/internal/store/records.go
+++ b/internal/store/records.go
@@ -51,8 +51,8 @@
 	return id, chunk, hasNumber && isNumber && id.Valid()
 }
 
-// SubchunkKey returns the key of a sub-chunk: a section of a chunk that has become too large
-// to be written again. The chunk's record stays as it is; for the tasks of a sub-chunk that
+// SubchunkKey returns the key of a sub-chunk: a section of a chunk whose record has become too
+// large to be written again. The chunk's record stays as it is; for the tasks of a sub-chunk that
 // has a record, that record counts instead. So each section is written by itself, in one
 // transaction.
 func SubchunkKey(id wire.JobID, chunk, subchunk int) string {
@@ -91,8 +91,9 @@
 // MaxSupportedVersion is the highest version of the behaviour that this program understands.
 const MaxSupportedVersion = 2
 
-// ErrRecordTooNew is returned for a record that only a later version understands. Such a record
-// is neither rewritten, which would lose what is not understood, nor answered 404.
+// ErrRecordTooNew is returned for a record that only a later version understands. Nodes must not
+// rewrite such a record, which would lose the fields that they don't understand, and must not
+// respond with 404 to a request for its job.
 var ErrRecordTooNew = errors.New("state: the record is of a later version")
 
 // ErrRecordMismatch is returned for a record that can be decoded, but is not a valid record of
--- a/internal/store/records_test.go
+++ b/internal/store/records_test.go
@@ -33,7 +33,7 @@
 			}
 		}
 		if CountRanges(ranges) != count {
-			t.Fatalf("got a count of %d, want %d", CountRanges(ranges), count)
+			t.Fatalf("CountRanges: got %d, want %d", CountRanges(ranges), count)
 		}
 	})
 }
@@ -43,7 +43,7 @@
 	flags := make([]bool, 4)
 	SetFlags([]int{-3, 2, 3, 900, 7}, flags)
 	if want := [4]bool{true, true, false, true}; [4]bool(flags) != want {
-		t.Fatalf("got flags %v, want %v", flags, want)
+		t.Fatalf("SetFlags: got flags %v, want %v", flags, want)
 	}
 }
 
@@ -67,7 +67,7 @@
 			record.Done = PackRanges(done)
 			var decoded ChunkRecord
 			if err := wire.Decode(wire.Encode(record), &decoded); err != nil || !reflect.DeepEqual(decoded, record) {
-				t.Fatalf("got %v, %v, want %v", decoded, err, record)
+				t.Fatalf("decoded chunk: got %v, %v, want %v", decoded, err, record)
 			}
 			attempts := [][]any{}
 			for _, attempt := range record.Active {
@@ -76,7 +76,7 @@
 			encoded, _ := json.Marshal(map[string]any{"n": record.NextAttempt, "d": record.Done, "r": attempts})
 			jsonSize := len(encoded) + bytes.Count(encoded, []byte(",")) + bytes.Count(encoded, []byte(":")) // a space after each
 			if jsonSize > int(valueKB*1024) || record.MaxJSONSize() < jsonSize {
-				t.Fatalf("got %d bytes, estimated as %d, want at most the estimate and at most %g KiB", jsonSize, record.MaxJSONSize(), valueKB)
+				t.Fatalf("chunk in JSON: got %d bytes, estimated as %d, want at most the estimate and at most %g KiB", jsonSize, record.MaxJSONSize(), valueKB)
 			}
 		})
 	}
@@ -87,10 +87,10 @@
 
 func TestParseChunkKeyReversesChunkKey(t *testing.T) {
 	if id, chunk, ok := ParseChunkKey(ChunkKey("req-7", 3)); id != "req-7" || chunk != 3 || !ok {
-		t.Fatalf("got %s %d %v, want req-7 3 true", id, chunk, ok)
+		t.Fatalf("ParseChunkKey: got %s %d %v, want req-7 3 true", id, chunk, ok)
 	}
 	if id, chunk, subchunk, ok := ParseSubchunkKey(SubchunkKey("req-7", 3, 5)); id != "req-7" || chunk != 3 || subchunk != 5 || !ok {
-		t.Fatalf("got %s %d %d %v, want req-7 3 5 true", id, chunk, subchunk, ok)
+		t.Fatalf("ParseSubchunkKey: got %s %d %d %v, want req-7 3 5 true", id, chunk, subchunk, ok)
 	}
 }
 
@@ -140,11 +140,11 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, err := DecodeJob("job/req-1", tc.value); !errors.Is(err, tc.want) {
-				t.Errorf("got error %v, want %v", err, tc.want)
+				t.Errorf("DecodeJob: got error %v, want %v", err, tc.want)
 			}
 		})
 	}
 	if _, err := DecodeJob("job/req-1", wire.RawValue{0xff}); err == nil {
-		t.Error("got no error for bytes that are no CBOR")
+		t.Error("DecodeJob: got no error for bytes that are no CBOR")
 	}
 }
--- a/internal/store/request.go
+++ b/internal/store/request.go
@@ -48,7 +48,7 @@
 	return fmt.Errorf("%w: status %d", ErrOutcomeUnknown, status)
 }
 
-// admit charges the request to the budget. If the budget has no room, the request waits, is
+// admit charges the request to the budget. If the budget is used up, the request waits, is
 // refused or is charged anyway, depending on its class.
 func (c *Client) admit(ctx context.Context, req *request) error {
 	switch req.class {
@@ -131,7 +131,8 @@
 	return status, nil
 }
 
-// transportFailure returns the cause of a failure for a request that got no response.
+// transportFailure returns the cause of a failure for a request that got no complete
+// response.
 func transportFailure(err error) error {
 	if wire.IsNotSent(err) {
 		return ErrRefused
