--- a/internal/cancels/cancels.go
+++ b/internal/cancels/cancels.go
@@ -41,7 +41,7 @@
 
 	mu            sync.Mutex
 	records       []record
-	firstNumber   uint64 // of records[0]
+	firstNumber   uint64 // of records[0], or of the next record if there is none
 	confirmedAt   map[wire.JobID]time.Time
 	completeSince time.Time // every cancellation added since then is in records
 	// watermark is the time before which every cancellation that any node confirmed is
--- a/internal/cancels/cancels_test.go
+++ b/internal/cancels/cancels_test.go
@@ -170,7 +170,7 @@
 		a, b, c := New([]wire.NodeID{"b", "c"}, modelCancelTime), New([]wire.NodeID{"a", "c"}, modelCancelTime), New([]wire.NodeID{"a", "b"}, modelCancelTime)
 		time.Sleep(time.Second)
 		a.RecordRead(time.Now())
-		var fromB, fromC uint64
+		var cursorB, cursorC uint64
 		update := func(from wire.NodeID, l *Log, cursor *uint64) {
 			var received Update
 			received, *cursor = l.UpdateSince(*cursor)
@@ -179,26 +179,26 @@
 		for range 30 {
 			time.Sleep(time.Second)
 			b.Add(wire.JobID(fmt.Sprint("req-", time.Now().Unix())), 0)
-			update("b", b, &fromB)
-			update("c", c, &fromC)
+			update("b", b, &cursorB)
+			update("c", c, &cursorC)
 		}
 		if ago := time.Since(a.Watermark()); ago > time.Second {
 			t.Errorf("updates of all peers: got a watermark of %v ago, want at most 1s", ago)
 		}
 		last := time.Now()
-		c, fromC = New([]wire.NodeID{"a", "b"}, modelCancelTime), 0
+		c, cursorC = New([]wire.NodeID{"a", "b"}, modelCancelTime), 0
 		for range 10 {
 			time.Sleep(time.Second)
-			update("b", b, &fromB)
-			update("c", c, &fromC)
+			update("b", b, &cursorB)
+			update("c", c, &cursorC)
 		}
 		if at := a.Watermark(); !at.Equal(last) {
 			t.Errorf("peer restarted: got a watermark %v after the last update of the peer's former process, want that update's time", at.Sub(last))
 		}
 		a.RecordRead(time.Now())
 		time.Sleep(time.Second)
-		update("b", b, &fromB)
-		update("c", c, &fromC)
+		update("b", b, &cursorB)
+		update("c", c, &cursorC)
 		if ago := time.Since(a.Watermark()); ago > time.Second {
 			t.Errorf("after a read: got a watermark of %v ago, want at most 1s", ago)
 		}
@@ -215,7 +215,7 @@
 			time.Sleep(time.Millisecond / 10)
 		}
 		if len(l.records) > maxRecords || len(l.confirmedAt) != len(l.records) {
-			t.Errorf("got %d records and %d times, want equal numbers of at most %d", len(l.records), len(l.confirmedAt), maxRecords)
+			t.Errorf("log over its bound: got %d records and %d times, want equal numbers of at most %d", len(l.records), len(l.confirmedAt), maxRecords)
 		}
 		update, cursor := l.UpdateSince(0)
 		if update.OwnSpan != 0 || len(update.Cancelled) != maxUpdateEntries {
@@ -225,7 +225,7 @@
 			update, cursor = l.UpdateSince(cursor)
 		}
 		if update.OwnSpan >= time.Since(l.records[0].addedAt)+time.Millisecond {
-			t.Errorf("got a span of %v, want less than the log's of %v", update.OwnSpan, time.Since(l.records[0].addedAt))
+			t.Errorf("last update of many: got a span of %v, want less than the log's of %v", update.OwnSpan, time.Since(l.records[0].addedAt))
 		}
 		time.Sleep(3 * modelCancelTime)
 		l.Add("req-x", 0)
