--- a/internal/cloud/call.go
+++ b/internal/cloud/call.go
@@ -48,13 +48,13 @@
 // whether it still wants the request.
 func (c *Client) do(ctx context.Context, call call) error {
 	begin := time.Now()
-	err := c.attempt(ctx, call)
+	err := c.exchange(ctx, call)
 	c.Observe(string(call.operation), outcomeOf(err), time.Since(begin))
 	return err
 }
 
-// attempt waits for the rate budget, checks the permit, sends the request and decodes the response.
-func (c *Client) attempt(ctx context.Context, call call) error {
+// exchange waits for the rate budget, checks the permit, sends the request and decodes the response.
+func (c *Client) exchange(ctx context.Context, call call) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.budget.Wait(ctx); err != nil {
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -51,7 +51,7 @@
 	observed []observedCall
 }
 
-// withCloud runs a test in virtual time against a cloud that answers with the handler. If the handler
+// withCloud runs a test in virtual time against a cloud that responds with the handler. If the handler
 // is nil, nothing listens at the cloud's address.
 func withCloud(t *testing.T, rps float64, handler http.HandlerFunc, test func(t *testing.T, f *fakeCloud)) {
 	t.Helper()
@@ -67,7 +67,7 @@
 	})
 }
 
-// serve answers requests with the handler until the returned function is called.
+// serve responds to requests with the handler until the returned function is called.
 func (f *fakeCloud) serve(t *testing.T, handler http.HandlerFunc) (stop func()) {
 	t.Helper()
 	listener, err := f.network.Host(cloudIP).Listen("tcp4", cloudAddr)
@@ -121,7 +121,7 @@
 	return routes
 }
 
-// respondWith answers every request with the status and the encoded body.
+// respondWith responds to every request with the status and the encoded body.
 func respondWith(status int, body any) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { wire.WriteResponse(w, status, body) }
 }
@@ -217,7 +217,7 @@
 func checkClass(t *testing.T, err, want error) {
 	t.Helper()
 	if (err == nil) != (want == nil) {
-		t.Errorf("error %v, want %v", err, want)
+		t.Errorf("call of the cloud: got error %v, want %v", err, want)
 	}
 	for _, sentinel := range sentinels {
 		if got := errors.Is(err, sentinel); got != (sentinel == want) {
@@ -377,7 +377,7 @@
 				_, err := f.client.ScaleOut(t.Context(), permit, wire.ScaleOutRequest{Name: "b-1", Count: 1})
 				wg.Wait()
 				if !errors.Is(err, tt.want) {
-					t.Errorf("error %v, want %v", err, tt.want)
+					t.Errorf("ScaleOut: got error %v, want %v", err, tt.want)
 				}
 				if got := f.routes(); len(got) != 1 {
 					t.Errorf("requests %q, want only the list", got)
@@ -477,7 +477,7 @@
 		got, err := f.client.MachineSpecs(t.Context())
 		checkClass(t, err, cloud.ErrOutcomeUnknown)
 		if len(got) != 0 {
-			t.Errorf("machine types %v, want none", got)
+			t.Errorf("MachineSpecs: got machine types %v, want none", got)
 		}
 	})
 }
@@ -526,7 +526,7 @@
 				got, err := f.client.ListMachines(t.Context())
 				checkClass(t, err, tt.err)
 				if len(got) != tt.want {
-					t.Errorf("%d machines, want %d", len(got), tt.want)
+					t.Errorf("ListMachines: got %d machines, want %d", len(got), tt.want)
 				}
 				for i, m := range got {
 					if want := fmt.Sprintf("n-%04d", i); string(m.Name) != want {
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -11,7 +11,8 @@
 // The classes of failed calls, for errors.Is. Their texts are also values of the "outcome" label of
 // the metrics.
 var (
-	// ErrNoCapacity means that the cloud currently has no machine of this type and price in this zone.
+	// ErrNoCapacity means that the cloud currently has no machine of the requested type and price in
+	// the requested zone.
 	ErrNoCapacity = errors.New("cloud: no capacity")
 	// ErrUnavailable means that the request was not executed: there were too many requests, or the
 	// API is down.
