--- a/internal/cancels/watermark.go
+++ b/internal/cancels/watermark.go
@@ -64,11 +64,11 @@
 }
 
 // raisePeerWatermark raises a peer's watermark to l.watermark, and further to sentAt if the
-// span that the peer stated of its own cancellations allows it. The peer stated the span after sentAt, so the span
-// covers what the peer confirmed from the span's start to sentAt. If everything from before
-// the start is known too, everything up to sentAt is. The span of a restarted peer is too
-// short for this: the peer has lost what its former process confirmed between its last
-// update and its end.
+// span that the peer stated of its own cancellations allows it. The peer stated the span after
+// sentAt, so the span covers what the peer confirmed from the span's start to sentAt. If
+// everything from before the start is known too, everything up to sentAt is. The span of a
+// restarted peer is too short for this: the peer has lost what its former process confirmed
+// between its last update and its end.
 func (l *Log) raisePeerWatermark(peer wire.NodeID, sentAt, now time.Time, span time.Duration) {
 	knownUntil, isPeer := l.peerWatermarks[peer]
 	if !isPeer {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -27,8 +27,8 @@
 	baseURL string
 	http    *http.Client
 	budget  *rate.Limiter
-	// Observe is called with the operation, outcome and duration of every call, for the metrics. It
-	// is set before the first call.
+	// Observe is called with the operation, outcome and duration of every call, for the metrics,
+	// except calls that are refused at once for lack of a permit. It is set before the first call.
 	Observe func(operation string, outcome string, duration time.Duration)
 }
 
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -15,7 +15,7 @@
 	ErrNotFound = errors.New("state: no such key or grant")
 	// ErrRefused means that the request was certainly not executed: the store responded
 	// with 429 or 503, no connection to it could be opened, or this node did not send the
-	// request, since its budget was used up or the store was in an outage.
+	// request, since its budget did not allow it in time or the store was in an outage.
 	ErrRefused = errors.New("state: refused")
 	// ErrRateLimited is an ErrRefused: the request was over the rate limit of the store
 	// or of this node's budget. It may succeed a moment later.
--- a/internal/store/job_cache.go
+++ b/internal/store/job_cache.go
@@ -47,8 +47,8 @@
 	refreshRequestBuffer = 64
 )
 
-// NewJobCache returns an empty cache for a node of a deployment of that many nodes. rps is the store's limit of
-// requests per second, which all nodes share.
+// NewJobCache returns an empty cache for one node of a deployment with the given number of
+// nodes. rps is the store's limit of requests per second, which all nodes share.
 func NewJobCache(client *Client, cancelLog *cancels.Log, rps float64, nodes int) *JobCache {
 	refreshesPerSecond := max(1, rps/refreshRateDivisor) // of all nodes
 	return &JobCache{
