--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -14,15 +14,15 @@
 // heartbeatReceived is another node's heartbeat.
 type heartbeatReceived struct {
 	heartbeat Heartbeat
-	// reply receives the response. It is buffered, so that the handler does not block if the stream
-	// has ended.
-	reply chan<- Heartbeat
+	// response receives the response to the heartbeat. It is buffered, so that the handler does not
+	// block if the stream has ended.
+	response chan<- Heartbeat
 }
 
 // responseReceived is another node's response to a heartbeat of this node.
 type responseReceived struct {
-	from   wire.NodeID
-	answer Heartbeat
+	from     wire.NodeID
+	response Heartbeat
 	// requestedAt is when the heartbeat was sent.
 	requestedAt time.Time
 }
@@ -34,20 +34,20 @@
 	p := current.peerInContact(from)
 	m.observeVersion(&e.heartbeat)
 	current.observeHeartbeat(&p, &e.heartbeat)
-	answer := m.newResponse(current.Token, e.heartbeat.Sequence)
-	if answer.Delegation > 0 {
+	response := m.newResponse(current.Token, e.heartbeat.Sequence)
+	if response.Delegation > 0 {
 		p.DelegationGrantedAt = time.Now()
 	}
 	current.Peers[from] = p
 	m.publish(current)
-	e.reply <- answer
+	e.response <- response
 }
 
 // handle applies the response to the view.
 func (e responseReceived) handle(m *Mesh, current *View) {
 	p := current.peerInContact(e.from)
-	m.observeVersion(&e.answer)
-	current.observeResponse(&p, &e.answer, e.requestedAt)
+	m.observeVersion(&e.response)
+	current.observeResponse(&p, &e.response, e.requestedAt)
 	current.Peers[e.from] = p
 	m.publish(current)
 }
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -49,8 +49,8 @@
 	cancels.Update
 }
 
-// Status is what a node states of itself in its heartbeats and answers. Fields without a comment are as
-// in Heartbeat.
+// Status is what a node states of itself in its heartbeats and responses. Fields without a comment are
+// as in Heartbeat.
 type Status struct {
 	Leads           bool
 	Delegation      wire.FencingToken
--- a/internal/peer/incoming.go
+++ b/internal/peer/incoming.go
@@ -17,9 +17,10 @@
 	senderHost string // the host that opened the stream
 	control    *http.ResponseController
 	heartbeats *cbor.Decoder
-	answers    *cbor.Encoder
-	// replies receives the response to the latest heartbeat from the goroutine that owns the view.
-	replies chan Heartbeat
+	responses  *cbor.Encoder
+	// pendingResponse receives the response to the latest heartbeat from the goroutine that owns the
+	// view.
+	pendingResponse chan Heartbeat
 	// cancelCursor is the position in the log of cancellations up to which they were sent on this
 	// stream.
 	cancelCursor uint64
@@ -28,12 +29,12 @@
 // ServeHTTP answers the heartbeats of another node's stream until it ends.
 func (m *Mesh) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := &incomingStream{
-		mesh:       m,
-		senderHost: undecodable.Sender(r),
-		control:    http.NewResponseController(w),
-		heartbeats: cbor.NewDecoder(r.Body),
-		answers:    cbor.NewEncoder(w),
-		replies:    make(chan Heartbeat, 1),
+		mesh:            m,
+		senderHost:      undecodable.Sender(r),
+		control:         http.NewResponseController(w),
+		heartbeats:      cbor.NewDecoder(r.Body),
+		responses:       cbor.NewEncoder(w),
+		pendingResponse: make(chan Heartbeat, 1),
 	}
 	w.WriteHeader(http.StatusOK)
 	if s.control.Flush() != nil {
@@ -49,11 +50,11 @@
 	if err != nil {
 		return err
 	}
-	answer, err := s.awaitResponse(ctx, heartbeat)
+	response, err := s.awaitResponse(ctx, heartbeat)
 	if err != nil {
 		return err
 	}
-	return s.sendResponse(answer)
+	return s.sendResponse(response)
 }
 
 // receiveHeartbeat returns the next heartbeat. One from an unknown node is an error.
@@ -73,29 +74,29 @@
 // awaitResponse passes a heartbeat to the goroutine that owns the view and returns its response.
 func (s *incomingStream) awaitResponse(ctx context.Context, heartbeat Heartbeat) (Heartbeat, error) {
 	select {
-	case s.mesh.events <- heartbeatReceived{heartbeat: heartbeat, reply: s.replies}:
+	case s.mesh.events <- heartbeatReceived{heartbeat: heartbeat, response: s.pendingResponse}:
 	case <-ctx.Done():
 		return Heartbeat{}, ctx.Err()
 	}
 	select {
-	case answer := <-s.replies:
-		return answer, nil
+	case response := <-s.pendingResponse:
+		return response, nil
 	case <-ctx.Done():
 		return Heartbeat{}, ctx.Err()
 	}
 }
 
 // sendResponse sends a response, with the cancellations that were not sent on this stream yet.
-func (s *incomingStream) sendResponse(answer Heartbeat) error {
-	answer.Update, s.cancelCursor = s.mesh.cancels.UpdateSince(s.cancelCursor)
-	if err := s.answers.Encode(answer); err != nil {
+func (s *incomingStream) sendResponse(response Heartbeat) error {
+	response.Update, s.cancelCursor = s.mesh.cancels.UpdateSince(s.cancelCursor)
+	if err := s.responses.Encode(response); err != nil {
 		return err
 	}
 	return s.control.Flush()
 }
 
-// logUndecodable logs the error of a message that arrived completely and can't be decoded. It does not
-// log one of a message that was cut short. In both cases only this stream ends and is reopened.
+// logUndecodable logs the error of a message that arrived completely and can't be decoded. It ignores
+// the error of a message that was cut short. In both cases only this stream ends, and it is reopened.
 func (m *Mesh) logUndecodable(message string, err error) {
 	var wrongType *cbor.UnmarshalTypeError
 	var malformed *cbor.SyntaxError
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -7,9 +7,10 @@
 // Mesh owns the streams. View is what a node knows of the other nodes. Election and leases, which are
 // built on View, are in package leader.
 //
-// Run owns the goroutines of the streams that this node opens, and returns when they have ended. One per
-// peer opens the stream and receives the responses, and one per open stream sends the heartbeats. The
-// receiving end of a stream is a request to the node's HTTP server, which owns its goroutine.
+// Run owns the goroutines of the streams that this node opens, and returns when they have ended. One
+// goroutine per peer opens the stream and receives the responses, and one per open stream sends the
+// heartbeats. The receiving end of a stream is a request to the node's HTTP server, which owns its
+// goroutine.
 package peer
 
 import (
@@ -31,7 +32,8 @@
 	// eventBufferSize is the number of events that streams can pass on without waiting for the
 	// goroutine that owns the view.
 	eventBufferSize = 16
-	// tokenBufferSize is the same for callers of ObserveToken, in tokens.
+	// tokenBufferSize is the number of tokens that callers of ObserveToken can pass on without waiting
+	// for that goroutine.
 	tokenBufferSize = 4
 )
 
@@ -142,7 +144,7 @@
 // one that this node knows.
 func (m *Mesh) newResponse(token wire.FencingToken, sequence uint64) Heartbeat {
 	status := m.status()
-	answer := Heartbeat{
+	response := Heartbeat{
 		From:          m.name,
 		Sequence:      sequence,
 		Incarnation:   status.Incarnation,
@@ -151,13 +153,13 @@
 		Uptime:        max(1, time.Since(m.startedAt)),
 	}
 	if m.mayAcknowledge(&status) {
-		answer.Token = token
+		response.Token = token
 	}
 	if status.Delegation > 0 && status.Delegation == token {
-		answer.Delegation = status.Delegation
-		answer.InFlightLaunchCancelAge = status.inFlightLaunchCancelAge()
+		response.Delegation = status.Delegation
+		response.InFlightLaunchCancelAge = status.inFlightLaunchCancelAge()
 	}
-	return answer
+	return response
 }
 
 // mayAcknowledge reports whether this node may acknowledge tokens. It may not if its status refuses
--- a/internal/peer/mesh_test.go
+++ b/internal/peer/mesh_test.go
@@ -130,7 +130,7 @@
 	return p.a.View().AckedUntil(token, 2).After(time.Now())
 }
 
-// Heartbeats and answers spread tokens, acknowledgements, status and cancellations.
+// Heartbeats and responses spread tokens, acknowledgements, status and cancellations.
 func TestHeartbeatsSpreadTokensAndStatus(t *testing.T) {
 	tests := []struct {
 		name string
@@ -282,7 +282,7 @@
 
 // The active version is learnt from heartbeats and from responses. Without negotiation, neither states
 // one.
-func TestVersionIsLearntFromHeartbeatsAndAnswers(t *testing.T) {
+func TestVersionIsLearntFromHeartbeatsAndResponses(t *testing.T) {
 	tests := []struct {
 		name    string
 		message Heartbeat
@@ -354,7 +354,7 @@
 		p := config.Peer{HostName: "b", Addr: ipB + port}
 		m := New("a", []config.Peer{p}, func() Status { return Status{} }, cancels.New(nil, time.Minute), network.Host(ipA), discardLog())
 		if err := m.runStream(t.Context(), p); !errors.Is(err, errStreamRefused) {
-			t.Errorf("error %v, want %v", err, errStreamRefused)
+			t.Errorf("runStream: error %v, want %v", err, errStreamRefused)
 		}
 		if running := streamGoroutines(); running > 0 {
 			t.Errorf("%d goroutines of the stream still run after runStream, want 0", running)
@@ -427,9 +427,9 @@
 					t.Fatal(err)
 				}
 				defer resp.Body.Close()
-				answer, err := io.ReadAll(resp.Body)
-				if err != nil || len(answer) > 0 {
-					t.Errorf("answer %x, error %v, want the end of the stream", answer, err)
+				received, err := io.ReadAll(resp.Body)
+				if err != nil || len(received) > 0 {
+					t.Errorf("response body %x, error %v, want the end of the stream", received, err)
 				}
 				logs := p.logs.String()
 				if tt.wantLog == "" && strings.Contains(logs, "level=ERROR") {
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -19,9 +19,9 @@
 
 // Errors that end a stream, besides those of its connection and its context.
 var (
-	errTooManyUnanswered = errors.New("too many heartbeats without an answer")
-	errUnexpectedAnswer  = errors.New("answer without an outstanding heartbeat")
-	errStreamRefused     = errors.New("peer refused the stream")
+	errTooManyUnanswered  = errors.New("too many heartbeats without a response")
+	errUnexpectedResponse = errors.New("response without an outstanding heartbeat")
+	errStreamRefused      = errors.New("peer refused the stream")
 )
 
 // keepStream keeps a stream to a peer open until the context ends. It reopens a stream that has ended.
@@ -42,7 +42,7 @@
 type outgoingStream struct {
 	mesh *Mesh
 	peer config.Peer
-	// sentAt holds the times at which the unanswered heartbeats were sent, the oldest first. Answers
+	// sentAt holds the times at which the unanswered heartbeats were sent, the oldest first. Responses
 	// arrive in the order of their heartbeats.
 	sentAt chan time.Time
 	// watchdog ends the stream if no response arrives for streamIdleTimeout. It detects hangs that
@@ -50,8 +50,8 @@
 	watchdog *time.Timer
 }
 
-// runStream opens a stream to a peer, sends heartbeats and receives their responses until either
-// fails. It returns after the goroutine that sends the heartbeats has ended.
+// runStream opens a stream to a peer, sends heartbeats and receives their responses until one of the
+// two fails. It returns after the goroutine that sends the heartbeats has ended.
 func (m *Mesh) runStream(ctx context.Context, p config.Peer) error {
 	var sender sync.WaitGroup
 	defer sender.Wait() // runs last: the calls deferred below end the sender
@@ -105,17 +105,17 @@
 	}
 }
 
-// receiveResponses reads responses and delivers them to the view until either fails.
+// receiveResponses reads responses and delivers each to the view, until a read or a delivery fails.
 func (s *outgoingStream) receiveResponses(ctx context.Context, body io.Reader) error {
 	decoder := cbor.NewDecoder(body)
 	for {
-		var answer Heartbeat
-		if err := decoder.Decode(&answer); err != nil {
+		var response Heartbeat
+		if err := decoder.Decode(&response); err != nil {
 			s.mesh.logUndecodable("an answer to a heartbeat from "+string(s.peer.HostName), err)
 			return err
 		}
 		s.watchdog.Reset(streamIdleTimeout)
-		if err := s.deliverResponse(ctx, answer); err != nil {
+		if err := s.deliverResponse(ctx, response); err != nil {
 			return err
 		}
 	}
@@ -123,16 +123,16 @@
 
 // deliverResponse merges the cancellations of a response and passes the response to the goroutine that
 // owns the view. The response belongs to the oldest unanswered heartbeat.
-func (s *outgoingStream) deliverResponse(ctx context.Context, answer Heartbeat) error {
+func (s *outgoingStream) deliverResponse(ctx context.Context, response Heartbeat) error {
 	var requestedAt time.Time
 	select {
 	case requestedAt = <-s.sentAt:
 	default:
-		return errUnexpectedAnswer
+		return errUnexpectedResponse
 	}
-	s.mesh.cancels.MergeUpdate(s.peer.HostName, requestedAt, &answer.Update)
+	s.mesh.cancels.MergeUpdate(s.peer.HostName, requestedAt, &response.Update)
 	select {
-	case s.mesh.events <- responseReceived{from: s.peer.HostName, answer: answer, requestedAt: requestedAt}:
+	case s.mesh.events <- responseReceived{from: s.peer.HostName, response: response, requestedAt: requestedAt}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/peer/renewal.go
+++ b/internal/peer/renewal.go
@@ -3,8 +3,8 @@
 import "time"
 
 // RecordRenewal records that this node is about to renew an agent's lease as a delegate. It is called
-// before the node checks whether it may renew. A response that does not state the renewal was then
-// made before the check, so the check sees the heartbeat that was answered.
+// before the node checks whether it may renew, so that if the response to a heartbeat does not state
+// the renewal, the check sees that heartbeat.
 func (m *Mesh) RecordRenewal() {
 	m.uptimeAtRenewal.Store(max(1, int64(time.Since(m.startedAt))))
 }
--- a/internal/peer/timing.go
+++ b/internal/peer/timing.go
@@ -34,8 +34,8 @@
 	// closed. It only bounds the memory for them: sending so many takes longer than streamIdleTimeout,
 	// so the watchdog usually closes the stream first.
 	maxUnansweredHeartbeats = 32
-	// relayTimeout bounds a relayed request. A node that has been silent for so long no longer counts as
-	// connected.
+	// relayTimeout bounds a relayed request. A node that has not been in contact for so long no
+	// longer counts as connected.
 	relayTimeout = AckLifetime
 	// pingTimeout is how long an HTTP/2 connection may receive no frame before a ping is sent, and how
 	// long the response to the ping may take.
--- a/internal/peer/timing_test.go
+++ b/internal/peer/timing_test.go
@@ -17,7 +17,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if !tt.holds {
-				t.Errorf("AckLifetime %v, OutageLimit %v, heartbeatPeriod %v, streamIdleTimeout %v, maxUnansweredHeartbeats %d",
+				t.Errorf("rule violated by AckLifetime %v, OutageLimit %v, heartbeatPeriod %v, streamIdleTimeout %v, maxUnansweredHeartbeats %d",
 					AckLifetime, OutageLimit, heartbeatPeriod, streamIdleTimeout, maxUnansweredHeartbeats)
 			}
 		})
--- a/internal/peer/view.go
+++ b/internal/peer/view.go
@@ -20,7 +20,7 @@
 	// LeaderSeenAt is when this node last received a heartbeat or a delegation of a leader with the
 	// highest token.
 	LeaderSeenAt time.Time
-	// Delegation is the newest delegation that this node has received.
+	// Delegation is the delegation that this node received last.
 	Delegation Delegation
 }
 
@@ -79,7 +79,7 @@
 	return expiries[otherAcksNeeded-1]
 }
 
-// ackExpiries returns the end of validity of each peer's acknowledgement of the token.
+// ackExpiries returns when the acknowledgement of each peer that has acknowledged the token expires.
 func (v *View) ackExpiries(token wire.FencingToken) []time.Time {
 	var expiries []time.Time
 	for _, p := range v.Peers {
@@ -117,29 +117,29 @@
 }
 
 // observeResponse records another node's response to the heartbeat that was sent at requestedAt.
-func (v *View) observeResponse(p *Peer, answer *Heartbeat, requestedAt time.Time) {
-	p.updateFromResponse(answer, requestedAt)
+func (v *View) observeResponse(p *Peer, response *Heartbeat, requestedAt time.Time) {
+	p.updateFromResponse(response, requestedAt)
 	// Empty values are recorded too: the node may now run a program that does not negotiate versions.
-	p.Incarnation, p.ActiveVersion = answer.Incarnation, answer.ActiveVersion
-	v.observeToken(answer.Token)
-	if answer.Delegation > 0 && answer.Delegation == v.Token {
-		v.Delegation = Delegation{Token: answer.Delegation, RequestedAt: requestedAt.Add(-max(0, answer.InFlightLaunchCancelAge))}
+	p.Incarnation, p.ActiveVersion = response.Incarnation, response.ActiveVersion
+	v.observeToken(response.Token)
+	if response.Delegation > 0 && response.Delegation == v.Token {
+		v.Delegation = Delegation{Token: response.Delegation, RequestedAt: requestedAt.Add(-max(0, response.InFlightLaunchCancelAge))}
 		v.LeaderSeenAt = p.LastContact
 	}
 }
 
 // updateFromResponse records what a response says of the other node. It ignores the response if a newer
 // heartbeat is already answered: responses on an earlier stream may arrive after those on a newer one.
-func (p *Peer) updateFromResponse(answer *Heartbeat, requestedAt time.Time) {
+func (p *Peer) updateFromResponse(response *Heartbeat, requestedAt time.Time) {
 	if !requestedAt.After(p.AckRequestedAt) {
 		return
 	}
-	p.AckRequestedAt, p.AckToken = requestedAt, answer.Token
-	if answer.SinceRenewal > 0 {
-		p.LastDelegatedRenewal = p.LastContact.Add(-answer.SinceRenewal)
+	p.AckRequestedAt, p.AckToken = requestedAt, response.Token
+	if response.SinceRenewal > 0 {
+		p.LastDelegatedRenewal = p.LastContact.Add(-response.SinceRenewal)
 	}
-	if answer.Uptime > 0 {
-		p.LatestProcessStart = p.LastContact.Add(-answer.Uptime)
+	if response.Uptime > 0 {
+		p.LatestProcessStart = p.LastContact.Add(-response.Uptime)
 	}
 }
 
--- a/internal/peer/view_test.go
+++ b/internal/peer/view_test.go
@@ -103,39 +103,39 @@
 
 // An acknowledgement or delegation counts from when the answered heartbeat was sent. The ages that a
 // response states count from its arrival.
-func TestObserveAnswerTimesAcksFromRequestAndAgesFromArrival(t *testing.T) {
+func TestObserveResponseTimesAcksFromRequestAndAgesFromArrival(t *testing.T) {
 	known := Peer{AckRequestedAt: at(3), AckToken: 7, LastDelegatedRenewal: at(1), LatestProcessStart: at(0), LastContact: at(10)}
 	tests := []struct {
 		name           string
-		answer         Heartbeat
+		response       Heartbeat
 		requestedAt    time.Time
 		want           Peer
 		wantToken      wire.FencingToken
 		wantDelegation Delegation
 	}{
-		{name: "acknowledgement of the known token", answer: Heartbeat{Token: 7}, requestedAt: at(9),
+		{name: "acknowledgement of the known token", response: Heartbeat{Token: 7}, requestedAt: at(9),
 			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestProcessStart: at(0)}, wantToken: 7},
-		{name: "no acknowledgement", answer: Heartbeat{}, requestedAt: at(9),
+		{name: "no acknowledgement", response: Heartbeat{}, requestedAt: at(9),
 			want: Peer{AckRequestedAt: at(9), LastDelegatedRenewal: at(1), LatestProcessStart: at(0)}, wantToken: 7},
-		{name: "acknowledgement of a higher token", answer: Heartbeat{Token: 8}, requestedAt: at(9),
+		{name: "acknowledgement of a higher token", response: Heartbeat{Token: 8}, requestedAt: at(9),
 			want: Peer{AckRequestedAt: at(9), AckToken: 8, LastDelegatedRenewal: at(1), LatestProcessStart: at(0)}, wantToken: 8},
-		{name: "renewal and uptime are ages", answer: Heartbeat{Token: 7, SinceRenewal: 2 * time.Second, Uptime: 6 * time.Second}, requestedAt: at(9),
+		{name: "renewal and uptime are ages", response: Heartbeat{Token: 7, SinceRenewal: 2 * time.Second, Uptime: 6 * time.Second}, requestedAt: at(9),
 			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(8), LatestProcessStart: at(4)}, wantToken: 7},
-		{name: "late answer on an earlier stream", answer: Heartbeat{Token: 6, SinceRenewal: 2 * time.Second, Uptime: 6 * time.Second}, requestedAt: at(2),
+		{name: "late response on an earlier stream", response: Heartbeat{Token: 6, SinceRenewal: 2 * time.Second, Uptime: 6 * time.Second}, requestedAt: at(2),
 			want: known, wantToken: 7},
-		{name: "delegation", answer: Heartbeat{Token: 7, Delegation: 7}, requestedAt: at(9),
+		{name: "delegation", response: Heartbeat{Token: 7, Delegation: 7}, requestedAt: at(9),
 			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestProcessStart: at(0)}, wantToken: 7, wantDelegation: Delegation{7, at(9)}},
-		{name: "delegation counts from the oldest unconfirmed cancellation", requestedAt: at(9),
-			answer: Heartbeat{Token: 7, Delegation: 7, InFlightLaunchCancelAge: 4 * time.Second},
-			want:   Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestProcessStart: at(0)}, wantToken: 7, wantDelegation: Delegation{7, at(5)}},
-		{name: "delegation under a lower token", answer: Heartbeat{Token: 7, Delegation: 6}, requestedAt: at(9),
+		{name: "delegation counts from the oldest cancellation with a launch in flight", requestedAt: at(9),
+			response: Heartbeat{Token: 7, Delegation: 7, InFlightLaunchCancelAge: 4 * time.Second},
+			want:     Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestProcessStart: at(0)}, wantToken: 7, wantDelegation: Delegation{7, at(5)}},
+		{name: "delegation under a lower token", response: Heartbeat{Token: 7, Delegation: 6}, requestedAt: at(9),
 			want: Peer{AckRequestedAt: at(9), AckToken: 7, LastDelegatedRenewal: at(1), LatestProcessStart: at(0)}, wantToken: 7},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			view := &View{Token: 7}
 			p := known
-			view.observeResponse(&p, &tt.answer, tt.requestedAt)
+			view.observeResponse(&p, &tt.response, tt.requestedAt)
 			if !p.AckRequestedAt.Equal(tt.want.AckRequestedAt) || p.AckToken != tt.want.AckToken {
 				t.Errorf("acknowledged token %d, requested at %v, want %d at %v", p.AckToken, p.AckRequestedAt, tt.want.AckToken, tt.want.AckRequestedAt)
 			}
