--- a/internal/netio/bounded_test.go
+++ b/internal/netio/bounded_test.go
@@ -78,7 +78,7 @@
 			begin := time.Now()
 			_, err := d.dial(openAddr)
 			if err == nil || !wire.IsNotSent(err) {
-				t.Errorf("error %v, want one for which IsNotSent is true", err)
+				t.Errorf("dial at the limit: error %v, want one for which IsNotSent is true", err)
 			}
 			if waited := time.Since(begin); waited != dialTimeout {
 				t.Errorf("dial failed after %v, want %v", waited, dialTimeout)
@@ -107,7 +107,7 @@
 				_, err := d.dial(openIP + ":2")
 				var refused *net.OpError
 				if !errors.As(err, &refused) || time.Since(begin) >= dialTimeout {
-					t.Errorf("error %v after %v, want a refusal without a wait", err, time.Since(begin))
+					t.Errorf("dial of a closed port: error %v after %v, want a refusal without a wait", err, time.Since(begin))
 				}
 			}
 		}},
--- a/internal/netio/http_test.go
+++ b/internal/netio/http_test.go
@@ -67,7 +67,7 @@
 				client := &http.Client{Transport: network.Transport(1, 1)}
 				status, response, header, err := netio.Call(t.Context(), client, http.MethodPost, "http://"+openAddr+"/", tt.body, tt.maxResponse)
 				if !errors.Is(err, tt.wantErr) {
-					t.Fatalf("error %v, want %v", err, tt.wantErr)
+					t.Fatalf("Call: error %v, want %v", err, tt.wantErr)
 				}
 				if status != http.StatusTeapot || header.Get("Retry-After") != "7" {
 					t.Errorf("status %d, header %v, want 418 with Retry-After", status, header)
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		if err := call(); err == nil || wire.IsNotSent(err) {
-			t.Errorf("error %v, want one for which IsNotSent is false", err)
+			t.Errorf("second Call: error %v, want one for which IsNotSent is false", err)
 		}
 		if received != 2 {
 			t.Errorf("%d requests received from 2 calls, want 2", received)
@@ -135,7 +135,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), responseTime/2)
 		defer cancel()
 		if _, _, _, err := netio.Call(ctx, client, http.MethodGet, "http://"+openAddr+"/", nil, 100); !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("error %v, want %v", err, context.DeadlineExceeded)
+			t.Errorf("Call whose context ends: error %v, want %v", err, context.DeadlineExceeded)
 		}
 	})
 }
@@ -144,6 +144,6 @@
 func TestCallWithMalformedURL(t *testing.T) {
 	status, _, _, err := netio.Call(t.Context(), http.DefaultClient, http.MethodGet, "http://%zz/", nil, 100)
 	if err == nil || status != 0 {
-		t.Errorf("status %d, error %v, want an error", status, err)
+		t.Errorf("Call with a malformed URL: status %d, error %v, want status 0 and an error", status, err)
 	}
 }
--- a/internal/undecodable/undecodable.go
+++ b/internal/undecodable/undecodable.go
@@ -1,5 +1,6 @@
 // Package undecodable logs records and messages that can't be decoded. It logs each source only
-// once, since the same record or sender is read again and again and would fill the log.
+// once: the same record is read repeatedly, and the same sender may send many such messages, which
+// would fill the log.
 package undecodable
 
 import (
--- a/internal/undecodable/undecodable_test.go
+++ b/internal/undecodable/undecodable_test.go
@@ -63,7 +63,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := Sender(&http.Request{RemoteAddr: tc.remoteAddr}); got != tc.want {
-				t.Errorf("%s: got %q, want %q", tc.remoteAddr, got, tc.want)
+				t.Errorf("sender of a request from %s: got %q, want %q", tc.remoteAddr, got, tc.want)
 			}
 		})
 	}
