--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -13,8 +13,8 @@
 )
 
 // maxCancelTries bounds how often a cancellation is tried. It is tried again if the job's
-// record changed between its read and its write. The record of a live job changes only
-// once, when the job ends.
+// record changed between its read and its write, or is too large. The record of a live job
+// changes only when the job is cancelled or ends.
 const maxCancelTries = 4
 
 var (
--- a/internal/intake/commit.go
+++ b/internal/intake/commit.go
@@ -10,9 +10,9 @@
 	"lilaclead/internal/wire"
 )
 
-// minRetryDelay and maxRetryDelay are the first and the last delay before a transaction is
-// retried that was refused only because of the rate limit. The delays double, and jitter
-// adds up to a half to each; all together take 350 to 525 ms.
+// A transaction that was refused only because of the rate limit is retried after delays
+// that double from minRetryDelay to maxRetryDelay. Jitter adds up to a half to each delay.
+// All delays together take 350 to 525 ms.
 const (
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 200 * time.Millisecond
--- a/internal/intake/doc.go
+++ b/internal/intake/doc.go
@@ -29,7 +29,7 @@
 //     created by a compare-and-swap which requires that neither a live nor a final
 //     record exists. So at most one of all repetitions creates the job (201), and
 //     the others get the job's status (200). If the outcome of the transaction is
-//     unknown, the response is 503, and the repetition finds out. An accepted job
+//     unknown, the response is 503, and a repetition gets the outcome. An accepted job
 //     stays accepted: a repetition is not rejected because team limits, machine types
 //     or the limit on the size of a record have changed since.
 //   - A cancellation replaces the record that it has read by a compare-and-swap on
--- a/internal/intake/feasibility.go
+++ b/internal/intake/feasibility.go
@@ -95,7 +95,8 @@
 // shrinkToFit drops fields that a cancelled job doesn't need, if its record is too large
 // for the store or mustShrink is set. A record that barely fits as queued may be too large
 // as cancelled, and it may have been stored under a higher limit. No task of a cancelled
-// job is placed any more, so its list of machine types goes first.
+// job is placed any more, so its list of machine types is dropped
+// first.
 func (f *feasibility) shrinkToFit(rec *store.JobRecord, mustShrink bool) {
 	if !mustShrink && f.recordFits(rec) {
 		return
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Run maintains the cache of live jobs, which polls are answered from, until the
+// Run maintains the cache of live jobs, from which polls are answered, until the
 // context ends.
 func (in *Intake) Run(ctx context.Context) { in.jobs.Run(ctx) }
 
--- a/internal/intake/task_counts.go
+++ b/internal/intake/task_counts.go
@@ -24,7 +24,7 @@
 	maxTaskCounts = 8192
 )
 
-// taskCount is how many tasks of a job were done and running when they were read.
+// taskCount is how many tasks of a job were done and running at readAt.
 type taskCount struct {
 	done, running int
 	readAt        time.Time
@@ -40,8 +40,8 @@
 	byJob map[wire.JobID]taskCount
 }
 
-// newTaskCounts returns an empty taskCounts for one of the given number of nodes, which
-// share the store's limit of storeRPS requests per second.
+// newTaskCounts returns an empty taskCounts. The number of nodes is how many share the
+// store's limit of storeRPS requests per second.
 func newTaskCounts(client *store.Client, storeRPS float64, nodes int) *taskCounts {
 	limit := max(minTaskCountRPS, storeRPS*taskCountRateShare/float64(max(1, nodes)))
 	return &taskCounts{
@@ -51,8 +51,8 @@
 	}
 }
 
-// get returns the last count of a job and whether it is still fresh, so that it need not
-// be read again yet.
+// get returns the last count of a job and whether it is fresh, which means read less than
+// taskCountLifetime ago.
 func (c *taskCounts) get(id wire.JobID) (last taskCount, fresh bool) {
 	c.mu.Lock()
 	last, known := c.byJob[id]
@@ -70,9 +70,9 @@
 	c.byJob[id] = count
 }
 
-// getOrRead returns the task count of a job. It reads the count from the store, unless the
-// last one is fresh, the rate limit allows no read now, or the read fails. It then returns
-// the last count, which is zero if there is none.
+// getOrRead returns the task count of a job as read from the store. If the last count is
+// fresh, the rate limit allows no read now, or the read fails, it returns the last count
+// instead, which is zero if there is none.
 func (c *taskCounts) getOrRead(ctx context.Context, id wire.JobID) taskCount {
 	last, fresh := c.get(id)
 	if fresh || !c.readLimiter.Allow() {
--- a/internal/intake/task_counts_test.go
+++ b/internal/intake/task_counts_test.go
@@ -13,15 +13,15 @@
 	if count, fresh := counts.get("req-1"); fresh || count != (taskCount{}) {
 		t.Errorf("before any read: got %+v, fresh %t, want nothing", count, fresh)
 	}
-	young := taskCount{done: 1, running: 2, readAt: time.Now()}
-	counts.put("req-1", young)
-	if count, fresh := counts.get("req-1"); !fresh || count != young {
-		t.Errorf("just read: got %+v, fresh %t, want %+v, fresh", count, fresh, young)
+	justRead := taskCount{done: 1, running: 2, readAt: time.Now()}
+	counts.put("req-1", justRead)
+	if count, fresh := counts.get("req-1"); !fresh || count != justRead {
+		t.Errorf("just read: got %+v, fresh %t, want %+v, fresh", count, fresh, justRead)
 	}
-	old := taskCount{done: 1, readAt: time.Now().Add(-taskCountLifetime)}
-	counts.put("req-1", old)
-	if count, fresh := counts.get("req-1"); fresh || count != old {
-		t.Errorf("read long ago: got %+v, fresh %t, want %+v, not fresh", count, fresh, old)
+	readEarlier := taskCount{done: 1, readAt: time.Now().Add(-taskCountLifetime)}
+	counts.put("req-1", readEarlier)
+	if count, fresh := counts.get("req-1"); fresh || count != readEarlier {
+		t.Errorf("read long ago: got %+v, fresh %t, want %+v, not fresh", count, fresh, readEarlier)
 	}
 }
 
