--- a/internal/peer/event.go
+++ b/internal/peer/event.go
@@ -14,9 +14,9 @@
 // heartbeatReceived is another node's heartbeat.
 type heartbeatReceived struct {
 	heartbeat Heartbeat
-	// response receives the response to the heartbeat. It is buffered, so that the handler does not
+	// respondTo receives the response to the heartbeat. It is buffered, so that the handler does not
 	// block if the stream has ended.
-	response chan<- Heartbeat
+	respondTo chan<- Heartbeat
 }
 
 // responseReceived is another node's response to a heartbeat of this node.
@@ -40,7 +40,7 @@
 	}
 	current.Peers[from] = p
 	m.publish(current)
-	e.response <- response
+	e.respondTo <- response
 }
 
 // handle applies the response to the view.
--- a/internal/peer/incoming.go
+++ b/internal/peer/incoming.go
@@ -74,7 +74,7 @@
 // awaitResponse passes a heartbeat to the goroutine that owns the view and returns its response.
 func (s *incomingStream) awaitResponse(ctx context.Context, heartbeat Heartbeat) (Heartbeat, error) {
 	select {
-	case s.mesh.events <- heartbeatReceived{heartbeat: heartbeat, response: s.pendingResponse}:
+	case s.mesh.events <- heartbeatReceived{heartbeat: heartbeat, respondTo: s.pendingResponse}:
 	case <-ctx.Done():
 		return Heartbeat{}, ctx.Err()
 	}
