--- a/internal/leader/progress/batch.go
+++ b/internal/leader/progress/batch.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxTxnBytes bounds the values of a transaction. It leaves room for the guards below
-	// the store's limit of 64 KiB for a transaction.
+	// maxTxnBytes bounds the total size of a transaction's values. The rest of the store's
+	// limit of 64 KiB for a transaction is left to the guards.
 	maxTxnBytes = 48 << 10
-	// guardsPerOp is how many guards the store accepts for each write that it accepts in a
-	// transaction.
+	// guardsPerOp is the store's limit on the guards of a transaction, as a multiple of its
+	// limit on the writes.
 	guardsPerOp = 4
 	// maxGuardsPerWrite is the most guards that one write needs.
 	maxGuardsPerWrite = 2
@@ -32,9 +32,9 @@
 	chunks   []*cluster.Chunk
 	launches []*cluster.Attempt // sent once the transaction is committed
 	archived []*cluster.Job     // their records are replaced with final records
-	orphans  []wire.Guard       // on the orphans that it deletes; see Writer.Orphans
-	// leftovers are guards on the records of its archived jobs that it has no room to
-	// delete. They become orphans when it is committed.
+	orphans  []wire.Guard       // guards on the orphans that it deletes; see Writer.Orphans
+	// leftovers are guards on those records of its archived jobs whose deletion does not fit
+	// in it. They become orphans when it is committed.
 	leftovers []wire.Guard
 
 	maxOps            int  // the most writes that it may hold
@@ -64,8 +64,8 @@
 
 func (b *batch) isEmpty() bool { return len(b.txn.Writes) == 0 }
 
-// hasRoom reports whether the given number of writes, whose values have the given number of
-// bytes in total, can be added.
+// hasRoom reports whether the given number of writes can be added, with values of valueBytes
+// bytes in total.
 func (b *batch) hasRoom(writes, valueBytes int) bool {
 	if b.singleRecord && b.recordCount() > 0 {
 		return false
@@ -102,7 +102,7 @@
 	b.txn.Guards = append(b.txn.Guards, wire.Guard{Key: key, Revision: revision})
 }
 
-// putChunk adds the write of a chunk's record.
+// putChunk adds the write of a chunk's record, with a guard on its known revision.
 func (b *batch) putChunk(c *cluster.Chunk, record *store.ChunkRecord) {
 	size := record.MaxJSONSize()
 	b.totalValueBytes += size
@@ -112,17 +112,17 @@
 	b.chunks = append(b.chunks, c)
 }
 
-// deleteRecord adds the deletion of the record that a guard is on.
+// deleteRecord adds a guard and the deletion of the record that it is on.
 func (b *batch) deleteRecord(g wire.Guard) {
 	b.txn.Guards = append(b.txn.Guards, g)
 	b.txn.Writes = append(b.txn.Writes, wire.Write{DeleteKey: g.Key})
 }
 
-// archive replaces a finished job's record with its final record, unless the transaction has
-// no room for it or a chunk of the job is being written. It deletes as many of the job's
-// chunks as it has room for. The others are deleted later, as orphans, but not before this
-// transaction is committed: if it fails because the job is cancelled meanwhile, another
-// transaction archives the job, and its guards on chunks that no longer exist would fail
+// archive replaces a finished job's record with its final record. It does nothing if these
+// writes do not fit in the transaction, or if a chunk of the job is being written. It deletes
+// as many of the job's chunks as fit. The others are deleted later, as orphans, but not before
+// this transaction is committed: it fails if the job is cancelled meanwhile. Another
+// transaction then archives the job, and its guards on chunks that no longer exist would fail
 // forever.
 func (b *batch) archive(j *cluster.Job) {
 	if anyWriteInFlight(j) || !b.hasRoom(archiveWrites, maxFinalRecordBytes) {
--- a/internal/leader/progress/batch_test.go
+++ b/internal/leader/progress/batch_test.go
@@ -44,10 +44,10 @@
 			b := newBatch(testToken, c.maxOps, false)
 			b.archive(j)
 			if got := len(b.txn.Writes); got != c.wantWrites || len(b.leftovers) != c.wantLeftovers {
-				t.Errorf("got %d writes, %d leftovers, want %d, %d", got, len(b.leftovers), c.wantWrites, c.wantLeftovers)
+				t.Errorf("archive: got %d writes, %d leftovers, want %d, %d", got, len(b.leftovers), c.wantWrites, c.wantLeftovers)
 			}
 			if archived := len(b.archived) == 1; archived != (c.wantWrites > 0) || j.Archiving != archived {
-				t.Errorf("got archived %v, archiving %v, want %v", archived, j.Archiving, c.wantWrites > 0)
+				t.Errorf("archive: got archived %v, archiving %v, want %v", archived, j.Archiving, c.wantWrites > 0)
 			}
 		})
 	}
--- a/internal/leader/progress/committer.go
+++ b/internal/leader/progress/committer.go
@@ -27,7 +27,8 @@
 }
 
 // Flush sends the next transaction, or raises the token if that was requested. It does
-// nothing while a transaction or a raise is in flight.
+// nothing while a transaction or a raise is in flight, or during the pause after a failed
+// transaction.
 func (co *Committer) Flush(now time.Time) {
 	if co.Fencing.Raising || !co.Writer.ready(now) {
 		return
@@ -48,7 +49,7 @@
 
 // OnTxnAnswered applies the outcome of a transaction.
 func (co *Committer) OnTxnAnswered(e TxnAnswered) {
-	co.Writer.onAnswer()
+	co.Writer.onRequestEnded()
 	var conflict *store.ConflictError
 	switch {
 	case e.err == nil:
@@ -75,8 +76,8 @@
 }
 
 // removeArchivedJob removes a job from the model. It remembers the job's ID, so that late
-// events about the job are ignored, unless the last of them has already arrived: the
-// deletion of the job's record.
+// events about the job are ignored. The last of them is the deletion of the job's record; if
+// that has already arrived, the ID is not needed.
 func (co *Committer) removeArchivedJob(j *cluster.Job) {
 	id := j.Spec.ID
 	co.Log.Info("job finished", "job", id, "status", j.FinalStatus(), "duration", time.Since(j.AcceptedAt))
@@ -119,7 +120,7 @@
 }
 
 // onRejected handles a transaction that the store rejected as invalid. If a single record is
-// to blame, it withdraws the starts in that record.
+// to blame, it withdraws the unstored attempts in that record.
 func (co *Committer) onRejected(b *batch, now time.Time) {
 	co.revert(b)
 	if co.Writer.onRejected(b, now) {
@@ -128,8 +129,8 @@
 }
 
 // withdrawUnstoredAttempts ends the unstored attempts in the chunks of a rejected
-// transaction. These chunks are not written for rejectedRecordPause, and other jobs can use
-// the attempts' resources meanwhile.
+// transaction. For rejectedRecordPause these chunks are not written, and the jobs of the ended
+// attempts start no tasks, so that other jobs can use the attempts' resources.
 func (co *Committer) withdrawUnstoredAttempts(b *batch, now time.Time) {
 	for _, c := range b.chunks {
 		for _, a := range c.Attempts {
@@ -141,8 +142,8 @@
 	}
 }
 
-// revert marks everything in a transaction that was not executed as still to be written. It
-// ends the attempts among its launches that are to be stopped.
+// revert marks everything in a transaction that was not executed as still to be written. Of
+// the attempts that the transaction was to launch, it ends those that are to be stopped.
 func (co *Committer) revert(b *batch) {
 	co.Writer.revert(b)
 	for _, a := range b.launches {
--- a/internal/leader/progress/events.go
+++ b/internal/leader/progress/events.go
@@ -21,8 +21,8 @@
 	unresolved *batch
 }
 
-// TxnOutcomeRead is an event: a key that a transaction without a response writes has been
-// read. Its revision shows whether the transaction was committed.
+// TxnOutcomeRead is an event: after a transaction got no response, one of the keys that it
+// writes has been read. The key's revision shows whether the transaction was committed.
 type TxnOutcomeRead struct {
 	batch *batch
 	// guard is the transaction's guard on the key, with the revision from before the write.
--- a/internal/leader/progress/reader.go
+++ b/internal/leader/progress/reader.go
@@ -59,8 +59,8 @@
 	r.ReadChunk(j.Chunk(index), e.Revision, &record)
 }
 
-// readSubchunkEntry restores a sub-chunk, which replaces the same tasks of a chunk that was
-// read before. The first sub-chunk of a job splits the job's chunks.
+// readSubchunkEntry restores a sub-chunk. Its record replaces what was read before about the
+// same tasks from their chunk. The first sub-chunk of a job splits the job's chunks.
 func (r *Reader) readSubchunkEntry(e wire.Entry) {
 	id, chunk, subchunk, ok := store.ParseSubchunkKey(e.Key)
 	j := r.state.Jobs[id]
@@ -88,14 +88,15 @@
 		r.discard(e)
 		return
 	}
-	// Sub-chunks exist only if an earlier leader found that the limit was lowered.
+	// Sub-chunks exist only if an earlier leader found that the limit on values was lowered.
 	r.writer.ValueLimitLowered = true
 	c := j.Chunk(index)
 	c.ResetTasks()
 	r.ReadChunk(c, e.Revision, &record)
 }
 
-// discard has the writer delete a record that an archived job has left behind.
+// discard has the writer delete a record that belongs to no chunk of a job in the model, such
+// as one that an archived job has left behind.
 func (r *Reader) discard(e wire.Entry) {
 	r.writer.AddOrphan(wire.Guard{Key: e.Key, Revision: e.Revision})
 }
--- a/internal/leader/progress/rejected.go
+++ b/internal/leader/progress/rejected.go
@@ -8,8 +8,8 @@
 )
 
 // onRejected handles a transaction that the store rejected as invalid and that was reverted.
-// It reports whether a single record was found to be invalid, which is then not written for
-// rejectedRecordPause.
+// It reports whether a single record was found to be invalid. That record is then not written
+// for rejectedRecordPause.
 //
 // An invalid record must not block the others. If the transaction held several records,
 // each is next written in a transaction of its own.
@@ -46,7 +46,7 @@
 }
 
 // holdBack delays the next write of a rejected transaction's records by rejectedRecordPause.
-// Orphans are no longer to be deleted in this term: the next leader finds them again.
+// The transaction's orphans are not deleted in this term: the next leader finds them again.
 func (w *Writer) holdBack(b *batch, now time.Time) {
 	until := now.Add(rejectedRecordPause)
 	for _, j := range b.archived {
--- a/internal/leader/progress/selection.go
+++ b/internal/leader/progress/selection.go
@@ -10,9 +10,10 @@
 	"lilaclead/internal/wire"
 )
 
-// nextBatch returns a transaction with unsaved changes, nil if there is nothing to write now.
-// Final records and launches go first, then routine writes, at most one transaction of them
-// every routineWriteInterval, then the deletion of orphans.
+// nextBatch returns a transaction with unsaved changes and marks it as in flight. It returns
+// nil if there is nothing to write now. Final records go first, then launches, routine writes
+// and the deletion of orphans. At most one transaction every routineWriteInterval has routine
+// writes.
 func (w *Writer) nextBatch(token wire.FencingToken, now time.Time) *batch {
 	b := newBatch(token, w.limits().Strictest().TxnOps, w.singleRecordTxns > 0)
 	w.addFinishedJobs(b, now)
@@ -76,7 +77,7 @@
 		a.Index-b.Index)
 }
 
-// addLaunches adds the chunks, which have unstored attempts, as far as they have room.
+// addLaunches adds those of the given chunks with unstored attempts that fit.
 func (w *Writer) addLaunches(b *batch, chunks []*cluster.Chunk, now time.Time) {
 	for _, c := range chunks {
 		record := w.recordWithinLimit(c, now)
--- a/internal/leader/progress/token.go
+++ b/internal/leader/progress/token.go
@@ -14,8 +14,8 @@
 
 // raiseToken acquires a higher fencing token for this term by a compare-and-swap. Then
 // nothing that was sent under the old token can take effect: transactions fail at their
-// guard on the leader's key, and every agent that has seen the new token rejects the
-// commands. If there is an unresolved transaction, its outcome is read after that.
+// guard on the leader's key, and every agent that has seen the new token rejects commands
+// with the old one. If there is an unresolved transaction, its outcome is read after that.
 func (co *Committer) raiseToken(unresolved *batch) {
 	co.Fencing.Raising = true
 	co.Fencing.RaiseRequested = false
--- a/internal/leader/progress/writer.go
+++ b/internal/leader/progress/writer.go
@@ -51,8 +51,8 @@
 	// remainingWrites returns how many writes the store's rate limit allows now.
 	remainingWrites func() float64
 
-	// Orphans are guards on the records that archived jobs have left behind, because the
-	// transaction that archived the job had no room to delete them. They are to be deleted.
+	// Orphans are guards on records that are to be deleted. Archived jobs have left them
+	// behind, because their deletion did not fit in the transaction that archived the job.
 	Orphans []wire.Guard
 
 	txn              txnState
@@ -86,9 +86,9 @@
 
 func (w *Writer) ready(now time.Time) bool { return !w.InFlight() && !now.Before(w.nextTxnNotBefore) }
 
-// onAnswer records that the request of the transaction in flight has ended, with or without a
-// response.
-func (w *Writer) onAnswer() {
+// onRequestEnded records that the request of the transaction in flight has ended, with or without
+// a response.
+func (w *Writer) onRequestEnded() {
 	w.txn = txnNone
 	w.singleRecordTxns = max(0, w.singleRecordTxns-1)
 }
@@ -101,7 +101,8 @@
 
 // onCommitted records that a transaction was committed at a revision.
 func (w *Writer) onCommitted(b *batch, revision wire.Revision) {
-	// Not before the commit: until its final record is stored, a job needs all its chunks.
+	// Leftovers become orphans only now: until its final record is stored, a job needs all its
+	// chunks.
 	w.Orphans = append(w.Orphans, b.leftovers...)
 	for _, c := range b.chunks {
 		c.Revision, c.WriteInFlight = revision, false
@@ -130,8 +131,9 @@
 func (w *Writer) retryLater(now time.Time) { w.nextTxnNotBefore = now.Add(writeRetryPause) }
 
 // AllStored reports whether the end of every task that ran on a machine is stored, given the
-// time when the machine was last used. If the machine were removed earlier, the next leader
-// would consider a task whose end is not stored as lost with it and start the task again.
+// time when the machine was last used. Chunks that are held back are not considered. If the
+// machine were removed earlier, the next leader would consider a task whose end is not stored
+// as lost with it and start the task again.
 func (w *Writer) AllStored(usedAt, now time.Time) bool {
 	if w.InFlight() && !usedAt.After(w.txnSentAt) {
 		return false
--- a/internal/leader/progress/writer_test.go
+++ b/internal/leader/progress/writer_test.go
@@ -81,7 +81,7 @@
 	for _, a := range b.launches {
 		a.MarkStored()
 	}
-	w.onAnswer()
+	w.onRequestEnded()
 	w.onCommitted(b, 7)
 }
 
@@ -125,7 +125,7 @@
 		w.AddOrphan(wire.Guard{Key: "run/old/0", Revision: 3})
 		c := addLaunchChunk(w, "late", wire.PriorityStandard)
 		b := mustSelect(t, w, "[late] true")
-		w.onAnswer()
+		w.onRequestEnded()
 		w.revert(b)
 		w.retryLater(time.Now())
 		if ready := w.ready(time.Now()); ready || !c.Dirty || c.WriteInFlight {
@@ -158,7 +158,7 @@
 			if b == nil {
 				continue
 			}
-			w.onAnswer()
+			w.onRequestEnded()
 			if !slices.Contains(b.chunks, rejected) {
 				w.onCommitted(b, 7)
 				for _, c := range b.chunks {
@@ -175,7 +175,7 @@
 			}
 		}
 		if !rejectedAlone || len(stored) != 2 || w.ValueLimitLowered {
-			t.Errorf("got rejected alone %v, stored %v, limit lowered %v, want true, two jobs, false", rejectedAlone, stored, w.ValueLimitLowered)
+			t.Errorf("after rejections: got rejected alone %v, stored %v, limit lowered %v, want true, two jobs, false", rejectedAlone, stored, w.ValueLimitLowered)
 		}
 		if !w.AllStored(time.Now(), time.Now()) {
 			t.Error("AllStored with only the rejected record unsaved: got false, want true")
@@ -211,7 +211,7 @@
 			}
 			heldBack := w.onRejected(b, time.Now())
 			if heldBack != c.wantHeldBack || w.ValueLimitLowered != c.wantLowered {
-				t.Errorf("got held back %v, limit lowered %v, want %v, %v", heldBack, w.ValueLimitLowered, c.wantHeldBack, c.wantLowered)
+				t.Errorf("rejected transaction: got held back %v, limit lowered %v, want %v, %v", heldBack, w.ValueLimitLowered, c.wantHeldBack, c.wantLowered)
 			}
 			if got := w.singleRecordTxns; got != c.wantSingleRecordTxns {
 				t.Errorf("transactions with a single record: got %d, want %d", got, c.wantSingleRecordTxns)
@@ -230,7 +230,7 @@
 		want bool
 	}{
 		{"in flight", func() {}, false},
-		{"answered, outcome unknown", func() { w.onAnswer(); w.awaitOutcome() }, false},
+		{"answered, outcome unknown", func() { w.onRequestEnded(); w.awaitOutcome() }, false},
 		{"outcome read", w.onOutcomeRead, true},
 	}
 	for _, s := range steps {
