--- a/internal/leader/scaling/answer.go
+++ b/internal/leader/scaling/answer.go
@@ -36,7 +36,7 @@
 }
 
 // FinishScaleOut ends a pending request with the cloud's final response. It returns the outcome
-// and for how long at least the offer is backed off from, or all requests are paused.
+// and the least duration of the backoff or pause that this response begins, 0 if it begins none.
 func (t *Tracker) FinishScaleOut(request *PendingScaleOut, answer Answer, now time.Time) (Outcome, time.Duration) {
 	delete(t.pending, request.Name)
 	backoff := t.backoffOf(request.Offer())
@@ -78,14 +78,14 @@
 // RetryState decides whether a response to a scale-out request is final. Until one is, the
 // request is sent again under the same name.
 type RetryState struct {
-	// outcomeUnknown means that an attempt got no usable response: machines may have been
-	// started.
+	// outcomeUnknown means that the request was sent without getting a usable response:
+	// machines may have been started.
 	outcomeUnknown bool
 }
 
-// IsFinal reports whether a response, given by its error, ends the request. Once an attempt got
-// no usable response, only a repetition of the request shows which machines were started. A
-// response that the cloud is busy or down does not show it, and is not final then.
+// IsFinal reports whether a response, given by its error, ends the request. Once the request was
+// sent without getting a usable response, only its repetition shows which machines were started.
+// A response that the cloud is busy or down does not show it, and is not final then.
 func (r *RetryState) IsFinal(err error) bool {
 	if err != nil && !errors.Is(err, cloud.ErrUnavailable) && !isRefusal(err) {
 		r.outcomeUnknown = true
--- a/internal/leader/scaling/backoff.go
+++ b/internal/leader/scaling/backoff.go
@@ -22,7 +22,7 @@
 // offerBackoff is the backoff of one offer after it was refused or partly filled.
 type offerBackoff struct {
 	until time.Time
-	delay time.Duration // the last backoff without jitter
+	delay time.Duration // the last backoff without jitter; 0 after a reset
 }
 
 // reset makes the next refusal begin with minOfferBackoff again. It does not end the present
@@ -48,7 +48,7 @@
 // cloudPause is the pause of all scale-out requests while the cloud is busy or down.
 type cloudPause struct {
 	until time.Time
-	delay time.Duration // the last pause without jitter
+	delay time.Duration // the last pause without jitter; 0 after a reset
 }
 
 func (p *cloudPause) active(now time.Time) bool { return now.Before(p.until) }
--- a/internal/leader/scaling/scale_in.go
+++ b/internal/leader/scaling/scale_in.go
@@ -28,8 +28,8 @@
 	return machines
 }
 
-// BeginScaleIn marks a request as in flight. It returns false if one is in flight already. It
-// also keeps scale-in requests from being sent while the record of them is cleared.
+// BeginScaleIn marks a request as in flight. It returns false if one is in flight already. The
+// caller also uses it to hold back scale-in requests while it clears the record of them.
 func (t *Tracker) BeginScaleIn() bool {
 	if t.scaleIns.inFlight {
 		return false
--- a/internal/leader/scaling/tracker_test.go
+++ b/internal/leader/scaling/tracker_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// After an attempt without a usable response the request may have been executed. That the
-// cloud is busy when the request is repeated does not end it.
+// A request that got no usable response may have been executed. If the cloud is busy when the
+// request is repeated, that response is not final.
 func TestBusyIsNoFinalAnswerAfterAnUnknownOutcome(t *testing.T) {
 	busy, unknown, noCapacity := cloud.ErrUnavailable, cloud.ErrOutcomeUnknown, cloud.ErrNoCapacity
 	cases := []struct {
