--- a/internal/leader/autoscaler/intents.go
+++ b/internal/leader/autoscaler/intents.go
@@ -13,8 +13,8 @@
 	"lilaclead/internal/wire"
 )
 
-// clearIntentsAfter is the delay before a record whose requests are all answered is emptied. To
-// empty it costs a write, which is saved if the next intent replaces the record before that.
+// clearIntentsAfter is the delay before a record whose requests are all answered is emptied.
+// Emptying it costs a write, which is saved if the next intent replaces the record before that.
 const clearIntentsAfter = 5 * time.Second
 
 // ScaleOutIntent is the stored form of a scale-out request that may be on its way to the
@@ -87,14 +87,15 @@
 	}
 }
 
-// adoptScaleIn returns a machine that an earlier leader was returning.
+// adoptScaleIn repeats an earlier leader's scale-in of a machine, unless the machine is known to be
+// removed.
 func (s *Scaler) adoptScaleIn(id wire.MachineID) {
 	if _, removed := s.state.RemovedMachines[id]; removed {
 		return
 	}
 	machine := s.state.GetOrAddMachine(id)
-	// The machine is given no tasks from now on, even if the lease is not held at the moment and a
-	// later check of the machine requests the scale-in.
+	// The machine is given no tasks from now on, even if the lease is not held at the moment. ScaleIn
+	// then does nothing, and a later check of the machine requests the scale-in.
 	machine.DrainReason = cluster.DrainAdoptedScaleIn
 	s.ScaleIn(machine, cluster.DrainAdoptedScaleIn)
 }
--- a/internal/leader/autoscaler/plan.go
+++ b/internal/leader/autoscaler/plan.go
@@ -35,7 +35,8 @@
 	return clusterKnown && s.Lease.Deciding() && specs != nil && !s.Tracker.Paused(now)
 }
 
-// requestMachinesInBatches requests the machines of one offer, in requests that the cloud accepts.
+// requestMachinesInBatches requests the machines of one offer, in requests for at most
+// scaling.MaxScaleOut machines.
 func (s *Scaler) requestMachinesInBatches(scaleOut fleet.ScaleOut) {
 	for left := scaleOut.Count; left > 0; left -= scaling.MaxScaleOut {
 		scaleOut.Count = min(left, scaling.MaxScaleOut)
--- a/internal/leader/autoscaler/requests.go
+++ b/internal/leader/autoscaler/requests.go
@@ -68,7 +68,7 @@
 		}
 		r.loop.Log.Debug("scale-in not confirmed", "machines", len(machines), "err", err)
 		core.Pause(ctx, wait+rand.N(wait/2))
-		// Short pauses are enough: only one request is in flight, however many machines are queued.
+		// The pauses may stay short: only one request is in flight, however many machines are queued.
 		wait = min(2*wait, maxScaleInRetry)
 	}
 	return false
--- a/internal/leader/autoscaler/rig_test.go
+++ b/internal/leader/autoscaler/rig_test.go
@@ -39,10 +39,10 @@
 
 // termOptions are the options of a test's term.
 type termOptions struct {
-	valueKB       float64         // size limit of a record in KB; 0: that of the simulator's settings
-	withoutRecord bool            // intents are not recorded
-	versioned     bool            // intents are recorded only if VersionIntents or later is active
-	activeVersion upgrade.Version // the version of the behaviour that is active
+	valueKB        float64         // size limit of a record in KB; 0: that of the simulator's settings
+	withoutIntents bool            // intents are not recorded
+	versioned      bool            // intents are recorded only if VersionIntents or later is active
+	activeVersion  upgrade.Version // the version of the behaviour that is active
 }
 
 // withTerm runs a test of a term that holds the lease, in virtual time.
@@ -81,7 +81,7 @@
 	scheduler := scheduling.NewScheduler(state, tuning.NewCurrent(), tracker, log)
 	scaler := NewScaler(loop, state, scheduler, tracker, Options{
 		Cloud:         cloud.New(simulator.CloudAddr, settings.Cloud, network),
-		RecordIntents: !options.withoutRecord,
+		RecordIntents: !options.withoutIntents,
 		Versioned:     options.versioned,
 	})
 	return &testTerm{Scaler: scaler, t: t, sim: sim, catalog: catalog}
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -10,7 +10,8 @@
 )
 
 // ScaleIn returns a machine to the cloud. Its tasks count as active until the cloud has
-// confirmed that the machine no longer exists.
+// confirmed that the machine no longer exists. ScaleIn does nothing if the machine is already
+// being scaled in, or if the lease is not held.
 func (s *Scaler) ScaleIn(machine *cluster.Machine, reason cluster.DrainReason) {
 	if machine.ScalingIn || !s.Lease.Deciding() {
 		return
--- a/internal/leader/autoscaler/scale_in_intents.go
+++ b/internal/leader/autoscaler/scale_in_intents.go
@@ -38,8 +38,8 @@
 	return len(c.scaleIns.OpenIntents()) > 0 && now.Sub(c.scaleInConfirmedAt) > clearIntentsAfter
 }
 
-// maxScaleInBatch returns how many machines one request may return: as many as the cloud
-// accepts and as fit in one record.
+// maxScaleInBatch returns how many machines one request may return: the most that the cloud
+// accepts, halved until they fit in one record.
 func (c *CloudIntents) maxScaleInBatch() int {
 	size := scaling.MaxScaleIn
 	for size > 1 && !c.scaleIns.Fits(longMachineIDs(size)) {
--- a/internal/leader/autoscaler/scale_in_test.go
+++ b/internal/leader/autoscaler/scale_in_test.go
@@ -118,7 +118,7 @@
 		attempt.Chunk.AddAttempt(attempt)
 		term.ScaleIn(machine, cluster.DrainSlow)
 		if job.ActiveTasks != 1 || machine.DrainReason != cluster.DrainSlow {
-			t.Errorf("before the confirmation: %d active tasks, drains as %q; want 1, %q", job.ActiveTasks, machine.DrainReason, cluster.DrainSlow)
+			t.Errorf("before the confirmation: %d active tasks, drain reason %q; want 1, %q", job.ActiveTasks, machine.DrainReason, cluster.DrainSlow)
 		}
 		term.run(3 * time.Second)
 		if job.ActiveTasks != 0 || job.PendingTasks() != 1 || !term.state.CycleTimer.Requested {
@@ -135,7 +135,7 @@
 		machine := term.state.GetOrAddMachine("n-1")
 		term.ScaleIn(machine, cluster.DrainIdle)
 		if machine.ScalingIn || machine.DrainReason != "" {
-			t.Errorf("scaling in %v, drains as %q; want neither", machine.ScalingIn, machine.DrainReason)
+			t.Errorf("without the lease: scaling in %v, drain reason %q; want neither", machine.ScalingIn, machine.DrainReason)
 		}
 	})
 }
--- a/internal/leader/autoscaler/scale_out_intents.go
+++ b/internal/leader/autoscaler/scale_out_intents.go
@@ -16,7 +16,8 @@
 }
 
 // recordScaleOuts records the pending scale-out requests if some of them are not recorded yet. These
-// are sent once the record is written. It empties the record a while after all were answered.
+// are sent once the record is written. If all requests are answered, it empties the record
+// clearIntentsAfter its last write.
 func (s *Scaler) recordScaleOuts(now time.Time) {
 	if !s.recordsIntents() || !s.Intents.scaleOutsWritable() || !s.Lease.Deciding() {
 		return
@@ -25,7 +26,7 @@
 	if len(intents.unrecordedScaleOuts) == 0 && !intents.scaleOutsClearable(s.Tracker, now) {
 		return
 	}
-	intents.withdrawOversized(s.Tracker)
+	intents.withdrawNewest(s.Tracker)
 	newRequests, pending := intents.unrecordedScaleOuts, scaleOutIntents(s.Tracker)
 	intents.unrecordedScaleOuts, intents.recordingScaleOuts = nil, true
 	s.Spawn(func(ctx context.Context) {
@@ -65,8 +66,9 @@
 	return recorded && allAnswered && now.Sub(c.scaleOutsRecordedAt) > clearIntentsAfter
 }
 
-// withdrawOversized withdraws the newest requests until the others fit in one record.
-func (c *CloudIntents) withdrawOversized(tracker *scaling.Tracker) {
+// withdrawNewest withdraws the newest unrecorded requests until the pending ones fit in one
+// record.
+func (c *CloudIntents) withdrawNewest(tracker *scaling.Tracker) {
 	for len(c.unrecordedScaleOuts) > 0 && !c.scaleOuts.Fits(scaleOutIntents(tracker)) {
 		last := len(c.unrecordedScaleOuts) - 1
 		tracker.Withdraw(c.unrecordedScaleOuts[last])
--- a/internal/leader/autoscaler/scale_out_test.go
+++ b/internal/leader/autoscaler/scale_out_test.go
@@ -117,7 +117,7 @@
 		options termOptions
 		want    bool
 	}{
-		{"recording disabled", termOptions{withoutRecord: true, versioned: true, activeVersion: VersionIntents}, false},
+		{"recording disabled", termOptions{withoutIntents: true, versioned: true, activeVersion: VersionIntents}, false},
 		{"versions are not negotiated", termOptions{}, true},
 		{"an earlier version is active", termOptions{versioned: true, activeVersion: VersionIntents - 1}, false},
 		{"their version is active", termOptions{versioned: true, activeVersion: VersionIntents}, true},
@@ -186,7 +186,7 @@
 	})
 }
 
-func TestRequestsAreRefusedIfTheirRecordCannotBeDecoded(t *testing.T) {
+func TestScaleOutsAreNotAllowedIfTheirRecordCannotBeDecoded(t *testing.T) {
 	withTerm(t, termOptions{}, func(term *testTerm) {
 		term.sim.State.Put(scaleOutKey, "not a record")
 		term.loadIntents()
--- a/internal/leader/autoscaler/scaler.go
+++ b/internal/leader/autoscaler/scaler.go
@@ -59,7 +59,7 @@
 }
 
 // recordsIntents reports whether intents are recorded now: recording is enabled and, where
-// versions are negotiated, every controller supports it.
+// versions are negotiated, VersionIntents or a later version is active.
 func (s *Scaler) recordsIntents() bool {
 	return s.Intents != nil && (!s.versioned || s.state.ActiveVersion >= VersionIntents)
 }
