--- a/duty/candidate.go
+++ b/duty/candidate.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// campaignOnce polls once. It acquires the lease and returns it if the lease is free, this
-// process is eligible and doesn't back off; else it returns nil.
+// campaignOnce polls once. If the lease is free and this process is eligible and not backing
+// off, it tries to acquire the lease. It returns nil if it has not acquired it.
 func (c *Candidate) campaignOnce(ctx context.Context) *Lease {
 	if !c.leaseIsFree(ctx) {
 		return nil
@@ -160,8 +160,8 @@
 	return store.LeaseRecord{Node: c.Node, Nonce: c.nonce}
 }
 
-// isOwnRecord reports whether this process wrote the entry of the lease's key, bound to the
-// grant.
+// isOwnRecord reports whether the entry is a lease record that this process wrote, and is
+// bound to the grant.
 func (c *Candidate) isOwnRecord(entry Entry, grant GrantID) bool {
 	var record store.LeaseRecord
 	return entry.Grant == grant && wire.Decode(entry.Value, &record) == nil && record.Nonce == c.nonce
--- a/duty/clock.go
+++ b/duty/clock.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Clock tells the time. Its monotonic reading must advance while the process is paused.
-// Its rate may differ from that of the store's clock by Timing.Drift.
+// Its rate may differ from that of the store's clock by at most Timing.Drift.
 type Clock interface {
 	Now() time.Time
 	After(time.Duration) <-chan time.Time
--- a/duty/duty.go
+++ b/duty/duty.go
@@ -1,6 +1,6 @@
 package duty
 
-// Name identifies a duty. It is part of the key of the duty's intents and of events.
+// Name identifies a duty. It is part of the key of the duty's intents, and events carry it.
 type Name string
 
 // Duty is implemented by a type for each duty. As permits are generic over that type, the
@@ -19,8 +19,8 @@
 	ScaleOut struct{}
 	// ScaleIn returns machines to the cloud.
 	ScaleIn struct{}
-	// Preemption stops tasks: to make room for others, to drain a machine, or because no
-	// job owns them any more.
+	// Preemption stops tasks: to free resources for others, to drain a machine, or because
+	// no job owns them any more.
 	Preemption struct{}
 	// Cleanup changes and deletes records in the store.
 	Cleanup struct{}
--- a/duty/frozen_holder_test.go
+++ b/duty/frozen_holder_test.go
@@ -59,16 +59,16 @@
 
 // String returns the mode's name for messages of the tests.
 func (m freezeMode) String() string {
-	return [...]string{"before the request", "before the answer", "partitioned from the store", "process stopped"}[m]
+	return [...]string{"before the request", "before the response", "partitioned from the store", "process stopped"}[m]
 }
 
 // holdsBack reports whether a closed gate holds back a request, or its response.
-func (m freezeMode) holdsBack(path string, at gateStage) bool {
+func (m freezeMode) holdsBack(path string, stage gateStage) bool {
 	switch m {
 	case partitionedFromStore:
 		return path == storePath
 	case frozenBeforeResponse:
-		return at == beforeResponse
+		return stage == beforeResponse
 	}
 	return true
 }
--- a/duty/gate_test.go
+++ b/duty/gate_test.go
@@ -23,7 +23,7 @@
 
 // gate lies between a holder and the network. While it is closed it holds back requests or
 // responses, and lets them pass once it is opened, even if the sender has given up
-// meanwhile: so do a paused process and a socket buffer.
+// meanwhile. A paused process and a socket buffer delay requests in the same way.
 type gate struct {
 	mode freezeMode // determines what a closed gate holds back
 
@@ -58,13 +58,13 @@
 }
 
 // pass returns once the gate lets the request, or its response, pass.
-func (g *gate) pass(path string, at gateStage) {
+func (g *gate) pass(path string, stage gateStage) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if path == g.closeAtPath {
 		g.closed, g.closeAtPath = true, ""
 	}
-	for g.closed && g.mode.holdsBack(path, at) {
+	for g.closed && g.mode.holdsBack(path, stage) {
 		g.opened.Wait()
 	}
 }
--- a/duty/holder_test.go
+++ b/duty/holder_test.go
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// launchOn writes a record to the store and then launches a task on each machine.
+// launchOn writes a record to the store and then launches a task on each machine. If the
+// holder is fenced, it launches nothing if the write fails because the lease was lost.
 func (h *holder) launchOn(ctx context.Context, machines []string) error {
 	if err := h.cleanUp(ctx); err != nil {
 		return err
@@ -245,7 +246,7 @@
 	})
 }
 
-// cleanUp writes a record to the store whose key contains the token.
+// cleanUp writes to the store a record whose key contains the lease's first token.
 func (h *holder) cleanUp(ctx context.Context) error {
 	key := cleanupPrefix + strconv.FormatUint(uint64(h.lease.FirstToken()), 10)
 	txn := duty.Txn{Writes: []duty.Write{{PutKey: key, Value: wire.Encode(time.Now().UnixNano())}}}
--- a/duty/intents.go
+++ b/duty/intents.go
@@ -52,9 +52,10 @@
 
 func (i *Intents[D, T]) key() string { return IntentKey(nameOf[D]()) }
 
-// Load reads the record that an earlier holder wrote; it is zero if there is none. Nothing
-// can be recorded before Load has succeeded. A record that can't be decoded yields an error
-// that is ErrUndecodable; after any other error Load may be retried.
+// Load reads the stored record, usually one that an earlier holder wrote. It returns the
+// zero record if there is none. Nothing can be recorded before Load has succeeded. A record
+// that can't be decoded yields an error that is ErrUndecodable; after any other error Load
+// may be retried.
 func (i *Intents[D, T]) Load(ctx context.Context) (IntentRecord[T], error) {
 	var record IntentRecord[T]
 	entry, err := i.lease.candidate.Store.Get(ctx, store.ClassCritical, i.key())
@@ -92,7 +93,7 @@
 // certainly held. After ErrRefused it may be called again.
 func (i *Intents[D, T]) Record(ctx context.Context, open []T) error {
 	if !i.loaded {
-		return fmt.Errorf("%w: the record %q has not been loaded", ErrNoPermit, i.key())
+		return fmt.Errorf("%w to record intents: the record %q has not been loaded", ErrNoPermit, i.key())
 	}
 	if !i.Fits(open) {
 		return fmt.Errorf("%w: %d intents under %q exceed %d bytes", ErrIntentsTooLarge, len(open), i.key(), i.maxRecordBytes)
@@ -156,7 +157,7 @@
 }
 
 // mayHoldLease reads the lease's key and reports whether this process may still hold the
-// lease: the key has its record, or can't be read.
+// lease: the key holds this process's record, bound to the lease's grant, or can't be read.
 func (i *Intents[D, T]) mayHoldLease(ctx context.Context) bool {
 	candidate := i.lease.candidate
 	entry, err := candidate.Store.Get(ctx, store.ClassCritical, candidate.Key)
--- a/duty/intents_test.go
+++ b/duty/intents_test.go
@@ -21,7 +21,6 @@
 	return duty.NewIntents[duty.ScaleIn, string](l, maxIntentRecordBytes)
 }
 
-// load loads the record of the intents.
 func load(t *testing.T, intents *duty.Intents[duty.ScaleIn, string]) duty.IntentRecord[string] {
 	t.Helper()
 	record, err := intents.Load(t.Context())
@@ -61,8 +60,8 @@
 	})
 }
 
-// Record stores exactly the given intents under the current token, also if the store loses
-// requests or responses, or the token was raised. The cases share one Intents and run one
+// Record stores exactly the given intents under the current token, even if requests or
+// responses are lost or the token was raised. The cases share one Intents and run one
 // after the other, in any order.
 func TestRecordWritesTheIntentsDespiteLostRequestsAndResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/duty/lease.go
+++ b/duty/lease.go
@@ -23,7 +23,7 @@
 	Grant      GrantID
 	Token      FencingToken // the revision of the lease's key at its acquisition
 	AcquiredAt time.Time    // by the candidate's clock
-	ValidUntil time.Time    // until when it is certainly held unless it is renewed
+	ValidUntil time.Time    // the lease is certainly held until then, even if it isn't renewed
 }
 
 // Lease is the holder's view of a lease that it has acquired. Held and Token may be
@@ -34,9 +34,9 @@
 	candidate   *Candidate
 	acquisition Acquisition
 	token       atomic.Uint64
-	// validFor is until when the lease is certainly held, as a time.Duration since it was
-	// acquired; or validForResigned. Being relative to the acquisition, it isn't changed by
-	// a step of the wall clock.
+	// validFor is how long after its acquisition the lease is certainly held, as a
+	// time.Duration; or validForResigned. Being relative to the acquisition, it isn't changed
+	// by a step of the wall clock.
 	validFor atomic.Int64
 }
 
@@ -83,8 +83,8 @@
 // AcquiredAt returns when the lease was acquired, by the clock of this process.
 func (l *Lease) AcquiredAt() time.Time { return l.acquisition.AcquiredAt }
 
-// ValidFor returns until when the lease is certainly held, as a duration since it was
-// acquired.
+// ValidFor returns how long after its acquisition the lease is certainly held. Renewals
+// prolong it; it is negative once the lease was resigned.
 func (l *Lease) ValidFor() time.Duration { return time.Duration(l.validFor.Load()) }
 
 // Held reports whether this process certainly holds the lease: no other process can have
@@ -110,7 +110,9 @@
 }
 
 // Context returns a context that ends with its parent or before the lease can expire. In
-// the latter case its cause is ErrNotHeld. The caller must call the cancel function.
+// the latter case its cause is ErrNotHeld. Resign doesn't end the context at once: it ends
+// no later than it would have without the resignation. The caller must call the cancel
+// function.
 func (l *Lease) Context(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	go l.cancelAtExpiry(ctx, cancel)
@@ -165,8 +167,9 @@
 // RaiseToken replaces the token old by a higher one. It retries until it succeeds, the
 // context ends, or the store shows that this process doesn't hold the lease any more.
 //
-// Nothing that was sent under the old token can take effect afterwards: a transaction fails
-// at its guard, and a command is refused by every receiver that has seen the new token.
+// A transaction that was sent under the old token fails at its guard afterwards. A request
+// under the old token is refused by every receiver that checks fencing tokens and has seen
+// the new one.
 func (l *Lease) RaiseToken(ctx context.Context, old FencingToken) (FencingToken, error) {
 	for {
 		token, err := l.tryRaiseToken(ctx, old)
--- a/duty/lease_test.go
+++ b/duty/lease_test.go
@@ -36,17 +36,17 @@
 				lease := acquire(t, duty.NewCandidate(options))
 				renewInBackground(t, lease)
 				time.Sleep(10 * time.Second)
-				act, cancel := lease.Context(t.Context())
+				actCtx, cancel := lease.Context(t.Context())
 				defer cancel()
 				sim.store.RefuseClient(simulator.NodeIP(0), true)
-				for len(sim.store.Keys(store.LeaderKey)) > 0 && act.Err() == nil {
+				for len(sim.store.Keys(store.LeaderKey)) > 0 && actCtx.Err() == nil {
 					time.Sleep(time.Millisecond)
 				}
-				if got := act.Err() != nil && !lease.Held(); got != c.wantStopped {
+				if got := actCtx.Err() != nil && !lease.Held(); got != c.wantStopped {
 					t.Errorf("clock at %v, drift %v: stopped before the grant expired: got %v, want %v", c.rate, c.drift, got, c.wantStopped)
 				}
-				if c.wantStopped && !errors.Is(context.Cause(act), duty.ErrNotHeld) {
-					t.Errorf("clock at %v, drift %v: context ended by %v, want %v", c.rate, c.drift, context.Cause(act), duty.ErrNotHeld)
+				if c.wantStopped && !errors.Is(context.Cause(actCtx), duty.ErrNotHeld) {
+					t.Errorf("clock at %v, drift %v: context ended by %v, want %v", c.rate, c.drift, context.Cause(actCtx), duty.ErrNotHeld)
 				}
 			})
 		})
@@ -122,13 +122,13 @@
 		}
 		lease.Resign(t.Context(), time.Now())
 		if permit.Check() == nil {
-			t.Error("after resigning: got a permit, want none")
+			t.Error("check of the permit after resigning: got nil, want an error")
 		}
 		var kinds []string
 		for _, e := range sim.recordedEvents() {
 			kinds = append(kinds, string(e.Kind)+" "+string(e.Duty))
 			if e.Token == 0 || e.At.IsZero() {
-				t.Errorf("%+v lacks token or time", e)
+				t.Errorf("event %+v: got no token or no time, want both", e)
 			}
 		}
 		const want = "acquired |act accepted renting|token raised |resigned |act refused renting"
--- a/duty/permit_test.go
+++ b/duty/permit_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// A permit is valid only as long as its lease is held. When the lease is resigned, the
-// context of an act that is under way ends too.
+// A permit is valid only as long as its lease is held. After the lease was resigned, the
+// context of an act that is under way ends by the time the lease would have expired.
 func TestPermitEndsWithItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(t)
@@ -45,7 +45,7 @@
 		if _, err := permit.Commit(t.Context(), store.ClassCritical, unguardedWrite); err != nil {
 			t.Errorf("held: got %v, want nil", err)
 		}
-		act, cancel := first.Context(t.Context())
+		actCtx, cancel := first.Context(t.Context())
 		defer cancel()
 
 		first.Resign(t.Context(), time.Now().Add(time.Minute))
@@ -60,7 +60,7 @@
 			t.Errorf("new permit after resigning: got %v, want %v", err, duty.ErrNotHeld)
 		}
 		time.Sleep(4 * time.Second)
-		if got := context.Cause(act); !errors.Is(got, duty.ErrNotHeld) {
+		if got := context.Cause(actCtx); !errors.Is(got, duty.ErrNotHeld) {
 			t.Errorf("an act under way ended by %v, want %v", got, duty.ErrNotHeld)
 		}
 	})
--- a/duty/receivers_test.go
+++ b/duty/receivers_test.go
@@ -114,18 +114,18 @@
 // newAcquisitionState returns the present state, for a lease that was just acquired under
 // the token.
 func (r *receivers) newAcquisitionState(token duty.FencingToken) acquisitionState {
-	start := acquisitionState{holderToken: token, actsBefore: len(r.acts), openScaleOuts: map[string]bool{}, openScaleIns: map[string]bool{}}
+	state := acquisitionState{holderToken: token, actsBefore: len(r.acts), openScaleOuts: map[string]bool{}, openScaleIns: map[string]bool{}}
 	var scaleOuts duty.IntentRecord[autoscaler.ScaleOutIntent]
 	decodeIntents(r.store.Value(duty.IntentKey("renting")), &scaleOuts)
 	for _, intent := range scaleOuts.Open {
-		start.openScaleOuts[intent.Request.Name] = true
+		state.openScaleOuts[intent.Request.Name] = true
 	}
 	var scaleIns duty.IntentRecord[wire.MachineID]
 	decodeIntents(r.store.Value(duty.IntentKey("returning")), &scaleIns)
 	for _, machine := range scaleIns.Open {
-		start.openScaleIns[string(machine)] = true
+		state.openScaleIns[string(machine)] = true
 	}
-	return start
+	return state
 }
 
 // recordCleanups adds an act for each record that a clean-up has written since the last
--- a/duty/simulation_test.go
+++ b/duty/simulation_test.go
@@ -36,8 +36,8 @@
 	return s
 }
 
-// leaseTiming is the timing of a lease whose holder stops early by the clock drift alone:
-// it has no margin.
+// leaseTiming is the timing of a lease without a margin: its holder stops early only by the
+// allowance for clock drift.
 var leaseTiming = duty.Timing{
 	TTL:          3 * time.Second,
 	RenewEvery:   700 * time.Millisecond,
--- a/duty/store.go
+++ b/duty/store.go
@@ -16,7 +16,8 @@
 	// Revision is the number of the change that last wrote a key; 0 means that the key does
 	// not exist.
 	Revision = wire.Revision
-	// GrantID identifies a grant: the store deletes the keys bound to it when it expires.
+	// GrantID identifies a grant. When a grant expires or is revoked, the store deletes the
+	// keys bound to it.
 	GrantID = wire.GrantID
 	// NodeID is the name of a node.
 	NodeID = wire.NodeID
--- a/duty/timing.go
+++ b/duty/timing.go
@@ -10,8 +10,8 @@
 type Timing struct {
 	// TTL is how long after its acquisition or last renewal the lease expires.
 	TTL time.Duration
-	// RenewEvery is the pause after a successful renewal. A failed renewal is retried after
-	// a third of it.
+	// RenewEvery is the pause before the first renewal and after each successful one. A
+	// failed renewal is retried after a third of it.
 	RenewEvery time.Duration
 	// RenewTimeout bounds one attempt to renew.
 	RenewTimeout time.Duration
@@ -26,7 +26,8 @@
 	Drift float64
 }
 
-// Validate returns an error that names every invalid field.
+// Validate returns an error that names every invalid field. PollJitter is not checked, and
+// Margin only in so far as TTL must leave time for it.
 func (t Timing) Validate() error {
 	var errs []error
 	require := func(met bool, field, requirement string) {
