--- a/upgrade/doc.go
+++ b/upgrade/doc.go
@@ -24,15 +24,16 @@
 //   - [ErrActiveUnknown] and [ErrNotPublished] are temporary: they end once the store
 //     responds. Check again later.
 //   - [ErrProgramTooOld] and [ErrProgramTooNew], wrapped in an [UnsupportedVersionError],
-//     are permanent for this program: another program, or a switch, has to come first.
+//     last as long as the version is active: start a program that supports it. After
+//     ErrProgramTooNew, a switch to a version that this program supports helps too.
 //   - [ErrProcessReplaced] is permanent for this process: another process has published
 //     under its controller's name.
 //   - [ErrUndecodable], wrapped in an [UndecodableError], needs an operator, since the
 //     record is never overwritten.
 //   - [ErrNotReady] means that a controller or the operators' limit blocks the next
 //     version, or that there is none. Retry later; [Member.ReadStatus] shows what blocks it.
-//   - duty.ErrRefused means that the store was unavailable or over its rate, and nothing was
-//     written. Retry after a pause.
+//   - duty.ErrRefused means that the store was unavailable or a rate limit was reached, and
+//     nothing was written. Retry after a pause.
 //   - duty.ErrOutcomeUnknown from [Member.Advance] means that the switch may have been made.
 //     A *duty.ConflictError means that it was not, because a record that the decision
 //     depends on has changed. In both cases retry: Advance reads all records again.
--- a/upgrade/errors.go
+++ b/upgrade/errors.go
@@ -28,8 +28,8 @@
 var ErrNotReady = errors.New("not every controller supports the next version")
 
 // UnsupportedVersionError reports that a program does not support the active version. It
-// wraps ErrProgramTooOld or ErrProgramTooNew. Retrying with the same program is of
-// no use.
+// wraps ErrProgramTooOld or ErrProgramTooNew. Retrying with the same program is of no use
+// while that version is active.
 type UnsupportedVersionError struct {
 	Active    Version
 	Supported Range
--- a/upgrade/event.go
+++ b/upgrade/event.go
@@ -12,7 +12,7 @@
 // The kinds of events.
 const (
 	VersionsPublished EventKind = "versions published" // a process published what it supports
-	VersionSwitched   EventKind = "version switched"   // the active version moved up
+	VersionSwitched   EventKind = "version switched"   // the active version was raised
 	VersionRefused    EventKind = "version refused"    // a process must not serve
 )
 
@@ -24,5 +24,5 @@
 	// version in the others: BaseVersion if its record can't be decoded.
 	Version Version
 	Token   duty.FencingToken // of the lease under which the version was switched; else 0
-	Reason  string
+	Reason  string            // why the process must not serve, or the version before the switch
 }
--- a/upgrade/example_test.go
+++ b/upgrade/example_test.go
@@ -82,12 +82,12 @@
 		Guards: []duty.Guard{guard},
 		Writes: []duty.Write{{PutKey: "fact/example", Value: wire.Encode(version)}},
 	})
-	fmt.Println("written by version", version, "with error", err)
+	fmt.Println("written under version", version, "with error", err)
 	cancel()
 	running.Wait()
 
 	// Output:
 	// serves under version 1
 	// switched to version 2
-	// written by version 2 with error <nil>
+	// written under version 2 with error <nil>
 }
--- a/upgrade/member.go
+++ b/upgrade/member.go
@@ -34,7 +34,8 @@
 	Options
 	incarnation string
 	state       atomic.Pointer[memberState]
-	// reportedActive is the highest active version that another controller has reported.
+	// reportedActive is the highest version that was passed to ObserveActive: by another
+	// controller's report, or by this process when it switches or calls ReadActive.
 	reportedActive atomic.Uint64
 	// lastRefusedVersion is the active version for which a refusal was logged last. Only Run
 	// uses it.
@@ -86,7 +87,8 @@
 }
 
 // CheckSupport returns why this process must not even acknowledge requests of agents and of
-// other controllers; nil once it knows the active version and supports it.
+// other controllers. It returns nil once the process knows the active version and supports
+// it, unless another process has replaced it or an undecodable record forbids serving.
 func (m *Member) CheckSupport() error {
 	active := m.ActiveVersion()
 	refusal := m.state.Load().refusal
--- a/upgrade/publish.go
+++ b/upgrade/publish.go
@@ -142,7 +142,8 @@
 	return err == nil && wire.Decode(e.Value, &record) == nil && record.Incarnation == m.incarnation
 }
 
-// logRefusal logs why this process must not serve, once for each active version.
+// logRefusal logs why this process must not serve and emits an event. It does so only once
+// in a row for the same active version.
 func (m *Member) logRefusal(active Version, reason error) {
 	if m.lastRefusedVersion == active {
 		return
--- a/upgrade/status.go
+++ b/upgrade/status.go
@@ -78,7 +78,7 @@
 }
 
 // status evaluates each controller against the next version: the highest that this program
-// supports and the operators allow.
+// supports and the operators allow, but never one below the active version.
 func (m *Member) status(r *records, deployment Deployment) Status {
 	s := Status{
 		Active:     r.active.Version,
--- a/upgrade/switch.go
+++ b/upgrade/switch.go
@@ -35,8 +35,8 @@
 	return status.Next, nil
 }
 
-// switchTransaction returns the transaction that activates the next version. It fails if any
-// record that the decision depends on has changed.
+// switchTransaction returns the transaction that activates the next version. The transaction
+// fails if any record that the decision depends on has changed.
 func (m *Member) switchTransaction(r *records, deployment Deployment, next Version) duty.Txn {
 	guards := append([]duty.Guard{{Key: ActiveKey, Revision: r.activeRevision}}, deployment.Guards...)
 	for _, node := range deployment.Controllers {
@@ -51,13 +51,15 @@
 
 // ReadActive reads the active version for a new lease holder, after it has acquired the
 // lease. The version is then at least the one that any earlier holder has written under:
-// switches by earlier holders fail once the lease is acquired. The error is not nil if the
-// version can't be read or this process must not act under it.
+// switches by earlier holders fail once the lease is acquired. If the record can't be decoded,
+// a process that may serve gets the version that it knows. The error is not nil if the version
+// can't be read or this process must not act under it.
 func (m *Member) ReadActive(ctx context.Context) (Version, error) {
 	active, revision, err := readActive(ctx, m.Store)
 	if errors.Is(err, ErrUndecodable) && m.CheckServe() == nil {
 		// The record was damaged after this process had read it. Acting under a version below
-		// the active one is safe: programs that support the higher one read its records too.
+		// the active one is safe: programs that support the active one read the records of the
+		// lower one too.
 		m.notifyUndecodable(ActiveKey, err)
 		return m.ActiveVersion(), nil
 	}
--- a/upgrade/version.go
+++ b/upgrade/version.go
@@ -31,7 +31,7 @@
 // Validate returns an error if Min is below BaseVersion or Max is below Min.
 func (r Range) Validate() error {
 	if r.Min < BaseVersion || r.Max < r.Min {
-		return fmt.Errorf("invalid version range %v: minimum must be %d or more, maximum must not be below it", r, BaseVersion)
+		return fmt.Errorf("invalid version range %v: minimum must be %d or more, maximum must not be below the minimum", r, BaseVersion)
 	}
 	return nil
 }
