--- a/internal/fleet/all_or_nothing.go
+++ b/internal/fleet/all_or_nothing.go
@@ -21,9 +21,9 @@
 func (p *packer) reserveAllOrNothing(d *Demand) {
 	unit := placement.ResourcesOf(d.Spec)
 	for _, zone := range p.zonesFor(d, nil) {
-		units := newUnitCount(d)
-		fills := p.placeInBins(units, zone)
-		if units.left > 0 {
+		count := newUnitCount(d)
+		fills := p.placeInBins(count, zone)
+		if count.left > 0 {
 			continue
 		}
 		for _, f := range fills {
@@ -161,8 +161,8 @@
 		picks.add(offer, o.PricePerHour)
 		count.add(o.Zone, units)
 	}
-	// The cost is divided by all units, those that have room already included: for the last unit
-	// alone, any machine would be too expensive.
+	// The cost is divided by all units, including those that fit on present machines: for the last
+	// unit alone, any machine would be too expensive.
 	if count.left > 0 || p.tooExpensive(d, picks.cost/float64(d.Units)) {
 		return nil
 	}
--- a/internal/fleet/all_or_nothing_test.go
+++ b/internal/fleet/all_or_nothing_test.go
@@ -12,20 +12,20 @@
 )
 
 // unitsByZone returns how many units of a demand fit in each zone on the machines, the added ones
-// included. It only sums up the machines, without the packer.
+// included. It computes this for each machine on its own, without the packer.
 func unitsByZone(d *Demand, machines []Machine, added []ScaleOut) map[wire.Zone]int {
 	unit, units := placement.ResourcesOf(d.Spec), map[wire.Zone]int{}
 	for _, m := range machines {
 		if m.Spot && !d.Spec.SpotAllowed {
 			continue
 		}
-		room := m.Free
+		available := m.Free
 		for _, f := range m.ExpectedReleases {
 			if f.InSeconds <= d.SlackSeconds {
-				room = room.Plus(f.Resources)
+				available = available.Plus(f.Resources)
 			}
 		}
-		units[m.Zone] += unit.UnitsIn(room)
+		units[m.Zone] += unit.UnitsIn(available)
 	}
 	for _, r := range added {
 		if !r.Spot || d.Spec.SpotAllowed {
@@ -35,8 +35,8 @@
 	return units
 }
 
-// holdsAll reports whether all units of a demand fit in zones with room for the given numbers of
-// units.
+// holdsAll reports whether all units of a demand fit, given the number of units that fit in each
+// zone.
 func holdsAll(d *Demand, units map[wire.Zone]int) bool {
 	total := 0
 	for zone, n := range units {
@@ -142,7 +142,7 @@
 
 // Machines are added for all missing units of a gang or for none, in one zone if it requires that.
 // The price limit applies to their cost divided by all units of the gang. Divided by the missing
-// units alone, a gang of four with room for three would never get a machine: any machine is too
+// units alone, a gang of four of which three fit would never get a machine: any machine is too
 // expensive for its last task alone.
 func TestGangScaleOutByZoneAndPrice(t *testing.T) {
 	four := &wire.JobSpec{ID: "req-1", Kind: wire.KindGang, Tasks: 4, CPUs: 1, MemoryGB: 4, SameZone: true}
@@ -166,13 +166,13 @@
 		maxMachinesAdded int               // 0: the default of 9
 		want             map[wire.Zone]int // machines added
 	}{
-		{"room in one zone", []Machine{free("a", 2), free("a", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, nil},
-		{"room split over two zones", []Machine{free("a", 2), free("b", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
-		{"room for all but the last task", []Machine{free("a", 3)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
+		{"all fit in one zone", []Machine{free("a", 2), free("a", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, nil},
+		{"all fit only in two zones together", []Machine{free("a", 2), free("b", 2)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
+		{"all but the last task fit", []Machine{free("a", 3)}, []Offer{offer("a", 0.26, 9)}, Demand{Spec: four, Units: 4}, 0, map[wire.Zone]int{"a": 1}},
 		{"too expensive", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4}, 0, nil},
 		{"expensive, but the price limit is raised", nil, []Offer{offer("a", 1.2, 9)}, Demand{Spec: four, Units: 4, PriceLimitFactor: 10}, 0, map[wire.Zone]int{"a": 1}},
-		{"room is released in time", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 15}, 0, nil},
-		{"room is released too late", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 5}, 0, map[wire.Zone]int{"b": 1}},
+		{"resources are released in time", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 15}, 0, nil},
+		{"resources are released too late", []Machine{freeIn10}, []Offer{offer("b", 0.26, 9)}, Demand{Spec: four, Units: 4, SlackSeconds: 5}, 0, map[wire.Zone]int{"b": 1}},
 		{"offers for half the gang in each zone", nil, []Offer{offer("a", 0.26, 1), offer("b", 0.26, 1)}, Demand{Spec: &eight, Units: 8}, 0, nil},
 		{"offers for the whole gang only in the expensive zone", nil, []Offer{offer("a", 0.20, 1), offer("b", 0.26, 2)}, Demand{Spec: &eight, Units: 8}, 0, map[wire.Zone]int{"b": 2}},
 		{"spread over two zones", nil, []Offer{offer("a", 0.20, 9), offer("b", 0.26, 9)}, Demand{Spec: &spread, Units: 8, ZoneCapacityLeft: map[wire.Zone]int{"a": 4, "b": 4}}, 0, map[wire.Zone]int{"a": 1, "b": 1}},
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -19,7 +19,7 @@
 	expectedReleases []ExpectedRelease // not yet assigned to units, the earliest first
 }
 
-// newBin returns the bin of a present machine. It is not used yet if the machine boots or is idle.
+// newBin returns the bin of a present machine. It counts as used unless the machine boots or is idle.
 func (m *Machine) newBin() bin {
 	return bin{
 		machineType:      m.Type,
@@ -87,18 +87,18 @@
 func (b *bin) fillExpectedReleases(d *Demand, maxUnits int) int {
 	unit := placement.ResourcesOf(d.Spec)
 	filled := 0
-	// The releases of several tasks add up: one unit may need more than one of them releases.
-	var room placement.Resources
+	// The releases of several tasks add up, because a unit may need more than one task releases.
+	var released placement.Resources
 	remaining := b.expectedReleases[:0]
 	for _, f := range b.expectedReleases {
 		if f.InSeconds > d.SlackSeconds || filled == maxUnits {
 			remaining = append(remaining, f)
 			continue
 		}
-		room = room.Plus(f.Resources)
-		if units := min(maxUnits-filled, unit.UnitsIn(room)); units > 0 {
+		released = released.Plus(f.Resources)
+		if units := min(maxUnits-filled, unit.UnitsIn(released)); units > 0 {
 			filled += units
-			room = placement.Resources{}
+			released = placement.Resources{}
 		}
 	}
 	b.expectedReleases = remaining
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -47,8 +47,8 @@
 	// ExpectedReleases are the resources that the array and gang tasks on the machine are expected
 	// to release, the earliest first.
 	ExpectedReleases []ExpectedRelease
-	// LargestBatchTask is what the largest array or gang task on the machine uses, by CPUs. It is
-	// zero if there is none.
+	// LargestBatchTask are the resources of the array or gang task that uses the most CPUs on the
+	// machine. It is zero if there is no such task.
 	LargestBatchTask placement.Resources
 }
 
@@ -58,7 +58,8 @@
 	Resources placement.Resources
 }
 
-// Demand is a number of equal tasks of a job, its units, that should run at the same time.
+// Demand asks for a number of tasks of one job to run at the same time. Its units are these tasks,
+// which all need the same resources.
 type Demand struct {
 	Spec  *wire.JobSpec
 	Units int
@@ -71,8 +72,8 @@
 	// AllOrNothing requires resources for all units or for none, and in one zone if the job
 	// requires that.
 	AllOrNothing bool
-	// PriceLimitFactor multiplies Snapshot.MaxPriceRatio for this demand. Values below 1, and so 0,
-	// leave the limit as it is.
+	// PriceLimitFactor multiplies Snapshot.MaxPriceRatio for this demand. Values below 1, including
+	// the zero value, leave the limit unchanged.
 	PriceLimitFactor float64
 }
 
@@ -84,9 +85,9 @@
 	// MaxPriceRatio is the highest accepted price of a unit of an array or a gang, as a multiple of
 	// LowestUnitPrice. Services have no price limit.
 	MaxPriceRatio float64
-	// LowestUnitPrice returns the lowest nominal price per hour of one unit of a job: its share of
-	// a machine, over all machine types, on spot machines too if the job allows them. If it is nil,
-	// prices are not limited.
+	// LowestUnitPrice returns the lowest nominal price per hour of one unit of a job, which is the
+	// unit's share of the price of a machine. It considers all machine types, and spot machines
+	// only if the job allows them. If it is nil, prices are not limited.
 	LowestUnitPrice func(*wire.JobSpec) float64
 	// MaxMachinesAdded is the highest number of machines that one plan may add.
 	MaxMachinesAdded int
@@ -106,7 +107,7 @@
 type Plan struct {
 	ScaleOuts []ScaleOut
 	ScaleIns  []wire.MachineID
-	// Cordons are machines that should accept tasks only if no other machine can. Their tasks would
-	// fit on other machines, so that the cordoned ones become idle and can be returned.
+	// Cordons are machines that should take array and gang tasks only if no other machine can. Their
+	// present load would fit on other machines, so that they become idle and can be returned.
 	Cordons []wire.MachineID
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -202,14 +202,14 @@
 		machines []Machine
 		want     []wire.MachineID
 	}{
-		{"others have room to spare", []Machine{machine("m", 3, 0.2), machine("n", 2, 0.1)}, []wire.MachineID{"m"}},
+		{"others have resources to spare", []Machine{machine("m", 3, 0.2), machine("n", 2, 0.1)}, []wire.MachineID{"m"}},
 		{"most expensive unused part first", []Machine{machine("m", 3, 0.1), machine("n", 3, 0.2)}, []wire.MachineID{"n"}},
 		{"others would be full", []Machine{machine("m", 3, 0.2), machine("n", 1, 0.1)}, nil},
 		{"load too high", []Machine{machine("m", 1, 0.2), machine("n", 1, 0.1)}, nil},
 		{"the others still boot", []Machine{machine("m", 3, 0.2), booting}, nil},
 		{"a machine with services is not cordoned", []Machine{machineWithService, large}, nil},
-		{"room for the tasks of one machine", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), busy}, []wire.MachineID{"m"}},
-		{"room for the tasks of two machines", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), large}, []wire.MachineID{"m", "n"}},
+		{"the tasks of one machine fit", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), busy}, []wire.MachineID{"m"}},
+		{"the tasks of two machines fit", []Machine{machine("m", 3, 0.2), machine("n", 3, 0.2), large}, []wire.MachineID{"m", "n"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := MakePlan(&Snapshot{Machines: c.machines}).Cordons; !slices.Equal(got, c.want) {
@@ -240,7 +240,7 @@
 	}
 }
 
-// The releases of several tasks of a machine add up to room for one unit, and each release is
+// The releases of several tasks of a machine add up to the resources of one unit, and each is
 // counted for one unit only.
 func TestTasksOfOneMachineReleaseRoomTogether(t *testing.T) {
 	half := placement.Resources{CPUs: 2, MemoryGB: 8}
--- a/internal/fleet/generators_test.go
+++ b/internal/fleet/generators_test.go
@@ -78,7 +78,7 @@
 		Total:            machineTypes[machineType],
 		PricePerHour:     float64(rapid.IntRange(1, 90).Draw(t, "price")) / 100,
 		FetchGBPerSecond: 1,
-		MaxCount:         rapid.IntRange(0, 4).Draw(t, "room"),
+		MaxCount:         rapid.IntRange(0, 4).Draw(t, "max count"),
 	}
 }
 
--- a/internal/fleet/price.go
+++ b/internal/fleet/price.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// zonePenalty is the surcharge, as a share of the price, with which an offer is ranked in a
-	// zone that has all machines. It spreads the machines over the zones, so that the loss of
-	// one zone affects fewer of them.
+	// zonePenalty is the share of its price that is added to an offer in a zone that has all
+	// machines. In other zones the surcharge is smaller, in proportion to their machines. It
+	// affects only the ranking of offers. It spreads the machines over the zones, so that the loss
+	// of one zone affects fewer of them.
 	zonePenalty = 0.4
-	// zonePenaltyMachines is added to the number of machines of which a zone's share is computed.
-	// In a small cluster a few machines in one zone thus cause only a small penalty.
+	// zonePenaltyMachines is added to the number of all machines when a zone's share of them is
+	// computed. In a small cluster a few machines in one zone thus cause only a small penalty.
 	zonePenaltyMachines = 20
 )
 
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -7,7 +7,7 @@
 )
 
 // A gang that must fetch its image goes where the last of its machines has the image
-// soonest. Neither the number of machines that fetch nor the room left free counts first.
+// soonest. The number of machines that fetch and the resources left free count only after that.
 func TestGangGoesWhereLastFetchEndsSoonest(t *testing.T) {
 	machine := func(id wire.MachineID, freeCPUs, fetchRate float64, image ImageState) Machine {
 		m := machineIn("a", id, freeCPUs)
@@ -34,7 +34,7 @@
 		machines []Machine
 		want     map[wire.MachineID]int
 	}{
-		{"the slow machine has room for both tasks", []Machine{slow(), quickN(), quickO()}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
+		{"both tasks fit on the slow machine", []Machine{slow(), quickN(), quickO()}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
 		{"the quick machines are in another zone", []Machine{slow(), inZoneB(quickN()), inZoneB(quickO())}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
 		{"the last fetch takes 4.4 s elsewhere, 4.7 s on the slow machine", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 3))}, map[wire.MachineID]int{"m": 0, "n": 1, "o": 1}},
 		{"the last fetch takes 5.4 s elsewhere, 4.7 s on the slow machine", []Machine{slow(), inZoneB(quickN()), inZoneB(fetching(quickO(), 4))}, map[wire.MachineID]int{"m": 2}},
--- a/internal/placement/generators_test.go
+++ b/internal/placement/generators_test.go
@@ -162,19 +162,19 @@
 	return !j.Spec.SameZone && total >= j.Spec.Tasks
 }
 
-// possibleRoom returns the room on a machine once every task has ended that the job may
+// possibleRoom returns the unreserved resources of a machine once every task has ended that the job may
 // preempt or await.
 func possibleRoom(j *Job, m *Machine) Resources {
-	room := m.Free.Plus(m.StoppingResources)
+	available := m.Free.Plus(m.StoppingResources)
 	for _, r := range m.Reservations {
-		room = room.Minus(r.Resources)
+		available = available.Minus(r.Resources)
 	}
 	urgent := j.Spec.Priority.Rank() >= wire.PriorityUrgent.Rank()
 	for _, v := range m.Victims {
 		awaited := v.RemainingSeconds <= j.PreemptionDelaySeconds && j.PreemptionDelaySeconds > 0
 		if awaited || urgent && v.Rank < j.Spec.Priority.Rank() {
-			room = room.Plus(v.Resources)
+			available = available.Plus(v.Resources)
 		}
 	}
-	return room
+	return available
 }
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -7,14 +7,14 @@
 	"lilaclead/internal/wire"
 )
 
-// markServiceHeadroom marks the headroom for services on the ordinary machines, in the order
+// markServiceHeadroom marks the headroom for services on the on-demand machines, in the order
 // of headroomOrder.
 func markServiceHeadroom(s *Snapshot) {
 	if s.HeadroomUnits <= 0 {
 		return
 	}
 	remainingUnits := s.HeadroomUnits
-	// A zone has at most half of the headroom, so that a service that must be spread over
+	// A zone has at most half of the headroom, rounded up, so that a service that must be spread over
 	// zones can use all of it.
 	maxUnitsPerZone := (s.HeadroomUnits + 1) / 2
 	unitsByZone := map[wire.Zone]int{}
@@ -27,8 +27,8 @@
 	}
 }
 
-// headroomOrder returns the ordinary machines. Those with the most tasks of services come
-// first, then those with the fewest free CPUs, as a service prefers them too.
+// headroomOrder returns the indexes of the on-demand machines. Those with the most tasks of
+// services come first, then those with the fewest free CPUs, as a service prefers them too.
 func headroomOrder(s *Snapshot) []int {
 	order := make([]int, 0, len(s.Machines))
 	for i := range s.Machines {
@@ -47,21 +47,21 @@
 func (m *Machine) headroomUnits(unit Resources) int {
 	units := unit.UnitsIn(m.Free)
 	if len(m.Reservations) > 0 {
-		// Headroom may not overlap with reservations. Otherwise, the room that urgent gangs
-		// have preempted tasks for is kept from them as soon as it is free, for as long as
-		// their reservations last.
-		units = min(units, unit.UnitsIn(m.unreservedRoom()))
+		// Headroom may not overlap with reservations. Otherwise, resources that are freed by
+		// preempting tasks for urgent gangs are withheld from these gangs as headroom, for
+		// as long as their reservations last.
+		units = min(units, unit.UnitsIn(m.unreservedResources()))
 	}
 	return units
 }
 
 // markGangHeadroom marks headroom for a gang in the group of machines where most of its
-// units fit. If not all of them fit, later cycles add room as it becomes free.
+// units fit. If not all of them fit, later cycles mark more as resources become free.
 func markGangHeadroom(s *Snapshot, spec *wire.JobSpec) {
-	var best gangHeadroom
+	var best gangHeadroomOption
 	for _, group := range zoneGroups(s, spec) {
-		if room := gangHeadroomIn(s, spec, group); room.betterThan(&best) {
-			best = room
+		if option := gangHeadroomIn(s, spec, group); option.betterThan(&best) {
+			best = option
 		}
 	}
 	for i, units := range best.unitsByMachine {
@@ -70,19 +70,19 @@
 	}
 }
 
-// gangHeadroom is headroom for units of a gang in a group of machines.
-type gangHeadroom struct {
+// gangHeadroomOption is possible headroom for units of a gang in a group of machines.
+type gangHeadroomOption struct {
 	unitsByMachine map[int]int // by index of the machine
 	totalUnits     int
 	unitsWithImage int // units on machines that have its image
 }
 
-func (h *gangHeadroom) betterThan(other *gangHeadroom) bool {
+func (h *gangHeadroomOption) betterThan(other *gangHeadroomOption) bool {
 	return h.totalUnits > other.totalUnits || h.totalUnits == other.totalUnits && h.unitsWithImage > other.unitsWithImage
 }
 
 // gangHeadroomIn finds headroom for as many units of a gang as fit in a group of machines.
-func gangHeadroomIn(s *Snapshot, spec *wire.JobSpec, group []int) gangHeadroom {
+func gangHeadroomIn(s *Snapshot, spec *wire.JobSpec, group []int) gangHeadroomOption {
 	availableUnits := map[int]int{}
 	var order []int
 	for _, i := range group {
@@ -92,23 +92,23 @@
 		}
 	}
 	sortForGangHeadroom(s, spec, order)
-	room := gangHeadroom{unitsByMachine: map[int]int{}}
+	option := gangHeadroomOption{unitsByMachine: map[int]int{}}
 	unitsByZone := map[wire.Zone]int{}
 	for _, i := range order {
 		m := &s.Machines[i]
-		units := min(spec.Tasks-room.totalUnits, availableUnits[i], spec.MaxTasksPerZone()-unitsByZone[m.Zone])
-		room.unitsByMachine[i] = units
-		room.totalUnits += units
+		units := min(spec.Tasks-option.totalUnits, availableUnits[i], spec.MaxTasksPerZone()-unitsByZone[m.Zone])
+		option.unitsByMachine[i] = units
+		option.totalUnits += units
 		unitsByZone[m.Zone] += units
 		if m.Images[spec.Image] == ImagePresent {
-			room.unitsWithImage += units
+			option.unitsWithImage += units
 		}
 	}
-	return room
+	return option
 }
 
-// sortForGangHeadroom puts the machines first that have the gang's image, and of those
-// alike the ones with the fewest free CPUs.
+// sortForGangHeadroom puts the machines that have the gang's image first. Both those and the
+// others are sorted by free CPUs, the fewest first.
 func sortForGangHeadroom(s *Snapshot, spec *wire.JobSpec, machines []int) {
 	fetchesNeeded := func(m *Machine) int {
 		if m.Images[spec.Image] == ImagePresent {
@@ -131,7 +131,7 @@
 	unit, headroom := ResourcesOf(spec), m.serviceHeadroom.Plus(m.gangHeadroom)
 	units := unit.UnitsIn(m.Free.Minus(headroom))
 	if len(m.Reservations) > 0 {
-		units = min(units, unit.UnitsIn(m.unreservedRoom().Minus(headroom)))
+		units = min(units, unit.UnitsIn(m.unreservedResources().Minus(headroom)))
 	}
 	return units
 }
--- a/internal/placement/headroom_test.go
+++ b/internal/placement/headroom_test.go
@@ -29,15 +29,15 @@
 				Jobs: []Job{{Spec: &wire.JobSpec{Team: "t", Kind: c.kind, Tasks: 9, CPUs: 1, MemoryGB: 4}, PendingTasks: 9, TasksByZone: map[wire.Zone]int{}, Weight: 1}},
 			}
 			if got := len(Place(s).Starts); got != c.wantStarts {
-				t.Errorf("%d starts in room for 8 units, of which 2 are headroom, want %d", got, c.wantStarts)
+				t.Errorf("%d starts where 8 units fit, of which 2 are headroom, want %d", got, c.wantStarts)
 			}
 		})
 	}
 }
 
-// One unit of an array whose start is overdue may use the headroom, but takes any other room
-// first. Without this, an array never starts while the cloud has no capacity and the
-// headroom is the only room.
+// One unit of an array whose start is overdue may use the headroom, but takes any other free
+// resources first. Without this, an array never starts while the cloud has no capacity and
+// only the headroom is free.
 func TestOverdueArrayUsesHeadroomLast(t *testing.T) {
 	snapshot := func(extra ...Machine) *Snapshot {
 		machines := []Machine{
@@ -64,12 +64,12 @@
 	}
 	other := Machine{ID: "o", Zone: "a", Spot: true, Free: Resources{1, 0, 4}, Total: Resources{16, 0, 64}}
 	if starts := Place(snapshot(other)).Starts; len(starts) != 1 || starts[0].MachineIndex != 2 {
-		t.Errorf("headroom and other room: starts %+v, want one on machine 2", starts)
+		t.Errorf("headroom and other free resources: starts %+v, want one on machine 2", starts)
 	}
 }
 
-// Headroom for services can't be reserved for a gang. Otherwise, the gang reserves room that
-// it may not use, and waits for ever. A gang whose start is overdue may use the headroom.
+// Headroom for services can't be reserved for a gang. Otherwise, the gang reserves resources
+// that it may not use, and waits for ever. A gang whose start is overdue may use the headroom.
 func TestServiceHeadroomIsNotReservedForGang(t *testing.T) {
 	victim := Victim{Task: wire.TaskID{Job: "req-9"}, Rank: 0, Resources: Resources{4, 0, 4}, LostWorkSeconds: 9, RemainingSeconds: 99, Team: "t"}
 	snapshot := func(gang Job, extra ...Machine) *Snapshot {
@@ -92,7 +92,7 @@
 		t.Errorf("overdue standard gang: %+v, want a start", res)
 	}
 	if res := Place(snapshot(standard, machineIn("a", "o", 4))); len(res.Starts) != 1 || res.Starts[0].MachineIndex != 2 {
-		t.Errorf("overdue standard gang with other room: %+v, want a start on machine 2", res)
+		t.Errorf("overdue standard gang with other free resources: %+v, want a start on machine 2", res)
 	}
 }
 
@@ -120,8 +120,8 @@
 	if got := place(spec(wire.KindArray, 9), false, cluster()...); got["n"] != 0 || got["p"] != 1 || got["m"] != 2 || got["o"] != 1 {
 		t.Errorf("starts of an array: %v, want 2 on m, none on n, 1 on o, 1 on p", got)
 	}
-	// Headroom is withheld also if there is room for only a part of the gang. One unit of an
-	// array whose start is overdue uses it if there is no other room.
+	// Headroom is withheld also if only a part of the gang fits. One unit of an array whose
+	// start is overdue uses it if nothing else is free.
 	for mayUseHeadroom, want := range map[bool]int{false: 0, true: 1} {
 		if got := place(spec(wire.KindArray, 9), mayUseHeadroom, withImage()); got["n"] != want {
 			t.Errorf("may use headroom %v: starts of an array: %v, want %d on n", mayUseHeadroom, got, want)
@@ -134,8 +134,8 @@
 	}
 }
 
-// Room that is reserved for a gang does not become headroom for services once it is free.
-// Other free room on the machine does.
+// Resources that are reserved for a gang do not become headroom for services once they are
+// free. Other free resources of the machine do.
 func TestReservedRoomIsNotHeadroom(t *testing.T) {
 	for freeCPUs, want := range map[float64]int{4: 0, 5: 1, 9: 2} {
 		m := machineIn("a", "m", freeCPUs)
@@ -144,7 +144,7 @@
 		s := snapshotOf([]Machine{m}, Job{Spec: gangSpec("req-1", wire.PriorityUrgent, 2, 2), ReservedUnits: 2})
 		s.HeadroomUnits, s.HeadroomUnit = 4, Resources{1, 0, 1} // half of it in one zone at most
 		if got := len(Place(s).Starts); got != 2 {
-			t.Errorf("%g CPUs free: %d of 2 tasks start in the room reserved for them", freeCPUs, got)
+			t.Errorf("%g CPUs free: %d of 2 tasks start on the resources reserved for them", freeCPUs, got)
 		}
 		if got := s.Machines[0].serviceHeadroomUnits; got != want {
 			t.Errorf("%g CPUs free: %d units of headroom, want %d", freeCPUs, got, want)
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -28,8 +28,8 @@
 	CheckpointSeconds float64 // time to save a checkpoint once it is told to stop
 }
 
-// Reservation is room on a machine that only one unit of a job, or jobs of a higher rank,
-// may use. Part of it may still be occupied by tasks that are stopping.
+// Reservation holds resources on a machine for one unit of a job. Apart from that job, only
+// jobs of a higher rank may use them. Tasks that are stopping may still occupy some of them.
 type Reservation struct {
 	Job       wire.JobID
 	Rank      int
@@ -50,12 +50,12 @@
 	Images           map[wire.ImageID]ImageState
 	Victims          []Victim
 	Cordoned         bool // arrays and gangs use it only if no other machine fits
-	// Reservations hold room for units that could not start yet. StoppingResources is what
-	// the tasks use that are being preempted or awaited. Until a reservation is used, no
-	// other job of its rank or below takes its room. Without this, two tasks of two CPUs
-	// that are preempted for one of four end one after the other, and each time another
-	// task of two CPUs takes the half that is free: 84,361 tasks were preempted that way in
-	// one day.
+	// Reservations hold resources for units that could not start yet. StoppingResources are
+	// the resources of the tasks that are being preempted or awaited. Until a reservation is
+	// used, no other job of its rank or below takes its resources. Without this, two tasks of
+	// two CPUs that are preempted for one of four end one after the other, and each time
+	// another task of two CPUs takes the CPUs that are free: 84,361 tasks were preempted that
+	// way in one day.
 	Reservations      []Reservation
 	StoppingResources Resources
 	// Headroom that this cycle keeps free on the machine.
@@ -64,34 +64,34 @@
 	gangHeadroom         Resources
 }
 
-// unreservedRoom returns the room that will be free once the stopping tasks have ended and
-// every reservation is used.
-func (m *Machine) unreservedRoom() Resources {
-	return m.roomAfterReservations(func(*Reservation) bool { return true })
+// unreservedResources returns the resources that will be free once the stopping tasks have
+// ended and every reservation is used.
+func (m *Machine) unreservedResources() Resources {
+	return m.resourcesAfterReservations(func(*Reservation) bool { return true })
 }
 
-// roomAfterReservations returns the room that will be free once the stopping tasks have
-// ended and the included reservations are used.
-func (m *Machine) roomAfterReservations(included func(*Reservation) bool) Resources {
-	room := m.Free.Plus(m.StoppingResources)
+// resourcesAfterReservations returns the resources that will be free once the stopping tasks
+// have ended and the included reservations are used.
+func (m *Machine) resourcesAfterReservations(included func(*Reservation) bool) Resources {
+	remaining := m.Free.Plus(m.StoppingResources)
 	for i := range m.Reservations {
 		if included(&m.Reservations[i]) {
-			room = room.Minus(m.Reservations[i].Resources)
+			remaining = remaining.Minus(m.Reservations[i].Resources)
 		}
 	}
-	return room
+	return remaining
 }
 
-// reservedForOthers reports whether the reservations of other jobs that the job must
-// respect leave no room for a unit of it on the machine.
+// reservedForOthers reports whether the reservations of other jobs of the job's rank or above
+// leave too little for a unit of it on the machine, even once the stopping tasks have ended.
 func (m *Machine) reservedForOthers(j *Job, unit Resources) bool {
 	if len(m.Reservations) == 0 {
 		return false
 	}
-	room := m.roomAfterReservations(func(r *Reservation) bool {
+	remaining := m.resourcesAfterReservations(func(r *Reservation) bool {
 		return r.Job != j.Spec.ID && r.Rank >= j.Spec.Priority.Rank()
 	})
-	return !unit.FitsIn(room)
+	return !unit.FitsIn(remaining)
 }
 
 // consumeReservation removes one reservation of the job, if there is any.
@@ -102,9 +102,9 @@
 	}
 }
 
-// reserveRoom adds a reservation. It removes the victims with the given indexes from the
+// addReservation adds a reservation. It removes the victims with the given indexes from the
 // machine, counts their resources as stopping, and returns them.
-func (m *Machine) reserveRoom(r Reservation, victims []int) []Victim {
+func (m *Machine) addReservation(r Reservation, victims []int) []Victim {
 	var removed, remaining []Victim
 	for i, v := range m.Victims {
 		if !slices.Contains(victims, i) {
--- a/internal/placement/model_test.go
+++ b/internal/placement/model_test.go
@@ -122,14 +122,14 @@
 	if team.Limit.CPUs > 0 && team.Used.CPUs+spec.CPUs > team.Limit.CPUs+wire.AmountTolerance {
 		return false
 	}
-	// A job may not use room that is reserved for other jobs of its rank or above.
-	room, reserved := m.Free.Plus(m.StoppingResources), false
+	// A job may not use resources that are reserved for other jobs of its rank or above.
+	available, reserved := m.Free.Plus(m.StoppingResources), false
 	for _, r := range m.Reservations {
 		if r.Job != spec.ID && r.Rank >= spec.Priority.Rank() {
-			room, reserved = room.Minus(r.Resources), true
+			available, reserved = available.Minus(r.Resources), true
 		}
 	}
-	if reserved && (spec.CPUs > room.CPUs+wire.AmountTolerance || spec.MemoryGB > room.MemoryGB+wire.AmountTolerance) {
+	if reserved && (spec.CPUs > available.CPUs+wire.AmountTolerance || spec.MemoryGB > available.MemoryGB+wire.AmountTolerance) {
 		return false
 	}
 	if spec.CPUs > m.Free.CPUs+wire.AmountTolerance || spec.GPUs > m.Free.GPUs+wire.AmountTolerance || spec.MemoryGB > m.Free.MemoryGB+wire.AmountTolerance {
@@ -151,7 +151,7 @@
 	return true
 }
 
-// modelLaunch takes room for a unit on the machine and consumes a reservation of its job.
+// modelLaunch allocates resources for a unit on the machine and consumes a reservation of its job.
 func modelLaunch(s *Snapshot, job, machine int) {
 	j, m := &s.Jobs[job], &s.Machines[machine]
 	m.Free = m.Free.Minus(ResourcesOf(j.Spec))
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -20,8 +20,8 @@
 	job              int // index in Snapshot.Jobs
 	gains            classGains
 	remainingChoices int // 1 for a gang, which starts as a whole, else the number of pending units
-	// best is the job's best next choice. Gains only fall as room is used, so that the gain
-	// of an earlier choice is an upper bound. A choice is made anew only if it has the
+	// best is the job's best next choice. Gains only fall as resources are used, so that the
+	// gain of an earlier choice is an upper bound. A choice is made anew only if it has the
 	// largest gain of all jobs and no longer holds (see needsNewChoice).
 	best choice
 }
@@ -149,7 +149,7 @@
 	p.lastChangeStep[machine] = step
 }
 
-// allocateUnit takes room for a unit on the machine, starts the fetch of its image if the
+// allocateUnit allocates resources for a unit on the machine, starts the fetch of its image if the
 // image is absent, and consumes a reservation of the job.
 func (m *Machine) allocateUnit(spec *wire.JobSpec, unit Resources) {
 	m.Free = m.Free.Minus(unit)
--- a/internal/placement/pass_test.go
+++ b/internal/placement/pass_test.go
@@ -33,19 +33,19 @@
 	})
 }
 
-// checkStep compares the step that begins with start n with the model's best step, applies
-// it to the model's snapshot, and returns its number of starts.
+// checkStep compares the step that begins with starts[firstStart] with the model's best
+// step, applies it to the model's snapshot, and returns its number of starts.
 func checkStep(t *rapid.T, s, model *Snapshot, pending []int, starts []Start, firstStart int) int {
 	job := starts[firstStart].JobIndex
 	j, units := &model.Jobs[job], 1
 	if j.Spec.IsGang() {
 		units = j.Spec.Tasks
 	}
-	position := clone(model)
-	for i := range position.Jobs {
-		position.Jobs[i].PendingTasks = pending[i]
+	current := clone(model)
+	for i := range current.Jobs {
+		current.Jobs[i].PendingTasks = pending[i]
 	}
-	gains, _ := modelPass(position)
+	gains, _ := modelPass(current)
 	if j.Spec.IsGang() {
 		limit := s.Teams[j.Spec.Team].Limit.CPUs
 		if used := model.Teams[j.Spec.Team].Used.CPUs + float64(units)*j.Spec.CPUs; limit > 0 && used > limit {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -5,7 +5,7 @@
 // Each job has a utility tree, and machines fall into equivalence classes. A greedy pass
 // grants one unit after another to the job that gains most utility per unit. A job's
 // utility grows with its waiting time. Jobs of a higher priority that the pass could not
-// start may preempt other tasks: room for them is reserved until those tasks have ended.
+// start may preempt other tasks: resources are reserved for them until those tasks have ended.
 package placement
 
 import (
@@ -22,11 +22,11 @@
 	Reservations []MachineReservation
 }
 
-// MachineReservation is a new reservation of room on a machine.
+// MachineReservation is a new reservation of resources on a machine.
 type MachineReservation struct {
 	Machine wire.MachineID
 	Reservation
-	// AwaitedTasks occupy the reserved room. They are not preempted, because they are
+	// AwaitedTasks occupy some of the reserved resources. They are not preempted, because they are
 	// expected to end by themselves within the job's preemption delay.
 	AwaitedTasks []wire.TaskID
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -7,7 +7,8 @@
 	"lilaclead/internal/wire"
 )
 
-// preempt reserves room for jobs that the pass did not start, where that costs least work.
+// preempt reserves resources for jobs that the pass did not start, where that costs least
+// work.
 // It returns the tasks to stop and the new reservations.
 func preempt(s *Snapshot) ([]Victim, []MachineReservation) {
 	waiting := jobsToReserveFor(s)
@@ -29,7 +30,7 @@
 	return p.victims, p.reservations
 }
 
-// jobsToReserveFor returns the indexes of the jobs for which room may be reserved, the
+// jobsToReserveFor returns the indexes of the jobs for which resources may be reserved, the
 // highest priority first.
 func jobsToReserveFor(s *Snapshot) []int {
 	var waiting []int
@@ -52,7 +53,7 @@
 	if !j.Spec.IsGang() {
 		return MayPreempt(j.Spec)
 	}
-	// Room is reserved for all units of a gang or for none.
+	// Resources are reserved for all units of a gang or for none.
 	noneReservedOrStarted := j.ReservedUnits == 0 && j.PendingTasks == j.Spec.Tasks
 	return noneReservedOrStarted && (MayPreempt(j.Spec) || j.PreemptionDelaySeconds > 0)
 }
@@ -66,14 +67,14 @@
 	reservations    []MachineReservation
 }
 
-// allows reports whether the team's limit has room for the requested resources of the job
-// in addition to what is reserved for the team's jobs of its rank or above.
+// allows reports whether the team stays within its limit if the job gets the requested
+// resources in addition to those reserved for the team's jobs of its rank or above.
 func (p *preemption) allows(j *Job, requested Resources) bool {
 	reserved := p.reservedByTeam[j.Spec.Team][j.Spec.Priority.Rank()]
 	return p.snapshot.Teams[j.Spec.Team].allows(j, requested.Plus(reserved))
 }
 
-// reserveForGang reserves room for all units of a gang or for none.
+// reserveForGang reserves resources for all units of a gang or for none.
 func (p *preemption) reserveForGang(j *Job) {
 	unit := ResourcesOf(j.Spec)
 	if !p.allows(j, unit.Times(float64(j.PendingTasks))) {
@@ -84,11 +85,11 @@
 	}
 }
 
-// maxReservedUnits is the largest number of a job's units that one cycle reserves room for.
-// It does not apply to gangs.
+// maxReservedUnits is the largest number of a job's units that one cycle reserves resources
+// for. It does not apply to gangs.
 const maxReservedUnits = 8
 
-// reserveForTasks reserves room for units of an array or a service, each on the machine
+// reserveForTasks reserves resources for units of an array or a service, each on the machine
 // where that costs least.
 func (p *preemption) reserveForTasks(j *Job) {
 	unit := ResourcesOf(j.Spec)
@@ -108,7 +109,7 @@
 	}
 }
 
-// cheapestMachine returns the machine where room for a unit of the job costs least.
+// cheapestMachine returns the machine where making room for a unit of the job costs least.
 func (p *preemption) cheapestMachine(j *Job) (machine int, ok bool) {
 	var best *roomOption
 	for i := range p.optionByMachine {
@@ -120,12 +121,13 @@
 	return machine, best != nil
 }
 
-// reserveUnit reserves room for one unit on a machine.
+// reserveUnit reserves resources for one unit of the job on a machine. It takes the option's
+// victims that do not end in time as tasks to preempt.
 func (p *preemption) reserveUnit(j *Job, machine int, option roomOption) {
 	m := &p.snapshot.Machines[machine]
 	reservation := reservationFor(j)
 	reserved := MachineReservation{Machine: m.ID, Reservation: reservation}
-	for _, v := range m.reserveRoom(reservation, option.victims) {
+	for _, v := range m.addReservation(reservation, option.victims) {
 		if endsInTime(j, &v) {
 			reserved.AwaitedTasks = append(reserved.AwaitedTasks, v.Task)
 		} else {
@@ -147,7 +149,7 @@
 
 // reservedByTeam returns, for each team and rank, the resources that are reserved for the
 // team's jobs of that rank or above. They count toward the team's limit before they are
-// used. Otherwise, if ten urgent tasks wait and their team's limit has room for one, other
+// used. Otherwise, if ten urgent tasks wait and their team's limit allows only one, other
 // tasks are stopped for all ten, one after the other, before the first has started.
 func reservedByTeam(s *Snapshot) map[wire.TeamID]*resourcesByRank {
 	reserved := make(map[wire.TeamID]*resourcesByRank, len(s.Teams))
--- a/internal/placement/preempt_gang.go
+++ b/internal/placement/preempt_gang.go
@@ -10,7 +10,7 @@
 	snapshot         *Snapshot
 	job              *Job
 	group            []int
-	optionByMachine  map[int]*roomOption // for the next unit, by machine; nil: no room can be made
+	optionByMachine  map[int]*roomOption // for the next unit, by machine; nil or not feasible: no room
 	modifiedMachines map[int]*Machine    // copies with the units added so far
 	unitsByZone      map[wire.Zone]int
 	machines         []int // index of the machine of each unit
@@ -18,7 +18,8 @@
 }
 
 // cheapestRoomForGang returns a machine for each unit of a gang, in the group of machines
-// where room for all of them costs least. It returns nil if no group can hold all of them.
+// where making room for all of them costs least. It returns nil if no group can hold all of
+// them.
 func cheapestRoomForGang(s *Snapshot, j *Job) []int {
 	var best *gangRoom
 	for _, group := range zoneGroups(s, j.Spec) {
@@ -63,7 +64,7 @@
 	}
 }
 
-// cheapestMachine returns the machine where room for the next unit costs least.
+// cheapestMachine returns the machine where making room for the next unit costs least.
 func (r *gangRoom) cheapestMachine() (machine int, ok bool) {
 	var best *roomOption
 	for _, i := range r.group {
@@ -82,19 +83,19 @@
 	return zoneOpen(r.job, zone) && units < r.job.Spec.MaxTasksPerZone()
 }
 
-// addUnit adds a unit and reserves its room on a copy of the machine.
+// addUnit adds a unit and reserves its resources on a copy of the machine.
 func (r *gangRoom) addUnit(machine int) {
 	m := r.modifiedMachines[machine]
 	if m == nil {
-		unchanged := r.snapshot.Machines[machine]
-		m = &unchanged
+		machineCopy := r.snapshot.Machines[machine]
+		m = &machineCopy
 		r.modifiedMachines[machine] = m
 	}
 	option := r.optionByMachine[machine]
 	r.machines = append(r.machines, machine)
 	r.costSeconds += option.costSeconds
 	r.unitsByZone[m.Zone]++
-	m.reserveRoom(reservationFor(r.job), option.victims)
+	m.addReservation(reservationFor(r.job), option.victims)
 	next := roomFor(r.job, m, ResourcesOf(r.job.Spec))
 	r.optionByMachine[machine] = &next
 }
--- a/internal/placement/preempt_gang_test.go
+++ b/internal/placement/preempt_gang_test.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/wire"
 )
 
-// Room is reserved for all units of a gang or for none, and in one zone if the gang must be
+// Resources are reserved for all units of a gang or for none, and in one zone if the gang must be
 // in one zone. Tasks are preempted or awaited only for reservations, which then fit.
 func TestRoomIsReservedForAllOfGangOrNone(t *testing.T) {
 	gangs, victims := 0, 0
@@ -25,7 +25,7 @@
 		victims += len(res.Preemptions)
 	})
 	if gangs < 20 || victims < 20 {
-		t.Errorf("room was reserved for %d gangs, %d tasks were preempted: too few cases", gangs, victims)
+		t.Errorf("resources were reserved for %d gangs, %d tasks were preempted, want at least 20 of each", gangs, victims)
 	}
 }
 
@@ -44,26 +44,26 @@
 	}
 	for i := range before.Machines {
 		m := &after.Machines[i]
-		room := m.Free
+		remaining := m.Free
 		for _, v := range before.Machines[i].Victims {
 			if preempted[v.Task] || awaited[v.Task] {
-				room = room.Plus(v.Resources)
+				remaining = remaining.Plus(v.Resources)
 			}
 			if preempted[v.Task] && len(m.Reservations) == 0 {
 				t.Fatalf("%v is preempted on %s, which has no reservation", v.Task, m.ID)
 			}
 		}
 		for _, r := range m.Reservations {
-			room = room.Minus(r.Resources)
+			remaining = remaining.Minus(r.Resources)
 		}
-		if room.CPUs < -wire.AmountTolerance || room.MemoryGB < -wire.AmountTolerance {
-			t.Fatalf("more is reserved on %s than will be free: remaining room %v", m.ID, room)
+		if remaining.CPUs < -wire.AmountTolerance || remaining.MemoryGB < -wire.AmountTolerance {
+			t.Fatalf("more is reserved on %s than will be free: remaining resources %v", m.ID, remaining)
 		}
 	}
 }
 
 // checkGang checks the starts and reservations of a gang. It reports whether the cycle
-// reserved room for the gang.
+// reserved resources for the gang.
 func checkGang(t *rapid.T, after *Snapshot, res Result, job int) bool {
 	spec := after.Jobs[job].Spec
 	starts := 0
@@ -77,11 +77,11 @@
 	}
 	reservations, byZone := reservationsOf(after, res, spec.ID)
 	if reservations != 0 && (reservations != spec.Tasks || starts > 0) {
-		t.Fatalf("room is reserved for %d of %d tasks, %d start", reservations, spec.Tasks, starts)
+		t.Fatalf("resources are reserved for %d of %d tasks of a gang, %d start", reservations, spec.Tasks, starts)
 	}
 	for zone, n := range byZone {
 		if spec.SameZone && n != spec.Tasks || n > spec.MaxTasksPerZone() {
-			t.Fatalf("room for %d of %d tasks in zone %s", n, spec.Tasks, zone)
+			t.Fatalf("resources are reserved for %d of a gang's %d tasks in zone %s, against its zone rules", n, spec.Tasks, zone)
 		}
 	}
 	if team := after.Teams[spec.Team]; team.Limit.CPUs > 0 && team.Used.CPUs > team.Limit.CPUs+wire.AmountTolerance {
@@ -106,8 +106,8 @@
 	return total, byZone
 }
 
-// If a gang is the only pending job, room is reserved whenever it can be made for all of the
-// gang.
+// If a gang is the only pending job, resources are reserved whenever all of the gang can be
+// made to fit.
 func TestRoomIsReservedWheneverAllOfGangCouldFit(t *testing.T) {
 	reserved, impossible := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -131,13 +131,13 @@
 		}
 	})
 	if reserved < 5 || impossible < 5 {
-		t.Errorf("room was reserved %d times and impossible %d times: too few cases", reserved, impossible)
+		t.Errorf("reservations were made %d times and impossible %d times, want at least 5 of each", reserved, impossible)
 	}
 }
 
 // Two gangs don't block each other with partial reservations: the earlier has all of its
-// reservations, the later none. While a gang waits for its reserved room, no other job of
-// its rank or below takes a part of it.
+// reservations, the later none. While a gang waits for its reserved resources, no other job
+// of its rank or below takes a part of them.
 func TestGangsDontWaitForEachOther(t *testing.T) {
 	gang := func(id wire.JobID, priority wire.Priority, tasks int) Job {
 		return Job{Spec: gangSpec(id, priority, tasks, 4), PreemptionDelaySeconds: 9}
@@ -180,7 +180,7 @@
 	bothFree[1].Free, bothFree[1].StoppingResources = Resources{4, 0, 16}, Resources{}
 	res = Place(snapshotOf(bothFree, withReservations, array))
 	if len(res.Starts) != 2 || res.Starts[0].JobIndex != 0 {
-		t.Fatalf("gang with all reserved room free: %+v, want its two starts", res)
+		t.Fatalf("gang with all reserved resources free: %+v, want its two starts", res)
 	}
 }
 
@@ -225,7 +225,7 @@
 	}
 }
 
-// No more room is reserved for a gang that has reservations. If only a part of them is left,
+// Nothing more is reserved for a gang that has reservations. If only a part of them is left,
 // these have to expire first.
 func TestGangWithReservationsGetsNoMore(t *testing.T) {
 	for _, c := range []struct {
@@ -253,7 +253,7 @@
 	}
 }
 
-// A gang's reservations count toward its team's limit as soon as they are made: no room is
+// A gang's reservations count toward its team's limit as soon as they are made: nothing is
 // reserved for the team's next gang beyond the limit.
 func TestReservationsOfGangCountTowardLimit(t *testing.T) {
 	for limit, want := range map[float64]int{12: 0, 16: 2} {
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -76,10 +76,10 @@
 	}
 }
 
-// Room for an urgent task stays reserved until all of it is free. If two tasks of half a
+// The resources for an urgent task stay reserved until all of them are free. If two tasks of half a
 // machine end one after the other, a smaller job with a larger gain does not take the half
 // that is free first. Nothing more is preempted for the urgent task meanwhile. A second
-// unit needs other room, and a job of a higher priority may use the reserved room.
+// unit needs other resources, and a job of a higher priority may use the reserved ones.
 func TestRoomStaysReservedUntilAllOfItIsFree(t *testing.T) {
 	spec := func(id wire.JobID, priority wire.Priority, cpus float64) *wire.JobSpec {
 		return &wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, Priority: priority, Tasks: 9, CPUs: cpus, MemoryGB: 3.5 * cpus, SpotAllowed: true}
@@ -146,12 +146,12 @@
 		{"two tasks are not preempted to avoid a fetch", withMachine(snapshot(endingSoon, delayedPreemptionWithImage), machineWithImage), 0, 0, 1},
 		{"a full machine is reserved", snapshot(full(twoVictims...), urgent), 0, 2, 1},
 		{"the half that is free stays reserved", snapshot(halfFree, jobWithReservation, small), 0, 0, 0},
-		{"the reserved room is used", snapshot(Machine{Reservations: reservations, Free: machineSize}, jobWithReservation, small), 1, 0, 0},
+		{"the reserved resources are used", snapshot(Machine{Reservations: reservations, Free: machineSize}, jobWithReservation, small), 1, 0, 0},
 		{"without a reservation the small tasks start", snapshot(Machine{Free: machineSize}, urgent, small), 2, 0, 0},
-		{"a reserved machine has no room for a second unit", snapshot(halfFree, twoUnits), 0, 0, 0},
-		{"a job of a higher priority uses reserved room", snapshot(halfFree, prod), 1, 0, 0},
-		{"no room is reserved beyond the team's limit", withLimit(snapshot(full(twoVictims...), jobWithReservation, other), 4), 0, 0, 0},
-		{"within the limit room is reserved for a second job", withLimit(snapshot(full(twoVictims...), jobWithReservation, other), 8), 0, 2, 1},
+		{"a second unit does not fit on a reserved machine", snapshot(halfFree, twoUnits), 0, 0, 0},
+		{"a job of a higher priority uses reserved resources", snapshot(halfFree, prod), 1, 0, 0},
+		{"nothing is reserved beyond the team's limit", withLimit(snapshot(full(twoVictims...), jobWithReservation, other), 4), 0, 0, 0},
+		{"within the limit resources are reserved for a second job", withLimit(snapshot(full(twoVictims...), jobWithReservation, other), 8), 0, 2, 1},
 		{"a reservation that is used counts toward the limit once", withLimit(snapshot(Machine{Reservations: reservations, Free: machineSize, Victims: twoVictims}, jobWithReservation, lighterOther), 8), 1, 2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -171,9 +171,9 @@
 		wantCalls   int
 		wantVictims int
 	}{
-		"an urgent job finds no room":    {wire.PriorityUrgent, 0, 1, 1},
+		"an urgent job does not fit":    {wire.PriorityUrgent, 0, 1, 1},
 		"an urgent job starts":           {wire.PriorityUrgent, 4, 0, 0},
-		"a standard array finds no room": {wire.PriorityStandard, 0, 0, 0},
+		"a standard array does not fit": {wire.PriorityStandard, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			spec := &wire.JobSpec{ID: "req-1", Team: "t", Kind: wire.KindArray, Priority: c.priority, Tasks: 1, CPUs: 4, MemoryGB: 4}
--- a/internal/placement/room.go
+++ b/internal/placement/room.go
@@ -28,21 +28,21 @@
 		return roomOption{}
 	}
 	option := roomOption{costSeconds: fetchCostSeconds(j, m)}
-	room := m.unreservedRoom()
+	available := m.unreservedResources()
 	if j.Spec.IsGang() && !j.MayUseHeadroom {
-		// The gang may not use the headroom. A reservation there would never be used.
-		room = room.Minus(m.serviceHeadroom)
+		// The gang may not use the services' headroom. A reservation there would never be used.
+		available = available.Minus(m.serviceHeadroom)
 	}
-	if unit.FitsIn(room) {
+	if unit.FitsIn(available) {
 		option.feasible = true
 		return option
 	}
 	for _, i := range victimOrder(j, m) {
 		victim := &m.Victims[i]
-		room = room.Plus(victim.Resources)
+		available = available.Plus(victim.Resources)
 		option.costSeconds += victimCostSeconds(j, victim)
 		option.victims = append(option.victims, i)
-		if unit.FitsIn(room) {
+		if unit.FitsIn(available) {
 			option.feasible = true
 			break
 		}
@@ -99,9 +99,9 @@
 const (
 	// preemptionCostSeconds is the cost of a preemption in addition to the repeated work.
 	preemptionCostSeconds = 5
-	// waitingWeight is how many seconds of repeated work are accepted to save a service, or
-	// a gang that must start soon, a second of waiting for an image or a checkpoint. In a
-	// full cluster, most replicas start in room that was made for them, and the image
+	// waitingWeight is the cost, in seconds of work, of a second that a service or a gang
+	// that must start soon waits for its image, or that such a gang waits for a checkpoint.
+	// In a full cluster, most replicas start in room that was made for them, and the image
 	// decides whether they start in time.
 	waitingWeight = 20
 )
--- a/internal/placement/rules.go
+++ b/internal/placement/rules.go
@@ -7,8 +7,8 @@
 )
 
 // MayPreempt reports whether tasks may be preempted for the job. Arrays and gangs of
-// standard priority or below wait for room: most of the work of a preempted array is
-// repeated, so that preempting one array for another only delays the other.
+// standard priority or below wait for resources: most of the work of a preempted array is
+// repeated, so that preempting one array for another only moves the delay between them.
 func MayPreempt(s *wire.JobSpec) bool {
 	return s.IsService() || s.Priority.Rank() >= wire.PriorityUrgent.Rank()
 }
@@ -44,7 +44,8 @@
 	return unit.FitsIn(m.Free) && MachineAllowed(j.Spec, m) && zoneOpen(j, m.Zone) && !m.reservedForOthers(j, unit)
 }
 
-// allows reports whether the team's limit has room for the requested resources of the job.
+// allows reports whether the team stays within its limit if the job gets the requested
+// resources.
 func (t *Team) allows(j *Job, requested Resources) bool {
 	used := t.Used.Plus(requested)
 	if t.withholdsReserveFrom(j) {
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -19,7 +19,7 @@
 
 // score rates a machine for a unit of the job among the machines of one class; higher is
 // better. A fetch in progress is better than a new one, a spot machine better than an
-// ordinary one, and for a service a machine with other services better than one without.
+// on-demand one, and for a service a machine with other services better than one without.
 // The last term prefers the machine with the smallest share of its CPUs left free.
 func score(j *Job, m *Machine, unit Resources) float64 {
 	score := 0.0
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -26,7 +26,7 @@
 	// MayUseHeadroom reports that the job has waited so long without a start that its next
 	// unit may use headroom.
 	MayUseHeadroom bool
-	// ReservedUnits is the number of the job's units for which room is reserved.
+	// ReservedUnits is the number of the job's units for which resources are reserved.
 	ReservedUnits int
 	// PreemptionDelaySeconds is how long a unit may wait for tasks to end by themselves
 	// instead of preempting them.
@@ -62,8 +62,8 @@
 	ExpectedGangs []*wire.JobSpec
 	// AllowPreemption turns on reservations and preemptions for jobs that did not start.
 	AllowPreemption bool
-	// FullMachines, if set, returns the machines that have no room for any pending unit,
-	// with their victims. It is called only if a job that may reserve room did not start:
+	// FullMachines, if set, returns the machines on which no pending unit fits, with their
+	// victims. It is called only if a job that may reserve resources did not start:
 	// most cycles of a full cluster have no such job.
 	FullMachines func() []Machine
 }
