--- a/internal/fleet/all_or_nothing_test.go
+++ b/internal/fleet/all_or_nothing_test.go
@@ -20,9 +20,9 @@
 			continue
 		}
 		available := m.Free
-		for _, f := range m.ExpectedReleases {
-			if f.InSeconds <= d.SlackSeconds {
-				available = available.Plus(f.Resources)
+		for _, release := range m.ExpectedReleases {
+			if release.InSeconds <= d.SlackSeconds {
+				available = available.Plus(release.Resources)
 			}
 		}
 		units[m.Zone] += unit.UnitsIn(available)
--- a/internal/fleet/bin.go
+++ b/internal/fleet/bin.go
@@ -46,9 +46,9 @@
 // freeWithin returns the resources that are free now or are expected to be within the given time.
 func (b *bin) freeWithin(seconds float64) placement.Resources {
 	free := b.free
-	for _, f := range b.expectedReleases {
-		if f.InSeconds <= seconds {
-			free = free.Plus(f.Resources)
+	for _, release := range b.expectedReleases {
+		if release.InSeconds <= seconds {
+			free = free.Plus(release.Resources)
 		}
 	}
 	return free
@@ -90,12 +90,12 @@
 	// The releases of several tasks add up, because a unit may need more than one task releases.
 	var released placement.Resources
 	remaining := b.expectedReleases[:0]
-	for _, f := range b.expectedReleases {
-		if f.InSeconds > d.SlackSeconds || filled == maxUnits {
-			remaining = append(remaining, f)
+	for _, release := range b.expectedReleases {
+		if release.InSeconds > d.SlackSeconds || filled == maxUnits {
+			remaining = append(remaining, release)
 			continue
 		}
-		released = released.Plus(f.Resources)
+		released = released.Plus(release.Resources)
 		if units := min(maxUnits-filled, unit.UnitsIn(released)); units > 0 {
 			filled += units
 			released = placement.Resources{}
--- a/internal/fleet/cordon.go
+++ b/internal/fleet/cordon.go
@@ -60,9 +60,9 @@
 	return units
 }
 
-// takesArrays reports whether array and gang tasks from cordoned machines can be moved to the machine: it
-// is up, is not idle unless this plan uses it, and is not an on-demand machine that runs only
-// services.
+// takesArrays reports whether array and gang tasks from cordoned machines can be moved to the
+// machine: it is up, is not idle unless this plan uses it, and is not an on-demand machine that
+// runs only services.
 func takesArrays(m *Machine, b *bin) bool {
 	unused := m.Booting || m.Idle && !b.used
 	runsOnlyServices := m.ServiceTasks > 0 && m.LargestBatchTask.CPUs == 0
--- a/internal/placement/preempt_test.go
+++ b/internal/placement/preempt_test.go
@@ -172,7 +172,7 @@
 		wantVictims int
 	}{
 		"an urgent job does not fit":    {wire.PriorityUrgent, 0, 1, 1},
-		"an urgent job starts":           {wire.PriorityUrgent, 4, 0, 0},
+		"an urgent job starts":          {wire.PriorityUrgent, 4, 0, 0},
 		"a standard array does not fit": {wire.PriorityStandard, 0, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
