--- a/internal/fleet/packer.go
+++ b/internal/fleet/packer.go
@@ -8,7 +8,8 @@
 	"lilaclead/internal/wire"
 )
 
-// packer is the state while one plan is made. It works on copies of the snapshot's slices.
+// packer is the state while one plan is made. It works on copies of the snapshot's slices, but
+// lowers the demands' ZoneCapacityLeft in place.
 type packer struct {
 	snapshot        *Snapshot
 	bins            []bin
--- a/internal/placement/headroom.go
+++ b/internal/placement/headroom.go
@@ -14,8 +14,8 @@
 		return
 	}
 	remainingUnits := s.HeadroomUnits
-	// A zone has at most half of the headroom, rounded up, so that a service that must be spread over
-	// zones can use all of it.
+	// A zone has at most half of the headroom, rounded up, so that a service that must be
+	// spread over zones can use all of it.
 	maxUnitsPerZone := (s.HeadroomUnits + 1) / 2
 	unitsByZone := map[wire.Zone]int{}
 	for _, i := range headroomOrder(s) {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -8,8 +8,7 @@
 )
 
 // preempt reserves resources for jobs that the pass did not start, where that costs least
-// work.
-// It returns the tasks to stop and the new reservations.
+// work. It returns the tasks to stop and the new reservations.
 func preempt(s *Snapshot) ([]Victim, []MachineReservation) {
 	waiting := jobsToReserveFor(s)
 	if len(waiting) == 0 {
@@ -121,8 +120,8 @@
 	return machine, best != nil
 }
 
-// reserveUnit reserves resources for one unit of the job on a machine. It takes the option's
-// victims that do not end in time as tasks to preempt.
+// reserveUnit reserves resources for one unit of the job on a machine. Of the option's
+// victims, those that end in time are awaited, and the others are preempted.
 func (p *preemption) reserveUnit(j *Job, machine int, option roomOption) {
 	m := &p.snapshot.Machines[machine]
 	reservation := reservationFor(j)
