--- a/internal/wire/cbor.go
+++ b/internal/wire/cbor.go
@@ -6,8 +6,8 @@
 const maxNesting = 16
 
 // maxElements bounds the number of elements of a decoded array or map. It is above the
-// largest of the protocol, the 100,000 tasks of a job. The size of what is read is bounded
-// in bytes elsewhere; this limit only keeps a corrupt length from exhausting the memory.
+// largest number that the protocol allows, the 100,000 tasks of a job. The readers of bodies
+// bound their size in bytes; this limit only keeps a corrupt length from exhausting the memory.
 const maxElements = 131072
 
 var encMode = func() cbor.EncMode {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -24,10 +24,10 @@
 	return m.OnDemandPrice
 }
 
-// CanRun reports whether the job allows machines of this type, and one of its tasks fits an
-// empty one.
+// CanRun reports whether the job allows machines of this type and one of its tasks fits on
+// an empty machine of the type.
 func (m *MachineSpec) CanRun(spec *JobSpec) bool {
-	return m.allowedBy(spec) && m.hasRoomFor(spec)
+	return m.allowedBy(spec) && m.hasCapacityFor(spec)
 }
 
 func (m *MachineSpec) allowedBy(spec *JobSpec) bool {
@@ -37,7 +37,7 @@
 	return spec.Zone == "" || slices.Contains(m.Zones, spec.Zone)
 }
 
-func (m *MachineSpec) hasRoomFor(spec *JobSpec) bool {
+func (m *MachineSpec) hasCapacityFor(spec *JobSpec) bool {
 	fitsCompute := spec.CPUs <= m.CPUs+AmountTolerance && spec.GPUs <= m.GPUs+AmountTolerance
 	fitsMemory := spec.MemoryGB <= m.MemoryGB+AmountTolerance
 	fitsDisk := spec.ImageGB <= m.DiskGB+AmountTolerance
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -2,9 +2,9 @@
 // key-value store and the other nodes send and receive, together with the small types for
 // ids, versions and times that the rest of the program uses.
 //
-// The names on the wire are the protocol's. They stand in the struct tags alone; everywhere
-// else the program uses the names of the fields. In the table of those that differ, the
-// name on the wire comes first:
+// The names on the wire are the protocol's. Only the struct tags and the errors about fields
+// of a submission use them; everywhere else the program uses the names of the fields. The
+// table lists the names that differ, the name on the wire first:
 //
 //	users       nameId job id            lane class               owner team
 //	            shape kind               urgency priority         parts tasks
@@ -17,6 +17,7 @@
 //	            standby spot             shift agent epoch        tally sequence
 //	            baton fencing token      parts, part task(s)      try attempt
 //	            warningS spot notice     orders commands          windDownS grace period
+//	            reportsTo leader
 //	cloud       kits machine types       booking request name     hosts machines
 //	            localGb disk             pullGbPerS fetch rate    readyS boot time
 //	            rate on-demand price     lowPrice spot price      status listed state
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -44,7 +44,7 @@
 	header.Set("Content-Type", ContentType)
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // an error: the client has closed the connection, and there is nothing to do
+	_, _ = w.Write(body) // an error means that the client has closed the connection
 }
 
 // WriteRetryableError writes a response that says why the request can't be served now, and
--- a/internal/wire/size.go
+++ b/internal/wire/size.go
@@ -58,7 +58,8 @@
 
 // jsonFloatSize allows for the ".0" that some encoders add to whole numbers.
 func jsonFloatSize(f float64) int {
-	// encoding/json writes an exponent below the first and from the second on.
+	// encoding/json writes an exponent for absolute values below smallestDecimal, and from
+	// smallestExponential on.
 	const smallestDecimal, smallestExponential = 1e-6, 1e21
 	format := byte('f')
 	if abs := math.Abs(f); abs != 0 && abs < smallestDecimal || abs >= smallestExponential {
@@ -75,7 +76,7 @@
 	return size
 }
 
-// jsonRuneSize returns the size of a character, escaped if any of the usual encoders does so.
+// jsonRuneSize returns the size of a character, escaped if any of the usual encoders escapes it.
 func jsonRuneSize(r rune) int {
 	const maxBasicPlane = 0xFFFF // a character beyond it takes two escapes
 	switch {
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The length of the JSON, escaped as far as the usual encoders do.
+		// The length of the JSON with every character escaped that the usual encoders escape.
 		escapedLen := 0
 		for _, r := range string(plain) {
 			switch {
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -13,8 +13,8 @@
 	Grant    GrantID  `cbor:"permit,omitempty"`
 }
 
-// EntryPage is one page of a list of keys. Truncated says that there are more. Revision is
-// that of the whole store, while that of an Entry is of its key.
+// EntryPage is one page of a list of keys. Truncated says that there are more pages. Revision
+// is the revision of the whole store; the Revision of an Entry is that of its key.
 type EntryPage struct {
 	Entries   []Entry  `cbor:"entries"`
 	Truncated bool     `cbor:"truncated"`
@@ -43,7 +43,8 @@
 	Writes []Write `cbor:"writes"`
 }
 
-// TxnResponse is the response to a Txn: its revision, or the keys whose guards failed.
+// TxnResponse is the response to a Txn: the revision of its writes, or the keys whose guards
+// failed.
 type TxnResponse struct {
 	Revision   Revision `cbor:"ledger"`
 	FailedKeys []string `cbor:"failed,omitempty"`
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -64,8 +64,8 @@
 	return spec, check.firstError
 }
 
-// requiredFields checks that each required field is present and in range, and returns them
-// all but the number of tasks. That is checked after fieldChecker.values, since the order
+// requiredFields checks that the required fields are present and in range, and returns them.
+// It leaves out the number of tasks, which is checked after fieldChecker.values: the order
 // of the checks decides which error is reported.
 func (in *submission) requiredFields(check *fieldChecker) JobSpec {
 	return JobSpec{
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -70,9 +70,9 @@
 		{"too many machine types", map[string]any{"kits": machineTypes(65)}, FieldError{"kits", "must be null or name 1 to 64 types"}},
 		{"empty machine type", map[string]any{"kits": []string{"t", ""}}, FieldError{"kits", "must have 1 to 120 bytes"}},
 
-		// Checked first is that the required fields but the tasks are present and in range, in
-		// the order of the cases above; then the values of job id, kind and priority; then
-		// tasks, machine types, zone and deadline.
+		// The first checks are that the required fields other than tasks are present and in
+		// range, in the order of the cases above. The next check the values of job id, kind and
+		// priority, and the last check tasks, machine types, zone and deadline.
 		{"missing class before missing team", map[string]any{"owner": nil, "lane": nil}, FieldError{"lane", missing}},
 		{"missing checkpoint time before malformed job id", map[string]any{"nameId": "job-1", "snapshotS": nil}, FieldError{"snapshotS", missing}},
 		{"image size before flags", map[string]any{"samePlace": nil, "imageGb": -1}, FieldError{"imageGb", "out of range"}},
@@ -130,7 +130,7 @@
 		t.Fatalf("got %v, want no error", err)
 	}
 	if spec.Tasks != MaxTasks || spec.CPUs != 1e9 || len(spec.MachineTypes) != 64 || spec.Zone != "a" || !spec.IsGang() {
-		t.Errorf("got %+v", spec)
+		t.Errorf("got %+v, want the submitted values", spec)
 	}
 	if spec.Deadline != 0.001 {
 		t.Errorf("deadline of zero: got %v, want 0.001, since 0 stands for none", spec.Deadline)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,13 +16,13 @@
 		}
 		validTasks := spec.Tasks >= 1 && spec.Tasks <= MaxTasks
 		if !spec.ID.Valid() || !validTasks || !(spec.CPUs > 0) {
-			t.Fatalf("accepted %x as %+v", b, spec)
+			t.Fatalf("DecodeJobSpec accepted %x as %+v, want an error for invalid fields", b, spec)
 		}
 	})
 }
 
-// Whatever the bytes of a heartbeat are, if a task id of it can be parsed, it has the only
-// form of that id.
+// Whatever the bytes of a heartbeat are, a task id in it that can be parsed has the one form
+// that TaskID.String returns.
 func FuzzDecodeHeartbeat(f *testing.F) {
 	f.Add(Encode(Heartbeat{Machine: "n-1", Tasks: []TaskStatus{{Task: "req-1/0", Attempt: 1, Phase: PhaseExited, Cause: CauseDone}}}))
 	f.Add([]byte{0xa1, 0x65, 'p', 'a', 'r', 't', 's', 0x9a, 0xff, 0xff, 0xff, 0xff})
@@ -33,7 +33,7 @@
 		}
 		for _, status := range heartbeat.Tasks {
 			if task, err := ParseTaskID(status.Task); err == nil && task.String() != status.Task {
-				t.Fatalf("got %v for %q, want the same form", task, status.Task)
+				t.Fatalf("parsed task id: got %v for %q, want the same text", task, status.Task)
 			}
 		}
 	})
@@ -59,7 +59,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			got, err := ParseTaskID(tc.id)
 			if wantErr := tc.want == (TaskID{}); got != tc.want || (err != nil) != wantErr {
-				t.Errorf("%q: got %v, error %v, want %v, an error: %v", tc.id, got, err, tc.want, wantErr)
+				t.Errorf("ParseTaskID(%q): got %v, error %v; want %v, want an error: %v", tc.id, got, err, tc.want, wantErr)
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 	submission["novel"] = []int{1}
 	spec, err := DecodeJobSpec(Encode(submission))
 	if err != nil || spec.CPUs != 4 || spec.MachineTypes != nil || spec.Deadline != 0 || spec.MaxTasksPerZone() != 1 {
-		t.Fatalf("got %+v, %v", spec, err)
+		t.Fatalf("got %+v, %v, want the submitted CPUs, no machine types, no deadline and one task per zone", spec, err)
 	}
 	for _, field := range []string{"nameId", "lane", "owner", "shape", "urgency", "parts", "cpus", "cards", "ramGb", "bundle", "imageGb", "samePlace", "apart", "standby", "expectedS", "snapshotEveryS", "snapshotS"} {
 		for name, change := range map[string]func(map[string]any){
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestMachineSpecCanRunNeedsAllowedTypeWithRoom(t *testing.T) {
+func TestMachineSpecCanRunNeedsAllowedTypeWithCapacity(t *testing.T) {
 	spec := JobSpec{CPUs: 4, GPUs: 1, MemoryGB: 8, ImageGB: 10}
 	machine := MachineSpec{Name: "g4", CPUs: 4, GPUs: 1, MemoryGB: 8, DiskGB: 10, Zones: []Zone{"a", "b"}}
 	cases := []struct {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -20,7 +20,7 @@
 	CauseDone    ExitCause = "done"
 	CauseStopped ExitCause = "stopped"
 	CauseError   ExitCause = "error"
-	CauseFull    ExitCause = "full"    // the launch was refused: the machine has no room for the task
+	CauseFull    ExitCause = "full"    // the launch was refused: the machine lacks resources for the task
 	CauseBusy    ExitCause = "busy"    // the launch was refused: an earlier attempt of the task still runs
 	CauseNoSuch  ExitCause = "no_such" // the launch was refused: there is no such task
 	// CauseGangBroken and CauseGangIncomplete occur only with tasks of a gang: another task
@@ -66,7 +66,7 @@
 const (
 	VerbLaunch Verb = "launch"
 	VerbStop   Verb = "halt"
-	VerbForget Verb = "forget"
+	VerbForget Verb = "forget" // leave an exited task out of further heartbeats
 )
 
 // Command is one command to an agent, about one attempt of a task.
@@ -77,8 +77,8 @@
 	GracePeriod *Seconds      `cbor:"windDownS,omitempty"`
 }
 
-// Commands is the response to a heartbeat, then without an epoch, or is sent to an agent
-// directly.
+// Commands is the response to a heartbeat, or a request that is sent to an agent directly.
+// Epoch is set only in the request.
 type Commands struct {
 	Token    FencingToken `cbor:"baton"`
 	Epoch    AgentEpoch   `cbor:"shift,omitempty"`
