--- a/internal/compat/earlier_test.go
+++ b/internal/compat/earlier_test.go
@@ -54,7 +54,7 @@
 		Status string `cbor:"status"`
 		Done   int    `cbor:"done"`
 	}
-	earlierLeaderRecord struct {
+	earlierLeaseRecord struct {
 		Node  string `cbor:"node"`
 		Nonce string `cbor:"nonce"`
 	}
@@ -74,27 +74,27 @@
 		Types []earlierMachineSpec `cbor:"kits"`
 	}
 	earlierPeerHeartbeat struct {
-		From                 string                `cbor:"from"`
-		Sequence             uint64                `cbor:"seq"`
-		Token                uint64                `cbor:"token"`
-		Leads                bool                  `cbor:"leads"`
-		StateReachable       bool                  `cbor:"serves"`
-		ReachableWorkers     int                   `cbor:"hears"`
-		Delegation           uint64                `cbor:"grants,omitempty"`
-		SinceRenewal         int64                 `cbor:"stood,omitempty"`
-		Uptime               int64                 `cbor:"age,omitempty"`
-		UnconfirmedCancelAge int64                 `cbor:"unproven,omitempty"`
-		Cancelled            []earlierCancellation `cbor:"cancelled,omitempty"`
-		OwnSpan              int64                 `cbor:"vouches,omitempty"`
-		WatermarkAge         int64                 `cbor:"knew,omitempty"`
+		From                    string                `cbor:"from"`
+		Sequence                uint64                `cbor:"seq"`
+		Token                   uint64                `cbor:"token"`
+		Leads                   bool                  `cbor:"leads"`
+		StateReachable          bool                  `cbor:"serves"`
+		ReachableAgents         int                   `cbor:"hears"`
+		Delegation              uint64                `cbor:"grants,omitempty"`
+		SinceRenewal            int64                 `cbor:"stood,omitempty"`
+		Uptime                  int64                 `cbor:"age,omitempty"`
+		InFlightLaunchCancelAge int64                 `cbor:"unproven,omitempty"`
+		Cancelled               []earlierCancellation `cbor:"cancelled,omitempty"`
+		OwnSpan                 int64                 `cbor:"vouches,omitempty"`
+		WatermarkAge            int64                 `cbor:"knew,omitempty"`
 	}
 	earlierCancellation struct {
 		Job string `cbor:"j"`
 		Age int64  `cbor:"a"`
 	}
-	// earlierWorkerHeartbeat is an agent's heartbeat, which one node relays to another as it
+	// earlierAgentHeartbeat is an agent's heartbeat, which one node relays to another as it
 	// is.
-	earlierWorkerHeartbeat struct {
+	earlierAgentHeartbeat struct {
 		Machine    string              `cbor:"host"`
 		Addr       string              `cbor:"addr"`
 		Type       string              `cbor:"kit"`
--- a/internal/compat/keys_test.go
+++ b/internal/compat/keys_test.go
@@ -30,7 +30,7 @@
 		delete(data, s.name)
 		got := reflect.New(reflect.TypeOf(s.value))
 		if err := wire.Decode(raw, got.Interface()); err != nil {
-			t.Errorf("%s: %v", s.name, err)
+			t.Errorf("%s: decoding the bytes in testdata/keys.hex: %v", s.name, err)
 			continue
 		}
 		if !reflect.DeepEqual(got.Elem().Interface(), s.value) {
@@ -147,7 +147,7 @@
 		{wire.VerbLaunch, wire.Verb("launch")}, {wire.VerbStop, wire.Verb("halt")}, {wire.VerbForget, wire.Verb("forget")},
 	} {
 		if c.got != c.want {
-			t.Errorf("got %q, want %q", c.got, c.want)
+			t.Errorf("got the constant %q, want %q", c.got, c.want)
 		}
 	}
 }
--- a/internal/compat/samples_test.go
+++ b/internal/compat/samples_test.go
@@ -69,8 +69,8 @@
 		{"job state", wire.JobState{ID: "req-000417", Status: wire.StatusRunning, Done: 21, Running: 22}},
 		{"job brief", wire.JobSummary{ID: "req-000418", Status: wire.StatusQueued}},
 
-		{"part state", fullTaskState()},
-		{"report", fullWorkerHeartbeat()},
+		{"part state", fullTaskStatus()},
+		{"report", fullAgentHeartbeat()},
 		{"order", fullCommand()},
 		{"orders", wire.Commands{Token: 23, Epoch: 24, Commands: []wire.Command{fullCommand()}}},
 		{"elsewhere", wire.Redirect{Leader: "worker-4"}},
@@ -116,13 +116,13 @@
 	return wire.ListedMachine{Name: "n-3", Addr: "10.1.0.3:9000", Type: "g8", Zone: "b", Spot: true, State: wire.ListedRunning, Age: 33}
 }
 
-func fullTaskState() wire.TaskStatus {
+func fullTaskStatus() wire.TaskStatus {
 	return wire.TaskStatus{Task: "req-000419/0", Attempt: 27, Phase: wire.PhaseExited, Cause: wire.CauseGangBroken, CheckpointSaved: true}
 }
 
-func fullWorkerHeartbeat() wire.Heartbeat {
+func fullAgentHeartbeat() wire.Heartbeat {
 	return wire.Heartbeat{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Epoch: 2, Sequence: 88, Token: 41,
-		SpotNotice: pointer(wire.Seconds(12.5)), Tasks: []wire.TaskStatus{fullTaskState()}}
+		SpotNotice: pointer(wire.Seconds(12.5)), Tasks: []wire.TaskStatus{fullTaskStatus()}}
 }
 
 func fullCommand() wire.Command {
--- a/internal/compat/versions_test.go
+++ b/internal/compat/versions_test.go
@@ -12,8 +12,8 @@
 	"lilaclead/internal/wire"
 )
 
-// What both earlier versions wrote must decode to the values that it stands for, and these
-// values must be encoded with the same keys and values again.
+// The bytes that both earlier versions wrote must decode to the values that they stand for.
+// Encoding these values again must give the same keys and contents.
 func TestBytesOfEarlierVersionsAreReadAndWrittenUnchanged(t *testing.T) {
 	for _, commit := range []string{productionVersion, gangsVersion} {
 		data := readHexFile(t, "testdata/"+commit+".hex")
@@ -44,17 +44,17 @@
 		{chunk, productionChunk{}},
 		{chunk, gangsChunk{}},
 		{store.FinalRecord{Status: wire.StatusDone, Done: 1600}, earlierFinalRecord{}},
-		{store.LeaseRecord{Node: "worker-2", Nonce: "c0ffee"}, earlierLeaderRecord{}},
+		{store.LeaseRecord{Node: "worker-2", Nonce: "c0ffee"}, earlierLeaseRecord{}},
 		{wire.MachineSpecs{Types: []wire.MachineSpec{fullMachineSpec()}}, earlierMachineSpecs{}},
 		{fullPeerHeartbeat(), earlierPeerHeartbeat{}},
-		{fullWorkerHeartbeat(), earlierWorkerHeartbeat{}},
+		{fullAgentHeartbeat(), earlierAgentHeartbeat{}},
 		{wire.Commands{Token: 23, Epoch: 24, Commands: []wire.Command{fullCommand()}}, earlierCommands{}},
 		{wire.Redirect{Leader: "worker-4"}, earlierRedirect{}},
 	} {
 		raw, typ := wire.Encode(c.written), reflect.TypeOf(c.earlier)
 		decoded, err := decodeAs(typ, raw)
 		if err != nil {
-			t.Errorf("%v: %v", typ, err)
+			t.Errorf("%v: decoding by an earlier version: %v", typ, err)
 			continue
 		}
 		if missing := unsetFields(reflect.ValueOf(decoded), typ.Name()); len(missing) > 0 {
