--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	if cfg, err := Load(path); err != nil || cfg.HostName != "a" {
-		t.Errorf("Load of a valid file: got %+v, %v", cfg, err)
+		t.Errorf("Load of a valid file: got %+v, %v, want the host name a", cfg, err)
 	}
 	if cfg, err := Load(filepath.Join(dir, "none.toml")); !errors.Is(err, os.ErrNotExist) || cfg != nil {
 		t.Errorf("Load of a missing file: got %+v, %v, want %v", cfg, err, os.ErrNotExist)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -55,11 +55,12 @@
 	// CancelTimeout bounds the time from the confirmation of a cancellation until no
 	// task of the job runs.
 	CancelTimeout wire.Seconds `toml:"cancel_s"`
-	// GangWait is how long a task of a gang waits for the other tasks of the gang.
-	// GangPeerTimeout is the time within which the others notice that a task has ended; to
-	// stop a gang, all of its tasks must be told to stop within it. Files of earlier versions
-	// lack both, which are then 0.
-	GangWait        wire.Seconds `toml:"gang_wait_s"`
+	// GangWait is how long a task of a gang waits for the other tasks of the gang. It is 0 if
+	// the file is of an earlier version, which lacks it.
+	GangWait wire.Seconds `toml:"gang_wait_s"`
+	// GangPeerTimeout is the time within which the other tasks of a gang notice that a task has
+	// ended. To stop a gang, all of its tasks must be told to stop within this time. It is 0 if
+	// the file is of an earlier version, which lacks it.
 	GangPeerTimeout wire.Seconds `toml:"gang_peer_s"`
 }
 
--- a/internal/config/store_limits.go
+++ b/internal/config/store_limits.go
@@ -6,12 +6,12 @@
 	// second from the whole deployment.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
-	// ValueKB is the maximum size of a value, in kilobytes. TxnOps is the maximum
+	// ValueKB is the maximum size of a value, in units of 1024 bytes. TxnOps is the maximum
 	// number of writes in a transaction.
 	ValueKB float64 `toml:"value_kb"`
 	TxnOps  int     `toml:"txn_ops"`
-	// Next are limits that are announced for the store. They take effect at an unknown time,
-	// without further notice. Next is nil if no change is announced.
+	// Next holds the limits that are announced for the store. They take effect at an unknown
+	// time, without further notice. Next is nil if no change is announced.
 	Next *NextStoreLimits `toml:"next"`
 }
 
