--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -43,7 +43,7 @@
 	r.Handler("GET", "/metrics", a.metrics.handler())
 }
 
-// retryAfterSeconds is the Retry-After of refused requests.
+// retryAfterSeconds is the Retry-After header of responses to requests that may be retried.
 const retryAfterSeconds = 1
 
 // requestError is an error of the request itself: the same request fails again if it is
--- a/internal/admin/metrics.go
+++ b/internal/admin/metrics.go
@@ -81,8 +81,8 @@
 	return f.NewGaugeVec(prometheus.GaugeOpts{Name: name, Help: help}, labels)
 }
 
-// RegisterHistory registers a counter of the history's events for each outcome. The metrics
-// call counts each time they are collected.
+// RegisterHistory registers a counter of the history's events for each outcome. The function
+// counts is called each time the metrics are collected.
 func (m *Metrics) RegisterHistory(counts func() history.Counts) {
 	register := func(outcome string, count func() uint64) {
 		opts := prometheus.CounterOpts{
@@ -111,8 +111,8 @@
 // maxOutcomeBytes bounds the label of an outcome, which may hold the text of an error.
 const maxOutcomeBytes = 40
 
-// ObserveCalls returns a function that records the duration of a call to the external service,
-// by operation and outcome.
+// ObserveCalls returns a function that records the duration of a call to the given external
+// service, by operation and outcome.
 func (m *Metrics) ObserveCalls(service string) func(op, outcome string, duration time.Duration) {
 	return func(op, outcome string, duration time.Duration) {
 		outcome = outcome[:min(len(outcome), maxOutcomeBytes)]
--- a/internal/admin/metrics_test.go
+++ b/internal/admin/metrics_test.go
@@ -103,7 +103,7 @@
 		}
 	}
 	if !slices.Equal(types, wantTypes) {
-		t.Errorf("metrics: got %q, want %q", types, wantTypes)
+		t.Errorf("types of the metrics: got %q, want %q", types, wantTypes)
 	}
 	for _, line := range lines {
 		if strings.Contains(line, `state="booting"`) {
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -45,8 +45,8 @@
 	version wire.Revision
 }
 
-// readSettings reads the stored settings. If the record can't be decoded, it logs the error, the
-// first time only, and returns the values that were decoded before it.
+// readSettings reads the stored settings. If the record can't be decoded, it returns the values
+// that were decoded before the error. It logs only the first such error.
 func (a *Admin) readSettings(ctx context.Context) (storedSettings, error) {
 	entry, err := a.store.Get(ctx, store.ClassUser, store.SettingsKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -180,8 +180,9 @@
 // within about this time.
 const pollInterval = 5 * time.Second
 
-// FollowSettings polls the stored settings until the context ends. It applies them at the start
-// and after every change, and calls onApplied with the values that it has applied.
+// FollowSettings polls the stored settings until the context ends. It applies them at the start,
+// if there are any, and after every change. After each application it calls onApplied with the
+// values that it has applied.
 func (a *Admin) FollowSettings(ctx context.Context, onApplied func(tuning.Values)) {
 	var applied wire.Revision
 	for {
