--- a/internal/tuning/fields.go
+++ b/internal/tuning/fields.go
@@ -9,7 +9,7 @@
 
 // Field describes one setting.
 type Field struct {
-	// Name is the name by which operators set it and under which it is stored.
+	// Name is the name by which operators set the setting and under which it is stored.
 	Name  string
 	About string
 	value fieldValue
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// Override returns the base values with the given settings, by name, in place of theirs.
+// Override applies the given settings, which are keyed by name, to a copy of the base values
+// and returns it.
 //
 // Strict mode is for a change by an operator: if any name is unknown or any value is not
 // allowed, Override returns the base values unchanged. Without strict mode, for stored
--- a/internal/tuning/tuning_test.go
+++ b/internal/tuning/tuning_test.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// partlyInvalidSettings holds valid settings, some with values that are not allowed, and one
-// that only a newer node knows.
+// partlyInvalidSettings holds settings with allowed values, settings with values that are not
+// allowed, and one setting that only a newer node knows.
 var partlyInvalidSettings = map[string]any{"fleet.keep_boots": 2.0, "fleet.dear_limit": -1.0, "gangs.of_tomorrow": "yes", "log.level": "loud", "round.period_s": 2.0}
 
 func TestInvalidStoredSettingsKeepTheirBaseValues(t *testing.T) {
@@ -116,7 +116,7 @@
 
 func TestEveryFieldHasItsOwnValueAndAllowedDefault(t *testing.T) {
 	if got, want := len(Fields), reflect.TypeFor[Values]().NumField(); got != want {
-		t.Errorf("fields: got %d, want %d, one for each member of Values", got, want)
+		t.Errorf("Fields: got %d, want %d, one for each field of Values", got, want)
 	}
 	names, addresses := map[string]bool{}, map[any]bool{}
 	var values Values
