--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -39,12 +39,15 @@
 
 // Objective is a service-level objective for the jobs of a class.
 type Objective struct {
-	Kind   string       `toml:"kind"`
-	Class  string       `toml:"class"`
+	Kind  string `toml:"kind"`
+	Class string `toml:"class"`
+	// Within is the time in which a job should start or be complete. Objectives of the kind
+	// "deadline" use DeadlineMultiple instead.
 	Within wire.Seconds `toml:"within_s"`
-	Share  float64      `toml:"share"`
-	// DeadlineMultiple is used by objectives of the kind "deadline": the time by which a job
-	// should be complete, as a multiple of the job's own deadline.
+	// Share is the share of the class's jobs that should meet the objective.
+	Share float64 `toml:"share"`
+	// DeadlineMultiple is the time in which a job should be complete, as a multiple of the
+	// job's own deadline.
 	DeadlineMultiple float64 `toml:"times"`
 }
 
