--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -39,12 +39,15 @@
 
 // Objective is a service-level objective for the jobs of a class.
 type Objective struct {
-	Kind   string       `toml:"kind"`
-	Class  string       `toml:"class"`
+	Kind  string `toml:"kind"`
+	Class string `toml:"class"`
+	// Within is the time in which a job should start or be complete. Objectives of the kind
+	// "deadline" use DeadlineMultiple instead.
 	Within wire.Seconds `toml:"within_s"`
-	Share  float64      `toml:"share"`
-	// DeadlineMultiple is used by objectives of the kind "deadline": the time by which a job
-	// should be complete, as a multiple of the job's own deadline.
+	// Share is the share of the class's jobs that should meet the objective.
+	Share float64 `toml:"share"`
+	// DeadlineMultiple is the time in which a job should be complete, as a multiple of the
+	// job's own deadline.
 	DeadlineMultiple float64 `toml:"times"`
 }
 
@@ -55,11 +58,12 @@
 	// CancelTimeout bounds the time from the confirmation of a cancellation until no
 	// task of the job runs.
 	CancelTimeout wire.Seconds `toml:"cancel_s"`
-	// GangWait is how long a task of a gang waits for the other tasks of the gang.
-	// GangPeerTimeout is the time within which the others notice that a task has ended; to
-	// stop a gang, all of its tasks must be told to stop within it. Files of earlier versions
-	// lack both, which are then 0.
-	GangWait        wire.Seconds `toml:"gang_wait_s"`
+	// GangWait is how long a task of a gang waits for the other tasks of the gang. It is 0 if
+	// the file is of an earlier version, which lacks it.
+	GangWait wire.Seconds `toml:"gang_wait_s"`
+	// GangPeerTimeout is the time within which the other tasks of a gang notice that a task has
+	// ended. To stop a gang, all of its tasks must be told to stop within this time. It is 0 if
+	// the file is of an earlier version, which lacks it.
 	GangPeerTimeout wire.Seconds `toml:"gang_peer_s"`
 }
 
