--- a/history/filename.go
+++ b/history/filename.go
@@ -72,8 +72,8 @@
 	return fileName{controller: controllerAndNumber[:dash], number: number, kind: kind}, true
 }
 
-// listFiles returns a controller's files in a folder, the oldest first. A folder that
-// can't be listed has none.
+// listFiles returns a controller's files in a folder, the oldest first. It returns none if the
+// folder can't be listed.
 func listFiles(dir, controller string) []fileName {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/history/log.go
+++ b/history/log.go
@@ -15,8 +15,8 @@
 // order. The body is records in CBOR, compressed with zstd.
 const (
 	frameHeaderSize = 8
-	// maxFrameBody bounds the size of a frame's body, in bytes, and thereby the memory that a
-	// damaged length can request.
+	// maxFrameBody bounds the size of a frame's body, in bytes. A greater length counts as
+	// damage, so that a damaged length can't have a huge body verified and decompressed.
 	maxFrameBody = 16 << 20
 	// maxDecodedFrame bounds the size of a frame's decompressed records, in bytes.
 	maxDecodedFrame = 64 << 20
@@ -114,8 +114,8 @@
 	return records, frameHeaderSize + len(body), nil
 }
 
-// verifiedBody returns the body of the frame at the start of content, or ErrDamaged if the
-// body doesn't match its checksum.
+// verifiedBody returns the body of the frame at the start of content. It returns ErrDamaged if
+// the frame is truncated, or its body is too long or doesn't match its checksum.
 func verifiedBody(content []byte) ([]byte, error) {
 	if len(content) < frameHeaderSize {
 		return nil, ErrDamaged
--- a/history/options.go
+++ b/history/options.go
@@ -52,7 +52,7 @@
 
 // OptionError reports an invalid option of a Recorder.
 type OptionError struct {
-	// Option is the option's name, in lower case.
+	// Option names the option: dir, controller, or limit for LimitBytes.
 	Option string
 	// Problem says what is wrong with its value.
 	Problem string
--- a/history/segment.go
+++ b/history/segment.go
@@ -91,7 +91,8 @@
 	return decodeSegment(content)
 }
 
-// decodeSegment is readSegment for a segment's content.
+// decodeSegment returns the records of the intact row groups in a segment's content. Its error is
+// as described at readSegment.
 //
 // The Parquet library may panic on damaged bytes, and may even end the process. It is
 // therefore given only bytes that match their checksums. Segments of earlier versions have
