--- a/cmd/lilaclead/history.go
+++ b/cmd/lilaclead/history.go
@@ -19,7 +19,7 @@
 }
 
 var (
-	// errNoHistoryDir reports that neither --dir nor the features file names the directory to
+	// errNoHistoryDir reports that neither --dir nor the features file names the folder to
 	// read.
 	errNoHistoryDir = errors.New("--dir: missing, and the features file names no history.dir")
 	// errDamagedHistory reports that some files couldn't be read in full.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	dir, err := cmd.directory(c)
+	dir, err := cmd.folder(c)
 	if err != nil {
 		return err
 	}
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// directory returns the directory from the command line, or else from the features file.
-func (cmd historyCmd) directory(c *cli) (string, error) {
+// folder returns the folder from the command line, or else from the features file.
+func (cmd historyCmd) folder(c *cli) (string, error) {
 	if cmd.Dir != "" {
 		return cmd.Dir, nil
 	}
--- a/cmd/lilaclead/main_test.go
+++ b/cmd/lilaclead/main_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordHistory records two events in a directory.
+// recordHistory records two events in a folder.
 func recordHistory(t *testing.T, dir string) {
 	t.Helper()
 	recorder, err := history.NewRecorder(history.Options{Dir: dir, Controller: "worker-0"})
@@ -122,7 +122,8 @@
 }
 
 // serveAdmin serves an administration API and returns its address. It answers every request with
-// the status, and with get to a GET or put to a PUT. A PUT must change the log level.
+// the status and a body: get for a GET, put for a PUT. A PUT must be the change that checkChange
+// expects.
 func serveAdmin(t *testing.T, status int, get, put any) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/lilaclead/serve.go
+++ b/cmd/lilaclead/serve.go
@@ -70,7 +70,7 @@
 	return lilaclead.LoadFeatures(path)
 }
 
-// loadFiles reads both files. The error joins those of each file.
+// loadFiles reads the settings and features files. The error joins the errors of both.
 func (c *cli) loadFiles() (*lilaclead.Config, lilaclead.Features, error) {
 	cfg, configErr := c.loadConfig()
 	features, featuresErr := c.loadFeatures()
--- a/cmd/simulator/main.go
+++ b/cmd/simulator/main.go
@@ -1,7 +1,7 @@
-// Command simulator simulates the environment of a small deployment on the loopback network,
-// to try lilaclead in: a key-value store, a cloud with its machines' agents, and users who
-// submit jobs. A checker watches the rules of the protocol. The command writes a settings file
-// for each of three controllers, which are started by hand.
+// Command simulator simulates the environment of a small deployment on the loopback network, in
+// which lilaclead can be tried out: a key-value store, a cloud with its machines' agents, and
+// users who submit jobs. A checker detects violations of the protocol's rules. The command
+// writes a settings file for each of three controllers, which are started by hand.
 package main
 
 import (
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// submitDemoJob submits the job of a number. Every fourth job is a service that its user cancels;
-// the others are arrays.
+// submitDemoJob submits the job with the given number. Every fourth job is a service that its
+// user cancels; the others are arrays.
 func submitDemoJob(sim *simulator.Simulation, number int) {
 	spec := wire.JobSpec{
 		ID: wire.JobID(fmt.Sprintf("req-%06d", number)), Class: "demo", Team: "red", Kind: wire.KindArray, Priority: wire.PriorityStandard,
