--- a/architecture_test.go
+++ b/architecture_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// architecturePage leads engineers from an alert or a log line to the code, by its name.
+// architecturePage is the page on which engineers look up the names of the code behind an alert
+// or a log line.
 const architecturePage = "docs/architecture.md"
 
 // codeName matches package.Name and package.Type.Member in back quotes. sourcePath matches a
@@ -29,7 +30,7 @@
 	declared := declaredNames(t)
 	names := codeName.FindAllSubmatch(page, -1)
 	if len(names) < 50 {
-		t.Errorf("only %d names found in %s", len(names), architecturePage)
+		t.Errorf("only %d names found in %s, want 50 or more", len(names), architecturePage)
 	}
 	for _, match := range names {
 		if name := string(match[1]); !declared[name] {
@@ -43,7 +44,8 @@
 	}
 }
 
-// declaredNames returns package.Name and package.Type.Member of all that the sources declare.
+// declaredNames returns package.Name of all top-level declarations outside test files, and
+// package.Type.Member of their methods and fields.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	declared := map[string]bool{}
--- a/builder.go
+++ b/builder.go
@@ -124,8 +124,8 @@
 		Observe:             n.history.recordDutyEvent,
 		Versions:            n.versions.member,
 		MaxAgentConnections: n.sockets.direct,
-		MaxAgents:           n.sockets.maxWorkers(),
-		RequiredFDs:         func(workers int) int { return socketsNeeded(workers, settings.Limits, settings.Size) },
+		MaxAgents:           n.sockets.maxAgents(),
+		RequiredFDs:         func(agents int) int { return socketsNeeded(agents, settings.Limits, settings.Size) },
 	})
 }
 
--- a/config.go
+++ b/config.go
@@ -23,7 +23,7 @@
 
 // FeaturesFilePathFor returns the path of the features file for a program that was built as
 // deploy/service.toml says, given the path of its executable. The file is
-// deploy/features.toml, beside the executable's directory.
+// deploy/features.toml, beside the executable's folder.
 func FeaturesFilePathFor(program string) string { return features.FilePathFor(program) }
 
 // NewStateServiceClient returns a client of the deployment's key-value store, for programs
--- a/imports_test.go
+++ b/imports_test.go
@@ -77,22 +77,22 @@
 	for pkg, imported := range found {
 		allowed, listed := allowedImports[pkg]
 		if !listed {
-			t.Errorf("package %s is not in the table", pkg)
+			t.Errorf("package %s is not listed in allowedImports", pkg)
 			continue
 		}
 		for _, other := range imported {
 			if !slices.Contains(strings.Fields(allowed), other) {
-				t.Errorf("%s imports %s, which the table does not allow", pkg, other)
+				t.Errorf("%s imports %s, which allowedImports does not allow", pkg, other)
 			}
 		}
 	}
 	for pkg, allowed := range allowedImports {
 		if _, exists := found[pkg]; !exists {
-			t.Errorf("the table lists %s, which has no sources", pkg)
+			t.Errorf("allowedImports lists %s, which has no sources", pkg)
 		}
 		for _, other := range strings.Fields(allowed) {
 			if !slices.Contains(found[pkg], other) {
-				t.Errorf("the table allows %s to import %s, which it does not", pkg, other)
+				t.Errorf("allowedImports allows %s to import %s, but no import needs that", pkg, other)
 			}
 		}
 	}
@@ -139,7 +139,8 @@
 	return strings.CutPrefix(name, module+"/")
 }
 
-// eachGoFile calls visit for each Go file of the project, including test files.
+// eachGoFile calls visit for each Go file of the project, including test files. It skips hidden
+// directories and those named target or journal.
 func eachGoFile(t *testing.T, visit func(file string)) {
 	t.Helper()
 	err := filepath.WalkDir(".", func(file string, entry fs.DirEntry, err error) error {
--- a/listener.go
+++ b/listener.go
@@ -18,7 +18,7 @@
 
 const (
 	userClient clientKind = iota // also health checks, and connections without a request yet
-	workerClient
+	agentClient
 	clientKindCount
 )
 
@@ -211,7 +211,7 @@
 // kindOfClient returns the kind of client that sends a request.
 func kindOfClient(r *http.Request) clientKind {
 	if strings.HasPrefix(r.URL.Path, heartbeatPath) {
-		return workerClient
+		return agentClient
 	}
 	return userClient
 }
--- a/listener_test.go
+++ b/listener_test.go
@@ -86,32 +86,32 @@
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 4
 		s := startBoundedServer(t, limit)
-		worker1, worker2, user1, user2 := s.newClient(t), s.newClient(t), s.newClient(t), s.newClient(t)
+		agent1, agent2, user1, user2 := s.newClient(t), s.newClient(t), s.newClient(t), s.newClient(t)
 		for _, request := range []struct {
 			client func(path string) bool
 			path   string
-		}{{worker1, "/hello"}, {user1, "/v1/jobs/x"}, {worker2, "/hello"}, {user2, "/v1/jobs/x"}} {
+		}{{agent1, "/hello"}, {user1, "/v1/jobs/x"}, {agent2, "/hello"}, {user2, "/v1/jobs/x"}} {
 			if !request.client(request.path) {
 				t.Fatalf("%s is not served below the limit", request.path)
 			}
 		}
 		// All slots are in use: one of them is reserved for the next connection.
-		if !s.newClient(t)("/ready") || s.idle(userClient) == 0 || s.idle(workerClient) != 2 {
-			t.Errorf("after a health check at the limit: %d users' and %d workers' connections idle, want it served, some users' and 2 workers'", s.idle(userClient), s.idle(workerClient))
+		if !s.newClient(t)("/ready") || s.idle(userClient) == 0 || s.idle(agentClient) != 2 {
+			t.Errorf("after a health check at the limit: %d users' and %d agents' connections idle, want it served, some users' and 2 agents'", s.idle(userClient), s.idle(agentClient))
 		}
-		var workers []func(path string) bool
+		var agents []func(path string) bool
 		for i := range 6 {
-			worker := s.newClient(t)
-			workers = append(workers, worker)
-			if !worker("/hello") {
-				t.Errorf("worker %d is not served at the limit", i)
+			agent := s.newClient(t)
+			agents = append(agents, agent)
+			if !agent("/hello") {
+				t.Errorf("agent %d is not served at the limit", i)
 			}
 		}
 		if s.idle(userClient) != 0 || s.open() > limit {
 			t.Errorf("%d users' connections idle, %d connections open, want none idle and at most %d open", s.idle(userClient), s.open(), limit)
 		}
-		for _, worker := range workers[3:] {
-			go worker("/hello?hold")
+		for _, agent := range agents[3:] {
+			go agent("/hello?hold")
 		}
 		go s.newClient(t)("/hello?hold")
 		time.Sleep(100 * time.Millisecond)
--- a/node.go
+++ b/node.go
@@ -42,9 +42,9 @@
 	Log io.Writer
 	// Features says which optional features are on; the zero value has all of them off.
 	Features Features
-	// Versions is the range of the behaviour's versions that this node supports. It
-	// matters only where versions are negotiated. The zero value stands for all that the
-	// program supports.
+	// Versions is the range of behaviour versions (package upgrade) that this node supports.
+	// It matters only where versions are negotiated. The zero value stands for all versions
+	// that the program supports.
 	Versions upgrade.Range
 }
 
--- a/node_test.go
+++ b/node_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("Run returned %v after its context ended, want nil", err)
 		}
 		stopState()
-		time.Sleep(time.Minute)
+		time.Sleep(time.Minute) // lets the goroutines of the node and the store end
 	})
 }
 
--- a/process.go
+++ b/process.go
@@ -19,8 +19,8 @@
 )
 
 // LimitProcess sets the Go runtime's number of threads, memory limit and GC percentage so that
-// the process stays within the limits of the settings file. These hold for the whole process,
-// so it is meant for a process that runs a Node and nothing else.
+// the process stays within the limits of the settings file. All three hold for the whole
+// process, so call LimitProcess only in a process that runs a Node and nothing else.
 func LimitProcess(cfg *Config) {
 	runtime.GOMAXPROCS(maxProcs)
 	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemoryMB * heapShare * bytesPerMegabyte))
--- a/process_test.go
+++ b/process_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("GOMAXPROCS = %d, want 1", got)
 	}
 	if got, want := debug.SetMemoryLimit(-1), int64(70<<20); got != want {
-		t.Errorf("memory limit = %d bytes, want %d of 100 MB", got, want)
+		t.Errorf("memory limit = %d bytes, want %d for memory_mb = 100", got, want)
 	}
 	if got := debug.SetGCPercent(100); got != gcPercent {
 		t.Errorf("GC percent = %d, want %d", got, gcPercent)
--- a/readiness_test.go
+++ b/readiness_test.go
@@ -11,7 +11,7 @@
 	"lilaclead/upgrade"
 )
 
-func TestNodeWithoutStateServiceIsReadyUnlessAnotherMayReachIt(t *testing.T) {
+func TestNodeWithoutStoreIsReadyUnlessPeerMayReachIt(t *testing.T) {
 	now := time.Now()
 	connected := peer.Peer{LastContact: now}
 	heartbeatWithState := peer.Heartbeat{StateReachable: true}
@@ -21,12 +21,12 @@
 		peers map[wire.NodeID]peer.Peer
 		want  string
 	}{
-		"no peer was ever in contact":       {nil, reasonIsolated},
-		"no peer is in contact any more":    {map[wire.NodeID]peer.Peer{"a": disconnectedWithState}, reasonIsolated},
-		"a peer reaches the state service":  {map[wire.NodeID]peer.Peer{"a": connected, "b": connectedWithState}, reasonNoStateService},
-		"no peer reaches the state service": {map[wire.NodeID]peer.Peer{"a": connected, "b": disconnectedWithState}, ""},
+		"no peer was ever in contact":    {nil, reasonIsolated},
+		"no peer is in contact any more": {map[wire.NodeID]peer.Peer{"a": disconnectedWithState}, reasonIsolated},
+		"a peer reaches the store":       {map[wire.NodeID]peer.Peer{"a": connected, "b": connectedWithState}, reasonNoStore},
+		"no peer reaches the store":      {map[wire.NodeID]peer.Peer{"a": connected, "b": disconnectedWithState}, ""},
 	} {
-		if got := reasonWithoutState(c.peers, now); got != c.want {
+		if got := reasonWithoutStore(c.peers, now); got != c.want {
 			t.Errorf("%s: reasonWithoutState(%+v) = %q, want %q", name, c.peers, got, c.want)
 		}
 	}
--- a/run.go
+++ b/run.go
@@ -40,7 +40,7 @@
 	n.startComponents(ctx)
 	waitForHistory := n.history.start(ctx)
 	defer waitForHistory()
-	serveErrs := make(chan error, 2) // room for both servers, so that neither blocks after Run returns
+	serveErrs := make(chan error, 2) // capacity for both servers, so that neither blocks after Run returns
 	go func() { serveErrs <- userServer.Serve(bounded) }()
 	go func() { serveErrs <- peerServer.Serve(peerListener) }()
 	n.log.Info("node started", "front", n.cfg.UserAddr, "peers", n.cfg.PeerAddr, "features", n.features)
@@ -97,7 +97,7 @@
 // limit on sockets.
 func (n *Node) logLimits() {
 	limits := n.cfg.Settings.Limits
-	n.log.Info("sockets split", "limit", limits.FDLimit, "split", n.sockets, "workers_alone", n.sockets.maxWorkers())
+	n.log.Info("sockets split", "limit", limits.FDLimit, "split", n.sockets, "workers_alone", n.sockets.maxAgents())
 	if n.sockets.memoryNeededMB > limits.MemoryMB {
 		n.log.Warn("accepted connections reduced", "reason", "memory_mb is too small for fd_limit",
 			"memory_mb", limits.MemoryMB, "needed", int(n.sockets.memoryNeededMB))
--- a/servers.go
+++ b/servers.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// peerServer serves the other nodes and operators. It bounds neither reading a request nor
+// peerServer serves the other nodes and operators. It has no timeout for reading a request or
 // writing a response, since the other nodes' streams have no end.
 func (n *Node) peerServer() *http.Server {
 	var protocols http.Protocols
--- a/sockets.go
+++ b/sockets.go
@@ -18,7 +18,7 @@
 
 const (
 	// usersShare is the fraction of the accepted connections that is left for users and
-	// health checks. The number of agents is computed without it.
+	// health checks. maxAgents excludes it.
 	usersShare = 0.1
 	// baseMB is the memory of a process without connections. connectionMB is that of each
 	// connection and of the state of the machine behind it. At 1.5 times the largest
@@ -48,14 +48,14 @@
 	cloudSockets    = 4
 	socketsPerPeer  = 4
 	listenerSockets = 2
-	spareSockets    = 16
-	// internalDivisor bounds the internal sockets by a third of the limit if that is small.
+	reserveSockets  = 16
+	// internalDivisor bounds the internal sockets to a third of a small limit.
 	internalDivisor = 3
 )
 
-// splitSockets splits the limit of a node in a deployment of so many nodes. A single node may
-// have to serve every agent. Each agent holds one accepted connection, and commands need a
-// few more at a time.
+// splitSockets splits a node's limit on sockets, given the number of nodes in the deployment. A
+// single node may have to serve every agent. Each agent holds one accepted connection, and
+// commands need a few more at a time.
 func splitSockets(limits config.ProcessLimits, nodes int) socketBudget {
 	limit := max(minSockets, min(limits.FDLimit, connectionsInMemory(limits.MemoryMB)))
 	internal := min(limit/internalDivisor, internalSockets(nodes))
@@ -75,21 +75,21 @@
 
 // internalSockets returns how many sockets a node needs besides those of agents and users.
 func internalSockets(nodes int) int {
-	return stateSockets + cloudSockets + socketsPerPeer*(nodes-1) + listenerSockets + spareSockets
+	return stateSockets + cloudSockets + socketsPerPeer*(nodes-1) + listenerSockets + reserveSockets
 }
 
-// maxWorkers returns how many agents a single node can serve.
-func (b socketBudget) maxWorkers() int { return int(float64(b.accepted) * (1 - usersShare)) }
+// maxAgents returns how many agents a single node can serve.
+func (b socketBudget) maxAgents() int { return int(float64(b.accepted) * (1 - usersShare)) }
 
 // searchDivisor sets the precision of socketsNeeded, which raises the limit in steps of 2%.
 const searchDivisor = 50
 
-// socketsNeeded returns the fd_limit with which a single node can serve so many agents, if it
-// has the memory. The result is accurate to 2%.
-func socketsNeeded(workers int, limits config.ProcessLimits, nodes int) int {
+// socketsNeeded returns the fd_limit with which a single node can serve the given number of
+// agents, if it has the memory. The result is accurate to 2%.
+func socketsNeeded(agents int, limits config.ProcessLimits, nodes int) int {
 	limits.MemoryMB = math.Inf(1)
-	limits.FDLimit = workers
-	for splitSockets(limits, nodes).maxWorkers() < workers {
+	limits.FDLimit = agents
+	for splitSockets(limits, nodes).maxAgents() < agents {
 		limits.FDLimit += max(1, limits.FDLimit/searchDivisor)
 	}
 	return limits.FDLimit
--- a/sockets_test.go
+++ b/sockets_test.go
@@ -15,7 +15,7 @@
 		fdLimit        int
 		memoryMB       float64
 		nodes          int
-		minWorkers     int // that a single node must be able to serve
+		minAgents      int // that a single node must be able to serve
 		memoryTooSmall bool
 	}{
 		{"large, five nodes", 4296, 322, 5, 2870, false},
@@ -29,14 +29,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			limits := config.ProcessLimits{FDLimit: c.fdLimit, MemoryMB: c.memoryMB}
 			split := splitSockets(limits, c.nodes)
-			if got := split.maxWorkers(); got < c.minWorkers {
-				t.Errorf("splitSockets(%+v, %d) = %+v serves %d workers, want %d or more", limits, c.nodes, split, got, c.minWorkers)
+			if got := split.maxAgents(); got < c.minAgents {
+				t.Errorf("splitSockets(%+v, %d) = %+v serves %d agents, want %d or more", limits, c.nodes, split, got, c.minAgents)
 			}
 			if got, limit := split.accepted+split.direct+split.internal, max(c.fdLimit, 70); got > limit {
 				t.Errorf("splitSockets(%+v, %d) = %+v is %d sockets, want at most %d", limits, c.nodes, split, got, limit)
 			}
-			if needed := socketsNeeded(3*split.maxWorkers(), limits, c.nodes); needed <= c.fdLimit && !c.memoryTooSmall {
-				t.Errorf("socketsNeeded(%d, %+v, %d) = %d, want more than the limit", 3*split.maxWorkers(), limits, c.nodes, needed)
+			if needed := socketsNeeded(3*split.maxAgents(), limits, c.nodes); needed <= c.fdLimit && !c.memoryTooSmall {
+				t.Errorf("socketsNeeded(%d, %+v, %d) = %d, want more than the limit", 3*split.maxAgents(), limits, c.nodes, needed)
 			}
 			if got := split.memoryNeededMB > c.memoryMB; got != c.memoryTooSmall {
 				t.Errorf("splitSockets(%+v, %d) needs %.0f MB, want more than the limit: %v", limits, c.nodes, split.memoryNeededMB, c.memoryTooSmall)
--- a/versions.go
+++ b/versions.go
@@ -16,8 +16,8 @@
 	member *upgrade.Member // nil: versions are not negotiated, and nothing is refused
 }
 
-// newVersionGate has this process take part in negotiating the active version, if that feature
-// is on.
+// newVersionGate returns a gate whose member negotiates the active version. If that feature is
+// off, the gate refuses nothing.
 func newVersionGate(features Features, options upgrade.Options) (versionGate, error) {
 	if !features.NegotiateVersions {
 		return versionGate{}, nil
@@ -31,8 +31,8 @@
 // observeActive notes that another controller has reported the version as active.
 func (g versionGate) observeActive(version uint64) { g.member.ObserveActive(upgrade.Version(version)) }
 
-// checkSupport returns why this node must not even acknowledge agents and peers, or nil if it
-// may.
+// checkSupport returns why this node must not even acknowledge requests of agents and peers, or
+// nil if it may.
 func (g versionGate) checkSupport() error {
 	if !g.negotiated() {
 		return nil
