--- a/internal/simulator/burst_readers.go
+++ b/internal/simulator/burst_readers.go
@@ -52,7 +52,8 @@
 // Count returns how often requests of an operation were answered with an HTTP status: all of
 // them ("submit 200"), those that were sent within 50 ms after users were told a job status
 // ("done submit 200"), or those that were sent within 50 ms after the last task completed and
-// before users were told a final status ("ending submit 200").
+// before users were told a final status ("ending submit 200"). It also returns how often a
+// cancellation was answered with a job status ("cancels done"; "cancels " if with none).
 func (b *BurstReaders) Count(what string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,14 +67,14 @@
 	return fmt.Sprint(b.counts)
 }
 
-// knownStatus returns what users were told of a job so far, and when it last changed; the caller
+// toldStatus returns what users were told of a job so far, and when it last changed; the caller
 // holds the lock.
-func (sim *Simulation) knownStatus(id wire.JobID) (knownStatus, time.Time) {
+func (sim *Simulation) toldStatus(id wire.JobID) (toldStatus, time.Time) {
 	j := sim.checker.jobs[id]
 	if j == nil {
-		return knownStatus{}, time.Time{}
+		return toldStatus{}, time.Time{}
 	}
-	return knownStatus{j.accepted, j.finalStatus}, j.completion.statusChangedAt
+	return toldStatus{j.accepted, j.finalStatus}, j.completion.statusChangedAt
 }
 
 // Ask sends one request about a job to the i-th controller and checks the response. If the
@@ -96,8 +97,8 @@
 	if (status == 200 || status == 201) && wire.Decode(raw, &state) != nil {
 		status = 0
 	}
-	changed := b.checkAnswer(id, op, sent.before, status, state.Status, header.Get("Retry-After") != "")
-	b.countAnswer(op, sent, status)
+	changed := b.checkResponse(id, op, sent.before, status, state.Status, header.Get("Retry-After") != "")
+	b.countResponse(op, sent, status)
 	if changed {
 		b.SendBurst(script)
 	}
@@ -106,12 +107,12 @@
 
 // sentRequest is what was known of a job when a request was sent.
 type sentRequest struct {
-	before            knownStatus
+	before            toldStatus
 	afterStatusChange bool // within justAfterWindow after users were told a newer status
-	afterCompletion   bool // within justAfterWindow after the last task completed, still untold
+	afterCompletion   bool // within justAfterWindow after the last task completed, no final status told yet
 }
 
-// justAfterWindow is how long after an event requests are counted as sent just after it.
+// justAfterWindow is the time after an event in which a request counts as sent just after it.
 const justAfterWindow = 50 * time.Millisecond
 
 // recordRequest records a cancellation in the checker, and returns what is known of a job as a
@@ -119,7 +120,7 @@
 func (b *BurstReaders) recordRequest(id wire.JobID, op Operation) (sent sentRequest) {
 	b.sim.mu.Lock()
 	defer b.sim.mu.Unlock()
-	before, changedAt := b.sim.knownStatus(id)
+	before, changedAt := b.sim.toldStatus(id)
 	if op == CancelOperation {
 		b.sim.checker.CancelRequested(id)
 	}
@@ -130,26 +131,26 @@
 	return sent
 }
 
-// checkAnswer has the checker check a response, and reports whether it told users a newer
+// checkResponse has the checker check a response, and reports whether it told users a newer
 // status.
-func (b *BurstReaders) checkAnswer(id wire.JobID, op Operation, before knownStatus, status int, reported wire.Status, retryAfter bool) bool {
+func (b *BurstReaders) checkResponse(id wire.JobID, op Operation, before toldStatus, status int, reported wire.Status, retryAfter bool) bool {
 	sim, now := b.sim, time.Now()
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	previous, _ := sim.knownStatus(id)
-	sim.checker.checkBurstAnswer(id, before, op, status, reported, now)
+	previous, _ := sim.toldStatus(id)
+	sim.checker.checkBurstResponse(id, before, op, status, reported, now)
 	if (status == 429 || status == 503) && !retryAfter {
 		sim.checker.violated(now, MissingRetryAfter, "%s of %s answered %d", op, id, status)
 	}
-	current, _ := sim.knownStatus(id)
+	current, _ := sim.toldStatus(id)
 	if current != previous {
 		sim.checker.jobs[id].completion.statusChangedAt = now
 	}
 	return current != previous
 }
 
-// countAnswer counts a response by operation, status and when its request was sent: see Count.
-func (b *BurstReaders) countAnswer(op Operation, sent sentRequest, status int) {
+// countResponse counts a response by operation, status and when its request was sent: see Count.
+func (b *BurstReaders) countResponse(op Operation, sent sentRequest, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts[fmt.Sprint(op, " ", status)]++
@@ -197,9 +198,9 @@
 	return wire.JobState{}
 }
 
-// Submit simulates such a user, who submits a job and polls until it is over. The user cancels
-// the job at cancelTime; CancelAtOnce and CancelAtEnd are delayed by the duration after.
-func (b *BurstReaders) Submit(script JobScript, cancelTime CancelTime, after time.Duration) {
+// Submit simulates one of these users, who submits a job and polls until it is over. The user
+// cancels the job at cancelTime; CancelAtOnce and CancelAtEnd are delayed by cancelDelay.
+func (b *BurstReaders) Submit(script JobScript, cancelTime CancelTime, cancelDelay time.Duration) {
 	sim, id := b.sim, script.Spec.ID
 	sim.mu.Lock()
 	sim.scripts[id] = &script
@@ -224,7 +225,7 @@
 		if cancelTime != CancelAtOnce && cancelTime != CancelAtEnd || cancelTime == CancelAtEnd && !b.awaitEnd(ended) {
 			return
 		}
-		sleep(sim.ctx, after)
+		sleep(sim.ctx, cancelDelay)
 		state := b.retryUntilAnswered(CancelOperation, script, turn+1)
 		b.mu.Lock()
 		b.counts["cancels "+string(state.Status)]++
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -16,10 +16,10 @@
 	Quota        Rule = "quota"         // a team used more than its limit
 	WrongPlace   Rule = "wrong_place"   // a task was on a machine that its job doesn't allow
 	RanCancelled Rule = "ran_cancelled" // a cancelled task was on a machine after the cancel timeout
-	Forgotten    Rule = "forgotten"     // an accepted job was unknown, was created again, or all polls for it failed
+	Forgotten    Rule = "forgotten"     // an accepted job was unknown, refused or created again, or all polls for it failed
 	Invented     Rule = "invented"      // a request about a job that was never submitted succeeded
 	NotDone      Rule = "not_done"      // a job with tasks left, or a service, was called done
-	WentBack     Rule = "went_back"     // a status contradicted an earlier one, or nobody had requested the cancellation
+	WentBack     Rule = "went_back"     // a status contradicted an earlier one, or called a job cancelled that nobody asked to cancel
 	NothingRan   Rule = "nothing_ran"   // no task was started in the whole run
 	// Unserved: by the end of a run, less than half of the jobs of a class or of a team had
 	// started, or less than half of the largest jobs of a class within four minutes.
@@ -29,7 +29,7 @@
 	AcceptedWrongly Rule = "accepted_wrongly"
 	RefusedWrongly  Rule = "refused_wrongly"
 	// LeftWaiting: while there was no fault, a job started no task although a suitable
-	// machine had room all that time and the job's team was below its limit.
+	// machine had enough free capacity all that time and the job's team was below its limit.
 	LeftWaiting Rule = "left_waiting"
 	// HalfRun: a gang ran without some of its tasks.
 	HalfRun Rule = "half_run"
@@ -75,11 +75,11 @@
 	lastAnswered time.Time
 	// polls counts the polls of all users.
 	polls pollCount
-	// faultsOverSince is since when all faults are over as the test reports, noFaultSince as
-	// the simulation sees; zero: a fault is active.
+	// faultsOverSince is when the test reported that all faults are over; zero: it has not.
+	// noFaultSince is since when the simulation has seen no fault; zero: it sees one.
 	faultsOverSince, noFaultSince time.Time
 	// lateStarts counts the starts after a cancellation was confirmed, latePolls the polls
-	// that were not answered with the end of a job in time.
+	// that were not answered with a job's final status in time.
 	lateStarts, latePolls int
 	// latestTime is the latest time that a caller passed.
 	latestTime time.Time
@@ -102,9 +102,9 @@
 	notDoneToldAt     time.Time // when a late poll was last answered with a status that is not final
 	unansweredSince   time.Time // since when every poll for the job has failed
 	pollsBaseline     pollCount // all polls before unansweredSince, and the job's own since
-	submittedAt       time.Time // of the first attempt to submit
-	acceptedAt        time.Time // of the acceptance
-	startedAt         time.Time // of the first task
+	submittedAt       time.Time // when its user first tried to submit it
+	acceptedAt        time.Time // when a user was first told that it is accepted
+	startedAt         time.Time // of its first task; of a gang: when all its tasks first ran
 	completion        completionHistory
 	waits             waitHistory
 }
@@ -133,7 +133,7 @@
 // FaultsOver records that all faults are over from now on.
 func (c *Checker) FaultsOver(now time.Time) { c.faultsOverSince = now }
 
-// ObserveFaults records whether the simulation sees no fault now, and since when.
+// ObserveFaults records since when the simulation has seen no fault, or that it sees one now.
 func (c *Checker) ObserveFaults(since time.Time, noFault bool) {
 	if !noFault {
 		since = time.Time{}
@@ -147,7 +147,8 @@
 	return !c.faultsOverSince.IsZero() && now.Sub(c.faultsOverSince) > duration || !c.noFaultSince.IsZero() && now.Sub(c.noFaultSince) > duration
 }
 
-// largestStartWithin is how soon after their submission the largest jobs must have started.
+// largestStartWithin is how soon after their submission the largest jobs must have started:
+// those with more than half as many tasks as the largest job of their class.
 const largestStartWithin = 4 * time.Minute
 
 // checkAllServed checks the rule Unserved.
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Refused records a refusal of a submission and checks it if it is final (400 or 422).
+// Refused checks a refusal of a submission. Only a final one (400 or 422) can violate a rule.
 func (c *Checker) Refused(id wire.JobID, status int, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
@@ -62,7 +62,7 @@
 }
 
 // SubmissionAnswered checks the response to a submission that was sent at sentAt.
-func (c *Checker) SubmissionAnswered(body []byte, status int, answer []byte, sentAt, now time.Time) {
+func (c *Checker) SubmissionAnswered(body []byte, status int, response []byte, sentAt, now time.Time) {
 	var sent, got wire.JobSummary
 	if wire.Decode(body, &sent) != nil || c.jobs[sent.ID] == nil {
 		return
@@ -76,13 +76,13 @@
 		c.violated(now, Forgotten, "%s accepted anew", sent.ID)
 	}
 	c.Accepted(sent.ID, now)
-	if wire.Decode(answer, &got) == nil && got.ID == sent.ID {
+	if wire.Decode(response, &got) == nil && got.ID == sent.ID {
 		c.StatusTold(sent.ID, got.Status, sentAt, now)
 	}
 }
 
 // CancelAnswered checks the response to a cancellation that was sent at sentAt.
-func (c *Checker) CancelAnswered(id wire.JobID, status int, answer []byte, sentAt, now time.Time) {
+func (c *Checker) CancelAnswered(id wire.JobID, status int, response []byte, sentAt, now time.Time) {
 	c.observeTime(now)
 	j := c.jobs[id]
 	switch {
@@ -92,7 +92,7 @@
 		c.violated(now, Invented, "cancellation of %s answered 200", id)
 	case status == 200 && j != nil:
 		var got wire.JobSummary
-		if wire.Decode(answer, &got) == nil {
+		if wire.Decode(response, &got) == nil {
 			c.StatusTold(id, got.Status, sentAt, now)
 		}
 	}
@@ -207,20 +207,21 @@
 	}
 }
 
-// completionHistory is what the checker records of a job for BurstReaders.
+// completionHistory is what the checker records of a job's completion, and when BurstReaders were
+// told a newer status.
 type completionHistory struct {
 	done            chan struct{} // closed when the last task has completed; may be nil
-	endedAt         time.Time
-	statusChangedAt time.Time // when users were last told something new
+	endedAt         time.Time     // when the last task completed
+	statusChangedAt time.Time     // when a response to BurstReaders last brought a newer status
 }
 
-// knownStatus is what users had been told of a job when a request was sent.
-type knownStatus struct {
+// toldStatus is what users were told of a job until some moment.
+type toldStatus struct {
 	accepted bool
 	final    wire.Status
 }
 
-func (k knownStatus) String() string {
+func (k toldStatus) String() string {
 	switch {
 	case k.final != "":
 		return string(k.final)
@@ -230,10 +231,10 @@
 	return "new"
 }
 
-// checkBurstAnswer checks a response to BurstReaders against what users had been told when the
-// request was sent. Answers to concurrent requests may come in any order, but a job has one final
+// checkBurstResponse checks a response to BurstReaders against what users had been told when the
+// request was sent. Responses to concurrent requests may come in any order, but a job has one final
 // status.
-func (c *Checker) checkBurstAnswer(id wire.JobID, before knownStatus, op Operation, status int, st wire.Status, now time.Time) {
+func (c *Checker) checkBurstResponse(id wire.JobID, before toldStatus, op Operation, status int, st wire.Status, now time.Time) {
 	j := c.jobs[id]
 	switch {
 	case j == nil:
--- a/internal/simulator/checker_queries.go
+++ b/internal/simulator/checker_queries.go
@@ -68,8 +68,7 @@
 	return n
 }
 
-// Waiting counts the tasks of a job that have neither completed nor are on a
-// machine.
+// Waiting counts the tasks of a job that are neither completed nor on a machine.
 func (c *Checker) Waiting(id wire.JobID) int {
 	j, n := c.jobs[id], 0
 	for i := range j.spec.Tasks {
@@ -80,8 +79,8 @@
 	return n
 }
 
-// TimeToStart returns the time from the acceptance of a job to the start of its first task,
-// false if none has started.
+// TimeToStart returns the time from the acceptance of a job to the start of its first task or, for
+// a gang, of all its tasks; false if it has not started.
 func (c *Checker) TimeToStart(id wire.JobID) (time.Duration, bool) {
 	j := c.jobs[id]
 	return j.startedAt.Sub(j.acceptedAt), !j.startedAt.IsZero()
@@ -124,8 +123,8 @@
 	KnownStatusFinal
 )
 
-func (t KnownStatus) String() string {
-	return [...]string{"nothing", "accepted", "final"}[t]
+func (k KnownStatus) String() string {
+	return [...]string{"nothing", "accepted", "final"}[k]
 }
 
 // KnownStatusOf returns how much a response to a poll tells, false if the poll was not
--- a/internal/simulator/checker_submissions.go
+++ b/internal/simulator/checker_submissions.go
@@ -25,8 +25,8 @@
 	for i := range c.MachineSpecs {
 		spec := &c.MachineSpecs[i]
 		for _, zone := range spec.Zones {
-			room := MachineCapacity{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
-			if room.fits(job, nil) {
+			machine := MachineCapacity{Place: Place{Type: spec.Name, Zone: zone}, CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, DiskGB: spec.DiskGB}
+			if machine.fits(job, nil) {
 				return ""
 			}
 		}
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// TaskLeft records that a task is no longer on a machine.
+// TaskLeft records that a task is no longer on a machine; done says whether it completed.
 func (c *Checker) TaskLeft(t wire.TaskID, m wire.MachineID, done bool) {
 	if place, on := c.placeOf[t]; on && place.Machine == m {
 		delete(c.placeOf, t)
@@ -88,7 +88,7 @@
 }
 
 // TaskFailed records that a task failed on a machine. The machine then no longer counts as one
-// beside which the job is left waiting, as the task may be retried later and elsewhere.
+// that the job could use while it waits, as the task may be retried later and elsewhere.
 func (c *Checker) TaskFailed(t wire.TaskID, m wire.MachineID) {
 	if j := c.jobs[t.Job]; j != nil {
 		j.waits.end()
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -8,11 +8,11 @@
 	"lilaclead/internal/wire"
 )
 
-// freeMachine is a machine with room for two tasks of the jobs under test.
+// freeMachine is a machine with free capacity for two tasks of the jobs under test.
 var freeMachine = MachineCapacity{Place: Place{Machine: "n-1", Type: "c4", Zone: "a"}, Usable: true, CPUs: 8, MemoryGB: 8, DiskGB: 20}
 
-// observeRoom shows freeMachine and no fault to the checker for some seconds.
-func observeRoom(c *Checker, seconds int) {
+// observeFreeMachine shows freeMachine and no fault to the checker for some seconds.
+func observeFreeMachine(c *Checker, seconds int) {
 	t0 := time.Unix(1000, 0)
 	for s := range seconds {
 		c.ObserveFaults(t0, true)
@@ -176,7 +176,7 @@
 			c.Submitted(wire.JobSpec{ID: "req-2", Team: "red", Tasks: 3, CPUs: 4})
 			c.Refused("req-2", 422, t0)
 		}},
-		"left waiting": {LeftWaiting, func(c *Checker) { observeRoom(c, 100) }},
+		"left waiting": {LeftWaiting, func(c *Checker) { observeFreeMachine(c, 100) }},
 		"left waiting after its completions were lost": {LeftWaiting, func(c *Checker) {
 			for i := range 4 {
 				c.TaskLeft(task(i), "n-9", true)
@@ -190,13 +190,13 @@
 			}
 		}},
 		"left waiting after a fault": {LeftWaiting, func(c *Checker) {
-			observeRoom(c, 80)
+			observeFreeMachine(c, 80)
 			c.ObserveFaults(time.Time{}, false)
 			c.ObserveCapacity([]MachineCapacity{freeMachine}, t0)
 			if len(c.Violations) > 0 {
 				return
 			}
-			observeRoom(c, 100)
+			observeFreeMachine(c, 100)
 		}},
 		"nothing ran": {NothingRan, func(c *Checker) { c.Finish(t0) }},
 		"polls fail": {Forgotten, func(c *Checker) {
@@ -244,19 +244,19 @@
 		}
 	}
 	cases := map[string]func(c *Checker){
-		"an older answer arrives after a newer one": func(c *Checker) {
+		"an older response arrives after a newer one": func(c *Checker) {
 			c.CancelRequested("req-1")
 			c.PollAnswered("req-1", 200, wire.StatusCancelled, after(1), after(2))
 			c.PollAnswered("req-1", 200, wire.StatusRunning, after(1), after(3))
 		},
 		"404 to a poll sent before the acceptance": func(c *Checker) { c.PollAnswered("req-1", 404, "", after(-1), after(1)) },
-		"no room":                              waiting(with(func(r *MachineCapacity) { r.CPUs = 3 })),
-		"no memory":                            waiting(with(func(r *MachineCapacity) { r.MemoryGB = 3 })),
-		"not up, or faulty":                    waiting(with(func(r *MachineCapacity) { r.Usable = false })),
-		"a spot machine":                       waiting(with(func(r *MachineCapacity) { r.Spot = true })),
-		"an image too large":                   waiting(with(func(r *MachineCapacity) { r.DiskGB = 0.5 })),
-		"the team at its limit":                waiting(with(func(r *MachineCapacity) { r.Tasks = []wire.TaskID{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
-		"a zone has its share of a spread job": waiting(with(func(r *MachineCapacity) { r.Tasks = []wire.TaskID{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
+		"too few free CPUs":                        waiting(with(func(r *MachineCapacity) { r.CPUs = 3 })),
+		"too little free memory":                   waiting(with(func(r *MachineCapacity) { r.MemoryGB = 3 })),
+		"not up, or faulty":                        waiting(with(func(r *MachineCapacity) { r.Usable = false })),
+		"a spot machine":                           waiting(with(func(r *MachineCapacity) { r.Spot = true })),
+		"an image too large":                       waiting(with(func(r *MachineCapacity) { r.DiskGB = 0.5 })),
+		"the team at its limit":                    waiting(with(func(r *MachineCapacity) { r.Tasks = []wire.TaskID{{Job: "req-2", Index: 0}, {Job: "req-2", Index: 1}} })),
+		"a zone has its share of a spread job":     waiting(with(func(r *MachineCapacity) { r.Tasks = []wire.TaskID{{Job: "req-1", Index: 0}, {Job: "req-1", Index: 1}} })),
 		"all its tasks run": func(c *Checker) {
 			c.Submitted(wire.JobSpec{ID: "req-3", Team: "blue", Tasks: 1, CPUs: 1})
 			c.Accepted("req-3", t0)
@@ -299,8 +299,8 @@
 	}
 }
 
-// Starts after a cancellation and polls that are not answered with the end in time are counted;
-// they are no violations by themselves.
+// Starts after a cancellation and polls that are not answered with the final status in time are
+// counted; they are no violations by themselves.
 func TestLateStartsAndPollsAreCounted(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	c := NewChecker(10*time.Second, nil)
@@ -318,7 +318,7 @@
 	c.Tick(t0)
 	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(2*time.Second), t0.Add(4*time.Second))
 	if c.LatePolls() != 0 {
-		t.Error("poll sent 2 s after the end is counted as late")
+		t.Error("poll sent 2 s after the last task completed is counted as late")
 	}
 	c.PollAnswered("req-1", 200, wire.StatusRunning, t0.Add(4*time.Second), t0.Add(4*time.Second))
 	c.PollAnswered("req-2", 200, wire.StatusRunning, t0.Add(4*time.Second), t0.Add(4*time.Second))
@@ -351,7 +351,7 @@
 		fields := Submission(good)
 		delete(fields, name)
 		if nullable := name == "kits" || name == "site" || name == "dueS"; isViolation(fields) == nullable {
-			t.Errorf("submission without %s: wrong verdict", name)
+			t.Errorf("submission without %s: a violation though it may be missing, or none though it is required", name)
 		}
 		fields[name] = []byte{1}
 		if !isViolation(fields) {
@@ -369,7 +369,7 @@
 	}
 }
 
-func TestToldOf(t *testing.T) {
+func TestKnownStatusOf(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		httpStatus   int
@@ -378,7 +378,7 @@
 		wantAnswered bool
 	}{
 		{"unknown job", http.StatusNotFound, "", KnownStatusNone, true},
-		{"no answer", 0, "", KnownStatusNone, false},
+		{"no response", 0, "", KnownStatusNone, false},
 		{"refused for now", http.StatusServiceUnavailable, "", KnownStatusNone, false},
 		{"done", http.StatusOK, wire.StatusDone, KnownStatusFinal, true},
 		{"cancelled", http.StatusOK, wire.StatusCancelled, KnownStatusFinal, true},
--- a/internal/simulator/checker_waiting.go
+++ b/internal/simulator/checker_waiting.go
@@ -14,17 +14,17 @@
 // image is being fetched.
 type MachineCapacity struct {
 	Place
-	Usable   bool // up, not faulty, and without a spot notice
-	CPUs     float64
-	GPUs     float64
-	MemoryGB float64 // CPUs, GPUs and MemoryGB are what is free
+	Usable   bool    // up, not faulty, and without a spot notice
+	CPUs     float64 // free
+	GPUs     float64 // free
+	MemoryGB float64 // free
 	Tasks    []wire.TaskID
-	DiskGB   float64 // of the machine
+	DiskGB   float64 // of the whole machine
 }
 
 // waitHistory is what the checker records of a job that waits for machines.
 type waitHistory struct {
-	since             map[wire.MachineID]time.Time // since when the job could have used a machine
+	since             map[wire.MachineID]time.Time // since when the job could have used each machine
 	failed            map[wire.MachineID]bool      // machines on which a task of the job failed
 	onMachines        int                          // number of its tasks on machines at the last observation
 	violationRecorded bool
@@ -59,8 +59,8 @@
 	return use
 }
 
-// ObserveCapacity checks for jobs that are left waiting beside machines that they could use.
-// Waiting counts only while there is no fault.
+// ObserveCapacity checks for jobs that are left waiting although there are machines that they could
+// use. Waiting counts only while there is no fault.
 func (c *Checker) ObserveCapacity(machines []MachineCapacity, now time.Time) {
 	c.observeTime(now)
 	noFault := c.faultsOverFor(now, 0)
@@ -150,12 +150,12 @@
 
 // fits reports whether one more task of a job may and can run on the machine; zones counts
 // the job's tasks on machines by zone.
-func (r *MachineCapacity) fits(s *wire.JobSpec, zones map[wire.Zone]int) bool {
-	if r.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != r.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, r.Type) {
+func (m *MachineCapacity) fits(s *wire.JobSpec, zones map[wire.Zone]int) bool {
+	if m.Spot && !s.SpotAllowed || s.Zone != "" && s.Zone != m.Zone || s.MachineTypes != nil && !slices.Contains(s.MachineTypes, m.Type) {
 		return false
 	}
-	if s.SameZone && len(zones) > 0 && (len(zones) > 1 || zones[r.Zone] == 0) || s.Spread && zones[r.Zone] >= (s.Tasks+1)/2 {
+	if s.SameZone && len(zones) > 0 && (len(zones) > 1 || zones[m.Zone] == 0) || s.Spread && zones[m.Zone] >= (s.Tasks+1)/2 {
 		return false
 	}
-	return s.CPUs <= r.CPUs+wire.AmountTolerance && s.GPUs <= r.GPUs+wire.AmountTolerance && s.MemoryGB <= r.MemoryGB+wire.AmountTolerance && s.ImageGB <= r.DiskGB+wire.AmountTolerance
+	return s.CPUs <= m.CPUs+wire.AmountTolerance && s.GPUs <= m.GPUs+wire.AmountTolerance && s.MemoryGB <= m.MemoryGB+wire.AmountTolerance && s.ImageGB <= m.DiskGB+wire.AmountTolerance
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -19,7 +19,7 @@
 	machines []wire.ListedMachine
 }
 
-// capacityKey is the key of Simulation.capacity for a kind of machine in a zone.
+// capacityKey is the key of Simulation.capacity for a machine type in a zone, spot or on demand.
 func capacityKey(machineType wire.MachineType, zone wire.Zone, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
@@ -91,7 +91,7 @@
 	return true
 }
 
-// list answers with the machines as they were listLag ago. One answer in four is twice as old,
+// list answers with the machines as they were listLag ago. One response in four is twice as old,
 // so that a list may be older than the one before.
 func (sim *Simulation) list(rw http.ResponseWriter, r *http.Request) {
 	now := time.Now()
@@ -137,7 +137,7 @@
 }
 
 // ScaleOutNames returns the names of the scale-out requests that were filled, in the order in
-// which they were.
+// which they were filled.
 func (sim *Simulation) ScaleOutNames() []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/cloud_faults.go
+++ b/internal/simulator/cloud_faults.go
@@ -41,7 +41,7 @@
 	sim.mu.Unlock()
 }
 
-// SellOutEverything makes the cloud refuse every further machine, however many are returned.
+// SellOutEverything makes the cloud refuse every further machine, however many are scaled in.
 func (sim *Simulation) SellOutEverything() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// GiveSpotNotice gives a machine a spot notice, and removes the machine when its time is over.
+// GiveSpotNotice gives a machine a spot notice, and removes the machine after the time left.
 func (sim *Simulation) GiveSpotNotice(id wire.MachineID, left time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/gang.go
+++ b/internal/simulator/gang.go
@@ -25,11 +25,11 @@
 	checkpointedStops    int // stops with a checkpoint
 	rollbacks            int // times that it returned to its last checkpoint
 	waitTimeouts         int // tasks that exited because others didn't join in time
-	attempts             map[wire.AttemptNumber]*gangRun
+	attempts             map[wire.AttemptNumber]*gangAttempt
 }
 
-// gangRun is one attempt of a gang.
-type gangRun struct {
+// gangAttempt is one attempt of a gang.
+type gangAttempt struct {
 	members       map[int]*gangMember
 	running       bool
 	countedUntil  time.Time // the time up to which progress is counted
@@ -40,20 +40,20 @@
 	checkpointed  bool      // stopped with a checkpoint
 }
 
-// broken reports whether the attempt has returned to the last checkpoint: rollBack.
-func (r *gangRun) broken() bool { return !r.brokenSince.IsZero() }
+// broken reports whether rollBack has broken the attempt.
+func (a *gangAttempt) broken() bool { return !a.brokenSince.IsZero() }
 
 // stopping reports whether a member was told to stop.
-func (r *gangRun) stopping() bool { return !r.stoppingSince.IsZero() }
+func (a *gangAttempt) stopping() bool { return !a.stoppingSince.IsZero() }
 
 // progresses reports whether the attempt runs and is neither stopping nor broken.
-func (r *gangRun) progresses() bool { return r.running && !r.broken() && !r.stopping() }
+func (a *gangAttempt) progresses() bool { return a.running && !a.broken() && !a.stopping() }
 
 // membersByIndex returns the members in the order of their tasks' indexes.
-func (r *gangRun) membersByIndex(tasks int) []*gangMember {
+func (a *gangAttempt) membersByIndex(tasks int) []*gangMember {
 	var members []*gangMember
 	for i := range tasks {
-		if member := r.members[i]; member != nil {
+		if member := a.members[i]; member != nil {
 			members = append(members, member)
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 	gang := sim.gangs.jobs[id]
 	if gang == nil {
-		gang = &gangJob{attempts: map[wire.AttemptNumber]*gangRun{}}
+		gang = &gangJob{attempts: map[wire.AttemptNumber]*gangAttempt{}}
 		sim.gangs.jobs[id] = gang
 	}
 	if !sim.gangs.ticking {
@@ -112,7 +112,7 @@
 	}
 	attempt := gang.attempts[run.attempt]
 	if attempt == nil {
-		attempt = &gangRun{members: map[int]*gangMember{}}
+		attempt = &gangAttempt{members: map[int]*gangMember{}}
 		gang.attempts[run.attempt] = attempt
 	}
 	run.phase = wire.PhaseWaiting
@@ -126,7 +126,7 @@
 
 // startGang starts an attempt with all its members from the gang's last checkpoint; the caller
 // holds the lock.
-func (sim *Simulation) startGang(id wire.JobID, gang *gangJob, attempt *gangRun, now time.Time) {
+func (sim *Simulation) startGang(id wire.JobID, gang *gangJob, attempt *gangAttempt, now time.Time) {
 	attempt.running, attempt.countedUntil, attempt.speed, attempt.progress = true, now, math.Inf(1), gang.checkpointedProgress
 	gang.completeStarts++
 	sim.checker.GangBegan(id, now)
@@ -161,8 +161,8 @@
 }
 
 // advance counts the progress of an attempt up to now. While HangMachines makes the machine of a
-// member hang, there is none.
-func (sim *Simulation) advance(attempt *gangRun, now time.Time) {
+// member hang, there is no progress.
+func (sim *Simulation) advance(attempt *gangAttempt, now time.Time) {
 	if !attempt.progresses() {
 		return
 	}
@@ -177,7 +177,7 @@
 
 // rollBack breaks a running attempt, and returns the gang to its last checkpoint. The members
 // notice one after the other, within 0.9 of the peer timeout.
-func (sim *Simulation) rollBack(gang *gangJob, attempt *gangRun, now time.Time) {
+func (sim *Simulation) rollBack(gang *gangJob, attempt *gangAttempt, now time.Time) {
 	if attempt.broken() {
 		return
 	}
@@ -241,7 +241,7 @@
 }
 
 // stepGang brings one attempt of a gang up to the present time; the caller holds the lock.
-func (sim *Simulation) stepGang(script *JobScript, gang *gangJob, attempt *gangRun, now time.Time) {
+func (sim *Simulation) stepGang(script *JobScript, gang *gangJob, attempt *gangAttempt, now time.Time) {
 	sim.advance(attempt, now)
 	members := attempt.membersByIndex(script.Spec.Tasks)
 	sim.breakOnHungMember(gang, attempt, members, now)
@@ -274,7 +274,7 @@
 
 // stopTimedOut reports whether more than the peer timeout has passed since a member was first
 // told to stop, without a checkpoint.
-func (sim *Simulation) stopTimedOut(attempt *gangRun, now time.Time) bool {
+func (sim *Simulation) stopTimedOut(attempt *gangAttempt, now time.Time) bool {
 	return attempt.stopping() && !attempt.checkpointed && now.Sub(attempt.stoppingSince) > sim.Settings.Workers.GangPeerTimeout.Duration()
 }
 
@@ -285,7 +285,7 @@
 
 // breakOnHungMember breaks a running attempt if the machine of a member hangs for more than half
 // of the peer timeout.
-func (sim *Simulation) breakOnHungMember(gang *gangJob, attempt *gangRun, members []*gangMember, now time.Time) {
+func (sim *Simulation) breakOnHungMember(gang *gangJob, attempt *gangAttempt, members []*gangMember, now time.Time) {
 	peerTimeout := sim.Settings.Workers.GangPeerTimeout.Duration()
 	for _, member := range members {
 		if !sim.hangs(member.worker) {
@@ -299,7 +299,7 @@
 }
 
 // stepMember ends a task of a gang if it is due to exit.
-func (sim *Simulation) stepMember(gang *gangJob, attempt *gangRun, member *gangMember, now time.Time) {
+func (sim *Simulation) stepMember(gang *gangJob, attempt *gangAttempt, member *gangMember, now time.Time) {
 	end := func(c wire.ExitCause, saved bool) {
 		member.run.checkpointed = saved
 		member.run.cancel()
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -57,7 +57,7 @@
 			complete(c)
 			c.Finish(t0.Add(5 * time.Minute))
 		}},
-		"left waiting beside room": {LeftWaiting, func(c *Checker) {
+		"left waiting beside free capacity": {LeftWaiting, func(c *Checker) {
 			c.Accepted("req-000001", t0)
 			r := MachineCapacity{Place: here, Usable: true, CPUs: 4, MemoryGB: 16, DiskGB: 20}
 			for s := range 200 {
@@ -84,21 +84,25 @@
 // The checker must record no violation for allowed behaviour of gangs.
 func TestAllowedGangBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	room := func(z wire.Zone, cpus float64) MachineCapacity {
+	freeCapacity := func(z wire.Zone, cpus float64) MachineCapacity {
 		return MachineCapacity{Place: Place{Machine: wire.MachineID("n-" + string(z)), Type: "c4", Zone: z}, Usable: true, CPUs: cpus, MemoryGB: 16, DiskGB: 20}
 	}
 	cases := map[string][]MachineCapacity{
-		"room in two zones for a gang of one zone": {room("a", 2), room("b", 2)},
-		"room for half of the gang":                {room("a", 2)},
-		"a task of an attempt is on the machine":   {func() MachineCapacity { r := room("a", 4); r.Tasks = []wire.TaskID{{Job: "req-000001"}}; return r }()},
+		"capacity in two zones for a gang of one zone": {freeCapacity("a", 2), freeCapacity("b", 2)},
+		"capacity for half of the gang":                {freeCapacity("a", 2)},
+		"a task of an attempt is on the machine": {func() MachineCapacity {
+			r := freeCapacity("a", 4)
+			r.Tasks = []wire.TaskID{{Job: "req-000001"}}
+			return r
+		}()},
 	}
-	for name, rooms := range cases {
+	for name, capacities := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
 		c.Submitted(gangSpec("req-000001", 2))
 		c.Accepted("req-000001", t0)
 		for s := range 200 {
 			c.ObserveFaults(t0, true)
-			c.ObserveCapacity(rooms, t0.Add(time.Duration(s)*time.Second))
+			c.ObserveCapacity(capacities, t0.Add(time.Duration(s)*time.Second))
 		}
 		if len(c.Violations) > 0 {
 			t.Errorf("%s: recorded %v, want none", name, c.Violations)
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -18,7 +18,7 @@
 	duplicates         int                                 // duplicates delivered
 	staleDuplicates    int                                 // of these, delivered after a newer heartbeat of the machine
 	hung               map[wire.MachineID]chan struct{}    // by hanging machine: closed when it resumes
-	hungFor            map[wire.MachineID]time.Duration    // how long each machine has hung, without the present time
+	hungFor            map[wire.MachineID]time.Duration    // how long each machine has hung, without a hang that still lasts
 	hungSince          map[wire.MachineID]time.Time        // when each machine last began to hang
 	commandDelay       CommandDelay
 	lateCommands       map[wire.Verb]int // late commands by verb: see LateCommands
@@ -122,9 +122,9 @@
 func (m *worker) awaitUnstalled(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.sim.mu.Lock()
-		hangs := m.stalled
+		stalled := m.stalled
 		m.sim.mu.Unlock()
-		if !hangs {
+		if !stalled {
 			return
 		}
 		sleep(ctx, 100*time.Millisecond)
@@ -207,7 +207,8 @@
 	return false
 }
 
-// EnableSlowSaves makes stopped tasks take their checkpoint time to save, not none.
+// EnableSlowSaves makes stopped tasks that belong to no gang take their checkpoint time to save.
+// Without it they save at once. Tasks of gangs always take the time.
 func (sim *Simulation) EnableSlowSaves() {
 	sim.mu.Lock()
 	sim.slowSaves = true
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -144,8 +144,8 @@
 }
 
 // JobsWithCapacity returns the number of waiting tasks of each job that could start one now:
-// some machine has room for the task, the placement of the job's other tasks allows that
-// machine, and the job's team is below its limit.
+// some machine has enough free capacity for the task, the placement of the job's other tasks
+// allows that machine, and the job's team is below its limit.
 func (sim *Simulation) JobsWithCapacity() map[wire.JobID]int {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -16,8 +16,8 @@
 	HeartbeatResponse time.Duration // of the response to a heartbeat
 }
 
-// DelayCommands delays the commands and answers of all machines from now on; the zero value ends
-// it.
+// DelayCommands sets the delays of commands and responses for all machines from now on; the zero
+// value ends them.
 func (sim *Simulation) DelayCommands(delay CommandDelay) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -87,16 +87,16 @@
 }
 
 // DuplicateHeartbeats makes the network deliver a share of all heartbeats again, to all
-// controllers, after a delay between the two given.
-func (sim *Simulation) DuplicateHeartbeats(share float64, from, to time.Duration) {
+// controllers, after a delay from minDelay to maxDelay.
+func (sim *Simulation) DuplicateHeartbeats(share float64, minDelay, maxDelay time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.machineFaults.duplicateShare, sim.machineFaults.duplicateDelay = share, [2]time.Duration{from, to}
+	sim.machineFaults.duplicateShare, sim.machineFaults.duplicateDelay = share, [2]time.Duration{minDelay, maxDelay}
 }
 
 // DuplicateCounts returns how many duplicates were delivered, and how many of them after a newer
 // heartbeat of the same machine.
-func (sim *Simulation) DuplicateCounts() (all, older int) {
+func (sim *Simulation) DuplicateCounts() (all, stale int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.machineFaults.duplicates, sim.machineFaults.staleDuplicates
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -108,8 +108,8 @@
 	host := hostOf(to)
 	for {
 		n.mu.Lock()
-		answersBlocked := n.blockedLinks[[2]string{host, from}]
-		unreachable := n.outboundBlocked[from] || answersBlocked || n.blocks(from, host)
+		responsesBlocked := n.blockedLinks[[2]string{host, from}]
+		unreachable := n.outboundBlocked[from] || responsesBlocked || n.blocks(from, host)
 		ln, refused := n.listeners[to], n.refusedLinks[[2]string{from, host}]
 		n.mu.Unlock()
 		if !unreachable {
--- a/internal/simulator/serve_test.go
+++ b/internal/simulator/serve_test.go
@@ -25,7 +25,7 @@
 		}
 		stop()
 		if got := ask(); got != 0 {
-			t.Errorf("GET /kv after stop answered %d, want no answer (0)", got)
+			t.Errorf("GET /kv after stop answered %d, want no response (0)", got)
 		}
 	})
 }
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -17,7 +17,7 @@
 	CloudAddr   = "10.2.0.2:8443"
 )
 
-// NodeIP returns the address of the i-th controller.
+// NodeIP returns the IP address of the i-th controller.
 func NodeIP(i int) string { return fmt.Sprintf("10.0.0.%d", i+1) }
 
 // DefaultSettings returns the settings of a small deployment.
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -228,11 +228,11 @@
 	}
 	sim.checker.ObserveFaults(sim.lastFault, sim.lastFault != now)
 	sim.checker.Tick(now)
-	rooms := make([]MachineCapacity, 0, len(sim.machines))
+	capacities := make([]MachineCapacity, 0, len(sim.machines))
 	for _, id := range slices.Sorted(maps.Keys(sim.machines)) {
-		rooms = append(rooms, sim.machines[id].capacity())
+		capacities = append(capacities, sim.machines[id].capacity())
 	}
-	sim.checker.ObserveCapacity(rooms, now)
+	sim.checker.ObserveCapacity(capacities, now)
 }
 
 // hasFault reports whether any fault is active; the caller holds the lock.
@@ -261,7 +261,7 @@
 	sim.reportFault(on)
 }
 
-// reportFault is ReportFault with the lock held.
+// reportFault is ReportFault for a caller that holds the lock.
 func (sim *Simulation) reportFault(on bool) {
 	if on {
 		sim.reportedFaults++
--- a/internal/simulator/state_faults.go
+++ b/internal/simulator/state_faults.go
@@ -31,7 +31,7 @@
 	return s.inOutage
 }
 
-// RefuseClient makes the service refuse the requests of one host, or serve them again.
+// RefuseClient makes the store refuse the requests of one host, or serve them again.
 func (s *KVStore) RefuseClient(host string, on bool) {
 	s.mu.Lock()
 	s.refusedClients[host] = on
@@ -41,29 +41,29 @@
 // LoseResponses makes the next n transactions take effect without a response.
 func (s *KVStore) LoseResponses(n int) {
 	s.mu.Lock()
-	s.answersToLose = n
+	s.responsesToLose = n
 	s.mu.Unlock()
 }
 
-// DropRequests makes the next n transactions have neither effect nor answer.
+// DropRequests makes the next n transactions have neither effect nor response.
 func (s *KVStore) DropRequests(n int) {
 	s.mu.Lock()
 	s.requestsToDrop = n
 	s.mu.Unlock()
 }
 
-// DelayWatches delays the responses to blocking watches, as the real service does at times.
+// DelayWatches delays the responses to blocking watches, as the real store does at times.
 func (s *KVStore) DelayWatches(d time.Duration) {
 	s.mu.Lock()
 	s.watchDelay = d
 	s.mu.Unlock()
 }
 
-// faulty reports whether any fault of the service is active.
+// faulty reports whether any fault of the store is active.
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.inOutage || s.answersToLose > 0 || s.requestsToDrop > 0 || anyTrue(s.refusedClients)
+	return s.inOutage || s.responsesToLose > 0 || s.requestsToDrop > 0 || anyTrue(s.refusedClients)
 }
 
 // TxnFault selects transactions that the key-value store does not answer. It executes them at
@@ -85,7 +85,7 @@
 	Client string
 	Keys   []string // keys that the transaction changes
 	Sent   time.Time
-	Late   bool
+	Late   bool // its execution was delayed
 	// ExecutedAt is when the transaction was executed or refused; zero: not yet. Status is the
 	// status that the response would have had, FailedKeys the keys of the guards that failed.
 	ExecutedAt time.Time
@@ -97,17 +97,17 @@
 }
 
 // ChangesPrefix reports whether the transaction changes a key with the prefix.
-func (f *TxnOutcome) ChangesPrefix(prefix string) bool {
-	return slices.ContainsFunc(f.Keys, func(k string) bool { return strings.HasPrefix(k, prefix) })
+func (o *TxnOutcome) ChangesPrefix(prefix string) bool {
+	return slices.ContainsFunc(o.Keys, func(k string) bool { return strings.HasPrefix(k, prefix) })
 }
 
-// txnFaults is the part of the service that injects faults into transactions. The service's lock
+// txnFaults is the part of the store that injects faults into transactions. The store's lock
 // guards it.
 type txnFaults struct {
 	rng            *rand.Rand
 	faults         []TxnFault
 	outcomes       []*TxnOutcome
-	answerDelay    map[string]time.Duration // by client; "": all clients
+	responseDelay  map[string]time.Duration // by client; "": all clients
 	unansweredKeys map[string][]string      // by client: keys changed by transactions not answered yet
 	executedCount  map[string]int           // by client: executed transactions that write
 }
@@ -133,8 +133,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]TxnOutcome, len(s.txnFaults.outcomes))
-	for i, f := range s.txnFaults.outcomes {
-		out[i] = *f
+	for i, outcome := range s.txnFaults.outcomes {
+		out[i] = *outcome
 	}
 	return out
 }
@@ -164,10 +164,10 @@
 	execute := func() {
 		s.expire()
 		outcome.NewerExecuted = injector.executedCount[from] - before
-		var answer any
-		outcome.Status, answer = s.execute(from, t)
+		var body any
+		outcome.Status, body = s.execute(from, t)
 		outcome.ExecutedAt = time.Now()
-		if response, ok := answer.(wire.TxnResponse); ok {
+		if response, ok := body.(wire.TxnResponse); ok {
 			outcome.FailedKeys = response.FailedKeys
 		}
 	}
@@ -202,10 +202,10 @@
 func (s *KVStore) DelayResponses(host string, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.txnFaults.answerDelay == nil {
-		s.txnFaults.answerDelay = map[string]time.Duration{}
+	if s.txnFaults.responseDelay == nil {
+		s.txnFaults.responseDelay = map[string]time.Duration{}
 	}
-	s.txnFaults.answerDelay[host] = delay
+	s.txnFaults.responseDelay[host] = delay
 }
 
 // delayed returns a writer that delays the response if responses to the client are delayed, else
@@ -213,7 +213,7 @@
 func (s *KVStore) delayed(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delay := max(s.txnFaults.answerDelay[""], s.txnFaults.answerDelay[hostOf(r.RemoteAddr)])
+	delay := max(s.txnFaults.responseDelay[""], s.txnFaults.responseDelay[hostOf(r.RemoteAddr)])
 	if delay == 0 {
 		return w
 	}
--- a/internal/simulator/state_limits.go
+++ b/internal/simulator/state_limits.go
@@ -12,9 +12,9 @@
 	"lilaclead/internal/wire"
 )
 
-// stateLimits are limits and delays of the key-value store: the rates of PROTOCOL, a short
+// storeLimits are limits and delays of the key-value store: the rates of PROTOCOL, a short
 // history, small pages, and delays of transactions, reads and lists.
-type stateLimits struct {
+type storeLimits struct {
 	mu                           sync.Mutex
 	requestLimiter, writeLimiter *rate.Limiter // nil: no limit
 	rateRefusals                 int           // requests refused for the rate
@@ -28,7 +28,7 @@
 	failedTxns                   []wire.Txn // transactions whose guards failed
 }
 
-// SetRateLimits makes the service refuse requests and writes above the rates.
+// SetRateLimits makes the store refuse requests and writes above the rates.
 func (s *KVStore) SetRateLimits(rps, writeRPS float64) {
 	s.limits.mu.Lock()
 	defer s.limits.mu.Unlock()
@@ -36,7 +36,7 @@
 	s.limits.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
 }
 
-// LowerLimits lowers the service's limits without notice. A larger value or transaction is
+// LowerLimits lowers the store's limits without notice. A larger value or transaction is
 // then answered 400, requests and writes above the rates 429. Stored values stay readable.
 func (s *KVStore) LowerLimits(valueKB, maxOps int, rps, writeRPS float64) {
 	s.mu.Lock()
@@ -45,9 +45,9 @@
 	s.SetRateLimits(rps, writeRPS)
 }
 
-// allows reports whether a transaction is well-formed and within the size limits, and counts
-// those that are not.
-func (s *KVStore) allows(t *wire.Txn, bytes int) bool {
+// withinSizeLimits reports whether a transaction is well-formed and within the size limits, and
+// counts those that are not.
+func (s *KVStore) withinSizeLimits(t *wire.Txn, bytes int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok := len(t.Writes) <= s.maxTxnOps && len(t.Guards) <= 4*s.maxTxnOps && bytes <= 64<<10
@@ -60,7 +60,7 @@
 	return ok
 }
 
-// jsonSize returns the size of a value as JSON, which is what the service limits.
+// jsonSize returns the size of a value as JSON, which is what the store limits.
 func jsonSize(v wire.RawValue) int {
 	if len(v) == 0 {
 		return 0
@@ -100,7 +100,7 @@
 	return s.limits.rateRefusals, int(s.limits.peakRate)
 }
 
-// LimitHistory limits the number of changes that the service keeps and of entries per page, so
+// LimitHistory limits the number of changes that the store keeps and of entries per page, so
 // that a test reaches these limits with few writes.
 func (s *KVStore) LimitHistory(keep, page int) {
 	s.limits.mu.Lock()
@@ -143,8 +143,8 @@
 	return n
 }
 
-// allow counts requests and writes, and reports whether they are within the rates.
-func (l *stateLimits) allow(requests, writes int) bool {
+// withinRates counts requests and writes, and reports whether they are within the rates.
+func (l *storeLimits) withinRates(requests, writes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -161,7 +161,7 @@
 }
 
 // delayTxn waits for the delay of a transaction.
-func (l *stateLimits) delayTxn(t *wire.Txn) {
+func (l *storeLimits) delayTxn(t *wire.Txn) {
 	l.mu.Lock()
 	f := l.txnDelay
 	l.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // delayRead waits for the delay of a read.
-func (l *stateLimits) delayRead(key string) {
+func (l *storeLimits) delayRead(key string) {
 	l.mu.Lock()
 	f := l.readDelay
 	l.mu.Unlock()
@@ -181,7 +181,7 @@
 }
 
 // delayList waits for the delay of a response that lists keys or changes.
-func (l *stateLimits) delayList() {
+func (l *storeLimits) delayList() {
 	l.mu.Lock()
 	f := l.listDelay
 	l.mu.Unlock()
@@ -191,14 +191,14 @@
 }
 
 // recordFailed records a transaction that failed at a guard.
-func (l *stateLimits) recordFailed(t *wire.Txn) {
+func (l *storeLimits) recordFailed(t *wire.Txn) {
 	l.mu.Lock()
 	l.failedTxns = append(l.failedTxns, *t)
 	l.mu.Unlock()
 }
 
 // historySize returns the number of changes to keep.
-func (l *stateLimits) historySize() int {
+func (l *storeLimits) historySize() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.historyLimit > 0 {
@@ -208,7 +208,7 @@
 }
 
 // pageSize returns how many entries a page may have if a client requests a number.
-func (l *stateLimits) pageSize(requested int) int {
+func (l *storeLimits) pageSize(requested int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pageLimit > 0 {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -16,41 +16,41 @@
 type KVStore struct {
 	mu        sync.Mutex
 	revision  wire.Revision
-	keys      map[string]*stateEntry
-	grants    map[wire.GrantID]*stateGrant
+	keys      map[string]*storeEntry
+	grants    map[wire.GrantID]*storeGrant
 	nextGrant wire.GrantID
-	changes   []stateChange
+	changes   []storeChange
 	wake      chan struct{}
 	// Faults and limits.
-	inOutage       bool
-	refusedClients map[string]bool // hosts that are answered 503
-	answersToLose  int             // number of next transactions that are executed and not answered
-	requestsToDrop int             // number of next transactions that are neither executed nor answered
-	txnFaults      txnFaults
-	maxTxnOps      int
-	maxValueKB     int
+	inOutage        bool
+	refusedClients  map[string]bool // hosts that are answered 503
+	responsesToLose int             // number of next transactions that are executed and not answered
+	requestsToDrop  int             // number of next transactions that are neither executed nor answered
+	txnFaults       txnFaults
+	maxTxnOps       int
+	maxValueKB      int
 	// oversizeRefusals counts the transactions that were refused as malformed or over a limit.
 	oversizeRefusals int
-	limits           stateLimits
+	limits           storeLimits
 	watchDelay       time.Duration // extra delay of the responses to blocking watches
 	discardedUpTo    wire.Revision // the revision of the newest change that was discarded
 }
 
-// stateEntry is the value of a key, with the revision and the grant of its last write.
-type stateEntry struct {
+// storeEntry is the value of a key, with the revision and the grant of its last write.
+type storeEntry struct {
 	value    wire.RawValue
 	revision wire.Revision
 	grant    wire.GrantID
 }
 
-// stateGrant is a grant. Keys that were written under it are removed when it ends.
-type stateGrant struct {
+// storeGrant is a grant. Keys that were written under it are removed when it ends.
+type storeGrant struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// stateChange is a change that is kept for watches.
-type stateChange struct {
+// storeChange is a change that is kept for watches.
+type storeChange struct {
 	revision wire.Revision
 	change   wire.WatchEvent
 }
@@ -58,7 +58,7 @@
 // NewKVStore returns an empty key-value store that limits the writes of a transaction and the
 // size of a value.
 func NewKVStore(maxOps, valueKB int) *KVStore {
-	return &KVStore{keys: map[string]*stateEntry{}, grants: map[wire.GrantID]*stateGrant{}, nextGrant: 1, wake: make(chan struct{}),
+	return &KVStore{keys: map[string]*storeEntry{}, grants: map[wire.GrantID]*storeGrant{}, nextGrant: 1, wake: make(chan struct{}),
 		refusedClients: map[string]bool{}, maxTxnOps: maxOps, maxValueKB: valueKB}
 }
 
@@ -67,8 +67,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.keys[key] = &stateEntry{value: wire.Encode(v), revision: s.revision}
-	s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: key, Value: wire.Encode(v), Revision: s.revision}})
+	s.keys[key] = &storeEntry{value: wire.Encode(v), revision: s.revision}
+	s.changes = append(s.changes, storeChange{s.revision, wire.WatchEvent{PutKey: key, Value: wire.Encode(v), Revision: s.revision}})
 	s.notify()
 	return s.revision
 }
@@ -82,7 +82,7 @@
 	}
 	s.revision++
 	delete(s.keys, key)
-	s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: key, Revision: s.revision}})
+	s.changes = append(s.changes, storeChange{s.revision, wire.WatchEvent{DeletedKey: key, Revision: s.revision}})
 	s.notify()
 }
 
@@ -188,7 +188,7 @@
 	sort.Strings(removed)
 	for _, k := range removed {
 		delete(s.keys, k)
-		s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: k, Revision: s.revision}})
+		s.changes = append(s.changes, storeChange{s.revision, wire.WatchEvent{DeletedKey: k, Revision: s.revision}})
 	}
 	s.notify()
 }
@@ -209,7 +209,7 @@
 	s.expire()
 	refuse := s.inOutage || s.refusedClients[hostOf(r.RemoteAddr)]
 	s.mu.Unlock()
-	if !refuse && !s.limits.allow(1, 0) {
+	if !refuse && !s.limits.withinRates(1, 0) {
 		wire.WriteResponse(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many requests"})
 		return
 	}
@@ -262,11 +262,11 @@
 // serveTxn executes a transaction that is within the limits, unless a fault is injected.
 func (s *KVStore) serveTxn(w http.ResponseWriter, r *http.Request, raw []byte) {
 	var t wire.Txn
-	if wire.Decode(raw, &t) != nil || !s.allows(&t, len(raw)) {
+	if wire.Decode(raw, &t) != nil || !s.withinSizeLimits(&t, len(raw)) {
 		malformedRequest(w)
 		return
 	}
-	if !s.limits.allow(0, len(t.Writes)) {
+	if !s.limits.withinRates(0, len(t.Writes)) {
 		wire.WriteResponse(w, http.StatusTooManyRequests, wire.ErrorBody{Error: "too many changes"})
 		return
 	}
@@ -287,7 +287,7 @@
 	id := s.nextGrant
 	s.nextGrant++
 	ttl := time.Duration(request.TTLMillis) * time.Millisecond
-	s.grants[id] = &stateGrant{ttl, time.Now().Add(ttl)}
+	s.grants[id] = &storeGrant{ttl, time.Now().Add(ttl)}
 	s.mu.Unlock()
 	wire.WriteResponse(w, http.StatusOK, wire.GrantResponse{Grant: id})
 }
@@ -351,23 +351,23 @@
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
-	status, answer := s.execute(from, t)
-	answerLost := status == http.StatusOK && s.answersToLose > 0
-	if answerLost {
-		s.answersToLose--
+	status, response := s.execute(from, t)
+	responseLost := status == http.StatusOK && s.responsesToLose > 0
+	if responseLost {
+		s.responsesToLose--
 	}
 	s.mu.Unlock()
-	if answerLost {
+	if responseLost {
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusOK {
 		defer s.trackUnanswered(from, t)()
 	}
-	wire.WriteResponse(w, status, answer)
+	wire.WriteResponse(w, status, response)
 }
 
 // execute executes a transaction; the caller holds the lock.
-func (s *KVStore) execute(from string, t *wire.Txn) (status int, answer any) {
+func (s *KVStore) execute(from string, t *wire.Txn) (status int, response any) {
 	// An ended grant is reported before failed guards.
 	for _, write := range t.Writes {
 		if write.PutKey != "" && write.Grant != 0 && s.grants[write.Grant] == nil {
@@ -390,15 +390,15 @@
 		for _, write := range t.Writes {
 			if write.DeleteKey != "" {
 				delete(s.keys, write.DeleteKey)
-				s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{DeletedKey: write.DeleteKey, Revision: s.revision}})
+				s.changes = append(s.changes, storeChange{s.revision, wire.WatchEvent{DeletedKey: write.DeleteKey, Revision: s.revision}})
 				continue
 			}
-			s.keys[write.PutKey] = &stateEntry{append(wire.RawValue(nil), write.Value...), s.revision, write.Grant}
-			s.changes = append(s.changes, stateChange{s.revision, wire.WatchEvent{PutKey: write.PutKey, Value: append(wire.RawValue(nil), write.Value...), Revision: s.revision}})
+			s.keys[write.PutKey] = &storeEntry{append(wire.RawValue(nil), write.Value...), s.revision, write.Grant}
+			s.changes = append(s.changes, storeChange{s.revision, wire.WatchEvent{PutKey: write.PutKey, Value: append(wire.RawValue(nil), write.Value...), Revision: s.revision}})
 		}
 		if keep := s.limits.historySize(); len(s.changes) > keep {
 			s.discardedUpTo = s.changes[len(s.changes)-keep-1].revision
-			s.changes = append([]stateChange(nil), s.changes[len(s.changes)-keep:]...)
+			s.changes = append([]storeChange(nil), s.changes[len(s.changes)-keep:]...)
 		}
 		s.txnFaults.countExecuted(from)
 		s.notify()
