--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -84,17 +84,13 @@
 // The checker must record no violation for allowed behaviour of gangs.
 func TestAllowedGangBehaviourIsNoViolation(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	freeCapacity := func(z wire.Zone, cpus float64) MachineCapacity {
+	machine := func(z wire.Zone, cpus float64) MachineCapacity {
 		return MachineCapacity{Place: Place{Machine: wire.MachineID("n-" + string(z)), Type: "c4", Zone: z}, Usable: true, CPUs: cpus, MemoryGB: 16, DiskGB: 20}
 	}
 	cases := map[string][]MachineCapacity{
-		"capacity in two zones for a gang of one zone": {freeCapacity("a", 2), freeCapacity("b", 2)},
-		"capacity for half of the gang":                {freeCapacity("a", 2)},
-		"a task of an attempt is on the machine": {func() MachineCapacity {
-			r := freeCapacity("a", 4)
-			r.Tasks = []wire.TaskID{{Job: "req-000001"}}
-			return r
-		}()},
+		"capacity in two zones for a gang of one zone": {machine("a", 2), machine("b", 2)},
+		"capacity for half of the gang":                {machine("a", 2)},
+		"a task of an attempt is on the machine":       {func() MachineCapacity { m := machine("a", 4); m.Tasks = []wire.TaskID{{Job: "req-000001"}}; return m }()},
 	}
 	for name, capacities := range cases {
 		c := NewChecker(10*time.Second, map[wire.TeamID]TeamLimit{"red": {CPUs: 10}})
