--- a/internal/scenarios/all_controllers_restart_test.go
+++ b/internal/scenarios/all_controllers_restart_test.go
@@ -74,11 +74,11 @@
 		forAllControllers(start)
 		sleepUntil(58 * time.Second)
 		if l := sim.Leader(); l < 0 {
-			t.Error("no leader 8 s after the controllers were killed for the second time")
+			t.Error("no controller leads 8 s after the controllers were killed for the second time")
 		}
 		for _, j := range burst {
 			if status, _, _ := sim.Ask(3, "POST", "/v1/jobs", simulator.Submission(j.Spec)); status != 200 && status != 201 && status != 503 {
-				t.Errorf("repeated submission answered %d", status)
+				t.Errorf("repeated submission answered %d, want 200, 201 or 503", status)
 			}
 		}
 		sleepUntil(70 * time.Second)
@@ -113,7 +113,7 @@
 				confirmed := cancelAtController(t, sim, (leader+1)%3, cancelledBefore)
 				killAll(sim)
 				if time.Since(confirmed) > 20*time.Millisecond {
-					t.Errorf("cancelled %v before all controllers were killed, want at most 20ms", time.Since(confirmed))
+					t.Errorf("cancellation confirmed %v before all controllers were killed, want at most 20ms", time.Since(confirmed))
 				}
 				killedAt := time.Now()
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + 5*time.Second)
--- a/internal/scenarios/cancel_during_leader_change_test.go
+++ b/internal/scenarios/cancel_during_leader_change_test.go
@@ -22,7 +22,7 @@
 		awaitNoLeader bool
 		begin, end    func(t *testing.T, sim *simulator.Simulation, leader int)
 	}
-	cutFromWorkers := func(on bool) func(t *testing.T, sim *simulator.Simulation, leader int) {
+	cutFromAgents := func(on bool) func(t *testing.T, sim *simulator.Simulation, leader int) {
 		return func(t *testing.T, sim *simulator.Simulation, leader int) {
 			for i := 1; i <= 100; i++ {
 				sim.Net.Cut(simulator.NodeIP(leader), fmt.Sprintf("10.1.0.%d", i), on)
@@ -36,7 +36,7 @@
 	}
 	for _, fault := range []leaderFault{
 		{"killed", runScenario, false, func(t *testing.T, sim *simulator.Simulation, leader int) { sim.KillController(leader) }, func(t *testing.T, sim *simulator.Simulation, leader int) { startControllers(t, sim, leader) }},
-		{"resigns", runOnUnevenLayout, true, cutFromWorkers(true), cutFromWorkers(false)},
+		{"resigns", runOnUnevenLayout, true, cutFromAgents(true), cutFromAgents(false)},
 		{"refused", runScenario, true, refuseByStore(true), refuseByStore(false)},
 	} {
 		t.Run(fault.name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 					cancelAtController(t, sim, confirmer, starting[1])
 					// With awaitNoLeader the next leader may be elected by now, but has read nothing yet.
 					if n := sim.Leader(); n >= 0 && n != leader && !fault.awaitNoLeader || time.Since(cancelStart) > 50*time.Millisecond {
-						t.Errorf("the next leader was elected before the cancellation, or that took too long: %v", time.Since(cancelStart))
+						t.Errorf("the next leader was elected before the cancellations, or they took %v, want at most 50ms", time.Since(cancelStart))
 					}
 					awaitOtherLeader(t, sim, leader, 10*time.Second)
 					cancelAtController(t, sim, confirmer, running[2])
--- a/internal/scenarios/cancel_test.go
+++ b/internal/scenarios/cancel_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// The two writes cross at the key-value store itself: a cancellation is executed while the final
-// record of one job is on its way, and a final record while the cancellation of another job is.
+// A cancellation and a final record cross at the key-value store itself. For one job the cancellation
+// is executed while the final record is on its way; for another job it is the other way round.
 func TestCancelCrossesFinalRecord(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -166,10 +166,10 @@
 	}
 }
 
-// Several jobs end in one transaction, which has no room left to delete the progress of one of them,
-// and just that job is cancelled meanwhile. The leader must keep its progress until the job is
-// archived. If it dropped the progress while the cancelled record was still being read, the final
-// record would fail for ever, and with it all other writes of its transaction.
+// Several jobs end in one transaction. It is too full to delete the progress of one of them, and just
+// that job is cancelled meanwhile. The leader must keep the job's progress until the job is archived.
+// If it dropped the progress while the cancelled record was still being read, the final record would
+// fail for ever, and with it all other writes of its transaction.
 func TestCancelCrossesFullTransaction(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(3) {
@@ -319,7 +319,7 @@
 	t.Parallel()
 	runScenario(t, 70, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 4), array(2, 10, 60)
-		arrayJob.Spec.CPUs = 1.5 // leaves room on its machines for the small jobs
+		arrayJob.Spec.CPUs = 1.5 // leaves CPUs on its machines for the small jobs
 		sleepUntil(2 * time.Second)
 		submitAll(sim, serviceJob, arrayJob)
 		sleepUntil(45 * time.Second)
@@ -333,7 +333,7 @@
 			cancelAtController(t, sim, (leader+1)%3, cancelledJob)
 			time.Sleep(1500 * time.Millisecond)
 			if keys := sim.State.Keys("job/" + string(cancelledJob.Spec.ID)); len(keys) != 0 {
-				t.Errorf("%s is not archived", cancelledJob.Spec.ID)
+				t.Errorf("%s is not archived after its cancellation", cancelledJob.Spec.ID)
 			}
 		}
 		if sim.LeaderKeyRevision() != oldRevision {
--- a/internal/scenarios/helpers_checks_test.go
+++ b/internal/scenarios/helpers_checks_test.go
@@ -127,7 +127,7 @@
 }
 
 // mustLeaveNothingWaiting watches all jobs for a time. Within it no job may wait for more than
-// 90 s with the same number of waiting tasks while a machine has room for one of them and the
+// 90 s with the same number of waiting tasks while a machine has capacity for one of them and the
 // job's team is below its limit.
 func mustLeaveNothingWaiting(t *testing.T, sim *simulator.Simulation, d time.Duration) {
 	t.Helper()
@@ -137,18 +137,18 @@
 	}
 	waits := map[wire.JobID]wait{}
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
-		withRoom := sim.JobsWithCapacity()
+		waitingWithCapacity := sim.JobsWithCapacity()
 		for id, current := range waits {
-			if withRoom[id] != current.tasks {
+			if waitingWithCapacity[id] != current.tasks {
 				delete(waits, id)
 			}
 		}
-		for id, tasks := range withRoom {
+		for id, tasks := range waitingWithCapacity {
 			current, ok := waits[id]
 			if !ok {
 				waits[id] = wait{tasks, time.Now()}
 			} else if time.Since(current.since) > 90*time.Second {
-				t.Errorf("%d tasks of %s wait for 90 s although a machine has room", tasks, id)
+				t.Errorf("%d tasks of %s wait for 90 s although a machine has capacity", tasks, id)
 				waits[id] = wait{tasks, time.Now()}
 			}
 		}
@@ -192,7 +192,7 @@
 	sim.WithChecker(func(c *simulator.Checker) { c.FaultsOver(faultsOver); ids = c.AcceptedAndNotCancelled() })
 	for i := range size {
 		for _, id := range ids {
-			waitUntil(t, 75*time.Second-time.Since(faultsOver), fmt.Sprintf("node %d answers about %s", i, id), func() bool {
+			waitUntil(t, 75*time.Second-time.Since(faultsOver), fmt.Sprintf("controller %d answers about %s", i, id), func() bool {
 				status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
 				var state wire.JobState
 				if status != 200 || wire.Decode(raw, &state) != nil {
@@ -224,7 +224,7 @@
 		status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(id), nil)
 		var state wire.JobState
 		if status != 200 || wire.Decode(raw, &state) != nil || state.Status != wire.StatusDone {
-			t.Errorf("node %d answers %d %+v about %s, want 200 and %s", i, status, state, id, wire.StatusDone)
+			t.Errorf("controller %d answers %d %+v about %s, want 200 and %s", i, status, state, id, wire.StatusDone)
 		}
 	}
 }
--- a/internal/scenarios/helpers_deployment_test.go
+++ b/internal/scenarios/helpers_deployment_test.go
@@ -171,7 +171,7 @@
 }
 
 // settingsWithFastStore returns the default settings with such high rate limits of the key-value
-// store that requests hardly queue. Requests and answers then cross within milliseconds.
+// store that requests hardly queue. Requests and responses then cross within milliseconds.
 func settingsWithFastStore() config.Settings {
 	s := simulator.DefaultSettings()
 	s.State.RPS, s.State.WriteRPS = 4000, 2000
--- a/internal/scenarios/helpers_transactions_test.go
+++ b/internal/scenarios/helpers_transactions_test.go
@@ -36,7 +36,7 @@
 func mustHaveLateTransaction(t *testing.T, what string, transactions []simulator.TxnOutcome, after ...time.Time) {
 	t.Helper()
 	for _, f := range transactions {
-		if f.NewerExecuted > 0 && !slices.ContainsFunc(after, func(x time.Time) bool { return x.IsZero() || !f.ExecutedAt.After(x) }) {
+		if f.NewerExecuted > 0 && !slices.ContainsFunc(after, func(earlier time.Time) bool { return earlier.IsZero() || !f.ExecutedAt.After(earlier) }) {
 			return
 		}
 	}
--- a/internal/scenarios/helpers_users_test.go
+++ b/internal/scenarios/helpers_users_test.go
@@ -60,10 +60,10 @@
 	id := j.Spec.ID
 	var status wire.Status
 	if !poll(20*time.Second, 100*time.Millisecond, func() (ok bool) { status, ok = requestCancel(sim, node, id); return ok }) {
-		t.Fatalf("%s: node %d answered no cancellation within 20 s", id, node)
+		t.Fatalf("%s: controller %d answered no cancellation within 20 s", id, node)
 	}
 	if status != wire.StatusCancelled {
-		t.Errorf("%s: cancellation is answered with status %s, want cancelled", id, status)
+		t.Errorf("%s: cancellation is answered with job status %s, want cancelled", id, status)
 	}
 	return time.Now()
 }
@@ -97,7 +97,7 @@
 // requestUntilAnswered has a user submit or cancel a job. The user asks one controller after the
 // other, beginning with the given one, until one answers, and then every other controller once.
 // It returns when the first response arrived, which controller gave it and the job status in it.
-func requestUntilAnswered(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, cancel bool, first int) (answeredAt time.Time, node int, answer wire.Status) {
+func requestUntilAnswered(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, cancel bool, first int) (answeredAt time.Time, node int, told wire.Status) {
 	t.Helper()
 	id := j.Spec.ID
 	path, body := submitOrCancelRequest(sim, j, cancel)
@@ -110,7 +110,7 @@
 			var summary wire.JobSummary
 			if status != 200 && status != 201 || wire.Decode(raw, &summary) != nil {
 				if c.Refused(id, status, now); status == 400 || status == 404 || status == 422 {
-					t.Errorf("%s of %s answered %d by node %d, want 200, 201 or a status that asks to retry", path, id, status, n)
+					t.Errorf("%s of %s answered %d by controller %d, want 200, 201 or a status that asks to retry", path, id, status, n)
 				}
 				return
 			}
@@ -118,7 +118,7 @@
 				c.StatusToldNow(id, summary.Status, now)
 			}
 			if answeredAt.IsZero() {
-				answeredAt, node, answer = now, n, summary.Status
+				answeredAt, node, told = now, n, summary.Status
 			}
 		})
 		if !answeredAt.IsZero() {
@@ -127,7 +127,7 @@
 		time.Sleep(time.Second)
 	}
 	if answeredAt.IsZero() {
-		t.Errorf("%s for %s was not answered within 60 s", path, id)
+		t.Errorf("%s of %s was not answered within 60 s", path, id)
 	}
 	return
 }
@@ -248,7 +248,7 @@
 	}
 	r.sim.WithChecker(func(c *simulator.Checker) {
 		if told < known {
-			r.t.Errorf("%s: node %d answers %d %s, want nothing older than %v", r.id, node, status, state.Status, r.updates)
+			r.t.Errorf("%s: controller %d answers %d %s, want nothing older than %v", r.id, node, status, state.Status, r.updates)
 		}
 		if told > known || len(r.updates) == 0 || told > r.updates[len(r.updates)-1].told {
 			known = max(known, told)
--- a/internal/scenarios/helpers_wait_test.go
+++ b/internal/scenarios/helpers_wait_test.go
@@ -89,7 +89,7 @@
 func awaitNewToken(t *testing.T, sim *simulator.Simulation, old wire.FencingToken) (leader int, token wire.FencingToken) {
 	t.Helper()
 	if !poll(20*time.Second, time.Millisecond, func() bool { leader, token = sim.LeaderAndToken(); return leader >= 0 && token > old }) {
-		t.Fatal("no controller leads with a newer token")
+		t.Fatal("no controller leads with a newer token within 20 s")
 	}
 	return leader, token
 }
@@ -140,7 +140,8 @@
 	time.Sleep(3 * time.Second)
 }
 
-// leaderZoneOrOther returns the zone of the leader, or the other one of the zones a and b.
+// leaderZoneOrOther returns the leader's zone if ofLeader is true, and otherwise the other one of
+// the zones a and b.
 func leaderZoneOrOther(sim *simulator.Simulation, ofLeader bool) wire.Zone {
 	if (sim.Config(sim.Leader()).Zone == "a") == ofLeader {
 		return "a"
--- a/internal/scenarios/late_reports_test.go
+++ b/internal/scenarios/late_reports_test.go
@@ -214,10 +214,10 @@
 	})
 }
 
-// Old heartbeats reach every controller just as a new leader is elected, as the first that it
-// receives from a machine: before it has read what is stored, or after. It inherits tasks on those
-// machines, some of which the old heartbeats lack, and a job is cancelled while nobody leads. No task
-// may be started again.
+// Old heartbeats reach every controller just after a new leader was elected, before or after it has
+// read what is stored. They are the first heartbeats that it receives from these machines. It
+// inherits tasks there, some of which the old heartbeats lack. A job is cancelled while no
+// controller leads. No task may be started again.
 func TestOldHeartbeatsDuringLeaderRecovery(t *testing.T) {
 	t.Parallel()
 	for _, recovered := range []bool{false, true} {
@@ -279,7 +279,7 @@
 						}
 					}
 					if recoveredBefore != recovered || !recovered && hasRecovered(sim, newLeader) {
-						t.Errorf("recovered before the heartbeats arrived: %v, after that: %v", recoveredBefore, hasRecovered(sim, newLeader))
+						t.Errorf("the new leader had recovered before the heartbeats arrived: %v, after that: %v", recoveredBefore, hasRecovered(sim, newLeader))
 					}
 					if acceptedCount == 0 {
 						t.Error("the new leader accepted none of the old heartbeats")
--- a/internal/scenarios/late_writes_test.go
+++ b/internal/scenarios/late_writes_test.go
@@ -38,7 +38,7 @@
 				}
 				sleepUntil(2 * time.Second)
 				sim.Submit(serviceJob, 0)
-				sim.Submit(warmUp, 0) // the machines that it leaves idle have room for the next jobs
+				sim.Submit(warmUp, 0) // the machines that it leaves idle have capacity for the next jobs
 				sleepUntil(27 * time.Second)
 				sim.RegisterJob(job)
 				reader := startReader(t, sim, job.Spec.ID)
@@ -145,7 +145,7 @@
 				sleepUntil(27 * time.Second)
 				leader := sim.Leader()
 				if leader < 0 {
-					t.Fatal("nobody leads")
+					t.Fatal("no controller leads")
 				}
 				maxFaults := 1
 				if !tc.leaderKilled {
@@ -226,7 +226,7 @@
 				for round := range 2 {
 					leader := sim.Leader()
 					if leader < 0 {
-						t.Fatal("nobody leads")
+						t.Fatal("no controller leads")
 					}
 					sim.State.InjectTxnFaults(uint64(10*caseNumber+round), simulator.TxnFault{Prefix: store.LeaderKey, MaxCount: maxFaults, Delay: [2]time.Duration{2 * time.Second, 12 * time.Second}})
 					sim.KillController(leader)
@@ -241,7 +241,7 @@
 				lateWrites := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Late && !f.ExecutedAt.IsZero() })
 				rejected := faultedTransactions(sim, store.LeaderKey, func(f *simulator.TxnOutcome) bool { return f.Status == http.StatusBadRequest })
 				if len(lateWrites) < 2*maxFaults || len(rejected) == 0 || slices.ContainsFunc(lateWrites, outcomeExecuted) {
-					t.Errorf("%d late writes of the leader's key, %d rejected for their grant, want enough of both and none executed: %+v", len(lateWrites), len(rejected), lateWrites)
+					t.Errorf("%d late writes of the leader's key, %d rejected for their grant, want as many late ones as faults in two rounds, some rejected and none executed: %+v", len(lateWrites), len(rejected), lateWrites)
 				}
 			})
 		})
--- a/internal/scenarios/normal_operation_test.go
+++ b/internal/scenarios/normal_operation_test.go
@@ -51,7 +51,7 @@
 		requestSettings := func(node int, method string, body any, out any) int {
 			status, raw, _ := sim.AskAsOperator(node, method, "/admin/settings", body)
 			if out != nil && wire.Decode(raw, out) != nil {
-				t.Errorf("undecodable answer to %s (status %d)", method, status)
+				t.Errorf("undecodable response to %s of /admin/settings (status %d)", method, status)
 			}
 			return status
 		}
@@ -60,11 +60,11 @@
 		}
 		var listing admin.Listing
 		if status := requestSettings(0, "GET", nil, &listing); status != 200 || len(listing.Settings) != len(tuning.Fields) || listing.Version != 0 {
-			t.Fatalf("list of settings is answered %d %+v", status, listing)
+			t.Fatalf("list of settings is answered %d %+v, want 200 with every setting and version 0", status, listing)
 		}
 		var refusal wire.ErrorBody
 		if status := requestSettings(0, "PUT", change(0, "round.period_s", 99.0), &refusal); status != 400 || refusal.Field != "round.period_s" || refusal.Error != "must be 0.2 to 30" {
-			t.Errorf("value out of range is answered %d %+v", status, refusal)
+			t.Errorf("value out of range is answered %d %+v, want 400 with the setting and its range", status, refusal)
 		}
 		for name, body := range map[string]any{"unknown setting": change(0, "round.colour", 1), "wrong type": change(0, "round.period_s", "fast"), "no version": map[string]any{"set": map[string]any{"log.level": "info"}}, "not a map": 7} {
 			if status := requestSettings(0, "PUT", body, nil); status != 400 {
@@ -82,7 +82,7 @@
 		time.Sleep(8 * time.Second)
 		for i := range 3 {
 			if requestSettings(i, "GET", nil, &listing); listing.Settings[3].Name != "round.period_s" || fmt.Sprint(listing.Settings[3].Value) != "2" {
-				t.Errorf("node %d has %+v, want round.period_s with value 2", i, listing.Settings[3])
+				t.Errorf("controller %d has %+v, want round.period_s with value 2", i, listing.Settings[3])
 			}
 		}
 		sim.State.SetOutage(true)
@@ -94,12 +94,12 @@
 		sleepUntil(80 * time.Second)
 		status, raw, _ := sim.AskAsOperator(sim.Leader(), "GET", "/metrics", nil)
 		if status != 200 || !bytes.Contains(raw, []byte("lilaclead_terms_total 1")) || !bytes.Contains(raw, []byte(`lilaclead_machines{state="up"}`)) {
-			t.Errorf("metrics are answered %d\n%s", status, raw)
+			t.Errorf("metrics are answered %d, want 200 with one election and the machines that are up\n%s", status, raw)
 		}
 		var view admin.View
 		status, raw, _ = sim.AskAsOperator(sim.Leader(), "GET", "/admin/view", nil)
 		if status != 200 || wire.Decode(raw, &view) != nil || !view.Leads || view.Cluster == nil || len(view.Cluster.Machines) == 0 {
-			t.Errorf("leader's admin view is answered %d %+v", status, view)
+			t.Errorf("leader's admin view is answered %d %+v, want 200 and a leader with machines", status, view)
 		}
 	})
 }
@@ -183,7 +183,7 @@
 				case refusals > 300:
 					t.Errorf("the key-value store refused %d requests, want 300 or less", refusals)
 				case peakRate > int(set.State.RPS)*5/4:
-					t.Errorf("%d requests within a second to a key-value store with a limit of %v", peakRate, set.State.RPS)
+					t.Errorf("%d requests within a second to the key-value store, want at most 5/4 of the limit of %v", peakRate, set.State.RPS)
 				}
 				mustLeaveNoKeys(t, sim)
 				if n := len(sim.State.Keys("past/")); n != len(jobs) {
--- a/internal/scenarios/rolling_upgrade_test.go
+++ b/internal/scenarios/rolling_upgrade_test.go
@@ -143,6 +143,6 @@
 	// a leftover. So no sub-chunk is written before the limits are lowered, which a test in
 	// internal/leader/subchunks_test.go checks.
 	if _, _, ok := store.ParseChunkKey(store.SubchunkKey("req-000412", 3, 1)); ok {
-		t.Error("the key of a subchunk is parsed as the key of a chunk")
+		t.Error("the key of a sub-chunk is parsed as the key of a chunk")
 	}
 }
--- a/internal/scenarios/single_holder_test.go
+++ b/internal/scenarios/single_holder_test.go
@@ -11,8 +11,8 @@
 	"lilaclead/internal/store"
 )
 
-// withAndWithoutIntents runs a script with intents recorded, and without as a control. In the
-// control a late request does harm, which shows that the script can detect it.
+// withAndWithoutIntents runs a script twice: with intents recorded, and without them as a control.
+// In the control a late request does harm, which shows that the script can detect it.
 func withAndWithoutIntents(t *testing.T, seed uint64, script func(t *testing.T, recorded bool, sim *simulator.Simulation, sleepUntil func(time.Duration))) {
 	t.Helper()
 	for _, recorded := range []bool{true, false} {
@@ -48,7 +48,7 @@
 			t.Fatalf("%d of %d delayed scale-out requests were executed, want all", late.Executed, late.Delayed)
 		}
 		if recorded != (late.Provisioned == 0) {
-			t.Errorf("%d machines were provisioned late", late.Provisioned)
+			t.Errorf("%d machines were provisioned late, want 0 with recorded intents, some in the control", late.Provisioned)
 		}
 		sleepUntil(140 * time.Second)
 		mustFinish(t, sim, job)
@@ -81,7 +81,7 @@
 			t.Fatalf("%d of %d delayed scale-in requests were executed, want all", late.Executed, late.Delayed)
 		}
 		if recorded != (late.KilledTasks == 0) {
-			t.Errorf("late scale-in requests returned %d machines on which %d tasks ran", late.ScaledIn, late.KilledTasks)
+			t.Errorf("late scale-in requests returned %d machines on which %d tasks ran, want no tasks with recorded intents, some in the control", late.ScaledIn, late.KilledTasks)
 		}
 		time.Sleep(200 * time.Second)
 		mustFinish(t, sim, first, next)
@@ -130,7 +130,7 @@
 		sim.Submit(second, 0)
 		time.Sleep(30 * time.Second)
 		if n := sim.ProvisionedSoFar(); n != provisioned {
-			t.Errorf("%d machines were provisioned although the record can't be decoded", n-provisioned)
+			t.Errorf("%d machines were provisioned although the record of intents can't be decoded", n-provisioned)
 		}
 		if now := sim.State.Revision("intent/renting"); now != damaged {
 			t.Error("the record of intents was overwritten")
@@ -158,7 +158,7 @@
 		machines, intents, all := sim.ProvisionedSoFar(), sim.State.Changes("intent/"), sim.State.Changes("")
 		t.Logf("%d machines provisioned, %d of them left; %d changes of the key-value store, %d of them of intents", machines, sim.Machines(), all, intents)
 		if recorded && (intents == 0 || intents > 2*machines) || !recorded && intents > 0 {
-			t.Errorf("%d changes of intents for %d provisioned machines", intents, machines)
+			t.Errorf("%d changes of intents for %d provisioned machines, want 1 or more but at most twice the machines, none in the control", intents, machines)
 		}
 	})
 }
@@ -221,10 +221,10 @@
 	steps := map[string]struct {
 		begin, end func(sim *simulator.Simulation)
 	}{
-		"provisioned, answer lost":                {func(sim *simulator.Simulation) { sim.LoseScaleOutResponses(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutResponses(0) }},
-		"returned, answer lost":                   {func(sim *simulator.Simulation) { sim.LoseScaleInResponses(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInResponses(0) }},
-		"recorded, cloud down":                    {func(sim *simulator.Simulation) { sim.SetCloudOutage(true) }, func(sim *simulator.Simulation) { sim.SetCloudOutage(false) }},
-		"recorded, two answers of the store lost": {func(sim *simulator.Simulation) { sim.State.LoseResponses(2) }, func(*simulator.Simulation) {}},
+		"provisioned, response lost":                {func(sim *simulator.Simulation) { sim.LoseScaleOutResponses(100) }, func(sim *simulator.Simulation) { sim.LoseScaleOutResponses(0) }},
+		"returned, response lost":                   {func(sim *simulator.Simulation) { sim.LoseScaleInResponses(100) }, func(sim *simulator.Simulation) { sim.LoseScaleInResponses(0) }},
+		"recorded, cloud down":                      {func(sim *simulator.Simulation) { sim.SetCloudOutage(true) }, func(sim *simulator.Simulation) { sim.SetCloudOutage(false) }},
+		"recorded, two responses of the store lost": {func(sim *simulator.Simulation) { sim.State.LoseResponses(2) }, func(*simulator.Simulation) {}},
 	}
 	for name, step := range steps {
 		t.Run(name, func(t *testing.T) {
--- a/internal/scenarios/undecodable_test.go
+++ b/internal/scenarios/undecodable_test.go
@@ -59,10 +59,10 @@
 	}
 }
 
-// Undecodable records appear in the key-value store while no controller leads: of a job's progress,
-// jobs, the machine types and the operators' settings. Each process that reads such a record logs
-// it once. The record is kept, and nothing else is affected: running tasks go on, also those that
-// the record is about, no task is started twice, and new jobs run.
+// Undecodable records of a job's progress, of jobs, of the machine types and of the operators'
+// settings appear in the key-value store while no controller leads. Each process that reads such a
+// record logs it once. The record is kept, and nothing else is affected: running tasks go on, also
+// those that the record is about, no task is started twice, and new jobs run.
 func TestUndecodableRecords(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -73,18 +73,18 @@
 		sim := simulator.New(ctx, set, 900, start, nil)
 		sim.PlaceControllers(set.Zones...)
 		begin := time.Now()
-		at := func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) }
+		sleepUntil := func(d time.Duration) { time.Sleep(time.Until(begin.Add(d))) }
 		for i := range set.Size {
 			if err := sim.StartController(i); err != nil {
 				t.Fatal(err)
 			}
 		}
 		arrayJob, serviceJob, gangJob, later := array(1, 6, 400), service(2, 3), gang(3, 3, 400), array(4, 4, 10)
-		at(2 * time.Second)
+		sleepUntil(2 * time.Second)
 		for _, j := range []simulator.JobScript{arrayJob, serviceJob, gangJob} {
 			sim.Submit(j, 0)
 		}
-		at(60 * time.Second)
+		sleepUntil(60 * time.Second)
 		restartsBefore := 0 // an urgent gang may have preempted tasks until now
 		sim.WithChecker(func(c *simulator.Checker) { restartsBefore = c.Restarts() })
 		killed := sim.Leader()
@@ -99,36 +99,36 @@
 		sim.State.Put("run/req-000777/0", store.ChunkRecord{NextAttempt: 5, Active: []store.ActiveAttempt{{Task: 0, Attempt: 4, Machine: "n-000000"}}})
 		sim.State.Put(store.MachineSpecsKey, 7)
 		sim.State.Put(store.SettingsKey, "no settings")
-		at(64 * time.Second)
+		sleepUntil(64 * time.Second)
 		if err := sim.StartController(killed); err != nil {
 			t.Fatal(err)
 		}
-		at(70 * time.Second)
+		sleepUntil(70 * time.Second)
 		sim.Submit(later, 0)
-		at(120 * time.Second)
+		sleepUntil(120 * time.Second)
 		// The next leader reads the records, too.
 		replaceLeader(t, sim)
-		at(150 * time.Second)
+		sleepUntil(150 * time.Second)
 		mustFinish(t, sim, later)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if c.TasksOnMachines(arrayJob.Spec.ID) != 6 || c.TasksOnMachines(serviceJob.Spec.ID) != 3 || c.TasksOnMachines(gangJob.Spec.ID) != 3 || c.Restarts() != restartsBefore {
-				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 gang tasks run, %d tasks were started again", c.TasksOnMachines(arrayJob.Spec.ID), c.TasksOnMachines(serviceJob.Spec.ID), c.TasksOnMachines(gangJob.Spec.ID), c.Restarts()-restartsBefore)
+				t.Errorf("%d of 6 tasks, %d of 3 replicas, %d of 3 gang tasks run, %d tasks were started again, want all and 0", c.TasksOnMachines(arrayJob.Spec.ID), c.TasksOnMachines(serviceJob.Spec.ID), c.TasksOnMachines(gangJob.Spec.ID), c.Restarts()-restartsBefore)
 			}
 		})
 		for key := range undecodable {
 			if len(sim.State.Keys(key)) != 1 {
-				t.Errorf("%s is gone", key)
+				t.Errorf("%s was deleted, want it kept", key)
 			}
 		}
 		if len(sim.State.Keys("run/req-000777/0")) != 1 {
-			t.Error("the progress of a job with an undecodable record is gone")
+			t.Error("the progress of a job with an undecodable record was deleted, want it kept")
 		}
 		for i := range set.Size {
 			for _, id := range []string{"req-000777", "req-000778", "req-000779"} {
 				status, _, header := sim.Ask(i, "GET", "/v1/jobs/"+id, nil)
 				cancelStatus, _, _ := sim.Ask(i, "POST", "/v1/jobs/"+id+"/cancel", nil)
 				if status != 503 || header.Get("Retry-After") == "" || cancelStatus != 503 {
-					t.Errorf("%s: poll is answered %d by node %d, cancellation %d, want 503 and Retry-After", id, status, i, cancelStatus)
+					t.Errorf("%s: poll is answered %d by controller %d, cancellation %d, want 503 and Retry-After", id, status, i, cancelStatus)
 				}
 			}
 		}
@@ -148,7 +148,7 @@
 		if !cancelWithin(t, sim, arrayJob.Spec.ID, 10*time.Second) {
 			t.Error("the job with undecodable progress was not cancelled within 10 s")
 		}
-		at(220 * time.Second)
+		sleepUntil(220 * time.Second)
 		sim.WithChecker(func(c *simulator.Checker) {
 			if n := c.TasksOnMachines(arrayJob.Spec.ID); n != 0 {
 				t.Errorf("%d tasks of the cancelled job run, want 0", n)
@@ -205,10 +205,10 @@
 				}
 				resp.Body.Close()
 				if status, _, _ := sim.AskAsOperator(i, "POST", "/peer/hello", "no report"); status != 400 {
-					t.Errorf("an undecodable relayed heartbeat of a worker is answered %d, want 400", status)
+					t.Errorf("an undecodable relayed heartbeat of an agent is answered %d, want 400", status)
 				}
 				if status, _, _ := sim.Ask(i, "POST", "/hello", "no report"); status != 400 {
-					t.Errorf("an undecodable heartbeat of a worker is answered %d, want 400", status)
+					t.Errorf("an undecodable heartbeat of an agent is answered %d, want 400", status)
 				}
 			}
 			time.Sleep(time.Second)
@@ -216,12 +216,12 @@
 		peerClient.CloseIdleConnections()
 		mustFinish(t, sim, job)
 		if sim.Leader() != leader || sim.LeaderKeyRevision() != leaderKeyRevision {
-			t.Errorf("node %d leads, want node %d without a new election", sim.Leader(), leader)
+			t.Errorf("controller %d leads, want controller %d without a new election", sim.Leader(), leader)
 		}
 		for i, log := range logs {
 			for _, what := range []string{"a heartbeat from", "a relayed report from", "\"a report from"} {
 				if n := log.countErrors(what); n != 1 {
-					t.Errorf("node %d logs %d errors about %s, want 1", i, n, what)
+					t.Errorf("controller %d logs %d errors about %s, want 1", i, n, what)
 				}
 			}
 		}
--- a/internal/scenarios/versions_test.go
+++ b/internal/scenarios/versions_test.go
@@ -103,8 +103,8 @@
 		for _, j := range jobs {
 			known := func() bool {
 				status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
-				var answer wire.JobState
-				return status == http.StatusOK && wire.Decode(raw, &answer) == nil && answer.Status != ""
+				var state wire.JobState
+				return status == http.StatusOK && wire.Decode(raw, &state) == nil && state.Status != ""
 			}
 			eventually(t, 10*time.Second, when+": "+string(j.Spec.ID)+" is known", known)
 		}
@@ -180,7 +180,7 @@
 				}
 			}
 			restartLeader(t, sim, time.Second)
-			eventually(t, 60*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
+			eventually(t, 60*time.Second, "a switch to version 2", func() bool { return activeVersion(sim) == 2 })
 			checkStep("new", 2, all)
 			// Intents are recorded for scale-outs that the jobs need and for scale-ins after them.
 			eventually(t, 4*time.Minute, "a record of intents", func() bool { return len(sim.State.Keys("intent/")) > 0 })
@@ -222,7 +222,7 @@
 			sim.KillController(killed)
 			awaitSuccessor(t, sim, killed)
 			startControllers(t, sim, killed)
-			eventually(t, 60*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
+			eventually(t, 60*time.Second, "a switch to version 2", func() bool { return activeVersion(sim) == 2 })
 			time.Sleep(60 * time.Second)
 			mustFinish(t, sim, job)
 			mustAccountForAll(t, sim, "after the switch", []int{0, 1, 2}, []simulator.JobScript{job})
@@ -257,7 +257,7 @@
 			}
 		}
 		if v, b := activeVersion(sim), blocker(replaced); v != 1 || b != upgrade.NotConnected {
-			t.Errorf("with a controller that doesn't negotiate: version %d is active, blocker is %q", v, b)
+			t.Errorf("with a controller that doesn't negotiate: version %d is active, blocker is %q, want 1 and the controller not connected", v, b)
 		}
 		p.replace(t, sim, 2, oldProgram)
 		eventually(t, 30*time.Second, "the old controller to be named as blocker", func() bool { return blocker(replaced) == upgrade.NotSupported })
@@ -272,12 +272,12 @@
 			Version wire.Revision `cbor:"version"`
 		}
 		if status != http.StatusOK || wire.Decode(raw, &listing) != nil {
-			t.Fatal("no readable settings")
+			t.Fatal("no readable settings at /admin/settings")
 		}
 		limitVersion := func(version float64, revision wire.Revision) wire.Revision {
 			status, raw, _ := sim.AskAsOperator(0, "PUT", "/admin/settings", map[string]any{"version": revision, "set": map[string]any{"upgrade.max_version": version}})
 			if status != http.StatusOK || wire.Decode(raw, &listing) != nil {
-				t.Fatalf("upgrade.max_version is refused: %d", status)
+				t.Fatalf("change of upgrade.max_version is answered %d, want 200", status)
 			}
 			return listing.Version
 		}
@@ -285,10 +285,10 @@
 		startControllers(t, sim, 2)
 		time.Sleep(30 * time.Second)
 		if s := upgradeStatus(t, sim, 1); s.Active != 1 || !s.LimitedByOperators || s.MaxVersion != 1 {
-			t.Errorf("with the version limited to 1: status is %+v", s)
+			t.Errorf("with the version limited to 1: status is %+v, want version 1 active and the limit shown", s)
 		}
 		limitVersion(0, revision)
-		eventually(t, 30*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
+		eventually(t, 30*time.Second, "a switch to version 2", func() bool { return activeVersion(sim) == 2 })
 	})
 }
 
@@ -301,7 +301,7 @@
 		sleepUntil(2 * time.Second)
 		serviceJob := service(1, 2)
 		sim.Submit(serviceJob, 0)
-		eventually(t, 40*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
+		eventually(t, 40*time.Second, "a switch to version 2", func() bool { return activeVersion(sim) == 2 })
 		sleepUntil(60 * time.Second)
 		old := (sim.Leader() + 1) % 3
 		sim.KillController(old)
@@ -339,7 +339,7 @@
 			t.Errorf("version %d is active without contact to controller 1, want 1", v)
 		}
 		sim.PartitionZones("a", "b", false)
-		eventually(t, 60*time.Second, "the switch", func() bool { return activeVersion(sim) == 2 })
+		eventually(t, 60*time.Second, "a switch to version 2", func() bool { return activeVersion(sim) == 2 })
 		time.Sleep(60 * time.Second)
 		mustFinish(t, sim, arrayJob)
 		mustRun(t, sim, serviceJob, "after the partition")
@@ -369,7 +369,7 @@
 }
 
 // Records of versions that can't be decoded are never overwritten. Controllers that already know
-// the active version go on, since no controller can switch it. A controller that starts then
+// the active version go on, since no controller can switch it. A controller that starts meanwhile
 // refuses to serve until the record is repaired.
 func TestUndecodableVersionRecords(t *testing.T) {
 	t.Parallel()
