--- a/internal/scenarios/gang_chunks_test.go
+++ b/internal/scenarios/gang_chunks_test.go
@@ -17,9 +17,9 @@
 // These tests run gangs whose progress takes several chunk records, and gangs in every phase
 // while the limits of the key-value store are lowered.
 
-// largeGang returns a gang of many small tasks, which may run in different zones.
-func largeGang(n, tasks int, run float64) simulator.JobScript {
-	j := gang(n, tasks, run)
+// largeGang returns a gang of many small tasks, which may run in different zones and take runSeconds.
+func largeGang(n, tasks int, runSeconds float64) simulator.JobScript {
+	j := gang(n, tasks, runSeconds)
 	j.Spec.CPUs, j.Spec.MemoryGB, j.Spec.SameZone = 0.1, 0.3, false
 	return j
 }
--- a/internal/scenarios/gang_notice_test.go
+++ b/internal/scenarios/gang_notice_test.go
@@ -10,7 +10,7 @@
 )
 
 // startSpotGang submits a gang that may use spot machines, and returns it when all its tasks
-// have run for a while.
+// have run for runTime.
 func startSpotGang(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration), runTime time.Duration) simulator.JobScript {
 	t.Helper()
 	gangJob := gang(1, 4, 80)
@@ -22,8 +22,8 @@
 	return gangJob
 }
 
-// mustHaveSaved checks that a gang was stopped once, that all its tasks saved, and that this
-// kept at least so many seconds of progress.
+// mustHaveSaved checks that a gang was stopped once, that all its tasks saved, and that at
+// least minSeconds of progress were saved.
 func mustHaveSaved(t *testing.T, sim *simulator.Simulation, j simulator.JobScript, minSeconds float64) {
 	t.Helper()
 	if g := sim.GangState(j.Spec.ID); g.Saves != 1 || g.Rollbacks != 0 || g.SavedSeconds < minSeconds {
--- a/internal/scenarios/gang_partition_test.go
+++ b/internal/scenarios/gang_partition_test.go
@@ -8,7 +8,7 @@
 	"lilaclead/internal/simulator"
 )
 
-// A zone is partitioned with a gang inside, for less and for more than its lease. Meanwhile
+// A zone is partitioned with a gang inside, for less and for more than a lease. Meanwhile
 // delayed copies of the heartbeats of its machines arrive.
 func TestGangInPartitionedZone(t *testing.T) {
 	t.Parallel()
--- a/internal/scenarios/gang_random_faults_test.go
+++ b/internal/scenarios/gang_random_faults_test.go
@@ -93,12 +93,12 @@
 				markFaultsOver(sim)
 				time.Sleep(220 * time.Second)
 				mustFinish(t, sim, uncancelled...)
-				starts, saves, rollbacks, incomplete := 0, 0, 0, 0
+				starts, saves, rollbacks, timedOutWaits := 0, 0, 0, 0
 				for _, job := range uncancelled {
 					g := sim.GangState(job.Spec.ID)
-					starts, saves, rollbacks, incomplete = starts+g.Starts, saves+g.Saves, rollbacks+g.Rollbacks, incomplete+g.WaitTimeouts
+					starts, saves, rollbacks, timedOutWaits = starts+g.Starts, saves+g.Saves, rollbacks+g.Rollbacks, timedOutWaits+g.WaitTimeouts
 				}
-				t.Logf("%d jobs that were not cancelled: gangs started %d times, saved %d times, rolled back %d times, %d waits timed out", len(uncancelled), starts, saves, rollbacks, incomplete)
+				t.Logf("%d jobs that were not cancelled: gangs started %d times, saved %d times, rolled back %d times, %d waits timed out", len(uncancelled), starts, saves, rollbacks, timedOutWaits)
 			})
 		})
 	}
--- a/internal/scenarios/gang_stop_test.go
+++ b/internal/scenarios/gang_stop_test.go
@@ -11,7 +11,7 @@
 
 // A prod service preempts a gang. All tasks of the gang must be stopped together and save their
 // progress, also when some receive the stop command later. The leader may be killed meanwhile.
-// Then a save may fail, and the gang continues from its last checkpoint.
+// In that case a save may fail, and the gang continues from its last checkpoint.
 func TestGangPreempted(t *testing.T) {
 	t.Parallel()
 	for _, variant := range []string{"no fault", "late stop command", "leader killed at first stop", "leader killed and service cancelled"} {
@@ -50,7 +50,7 @@
 				if variant == "leader killed at first stop" || variant == "leader killed and service cancelled" {
 					sim.KillController(leader)
 					if variant == "leader killed and service cancelled" { // the next leader then learns of the stop only from the tasks that save
-						eventually(t, 5*time.Second, "cancelled", func() bool {
+						eventually(t, 5*time.Second, "the cancellation is confirmed", func() bool {
 							status, _, _ := sim.Ask((leader+1)%3, "POST", "/v1/jobs/"+string(serviceJob.Spec.ID)+"/cancel", nil)
 							return status == 200
 						})
@@ -119,7 +119,8 @@
 	})
 }
 
-// A spot notice arrives during an outage of the key-value store.
+// A spot notice arrives during an outage of the key-value store. The gang must start again and finish
+// after the outage.
 func TestGangSpotNoticeDuringOutage(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 813, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -145,11 +146,11 @@
 func TestGangCancelled(t *testing.T) {
 	t.Parallel()
 	phases := map[string]func(g simulator.GangState) bool{
-		"queued":  func(g simulator.GangState) bool { return true },
-		"pulling": func(g simulator.GangState) bool { return g.Fetching > 0 },
-		"waiting": func(g simulator.GangState) bool { return g.Waiting > 0 },
-		"running": func(g simulator.GangState) bool { return g.Running == 4 },
-		"saving":  func(g simulator.GangState) bool { return g.Saving > 0 },
+		"queued":   func(g simulator.GangState) bool { return true },
+		"fetching": func(g simulator.GangState) bool { return g.Fetching > 0 },
+		"waiting":  func(g simulator.GangState) bool { return g.Waiting > 0 },
+		"running":  func(g simulator.GangState) bool { return g.Running == 4 },
+		"saving":   func(g simulator.GangState) bool { return g.Saving > 0 },
 	}
 	for phase, reached := range phases {
 		t.Run(phase, func(t *testing.T) {
@@ -171,7 +172,7 @@
 				if !eventually(t, 60*time.Second, phase, func() bool { return reached(sim.GangState(gangJob.Spec.ID)) }) {
 					return
 				}
-				eventually(t, 10*time.Second, "cancelled", func() bool {
+				eventually(t, 10*time.Second, "the cancellation is confirmed", func() bool {
 					status, _, _ := sim.Ask(0, "POST", "/v1/jobs/"+string(gangJob.Spec.ID)+"/cancel", nil)
 					return status == 200
 				})
--- a/internal/scenarios/leader_change_test.go
+++ b/internal/scenarios/leader_change_test.go
@@ -10,8 +10,8 @@
 	"lilaclead/internal/wire"
 )
 
-// Killing the leader must not affect services, and its successor must know which tasks run on which
-// machines.
+// The leader is killed and restarted three times. Services must not be affected, and each new leader
+// must know which tasks run on which machines.
 func TestLeaderRestartsKeepServices(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 2, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -22,7 +22,7 @@
 		for range 3 {
 			leader := sim.Leader()
 			if leader < 0 {
-				t.Fatal("nobody leads")
+				t.Fatal("no controller leads")
 			}
 			sim.KillController(leader)
 			time.Sleep(6 * time.Second)
@@ -43,7 +43,8 @@
 	})
 }
 
-// Controllers restart within a fraction of a second, also in the middle of an election.
+// Controllers, mostly the leader, are killed and restart within a second, also in the middle of an
+// election. The array must still finish.
 func TestControllersRestartQuickly(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 11, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -52,13 +53,13 @@
 		submitAll(sim, arrayJob, serviceJob)
 		sleepUntil(30 * time.Second)
 		for round := range 12 {
-			node := (sim.Leader() + 3) % 3
+			controller := (sim.Leader() + 3) % 3
 			if round%3 == 2 {
-				node = round % 3
+				controller = round % 3
 			}
-			sim.KillController(node)
+			sim.KillController(controller)
 			time.Sleep(time.Duration(50+round*60) * time.Millisecond)
-			startControllers(t, sim, node)
+			startControllers(t, sim, controller)
 			time.Sleep(time.Duration(round%4) * time.Second)
 		}
 		sleepUntil(160 * time.Second)
@@ -77,7 +78,7 @@
 		sim.Submit(serviceJob, 0)
 		sleepUntil(35 * time.Second)
 		begin := time.Now()
-		inOutage := 0
+		changesInOutage := 0
 		for round := range 10 {
 			arrayJob, cancelledJob := array(10+round, 1+round%3, float64(10+5*round)), array(30+round, 2, 100)
 			jobs = append(jobs, arrayJob)
@@ -95,7 +96,7 @@
 			sim.State.SetOutage(true)
 			time.Sleep(1500 * time.Millisecond)
 			if sim.Leader() == leader && sim.State.InOutage() {
-				inOutage++
+				changesInOutage++
 			}
 			sim.KillController(leader)
 			time.Sleep(2 * time.Second)
@@ -105,17 +106,17 @@
 			startControllers(t, sim, leader)
 			time.Sleep(time.Second)
 		}
-		if took := time.Since(begin); took > 2*time.Minute || inOutage != 5 {
-			t.Errorf("ten changes of leader took %v, %d of them in an outage, want 5 in an outage and at most 2m0s", took, inOutage)
+		if took := time.Since(begin); took > 2*time.Minute || changesInOutage != 5 {
+			t.Errorf("ten changes of leader took %v, %d of them in an outage, want 5 in an outage and at most 2m0s", took, changesInOutage)
 		}
 		mustRecover(t, sim, 3, jobs...)
 	})
 }
 
-// The tasks of small jobs end far apart, and the leader changes between two ends. The change comes at
-// different moments after the first end: at once, while the heartbeat that reports it is on its way,
-// while it is being stored, and later. No task may be lost, run twice or be reported done early, and
-// none that was done may be started again.
+// The tasks of small jobs end far apart, and the leader changes after each of the first three
+// ends. The change comes at different moments after an end: at once, while the heartbeat that
+// reports it is on its way, while it is being stored, and later. No task may be lost, run twice
+// or be reported done early, and no task that was done may be started again.
 func TestTasksEndAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	type leaderChange struct {
@@ -135,7 +136,7 @@
 			sim.KillController(leader)
 			time.Sleep(200 * time.Millisecond)
 			startControllers(t, sim, leader)
-			waitUntil(t, 10*time.Second, "a new term", func() bool { o := sim.LeaderKeyRevision(); return o > oldRevision })
+			waitUntil(t, 10*time.Second, "a new term", func() bool { revision := sim.LeaderKeyRevision(); return revision > oldRevision })
 			onElected()
 		}},
 		{"refused by the key-value store", [3]time.Duration{400 * time.Millisecond, 4 * time.Millisecond, 0}, func(t *testing.T, sim *simulator.Simulation, leader int, onElected func()) {
@@ -162,12 +163,12 @@
 					waitUntil(t, 80*time.Second, "the next end of a task", func() bool { return endedCount() >= n })
 					time.Sleep(tc.delays[n-1])
 					tc.change(t, sim, sim.Leader(), func() {
-						if k := endedCount(); k != n && !(n == 1 && k == 2) {
-							t.Errorf("%d tasks had ended when the next leader was elected, want %d", k, n)
+						if ended := endedCount(); ended != n && !(n == 1 && ended == 2) {
+							t.Errorf("%d tasks had ended when the next leader was elected, want %d", ended, n)
 						}
 					})
 					if endedCount() == 5 {
-						t.Error("all tasks had ended before the change was over")
+						t.Error("all tasks had ended before the change of leader was over, want some running")
 					}
 					time.Sleep(time.Second)
 				}
@@ -183,7 +184,7 @@
 // it knows what is stored. The machine list does not show the new machines yet.
 func TestLeaderChangeAsNewMachinesGetTasks(t *testing.T) {
 	t.Parallel()
-	for caseNumber, kind := range []string{"slow", "lost", "late", "late, soon"} {
+	for caseNumber, kind := range []string{"slow responses", "lost responses", "executed 2 to 12 s late", "executed 1 to 2 s late"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runOnAlternatingLayouts(t, uint64(660+caseNumber), func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -195,19 +196,19 @@
 				for round, jobs := range [][]simulator.JobScript{{serviceJob, arrayJob}, {sameZoneJob, array(4, 10, 9)}, {array(5, 16, 8)}} {
 					leader := sim.Leader()
 					if leader < 0 {
-						t.Fatal("nobody leads")
+						t.Fatal("no controller leads")
 					}
 					host := simulator.NodeIP(leader)
 					fault := simulator.TxnFault{Prefix: store.ProgressPrefix, Hosts: []string{host}, Hang: true}
 					switch kind {
-					case "slow":
+					case "slow responses":
 						sim.State.DelayResponses(host, 400*time.Millisecond)
-					case "lost":
+					case "lost responses":
 						sim.State.InjectTxnFaults(uint64(round), fault)
-					case "late":
+					case "executed 2 to 12 s late":
 						fault.Delay = [2]time.Duration{2 * time.Second, 12 * time.Second}
 						sim.State.InjectTxnFaults(uint64(round), fault)
-					case "late, soon":
+					case "executed 1 to 2 s late":
 						fault.Delay = [2]time.Duration{time.Second, 2 * time.Second}
 						sim.State.InjectTxnFaults(uint64(round), fault)
 					}
@@ -219,8 +220,8 @@
 					// the write of a launch or its response is on its way.
 					for begin := time.Now(); time.Since(begin) < 15*time.Second; time.Sleep(5 * time.Millisecond) {
 						underWay := sim.State.UnansweredWrites(host, store.ProgressPrefix) > 0
-						for _, f := range sim.State.TxnOutcomes()[outcomesBefore:] {
-							underWay = underWay || time.Since(f.Sent) < time.Second
+						for _, outcome := range sim.State.TxnOutcomes()[outcomesBefore:] {
+							underWay = underWay || time.Since(outcome.Sent) < time.Second
 						}
 						if age, boot := sim.NewestMachine(); boot > 0 && boot < 2*time.Second && age < sim.Settings.Cloud.ListLag.Duration() && underWay {
 							matchedRounds++
@@ -246,8 +247,8 @@
 	}
 }
 
-// The largest job that users may submit: its progress stays within the
-// limits of the key-value store, across a change of leader.
+// The largest job that users may submit runs across a change of leader. Its progress records must
+// stay within the limits of the key-value store, and a small job submitted later must still finish.
 func TestLargestJobAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 17, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
--- a/internal/scenarios/leader_partition_test.go
+++ b/internal/scenarios/leader_partition_test.go
@@ -8,15 +8,15 @@
 	"lilaclead/internal/simulator"
 )
 
-// cutFromMachines cuts a controller from the first 100 machines, or ends the cut.
-func cutFromMachines(sim *simulator.Simulation, node int, on bool) {
+// cutFromMachines cuts a controller off from the first 100 machines, or ends the cut.
+func cutFromMachines(sim *simulator.Simulation, controller int, on bool) {
 	for i := 1; i <= 100; i++ {
-		sim.Net.Cut(simulator.NodeIP(node), fmt.Sprintf("10.1.0.%d", i), on)
+		sim.Net.Cut(simulator.NodeIP(controller), fmt.Sprintf("10.1.0.%d", i), on)
 	}
 }
 
 // A leader cut off from all agents resigns in favour of a controller that they reach.
-func TestLeaderPartitionedFromWorkers(t *testing.T) {
+func TestLeaderPartitionedFromAgents(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 10, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 3), array(2, 30, 25)
@@ -27,7 +27,7 @@
 		cutFromMachines(sim, leader, true)
 		sleepUntil(75 * time.Second)
 		if n := sim.Leader(); n == leader {
-			t.Error("the leader that reaches no worker still leads")
+			t.Error("the leader that reaches no agent still leads, want it to resign")
 		}
 		cutFromMachines(sim, leader, false)
 		sleepUntil(220 * time.Second)
@@ -38,7 +38,7 @@
 
 // Agents that only the leader can't reach are served through another controller, and their machines
 // are kept. Without this, a leader cut off from half of its agents would release all their machines.
-func TestWorkerPartitionedFromLeaderOnly(t *testing.T) {
+func TestAgentPartitionedFromLeaderOnly(t *testing.T) {
 	t.Parallel()
 	runOnBothLayouts(t, 13, func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		serviceJob, arrayJob := service(1, 3), array(2, 12, 20)
@@ -52,7 +52,7 @@
 		}
 		sim.Net.Cut(simulator.NodeIP(leader), ip, true)
 		sleepUntil(100 * time.Second) // far longer than the lease of 16 s
-		mustRun(t, sim, serviceJob, "while a worker is cut off from the leader")
+		mustRun(t, sim, serviceJob, "while an agent is cut off from the leader")
 		mustRestartNoTask(t, sim)
 		sim.Net.Cut(simulator.NodeIP(leader), ip, false)
 		sleepUntil(160 * time.Second)
@@ -60,10 +60,10 @@
 	})
 }
 
-// A leader cut off only from its peers goes on leading. In an outage of the key-value store on top of
-// that, it may answer agents for as long as a controller may act as the delegate of a lost leader.
-// Then it must stop, since no majority agrees, and no task may run twice when the leases have
-// expired.
+// A leader cut off only from its peers goes on leading. If the key-value store then becomes
+// unavailable too, the leader may answer agents only for as long as a controller may act as the
+// delegate of a lost leader. After that it must stop, since no majority agrees, and no task may
+// run twice when the leases have expired.
 func TestLeaderPartitionedFromPeers(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 18, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -81,7 +81,7 @@
 		mustRun(t, sim, serviceJob, "while the leader is cut off from its peers")
 		mustRestartNoTask(t, sim)
 		if sim.Leader() != leader {
-			t.Error("the leader changed")
+			t.Error("the leader changed while it was cut off from its peers")
 		}
 		sim.State.SetOutage(true)
 		sleepUntil(95 * time.Second)
@@ -100,7 +100,7 @@
 
 // A leader is cut off from the key-value store and the other controllers, but not from its agents. It
 // must stop answering them, and they must find the next leader before their leases expire.
-func TestLeaderPartitionedFromAllButWorkers(t *testing.T) {
+func TestLeaderPartitionedFromAllButAgents(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{5, 7} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -122,7 +122,7 @@
 				cut(true)
 				sleepUntil(55 * time.Second)
 				if n := sim.Leader(); n == leader || n < 0 {
-					t.Errorf("the leader is controller %d, want another one than %d", n, leader)
+					t.Errorf("the leader is controller %d, want one other than controller %d", n, leader)
 				}
 				if status, _, _ := sim.Ask(leader, "GET", "/ready", nil); status != 503 {
 					t.Errorf("/ready of a controller that reaches neither key-value store nor peers answers %d, want 503", status)
@@ -141,7 +141,7 @@
 // A leader is cut off from the key-value store and the other controllers while agents and users still
 // reach it, and jobs are cancelled through the next leader. In the worst case agents reach only the
 // old leader and the cloud is unavailable, so that their tasks end only because the old leader stops
-// answering. Users of the old leader get no older response than the new leader's.
+// answering. No response of the old leader may be older than what the new leader has answered.
 func TestCancelWhileLeaderIsPartitioned(t *testing.T) {
 	t.Parallel()
 	for _, mode := range simulator.CutModes {
@@ -149,7 +149,7 @@
 			if !onlyOldLeader && mode != simulator.CutRefused {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, workers reach only the old leader %v", mode, onlyOldLeader), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, agents reach only the old leader %v", mode, onlyOldLeader), func(t *testing.T) {
 				t.Parallel()
 				runWithSettings(t, settingsOfSize(3), 65, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					serviceJob, arrayJob := service(1, 4), array(2, 4, 60)
@@ -184,11 +184,11 @@
 					answeredBefore := polls.answered()
 					sim.Submit(newJob, 0) // at any controller; one that can't accept it refuses
 					if confirmedAt := cancelAtController(t, sim, newLeader, cancelledSoon); confirmedAt.Sub(cutAt) > 8*time.Second {
-						t.Errorf("cancelled %v after the cut, want at most 8s", confirmedAt.Sub(cutAt))
+						t.Errorf("cancellation confirmed %v after the cut, want at most 8s", confirmedAt.Sub(cutAt))
 					}
 					sim.WithChecker(func(c *simulator.Checker) {
 						if !onlyOldLeader && c.TasksOnMachines(cancelledLater.Spec.ID) == 0 || onlyOldLeader && c.TasksOnMachines(cancelledSoon.Spec.ID) == 0 {
-							t.Error("no task of the jobs to cancel runs when they are cancelled")
+							t.Error("no task of the jobs to cancel runs when they are cancelled, want some")
 						}
 					})
 					time.Sleep(4 * time.Second)
@@ -201,11 +201,11 @@
 					}
 					for i := range 3 {
 						if i != oldLeader && !sim.Net.IsCut(simulator.NodeIP(oldLeader), simulator.NodeIP(i)) {
-							t.Error("the cut ended too early")
+							t.Error("the old leader can reach another controller before the end of the cut")
 						}
 					}
 					if oldLeader == sim.Leader() {
-						t.Error("the old leader leads")
+						t.Error("the old leader leads again before the end of the cut")
 					}
 					time.Sleep(45 * time.Second)
 					if onlyOldLeader {
@@ -219,7 +219,7 @@
 					sim.SetCloudOutage(false)
 					time.Sleep(5 * time.Second)
 					if polls.answered() == answeredBefore {
-						t.Error("the old leader has answered no poll after the cut")
+						t.Error("the old leader has answered no poll since the next leader was elected")
 					}
 					mustRecover(t, sim, 3, serviceJob, arrayJob, newJob)
 				})
--- a/internal/scenarios/leader_refused_test.go
+++ b/internal/scenarios/leader_refused_test.go
@@ -9,20 +9,22 @@
 	"lilaclead/internal/wire"
 )
 
-// Jobs are cancelled while the key-value store refuses the leader alone. Then the store has an outage
-// for everybody, up to longer than a task of a cancelled job may run. Agents go on sending
-// heartbeats to the leader, which can't read what was cancelled. It may renew their leases only while
-// the other controllers send it all cancellations that they confirmed, and must stop the tasks of
-// these. Tasks of cancellations that no controller can send any more end by lease expiry.
+// Jobs are cancelled while the key-value store refuses the leader alone. Then the store has an
+// outage for all controllers, in some cases for longer than a task of a cancelled job may run.
+// Agents go on sending heartbeats to the leader, which can't read what was cancelled. It may
+// renew their leases only while the other controllers send it all cancellations that they
+// confirmed, and must stop the tasks of the cancelled jobs. Tasks of jobs whose cancellation no
+// controller can send any more end by lease expiry.
 func TestCancelWhileStoreRefusesLeader(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
-		name   string
+		name string
+		// refuse, if set, replaces the refusal of the leader by the key-value store.
 		refuse func(sim *simulator.Simulation, leader int, on bool)
 		// duringOutage, if set, is called when the outage has begun.
 		duringOutage func(sim *simulator.Simulation, leader, confirmer int)
 		outage       time.Duration
-		// survives: the service that nobody cancelled survives the outage.
+		// survives: the service that nobody cancelled must survive the outage, and no cancelled task may.
 		survives bool
 	}{
 		{"outage as long as a lease", nil, nil, 16 * time.Second, true},
@@ -103,7 +105,7 @@
 					t.Errorf("%d of 3 replicas that nobody cancelled survived the outage, want all", n)
 				}
 				if n := tasksOnMachines(sim, cancelledService.Spec.ID) + tasksOnMachines(sim, cancelledArray.Spec.ID); tc.survives && n != 0 {
-					t.Errorf("%d tasks on machines of jobs whose cancellation the other controllers could send to the leader, want 0", n)
+					t.Errorf("%d tasks are on machines although the other controllers could send the cancellation of their jobs to the leader, want 0", n)
 				}
 				time.Sleep(time.Second)
 				sim.State.SetOutage(false)
@@ -112,19 +114,19 @@
 				markFaultsOver(sim)
 				time.Sleep(80 * time.Second)
 				if n := tasksOnMachines(sim, keptService.Spec.ID); n != 3 {
-					t.Errorf("%d of 3 replicas after the outage, want all", n)
+					t.Errorf("%d of 3 replicas are on machines 80 s after the outage, want all", n)
 				}
 			})
 		})
 	}
 }
 
-// As in TestCancelWhileStoreRefusesLeader, and the machines of the cancelled tasks receive nothing, or
-// commands to them or their responses are held up. Tasks that can't be stopped must end by lease
-// expiry, or with their machine.
+// As in TestCancelWhileStoreRefusesLeader. In addition, the machines of the cancelled tasks
+// receive nothing, or the leader's packets to them or their packets to the controllers are held
+// up. Tasks that can't be stopped must end by lease expiry, or with their machine.
 func TestCancelOnUnreachableMachinesWhileLeaderIsRefused(t *testing.T) {
 	t.Parallel()
-	for _, fault := range []string{"no inbound", "no commands", "answers held"} {
+	for _, fault := range []string{"no inbound", "no commands", "no outbound"} {
 		for _, cloudAvailable := range []bool{true, false} {
 			t.Run(fmt.Sprint(fault, ", cloud available: ", cloudAvailable), func(t *testing.T) {
 				t.Parallel()
@@ -145,7 +147,7 @@
 								sim.Net.BlockInbound(ip, on)
 							case "no commands":
 								sim.Net.HoldPackets(simulator.NodeIP(leader), ip, on)
-							case "answers held":
+							case "no outbound":
 								for i := range 5 {
 									sim.Net.HoldPackets(ip, simulator.NodeIP(i), on)
 								}
@@ -177,10 +179,10 @@
 	}
 }
 
-// The key-value store answers slowly while users cancel jobs and poll. Then it refuses the leader alone
-// while they go on to cancel, and then everybody, for longer than a task of a cancelled job may run.
-// The outage begins when the leader alone has been refused for a moment, or just when the next leader
-// has been elected and has read nothing yet.
+// The key-value store answers slowly while users cancel jobs and poll. Then it refuses the leader
+// alone while users go on cancelling jobs, and then all controllers, for longer than a task of a
+// cancelled job may run. The outage for all begins when the leader alone has been refused for a
+// moment, or just when the next leader has been elected and has read nothing yet.
 func TestSlowStoreThenLeaderRefusedThenOutage(t *testing.T) {
 	t.Parallel()
 	for caseNumber, kind := range []string{"cancelled while slow", "cancelled while the leader is refused", "the next leader is new"} {
@@ -199,7 +201,7 @@
 				sleepUntil(35 * time.Second)
 				leader := sim.Leader()
 				if leader < 0 {
-					t.Fatal("nobody leads")
+					t.Fatal("no controller leads")
 				}
 				sim.State.DelayResponses("", 600*time.Millisecond)
 				reader := startReader(t, sim, first.Spec.ID)
@@ -216,7 +218,7 @@
 							return
 						}
 						if time.Sleep(100 * time.Millisecond); n > leader+20 {
-							t.Errorf("%s is not cancelled", j.Spec.ID)
+							t.Errorf("%s: no controller confirmed the cancellation", j.Spec.ID)
 							return
 						}
 					}
@@ -240,10 +242,10 @@
 						time.Sleep(5 * time.Millisecond)
 					}
 					if n := sim.Leader(); n < 0 || n == leader {
-						t.Error("no other node leads")
+						t.Error("no other controller leads before the outage")
 					}
 				} else if sim.Leader() != leader {
-					t.Error("another node leads before the outage")
+					t.Error("another controller leads before the outage")
 				}
 				sim.State.SetOutage(true)
 				outageAt = time.Now()
--- a/internal/scenarios/lowered_limits_test.go
+++ b/internal/scenarios/lowered_limits_test.go
@@ -16,7 +16,8 @@
 // loweredLimits are the announced limits of the key-value store.
 var loweredLimits = config.NextStoreLimits{RPS: 200, WriteRPS: 25, ValueKB: 2, TxnOps: 4}
 
-// settingsBeforeLowering are settings with the larger limits, and with room for many small tasks.
+// settingsBeforeLowering are settings with the larger limits, and with team limits that allow many
+// small tasks.
 func settingsBeforeLowering() config.Settings {
 	s := simulator.DefaultSettings()
 	s.Teams = []config.Team{{Name: "red", GuaranteedCPUs: 400, MaxCPUs: 400}, {Name: "blue", GuaranteedCPUs: 16}}
@@ -25,7 +26,7 @@
 }
 
 // announceLoweredLimits restarts all controllers, one after the other, with settings that announce the
-// lowered limits. Until then they accept jobs as the version in production does.
+// lowered limits. Until then they accept jobs by the larger limits, as the version in production does.
 func announceLoweredLimits(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	for i := range sim.Settings.Size {
@@ -39,12 +40,13 @@
 	}
 }
 
+// lowerLimits makes the key-value store apply the lowered limits.
 func lowerLimits(sim *simulator.Simulation) {
 	sim.State.LowerLimits(int(loweredLimits.ValueKB), loweredLimits.TxnOps, loweredLimits.RPS, loweredLimits.WriteRPS)
 }
 
 // mustExceedLoweredLimits checks that the progress of each job is stored in values larger than the
-// lowered limit. Otherwise lowering it would affect nothing.
+// lowered limit. Otherwise lowering the limit would not affect the job.
 func mustExceedLoweredLimits(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	for _, j := range jobs {
@@ -54,7 +56,8 @@
 	}
 }
 
-// storedSubchunks counts the sub-chunks that are stored.
+// storedSubchunks counts the records of sub-chunks. Their keys have three slashes, those of
+// chunks two.
 func storedSubchunks(sim *simulator.Simulation) int {
 	n := 0
 	for _, k := range sim.State.Keys(store.ProgressPrefix) {
@@ -65,8 +68,8 @@
 	return n
 }
 
-// mustBeArchived checks that the jobs are done, that every controller answers so, and that no record of
-// their progress is left.
+// mustBeArchived checks that the jobs are done, that every controller answers so, and that no
+// record of their progress is left.
 func mustBeArchived(t *testing.T, sim *simulator.Simulation, jobs ...simulator.JobScript) {
 	t.Helper()
 	mustFinish(t, sim, jobs...)
@@ -78,7 +81,7 @@
 			status, raw, _ := sim.Ask(i, "GET", "/v1/jobs/"+string(j.Spec.ID), nil)
 			var state wire.JobState
 			if status != 200 || wire.Decode(raw, &state) != nil || state.Status != wire.StatusDone || state.Done != j.Spec.Tasks {
-				t.Errorf("poll about %s answered %d %+v by controller %d, want 200, done and all tasks", j.Spec.ID, status, state, i)
+				t.Errorf("poll about %s was answered %d %+v by controller %d, want 200, done and all tasks", j.Spec.ID, status, state, i)
 			}
 		}
 	}
@@ -88,7 +91,7 @@
 // larger limits, alone and with other faults.
 func TestStoreLimitsLowered(t *testing.T) {
 	t.Parallel()
-	kinds := map[string]func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)){
+	faults := map[string]func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)){
 		"quiet": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) { lowerLimits(sim) },
 		"outage": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 			sim.State.SetOutage(true)
@@ -98,21 +101,21 @@
 			sim.State.SetOutage(false)
 		},
 		"change of leader": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
-			l := sim.Leader()
-			sim.KillController(l)
+			leader := sim.Leader()
+			sim.KillController(leader)
 			time.Sleep(time.Second)
-			if sim.Leader() != l {
+			if sim.Leader() != leader {
 				t.Error("the leader changed before the limits were lowered")
 			}
 			lowerLimits(sim)
-			awaitSuccessor(t, sim, l)
+			awaitSuccessor(t, sim, leader)
 		},
 		"recovery": func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
-			l := sim.Leader()
-			sim.KillController(l)
+			leader := sim.Leader()
+			sim.KillController(leader)
 			sim.State.DelayLists(func() time.Duration { return 300 * time.Millisecond }) // for each of the two lists that a new leader reads
 			begin := time.Now()
-			for n := sim.Leader(); n == l || n < 0; n = sim.Leader() {
+			for n := sim.Leader(); n == leader || n < 0; n = sim.Leader() {
 				if time.Since(begin) > 15*time.Second {
 					t.Fatal("no new leader within 15 s")
 				}
@@ -121,7 +124,7 @@
 			lowerLimits(sim) // the new leader is elected, and reads for 0.6 s
 			time.Sleep(3 * time.Second)
 			sim.State.DelayLists(nil)
-			if err := sim.StartController(l); err != nil {
+			if err := sim.StartController(leader); err != nil {
 				t.Fatal(err)
 			}
 		},
@@ -152,14 +155,14 @@
 			startAll(t, sim)
 		},
 	}
-	kinds["cancellations"] = func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
+	faults["cancellations"] = func(t *testing.T, sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		lowerLimits(sim)
 		if !cancelWithin(t, sim, "req-000006", 10*time.Second) {
 			t.Error("req-000006 was not cancelled within 10 s")
 		}
 	}
 	names := []string{}
-	for name := range kinds {
+	for name := range faults {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -181,12 +184,12 @@
 					if n := storedSubchunks(sim); n > 0 || sim.State.OversizeRefusals() > 0 {
 						t.Errorf("%d sub-chunks, %d transactions refused before the limits were lowered, want 0", n, sim.State.OversizeRefusals())
 					}
-					sim.WithChecker(func(ck *simulator.Checker) {
-						if n := ck.TasksOnMachines(largeArray.Spec.ID) + ck.TasksOnMachines(smallArray.Spec.ID) + ck.TasksOnMachines(laterArray.Spec.ID); n < 500 {
+					sim.WithChecker(func(c *simulator.Checker) {
+						if n := c.TasksOnMachines(largeArray.Spec.ID) + c.TasksOnMachines(smallArray.Spec.ID) + c.TasksOnMachines(laterArray.Spec.ID); n < 500 {
 							t.Errorf("%d tasks on machines, want at least 500", n)
 						}
 					})
-					kinds[name](t, sim, sleepUntil)
+					faults[name](t, sim, sleepUntil)
 					sim.Submit(nextJob, 0)
 					maxSubchunks := 0
 					for range 300 {
@@ -208,7 +211,7 @@
 					mustRun(t, sim, serviceJob, "after the limits were lowered")
 					sim.WithChecker(func(c *simulator.Checker) {
 						if c.TasksOnMachines(cancelledJob.Spec.ID) != 0 || c.TasksOnMachines("req-000006") != 0 {
-							t.Error("tasks of cancelled jobs still run")
+							t.Error("tasks of cancelled jobs still run, want none")
 						}
 						if c.Restarts() > 0 && name != "answers lost" && name != "all controllers end" {
 							t.Errorf("%d tasks were started again, want 0", c.Restarts())
@@ -220,9 +223,9 @@
 	}
 }
 
-// Jobs whose records exceed the lowered limit are cancelled after the limits were lowered, and polled
-// and submitted again. A job that could not be stored then is refused at once, also before the limits
-// are lowered.
+// Jobs whose records exceed the lowered limit are cancelled or finish after the limits were lowered.
+// One of them is submitted again before and after that, and is still known. A new job that could not
+// be stored under the lowered limits is refused as soon as these are announced.
 func TestLargeJobRecordsAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsBeforeLowering(), 720, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -261,10 +264,10 @@
 		replaceLeader(t, sim)
 		time.Sleep(120 * time.Second)
 		mustBeArchived(t, sim, finishingLarge)
-		sim.WithChecker(func(ck *simulator.Checker) {
+		sim.WithChecker(func(c *simulator.Checker) {
 			for _, j := range []simulator.JobScript{cancelledLarge, cancelledTwoTasks, cancelledSmall} {
-				if ck.TasksOnMachines(j.Spec.ID) != 0 {
-					t.Errorf("%d tasks of the cancelled %s on machines, want 0", ck.TasksOnMachines(j.Spec.ID), j.Spec.ID)
+				if c.TasksOnMachines(j.Spec.ID) != 0 {
+					t.Errorf("%d tasks of the cancelled %s on machines, want 0", c.TasksOnMachines(j.Spec.ID), j.Spec.ID)
 				}
 			}
 		})
@@ -274,8 +277,8 @@
 	})
 }
 
-// A job of 100,000 tasks runs while the limits are lowered, another one starts after that, and their
-// cancellation leaves no records.
+// A job of 100,000 tasks runs while the limits are lowered, and another one is submitted after that.
+// Once both are cancelled, no records of their progress may be left.
 func TestLargestJobAcrossLoweredLimits(t *testing.T) {
 	t.Parallel()
 	runWithSettings(t, settingsBeforeLowering(), 730, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
--- a/internal/scenarios/machine_loss_test.go
+++ b/internal/scenarios/machine_loss_test.go
@@ -127,7 +127,7 @@
 				sim.SetUnlisted(false)
 				time.Sleep(5 * time.Second)
 				if newLeader := sim.Leader(); newLeader == leader || newLeader < 0 {
-					t.Fatalf("leader is node %d, was node %d, want another", newLeader, leader)
+					t.Fatalf("leader is controller %d, was controller %d, want another", newLeader, leader)
 				}
 				mustHaveTaskInUnknownZone(t, sim)
 				startControllers(t, sim, leader)
@@ -141,9 +141,9 @@
 	}
 }
 
-// A scale-in request takes effect but is never answered, since the leader that sent it is killed.
-// Tasks of a team at its limit were on that machine, some of them were cancelled meanwhile, and
-// lists still show the machine for a while.
+// A scale-in request takes effect but its response is lost, and the leader that sent it is killed.
+// Tasks of a cancelled job were on that machine. Their team is at its limit, and lists still show the
+// machine for a while.
 func TestScaleInUnansweredAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	for seed := range seedCount(1) {
@@ -182,7 +182,7 @@
 				// The machine is gone, but the leader can't know: its tasks still count towards the limit.
 				sim.WithChecker(func(c *simulator.Checker) {
 					if n := c.TasksOnMachines(waitingArray.Spec.ID); c.TasksOnMachines(cancelledJob.Spec.ID) > 0 || n > 12-unreachableTasks {
-						t.Errorf("%d tasks of the waiting job run while %d unreachable tasks count towards the limit of 12", n, unreachableTasks)
+						t.Errorf("%d tasks of the waiting array run while %d unreachable tasks count towards the limit of 12", n, unreachableTasks)
 					}
 				})
 				replaceLeader(t, sim)
--- a/internal/scenarios/random_faults_test.go
+++ b/internal/scenarios/random_faults_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// A random zone is partitioned, for seconds to well over a lease and cancel_s. Meanwhile the
+// A random zone is partitioned, from a few seconds to well over a lease and cancel_s. Meanwhile the
 // cloud or the key-value store may be unavailable, leaders are killed and jobs are cancelled.
 // SCENARIO_SEEDS asks for more seeds.
 func TestRandomZonePartitions(t *testing.T) {
@@ -126,7 +126,7 @@
 }
 
 // Random faults on a layout with a zone without controllers. One zone is partitioned, or two
-// zones from each other, for seconds to well over a lease and cancel_s. Meanwhile one or all
+// zones from each other, from a few seconds to well over a lease and cancel_s. Meanwhile one or all
 // controllers may be killed, and the cloud or the key-value store may be unavailable.
 func TestRandomFaultsOnUnevenLayout(t *testing.T) {
 	t.Parallel()
@@ -161,9 +161,9 @@
 					time.Sleep(randomSeconds(8))
 					sim.SetCloudOutage(rng.IntN(2) == 0)
 					sim.State.SetOutage(rng.IntN(4) == 0)
-					if victim := rng.IntN(4); victim < 3 {
-						killed := []int{victim}
-						if victim == 2 {
+					if choice := rng.IntN(4); choice < 3 { // 0 or 1: that controller is killed, 2: all, 3: none
+						killed := []int{choice}
+						if choice == 2 {
 							killed = []int{0, 1, 2}
 						}
 						for _, i := range killed {
--- a/internal/scenarios/stale_answers_test.go
+++ b/internal/scenarios/stale_answers_test.go
@@ -13,9 +13,9 @@
 
 // Right after a job was accepted, has ended or was confirmed as cancelled, users poll all controllers
 // again and again within milliseconds, and repeat the submission. No controller may give an older
-// response, whether it reads the store's changes or, where these are kept for too short a time, lists
-// all jobs page by page. That holds although some of what it reads is stale on arrival.
-func TestNoStaleAnswerAfterChange(t *testing.T) {
+// response, whether it reads the store's changes or, where the store keeps too few of them, lists all
+// jobs page by page. This must hold also if some of these lists arrive late and are stale by then.
+func TestNoStaleResponseAfterChange(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
 		name     string
@@ -98,44 +98,44 @@
 		sim.State.DelayResponses("", 500*time.Millisecond)
 		inFlight := 0
 		for k, j := range jobs {
-			node, path := k%sim.Settings.Size, "/v1/jobs/"+string(j.Spec.ID)
-			type pollAnswer struct {
+			controller, path := k%sim.Settings.Size, "/v1/jobs/"+string(j.Spec.ID)
+			type pollResponse struct {
 				sentAt, answeredAt time.Time
 				status             wire.Status // empty: no readable response
 			}
-			polled := make(chan pollAnswer, 40)
+			polled := make(chan pollResponse, 40)
 			for i := range 40 {
 				go func() {
 					time.Sleep(time.Duration(i) * 50 * time.Millisecond)
 					sent := time.Now()
-					status, raw, _ := sim.Ask(node, "GET", path, nil)
+					status, raw, _ := sim.Ask(controller, "GET", path, nil)
 					var state wire.JobState
 					if status != 200 || wire.Decode(raw, &state) != nil {
 						state.Status = ""
 					}
-					polled <- pollAnswer{sent, time.Now(), state.Status}
+					polled <- pollResponse{sent, time.Now(), state.Status}
 				}()
 			}
 			time.Sleep(300 * time.Millisecond)
-			if status := requestOnce(sim, j, true, node); status != 200 {
+			if status := requestOnce(sim, j, true, controller); status != 200 {
 				t.Fatalf("cancellation answered %d, want 200", status)
 			}
 			confirmedAt := time.Now()
 			sim.WithChecker(func(c *simulator.Checker) { c.StatusToldNow(j.Spec.ID, wire.StatusCancelled, confirmedAt) })
 			for range 40 {
-				// Answers that are sent at the same moment may overtake each other.
-				answer := <-polled
-				if answer.sentAt.Before(confirmedAt) && answer.answeredAt.After(confirmedAt.Add(10*time.Millisecond)) {
+				// Responses that are sent at the same moment may overtake each other, hence the 10 ms.
+				response := <-polled
+				if response.sentAt.Before(confirmedAt) && response.answeredAt.After(confirmedAt.Add(10*time.Millisecond)) {
 					inFlight++
 				}
-				if answer.answeredAt.After(confirmedAt.Add(10*time.Millisecond)) && answer.status != "" && answer.status != wire.StatusCancelled {
-					t.Errorf("%s %s: polled %v before and answered %v after the cancellation was confirmed, want cancelled", j.Spec.ID, answer.status, confirmedAt.Sub(answer.sentAt), answer.answeredAt.Sub(confirmedAt))
+				if response.answeredAt.After(confirmedAt.Add(10*time.Millisecond)) && response.status != "" && response.status != wire.StatusCancelled {
+					t.Errorf("%s is shown as %s to a poll sent %v before and answered %v after the cancellation was confirmed, want cancelled", j.Spec.ID, response.status, confirmedAt.Sub(response.sentAt), response.answeredAt.Sub(confirmedAt))
 				}
 			}
 		}
 		sim.State.DelayResponses("", 0)
 		if inFlight < jobCount {
-			t.Errorf("%d polls were waiting for their answer when a cancellation was confirmed, want at least one for each job", inFlight)
+			t.Errorf("%d polls were waiting for their response when a cancellation was confirmed, want at least one for each job", inFlight)
 		}
 		time.Sleep(50 * time.Second)
 	})
--- a/internal/scenarios/state_service_outage_test.go
+++ b/internal/scenarios/state_service_outage_test.go
@@ -112,7 +112,7 @@
 }
 
 // The key-value store refuses only the leader, which must give up its leadership. Its commands
-// to one agent are held up until after that and must not start a task twice.
+// to one agent are held up, arrive long after that and must not start a task twice.
 func TestStoreRefusesLeaderWithDelayedCommands(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 4, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
@@ -132,7 +132,7 @@
 		sim.State.RefuseClient(simulator.NodeIP(leader), true)
 		sleepUntil(60 * time.Second)
 		if newLeader := sim.Leader(); newLeader == leader || newLeader < 0 {
-			t.Errorf("leader is node %d, was node %d, want another", newLeader, leader)
+			t.Errorf("leader is controller %d, was controller %d, want another", newLeader, leader)
 		}
 		if status, _, _ := sim.Ask(leader, "GET", "/ready", nil); status != 503 {
 			t.Errorf("/ready of the refused controller answers %d while others serve, want 503", status)
@@ -173,14 +173,14 @@
 				waitUntil(t, 10*time.Second, "a new leader key", func() bool { return sim.LeaderKeyRevision() > oldRevision })
 				sim.State.SetOutage(true)
 				if newLeader := sim.Leader(); newLeader < 0 || (newLeader == leader) != variant.restartsAtOnce {
-					t.Errorf("node %d leads, want the killed leader only if it restarted at once", newLeader)
+					t.Errorf("controller %d leads, want the killed leader only if it restarted at once", newLeader)
 				}
 				if !variant.restartsAtOnce {
 					startControllers(t, sim, leader)
 				}
 				sim.WithChecker(func(c *simulator.Checker) {
 					if c.TasksOnMachines(cancelledJob.Spec.ID) != 4 {
-						t.Error("the cancelled job was stopped before the outage")
+						t.Error("tasks of the cancelled job were stopped before the outage, want all 4 on machines")
 					}
 				})
 				time.Sleep(time.Until(confirmed.Add(sim.Settings.Workers.CancelTimeout.Duration() + 10*time.Second)))
--- a/internal/scenarios/team_limits_test.go
+++ b/internal/scenarios/team_limits_test.go
@@ -12,7 +12,7 @@
 // Every team is at its limit and has more tasks waiting when the busy machines become
 // unreachable. All running jobs are cancelled meanwhile, and the leader changes: after the
 // cancellation, or before, so that there is no leader when the jobs are cancelled. Tasks that
-// may still run there count towards the limit: no waiting task may start on top of them. Once
+// may still run there count towards the limit, and no waiting task may start beyond it. Once
 // they are known to be gone, the waiting tasks must run, even if the machines never come back.
 func TestTeamLimitsCountUnreachableCancelledTasks(t *testing.T) {
 	t.Parallel()
@@ -49,14 +49,14 @@
 					sleepUntil(45 * time.Second)
 					mustUseCPUs(t, sim, "red", 24)
 					mustUseCPUs(t, sim, "blue", 16)
-					var hitMachines []wire.MachineID
+					var unreachableMachines []wire.MachineID
 					for i, id := range append(sim.MachinesRunning(cancelledJob.Spec.ID), sim.MachinesRunning(cancelledService.Spec.ID)...) {
 						if !variant.halfOfMachines || i%2 == 0 {
-							hitMachines = append(hitMachines, id)
+							unreachableMachines = append(unreachableMachines, id)
 						}
 					}
 					setFault := func(on bool) {
-						for _, id := range hitMachines {
+						for _, id := range unreachableMachines {
 							faults[variant.fault](sim, id, on)
 						}
 						if variant.cloudDown {
@@ -90,7 +90,7 @@
 						replaceLeader(t, sim)
 					} else {
 						if newLeader := sim.Leader(); newLeader >= 0 && newLeader != leader {
-							t.Errorf("node %d leads before both jobs are cancelled, want no new leader yet", newLeader)
+							t.Errorf("controller %d leads before both jobs are cancelled, want no new leader yet", newLeader)
 						}
 						awaitSuccessor(t, sim, leader)
 					}
@@ -98,7 +98,7 @@
 						time.Sleep(time.Until(begin.Add(variant.duration)))
 						sim.WithChecker(func(c *simulator.Checker) {
 							if c.TasksOnMachines(cancelledJob.Spec.ID) != 0 || c.TasksOnMachines(cancelledService.Spec.ID) != 0 {
-								t.Error("cancelled tasks still run when the fault has outlasted any timeout")
+								t.Error("cancelled tasks still run when the fault has outlasted any timeout, want none")
 							}
 						})
 						if !variant.cloudDown { // without the cloud there may be no capacity
@@ -158,7 +158,7 @@
 				sleepUntil(170 * time.Second)
 				mustFinish(t, sim, urgent...)
 				if n := preemptionCount(t, sim); n < 1 || n > 2 {
-					t.Errorf("%.0f tasks preempted for ten that run one by one, want 1 or 2", n)
+					t.Errorf("%.0f tasks preempted for ten urgent tasks that run one by one, want 1 or 2", n)
 				}
 			})
 		})
@@ -178,8 +178,8 @@
 				t.Parallel()
 				runScenario(t, 440+seed, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 					sim.EnableSlowSaves()
-					newArray := func(n, tasks int, run float64, priority wire.Priority, team wire.TeamID) simulator.JobScript {
-						j := array(n, tasks, run)
+					newArray := func(n, tasks int, runSeconds float64, priority wire.Priority, team wire.TeamID) simulator.JobScript {
+						j := array(n, tasks, runSeconds)
 						j.Spec.Priority, j.Spec.Team = priority, team
 						j.Spec.CheckpointInterval, j.Spec.CheckpointTime = 10, 3
 						return j
--- a/internal/scenarios/unanswered_writes_test.go
+++ b/internal/scenarios/unanswered_writes_test.go
@@ -11,7 +11,7 @@
 
 // When the response to a transaction is lost, its outcome must be read from the store and not
 // be guessed.
-func TestStoreAnswersLost(t *testing.T) {
+func TestStoreResponsesLost(t *testing.T) {
 	t.Parallel()
 	runScenario(t, 7, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
 		firstArray, secondArray := array(1, 10, 10), array(2, 10, 10)
@@ -30,8 +30,8 @@
 // The key-value store executes transactions at once but their responses are lost. Meanwhile
 // users poll all controllers about what was written, and repeat their request at one controller
 // after the other. The transactions are acceptances, cancellations, launches, writes of the
-// leader key and final records, which replace the records of finished jobs.
-func TestTransactionAnswersLostDuringReads(t *testing.T) {
+// leader key, or writes of final records, which replace the records of finished jobs.
+func TestTransactionResponsesLostDuringReads(t *testing.T) {
 	t.Parallel()
 	for i, kind := range []string{"acceptance", "cancellation", "launch", "leader key", "final record", "all"} {
 		prefix := map[string]string{"acceptance": store.JobPrefix, "cancellation": store.JobPrefix, "launch": store.ProgressPrefix, "leader key": store.LeaderKey, "final record": "past/"}[kind]
@@ -113,7 +113,7 @@
 					during("first read as done", firstReader.firstSeen(simulator.KnownStatusFinal))
 				case "leader key":
 					if leader := sim.Leader(); leader < 0 || !slices.ContainsFunc(executed, func(f simulator.TxnOutcome) bool { return f.Client == simulator.NodeIP(leader) }) {
-						t.Errorf("node %d leads, want one whose write of the leader key lost its response", leader)
+						t.Errorf("controller %d leads, want one whose write of the leader key lost its response", leader)
 					}
 					during("next leader's first job first read as done", laterReader.firstSeen(simulator.KnownStatusFinal))
 				case "all":
--- a/internal/scenarios/unreachable_machines_test.go
+++ b/internal/scenarios/unreachable_machines_test.go
@@ -10,10 +10,10 @@
 	"lilaclead/internal/wire"
 )
 
-// A machine's heartbeats arrive, but responses and commands don't reach it. It looks alive; only
-// what it fails to do shows the fault. Its replicas must run elsewhere soon after its lease has
-// ended them, tasks of a cancelled job must be gone in time, and a job that is submitted
-// meanwhile must not wait for it.
+// A machine's heartbeats arrive, but responses and commands don't reach it. It looks alive: the
+// fault shows only in that it does not execute commands. Its replicas must run elsewhere soon
+// after its lease has expired, tasks of a cancelled job must be gone in time, and a job that is
+// submitted meanwhile must not wait for it.
 func TestMachineReceivesNothing(t *testing.T) {
 	t.Parallel()
 	for _, leaderRestarts := range []bool{false, true} {
@@ -80,16 +80,16 @@
 				sleepUntil(45 * time.Second)
 				unconnected := choose(sim)
 				sim.BlockOutbound(true, unconnected...)
-				// Each machine has been without a heartbeat for a lease, but still answers requests.
+				// Each agent has received no heartbeat response for a lease, but still answers requests.
 				time.Sleep(sim.Settings.Workers.Lease.Duration() + time.Second)
-				newSessions := 0
+				newEpochs := 0
 				for _, id := range unconnected {
 					if epoch, _, _ := sim.MachineEpoch(id); epoch > 1 {
-						newSessions++
+						newEpochs++
 					}
 				}
-				if newSessions+lostMachines(sim, unconnected) != len(unconnected) || newSessions == 0 {
-					t.Errorf("%d of %d machines that can't connect are in a new session, want all but those that are gone", newSessions, len(unconnected))
+				if newEpochs+lostMachines(sim, unconnected) != len(unconnected) || newEpochs == 0 {
+					t.Errorf("%d of %d machines that can't connect have a new agent epoch, want all but those that are gone", newEpochs, len(unconnected))
 				}
 				mustCancel(t, sim, cancelledJob)
 				time.Sleep(5 * time.Second)
--- a/internal/scenarios/zone_partition_test.go
+++ b/internal/scenarios/zone_partition_test.go
@@ -28,7 +28,7 @@
 				sleepUntil(78 * time.Second)
 				mustRun(t, sim, serviceJob, "33 s after the zone was partitioned")
 				if l := sim.Leader(); l < 0 || sim.Config(l).Zone == zone {
-					t.Errorf("leader is node %d, want one outside the partitioned zone", l)
+					t.Errorf("leader is controller %d, want one outside the partitioned zone", l)
 				}
 				sim.IsolateZone(zone, false)
 				sleepUntil(95 * time.Second)
@@ -68,7 +68,7 @@
 }
 
 // Two zones can't reach each other for longer than a lease; both still reach the key-value
-// store. The agents of one reach no controller that reaches the leader, and the controller
+// store. The agents of one zone reach no controller that reaches the leader, and the controller
 // there acts as the leader's delegate. Running tasks must keep running. It must not matter in
 // which zone the leader is, and the leader must not change.
 func TestTwoZonesPartitionedFromEachOther(t *testing.T) {
@@ -87,7 +87,7 @@
 				time.Sleep(20 * time.Second)
 				for i := range 3 {
 					if status, _, _ := sim.Ask(i, "GET", "/ready", nil); status != 200 {
-						t.Errorf("/ready of node %d answers %d, want 200", i, status)
+						t.Errorf("/ready of controller %d answers %d, want 200", i, status)
 					}
 				}
 				time.Sleep(16 * time.Second)
@@ -145,7 +145,7 @@
 		t.Run(fmt.Sprintf("leader inside %v", leaderInside), func(t *testing.T) {
 			t.Parallel()
 			runOnUnevenLayout(t, 62, func(sim *simulator.Simulation, sleepUntil func(time.Duration)) {
-				zone := wire.Zone("b") // node 1
+				zone := wire.Zone("b") // the zone of controller 1
 				inZone := func(j simulator.JobScript) simulator.JobScript { j.Spec.Zone = zone; return j }
 				uncancelledArray, sameZoneArray := inZone(array(1, 4, 120)), array(2, 3, 60)
 				sameZoneArray.Spec.SameZone = true
@@ -195,10 +195,10 @@
 
 // The controller in a partitioned zone is the leader's delegate there. It is killed and restarted
 // just as the partition ends, so it no longer knows which heartbeats it answered. The leader
-// must still wait for the end of the leases that it renewed.
+// must still wait for the end of the leases that the delegate renewed.
 func TestDelegateRestartsAsPartitionHeals(t *testing.T) {
 	t.Parallel()
-	// With leaderChanges, another controller leads at the end of the partition than before it.
+	// With leaderChanges, another controller becomes leader during the partition.
 	for leaderChanges, duration := range map[bool]time.Duration{false: 21 * time.Second, true: 28 * time.Second} {
 		t.Run(fmt.Sprintf("partition of %v, leader changes %v", duration, leaderChanges), func(t *testing.T) {
 			t.Parallel()
